--- a/internal/membership/judge/api.go
+++ b/internal/membership/judge/api.go
@@ -64,15 +64,15 @@
 
 // Entry is a line of the list that is made.
 type Entry struct {
-	ID      string
-	Address string
-	Group   int
-	Zone    string
-	Kind    string
-	Weight  float64
-	Started float64
-	State   State
-	Primary bool
+	ID      string  `json:"ID"`
+	Address string  `json:"Address"`
+	Group   int     `json:"Group"`
+	Zone    string  `json:"Zone"`
+	Kind    string  `json:"Kind"`
+	Weight  float64 `json:"Weight"`
+	Started float64 `json:"Started"`
+	State   State   `json:"State"`
+	Primary bool    `json:"Primary"`
 }
 
 // Word is what a server said of itself, in an answer or a probe's.
--- a/internal/peers/credit/ledger/ledger.go
+++ b/internal/peers/credit/ledger/ledger.go
@@ -54,10 +54,10 @@
 
 // Key names an account.
 type Key struct {
-	Tenant string
-	Depth  int64 // how far below nothing the balance may go for it
-	Holder Holder
-	Gen    uint32
+	Tenant string `json:"Tenant"`
+	Depth  int64  `json:"Depth"` // how far below nothing the balance may go for it
+	Holder Holder `json:"Holder"`
+	Gen    uint32 `json:"Gen"`
 }
 
 func compare(a, b Key) int {
--- a/internal/peers/credit/purse/api.go
+++ b/internal/peers/credit/purse/api.go
@@ -175,8 +175,8 @@
 
 // Mark is the most of an account that may have been spent.
 type Mark struct {
-	Key   ledger.Key
-	Spent int64
+	Key   ledger.Key `json:"Key"`
+	Spent int64      `json:"Spent"`
 }
 
 // ActionKind says what an Action asks for.
