--- /dev/null
+++ b/cmd/beechgrade-kit/testdata/compatibility/all-shared.sexp
@@ -0,0 +1,15 @@
+; Everything on which a fleet decides together, at once: limits, credit, overload, outliers, the log in common and reports in pages, with faults.
+(rehearsal "all shared"
+  (seconds 30) (poolers 9) (groups-of 3 3) (rate 260) (roams 0.6) (retries 2) (retry 20ms 120ms) (cold 4s)
+  (tenant "norte" (share 0.3)) (tenant "sul" (share 0.7))
+  (peers (probe 500ms) (timeout 150ms) (suspicion 1500ms) (exchange 3s))
+  (overload (shed yes) (repeats) (returns 100)) (verdicts) (agreed (voters 3) (tick 50ms) (election 12) (heartbeat 2) (every 400) (keep 100))
+  (fleet-limits (lease 6s) (promise 2s) (limit "norte" (of tenant "norte") (rate 80) (burst 80)) (limit "probes" (of probes) (rate 40) (manner soon-even)))
+  (credit (unit "cent") (lease 3s) (renew 500ms)
+    (price "quadro-obra" (request 10)) (price "conferir-ponto" (request 20)) (price "relatorio-mes" (request 20)) (price "registrar-ponto" (request 10))
+    (payment "norte" 1 9000) (payment "sul" 1 100000000))
+  (pages (class "conferir-ponto") (tenant "sul") (rows 80) (page 25) (readers 4) (think 40ms) (changes 20))
+  (at 5s (load 2.4) (for 8s))
+  (at 7s (between (part 0 0.4) (part 0.4 1) cut) (for 5s))
+  (at 9s (kill-pooler 2) (for 2s))
+  (at 15s (pay "norte" 2 20000 3)))
--- /dev/null
+++ b/cmd/beechgrade/stored_data_test.go
@@ -0,0 +1,195 @@
+package main
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	jsoniter "github.com/json-iterator/go"
+
+	"beechgrade/internal/clock"
+	"beechgrade/internal/config"
+	"beechgrade/internal/handover"
+	"beechgrade/internal/membership/snapshot"
+	"beechgrade/internal/operate"
+	"beechgrade/internal/peers/agreed"
+	"beechgrade/internal/peers/credit/ledger"
+	"beechgrade/internal/peers/credit/purse"
+	"beechgrade/internal/storage/journal"
+	"beechgrade/internal/storage/sessiontoken"
+	"beechgrade/internal/storage/snapshots"
+	"beechgrade/internal/storage/store"
+)
+
+// storedData copies the data that version 756537a wrote to its disk, so that a test may open it for writing.
+func storedData(t testing.TB) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "stored-756537a"))); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// openStored opens a durable store among the stored data.
+func openStored(t testing.TB, dir, name string) *store.Store {
+	t.Helper()
+	s, recovery, err := store.Open(store.Options{FS: store.Dir(filepath.Join(dir, name)), MaxBytes: 64 << 20, SegmentBytes: 4 << 20})
+	if err != nil {
+		t.Fatal(name, err)
+	}
+	if recovery.Dropped > 0 {
+		t.Errorf("%s: %d bytes are dropped: %s", name, recovery.Dropped, recovery.Why)
+	}
+	t.Cleanup(func() { _ = s.Close() })
+	return s
+}
+
+// asJSON returns a value as JSON, whose keys are those of the stored data.
+func asJSON(t testing.TB, value any) string {
+	t.Helper()
+	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(value, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// TestStoredHandoverIsReadable reads a state that a process of the earlier version handed over.
+func TestStoredHandoverIsReadable(t *testing.T) {
+	t.Parallel()
+	text, err := os.ReadFile(filepath.Join(storedData(t), "handover.state"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	state, err := handover.Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "stored-handover.json", asJSON(t, state))
+}
+
+// TestStoredEndpointsAreReadable reads a saved list of servers.
+func TestStoredEndpointsAreReadable(t *testing.T) {
+	t.Parallel()
+	text, err := os.ReadFile(filepath.Join(storedData(t), "members"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := snapshot.Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "stored-endpoints.json", asJSON(t, file))
+}
+
+// TestStoredSnapshotsAreReadable reads the last good configuration and list.
+func TestStoredSnapshotsAreReadable(t *testing.T) {
+	t.Parallel()
+	s := openStored(t, storedData(t), "kept")
+	_ = s.Close()
+	keeper, err := snapshots.Start(snapshots.Options{FS: store.Dir(filepath.Join(storedData(t), "kept")), MostBytes: 64 << 20, AgeMs: 1e15, Log: slog.New(slog.DiscardHandler)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer keeper.Stop()
+	var out strings.Builder
+	for _, what := range []string{snapshots.Config, snapshots.List} {
+		record, err := keeper.Found(what, clock.ThisMachine())
+		if err != nil || record == nil {
+			t.Fatalf("%s: %v, %v", what, record, err)
+		}
+		fmt.Fprintf(&out, "%s from %s, saved at %.0f: %s\n", what, record.From, record.SavedMs, record.Body)
+	}
+	golden(t, "stored-snapshots.txt", out.String())
+}
+
+// TestStoredSessionsAreReadable reads sessions' last commits.
+func TestStoredSessionsAreReadable(t *testing.T) {
+	t.Parallel()
+	s := openStored(t, storedData(t), "sessions")
+	keeper, err := sessiontoken.New(s, sessiontoken.Before, clock.Span(18e11), func(f func()) { f() }, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	for _, commit := range keeper.Memory().Commits {
+		fmt.Fprintf(&out, "%s %d\n", commit.Session, commit.At)
+	}
+	golden(t, "stored-sessions.txt", out.String())
+}
+
+// TestStoredCreditIsReadable reads what a process had spent of its leases when it ended.
+func TestStoredCreditIsReadable(t *testing.T) {
+	t.Parallel()
+	x := &prepaid{set: operate.Credit{Dir: filepath.Join(storedData(t), "credit")}, holder: 7, locks: map[ledger.Holder]*os.File{}}
+	gone, err := x.lock()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff([]ledger.Holder{0x2a}, gone); diff != "" {
+		t.Fatal(diff)
+	}
+	text, err := os.ReadFile(x.file(gone[0], marksEnd))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var list []purse.Mark
+	if err := jsoniter.Unmarshal(text, &list); err != nil {
+		t.Fatal(err)
+	}
+	want := []purse.Mark{{Key: ledger.Key{Tenant: "t", Depth: 5, Holder: 0x2a, Gen: 3}, Spent: 70}}
+	if diff := cmp.Diff(want, list); diff != "" {
+		t.Error(diff)
+	}
+	if again, err := jsoniter.Marshal(list); err != nil || string(again) != string(text) {
+		t.Errorf("written as %s, %v; the file has %s", again, err, text)
+	}
+}
+
+// TestStoredPlanNumberIsReadable reads the number of the plan for zones that was followed last.
+func TestStoredPlanNumberIsReadable(t *testing.T) {
+	t.Parallel()
+	z := &zoned{set: operate.Zones{Dir: filepath.Join(storedData(t), "zones")}, p: &pooler{cfg: &config.Config{Name: "test"}}}
+	if number, err := z.floor(); number != 12 || err != nil {
+		t.Errorf("%d, %v", number, err)
+	}
+}
+
+// TestStoredJournalIsReadable reads the attempts that may have run when a process was killed.
+func TestStoredJournalIsReadable(t *testing.T) {
+	t.Parallel()
+	var out strings.Builder
+	for _, attempt := range journal.Pending(openStored(t, storedData(t), "journal")) {
+		fmt.Fprintf(&out, "%s at %s, attempt %d, %.3f: ended as %d\n", attempt.ID, attempt.Server, attempt.No, attempt.At, attempt.End)
+	}
+	golden(t, "stored-journal.txt", out.String())
+}
+
+// TestStoredRaftLogIsReadable restores the log in common from a voter's disk.
+func TestStoredRaftLogIsReadable(t *testing.T) {
+	t.Parallel()
+	s := openStored(t, storedData(t), "agreed")
+	var records []agreed.Record
+	s.Range("", "", func(key string, value []byte) bool {
+		records = append(records, agreed.Record{Key: key, Value: value})
+		return true
+	})
+	settings := agreed.Defaults()
+	settings.Self, settings.Voters = "pooler-0", []string{"pooler-0", "pooler-1", "pooler-2"}
+	log := agreed.New(settings, 0)
+	var out strings.Builder
+	for _, action := range log.Handle(0, agreed.Restored{Records: records}, nil) {
+		if len(action.Entry) > 0 || len(action.Data) > 0 {
+			fmt.Fprintf(&out, "index %d: entry %x, snapshot %x\n", action.Index, sha256.Sum256(action.Entry), sha256.Sum256(action.Data))
+		}
+	}
+	standing := log.Standing()
+	fmt.Fprintf(&out, "%d records; term %d, commit %d, first %d, last %d\n", len(records), standing.Term, standing.Commit, standing.First, standing.Last)
+	golden(t, "stored-raft-log.txt", out.String())
+}
--- /dev/null
+++ b/cmd/beechgrade/testdata/compatibility/settings.sexp
@@ -0,0 +1,28 @@
+; All forms of the operators' settings, each with the keys that it takes. Addresses are the test's: $PEERS and the like are put in.
+(record (on) (dir "$DIR/records") (segment 64k) (total 1m) (queue 4096) (flush 50ms) (pack no))
+(pooling
+  (listen "127.0.0.1:0")
+  (class "office" (needs primary) (aim 500ms) (deadline 60s))
+  (class "reports" (needs session) (aim 1s) (deadline 60s))
+  (pool (database "obra") (user "*") (mode transaction) (class "office") (group 0) (connections 50) (queue 5000) (wait 10s)))
+(scatter
+  (key "$DIR/cursors")
+  (read "orders" (class "reports") (shards ("north" 0) ("south" 1)) (order ("at" timestamptz (desc))) (own ("id" int8)) (whole)))
+(clickhouse (listen "127.0.0.1:0") (group 9))
+(journal (dir "$DIR/journal"))
+(kept (dir "$DIR/kept"))
+(sessions (dir "$DIR/sessions"))
+(peers (listen "$PEERS") (key "$DIR/key") (seeds "127.0.0.1:1"))
+(fleet-limits
+  (limit "obra" (of tenant "obra-sul") (rate 200) (burst 200))
+  (limit "reports" (of queries "escritorio") (at-once 4) (manner never-over))
+  (limit "probes" (of probes) (rate 300) (manner soon-even)))
+(overload (probes (each 100ms) (age 50ms)) (shed yes) (repeats) (returns 100))
+(verdicts)
+(agreed (voters "a" "b" "test") (dir "$DIR/agreed") (tick 50ms) (election 12) (heartbeat 2) (every 400) (keep 100))
+(credit (unit "cent") (files "$DIR/credit") (price "read" (request 10) (second 50) (most 200) (failed charged)) (payment "obra-sul" 1 9000) (payment "obra-sul" 2 20000)
+  (overdraft "obra-sul" 5000) (slow-below 0.1) (least 0.25) (lease 3s) (renew 500ms))
+(zones (names "room" "b" "c") (delay "room" "b" 1ms) (delay "room" "c" 1ms) (delay "b" "c" 2ms) (cores 4) (dir "$DIR/zones") (period 200ms) (renew 500ms) (life 6s) (step 400ms)
+  (out 0.5) (back 0.2) (window 500ms) (memory 1s) (least 3) (fail 400ms) (empty 600ms) (rest 2s) (most-rest 4s) (warm 1500ms)
+  (order 17 "b" evacuated (until "2026-05-04T18:00:00Z")))
+(invariants (every 64))
--- /dev/null
+++ b/internal/peers/overload/lend/bytes_test.go
@@ -0,0 +1,26 @@
+package lend
+
+import (
+	"encoding/hex"
+	"testing"
+)
+
+// TestBytes: a message's bytes are what poolers of other versions read.
+func TestBytes(t *testing.T) {
+	items := []Item{{7, 1.5}, {1 << 30, 0}}
+	for name, c := range map[string]struct {
+		message interface{ Append([]byte) []byte }
+		want    string
+	}{
+		"a gift":    {&Give{300, items}, "10ac02020760808080800400"},
+		"a request": {&Want{300, items}, "11ac02020760808080800400"},
+	} {
+		b := c.message.Append(nil)
+		if got := hex.EncodeToString(b); got != c.want {
+			t.Errorf("%s: %s, want %s", name, got, c.want)
+		}
+		if got, err := Read(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
+			t.Errorf("%s: read as %+v, %v", name, got, err)
+		}
+	}
+}
