--- a/internal/kit/knownred/verdict/main.go
+++ b/internal/kit/knownred/verdict/main.go
@@ -37,7 +37,7 @@
 	}
 	fmt.Printf("known failures: %d\n", len(known))
 	for _, entry := range known {
-		fmt.Printf("KNOWN RED: %s: %s (%s)\n", entry.Test, entry.Cause, entry.Issue)
+		fmt.Printf("KNOWN RED: %s: %s (%s; %s)\n", entry.Test, entry.Seen, entry.Command, entry.Issue)
 	}
 	reasons := result.Verdict(known)
 	for _, reason := range reasons {
