--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -37,12 +37,12 @@
 
 func command() *cli.Command {
 	verbose := &cli.BoolFlag{Name: "verbose", Aliases: []string{"v"}, Usage: "log what is of use only when looking for a fault"}
-	settings := &cli.StringFlag{Name: "settings", Sources: cli.EnvVars("EDGE_SETTINGS"), Usage: "the operators' settings, a `FILE` of S-expressions"}
+	settingsFlag := &cli.StringFlag{Name: "settings", Sources: cli.EnvVars("EDGE_SETTINGS"), Usage: "the operators' settings, a `FILE` of S-expressions"}
 	return &cli.Command{
 		Name:           "beechgrade",
 		Usage:          "a pooler before groups of PostgreSQL-speaking servers",
 		DefaultCommand: "serve",
-		Flags:          []cli.Flag{verbose, settings},
+		Flags:          []cli.Flag{verbose, settingsFlag},
 		Commands: []*cli.Command{
 			{
 				Name:  "serve",
@@ -163,15 +163,15 @@
 
 // read reads the operators' settings, where there are any, and the configuration; where there is a log, that may be one that was
 // kept, and the keeper goes on from there.
-func read(settings string, log *slog.Logger) (cfg *config.Config, set *operate.Settings, k *snapshots.Keeper, err error) {
+func read(settingsFile string, log *slog.Logger) (cfg *config.Config, set *operate.Settings, k *snapshots.Keeper, err error) {
 	set = &operate.Settings{}
 	cfg, err = config.Load(os.Getenv)
 	if err != nil && !errors.Is(err, config.ErrUnread) {
 		return nil, nil, nil, badInput{err}
 	}
-	if settings != "" {
+	if settingsFile != "" {
 		var fault error
-		if set, fault = operate.Load(settings, os.Getenv); fault != nil {
+		if set, fault = operate.Load(settingsFile, os.Getenv); fault != nil {
 			return nil, nil, nil, badInput{errors.Join(err, fault)}
 		}
 	}
@@ -191,7 +191,7 @@
 	return cfg, set, k, nil
 }
 
-func serve(verbose bool, settings string) error {
+func serve(verbose bool, settingsFile string) error {
 	// Each has a channel of its own: a signal that finds its channel full is dropped, and one of the same kind will do.
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
@@ -201,7 +201,7 @@
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	cfg, set, keeper, err := read(settings, log)
+	cfg, set, keeper, err := read(settingsFile, log)
 	if err != nil {
 		return err
 	}
@@ -245,9 +245,9 @@
 	}
 	p.useOverload(set.Overload)
 	p.useVerdicts(set.Verdicts)
-	if settings != "" && set.Peers.On {
+	if settingsFile != "" && set.Peers.On {
 		p.loadLimits = func() (*operate.FleetLimits, error) {
-			next, err := operate.Load(settings, os.Getenv)
+			next, err := operate.Load(settingsFile, os.Getenv)
 			if err != nil {
 				return nil, err
 			}
@@ -276,7 +276,7 @@
 	defer unpay()
 	if p.credit != nil {
 		p.loadCredit = func() (*operate.Credit, error) {
-			next, err := operate.Load(settings, os.Getenv)
+			next, err := operate.Load(settingsFile, os.Getenv)
 			if err != nil {
 				return nil, err
 			}
@@ -290,7 +290,7 @@
 	defer unzone()
 	if p.zones != nil {
 		p.loadZones = func() (*operate.Zones, error) {
-			next, err := operate.Load(settings, os.Getenv)
+			next, err := operate.Load(settingsFile, os.Getenv)
 			if err != nil {
 				return nil, err
 			}
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -46,7 +46,7 @@
 }
 
 // membersOf starts one with more settings of (membership ...), and of (consul ...).
-func membersOf(t testing.TB, more, consul string, register func(c *agent.Catalog), change ...func(*config.Config)) *membersWorld {
+func membersOf(t testing.TB, more, consulForms string, register func(c *agent.Catalog), change ...func(*config.Config)) *membersWorld {
 	t.Helper()
 	w := &membersWorld{t: t, catalog: agent.NewCatalog()}
 	a, err := agent.Start(w.catalog)
@@ -56,7 +56,7 @@
 	t.Cleanup(a.Stop)
 	w.agent = a
 	register(w.catalog)
-	set, err := operate.Parse("test", []byte(fmt.Sprintf(`(membership %s (consul (agents %q) (services %q) (wait 1s) (map (role tag)) %s))`, more, a.Addr, fleet.Service, consul)), os.Getenv)
+	set, err := operate.Parse("test", []byte(fmt.Sprintf(`(membership %s (consul (agents %q) (services %q) (wait 1s) (map (role tag)) %s))`, more, a.Addr, fleet.Service, consulForms)), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,10 +105,10 @@
 }
 
 // pair is two scripted servers, registered, and what each is asked.
-func pair(t testing.TB, more, consul string) (w *membersWorld, a, b <-chan asked) {
+func pair(t testing.TB, more, consulForms string) (w *membersWorld, a, b <-chan asked) {
 	addrA, a := server(t)
 	addrB, b := server(t)
-	w = membersOf(t, more, consul, func(c *agent.Catalog) {
+	w = membersOf(t, more, consulForms, func(c *agent.Catalog) {
 		c.Change(fleet.Service, []agent.Instance{at("a", addrA, "primary"), at("b", addrB, "replica")})
 	})
 	w.until("a serving, b serving")
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -281,19 +281,19 @@
 	t.Parallel()
 	srv, _ := server(t)
 	a := peerSettings(t)
-	settings := func() operate.Peers {
+	joining := func() operate.Peers {
 		s := peerSettings(t, a.Listen)
 		s.KeyFile = a.KeyFile
 		return s
 	}
 	other, _ := peerOf(t, "other", srv, a)
-	older, _ := peerOf(t, "same", srv, settings())
+	older, _ := peerOf(t, "same", srv, joining())
 	three := func(n int) func(string, view.Counts) bool {
 		return func(s string, c view.Counts) bool { return c.Reachable == n && c.Sending == n }
 	}
 	untilFleet(t, other, "the first is there", three(2))
 	time.Sleep(5 * time.Millisecond) // the second is younger by its clock
-	younger, _ := peerOf(t, "same", srv, settings())
+	younger, _ := peerOf(t, "same", srv, joining())
 	for _, p := range []*pooler{other, older, younger} {
 		untilFleet(t, p, "there are three, with names of their own", func(s string, c view.Counts) bool {
 			return three(3)(s, c) && strings.Contains(s, "same alive") && strings.Contains(s, "same~") && strings.Count(s, "same alive") == 1
@@ -321,20 +321,20 @@
 	}
 	t.Cleanup(func() { _ = relays.Close() })
 	base := peerSettings(t)
-	settings := func(i int) operate.Peers {
+	joining := func(i int) operate.Peers {
 		s := base
 		s.Listen, s.Advertise, s.View.Seeds, s.View.Expect = relays.Real(i), relays.Told(i), []string{relays.Told(0), relays.Told(2)}, 3
 		return s
 	}
-	far, _ := peerOf(t, "far", srv, settings(0))
-	near, _ := peerOf(t, "near", srv, settings(2))
+	far, _ := peerOf(t, "far", srv, joining(0))
+	near, _ := peerOf(t, "near", srv, joining(2))
 	ln := listen(t).(*net.TCPListener)
 	process := func() *pooler {
 		cfg := testConfig(t, srv, nil)
 		cfg.Name = "upgraded"
 		p := newPooler(cfg, slog.New(slog.DiscardHandler))
 		give(t, p, ln)
-		if err := p.usePeers(settings(1), operate.FleetLimits{}); err != nil {
+		if err := p.usePeers(joining(1), operate.FleetLimits{}); err != nil {
 			t.Fatal(err)
 		}
 		launch(t, p)
--- a/cmd/beechgrade/pooled_ends_test.go
+++ b/cmd/beechgrade/pooled_ends_test.go
@@ -32,9 +32,9 @@
 }
 
 // scriptedPoolOf has whole settings.
-func scriptedPoolOf(t testing.TB, server, settings string, change ...func(*config.Config)) *poolScript {
+func scriptedPoolOf(t testing.TB, server, poolForms string, change ...func(*config.Config)) *poolScript {
 	t.Helper()
-	set, err := operate.Parse("test", []byte(settings), os.Getenv)
+	set, err := operate.Parse("test", []byte(poolForms), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/pooled_world_test.go
+++ b/cmd/beechgrade/pooled_world_test.go
@@ -36,7 +36,7 @@
 	(pool (class "office") (reads "office-reads") %s))`
 
 // pooled starts both. change may change the fleet.
-func pooled(t testing.TB, settings string, change ...func(*fleet.Config)) *pooledWorld {
+func pooled(t testing.TB, poolForms string, change ...func(*fleet.Config)) *pooledWorld {
 	t.Helper()
 	fc := fleet.Defaults(3)
 	fc.Detect, fc.Elect, fc.List, fc.Roles = fleet.Range{100, 150}, fleet.Range{100, 150}, fleet.Range{30, 60}, fleet.Range{100, 200}
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	set, err := operate.Parse("test", []byte(settings), os.Getenv)
+	set, err := operate.Parse("test", []byte(poolForms), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/kit/emulate/parts_test.go
+++ b/internal/kit/emulate/parts_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/peers/view"
 )
 
-// counter is a part that tells all others a number with each step.
-type counter struct {
+// partCounter is a part that tells all others a number with each step.
+type partCounter struct {
 	h     Host
 	all   []view.Record
 	self  view.ID
@@ -24,20 +24,22 @@
 
 func (n number) Append(b []byte) []byte { return binary.BigEndian.AppendUint64(b, uint64(n)) }
 
-func (c *counter) Kind() view.Kind { return 60 }
+func (c *partCounter) Kind() view.Kind { return 60 }
 
-func (c *counter) Read(b []byte) (any, error) {
+func (c *partCounter) Read(b []byte) (any, error) {
 	if len(b) != 8 {
 		return nil, errors.New("no number")
 	}
 	return number(binary.BigEndian.Uint64(b)), nil
 }
 
-func (c *counter) Members(self view.ID, all []view.Record, _ view.Counts) { c.self, c.all = self, all }
-func (c *counter) Heard(from view.ID, m any)                              { _ = m.(number); c.heard[from]++ }
-func (c *counter) Leave()                                                 {}
+func (c *partCounter) Members(self view.ID, all []view.Record, _ view.Counts) {
+	c.self, c.all = self, all
+}
+func (c *partCounter) Heard(from view.ID, m any) { _ = m.(number); c.heard[from]++ }
+func (c *partCounter) Leave()                    {}
 
-func (c *counter) Tick() {
+func (c *partCounter) Tick() {
 	c.n++
 	for i := range c.all {
 		if r := &c.all[i]; r.ID != c.self && r.State == view.Alive {
@@ -60,10 +62,10 @@
 func TestParts(t *testing.T) {
 	t.Parallel()
 	script := `(rehearsal "parts" (seconds 30) (poolers 4) (groups 3) (rate 20) (peers) (at 10s (between (0 1) (2 3) cut) (for 2s)) (at 20s (kill-pooler 3) (for 1s)))`
-	run := func() (string, []*counter) {
-		var made []*counter
+	run := func() (string, []*partCounter) {
+		var made []*partCounter
 		r := play(t, parse(t, script), Options{Seed: 3, Parts: []Joined{func(h Host) []part.Part {
-			c := &counter{h: h, heard: map[view.ID]int{}}
+			c := &partCounter{h: h, heard: map[view.ID]int{}}
 			made = append(made, c)
 			return []part.Part{c}
 		}}})
