--- a/cmd/beechgrade-kit/alone_test.go
+++ b/cmd/beechgrade-kit/alone_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/clients"
-	stands "beechgrade/internal/kit/fleet"
+	database "beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/membership/discovery"
 )
@@ -27,7 +27,7 @@
 	t     testing.TB
 	dir   string
 	addr  string
-	fleet *stands.Fleet
+	fleet *database.Fleet
 	told  map[string]any // its configuration
 	cmd   *exec.Cmd
 }
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	s.Fleet.Seed, s.Fleet.Conns = 5, 2000
-	a := &alone{t: t, dir: t.TempDir(), fleet: stands.New(s.Fleet, clock.System(), slog.New(slog.DiscardHandler))}
+	a := &alone{t: t, dir: t.TempDir(), fleet: database.New(s.Fleet, clock.System(), slog.New(slog.DiscardHandler))}
 	if err := a.fleet.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -17,7 +17,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/jackc/pgx/v5/pgconn"
 
-	stand "beechgrade/internal/kit/fleet"
+	database "beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/standin/sorted"
 )
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	r := &reports{Processes: x, t: t}
-	x.Fleet.Scatter(&stand.Table{Name: "visits", Columns: sorted.Table{"id", "place"}, Types: sorted.Row{int64(0), int64(0)}})
+	x.Fleet.Scatter(&database.Table{Name: "visits", Columns: sorted.Table{"id", "place"}, Types: sorted.Row{int64(0), int64(0)}})
 	t.Cleanup(func() {
 		for i := range x.Addrs {
 			if b, _ := os.ReadFile(x.Log(i)); strings.Contains(string(b), "invariant broken") || strings.Contains(string(b), "panic") {
@@ -152,7 +152,7 @@
 			i = 0
 		}
 		if pages == 12 { // within a page
-			r.Fleet.Asked(func(string, string) stand.Manner { return stand.Manner{Each: 20 * time.Millisecond} })
+			r.Fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: 20 * time.Millisecond} })
 			failed := make(chan error, 1)
 			go func() {
 				_, _, err := r.page(0, 30, cursor)
@@ -191,7 +191,7 @@
 	for g := range 3 {
 		_ = r.Fleet.Lag(fmt.Sprintf("s-%d-1", g), 20)
 	}
-	r.Fleet.Asked(func(string, string) stand.Manner { return stand.Manner{Each: time.Millisecond} })
+	r.Fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: time.Millisecond} })
 	stop, done := make(chan struct{}), make(chan struct{})
 	written, deleted := map[int64]bool{}, map[int64]bool{}
 	go func() { // at groups 0 and 2, which keep their primaries
@@ -414,7 +414,7 @@
 		return reportSettings(pooled, "", reportShards, "(whole)") + fmt.Sprintf(`(fleet-limits (lease 2s) (promise 2s) (renew 400ms) (soon 100ms) (limit "shards" (of shards) (at-once %d) (reserve 0)))`, most)
 	})
 	r.fill(40, 3)
-	r.Fleet.Asked(func(string, string) stand.Manner { return stand.Manner{Each: 3 * time.Millisecond} })
+	r.Fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: 3 * time.Millisecond} })
 	var wg sync.WaitGroup
 	var served, refused, other atomic.Int64
 	end := time.Now().Add(8 * time.Second)
--- a/cmd/beechgrade/clickhouse.go
+++ b/cmd/beechgrade/clickhouse.go
@@ -1,8 +1,8 @@
 package main
 
 import (
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/clickhouse"
 	"beechgrade/internal/operate"
 )
--- a/cmd/beechgrade/life.go
+++ b/cmd/beechgrade/life.go
@@ -8,8 +8,8 @@
 	"os"
 	"strconv"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/control"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/lifecycle"
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -15,8 +15,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/kit/world"
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/clickhouse/limits"
 	"beechgrade/internal/operate"
--- a/cmd/beechgrade/pooled.go
+++ b/cmd/beechgrade/pooled.go
@@ -2,8 +2,8 @@
 
 import (
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/core"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/clickhouse"
 	"beechgrade/internal/frontend/pooling"
 	"beechgrade/internal/frontend/scatter"
--- a/cmd/beechgrade/pooled_drain_test.go
+++ b/cmd/beechgrade/pooled_drain_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/protocol/pgwire"
 )
--- a/cmd/beechgrade/pooled_world_test.go
+++ b/cmd/beechgrade/pooled_world_test.go
@@ -13,8 +13,8 @@
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/operate"
 )
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -9,10 +9,10 @@
 	"strings"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
 	"beechgrade/internal/control"
 	"beechgrade/internal/core"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/clickhouse"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/pooling"
@@ -25,7 +25,7 @@
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/overload/joined"
-	judged "beechgrade/internal/peers/verdicts/joined"
+	outlieradapter "beechgrade/internal/peers/verdicts/joined"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/storage/journal"
@@ -78,12 +78,12 @@
 	clickhouseGroup int
 	stopHouse       func()
 
-	peers  *peers.Peers   // nil where it is no fleet's
-	expect int            // poolers that there are to be
-	limits *fleetLimits   // nil where none hold for the whole fleet
-	over   *joined.Joined // nil where overload is handled alone
-	judged *judged.Joined // nil where each learns of servers alone
-	zones  *zoned         // nil where zones are not decided together
+	peers  *peers.Peers           // nil where it is no fleet's
+	expect int                    // poolers that there are to be
+	limits *fleetLimits           // nil where none hold for the whole fleet
+	over   *joined.Joined         // nil where overload is handled alone
+	judged *outlieradapter.Joined // nil where each learns of servers alone
+	zones  *zoned                 // nil where zones are not decided together
 
 	journal *journal.Journal // nil where it is off
 
--- a/cmd/beechgrade/scatter_bench_test.go
+++ b/cmd/beechgrade/scatter_bench_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/standin/sorted"
 	"beechgrade/internal/operate"
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -15,9 +15,9 @@
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/standin/sorted"
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/store"
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -8,8 +8,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/membership/snapshot"
 	"beechgrade/internal/operate"
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/handover"
 	"beechgrade/internal/membership/snapshot"
 	"beechgrade/internal/operate"
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/handover"
 	"beechgrade/internal/membership/discovery"
 
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/handover"
 	"beechgrade/internal/membership/discovery"
 )
--- a/cmd/beechgrade/upgrade_sessions.go
+++ b/cmd/beechgrade/upgrade_sessions.go
@@ -5,8 +5,8 @@
 	"os"
 	"time"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/store"
 )
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"testing"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/store"
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/handover"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/membership/discovery"
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
-	zonedesk "beechgrade/internal/peers/zones/desk"
+	zonesadmin "beechgrade/internal/peers/zones/desk"
 	"beechgrade/internal/peers/zones/joined"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/storage/store"
@@ -23,8 +23,8 @@
 	j    *joined.Joined
 	keep chan numbered
 	done chan struct{}
-	last *zonedesk.Note // that was recorded
-	sent []uint64       // counts as of it
+	last *zonesadmin.Note // that was recorded
+	sent []uint64         // counts as of it
 }
 
 type numbered struct {
@@ -149,7 +149,7 @@
 // note records what this pooler goes by and where reads went, where there is anything to say.
 func (z *zoned) note() {
 	s, p := z.j.Standing()
-	n := zonedesk.Take(z.j.Settings(), s, p, z.j.Sent(), z.sent)
+	n := zonesadmin.Take(z.j.Settings(), s, p, z.j.Sent(), z.sent)
 	if z.last == nil || n.Sent != nil || !n.Same(z.last) {
 		copy(z.sent, z.j.Sent())
 		z.last = n
--- a/cmd/beechgrade/zones_admin.go
+++ b/cmd/beechgrade/zones_admin.go
@@ -8,7 +8,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/control"
-	zonedesk "beechgrade/internal/peers/zones/desk"
+	zonesadmin "beechgrade/internal/peers/zones/desk"
 )
 
 // zonesPath is where the operators' door shows zones and takes orders, where they are decided together.
@@ -20,11 +20,11 @@
 	switch method {
 	case http.MethodGet:
 	case http.MethodPost:
-		o, stands, err := zonedesk.Read(query, z.j.Settings(), z.j.Book(), z.p.loop.Now())
+		o, stands, err := zonesadmin.Read(query, z.j.Settings(), z.j.Book(), z.p.loop.Now())
 		switch {
-		case errors.Is(err, zonedesk.ErrCall):
+		case errors.Is(err, zonesadmin.ErrCall):
 			return control.Answer{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")}
-		case errors.Is(err, zonedesk.ErrLags):
+		case errors.Is(err, zonesadmin.ErrLags):
 			return control.Answer{Status: http.StatusServiceUnavailable, Body: []byte(err.Error() + "\n")}
 		case err != nil:
 			return control.Answer{Status: http.StatusConflict, Body: []byte(err.Error() + "\n")}
@@ -37,7 +37,7 @@
 		return control.Answer{Status: http.StatusMethodNotAllowed, Allow: "GET, POST"}
 	}
 	s, p := z.j.Standing()
-	b, err := jsoniter.Marshal(zonedesk.Look(z.j.Settings(), s, p, z.j.Book(), z.j.Chief() != nil && z.j.Chief().Leads()))
+	b, err := jsoniter.Marshal(zonesadmin.Look(z.j.Settings(), s, p, z.j.Book(), z.j.Chief() != nil && z.j.Chief().Leads()))
 	if err != nil {
 		return control.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 	}
--- a/internal/backend/attempts.go
+++ b/internal/backend/attempts.go
@@ -3,8 +3,8 @@
 import (
 	"strconv"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/slots"
 )
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 	"golang.org/x/sys/unix"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,10 +10,10 @@
 	"log/slog"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/config"
 	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/record"
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -4,8 +4,8 @@
 	"maps"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/peers/overload/account"
 )
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -1,8 +1,8 @@
 package core
 
 import (
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 )
 
 // Bounds of the memory of keys: a client repeats a request within seconds, or not at all.
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -2,8 +2,8 @@
 
 import (
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/record/recordpb"
 )
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -5,8 +5,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/record"
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -8,8 +8,8 @@
 	"strconv"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/record/recordpb"
--- a/internal/core/sends.go
+++ b/internal/core/sends.go
@@ -4,8 +4,8 @@
 	"fmt"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/platform"
 )
 
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -4,8 +4,8 @@
 	"slices"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/record/recordpb"
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -1,8 +1,8 @@
 package core
 
 import (
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/membership/discovery"
 )
 
--- a/internal/frontend/platform/postgres.go
+++ b/internal/frontend/platform/postgres.go
@@ -7,8 +7,8 @@
 	"log/slog"
 	"strings"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/slots"
--- a/internal/frontend/platform/world_test.go
+++ b/internal/frontend/platform/world_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/slots"
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -4,7 +4,7 @@
 package pooling
 
 import (
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"crypto/rand"
 	"encoding/binary"
 	"log/slog"
--- a/internal/frontend/scatter/answers.go
+++ b/internal/frontend/scatter/answers.go
@@ -1,7 +1,7 @@
 package scatter
 
 import (
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"fmt"
 	"strconv"
 
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -12,8 +12,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/frontend/scatter/cursor"
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/storage/sealed"
 )
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/membership/discovery"
 )
 
--- a/internal/kit/clients/clients.go
+++ b/internal/kit/clients/clients.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/protocol/pgwire"
 )
 
--- a/internal/kit/clients/clients_test.go
+++ b/internal/kit/clients/clients_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/protocol/pgwire"
 )
 
--- a/internal/kit/emulate/peers.go
+++ b/internal/kit/emulate/peers.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/peers/overload/joined"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/quota"
-	judged "beechgrade/internal/peers/verdicts/joined"
+	outlieradapter "beechgrade/internal/peers/verdicts/joined"
 	"beechgrade/internal/peers/view"
 )
 
@@ -109,8 +109,8 @@
 
 	limits *lender // nil where none hold for the whole fleet
 	parts  []part.Part
-	over   *joined.Joined // nil where each pooler handles overload alone
-	judged *judged.Joined // nil where each learns alone
+	over   *joined.Joined         // nil where each pooler handles overload alone
+	judged *outlieradapter.Joined // nil where each learns alone
 }
 
 // join begins a process's view.
--- a/internal/kit/emulate/verdicts_liar_test.go
+++ b/internal/kit/emulate/verdicts_liar_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"beechgrade/internal/kit/check"
-	liars "beechgrade/internal/kit/lies"
+	byzantine "beechgrade/internal/kit/lies"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/verdicts"
 )
@@ -17,7 +17,7 @@
 const seldomTold = `(rehearsal "seldom told" (seconds 30.5) (poolers 16) ` + judgedFleet + ` (groups-of 1 4) (rate 60) (verdicts (testers 1) (turn 30s) (lapse 9s) (refresh 20s) (blind 0.75)))`
 
 // lying has some poolers lie of servers once they were heard for a while.
-func lying(l liars.Servers, who ...int) func(no int, w part.Words) part.Words {
+func lying(l byzantine.Servers, who ...int) func(no int, w part.Words) part.Words {
 	told := 0
 	return func(no int, w part.Words) part.Words {
 		if !slices.Contains(who, no) {
@@ -26,7 +26,7 @@
 		if told++; told < 500*len(who) {
 			return w
 		}
-		return liars.Said(w, l)
+		return byzantine.Said(w, l)
 	}
 }
 
@@ -42,7 +42,7 @@
 	s := parse(t, liedTo)
 	honest := play(t, s, Options{Seed: 1}).Score.Ratio
 	believed := map[string]check.Rule{"leads": check.NotDenied, "ahead": check.NotStale}
-	for name, lie := range liars.OfServers {
+	for name, lie := range byzantine.OfServers {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, s, Options{Seed: 1, Mutant: &Mutant{Says: lying(lie, 1)}})
--- a/internal/kit/emulate/zones.go
+++ b/internal/kit/emulate/zones.go
@@ -2,7 +2,7 @@
 
 import (
 	"beechgrade/internal/peers/agreed"
-	logjoined "beechgrade/internal/peers/agreed/joined"
+	raftadapter "beechgrade/internal/peers/agreed/joined"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/zones"
 	"beechgrade/internal/peers/zones/joined"
@@ -25,7 +25,7 @@
 	*Zoned
 	h   Host
 	j   *joined.Joined
-	log *logjoined.Part
+	log *raftadapter.Part
 }
 
 // Join makes a process's parts: the log's and zones'.
--- a/internal/kit/fleet/dead_test.go
+++ b/internal/kit/fleet/dead_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/jackc/pgx/v5/pgproto3"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/protocol/pgwire"
 )
--- a/internal/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/membership/discovery"
--- a/internal/kit/fleet/fleet_test.go
+++ b/internal/kit/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/protocol/pgwire"
 )
 
--- a/internal/kit/fleet/listed_test.go
+++ b/internal/kit/fleet/listed_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/world"
 )
 
--- a/internal/kit/members/pace/pace.go
+++ b/internal/kit/members/pace/pace.go
@@ -15,8 +15,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/membership"
 	"beechgrade/internal/membership/consul"
--- a/internal/kit/rehearse/house.go
+++ b/internal/kit/rehearse/house.go
@@ -22,7 +22,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/standin/house"
--- a/internal/kit/rehearse/pooling.go
+++ b/internal/kit/rehearse/pooling.go
@@ -16,7 +16,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
 )
--- a/internal/kit/rehearse/processes.go
+++ b/internal/kit/rehearse/processes.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"syscall"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
--- a/internal/kit/rehearse/run.go
+++ b/internal/kit/rehearse/run.go
@@ -13,7 +13,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/fleet"
--- a/internal/loop/calls_test.go
+++ b/internal/loop/calls_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 
 	"golang.org/x/sys/unix"
 )
--- a/internal/loop/listen.go
+++ b/internal/loop/listen.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
 )
 
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 )
 
 // watcher hands out its connection.
--- a/internal/loop/pause.go
+++ b/internal/loop/pause.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 )
 
 // A process may be stopped, or get no processor for a while, and a turn may take long. What comes in meanwhile waits in the
--- a/internal/loop/pause_test.go
+++ b/internal/loop/pause_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 )
 
 // TestArrivedSince guards against counting what is read behind a pause from when it was read: it may have come at any time since the
--- a/internal/membership/consul/consul_test.go
+++ b/internal/membership/consul/consul_test.go
@@ -21,7 +21,7 @@
 	"github.com/hashicorp/consul/api"
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/membership/judge"
 	"beechgrade/internal/steady"
--- a/internal/membership/discovery/calls_test.go
+++ b/internal/membership/discovery/calls_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/loop"
 )
 
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -7,8 +7,8 @@
 	"log/slog"
 	"math"
 
-	"beechgrade/internal/clock"
 	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/membership/judge"
 	"beechgrade/internal/membership/snapshot"
--- a/internal/storage/snapshots/snapshots.go
+++ b/internal/storage/snapshots/snapshots.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"beechgrade/internal/binaryform"
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/storage/store"
 )
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/clock"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/steady"
