--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -12,8 +12,8 @@
 	"strconv"
 
 	"beechgrade/internal/backend/wear"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/slots"
@@ -52,9 +52,9 @@
 	query        Query
 	deadline     float64
 	conn         *conn
-	endTimer     *deadline.Timer // fires at the deadline
-	connectTimer *deadline.Timer // ends its wait for a connection
-	written      bool            // AttemptWritten was called for it
+	endTimer     *timers.Timer // fires at the deadline
+	connectTimer *timers.Timer // ends its wait for a connection
+	written      bool          // AttemptWritten was called for it
 	Terms
 }
 
@@ -79,16 +79,16 @@
 	state         state
 	input         pgwire.Reader
 	attempt       *attempt
-	handedOver    bool            // the last byte of the attempt was given to the socket or its buffer
-	unwritten     []string        // the parts of a long query that were not
-	partsFromWait int             // when so many parts are left, the next one holds the remaining time
-	pushTimer     *deadline.Timer // until the next check of whether the server accepts more
-	leaveTimer    *deadline.Timer // until the remaining time must have been transmitted
+	handedOver    bool          // the last byte of the attempt was given to the socket or its buffer
+	unwritten     []string      // the parts of a long query that were not
+	partsFromWait int           // when so many parts are left, the next one holds the remaining time
+	pushTimer     *timers.Timer // until the next check of whether the server accepts more
+	leaveTimer    *timers.Timer // until the remaining time must have been transmitted
 	idleNumber    uint64
-	since         float64         // when it was opened or became idle
-	writtenAt     float64         // when its attempt was written
-	restedFor     float64         // how long it had been idle by then
-	timer         *deadline.Timer // bounds the opening, then the idle time, then pauses within an answer
+	since         float64       // when it was opened or became idle
+	writtenAt     float64       // when its attempt was written
+	restedFor     float64       // how long it had been idle by then
+	timer         *timers.Timer // bounds the opening, then the idle time, then pauses within an answer
 
 	// The answer that is being received.
 	reading  pgwire.Answer
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -11,7 +11,7 @@
 	"net/http"
 	"net/url"
 
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 )
 
@@ -60,7 +60,7 @@
 	door  *Door
 	conn  *loop.Conn
 	at    *list.Element
-	timer *deadline.Timer
+	timer *timers.Timer
 	in    []byte
 	said  bool // it has its answer
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,9 +11,9 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/record"
@@ -44,7 +44,7 @@
 // Loop is the event loop.
 type Loop interface {
 	Now() float64
-	At(ms float64, do func()) *deadline.Timer
+	At(ms float64, do func()) *timers.Timer
 }
 
 // Directory fetches the server list.
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -9,8 +9,8 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/membership/discovery"
@@ -178,7 +178,7 @@
 	do func()
 }
 
-func (h *hung) At(ms float64, do func()) *deadline.Timer {
+func (h *hung) At(ms float64, do func()) *timers.Timer {
 	h.at, h.do = ms, do
 	return nil
 }
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -11,8 +11,8 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/membership/discovery"
@@ -24,7 +24,7 @@
 type drawn struct {
 	counting
 	now    float64
-	heap   deadline.Heap
+	heap   timers.Heap
 	core   *Core
 	out    []backend.Tag
 	probes []string
@@ -34,9 +34,9 @@
 	asked  int
 }
 
-func (d *drawn) Now() float64                            { return d.now }
-func (d *drawn) At(ms float64, f func()) *deadline.Timer { return d.heap.Add(ms, f) }
-func (d *drawn) Probe(id string)                         { d.probes = append(d.probes, id) }
+func (d *drawn) Now() float64                          { return d.now }
+func (d *drawn) At(ms float64, f func()) *timers.Timer { return d.heap.Add(ms, f) }
+func (d *drawn) Probe(id string)                       { d.probes = append(d.probes, id) }
 func (d *drawn) Start(_ string, _ backend.Query, _ float64, _ backend.Terms, tag backend.Tag) slots.Ref {
 	if d.core.AttemptGoes(tag) { // it has a connection; of one that waits sends_test.go tells
 		d.out = append(d.out, tag)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"beechgrade/internal/config"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/membership/discovery"
 )
@@ -21,7 +21,7 @@
 }
 
 func (h *hand) Now() float64 { return h.now }
-func (h *hand) At(_ float64, do func()) *deadline.Timer {
+func (h *hand) At(_ float64, do func()) *timers.Timer {
 	h.at = append(h.at, do)
 	return nil
 }
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -8,8 +8,8 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/slots"
@@ -18,7 +18,7 @@
 type still struct{}
 
 func (still) Now() float64                       { return 1e6 }
-func (still) At(float64, func()) *deadline.Timer { return nil }
+func (still) At(float64, func()) *timers.Timer   { return nil }
 func (still) Watch()                             {}
 func (still) Fetch()                             {}
 func (still) Served([]byte)                      {}
--- a/internal/deadline/deadline.go
+++ b/internal/eventloop/timers/deadline.go
@@ -1,5 +1,5 @@
-// Package deadline is the one ordered structure in which all deadlines of the event loop hang.
-package deadline
+// Package timers is the one ordered structure in which all deadlines of the event loop hang.
+package timers
 
 import "container/heap"
 
--- a/internal/deadline/deadline_test.go
+++ b/internal/eventloop/timers/deadline_test.go
@@ -1,4 +1,4 @@
-package deadline
+package timers
 
 import (
 	"testing"
--- a/internal/frontend/clickhouse/attempts.go
+++ b/internal/frontend/clickhouse/attempts.go
@@ -2,8 +2,8 @@
 
 import (
 	"beechgrade/internal/backend"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/slots"
 )
 
@@ -19,8 +19,8 @@
 	since   float64 // of a probe
 	checked bool    // its server has told that it is not too far behind
 	link    *link
-	timer   *deadline.Timer
-	connect *deadline.Timer
+	timer   *timers.Timer
+	connect *timers.Timer
 }
 
 // Ours tells whether a query is of this front.
--- a/internal/frontend/clickhouse/client.go
+++ b/internal/frontend/clickhouse/client.go
@@ -1,7 +1,7 @@
 package clickhouse
 
 import (
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/httpwire"
 	"beechgrade/internal/slots"
@@ -17,15 +17,15 @@
 	body   httpwire.Body
 	raw    []byte
 	data   []byte
-	passed int64           // bytes of the body that have come in
-	end    *deadline.Timer // of an answer that is due once the body has gone on whole
-	req    *request        // the one that waits for its answer, or whose answer comes
-	since  float64         // idle, or in the midst of a request: since then
-	leaves bool            // it is closed behind its answer
-	looked bool            // somebody looks after it while it is parked
-	last   bool            // it has its last answer, and what it still sends is let go
-	asked  bool            // a request of it was read
-	late   bool            // it came while the front drains: it is told so in answer to its first request
+	passed int64         // bytes of the body that have come in
+	end    *timers.Timer // of an answer that is due once the body has gone on whole
+	req    *request      // the one that waits for its answer, or whose answer comes
+	since  float64       // idle, or in the midst of a request: since then
+	leaves bool          // it is closed behind its answer
+	looked bool          // somebody looks after it while it is parked
+	last   bool          // it has its last answer, and what it still sends is let go
+	asked  bool          // a request of it was read
+	late   bool          // it came while the front drains: it is told so in answer to its first request
 	closed bool
 	going  *request // whose answer it left in its midst
 	held   int      // bytes of it that are kept
--- a/internal/frontend/clickhouse/kill.go
+++ b/internal/frontend/clickhouse/kill.go
@@ -4,7 +4,7 @@
 	"net/url"
 	"strings"
 
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/httpwire"
 )
@@ -20,7 +20,7 @@
 	f     *Front
 	conn  *loop.Conn
 	out   []byte
-	timer *deadline.Timer
+	timer *timers.Timer
 	over  bool
 }
 
--- a/internal/frontend/clickhouse/link.go
+++ b/internal/frontend/clickhouse/link.go
@@ -5,8 +5,8 @@
 	"io"
 	"syscall"
 
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/httpwire"
 )
@@ -44,7 +44,7 @@
 	parked  bool
 	unsent  int     // of its reader, when it last took something of it...
 	takenAt float64 // ...that is, then
-	timer   *deadline.Timer
+	timer   *timers.Timer
 }
 
 func (f *Front) dial(s *store) {
--- a/internal/frontend/platform/postgres.go
+++ b/internal/frontend/platform/postgres.go
@@ -7,8 +7,8 @@
 	"log/slog"
 	"strings"
 
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/slots"
@@ -106,7 +106,7 @@
 	input          pgwire.Reader
 	arrived        arrivals // of the bytes in input
 	unread         unread
-	unreadTimer    *deadline.Timer // until the next sample of the socket
+	unreadTimer    *timers.Timer // until the next sample of the socket
 	queue          []*answer
 	started        bool
 	asked          bool // it has sent at least one request
@@ -116,7 +116,7 @@
 	leaving        bool // nothing more is written, though output may not be flushed yet
 	shut           bool // the write side is shut
 	closed         bool
-	recheckTimer   *deadline.Timer
+	recheckTimer   *timers.Timer
 	output         []byte
 	since          float64 // when it was accepted, or became idle, in the middle of a message, or leaving
 	stuckSince     float64 // since when the client has read nothing of its output, 0 if none waits
--- a/internal/frontend/pooling/client.go
+++ b/internal/frontend/pooling/client.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
@@ -41,27 +41,27 @@
 	began   float64
 	after   float64 // position of the session's last write, Unix ms
 	portals map[string]*carry.Text
-	idle    *deadline.Timer // in a transaction
-	limit   *deadline.Timer // of the transaction
-	outside *outside        // its transaction has not been let in yet
-	inside  bool            // it has been
-	doorMs  float64         // it waited for that
-	session uint64          // in records
-	last    string          // server of its transaction before
-	ended   string          // SQLSTATE with which the pooler ended it
-	paused  *link           // its server is not read, as this client does not read
-	opened  *txn            // the transaction that is open, where it has only begun
-	opening []byte          // of it: what the client sent to begin
-	leg     []byte          // of it: what the client sent since that is not answered yet
-	pre     []byte          // answers that only prepare or begin, held back while all may be asked elsewhere
-	hurry   bool            // the client wants all answers at once
-	redo    bool            // what is sent was sent to another server before
-	midst   bool            // the client has a message in part
-	leaving bool            // the client has taken its leave, with answers due
-	parked  bool            // the client is not read, as its server does not read
-	bound   *bound          // a scattered read that is bound, and begins at the Sync
-	page    *page           // ...that runs
-	lingers bool            // its connection is on its way to be closed
+	idle    *timers.Timer // in a transaction
+	limit   *timers.Timer // of the transaction
+	outside *outside      // its transaction has not been let in yet
+	inside  bool          // it has been
+	doorMs  float64       // it waited for that
+	session uint64        // in records
+	last    string        // server of its transaction before
+	ended   string        // SQLSTATE with which the pooler ended it
+	paused  *link         // its server is not read, as this client does not read
+	opened  *txn          // the transaction that is open, where it has only begun
+	opening []byte        // of it: what the client sent to begin
+	leg     []byte        // of it: what the client sent since that is not answered yet
+	pre     []byte        // answers that only prepare or begin, held back while all may be asked elsewhere
+	hurry   bool          // the client wants all answers at once
+	redo    bool          // what is sent was sent to another server before
+	midst   bool          // the client has a message in part
+	leaving bool          // the client has taken its leave, with answers due
+	parked  bool          // the client is not read, as its server does not read
+	bound   *bound        // a scattered read that is bound, and begins at the Sync
+	page    *page         // ...that runs
+	lingers bool          // its connection is on its way to be closed
 }
 
 func newClient(f *Front) *client {
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
@@ -40,7 +40,7 @@
 	parses   int    // statements that are on their way to be prepared
 	bound    bool   // ...and a Sync is behind them: whether they are prepared is to be known before more is sent
 	last     uint64 // session of the client that had it last
-	timer    *deadline.Timer
+	timer    *timers.Timer
 }
 
 // kind is what an answer is due to.
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -13,8 +13,8 @@
 	"strconv"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/frontend/pooling/share"
@@ -301,7 +301,7 @@
 	t     *txn
 	link  *link
 	ended bool
-	timer *deadline.Timer
+	timer *timers.Timer
 }
 
 // SetAddress tells where a server listens.
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -1,8 +1,8 @@
 package scatter
 
 import (
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
@@ -37,7 +37,7 @@
 	parked  bool
 	busy    bool // in Data
 	cols    columns
-	timer   *deadline.Timer
+	timer   *timers.Timer
 }
 
 // Data is loop's.
--- a/internal/frontend/scatter/part.go
+++ b/internal/frontend/scatter/part.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"beechgrade/internal/backend"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/scatter/run"
 	"beechgrade/internal/slots"
 )
@@ -33,7 +33,7 @@
 	link  *link // once it has one
 	ended bool
 	lost  bool // its connection broke within the answer
-	timer *deadline.Timer
+	timer *timers.Timer
 }
 
 // AppendQuery is backend.Query's; a shard is asked by its own front.
--- a/internal/kit/emulate/disk.go
+++ b/internal/kit/emulate/disk.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"beechgrade/internal/core"
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/storage/journal"
 	durable "beechgrade/internal/storage/store"
@@ -89,7 +89,7 @@
 type journalLoop struct{ lifeLoop }
 
 // Stop is journal.Loop's: what comes of a timer that was stopped finds its attempt ended.
-func (journalLoop) Stop(*deadline.Timer) {}
+func (journalLoop) Stop(*timers.Timer) {}
 
 // journaled are the pooler's servers, behind its journal where it keeps one.
 func (p *pooler) journaled() core.Servers {
--- a/internal/kit/emulate/members.go
+++ b/internal/kit/emulate/members.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/membership"
 	"beechgrade/internal/membership/consul"
@@ -115,7 +115,7 @@
 }
 
 // At is membership.Loop's.
-func (q memberLoop) At(ms float64, do func()) *deadline.Timer { return q.lifeLoop.At(ms, do) }
+func (q memberLoop) At(ms float64, do func()) *timers.Timer { return q.lifeLoop.At(ms, do) }
 
 // newMember joins a pooler's list to the catalogue; its core is told what comes of it.
 func (p *pooler) newMember() *member {
--- a/internal/kit/emulate/pooler.go
+++ b/internal/kit/emulate/pooler.go
@@ -6,7 +6,7 @@
 
 	"beechgrade/internal/backend/wear"
 	"beechgrade/internal/core"
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/operate"
@@ -141,7 +141,7 @@
 
 func (l lifeLoop) Now() float64 { return l.p.e.s.now }
 
-func (l lifeLoop) At(ms float64, do func()) *deadline.Timer {
+func (l lifeLoop) At(ms float64, do func()) *timers.Timer {
 	p := l.p
 	p.e.s.at(max(ms, p.e.s.now), world.Func(func() { p.whenRunning(l.life, do) }), 0)
 	return nil
--- a/internal/kit/members/pace/pace.go
+++ b/internal/kit/members/pace/pace.go
@@ -15,8 +15,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/membership"
 	"beechgrade/internal/membership/consul"
@@ -51,7 +51,7 @@
 
 func (l *loop) Now() float64 { return l.clk.Now() }
 
-func (l *loop) At(ms float64, do func()) *deadline.Timer {
+func (l *loop) At(ms float64, do func()) *timers.Timer {
 	time.AfterFunc(time.Duration(max(0, ms-l.Now())*float64(time.Millisecond)), func() { l.Post(do) })
 	return nil
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/invariant"
 )
 
@@ -48,7 +48,7 @@
 	calls     systemCalls
 	conns     map[int]*Conn // by descriptor, as acceptors
 	acceptors map[int]*acceptor
-	heap      deadline.Heap
+	heap      timers.Heap
 	wake      *time.Timer
 	walks     int
 	armd      float64 // time for which wake is set, 0 for none
@@ -121,10 +121,10 @@
 func (l *Loop) Now() float64 { return l.clk.Now() }
 
 // At runs f on the loop at the given time.
-func (l *Loop) At(ms float64, f func()) *deadline.Timer { return l.heap.Add(ms, f) }
+func (l *Loop) At(ms float64, f func()) *timers.Timer { return l.heap.Add(ms, f) }
 
 // Stop takes a deadline down.
-func (l *Loop) Stop(t *deadline.Timer) { l.heap.Stop(t) }
+func (l *Loop) Stop(t *timers.Timer) { l.heap.Stop(t) }
 
 // Post runs f on the loop. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
--- a/internal/membership/discovery/discovery.go
+++ b/internal/membership/discovery/discovery.go
@@ -9,7 +9,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 )
 
@@ -78,9 +78,9 @@
 	fetch  *call // for the whole list
 	ahead  bool  // the watch that is open was not asked for yet, but by Move
 
-	pushed bool            // a watch is held open without anybody's asking
-	pause  float64         // before the next one
-	again  *deadline.Timer // that is due then
+	pushed bool          // a watch is held open without anybody's asking
+	pause  float64       // before the next one
+	again  *timers.Timer // that is due then
 }
 
 // New makes a client that has the list as of the given generation.
@@ -186,7 +186,7 @@
 	held   int64   // ...when this was the newest generation
 	conn   *loop.Conn
 	reply  reply
-	timer  *deadline.Timer
+	timer  *timers.Timer
 	told   bool  // a list has come on it...
 	last   int64 // ...of this generation last
 	over   bool
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -7,8 +7,8 @@
 	"log/slog"
 	"math"
 
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/membership/judge"
 	"beechgrade/internal/membership/snapshot"
@@ -27,7 +27,7 @@
 // Loop is where everything here runs.
 type Loop interface {
 	Now() float64
-	At(ms float64, do func()) *deadline.Timer
+	At(ms float64, do func()) *timers.Timer
 	Post(f func())
 }
 
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/membership/judge"
 )
@@ -23,7 +23,7 @@
 }
 
 func (r *rig) Now() float64 { return r.now }
-func (r *rig) At(_ float64, do func()) *deadline.Timer {
+func (r *rig) At(_ float64, do func()) *timers.Timer {
 	r.due = append(r.due, do)
 	return nil
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"beechgrade/internal/deadline"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/quota"
@@ -34,7 +34,7 @@
 // Loop is where the view lives.
 type Loop interface {
 	Now() float64
-	At(ms float64, do func()) *deadline.Timer
+	At(ms float64, do func()) *timers.Timer
 	Post(f func())
 }
 
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -11,8 +11,8 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/core"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/slots"
 	"beechgrade/internal/storage/store"
 )
@@ -31,8 +31,8 @@
 // Loop is the event loop as the journal needs it.
 type Loop interface {
 	Now() float64
-	At(ms float64, do func()) *deadline.Timer
-	Stop(t *deadline.Timer)
+	At(ms float64, do func()) *timers.Timer
+	Stop(t *timers.Timer)
 }
 
 // Core is the request table as the journal needs it.
@@ -74,7 +74,7 @@
 	inner   slots.Ref
 	started bool
 	over    bool
-	timer   *deadline.Timer
+	timer   *timers.Timer
 }
 
 // New makes a journal on a store that is open, before the connections to servers. What the store holds of earlier processes
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -10,8 +10,8 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/core"
-	"beechgrade/internal/deadline"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/slots"
 	"beechgrade/internal/storage/store"
@@ -23,24 +23,24 @@
 	disk   *faulty.Disk
 	store  *store.Store
 	j      *Journal
-	heap   deadline.Heap
+	heap   timers.Heap
 	now    float64
 	posted chan func()
 	out    []string
 }
 
-func (r *rig) Now() float64                             { return r.now }
-func (r *rig) At(ms float64, do func()) *deadline.Timer { return r.heap.Add(ms, do) }
-func (r *rig) Stop(t *deadline.Timer)                   { r.heap.Stop(t) }
-func (r *rig) Known(ref slots.Ref) string               { return fmt.Sprint("id-", ref.Index) }
-func (r *rig) note(format string, args ...any)          { r.out = append(r.out, fmt.Sprintf(format, args...)) }
-func (r *rig) SetAddress(id, addr string)               {}
-func (r *rig) CloseIdle(id string)                      { r.note("idle %s", id) }
-func (r *rig) Forget(id string)                         { r.note("forget %s", id) }
-func (r *rig) Retain(map[string]bool)                   {}
-func (r *rig) Recall(string, func(backend.Tag) bool)    {}
-func (r *rig) Probe(id string)                          {}
-func (r *rig) Cancel(ref slots.Ref)                     { r.note("cancel %d", ref.Index) }
+func (r *rig) Now() float64                           { return r.now }
+func (r *rig) At(ms float64, do func()) *timers.Timer { return r.heap.Add(ms, do) }
+func (r *rig) Stop(t *timers.Timer)                   { r.heap.Stop(t) }
+func (r *rig) Known(ref slots.Ref) string             { return fmt.Sprint("id-", ref.Index) }
+func (r *rig) note(format string, args ...any)        { r.out = append(r.out, fmt.Sprintf(format, args...)) }
+func (r *rig) SetAddress(id, addr string)             {}
+func (r *rig) CloseIdle(id string)                    { r.note("idle %s", id) }
+func (r *rig) Forget(id string)                       { r.note("forget %s", id) }
+func (r *rig) Retain(map[string]bool)                 {}
+func (r *rig) Recall(string, func(backend.Tag) bool)  {}
+func (r *rig) Probe(id string)                        {}
+func (r *rig) Cancel(ref slots.Ref)                   { r.note("cancel %d", ref.Index) }
 func (r *rig) AttemptEnded(t backend.Tag, o backend.Outcome) {
 	r.note("ended %d %d", t.Request.Index, o.Result)
 	r.j.Ended(t, o.Result)
