--- a/cmd/beechgrade/pooled.go
+++ b/cmd/beechgrade/pooled.go
@@ -4,12 +4,12 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/core"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/clickhouse"
 	"beechgrade/internal/frontend/pooling"
 	"beechgrade/internal/frontend/scatter"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/operate"
-	"beechgrade/internal/slots"
 )
 
 // usePooling adds the second front, where the settings have it on.
@@ -142,7 +142,7 @@
 	}
 }
 
-func (s fronts) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slots.Ref {
+func (s fronts) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slotmap.Ref {
 	switch {
 	case s.house != nil && clickhouse.Ours(q):
 		return s.house.Try(id, q, until, t)
@@ -162,7 +162,7 @@
 	s.Pool.Probe(id)
 }
 
-func (s fronts) Cancel(ref slots.Ref) {
+func (s fronts) Cancel(ref slotmap.Ref) {
 	switch {
 	case s.house != nil && clickhouse.OursRef(ref):
 		s.house.Cancel(ref)
--- a/internal/backend/api.go
+++ b/internal/backend/api.go
@@ -2,7 +2,7 @@
 
 import (
 	"beechgrade/internal/decide"
-	"beechgrade/internal/slots"
+	"beechgrade/internal/eventloop/slotmap"
 )
 
 // Query is a request in the form that is sent to a server.
@@ -21,7 +21,7 @@
 
 // Tag identifies the request and the attempt that an outcome belongs to.
 type Tag struct {
-	Request slots.Ref
+	Request slotmap.Ref
 	Number  int
 }
 
--- a/internal/backend/attempts.go
+++ b/internal/backend/attempts.go
@@ -5,12 +5,12 @@
 
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // Start begins an attempt at a server and returns its reference. The attempt times out by itself at its deadline.
-func (pool *Pool) Start(id string, query Query, until float64, terms Terms, tag Tag) slots.Ref {
+func (pool *Pool) Start(id string, query Query, until float64, terms Terms, tag Tag) slotmap.Ref {
 	attempt := &attempt{tag: tag, id: id, query: query, deadline: until, Terms: terms, server: pool.servers[id]}
 	attempt.ref = pool.attempts.Put(attempt)
 	pool.begin(attempt)
@@ -25,7 +25,7 @@
 }
 
 // Cancel abandons an attempt. If its query has been written, the connection is closed, because the answer to it may still arrive.
-func (pool *Pool) Cancel(ref slots.Ref) {
+func (pool *Pool) Cancel(ref slotmap.Ref) {
 	if attempt, ok := pool.attempts.Get(ref); ok {
 		pool.drop(attempt, decide.Cancelled)
 	}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -13,10 +13,10 @@
 
 	"beechgrade/internal/backend/wear"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // Pool holds the connections to all servers. It belongs to the event loop: none of its methods may be called from elsewhere.
@@ -26,8 +26,8 @@
 	options  Options
 	events   Events
 	servers  map[string]*server
-	attempts slots.Table[*attempt]
-	conns    slots.Table[*conn]
+	attempts slotmap.Table[*attempt]
+	conns    slotmap.Table[*conn]
 	idleSeq  uint64
 	wear     wear.Wear
 	held     int // bytes of answers being received
@@ -45,7 +45,7 @@
 
 // attempt is an attempt of a request, or a probe if query is nil.
 type attempt struct {
-	ref          slots.Ref
+	ref          slotmap.Ref
 	tag          Tag
 	id           string  // of the server
 	server       *server // nil if it is unknown
@@ -72,7 +72,7 @@
 // conn is a connection to a server. It implements loop.Handler.
 type conn struct {
 	pool          *Pool
-	ref           slots.Ref
+	ref           slotmap.Ref
 	server        *server
 	addr          string // the address it was opened to
 	socket        *loop.Conn
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -2,9 +2,9 @@
 
 import (
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // mayGo reports whether an attempt may still be sent. A probe always may.
@@ -67,7 +67,7 @@
 // CloseOldest closes the connection that has been idle longest, and reports whether there was one.
 func (pool *Pool) CloseOldest() bool {
 	var oldest *conn
-	pool.conns.Each(func(_ slots.Ref, conn *conn) {
+	pool.conns.Each(func(_ slotmap.Ref, conn *conn) {
 		if conn.state == idle && (oldest == nil || conn.idleNumber < oldest.idleNumber) {
 			oldest = conn
 		}
--- a/internal/backend/invariants.go
+++ b/internal/backend/invariants.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/slots"
 )
 
 // Check checks the invariants of the pool, once in every calls. It must be called between the callbacks of the loop.
@@ -19,7 +19,7 @@
 	pool.attempts.Check(checks, "backend: attempts")
 	pool.conns.Check(checks, "backend: connections")
 	idles, dials, held := map[*server]int{}, map[*server]int{}, 0
-	pool.conns.Each(func(ref slots.Ref, conn *conn) {
+	pool.conns.Each(func(ref slotmap.Ref, conn *conn) {
 		state := func() string {
 			return fmt.Sprintf("%v to %s: state %d, carries %v, holds %d", ref, conn.server.id, conn.state, conn.attempt != nil, conn.held)
 		}
@@ -56,7 +56,7 @@
 	for server := range idles { // servers that were forgotten
 		checks.That(false, "backend: nothing idles at a server that is forgotten", func() string { return server.id })
 	}
-	pool.attempts.Each(func(ref slots.Ref, attempt *attempt) {
+	pool.attempts.Each(func(ref slotmap.Ref, attempt *attempt) {
 		checks.That(attempt.conn != nil && attempt.conn.attempt == attempt || attempt.conn == nil && attempt.server != nil && slices.Contains(attempt.server.waiting, attempt), "backend: an attempt is on a connection or waits", func() string {
 			return fmt.Sprintf("%v at %s: on one %v", ref, attempt.id, attempt.conn != nil)
 		})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,11 +13,11 @@
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/record"
-	"beechgrade/internal/slots"
 )
 
 // Errors of a request that cannot be passed to the router.
@@ -35,8 +35,8 @@
 	CloseIdle(id string)
 	Forget(id string)
 	Retain(ids map[string]bool)
-	Start(id string, query backend.Query, until float64, on backend.Terms, tag backend.Tag) slots.Ref
-	Cancel(attempt slots.Ref)
+	Start(id string, query backend.Query, until float64, on backend.Terms, tag backend.Tag) slotmap.Ref
+	Cancel(attempt slotmap.Ref)
 	Probe(id string)
 	Recall(id string, which func(backend.Tag) bool) // ends the attempts that have not been written yet and must not be
 }
@@ -84,12 +84,12 @@
 	zones        numbering
 	kinds        numbering
 
-	requests  slots.Table[*request]
-	ids       map[string]slots.Ref // the latest request of each id
+	requests  slotmap.Table[*request]
+	ids       map[string]slotmap.Ref // the latest request of each id
 	events    []event
 	endsAt    float64 // requests that arrive have their answer by then, 0 for no end
 	running   bool
-	abandoned []slots.Ref // requests that were given up while actions are carried out
+	abandoned []slotmap.Ref // requests that were given up while actions are carried out
 	actions   []decide.Action
 
 	rec              *record.Recorder // nil without records
@@ -145,7 +145,7 @@
 // New returns the core of one pooler.
 func New(l Loop, log *slog.Logger, cfg *config.Config) *Core {
 	c := &Core{loop: l, log: log, cfg: cfg, router: decide.New(cfg.Settings, cfg.Seed),
-		decisions: newDecisionCounts(), ids: map[string]slots.Ref{}, probed: map[string]float64{}, zones: newNames(cfg.Zones), kinds: newNames(cfg.Kinds)}
+		decisions: newDecisionCounts(), ids: map[string]slotmap.Ref{}, probed: map[string]float64{}, zones: newNames(cfg.Zones), kinds: newNames(cfg.Kinds)}
 	c.indexNames()
 	return c
 }
@@ -231,15 +231,15 @@
 // fronts have no deadline and are ended by their fronts.
 func (c *Core) EndAt(ms float64) {
 	c.endsAt = ms
-	var open []slots.Ref
-	c.requests.Each(func(ref slots.Ref, _ *request) { open = append(open, ref) })
+	var open []slotmap.Ref
+	c.requests.Each(func(ref slotmap.Ref, _ *request) { open = append(open, ref) })
 	for _, ref := range open {
 		c.AnswerBy(ref, ms)
 	}
 }
 
 // AnswerBy implements platform.Desk. It brings forward the deadline of a request of the platform's clients.
-func (c *Core) AnswerBy(ref slots.Ref, ms float64) {
+func (c *Core) AnswerBy(ref slotmap.Ref, ms float64) {
 	req, ok := c.requests.Get(ref)
 	if !ok || !req.platform || req.over || req.deadline <= ms {
 		return
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -3,11 +3,11 @@
 import (
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/record/recordpb"
-	"beechgrade/internal/slots"
 )
 
 // Credit decides whether a tenant's prepaid funds admit a request. The router sees a request once it is admitted.
@@ -28,10 +28,10 @@
 	since   float64
 }
 
-func creditTag(ref slots.Ref) uint64 { return uint64(ref.Index)<<32 | uint64(ref.Gen) }
+func creditTag(ref slotmap.Ref) uint64 { return uint64(ref.Index)<<32 | uint64(ref.Gen) }
 
 // funded reports whether a request may go on now.
-func (c *Core) funded(ref slots.Ref, req *request, incoming *platform.Request, ev *decide.Request) bool {
+func (c *Core) funded(ref slotmap.Ref, req *request, incoming *platform.Request, ev *decide.Request) bool {
 	req.payment.tenant, req.payment.pending, req.payment.since = incoming.Tenant, ev, c.loop.Now() // Funded may be called before Hold returns
 	hold, v := c.credit.Hold(incoming.Tenant, incoming.Class, incoming.Session, creditTag(ref))
 	if v == purse.Wait {
@@ -48,7 +48,7 @@
 const refusalMarginMs = 5 // a request that waits for funds is refused so long before its deadline, so that its client hears of it
 
 // overdue refuses a request that has waited for funds as long as its client does.
-func (c *Core) overdue(ref slots.Ref) {
+func (c *Core) overdue(ref slotmap.Ref) {
 	if req, ok := c.requests.Get(ref); ok && req.payment.pending != nil {
 		req.payment.pending = nil
 		c.credit.Cancel(req.payment.tenant, creditTag(ref))
@@ -57,7 +57,7 @@
 }
 
 // unfunded refuses a request for lack of funds.
-func (c *Core) unfunded(ref slots.Ref, req *request, slowed bool) {
+func (c *Core) unfunded(ref slotmap.Ref, req *request, slowed bool) {
 	c.finish(req, figures.Dropped)
 	c.release(ref, req) // its client may ask, or give up, something else at once
 	wait := min(clock.Millis(c.cfg.Settings.MaxRetryAfter), adviceMs+float64(creditTag(ref)%adviceMs))
@@ -93,7 +93,9 @@
 	}
 }
 
-func creditRef(tag uint64) slots.Ref { return slots.Ref{Index: uint32(tag >> 32), Gen: uint32(tag)} }
+func creditRef(tag uint64) slotmap.Ref {
+	return slotmap.Ref{Index: uint32(tag >> 32), Gen: uint32(tag)}
+}
 
 // settle ends the hold on a tenant's funds: once for each request, however many attempts it had.
 func (c *Core) settle(req *request, end figures.End) {
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -10,12 +10,12 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/peers/credit/purse"
-	"beechgrade/internal/slots"
 )
 
 // payer lets in as it is told to, and notes what it is told.
@@ -64,7 +64,7 @@
 
 // TestRequestIsPaidForAndSettledOnce has a request be told to the module once it is paid for, and be settled once, whatever becomes of it.
 func TestRequestIsPaidForAndSettledOnce(t *testing.T) {
-	begin := func(say purse.Verdict) (*Core, *payer, *asker, *counting, slots.Ref) {
+	begin := func(say purse.Verdict) (*Core, *payer, *asker, *counting, slotmap.Ref) {
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 			Classes: []decide.Class{{Target: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Read: decide.ReadAny}}},
 			Known: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
@@ -77,31 +77,31 @@
 		}
 		return c, p, a, servers, ref
 	}
-	served := func(c *Core, ref slots.Ref) {
+	served := func(c *Core, ref slotmap.Ref) {
 		c.AttemptWritten(backend.Tag{Request: ref})
 		c.AttemptEnded(backend.Tag{Request: ref}, backend.Outcome{Result: decide.OK})
 	}
 	for _, x := range []struct {
 		name  string
 		say   purse.Verdict
-		do    func(c *Core, p *payer, ref slots.Ref)
+		do    func(c *Core, p *payer, ref slotmap.Ref)
 		sends int
 		told  []string
 		heard []string
 	}{
-		{"served", purse.Pass, func(c *Core, _ *payer, ref slots.Ref) { served(c, ref) }, 1, []string{"served"}, []string{"served"}},
-		{"no funds", purse.None, func(*Core, *payer, slots.Ref) {}, 0, nil, []string{"broke"}},
-		{"waits, is let in and served", purse.Wait, func(c *Core, p *payer, ref slots.Ref) {
+		{"served", purse.Pass, func(c *Core, _ *payer, ref slotmap.Ref) { served(c, ref) }, 1, []string{"served"}, []string{"served"}},
+		{"no funds", purse.None, func(*Core, *payer, slotmap.Ref) {}, 0, nil, []string{"broke"}},
+		{"waits, is let in and served", purse.Wait, func(c *Core, p *payer, ref slotmap.Ref) {
 			c.Funded(p.tag, purse.Hold{Amount: 5})
 			served(c, ref)
 		}, 1, []string{"served"}, []string{"served"}},
-		{"waits and is turned away", purse.Wait, func(c *Core, p *payer, _ slots.Ref) { c.Unfunded(p.tag) }, 0, nil, []string{"broke"}},
-		{"its client goes while it waits", purse.Wait, func(c *Core, p *payer, ref slots.Ref) {
+		{"waits and is turned away", purse.Wait, func(c *Core, p *payer, _ slotmap.Ref) { c.Unfunded(p.tag) }, 0, nil, []string{"broke"}},
+		{"its client goes while it waits", purse.Wait, func(c *Core, p *payer, ref slotmap.Ref) {
 			c.Gone(ref)
 			c.Funded(p.tag, purse.Hold{Amount: 5})
 		}, 0, []string{"cancelled", "free"}, nil},
-		{"its client goes before anything was sent", purse.Pass, func(c *Core, _ *payer, ref slots.Ref) { c.Gone(ref) }, 1, []string{"free"}, nil},
-		{"its client goes after", purse.Pass, func(c *Core, _ *payer, ref slots.Ref) {
+		{"its client goes before anything was sent", purse.Pass, func(c *Core, _ *payer, ref slotmap.Ref) { c.Gone(ref) }, 1, []string{"free"}, nil},
+		{"its client goes after", purse.Pass, func(c *Core, _ *payer, ref slotmap.Ref) {
 			c.AttemptWritten(backend.Tag{Request: ref})
 			c.Gone(ref)
 		}, 1, []string{"failed"}, nil},
@@ -132,7 +132,7 @@
 	c := New(still{}, slog.New(slog.DiscardHandler), cfg)
 	c.Start(servers, still{})
 	c.SetCredit(p)
-	ask := func(id string, client platform.Client) slots.Ref {
+	ask := func(id string, client platform.Client) slotmap.Ref {
 		ref, err := c.Ask(platform.Request{ID: id, Class: "read", Deadline: 1e6 + 9000, Query: still{}}, client)
 		if err != nil {
 			t.Fatal(err)
@@ -144,7 +144,7 @@
 		t.Errorf("let in at once: sent %d times", servers.n)
 	}
 	p.at = func(tag uint64) { c.Unfunded(tag) }
-	if a := (&asker{}); ask("2", a) != (slots.Ref{}) || len(a.heard) != 1 {
+	if a := (&asker{}); ask("2", a) != (slotmap.Ref{}) || len(a.heard) != 1 {
 		t.Errorf("turned away at once: heard %v", a.heard)
 	}
 	p.at = nil
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -3,15 +3,15 @@
 import (
 	"fmt"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/slots"
 )
 
 // walk checks the invariants of all requests between two events: the core and the router have the same ones.
 func (c *Core) walk(checks *invariant.Checks) {
 	c.requests.Check(checks, "core: requests")
 	owed, open, counted := 0, 0, 0
-	c.requests.Each(func(ref slots.Ref, req *request) {
+	c.requests.Each(func(ref slotmap.Ref, req *request) {
 		state := func() string {
 			return fmt.Sprintf("%v %s: over %v, %d of %d attempts out, passes on %v", ref, req.id, req.over, req.inFlight, len(req.attempts), req.stream != nil)
 		}
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -12,11 +12,11 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/slots"
 	"beechgrade/internal/steady"
 )
 
@@ -29,7 +29,7 @@
 	out    []backend.Tag
 	probes []string
 	flows  []backend.Flow
-	refs   []slots.Ref
+	refs   []slotmap.Ref
 	ends   map[int]int // answers by client
 	asked  int
 }
@@ -37,13 +37,13 @@
 func (d *drawn) Now() float64                          { return d.now }
 func (d *drawn) At(ms float64, f func()) *timers.Timer { return d.heap.Add(ms, f) }
 func (d *drawn) Probe(id string)                       { d.probes = append(d.probes, id) }
-func (d *drawn) Start(_ string, _ backend.Query, _ float64, _ backend.Terms, tag backend.Tag) slots.Ref {
+func (d *drawn) Start(_ string, _ backend.Query, _ float64, _ backend.Terms, tag backend.Tag) slotmap.Ref {
 	if d.core.AttemptGoes(tag) { // it has a connection; of one that waits sends_test.go tells
 		d.out = append(d.out, tag)
 	} else {
 		d.core.AttemptEnded(tag, backend.Outcome{Result: decide.Skipped})
 	}
-	return slots.Ref{Index: uint32(tag.Number) + 1, Gen: 1}
+	return slotmap.Ref{Index: uint32(tag.Number) + 1, Gen: 1}
 }
 
 // drawnAsker is a client that counts its answers, and takes one that is passed on as it comes.
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -4,10 +4,10 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/record/recordpb"
-	"beechgrade/internal/slots"
 )
 
 func (c *Core) reportServer(server string, outcome *backend.Outcome) {
@@ -20,7 +20,7 @@
 type stream struct {
 	backend.Flow
 	core *Core
-	ref  slots.Ref
+	ref  slotmap.Ref
 	stop func()
 }
 
@@ -68,7 +68,7 @@
 }
 
 // streamEnded ends a request whose answer was passed on as it came.
-func (c *Core) streamEnded(ref slots.Ref, end figures.End) {
+func (c *Core) streamEnded(ref slotmap.Ref, end figures.End) {
 	if req, ok := c.requests.Get(ref); ok && req.stream != nil {
 		req.stream, req.answered = nil, end == figures.Passed && !req.leftUnread()
 		c.finish(req, end)
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -9,10 +9,10 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/slots"
 )
 
 type still struct{}
@@ -43,10 +43,10 @@
 func (*counting) Retain(map[string]bool)                {}
 func (*counting) Recall(string, func(backend.Tag) bool) {}
 func (*counting) Probe(string)                          {}
-func (*counting) Cancel(slots.Ref)                      {}
-func (c *counting) Start(string, backend.Query, float64, backend.Terms, backend.Tag) slots.Ref {
+func (*counting) Cancel(slotmap.Ref)                    {}
+func (c *counting) Start(string, backend.Query, float64, backend.Terms, backend.Tag) slotmap.Ref {
 	c.n++
-	return slots.Ref{}
+	return slotmap.Ref{}
 }
 
 // TestPeersShareTheColdBudget: what a cold server may get is shared out among as many poolers as may be sending, where that is told, and as the
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -10,14 +10,14 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/record/recordpb"
-	"beechgrade/internal/slots"
 )
 
 // Known returns the id that a request's client uses for it.
-func (c *Core) Known(ref slots.Ref) string {
+func (c *Core) Known(ref slotmap.Ref) string {
 	if req, ok := c.requests.Get(ref); ok {
 		return req.clientID
 	}
@@ -54,7 +54,7 @@
 // attempt is one attempt of a request. One that was skipped has no ref.
 type attempt struct {
 	server   decide.ServerID
-	ref      slots.Ref
+	ref      slotmap.Ref
 	begun    float64
 	until    float64 // it must not be written from then on
 	written  bool
@@ -73,28 +73,28 @@
 }
 
 // Ask implements platform.Desk.
-func (c *Core) Ask(incoming platform.Request, client platform.Client) (slots.Ref, error) {
+func (c *Core) Ask(incoming platform.Request, client platform.Client) (slotmap.Ref, error) {
 	class, ok := c.classes[incoming.Class]
 	if !ok {
-		return slots.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrClass)
+		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrClass)
 	}
 	earlier, resent := c.requests.Get(c.ids[incoming.ID])
 	if resent && earlier.owed() {
-		return slots.Ref{}, fmt.Errorf("id %q: %w", incoming.ID, ErrOpen)
+		return slotmap.Ref{}, fmt.Errorf("id %q: %w", incoming.ID, ErrOpen)
 	}
 	tenant, ok := c.tenants[incoming.Tenant]
 	if !ok && (incoming.PlatformForm || incoming.Tenant != "") && len(c.tenants) > 0 {
-		return slots.Ref{}, fmt.Errorf("tenant %q: %w", incoming.Tenant, ErrTenant)
+		return slotmap.Ref{}, fmt.Errorf("tenant %q: %w", incoming.Tenant, ErrTenant)
 	}
 	if !ok {
 		tenant = -1
 	}
 	set := &c.cfg.Settings.Classes[class]
 	if set.Effect == decide.Keyed && incoming.PlatformForm && incoming.IdempotencyKey == "" {
-		return slots.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrKey)
+		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrKey)
 	}
 	if incoming.Writes && set.Read != decide.Write { // a read may be repeated
-		return slots.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrWrite)
+		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrWrite)
 	}
 	known, once := cmp.Or(incoming.ClientID, incoming.ID), set.Effect != decide.Safe
 	unrepeatable := once && !(set.Effect == decide.Keyed && incoming.IdempotencyKey != "") // not sent again, at whatever time, if it may have run
@@ -102,7 +102,7 @@
 	if repeats || once && c.journal != nil && c.journal.Ran(known) {                       // whether it has run is unknown
 		c.classFigures[class].Count(figures.BadGateway)
 		client.Failed()
-		return slots.Ref{}, nil
+		return slotmap.Ref{}, nil
 	}
 	c.countLimit(OfTenant, incoming.Tenant)
 	c.Expire()
@@ -134,7 +134,7 @@
 	}
 	if c.credit != nil && !c.funded(ref, req, &incoming, ev) {
 		if req.over {
-			ref = slots.Ref{}
+			ref = slotmap.Ref{}
 		}
 		return ref, nil
 	}
@@ -188,7 +188,7 @@
 }
 
 // Gone implements platform.Desk.
-func (c *Core) Gone(ref slots.Ref) {
+func (c *Core) Gone(ref slotmap.Ref) {
 	req, ok := c.requests.Get(ref)
 	if ok && req.stream != nil {
 		stop := req.stream.stop
@@ -236,7 +236,7 @@
 }
 
 // release frees the slot of a request that is over and has no attempt or answer left.
-func (c *Core) release(ref slots.Ref, req *request) {
+func (c *Core) release(ref slotmap.Ref, req *request) {
 	if req.over && req.inFlight == 0 && req.stream == nil && req.held == nil {
 		c.remember(req)
 		c.requests.Drop(ref)
@@ -247,17 +247,17 @@
 }
 
 // requestID names a request to the router by its slot, as the ids of different clients may be equal.
-func requestID(r slots.Ref) decide.RequestID {
+func requestID(r slotmap.Ref) decide.RequestID {
 	var b [8]byte
 	binary.BigEndian.PutUint32(b[:4], r.Index)
 	binary.BigEndian.PutUint32(b[4:], r.Gen)
 	return decide.RequestID(b[:])
 }
 
-func refOf(id decide.RequestID) slots.Ref {
+func refOf(id decide.RequestID) slotmap.Ref {
 	if len(id) != 8 {
-		return slots.Ref{}
+		return slotmap.Ref{}
 	}
 	b := []byte(id)
-	return slots.Ref{Index: binary.BigEndian.Uint32(b[:4]), Gen: binary.BigEndian.Uint32(b[4:])}
+	return slotmap.Ref{Index: binary.BigEndian.Uint32(b[:4]), Gen: binary.BigEndian.Uint32(b[4:])}
 }
--- a/internal/core/sends_test.go
+++ b/internal/core/sends_test.go
@@ -11,10 +11,10 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/slots"
 )
 
 // dials are servers to which no connection is up yet: what is sent waits, in its order.
@@ -31,10 +31,10 @@
 	tag backend.Tag
 }
 
-func (d *dials) Start(id string, _ backend.Query, _ float64, _ backend.Terms, tag backend.Tag) slots.Ref {
+func (d *dials) Start(id string, _ backend.Query, _ float64, _ backend.Terms, tag backend.Tag) slotmap.Ref {
 	d.begun++
 	d.waits = append(d.waits, dialled{id, tag})
-	return slots.Ref{}
+	return slotmap.Ref{}
 }
 
 func (d *dials) Recall(id string, which func(backend.Tag) bool) {
@@ -293,7 +293,7 @@
 			d.waits = d.waits[len(d.waits)-1:]
 			server := decide.ServerID(d.waits[0].to)
 			if server != "a" {
-				c.requests.Each(func(_ slots.Ref, req *request) {
+				c.requests.Each(func(_ slotmap.Ref, req *request) {
 					if req.id == "3" {
 						req.attempts[0].server = "a" // whichever it chose, the story is of this one
 					}
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -6,10 +6,10 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/record/recordpb"
-	"beechgrade/internal/slots"
 )
 
 // SessionTokens stores sessions' last commits where they survive a crash.
@@ -55,7 +55,7 @@
 
 // holdAnswer has a write's commit stored, and reports whether the answer waits for that, until its client's deadline at most. A write whose commit
 // is not stored by then is answered as failed: a session that has not heard of its write need not see it.
-func (c *Core) holdAnswer(ref slots.Ref, req *request, outcome *backend.Outcome) bool {
+func (c *Core) holdAnswer(ref slotmap.Ref, req *request, outcome *backend.Outcome) bool {
 	if req.wroteSession == "" {
 		return false
 	}
@@ -78,7 +78,7 @@
 }
 
 // releaseAnswer ends a held answer.
-func (c *Core) releaseAnswer(ref slots.Ref, req *request, end figures.End) {
+func (c *Core) releaseAnswer(ref slotmap.Ref, req *request, end figures.End) {
 	held := req.held
 	if held == nil {
 		return
--- a/internal/core/witness_test.go
+++ b/internal/core/witness_test.go
@@ -9,9 +9,9 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/slots"
 )
 
 // probing are servers that keep what they are asked.
@@ -22,9 +22,9 @@
 }
 
 func (p *probing) Probe(id string) { p.probes = append(p.probes, id) }
-func (p *probing) Start(id string, _ backend.Query, _ float64, _ backend.Terms, _ backend.Tag) slots.Ref {
+func (p *probing) Start(id string, _ backend.Query, _ float64, _ backend.Terms, _ backend.Tag) slotmap.Ref {
 	p.sent = append(p.sent, id)
-	return slots.Ref{}
+	return slotmap.Ref{}
 }
 
 // witness keeps what it is told.
@@ -126,7 +126,7 @@
 			c.SetWitness(w)
 			c.Start(servers, l)
 			c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: l.now - 200, HasPos: true}, 0)
-			ask := func(id string) slots.Ref {
+			ask := func(id string) slotmap.Ref {
 				ref, err := c.Ask(platform.Request{ID: id, Class: "write", Deadline: l.now + 2000, Query: still{}}, still{})
 				if err != nil {
 					t.Fatal(err)
--- a/internal/slots/slots.go
+++ b/internal/eventloop/slotmap/slots.go
@@ -1,6 +1,6 @@
-// Package slots is a table of numbered slots. A Ref holds a slot's index and generation, so that a
+// Package slotmap is a table of numbered slots. A Ref holds a slot's index and generation, so that a
 // callback that comes late finds nothing instead of the slot's next tenant.
-package slots
+package slotmap
 
 // Ref names one tenancy of a slot. The zero Ref names none.
 type Ref struct{ Index, Gen uint32 }
--- a/internal/slots/slots_test.go
+++ b/internal/eventloop/slotmap/slots_test.go
@@ -1,4 +1,4 @@
-package slots
+package slotmap
 
 import "testing"
 
--- a/internal/frontend/clickhouse/attempts.go
+++ b/internal/frontend/clickhouse/attempts.go
@@ -3,15 +3,15 @@
 import (
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/slots"
 )
 
 const timedOut = decide.TimedOut
 
 // attempt is a query's attempt, or a probe where r is nil.
 type attempt struct {
-	ref     slots.Ref
+	ref     slotmap.Ref
 	tag     backend.Tag
 	store   *store
 	r       *request
@@ -27,17 +27,17 @@
 func Ours(q backend.Query) bool { _, ok := q.(*request); return ok }
 
 // OursRef tells whether an attempt is of this front.
-func OursRef(ref slots.Ref) bool { return ref.Index&firstRef != 0 && ref.Index&(1<<31) == 0 }
+func OursRef(ref slotmap.Ref) bool { return ref.Index&firstRef != 0 && ref.Index&(1<<31) == 0 }
 
 // Try starts an attempt that ends by itself at until.
-func (f *Front) Try(id string, q backend.Query, until float64, t backend.Tag) slots.Ref {
+func (f *Front) Try(id string, q backend.Query, until float64, t backend.Tag) slotmap.Ref {
 	a := &attempt{tag: t, store: f.stores[id], r: q.(*request), until: until}
 	a.ref = f.attempts.Put(a)
 	if a.store != nil {
 		a.store.barredAt = 0 // the module sends there: it serves
 	}
 	f.begin(a)
-	return slots.Ref{Index: a.ref.Index | firstRef, Gen: a.ref.Gen}
+	return slotmap.Ref{Index: a.ref.Index | firstRef, Gen: a.ref.Gen}
 }
 
 // Recall is core.Servers'.
@@ -72,7 +72,7 @@
 }
 
 // Cancel gives an attempt up; a server whose connection goes ends its query.
-func (f *Front) Cancel(ref slots.Ref) {
+func (f *Front) Cancel(ref slotmap.Ref) {
 	ref.Index &^= firstRef
 	if a, ok := f.attempts.Get(ref); ok {
 		f.drop(a, decide.Cancelled)
--- a/internal/frontend/clickhouse/client.go
+++ b/internal/frontend/clickhouse/client.go
@@ -1,16 +1,16 @@
 package clickhouse
 
 import (
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/httpwire"
-	"beechgrade/internal/slots"
 )
 
 // client is a client's connection; it is the loop's Handler.
 type client struct {
 	f      *Front
-	ref    slots.Ref
+	ref    slotmap.Ref
 	conn   *loop.Conn
 	in     []byte
 	head   *httpwire.Head // of the request whose body is coming in and is held
--- a/internal/frontend/clickhouse/drain.go
+++ b/internal/frontend/clickhouse/drain.go
@@ -1,6 +1,6 @@
 package clickhouse
 
-import "beechgrade/internal/slots"
+import "beechgrade/internal/eventloop/slotmap"
 
 // While the front drains, each client's connection ends behind an answer that says so, or while it rests. What a client has sent by then is answered first,
 // for as long as a drain may take.
@@ -27,7 +27,7 @@
 // shed closes what may be closed of a front that drains.
 func (f *Front) shed() {
 	if f.draining {
-		f.clients.Each(func(_ slots.Ref, c *client) { c.shed() })
+		f.clients.Each(func(_ slotmap.Ref, c *client) { c.shed() })
 	}
 }
 
@@ -39,7 +39,7 @@
 
 // Begun is how many clients have sent a part of a request.
 func (f *Front) Begun() (n int) {
-	f.clients.Each(func(_ slots.Ref, c *client) {
+	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		if c.req == nil && c.begun() {
 			n++
 		}
@@ -86,7 +86,7 @@
 func (f *Front) End() {
 	f.draining, f.cutAt = true, f.loop.Now()
 	var all []*client
-	f.clients.Each(func(_ slots.Ref, c *client) { all = append(all, c) })
+	f.clients.Each(func(_ slotmap.Ref, c *client) { all = append(all, c) })
 	for _, c := range all {
 		c.endNow()
 	}
--- a/internal/frontend/clickhouse/front.go
+++ b/internal/frontend/clickhouse/front.go
@@ -8,11 +8,11 @@
 	"log/slog"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/clickhouse/limits"
 	"beechgrade/internal/frontend/clickhouse/sessions"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/loop"
-	"beechgrade/internal/slots"
 )
 
 // Names of the classes that the front's requests are of.
@@ -66,8 +66,8 @@
 	opt      Options
 	desk     platform.Desk
 	events   backend.Events
-	clients  slots.Table[*client]
-	attempts slots.Table[*attempt]
+	clients  slotmap.Table[*client]
+	attempts slotmap.Table[*attempt]
 	stores   map[string]*store
 	gate     *limits.Gate
 	waiting  map[limits.ID]*request
@@ -172,7 +172,7 @@
 	f.sessions.Expire(now)
 	var late, slow []*client
 	var quiet []*link
-	f.clients.Each(func(_ slots.Ref, c *client) {
+	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		begun := c.begun()
 		if c.req == nil && !c.last && (begun && now-c.since > f.opt.HeadMs || !begun && now-c.since > f.opt.ClientMs) {
 			late = append(late, c)
@@ -212,7 +212,7 @@
 
 // Unsent is how many bytes clients have not read yet.
 func (f *Front) Unsent() (n int) {
-	f.clients.Each(func(_ slots.Ref, c *client) {
+	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		if c.conn != nil {
 			n += c.conn.Unsent()
 		}
@@ -226,7 +226,7 @@
 // Owes tells whether a client waits for an answer, has not read all of one, or has sent a part of a request.
 func (f *Front) Owes() bool {
 	owes := false
-	f.clients.Each(func(_ slots.Ref, c *client) {
+	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		owes = owes || c.req != nil || c.begun() || c.last || c.conn != nil && c.conn.Unsent() > 0
 	})
 	return owes
--- a/internal/frontend/clickhouse/request.go
+++ b/internal/frontend/clickhouse/request.go
@@ -6,11 +6,11 @@
 	"strconv"
 	"strings"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/clickhouse/limits"
 	"beechgrade/internal/frontend/clickhouse/sessions"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/protocol/httpwire"
-	"beechgrade/internal/slots"
 )
 
 // Exception codes, as ClickHouse numbers them, that the pooler gives by itself.
@@ -29,7 +29,7 @@
 // request is one query of a client. It is platform.Client and its attempts' backend.Query.
 type request struct {
 	c       *client
-	ref     slots.Ref // the core's
+	ref     slotmap.Ref // the core's
 	head    *httpwire.Head
 	raw     []byte // the body as it came, framing and all, or what is held of it
 	reads   bool
--- a/internal/frontend/platform/ahead_test.go
+++ b/internal/frontend/platform/ahead_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // TestCutAnswersEachCommand: when clients are sent away while one has sent many commands ahead, each command must have its own
@@ -82,7 +82,9 @@
 	}
 	world.until("all is read", func() bool { // it is all in the sockets
 		all := true
-		world.postgres.sessions.Each(func(_ slots.Ref, session *session) { all = all && session.input.Pending() == 0 && session.conn.Quiet() })
+		world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
+			all = all && session.input.Pending() == 0 && session.conn.Quiet()
+		})
 		return all
 	})
 	world.do(func() {
--- a/internal/frontend/platform/capacity.go
+++ b/internal/frontend/platform/capacity.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"beechgrade/internal/slots"
+	"beechgrade/internal/eventloop/slotmap"
 )
 
 // Limits of the time, in milliseconds, that a client may hold a connection without a request.
@@ -109,7 +109,7 @@
 // sweep closes the connections of clients that have held something for too long.
 func (postgres *Postgres) sweep() {
 	now := postgres.loop.Now()
-	postgres.sessions.Each(func(_ slots.Ref, session *session) {
+	postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 		if session.conn == nil {
 			return
 		}
@@ -236,7 +236,7 @@
 func (postgres *Postgres) boundMemory() {
 	for postgres.heldBytes > postgres.heldLimit() {
 		var most *session
-		postgres.sessions.Each(func(_ slots.Ref, session *session) {
+		postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 			session.countHeld() // the client may have read its answers meanwhile
 			if most == nil || session.spare() > most.spare() {
 				most = session
--- a/internal/frontend/platform/closing_test.go
+++ b/internal/frontend/platform/closing_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // TestLastMessageFollowsUnsentAnswers: a client that has not read all of its answers when its connection ends must receive the
@@ -82,7 +82,7 @@
 		clients = append(clients, world.client())
 	}
 	world.do(func() {
-		world.postgres.sessions.Each(func(_ slots.Ref, session *session) { session.since -= freshMs })
+		world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.since -= freshMs })
 		began = world.loop.Now()
 		world.postgres.SendAway(CloseIdle)
 	})
@@ -90,7 +90,7 @@
 		client.want("$")
 	}
 	world.do(func() { // none is closed before it has had its time
-		world.postgres.sessions.Each(func(_ slots.Ref, session *session) {
+		world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 			if !session.shut {
 				t.Error("a connection is not shut")
 			}
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -1,8 +1,8 @@
 package platform
 
 import (
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // This file decides how clients are sent away, whether the process drains, stops or hands over. There is one sequence of stages, each of
@@ -46,7 +46,7 @@
 		postgres.refusingSince = now
 	}
 	postgres.stage, postgres.stageSince = stage, now
-	postgres.sessions.Each(func(_ slots.Ref, session *session) { session.sendAway() })
+	postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.sendAway() })
 }
 
 // Resume ends the sending away. Connections that are being closed already are closed.
--- a/internal/frontend/platform/drain_test.go
+++ b/internal/frontend/platform/drain_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/slots"
 )
 
 // TestRefusedFirstRequestEndsTheConnection: a client that connects just before a drain refuses all commands, and whose first request is
@@ -92,7 +92,7 @@
 		world.client()
 		world.do(func() {
 			now := world.loop.Now()
-			world.postgres.sessions.Each(func(_ slots.Ref, session *session) {
+			world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 				session.opened = now - 10*graceMs
 				c.spoil(session)
 			})
@@ -103,7 +103,7 @@
 				t.Errorf("%s: %d breaches", name, breaches)
 			}
 			world.postgres.Resume()
-			world.postgres.sessions.Each(func(_ slots.Ref, session *session) { session.queue = nil })
+			world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.queue = nil })
 		})
 	}
 }
--- a/internal/frontend/platform/invariants.go
+++ b/internal/frontend/platform/invariants.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/slots"
 )
 
 // graceMs is how long a connection may outlive its bound: a sweep, leaveMs and lingerMs, and a process that is held up meanwhile.
@@ -18,7 +18,7 @@
 // walk checks that no connection outlives its bound while clients are sent away.
 func (postgres *Postgres) walk(checks *invariant.Checks) {
 	past := postgres.loop.Now() - graceMs
-	postgres.sessions.Each(func(_ slots.Ref, session *session) {
+	postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 		state := func() string {
 			return fmt.Sprintf("session %v in stage %v since %.0f, now %.0f: opened %.0f, started %v, %d unanswered, %d bytes unhandled, leaving %v, shut %v",
 				session.ref, postgres.stage, postgres.stageSince, past+graceMs, session.opened, session.started, len(session.queue), session.input.Pending(),
--- a/internal/frontend/platform/postgres.go
+++ b/internal/frontend/platform/postgres.go
@@ -8,10 +8,10 @@
 	"strings"
 
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 const (
@@ -47,7 +47,7 @@
 	log        *slog.Logger
 	desk       Desk
 	budget     Budget
-	sessions   slots.Table[*session]
+	sessions   slotmap.Table[*session]
 	byUse      [uses]list.List // sessions by their use, the longest in that use first
 	stage      Stage           // of sending clients away
 	notReady   bool            // health checks fail
@@ -89,7 +89,7 @@
 // Owes reports whether any client waits for an answer or has not read all of one.
 func (postgres *Postgres) Owes() bool {
 	owes := false
-	postgres.sessions.Each(func(_ slots.Ref, session *session) {
+	postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 		owes = owes || len(session.queue) > 0 || session.conn != nil && session.conn.Unsent() > 0
 	})
 	return owes
@@ -101,7 +101,7 @@
 // session is a client's connection. It implements loop.Handler.
 type session struct {
 	postgres       *Postgres
-	ref            slots.Ref
+	ref            slotmap.Ref
 	conn           *loop.Conn
 	input          pgwire.Reader
 	arrived        arrivals // of the bytes in input
--- a/internal/frontend/platform/queue.go
+++ b/internal/frontend/platform/queue.go
@@ -5,16 +5,16 @@
 	"strconv"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // answer is the place of a command in its session's queue: answers are sent in the order of the commands. It is the Client of its
 // request.
 type answer struct {
 	session   *session
-	ref       slots.Ref // of its request, valid while open
-	open      bool      // its request is open
+	ref       slotmap.Ref // of its request, valid while open
+	open      bool        // its request is open
 	done      bool
 	size      int    // bytes of its statement while open, then of waiting
 	waiting   []byte // output that waits for earlier answers
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -9,7 +9,7 @@
 
 import (
 	"beechgrade/internal/backend"
-	"beechgrade/internal/slots"
+	"beechgrade/internal/eventloop/slotmap"
 )
 
 // Request is a client's request, independent of the protocol.
@@ -49,9 +49,9 @@
 // Desk accepts requests; the core implements it. Ask may call the Client before it returns, in which case the returned Ref refers
 // to no request.
 type Desk interface {
-	Ask(request Request, c Client) (slots.Ref, error)
-	Gone(ref slots.Ref)                 // the client of the request has gone
-	AnswerBy(ref slots.Ref, ms float64) // the request has its answer by that time on the clock, if its deadline is not sooner
+	Ask(request Request, c Client) (slotmap.Ref, error)
+	Gone(ref slotmap.Ref)                 // the client of the request has gone
+	AnswerBy(ref slotmap.Ref, ms float64) // the request has its answer by that time on the clock, if its deadline is not sooner
 }
 
 // Departing is a Client that can report whether it has closed its connection, even if the event loop has not read the close yet.
--- a/internal/frontend/platform/world_test.go
+++ b/internal/frontend/platform/world_test.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // patience bounds every wait of a test; no result depends on how fast something happens.
@@ -35,23 +35,23 @@
 	asked     []Client
 	ids       []string
 	deadlines []float64
-	gone      []slots.Ref
-	hastened  []slots.Ref
+	gone      []slotmap.Ref
+	hastened  []slotmap.Ref
 	number    uint32
 }
 
 // Ask implements Desk.
-func (desk *scriptedDesk) Ask(request Request, client Client) (slots.Ref, error) {
+func (desk *scriptedDesk) Ask(request Request, client Client) (slotmap.Ref, error) {
 	desk.number++
 	desk.asked, desk.ids, desk.deadlines = append(desk.asked, client), append(desk.ids, request.ID), append(desk.deadlines, request.Deadline)
-	return slots.Ref{Index: desk.number, Gen: 1}, nil
+	return slotmap.Ref{Index: desk.number, Gen: 1}, nil
 }
 
 // Gone implements Desk.
-func (desk *scriptedDesk) Gone(ref slots.Ref) { desk.gone = append(desk.gone, ref) }
+func (desk *scriptedDesk) Gone(ref slotmap.Ref) { desk.gone = append(desk.gone, ref) }
 
 // AnswerBy implements Desk.
-func (desk *scriptedDesk) AnswerBy(ref slots.Ref, _ float64) {
+func (desk *scriptedDesk) AnswerBy(ref slotmap.Ref, _ float64) {
 	desk.hastened = append(desk.hastened, ref)
 }
 
@@ -126,7 +126,7 @@
 
 // session returns the only session, or the newest.
 func (world *world) session() (newest *session) {
-	world.postgres.sessions.Each(func(_ slots.Ref, session *session) { newest = session })
+	world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { newest = session })
 	return newest
 }
 
--- a/internal/frontend/pooling/admin.go
+++ b/internal/frontend/pooling/admin.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // adminQuery answers in the database "beechgrade": what the pools hold.
@@ -32,7 +32,7 @@
 		}
 	case "SHOW SERVERS":
 		names = []string{"server", "address", "database", "user", "state", "prepared"}
-		f.links.Each(func(_ slots.Ref, l *link) {
+		f.links.Each(func(_ slotmap.Ref, l *link) {
 			state := "idle"
 			switch {
 			case !l.up:
@@ -46,7 +46,7 @@
 		})
 	case "SHOW CLIENTS":
 		names = []string{"database", "user", "state", "server", "pinned_by"}
-		f.clients.Each(func(_ slots.Ref, x *client) {
+		f.clients.Each(func(_ slotmap.Ref, x *client) {
 			if x.pool == nil {
 				return
 			}
--- a/internal/frontend/pooling/client.go
+++ b/internal/frontend/pooling/client.go
@@ -6,17 +6,17 @@
 	"slices"
 	"strings"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/slots"
 )
 
 // client is a client's connection; it is the loop's Handler.
 type client struct {
 	f       *Front
-	ref     slots.Ref
+	ref     slotmap.Ref
 	conn    *loop.Conn
 	in      pgwire.Reader
 	out     []byte
--- a/internal/frontend/pooling/close.go
+++ b/internal/frontend/pooling/close.go
@@ -1,8 +1,8 @@
 package pooling
 
 import (
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/loop"
-	"beechgrade/internal/slots"
 )
 
 // A client's connection is closed so that nothing that it has yet to hear is lost: no more commands are taken, what was written goes out whole, the sending
@@ -107,7 +107,7 @@
 			l.free()
 		}
 	}
-	if t != nil && t.open && t.ref != (slots.Ref{}) { // else it is being put to the core, which hears of it then
+	if t != nil && t.open && t.ref != (slotmap.Ref{}) { // else it is being put to the core, which hears of it then
 		t.open = false
 		f.desk.Gone(t.ref)
 	}
--- a/internal/frontend/pooling/invariants.go
+++ b/internal/frontend/pooling/invariants.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/slots"
 )
 
 // Check has statements about the front made, once in so many calls; it is for between the loop's callbacks.
@@ -18,7 +18,7 @@
 	f.links.Check(x, "pooling: connections")
 	f.attempts.Check(x, "pooling: attempts")
 	up, coming := map[*pool]int{}, map[*pool]int{}
-	f.links.Each(func(ref slots.Ref, l *link) {
+	f.links.Each(func(ref slotmap.Ref, l *link) {
 		x.That(!l.closed, "pooling: nothing is kept of what is closed", func() string { return fmt.Sprintf("%v to %s", ref, l.store) })
 		if l.up {
 			up[l.pool]++
@@ -33,7 +33,7 @@
 			return fmt.Sprintf("%s: %d idle, %d in use, %d coming up; there are %d and %d", p.name, idle, used, dialing, up[p], coming[p])
 		})
 	}
-	f.attempts.Each(func(ref slots.Ref, a *attempt) {
+	f.attempts.Each(func(ref slotmap.Ref, a *attempt) {
 		x.That(!a.ended, "pooling: nothing is kept of an attempt that has ended", func() string { return fmt.Sprintf("%v at %s", ref, a.store) })
 	})
 }
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -4,18 +4,18 @@
 	"math"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/protocol/sqltext"
-	"beechgrade/internal/slots"
 )
 
 // link is a connection to a server; it is the loop's Handler.
 type link struct {
 	f        *Front
-	ref      slots.Ref
+	ref      slotmap.Ref
 	pool     *pool
 	store    string
 	conn     *loop.Conn
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -14,6 +14,7 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/pooling/carry"
@@ -21,7 +22,6 @@
 	"beechgrade/internal/frontend/scatter"
 	"beechgrade/internal/loop"
 	"beechgrade/internal/record"
-	"beechgrade/internal/slots"
 )
 
 // Mode says for how long a client keeps a server connection.
@@ -91,9 +91,9 @@
 
 	texts     *carry.Texts
 	pools     []*pool
-	clients   slots.Table[*client]
-	links     slots.Table[*link]
-	attempts  slots.Table[*attempt]
+	clients   slotmap.Table[*client]
+	links     slotmap.Table[*link]
+	attempts  slotmap.Table[*attempt]
 	keys      map[uint32]*client
 	told      map[string]int // connections of the pools of a name, where that is told
 	lastKey   uint32
@@ -144,7 +144,7 @@
 		for _, p := range f.pools {
 			f.do(p, p.share.Beat(f.loop.Now()))
 		}
-		f.clients.Each(func(_ slots.Ref, c *client) { c.beat() })
+		f.clients.Each(func(_ slotmap.Ref, c *client) { c.beat() })
 		f.gauge()
 		f.Start()
 	})
@@ -158,7 +158,7 @@
 
 // Parked is how many clients are not read, as what they sent ahead waits.
 func (f *Front) Parked() (n int) {
-	f.clients.Each(func(_ slots.Ref, c *client) {
+	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		if c.parked {
 			n++
 		}
@@ -168,7 +168,7 @@
 
 // Unsent is how many bytes clients have not read yet.
 func (f *Front) Unsent() (n int) {
-	f.clients.Each(func(_ slots.Ref, c *client) {
+	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		if c.conn != nil {
 			n += c.conn.Unsent()
 		}
@@ -179,7 +179,7 @@
 // Owes tells whether a client is in the midst of a transaction, waits for an answer or has yet to take its last one.
 func (f *Front) Owes() bool {
 	owes := f.lingering > 0
-	f.clients.Each(func(_ slots.Ref, c *client) { owes = owes || c.busy() || c.conn != nil && c.conn.Unsent() > 0 })
+	f.clients.Each(func(_ slotmap.Ref, c *client) { owes = owes || c.busy() || c.conn != nil && c.conn.Unsent() > 0 })
 	return owes
 }
 
@@ -191,13 +191,13 @@
 	if !f.draining {
 		f.draining, f.drainedAt = true, f.loop.Now()
 	}
-	f.clients.Each(func(_ slots.Ref, c *client) { c.shed() })
+	f.clients.Each(func(_ slotmap.Ref, c *client) { c.shed() })
 }
 
 // End ends clients' connections with a last word, whatever they have under way.
 func (f *Front) End() {
 	f.draining = true
-	f.clients.Each(func(_ slots.Ref, c *client) { c.endNow() })
+	f.clients.Each(func(_ slotmap.Ref, c *client) { c.endNow() })
 }
 
 // Accept makes the handler of a new connection.
@@ -291,11 +291,11 @@
 }
 
 // OursRef tells whether an attempt is one of this front's.
-func OursRef(r slots.Ref) bool { return r.Index >= firstRef }
+func OursRef(r slotmap.Ref) bool { return r.Index >= firstRef }
 
 // attempt is a transaction's try at one server.
 type attempt struct {
-	ref   slots.Ref
+	ref   slotmap.Ref
 	tag   backend.Tag
 	store string
 	t     *txn
@@ -322,7 +322,7 @@
 	for _, p := range f.pools {
 		f.do(p, p.share.Bar(store, now))
 	}
-	f.links.Each(func(_ slots.Ref, l *link) {
+	f.links.Each(func(_ slotmap.Ref, l *link) {
 		if l.store == store && l.ends == 0 {
 			l.ends = now + max(0, f.opt.GraceMs-graceMargin)
 			f.loop.At(l.ends, l.graceOver)
@@ -346,7 +346,7 @@
 }
 
 // Try is core.Servers' Start for this front's transactions: it gives one a connection to a server.
-func (f *Front) Try(store string, q backend.Query, until float64, t backend.Tag) slots.Ref {
+func (f *Front) Try(store string, q backend.Query, until float64, t backend.Tag) slotmap.Ref {
 	a := &attempt{tag: t, store: store, t: q.(*txn)}
 	a.ref = f.attempts.Put(a)
 	a.timer = f.loop.At(until, func() { f.end(a, decide.TimedOut, nil) })
@@ -359,13 +359,13 @@
 		f.expire()
 		f.do(c.pool, c.pool.share.Want(share.ID(refNumber(a.ref)), store, f.loop.Now()))
 	}
-	return slots.Ref{Index: a.ref.Index | firstRef, Gen: a.ref.Gen}
+	return slotmap.Ref{Index: a.ref.Index | firstRef, Gen: a.ref.Gen}
 }
 
 // Recall is core.Servers': what has no connection yet and may not go to that server any more is given up.
 func (f *Front) Recall(store string, which func(backend.Tag) bool) {
 	var out []*attempt
-	f.attempts.Each(func(_ slots.Ref, a *attempt) {
+	f.attempts.Each(func(_ slotmap.Ref, a *attempt) {
 		if a.store == store && a.link == nil && which(a.tag) {
 			out = append(out, a)
 		}
@@ -376,8 +376,8 @@
 }
 
 // Cancel is core.Servers': it gives an attempt up. What was sent may have run.
-func (f *Front) Cancel(ref slots.Ref) {
-	if a, ok := f.attempts.Get(slots.Ref{Index: ref.Index &^ firstRef, Gen: ref.Gen}); ok {
+func (f *Front) Cancel(ref slotmap.Ref) {
+	if a, ok := f.attempts.Get(slotmap.Ref{Index: ref.Index &^ firstRef, Gen: ref.Gen}); ok {
 		f.end(a, decide.Cancelled, nil)
 	}
 }
@@ -410,9 +410,9 @@
 	f.events.AttemptEnded(a.tag, o)
 }
 
-func refNumber(r slots.Ref) uint64 { return uint64(r.Gen)<<32 | uint64(r.Index) }
+func refNumber(r slotmap.Ref) uint64 { return uint64(r.Gen)<<32 | uint64(r.Index) }
 
-func refFrom(n uint64) slots.Ref { return slots.Ref{Index: uint32(n), Gen: uint32(n >> 32)} }
+func refFrom(n uint64) slotmap.Ref { return slotmap.Ref{Index: uint32(n), Gen: uint32(n >> 32)} }
 
 // do carries out what a pool has decided.
 func (f *Front) do(p *pool, actions []share.Action) {
--- a/internal/frontend/pooling/txn.go
+++ b/internal/frontend/pooling/txn.go
@@ -4,15 +4,15 @@
 	"math"
 	"strconv"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/protocol/sqltext"
-	"beechgrade/internal/slots"
 )
 
 // txn is a transaction on its way to a server; it is core's request. It is platform.Client's and backend.Query's.
 type txn struct {
 	c         *client
-	ref       slots.Ref
+	ref       slotmap.Ref
 	open      bool // with core
 	attempt   *attempt
 	asked     float64
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -14,6 +14,7 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/frontend/scatter/cursor"
@@ -22,7 +23,6 @@
 	"beechgrade/internal/frontend/scatter/run"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/loop"
-	"beechgrade/internal/slots"
 )
 
 // stage is a front with a module that does the worst that the decision module may: what was reset it asks again at once, as the same request, and it makes
@@ -43,7 +43,7 @@
 	q    platform.Request
 	c    platform.Client
 	over bool
-	open []slots.Ref
+	open []slotmap.Ref
 	last string
 }
 
@@ -54,7 +54,7 @@
 	conn           net.Conn
 }
 
-func (g *stage) Ask(q platform.Request, c platform.Client) (slots.Ref, error) {
+func (g *stage) Ask(q platform.Request, c platform.Client) (slotmap.Ref, error) {
 	g.requests = append(g.requests, &asking{q: q, c: c})
 	n := len(g.requests) - 1
 	server := "c"
@@ -65,19 +65,19 @@
 		}
 	}
 	g.try(n, server)
-	return slots.Ref{Index: uint32(n)}, nil
+	return slotmap.Ref{Index: uint32(n)}, nil
 }
 
 func (g *stage) try(n int, server string) {
 	x := g.requests[n]
 	x.last = server
-	x.open = append(x.open, g.f.Try(server, x.q.Query, g.loop.Now()+10000, backend.Tag{Request: slots.Ref{Index: uint32(n)}}))
+	x.open = append(x.open, g.f.Try(server, x.q.Query, g.loop.Now()+10000, backend.Tag{Request: slotmap.Ref{Index: uint32(n)}}))
 }
 
-func (g *stage) Gone(ref slots.Ref) { g.close(g.requests[ref.Index]) }
+func (g *stage) Gone(ref slotmap.Ref) { g.close(g.requests[ref.Index]) }
 
 // AnswerBy is platform.Desk's.
-func (g *stage) AnswerBy(slots.Ref, float64) {}
+func (g *stage) AnswerBy(slotmap.Ref, float64) {}
 
 func (g *stage) close(x *asking) {
 	x.over = true
--- a/internal/frontend/scatter/front.go
+++ b/internal/frontend/scatter/front.go
@@ -16,6 +16,7 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/scatter/cursor"
@@ -23,7 +24,6 @@
 	"beechgrade/internal/frontend/scatter/run"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/loop"
-	"beechgrade/internal/slots"
 )
 
 // Shard is a group of servers that has a part of the rows. Its name is stable: ties go by it.
@@ -112,7 +112,7 @@
 	barred   map[string]bool
 	idle     map[serverKey][]*link
 	conns    int
-	attempts slots.Table[*attempt]
+	attempts slotmap.Table[*attempt]
 	running  map[*Scatter]bool
 	perSpec  []int
 	inFlight int // shards of pages that are made
@@ -240,7 +240,7 @@
 }
 
 // OursRef tells whether an attempt is one of this front's.
-func OursRef(r slots.Ref) bool { return r.Index>>29 == firstRef>>29 }
+func OursRef(r slotmap.Ref) bool { return r.Index>>29 == firstRef>>29 }
 
 // Spec finds a scatter by its name.
 func (f *Front) spec(name string) int {
--- a/internal/frontend/scatter/part.go
+++ b/internal/frontend/scatter/part.go
@@ -6,16 +6,16 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/scatter/run"
-	"beechgrade/internal/slots"
 )
 
 // part is a shard's read as the decision module has it: one try of the run. It is front.Client's and backend.Query's.
 type part struct {
 	s     *Scatter
 	a     run.Action // that asked for it
-	ref   slots.Ref
+	ref   slotmap.Ref
 	open  bool       // with core
 	over  bool       // the run has given it up, or has its end
 	due   bool       // it is to be sent as soon as it has a connection
@@ -26,7 +26,7 @@
 
 // attempt is a part's try at one server.
 type attempt struct {
-	ref   slots.Ref
+	ref   slotmap.Ref
 	tag   backend.Tag
 	store string
 	p     *part
@@ -67,7 +67,7 @@
 }
 
 // Try is core.Servers' Start for this front's parts.
-func (f *Front) Try(store string, q backend.Query, until float64, t backend.Tag) slots.Ref {
+func (f *Front) Try(store string, q backend.Query, until float64, t backend.Tag) slotmap.Ref {
 	p := q.(*part)
 	a := &attempt{tag: t, store: store, p: p}
 	a.ref = f.attempts.Put(a)
@@ -81,12 +81,12 @@
 	default:
 		f.connect(a)
 	}
-	return slots.Ref{Index: a.ref.Index | firstRef, Gen: a.ref.Gen}
+	return slotmap.Ref{Index: a.ref.Index | firstRef, Gen: a.ref.Gen}
 }
 
 // Cancel is core.Servers': it gives an attempt up.
-func (f *Front) Cancel(ref slots.Ref) {
-	if a, ok := f.attempts.Get(slots.Ref{Index: ref.Index &^ firstRef, Gen: ref.Gen}); ok {
+func (f *Front) Cancel(ref slotmap.Ref) {
+	if a, ok := f.attempts.Get(slotmap.Ref{Index: ref.Index &^ firstRef, Gen: ref.Gen}); ok {
 		f.end(a, decide.Cancelled, nil)
 	}
 }
--- a/internal/kit/emulate/attempt.go
+++ b/internal/kit/emulate/attempt.go
@@ -5,10 +5,10 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/slots"
 )
 
 // attempt is a request's attempt, or a probe where query is nil. It is the model's job while it is at the server.
@@ -16,7 +16,7 @@
 	job   world.Job
 	p     *pooler
 	life  uint32
-	ref   slots.Ref
+	ref   slotmap.Ref
 	tag   backend.Tag
 	st    *store
 	slife uint32
@@ -52,7 +52,7 @@
 )
 
 // Start is core.Servers'.
-func (p *pooler) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slots.Ref {
+func (p *pooler) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slotmap.Ref {
 	v := q.(*visit)
 	a := &attempt{p: p, life: p.life, tag: t, v: v, no: t.Number, until: until, Terms: on}
 	a.ref = p.tries.Put(a)
@@ -72,7 +72,7 @@
 }
 
 // Cancel is core.Servers'.
-func (p *pooler) Cancel(ref slots.Ref) {
+func (p *pooler) Cancel(ref slotmap.Ref) {
 	if a, ok := p.tries.Get(ref); ok {
 		a.drop(decide.Cancelled)
 	}
--- a/internal/kit/emulate/pages_made.go
+++ b/internal/kit/emulate/pages_made.go
@@ -8,6 +8,7 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/run"
@@ -15,7 +16,6 @@
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/standin/sorted"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/slots"
 )
 
 // paged is one page that a pooler makes: the daemon's run, merge, cursor and plan before its core, as internal/frontend/scatter joins them to sockets.
@@ -187,7 +187,7 @@
 	s       *paged
 	a       run.Action
 	v       *visit // backend.Query, for the attempts
-	ref     slots.Ref
+	ref     slotmap.Ref
 	open    bool // with core
 	over    bool // the run has given it up, or has its end
 	due     bool // it is to be sent as soon as it has a connection
--- a/internal/kit/emulate/pooler.go
+++ b/internal/kit/emulate/pooler.go
@@ -6,13 +6,13 @@
 
 	"beechgrade/internal/backend/wear"
 	"beechgrade/internal/core"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/peers/view"
-	"beechgrade/internal/slots"
 )
 
 // pooler is one pooler: the daemon's core, and in place of its sockets the emulated ways to the servers and the list.
@@ -25,7 +25,7 @@
 	up     bool
 	core   *core.Core
 	stores []*store // by the server's number
-	tries  slots.Table[*attempt]
+	tries  slotmap.Table[*attempt]
 	known  discovery.List // as it last had it
 	watch  uint32         // number of the watch that is open, 0 for none
 	visits map[*visit]bool
@@ -114,7 +114,7 @@
 		p.peer = nil
 	}
 	var open []*attempt
-	p.tries.Each(func(_ slots.Ref, a *attempt) { open = append(open, a) })
+	p.tries.Each(func(_ slotmap.Ref, a *attempt) { open = append(open, a) })
 	for _, a := range open {
 		a.ended = true
 		if a.sent {
--- a/internal/kit/emulate/visit.go
+++ b/internal/kit/emulate/visit.go
@@ -6,9 +6,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/slots"
 )
 
 // drawer draws the clients' asks, each at its time.
@@ -68,7 +68,7 @@
 	class  *clients.Class
 	p      *pooler
 	life   uint32
-	ref    slots.Ref
+	ref    slotmap.Ref
 	no     int
 	id     uint64
 	name   string
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -12,8 +12,8 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/core"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/slots"
 	"beechgrade/internal/storage/store"
 )
 
@@ -37,7 +37,7 @@
 
 // Core is the request table as the journal needs it.
 type Core interface {
-	Known(request slots.Ref) string // by what its client knows a request
+	Known(request slotmap.Ref) string // by what its client knows a request
 	AttemptEnded(t backend.Tag, o backend.Outcome)
 }
 
@@ -60,18 +60,18 @@
 	mode  Mode
 	began float64
 	n     uint64
-	held  slots.Table[*held]
+	held  slotmap.Table[*held]
 	keys  map[backend.Tag]*held
 	ran   map[string]bool // ids that may have run before this process began
 }
 
 // held is an attempt that the journal knows of.
 type held struct {
-	ref     slots.Ref
+	ref     slotmap.Ref
 	key     string
 	attempt Attempt
 	tag     backend.Tag
-	inner   slots.Ref
+	inner   slotmap.Ref
 	started bool
 	over    bool
 	timer   *timers.Timer
@@ -111,7 +111,7 @@
 }
 
 // Start is core.Servers'.
-func (j *Journal) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slots.Ref {
+func (j *Journal) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slotmap.Ref {
 	if !on.Once {
 		return j.Servers.Start(id, q, until, on, t)
 	}
@@ -138,7 +138,7 @@
 			h.inner = j.Servers.Start(id, q, until, on, t)
 		}
 	})
-	return slots.Ref{Index: h.ref.Index | ownRef, Gen: h.ref.Gen}
+	return slotmap.Ref{Index: h.ref.Index | ownRef, Gen: h.ref.Gen}
 }
 
 func (j *Journal) failed(err error) {
@@ -158,7 +158,7 @@
 }
 
 // Cancel is core.Servers'.
-func (j *Journal) Cancel(ref slots.Ref) {
+func (j *Journal) Cancel(ref slotmap.Ref) {
 	if ref.Index&ownRef == 0 || ref.Index&^uint32(ownRef) >= ownRef {
 		j.Servers.Cancel(ref)
 		return
@@ -200,7 +200,7 @@
 
 func (j *Journal) recall(which func(*held) bool) {
 	var out []*held
-	j.held.Each(func(_ slots.Ref, h *held) {
+	j.held.Each(func(_ slotmap.Ref, h *held) {
 		if !h.started && !h.over && which(h) {
 			out = append(out, h)
 		}
@@ -219,7 +219,7 @@
 	}
 	delete(j.keys, t)
 	h.over = true
-	if h.ref != (slots.Ref{}) {
+	if h.ref != (slotmap.Ref{}) {
 		j.held.Drop(h.ref)
 	}
 	e := store.Entry{Key: h.key, Gone: true}
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -11,9 +11,9 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/core"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/standin/faulty"
-	"beechgrade/internal/slots"
 	"beechgrade/internal/storage/store"
 )
 
@@ -32,7 +32,7 @@
 func (r *rig) Now() float64                           { return r.now }
 func (r *rig) At(ms float64, do func()) *timers.Timer { return r.heap.Add(ms, do) }
 func (r *rig) Stop(t *timers.Timer)                   { r.heap.Stop(t) }
-func (r *rig) Known(ref slots.Ref) string             { return fmt.Sprint("id-", ref.Index) }
+func (r *rig) Known(ref slotmap.Ref) string           { return fmt.Sprint("id-", ref.Index) }
 func (r *rig) note(format string, args ...any)        { r.out = append(r.out, fmt.Sprintf(format, args...)) }
 func (r *rig) SetAddress(id, addr string)             {}
 func (r *rig) CloseIdle(id string)                    { r.note("idle %s", id) }
@@ -40,14 +40,14 @@
 func (r *rig) Retain(map[string]bool)                 {}
 func (r *rig) Recall(string, func(backend.Tag) bool)  {}
 func (r *rig) Probe(id string)                        {}
-func (r *rig) Cancel(ref slots.Ref)                   { r.note("cancel %d", ref.Index) }
+func (r *rig) Cancel(ref slotmap.Ref)                 { r.note("cancel %d", ref.Index) }
 func (r *rig) AttemptEnded(t backend.Tag, o backend.Outcome) {
 	r.note("ended %d %d", t.Request.Index, o.Result)
 	r.j.Ended(t, o.Result)
 }
-func (r *rig) Start(id string, _ backend.Query, _ float64, on backend.Terms, t backend.Tag) slots.Ref {
+func (r *rig) Start(id string, _ backend.Query, _ float64, on backend.Terms, t backend.Tag) slotmap.Ref {
 	r.note("start %s %d %v", id, t.Request.Index, on.Once)
-	return slots.Ref{Index: 100 + t.Request.Index, Gen: 1}
+	return slotmap.Ref{Index: 100 + t.Request.Index, Gen: 1}
 }
 
 func newRig(t *testing.T, d *faulty.Disk, mode Mode) *rig {
@@ -77,7 +77,7 @@
 	r.out = nil
 }
 
-func tag(n uint32) backend.Tag { return backend.Tag{Request: slots.Ref{Index: n, Gen: 1}} }
+func tag(n uint32) backend.Tag { return backend.Tag{Request: slotmap.Ref{Index: n, Gen: 1}} }
 
 func (r *rig) pending() (out []string) {
 	for _, a := range Pending(r.store) {
@@ -174,7 +174,7 @@
 				t.Errorf("start %d at %v: id-%d may have run, and is not known", i, now, k+1)
 			}
 		}
-		r.j.Start("a", nil, 2e6, backend.Terms{Once: true}, backend.Tag{Request: slots.Ref{Index: uint32(i + 1)}})
+		r.j.Start("a", nil, 2e6, backend.Terms{Once: true}, backend.Tag{Request: slotmap.Ref{Index: uint32(i + 1)}})
 		r.pass(1)
 		if n := len(Pending(r.store)); n != i+1 {
 			t.Errorf("start %d at %v: %d are listed", i, now, n)
