--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -3,8 +3,8 @@
 import (
 	"strconv"
 
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/figures/sheet"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/overload/joined"
@@ -13,7 +13,7 @@
 // peersHost is what a part lives on: the peers' words and the loop's time.
 type peersHost struct {
 	*peers.Peers
-	loop *loop.Loop
+	loop *eventloop.Loop
 }
 
 // At is joined.Host's.
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -12,6 +12,7 @@
 	"beechgrade/internal/config"
 	"beechgrade/internal/control"
 	"beechgrade/internal/core"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/clickhouse"
 	"beechgrade/internal/frontend/platform"
@@ -20,7 +21,6 @@
 	"beechgrade/internal/handover"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/lifecycle"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
@@ -55,7 +55,7 @@
 type pooler struct {
 	cfg   *config.Config
 	log   *slog.Logger
-	loop  *loop.Loop
+	loop  *eventloop.Loop
 	core  *core.Core
 	front *platform.Postgres
 	pool  *backend.Pool
@@ -130,7 +130,7 @@
 	if p.systemLimit < cfg.Limits.Sockets {
 		log.Warn("the system allows fewer descriptors than the settings", "system", p.systemLimit, "settings", cfg.Limits.Sockets)
 	}
-	p.loop = loop.New(clock.System(), log, func() loop.Handler { return p.front.Accept() }, p.start)
+	p.loop = eventloop.New(clock.System(), log, func() eventloop.Handler { return p.front.Accept() }, p.start)
 	p.core = core.New(p.loop, log, cfg)
 	sockets := func() int { return p.sockets() - reserved - p.heldBeside() }
 	part := func(x float64) int { return int(x * float64(sockets())) }
--- a/cmd/beechgrade/syscalls_test.go
+++ b/cmd/beechgrade/syscalls_test.go
@@ -22,7 +22,7 @@
 }
 
 // injections are the runs that CI makes. Only errors that the manual names for each descriptor that the call may have: ENOBUFS or ETIMEDOUT at a write
-// would also come to the runtime's own eventfd, for which it is not documented; internal/loop has a test of it. What passes in a moment may cost time, never an answer. What breaks a connection is treated like a
+// would also come to the runtime's own eventfd, for which it is not documented; internal/eventloop has a test of it. What passes in a moment may cost time, never an answer. What breaks a connection is treated like a
 // reset: the process goes on, and nothing that may have run is sent again.
 var injections = []injection{
 	{call: "read", error: "EINTR", when: "20+7"},
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -13,15 +13,15 @@
 
 	"beechgrade/internal/backend/wear"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
 // Pool holds the connections to all servers. It belongs to the event loop: none of its methods may be called from elsewhere.
 type Pool struct {
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	log      *slog.Logger
 	options  Options
 	events   Events
@@ -75,7 +75,7 @@
 	ref           slotmap.Ref
 	server        *server
 	addr          string // the address it was opened to
-	socket        *loop.Conn
+	socket        *eventloop.Conn
 	state         state
 	input         pgwire.Reader
 	attempt       *attempt
@@ -100,7 +100,7 @@
 }
 
 // New returns a Pool without servers.
-func New(eventLoop *loop.Loop, log *slog.Logger, options Options, events Events) *Pool {
+func New(eventLoop *eventloop.Loop, log *slog.Logger, options Options, events Events) *Pool {
 	return &Pool{loop: eventLoop, log: log, options: options, events: events, servers: map[string]*server{},
 		wear: wear.New()}
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -32,16 +32,16 @@
 // nobody is the handler of connections that the test does not use.
 type nobody struct{}
 
-func (nobody) Opened(*loop.Conn) {}
-func (nobody) Data([]byte)       {}
-func (nobody) Closed(error)      {}
+func (nobody) Opened(*eventloop.Conn) {}
+func (nobody) Data([]byte)            {}
+func (nobody) Closed(error)           {}
 
 // TestNeverWritten: an attempt for which there is no descriptor, or that is cancelled or whose server leaves the list while it
 // waits for a connection, was never sent. It must not count against its server, nor as one that may have run.
 func TestNeverWritten(t *testing.T) {
 	manual, events := &clock.Manual{Ms: 1e6}, make(outcomes, 9)
 	var pool *Pool
-	eventLoop := loop.New(manual, slog.New(slog.DiscardHandler), func() loop.Handler { return nobody{} }, func() {})
+	eventLoop := eventloop.New(manual, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {})
 	pool = New(eventLoop, slog.New(slog.DiscardHandler), Options{ConnectTimeoutMs: 250, MaxConns: func() int { return 0 }}, events)
 	ready := make(chan struct{})
 	eventLoop.Ready = func() { close(ready) }
@@ -81,7 +81,7 @@
 
 // TestReport: a report that can be read only in part, or has a position that no server can have, must be rejected whole.
 func TestReport(t *testing.T) {
-	pool := &Pool{loop: loop.New(&clock.Manual{Ms: 5000}, nil, nil, nil)}
+	pool := &Pool{loop: eventloop.New(&clock.Manual{Ms: 5000}, nil, nil, nil)}
 	unreadable := Outcome{Result: decide.Failed}
 	for report, want := range map[string]Outcome{
 		"":                       {Result: decide.OK}, // it has none yet
@@ -116,7 +116,7 @@
 	}
 	events := make(outcomes, 9)
 	var pool *Pool
-	eventLoop := loop.New(&clock.Manual{Ms: 1e6}, slog.New(slog.DiscardHandler), func() loop.Handler { return nobody{} }, func() {})
+	eventLoop := eventloop.New(&clock.Manual{Ms: 1e6}, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {})
 	pool = New(eventLoop, slog.New(slog.DiscardHandler), Options{ConnectTimeoutMs: 20000, IdleMs: 20000,
 		MaxConns: func() int { return 9 }, Memory: func() int { return 1 << 18 }}, events)
 	ended := make(chan error, 1)
@@ -178,7 +178,7 @@
 	defer func() { _ = server.Close() }()
 	manual, events := &clock.Manual{Ms: 1e6}, make(outcomes, 9)
 	var pool *Pool
-	eventLoop := loop.New(manual, slog.New(slog.DiscardHandler), func() loop.Handler { return nobody{} }, func() {})
+	eventLoop := eventloop.New(manual, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {})
 	pool = New(eventLoop, slog.New(slog.DiscardHandler), Options{Roles: [2]string{"primary", "replica"}, ConnectTimeoutMs: 1e5, IdleMs: 1e5, MaxConns: func() int { return 1 },
 		Memory: func() int { return 1 << 18 }}, deniedBy{events, &pool, map[int]bool{3: true}})
 	ready := make(chan struct{})
@@ -249,7 +249,7 @@
 	defer func() { _ = server.Close() }()
 	manual, events := &clock.Manual{Ms: 1e6}, make(outcomes, 9)
 	var pool *Pool
-	eventLoop := loop.New(manual, slog.New(slog.DiscardHandler), func() loop.Handler { return nobody{} }, func() {})
+	eventLoop := eventloop.New(manual, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {})
 	real, tries := eventLoop.Connect, atomic.Int32{}
 	eventLoop.Connect = func(addr string, timeout time.Duration) (net.Conn, error) {
 		if tries.Add(1) > 2 && passes {
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -2,8 +2,8 @@
 
 import (
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -82,7 +82,7 @@
 // connectResult is the result of an attempt whose connection could not be opened. What this machine lacks must not count
 // against the server.
 func connectResult(err error) decide.Result {
-	if loop.IsLocal(err) {
+	if eventloop.IsLocal(err) {
 		return decide.Skipped
 	}
 	return decide.Unreachable
@@ -103,7 +103,7 @@
 }
 
 // Opened implements loop.Handler.
-func (conn *conn) Opened(socket *loop.Conn) {
+func (conn *conn) Opened(socket *eventloop.Conn) {
 	conn.socket = socket
 	if conn.state == closed { // it was given up while it was being opened
 		socket.Close()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -11,8 +11,8 @@
 	"net/http"
 	"net/url"
 
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/loop"
 )
 
 // Bounds on callers.
@@ -38,14 +38,14 @@
 
 // Door takes operators' calls. It is for the loop alone.
 type Door struct {
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	log     *slog.Logger
 	desk    Desk
 	callers list.List // of connections, the oldest first
 }
 
 // New makes a door.
-func New(l *loop.Loop, log *slog.Logger, desk Desk) *Door {
+func New(l *eventloop.Loop, log *slog.Logger, desk Desk) *Door {
 	return &Door{loop: l, log: log, desk: desk}
 }
 
@@ -53,12 +53,12 @@
 func (d *Door) Callers() int { return d.callers.Len() }
 
 // Accept makes the handler of a new connection.
-func (d *Door) Accept() loop.Handler { return &caller{door: d} }
+func (d *Door) Accept() eventloop.Handler { return &caller{door: d} }
 
 // caller is a connection; it is the loop's Handler.
 type caller struct {
 	door  *Door
-	conn  *loop.Conn
+	conn  *eventloop.Conn
 	at    *list.Element
 	timer *timers.Timer
 	in    []byte
@@ -66,7 +66,7 @@
 }
 
 // Opened is loop's.
-func (c *caller) Opened(conn *loop.Conn) {
+func (c *caller) Opened(conn *eventloop.Conn) {
 	d := c.door
 	c.conn = conn
 	if d.callers.Len() >= maxCallers {
--- a/internal/loop/engine.go
+++ b/internal/eventloop/engine.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,9 @@
-// Package loop is the program's one event loop. That loop owns all state: accepted and dialled connections, posted functions and
+// Package eventloop is the program's one event loop. That loop owns all state: accepted and dialled connections, posted functions and
 // deadlines all run on it, one at a time, so nothing needs a lock.
 //
 // A system call that fails in a way that passes (EINTR, EAGAIN, want of memory or buffers) is made again and costs time alone; any other
 // failure ends its connection. A wake-up that fails is made in another way.
-package loop
+package eventloop
 
 import (
 	"context"
--- a/internal/frontend/clickhouse/client.go
+++ b/internal/frontend/clickhouse/client.go
@@ -1,9 +1,9 @@
 package clickhouse
 
 import (
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/httpwire"
 )
 
@@ -11,7 +11,7 @@
 type client struct {
 	f      *Front
 	ref    slotmap.Ref
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	in     []byte
 	head   *httpwire.Head // of the request whose body is coming in and is held
 	body   httpwire.Body
@@ -32,7 +32,7 @@
 }
 
 // Opened is loop's.
-func (c *client) Opened(lc *loop.Conn) {
+func (c *client) Opened(lc *eventloop.Conn) {
 	c.conn = lc
 	c.late = c.f.draining
 	if c.f.opt.Spare() <= 0 {
--- a/internal/frontend/clickhouse/front.go
+++ b/internal/frontend/clickhouse/front.go
@@ -8,11 +8,11 @@
 	"log/slog"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/clickhouse/limits"
 	"beechgrade/internal/frontend/clickhouse/sessions"
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/loop"
 )
 
 // Names of the classes that the front's requests are of.
@@ -61,7 +61,7 @@
 
 // Front is the front. It is for the loop alone.
 type Front struct {
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	log      *slog.Logger
 	opt      Options
 	desk     platform.Desk
@@ -86,7 +86,7 @@
 }
 
 // New makes a front.
-func New(l *loop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
+func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
 	f := &Front{loop: l, log: log, opt: opt, desk: desk, events: events, stores: map[string]*store{}, began: l.Now(),
 		gate: limits.New(opt.Users, opt.Others), waiting: map[limits.ID]*request{},
 		sessions: sessions.New(opt.Sessions), inSession: map[sessions.Key]*request{}, bounded: opt.Bound > 0}
@@ -198,7 +198,7 @@
 }
 
 // Accept makes the handler of a new connection.
-func (f *Front) Accept() loop.Handler {
+func (f *Front) Accept() eventloop.Handler {
 	c := &client{f: f, since: f.loop.Now()}
 	c.ref = f.clients.Put(c)
 	return c
--- a/internal/frontend/clickhouse/kill.go
+++ b/internal/frontend/clickhouse/kill.go
@@ -4,8 +4,8 @@
 	"net/url"
 	"strings"
 
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/httpwire"
 )
 
@@ -18,7 +18,7 @@
 // killer is a connection that carries one KILL QUERY; it is the loop's Handler.
 type killer struct {
 	f     *Front
-	conn  *loop.Conn
+	conn  *eventloop.Conn
 	out   []byte
 	timer *timers.Timer
 	over  bool
@@ -59,7 +59,7 @@
 const graceMargin = 40 // ms before a grace's end at which nothing more is sent
 
 // Opened is loop's.
-func (k *killer) Opened(c *loop.Conn) {
+func (k *killer) Opened(c *eventloop.Conn) {
 	k.conn = c
 	if k.over {
 		c.Close()
--- a/internal/frontend/clickhouse/link.go
+++ b/internal/frontend/clickhouse/link.go
@@ -6,8 +6,8 @@
 	"syscall"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/httpwire"
 )
 
@@ -28,7 +28,7 @@
 	f       *Front
 	store   *store
 	addr    string
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	state   linkState
 	attempt *attempt
 	method  string
@@ -69,7 +69,7 @@
 		l.f.lose(l.store.id)
 	}
 	result := decide.Unreachable
-	if loop.IsLocal(err) { // it says nothing about the server
+	if eventloop.IsLocal(err) { // it says nothing about the server
 		result = decide.Skipped
 	}
 	if w := l.store.waiting; len(w) > l.store.dialing {
@@ -78,7 +78,7 @@
 }
 
 // Opened is loop's.
-func (l *link) Opened(lc *loop.Conn) {
+func (l *link) Opened(lc *eventloop.Conn) {
 	l.conn = lc
 	if l.state == shut {
 		lc.Close()
--- a/internal/frontend/platform/postgres.go
+++ b/internal/frontend/platform/postgres.go
@@ -7,10 +7,10 @@
 	"log/slog"
 	"strings"
 
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -43,7 +43,7 @@
 
 // Postgres is the frontend for the PostgreSQL protocol. It belongs to the event loop: its methods must be called there.
 type Postgres struct {
-	loop       *loop.Loop
+	loop       *eventloop.Loop
 	log        *slog.Logger
 	desk       Desk
 	budget     Budget
@@ -65,12 +65,12 @@
 }
 
 // NewPostgres returns a frontend without clients.
-func NewPostgres(eventLoop *loop.Loop, log *slog.Logger, desk Desk, budget Budget) *Postgres {
+func NewPostgres(eventLoop *eventloop.Loop, log *slog.Logger, desk Desk, budget Budget) *Postgres {
 	return &Postgres{loop: eventLoop, log: log, desk: desk, budget: budget}
 }
 
 // Accept returns the handler for a new connection.
-func (postgres *Postgres) Accept() loop.Handler {
+func (postgres *Postgres) Accept() eventloop.Handler {
 	now := postgres.loop.Now()
 	session := &session{postgres: postgres, input: pgwire.NewReader(maxLong), since: now, opened: now, graceEnds: now + freshMs}
 	session.ref = postgres.sessions.Put(session)
@@ -102,7 +102,7 @@
 type session struct {
 	postgres       *Postgres
 	ref            slotmap.Ref
-	conn           *loop.Conn
+	conn           *eventloop.Conn
 	input          pgwire.Reader
 	arrived        arrivals // of the bytes in input
 	unread         unread
@@ -142,7 +142,7 @@
 }
 
 // Opened implements loop.Handler.
-func (session *session) Opened(conn *loop.Conn) {
+func (session *session) Opened(conn *eventloop.Conn) {
 	session.conn = conn
 	if session.postgres.stage >= RefuseCommands {
 		session.fatal(endedByDrain, codeClosed, errSentAway.Error())
--- a/internal/frontend/platform/world_test.go
+++ b/internal/frontend/platform/world_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -24,7 +24,7 @@
 // world is a frontend on its own event loop, with a scripted Desk.
 type world struct {
 	t        testing.TB
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	postgres *Postgres
 	desk     *scriptedDesk
 	addr     string
@@ -59,7 +59,7 @@
 func newWorld(t testing.TB, clients, memory int) *world {
 	world := &world{t: t, desk: &scriptedDesk{}}
 	ready, ended := make(chan bool), make(chan error, 1)
-	world.loop = loop.New(clock.System(), slog.New(slog.DiscardHandler), func() loop.Handler { return world.postgres.Accept() }, func() { world.postgres.Start() })
+	world.loop = eventloop.New(clock.System(), slog.New(slog.DiscardHandler), func() eventloop.Handler { return world.postgres.Accept() }, func() { world.postgres.Start() })
 	world.loop.Ready = func() { close(ready) }
 	world.postgres = NewPostgres(world.loop, slog.New(slog.DiscardHandler), world.desk, Budget{
 		Spare:          func() int { return clients - world.postgres.Occupied() },
--- a/internal/frontend/pooling/cancel.go
+++ b/internal/frontend/pooling/cancel.go
@@ -2,7 +2,7 @@
 
 import (
 	"beechgrade/internal/decide"
-	"beechgrade/internal/loop"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -98,7 +98,7 @@
 }
 
 // Opened is loop's.
-func (k *canceller) Opened(lc *loop.Conn) {
+func (k *canceller) Opened(lc *eventloop.Conn) {
 	if err := lc.Write(pgwire.AppendCancel(nil, k.link.pid, k.link.secret)); err == nil {
 		f := k.link.f
 		f.loop.At(f.loop.Now()+f.opt.ConnectMs, lc.Close)
--- a/internal/frontend/pooling/client.go
+++ b/internal/frontend/pooling/client.go
@@ -6,10 +6,10 @@
 	"slices"
 	"strings"
 
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/pooling/carry"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -17,7 +17,7 @@
 type client struct {
 	f       *Front
 	ref     slotmap.Ref
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	in      pgwire.Reader
 	out     []byte
 	pool    *pool
@@ -71,7 +71,7 @@
 }
 
 // Opened is loop's.
-func (c *client) Opened(lc *loop.Conn) {
+func (c *client) Opened(lc *eventloop.Conn) {
 	c.conn = lc
 	if c.f.opt.Spare() < 0 {
 		c.fatal("53300", "too many clients")
--- a/internal/frontend/pooling/close.go
+++ b/internal/frontend/pooling/close.go
@@ -1,8 +1,8 @@
 package pooling
 
 import (
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/loop"
 )
 
 // A client's connection is closed so that nothing that it has yet to hear is lost: no more commands are taken, what was written goes out whole, the sending
@@ -33,7 +33,7 @@
 // lingering is a connection on its way to be closed.
 type lingering struct {
 	client *client
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	unsent int     // bytes that the client had not taken at the last look
 	since  float64 // it has taken nothing more since then
 	shut   bool    // the sending has ended
--- a/internal/frontend/pooling/dial.go
+++ b/internal/frontend/pooling/dial.go
@@ -1,9 +1,9 @@
 package pooling
 
 import (
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/frontend/pooling/share"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -45,7 +45,7 @@
 }
 
 // Opened is loop's.
-func (l *link) Opened(lc *loop.Conn) {
+func (l *link) Opened(lc *eventloop.Conn) {
 	l.conn = lc
 	if l.closed {
 		lc.Close()
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -4,10 +4,10 @@
 	"math"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/pooling/carry"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/protocol/sqltext"
 )
@@ -18,7 +18,7 @@
 	ref      slotmap.Ref
 	pool     *pool
 	store    string
-	conn     *loop.Conn
+	conn     *eventloop.Conn
 	in       pgwire.Reader
 	server   *carry.Server
 	queue    []expected // answers that are due, in order
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -14,13 +14,13 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/pooling/carry"
 	"beechgrade/internal/frontend/pooling/share"
 	"beechgrade/internal/frontend/scatter"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/record"
 )
 
@@ -83,7 +83,7 @@
 
 // Front is the second front. It is for the loop alone.
 type Front struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	log    *slog.Logger
 	desk   platform.Desk
 	events backend.Events
@@ -132,7 +132,7 @@
 }
 
 // New makes a front; events is told of attempts' ends.
-func New(l *loop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
+func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
 	return &Front{loop: l, log: log, desk: desk, events: events, opt: opt, texts: carry.NewTexts(), keys: map[uint32]*client{}, told: map[string]int{},
 		addrs: map[string]string{}, params: map[string]string{"server_version": "15.0", "server_encoding": "UTF8", "client_encoding": "UTF8",
 			"DateStyle": "ISO, MDY", "TimeZone": "UTC", "integer_datetimes": "on", "standard_conforming_strings": "on"}}
@@ -201,7 +201,7 @@
 }
 
 // Accept makes the handler of a new connection.
-func (f *Front) Accept() loop.Handler {
+func (f *Front) Accept() eventloop.Handler {
 	c := newClient(f)
 	c.ref = f.clients.Put(c)
 	return c
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -13,6 +13,7 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
@@ -22,14 +23,13 @@
 	"beechgrade/internal/frontend/scatter/plan"
 	"beechgrade/internal/frontend/scatter/run"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/loop"
 )
 
 // stage is a front with a module that does the worst that the decision module may: what was reset it asks again at once, as the same request, and it makes
 // copies when the test says so. Shard 0 has the servers a and b, shard 1 has c.
 type stage struct {
 	t        *testing.T
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	f        *Front
 	asked    chan *statement
 	requests []*asking
@@ -120,7 +120,7 @@
 func newStage(t *testing.T) *stage {
 	g := &stage{t: t, asked: make(chan *statement, 10), page: make(chan string, 1)}
 	started, ended := make(chan struct{}), make(chan error, 1)
-	g.loop = loop.New(clock.System(), slog.New(slog.DiscardHandler), func() loop.Handler { return unheard{} }, func() { close(started) })
+	g.loop = eventloop.New(clock.System(), slog.New(slog.DiscardHandler), func() eventloop.Handler { return unheard{} }, func() { close(started) })
 	go func() { ended <- g.loop.Run("127.0.0.1:0") }()
 	<-started
 	t.Cleanup(func() {
@@ -160,9 +160,9 @@
 // unheard takes what comes to the loop's own address, where nobody is.
 type unheard struct{}
 
-func (unheard) Opened(c *loop.Conn) { c.Close() }
-func (unheard) Data([]byte)         {}
-func (unheard) Closed(error)        {}
+func (unheard) Opened(c *eventloop.Conn) { c.Close() }
+func (unheard) Data([]byte)              {}
+func (unheard) Closed(error)             {}
 
 // do does something on the loop.
 func (g *stage) do(what func()) {
--- a/internal/frontend/scatter/cancel.go
+++ b/internal/frontend/scatter/cancel.go
@@ -1,7 +1,7 @@
 package scatter
 
 import (
-	"beechgrade/internal/loop"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -33,7 +33,7 @@
 }
 
 // Opened is loop's.
-func (k *canceller) Opened(c *loop.Conn) {
+func (k *canceller) Opened(c *eventloop.Conn) {
 	if err := c.Write(pgwire.AppendCancel(nil, k.l.pid, k.l.secret)); err == nil {
 		f := k.l.f
 		f.loop.At(f.loop.Now()+f.opt.ConnectMs, c.Close)
--- a/internal/frontend/scatter/dial.go
+++ b/internal/frontend/scatter/dial.go
@@ -4,8 +4,8 @@
 	"encoding/binary"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/frontend/pooling/carry"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -32,7 +32,7 @@
 	l.timer = f.loop.At(f.loop.Now()+f.opt.ConnectMs, func() { l.failed(decide.Unreachable) })
 	f.loop.Dial(f.addrs[k.store], f.opt.ConnectMs, l, func(err error) {
 		f.log.Debug("scatter: connect", "store", k.store, "err", err)
-		if loop.IsLocal(err) { // it says nothing about the server
+		if eventloop.IsLocal(err) { // it says nothing about the server
 			l.failed(decide.Skipped)
 			return
 		}
@@ -57,7 +57,7 @@
 }
 
 // Opened is loop's.
-func (l *link) Opened(c *loop.Conn) {
+func (l *link) Opened(c *eventloop.Conn) {
 	l.conn = c
 	if l.closed {
 		c.Close()
--- a/internal/frontend/scatter/front.go
+++ b/internal/frontend/scatter/front.go
@@ -16,6 +16,7 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/platform"
@@ -23,7 +24,6 @@
 	"beechgrade/internal/frontend/scatter/merge"
 	"beechgrade/internal/frontend/scatter/run"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/loop"
 )
 
 // Shard is a group of servers that has a part of the rows. Its name is stable: ties go by it.
@@ -102,7 +102,7 @@
 
 // Front is the scatters of a pooler.
 type Front struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	log    *slog.Logger
 	opt    Options
 	desk   platform.Desk
@@ -129,7 +129,7 @@
 type serverKey struct{ store, database, user string }
 
 // New makes a front; events is told of attempts' ends.
-func New(l *loop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
+func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
 	f := &Front{loop: l, log: log, opt: opt, desk: desk, events: events, addrs: map[string]string{}, barred: map[string]bool{}, idle: map[serverKey][]*link{},
 		running: map[*Scatter]bool{}, perSpec: make([]int, len(opt.Specs)), told: -1}
 	for i := range f.opt.Specs {
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -2,9 +2,9 @@
 
 import (
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/pooling/carry"
-	"beechgrade/internal/loop"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -12,7 +12,7 @@
 type link struct {
 	f       *Front
 	key     serverKey
-	conn    *loop.Conn
+	conn    *eventloop.Conn
 	in      pgwire.Reader
 	server  *carry.Server // what settings it has
 	params  map[string]string
--- a/internal/membership/discovery/calls_test.go
+++ b/internal/membership/discovery/calls_test.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/loop"
 )
 
 const patience = 20 * time.Second
@@ -23,7 +23,7 @@
 type station struct {
 	t      *testing.T
 	clk    *clock.Manual
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	client *Client
 	events chan string
 }
@@ -38,7 +38,7 @@
 	s := &station{t: t, clk: &clock.Manual{Ms: 1e6}, events: make(chan string, 99)}
 	began, ended := make(chan struct{}), make(chan error, 1)
 	log := slog.New(slog.DiscardHandler)
-	s.loop = loop.New(s.clk, log, func() loop.Handler { return nobody{} }, func() {
+	s.loop = eventloop.New(s.clk, log, func() eventloop.Handler { return nobody{} }, func() {
 		s.client = New(s.loop, log, at.addr, 4, s)
 		close(began)
 	})
--- a/internal/membership/discovery/discovery.go
+++ b/internal/membership/discovery/discovery.go
@@ -9,8 +9,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/loop"
 )
 
 // silentMs is how long a call may make no progress: a watch shows a sign of life every 2 s. A machine that
@@ -68,7 +68,7 @@
 
 // Client asks discovery. It holds one watch and one call for the whole list at most.
 type Client struct {
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	log    *slog.Logger
 	addr   string
 	events Events
@@ -84,7 +84,7 @@
 }
 
 // New makes a client that has the list as of the given generation.
-func New(l *loop.Loop, log *slog.Logger, addr string, gen int64, events Events) *Client {
+func New(l *eventloop.Loop, log *slog.Logger, addr string, gen int64, events Events) *Client {
 	return &Client{loop: l, log: log, addr: addr, newest: gen, events: events}
 }
 
@@ -184,7 +184,7 @@
 	watch  bool
 	from   float64 // asked for then...
 	held   int64   // ...when this was the newest generation
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	reply  reply
 	timer  *timers.Timer
 	told   bool  // a list has come on it...
@@ -249,7 +249,7 @@
 }
 
 // Opened is loop's.
-func (k *call) Opened(conn *loop.Conn) {
+func (k *call) Opened(conn *eventloop.Conn) {
 	k.conn = conn
 	if k.over {
 		conn.Close()
--- a/internal/membership/discovery/discovery_test.go
+++ b/internal/membership/discovery/discovery_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/loop"
 )
 
 type told chan string
@@ -19,9 +19,9 @@
 
 type nobody struct{}
 
-func (nobody) Opened(*loop.Conn) {}
-func (nobody) Data([]byte)       {}
-func (nobody) Closed(error)      {}
+func (nobody) Opened(*eventloop.Conn) {}
+func (nobody) Data([]byte)            {}
+func (nobody) Closed(error)           {}
 
 // TestSilentWatchIsDead guards against waiting for ever on a discovery that vanished: nothing closes such a connection, and
 // drains would go unheard. A sign of life puts the end off. Whatever a watch falls silent in, the next is asked for at once and goes
@@ -33,8 +33,8 @@
 	}
 	clk := &clock.Manual{Ms: 1e6}
 	events := make(told, 9)
-	var l *loop.Loop
-	l = loop.New(clk, slog.New(slog.DiscardHandler), func() loop.Handler { return nobody{} }, func() {
+	var l *eventloop.Loop
+	l = eventloop.New(clk, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {
 		New(l, slog.New(slog.DiscardHandler), server.Addr().String(), 4, events).Watch()
 	})
 	ended := make(chan error, 1)
