--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -14,7 +14,7 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/handover"
+	"beechgrade/internal/lifecycle/handover"
 	"beechgrade/internal/membership/snapshot"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/handover"
+	"beechgrade/internal/lifecycle/handover"
 	"beechgrade/internal/membership/discovery"
 
 	"golang.org/x/sys/unix"
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -11,7 +11,7 @@
 
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/handover"
+	"beechgrade/internal/lifecycle/handover"
 	"beechgrade/internal/membership/discovery"
 )
 
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -16,8 +16,8 @@
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/handover"
 	"beechgrade/internal/lifecycle"
+	"beechgrade/internal/lifecycle/handover"
 	"beechgrade/internal/membership/discovery"
 )
 
