--- a/internal/binaryform/binaryform.go
+++ b/internal/encoding/binaryform.go
@@ -1,6 +1,6 @@
-// Package binaryform has what the binary forms of the program share: the reading and writing of a protobuf message's fields, and a
+// Package encoding has what the binary forms of the program share: the reading and writing of a protobuf message's fields, and a
 // Reader of plain numbers. What a field or number means, and its bounds, are of the package whose form it is.
-package binaryform
+package encoding
 
 import (
 	"encoding/binary"
--- a/internal/binaryform/binaryform_test.go
+++ b/internal/encoding/binaryform_test.go
@@ -1,4 +1,4 @@
-package binaryform
+package encoding
 
 import (
 	"bytes"
--- a/internal/peers/agreed/form.go
+++ b/internal/peers/agreed/form.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 )
 
 // ErrForm is that of bytes that are no message, or none that may be taken.
@@ -39,24 +39,24 @@
 }
 
 func (m *message) append(b []byte) []byte {
-	b = binaryform.AppendUint(b, 1, uint64(m.verb))
-	b = binaryform.AppendFixed(b, 2, m.group)
-	b = binaryform.AppendFixed(b, 3, m.from)
-	b = binaryform.AppendFixed(b, 4, m.to)
-	b = binaryform.AppendText(b, 5, m.name)
-	b = binaryform.AppendFixed(b, 6, m.disk)
-	b = binaryform.AppendFixed(b, 7, m.echo)
-	b = binaryform.AppendUint(b, 8, m.ref)
-	b = binaryform.AppendUint(b, 9, m.index)
-	b = binaryform.AppendUint(b, 10, m.count)
-	b = binaryform.AppendUint(b, 11, m.part)
+	b = encoding.AppendUint(b, 1, uint64(m.verb))
+	b = encoding.AppendFixed(b, 2, m.group)
+	b = encoding.AppendFixed(b, 3, m.from)
+	b = encoding.AppendFixed(b, 4, m.to)
+	b = encoding.AppendText(b, 5, m.name)
+	b = encoding.AppendFixed(b, 6, m.disk)
+	b = encoding.AppendFixed(b, 7, m.echo)
+	b = encoding.AppendUint(b, 8, m.ref)
+	b = encoding.AppendUint(b, 9, m.index)
+	b = encoding.AppendUint(b, 10, m.count)
+	b = encoding.AppendUint(b, 11, m.part)
 	if m.flag {
-		b = binaryform.PutUint(b, 12, 1)
+		b = encoding.PutUint(b, 12, 1)
 	}
 	for _, x := range m.members {
-		b = binaryform.PutText(b, 13, binaryform.PutFixed(binaryform.PutText(nil, 1, x.Name), 2, x.Disk))
+		b = encoding.PutText(b, 13, encoding.PutFixed(encoding.PutText(nil, 1, x.Name), 2, x.Disk))
 	}
-	b = binaryform.AppendText(b, 14, m.data)
+	b = encoding.AppendText(b, 14, m.data)
 	return b
 }
 
@@ -67,7 +67,7 @@
 // parse reads a message; what it holds of bytes is b's.
 func parse(b []byte) (*message, error) {
 	m := &message{}
-	err := binaryform.Fields(b, fault, func(f binaryform.Field) error {
+	err := encoding.Fields(b, fault, func(f encoding.Field) error {
 		switch f.Num {
 		case 1:
 			m.verb = verb(f.X)
@@ -101,7 +101,7 @@
 				return fmt.Errorf("%w: too many voters", ErrForm)
 			}
 			var y Member
-			if err := binaryform.Fields(f.Text, fault, func(f binaryform.Field) error {
+			if err := encoding.Fields(f.Text, fault, func(f encoding.Field) error {
 				switch f.Num {
 				case 1:
 					y.Name = string(f.Text)
--- a/internal/peers/agreed/shared.go
+++ b/internal/peers/agreed/shared.go
@@ -3,7 +3,7 @@
 import (
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 )
 
 // Shared is a Machine of several: an entry's first byte says whose it is. What is nobody's is passed over, the same at each voter
@@ -28,7 +28,7 @@
 // Snapshot is Machine's.
 func (s *Shared) Snapshot() (b []byte) {
 	for i, k := range s.kinds {
-		b = binaryform.PutText(b, protowire.Number(k), s.of[i].Snapshot())
+		b = encoding.PutText(b, protowire.Number(k), s.of[i].Snapshot())
 	}
 	return b
 }
@@ -36,7 +36,7 @@
 // Restore is Machine's.
 func (s *Shared) Restore(b []byte) error {
 	parts := make([][]byte, len(s.of))
-	if err := binaryform.Fields(b, fault, func(f binaryform.Field) error {
+	if err := encoding.Fields(b, fault, func(f encoding.Field) error {
 		for i, k := range s.kinds {
 			if protowire.Number(k) == f.Num {
 				parts[i] = f.Text
--- a/internal/peers/credit/form.go
+++ b/internal/peers/credit/form.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 	"beechgrade/internal/peers/credit/bank"
 	"beechgrade/internal/peers/credit/ledger"
 	"beechgrade/internal/peers/credit/talk"
@@ -41,9 +41,9 @@
 
 type writer struct{ b []byte }
 
-func (w *writer) num(field protowire.Number, v uint64)   { w.b = binaryform.AppendUint(w.b, field, v) }
-func (w *writer) fixed(field protowire.Number, v uint64) { w.b = binaryform.PutFixed(w.b, field, v) }
-func (w *writer) text(field protowire.Number, s string)  { w.b = binaryform.AppendText(w.b, field, s) }
+func (w *writer) num(field protowire.Number, v uint64)   { w.b = encoding.AppendUint(w.b, field, v) }
+func (w *writer) fixed(field protowire.Number, v uint64) { w.b = encoding.PutFixed(w.b, field, v) }
+func (w *writer) text(field protowire.Number, s string)  { w.b = encoding.AppendText(w.b, field, s) }
 
 func (w *writer) key(k *ledger.Key) {
 	w.text(1, k.Tenant)
@@ -65,7 +65,7 @@
 	part := func(field protowire.Number, do func(w *writer)) {
 		w := &writer{}
 		do(w)
-		o.b = binaryform.PutText(o.b, field, w.b)
+		o.b = encoding.PutText(o.b, field, w.b)
 	}
 	o.fixed(1, m.Who)
 	o.num(2, protowire.EncodeBool(m.Reply))
@@ -110,7 +110,7 @@
 
 // fields goes through a message's fields, past those of a type that none of them has.
 func fields(b []byte, do func(num protowire.Number, v uint64, text []byte) error) error {
-	return binaryform.Fields(b, func(error) error { return ErrForm }, func(f binaryform.Field) error {
+	return encoding.Fields(b, func(error) error { return ErrForm }, func(f encoding.Field) error {
 		if !f.Valued() {
 			return nil
 		}
--- a/internal/peers/credit/ledger/form.go
+++ b/internal/peers/credit/ledger/form.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 )
 
 // An entry of the log is a protobuf message:
@@ -53,11 +53,11 @@
 
 func appendLine(b []byte, l *line) []byte {
 	var x []byte
-	num := func(field protowire.Number, v uint64) { x = binaryform.AppendUint(x, field, v) }
+	num := func(field protowire.Number, v uint64) { x = encoding.AppendUint(x, field, v) }
 	num(1, uint64(l.Kind))
-	x = binaryform.AppendText(x, 2, l.Key.Tenant)
+	x = encoding.AppendText(x, 2, l.Key.Tenant)
 	num(3, uint64(l.Key.Depth))
-	x = binaryform.AppendFixed(x, 4, l.Key.Holder)
+	x = encoding.AppendFixed(x, 4, l.Key.Holder)
 	num(5, uint64(l.Key.Gen))
 	num(6, l.No)
 	num(7, uint64(l.Amount))
@@ -72,7 +72,7 @@
 	num(16, uint64(l.lent))
 	num(17, uint64(l.stranded))
 	num(18, uint64(l.full))
-	return binaryform.PutText(b, 1, binaryform.AppendText(x, 19, l.taken))
+	return encoding.PutText(b, 1, encoding.AppendText(x, 19, l.taken))
 }
 
 // Decode reads an entry, all or nothing.
@@ -96,7 +96,7 @@
 func fault(error) error { return ErrForm }
 
 func lines(b []byte, do func(l *line) error) error {
-	return binaryform.Fields(b, fault, func(f binaryform.Field) error {
+	return encoding.Fields(b, fault, func(f encoding.Field) error {
 		if f.Num != 1 || f.Type != protowire.BytesType {
 			return nil
 		}
@@ -121,7 +121,7 @@
 }
 
 // take takes a field; one of another type than its own is passed over.
-func (l *line) take(f binaryform.Field) error {
+func (l *line) take(f encoding.Field) error {
 	switch v := f.X; f.Type {
 	case protowire.VarintType:
 		if !inBounds(f.Num, v) {
@@ -177,7 +177,7 @@
 }
 
 func (l *line) read(b []byte) error {
-	if err := binaryform.Fields(b, fault, l.take); err != nil {
+	if err := encoding.Fields(b, fault, l.take); err != nil {
 		return err
 	}
 	if len(l.Key.Tenant) > MostName || l.Kind <= Rest && (l.Amount > MostAmount || l.Key.Depth > MostAmount) {
--- a/internal/peers/form.go
+++ b/internal/peers/form.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/peers/view"
@@ -102,13 +102,13 @@
 }
 
 func appendUint(b []byte, num protowire.Number, x uint64) []byte {
-	return binaryform.AppendUint(b, num, x)
+	return encoding.AppendUint(b, num, x)
 }
 func appendFixed(b []byte, num protowire.Number, x uint64) []byte {
-	return binaryform.PutFixed(b, num, x)
+	return encoding.PutFixed(b, num, x)
 }
 func appendText(b []byte, num protowire.Number, s string) []byte {
-	return binaryform.AppendText(b, num, s)
+	return encoding.AppendText(b, num, s)
 }
 
 func bit(on bool) uint64 {
@@ -126,21 +126,21 @@
 	var part []byte
 	for i := range e.Records {
 		part = appendRecord(part[:0], &e.Records[i])
-		b = binaryform.PutText(b, 5, part)
+		b = encoding.PutText(b, 5, part)
 	}
 	if c := e.counts; c.Sending > 0 {
 		part = appendUint(appendUint(part[:0], 1, uint64(c.Reachable)), 2, uint64(c.Sending))
 		part = appendUint(appendUint(part, 3, bit(c.Majority)), 4, bit(c.Alone))
-		b = binaryform.PutText(b, 6, part)
+		b = encoding.PutText(b, 6, part)
 	}
 	for i := range e.avoids {
 		part = appendAvoided(part[:0], &e.avoids[i])
-		b = binaryform.PutText(b, 10, part)
+		b = encoding.PutText(b, 10, part)
 	}
 	if m := e.limits; m != nil {
 		for i := range m.Items {
 			part = appendItem(part[:0], &m.Items[i])
-			b = binaryform.PutText(b, 7, part)
+			b = encoding.PutText(b, 7, part)
 		}
 		b = appendUint(b, 8, uint64(m.Verb))
 	}
@@ -167,7 +167,7 @@
 }
 
 func readItem(b []byte) (it quota.Item, err error) {
-	err = binaryform.Fields(b, fault, func(f binaryform.Field) error {
+	err = encoding.Fields(b, fault, func(f encoding.Field) error {
 		small, real := int(min(f.X, math.MaxInt32)), math.Float64frombits(f.X)
 		switch f.Num {
 		case 1:
@@ -218,7 +218,7 @@
 
 func readEnvelope(b []byte) (*envelope, error) {
 	e := &envelope{}
-	err := binaryform.Fields(b, fault, func(f binaryform.Field) error {
+	err := encoding.Fields(b, fault, func(f encoding.Field) error {
 		switch f.Num {
 		case 1:
 			if f.X > 255 {
@@ -241,7 +241,7 @@
 			}
 			e.Records = append(e.Records, r)
 		case 6:
-			return binaryform.Fields(f.Text, fault, func(f binaryform.Field) error {
+			return encoding.Fields(f.Text, fault, func(f encoding.Field) error {
 				switch x := int(f.X & 0xffffff); f.Num {
 				case 1:
 					e.counts.Reachable = x
@@ -291,7 +291,7 @@
 
 func readRecord(b []byte) (r view.Record, err error) {
 	texts := [...]*string{&r.Name, &r.Addr, &r.Zone, &r.Region, &r.Version}
-	err = binaryform.Fields(b, fault, func(f binaryform.Field) error {
+	err = encoding.Fields(b, fault, func(f encoding.Field) error {
 		switch {
 		case f.Num == 1:
 			r.ID = view.ID(f.X)
--- a/internal/peers/overload/form.go
+++ b/internal/peers/overload/form.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 )
 
 // The form of a message: a byte for what it is, then numbers as varints. Rates are in 64ths, times in thousandths.
@@ -90,7 +90,7 @@
 }
 
 // reader takes a message apart; after a fault it yields zeros.
-type reader struct{ binaryform.Reader }
+type reader struct{ encoding.Reader }
 
 func (r *reader) single() float64     { return r.fine(float64(math.Float32frombits(r.Uint32()))) }
 func (r *reader) x(g float64) float64 { return float64(r.Uvarint()) / g }
@@ -105,7 +105,7 @@
 
 // Read reads a message.
 func Read(b []byte) (any, error) {
-	r := &reader{binaryform.NewReader(b)}
+	r := &reader{encoding.NewReader(b)}
 	var m any
 	switch verb := r.Byte(); verb {
 	case verbTell:
--- a/internal/peers/parts.go
+++ b/internal/peers/parts.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/view"
 )
@@ -22,7 +22,7 @@
 	if w == nil {
 		return b
 	}
-	return binaryform.PutText(b, 9, w.Append(nil))
+	return encoding.PutText(b, 9, w.Append(nil))
 }
 
 // Join has a part live beside the view; before Start.
--- a/internal/peers/shown.go
+++ b/internal/peers/shown.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/view"
 )
@@ -56,7 +56,7 @@
 }
 
 func readAvoided(b []byte) (a part.Avoided, err error) {
-	err = binaryform.Fields(b, fault, func(f binaryform.Field) error {
+	err = encoding.Fields(b, fault, func(f encoding.Field) error {
 		switch f.Num {
 		case 1:
 			a.Server = string(f.Text)
--- a/internal/peers/verdicts/form.go
+++ b/internal/peers/verdicts/form.go
@@ -5,7 +5,7 @@
 	"errors"
 	"math"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 )
 
 // The form of a message: a byte for what it is, then numbers as varints; ages are in tenths of a ms, one too long ago is the longest.
@@ -112,7 +112,7 @@
 }
 
 // reader takes a message apart; after a fault it yields zeros.
-type reader struct{ binaryform.Reader }
+type reader struct{ encoding.Reader }
 
 func (r *reader) number(grain, most float64) float64 {
 	x := float64(r.Uvarint()) / grain
@@ -139,7 +139,7 @@
 
 // Read reads a message.
 func Read(b []byte) (any, error) {
-	r := &reader{binaryform.NewReader(b)}
+	r := &reader{encoding.NewReader(b)}
 	verb, seq, base := r.Byte(), r.Uint32(), r.number(1, mostPlace)
 	switch verb {
 	case verbTell:
--- a/internal/peers/zones/book/book.go
+++ b/internal/peers/zones/book/book.go
@@ -11,7 +11,7 @@
 import (
 	"errors"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/peers/zones/plan"
 	"beechgrade/internal/peers/zones/state"
@@ -116,7 +116,7 @@
 	if len(entry) == 0 {
 		return false
 	}
-	r := reader{binaryform.NewReader(entry[1:])}
+	r := reader{encoding.NewReader(entry[1:])}
 	switch entry[0] {
 	case entryPlan:
 		p := r.plan()
--- a/internal/peers/zones/book/form.go
+++ b/internal/peers/zones/book/form.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 	"beechgrade/internal/peers/zones/plan"
 	"beechgrade/internal/peers/zones/state"
 )
@@ -90,7 +90,7 @@
 }
 
 // reader reads numbers; what is none, or above its bound, spoils it.
-type reader struct{ binaryform.Reader }
+type reader struct{ encoding.Reader }
 
 func (r *reader) mark() Mark {
 	return Mark{State: state.State(r.UvarintTo(uint64(state.Returning))), Rest: float64(r.UvarintTo(1e6)) * 1000}
@@ -131,7 +131,7 @@
 
 // ReadPlan reads a plan's bytes, all or nothing.
 func ReadPlan(b []byte) (*Plan, error) {
-	r := reader{binaryform.NewReader(b)}
+	r := reader{encoding.NewReader(b)}
 	if p := r.plan(); r.Done() {
 		return p, nil
 	}
@@ -173,7 +173,7 @@
 func (b *Book) Restore(data []byte) error {
 	n := Book{Checks: b.Checks, Sloppy: b.Sloppy}
 	if len(data) > 0 {
-		r := reader{binaryform.NewReader(data)}
+		r := reader{encoding.NewReader(data)}
 		n.Index, n.Version = r.Uvarint(), r.Uvarint()
 		for k := r.UvarintTo(2); k > 0 && r.Good(); k = r.UvarintTo(2) {
 			o := r.order()
--- a/internal/storage/journal/attempt.go
+++ b/internal/storage/journal/attempt.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"math"
 
-	"beechgrade/internal/binaryform"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/encoding"
 )
 
 // Attempt is one that may have run. It is kept as a protobuf message:
@@ -35,15 +35,15 @@
 }
 
 func (a *Attempt) encode() []byte {
-	b := binaryform.PutText(nil, 1, a.ID)
-	b = binaryform.PutText(b, 2, a.Server)
-	b = binaryform.PutFixed(b, 3, math.Float64bits(a.At))
-	b = binaryform.PutUint(b, 4, uint64(a.No))
-	return binaryform.PutUint(b, 5, a.End)
+	b := encoding.PutText(nil, 1, a.ID)
+	b = encoding.PutText(b, 2, a.Server)
+	b = encoding.PutFixed(b, 3, math.Float64bits(a.At))
+	b = encoding.PutUint(b, 4, uint64(a.No))
+	return encoding.PutUint(b, 5, a.End)
 }
 
 func decode(b []byte) (a Attempt, err error) {
-	err = binaryform.Fields(b, func(why error) error { return fmt.Errorf("journal: %w", why) }, func(f binaryform.Field) error {
+	err = encoding.Fields(b, func(why error) error { return fmt.Errorf("journal: %w", why) }, func(f encoding.Field) error {
 		switch f.Num {
 		case 1:
 			a.ID = string(f.Text)
--- a/internal/storage/snapshots/snapshots.go
+++ b/internal/storage/snapshots/snapshots.go
@@ -13,7 +13,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"beechgrade/internal/binaryform"
+	"beechgrade/internal/encoding"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/storage/store"
@@ -61,17 +61,17 @@
 }
 
 func (r *Record) encode() []byte {
-	b := binaryform.PutFixed(nil, 1, math.Float64bits(r.SavedMs))
-	b = binaryform.PutText(binaryform.PutText(b, 2, r.From), 3, r.Body)
+	b := encoding.PutFixed(nil, 1, math.Float64bits(r.SavedMs))
+	b = encoding.PutText(encoding.PutText(b, 2, r.From), 3, r.Body)
 	if r.Saved.Boot == "" {
 		return b
 	}
-	return binaryform.PutFixed(binaryform.PutText(b, 4, r.Saved.Boot), 5, math.Float64bits(r.Saved.MonotonicMs))
+	return encoding.PutFixed(encoding.PutText(b, 4, r.Saved.Boot), 5, math.Float64bits(r.Saved.MonotonicMs))
 }
 
 func decode(b []byte) (*Record, error) {
 	r, seen := &Record{}, 0
-	err := binaryform.Fields(b, func(error) error { return ErrForeign }, func(f binaryform.Field) error {
+	err := encoding.Fields(b, func(error) error { return ErrForeign }, func(f encoding.Field) error {
 		switch {
 		case f.Num == 1 && f.Type == protowire.Fixed64Type:
 			r.SavedMs = math.Float64frombits(f.X)
