--- a/cmd/beechgrade/life.go
+++ b/cmd/beechgrade/life.go
@@ -8,7 +8,7 @@
 	"os"
 	"strconv"
 
-	"beechgrade/internal/control"
+	"beechgrade/internal/admin"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/platform"
@@ -89,7 +89,7 @@
 	if p.doorAddr == "" {
 		return
 	}
-	p.door = control.New(p.loop, p.log, desk{p})
+	p.door = admin.New(p.loop, p.log, desk{p})
 	at, _, err := p.loop.Listen(p.doorAddr, p.door.Accept)
 	if err != nil {
 		p.log.Error("control", "err", err)
@@ -104,7 +104,7 @@
 type desk struct{ p *pooler }
 
 // Call is control.Desk's.
-func (d desk) Call(method, path string, query url.Values) control.Answer {
+func (d desk) Call(method, path string, query url.Values) admin.Answer {
 	p := d.p
 	if path == zonesPath && p.zones != nil {
 		return p.zones.call(method, query)
@@ -112,13 +112,13 @@
 	if method == http.MethodGet {
 		switch path {
 		case "/-/metrics":
-			return control.Answer{Status: http.StatusOK, Body: p.figures().AppendLines(nil)}
+			return admin.Answer{Status: http.StatusOK, Body: p.figures().AppendLines(nil)}
 		case "/-/prometheus":
 			b, err := p.figures().Text()
 			if err != nil {
-				return control.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
+				return admin.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 			}
-			return control.Answer{Status: http.StatusOK, Type: sheet.TextType, Body: b}
+			return admin.Answer{Status: http.StatusOK, Type: sheet.TextType, Body: b}
 		}
 	}
 	calls := map[string]struct {
@@ -134,15 +134,15 @@
 	c, ok := calls[path]
 	switch {
 	case !ok:
-		return control.Answer{Status: http.StatusNotFound}
+		return admin.Answer{Status: http.StatusNotFound}
 	case c.method != method:
-		return control.Answer{Status: http.StatusMethodNotAllowed, Allow: c.method}
+		return admin.Answer{Status: http.StatusMethodNotAllowed, Allow: c.method}
 	case c.do():
-		return control.Answer{Status: http.StatusOK, Body: []byte(p.life.State().String() + "\n")}
+		return admin.Answer{Status: http.StatusOK, Body: []byte(p.life.State().String() + "\n")}
 	case c.method == http.MethodGet:
-		return control.Answer{Status: http.StatusServiceUnavailable, Body: []byte(p.life.State().String() + "\n")}
+		return admin.Answer{Status: http.StatusServiceUnavailable, Body: []byte(p.life.State().String() + "\n")}
 	}
-	return control.Answer{Status: http.StatusConflict, Body: []byte(p.life.State().String() + "\n")}
+	return admin.Answer{Status: http.StatusConflict, Body: []byte(p.life.State().String() + "\n")}
 }
 
 // figures are all that the process tells of itself.
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -8,9 +8,9 @@
 	"slices"
 	"strings"
 
+	"beechgrade/internal/admin"
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
-	"beechgrade/internal/control"
 	"beechgrade/internal/core"
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/clock"
@@ -114,7 +114,7 @@
 	before     *handover.State // what another process knew, until it is taken
 	others     int             // processes on the socket...
 	othersHold int             // ...and the descriptors that they hold
-	door       *control.Door
+	door       *admin.Door
 	doorAddr   string // where it listens
 
 	systemLimit int // of descriptors
--- a/cmd/beechgrade/zones_admin.go
+++ b/cmd/beechgrade/zones_admin.go
@@ -7,7 +7,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/control"
+	"beechgrade/internal/admin"
 	zonesadmin "beechgrade/internal/peers/zones/desk"
 )
 
@@ -15,7 +15,7 @@
 const zonesPath = "/-/zones"
 
 // call carries an operators' call out: GET shows how zones stand, POST proposes an order. Whether it comes to stand the next GETs show.
-func (z *zoned) call(method string, query url.Values) control.Answer {
+func (z *zoned) call(method string, query url.Values) admin.Answer {
 	status := http.StatusOK
 	switch method {
 	case http.MethodGet:
@@ -23,23 +23,23 @@
 		o, stands, err := zonesadmin.Read(query, z.j.Settings(), z.j.Book(), z.p.loop.Now())
 		switch {
 		case errors.Is(err, zonesadmin.ErrCall):
-			return control.Answer{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")}
+			return admin.Answer{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")}
 		case errors.Is(err, zonesadmin.ErrLags):
-			return control.Answer{Status: http.StatusServiceUnavailable, Body: []byte(err.Error() + "\n")}
+			return admin.Answer{Status: http.StatusServiceUnavailable, Body: []byte(err.Error() + "\n")}
 		case err != nil:
-			return control.Answer{Status: http.StatusConflict, Body: []byte(err.Error() + "\n")}
+			return admin.Answer{Status: http.StatusConflict, Body: []byte(err.Error() + "\n")}
 		case !stands:
 			z.j.Order(o)
 			z.p.log.Info("zones: ordered at the door", "zone", o.Zone, "state", query.Get("state"), "number", o.No, "for", query.Get("for"))
 			status = http.StatusAccepted
 		}
 	default:
-		return control.Answer{Status: http.StatusMethodNotAllowed, Allow: "GET, POST"}
+		return admin.Answer{Status: http.StatusMethodNotAllowed, Allow: "GET, POST"}
 	}
 	s, p := z.j.Standing()
 	b, err := jsoniter.Marshal(zonesadmin.Look(z.j.Settings(), s, p, z.j.Book(), z.j.Chief() != nil && z.j.Chief().Leads()))
 	if err != nil {
-		return control.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
+		return admin.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 	}
-	return control.Answer{Status: status, Type: "application/json", Body: append(b, '\n')}
+	return admin.Answer{Status: status, Type: "application/json", Body: append(b, '\n')}
 }
--- a/internal/control/control.go
+++ b/internal/admin/control.go
@@ -1,6 +1,6 @@
-// Package control is the door for operators: HTTP/1.1 at an address of its own, one call to a connection. It reads calls
+// Package admin is the door for operators: HTTP/1.1 at an address of its own, one call to a connection. It reads calls
 // and bounds callers; what a call does is the Desk's.
-package control
+package admin
 
 import (
 	"bufio"
