--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -12,7 +12,7 @@
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sys/unix"
 
-	"beechgrade/internal/figures/sheet"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/credit"
@@ -298,7 +298,7 @@
 }
 
 // tellCredit tells how credit stands, where there is any.
-func (p *pooler) tellCredit(s *sheet.Sheet) {
+func (p *pooler) tellCredit(s *exposition.Sheet) {
 	if p.credit == nil {
 		return
 	}
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -1,8 +1,8 @@
 package main
 
 import (
-	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/invariant"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 )
 
@@ -53,7 +53,7 @@
 }
 
 // tellInvariants tells the figures of statements, where any are checked.
-func (p *pooler) tellInvariants(s *sheet.Sheet) {
+func (p *pooler) tellInvariants(s *exposition.Sheet) {
 	if !p.countsChecks {
 		return
 	}
--- a/cmd/beechgrade/life.go
+++ b/cmd/beechgrade/life.go
@@ -10,10 +10,10 @@
 
 	"beechgrade/internal/admin"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/membership/discovery"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/record/recordpb"
 )
 
@@ -118,7 +118,7 @@
 			if err != nil {
 				return admin.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 			}
-			return admin.Answer{Status: http.StatusOK, Type: sheet.TextType, Body: b}
+			return admin.Answer{Status: http.StatusOK, Type: exposition.TextType, Body: b}
 		}
 	}
 	calls := map[string]struct {
@@ -146,9 +146,9 @@
 }
 
 // figures are all that the process tells of itself.
-func (p *pooler) figures() *sheet.Sheet {
-	s := &sheet.Sheet{}
-	for _, tell := range []func(*sheet.Sheet){p.core.WriteFigures, p.front.WriteFigures, p.tellPeers, p.tellLimits, p.tellInvariants, p.tellScatter, p.tellAgreed, p.tellCredit, p.tellOverload,
+func (p *pooler) figures() *exposition.Sheet {
+	s := &exposition.Sheet{}
+	for _, tell := range []func(*exposition.Sheet){p.core.WriteFigures, p.front.WriteFigures, p.tellPeers, p.tellLimits, p.tellInvariants, p.tellScatter, p.tellAgreed, p.tellCredit, p.tellOverload,
 		p.tellVerdicts, p.tellZones} {
 		tell(s)
 	}
--- a/cmd/beechgrade/limits.go
+++ b/cmd/beechgrade/limits.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/clickhouse/limits"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/record/recordpb"
@@ -192,7 +192,7 @@
 }
 
 // tellLimits tells how the fleet's limits stand here.
-func (p *pooler) tellLimits(s *sheet.Sheet) {
+func (p *pooler) tellLimits(s *exposition.Sheet) {
 	if p.peers == nil || p.limits == nil {
 		return
 	}
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -4,7 +4,7 @@
 	"strconv"
 
 	"beechgrade/internal/eventloop"
-	"beechgrade/internal/figures/sheet"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/overload/joined"
@@ -37,7 +37,7 @@
 }
 
 // tellOverload tells how groups stand, where overload is handled together.
-func (p *pooler) tellOverload(s *sheet.Sheet) {
+func (p *pooler) tellOverload(s *exposition.Sheet) {
 	if p.over == nil {
 		return
 	}
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/clickhouse/limits"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/view"
@@ -69,7 +69,7 @@
 }
 
 // tellPeers tells the fleet's figures, where there is one.
-func (p *pooler) tellPeers(s *sheet.Sheet) {
+func (p *pooler) tellPeers(s *exposition.Sheet) {
 	if p.peers == nil {
 		return
 	}
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/lifecycle"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/view"
@@ -120,7 +120,7 @@
 	if p.limits != nil {
 		t.Error("there are limits of the whole fleet")
 	}
-	told := &sheet.Sheet{}
+	told := &exposition.Sheet{}
 	if n := testing.AllocsPerRun(100, func() { p.tellPeers(told); p.tellLimits(told); p.core.Expire() }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"beechgrade/internal/figures/sheet"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/agreed/joined"
@@ -222,7 +222,7 @@
 }
 
 // tellAgreed tells the log's figures, where there is one.
-func (p *pooler) tellAgreed(s *sheet.Sheet) {
+func (p *pooler) tellAgreed(s *exposition.Sheet) {
 	if p.agreed == nil {
 		return
 	}
--- a/cmd/beechgrade/scatter.go
+++ b/cmd/beechgrade/scatter.go
@@ -1,9 +1,9 @@
 package main
 
 import (
-	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/scatter"
 	"beechgrade/internal/frontend/scatter/cursor"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 )
 
@@ -42,7 +42,7 @@
 }
 
 // tellScatter tells the scattered reads' figures, where there are any.
-func (p *pooler) tellScatter(s *sheet.Sheet) {
+func (p *pooler) tellScatter(s *exposition.Sheet) {
 	if p.scatter != nil {
 		p.scatter.Figures(s)
 	}
--- a/cmd/beechgrade/verdicts.go
+++ b/cmd/beechgrade/verdicts.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"beechgrade/internal/figures/sheet"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/verdicts"
 	"beechgrade/internal/peers/verdicts/joined"
@@ -44,7 +44,7 @@
 }
 
 // tellVerdicts tells why servers are avoided, by whose word, and until when.
-func (p *pooler) tellVerdicts(s *sheet.Sheet) {
+func (p *pooler) tellVerdicts(s *exposition.Sheet) {
 	if p.judged == nil {
 		return
 	}
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"beechgrade/internal/figures/sheet"
+	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
 	zonesadmin "beechgrade/internal/peers/zones/desk"
@@ -174,7 +174,7 @@
 }
 
 // tellZones tells how zones stand, where they are decided together.
-func (p *pooler) tellZones(s *sheet.Sheet) {
+func (p *pooler) tellZones(s *exposition.Sheet) {
 	if p.zones == nil {
 		return
 	}
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -6,7 +6,7 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/figures"
+	"beechgrade/internal/metrics"
 	"beechgrade/internal/record/recordpb"
 )
 
@@ -89,7 +89,7 @@
 }
 
 func (c *Core) refuse(a *decide.Action, waitMs float64) {
-	if req := c.conclude(a.ID, figures.Dropped); req != nil {
+	if req := c.conclude(a.ID, metrics.Dropped); req != nil {
 		c.decisions.refused[a.Reason]++
 		c.logDecision("refuse", req, a)
 		req.client.Refused(waitMs)
@@ -104,7 +104,7 @@
 		c.refuse(a, clock.Millis(c.cfg.Settings.MaxRetryAfter))
 		return
 	}
-	if req := c.conclude(a.ID, figures.BadGateway); req != nil {
+	if req := c.conclude(a.ID, metrics.BadGateway); req != nil {
 		c.decisions.failed[a.Reason]++
 		c.logDecision("fail", req, a)
 		req.client.Failed()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,8 +15,8 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/figures"
 	"beechgrade/internal/invariant"
+	"beechgrade/internal/metrics"
 	"beechgrade/internal/record"
 )
 
@@ -76,9 +76,9 @@
 	tenants      map[string]int
 	keys         keys // of keyed requests that may have run
 	ran          keys // of requests that must not run twice and may have run, by id
-	figures      figures.Figures
+	figures      metrics.Figures
 	decisions    decisionCounts
-	classFigures []*figures.Class // by the classes' numbers
+	classFigures []*metrics.Class // by the classes' numbers
 	processes    int              // processes on the socket, 0 for this one alone
 	peers        int              // poolers that may be sending, 0 for the settings' number
 	zones        numbering
@@ -213,7 +213,7 @@
 func (c *Core) Recall(m *decide.Memory) { c.router.Recall(clock.Span(c.loop.Now()), m) }
 
 // Figures returns the process's figures.
-func (c *Core) Figures() *figures.Figures { return &c.figures }
+func (c *Core) Figures() *metrics.Figures { return &c.figures }
 
 // Start joins the core to the servers and the directory, and passes the last known list to the router.
 func (c *Core) Start(s Servers, d Directory) {
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -4,8 +4,8 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
+	"beechgrade/internal/metrics"
 	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/record/recordpb"
 )
@@ -58,7 +58,7 @@
 
 // unfunded refuses a request for lack of funds.
 func (c *Core) unfunded(ref slotmap.Ref, req *request, slowed bool) {
-	c.finish(req, figures.Dropped)
+	c.finish(req, metrics.Dropped)
 	c.release(ref, req) // its client may ask, or give up, something else at once
 	wait := min(clock.Millis(c.cfg.Settings.MaxRetryAfter), adviceMs+float64(creditTag(ref)%adviceMs))
 	if b, ok := req.client.(platform.PrepaidClient); ok {
@@ -98,7 +98,7 @@
 }
 
 // settle ends the hold on a tenant's funds: once for each request, however many attempts it had.
-func (c *Core) settle(req *request, end figures.End) {
+func (c *Core) settle(req *request, end metrics.End) {
 	d, sent := purse.Done{}, false
 	from := 0.0
 	for i := range req.attempts {
@@ -107,7 +107,7 @@
 		}
 	}
 	switch {
-	case end == figures.Passed:
+	case end == metrics.Passed:
 		d.Served = 1
 		if sent {
 			d.Seconds = (c.loop.Now() - from) / 1000
@@ -115,7 +115,7 @@
 		if x, ok := req.client.(platform.Counted); ok {
 			d.Rows = x.Rows()
 		}
-	case end != figures.Dropped && sent:
+	case end != metrics.Dropped && sent:
 		d.Failed = 1
 	}
 	c.credit.Settle(&req.payment.hold, d)
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -5,7 +5,7 @@
 	"log/slog"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/figures/sheet"
+	"beechgrade/internal/metrics/exposition"
 )
 
 // decisionCounts are the numbers of decisions by their reason.
@@ -19,7 +19,7 @@
 }
 
 // tell writes the numbers to a sheet.
-func (counts *decisionCounts) tell(figures *sheet.Sheet) {
+func (counts *decisionCounts) tell(figures *exposition.Sheet) {
 	decisions := figures.Part("decisions")
 	for _, reason := range decide.Reasons()[1:] { // there is none without a reason
 		of := decisions.Of("reason", reason.String())
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/figures/sheet"
+	"beechgrade/internal/metrics/exposition"
 )
 
 // TestDecisionsAreLoggedAndCounted: of a request that is repeated and then given up, the log tells which it was, why, and where it had been sent; the figures
@@ -24,7 +24,7 @@
 			t.Errorf("no %q in\n%s", line, &log)
 		}
 	}
-	figures := &sheet.Sheet{}
+	figures := &exposition.Sheet{}
 	c.WriteFigures(figures)
 	text, err := figures.Text()
 	if err != nil || !strings.Contains(string(text), "decisions") {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -6,7 +6,7 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/figures"
+	"beechgrade/internal/metrics"
 	"beechgrade/internal/peers/overload/account"
 )
 
@@ -132,15 +132,15 @@
 const strainStart = 0.7
 
 // countEnd counts how an admitted request ended.
-func (c *Core) countEnd(req *request, end figures.End) {
+func (c *Core) countEnd(req *request, end metrics.End) {
 	l := &req.load
 	if c.fleet.pressure == nil || !l.admitted {
 		return
 	}
 	took := (c.loop.Now() - l.arrived) / max(1, l.target)
-	served, strain := end == figures.Passed, 1.0
+	served, strain := end == metrics.Passed, 1.0
 	if served {
 		strain = max(0, min(1, (took-strainStart)/(1-strainStart)))
 	}
-	c.fleet.pressure.Ended(l.group, l.class, served, end == figures.Gone && took < 1, strain)
+	c.fleet.pressure.Ended(l.group, l.class, served, end == metrics.Gone && took < 1, strain)
 }
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -5,8 +5,8 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
+	"beechgrade/internal/metrics"
 	"beechgrade/internal/record/recordpb"
 )
 
@@ -59,18 +59,18 @@
 
 // Ended implements backend.Flow.
 func (f *stream) Ended(b []byte, whole bool) {
-	end := figures.Passed
+	end := metrics.Passed
 	if !whole {
-		end = figures.BadGateway
+		end = metrics.BadGateway
 	}
 	f.core.streamEnded(f.ref, end)
 	f.Flow.Ended(b, whole)
 }
 
 // streamEnded ends a request whose answer was passed on as it came.
-func (c *Core) streamEnded(ref slotmap.Ref, end figures.End) {
+func (c *Core) streamEnded(ref slotmap.Ref, end metrics.End) {
 	if req, ok := c.requests.Get(ref); ok && req.stream != nil {
-		req.stream, req.answered = nil, end == figures.Passed && !req.leftUnread()
+		req.stream, req.answered = nil, end == metrics.Passed && !req.leftUnread()
 		c.finish(req, end)
 		c.release(ref, req)
 	}
@@ -113,11 +113,11 @@
 	if outcome.Result == decide.OK && !req.over && c.holdAnswer(tag.Request, req, &outcome) {
 		req.over = true
 	} else if outcome.Result == decide.OK && !req.over {
-		c.finish(req, figures.Passed)
+		c.finish(req, metrics.Passed)
 		c.serve(req, outcome.Answer)
 		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
 	} else if req.departed && !req.over {
-		c.finish(req, figures.Gone)
+		c.finish(req, metrics.Gone)
 		c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
 	}
 	final := req.over
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -11,8 +11,8 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
+	"beechgrade/internal/metrics"
 	"beechgrade/internal/record/recordpb"
 )
 
@@ -37,7 +37,7 @@
 	inFlight     int
 	over         bool
 	recorded     recorded
-	figures      *figures.Class
+	figures      *metrics.Class
 	class        int
 	load         load
 	stream       *stream     // its answer while that is passed on as it comes, else nil
@@ -63,7 +63,7 @@
 }
 
 // finish marks a request as over and counts its end.
-func (c *Core) finish(req *request, end figures.End) {
+func (c *Core) finish(req *request, end metrics.End) {
 	if req.over = true; req.payment.hold.Amount > 0 {
 		c.settle(req, end)
 	}
@@ -100,7 +100,7 @@
 	unrepeatable := once && !(set.Effect == decide.Keyed && incoming.IdempotencyKey != "") // not sent again, at whatever time, if it may have run
 	repeats := unrepeatable && (resent && earlier.wentOut() || c.hasRun(incoming.ID))      // its client has gone; its attempt is in flight, or was called off
 	if repeats || once && c.journal != nil && c.journal.Ran(known) {                       // whether it has run is unknown
-		c.classFigures[class].Count(figures.BadGateway)
+		c.classFigures[class].Count(metrics.BadGateway)
 		client.Failed()
 		return slotmap.Ref{}, nil
 	}
@@ -192,18 +192,18 @@
 	req, ok := c.requests.Get(ref)
 	if ok && req.stream != nil {
 		stop := req.stream.stop
-		c.streamEnded(ref, figures.Gone)
+		c.streamEnded(ref, metrics.Gone)
 		stop()
 		return
 	}
 	if ok && req.held != nil {
-		c.releaseAnswer(ref, req, figures.Gone)
+		c.releaseAnswer(ref, req, metrics.Gone)
 		return
 	}
 	if !ok || req.over {
 		return
 	}
-	c.finish(req, figures.Gone)
+	c.finish(req, metrics.Gone)
 	c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
 	if c.running { // a client that hears of one request may give up another, for which the router's actions are yet to be carried out
 		c.abandoned = append(c.abandoned, ref)
@@ -224,7 +224,7 @@
 }
 
 // conclude marks a request as over and returns it, or nil if it was over before.
-func (c *Core) conclude(id decide.RequestID, end figures.End) *request {
+func (c *Core) conclude(id decide.RequestID, end metrics.End) *request {
 	ref := refOf(id)
 	req, ok := c.requests.Get(ref)
 	if !ok || req.over {
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -7,8 +7,8 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/figures"
 	"beechgrade/internal/frontend/platform"
+	"beechgrade/internal/metrics"
 	"beechgrade/internal/record/recordpb"
 )
 
@@ -64,21 +64,21 @@
 		at = clock.Span(outcome.Position)
 	}
 	if !c.sessionTokens.Keep(req.wroteSession, at, func(kept bool) {
-		end := figures.BadGateway
+		end := metrics.BadGateway
 		if kept {
-			end = figures.Passed
+			end = metrics.Passed
 		}
 		c.releaseAnswer(ref, req, end)
 	}) {
 		return false
 	}
 	req.held = &heldAnswer{answer: slices.Clone(outcome.Answer)}
-	c.loop.At(req.deadline, func() { c.releaseAnswer(ref, req, figures.BadGateway) })
+	c.loop.At(req.deadline, func() { c.releaseAnswer(ref, req, metrics.BadGateway) })
 	return true
 }
 
 // releaseAnswer ends a held answer.
-func (c *Core) releaseAnswer(ref slotmap.Ref, req *request, end figures.End) {
+func (c *Core) releaseAnswer(ref slotmap.Ref, req *request, end metrics.End) {
 	held := req.held
 	if held == nil {
 		return
@@ -86,10 +86,10 @@
 	req.held = nil
 	c.finish(req, end)
 	switch end {
-	case figures.Passed:
+	case metrics.Passed:
 		c.serve(req, held.answer)
 		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
-	case figures.Gone:
+	case metrics.Gone:
 		c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
 	default:
 		req.client.Failed()
--- a/internal/frontend/platform/ends.go
+++ b/internal/frontend/platform/ends.go
@@ -1,7 +1,7 @@
 package platform
 
 import (
-	"beechgrade/internal/figures/sheet"
+	"beechgrade/internal/metrics/exposition"
 )
 
 // endReason says why a client's connection ended.
@@ -46,7 +46,7 @@
 }
 
 // WriteFigures writes the number of connections, of those that ended by the reason, and of commands refused in drains.
-func (postgres *Postgres) WriteFigures(figures *sheet.Sheet) {
+func (postgres *Postgres) WriteFigures(figures *exposition.Sheet) {
 	clients := figures.Part("clients")
 	clients.Whole("connected", int64(postgres.sessions.Len()))
 	clients.Whole("halfway", int64(postgres.byUse[halfway].Len()))
--- a/internal/frontend/scatter/front.go
+++ b/internal/frontend/scatter/front.go
@@ -18,12 +18,12 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/figures/sheet"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/merge"
 	"beechgrade/internal/frontend/scatter/run"
 	"beechgrade/internal/invariant"
+	"beechgrade/internal/metrics/exposition"
 )
 
 // Shard is a group of servers that has a part of the rows. Its name is stable: ties go by it.
@@ -279,7 +279,7 @@
 }
 
 // Figures tells what was done.
-func (f *Front) Figures(s *sheet.Sheet) {
+func (f *Front) Figures(s *exposition.Sheet) {
 	c, scatter := f.Counts, s.Part("scatter")
 	for _, x := range []struct {
 		name string
--- a/internal/figures/sheet/sheet.go
+++ b/internal/metrics/exposition/sheet.go
@@ -1,8 +1,8 @@
-// Package sheet is what a process tells of itself at one moment: figures by name, in the order in which they came. It prints them
+// Package exposition is what a process tells of itself at one moment: figures by name, in the order in which they came. It prints them
 // as the pooler's own lines, of a name and a number, and in the text form that Prometheus reads. It does no I/O, keeps nothing from
 // one sheet to the next, and costs nothing while nobody asks. It knows no figure's meaning. A sheet takes
 // 104 bytes a figure; how many there are follows from the settings: classes, limits, zones, servers.
-package sheet
+package exposition
 
 import "strconv"
 
--- a/internal/figures/sheet/sheet_test.go
+++ b/internal/metrics/exposition/sheet_test.go
@@ -1,4 +1,4 @@
-package sheet
+package exposition
 
 import (
 	"bytes"
--- a/internal/figures/figures.go
+++ b/internal/metrics/figures.go
@@ -1,11 +1,11 @@
-// Package figures counts what the pooler does, where the core sees a request or an attempt begin and end, and tells it on a
+// Package metrics counts what the pooler does, where the core sees a request or an attempt begin and end, and tells it on a
 // sheet. It does no I/O.
-package figures
+package metrics
 
 import (
 	"slices"
 
-	"beechgrade/internal/figures/sheet"
+	"beechgrade/internal/metrics/exposition"
 )
 
 // End is how a request ended.
@@ -51,7 +51,7 @@
 }
 
 // Tell tells the figures, with the servers that are listed and those of them that are avoided.
-func (f *Figures) Tell(s *sheet.Sheet, listed, avoided int) {
+func (f *Figures) Tell(s *exposition.Sheet, listed, avoided int) {
 	for _, c := range f.classes {
 		of := s.Part("handled").Of("class", c.name)
 		for e, name := range names {
