--- a/cmd/beechgrade-kit/peers.go
+++ b/cmd/beechgrade-kit/peers.go
@@ -15,10 +15,10 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/part"
 	fleetview "beechgrade/internal/peers/view"
+	"beechgrade/internal/settings"
 )
 
 func peersCommand(asJSON func() cli.Flag) *cli.Command {
@@ -72,7 +72,7 @@
 	if len(addrs) == 0 {
 		return errors.New("peers: at least one ADDRESS:PORT is due")
 	}
-	key, err := operate.ReadKey(c.String("key"))
+	key, err := settings.ReadKey(c.String("key"))
 	if err != nil {
 		return err
 	}
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -23,8 +23,8 @@
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/zones"
+	"beechgrade/internal/settings"
 )
 
 // zonesHeavy has a zone alone carry all reads, and just not twice as many: 2 servers of 4 cores in each zone. Work takes a fifth of the aim, as poolers
@@ -86,7 +86,7 @@
 	}
 	z := &zonesPlay{zoneWatch: &zoneWatch{rules: check.NewZones(0, 0, 1)}, dir: t.TempDir()}
 	operators := zonesOf(filepath.Join(z.dir, "disks"), voters)
-	set, err := operate.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k"))`+operators), func(string) string { return "p" })
+	set, err := settings.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k"))`+operators), func(string) string { return "p" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/clickhouse.go
+++ b/cmd/beechgrade/clickhouse.go
@@ -4,11 +4,11 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/clickhouse"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // useClickHouse adds the front for the ClickHouse HTTP interface, where the settings have it on.
-func (p *pooler) useClickHouse(o operate.ClickHouse) {
+func (p *pooler) useClickHouse(o settings.ClickHouse) {
 	if o.Listen == "" {
 		return
 	}
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -24,7 +24,7 @@
 	"beechgrade/internal/kit/check/queries"
 	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/kit/standin/house"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // stormClient asks one query after the other on connections of its own, and counts what comes back.
@@ -256,7 +256,7 @@
 		var end func()
 		w := housesOn(t, 2, "", nil, func(p *pooler) {
 			var err error
-			if end, err = p.journalOn(d, operate.Journal{MostBytes: 1 << 20}); err != nil {
+			if end, err = p.journalOn(d, settings.Journal{MostBytes: 1 << 20}); err != nil {
 				t.Fatal(err)
 			}
 		})
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -26,7 +26,7 @@
 	"beechgrade/internal/config"
 	"beechgrade/internal/kit/standin/house"
 	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // houseWorld is a pooler before stand-ins for ClickHouse's servers, whose list is a file.
@@ -71,7 +71,7 @@
 	if !strings.HasPrefix(more, "(deadline") {
 		more = "(deadline 15s) (aim 5s) " + more
 	}
-	set, err := operate.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d) %s) (membership (static %q))`, houseGroup, more, w.list)), os.Getenv)
+	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d) %s) (membership (static %q))`, houseGroup, more, w.list)), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -622,7 +622,7 @@
 		b.Fatal(err)
 	}
 	defer s.Stop()
-	set, err := operate.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d))`, houseGroup)), os.Getenv)
+	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d))`, houseGroup)), os.Getenv)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/cmd/beechgrade/compatibility_test.go
+++ b/cmd/beechgrade/compatibility_test.go
@@ -19,8 +19,8 @@
 	"github.com/google/go-cmp/cmp"
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/operate"
 	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 )
 
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := operate.Parse("settings", []byte(text), os.Getenv); err != nil {
+	if _, err := settings.Parse("settings", []byte(text), os.Getenv); err != nil {
 		t.Fatal(err)
 	}
 	unknown := &sexp.Node{Kind: sexp.List, Items: []*sexp.Node{{Kind: sexp.Atom, Text: "no-such-key"}, {Kind: sexp.Atom, Text: "1"}}}
@@ -134,7 +134,7 @@
 			printNode(&changed, node)
 			changed.WriteString("\n")
 		}
-		_, err := operate.Parse("settings", []byte(changed.String()), os.Getenv)
+		_, err := settings.Parse("settings", []byte(changed.String()), os.Getenv)
 		if err == nil {
 			fmt.Fprintf(&out, "%s: taken\n", path)
 			return
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -13,18 +13,18 @@
 	"golang.org/x/sys/unix"
 
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/credit"
 	"beechgrade/internal/peers/credit/ledger"
 	"beechgrade/internal/peers/credit/purse"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/store"
 )
 
 // prepaid is what tenants pay ahead for, as this pooler has it. It is core's Credit, and credit's Log, Files and Events.
 type prepaid struct {
 	p       *pooler
-	set     operate.Credit
+	set     settings.Credit
 	credit  *credit.Credit
 	classes map[string]int
 	holder  ledger.Holder
@@ -42,7 +42,7 @@
 }
 
 // useCredit has tenants pay ahead, where the settings have it on; the function ends it.
-func (p *pooler) useCredit(set operate.Credit) (stop func(), err error) {
+func (p *pooler) useCredit(set settings.Credit) (stop func(), err error) {
 	if !set.On {
 		return func() {}, nil
 	}
@@ -97,7 +97,7 @@
 }
 
 // reload takes prices and payments as they are now.
-func (x *prepaid) reload(set operate.Credit) {
+func (x *prepaid) reload(set settings.Credit) {
 	if !set.On || set.Dir != x.set.Dir {
 		x.p.log.Warn("cannot change while serving, needs a restart", "kept", []string{"credit"})
 		set.On, set.Dir = true, x.set.Dir
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -12,21 +12,21 @@
 	"github.com/google/go-cmp/cmp"
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/credit/ledger"
 	"beechgrade/internal/peers/credit/purse"
+	"beechgrade/internal/settings"
 )
 
 // creditOf is a pooler's credit that has not begun, with its files in a folder.
 func creditOf(t testing.TB, dir string) (*pooler, func()) {
 	t.Helper()
 	text := `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "` + dir + `")) (credit (price "read" (request 1)) (payment "t" 1 5) (files "` + dir + `"))`
-	set, err := operate.Parse("x", []byte(text), func(string) string { return "" })
+	set, err := settings.Parse("x", []byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := newPooler(testConfig(t, "127.0.0.1:1", nil), slog.New(slog.DiscardHandler))
-	if err := p.usePeers(peerSettings(t), operate.FleetLimits{}); err != nil {
+	if err := p.usePeers(peerSettings(t), settings.FleetLimits{}); err != nil {
 		t.Fatal(err)
 	}
 	stop := p.useRaftLog(set.Agreed)
@@ -102,7 +102,7 @@
 	// process's end, so all are held until the last look is over.
 	var all []*prepaid
 	process := func(h ledger.Holder) *prepaid {
-		x := &prepaid{set: operate.Credit{Dir: dir}, holder: h, locks: map[ledger.Holder]*os.File{}}
+		x := &prepaid{set: settings.Credit{Dir: dir}, holder: h, locks: map[ledger.Holder]*os.File{}}
 		all = append(all, x)
 		return x
 	}
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -3,12 +3,12 @@
 import (
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // useInvariants has the parts check statements about their state, where the settings have it so. A breach is logged once for each
 // name and counted; it stops nothing.
-func (p *pooler) useInvariants(set operate.Invariants) {
+func (p *pooler) useInvariants(set settings.Invariants) {
 	if set.On {
 		p.countsChecks = true
 		p.check(invariant.New(func(b invariant.Breach) { p.log.Error("invariant broken", "name", b.Name, "state", b.State) }), set.Every)
--- a/cmd/beechgrade/journal.go
+++ b/cmd/beechgrade/journal.go
@@ -3,20 +3,20 @@
 import (
 	"fmt"
 
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/store"
 )
 
 // useJournal opens the journal of what may have run, where the settings have it on; the function ends it.
-func (p *pooler) useJournal(o operate.Journal) (stop func(), err error) {
+func (p *pooler) useJournal(o settings.Journal) (stop func(), err error) {
 	if o.Dir == "" {
 		return func() {}, nil
 	}
 	return p.journalOn(store.Dir(o.Dir), o)
 }
 
-func (p *pooler) journalOn(fs store.FS, o operate.Journal) (stop func(), err error) {
+func (p *pooler) journalOn(fs store.FS, o settings.Journal) (stop func(), err error) {
 	checks, every := p.storeChecks()
 	s, rec, err := store.Open(store.Options{FS: fs, MaxBytes: o.MostBytes, SegmentBytes: o.MostBytes / 16, Pace: o.Pace, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB),
 		Post: p.loop.Post, Checks: checks, Every: every})
--- a/cmd/beechgrade/limits.go
+++ b/cmd/beechgrade/limits.go
@@ -5,9 +5,9 @@
 
 	"beechgrade/internal/frontend/clickhouse/limits"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/settings"
 )
 
 // demandMs is between two looks at what this pooler would use of the fleet's limits.
@@ -16,13 +16,13 @@
 // fleetLimits joins limits that hold for the whole fleet to what they are of.
 type fleetLimits struct {
 	p     *pooler
-	set   operate.FleetLimits
+	set   settings.FleetLimits
 	told  map[string]limits.Told // by user
 	beats bool
 }
 
 // quotas are the limits as the poolers share them; nil where there are none.
-func quotas(set *operate.FleetLimits, expect int) *quota.Settings {
+func quotas(set *settings.FleetLimits, expect int) *quota.Settings {
 	if !set.On {
 		return nil
 	}
@@ -32,7 +32,7 @@
 }
 
 // use has the parts keep to nothing of each limit until they are told; it runs on the loop.
-func (l *fleetLimits) use(set operate.FleetLimits) {
+func (l *fleetLimits) use(set settings.FleetLimits) {
 	old := l.set.List
 	l.set = set
 	for i := range set.List {
@@ -52,7 +52,7 @@
 	}
 }
 
-func had(list []operate.FleetLimit, x *operate.FleetLimit) bool {
+func had(list []settings.FleetLimit, x *settings.FleetLimit) bool {
 	for i := range list {
 		if list[i].Name == x.Name && list[i].Of == x.Of && list[i].Whom == x.Whom && list[i].Kind == x.Kind {
 			return true
@@ -62,9 +62,9 @@
 }
 
 // give tells a part what it may use.
-func (l *fleetLimits) give(x *operate.FleetLimit, amount, burst float64) {
+func (l *fleetLimits) give(x *settings.FleetLimit, amount, burst float64) {
 	switch x.Of {
-	case operate.OfQueries:
+	case settings.OfQueries:
 		t := l.told[x.Whom]
 		if x.Kind == quota.Number {
 			t.Queries, t.Most = true, int(amount+1e-9)
@@ -74,11 +74,11 @@
 		if l.told[x.Whom] = t; l.p.clickhouse != nil {
 			l.p.clickhouse.Tell(x.Whom, t)
 		}
-	case operate.OfPool:
+	case settings.OfPool:
 		if l.p.pooled != nil {
 			l.p.pooled.Tell(x.Whom, int(amount+1e-9))
 		}
-	case operate.OfShards:
+	case settings.OfShards:
 		if l.p.scatter != nil {
 			l.p.scatter.Tell(int(amount + 1e-9))
 		}
@@ -86,9 +86,9 @@
 }
 
 // free has a part go by its own settings again.
-func (l *fleetLimits) free(x *operate.FleetLimit) {
+func (l *fleetLimits) free(x *settings.FleetLimit) {
 	switch x.Of {
-	case operate.OfQueries:
+	case settings.OfQueries:
 		t := l.told[x.Whom]
 		if x.Kind == quota.Number {
 			t.Queries = false
@@ -101,11 +101,11 @@
 		if l.p.clickhouse.Tell(x.Whom, t); t == (limits.Told{}) {
 			l.p.clickhouse.Untell(x.Whom)
 		}
-	case operate.OfPool:
+	case settings.OfPool:
 		if l.p.pooled != nil {
 			l.p.pooled.Untell(x.Whom)
 		}
-	case operate.OfShards:
+	case settings.OfShards:
 		if l.p.scatter != nil {
 			l.p.scatter.Untell()
 		}
@@ -130,26 +130,26 @@
 }
 
 // demand tells what this pooler would use of a limit, and uses.
-func (l *fleetLimits) demand(x *operate.FleetLimit) {
+func (l *fleetLimits) demand(x *settings.FleetLimit) {
 	if want, ok := l.p.core.Demand(x.Name); ok {
-		if x.Of == operate.OfCold { // as a part of what a fleet may ask for
+		if x.Of == settings.OfCold { // as a part of what a fleet may ask for
 			want /= coldFlow
 		}
 		l.p.peers.Demand(x.Name, want, 0)
 		return
 	}
 	switch {
-	case x.Of == operate.OfQueries && l.p.clickhouse != nil:
+	case x.Of == settings.OfQueries && l.p.clickhouse != nil:
 		running, more, asked := l.p.clickhouse.Demand(x.Whom)
 		if x.Kind == quota.Number {
 			l.p.peers.Demand(x.Name, float64(running)+more, float64(running))
 		} else {
 			l.p.peers.Demand(x.Name, asked, 0)
 		}
-	case x.Of == operate.OfPool && l.p.pooled != nil:
+	case x.Of == settings.OfPool && l.p.pooled != nil:
 		has, want := l.p.pooled.Demand(x.Whom)
 		l.p.peers.Demand(x.Name, float64(want), float64(has))
-	case x.Of == operate.OfShards && l.p.scatter != nil:
+	case x.Of == settings.OfShards && l.p.scatter != nil:
 		has, want := l.p.scatter.Demand()
 		l.p.peers.Demand(x.Name, float64(want), float64(has))
 	}
@@ -166,7 +166,7 @@
 }
 
 // reloadLimits takes limits that have changed.
-func (p *pooler) reloadLimits(set operate.FleetLimits) {
+func (p *pooler) reloadLimits(set settings.FleetLimits) {
 	if p.peers == nil {
 		if set.On {
 			p.log.Warn("cannot change while serving, needs a restart", "kept", []string{"fleet-limits"})
@@ -184,7 +184,7 @@
 	p.log.Info("fleet limits read again", "limits", len(set.List))
 }
 
-func quotasOrNone(set *operate.FleetLimits, expect int) *quota.Settings {
+func quotasOrNone(set *settings.FleetLimits, expect int) *quota.Settings {
 	if s := quotas(set, expect); s != nil {
 		return s
 	}
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -16,7 +16,7 @@
 	"github.com/urfave/cli/v3"
 
 	"beechgrade/internal/config"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/snapshots"
 )
 
@@ -163,15 +163,15 @@
 
 // read reads the operators' settings, where there are any, and the configuration; where there is a log, that may be one that was
 // kept, and the keeper goes on from there.
-func read(settingsFile string, log *slog.Logger) (cfg *config.Config, set *operate.Settings, k *snapshots.Keeper, err error) {
-	set = &operate.Settings{}
+func read(settingsFile string, log *slog.Logger) (cfg *config.Config, set *settings.Settings, k *snapshots.Keeper, err error) {
+	set = &settings.Settings{}
 	cfg, err = config.Load(os.Getenv)
 	if err != nil && !errors.Is(err, config.ErrUnread) {
 		return nil, nil, nil, badInput{err}
 	}
 	if settingsFile != "" {
 		var fault error
-		if set, fault = operate.Load(settingsFile, os.Getenv); fault != nil {
+		if set, fault = settings.Load(settingsFile, os.Getenv); fault != nil {
 			return nil, nil, nil, badInput{errors.Join(err, fault)}
 		}
 	}
@@ -246,8 +246,8 @@
 	p.useOverload(set.Overload)
 	p.useVerdicts(set.Verdicts)
 	if settingsFile != "" && set.Peers.On {
-		p.loadLimits = func() (*operate.FleetLimits, error) {
-			next, err := operate.Load(settingsFile, os.Getenv)
+		p.loadLimits = func() (*settings.FleetLimits, error) {
+			next, err := settings.Load(settingsFile, os.Getenv)
 			if err != nil {
 				return nil, err
 			}
@@ -275,8 +275,8 @@
 	}
 	defer unpay()
 	if p.credit != nil {
-		p.loadCredit = func() (*operate.Credit, error) {
-			next, err := operate.Load(settingsFile, os.Getenv)
+		p.loadCredit = func() (*settings.Credit, error) {
+			next, err := settings.Load(settingsFile, os.Getenv)
 			if err != nil {
 				return nil, err
 			}
@@ -289,8 +289,8 @@
 	}
 	defer unzone()
 	if p.zones != nil {
-		p.loadZones = func() (*operate.Zones, error) {
-			next, err := operate.Load(settingsFile, os.Getenv)
+		p.loadZones = func() (*settings.Zones, error) {
+			next, err := settings.Load(settingsFile, os.Getenv)
 			if err != nil {
 				return nil, err
 			}
--- a/cmd/beechgrade/members.go
+++ b/cmd/beechgrade/members.go
@@ -13,13 +13,13 @@
 	"beechgrade/internal/membership/consul"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/membership/judge"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // sources are where the list of servers comes from, where the operators' settings have it come from more than the
 // platform's discovery.
 type sources struct {
-	set     operate.Membership
+	set     settings.Membership
 	members *membership.Members
 	consul  *consul.Source // nil for none
 }
@@ -32,7 +32,7 @@
 }
 
 // useMembers has the list made of several sources, where the settings have it so.
-func (p *pooler) useMembers(set operate.Membership) {
+func (p *pooler) useMembers(set settings.Membership) {
 	if !set.On {
 		return
 	}
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -23,8 +23,8 @@
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/membership/judge"
 	"beechgrade/internal/membership/snapshot"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/settings"
 )
 
 // membersWorld is a pooler that takes its list from stand-ins for Consul's agents.
@@ -56,7 +56,7 @@
 	t.Cleanup(a.Stop)
 	w.agent = a
 	register(w.catalog)
-	set, err := operate.Parse("test", []byte(fmt.Sprintf(`(membership %s (consul (agents %q) (services %q) (wait 1s) (map (role tag)) %s))`, more, a.Addr, fleet.Service, consulForms)), os.Getenv)
+	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(membership %s (consul (agents %q) (services %q) (wait 1s) (map (role tag)) %s))`, more, a.Addr, fleet.Service, consulForms)), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -5,9 +5,9 @@
 
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/overload/joined"
+	"beechgrade/internal/settings"
 )
 
 // peersHost is what a part lives on: the peers' words and the loop's time.
@@ -20,7 +20,7 @@
 func (h peersHost) At(ms float64, do func()) { h.loop.At(ms, do) }
 
 // useOverload has the fleet handle overload as one, where the settings have it so; after usePeers.
-func (p *pooler) useOverload(set operate.Overload) {
+func (p *pooler) useOverload(set settings.Overload) {
 	if !set.On || p.peers == nil {
 		return
 	}
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -8,14 +8,14 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/clickhouse/limits"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/view"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/settings"
 )
 
 // usePeers has the pooler be one of a fleet, where the settings have it so.
-func (p *pooler) usePeers(set operate.Peers, own operate.FleetLimits) error {
+func (p *pooler) usePeers(set settings.Peers, own settings.FleetLimits) error {
 	if !set.On {
 		return nil
 	}
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -15,13 +15,13 @@
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/view"
+	"beechgrade/internal/settings"
 )
 
 // peerSettings are those of a peer on loopback, with the key in a file.
-func peerSettings(t testing.TB, seeds ...string) operate.Peers {
+func peerSettings(t testing.TB, seeds ...string) settings.Peers {
 	t.Helper()
 	key := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(key, []byte("the key of a fleet in tests\n"), 0o600); err != nil {
@@ -29,7 +29,7 @@
 	}
 	v := view.Defaults()
 	v.Probe, v.Timeout, v.Suspicion, v.Reconnect, v.Seeds = 300, 100, 900, 200, seeds
-	return operate.Peers{On: true, Listen: freeBoth(t), KeyFile: key, View: v}
+	return settings.Peers{On: true, Listen: freeBoth(t), KeyFile: key, View: v}
 }
 
 // freeBoth is an address that is free for datagrams and streams.
@@ -50,12 +50,12 @@
 }
 
 // peerOf runs a pooler as a peer before a server.
-func peerOf(t testing.TB, name, srv string, set operate.Peers) (p *pooler, addr string) {
+func peerOf(t testing.TB, name, srv string, set settings.Peers) (p *pooler, addr string) {
 	t.Helper()
 	cfg := testConfig(t, srv, nil)
 	cfg.Name = name
 	p = newPooler(cfg, slog.New(slog.DiscardHandler))
-	if err := p.usePeers(set, operate.FleetLimits{}); err != nil {
+	if err := p.usePeers(set, settings.FleetLimits{}); err != nil {
 		t.Fatal(err)
 	}
 	addr, _, _, _ = launch(t, p)
@@ -91,7 +91,7 @@
 // TestNoPeers: where the settings have no (peers ...), as in the line 'run', nothing of it is made: no socket, no goroutine, no figure, no
 // limit of the whole fleet.
 func TestNoPeers(t *testing.T) {
-	set, err := operate.Load(filepath.Join("..", "..", "deploy", "operators.sexp"), func(string) string { return t.TempDir() })
+	set, err := settings.Load(filepath.Join("..", "..", "deploy", "operators.sexp"), func(string) string { return t.TempDir() })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +244,7 @@
 		cfg.Name = "upgraded"
 		p := newPooler(cfg, slog.New(slog.DiscardHandler))
 		give(t, p, ln)
-		if err := p.usePeers(b, operate.FleetLimits{}); err != nil {
+		if err := p.usePeers(b, settings.FleetLimits{}); err != nil {
 			t.Fatal(err)
 		}
 		launch(t, p)
@@ -281,7 +281,7 @@
 	t.Parallel()
 	srv, _ := server(t)
 	a := peerSettings(t)
-	joining := func() operate.Peers {
+	joining := func() settings.Peers {
 		s := peerSettings(t, a.Listen)
 		s.KeyFile = a.KeyFile
 		return s
@@ -321,7 +321,7 @@
 	}
 	t.Cleanup(func() { _ = relays.Close() })
 	base := peerSettings(t)
-	joining := func(i int) operate.Peers {
+	joining := func(i int) settings.Peers {
 		s := base
 		s.Listen, s.Advertise, s.View.Seeds, s.View.Expect = relays.Real(i), relays.Told(i), []string{relays.Told(0), relays.Told(2)}, 3
 		return s
@@ -334,7 +334,7 @@
 		cfg.Name = "upgraded"
 		p := newPooler(cfg, slog.New(slog.DiscardHandler))
 		give(t, p, ln)
-		if err := p.usePeers(joining(1), operate.FleetLimits{}); err != nil {
+		if err := p.usePeers(joining(1), settings.FleetLimits{}); err != nil {
 			t.Fatal(err)
 		}
 		launch(t, p)
--- a/cmd/beechgrade/pooled.go
+++ b/cmd/beechgrade/pooled.go
@@ -9,11 +9,11 @@
 	"beechgrade/internal/frontend/pooling"
 	"beechgrade/internal/frontend/scatter"
 	"beechgrade/internal/lifecycle"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // usePooling adds the second front, where the settings have it on.
-func (p *pooler) usePooling(o operate.Pooling) {
+func (p *pooler) usePooling(o settings.Pooling) {
 	if o.Listen == "" {
 		return
 	}
--- a/cmd/beechgrade/pooled_ends_test.go
+++ b/cmd/beechgrade/pooled_ends_test.go
@@ -11,8 +11,8 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/lifecycle"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/settings"
 )
 
 // poolScript is a pooler with the pooling front before one scripted server.
@@ -34,7 +34,7 @@
 // scriptedPoolOf has whole settings.
 func scriptedPoolOf(t testing.TB, server, poolForms string, change ...func(*config.Config)) *poolScript {
 	t.Helper()
-	set, err := operate.Parse("test", []byte(poolForms), os.Getenv)
+	set, err := settings.Parse("test", []byte(poolForms), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/pooled_world_test.go
+++ b/cmd/beechgrade/pooled_world_test.go
@@ -16,7 +16,7 @@
 	"beechgrade/internal/config"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // pooledWorld is a fleet of stand-ins and a pooler before it, with the second front.
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	set, err := operate.Parse("test", []byte(poolForms), os.Getenv)
+	set, err := settings.Parse("test", []byte(poolForms), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -22,12 +22,12 @@
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/lifecycle/handover"
 	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers"
 	"beechgrade/internal/peers/overload/joined"
 	outlieradapter "beechgrade/internal/peers/verdicts/joined"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/snapshots"
@@ -62,10 +62,10 @@
 	dir   *discovery.Client
 	load  func() (*config.Config, error) // reads the configuration again
 
-	loadLimits func() (*operate.FleetLimits, error) // reads the fleet's limits again; nil where there are no settings
+	loadLimits func() (*settings.FleetLimits, error) // reads the fleet's limits again; nil where there are no settings
 
-	loadZones  func() (*operate.Zones, error)  // reads orders again; nil where zones are not decided together
-	loadCredit func() (*operate.Credit, error) // reads prices and payments again; nil where nobody pays ahead
+	loadZones  func() (*settings.Zones, error)  // reads orders again; nil where zones are not decided together
+	loadCredit func() (*settings.Credit, error) // reads prices and payments again; nil where nobody pays ahead
 
 	pooled     *pooling.Front // nil where it is off
 	pooledAddr string         // where it listens
@@ -87,7 +87,7 @@
 
 	journal *journal.Journal // nil where it is off
 
-	set         *operate.Settings    // as they were at the start; tests have none
+	set         *settings.Settings   // as they were at the start; tests have none
 	recovered   []recovered          // by the start, until it is recorded
 	commits     *sessiontoken.Keeper // of sessions, nil where they are not kept
 	beside      *upgradeSessions     // the other process's on this socket, nil where there can be none
@@ -151,7 +151,7 @@
 }
 
 // record has the pooler record what it does, where that is on; the function ends it.
-func (p *pooler) record(o operate.Record) (stop func()) {
+func (p *pooler) record(o settings.Record) (stop func()) {
 	if !o.On {
 		return func() {}
 	}
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/agreed/joined"
 	"beechgrade/internal/peers/agreed/tally"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/store"
 )
 
@@ -26,7 +26,7 @@
 // raftLog is the log that the poolers have in common; its users add their Machines before the start.
 type raftLog struct {
 	p      *pooler
-	set    operate.Agreed
+	set    settings.Agreed
 	part   *joined.Part
 	users  *agreed.Shared
 	told   []func(a *agreed.Action) // users who want to know what happens
@@ -53,7 +53,7 @@
 }
 
 // useRaftLog joins the log in common, where the settings have it on; the function ends it.
-func (p *pooler) useRaftLog(set operate.Agreed) (stop func()) {
+func (p *pooler) useRaftLog(set settings.Agreed) (stop func()) {
 	if !set.On {
 		return func() {}
 	}
--- a/cmd/beechgrade/recovered.go
+++ b/cmd/beechgrade/recovered.go
@@ -4,8 +4,8 @@
 	"log/slog"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/record"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/store"
 )
 
@@ -56,7 +56,7 @@
 }
 
 // loggedChecks are checks of what is no loop's: a breach is told in the log.
-func loggedChecks(set operate.Invariants, log *slog.Logger) *invariant.Checks {
+func loggedChecks(set settings.Invariants, log *slog.Logger) *invariant.Checks {
 	if !set.On {
 		return nil
 	}
--- a/cmd/beechgrade/scatter.go
+++ b/cmd/beechgrade/scatter.go
@@ -4,11 +4,11 @@
 	"beechgrade/internal/frontend/scatter"
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // useScatter adds reads over many groups to the second front, where the settings have them. It comes before usePooling.
-func (p *pooler) useScatter(o operate.Scatter, peers operate.Peers) error {
+func (p *pooler) useScatter(o settings.Scatter, peers settings.Peers) error {
 	if !o.On {
 		return nil
 	}
--- a/cmd/beechgrade/scatter_bench_test.go
+++ b/cmd/beechgrade/scatter_bench_test.go
@@ -16,7 +16,7 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/standin/sorted"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // BenchmarkScatter is pages of 20,000 rows, stand-ins, pooler and client in one process: rows a second over 1 (one stream), 4, 16 and 64 shards.
@@ -45,7 +45,7 @@
 			if err := os.WriteFile(key, []byte("a key for cursors in tests\n"), 0o600); err != nil {
 				b.Fatal(err)
 			}
-			set, err := operate.Parse("bench", fmt.Appendf(nil, `(pooling (listen "127.0.0.1:0") (class "o" (needs primary)) (class "r" (needs session)) (pool (class "o")))
+			set, err := settings.Parse("bench", fmt.Appendf(nil, `(pooling (listen "127.0.0.1:0") (class "o" (needs primary)) (class "r" (needs session)) (pool (class "o")))
 				(scatter (key %q) (read "visits" (class "r") (shards %s) (order ("place" int8)) (own ("id" int8)) (whole) (most-page 100000) (wait 60s)))`, key, shards.String()), os.Getenv)
 			if err != nil {
 				b.Fatal(err)
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -21,7 +21,7 @@
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/standin/sorted"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // scatterWorld is groups of stand-ins with a scattered table, and a pooler before them.
@@ -79,7 +79,7 @@
 	if err := os.WriteFile(key, []byte("a key for cursors in tests\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	set, err := operate.Parse("test", fmt.Appendf(nil, scattered, key, more), os.Getenv)
+	set, err := settings.Parse("test", fmt.Appendf(nil, scattered, key, more), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/scenario_process_test.go
+++ b/cmd/beechgrade/scenario_process_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"beechgrade/internal/config"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/settings"
 )
 
 // TestWatch: a watch that is refused is asked for again, from the same generation; what it then tells binds: nothing more
@@ -276,7 +276,7 @@
 	hangs := make(chan struct{}, 1)
 	p := newPooler(testConfig(t, srv, nil), slog.New(slog.DiscardHandler))
 	p.files = stuckFiles{hangs}
-	end := p.record(operate.Record{On: true, Dir: "x", SegmentBytes: 1 << 20, TotalBytes: 2 << 20, Queue: 64, FlushMs: 1})
+	end := p.record(settings.Record{On: true, Dir: "x", SegmentBytes: 1 << 20, TotalBytes: 2 << 20, Queue: 64, FlushMs: 1})
 	addr, _, stop, ended := launch(t, p)
 	c := client(t, addr)
 	go func() {
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/store"
 )
 
 // useSessions has sessions' commits kept, where the settings have it on and the platform's have them remembered here; the function
 // ends it, once the loop has ended.
-func (p *pooler) useSessions(o operate.Sessions) (stop func(), err error) {
+func (p *pooler) useSessions(o settings.Sessions) (stop func(), err error) {
 	if o.Dir == "" {
 		return func() {}, nil
 	}
@@ -26,12 +26,12 @@
 }
 
 // sessionsOn keeps them in one place.
-func (p *pooler) sessionsOn(fs store.FS, o operate.Sessions) (stop func(), err error) {
+func (p *pooler) sessionsOn(fs store.FS, o settings.Sessions) (stop func(), err error) {
 	return p.sessionsIn([2]store.FS{fs, nil}, o)
 }
 
 // sessionsIn keeps them in the first of two places that no other process has; the second is for processes on a given socket alone.
-func (p *pooler) sessionsIn(places [2]store.FS, o operate.Sessions) (stop func(), err error) {
+func (p *pooler) sessionsIn(places [2]store.FS, o settings.Sessions) (stop func(), err error) {
 	checks, every := p.storeChecks()
 	opt := store.Options{MaxBytes: o.MostBytes, SegmentBytes: o.MostBytes / 16, Pace: o.Pace, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB), Checks: checks, Every: every}
 	s, rec, at, err := p.openSessions(places, opt)
--- a/cmd/beechgrade/sessions_test.go
+++ b/cmd/beechgrade/sessions_test.go
@@ -12,8 +12,8 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/kit/standin/faulty"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/store"
 )
@@ -60,7 +60,7 @@
 		var log bytes.Buffer
 		p := newPooler(cfg, slog.New(slog.NewTextHandler(&log, nil)))
 		d := &slowDisk{Disk: faulty.New(), gate: make(chan struct{})}
-		end, err := p.sessionsOn(d, operate.Sessions{Mode: mode, MostBytes: 1 << 20})
+		end, err := p.sessionsOn(d, settings.Sessions{Mode: mode, MostBytes: 1 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/beechgrade/slow_test.go
+++ b/cmd/beechgrade/slow_test.go
@@ -14,7 +14,7 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/kit/standin/faulty"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/sessiontoken"
 )
@@ -226,10 +226,10 @@
 	t.Parallel()
 	const mostBytes = 1 << 20
 	useJournal := func(p *pooler, d *slowDisk) (func(), error) {
-		return p.journalOn(d, operate.Journal{MostBytes: mostBytes, Mode: journal.Before})
+		return p.journalOn(d, settings.Journal{MostBytes: mostBytes, Mode: journal.Before})
 	}
 	useSessions := func(p *pooler, d *slowDisk) (func(), error) {
-		return p.sessionsOn(d, operate.Sessions{MostBytes: mostBytes, Mode: sessiontoken.Before})
+		return p.sessionsOn(d, settings.Sessions{MostBytes: mostBytes, Mode: sessiontoken.Before})
 	}
 	for name, c := range map[string]struct {
 		use      func(p *pooler, d *slowDisk) (func(), error)
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/membership/snapshot"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/snapshots"
 	"beechgrade/internal/storage/store"
 )
@@ -23,7 +23,7 @@
 )
 
 // startSnapshots opens what is kept, where the settings have it on. Without a disk that can be used the start goes on, as if it were off.
-func startSnapshots(o operate.Kept, checked operate.Invariants, log *slog.Logger) *snapshots.Keeper {
+func startSnapshots(o settings.Kept, checked settings.Invariants, log *slog.Logger) *snapshots.Keeper {
 	if o.Dir == "" {
 		return nil
 	}
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -16,10 +16,10 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/lifecycle/handover"
 	"beechgrade/internal/membership/snapshot"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/credit/ledger"
 	"beechgrade/internal/peers/credit/purse"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/snapshots"
@@ -127,7 +127,7 @@
 // TestStoredCreditIsReadable reads what a process had spent of its leases when it ended.
 func TestStoredCreditIsReadable(t *testing.T) {
 	t.Parallel()
-	x := &prepaid{set: operate.Credit{Dir: filepath.Join(storedData(t), "credit")}, holder: 7, locks: map[ledger.Holder]*os.File{}}
+	x := &prepaid{set: settings.Credit{Dir: filepath.Join(storedData(t), "credit")}, holder: 7, locks: map[ledger.Holder]*os.File{}}
 	gone, err := x.lock()
 	if err != nil {
 		t.Fatal(err)
@@ -155,7 +155,7 @@
 // TestStoredPlanNumberIsReadable reads the number of the plan for zones that was followed last.
 func TestStoredPlanNumberIsReadable(t *testing.T) {
 	t.Parallel()
-	z := &zoned{set: operate.Zones{Dir: filepath.Join(storedData(t), "zones")}, p: &pooler{cfg: &config.Config{Name: "test"}}}
+	z := &zoned{set: settings.Zones{Dir: filepath.Join(storedData(t), "zones")}, p: &pooler{cfg: &config.Config{Name: "test"}}}
 	if number, err := z.floor(); number != 12 || err != nil {
 		t.Errorf("%d, %v", number, err)
 	}
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/store"
 )
@@ -33,7 +33,7 @@
 	u := newUpgrade(t)
 	dir := t.TempDir()
 	places := [2]store.FS{store.Dir(dir), store.Dir(filepath.Join(dir, upgradeDir))}
-	set := operate.Sessions{Mode: mode, MostBytes: 1 << 20}
+	set := settings.Sessions{Mode: mode, MostBytes: 1 << 20}
 	unused := func() *pooler {
 		p := newPooler(testConfig(t, "127.0.0.1:1", nil, func(c *config.Config) { c.Discovery, c.Settings.TrackCommits = u.at, true }), slog.New(slog.DiscardHandler))
 		give(t, p, u.ln)
--- a/cmd/beechgrade/verdicts.go
+++ b/cmd/beechgrade/verdicts.go
@@ -7,15 +7,15 @@
 	"strings"
 
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/verdicts"
 	"beechgrade/internal/peers/verdicts/joined"
 	"beechgrade/internal/peers/view"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/settings"
 )
 
 // useVerdicts has the fleet share what it knows of servers, where the settings have it so; after usePeers.
-func (p *pooler) useVerdicts(set operate.Verdicts) {
+func (p *pooler) useVerdicts(set settings.Verdicts) {
 	if !set.On || p.peers == nil {
 		return
 	}
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -8,18 +8,18 @@
 	"strings"
 
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
 	zonesadmin "beechgrade/internal/peers/zones/desk"
 	"beechgrade/internal/peers/zones/joined"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/store"
 )
 
 // zoned is which zone serves what, as the fleet decides it. It is zones' Log, and joined's Keeper.
 type zoned struct {
 	p    *pooler
-	set  operate.Zones
+	set  settings.Zones
 	j    *joined.Joined
 	keep chan numbered
 	done chan struct{}
@@ -33,7 +33,7 @@
 }
 
 // useZones has the fleet decide, where the settings have it so; after useRaftLog. The function ends it.
-func (p *pooler) useZones(set operate.Zones) (stop func(), err error) {
+func (p *pooler) useZones(set settings.Zones) (stop func(), err error) {
 	if !set.On {
 		return func() {}, nil
 	}
@@ -164,7 +164,7 @@
 }
 
 // reload takes orders as they are now.
-func (z *zoned) reload(set operate.Zones) {
+func (z *zoned) reload(set settings.Zones) {
 	if !set.On {
 		z.p.log.Warn("cannot change while serving, needs a restart", "kept", []string{"zones"})
 		return
--- a/cmd/beechgrade/zones_test.go
+++ b/cmd/beechgrade/zones_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/store"
 )
 
@@ -17,7 +17,7 @@
 	var p *pooler
 	_, _, stop, ended := operated(t, "", func(at *pooler) { p = at })
 	dir := filepath.Join(t.TempDir(), "zones")
-	z := &zoned{p: p, set: operate.Zones{Dir: dir}, keep: make(chan numbered, 4), done: make(chan struct{})}
+	z := &zoned{p: p, set: settings.Zones{Dir: dir}, keep: make(chan numbered, 4), done: make(chan struct{})}
 	go z.write()
 	kept := make(chan uint64, 2)
 	p.loop.Post(func() { z.put(numbered{7, func() { kept <- 7 }}) })
--- a/internal/kit/emulate/credit.go
+++ b/internal/kit/emulate/credit.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/agreed/joined"
 	"beechgrade/internal/peers/credit"
@@ -11,12 +10,13 @@
 	"beechgrade/internal/peers/credit/ledger"
 	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/peers/part"
+	"beechgrade/internal/settings"
 )
 
 // Prepaid has tenants pay ahead in virtual time, as the daemon has it: on the log in common, with marks in files that outlive processes.
 type Prepaid struct {
 	Log   *CommonLog
-	Set   operate.Credit
+	Set   settings.Credit
 	Marks [2]float64 // ms that a durable write of marks takes, from and to
 
 	Later func(no int) []bank.Pay // payments that a pooler has read of since the start; may be nil
--- a/internal/kit/emulate/credit_cost_test.go
+++ b/internal/kit/emulate/credit_cost_test.go
@@ -5,15 +5,15 @@
 	"testing"
 
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
+	"beechgrade/internal/settings"
 )
 
 // TestCreditBesideOff has the same clients served with tenants that have plenty, and without credit, paired by seed: what waits for an answer about funds
 // must not show in what clients wait for.
 func TestCreditBesideOff(t *testing.T) {
 	t.Parallel()
-	set, err := operate.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d")) (credit (payment "a" 1 100000000) (price "quadro-obra" (request 10))
+	set, err := settings.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d")) (credit (payment "a" 1 100000000) (price "quadro-obra" (request 10))
 		(price "conferir-ponto" (request 10)) (price "relatorio-mes" (request 10)) (price "registrar-ponto" (request 10)))`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/kit/emulate/credit_test.go
+++ b/internal/kit/emulate/credit_test.go
@@ -6,8 +6,8 @@
 
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
+	"beechgrade/internal/settings"
 )
 
 // prepaid plays a script on so many poolers with two tenants that pay ahead, one of which runs out; what clients were served is held to what was paid.
@@ -20,7 +20,7 @@
 		c.Prices[name] = 10
 		text += fmt.Sprintf(` (price %q (request 10))`, name)
 	}
-	set, err := operate.Parse("x", []byte(text+")"), func(string) string { return "" })
+	set, err := settings.Parse("x", []byte(text+")"), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/kit/emulate/limits.go
+++ b/internal/kit/emulate/limits.go
@@ -6,9 +6,9 @@
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/peers/view"
+	"beechgrade/internal/settings"
 )
 
 // Limits is what came of limits that hold for the whole fleet.
@@ -28,7 +28,7 @@
 	x    *peer
 	q    *quota.Quota
 	id   view.ID
-	set  operate.FleetLimits
+	set  settings.FleetLimits
 	due  float64
 	acts []quota.Action
 }
@@ -134,7 +134,7 @@
 	for i := range l.set.List {
 		x := &l.set.List[i]
 		if want, ok := l.x.p.core.Demand(x.Name); ok {
-			if x.Of == operate.OfCold {
+			if x.Of == settings.OfCold {
 				want /= coldFlow
 			}
 			if m := l.x.p.e.opt.Mutant; m != nil && m.Demand != nil {
@@ -160,7 +160,7 @@
 }
 
 // reload has a pooler take limits that have changed.
-func (p *pooler) reload(set operate.FleetLimits) {
+func (p *pooler) reload(set settings.FleetLimits) {
 	p.limits = &set
 	if x := p.peer; x != nil && x.limits != nil {
 		p.whenRunning(x.life, func() {
--- a/internal/kit/emulate/pooler.go
+++ b/internal/kit/emulate/pooler.go
@@ -10,9 +10,9 @@
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/peers/view"
+	"beechgrade/internal/settings"
 )
 
 // pooler is one pooler: the daemon's core, and in place of its sockets the emulated ways to the servers and the list.
@@ -34,9 +34,9 @@
 	most   int     // that its descriptors allow
 	idleMs float64 // a connection idle for so long is closed
 	wear   wear.Wear
-	member *member              // nil where the list is the platform's
-	limits *operate.FleetLimits // as it last read them
-	disk   *disk                // that outlives its processes, nil where it keeps no journal
+	member *member               // nil where the list is the platform's
+	limits *settings.FleetLimits // as it last read them
+	disk   *disk                 // that outlives its processes, nil where it keeps no journal
 }
 
 func (e *Emulation) newPooler(no int) *pooler {
--- a/internal/kit/emulate/site_test.go
+++ b/internal/kit/emulate/site_test.go
@@ -8,9 +8,9 @@
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/credit/bank"
 	"beechgrade/internal/peers/credit/purse"
+	"beechgrade/internal/settings"
 )
 
 // madeUp is a deployment that is nobody's: classes, tenants, prices and groups drawn from a seed, with names drawn from another. The load is about
@@ -40,7 +40,7 @@
 		c.Classes = append(c.Classes, x)
 		f.Work[x.Name] = x.Work
 		shares, work = shares+x.Share, work+x.Share*(x.Work[0]+x.Work[1])/2
-		s.Credit.Prices = append(s.Credit.Prices, operate.ClassPrice{Class: x.Name, Price: purse.Price{Request: 1 + rng.Int64N(50)}})
+		s.Credit.Prices = append(s.Credit.Prices, settings.ClassPrice{Class: x.Name, Price: purse.Price{Request: 1 + rng.Int64N(50)}})
 	}
 	servers := 0
 	for _, n := range f.Groups {
--- a/internal/kit/rehearse/daemon.go
+++ b/internal/kit/rehearse/daemon.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 )
 
 // pooler is a daemon's process.
@@ -31,9 +31,9 @@
 	pooled string           // where it serves ordinary clients
 	pays   []scenario.Fault // payments that it has read of since the start
 
-	record string              // its records' folder
-	limits operate.FleetLimits // of the whole fleet, as its settings have them
-	more   *string             // in place of Options.Operators
+	record string               // its records' folder
+	limits settings.FleetLimits // of the whole fleet, as its settings have them
+	more   *string              // in place of Options.Operators
 	dir    string
 	run    *Run
 
--- a/internal/kit/scenario/credit.go
+++ b/internal/kit/scenario/credit.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/agreed"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 )
 
@@ -20,7 +20,7 @@
 
 // Credit is what tenants pay ahead, as the operators' settings have it; who holds marks where is the player's matter.
 type Credit struct {
-	operate.Credit
+	settings.Credit
 	node *sexp.Node
 }
 
@@ -50,7 +50,7 @@
 			return a.Errorf("where marks are kept is the player's matter: no (files ...) in a scenario")
 		}
 	}
-	set, err := operate.ReadCredit(n)
+	set, err := settings.ReadCredit(n)
 	s.Credit = &Credit{*set, n}
 	return err
 }
--- a/internal/kit/scenario/limits.go
+++ b/internal/kit/scenario/limits.go
@@ -4,14 +4,14 @@
 	"slices"
 
 	"beechgrade/internal/kit/check"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/quota"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 )
 
 // fleetLimits reads (fleet-limits ...), as the operators' settings have it.
 func (s *Script) fleetLimits(n *sexp.Node) (err error) {
-	s.Limits, err = operate.ReadFleetLimits(n)
+	s.Limits, err = settings.ReadFleetLimits(n)
 	return err
 }
 
@@ -39,18 +39,18 @@
 	return nil
 }
 
-func (s *Script) limit(name string) *operate.FleetLimit {
+func (s *Script) limit(name string) *settings.FleetLimit {
 	if s.Limits == nil {
 		return nil
 	}
-	if i := slices.IndexFunc(s.Limits.List, func(l operate.FleetLimit) bool { return l.Name == name }); i >= 0 {
+	if i := slices.IndexFunc(s.Limits.List, func(l settings.FleetLimit) bool { return l.Name == name }); i >= 0 {
 		return &s.Limits.List[i]
 	}
 	return nil
 }
 
 // Changed are the limits with one of another amount.
-func Changed(f operate.FleetLimits, name string, amount float64) operate.FleetLimits {
+func Changed(f settings.FleetLimits, name string, amount float64) settings.FleetLimits {
 	f.List = slices.Clone(f.List)
 	for i := range f.List {
 		if l := &f.List[i]; l.Name == name {
@@ -96,10 +96,10 @@
 	}
 	q := s.Quotas()
 	for _, l := range s.Limits.List {
-		if l.Of == operate.OfQueries && l.Kind == quota.Number && s.Clients.House {
+		if l.Of == settings.OfQueries && l.Kind == quota.Number && s.Clients.House {
 			out = append(out, check.Limit{Name: l.Name, AtOnce: int(l.Amount)})
 		}
-		if l.Of == operate.OfTenant && l.Hard {
+		if l.Of == settings.OfTenant && l.Hard {
 			delay := s.Way[1]
 			for i := range s.Faults {
 				delay = max(delay, s.Way[1]+s.Faults[i].Link.Slow)
--- a/internal/kit/scenario/overload.go
+++ b/internal/kit/scenario/overload.go
@@ -6,21 +6,21 @@
 
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/operate"
 	"beechgrade/internal/peers/overload"
 	"beechgrade/internal/peers/overload/account"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 )
 
 // Overload is how the fleet handles overload as one.
 type Overload struct {
-	operate.Overload
+	settings.Overload
 	node *sexp.Node
 }
 
 // overload reads (overload ...), as the operators' settings have it.
 func (s *Script) overload(n *sexp.Node) error {
-	set, err := operate.ReadOverload(n)
+	set, err := settings.ReadOverload(n)
 	s.Overload = &Overload{*set, n}
 	return err
 }
--- a/internal/kit/scenario/scenario.go
+++ b/internal/kit/scenario/scenario.go
@@ -10,7 +10,7 @@
 
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 )
 
@@ -82,8 +82,8 @@
 
 	Agents int // of Consul, whose catalogue poolers take their list from; 0 for the platform's discovery
 
-	Peers  *Peers               // poolers keep a view of the fleet; nil where they do not
-	Limits *operate.FleetLimits // that hold for the whole fleet; nil for none
+	Peers  *Peers                // poolers keep a view of the fleet; nil where they do not
+	Limits *settings.FleetLimits // that hold for the whole fleet; nil for none
 
 	Overload *Overload // nil where each pooler handles it alone
 	Agreed   *Agreed   // the log in common, nil for none
--- a/internal/kit/scenario/verdicts.go
+++ b/internal/kit/scenario/verdicts.go
@@ -1,19 +1,19 @@
 package scenario
 
 import (
-	"beechgrade/internal/operate"
+	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 )
 
 // Verdicts is how the fleet shares what it knows of servers.
 type Verdicts struct {
-	operate.Verdicts
+	settings.Verdicts
 	node *sexp.Node
 }
 
 // verdicts reads (verdicts ...), as the operators' settings have it.
 func (s *Script) verdicts(n *sexp.Node) error {
-	set, err := operate.ReadVerdicts(n)
+	set, err := settings.ReadVerdicts(n)
 	s.Verdicts = &Verdicts{*set, n}
 	return err
 }
--- a/internal/operate/operate.go
+++ b/internal/settings/operate.go
@@ -1,5 +1,5 @@
-// Package operate reads the operators' own settings, which lie beside the platform's configuration.
-package operate
+// Package settings reads the operators' own settings, which lie beside the platform's configuration.
+package settings
 
 import (
 	"fmt"
--- a/internal/operate/overload_test.go
+++ b/internal/settings/overload_test.go
@@ -1,4 +1,4 @@
-package operate
+package settings
 
 import (
 	"strings"
