--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -11,7 +11,7 @@
 	"math"
 	"strconv"
 
-	"beechgrade/internal/backend/wear"
+	"beechgrade/internal/backend/idletimeout"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
@@ -29,7 +29,7 @@
 	attempts slotmap.Table[*attempt]
 	conns    slotmap.Table[*conn]
 	idleSeq  uint64
-	wear     wear.Wear
+	wear     idletimeout.Wear
 	held     int // bytes of answers being received
 	scratch  []byte
 	walks    int // counts calls of Check
@@ -102,7 +102,7 @@
 // New returns a Pool without servers.
 func New(eventLoop *eventloop.Loop, log *slog.Logger, options Options, events Events) *Pool {
 	return &Pool{loop: eventLoop, log: log, options: options, events: events, servers: map[string]*server{},
-		wear: wear.New()}
+		wear: idletimeout.New()}
 }
 
 // SetTimes sets the connect timeout and the idle time. Timers that are running already keep theirs.
--- a/internal/backend/wear/wear.go
+++ b/internal/backend/idletimeout/wear.go
@@ -1,6 +1,6 @@
-// Package wear estimates how long a connection may be idle before the next request on it is lost. Servers announce how long they
+// Package idletimeout estimates how long a connection may be idle before the next request on it is lost. Servers announce how long they
 // keep an idle connection, but a device on the path may drop it earlier without notice.
-package wear
+package idletimeout
 
 import "math"
 
--- a/internal/backend/wear/wear_test.go
+++ b/internal/backend/idletimeout/wear_test.go
@@ -1,4 +1,4 @@
-package wear
+package idletimeout
 
 import (
 	"math"
--- a/internal/kit/emulate/pooler.go
+++ b/internal/kit/emulate/pooler.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"log/slog"
 
-	"beechgrade/internal/backend/wear"
+	"beechgrade/internal/backend/idletimeout"
 	"beechgrade/internal/core"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
@@ -33,7 +33,7 @@
 	conns  int     // to servers, those coming up included
 	most   int     // that its descriptors allow
 	idleMs float64 // a connection idle for so long is closed
-	wear   wear.Wear
+	wear   idletimeout.Wear
 	member *member               // nil where the list is the platform's
 	limits *settings.FleetLimits // as it last read them
 	disk   *disk                 // that outlives its processes, nil where it keeps no journal
@@ -60,7 +60,7 @@
 	if m := e.opt.Mutant; m != nil && m.Module != nil {
 		m.Module(cfg)
 	}
-	p.conns, p.most, p.idleMs, p.wear = 0, serverConns(cfg.Limits.Sockets), idlePart*cfg.IdleMs, wear.New()
+	p.conns, p.most, p.idleMs, p.wear = 0, serverConns(cfg.Limits.Sockets), idlePart*cfg.IdleMs, idletimeout.New()
 	p.core = core.New(lifeLoop{p, p.life}, slog.New(slog.DiscardHandler), cfg)
 	p.core.SetChecks(e.checks, walkEach)
 	if e.opt.Meter {
