--- a/internal/lifecycle/handover/handover.go
+++ b/internal/lifecycle/handover/handover.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/storage/sealed"
+	"beechgrade/internal/storage/atomicfile"
 )
 
 const (
@@ -54,7 +54,7 @@
 
 // Append writes a state.
 func Append(dst []byte, s *State) ([]byte, error) {
-	b, err := sealed.Append(dst, kind, s)
+	b, err := atomicfile.Append(dst, kind, s)
 	if err != nil {
 		return b, fmt.Errorf("handover: %w", err)
 	}
@@ -64,11 +64,11 @@
 // Parse reads a state, whole or not at all.
 func Parse(b []byte) (*State, error) {
 	s := &State{}
-	if err := sealed.Parse(b, kind, s); err != nil {
+	if err := atomicfile.Parse(b, kind, s); err != nil {
 		return nil, err
 	}
 	if s.Memory == nil || s.Held < 0 || s.Anew < 0 || s.List.Generation < 0 || math.IsNaN(s.SavedMs) {
-		return nil, fmt.Errorf("%w: a value is out of its bounds", sealed.ErrForeign)
+		return nil, fmt.Errorf("%w: a value is out of its bounds", atomicfile.ErrForeign)
 	}
 	return s, nil
 }
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	if err := sealed.Replace(filepath.Join(f.dir, f.own), b, false); err != nil {
+	if err := atomicfile.Replace(filepath.Join(f.dir, f.own), b, false); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
@@ -149,7 +149,7 @@
 	if !strings.HasSuffix(file.Name(), suffix) { // one that is being written
 		return nil, nil
 	}
-	b, err := sealed.Read(path, maxBytes)
+	b, err := atomicfile.Read(path, maxBytes)
 	if err != nil || b == nil { // nil: gone meanwhile
 		return nil, err
 	}
--- a/internal/membership/snapshot/snapshot.go
+++ b/internal/membership/snapshot/snapshot.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"beechgrade/internal/membership/judge"
-	"beechgrade/internal/storage/sealed"
+	"beechgrade/internal/storage/atomicfile"
 )
 
 const (
@@ -16,8 +16,8 @@
 
 // Errors of a file that is not used.
 var (
-	ErrForeign = sealed.ErrForeign
-	ErrTorn    = sealed.ErrTorn
+	ErrForeign = atomicfile.ErrForeign
+	ErrTorn    = atomicfile.ErrTorn
 )
 
 // File is what a snapshot's file holds.
@@ -28,7 +28,7 @@
 
 // Append writes a snapshot.
 func Append(dst []byte, f *File) ([]byte, error) {
-	b, err := sealed.Append(dst, magic, f)
+	b, err := atomicfile.Append(dst, magic, f)
 	if err != nil {
 		return b, fmt.Errorf("snapshot: %w", err)
 	}
@@ -38,7 +38,7 @@
 // Parse reads a snapshot, whole or not at all.
 func Parse(b []byte) (*File, error) {
 	f := &File{}
-	if err := sealed.Parse(b, magic, f); err != nil {
+	if err := atomicfile.Parse(b, magic, f); err != nil {
 		return nil, err
 	}
 	for i := range f.Entries {
@@ -66,7 +66,7 @@
 
 // Load reads a file; nil where there is none.
 func Load(path string) (*File, error) {
-	b, err := sealed.Read(path, maxBytes)
+	b, err := atomicfile.Read(path, maxBytes)
 	if err != nil || b == nil {
 		if err != nil {
 			err = fmt.Errorf("snapshot %s: %w", path, err)
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	if err := sealed.Replace(path, b, true); err != nil {
+	if err := atomicfile.Replace(path, b, true); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return nil
--- a/internal/storage/sealed/sealed.go
+++ b/internal/storage/atomicfile/sealed.go
@@ -1,6 +1,6 @@
-// Package sealed keeps a value in a file that is read whole or not at all: a line with the kind, the sum and the length of
+// Package atomicfile keeps a value in a file that is read whole or not at all: a line with the kind, the sum and the length of
 // what follows, and the value as JSON.
-package sealed
+package atomicfile
 
 import (
 	"bytes"
--- a/internal/storage/sealed/sealed_test.go
+++ b/internal/storage/atomicfile/sealed_test.go
@@ -1,4 +1,4 @@
-package sealed
+package atomicfile
 
 import (
 	"bytes"
