--- a/internal/frontend/pooling/answers.go
+++ b/internal/frontend/pooling/answers.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/protocol/sqltext"
 )
@@ -96,7 +96,7 @@
 func (l *link) tellParams(c *client) {
 	tell := func() {
 		for _, n := range sortedKeys(l.params) {
-			if v := l.params[n]; !perAnswer(l.f, n) && c.params[n] != v && len(c.params) < carry.MaxSettings {
+			if v := l.params[n]; !perAnswer(l.f, n) && c.params[n] != v && len(c.params) < sessionstate.MaxSettings {
 				c.params[n] = v
 				c.out = pgwire.AppendParameter(c.out, n, v)
 			}
--- a/internal/frontend/pooling/client.go
+++ b/internal/frontend/pooling/client.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -21,7 +21,7 @@
 	in      pgwire.Reader
 	out     []byte
 	pool    *pool
-	carry   *carry.Client
+	carry   *sessionstate.Client
 	params  map[string]string // as the client was told
 	pid     uint32
 	secret  uint32
@@ -40,7 +40,7 @@
 	wrote   bool  // the transaction did more than is known to be reading
 	began   float64
 	after   float64 // position of the session's last write, Unix ms
-	portals map[string]*carry.Text
+	portals map[string]*sessionstate.Text
 	idle    *timers.Timer // in a transaction
 	limit   *timers.Timer // of the transaction
 	outside *outside      // its transaction has not been let in yet
@@ -65,7 +65,7 @@
 }
 
 func newClient(f *Front) *client {
-	c := &client{f: f, in: pgwire.NewReader(f.opt.MaxMessage), status: 'I', since: f.loop.Now(), portals: map[string]*carry.Text{}}
+	c := &client{f: f, in: pgwire.NewReader(f.opt.MaxMessage), status: 'I', since: f.loop.Now(), portals: map[string]*sessionstate.Text{}}
 	c.in.Stream(inParts)
 	return c
 }
--- a/internal/frontend/pooling/dial.go
+++ b/internal/frontend/pooling/dial.go
@@ -2,7 +2,7 @@
 
 import (
 	"beechgrade/internal/eventloop"
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/frontend/pooling/share"
 	"beechgrade/internal/protocol/pgwire"
 )
@@ -11,7 +11,7 @@
 func (f *Front) dial(p *pool, store string) {
 	addr := f.addrs[store]
 	l := &link{f: f, pool: p, store: store, in: pgwire.NewReader(f.opt.MaxAnswer), params: map[string]string{},
-		server: carry.NewServer(max(1, p.opt.Statements), max(1, p.opt.StatementBytes))}
+		server: sessionstate.NewServer(max(1, p.opt.Statements), max(1, p.opt.StatementBytes))}
 	l.in.Stream(inParts)
 	l.ref = f.links.Put(l)
 	if addr == "" {
--- a/internal/frontend/pooling/forward.go
+++ b/internal/frontend/pooling/forward.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/protocol/sqltext"
 )
@@ -143,7 +143,7 @@
 	if c.redo && name != "" {
 		c.carry.Unprepare(name)
 	}
-	var old *carry.Text // that the unnamed one replaces, unless the pipeline fails before
+	var old *sessionstate.Text // that the unnamed one replaces, unless the pipeline fails before
 	if name == "" {
 		old = c.carry.Lift(name)
 	}
@@ -185,7 +185,7 @@
 		return nil
 	}
 	l.ensure(t)
-	if len(c.portals) < carry.MaxStatements {
+	if len(c.portals) < sessionstate.MaxStatements {
 		c.portals[portal] = t
 	}
 	l.expect(expected{kind: xBind})
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/protocol/sqltext"
 )
@@ -20,7 +20,7 @@
 	store    string
 	conn     *eventloop.Conn
 	in       pgwire.Reader
-	server   *carry.Server
+	server   *sessionstate.Server
 	queue    []expected // answers that are due, in order
 	owner    *client
 	params   map[string]string
@@ -61,15 +61,15 @@
 type expected struct {
 	kind      kind
 	does      []sqltext.Statement
-	next      int         // of does, the one that completes next
-	text      *carry.Text // xParse, xClose: the statement
-	client    bool        // xParse: the client asked for it, so it hears of it
-	own       bool        // xClose, xParse: the client does not hear of it
-	name      string      // the client's for the statement
-	statement bool        // xDescribe: of a statement, which has two answers
+	next      int                // of does, the one that completes next
+	text      *sessionstate.Text // xParse, xClose: the statement
+	client    bool               // xParse: the client asked for it, so it hears of it
+	own       bool               // xClose, xParse: the client does not hear of it
+	name      string             // the client's for the statement
+	statement bool               // xDescribe: of a statement, which has two answers
 	say       []byte
-	closed    *carry.Text // xSay: the statement that the client closed, by its name
-	then      func()      // xOwn: when it has gone well
+	closed    *sessionstate.Text // xSay: the statement that the client closed, by its name
+	then      func()             // xOwn: when it has gone well
 }
 
 const maxQueueOut = 20000
@@ -99,7 +99,7 @@
 }
 
 // ensure has a statement prepared here.
-func (l *link) ensure(t *carry.Text) {
+func (l *link) ensure(t *sessionstate.Text) {
 	if l.server.Has(t) {
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 // evict closes statements beyond what a connection may have prepared.
-func (l *link) evict(old []*carry.Text) {
+func (l *link) evict(old []*sessionstate.Text) {
 	for _, t := range old {
 		l.expect(expected{kind: xClose, text: t, own: true})
 		l.write(pgwire.AppendCloseStatement(nil, t.Name()))
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -18,7 +18,7 @@
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/frontend/pooling/share"
 	"beechgrade/internal/frontend/scatter"
 	"beechgrade/internal/record"
@@ -89,7 +89,7 @@
 	events backend.Events
 	opt    Options
 
-	texts     *carry.Texts
+	texts     *sessionstate.Texts
 	pools     []*pool
 	clients   slotmap.Table[*client]
 	links     slotmap.Table[*link]
@@ -133,7 +133,7 @@
 
 // New makes a front; events is told of attempts' ends.
 func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
-	return &Front{loop: l, log: log, desk: desk, events: events, opt: opt, texts: carry.NewTexts(), keys: map[uint32]*client{}, told: map[string]int{},
+	return &Front{loop: l, log: log, desk: desk, events: events, opt: opt, texts: sessionstate.NewTexts(), keys: map[uint32]*client{}, told: map[string]int{},
 		addrs: map[string]string{}, params: map[string]string{"server_version": "15.0", "server_encoding": "UTF8", "client_encoding": "UTF8",
 			"DateStyle": "ISO, MDY", "TimeZone": "UTC", "integer_datetimes": "on", "standard_conforming_strings": "on"}}
 }
--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"beechgrade/internal/core"
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/frontend/scatter"
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/merge"
@@ -22,7 +22,7 @@
 
 // bound is a scattered read on its way from Bind to Sync.
 type bound struct {
-	text     *carry.Text
+	text     *sessionstate.Text
 	rest     []byte
 	describe bool
 	execute  bool
@@ -62,7 +62,7 @@
 		if _, ok, _ := plan.Read(sql); !ok {
 			return false, nil
 		}
-		var old *carry.Text // that the unnamed one replaces
+		var old *sessionstate.Text // that the unnamed one replaces
 		if name == "" {
 			old = c.carry.Lift(name)
 		}
--- a/internal/frontend/pooling/carry/carry.go
+++ b/internal/frontend/pooling/sessionstate/carry.go
@@ -1,6 +1,6 @@
-// Package carry is what a client's session carries from one server connection to the next: its settings and its
+// Package sessionstate is what a client's session carries from one server connection to the next: its settings and its
 // prepared statements. It does no I/O; what it says is done by the front.
-package carry
+package sessionstate
 
 import (
 	"container/list"
--- a/internal/frontend/pooling/carry/carry_test.go
+++ b/internal/frontend/pooling/sessionstate/carry_test.go
@@ -1,4 +1,4 @@
-package carry
+package sessionstate
 
 import (
 	"fmt"
--- a/internal/frontend/pooling/startup.go
+++ b/internal/frontend/pooling/startup.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -72,11 +72,11 @@
 	for n, v := range startupOptions(p["options"]) {
 		settings[n] = v
 	}
-	if len(settings) > carry.MaxSettings {
+	if len(settings) > sessionstate.MaxSettings {
 		c.fatal("08P01", "too many settings in the startup message")
 		return nil
 	}
-	c.carry = carry.NewClient(f.texts, settings)
+	c.carry = sessionstate.NewClient(f.texts, settings)
 	f.newKey(c)
 	c.recordBegin()
 	c.params = map[string]string{}
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/merge"
 	"beechgrade/internal/frontend/scatter/plan"
@@ -150,7 +150,7 @@
 	}
 	g.do(func() {
 		a := plan.Asked{Scatter: "visits", Body: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
-		if _, err := g.f.Begin(a, Who{Database: "d", User: "u", Settings: carry.NewClient(carry.NewTexts(), nil)}, []byte{0, 0}, nil, g); err != nil {
+		if _, err := g.f.Begin(a, Who{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewTexts(), nil)}, []byte{0, 0}, nil, g); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/frontend/scatter/dial.go
+++ b/internal/frontend/scatter/dial.go
@@ -5,7 +5,7 @@
 
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop"
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -27,7 +27,7 @@
 		f.end(a, decide.Full, nil)
 		return
 	}
-	l := &link{f: f, key: k, in: pgwire.NewReader(s.spec.longest()), params: map[string]string{}, server: carry.NewServer(1, 1024), attempt: a, part: a.p}
+	l := &link{f: f, key: k, in: pgwire.NewReader(s.spec.longest()), params: map[string]string{}, server: sessionstate.NewServer(1, 1024), attempt: a, part: a.p}
 	f.conns++
 	l.timer = f.loop.At(f.loop.Now()+f.opt.ConnectMs, func() { l.failed(decide.Unreachable) })
 	f.loop.Dial(f.addrs[k.store], f.opt.ConnectMs, l, func(err error) {
@@ -94,7 +94,7 @@
 }
 
 func (l *link) parameter(m pgwire.Message) {
-	if name, val, err := pgwire.Parameter(m.Body); err == nil && (len(l.params) < carry.MaxSettings || l.params[name] != "") {
+	if name, val, err := pgwire.Parameter(m.Body); err == nil && (len(l.params) < sessionstate.MaxSettings || l.params[name] != "") {
 		l.params[name] = val
 	}
 }
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -4,7 +4,7 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -14,7 +14,7 @@
 	key     serverKey
 	conn    *eventloop.Conn
 	in      pgwire.Reader
-	server  *carry.Server // what settings it has
+	server  *sessionstate.Server // what settings it has
 	params  map[string]string
 	pid     uint32
 	secret  uint32
--- a/internal/frontend/scatter/scatter.go
+++ b/internal/frontend/scatter/scatter.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/frontend/pooling/carry"
+	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/frontend/scatter/bind"
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/plan"
@@ -34,7 +34,7 @@
 // Who asks.
 type Who struct {
 	Database, User string
-	Settings       *carry.Client
+	Settings       *sessionstate.Client
 	Session        string
 	After          float64 // the session's last write, Unix ms
 }
