--- a/internal/frontend/pooling/share/door.go
+++ b/internal/frontend/pooling/connpool/door.go
@@ -1,4 +1,4 @@
-package share
+package connpool
 
 // door lets as many transactions of one kind in as there may be connections. The others wait before it, so that nobody
 // takes their wait for a server's own time.
--- a/internal/frontend/pooling/share/invariants.go
+++ b/internal/frontend/pooling/connpool/invariants.go
@@ -1,4 +1,4 @@
-package share
+package connpool
 
 import (
 	"fmt"
--- a/internal/frontend/pooling/share/line.go
+++ b/internal/frontend/pooling/connpool/line.go
@@ -1,4 +1,4 @@
-package share
+package connpool
 
 type waiter struct {
 	id     ID
--- a/internal/frontend/pooling/share/share.go
+++ b/internal/frontend/pooling/connpool/share.go
@@ -1,6 +1,6 @@
-// Package share decides who gets a server connection, who waits, who is turned away and what is closed, for the pools of
+// Package connpool decides who gets a server connection, who waits, who is turned away and what is closed, for the pools of
 // one pooler. It does no I/O, has no clock and no goroutines: it is told what happens and answers what is to be done.
-package share
+package connpool
 
 import "slices"
 
--- a/internal/frontend/pooling/dial.go
+++ b/internal/frontend/pooling/dial.go
@@ -2,8 +2,8 @@
 
 import (
 	"beechgrade/internal/eventloop"
+	"beechgrade/internal/frontend/pooling/connpool"
 	"beechgrade/internal/frontend/pooling/sessionstate"
-	"beechgrade/internal/frontend/pooling/share"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -111,4 +111,4 @@
 // perAnswer tells whether a parameter is told with each answer, and is no state of the session.
 func perAnswer(f *Front, name string) bool { return name == "role" || name == f.opt.PositionName }
 
-func (l *link) id() share.ID { return share.ID(refNumber(l.ref)) }
+func (l *link) id() connpool.ID { return connpool.ID(refNumber(l.ref)) }
--- a/internal/frontend/pooling/enter.go
+++ b/internal/frontend/pooling/enter.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/frontend/pooling/share"
+	"beechgrade/internal/frontend/pooling/connpool"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/protocol/sqltext"
 	"beechgrade/internal/record"
@@ -41,7 +41,7 @@
 	return c.put(&txn{c: c, held: slices.Clone(m.Raw), does: does, sql: sql})
 }
 
-func (c *client) id() share.ID { return share.ID(refNumber(c.ref)) }
+func (c *client) id() connpool.ID { return connpool.ID(refNumber(c.ref)) }
 
 // admitted goes on with a transaction that has been let in.
 func (c *client) admitted() {
--- a/internal/frontend/pooling/invariants_test.go
+++ b/internal/frontend/pooling/invariants_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"beechgrade/internal/frontend/pooling/share"
+	"beechgrade/internal/frontend/pooling/connpool"
 	"beechgrade/internal/invariant"
 )
 
@@ -19,10 +19,10 @@
 		{"pooling: a pool has the connections that there are", func(_ *Front, l *link, _ *attempt) { l.up = false }},
 		{"pooling: nothing is kept of an attempt that has ended", func(_ *Front, _ *link, a *attempt) { a.ended = true }},
 	} {
-		p := &pool{share: share.New(share.Limits{Most: 2, Queue: 2})}
+		p := &pool{share: connpool.New(connpool.Limits{Most: 2, Queue: 2})}
 		f, l, a := &Front{pools: []*pool{p}}, &link{pool: p, store: "s", up: true}, &attempt{}
 		l.ref, a.ref = f.links.Put(l), f.attempts.Put(a)
-		p.share.Want(share.ID(refNumber(a.ref)), "s", 0)
+		p.share.Want(connpool.ID(refNumber(a.ref)), "s", 0)
 		p.share.Up(l.id(), "s", 0)
 		c := invariant.New(nil)
 		if f.walk(c); len(c.Broken()) > 0 {
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -18,8 +18,8 @@
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
+	"beechgrade/internal/frontend/pooling/connpool"
 	"beechgrade/internal/frontend/pooling/sessionstate"
-	"beechgrade/internal/frontend/pooling/share"
 	"beechgrade/internal/frontend/scatter"
 	"beechgrade/internal/record"
 )
@@ -46,7 +46,7 @@
 	Mode                Mode
 	Class, Reads        string // of transactions; of those known to read only, empty for Class
 	Group               int
-	Limits              share.Limits
+	Limits              connpool.Limits
 	Clients             int // at most
 	TxnMs               float64
 	IdleTxnMs           float64
@@ -126,7 +126,7 @@
 	key     poolKey
 	name    string // in records
 	opt     *PoolOptions
-	share   *share.Pool
+	share   *connpool.Pool
 	clients int
 	failed  map[string]bool // servers whose last dial failed
 }
@@ -234,7 +234,7 @@
 			return p
 		}
 	}
-	p := &pool{key: key, name: database + "/" + user, opt: &f.opt.Pools[i], share: share.New(f.opt.Pools[i].Limits), failed: map[string]bool{}}
+	p := &pool{key: key, name: database + "/" + user, opt: &f.opt.Pools[i], share: connpool.New(f.opt.Pools[i].Limits), failed: map[string]bool{}}
 	f.pools = append(f.pools, p)
 	if most, ok := f.told[p.name]; ok {
 		f.Tell(p.name, most)
@@ -357,7 +357,7 @@
 		f.end(a, decide.Cancelled, nil)
 	} else if c := a.t.c; !c.stay(a) {
 		f.expire()
-		f.do(c.pool, c.pool.share.Want(share.ID(refNumber(a.ref)), store, f.loop.Now()))
+		f.do(c.pool, c.pool.share.Want(connpool.ID(refNumber(a.ref)), store, f.loop.Now()))
 	}
 	return slotmap.Ref{Index: a.ref.Index | firstRef, Gen: a.ref.Gen}
 }
@@ -404,7 +404,7 @@
 			if r == decide.TimedOut || r == decide.Cancelled {
 				o.Result = decide.Skipped // it never got a connection
 			}
-			f.do(a.t.c.pool, a.t.c.pool.share.Leave(share.ID(refNumber(a.ref)), f.loop.Now()))
+			f.do(a.t.c.pool, a.t.c.pool.share.Leave(connpool.ID(refNumber(a.ref)), f.loop.Now()))
 		}
 	}
 	f.events.AttemptEnded(a.tag, o)
@@ -415,16 +415,16 @@
 func refFrom(n uint64) slotmap.Ref { return slotmap.Ref{Index: uint32(n), Gen: uint32(n >> 32)} }
 
 // do carries out what a pool has decided.
-func (f *Front) do(p *pool, actions []share.Action) {
+func (f *Front) do(p *pool, actions []connpool.Action) {
 	for _, x := range actions {
 		switch x.Do {
-		case share.Dial:
+		case connpool.Dial:
 			f.dial(p, x.Server)
-		case share.Close:
+		case connpool.Close:
 			if l, ok := f.links.Get(refFrom(uint64(x.Conn))); ok {
 				l.close()
 			}
-		case share.Give:
+		case connpool.Give:
 			a, ok := f.attempts.Get(refFrom(uint64(x.Waiter)))
 			l, up := f.links.Get(refFrom(uint64(x.Conn)))
 			switch {
@@ -440,11 +440,11 @@
 			default:
 				a.t.c.assign(a, l)
 			}
-		case share.Admit:
+		case connpool.Admit:
 			if c, ok := f.clients.Get(refFrom(uint64(x.Waiter))); ok {
 				f.loop.At(f.loop.Now(), c.admitted) // off this call: one leads to the next
 			}
-		case share.Refuse:
+		case connpool.Refuse:
 			if x.Server == "" {
 				if c, ok := f.clients.Get(refFrom(uint64(x.Waiter))); ok {
 					f.Counts.Refused++
--- a/internal/settings/pooling.go
+++ b/internal/settings/pooling.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/frontend/pooling"
-	"beechgrade/internal/frontend/pooling/share"
+	"beechgrade/internal/frontend/pooling/connpool"
 	"beechgrade/internal/sexp"
 )
 
@@ -33,7 +33,7 @@
 // defaultPool is what a pool has where its settings say nothing. Times are in milliseconds.
 func defaultPool() pooling.PoolOptions {
 	return pooling.PoolOptions{Database: "*", User: "*", App: "*", Clients: 5000, TxnMs: 60000, IdleTxnMs: 30000, Statements: 500, StatementBytes: 1 << 20,
-		Limits: share.Limits{Most: 20, Queue: 5000, WaitMs: 10000, ReserveMs: 1000, LifeMs: 3600000, IdleMs: 300000, Dials: 4, AgainMs: 200}}
+		Limits: connpool.Limits{Most: 20, Queue: 5000, WaitMs: 10000, ReserveMs: 1000, LifeMs: 3600000, IdleMs: 300000, Dials: 4, AgainMs: 200}}
 }
 
 const longest = 24 * 3600 * 1000
