--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -12,9 +12,9 @@
 	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/frontend/scatter"
 	"beechgrade/internal/frontend/scatter/cursor"
+	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/frontend/scatter/merge"
 	"beechgrade/internal/frontend/scatter/plan"
-	"beechgrade/internal/frontend/scatter/run"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -248,12 +248,12 @@
 }
 
 // Fail is scatter.Reader's.
-func (p *page) Fail(r *run.Run, err error) {
+func (p *page) Fail(r *execution.Run, err error) {
 	c := p.c
 	if c.page != p {
 		return
 	}
-	if r.Verdict == run.Refused {
+	if r.Verdict == execution.Refused {
 		detail := ""
 		if r.RetryMs > 0 {
 			detail = strconv.Itoa(int(math.Ceil(r.RetryMs)))
--- a/internal/frontend/scatter/answers.go
+++ b/internal/frontend/scatter/answers.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/frontend/scatter/run"
+	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/protocol/pgwire"
 )
 
@@ -43,7 +43,7 @@
 	case m.Type == 'C':
 		l.first, l.ended = true, true
 		p.begins(l)
-		p.s.event(func(now float64) []run.Action { return p.s.run.Ended(p.a.Shard, p.a.Try, now) })
+		p.s.event(func(now float64) []execution.Action { return p.s.run.Ended(p.a.Shard, p.a.Try, now) })
 	case m.Type == '1' || m.Type == '2':
 	default:
 		l.broke("a message that is not due: "+strconv.Quote(string(m.Type)), true)
@@ -107,7 +107,7 @@
 		}
 		if p.link == l {
 			if p.link = nil; !l.broken {
-				p.s.event(func(now float64) []run.Action { return p.s.run.Settled(p.a.Shard, p.a.Try, position, now) })
+				p.s.event(func(now float64) []execution.Action { return p.s.run.Settled(p.a.Shard, p.a.Try, position, now) })
 			}
 		}
 	}
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -19,9 +19,9 @@
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/frontend/scatter/cursor"
+	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/frontend/scatter/merge"
 	"beechgrade/internal/frontend/scatter/plan"
-	"beechgrade/internal/frontend/scatter/run"
 	"beechgrade/internal/invariant"
 )
 
@@ -95,7 +95,7 @@
 func (g *stage) Flush()                                        {}
 func (g *stage) Unsent() int                                   { return 0 }
 func (g *stage) Page(p *Page)                                  { g.page <- fmt.Sprint(g.rows) }
-func (g *stage) Fail(_ *run.Run, err error)                    { g.page <- err.Error() }
+func (g *stage) Fail(_ *execution.Run, err error)              { g.page <- err.Error() }
 func (g *stage) AttemptEnded(t backend.Tag, o backend.Outcome) {
 	x := g.requests[t.Request.Index]
 	g.outcomes = append(g.outcomes, fmt.Sprint(t.Request.Index, " ", o.Result))
--- a/internal/frontend/scatter/end.go
+++ b/internal/frontend/scatter/end.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"beechgrade/internal/frontend/scatter/cursor"
-	"beechgrade/internal/frontend/scatter/run"
+	"beechgrade/internal/frontend/scatter/execution"
 )
 
 // final gives the client its answer.
@@ -25,7 +25,7 @@
 	}
 	f.Counts.Missing += uint64(len(s.run.Missing()))
 	switch s.run.Verdict {
-	case run.Served:
+	case execution.Served:
 		f.Counts.Served++
 		page := &Page{Rows: s.rows}
 		for _, i := range s.run.Missing() {
@@ -41,10 +41,10 @@
 			}
 		}
 		s.reader.Page(page)
-	case run.Refused:
+	case execution.Refused:
 		f.Counts.Refused++
 		s.reader.Fail(s.run, s.cause())
-	case run.Gone:
+	case execution.Gone:
 		f.Counts.Gone++
 	default:
 		f.Counts.Failed++
@@ -69,9 +69,9 @@
 // nobody reads for a client that has gone.
 type nobody struct{}
 
-func (nobody) Describe([]byte)      {}
-func (nobody) Row([]byte)           {}
-func (nobody) Flush()               {}
-func (nobody) Unsent() int          { return 0 }
-func (nobody) Page(*Page)           {}
-func (nobody) Fail(*run.Run, error) {}
+func (nobody) Describe([]byte)            {}
+func (nobody) Row([]byte)                 {}
+func (nobody) Flush()                     {}
+func (nobody) Unsent() int                { return 0 }
+func (nobody) Page(*Page)                 {}
+func (nobody) Fail(*execution.Run, error) {}
--- a/internal/frontend/scatter/run/run.go
+++ b/internal/frontend/scatter/execution/run.go
@@ -1,4 +1,4 @@
-// Package run decides what becomes of one scattered read: events in, actions out, no I/O, no clock, no goroutines.
+// Package execution decides what becomes of one scattered read: events in, actions out, no I/O, no clock, no goroutines.
 //
 // # What it decides
 //
@@ -29,7 +29,7 @@
 // # Bounds
 //
 // Held is at most Settings.Held. A run ends at its deadline at the latest.
-package run
+package execution
 
 import (
 	"fmt"
--- a/internal/frontend/scatter/run/run_test.go
+++ b/internal/frontend/scatter/execution/run_test.go
@@ -1,4 +1,4 @@
-package run
+package execution
 
 import (
 	"fmt"
--- a/internal/frontend/scatter/front.go
+++ b/internal/frontend/scatter/front.go
@@ -20,8 +20,8 @@
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/scatter/cursor"
+	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/frontend/scatter/merge"
-	"beechgrade/internal/frontend/scatter/run"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/metrics/exposition"
 )
@@ -54,8 +54,8 @@
 }
 
 // Run is the spec as the run has it.
-func (s *Spec) Run() run.Settings {
-	return run.Settings{Shards: len(s.Shards), Missing: s.Missing, Window: max(leastWindow, s.Memory/len(s.Shards)), MostRow: s.MostRow, Silent: s.SilentMs, Again: s.Again,
+func (s *Spec) Run() execution.Settings {
+	return execution.Settings{Shards: len(s.Shards), Missing: s.Missing, Window: max(leastWindow, s.Memory/len(s.Shards)), MostRow: s.MostRow, Silent: s.SilentMs, Again: s.Again,
 		Settle: s.SettleMs, Spare: s.SpareMs}
 }
 
--- a/internal/frontend/scatter/part.go
+++ b/internal/frontend/scatter/part.go
@@ -8,13 +8,13 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/frontend/scatter/run"
+	"beechgrade/internal/frontend/scatter/execution"
 )
 
 // part is a shard's read as the decision module has it: one try of the run. It is front.Client's and backend.Query's.
 type part struct {
 	s     *Scatter
-	a     run.Action // that asked for it
+	a     execution.Action // that asked for it
 	ref   slotmap.Ref
 	open  bool       // with core
 	over  bool       // the run has given it up, or has its end
@@ -45,7 +45,7 @@
 // Refused is front.Client's.
 func (p *part) Refused(retryMs float64) {
 	p.open = false
-	p.s.event(func(now float64) []run.Action { return p.s.run.Refused(p.a.Shard, p.a.Try, retryMs, now) })
+	p.s.event(func(now float64) []execution.Action { return p.s.run.Refused(p.a.Shard, p.a.Try, retryMs, now) })
 }
 
 // Failed is front.Client's.
@@ -55,7 +55,7 @@
 }
 
 func (p *part) broke(why string, again bool) {
-	p.s.event(func(now float64) []run.Action { return p.s.run.Broke(p.a.Shard, p.a.Try, why, again, now) })
+	p.s.event(func(now float64) []execution.Action { return p.s.run.Broke(p.a.Shard, p.a.Try, why, again, now) })
 }
 
 // wrong tells of rows that can't be merged, wherever they are read.
@@ -149,7 +149,7 @@
 		p.send(l)
 		return
 	}
-	p.s.event(func(now float64) []run.Action { return p.s.run.Granted(p.a.Shard, p.a.Try, now) })
+	p.s.event(func(now float64) []execution.Action { return p.s.run.Granted(p.a.Shard, p.a.Try, now) })
 }
 
 // sendAll has the statement go out, at once or when there is a connection.
--- a/internal/frontend/scatter/scatter.go
+++ b/internal/frontend/scatter/scatter.go
@@ -10,18 +10,18 @@
 	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/frontend/scatter/bind"
 	"beechgrade/internal/frontend/scatter/cursor"
+	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/frontend/scatter/plan"
-	"beechgrade/internal/frontend/scatter/run"
 )
 
 // Reader is the client's side of one page.
 type Reader interface {
-	Describe(row []byte)        // RowDescription, once, before the first row
-	Row(row []byte)             // DataRow, valid during the call
-	Flush()                     // what came may go out
-	Unsent() int                // bytes that the client has not taken
-	Page(p *Page)               // the page's end
-	Fail(f *run.Run, err error) // ...where it came to none
+	Describe(row []byte)              // RowDescription, once, before the first row
+	Row(row []byte)                   // DataRow, valid during the call
+	Flush()                           // what came may go out
+	Unsent() int                      // bytes that the client has not taken
+	Page(p *Page)                     // the page's end
+	Fail(f *execution.Run, err error) // ...where it came to none
 }
 
 // Page is what stands at the end of one.
@@ -54,7 +54,7 @@
 	spec   *Spec
 	no     int
 	id     uint64
-	set    run.Settings
+	set    execution.Settings
 	asked  plan.Asked
 	who    Who
 	types  []byte
@@ -62,9 +62,9 @@
 	bound  cursor.Bound
 	due    float64
 	reader Reader
-	run    *run.Run
+	run    *execution.Run
 	parts  []*part
-	events []func(now float64) []run.Action
+	events []func(now float64) []execution.Action
 	busy   bool
 	over   bool
 	heard  []byte // the first shard's description
@@ -137,7 +137,7 @@
 	f.seq++
 	s.id = f.seq
 	s.parts = make([]*part, len(spec.Shards))
-	s.run = run.New(&s.set, page, places, needs, s.due, f.opt.Checks)
+	s.run = execution.New(&s.set, page, places, needs, s.due, f.opt.Checks)
 	f.running[s] = true
 	f.perSpec[no]++
 	f.inFlight += len(spec.Shards)
@@ -153,14 +153,14 @@
 // Leave ends a page whose client has gone.
 func (s *Scatter) Leave() {
 	s.reader = nobody{}
-	s.event(func(float64) []run.Action { return s.run.Leave() })
+	s.event(func(float64) []execution.Action { return s.run.Leave() })
 }
 
 // Over tells whether the page has its end.
 func (s *Scatter) Over() bool { return s.over }
 
 // event has the run told of something, behind what it is being told.
-func (s *Scatter) event(e func(now float64) []run.Action) {
+func (s *Scatter) event(e func(now float64) []execution.Action) {
 	if s.over {
 		return
 	}
@@ -180,46 +180,46 @@
 	s.events = s.events[:0]
 }
 
-func (s *Scatter) do(actions []run.Action) {
+func (s *Scatter) do(actions []execution.Action) {
 	for k := range actions {
 		a := &actions[k]
 		p := s.parts[a.Shard]
 		switch a.Do {
-		case run.Ask:
+		case execution.Ask:
 			if a.Try > 1 {
 				s.f.Counts.Again++
 			}
 			s.ask(*a)
-		case run.Send:
+		case execution.Send:
 			p.sendAll()
-		case run.Stop:
+		case execution.Stop:
 			if p.link != nil {
 				p.link.stop()
 			}
-		case run.Go:
+		case execution.Go:
 			if p.link != nil {
 				p.link.resume()
 			}
-		case run.Cancel:
+		case execution.Cancel:
 			if p != nil {
 				p.giveUp()
 			}
-		case run.Give:
+		case execution.Give:
 			s.rows++
 			s.f.Counts.Rows++
 			s.reader.Row(a.Row)
 			if !s.full && s.reader.Unsent() > muchUnsent {
 				s.full = true
-				s.event(func(now float64) []run.Action { return s.run.Room(false, now) })
+				s.event(func(now float64) []execution.Action { return s.run.Room(false, now) })
 			}
-		case run.Final:
+		case execution.Final:
 			s.final()
 		}
 	}
 }
 
 // ask puts a shard's read to the decision module.
-func (s *Scatter) ask(a run.Action) {
+func (s *Scatter) ask(a execution.Action) {
 	p := &part{s: s, a: a, open: true}
 	s.parts[a.Shard] = p
 	q := platform.Request{ID: fmt.Sprintf("scatter-%d-%d-%d", s.id, a.Shard, a.Try), Class: s.spec.Class, Tenant: s.asked.Tenant, PlatformForm: s.asked.Tenant != "",
@@ -241,7 +241,7 @@
 func (s *Scatter) tick() {
 	if s.full && s.reader.Unsent() < littleLeft {
 		s.full = false
-		s.event(func(now float64) []run.Action { return s.run.Room(true, now) })
+		s.event(func(now float64) []execution.Action { return s.run.Room(true, now) })
 	}
 	s.event(s.run.Tick)
 	for _, p := range s.parts {
--- a/internal/kit/emulate/pages_made.go
+++ b/internal/kit/emulate/pages_made.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/scatter/cursor"
-	"beechgrade/internal/frontend/scatter/run"
+	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/standin/sorted"
@@ -26,10 +26,10 @@
 	life      uint32
 	id        uint64
 	sent, due float64
-	set       run.Settings
-	run       *run.Run
+	set       execution.Settings
+	run       *execution.Run
 	parts     []*shardRead
-	events    []func(now float64) []run.Action
+	events    []func(now float64) []execution.Action
 	busy      bool
 	over      bool
 	rows      []int64
@@ -54,7 +54,7 @@
 		return
 	}
 	n := len(g.rows)
-	s.set = run.Settings{Shards: n, Window: max(4<<10, pageMemory/n), MostRow: pageMostRow, Silent: pageSilent, Again: pageAgain, Settle: pageSettle, Spare: min(500, g.set.Wait/10)}
+	s.set = execution.Settings{Shards: n, Window: max(4<<10, pageMemory/n), MostRow: pageMostRow, Silent: pageSilent, Again: pageAgain, Settle: pageSettle, Spare: min(500, g.set.Wait/10)}
 	var places []cursor.Place
 	var needs []int64
 	if s.r.cursor != "" {
@@ -69,7 +69,7 @@
 		g.check.Began(s.r.no)
 	}
 	s.parts = make([]*shardRead, n)
-	s.run = run.New(&s.set, g.set.Page, places, needs, s.due, e.checks)
+	s.run = execution.New(&s.set, g.set.Page, places, needs, s.due, e.checks)
 	s.event(s.run.Begin)
 	s.tick()
 }
@@ -84,13 +84,13 @@
 // leave ends a page whose client has gone.
 func (s *paged) leave() {
 	if s.run != nil && !s.over {
-		s.event(func(float64) []run.Action { return s.run.Leave() })
+		s.event(func(float64) []execution.Action { return s.run.Leave() })
 	}
 	s.gone()
 }
 
 // event has the run told of something, behind what it is being told.
-func (s *paged) event(e func(now float64) []run.Action) {
+func (s *paged) event(e func(now float64) []execution.Action) {
 	if s.over {
 		return
 	}
@@ -104,30 +104,30 @@
 	s.events, s.busy = s.events[:0], false
 }
 
-func (s *paged) do(actions []run.Action) {
+func (s *paged) do(actions []execution.Action) {
 	for _, a := range slices.Clone(actions) {
 		x := s.parts[a.Shard]
 		switch a.Do {
-		case run.Ask:
+		case execution.Ask:
 			if a.Try > 1 {
 				s.g.Counts.Again++
 			}
 			s.ask(a)
-		case run.Send:
+		case execution.Send:
 			x.send()
-		case run.Stop:
+		case execution.Stop:
 			x.stopped = true
-		case run.Go:
+		case execution.Go:
 			if x.stopped = false; x.out != nil {
 				s.g.e.s.After(0, x.out, atRows)
 			}
-		case run.Cancel:
+		case execution.Cancel:
 			if x != nil {
 				x.giveUp()
 			}
-		case run.Give:
+		case execution.Give:
 			s.rows = append(s.rows, int64(binary.BigEndian.Uint64(a.Row)))
-		case run.Final:
+		case execution.Final:
 			s.final()
 		}
 	}
@@ -143,7 +143,7 @@
 		}
 	}
 	switch s.run.Verdict {
-	case run.Served:
+	case execution.Served:
 		x := pageEnd{rows: slices.Clone(s.rows)}
 		c := &cursor.Cursor{Issued: math.Floor(e.s.now)}
 		c.Places, c.Needs = s.run.Places()
@@ -159,9 +159,9 @@
 			x.cursor, _ = g.ring.Seal(c, n) // its keys are short
 		}
 		s.end(x)
-	case run.Refused:
+	case execution.Refused:
 		s.end(pageEnd{refused: true, wait: s.run.RetryMs})
-	case run.Gone:
+	case execution.Gone:
 		s.gone()
 	default:
 		s.end(pageEnd{})
@@ -185,7 +185,7 @@
 // shardRead is a shard's read as the decision module has it: one try of the run. It is platform.Client.
 type shardRead struct {
 	s       *paged
-	a       run.Action
+	a       execution.Action
 	v       *visit // backend.Query, for the attempts
 	ref     slotmap.Ref
 	open    bool // with core
@@ -203,7 +203,7 @@
 }
 
 // ask puts a shard's read to the decision module.
-func (s *paged) ask(a run.Action) {
+func (s *paged) ask(a execution.Action) {
 	g, e := s.g, s.g.e
 	g.seq++
 	x := &shardRead{s: s, a: a, open: true}
@@ -235,7 +235,7 @@
 // Refused is platform.Client's.
 func (x *shardRead) Refused(retryMs float64) {
 	x.answered("refused", false)
-	x.s.event(func(now float64) []run.Action { return x.s.run.Refused(x.a.Shard, x.a.Try, retryMs, now) })
+	x.s.event(func(now float64) []execution.Action { return x.s.run.Refused(x.a.Shard, x.a.Try, retryMs, now) })
 }
 
 // Failed is platform.Client's.
@@ -250,7 +250,7 @@
 }
 
 func (x *shardRead) broke(why string, again bool) {
-	x.s.event(func(now float64) []run.Action { return x.s.run.Broke(x.a.Shard, x.a.Try, why, again, now) })
+	x.s.event(func(now float64) []execution.Action { return x.s.run.Broke(x.a.Shard, x.a.Try, why, again, now) })
 }
 
 // holds keeps an attempt that has a connection until the word to send; false where it has come.
@@ -261,7 +261,7 @@
 	a.held, a.slife = true, a.st.life
 	a.st.busy[a] = true
 	x.held = a
-	x.s.event(func(now float64) []run.Action { return x.s.run.Granted(x.a.Shard, x.a.Try, now) })
+	x.s.event(func(now float64) []execution.Action { return x.s.run.Granted(x.a.Shard, x.a.Try, now) })
 	return true
 }
 
@@ -349,8 +349,8 @@
 	a.p.wear.Note(e.s.now, a.rest, false)
 	st.free()
 	a.end(a.rows.o)
-	s.event(func(now float64) []run.Action { return s.run.Ended(x.a.Shard, x.a.Try, now) })
-	s.event(func(now float64) []run.Action {
+	s.event(func(now float64) []execution.Action { return s.run.Ended(x.a.Shard, x.a.Try, now) })
+	s.event(func(now float64) []execution.Action {
 		return s.run.Settled(x.a.Shard, x.a.Try, int64(a.rows.o.Position), now)
 	})
 }
@@ -381,7 +381,7 @@
 		key, _ = o.Columns[i].Append(key, sorted.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // whole numbers
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(row[0].(int64)))
-	s.event(func(now float64) []run.Action { return s.run.Row(x.a.Shard, x.a.Try, key, own, body, now) })
+	s.event(func(now float64) []execution.Action { return s.run.Row(x.a.Shard, x.a.Try, key, own, body, now) })
 }
 
 // giveUp ends a part for the run. An answer that has begun was served, as far as it was wanted.
