--- a/internal/frontend/scatter/bind/bind.go
+++ b/internal/frontend/scatter/bindmessage/bind.go
@@ -1,7 +1,7 @@
-// Package bind reads what a Bind message has behind its names, and writes it again with more values behind the client's own. It is
+// Package bindmessage reads what a Bind message has behind its names, and writes it again with more values behind the client's own. It is
 // told bytes and tells bytes; it knows no connection, nor what a value means. It takes 1000 parameters at most and copies what it keeps,
 // so it holds as much as the message it was told.
-package bind
+package bindmessage
 
 import (
 	"encoding/binary"
--- a/internal/frontend/scatter/bind/bind_test.go
+++ b/internal/frontend/scatter/bindmessage/bind_test.go
@@ -1,4 +1,4 @@
-package bind
+package bindmessage
 
 import (
 	"encoding/binary"
--- a/internal/frontend/scatter/scatter.go
+++ b/internal/frontend/scatter/scatter.go
@@ -8,7 +8,7 @@
 
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/pooling/sessionstate"
-	"beechgrade/internal/frontend/scatter/bind"
+	"beechgrade/internal/frontend/scatter/bindmessage"
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/frontend/scatter/plan"
@@ -58,7 +58,7 @@
 	asked  plan.Asked
 	who    Who
 	types  []byte
-	bind   bind.Values
+	bind   bindmessage.Values
 	bound  cursor.Bound
 	due    float64
 	reader Reader
@@ -83,7 +83,7 @@
 	now, spec := f.loop.Now(), &f.opt.Specs[no]
 	s := &Scatter{f: f, spec: spec, no: no, set: spec.Run(), asked: a, who: who, types: types, reader: r}
 	var err error
-	if s.bind, err = bind.Read(params); err != nil {
+	if s.bind, err = bindmessage.Read(params); err != nil {
 		return nil, err
 	}
 	page := a.Page
