--- a/cmd/beechgrade-kit/alone_test.go
+++ b/cmd/beechgrade-kit/alone_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/clients"
 	database "beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/membership/discovery"
 )
 
 // alone is one daemon, started and killed by a test, before stand-ins for servers and discovery.
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -24,8 +24,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"beechgrade/internal/config"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/standin/house"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/settings"
 )
 
--- a/cmd/beechgrade/figures_test.go
+++ b/cmd/beechgrade/figures_test.go
@@ -15,7 +15,7 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
-	"beechgrade/internal/membership/discovery"
+	"beechgrade/internal/endpoints/discovery"
 )
 
 // clientFigures is the prefix of the figures of clients' connections, which have tests of their own: how many are connected depends on
--- a/cmd/beechgrade/life.go
+++ b/cmd/beechgrade/life.go
@@ -9,10 +9,10 @@
 	"strconv"
 
 	"beechgrade/internal/admin"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/lifecycle"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/record/recordpb"
 )
--- a/cmd/beechgrade/members.go
+++ b/cmd/beechgrade/members.go
@@ -9,10 +9,10 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/membership"
-	"beechgrade/internal/membership/consul"
-	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/membership/judge"
+	"beechgrade/internal/endpoints"
+	"beechgrade/internal/endpoints/consul"
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/settings"
 )
 
@@ -20,15 +20,15 @@
 // platform's discovery.
 type sources struct {
 	set     settings.Membership
-	members *membership.Members
+	members *endpoints.Members
 	consul  *consul.Source // nil for none
 }
 
 // news is what the sources' files hold.
 type news struct {
 	token    string
-	override judge.Override
-	static   *judge.Report // nil where it could not be read, or there is none
+	override reconcile.Override
+	static   *reconcile.Report // nil where it could not be read, or there is none
 }
 
 // useMembers has the list made of several sources, where the settings have it so.
@@ -37,7 +37,7 @@
 		return
 	}
 	s := &sources{set: set}
-	s.members = membership.New(p.loop, p.log, set.Members, p.core, &p.cfg.Known)
+	s.members = endpoints.New(p.loop, p.log, set.Members, p.core, &p.cfg.Known)
 	if set.Consul != nil {
 		opt := *set.Consul
 		opt.Seed = p.cfg.Seed
@@ -89,7 +89,7 @@
 		s.consul.SetToken(n.token)
 	}
 	if n.static != nil {
-		s.members.Heard(membership.Static, n.static)
+		s.members.Heard(endpoints.Static, n.static)
 	}
 	s.members.Override(n.override)
 }
@@ -97,7 +97,7 @@
 const maxStatic = 16 << 20
 
 // readStatic reads a list in the platform's form, whole.
-func readStatic(path string) (*judge.Report, error) {
+func readStatic(path string) (*reconcile.Report, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("static list: %w", err)
@@ -112,7 +112,7 @@
 		return nil, fmt.Errorf("static list %s: %s", path, strings.Join(strings.Fields(err.Error()), " "))
 	}
 	l.Reset, l.Generation = true, 0
-	return membership.ReportOf(&l), nil
+	return endpoints.ReportOf(&l), nil
 }
 
 // stop ends the sources' goroutines.
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -16,13 +16,13 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 
 	"beechgrade/internal/config"
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/endpoints/reconcile"
+	"beechgrade/internal/endpoints/snapshot"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/membership/judge"
-	"beechgrade/internal/membership/snapshot"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/settings"
 )
@@ -178,8 +178,8 @@
 	}
 }
 
-func (w *membersWorld) entry(id string) judge.Entry {
-	got := make(chan judge.Entry, 1)
+func (w *membersWorld) entry(id string) reconcile.Entry {
+	got := make(chan reconcile.Entry, 1)
 	w.p.loop.Post(func() {
 		e, _ := w.p.sources.members.Entry(id)
 		got <- e
--- a/cmd/beechgrade/peer_test.go
+++ b/cmd/beechgrade/peer_test.go
@@ -16,8 +16,8 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/protocol/pgwire"
 )
 
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -9,9 +9,9 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/config"
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/endpoints/snapshot"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/membership/snapshot"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/snapshots"
 	"beechgrade/internal/storage/store"
--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -16,7 +16,7 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
-	"beechgrade/internal/membership/discovery"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/protocol/pgwire"
 )
 
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -13,9 +13,9 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/config"
+	"beechgrade/internal/endpoints/snapshot"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/lifecycle/handover"
-	"beechgrade/internal/membership/snapshot"
 	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/credit/ledger"
 	"beechgrade/internal/peers/credit/purse"
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/lifecycle/handover"
-	"beechgrade/internal/membership/discovery"
 
 	"golang.org/x/sys/unix"
 )
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/lifecycle/handover"
-	"beechgrade/internal/membership/discovery"
 )
 
 // listCall is a call to a scripted discovery. It shows signs of life until the test ends it.
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -15,10 +15,10 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/lifecycle/handover"
-	"beechgrade/internal/membership/discovery"
 )
 
 // upgrade is a socket that processes share, the folder between them, and a discovery whose watches say what is put into lines;
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -21,7 +21,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/membership/discovery"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/protocol/pgwire"
 )
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,7 +18,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/membership/discovery"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/protocol/simulator"
 )
 
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -10,11 +10,11 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/peers/credit/purse"
 )
 
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -8,9 +8,9 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/membership/discovery"
 )
 
 // hand is a loop whose time tests set.
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -3,8 +3,8 @@
 import (
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/record/recordpb"
 )
 
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -9,10 +9,10 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/membership/discovery"
 )
 
 type still struct{}
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -6,9 +6,9 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 )
--- a/internal/core/sends_test.go
+++ b/internal/core/sends_test.go
@@ -11,10 +11,10 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/membership/discovery"
 )
 
 // dials are servers to which no connection is up yet: what is sent waits, in its order.
--- a/internal/core/witness_test.go
+++ b/internal/core/witness_test.go
@@ -9,9 +9,9 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/membership/discovery"
 )
 
 // probing are servers that keep what they are asked.
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -2,8 +2,8 @@
 
 import (
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/membership/discovery"
 )
 
 // Geography receives where servers are, what is asked, and how attempts ended, for the fleet to plan which zone serves what.
--- a/internal/membership/consul/consul_test.go
+++ b/internal/endpoints/consul/consul_test.go
@@ -21,9 +21,9 @@
 	"github.com/hashicorp/consul/api"
 	"pgregory.net/rapid"
 
+	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/standin/agent"
-	"beechgrade/internal/membership/judge"
 	"beechgrade/internal/steady"
 )
 
@@ -32,13 +32,13 @@
 // heard is a sink that a test can wait for.
 type heard struct {
 	mu    sync.Mutex
-	list  map[string]judge.Claim
+	list  map[string]reconcile.Claim
 	notes []string
 	lost  []string
 	news  chan struct{}
 }
 
-func (h *heard) Heard(_ string, r *judge.Report) {
+func (h *heard) Heard(_ string, r *reconcile.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range r.Claims {
@@ -57,7 +57,7 @@
 	h.tell()
 }
 
-func (h *heard) Noted(_ string, w judge.What, why string) {
+func (h *heard) Noted(_ string, w reconcile.What, why string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.notes = append(h.notes, string(w)+": "+why)
@@ -108,7 +108,7 @@
 
 // watch starts agents before a catalogue of three instances, and a source that watches them.
 func watch(t *testing.T, agents int, change func(*Options)) *world {
-	w := &world{catalog: agent.NewCatalog(), heard: &heard{list: map[string]judge.Claim{}, news: make(chan struct{}, 1)}}
+	w := &world{catalog: agent.NewCatalog(), heard: &heard{list: map[string]reconcile.Claim{}, news: make(chan struct{}, 1)}}
 	opt := Options{Name: "consul", Services: []string{"db"}, Wait: 30000, MaxStale: 10000, MostBytes: 1 << 20, Map: DefaultMapping(), Seed: 1}
 	for range agents {
 		a, err := agent.Start(w.catalog)
@@ -146,9 +146,9 @@
 		x := instance(1)
 		x.Maintenance, x.Meta["role"], x.Meta["started"], x.Weight = true, "primary", "1700000000", 3
 		w.catalog.Change("db", []agent.Instance{x})
-		want := judge.Claim{ID: "db-1", Address: "10.0.0.1:5432", Zone: "dc1", Weight: 3, Started: 1.7e12, Health: judge.Maintenance, Role: judge.Primary}
+		want := reconcile.Claim{ID: "db-1", Address: "10.0.0.1:5432", Zone: "dc1", Weight: 3, Started: 1.7e12, Health: reconcile.Maintenance, Role: reconcile.Primary}
 		if catalog {
-			want.Health = judge.Passing
+			want.Health = reconcile.Passing
 		}
 		w.until(t, "the change", func() bool { return cmp.Equal(want, w.list["db-1"]) })
 		w.catalog.Change("db", nil, "db-0")
@@ -365,15 +365,15 @@
 	m := DefaultMapping()
 	m.Group, m.Role, m.Zone, m.Kind, m.Weight, m.Started = From{"tag", "cell="}, From{Kind: "tag"}, From{"node-meta", "rack"}, From{"const", "k"}, From{"meta", "w"}, From{"meta", "up"}
 	c, err := m.Claim(&x)
-	if diff := cmp.Diff(judge.Claim{ID: "i", Address: "10.1.1.1:5432", Group: 4, Zone: "r2", Kind: "k", Weight: 2.5, Started: 1.7e12, Role: judge.Primary}, c); err != nil || diff != "" {
+	if diff := cmp.Diff(reconcile.Claim{ID: "i", Address: "10.1.1.1:5432", Group: 4, Zone: "r2", Kind: "k", Weight: 2.5, Started: 1.7e12, Role: reconcile.Primary}, c); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 	m = DefaultMapping()
 	m.Group, m.Groups, m.Role = From{Kind: "service"}, map[string]string{"obra-2": "9"}, From{"tag", "v"}
-	if c, err = m.Claim(&x); err != nil || c.Group != 9 || c.Weight != 7 || c.Zone != "recife" || c.Role != judge.RoleUnknown {
+	if c, err = m.Claim(&x); err != nil || c.Group != 9 || c.Weight != 7 || c.Zone != "recife" || c.Role != reconcile.RoleUnknown {
 		t.Errorf("%+v %v", c, err)
 	}
-	x.Health = judge.Warning
+	x.Health = reconcile.Warning
 	if c, _ = m.Claim(&x); c.Weight != 2 {
 		t.Errorf("weight %v", c.Weight)
 	}
--- a/internal/membership/consul/mapping.go
+++ b/internal/endpoints/consul/mapping.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"beechgrade/internal/membership/judge"
+	"beechgrade/internal/endpoints/reconcile"
 )
 
 // From says where a field of a server comes from.
@@ -68,8 +68,8 @@
 }
 
 // Claim is what an instance says of a server.
-func (m *Mapping) Claim(x *Instance) (judge.Claim, error) {
-	c := judge.Claim{Health: x.Health, Weight: 1}
+func (m *Mapping) Claim(x *Instance) (reconcile.Claim, error) {
+	c := reconcile.Claim{Health: x.Health, Weight: 1}
 	host := x.Address
 	if host == "" {
 		host = x.NodeAddress
@@ -104,7 +104,7 @@
 
 func (m *Mapping) weight(x *Instance) float64 {
 	if m.Weight.Kind == "weights" {
-		if x.Health == judge.Warning && x.Weights.Warning > 0 {
+		if x.Health == reconcile.Warning && x.Weights.Warning > 0 {
 			return float64(x.Weights.Warning)
 		}
 		return float64(max(1, x.Weights.Passing))
@@ -117,31 +117,31 @@
 	return 1
 }
 
-func (m *Mapping) role(x *Instance) judge.Role {
+func (m *Mapping) role(x *Instance) reconcile.Role {
 	if m.Role.Kind == "tag" && m.Role.Key == "" { // a tag by itself is the role
 		for _, t := range x.Tags {
-			if r := m.word(t); r != judge.RoleUnknown {
+			if r := m.word(t); r != reconcile.RoleUnknown {
 				return r
 			}
 		}
-		return judge.RoleUnknown
+		return reconcile.RoleUnknown
 	}
 	text, _ := m.Role.get(x)
 	return m.word(text)
 }
 
-func (m *Mapping) word(text string) judge.Role {
+func (m *Mapping) word(text string) reconcile.Role {
 	for _, w := range m.Primary {
 		if strings.EqualFold(w, text) {
-			return judge.Primary
+			return reconcile.Primary
 		}
 	}
 	for _, w := range m.Replica {
 		if strings.EqualFold(w, text) {
-			return judge.Replica
+			return reconcile.Replica
 		}
 	}
-	return judge.RoleUnknown
+	return reconcile.RoleUnknown
 }
 
 // start reads a time in Unix seconds, milliseconds, or as RFC 3339 has it; 0 where it cannot be read.
--- a/internal/membership/consul/parse.go
+++ b/internal/endpoints/consul/parse.go
@@ -8,7 +8,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/membership/judge"
+	"beechgrade/internal/endpoints/reconcile"
 )
 
 // Instance is a service's instance, as the health and the catalogue API tell of it.
@@ -20,7 +20,7 @@
 	Tags                          []string
 	Meta                          map[string]string
 	Weights                       Weights
-	Health                        judge.Health
+	Health                        reconcile.Health
 	Notes                         string // ids of the checks that are not passing
 }
 
@@ -119,16 +119,16 @@
 	x := Instance{Node: e.Node.Node, NodeAddress: e.Node.Address, Datacenter: e.Node.Datacenter, NodeMeta: e.Node.Meta, ID: e.Service.ID, Service: e.Service.Service,
 		Address: e.Service.Address, Port: e.Service.Port, Tags: e.Service.Tags, Meta: e.Service.Meta, Weights: e.Service.Weights}
 	for _, c := range e.Checks {
-		h := judge.Passing
+		h := reconcile.Passing
 		switch c.Status {
 		case "passing":
 			continue
 		case "warning":
-			h = judge.Warning
+			h = reconcile.Warning
 		default: // also what is not known: not passing, in any case
-			h = judge.Critical
+			h = reconcile.Critical
 			if c.CheckID == nodeMaintenance || strings.HasPrefix(c.CheckID, serviceMaintenance) {
-				h = judge.Maintenance
+				h = reconcile.Maintenance
 			}
 		}
 		x.Health = max(x.Health, h)
--- a/internal/membership/consul/source.go
+++ b/internal/endpoints/consul/source.go
@@ -23,7 +23,7 @@
 	"sync/atomic"
 	"time"
 
-	"beechgrade/internal/membership/judge"
+	"beechgrade/internal/endpoints/reconcile"
 )
 
 // Options say what is watched where. Times are in milliseconds.
@@ -47,9 +47,9 @@
 
 // Sink is told of what the source hears. Its calls come one at a time, through Post.
 type Sink interface {
-	Heard(source string, r *judge.Report)
-	Lost(source, why string)                       // no agent answers for any service
-	Noted(source string, w judge.What, why string) // something that may be of interest
+	Heard(source string, r *reconcile.Report)
+	Lost(source, why string)                           // no agent answers for any service
+	Noted(source string, w reconcile.What, why string) // something that may be of interest
 }
 
 // Source is the watches over all services.
@@ -109,7 +109,7 @@
 	for i, name := range s.opt.Services {
 		again := make(chan struct{}, 1)
 		s.again = append(s.again, again)
-		w := &watcher{s: s, service: name, again: again, last: map[string]judge.Claim{},
+		w := &watcher{s: s, service: name, again: again, last: map[string]reconcile.Claim{},
 			plan: NewWatch(len(s.opt.Agents), s.opt.Wait, s.opt.MaxStale, rand.New(rand.NewPCG(s.opt.Seed, uint64(i))).Float64)}
 		s.wg.Add(1)
 		go func() {
@@ -137,7 +137,7 @@
 	service string
 	plan    *Watch
 	again   chan struct{}
-	last    map[string]judge.Claim
+	last    map[string]reconcile.Claim
 	said    string // of what could not be used
 	why     string // noted last...
 	whyAt   float64
@@ -180,7 +180,9 @@
 	if now := s.now(); v.Why != "" && (v.Why != w.why || now-w.whyAt > sameAgain) {
 		w.why, w.whyAt = v.Why, now
 		s.log.Info("consul", "service", w.service, "agent", s.opt.Agents[q.Agent], "why", v.Why)
-		s.tell(func() { s.sink.Noted(s.opt.Name, judge.NotBelieved, w.service+" at "+s.opt.Agents[q.Agent]+": "+v.Why) })
+		s.tell(func() {
+			s.sink.Noted(s.opt.Name, reconcile.NotBelieved, w.service+" at "+s.opt.Agents[q.Agent]+": "+v.Why)
+		})
 	}
 	if w.plan.Lost() {
 		s.mu.Lock()
@@ -190,7 +192,7 @@
 		if all {
 			s.tell(func() { s.sink.Lost(s.opt.Name, v.Why) })
 		} else {
-			s.tell(func() { s.sink.Noted(s.opt.Name, judge.SourceLost, "of "+w.service+": "+v.Why) })
+			s.tell(func() { s.sink.Noted(s.opt.Name, reconcile.SourceLost, "of "+w.service+": "+v.Why) })
 		}
 	}
 }
@@ -287,8 +289,8 @@
 	s.told[w.service] = true
 	more := len(s.told) < len(s.opt.Services)
 	s.mu.Unlock()
-	next := make(map[string]judge.Claim, len(list))
-	r := &judge.Report{Age: age, More: more}
+	next := make(map[string]reconcile.Claim, len(list))
+	r := &reconcile.Report{Age: age, More: more}
 	bad, why := 0, ""
 	for i := range list {
 		c, err := s.opt.Map.Claim(&list[i])
@@ -308,7 +310,9 @@
 			r.Claims = append(r.Claims, c)
 		}
 	}
-	slices.SortFunc(r.Claims, func(a, b judge.Claim) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(b.Started, a.Started)) })
+	slices.SortFunc(r.Claims, func(a, b reconcile.Claim) int {
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(b.Started, a.Started))
+	})
 	for id := range w.last {
 		if _, ok := next[id]; !ok {
 			r.Removed = append(r.Removed, id)
@@ -319,7 +323,7 @@
 	if said := fmt.Sprintf("%s: %d of %d instances cannot be used, such as %s", w.service, bad, len(list), why); bad > 0 && said != w.said {
 		w.said = said
 		s.log.Warn("consul", "why", said)
-		s.tell(func() { s.sink.Noted(s.opt.Name, judge.NotBelieved, said) })
+		s.tell(func() { s.sink.Noted(s.opt.Name, reconcile.NotBelieved, said) })
 	}
 	s.tell(func() { s.sink.Heard(s.opt.Name, r) })
 }
--- a/internal/membership/members.go
+++ b/internal/endpoints/members.go
@@ -1,17 +1,17 @@
-// Package membership joins the sources of the server list to the core: what they say goes to the judge, and what that makes
+// Package endpoints joins the sources of the server list to the core: what they say goes to the judge, and what that makes
 // of it to the core, the log, the records and the snapshot's file.
-package membership
+package endpoints
 
 import (
 	"fmt"
 	"log/slog"
 	"math"
 
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/endpoints/reconcile"
+	"beechgrade/internal/endpoints/snapshot"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/membership/judge"
-	"beechgrade/internal/membership/snapshot"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 )
@@ -39,7 +39,7 @@
 
 // Options say what the list is made of.
 type Options struct {
-	Judge    judge.Settings
+	Judge    reconcile.Settings
 	Platform bool           // the platform's discovery is a source
 	Snapshot string         // a file, empty for none
 	Saver    snapshot.Saver // in place of a file where there is none; nil for none
@@ -50,7 +50,7 @@
 	loop   Loop
 	log    *slog.Logger
 	opt    Options
-	judge  *judge.Judge
+	judge  *reconcile.Judge
 	events discovery.Events
 	dir    Directory // nil where the platform's discovery is none
 	rec    *record.Recorder
@@ -74,8 +74,8 @@
 		m.due[s] = true
 	}
 	opt.Judge.Sources = append(append([]string(nil), opt.Judge.Sources...), Known)
-	m.judge = judge.New(opt.Judge)
-	r := &judge.Report{Whole: true}
+	m.judge = reconcile.New(opt.Judge)
+	r := &reconcile.Report{Whole: true}
 	for i := range known.Instances {
 		if c, ok := claimOf(&known.Instances[i]); ok {
 			r.Claims = append(r.Claims, c)
@@ -138,8 +138,8 @@
 }
 
 // ReportOf is what a list in the platform's form says.
-func ReportOf(l *discovery.List) *judge.Report {
-	r := &judge.Report{Whole: l.Reset, Generation: l.Generation}
+func ReportOf(l *discovery.List) *reconcile.Report {
+	r := &reconcile.Report{Whole: l.Reset, Generation: l.Generation}
 	for i := range l.Instances {
 		n := &l.Instances[i]
 		if n.Lifecycle == "removed" {
@@ -158,7 +158,7 @@
 }
 
 // Heard is consul.Sink's.
-func (m *Members) Heard(source string, r *judge.Report) {
+func (m *Members) Heard(source string, r *reconcile.Report) {
 	now := m.loop.Now()
 	m.recordSaid(source, r)
 	if m.judge.Heard(now, source, r) && source == Platform {
@@ -181,19 +181,19 @@
 }
 
 // Noted is consul.Sink's.
-func (m *Members) Noted(source string, w judge.What, why string) {
+func (m *Members) Noted(source string, w reconcile.What, why string) {
 	m.judge.Noted(m.loop.Now(), source, w, why)
 	m.publish()
 }
 
 // ServerReported is core.ReportSink's: what a server said of itself in an answer or a probe's.
 func (m *Members) ServerReported(server string, primary, replica bool, position float64) {
-	w := judge.Word{Position: position}
+	w := reconcile.Word{Position: position}
 	switch {
 	case primary:
-		w.Role = judge.Primary
+		w.Role = reconcile.Primary
 	case replica:
-		w.Role = judge.Replica
+		w.Role = reconcile.Replica
 	}
 	if m.judge.Told(m.loop.Now(), server, w); m.ready && m.emit() { // most answers say nothing new
 		m.again()
@@ -201,7 +201,7 @@
 }
 
 // Override takes the operators' word.
-func (m *Members) Override(o judge.Override) {
+func (m *Members) Override(o reconcile.Override) {
 	m.judge.Override(m.loop.Now(), o)
 	m.publish()
 }
@@ -249,7 +249,7 @@
 }
 
 // tell logs and records judgements.
-func (m *Members) tell(said []judge.Judgement) {
+func (m *Members) tell(said []reconcile.Judgement) {
 	for i := range said {
 		g := &said[i]
 		m.log.Info("members", "what", string(g.What), "server", g.Server, "source", g.Source, "why", g.Why)
@@ -257,7 +257,7 @@
 	}
 }
 
-func (m *Members) recordSaid(source string, r *judge.Report) {
+func (m *Members) recordSaid(source string, r *reconcile.Report) {
 	if !m.rec.On() {
 		return
 	}
@@ -265,10 +265,10 @@
 	for i := range r.Claims {
 		c := &r.Claims[i]
 		m.rec.Put(&record.Event{At: now, Kind: recordpb.Kind_KIND_SAID, Server: c.ID, Group: int64(c.Group), Source: source, Health: uint8(c.Health), Role: uint8(c.Role),
-			Primary: c.Role == judge.Primary, Number: int64(c.Started), Text: c.Address})
+			Primary: c.Role == reconcile.Primary, Number: int64(c.Started), Text: c.Address})
 	}
 	for _, id := range r.Removed {
-		m.rec.Put(&record.Event{At: now, Kind: recordpb.Kind_KIND_SAID, Server: id, Source: source, State: uint8(judge.Gone)})
+		m.rec.Put(&record.Event{At: now, Kind: recordpb.Kind_KIND_SAID, Server: id, Source: source, State: uint8(reconcile.Gone)})
 	}
 }
 
@@ -299,33 +299,33 @@
 }
 
 // claimOf is what an entry of the platform's form says.
-func claimOf(n *discovery.Instance) (judge.Claim, bool) {
-	c := judge.Claim{ID: n.ID, Address: n.HostPort, Group: n.Cell, Zone: n.Zone, Kind: n.MachineType, Weight: n.Weight, Started: float64(n.StartedAtMs)}
+func claimOf(n *discovery.Instance) (reconcile.Claim, bool) {
+	c := reconcile.Claim{ID: n.ID, Address: n.HostPort, Group: n.Cell, Zone: n.Zone, Kind: n.MachineType, Weight: n.Weight, Started: float64(n.StartedAtMs)}
 	switch n.Role {
 	case "primary":
-		c.Role = judge.Primary
+		c.Role = reconcile.Primary
 	case "replica":
-		c.Role = judge.Replica
+		c.Role = reconcile.Replica
 	}
 	if n.Lifecycle == "draining" {
-		c.Health = judge.Maintenance
+		c.Health = reconcile.Maintenance
 	}
 	return c, n.ID != "" && n.HostPort != "" && n.Lifecycle != "removed"
 }
 
-func claimOfEntry(e *judge.Entry) judge.Claim {
-	c := judge.Claim{ID: e.ID, Address: e.Address, Group: e.Group, Zone: e.Zone, Kind: e.Kind, Weight: e.Weight, Started: e.Started}
-	if e.State == judge.Draining {
-		c.Health = judge.Maintenance
+func claimOfEntry(e *reconcile.Entry) reconcile.Claim {
+	c := reconcile.Claim{ID: e.ID, Address: e.Address, Group: e.Group, Zone: e.Zone, Kind: e.Kind, Weight: e.Weight, Started: e.Started}
+	if e.State == reconcile.Draining {
+		c.Health = reconcile.Maintenance
 	}
 	if e.Primary {
-		c.Role = judge.Primary
+		c.Role = reconcile.Primary
 	}
 	return c
 }
 
 // instanceOf is an entry of the list in the form that the core takes.
-func instanceOf(e *judge.Entry) discovery.Instance {
+func instanceOf(e *reconcile.Entry) discovery.Instance {
 	n := discovery.Instance{ID: e.ID, HostPort: e.Address, Zone: e.Zone, MachineType: e.Kind, Cell: e.Group, Weight: e.Weight, StartedAtMs: int64(e.Started),
 		Lifecycle: [...]string{"up", "draining", "removed"}[e.State]}
 	if n.Weight <= 0 {
@@ -338,7 +338,7 @@
 }
 
 // Entry is a server as the list has it.
-func (m *Members) Entry(id string) (judge.Entry, bool) { return m.judge.Entry(id) }
+func (m *Members) Entry(id string) (reconcile.Entry, bool) { return m.judge.Entry(id) }
 
 // Sum says in a line what the list holds.
 func (m *Members) Sum() string {
--- a/internal/membership/members_test.go
+++ b/internal/endpoints/members_test.go
@@ -1,4 +1,4 @@
-package membership
+package endpoints
 
 import (
 	"log/slog"
@@ -8,9 +8,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/membership/judge"
 )
 
 // rig is members on a loop that a test drives; it is discovery.Events too.
@@ -56,7 +56,7 @@
 
 func newRig(known []discovery.Instance, sources ...string) *rig {
 	r := &rig{now: 1e6, list: map[string]discovery.Instance{}}
-	r.Members = New(r, slog.New(slog.DiscardHandler), Options{Judge: judge.Defaults(sources...), Platform: slices.Contains(sources, Platform)}, events{r}, &discovery.List{Instances: known})
+	r.Members = New(r, slog.New(slog.DiscardHandler), Options{Judge: reconcile.Defaults(sources...), Platform: slices.Contains(sources, Platform)}, events{r}, &discovery.List{Instances: known})
 	for _, n := range r.Begin().Instances {
 		r.list[n.ID] = n
 	}
@@ -67,7 +67,9 @@
 	return discovery.Instance{ID: id, HostPort: id + ":5432", Lifecycle: "up", Weight: 1}
 }
 
-func claim(id string) judge.Claim { return judge.Claim{ID: id, Address: id + ":5432", Weight: 1} }
+func claim(id string) reconcile.Claim {
+	return reconcile.Claim{ID: id, Address: id + ":5432", Weight: 1}
+}
 
 // TestKnownUntilAllAreHeard: what was known at the start stands until each source has said all that it has, not just a part.
 func TestKnownUntilAllAreHeard(t *testing.T) {
@@ -75,10 +77,10 @@
 	var got []string
 	for _, step := range []func(){
 		func() {},
-		func() { r.Heard(Consul, &judge.Report{Claims: []judge.Claim{claim("a")}, More: true}) },
-		func() { r.Heard(Static, &judge.Report{Whole: true, Claims: []judge.Claim{claim("c")}}) },
-		func() { r.Heard(Consul, &judge.Report{Claims: []judge.Claim{claim("b")}}) },
-		func() { r.Heard(Consul, &judge.Report{Removed: []string{"b"}}) },
+		func() { r.Heard(Consul, &reconcile.Report{Claims: []reconcile.Claim{claim("a")}, More: true}) },
+		func() { r.Heard(Static, &reconcile.Report{Whole: true, Claims: []reconcile.Claim{claim("c")}}) },
+		func() { r.Heard(Consul, &reconcile.Report{Claims: []reconcile.Claim{claim("b")}}) },
+		func() { r.Heard(Consul, &reconcile.Report{Removed: []string{"b"}}) },
 	} {
 		step()
 		got = append(got, r.sum())
--- a/internal/membership/judge/api.go
+++ b/internal/endpoints/reconcile/api.go
@@ -1,4 +1,4 @@
-package judge
+package reconcile
 
 // Health is what a source says of a server's health.
 type Health uint8
--- a/internal/membership/judge/hear.go
+++ b/internal/endpoints/reconcile/hear.go
@@ -1,4 +1,4 @@
-package judge
+package reconcile
 
 import (
 	"fmt"
--- a/internal/membership/judge/judge.go
+++ b/internal/endpoints/reconcile/judge.go
@@ -1,6 +1,6 @@
-// Package judge makes one list of servers out of what several sources say of them and what the servers say of
+// Package reconcile makes one list of servers out of what several sources say of them and what the servers say of
 // themselves. It holds decisions only: no I/O, no clock, no goroutines. Times are in milliseconds on the pooler's clock.
-package judge
+package reconcile
 
 import (
 	"cmp"
--- a/internal/membership/snapshot/snapshot.go
+++ b/internal/endpoints/snapshot/snapshot.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 
-	"beechgrade/internal/membership/judge"
+	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/storage/atomicfile"
 )
 
@@ -22,8 +22,8 @@
 
 // File is what a snapshot's file holds.
 type File struct {
-	SavedMs float64       `json:"saved_ms"` // Unix ms
-	Entries []judge.Entry `json:"entries"`
+	SavedMs float64           `json:"saved_ms"` // Unix ms
+	Entries []reconcile.Entry `json:"entries"`
 }
 
 // Append writes a snapshot.
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	for i := range f.Entries {
-		if e := &f.Entries[i]; e.ID == "" || e.Address == "" || e.State > judge.Gone {
+		if e := &f.Entries[i]; e.ID == "" || e.Address == "" || e.State > reconcile.Gone {
 			return nil, fmt.Errorf("%w: entry %d", ErrForeign, i)
 		}
 	}
--- a/internal/membership/snapshot/snapshot_test.go
+++ b/internal/endpoints/snapshot/snapshot_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/membership/judge"
+	"beechgrade/internal/endpoints/reconcile"
 )
 
-var file = &File{SavedMs: 1.7e12, Entries: []judge.Entry{{ID: "a", Address: "10.0.0.1:5432", Group: 3, Zone: "z", Weight: 2, Started: 1e12, Primary: true}, {ID: "b\n", Address: "10.0.0.2:5432", State: judge.Draining}}}
+var file = &File{SavedMs: 1.7e12, Entries: []reconcile.Entry{{ID: "a", Address: "10.0.0.1:5432", Group: 3, Zone: "z", Weight: 2, Started: 1e12, Primary: true}, {ID: "b\n", Address: "10.0.0.2:5432", State: reconcile.Draining}}}
 
 // TestEveryCut: a file that ends too soon, or has a byte that is not its own, is not read; a whole one is.
 func TestEveryCut(t *testing.T) {
--- a/internal/kit/emulate/emulate.go
+++ b/internal/kit/emulate/emulate.go
@@ -10,6 +10,7 @@
 	"slices"
 	"time"
 
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
@@ -17,7 +18,6 @@
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/storage/journal"
 )
 
--- a/internal/kit/emulate/members.go
+++ b/internal/kit/emulate/members.go
@@ -6,12 +6,12 @@
 	"maps"
 	"slices"
 
+	"beechgrade/internal/endpoints"
+	"beechgrade/internal/endpoints/consul"
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/membership"
-	"beechgrade/internal/membership/consul"
-	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/membership/judge"
 )
 
 // agents are Consul's agents before the model's catalogue. What they say goes through the daemon's own judgement.
@@ -40,8 +40,8 @@
 	p     *pooler
 	life  uint32
 	plan  *consul.Watch
-	join  *membership.Members
-	last  map[string]judge.Claim
+	join  *endpoints.Members
+	last  map[string]reconcile.Claim
 	alias map[string]*world.Server // by the ids that the catalogue has
 }
 
@@ -119,13 +119,13 @@
 
 // newMember joins a pooler's list to the catalogue; its core is told what comes of it.
 func (p *pooler) newMember() *member {
-	m := &member{p: p, life: p.life, last: map[string]judge.Claim{}, alias: map[string]*world.Server{}}
-	set := judge.Defaults(membership.Consul)
+	m := &member{p: p, life: p.life, last: map[string]reconcile.Claim{}, alias: map[string]*world.Server{}}
+	set := reconcile.Defaults(endpoints.Consul)
 	if mu := p.e.opt.Mutant; mu != nil && mu.Judge != nil {
 		mu.Judge(&set)
 	}
 	m.plan = consul.NewWatch(len(p.e.agents.states), watchWaitMs, maxStaleMs, p.e.rng.Float64)
-	m.join = membership.New(memberLoop{lifeLoop{p, p.life}}, slog.New(slog.DiscardHandler), membership.Options{Judge: set}, listener{p, p.life}, &discovery.List{}) // it starts knowing nothing
+	m.join = endpoints.New(memberLoop{lifeLoop{p, p.life}}, slog.New(slog.DiscardHandler), endpoints.Options{Judge: set}, listener{p, p.life}, &discovery.List{}) // it starts knowing nothing
 	return m
 }
 
@@ -169,23 +169,23 @@
 	same := a.Index == q.Index && q.Index > 0 && list == nil
 	v := m.plan.Answered(e.s.now, q, a)
 	if m.plan.Lost() {
-		m.join.Lost(membership.Consul, v.Why)
+		m.join.Lost(endpoints.Consul, v.Why)
 	}
 	if v.Take && !same {
-		r := &judge.Report{Age: v.Age}
-		next := map[string]judge.Claim{}
+		r := &reconcile.Report{Age: v.Age}
+		next := map[string]reconcile.Claim{}
 		for i := range list {
 			x := &list[i]
 			m.alias[x.ID] = x.Server
-			c := judge.Claim{ID: x.ID, Address: x.Address, Group: x.Server.Group.ID, Zone: "room", Kind: "padrao-4", Weight: 1, Started: x.Started}
+			c := reconcile.Claim{ID: x.ID, Address: x.Address, Group: x.Server.Group.ID, Zone: "room", Kind: "padrao-4", Weight: 1, Started: x.Started}
 			if x.Critical {
-				c.Health = judge.Critical
+				c.Health = reconcile.Critical
 			}
 			if x.Maintenance {
-				c.Health = judge.Maintenance
+				c.Health = reconcile.Maintenance
 			}
-			if c.Role = judge.Replica; x.Role == "primary" {
-				c.Role = judge.Primary
+			if c.Role = reconcile.Replica; x.Role == "primary" {
+				c.Role = reconcile.Primary
 			}
 			next[c.ID] = c
 			if old, ok := m.last[c.ID]; !ok || old != c {
@@ -198,7 +198,7 @@
 			}
 		}
 		m.last = next
-		m.join.Heard(membership.Consul, r)
+		m.join.Heard(endpoints.Consul, r)
 	}
 	m.ask()
 }
--- a/internal/kit/emulate/mutants.go
+++ b/internal/kit/emulate/mutants.go
@@ -6,11 +6,11 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/membership/judge"
 	"beechgrade/internal/peers/overload/joined"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/quota"
@@ -27,7 +27,7 @@
 	List     func(l *discovery.List)                              // what it is told of the list
 	Answer   func(e *Emulation, v *visit, kind clients.Kind) bool // in place of an answer, where it returns false
 	World    func(w *world.World)
-	Judge    func(s *judge.Settings)                        // what its judge of the server list goes by
+	Judge    func(s *reconcile.Settings)                    // what its judge of the server list goes by
 	View     func(s *view.Settings)                         // how its view of the fleet is kept
 	Peer     func(x *peer, ev view.Event) bool              // what its view is told; nothing where it returns false
 	Quota    func(no int, s *quota.Settings)                // how it shares limits of the whole fleet
@@ -105,7 +105,7 @@
 			}
 		}},
 		{Name: "a server that takes writes after it was replaced", Breaks: check.PrimaryRan, World: func(w *world.World) { w.SplitBrain = true }},
-		{Name: "trusts the catalogue's word on roles", Breaks: check.NotDenied, Judge: func(s *judge.Settings) { s.TrustRoles = true }, Lists: true},
+		{Name: "trusts the catalogue's word on roles", Breaks: check.NotDenied, Judge: func(s *reconcile.Settings) { s.TrustRoles = true }, Lists: true},
 		{Name: "serves what no server made", Breaks: check.NoInvented, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
 			if kind == clients.Served && v.id%64 == 0 {
 				v.answer = []byte("cached")
--- a/internal/kit/emulate/pooler.go
+++ b/internal/kit/emulate/pooler.go
@@ -6,10 +6,10 @@
 
 	"beechgrade/internal/backend/idletimeout"
 	"beechgrade/internal/core"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/peers/view"
 	"beechgrade/internal/settings"
--- a/internal/kit/emulate/watch.go
+++ b/internal/kit/emulate/watch.go
@@ -1,8 +1,8 @@
 package emulate
 
 import (
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/membership/discovery"
 )
 
 // Watch is core.Directory's.
--- a/internal/kit/emulate/ways_test.go
+++ b/internal/kit/emulate/ways_test.go
@@ -4,9 +4,9 @@
 	"slices"
 	"testing"
 
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/membership/discovery"
 )
 
 // TestWaysToServers: who is cut off from all servers serves nobody, on a thin way much is lost, and others do not notice; in another
--- a/internal/kit/emulate/zones_oracle.go
+++ b/internal/kit/emulate/zones_oracle.go
@@ -5,9 +5,9 @@
 	"slices"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/zones/follow"
 	"beechgrade/internal/peers/zones/plan"
--- a/internal/kit/fleet/directory.go
+++ b/internal/kit/fleet/directory.go
@@ -9,7 +9,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/membership/discovery"
+	"beechgrade/internal/endpoints/discovery"
 )
 
 const aliveEvery = 2 * time.Second
--- a/internal/kit/fleet/doors.go
+++ b/internal/kit/fleet/doors.go
@@ -6,7 +6,7 @@
 	"net"
 	"slices"
 
-	"beechgrade/internal/membership/discovery"
+	"beechgrade/internal/endpoints/discovery"
 )
 
 // doors are addresses that each pooler has for itself, of every server and of the list: by them the stand-ins know who calls, and what
--- a/internal/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/membership/discovery"
 )
 
 // What the model calls its parts.
--- a/internal/kit/members/pace/pace.go
+++ b/internal/kit/members/pace/pace.go
@@ -15,13 +15,13 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"beechgrade/internal/endpoints"
+	"beechgrade/internal/endpoints/consul"
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/standin/agent"
-	"beechgrade/internal/membership"
-	"beechgrade/internal/membership/consul"
-	"beechgrade/internal/membership/discovery"
-	"beechgrade/internal/membership/judge"
 )
 
 // Result is a measurement. Processor times are of this whole process: the stand-in's part is in them.
@@ -165,9 +165,9 @@
 	l := &loop{clk: clk, tasks: make(chan func(), 1024), took: hdrhistogram.New(1, 60_000_000, 3)}
 	go l.run(ctx)
 	was, goroutines := heap(), runtime.NumGoroutine()
-	m := membership.New(l, slog.New(slog.DiscardHandler), membership.Options{Judge: judge.Defaults(membership.Consul)}, k, &discovery.List{})
+	m := endpoints.New(l, slog.New(slog.DiscardHandler), endpoints.Options{Judge: reconcile.Defaults(endpoints.Consul)}, k, &discovery.List{})
 	m.Begin()
-	opt := consul.Options{Name: membership.Consul, Agents: []string{a.Addr}, Wait: 20000, MaxStale: 10000, MostBytes: 64 << 20, Map: consul.DefaultMapping(), Seed: 1}
+	opt := consul.Options{Name: endpoints.Consul, Agents: []string{a.Addr}, Wait: 20000, MaxStale: 10000, MostBytes: 64 << 20, Map: consul.DefaultMapping(), Seed: 1}
 	for i := range services {
 		opt.Services = append(opt.Services, name(i))
 	}
--- a/internal/kit/rehearse/daemon.go
+++ b/internal/kit/rehearse/daemon.go
@@ -14,9 +14,9 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/settings"
 )
 
--- a/internal/kit/scenario/settings.go
+++ b/internal/kit/scenario/settings.go
@@ -8,8 +8,8 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/config"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/membership/discovery"
 )
 
 // ConnectMs is the poolers' connect time-out.
--- a/internal/kit/world/directory.go
+++ b/internal/kit/world/directory.go
@@ -1,6 +1,6 @@
 package world
 
-import "beechgrade/internal/membership/discovery"
+import "beechgrade/internal/endpoints/discovery"
 
 const keepHistory = 4096
 
--- a/internal/lifecycle/handover/handover.go
+++ b/internal/lifecycle/handover/handover.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/storage/atomicfile"
 )
 
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/membership/discovery"
 )
 
 func state(at float64) *State {
--- a/internal/peers/verdicts/joined/joined.go
+++ b/internal/peers/verdicts/joined/joined.go
@@ -6,8 +6,8 @@
 
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/membership/discovery"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/verdicts"
 	"beechgrade/internal/peers/view"
--- a/internal/peers/zones/joined/joined.go
+++ b/internal/peers/zones/joined/joined.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/membership/discovery"
+	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/zones"
--- a/internal/settings/membership.go
+++ b/internal/settings/membership.go
@@ -10,16 +10,16 @@
 	"slices"
 	"strings"
 
-	"beechgrade/internal/membership"
-	"beechgrade/internal/membership/consul"
-	"beechgrade/internal/membership/judge"
+	"beechgrade/internal/endpoints"
+	"beechgrade/internal/endpoints/consul"
+	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/sexp"
 )
 
 // Membership says what the list of servers is made of. Without it, the platform's discovery is the list.
 type Membership struct {
 	On        bool
-	Members   membership.Options
+	Members   endpoints.Options
 	Consul    *consul.Options // nil for none
 	TokenFile string
 	Static    string // a file of the platform's form, read at the start and at each reload
@@ -34,7 +34,7 @@
 	m.On = true
 	var rank []string
 	var rankAt *sexp.Node
-	j := judge.Defaults()
+	j := reconcile.Defaults()
 	path := func(to *string) func(*sexp.Node) error {
 		return func(n *sexp.Node) error {
 			text, err := n.Str()
@@ -56,7 +56,7 @@
 		"rank": func(n *sexp.Node) error {
 			rankAt = n
 			for _, a := range n.Args() {
-				if a.Kind == sexp.List || !slices.Contains([]string{membership.Platform, membership.Consul, membership.Static}, a.Text) || slices.Contains(rank, a.Text) {
+				if a.Kind == sexp.List || !slices.Contains([]string{endpoints.Platform, endpoints.Consul, endpoints.Static}, a.Text) || slices.Contains(rank, a.Text) {
 					return a.Errorf("(rank ...) takes platform, consul and static, each once at most, the first before the others")
 				}
 				rank = append(rank, a.Text)
@@ -70,7 +70,7 @@
 		"flaps": func(n *sexp.Node) error { return flaps(n, &j) },
 		"critical": func(n *sexp.Node) error {
 			x, err := n.One()
-			ways := map[string]judge.OnCritical{"doubt": judge.Doubt, "drains": judge.Drains, "ignore": judge.Ignore}
+			ways := map[string]reconcile.OnCritical{"doubt": reconcile.Doubt, "drains": reconcile.Drains, "ignore": reconcile.Ignore}
 			way, ok := ways[""], false
 			if err == nil {
 				way, ok = ways[x.Text]
@@ -86,7 +86,7 @@
 		return err
 	}
 	var sources []string
-	for name, on := range map[string]bool{membership.Platform: m.Members.Platform, membership.Consul: m.Consul != nil, membership.Static: m.Static != ""} {
+	for name, on := range map[string]bool{endpoints.Platform: m.Members.Platform, endpoints.Consul: m.Consul != nil, endpoints.Static: m.Static != ""} {
 		if on {
 			sources = append(sources, name)
 		}
@@ -110,11 +110,11 @@
 	if i := slices.Index(rank, name); i >= 0 {
 		return i
 	}
-	return 10 + slices.Index([]string{membership.Platform, membership.Consul, membership.Static}, name)
+	return 10 + slices.Index([]string{endpoints.Platform, endpoints.Consul, endpoints.Static}, name)
 }
 
 // mass reads (mass PART LEAST WITHIN HOLD), or (mass no).
-func mass(n *sexp.Node, j *judge.Settings) (err error) {
+func mass(n *sexp.Node, j *reconcile.Settings) (err error) {
 	a := n.Args()
 	if len(a) == 1 && a[0].Text == "no" {
 		j.MassPart = 0
@@ -138,7 +138,7 @@
 }
 
 // flaps reads (flaps TIMES WITHIN STILL), or (flaps no).
-func flaps(n *sexp.Node, j *judge.Settings) (err error) {
+func flaps(n *sexp.Node, j *reconcile.Settings) (err error) {
 	a := n.Args()
 	if len(a) == 1 && a[0].Text == "no" {
 		j.FlapTimes = 0
@@ -159,7 +159,7 @@
 }
 
 func (m *Membership) consul(n *sexp.Node, env func(string) string, path func(*string) func(*sexp.Node) error) error {
-	o := &consul.Options{Name: membership.Consul, Wait: 20000, MaxStale: 10000, MostBytes: 16 << 20, Map: consul.DefaultMapping()}
+	o := &consul.Options{Name: endpoints.Consul, Wait: 20000, MaxStale: 10000, MostBytes: 16 << 20, Map: consul.DefaultMapping()}
 	m.Consul = o
 	https := false
 	text := func(to *string) func(*sexp.Node) error {
@@ -325,8 +325,8 @@
 
 // ReadOverride reads the operators' word on members: (accept-removals) and (pin "ID" serving|draining|gone). No file is no
 // word.
-func (m *Membership) ReadOverride() (judge.Override, error) {
-	var o judge.Override
+func (m *Membership) ReadOverride() (reconcile.Override, error) {
+	var o reconcile.Override
 	if m.Override == "" {
 		return o, nil
 	}
@@ -345,7 +345,7 @@
 		"accept-removals": func(n *sexp.Node) (err error) { o.AcceptRemovals, err = n.Bool(); return err },
 		"pin": func(n *sexp.Node) error {
 			a := n.Args()
-			states := map[string]judge.State{"serving": judge.Serving, "draining": judge.Draining, "gone": judge.Gone}
+			states := map[string]reconcile.State{"serving": reconcile.Serving, "draining": reconcile.Draining, "gone": reconcile.Gone}
 			if len(a) != 2 || a[0].Text == "" {
 				return n.Errorf("(pin \"ID\" serving), draining or gone")
 			}
@@ -353,7 +353,7 @@
 			if !ok {
 				return a[1].Errorf("serving, draining or gone")
 			}
-			o.Pins = append(o.Pins, judge.Pin{ID: a[0].Text, State: s})
+			o.Pins = append(o.Pins, reconcile.Pin{ID: a[0].Text, State: s})
 			return nil
 		},
 	}.Read(nodes, "pin")
--- a/internal/settings/membership_test.go
+++ b/internal/settings/membership_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/membership/consul"
-	"beechgrade/internal/membership/judge"
+	"beechgrade/internal/endpoints/consul"
+	"beechgrade/internal/endpoints/reconcile"
 )
 
 // TestMembership: what is written is what holds, and each mistake has one line with its place.
@@ -24,8 +24,8 @@
 		t.Fatal(err)
 	}
 	m := &s.Membership
-	want := judge.Settings{Sources: []string{"static", "consul"}, Keep: 3600000, OldAge: 5000, MassPart: 0.25, MassLeast: 2, MassIn: 10000, MassHold: 60000, FlapIn: 60000, FlapHold: 20000,
-		WordFor: 9000, Critical: judge.Drains}
+	want := reconcile.Settings{Sources: []string{"static", "consul"}, Keep: 3600000, OldAge: 5000, MassPart: 0.25, MassLeast: 2, MassIn: 10000, MassHold: 60000, FlapIn: 60000, FlapHold: 20000,
+		WordFor: 9000, Critical: reconcile.Drains}
 	if diff := cmp.Diff(want, m.Members.Judge); diff != "" {
 		t.Error(diff)
 	}
@@ -83,9 +83,9 @@
 	file := filepath.Join(t.TempDir(), "o")
 	m := &Membership{Override: file}
 	for text, want := range map[string]any{
-		"":                                 judge.Override{},
-		`(accept-removals)`:                judge.Override{AcceptRemovals: true},
-		`(pin "a" gone) (pin "b" serving)`: judge.Override{Pins: []judge.Pin{{ID: "a", State: judge.Gone}, {ID: "b", State: judge.Serving}}},
+		"":                                 reconcile.Override{},
+		`(accept-removals)`:                reconcile.Override{AcceptRemovals: true},
+		`(pin "a" gone) (pin "b" serving)`: reconcile.Override{Pins: []reconcile.Pin{{ID: "a", State: reconcile.Gone}, {ID: "b", State: reconcile.Serving}}},
 		`(pin "a")`:                        ":1:1: (pin \"ID\" serving), draining or gone",
 		`(pin "a" up)`:                     ":1:10: serving, draining or gone",
 		`(unpin "a")`:                      `:1:1: "unpin" is not known here; known are: accept-removals, pin`,
