--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -12,8 +12,8 @@
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sys/unix"
 
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/credit"
 	"beechgrade/internal/peers/credit/ledger"
 	"beechgrade/internal/peers/credit/purse"
@@ -59,15 +59,15 @@
 	x.inherit(gone)
 	p.peers.Join(x.credit)
 	if x.credit.Books() != nil {
-		p.agreed.users.Add(agreed.OfCredit, x.credit)
+		p.agreed.users.Add(raftlog.OfCredit, x.credit)
 	}
-	p.agreed.told = append(p.agreed.told, func(a *agreed.Action) {
+	p.agreed.told = append(p.agreed.told, func(a *raftlog.Action) {
 		switch a.Kind {
-		case agreed.Leads:
+		case raftlog.Leads:
 			x.credit.Lead(p.cfg.Name)
-		case agreed.Follows:
+		case raftlog.Follows:
 			x.credit.Lead(a.Leader)
-		case agreed.Broke:
+		case raftlog.Broke:
 			x.credit.Lead("")
 		}
 	})
@@ -143,7 +143,7 @@
 
 // Propose is credit.Log's. What is dropped the poolers ask for again.
 func (x *prepaid) Propose(entry []byte) {
-	x.p.agreed.part.Propose(0, append([]byte{agreed.OfCredit}, entry...))
+	x.p.agreed.part.Propose(0, append([]byte{raftlog.OfCredit}, entry...))
 }
 
 // Write is credit.Files': the newest marks are all that there are.
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
+	"beechgrade/internal/cluster/raftlog"
+	"beechgrade/internal/cluster/raftlog/adapter"
+	"beechgrade/internal/cluster/raftlog/counter"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers/agreed"
-	"beechgrade/internal/peers/agreed/joined"
-	"beechgrade/internal/peers/agreed/tally"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/store"
 )
@@ -27,9 +27,9 @@
 type raftLog struct {
 	p      *pooler
 	set    settings.Agreed
-	part   *joined.Part
-	users  *agreed.Shared
-	told   []func(a *agreed.Action) // users who want to know what happens
+	part   *adapter.Part
+	users  *raftlog.Shared
+	told   []func(a *raftlog.Action) // users who want to know what happens
 	store  *store.Store
 	ended  chan struct{}
 	opened chan struct{}
@@ -38,7 +38,7 @@
 	mu  sync.Mutex
 	box []func() // words of the disk, on their way to the loop
 
-	tally   tally.Tally
+	tally   counter.Tally
 	owed    float64
 	tellAt  float64
 	next    uint64 // number of the next entry that is proposed to try the voters
@@ -57,12 +57,12 @@
 	if !set.On {
 		return func() {}
 	}
-	l := &raftLog{p: p, set: set, users: &agreed.Shared{}, ended: make(chan struct{}), opened: make(chan struct{})}
+	l := &raftLog{p: p, set: set, users: &raftlog.Shared{}, ended: make(chan struct{}), opened: make(chan struct{})}
 	l.name = fmt.Sprintf("%s/%x", p.cfg.Name, rand.Uint32())
-	l.users.Add(agreed.OfTally, &l.tally)
+	l.users.Add(raftlog.OfTally, &l.tally)
 	s := set.Settings
 	s.Self, s.Drawn, s.Checks = p.cfg.Name, rand.Uint64(), p.checks
-	l.part = joined.New(p.peers, joined.Options{Settings: s, Machine: l.users, Told: l.hear})
+	l.part = adapter.New(p.peers, adapter.Options{Settings: s, Machine: l.users, Told: l.hear})
 	p.peers.Join(l.part)
 	p.agreed = l
 	return func() {
@@ -100,11 +100,11 @@
 					continue
 				}
 			}
-			var records []agreed.Record
+			var records []raftlog.Record
 			if err == nil {
 				l.store = s
 				s.Range("", "", func(key string, value []byte) bool {
-					records = append(records, agreed.Record{Key: key, Value: value})
+					records = append(records, raftlog.Record{Key: key, Value: value})
 					return true
 				})
 			}
@@ -140,7 +140,7 @@
 }
 
 // Append is joined.Disk's.
-func (l *raftLog) Append(records []agreed.Record, done func(error)) {
+func (l *raftLog) Append(records []raftlog.Record, done func(error)) {
 	entries := make([]store.Entry, len(records))
 	for i, r := range records {
 		entries[i] = store.Entry{Key: r.Key, Value: r.Value, Gone: r.Gone}
@@ -149,19 +149,19 @@
 }
 
 // hear tells of what happens to the log.
-func (l *raftLog) hear(a *agreed.Action) {
+func (l *raftLog) hear(a *raftlog.Action) {
 	switch a.Kind {
-	case agreed.Apply:
-		if l.set.Witness > 0 && a.Entry[0] == agreed.OfTally {
+	case raftlog.Apply:
+		if l.set.Witness > 0 && a.Entry[0] == raftlog.OfTally {
 			l.wait(a.Entry[1:])
 		}
-	case agreed.Leads:
+	case raftlog.Leads:
 		l.p.log.Info("agreed: this pooler leads", "term", a.Term)
-	case agreed.Follows:
+	case raftlog.Follows:
 		l.p.log.Info("agreed: follows", "leader", a.Leader, "term", a.Term)
-	case agreed.Voters:
+	case raftlog.Voters:
 		l.p.log.Warn("agreed: a voter's place went to another disk", "from", a.Index, "voters", fmt.Sprint(a.Members))
-	case agreed.Broke:
+	case raftlog.Broke:
 		l.p.log.Error("agreed: this pooler votes no more", "why", a.Text)
 	}
 	for _, f := range l.told {
@@ -172,7 +172,7 @@
 // try proposes numbered entries at the settings' rate, and those again of which nothing was heard.
 func (l *raftLog) try() {
 	now := l.p.loop.Now()
-	const mostTries = tally.Window / 2
+	const mostTries = counter.Window / 2
 	kept := l.waiting[:0]
 	for _, w := range l.waiting {
 		if l.tally.Has(l.name, w.number) {
@@ -211,14 +211,14 @@
 
 // wait takes how long one of this process's own entries took.
 func (l *raftLog) wait(entry []byte) {
-	name, number, _ := tally.Read(entry)
+	name, number, _ := counter.Read(entry)
 	if i, ok := slices.BinarySearchFunc(l.waiting, number, func(w tried, n uint64) int { return cmp.Compare(w.number, n) }); ok && name == l.name {
 		l.waits = append(l.waits, l.p.loop.Now()-l.waiting[i].first)
 	}
 }
 
 func (l *raftLog) propose(number uint64) {
-	l.part.Propose(number, append([]byte{agreed.OfTally}, tally.Entry(l.name, number, 0)...))
+	l.part.Propose(number, append([]byte{raftlog.OfTally}, counter.Entry(l.name, number, 0)...))
 }
 
 // tellAgreed tells the log's figures, where there is one.
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -12,11 +12,11 @@
 	"github.com/google/go-cmp/cmp"
 	jsoniter "github.com/json-iterator/go"
 
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/config"
 	"beechgrade/internal/endpoints/snapshot"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/lifecycle/handover"
-	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/credit/ledger"
 	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/settings"
@@ -175,16 +175,16 @@
 func TestStoredRaftLogIsReadable(t *testing.T) {
 	t.Parallel()
 	s := openStored(t, storedData(t), "agreed")
-	var records []agreed.Record
+	var records []raftlog.Record
 	s.Range("", "", func(key string, value []byte) bool {
-		records = append(records, agreed.Record{Key: key, Value: value})
+		records = append(records, raftlog.Record{Key: key, Value: value})
 		return true
 	})
-	settings := agreed.Defaults()
+	settings := raftlog.Defaults()
 	settings.Self, settings.Voters = "pooler-0", []string{"pooler-0", "pooler-1", "pooler-2"}
-	log := agreed.New(settings, 0)
+	log := raftlog.New(settings, 0)
 	var out strings.Builder
-	for _, action := range log.Handle(0, agreed.Restored{Records: records}, nil) {
+	for _, action := range log.Handle(0, raftlog.Restored{Records: records}, nil) {
 		if len(action.Entry) > 0 || len(action.Data) > 0 {
 			fmt.Fprintf(&out, "index %d: entry %x, snapshot %x\n", action.Index, sha256.Sum256(action.Entry), sha256.Sum256(action.Data))
 		}
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers/agreed"
 	zonesadmin "beechgrade/internal/peers/zones/desk"
 	"beechgrade/internal/peers/zones/joined"
 	"beechgrade/internal/record/recordpb"
@@ -57,7 +57,7 @@
 	p.core.SetGeography(z.j)
 	p.peers.Join(z.j)
 	if z.j.Book() != nil {
-		p.agreed.users.Add(agreed.OfZones, z.j)
+		p.agreed.users.Add(raftlog.OfZones, z.j)
 	}
 	p.agreed.told = append(p.agreed.told, z.j.Hear)
 	p.zones = z
@@ -160,7 +160,7 @@
 
 // Propose is zones.Log's.
 func (z *zoned) Propose(entry []byte) {
-	z.p.agreed.part.Propose(0, append([]byte{agreed.OfZones}, entry...))
+	z.p.agreed.part.Propose(0, append([]byte{raftlog.OfZones}, entry...))
 }
 
 // reload takes orders as they are now.
--- a/internal/peers/agreed/joined/joined.go
+++ b/internal/cluster/raftlog/adapter/joined.go
@@ -1,38 +1,38 @@
-// Package joined carries the log in common to where a pooler lives: it is a part of the fleet (package part), with the disk as it is told.
+// Package adapter carries the log in common to where a pooler lives: it is a part of the fleet (package part), with the disk as it is told.
 // The same serves the daemon and virtual time.
-package joined
+package adapter
 
 import (
 	"slices"
 
-	"beechgrade/internal/peers/agreed"
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/view"
 )
 
 // Disk keeps records, off the loop; done comes on the loop, in the order of the calls.
 type Disk interface {
-	Append(records []agreed.Record, done func(error))
+	Append(records []raftlog.Record, done func(error))
 }
 
 // Options say how a log is joined.
 type Options struct {
-	Settings agreed.Settings
-	Machine  agreed.Machine
-	Told     func(a *agreed.Action) // all but sends and writes, nil for nobody
+	Settings raftlog.Settings
+	Machine  raftlog.Machine
+	Told     func(a *raftlog.Action) // all but sends and writes, nil for nobody
 }
 
 // Part is a pooler's log in common.
 type Part struct {
 	net    part.Net
 	opt    Options
-	rep    agreed.Replica
+	rep    raftlog.Replica
 	disk   Disk
 	ids    []view.ID // of all who can be reached, with their addresses
 	addrs  []string
-	queue  []agreed.Event
+	queue  []raftlog.Event
 	busy   bool
-	acts   []agreed.Action
+	acts   []raftlog.Action
 	counts Counts
 }
 
@@ -45,20 +45,20 @@
 
 // New makes one; at a voter nothing goes on before Begin.
 func New(net part.Net, opt Options) *Part {
-	return &Part{net: net, opt: opt, rep: agreed.Replica{Log: agreed.New(opt.Settings, net.Now()), Machine: opt.Machine}}
+	return &Part{net: net, opt: opt, rep: raftlog.Replica{Log: raftlog.New(opt.Settings, net.Now()), Machine: opt.Machine}}
 }
 
 // Begin brings a voter's disk and what it held; err tells that it cannot be read.
-func (p *Part) Begin(d Disk, records []agreed.Record, err error) {
+func (p *Part) Begin(d Disk, records []raftlog.Record, err error) {
 	p.disk = d
-	p.do(agreed.Restored{Records: records, Err: err})
+	p.do(raftlog.Restored{Records: records, Err: err})
 }
 
 // Propose asks for an entry. Ref comes back where it is dropped.
-func (p *Part) Propose(ref uint64, entry []byte) { p.do(agreed.Propose{Ref: ref, Entry: entry}) }
+func (p *Part) Propose(ref uint64, entry []byte) { p.do(raftlog.Propose{Ref: ref, Entry: entry}) }
 
 // Standing tells how the log stands here.
-func (p *Part) Standing() agreed.Standing { return p.rep.Standing() }
+func (p *Part) Standing() raftlog.Standing { return p.rep.Standing() }
 
 // Counts are the counts so far.
 func (p *Part) Counts() Counts { return p.counts }
@@ -72,7 +72,7 @@
 // Members is part.Part's. Of several processes of a voter's name the youngest that can be reached is the one.
 func (p *Part) Members(self view.ID, all []view.Record, _ view.Counts) {
 	p.ids, p.addrs = p.ids[:0], p.addrs[:0]
-	var m agreed.Members
+	var m raftlog.Members
 	for _, v := range p.opt.Settings.Voters {
 		var best *view.Record
 		for i := range all {
@@ -81,7 +81,7 @@
 			}
 		}
 		if best != nil && best.ID != self {
-			m.Voters = append(m.Voters, agreed.Address{Name: v, Addr: best.Addr})
+			m.Voters = append(m.Voters, raftlog.Address{Name: v, Addr: best.Addr})
 		}
 	}
 	for i := range all {
@@ -94,7 +94,7 @@
 
 // Heard is part.Part's.
 func (p *Part) Heard(from view.ID, m any) {
-	e := agreed.Heard{Message: m.([]byte)}
+	e := raftlog.Heard{Message: m.([]byte)}
 	if i := slices.Index(p.ids, from); i >= 0 {
 		e.From = p.addrs[i]
 	}
@@ -102,13 +102,13 @@
 }
 
 // Tick is part.Part's.
-func (p *Part) Tick() { p.do(agreed.Tick{}) }
+func (p *Part) Tick() { p.do(raftlog.Tick{}) }
 
 // Leave is part.Part's.
-func (p *Part) Leave() { p.do(agreed.Leave{}) }
+func (p *Part) Leave() { p.do(raftlog.Leave{}) }
 
 // do tells the log; what comes of it may tell it more, which waits its turn.
-func (p *Part) do(e agreed.Event) {
+func (p *Part) do(e raftlog.Event) {
 	p.queue = append(p.queue, e)
 	if p.busy {
 		return
@@ -130,21 +130,21 @@
 
 func (w words) Append(b []byte) []byte { return append(b, w...) }
 
-func (p *Part) carry(a *agreed.Action) {
+func (p *Part) carry(a *raftlog.Action) {
 	switch a.Kind {
-	case agreed.Send:
+	case raftlog.Send:
 		p.send(a)
 		return
-	case agreed.Store:
+	case raftlog.Store:
 		p.counts.Writes++
 		ref := a.Ref
-		p.disk.Append(a.Records, func(err error) { p.do(agreed.Stored{Ref: ref, Err: err}) })
+		p.disk.Append(a.Records, func(err error) { p.do(raftlog.Stored{Ref: ref, Err: err}) })
 		return
-	case agreed.Apply:
+	case raftlog.Apply:
 		p.counts.Applied++
-	case agreed.Dropped:
+	case raftlog.Dropped:
 		p.counts.Dropped++
-	case agreed.Broke:
+	case raftlog.Broke:
 		p.counts.Broke = a.Text
 	}
 	if p.opt.Told != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-func (p *Part) send(a *agreed.Action) {
+func (p *Part) send(a *raftlog.Action) {
 	var to view.ID
 	if i := slices.Index(p.addrs, a.Addr); i >= 0 && a.To == "" { // a voter's next process takes what was for its last: its disk is the same
 		to = p.ids[i]
@@ -165,5 +165,5 @@
 	}
 	p.counts.Streams++
 	ref := a.Ref
-	p.net.Stream(a.Addr, to, part.Agreed, words(a.Message), func(ok bool) { p.do(agreed.Sent{Ref: ref, OK: ok}) })
+	p.net.Stream(a.Addr, to, part.Agreed, words(a.Message), func(ok bool) { p.do(raftlog.Sent{Ref: ref, OK: ok}) })
 }
--- a/internal/peers/agreed/tally/tally.go
+++ b/internal/cluster/raftlog/counter/tally.go
@@ -1,7 +1,7 @@
-// Package tally is the plainest user of the log in common: each proposer's numbered entries, each taken once, and a sum over all of
+// Package counter is the plainest user of the log in common: each proposer's numbered entries, each taken once, and a sum over all of
 // them in their order. It is the witness of tests and measurements, and of a fleet that tries its voters: where two tallies have taken
 // the same number of entries, their sums are the same.
-package tally
+package counter
 
 import (
 	"encoding/binary"
--- a/internal/peers/agreed/doc.go
+++ b/internal/cluster/raftlog/doc.go
@@ -1,4 +1,4 @@
-// Package agreed decides, with other poolers, on one sequence of entries: a log in common, by the Raft of go.etcd.io/raft/v3. Events
+// Package raftlog decides, with other poolers, on one sequence of entries: a log in common, by the Raft of go.etcd.io/raft/v3. Events
 // in, actions out: no I/O, no clock, no goroutines; a disk's answer is an event like a message.
 //
 // # What it decides, and what not
@@ -44,4 +44,4 @@
 //	the log has at most   Keep + Every + what is proposed meanwhile   entries, Every at most SnapBytes bytes more than Keep
 //	    (Settings.MostLog); MaxPending bytes wait for a majority, what is beyond is Dropped;
 //	a start reads the snapshot and at most MostLog entries.
-package agreed
+package raftlog
--- a/internal/peers/agreed/found.go
+++ b/internal/cluster/raftlog/found.go
@@ -1,4 +1,4 @@
-package agreed
+package raftlog
 
 import (
 	"cmp"
--- a/internal/peers/agreed/replica.go
+++ b/internal/cluster/raftlog/replica.go
@@ -1,4 +1,4 @@
-package agreed
+package raftlog
 
 // Replica is a log with the Machine that its entries go to.
 type Replica struct {
--- a/internal/peers/agreed/shared.go
+++ b/internal/cluster/raftlog/shared.go
@@ -1,4 +1,4 @@
-package agreed
+package raftlog
 
 import (
 	"google.golang.org/protobuf/encoding/protowire"
--- a/internal/kit/emulate/agreed.go
+++ b/internal/kit/emulate/agreed.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 	"slices"
 
-	"beechgrade/internal/peers/agreed"
-	"beechgrade/internal/peers/agreed/joined"
+	"beechgrade/internal/cluster/raftlog"
+	"beechgrade/internal/cluster/raftlog/adapter"
 )
 
 // CommonLog is the log that poolers have in common, in virtual time: the first ones vote, each with a disk that outlives its processes.
 type CommonLog struct {
-	Settings agreed.Settings // but for names and seeds
+	Settings raftlog.Settings // but for names and seeds
 	Voters   int
 	Seed     uint64
 	DiskMs   [2]float64 // that a durable write takes, from and to
@@ -33,7 +33,7 @@
 }
 
 // Append is joined.Disk's.
-func (w written) Append(records []agreed.Record, done func(error)) {
+func (w written) Append(records []raftlog.Record, done func(error)) {
 	d, c := w.d, w.d.log
 	d.free = max(d.free, w.h.Now()+c.DiskMs[0]+(c.DiskMs[1]-c.DiskMs[0])*c.rng.Float64())
 	w.h.At(d.free, func() {
@@ -49,7 +49,7 @@
 }
 
 // Join makes a process's part in the log.
-func (c *CommonLog) Join(h Host, m agreed.Machine, told func(a *agreed.Action)) *joined.Part {
+func (c *CommonLog) Join(h Host, m raftlog.Machine, told func(a *raftlog.Action)) *adapter.Part {
 	if c.disks == nil {
 		c.disks, c.rng = map[int]*platter{}, rand.New(rand.NewPCG(c.Seed, 33))
 	}
@@ -59,7 +59,7 @@
 		set.Voters = append(set.Voters, h.x.p.e.poolerName(i))
 	}
 	set.Self, set.Drawn, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Life()), h.x.p.e.checks
-	p := joined.New(h, joined.Options{Settings: set, Machine: m, Told: told})
+	p := adapter.New(h, adapter.Options{Settings: set, Machine: m, Told: told})
 	if h.No() >= c.Voters {
 		return p
 	}
@@ -69,9 +69,9 @@
 		c.disks[h.No()] = d
 	}
 	d.free = 0
-	var records []agreed.Record
+	var records []raftlog.Record
 	for _, k := range slices.Sorted(maps.Keys(d.records)) {
-		records = append(records, agreed.Record{Key: k, Value: d.records[k]})
+		records = append(records, raftlog.Record{Key: k, Value: d.records[k]})
 	}
 	h.At(h.Now(), func() { p.Begin(written{d, h}, records, nil) })
 	return p
--- a/internal/kit/emulate/agreed_test.go
+++ b/internal/kit/emulate/agreed_test.go
@@ -5,9 +5,9 @@
 	"strconv"
 	"testing"
 
-	"beechgrade/internal/peers/agreed"
-	"beechgrade/internal/peers/agreed/joined"
-	"beechgrade/internal/peers/agreed/tally"
+	"beechgrade/internal/cluster/raftlog"
+	"beechgrade/internal/cluster/raftlog/adapter"
+	"beechgrade/internal/cluster/raftlog/counter"
 	"beechgrade/internal/peers/part"
 )
 
@@ -22,25 +22,25 @@
 	leadMs  []float64 // without a leader
 	lost    float64   // since when nobody leads
 	most    uint64
-	parts   map[int]*joined.Part
-	tallies map[int]*tally.Tally
+	parts   map[int]*adapter.Part
+	tallies map[int]*counter.Tally
 }
 
 func (x *tries) join(h Host) []part.Part {
-	m := &tally.Tally{}
+	m := &counter.Tally{}
 	name, next, first := strconv.Itoa(h.No())+"/"+strconv.Itoa(int(h.Life())), uint64(0), map[uint64]float64{}
-	p := x.log.Join(h, m, func(a *agreed.Action) {
+	p := x.log.Join(h, m, func(a *raftlog.Action) {
 		switch a.Kind {
-		case agreed.Apply:
+		case raftlog.Apply:
 			if was, ok := x.sums[m.Taken]; ok && was != m.Sum {
 				x.t.Errorf("pooler %d has other %d entries", h.No(), m.Taken)
 			}
 			x.sums[m.Taken], x.most = m.Sum, max(x.most, m.Taken)
-			if by, number, ok := tally.Read(a.Entry); ok && by == name && first[number] > 0 {
+			if by, number, ok := counter.Read(a.Entry); ok && by == name && first[number] > 0 {
 				x.waits = append(x.waits, h.Now()-first[number])
 				delete(first, number)
 			}
-		case agreed.Leads:
+		case raftlog.Leads:
 			if was, ok := x.leaders[a.Term]; ok && was != h.No() {
 				x.t.Errorf("%d and %d lead in term %d", was, h.No(), a.Term)
 			}
@@ -48,7 +48,7 @@
 			if x.lost > 0 {
 				x.leadMs, x.lost = append(x.leadMs, h.Now()-x.lost), 0
 			}
-		case agreed.Broke:
+		case raftlog.Broke:
 			x.t.Errorf("pooler %d: %s", h.No(), a.Text)
 		}
 	})
@@ -67,7 +67,7 @@
 			}
 			if h.Now() > w.again+x.log.Settings.Patience() {
 				w.again = h.Now()
-				p.Propose(w.number, tally.Entry(name, w.number, 30))
+				p.Propose(w.number, counter.Entry(name, w.number, 30))
 			}
 			if h.No() < x.log.Voters || w.again == w.at { // others hear nothing of it: twice will do
 				kept = append(kept, w)
@@ -77,7 +77,7 @@
 		next++
 		all = append(all, waiting{next, h.Now(), h.Now()})
 		first[next] = h.Now()
-		p.Propose(next, tally.Entry(name, next, 30))
+		p.Propose(next, counter.Entry(name, next, 30))
 		h.At(h.Now()+x.each, try)
 	}
 	h.At(h.Now()+3000+float64(h.No()), try)
@@ -92,8 +92,8 @@
 }
 
 func play5(t *testing.T, seed uint64, voters, poolers int, each float64, script string) (*tries, string) {
-	x := &tries{t: t, log: &CommonLog{Settings: agreed.Defaults(), Voters: voters, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: each,
-		sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*joined.Part{}, tallies: map[int]*tally.Tally{}}
+	x := &tries{t: t, log: &CommonLog{Settings: raftlog.Defaults(), Voters: voters, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: each,
+		sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Part{}, tallies: map[int]*counter.Tally{}}
 	x.log.Settings.Every, x.log.Settings.Keep = 1000, 100
 	r := play(t, parse(t, `(rehearsal "agreed" (groups 3) (rate 20) (peers) (poolers `+strconv.Itoa(poolers)+`) `+script+`)`), Options{Seed: seed, Parts: []Joined{x.join}})
 	least := x.most
@@ -129,8 +129,8 @@
 	var all []float64
 	bound := 0.0
 	for seed := range uint64(4) {
-		x := &tries{t: t, log: &CommonLog{Settings: agreed.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: 20,
-			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*joined.Part{}, tallies: map[int]*tally.Tally{}}
+		x := &tries{t: t, log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: 20,
+			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Part{}, tallies: map[int]*counter.Tally{}}
 		s := parse(t, `(rehearsal "agreed" (groups 3) (rate 5) (seconds 40) (peers) (poolers 3) (at 12s (kill-pooler 0) (for 4s)) (at 22s (kill-pooler 1) (for 4s)) (at 32s (kill-pooler 2) (for 4s)))`)
 		bound = x.log.Settings.Elect(s.Way[1], 2)
 		play(t, s, Options{Seed: seed, Parts: []Joined{func(h Host) []part.Part {
--- a/internal/kit/emulate/credit.go
+++ b/internal/kit/emulate/credit.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"beechgrade/internal/peers/agreed"
-	"beechgrade/internal/peers/agreed/joined"
+	"beechgrade/internal/cluster/raftlog"
+	"beechgrade/internal/cluster/raftlog/adapter"
 	"beechgrade/internal/peers/credit"
 	"beechgrade/internal/peers/credit/bank"
 	"beechgrade/internal/peers/credit/ledger"
@@ -32,7 +32,7 @@
 	h       Host
 	of      ledger.Holder
 	c       *credit.Credit
-	log     *joined.Part
+	log     *adapter.Part
 	classes map[string]int
 	names   []string
 }
@@ -69,17 +69,17 @@
 	}
 	set.Name, set.Holder = p.name, x.of
 	x.c = credit.New(set, h, x, x, x)
-	users := &agreed.Shared{}
+	users := &raftlog.Shared{}
 	if x.c.Books() != nil {
-		users.Add(agreed.OfCredit, x.c)
+		users.Add(raftlog.OfCredit, x.c)
 	}
-	x.log = c.Log.Join(h, users, func(a *agreed.Action) {
+	x.log = c.Log.Join(h, users, func(a *raftlog.Action) {
 		switch a.Kind {
-		case agreed.Leads:
+		case raftlog.Leads:
 			x.c.Lead(p.name)
-		case agreed.Follows:
+		case raftlog.Follows:
 			x.c.Lead(a.Leader)
-		case agreed.Broke:
+		case raftlog.Broke:
 			x.c.Lead("")
 		}
 	})
@@ -120,7 +120,7 @@
 
 // Propose is credit.Log's.
 func (x *payer) Propose(entry []byte) {
-	x.log.Propose(0, append([]byte{agreed.OfCredit}, entry...))
+	x.log.Propose(0, append([]byte{raftlog.OfCredit}, entry...))
 }
 
 // Write is credit.Files'.
--- a/internal/kit/emulate/credit_cost_test.go
+++ b/internal/kit/emulate/credit_cost_test.go
@@ -4,8 +4,8 @@
 	"slices"
 	"testing"
 
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/settings"
 )
 
@@ -29,7 +29,7 @@
 				}
 			}}
 			if on == 1 {
-				x := &Prepaid{Log: &CommonLog{Settings: agreed.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: set.Credit, Marks: [2]float64{0.1, 2}}
+				x := &Prepaid{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: set.Credit, Marks: [2]float64{0.1, 2}}
 				opt.Parts = []Joined{x.Join}
 			}
 			play(t, s, opt)
--- a/internal/kit/emulate/credit_test.go
+++ b/internal/kit/emulate/credit_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"testing"
 
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/settings"
 )
 
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &Prepaid{Log: &CommonLog{Settings: agreed.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: set.Credit, Marks: [2]float64{0.1, 2}}
+	x := &Prepaid{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: set.Credit, Marks: [2]float64{0.1, 2}}
 	c.Pays(0, "a", funds)
 	c.Pays(0, "b", 100000000)
 	r := play(t, s, Options{Seed: seed, Parts: []Joined{x.Join}, Tried: func(y *clients.Try) {
--- a/internal/kit/emulate/zones.go
+++ b/internal/kit/emulate/zones.go
@@ -1,8 +1,8 @@
 package emulate
 
 import (
-	"beechgrade/internal/peers/agreed"
-	raftadapter "beechgrade/internal/peers/agreed/joined"
+	"beechgrade/internal/cluster/raftlog"
+	raftadapter "beechgrade/internal/cluster/raftlog/adapter"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/zones"
 	"beechgrade/internal/peers/zones/joined"
@@ -46,9 +46,9 @@
 	x.j = joined.New(set, h, x, p.core, x)
 	x.j.Listed(&p.known, true)
 	p.core.SetGeography(x.j)
-	users := &agreed.Shared{}
+	users := &raftlog.Shared{}
 	if x.j.Book() != nil {
-		users.Add(agreed.OfZones, x.j)
+		users.Add(raftlog.OfZones, x.j)
 	}
 	x.log = c.Log.Join(h, users, x.j.Hear)
 	c.now[h.No()] = x
@@ -57,7 +57,7 @@
 
 // Propose is zones.Log's.
 func (x *zoner) Propose(entry []byte) {
-	x.log.Propose(0, append([]byte{agreed.OfZones}, entry...))
+	x.log.Propose(0, append([]byte{raftlog.OfZones}, entry...))
 }
 
 // Keep is joined.Keeper's.
--- a/internal/kit/emulate/zones_figures_test.go
+++ b/internal/kit/emulate/zones_figures_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/peers/agreed"
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/peers/zones"
 )
 
@@ -48,7 +48,7 @@
 						var z *Zoned
 						switch how {
 						case "on", "on-cheap":
-							z = &Zoned{Log: &CommonLog{Settings: agreed.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: zones.Defaults(), KeepMs: 1}
+							z = &Zoned{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: zones.Defaults(), KeepMs: 1}
 							if how == "on-cheap" {
 								z.Set.Price = 0.01
 							}
--- a/internal/kit/emulate/zones_test.go
+++ b/internal/kit/emulate/zones_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/zones"
 	"beechgrade/internal/peers/zones/follow"
@@ -37,7 +37,7 @@
 func zoned(t *testing.T, seed uint64, on bool, script string, changes []float64, mutate func(*zones.Settings, *Options)) *zonedPlay {
 	t.Helper()
 	s := parse(t, fmt.Sprintf(`(rehearsal "zones" (peers) (near yes) (pushed yes) (cross-price 0.01) (cold 10s) (retries 1) %s)`, script))
-	z := &zonedPlay{Zoned: &Zoned{Log: &CommonLog{Settings: agreed.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: zones.Defaults(), KeepMs: 1}}
+	z := &zonedPlay{Zoned: &Zoned{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: zones.Defaults(), KeepMs: 1}}
 	z.rules = check.NewZones(0.9, 15000, 0.02)
 	z.rules.Changed(0)
 	for i := 0; i+1 < len(changes); i += 2 {
--- a/internal/kit/explore/agreed.go
+++ b/internal/kit/explore/agreed.go
@@ -12,9 +12,9 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
+	"beechgrade/internal/cluster/raftlog"
+	"beechgrade/internal/cluster/raftlog/counter"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/agreed"
-	"beechgrade/internal/peers/agreed/tally"
 )
 
 // Agreed are so many voters of a log in common, the messages between them and the writes that wait for their disks. Messages arrive
@@ -24,22 +24,22 @@
 type Agreed struct {
 	Lose, Double, Stand, Beat, Propose, Crash, Wipe int // that may still happen
 
-	set     agreed.Settings
+	set     raftlog.Settings
 	voters  []*voter
 	wires   []letter
 	truth   truth
 	number  uint64
-	Live    bool                         // voters are kept rather than made again from what they were told: no clone is taken
-	Early   func(w []agreed.Record) bool // a mutant: which writes a voter takes for done before they are
-	Amnesia bool                         // a mutant: who has lost its disk goes by its old number
-	Sloppy  bool                         // a mutant: entries that come twice are taken twice
+	Live    bool                          // voters are kept rather than made again from what they were told: no clone is taken
+	Early   func(w []raftlog.Record) bool // a mutant: which writes a voter takes for done before they are
+	Amnesia bool                          // a mutant: who has lost its disk goes by its old number
+	Sloppy  bool                          // a mutant: entries that come twice are taken twice
 	Checks  *invariant.Checks
 }
 
 type voter struct {
 	name    string
-	rep     *agreed.Replica // nil where it is to be made again
-	told    []told          // since its start
+	rep     *raftlog.Replica // nil where it is to be made again
+	told    []told           // since its start
 	life    int
 	now     float64
 	disk    map[string][]byte
@@ -49,17 +49,17 @@
 	key     uint64 // of all it was told
 	broke   string
 	leads   bool
-	tally   *tally.Tally
+	tally   *counter.Tally
 }
 
 type write struct {
-	agreed.Action
+	raftlog.Action
 	told bool
 }
 
 type told struct {
 	now float64
-	e   agreed.Event
+	e   raftlog.Event
 }
 
 type letter struct {
@@ -77,8 +77,8 @@
 }
 
 // AgreedSettings are of a small log.
-func AgreedSettings(n int) agreed.Settings {
-	s := agreed.Defaults()
+func AgreedSettings(n int) raftlog.Settings {
+	s := raftlog.Defaults()
 	s.Tick, s.Election, s.Heartbeat, s.Every, s.Keep = 1, 3, 1, 4, 1
 	for i := range n {
 		s.Voters = append(s.Voters, fmt.Sprint("p", i))
@@ -87,16 +87,16 @@
 }
 
 // NewAgreed makes a group that begins, or voters with empty disks.
-func NewAgreed(set agreed.Settings, founded bool) *Agreed {
+func NewAgreed(set raftlog.Settings, founded bool) *Agreed {
 	s := &Agreed{set: set, truth: truth{leaders: map[uint64]string{}, votes: map[string]string{}, sums: map[uint64]uint64{}}}
-	var all []agreed.Member
+	var all []raftlog.Member
 	for i, v := range set.Voters {
-		all = append(all, agreed.Member{Name: v, Disk: uint64(i + 1)})
+		all = append(all, raftlog.Member{Name: v, Disk: uint64(i + 1)})
 	}
 	for i, v := range set.Voters {
 		x := &voter{name: v, disk: map[string][]byte{}, had: map[string]bool{}}
 		if founded {
-			for _, r := range agreed.Founded(all[i], all) {
+			for _, r := range raftlog.Founded(all[i], all) {
 				x.disk[r.Key] = r.Value
 			}
 		}
@@ -108,11 +108,11 @@
 	return s
 }
 
-func (s *Agreed) made(x *voter) *agreed.Replica {
+func (s *Agreed) made(x *voter) *raftlog.Replica {
 	set := s.set
 	set.Self, set.Drawn, set.Checks = x.name, uint64(x.life), s.Checks
-	x.tally = &tally.Tally{Sloppy: s.Sloppy}
-	return &agreed.Replica{Log: agreed.New(set, 0), Machine: x.tally}
+	x.tally = &counter.Tally{Sloppy: s.Sloppy}
+	return &raftlog.Replica{Log: raftlog.New(set, 0), Machine: x.tally}
 }
 
 // start has a voter begin with what its disk has.
@@ -122,18 +122,18 @@
 	x.told, x.pending, x.leads, x.now, x.broke = nil, nil, false, 0, ""
 	x.rep = s.made(x)
 	x.key = xxhash.Sum64String(fmt.Sprint(x.key, i, x.life))
-	var m agreed.Members
+	var m raftlog.Members
 	for _, y := range s.voters {
-		m.Voters = append(m.Voters, agreed.Address{Name: y.name, Addr: y.name})
+		m.Voters = append(m.Voters, raftlog.Address{Name: y.name, Addr: y.name})
 	}
-	var records []agreed.Record
+	var records []raftlog.Record
 	for _, k := range slices.Sorted(maps.Keys(x.disk)) {
-		records = append(records, agreed.Record{Key: k, Value: x.disk[k]})
+		records = append(records, raftlog.Record{Key: k, Value: x.disk[k]})
 	}
 	if err := s.do(i, m); err != nil {
 		return err
 	}
-	return s.do(i, agreed.Restored{Records: records})
+	return s.do(i, raftlog.Restored{Records: records})
 }
 
 func (s *Agreed) clone() *Agreed {
@@ -169,7 +169,7 @@
 }
 
 // do tells a voter of an event and takes what it asks for.
-func (s *Agreed) do(i int, e agreed.Event) error {
+func (s *Agreed) do(i int, e raftlog.Event) error {
 	x := s.voters[i]
 	if x.rep == nil {
 		x.rep = s.made(x)
@@ -193,7 +193,7 @@
 		}
 		if !x.pending[k].told {
 			x.pending[k].told = true
-			return s.do(i, agreed.Stored{Ref: x.pending[k].Ref})
+			return s.do(i, raftlog.Stored{Ref: x.pending[k].Ref})
 		}
 	}
 	if x.tally.Taken > uint64(len(x.tally.Numbers())) {
@@ -215,12 +215,12 @@
 	return slices.IndexFunc(s.voters, func(x *voter) bool { return x.name == name })
 }
 
-func (s *Agreed) carry(i int, a *agreed.Action) error {
+func (s *Agreed) carry(i int, a *raftlog.Action) error {
 	x := s.voters[i]
 	switch a.Kind {
-	case agreed.Send:
+	case raftlog.Send:
 		to := s.index(a.Addr)
-		if len(a.Message) > agreed.MostDatagram && !a.Stream {
+		if len(a.Message) > raftlog.MostDatagram && !a.Stream {
 			return fmt.Errorf("a message of %d bytes", len(a.Message))
 		}
 		if to < 0 || to == i {
@@ -232,19 +232,19 @@
 		}
 		s.wires = append(s.wires, w)
 		return s.looked(x, a.Message)
-	case agreed.Store:
+	case raftlog.Store:
 		x.pending = append(x.pending, write{Action: *a})
-	case agreed.Apply:
+	case raftlog.Apply:
 		return s.applied(x, a)
-	case agreed.Leads:
+	case raftlog.Leads:
 		if was := s.truth.leaders[a.Term]; was != "" && was != x.name {
 			return fmt.Errorf("%s and %s lead in term %d", was, x.name, a.Term)
 		}
 		s.truth.leaders[a.Term] = x.name
 		x.leads = true
-	case agreed.Follows:
+	case raftlog.Follows:
 		x.leads = false
-	case agreed.Broke:
+	case raftlog.Broke:
 		x.broke, x.leads, x.pending = a.Text, false, nil
 	}
 	return nil
@@ -294,7 +294,7 @@
 }
 
 // applied holds what a voter applies against what others did, and, the first time, against the disks: more than half have it, or had it on a disk that was lost since.
-func (s *Agreed) applied(x *voter, a *agreed.Action) error {
+func (s *Agreed) applied(x *voter, a *raftlog.Action) error {
 	text := fmt.Sprint(a.Term, " ", string(a.Entry))
 	for uint64(len(s.truth.entries)) <= a.Index {
 		s.truth.entries = append(s.truth.entries, "")
@@ -353,7 +353,7 @@
 	if !tell || a.told {
 		return nil
 	}
-	return s.do(i, agreed.Stored{Ref: a.Ref})
+	return s.do(i, raftlog.Stored{Ref: a.Ref})
 }
 
 // crash has a voter end and start again; of its writes the first so many are on the disk.
@@ -379,11 +379,11 @@
 }
 
 func agreedFirst(s *Agreed) []byte {
-	var all []agreed.Member
+	var all []raftlog.Member
 	for i, v := range s.set.Voters {
-		all = append(all, agreed.Member{Name: v, Disk: uint64(i + 1)})
+		all = append(all, raftlog.Member{Name: v, Disk: uint64(i + 1)})
 	}
-	return agreed.Founded(all[0], all)[2].Value
+	return raftlog.Founded(all[0], all)[2].Value
 }
 
 // stand lets time pass at a voter until it stands for election; at a leader, until it has told that it lives.
@@ -392,7 +392,7 @@
 	for range 2*s.set.Election + 1 {
 		had := len(s.wires)
 		x.now++
-		if err := s.do(i, agreed.Tick{}); err != nil || len(s.wires) > had {
+		if err := s.do(i, raftlog.Tick{}); err != nil || len(s.wires) > had {
 			return err
 		}
 	}
@@ -404,10 +404,10 @@
 	if !keep {
 		s.wires = slices.Delete(s.wires, k, k+1)
 	}
-	if err := s.do(w.to, agreed.Heard{From: s.voters[w.from].name, Message: []byte(w.text)}); err != nil || w.stream == 0 || keep {
+	if err := s.do(w.to, raftlog.Heard{From: s.voters[w.from].name, Message: []byte(w.text)}); err != nil || w.stream == 0 || keep {
 		return err
 	}
-	return s.do(w.from, agreed.Sent{Ref: w.stream, OK: true})
+	return s.do(w.from, raftlog.Sent{Ref: w.stream, OK: true})
 }
 
 // lose has a message not come.
@@ -417,7 +417,7 @@
 	if w.stream == 0 {
 		return nil
 	}
-	return s.do(w.from, agreed.Sent{Ref: w.stream})
+	return s.do(w.from, raftlog.Sent{Ref: w.stream})
 }
 
 func (s *Agreed) propose(i int) error {
@@ -427,7 +427,7 @@
 
 // again proposes a number that may have been proposed before.
 func (s *Agreed) again(i int, number uint64) error {
-	return s.do(i, agreed.Propose{Ref: number, Entry: tally.Entry("x", number, 0)})
+	return s.do(i, raftlog.Propose{Ref: number, Entry: counter.Entry("x", number, 0)})
 }
 
 // Moves are System's.
--- a/internal/kit/explore/agreed_test.go
+++ b/internal/kit/explore/agreed_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/agreed"
 )
 
 func (s *Agreed) leader() int {
@@ -80,9 +80,9 @@
 	})
 }
 
-func hardOnly(w []agreed.Record) bool { return len(w) > 0 && w[0].Key == "hard" && len(w) == 1 }
+func hardOnly(w []raftlog.Record) bool { return len(w) > 0 && w[0].Key == "hard" && len(w) == 1 }
 
-func entries(w []agreed.Record) bool {
+func entries(w []raftlog.Record) bool {
 	return len(w) > 0 && strings.HasPrefix(w[len(w)-1].Key, "e/") && !w[len(w)-1].Gone
 }
 
--- a/internal/kit/explore/agreed_ways.go
+++ b/internal/kit/explore/agreed_ways.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"beechgrade/internal/peers/agreed"
+	"beechgrade/internal/cluster/raftlog"
 )
 
 // lost counts voters with a disk that was lost, and which are not of the group again; all, while a place goes over.
@@ -36,7 +36,7 @@
 			err = s.write(i, true)
 		case k < 72:
 			x.now++
-			err = s.do(i, agreed.Tick{})
+			err = s.do(i, raftlog.Tick{})
 		case k < 79:
 			err = s.propose(i)
 		case k < 81 && s.number > 0:
@@ -92,7 +92,7 @@
 		}
 		for i, x := range s.voters {
 			x.now++
-			if err := s.do(i, agreed.Tick{}); err != nil {
+			if err := s.do(i, raftlog.Tick{}); err != nil {
 				return err
 			}
 		}
--- a/internal/kit/scenario/credit.go
+++ b/internal/kit/scenario/credit.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strings"
 
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 )
@@ -14,8 +14,8 @@
 // Agreed is the log that the first poolers keep in common.
 type Agreed struct {
 	Voters   int
-	Settings agreed.Settings // but for names and seeds
-	Disk     [2]float64      // ms that a durable write takes, in virtual time
+	Settings raftlog.Settings // but for names and seeds
+	Disk     [2]float64       // ms that a durable write takes, in virtual time
 }
 
 // Credit is what tenants pay ahead, as the operators' settings have it; who holds marks where is the player's matter.
@@ -26,7 +26,7 @@
 
 // agreed reads (agreed (voters N) ...): the first poolers vote. The rest is as in the operators' settings.
 func (s *Script) agreed(n *sexp.Node) error {
-	a := &Agreed{Settings: agreed.Defaults(), Disk: [2]float64{0.1, 2}}
+	a := &Agreed{Settings: raftlog.Defaults(), Disk: [2]float64{0.1, 2}}
 	s.Agreed = a
 	err := sexp.Form{
 		"voters":    func(n *sexp.Node) (err error) { a.Voters, err = n.Int(3, 5); return err },
--- a/internal/peers/zones/joined/joined.go
+++ b/internal/peers/zones/joined/joined.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
-	"beechgrade/internal/peers/agreed"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/zones"
 	"beechgrade/internal/peers/zones/chief"
@@ -268,13 +268,13 @@
 }
 
 // Hear passes on what happens to the log in common.
-func (j *Joined) Hear(a *agreed.Action) {
+func (j *Joined) Hear(a *raftlog.Action) {
 	switch a.Kind {
-	case agreed.Leads:
+	case raftlog.Leads:
 		j.Lead(j.set.Name)
-	case agreed.Follows:
+	case raftlog.Follows:
 		j.Lead(a.Leader)
-	case agreed.Broke:
+	case raftlog.Broke:
 		j.Lead("")
 	}
 }
--- a/internal/settings/agreed.go
+++ b/internal/settings/agreed.go
@@ -4,7 +4,7 @@
 	"os"
 	"slices"
 
-	"beechgrade/internal/peers/agreed"
+	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/peers/view"
 	"beechgrade/internal/sexp"
 )
@@ -15,12 +15,12 @@
 	Dir       string // of a voter; "$NAME" stands for a variable of the environment
 	MostBytes int64
 	Pace      int64 // bytes a second that its compactions write at most, 0 for any
-	Settings  agreed.Settings
+	Settings  raftlog.Settings
 	Witness   float64 // entries a second that this pooler proposes to try the voters
 }
 
 func (a *Agreed) read(n *sexp.Node, env func(string) string) error {
-	*a = Agreed{On: true, MostBytes: 256 << 20, Settings: agreed.Defaults()}
+	*a = Agreed{On: true, MostBytes: 256 << 20, Settings: raftlog.Defaults()}
 	s := &a.Settings
 	err := sexp.Form{
 		"voters": func(n *sexp.Node) error {
