--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -12,11 +12,11 @@
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sys/unix"
 
+	"beechgrade/internal/cluster/credit"
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/ledger"
 	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers/credit"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/store"
 )
@@ -38,7 +38,7 @@
 
 type marks struct {
 	no   uint64
-	list []purse.Mark
+	list []lease.Mark
 }
 
 // useCredit has tenants pay ahead, where the settings have it on; the function ends it.
@@ -111,29 +111,29 @@
 }
 
 // Hold is core.Credit's.
-func (x *prepaid) Hold(tenant, class, session string, tag uint64) (purse.Hold, purse.Verdict) {
+func (x *prepaid) Hold(tenant, class, session string, tag uint64) (lease.Hold, lease.Verdict) {
 	i, ok := x.classes[class]
 	if !ok {
-		return purse.Hold{}, purse.Pass
+		return lease.Hold{}, lease.Pass
 	}
-	h, v := x.credit.Hold(tenant, i, purse.Session(session), 1, tag)
+	h, v := x.credit.Hold(tenant, i, lease.Session(session), 1, tag)
 	switch v {
-	case purse.Wait:
+	case lease.Wait:
 		x.waited++
-	case purse.Slow, purse.None:
+	case lease.Slow, lease.None:
 		x.refused++
 	}
 	return h, v
 }
 
 // Settle is core.Credit's.
-func (x *prepaid) Settle(h *purse.Hold, d purse.Done) { x.spent += x.credit.Settle(h, d) }
+func (x *prepaid) Settle(h *lease.Hold, d lease.Done) { x.spent += x.credit.Settle(h, d) }
 
 // Cancel is core.Credit's.
 func (x *prepaid) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
 
 // Admit is credit.Events'.
-func (x *prepaid) Admit(tag uint64, h purse.Hold) { x.p.core.Funded(tag, h) }
+func (x *prepaid) Admit(tag uint64, h lease.Hold) { x.p.core.Funded(tag, h) }
 
 // Turn is credit.Events'.
 func (x *prepaid) Turn(tag uint64) {
@@ -147,7 +147,7 @@
 }
 
 // Write is credit.Files': the newest marks are all that there are.
-func (x *prepaid) Write(no uint64, list []purse.Mark) {
+func (x *prepaid) Write(no uint64, list []lease.Mark) {
 	select {
 	case <-x.writes:
 	default:
@@ -255,11 +255,11 @@
 }
 
 // Read is credit.Files'.
-func (x *prepaid) Read(h ledger.Holder, do func([]purse.Mark)) {
+func (x *prepaid) Read(h ledger.Holder, do func([]lease.Mark)) {
 	path := x.file(h, marksEnd)
 	go func() {
 		b, err := os.ReadFile(path)
-		var list []purse.Mark
+		var list []lease.Mark
 		if err == nil {
 			err = jsoniter.Unmarshal(b, &list)
 		}
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/purse"
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/ledger"
 	"beechgrade/internal/settings"
 )
 
@@ -56,7 +56,7 @@
 	dir := t.TempDir()
 	one, stop := creditOf(t, dir)
 	x := one.credit
-	want := []purse.Mark{{Key: ledger.Key{Tenant: "t", Holder: x.holder, Gen: 3}, Spent: 70}}
+	want := []lease.Mark{{Key: ledger.Key{Tenant: "t", Holder: x.holder, Gen: 3}, Spent: 70}}
 	x.Write(1, want)
 	stop()
 	two, stopTwo := creditOf(t, dir)
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []purse.Mark
+	var got []lease.Mark
 	if err := jsoniter.Unmarshal(b, &got); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -12,13 +12,13 @@
 	"github.com/google/go-cmp/cmp"
 	jsoniter "github.com/json-iterator/go"
 
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/ledger"
 	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/config"
 	"beechgrade/internal/endpoints/snapshot"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/lifecycle/handover"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/sessiontoken"
@@ -139,11 +139,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []purse.Mark
+	var list []lease.Mark
 	if err := jsoniter.Unmarshal(text, &list); err != nil {
 		t.Fatal(err)
 	}
-	want := []purse.Mark{{Key: ledger.Key{Tenant: "t", Depth: 5, Holder: 0x2a, Gen: 3}, Spent: 70}}
+	want := []lease.Mark{{Key: ledger.Key{Tenant: "t", Depth: 5, Holder: 0x2a, Gen: 3}, Spent: 70}}
 	if diff := cmp.Diff(want, list); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/peers/credit/bytes_test.go
+++ b/internal/cluster/credit/bytes_test.go
@@ -4,17 +4,17 @@
 	"encoding/hex"
 	"testing"
 
-	"beechgrade/internal/peers/credit/bank"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/talk"
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/lessor"
+	"beechgrade/internal/cluster/credit/message"
 )
 
 // TestBytes: a message's bytes are what poolers of other versions read.
 func TestBytes(t *testing.T) {
 	k := ledger.Key{Tenant: "t", Depth: 300, Holder: 3, Gen: 4}
-	m := &Message{Who: 1, Reply: true, Leader: "l", Digest: 6, Pays: []bank.Pay{{Tenant: "p", No: 2, Amount: 3}},
-		Asks:    []talk.Ask{{Key: k, Seq: 5, Spent: 6, Returned: 7, Want: 8, Need: 9, Rate: 10, Final: true, Heir: true, Rest: true}, {Key: k}},
-		Answers: []talk.Answer{{Key: k, Seq: 5, Granted: 12, Left: -13, Full: 14, Keep: 15, Closed: true, Ended: true, Call: true}, {Key: k}}}
+	m := &Message{Who: 1, Reply: true, Leader: "l", Digest: 6, Pays: []lessor.Pay{{Tenant: "p", No: 2, Amount: 3}},
+		Asks:    []message.Ask{{Key: k, Seq: 5, Spent: 6, Returned: 7, Want: 8, Need: 9, Rate: 10, Final: true, Heir: true, Rest: true}, {Key: k}},
+		Answers: []message.Answer{{Key: k, Seq: 5, Granted: 12, Left: -13, Full: 14, Keep: 15, Closed: true, Ended: true, Call: true}, {Key: k}}}
 	for _, c := range []struct {
 		b    []byte
 		want string
--- a/internal/peers/credit/credit.go
+++ b/internal/cluster/credit/credit.go
@@ -31,19 +31,19 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"beechgrade/internal/peers/credit/bank"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/purse"
-	"beechgrade/internal/peers/credit/talk"
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/lessor"
+	"beechgrade/internal/cluster/credit/message"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/view"
 )
 
 // Settings say how.
 type Settings struct {
-	Purse  purse.Settings
-	Bank   bank.Settings
-	Pays   []bank.Pay
+	Purse  lease.Settings
+	Bank   lessor.Settings
+	Pays   []lessor.Pay
 	Voters []string // names of poolers
 	Name   string   // this one's
 	Holder ledger.Holder
@@ -54,14 +54,14 @@
 
 // Files keep marks, each process's in its own.
 type Files interface {
-	Write(no uint64, marks []purse.Mark)         // then Written is called with no
-	Read(h ledger.Holder, do func([]purse.Mark)) // of a process that is no more
+	Write(no uint64, marks []lease.Mark)         // then Written is called with no
+	Read(h ledger.Holder, do func([]lease.Mark)) // of a process that is no more
 	Erase(h ledger.Holder)
 }
 
 // Events are told what becomes of requests that waited.
 type Events interface {
-	Admit(tag uint64, h purse.Hold)
+	Admit(tag uint64, h lease.Hold)
 	Turn(tag uint64)
 }
 
@@ -79,9 +79,9 @@
 	files  Files
 	events Events
 
-	purse  *purse.Purse
+	purse  *lease.Purse
 	books  *ledger.Ledger
-	bank   *bank.Bank // nil where this pooler does not vote
+	bank   *lessor.Bank // nil where this pooler does not vote
 	self   view.ID
 	addrs  map[string]place // by name
 	back   map[ledger.Holder]place
@@ -89,12 +89,12 @@
 	heard  float64 // from the leader
 	next   int
 
-	unpaid []bank.Pay
+	unpaid []lessor.Pay
 	digest uint64
 	paidAt float64
 	tells  bool // the leader has other payments: ours are told
 	told   int
-	acts   []purse.Action
+	acts   []lease.Action
 	left   bool
 }
 
@@ -106,24 +106,24 @@
 // New makes a process's credit. files may be nil, if marks are off.
 func New(set Settings, net part.Net, log Log, files Files, ev Events) *Credit {
 	c := &Credit{set: set, net: net, log: log, files: files, events: ev, addrs: map[string]place{}, back: map[ledger.Holder]place{}}
-	c.purse = purse.New(set.Purse, set.Holder, net.Now())
+	c.purse = lease.New(set.Purse, set.Holder, net.Now())
 	if slices.Contains(set.Voters, set.Name) {
 		c.books = ledger.New()
 		c.books.Checks = set.Purse.Checks
-		c.bank = bank.New(set.Bank, c.books, net.Now())
+		c.bank = lessor.New(set.Bank, c.books, net.Now())
 	}
 	c.pays(set.Pays)
 	return c
 }
 
 // pays takes payments as the settings have them.
-func (c *Credit) pays(list []bank.Pay) {
+func (c *Credit) pays(list []lessor.Pay) {
 	c.unpaid = slices.Clone(list)
 	c.digest, c.tells, c.told = Digest(list), false, 0
 }
 
 // Digest is the same for the same payments.
-func Digest(list []bank.Pay) (sum uint64) {
+func Digest(list []lessor.Pay) (sum uint64) {
 	for _, p := range list {
 		b := binary.LittleEndian.AppendUint64([]byte(p.Tenant), p.No)
 		sum += xxhash.Sum64(binary.LittleEndian.AppendUint64(b, uint64(p.Amount)))
@@ -135,33 +135,33 @@
 func (c *Credit) Retune(set Settings) {
 	set.Voters, set.Name, set.Holder = c.set.Voters, c.set.Name, c.set.Holder
 	c.set = set
-	c.pursed(purse.Retune{Settings: set.Purse})
+	c.pursed(lease.Retune{Settings: set.Purse})
 	c.pays(set.Pays)
 }
 
 // Hold asks to let a request in; Settle ends it.
-func (c *Credit) Hold(tenant string, class int, session uint64, parts int, tag uint64) (purse.Hold, purse.Verdict) {
+func (c *Credit) Hold(tenant string, class int, session uint64, parts int, tag uint64) (lease.Hold, lease.Verdict) {
 	h, v := c.purse.Hold(c.net.Now(), tenant, class, session, parts, tag)
-	if v == purse.Wait {
-		c.pursed(purse.Tick{}) // it asks at once
+	if v == lease.Wait {
+		c.pursed(lease.Tick{}) // it asks at once
 	}
 	return h, v
 }
 
 // Settle ends a request that was let in, and tells what it cost.
-func (c *Credit) Settle(h *purse.Hold, d purse.Done) int64 { return c.purse.Settle(h, d) }
+func (c *Credit) Settle(h *lease.Hold, d lease.Done) int64 { return c.purse.Settle(h, d) }
 
 // Cancel has a request wait no longer.
 func (c *Credit) Cancel(tenant string, tag uint64) { c.purse.Cancel(tenant, tag) }
 
 // Inherit names processes that are no more and left files.
-func (c *Credit) Inherit(gone []ledger.Holder) { c.pursed(purse.Inherit{Gone: gone}) }
+func (c *Credit) Inherit(gone []ledger.Holder) { c.pursed(lease.Inherit{Gone: gone}) }
 
 // Written tells that marks are safe.
-func (c *Credit) Written(no uint64) { c.pursed(purse.Marked{No: no}) }
+func (c *Credit) Written(no uint64) { c.pursed(lease.Marked{No: no}) }
 
 // Standings tell how tenants stand here.
-func (c *Credit) Standings() []purse.Standing { return c.purse.Standings() }
+func (c *Credit) Standings() []lease.Standing { return c.purse.Standings() }
 
 // Books are this voter's, nil at others.
 func (c *Credit) Books() *ledger.Ledger { return c.books }
@@ -220,7 +220,7 @@
 	if c.bank != nil {
 		c.banked(c.bank.Tick(now, nil))
 	}
-	c.pursed(purse.Tick{})
+	c.pursed(lease.Tick{})
 	c.payments(now)
 }
 
@@ -228,14 +228,14 @@
 // the files tells the last words.
 func (c *Credit) Leave() {
 	if c.left = true; !c.set.Purse.Marks {
-		c.pursed(purse.Leave{})
+		c.pursed(lease.Leave{})
 	}
 }
 
 // Close tells last words: no more requests come.
 func (c *Credit) Close() {
 	c.left = true
-	c.pursed(purse.Leave{})
+	c.pursed(lease.Leave{})
 }
 
 // payments has those that this pooler's settings have, and that the books may not, be told.
@@ -244,7 +244,7 @@
 		return
 	}
 	if c.books != nil {
-		c.unpaid = slices.DeleteFunc(c.unpaid, func(p bank.Pay) bool { return c.books.Taken(p.Tenant, p.No) })
+		c.unpaid = slices.DeleteFunc(c.unpaid, func(p lessor.Pay) bool { return c.books.Taken(p.Tenant, p.No) })
 	}
 	if c.bank != nil && c.bank.Leads() {
 		c.paidAt = now + paysEvery
@@ -333,7 +333,7 @@
 	}
 	if m.Digest > 0 {
 		r := &Message{Reply: true, Digest: c.digest}
-		if all := !slices.ContainsFunc(c.unpaid, func(p bank.Pay) bool { return !c.books.Taken(p.Tenant, p.No) }); all || m.Digest != c.digest {
+		if all := !slices.ContainsFunc(c.unpaid, func(p lessor.Pay) bool { return !c.books.Taken(p.Tenant, p.No) }); all || m.Digest != c.digest {
 			c.reach(who, r)
 		}
 	}
@@ -361,7 +361,7 @@
 // reply takes the leader's word.
 func (c *Credit) reply(m *Message) {
 	if len(m.Answers) > 0 {
-		c.pursed(purse.Heard{Answers: m.Answers})
+		c.pursed(lease.Heard{Answers: m.Answers})
 	}
 	switch {
 	case m.Digest == 0:
@@ -372,43 +372,43 @@
 	}
 	if len(m.Pays) > 0 {
 		n := len(c.unpaid)
-		c.unpaid = slices.DeleteFunc(c.unpaid, func(p bank.Pay) bool { return slices.Contains(m.Pays, p) })
+		c.unpaid = slices.DeleteFunc(c.unpaid, func(p lessor.Pay) bool { return slices.Contains(m.Pays, p) })
 		c.told = max(0, min(c.told-(n-len(c.unpaid)), len(c.unpaid)))
 	}
 }
 
-func (c *Credit) banked(acts []bank.Action) {
+func (c *Credit) banked(acts []lessor.Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case bank.Propose:
+		case lessor.Propose:
 			c.log.Propose(a.Entry)
-		case bank.Answer:
-			for _, x := range packed(a.Answers, func(x *talk.Answer) int { return 64 + len(x.Key.Tenant) }) {
+		case lessor.Answer:
+			for _, x := range packed(a.Answers, func(x *message.Answer) int { return 64 + len(x.Key.Tenant) }) {
 				c.reach(a.To, &Message{Reply: true, Answers: x})
 			}
 		}
 	}
 }
 
-func (c *Credit) pursed(e purse.Event) {
+func (c *Credit) pursed(e lease.Event) {
 	acts := c.purse.Handle(c.net.Now(), e, c.acts[:0])
 	c.acts = nil // who is told may tell again
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
-		case purse.Tell:
-			for _, x := range packed(a.Asks, func(x *talk.Ask) int { return 80 + len(x.Key.Tenant) }) {
+		case lease.Tell:
+			for _, x := range packed(a.Asks, func(x *message.Ask) int { return 80 + len(x.Key.Tenant) }) {
 				c.tell(&Message{Asks: x})
 			}
-		case purse.Admit:
+		case lease.Admit:
 			c.events.Admit(a.Tag, a.Hold)
-		case purse.Turn:
+		case lease.Turn:
 			c.events.Turn(a.Tag)
-		case purse.Write:
+		case lease.Write:
 			c.files.Write(a.No, a.Marks)
-		case purse.Read:
+		case lease.Read:
 			h := a.Holder
-			c.files.Read(h, func(m []purse.Mark) { c.pursed(purse.Found{Holder: h, Marks: m}) })
-		case purse.Erase:
+			c.files.Read(h, func(m []lease.Mark) { c.pursed(lease.Found{Holder: h, Marks: m}) })
+		case lease.Erase:
 			c.files.Erase(a.Holder)
 		}
 	}
@@ -430,6 +430,6 @@
 }
 
 // ByNumber has payments in the order of tenants and numbers.
-func ByNumber(a, b bank.Pay) int {
+func ByNumber(a, b lessor.Pay) int {
 	return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.No, b.No))
 }
--- a/internal/peers/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -8,10 +8,10 @@
 	"slices"
 	"testing"
 
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/lessor"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/credit/bank"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/view"
 )
@@ -132,7 +132,7 @@
 	}
 }
 
-func (n *node) Admit(tag uint64, h purse.Hold) {
+func (n *node) Admit(tag uint64, h lease.Hold) {
 	delete(n.wait, tag)
 	n.f.serve(n, h)
 }
@@ -148,20 +148,20 @@
 	}
 }
 
-func (f *fleet) serve(n *node, h purse.Hold) {
+func (f *fleet) serve(n *node, h lease.Hold) {
 	f.served++
 	f.passedAt[n.no] = f.now
 	f.charged += h.Amount
-	f.at(serveMs, func() { n.c.Settle(&h, purse.Done{Served: 1}) })
+	f.at(serveMs, func() { n.c.Settle(&h, lease.Done{Served: 1}) })
 }
 
 // ask has a client ask a pooler.
 func (f *fleet) ask(n *node, tenant string, class int) {
 	f.asked++
 	switch h, v := n.c.Hold(tenant, class, uint64(f.asked), 1, uint64(f.asked)); v {
-	case purse.Pass:
+	case lease.Pass:
 		f.serve(n, h)
-	case purse.Wait:
+	case lease.Wait:
 		if f.waited++; f.firstRefusal < 0 && f.charged < f.ample {
 			f.early++
 		}
@@ -179,8 +179,8 @@
 		all = append(all, view.Record{ID: view.ID(i + 1), Name: fmt.Sprintf("p%d", i), Addr: fmt.Sprint(i)})
 	}
 	for i := range poolers {
-		s := Settings{Purse: purse.Defaults(), Bank: bank.Defaults(), Voters: []string{"p0", "p1", "p2"}, Name: all[i].Name, Holder: ledger.Holder(1000 + i)}
-		s.Purse.Classes = []purse.Class{{Price: purse.Price{Request: 1}, Worth: 1}}
+		s := Settings{Purse: lease.Defaults(), Bank: lessor.Defaults(), Voters: []string{"p0", "p1", "p2"}, Name: all[i].Name, Holder: ledger.Holder(1000 + i)}
+		s.Purse.Classes = []lease.Class{{Price: lease.Price{Request: 1}, Worth: 1}}
 		s.Purse.Prepaid = []string{"t"}
 		s.Purse.Checks = invariant.Test(t)
 		s.Bank.Ends = s.Purse.Ends()
@@ -236,7 +236,7 @@
 func even(int) float64     { return 1 }
 func skewed(i int) float64 { return 1 / float64(1+i) }
 
-func pay(list ...bank.Pay) func(s *Settings) { return func(s *Settings) { s.Pays = list } }
+func pay(list ...lessor.Pay) func(s *Settings) { return func(s *Settings) { s.Pays = list } }
 
 // check holds what was charged to what was paid.
 func (f *fleet) check(paid int64) {
@@ -257,7 +257,7 @@
 	for _, poolers := range []int{8, 100, 300} {
 		for name, weight := range map[string]func(int) float64{"even": even, "skewed": skewed} {
 			const funds, rate = 20000, 1000
-			f := newFleet(t, poolers, pay(bank.Pay{Tenant: "t", No: 1, Amount: funds}))
+			f := newFleet(t, poolers, pay(lessor.Pay{Tenant: "t", No: 1, Amount: funds}))
 			f.ample = funds * 9 / 10
 			f.run(2000)
 			f.load(rate, 30000, weight, nil)
@@ -276,7 +276,7 @@
 // TestTenRequests has 300 poolers want the funds for ten.
 func TestTenRequests(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, 300, pay(bank.Pay{Tenant: "t", No: 1, Amount: 10}))
+	f := newFleet(t, 300, pay(lessor.Pay{Tenant: "t", No: 1, Amount: 10}))
 	f.run(2000)
 	f.load(300, 8000, even, nil)
 	f.run(9000)
@@ -290,14 +290,14 @@
 func TestPaymentOpens(t *testing.T) {
 	t.Parallel()
 	for _, poolers := range []int{8, 100, 300} {
-		f := newFleet(t, poolers, pay(bank.Pay{Tenant: "t", No: 1, Amount: 500}))
+		f := newFleet(t, poolers, pay(lessor.Pay{Tenant: "t", No: 1, Amount: 500}))
 		f.run(2000)
 		f.load(float64(10*poolers), 20000, even, nil)
 		f.run(10000)
 		f.check(500)
 		reads := f.nodes[poolers-1] // one that does not vote, where there are others
 		s := reads.c.set
-		s.Pays = append(slices.Clone(s.Pays), bank.Pay{Tenant: "t", No: 2, Amount: 1_000_000})
+		s.Pays = append(slices.Clone(s.Pays), lessor.Pay{Tenant: "t", No: 2, Amount: 1_000_000})
 		first := map[int]float64{}
 		at := f.now
 		clear(f.passedAt)
@@ -331,22 +331,22 @@
 	f    *fleet
 	of   ledger.Holder
 	to   func(no uint64)
-	kept map[ledger.Holder][]purse.Mark
+	kept map[ledger.Holder][]lease.Mark
 }
 
-func (d *disk) Write(no uint64, m []purse.Mark) {
+func (d *disk) Write(no uint64, m []lease.Mark) {
 	d.f.at(2, func() { d.kept[d.of] = m; d.to(no) })
 }
-func (d *disk) Read(h ledger.Holder, do func([]purse.Mark)) { d.f.at(2, func() { do(d.kept[h]) }) }
+func (d *disk) Read(h ledger.Holder, do func([]lease.Mark)) { d.f.at(2, func() { do(d.kept[h]) }) }
 func (d *disk) Erase(h ledger.Holder)                       { delete(d.kept, h) }
 
 // TestFilesFound has processes crash with what they hold, and others find their files: nothing stays stranded, and what was in flight alone is
 // charged without having been done, beside what the marks were ahead.
 func TestFilesFound(t *testing.T) {
 	t.Parallel()
-	kept := map[ledger.Holder][]purse.Mark{}
+	kept := map[ledger.Holder][]lease.Mark{}
 	f := newFleet(t, 8, func(s *Settings) {
-		s.Pays = []bank.Pay{{Tenant: "t", No: 1, Amount: 100000}}
+		s.Pays = []lessor.Pay{{Tenant: "t", No: 1, Amount: 100000}}
 		s.Purse.Marks = true
 	})
 	for _, n := range f.nodes {
@@ -386,7 +386,7 @@
 		for i := range 10000 {
 			name := fmt.Sprintf("t%d", i)
 			s.Purse.Prepaid = append(s.Purse.Prepaid, name)
-			s.Pays = append(s.Pays, bank.Pay{Tenant: name, No: 1, Amount: 1000})
+			s.Pays = append(s.Pays, lessor.Pay{Tenant: name, No: 1, Amount: 1000})
 		}
 	})
 	f.run(6000)
@@ -415,7 +415,7 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		funds := int64(2000 + rng.IntN(4000))
-		f := newFleet(t, 12, pay(bank.Pay{Tenant: "t", No: 1, Amount: funds}))
+		f := newFleet(t, 12, pay(lessor.Pay{Tenant: "t", No: 1, Amount: funds}))
 		f.rng = rand.New(rand.NewPCG(seed, 4))
 		f.run(1000)
 		f.load(600, 14000, even, func(i int) bool { return f.now > f.nodes[i].late })
@@ -442,8 +442,8 @@
 	const price, funds, poolers = 10, 100, 8
 	for seed := range uint64(200) {
 		f := newFleet(t, poolers, func(s *Settings) {
-			s.Purse.Classes = []purse.Class{{Price: purse.Price{Request: price}, Worth: 1}}
-			s.Pays = []bank.Pay{{Tenant: "t", No: 1, Amount: funds}}
+			s.Purse.Classes = []lease.Class{{Price: lease.Price{Request: price}, Worth: 1}}
+			s.Pays = []lessor.Pay{{Tenant: "t", No: 1, Amount: funds}}
 		})
 		f.rng = rand.New(rand.NewPCG(seed, 11))
 		f.run(2000)
--- a/internal/peers/credit/form.go
+++ b/internal/cluster/credit/form.go
@@ -5,10 +5,10 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/lessor"
+	"beechgrade/internal/cluster/credit/message"
 	"beechgrade/internal/encoding"
-	"beechgrade/internal/peers/credit/bank"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/talk"
 )
 
 // Message goes between two poolers, one of which leads, or is thought to:
@@ -21,10 +21,10 @@
 	Who     ledger.Holder
 	Reply   bool
 	Leader  string
-	Asks    []talk.Ask
-	Answers []talk.Answer
+	Asks    []message.Ask
+	Answers []message.Answer
 	Digest  uint64
-	Pays    []bank.Pay
+	Pays    []lessor.Pay
 }
 
 // ErrForm is of words that cannot be read.
@@ -136,12 +136,12 @@
 			}
 			m.Leader = string(text)
 		case 4, 5:
-			a, w := talk.Ask{}, talk.Answer{}
+			a, w := message.Ask{}, message.Answer{}
 			err := item(text, &a, &w)
 			if err == nil && a.Key.Tenant == "" && (num == 4 && !a.Heir || num == 5 && w.Seq != 0) { // only about a process that is no more
 				return ErrForm
 			}
-			if err != nil || len(m.Asks)+len(m.Answers) >= talk.MostItems {
+			if err != nil || len(m.Asks)+len(m.Answers) >= message.MostItems {
 				return ErrForm
 			}
 			if num == 4 {
@@ -152,7 +152,7 @@
 		case 6:
 			m.Digest = v
 		case 7:
-			p := bank.Pay{}
+			p := lessor.Pay{}
 			err := fields(text, func(num protowire.Number, v uint64, text []byte) error {
 				switch num {
 				case 1:
@@ -177,7 +177,7 @@
 	return m, nil
 }
 
-func item(b []byte, a *talk.Ask, w *talk.Answer) error {
+func item(b []byte, a *message.Ask, w *message.Answer) error {
 	k := &ledger.Key{}
 	err := fields(b, func(num protowire.Number, v uint64, text []byte) error {
 		n := int64(v)
--- a/internal/peers/credit/purse/api.go
+++ b/internal/cluster/credit/lease/api.go
@@ -1,4 +1,4 @@
-// Package purse is a pooler's side of credit: what it holds of tenants' funds, what it asks for, and whether a request is let in. Events in,
+// Package lease is a pooler's side of credit: what it holds of tenants' funds, what it asks for, and whether a request is let in. Events in,
 // actions out: no I/O, no clock, no goroutines.
 //
 // # What it decides
@@ -27,12 +27,12 @@
 // in time. Whoever finds the files of a process that is no more has the log bar it, waits until the log has the ends of all its
 // accounts, and only then reads the marks and tells them as last words: a process that was asleep, not dead, has woken to no funds by then. Of one
 // that crashed what its last mark was above what it spent is charged, and no more.
-package purse
+package lease
 
 import (
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/message"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/talk"
 )
 
 // Price is what a request of a class costs, in the operators' unit.
@@ -145,7 +145,7 @@
 type Tick struct{}
 
 // Heard is answers that came from the leader.
-type Heard struct{ Answers []talk.Answer }
+type Heard struct{ Answers []message.Answer }
 
 // Retune brings settings that have changed.
 type Retune struct{ Settings Settings }
@@ -195,7 +195,7 @@
 // Action is something a purse asks for.
 type Action struct {
 	Kind  ActionKind
-	Asks  []talk.Ask
+	Asks  []message.Ask
 	Tag   uint64
 	Hold  Hold
 	Marks []Mark
--- a/internal/peers/credit/purse/ask.go
+++ b/internal/cluster/credit/lease/ask.go
@@ -1,16 +1,16 @@
-package purse
+package lease
 
 import (
 	"math"
 	"slices"
 
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/talk"
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/message"
 )
 
 // ask tells the leader what is to be told now.
 func (p *Purse) ask() {
-	var asks []talk.Ask
+	var asks []message.Ask
 	for _, t := range p.list {
 		for _, depth := range p.wanted(t) {
 			o := t.pot(depth)
@@ -25,7 +25,7 @@
 					continue
 				}
 				a.askAt = p.now + p.set.Renew
-				asks = append(asks, talk.Ask{Key: p.key(t, o, a), Seq: a.seq, Spent: a.spent, Returned: a.returned, Final: true})
+				asks = append(asks, message.Ask{Key: p.key(t, o, a), Seq: a.seq, Spent: a.spent, Returned: a.returned, Final: true})
 			}
 		}
 	}
@@ -34,10 +34,10 @@
 		first := w.Key.Tenant == "" && slices.ContainsFunc(p.wills, func(o will) bool { return o.Key.Holder == w.Key.Holder && o.Key.Tenant != "" })
 		if p.now >= w.askAt && !first {
 			w.askAt = p.now + 2*p.set.Renew
-			asks = append(asks, talk.Ask{Key: w.Key, Spent: w.Spent, Final: true, Heir: true, Rest: w.read})
+			asks = append(asks, message.Ask{Key: w.Key, Spent: w.Spent, Final: true, Heir: true, Rest: w.read})
 		}
 	}
-	for part := range slices.Chunk(asks, talk.MostItems) {
+	for part := range slices.Chunk(asks, message.MostItems) {
 		p.out = append(p.out, Action{Kind: Tell, Asks: part})
 	}
 }
@@ -87,7 +87,7 @@
 }
 
 // about is what is to be said about a pot now, if anything.
-func (p *Purse) about(t *tenant, o *pot) (talk.Ask, bool) {
+func (p *Purse) about(t *tenant, o *pot) (message.Ask, bool) {
 	a := &o.cur
 	need, rate := p.need(t, o.depth), p.rate(t, o)
 	price := p.price(t, o.depth)
@@ -105,7 +105,7 @@
 			a.returned += free
 			o.close()
 		}
-		return talk.Ask{}, false
+		return message.Ask{}, false
 	}
 	if target > 0 && free > tooMuch*target && a.till > 0 {
 		a.returned += free - target
@@ -119,7 +119,7 @@
 	pause := p.set.Renew
 	switch {
 	case p.left:
-		return talk.Ask{}, false
+		return message.Ask{}, false
 	case o.called, need > free:
 		pause = p.set.Soon
 	case dry && free < price:
@@ -128,10 +128,10 @@
 		pause = 2 * p.set.Soon
 	case a.till > 0 && a.till-p.now < p.set.Lease/2:
 	default:
-		return talk.Ask{}, false
+		return message.Ask{}, false
 	}
 	if o.askAt > 0 && p.now < o.askAt+pause {
-		return talk.Ask{}, false
+		return message.Ask{}, false
 	}
 	if a.gen == 0 {
 		p.gen++
@@ -141,7 +141,7 @@
 	a.asks = append(a.asks, asked{a.seq, p.now})
 	a.asks = a.asks[max(0, len(a.asks)-askMemory):]
 	o.askAt, o.called = p.now, false
-	return talk.Ask{Key: p.key(t, o, a), Seq: a.seq, Spent: a.spent, Returned: a.returned, Want: want, Need: max(0, need-free), Rate: int64(rate)}, true
+	return message.Ask{Key: p.key(t, o, a), Seq: a.seq, Spent: a.spent, Returned: a.returned, Want: want, Need: max(0, need-free), Rate: int64(rate)}, true
 }
 
 // price is the dearest of what is asked for, to a depth.
@@ -225,7 +225,7 @@
 }
 
 // willed takes the log's word on what others left.
-func (p *Purse) willed(a *talk.Answer) {
+func (p *Purse) willed(a *message.Answer) {
 	i := slices.IndexFunc(p.wills, func(w will) bool { return w.Key == a.Key })
 	switch {
 	case i < 0:
--- a/internal/peers/credit/purse/clone.go
+++ b/internal/cluster/credit/lease/clone.go
@@ -1,4 +1,4 @@
-package purse
+package lease
 
 import (
 	"fmt"
--- a/internal/peers/credit/purse/purse.go
+++ b/internal/cluster/credit/lease/purse.go
@@ -1,4 +1,4 @@
-package purse
+package lease
 
 import (
 	"math"
@@ -6,8 +6,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/talk"
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/message"
 )
 
 const (
@@ -337,7 +337,7 @@
 	return nil
 }
 
-func (p *Purse) heard(a *talk.Answer) {
+func (p *Purse) heard(a *message.Answer) {
 	if a.Key.Holder != p.self {
 		p.willed(a)
 		return
--- a/internal/peers/credit/purse/purse_test.go
+++ b/internal/cluster/credit/lease/purse_test.go
@@ -1,11 +1,11 @@
-package purse
+package lease
 
 import (
 	"testing"
 
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/message"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/talk"
 )
 
 func settings(t *testing.T) Settings {
@@ -22,7 +22,7 @@
 	for _, a := range p.Handle(at, Tick{}, nil) {
 		for _, x := range a.Asks {
 			if !x.Final && x.Key.Depth == 0 {
-				p.Handle(at, Heard{[]talk.Answer{{Key: x.Key, Seq: x.Seq, Granted: granted, Left: left, Full: full}}}, nil)
+				p.Handle(at, Heard{[]message.Answer{{Key: x.Key, Seq: x.Seq, Granted: granted, Left: left, Full: full}}}, nil)
 				return x.Seq, x.Key.Gen
 			}
 		}
@@ -42,7 +42,7 @@
 		t.Fatalf("%+v", acts)
 	}
 	k := acts[0].Asks[0]
-	acts = p.Handle(1005, Heard{[]talk.Answer{{Key: k.Key, Seq: k.Seq, Granted: 100, Left: 1000, Full: 1000}}}, nil)
+	acts = p.Handle(1005, Heard{[]message.Answer{{Key: k.Key, Seq: k.Seq, Granted: 100, Left: 1000, Full: 1000}}}, nil)
 	if len(acts) == 0 || acts[0].Kind != Admit || acts[0].Tag != 11 || acts[0].Hold.Amount != 10 {
 		t.Fatalf("%+v", acts)
 	}
@@ -133,7 +133,7 @@
 	for _, a := range p.Handle(1000, Tick{}, nil) {
 		for _, x := range a.Asks {
 			if x.Key.Depth == 40 {
-				p.Handle(1001, Heard{[]talk.Answer{{Key: x.Key, Seq: x.Seq, Granted: 30, Left: 0, Full: 100}}}, nil)
+				p.Handle(1001, Heard{[]message.Answer{{Key: x.Key, Seq: x.Seq, Granted: 30, Left: 0, Full: 100}}}, nil)
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 	p.Hold(1000, "t", 0, 1, 1, 1)
 	acts := p.Handle(1000, Tick{}, nil)
 	k := acts[0].Asks[0]
-	acts = p.Handle(1001, Heard{[]talk.Answer{{Key: k.Key, Seq: k.Seq, Granted: 100, Left: 1000, Full: 1000}}}, nil)
+	acts = p.Handle(1001, Heard{[]message.Answer{{Key: k.Key, Seq: k.Seq, Granted: 100, Left: 1000, Full: 1000}}}, nil)
 	if len(acts) == 0 || acts[0].Kind != Write {
 		t.Fatalf("%+v", acts)
 	}
@@ -167,10 +167,10 @@
 	if !bar.Heir || bar.Rest || bar.Key.Holder != 7 {
 		t.Fatalf("%+v", bar)
 	}
-	if acts = heir.Handle(60, Heard{[]talk.Answer{{Key: bar.Key}}}, nil); len(acts) != 0 {
+	if acts = heir.Handle(60, Heard{[]message.Answer{{Key: bar.Key}}}, nil); len(acts) != 0 {
 		t.Fatalf("read before the ends: %+v", acts)
 	}
-	if acts = heir.Handle(70, Heard{[]talk.Answer{{Key: bar.Key, Ended: true}}}, nil); len(acts) != 1 || acts[0].Kind != Read {
+	if acts = heir.Handle(70, Heard{[]message.Answer{{Key: bar.Key, Ended: true}}}, nil); len(acts) != 1 || acts[0].Kind != Read {
 		t.Fatalf("%+v", acts)
 	}
 }
--- a/internal/peers/credit/bank/bank.go
+++ b/internal/cluster/credit/lessor/bank.go
@@ -1,4 +1,4 @@
-// Package bank is the side of credit that voters have: whoever leads the log decides, with the books before it, what is lent to
+// Package lessor is the side of credit that voters have: whoever leads the log decides, with the books before it, what is lent to
 // whom, and answers. Events in, actions out: no I/O, no clock, no goroutines.
 //
 // # What it decides
@@ -18,14 +18,14 @@
 // # What is lost
 //
 // What is here and not in the books may be lost with the leader: poolers ask again, with the same numbers, and the log takes each once.
-package bank
+package lessor
 
 import (
 	"bytes"
 	"slices"
 
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/talk"
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/message"
 )
 
 // Settings say how. Times are in ms.
@@ -67,7 +67,7 @@
 	Kind    ActionKind
 	Entry   []byte
 	To      ledger.Holder
-	Answers []talk.Answer
+	Answers []message.Answer
 }
 
 // Bank is a voter's.
@@ -89,7 +89,7 @@
 }
 
 type pending struct {
-	talk.Ask
+	message.Ask
 	from  ledger.Holder
 	since float64
 }
@@ -140,7 +140,7 @@
 const mostAsks = 100_000
 
 // Heard takes what a pooler asks.
-func (b *Bank) Heard(now float64, from ledger.Holder, asks []talk.Ask, out []Action) []Action {
+func (b *Bank) Heard(now float64, from ledger.Holder, asks []message.Ask, out []Action) []Action {
 	b.now, b.out = max(b.now, now), out
 	for i := range asks {
 		if !b.leads || len(b.asks) >= mostAsks || !asks[i].Heir && (asks[i].Key.Holder != from || asks[i].Key.Tenant == "") {
@@ -216,20 +216,20 @@
 }
 
 // word is what the books say about an account.
-func (b *Bank) word(k ledger.Key, closed bool) talk.Answer {
+func (b *Bank) word(k ledger.Key, closed bool) message.Answer {
 	a, _ := b.books.Account(k)
 	t := b.books.Tenant(k.Tenant)
-	return talk.Answer{Key: k, Seq: a.Seq, Granted: a.Granted, Closed: closed, Ended: a.Expired, Left: t.Left(), Full: t.Full}
+	return message.Answer{Key: k, Seq: a.Seq, Granted: a.Granted, Closed: closed, Ended: a.Expired, Left: t.Left(), Full: t.Full}
 }
 
-func (b *Bank) answer(to ledger.Holder, a talk.Answer) {
+func (b *Bank) answer(to ledger.Holder, a message.Answer) {
 	for i := len(b.out) - 1; i >= 0; i-- {
-		if x := &b.out[i]; x.Kind == Answer && x.To == to && len(x.Answers) < talk.MostItems {
+		if x := &b.out[i]; x.Kind == Answer && x.To == to && len(x.Answers) < message.MostItems {
 			x.Answers = append(x.Answers, a)
 			return
 		}
 	}
-	b.out = append(b.out, Action{Kind: Answer, To: to, Answers: []talk.Answer{a}})
+	b.out = append(b.out, Action{Kind: Answer, To: to, Answers: []message.Answer{a}})
 }
 
 // beat puts what has gathered to the log, when it is time.
--- a/internal/peers/credit/bank/clone.go
+++ b/internal/cluster/credit/lessor/clone.go
@@ -1,4 +1,4 @@
-package bank
+package lessor
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"beechgrade/internal/peers/credit/ledger"
+	"beechgrade/internal/cluster/credit/ledger"
 )
 
 // Clone makes another like it, with books of its own.
--- a/internal/peers/credit/talk/talk.go
+++ b/internal/cluster/credit/message/talk.go
@@ -1,7 +1,7 @@
-// Package talk is what poolers and the voter that leads tell each other about credit.
-package talk
+// Package message is what poolers and the voter that leads tell each other about credit.
+package message
 
-import "beechgrade/internal/peers/credit/ledger"
+import "beechgrade/internal/cluster/credit/ledger"
 
 // Ask is a pooler's, about one account. Sums are since the account was opened.
 type Ask struct {
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -1,19 +1,19 @@
 package core
 
 import (
+	"beechgrade/internal/cluster/credit/lease"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/metrics"
-	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/record/recordpb"
 )
 
 // Credit decides whether a tenant's prepaid funds admit a request. The router sees a request once it is admitted.
 type Credit interface {
-	Hold(tenant, class, session string, tag uint64) (purse.Hold, purse.Verdict)
-	Settle(h *purse.Hold, d purse.Done)
+	Hold(tenant, class, session string, tag uint64) (lease.Hold, lease.Verdict)
+	Settle(h *lease.Hold, d lease.Done)
 	Cancel(tenant string, tag uint64)
 }
 
@@ -23,7 +23,7 @@
 // payment is a request's state with its tenant's funds.
 type payment struct {
 	tenant  string
-	hold    purse.Hold
+	hold    lease.Hold
 	pending *decide.Request // what the router gets once the request is admitted; nil otherwise
 	since   float64
 }
@@ -34,15 +34,15 @@
 func (c *Core) funded(ref slotmap.Ref, req *request, incoming *platform.Request, ev *decide.Request) bool {
 	req.payment.tenant, req.payment.pending, req.payment.since = incoming.Tenant, ev, c.loop.Now() // Funded may be called before Hold returns
 	hold, v := c.credit.Hold(incoming.Tenant, incoming.Class, incoming.Session, creditTag(ref))
-	if v == purse.Wait {
+	if v == lease.Wait {
 		c.loop.At(max(req.payment.since, incoming.Deadline-refusalMarginMs), func() { c.overdue(ref) })
 		return false
 	}
 	req.payment.pending, req.payment.hold = nil, hold
-	if v != purse.Pass {
-		c.unfunded(ref, req, v == purse.Slow)
+	if v != lease.Pass {
+		c.unfunded(ref, req, v == lease.Slow)
 	}
-	return v == purse.Pass
+	return v == lease.Pass
 }
 
 const refusalMarginMs = 5 // a request that waits for funds is refused so long before its deadline, so that its client hears of it
@@ -72,10 +72,10 @@
 const adviceMs = 1000 // a payment usually arrives sooner; the advice is up to twice that, so that clients do not return together
 
 // Funded admits a request that waited for funds.
-func (c *Core) Funded(tag uint64, hold purse.Hold) {
+func (c *Core) Funded(tag uint64, hold lease.Hold) {
 	req, ok := c.requests.Get(creditRef(tag))
 	if !ok || req.payment.pending == nil {
-		c.credit.Settle(&hold, purse.Done{})
+		c.credit.Settle(&hold, lease.Done{})
 		return
 	}
 	ev := req.payment.pending
@@ -99,7 +99,7 @@
 
 // settle ends the hold on a tenant's funds: once for each request, however many attempts it had.
 func (c *Core) settle(req *request, end metrics.End) {
-	d, sent := purse.Done{}, false
+	d, sent := lease.Done{}, false
 	from := 0.0
 	for i := range req.attempts {
 		if t := &req.attempts[i]; t.written && (!sent || t.begun < from) {
--- a/internal/kit/emulate/credit.go
+++ b/internal/kit/emulate/credit.go
@@ -3,12 +3,12 @@
 import (
 	"slices"
 
+	"beechgrade/internal/cluster/credit"
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/lessor"
 	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/cluster/raftlog/adapter"
-	"beechgrade/internal/peers/credit"
-	"beechgrade/internal/peers/credit/bank"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/settings"
 )
@@ -19,9 +19,9 @@
 	Set   settings.Credit
 	Marks [2]float64 // ms that a durable write of marks takes, from and to
 
-	Later func(no int) []bank.Pay // payments that a pooler has read of since the start; may be nil
+	Later func(no int) []lessor.Pay // payments that a pooler has read of since the start; may be nil
 
-	files   map[ledger.Holder][]purse.Mark
+	files   map[ledger.Holder][]lease.Mark
 	writers map[ledger.Holder]int // pooler
 	now     map[int]*payer        // the process of each pooler
 }
@@ -55,7 +55,7 @@
 // Join makes a process's parts: the log's and credit's.
 func (c *Prepaid) Join(h Host) []part.Part {
 	if c.files == nil {
-		c.files, c.writers, c.now = map[ledger.Holder][]purse.Mark{}, map[ledger.Holder]int{}, map[int]*payer{}
+		c.files, c.writers, c.now = map[ledger.Holder][]lease.Mark{}, map[ledger.Holder]int{}, map[int]*payer{}
 	}
 	p := h.x.p
 	x := &payer{Prepaid: c, h: h, of: ledger.Holder(h.No()+1)<<32 | ledger.Holder(h.Life()), classes: map[string]int{}}
@@ -98,22 +98,22 @@
 }
 
 // Hold is core.Credit's.
-func (x *payer) Hold(tenant, class, session string, tag uint64) (purse.Hold, purse.Verdict) {
+func (x *payer) Hold(tenant, class, session string, tag uint64) (lease.Hold, lease.Verdict) {
 	i, ok := x.classes[class]
 	if !ok {
-		return purse.Hold{}, purse.Pass
+		return lease.Hold{}, lease.Pass
 	}
-	return x.c.Hold(tenant, i, purse.Session(session), 1, tag)
+	return x.c.Hold(tenant, i, lease.Session(session), 1, tag)
 }
 
 // Settle is core.Credit's.
-func (x *payer) Settle(h *purse.Hold, d purse.Done) { x.c.Settle(h, d) }
+func (x *payer) Settle(h *lease.Hold, d lease.Done) { x.c.Settle(h, d) }
 
 // Cancel is core.Credit's.
 func (x *payer) Cancel(tenant string, tag uint64) { x.c.Cancel(tenant, tag) }
 
 // Admit is credit.Events'.
-func (x *payer) Admit(tag uint64, h purse.Hold) { x.h.x.p.core.Funded(tag, h) }
+func (x *payer) Admit(tag uint64, h lease.Hold) { x.h.x.p.core.Funded(tag, h) }
 
 // Turn is credit.Events'.
 func (x *payer) Turn(tag uint64) { x.h.x.p.core.Unfunded(tag) }
@@ -124,7 +124,7 @@
 }
 
 // Write is credit.Files'.
-func (x *payer) Write(no uint64, m []purse.Mark) {
+func (x *payer) Write(no uint64, m []lease.Mark) {
 	x.h.At(x.h.Now()+(x.Marks[0]+x.Marks[1])/2, func() {
 		x.files[x.of] = m
 		x.c.Written(no)
@@ -132,7 +132,7 @@
 }
 
 // Read is credit.Files'.
-func (x *payer) Read(h ledger.Holder, do func([]purse.Mark)) {
+func (x *payer) Read(h ledger.Holder, do func([]lease.Mark)) {
 	x.h.At(x.h.Now()+1, func() { do(x.files[h]) })
 }
 
--- a/internal/kit/emulate/funds.go
+++ b/internal/kit/emulate/funds.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
+	"beechgrade/internal/cluster/credit/lessor"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/peers/credit/bank"
 )
 
 // funds are what tenants of a scenario pay ahead, and what they are served for it.
@@ -15,8 +15,8 @@
 	e     *Emulation
 	check *check.Credit
 	paid  map[string]int64
-	pays  map[int][]bank.Pay // by pooler: the payments that it has read of since the start
-	once  map[bank.Pay]bool
+	pays  map[int][]lessor.Pay // by pooler: the payments that it has read of since the start
+	once  map[lessor.Pay]bool
 }
 
 // Funds is what became of a tenant's: as clients saw it, and as the books of the log have it in the end.
@@ -38,7 +38,7 @@
 	s := e.script
 	log := &CommonLog{Settings: s.Agreed.Settings, Voters: s.Agreed.Voters, Seed: e.opt.Seed, DiskMs: s.Agreed.Disk}
 	f := &funds{e: e, Prepaid: &Prepaid{Log: log, Set: s.Credit.Credit, Marks: [2]float64{0.1, marksMost}}, check: &check.Credit{Prices: map[string]int64{}}, paid: map[string]int64{},
-		pays: map[int][]bank.Pay{}, once: map[bank.Pay]bool{}}
+		pays: map[int][]lessor.Pay{}, once: map[lessor.Pay]bool{}}
 	f.Set.Dir = "marks" // they are kept
 	for _, p := range s.Credit.Prices {
 		f.check.Prices[p.Class] = p.Request
@@ -49,12 +49,12 @@
 	for _, p := range s.Credit.Pays {
 		f.took(startMs, p)
 	}
-	f.Later = func(no int) []bank.Pay { return f.pays[no] }
+	f.Later = func(no int) []lessor.Pay { return f.pays[no] }
 	return f
 }
 
 // took tells the checker of a payment, as of when the first pooler reads of it.
-func (f *funds) took(at float64, p bank.Pay) {
+func (f *funds) took(at float64, p lessor.Pay) {
 	if !f.once[p] {
 		f.once[p] = true
 		f.paid[p.Tenant] += p.Amount
@@ -64,7 +64,7 @@
 
 // pay has poolers read of a payment.
 func (f *funds) pay(x *scenario.Fault) {
-	p := bank.Pay{Tenant: x.Target.Word, No: uint64(x.Number), Amount: int64(x.Value)}
+	p := lessor.Pay{Tenant: x.Target.Word, No: uint64(x.Number), Amount: int64(x.Value)}
 	f.took(f.e.s.now, p)
 	for _, no := range x.Struck(f.e.script) {
 		if slices.Contains(f.pays[no], p) {
--- a/internal/kit/emulate/site_test.go
+++ b/internal/kit/emulate/site_test.go
@@ -5,11 +5,11 @@
 	"math/rand/v2"
 	"testing"
 
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/lessor"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/credit/bank"
-	"beechgrade/internal/peers/credit/purse"
 	"beechgrade/internal/settings"
 )
 
@@ -40,7 +40,7 @@
 		c.Classes = append(c.Classes, x)
 		f.Work[x.Name] = x.Work
 		shares, work = shares+x.Share, work+x.Share*(x.Work[0]+x.Work[1])/2
-		s.Credit.Prices = append(s.Credit.Prices, settings.ClassPrice{Class: x.Name, Price: purse.Price{Request: 1 + rng.Int64N(50)}})
+		s.Credit.Prices = append(s.Credit.Prices, settings.ClassPrice{Class: x.Name, Price: lease.Price{Request: 1 + rng.Int64N(50)}})
 	}
 	servers := 0
 	for _, n := range f.Groups {
@@ -51,7 +51,7 @@
 	for i := range 2 + rng.IntN(3) {
 		x := clients.Tenant{Name: name(i), Share: between(0.2, 1), Usage: 1}
 		c.Tenants = append(c.Tenants, x)
-		s.Credit.Pays = append(s.Credit.Pays, bank.Pay{Tenant: x.Name, No: 1, Amount: 1e9})
+		s.Credit.Pays = append(s.Credit.Pays, lessor.Pay{Tenant: x.Name, No: 1, Amount: 1e9})
 		s.Credit.Prepaid = append(s.Credit.Prepaid, x.Name)
 	}
 	mean := int64(0)
--- a/internal/kit/explore/credits.go
+++ b/internal/kit/explore/credits.go
@@ -5,10 +5,10 @@
 	"slices"
 	"strings"
 
-	"beechgrade/internal/peers/credit/bank"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/purse"
-	"beechgrade/internal/peers/credit/talk"
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/lessor"
+	"beechgrade/internal/cluster/credit/message"
 )
 
 // Credits are voters with their banks and poolers with their purses, with a log between them that has its entries in one order and may
@@ -16,8 +16,8 @@
 // others. Clients' requests are counted here, at their ends, and never by what the purses say.
 type Credits struct {
 	CreditFaults
-	Set   purse.Settings
-	Banks bank.Settings
+	Set   lease.Settings
+	Banks lessor.Settings
 	Price int64
 	Funds int64 // of the one payment
 	Free  bool  // what is on its way arrives in any order
@@ -48,31 +48,31 @@
 type CreditFaults struct{ Ask, Lose, Double, Depose, Crash, Stop, Pay int }
 
 type creditVoter struct {
-	b    *bank.Bank
+	b    *lessor.Bank
 	has  int // entries of the log that it applied
 	rate float64
 }
 
 type spender struct {
 	id      ledger.Holder
-	p       *purse.Purse
+	p       *lease.Purse
 	rate    float64
 	gone    bool
 	stopped int
-	files   []purse.Mark
+	files   []lease.Mark
 	wrote   uint64
 	legacy  []ledger.Holder // whose files it has taken over
-	flights []purse.Hold
+	flights []lease.Hold
 }
 
 // CreditMail is what is on its way.
 type CreditMail struct {
 	From, To int // poolers; a voter's number is -1-i
-	Asks     []talk.Ask
-	Answers  []talk.Answer
+	Asks     []message.Ask
+	Answers  []message.Answer
 	Entry    []byte // to the log
 	Write    uint64 // to a file
-	Marks    []purse.Mark
+	Marks    []lease.Mark
 	again    bool
 }
 
@@ -93,9 +93,9 @@
 // NewCredits makes a system of so many voters and poolers, with prices of 1.
 func NewCredits(voters, poolers int, funds int64) *Credits {
 	s := &Credits{t: 100, Price: 1, Funds: funds, Many: 1}
-	s.Set = purse.Settings{Lease: 4, Renew: 2, Soon: 1, Dry: 2, Span: 2000, Idle: 3, Wait: 2, Drift: 0.01, Grace: 0.5, Step: 1, Marks: true,
-		Classes: []purse.Class{{Price: purse.Price{Request: 1}, Worth: 1}}, Prepaid: []string{CreditTenant}}
-	s.Banks = bank.Settings{Again: 2, Keep: 1e9, Patient: 0, Recall: 1, Fresh: 5, Shrink: 2, Most: 900}
+	s.Set = lease.Settings{Lease: 4, Renew: 2, Soon: 1, Dry: 2, Span: 2000, Idle: 3, Wait: 2, Drift: 0.01, Grace: 0.5, Step: 1, Marks: true,
+		Classes: []lease.Class{{Price: lease.Price{Request: 1}, Worth: 1}}, Prepaid: []string{CreditTenant}}
+	s.Banks = lessor.Settings{Again: 2, Keep: 1e9, Patient: 0, Recall: 1, Fresh: 5, Shrink: 2, Most: 900}
 	for i := range voters {
 		s.voters = append(s.voters, &creditVoter{rate: 1 + 0.01*float64(i%3-1)})
 	}
@@ -113,11 +113,11 @@
 	for i, v := range s.voters {
 		books := ledger.New()
 		books.Checks = s.Set.Checks
-		v.b = bank.New(s.Banks, books, s.clockOf(-1-i))
+		v.b = lessor.New(s.Banks, books, s.clockOf(-1-i))
 	}
 	s.voters[0].b.Lead(s.clockOf(-1), true)
 	for i, x := range s.poolers {
-		x.p = purse.New(s.Set, x.id, s.clockOf(i))
+		x.p = lease.New(s.Set, x.id, s.clockOf(i))
 	}
 	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, No: 1, Amount: s.Funds}}))
 	s.Paid = s.Funds
@@ -176,10 +176,10 @@
 	}
 }
 
-func (s *Credits) banked(i int, acts []bank.Action) {
+func (s *Credits) banked(i int, acts []lessor.Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case bank.Propose:
+		case lessor.Propose:
 			if s.Trust != nil {
 				ops, _ := ledger.Decode(a.Entry)
 				for k := range ops {
@@ -188,7 +188,7 @@
 				a.Entry = ledger.Encode(ops)
 			}
 			s.mail = append(s.mail, CreditMail{From: -1 - i, Entry: a.Entry})
-		case bank.Answer:
+		case lessor.Answer:
 			for k, x := range s.poolers {
 				if x.id == a.To {
 					s.mail = append(s.mail, CreditMail{From: -1 - i, To: k, Answers: a.Answers})
@@ -198,34 +198,34 @@
 	}
 }
 
-func (s *Credits) pursed(i int, acts []purse.Action) {
+func (s *Credits) pursed(i int, acts []lease.Action) {
 	x := s.poolers[i]
 	for _, a := range acts {
 		switch a.Kind {
-		case purse.Tell:
+		case lease.Tell:
 			for _, w := range a.Asks {
 				if s.Hasty && w.Heir && w.Key.Tenant == "" && !w.Rest {
-					s.mail = append(s.mail, CreditMail{From: -1, To: i, Answers: []talk.Answer{{Key: w.Key, Ended: true}}})
+					s.mail = append(s.mail, CreditMail{From: -1, To: i, Answers: []message.Answer{{Key: w.Key, Ended: true}}})
 				}
 			}
 			s.mail = append(s.mail, CreditMail{From: i, To: -1 - s.leader, Asks: a.Asks})
-		case purse.Admit:
+		case lease.Admit:
 			s.admit(x, a.Hold)
-		case purse.Turn:
+		case lease.Turn:
 			s.Turned++
-		case purse.Erase:
+		case lease.Erase:
 			x.legacy = slices.DeleteFunc(slices.Clone(x.legacy), func(h ledger.Holder) bool { return h == a.Holder })
-		case purse.Read:
+		case lease.Read:
 			k := slices.IndexFunc(s.poolers, func(x *spender) bool { return x.id == a.Holder })
-			s.pursed(i, x.p.Handle(s.clockOf(i), purse.Found{Holder: a.Holder, Marks: s.poolers[k].files}, nil))
-		case purse.Write:
+			s.pursed(i, x.p.Handle(s.clockOf(i), lease.Found{Holder: a.Holder, Marks: s.poolers[k].files}, nil))
+		case lease.Write:
 			s.mail = append(s.mail, CreditMail{From: i, Write: a.No, Marks: a.Marks})
 		}
 	}
 }
 
 // admit has a request go to its server.
-func (s *Credits) admit(x *spender, h purse.Hold) {
+func (s *Credits) admit(x *spender, h lease.Hold) {
 	x.flights = append(x.flights, h)
 	k := ledger.Key{Tenant: h.Tenant, Depth: h.Depth, Holder: x.id, Gen: h.Gen}
 	for _, v := range s.voters {
@@ -249,28 +249,28 @@
 	case m.Write > 0:
 		if x := s.poolers[m.From]; !x.gone && m.Write > x.wrote {
 			x.files, x.wrote = m.Marks, m.Write
-			s.pursed(m.From, x.p.Handle(s.clockOf(m.From), purse.Marked{No: m.Write}, nil))
+			s.pursed(m.From, x.p.Handle(s.clockOf(m.From), lease.Marked{No: m.Write}, nil))
 		}
 	case m.To < 0:
 		i := -1 - m.To
 		s.banked(i, s.voters[i].b.Heard(s.clockOf(m.To), s.poolers[m.From].id, m.Asks, nil))
 	default:
 		if x := s.poolers[m.To]; !x.gone {
-			s.pursed(m.To, x.p.Handle(s.clockOf(m.To), purse.Heard{Answers: m.Answers}, nil))
+			s.pursed(m.To, x.p.Handle(s.clockOf(m.To), lease.Heard{Answers: m.Answers}, nil))
 		}
 	}
 }
 
 // Request has a client ask a pooler.
-func (s *Credits) Request(i int) purse.Verdict {
+func (s *Credits) Request(i int) lease.Verdict {
 	x := s.poolers[i]
 	s.tag++
 	s.Asked++
 	h, v := x.p.Hold(s.clockOf(i), CreditTenant, 0, s.tag, 1, s.tag)
 	switch v {
-	case purse.Pass:
+	case lease.Pass:
 		s.admit(x, h)
-	case purse.Slow, purse.None:
+	case lease.Slow, lease.None:
 		s.Turned++
 	}
 	return v
@@ -285,7 +285,7 @@
 	h := x.flights[0]
 	x.flights = x.flights[1:]
 	s.Served += s.Price
-	x.p.Settle(&h, purse.Done{Served: int(s.Many)})
+	x.p.Settle(&h, lease.Done{Served: int(s.Many)})
 }
 
 // asleep tells whether a message is for a process that stands still.
@@ -389,9 +389,9 @@
 		x.gone, x.flights = true, nil
 	}
 	k := len(s.poolers) - 1
-	y.p = purse.New(s.Set, y.id, s.clockOf(k))
+	y.p = lease.New(s.Set, y.id, s.clockOf(k))
 	if s.Set.Marks {
-		s.pursed(k, y.p.Handle(s.clockOf(k), purse.Inherit{Gone: y.legacy}, nil))
+		s.pursed(k, y.p.Handle(s.clockOf(k), lease.Inherit{Gone: y.legacy}, nil))
 	}
 }
 
@@ -407,7 +407,7 @@
 			continue
 		}
 		if !x.gone {
-			s.pursed(i, x.p.Handle(s.clockOf(i), purse.Tick{}, nil))
+			s.pursed(i, x.p.Handle(s.clockOf(i), lease.Tick{}, nil))
 		}
 	}
 }
@@ -441,7 +441,7 @@
 func (s *Credits) Leave() {
 	for i, x := range s.poolers {
 		if !x.gone {
-			s.pursed(i, x.p.Handle(s.clockOf(i), purse.Leave{}, nil))
+			s.pursed(i, x.p.Handle(s.clockOf(i), lease.Leave{}, nil))
 		}
 	}
 }
--- a/internal/kit/explore/credits_test.go
+++ b/internal/kit/explore/credits_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/message"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/talk"
 )
 
 // TestCreditsRandom plays drawn histories of three voters and three poolers, and has each end with nothing lost but what a crash took.
@@ -113,7 +113,7 @@
 		s.CreditFaults = CreditFaults{Ask: 30, Lose: 5, Double: 8, Depose: 3, Crash: 1, Stop: 1, Pay: 2}
 		return s
 	}
-	answers := func(do func(s *Credits, a *talk.Answer)) func(*Credits, int, *CreditMail) bool {
+	answers := func(do func(s *Credits, a *message.Answer)) func(*Credits, int, *CreditMail) bool {
 		return func(s *Credits, to int, m *CreditMail) bool {
 			m.Answers = slices.Clone(m.Answers)
 			for i := range m.Answers {
@@ -125,7 +125,7 @@
 	mutants := map[string]func(s *Credits){
 		"none": func(*Credits) {},
 		"a slice is lent again after a leader's change": func(s *Credits) {
-			s.Break = answers(func(s *Credits, a *talk.Answer) {
+			s.Break = answers(func(s *Credits, a *message.Answer) {
 				if s.leader != 0 && a.Granted > 0 {
 					a.Granted++
 				}
--- a/internal/settings/credit.go
+++ b/internal/settings/credit.go
@@ -5,10 +5,10 @@
 	"slices"
 	"strconv"
 
-	"beechgrade/internal/peers/credit"
-	"beechgrade/internal/peers/credit/bank"
-	"beechgrade/internal/peers/credit/ledger"
-	"beechgrade/internal/peers/credit/purse"
+	"beechgrade/internal/cluster/credit"
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/ledger"
+	"beechgrade/internal/cluster/credit/lessor"
 	"beechgrade/internal/sexp"
 )
 
@@ -17,18 +17,18 @@
 	On      bool
 	Unit    string // what amounts are in, for those who read figures
 	Dir     string // where marks are kept; empty for nowhere. "$NAME" stands for a variable of the environment
-	Purse   purse.Settings
-	Bank    bank.Settings
+	Purse   lease.Settings
+	Bank    lessor.Settings
 	Prices  []ClassPrice
 	Depths  []ClassDepth
-	Pays    []bank.Pay
+	Pays    []lessor.Pay
 	Prepaid []string
 }
 
 // ClassPrice is what a class's requests cost.
 type ClassPrice struct {
 	Class string
-	purse.Price
+	lease.Price
 }
 
 // ClassDepth is how far below nothing a tenant's balance may go for a class.
@@ -44,7 +44,7 @@
 	s.Purse.Prepaid = c.Prepaid
 	s.Bank.Ends = s.Purse.Ends()
 	for i, name := range classes {
-		x := purse.Class{Worth: worth(i)}
+		x := lease.Class{Worth: worth(i)}
 		if k := slices.IndexFunc(c.Prices, func(p ClassPrice) bool { return p.Class == name }); k >= 0 {
 			x.Price = c.Prices[k].Price
 		}
@@ -90,7 +90,7 @@
 }
 
 func (c *Credit) read(n *sexp.Node, env func(string) string) error {
-	*c = Credit{On: true, Purse: purse.Defaults(), Bank: bank.Defaults()}
+	*c = Credit{On: true, Purse: lease.Defaults(), Bank: lessor.Defaults()}
 	p := &c.Purse
 	span := func(to *float64, least, most float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Millis(least, most); return err }
@@ -202,6 +202,6 @@
 		return err
 	}
 	x, err := whole(a[2], 1)
-	c.Pays = append(c.Pays, bank.Pay{Tenant: tenant, No: uint64(no), Amount: x})
+	c.Pays = append(c.Pays, lessor.Pay{Tenant: tenant, No: uint64(no), Amount: x})
 	return err
 }
--- a/internal/settings/credit_test.go
+++ b/internal/settings/credit_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/peers/credit/bank"
-	"beechgrade/internal/peers/credit/purse"
+	"beechgrade/internal/cluster/credit/lease"
+	"beechgrade/internal/cluster/credit/lessor"
 )
 
 const beforeCredit = `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d")) `
@@ -20,11 +20,11 @@
 		t.Fatal(err)
 	}
 	got := s.Credit.For([]string{"write", "read", "report"}, func(i int) float64 { return float64(i) })
-	want := []purse.Class{{Worth: 0, Depth: 500}, {Worth: 1, Price: purse.Price{Request: 2}}, {Worth: 2, Price: purse.Price{Request: 5, Row: 1, Most: 100, Failed: true}}}
+	want := []lease.Class{{Worth: 0, Depth: 500}, {Worth: 1, Price: lease.Price{Request: 2}}, {Worth: 2, Price: lease.Price{Request: 5, Row: 1, Most: 100, Failed: true}}}
 	if d := cmp.Diff(want, got.Purse.Classes); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff([]bank.Pay{{Tenant: "a", No: 1, Amount: 10}, {Tenant: "m", No: 1, Amount: 30}, {Tenant: "m", No: 2, Amount: 70}}, got.Pays); d != "" {
+	if d := cmp.Diff([]lessor.Pay{{Tenant: "a", No: 1, Amount: 10}, {Tenant: "m", No: 1, Amount: 30}, {Tenant: "m", No: 2, Amount: 70}}, got.Pays); d != "" {
 		t.Error(d)
 	}
 	if d := cmp.Diff([]string{"a", "m", "z"}, got.Purse.Prepaid); d != "" {
