--- a/cmd/beechgrade-kit/repeats_test.go
+++ b/cmd/beechgrade-kit/repeats_test.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"testing"
 
+	"beechgrade/internal/cluster/overload/retrybudget"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/peers/overload/account"
 )
 
 // TestFleetRepeats: among eight processes, a group's replica returns, servers of another lose half of what they are sent, and the ways between
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	breached(t, res)
-	b := account.Repeats{Part: 0.02, Floor: 4, Span: 10e9}
+	b := retrybudget.Repeats{Part: 0.02, Floor: 4, Span: 10e9}
 	for g, x := range res.Twice {
 		most := b.Most(x.Taken-x.Again+int(res.Score.Total.Tries/20), 8, 5, 16e9) // those that were sent and lost, beside what was taken; a side counts five or three
 		t.Logf("group %d: %d taken, %d again, at most %.1f", g, x.Taken, x.Again, most)
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -3,10 +3,10 @@
 import (
 	"strconv"
 
+	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/peers"
-	"beechgrade/internal/peers/overload/joined"
 	"beechgrade/internal/settings"
 )
 
@@ -24,12 +24,12 @@
 	if !set.On || p.peers == nil {
 		return
 	}
-	j := joined.New(set.Options, p.core, peersHost{p.peers, p.loop})
+	j := adapter.New(set.Options, p.core, peersHost{p.peers, p.loop})
 	if set.Shed {
 		p.core.SetPressure(j)
 	}
 	if set.Share {
-		p.core.SetProber(joined.Prober{Joined: j})
+		p.core.SetProber(adapter.Prober{Joined: j})
 	}
 	j.Begin()
 	p.peers.Join(j)
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -10,6 +10,7 @@
 
 	"beechgrade/internal/admin"
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/config"
 	"beechgrade/internal/core"
 	"beechgrade/internal/endpoints/discovery"
@@ -23,7 +24,6 @@
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/lifecycle/handover"
 	"beechgrade/internal/peers"
-	"beechgrade/internal/peers/overload/joined"
 	outlieradapter "beechgrade/internal/peers/verdicts/joined"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
@@ -81,7 +81,7 @@
 	peers  *peers.Peers           // nil where it is no fleet's
 	expect int                    // poolers that there are to be
 	limits *fleetLimits           // nil where none hold for the whole fleet
-	over   *joined.Joined         // nil where overload is handled alone
+	over   *adapter.Joined        // nil where overload is handled alone
 	judged *outlieradapter.Joined // nil where each learns of servers alone
 	zones  *zoned                 // nil where zones are not decided together
 
--- a/internal/peers/overload/joined/honest.go
+++ b/internal/cluster/overload/adapter/honest.go
@@ -1,8 +1,8 @@
 //go:build !liar
 
-package joined
+package adapter
 
-import "beechgrade/internal/peers/overload"
+import "beechgrade/internal/cluster/overload"
 
 // told and answered are what is said in truth; rehearsals build a program that lies with the tag liar.
 func told(t *overload.Tell) *overload.Tell         { return t }
--- a/internal/peers/overload/joined/joined.go
+++ b/internal/cluster/overload/adapter/joined.go
@@ -1,15 +1,15 @@
-// Package joined joins package overload to a pooler's core and to the ways between poolers: one adapter for sockets and for virtual time.
-package joined
+// Package adapter joins package overload to a pooler's core and to the ways between poolers: one adapter for sockets and for virtual time.
+package adapter
 
 import (
 	"time"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/overload"
+	"beechgrade/internal/cluster/overload/budgetlease"
+	"beechgrade/internal/cluster/overload/retrybudget"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/overload"
-	"beechgrade/internal/peers/overload/account"
-	"beechgrade/internal/peers/overload/lend"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/view"
 )
@@ -21,7 +21,7 @@
 	Names() (classes, tenants []string)
 	Contracts() *decide.Settings
 	Probe(store string)
-	SetRepeats(b *account.Repeats, returns float64)
+	SetRepeats(b *retrybudget.Repeats, returns float64)
 	Stocks() []decide.Stock
 	Lend(more map[int]float64)
 	ProbeReported(store string, result decide.Result, said backend.Report, ageMs float64)
@@ -49,7 +49,7 @@
 	host   Host
 	o      *overload.Overload
 	p      *overload.Probes
-	l      *lend.Lend
+	l      *budgetlease.Lend
 	acts   []overload.Action
 	due    float64
 	named  int // classes and tenants that the settings had
@@ -83,8 +83,8 @@
 
 // Read is part.Part's.
 func (j *Joined) Read(b []byte) (any, error) {
-	if lend.Mine(b) {
-		return lend.Read(b)
+	if budgetlease.Mine(b) {
+		return budgetlease.Read(b)
 	}
 	return overload.Read(b)
 }
@@ -144,7 +144,7 @@
 		j.do(overload.Told{From: from, Tell: m})
 	case *overload.Answer:
 		j.do(overload.Answered{From: from, Answer: m})
-	case *lend.Give, *lend.Want:
+	case *budgetlease.Give, *budgetlease.Want:
 		if j.l != nil {
 			j.lends(j.l.Heard(j.host.Now(), from, m, nil))
 		}
--- a/internal/peers/overload/joined/lend.go
+++ b/internal/cluster/overload/adapter/lend.go
@@ -1,11 +1,11 @@
-package joined
+package adapter
 
 import (
 	"time"
 
-	"beechgrade/internal/peers/overload"
-	"beechgrade/internal/peers/overload/account"
-	"beechgrade/internal/peers/overload/lend"
+	"beechgrade/internal/cluster/overload"
+	"beechgrade/internal/cluster/overload/budgetlease"
+	"beechgrade/internal/cluster/overload/retrybudget"
 	"beechgrade/internal/peers/view"
 )
 
@@ -16,21 +16,21 @@
 	Floor   float64
 	SpanMs  float64
 	Lend    bool
-	Lending lend.Settings
+	Lending budgetlease.Settings
 	Returns float64 // connections a second of the fleet to one server, 0 for any number
 }
 
 // DefaultBound is of (repeats) without more.
 func DefaultBound() Bound {
-	return Bound{Part: 0.1, Floor: 10, SpanMs: 10000, Lend: true, Lending: lend.Defaults()}
+	return Bound{Part: 0.1, Floor: 10, SpanMs: 10000, Lend: true, Lending: budgetlease.Defaults()}
 }
 
 // Begin has the module told what it needs no other pooler for.
 func (j *Joined) Begin() {
 	b := &j.opt.Bound
-	var r *account.Repeats
+	var r *retrybudget.Repeats
 	if b.Repeats {
-		r = &account.Repeats{Part: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
+		r = &retrybudget.Repeats{Part: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
 	}
 	if r != nil || b.Returns > 0 {
 		j.core.SetRepeats(r, b.Returns)
@@ -43,7 +43,7 @@
 		return
 	}
 	if j.l == nil {
-		j.l = lend.New(j.opt.Lending, self, j.host.Now())
+		j.l = budgetlease.New(j.opt.Lending, self, j.host.Now())
 		j.l.Check(j.checks)
 	}
 	j.l.Members(self, peers)
@@ -55,14 +55,14 @@
 		return
 	}
 	all := j.core.Stocks()
-	told := make([]lend.Stock, len(all))
+	told := make([]budgetlease.Stock, len(all))
 	for i, s := range all {
-		told[i] = lend.Stock(s)
+		told[i] = budgetlease.Stock(s)
 	}
 	j.lends(j.l.Tick(j.host.Now(), told, nil))
 }
 
-func (j *Joined) lends(acts []lend.Action) {
+func (j *Joined) lends(acts []budgetlease.Action) {
 	moved := map[int]float64{}
 	for i := range acts {
 		switch a := &acts[i]; {
--- a/internal/peers/overload/joined/liar.go
+++ b/internal/cluster/overload/adapter/liar.go
@@ -5,8 +5,8 @@
 import (
 	"os"
 
+	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/kit/lies"
-	"beechgrade/internal/peers/overload"
 )
 
 // A program with the tag liar lies as LIE in its environment has it; rehearsals build it.
--- a/internal/peers/overload/lend/doc.go
+++ b/internal/cluster/overload/budgetlease/doc.go
@@ -1,4 +1,4 @@
-// Package lend has poolers lend each other what a group of servers may be sent twice. Calls in, actions out: no I/O, no clock, no goroutines.
+// Package budgetlease has poolers lend each other what a group of servers may be sent twice. Calls in, actions out: no I/O, no clock, no goroutines.
 //
 // # The rule that adds up without talking
 //
@@ -36,4 +36,4 @@
 //
 // Whether repeats do any good. A group whose servers lose what they are sent needs more than a part of first attempts; that is refused it here,
 // as its other servers, too, have only so much room.
-package lend
+package budgetlease
--- a/internal/peers/overload/lend/form.go
+++ b/internal/cluster/overload/budgetlease/form.go
@@ -1,9 +1,9 @@
-package lend
+package budgetlease
 
 import (
 	"encoding/binary"
 
-	"beechgrade/internal/peers/overload"
+	"beechgrade/internal/cluster/overload"
 )
 
 // The form of a message: a byte for what it is, its number, then groups and amounts in 64ths, as varints.
--- a/internal/peers/overload/lend/lend.go
+++ b/internal/cluster/overload/budgetlease/lend.go
@@ -1,4 +1,4 @@
-package lend
+package budgetlease
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"math"
 	"slices"
 
+	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/overload"
 )
 
 // ID names a process, Peer is one that can be reached.
--- a/internal/peers/overload/lend/lend_test.go
+++ b/internal/cluster/overload/budgetlease/lend_test.go
@@ -1,4 +1,4 @@
-package lend
+package budgetlease
 
 import (
 	"math"
--- a/internal/peers/overload/account/account.go
+++ b/internal/cluster/overload/retrybudget/account.go
@@ -1,11 +1,11 @@
-// Package account keeps what one pooler may have its groups do twice, and how fast it comes back to a server that has returned. It is told
+// Package retrybudget keeps what one pooler may have its groups do twice, and how fast it comes back to a server that has returned. It is told
 // of each attempt that goes out, and asked before another: calls in, answers out, no I/O, no clock, no goroutines.
 //
 // Both are sums that add up over all poolers without a word between them, as each one has a part of its own: Repeats.Most bounds the repeats
 // of a group, and Returns connections a second those to a server that returned. What is moved between poolers is package lend's.
 //
 // It does not know whether a repeat does any good, nor where it is sent: that is the decision module's, which asks it.
-package account
+package retrybudget
 
 import (
 	"math"
--- a/internal/peers/overload/account/account_test.go
+++ b/internal/cluster/overload/retrybudget/account_test.go
@@ -1,4 +1,4 @@
-package account
+package retrybudget
 
 import (
 	"testing"
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -4,10 +4,10 @@
 	"maps"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/overload/retrybudget"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/metrics"
-	"beechgrade/internal/peers/overload/account"
 )
 
 // Pressure counts the demand on groups, and how hard it was to serve what was admitted.
@@ -27,7 +27,7 @@
 	pressure Pressure
 	prober   Prober
 	shed     map[int]*decide.Shed
-	repeats  *account.Repeats
+	repeats  *retrybudget.Repeats
 	returns  float64
 
 	geography Geography
@@ -67,7 +67,7 @@
 
 // SetRepeats sets the bound on copies and repeats, and on new connections a second, over all poolers, to a server that has returned; 0 for
 // any number.
-func (c *Core) SetRepeats(b *account.Repeats, returns float64) {
+func (c *Core) SetRepeats(b *retrybudget.Repeats, returns float64) {
 	if c.fleet.repeats, c.fleet.returns = b, returns; c.servers != nil {
 		c.reload()
 	}
--- a/internal/decide/api.go
+++ b/internal/decide/api.go
@@ -31,7 +31,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"beechgrade/internal/peers/overload/account"
+	"beechgrade/internal/cluster/overload/retrybudget"
 )
 
 // Time is a reading of the embedder's monotonic clock. Its origin does not matter.
@@ -210,8 +210,8 @@
 	PriceProbe    float64 // the price of a probe, as a part of the request's worth
 	ReportsOnSend bool    // answers carry load reports too
 
-	Repeats *account.Repeats // the bound on copies and repeats, nil for none
-	Returns float64          // new connections a second, over all routers, to a server that has returned; 0 for any number
+	Repeats *retrybudget.Repeats // the bound on copies and repeats, nil for none
+	Returns float64              // new connections a second, over all routers, to a server that has returned; 0 for any number
 
 	Shed map[int]*Shed // by group: what the routers have agreed to turn away; read only
 }
--- a/internal/decide/invariants_twice.go
+++ b/internal/decide/invariants_twice.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"beechgrade/internal/peers/overload/account"
+	"beechgrade/internal/cluster/overload/retrybudget"
 )
 
 // twice is what follows of a group's copies and repeats from its router's actions alone.
@@ -36,7 +36,7 @@
 	case len(view.out) > 0 || view.ran:
 		t.again++
 	}
-	most := b.Part*float64(t.firsts) + t.floor*(1+(r.now-t.since+account.Slow).Seconds()/b.Span.Seconds()) + b.Lent[req.group.id]
+	most := b.Part*float64(t.firsts) + t.floor*(1+(r.now-t.since+retrybudget.Slow).Seconds()/b.Span.Seconds()) + b.Lent[req.group.id]
 	w.checks.That(float64(t.again) <= most+1e-6, "decide: no more copies and repeats than a part of first attempts, a floor and what was lent", func() string {
 		return fmt.Sprintf("group %d: %d, of %v; %+v", req.group.id, t.again, most, *t)
 	})
--- a/internal/decide/state.go
+++ b/internal/decide/state.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"beechgrade/internal/peers/overload/account"
+	"beechgrade/internal/cluster/overload/retrybudget"
 )
 
 // never is a time before all others: of what has not happened.
@@ -52,8 +52,8 @@
 
 	urgencies   [urgencyBins]float64 // recent requests by urgency, fading, up to urgenciesAt
 	urgenciesAt Time
-	backlog     [2]backlog       // at the primaries of all groups, and at the other members
-	repeats     account.Accounts // the copies and repeats that groups may still send
+	backlog     [2]backlog           // at the primaries of all groups, and at the other members
+	repeats     retrybudget.Accounts // the copies and repeats that groups may still send
 
 	watchFails int // subscriptions in a row that failed soon
 
@@ -99,7 +99,7 @@
 	health         health
 	badAt          Time // when it was last taken out of use
 	newAt          Time // when it was first listed, never for before this router began
-	returning      account.Return
+	returning      retrybudget.Return
 	answered       Time // last answer of an attempt
 	probeAt        Time // last probe sent
 	probing        bool
@@ -226,7 +226,7 @@
 // newServer adds a server of which nothing is known.
 func (r *Router) newServer(id ServerID, grp *group) *server {
 	s := &server{id: id, group: grp, set: &r.set, serviceAt: r.now, position: never, pace: 1, relativeRate: 1, positionAt: r.now, roleAt: never, askedAt: never,
-		reportedAt: never, failedAt: never, probeAt: never, coldFrom: never, answered: never, badAt: never, probeRefusedAt: never, newAt: never, returning: account.NewReturn(),
+		reportedAt: never, failedAt: never, probeAt: never, coldFrom: never, answered: never, badAt: never, probeRefusedAt: never, newAt: never, returning: retrybudget.NewReturn(),
 		coldSpent: rateMost, coldSpentAt: r.now, coldPart: r.set.ColdPart, drawn: math.Inf(1), drawnAt: r.now} // a process before this one may just have spent the whole budget...
 	if r.listed { // ...unless the server is new itself
 		s.newAt, s.coldSpent, s.drawnAt = r.now, 0, r.now-r.set.FallSpan
--- a/internal/decide/twice_test.go
+++ b/internal/decide/twice_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
+	"beechgrade/internal/cluster/overload/retrybudget"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/overload/account"
 	"beechgrade/internal/steady"
 )
 
@@ -18,7 +18,7 @@
 func bounded(part, floor float64) func(*Settings) {
 	return func(s *Settings) {
 		s.Peers = 10
-		s.Repeats = &account.Repeats{Part: part, Floor: floor, Span: 10 * time.Second}
+		s.Repeats = &retrybudget.Repeats{Part: part, Floor: floor, Span: 10 * time.Second}
 	}
 }
 
@@ -127,7 +127,7 @@
 				g.r.rng.Float64()
 			}
 			g.r.servers["a"].badAt = g.now // and its probe has just been answered
-			for k, wait := range []time.Duration{0, time.Second, account.Slow} {
+			for k, wait := range []time.Duration{0, time.Second, retrybudget.Slow} {
 				g.pass(wait)
 				id := RequestID(fmt.Sprint("x", k))
 				n := len(of(Send, g.askA(id)))
@@ -140,7 +140,7 @@
 		}
 		for k, n := range sent {
 			if n < want[2*k] || n > want[2*k+1] {
-				t.Errorf("at %v a second: sent %v at once, after a second, and after %v", rate, sent, account.Slow)
+				t.Errorf("at %v a second: sent %v at once, after a second, and after %v", rate, sent, retrybudget.Slow)
 			}
 		}
 	}
--- a/internal/kit/emulate/mutants.go
+++ b/internal/kit/emulate/mutants.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
@@ -11,7 +12,6 @@
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/overload/joined"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/peers/verdicts"
@@ -39,8 +39,8 @@
 	SameID   bool                                           // its processes all have one ID
 	Keyed    bool                                           // it shows where writes have keys
 	Lists    bool                                           // it goes by its list's role in place of what servers say
-	Over     func(no int, o *joined.Options)                // how it handles overload with others
-	Core     func(no int, c joined.Core) joined.Core        // whom that tells
+	Over     func(no int, o *adapter.Options)               // how it handles overload with others
+	Core     func(no int, c adapter.Core) adapter.Core      // whom that tells
 	Says     func(no int, w part.Words) part.Words          // what a part of it says in place of its words
 }
 
@@ -188,19 +188,19 @@
 // OverloadMutants are poolers that handle overload together in a way that is broken on purpose.
 func OverloadMutants() []Mutant {
 	return []Mutant{
-		{Name: "makes each probe itself", Breaks: check.ProbesShared, Over: func(no int, o *joined.Options) { o.Share = false }},
-		{Name: "probes once for each who asks", Breaks: check.ProbesShared, Over: func(no int, o *joined.Options) { o.Probes.Each, o.Probes.Age = 0, -1 }},
-		{Name: "tells at every turn", Breaks: check.TalkBounded, Over: func(no int, o *joined.Options) { o.Set.Period = o.Set.Step }},
-		{Name: "sheds in all groups what one cannot do", Breaks: check.QuietSpared, Core: func(no int, c joined.Core) joined.Core { return everywhere{c} }},
+		{Name: "makes each probe itself", Breaks: check.ProbesShared, Over: func(no int, o *adapter.Options) { o.Share = false }},
+		{Name: "probes once for each who asks", Breaks: check.ProbesShared, Over: func(no int, o *adapter.Options) { o.Probes.Each, o.Probes.Age = 0, -1 }},
+		{Name: "tells at every turn", Breaks: check.TalkBounded, Over: func(no int, o *adapter.Options) { o.Set.Period = o.Set.Step }},
+		{Name: "sheds in all groups what one cannot do", Breaks: check.QuietSpared, Core: func(no int, c adapter.Core) adapter.Core { return everywhere{c} }},
 		{Name: "knows of no tenants", Breaks: check.TenantKept, Module: func(c *config.Config) { c.Settings.Tenants = nil }},
-		{Name: "does not let in again", Breaks: check.ServiceBack, Over: func(no int, o *joined.Options) { o.Set.Back, o.Set.Hold = 1e-4, 1e6 }},
-		{Name: "repeats whatever it likes", Breaks: check.RepeatsBounded, Over: func(no int, o *joined.Options) { o.Repeats = false }},
-		{Name: "earns a repeat with each first try", Breaks: check.RepeatsBounded, Over: func(no int, o *joined.Options) { o.Part = 1 }},
+		{Name: "does not let in again", Breaks: check.ServiceBack, Over: func(no int, o *adapter.Options) { o.Set.Back, o.Set.Hold = 1e-4, 1e6 }},
+		{Name: "repeats whatever it likes", Breaks: check.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Repeats = false }},
+		{Name: "earns a repeat with each first try", Breaks: check.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Part = 1 }},
 	}
 }
 
 // everywhere tells the module of each group what is for one.
-type everywhere struct{ joined.Core }
+type everywhere struct{ adapter.Core }
 
 // Shed is joined.Core's.
 func (e everywhere) Shed(group int, s *decide.Shed) {
--- a/internal/kit/emulate/overload.go
+++ b/internal/kit/emulate/overload.go
@@ -2,9 +2,9 @@
 
 import (
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/core"
 	"beechgrade/internal/decide"
-	"beechgrade/internal/peers/overload/joined"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/view"
 )
@@ -24,10 +24,10 @@
 }
 
 // Overloaded has poolers handle overload as one.
-func Overloaded(opt joined.Options) Joined {
+func Overloaded(opt adapter.Options) Joined {
 	return func(h Host) []part.Part {
 		c := h.x.p.core
-		opt, told := opt, joined.Core(probed{c, h.x.p})
+		opt, told := opt, adapter.Core(probed{c, h.x.p})
 		if m := h.x.p.e.opt.Mutant; m != nil {
 			if m.Over != nil {
 				m.Over(h.No(), &opt)
@@ -36,13 +36,13 @@
 				told = m.Core(h.No(), told)
 			}
 		}
-		j := joined.New(opt, told, h)
+		j := adapter.New(opt, told, h)
 		j.Check(h.x.p.e.checks, partsEach)
 		if opt.Shed {
 			c.SetPressure(j)
 		}
 		if opt.Share {
-			c.SetProber(joined.Prober{Joined: j})
+			c.SetProber(adapter.Prober{Joined: j})
 		}
 		h.x.over = j
 		j.Begin()
--- a/internal/kit/emulate/peers.go
+++ b/internal/kit/emulate/peers.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"math/rand/v2"
 
+	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/overload/joined"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/quota"
 	outlieradapter "beechgrade/internal/peers/verdicts/joined"
@@ -109,7 +109,7 @@
 
 	limits *lender // nil where none hold for the whole fleet
 	parts  []part.Part
-	over   *joined.Joined         // nil where each pooler handles overload alone
+	over   *adapter.Joined        // nil where each pooler handles overload alone
 	judged *outlieradapter.Joined // nil where each learns alone
 }
 
--- a/internal/kit/explore/levels.go
+++ b/internal/kit/explore/levels.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
+	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/overload"
 )
 
 // Levels are so many poolers that agree on what one group turns away, all of them collectors, with the messages between them and the same load at
--- a/internal/kit/explore/levels_test.go
+++ b/internal/kit/explore/levels_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/peers/overload"
+	"beechgrade/internal/cluster/overload"
 )
 
 // TestLevels: in whatever order words on load come, and however often, the same words end in the same state at each process; levels stay within their
--- a/internal/kit/explore/probes.go
+++ b/internal/kit/explore/probes.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
+	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/overload"
 )
 
 // Probers are so many poolers that share probes of one server, with the messages between them. Time goes on in steps, at each of which every
--- a/internal/kit/explore/probes_test.go
+++ b/internal/kit/explore/probes_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"beechgrade/internal/peers/overload"
+	"beechgrade/internal/cluster/overload"
 )
 
 // prober searches so many processes that share probes, with what may go wrong.
--- a/internal/kit/lies/lies.go
+++ b/internal/kit/lies/lies.go
@@ -4,7 +4,7 @@
 import (
 	"slices"
 
-	"beechgrade/internal/peers/overload"
+	"beechgrade/internal/cluster/overload"
 )
 
 // Times are what the kinds of liar make of each rate that they tell.
--- a/internal/kit/scenario/overload.go
+++ b/internal/kit/scenario/overload.go
@@ -4,10 +4,10 @@
 	"math"
 	"time"
 
+	"beechgrade/internal/cluster/overload"
+	"beechgrade/internal/cluster/overload/retrybudget"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/overload"
-	"beechgrade/internal/peers/overload/account"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 )
@@ -37,7 +37,7 @@
 		c.CalmMs = p.Shun + p.Latest() + v.Detect(s.Poolers, max(1, s.Poolers/2), s.Way[1]) + v.Settle(s.Poolers, max(1, s.Poolers/2), s.Way[1], false)
 	}
 	if b := &s.Overload.Bound; b.Repeats {
-		r := account.Repeats{Part: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
+		r := retrybudget.Repeats{Part: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
 		c.Repeats = func(firsts, n int, ms float64) float64 {
 			return r.Most(firsts, n, s.Poolers, time.Duration(ms*float64(time.Millisecond)))
 		}
--- a/internal/peers/verdicts/verdicts.go
+++ b/internal/peers/verdicts/verdicts.go
@@ -7,8 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/overload"
 )
 
 // Verdicts is a process's side: as an observer, as a collector, and as one that heeds what collectors say.
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -1,15 +1,15 @@
 package settings
 
 import (
-	"beechgrade/internal/peers/overload"
-	"beechgrade/internal/peers/overload/joined"
+	"beechgrade/internal/cluster/overload"
+	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/sexp"
 )
 
 // Overload says whether and how the fleet handles overload as one. It takes (peers ...).
 type Overload struct {
 	On bool
-	joined.Options
+	adapter.Options
 }
 
 // ReadOverload reads (overload ...).
@@ -19,7 +19,7 @@
 }
 
 func (o *Overload) read(n *sexp.Node) error {
-	o.On, o.Options = true, joined.Options{Set: overload.Defaults(), Share: true, Probes: overload.DefaultProbes(), Bound: joined.DefaultBound()}
+	o.On, o.Options = true, adapter.Options{Set: overload.Defaults(), Share: true, Probes: overload.DefaultProbes(), Bound: adapter.DefaultBound()}
 	s, p, b := &o.Set, &o.Probes, &o.Bound
 	span := func(to *float64, least, most float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Millis(least, most); return err }
