--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -10,6 +10,7 @@
 
 	"beechgrade/internal/admin"
 	"beechgrade/internal/backend"
+	outlieradapter "beechgrade/internal/cluster/outlier/adapter"
 	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/config"
 	"beechgrade/internal/core"
@@ -24,7 +25,6 @@
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/lifecycle/handover"
 	"beechgrade/internal/peers"
-	outlieradapter "beechgrade/internal/peers/verdicts/joined"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/settings"
--- a/cmd/beechgrade/verdicts.go
+++ b/cmd/beechgrade/verdicts.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"strings"
 
+	"beechgrade/internal/cluster/outlier"
+	"beechgrade/internal/cluster/outlier/adapter"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers/verdicts"
-	"beechgrade/internal/peers/verdicts/joined"
 	"beechgrade/internal/peers/view"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/settings"
@@ -19,8 +19,8 @@
 	if !set.On || p.peers == nil {
 		return
 	}
-	p.judged = joined.New(set.Options, p.core, peersHost{p.peers, p.loop})
-	p.judged.Tell(func(s verdicts.Standing, begins bool) {
+	p.judged = adapter.New(set.Options, p.core, peersHost{p.peers, p.loop})
+	p.judged.Tell(func(s outlier.Standing, begins bool) {
 		p.core.Note(recordpb.Kind_KIND_AVOIDED, verdictText(s, begins))
 	})
 	p.core.SetWitness(p.judged)
@@ -28,7 +28,7 @@
 }
 
 // verdictText is what the records have of a server that is avoided from now on by others' word, or no more.
-func verdictText(s verdicts.Standing, begins bool) string {
+func verdictText(s outlier.Standing, begins bool) string {
 	if !begins {
 		return s.Server + ": no more"
 	}
--- a/internal/peers/verdicts/joined/joined.go
+++ b/internal/cluster/outlier/adapter/joined.go
@@ -1,15 +1,15 @@
-// Package joined joins package verdicts to a pooler's core and to the ways between poolers: one adapter for sockets and for virtual time.
-package joined
+// Package adapter joins package verdicts to a pooler's core and to the ways between poolers: one adapter for sockets and for virtual time.
+package adapter
 
 import (
 	"slices"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/outlier"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/verdicts"
 	"beechgrade/internal/peers/view"
 )
 
@@ -29,19 +29,19 @@
 }
 
 // Options say what is shared, and how.
-type Options struct{ Set verdicts.Settings }
+type Options struct{ Set outlier.Settings }
 
 // Told hears of each server that this pooler begins or ends to avoid by others' word.
-type Told func(s verdicts.Standing, begins bool)
+type Told func(s outlier.Standing, begins bool)
 
 // Joined is a pooler's side. It is part.Part and core.Witness.
 type Joined struct {
 	opt    Options
 	core   Core
 	host   Host
-	v      *verdicts.Verdicts // nil until somebody is known
-	acts   []verdicts.Action
-	listed map[string]verdicts.Server
+	v      *outlier.Verdicts // nil until somebody is known
+	acts   []outlier.Action
+	listed map[string]outlier.Server
 	kinds  map[string]float64 // rates of the servers, as learned
 	works  []float64
 	learnt float64
@@ -52,7 +52,7 @@
 
 // New makes one; it is to be joined to the peers and to the core.
 func New(opt Options, c Core, h Host) *Joined {
-	return &Joined{opt: opt, core: c, host: h, listed: map[string]verdicts.Server{}, kinds: map[string]float64{}}
+	return &Joined{opt: opt, core: c, host: h, listed: map[string]outlier.Server{}, kinds: map[string]float64{}}
 }
 
 // Tell has somebody hear of what is avoided.
@@ -72,29 +72,29 @@
 func (j *Joined) Kind() view.Kind { return part.Verdicts }
 
 // Read is part.Part's.
-func (j *Joined) Read(b []byte) (any, error) { return verdicts.Read(b) }
+func (j *Joined) Read(b []byte) (any, error) { return outlier.Read(b) }
 
 // Members is part.Part's.
 func (j *Joined) Members(self view.ID, all []view.Record, _ view.Counts) {
-	var peers []verdicts.Peer
+	var peers []outlier.Peer
 	for i := range all {
 		if r := &all[i]; r.ID == self || r.State <= view.Suspect {
-			peers = append(peers, verdicts.Peer{ID: r.ID, Addr: r.Addr, Zone: r.Zone})
+			peers = append(peers, outlier.Peer{ID: r.ID, Addr: r.Addr, Zone: r.Zone})
 		}
 	}
 	began := j.v == nil
 	if began {
-		j.v = verdicts.New(j.opt.Set, self, j.host.Now())
+		j.v = outlier.New(j.opt.Set, self, j.host.Now())
 		j.v.Check(j.checks, j.every)
 	}
-	j.do(verdicts.Members{Self: self, Peers: peers})
+	j.do(outlier.Members{Self: self, Peers: peers})
 	if began {
 		j.list()
 	}
 }
 
 // Heard is part.Part's.
-func (j *Joined) Heard(from view.ID, m any) { j.do(verdicts.Heard{From: from, Message: m}) }
+func (j *Joined) Heard(from view.ID, m any) { j.do(outlier.Heard{From: from, Message: m}) }
 
 // Tick is part.Part's.
 func (j *Joined) Tick() {
@@ -102,7 +102,7 @@
 		j.learnt = now
 		j.learn(j.core.Memory())
 	}
-	j.do(verdicts.Tick{})
+	j.do(outlier.Tick{})
 }
 
 // learn takes what requests cost, and which servers the module takes for down.
@@ -125,7 +125,7 @@
 		}
 	}
 	slices.Sort(down)
-	j.do(verdicts.Downs{Servers: down})
+	j.do(outlier.Downs{Servers: down})
 }
 
 // Leave is part.Part's: what it told fades by itself.
@@ -145,17 +145,17 @@
 			delete(j.listed, n.ID)
 			continue
 		}
-		j.listed[n.ID] = verdicts.Server{Name: n.ID, Group: n.Cell, Start: float64(n.StartedAtMs)}
+		j.listed[n.ID] = outlier.Server{Name: n.ID, Group: n.Cell, Start: float64(n.StartedAtMs)}
 	}
 	j.list()
 }
 
 func (j *Joined) list() {
-	var all []verdicts.Server
+	var all []outlier.Server
 	for _, x := range j.listed { // the module sorts them
 		all = append(all, x)
 	}
-	j.do(verdicts.Listed{Servers: all})
+	j.do(outlier.Listed{Servers: all})
 }
 
 func refOf(t backend.Tag) uint64 {
@@ -173,38 +173,38 @@
 			work /= j.kinds[store]
 		}
 	}
-	j.do(verdicts.Sent{Server: store, Ref: refOf(t), Work: max(1, work)})
+	j.do(outlier.Sent{Server: store, Ref: refOf(t), Work: max(1, work)})
 }
 
 // Ended is core.Witness's.
 func (j *Joined) Ended(store string, t backend.Tag, result decide.Result, said backend.Report) {
-	end := verdicts.Answered
+	end := outlier.Answered
 	switch result {
 	case decide.TimedOut, decide.Cancelled, decide.Skipped:
-		end = verdicts.Void
+		end = outlier.Void
 	case decide.Unreachable, decide.Reset:
-		end = verdicts.Lost
+		end = outlier.Lost
 	}
-	j.do(verdicts.Ended{Server: store, Ref: refOf(t), End: end, Said: saidOf(said)})
+	j.do(outlier.Ended{Server: store, Ref: refOf(t), End: end, Said: saidOf(said)})
 }
 
 // Probed is core.Witness's.
 func (j *Joined) Probed(store string, result decide.Result, said backend.Report) {
-	j.do(verdicts.Probed{Server: store, OK: result == decide.OK, Said: saidOf(said)})
+	j.do(outlier.Probed{Server: store, OK: result == decide.OK, Said: saidOf(said)})
 }
 
 // Withholds is core.Witness's.
 func (j *Joined) Withholds(store string) bool { return j.v != nil && j.v.Avoids(store) }
 
-func saidOf(s backend.Report) (out verdicts.Said) {
+func saidOf(s backend.Report) (out outlier.Said) {
 	if s.HasPos {
 		out.Position = s.Position
-		out.Role = map[decide.Role]verdicts.Role{decide.RolePrimary: verdicts.Leads, decide.RoleReplica: verdicts.Follows}[s.Role]
+		out.Role = map[decide.Role]outlier.Role{decide.RolePrimary: outlier.Leads, decide.RoleReplica: outlier.Follows}[s.Role]
 	}
 	return out
 }
 
-func (j *Joined) do(e verdicts.Event) {
+func (j *Joined) do(e outlier.Event) {
 	if j.v == nil {
 		return
 	}
@@ -212,26 +212,26 @@
 	j.acts = nil
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
-		case verdicts.Send:
+		case outlier.Send:
 			if a.Tell != nil {
 				j.host.Tell(a.Addr, a.To, part.Verdicts, told(a.Tell))
 			} else {
 				j.host.Tell(a.Addr, a.To, part.Verdicts, said(a.Word))
 			}
-		case verdicts.Avoid:
+		case outlier.Avoid:
 			j.core.Avoid(a.Server)
-		case verdicts.Try:
+		case outlier.Try:
 			j.core.Try(a.Server)
-		case verdicts.Begins, verdicts.Ends:
+		case outlier.Begins, outlier.Ends:
 			if j.told != nil {
 				a.Standing.Server = a.Server
-				j.told(a.Standing, a.Kind == verdicts.Begins)
+				j.told(a.Standing, a.Kind == outlier.Begins)
 			}
-		case verdicts.Look:
+		case outlier.Look:
 			j.core.Look(a.Server)
-		case verdicts.Learn:
+		case outlier.Learn:
 			s := backend.Report{Position: a.Said.Position, HasPos: true}
-			if a.Said.Role == verdicts.Leads {
+			if a.Said.Role == outlier.Leads {
 				s.Role = decide.RolePrimary
 			}
 			j.core.ServerReported(a.Server, s, max(0, a.Age))
@@ -242,7 +242,7 @@
 }
 
 // Avoided is part.Avoiding's: the servers that this pooler avoids by others' word.
-func (j *Joined) Avoided() []verdicts.Standing {
+func (j *Joined) Avoided() []outlier.Standing {
 	if j.v == nil {
 		return nil
 	}
--- a/internal/peers/verdicts/joined/liar.go
+++ b/internal/cluster/outlier/adapter/liar.go
@@ -5,8 +5,8 @@
 import (
 	"os"
 
+	"beechgrade/internal/cluster/outlier"
 	"beechgrade/internal/kit/lies"
-	"beechgrade/internal/peers/verdicts"
 )
 
 // A program with the tag liar lies of servers as LIE in its environment has it; rehearsals build it.
--- a/internal/peers/verdicts/api.go
+++ b/internal/cluster/outlier/api.go
@@ -1,4 +1,4 @@
-package verdicts
+package outlier
 
 import (
 	"math"
--- a/internal/peers/verdicts/doc.go
+++ b/internal/cluster/outlier/doc.go
@@ -1,4 +1,4 @@
-// Package verdicts decides what poolers make of each other's evidence about servers. Events in, actions out: no I/O, no clock, no goroutines.
+// Package outlier decides what poolers make of each other's evidence about servers. Events in, actions out: no I/O, no clock, no goroutines.
 // It tells the decision module nothing but what that knows already: that a store is down (Recall), that one is reached again (a probe's
 // result), and roles and positions as of when servers told them (Recall). The module still decides everything.
 //
@@ -64,4 +64,4 @@
 //
 // Why a server is silent: one that is crowded for longer than a verdict takes, at all poolers, is avoided as a deaf one. One that loses a part of its
 // requests is none: its answers contradict the verdict. Whether a list that names no starts speaks of the same process.
-package verdicts
+package outlier
--- a/internal/kit/emulate/mutants.go
+++ b/internal/kit/emulate/mutants.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/outlier"
 	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
@@ -14,7 +15,6 @@
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/verdicts"
 	"beechgrade/internal/peers/view"
 )
 
@@ -34,7 +34,7 @@
 	Limits   func(no int, q *quota.Quota, m *quota.Message) // before a message about them is told
 	Demand   func(no int, want float64) float64             // what it says that it would use
 	Pages    PageMutant                                     // what becomes of a page
-	Verdicts func(no int, s *verdicts.Settings)             // how it shares what it knows of servers
+	Verdicts func(no int, s *outlier.Settings)              // how it shares what it knows of servers
 	Rash     bool                                           // a process that begins again votes at once
 	SameID   bool                                           // its processes all have one ID
 	Keyed    bool                                           // it shows where writes have keys
--- a/internal/kit/emulate/peers.go
+++ b/internal/kit/emulate/peers.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 
+	outlieradapter "beechgrade/internal/cluster/outlier/adapter"
 	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/links"
@@ -11,7 +12,6 @@
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/quota"
-	outlieradapter "beechgrade/internal/peers/verdicts/joined"
 	"beechgrade/internal/peers/view"
 )
 
--- a/internal/kit/emulate/verdicts.go
+++ b/internal/kit/emulate/verdicts.go
@@ -1,18 +1,18 @@
 package emulate
 
 import (
+	"beechgrade/internal/cluster/outlier/adapter"
 	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/verdicts/joined"
 )
 
 // Judged has poolers share what they know of servers.
-func Judged(opt joined.Options) Joined {
+func Judged(opt adapter.Options) Joined {
 	return func(h Host) []part.Part {
 		c := h.x.p.core
 		if m := h.x.p.e.opt.Mutant; m != nil && m.Verdicts != nil {
 			m.Verdicts(h.x.p.no, &opt.Set)
 		}
-		j := joined.New(opt, c, h)
+		j := adapter.New(opt, c, h)
 		j.Check(h.x.p.e.checks, walkEach)
 		j.Tell(func(s part.Avoided, begins bool) {
 			if begins {
--- a/internal/kit/emulate/verdicts_liar_test.go
+++ b/internal/kit/emulate/verdicts_liar_test.go
@@ -4,10 +4,10 @@
 	"slices"
 	"testing"
 
+	"beechgrade/internal/cluster/outlier"
 	"beechgrade/internal/kit/check"
 	byzantine "beechgrade/internal/kit/lies"
 	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/verdicts"
 )
 
 // toldOf is poolers of which 1 and 7 collect, with few requests each. Verdicts end soon, so that a blackout shows in the second 10 s.
@@ -51,7 +51,7 @@
 			}
 			t.Logf("service %.4f, %.4f without the liar", r.Score.Ratio, honest)
 			if rule := believed[name]; rule != "" {
-				m := &Mutant{Says: lying(lie, 1), Verdicts: func(_ int, s *verdicts.Settings) { s.Broken = verdicts.OneEnough }}
+				m := &Mutant{Says: lying(lie, 1), Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.OneEnough }}
 				if r := play(t, s, Options{Seed: 1, Mutant: m}); r.Verdict.Broken[rule] == 0 {
 					t.Errorf("%q holds though one word is enough: %v", rule, r.Verdict.Checked)
 				}
--- a/internal/kit/explore/verdicts.go
+++ b/internal/kit/explore/verdicts.go
@@ -3,19 +3,19 @@
 import (
 	"fmt"
 
-	"beechgrade/internal/peers/verdicts"
+	"beechgrade/internal/cluster/outlier"
 )
 
 // Evidence is what one process hears of servers' state from others, in whatever order, each word once and as many of them twice as Twice says.
 type Evidence struct {
-	Set     verdicts.Settings
-	Members verdicts.Members
-	Servers []verdicts.Server
-	Words   []verdicts.Heard
+	Set     outlier.Settings
+	Members outlier.Members
+	Servers []outlier.Server
+	Words   []outlier.Heard
 	Twice   int
 
 	heard []int // in their order
-	v     *verdicts.Verdicts
+	v     *outlier.Verdicts
 	want  string // what is made of all of them, heard in their order
 }
 
@@ -34,9 +34,9 @@
 
 func (e *Evidence) after(heard []int) *Evidence {
 	x := *e
-	x.heard, x.v = heard, verdicts.New(e.Set, e.Members.Self, evidenceAt)
+	x.heard, x.v = heard, outlier.New(e.Set, e.Members.Self, evidenceAt)
 	x.v.Handle(evidenceAt, e.Members, nil)
-	x.v.Handle(evidenceAt, verdicts.Listed{Servers: e.Servers}, nil)
+	x.v.Handle(evidenceAt, outlier.Listed{Servers: e.Servers}, nil)
 	for _, i := range heard {
 		x.v.Handle(evidenceAt, e.Words[i], nil)
 	}
@@ -74,7 +74,7 @@
 func (e *Evidence) Check() error {
 	n, _ := e.times()
 	all := true
-	by := map[verdicts.ID]bool{}
+	by := map[outlier.ID]bool{}
 	for i := range e.Words {
 		if all = all && n[i] > 0; n[i] > 0 {
 			by[e.Words[i].From] = true
--- a/internal/kit/explore/verdicts_test.go
+++ b/internal/kit/explore/verdicts_test.go
@@ -4,36 +4,36 @@
 	"fmt"
 	"testing"
 
-	"beechgrade/internal/peers/verdicts"
+	"beechgrade/internal/cluster/outlier"
 )
 
 // evidence is of a group of four: three observers find a server silent, one of them has an answer later; two collectors' older and newer words.
-func evidence(t *testing.T, broken verdicts.Fault, lastly bool) *Evidence {
+func evidence(t *testing.T, broken outlier.Fault, lastly bool) *Evidence {
 	t.Helper()
-	e := &Evidence{Set: verdicts.Defaults(), Members: verdicts.Members{Self: 1}, Twice: 1}
+	e := &Evidence{Set: outlier.Defaults(), Members: outlier.Members{Self: 1}, Twice: 1}
 	e.Set.Broken = broken
 	for i := range 5 {
-		e.Members.Peers = append(e.Members.Peers, verdicts.Peer{ID: verdicts.ID(i + 1), Addr: fmt.Sprint(i), Zone: "z"})
+		e.Members.Peers = append(e.Members.Peers, outlier.Peer{ID: outlier.ID(i + 1), Addr: fmt.Sprint(i), Zone: "z"})
 	}
 	e.Set.Collectors = 5
 	for i := range 4 {
-		e.Servers = append(e.Servers, verdicts.Server{Name: fmt.Sprint("s", i)})
+		e.Servers = append(e.Servers, outlier.Server{Name: fmt.Sprint("s", i)})
 	}
-	v := verdicts.New(e.Set, 1, evidenceAt)
+	v := outlier.New(e.Set, 1, evidenceAt)
 	v.Handle(evidenceAt, e.Members, nil)
-	v.Handle(evidenceAt, verdicts.Listed{Servers: e.Servers}, nil)
+	v.Handle(evidenceAt, outlier.Listed{Servers: e.Servers}, nil)
 	key := v.Judged()[0].Key
-	tell := func(from verdicts.ID, seq uint32, x verdicts.Item) {
+	tell := func(from outlier.ID, seq uint32, x outlier.Item) {
 		x.Key = key
-		e.Words = append(e.Words, verdicts.Heard{From: from, Message: &verdicts.Tell{Seq: seq, Items: []verdicts.Item{x}}})
+		e.Words = append(e.Words, outlier.Heard{From: from, Message: &outlier.Tell{Seq: seq, Items: []outlier.Item{x}}})
 	}
-	word := func(from verdicts.ID, seq uint32, bad bool) {
-		e.Words = append(e.Words, verdicts.Heard{From: from, Message: &verdicts.Word{Seq: seq, Items: []verdicts.Sum{{Key: key, Bad: bad, All: bad, First: 3000, Last: 100, Answered: -1}}}})
+	word := func(from outlier.ID, seq uint32, bad bool) {
+		e.Words = append(e.Words, outlier.Heard{From: from, Message: &outlier.Word{Seq: seq, Items: []outlier.Sum{{Key: key, Bad: bad, All: bad, First: 3000, Last: 100, Answered: -1}}}})
 	}
-	said := verdicts.Said{Role: verdicts.Follows, Position: evidenceAt - 500}
-	tell(2, 1, verdicts.Item{Answered: 5000, N: 3, First: 3000, Last: 400, Work: 80, Said: said, SaidAge: 300})
-	tell(3, 1, verdicts.Item{Answered: -1, N: 2, First: 2500, Last: 300, Work: 80, Said: said, SaidAge: 200})
-	tell(3, 2, verdicts.Item{Answered: 100, Work: 80})
+	said := outlier.Said{Role: outlier.Follows, Position: evidenceAt - 500}
+	tell(2, 1, outlier.Item{Answered: 5000, N: 3, First: 3000, Last: 400, Work: 80, Said: said, SaidAge: 300})
+	tell(3, 1, outlier.Item{Answered: -1, N: 2, First: 2500, Last: 300, Work: 80, Said: said, SaidAge: 200})
+	tell(3, 2, outlier.Item{Answered: 100, Work: 80})
 	word(2, 9, true)
 	word(3, 7, true)
 	word(4, 8, true)
@@ -46,7 +46,7 @@
 // TestEvidence: whatever the order of the words, and if one of them comes twice, the same is made of them in the end; and none is by one alone.
 func TestEvidence(t *testing.T) {
 	for _, lastly := range []bool{false, true} {
-		e := evidence(t, verdicts.Sound, lastly)
+		e := evidence(t, outlier.Sound, lastly)
 		r := Run(e, Bounds{Depth: 2 * len(e.Words), States: 1 << 16})
 		if r.Err != nil || !r.Whole {
 			t.Errorf("%v, %v; whole: %v, %d states", r.Err, r.Trace, r.Whole, r.States)
@@ -55,7 +55,7 @@
 			t.Errorf("three collectors' word makes %d verdicts: it proves nothing", stands)
 		}
 	}
-	if r := Run(evidence(t, verdicts.OneEnough, true), Bounds{Depth: 14, States: 1 << 16}); r.Err == nil {
+	if r := Run(evidence(t, outlier.OneEnough, true), Bounds{Depth: 14, States: 1 << 16}); r.Err == nil {
 		t.Error("a verdict by one alone is not found")
 	}
 }
--- a/internal/kit/lies/servers.go
+++ b/internal/kit/lies/servers.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"beechgrade/internal/peers/verdicts"
+	"beechgrade/internal/cluster/outlier"
 )
 
 // Servers is what a liar says of servers, as an observer and as a collector; times are in ms.
@@ -24,17 +24,17 @@
 }
 
 func (l Servers) of(word any) any {
-	said := func(s verdicts.Said) verdicts.Said {
+	said := func(s outlier.Said) outlier.Said {
 		if s.Position > 0 {
 			s.Position += l.Ahead
 			if l.Lead {
-				s.Role = verdicts.Leads
+				s.Role = outlier.Leads
 			}
 		}
 		return s
 	}
 	switch m := word.(type) {
-	case *verdicts.Tell:
+	case *outlier.Tell:
 		c := *m
 		c.Items = slices.Clone(m.Items)
 		for i := range c.Items {
@@ -44,13 +44,13 @@
 			}
 		}
 		return &c
-	case *verdicts.Word:
+	case *outlier.Word:
 		c := *m
 		c.Items = slices.Clone(m.Items)
 		for i := range c.Items {
 			x := &c.Items[i]
 			if x.Said = said(x.Said); l.Silent {
-				x.Bad, x.All, x.First, x.Last, x.By, x.Answered = true, true, l.Since, 0, []verdicts.ID{1, 2}, -1
+				x.Bad, x.All, x.First, x.Last, x.By, x.Answered = true, true, l.Since, 0, []outlier.ID{1, 2}, -1
 			}
 		}
 		return &c
--- a/internal/settings/verdicts.go
+++ b/internal/settings/verdicts.go
@@ -1,15 +1,15 @@
 package settings
 
 import (
-	"beechgrade/internal/peers/verdicts"
-	"beechgrade/internal/peers/verdicts/joined"
+	"beechgrade/internal/cluster/outlier"
+	"beechgrade/internal/cluster/outlier/adapter"
 	"beechgrade/internal/sexp"
 )
 
 // Verdicts says whether and how the fleet shares what it knows of servers. It takes (peers ...).
 type Verdicts struct {
 	On bool
-	joined.Options
+	adapter.Options
 }
 
 // ReadVerdicts reads (verdicts ...).
@@ -19,7 +19,7 @@
 }
 
 func (v *Verdicts) read(n *sexp.Node) error {
-	v.On, v.Options = true, joined.Options{Set: verdicts.Defaults()}
+	v.On, v.Options = true, adapter.Options{Set: outlier.Defaults()}
 	s := &v.Set
 	span := func(to *float64, least, most float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Millis(least, most); return err }
