--- a/cmd/beechgrade-kit/zones.go
+++ b/cmd/beechgrade-kit/zones.go
@@ -19,7 +19,7 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/peers/zones/desk"
+	"beechgrade/internal/cluster/zones/admin"
 )
 
 const (
@@ -55,7 +55,7 @@
 		Name: "zones", Usage: "show the plan for zones that is in force, and who follows it", Flags: []cli.Flag{doors(), asJSON()}, Action: showZones,
 		Commands: []*cli.Command{
 			order("evacuate", "have a zone's reads served elsewhere", "evacuated", until),
-			order("return", "take a zone's order back; it comes back in steps", desk.Lifted),
+			order("return", "take a zone's order back; it comes back in steps", admin.Lifted),
 			order("order", "have a zone be in a state, whatever is seen: serving, strained, failing, evacuated or returning", "", until),
 		},
 	}
@@ -65,11 +65,11 @@
 type zoneDoor struct {
 	Door string `json:"door"`
 	Err  string `json:"error,omitempty"`
-	*desk.Standing
+	*admin.Standing
 }
 
 // callZones makes a call at a door. A no of the door's is an error with its status.
-func callZones(ctx context.Context, door, method string, q url.Values) (*desk.Standing, int, error) {
+func callZones(ctx context.Context, door, method string, q url.Values) (*admin.Standing, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, zonesAnswer)
 	defer cancel()
 	u := url.URL{Scheme: "http", Host: door, Path: "/-/zones", RawQuery: q.Encode()}
@@ -91,7 +91,7 @@
 	case a.StatusCode >= http.StatusMultipleChoices:
 		return nil, a.StatusCode, errors.New(strings.TrimSpace(string(b)))
 	}
-	s := &desk.Standing{}
+	s := &admin.Standing{}
 	if err := jsoniter.Unmarshal(b, s); err != nil {
 		return nil, a.StatusCode, fmt.Errorf("its answer cannot be read: %w", err)
 	}
@@ -146,7 +146,7 @@
 
 // zonesText shows the newest plan that anybody has in force, the zones by it, and what each pooler does.
 func zonesText(w io.Writer, all []*zoneDoor) error {
-	var newest, book *desk.Standing
+	var newest, book *admin.Standing
 	for _, d := range all {
 		s := d.Standing
 		if s == nil {
@@ -201,7 +201,7 @@
 	return nil
 }
 
-func sharesText(shares []desk.Share) string {
+func sharesText(shares []admin.Share) string {
 	var out []string
 	for _, s := range shares {
 		out = append(out, fmt.Sprintf("%s %.0f%%", s.Zone, 100*s.Part))
@@ -210,7 +210,7 @@
 }
 
 // orderText is the order of a zone by a voter's book; its number too, as a next one must have a higher one.
-func orderText(book *desk.Standing, zone int) string {
+func orderText(book *admin.Standing, zone int) string {
 	if book == nil || zone >= len(book.Zones) {
 		return "no voter was asked"
 	}
--- a/cmd/beechgrade-kit/zones_kit_test.go
+++ b/cmd/beechgrade-kit/zones_kit_test.go
@@ -12,12 +12,12 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/peers/zones"
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/desk"
-	"beechgrade/internal/peers/zones/follow"
-	"beechgrade/internal/peers/zones/plan"
-	"beechgrade/internal/peers/zones/state"
+	"beechgrade/internal/cluster/zones"
+	"beechgrade/internal/cluster/zones/admin"
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/plan"
+	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 // kit runs a command of this program.
@@ -33,7 +33,7 @@
 type aDoor struct {
 	mu    sync.Mutex
 	set   zones.Settings
-	book  *book.Book
+	book  *statemachine.Book
 	after int
 	asked int
 }
@@ -42,9 +42,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if r.Method == http.MethodPost {
-		o, stands, err := desk.Read(r.URL.Query(), &d.set, d.book, 1e12)
+		o, stands, err := admin.Read(r.URL.Query(), &d.set, d.book, 1e12)
 		switch {
-		case errors.Is(err, desk.ErrCall):
+		case errors.Is(err, admin.ErrCall):
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		case err != nil:
@@ -52,13 +52,13 @@
 			return
 		case !stands:
 			if d.asked++; d.asked >= d.after {
-				d.book.Apply(d.book.Index+1, book.EncodeOrder(&book.Order{No: o.No, Zone: d.set.Index(o.Zone), Lifts: o.Lifts, State: o.State, Until: o.Until}))
+				d.book.Apply(d.book.Index+1, statemachine.EncodeOrder(&statemachine.Order{No: o.No, Zone: d.set.Index(o.Zone), Lifts: o.Lifts, State: o.State, Until: o.Until}))
 			}
 			w.WriteHeader(http.StatusAccepted)
 		}
 	}
-	p := &book.Plan{No: 9, Since: 7, By: "p", Zones: make([]book.Mark, 2), Matrix: plan.Matrix{{1, 0}, {0.25, 0.75}}}
-	b, _ := jsoniter.Marshal(desk.Look(&d.set, follow.Stand{Why: follow.Planned}, p, d.book, d.book != nil))
+	p := &statemachine.Plan{No: 9, Since: 7, By: "p", Zones: make([]statemachine.Mark, 2), Matrix: plan.Matrix{{1, 0}, {0.25, 0.75}}}
+	b, _ := jsoniter.Marshal(admin.Look(&d.set, follower.Stand{Why: follower.Planned}, p, d.book, d.book != nil))
 	_, _ = w.Write(b)
 }
 
@@ -66,8 +66,8 @@
 // said in one line, with exit code 2 for bad input and 1 for what failed.
 func TestZonesKit(t *testing.T) {
 	t.Parallel()
-	b := book.New()
-	b.Apply(1, book.EncodeOrder(&book.Order{No: 4, Zone: 1, State: state.Serving}))
+	b := statemachine.New()
+	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{No: 4, Zone: 1, State: health.Serving}))
 	names := []string{"a", "b"}
 	voter := &aDoor{set: zones.Settings{Name: "p", Zone: "a", Zones: names, Voters: []string{"p"}}, book: b, after: 2}
 	other := &aDoor{set: zones.Settings{Name: "q", Zone: "b", Zones: names, Voters: []string{"p"}}}
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -19,11 +19,11 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"beechgrade/internal/cluster/zones"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/peers/zones"
 	"beechgrade/internal/settings"
 )
 
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -8,9 +8,9 @@
 	"strings"
 
 	"beechgrade/internal/cluster/raftlog"
+	"beechgrade/internal/cluster/zones/adapter"
+	zonesadmin "beechgrade/internal/cluster/zones/admin"
 	"beechgrade/internal/metrics/exposition"
-	zonesadmin "beechgrade/internal/peers/zones/desk"
-	"beechgrade/internal/peers/zones/joined"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/store"
@@ -20,7 +20,7 @@
 type zoned struct {
 	p    *pooler
 	set  settings.Zones
-	j    *joined.Joined
+	j    *adapter.Joined
 	keep chan numbered
 	done chan struct{}
 	last *zonesadmin.Note // that was recorded
@@ -52,7 +52,7 @@
 		}
 	}
 	go z.write()
-	z.j = joined.New(s, p.peers, z, p.core, z)
+	z.j = adapter.New(s, p.peers, z, p.core, z)
 	z.j.Listed(&p.cfg.Known, true)
 	p.core.SetGeography(z.j)
 	p.peers.Join(z.j)
--- a/cmd/beechgrade/zones_admin.go
+++ b/cmd/beechgrade/zones_admin.go
@@ -8,7 +8,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/admin"
-	zonesadmin "beechgrade/internal/peers/zones/desk"
+	zonesadmin "beechgrade/internal/cluster/zones/admin"
 )
 
 // zonesPath is where the operators' door shows zones and takes orders, where they are decided together.
--- a/internal/peers/zones/joined/joined.go
+++ b/internal/cluster/zones/adapter/joined.go
@@ -1,5 +1,5 @@
-// Package joined joins package zones to a pooler's core and to the ways between poolers: one adapter for sockets and for virtual time.
-package joined
+// Package adapter joins package zones to a pooler's core and to the ways between poolers: one adapter for sockets and for virtual time.
+package adapter
 
 import (
 	"cmp"
@@ -8,13 +8,13 @@
 	"time"
 
 	"beechgrade/internal/cluster/raftlog"
+	"beechgrade/internal/cluster/zones"
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/plan"
+	"beechgrade/internal/cluster/zones/planner"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/zones"
-	"beechgrade/internal/peers/zones/chief"
-	"beechgrade/internal/peers/zones/follow"
-	"beechgrade/internal/peers/zones/plan"
 )
 
 // Core is what it needs of a pooler's core.
@@ -54,7 +54,7 @@
 }
 
 type cell struct {
-	chief.Cell
+	planner.Cell
 	asked, lost, fixed float64 // since the last look
 	stores             map[string]*site
 }
@@ -148,7 +148,7 @@
 		return cmp.Or(cmp.Compare(c.Group, at[0]), cmp.Compare(c.Zone, at[1]))
 	})
 	if !found {
-		j.cells = slices.Insert(j.cells, i, &cell{Cell: chief.Cell{Group: group, Zone: zone}, stores: map[string]*site{}})
+		j.cells = slices.Insert(j.cells, i, &cell{Cell: planner.Cell{Group: group, Zone: zone}, stores: map[string]*site{}})
 	}
 	return j.cells[i]
 }
@@ -206,7 +206,7 @@
 }
 
 // Look is zones.Pooler's.
-func (j *Joined) Look(ms float64) (cells []chief.Cell, asks []chief.Ask) {
+func (j *Joined) Look(ms float64) (cells []planner.Cell, asks []planner.Ask) {
 	seconds, usual := max(ms, 1)/1000, j.usual()
 	for _, c := range j.cells {
 		x := &c.Cell
@@ -225,12 +225,14 @@
 		cells = append(cells, *x)
 	}
 	for k, n := range j.asks {
-		asks = append(asks, chief.Ask{Group: k[0], Class: k[1], Load: n / seconds * j.work(k[1])})
+		asks = append(asks, planner.Ask{Group: k[0], Class: k[1], Load: n / seconds * j.work(k[1])})
 		if j.asks[k] = 0; n == 0 {
 			delete(j.asks, k)
 		}
 	}
-	slices.SortFunc(asks, func(a, b chief.Ask) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Class, b.Class)) })
+	slices.SortFunc(asks, func(a, b planner.Ask) int {
+		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Class, b.Class))
+	})
 	return cells, asks
 }
 
@@ -250,8 +252,8 @@
 }
 
 // Stand is zones.Pooler's.
-func (j *Joined) Stand(s follow.Stand) {
-	if s.Why == follow.None && !j.stood {
+func (j *Joined) Stand(s follower.Stand) {
+	if s.Why == follower.None && !j.stood {
 		return
 	}
 	j.stood = true
--- a/internal/peers/zones/desk/desk.go
+++ b/internal/cluster/zones/admin/desk.go
@@ -1,11 +1,11 @@
-// Package desk is what operators are shown of zones, and how their calls are read: for the door of a pooler, and for whoever asks there. Pure.
+// Package admin is what operators are shown of zones, and how their calls are read: for the door of a pooler, and for whoever asks there. Pure.
 //
 // It decides whether a call is an order that may be proposed: of a zone and a state that there are, with an end that is bounded, and with the
 // number after the newest of its zone. It is told the settings and the book; whether the order comes to stand the log says, so whoever
 // asked looks again. A number is named by the asker, so that a call that is made twice is one order.
 //
 // A pooler that does not vote has no book: it shows what it does itself, and takes no orders.
-package desk
+package admin
 
 import (
 	"errors"
@@ -16,10 +16,10 @@
 	"strings"
 	"time"
 
-	"beechgrade/internal/peers/zones"
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/follow"
-	"beechgrade/internal/peers/zones/state"
+	"beechgrade/internal/cluster/zones"
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 // Standing is how zones stand at a pooler, as its door shows it.
@@ -82,7 +82,7 @@
 )
 
 // Look is how things stand; b is nil at a pooler that does not vote.
-func Look(set *zones.Settings, s follow.Stand, p *book.Plan, b *book.Book, leads bool) *Standing {
+func Look(set *zones.Settings, s follower.Stand, p *statemachine.Plan, b *statemachine.Book, leads bool) *Standing {
 	out := &Standing{Pooler: set.Name, Zone: set.Zone, Near: set.Zones[s.Zone], Why: s.Why.String(), Votes: b != nil, Leads: leads, Voters: set.Voters}
 	if p != nil {
 		out.Plan = &Plan{No: p.No, Since: p.Since, By: p.By, Short: p.Short, Most: p.Most}
@@ -110,7 +110,7 @@
 
 // Read reads a call's (zone, state, number, and for how long), at a time in Unix ms. Where stands is true the order came to stand before: it is
 // the same call again.
-func Read(q url.Values, set *zones.Settings, b *book.Book, now float64) (o zones.Order, stands bool, err error) {
+func Read(q url.Values, set *zones.Settings, b *statemachine.Book, now float64) (o zones.Order, stands bool, err error) {
 	for k := range q {
 		if !slices.Contains([]string{"zone", "state", "number", "for"}, k) {
 			return o, false, fmt.Errorf("%w: %q is not known; known are zone, state, number and for", ErrCall, k)
@@ -123,11 +123,11 @@
 		return o, false, fmt.Errorf("%w: there is no zone %q; there are: %s", ErrCall, o.Zone, strings.Join(set.Zones, " "))
 	}
 	word := q.Get("state")
-	i := slices.Index(state.Names[:], word)
+	i := slices.Index(health.Names[:], word)
 	if o.Lifts = word == Lifted; i < 0 && !o.Lifts {
-		return o, false, fmt.Errorf("%w: there is no state %q; there are: %s %s", ErrCall, word, strings.Join(state.Names[:], " "), Lifted)
+		return o, false, fmt.Errorf("%w: there is no state %q; there are: %s %s", ErrCall, word, strings.Join(health.Names[:], " "), Lifted)
 	}
-	o.State = state.State(max(0, i))
+	o.State = health.State(max(0, i))
 	if text := q.Get("for"); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil || d <= 0 || d > MostFor || o.Lifts {
--- a/internal/peers/zones/desk/desk_test.go
+++ b/internal/cluster/zones/admin/desk_test.go
@@ -1,4 +1,4 @@
-package desk
+package admin
 
 import (
 	"errors"
@@ -7,19 +7,19 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/peers/zones"
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/follow"
-	"beechgrade/internal/peers/zones/plan"
-	"beechgrade/internal/peers/zones/state"
+	"beechgrade/internal/cluster/zones"
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/plan"
+	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 // TestRead: a call is an order where its number is the next one; the same one again is no new one; what has been overtaken, lags or is not
 // known is said so.
 func TestRead(t *testing.T) {
 	set := &zones.Settings{Zones: []string{"a", "b"}, Voters: []string{"p", "q"}}
-	b := book.New()
-	b.Apply(1, book.EncodeOrder(&book.Order{No: 4, Zone: 1, State: state.Evacuated}))
+	b := statemachine.New()
+	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{No: 4, Zone: 1, State: health.Evacuated}))
 	const now = 1e12
 	for text, want := range map[string]struct {
 		order  zones.Order
@@ -27,8 +27,8 @@
 		err    error
 	}{
 		"zone=b&state=lifted&number=5":                 {order: zones.Order{No: 5, Zone: "b", Lifts: true}},
-		"zone=a&state=evacuated&number=1&for=10m":      {order: zones.Order{No: 1, Zone: "a", State: state.Evacuated, Until: now + 600000}},
-		"zone=b&state=evacuated&number=4":              {order: zones.Order{No: 4, Zone: "b", State: state.Evacuated}, stands: true},
+		"zone=a&state=evacuated&number=1&for=10m":      {order: zones.Order{No: 1, Zone: "a", State: health.Evacuated, Until: now + 600000}},
+		"zone=b&state=evacuated&number=4":              {order: zones.Order{No: 4, Zone: "b", State: health.Evacuated}, stands: true},
 		"zone=b&state=serving&number=4":                {err: ErrLate},
 		"zone=b&state=lifted&number=4":                 {err: ErrLate},
 		"zone=b&state=evacuated&number=3":              {err: ErrLate},
@@ -59,19 +59,19 @@
 // TestLook shows a plan, an order that stands and one that was taken back.
 func TestLook(t *testing.T) {
 	set := &zones.Settings{Name: "p", Zone: "a", Zones: []string{"a", "b"}, Voters: []string{"p"}}
-	b := book.New()
-	b.Apply(1, book.EncodeOrder(&book.Order{No: 4, Zone: 1, State: state.Evacuated, Until: 5000}))
-	b.Apply(2, book.EncodeOrder(&book.Order{No: 1, Zone: 0, State: state.Serving}))
-	b.Apply(3, book.EncodeOrder(&book.Order{No: 2, Zone: 0, Lifts: true}))
-	p := &book.Plan{No: 9, Since: 7, By: "q", Most: 0.5, Zones: []book.Mark{{}, {State: state.Evacuated, Rest: 2000}}, Matrix: plan.Matrix{{1, 0}, {0.75, 0.25}}}
-	got := Look(set, follow.Stand{Zone: 1, Why: follow.Planned}, p, b, true)
+	b := statemachine.New()
+	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{No: 4, Zone: 1, State: health.Evacuated, Until: 5000}))
+	b.Apply(2, statemachine.EncodeOrder(&statemachine.Order{No: 1, Zone: 0, State: health.Serving}))
+	b.Apply(3, statemachine.EncodeOrder(&statemachine.Order{No: 2, Zone: 0, Lifts: true}))
+	p := &statemachine.Plan{No: 9, Since: 7, By: "q", Most: 0.5, Zones: []statemachine.Mark{{}, {State: health.Evacuated, Rest: 2000}}, Matrix: plan.Matrix{{1, 0}, {0.75, 0.25}}}
+	got := Look(set, follower.Stand{Zone: 1, Why: follower.Planned}, p, b, true)
 	want := &Standing{Pooler: "p", Zone: "a", Near: "b", Why: "plan", Votes: true, Leads: true, Voters: []string{"p"}, Plan: &Plan{No: 9, Since: 7, By: "q", Most: 0.5},
 		Zones: []Zone{{Name: "a", State: "serving", Shares: []Share{{"a", 1}}, Newest: 2},
 			{Name: "b", State: "evacuated", RestMs: 2000, Shares: []Share{{"a", 0.75}, {"b", 0.25}}, Newest: 4, Order: &Order{4, "evacuated", 5000}}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if got := Look(set, follow.Stand{}, nil, nil, false); got.Plan != nil || got.Votes || got.Why != "none" || len(got.Zones) != 2 {
+	if got := Look(set, follower.Stand{}, nil, nil, false); got.Plan != nil || got.Votes || got.Why != "none" || len(got.Zones) != 2 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/peers/zones/desk/note.go
+++ b/internal/cluster/zones/admin/note.go
@@ -1,13 +1,13 @@
-package desk
+package admin
 
 import (
 	"slices"
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/peers/zones"
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/follow"
+	"beechgrade/internal/cluster/zones"
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 // Note is what a pooler records of zones: what it goes by, and where the reads went that any member may serve since the note before.
@@ -23,7 +23,7 @@
 }
 
 // Take makes a note; sent are the counts since the start, and was those at the note before.
-func Take(set *zones.Settings, s follow.Stand, p *book.Plan, sent, was []uint64) *Note {
+func Take(set *zones.Settings, s follower.Stand, p *statemachine.Plan, sent, was []uint64) *Note {
 	n := &Note{Why: s.Why.String(), Zone: set.Zone, Near: set.Zones[s.Zone], Zones: set.Zones}
 	if p != nil {
 		n.Plan, n.By = p.No, p.By
@@ -58,7 +58,7 @@
 
 // ReadNote reads one; false for what is none.
 func ReadNote(text string) (n Note, ok bool) {
-	if jsoniter.UnmarshalFromString(text, &n) != nil || len(n.Zones) == 0 || len(n.Zones) > book.MostZones || !slices.Contains(n.Zones, n.Zone) {
+	if jsoniter.UnmarshalFromString(text, &n) != nil || len(n.Zones) == 0 || len(n.Zones) > statemachine.MostZones || !slices.Contains(n.Zones, n.Zone) {
 		return n, false
 	}
 	return n, (len(n.Sent) == 0 || len(n.Sent) == len(n.Zones)) && (len(n.States) == 0 || len(n.States) == len(n.Zones))
--- a/internal/peers/zones/api.go
+++ b/internal/cluster/zones/api.go
@@ -3,11 +3,11 @@
 import (
 	"github.com/cespare/xxhash/v2"
 
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/plan"
+	"beechgrade/internal/cluster/zones/planner"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/zones/chief"
-	"beechgrade/internal/peers/zones/follow"
-	"beechgrade/internal/peers/zones/plan"
-	"beechgrade/internal/peers/zones/state"
 )
 
 // Settings say how. Times are in ms.
@@ -21,7 +21,7 @@
 	Price  float64  // of crossing where the fleet has a plan, as a part of a request's worth
 	Cores  float64  // of a server of size 1
 	Order  []Order  // as the settings have them
-	Chief  chief.Settings
+	Chief  planner.Settings
 	Floor  uint64 // of the plan that this pooler followed before it was started
 	Checks *invariant.Checks
 
@@ -33,13 +33,13 @@
 	No    uint64
 	Zone  string
 	Lifts bool // there is none any more
-	State state.State
+	State health.State
 	Until float64 // Unix ms, 0 for until it is lifted
 }
 
 // Defaults are for a few zones of a region or two; the zones themselves, their delays and classes come from elsewhere.
 func Defaults() Settings {
-	return Settings{Period: 500, Life: 6000, Price: 0.3, Cores: 4, Chief: chief.Settings{State: state.Defaults(), Plan: plan.Settings{Spare: 0.15, Tight: 0.1, Price: 1}, Stale: 2000, Window: 1000, Memory: 5000,
+	return Settings{Period: 500, Life: 6000, Price: 0.3, Cores: 4, Chief: planner.Settings{State: health.Defaults(), Plan: plan.Settings{Spare: 0.15, Tight: 0.1, Price: 1}, Stale: 2000, Window: 1000, Memory: 5000,
 		Step: 1000, Out: 0.34, Back: 0.1, Renew: 2000, Settle: 1500, Late: 1500}}
 }
 
@@ -79,9 +79,9 @@
 }
 
 // filled are the settings of what is below.
-func (s *Settings) filled() (chief.Settings, follow.Settings) {
+func (s *Settings) filled() (planner.Settings, follower.Settings) {
 	c := s.Chief
 	c.Name, c.Of, c.Zones = s.Name, s.Of(), len(s.Zones)
 	st := &c.State
-	return c, follow.Settings{Zone: max(0, s.Index(s.Zone)), Of: s.Of(), Life: s.Life, Price: s.Price, Least: st.Least, FailAt: st.FailAt, Fail: st.Fail, Floor: s.Floor, Forgets: s.Forgets}
+	return c, follower.Settings{Zone: max(0, s.Index(s.Zone)), Of: s.Of(), Life: s.Life, Price: s.Price, Least: st.Least, FailAt: st.FailAt, Fail: st.Fail, Floor: s.Floor, Forgets: s.Forgets}
 }
--- a/internal/peers/zones/bytes_test.go
+++ b/internal/cluster/zones/bytes_test.go
@@ -4,20 +4,20 @@
 	"encoding/hex"
 	"testing"
 
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/chief"
-	"beechgrade/internal/peers/zones/state"
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/planner"
+	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 // TestBytes: a message's bytes are what poolers of other versions read.
 func TestBytes(t *testing.T) {
-	plan := &book.Plan{No: 1, Since: 2, Version: 3, Of: 4, By: "voter", Zones: []book.Mark{{State: state.Returning, Rest: 5000}, {}}, Matrix: [][]float64{{0.5, 0.5}, {0, 1}}, Short: 1.5, Most: 0.25}
+	plan := &statemachine.Plan{No: 1, Since: 2, Version: 3, Of: 4, By: "voter", Zones: []statemachine.Mark{{State: health.Returning, Rest: 5000}, {}}, Matrix: [][]float64{{0.5, 0.5}, {0, 1}}, Short: 1.5, Most: 0.25}
 	for name, c := range map[string]struct {
 		message interface{ Append([]byte) []byte }
 		want    string
 	}{
-		"observations": {&Tell{No: 300, Tell: chief.Tell{Zone: 1, Part: 2, Cells: []chief.Cell{{Group: 7, Zone: 1, Asked: 1.5, Lost: 0.25, Cores: 4, Whole: 8, Fixed: 0.5, Age: 30}, {Group: 1 << 30}},
-			Asks: []chief.Ask{{Group: 7, Class: 3, Load: 0.125}}}}, "01ac0201020207019601199003a006321e8080808004000000000000000107037d"},
+		"observations": {&Tell{No: 300, Tell: planner.Tell{Zone: 1, Part: 2, Cells: []planner.Cell{{Group: 7, Zone: 1, Asked: 1.5, Lost: 0.25, Cores: 4, Whole: 8, Fixed: 0.5, Age: 30}, {Group: 1 << 30}},
+			Asks: []planner.Ask{{Group: 7, Class: 3, Load: 0.125}}}}, "01ac0201020207019601199003a006321e8080808004000000000000000107037d"},
 		"a plan":          {&Word{No: 300, Age: 12, Plan: plan}, "02ac020c0102030405766f746572020405000000dc0bfa010200f40301f4030101e807"},
 		"a plan's number": {&Word{No: 300, Age: 12}, "02ac020c"},
 	} {
--- a/internal/peers/zones/follow/follow.go
+++ b/internal/cluster/zones/follower/follow.go
@@ -1,4 +1,4 @@
-// Package follow is what one pooler makes of the fleet's plans: in which zone it has its requests served first, and how dear it is to cross.
+// Package follower is what one pooler makes of the fleet's plans: in which zone it has its requests served first, and how dear it is to cross.
 // Pure.
 //
 // # What it decides, and what not
@@ -17,9 +17,9 @@
 //
 // A plan with a lower number is passed over, also after a restart: before a plan that asks for something else is followed, the number
 // from which on it was asked for (Since) is Kept where the process's next self finds it, as Floor.
-package follow
+package follower
 
-import "beechgrade/internal/peers/zones/book"
+import "beechgrade/internal/cluster/zones/statemachine"
 
 // Settings say how. Times are in ms.
 type Settings struct {
@@ -60,9 +60,9 @@
 // Follower is a pooler's.
 type Follower struct {
 	set   Settings
-	plan  *book.Plan // in force, or the last
-	next  *book.Plan // its number is being kept
-	later *book.Plan // heard since: its number is kept once that one's is, so that a slow disk delays, and no haste of plans stops, what is followed
+	plan  *statemachine.Plan // in force, or the last
+	next  *statemachine.Plan // its number is being kept
+	later *statemachine.Plan // heard since: its number is kept once that one's is, so that a slow disk delays, and no haste of plans stops, what is followed
 	ends  float64
 	nextE float64
 	lateE float64
@@ -79,7 +79,7 @@
 func (f *Follower) Count(rank, of int) { f.rank, f.of = max(0, rank), max(1, of) }
 
 // Heard is a plan that was in force age ms ago. It tells the number that is to be kept before the plan is followed, 0 for none.
-func (f *Follower) Heard(now float64, p *book.Plan, age float64) (keep uint64) {
+func (f *Follower) Heard(now float64, p *statemachine.Plan, age float64) (keep uint64) {
 	ends := now + f.set.Life - max(0, age)
 	if p.Of != f.set.Of || ends <= now && f.plan == nil {
 		return 0
@@ -136,7 +136,7 @@
 }
 
 // Plan is the last one that was followed, nil for none, and when it ends.
-func (f *Follower) Plan() (p *book.Plan, ends float64) { return f.plan, f.ends }
+func (f *Follower) Plan() (p *statemachine.Plan, ends float64) { return f.plan, f.ends }
 
 // Number is the newest plan that was heard.
 func (f *Follower) Number() uint64 {
--- a/internal/peers/zones/follow/follow_test.go
+++ b/internal/cluster/zones/follower/follow_test.go
@@ -1,18 +1,18 @@
-package follow
+package follower
 
 import (
 	"testing"
 
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/plan"
+	"beechgrade/internal/cluster/zones/plan"
+	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 func set() Settings {
 	return Settings{Zone: 0, Of: 9, Life: 5000, Price: 0.4, Least: 10, FailAt: 0.2, Fail: 1000}
 }
 
-func thePlan(no uint64, away float64) *book.Plan {
-	return &book.Plan{No: no, Since: no, Of: 9, Zones: make([]book.Mark, 2), Matrix: plan.Matrix{{1 - away, away}, {0, 1}}}
+func thePlan(no uint64, away float64) *statemachine.Plan {
+	return &statemachine.Plan{No: no, Since: no, Of: 9, Zones: make([]statemachine.Mark, 2), Matrix: plan.Matrix{{1 - away, away}, {0, 1}}}
 }
 
 // TestSharesAreDealt: never more poolers than a share has go, but where a zone is left whole.
--- a/internal/peers/zones/form.go
+++ b/internal/cluster/zones/form.go
@@ -5,8 +5,8 @@
 	"errors"
 	"math"
 
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/chief"
+	"beechgrade/internal/cluster/zones/planner"
+	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 // ErrForm is of bytes that are no word about zones.
@@ -15,14 +15,14 @@
 // Tell is a pooler's word to a voter: the newest plan that it has, and what it saw.
 type Tell struct {
 	No uint64
-	chief.Tell
+	planner.Tell
 }
 
 // Word is a voter's: the newest plan that it applied, whole where Plan is there, and how long ago.
 type Word struct {
 	No   uint64
 	Age  float64
-	Plan *book.Plan
+	Plan *statemachine.Plan
 }
 
 const (
@@ -36,10 +36,10 @@
 )
 
 // split makes parts that each fit a datagram.
-func split(t *chief.Tell) (out []chief.Tell) {
+func split(t *planner.Tell) (out []planner.Tell) {
 	cells, asks := t.Cells, t.Asks
 	for len(out) < mostParts && (len(out) == 0 || len(cells)+len(asks) > 0) {
-		p := chief.Tell{Zone: t.Zone, Part: len(out)}
+		p := planner.Tell{Zone: t.Zone, Part: len(out)}
 		n := min(len(cells), mostCells)
 		p.Cells, cells = cells[:n], cells[n:]
 		if n = min(len(asks), mostAsks); len(p.Cells) < mostCells/2 { // one or the other, mostly
@@ -106,9 +106,9 @@
 	switch verb {
 	case verbTell:
 		t := &Tell{No: no}
-		t.Zone, t.Part = int(next(book.MostZones-1)), int(next(mostParts-1))
+		t.Zone, t.Part = int(next(statemachine.MostZones-1)), int(next(mostParts-1))
 		for range int(next(mostCells)) {
-			c := chief.Cell{Group: int(next(math.MaxInt32)), Zone: int(next(book.MostZones - 1))}
+			c := planner.Cell{Group: int(next(math.MaxInt32)), Zone: int(next(statemachine.MostZones - 1))}
 			for _, x := range []*float64{&c.Asked, &c.Lost, &c.Cores, &c.Whole, &c.Fixed} {
 				*x = next(1e12) / hundred
 			}
@@ -116,7 +116,7 @@
 			t.Cells = append(t.Cells, c)
 		}
 		for range int(next(mostAsks)) {
-			t.Asks = append(t.Asks, chief.Ask{Group: int(next(math.MaxInt32)), Class: int(next(1 << 16)), Load: next(1e12) / (10 * hundred)})
+			t.Asks = append(t.Asks, planner.Ask{Group: int(next(math.MaxInt32)), Class: int(next(1 << 16)), Load: next(1e12) / (10 * hundred)})
 		}
 		if bad || len(b) > 0 {
 			return nil, ErrForm
@@ -129,7 +129,7 @@
 		}
 		if len(b) > 0 {
 			var err error
-			if w.Plan, err = book.ReadPlan(b); err != nil {
+			if w.Plan, err = statemachine.ReadPlan(b); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/peers/zones/state/state.go
+++ b/internal/cluster/zones/health/state.go
@@ -1,10 +1,10 @@
-// Package state follows one zone, or the way from one zone to another: serving, strained, failing, evacuated, returning. Pure: what the fleet
+// Package health follows one zone, or the way from one zone to another: serving, strained, failing, evacuated, returning. Pure: what the fleet
 // saw of it goes in from time to time, a state comes out. Each step takes evidence that lasts, and the way back takes longer each time it
 // was in vain, so nothing flaps: see Settings.Shifts.
 //
 // Operators may order a state, until it is taken back; what was seen meanwhile counts again from the order's end on. It does not know
 // whose evidence it is, nor what is made of a state.
-package state
+package health
 
 import "math"
 
--- a/internal/peers/zones/state/state_test.go
+++ b/internal/cluster/zones/health/state_test.go
@@ -1,4 +1,4 @@
-package state
+package health
 
 import (
 	"testing"
--- a/internal/peers/zones/chief/chief.go
+++ b/internal/cluster/zones/planner/chief.go
@@ -1,4 +1,4 @@
-// Package chief makes the fleet's plans, at the voter that leads: what all poolers saw goes in, entries for the log come out. Pure.
+// Package planner makes the fleet's plans, at the voter that leads: what all poolers saw goes in, entries for the log come out. Pure.
 //
 // # What it decides, and what not
 //
@@ -9,15 +9,15 @@
 //
 // Whether its plan is the one, the log's order says (package book). It does not know whether it still leads: what it proposes too late is void.
 // A chief that has just begun to lead takes the plan in force as it is for Settle, until poolers have told it what they see.
-package chief
+package planner
 
 import (
 	"maps"
 	"math"
 
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/plan"
-	"beechgrade/internal/peers/zones/state"
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/plan"
+	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 // Settings say how. Times are in ms.
@@ -26,7 +26,7 @@
 	Of     uint32 // a sum of the zones' names
 	Zones  int
 	Plan   plan.Settings
-	State  state.Settings
+	State  health.Settings
 	Stale  float64 // what a pooler told is forgotten
 	Window float64 // over which attempts are counted
 	Memory float64 // over which loads are smoothed
@@ -82,8 +82,8 @@
 	told   map[key]teller
 	leads  bool
 	from   float64 // it leads since
-	zones  []state.Zone
-	ways   [][]state.Zone
+	zones  []health.Zone
+	ways   [][]health.Zone
 	loads  map[flow]float64 // smoothed
 	ends   [][2]float64     // by zone of the poolers and of the servers: attempts that ended and were lost, about over Window
 	lookAt float64
@@ -100,7 +100,7 @@
 // Sight is what a chief made of the last windows, for those who look.
 type Sight struct {
 	Groups []plan.Group
-	Seen   []state.Seen
+	Seen   []health.Seen
 	Want   plan.Matrix
 	Short  float64
 	Cross  float64
@@ -117,36 +117,36 @@
 func (c *Chief) Sight() *Sight { return &c.view }
 
 // Zone is how one stands.
-func (c *Chief) Zone(z int) state.Zone { return c.zones[z] }
+func (c *Chief) Zone(z int) health.Zone { return c.zones[z] }
 
 // Leads tells whether it takes itself for the one who leads.
 func (c *Chief) Leads() bool { return c.leads }
 
 // begin takes the states that the plan in force has.
-func (c *Chief) begin(p *book.Plan, now float64) {
-	c.zones, c.ways = make([]state.Zone, c.set.Zones), make([][]state.Zone, c.set.Zones)
+func (c *Chief) begin(p *statemachine.Plan, now float64) {
+	c.zones, c.ways = make([]health.Zone, c.set.Zones), make([][]health.Zone, c.set.Zones)
 	for z := range c.zones {
-		c.zones[z] = state.New(&c.set.State)
-		c.ways[z] = make([]state.Zone, c.set.Zones)
+		c.zones[z] = health.New(&c.set.State)
+		c.ways[z] = make([]health.Zone, c.set.Zones)
 		for y := range c.ways[z] {
-			c.ways[z][y] = state.New(&c.set.State)
+			c.ways[z][y] = health.New(&c.set.State)
 		}
 	}
 	if p == nil || len(p.Zones) != c.set.Zones {
 		return
 	}
 	for z, m := range p.Zones {
-		if m.State != state.Serving || m.Rest > c.set.State.Rest {
-			c.zones[z] = state.Resume(m.State, m.Rest, now)
+		if m.State != health.Serving || m.Rest > c.set.State.Rest {
+			c.zones[z] = health.Resume(m.State, m.Rest, now)
 		}
 	}
 	for _, w := range p.Ways {
-		c.ways[w.From][w.To] = state.Resume(w.State, w.Rest, now)
+		c.ways[w.From][w.To] = health.Resume(w.State, w.Rest, now)
 	}
 }
 
 // Lead tells whether this voter leads, and the plan in force by its book.
-func (c *Chief) Lead(now float64, leads bool, p *book.Plan) {
+func (c *Chief) Lead(now float64, leads bool, p *statemachine.Plan) {
 	if leads && !c.leads {
 		c.from, c.sent = now, 0
 		clear(c.loads)
@@ -164,14 +164,14 @@
 }
 
 // Step looks at everything, and tells what to propose. now is Unix ms, by which orders end.
-func (c *Chief) Step(now float64, b *book.Book) (entries [][]byte) {
+func (c *Chief) Step(now float64, b *statemachine.Book) (entries [][]byte) {
 	maps.DeleteFunc(c.told, func(_ key, t teller) bool { return now-t.at > c.set.Stale })
 	if !c.leads {
 		return nil
 	}
 	for z := range c.zones {
 		if o, ok := b.Order(z); ok && o.Until > 0 && now >= o.Until {
-			entries = append(entries, book.EncodeEnd(&o))
+			entries = append(entries, statemachine.EncodeEnd(&o))
 		} else if ok {
 			c.zones[z].Order(now, o.State)
 		} else {
@@ -183,13 +183,13 @@
 	}
 	if p := c.next(now, b); p != nil {
 		c.sent, c.sentAt = p.No, now
-		entries = append(entries, book.EncodePlan(p))
+		entries = append(entries, statemachine.EncodePlan(p))
 	}
 	return entries
 }
 
 // next is the plan to propose, nil for none.
-func (c *Chief) next(now float64, b *book.Book) *book.Plan {
+func (c *Chief) next(now float64, b *statemachine.Book) *statemachine.Plan {
 	last := b.Plan
 	no := uint64(0)
 	if last != nil {
@@ -198,14 +198,14 @@
 	if c.sent > no && now-c.sentAt < c.set.Late {
 		return nil // it is on its way
 	}
-	p := &book.Plan{No: no + 1, Version: b.Version, Of: c.set.Of, By: c.set.Name}
+	p := &statemachine.Plan{No: no + 1, Version: b.Version, Of: c.set.Of, By: c.set.Name}
 	for z := range c.zones {
-		p.Zones = append(p.Zones, book.Mark{State: c.zones[z].State, Rest: c.zones[z].Rest})
+		p.Zones = append(p.Zones, statemachine.Mark{State: c.zones[z].State, Rest: c.zones[z].Rest})
 	}
 	for a := range c.ways {
 		for b := range c.ways[a] {
-			if w := &c.ways[a][b]; w.State != state.Serving && len(p.Ways) < book.MostWays {
-				p.Ways = append(p.Ways, book.Way{From: a, To: b, Mark: book.Mark{State: w.State, Rest: w.Rest}})
+			if w := &c.ways[a][b]; w.State != health.Serving && len(p.Ways) < statemachine.MostWays {
+				p.Ways = append(p.Ways, statemachine.Way{From: a, To: b, Mark: statemachine.Mark{State: w.State, Rest: w.Rest}})
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 const small = 0.03
 
 // step goes from the matrix in force towards the one that is wanted.
-func (c *Chief) step(now float64, m plan.Matrix, last *book.Plan) plan.Matrix {
+func (c *Chief) step(now float64, m plan.Matrix, last *statemachine.Plan) plan.Matrix {
 	safe := c.plan.Allowed(m, c.view.Groups) && c.plan.Most(m, c.view.Groups) <= 1
 	far := 0.0
 	for z := range m {
@@ -260,7 +260,7 @@
 	paces := make([]plan.Pace, len(m))
 	for z := range paces {
 		paces[z] = plan.Pace{Out: c.set.Out, Back: c.set.Back}
-		if s := &c.view.Seen[z]; c.zones[z].State == state.Evacuated && !c.zones[z].Ordered || c.zones[z].State.Out() && s.Up < gone {
+		if s := &c.view.Seen[z]; c.zones[z].State == health.Evacuated && !c.zones[z].Ordered || c.zones[z].State.Out() && s.Up < gone {
 			paces[z].Out = 1
 		}
 	}
--- a/internal/peers/zones/chief/chief_test.go
+++ b/internal/cluster/zones/planner/chief_test.go
@@ -1,4 +1,4 @@
-package chief
+package planner
 
 import (
 	"math"
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/plan"
+	"beechgrade/internal/cluster/zones/statemachine"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/plan"
-	"beechgrade/internal/peers/zones/state"
 )
 
 const (
@@ -22,23 +22,23 @@
 type rig struct {
 	t     *testing.T
 	set   Settings
-	book  *book.Book
+	book  *statemachine.Book
 	chief *Chief
 	now   float64
 	index uint64
-	cores []float64    // that serve
-	whole []float64    // that there are
-	lost  []float64    // part of what is sent to a zone
-	ways  [][2]int     // that are cut
-	load  []float64    // cores that clients near a zone ask
-	dark  []bool       // its poolers are gone
-	plans []*book.Plan // in order
+	cores []float64            // that serve
+	whole []float64            // that there are
+	lost  []float64            // part of what is sent to a zone
+	ways  [][2]int             // that are cut
+	load  []float64            // cores that clients near a zone ask
+	dark  []bool               // its poolers are gone
+	plans []*statemachine.Plan // in order
 	out   []bool
 	shift []float64
 }
 
 func settings(zones int) Settings {
-	s := Settings{Name: "a", Of: 1, Zones: zones, State: state.Defaults(), Stale: 1600, Window: 1000, Memory: 3000, Step: 1000, Out: 0.34, Back: 0.1, Renew: 2000, Settle: 1000, Late: 1000}
+	s := Settings{Name: "a", Of: 1, Zones: zones, State: health.Defaults(), Stale: 1600, Window: 1000, Memory: 3000, Step: 1000, Out: 0.34, Back: 0.1, Renew: 2000, Settle: 1000, Late: 1000}
 	s.Plan = plan.Settings{Classes: []plan.Class{{Worth: 1}}, Price: 1, Spare: 0.2, Tight: 0.2}
 	for a := range zones {
 		s.Plan.Delay = append(s.Plan.Delay, make([]float64, zones))
@@ -50,7 +50,7 @@
 }
 
 func newRig(t *testing.T, zones int) *rig {
-	r := &rig{t: t, set: settings(zones), book: book.New(), now: 1e6, out: make([]bool, zones), dark: make([]bool, zones), lost: make([]float64, zones)}
+	r := &rig{t: t, set: settings(zones), book: statemachine.New(), now: 1e6, out: make([]bool, zones), dark: make([]bool, zones), lost: make([]float64, zones)}
 	r.book.Checks = invariant.Test(t)
 	for range zones {
 		r.cores, r.whole, r.load = append(r.cores, 10), append(r.whole, 10), append(r.load, 4)
@@ -173,7 +173,7 @@
 		}
 		return was == 1
 	})
-	if took < r.set.Step/r.set.Back-r.set.Step || r.chief.Zone(0).State != state.Returning && r.chief.Zone(0).State != state.Serving {
+	if took < r.set.Step/r.set.Back-r.set.Step || r.chief.Zone(0).State != health.Returning && r.chief.Zone(0).State != health.Serving {
 		t.Errorf("back after %.0f ms, %v", took, r.chief.Zone(0).State)
 	}
 }
@@ -189,7 +189,7 @@
 		t.Errorf("%d shifts: %v", n, r.shift)
 	}
 	r.lost[1] = 0
-	r.until(400000, "back", func() bool { return r.matrix()[1][1] == 1 && r.chief.Zone(1).State == state.Serving })
+	r.until(400000, "back", func() bool { return r.matrix()[1][1] == 1 && r.chief.Zone(1).State == health.Serving })
 }
 
 // TestNoPlanIsFeasible: two zones strained at once, then the third lost: what has no safe room is told, and no zone that receives is overfull.
@@ -197,7 +197,7 @@
 	r := newRig(t, 3)
 	r.load = []float64{9, 9, 3}
 	r.run(30000)
-	if c := r.chief; c.Zone(0).State != state.Strained || c.Zone(1).State != state.Strained || r.matrix()[0][2]+r.matrix()[1][2] == 0 || r.book.Plan.Short > 0 {
+	if c := r.chief; c.Zone(0).State != health.Strained || c.Zone(1).State != health.Strained || r.matrix()[0][2]+r.matrix()[1][2] == 0 || r.book.Plan.Short > 0 {
 		t.Errorf("%v and %v, %v, short %.2f", c.Zone(0).State, c.Zone(1).State, r.matrix(), r.book.Plan.Short)
 	}
 	r.cores[2] = 0
@@ -251,20 +251,20 @@
 	r.lost[0] = 0.5
 	r.until(10000, "under way", func() bool { return r.matrix()[0][0] < 1 })
 	late := r.chief
-	r.apply([][]byte{book.EncodeOrder(&book.Order{No: 1, Zone: 2, State: state.Evacuated, Until: r.now + 60000})})
-	if p := r.book.Clone(); p.Apply(1<<40, book.EncodePlan(&book.Plan{No: p.Plan.No + 1, Version: 0, Zones: p.Plan.Zones, Matrix: plan.Near(3)})) {
+	r.apply([][]byte{statemachine.EncodeOrder(&statemachine.Order{No: 1, Zone: 2, State: health.Evacuated, Until: r.now + 60000})})
+	if p := r.book.Clone(); p.Apply(1<<40, statemachine.EncodePlan(&statemachine.Plan{No: p.Plan.No + 1, Version: 0, Zones: p.Plan.Zones, Matrix: plan.Near(3)})) {
 		t.Error("a plan that does not know of the order is taken")
 	}
 	r.elect("b")
 	r.until(20000, "both evacuated", func() bool { return r.matrix()[0][1] == 1 && r.matrix()[2][1] == 1 })
 	no := r.book.Plan.No
 	late.sent = 0
-	for _, e := range late.Step(r.now, book.New()) { // it was asleep, and has its book of old
+	for _, e := range late.Step(r.now, statemachine.New()) { // it was asleep, and has its book of old
 		if r.index++; r.book.Apply(r.index, e) {
 			t.Error("a plan of old is taken")
 		}
 	}
-	b := book.New()
+	b := statemachine.New()
 	if err := b.Restore(r.book.Snapshot()); err != nil || b.Plan.No != no {
 		t.Fatal(err)
 	}
@@ -310,7 +310,7 @@
 		return float64(m.HeapAlloc) / (1 << 20)
 	}
 	before := heap()
-	c, bk := New(set), book.New()
+	c, bk := New(set), statemachine.New()
 	c.Lead(1, true, nil)
 	now, took := 1.0, []float64{}
 	for range b.N {
--- a/internal/peers/zones/chief/look.go
+++ b/internal/cluster/zones/planner/look.go
@@ -1,4 +1,4 @@
-package chief
+package planner
 
 import (
 	"cmp"
@@ -6,9 +6,9 @@
 	"math"
 	"slices"
 
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/plan"
-	"beechgrade/internal/peers/zones/state"
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/plan"
+	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 const (
@@ -19,8 +19,8 @@
 )
 
 // look makes a picture of what was told, and has the zones and ways take it.
-func (c *Chief) look(now float64, b *book.Book) {
-	c.view = Sight{Seen: make([]state.Seen, c.set.Zones)}
+func (c *Chief) look(now float64, b *statemachine.Book) {
+	c.view = Sight{Seen: make([]health.Seen, c.set.Zones)}
 	groups, cells := c.gather()
 	c.smooth(now, groups)
 	c.count(now, cells)
@@ -159,8 +159,8 @@
 }
 
 // seen is what there is to say of a zone: what its own poolers see, where they ask enough.
-func (c *Chief) seen(z int, by []words) (e state.Seen) {
-	var far state.Seen
+func (c *Chief) seen(z int, by []words) (e health.Seen) {
+	var far health.Seen
 	up, whole := 0.0, 0.0
 	e.Dark = true
 	for _, w := range by {
@@ -217,7 +217,7 @@
 }
 
 // way is what there is to say of one: what one zone's poolers see of another that is well by its own.
-func (c *Chief) way(a, b int) (e state.Seen) {
+func (c *Chief) way(a, b int) (e health.Seen) {
 	x := c.ends[a*c.set.Zones+b]
 	e.Up, e.Asked, e.Lost = 1, x[0], x[1]
 	z := &c.view.Seen[b]
@@ -246,7 +246,7 @@
 				r.Age = best(all, z)[0].Age
 			}
 			s := &c.zones[z]
-			r.Keeps, r.Takes = !s.State.Out(), s.State == state.Serving
+			r.Keeps, r.Takes = !s.State.Out(), s.State == health.Serving
 			r.Cores *= coldBy + (atOnce-coldBy)*s.Warmed(&c.set.State, now)
 			g.Rooms = append(g.Rooms, r)
 		}
--- a/internal/peers/zones/book/book.go
+++ b/internal/cluster/zones/statemachine/book.go
@@ -1,4 +1,4 @@
-// Package book keeps the plan in force and the operators' orders. It is a machine on the log that the poolers agree on: each voter applies
+// Package statemachine keeps the plan in force and the operators' orders. It is a machine on the log that the poolers agree on: each voter applies
 // the same entries in the same order and comes to the same book. It has no clock: an order's end is an entry too, which who leads proposes.
 //
 // # What is always so
@@ -6,15 +6,15 @@
 // A plan's number is the one before and one; it names the version of the orders that it was made with. An entry that is neither is void, so
 // of two who lead at once, or one who was asleep, one is too late: there is one plan for each number, and none made without an order that
 // stands. An order has a number too, by which it is taken once, and none after a newer one of its zone.
-package book
+package statemachine
 
 import (
 	"errors"
 
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/plan"
 	"beechgrade/internal/encoding"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/zones/plan"
-	"beechgrade/internal/peers/zones/state"
 )
 
 // Bounds of what is taken.
@@ -29,7 +29,7 @@
 
 // Mark is how a zone, or a way, stands by a plan.
 type Mark struct {
-	State state.State
+	State health.State
 	Rest  float64 // ms, the next one's, in whole seconds
 }
 
@@ -65,7 +65,7 @@
 	No    uint64
 	Zone  int
 	Lifts bool // none holds from here on
-	State state.State
+	State health.State
 	Until float64 // Unix ms, whole; 0 for until it is taken back
 }
 
--- a/internal/peers/zones/book/book_test.go
+++ b/internal/cluster/zones/statemachine/book_test.go
@@ -1,4 +1,4 @@
-package book
+package statemachine
 
 import (
 	"bytes"
@@ -6,14 +6,14 @@
 
 	"pgregory.net/rapid"
 
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/plan"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/zones/plan"
-	"beechgrade/internal/peers/zones/state"
 	"beechgrade/internal/steady"
 )
 
 func somePlan(no, version uint64, by string) *Plan {
-	return &Plan{No: no, Version: version, Of: 7, By: by, Zones: []Mark{{State: state.Evacuated, Rest: 30000}, {}}, Ways: []Way{{From: 1, To: 0, Mark: Mark{State: state.Failing}}},
+	return &Plan{No: no, Version: version, Of: 7, By: by, Zones: []Mark{{State: health.Evacuated, Rest: 30000}, {}}, Ways: []Way{{From: 1, To: 0, Mark: Mark{State: health.Failing}}},
 		Matrix: plan.Matrix{{0, 0.75}, {0, 1}}, Short: 0.25, Most: 0.5}
 }
 
@@ -23,13 +23,13 @@
 	if !b.Apply(1, EncodePlan(somePlan(1, 0, "a"))) || b.Apply(2, EncodePlan(somePlan(1, 0, "b"))) || b.Plan.By != "a" {
 		t.Fatal("two plans of a number")
 	}
-	if !b.Apply(3, EncodeOrder(&Order{No: 5, Zone: 1, State: state.Evacuated, Until: 99000})) || b.Apply(4, EncodePlan(somePlan(2, 0, "a"))) {
+	if !b.Apply(3, EncodeOrder(&Order{No: 5, Zone: 1, State: health.Evacuated, Until: 99000})) || b.Apply(4, EncodePlan(somePlan(2, 0, "a"))) {
 		t.Fatal("a plan made without an order that stands")
 	}
-	if b.Apply(5, EncodeOrder(&Order{No: 4, Zone: 1, State: state.Serving})) || b.Apply(6, EncodeOrder(&Order{No: 5, Zone: 1, Lifts: true})) {
+	if b.Apply(5, EncodeOrder(&Order{No: 4, Zone: 1, State: health.Serving})) || b.Apply(6, EncodeOrder(&Order{No: 5, Zone: 1, Lifts: true})) {
 		t.Error("an order that was overtaken is taken")
 	}
-	if o, ok := b.Order(1); !ok || o.State != state.Evacuated || o.Until != 99000 {
+	if o, ok := b.Order(1); !ok || o.State != health.Evacuated || o.Until != 99000 {
 		t.Errorf("%+v stands", o)
 	}
 	if b.Apply(7, EncodeEnd(&Order{No: 4, Zone: 1})) || !b.Apply(8, EncodeEnd(&Order{No: 5, Zone: 1})) || b.Apply(9, EncodeEnd(&Order{No: 5, Zone: 1})) {
@@ -52,7 +52,7 @@
 		last := uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(r, "entries") {
 			var e []byte
-			o := &Order{No: rapid.Uint64Range(1, 9).Draw(r, "no"), Zone: rapid.IntRange(0, 2).Draw(r, "zone"), Lifts: rapid.Bool().Draw(r, "lifts"), State: state.State(rapid.IntRange(0, 4).Draw(r, "state"))}
+			o := &Order{No: rapid.Uint64Range(1, 9).Draw(r, "no"), Zone: rapid.IntRange(0, 2).Draw(r, "zone"), Lifts: rapid.Bool().Draw(r, "lifts"), State: health.State(rapid.IntRange(0, 4).Draw(r, "state"))}
 			switch rapid.IntRange(0, 4).Draw(r, "kind") {
 			case 0:
 				e = EncodeOrder(o)
@@ -95,7 +95,7 @@
 	}
 	big := &Plan{No: 1 << 40, By: "a-pooler-with-a-long-name-of-some-length", Matrix: plan.Near(MostZones)}
 	for z := range MostZones {
-		big.Zones = append(big.Zones, Mark{state.Returning, 240000})
+		big.Zones = append(big.Zones, Mark{health.Returning, 240000})
 		for k := 1; k < 6; k++ { // each goes to five others
 			big.Matrix[z][(z+k)%MostZones] = 0.19
 		}
--- a/internal/peers/zones/book/bytes_test.go
+++ b/internal/cluster/zones/statemachine/bytes_test.go
@@ -1,17 +1,17 @@
-package book
+package statemachine
 
 import (
 	"encoding/hex"
 	"testing"
 
-	"beechgrade/internal/peers/zones/state"
+	"beechgrade/internal/cluster/zones/health"
 )
 
 // wholeBook has something in each field.
 func wholeBook() *Book {
-	b := &Book{Index: 300, Version: 2, Plan: &Plan{No: 1, Since: 2, Version: 3, Of: 4, By: "voter", Zones: []Mark{{State: state.Returning, Rest: 5000}, {}},
+	b := &Book{Index: 300, Version: 2, Plan: &Plan{No: 1, Since: 2, Version: 3, Of: 4, By: "voter", Zones: []Mark{{State: health.Returning, Rest: 5000}, {}},
 		Ways: []Way{{From: 1, To: 0, Mark: Mark{Rest: 6000}}}, Matrix: [][]float64{{0.5, 0.5}, {0, 1}}, Short: 1.5, Most: 0.25}}
-	b.orders[1], b.stands[1] = Order{No: 7, Zone: 1, Lifts: true, State: state.Returning, Until: 8e5}, true
+	b.orders[1], b.stands[1] = Order{No: 7, Zone: 1, Lifts: true, State: health.Returning, Until: 8e5}, true
 	b.orders[3] = Order{No: 6, Zone: 3}
 	return b
 }
--- a/internal/peers/zones/book/form.go
+++ b/internal/cluster/zones/statemachine/form.go
@@ -1,13 +1,13 @@
-package book
+package statemachine
 
 import (
 	"encoding/binary"
 	"fmt"
 	"math"
 
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/plan"
 	"beechgrade/internal/encoding"
-	"beechgrade/internal/peers/zones/plan"
-	"beechgrade/internal/peers/zones/state"
 )
 
 // All numbers are varints; a plan is
@@ -93,7 +93,7 @@
 type reader struct{ encoding.Reader }
 
 func (r *reader) mark() Mark {
-	return Mark{State: state.State(r.UvarintTo(uint64(state.Returning))), Rest: float64(r.UvarintTo(1e6)) * 1000}
+	return Mark{State: health.State(r.UvarintTo(uint64(health.Returning))), Rest: float64(r.UvarintTo(1e6)) * 1000}
 }
 
 func (r *reader) text(most uint64) string { return string(r.Take(int(r.UvarintTo(most)))) }
@@ -126,7 +126,7 @@
 }
 
 func (r *reader) order() Order {
-	return Order{No: r.Uvarint(), Zone: int(r.UvarintTo(MostZones - 1)), Lifts: r.UvarintTo(1) == 1, State: state.State(r.UvarintTo(uint64(state.Returning))), Until: float64(r.UvarintTo(1 << 50))}
+	return Order{No: r.Uvarint(), Zone: int(r.UvarintTo(MostZones - 1)), Lifts: r.UvarintTo(1) == 1, State: health.State(r.UvarintTo(uint64(health.Returning))), Until: float64(r.UvarintTo(1 << 50))}
 }
 
 // ReadPlan reads a plan's bytes, all or nothing.
--- a/internal/peers/zones/zones.go
+++ b/internal/cluster/zones/zones.go
@@ -4,11 +4,11 @@
 	"cmp"
 	"slices"
 
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/planner"
+	"beechgrade/internal/cluster/zones/statemachine"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/view"
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/chief"
-	"beechgrade/internal/peers/zones/follow"
 )
 
 // Log is where entries are proposed; Apply, Lead and Follow bring what comes of it.
@@ -16,9 +16,9 @@
 
 // Pooler is the one that it is for.
 type Pooler interface {
-	Look(ms float64) ([]chief.Cell, []chief.Ask) // what was seen since the last look, that long ago
-	Stand(s follow.Stand)                        // what to do from now on
-	Keep(no uint64, done func())                 // has a number outlive the process
+	Look(ms float64) ([]planner.Cell, []planner.Ask) // what was seen since the last look, that long ago
+	Stand(s follower.Stand)                          // what to do from now on
+	Keep(no uint64, done func())                     // has a number outlive the process
 }
 
 // Zones is a process's.
@@ -28,9 +28,9 @@
 	log    Log
 	pooler Pooler
 
-	book    *book.Book
-	chief   *chief.Chief
-	follow  *follow.Follower
+	book    *statemachine.Book
+	chief   *planner.Chief
+	follow  *follower.Follower
 	votes   bool
 	self    view.ID
 	voters  []place
@@ -42,7 +42,7 @@
 	looked  float64
 	stepAt  float64
 	sentAt  []float64 // orders, by their place in the settings
-	stand   follow.Stand
+	stand   follower.Stand
 	stood   bool
 	counts  Counts
 }
@@ -60,20 +60,20 @@
 // New makes a process's.
 func New(set Settings, net part.Net, log Log, p Pooler) *Zones {
 	c, f := set.filled()
-	z := &Zones{set: set, net: net, log: log, pooler: p, follow: follow.New(f), votes: slices.Contains(set.Voters, set.Name), looked: net.Now(), sentAt: make([]float64, len(set.Order))}
+	z := &Zones{set: set, net: net, log: log, pooler: p, follow: follower.New(f), votes: slices.Contains(set.Voters, set.Name), looked: net.Now(), sentAt: make([]float64, len(set.Order))}
 	if z.votes {
-		z.book, z.chief = book.New(), chief.New(c)
+		z.book, z.chief = statemachine.New(), planner.New(c)
 		z.book.Checks = set.Checks
 	}
 	return z
 }
 
 // Book is this voter's, nil at others; Chief too.
-func (z *Zones) Book() *book.Book    { return z.book }
-func (z *Zones) Chief() *chief.Chief { return z.chief }
+func (z *Zones) Book() *statemachine.Book { return z.book }
+func (z *Zones) Chief() *planner.Chief    { return z.chief }
 
 // Standing is what this pooler does, and the plan that it goes by, nil for none.
-func (z *Zones) Standing() (follow.Stand, *book.Plan) {
+func (z *Zones) Standing() (follower.Stand, *statemachine.Plan) {
 	p, _ := z.follow.Plan()
 	return z.stand, p
 }
@@ -128,7 +128,7 @@
 	if at < 0 {
 		return false
 	}
-	z.log.Propose(book.EncodeOrder(&book.Order{No: o.No, Zone: at, Lifts: o.Lifts, State: o.State, Until: o.Until}))
+	z.log.Propose(statemachine.EncodeOrder(&statemachine.Order{No: o.No, Zone: at, Lifts: o.Lifts, State: o.State, Until: o.Until}))
 	return true
 }
 
@@ -204,7 +204,7 @@
 	z.net.Tell(z.members[i].addr, to, part.Zones, w)
 }
 
-func (z *Zones) heard(p *book.Plan, age float64) {
+func (z *Zones) heard(p *statemachine.Plan, age float64) {
 	z.keep(z.follow.Heard(z.net.Now(), p, age))
 }
 
@@ -267,7 +267,7 @@
 	if seconds > 0 {
 		z.follow.Near(now, asked, lost)
 	}
-	for _, t := range split(&chief.Tell{Zone: max(0, zone), Cells: cells, Asks: asks}) {
+	for _, t := range split(&planner.Tell{Zone: max(0, zone), Cells: cells, Asks: asks}) {
 		w := &Tell{No: z.follow.Number(), Tell: t}
 		if z.chief != nil {
 			z.chief.Told(now, uint64(z.self), &w.Tell)
@@ -287,7 +287,7 @@
 	if z.stood && s.Zone != z.stand.Zone {
 		z.counts.Shifts++
 	}
-	if s.Why == follow.Fallback && z.stand.Why != follow.Fallback {
+	if s.Why == follower.Fallback && z.stand.Why != follower.Fallback {
 		z.counts.Fallbacks++
 	}
 	z.stand, z.stood = s, true
--- a/internal/kit/emulate/zones.go
+++ b/internal/kit/emulate/zones.go
@@ -3,9 +3,9 @@
 import (
 	"beechgrade/internal/cluster/raftlog"
 	raftadapter "beechgrade/internal/cluster/raftlog/adapter"
+	"beechgrade/internal/cluster/zones"
+	"beechgrade/internal/cluster/zones/adapter"
 	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/zones"
-	"beechgrade/internal/peers/zones/joined"
 )
 
 // Zoned has poolers decide together which zone serves what, in virtual time: on a log in common, with numbers kept in files that outlive
@@ -24,7 +24,7 @@
 type zoner struct {
 	*Zoned
 	h   Host
-	j   *joined.Joined
+	j   *adapter.Joined
 	log *raftadapter.Part
 }
 
@@ -43,7 +43,7 @@
 		set.Voters = append(set.Voters, p.e.poolerName(i))
 	}
 	set.Chief.Plan.Delay = p.e.script.Delays()
-	x.j = joined.New(set, h, x, p.core, x)
+	x.j = adapter.New(set, h, x, p.core, x)
 	x.j.Listed(&p.known, true)
 	p.core.SetGeography(x.j)
 	users := &raftlog.Shared{}
@@ -86,7 +86,7 @@
 func (c *Zoned) Now(pooler int) float64 { return c.now[pooler].h.Now() }
 
 // Of is a pooler's present process.
-func (c *Zoned) Of(pooler int) *joined.Joined {
+func (c *Zoned) Of(pooler int) *adapter.Joined {
 	if x := c.now[pooler]; x != nil {
 		return x.j
 	}
--- a/internal/kit/emulate/zones_figures_test.go
+++ b/internal/kit/emulate/zones_figures_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"beechgrade/internal/cluster/raftlog"
-	"beechgrade/internal/peers/zones"
+	"beechgrade/internal/cluster/zones"
 )
 
 // TestZonesFigures prints what a play of zones comes to with each pooler for itself, with plans, and with the oracle, paired by seed.
--- a/internal/kit/emulate/zones_oracle.go
+++ b/internal/kit/emulate/zones_oracle.go
@@ -4,13 +4,13 @@
 	"math"
 	"slices"
 
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/plan"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/zones/follow"
-	"beechgrade/internal/peers/zones/plan"
 )
 
 // ZoneOracle shares reads by the planner that poolers have, of what is truly so and at once: who is alive, what servers can do, what they lose and which
@@ -138,7 +138,7 @@
 	for z := range at {
 		slices.SortFunc(at[z], func(a, b *pooler) int { return a.no - b.no })
 		for rank, p := range at[z] {
-			home := follow.Home(m[z], z, rank, len(at[z]))
+			home := follower.Home(m[z], z, rank, len(at[z]))
 			if was, stood := o.stands[p.no]; stood && was != home {
 				o.Shifts++
 			}
--- a/internal/kit/emulate/zones_seeds_test.go
+++ b/internal/kit/emulate/zones_seeds_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/peers/zones"
+	"beechgrade/internal/cluster/zones"
 )
 
 // zoneFleet is one that faults are drawn for.
--- a/internal/kit/emulate/zones_test.go
+++ b/internal/kit/emulate/zones_test.go
@@ -9,12 +9,12 @@
 	"github.com/cespare/xxhash/v2"
 
 	"beechgrade/internal/cluster/raftlog"
+	"beechgrade/internal/cluster/zones"
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/health"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/zones"
-	"beechgrade/internal/peers/zones/follow"
-	"beechgrade/internal/peers/zones/state"
 )
 
 // zonedPlay is a play with zones decided together, and what is held against it.
@@ -29,7 +29,7 @@
 type step struct {
 	at    float64
 	near  float64 // of site 0
-	state state.State
+	state health.State
 	short float64
 }
 
@@ -84,7 +84,7 @@
 		if z.Of(1) == nil {
 			return
 		}
-		if p, plan := z.Of(1).Standing(); p.Why == follow.Planned {
+		if p, plan := z.Of(1).Standing(); p.Why == follower.Planned {
 			z.rules.Planned(at-startMs, plan.No, plan.Matrix, loads, z.Cores(1))
 		}
 	}
@@ -143,10 +143,10 @@
 		t.Errorf("left after %.0f ms, bound %.0f", out, bound)
 	}
 	back := z.until(30000, func(s *step) bool { return s.near == 1 })
-	if last := z.steps[len(z.steps)-1]; back < z.Set.Chief.State.Rest-10000 || last.state != state.Serving {
+	if last := z.steps[len(z.steps)-1]; back < z.Set.Chief.State.Rest-10000 || last.state != health.Serving {
 		t.Errorf("back after %.0f ms, %v at the end", back, last.state)
 	}
-	if p, _ := z.Of(5).Standing(); p.Why != follow.Planned {
+	if p, _ := z.Of(5).Standing(); p.Why != follower.Planned {
 		t.Errorf("%+v", p)
 	}
 }
@@ -175,7 +175,7 @@
 		if cut := p%3 == 0; cut != (c.Fallbacks > 0) {
 			t.Errorf("pooler %d fell back %d times", p, c.Fallbacks)
 		}
-		if s, _ := z.Of(p).Standing(); s.Why != follow.Planned {
+		if s, _ := z.Of(p).Standing(); s.Why != follower.Planned {
 			t.Errorf("pooler %d: %+v in the end", p, s)
 		}
 	}
--- a/internal/kit/explore/zones.go
+++ b/internal/kit/explore/zones.go
@@ -8,12 +8,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"beechgrade/internal/cluster/zones"
+	"beechgrade/internal/cluster/zones/follower"
+	"beechgrade/internal/cluster/zones/plan"
+	"beechgrade/internal/cluster/zones/planner"
 	"beechgrade/internal/peers/part"
 	"beechgrade/internal/peers/view"
-	"beechgrade/internal/peers/zones"
-	"beechgrade/internal/peers/zones/chief"
-	"beechgrade/internal/peers/zones/follow"
-	"beechgrade/internal/peers/zones/plan"
 )
 
 // ZoneVoters are voters that decide about zones together, each in a zone of its own, with the words between them and a log that they have in
@@ -147,19 +147,19 @@
 func (h zoneHost) Propose(entry []byte) { h.x().asks = append(h.x().asks, string(entry)) }
 
 // Look is zones.Pooler's: a little is asked everywhere, and from a time on one zone has nothing that serves.
-func (h zoneHost) Look(float64) (cells []chief.Cell, asks []chief.Ask) {
+func (h zoneHost) Look(float64) (cells []planner.Cell, asks []planner.Ask) {
 	for z := range h.s.Set.Zones {
-		c := chief.Cell{Zone: z, Cores: 4, Whole: 4, Asked: 20}
+		c := planner.Cell{Zone: z, Cores: 4, Whole: 4, Asked: 20}
 		if z == len(h.s.Set.Zones)-1 && h.x().clock >= h.s.GoneAt {
 			c.Cores, c.Lost = 0, 20
 		}
 		cells = append(cells, c)
 	}
-	return cells, []chief.Ask{{Load: 0.5}}
+	return cells, []planner.Ask{{Load: 0.5}}
 }
 
 // Stand is zones.Pooler's.
-func (h zoneHost) Stand(follow.Stand) {}
+func (h zoneHost) Stand(follower.Stand) {}
 
 // Keep is zones.Pooler's.
 func (h zoneHost) Keep(no uint64, done func()) { h.x().keeps = append(h.x().keeps, zoneKeep{no, done}) }
@@ -286,7 +286,7 @@
 		return fmt.Errorf("voter %d follows plan %d, which asks for what plan %d did, after plan %d", i, p.No, p.Since, x.since)
 	}
 	x.number, x.since = p.No, p.Since
-	if at, known := s.truth.applied[stand.No]; stand.Why == follow.Planned && x.woke == s.now && (!known || s.now >= at+s.Set.Life+s.Most) {
+	if at, known := s.truth.applied[stand.No]; stand.Why == follower.Planned && x.woke == s.now && (!known || s.now >= at+s.Set.Life+s.Most) {
 		return fmt.Errorf("voter %d goes by plan %d at %v; it was applied last at %v", i, stand.No, s.now, at)
 	}
 	if stand.Zone != i && p.Matrix[i][stand.Zone] == 0 {
--- a/internal/kit/incident/zones.go
+++ b/internal/kit/incident/zones.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"beechgrade/internal/peers/zones/desk"
+	"beechgrade/internal/cluster/zones/admin"
 	"beechgrade/internal/record"
 )
 
@@ -74,7 +74,7 @@
 
 // event takes a pooler's note.
 func (z *zones) event(by string, e *record.Event) {
-	n, ok := desk.ReadNote(e.Text)
+	n, ok := admin.ReadNote(e.Text)
 	if !ok {
 		return
 	}
--- a/internal/settings/zones.go
+++ b/internal/settings/zones.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"beechgrade/internal/peers/zones"
-	"beechgrade/internal/peers/zones/book"
-	"beechgrade/internal/peers/zones/state"
+	"beechgrade/internal/cluster/zones"
+	"beechgrade/internal/cluster/zones/health"
+	"beechgrade/internal/cluster/zones/statemachine"
 	"beechgrade/internal/sexp"
 )
 
@@ -31,7 +31,7 @@
 	err := sexp.Form{
 		"names": func(n *sexp.Node) error {
 			for _, x := range n.Args() {
-				if x.Kind == sexp.List || x.Text == "" || len(x.Text) > book.MostName || slices.Contains(s.Zones, x.Text) {
+				if x.Kind == sexp.List || x.Text == "" || len(x.Text) > statemachine.MostName || slices.Contains(s.Zones, x.Text) {
 					return x.Errorf("a zone's name, each once, is due here")
 				}
 				s.Zones = append(s.Zones, x.Text)
@@ -61,8 +61,8 @@
 	switch {
 	case err != nil:
 		return err
-	case len(s.Zones) < 2 || len(s.Zones) > book.MostZones:
-		return n.Errorf("(zones ...) needs (names NAME NAME ...), from 2 to %d of them", book.MostZones)
+	case len(s.Zones) < 2 || len(s.Zones) > statemachine.MostZones:
+		return n.Errorf("(zones ...) needs (names NAME NAME ...), from 2 to %d of them", statemachine.MostZones)
 	case s.Life < 2*c.Renew+2*s.Period:
 		return n.Errorf("a plan's life of %g ms is to be two renewals and two periods at least", s.Life)
 	}
@@ -97,18 +97,18 @@
 func zoneOrder(n *sexp.Node) (o zones.Order, err error) {
 	a := n.Args()
 	if len(a) < 3 || len(a) > 4 {
-		return o, n.Errorf("(order NUMBER ZONE STATE), with (until \"2026-01-31T12:00:00Z\") behind it where it ends; STATE is one of %v, or lifted", state.Names)
+		return o, n.Errorf("(order NUMBER ZONE STATE), with (until \"2026-01-31T12:00:00Z\") behind it where it ends; STATE is one of %v, or lifted", health.Names)
 	}
 	no, err := whole(a[0], 1)
 	if err != nil {
 		return o, err
 	}
 	o.No, o.Zone = uint64(no), a[1].Text
-	i := slices.Index(state.Names[:], a[2].Text)
+	i := slices.Index(health.Names[:], a[2].Text)
 	if o.Lifts = a[2].Text == "lifted"; i < 0 && !o.Lifts {
-		return o, a[2].Errorf("a state is one of %v, or lifted", state.Names)
+		return o, a[2].Errorf("a state is one of %v, or lifted", health.Names)
 	}
-	o.State = state.State(max(0, i))
+	o.State = health.State(max(0, i))
 	if len(a) == 4 {
 		text, err := a[3].Str()
 		if err != nil || a[3].Head() != "until" {
--- a/internal/settings/zones_test.go
+++ b/internal/settings/zones_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/peers/zones/state"
+	"beechgrade/internal/cluster/zones/health"
 )
 
 const zonesNeed = `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d"))`
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	z := &s.Zones
-	if o := z.Order[0]; !z.On || z.Chief.Plan.Delay[1][0] != 3 || z.Chief.Plan.Spare != 0.3 || o.No != 7 || o.State != state.Evacuated || o.Until != 1769860800000 {
+	if o := z.Order[0]; !z.On || z.Chief.Plan.Delay[1][0] != 3 || z.Chief.Plan.Spare != 0.3 || o.No != 7 || o.State != health.Evacuated || o.Until != 1769860800000 {
 		t.Errorf("%+v", z)
 	}
 	for text, want := range map[string]string{
