--- a/cmd/beechgrade-kit/peers.go
+++ b/cmd/beechgrade-kit/peers.go
@@ -15,9 +15,9 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/peers"
-	"beechgrade/internal/peers/part"
-	fleetview "beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster"
+	"beechgrade/internal/cluster/module"
+	fleetview "beechgrade/internal/cluster/view"
 	"beechgrade/internal/settings"
 )
 
@@ -40,11 +40,11 @@
 	Err     string             `json:"error,omitempty"`
 	Counts  fleetview.Counts   `json:"counts"`
 	Records []fleetview.Record `json:"records"`
-	Avoided []part.Avoided     `json:"avoided,omitempty"` // servers, by others' word
+	Avoided []module.Avoided   `json:"avoided,omitempty"` // servers, by others' word
 }
 
 // askPeers asks poolers side by side.
-func askPeers(addrs []string, key peers.Key) []*asked {
+func askPeers(addrs []string, key cluster.Key) []*asked {
 	out := make([]*asked, len(addrs))
 	var wg sync.WaitGroup
 	for i, a := range addrs {
@@ -52,7 +52,7 @@
 		go func() {
 			defer wg.Done()
 			out[i] = &asked{Addr: a}
-			shown, err := peers.Show(a, key)
+			shown, err := cluster.Show(a, key)
 			if err != nil {
 				out[i].Err = err.Error()
 				return
--- a/cmd/beechgrade-kit/peers_measure.go
+++ b/cmd/beechgrade-kit/peers_measure.go
@@ -11,10 +11,10 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
+	fleetview "beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
-	fleetview "beechgrade/internal/peers/view"
 )
 
 // viewRow is what was measured of one size and loss.
--- a/cmd/beechgrade/limits.go
+++ b/cmd/beechgrade/limits.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
+	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/frontend/clickhouse/limits"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/settings"
 )
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -3,16 +3,16 @@
 import (
 	"strconv"
 
+	"beechgrade/internal/cluster"
 	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers"
 	"beechgrade/internal/settings"
 )
 
 // peersHost is what a part lives on: the peers' words and the loop's time.
 type peersHost struct {
-	*peers.Peers
+	*cluster.Peers
 	loop *eventloop.Loop
 }
 
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"math/rand/v2"
 
+	"beechgrade/internal/cluster"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/clickhouse/limits"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers"
-	"beechgrade/internal/peers/view"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/settings"
 )
@@ -32,7 +32,7 @@
 	p.expect = v.Expect
 	drawn := rand.Uint64() // not of the configuration's seed, which two processes may have
 	v.Seed = drawn
-	p.peers = peers.New(p.loop, p.log, peers.Options{Listen: set.Listen, Advertise: set.Advertise, Key: key, View: v, Limits: quotas(&own, p.expect), Again: p.given != nil,
+	p.peers = cluster.New(p.loop, p.log, cluster.Options{Listen: set.Listen, Advertise: set.Advertise, Key: key, View: v, Limits: quotas(&own, p.expect), Again: p.given != nil,
 		Record: view.Record{ID: view.NewID(clock.Wall(), drawn), Name: p.cfg.Name, Zone: zone, Region: set.Region, Version: short(version())}}, fleetEvents{p})
 	if own.On {
 		p.limits = &fleetLimits{p: p, set: own, told: map[string]limits.Told{}}
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
+	"beechgrade/internal/cluster"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers"
-	"beechgrade/internal/peers/view"
 	"beechgrade/internal/settings"
 )
 
@@ -132,7 +132,7 @@
 // peerRoutines is how many goroutines are in the peers' code.
 func peerRoutines() int {
 	stacks := make([]byte, 4<<20)
-	return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "created by beechgrade/internal/peers")
+	return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), "created by beechgrade/internal/cluster")
 }
 
 // udpSockets are the sockets for datagrams that this process holds, as they are named in /proc/self/fd.
@@ -177,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	forged := peers.Key("a key that is none").Datagram(&view.Message{Kind: view.Gossip, From: 99, Records: []view.Record{{ID: 98, Name: "forged", Addr: "127.0.0.1:9"}}})
+	forged := cluster.Key("a key that is none").Datagram(&view.Message{Kind: view.Gossip, From: 99, Records: []view.Record{{ID: 98, Name: "forged", Addr: "127.0.0.1:9"}}})
 	good := key.Datagram(&view.Message{Kind: view.Ping, From: 97, Seq: 1, Target: 1})
 	out, err := net.Dial("udp", a.Listen)
 	if err != nil {
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -10,6 +10,7 @@
 
 	"beechgrade/internal/admin"
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster"
 	outlieradapter "beechgrade/internal/cluster/outlier/adapter"
 	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/config"
@@ -24,7 +25,6 @@
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/lifecycle/handover"
-	"beechgrade/internal/peers"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/settings"
@@ -78,7 +78,7 @@
 	clickhouseGroup int
 	stopHouse       func()
 
-	peers  *peers.Peers           // nil where it is no fleet's
+	peers  *cluster.Peers         // nil where it is no fleet's
 	expect int                    // poolers that there are to be
 	limits *fleetLimits           // nil where none hold for the whole fleet
 	over   *adapter.Joined        // nil where overload is handled alone
--- a/cmd/beechgrade/verdicts.go
+++ b/cmd/beechgrade/verdicts.go
@@ -8,8 +8,8 @@
 
 	"beechgrade/internal/cluster/outlier"
 	"beechgrade/internal/cluster/outlier/adapter"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/metrics/exposition"
-	"beechgrade/internal/peers/view"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/settings"
 )
--- a/internal/cluster/credit/credit.go
+++ b/internal/cluster/credit/credit.go
@@ -35,8 +35,8 @@
 	"beechgrade/internal/cluster/credit/ledger"
 	"beechgrade/internal/cluster/credit/lessor"
 	"beechgrade/internal/cluster/credit/message"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 )
 
 // Settings say how.
@@ -74,7 +74,7 @@
 // Credit is a process's.
 type Credit struct {
 	set    Settings
-	net    part.Net
+	net    module.Net
 	log    Log
 	files  Files
 	events Events
@@ -104,7 +104,7 @@
 }
 
 // New makes a process's credit. files may be nil, if marks are off.
-func New(set Settings, net part.Net, log Log, files Files, ev Events) *Credit {
+func New(set Settings, net module.Net, log Log, files Files, ev Events) *Credit {
 	c := &Credit{set: set, net: net, log: log, files: files, events: ev, addrs: map[string]place{}, back: map[ledger.Holder]place{}}
 	c.purse = lease.New(set.Purse, set.Holder, net.Now())
 	if slices.Contains(set.Voters, set.Name) {
@@ -191,7 +191,7 @@
 }
 
 // Kind is part.Part's.
-func (c *Credit) Kind() view.Kind { return part.Credit }
+func (c *Credit) Kind() view.Kind { return module.Credit }
 
 // Members is part.Part's.
 func (c *Credit) Members(self view.ID, all []view.Record, _ view.Counts) {
@@ -294,7 +294,7 @@
 		}
 	}
 	if ok {
-		c.net.Tell(p.addr, p.id, part.Credit, m)
+		c.net.Tell(p.addr, p.id, module.Credit, m)
 	}
 }
 
@@ -315,7 +315,7 @@
 	case c.bank == nil:
 	case !c.bank.Leads():
 		if p := c.placeOf(from); p.addr != "" && c.leader != "" && c.leader != c.set.Name {
-			c.net.Tell(p.addr, p.id, part.Credit, &Message{Reply: true, Who: m.Who, Leader: c.leader})
+			c.net.Tell(p.addr, p.id, module.Credit, &Message{Reply: true, Who: m.Who, Leader: c.leader})
 		}
 	default:
 		c.back[m.Who] = c.placeOf(from)
@@ -354,7 +354,7 @@
 	if m.Who = who; who == c.set.Holder {
 		c.reply(m)
 	} else if p := c.back[who]; p.addr != "" {
-		c.net.Tell(p.addr, p.id, part.Credit, m)
+		c.net.Tell(p.addr, p.id, module.Credit, m)
 	}
 }
 
@@ -421,7 +421,7 @@
 	n := 0
 	for i := range list {
 		s := size(&list[i])
-		if n += s; len(out) == 0 || n > part.MostBody-60 {
+		if n += s; len(out) == 0 || n > module.MostBody-60 {
 			out, n = append(out, nil), s
 		}
 		out[len(out)-1] = append(out[len(out)-1], list[i])
--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -11,9 +11,9 @@
 	"beechgrade/internal/cluster/credit/lease"
 	"beechgrade/internal/cluster/credit/ledger"
 	"beechgrade/internal/cluster/credit/lessor"
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
 )
 
 // fleet is so many poolers in one test's time, with a log that takes logMs for an entry and loses none, and requests that take serveMs.
@@ -87,10 +87,10 @@
 }
 
 func (n *node) Now() float64 { return n.f.now }
-func (n *node) Tell(addr string, to view.ID, _ view.Kind, w part.Words) {
+func (n *node) Tell(addr string, to view.ID, _ view.Kind, w module.Words) {
 	f := n.f
 	b := w.Append(nil)
-	if len(b) > part.MostBody {
+	if len(b) > module.MostBody {
 		f.t.Errorf("a datagram of %d bytes", len(b))
 	}
 	f.words++
@@ -109,7 +109,7 @@
 		}
 	})
 }
-func (n *node) Stream(string, view.ID, view.Kind, part.Words, func(bool)) {}
+func (n *node) Stream(string, view.ID, view.Kind, module.Words, func(bool)) {}
 func (n *node) Propose(entry []byte) {
 	f := n.f
 	if f.cut != nil && f.cut(n.no) || n.no != f.leader {
--- a/internal/peers/datagrams.go
+++ b/internal/cluster/datagrams.go
@@ -1,13 +1,13 @@
-package peers
+package cluster
 
 import (
 	"errors"
 	"net"
 	"net/netip"
 
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/quota"
+	"beechgrade/internal/cluster/view"
 )
 
 // datagram is one that goes out; the view's message is not changed any more.
@@ -58,7 +58,7 @@
 			continue
 		}
 		e, err := p.opt.Key.open(b[:n])
-		ofPart := err == nil && e.Kind >= part.First && e.Kind <= part.Last
+		ofPart := err == nil && e.Kind >= module.First && e.Kind <= module.Last
 		if ofPart {
 			err = p.readPart(e)
 		}
--- a/internal/peers/exchange.go
+++ b/internal/cluster/exchange.go
@@ -1,4 +1,4 @@
-package peers
+package cluster
 
 import (
 	"encoding/binary"
@@ -8,8 +8,8 @@
 	"net"
 	"time"
 
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 )
 
 // trade begins a full exchange.
@@ -108,7 +108,7 @@
 func (p *Peers) answer(c net.Conn) {
 	_ = c.SetDeadline(time.Now().Add(streamMs * time.Millisecond))
 	e, err := readFrame(c, p.opt.Key)
-	if err == nil && e.Kind >= part.First && e.Kind <= part.Last {
+	if err == nil && e.Kind >= module.First && e.Kind <= module.Last {
 		p.answerPart(c, e)
 		return
 	}
--- a/internal/peers/form.go
+++ b/internal/cluster/form.go
@@ -1,4 +1,4 @@
-package peers
+package cluster
 
 import (
 	"crypto/hmac"
@@ -11,10 +11,10 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/quota"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/encoding"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/view"
 )
 
 // What goes between two poolers is, in this order: the mark and the version, a keyed hash of the rest, and a protobuf message:
@@ -44,7 +44,7 @@
 
 	// MostDatagram and MostStream bound what is read, in bytes.
 	MostDatagram = 1400
-	MostStream   = part.MostStream + 256
+	MostStream   = module.MostStream + 256
 )
 
 // Kinds beside the view's own: what goes over a stream.
@@ -73,7 +73,7 @@
 type envelope struct {
 	view.Message
 	counts view.Counts
-	avoids []part.Avoided
+	avoids []module.Avoided
 	limits *quota.Message
 	body   body // of a part
 }
--- a/internal/peers/limits.go
+++ b/internal/cluster/limits.go
@@ -1,10 +1,10 @@
-package peers
+package cluster
 
 import (
 	"math"
 
-	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/quota"
+	"beechgrade/internal/cluster/view"
 )
 
 // members tells the quota who is there. A process that has taken another ID begins anew: what it had was lent to the old one.
--- a/internal/peers/part/part.go
+++ b/internal/cluster/module/part.go
@@ -1,10 +1,10 @@
-// Package part is what a part of the fleet is to those that carry its words: a decision module of its own that lives beside the view, on the
+// Package module is what a part of the fleet is to those that carry its words: a decision module of its own that lives beside the view, on the
 // same loop, and speaks over the same sockets. One adapter of a part serves the daemon (package peers) and virtual time (package emulate).
 //
 // Words may be lost, doubled, late and overtaken; whoever they are from had the fleet's key. Nothing is heard before Members was called once.
-package part
+package module
 
-import "beechgrade/internal/peers/view"
+import "beechgrade/internal/cluster/view"
 
 // First and Last are the kinds that parts may have; each has one of its own.
 const (
--- a/internal/cluster/outlier/adapter/joined.go
+++ b/internal/cluster/outlier/adapter/joined.go
@@ -5,12 +5,12 @@
 	"slices"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/outlier"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
 )
 
 // Core is what it needs of a pooler's core.
@@ -24,7 +24,7 @@
 
 // Host is what carries words, and time.
 type Host interface {
-	part.Net
+	module.Net
 	At(ms float64, do func())
 }
 
@@ -69,7 +69,7 @@
 const learnMs = 1000
 
 // Kind is part.Part's.
-func (j *Joined) Kind() view.Kind { return part.Verdicts }
+func (j *Joined) Kind() view.Kind { return module.Verdicts }
 
 // Read is part.Part's.
 func (j *Joined) Read(b []byte) (any, error) { return outlier.Read(b) }
@@ -214,9 +214,9 @@
 		switch a := &acts[i]; a.Kind {
 		case outlier.Send:
 			if a.Tell != nil {
-				j.host.Tell(a.Addr, a.To, part.Verdicts, told(a.Tell))
+				j.host.Tell(a.Addr, a.To, module.Verdicts, told(a.Tell))
 			} else {
-				j.host.Tell(a.Addr, a.To, part.Verdicts, said(a.Word))
+				j.host.Tell(a.Addr, a.To, module.Verdicts, said(a.Word))
 			}
 		case outlier.Avoid:
 			j.core.Avoid(a.Server)
--- a/internal/cluster/outlier/api.go
+++ b/internal/cluster/outlier/api.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 )
 
 // ID names a process, as in the view.
@@ -295,6 +295,6 @@
 }
 
 // Standing is why a server is avoided, by whose word, and until when.
-type Standing = part.Avoided
+type Standing = module.Avoided
 
 var inf = math.Inf(1)
--- a/internal/cluster/overload/adapter/joined.go
+++ b/internal/cluster/overload/adapter/joined.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/cluster/overload/budgetlease"
 	"beechgrade/internal/cluster/overload/retrybudget"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
 )
 
 // Core is what it needs of a pooler's core.
@@ -29,7 +29,7 @@
 
 // Host is what carries words, and time.
 type Host interface {
-	part.Net
+	module.Net
 	At(ms float64, do func())
 }
 
@@ -79,7 +79,7 @@
 const learnMs = 1000
 
 // Kind is part.Part's.
-func (j *Joined) Kind() view.Kind { return part.Overload }
+func (j *Joined) Kind() view.Kind { return module.Overload }
 
 // Read is part.Part's.
 func (j *Joined) Read(b []byte) (any, error) {
@@ -196,9 +196,9 @@
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
 		case overload.SendTell:
-			j.host.Tell(a.Addr, a.To, part.Overload, told(a.Tell))
+			j.host.Tell(a.Addr, a.To, module.Overload, told(a.Tell))
 		case overload.SendAnswer:
-			j.host.Tell(a.Addr, a.To, part.Overload, answered(a.Answer))
+			j.host.Tell(a.Addr, a.To, module.Overload, answered(a.Answer))
 		case overload.Shed:
 			j.shed(a.Group, a.Place)
 		}
@@ -279,9 +279,9 @@
 		case a.Probe != "":
 			j.core.Probe(a.Probe)
 		case a.Want != nil:
-			j.host.Tell(a.Addr, a.To, part.Overload, a.Want)
+			j.host.Tell(a.Addr, a.To, module.Overload, a.Want)
 		case a.Found != nil:
-			j.host.Tell(a.Addr, a.To, part.Overload, a.Found)
+			j.host.Tell(a.Addr, a.To, module.Overload, a.Found)
 		case a.Tell:
 			said := backend.Report{Role: decide.Role(min(a.Role, uint8(decide.RoleReplica))), HasPos: a.Position > 0}
 			if said.HasPos {
--- a/internal/cluster/overload/adapter/lend.go
+++ b/internal/cluster/overload/adapter/lend.go
@@ -6,7 +6,7 @@
 	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/cluster/overload/budgetlease"
 	"beechgrade/internal/cluster/overload/retrybudget"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/view"
 )
 
 // Bound says what of a group's requests may be sent twice, and how fast servers that return are come back to.
--- a/internal/cluster/overload/api.go
+++ b/internal/cluster/overload/api.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/view"
 )
 
 // ID names a process, as in the view.
--- a/internal/peers/parts.go
+++ b/internal/cluster/parts.go
@@ -1,4 +1,4 @@
-package peers
+package cluster
 
 import (
 	"fmt"
@@ -6,19 +6,19 @@
 	"slices"
 	"time"
 
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/encoding"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
 )
 
 // body is a part's message: words on their way out, or what was read of those that came.
 type body struct {
-	words part.Words
+	words module.Words
 	raw   []byte
 	read  any
 }
 
-func appendBody(b []byte, w part.Words) []byte {
+func appendBody(b []byte, w module.Words) []byte {
 	if w == nil {
 		return b
 	}
@@ -26,15 +26,15 @@
 }
 
 // Join has a part live beside the view; before Start.
-func (p *Peers) Join(x part.Part) {
-	if k := x.Kind(); k < part.First || k > part.Last || p.partOf(k) != nil {
+func (p *Peers) Join(x module.Part) {
+	if k := x.Kind(); k < module.First || k > module.Last || p.partOf(k) != nil {
 		panic(fmt.Sprintf("peers: kind %d of a part", k))
 	}
 	p.parts = append(p.parts, x)
 }
 
-func (p *Peers) partOf(k view.Kind) part.Part {
-	if i := slices.IndexFunc(p.parts, func(x part.Part) bool { return x.Kind() == k }); i >= 0 {
+func (p *Peers) partOf(k view.Kind) module.Part {
+	if i := slices.IndexFunc(p.parts, func(x module.Part) bool { return x.Kind() == k }); i >= 0 {
 		return p.parts[i]
 	}
 	return nil
@@ -44,7 +44,7 @@
 func (p *Peers) Now() float64 { return p.loop.Now() }
 
 // Tell is part.Net's.
-func (p *Peers) Tell(addr string, to view.ID, kind view.Kind, w part.Words) {
+func (p *Peers) Tell(addr string, to view.ID, kind view.Kind, w module.Words) {
 	if p.ended || p.view == nil {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 // Stream is part.Net's.
-func (p *Peers) Stream(addr string, to view.ID, kind view.Kind, w part.Words, done func(ok bool)) {
+func (p *Peers) Stream(addr string, to view.ID, kind view.Kind, w module.Words, done func(ok bool)) {
 	if p.ended || p.view == nil {
 		return
 	}
--- a/internal/peers/peers.go
+++ b/internal/cluster/peers.go
@@ -1,7 +1,7 @@
-// Package peers joins the fleet's view (package view) to sockets: datagrams for what is small, a stream for a full exchange, on one
+// Package cluster joins the fleet's view (package view) to sockets: datagrams for what is small, a stream for a full exchange, on one
 // address. Reading, writing, hashing and coding are done on goroutines off the loop, which post what they make; the view itself is
 // for the loop alone. Without (peers ...) in the operators' settings there is no socket and no goroutine of all this.
-package peers
+package cluster
 
 import (
 	"errors"
@@ -13,11 +13,11 @@
 	"sync/atomic"
 	"time"
 
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/quota"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/view"
 )
 
 // Options say how a pooler is a peer.
@@ -79,7 +79,7 @@
 	acts  []quota.Action
 	due   float64
 
-	parts []part.Part
+	parts []module.Part
 
 	checks *invariant.Checks // nil where nothing is checked
 	every  int
--- a/internal/peers/quota/api.go
+++ b/internal/cluster/quota/api.go
@@ -50,7 +50,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/view"
 )
 
 // ID names a process, as in the view.
--- a/internal/cluster/raftlog/adapter/joined.go
+++ b/internal/cluster/raftlog/adapter/joined.go
@@ -5,9 +5,9 @@
 import (
 	"slices"
 
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/raftlog"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/view"
 )
 
 // Disk keeps records, off the loop; done comes on the loop, in the order of the calls.
@@ -24,7 +24,7 @@
 
 // Part is a pooler's log in common.
 type Part struct {
-	net    part.Net
+	net    module.Net
 	opt    Options
 	rep    raftlog.Replica
 	disk   Disk
@@ -44,7 +44,7 @@
 }
 
 // New makes one; at a voter nothing goes on before Begin.
-func New(net part.Net, opt Options) *Part {
+func New(net module.Net, opt Options) *Part {
 	return &Part{net: net, opt: opt, rep: raftlog.Replica{Log: raftlog.New(opt.Settings, net.Now()), Machine: opt.Machine}}
 }
 
@@ -64,7 +64,7 @@
 func (p *Part) Counts() Counts { return p.counts }
 
 // Kind is part.Part's.
-func (p *Part) Kind() view.Kind { return part.Agreed }
+func (p *Part) Kind() view.Kind { return module.Agreed }
 
 // Read is part.Part's: what it is the log finds out.
 func (p *Part) Read(body []byte) (any, error) { return body, nil }
@@ -160,10 +160,10 @@
 	p.counts.Bytes += uint64(len(a.Message))
 	if !a.Stream {
 		p.counts.Sent++
-		p.net.Tell(a.Addr, to, part.Agreed, words(a.Message))
+		p.net.Tell(a.Addr, to, module.Agreed, words(a.Message))
 		return
 	}
 	p.counts.Streams++
 	ref := a.Ref
-	p.net.Stream(a.Addr, to, part.Agreed, words(a.Message), func(ok bool) { p.do(raftlog.Sent{Ref: ref, OK: ok}) })
+	p.net.Stream(a.Addr, to, module.Agreed, words(a.Message), func(ok bool) { p.do(raftlog.Sent{Ref: ref, OK: ok}) })
 }
--- a/internal/peers/shown.go
+++ b/internal/cluster/shown.go
@@ -1,20 +1,20 @@
-package peers
+package cluster
 
 import (
 	"math"
 	"net"
 	"time"
 
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/encoding"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
 )
 
 // Shown is what a pooler says to those who look.
 type Shown struct {
 	Records []view.Record
 	Counts  view.Counts
-	Avoided []part.Avoided // by others' word
+	Avoided []module.Avoided // by others' word
 }
 
 // Show asks a pooler for all that it knows.
@@ -38,16 +38,16 @@
 )
 
 // avoided is what this pooler's parts avoid by others' word, as far as it is told.
-func (p *Peers) avoided() (all []part.Avoided) {
+func (p *Peers) avoided() (all []module.Avoided) {
 	for _, x := range p.parts {
-		if a, ok := x.(part.Avoiding); ok {
+		if a, ok := x.(module.Avoiding); ok {
 			all = append(all, a.Avoided()...)
 		}
 	}
 	return all[:min(len(all), mostAvoided)]
 }
 
-func appendAvoided(b []byte, a *part.Avoided) []byte {
+func appendAvoided(b []byte, a *module.Avoided) []byte {
 	b = appendText(appendText(b, 1, a.Server), 2, a.Why)
 	for _, id := range a.By[:min(len(a.By), mostWords)] {
 		b = appendFixed(b, 3, uint64(id))
@@ -55,7 +55,7 @@
 	return appendFixed(b, 4, math.Float64bits(a.Until))
 }
 
-func readAvoided(b []byte) (a part.Avoided, err error) {
+func readAvoided(b []byte) (a module.Avoided, err error) {
 	err = encoding.Fields(b, fault, func(f encoding.Field) error {
 		switch f.Num {
 		case 1:
--- a/internal/cluster/zones/adapter/joined.go
+++ b/internal/cluster/zones/adapter/joined.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/cluster/zones"
 	"beechgrade/internal/cluster/zones/follower"
@@ -14,7 +15,6 @@
 	"beechgrade/internal/cluster/zones/planner"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
-	"beechgrade/internal/peers/part"
 )
 
 // Core is what it needs of a pooler's core.
@@ -34,7 +34,7 @@
 	*zones.Zones
 	set   zones.Settings
 	core  Core
-	net   part.Net
+	net   module.Net
 	keep  Keeper
 	sites map[string]*site // servers
 	cells []*cell          // in their order
@@ -72,7 +72,7 @@
 const forgetMs = 600_000
 
 // New makes one. Classes, and how far each may cross, come from the core's contracts.
-func New(set zones.Settings, net part.Net, log zones.Log, c Core, k Keeper) *Joined {
+func New(set zones.Settings, net module.Net, log zones.Log, c Core, k Keeper) *Joined {
 	j := &Joined{set: set, core: c, net: net, keep: k, sites: map[string]*site{}, asks: map[[2]int]float64{}, sent: make([]uint64, len(set.Zones))}
 	set.Chief.Plan.Classes = classes(c.Contracts())
 	j.set = set
--- a/internal/cluster/zones/zones.go
+++ b/internal/cluster/zones/zones.go
@@ -4,11 +4,11 @@
 	"cmp"
 	"slices"
 
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/cluster/zones/follower"
 	"beechgrade/internal/cluster/zones/planner"
 	"beechgrade/internal/cluster/zones/statemachine"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
 )
 
 // Log is where entries are proposed; Apply, Lead and Follow bring what comes of it.
@@ -24,7 +24,7 @@
 // Zones is a process's.
 type Zones struct {
 	set    Settings
-	net    part.Net
+	net    module.Net
 	log    Log
 	pooler Pooler
 
@@ -58,7 +58,7 @@
 }
 
 // New makes a process's.
-func New(set Settings, net part.Net, log Log, p Pooler) *Zones {
+func New(set Settings, net module.Net, log Log, p Pooler) *Zones {
 	c, f := set.filled()
 	z := &Zones{set: set, net: net, log: log, pooler: p, follow: follower.New(f), votes: slices.Contains(set.Voters, set.Name), looked: net.Now(), sentAt: make([]float64, len(set.Order))}
 	if z.votes {
@@ -96,7 +96,7 @@
 		z.told = p.Since
 		w := &Word{No: p.No, Plan: p}
 		for _, m := range z.members {
-			z.net.Tell(m.addr, m.id, part.Zones, w)
+			z.net.Tell(m.addr, m.id, module.Zones, w)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 }
 
 // Kind is part.Part's.
-func (z *Zones) Kind() view.Kind { return part.Zones }
+func (z *Zones) Kind() view.Kind { return module.Zones }
 
 // Read is part.Part's.
 func (z *Zones) Read(b []byte) (any, error) { return Read(b) }
@@ -201,7 +201,7 @@
 	if has != p.No {
 		w.Plan = p
 	}
-	z.net.Tell(z.members[i].addr, to, part.Zones, w)
+	z.net.Tell(z.members[i].addr, to, module.Zones, w)
 }
 
 func (z *Zones) heard(p *statemachine.Plan, age float64) {
@@ -273,7 +273,7 @@
 			z.chief.Told(now, uint64(z.self), &w.Tell)
 		}
 		for _, v := range z.voters {
-			z.net.Tell(v.addr, v.id, part.Zones, w)
+			z.net.Tell(v.addr, v.id, module.Zones, w)
 		}
 	}
 }
--- a/internal/kit/emulate/conns_test.go
+++ b/internal/kit/emulate/conns_test.go
@@ -4,9 +4,9 @@
 	"slices"
 	"testing"
 
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/part"
 )
 
 // TestBrokenConnectionsAreNotCounted: servers die while attempts are out there, some of which are given up, by clients, the module or a page, before the pooler
@@ -28,7 +28,7 @@
 func TestPageLeftBeforeItsResetIsNotCounted(t *testing.T) {
 	t.Parallel()
 	left := 0
-	join := func(h Host) []part.Part {
+	join := func(h Host) []module.Part {
 		e := h.x.p.e
 		if h.x.p.no > 0 {
 			return nil
--- a/internal/kit/emulate/credit.go
+++ b/internal/kit/emulate/credit.go
@@ -7,9 +7,9 @@
 	"beechgrade/internal/cluster/credit/lease"
 	"beechgrade/internal/cluster/credit/ledger"
 	"beechgrade/internal/cluster/credit/lessor"
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/cluster/raftlog/adapter"
-	"beechgrade/internal/peers/part"
 	"beechgrade/internal/settings"
 )
 
@@ -53,7 +53,7 @@
 func (x *payer) reread() { x.c.Retune(x.settings()) }
 
 // Join makes a process's parts: the log's and credit's.
-func (c *Prepaid) Join(h Host) []part.Part {
+func (c *Prepaid) Join(h Host) []module.Part {
 	if c.files == nil {
 		c.files, c.writers, c.now = map[ledger.Holder][]lease.Mark{}, map[ledger.Holder]int{}, map[int]*payer{}
 	}
@@ -94,7 +94,7 @@
 	c.now[h.No()] = x
 	x.c.Inherit(gone)
 	h.At(h.Now(), func() { p.core.SetCredit(x) })
-	return []part.Part{x.log, x.c}
+	return []module.Part{x.log, x.c}
 }
 
 // Hold is core.Credit's.
--- a/internal/kit/emulate/heeds.go
+++ b/internal/kit/emulate/heeds.go
@@ -1,6 +1,6 @@
 package emulate
 
-import "beechgrade/internal/peers/part"
+import "beechgrade/internal/cluster/module"
 
 // Heed is how a verdict on a server went round: times are ms since the play's start.
 type Heed struct {
@@ -18,7 +18,7 @@
 )
 
 // heeded takes it that a pooler begins to avoid a server.
-func (e *Emulation) heeded(s part.Avoided) {
+func (e *Emulation) heeded(s module.Avoided) {
 	now := e.s.now - startMs
 	for i := len(e.heeds) - 1; i >= 0; i-- {
 		if h := &e.heeds[i]; h.Server == s.Server {
--- a/internal/kit/emulate/limits.go
+++ b/internal/kit/emulate/limits.go
@@ -3,11 +3,11 @@
 import (
 	"math"
 
+	"beechgrade/internal/cluster/quota"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/view"
 	"beechgrade/internal/settings"
 )
 
--- a/internal/kit/emulate/mutants.go
+++ b/internal/kit/emulate/mutants.go
@@ -4,8 +4,11 @@
 	"time"
 
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/outlier"
 	"beechgrade/internal/cluster/overload/adapter"
+	"beechgrade/internal/cluster/quota"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
@@ -13,9 +16,6 @@
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/view"
 )
 
 // Mutant is a pooler, or a server, that is broken on purpose: what the checker must catch.
@@ -41,7 +41,7 @@
 	Lists    bool                                           // it goes by its list's role in place of what servers say
 	Over     func(no int, o *adapter.Options)               // how it handles overload with others
 	Core     func(no int, c adapter.Core) adapter.Core      // whom that tells
-	Says     func(no int, w part.Words) part.Words          // what a part of it says in place of its words
+	Says     func(no int, w module.Words) module.Words      // what a part of it says in place of its words
 }
 
 // Mutants are all of them.
--- a/internal/kit/emulate/overload.go
+++ b/internal/kit/emulate/overload.go
@@ -2,11 +2,11 @@
 
 import (
 	"beechgrade/internal/backend"
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/overload/adapter"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/core"
 	"beechgrade/internal/decide"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
 )
 
 // partsEach is how many ticks there are for one walk over the state of what handles overload.
@@ -25,7 +25,7 @@
 
 // Overloaded has poolers handle overload as one.
 func Overloaded(opt adapter.Options) Joined {
-	return func(h Host) []part.Part {
+	return func(h Host) []module.Part {
 		c := h.x.p.core
 		opt, told := opt, adapter.Core(probed{c, h.x.p})
 		if m := h.x.p.e.opt.Mutant; m != nil {
@@ -46,7 +46,7 @@
 		}
 		h.x.over = j
 		j.Begin()
-		return []part.Part{j}
+		return []module.Part{j}
 	}
 }
 
--- a/internal/kit/emulate/overload_test.go
+++ b/internal/kit/emulate/overload_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/kit/check"
 	byzantine "beechgrade/internal/kit/lies"
-	"beechgrade/internal/peers/part"
 )
 
 // crowd are classes of which a group of three servers with four cores each can do about 200 a second.
@@ -59,7 +59,7 @@
 	for name, times := range byzantine.Times {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := playOver(t, ten, `(overload (shed yes))`, 5, &Mutant{Name: "lies", Says: func(no int, w part.Words) part.Words {
+			r := playOver(t, ten, `(overload (shed yes))`, 5, &Mutant{Name: "lies", Says: func(no int, w module.Words) module.Words {
 				if no != 2 {
 					return w
 				}
--- a/internal/kit/emulate/parts.go
+++ b/internal/kit/emulate/parts.go
@@ -1,13 +1,13 @@
 package emulate
 
 import (
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
 )
 
 // Joined makes a pooler's parts as a process of it begins: what lives beside the view and is no quota. A Host is what they get to do with it.
-type Joined func(h Host) []part.Part
+type Joined func(h Host) []module.Part
 
 // Host is the process that a part lives in.
 type Host struct{ x *peer }
@@ -23,7 +23,7 @@
 func (h Host) Now() float64 { return h.x.p.e.s.now }
 
 // Tell is part.Net's: coded, it arrives as often and as late as the way has it, and is read there.
-func (h Host) Tell(addr string, to view.ID, kind view.Kind, w part.Words) {
+func (h Host) Tell(addr string, to view.ID, kind view.Kind, w module.Words) {
 	x := h.x
 	f, e := x.f, x.p.e
 	at := f.at(addr)
@@ -31,10 +31,10 @@
 		w = m.Says(x.p.no, w)
 	}
 	b := w.Append(nil)
-	if at == nil || at == x.p || len(b) > part.MostBody {
+	if at == nil || at == x.p || len(b) > module.MostBody {
 		return
 	}
-	if kind == part.Overload && (b[0] == tellVerb || b[0] == answerVerb) {
+	if kind == module.Overload && (b[0] == tellVerb || b[0] == answerVerb) {
 		e.check.Talked(e.s.now)
 	}
 	f.told++
@@ -49,12 +49,12 @@
 const tellVerb, answerVerb = 1, 2
 
 // Stream is part.Net's: it loses nothing, but does not come up over a way that is cut.
-func (h Host) Stream(addr string, to view.ID, kind view.Kind, w part.Words, done func(ok bool)) {
+func (h Host) Stream(addr string, to view.ID, kind view.Kind, w module.Words, done func(ok bool)) {
 	x := h.x
 	f, e := x.f, x.p.e
 	at := f.at(addr)
 	b := w.Append(nil)
-	if at == nil || at == x.p || len(b) > part.MostStream || f.net.Cut(x.p.no, at.no) || f.net.Cut(at.no, x.p.no) {
+	if at == nil || at == x.p || len(b) > module.MostStream || f.net.Cut(x.p.no, at.no) || f.net.Cut(at.no, x.p.no) {
 		h.At(e.s.now+streamFailsMs, func() { done(false) })
 		return
 	}
--- a/internal/kit/emulate/parts_test.go
+++ b/internal/kit/emulate/parts_test.go
@@ -5,8 +5,8 @@
 	"errors"
 	"testing"
 
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 )
 
 // partCounter is a part that tells all others a number with each step.
@@ -64,10 +64,10 @@
 	script := `(rehearsal "parts" (seconds 30) (poolers 4) (groups 3) (rate 20) (peers) (at 10s (between (0 1) (2 3) cut) (for 2s)) (at 20s (kill-pooler 3) (for 1s)))`
 	run := func() (string, []*partCounter) {
 		var made []*partCounter
-		r := play(t, parse(t, script), Options{Seed: 3, Parts: []Joined{func(h Host) []part.Part {
+		r := play(t, parse(t, script), Options{Seed: 3, Parts: []Joined{func(h Host) []module.Part {
 			c := &partCounter{h: h, heard: map[view.ID]int{}}
 			made = append(made, c)
-			return []part.Part{c}
+			return []module.Part{c}
 		}}})
 		return r.Hash, made
 	}
--- a/internal/kit/emulate/peers.go
+++ b/internal/kit/emulate/peers.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"math/rand/v2"
 
+	"beechgrade/internal/cluster/module"
 	outlieradapter "beechgrade/internal/cluster/outlier/adapter"
 	"beechgrade/internal/cluster/overload/adapter"
+	"beechgrade/internal/cluster/quota"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/view"
 )
 
 // fleetOf is the poolers as peers: the ways between them, and the checker of their views.
@@ -108,7 +108,7 @@
 	was  view.ID
 
 	limits *lender // nil where none hold for the whole fleet
-	parts  []part.Part
+	parts  []module.Part
 	over   *adapter.Joined        // nil where each pooler handles overload alone
 	judged *outlieradapter.Joined // nil where each learns alone
 }
--- a/internal/kit/emulate/pooler.go
+++ b/internal/kit/emulate/pooler.go
@@ -5,13 +5,13 @@
 	"log/slog"
 
 	"beechgrade/internal/backend/idletimeout"
+	"beechgrade/internal/cluster/quota"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/core"
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/view"
 	"beechgrade/internal/settings"
 )
 
--- a/internal/kit/emulate/strike.go
+++ b/internal/kit/emulate/strike.go
@@ -1,9 +1,9 @@
 package emulate
 
 import (
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/view"
 )
 
 // strike carries out a fault, and has it end at its time.
--- a/internal/kit/emulate/verdicts.go
+++ b/internal/kit/emulate/verdicts.go
@@ -1,26 +1,26 @@
 package emulate
 
 import (
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/outlier/adapter"
-	"beechgrade/internal/peers/part"
 )
 
 // Judged has poolers share what they know of servers.
 func Judged(opt adapter.Options) Joined {
-	return func(h Host) []part.Part {
+	return func(h Host) []module.Part {
 		c := h.x.p.core
 		if m := h.x.p.e.opt.Mutant; m != nil && m.Verdicts != nil {
 			m.Verdicts(h.x.p.no, &opt.Set)
 		}
 		j := adapter.New(opt, c, h)
 		j.Check(h.x.p.e.checks, walkEach)
-		j.Tell(func(s part.Avoided, begins bool) {
+		j.Tell(func(s module.Avoided, begins bool) {
 			if begins {
 				h.x.p.e.heeded(s)
 			}
 		})
 		c.SetWitness(j)
 		h.x.judged = j
-		return []part.Part{j}
+		return []module.Part{j}
 	}
 }
--- a/internal/kit/emulate/verdicts_liar_test.go
+++ b/internal/kit/emulate/verdicts_liar_test.go
@@ -4,10 +4,10 @@
 	"slices"
 	"testing"
 
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/outlier"
 	"beechgrade/internal/kit/check"
 	byzantine "beechgrade/internal/kit/lies"
-	"beechgrade/internal/peers/part"
 )
 
 // toldOf is poolers of which 1 and 7 collect, with few requests each. Verdicts end soon, so that a blackout shows in the second 10 s.
@@ -17,9 +17,9 @@
 const seldomTold = `(rehearsal "seldom told" (seconds 30.5) (poolers 16) ` + judgedFleet + ` (groups-of 1 4) (rate 60) (verdicts (testers 1) (turn 30s) (lapse 9s) (refresh 20s) (blind 0.75)))`
 
 // lying has some poolers lie of servers once they were heard for a while.
-func lying(l byzantine.Servers, who ...int) func(no int, w part.Words) part.Words {
+func lying(l byzantine.Servers, who ...int) func(no int, w module.Words) module.Words {
 	told := 0
-	return func(no int, w part.Words) part.Words {
+	return func(no int, w module.Words) module.Words {
 		if !slices.Contains(who, no) {
 			return w
 		}
--- a/internal/kit/emulate/zones.go
+++ b/internal/kit/emulate/zones.go
@@ -1,11 +1,11 @@
 package emulate
 
 import (
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/raftlog"
 	raftadapter "beechgrade/internal/cluster/raftlog/adapter"
 	"beechgrade/internal/cluster/zones"
 	"beechgrade/internal/cluster/zones/adapter"
-	"beechgrade/internal/peers/part"
 )
 
 // Zoned has poolers decide together which zone serves what, in virtual time: on a log in common, with numbers kept in files that outlive
@@ -29,7 +29,7 @@
 }
 
 // Join makes a process's parts: the log's and zones'.
-func (c *Zoned) Join(h Host) []part.Part {
+func (c *Zoned) Join(h Host) []module.Part {
 	if c.floors == nil {
 		c.floors, c.now = map[int]uint64{}, map[int]*zoner{}
 	}
@@ -52,7 +52,7 @@
 	}
 	x.log = c.Log.Join(h, users, x.j.Hear)
 	c.now[h.No()] = x
-	return []part.Part{x.log, x.j}
+	return []module.Part{x.log, x.j}
 }
 
 // Propose is zones.Log's.
--- a/internal/kit/emulate/zones_oracle.go
+++ b/internal/kit/emulate/zones_oracle.go
@@ -4,13 +4,13 @@
 	"math"
 	"slices"
 
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/zones/follower"
 	"beechgrade/internal/cluster/zones/plan"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/world"
-	"beechgrade/internal/peers/part"
 )
 
 // ZoneOracle shares reads by the planner that poolers have, of what is truly so and at once: who is alive, what servers can do, what they lose and which
@@ -33,7 +33,7 @@
 const loadMs = 4000
 
 // Join is Options.Parts'.
-func (o *ZoneOracle) Join(h Host) []part.Part {
+func (o *ZoneOracle) Join(h Host) []module.Part {
 	p := h.x.p
 	if o.e == nil {
 		o.e, o.stands = p.e, map[int]int{}
--- a/internal/kit/emulate/zones_test.go
+++ b/internal/kit/emulate/zones_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/raftlog"
 	"beechgrade/internal/cluster/zones"
 	"beechgrade/internal/cluster/zones/follower"
 	"beechgrade/internal/cluster/zones/health"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/peers/part"
 )
 
 // zonedPlay is a play with zones decided together, and what is held against it.
@@ -182,7 +182,7 @@
 }
 
 // otherPlan has a voter tell a plan that was not agreed.
-func otherPlan(no int, w part.Words) part.Words {
+func otherPlan(no int, w module.Words) module.Words {
 	x, ok := w.(*zones.Word)
 	if !ok || no != 1 || x.Plan == nil {
 		return w
@@ -193,10 +193,10 @@
 }
 
 // olds has a voter tell the first plan that it ever told in every other word.
-func olds() func(no int, w part.Words) part.Words {
+func olds() func(no int, w module.Words) module.Words {
 	var first *zones.Word
 	n := 0
-	return func(no int, w part.Words) part.Words {
+	return func(no int, w module.Words) module.Words {
 		x, ok := w.(*zones.Word)
 		if !ok || no != 1 {
 			return w
--- a/internal/kit/explore/explore_test.go
+++ b/internal/kit/explore/explore_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/view"
 )
 
 // steps is how far the searches go: over two rounds of probes, a suspicion and its end.
--- a/internal/kit/explore/quotas.go
+++ b/internal/kit/explore/quotas.go
@@ -8,8 +8,8 @@
 	"sort"
 	"strings"
 
+	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/peers/quota"
 )
 
 // Quotas are so many poolers that share a limit which is never to be gone over, with the messages between them. Each has a clock of its
--- a/internal/kit/explore/quotas_test.go
+++ b/internal/kit/explore/quotas_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/peers/quota"
+	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/steady"
 )
 
--- a/internal/kit/explore/views.go
+++ b/internal/kit/explore/views.go
@@ -6,7 +6,7 @@
 	"sort"
 	"strings"
 
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/view"
 )
 
 // Views are so many poolers whose views know one another, with the messages between them. Time goes on in steps, at each of which
--- a/internal/kit/explore/zones.go
+++ b/internal/kit/explore/zones.go
@@ -8,12 +8,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"beechgrade/internal/cluster/module"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/cluster/zones"
 	"beechgrade/internal/cluster/zones/follower"
 	"beechgrade/internal/cluster/zones/plan"
 	"beechgrade/internal/cluster/zones/planner"
-	"beechgrade/internal/peers/part"
-	"beechgrade/internal/peers/view"
 )
 
 // ZoneVoters are voters that decide about zones together, each in a zone of its own, with the words between them and a log that they have in
@@ -136,12 +136,12 @@
 func (h zoneHost) Now() float64 { return h.x().clock }
 
 // Tell is part.Net's.
-func (h zoneHost) Tell(addr string, _ view.ID, _ view.Kind, w part.Words) {
+func (h zoneHost) Tell(addr string, _ view.ID, _ view.Kind, w module.Words) {
 	h.x().tells = append(h.x().tells, zoneWord{h.i, slices.Index(h.s.Set.Voters, addr), string(w.Append(nil)), h.x().clock})
 }
 
 // Stream is part.Net's.
-func (h zoneHost) Stream(string, view.ID, view.Kind, part.Words, func(bool)) {}
+func (h zoneHost) Stream(string, view.ID, view.Kind, module.Words, func(bool)) {}
 
 // Propose is zones.Log's.
 func (h zoneHost) Propose(entry []byte) { h.x().asks = append(h.x().asks, string(entry)) }
--- a/internal/kit/rehearse/peers.go
+++ b/internal/kit/rehearse/peers.go
@@ -12,20 +12,20 @@
 	"syscall"
 	"time"
 
+	"beechgrade/internal/cluster"
+	"beechgrade/internal/cluster/quota"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/peers"
-	"beechgrade/internal/peers/quota"
-	"beechgrade/internal/peers/view"
 )
 
 // fleetOf is the poolers as peers: relays between each two of them, and the checker of what they say of each other.
 type fleetOf struct {
 	run    *Run
 	relays *links.Relays
-	key    peers.Key
+	key    cluster.Key
 	file   string // that holds it
 
 	mu    sync.Mutex
@@ -51,7 +51,7 @@
 		return err
 	}
 	sum := sha256.Sum256([]byte(fmt.Sprint("rehearsal", r.opt.Seed)))
-	f := &fleetOf{run: r, relays: relays, key: peers.Key(hex.EncodeToString(sum[:])), ids: make([]view.ID, s.Poolers), says: make([]map[view.ID]view.State, s.Poolers),
+	f := &fleetOf{run: r, relays: relays, key: cluster.Key(hex.EncodeToString(sum[:])), ids: make([]view.ID, s.Poolers), says: make([]map[view.ID]view.State, s.Poolers),
 		avoid: map[string]map[int]bool{}}
 	if f.file, err = filepath.Abs(filepath.Join(r.opt.Out, "fleet.key")); err != nil {
 		return err
@@ -111,7 +111,7 @@
 			if pid == 0 {
 				return
 			}
-			shown, err := peers.Show(f.relays.Real(i), f.key)
+			shown, err := cluster.Show(f.relays.Real(i), f.key)
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if err != nil || len(shown.Records) == 0 || p.pid() != pid {
--- a/internal/kit/scenario/limits.go
+++ b/internal/kit/scenario/limits.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/kit/check"
-	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 )
--- a/internal/kit/scenario/peers.go
+++ b/internal/kit/scenario/peers.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/links"
-	"beechgrade/internal/peers/view"
 	"beechgrade/internal/sexp"
 )
 
--- a/internal/settings/agreed.go
+++ b/internal/settings/agreed.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"beechgrade/internal/cluster/raftlog"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/sexp"
 )
 
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strings"
 
+	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/core"
-	"beechgrade/internal/peers/quota"
 	"beechgrade/internal/sexp"
 )
 
--- a/internal/settings/peers.go
+++ b/internal/settings/peers.go
@@ -7,8 +7,8 @@
 	"net/netip"
 	"os"
 
-	"beechgrade/internal/peers"
-	"beechgrade/internal/peers/view"
+	"beechgrade/internal/cluster"
+	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/sexp"
 )
 
@@ -100,10 +100,10 @@
 }
 
 // Key reads the key's file.
-func (p *Peers) Key() (peers.Key, error) { return ReadKey(p.KeyFile) }
+func (p *Peers) Key() (cluster.Key, error) { return ReadKey(p.KeyFile) }
 
 // ReadKey reads a file that holds the key of a fleet.
-func ReadKey(path string) (peers.Key, error) {
+func ReadKey(path string) (cluster.Key, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("the fleet's key: %w", err)
