--- a/cmd/beechgrade/pooled_begun_test.go
+++ b/cmd/beechgrade/pooled_begun_test.go
@@ -16,7 +16,7 @@
 	"beechgrade/internal/kit/incident"
 	"beechgrade/internal/kit/records"
 	"beechgrade/internal/protocol/pgwire"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // TestPooledBegun: a transaction has only begun when its server dies, is drained, or hands over without the pooler's
@@ -253,7 +253,7 @@
 	sqls := []string{"BEGIN", "COMMIT", "ROLLBACK", "SELECT 1", "SHOW work_mem", "SET work_mem TO '5MB'", "SET LOCAL work_mem TO '6MB'", "SAVEPOINT a", "ROLLBACK TO a",
 		"RESET work_mem", "SELECT content FROM kv WHERE name = 'k'", "SYNTAX ERROR", "", "BEGIN READ ONLY", "COPY kv TO STDOUT"}
 	names := []string{"", "s1", "s2"}
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		var sent []byte
 		var told []string
 		ends := 0
--- a/internal/cluster/form_test.go
+++ b/internal/cluster/form_test.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 var testKey = Key("a key of a fleet, for tests")
@@ -20,7 +20,7 @@
 // TestForm: whatever a pooler can say comes out as it went in, and not where a byte of it was changed, or the key is another.
 func TestForm(t *testing.T) {
 	text := rapid.StringN(0, 20, view.MostName)
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		in := &envelope{Message: view.Message{Kind: view.Kind(rapid.IntRange(0, 20).Draw(t, "kind")), From: view.ID(rapid.Uint64Min(1).Draw(t, "from")),
 			Seq: rapid.Uint32().Draw(t, "seq"), Target: view.ID(rapid.Uint64().Draw(t, "target"))}}
 		for range rapid.IntRange(0, 5).Draw(t, "records") {
--- a/internal/cluster/outlier/merge_test.go
+++ b/internal/cluster/outlier/merge_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // collector is one that hears of evidence, whatever its order.
@@ -42,7 +42,7 @@
 // TestAnyOrder: the same evidence, in any order and any number of times, ends in the same judgement.
 func TestAnyOrder(t *testing.T) {
 	bad, vouched := 0, 0
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		type told struct {
 			from ID
 			tell *Tell
@@ -87,7 +87,7 @@
 
 // TestForm: what is written is read as it was, to the grain; a position never as a newer one. What is not of the form is an error.
 func TestForm(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		v := collector(t, 3)
 		tell := &Tell{Seq: rapid.Uint32().Draw(t, "seq"), Items: []Item{drawItem(t, v), drawItem(t, v)}}
 		got, err := Read(tell.Append(nil))
--- a/internal/cluster/overload/budgetlease/lend_test.go
+++ b/internal/cluster/overload/budgetlease/lend_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // fleet is some poolers with what their modules have, and words that may be lost, doubled and late.
@@ -153,7 +153,7 @@
 
 // TestNeverMoreThanEarned: whatever is lost, doubled, late, overtaken, and whoever sees whom, what is held and used is no more than was earned.
 func TestNeverMoreThanEarned(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		const n, groups = 4, 2
 		f := newFleet(n, groups, invariant.Test(t))
 		f.dup = func() int { return rapid.IntRange(0, 2).Draw(rt, "copies") }
@@ -217,7 +217,7 @@
 
 // TestForm: words come back as they went, the longest within what a datagram may hold; anything else is an error, and no panic.
 func TestForm(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		items := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) Item {
 			return Item{rapid.IntRange(0, math.MaxInt32).Draw(rt, "group"), float64(rapid.IntRange(0, mostItem).Draw(rt, "amount")) / grain}
 		}), 1, Block).Draw(rt, "items")
--- a/internal/cluster/overload/retrybudget/account_test.go
+++ b/internal/cluster/overload/retrybudget/account_test.go
@@ -6,14 +6,14 @@
 
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 const sec = time.Second
 
 // TestNeverMoreThanEarned: whatever several poolers send, and lend each other, their repeats together stay within Repeats.Most.
 func TestNeverMoreThanEarned(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(rt, "poolers")
 		set := Repeats{Part: rapid.Float64Range(0, 1).Draw(rt, "part"), Floor: rapid.Float64Range(0, 20).Draw(rt, "floor"), Span: 10 * sec}
 		all, lent := make([]Accounts, n), make([]float64, n)
--- a/internal/cluster/quota/invariants_test.go
+++ b/internal/cluster/quota/invariants_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // drawn is a few quotas whose messages come in any order, twice, or never.
@@ -68,7 +68,7 @@
 
 // TestInvariants: whatever comes in whatever order, the statements hold, and no more than a limit may be used by all together.
 func TestInvariants(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		d := newDrawn(invariant.Test(t), rapid.Float64Range(1, 40).Draw(t, "burst"), rapid.Float64Range(1, 50).Draw(t, "amount"))
 		who := func(t *rapid.T) ID { return rapid.SampledFrom(d.ids).Draw(t, "who") }
 		pass := func(ms float64) {
--- a/internal/cluster/view/invariants_test.go
+++ b/internal/cluster/view/invariants_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // TestInvariants: processes that come, go, are cut off, take each other's names and addresses, stand still and hear old and false
 // words, in any order.
 func TestInvariants(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		f, c := &few{now: 1e6, cut: map[int]bool{}, dead: map[int]bool{}}, invariant.Test(t)
 		join := func(name, addr string) {
 			s := Defaults()
--- a/internal/cluster/zones/health/state_test.go
+++ b/internal/cluster/zones/health/state_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 const tick = 500.0
@@ -96,7 +96,7 @@
 
 // TestShiftsAreFew: whatever is seen, a zone is left and taken back no more often than stated.
 func TestShiftsAreFew(t *testing.T) {
-	steady.Check(t, func(r *rapid.T) {
+	deterministic.Check(t, func(r *rapid.T) {
 		set := Defaults()
 		set.Rest = rapid.Float64Range(2000, 20000).Draw(r, "rest")
 		z, now, out := New(&set), 0.0, false
--- a/internal/cluster/zones/plan/plan_test.go
+++ b/internal/cluster/zones/plan/plan_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // brute finds the best plan of a group by trying every one, in whole units: the most worth, then the least crossing.
@@ -140,7 +140,7 @@
 
 // TestMatrixIsSafe: whatever groups there are, no zone that receives is above its safe room by the matrix, nor on any step of a way to it.
 func TestMatrixIsSafe(t *testing.T) {
-	steady.Check(t, func(r *rapid.T) {
+	deterministic.Check(t, func(r *rapid.T) {
 		zones := rapid.IntRange(2, 4).Draw(r, "zones")
 		s := small(zones)
 		s.Spare = rapid.Float64Range(0, 0.5).Draw(r, "spare")
--- a/internal/cluster/zones/statemachine/book_test.go
+++ b/internal/cluster/zones/statemachine/book_test.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/cluster/zones/health"
 	"beechgrade/internal/cluster/zones/plan"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 func somePlan(no, version uint64, by string) *Plan {
@@ -46,7 +46,7 @@
 // TestBooksAgree applies drawn entries at two books, one of which is put back from a snapshot now and then: they stay the same, and
 // numbers of plans go up by one.
 func TestBooksAgree(t *testing.T) {
-	steady.Check(t, func(r *rapid.T) {
+	deterministic.Check(t, func(r *rapid.T) {
 		a, b := New(), New()
 		a.Checks = invariant.Test(r)
 		last := uint64(0)
@@ -104,7 +104,7 @@
 	if n := len(EncodePlan(big)); n > 800 {
 		t.Errorf("%d bytes", n)
 	}
-	steady.Check(t, func(r *rapid.T) {
+	deterministic.Check(t, func(r *rapid.T) {
 		b := p.Append(nil)
 		b[rapid.IntRange(0, len(b)-1).Draw(r, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(r, "bit")
 		if q, err := ReadPlan(b); err == nil {
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // drawn is a core whose servers, clients and clock do whatever is drawn, but keep what they promise: each attempt ends once.
@@ -89,7 +89,7 @@
 // TestInvariants: whatever clients, servers, lists and the clock do in whatever order, the core has what the router has, and nothing
 // stays of what is over.
 func TestInvariants(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		d := newDrawn(invariant.Test(t))
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") }
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // TestKeysRememberTheFirstSend holds what is remembered of keys to a model: the first send of each that may have run, for as long as is promised,
 // and no more of them than is allowed.
 func TestKeysRememberTheFirstSend(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		var k keys
 		now, sent := 1e6, map[string][]float64{}
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/decide/invariants_test.go
+++ b/internal/decide/invariants_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // drawn is a router with its embedder, which keeps its promises: each attempt and each probe ends once, with a served one or one whose
@@ -120,7 +120,7 @@
 
 // TestInvariants: settings, lists, requests, outcomes, probes, timers and standstills in any order.
 func TestInvariants(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		d := newDrawn(invariant.Test(t), drawSettings(t), rapid.Uint64().Draw(t, "seed"))
 		many := func(do func(*rapid.T)) func(*rapid.T) {
 			return func(t *rapid.T) {
--- a/internal/decide/twice_test.go
+++ b/internal/decide/twice_test.go
@@ -11,7 +11,7 @@
 
 	"beechgrade/internal/cluster/overload/retrybudget"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // bounded has repeats be at most this part of first attempts, without a floor.
@@ -59,7 +59,7 @@
 
 // TestRepeatsStayWithinTheFormula: whatever fails and is lent, repeats stay within the formula, by the invariant's own count.
 func TestRepeatsStayWithinTheFormula(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		part, floor := rapid.Float64Range(0, 1).Draw(rt, "part"), rapid.Float64Range(0, 20).Draw(rt, "floor")
 		g := trio(t, bounded(part, floor))
 		c := invariant.New(nil)
--- a/internal/endpoints/consul/consul_test.go
+++ b/internal/endpoints/consul/consul_test.go
@@ -24,7 +24,7 @@
 	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/standin/agent"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 const patience = 20 * time.Second
@@ -395,7 +395,7 @@
 // TestWatchKeepsAsking: whatever answers come, the next query is due in bounded time and asks an agent that there is; what
 // is taken never has a lower index than what was taken from the same agents before, but after an index that began anew.
 func TestWatchKeepsAsking(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(rt, "agents")
 		w := NewWatch(n, 20000, 10000, func() float64 { return rapid.Float64Range(0, 1).Draw(rt, "random") })
 		now, known := 1e6, uint64(0)
--- a/internal/endpoints/reconcile/judge_test.go
+++ b/internal/endpoints/reconcile/judge_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // rig is a judge with two sources, and the list as its reader has it.
@@ -421,7 +421,7 @@
 // that it has; no address is listed twice; no group has two primaries, and no primary has said lately that it is none; an
 // empty list never follows from one answer; and nothing that says maintenance serves.
 func TestStateMachine(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		set := Defaults("a", "b")
 		set.Keep = 5000
 		r := &rig{t: t, j: New(set), now: 1e6, list: map[string]Entry{}}
--- a/internal/eventloop/slotmap/invariants_test.go
+++ b/internal/eventloop/slotmap/invariants_test.go
@@ -6,12 +6,12 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // TestInvariants: whatever is put and dropped in any order, no slot leaks, none is used twice, and each ref finds its own or nothing.
 func TestInvariants(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		var tab Table[int]
 		var refs []Ref
 		c, in := invariant.Test(t), map[Ref]int{}
--- a/internal/eventloop/timers/invariants_test.go
+++ b/internal/eventloop/timers/invariants_test.go
@@ -6,12 +6,12 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // TestInvariants: whatever is hung up, taken down and run in any order, the heap is one, and what runs is what is due, in order.
 func TestInvariants(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		var h Heap
 		var timers []*Timer
 		c, now, ran := invariant.Test(t), 0.0, 0
--- a/internal/frontend/clickhouse/limits/limits_test.go
+++ b/internal/frontend/clickhouse/limits/limits_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // TestRate: a burst, then the rate; another user is not held to it.
@@ -30,7 +30,7 @@
 // TestStateMachine holds the gate to its limits: never more run or wait than may, what waits is let in in its order as others
 // leave, nobody waits beyond the time, and no place is lost.
 func TestStateMachine(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		l := Limits{Queries: rapid.IntRange(1, 3).Draw(rt, "queries"), Queue: rapid.IntRange(0, 3).Draw(rt, "queue"), Wait: 100}
 		g := New(map[string]Limits{"a": l}, l)
 		now, last := 0.0, ID(0)
--- a/internal/frontend/clickhouse/sessions/sessions_test.go
+++ b/internal/frontend/clickhouse/sessions/sessions_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // TestLife: a session stays with who served it first, takes one query at a time, and ends by time, or with its server.
@@ -53,7 +53,7 @@
 // TestStateMachine: whatever happens, no session has two queries under way, none is told a server that has gone or another
 // than the one that served it, and there are never more than there may be.
 func TestStateMachine(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		tab, now := New(3), 0.0
 		server, busy := map[Key]string{}, map[Key]bool{}
 		key := rapid.Custom(func(rt *rapid.T) Key {
--- a/internal/frontend/pooling/connpool/share_test.go
+++ b/internal/frontend/pooling/connpool/share_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // world is a simple model that a pool is held against.
@@ -99,7 +99,7 @@
 // TestPool holds a pool to a simple model: whatever happens, no connection is given twice, nobody is passed over, the
 // bounds hold, and all who wait have an end.
 func TestPool(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		lim := Limits{Most: rapid.IntRange(1, 5).Draw(t, "most"), Reserve: rapid.IntRange(0, 2).Draw(t, "reserve"), ReserveMs: 50, Queue: rapid.IntRange(0, 8).Draw(t, "queue"),
 			WaitMs: 1000, LifeMs: 5000, IdleMs: 500, Dials: rapid.IntRange(1, 3).Draw(t, "dials"), AgainMs: 20}
 		w := &world{t: t, p: New(lim), lim: lim, conns: map[ID]string{}, owner: map[ID]ID{}, waits: map[ID]string{}, since: map[ID]float64{},
@@ -198,7 +198,7 @@
 // TestDoor: no more are let in than there may be connections, the first come first, each kind by itself; whoever waits
 // too long or finds no place is turned away, and whoever leaves makes room.
 func TestDoor(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		lim := Limits{Most: rapid.IntRange(1, 3).Draw(t, "most"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"), WaitMs: 1000}
 		p, now, last := New(lim), 0.0, ID(0)
 		in, out := map[ID]string{}, map[ID]string{}
--- a/internal/frontend/pooling/sessionstate/carry_test.go
+++ b/internal/frontend/pooling/sessionstate/carry_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/protocol/sqltext"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // real is a server as it is: what it has set, and what its transaction may undo.
@@ -80,7 +80,7 @@
 // TestCarried moves clients over servers at random, with settings that are set, reset, local, rolled back and undone to
 // savepoints. Before each transaction, the server must have what that client's session has, and nothing of another's.
 func TestCarried(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		texts := NewTexts()
 		var clients []*Client
 		var want []map[string]string // what each session has
--- a/internal/frontend/scatter/bindmessage/bind_test.go
+++ b/internal/frontend/scatter/bindmessage/bind_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // whole writes a Bind's rest by the protocol's page: forms, values, wished forms.
@@ -36,7 +36,7 @@
 // is text, NULL stays NULL, and a message that is cut or goes on is an error.
 func TestWith(t *testing.T) {
 	t.Parallel()
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		value := rapid.OneOf(rapid.Just[[]byte](nil), rapid.SliceOfN(rapid.Byte(), 0, 5))
 		vals := rapid.SliceOfN(value, 0, 4).Draw(rt, "vals")
 		more := rapid.SliceOfN(value, 0, 3).Draw(rt, "more")
--- a/internal/kit/explore/quotas_test.go
+++ b/internal/kit/explore/quotas_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/cluster/quota"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // smallQuota has clocks that run an eighth too fast, right and an eighth too slow.
@@ -200,7 +200,7 @@
 // TestQuotaModel goes far beyond the searches' depth, with everything that may go wrong over and over, for a rate and for a number at
 // once whose uses go on after their leases: at no moment more than the limit.
 func TestQuotaModel(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		set := smallQuota()
 		set.Lease = rapid.SampledFrom([]float64{3, 7, 12}).Draw(rt, "lease")
 		set.Promise = rapid.SampledFrom([]float64{3, 5, 9}).Draw(rt, "promise")
--- a/internal/kit/incident/incident_test.go
+++ b/internal/kit/incident/incident_test.go
@@ -15,7 +15,7 @@
 	"beechgrade/internal/kit/standin"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 const t0 = 1.7e12
@@ -208,7 +208,7 @@
 
 // TestSums holds any stream of events to what must always add up.
 func TestSums(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		s := newStory("a")
 		at := 0.0
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
--- a/internal/kit/scenario/text_test.go
+++ b/internal/kit/scenario/text_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // words are values for every word that the parser takes, to draw from.
@@ -91,7 +91,7 @@
 	slices.Sort(all)
 	many := append(slices.Clone(all), slices.Repeat([]string{"at"}, 40)...)
 	read := map[string]int{}
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		text := `(rehearsal "x \"y\" \\"`
 		var said []string
 		say := func(head, value string) {
--- a/internal/kit/worth/worth_test.go
+++ b/internal/kit/worth/worth_test.go
@@ -6,12 +6,12 @@
 
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // TestWindow holds the streaming window to a plain search over all seconds.
 func TestWindow(t *testing.T) {
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 200).Draw(t, "seconds")
 		asked, got := make([]float64, n), make([]float64, n)
 		var w Window
--- a/internal/metrics/exposition/sheet_test.go
+++ b/internal/metrics/exposition/sheet_test.go
@@ -13,7 +13,7 @@
 	"github.com/prometheus/common/model"
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/steady"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // read parses the text form as a reader of its own does: each line's family, labels and value.
@@ -97,7 +97,7 @@
 // reader finds each figure once, with its value.
 func TestTextHoldsAnyName(t *testing.T) {
 	t.Parallel()
-	steady.Check(t, func(t *rapid.T) {
+	deterministic.Check(t, func(t *rapid.T) {
 		var s Sheet
 		want := map[string]float64{}
 		names := rapid.SliceOfNDistinct(rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"\xff", "a\"b\\", "x\ny", "", "{}=1"})), 0, 8,
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -13,8 +13,8 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/kit/standin/faulty"
-	"beechgrade/internal/steady"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // open starts a keeper whose word comes on calls of the function that it returns, once.
@@ -45,7 +45,7 @@
 // each start no session is held to less than the last commit that was answered, in either mode, and a process that ended in order leaves
 // each session just its own.
 func TestCrashes(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		d := faulty.New()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		answered := map[string]decide.Time{}
@@ -142,7 +142,7 @@
 // other takes over what it held, from there or after a start of its own. No session is held to less than its last commit that was answered
 // by either, and what was taken over may be taken over again.
 func TestMerge(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		disks := [2]*faulty.Disk{faulty.New(), faulty.New()}
 		var keepers [2]*Keeper
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -14,8 +14,8 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/kit/standin/faulty"
-	"beechgrade/internal/steady"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 func value(at float64, body string) func() (*Record, error) {
@@ -173,7 +173,7 @@
 // TestRandom: values of all kinds come at any time while the disk fails or the power goes out: a start finds of each the last that was kept, or
 // one that came after it, whole, and every statement holds.
 func TestRandom(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		d := faulty.New()
 		least, last := map[string]float64{}, map[string]float64{}
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -14,8 +14,8 @@
 
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/kit/standin/faulty"
-	"beechgrade/internal/steady"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/deterministic"
 )
 
 // act is a step of a history: entries kept together, or a compaction.
@@ -363,7 +363,7 @@
 
 // TestStateMachine: random histories with crashes, compactions and failures against a map.
 func TestStateMachine(t *testing.T) {
-	steady.Check(t, func(rt *rapid.T) {
+	deterministic.Check(t, func(rt *rapid.T) {
 		d := faulty.New()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		model := map[string]string{}
--- a/internal/steady/steady.go
+++ b/internal/testkit/deterministic/steady.go
@@ -1,5 +1,5 @@
-// Package steady has tests of drawn sequences draw the same ones in every run, so that they come to the same verdict.
-package steady
+// Package deterministic has tests of drawn sequences draw the same ones in every run, so that they come to the same verdict.
+package deterministic
 
 import (
 	"flag"
