--- a/cmd/beechgrade-kit/agree.go
+++ b/cmd/beechgrade-kit/agree.go
@@ -15,11 +15,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
+	"beechgrade/internal/testkit/checker"
 )
 
 // agreement is how both ways of playing a scenario came out.
@@ -28,10 +28,10 @@
 	Virtual  *score.Score `json:"virtual"`
 	Sockets  *score.Score `json:"sockets"`
 
-	VirtualRules map[check.Rule]int `json:"virtual_rules_broken,omitempty"`
-	SocketRules  map[check.Rule]int `json:"socket_rules_broken,omitempty"`
-	VirtualViews *emulate.Views     `json:"virtual_views,omitempty"`
-	SocketViews  *rehearse.Fleet    `json:"socket_views,omitempty"`
+	VirtualRules map[checker.Rule]int `json:"virtual_rules_broken,omitempty"`
+	SocketRules  map[checker.Rule]int `json:"socket_rules_broken,omitempty"`
+	VirtualViews *emulate.Views       `json:"virtual_views,omitempty"`
+	SocketViews  *rehearse.Fleet      `json:"socket_views,omitempty"`
 }
 
 // agree plays scenarios in virtual time and on sockets with the same seed, and holds the two against each other.
--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // agreedLine is a line of a pooler's log.
@@ -61,7 +61,7 @@
 
 // agreedPlay plays a script on so many voters and one pooler that does not vote, which all propose, and holds what they say to the
 // checker. Those of quiet are not held to have taken all in the end.
-func agreedPlay(t testing.TB, voters int, script string, killed func(disk string, pooler string), quiet ...int) (*check.Agreed, []agreedLine) {
+func agreedPlay(t testing.TB, voters int, script string, killed func(disk string, pooler string), quiet ...int) (*checker.Agreed, []agreedLine) {
 	t.Helper()
 	dir := t.TempDir()
 	names := ""
@@ -86,7 +86,7 @@
 	}
 	breached(t, res)
 	lines := agreedLines(t, dir, voters+1)
-	a := &check.Agreed{}
+	a := &checker.Agreed{}
 	last := map[string]string{}
 	for _, l := range lines {
 		num := func(k string) uint64 {
@@ -98,7 +98,7 @@
 			a.Leader(l.process, num("term"))
 		case "agreed: tally":
 			if pooler, _, _ := strings.Cut(l.process, "/"); pooler != fmt.Sprintf("pooler-%d", voters) {
-				a.Says(l.at, l.process, check.Tally{Taken: num("taken"), Applied: num("applied"), Term: num("term"), Sum: l.fields["sum"], Part: l.fields["part"] == "true"})
+				a.Says(l.at, l.process, checker.Tally{Taken: num("taken"), Applied: num("applied"), Term: num("term"), Sum: l.fields["sum"], Part: l.fields["part"] == "true"})
 				last[pooler] = l.process
 			}
 		}
--- a/cmd/beechgrade-kit/breached_rules_test.go
+++ b/cmd/beechgrade-kit/breached_rules_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/score"
+	"beechgrade/internal/testkit/checker"
 )
 
 // recorder keeps what a check reports as a plain failure. As it is no story's own, a limit of time is reported by Errorf, too;
@@ -26,24 +26,24 @@
 // TestBreachesByKind: each broken rule fails a play, and where one was broken that is no limit of time, that one is reported, as
 // only it fails the test in its first run.
 func TestBreachesByKind(t *testing.T) {
-	late := check.Breach{Rule: check.OneAnswer, Late: true, Text: "late"}
-	back := check.Breach{Rule: check.ServiceBack, Text: "late"}
-	twice := check.Breach{Rule: check.NotTwice, Text: "wrong"}
-	second := check.Breach{Rule: check.OneAnswer, Text: "wrong"}
+	late := checker.Breach{Rule: checker.OneAnswer, Late: true, Text: "late"}
+	back := checker.Breach{Rule: checker.ServiceBack, Text: "late"}
+	twice := checker.Breach{Rule: checker.NotTwice, Text: "wrong"}
+	second := checker.Breach{Rule: checker.OneAnswer, Text: "wrong"}
 	for name, x := range map[string]struct {
-		breaches []check.Breach
+		breaches []checker.Breach
 		want     string
 	}{
 		"none":                {nil, ""},
-		"late":                {[]check.Breach{late}, "late"},
-		"a rule of time":      {[]check.Breach{back}, "late"},
-		"twice":               {[]check.Breach{twice}, "wrong"},
-		"a second answer":     {[]check.Breach{second}, "wrong"},
-		"late, then wrong":    {[]check.Breach{late, back, second}, "wrong"},
-		"wrong, then so late": {[]check.Breach{twice, late}, "wrong"},
+		"late":                {[]checker.Breach{late}, "late"},
+		"a rule of time":      {[]checker.Breach{back}, "late"},
+		"twice":               {[]checker.Breach{twice}, "wrong"},
+		"a second answer":     {[]checker.Breach{second}, "wrong"},
+		"late, then wrong":    {[]checker.Breach{late, back, second}, "wrong"},
+		"wrong, then so late": {[]checker.Breach{twice, late}, "wrong"},
 	} {
 		r := &recorder{TB: t}
-		breached(r, &rehearse.Result{Rules: &check.Verdict{Breaches: x.breaches}})
+		breached(r, &rehearse.Result{Rules: &checker.Verdict{Breaches: x.breaches}})
 		reported(t, name, r.said, x.want)
 	}
 }
@@ -52,7 +52,7 @@
 func TestWhatClientsSaw(t *testing.T) {
 	late := score.Breach{Rule: "in time", Text: "late"}
 	stale := score.Breach{Rule: "no stale read", Text: "wrong"}
-	wires := score.Breach{Rule: string(check.NotTwice), Text: "by the wires: wrong"}
+	wires := score.Breach{Rule: string(checker.NotTwice), Text: "by the wires: wrong"}
 	for name, x := range map[string]struct {
 		breaches []score.Breach
 		want     string
--- a/cmd/beechgrade-kit/breached_test.go
+++ b/cmd/beechgrade-kit/breached_test.go
@@ -5,20 +5,20 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/score"
+	"beechgrade/internal/testkit/checker"
 )
 
 // timeLimits are the rules that say nothing but by when something is to have happened. Single breaches of other rules that are
 // limits of time say so themselves (check.Breach.Late). TenantKept counts what was served within its time, as shares of worth do.
-var timeLimits = []check.Rule{check.ServiceBack, check.ViewComplete, check.ViewAccurate, check.ViewSettled, check.PagesEnd, check.TenantKept}
+var timeLimits = []checker.Rule{checker.ServiceBack, checker.ViewComplete, checker.ViewAccurate, checker.ViewSettled, checker.PagesEnd, checker.TenantKept}
 
 // breached fails a story by the first rule that its play broke; by a limit of time only where no other rule was broken.
 func breached(t testing.TB, res *rehearse.Result) {
 	t.Helper()
 	t.Logf("the machine: %+v", res.Machine)
-	isLate := func(b check.Breach) bool { return b.Late || slices.Contains(timeLimits, b.Rule) }
+	isLate := func(b checker.Breach) bool { return b.Late || slices.Contains(timeLimits, b.Rule) }
 	for _, b := range res.Rules.Breaches {
 		if !isLate(b) {
 			t.Errorf("%s: at %.1f s: %s\n%+v", b.Rule, (b.At-res.FromMs)/1000, b.Text, b.Proof)
--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -12,10 +12,10 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // creditPlay is a rehearsal of 8 processes, three or five of which vote, and two tenants that pay ahead.
@@ -44,7 +44,7 @@
 var creditClasses = []string{"quadro-obra", "conferir-ponto", "relatorio-mes", "registrar-ponto"}
 
 // play plays it, and holds what clients saw to what was paid.
-func (p creditPlay) play(t testing.TB) (*check.Credit, *rehearse.Result) {
+func (p creditPlay) play(t testing.TB) (*checker.Credit, *rehearse.Result) {
 	t.Helper()
 	dir := t.TempDir()
 	names := ""
@@ -77,7 +77,7 @@
 		return text + ")\n"
 	}
 	opt := rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Operators: settings()}
-	c := &check.Credit{Prices: map[string]int64{}}
+	c := &checker.Credit{Prices: map[string]int64{}}
 	for _, x := range creditClasses {
 		c.Prices[x] = creditPrice
 	}
--- a/cmd/beechgrade-kit/fleet_test.go
+++ b/cmd/beechgrade-kit/fleet_test.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // fleetQuick is what a fleet on sockets is played with, at times short enough for a test.
@@ -16,20 +16,20 @@
 const peersQuick = ` (poolers 8) (peers (probe 300ms) (timeout 100ms) (suspicion 900ms) (gossip 100ms) (exchange 2s) (reconnect 400ms) (hold 30s))`
 
 // fleet plays a scenario on 8 processes with a relay between each two of them, and holds it to all rules.
-func fleet(t testing.TB, script string, more ...check.Rule) *rehearse.Result {
+func fleet(t testing.TB, script string, more ...checker.Rule) *rehearse.Result {
 	t.Helper()
 	return fleetAt(t, 60, fleetQuick+script, more...)
 }
 
 // fleetAt is fleet with so many requests a second, and all of the script given.
-func fleetAt(t testing.TB, rate float64, script string, more ...check.Rule) *rehearse.Result {
+func fleetAt(t testing.TB, rate float64, script string, more ...checker.Rule) *rehearse.Result {
 	t.Helper()
 	_, res := fleetIn(t, rate, script, more...)
 	return res
 }
 
 // fleetIn is fleetAt, with the folder of what came of it.
-func fleetIn(t testing.TB, rate float64, script string, more ...check.Rule) (string, *rehearse.Result) {
+func fleetIn(t testing.TB, rate float64, script string, more ...checker.Rule) (string, *rehearse.Result) {
 	t.Helper()
 	s, err := scenario.Parse("script", []byte(`(rehearsal "fleet" `+script+`)`))
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	breached(t, res)
 	clientsSaw(t, res)
-	for _, rule := range append(more, check.ViewAccurate, check.ViewSending, check.OneAnswer, check.Invariant) {
+	for _, rule := range append(more, checker.ViewAccurate, checker.ViewSending, checker.OneAnswer, checker.Invariant) {
 		if res.Rules.Checked[rule] == 0 {
 			t.Errorf("%q was never put to the test", rule)
 		}
@@ -59,7 +59,7 @@
 func TestFleetKilled(t *testing.T) {
 	t.Parallel()
 	res := fleet(t, `(seconds 14) (at 2s (kill-pooler 1) (for 5s)) (at 2s (kill-pooler 4) (for 5s)) (at 2s (kill-pooler 6) (for 5s)) (at 2s (kill-pooler 7) (for 5s))`,
-		check.ViewComplete, check.ViewNoReturn)
+		checker.ViewComplete, checker.ViewNoReturn)
 	if n := len(res.Fleet.Views.Detected); n < 16 {
 		t.Errorf("%d times one that was killed was called failed", n)
 	}
@@ -69,7 +69,7 @@
 // side.
 func TestFleetParted(t *testing.T) {
 	t.Parallel()
-	res := fleet(t, `(seconds 21) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s))`, check.ViewComplete, check.ViewSettled)
+	res := fleet(t, `(seconds 21) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s))`, checker.ViewComplete, checker.ViewSettled)
 	if res.Fleet.Lost == 0 {
 		t.Error("nothing was lost")
 	}
@@ -79,7 +79,7 @@
 // be reached is called failed for good. That who stood still accuses nobody is held in virtual time, where who says it first is seen.
 func TestFleetUnheard(t *testing.T) {
 	t.Parallel()
-	fleet(t, `(seconds 25) (at 2s (links 2 all cut) (for 4s)) (at 2s (between 0 3 cut) (for 10s)) (at 9s (stall-pooler 5) (for 5s))`, check.ViewSettled)
+	fleet(t, `(seconds 25) (at 2s (links 2 all cut) (for 4s)) (at 2s (between 0 3 cut) (for 10s)) (at 9s (stall-pooler 5) (for 5s))`, checker.ViewSettled)
 }
 
 // TestFleetUnderLoss: with three datagrams of ten lost, doubled and overtaken ones, nobody who runs is called failed for long.
@@ -97,7 +97,7 @@
 	t.Parallel()
 	fleet(t, `(seconds 24) (at 2s (between 2 5 cut) (for 200ms) (every 400ms)) (at 2s (between 1 6 cut) (for 300ms) (every 700ms))
 		(at 3s (kill-pooler 0) (for 200ms)) (at 3s (kill-pooler 1) (for 200ms)) (at 5s (kill-pooler 2) (for 200ms)) (at 5s (kill-pooler 3) (for 200ms))
-		(at 7s (kill-pooler 4) (for 200ms)) (at 7s (kill-pooler 5) (for 200ms)) (at 9s (kill-pooler 6) (for 200ms)) (at 9s (kill-pooler 7) (for 200ms))`, check.ViewNoReturn)
+		(at 7s (kill-pooler 4) (for 200ms)) (at 7s (kill-pooler 5) (for 200ms)) (at 9s (kill-pooler 6) (for 200ms)) (at 9s (kill-pooler 7) (for 200ms))`, checker.ViewNoReturn)
 }
 
 // TestFleetOneLeft: the seeds are gone, then all but one; they come back while the seeds stay away, and are found by the one that was
@@ -105,11 +105,11 @@
 func TestFleetOneLeft(t *testing.T) {
 	t.Parallel()
 	fleet(t, `(seconds 26) (at 2s (kill-pooler 0)) (at 2s (kill-pooler 1)) (at 5s (kill-pooler 2) (for 4s)) (at 5s (kill-pooler 3) (for 4s))
-		(at 5s (kill-pooler 4) (for 4s)) (at 5s (kill-pooler 5) (for 4s)) (at 5s (kill-pooler 6) (for 4s))`, check.ViewComplete, check.ViewSettled)
+		(at 5s (kill-pooler 4) (for 4s)) (at 5s (kill-pooler 5) (for 4s)) (at 5s (kill-pooler 6) (for 4s))`, checker.ViewComplete, checker.ViewSettled)
 }
 
 // TestFleetThreeWays: the fleet falls into three parts, each of which calls the others failed, and is one again after the heal.
 func TestFleetThreeWays(t *testing.T) {
 	t.Parallel()
-	fleet(t, `(seconds 22) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s)) (at 3s (between (0 1) (2 3 4) cut) (for 7s))`, check.ViewComplete, check.ViewSettled)
+	fleet(t, `(seconds 22) (at 2s (between (5 6 7) (0 1 2 3 4) cut) (for 8s)) (at 3s (between (0 1) (2 3 4) cut) (for 7s))`, checker.ViewComplete, checker.ViewSettled)
 }
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -16,7 +16,6 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/incident"
 	"beechgrade/internal/kit/rehearse"
@@ -24,6 +23,7 @@
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/checker"
 )
 
 // daemon is the real program, built once.
@@ -222,7 +222,7 @@
 		(class "relatorio-mes" (aim 3s) (deadline 4s) (work 2ms 4ms)) (class "carga" (aim 3s) (deadline 4s) (work 2ms 4ms))
 		(at 1s (hang member 0 0) (for 1s)) (at 2s (drain member 0 1) (for 1500ms)) (at 2500ms (die member 0 2) (for 1s)))`)
 	breached(t, res)
-	for _, rule := range []check.Rule{check.OneAnswer, check.NotTwice, check.DrainsKept, check.NotStale, check.NoInvented} {
+	for _, rule := range []checker.Rule{checker.OneAnswer, checker.NotTwice, checker.DrainsKept, checker.NotStale, checker.NoInvented} {
 		if res.Rules.Checked[rule] == 0 {
 			t.Errorf("%q was put to no test", rule)
 		}
--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -13,10 +13,10 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/lab"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // labCommand is the laboratory's commands.
@@ -128,21 +128,21 @@
 		fmt.Fprintf(t, "\nattempts across sites\t%d of %d\n", r.Crossed, r.Attempts)
 	}
 	fmt.Fprintf(t, "\nrule\tput to the test\tbroken\n")
-	for _, rule := range check.Rules() {
+	for _, rule := range checker.Rules() {
 		fmt.Fprintf(t, "%s\t%d\t%d\n", rule, r.Verdict.Checked[rule], r.Verdict.Broken[rule])
 	}
 	if r.Views != nil {
-		for _, rule := range slices.Concat(check.ViewRules(), check.BlackoutRules()) {
+		for _, rule := range slices.Concat(checker.ViewRules(), checker.BlackoutRules()) {
 			fmt.Fprintf(t, "%s\t%d\t%d\n", rule, r.Verdict.Checked[rule], r.Verdict.Broken[rule])
 		}
 	}
 	if r.Pages != nil {
-		for _, rule := range check.PageRules() {
+		for _, rule := range checker.PageRules() {
 			fmt.Fprintf(t, "%s\t%d\t%d\n", rule, r.Verdict.Checked[rule], r.Verdict.Broken[rule])
 		}
 	}
 	if r.Funds != nil {
-		fmt.Fprintf(t, "%s\t%d\t%d\n", check.CreditKept, r.Verdict.Checked[check.CreditKept], r.Verdict.Broken[check.CreditKept])
+		fmt.Fprintf(t, "%s\t%d\t%d\n", checker.CreditKept, r.Verdict.Checked[checker.CreditKept], r.Verdict.Broken[checker.CreditKept])
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -280,9 +280,9 @@
 	if err != nil {
 		return err
 	}
-	fails := lab.Breaks(check.Rule(c.String("rule")))
-	if rule := check.Rule(c.String("rule")); rule != "" && !slices.Contains(check.Rules(), rule) {
-		return fmt.Errorf("there is no rule %q; there are: %q", rule, check.Rules())
+	fails := lab.Breaks(checker.Rule(c.String("rule")))
+	if rule := checker.Rule(c.String("rule")); rule != "" && !slices.Contains(checker.Rules(), rule) {
+		return fmt.Errorf("there is no rule %q; there are: %q", rule, checker.Rules())
 	}
 	if goal := c.Float("below"); goal > 0 && !math.IsNaN(goal) {
 		fails = lab.Below(goal)
--- a/cmd/beechgrade-kit/limits_test.go
+++ b/cmd/beechgrade-kit/limits_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/rehearse"
+	"beechgrade/internal/testkit/checker"
 )
 
 // limited is a fleet of 8 processes whose tenants ask for more than they may, with leases short enough for a test.
@@ -21,7 +21,7 @@
 
 func limitsOf(t testing.TB, what, list, script string) *rehearse.Result {
 	t.Helper()
-	res := fleetAt(t, 200, what+`(fleet-limits (lease 2500ms) (promise 1200ms) (renew 200ms) (soon 60ms) `+list+`) `+script, check.FleetLimit)
+	res := fleetAt(t, 200, what+`(fleet-limits (lease 2500ms) (promise 1200ms) (renew 200ms) (soon 60ms) `+list+`) `+script, checker.FleetLimit)
 	for _, u := range res.Fleet.Uses {
 		t.Logf("%+v", u)
 	}
@@ -100,8 +100,8 @@
 func TestFleetLimitsCold(t *testing.T) {
 	t.Parallel()
 	res := fleetAt(t, 150, fleetQuick+` (retries 0) (falls 2) (falls-in 1s) (tenant "a" (share 1)) (skew 0.7)
-		(fleet-limits (lease 2500ms) (promise 1200ms) (renew 200ms) (soon 60ms) (limit "cold" (of cold))) (seconds 18) (at 9s (die everyone) (for 1s)) (at 9s (between 0 all cut) (for 4s))`, check.ColdSpared)
-	if n := res.Rules.Checked[check.ColdSpared]; n < 50 {
+		(fleet-limits (lease 2500ms) (promise 1200ms) (renew 200ms) (soon 60ms) (limit "cold" (of cold))) (seconds 18) (at 9s (die everyone) (for 1s)) (at 9s (between 0 all cut) (for 4s))`, checker.ColdSpared)
+	if n := res.Rules.Checked[checker.ColdSpared]; n < 50 {
 		t.Errorf("%d requests came to cold servers", n)
 	}
 }
--- a/cmd/beechgrade-kit/month_test.go
+++ b/cmd/beechgrade-kit/month_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // TestFleetMonthEnd: the month-end with eight processes and a relay between each two of them: overload from clients that try again, a partition,
@@ -28,7 +28,7 @@
 	}
 	breached(t, res)
 	clientsSaw(t, res)
-	for _, rule := range append(check.PageRules(), check.CreditKept, check.Invariant, check.OneAnswer, check.ViewAccurate, check.NotStale, check.NotTwice) {
+	for _, rule := range append(checker.PageRules(), checker.CreditKept, checker.Invariant, checker.OneAnswer, checker.ViewAccurate, checker.NotStale, checker.NotTwice) {
 		if res.Rules.Checked[rule] == 0 {
 			t.Errorf("%q was never put to the test", rule)
 		}
--- a/cmd/beechgrade-kit/overload_test.go
+++ b/cmd/beechgrade-kit/overload_test.go
@@ -12,10 +12,10 @@
 	"sync"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // crowded are classes of which six servers can do about 400 a second.
@@ -52,7 +52,7 @@
 	}
 	breached(t, res)
 	clientsSaw(t, res)
-	for _, rule := range []check.Rule{check.OneAnswer, check.ViewAccurate, check.NotStale, check.NotTwice, check.Invariant} {
+	for _, rule := range []checker.Rule{checker.OneAnswer, checker.ViewAccurate, checker.NotStale, checker.NotTwice, checker.Invariant} {
 		if res.Rules.Checked[rule] == 0 {
 			t.Errorf("%q was never put to the test", rule)
 		}
@@ -61,9 +61,9 @@
 	return res
 }
 
-func overloadRules(res *rehearse.Result) map[check.Rule]uint64 {
-	out := map[check.Rule]uint64{}
-	for _, r := range check.OverloadRules() {
+func overloadRules(res *rehearse.Result) map[checker.Rule]uint64 {
+	out := map[checker.Rule]uint64{}
+	for _, r := range checker.OverloadRules() {
 		if n := res.Rules.Checked[r]; n > 0 {
 			out[r] = n
 		}
@@ -72,7 +72,7 @@
 }
 
 // tested has rules be put to the test.
-func tested(t testing.TB, res *rehearse.Result, rules ...check.Rule) {
+func tested(t testing.TB, res *rehearse.Result, rules ...checker.Rule) {
 	t.Helper()
 	for _, r := range rules {
 		if res.Rules.Checked[r] == 0 {
@@ -89,7 +89,7 @@
 	if res.Score.Total.Ratio < 0.7 {
 		t.Errorf("%.3f of the worth was earned", res.Score.Total.Ratio)
 	}
-	tested(t, res, check.ServiceBack, check.ProbesShared)
+	tested(t, res, checker.ServiceBack, checker.ProbesShared)
 }
 
 // TestFleetOverloadParted: a partition five to three under much load, a pooler that stands still for 5 s, two that restart with nothing, and
@@ -110,7 +110,7 @@
 	out := t.TempDir()
 	res := overload(t, 500, `(seconds 16) (skew 0.45) (allowance 300) (tenant "quiet" (share 0.5) (usage 0.8)) (tenant "storm" (share 0.5) (usage 4))
 		(at 7s (links (3 4) all (slow 3s) (duplicate 0.3) (reorder 0.3)) (for 4s))`, lies(t, rehearse.Options{Out: out}, 6, "none"))
-	tested(t, res, check.TenantKept)
+	tested(t, res, checker.TenantKept)
 	at := servedAt(t, out)
 	one, others := at["pooler-0"], [2]float64{}
 	for name, x := range at {
@@ -139,7 +139,7 @@
 				came = append(came, at)
 			}
 		}}, 2, "all"))
-	tested(t, res, check.QuietSpared)
+	tested(t, res, checker.QuietSpared)
 	before, during := 0.0, 0.0
 	for _, at := range came {
 		switch at -= res.FromMs; {
--- a/cmd/beechgrade-kit/peers_limits.go
+++ b/cmd/beechgrade-kit/peers_limits.go
@@ -12,9 +12,9 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // limitRow is what was measured of one manner, demand and state.
@@ -101,7 +101,7 @@
 							row.Part += u.Part * by
 							row.Over = max(row.Over, u.MostOver)
 							row.Messages, row.Bytes, row.P99 = row.Messages+r.Limits.Messages*by, row.Bytes+r.Limits.Bytes*by, row.P99+r.P99*by
-							row.Breaches += r.Verdict.Broken[check.FleetLimit]
+							row.Breaches += r.Verdict.Broken[checker.FleetLimit]
 						}()
 					}
 				}
--- a/cmd/beechgrade-kit/peers_measure.go
+++ b/cmd/beechgrade-kit/peers_measure.go
@@ -12,9 +12,9 @@
 	"github.com/urfave/cli/v3"
 
 	fleetview "beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // viewRow is what was measured of one size and loss.
@@ -110,7 +110,7 @@
 			if err != nil {
 				return row, err
 			}
-			for _, rule := range check.ViewRules() {
+			for _, rule := range checker.ViewRules() {
 				row.Breaches += r.Verdict.Broken[rule]
 			}
 			if quiet {
--- a/cmd/beechgrade-kit/slowstart_test.go
+++ b/cmd/beechgrade-kit/slowstart_test.go
@@ -6,9 +6,9 @@
 	"log/slog"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // TestSlowStartProcesses: real processes, which share nothing, before a group whose servers die and return cold, while
@@ -30,12 +30,12 @@
 				t.Fatal(err)
 			}
 			for _, b := range res.Rules.Breaches {
-				if b.Rule == check.ColdSpared || b.Rule == check.Invariant {
+				if b.Rule == checker.ColdSpared || b.Rule == checker.Invariant {
 					t.Errorf("%s: at %.1f s: %s\n%+v", b.Rule, (b.At-res.FromMs)/1000, b.Text, b.Proof)
 					break
 				}
 			}
-			n := res.Rules.Checked[check.ColdSpared]
+			n := res.Rules.Checked[checker.ColdSpared]
 			t.Logf("%d requests came to cold servers", n)
 			if n < 50 {
 				t.Errorf("%d requests came to cold servers: too few to tell", n)
--- a/cmd/beechgrade-kit/standing_test.go
+++ b/cmd/beechgrade-kit/standing_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/rehearse"
+	"beechgrade/internal/testkit/checker"
 )
 
 // Eight processes, and faults between them and discovery: the sentences of the operators' standing test that are of many.
@@ -13,7 +13,7 @@
 // no process sends them anything new, though none has been told by the watch that it had.
 func TestFleetSilentList(t *testing.T) {
 	t.Parallel()
-	res := fleetAt(t, 150, fleetQuick+` (seconds 18) (at 4s (list-silent) (for 2s)) (at 4500ms (drain replica 0) (for 10s)) (at 5s (drain primary 1) (for 10s)) (at 7s (stall-pooler 3) (for 2s))`, check.DrainsKept, check.NotStale)
+	res := fleetAt(t, 150, fleetQuick+` (seconds 18) (at 4s (list-silent) (for 2s)) (at 4500ms (drain replica 0) (for 10s)) (at 5s (drain primary 1) (for 10s)) (at 7s (stall-pooler 3) (for 2s))`, checker.DrainsKept, checker.NotStale)
 	told := 0
 	for _, f := range res.Facts {
 		if f.What == "drains" {
@@ -53,8 +53,8 @@
 	t.Parallel()
 	res := fleetAt(t, 200, fleetQuick+` (retries 2) (falls 2) (falls-in 1s) (cold-by 0.15) (seconds 16) (at 5s (die everyone) (for 1s))
 		(at 5s (kill-pooler 0) (for 1200ms)) (at 5s (kill-pooler 1) (for 1200ms)) (at 5s (kill-pooler 2) (for 1200ms))
-		(at 5s (kill-pooler 3) (for 1200ms)) (at 5s (kill-pooler 4) (for 1200ms)) (at 5s (kill-pooler 5) (for 1200ms))`, check.ColdSpared)
-	if n := res.Rules.Checked[check.ColdSpared]; n < 50 {
+		(at 5s (kill-pooler 3) (for 1200ms)) (at 5s (kill-pooler 4) (for 1200ms)) (at 5s (kill-pooler 5) (for 1200ms))`, checker.ColdSpared)
+	if n := res.Rules.Checked[checker.ColdSpared]; n < 50 {
 		t.Errorf("%d requests came to cold servers", n)
 	}
 }
--- a/cmd/beechgrade-kit/verdicts_test.go
+++ b/cmd/beechgrade-kit/verdicts_test.go
@@ -9,9 +9,9 @@
 	"sync"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // judged is a fleet of 8 processes in two zones, before two groups of 4 with a relay between each two of them, that share what they know.
@@ -63,7 +63,7 @@
 		came.all[i].at -= res.FromMs
 	}
 	breached(t, res)
-	for _, rule := range []check.Rule{check.OneAnswer, check.NotStale, check.NotTwice, check.PrimaryRan, check.ViewAccurate} {
+	for _, rule := range []checker.Rule{checker.OneAnswer, checker.NotStale, checker.NotTwice, checker.PrimaryRan, checker.ViewAccurate} {
 		if res.Rules.Checked[rule] == 0 {
 			t.Errorf("%q was never put to the test", rule)
 		}
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -20,11 +20,11 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/cluster/zones"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/checker"
 )
 
 // zonesHeavy has a zone alone carry all reads, and just not twice as many: 2 servers of 4 cores in each zone. Work takes a fifth of the aim, as poolers
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	z := &zonesPlay{zoneWatch: &zoneWatch{rules: check.NewZones(0, 0, 1)}, dir: t.TempDir()}
+	z := &zonesPlay{zoneWatch: &zoneWatch{rules: checker.NewZones(0, 0, 1)}, dir: t.TempDir()}
 	operators := zonesOf(filepath.Join(z.dir, "disks"), voters)
 	set, err := settings.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k"))`+operators), func(string) string { return "p" })
 	if err != nil {
@@ -182,9 +182,9 @@
 
 // full holds every plan in force, at each look, against what clients near each zone asked in the last seconds and what serves there by the faults;
 // settled after the changes.
-func (z *zonesPlay) full(settled float64, changes []float64, cores func(at float64) []float64) (looked int, found []check.Breach) {
+func (z *zonesPlay) full(settled float64, changes []float64, cores func(at float64) []float64) (looked int, found []checker.Breach) {
 	const spanMs = 2500
-	rules := check.NewZones(1, settled, 1)
+	rules := checker.NewZones(1, settled, 1)
 	type event struct {
 		at float64
 		do func()
@@ -225,8 +225,8 @@
 }
 
 // calm is which part of the reads crossed that most members may serve, in a time without faults; more than far breaks the rule.
-func (z *zonesPlay) calm(from, to, far float64) (part, reads float64, found []check.Breach) {
-	rules := check.NewZones(1, 0, far)
+func (z *zonesPlay) calm(from, to, far float64) (part, reads float64, found []checker.Breach) {
+	rules := checker.NewZones(1, 0, far)
 	for _, r := range z.reads {
 		if at := r.at - z.FromMs; at >= from && at < to {
 			rules.Read(at, r.from != r.to)
@@ -292,7 +292,7 @@
 		changes []float64
 		want    int
 	}{{8, nil, 0}, {5, nil, 1}, {5, []float64{6000}, 0}} {
-		if looked, found := z.full(2000, x.changes, cores(x.b)); looked != 3 || len(found) != x.want || x.want > 0 && found[0].Rule != check.FullZone {
+		if looked, found := z.full(2000, x.changes, cores(x.b)); looked != 3 || len(found) != x.want || x.want > 0 && found[0].Rule != checker.FullZone {
 			t.Errorf("%v: %d looks, found %v", x, looked, found)
 		}
 	}
--- a/cmd/beechgrade-kit/zones_test.go
+++ b/cmd/beechgrade-kit/zones_test.go
@@ -16,10 +16,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // The times of the play and of the zones, in ms. slackMs is what a busy machine and looking now and then add.
@@ -55,7 +55,7 @@
 // zoneWatch takes what doors show, as the play goes.
 type zoneWatch struct {
 	mu    sync.Mutex
-	rules *check.Zones
+	rules *checker.Zones
 	looks [8][]zoneLook
 }
 
@@ -118,7 +118,7 @@
 // zoneFollows holds what poolers logged of plans that ask for something else, all of it, to the rules.
 func zoneFollows(t testing.TB, dir string) (follows int) {
 	t.Helper()
-	rules := check.NewZones(0, 0, 1)
+	rules := checker.NewZones(0, 0, 1)
 	for p := range 8 {
 		f, err := os.Open(filepath.Join(dir, fmt.Sprintf("pooler-%d", p), "log.txt"))
 		if err != nil {
@@ -192,7 +192,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir, w, killed := t.TempDir(), &zoneWatch{rules: check.NewZones(0, 0, 1)}, -1
+	dir, w, killed := t.TempDir(), &zoneWatch{rules: checker.NewZones(0, 0, 1)}, -1
 	came := &arrivals{}
 	res, err := rehearse.Play(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Figures: w.take,
 		Operators: fmt.Sprintf(zonesOperators, filepath.Join(dir, "disks"), zoneLife),
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -21,10 +21,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"beechgrade/internal/config"
-	"beechgrade/internal/kit/check/queries"
 	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/kit/standin/house"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/checker/queries"
 )
 
 // stormClient asks one query after the other on connections of its own, and counts what comes back.
--- a/internal/kit/emulate/blackout.go
+++ b/internal/kit/emulate/blackout.go
@@ -1,8 +1,8 @@
 package emulate
 
 import (
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // freshMs is until when a server's new process may be avoided for what the old one did: until all have its entry, and a probe of it, which may come
@@ -10,8 +10,8 @@
 const freshMs = 5000
 
 // Blackouts are what the rules of who is asked go by.
-func Blackouts(s *scenario.Script) check.BlackoutConfig {
-	c := check.BlackoutConfig{Poolers: s.Poolers, WindowMs: 10000, AfterMs: 10000, OwnMs: 120000, Part: 0.8, Least: 12, Wanted: 20}
+func Blackouts(s *scenario.Script) checker.BlackoutConfig {
+	c := checker.BlackoutConfig{Poolers: s.Poolers, WindowMs: 10000, AfterMs: 10000, OwnMs: 120000, Part: 0.8, Least: 12, Wanted: 20}
 	if v := s.Verdicts; v != nil {
 		c.FreshMs = freshMs
 		c.AfterMs, c.Part = v.Set.Lapse+2000, max(c.Part, v.Set.Blind)
--- a/internal/kit/emulate/conns_test.go
+++ b/internal/kit/emulate/conns_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"beechgrade/internal/cluster/module"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/checker"
 )
 
 // TestBrokenConnectionsAreNotCounted: servers die while attempts are out there, some of which are given up, by clients, the module or a page, before the pooler
@@ -18,7 +18,7 @@
 			(class "quadro-obra" (aim 100ms) (deadline 160ms)) (class "conferir-ponto" (aim 100ms) (deadline 180ms))
 			(pages (class "conferir-ponto") (rows 60) (page 11) (readers 6) (think 5ms) (changes 60) (wait 300ms))
 			(at 1s (die everyone) (for 100ms) (every 400ms)) (at 1300ms (hang replica 0) (for 300ms) (every 1s)) (at 5s (kill-pooler 1) (for 500ms)))`), Options{Seed: seed + 1})
-		if r.Verdict.Broken[check.Invariant] > 0 || r.Verdict.Checked[check.Invariant] == 0 {
+		if r.Verdict.Broken[checker.Invariant] > 0 || r.Verdict.Checked[checker.Invariant] == 0 {
 			t.Errorf("seed %d: %v, in %d attempts", seed+1, r.Verdict.Broken, r.Attempts)
 		}
 	}
@@ -55,7 +55,7 @@
 		r := play(t, parse(t, `(rehearsal "left" (seconds 8) (poolers 3) (groups 3 3) (rate 60) (way 10ms 40ms) (detect 100ms 200ms) (elect 100ms 200ms) (peers)
 		(pages (class "conferir-ponto") (rows 900) (page 800) (readers 20) (think 5ms) (changes 60))
 		(at 1s (die everyone) (for 100ms) (every 400ms)))`), Options{Seed: seed, Parts: []Joined{join}})
-		if r.Verdict.Broken[check.Invariant] > 0 || r.Verdict.Checked[check.Invariant] == 0 {
+		if r.Verdict.Broken[checker.Invariant] > 0 || r.Verdict.Checked[checker.Invariant] == 0 {
 			t.Errorf("seed %d: %v", seed, r.Verdict.Broken)
 		}
 	}
--- a/internal/kit/emulate/credit_test.go
+++ b/internal/kit/emulate/credit_test.go
@@ -5,16 +5,16 @@
 	"testing"
 
 	"beechgrade/internal/cluster/raftlog"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/checker"
 )
 
 // prepaid plays a script on so many poolers with two tenants that pay ahead, one of which runs out; what clients were served is held to what was paid.
-func prepaid(t *testing.T, seed uint64, poolers int, funds int64, script string) (*check.Credit, *Prepaid, string) {
+func prepaid(t *testing.T, seed uint64, poolers int, funds int64, script string) (*checker.Credit, *Prepaid, string) {
 	s := parse(t, fmt.Sprintf(`(rehearsal "credit" (groups 3 3) (peers) (poolers %d) (retries 0) (tenant "a" (share 0.5)) (tenant "b" (share 0.5)) %s)`, poolers, script))
 	text := fmt.Sprintf(`(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d")) (credit (payment "a" 1 %d) (payment "b" 1 100000000)`, funds)
-	c := &check.Credit{Prices: map[string]int64{}}
+	c := &checker.Credit{Prices: map[string]int64{}}
 	for i := range s.Clients.Classes {
 		name := s.Clients.Classes[i].Name
 		c.Prices[name] = 10
--- a/internal/kit/emulate/emulate.go
+++ b/internal/kit/emulate/emulate.go
@@ -12,13 +12,13 @@
 
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/storage/journal"
+	"beechgrade/internal/testkit/checker"
 )
 
 // Options say how a scenario is played.
@@ -56,7 +56,7 @@
 	Groups   int               `json:"groups"`
 	Hash     string            `json:"hash"` // of every event, in order
 	Score    *score.Score      `json:"score"`
-	Verdict  *check.Verdict    `json:"rules"`
+	Verdict  *checker.Verdict  `json:"rules"`
 	Facts    []world.Fact      `json:"facts,omitempty"`
 
 	Events    uint64             `json:"events"`
@@ -79,7 +79,7 @@
 	HeapMB    float64            `json:"heap_mb"`
 	Views     *Views             `json:"views,omitempty"`
 	Limits    *Limits            `json:"limits,omitempty"`
-	Trials    []check.Trial      `json:"-"`
+	Trials    []checker.Trial    `json:"-"`
 	Heeds     []Heed             `json:"verdicts_heeded,omitempty"`
 	Pages     *PageCounts        `json:"pages,omitempty"`
 	Funds     []Funds            `json:"funds,omitempty"`
@@ -95,18 +95,18 @@
 	world    *world.World
 	rng      *rand.Rand // of the network and the clients, apart from the model's
 	poolers  []*pooler
-	black    *check.Blackouts // nil where poolers are no peers
-	heeds    []Heed           // how verdicts went round
-	fleet    *fleetOf         // the poolers as peers, nil where they are none
-	paging   *paging          // reports that are read in pages, nil for none
-	funds    *funds           // that tenants pay ahead, nil for none
-	ways     *ways            // from poolers to servers, and to the list
-	routes   *links.Net       // what befalls the ways between sites, nil for one room
-	agents   *agents          // of Consul, nil where the list is the platform's
+	black    *checker.Blackouts // nil where poolers are no peers
+	heeds    []Heed             // how verdicts went round
+	fleet    *fleetOf           // the poolers as peers, nil where they are none
+	paging   *paging            // reports that are read in pages, nil for none
+	funds    *funds             // that tenants pay ahead, nil for none
+	ways     *ways              // from poolers to servers, and to the list
+	routes   *links.Net         // what befalls the ways between sites, nil for one room
+	agents   *agents            // of Consul, nil where the list is the platform's
 	plan     *clients.Planner
 	sessions clients.Sessions
 	keeper   *score.Keeper
-	check    *check.Checker
+	check    *checker.Checker
 	bad      []float64 // until when the front does not try a pooler, as it has noticed that it is gone
 	open     int       // asks
 	drawn    bool
@@ -126,11 +126,11 @@
 }
 
 // Rules are what a scenario's rules go by.
-func Rules(s *scenario.Script) check.Config {
-	c := check.Config{GraceMs: s.Fleet.GraceMs, SlackMs: 50, MaxAttempts: scenario.MaxAttempts, ColdMs: s.Fleet.ColdMs, ColdBy: s.Fleet.ColdBy,
+func Rules(s *scenario.Script) checker.Config {
+	c := checker.Config{GraceMs: s.Fleet.GraceMs, SlackMs: 50, MaxAttempts: scenario.MaxAttempts, ColdMs: s.Fleet.ColdMs, ColdBy: s.Fleet.ColdBy,
 		Cores: s.Fleet.Cores, Falls: s.Fleet.Falls, FallsMs: s.Fleet.FallsMs, Limits: s.CheckedLimits(), CountMs: 5, Overload: s.CheckedOverload()}
 	for _, x := range s.Clients.Classes {
-		k := check.Class{Name: x.Name, Writes: x.Read == clients.Write, Once: x.Read == clients.Write && x.KeyMs == 0, KeyMs: x.KeyMs, Session: x.Read == clients.ReadSession}
+		k := checker.Class{Name: x.Name, Writes: x.Read == clients.Write, Once: x.Read == clients.Write && x.KeyMs == 0, KeyMs: x.KeyMs, Session: x.Read == clients.ReadSession}
 		if x.Read == clients.ReadBounded {
 			k.BoundMs = x.Bound
 		}
@@ -162,7 +162,7 @@
 	}
 	c := s.Clients
 	c.Seed = opt.Seed
-	e.plan, e.keeper, e.check = clients.NewPlanner(c), score.New(opt.Seed, c.Classes), check.New(Rules(s))
+	e.plan, e.keeper, e.check = clients.NewPlanner(c), score.New(opt.Seed, c.Classes), checker.New(Rules(s))
 	e.check.Share = s.Verdicts != nil || s.Overload != nil && s.Overload.Share
 	e.keeper.Tenants(c.Tenants, c.Over)
 	e.bad = make([]float64, s.Poolers)
@@ -172,7 +172,7 @@
 	}
 	if s.Peers != nil {
 		e.fleet = e.newFleet()
-		e.black = check.NewBlackouts(startMs, Blackouts(s))
+		e.black = checker.NewBlackouts(startMs, Blackouts(s))
 	}
 	if s.Credit != nil {
 		e.funds = e.newFunds()
--- a/internal/kit/emulate/emulate_test.go
+++ b/internal/kit/emulate/emulate_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 func parse(t *testing.T, text string) *scenario.Script {
@@ -57,7 +57,7 @@
 			t.Errorf("seed %d: %s: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
 			break
 		}
-		for _, rule := range check.Rules() {
+		for _, rule := range checker.Rules() {
 			if r.Verdict.Checked[rule] == 0 {
 				t.Errorf("seed %d: %q was never put to the test", seed, rule)
 			}
@@ -94,7 +94,7 @@
 			t.Errorf("seed %d: %s: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
 			break
 		}
-		for _, rule := range check.Rules() {
+		for _, rule := range checker.Rules() {
 			if r.Verdict.Checked[rule] == 0 {
 				t.Errorf("seed %d: %q was never put to the test", seed, rule)
 			}
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	r := play(t, parse(t, string(text)), Options{Seed: 21})
-	if !r.Verdict.OK() || r.Verdict.Checked[check.NotStale] == 0 {
+	if !r.Verdict.OK() || r.Verdict.Checked[checker.NotStale] == 0 {
 		t.Errorf("broken: %v, put to the test: %v", r.Verdict.Broken, r.Verdict.Checked)
 	}
 }
@@ -196,7 +196,7 @@
 			t.Errorf("seed %d: %s: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
 			break
 		}
-		for _, rule := range []check.Rule{check.OneAnswer, check.NotTwice, check.DrainsKept, check.ColdSpared, check.NotStale, check.NoInvented} {
+		for _, rule := range []checker.Rule{checker.OneAnswer, checker.NotTwice, checker.DrainsKept, checker.ColdSpared, checker.NotStale, checker.NoInvented} {
 			if r.Verdict.Checked[rule] == 0 {
 				t.Errorf("seed %d: %q was never put to the test", seed, rule)
 			}
@@ -213,7 +213,7 @@
 		switch m.Name {
 		case "hears of no drains", "takes writes for safe to repeat", "answers twice":
 			r := play(t, parse(t, house), Options{Seed: 1, Mutant: &m})
-			if !slices.ContainsFunc(r.Verdict.Breaches, func(b check.Breach) bool { return b.Rule == m.Breaks }) {
+			if !slices.ContainsFunc(r.Verdict.Breaches, func(b checker.Breach) bool { return b.Rule == m.Breaks }) {
 				t.Errorf("%q is not caught", m.Name)
 			}
 		}
@@ -231,8 +231,8 @@
 			t.Errorf("seed %d: %s: %s\n%+v", seed, b.Rule, b.Text, b.Proof)
 			break
 		}
-		if r.Verdict.Checked[check.NotStale] < 1000 {
-			t.Errorf("seed %d: %d reads were held to an age", seed, r.Verdict.Checked[check.NotStale])
+		if r.Verdict.Checked[checker.NotStale] < 1000 {
+			t.Errorf("seed %d: %d reads were held to an age", seed, r.Verdict.Checked[checker.NotStale])
 		}
 	}
 }
--- a/internal/kit/emulate/funds.go
+++ b/internal/kit/emulate/funds.go
@@ -4,16 +4,16 @@
 	"slices"
 
 	"beechgrade/internal/cluster/credit/lessor"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // funds are what tenants of a scenario pay ahead, and what they are served for it.
 type funds struct {
 	*Prepaid
 	e     *Emulation
-	check *check.Credit
+	check *checker.Credit
 	paid  map[string]int64
 	pays  map[int][]lessor.Pay // by pooler: the payments that it has read of since the start
 	once  map[lessor.Pay]bool
@@ -37,7 +37,7 @@
 func (e *Emulation) newFunds() *funds {
 	s := e.script
 	log := &CommonLog{Settings: s.Agreed.Settings, Voters: s.Agreed.Voters, Seed: e.opt.Seed, DiskMs: s.Agreed.Disk}
-	f := &funds{e: e, Prepaid: &Prepaid{Log: log, Set: s.Credit.Credit, Marks: [2]float64{0.1, marksMost}}, check: &check.Credit{Prices: map[string]int64{}}, paid: map[string]int64{},
+	f := &funds{e: e, Prepaid: &Prepaid{Log: log, Set: s.Credit.Credit, Marks: [2]float64{0.1, marksMost}}, check: &checker.Credit{Prices: map[string]int64{}}, paid: map[string]int64{},
 		pays: map[int][]lessor.Pay{}, once: map[lessor.Pay]bool{}}
 	f.Set.Dir = "marks" // they are kept
 	for _, p := range s.Credit.Prices {
@@ -90,7 +90,7 @@
 }
 
 // result is what became of each tenant's funds, and what was found.
-func (f *funds) result(v *check.Verdict) (out []Funds) {
+func (f *funds) result(v *checker.Verdict) (out []Funds) {
 	f.check.End()
 	f.check.Verdict(f.e.s.now, v)
 	var books *payer // of the voter that knows most
--- a/internal/kit/emulate/invariants_test.go
+++ b/internal/kit/emulate/invariants_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"beechgrade/internal/kit/check"
+	"beechgrade/internal/testkit/checker"
 )
 
 // stopped has poolers stopped and woken, while servers die, fall silent and fall behind: what was said before a stop is read after it.
@@ -17,7 +17,7 @@
 	t.Parallel()
 	for seed := range uint64(5) {
 		r := play(t, parse(t, stopped), Options{Seed: seed + 1})
-		for _, rule := range []check.Rule{check.NotStale, check.OneAnswer, check.NotTwice, check.Invariant} {
+		for _, rule := range []checker.Rule{checker.NotStale, checker.OneAnswer, checker.NotTwice, checker.Invariant} {
 			if r.Verdict.Broken[rule] > 0 || r.Verdict.Checked[rule] == 0 {
 				t.Errorf("seed %d: %q: put to the test %d times, broken %d: %+v", seed+1, rule, r.Verdict.Checked[rule], r.Verdict.Broken[rule], r.Verdict.Breaches)
 			}
--- a/internal/kit/emulate/limits.go
+++ b/internal/kit/emulate/limits.go
@@ -5,17 +5,17 @@
 
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/checker"
 )
 
 // Limits is what came of limits that hold for the whole fleet.
 type Limits struct {
-	Messages float64     `json:"messages_a_second_of_a_pooler"`
-	Bytes    float64     `json:"bytes_a_second_of_a_pooler"`
-	Uses     []check.Use `json:"uses"`
+	Messages float64       `json:"messages_a_second_of_a_pooler"`
+	Bytes    float64       `json:"bytes_a_second_of_a_pooler"`
+	Uses     []checker.Use `json:"uses"`
 }
 
 const (
--- a/internal/kit/emulate/limits_test.go
+++ b/internal/kit/emulate/limits_test.go
@@ -4,8 +4,8 @@
 	"context"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 const limited = `(rehearsal "limits" (poolers 8) (groups 3 3) (retries 0)
@@ -46,7 +46,7 @@
 			t.Parallel()
 			if r := playLimits(t, x.text, 1, nil); len(r.Verdict.Broken) > 0 {
 				t.Errorf("without: %v %v", r.Verdict.Broken, r.Verdict.Breaches[0].Text)
-			} else if r.Verdict.Checked[check.FleetLimit] == 0 || r.Limits.Uses[0].Part < 0.3 {
+			} else if r.Verdict.Checked[checker.FleetLimit] == 0 || r.Limits.Uses[0].Part < 0.3 {
 				t.Errorf("%v %+v", r.Verdict.Checked, r.Limits.Uses)
 			}
 			r := playLimits(t, x.text, 1, &m)
@@ -76,8 +76,8 @@
 		if len(r.Verdict.Broken) > 0 {
 			t.Errorf("seed %d: %v %s", seed+1, r.Verdict.Broken, r.Verdict.Breaches[0].Text)
 		}
-		if r.Verdict.Checked[check.FleetLimit] < 1000 {
-			t.Errorf("seed %d: %d uses", seed+1, r.Verdict.Checked[check.FleetLimit])
+		if r.Verdict.Checked[checker.FleetLimit] < 1000 {
+			t.Errorf("seed %d: %d uses", seed+1, r.Verdict.Checked[checker.FleetLimit])
 		}
 		if seed == 0 {
 			hash = r.Hash
--- a/internal/kit/emulate/month_test.go
+++ b/internal/kit/emulate/month_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // monthEnd plays the month-end of a fleet, smaller where shorter forms say so, and holds it to all promises.
@@ -85,7 +85,7 @@
 		t.Fatal("the scenario has another size")
 	}
 	for _, seed := range []uint64{19, 53} {
-		if r := monthEnd(t, parse(t, strings.Replace(string(b), whole, drawn, 1)), Options{Seed: seed}); len(r.Verdict.Breaches) > 0 || r.Verdict.Checked[check.NotDenied] == 0 {
+		if r := monthEnd(t, parse(t, strings.Replace(string(b), whole, drawn, 1)), Options{Seed: seed}); len(r.Verdict.Breaches) > 0 || r.Verdict.Checked[checker.NotDenied] == 0 {
 			t.Errorf("seed %d: %v", seed, r.Verdict.Broken)
 		}
 	}
@@ -102,7 +102,7 @@
 		}
 	}
 	whole := play(t, s, Options{Seed: 1})
-	if len(whole.Verdict.Breaches) > 0 || whole.Verdict.Checked[check.PagesOnce] < 200 {
+	if len(whole.Verdict.Breaches) > 0 || whole.Verdict.Checked[checker.PagesOnce] < 200 {
 		t.Errorf("without a mutant: %v", whole.Verdict.Broken)
 	}
 }
--- a/internal/kit/emulate/mutants.go
+++ b/internal/kit/emulate/mutants.go
@@ -13,15 +13,15 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/endpoints/reconcile"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/checker"
 )
 
 // Mutant is a pooler, or a server, that is broken on purpose: what the checker must catch.
 type Mutant struct {
 	Name     string
-	Breaks   check.Rule
+	Breaks   checker.Rule
 	Module   func(c *config.Config)                               // what its module is told at its start
 	Outcome  func(o *backend.Outcome)                             // what it is told of an attempt's end
 	List     func(l *discovery.List)                              // what it is told of the list
@@ -47,16 +47,16 @@
 // Mutants are all of them.
 func Mutants() []Mutant {
 	return []Mutant{
-		{Name: "forgets answers", Breaks: check.OneAnswer, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
+		{Name: "forgets answers", Breaks: checker.OneAnswer, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
 			return kind != clients.Refused
 		}},
-		{Name: "answers twice", Breaks: check.OneAnswer, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
+		{Name: "answers twice", Breaks: checker.OneAnswer, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
 			if kind == clients.Served && v.id%64 == 0 {
 				e.s.After(0.01, again{v}, 0)
 			}
 			return true
 		}},
-		{Name: "answers late", Breaks: check.OneAnswer, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
+		{Name: "answers late", Breaks: checker.OneAnswer, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
 			if kind == clients.Failed && !v.late {
 				v.extra = false
 				e.s.at(v.sent+v.ask.Patience+500, late{v}, 0)
@@ -64,36 +64,36 @@
 			}
 			return true
 		}},
-		{Name: "takes what broke off for never sent", Breaks: check.NotTwice, Outcome: func(o *backend.Outcome) {
+		{Name: "takes what broke off for never sent", Breaks: checker.NotTwice, Outcome: func(o *backend.Outcome) {
 			if o.Result == decide.Reset || o.Result == decide.TimedOut || o.Result == decide.Failed {
 				o.Result = decide.Unreachable
 			}
 		}},
-		{Name: "takes writes for safe to repeat", Breaks: check.NotTwice, Module: func(c *config.Config) {
+		{Name: "takes writes for safe to repeat", Breaks: checker.NotTwice, Module: func(c *config.Config) {
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].Effect = decide.Safe
 			}
 		}},
-		{Name: "takes keys for kept for ever", Breaks: check.NotTwice, Module: func(c *config.Config) {
+		{Name: "takes keys for kept for ever", Breaks: checker.NotTwice, Module: func(c *config.Config) {
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].KeyWindow = time.Hour
 			}
 		}, Keyed: true},
-		{Name: "hears of no drains", Breaks: check.DrainsKept, List: func(l *discovery.List) {
+		{Name: "hears of no drains", Breaks: checker.DrainsKept, List: func(l *discovery.List) {
 			for i := range l.Instances {
 				if l.Instances[i].Lifecycle == "draining" {
 					l.Instances[i].Lifecycle = "up"
 				}
 			}
 		}},
-		{Name: "takes cold servers for warm", Breaks: check.ColdSpared, Module: func(c *config.Config) {
+		{Name: "takes cold servers for warm", Breaks: checker.ColdSpared, Module: func(c *config.Config) {
 			c.Settings.ColdTime, c.Settings.FallMultiple = 0, 0
 		}, List: func(l *discovery.List) {
 			for i := range l.Instances {
 				l.Instances[i].StartedAtMs = 0
 			}
 		}},
-		{Name: "takes replicas for up to date", Breaks: check.NotStale, Outcome: func(o *backend.Outcome) {
+		{Name: "takes replicas for up to date", Breaks: checker.NotStale, Outcome: func(o *backend.Outcome) {
 			if o.HasPos {
 				o.Position += 5000
 			}
@@ -104,9 +104,9 @@
 				}
 			}
 		}},
-		{Name: "a server that takes writes after it was replaced", Breaks: check.PrimaryRan, World: func(w *world.World) { w.SplitBrain = true }},
-		{Name: "trusts the catalogue's word on roles", Breaks: check.NotDenied, Judge: func(s *reconcile.Settings) { s.TrustRoles = true }, Lists: true},
-		{Name: "serves what no server made", Breaks: check.NoInvented, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
+		{Name: "a server that takes writes after it was replaced", Breaks: checker.PrimaryRan, World: func(w *world.World) { w.SplitBrain = true }},
+		{Name: "trusts the catalogue's word on roles", Breaks: checker.NotDenied, Judge: func(s *reconcile.Settings) { s.TrustRoles = true }, Lists: true},
+		{Name: "serves what no server made", Breaks: checker.NoInvented, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
 			if kind == clients.Served && v.id%64 == 0 {
 				v.answer = []byte("cached")
 			}
@@ -118,7 +118,7 @@
 // ViewMutants are poolers whose view of the fleet is broken on purpose.
 func ViewMutants() []Mutant {
 	return []Mutant{
-		{Name: "refutes nothing", Breaks: check.ViewAccurate, Peer: func(x *peer, ev view.Event) bool {
+		{Name: "refutes nothing", Breaks: checker.ViewAccurate, Peer: func(x *peer, ev view.Event) bool {
 			drop := func(list []view.Record) (kept []view.Record) {
 				for _, r := range list {
 					if r.ID != x.view.Self().ID || r.State == view.Alive {
@@ -141,16 +141,16 @@
 			}
 			return true
 		}},
-		{Name: "forgets its incarnation on a restart", Breaks: check.ViewAccurate, SameID: true},
-		{Name: "does not look for those it lost", Breaks: check.ViewSettled, View: func(s *view.Settings) { s.Reconnect, s.Seeds = 1e9, s.Seeds[:0] }},
-		{Name: "accuses while it stands still", Breaks: check.ViewRash, View: func(s *view.Settings) { s.Confirm, s.Calm = 0, 0 }, Peer: func(x *peer, ev view.Event) bool {
+		{Name: "forgets its incarnation on a restart", Breaks: checker.ViewAccurate, SameID: true},
+		{Name: "does not look for those it lost", Breaks: checker.ViewSettled, View: func(s *view.Settings) { s.Reconnect, s.Seeds = 1e9, s.Seeds[:0] }},
+		{Name: "accuses while it stands still", Breaks: checker.ViewRash, View: func(s *view.Settings) { s.Confirm, s.Calm = 0, 0 }, Peer: func(x *peer, ev view.Event) bool {
 			for now := x.p.e.s.now; x.view.Next() < now; { // it makes up for the time as if it had run
 				x.out = x.view.Handle(x.view.Next(), view.Tick{}, x.out[:0])
 				x.carry()
 			}
 			return true
 		}},
-		{Name: "counts what is cut off as gone", Breaks: check.ViewSending, View: func(s *view.Settings) { s.Hold, s.Expect = 0, 0 }},
+		{Name: "counts what is cut off as gone", Breaks: checker.ViewSending, View: func(s *view.Settings) { s.Hold, s.Expect = 0, 0 }},
 	}
 }
 
@@ -158,25 +158,25 @@
 // the first.
 func LimitMutants() []Mutant {
 	return []Mutant{
-		{Name: "lends without waiting", Breaks: check.FleetLimit, Quota: func(no int, s *quota.Settings) {
+		{Name: "lends without waiting", Breaks: checker.FleetLimit, Quota: func(no int, s *quota.Settings) {
 			if no != 0 {
 				s.Lease = 500
 			}
 		}},
-		{Name: "a lease without an end", Breaks: check.FleetLimit, Quota: func(no int, s *quota.Settings) {
+		{Name: "a lease without an end", Breaks: checker.FleetLimit, Quota: func(no int, s *quota.Settings) {
 			if no == 0 {
 				s.Lease = 1e9
 			}
 		}},
-		{Name: "counts a lease's end from the answer", Breaks: check.FleetLimit, Limits: func(no int, q *quota.Quota, m *quota.Message) {
+		{Name: "counts a lease's end from the answer", Breaks: checker.FleetLimit, Limits: func(no int, q *quota.Quota, m *quota.Message) {
 			if no == 0 && m.Verb == quota.Answer {
 				for _, it := range m.Items {
 					q.Recount(it.Limit, it.Seq)
 				}
 			}
 		}},
-		{Name: "forgets its promises and its epoch on a restart", Breaks: check.FleetLimit, Rash: true},
-		{Name: "counts demand twice", Breaks: check.FleetShare, Demand: func(no int, want float64) float64 {
+		{Name: "forgets its promises and its epoch on a restart", Breaks: checker.FleetLimit, Rash: true},
+		{Name: "counts demand twice", Breaks: checker.FleetShare, Demand: func(no int, want float64) float64 {
 			if no == 0 {
 				return 2 * want
 			}
@@ -188,14 +188,14 @@
 // OverloadMutants are poolers that handle overload together in a way that is broken on purpose.
 func OverloadMutants() []Mutant {
 	return []Mutant{
-		{Name: "makes each probe itself", Breaks: check.ProbesShared, Over: func(no int, o *adapter.Options) { o.Share = false }},
-		{Name: "probes once for each who asks", Breaks: check.ProbesShared, Over: func(no int, o *adapter.Options) { o.Probes.Each, o.Probes.Age = 0, -1 }},
-		{Name: "tells at every turn", Breaks: check.TalkBounded, Over: func(no int, o *adapter.Options) { o.Set.Period = o.Set.Step }},
-		{Name: "sheds in all groups what one cannot do", Breaks: check.QuietSpared, Core: func(no int, c adapter.Core) adapter.Core { return everywhere{c} }},
-		{Name: "knows of no tenants", Breaks: check.TenantKept, Module: func(c *config.Config) { c.Settings.Tenants = nil }},
-		{Name: "does not let in again", Breaks: check.ServiceBack, Over: func(no int, o *adapter.Options) { o.Set.Back, o.Set.Hold = 1e-4, 1e6 }},
-		{Name: "repeats whatever it likes", Breaks: check.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Repeats = false }},
-		{Name: "earns a repeat with each first try", Breaks: check.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Part = 1 }},
+		{Name: "makes each probe itself", Breaks: checker.ProbesShared, Over: func(no int, o *adapter.Options) { o.Share = false }},
+		{Name: "probes once for each who asks", Breaks: checker.ProbesShared, Over: func(no int, o *adapter.Options) { o.Probes.Each, o.Probes.Age = 0, -1 }},
+		{Name: "tells at every turn", Breaks: checker.TalkBounded, Over: func(no int, o *adapter.Options) { o.Set.Period = o.Set.Step }},
+		{Name: "sheds in all groups what one cannot do", Breaks: checker.QuietSpared, Core: func(no int, c adapter.Core) adapter.Core { return everywhere{c} }},
+		{Name: "knows of no tenants", Breaks: checker.TenantKept, Module: func(c *config.Config) { c.Settings.Tenants = nil }},
+		{Name: "does not let in again", Breaks: checker.ServiceBack, Over: func(no int, o *adapter.Options) { o.Set.Back, o.Set.Hold = 1e-4, 1e6 }},
+		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Repeats = false }},
+		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Part = 1 }},
 	}
 }
 
--- a/internal/kit/emulate/mutants_verdicts.go
+++ b/internal/kit/emulate/mutants_verdicts.go
@@ -2,16 +2,16 @@
 
 import (
 	"beechgrade/internal/cluster/outlier"
-	"beechgrade/internal/kit/check"
+	"beechgrade/internal/testkit/checker"
 )
 
 // VerdictMutants are poolers that share what they know of servers in a way that is broken on purpose.
 func VerdictMutants() []Mutant {
 	return []Mutant{
-		{Name: "positions are not aged", Breaks: check.NotStale, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.NotAged }},
-		{Name: "one word is enough", Breaks: check.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.OneEnough }},
-		{Name: "age is taken from when it was heard", Breaks: check.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.HeardAge }},
-		{Name: "own evidence is overruled by others' older", Breaks: check.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.OwnLoses }},
-		{Name: "evidence of the old process is kept", Breaks: check.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.KeepsOld }},
+		{Name: "positions are not aged", Breaks: checker.NotStale, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.NotAged }},
+		{Name: "one word is enough", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.OneEnough }},
+		{Name: "age is taken from when it was heard", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.HeardAge }},
+		{Name: "own evidence is overruled by others' older", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.OwnLoses }},
+		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.KeepsOld }},
 	}
 }
--- a/internal/kit/emulate/overload_test.go
+++ b/internal/kit/emulate/overload_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"beechgrade/internal/cluster/module"
-	"beechgrade/internal/kit/check"
 	byzantine "beechgrade/internal/kit/lies"
+	"beechgrade/internal/testkit/checker"
 )
 
 // crowd are classes of which a group of three servers with four cores each can do about 200 a second.
@@ -65,7 +65,7 @@
 				}
 				return byzantine.Of(w, times)
 			}})
-			if len(r.Verdict.Broken) > 0 || r.Verdict.Checked[check.QuietSpared] < 10 || r.Score.Ratio < honest-0.03 {
+			if len(r.Verdict.Broken) > 0 || r.Verdict.Checked[checker.QuietSpared] < 10 || r.Score.Ratio < honest-0.03 {
 				t.Errorf("service %.3f, %.3f without the liar; %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
 			}
 		})
--- a/internal/kit/emulate/pages.go
+++ b/internal/kit/emulate/pages.go
@@ -7,11 +7,11 @@
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/merge"
 	"beechgrade/internal/frontend/scatter/plan"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/standin/sorted"
 	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/checker"
 )
 
 // paging is reports over all groups that are read in pages throughout, and the table that they are of.
@@ -21,7 +21,7 @@
 	class *clients.Class
 	no    int // the class's
 	rng   *rand.Rand
-	check *check.Pages
+	check *checker.Pages
 	order merge.Order
 	word  plan.Asked
 	ring  *cursor.Ring
@@ -51,7 +51,7 @@
 
 func (e *Emulation) newPaging() *paging {
 	s := e.script.Pages
-	g := &paging{e: e, set: s, rng: rand.New(rand.NewPCG(e.opt.Seed, 41)), check: check.NewPages(s.Desc), ring: cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
+	g := &paging{e: e, set: s, rng: rand.New(rand.NewPCG(e.opt.Seed, 41)), check: checker.NewPages(s.Desc), ring: cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
 		rows: make([][]*kept, len(e.world.Groups)), open: map[*pooler][]*paged{}}
 	g.no = slices.IndexFunc(e.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
 	g.class = &e.script.Clients.Classes[g.no]
@@ -221,14 +221,14 @@
 // PageMutants are poolers whose pages are broken on purpose.
 func PageMutants() []Mutant {
 	return []Mutant{
-		{Name: "forgets a cursor's positions", Breaks: check.PagesAhead, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
+		{Name: "forgets a cursor's positions", Breaks: checker.PagesAhead, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
 			clear(c.Needs)
 			return rows
 		}},
-		{Name: "leaves a page's last row out", Breaks: check.PagesOnce, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
+		{Name: "leaves a page's last row out", Breaks: checker.PagesOnce, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
 			return rows[:max(0, len(rows)-1)]
 		}},
-		{Name: "gives a page's last row again", Breaks: check.PagesOnce, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
+		{Name: "gives a page's last row again", Breaks: checker.PagesOnce, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
 			for i := range c.Places { // as if it stood right before that row
 				p := &c.Places[i]
 				if n := len(p.Key); n > 0 {
--- a/internal/kit/emulate/pages_made.go
+++ b/internal/kit/emulate/pages_made.go
@@ -12,10 +12,10 @@
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/execution"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/standin/sorted"
 	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/checker"
 )
 
 // paged is one page that a pooler makes: the daemon's run, merge, cursor and plan before its core, as internal/frontend/scatter joins them to sockets.
@@ -33,7 +33,7 @@
 	busy      bool
 	over      bool
 	rows      []int64
-	reads     []check.PageRead
+	reads     []checker.PageRead
 }
 
 // Of a page, as the daemon's settings have them where nothing is said.
@@ -323,7 +323,7 @@
 	}
 	if x.out == nil && !x.over {
 		x.out = a
-		s.reads = append(s.reads, check.PageRead{Group: x.a.Shard, Position: a.rows.o.Position})
+		s.reads = append(s.reads, checker.PageRead{Group: x.a.Shard, Position: a.rows.o.Position})
 	}
 	if x.out != a {
 		a.drop(decide.Cancelled)
--- a/internal/kit/emulate/peers.go
+++ b/internal/kit/emulate/peers.go
@@ -9,10 +9,10 @@
 	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/checker"
 )
 
 // fleetOf is the poolers as peers: the ways between them, and the checker of their views.
@@ -20,7 +20,7 @@
 	e     *Emulation
 	net   *links.Net
 	rng   *rand.Rand
-	check *check.Views
+	check *checker.Views
 
 	packets, bytes  uint64
 	lent, lentBytes uint64 // about limits
@@ -50,7 +50,7 @@
 }
 
 // Bounds are those of a scenario's views, by the formulas of the view's page; f is how many may be called failed at once.
-func Bounds(s *scenario.Script, f int) check.ViewConfig {
+func Bounds(s *scenario.Script, f int) checker.ViewConfig {
 	v, delay, lossy := s.Peers.View, max(s.Way[1], s.Cross[1]), false
 	for i := range s.Faults {
 		if x := &s.Faults[i]; x.OfLinks() {
@@ -63,14 +63,14 @@
 		}
 	}
 	n := s.Poolers
-	return check.ViewConfig{Detect: func(f int) float64 { return v.Detect(n, f, delay) }, SettleMs: v.Settle(n, f, delay, lossy), JoinMs: v.Join(n, delay), SpreadMs: v.Spread(n, delay), HoldMs: v.Hold,
+	return checker.ViewConfig{Detect: func(f int) float64 { return v.Detect(n, f, delay) }, SettleMs: v.Settle(n, f, delay, lossy), JoinMs: v.Join(n, delay), SpreadMs: v.Spread(n, delay), HoldMs: v.Hold,
 		SelfMs: v.Self(delay)}
 }
 
 func (e *Emulation) newFleet() *fleetOf {
 	s := e.script
 	f := &fleetOf{e: e, net: links.New(s.Poolers), rng: rand.New(rand.NewPCG(e.opt.Seed, 5))}
-	f.check = check.NewViews(Bounds(s, max(1, s.Poolers/2)), s.Poolers, f.net.Cut)
+	f.check = checker.NewViews(Bounds(s, max(1, s.Poolers/2)), s.Poolers, f.net.Cut)
 	f.check.Exact = true
 	var look func()
 	look = func() {
--- a/internal/kit/emulate/peers_test.go
+++ b/internal/kit/emulate/peers_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"beechgrade/internal/kit/check"
+	"beechgrade/internal/testkit/checker"
 )
 
 // fleetFaults is a scenario in which every rule of the fleet's view is put to the test.
@@ -28,7 +28,7 @@
 			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startMs)/1000, b.Text, b.Proof)
 			break
 		}
-		for _, rule := range check.ViewRules() {
+		for _, rule := range checker.ViewRules() {
 			if r.Verdict.Checked[rule] == 0 {
 				t.Errorf("seed %d: %q was never put to the test", seed, rule)
 			}
@@ -81,7 +81,7 @@
 			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startMs)/1000, b.Text, b.Proof)
 			break
 		}
-		if r.Verdict.Checked[check.ViewSettled] == 0 {
+		if r.Verdict.Checked[checker.ViewSettled] == 0 {
 			t.Errorf("seed %d: never settled", seed)
 		}
 		t.Logf("seed %d: accused %d, wrong %d, settled %v", seed, r.Views.Accused, r.Views.Wrong, r.Views.Settled)
--- a/internal/kit/emulate/second_test.go
+++ b/internal/kit/emulate/second_test.go
@@ -4,8 +4,8 @@
 	"path/filepath"
 	"testing"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 func load(t *testing.T, name string) *scenario.Script {
@@ -29,7 +29,7 @@
 				t.Errorf("%s, seed %d: %s: %s\n%+v", name, seed, b.Rule, b.Text, b.Proof)
 				break
 			}
-			if n := r.Verdict.Checked[check.NotTwice]; n < 500 {
+			if n := r.Verdict.Checked[checker.NotTwice]; n < 500 {
 				t.Errorf("%s, seed %d: writes were held to their classes %d times", name, seed, n)
 			}
 			if r.Score.Ratio < 0.7 {
--- a/internal/kit/emulate/slowstart_test.go
+++ b/internal/kit/emulate/slowstart_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"beechgrade/internal/kit/check"
+	"beechgrade/internal/testkit/checker"
 )
 
 // TestSlowStartOfABusyServer: a server that half of all requests go to dies and returns cold, before poolers that share nothing. Each guesses
@@ -22,11 +22,11 @@
 			for seed := range uint64(6) {
 				result := play(t, script, Options{Seed: seed})
 				for _, breach := range result.Verdict.Breaches {
-					if breach.Rule == check.ColdSpared || breach.Rule == check.Invariant {
+					if breach.Rule == checker.ColdSpared || breach.Rule == checker.Invariant {
 						t.Errorf("seed %d: %s: %s", seed, breach.Rule, breach.Text)
 					}
 				}
-				if n := result.Verdict.Checked[check.ColdSpared]; n < 500 {
+				if n := result.Verdict.Checked[checker.ColdSpared]; n < 500 {
 					t.Errorf("seed %d: %d requests came to cold servers: too few to tell", seed, n)
 				}
 			}
--- a/internal/kit/emulate/stood_test.go
+++ b/internal/kit/emulate/stood_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"beechgrade/internal/kit/check"
+	"beechgrade/internal/testkit/checker"
 )
 
 // TestStoodIsNoLoad: what waited at a pooler that stood still, and is turned away as it wakes, is not held against a group that is asked for little.
@@ -12,8 +12,8 @@
 	for seed := uint64(1); seed < 4; seed++ {
 		r := play(t, parse(t, `(rehearsal "stood" (seconds 20) (poolers 8) (groups 3 3) (rate 60) (peers (probe 500ms) (timeout 150ms) (suspicion 1500ms)) (overload)
 			(at 9s (stall-pooler 5) (for 5s)))`), Options{Seed: seed})
-		if r.Verdict.Checked[check.QuietSpared] == 0 || r.Verdict.Broken[check.QuietSpared] > 0 {
-			t.Errorf("seed %d: put to the test %d times: %+v", seed, r.Verdict.Checked[check.QuietSpared], r.Verdict.Breaches)
+		if r.Verdict.Checked[checker.QuietSpared] == 0 || r.Verdict.Broken[checker.QuietSpared] > 0 {
+			t.Errorf("seed %d: put to the test %d times: %+v", seed, r.Verdict.Checked[checker.QuietSpared], r.Verdict.Breaches)
 		}
 	}
 }
--- a/internal/kit/emulate/verdicts_liar_test.go
+++ b/internal/kit/emulate/verdicts_liar_test.go
@@ -6,8 +6,8 @@
 
 	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/outlier"
-	"beechgrade/internal/kit/check"
 	byzantine "beechgrade/internal/kit/lies"
+	"beechgrade/internal/testkit/checker"
 )
 
 // toldOf is poolers of which 1 and 7 collect, with few requests each. Verdicts end soon, so that a blackout shows in the second 10 s.
@@ -41,7 +41,7 @@
 	t.Parallel()
 	s := parse(t, liedTo)
 	honest := play(t, s, Options{Seed: 1}).Score.Ratio
-	believed := map[string]check.Rule{"leads": check.NotDenied, "ahead": check.NotStale}
+	believed := map[string]checker.Rule{"leads": checker.NotDenied, "ahead": checker.NotStale}
 	for name, lie := range byzantine.OfServers {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/kit/emulate/verdicts_test.go
+++ b/internal/kit/emulate/verdicts_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"beechgrade/internal/cluster/module"
-	"beechgrade/internal/kit/check"
 	byzantine "beechgrade/internal/kit/lies"
+	"beechgrade/internal/testkit/checker"
 )
 
 // judgedFleet is poolers in three zones that share what they know of servers.
@@ -70,8 +70,8 @@
 			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startMs)/1000, b.Text, b.Proof)
 			break
 		}
-		service, blackouts, least = service+r.Score.Ratio, blackouts+r.Verdict.Checked[check.NoBlackout], min(least, r.Score.Ratio)
-		if r.Verdict.Checked[check.LastAsked] == 0 || r.Verdict.Checked[check.NotStale] == 0 || r.Verdict.Checked[check.NotDenied] == 0 {
+		service, blackouts, least = service+r.Score.Ratio, blackouts+r.Verdict.Checked[checker.NoBlackout], min(least, r.Score.Ratio)
+		if r.Verdict.Checked[checker.LastAsked] == 0 || r.Verdict.Checked[checker.NotStale] == 0 || r.Verdict.Checked[checker.NotDenied] == 0 {
 			t.Errorf("seed %d: a rule was never put to the test: %v", seed, r.Verdict.Checked)
 		}
 	}
--- a/internal/kit/emulate/zones_test.go
+++ b/internal/kit/emulate/zones_test.go
@@ -13,15 +13,15 @@
 	"beechgrade/internal/cluster/zones"
 	"beechgrade/internal/cluster/zones/follower"
 	"beechgrade/internal/cluster/zones/health"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
+	"beechgrade/internal/testkit/checker"
 )
 
 // zonedPlay is a play with zones decided together, and what is held against it.
 type zonedPlay struct {
 	*Zoned
 	*Result
-	rules *check.Zones
+	rules *checker.Zones
 	far   float64 // of the reads that any member may serve at any age, in calm
 	steps []step  // what pooler 1 followed
 }
@@ -38,7 +38,7 @@
 	t.Helper()
 	s := parse(t, fmt.Sprintf(`(rehearsal "zones" (peers) (near yes) (pushed yes) (cross-price 0.01) (cold 10s) (retries 1) %s)`, script))
 	z := &zonedPlay{Zoned: &Zoned{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: zones.Defaults(), KeepMs: 1}}
-	z.rules = check.NewZones(0.9, 15000, 0.02)
+	z.rules = checker.NewZones(0.9, 15000, 0.02)
 	z.rules.Changed(0)
 	for i := 0; i+1 < len(changes); i += 2 {
 		z.rules.Struck(changes[i], changes[i+1])
@@ -115,7 +115,7 @@
 		t.Errorf("%s at %.0f: %s", b.Rule, b.At, b.Text)
 	}
 	for _, b := range z.Verdict.Breaches {
-		if b.Rule == check.NoBlackout { // nobody tells others of servers here; who is near keeps others away
+		if b.Rule == checker.NoBlackout { // nobody tells others of servers here; who is near keeps others away
 			continue
 		}
 		t.Errorf("%s at %.0f: %s", b.Rule, b.At, b.Text)
@@ -215,16 +215,16 @@
 func TestZonesMutants(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
-		rule         check.Rule
+		rule         checker.Rule
 		rate, script string
 		changes      []float64
 		both         func(*Options)
 		mutate       func(*zones.Settings, *Options)
 	}{
-		{check.NearCalm, "(rate 50)", `(seconds 40)`, nil, nil, func(s *zones.Settings, _ *Options) { s.Price = 0 }},
-		{check.OnePlan, "(rate 30)", `(seconds 20)`, nil, nil, func(_ *zones.Settings, o *Options) { o.Mutant = &Mutant{Says: otherPlan} }},
-		{check.OldPlan, "(rate 30)", `(seconds 20)`, nil, func(o *Options) { o.Mutant = &Mutant{Says: olds()} }, func(s *zones.Settings, _ *Options) { s.Forgets = true }},
-		{check.FullZone, "(rate 300)", `(seconds 28) (at 4s (die site "a") (for 60s)) (at 4s (die site "b") (for 60s))`, []float64{4000, 64000}, nil, func(s *zones.Settings, _ *Options) { s.Chief.Plan.Spare = -4 }},
+		{checker.NearCalm, "(rate 50)", `(seconds 40)`, nil, nil, func(s *zones.Settings, _ *Options) { s.Price = 0 }},
+		{checker.OnePlan, "(rate 30)", `(seconds 20)`, nil, nil, func(_ *zones.Settings, o *Options) { o.Mutant = &Mutant{Says: otherPlan} }},
+		{checker.OldPlan, "(rate 30)", `(seconds 20)`, nil, func(o *Options) { o.Mutant = &Mutant{Says: olds()} }, func(s *zones.Settings, _ *Options) { s.Forgets = true }},
+		{checker.FullZone, "(rate 300)", `(seconds 28) (at 4s (die site "a") (for 60s)) (at 4s (die site "b") (for 60s))`, []float64{4000, 64000}, nil, func(s *zones.Settings, _ *Options) { s.Chief.Plan.Spare = -4 }},
 	} {
 		t.Run(string(x.rule), func(t *testing.T) {
 			t.Parallel()
@@ -243,7 +243,7 @@
 				t.Errorf("without: %+v", z.rules.Found[0])
 			}
 			z := zoned(t, 1, true, script, x.changes, mutant(true))
-			if !slices.ContainsFunc(z.rules.Found, func(b check.Breach) bool { return b.Rule == x.rule }) {
+			if !slices.ContainsFunc(z.rules.Found, func(b checker.Breach) bool { return b.Rule == x.rule }) {
 				t.Errorf("it is not found: %+v; %+v, %d plans held", z.rules.Found, z.steps, z.rules.Plans)
 			}
 		})
--- a/internal/kit/lab/lab_test.go
+++ b/internal/kit/lab/lab_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 const base = `(rehearsal "small" (seconds 6) (poolers 2) (groups 2 2) (rate 60) (cold 3s) (detect 200ms 300ms) (elect 200ms 300ms) (at 2s (die primary 0) (for 1s)))`
@@ -180,12 +180,12 @@
 	var mutant *emulate.Mutant
 	all := emulate.Mutants()
 	for i := range all {
-		if all[i].Breaks == check.DrainsKept {
+		if all[i].Breaks == checker.DrainsKept {
 			mutant = &all[i]
 		}
 	}
 	opt := emulate.Options{Seed: 1, Mutant: mutant}
-	z, err := Shrink(context.Background(), s, opt, Breaks(check.DrainsKept), nil)
+	z, err := Shrink(context.Background(), s, opt, Breaks(checker.DrainsKept), nil)
 	if err != nil || z == nil {
 		t.Fatalf("%v %v", z, err)
 	}
--- a/internal/kit/lab/run.go
+++ b/internal/kit/lab/run.go
@@ -17,8 +17,8 @@
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sys/unix"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
+	"beechgrade/internal/testkit/checker"
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -36,23 +36,23 @@
 	Seed   uint64   `json:"seed"`
 	Hash   string   `json:"hash"`
 
-	Goal     float64            `json:"goal"`
-	Service  float64            `json:"service"`
-	Worst    float64            `json:"worst_10s"`
-	Least    float64            `json:"worst_class"`
-	Broken   map[check.Rule]int `json:"rules_broken,omitempty"`
-	Breach   *check.Breach      `json:"first_breach,omitempty"`
-	Asked    uint64             `json:"asked"`
-	Tries    uint64             `json:"tries"`
-	Attempts uint64             `json:"attempts"`
-	Probes   uint64             `json:"probes"`
-	Refused  uint64             `json:"refused"`
-	Failed   uint64             `json:"failed"`
-	Events   uint64             `json:"events"`
-	P50      float64            `json:"p50_ms"`
-	P99      float64            `json:"p99_ms"`
-	Lost     map[string]float64 `json:"lost"`
-	Worth    float64            `json:"worth_asked"`
+	Goal     float64              `json:"goal"`
+	Service  float64              `json:"service"`
+	Worst    float64              `json:"worst_10s"`
+	Least    float64              `json:"worst_class"`
+	Broken   map[checker.Rule]int `json:"rules_broken,omitempty"`
+	Breach   *checker.Breach      `json:"first_breach,omitempty"`
+	Asked    uint64               `json:"asked"`
+	Tries    uint64               `json:"tries"`
+	Attempts uint64               `json:"attempts"`
+	Probes   uint64               `json:"probes"`
+	Refused  uint64               `json:"refused"`
+	Failed   uint64               `json:"failed"`
+	Events   uint64               `json:"events"`
+	P50      float64              `json:"p50_ms"`
+	P99      float64              `json:"p99_ms"`
+	Lost     map[string]float64   `json:"lost"`
+	Worth    float64              `json:"worth_asked"`
 
 	Pages *emulate.PageCounts `json:"pages,omitempty"`
 	Funds []emulate.Funds     `json:"funds,omitempty"`
--- a/internal/kit/lab/shrink.go
+++ b/internal/kit/lab/shrink.go
@@ -4,16 +4,16 @@
 	"context"
 	"slices"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // Fails tells whether a run still shows what is looked for.
 type Fails func(r *emulate.Result) bool
 
 // Breaks is a run in which a rule is broken; the empty rule stands for any.
-func Breaks(rule check.Rule) Fails {
+func Breaks(rule checker.Rule) Fails {
 	return func(r *emulate.Result) bool { return rule == "" && !r.Verdict.OK() || r.Verdict.Broken[rule] > 0 }
 }
 
--- a/internal/kit/rehearse/invariants.go
+++ b/internal/kit/rehearse/invariants.go
@@ -7,7 +7,7 @@
 	"regexp"
 	"strconv"
 
-	"beechgrade/internal/kit/check"
+	"beechgrade/internal/testkit/checker"
 )
 
 // withInvariants is what each daemon is told of statements about its own state: they are checked.
@@ -19,7 +19,7 @@
 )
 
 // invariants adds to a verdict what the daemons' logs tell of statements about their own state.
-func (r *Run) invariants(v *check.Verdict) error {
+func (r *Run) invariants(v *checker.Verdict) error {
 	for _, p := range r.poolers {
 		if err := p.invariants(v, r.clk.Now()); err != nil {
 			return fmt.Errorf("%s: %w", p.name, err)
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func (p *pooler) invariants(v *check.Verdict, at float64) error {
+func (p *pooler) invariants(v *checker.Verdict, at float64) error {
 	f, err := os.Open(p.file("log.txt"))
 	if err != nil {
 		return err
@@ -38,12 +38,12 @@
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		if m := brokenLine.FindStringSubmatch(lines.Text()); m != nil {
-			v.Broken[check.Invariant]++
-			v.Breaches = append(v.Breaches, check.Breach{Rule: check.Invariant, At: at, Server: -1, Text: p.name + ": " + m[1] + ": " + m[2]})
+			v.Broken[checker.Invariant]++
+			v.Breaches = append(v.Breaches, checker.Breach{Rule: checker.Invariant, At: at, Server: -1, Text: p.name + ": " + m[1] + ": " + m[2]})
 		}
 		if m := madeLine.FindStringSubmatch(lines.Text()); m != nil {
 			n, _ := strconv.ParseUint(m[1], 10, 64) // digits, as the expression has it
-			v.Checked[check.Invariant] += n
+			v.Checked[checker.Invariant] += n
 		}
 	}
 	return lines.Err()
--- a/internal/kit/rehearse/invariants_test.go
+++ b/internal/kit/rehearse/invariants_test.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"beechgrade/internal/kit/check"
+	"beechgrade/internal/testkit/checker"
 )
 
 // TestInvariantsOfLogs: what a daemon logs of statements about its state is in the play's verdict.
@@ -24,11 +24,11 @@
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	v := check.New(check.Config{}).Verdict()
+	v := checker.New(checker.Config{}).Verdict()
 	if err := p.invariants(v, 5); err != nil {
 		t.Fatal(err)
 	}
-	if v.Checked[check.Invariant] != 42 || v.Broken[check.Invariant] != 1 || len(v.Breaches) != 1 || v.Breaches[0].Text != `pooler-0: decide: a \"b\": "s at 1"` {
+	if v.Checked[checker.Invariant] != 42 || v.Broken[checker.Invariant] != 1 || len(v.Breaches) != 1 || v.Breaches[0].Text != `pooler-0: decide: a \"b\": "s at 1"` {
 		t.Errorf("%+v", v)
 	}
 }
--- a/internal/kit/rehearse/month.go
+++ b/internal/kit/rehearse/month.go
@@ -7,17 +7,17 @@
 	"sync"
 	"syscall"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // shared are what the poolers of a scenario share beside their view: overload, the log in common, credit, and reports in pages.
 type shared struct {
 	run   *Run
 	mu    sync.Mutex
-	funds *check.Credit
-	pages *check.Pages
+	funds *checker.Credit
+	pages *checker.Pages
 	once  map[string]bool // payments that some pooler has read of
 	upTo  map[string]int64
 	Pages PageCounts
@@ -32,7 +32,7 @@
 	s := r.script
 	x := &shared{run: r, once: map[string]bool{}, upTo: map[string]int64{}}
 	if s.Credit != nil {
-		x.funds = &check.Credit{Prices: map[string]int64{}}
+		x.funds = &checker.Credit{Prices: map[string]int64{}}
 		for _, p := range s.Credit.Prices {
 			x.funds.Prices[p.Class] = p.Request
 		}
@@ -44,7 +44,7 @@
 		}
 	}
 	if s.Pages != nil {
-		x.pages = check.NewPages(s.Pages.Desc)
+		x.pages = checker.NewPages(s.Pages.Desc)
 	}
 	return x
 }
@@ -107,7 +107,7 @@
 }
 
 // verdict adds what was checked and found.
-func (x *shared) verdict(v *check.Verdict) {
+func (x *shared) verdict(v *checker.Verdict) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.funds != nil {
--- a/internal/kit/rehearse/month_pages.go
+++ b/internal/kit/rehearse/month_pages.go
@@ -13,9 +13,9 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/standin/sorted"
+	"beechgrade/internal/testkit/checker"
 )
 
 const (
@@ -152,12 +152,12 @@
 }
 
 // reads are what servers did for a page, in its time.
-func (r *report) reads(no int, sent, now float64) (out []check.PageRead) {
+func (r *report) reads(no int, sent, now float64) (out []checker.PageRead) {
 	all, _, _, _ := r.run.fleet.Reads()
 	all = slices.DeleteFunc(all, func(x fleet.Read) bool { return x.At < sent || x.At > now || !strings.Contains(x.SQL, tagOf(no)) })
 	slices.SortStableFunc(all, func(a, b fleet.Read) int { return cmp.Compare(a.At, b.At) })
 	for _, x := range all {
-		out = append(out, check.PageRead{Group: x.Group, Position: x.Position})
+		out = append(out, checker.PageRead{Group: x.Group, Position: x.Position})
 	}
 	return out
 }
--- a/internal/kit/rehearse/peers.go
+++ b/internal/kit/rehearse/peers.go
@@ -15,10 +15,10 @@
 	"beechgrade/internal/cluster"
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/checker"
 )
 
 // fleetOf is the poolers as peers: relays between each two of them, and the checker of what they say of each other.
@@ -29,7 +29,7 @@
 	file   string // that holds it
 
 	mu    sync.Mutex
-	check *check.Views
+	check *checker.Views
 	ids   []view.ID                // of the processes that run, by pooler; 0 for none that was heard
 	says  []map[view.ID]view.State // what each said last
 	calls int
@@ -64,7 +64,7 @@
 	detect := bounds.Detect
 	bounds.Detect = func(f int) float64 { return detect(f) + float64(late) }
 	bounds.SettleMs, bounds.JoinMs, bounds.SpreadMs = bounds.SettleMs+float64(late), bounds.JoinMs+float64(late), bounds.SpreadMs+float64(late)
-	f.check = check.NewViews(bounds, s.Poolers, relays.Cut)
+	f.check = checker.NewViews(bounds, s.Poolers, relays.Cut)
 	r.peers = f
 	return nil
 }
@@ -254,12 +254,12 @@
 	Carried uint64        `json:"datagrams_carried"`
 	Lost    uint64        `json:"datagrams_lost_on_purpose"`
 	Looks   int           `json:"poolers_asked"`
-	Uses    []check.Use   `json:"limits,omitempty"`
+	Uses    []checker.Use `json:"limits,omitempty"`
 
 	Avoided map[string]int `json:"avoided_by_poolers,omitempty"` // by server: how many poolers said, when they were asked, that they avoid it by others' word
 }
 
-func (f *fleetOf) result(v *check.Verdict) *Fleet {
+func (f *fleetOf) result(v *checker.Verdict) *Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.check.Verdict(v)
--- a/internal/kit/rehearse/run.go
+++ b/internal/kit/rehearse/run.go
@@ -14,13 +14,13 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/machine"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
 	"beechgrade/internal/kit/standin/agent"
+	"beechgrade/internal/testkit/checker"
 )
 
 const (
@@ -59,18 +59,18 @@
 
 // Result is a rehearsal's outcome; it is written to result.json in its folder.
 type Result struct {
-	Rehearsal string         `json:"rehearsal"`
-	Seed      uint64         `json:"seed"`
-	FromMs    float64        `json:"from_ms"`
-	ToMs      float64        `json:"to_ms"`
-	Score     *score.Score   `json:"score"`
-	Rules     *check.Verdict `json:"rules"` // by what crossed the wires
-	Facts     []fleet.Fact   `json:"facts"`
-	Fleet     *Fleet         `json:"fleet,omitempty"`
-	Stood     []Stood        `json:"stood_still,omitempty"`
-	Machine   machine.Busy   `json:"machine"`
-	Ran       []string       `json:"-"` // ids of the writes that ran
-	Twice     map[int]Twice  `json:"-"` // by group
+	Rehearsal string           `json:"rehearsal"`
+	Seed      uint64           `json:"seed"`
+	FromMs    float64          `json:"from_ms"`
+	ToMs      float64          `json:"to_ms"`
+	Score     *score.Score     `json:"score"`
+	Rules     *checker.Verdict `json:"rules"` // by what crossed the wires
+	Facts     []fleet.Fact     `json:"facts"`
+	Fleet     *Fleet           `json:"fleet,omitempty"`
+	Stood     []Stood          `json:"stood_still,omitempty"`
+	Machine   machine.Busy     `json:"machine"`
+	Ran       []string         `json:"-"` // ids of the writes that ran
+	Twice     map[int]Twice    `json:"-"` // by group
 
 	Pages  *PageCounts      `json:"pages,omitempty"`
 	Served map[string]int64 `json:"served_for,omitempty"`   // by tenant, of what it paid...
--- a/internal/kit/rehearse/wires.go
+++ b/internal/kit/rehearse/wires.go
@@ -8,18 +8,18 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/checker"
 )
 
 // wires tells the checker of the rules what crosses the wires: clients' requests and answers, and what comes to the
 // stand-in servers and to discovery's watchers. It knows nothing of the poolers.
 type wires struct {
 	mu      sync.Mutex
-	check   *check.Checker
+	check   *checker.Checker
 	classes map[string]int
 	poolers int
 	tries   map[string]int // attempts seen at servers, by request
@@ -41,7 +41,7 @@
 }
 
 func newWires(s *scenario.Script) *wires {
-	w := &wires{check: check.New(rules(s)), classes: map[string]int{}, poolers: s.Poolers, tries: map[string]int{}, stood: map[int][2]float64{}, from: map[string]asker{}, taken: map[string]bool{}, twice: map[int]Twice{}}
+	w := &wires{check: checker.New(rules(s)), classes: map[string]int{}, poolers: s.Poolers, tries: map[string]int{}, stood: map[int][2]float64{}, from: map[string]asker{}, taken: map[string]bool{}, twice: map[int]Twice{}}
 	for g, n := range s.Fleet.Groups {
 		w.groups = append(w.groups, slices.Repeat([]int{g}, n)...)
 	}
@@ -68,7 +68,7 @@
 // answerMs is how long after its time an answer only earns nothing.
 const answerMs = 500
 
-func rules(s *scenario.Script) check.Config {
+func rules(s *scenario.Script) checker.Config {
 	c := emulate.Rules(s)
 	if c.CountMs = countMs; c.Overload != nil {
 		c.Overload.Slack, c.Overload.Loose = c.Overload.Probes, loosePart // a word that comes later than Patience has its asker probe
@@ -84,7 +84,7 @@
 }
 
 // uses are what came of limits of the whole fleet.
-func (w *wires) uses(warmMs float64) []check.Use {
+func (w *wires) uses(warmMs float64) []checker.Use {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.check.Uses(warmMs)
@@ -223,7 +223,7 @@
 }
 
 // verdict ends the check.
-func (w *wires) verdict(now float64) *check.Verdict {
+func (w *wires) verdict(now float64) *checker.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.Finish(now)
--- a/internal/kit/scenario/limits.go
+++ b/internal/kit/scenario/limits.go
@@ -4,9 +4,9 @@
 	"slices"
 
 	"beechgrade/internal/cluster/quota"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/checker"
 )
 
 // fleetLimits reads (fleet-limits ...), as the operators' settings have it.
@@ -90,21 +90,21 @@
 }
 
 // CheckedLimits are what the checker holds the whole fleet to: those that it can count at servers.
-func (s *Script) CheckedLimits() (out []check.Limit) {
+func (s *Script) CheckedLimits() (out []checker.Limit) {
 	if s.Limits == nil {
 		return nil
 	}
 	q := s.Quotas()
 	for _, l := range s.Limits.List {
 		if l.Of == settings.OfQueries && l.Kind == quota.Number && s.Clients.House {
-			out = append(out, check.Limit{Name: l.Name, AtOnce: int(l.Amount)})
+			out = append(out, checker.Limit{Name: l.Name, AtOnce: int(l.Amount)})
 		}
 		if l.Of == settings.OfTenant && l.Hard {
 			delay := s.Way[1]
 			for i := range s.Faults {
 				delay = max(delay, s.Way[1]+s.Faults[i].Link.Slow)
 			}
-			out = append(out, check.Limit{Name: l.Name, Tenant: l.Whom, PerSecond: l.Amount, Burst: l.Burst, Even: l.Manner != quota.Never, OverMs: q.EvenOver(delay), CalmMs: calmMs})
+			out = append(out, checker.Limit{Name: l.Name, Tenant: l.Whom, PerSecond: l.Amount, Burst: l.Burst, Even: l.Manner != quota.Never, OverMs: q.EvenOver(delay), CalmMs: calmMs})
 		}
 	}
 	return out
--- a/internal/kit/scenario/overload.go
+++ b/internal/kit/scenario/overload.go
@@ -6,10 +6,10 @@
 
 	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/cluster/overload/retrybudget"
-	"beechgrade/internal/kit/check"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/checker"
 )
 
 // Overload is how the fleet handles overload as one.
@@ -26,11 +26,11 @@
 }
 
 // CheckedOverload is what the rules of overload go by; nil where poolers do not handle it together.
-func (s *Script) CheckedOverload() *check.Overload {
+func (s *Script) CheckedOverload() *checker.Overload {
 	if s.Overload == nil {
 		return nil
 	}
-	c := &check.Overload{Poolers: s.Poolers, BackMs: s.BackMs, Tenants: map[string]float64{}}
+	c := &checker.Overload{Poolers: s.Poolers, BackMs: s.BackMs, Tenants: map[string]float64{}}
 	if p := &s.Overload.Probes; s.Overload.Share {
 		v := &s.Peers.View
 		c.Probes = p.Most(s.Poolers) + float64(p.Probers)
--- a/internal/kit/check/blackout.go
+++ b/internal/testkit/checker/blackout.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 import (
 	"fmt"
--- a/internal/kit/check/check.go
+++ b/internal/testkit/checker/check.go
@@ -1,7 +1,7 @@
-// Package check holds what crossed the wire to the rules. It knows nothing of what a pooler thought: it is told what
+// Package checker holds what crossed the wire to the rules. It knows nothing of what a pooler thought: it is told what
 // clients asked and heard, what servers were sent and ran, and what the list had told whom. Each breach carries the
 // events that prove it.
-package check
+package checker
 
 import (
 	"cmp"
--- a/internal/kit/check/lists.go
+++ b/internal/testkit/checker/lists.go
@@ -1,4 +1,4 @@
-package check
+package checker
 
 type where struct{ pooler, server int }
 
