--- a/cmd/beechgrade-kit/agree.go
+++ b/cmd/beechgrade-kit/agree.go
@@ -15,11 +15,11 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/simulation"
 )
 
 // agreement is how both ways of playing a scenario came out.
@@ -30,7 +30,7 @@
 
 	VirtualRules map[checker.Rule]int `json:"virtual_rules_broken,omitempty"`
 	SocketRules  map[checker.Rule]int `json:"socket_rules_broken,omitempty"`
-	VirtualViews *emulate.Views       `json:"virtual_views,omitempty"`
+	VirtualViews *simulation.Views    `json:"virtual_views,omitempty"`
 	SocketViews  *rehearse.Fleet      `json:"socket_views,omitempty"`
 }
 
@@ -61,7 +61,7 @@
 			defer wg.Done()
 			gate <- struct{}{}
 			defer func() { <-gate }()
-			v, err := emulate.Run(ctx, s.Clone(), emulate.Options{Seed: seed})
+			v, err := simulation.Run(ctx, s.Clone(), simulation.Options{Seed: seed})
 			if err != nil {
 				errs[i] = err
 				return
--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -13,10 +13,10 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/lab"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/simulation"
 )
 
 // labCommand is the laboratory's commands.
@@ -48,12 +48,12 @@
 	}
 }
 
-func mutantOf(c *cli.Command) (*emulate.Mutant, error) {
+func mutantOf(c *cli.Command) (*simulation.Mutant, error) {
 	name := c.String("mutant")
 	if name == "" {
 		return nil, nil
 	}
-	all := emulate.Mutants()
+	all := simulation.Mutants()
 	for i := range all {
 		if all[i].Name == name {
 			return &all[i], nil
@@ -84,7 +84,7 @@
 		return err
 	}
 	told := -1
-	r, err := emulate.Run(ctx, s, emulate.Options{Seed: c.Uint64("seed"), Mutant: m, Meter: c.Bool("meter"), Progress: func(at, end float64) {
+	r, err := simulation.Run(ctx, s, simulation.Options{Seed: c.Uint64("seed"), Mutant: m, Meter: c.Bool("meter"), Progress: func(at, end float64) {
 		if part := int(20 * at / end); part != told && part <= 20 && !c.Bool("json") {
 			told = part
 			fmt.Fprintf(os.Stderr, "\r%s: %3d%%", s.Name, 5*part)
@@ -111,7 +111,7 @@
 }
 
 // playText writes how a run in virtual time went.
-func playText(w io.Writer, r *emulate.Result) error {
+func playText(w io.Writer, r *simulation.Result) error {
 	s := r.Score
 	fmt.Fprintf(w, "%s, seed %d: service %.4f, worst 10 s %.3f, worst class %s; goal %.4f\n", r.Scenario, r.Seed, s.Ratio, s.Worst, s.Least, s.Goal)
 	fmt.Fprintf(w, "%d poolers, %d servers in %d groups; %.1f s in %.1f s, %d events (%.0f a second), %.0f MB; %s\n\n", r.Poolers, r.Servers, r.Groups, r.VirtualMs/1000, r.WallMs/1000,
@@ -179,7 +179,7 @@
 }
 
 // heedsText tells how verdicts went round.
-func heedsText(w io.Writer, r *emulate.Result) {
+func heedsText(w io.Writer, r *simulation.Result) {
 	if len(r.Heeds) == 0 {
 		return
 	}
@@ -287,7 +287,7 @@
 	if goal := c.Float("below"); goal > 0 && !math.IsNaN(goal) {
 		fails = lab.Below(goal)
 	}
-	z, err := lab.Shrink(ctx, s, emulate.Options{Seed: c.Uint64("seed"), Mutant: m}, fails, func(runs int, s *scenario.Script) {
+	z, err := lab.Shrink(ctx, s, simulation.Options{Seed: c.Uint64("seed"), Mutant: m}, fails, func(runs int, s *scenario.Script) {
 		fmt.Fprintf(os.Stderr, "\r%d runs: %.1f s, %d faults, %d groups, %d poolers  ", runs, s.Clients.Seconds, len(s.Faults), len(s.Fleet.Groups), s.Poolers)
 	})
 	fmt.Fprint(os.Stderr, "\r\033[K")
--- a/cmd/beechgrade-kit/peers_limits.go
+++ b/cmd/beechgrade-kit/peers_limits.go
@@ -12,9 +12,9 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/simulation"
 )
 
 // limitRow is what was measured of one manner, demand and state.
@@ -117,12 +117,12 @@
 	return printLimits(c.Root().Writer, rows)
 }
 
-func playLimit(ctx context.Context, text string, seed uint64) (*emulate.Result, error) {
+func playLimit(ctx context.Context, text string, seed uint64) (*simulation.Result, error) {
 	s, err := scenario.Parse("limits", []byte(text))
 	if err != nil {
 		return nil, err
 	}
-	return emulate.Run(ctx, s, emulate.Options{Seed: seed})
+	return simulation.Run(ctx, s, simulation.Options{Seed: seed})
 }
 
 func printLimits(out io.Writer, rows []*limitRow) error {
--- a/cmd/beechgrade-kit/peers_measure.go
+++ b/cmd/beechgrade-kit/peers_measure.go
@@ -12,9 +12,9 @@
 	"github.com/urfave/cli/v3"
 
 	fleetview "beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/simulation"
 )
 
 // viewRow is what was measured of one size and loss.
@@ -106,7 +106,7 @@
 			if err != nil {
 				return row, err
 			}
-			r, err := emulate.Run(ctx, s, emulate.Options{Seed: seed})
+			r, err := simulation.Run(ctx, s, simulation.Options{Seed: seed})
 			if err != nil {
 				return row, err
 			}
--- a/internal/kit/lab/lab_test.go
+++ b/internal/kit/lab/lab_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/simulation"
 )
 
 const base = `(rehearsal "small" (seconds 6) (poolers 2) (groups 2 2) (rate 60) (cold 3s) (detect 200ms 300ms) (elect 200ms 300ms) (at 2s (die primary 0) (for 1s)))`
@@ -177,14 +177,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var mutant *emulate.Mutant
-	all := emulate.Mutants()
+	var mutant *simulation.Mutant
+	all := simulation.Mutants()
 	for i := range all {
 		if all[i].Breaks == checker.DrainsKept {
 			mutant = &all[i]
 		}
 	}
-	opt := emulate.Options{Seed: 1, Mutant: mutant}
+	opt := simulation.Options{Seed: 1, Mutant: mutant}
 	z, err := Shrink(context.Background(), s, opt, Breaks(checker.DrainsKept), nil)
 	if err != nil || z == nil {
 		t.Fatalf("%v %v", z, err)
@@ -196,11 +196,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := emulate.Run(context.Background(), again, opt)
+	r, err := simulation.Run(context.Background(), again, opt)
 	if err != nil || r.Hash != z.Result.Hash {
 		t.Errorf("played again it is another run: %v\n%s", err, z.Script.Text())
 	}
-	if z, err := Shrink(context.Background(), s, emulate.Options{Seed: 1}, Breaks(""), nil); z != nil || err != nil {
+	if z, err := Shrink(context.Background(), s, simulation.Options{Seed: 1}, Breaks(""), nil); z != nil || err != nil {
 		t.Errorf("a scenario that does not fail was shrunk: %v", err)
 	}
 }
--- a/internal/kit/lab/run.go
+++ b/internal/kit/lab/run.go
@@ -17,8 +17,8 @@
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sys/unix"
 
-	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/simulation"
 )
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -54,12 +54,12 @@
 	Lost     map[string]float64   `json:"lost"`
 	Worth    float64              `json:"worth_asked"`
 
-	Pages *emulate.PageCounts `json:"pages,omitempty"`
-	Funds []emulate.Funds     `json:"funds,omitempty"`
+	Pages *simulation.PageCounts `json:"pages,omitempty"`
+	Funds []simulation.Funds     `json:"funds,omitempty"`
 }
 
 // LineOf sums a run up.
-func LineOf(c *Cell, r *emulate.Result) Line {
+func LineOf(c *Cell, r *simulation.Result) Line {
 	l := Line{Cell: c.Key(), Labels: c.Labels, Seed: r.Seed, Hash: r.Hash, Goal: r.Score.Goal, Service: r.Score.Ratio, Worst: r.Score.Worst, Least: 1,
 		Broken: r.Verdict.Broken, Asked: r.Asked, Tries: r.Tries, Attempts: r.Attempts, Probes: r.Probes, Refused: r.Score.Total.Refused, Failed: r.Score.Total.Failed,
 		Events: r.Events, P50: r.P50, P99: r.P99, Lost: r.Lost, Worth: r.Score.Total.WorthAsked,
@@ -142,7 +142,7 @@
 		go func() {
 			defer wg.Done()
 			for j := range feed {
-				r, err := emulate.Run(ctx, j.cell.Script, emulate.Options{Seed: j.seed})
+				r, err := simulation.Run(ctx, j.cell.Script, simulation.Options{Seed: j.seed})
 				mu.Lock()
 				if err == nil {
 					l := LineOf(j.cell, r)
--- a/internal/kit/lab/shrink.go
+++ b/internal/kit/lab/shrink.go
@@ -4,28 +4,28 @@
 	"context"
 	"slices"
 
-	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/simulation"
 )
 
 // Fails tells whether a run still shows what is looked for.
-type Fails func(r *emulate.Result) bool
+type Fails func(r *simulation.Result) bool
 
 // Breaks is a run in which a rule is broken; the empty rule stands for any.
 func Breaks(rule checker.Rule) Fails {
-	return func(r *emulate.Result) bool { return rule == "" && !r.Verdict.OK() || r.Verdict.Broken[rule] > 0 }
+	return func(r *simulation.Result) bool { return rule == "" && !r.Verdict.OK() || r.Verdict.Broken[rule] > 0 }
 }
 
 // Below is a run whose goal lies below a figure.
 func Below(goal float64) Fails {
-	return func(r *emulate.Result) bool { return r.Score.Goal < goal }
+	return func(r *simulation.Result) bool { return r.Score.Goal < goal }
 }
 
 // Shrunk is what a scenario was shrunk to.
 type Shrunk struct {
 	Script *scenario.Script
-	Result *emulate.Result
+	Result *simulation.Result
 	Runs   int
 }
 
@@ -34,7 +34,7 @@
 
 // Shrink looks for a smaller scenario that still fails with the same seed: fewer faults, less time, fewer groups, members,
 // poolers and requests. It returns the smallest that it found, or nil where the scenario does not fail.
-func Shrink(ctx context.Context, s *scenario.Script, opt emulate.Options, fails Fails, progress func(runs int, s *scenario.Script)) (*Shrunk, error) {
+func Shrink(ctx context.Context, s *scenario.Script, opt simulation.Options, fails Fails, progress func(runs int, s *scenario.Script)) (*Shrunk, error) {
 	z := &shrinker{ctx: ctx, opt: opt, fails: fails, progress: progress}
 	s, err := s.Drawn(opt.Seed) // what was drawn is written out, so that it can be left out
 	if err != nil {
@@ -55,11 +55,11 @@
 
 type shrinker struct {
 	ctx      context.Context
-	opt      emulate.Options
+	opt      simulation.Options
 	fails    Fails
 	progress func(int, *scenario.Script)
 	best     *scenario.Script
-	result   *emulate.Result
+	result   *simulation.Result
 	runs     int
 	err      error
 }
@@ -72,7 +72,7 @@
 	if s.Again() != nil {
 		return false, nil // it is no scenario any more: a fault strikes what is not there
 	}
-	r, err := emulate.Run(z.ctx, s, z.opt)
+	r, err := simulation.Run(z.ctx, s, z.opt)
 	if err != nil {
 		z.err = err
 		return false, err
--- a/internal/kit/rehearse/peers.go
+++ b/internal/kit/rehearse/peers.go
@@ -15,10 +15,10 @@
 	"beechgrade/internal/cluster"
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/simulation"
 )
 
 // fleetOf is the poolers as peers: relays between each two of them, and the checker of what they say of each other.
@@ -59,7 +59,7 @@
 	if err := os.WriteFile(f.file, f.key, 0o600); err != nil {
 		return err
 	}
-	bounds := emulate.Bounds(s, max(1, s.Poolers/2))
+	bounds := simulation.Bounds(s, max(1, s.Poolers/2))
 	late := sockDelay + askedMs + lookOverMs // what a busy machine and asking may add
 	detect := bounds.Detect
 	bounds.Detect = func(f int) float64 { return detect(f) + float64(late) }
@@ -250,11 +250,11 @@
 
 // Fleet is what came of the poolers as peers.
 type Fleet struct {
-	Views   emulate.Views `json:"views"`
-	Carried uint64        `json:"datagrams_carried"`
-	Lost    uint64        `json:"datagrams_lost_on_purpose"`
-	Looks   int           `json:"poolers_asked"`
-	Uses    []checker.Use `json:"limits,omitempty"`
+	Views   simulation.Views `json:"views"`
+	Carried uint64           `json:"datagrams_carried"`
+	Lost    uint64           `json:"datagrams_lost_on_purpose"`
+	Looks   int              `json:"poolers_asked"`
+	Uses    []checker.Use    `json:"limits,omitempty"`
 
 	Avoided map[string]int `json:"avoided_by_poolers,omitempty"` // by server: how many poolers said, when they were asked, that they avoid it by others' word
 }
@@ -263,7 +263,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.check.Verdict(v)
-	out := &Fleet{Looks: f.calls, Views: emulate.Views{Detected: f.check.Detected, Settled: f.check.Settled, Accused: f.check.Accused, Wrong: f.check.Wrong}}
+	out := &Fleet{Looks: f.calls, Views: simulation.Views{Detected: f.check.Detected, Settled: f.check.Settled, Accused: f.check.Accused, Wrong: f.check.Wrong}}
 	out.Carried, out.Lost = f.relays.Counts()
 	for server, by := range f.avoid { // each on its own
 		if out.Avoided == nil {
--- a/internal/kit/rehearse/wires.go
+++ b/internal/kit/rehearse/wires.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/emulate"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/world"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/simulation"
 )
 
 // wires tells the checker of the rules what crosses the wires: clients' requests and answers, and what comes to the
@@ -69,7 +69,7 @@
 const answerMs = 500
 
 func rules(s *scenario.Script) checker.Config {
-	c := emulate.Rules(s)
+	c := simulation.Rules(s)
 	if c.CountMs = countMs; c.Overload != nil {
 		c.Overload.Slack, c.Overload.Loose = c.Overload.Probes, loosePart // a word that comes later than Patience has its asker probe
 	}
--- a/internal/kit/emulate/limits_test.go
+++ b/internal/testkit/simulation/limits_test.go
@@ -1,4 +1,4 @@
-package emulate
+package simulation
 
 import (
 	"context"
--- a/internal/kit/emulate/sched.go
+++ b/internal/testkit/simulation/sched.go
@@ -1,6 +1,6 @@
-// Package emulate plays a scenario in virtual time: many poolers, each the daemon's own core with its decision module,
+// Package simulation plays a scenario in virtual time: many poolers, each the daemon's own core with its decision module,
 // before the world's model, on one thread and the same to the bit for the same seed.
-package emulate
+package simulation
 
 import (
 	"math"
