--- a/internal/kit/explore/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/kit/explore/explore.go
+++ b/internal/testkit/modelcheck/explore.go
@@ -1,6 +1,6 @@
-// Package explore goes through all that can happen to a small system of pure decision modules, breadth first: every order of the
+// Package modelcheck goes through all that can happen to a small system of pure decision modules, breadth first: every order of the
 // moves that there are, with states that were seen before gone through once. It holds each state, and each step, to what must be so.
-package explore
+package modelcheck
 
 import "github.com/cespare/xxhash/v2"
 
