--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 const keptScript = `(rehearsal "kept" (poolers 1) (groups 3) (sessions 4) (rate 10) (cold 1s) (list 20ms 30ms) (class "relatorio-mes" (aim 2s) (deadline 3s) (work 1ms 1ms)))`
@@ -67,7 +67,7 @@
 
 	// Discovery answers nobody; the file ends too soon.
 	gone := func(on bool) {
-		if err := a.fleet.Act(func(w *world.World) error { w.ListGone(on); return nil }); err != nil {
+		if err := a.fleet.Act(func(w *model.World) error { w.ListGone(on); return nil }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/beechgrade-kit/sessions_test.go
+++ b/cmd/beechgrade-kit/sessions_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 const sessionsScript = `(rehearsal "sessions" (poolers 1) (groups 3) (sessions 4) (rate 10) (cold 1s) (list 20ms 30ms)
@@ -34,7 +34,7 @@
 	family := a.told["settings"].(map[string]any)["family_info"].(map[string]any)
 	family["tokens"] = "kept"
 	a.configure()
-	if err := a.fleet.Act(func(w *world.World) error {
+	if err := a.fleet.Act(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.Lag(s.Name, 60); err != nil {
 				return err
--- a/cmd/beechgrade-kit/sessions_upgrade_test.go
+++ b/cmd/beechgrade-kit/sessions_upgrade_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // process is one of a daemon's processes on a socket that the test holds.
@@ -87,7 +87,7 @@
 	a := newAlone(t, sessionsScript)
 	a.told["settings"].(map[string]any)["family_info"].(map[string]any)["tokens"] = "kept"
 	a.configure()
-	if err := a.fleet.Act(func(w *world.World) error {
+	if err := a.fleet.Act(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.Lag(s.Name, lag); err != nil {
 				return err
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -22,9 +22,9 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/standin/agent"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/model"
 )
 
 // membersWorld is a pooler that takes its list from stand-ins for Consul's agents.
@@ -350,11 +350,11 @@
 		}
 	}
 	until("a write is served", write)
-	if err := f.Act(func(w *world.World) error { return w.Hang(first) }); err != nil {
+	if err := f.Act(func(w *model.World) error { return w.Hang(first) }); err != nil {
 		t.Fatal(err)
 	}
 	until("another took over", func() bool { p := f.Primary(0); return p != "" && p != first })
-	if err := f.Act(func(w *world.World) error { return w.Unhang(first) }); err != nil {
+	if err := f.Act(func(w *model.World) error { return w.Unhang(first) }); err != nil {
 		t.Fatal(err)
 	}
 	for range 5 {
--- a/internal/kit/fleet/dead_test.go
+++ b/internal/kit/fleet/dead_test.go
@@ -16,8 +16,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/testkit/model"
 )
 
 // ordinary is a client of one server that speaks the whole protocol.
@@ -195,7 +195,7 @@
 					f.mu.Unlock()
 				}
 			}
-			if err := f.Act(func(w *world.World) error { return w.Restart(s.Name) }); err != nil {
+			if err := f.Act(func(w *model.World) error { return w.Restart(s.Name) }); err != nil {
 				t.Fatal(err)
 			}
 			dead.Store(true)
--- a/internal/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -14,21 +14,21 @@
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/standin/agent"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // What the model calls its parts.
 type (
-	Config = world.Config
-	Range  = world.Range
-	Fact   = world.Fact
+	Config = model.Config
+	Range  = model.Range
+	Fact   = model.Fact
 )
 
 // Defaults are those of the site's brief, for so many members in each group.
-func Defaults(groups ...int) Config { return world.Defaults(groups...) }
+func Defaults(groups ...int) Config { return model.Defaults(groups...) }
 
 // ErrServer says that there is no such server.
-var ErrServer = world.ErrServer
+var ErrServer = model.ErrServer
 
 // Watcher is told of what crosses the stand-ins' wires, under the fleet's lock.
 type Watcher interface {
@@ -36,7 +36,7 @@
 	Turned(id string, no int, how string, at float64)              // it was turned away untouched
 	Took(server int, started float64, id string, work, at float64) // it was taken in
 	Over(server int, id string, at float64)                        // it was taken in, and the server has nothing more to do with it
-	Ran(server int, j *world.Job, value []byte, r world.Run)       // it ran, and made this value
+	Ran(server int, j *model.Job, value []byte, r model.Run)       // it ran, and made this value
 	Probed(server int, at float64)                                 // it was asked how it is
 	Listed(server int, state string, at float64)                   // all that watch have been told this of a server
 }
@@ -48,7 +48,7 @@
 	log *slog.Logger
 
 	mu      sync.Mutex // the model's too
-	world   *world.World
+	world   *model.World
 	servers []*server
 	timers  map[*time.Timer]bool
 	closed  bool
@@ -71,7 +71,7 @@
 
 // server is the sockets of one of the model's servers.
 type server struct {
-	*world.Server
+	*model.Server
 	f         *Fleet
 	addr      string
 	listener  net.Listener
@@ -83,7 +83,7 @@
 // New makes a fleet; Start has it listen.
 func New(cfg Config, clk clock.Clock, log *slog.Logger) *Fleet {
 	f := &Fleet{cfg: cfg, clk: clk, log: log, timers: map[*time.Timer]bool{}, fulls: map[uint32]*full{}, watch: Watch{ByText: map[string]int{}}}
-	f.world = world.New(cfg, f, f)
+	f.world = model.New(cfg, f, f)
 	for _, s := range f.world.Servers {
 		f.servers = append(f.servers, &server{Server: s, f: f, conns: map[*conn]bool{}})
 	}
@@ -147,7 +147,7 @@
 func (f *Fleet) Now() float64 { return f.clk.Now() }
 
 // After is world.Clock's: the event comes under the fleet's lock. The lock is held.
-func (f *Fleet) After(ms float64, e world.Event, arg uint64) {
+func (f *Fleet) After(ms float64, e model.Event, arg uint64) {
 	var t *time.Timer
 	t = time.AfterFunc(time.Duration(ms*float64(time.Millisecond)), func() {
 		f.mu.Lock()
@@ -163,7 +163,7 @@
 // Down is world.Watcher's: the server's connections break, and what was worked on there ends. The lock is held, so nobody hears of the
 // death before all of them are reset: what is sent from then on can't be answered. They are reset beside each other, since each Close
 // waits until who reads or writes there has let go, which takes no lock.
-func (f *Fleet) Down(s *world.Server) {
+func (f *Fleet) Down(s *model.Server) {
 	x := f.servers[s.No]
 	var resets sync.WaitGroup
 	for c := range x.conns {
@@ -184,7 +184,7 @@
 func (f *Fleet) Said(x Fact) { f.log.Info("fleet", "server", x.Server, "what", x.What) }
 
 // Listed is world.Watcher's.
-func (f *Fleet) Listed(e *world.Entry, at float64) {
+func (f *Fleet) Listed(e *model.Entry, at float64) {
 	s := f.servers[e.Server.No]
 	// That a drain is over counts as soon as the list has it: whoever comes back to a list that nobody could be told of is told.
 	heard := !f.world.List.Gone && len(f.dir.watchers) > 0 && !f.doors.holding()
@@ -208,7 +208,7 @@
 func (f *Fleet) Registered() { f.register() }
 
 // Executed is world.Watcher's.
-func (f *Fleet) Executed(s *world.Server, j *world.Job, r world.Run) {
+func (f *Fleet) Executed(s *model.Server, j *model.Job, r model.Run) {
 	if f.watcher != nil {
 		value := j.Value
 		if !j.Writes {
@@ -284,7 +284,7 @@
 }
 
 // Act has something befall the model, under the fleet's lock.
-func (f *Fleet) Act(do func(w *world.World) error) error {
+func (f *Fleet) Act(do func(w *model.World) error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return do(f.world)
@@ -292,30 +292,30 @@
 
 // Kill ends a server's process: its connections are reset, new ones too.
 func (f *Fleet) Kill(name string) error {
-	return f.Act(func(w *world.World) error { return w.Kill(name) })
+	return f.Act(func(w *model.World) error { return w.Kill(name) })
 }
 
 // Revive starts a dead server again: cold, and from where it stood.
 func (f *Fleet) Revive(name string) error {
-	return f.Act(func(w *world.World) error { return w.Revive(name) })
+	return f.Act(func(w *model.World) error { return w.Revive(name) })
 }
 
 // Lag has a replica's apply thread take so many times as long.
 func (f *Fleet) Lag(name string, times float64) error {
-	return f.Act(func(w *world.World) error { return w.Lag(name, times) })
+	return f.Act(func(w *model.World) error { return w.Lag(name, times) })
 }
 
 // Drain has a server finish what it has and want nothing new; a primary hands over.
 func (f *Fleet) Drain(name string) error {
-	return f.Act(func(w *world.World) error { return w.Drain(name) })
+	return f.Act(func(w *model.World) error { return w.Drain(name) })
 }
 
 // Undrain is Drain's end.
 func (f *Fleet) Undrain(name string) error {
-	return f.Act(func(w *world.World) error { return w.Undrain(name) })
+	return f.Act(func(w *model.World) error { return w.Undrain(name) })
 }
 
 // ListLate has the list run later by so many milliseconds.
 func (f *Fleet) ListLate(ms float64) {
-	_ = f.Act(func(w *world.World) error { w.ListLate(ms); return nil })
+	_ = f.Act(func(w *model.World) error { w.ListLate(ms); return nil })
 }
--- a/internal/kit/fleet/house.go
+++ b/internal/kit/fleet/house.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // maxQuery bounds a query's body.
@@ -107,11 +107,11 @@
 		return nil, false
 	}
 	switch x.Verdict {
-	case world.Fallen:
+	case model.Fallen:
 		return nil, false
-	case world.Drains, world.QueueFull:
+	case model.Drains, model.QueueFull:
 		return response(500, "202", "Code: 202. DB::Exception: Too many simultaneous queries."), true
-	case world.NotPrimary, world.HandedOver:
+	case model.NotPrimary, model.HandedOver:
 		return response(500, "242", "Code: 242. DB::Exception: Table is in readonly mode."), true
 	}
 	return response(200, "", string(x.Value)), true
--- a/internal/kit/fleet/listed_test.go
+++ b/internal/kit/fleet/listed_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // told notes what its fleet says the watchers of the list were told.
@@ -20,7 +20,7 @@
 func (told) Turned(string, int, string, float64)         {}
 func (told) Took(int, float64, string, float64, float64) {}
 func (told) Over(int, string, float64)                   {}
-func (told) Ran(int, *world.Job, []byte, world.Run)      {}
+func (told) Ran(int, *model.Job, []byte, model.Run)      {}
 func (c told) Listed(_ int, state string, _ float64)     { c <- state }
 
 // TestDrainOverWhileTheListIsGone: a drain that ends while nobody can be told is over for whoever asks when the list is back, so
@@ -40,9 +40,9 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	act := func(do func(w *world.World, name string) error) {
+	act := func(do func(w *model.World, name string) error) {
 		t.Helper()
-		if err := f.Act(func(w *world.World) error { return do(w, "s-0-1") }); err != nil {
+		if err := f.Act(func(w *model.World) error { return do(w, "s-0-1") }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -57,14 +57,14 @@
 			t.Fatalf("not told %q", want)
 		}
 	}
-	act((*world.World).Drain)
+	act((*model.World).Drain)
 	next("draining")
 	if line, err := bufio.NewReader(res.Body).ReadString('\n'); err != nil || !strings.Contains(line, `"draining"`) {
 		t.Fatalf("the watch says %q, %v", line, err)
 	}
-	gone := func(on bool) { _ = f.Act(func(w *world.World) error { w.ListGone(on); return nil }) }
+	gone := func(on bool) { _ = f.Act(func(w *model.World) error { w.ListGone(on); return nil }) }
 	gone(true)
-	act((*world.World).Undrain)
+	act((*model.World).Undrain)
 	next("up")
 	gone(false)
 }
--- a/internal/kit/fleet/server.go
+++ b/internal/kit/fleet/server.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/testkit/model"
 )
 
 const (
@@ -235,13 +235,13 @@
 }
 
 // turned are the verdicts that leave a request untouched.
-var turned = map[world.Verdict]string{world.NotPrimary: "missed", world.Drains: "turned away", world.QueueFull: "turned away"}
+var turned = map[model.Verdict]string{model.NotPrimary: "missed", model.Drains: "turned away", model.QueueFull: "turned away"}
 
 // reply waits for a job's answer; it is world.Owner.
-type reply chan world.Reply
+type reply chan model.Reply
 
 // Answered is world.Owner's.
-func (r reply) Answered(_ *world.Job, x world.Reply) { r <- x }
+func (r reply) Answered(_ *model.Job, x model.Reply) { r <- x }
 
 // work is what a server is asked, in no protocol's form.
 type work struct {
@@ -253,10 +253,10 @@
 
 // work has the model work on what a client asks. There is no answer where the server dies, hangs or loses it, or the client
 // goes.
-func (c *conn) work(st *work) (x world.Reply, ok bool) {
+func (c *conn) work(st *work) (x model.Reply, ok bool) {
 	s, f := c.s, c.s.f
 	answer := make(reply, 1)
-	j := &world.Job{ID: st.id, Writes: st.writes, Key: st.key, Value: st.value, Owner: answer, Idem: st.idem, KeyMs: f.cfg.Keys[st.class]}
+	j := &model.Job{ID: st.id, Writes: st.writes, Key: st.key, Value: st.value, Owner: answer, Idem: st.idem, KeyMs: f.cfg.Keys[st.class]}
 	if j.KeyMs == 0 {
 		j.Idem = ""
 	}
@@ -311,15 +311,15 @@
 		return nil, false
 	}
 	switch x.Verdict {
-	case world.Fallen:
+	case model.Fallen:
 		return nil, false
-	case world.NotPrimary:
+	case model.NotPrimary:
 		return s.told(pgwire.AppendError(nil, "ERROR", "25006", "this is no primary", ""), x), true
-	case world.Drains:
+	case model.Drains:
 		return s.told(pgwire.AppendError(nil, "ERROR", "53300", "draining", ""), x), true
-	case world.QueueFull:
+	case model.QueueFull:
 		return s.told(pgwire.AppendError(nil, "ERROR", "53300", "queue full", ""), x), true
-	case world.HandedOver:
+	case model.HandedOver:
 		return s.told(pgwire.AppendError(nil, "ERROR", "XX000", "handed over", ""), x), true
 	}
 	tag := "SELECT 1"
@@ -330,7 +330,7 @@
 }
 
 // told ends an answer with the server's role and position, and ReadyForQuery.
-func (s *server) told(b []byte, x world.Reply) []byte {
+func (s *server) told(b []byte, x model.Reply) []byte {
 	role := "replica"
 	if x.Primary {
 		role = "primary"
--- a/internal/kit/rehearse/consul.go
+++ b/internal/kit/rehearse/consul.go
@@ -8,7 +8,7 @@
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/standin/agent"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // startAgents starts stand-ins for Consul's agents, before a catalogue in which the fleet is registered, and has the poolers
@@ -40,9 +40,9 @@
 func (r *Run) lie(f scenario.Fault, on bool) {
 	switch f.What {
 	case "deregister-all":
-		_ = r.fleet.Act(func(w *world.World) error { w.Empty(on); return nil })
+		_ = r.fleet.Act(func(w *model.World) error { w.Empty(on); return nil })
 	case "wrong-roles":
-		_ = r.fleet.Act(func(w *world.World) error { w.Swap(on); return nil })
+		_ = r.fleet.Act(func(w *model.World) error { w.Swap(on); return nil })
 	default:
 		l := agent.Lie{}
 		if on {
--- a/internal/kit/rehearse/strike.go
+++ b/internal/kit/rehearse/strike.go
@@ -6,7 +6,7 @@
 
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/standin/agent"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // strike carries a fault out at its time, and ends it.
@@ -103,14 +103,14 @@
 	for _, a := range r.agents {
 		a.Tell(agent.Lie{Status: map[bool]int{true: 500}[gone]})
 	}
-	_ = r.fleet.Act(func(w *world.World) error { w.ListGone(gone); return nil })
+	_ = r.fleet.Act(func(w *model.World) error { w.ListGone(gone); return nil })
 }
 
 // acts are what a fault does to a server, and what ends it.
 func (r *Run) acts(f scenario.Fault) (begin, end func(string) error) {
-	on := func(do func(w *world.World, name string) error) func(string) error {
+	on := func(do func(w *model.World, name string) error) func(string) error {
 		return func(name string) error {
-			return r.fleet.Act(func(w *world.World) error { return do(w, name) })
+			return r.fleet.Act(func(w *model.World) error { return do(w, name) })
 		}
 	}
 	b, e := f.Acts()
@@ -118,7 +118,7 @@
 }
 
 func (r *Run) targets(t scenario.Target) (names []string) {
-	_ = r.fleet.Act(func(w *world.World) error {
+	_ = r.fleet.Act(func(w *model.World) error {
 		for _, s := range t.Of(w) {
 			names = append(names, s.Name)
 		}
--- a/internal/kit/rehearse/ways.go
+++ b/internal/kit/rehearse/ways.go
@@ -2,13 +2,13 @@
 
 import (
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // ways has a fault of the ways from poolers to servers, or of the list's to poolers, strike or end.
 func (r *Run) ways(f scenario.Fault) func(on bool) {
 	var servers []int
-	_ = r.fleet.Act(func(w *world.World) error {
+	_ = r.fleet.Act(func(w *model.World) error {
 		all := f.Target.Of(w)
 		for _, s := range all {
 			servers = append(servers, s.No)
--- a/internal/kit/rehearse/wires.go
+++ b/internal/kit/rehearse/wires.go
@@ -10,8 +10,8 @@
 
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/model"
 	"beechgrade/internal/testkit/simulation"
 )
 
@@ -185,7 +185,7 @@
 }
 
 // Ran is fleet.Watcher's.
-func (w *wires) Ran(server int, j *world.Job, value []byte, r world.Run) {
+func (w *wires) Ran(server int, j *model.Job, value []byte, r model.Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r.Dropped {
--- a/internal/kit/scenario/journal.go
+++ b/internal/kit/scenario/journal.go
@@ -1,15 +1,15 @@
 package scenario
 
 import (
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/sexp"
 	"beechgrade/internal/storage/journal"
+	"beechgrade/internal/testkit/model"
 )
 
 // Journal is what each pooler keeps, in virtual time, of attempts that may have run.
 type Journal struct {
 	Mode journal.Mode
-	Disk world.Range // ms that a write and its sync take; what comes meanwhile goes out together in the next
+	Disk model.Range // ms that a write and its sync take; what comes meanwhile goes out together in the next
 }
 
 // journal reads (journal off), (journal before ...) or (journal alongside ...), with (disk LEAST MOST) behind it.
@@ -18,7 +18,7 @@
 	if len(a) == 0 {
 		return n.Errorf("(journal ...) takes off, before or alongside")
 	}
-	j := &Journal{Disk: world.Range{0.1, 2}}
+	j := &Journal{Disk: model.Range{0.1, 2}}
 	switch a[0].Text {
 	case "off":
 		s.Journal = nil
--- a/internal/kit/scenario/overload.go
+++ b/internal/kit/scenario/overload.go
@@ -6,10 +6,10 @@
 
 	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/cluster/overload/retrybudget"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/model"
 )
 
 // Overload is how the fleet handles overload as one.
@@ -67,7 +67,7 @@
 }
 
 // AtProber is the fault as it strikes then.
-func (f *Fault) AtProber(prober func(server string) int, servers []*world.Server) *Fault {
+func (f *Fault) AtProber(prober func(server string) int, servers []*model.Server) *Fault {
 	if !f.OfProber() || len(servers) == 0 {
 		return f
 	}
--- a/internal/kit/scenario/scenario.go
+++ b/internal/kit/scenario/scenario.go
@@ -9,9 +9,9 @@
 	"slices"
 
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/model"
 )
 
 // Bounds of a script: a rehearsal ends by itself.
@@ -66,7 +66,7 @@
 type Script struct {
 	Name    string
 	Poolers int
-	Fleet   world.Config
+	Fleet   model.Config
 	Clients clients.Config
 	Pack    bool
 	Queue   int // events that may wait for the records' writer, 0 for the default
@@ -74,8 +74,8 @@
 	Chaos   Chaos // faults that are drawn from the seed
 
 	// The network and what connections cost, in virtual time.
-	Way        world.Range // one way, between any two machines
-	Handshake  world.Range // of a new connection to a server, beside the way there and back
+	Way        model.Range // one way, between any two machines
+	Handshake  model.Range // of a new connection to a server, beside the way there and back
 	ProbeCost  float64     // ms of a server's core for each probe
 	ProbePrice float64     // poolers are told that a probe costs this part of a request's worth
 	Forgets    float64     // what lies between forgets a connection that rested for so long, without a word; 0 for never
@@ -98,9 +98,9 @@
 
 	Pushed     bool        // the list comes by an agent's push, unasked
 	Sites      []string    // servers and poolers stand in them in turn
-	Cross      world.Range // one way between two sites
+	Cross      model.Range // one way between two sites
 	Regions    []int       // of the sites, by number; nil for one
-	Far        world.Range // one way between two regions
+	Far        model.Range // one way between two regions
 	Near       bool        // a client's front tries the poolers of its own site first
 	CrossPrice float64     // of an attempt that crosses, as a part of its worth
 
@@ -113,7 +113,7 @@
 	defaultProbePrice = 0.018
 )
 
-var defaultWay, defaultHandshake = world.Range{0.05, 0.3}, world.Range{0.5, 2}
+var defaultWay, defaultHandshake = model.Range{0.05, 0.3}, model.Range{0.5, 2}
 
 // Load reads a script.
 func Load(path string) (*Script, error) {
@@ -142,7 +142,7 @@
 	if len(args) == 0 || args[0].Kind != sexp.String || args[0].Text == "" {
 		return nil, n.Errorf("a rehearsal's name in double quotes is due first")
 	}
-	s := &Script{Name: args[0].Text, Poolers: 1, IdleMs: defaultIdle, ProbePrice: defaultProbePrice, Way: defaultWay, Handshake: defaultHandshake, Fleet: world.Defaults(3), Clients: clients.Defaults()}
+	s := &Script{Name: args[0].Text, Poolers: 1, IdleMs: defaultIdle, ProbePrice: defaultProbePrice, Way: defaultWay, Handshake: defaultHandshake, Fleet: model.Defaults(3), Clients: clients.Defaults()}
 	s.Clients.Rate, s.Clients.Seconds, s.source = 100, 20, n
 	if err := s.form().Read(args[1:], "at", "class", "tenant"); err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 	if s.Clients.House && len(s.Fleet.Groups) != 1 {
 		return nil, n.Errorf("(clickhouse) takes one group, of peers; here are %d", len(s.Fleet.Groups))
 	}
-	s.Fleet.Work = map[string]world.Range{}
+	s.Fleet.Work = map[string]model.Range{}
 	s.Fleet.Keys = map[string]float64{}
 	for _, c := range s.Clients.Classes {
 		s.Fleet.Work[c.Name], s.Fleet.Keys[c.Name] = c.Work, c.KeyMs
@@ -194,7 +194,7 @@
 	span := func(to *float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Millis(0, maxSeconds*1000); return err }
 	}
-	both := func(to *world.Range) func(*sexp.Node) error {
+	both := func(to *model.Range) func(*sexp.Node) error {
 		return func(n *sexp.Node) error { return spans(n, (*[2]float64)(to)) }
 	}
 	return sexp.Form{
--- a/internal/kit/scenario/text.go
+++ b/internal/kit/scenario/text.go
@@ -8,8 +8,8 @@
 
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/links"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/model"
 )
 
 // asRead are forms that are written as they were read: their settings are no matter of a smaller scenario.
@@ -18,7 +18,7 @@
 // Text writes a script down, so that it can be read again. Only what differs from the defaults is said. What comes again and again is written out.
 func (s *Script) Text() string {
 	var b strings.Builder
-	f, c, was, wc := &s.Fleet, &s.Clients, world.Defaults(3), clients.Defaults()
+	f, c, was, wc := &s.Fleet, &s.Clients, model.Defaults(3), clients.Defaults()
 	fmt.Fprintf(&b, "(rehearsal %s\n  (seconds %s) (poolers %d) (rate %s)\n  ", quote(s.Name), num(c.Seconds), s.Poolers, num(c.Rate))
 	if same := len(f.Groups) > 4 && !slices.ContainsFunc(f.Groups, func(n int) bool { return n != f.Groups[0] }); same {
 		fmt.Fprintf(&b, "(groups-of %d %d)", len(f.Groups), f.Groups[0])
--- a/internal/kit/scenario/topology.go
+++ b/internal/kit/scenario/topology.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/model"
 )
 
 // sites reads (sites NAME NAME ...).
@@ -52,7 +52,7 @@
 }
 
 // Between is the way between two sites.
-func (s *Script) Between(a, b int) world.Range {
+func (s *Script) Between(a, b int) model.Range {
 	if a == b {
 		return s.Way
 	}
--- a/internal/kit/world/world.go
+++ b/internal/testkit/model/world.go
@@ -1,7 +1,7 @@
-// Package world is the model of database servers and what befalls them: groups of one primary and its replicas with a
+// Package model is the model of database servers and what befalls them: groups of one primary and its replicas with a
 // log that is shipped and applied, takeovers, cold starts, crowds, faults, and a list of servers that lags. It does no
 // I/O and has no clock and no goroutines: the emulator drives it in virtual time, the stand-in servers in real time.
-package world
+package model
 
 import (
 	"errors"
--- a/internal/kit/world/world_test.go
+++ b/internal/testkit/model/world_test.go
@@ -1,4 +1,4 @@
-package world
+package model
 
 import (
 	"testing"
--- a/internal/testkit/simulation/again.go
+++ b/internal/testkit/simulation/again.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // Again counts what poolers do twice, as the servers see it, and how they come back to one that returns.
@@ -33,7 +33,7 @@
 }
 
 // first counts an attempt that is sent, if it is its request's first.
-func (x *agains) first(v *visit, s *world.Server) {
+func (x *agains) first(v *visit, s *model.Server) {
 	if !v.sentOnce {
 		v.sentOnce = true
 		x.firsts[s.Group.ID]++
@@ -41,7 +41,7 @@
 }
 
 // took counts one that a server takes.
-func (x *agains) took(v *visit, s *world.Server) {
+func (x *agains) took(v *visit, s *model.Server) {
 	if v.taken > 0 {
 		x.taken[s.Group.ID]++
 	}
@@ -49,14 +49,14 @@
 }
 
 // full takes one back that found no place there.
-func (x *agains) full(v *visit, s *world.Server) {
+func (x *agains) full(v *visit, s *model.Server) {
 	if v.taken--; v.taken > 0 {
 		x.taken[s.Group.ID]--
 	}
 }
 
 // opens counts a connection that is opened.
-func (x *agains) opens(now float64, s *world.Server) {
+func (x *agains) opens(now float64, s *model.Server) {
 	if s.Started > 0 && now-s.Started <= returnedMs {
 		x.opened[opening{s.No, int(now / binMs)}]++
 	}
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -8,12 +8,12 @@
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // attempt is a request's attempt, or a probe where query is nil. It is the model's job while it is at the server.
 type attempt struct {
-	job   world.Job
+	job   model.Job
 	p     *pooler
 	life  uint32
 	ref   slotmap.Ref
@@ -29,7 +29,7 @@
 	at    float64 // sent then, on a connection that had rested so long
 	rest  float64
 	asOf  float64 // a server tells its lag as of then
-	reply world.Reply
+	reply model.Reply
 	held  bool    // it has a connection, and waits until all of its page have one
 	rows  *rowsOf // of a page's shard, nil where it is none
 	backend.Terms
@@ -199,9 +199,9 @@
 		}
 		r := s.Report(e.s.now)
 		if e.script.Clients.House {
-			r, a.asOf = world.Report{Position: s.Position(e.s.now)}, e.s.now
+			r, a.asOf = model.Report{Position: s.Position(e.s.now)}, e.s.now
 		}
-		a.reply = world.Reply{Position: r.Position, Primary: r.Primary}
+		a.reply = model.Reply{Position: r.Position, Primary: r.Primary}
 		if ms := e.carried(a.p, s, true); ms >= 0 {
 			e.s.After(e.script.ProbeCost+ms, a, atProbed)
 		}
@@ -221,11 +221,11 @@
 }
 
 // Answered is world.Owner's.
-func (a *attempt) Answered(_ *world.Job, r world.Reply) {
-	if r.Verdict == world.Fallen {
+func (a *attempt) Answered(_ *model.Job, r model.Reply) {
+	if r.Verdict == model.Fallen {
 		return // its connection breaks
 	}
-	if r.Verdict == world.QueueFull {
+	if r.Verdict == model.QueueFull {
 		a.p.e.agains.full(a.v, a.st.s)
 	}
 	a.p.e.spends.worked(a)
@@ -240,8 +240,8 @@
 	}
 }
 
-var results = map[world.Verdict]decide.Result{world.Served: decide.OK, world.NotPrimary: decide.Missed, world.Drains: decide.Full,
-	world.QueueFull: decide.Full, world.HandedOver: decide.Failed}
+var results = map[model.Verdict]decide.Result{model.Served: decide.OK, model.NotPrimary: decide.Missed, model.Drains: decide.Full,
+	model.QueueFull: decide.Full, model.HandedOver: decide.Failed}
 
 func (a *attempt) atPooler(what uint64) {
 	if a.ended || a.p.life != a.life {
--- a/internal/testkit/simulation/bench_test.go
+++ b/internal/testkit/simulation/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // BenchmarkWorld is the world's own pace: servers that take, work and answer, without poolers.
@@ -16,9 +16,9 @@
 	for i := range groups {
 		groups[i] = 4
 	}
-	cfg := world.Defaults(groups...)
+	cfg := model.Defaults(groups...)
 	cfg.Cores = 64
-	e.world = world.New(cfg, &e.s, quiet{})
+	e.world = model.New(cfg, &e.s, quiet{})
 	const open = 20000
 	asks := make([]owner, open)
 	for i := range asks {
@@ -38,25 +38,25 @@
 // owner asks a server again and again.
 type owner struct {
 	e   *Emulation
-	s   *world.Server
-	job world.Job
+	s   *model.Server
+	job model.Job
 }
 
 func (o *owner) Fire(uint64) {
-	o.job = world.Job{Key: "k", Work: 40, Owner: o}
+	o.job = model.Job{Key: "k", Work: 40, Owner: o}
 	o.s.Take(&o.job)
 }
 
-func (o *owner) Answered(*world.Job, world.Reply) { o.e.s.After(1, o, 0) }
+func (o *owner) Answered(*model.Job, model.Reply) { o.e.s.After(1, o, 0) }
 
 type quiet struct{}
 
-func (quiet) Down(*world.Server)                            {}
-func (quiet) Said(world.Fact)                               {}
-func (quiet) Listed(*world.Entry, float64)                  {}
+func (quiet) Down(*model.Server)                            {}
+func (quiet) Said(model.Fact)                               {}
+func (quiet) Listed(*model.Entry, float64)                  {}
 func (quiet) ListDown(bool)                                 {}
 func (quiet) Registered()                                   {}
-func (quiet) Executed(*world.Server, *world.Job, world.Run) {}
+func (quiet) Executed(*model.Server, *model.Job, model.Run) {}
 
 func benchScenario(b *testing.B, text string) {
 	s, err := scenario.Parse("bench", []byte(text))
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -4,13 +4,13 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // store is a pooler's connections to one server.
 type store struct {
 	p       *pooler
-	s       *world.Server
+	s       *model.Server
 	listed  bool
 	idle    []float64 // connections, each by when it came free; the one used last at the end
 	conns   int       // all of them, those coming up included
--- a/internal/testkit/simulation/conns_test.go
+++ b/internal/testkit/simulation/conns_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"beechgrade/internal/cluster/module"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/model"
 )
 
 // TestBrokenConnectionsAreNotCounted: servers die while attempts are out there, some of which are given up, by clients, the module or a page, before the pooler
@@ -46,7 +46,7 @@
 					}
 				}
 			}
-			e.s.After(1, world.Func(look), 0)
+			e.s.After(1, model.Func(look), 0)
 		}
 		look()
 		return nil
--- a/internal/testkit/simulation/disk.go
+++ b/internal/testkit/simulation/disk.go
@@ -7,16 +7,16 @@
 
 	"beechgrade/internal/core"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/storage/journal"
 	durable "beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/model"
 )
 
 // disk is a pooler's, with the durable store's promise: what was told as kept is there after a kill; of what was being written, all or
 // nothing is. One write is under way at a time, and what comes meanwhile goes out together in the next.
 type disk struct {
 	p      *pooler
-	took   world.Range
+	took   model.Range
 	kept   map[string][]byte
 	out    []appended // under way
 	queue  []appended
@@ -40,7 +40,7 @@
 	d.out, d.queue = d.queue, nil
 	d.writes++
 	p, life := d.p, d.p.life
-	p.e.s.at(p.e.s.now+p.e.draw(d.took), world.Func(func() {
+	p.e.s.at(p.e.s.now+p.e.draw(d.took), model.Func(func() {
 		p.whenRunning(life, func() {
 			out := d.out
 			d.out = nil
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -16,9 +16,9 @@
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/model"
 )
 
 // Options say how a scenario is played.
@@ -57,7 +57,7 @@
 	Hash     string            `json:"hash"` // of every event, in order
 	Score    *score.Score      `json:"score"`
 	Verdict  *checker.Verdict  `json:"rules"`
-	Facts    []world.Fact      `json:"facts,omitempty"`
+	Facts    []model.Fact      `json:"facts,omitempty"`
 
 	Events    uint64             `json:"events"`
 	Asked     uint64             `json:"asked"`
@@ -92,7 +92,7 @@
 	script   *scenario.Script
 	opt      Options
 	s        sched
-	world    *world.World
+	world    *model.World
 	rng      *rand.Rand // of the network and the clients, apart from the model's
 	poolers  []*pooler
 	black    *checker.Blackouts // nil where poolers are no peers
@@ -153,7 +153,7 @@
 	e.s.now = startMs
 	cfg := s.Fleet
 	cfg.Seed = opt.Seed
-	e.world = world.New(cfg, &e.s, e)
+	e.world = model.New(cfg, &e.s, e)
 	if opt.Mutant != nil && opt.Mutant.World != nil {
 		opt.Mutant.World(e.world)
 	}
@@ -192,7 +192,7 @@
 	}
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		e.s.at(startMs+f.At, world.Func(func() { e.strike(f) }), 0)
+		e.s.at(startMs+f.At, model.Func(func() { e.strike(f) }), 0)
 	}
 	e.s.at(startMs, drawer{e}, 0)
 	end := startMs + c.Seconds*1000
@@ -263,7 +263,7 @@
 func (e *Emulation) way() float64 { return e.draw(e.script.Way) }
 
 // wayTo is how long one takes between a pooler and a server, which may stand in different sites.
-func (e *Emulation) wayTo(p *pooler, s *world.Server) float64 {
+func (e *Emulation) wayTo(p *pooler, s *model.Server) float64 {
 	if n := len(e.script.Sites); n > 0 {
 		return e.draw(e.script.Between(p.no%n, s.SiteNo()))
 	}
@@ -271,7 +271,7 @@
 }
 
 // apart tells whether nothing goes between a pooler and a server, one way at least.
-func (e *Emulation) apart(p *pooler, s *world.Server) bool {
+func (e *Emulation) apart(p *pooler, s *model.Server) bool {
 	if e.routes == nil {
 		return false
 	}
@@ -280,7 +280,7 @@
 }
 
 // carried is how long a message takes between a pooler and a server, or back; below 0 where it is lost.
-func (e *Emulation) carried(p *pooler, s *world.Server, back bool) float64 {
+func (e *Emulation) carried(p *pooler, s *model.Server, back bool) float64 {
 	ms := e.wayTo(p, s)
 	if e.routes == nil {
 		return ms
@@ -299,10 +299,10 @@
 	return ms + late[0]
 }
 
-func (e *Emulation) draw(r world.Range) float64 { return r.Draw(e.rng) }
+func (e *Emulation) draw(r model.Range) float64 { return r.Draw(e.rng) }
 
 // conns is how many connections a server holds.
-func (e *Emulation) conns(s *world.Server) (n int) {
+func (e *Emulation) conns(s *model.Server) (n int) {
 	for _, p := range e.poolers {
 		if st := p.stores[s.No]; st != nil && p.up {
 			st.expire()
@@ -332,7 +332,7 @@
 }
 
 // Down is world.Watcher's.
-func (e *Emulation) Down(s *world.Server) {
+func (e *Emulation) Down(s *model.Server) {
 	for _, p := range e.poolers {
 		if p.up {
 			p.serverDown(s)
@@ -341,10 +341,10 @@
 }
 
 // Said is world.Watcher's.
-func (e *Emulation) Said(f world.Fact) { e.s.mix(uint64(f.Group), uint64(len(f.What))) }
+func (e *Emulation) Said(f model.Fact) { e.s.mix(uint64(f.Group), uint64(len(f.What))) }
 
 // Listed is world.Watcher's.
-func (e *Emulation) Listed(x *world.Entry, _ float64) {
+func (e *Emulation) Listed(x *model.Entry, _ float64) {
 	if e.agents != nil {
 		return
 	}
@@ -375,7 +375,7 @@
 }
 
 // Executed is world.Watcher's.
-func (e *Emulation) Executed(s *world.Server, j *world.Job, r world.Run) {
+func (e *Emulation) Executed(s *model.Server, j *model.Job, r model.Run) {
 	a, ok := j.Owner.(*attempt)
 	if !ok || a.v == nil {
 		return
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -6,9 +6,9 @@
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/model"
 )
 
 // Limits is what came of limits that hold for the whole fleet.
@@ -104,7 +104,7 @@
 	f.lent++
 	f.lentBytes += headBytes + itemBytes*uint64(len(m.Items))
 	for _, late := range f.net.Fate(x.p.no, to.no, f.rng) {
-		e.s.After(e.wayBetween(x.p, to)+late, world.Func(func() {
+		e.s.After(e.wayBetween(x.p, to)+late, model.Func(func() {
 			if y := to.peer; y != nil && to.up && y.limits != nil {
 				to.whenRunning(y.life, func() { y.limits.hear(m) })
 			}
--- a/internal/testkit/simulation/members.go
+++ b/internal/testkit/simulation/members.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // agents are Consul's agents before the model's catalogue. What they say goes through the daemon's own judgement.
@@ -23,7 +23,7 @@
 
 type agentState struct {
 	what   string // befalls it; empty for nothing
-	frozen []world.Registration
+	frozen []model.Registration
 	index  uint64
 }
 
@@ -42,7 +42,7 @@
 	plan  *consul.Watch
 	join  *endpoints.Members
 	last  map[string]reconcile.Claim
-	alias map[string]*world.Server // by the ids that the catalogue has
+	alias map[string]*model.Server // by the ids that the catalogue has
 }
 
 const (
@@ -103,7 +103,7 @@
 		ans.Index = index
 	}
 	q.answered = true
-	a.e.s.After(a.e.way(), world.Func(func() { q.m.p.whenRunning(q.life, func() { q.m.answered(q.query, ans, list) }) }), 0)
+	a.e.s.After(a.e.way(), model.Func(func() { q.m.p.whenRunning(q.life, func() { q.m.answered(q.query, ans, list) }) }), 0)
 }
 
 // memberLoop is membership.Loop's, for one life of a pooler.
@@ -111,7 +111,7 @@
 
 // Post is membership.Loop's.
 func (q memberLoop) Post(f func()) {
-	q.p.e.s.After(0, world.Func(func() { q.p.whenRunning(q.life, f) }), 0)
+	q.p.e.s.After(0, model.Func(func() { q.p.whenRunning(q.life, f) }), 0)
 }
 
 // At is membership.Loop's.
@@ -119,7 +119,7 @@
 
 // newMember joins a pooler's list to the catalogue; its core is told what comes of it.
 func (p *pooler) newMember() *member {
-	m := &member{p: p, life: p.life, last: map[string]reconcile.Claim{}, alias: map[string]*world.Server{}}
+	m := &member{p: p, life: p.life, last: map[string]reconcile.Claim{}, alias: map[string]*model.Server{}}
 	set := reconcile.Defaults(endpoints.Consul)
 	if mu := p.e.opt.Mutant; mu != nil && mu.Judge != nil {
 		mu.Judge(&set)
@@ -133,12 +133,12 @@
 func (m *member) ask() {
 	e := m.p.e
 	q, at := m.plan.Next(e.s.now)
-	e.s.at(max(at, e.s.now), world.Func(func() {
+	e.s.at(max(at, e.s.now), model.Func(func() {
 		m.p.whenRunning(m.life, func() {
 			e.lists++
 			x := &question{m: m, life: m.life, query: q}
-			e.s.After(e.way(), world.Func(func() { e.agents.arrive(x) }), 0)
-			e.s.After(q.Patience(), world.Func(func() { m.p.whenRunning(m.life, func() { m.late(x) }) }), 0)
+			e.s.After(e.way(), model.Func(func() { e.agents.arrive(x) }), 0)
+			e.s.After(q.Patience(), model.Func(func() { m.p.whenRunning(m.life, func() { m.late(x) }) }), 0)
 		})
 	}), 0)
 }
@@ -164,7 +164,7 @@
 }
 
 // answered takes an answer as the daemon's source does.
-func (m *member) answered(q consul.Query, a consul.Answer, list []world.Registration) {
+func (m *member) answered(q consul.Query, a consul.Answer, list []model.Registration) {
 	e := m.p.e
 	same := a.Index == q.Index && q.Index > 0 && list == nil
 	v := m.plan.Answered(e.s.now, q, a)
@@ -204,7 +204,7 @@
 }
 
 // server is whom an id in the list means.
-func (p *pooler) server(id string) *world.Server {
+func (p *pooler) server(id string) *model.Server {
 	if p.member != nil {
 		if s := p.member.alias[id]; s != nil {
 			return s
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -14,8 +14,8 @@
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/model"
 )
 
 // Mutant is a pooler, or a server, that is broken on purpose: what the checker must catch.
@@ -26,7 +26,7 @@
 	Outcome  func(o *backend.Outcome)                             // what it is told of an attempt's end
 	List     func(l *discovery.List)                              // what it is told of the list
 	Answer   func(e *Emulation, v *visit, kind clients.Kind) bool // in place of an answer, where it returns false
-	World    func(w *world.World)
+	World    func(w *model.World)
 	Judge    func(s *reconcile.Settings)                    // what its judge of the server list goes by
 	View     func(s *view.Settings)                         // how its view of the fleet is kept
 	Peer     func(x *peer, ev view.Event) bool              // what its view is told; nothing where it returns false
@@ -104,7 +104,7 @@
 				}
 			}
 		}},
-		{Name: "a server that takes writes after it was replaced", Breaks: checker.PrimaryRan, World: func(w *world.World) { w.SplitBrain = true }},
+		{Name: "a server that takes writes after it was replaced", Breaks: checker.PrimaryRan, World: func(w *model.World) { w.SplitBrain = true }},
 		{Name: "trusts the catalogue's word on roles", Breaks: checker.NotDenied, Judge: func(s *reconcile.Settings) { s.TrustRoles = true }, Lists: true},
 		{Name: "serves what no server made", Breaks: checker.NoInvented, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
 			if kind == clients.Served && v.id%64 == 0 {
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -10,8 +10,8 @@
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/standin/sorted"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/model"
 )
 
 // paging is reports over all groups that are read in pages throughout, and the table that they are of.
@@ -74,7 +74,7 @@
 }
 
 // after has something done after so many ms.
-func (s *sched) after(ms float64, do func()) { s.After(ms, world.Func(do), 0) }
+func (s *sched) after(ms float64, do func()) { s.After(ms, model.Func(do), 0) }
 
 // write puts a row into a group, as of a position of its log.
 func (g *paging) write(group int, from float64) {
--- a/internal/testkit/simulation/pages_made.go
+++ b/internal/testkit/simulation/pages_made.go
@@ -14,8 +14,8 @@
 	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/standin/sorted"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/model"
 )
 
 // paged is one page that a pooler makes: the daemon's run, merge, cursor and plan before its core, as internal/frontend/scatter joins them to sockets.
@@ -298,8 +298,8 @@
 }
 
 // read has a server work on a shard's statement, at its position.
-func (x *shardRead) read(a *attempt, r world.Reply) {
-	if r.Verdict != world.Served {
+func (x *shardRead) read(a *attempt, r model.Reply) {
+	if r.Verdict != model.Served {
 		return
 	}
 	g := x.s.g
--- a/internal/testkit/simulation/parts.go
+++ b/internal/testkit/simulation/parts.go
@@ -3,7 +3,7 @@
 import (
 	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // Joined makes a pooler's parts as a process of it begins: what lives beside the view and is no quota. A Host is what they get to do with it.
@@ -41,7 +41,7 @@
 	f.toldBytes += headBytes + uint64(len(b))
 	from := x.view.Self().ID
 	for _, late := range f.net.Fate(x.p.no, at.no, f.rng) {
-		e.s.After(e.wayBetween(x.p, at)+late, world.Func(func() { at.hearPart(from, to, kind, b) }), 0)
+		e.s.After(e.wayBetween(x.p, at)+late, model.Func(func() { at.hearPart(from, to, kind, b) }), 0)
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 	f.streamed += uint64(len(b))
 	from := x.view.Self().ID
-	e.s.After(2*e.wayBetween(x.p, at)+2*f.net.Slow(x.p.no, at.no), world.Func(func() {
+	e.s.After(2*e.wayBetween(x.p, at)+2*f.net.Slow(x.p.no, at.no), model.Func(func() {
 		ok := !f.net.Cut(x.p.no, at.no) && at.hearPart(from, to, kind, b)
 		h.At(e.s.now+e.wayBetween(x.p, at), func() { done(ok) })
 	}), 0)
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -11,8 +11,8 @@
 	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/model"
 )
 
 // fleetOf is the poolers as peers: the ways between them, and the checker of their views.
@@ -78,12 +78,12 @@
 		if e.s.now <= startMs+s.Clients.Seconds*1000 {
 			e.black.Look(e.s.now, sight{e})
 		}
-		e.s.After(lookMs, world.Func(look), 0)
+		e.s.After(lookMs, model.Func(look), 0)
 	}
-	e.s.After(lookMs, world.Func(look), 0)
+	e.s.After(lookMs, model.Func(look), 0)
 	f.from = startMs
 	if s.Clients.Seconds*1000 > 2*settledMs {
-		e.s.After(settledMs, world.Func(func() {
+		e.s.After(settledMs, model.Func(func() {
 			f.packets, f.bytes, f.streamed, f.trades, f.lent, f.lentBytes, f.told, f.toldBytes, f.from = 0, 0, 0, 0, 0, 0, 0, 0, e.s.now
 		}), 0)
 	}
@@ -246,7 +246,7 @@
 		f.bytes += uint64(m.Records[i].Size())
 	}
 	for _, late := range f.net.Fate(x.p.no, to.no, f.rng) {
-		e.s.After(e.wayBetween(x.p, to)+late, world.Func(func() {
+		e.s.After(e.wayBetween(x.p, to)+late, model.Func(func() {
 			if y := to.peer; y != nil && to.up {
 				to.whenRunning(y.life, func() { y.do(view.Heard{Message: m}) })
 			}
@@ -266,7 +266,7 @@
 	for i := range mine {
 		f.streamed += 2 * uint64(mine[i].Size()) // and as much comes back
 	}
-	e.s.After(2*e.wayBetween(x.p, to)+2*f.net.Slow(x.p.no, to.no), world.Func(func() {
+	e.s.After(2*e.wayBetween(x.p, to)+2*f.net.Slow(x.p.no, to.no), model.Func(func() {
 		y := to.peer
 		if y == nil || !to.up || f.net.Cut(x.p.no, to.no) {
 			return
@@ -277,7 +277,7 @@
 			if f.net.Cut(to.no, x.p.no) {
 				return
 			}
-			e.s.After(e.wayBetween(x.p, to)+f.net.Slow(to.no, x.p.no), world.Func(func() {
+			e.s.After(e.wayBetween(x.p, to)+f.net.Slow(to.no, x.p.no), model.Func(func() {
 				if x.p.up {
 					x.p.whenRunning(x.life, func() { x.do(view.Exchanged{Records: theirs}) })
 				}
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -11,8 +11,8 @@
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/model"
 )
 
 // pooler is one pooler: the daemon's core, and in place of its sockets the emulated ways to the servers and the list.
@@ -143,7 +143,7 @@
 
 func (l lifeLoop) At(ms float64, do func()) *timers.Timer {
 	p := l.p
-	p.e.s.at(max(ms, p.e.s.now), world.Func(func() { p.whenRunning(l.life, do) }), 0)
+	p.e.s.at(max(ms, p.e.s.now), model.Func(func() { p.whenRunning(l.life, do) }), 0)
 	return nil
 }
 
@@ -153,7 +153,7 @@
 		return
 	}
 	if p.e.s.now < p.still {
-		p.e.s.at(p.still, world.Func(func() { p.whenRunning(life, do) }), 0)
+		p.e.s.at(p.still, model.Func(func() { p.whenRunning(life, do) }), 0)
 		return
 	}
 	do()
@@ -180,7 +180,7 @@
 }
 
 // serverDown breaks all connections to a server.
-func (p *pooler) serverDown(s *world.Server) {
+func (p *pooler) serverDown(s *model.Server) {
 	st := p.stores[s.No]
 	if st == nil {
 		return
--- a/internal/testkit/simulation/sched.go
+++ b/internal/testkit/simulation/sched.go
@@ -5,7 +5,7 @@
 import (
 	"math"
 
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // sched is virtual time: events in the order of their times, and of their setting among equals. It is a heap of four
@@ -22,16 +22,16 @@
 	at  float64
 	seq uint64
 	arg uint64
-	e   world.Event
+	e   model.Event
 }
 
 // Now is world.Clock's.
 func (s *sched) Now() float64 { return s.now }
 
 // After is world.Clock's.
-func (s *sched) After(ms float64, e world.Event, arg uint64) { s.at(s.now+max(0, ms), e, arg) }
+func (s *sched) After(ms float64, e model.Event, arg uint64) { s.at(s.now+max(0, ms), e, arg) }
 
-func (s *sched) at(at float64, e world.Event, arg uint64) {
+func (s *sched) at(at float64, e model.Event, arg uint64) {
 	s.seq++
 	x := item{at, s.seq, arg, e}
 	h := append(s.heap, x)
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/cluster/credit/lessor"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/model"
 )
 
 // madeUp is a deployment that is nobody's: classes, tenants, prices and groups drawn from a seed, with names drawn from another. The load is about
@@ -27,7 +27,7 @@
 	for range 2 + rng.IntN(3) {
 		f.Groups = append(f.Groups, 1+rng.IntN(3))
 	}
-	c.Groups, c.Classes, f.Work, f.Keys = len(f.Groups), nil, map[string]world.Range{}, map[string]float64{}
+	c.Groups, c.Classes, f.Work, f.Keys = len(f.Groups), nil, map[string]model.Range{}, map[string]float64{}
 	reads := []clients.Read{clients.ReadSession, clients.Write, clients.ReadBounded, clients.ReadAny}
 	shares, work := 0.0, 0.0
 	s.Credit.Prices = nil
--- a/internal/testkit/simulation/strike.go
+++ b/internal/testkit/simulation/strike.go
@@ -3,14 +3,14 @@
 import (
 	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // strike carries out a fault, and has it end at its time.
 func (e *Emulation) strike(f *scenario.Fault) {
 	later := func(do func()) {
 		if f.For > 0 {
-			e.s.After(f.For, world.Func(do), 0)
+			e.s.After(f.For, model.Func(do), 0)
 		}
 	}
 	f = f.Resolved(e.lender)
@@ -121,12 +121,12 @@
 			return
 		}
 		if len(p.visits)+e.paging.made(p) > 0 && e.s.now < began+restartMost || e.s.now < began+100 {
-			e.s.After(restartLook, world.Func(look), 0)
+			e.s.After(restartLook, model.Func(look), 0)
 			return
 		}
 		p.leave()
 		p.kill()
-		e.s.After(restartAway, world.Func(func() {
+		e.s.After(restartAway, model.Func(func() {
 			p.revive()
 			e.bad[p.no] = 0
 		}), 0)
--- a/internal/testkit/simulation/watch.go
+++ b/internal/testkit/simulation/watch.go
@@ -2,7 +2,7 @@
 
 import (
 	"beechgrade/internal/endpoints/discovery"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // Watch is core.Directory's.
@@ -14,9 +14,9 @@
 func (p *pooler) ask(watch bool) {
 	e, life := p.e, p.life
 	e.lists++
-	e.s.After(e.way(), world.Func(func() {
+	e.s.After(e.way(), model.Func(func() {
 		if e.world.List.Gone {
-			e.s.After(e.way(), world.Func(func() { p.whenRunning(life, p.listFailed) }), 0)
+			e.s.After(e.way(), model.Func(func() { p.whenRunning(life, p.listFailed) }), 0)
 			return
 		}
 		l := e.world.List.Whole()
@@ -38,7 +38,7 @@
 	if e.ways.hold(p.no, func() { p.tellList(life, l) }) {
 		return
 	}
-	e.s.After(e.way(), world.Func(func() {
+	e.s.After(e.way(), model.Func(func() {
 		if p.life != life || !p.up {
 			return
 		}
@@ -81,7 +81,7 @@
 	}
 	p.watch = 0
 	life := p.life
-	p.e.s.After(p.e.way(), world.Func(func() { p.whenRunning(life, p.listFailed) }), 0)
+	p.e.s.After(p.e.way(), model.Func(func() { p.whenRunning(life, p.listFailed) }), 0)
 }
 
 const againMs = 160 // before a pushed list's next watch, at most; as the daemon has it
@@ -93,7 +93,7 @@
 		return
 	}
 	life := p.life
-	p.e.s.After(againMs, world.Func(func() {
+	p.e.s.After(againMs, model.Func(func() {
 		p.whenRunning(life, func() {
 			if p.watch == 0 {
 				p.Watch()
--- a/internal/testkit/simulation/ways.go
+++ b/internal/testkit/simulation/ways.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // ways are what befalls those from poolers to servers, and from the list to poolers. They outlive processes.
@@ -21,7 +21,7 @@
 }
 
 // strike has a fault of ways strike, or end.
-func (w *ways) strike(f *scenario.Fault, servers []*world.Server, on bool) {
+func (w *ways) strike(f *scenario.Fault, servers []*model.Server, on bool) {
 	for _, p := range f.Poolers {
 		for _, s := range servers {
 			k := p*w.servers + s.No
@@ -71,12 +71,12 @@
 }
 
 // cut tells whether nothing gets from this pooler to a server.
-func (p *pooler) cut(s *world.Server) bool {
+func (p *pooler) cut(s *model.Server) bool {
 	return p.e.ways.cut[p.no*p.e.ways.servers+s.No] > 0 || p.e.apart(p, s)
 }
 
 // loses draws whether what it sends to a server is lost on a thin way.
-func (p *pooler) loses(s *world.Server) bool {
+func (p *pooler) loses(s *model.Server) bool {
 	for _, part := range p.e.ways.thin[p.no*p.e.ways.servers+s.No] {
 		if p.e.rng.Float64() < part {
 			return true
--- a/internal/testkit/simulation/ways_test.go
+++ b/internal/testkit/simulation/ways_test.go
@@ -6,7 +6,7 @@
 
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // TestWaysToServers: who is cut off from all servers serves nobody, on a thin way much is lost, and others do not notice; in another
@@ -43,7 +43,7 @@
 			t.Errorf("%s: %s\n%+v", b.Rule, b.Text, b.Proof)
 			break
 		}
-		if !slices.ContainsFunc(r.Facts, func(f world.Fact) bool { return f.What == "is another process at once, cold" }) {
+		if !slices.ContainsFunc(r.Facts, func(f model.Fact) bool { return f.What == "is another process at once, cold" }) {
 			t.Errorf("no server was restarted: %v", r.Facts)
 		}
 		return n
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/world"
+	"beechgrade/internal/testkit/model"
 )
 
 // ZoneOracle shares reads by the planner that poolers have, of what is truly so and at once: who is alive, what servers can do, what they lose and which
@@ -40,7 +40,7 @@
 		for range p.e.world.Groups {
 			o.counts, o.asked = append(o.counts, o.table()), append(o.asked, o.table())
 		}
-		p.e.s.After(o.EachMs, world.Func(o.step), 0)
+		p.e.s.After(o.EachMs, model.Func(o.step), 0)
 	}
 	delete(o.stands, p.no)
 	p.core.SetGeography(oracleEar{o, p.no % len(p.e.script.Sites)})
@@ -146,5 +146,5 @@
 			p.core.SetZone(e.script.Sites[home], o.Price)
 		}
 	}
-	e.s.After(o.EachMs, world.Func(o.step), 0)
+	e.s.After(o.EachMs, model.Func(o.step), 0)
 }
