--- a/internal/kit/incident/model.go
+++ b/internal/kit/incident/model.go
@@ -12,9 +12,9 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/kit/members"
 	"beechgrade/internal/kit/records"
-	"beechgrade/internal/kit/worth"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/serviceratio"
 )
 
 // Bounds on what is kept, whatever the length of the records. Times are in milliseconds.
@@ -58,7 +58,7 @@
 	from, to  float64
 	width     float64
 	cells     [][]cell // by class, then time
-	service   worth.Window
+	service   serviceratio.Window
 	sweptAt   float64
 	events    uint64
 	lost      uint64
@@ -108,7 +108,7 @@
 	ClassView
 	writes bool
 	index  int
-	window worth.Window
+	window serviceratio.Window
 }
 
 // request is one that is not answered yet.
--- a/internal/kit/score/score.go
+++ b/internal/kit/score/score.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/worth"
+	"beechgrade/internal/testkit/serviceratio"
 )
 
 const (
@@ -63,7 +63,7 @@
 type Keeper struct {
 	s      Score
 	index  map[string]int
-	window worth.Window
+	window serviceratio.Window
 	over   float64 // what is beyond a tenant's share is worth this part
 }
 
--- a/internal/kit/worth/worth.go
+++ b/internal/testkit/serviceratio/worth.go
@@ -1,5 +1,5 @@
-// Package worth reckons the service ratio over time: worth answered in time over worth asked for.
-package worth
+// Package serviceratio reckons the service ratio over time: worth answered in time over worth asked for.
+package serviceratio
 
 import "math"
 
--- a/internal/kit/worth/worth_test.go
+++ b/internal/testkit/serviceratio/worth_test.go
@@ -1,4 +1,4 @@
-package worth
+package serviceratio
 
 import (
 	"math"
