--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -14,10 +14,10 @@
 
 	"beechgrade/internal/cluster"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/links"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/metrics/exposition"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/netfault"
 )
 
 // peerSettings are those of a peer on loopback, with the key in a file.
@@ -315,7 +315,7 @@
 func TestPeersUpgradeInAPartition(t *testing.T) {
 	t.Parallel()
 	srv, _ := server(t)
-	relays, err := links.NewRelays(3, 1)
+	relays, err := netfault.NewRelays(3, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -345,8 +345,11 @@
 	for _, p := range []*pooler{far, near, old} {
 		untilFleet(t, p, "all are there", all)
 	}
-	cut := &links.Fault{Cut: true}
-	relays.Strike(func(n *links.Net) { n.Set([]int{0}, []int{1, 2}, cut, true); n.Set([]int{1, 2}, []int{0}, cut, true) })
+	cut := &netfault.Fault{Cut: true}
+	relays.Strike(func(n *netfault.Net) {
+		n.Set([]int{0}, []int{1, 2}, cut, true)
+		n.Set([]int{1, 2}, []int{0}, cut, true)
+	})
 	untilFleet(t, near, "the far one is lost", func(s string, _ view.Counts) bool { return strings.Contains(s, "far failed") })
 	next := process()
 	old.loop.Post(func() { old.live(lifecycle.Term) })
@@ -359,7 +362,10 @@
 	if s, c := fleetOf(far); c.Sending != 3 || !c.Alone && c.Reachable > 1 {
 		t.Errorf("the far one sees %s%+v", s, c)
 	}
-	relays.Strike(func(n *links.Net) { n.Set([]int{0}, []int{1, 2}, cut, false); n.Set([]int{1, 2}, []int{0}, cut, false) })
+	relays.Strike(func(n *netfault.Net) {
+		n.Set([]int{0}, []int{1, 2}, cut, false)
+		n.Set([]int{1, 2}, []int{0}, cut, false)
+	})
 	for _, p := range []*pooler{far, near, next} {
 		untilFleet(t, p, "all are there again", func(s string, c view.Counts) bool {
 			return all(s, c) && strings.Contains(s, "upgraded left") && strings.Contains(s, "upgraded alive") && strings.Contains(s, "far alive")
--- a/internal/cluster/outlier/adapter/liar.go
+++ b/internal/cluster/outlier/adapter/liar.go
@@ -6,7 +6,7 @@
 	"os"
 
 	"beechgrade/internal/cluster/outlier"
-	"beechgrade/internal/kit/lies"
+	"beechgrade/internal/testkit/byzantine"
 )
 
 // A program with the tag liar lies of servers as LIE in its environment has it; rehearsals build it.
--- a/internal/cluster/overload/adapter/liar.go
+++ b/internal/cluster/overload/adapter/liar.go
@@ -6,7 +6,7 @@
 	"os"
 
 	"beechgrade/internal/cluster/overload"
-	"beechgrade/internal/kit/lies"
+	"beechgrade/internal/testkit/byzantine"
 )
 
 // A program with the tag liar lies as LIE in its environment has it; rehearsals build it.
--- a/internal/kit/rehearse/peers.go
+++ b/internal/kit/rehearse/peers.go
@@ -15,16 +15,16 @@
 	"beechgrade/internal/cluster"
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/netfault"
 	"beechgrade/internal/testkit/simulation"
 )
 
 // fleetOf is the poolers as peers: relays between each two of them, and the checker of what they say of each other.
 type fleetOf struct {
 	run    *Run
-	relays *links.Relays
+	relays *netfault.Relays
 	key    cluster.Key
 	file   string // that holds it
 
@@ -46,7 +46,7 @@
 // startPeers opens the relays, and writes the key.
 func (r *Run) startPeers() error {
 	s := r.script
-	relays, err := links.NewRelays(s.Poolers, r.opt.Seed)
+	relays, err := netfault.NewRelays(s.Poolers, r.opt.Seed)
 	if err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 // strike has a fault of links strike and end.
 func (f *fleetOf) strike(ctx context.Context, x scenario.Fault) {
 	do := func(on bool) {
-		f.relays.Strike(func(n *links.Net) { x.Strike(n, on) })
+		f.relays.Strike(func(n *netfault.Net) { x.Strike(n, on) })
 		f.mu.Lock()
 		f.check.Fault(f.run.clk.Now())
 		f.run.wires.fault(f.run.clk.Now(), map[bool]int{true: 1, false: -1}[on])
--- a/internal/kit/rehearse/processes.go
+++ b/internal/kit/rehearse/processes.go
@@ -10,8 +10,8 @@
 
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
-	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/netfault"
 )
 
 // Processes are daemons' processes before stand-ins, without a script's clients: a test asks them itself.
@@ -20,8 +20,8 @@
 	Addrs  []string // where each serves ordinary clients
 	Key    string   // the peers' key's file
 	run    *Run
-	relays *links.Relays
-	cut    *links.Fault
+	relays *netfault.Relays
+	cut    *netfault.Fault
 }
 
 // StartProcesses starts as many as the script has poolers. operators says, for each, what its settings have beside (peers ...); pooled is the
@@ -36,7 +36,7 @@
 	r := &Run{script: s, opt: Options{Seed: 5, Out: out, Daemon: daemon, Log: log}, clk: clock.System(), sockets: 4096}
 	r.wires = newWires(s)
 	r.fleet = fleet.New(s.Fleet, r.clk, log)
-	x := &Processes{Fleet: r.fleet, run: r, cut: &links.Fault{Cut: true}}
+	x := &Processes{Fleet: r.fleet, run: r, cut: &netfault.Fault{Cut: true}}
 	if err := r.fleet.Start(); err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 
 // Part cuts all links between two processes, both ways, or heals them.
 func (x *Processes) Part(a, b int, cut bool) {
-	x.relays.Strike(func(n *links.Net) {
+	x.relays.Strike(func(n *netfault.Net) {
 		n.Set([]int{a}, []int{b}, x.cut, cut)
 		n.Set([]int{b}, []int{a}, x.cut, cut)
 	})
--- a/internal/kit/rehearse/run.go
+++ b/internal/kit/rehearse/run.go
@@ -16,11 +16,11 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/fleet"
-	"beechgrade/internal/kit/machine"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
 	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/cpupressure"
 )
 
 const (
@@ -68,7 +68,7 @@
 	Facts     []fleet.Fact     `json:"facts"`
 	Fleet     *Fleet           `json:"fleet,omitempty"`
 	Stood     []Stood          `json:"stood_still,omitempty"`
-	Machine   machine.Busy     `json:"machine"`
+	Machine   cpupressure.Busy `json:"machine"`
 	Ran       []string         `json:"-"` // ids of the writes that ran
 	Twice     map[int]Twice    `json:"-"` // by group
 
@@ -208,7 +208,7 @@
 		return nil, err
 	}
 	res := &Result{Rehearsal: r.script.Name, Seed: r.opt.Seed, FromMs: r.clk.Now()}
-	watch := machine.Begin()
+	watch := cpupressure.Begin()
 	faulty, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	errs := make(chan error, len(r.script.Faults)+len(r.opt.Rereads))
--- a/internal/kit/scenario/faults.go
+++ b/internal/kit/scenario/faults.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/links"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/netfault"
 )
 
 // Fault is something that goes wrong for a while.
@@ -29,7 +29,7 @@
 	Both     bool        // ...and the other way too
 	Places   [2][]string // of routes: sites
 	Sited    [2][]int    // ...by number
-	Link     links.Fault
+	Link     netfault.Fault
 }
 
 // Target says whom a fault strikes. It is resolved when that happens.
--- a/internal/kit/scenario/peers.go
+++ b/internal/kit/scenario/peers.go
@@ -4,8 +4,8 @@
 	"slices"
 
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/links"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/netfault"
 )
 
 // Peers says that poolers keep a view of the fleet, and how.
@@ -125,7 +125,7 @@
 }
 
 // Strike has a fault of links strike, or end.
-func (f *Fault) Strike(x *links.Net, on bool) {
+func (f *Fault) Strike(x *netfault.Net, on bool) {
 	x.Set(f.Ends[0], f.Ends[1], &f.Link, on)
 	if f.Both {
 		x.Set(f.Ends[1], f.Ends[0], &f.Link, on)
--- a/internal/kit/scenario/text.go
+++ b/internal/kit/scenario/text.go
@@ -7,9 +7,9 @@
 	"strings"
 
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/links"
 	"beechgrade/internal/sexp"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/netfault"
 )
 
 // asRead are forms that are written as they were read: their settings are no matter of a smaller scenario.
@@ -219,7 +219,7 @@
 }
 
 // linkText is what befalls a link.
-func linkText(l *links.Fault) string {
+func linkText(l *netfault.Fault) string {
 	var b strings.Builder
 	if l.Cut {
 		b.WriteString(" cut")
--- a/internal/kit/lies/lies.go
+++ b/internal/testkit/byzantine/lies.go
@@ -1,5 +1,5 @@
-// Package lies is what a pooler says that lies about its load, for rehearsals and virtual time.
-package lies
+// Package byzantine is what a pooler says that lies about its load, for rehearsals and virtual time.
+package byzantine
 
 import (
 	"slices"
--- a/internal/kit/lies/servers.go
+++ b/internal/testkit/byzantine/servers.go
@@ -1,4 +1,4 @@
-package lies
+package byzantine
 
 import (
 	"slices"
--- a/internal/kit/machine/machine.go
+++ b/internal/testkit/cpupressure/machine.go
@@ -1,5 +1,5 @@
-// Package machine watches how much of the processors' time what is played on the machine in real time wants and does not get.
-package machine
+// Package cpupressure watches how much of the processors' time what is played on the machine in real time wants and does not get.
+package cpupressure
 
 import (
 	"os"
--- a/internal/kit/machine/machine_test.go
+++ b/internal/testkit/cpupressure/machine_test.go
@@ -1,4 +1,4 @@
-package machine
+package cpupressure
 
 import (
 	"os"
--- a/internal/kit/links/links.go
+++ b/internal/testkit/netfault/links.go
@@ -1,6 +1,6 @@
-// Package links says what befalls the ways between poolers: cut, lossy, slow, duplicating and reordering ones, each direction by
+// Package netfault says what befalls the ways between poolers: cut, lossy, slow, duplicating and reordering ones, each direction by
 // itself. It does no I/O; the emulator and the relays on loopback ask it what becomes of each message.
-package links
+package netfault
 
 import (
 	"math/rand/v2"
--- a/internal/kit/links/relay.go
+++ b/internal/testkit/netfault/relay.go
@@ -1,4 +1,4 @@
-package links
+package netfault
 
 import (
 	"errors"
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -13,12 +13,12 @@
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/testkit/checker"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/netfault"
 )
 
 // Options say how a scenario is played.
@@ -101,7 +101,7 @@
 	paging   *paging            // reports that are read in pages, nil for none
 	funds    *funds             // that tenants pay ahead, nil for none
 	ways     *ways              // from poolers to servers, and to the list
-	routes   *links.Net         // what befalls the ways between sites, nil for one room
+	routes   *netfault.Net      // what befalls the ways between sites, nil for one room
 	agents   *agents            // of Consul, nil where the list is the platform's
 	plan     *clients.Planner
 	sessions clients.Sessions
@@ -181,7 +181,7 @@
 		e.paging = e.newPaging()
 	}
 	if n := len(s.Sites); n > 0 {
-		e.routes = links.New(n)
+		e.routes = netfault.New(n)
 	}
 	for i := range s.Poolers {
 		p := e.newPooler(i)
--- a/internal/testkit/simulation/overload_test.go
+++ b/internal/testkit/simulation/overload_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"beechgrade/internal/cluster/module"
-	byzantine "beechgrade/internal/kit/lies"
+	byzantine "beechgrade/internal/testkit/byzantine"
 	"beechgrade/internal/testkit/checker"
 )
 
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -9,16 +9,16 @@
 	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/links"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/netfault"
 )
 
 // fleetOf is the poolers as peers: the ways between them, and the checker of their views.
 type fleetOf struct {
 	e     *Emulation
-	net   *links.Net
+	net   *netfault.Net
 	rng   *rand.Rand
 	check *checker.Views
 
@@ -57,7 +57,7 @@
 			lossy = lossy || x.Link.Lose > 0
 			held := 0.0
 			if x.Link.Duplicate > 0 || x.Link.Reorder > 0 {
-				held = links.HeldMs
+				held = netfault.HeldMs
 			}
 			delay = max(delay, s.Way[1]+x.Link.Slow+held)
 		}
@@ -69,7 +69,7 @@
 
 func (e *Emulation) newFleet() *fleetOf {
 	s := e.script
-	f := &fleetOf{e: e, net: links.New(s.Poolers), rng: rand.New(rand.NewPCG(e.opt.Seed, 5))}
+	f := &fleetOf{e: e, net: netfault.New(s.Poolers), rng: rand.New(rand.NewPCG(e.opt.Seed, 5))}
 	f.check = checker.NewViews(Bounds(s, max(1, s.Poolers/2)), s.Poolers, f.net.Cut)
 	f.check.Exact = true
 	var look func()
--- a/internal/testkit/simulation/verdicts_liar_test.go
+++ b/internal/testkit/simulation/verdicts_liar_test.go
@@ -6,7 +6,7 @@
 
 	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/outlier"
-	byzantine "beechgrade/internal/kit/lies"
+	byzantine "beechgrade/internal/testkit/byzantine"
 	"beechgrade/internal/testkit/checker"
 )
 
--- a/internal/testkit/simulation/verdicts_test.go
+++ b/internal/testkit/simulation/verdicts_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"beechgrade/internal/cluster/module"
-	byzantine "beechgrade/internal/kit/lies"
+	byzantine "beechgrade/internal/testkit/byzantine"
 	"beechgrade/internal/testkit/checker"
 )
 
