--- a/cmd/beechgrade-kit/members.go
+++ b/cmd/beechgrade-kit/members.go
@@ -8,9 +8,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/members"
-	"beechgrade/internal/kit/members/pace"
 	"beechgrade/internal/kit/report"
+	"beechgrade/internal/testkit/endpointreport"
+	"beechgrade/internal/testkit/endpointreport/propagation"
 )
 
 // membersCommand tells which source of the server list said what, and measures how soon a change is known.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	m := members.New(c.String("server"))
+	m := endpointreport.New(c.String("server"))
 	if err := set.Read(m); err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 const maxMeasured = 20000
 
 func measureMembers(ctx context.Context, c *cli.Command) error {
-	var all []*pace.Result
+	var all []*propagation.Result
 	for _, n := range c.IntSlice("servers") {
 		secs := c.Float("seconds")
 		if n < 1 || n > maxMeasured || c.Int("services") < 1 || c.Int("services") > 500 || !(secs > 0 && secs <= 600) || math.IsNaN(secs) {
@@ -62,7 +62,7 @@
 		if !c.Bool("json") {
 			fmt.Fprintf(os.Stderr, "%d servers ...\n", n)
 		}
-		r, err := pace.Measure(ctx, n, min(n, c.Int("services")), secs)
+		r, err := propagation.Measure(ctx, n, min(n, c.Int("services")), secs)
 		if err != nil {
 			return err
 		}
@@ -71,5 +71,5 @@
 	if c.Bool("json") {
 		return writeJSON(c.Root().Writer, all)
 	}
-	return pace.Text(c.Root().Writer, all)
+	return propagation.Text(c.Root().Writer, all)
 }
--- a/internal/kit/incident/model.go
+++ b/internal/kit/incident/model.go
@@ -10,10 +10,10 @@
 	"slices"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/kit/members"
 	"beechgrade/internal/kit/records"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/endpointreport"
 	"beechgrade/internal/testkit/serviceratio"
 )
 
@@ -43,7 +43,7 @@
 
 // Model takes events in and keeps the view of them.
 type Model struct {
-	members *members.Model // nil while no source of the list was recorded
+	members *endpointreport.Model // nil while no source of the list was recorded
 	runs    map[*records.Run]*run
 	poolers map[string]*pooler
 	classes []*class
@@ -226,7 +226,7 @@
 		m.sweep()
 	}
 	if m.members == nil && (e.Kind == recordpb.Kind_KIND_SAID || e.Kind == recordpb.Kind_KIND_JUDGED) {
-		m.members = members.New("")
+		m.members = endpointreport.New("")
 	}
 	if m.members != nil {
 		m.members.Event(r, e)
--- a/internal/kit/incident/view.go
+++ b/internal/kit/incident/view.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"beechgrade/internal/kit/members"
 	"beechgrade/internal/kit/records"
+	"beechgrade/internal/testkit/endpointreport"
 )
 
 // View is what the records tell. Times are Unix milliseconds, spans milliseconds.
@@ -21,24 +21,24 @@
 	Early    uint64  `json:"events_before_start"`
 	SpreadMs float64 `json:"clock_spread_ms"` // between the poolers' clocks, as far as primaries' positions show it
 
-	Total    ClassView       `json:"total"`
-	Classes  []ClassView     `json:"classes"`
-	Poolers  []PoolerView    `json:"poolers"`
-	Groups   []GroupView     `json:"groups"`
-	Servers  []ServerView    `json:"servers"`
-	Pools    []PoolView      `json:"pools,omitempty"`
-	Causes   []Cause         `json:"causes"`
-	Findings []Finding       `json:"findings"`
-	Unlisted uint64          `json:"findings_not_listed"`
-	Faults   []records.Fault `json:"faults"`
-	Unknown  []Unknown       `json:"unknown_requests"`
-	Unknowns uint64          `json:"unknown_total"`
-	Series   Series          `json:"series"`
-	Members  *members.View   `json:"members,omitempty"` // where the list was made of several sources
-	Limits   []Held          `json:"limits,omitempty"`  // where limits held for the whole fleet: who might use how much
-	Fleet    []Seen          `json:"fleet,omitempty"`   // where poolers were peers: who saw whom
-	Zones    *ZonesView      `json:"zones,omitempty"`   // where the fleet decided them together
-	Avoided  []Avoided       `json:"avoided,omitempty"` // where poolers share what they know of servers: which, by whose word
+	Total    ClassView            `json:"total"`
+	Classes  []ClassView          `json:"classes"`
+	Poolers  []PoolerView         `json:"poolers"`
+	Groups   []GroupView          `json:"groups"`
+	Servers  []ServerView         `json:"servers"`
+	Pools    []PoolView           `json:"pools,omitempty"`
+	Causes   []Cause              `json:"causes"`
+	Findings []Finding            `json:"findings"`
+	Unlisted uint64               `json:"findings_not_listed"`
+	Faults   []records.Fault      `json:"faults"`
+	Unknown  []Unknown            `json:"unknown_requests"`
+	Unknowns uint64               `json:"unknown_total"`
+	Series   Series               `json:"series"`
+	Members  *endpointreport.View `json:"members,omitempty"` // where the list was made of several sources
+	Limits   []Held               `json:"limits,omitempty"`  // where limits held for the whole fleet: who might use how much
+	Fleet    []Seen               `json:"fleet,omitempty"`   // where poolers were peers: who saw whom
+	Zones    *ZonesView           `json:"zones,omitempty"`   // where the fleet decided them together
+	Avoided  []Avoided            `json:"avoided,omitempty"` // where poolers share what they know of servers: which, by whose word
 
 	Recoveries []Recovery `json:"recoveries,omitempty"` // of durable stores, at poolers' starts
 }
--- a/internal/kit/report/html.go
+++ b/internal/kit/report/html.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/members"
+	"beechgrade/internal/testkit/endpointreport"
 )
 
 //go:embed report.html
@@ -106,7 +106,7 @@
 	MoreZones    int
 	Avoided      []AvoidedRow
 	Judged       []string
-	Judgements   []members.Judgement
+	Judgements   []endpointreport.Judgement
 }
 
 // HTML writes the report as one file that needs nothing else.
--- a/internal/kit/report/members.go
+++ b/internal/kit/report/members.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"beechgrade/internal/kit/members"
+	"beechgrade/internal/testkit/endpointreport"
 )
 
 // MemberRow is what somebody says of a server: a source, the server itself, or the list that was made.
@@ -21,7 +21,7 @@
 }
 
 // MemberRows are a view's rows: sources first, then the server's own word, then the list.
-func MemberRows(v *members.View) (out []MemberRow) {
+func MemberRows(v *endpointreport.View) (out []MemberRow) {
 	for _, s := range v.Servers {
 		row := MemberRow{Pooler: s.Pooler, Server: s.Name, Group: s.Group}
 		for i, x := range s.Words {
@@ -54,7 +54,7 @@
 }
 
 // MemberCounts are how many judgements there were of each kind, by name.
-func MemberCounts(v *members.View) (out []string) {
+func MemberCounts(v *endpointreport.View) (out []string) {
 	for k, n := range v.Counts {
 		out = append(out, fmt.Sprintf("%s: %d", Safe(k), n))
 	}
@@ -63,7 +63,7 @@
 }
 
 // Members writes a view as text, each judgement with its reason where that is wanted.
-func Members(w io.Writer, v *members.View, why bool) error {
+func Members(w io.Writer, v *endpointreport.View, why bool) error {
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "pooler\tgroup\tserver\twho\tlast said\tsays\trole\tagainst its own word")
 	for _, r := range MemberRows(v) {
--- a/internal/kit/members/members.go
+++ b/internal/testkit/endpointreport/members.go
@@ -1,6 +1,6 @@
-// Package members tells from records what each source of the server list said of each server, what the server said of itself,
+// Package endpointreport tells from records what each source of the server list said of each server, what the server said of itself,
 // and what was made of that.
-package members
+package endpointreport
 
 import (
 	"cmp"
--- a/internal/kit/members/pace/pace.go
+++ b/internal/testkit/endpointreport/propagation/pace.go
@@ -1,6 +1,6 @@
-// Package pace measures how soon a change in Consul's catalogue is known to the decision module's list, and what the watch
+// Package propagation measures how soon a change in Consul's catalogue is known to the decision module's list, and what the watch
 // costs, against a stand-in agent in the same process.
-package pace
+package propagation
 
 import (
 	"context"
