--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -19,14 +19,14 @@
 
 	database "beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/standin/sorted"
+	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
 // reports are processes of the program before three groups that have a part of a table each.
 type reports struct {
 	*rehearse.Processes
 	t    testing.TB
-	all  []sorted.Row
+	all  []sortedtable.Row
 	next atomic.Int64
 }
 
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	r := &reports{Processes: x, t: t}
-	x.Fleet.Scatter(&database.Table{Name: "visits", Columns: sorted.Table{"id", "place"}, Types: sorted.Row{int64(0), int64(0)}})
+	x.Fleet.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
 	t.Cleanup(func() {
 		for i := range x.Addrs {
 			if b, _ := os.ReadFile(x.Log(i)); strings.Contains(string(b), "invariant broken") || strings.Contains(string(b), "panic") {
@@ -77,19 +77,19 @@
 
 func (r *reports) put(group, places int, initial bool) int64 {
 	id := r.next.Add(1)
-	row := sorted.Row{id, id * 7919 % int64(places)}
+	row := sortedtable.Row{id, id * 7919 % int64(places)}
 	r.Fleet.Put("visits", group, row, initial)
 	if initial {
-		r.all = append(r.all, sorted.Row{row[0], row[1], int64(group)})
+		r.all = append(r.all, sortedtable.Row{row[0], row[1], int64(group)})
 	}
 	return id
 }
 
 // want are the ids in order: by place, shard and id.
 func (r *reports) want() (ids []int64) {
-	slices.SortFunc(r.all, func(a, b sorted.Row) int {
+	slices.SortFunc(r.all, func(a, b sortedtable.Row) int {
 		for _, i := range []int{1, 2, 0} {
-			if c := sorted.Compare(a[i], b[i]); c != 0 {
+			if c := sortedtable.Compare(a[i], b[i]); c != 0 {
 				return c
 			}
 		}
@@ -207,7 +207,7 @@
 			if n%3 == 0 {
 				id := int64(g*120 + n%120 + 1)
 				deleted[id] = true
-				r.Fleet.Remove("visits", g, func(x sorted.Row) bool { return x[0] == id })
+				r.Fleet.Remove("visits", g, func(x sortedtable.Row) bool { return x[0] == id })
 			}
 		}
 	}()
--- a/cmd/beechgrade/clickhouse_driver_test.go
+++ b/cmd/beechgrade/clickhouse_driver_test.go
@@ -19,12 +19,12 @@
 	"github.com/ClickHouse/clickhouse-go/v2/lib/column"
 	"github.com/ClickHouse/clickhouse-go/v2/lib/proto"
 
-	"beechgrade/internal/kit/standin/house"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
 // speakNative has a stand-in answer a driver: in blocks of the Native format, as its settings ask for.
-func speakNative(s *house.Server) {
-	s.Answer(func(w http.ResponseWriter, r *http.Request, x *house.Run, body []byte) bool {
+func speakNative(s *clickhouseserver.Server) {
+	s.Answer(func(w http.ResponseWriter, r *http.Request, x *clickhouseserver.Run, body []byte) bool {
 		q := r.URL.Query()
 		text := strings.TrimSpace(q.Get("query"))
 		if text == "" {
@@ -218,13 +218,13 @@
 	})
 	t.Run("cancel", func(t *testing.T) {
 		c := open(clickhouse.CompressionNone, "escritorio", nil)
-		hangs := func() house.Run { // the driver's first word to a server has the same id
+		hangs := func() clickhouseserver.Run { // the driver's first word to a server has the same id
 			for _, r := range w.runs("cancelled") {
 				if strings.Contains(r.Text, "HANG") {
 					return r
 				}
 			}
-			return house.Run{}
+			return clickhouseserver.Run{}
 		}
 		short, cancel := context.WithCancel(clickhouse.Context(ctx, clickhouse.WithQueryID("cancelled")))
 		go func() {
--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -18,7 +18,7 @@
 	"golang.org/x/sys/unix"
 
 	"beechgrade/internal/config"
-	"beechgrade/internal/kit/standin/house"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
 // TestHouseCancelPhases: a client that goes is forgotten at once in every phase: while it waits behind its user's others, for
@@ -139,7 +139,7 @@
 		copied[fmt.Sprint("q", i)] = make(chan struct{})
 	}
 	for k, s := range w.servers {
-		s.Answer(func(rw http.ResponseWriter, r *http.Request, x *house.Run, _ []byte) bool {
+		s.Answer(func(rw http.ResponseWriter, r *http.Request, x *clickhouseserver.Run, _ []byte) bool {
 			c := copied[x.ID]
 			switch {
 			case c == nil:
@@ -204,7 +204,7 @@
 		for _, minor := range []int{1, 0} {
 			t.Run(fmt.Sprintf("%s, HTTP/1.%d", c.name, minor), func(t *testing.T) {
 				var came atomic.Int64
-				s, err := house.StartRaw(func(conn net.Conn, _ *bufio.Reader, _ string) {
+				s, err := clickhouseserver.StartRaw(func(conn net.Conn, _ *bufio.Reader, _ string) {
 					came.Add(1)
 					_, _ = io.WriteString(conn, c.says)
 				})
@@ -213,7 +213,7 @@
 				}
 				defer s.Stop()
 				w := houses(t, 0, "(deadline 600ms) (aim 600ms)")
-				w.servers = []*house.Server{{Name: "raw", Addr: s.Addr}}
+				w.servers = []*clickhouseserver.Server{{Name: "raw", Addr: s.Addr}}
 				w.write()
 				w.hup <- syscall.SIGHUP
 				w.until("1 servers, 0 removals held back")
--- a/cmd/beechgrade/clickhouse_hard_test.go
+++ b/cmd/beechgrade/clickhouse_hard_test.go
@@ -20,7 +20,7 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
-	"beechgrade/internal/kit/standin/house"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
 // onLoop runs a function on the pooler's loop, and waits for it.
@@ -186,12 +186,12 @@
 
 // holdUntilAllAsked has servers hold reads without a bound until each has one, so that they overlap however slow the machine is: one after the other
 // they might all go to one server, and rightly so.
-func holdUntilAllAsked(servers []*house.Server) {
+func holdUntilAllAsked(servers []*clickhouseserver.Server) {
 	asked, all := make([]sync.Once, len(servers)), make(chan struct{})
 	var left atomic.Int32
 	left.Store(int32(len(servers)))
 	for i, server := range servers {
-		server.Answer(func(_ http.ResponseWriter, r *http.Request, run *house.Run, _ []byte) bool {
+		server.Answer(func(_ http.ResponseWriter, r *http.Request, run *clickhouseserver.Run, _ []byte) bool {
 			if !strings.HasPrefix(run.ID, "a") {
 				return false
 			}
@@ -214,7 +214,7 @@
 func TestHouseBounds(t *testing.T) {
 	t.Parallel()
 	for _, behind := range []decide.Behind{decide.BehindAnswers, decide.BehindRefuses} {
-		w := housesAs(t, 3, `(deadline 2s) (aim 1s) (class "mes" (path "/mes") (bound 3s) (aim 1s) (deadline 1500ms))`, func(s []*house.Server) {
+		w := housesAs(t, 3, `(deadline 2s) (aim 1s) (class "mes" (path "/mes") (bound 3s) (aim 1s) (deadline 1500ms))`, func(s []*clickhouseserver.Server) {
 			s[1].Lag(60)
 			s[2].Lag(-1)
 			holdUntilAllAsked(s)
--- a/cmd/beechgrade/clickhouse_stop_test.go
+++ b/cmd/beechgrade/clickhouse_stop_test.go
@@ -7,8 +7,8 @@
 	"net/url"
 	"testing"
 
-	"beechgrade/internal/kit/standin/house"
 	"beechgrade/internal/lifecycle"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
 // get is a request on a connection that is kept.
@@ -55,7 +55,7 @@
 func TestHouseStopAnswersWhatWasSent(t *testing.T) {
 	w := houses(t, 1, "")
 	answer := make(chan struct{})
-	w.servers[0].Answer(func(rw http.ResponseWriter, _ *http.Request, _ *house.Run, _ []byte) bool {
+	w.servers[0].Answer(func(rw http.ResponseWriter, _ *http.Request, _ *clickhouseserver.Run, _ []byte) bool {
 		<-answer
 		_, _ = io.WriteString(rw, "v\n")
 		return true
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -21,10 +21,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"beechgrade/internal/config"
-	"beechgrade/internal/kit/standin/faulty"
-	"beechgrade/internal/kit/standin/house"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/testkit/checker/queries"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 // stormClient asks one query after the other on connections of its own, and counts what comes back.
@@ -99,13 +99,13 @@
 func TestHouseStorm(t *testing.T) {
 	t.Parallel()
 	const asks, workers, slices = 10000, 24, 25
-	w := housesAs(t, 4, `(deadline 600ms) (aim 300ms) (hold 4k) (class "mes" (path "/mes") (bound 8s) (aim 500ms) (deadline 1500ms))`, func(s []*house.Server) { s[2].Lag(30); s[3].Lag(12) },
+	w := housesAs(t, 4, `(deadline 600ms) (aim 300ms) (hold 4k) (class "mes" (path "/mes") (bound 8s) (aim 500ms) (deadline 1500ms))`, func(s []*clickhouseserver.Server) { s[2].Lag(30); s[3].Lag(12) },
 		func(c *config.Config) { c.Settings.MayProbe = true })
 	rng := rand.New(rand.NewPCG(11, 11))
 	all := make([]queries.Ask, asks)
 	var runs []queries.Run
 	var drains []queries.Drain
-	keep := func(s *house.Server) {
+	keep := func(s *clickhouseserver.Server) {
 		for _, r := range s.Runs() {
 			runs = append(runs, queries.Run{Server: s.Name, ID: r.ID, Session: r.Session, At: float64(r.At.UnixNano()) / 1e6, LagS: r.Lag, Sum: r.Sum, Whole: r.Whole})
 		}
@@ -142,7 +142,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				w.servers[i] = house.StartOn(s.Name, l)
+				w.servers[i] = clickhouseserver.StartOn(s.Name, l)
 				w.servers[i].Follow(s)
 				w.write(drain)
 				w.hup <- syscall.SIGHUP
@@ -251,7 +251,7 @@
 // query_id; a pooler that starts on that journal answers such an id as failed, and sends nothing.
 func TestHouseJournal(t *testing.T) {
 	t.Parallel()
-	d := faulty.New()
+	d := faultyfs.New()
 	start := func() (*houseWorld, func()) {
 		var end func()
 		w := housesOn(t, 2, "", nil, func(p *pooler) {
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -25,8 +25,8 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/endpoints/discovery"
-	"beechgrade/internal/kit/standin/house"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
 // houseWorld is a pooler before stand-ins for ClickHouse's servers, whose list is a file.
@@ -36,7 +36,7 @@
 	addr    string
 	hup     chan<- os.Signal
 	list    string
-	servers []*house.Server
+	servers []*clickhouseserver.Server
 	client  *http.Client
 }
 
@@ -47,17 +47,17 @@
 }
 
 // housesAs has a function set the servers up before the pooler knows them.
-func housesAs(t testing.TB, n int, more string, setUp func([]*house.Server), change ...func(*config.Config)) *houseWorld {
+func housesAs(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), change ...func(*config.Config)) *houseWorld {
 	return housesOn(t, n, more, setUp, func(*pooler) {}, change...)
 }
 
 // housesOn has another function add to the pooler before it runs.
-func housesOn(t testing.TB, n int, more string, setUp func([]*house.Server), add func(*pooler), change ...func(*config.Config)) *houseWorld {
+func housesOn(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), add func(*pooler), change ...func(*config.Config)) *houseWorld {
 	t.Helper()
 	w := &houseWorld{t: t, list: filepath.Join(t.TempDir(), "list.json"), client: &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: patience}}
 	t.Cleanup(w.client.CloseIdleConnections)
 	for i := range n {
-		s, err := house.Start(fmt.Sprint("h", i))
+		s, err := clickhouseserver.Start(fmt.Sprint("h", i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,7 +150,7 @@
 }
 
 // runs are the runs at all servers, of one query's id or of all.
-func (w *houseWorld) runs(id string) (out []house.Run) {
+func (w *houseWorld) runs(id string) (out []clickhouseserver.Run) {
 	for _, s := range w.servers {
 		for _, r := range s.Runs() {
 			if id == "" || r.ID == id {
@@ -617,7 +617,7 @@
 
 // BenchmarkHouse is a query by the stand-in itself, through the pooler, and through the standard library's reverse proxy.
 func BenchmarkHouse(b *testing.B) {
-	s, err := house.Start("h")
+	s, err := clickhouseserver.Start("h")
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/cmd/beechgrade/fronts_stop_test.go
+++ b/cmd/beechgrade/fronts_stop_test.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"testing"
 
-	"beechgrade/internal/kit/standin/house"
 	"beechgrade/internal/lifecycle"
 	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
 // TestPooledStopNewClient: a client that comes while the pooler ends is told so; its connection is not reset.
@@ -57,7 +57,7 @@
 // does not take it for whole.
 func TestHouseLastWord(t *testing.T) {
 	t.Parallel()
-	raw, err := house.StartRaw(func(conn net.Conn, in *bufio.Reader, head string) {
+	raw, err := clickhouseserver.StartRaw(func(conn net.Conn, in *bufio.Reader, head string) {
 		if strings.Contains(head, "stream") {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nv\n") // up to its end
 		}
@@ -68,7 +68,7 @@
 	}
 	t.Cleanup(raw.Stop)
 	w := houses(t, 0, "")
-	w.servers = []*house.Server{{Name: "raw", Addr: raw.Addr}}
+	w.servers = []*clickhouseserver.Server{{Name: "raw", Addr: raw.Addr}}
 	w.write()
 	w.hup <- syscall.SIGHUP
 	w.until("1 servers, 0 removals held back")
--- a/cmd/beechgrade/house_report_test.go
+++ b/cmd/beechgrade/house_report_test.go
@@ -18,7 +18,7 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
-	"beechgrade/internal/kit/standin/house"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
 // houseAsked is a request that came to a scripted ClickHouse server, and waits for its answer there.
@@ -39,7 +39,7 @@
 const upToDate = "default.x:\tAbsolute delay: 0. Relative delay: 0.\n"
 
 // scriptHouses has servers hand the requests that they get to the test.
-func scriptHouses(t testing.TB, asked chan<- houseAsked) func([]*house.Server) {
+func scriptHouses(t testing.TB, asked chan<- houseAsked) func([]*clickhouseserver.Server) {
 	serve := func(name string, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
@@ -50,7 +50,7 @@
 			asked <- houseAsked{name, r.URL.Path, r.URL.Query().Get("query_id"), c}
 		}
 	}
-	return func(servers []*house.Server) {
+	return func(servers []*clickhouseserver.Server) {
 		for _, s := range servers {
 			l := listen(t)
 			s.Addr = l.Addr().String()
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -21,9 +21,9 @@
 	"beechgrade/internal/endpoints/snapshot"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
-	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/fake/consulserver"
 	"beechgrade/internal/testkit/model"
 )
 
@@ -33,8 +33,8 @@
 	p       *pooler
 	addr    string
 	hup     chan<- os.Signal
-	catalog *agent.Catalog
-	agent   *agent.Agent
+	catalog *consulserver.Catalog
+	agent   *consulserver.Agent
 }
 
 // testLog is the log's end, or standard error where MEMBERS_LOG is set.
@@ -46,10 +46,10 @@
 }
 
 // membersOf starts one with more settings of (membership ...), and of (consul ...).
-func membersOf(t testing.TB, more, consulForms string, register func(c *agent.Catalog), change ...func(*config.Config)) *membersWorld {
+func membersOf(t testing.TB, more, consulForms string, register func(c *consulserver.Catalog), change ...func(*config.Config)) *membersWorld {
 	t.Helper()
-	w := &membersWorld{t: t, catalog: agent.NewCatalog()}
-	a, err := agent.Start(w.catalog)
+	w := &membersWorld{t: t, catalog: consulserver.NewCatalog()}
+	a, err := consulserver.Start(w.catalog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,9 +97,9 @@
 }
 
 // at registers a scripted server.
-func at(id, addr, tag string) agent.Instance {
+func at(id, addr, tag string) consulserver.Instance {
 	host, port, _ := net.SplitHostPort(addr)
-	x := agent.Instance{ID: id, Node: "n-" + id, Address: host, Tags: []string{tag}, Meta: map[string]string{"group": "0"}}
+	x := consulserver.Instance{ID: id, Node: "n-" + id, Address: host, Tags: []string{tag}, Meta: map[string]string{"group": "0"}}
 	x.Port, _ = strconv.Atoi(port)
 	return x
 }
@@ -108,8 +108,8 @@
 func pair(t testing.TB, more, consulForms string) (w *membersWorld, a, b <-chan asked) {
 	addrA, a := server(t)
 	addrB, b := server(t)
-	w = membersOf(t, more, consulForms, func(c *agent.Catalog) {
-		c.Change(fleet.Service, []agent.Instance{at("a", addrA, "primary"), at("b", addrB, "replica")})
+	w = membersOf(t, more, consulForms, func(c *consulserver.Catalog) {
+		c.Change(fleet.Service, []consulserver.Instance{at("a", addrA, "primary"), at("b", addrB, "replica")})
 	})
 	w.until("a serving, b serving")
 	return w, a, b
@@ -156,7 +156,7 @@
 		maintain := func(id string, on bool) {
 			x := at(id, addr[id], "replica")
 			x.Maintenance, x.NodeDown = on && !node, on && node
-			w.catalog.Change(fleet.Service, []agent.Instance{x})
+			w.catalog.Change(fleet.Service, []consulserver.Instance{x})
 		}
 		for range 2 {
 			w.ask(a, b, 10)
@@ -208,7 +208,7 @@
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "override.sexp")
 	w, a, b := pair(t, fmt.Sprintf("(override %q)", file), "")
-	was := []agent.Instance{at("a", w.entry("a").Address, "primary"), at("b", w.entry("b").Address, "replica")}
+	was := []consulserver.Instance{at("a", w.entry("a").Address, "primary"), at("b", w.entry("b").Address, "replica")}
 	w.catalog.Change(fleet.Service, nil, "a", "b")
 	w.held(2)
 	w.ask(a, b, 20)
@@ -242,7 +242,7 @@
 	e := w.entry("b")
 	x := at("b", e.Address, "replica")
 	x.Maintenance = true
-	w.catalog.Change(fleet.Service, []agent.Instance{x})
+	w.catalog.Change(fleet.Service, []consulserver.Instance{x})
 	w.ask(a, b, 20)
 	if err := os.WriteFile(file, []byte("two\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -277,7 +277,7 @@
 		if err := os.WriteFile(file, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n := membersOf(t, fmt.Sprintf("(snapshot %q)", file), "", func(*agent.Catalog) {})
+		n := membersOf(t, fmt.Sprintf("(snapshot %q)", file), "", func(*consulserver.Catalog) {})
 		n.agent.Stop()
 		if got := n.list(); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
@@ -300,8 +300,8 @@
 		}
 	}
 	write(fmt.Sprintf(`{"instances":[{"instanceId":"b","hostPort":%q,"cell":0,"lifecycle":"up","weight":1,"role":"replica"}]}`, addrB))
-	w := membersOf(t, fmt.Sprintf("(static %q) (platform) (rank static consul platform)", file), "", func(c *agent.Catalog) {
-		c.Change(fleet.Service, []agent.Instance{at("a", addrA, "primary")})
+	w := membersOf(t, fmt.Sprintf("(static %q) (platform) (rank static consul platform)", file), "", func(c *consulserver.Catalog) {
+		c.Change(fleet.Service, []consulserver.Instance{at("a", addrA, "primary")})
 	})
 	w.until("a serving, b serving")
 	w.ask(a, b, 4)
@@ -323,7 +323,7 @@
 	fc.Detect, fc.Elect, fc.List, fc.Roles = fleet.Range{100, 150}, fleet.Range{100, 150}, fleet.Range{30, 60}, fleet.Range{1e6, 1e6}
 	fc.Report, fc.Seed = fleet.Range{20, 40}, 3
 	f := fleet.New(fc, clock.System(), slog.New(slog.DiscardHandler))
-	w := membersOf(t, "", "", func(c *agent.Catalog) {
+	w := membersOf(t, "", "", func(c *consulserver.Catalog) {
 		f.Register(c)
 		if err := f.Start(); err != nil {
 			t.Fatal(err)
--- a/cmd/beechgrade/scatter_bench_test.go
+++ b/cmd/beechgrade/scatter_bench_test.go
@@ -15,8 +15,8 @@
 	"beechgrade/internal/config"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
-	"beechgrade/internal/kit/standin/sorted"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
 // BenchmarkScatter is pages of 20,000 rows, stand-ins, pooler and client in one process: rows a second over 1 (one stream), 4, 16 and 64 shards.
@@ -33,12 +33,12 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(f.Close)
-			f.Scatter(&fleet.Table{Name: "visits", Columns: sorted.Table{"id", "place"}, Types: sorted.Row{int64(0), int64(0)}})
+			f.Scatter(&fleet.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
 			var shards strings.Builder
 			for g := range n {
 				fmt.Fprintf(&shards, "(\"s%02d\" %d)", g, g)
 				for k := range rows / n {
-					f.Put("visits", g, sorted.Row{int64(k*n + g), int64(k)}, true)
+					f.Put("visits", g, sortedtable.Row{int64(k*n + g), int64(k)}, true)
 				}
 			}
 			key := filepath.Join(b.TempDir(), "key")
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -20,8 +20,8 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/kit/fleet"
-	"beechgrade/internal/kit/standin/sorted"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
 // scatterWorld is groups of stand-ins with a scattered table, and a pooler before them.
@@ -41,11 +41,11 @@
 		(order ("place" int8 (desc)) ("name" text)) (own ("id" int8)) %s))`
 
 // visits are n rows of each of four shards, of few places and names so that many are equal.
-func visits(f *fleet.Fleet, n int) (all []sorted.Row) {
-	f.Scatter(&fleet.Table{Name: "visits", Columns: sorted.Table{"id", "place", "name"}, Types: sorted.Row{int64(0), int64(0), ""}})
+func visits(f *fleet.Fleet, n int) (all []sortedtable.Row) {
+	f.Scatter(&fleet.Table{Name: "visits", Columns: sortedtable.Table{"id", "place", "name"}, Types: sortedtable.Row{int64(0), int64(0), ""}})
 	for g := range 4 {
 		for k := range n {
-			r := sorted.Row{int64(g*100000 + k), int64(k % 5), []string{"ana", "bo", "Éva", ""}[k%4]}
+			r := sortedtable.Row{int64(g*100000 + k), int64(k % 5), []string{"ana", "bo", "Éva", ""}[k%4]}
 			if k%7 == 0 {
 				r[1] = nil
 			}
@@ -172,10 +172,10 @@
 }
 
 // sortedIDs are the rows' ids in the order asked for, with shards by name.
-func sortedIDs(rows []sorted.Row) (ids []int64) {
+func sortedIDs(rows []sortedtable.Row) (ids []int64) {
 	shard := []int{1, 0, 2, 3} // east, north, south, west, by group
 	rows = slices.Clone(rows)
-	slices.SortFunc(rows, func(a, b sorted.Row) int {
+	slices.SortFunc(rows, func(a, b sortedtable.Row) int {
 		switch x, y := a[1], b[1]; {
 		case x == nil && y == nil:
 		case x == nil || y == nil:
@@ -184,11 +184,11 @@
 			}
 			return 1
 		default:
-			if c := -sorted.Compare(x, y); c != 0 {
+			if c := -sortedtable.Compare(x, y); c != 0 {
 				return c
 			}
 		}
-		if c := sorted.Compare(a[2], b[2]); c != 0 {
+		if c := sortedtable.Compare(a[2], b[2]); c != 0 {
 			return c
 		}
 		return int(int64(shard[a[0].(int64)/100000])*1e9+a[0].(int64)) - int(int64(shard[b[0].(int64)/100000])*1e9+b[0].(int64))
@@ -267,7 +267,7 @@
 		"no such column":    {"", "SELECT id, place FROM other WHERE true /*after*/ /*order*/ /* scatter=visits%s */", "42804"},
 		"a server's error":  {"", "SELECT SYNTAX ERROR FROM nothing WHERE true /*after*/ /*order*/ /* scatter=visits%s */", "58000"},
 	} {
-		w.fleet.Scatter(&fleet.Table{Name: "other", Columns: sorted.Table{"id", "place"}, Types: sorted.Row{int64(0), int64(0)}})
+		w.fleet.Scatter(&fleet.Table{Name: "other", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
 		sql := fmt.Sprintf(c.sql, c.cursor)
 		if c.sql == "" {
 			sql = visitsSQL + fmt.Sprintf("/* scatter=visits,page=10,cursor=%s */", c.cursor)
@@ -439,12 +439,12 @@
 func TestScatterSlowReader(t *testing.T) {
 	t.Parallel()
 	w := scatterPooler(t, "(whole) (memory 64k) (most-page 20000)")
-	w.fleet.Scatter(&fleet.Table{Name: "visits", Columns: sorted.Table{"id", "place", "name"}, Types: sorted.Row{int64(0), int64(0), ""}})
+	w.fleet.Scatter(&fleet.Table{Name: "visits", Columns: sortedtable.Table{"id", "place", "name"}, Types: sortedtable.Row{int64(0), int64(0), ""}})
 	const n = 3000
 	pad := strings.Repeat("x", 1000)
 	for g := range 4 {
 		for k := range n {
-			w.fleet.Put("visits", g, sorted.Row{int64(g*100000 + k), int64(k), pad}, true)
+			w.fleet.Put("visits", g, sortedtable.Row{int64(g*100000 + k), int64(k), pad}, true)
 		}
 	}
 	r := w.reader()
--- a/cmd/beechgrade/sessions_test.go
+++ b/cmd/beechgrade/sessions_test.go
@@ -11,16 +11,16 @@
 	"time"
 
 	"beechgrade/internal/config"
-	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 // slowDisk holds each sync of a file until the gate lets it go, while it is slow.
 type slowDisk struct {
-	*faulty.Disk
+	*faultyfs.Disk
 	slow  atomic.Bool
 	gate  chan struct{}
 	began chan struct{} // has a value while a sync is held that nobody has seen; nil where nobody looks
@@ -59,7 +59,7 @@
 		cfg := testConfig(t, addr, nil, func(c *config.Config) { c.Settings.TrackCommits = true })
 		var log bytes.Buffer
 		p := newPooler(cfg, slog.New(slog.NewTextHandler(&log, nil)))
-		d := &slowDisk{Disk: faulty.New(), gate: make(chan struct{})}
+		d := &slowDisk{Disk: faultyfs.New(), gate: make(chan struct{})}
 		end, err := p.sessionsOn(d, settings.Sessions{Mode: mode, MostBytes: 1 << 20})
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/beechgrade/slow_test.go
+++ b/cmd/beechgrade/slow_test.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 
 	"beechgrade/internal/config"
-	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/sessiontoken"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 // slowWorld is a pooler on a disk whose every sync is held until the test lets it go, with clients that write and one that reads.
@@ -43,7 +43,7 @@
 	addr, queries := server(t)
 	w := &slowWorld{t: t, toServer: toServer, seen: map[string]bool{},
 		p:    newPooler(testConfig(t, addr, nil, func(c *config.Config) { c.Settings.TrackCommits = true }), slog.New(slog.DiscardHandler)),
-		disk: &slowDisk{Disk: faulty.New(), gate: make(chan struct{}), began: make(chan struct{}, 1)}}
+		disk: &slowDisk{Disk: faultyfs.New(), gate: make(chan struct{}), began: make(chan struct{}, 1)}}
 	end, err := use(w.p, w.disk)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/endpoints/consul/consul_test.go
+++ b/internal/endpoints/consul/consul_test.go
@@ -23,8 +23,8 @@
 
 	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/testkit/deterministic"
+	"beechgrade/internal/testkit/fake/consulserver"
 )
 
 const patience = 20 * time.Second
@@ -95,23 +95,23 @@
 	return func() bool { return strings.Contains(strings.Join(h.notes, "\n"), part) }
 }
 
-func instance(i int) agent.Instance {
-	return agent.Instance{ID: fmt.Sprint("db-", i), Node: fmt.Sprint("n", i), Address: fmt.Sprint("10.0.0.", i), Port: 5432, Meta: map[string]string{"group": fmt.Sprint(i / 3), "role": "replica"}}
+func instance(i int) consulserver.Instance {
+	return consulserver.Instance{ID: fmt.Sprint("db-", i), Node: fmt.Sprint("n", i), Address: fmt.Sprint("10.0.0.", i), Port: 5432, Meta: map[string]string{"group": fmt.Sprint(i / 3), "role": "replica"}}
 }
 
 type world struct {
-	catalog *agent.Catalog
-	agents  []*agent.Agent
+	catalog *consulserver.Catalog
+	agents  []*consulserver.Agent
 	src     *Source
 	*heard
 }
 
 // watch starts agents before a catalogue of three instances, and a source that watches them.
 func watch(t *testing.T, agents int, change func(*Options)) *world {
-	w := &world{catalog: agent.NewCatalog(), heard: &heard{list: map[string]reconcile.Claim{}, news: make(chan struct{}, 1)}}
+	w := &world{catalog: consulserver.NewCatalog(), heard: &heard{list: map[string]reconcile.Claim{}, news: make(chan struct{}, 1)}}
 	opt := Options{Name: "consul", Services: []string{"db"}, Wait: 30000, MaxStale: 10000, MostBytes: 1 << 20, Map: DefaultMapping(), Seed: 1}
 	for range agents {
-		a, err := agent.Start(w.catalog)
+		a, err := consulserver.Start(w.catalog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -119,7 +119,7 @@
 		w.agents = append(w.agents, a)
 		opt.Agents = append(opt.Agents, a.Addr)
 	}
-	w.catalog.Change("db", []agent.Instance{instance(0), instance(1), instance(2)})
+	w.catalog.Change("db", []consulserver.Instance{instance(0), instance(1), instance(2)})
 	if change != nil {
 		change(&opt)
 	}
@@ -129,7 +129,7 @@
 	return w
 }
 
-func (w *world) all(lie agent.Lie) {
+func (w *world) all(lie consulserver.Lie) {
 	for _, a := range w.agents {
 		a.Tell(lie)
 	}
@@ -145,7 +145,7 @@
 		w.until(t, "three", w.size(3))
 		x := instance(1)
 		x.Maintenance, x.Meta["role"], x.Meta["started"], x.Weight = true, "primary", "1700000000", 3
-		w.catalog.Change("db", []agent.Instance{x})
+		w.catalog.Change("db", []consulserver.Instance{x})
 		want := reconcile.Claim{ID: "db-1", Address: "10.0.0.1:5432", Zone: "dc1", Weight: 3, Started: 1.7e12, Health: reconcile.Maintenance, Role: reconcile.Primary}
 		if catalog {
 			want.Health = reconcile.Passing
@@ -163,24 +163,24 @@
 // once it is back.
 func TestLies(t *testing.T) {
 	for name, c := range map[string]struct {
-		lie agent.Lie
+		lie consulserver.Lie
 		why string
 	}{
-		"a storm of 500s":     {agent.Lie{Status: 500}, "status 500"},
-		"slow down":           {agent.Lie{Status: 429, RetryAfter: 1}, "status 429"},
-		"cut off in mid-JSON": {agent.Lie{Cut: true}, "not whole"},
-		"no JSON":             {agent.Lie{Garbage: true}, "not whole"},
-		"100 MB":              {agent.Lie{Huge: 100 << 20}, "too long"},
-		"elsewhere":           {agent.Lie{Status: 301}, "status 301"},
+		"a storm of 500s":     {consulserver.Lie{Status: 500}, "status 500"},
+		"slow down":           {consulserver.Lie{Status: 429, RetryAfter: 1}, "status 429"},
+		"cut off in mid-JSON": {consulserver.Lie{Cut: true}, "not whole"},
+		"no JSON":             {consulserver.Lie{Garbage: true}, "not whole"},
+		"100 MB":              {consulserver.Lie{Huge: 100 << 20}, "too long"},
+		"elsewhere":           {consulserver.Lie{Status: 301}, "status 301"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := watch(t, 2, nil)
 			w.until(t, "three", w.size(3))
 			w.all(c.lie)
-			w.catalog.Change("db", []agent.Instance{instance(3)})
+			w.catalog.Change("db", []consulserver.Instance{instance(3)})
 			w.until(t, "its reason", w.noted(c.why))
 			w.until(t, "that nobody answers", func() bool { return len(w.lost) == 1 && len(w.list) == 3 })
-			w.all(agent.Lie{})
+			w.all(consulserver.Lie{})
 			w.until(t, "the truth", w.size(4))
 			if read := w.src.Read(); read > 20<<20 {
 				t.Errorf("%d bytes were read", read)
@@ -193,15 +193,15 @@
 func TestEmpty(t *testing.T) {
 	w := watch(t, 1, func(o *Options) { o.Wait = 200 })
 	w.until(t, "three", w.size(3))
-	w.all(agent.Lie{Empty: true})
+	w.all(consulserver.Lie{Empty: true})
 	w.until(t, "none", w.size(0))
-	w.all(agent.Lie{})
+	w.all(consulserver.Lie{})
 	w.until(t, "three again", w.size(3))
 }
 
 // TestOneOfTwo: one agent that is down, hangs, is an hour behind or knows no leader does not keep the other's word away.
 func TestOneOfTwo(t *testing.T) {
-	for name, lie := range map[string]agent.Lie{
+	for name, lie := range map[string]consulserver.Lie{
 		"down":               {Status: 500},
 		"an hour behind":     {Frozen: true, Contact: time.Hour},
 		"knows no leader":    {Leaderless: true, Frozen: true},
@@ -216,9 +216,9 @@
 				first = w.agents[0] // the one that is asked now
 			}
 			first.Tell(lie)
-			w.catalog.Change("db", []agent.Instance{instance(3)})
+			w.catalog.Change("db", []consulserver.Instance{instance(3)})
 			if name == "an old index alone" {
-				first.Tell(agent.Lie{}) // it lags, no more
+				first.Tell(consulserver.Lie{}) // it lags, no more
 			}
 			w.until(t, "what changed", w.size(4))
 		})
@@ -229,8 +229,8 @@
 func TestHang(t *testing.T) {
 	w := watch(t, 2, func(o *Options) { o.Wait = 200 })
 	w.until(t, "three", w.size(3))
-	w.agents[0].Tell(agent.Lie{Hang: true})
-	w.catalog.Change("db", []agent.Instance{instance(3)})
+	w.agents[0].Tell(consulserver.Lie{Hang: true})
+	w.catalog.Change("db", []consulserver.Instance{instance(3)})
 	w.until(t, "what changed", w.size(4))
 }
 
@@ -239,7 +239,7 @@
 	w := watch(t, 2, nil)
 	w.until(t, "three", w.size(3))
 	for i := range 20 {
-		w.catalog.Change("db", []agent.Instance{instance(3 + i%2)})
+		w.catalog.Change("db", []consulserver.Instance{instance(3 + i%2)})
 	}
 	w.until(t, "five", w.size(5))
 	w.catalog.Reset()
@@ -251,7 +251,7 @@
 // TestNoIndex: an agent that gives no index is asked now and then, not without end.
 func TestNoIndex(t *testing.T) {
 	w := watch(t, 1, nil)
-	w.all(agent.Lie{NoIndex: true})
+	w.all(consulserver.Lie{NoIndex: true})
 	w.until(t, "three", w.size(3))
 	w.catalog.Change("db", nil, "db-1")
 	w.until(t, "two", w.size(2))
@@ -266,7 +266,7 @@
 	w.until(t, "three", w.size(3))
 	w.agents[0].Need("new")
 	w.src.SetToken("old\n")
-	w.catalog.Change("db", []agent.Instance{instance(3)})
+	w.catalog.Change("db", []consulserver.Instance{instance(3)})
 	w.until(t, "that it is denied", w.noted("its token"))
 	w.src.SetToken("new\n")
 	w.until(t, "what changed", w.size(4))
@@ -307,9 +307,9 @@
 	x, y := instance(7), instance(8)
 	x.Meta = map[string]string{"group": "seven"}
 	y.Port = 0
-	w.catalog.Change("db", []agent.Instance{x, y, instance(3)})
+	w.catalog.Change("db", []consulserver.Instance{x, y, instance(3)})
 	w.until(t, "the others", func() bool { return len(w.list) == 4 && w.noted("2 of 6 instances cannot be used")() })
-	w.catalog.Change("db", []agent.Instance{instance(4)})
+	w.catalog.Change("db", []consulserver.Instance{instance(4)})
 	w.until(t, "one more", w.size(5))
 	if n := strings.Count(strings.Join(w.notes, "\n"), "cannot be used"); n > 2 {
 		t.Errorf("told %d times", n)
@@ -326,7 +326,7 @@
 	for i, n := range names {
 		x := instance(i)
 		x.ID = n + "-" + x.ID
-		w.catalog.Change(n, []agent.Instance{x})
+		w.catalog.Change(n, []consulserver.Instance{x})
 	}
 	w.until(t, "all", w.size(43))
 }
@@ -347,7 +347,7 @@
 	}
 	x := instance(2)
 	x.Maintenance = true
-	go w.catalog.Change("db", []agent.Instance{x})
+	go w.catalog.Change("db", []consulserver.Instance{x})
 	entries, next, err := client.Health().Service("db", "", false, &api.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: patience})
 	if err != nil || next.LastIndex <= meta.LastIndex || entries[2].Checks.AggregatedStatus() != api.HealthMaint {
 		t.Fatalf("%+v, %v", next, err)
@@ -450,13 +450,13 @@
 
 // BenchmarkParse is a full reload of 2,000 instances.
 func BenchmarkParse(b *testing.B) {
-	c := agent.NewCatalog()
-	var all []agent.Instance
+	c := consulserver.NewCatalog()
+	var all []consulserver.Instance
 	for i := range 2000 {
 		all = append(all, instance(i))
 	}
 	c.Change("db", all)
-	a, err := agent.Start(c)
+	a, err := consulserver.Start(c)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/frontend/scatter/execution/run_test.go
+++ b/internal/frontend/scatter/execution/run_test.go
@@ -13,12 +13,12 @@
 	"beechgrade/internal/frontend/scatter/merge"
 	"beechgrade/internal/frontend/scatter/plan"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/kit/standin/sorted"
+	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
 // stored is a row of a shard, there from one position of its log to another.
 type stored struct {
-	vals      sorted.Row // place, x, name, id
+	vals      sortedtable.Row // place, x, name, id
 	from, end float64
 }
 
@@ -47,13 +47,13 @@
 type given struct {
 	shard int
 	id    int64
-	vals  sorted.Row
+	vals  sortedtable.Row
 }
 
 // try is a shard's read at a server.
 type try struct {
 	shard, no int
-	rows      []sorted.Row
+	rows      []sortedtable.Row
 	at        float64 // position that it was read at
 	sent      bool
 	stopped   bool
@@ -65,7 +65,7 @@
 	limit     int
 }
 
-var table = sorted.Table{"place", "x", "name", "id"}
+var table = sortedtable.Table{"place", "x", "name", "id"}
 
 const word = "SELECT place, x, name, id FROM t WHERE true /*after*/ /*order*/ /* scatter=t */"
 
@@ -98,7 +98,7 @@
 func (h *history) write(i int) {
 	pick := func(vals ...any) any { return vals[h.rng.IntN(len(vals))] }
 	h.nextID++
-	h.data[i] = append(h.data[i], &stored{from: h.now, end: math.Inf(1), vals: sorted.Row{pick(int64(1), int64(2), int64(-3), nil),
+	h.data[i] = append(h.data[i], &stored{from: h.now, end: math.Inf(1), vals: sortedtable.Row{pick(int64(1), int64(2), int64(-3), nil),
 		pick(0.5, math.NaN(), math.Inf(-1), -2.0, nil), pick("", "a", "ab", "é", nil), h.nextID}})
 }
 
@@ -119,7 +119,7 @@
 }
 
 // visible are a shard's rows as of a position.
-func (h *history) visible(i int, at float64) (out []sorted.Row) {
+func (h *history) visible(i int, at float64) (out []sortedtable.Row) {
 	for _, s := range h.data[i] {
 		if s.from <= at && s.end > at {
 			out = append(out, s.vals)
@@ -175,7 +175,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	q, err := sorted.Read(sql)
+	q, err := sortedtable.Read(sql)
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 			x.silent = true
 		case 2: // endless: what it sends beyond the limit is in order, and in the way
 			for i := 0; i < 5 && len(x.rows) >= x.limit; i++ {
-				x.rows = append(x.rows, sorted.Row{nil, nil, nil, int64(1e6 + i)})
+				x.rows = append(x.rows, sortedtable.Row{nil, nil, nil, int64(1e6 + i)})
 			}
 		}
 	}
@@ -242,7 +242,7 @@
 				own = len(key)
 			}
 			c := &h.order.Columns[i]
-			key, _ = c.Append(key, sorted.Text(r[slices.Index(table, c.Name)]), false)
+			key, _ = c.Append(key, sortedtable.Text(r[slices.Index(table, c.Name)]), false)
 		}
 		h.now1[x.shard] = max(h.now1[x.shard], x.at)
 		h.do(h.run.Row(x.shard, x.no, key, own, fmt.Appendf(nil, "%d %d", x.shard, r[3]), h.now))
@@ -311,7 +311,7 @@
 				n = -1
 			}
 		default:
-			if n = sorted.Compare(x, y); c.Desc {
+			if n = sortedtable.Compare(x, y); c.Desc {
 				n = -n
 			}
 		}
--- a/internal/kit/console/console_test.go
+++ b/internal/kit/console/console_test.go
@@ -10,14 +10,14 @@
 
 	"beechgrade/internal/kit/incident"
 	"beechgrade/internal/kit/records"
-	"beechgrade/internal/kit/standin"
+	"beechgrade/internal/testkit/fake"
 )
 
 func day(t *testing.T) *incident.View {
 	t.Helper()
 	dir := t.TempDir()
-	standin.Day{From: 1.7e12, Poolers: 2, Groups: 12, Members: 3, Requests: 3000, EveryMs: 5,
-		Outages: []standin.Outage{{Group: 1, At: 5000, GapMs: 3000}}}.Write(dir)
+	fake.Day{From: 1.7e12, Poolers: 2, Groups: 12, Members: 3, Requests: 3000, EveryMs: 5,
+		Outages: []fake.Outage{{Group: 1, At: 5000, GapMs: 3000}}}.Write(dir)
 	set, err := records.Open(false, dir)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/kit/fleet/fleet.go
+++ b/internal/kit/fleet/fleet.go
@@ -13,7 +13,7 @@
 
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/standin/agent"
+	"beechgrade/internal/testkit/fake/consulserver"
 	"beechgrade/internal/testkit/model"
 )
 
@@ -53,7 +53,7 @@
 	timers  map[*time.Timer]bool
 	closed  bool
 	dir     directory
-	catalog *agent.Catalog // nil for none
+	catalog *consulserver.Catalog // nil for none
 	known   map[string]bool
 	wg      sync.WaitGroup
 	late    []Fact // sends to servers that drain
--- a/internal/kit/fleet/scattered.go
+++ b/internal/kit/fleet/scattered.go
@@ -8,7 +8,7 @@
 
 	"github.com/jackc/pgx/v5/pgproto3"
 
-	"beechgrade/internal/kit/standin/sorted"
+	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
 // Scatters are tables of which each group has a part, as a test fills them.
@@ -24,15 +24,15 @@
 // Table is one that is scattered. Rows have a value for each column.
 type Table struct {
 	Name    string
-	Columns sorted.Table
-	Types   sorted.Row // a value of each column's type
+	Columns sortedtable.Table
+	Types   sortedtable.Row // a value of each column's type
 
 	rows map[int][]*kept // by group
 }
 
 // kept is a row, which is there from one position of its group's log to another.
 type kept struct {
-	row       sorted.Row
+	row       sortedtable.Row
 	from, end float64
 }
 
@@ -67,7 +67,7 @@
 }
 
 // Put writes a row at a group's primary, as of a position that it returns; initial has it be there from the beginning, as of 0.
-func (f *Fleet) Put(table string, group int, row sorted.Row, initial bool) (from float64) {
+func (f *Fleet) Put(table string, group int, row sortedtable.Row, initial bool) (from float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !initial {
@@ -79,7 +79,7 @@
 }
 
 // Remove deletes the rows for which a function holds, as of a position that it returns.
-func (f *Fleet) Remove(table string, group int, is func(sorted.Row) bool) (at float64) {
+func (f *Fleet) Remove(table string, group int, is func(sortedtable.Row) bool) (at float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at = f.world.Groups[group].Write(f.clk.Now(), "scattered", nil)
@@ -132,7 +132,7 @@
 func (t *Table) describe(forms []int16) *pgproto3.RowDescription {
 	d := &pgproto3.RowDescription{}
 	for i, c := range t.Columns {
-		d.Fields = append(d.Fields, pgproto3.FieldDescription{Name: []byte(c), DataTypeOID: sorted.OID(t.Types[i]), DataTypeSize: -1, TypeModifier: -1, Format: form(forms, i)})
+		d.Fields = append(d.Fields, pgproto3.FieldDescription{Name: []byte(c), DataTypeOID: sortedtable.OID(t.Types[i]), DataTypeSize: -1, TypeModifier: -1, Format: form(forms, i)})
 	}
 	return d
 }
@@ -143,7 +143,7 @@
 	if simple {
 		forms = nil
 	}
-	q, err := sorted.Read(sql)
+	q, err := sortedtable.Read(sql)
 	if err != nil {
 		return true, fail("42601", "%v", err)
 	}
@@ -154,7 +154,7 @@
 	}
 	now := f.clk.Now()
 	at := s.Position(now)
-	var there []sorted.Row
+	var there []sortedtable.Row
 	for _, k := range t.rows[s.Group.ID] {
 		if k.from <= at && (k.end == 0 || k.end > at) {
 			there = append(there, k.row)
@@ -230,10 +230,10 @@
 		if i < len(rows) {
 			for k, v := range rows[i] {
 				if form(forms, k) == 1 {
-					vals = append(vals, sorted.Binary(v))
+					vals = append(vals, sortedtable.Binary(v))
 					continue
 				}
-				vals = append(vals, sorted.Text(v))
+				vals = append(vals, sortedtable.Text(v))
 			}
 		} else {
 			for range t.Columns {
--- a/internal/kit/incident/incident_test.go
+++ b/internal/kit/incident/incident_test.go
@@ -12,10 +12,10 @@
 
 	"beechgrade/internal/decide"
 	"beechgrade/internal/kit/records"
-	"beechgrade/internal/kit/standin"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/testkit/deterministic"
+	"beechgrade/internal/testkit/fake"
 )
 
 const t0 = 1.7e12
@@ -34,7 +34,7 @@
 }
 
 func (s *story) begin(pooler string, at float64) {
-	s.r = &records.Run{Pooler: pooler, StartMs: at, Header: &recordpb.Header{Classes: standin.Classes(), ColdUs: 10e6, GraceUs: 250000}}
+	s.r = &records.Run{Pooler: pooler, StartMs: at, Header: &recordpb.Header{Classes: fake.Classes(), ColdUs: 10e6, GraceUs: 250000}}
 	s.Begin(s.r)
 }
 
@@ -279,8 +279,8 @@
 // again. Nothing is lost or counted twice, the takeover is seen once, and what is wrong with the clocks is said.
 func TestManyClocks(t *testing.T) {
 	dir := t.TempDir()
-	day := standin.Day{Seed: 4, From: t0, Poolers: 16, Groups: 2, Members: 3, Requests: 4000, EveryMs: 5, SkewMs: 50, StepAt: 3000, StepMs: -3000,
-		Outages: []standin.Outage{{Group: 1, At: 8000, GapMs: 2500}}}
+	day := fake.Day{Seed: 4, From: t0, Poolers: 16, Groups: 2, Members: 3, Requests: 4000, EveryMs: 5, SkewMs: 50, StepAt: 3000, StepMs: -3000,
+		Outages: []fake.Outage{{Group: 1, At: 8000, GapMs: 2500}}}
 	events := day.Write(dir)
 	v := load(t, dir)
 	if v.Events != uint64(events) || v.Total.Requests != 64000 || v.Unknowns != 0 || len(v.Faults) > 0 {
@@ -312,7 +312,7 @@
 	if x, err := strconv.Atoi(os.Getenv("BEECHGRADE_EVENTS")); err == nil {
 		n = x
 	}
-	for name, d := range map[string]standin.Day{
+	for name, d := range map[string]fake.Day{
 		"1 pooler 9 servers":      {Poolers: 1, Groups: 3, Members: 3},
 		"16 poolers 200 servers":  {Poolers: 16, Groups: 50, Members: 4, SkewMs: 20},
 		"16 poolers 200 s packed": {Poolers: 16, Groups: 50, Members: 4, SkewMs: 20, Pack: true},
--- a/internal/kit/load/load_test.go
+++ b/internal/kit/load/load_test.go
@@ -15,7 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"beechgrade/internal/kit/records"
-	"beechgrade/internal/kit/standin"
+	"beechgrade/internal/testkit/fake"
 )
 
 func drain(s Source) (out []Shot) {
@@ -141,7 +141,7 @@
 // TestReplay: a recorded day is asked again as it was, so many times as fast.
 func TestReplay(t *testing.T) {
 	dir := t.TempDir()
-	standin.Day{Seed: 3, From: 1.7e12, Poolers: 2, Groups: 2, Members: 3, Requests: 200, EveryMs: 10, Segment: 1 << 20}.Write(dir)
+	fake.Day{Seed: 3, From: 1.7e12, Poolers: 2, Groups: 2, Members: 3, Requests: 200, EveryMs: 10, Segment: 1 << 20}.Write(dir)
 	of := func(speed float64) []Shot {
 		set, err := records.Open(false, dir)
 		if err != nil {
--- a/internal/kit/records/records_test.go
+++ b/internal/kit/records/records_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/standin"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/fake"
 )
 
 // heard collects what a reading yields.
@@ -41,7 +41,7 @@
 func small(t testing.TB, pack bool) (path string, b []byte) {
 	t.Helper()
 	dir := t.TempDir()
-	opt := record.Options{Pooler: "n1", Program: "t", Run: 1.7e12, Classes: standin.Classes(), Files: record.Dir(dir), SegmentBytes: 1 << 20,
+	opt := record.Options{Pooler: "n1", Program: "t", Run: 1.7e12, Classes: fake.Classes(), Files: record.Dir(dir), SegmentBytes: 1 << 20,
 		TotalBytes: 1 << 30, Events: 8, Pack: pack, Log: slog.New(slog.DiscardHandler)}
 	record.Write(opt, func(put func(*record.Event)) {
 		put(&record.Event{At: 1.7e12, Kind: recordpb.Kind_KIND_START})
@@ -137,7 +137,7 @@
 // TestMissing guards against a hole between segments that is passed over in silence, and a copy that counts twice.
 func TestMissing(t *testing.T) {
 	dir := t.TempDir()
-	standin.Day{From: 1.7e12, Poolers: 1, Groups: 2, Members: 3, Requests: 6000, EveryMs: 5}.Write(dir)
+	fake.Day{From: 1.7e12, Poolers: 1, Groups: 2, Members: 3, Requests: 6000, EveryMs: 5}.Write(dir)
 	names, _ := filepath.Glob(filepath.Join(dir, "p0", "*"))
 	if len(names) < 4 {
 		t.Fatalf("%d segments; the test wants four", len(names))
--- a/internal/kit/rehearse/consul.go
+++ b/internal/kit/rehearse/consul.go
@@ -7,17 +7,17 @@
 
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/standin/agent"
+	"beechgrade/internal/testkit/fake/consulserver"
 	"beechgrade/internal/testkit/model"
 )
 
 // startAgents starts stand-ins for Consul's agents, before a catalogue in which the fleet is registered, and has the poolers
 // take their list from them.
 func (r *Run) startAgents() error {
-	c := agent.NewCatalog()
+	c := consulserver.NewCatalog()
 	var addrs []string
 	for range r.script.Agents {
-		a, err := agent.Start(c)
+		a, err := consulserver.Start(c)
 		if err != nil {
 			return err
 		}
@@ -44,9 +44,9 @@
 	case "wrong-roles":
 		_ = r.fleet.Act(func(w *model.World) error { w.Swap(on); return nil })
 	default:
-		l := agent.Lie{}
+		l := consulserver.Lie{}
 		if on {
-			l = map[string]agent.Lie{"down": {Status: 500}, "hang": {Hang: true}, "frozen": {Frozen: true, Contact: time.Hour},
+			l = map[string]consulserver.Lie{"down": {Status: 500}, "hang": {Hang: true}, "frozen": {Frozen: true, Contact: time.Hour},
 				"leaderless": {Frozen: true, Leaderless: true, Contact: time.Hour}, "cut": {Cut: true}, "empty": {Empty: true}}[f.Target.Word]
 		}
 		r.agents[f.Target.Group].Tell(l)
--- a/internal/kit/rehearse/house.go
+++ b/internal/kit/rehearse/house.go
@@ -25,7 +25,7 @@
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/standin/house"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
 // HouseOptions say how the ClickHouse front is measured.
@@ -73,7 +73,7 @@
 // MeasureHouse measures the ClickHouse front side by side with the stand-in reached directly, and through the standard
 // library's reverse proxy.
 func MeasureHouse(ctx context.Context, o HouseOptions) ([]HouseWay, error) {
-	s, err := house.Start("h0")
+	s, err := clickhouseserver.Start("h0")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/kit/rehearse/month_pages.go
+++ b/internal/kit/rehearse/month_pages.go
@@ -14,8 +14,8 @@
 	"github.com/jackc/pgx/v5/pgconn"
 
 	"beechgrade/internal/kit/fleet"
-	"beechgrade/internal/kit/standin/sorted"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
 const (
@@ -36,7 +36,7 @@
 func (x *shared) pagesTable() *report {
 	s := x.run.script
 	r := &report{shared: x, rng: rand.New(rand.NewPCG(x.run.opt.Seed, 41)), live: make([][]int64, len(s.Fleet.Groups))}
-	x.run.fleet.Scatter(&fleet.Table{Name: "visits", Columns: sorted.Table{"id", "place"}, Types: sorted.Row{int64(0), int64(0)}})
+	x.run.fleet.Scatter(&fleet.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
 	for g := range r.live {
 		for range s.Pages.Rows {
 			r.write(g, true)
@@ -50,7 +50,7 @@
 	defer r.mu.Unlock()
 	r.last++
 	place := int64(r.rng.IntN(r.run.script.Pages.Places))
-	from := r.run.fleet.Put("visits", group, sorted.Row{r.last, place}, initial)
+	from := r.run.fleet.Put("visits", group, sortedtable.Row{r.last, place}, initial)
 	r.pages.Row(r.last, place, group, from)
 	r.live[group] = append(r.live[group], r.last)
 }
@@ -66,7 +66,7 @@
 	k := r.rng.IntN(n)
 	id := r.live[group][k]
 	r.live[group] = slices.Delete(r.live[group], k, k+1)
-	r.pages.Gone(id, r.run.fleet.Remove("visits", group, func(row sorted.Row) bool { return row[0] == id }))
+	r.pages.Gone(id, r.run.fleet.Remove("visits", group, func(row sortedtable.Row) bool { return row[0] == id }))
 }
 
 // play has rows come and go and reports be read until the context ends.
--- a/internal/kit/rehearse/run.go
+++ b/internal/kit/rehearse/run.go
@@ -18,9 +18,9 @@
 	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
-	"beechgrade/internal/kit/standin/agent"
 	"beechgrade/internal/testkit/checker"
 	"beechgrade/internal/testkit/cpupressure"
+	"beechgrade/internal/testkit/fake/consulserver"
 )
 
 const (
@@ -102,8 +102,8 @@
 	fleet   *fleet.Fleet
 	poolers []*pooler
 
-	operators string         // more of the operators' settings
-	agents    []*agent.Agent // of Consul
+	operators string                // more of the operators' settings
+	agents    []*consulserver.Agent // of Consul
 	wires     *wires
 	shared    *shared
 	peers     *fleetOf // nil where the poolers are no peers
--- a/internal/kit/report/report_test.go
+++ b/internal/kit/report/report_test.go
@@ -8,9 +8,9 @@
 
 	"beechgrade/internal/kit/incident"
 	"beechgrade/internal/kit/records"
-	"beechgrade/internal/kit/standin"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/fake"
 )
 
 // hostile are names that must stay text wherever they stand.
@@ -19,7 +19,7 @@
 // made is a view of a made-up incident, with a name for a server.
 func made(servers int, name func(i int) string, seconds float64) *incident.View {
 	m := incident.New()
-	r := &records.Run{Pooler: name(0), StartMs: 1.7e12, Header: &recordpb.Header{Classes: standin.Classes(), ColdUs: 1e6}}
+	r := &records.Run{Pooler: name(0), StartMs: 1.7e12, Header: &recordpb.Header{Classes: fake.Classes(), ColdUs: 1e6}}
 	r.Header.Classes[0].Name = name(0)
 	m.Begin(r)
 	no := uint64(0)
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -13,14 +13,14 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 // rig is a journal between a core and servers that only take notes. The store's words come when pass is called.
 type rig struct {
 	t      *testing.T
-	disk   *faulty.Disk
+	disk   *faultyfs.Disk
 	store  *store.Store
 	j      *Journal
 	heap   timers.Heap
@@ -50,7 +50,7 @@
 	return slotmap.Ref{Index: 100 + t.Request.Index, Gen: 1}
 }
 
-func newRig(t *testing.T, d *faulty.Disk, mode Mode) *rig {
+func newRig(t *testing.T, d *faultyfs.Disk, mode Mode) *rig {
 	r := &rig{t: t, disk: d, now: 1e6, posted: make(chan func(), 100)}
 	s, _, err := store.Open(store.Options{FS: d, Post: func(f func()) { r.posted <- f }})
 	if err != nil {
@@ -91,7 +91,7 @@
 // TestBefore: a write goes out once its entry is durable, and not at all where it was called off, its time ended, or its server
 // drains before; a read goes out at once. What ended without a word stays, also for the next process.
 func TestBefore(t *testing.T) {
-	r := newRig(t, faulty.New(), Before)
+	r := newRig(t, faultyfs.New(), Before)
 	r.j.Start("a", nil, 2e6, backend.Terms{}, tag(1))
 	r.want("start a 1 false")
 	ref := r.j.Start("a", nil, 2e6, backend.Terms{Once: true}, tag(2))
@@ -150,7 +150,7 @@
 // TestDiskFails: what cannot be written down is not sent; alongside, it is.
 func TestDiskFails(t *testing.T) {
 	for mode, want := range map[Mode][]string{Before: {"ended 1 7"}, Alongside: {"start a 1 true"}} {
-		d := faulty.New()
+		d := faultyfs.New()
 		r := newRig(t, d, mode)
 		ops, _ := d.Ops()
 		d.FailAt, d.Err = ops+2, fmt.Errorf("input/output error")
@@ -163,7 +163,7 @@
 
 // TestClockBack: each start's clock stands further back than the one before: no entry is written over, each is listed, and each id is refused.
 func TestClockBack(t *testing.T) {
-	d := faulty.New()
+	d := faultyfs.New()
 	for i, now := range []float64{1e6, 5e5, 5e5, 10, 0} {
 		r := newRig(t, d, Before)
 		r.now = now
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -12,13 +12,13 @@
 
 	"beechgrade/internal/decide"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/storage/store"
 	"beechgrade/internal/testkit/deterministic"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 // open starts a keeper whose word comes on calls of the function that it returns, once.
-func open(d *faulty.Disk, mode Mode, now decide.Time) (k *Keeper, s *store.Store, wait func(), err error) {
+func open(d *faultyfs.Disk, mode Mode, now decide.Time) (k *Keeper, s *store.Store, wait func(), err error) {
 	if s, _, err = store.Open(store.Options{FS: d, SegmentBytes: 600}); err != nil {
 		return nil, nil, nil, err
 	}
@@ -46,7 +46,7 @@
 // each session just its own.
 func TestCrashes(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
-		d := faulty.New()
+		d := faultyfs.New()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		answered := map[string]decide.Time{}
 		now := decide.Time(1000)
@@ -98,7 +98,7 @@
 	for _, mode := range []Mode{Before, Alongside} {
 		for _, ordered := range []bool{true, false} {
 			for _, back := range []bool{false, true} {
-				d := faulty.New()
+				d := faultyfs.New()
 				k, s, wait, err := open(d, mode, 100)
 				if err != nil {
 					t.Fatal(err)
@@ -144,7 +144,7 @@
 func TestMerge(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
-		disks := [2]*faulty.Disk{faulty.New(), faulty.New()}
+		disks := [2]*faultyfs.Disk{faultyfs.New(), faultyfs.New()}
 		var keepers [2]*Keeper
 		var stores [2]*store.Store
 		var waits [2]func()
@@ -254,7 +254,7 @@
 		"commits: a session's commit does not go back": func(k *Keeper) { k.checkStep("a", 6, true) },
 		"commits: what is answered as kept is there":   func(k *Keeper) { k.checkKept("a", 6) },
 	} {
-		k, s, wait, err := open(faulty.New(), Before, 1)
+		k, s, wait, err := open(faultyfs.New(), Before, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -13,9 +13,9 @@
 
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/storage/store"
 	"beechgrade/internal/testkit/deterministic"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 func value(at float64, body string) func() (*Record, error) {
@@ -31,7 +31,7 @@
 // wall clock after another start of the machine.
 func TestFoundBehindASteppedClock(t *testing.T) {
 	for _, step := range []float64{-3600e3, -3e3, 0, 3e3, 3600e3} {
-		d, now, monotonic := faulty.New(), 1e12, 5000.0
+		d, now, monotonic := faultyfs.New(), 1e12, 5000.0
 		machine := clock.Machine{Wall: func() float64 { return now }, Monotonic: func() float64 { return monotonic }, Boot: "b"}
 		opt := Options{FS: d, MostBytes: 1 << 20, AgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
 		k, err := Start(opt)
@@ -64,7 +64,7 @@
 // TestFound: what was kept last is found by the next start, within its age, by a clock that went back a little too; not by one that
 // went back far, whose word on the age is worth nothing.
 func TestFound(t *testing.T) {
-	d := faulty.New()
+	d := faultyfs.New()
 	opt := Options{FS: d, MostBytes: 1 << 20, AgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
 	k, err := Start(opt)
 	if err != nil {
@@ -99,7 +99,7 @@
 // TestDisk: each operation of the disk fails once, and the power goes out at each: the next start finds a value that was kept, whole,
 // or none; somebody is told of a failure.
 func TestDisk(t *testing.T) {
-	play := func(d *faulty.Disk) string {
+	play := func(d *faultyfs.Disk) string {
 		var log bytes.Buffer
 		k, err := Start(Options{FS: d, MostBytes: 1 << 20, AgeMs: 1e9, Log: slog.New(slog.NewTextHandler(&log, nil)), Checks: strict(), Store: strict(), Every: 1})
 		if err != nil {
@@ -111,12 +111,12 @@
 		k.Stop()
 		return log.String()
 	}
-	whole := faulty.New()
+	whole := faultyfs.New()
 	play(whole)
 	ops, _ := whole.Ops()
 	for at := 1; at <= ops; at++ {
 		for _, power := range []bool{false, true} {
-			d := faulty.New()
+			d := faultyfs.New()
 			if d.FailAt, d.Err = at, errors.New("input/output error"); power {
 				d.FailAt, d.CrashAt = 0, at
 			}
@@ -154,7 +154,7 @@
 			}
 		},
 	} {
-		s, _, err := store.Open(store.Options{FS: faulty.New()})
+		s, _, err := store.Open(store.Options{FS: faultyfs.New()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,7 +175,7 @@
 func TestRandom(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
-		d := faulty.New()
+		d := faultyfs.New()
 		least, last := map[string]float64{}, map[string]float64{}
 		n := 0.0
 		for range rapid.IntRange(1, 4).Draw(rt, "lives") {
--- a/internal/storage/store/beside_test.go
+++ b/internal/storage/store/beside_test.go
@@ -11,13 +11,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 // hooked is a disk that has something done before each operation of a compaction.
 type hooked struct {
-	*faulty.Disk
+	*faultyfs.Disk
 	hook func()
 }
 
@@ -51,7 +51,7 @@
 
 // playBeside has a store take a history's entries, the last of them one by one before each operation of two compactions, and read what
 // there is each time. It tells how many were acknowledged and asked for, and how the compactions ended.
-func playBeside(t *testing.T, d *faulty.Disk, acts []act, all []map[string]string) (acked, asked int, compacted error) {
+func playBeside(t *testing.T, d *faultyfs.Disk, acts []act, all []map[string]string) (acked, asked int, compacted error) {
 	h := &hooked{Disk: d}
 	s, _, err := store.Open(store.Options{FS: h, SegmentBytes: 700, Checks: strict(), Every: 1})
 	if err != nil {
@@ -114,7 +114,7 @@
 func TestBeside(t *testing.T) {
 	acts := puts(60)
 	all := models(acts)
-	whole := faulty.New()
+	whole := faultyfs.New()
 	if acked, _, err := playBeside(t, whole, acts, all); acked != len(acts) || err != nil {
 		t.Fatal(acked, err)
 	}
@@ -122,7 +122,7 @@
 	goesOn, crashes := 0, 0
 	for at := 1; at <= ops; at++ {
 		for variant := range 6 {
-			d := faulty.New()
+			d := faultyfs.New()
 			if variant < 3 {
 				d.CrashAt = at
 				crashes++
@@ -153,7 +153,7 @@
 }
 
 // readOnly is a disk that takes nothing.
-type readOnly struct{ *faulty.Disk }
+type readOnly struct{ *faultyfs.Disk }
 
 func (readOnly) Create(string) (store.File, error) { return nil, syscall.EROFS }
 func (readOnly) Append(string) (store.File, error) { return nil, syscall.EROFS }
@@ -164,7 +164,7 @@
 
 // TestReadOnly: a store on a disk that takes nothing is refused, for that reason and not as damaged, and can be looked into.
 func TestReadOnly(t *testing.T) {
-	d := faulty.New()
+	d := faultyfs.New()
 	acts := history()
 	play(d, acts)
 	before := d.Files()
@@ -188,7 +188,7 @@
 // is dead makes room, what is not is refused aloud and stays; a compaction keeps to its pace, and a close does not wait for that.
 func TestBounds(t *testing.T) {
 	const most = 30000
-	d := faulty.New()
+	d := faultyfs.New()
 	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 2000, MaxBytes: most, Checks: strict(), Every: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -230,7 +230,7 @@
 	}
 	_ = s.Close()
 
-	if s, _, err = store.Open(store.Options{FS: faulty.New(), Pace: 200 << 10}); err != nil {
+	if s, _, err = store.Open(store.Options{FS: faultyfs.New(), Pace: 200 << 10}); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 40 {
--- a/internal/storage/store/linear_test.go
+++ b/internal/storage/store/linear_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 // deed is what a client did: it wrote some keys at once, or read all.
@@ -62,7 +62,7 @@
 // concurrent has clients write and read at once, beside compactions, until the power goes out, and again after that; it is what they did and saw.
 func concurrent(t *testing.T, seed uint64) (history []porcupine.Operation, maybes int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	d := faulty.New()
+	d := faultyfs.New()
 	d.CrashAt = 20 + rng.IntN(30)
 	var mu sync.Mutex
 	began := time.Now()
--- a/internal/storage/store/replace_test.go
+++ b/internal/storage/store/replace_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 // TestReplace: the power goes out at every operation of a replacement, or the operation fails; the file is the old one or the new, whole, and the
@@ -15,7 +15,7 @@
 func TestReplace(t *testing.T) {
 	t.Parallel()
 	old, new := strings.Repeat("old ", 400), strings.Repeat("newer ", 500)
-	whole := faulty.New()
+	whole := faultyfs.New()
 	if err := store.Replace(whole, "a", []byte(new)); err != nil {
 		t.Fatal(err)
 	}
@@ -23,10 +23,10 @@
 	if ops < 5 { // create, write, sync, rename, sync of the folder
 		t.Errorf("%d operations", ops)
 	}
-	read := func(d *faulty.Disk) string { return string(d.Files()["a"]) }
+	read := func(d *faultyfs.Disk) string { return string(d.Files()["a"]) }
 	for at := 1; at <= ops+1; at++ {
 		for seed := range uint64(20) {
-			d := faulty.New()
+			d := faultyfs.New()
 			d.Set("a", []byte(old))
 			d.CrashAt = at
 			err := store.Replace(d, "a", []byte(new))
@@ -35,7 +35,7 @@
 				t.Fatalf("power lost at operation %d, %v: %d bytes are there", at, err, len(got))
 			}
 		}
-		d := faulty.New()
+		d := faultyfs.New()
 		d.Set("a", []byte(old))
 		d.FailAt, d.Err, d.Short = at, errors.New("no"), true
 		err := store.Replace(d, "a", []byte(new))
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/kit/standin/faulty"
 	"beechgrade/internal/storage/store"
 	"beechgrade/internal/testkit/deterministic"
+	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
 // act is a step of a history: entries kept together, or a compaction.
@@ -65,7 +65,7 @@
 func strict() *invariant.Checks { return invariant.New(func(b invariant.Breach) { panic(b.String()) }) }
 
 // play has a store go through a history, one act after the other, and tells how many were acknowledged, and how many asked for.
-func play(d *faulty.Disk, acts []act) (acked, asked int) {
+func play(d *faultyfs.Disk, acts []act) (acked, asked int) {
 	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 700, Checks: strict(), Every: 1})
 	if err != nil {
 		return 0, 0
@@ -109,7 +109,7 @@
 func TestPowerLost(t *testing.T) {
 	acts := history()
 	all := models(acts)
-	whole := faulty.New()
+	whole := faultyfs.New()
 	if acked, _ := play(whole, acts); acked != len(acts) {
 		t.Fatalf("%d of %d", acked, len(acts))
 	}
@@ -118,7 +118,7 @@
 	for at := 1; at <= ops; at++ {
 		for variant := range 12 {
 			rng := rand.New(rand.NewPCG(uint64(at), uint64(variant)))
-			d := faulty.New()
+			d := faultyfs.New()
 			d.CrashAt = at
 			acked, asked := play(d, acts)
 			if variant == 0 {
@@ -164,7 +164,7 @@
 func TestEveryCut(t *testing.T) {
 	acts := history()
 	all := models(acts)
-	d := faulty.New()
+	d := faultyfs.New()
 	if acked, _ := play(d, acts); acked != len(acts) {
 		t.Fatal(acked)
 	}
@@ -178,7 +178,7 @@
 	})
 	opened, refused := 0, 0
 	try := func(name string, b []byte, what string) {
-		c := faulty.New()
+		c := faultyfs.New()
 		for n, x := range files {
 			c.Set(n, x)
 		}
@@ -214,7 +214,7 @@
 		t.Errorf("opened %d, refused %d", opened, refused)
 	}
 	for _, name := range names { // a file that is gone
-		c := faulty.New()
+		c := faultyfs.New()
 		for n, x := range files {
 			if n != name {
 				c.Set(n, x)
@@ -233,14 +233,14 @@
 // it was, for a look into it too.
 func TestRepair(t *testing.T) {
 	acts := history()
-	d := faulty.New()
+	d := faultyfs.New()
 	if acked, _ := play(d, acts); acked != len(acts) {
 		t.Fatal(acked)
 	}
 	last := models(acts)[len(acts)]
 	for name, b := range d.Files() {
 		for at := 16; at < len(b); at += 41 {
-			c := faulty.New()
+			c := faultyfs.New()
 			for n, x := range d.Files() {
 				c.Set(n, x)
 			}
@@ -251,7 +251,7 @@
 			if s, _, err := store.Open(store.Options{FS: store.ReadOnly{FS: c}}); err == nil {
 				_ = s.Close()
 			}
-			copied := faulty.New()
+			copied := faultyfs.New()
 			kept, lost, err := store.Repair(c, copied)
 			if err != nil || len(lost) != 1 || lost[0].Name != name || lost[0].From > at || lost[0].To <= at {
 				t.Fatalf("%s, byte %d: %d kept, %+v, %v", name, at, kept, lost, err)
@@ -291,12 +291,12 @@
 func TestFailures(t *testing.T) {
 	acts := history()
 	all := models(acts)
-	whole := faulty.New()
+	whole := faultyfs.New()
 	play(whole, acts)
 	ops, _ := whole.Ops()
 	for at := 1; at <= ops; at++ {
 		for _, short := range []bool{false, true} {
-			d := faulty.New()
+			d := faultyfs.New()
 			d.FailAt, d.Err, d.Short = at, errors.New("input/output error"), short
 			acked, asked := play(d, acts)
 			if acked == len(acts) {
@@ -321,7 +321,7 @@
 	acts := history()
 	all := models(acts)
 	for room := 20; room < 4000; room += 37 {
-		d := faulty.New()
+		d := faultyfs.New()
 		d.Room = room
 		acked, asked := play(d, acts)
 		next := d.Restart(rand.New(rand.NewPCG(uint64(room), 1)), true)
@@ -334,7 +334,7 @@
 		}
 		_ = s.Close()
 	}
-	s, _, err := store.Open(store.Options{FS: faulty.New(), SegmentBytes: 1000, MaxBytes: 4000})
+	s, _, err := store.Open(store.Options{FS: faultyfs.New(), SegmentBytes: 1000, MaxBytes: 4000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -364,7 +364,7 @@
 // TestStateMachine: random histories with crashes, compactions and failures against a map.
 func TestStateMachine(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
-		d := faulty.New()
+		d := faultyfs.New()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		model := map[string]string{}
 		checks := invariant.New(nil)
@@ -424,7 +424,7 @@
 // TestTogether: many that append at once share syncs; each is told once, after what it wrote can be read; a second process is
 // refused; a range sees the store as it was.
 func TestTogether(t *testing.T) {
-	d := faulty.New()
+	d := faultyfs.New()
 	s, _, err := store.Open(store.Options{FS: d})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/endpointreport/propagation/pace.go
+++ b/internal/testkit/endpointreport/propagation/pace.go
@@ -21,7 +21,7 @@
 	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/kit/standin/agent"
+	"beechgrade/internal/testkit/fake/consulserver"
 )
 
 // Result is a measurement. Processor times are of this whole process: the stand-in's part is in them.
@@ -135,19 +135,19 @@
 func Measure(ctx context.Context, servers, services int, seconds float64) (*Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	catalog := agent.NewCatalog()
-	a, err := agent.Start(catalog)
+	catalog := consulserver.NewCatalog()
+	a, err := consulserver.Start(catalog)
 	if err != nil {
 		return nil, err
 	}
 	defer a.Stop()
 	name := func(i int) string { return fmt.Sprintf("obra-%d", i%services) }
-	instance := func(i, weight int) agent.Instance {
-		return agent.Instance{ID: fmt.Sprintf("s-%d", i), Node: fmt.Sprintf("n-%d", i), Address: fmt.Sprintf("10.0.%d.%d", i/250, i%250), Port: 5432, Weight: weight,
+	instance := func(i, weight int) consulserver.Instance {
+		return consulserver.Instance{ID: fmt.Sprintf("s-%d", i), Node: fmt.Sprintf("n-%d", i), Address: fmt.Sprintf("10.0.%d.%d", i/250, i%250), Port: 5432, Weight: weight,
 			Meta: map[string]string{"group": fmt.Sprint(i / 4), "role": "replica", "kind": "padrao-4"}}
 	}
 	put := func(ids []int, weight int) {
-		by := map[string][]agent.Instance{}
+		by := map[string][]consulserver.Instance{}
 		for _, i := range ids {
 			by[name(i)] = append(by[name(i)], instance(i, weight))
 		}
--- a/internal/kit/standin/house/house.go
+++ b/internal/testkit/fake/clickhouseserver/house.go
@@ -1,6 +1,6 @@
-// Package house is a stand-in for a ClickHouse server's HTTP interface on loopback. It runs no SQL: a query's text says how it
+// Package clickhouseserver is a stand-in for a ClickHouse server's HTTP interface on loopback. It runs no SQL: a query's text says how it
 // is answered, and the stand-in counts what ran, what was cancelled, and when it was told to drain.
-package house
+package clickhouseserver
 
 import (
 	"bufio"
--- a/internal/kit/standin/agent/agent.go
+++ b/internal/testkit/fake/consulserver/agent.go
@@ -1,6 +1,6 @@
-// Package agent is a stand-in for Consul agents on loopback: a catalogue of services that changes, and agents that answer
+// Package consulserver is a stand-in for Consul agents on loopback: a catalogue of services that changes, and agents that answer
 // the catalogue and health API from it with blocking queries, or lie about it as they are told to.
-package agent
+package consulserver
 
 import (
 	"fmt"
--- a/internal/kit/standin/faulty/faulty.go
+++ b/internal/testkit/fake/faultyfs/faulty.go
@@ -1,6 +1,6 @@
-// Package faulty is a folder in memory that loses what was not synced, tears what was being written, and fails when it is told
+// Package faultyfs is a folder in memory that loses what was not synced, tears what was being written, and fails when it is told
 // to, for tests of what must survive that.
-package faulty
+package faultyfs
 
 import (
 	"errors"
--- a/internal/kit/standin/records.go
+++ b/internal/testkit/fake/records.go
@@ -1,5 +1,5 @@
-// Package standin writes records as poolers would of a made-up day, for tests and measurements.
-package standin
+// Package fake writes records as poolers would of a made-up day, for tests and measurements.
+package fake
 
 import (
 	"fmt"
--- a/internal/kit/standin/sorted/sorted.go
+++ b/internal/testkit/fake/sortedtable/sorted.go
@@ -1,11 +1,11 @@
-// Package sorted is a stand-in for a table that a scattered read asks for: it works on the statements that internal/frontend/scatter/plan words, by reading
+// Package sortedtable is a stand-in for a table that a scattered read asks for: it works on the statements that internal/frontend/scatter/plan words, by reading
 // them, not by knowing how they came about. Of SQL it knows just these:
 //
 //	SELECT anything [AND (conditions)] ORDER BY columns LIMIT n
 //
 // Columns are of int8, float8 or text. Conditions compare columns with parameters by =, < and >, or with NULL, joined by AND, OR and
 // brackets, in the three-valued logic of SQL.
-package sorted
+package sortedtable
 
 import (
 	"cmp"
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/frontend/scatter/plan"
 	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/standin/sorted"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/fake/sortedtable"
 	"beechgrade/internal/testkit/model"
 )
 
@@ -41,11 +41,11 @@
 
 // kept is a row, there from one position of its group's log to another, 0 for ever.
 type kept struct {
-	vals      sorted.Row
+	vals      sortedtable.Row
 	from, end float64
 }
 
-var pageTable = sorted.Table{"id", "place"}
+var pageTable = sortedtable.Table{"id", "place"}
 
 const pageSQL = "SELECT id, place FROM visits WHERE true /*after*/ /*order*/ /* scatter=visits */"
 
@@ -80,7 +80,7 @@
 func (g *paging) write(group int, from float64) {
 	g.last++
 	place := int64(g.rng.IntN(g.set.Places))
-	g.rows[group] = append(g.rows[group], &kept{vals: sorted.Row{g.last, place}, from: from})
+	g.rows[group] = append(g.rows[group], &kept{vals: sortedtable.Row{g.last, place}, from: from})
 	g.check.Row(g.last, place, group, from)
 }
 
@@ -102,7 +102,7 @@
 }
 
 // visible are a group's rows as of a position.
-func (g *paging) visible(group int, at float64) (out []sorted.Row) {
+func (g *paging) visible(group int, at float64) (out []sortedtable.Row) {
 	for _, k := range g.rows[group] {
 		if k.from <= at && (k.end == 0 || k.end > at) {
 			out = append(out, k.vals)
--- a/internal/testkit/simulation/pages_made.go
+++ b/internal/testkit/simulation/pages_made.go
@@ -13,8 +13,8 @@
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/standin/sorted"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/fake/sortedtable"
 	"beechgrade/internal/testkit/model"
 )
 
@@ -198,7 +198,7 @@
 
 // rowsOf are what a server found for an attempt.
 type rowsOf struct {
-	list []sorted.Row
+	list []sortedtable.Row
 	o    backend.Outcome
 }
 
@@ -308,7 +308,7 @@
 	if err != nil {
 		return
 	}
-	if q, err := sorted.Read(sql); err == nil {
+	if q, err := sortedtable.Read(sql); err == nil {
 		a.rows.list, _ = q.Run(pageTable, g.visible(x.a.Shard, r.Position), vals)
 	}
 }
@@ -370,7 +370,7 @@
 }
 
 // row hands on one row.
-func (x *shardRead) row(row sorted.Row) {
+func (x *shardRead) row(row sortedtable.Row) {
 	o, s := &x.s.g.order, x.s
 	var key []byte
 	own := 0
@@ -378,7 +378,7 @@
 		if i == o.Own {
 			own = len(key)
 		}
-		key, _ = o.Columns[i].Append(key, sorted.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // whole numbers
+		key, _ = o.Columns[i].Append(key, sortedtable.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // whole numbers
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(row[0].(int64)))
 	s.event(func(now float64) []execution.Action { return s.run.Row(x.a.Shard, x.a.Try, key, own, body, now) })
