--- a/cmd/beechgrade-kit/alone_test.go
+++ b/cmd/beechgrade-kit/alone_test.go
@@ -18,8 +18,8 @@
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/clients"
-	database "beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
+	database "beechgrade/internal/testkit/fake/database"
 )
 
 // alone is one daemon, started and killed by a test, before stand-ins for servers and discovery.
--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -17,8 +17,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/jackc/pgx/v5/pgconn"
 
-	database "beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/rehearse"
+	database "beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -20,10 +20,10 @@
 	"beechgrade/internal/endpoints/reconcile"
 	"beechgrade/internal/endpoints/snapshot"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/testkit/fake/consulserver"
+	"beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/model"
 )
 
@@ -56,7 +56,7 @@
 	t.Cleanup(a.Stop)
 	w.agent = a
 	register(w.catalog)
-	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(membership %s (consul (agents %q) (services %q) (wait 1s) (map (role tag)) %s))`, more, a.Addr, fleet.Service, consulForms)), os.Getenv)
+	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(membership %s (consul (agents %q) (services %q) (wait 1s) (map (role tag)) %s))`, more, a.Addr, database.Service, consulForms)), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	addrA, a := server(t)
 	addrB, b := server(t)
 	w = membersOf(t, more, consulForms, func(c *consulserver.Catalog) {
-		c.Change(fleet.Service, []consulserver.Instance{at("a", addrA, "primary"), at("b", addrB, "replica")})
+		c.Change(database.Service, []consulserver.Instance{at("a", addrA, "primary"), at("b", addrB, "replica")})
 	})
 	w.until("a serving, b serving")
 	return w, a, b
@@ -156,7 +156,7 @@
 		maintain := func(id string, on bool) {
 			x := at(id, addr[id], "replica")
 			x.Maintenance, x.NodeDown = on && !node, on && node
-			w.catalog.Change(fleet.Service, []consulserver.Instance{x})
+			w.catalog.Change(database.Service, []consulserver.Instance{x})
 		}
 		for range 2 {
 			w.ask(a, b, 10)
@@ -209,10 +209,10 @@
 	file := filepath.Join(t.TempDir(), "override.sexp")
 	w, a, b := pair(t, fmt.Sprintf("(override %q)", file), "")
 	was := []consulserver.Instance{at("a", w.entry("a").Address, "primary"), at("b", w.entry("b").Address, "replica")}
-	w.catalog.Change(fleet.Service, nil, "a", "b")
+	w.catalog.Change(database.Service, nil, "a", "b")
 	w.held(2)
 	w.ask(a, b, 20)
-	w.catalog.Change(fleet.Service, was)
+	w.catalog.Change(database.Service, was)
 	say := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -224,7 +224,7 @@
 	say(`(pin "b" draning)`) // what cannot be read changes nothing
 	say(``)
 	w.until("a serving, b serving")
-	w.catalog.Change(fleet.Service, nil, "a", "b")
+	w.catalog.Change(database.Service, nil, "a", "b")
 	w.held(2)
 	say(`(accept-removals)`)
 	w.until("")
@@ -242,7 +242,7 @@
 	e := w.entry("b")
 	x := at("b", e.Address, "replica")
 	x.Maintenance = true
-	w.catalog.Change(fleet.Service, []consulserver.Instance{x})
+	w.catalog.Change(database.Service, []consulserver.Instance{x})
 	w.ask(a, b, 20)
 	if err := os.WriteFile(file, []byte("two\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -301,7 +301,7 @@
 	}
 	write(fmt.Sprintf(`{"instances":[{"instanceId":"b","hostPort":%q,"cell":0,"lifecycle":"up","weight":1,"role":"replica"}]}`, addrB))
 	w := membersOf(t, fmt.Sprintf("(static %q) (platform) (rank static consul platform)", file), "", func(c *consulserver.Catalog) {
-		c.Change(fleet.Service, []consulserver.Instance{at("a", addrA, "primary")})
+		c.Change(database.Service, []consulserver.Instance{at("a", addrA, "primary")})
 	})
 	w.until("a serving, b serving")
 	w.ask(a, b, 4)
@@ -319,10 +319,10 @@
 // passes is of a server that answers nothing. Writes go where the servers say, and none runs twice.
 func TestOldPrimaryInCatalogue(t *testing.T) {
 	t.Parallel()
-	fc := fleet.Defaults(3)
-	fc.Detect, fc.Elect, fc.List, fc.Roles = fleet.Range{100, 150}, fleet.Range{100, 150}, fleet.Range{30, 60}, fleet.Range{1e6, 1e6}
-	fc.Report, fc.Seed = fleet.Range{20, 40}, 3
-	f := fleet.New(fc, clock.System(), slog.New(slog.DiscardHandler))
+	fc := database.Defaults(3)
+	fc.Detect, fc.Elect, fc.List, fc.Roles = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{1e6, 1e6}
+	fc.Report, fc.Seed = database.Range{20, 40}, 3
+	f := database.New(fc, clock.System(), slog.New(slog.DiscardHandler))
 	w := membersOf(t, "", "", func(c *consulserver.Catalog) {
 		f.Register(c)
 		if err := f.Start(); err != nil {
--- a/cmd/beechgrade/pooled_begun_test.go
+++ b/cmd/beechgrade/pooled_begun_test.go
@@ -12,11 +12,11 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/incident"
 	"beechgrade/internal/kit/records"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/testkit/deterministic"
+	"beechgrade/internal/testkit/fake/database"
 )
 
 // TestPooledBegun: a transaction has only begun when its server dies, is drained, or hands over without the pooler's
@@ -236,7 +236,7 @@
 // TestPooledLikeAServer: whatever a client sends, in whatever state, it is answered through the pooler as by the server
 // itself.
 func TestPooledLikeAServer(t *testing.T) {
-	w := pooled(t, fmt.Sprintf(usual, "(connections 4)"), func(c *fleet.Config) { c.Groups = []int{1} })
+	w := pooled(t, fmt.Sprintf(usual, "(connections 4)"), func(c *database.Config) { c.Groups = []int{1} })
 	direct := ""
 	for _, e := range w.fleet.List().Instances {
 		direct = e.HostPort
--- a/cmd/beechgrade/pooled_clients_test.go
+++ b/cmd/beechgrade/pooled_clients_test.go
@@ -10,14 +10,14 @@
 
 	"github.com/jackc/pgx/v5"
 
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/testkit/fake/database"
 )
 
 // TestPooledCancel: cancels that come as connections change hands never hit another client's query.
 func TestPooledCancel(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 2)"), func(c *fleet.Config) { c.CancelMs = 4 }) // cancels are slow on their way
+	w := pooled(t, fmt.Sprintf(usual, "(connections 2)"), func(c *database.Config) { c.CancelMs = 4 }) // cancels are slow on their way
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	hit := w.connect("")
--- a/cmd/beechgrade/pooled_takeover_test.go
+++ b/cmd/beechgrade/pooled_takeover_test.go
@@ -13,7 +13,7 @@
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/kit/fleet"
+	"beechgrade/internal/testkit/fake/database"
 )
 
 // TestPooledTakeover: a prepared statement is used again after its server was replaced. The client sees nothing of it,
@@ -53,7 +53,7 @@
 }
 
 // breakAt has the connection break at the statement that a check picks, once.
-func breakAt(f *fleet.Fleet, at func(sql string) bool) {
+func breakAt(f *database.Fleet, at func(sql string) bool) {
 	var broke atomic.Bool
 	f.Before(func(_, sql string) bool { return !at(sql) || !broke.CompareAndSwap(false, true) })
 }
@@ -123,7 +123,7 @@
 // it nothing more is sent there, and the client hears at once.
 func TestPooledDrain(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 4)"), func(c *fleet.Config) { c.GraceMs = 3000 }) // enough for any machine
+	w := pooled(t, fmt.Sprintf(usual, "(connections 4)"), func(c *database.Config) { c.GraceMs = 3000 }) // enough for any machine
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	quick, slow := w.connect(""), w.connect("")
@@ -218,8 +218,8 @@
 // answer, and all are served once another took over.
 func TestPooledWaiting(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 50) (dials 16) (wait 60s) (queue 100000)"), func(c *fleet.Config) {
-		c.Detect, c.Elect, c.ColdMs = fleet.Range{400, 500}, fleet.Range{400, 500}, 1000
+	w := pooled(t, fmt.Sprintf(usual, "(connections 50) (dials 16) (wait 60s) (queue 100000)"), func(c *database.Config) {
+		c.Detect, c.Elect, c.ColdMs = database.Range{400, 500}, database.Range{400, 500}, 1000
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
--- a/cmd/beechgrade/pooled_test.go
+++ b/cmd/beechgrade/pooled_test.go
@@ -13,7 +13,7 @@
 	"github.com/jackc/pgx/v5/pgconn"
 	_ "github.com/jackc/pgx/v5/stdlib"
 
-	"beechgrade/internal/kit/fleet"
+	"beechgrade/internal/testkit/fake/database"
 )
 
 // TestPooledDriver serves a real driver: its statement cache, simple queries, transactions, errors, batches and COPY.
@@ -36,7 +36,7 @@
 // TestPooledOwnWrites: replicas are far behind, and each session's reads see its last write all the same.
 func TestPooledOwnWrites(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 8)"), func(c *fleet.Config) { c.Apply = 2 })
+	w := pooled(t, fmt.Sprintf(usual, "(connections 8)"), func(c *database.Config) { c.Apply = 2 })
 	_ = w.fleet.Lag("s-0-1", 5)
 	_ = w.fleet.Lag("s-0-2", 2)
 	var elsewhere atomic.Int64 // reads that were not the primary's
@@ -83,7 +83,7 @@
 // some break all the time. Each statement says what it wants to run under, and the stand-ins check it.
 func TestPooledSettings(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 6) (queue 1000)"), func(c *fleet.Config) { c.Groups = []int{1} })
+	w := pooled(t, fmt.Sprintf(usual, "(connections 6) (queue 1000)"), func(c *database.Config) { c.Groups = []int{1} })
 	const clients, each = 200, 500
 	rng := rand.New(rand.NewPCG(11, 0))
 	breaks := map[int]bool{}
--- a/cmd/beechgrade/pooled_world_test.go
+++ b/cmd/beechgrade/pooled_world_test.go
@@ -15,14 +15,14 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/fake/database"
 )
 
 // pooledWorld is a fleet of stand-ins and a pooler before it, with the second front.
 type pooledWorld struct {
 	t     testing.TB
-	fleet *fleet.Fleet
+	fleet *database.Fleet
 	pool  *pooler
 	addr  string
 
@@ -36,15 +36,15 @@
 	(pool (class "office") (reads "office-reads") %s))`
 
 // pooled starts both. change may change the fleet.
-func pooled(t testing.TB, poolForms string, change ...func(*fleet.Config)) *pooledWorld {
+func pooled(t testing.TB, poolForms string, change ...func(*database.Config)) *pooledWorld {
 	t.Helper()
-	fc := fleet.Defaults(3)
-	fc.Detect, fc.Elect, fc.List, fc.Roles = fleet.Range{100, 150}, fleet.Range{100, 150}, fleet.Range{30, 60}, fleet.Range{100, 200}
-	fc.Report, fc.Conns = fleet.Range{20, 40}, 2000
+	fc := database.Defaults(3)
+	fc.Detect, fc.Elect, fc.List, fc.Roles = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{100, 200}
+	fc.Report, fc.Conns = database.Range{20, 40}, 2000
 	for _, f := range change {
 		f(&fc)
 	}
-	f := fleet.New(fc, clock.System(), slog.New(slog.DiscardHandler))
+	f := database.New(fc, clock.System(), slog.New(slog.DiscardHandler))
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/scatter_bench_test.go
+++ b/cmd/beechgrade/scatter_bench_test.go
@@ -14,8 +14,8 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
@@ -24,16 +24,16 @@
 	for _, n := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			const rows = 20000
-			fc := fleet.Defaults(make([]int, n)...)
+			fc := database.Defaults(make([]int, n)...)
 			for i := range fc.Groups {
 				fc.Groups[i] = 1
 			}
-			f := fleet.New(fc, clock.System(), slog.New(slog.DiscardHandler))
+			f := database.New(fc, clock.System(), slog.New(slog.DiscardHandler))
 			if err := f.Start(); err != nil {
 				b.Fatal(err)
 			}
 			b.Cleanup(f.Close)
-			f.Scatter(&fleet.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
+			f.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
 			var shards strings.Builder
 			for g := range n {
 				fmt.Fprintf(&shards, "(\"s%02d\" %d)", g, g)
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -19,15 +19,15 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
 // scatterWorld is groups of stand-ins with a scattered table, and a pooler before them.
 type scatterWorld struct {
 	t     testing.TB
-	fleet *fleet.Fleet
+	fleet *database.Fleet
 	pool  *pooler
 	addr  string
 }
@@ -41,8 +41,8 @@
 		(order ("place" int8 (desc)) ("name" text)) (own ("id" int8)) %s))`
 
 // visits are n rows of each of four shards, of few places and names so that many are equal.
-func visits(f *fleet.Fleet, n int) (all []sortedtable.Row) {
-	f.Scatter(&fleet.Table{Name: "visits", Columns: sortedtable.Table{"id", "place", "name"}, Types: sortedtable.Row{int64(0), int64(0), ""}})
+func visits(f *database.Fleet, n int) (all []sortedtable.Row) {
+	f.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place", "name"}, Types: sortedtable.Row{int64(0), int64(0), ""}})
 	for g := range 4 {
 		for k := range n {
 			r := sortedtable.Row{int64(g*100000 + k), int64(k % 5), []string{"ana", "bo", "Éva", ""}[k%4]}
@@ -56,21 +56,21 @@
 	return all
 }
 
-func scatterPooler(t testing.TB, more string, change ...func(*fleet.Config)) *scatterWorld {
+func scatterPooler(t testing.TB, more string, change ...func(*database.Config)) *scatterWorld {
 	t.Helper()
 	return scatterPoolerOf(t, more, func(*config.Config) {}, change...)
 }
 
 // scatterPoolerOf has the module's settings changed, too.
-func scatterPoolerOf(t testing.TB, more string, module func(*config.Config), change ...func(*fleet.Config)) *scatterWorld {
+func scatterPoolerOf(t testing.TB, more string, module func(*config.Config), change ...func(*database.Config)) *scatterWorld {
 	t.Helper()
-	fc := fleet.Defaults(3, 3, 3, 3)
-	fc.Detect, fc.Elect, fc.List, fc.Roles = fleet.Range{100, 150}, fleet.Range{100, 150}, fleet.Range{30, 60}, fleet.Range{100, 200}
-	fc.Report, fc.Conns = fleet.Range{20, 40}, 2000
+	fc := database.Defaults(3, 3, 3, 3)
+	fc.Detect, fc.Elect, fc.List, fc.Roles = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{100, 200}
+	fc.Report, fc.Conns = database.Range{20, 40}, 2000
 	for _, f := range change {
 		f(&fc)
 	}
-	f := fleet.New(fc, clock.System(), slog.New(slog.DiscardHandler))
+	f := database.New(fc, clock.System(), slog.New(slog.DiscardHandler))
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -267,7 +267,7 @@
 		"no such column":    {"", "SELECT id, place FROM other WHERE true /*after*/ /*order*/ /* scatter=visits%s */", "42804"},
 		"a server's error":  {"", "SELECT SYNTAX ERROR FROM nothing WHERE true /*after*/ /*order*/ /* scatter=visits%s */", "58000"},
 	} {
-		w.fleet.Scatter(&fleet.Table{Name: "other", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
+		w.fleet.Scatter(&database.Table{Name: "other", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
 		sql := fmt.Sprintf(c.sql, c.cursor)
 		if c.sql == "" {
 			sql = visitsSQL + fmt.Sprintf("/* scatter=visits,page=10,cursor=%s */", c.cursor)
@@ -284,7 +284,7 @@
 		t.Errorf("behind all that: %v", err)
 	}
 	// A page of more than is let be at a time is refused as a whole: no server hears of it.
-	w.fleet.Asked(func(string, string) fleet.Manner { return fleet.Manner{Each: 50 * time.Millisecond} })
+	w.fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: 50 * time.Millisecond} })
 	first := make(chan error, 1)
 	other := w.reader()
 	go func() { _, err := other.page(20, ""); first <- err }()
@@ -309,17 +309,17 @@
 	w := scatterPooler(t, "(whole) (silent 300ms)")
 	want := sortedIDs(visits(w.fleet, 60))[:40]
 	silent := ""
-	w.fleet.Asked(func(server, _ string) fleet.Manner { // under the fleet's lock
+	w.fleet.Asked(func(server, _ string) database.Manner { // under the fleet's lock
 		switch {
 		case server[:4] == "s-0-" && (silent == "" || silent == server):
 			silent = server
-			return fleet.Manner{Silent: true}
+			return database.Manner{Silent: true}
 		case server[:4] == "s-1-":
-			return fleet.Manner{Each: 20 * time.Millisecond}
+			return database.Manner{Each: 20 * time.Millisecond}
 		case server[:4] == "s-2-":
-			return fleet.Manner{Endless: true}
+			return database.Manner{Endless: true}
 		}
-		return fleet.Manner{}
+		return database.Manner{}
 	})
 	r := w.reader()
 	got, err := r.page(40, "")
@@ -347,8 +347,8 @@
 			c.Settings.Classes[slices.Index(c.Classes, "reports")].Effect = effect
 		})
 		want := sortedIDs(visits(w.fleet, 60))
-		bad, asked := map[string]string{}, map[string]int{}   // by group
-		w.fleet.Asked(func(server, sql string) fleet.Manner { // under the fleet's lock
+		bad, asked := map[string]string{}, map[string]int{}      // by group
+		w.fleet.Asked(func(server, sql string) database.Manner { // under the fleet's lock
 			g := server[:4]
 			if asked[g]++; asked[g] == 1 {
 				bad[g] = server
@@ -357,9 +357,9 @@
 				t.Errorf("%v: %s is asked as number %d: %s", effect, server, asked[g], sql)
 			}
 			if bad[g] == server {
-				return fleet.Manner{Each: 3 * time.Millisecond, DieAt: 4}
+				return database.Manner{Each: 3 * time.Millisecond, DieAt: 4}
 			}
-			return fleet.Manner{}
+			return database.Manner{}
 		})
 		got, err := w.reader().page(240, "")
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
@@ -378,7 +378,9 @@
 	for _, setting := range []string{"(partial 1)", "(whole)"} {
 		w := scatterPooler(t, setting+" (silent 200ms) (again 1) (wait 3s)")
 		want := sortedIDs(visits(w.fleet, 30))
-		w.fleet.Asked(func(server, _ string) fleet.Manner { return fleet.Manner{Silent: strings.HasPrefix(server, "s-2-")} })
+		w.fleet.Asked(func(server, _ string) database.Manner {
+			return database.Manner{Silent: strings.HasPrefix(server, "s-2-")}
+		})
 		r := w.reader()
 		got, err := r.page(40, "")
 		if setting == "(whole)" {
@@ -405,7 +407,7 @@
 	t.Parallel()
 	w := scatterPooler(t, "(whole)")
 	visits(w.fleet, 60)
-	w.fleet.Asked(func(string, string) fleet.Manner { return fleet.Manner{Each: 30 * time.Millisecond} })
+	w.fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: 30 * time.Millisecond} })
 	for i := range 6 {
 		r := w.reader()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -439,7 +441,7 @@
 func TestScatterSlowReader(t *testing.T) {
 	t.Parallel()
 	w := scatterPooler(t, "(whole) (memory 64k) (most-page 20000)")
-	w.fleet.Scatter(&fleet.Table{Name: "visits", Columns: sortedtable.Table{"id", "place", "name"}, Types: sortedtable.Row{int64(0), int64(0), ""}})
+	w.fleet.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place", "name"}, Types: sortedtable.Row{int64(0), int64(0), ""}})
 	const n = 3000
 	pad := strings.Repeat("x", 1000)
 	for g := range 4 {
--- a/internal/kit/rehearse/consul.go
+++ b/internal/kit/rehearse/consul.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/fake/consulserver"
+	"beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/model"
 )
 
@@ -25,7 +25,7 @@
 		addrs = append(addrs, fmt.Sprintf("%q", a.Addr))
 	}
 	r.operators += fmt.Sprintf(`(membership (consul (agents %s) (services %q) (wait 5s) (map (role tag))))
-`, strings.Join(addrs, " "), fleet.Service)
+`, strings.Join(addrs, " "), database.Service)
 	r.fleet.Register(c)
 	return nil
 }
--- a/internal/kit/rehearse/house.go
+++ b/internal/kit/rehearse/house.go
@@ -23,9 +23,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/fake/clickhouseserver"
+	"beechgrade/internal/testkit/fake/database"
 )
 
 // HouseOptions say how the ClickHouse front is measured.
@@ -99,7 +99,7 @@
 	}
 	r := &Run{script: script, opt: Options{Seed: 1, Out: o.Out, Daemon: o.Daemon, Log: o.Log}, clk: clock.System(), sockets: 2*o.Idle + 4096,
 		operators: fmt.Sprintf("(clickhouse (listen %q) (group 9) (deadline 600s) (upload 600s))\n(membership (static %q))\n", at, list)}
-	r.fleet = fleet.New(script.Fleet, r.clk, o.Log)
+	r.fleet = database.New(script.Fleet, r.clk, o.Log)
 	defer r.fleet.Close()
 	if err := r.fleet.Start(); err != nil {
 		return nil, err
--- a/internal/kit/rehearse/month_pages.go
+++ b/internal/kit/rehearse/month_pages.go
@@ -13,8 +13,8 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
@@ -36,7 +36,7 @@
 func (x *shared) pagesTable() *report {
 	s := x.run.script
 	r := &report{shared: x, rng: rand.New(rand.NewPCG(x.run.opt.Seed, 41)), live: make([][]int64, len(s.Fleet.Groups))}
-	x.run.fleet.Scatter(&fleet.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
+	x.run.fleet.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
 	for g := range r.live {
 		for range s.Pages.Rows {
 			r.write(g, true)
@@ -154,8 +154,8 @@
 // reads are what servers did for a page, in its time.
 func (r *report) reads(no int, sent, now float64) (out []checker.PageRead) {
 	all, _, _, _ := r.run.fleet.Reads()
-	all = slices.DeleteFunc(all, func(x fleet.Read) bool { return x.At < sent || x.At > now || !strings.Contains(x.SQL, tagOf(no)) })
-	slices.SortStableFunc(all, func(a, b fleet.Read) int { return cmp.Compare(a.At, b.At) })
+	all = slices.DeleteFunc(all, func(x database.Read) bool { return x.At < sent || x.At > now || !strings.Contains(x.SQL, tagOf(no)) })
+	slices.SortStableFunc(all, func(a, b database.Read) int { return cmp.Compare(a.At, b.At) })
 	for _, x := range all {
 		out = append(out, checker.PageRead{Group: x.Group, Position: x.Position})
 	}
--- a/internal/kit/rehearse/pooling.go
+++ b/internal/kit/rehearse/pooling.go
@@ -17,8 +17,8 @@
 	"github.com/jackc/pgx/v5/pgconn"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/fake/database"
 )
 
 // PoolingOptions say how the pooling front is measured.
@@ -83,7 +83,7 @@
 	(class "office" (needs primary) (deadline 60s)) (class "office-reads" (needs any) (deadline 60s))
 	(pool (class "office") (reads "office-reads") (connections %d) (queue 100000) (wait 60s) (clients 0) (dials 16)))
 `, at, o.Conns)}
-	r.fleet = fleet.New(cfg, r.clk, o.Log)
+	r.fleet = database.New(cfg, r.clk, o.Log)
 	defer r.fleet.Close()
 	if err := r.fleet.Start(); err != nil {
 		return nil, err
--- a/internal/kit/rehearse/processes.go
+++ b/internal/kit/rehearse/processes.go
@@ -9,14 +9,14 @@
 	"syscall"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/netfault"
 )
 
 // Processes are daemons' processes before stand-ins, without a script's clients: a test asks them itself.
 type Processes struct {
-	Fleet  *fleet.Fleet
+	Fleet  *database.Fleet
 	Addrs  []string // where each serves ordinary clients
 	Key    string   // the peers' key's file
 	run    *Run
@@ -35,7 +35,7 @@
 	log := slog.New(slog.DiscardHandler)
 	r := &Run{script: s, opt: Options{Seed: 5, Out: out, Daemon: daemon, Log: log}, clk: clock.System(), sockets: 4096}
 	r.wires = newWires(s)
-	r.fleet = fleet.New(s.Fleet, r.clk, log)
+	r.fleet = database.New(s.Fleet, r.clk, log)
 	x := &Processes{Fleet: r.fleet, run: r, cut: &netfault.Fault{Cut: true}}
 	if err := r.fleet.Start(); err != nil {
 		return nil, err
--- a/internal/kit/rehearse/run.go
+++ b/internal/kit/rehearse/run.go
@@ -15,12 +15,12 @@
 
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/fleet"
 	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/kit/score"
 	"beechgrade/internal/testkit/checker"
 	"beechgrade/internal/testkit/cpupressure"
 	"beechgrade/internal/testkit/fake/consulserver"
+	"beechgrade/internal/testkit/fake/database"
 )
 
 const (
@@ -65,7 +65,7 @@
 	ToMs      float64          `json:"to_ms"`
 	Score     *score.Score     `json:"score"`
 	Rules     *checker.Verdict `json:"rules"` // by what crossed the wires
-	Facts     []fleet.Fact     `json:"facts"`
+	Facts     []database.Fact  `json:"facts"`
 	Fleet     *Fleet           `json:"fleet,omitempty"`
 	Stood     []Stood          `json:"stood_still,omitempty"`
 	Machine   cpupressure.Busy `json:"machine"`
@@ -99,7 +99,7 @@
 	script  *scenario.Script
 	opt     Options
 	clk     clock.Clock
-	fleet   *fleet.Fleet
+	fleet   *database.Fleet
 	poolers []*pooler
 
 	operators string                // more of the operators' settings
@@ -139,7 +139,7 @@
 	cfg.Seed = opt.Seed
 	r.wires, r.shared = newWires(s), r.newShared()
 	r.wires.came, r.wires.arrived, r.wires.read = opt.Came, opt.Arrived, opt.Read
-	r.fleet = fleet.New(cfg, r.clk, opt.Log)
+	r.fleet = database.New(cfg, r.clk, opt.Log)
 	r.fleet.Watch(r.wires)
 	if s.Doors() {
 		r.fleet.Doors(s.Poolers)
--- a/internal/kit/fleet/fleet.go
+++ b/internal/testkit/fake/database/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet is stand-in database servers on loopback: the world's model behind sockets that speak the platform's
+// Package database is stand-in database servers on loopback: the world's model behind sockets that speak the platform's
 // protocol and that of ordinary clients, and a stand-in for discovery. Everything is of this process and listens on
 // 127.0.0.1 only.
-package fleet
+package database
 
 import (
 	"fmt"
--- a/internal/kit/fleet/session.go
+++ b/internal/testkit/fake/database/session.go
@@ -1,4 +1,4 @@
-package fleet
+package database
 
 import (
 	"context"
--- a/internal/kit/fleet/settings.go
+++ b/internal/testkit/fake/database/settings.go
@@ -1,4 +1,4 @@
-package fleet
+package database
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
