--- a/cmd/beechgrade-kit/agree.go
+++ b/cmd/beechgrade-kit/agree.go
@@ -15,10 +15,10 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/score"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
+	"beechgrade/internal/testkit/score"
 	"beechgrade/internal/testkit/simulation"
 )
 
--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // agreedLine is a line of a pooler's log.
--- a/cmd/beechgrade-kit/alone_test.go
+++ b/cmd/beechgrade-kit/alone_test.go
@@ -17,9 +17,9 @@
 
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/clients"
 	database "beechgrade/internal/testkit/fake/database"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // alone is one daemon, started and killed by a test, before stand-ins for servers and discovery.
--- a/cmd/beechgrade-kit/breached_rules_test.go
+++ b/cmd/beechgrade-kit/breached_rules_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/score"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/score"
 )
 
 // recorder keeps what a check reports as a plain failure. As it is no story's own, a limit of time is reported by Errorf, too;
--- a/cmd/beechgrade-kit/breached_test.go
+++ b/cmd/beechgrade-kit/breached_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/score"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/score"
 )
 
 // timeLimits are the rules that say nothing but by when something is to have happened. Single breaches of other rules that are
--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -12,10 +12,10 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // creditPlay is a rehearsal of 8 processes, three or five of which vote, and two tenants that pay ahead.
--- a/cmd/beechgrade-kit/fleet_test.go
+++ b/cmd/beechgrade-kit/fleet_test.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"testing"
 
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // fleetQuick is what a fleet on sockets is played with, at times short enough for a test.
--- a/cmd/beechgrade-kit/house.go
+++ b/cmd/beechgrade-kit/house.go
@@ -10,7 +10,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/rehearse"
+	"beechgrade/internal/testkit/rehearse"
 )
 
 // houseCommand measures the ClickHouse front.
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -16,14 +16,14 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/report"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/store"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/report"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // daemon is the real program, built once.
--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -13,9 +13,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/lab"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/lab"
+	"beechgrade/internal/testkit/scenario"
 	"beechgrade/internal/testkit/simulation"
 )
 
--- a/cmd/beechgrade-kit/limits_test.go
+++ b/cmd/beechgrade-kit/limits_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
 )
 
 // limited is a fleet of 8 processes whose tenants ask for more than they may, with leases short enough for a test.
--- a/cmd/beechgrade-kit/load.go
+++ b/cmd/beechgrade-kit/load.go
@@ -12,10 +12,10 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/load"
-	"beechgrade/internal/kit/load/live"
-	"beechgrade/internal/kit/records"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/load"
+	"beechgrade/internal/testkit/load/live"
+	"beechgrade/internal/testkit/records"
 )
 
 // loadCommand is the load tool.
--- a/cmd/beechgrade-kit/main.go
+++ b/cmd/beechgrade-kit/main.go
@@ -16,10 +16,10 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/report"
-	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/report"
+	"beechgrade/internal/testkit/scenario"
 )
 
 func main() {
--- a/cmd/beechgrade-kit/members.go
+++ b/cmd/beechgrade-kit/members.go
@@ -8,9 +8,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/report"
 	"beechgrade/internal/testkit/endpointreport"
 	"beechgrade/internal/testkit/endpointreport/propagation"
+	"beechgrade/internal/testkit/report"
 )
 
 // membersCommand tells which source of the server list said what, and measures how soon a change is known.
--- a/cmd/beechgrade-kit/month_test.go
+++ b/cmd/beechgrade-kit/month_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // TestFleetMonthEnd: the month-end with eight processes and a relay between each two of them: overload from clients that try again, a partition,
--- a/cmd/beechgrade-kit/overload_test.go
+++ b/cmd/beechgrade-kit/overload_test.go
@@ -12,10 +12,10 @@
 	"sync"
 	"testing"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // crowded are classes of which six servers can do about 400 a second.
--- a/cmd/beechgrade-kit/peers_limits.go
+++ b/cmd/beechgrade-kit/peers_limits.go
@@ -12,8 +12,8 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/scenario"
 	"beechgrade/internal/testkit/simulation"
 )
 
--- a/cmd/beechgrade-kit/peers_measure.go
+++ b/cmd/beechgrade-kit/peers_measure.go
@@ -12,8 +12,8 @@
 	"github.com/urfave/cli/v3"
 
 	fleetview "beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/scenario"
 	"beechgrade/internal/testkit/simulation"
 )
 
--- a/cmd/beechgrade-kit/repeats_test.go
+++ b/cmd/beechgrade-kit/repeats_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"beechgrade/internal/cluster/overload/retrybudget"
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // TestFleetRepeats: among eight processes, a group's replica returns, servers of another lose half of what they are sent, and the ways between
--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -17,9 +17,9 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/kit/rehearse"
 	database "beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/fake/sortedtable"
+	"beechgrade/internal/testkit/rehearse"
 )
 
 // reports are processes of the program before three groups that have a part of a table each.
--- a/cmd/beechgrade-kit/sizes.go
+++ b/cmd/beechgrade-kit/sizes.go
@@ -9,7 +9,7 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/sizes"
+	"beechgrade/internal/testkit/sizes"
 )
 
 func sizesCommand(asJSON func() cli.Flag) *cli.Command {
--- a/cmd/beechgrade-kit/slowstart_test.go
+++ b/cmd/beechgrade-kit/slowstart_test.go
@@ -6,9 +6,9 @@
 	"log/slog"
 	"testing"
 
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // TestSlowStartProcesses: real processes, which share nothing, before a group whose servers die and return cold, while
--- a/cmd/beechgrade-kit/standing_test.go
+++ b/cmd/beechgrade-kit/standing_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"beechgrade/internal/kit/rehearse"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
 )
 
 // Eight processes, and faults between them and discovery: the sentences of the operators' standing test that are of many.
--- a/cmd/beechgrade-kit/store.go
+++ b/cmd/beechgrade-kit/store.go
@@ -11,8 +11,8 @@
 	"github.com/dustin/go-humanize"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/storebench"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/storebench"
 )
 
 // storeCommand looks into a store that no process has open.
--- a/cmd/beechgrade-kit/trace.go
+++ b/cmd/beechgrade-kit/trace.go
@@ -13,11 +13,11 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/records"
-	"beechgrade/internal/kit/report"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/records"
+	"beechgrade/internal/testkit/report"
 )
 
 // maxTraced bounds what is shown of one request.
--- a/cmd/beechgrade-kit/verdicts_test.go
+++ b/cmd/beechgrade-kit/verdicts_test.go
@@ -9,9 +9,9 @@
 	"sync"
 	"testing"
 
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // judged is a fleet of 8 processes in two zones, before two groups of 4 with a relay between each two of them, that share what they know.
--- a/cmd/beechgrade-kit/view.go
+++ b/cmd/beechgrade-kit/view.go
@@ -6,9 +6,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"beechgrade/internal/kit/console"
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/records"
+	"beechgrade/internal/testkit/console"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/records"
 )
 
 func view(ctx context.Context, c *cli.Command) error {
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -20,11 +20,11 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/cluster/zones"
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // zonesHeavy has a zone alone carry all reads, and just not twice as many: 2 servers of 4 cores in each zone. Work takes a fifth of the aim, as poolers
--- a/cmd/beechgrade-kit/zones_test.go
+++ b/cmd/beechgrade-kit/zones_test.go
@@ -16,10 +16,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/rehearse"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/rehearse"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // The times of the play and of the zones, in ms. slackMs is what a busy machine and looking now and then add.
--- a/cmd/beechgrade/pooled_begun_test.go
+++ b/cmd/beechgrade/pooled_begun_test.go
@@ -12,11 +12,11 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/testkit/deterministic"
 	"beechgrade/internal/testkit/fake/database"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/records"
 )
 
 // TestPooledBegun: a transaction has only begun when its server dies, is drained, or hands over without the pooler's
--- a/internal/kit/console/console.go
+++ b/internal/testkit/console/console.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/report"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/report"
 	tea "charm.land/bubbletea/v2"
 	"charm.land/lipgloss/v2"
 )
--- a/internal/kit/console/console_test.go
+++ b/internal/testkit/console/console_test.go
@@ -8,9 +8,9 @@
 	"charm.land/lipgloss/v2"
 	"github.com/charmbracelet/x/ansi"
 
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/testkit/fake"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/records"
 )
 
 func day(t *testing.T) *incident.View {
--- a/internal/kit/console/tables.go
+++ b/internal/testkit/console/tables.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"strings"
 
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/report"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/report"
 	"charm.land/lipgloss/v2"
 )
 
--- a/internal/kit/console/timeline.go
+++ b/internal/testkit/console/timeline.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"beechgrade/internal/kit/report"
+	"beechgrade/internal/testkit/report"
 	"charm.land/lipgloss/v2"
 )
 
--- a/internal/testkit/endpointreport/members.go
+++ b/internal/testkit/endpointreport/members.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/records"
 )
 
 // Word is what a source said of a server last.
--- a/internal/testkit/fake/database/house.go
+++ b/internal/testkit/fake/database/house.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"beechgrade/internal/kit/clients"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
 )
 
--- a/internal/kit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/testkit/deterministic"
 	"beechgrade/internal/testkit/fake"
+	"beechgrade/internal/testkit/records"
 )
 
 const t0 = 1.7e12
--- a/internal/kit/incident/model.go
+++ b/internal/testkit/incident/model.go
@@ -10,10 +10,10 @@
 	"slices"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/testkit/endpointreport"
+	"beechgrade/internal/testkit/records"
 	"beechgrade/internal/testkit/serviceratio"
 )
 
--- a/internal/kit/incident/pools_test.go
+++ b/internal/testkit/incident/pools_test.go
@@ -7,9 +7,9 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/records"
 )
 
 // TestPools guards against pools whose waits, moves and ends are told otherwise than they were.
--- a/internal/kit/incident/view.go
+++ b/internal/testkit/incident/view.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/testkit/endpointreport"
+	"beechgrade/internal/testkit/records"
 )
 
 // View is what the records tell. Times are Unix milliseconds, spans milliseconds.
--- a/internal/kit/knownred/verdict/main.go
+++ b/internal/testkit/knownred/verdict/main.go
@@ -8,7 +8,7 @@
 	"io/fs"
 	"os"
 
-	"beechgrade/internal/kit/knownred"
+	"beechgrade/internal/testkit/knownred"
 )
 
 func main() {
--- a/internal/kit/lab/experiment.go
+++ b/internal/testkit/lab/experiment.go
@@ -9,8 +9,8 @@
 	"slices"
 	"strings"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // Bounds of an experiment.
--- a/internal/kit/lab/lab_test.go
+++ b/internal/testkit/lab/lab_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/scenario"
 	"beechgrade/internal/testkit/simulation"
 )
 
--- a/internal/kit/lab/shrink.go
+++ b/internal/testkit/lab/shrink.go
@@ -4,8 +4,8 @@
 	"context"
 	"slices"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/scenario"
 	"beechgrade/internal/testkit/simulation"
 )
 
--- a/internal/kit/load/live/live.go
+++ b/internal/testkit/load/live/live.go
@@ -10,7 +10,7 @@
 	tea "charm.land/bubbletea/v2"
 	"charm.land/lipgloss/v2"
 
-	"beechgrade/internal/kit/load"
+	"beechgrade/internal/testkit/load"
 )
 
 const (
--- a/internal/kit/load/live/live_test.go
+++ b/internal/testkit/load/live/live_test.go
@@ -9,7 +9,7 @@
 	"charm.land/lipgloss/v2"
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/load"
+	"beechgrade/internal/testkit/load"
 )
 
 func snapshot(i int) load.Snapshot {
--- a/internal/kit/load/load_test.go
+++ b/internal/testkit/load/load_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/testkit/fake"
+	"beechgrade/internal/testkit/records"
 )
 
 func drain(s Source) (out []Shot) {
--- a/internal/kit/load/replay.go
+++ b/internal/testkit/load/replay.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"math"
 
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/records"
 )
 
 // maxReplayed bounds a day that is replayed.
--- a/internal/kit/load/targets.go
+++ b/internal/testkit/load/targets.go
@@ -14,7 +14,7 @@
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"beechgrade/internal/kit/clients"
+	"beechgrade/internal/testkit/clients"
 )
 
 // Platform asks poolers in the platform's form. Connections are kept, and more are opened when all are busy.
--- a/internal/kit/rehearse/consul.go
+++ b/internal/testkit/rehearse/consul.go
@@ -5,10 +5,10 @@
 	"strings"
 	"time"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/fake/consulserver"
 	"beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // startAgents starts stand-ins for Consul's agents, before a catalogue in which the fleet is registered, and has the poolers
--- a/internal/kit/rehearse/daemon.go
+++ b/internal/testkit/rehearse/daemon.go
@@ -15,9 +15,9 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/endpoints/discovery"
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // pooler is a daemon's process.
--- a/internal/kit/rehearse/house.go
+++ b/internal/testkit/rehearse/house.go
@@ -23,9 +23,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 	"beechgrade/internal/testkit/fake/database"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // HouseOptions say how the ClickHouse front is measured.
--- a/internal/kit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -13,12 +13,12 @@
 	"github.com/cespare/xxhash/v2"
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/records"
-	"beechgrade/internal/kit/score"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/records"
+	"beechgrade/internal/testkit/score"
 )
 
 // maxTries bounds the clients' log that is matched.
--- a/internal/kit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -7,9 +7,9 @@
 	"sync"
 	"syscall"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // shared are what the poolers of a scenario share beside their view: overload, the log in common, credit, and reports in pages.
--- a/internal/kit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -15,9 +15,9 @@
 	"beechgrade/internal/cluster"
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
 	"beechgrade/internal/testkit/netfault"
+	"beechgrade/internal/testkit/scenario"
 	"beechgrade/internal/testkit/simulation"
 )
 
--- a/internal/kit/rehearse/pooling.go
+++ b/internal/testkit/rehearse/pooling.go
@@ -17,8 +17,8 @@
 	"github.com/jackc/pgx/v5/pgconn"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/fake/database"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // PoolingOptions say how the pooling front is measured.
--- a/internal/kit/rehearse/processes.go
+++ b/internal/testkit/rehearse/processes.go
@@ -9,9 +9,9 @@
 	"syscall"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/fake/database"
 	"beechgrade/internal/testkit/netfault"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // Processes are daemons' processes before stand-ins, without a script's clients: a test asks them itself.
--- a/internal/kit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -14,13 +14,13 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/eventloop/clock"
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/score"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/cpupressure"
 	"beechgrade/internal/testkit/fake/consulserver"
 	"beechgrade/internal/testkit/fake/database"
+	"beechgrade/internal/testkit/scenario"
+	"beechgrade/internal/testkit/score"
 )
 
 const (
--- a/internal/kit/rehearse/strike.go
+++ b/internal/testkit/rehearse/strike.go
@@ -4,9 +4,9 @@
 	"context"
 	"syscall"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/fake/consulserver"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // strike carries a fault out at its time, and ends it.
--- a/internal/kit/rehearse/tries.go
+++ b/internal/testkit/rehearse/tries.go
@@ -8,8 +8,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/score"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/score"
 )
 
 // TryLine is a line of TriesFile.
--- a/internal/kit/rehearse/ways.go
+++ b/internal/testkit/rehearse/ways.go
@@ -1,8 +1,8 @@
 package rehearse
 
 import (
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // ways has a fault of the ways from poolers to servers, or of the list's to poolers, strike or end.
--- a/internal/kit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -8,10 +8,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 	"beechgrade/internal/testkit/simulation"
 )
 
--- a/internal/kit/report/avoided.go
+++ b/internal/testkit/report/avoided.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"beechgrade/internal/kit/incident"
+	"beechgrade/internal/testkit/incident"
 )
 
 // AvoidedRow is a server that poolers avoided by others' word: how many did, how often, from when to when, and by whose word.
--- a/internal/kit/report/avoided_test.go
+++ b/internal/testkit/report/avoided_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/incident"
+	"beechgrade/internal/testkit/incident"
 )
 
 // TestAvoidedRows: a row for each server, over all poolers that avoided it; text and page have it.
--- a/internal/kit/report/fleet.go
+++ b/internal/testkit/report/fleet.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"beechgrade/internal/kit/incident"
+	"beechgrade/internal/testkit/incident"
 )
 
 // FleetLane is what one pooler took another's process for, over time.
--- a/internal/kit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
-	"beechgrade/internal/kit/incident"
 	"beechgrade/internal/testkit/endpointreport"
+	"beechgrade/internal/testkit/incident"
 )
 
 //go:embed report.html
--- a/internal/kit/report/limits.go
+++ b/internal/testkit/report/limits.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"beechgrade/internal/kit/incident"
+	"beechgrade/internal/testkit/incident"
 )
 
 // LimitLane is how much of a limit one pooler might use, over time.
--- a/internal/kit/report/limits_test.go
+++ b/internal/testkit/report/limits_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/incident"
+	"beechgrade/internal/testkit/incident"
 )
 
 // TestLimitLanes: a lane for each limit and pooler, as high as the part of the most that any had.
--- a/internal/kit/report/rehearsal.go
+++ b/internal/testkit/report/rehearsal.go
@@ -5,8 +5,8 @@
 	"io"
 	"strings"
 
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/rehearse"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/rehearse"
 )
 
 const shown = 20 // differences and breaches that are listed as text
--- a/internal/kit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -6,11 +6,11 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/incident"
-	"beechgrade/internal/kit/records"
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/testkit/fake"
+	"beechgrade/internal/testkit/incident"
+	"beechgrade/internal/testkit/records"
 )
 
 // hostile are names that must stay text wherever they stand.
--- a/internal/kit/report/text.go
+++ b/internal/testkit/report/text.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"beechgrade/internal/kit/incident"
+	"beechgrade/internal/testkit/incident"
 )
 
 // Text writes a summary for a terminal.
--- a/internal/kit/report/zones.go
+++ b/internal/testkit/report/zones.go
@@ -5,7 +5,7 @@
 	"io"
 	"strings"
 
-	"beechgrade/internal/kit/incident"
+	"beechgrade/internal/testkit/incident"
 )
 
 // ZoneLane is a zone's states over time, or what a pooler went by and how much of its reads crossed.
--- a/internal/kit/report/zones_test.go
+++ b/internal/testkit/report/zones_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/incident"
+	"beechgrade/internal/testkit/incident"
 )
 
 // TestZoneLanes: a lane for each zone's states; one for each pooler, with what crossed as high as its part; the page and the text have them, and nothing
--- a/internal/kit/scenario/credit.go
+++ b/internal/testkit/scenario/credit.go
@@ -6,9 +6,9 @@
 	"strings"
 
 	"beechgrade/internal/cluster/raftlog"
-	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/clients"
 )
 
 // Agreed is the log that the first poolers keep in common.
--- a/internal/kit/scenario/faults.go
+++ b/internal/testkit/scenario/faults.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
-	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/netfault"
 )
 
--- a/internal/kit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -8,9 +8,9 @@
 	"os"
 	"slices"
 
-	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
 )
 
--- a/internal/kit/scenario/settings.go
+++ b/internal/testkit/scenario/settings.go
@@ -9,7 +9,7 @@
 
 	"beechgrade/internal/config"
 	"beechgrade/internal/endpoints/discovery"
-	"beechgrade/internal/kit/clients"
+	"beechgrade/internal/testkit/clients"
 )
 
 // ConnectMs is the poolers' connect time-out.
--- a/internal/kit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"strings"
 
-	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
 	"beechgrade/internal/testkit/netfault"
 )
--- a/internal/kit/score/score.go
+++ b/internal/testkit/score/score.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"slices"
 
-	"beechgrade/internal/kit/clients"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/serviceratio"
 )
 
--- a/internal/kit/score/score_test.go
+++ b/internal/testkit/score/score_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/clients"
+	"beechgrade/internal/testkit/clients"
 )
 
 // TestScore guards against service that is reckoned better than clients had it, and rules that are broken unseen.
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -6,9 +6,9 @@
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // attempt is a request's attempt, or a probe where query is nil. It is the model's job while it is at the server.
--- a/internal/testkit/simulation/bench_test.go
+++ b/internal/testkit/simulation/bench_test.go
@@ -4,8 +4,8 @@
 	"context"
 	"testing"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // BenchmarkWorld is the world's own pace: servers that take, work and answer, without poolers.
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -1,8 +1,8 @@
 package simulation
 
 import (
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // freshMs is until when a server's new process may be avoided for what the old one did: until all have its entry, and a probe of it, which may come
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -3,8 +3,8 @@
 import (
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // store is a pooler's connections to one server.
--- a/internal/testkit/simulation/credit_cost_test.go
+++ b/internal/testkit/simulation/credit_cost_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"beechgrade/internal/cluster/raftlog"
-	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/clients"
 )
 
 // TestCreditBesideOff has the same clients served with tenants that have plenty, and without credit, paired by seed: what waits for an answer about funds
--- a/internal/testkit/simulation/credit_test.go
+++ b/internal/testkit/simulation/credit_test.go
@@ -5,9 +5,9 @@
 	"testing"
 
 	"beechgrade/internal/cluster/raftlog"
-	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
 )
 
 // prepaid plays a script on so many poolers with two tenants that pay ahead, one of which runs out; what clients were served is held to what was paid.
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -12,13 +12,13 @@
 
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
-	"beechgrade/internal/kit/score"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
 	"beechgrade/internal/testkit/netfault"
+	"beechgrade/internal/testkit/scenario"
+	"beechgrade/internal/testkit/score"
 )
 
 // Options say how a scenario is played.
--- a/internal/testkit/simulation/emulate_test.go
+++ b/internal/testkit/simulation/emulate_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/scenario"
 )
 
 func parse(t *testing.T, text string) *scenario.Script {
--- a/internal/testkit/simulation/funds.go
+++ b/internal/testkit/simulation/funds.go
@@ -4,9 +4,9 @@
 	"slices"
 
 	"beechgrade/internal/cluster/credit/lessor"
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // funds are what tenants of a scenario pay ahead, and what they are served for it.
--- a/internal/testkit/simulation/journal_test.go
+++ b/internal/testkit/simulation/journal_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/scenario"
 )
 
 const journalScript = `(rehearsal "journal" (seconds %d) (poolers 2) (groups 3 3) (rate 400) (retries 0) (cold 5s) (journal %s)
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -5,10 +5,10 @@
 
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/testkit/checker"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // Limits is what came of limits that hold for the whole fleet.
--- a/internal/testkit/simulation/limits_test.go
+++ b/internal/testkit/simulation/limits_test.go
@@ -4,8 +4,8 @@
 	"context"
 	"testing"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/scenario"
 )
 
 const limited = `(rehearsal "limits" (poolers 8) (groups 3 3) (retries 0)
--- a/internal/testkit/simulation/month_test.go
+++ b/internal/testkit/simulation/month_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // monthEnd plays the month-end of a fleet, smaller where shorter forms say so, and holds it to all promises.
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -13,8 +13,8 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/endpoints/reconcile"
-	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
 )
 
--- a/internal/testkit/simulation/over_test.go
+++ b/internal/testkit/simulation/over_test.go
@@ -4,7 +4,7 @@
 	"os"
 	"testing"
 
-	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // TestOverloadOfMany: 150 poolers that do not talk shed a quarter more than the servers can do much as one pooler would.
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -7,11 +7,11 @@
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/merge"
 	"beechgrade/internal/frontend/scatter/plan"
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/fake/sortedtable"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // paging is reports over all groups that are read in pages throughout, and the table that they are of.
--- a/internal/testkit/simulation/pages_made.go
+++ b/internal/testkit/simulation/pages_made.go
@@ -12,8 +12,8 @@
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/scatter/cursor"
 	"beechgrade/internal/frontend/scatter/execution"
-	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/fake/sortedtable"
 	"beechgrade/internal/testkit/model"
 )
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -9,10 +9,10 @@
 	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/cluster/quota"
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
 	"beechgrade/internal/testkit/model"
 	"beechgrade/internal/testkit/netfault"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // fleetOf is the poolers as peers: the ways between them, and the checker of their views.
--- a/internal/testkit/simulation/second_test.go
+++ b/internal/testkit/simulation/second_test.go
@@ -4,8 +4,8 @@
 	"path/filepath"
 	"testing"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/scenario"
 )
 
 func load(t *testing.T, name string) *scenario.Script {
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -7,10 +7,10 @@
 
 	"beechgrade/internal/cluster/credit/lease"
 	"beechgrade/internal/cluster/credit/lessor"
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // madeUp is a deployment that is nobody's: classes, tenants, prices and groups drawn from a seed, with names drawn from another. The load is about
--- a/internal/testkit/simulation/spent.go
+++ b/internal/testkit/simulation/spent.go
@@ -1,6 +1,6 @@
 package simulation
 
-import "beechgrade/internal/kit/clients"
+import "beechgrade/internal/testkit/clients"
 
 // Spent is what servers' cores did, in seconds, while clients asked, by what became of it for the client; counted at servers and clients.
 type Spent struct {
--- a/internal/testkit/simulation/strike.go
+++ b/internal/testkit/simulation/strike.go
@@ -2,8 +2,8 @@
 
 import (
 	"beechgrade/internal/cluster/view"
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // strike carries out a fault, and has it end at its time.
--- a/internal/testkit/simulation/visit.go
+++ b/internal/testkit/simulation/visit.go
@@ -8,7 +8,7 @@
 
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
-	"beechgrade/internal/kit/clients"
+	"beechgrade/internal/testkit/clients"
 )
 
 // drawer draws the clients' asks, each at its time.
--- a/internal/testkit/simulation/ways.go
+++ b/internal/testkit/simulation/ways.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"beechgrade/internal/kit/scenario"
 	"beechgrade/internal/testkit/model"
+	"beechgrade/internal/testkit/scenario"
 )
 
 // ways are what befalls those from poolers to servers, and from the list to poolers. They outlive processes.
--- a/internal/testkit/simulation/ways_test.go
+++ b/internal/testkit/simulation/ways_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"beechgrade/internal/endpoints/discovery"
-	"beechgrade/internal/kit/clients"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
 )
 
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/cluster/zones/plan"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/endpoints/discovery"
-	"beechgrade/internal/kit/clients"
+	"beechgrade/internal/testkit/clients"
 	"beechgrade/internal/testkit/model"
 )
 
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -13,8 +13,8 @@
 	"beechgrade/internal/cluster/zones"
 	"beechgrade/internal/cluster/zones/follower"
 	"beechgrade/internal/cluster/zones/health"
-	"beechgrade/internal/kit/clients"
 	"beechgrade/internal/testkit/checker"
+	"beechgrade/internal/testkit/clients"
 )
 
 // zonedPlay is a play with zones decided together, and what is held against it.
--- a/internal/kit/sizes/measure.go
+++ b/internal/testkit/sizes/measure.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"beechgrade/internal/kit/clients"
-	"beechgrade/internal/kit/scenario"
+	"beechgrade/internal/testkit/clients"
+	"beechgrade/internal/testkit/scenario"
 )
 
 const (
