--- a/cmd/beechgrade/clickhouse.go
+++ b/cmd/beechgrade/clickhouse.go
@@ -7,8 +7,8 @@
 	"beechgrade/internal/settings"
 )
 
-// useClickHouse adds the front for the ClickHouse HTTP interface, where the settings have it on.
-func (p *pooler) useClickHouse(o settings.ClickHouse) {
+// openClickHouse adds the front for the ClickHouse HTTP interface, where the settings have it on.
+func (p *pooler) openClickHouse(o settings.ClickHouse) {
 	if o.Listen == "" {
 		return
 	}
@@ -29,12 +29,12 @@
 	at, stop, err := p.loop.Listen(p.clickhouseAddr, p.clickhouse.Accept)
 	if err != nil {
 		p.log.Error("clickhouse", "err", err)
-		p.stopHouse = func() {}
+		p.stopClickHouse = func() {}
 		p.loop.End()
 		return
 	}
 	p.clickhouseAddr = at
-	p.stopHouse = func() { p.stopListening(stop, p.clickhouse.End) }
+	p.stopClickHouse = func() { p.stopListening(stop, p.clickhouse.End) }
 	p.clickhouse.Start()
 	p.log.Info("clickhouse", "listen", at)
 }
--- a/cmd/beechgrade/clickhouse_drain_test.go
+++ b/cmd/beechgrade/clickhouse_drain_test.go
@@ -146,7 +146,7 @@
 	w := houses(t, 2, "")
 	within(t, "it serves", func() bool {
 		state := make(chan lifecycle.State)
-		w.p.loop.Post(func() { state <- w.p.life.State() })
+		w.p.loop.Post(func() { state <- w.p.lifecycle.State() })
 		return <-state == lifecycle.Ready
 	})
 	var callers []*httpCaller
@@ -160,7 +160,7 @@
 	come("before the drain")
 	time.Sleep(100 * time.Millisecond)
 	drained := make(chan bool)
-	w.p.loop.Post(func() { drained <- w.p.live(lifecycle.Drain) })
+	w.p.loop.Post(func() { drained <- w.p.handleLifecycle(lifecycle.Drain) })
 	if !<-drained {
 		t.Fatal("it does not drain")
 	}
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -81,8 +81,8 @@
 	}}, change...)...)
 	set.ClickHouse.AddClasses(cfg)
 	w.p = newPooler(cfg, testLog())
-	w.p.useClickHouse(set.ClickHouse)
-	w.p.useMembers(set.Membership)
+	w.p.openClickHouse(set.ClickHouse)
+	w.p.openSources(set.Membership)
 	add(w.p)
 	first := *cfg
 	w.p.load = func() (*config.Config, error) { return &first, nil }
@@ -631,7 +631,7 @@
 	cfg.Settings.Peers, cfg.Settings.Tick, cfg.Settings.MaxAttempts, cfg.Settings.MayCancel = 1, 2*time.Millisecond, 8, true
 	set.ClickHouse.AddClasses(cfg)
 	p := newPooler(cfg, slog.New(slog.DiscardHandler))
-	p.useClickHouse(set.ClickHouse)
+	p.openClickHouse(set.ClickHouse)
 	ready := make(chan string, 1)
 	p.loop.Ready = func() { ready <- p.clickhouseAddr }
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -21,14 +21,14 @@
 	"beechgrade/internal/storage/store"
 )
 
-// prepaid is what tenants pay ahead for, as this pooler has it. It is core's Credit, and credit's Log, Files and Events.
-type prepaid struct {
-	p       *pooler
+// creditGate is what tenants pay ahead for, as this pooler has it. It is core's Credit, and credit's Log, Files and Events.
+type creditGate struct {
+	pooler  *pooler
 	set     settings.Credit
 	credit  *credit.Credit
 	classes map[string]int
 	holder  ledger.Holder
-	writes  chan marks
+	writes  chan leaseMarks
 	done    chan struct{}
 	locks   map[ledger.Holder]*os.File // of this process's marks, and of those that it has taken over
 	spent   int64
@@ -36,32 +36,32 @@
 	waited  uint64
 }
 
-type marks struct {
-	no   uint64
-	list []lease.Mark
+type leaseMarks struct {
+	number uint64
+	list   []lease.Mark
 }
 
-// useCredit has tenants pay ahead, where the settings have it on; the function ends it.
-func (p *pooler) useCredit(set settings.Credit) (stop func(), err error) {
+// openCredit has tenants pay ahead, where the settings have it on; the function ends it.
+func (p *pooler) openCredit(set settings.Credit) (stop func(), err error) {
 	if !set.On {
 		return func() {}, nil
 	}
-	x := &prepaid{p: p, set: set, holder: rand.Uint64() | 1, writes: make(chan marks, 1), done: make(chan struct{}), locks: map[ledger.Holder]*os.File{}}
+	x := &creditGate{pooler: p, set: set, holder: rand.Uint64() | 1, writes: make(chan leaseMarks, 1), done: make(chan struct{}), locks: map[ledger.Holder]*os.File{}}
 	var gone []ledger.Holder
 	if set.Dir != "" {
-		if gone, err = x.lock(); err != nil {
+		if gone, err = x.lockFiles(); err != nil {
 			return nil, badInput{fmt.Errorf("credit: files: %w", err)}
 		}
 	}
-	go x.write()
+	go x.saveMarks()
 	s := x.settings()
 	x.credit = credit.New(s, p.peers, x, x, x)
-	x.inherit(gone)
+	x.inheritEnded(gone)
 	p.peers.Join(x.credit)
 	if x.credit.Books() != nil {
-		p.agreed.users.Add(raftlog.OfCredit, x.credit)
+		p.raftLog.users.Add(raftlog.OfCredit, x.credit)
 	}
-	p.agreed.told = append(p.agreed.told, func(a *raftlog.Action) {
+	p.raftLog.observers = append(p.raftLog.observers, func(a *raftlog.Action) {
 		switch a.Kind {
 		case raftlog.Leads:
 			x.credit.Lead(p.cfg.Name)
@@ -74,7 +74,7 @@
 	p.core.SetCredit(x)
 	p.credit = x
 	if set.Dir != "" {
-		p.loop.Post(func() { p.loop.At(p.loop.Now()+lookMs, x.look) })
+		p.loop.Post(func() { p.loop.At(p.loop.Now()+endedProcessesMs, x.findEndedProcesses) })
 	}
 	return func() {
 		close(x.writes)
@@ -82,8 +82,8 @@
 	}, nil
 }
 
-func (x *prepaid) settings() credit.Settings {
-	cfg := x.p.cfg
+func (x *creditGate) settings() credit.Settings {
+	cfg := x.pooler.cfg
 	x.classes = map[string]int{}
 	for i, n := range cfg.Classes {
 		if !cfg.Retired(i) {
@@ -91,15 +91,15 @@
 		}
 	}
 	s := x.set.For(cfg.Classes, func(i int) float64 { return cfg.Settings.Classes[i].Worth })
-	s.Voters, s.Name, s.Holder = x.p.agreed.set.Settings.Voters, cfg.Name, x.holder
-	s.Purse.Checks = x.p.checks
+	s.Voters, s.Name, s.Holder = x.pooler.raftLog.set.Settings.Voters, cfg.Name, x.holder
+	s.Purse.Checks = x.pooler.checks
 	return s
 }
 
 // reload takes prices and payments as they are now.
-func (x *prepaid) reload(set settings.Credit) {
+func (x *creditGate) reload(set settings.Credit) {
 	if !set.On || set.Dir != x.set.Dir {
-		x.p.log.Warn("cannot change while serving, needs a restart", "kept", []string{"credit"})
+		x.pooler.log.Warn("cannot change while serving, needs a restart", "kept", []string{"credit"})
 		set.On, set.Dir = true, x.set.Dir
 		if len(set.Prices) == 0 {
 			return
@@ -107,11 +107,11 @@
 	}
 	x.set = set
 	x.credit.Retune(x.settings())
-	x.p.log.Info("credit read again", "prices", len(set.Prices), "payments", len(set.Pays))
+	x.pooler.log.Info("credit read again", "prices", len(set.Prices), "payments", len(set.Pays))
 }
 
 // Hold is core.Credit's.
-func (x *prepaid) Hold(tenant, class, session string, tag uint64) (lease.Hold, lease.Verdict) {
+func (x *creditGate) Hold(tenant, class, session string, tag uint64) (lease.Hold, lease.Verdict) {
 	i, ok := x.classes[class]
 	if !ok {
 		return lease.Hold{}, lease.Pass
@@ -127,73 +127,73 @@
 }
 
 // Settle is core.Credit's.
-func (x *prepaid) Settle(h *lease.Hold, d lease.Done) { x.spent += x.credit.Settle(h, d) }
+func (x *creditGate) Settle(h *lease.Hold, d lease.Done) { x.spent += x.credit.Settle(h, d) }
 
 // Cancel is core.Credit's.
-func (x *prepaid) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
+func (x *creditGate) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
 
 // Admit is credit.Events'.
-func (x *prepaid) Admit(tag uint64, h lease.Hold) { x.p.core.Funded(tag, h) }
+func (x *creditGate) Admit(tag uint64, h lease.Hold) { x.pooler.core.Funded(tag, h) }
 
 // Turn is credit.Events'.
-func (x *prepaid) Turn(tag uint64) {
+func (x *creditGate) Turn(tag uint64) {
 	x.refused++
-	x.p.core.Unfunded(tag)
+	x.pooler.core.Unfunded(tag)
 }
 
 // Propose is credit.Log's. What is dropped the poolers ask for again.
-func (x *prepaid) Propose(entry []byte) {
-	x.p.agreed.part.Propose(0, append([]byte{raftlog.OfCredit}, entry...))
+func (x *creditGate) Propose(entry []byte) {
+	x.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.OfCredit}, entry...))
 }
 
 // Write is credit.Files': the newest marks are all that there are.
-func (x *prepaid) Write(no uint64, list []lease.Mark) {
+func (x *creditGate) Write(no uint64, list []lease.Mark) {
 	select {
 	case <-x.writes:
 	default:
 	}
-	x.writes <- marks{no, list}
+	x.writes <- leaseMarks{no, list}
 }
 
 const (
-	marksAgain = time.Second // after marks could not be written
-	lookMs     = 3000        // between two looks for files of processes that are no more
-	marksEnd   = ".marks"
-	lockEnd    = ".lock"
-	newEnd     = ".new" // of a lock file before it is locked
+	marksRetry       = time.Second // after marks could not be written
+	endedProcessesMs = 3000        // between two looks for files of processes that are no more
+	marksSuffix      = ".marks"
+	lockSuffix       = ".lock"
+	newLockSuffix    = ".new" // of a lock file before it is locked
 )
 
-func (x *prepaid) file(h ledger.Holder, end string) string {
+func (x *creditGate) file(h ledger.Holder, end string) string {
 	return filepath.Join(x.set.Dir, fmt.Sprintf("credit-%016x%s", h, end))
 }
 
-// write writes marks, off the loop: whole, and durable before anything is spent by them.
-func (x *prepaid) write() {
+// saveMarks writes marks, off the loop: whole, and durable before anything is spent by them.
+func (x *creditGate) saveMarks() {
 	defer close(x.done)
 	for m := range x.writes {
 		b, err := jsoniter.Marshal(m.list)
 		for err == nil {
-			if err = store.Replace(store.Dir(x.set.Dir), filepath.Base(x.file(x.holder, marksEnd)), b); err == nil {
+			if err = store.Replace(store.Dir(x.set.Dir), filepath.Base(x.file(x.holder, marksSuffix)), b); err == nil {
 				break
 			}
-			x.p.log.Error("credit: marks cannot be written; prepaid tenants wait", "err", err)
+			x.pooler.log.Error("credit: marks cannot be written; prepaid tenants wait", "err", err)
 			select {
 			case next, ok := <-x.writes:
 				if !ok {
 					return
 				}
 				m = next
-			case <-time.After(marksAgain):
+			case <-time.After(marksRetry):
 			}
 			b, err = jsoniter.Marshal(m.list)
 		}
-		no := m.no
-		x.p.loop.Post(func() { x.credit.Written(no) })
+		no := m.number
+		x.pooler.loop.Post(func() { x.credit.Written(no) })
 	}
 }
 
-// lock takes this process's place among the files, and finds those whose processes are no more: nobody has their locks.
-func (x *prepaid) lock() (gone []ledger.Holder, err error) {
+// lockFiles takes this process's place among the files, and finds those whose processes are no more: nobody has their locks.
+func (x *creditGate) lockFiles() (gone []ledger.Holder, err error) {
 	if err := os.MkdirAll(x.set.Dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -202,9 +202,9 @@
 		return nil, err
 	}
 	for _, f := range list {
-		text, found := strings.CutSuffix(f.Name(), lockEnd)
+		text, found := strings.CutSuffix(f.Name(), lockSuffix)
 		h, e := strconv.ParseUint(strings.TrimPrefix(text, "credit-"), 16, 64)
-		if x.locks[h] == nil && found && e == nil && x.lockFile(h, x.file(h, lockEnd)) == nil {
+		if x.locks[h] == nil && found && e == nil && x.lockFile(h, x.file(h, lockSuffix)) == nil {
 			gone = append(gone, h)
 		}
 	}
@@ -213,18 +213,18 @@
 	}
 	// The file is locked before it has the name by which others look for the files of processes that are no more: one that is there
 	// and not locked would be taken for such a file, and the lock be theirs.
-	unnamed := x.file(x.holder, newEnd)
+	unnamed := x.file(x.holder, newLockSuffix)
 	if err := x.lockFile(x.holder, unnamed); err != nil {
 		return nil, err
 	}
-	if err := os.Rename(unnamed, x.file(x.holder, lockEnd)); err != nil {
+	if err := os.Rename(unnamed, x.file(x.holder, lockSuffix)); err != nil {
 		return nil, err
 	}
 	return gone, nil
 }
 
 // lockFile locks a holder's file at a path, where no other process has it.
-func (x *prepaid) lockFile(h ledger.Holder, path string) error {
+func (x *creditGate) lockFile(h ledger.Holder, path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -237,26 +237,26 @@
 	return nil
 }
 
-func (x *prepaid) inherit(gone []ledger.Holder) {
+func (x *creditGate) inheritEnded(gone []ledger.Holder) {
 	if len(gone) > 0 {
-		x.p.log.Info("credit: found what processes that are no more left", "processes", len(gone))
+		x.pooler.log.Info("credit: found what processes that are no more left", "processes", len(gone))
 		x.credit.Inherit(gone)
 	}
 }
 
-// look finds the files of processes that have ended since.
-func (x *prepaid) look() {
-	if gone, err := x.lock(); err != nil {
-		x.p.log.Warn("credit: files", "err", err)
+// findEndedProcesses finds the files of processes that have ended since.
+func (x *creditGate) findEndedProcesses() {
+	if gone, err := x.lockFiles(); err != nil {
+		x.pooler.log.Warn("credit: files", "err", err)
 	} else {
-		x.inherit(gone)
+		x.inheritEnded(gone)
 	}
-	x.p.loop.At(x.p.loop.Now()+lookMs, x.look)
+	x.pooler.loop.At(x.pooler.loop.Now()+endedProcessesMs, x.findEndedProcesses)
 }
 
 // Read is credit.Files'.
-func (x *prepaid) Read(h ledger.Holder, do func([]lease.Mark)) {
-	path := x.file(h, marksEnd)
+func (x *creditGate) Read(h ledger.Holder, do func([]lease.Mark)) {
+	path := x.file(h, marksSuffix)
 	go func() {
 		b, err := os.ReadFile(path)
 		var list []lease.Mark
@@ -264,21 +264,21 @@
 			err = jsoniter.Unmarshal(b, &list)
 		}
 		if err != nil && !os.IsNotExist(err) { // what is not known to be unspent stays spent
-			x.p.log.Error("credit: marks of a process that is no more cannot be read; what it held counts as spent", "err", err)
+			x.pooler.log.Error("credit: marks of a process that is no more cannot be read; what it held counts as spent", "err", err)
 			return
 		}
-		x.p.loop.Post(func() { do(list) })
+		x.pooler.loop.Post(func() { do(list) })
 	}()
 }
 
 // Erase is credit.Files'.
-func (x *prepaid) Erase(h ledger.Holder) {
-	x.p.log.Info("credit: settled what a process that is no more left", "process", fmt.Sprintf("%016x", h))
+func (x *creditGate) Erase(h ledger.Holder) {
+	x.pooler.log.Info("credit: settled what a process that is no more left", "process", fmt.Sprintf("%016x", h))
 	f := x.locks[h]
 	delete(x.locks, h)
 	go func() {
-		_ = os.Remove(x.file(h, marksEnd))
-		_ = os.Remove(x.file(h, lockEnd))
+		_ = os.Remove(x.file(h, marksSuffix))
+		_ = os.Remove(x.file(h, lockSuffix))
 		if f != nil {
 			_ = f.Close()
 		}
@@ -286,19 +286,19 @@
 }
 
 // close tells last words, and how things stood.
-func (x *prepaid) close() {
+func (x *creditGate) close() {
 	x.credit.Close()
 	if b := x.credit.Books(); b != nil {
 		for _, n := range b.Tenants() {
 			t := b.Tenant(n)
-			x.p.log.Info("credit: books", "tenant", n, "paid", t.Paid, "balance", t.Balance, "lent", t.Lent, "stranded", t.Stranded, "spent", t.Spent)
+			x.pooler.log.Info("credit: books", "tenant", n, "paid", t.Paid, "balance", t.Balance, "lent", t.Lent, "stranded", t.Stranded, "spent", t.Spent)
 		}
 	}
-	x.p.log.Info("credit: ends", "spent", x.spent, "refused", x.refused, "waited", x.waited)
+	x.pooler.log.Info("credit: ends", "spent", x.spent, "refused", x.refused, "waited", x.waited)
 }
 
-// tellCredit tells how credit stands, where there is any.
-func (p *pooler) tellCredit(s *exposition.Sheet) {
+// writeCreditMetrics tells how credit stands, where there is any.
+func (p *pooler) writeCreditMetrics(s *exposition.Sheet) {
 	if p.credit == nil {
 		return
 	}
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -26,11 +26,11 @@
 		t.Fatal(err)
 	}
 	p := newPooler(testConfig(t, "127.0.0.1:1", nil), slog.New(slog.DiscardHandler))
-	if err := p.usePeers(peerSettings(t), settings.FleetLimits{}); err != nil {
+	if err := p.openPeers(peerSettings(t), settings.FleetLimits{}); err != nil {
 		t.Fatal(err)
 	}
-	stop := p.useRaftLog(set.Agreed)
-	end, err := p.useCredit(set.Credit)
+	stop := p.openRaftLog(set.Agreed)
+	end, err := p.openCredit(set.Credit)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,14 +65,14 @@
 		t.Fatalf("took over %d files while their process is there", n-1)
 	}
 	_ = x.locks[x.holder].Close() // as the process's end does
-	gone, err := two.credit.lock()
+	gone, err := two.credit.lockFiles()
 	if d := cmp.Diff([]ledger.Holder{x.holder}, gone); d != "" || err != nil {
 		t.Fatal(d, err)
 	}
-	if gone, _ = two.credit.lock(); len(gone) > 0 {
+	if gone, _ = two.credit.lockFiles(); len(gone) > 0 {
 		t.Error("found twice:", gone)
 	}
-	b, err := os.ReadFile(x.file(x.holder, marksEnd))
+	b, err := os.ReadFile(x.file(x.holder, marksSuffix))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	}
 	two.credit.Erase(x.holder)
 	for range 100 {
-		if all, _ := filepath.Glob(filepath.Join(dir, "*"+marksEnd)); len(all) == 0 {
+		if all, _ := filepath.Glob(filepath.Join(dir, "*"+marksSuffix)); len(all) == 0 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -100,9 +100,9 @@
 	const processes, beginners = 4, 200
 	// A process that is there holds its files. A file that nothing refers to any more is closed by the garbage collector, as by the
 	// process's end, so all are held until the last look is over.
-	var all []*prepaid
-	process := func(h ledger.Holder) *prepaid {
-		x := &prepaid{set: settings.Credit{Dir: dir}, holder: h, locks: map[ledger.Holder]*os.File{}}
+	var all []*creditGate
+	process := func(h ledger.Holder) *creditGate {
+		x := &creditGate{set: settings.Credit{Dir: dir}, holder: h, locks: map[ledger.Holder]*os.File{}}
 		all = append(all, x)
 		return x
 	}
@@ -110,7 +110,7 @@
 	ended := make(chan struct{})
 	for i := range processes {
 		x := process(ledger.Holder(1e6 + i))
-		if _, err := x.lock(); err != nil {
+		if _, err := x.lockFiles(); err != nil {
 			t.Fatal(err)
 		}
 		looking.Add(1)
@@ -123,7 +123,7 @@
 					return
 				default:
 				}
-				if gone, err := x.lock(); err != nil || len(gone) > 0 {
+				if gone, err := x.lockFiles(); err != nil || len(gone) > 0 {
 					t.Errorf("%v are taken for gone: %v", gone, err)
 				}
 			}
@@ -134,7 +134,7 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			if gone, err := x.lock(); err != nil || len(gone) > 0 {
+			if gone, err := x.lockFiles(); err != nil || len(gone) > 0 {
 				t.Errorf("%v are taken for gone: %v", gone, err)
 			}
 		}()
@@ -142,7 +142,7 @@
 	done.Wait()
 	close(ended)
 	looking.Wait()
-	if gone, err := process(2e6).lock(); err != nil || len(gone) > 0 {
+	if gone, err := process(2e6).lockFiles(); err != nil || len(gone) > 0 {
 		t.Errorf("%v are taken for gone once all have begun: %v", gone, err)
 	}
 	for _, x := range all {
--- a/cmd/beechgrade/descriptors_test.go
+++ b/cmd/beechgrade/descriptors_test.go
@@ -352,7 +352,7 @@
 		case <-r.Context().Done():
 		}
 		<-r.Context().Done()
-	}, func(c *config.Config) { c.Limits.Sockets = reserved + 10 }) // two of ten are kept for servers
+	}, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 }) // two of ten are kept for servers
 	for n := range 2 {
 		client(t, pooler).send(query(fmt.Sprint("hang", n), "write", 19000))
 		next(t, atOld)
@@ -392,7 +392,7 @@
 		w.pool.loop.Post(func() { w.pool.cfg.Limits.Sockets = n; close(done) })
 		<-done
 	}
-	sockets(reserved + 60)
+	sockets(reservedDescriptors + 60)
 	for range 30 {
 		w.connect("")
 	}
@@ -401,7 +401,7 @@
 	}
 	held := make(chan [3]int, 1)
 	w.pool.loop.Post(func() {
-		held <- [3]int{w.pool.front.Occupied(), w.pool.pooled.Sessions() + w.pool.pooled.Conns(), w.pool.front.Sessions()}
+		held <- [3]int{w.pool.platform.Occupied(), w.pool.pooling.Sessions() + w.pool.pooling.Conns(), w.pool.platform.Sessions()}
 	})
 	n := <-held
 	if n[0]+n[1] > 60 || n[0] < 10 || n[1] < 30 {
--- a/cmd/beechgrade/fronts_stop_test.go
+++ b/cmd/beechgrade/fronts_stop_test.go
@@ -22,7 +22,7 @@
 	busy.send(simple("SELECT 1"))
 	q := nextText(t, queries, "SELECT 1")
 	s.stop <- syscall.SIGTERM
-	s.until("it drains", func() bool { return s.p.life.State() == lifecycle.Stopping })
+	s.until("it drains", func() bool { return s.p.lifecycle.State() == lifecycle.Stopping })
 	c := dial(t, s.addr)
 	c.send(append(appendStartup("tablet", "obra"), simple("SELECT 2")...))
 	c.want("E$ 57P03")
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -6,9 +6,9 @@
 	"beechgrade/internal/settings"
 )
 
-// useInvariants has the parts check statements about their state, where the settings have it so. A breach is logged once for each
+// openInvariants has the parts check statements about their state, where the settings have it so. A breach is logged once for each
 // name and counted; it stops nothing.
-func (p *pooler) useInvariants(set settings.Invariants) {
+func (p *pooler) openInvariants(set settings.Invariants) {
 	if set.On {
 		p.countsChecks = true
 		p.check(invariant.New(func(b invariant.Breach) { p.log.Error("invariant broken", "name", b.Name, "state", b.State) }), set.Every)
@@ -22,11 +22,11 @@
 	if p.peers != nil {
 		p.peers.Check(c, every)
 	}
-	if p.over != nil {
-		p.over.Check(c, every)
+	if p.overload != nil {
+		p.overload.Check(c, every)
 	}
-	if p.judged != nil {
-		p.judged.Check(c, every)
+	if p.outlier != nil {
+		p.outlier.Check(c, every)
 	}
 	if p.commits != nil {
 		p.commits.Check(c, every)
@@ -36,24 +36,24 @@
 	}
 	p.loop.Between = func() {
 		p.loop.Check(c, every)
-		p.pool.Check(c, every)
-		p.front.Check(c, every)
-		if p.pooled != nil {
-			p.pooled.Check(c, every)
+		p.backend.Check(c, every)
+		p.platform.Check(c, every)
+		if p.pooling != nil {
+			p.pooling.Check(c, every)
 		}
 	}
 }
 
-// saidInvariants tells at the end how many statements held.
-func (p *pooler) saidInvariants() {
+// logInvariants tells at the end how many statements held.
+func (p *pooler) logInvariants() {
 	if p.countsChecks {
 		made, broken := p.checks.Counts()
 		p.log.Info("invariants", "made", made, "broken", broken)
 	}
 }
 
-// tellInvariants tells the figures of statements, where any are checked.
-func (p *pooler) tellInvariants(s *exposition.Sheet) {
+// writeInvariantsMetrics tells the figures of statements, where any are checked.
+func (p *pooler) writeInvariantsMetrics(s *exposition.Sheet) {
 	if !p.countsChecks {
 		return
 	}
--- a/cmd/beechgrade/journal.go
+++ b/cmd/beechgrade/journal.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/storage/store"
 )
 
-// useJournal opens the journal of what may have run, where the settings have it on; the function ends it.
-func (p *pooler) useJournal(o settings.Journal) (stop func(), err error) {
+// openJournal opens the journal of what may have run, where the settings have it on; the function ends it.
+func (p *pooler) openJournal(o settings.Journal) (stop func(), err error) {
 	if o.Dir == "" {
 		return func() {}, nil
 	}
--- a/cmd/beechgrade/life.go
+++ b/cmd/beechgrade/life.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	unheard = 1500 // of the list, after which the one from the start has to do
+	listTimeoutMs = 1500 // of the list, after which the one from the start has to do
 
 	queuedMs     = 1000 // after the process would end, for what has just connected to be told so...
 	queuedSoonMs = 50   // ...and where it may be killed soon
@@ -58,63 +58,63 @@
 	return ln, nil
 }
 
-// listener passes the list's news on, and notes the first.
-type listener struct {
-	p *pooler
+// listObserver passes the list's news on, and notes the first.
+type listObserver struct {
+	pooler *pooler
 	discovery.Events
 }
 
 // Listed is discovery.Events'.
-func (l listener) Listed(list *discovery.List) {
-	if p := l.p; list.Anew || list.Generation >= p.list.gen { // else another process has told all of it, and more
-		p.list.hear(list)
+func (l listObserver) Listed(list *discovery.List) {
+	if p := l.pooler; list.Anew || list.Generation >= p.list.gen { // else another process has told all of it, and more
+		p.list.receive(list)
 		p.saveList()
 		l.Events.Listed(list)
 	}
-	l.p.hear()
+	l.pooler.listReceived()
 }
 
-// hear notes that the list has been heard: from then on this process can serve.
-func (p *pooler) hear() {
-	if !p.heard {
-		p.heard = true
-		p.live(lifecycle.Began)
+// listReceived notes that the list has been heard: from then on this process can serve.
+func (p *pooler) listReceived() {
+	if !p.hasList {
+		p.hasList = true
+		p.handleLifecycle(lifecycle.Began)
 	}
 }
 
-// open opens the operators' door, and has the process count as ready once the list is heard or has been waited for.
-func (p *pooler) open() {
-	p.life.Shared = p.given != nil
-	p.loop.At(p.loop.Now()+unheard, p.hear)
-	if p.doorAddr == "" {
+// openAdmin opens the operators' door, and has the process count as ready once the list is heard or has been waited for.
+func (p *pooler) openAdmin() {
+	p.lifecycle.Shared = p.inheritedListener != nil
+	p.loop.At(p.loop.Now()+listTimeoutMs, p.listReceived)
+	if p.adminAddr == "" {
 		return
 	}
-	p.door = admin.New(p.loop, p.log, desk{p})
-	at, _, err := p.loop.Listen(p.doorAddr, p.door.Accept)
+	p.admin = admin.New(p.loop, p.log, adminHandler{p})
+	at, _, err := p.loop.Listen(p.adminAddr, p.admin.Accept)
 	if err != nil {
 		p.log.Error("control", "err", err)
 		p.loop.End()
 		return
 	}
-	p.doorAddr = at
+	p.adminAddr = at
 	p.log.Info("control", "listen", at)
 }
 
-// desk carries operators' calls out.
-type desk struct{ p *pooler }
+// adminHandler carries operators' calls out.
+type adminHandler struct{ pooler *pooler }
 
 // Call is control.Desk's.
-func (d desk) Call(method, path string, query url.Values) admin.Answer {
-	p := d.p
+func (d adminHandler) Call(method, path string, query url.Values) admin.Answer {
+	p := d.pooler
 	if path == zonesPath && p.zones != nil {
-		return p.zones.call(method, query)
+		return p.zones.handleAdminCall(method, query)
 	}
 	if method == http.MethodGet {
 		switch path {
 		case "/-/metrics":
-			return admin.Answer{Status: http.StatusOK, Body: p.figures().AppendLines(nil)}
+			return admin.Answer{Status: http.StatusOK, Body: p.metrics().AppendLines(nil)}
 		case "/-/prometheus":
-			b, err := p.figures().Text()
+			b, err := p.metrics().Text()
 			if err != nil {
 				return admin.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 			}
@@ -127,9 +127,9 @@
 	}{
 		"/-/metrics":    {method: http.MethodGet},
 		"/-/prometheus": {method: http.MethodGet},
-		"/-/ready":      {http.MethodGet, p.life.Serves},
-		"/-/drain":      {http.MethodPost, func() bool { return p.live(lifecycle.Drain) }},
-		"/-/resume":     {http.MethodPost, func() bool { return p.live(lifecycle.Resume) }},
+		"/-/ready":      {http.MethodGet, p.lifecycle.Serves},
+		"/-/drain":      {http.MethodPost, func() bool { return p.handleLifecycle(lifecycle.Drain) }},
+		"/-/resume":     {http.MethodPost, func() bool { return p.handleLifecycle(lifecycle.Resume) }},
 	}
 	c, ok := calls[path]
 	switch {
@@ -138,34 +138,34 @@
 	case c.method != method:
 		return admin.Answer{Status: http.StatusMethodNotAllowed, Allow: c.method}
 	case c.do():
-		return admin.Answer{Status: http.StatusOK, Body: []byte(p.life.State().String() + "\n")}
+		return admin.Answer{Status: http.StatusOK, Body: []byte(p.lifecycle.State().String() + "\n")}
 	case c.method == http.MethodGet:
-		return admin.Answer{Status: http.StatusServiceUnavailable, Body: []byte(p.life.State().String() + "\n")}
+		return admin.Answer{Status: http.StatusServiceUnavailable, Body: []byte(p.lifecycle.State().String() + "\n")}
 	}
-	return admin.Answer{Status: http.StatusConflict, Body: []byte(p.life.State().String() + "\n")}
+	return admin.Answer{Status: http.StatusConflict, Body: []byte(p.lifecycle.State().String() + "\n")}
 }
 
-// figures are all that the process tells of itself.
-func (p *pooler) figures() *exposition.Sheet {
+// metrics are all that the process tells of itself.
+func (p *pooler) metrics() *exposition.Sheet {
 	s := &exposition.Sheet{}
-	for _, tell := range []func(*exposition.Sheet){p.core.WriteFigures, p.front.WriteFigures, p.tellPeers, p.tellLimits, p.tellInvariants, p.tellScatter, p.tellAgreed, p.tellCredit, p.tellOverload,
-		p.tellVerdicts, p.tellZones} {
+	for _, tell := range []func(*exposition.Sheet){p.core.WriteFigures, p.platform.WriteFigures, p.writePeersMetrics, p.writeLimitsMetrics, p.writeInvariantsMetrics, p.writeScatterMetrics, p.writeRaftLogMetrics, p.writeCreditMetrics, p.writeOverloadMetrics,
+		p.writeOutlierMetrics, p.writeZonesMetrics} {
 		tell(s)
 	}
 	return s
 }
 
-// live takes an event of the pooler's life, does what follows from it, and tells whether it could be followed.
-func (p *pooler) live(e lifecycle.Event) bool {
-	was := p.life.State()
-	ok := p.life.Handle(e)
-	now := p.life.State()
-	if p.front.Welcome(p.life.Welcomes()); now == was {
+// handleLifecycle takes an event of the pooler's life, does what follows from it, and tells whether it could be followed.
+func (p *pooler) handleLifecycle(e lifecycle.Event) bool {
+	was := p.lifecycle.State()
+	ok := p.lifecycle.Handle(e)
+	now := p.lifecycle.State()
+	if p.platform.Welcome(p.lifecycle.Welcomes()); now == was {
 		return ok
 	}
-	p.log.Info("life", "was", was.String(), "now", now.String(), "sessions", p.front.Sessions(), "open", p.core.Open())
-	if p.given != nil && was == lifecycle.Starting && p.life.Accepts() {
-		p.stopTaking = p.loop.Take(p.given, p.front.Accept)
+	p.log.Info("life", "was", was.String(), "now", now.String(), "sessions", p.platform.Sessions(), "open", p.core.Open())
+	if p.inheritedListener != nil && was == lifecycle.Starting && p.lifecycle.Accepts() {
+		p.stopAccepting = p.loop.Take(p.inheritedListener, p.platform.Accept)
 	}
 	if p.peers != nil && now != lifecycle.Starting {
 		p.peers.Drain(now != lifecycle.Ready)
@@ -188,8 +188,8 @@
 func (p *pooler) sendAway() {
 	p.drains++
 	this, from := p.drains, p.loop.Now()
-	if p.pooled != nil {
-		p.pooled.Drain()
+	if p.pooling != nil {
+		p.pooling.Drain()
 	}
 	if p.clickhouse != nil {
 		p.clickhouse.Drain()
@@ -216,18 +216,18 @@
 	for _, class := range p.cfg.Settings.Classes {
 		longest = max(longest, clock.Millis(class.Deadline))
 	}
-	return max(drainMost, refuseMs+longest+afterDeadlineMs)
+	return max(stopTimeoutMs, refuseMs+longest+afterDeadlineMs)
 }
 
 // enterStage brings a drain that began at the given time to a stage.
 func (p *pooler) enterStage(stage platform.Stage, from float64) {
-	p.log.Info("drain", "stage", stage.String(), "ms", p.loop.Now()-from, "sessions", p.front.Sessions(), "halfway", p.front.Halves(), "open", p.core.Open())
-	p.front.SendAway(stage)
+	p.log.Info("drain", "stage", stage.String(), "ms", p.loop.Now()-from, "sessions", p.platform.Sessions(), "halfway", p.platform.Halves(), "open", p.core.Open())
+	p.platform.SendAway(stage)
 	if stage < platform.CloseAll {
 		return
 	}
-	if p.pooled != nil {
-		p.pooled.End()
+	if p.pooling != nil {
+		p.pooling.End()
 	}
 	if p.clickhouse != nil {
 		p.clickhouse.End()
@@ -237,9 +237,9 @@
 // resume ends a drain.
 func (p *pooler) resume() {
 	p.drains++ // what is left of it has no effect
-	p.front.Resume()
-	if p.pooled != nil {
-		p.pooled.Resume()
+	p.platform.Resume()
+	if p.pooling != nil {
+		p.pooling.Resume()
 	}
 	if p.clickhouse != nil {
 		p.clickhouse.Resume()
@@ -259,31 +259,31 @@
 	longest = min(longest, deadlineMs)
 	p.core.EndAt(began + longest + drainEnd)
 	closeAt, leastMs := began+longest+drainClose, float64(drainMs)
-	if p.life.State() == lifecycle.HandingOver {
-		p.stopTaking()
+	if p.lifecycle.State() == lifecycle.HandingOver {
+		p.stopAccepting()
 		if p.peers != nil { // the next process is this pooler from now on
 			p.peers.Leave(true)
 		}
-		closeAt, leastMs = began, handMs
-		p.loop.At(began+longest, func() { p.front.SendAway(platform.RefuseCommands) })
+		closeAt, leastMs = began, handOverMs
+		p.loop.At(began+longest, func() { p.platform.SendAway(platform.RefuseCommands) })
 	} else if drained {
 		closeAt = began
 	}
-	p.loop.At(closeAt, func() { p.front.SendAway(platform.CloseIdle) })
-	p.loop.At(began+longest+drainEnd, func() { p.front.SendAway(platform.EndPartial) })
-	p.loop.At(began+longest+drainActive, func() { p.front.SendAway(platform.CloseActive) })
-	if p.pooled != nil {
-		p.stopPooled()
-		p.pooled.Drain()
+	p.loop.At(closeAt, func() { p.platform.SendAway(platform.CloseIdle) })
+	p.loop.At(began+longest+drainEnd, func() { p.platform.SendAway(platform.EndPartial) })
+	p.loop.At(began+longest+drainActive, func() { p.platform.SendAway(platform.CloseActive) })
+	if p.pooling != nil {
+		p.stopPooling()
+		p.pooling.Drain()
 	}
 	if p.clickhouse != nil {
-		p.stopHouse()
+		p.stopClickHouse()
 		p.clickhouse.Drain()
 	}
 	var look func()
 	look = func() {
-		now, busy := p.loop.Now(), p.front.Owes() || p.core.Open() > 0 || p.pooled != nil && p.pooled.Owes() || p.clickhouse != nil && p.clickhouse.Owes()
-		if now < began+leastMs || now < began+longest+drainLast && p.front.Sessions() > 0 || now < began+drainMost && busy {
+		now, busy := p.loop.Now(), p.platform.Owes() || p.core.Open() > 0 || p.pooling != nil && p.pooling.Owes() || p.clickhouse != nil && p.clickhouse.Owes()
+		if now < began+leastMs || now < began+longest+drainLast && p.platform.Sessions() > 0 || now < began+stopTimeoutMs && busy {
 			p.loop.At(now+pollMs, look)
 			return
 		}
@@ -302,11 +302,11 @@
 // endLoop ends the loop. What connects in the last moment is accepted and told so first, lest it be reset with the listener; by the given
 // time it ends whatever they have read of that.
 func (p *pooler) endLoop(by float64) {
-	p.front.SendAway(platform.EndPartial)
+	p.platform.SendAway(platform.EndPartial)
 	p.loop.StopAccepting(by-p.loop.Now(), func(accepted int) {
 		var look func()
 		look = func() {
-			if now := p.loop.Now(); accepted > 0 && p.front.Sessions() > 0 && now < by {
+			if now := p.loop.Now(); accepted > 0 && p.platform.Sessions() > 0 && now < by {
 				p.loop.At(min(by, now+pollMs), look)
 				return
 			}
--- a/cmd/beechgrade/life_test.go
+++ b/cmd/beechgrade/life_test.go
@@ -37,7 +37,7 @@
 	}
 	addr, hup, stop, done = launch(t, p)
 	at := make(chan string)
-	p.loop.Post(func() { at <- p.doorAddr })
+	p.loop.Post(func() { at <- p.adminAddr })
 	door = <-at
 	for say(t, door, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") != "200 ready" {
 		time.Sleep(time.Millisecond)
@@ -216,7 +216,7 @@
 	p := newPooler(testConfig(t, srv, nil), slog.New(slog.DiscardHandler))
 	launch(t, p)
 	at := make(chan bool)
-	p.loop.Post(func() { at <- p.door == nil && p.doorAddr == "" })
+	p.loop.Post(func() { at <- p.admin == nil && p.adminAddr == "" })
 	if !<-at {
 		t.Error("there is a door")
 	}
@@ -272,7 +272,7 @@
 	addr, _, stop, done := operated(t, srv, func(p *pooler) { old = p; give(t, p, ln) })
 	bare, started := dial(t, addr), client(t, addr)
 	for n := 0; n < 2; time.Sleep(time.Millisecond) {
-		old.loop.Post(func() { accepted <- old.front.Sessions() })
+		old.loop.Post(func() { accepted <- old.platform.Sessions() })
 		n = <-accepted
 	}
 	stop <- syscall.SIGTERM
--- a/cmd/beechgrade/limits.go
+++ b/cmd/beechgrade/limits.go
@@ -10,15 +10,15 @@
 	"beechgrade/internal/settings"
 )
 
-// demandMs is between two looks at what this pooler would use of the fleet's limits.
-const demandMs = 100
+// demandIntervalMs is between two looks at what this pooler would use of the fleet's limits.
+const demandIntervalMs = 100
 
 // fleetLimits joins limits that hold for the whole fleet to what they are of.
 type fleetLimits struct {
-	p     *pooler
-	set   settings.FleetLimits
-	told  map[string]limits.Told // by user
-	beats bool
+	pooler   *pooler
+	set      settings.FleetLimits
+	assigned map[string]limits.Told // by user
+	ticking  bool
 }
 
 // quotas are the limits as the poolers share them; nil where there are none.
@@ -31,28 +31,28 @@
 	return &s
 }
 
-// use has the parts keep to nothing of each limit until they are told; it runs on the loop.
-func (l *fleetLimits) use(set settings.FleetLimits) {
+// apply has the parts keep to nothing of each limit until they are told; it runs on the loop.
+func (l *fleetLimits) apply(set settings.FleetLimits) {
 	old := l.set.List
 	l.set = set
 	for i := range set.List {
-		if x := &set.List[i]; !had(old, x) { // what the core has is nothing by itself
-			l.give(x, 0, 0)
+		if x := &set.List[i]; !containsLimit(old, x) { // what the core has is nothing by itself
+			l.assign(x, 0, 0)
 		}
 	}
 	for i := range old {
-		if x := &old[i]; !had(set.List, x) {
-			l.free(x)
+		if x := &old[i]; !containsLimit(set.List, x) {
+			l.release(x)
 		}
 	}
-	l.p.core.Bind(set.Bounds(), l.p.peers)
-	if !l.beats {
-		l.beats = true
-		l.beat()
+	l.pooler.core.Bind(set.Bounds(), l.pooler.peers)
+	if !l.ticking {
+		l.ticking = true
+		l.tick()
 	}
 }
 
-func had(list []settings.FleetLimit, x *settings.FleetLimit) bool {
+func containsLimit(list []settings.FleetLimit, x *settings.FleetLimit) bool {
 	for i := range list {
 		if list[i].Name == x.Name && list[i].Of == x.Of && list[i].Whom == x.Whom && list[i].Kind == x.Kind {
 			return true
@@ -61,108 +61,108 @@
 	return false
 }
 
-// give tells a part what it may use.
-func (l *fleetLimits) give(x *settings.FleetLimit, amount, burst float64) {
+// assign tells a part what it may use.
+func (l *fleetLimits) assign(x *settings.FleetLimit, amount, burst float64) {
 	switch x.Of {
 	case settings.OfQueries:
-		t := l.told[x.Whom]
+		t := l.assigned[x.Whom]
 		if x.Kind == quota.Number {
 			t.Queries, t.Most = true, int(amount+1e-9)
 		} else {
 			t.Rate, t.PerSecond, t.Burst = true, amount, burst
 		}
-		if l.told[x.Whom] = t; l.p.clickhouse != nil {
-			l.p.clickhouse.Tell(x.Whom, t)
+		if l.assigned[x.Whom] = t; l.pooler.clickhouse != nil {
+			l.pooler.clickhouse.Tell(x.Whom, t)
 		}
 	case settings.OfPool:
-		if l.p.pooled != nil {
-			l.p.pooled.Tell(x.Whom, int(amount+1e-9))
+		if l.pooler.pooling != nil {
+			l.pooler.pooling.Tell(x.Whom, int(amount+1e-9))
 		}
 	case settings.OfShards:
-		if l.p.scatter != nil {
-			l.p.scatter.Tell(int(amount + 1e-9))
+		if l.pooler.scatter != nil {
+			l.pooler.scatter.Tell(int(amount + 1e-9))
 		}
 	}
 }
 
-// free has a part go by its own settings again.
-func (l *fleetLimits) free(x *settings.FleetLimit) {
+// release has a part go by its own settings again.
+func (l *fleetLimits) release(x *settings.FleetLimit) {
 	switch x.Of {
 	case settings.OfQueries:
-		t := l.told[x.Whom]
+		t := l.assigned[x.Whom]
 		if x.Kind == quota.Number {
 			t.Queries = false
 		} else {
 			t.Rate = false
 		}
-		if l.told[x.Whom] = t; l.p.clickhouse == nil {
+		if l.assigned[x.Whom] = t; l.pooler.clickhouse == nil {
 			return
 		}
-		if l.p.clickhouse.Tell(x.Whom, t); t == (limits.Told{}) {
-			l.p.clickhouse.Untell(x.Whom)
+		if l.pooler.clickhouse.Tell(x.Whom, t); t == (limits.Told{}) {
+			l.pooler.clickhouse.Untell(x.Whom)
 		}
 	case settings.OfPool:
-		if l.p.pooled != nil {
-			l.p.pooled.Untell(x.Whom)
+		if l.pooler.pooling != nil {
+			l.pooler.pooling.Untell(x.Whom)
 		}
 	case settings.OfShards:
-		if l.p.scatter != nil {
-			l.p.scatter.Untell()
+		if l.pooler.scatter != nil {
+			l.pooler.scatter.Untell()
 		}
 	}
 }
 
 // allow is told what this pooler may use of a limit.
 func (l *fleetLimits) allow(name string, amount, burst float64) {
-	l.p.log.Debug("fleet limit", "limit", name, "amount", amount, "burst", burst)
-	l.p.core.Note(recordpb.Kind_KIND_LIMIT, fmt.Sprintf("%s: %g", name, amount))
-	if l.p.core.Allow(name, amount, burst) {
+	l.pooler.log.Debug("fleet limit", "limit", name, "amount", amount, "burst", burst)
+	l.pooler.core.Note(recordpb.Kind_KIND_LIMIT, fmt.Sprintf("%s: %g", name, amount))
+	if l.pooler.core.Allow(name, amount, burst) {
 		return
 	}
 	for i := range l.set.List {
 		if x := &l.set.List[i]; x.Name == name {
-			l.give(x, amount, burst)
+			l.assign(x, amount, burst)
 			if x.Kind == quota.Number { // what is in use beyond it must be known before it is lent to others
-				l.demand(x)
+				l.reportDemand(x)
 			}
 		}
 	}
 }
 
-// demand tells what this pooler would use of a limit, and uses.
-func (l *fleetLimits) demand(x *settings.FleetLimit) {
-	if want, ok := l.p.core.Demand(x.Name); ok {
+// reportDemand tells what this pooler would use of a limit, and uses.
+func (l *fleetLimits) reportDemand(x *settings.FleetLimit) {
+	if want, ok := l.pooler.core.Demand(x.Name); ok {
 		if x.Of == settings.OfCold { // as a part of what a fleet may ask for
 			want /= coldFlow
 		}
-		l.p.peers.Demand(x.Name, want, 0)
+		l.pooler.peers.Demand(x.Name, want, 0)
 		return
 	}
 	switch {
-	case x.Of == settings.OfQueries && l.p.clickhouse != nil:
-		running, more, asked := l.p.clickhouse.Demand(x.Whom)
+	case x.Of == settings.OfQueries && l.pooler.clickhouse != nil:
+		running, more, asked := l.pooler.clickhouse.Demand(x.Whom)
 		if x.Kind == quota.Number {
-			l.p.peers.Demand(x.Name, float64(running)+more, float64(running))
+			l.pooler.peers.Demand(x.Name, float64(running)+more, float64(running))
 		} else {
-			l.p.peers.Demand(x.Name, asked, 0)
+			l.pooler.peers.Demand(x.Name, asked, 0)
 		}
-	case x.Of == settings.OfPool && l.p.pooled != nil:
-		has, want := l.p.pooled.Demand(x.Whom)
-		l.p.peers.Demand(x.Name, float64(want), float64(has))
-	case x.Of == settings.OfShards && l.p.scatter != nil:
-		has, want := l.p.scatter.Demand()
-		l.p.peers.Demand(x.Name, float64(want), float64(has))
+	case x.Of == settings.OfPool && l.pooler.pooling != nil:
+		has, want := l.pooler.pooling.Demand(x.Whom)
+		l.pooler.peers.Demand(x.Name, float64(want), float64(has))
+	case x.Of == settings.OfShards && l.pooler.scatter != nil:
+		has, want := l.pooler.scatter.Demand()
+		l.pooler.peers.Demand(x.Name, float64(want), float64(has))
 	}
 }
 
 // coldFlow is a flow, a second, that stands for the whole of the fall budget: parts of it follow how flows compare.
 const coldFlow = 1e5
 
-func (l *fleetLimits) beat() {
+func (l *fleetLimits) tick() {
 	for i := range l.set.List {
-		l.demand(&l.set.List[i])
+		l.reportDemand(&l.set.List[i])
 	}
-	l.p.loop.At(l.p.loop.Now()+demandMs, l.beat)
+	l.pooler.loop.At(l.pooler.loop.Now()+demandIntervalMs, l.tick)
 }
 
 // reloadLimits takes limits that have changed.
@@ -177,10 +177,10 @@
 		if !set.On {
 			return
 		}
-		p.limits = &fleetLimits{p: p, told: map[string]limits.Told{}}
+		p.limits = &fleetLimits{pooler: p, assigned: map[string]limits.Told{}}
 	}
-	p.limits.use(set)
-	p.peers.Limit(*quotasOrNone(&set, p.expect))
+	p.limits.apply(set)
+	p.peers.Limit(*quotasOrNone(&set, p.expectedPoolers))
 	p.log.Info("fleet limits read again", "limits", len(set.List))
 }
 
@@ -191,8 +191,8 @@
 	return &quota.Settings{Expect: expect}
 }
 
-// tellLimits tells how the fleet's limits stand here.
-func (p *pooler) tellLimits(s *exposition.Sheet) {
+// writeLimitsMetrics tells how the fleet's limits stand here.
+func (p *pooler) writeLimitsMetrics(s *exposition.Sheet) {
 	if p.peers == nil || p.limits == nil {
 		return
 	}
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -214,37 +214,37 @@
 	set.Pooling.AddClasses(cfg)
 	set.ClickHouse.AddClasses(cfg)
 	p := newPooler(cfg, log)
-	if err := p.useScatter(set.Scatter, set.Peers); err != nil {
+	if err := p.openScatter(set.Scatter, set.Peers); err != nil {
 		return err
 	}
-	p.usePooling(set.Pooling)
-	p.useClickHouse(set.ClickHouse)
+	p.openPooling(set.Pooling)
+	p.openClickHouse(set.ClickHouse)
 	if set.Membership.On && keeper != nil {
-		set.Membership.Members.Saver = savedMembers{keeper}
+		set.Membership.Members.Saver = savedEndpoints{keeper}
 	}
-	p.useMembers(set.Membership)
-	p.useSnapshots(keeper)
+	p.openSources(set.Membership)
+	p.openSnapshots(keeper)
 	p.saveConfig(cfg, os.Getenv("EDGE_CONFIG"))
-	p.set = set
-	if p.given, err = inherit(os.Getenv); err != nil {
+	p.settings = set
+	if p.inheritedListener, err = inherit(os.Getenv); err != nil {
 		return badInput{err}
 	}
-	end, err := p.useJournal(set.Journal)
+	end, err := p.openJournal(set.Journal)
 	if err != nil {
 		return err
 	}
 	defer end()
-	endSessions, err := p.useSessions(set.Sessions)
+	endSessions, err := p.openSessionTokens(set.Sessions)
 	if err != nil {
 		return err
 	}
 	defer endSessions()
 	p.inheritKnown(os.Getenv("TMPDIR"))
-	if err := p.usePeers(set.Peers, set.Limits); err != nil {
+	if err := p.openPeers(set.Peers, set.Limits); err != nil {
 		return err
 	}
-	p.useOverload(set.Overload)
-	p.useVerdicts(set.Verdicts)
+	p.openOverload(set.Overload)
+	p.openOutlier(set.Verdicts)
 	if settingsFile != "" && set.Peers.On {
 		p.loadLimits = func() (*settings.FleetLimits, error) {
 			next, err := settings.Load(settingsFile, os.Getenv)
@@ -266,10 +266,10 @@
 		set.ClickHouse.AddClasses(next)
 		return next, nil
 	}
-	p.useInvariants(set.Invariants)
-	defer p.saidInvariants()
-	defer p.useRaftLog(set.Agreed)()
-	unpay, err := p.useCredit(set.Credit)
+	p.openInvariants(set.Invariants)
+	defer p.logInvariants()
+	defer p.openRaftLog(set.Agreed)()
+	unpay, err := p.openCredit(set.Credit)
 	if err != nil {
 		return err
 	}
@@ -283,7 +283,7 @@
 			return &next.Credit, nil
 		}
 	}
-	unzone, err := p.useZones(set.Zones)
+	unzone, err := p.openZones(set.Zones)
 	if err != nil {
 		return err
 	}
@@ -297,7 +297,7 @@
 			return &next.Zones, nil
 		}
 	}
-	defer p.record(set.Record)()
+	defer p.openRecorder(set.Record)()
 	return p.run(stop, reload)
 }
 
--- a/cmd/beechgrade/members.go
+++ b/cmd/beechgrade/members.go
@@ -24,15 +24,15 @@
 	consul  *consul.Source // nil for none
 }
 
-// news is what the sources' files hold.
-type news struct {
+// sourceFiles is what the sources' files hold.
+type sourceFiles struct {
 	token    string
 	override reconcile.Override
 	static   *reconcile.Report // nil where it could not be read, or there is none
 }
 
-// useMembers has the list made of several sources, where the settings have it so.
-func (p *pooler) useMembers(set settings.Membership) {
+// openSources has the list made of several sources, where the settings have it so.
+func (p *pooler) openSources(set settings.Membership) {
 	if !set.On {
 		return
 	}
@@ -51,7 +51,7 @@
 func (s *sources) begin(p *pooler) {
 	p.cfg.Known = s.members.Begin()
 	if s.set.Members.Platform {
-		s.members.Use(p.dir)
+		s.members.Use(p.discovery)
 	}
 	n, err := s.read()
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // read reads the sources' files. What cannot be read leaves the rest as it is.
-func (s *sources) read() (n news, err error) {
+func (s *sources) read() (n sourceFiles, err error) {
 	var errs []error
 	note := func(err error) {
 		if err != nil {
@@ -84,7 +84,7 @@
 }
 
 // take takes what the files held; it runs on the loop.
-func (s *sources) take(n news) {
+func (s *sources) take(n sourceFiles) {
 	if s.consul != nil && n.token != "" {
 		s.consul.SetToken(n.token)
 	}
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -62,7 +62,7 @@
 	}
 	cfg := testConfig(t, "", nil, append(change, func(c *config.Config) { c.Known = discovery.List{} })...)
 	w.p = newPooler(cfg, testLog())
-	w.p.useMembers(set.Membership)
+	w.p.openSources(set.Membership)
 	first := *cfg
 	w.p.load = func() (*config.Config, error) { return &first, nil }
 	w.addr, w.hup, _, _ = launch(t, w.p)
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -10,21 +10,21 @@
 	"beechgrade/internal/settings"
 )
 
-// peersHost is what a part lives on: the peers' words and the loop's time.
-type peersHost struct {
+// clusterHost is what a part lives on: the peers' words and the loop's time.
+type clusterHost struct {
 	*cluster.Peers
 	loop *eventloop.Loop
 }
 
 // At is joined.Host's.
-func (h peersHost) At(ms float64, do func()) { h.loop.At(ms, do) }
+func (h clusterHost) At(ms float64, do func()) { h.loop.At(ms, do) }
 
-// useOverload has the fleet handle overload as one, where the settings have it so; after usePeers.
-func (p *pooler) useOverload(set settings.Overload) {
+// openOverload has the fleet handle overload as one, where the settings have it so; after openPeers.
+func (p *pooler) openOverload(set settings.Overload) {
 	if !set.On || p.peers == nil {
 		return
 	}
-	j := adapter.New(set.Options, p.core, peersHost{p.peers, p.loop})
+	j := adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
 	if set.Shed {
 		p.core.SetPressure(j)
 	}
@@ -33,15 +33,15 @@
 	}
 	j.Begin()
 	p.peers.Join(j)
-	p.over = j
+	p.overload = j
 }
 
-// tellOverload tells how groups stand, where overload is handled together.
-func (p *pooler) tellOverload(s *exposition.Sheet) {
-	if p.over == nil {
+// writeOverloadMetrics tells how groups stand, where overload is handled together.
+func (p *pooler) writeOverloadMetrics(s *exposition.Sheet) {
+	if p.overload == nil {
 		return
 	}
-	for _, g := range p.over.Standings() {
+	for _, g := range p.overload.Standings() {
 		of := s.Part("overload").Of("group", strconv.Itoa(int(g.Group)))
 		of.Level("level", g.Level)
 		of.Whole("of", int64(g.Cells))
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -14,8 +14,8 @@
 	"beechgrade/internal/settings"
 )
 
-// usePeers has the pooler be one of a fleet, where the settings have it so.
-func (p *pooler) usePeers(set settings.Peers, own settings.FleetLimits) error {
+// openPeers has the pooler be one of a fleet, where the settings have it so.
+func (p *pooler) openPeers(set settings.Peers, own settings.FleetLimits) error {
 	if !set.On {
 		return nil
 	}
@@ -29,13 +29,13 @@
 	}
 	v := set.View
 	v.Expect = cmp.Or(v.Expect, p.cfg.Settings.Peers)
-	p.expect = v.Expect
+	p.expectedPoolers = v.Expect
 	drawn := rand.Uint64() // not of the configuration's seed, which two processes may have
 	v.Seed = drawn
-	p.peers = cluster.New(p.loop, p.log, cluster.Options{Listen: set.Listen, Advertise: set.Advertise, Key: key, View: v, Limits: quotas(&own, p.expect), Again: p.given != nil,
+	p.peers = cluster.New(p.loop, p.log, cluster.Options{Listen: set.Listen, Advertise: set.Advertise, Key: key, View: v, Limits: quotas(&own, p.expectedPoolers), Again: p.inheritedListener != nil,
 		Record: view.Record{ID: view.NewID(clock.Wall(), drawn), Name: p.cfg.Name, Zone: zone, Region: set.Region, Version: short(version())}}, fleetEvents{p})
 	if own.On {
-		p.limits = &fleetLimits{p: p, set: own, told: map[string]limits.Told{}}
+		p.limits = &fleetLimits{pooler: p, set: own, assigned: map[string]limits.Told{}}
 	}
 	return nil
 }
@@ -43,33 +43,33 @@
 func short(s string) string { return s[:min(len(s), view.MostName)] }
 
 // fleetEvents carries on what the view comes to.
-type fleetEvents struct{ p *pooler }
+type fleetEvents struct{ pooler *pooler }
 
 // Fleet is peers.Events'.
 func (f fleetEvents) Fleet(c view.Counts) {
-	p := f.p
+	p := f.pooler
 	p.log.Info("fleet", "reachable", c.Reachable, "sending", c.Sending, "majority", c.Majority, "alone", c.Alone)
 	p.core.SetPeers(c.Sending)
 }
 
 // Allow is peers.Events'.
 func (f fleetEvents) Allow(limit string, amount, burst float64) {
-	if f.p.limits != nil {
-		f.p.limits.allow(limit, amount, burst)
+	if f.pooler.limits != nil {
+		f.pooler.limits.allow(limit, amount, burst)
 	}
 }
 
 // Member is peers.Events'.
 func (f fleetEvents) Member(r view.Record, was view.State, isNew bool) {
 	if isNew {
-		f.p.core.Note(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s", r.Name, uint64(r.ID), r.Zone, r.State))
+		f.pooler.core.Note(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s", r.Name, uint64(r.ID), r.Zone, r.State))
 		return
 	}
-	f.p.core.Note(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s, was %s", r.Name, uint64(r.ID), r.Zone, r.State, was))
+	f.pooler.core.Note(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s, was %s", r.Name, uint64(r.ID), r.Zone, r.State, was))
 }
 
-// tellPeers tells the fleet's figures, where there is one.
-func (p *pooler) tellPeers(s *exposition.Sheet) {
+// writePeersMetrics tells the fleet's figures, where there is one.
+func (p *pooler) writePeersMetrics(s *exposition.Sheet) {
 	if p.peers == nil {
 		return
 	}
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -55,7 +55,7 @@
 	cfg := testConfig(t, srv, nil)
 	cfg.Name = name
 	p = newPooler(cfg, slog.New(slog.DiscardHandler))
-	if err := p.usePeers(set, settings.FleetLimits{}); err != nil {
+	if err := p.openPeers(set, settings.FleetLimits{}); err != nil {
 		t.Fatal(err)
 	}
 	addr, _, _, _ = launch(t, p)
@@ -98,10 +98,10 @@
 	addr, queries := server(t)
 	routines, sockets := peerRoutines(), udpSockets(t) // poolers of other tests may still be ending
 	p := newPooler(testConfig(t, addr, nil), slog.New(slog.DiscardHandler))
-	if err := p.usePeers(set.Peers, set.Limits); err != nil || p.peers != nil {
+	if err := p.openPeers(set.Peers, set.Limits); err != nil || p.peers != nil {
 		t.Fatalf("made %v, %v", p.peers, err)
 	}
-	if p.useOverload(set.Overload); set.Overload.On || p.over != nil {
+	if p.openOverload(set.Overload); set.Overload.On || p.overload != nil {
 		t.Fatal("overload is handled with others")
 	}
 	pooler, _, _, _ := launch(t, p)
@@ -121,7 +121,7 @@
 		t.Error("there are limits of the whole fleet")
 	}
 	told := &exposition.Sheet{}
-	if n := testing.AllocsPerRun(100, func() { p.tellPeers(told); p.tellLimits(told); p.core.Expire() }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { p.writePeersMetrics(told); p.writeLimitsMetrics(told); p.core.Expire() }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 	if got := string(told.AppendLines(nil)); got != "" {
@@ -244,7 +244,7 @@
 		cfg.Name = "upgraded"
 		p := newPooler(cfg, slog.New(slog.DiscardHandler))
 		give(t, p, ln)
-		if err := p.usePeers(b, settings.FleetLimits{}); err != nil {
+		if err := p.openPeers(b, settings.FleetLimits{}); err != nil {
 			t.Fatal(err)
 		}
 		launch(t, p)
@@ -259,7 +259,7 @@
 		t.Fatalf("while both run: %s%+v", s, c)
 	}
 	stop := time.Now().Add(3 * time.Second)
-	old.loop.Post(func() { old.live(lifecycle.Term) })
+	old.loop.Post(func() { old.handleLifecycle(lifecycle.Term) })
 	taken := false
 	for time.Now().Before(stop) {
 		s, c := fleetOf(other)
@@ -334,7 +334,7 @@
 		cfg.Name = "upgraded"
 		p := newPooler(cfg, slog.New(slog.DiscardHandler))
 		give(t, p, ln)
-		if err := p.usePeers(joining(1), settings.FleetLimits{}); err != nil {
+		if err := p.openPeers(joining(1), settings.FleetLimits{}); err != nil {
 			t.Fatal(err)
 		}
 		launch(t, p)
@@ -352,7 +352,7 @@
 	})
 	untilFleet(t, near, "the far one is lost", func(s string, _ view.Counts) bool { return strings.Contains(s, "far failed") })
 	next := process()
-	old.loop.Post(func() { old.live(lifecycle.Term) })
+	old.loop.Post(func() { old.handleLifecycle(lifecycle.Term) })
 	untilFleet(t, near, "the next one has taken over", func(s string, c view.Counts) bool {
 		if strings.Contains(s, "upgraded failed") {
 			t.Fatalf("the upgraded one is called failed: %s", s)
--- a/cmd/beechgrade/pooled.go
+++ b/cmd/beechgrade/pooled.go
@@ -12,41 +12,41 @@
 	"beechgrade/internal/settings"
 )
 
-// usePooling adds the second front, where the settings have it on.
-func (p *pooler) usePooling(o settings.Pooling) {
+// openPooling adds the second front, where the settings have it on.
+func (p *pooler) openPooling(o settings.Pooling) {
 	if o.Listen == "" {
 		return
 	}
-	p.pooledAddr = o.Listen
-	p.pooled = pooling.New(p.loop, p.log, pooling.Options{Pools: o.Pools, ConnectMs: p.cfg.ConnectTimeoutMs, GraceMs: clock.Millis(p.cfg.Settings.DrainGrace),
+	p.poolingAddr = o.Listen
+	p.pooling = pooling.New(p.loop, p.log, pooling.Options{Pools: o.Pools, ConnectMs: p.cfg.ConnectTimeoutMs, GraceMs: clock.Millis(p.cfg.Settings.DrainGrace),
 		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", MaxMessage: o.MaxMessage, MaxAnswer: o.MaxAnswer, Expire: p.core.Expire,
 		Spare: p.spareConns, Scatter: p.scatter}, p.core, p.core)
 }
 
 // listen opens the second front's address.
 func (p *pooler) listen() {
-	at, stop, err := p.loop.Listen(p.pooledAddr, p.pooled.Accept)
+	at, stop, err := p.loop.Listen(p.poolingAddr, p.pooling.Accept)
 	if err != nil {
 		p.log.Error("pooling", "err", err)
-		p.stopPooled = func() {}
+		p.stopPooling = func() {}
 		p.loop.End()
 		return
 	}
-	p.pooledAddr = at
-	p.stopPooled = func() { p.stopListening(stop, p.pooled.End) }
-	p.pooled.Start()
+	p.poolingAddr = at
+	p.stopPooling = func() { p.stopListening(stop, p.pooling.End) }
+	p.pooling.Start()
 	p.log.Info("pooling", "listen", at)
 }
 
-// lastWordMs is how long before the process ends, whatever is owed, clients are told what becomes of what they have under way.
-const lastWordMs = 1200
+// lastAnswersMs is how long before the process ends, whatever is owed, clients are told what becomes of what they have under way.
+const lastAnswersMs = 1200
 
 // stopListening ends accepting at a front's address once clients have noticed that this process ends: what they send on connections that wait to be
 // accepted has an answer, too. end is called shortly before the process ends in any case.
 func (p *pooler) stopListening(stop, end func()) {
 	now := p.loop.Now()
-	p.loop.At(now+drainMost-lastWordMs, end)
-	if p.life.State() == lifecycle.HandingOver { // the address may be the next process's
+	p.loop.At(now+stopTimeoutMs-lastAnswersMs, end)
+	if p.lifecycle.State() == lifecycle.HandingOver { // the address may be the next process's
 		stop()
 		return
 	}
@@ -55,32 +55,32 @@
 
 // servers are what carries out attempts: the platform's connections, and those of the other fronts.
 func (p *pooler) servers() core.Servers {
-	if p.pooled == nil && p.clickhouse == nil {
-		return p.pool
+	if p.pooling == nil && p.clickhouse == nil {
+		return p.backend
 	}
-	return fronts{Pool: p.pool, pooled: p.pooled, scatter: p.scatter, house: p.clickhouse, housed: map[string]bool{}, group: p.clickhouseGroup}
+	return frontends{Pool: p.backend, pooled: p.pooling, scatter: p.scatter, clickhouse: p.clickhouse, clickhouseServers: map[string]bool{}, group: p.clickhouseGroup}
 }
 
-// fronts gives each front's attempts to its own connections; pooled and house are nil where they are off.
-type fronts struct {
+// frontends gives each front's attempts to its own connections; pooled and house are nil where they are off.
+type frontends struct {
 	*backend.Pool
-	pooled  *pooling.Front
-	scatter *scatter.Front // with pooled only
-	house   *clickhouse.Front
-	housed  map[string]bool // servers that are ClickHouse's
-	group   int             // ...which are those of this group
+	pooled            *pooling.Front
+	scatter           *scatter.Front // with pooled only
+	clickhouse        *clickhouse.Front
+	clickhouseServers map[string]bool // servers that are ClickHouse's
+	group             int             // ...which are those of this group
 }
 
 // SetGroup is core.Grouped's.
-func (s fronts) SetGroup(id string, group int) {
-	if s.house != nil && group == s.group {
-		s.housed[id] = true
+func (s frontends) SetGroup(id string, group int) {
+	if s.clickhouse != nil && group == s.group {
+		s.clickhouseServers[id] = true
 	}
 }
 
-func (s fronts) SetAddress(id, addr string) {
-	if s.housed[id] {
-		s.house.SetAddress(id, addr)
+func (s frontends) SetAddress(id, addr string) {
+	if s.clickhouseServers[id] {
+		s.clickhouse.SetAddress(id, addr)
 		return
 	}
 	s.Pool.SetAddress(id, addr)
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s fronts) CloseIdle(id string) {
+func (s frontends) CloseIdle(id string) {
 	s.Pool.CloseIdle(id)
 	if s.pooled != nil {
 		s.pooled.Bar(id)
@@ -100,12 +100,12 @@
 	if s.scatter != nil {
 		s.scatter.Bar(id)
 	}
-	if s.house != nil {
-		s.house.CloseIdle(id)
+	if s.clickhouse != nil {
+		s.clickhouse.CloseIdle(id)
 	}
 }
 
-func (s fronts) Forget(id string) {
+func (s frontends) Forget(id string) {
 	s.Pool.Forget(id)
 	if s.pooled != nil {
 		s.pooled.Forget(id)
@@ -113,13 +113,13 @@
 	if s.scatter != nil {
 		s.scatter.Forget(id)
 	}
-	if s.house != nil {
-		s.house.Forget(id)
-		delete(s.housed, id)
+	if s.clickhouse != nil {
+		s.clickhouse.Forget(id)
+		delete(s.clickhouseServers, id)
 	}
 }
 
-func (s fronts) Retain(ids map[string]bool) {
+func (s frontends) Retain(ids map[string]bool) {
 	s.Pool.Retain(ids)
 	if s.pooled != nil {
 		s.pooled.Retain(ids)
@@ -127,25 +127,25 @@
 	if s.scatter != nil {
 		s.scatter.Retain(ids)
 	}
-	if s.house != nil {
-		s.house.Retain(ids)
+	if s.clickhouse != nil {
+		s.clickhouse.Retain(ids)
 	}
 }
 
-func (s fronts) Recall(id string, which func(backend.Tag) bool) {
+func (s frontends) Recall(id string, which func(backend.Tag) bool) {
 	s.Pool.Recall(id, which)
 	if s.pooled != nil {
 		s.pooled.Recall(id, which)
 	}
-	if s.house != nil {
-		s.house.Recall(id, which)
+	if s.clickhouse != nil {
+		s.clickhouse.Recall(id, which)
 	}
 }
 
-func (s fronts) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slotmap.Ref {
+func (s frontends) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slotmap.Ref {
 	switch {
-	case s.house != nil && clickhouse.Ours(q):
-		return s.house.Try(id, q, until, t)
+	case s.clickhouse != nil && clickhouse.Ours(q):
+		return s.clickhouse.Try(id, q, until, t)
 	case s.pooled != nil && pooling.Ours(q):
 		return s.pooled.Try(id, q, until, t)
 	case s.scatter != nil && scatter.Ours(q):
@@ -154,18 +154,18 @@
 	return s.Pool.Start(id, q, until, on, t)
 }
 
-func (s fronts) Probe(id string) {
-	if s.housed[id] {
-		s.house.Probe(id)
+func (s frontends) Probe(id string) {
+	if s.clickhouseServers[id] {
+		s.clickhouse.Probe(id)
 		return
 	}
 	s.Pool.Probe(id)
 }
 
-func (s fronts) Cancel(ref slotmap.Ref) {
+func (s frontends) Cancel(ref slotmap.Ref) {
 	switch {
-	case s.house != nil && clickhouse.OursRef(ref):
-		s.house.Cancel(ref)
+	case s.clickhouse != nil && clickhouse.OursRef(ref):
+		s.clickhouse.Cancel(ref)
 	case s.pooled != nil && pooling.OursRef(ref):
 		s.pooled.Cancel(ref)
 	case s.scatter != nil && scatter.OursRef(ref):
--- a/cmd/beechgrade/pooled_begun_test.go
+++ b/cmd/beechgrade/pooled_begun_test.go
@@ -322,7 +322,7 @@
 	_ = a.Close(context.Background())
 	within(t, "the client has gone", func() bool {
 		n := make(chan int, 1)
-		w.pool.loop.Post(func() { n <- w.pool.pooled.Sessions() })
+		w.pool.loop.Post(func() { n <- w.pool.pooling.Sessions() })
 		return <-n == 1
 	})
 	w.endRecords()
--- a/cmd/beechgrade/pooled_drain_test.go
+++ b/cmd/beechgrade/pooled_drain_test.go
@@ -29,7 +29,7 @@
 	}
 	within(t, "it serves", func() bool {
 		state := make(chan lifecycle.State)
-		w.pool.loop.Post(func() { state <- w.pool.life.State() })
+		w.pool.loop.Post(func() { state <- w.pool.lifecycle.State() })
 		return <-state == lifecycle.Ready
 	})
 	holding := connect(t, "holds a transaction", w.addr, speaks.startup, nil)
@@ -38,7 +38,7 @@
 	come("before the drain")
 	time.Sleep(100 * time.Millisecond)
 	drained := make(chan bool)
-	w.pool.loop.Post(func() { drained <- w.pool.live(lifecycle.Drain) })
+	w.pool.loop.Post(func() { drained <- w.pool.handleLifecycle(lifecycle.Drain) })
 	if !<-drained {
 		t.Fatal("it does not drain")
 	}
--- a/cmd/beechgrade/pooled_ends_test.go
+++ b/cmd/beechgrade/pooled_ends_test.go
@@ -41,10 +41,10 @@
 	cfg := testConfig(t, server, nil, change...)
 	set.Pooling.AddClasses(cfg)
 	s := &poolScript{t: t, p: newPooler(cfg, testLog())}
-	s.p.usePooling(set.Pooling)
+	s.p.openPooling(set.Pooling)
 	_, s.hup, s.stop, s.done = launch(t, s.p)
 	at := make(chan string, 1)
-	s.p.loop.Post(func() { at <- s.p.pooledAddr })
+	s.p.loop.Post(func() { at <- s.p.poolingAddr })
 	s.addr = <-at
 	return s
 }
@@ -119,7 +119,7 @@
 	first := nextText(t, queries, "SELECT 1")
 	s.stop <- syscall.SIGTERM
 	s.onLoop(func() {})
-	s.until("it drains", func() bool { return s.p.life.State().String() == "stopping" })
+	s.until("it drains", func() bool { return s.p.lifecycle.State().String() == "stopping" })
 	first.send(row("1"))
 	c.want("TDCZ 1")
 	nextText(t, queries, "SELECT 2").send(row("2"))
@@ -149,7 +149,7 @@
 	s := scriptedPool(t, srv, "(connections 2)")
 	c := s.client()
 	release := s.holdLoop()
-	s.p.loop.Post(func() { s.p.live(lifecycle.Term) }) // it comes before whatever is read of sockets
+	s.p.loop.Post(func() { s.p.handleLifecycle(lifecycle.Term) }) // it comes before whatever is read of sockets
 	c.send(simple("SELECT 1"))
 	release()
 	nextText(t, queries, "SELECT 1").send(row("1"))
@@ -166,13 +166,13 @@
 	c.send(simple("SELECT 1"))
 	q := nextText(t, queries, "SELECT 1")
 	s.stop <- syscall.SIGTERM
-	s.until("it drains", func() bool { return s.p.life.State() == lifecycle.Stopping })
+	s.until("it drains", func() bool { return s.p.lifecycle.State() == lifecycle.Stopping })
 	rows, one := 0, pgwire.AppendRow(nil, "content", make([]byte, 60<<10))
 	within(t, "the client's socket takes no more", func() bool {
 		q.send(one)
 		rows++
 		unsent := 0
-		s.onLoop(func() { unsent = s.p.pooled.Unsent() })
+		s.onLoop(func() { unsent = s.p.pooling.Unsent() })
 		return unsent > 0
 	})
 	q.send(pgwire.AppendReady(pgwire.AppendComplete(nil, "SELECT 1")))
@@ -288,9 +288,9 @@
 			c.send(simple("INSERT 2"))
 			c.send(simple("SELECT '" + strings.Repeat("x", 60<<10) + "'"))
 			c.send(simple("SELECT '" + strings.Repeat("x", 60<<10) + "'"))
-			s.until("it is not read any more", func() bool { return s.p.pooled.Parked() == 1 })
+			s.until("it is not read any more", func() bool { return s.p.pooling.Parked() == 1 })
 			leave(c)
-			s.until("it is forgotten", func() bool { return s.p.pooled.Sessions() == 1 })
+			s.until("it is forgotten", func() bool { return s.p.pooling.Sessions() == 1 })
 			first.send(row("1"))
 			holder.want("TDCZ 1")
 			holder.send(simple("SELECT 9"))
--- a/cmd/beechgrade/pooled_world_test.go
+++ b/cmd/beechgrade/pooled_world_test.go
@@ -69,11 +69,11 @@
 	if os.Getenv("POOL_LOG") != "" {
 		p.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
-	p.usePooling(set.Pooling)
-	end := p.record(set.Record)
+	p.openPooling(set.Pooling)
+	end := p.openRecorder(set.Record)
 	launch(t, p)
 	at := make(chan string, 1)
-	p.loop.Post(func() { at <- p.pooledAddr })
+	p.loop.Post(func() { at <- p.poolingAddr })
 	var once sync.Once
 	return &pooledWorld{t, f, p, <-at, func() {
 		once.Do(func() {
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -34,124 +34,124 @@
 )
 
 const (
-	reserved    = 64   // descriptors for discovery, the listener, the runtime, and dials, which take two for a moment
-	poolMost    = 0.45 // of the others, at most for connections to servers...
-	poolLeast   = 0.2  // ...and what clients leave to them
-	askPart     = 4    // clients that ask and hold 1 descriptor in so many are many
-	idlePart    = 0.8  // of the servers' idle time, after which a connection is closed here
-	drainMs     = 700  // after SIGTERM clients still come; the process may be killed so long after the longest deadline
-	drainEnd    = 500  // after the longest deadline, what came meanwhile has its answer, and nothing more is taken...
-	drainClose  = 250  // ...so long after it, clients' idle connections are closed...
-	drainActive = 550  // ...so long after it, those of clients that go on sending...
-	drainLast   = 600  // ...and so long after it, those of which clients do not close their side
-	handMs      = 100  // after another process takes over, for connections that were just accepted to come on the loop
-	deadlineMs  = 3000 // counted as the longest deadline where that is longer
-	gaugeMs     = 1000
-	pollMs      = 20    // between looks at whether something is still owed
-	drainMost   = 10000 // a client that never goes does not keep the process
+	reservedDescriptors    = 64   // descriptors for discovery, the listener, the runtime, and dials, which take two for a moment
+	serverConnectionsMost  = 0.45 // of the others, at most for connections to servers...
+	serverConnectionsLeast = 0.2  // ...and what clients leave to them
+	activeClientsPart      = 4    // clients that ask and hold 1 descriptor in so many are many
+	idlePart               = 0.8  // of the servers' idle time, after which a connection is closed here
+	drainMs                = 700  // after SIGTERM clients still come; the process may be killed so long after the longest deadline
+	drainEnd               = 500  // after the longest deadline, what came meanwhile has its answer, and nothing more is taken...
+	drainClose             = 250  // ...so long after it, clients' idle connections are closed...
+	drainActive            = 550  // ...so long after it, those of clients that go on sending...
+	drainLast              = 600  // ...and so long after it, those of which clients do not close their side
+	handOverMs             = 100  // after another process takes over, for connections that were just accepted to come on the loop
+	deadlineMs             = 3000 // counted as the longest deadline where that is longer
+	gaugeMs                = 1000
+	pollMs                 = 20    // between looks at whether something is still owed
+	stopTimeoutMs          = 10000 // a client that never goes does not keep the process
 )
 
 // pooler is the program's parts, joined.
 type pooler struct {
-	cfg   *config.Config
-	log   *slog.Logger
-	loop  *eventloop.Loop
-	core  *core.Core
-	front *platform.Postgres
-	pool  *backend.Pool
-	dir   *discovery.Client
-	load  func() (*config.Config, error) // reads the configuration again
+	cfg       *config.Config
+	log       *slog.Logger
+	loop      *eventloop.Loop
+	core      *core.Core
+	platform  *platform.Postgres
+	backend   *backend.Pool
+	discovery *discovery.Client
+	load      func() (*config.Config, error) // reads the configuration again
 
 	loadLimits func() (*settings.FleetLimits, error) // reads the fleet's limits again; nil where there are no settings
 
 	loadZones  func() (*settings.Zones, error)  // reads orders again; nil where zones are not decided together
 	loadCredit func() (*settings.Credit, error) // reads prices and payments again; nil where nobody pays ahead
 
-	pooled     *pooling.Front // nil where it is off
-	pooledAddr string         // where it listens
-	stopPooled func()
+	pooling     *pooling.Front // nil where it is off
+	poolingAddr string         // where it listens
+	stopPooling func()
 
 	scatter *scatter.Front // reads over many groups, nil where there are none
 
 	clickhouse      *clickhouse.Front // nil where it is off
 	clickhouseAddr  string
 	clickhouseGroup int
-	stopHouse       func()
+	stopClickHouse  func()
 
-	peers  *cluster.Peers         // nil where it is no fleet's
-	expect int                    // poolers that there are to be
-	limits *fleetLimits           // nil where none hold for the whole fleet
-	over   *adapter.Joined        // nil where overload is handled alone
-	judged *outlieradapter.Joined // nil where each learns of servers alone
-	zones  *zoned                 // nil where zones are not decided together
+	peers           *cluster.Peers         // nil where it is no fleet's
+	expectedPoolers int                    // poolers that there are to be
+	limits          *fleetLimits           // nil where none hold for the whole fleet
+	overload        *adapter.Joined        // nil where overload is handled alone
+	outlier         *outlieradapter.Joined // nil where each learns of servers alone
+	zones           *zoneFailover          // nil where zones are not decided together
 
 	journal *journal.Journal // nil where it is off
 
-	set         *settings.Settings   // as they were at the start; tests have none
-	recovered   []recovered          // by the start, until it is recorded
-	commits     *sessiontoken.Keeper // of sessions, nil where they are not kept
-	beside      *upgradeSessions     // the other process's on this socket, nil where there can be none
-	kept        *snapshots.Keeper    // the last good configuration and list, nil where they are not kept
-	renewConfig func()               // says that the configuration is still good, nil where it came from there
-	keptAt      float64              // the list was kept last, or will be
-	keeping     bool
+	settings      *settings.Settings   // as they were at the start; tests have none
+	recovered     []recovered          // by the start, until it is recorded
+	commits       *sessiontoken.Keeper // of sessions, nil where they are not kept
+	otherSessions *upgradeSessions     // the other process's on this socket, nil where there can be none
+	snapshots     *snapshots.Keeper    // the last good configuration and list, nil where they are not kept
+	renewConfig   func()               // says that the configuration is still good, nil where it came from there
+	listSavedAt   float64              // the list was kept last, or will be
+	savingList    bool
 
-	agreed *raftLog // nil where it is off
-	credit *prepaid // nil where nobody pays ahead
+	raftLog *raftLog    // nil where it is off
+	credit  *creditGate // nil where nobody pays ahead
 
 	checks       *invariant.Checks // nil where they are off
 	countsChecks bool              // and are figures
 
 	sources *sources // of the list, nil where it is the platform's discovery alone
 
-	life       lifecycle.Machine
-	given      net.Listener // the listening socket that the process was given, nil where it opens its own
-	stopTaking func()       // ends accepting there
-	heard      bool         // the list, from whoever keeps it
-	drains     int          // drains begun and ended so far
-	list       list
-	folder     stateFolder     // where processes on one socket tell each other, nil where they do not
-	before     *handover.State // what another process knew, until it is taken
-	others     int             // processes on the socket...
-	othersHold int             // ...and the descriptors that they hold
-	door       *admin.Door
-	doorAddr   string // where it listens
+	lifecycle         lifecycle.Machine
+	inheritedListener net.Listener // the listening socket that the process was given, nil where it opens its own
+	stopAccepting     func()       // ends accepting there
+	hasList           bool         // the list, from whoever keeps it
+	drains            int          // drains begun and ended so far
+	list              list
+	folder            stateFolder     // where processes on one socket tell each other, nil where they do not
+	previousState     *handover.State // what another process knew, until it is taken
+	otherProcesses    int             // processes on the socket...
+	othersDescriptors int             // ...and the descriptors that they hold
+	admin             *admin.Door
+	adminAddr         string // where it listens
 
-	systemLimit int // of descriptors
+	descriptorLimit int // of descriptors
 
-	gauges bool         // are recorded
-	files  record.Files // where records go, in place of the settings' folder; tests set it
+	recordsGauges bool         // are recorded
+	files         record.Files // where records go, in place of the settings' folder; tests set it
 
 	machine clock.Machine // its clocks; tests set it
 }
 
 func newPooler(cfg *config.Config, log *slog.Logger) *pooler {
-	p := &pooler{cfg: cfg, log: log, doorAddr: cfg.Control, machine: clock.ThisMachine(), stopTaking: func() {}, systemLimit: systemLimit()}
-	if p.systemLimit < cfg.Limits.Sockets {
-		log.Warn("the system allows fewer descriptors than the settings", "system", p.systemLimit, "settings", cfg.Limits.Sockets)
+	p := &pooler{cfg: cfg, log: log, adminAddr: cfg.Control, machine: clock.ThisMachine(), stopAccepting: func() {}, descriptorLimit: systemLimit()}
+	if p.descriptorLimit < cfg.Limits.Sockets {
+		log.Warn("the system allows fewer descriptors than the settings", "system", p.descriptorLimit, "settings", cfg.Limits.Sockets)
 	}
-	p.loop = eventloop.New(clock.System(), log, func() eventloop.Handler { return p.front.Accept() }, p.start)
+	p.loop = eventloop.New(clock.System(), log, func() eventloop.Handler { return p.platform.Accept() }, p.start)
 	p.core = core.New(p.loop, log, cfg)
-	sockets := func() int { return p.sockets() - reserved - p.heldBeside() }
+	sockets := func() int { return p.sockets() - reservedDescriptors - p.heldBeside() }
 	part := func(x float64) int { return int(x * float64(sockets())) }
 	memory := p.memory
-	p.pool = backend.New(p.loop, log, backend.Options{User: "backend", Database: "store",
+	p.backend = backend.New(p.loop, log, backend.Options{User: "backend", Database: "store",
 		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", ConnectTimeoutMs: cfg.ConnectTimeoutMs,
 		IdleMs: cfg.IdleMs * idlePart, Memory: memory, Dial: p.core.Dial,
-		MaxConns:       func() int { return min(part(poolMost), sockets()-p.front.Occupied()) },
-		FreeDescriptor: func() bool { return p.pool.Conns() < part(poolMost) && p.front.FreeDescriptor() }}, p.core)
+		MaxConns:       func() int { return min(part(serverConnectionsMost), sockets()-p.platform.Occupied()) },
+		FreeDescriptor: func() bool { return p.backend.Conns() < part(serverConnectionsMost) && p.platform.FreeDescriptor() }}, p.core)
 	spare := func() int {
-		return sockets() - p.front.Occupied() - max(part(poolLeast), p.pool.Conns())
+		return sockets() - p.platform.Occupied() - max(part(serverConnectionsLeast), p.backend.Conns())
 	}
-	p.front = platform.NewPostgres(p.loop, log, p.core, platform.Budget{Spare: spare,
-		Share:          func() int { return p.sockets() / askPart },
-		FreeDescriptor: func() bool { return p.pool.Conns() > part(poolLeast) && p.pool.CloseOldest() },
+	p.platform = platform.NewPostgres(p.loop, log, p.core, platform.Budget{Spare: spare,
+		Share:          func() int { return p.sockets() / activeClientsPart },
+		FreeDescriptor: func() bool { return p.backend.Conns() > part(serverConnectionsLeast) && p.backend.CloseOldest() },
 		Memory:         memory})
 	return p
 }
 
-// record has the pooler record what it does, where that is on; the function ends it.
-func (p *pooler) record(o settings.Record) (stop func()) {
+// openRecorder has the pooler record what it does, where that is on; the function ends it.
+func (p *pooler) openRecorder(o settings.Record) (stop func()) {
 	if !o.On {
 		return func() {}
 	}
@@ -160,13 +160,13 @@
 		SegmentBytes: o.SegmentBytes, TotalBytes: o.TotalBytes, Events: o.Queue, FlushMs: o.FlushMs, Pack: o.Pack, Log: p.log,
 		ColdFrom: p.cfg.Settings.ColdFrom, ColdMs: clock.Millis(p.cfg.Settings.ColdTime), GraceMs: clock.Millis(p.cfg.Settings.DrainGrace)})
 	p.core.SetRecorder(rec)
-	if p.pooled != nil {
-		p.pooled.Record(rec)
+	if p.pooling != nil {
+		p.pooling.Record(rec)
 	}
 	if p.sources != nil {
 		p.sources.members.Record(rec)
 	}
-	p.gauges = true
+	p.recordsGauges = true
 	return func() {
 		p.core.Note(recordpb.Kind_KIND_STOP, "") // the loop has ended
 		end()
@@ -175,9 +175,9 @@
 
 // gauge records once a second how much there is of what.
 func (p *pooler) gauge() {
-	sessions, conns := p.front.Sessions(), p.pool.Conns()
-	if p.pooled != nil {
-		sessions, conns = sessions+p.pooled.Sessions(), conns+p.pooled.Conns()
+	sessions, conns := p.platform.Sessions(), p.backend.Conns()
+	if p.pooling != nil {
+		sessions, conns = sessions+p.pooling.Sessions(), conns+p.pooling.Conns()
 	}
 	if p.scatter != nil {
 		conns += p.scatter.Conns()
@@ -195,8 +195,8 @@
 	if p.sources != nil {
 		events = p.sources.members
 	}
-	p.dir = discovery.New(p.loop, p.log, p.cfg.Discovery, p.cfg.Known.Generation, listener{p, events})
-	if directory = p.dir; p.sources != nil {
+	p.discovery = discovery.New(p.loop, p.log, p.cfg.Discovery, p.cfg.Known.Generation, listObserver{p, events})
+	if directory = p.discovery; p.sources != nil {
 		p.sources.begin(p)
 		directory = p.sources.members
 	}
@@ -213,27 +213,27 @@
 	if p.commits != nil {
 		p.core.Recall(p.commits.Memory())
 	}
-	p.beside.begin()
+	p.otherSessions.begin()
 	p.saveSnapshots()
-	p.front.Start()
-	p.open()
-	if p.pooled != nil {
+	p.platform.Start()
+	p.openAdmin()
+	if p.pooling != nil {
 		p.listen()
 	}
 	if p.clickhouse != nil {
 		p.listenClickHouse()
 	}
-	if p.gauges {
+	if p.recordsGauges {
 		p.gauge()
 		if p.zones != nil {
-			p.zones.note()
+			p.zones.recordNote()
 		}
 	}
 	if p.limits != nil { // of each nothing, until it is told
-		p.limits.use(p.limits.set)
+		p.limits.apply(p.limits.set)
 	}
-	if p.agreed != nil {
-		p.agreed.begin()
+	if p.raftLog != nil {
+		p.raftLog.begin()
 	}
 	if p.peers != nil {
 		if err := p.peers.Start(); err != nil {
@@ -248,21 +248,21 @@
 
 // push has the list come unasked where the settings say that it does: on sockets that is a watch held open.
 func (p *pooler) push() {
-	p.dir.Push(!p.cfg.Settings.AskList && (p.sources == nil || p.sources.set.Members.Platform))
+	p.discovery.Push(!p.cfg.Settings.AskList && (p.sources == nil || p.sources.set.Members.Platform))
 }
 
 // run serves until a signal to stop comes and nothing is owed any more; one to reload changes the configuration.
 func (p *pooler) run(stop, reload <-chan os.Signal) error {
 	go func() {
 		for range stop {
-			p.loop.Post(func() { p.live(lifecycle.Term) })
+			p.loop.Post(func() { p.handleLifecycle(lifecycle.Term) })
 		}
 	}()
 	go func() {
 		for range reload {
 			next, err := p.load()
 			if err != nil {
-				p.loop.Post(func() { p.turnDown(err) })
+				p.loop.Post(func() { p.rejectConfig(err) })
 				continue
 			}
 			p.loop.Post(func() { p.apply(next) })
@@ -297,15 +297,15 @@
 		}
 	}()
 	defer p.sources.stop()
-	if p.given != nil {
-		defer p.tell()()
-		return p.loop.Serve(p.given)
+	if p.inheritedListener != nil {
+		defer p.exchangeStates()()
+		return p.loop.Serve(p.inheritedListener)
 	}
 	return p.loop.Run(p.cfg.Listen)
 }
 
-// turnDown tells of a configuration that cannot be used.
-func (p *pooler) turnDown(err error) {
+// rejectConfig tells of a configuration that cannot be used.
+func (p *pooler) rejectConfig(err error) {
 	p.log.Error("configuration not taken; the old one stays", "err", err)
 	p.core.Figures().LoadErrors++
 }
@@ -313,7 +313,7 @@
 // apply takes a new configuration, as far as that goes while serving.
 func (p *pooler) apply(next *config.Config) {
 	if err := p.cfg.Covers(next); err != nil {
-		p.turnDown(err)
+		p.rejectConfig(err)
 		return
 	}
 	p.saveConfig(next, os.Getenv("EDGE_CONFIG"))
@@ -326,13 +326,13 @@
 	if len(kept) > 0 {
 		p.log.Warn("cannot change while serving, needs a restart", "kept", kept)
 	}
-	limitMemory(p.cfg, 1+p.others)
-	p.pool.SetTimes(p.cfg.ConnectTimeoutMs, p.cfg.IdleMs*idlePart)
+	limitMemory(p.cfg, 1+p.otherProcesses)
+	p.backend.SetTimes(p.cfg.ConnectTimeoutMs, p.cfg.IdleMs*idlePart)
 	if p.sources == nil || p.sources.set.Members.Platform {
 		if slices.Contains(changed, "discovery") { // its generations are its own
-			p.list.gen, p.list.anew, p.list.heard = 0, 0, false
+			p.list.gen, p.list.restarts, p.list.received = 0, 0, false
 		}
-		p.dir.Move(p.cfg.Discovery)
+		p.discovery.Move(p.cfg.Discovery)
 	}
 	p.push()
 }
--- a/cmd/beechgrade/resent_test.go
+++ b/cmd/beechgrade/resent_test.go
@@ -23,7 +23,7 @@
 		_ = c.Close()
 		within(t, "the pooler knows that the client has gone", func() bool {
 			gone := make(chan bool, 1)
-			p.loop.Post(func() { gone <- p.front.Sessions() == 0 })
+			p.loop.Post(func() { gone <- p.platform.Sessions() == 0 })
 			return <-gone
 		})
 		c = client(t, pooler)
--- a/cmd/beechgrade/scatter.go
+++ b/cmd/beechgrade/scatter.go
@@ -7,8 +7,8 @@
 	"beechgrade/internal/settings"
 )
 
-// useScatter adds reads over many groups to the second front, where the settings have them. It comes before usePooling.
-func (p *pooler) useScatter(o settings.Scatter, peers settings.Peers) error {
+// openScatter adds reads over many groups to the second front, where the settings have them. It comes before openPooling.
+func (p *pooler) openScatter(o settings.Scatter, peers settings.Peers) error {
 	if !o.On {
 		return nil
 	}
@@ -24,8 +24,8 @@
 // heldBeside is how many descriptors the other fronts hold, beside the first one and its connections to servers.
 func (p *pooler) heldBeside() int {
 	n := 0
-	if p.pooled != nil {
-		n += p.pooled.Sessions() + p.pooled.Conns()
+	if p.pooling != nil {
+		n += p.pooling.Sessions() + p.pooling.Conns()
 	}
 	if p.scatter != nil {
 		n += p.scatter.Conns()
@@ -38,11 +38,11 @@
 
 // spareConns is how many descriptors the other fronts may take yet.
 func (p *pooler) spareConns() int {
-	return p.sockets() - reserved - p.front.Sessions() - p.pool.Conns() - p.heldBeside()
+	return p.sockets() - reservedDescriptors - p.platform.Sessions() - p.backend.Conns() - p.heldBeside()
 }
 
-// tellScatter tells the scattered reads' figures, where there are any.
-func (p *pooler) tellScatter(s *exposition.Sheet) {
+// writeScatterMetrics tells the scattered reads' figures, where there are any.
+func (p *pooler) writeScatterMetrics(s *exposition.Sheet) {
 	if p.scatter != nil {
 		p.scatter.Figures(s)
 	}
--- a/cmd/beechgrade/scatter_bench_test.go
+++ b/cmd/beechgrade/scatter_bench_test.go
@@ -55,13 +55,13 @@
 			})
 			set.Pooling.AddClasses(cfg)
 			p := newPooler(cfg, slog.New(slog.DiscardHandler))
-			if err := p.useScatter(set.Scatter, set.Peers); err != nil {
+			if err := p.openScatter(set.Scatter, set.Peers); err != nil {
 				b.Fatal(err)
 			}
-			p.usePooling(set.Pooling)
+			p.openPooling(set.Pooling)
 			launch(b, p)
 			at := make(chan string, 1)
-			p.loop.Post(func() { at <- p.pooledAddr })
+			p.loop.Post(func() { at <- p.poolingAddr })
 			ctx := context.Background()
 			c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable", <-at))
 			if err != nil {
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -100,15 +100,15 @@
 	if os.Getenv("POOL_LOG") != "" {
 		p.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
-	if err := p.useScatter(set.Scatter, set.Peers); err != nil {
+	if err := p.openScatter(set.Scatter, set.Peers); err != nil {
 		t.Fatal(err)
 	}
 	checks := invariant.New(func(b invariant.Breach) { t.Errorf("%v", b) })
 	p.scatter.Check(checks)
-	p.usePooling(set.Pooling)
+	p.openPooling(set.Pooling)
 	launch(t, p)
 	at := make(chan string, 1)
-	p.loop.Post(func() { at <- p.pooledAddr })
+	p.loop.Post(func() { at <- p.poolingAddr })
 	return &scatterWorld{t, f, p, <-at}
 }
 
--- a/cmd/beechgrade/scenario_clients_test.go
+++ b/cmd/beechgrade/scenario_clients_test.go
@@ -91,7 +91,7 @@
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reserved + 10 }) // eight for clients
+	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 }) // eight for clients
 	busy := client(t, pooler)
 	busy.send(query("1", "read", 19000))
 	q := next(t, queries)
@@ -127,7 +127,7 @@
 func TestRestedClientsMakeRoom(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reserved + 96 }) // room for 77 clients
+	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 96 }) // room for 77 clients
 	var clients []*peer
 	ask := func(c *peer) {
 		c.send(query(fmt.Sprint("ask", len(clients)), "read", 9000))
@@ -160,7 +160,7 @@
 func TestTurnedAwayWithAWord(t *testing.T) {
 	t.Parallel()
 	addr, _ := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reserved + 10 })
+	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 })
 	for n := range 6 { // four of which have a connection to the server
 		client(t, pooler).send(query(fmt.Sprint(n), "write", 19000)) // never answered
 	}
--- a/cmd/beechgrade/scenario_process_test.go
+++ b/cmd/beechgrade/scenario_process_test.go
@@ -147,7 +147,7 @@
 func TestDescriptorsRunShort(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
-	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reserved + 10 })
+	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 })
 	var clients []*peer
 	for range 8 { // two are kept for the server
 		clients = append(clients, client(t, pooler))
@@ -276,7 +276,7 @@
 	hangs := make(chan struct{}, 1)
 	p := newPooler(testConfig(t, srv, nil), slog.New(slog.DiscardHandler))
 	p.files = stuckFiles{hangs}
-	end := p.record(settings.Record{On: true, Dir: "x", SegmentBytes: 1 << 20, TotalBytes: 2 << 20, Queue: 64, FlushMs: 1})
+	end := p.openRecorder(settings.Record{On: true, Dir: "x", SegmentBytes: 1 << 20, TotalBytes: 2 << 20, Queue: 64, FlushMs: 1})
 	addr, _, stop, ended := launch(t, p)
 	c := client(t, addr)
 	go func() {
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -12,9 +12,9 @@
 	"beechgrade/internal/storage/store"
 )
 
-// useSessions has sessions' commits kept, where the settings have it on and the platform's have them remembered here; the function
+// openSessionTokens has sessions' commits kept, where the settings have it on and the platform's have them remembered here; the function
 // ends it, once the loop has ended.
-func (p *pooler) useSessions(o settings.Sessions) (stop func(), err error) {
+func (p *pooler) openSessionTokens(o settings.Sessions) (stop func(), err error) {
 	if o.Dir == "" {
 		return func() {}, nil
 	}
@@ -56,15 +56,15 @@
 		if err := b.first(); err != nil {
 			return nil, errors.Join(fmt.Errorf("sessions: %w", err), s.Close())
 		}
-		if p.given != nil {
-			p.beside = b
+		if p.inheritedListener != nil {
+			p.otherSessions = b
 			p.core.SetSessionTokens(b)
 			p.core.SetSessionDoubt(b.doubts)
 			endKeeper := end
 			end = func() { b.stop(); endKeeper() }
 		}
 	}
-	p.log.Info("sessions: kept", "mode", o.Mode.String(), "sessions", len(p.commits.Memory().Commits), "beside", p.beside != nil && p.beside.locked)
+	p.log.Info("sessions: kept", "mode", o.Mode.String(), "sessions", len(p.commits.Memory().Commits), "beside", p.otherSessions != nil && p.otherSessions.locked)
 	return end, nil
 }
 
@@ -84,7 +84,7 @@
 	}()
 	for until := began.Add(openMost); ; time.Sleep(openAgain) {
 		for at = range places {
-			if at == 1 && (p.given == nil || places[1] == nil) {
+			if at == 1 && (p.inheritedListener == nil || places[1] == nil) {
 				return nil, nil, 0, err
 			}
 			opt.FS = places[at]
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	snapshotEvery = 60000 // ms between words that what is kept is still good
-	listPause     = 1000  // ms between lists that are kept
+	snapshotRenewMs    = 60000 // ms between words that what is kept is still good
+	listSaveIntervalMs = 1000  // ms between lists that are kept
 )
 
 // startSnapshots opens what is kept, where the settings have it on. Without a disk that can be used the start goes on, as if it were off.
@@ -61,12 +61,12 @@
 	return c, nil
 }
 
-// useSnapshots has the start know the list that was kept, and what is good from now on kept.
-func (p *pooler) useSnapshots(k *snapshots.Keeper) {
+// openSnapshots has the start know the list that was kept, and what is good from now on kept.
+func (p *pooler) openSnapshots(k *snapshots.Keeper) {
 	if k == nil {
 		return
 	}
-	p.kept = k
+	p.snapshots = k
 	if rec := k.Recovery(); rec != nil { // the keeper has logged it
 		p.recovered = append(p.recovered, recovered{"kept", rec})
 	}
@@ -77,7 +77,7 @@
 
 // restore takes the list that was kept where it is newer than the configuration's, of the same discovery.
 func (p *pooler) restore() {
-	r, err := p.kept.Found(snapshots.List, p.machine)
+	r, err := p.snapshots.Found(snapshots.List, p.machine)
 	var l discovery.List
 	if err == nil && r != nil {
 		if err = jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(r.Body, &l); err == nil && (len(l.Instances) == 0 || !l.Reset) {
@@ -101,13 +101,13 @@
 
 // saveConfig has the configuration kept that is in force, where it was read from its file.
 func (p *pooler) saveConfig(c *config.Config, path string) {
-	if p.kept == nil || c.Kept {
+	if p.snapshots == nil || c.Kept {
 		return
 	}
 	text := c.Text
 	p.renewConfig = func() {
 		record := snapshots.RecordOf(p.machine, path, text)
-		p.kept.Put(snapshots.Config, func() (*snapshots.Record, error) { return record, nil })
+		p.snapshots.Put(snapshots.Config, func() (*snapshots.Record, error) { return record, nil })
 	}
 	p.renewConfig()
 }
@@ -115,37 +115,37 @@
 // saveSnapshots keeps the platform's list soon after it has changed, and says once a minute that what is kept is still good: the list where a
 // watch on it is open.
 func (p *pooler) saveSnapshots() {
-	if p.kept == nil {
+	if p.snapshots == nil {
 		return
 	}
 	var beat func()
 	beat = func() {
-		p.loop.At(p.loop.Now()+snapshotEvery, beat)
-		if p.dir.Holds() {
+		p.loop.At(p.loop.Now()+snapshotRenewMs, beat)
+		if p.discovery.Holds() {
 			p.saveList()
 		}
 		if p.renewConfig != nil {
 			p.renewConfig()
 		}
 	}
-	p.loop.At(p.loop.Now()+snapshotEvery, beat)
+	p.loop.At(p.loop.Now()+snapshotRenewMs, beat)
 }
 
 // saveList has the list kept as it is a moment from now.
 func (p *pooler) saveList() {
-	if p.kept == nil || p.sources != nil || p.keeping {
+	if p.snapshots == nil || p.sources != nil || p.savingList {
 		return
 	}
-	p.keeping = true
+	p.savingList = true
 	now := p.loop.Now()
-	p.keptAt = max(now, p.keptAt+listPause)
-	p.loop.At(p.keptAt, func() {
-		p.keeping = false
-		l, record := p.list.whole(), snapshots.RecordOf(p.machine, p.cfg.Discovery, nil)
+	p.listSavedAt = max(now, p.listSavedAt+listSaveIntervalMs)
+	p.loop.At(p.listSavedAt, func() {
+		p.savingList = false
+		l, record := p.list.complete(), snapshots.RecordOf(p.machine, p.cfg.Discovery, nil)
 		if len(l.Instances) == 0 || l.Generation == 0 { // it serves nobody, or is another discovery's still
 			return
 		}
-		p.kept.Put(snapshots.List, func() (*snapshots.Record, error) {
+		p.snapshots.Put(snapshots.List, func() (*snapshots.Record, error) {
 			b, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(&l)
 			record.Body = b
 			return record, err
@@ -153,11 +153,11 @@
 	})
 }
 
-// savedMembers keeps the list that membership makes, where it names no file for that.
-type savedMembers struct{ k *snapshots.Keeper }
+// savedEndpoints keeps the list that membership makes, where it names no file for that.
+type savedEndpoints struct{ k *snapshots.Keeper }
 
 // Load is snapshot.Saver's.
-func (s savedMembers) Load() (*snapshot.File, error) {
+func (s savedEndpoints) Load() (*snapshot.File, error) {
 	r, err := s.k.Found(snapshots.Members, clock.ThisMachine())
 	if err != nil || r == nil {
 		return nil, err
@@ -166,7 +166,7 @@
 }
 
 // Save is snapshot.Saver's.
-func (s savedMembers) Save(f *snapshot.File) error {
+func (s savedEndpoints) Save(f *snapshot.File) error {
 	b, err := snapshot.Append(nil, f)
 	if err == nil {
 		s.k.Put(snapshots.Members, func() (*snapshots.Record, error) {
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -127,15 +127,15 @@
 // TestStoredCreditIsReadable reads what a process had spent of its leases when it ended.
 func TestStoredCreditIsReadable(t *testing.T) {
 	t.Parallel()
-	x := &prepaid{set: settings.Credit{Dir: filepath.Join(storedData(t), "credit")}, holder: 7, locks: map[ledger.Holder]*os.File{}}
-	gone, err := x.lock()
+	x := &creditGate{set: settings.Credit{Dir: filepath.Join(storedData(t), "credit")}, holder: 7, locks: map[ledger.Holder]*os.File{}}
+	gone, err := x.lockFiles()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]ledger.Holder{0x2a}, gone); diff != "" {
 		t.Fatal(diff)
 	}
-	text, err := os.ReadFile(x.file(gone[0], marksEnd))
+	text, err := os.ReadFile(x.file(gone[0], marksSuffix))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,8 +155,8 @@
 // TestStoredPlanNumberIsReadable reads the number of the plan for zones that was followed last.
 func TestStoredPlanNumberIsReadable(t *testing.T) {
 	t.Parallel()
-	z := &zoned{set: settings.Zones{Dir: filepath.Join(storedData(t), "zones")}, p: &pooler{cfg: &config.Config{Name: "test"}}}
-	if number, err := z.floor(); number != 12 || err != nil {
+	z := &zoneFailover{set: settings.Zones{Dir: filepath.Join(storedData(t), "zones")}, pooler: &pooler{cfg: &config.Config{Name: "test"}}}
+	if number, err := z.lastNumber(); number != 12 || err != nil {
 		t.Errorf("%d, %v", number, err)
 	}
 }
--- a/cmd/beechgrade/unheard_test.go
+++ b/cmd/beechgrade/unheard_test.go
@@ -26,7 +26,7 @@
 	stop <- syscall.SIGTERM
 	within(t, "its time is cut", func() bool {
 		stops := make(chan bool, 1)
-		p.loop.Post(func() { stops <- p.life.State() == lifecycle.Stopping })
+		p.loop.Post(func() { stops <- p.lifecycle.State() == lifecycle.Stopping })
 		return <-stops
 	})
 	last.send(query("b", "read", 9000))
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	tellEvery = 500 * time.Millisecond
-	besides   = 16 // descriptors of a process that nobody counts
+	stateInterval        = 500 * time.Millisecond
+	uncountedDescriptors = 16 // descriptors of a process that nobody counts
 )
 
 // list keeps the platform's list as a whole.
 type list struct {
-	gen     int64
-	anew    int  // so often discovery has begun its generations anew, as far as the processes on this socket know
-	heard   bool // from discovery, by this process or another: a configuration's list may be of any age
-	entries map[string]discovery.Instance
+	gen      int64
+	restarts int  // so often discovery has begun its generations anew, as far as the processes on this socket know
+	received bool // from discovery, by this process or another: a configuration's list may be of any age
+	entries  map[string]discovery.Instance
 }
 
 // take brings the list up to date.
@@ -42,18 +42,18 @@
 	l.gen = n.Generation
 }
 
-// hear takes a list from discovery.
-func (l *list) hear(n *discovery.List) {
-	if n.Anew && l.heard && n.Generation < l.gen {
-		l.anew++
+// receive takes a list from discovery.
+func (l *list) receive(n *discovery.List) {
+	if n.Anew && l.received && n.Generation < l.gen {
+		l.restarts++
 	}
-	l.heard = true
+	l.received = true
 	l.take(n)
 }
 
 // newer tells whether another process's list is newer: discovery has begun anew more often, or its generation is higher.
 func (l *list) newer(s *handover.State) bool {
-	return s.Anew > l.anew || s.Anew == l.anew && s.List.Generation > l.gen
+	return s.Anew > l.restarts || s.Anew == l.restarts && s.List.Generation > l.gen
 }
 
 // adopt takes another process's list. What drains in the one that is held goes on draining until discovery itself says otherwise: the
@@ -67,11 +67,11 @@
 		}
 	}
 	l.take(&n)
-	l.anew, l.heard = s.Anew, true
+	l.restarts, l.received = s.Anew, true
 }
 
-// whole is all of it.
-func (l *list) whole() discovery.List {
+// complete is all of it.
+func (l *list) complete() discovery.List {
 	out := discovery.List{Generation: l.gen, Reset: true}
 	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
 		out.Instances = append(out.Instances, l.entries[id])
@@ -81,7 +81,7 @@
 
 // inheritKnown has the process begin with what another one on the same socket knows; dir is where that is told.
 func (p *pooler) inheritKnown(dir string) {
-	if p.given == nil || dir == "" {
+	if p.inheritedListener == nil || dir == "" {
 		return
 	}
 	p.folder = handover.On(p.machine, dir)
@@ -92,20 +92,20 @@
 	if len(others) == 0 {
 		return
 	}
-	p.before = others[0]
-	if then := p.before.ClockMs; then > 0 { // its clock and this one's may have started on either side of a step of the wall clock
-		p.before.Memory.Shift(clock.Span(p.loop.Now() - p.before.AgeMs - then))
+	p.previousState = others[0]
+	if then := p.previousState.ClockMs; then > 0 { // its clock and this one's may have started on either side of a step of the wall clock
+		p.previousState.Memory.Shift(clock.Span(p.loop.Now() - p.previousState.AgeMs - then))
 	}
-	if l := &p.before.List; p.sources == nil && p.before.From == p.cfg.Discovery && l.Generation > p.cfg.Known.Generation {
+	if l := &p.previousState.List; p.sources == nil && p.previousState.From == p.cfg.Discovery && l.Generation > p.cfg.Known.Generation {
 		p.cfg.Known = *l
-		p.list.anew, p.list.heard = p.before.Anew, true
+		p.list.restarts, p.list.received = p.previousState.Anew, true
 	}
 	p.count(others)
 }
 
 // recall gives the module what another process knew. Its classes and kinds have to be the same ones.
 func (p *pooler) recall() {
-	if b := p.before; b != nil {
+	if b := p.previousState; b != nil {
 		if !slices.Equal(b.Classes, p.cfg.Classes) {
 			b.Memory.Work = nil
 		}
@@ -114,39 +114,39 @@
 		}
 		p.core.Recall(b.Memory)
 		p.log.Info("goes on from another process", "generation", b.List.Generation, "servers", len(b.Memory.Servers))
-		p.before = nil
+		p.previousState = nil
 	}
 	p.share()
 }
 
 // count notes how many processes there are on the socket, and what the others hold.
 func (p *pooler) count(others []*handover.State) {
-	p.others, p.othersHold = 0, 0
+	p.otherProcesses, p.othersDescriptors = 0, 0
 	for _, s := range others {
 		if s.AgeMs <= handover.FreshMs {
-			p.others++
-			p.othersHold += s.Held
+			p.otherProcesses++
+			p.othersDescriptors += s.Held
 		}
 	}
 }
 
 // share shares limits out among the processes on the socket.
 func (p *pooler) share() {
-	if p.core.SetProcesses(1 + p.others) {
-		p.log.Info("processes on the socket", "others", p.others, "they_hold", p.othersHold)
-		limitMemory(p.cfg, 1+p.others)
+	if p.core.SetProcesses(1 + p.otherProcesses) {
+		p.log.Info("processes on the socket", "others", p.otherProcesses, "they_hold", p.othersDescriptors)
+		limitMemory(p.cfg, 1+p.otherProcesses)
 	}
 }
 
 // sockets is how many descriptors this process may hold, of those that the machine has. The system's limit holds for each process alone.
 func (p *pooler) sockets() int {
-	if p.others == 0 {
-		return min(p.systemLimit, p.cfg.Limits.Sockets)
+	if p.otherProcesses == 0 {
+		return min(p.descriptorLimit, p.cfg.Limits.Sockets)
 	}
-	return min(p.systemLimit, max(2*reserved, p.cfg.Limits.Sockets-p.othersHold))
+	return min(p.descriptorLimit, max(2*reservedDescriptors, p.cfg.Limits.Sockets-p.othersDescriptors))
 }
 
-// systemLimit is how many descriptors the system lets this process have. Beyond it nothing can be accepted or dialled.
+// descriptorLimit is how many descriptors the system lets this process have. Beyond it nothing can be accepted or dialled.
 func systemLimit() int {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -156,19 +156,19 @@
 }
 
 // memory is how many bytes this process may take.
-func (p *pooler) memory() int { return p.cfg.Limits.MemoryMB << 20 / (1 + p.others) }
+func (p *pooler) memory() int { return p.cfg.Limits.MemoryMB << 20 / (1 + p.otherProcesses) }
 
 // state is what this process tells the others.
 func (p *pooler) state() *handover.State {
-	held := besides + p.front.Sessions() + p.pool.Conns() + p.heldBeside()
-	if p.door != nil {
-		held += p.door.Callers()
+	held := uncountedDescriptors + p.platform.Sessions() + p.backend.Conns() + p.heldBeside()
+	if p.admin != nil {
+		held += p.admin.Callers()
 	}
 	known := discovery.List{Reset: true}
-	if p.list.heard {
-		known = p.list.whole()
+	if p.list.received {
+		known = p.list.complete()
 	}
-	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Moment(), ClockMs: p.loop.Now(), Held: held, Ends: !p.life.Serves(), From: p.cfg.Discovery, List: known, Anew: p.list.anew,
+	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Moment(), ClockMs: p.loop.Now(), Held: held, Ends: !p.lifecycle.Serves(), From: p.cfg.Discovery, List: known, Anew: p.list.restarts,
 		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.Kinds), Memory: p.core.Memory()}
 }
 
@@ -179,9 +179,9 @@
 	Remove()
 }
 
-// tell tells the others what there is here and hears them, until the function is called. Reading does not wait for writing: where others
+// exchangeStates tells the others what there is here and hears them, until the function is called. Reading does not wait for writing: where others
 // keep the disk busy, a write may take seconds.
-func (p *pooler) tell() (stop func()) {
+func (p *pooler) exchangeStates() (stop func()) {
 	if p.folder == nil {
 		return func() {}
 	}
@@ -195,7 +195,7 @@
 	return func() { close(quit); done.Wait() }
 }
 
-// report writes this process's state each tellEvery.
+// report writes this process's state each stateInterval.
 func (p *pooler) report(quit <-chan struct{}) {
 	last := ""
 	each(quit, func() {
@@ -212,7 +212,7 @@
 	})
 }
 
-// observe reads the others' states each tellEvery.
+// observe reads the others' states each stateInterval.
 func (p *pooler) observe(quit <-chan struct{}) {
 	last := ""
 	each(quit, func() {
@@ -221,24 +221,24 @@
 			last = err.Error()
 			p.log.Warn("what another process tells is not used", "err", err)
 		}
-		p.loop.Post(func() { p.heed(others) })
+		p.loop.Post(func() { p.applyStates(others) })
 	})
 }
 
-// each calls do, and again tellEvery after it returned, until quit is closed.
+// each calls do, and again stateInterval after it returned, until quit is closed.
 func each(quit <-chan struct{}, do func()) {
 	for {
 		do()
 		select {
-		case <-time.After(tellEvery):
+		case <-time.After(stateInterval):
 		case <-quit:
 			return
 		}
 	}
 }
 
-// heed takes what others tell. A list is news by its generation, also where its process took too long to write it to count as one that runs.
-func (p *pooler) heed(others []*handover.State) {
+// applyStates takes what others tell. A list is news by its generation, also where its process took too long to write it to count as one that runs.
+func (p *pooler) applyStates(others []*handover.State) {
 	p.count(others)
 	p.share()
 	if p.sources != nil {
@@ -254,9 +254,9 @@
 // adopt takes another process's list, which is newer, and has discovery asked for its own.
 func (p *pooler) adopt(s *handover.State) {
 	p.log.Info("another process has heard more", "generation", s.List.Generation, "own", p.list.gen)
-	anew := s.Anew > p.list.anew
+	anew := s.Anew > p.list.restarts
 	p.list.adopt(s)
-	p.dir.Adopt(p.list.gen, anew)
-	whole := p.list.whole()
+	p.discovery.Adopt(p.list.gen, anew)
+	whole := p.list.complete()
 	p.core.Listed(&whole)
 }
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -128,13 +128,13 @@
 	o.s.List, o.s.Anew = l, anew
 	held := o.s.Held
 	o.mu.Unlock()
-	o.u.until("the other's file is read", p, func() bool { return p.othersHold == held })
+	o.u.until("the other's file is read", p, func() bool { return p.othersDescriptors == held })
 }
 
 // holds waits until a process holds a list.
 func (u *upgrade) holds(p *pooler, l discovery.List) {
 	u.t.Helper()
-	u.until(fmt.Sprint("it holds ", l), p, func() bool { return fmt.Sprint(p.list.whole()) == fmt.Sprint(l) })
+	u.until(fmt.Sprint("it holds ", l), p, func() bool { return fmt.Sprint(p.list.complete()) == fmt.Sprint(l) })
 }
 
 // beside is a process that discovery told generation 48, on the call that is returned, beside another one that is scripted.
@@ -218,7 +218,7 @@
 	u, p, _, watch, _ := beside(t)
 	u.known = 90
 	two := u.process(states(90, "up").Instances...)
-	u.until("the file is read", p, func() bool { return p.others == 1 })
+	u.until("the file is read", p, func() bool { return p.otherProcesses == 1 })
 	u.told(two, 0)
 	watch.tell(t, states(49, "draining", "up"))
 	u.holds(p, states(49, "draining", "up"))
@@ -229,7 +229,7 @@
 	u.t.Helper()
 	states := make(chan *handover.State, 1)
 	p.loop.Post(func() { states <- p.state() })
-	if s := <-states; s.Anew != anew || s.List.Generation != 0 && !p.list.heard || s.List.Generation > 89 {
+	if s := <-states; s.Anew != anew || s.List.Generation != 0 && !p.list.received || s.List.Generation > 89 {
 		u.t.Errorf("it tells generation %d, begun anew %d times", s.List.Generation, s.Anew)
 	}
 }
--- a/cmd/beechgrade/upgrade_sessions.go
+++ b/cmd/beechgrade/upgrade_sessions.go
@@ -22,7 +22,7 @@
 // upgradeSessions is the place of the other process on this socket, where an upgrade has two. While that one lives, either may serve a
 // session's writes, and both hold sessions' reads to the present; once it has ended, its commits are taken from there.
 type upgradeSessions struct {
-	p      *pooler
+	pooler *pooler
 	opt    store.Options
 	owns   bool // the first place is this process's own: the other need not be there
 	locked bool // at the start
@@ -37,12 +37,12 @@
 
 func newUpgradeSessions(p *pooler, fs store.FS, opt store.Options, own bool) *upgradeSessions {
 	opt.FS, opt.Checks = fs, nil // these are its own store's
-	return &upgradeSessions{p: p, opt: opt, owns: own, quit: make(chan struct{}), done: make(chan struct{})}
+	return &upgradeSessions{pooler: p, opt: opt, owns: own, quit: make(chan struct{}), done: make(chan struct{})}
 }
 
 // first takes what a process that has ended left there, before the loop begins; or notes that one is there.
 func (b *upgradeSessions) first() error {
-	if d, ok := b.opt.FS.(store.Dir); ok && b.owns && b.p.given == nil {
+	if d, ok := b.opt.FS.(store.Dir); ok && b.owns && b.pooler.inheritedListener == nil {
 		if _, err := os.Stat(string(d)); errors.Is(err, os.ErrNotExist) {
 			return nil
 		}
@@ -55,9 +55,9 @@
 	if err != nil {
 		return err
 	}
-	b.p.recover("sessions", rec)
+	b.pooler.recover("sessions", rec)
 	told := make(chan error, 1)
-	b.p.commits.Merge(sessiontoken.Read(s, clock.Span(b.p.loop.Now()), b.p.log), func(err error) { told <- err })
+	b.pooler.commits.Merge(sessiontoken.Read(s, clock.Span(b.pooler.loop.Now()), b.pooler.log), func(err error) { told <- err })
 	if err = <-told; err == nil {
 		err = sessiontoken.Erase(s)
 	}
@@ -70,24 +70,24 @@
 		return
 	}
 	if b.locked {
-		b.settle = b.p.loop.Now() + settleMs
+		b.settle = b.pooler.loop.Now() + settleMs
 	}
 	b.began = true
 	go b.watch()
 }
 
 // doubts tells whether a session's last write may have been served by another process.
-func (b *upgradeSessions) doubts() bool { return b.p.loop.Now() > b.trusted }
+func (b *upgradeSessions) doubts() bool { return b.pooler.loop.Now() > b.trusted }
 
 // Keep is core.SessionTokens'.
 func (b *upgradeSessions) Keep(session string, at decide.Time, done func(kept bool)) (waits bool) {
-	if done == nil || b.p.loop.Now() >= b.settle {
-		return b.p.commits.Keep(session, at, done)
+	if done == nil || b.pooler.loop.Now() >= b.settle {
+		return b.pooler.commits.Keep(session, at, done)
 	}
 	later := func(kept bool) {
-		b.p.loop.At(max(b.settle, b.p.loop.Now()), func() { done(kept) })
+		b.pooler.loop.At(max(b.settle, b.pooler.loop.Now()), func() { done(kept) })
 	}
-	if !b.p.commits.Keep(session, at, later) {
+	if !b.pooler.commits.Keep(session, at, later) {
 		later(true)
 	}
 	return true
@@ -96,22 +96,22 @@
 // watch looks again and again whether another process has the other place. It runs beside the loop.
 func (b *upgradeSessions) watch() {
 	defer close(b.done)
-	said, began := "", b.p.loop.Now()
+	said, began := "", b.pooler.loop.Now()
 	for {
 		last := began
-		if began = b.p.loop.Now(); began-last > trustMs { // one may have come and gone meanwhile
+		if began = b.pooler.loop.Now(); began-last > trustMs { // one may have come and gone meanwhile
 			b.asked = true
 		}
 		err := b.look()
 		switch {
 		case err == nil:
 			until := began + trustMs
-			b.p.loop.Post(func() { b.trusted = max(b.trusted, until) })
+			b.pooler.loop.Post(func() { b.trusted = max(b.trusted, until) })
 		case errors.Is(err, store.ErrLocked):
 			b.asked = true
 		case err.Error() != said: // reads stay held to the present
 			said = err.Error()
-			b.p.log.Error("sessions: what the other process had is not known", "err", err)
+			b.pooler.log.Error("sessions: what the other process had is not known", "err", err)
 		}
 		select {
 		case <-b.quit:
@@ -130,34 +130,34 @@
 		}
 		return unlock()
 	}
-	began := b.p.loop.Now()
+	began := b.pooler.loop.Now()
 	s, _, err := store.Open(b.opt)
 	if err != nil {
 		return err
 	}
-	opened := b.p.loop.Now()
-	h := sessiontoken.Read(s, clock.Span(b.p.loop.Now()), b.p.log)
+	opened := b.pooler.loop.Now()
+	h := sessiontoken.Read(s, clock.Span(b.pooler.loop.Now()), b.pooler.log)
 	told := make(chan error, 1)
-	b.p.loop.Post(func() {
-		m := b.p.commits.Merge(h, func(err error) { told <- err })
-		b.p.core.Recall(m)
-		b.p.log.Info("sessions: another process has ended, and its commits are known here", "sessions", len(m.Commits))
+	b.pooler.loop.Post(func() {
+		m := b.pooler.commits.Merge(h, func(err error) { told <- err })
+		b.pooler.core.Recall(m)
+		b.pooler.log.Info("sessions: another process has ended, and its commits are known here", "sessions", len(m.Commits))
 	})
 	select {
 	case err = <-told:
 	case <-b.quit: // what is there stays there, for the next start
 		return errors.Join(store.ErrClosed, s.Close())
 	}
-	merged := b.p.loop.Now()
+	merged := b.pooler.loop.Now()
 	if err == nil {
 		err = sessiontoken.Erase(s)
 	}
-	erased := b.p.loop.Now()
+	erased := b.pooler.loop.Now()
 	if err = errors.Join(err, s.Close()); err == nil {
 		b.asked = false
 	}
-	if ended := b.p.loop.Now(); ended-began > slowTakeoverMs { // a process that starts meanwhile finds no free place
-		b.p.log.Warn("sessions: taking over was slow", "open_ms", opened-began, "merge_ms", merged-opened, "erase_ms", erased-merged, "close_ms", ended-erased)
+	if ended := b.pooler.loop.Now(); ended-began > slowTakeoverMs { // a process that starts meanwhile finds no free place
+		b.pooler.log.Warn("sessions: taking over was slow", "open_ms", opened-began, "merge_ms", merged-opened, "erase_ms", erased-merged, "close_ms", ended-erased)
 	}
 	return err
 }
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -49,7 +49,7 @@
 		stopped := func() { once.Do(close) }
 		t.Cleanup(stopped)
 		_, _, stop, done := launch(t, p)
-		u.until("ready", p, func() bool { return p.life.Serves() })
+		u.until("ready", p, func() bool { return p.lifecycle.Serves() })
 		return p, func() {
 			stop <- syscall.SIGTERM
 			<-done
@@ -57,29 +57,29 @@
 		}
 	}
 	one, endOne := start()
-	u.until("alone, it trusts what it knows", one, func() bool { return !one.beside.doubts() })
+	u.until("alone, it trusts what it knows", one, func() bool { return !one.otherSessions.doubts() })
 	two, endTwo := start()
 	kept, at := make(chan float64, 1), clock.Span(two.loop.Now())
 	two.loop.Post(func() {
-		if two.beside.settle == 0 {
+		if two.otherSessions.settle == 0 {
 			t.Error("it does not wait at its start, though another process is there")
 		}
-		two.beside.settle = two.loop.Now() + 200 // it became ready later than that
-		if !two.beside.Keep("x", at, func(bool) { kept <- two.loop.Now() }) {
+		two.otherSessions.settle = two.loop.Now() + 200 // it became ready later than that
+		if !two.otherSessions.Keep("x", at, func(bool) { kept <- two.loop.Now() }) {
 			t.Error("an answer does not wait, though the other process may not know of this one")
 			kept <- 0
 		}
 	})
-	if when := <-kept; when < two.beside.settle {
-		t.Errorf("%s: answered at %v, before %v", mode, when, two.beside.settle)
+	if when := <-kept; when < two.otherSessions.settle {
+		t.Errorf("%s: answered at %v, before %v", mode, when, two.otherSessions.settle)
 	}
-	u.until("it doubts", one, one.beside.doubts)
-	u.until("it doubts", two, two.beside.doubts)
+	u.until("it doubts", one, one.otherSessions.doubts)
+	u.until("it doubts", two, two.otherSessions.doubts)
 	third := unused()
 	if _, err := third.sessionsIn(places, set); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("a third process: %v", err)
 	}
-	_ = third.given.Close()
+	_ = third.inheritedListener.Close()
 	written := make(chan bool, 1)
 	one.loop.Post(func() {
 		if !one.commits.Keep("s", at+5, func(bool) { written <- true }) {
@@ -88,7 +88,7 @@
 	})
 	<-written
 	endOne()
-	u.until("it trusts what it knows", two, func() bool { return !two.beside.doubts() })
+	u.until("it trusts what it knows", two, func() bool { return !two.otherSessions.doubts() })
 	u.until("it knows", two, func() bool {
 		return slices.Contains(two.commits.Memory().Commits, decide.Commit{Session: "s", At: at + 5})
 	})
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.given, err = inherit(func(string) string { return fmt.Sprint(fd) }); err != nil {
+	if p.inheritedListener, err = inherit(func(string) string { return fmt.Sprint(fd) }); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -108,7 +108,7 @@
 		}
 	})
 	_, _, _, ended = launch(u.t, p)
-	u.until("ready", p, func() bool { return p.life.Serves() })
+	u.until("ready", p, func() bool { return p.lifecycle.Serves() })
 	return p
 }
 
@@ -151,10 +151,10 @@
 		}
 	}
 	two := u.process()
-	u.until("they know of each other", two, func() bool { return two.others == 1 })
-	u.until("they know of each other", one, func() bool { return one.others == 1 })
-	one.loop.Post(func() { one.live(lifecycle.Term) })
-	u.until("the other one has ended", two, func() bool { return two.others == 0 })
+	u.until("they know of each other", two, func() bool { return two.otherProcesses == 1 })
+	u.until("they know of each other", one, func() bool { return one.otherProcesses == 1 })
+	one.loop.Post(func() { one.handleLifecycle(lifecycle.Term) })
+	u.until("the other one has ended", two, func() bool { return two.otherProcesses == 0 })
 	c = client(t, u.ln.Addr().String())
 	c.send(query("2", "write", 9000))
 	nextQuery(t, queries).send(row("w"))
@@ -176,7 +176,7 @@
 	u.until("the one hears", one, drained(one))
 	u.until("the other hears", two, drained(two))
 	two.loop.Post(func() {
-		listener{two, two.core}.Listed(&discovery.List{Generation: 6, Instances: []discovery.Instance{s}})
+		listObserver{two, two.core}.Listed(&discovery.List{Generation: 6, Instances: []discovery.Instance{s}})
 	})
 	u.until("it still holds", two, drained(two))
 }
@@ -204,8 +204,8 @@
 	p := u.process(discovery.Instance{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "up", Weight: 1})
 	u.until("it hears what came late", p, func() bool {
 		u.write(drainedSince(u, 3000))
-		if p.others != 0 {
-			t.Errorf("it counts as %d that run", p.others)
+		if p.otherProcesses != 0 {
+			t.Errorf("it counts as %d that run", p.otherProcesses)
 		}
 		return p.list.gen == 8 && p.list.entries["s-1"].Lifecycle == "draining"
 	})
@@ -236,9 +236,9 @@
 	if err := handover.In(u.dir).Write(&handover.State{SavedMs: clock.Wall(), Held: 400, Memory: &decide.Memory{}}); err != nil {
 		t.Fatal(err)
 	}
-	u.until("limits are shared", two, func() bool { return two.others == 1 && two.sockets() == 624 && two.memory() == 96<<20 })
+	u.until("limits are shared", two, func() bool { return two.otherProcesses == 1 && two.sockets() == 624 && two.memory() == 96<<20 })
 	if err := os.WriteFile(filepath.Join(u.dir, "handover-broken.state"), []byte("noise"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	u.until("all limits are its own", two, func() bool { return two.others == 0 && two.sockets() == 1024 && two.memory() == 192<<20 })
+	u.until("all limits are its own", two, func() bool { return two.otherProcesses == 0 && two.sockets() == 1024 && two.memory() == 192<<20 })
 }
--- a/cmd/beechgrade/verdicts.go
+++ b/cmd/beechgrade/verdicts.go
@@ -14,21 +14,21 @@
 	"beechgrade/internal/settings"
 )
 
-// useVerdicts has the fleet share what it knows of servers, where the settings have it so; after usePeers.
-func (p *pooler) useVerdicts(set settings.Verdicts) {
+// openOutlier has the fleet share what it knows of servers, where the settings have it so; after openPeers.
+func (p *pooler) openOutlier(set settings.Verdicts) {
 	if !set.On || p.peers == nil {
 		return
 	}
-	p.judged = adapter.New(set.Options, p.core, peersHost{p.peers, p.loop})
-	p.judged.Tell(func(s outlier.Standing, begins bool) {
-		p.core.Note(recordpb.Kind_KIND_AVOIDED, verdictText(s, begins))
+	p.outlier = adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
+	p.outlier.Tell(func(s outlier.Standing, begins bool) {
+		p.core.Note(recordpb.Kind_KIND_AVOIDED, ejectionText(s, begins))
 	})
-	p.core.SetWitness(p.judged)
-	p.peers.Join(p.judged)
+	p.core.SetWitness(p.outlier)
+	p.peers.Join(p.outlier)
 }
 
-// verdictText is what the records have of a server that is avoided from now on by others' word, or no more.
-func verdictText(s outlier.Standing, begins bool) string {
+// ejectionText is what the records have of a server that is avoided from now on by others' word, or no more.
+func ejectionText(s outlier.Standing, begins bool) string {
 	if !begins {
 		return s.Server + ": no more"
 	}
@@ -43,17 +43,17 @@
 	return strings.Join(all, ",")
 }
 
-// tellVerdicts tells why servers are avoided, by whose word, and until when.
-func (p *pooler) tellVerdicts(s *exposition.Sheet) {
-	if p.judged == nil {
+// writeOutlierMetrics tells why servers are avoided, by whose word, and until when.
+func (p *pooler) writeOutlierMetrics(s *exposition.Sheet) {
+	if p.outlier == nil {
 		return
 	}
 	part := s.Part("verdicts")
-	for _, v := range p.judged.Avoided() {
+	for _, v := range p.outlier.Avoided() {
 		of := part.Of("server", v.Server)
 		of.Whole("until", int64(math.RoundToEven(v.Until)))
 		of.Word("why", v.Why)
 		of.Word("by", idsText(v.By))
 	}
-	part.Whole("own_links", int64(p.judged.Lonely()))
+	part.Whole("own_links", int64(p.outlier.Lonely()))
 }
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -16,28 +16,28 @@
 	"beechgrade/internal/storage/store"
 )
 
-// zoned is which zone serves what, as the fleet decides it. It is zones' Log, and joined's Keeper.
-type zoned struct {
-	p    *pooler
-	set  settings.Zones
-	j    *adapter.Joined
-	keep chan numbered
-	done chan struct{}
-	last *zonesadmin.Note // that was recorded
-	sent []uint64         // counts as of it
+// zoneFailover is which zone serves what, as the fleet decides it. It is zones' Log, and joined's Keeper.
+type zoneFailover struct {
+	pooler     *pooler
+	set        settings.Zones
+	adapter    *adapter.Joined
+	toSave     chan planNumber
+	done       chan struct{}
+	lastNote   *zonesadmin.Note // that was recorded
+	sentAtNote []uint64         // counts as of it
 }
 
-type numbered struct {
-	no   uint64
-	done func()
+type planNumber struct {
+	number uint64
+	saved  func()
 }
 
-// useZones has the fleet decide, where the settings have it so; after useRaftLog. The function ends it.
-func (p *pooler) useZones(set settings.Zones) (stop func(), err error) {
+// openZones has the fleet decide, where the settings have it so; after openRaftLog. The function ends it.
+func (p *pooler) openZones(set settings.Zones) (stop func(), err error) {
 	if !set.On {
 		return func() {}, nil
 	}
-	z := &zoned{p: p, set: set, keep: make(chan numbered, 64), done: make(chan struct{}), sent: make([]uint64, len(set.Zones))}
+	z := &zoneFailover{pooler: p, set: set, toSave: make(chan planNumber, 64), done: make(chan struct{}), sentAtNote: make([]uint64, len(set.Zones))}
 	s := set.Settings
 	if i := p.cfg.Settings.Zone; i >= 0 && i < len(p.cfg.Zones) {
 		s.Zone = p.cfg.Zones[i]
@@ -45,40 +45,40 @@
 	if s.Index(s.Zone) < 0 {
 		return nil, badInput{fmt.Errorf("zones: this pooler's zone %q is not among %q", s.Zone, s.Zones)}
 	}
-	s.Name, s.Voters, s.Checks = p.cfg.Name, p.agreed.set.Settings.Voters, p.checks
+	s.Name, s.Voters, s.Checks = p.cfg.Name, p.raftLog.set.Settings.Voters, p.checks
 	if set.Dir != "" {
-		if s.Floor, err = z.floor(); err != nil {
+		if s.Floor, err = z.lastNumber(); err != nil {
 			return nil, badInput{fmt.Errorf("zones: %w", err)}
 		}
 	}
-	go z.write()
-	z.j = adapter.New(s, p.peers, z, p.core, z)
-	z.j.Listed(&p.cfg.Known, true)
-	p.core.SetGeography(z.j)
-	p.peers.Join(z.j)
-	if z.j.Book() != nil {
-		p.agreed.users.Add(raftlog.OfZones, z.j)
+	go z.saveNumbers()
+	z.adapter = adapter.New(s, p.peers, z, p.core, z)
+	z.adapter.Listed(&p.cfg.Known, true)
+	p.core.SetGeography(z.adapter)
+	p.peers.Join(z.adapter)
+	if z.adapter.Book() != nil {
+		p.raftLog.users.Add(raftlog.OfZones, z.adapter)
 	}
-	p.agreed.told = append(p.agreed.told, z.j.Hear)
+	p.raftLog.observers = append(p.raftLog.observers, z.adapter.Hear)
 	p.zones = z
 	return func() {
-		close(z.keep)
+		close(z.toSave)
 		<-z.done
 	}, nil
 }
 
-func (z *zoned) file() string { return filepath.Join(z.set.Dir, "zones-"+z.p.cfg.Name) }
+func (z *zoneFailover) file() string { return filepath.Join(z.set.Dir, "zones-"+z.pooler.cfg.Name) }
 
-// floor is the number that the last process followed.
-func (z *zoned) floor() (uint64, error) {
+// lastNumber is the number that the last process followed.
+func (z *zoneFailover) lastNumber() (uint64, error) {
 	if err := os.MkdirAll(z.set.Dir, 0o700); err != nil {
 		return 0, err
 	}
-	return z.held()
+	return z.savedNumber()
 }
 
-// held is the number in the file, 0 for none.
-func (z *zoned) held() (uint64, error) {
+// savedNumber is the number in the file, 0 for none.
+func (z *zoneFailover) savedNumber() (uint64, error) {
 	b, err := os.ReadFile(z.file())
 	if os.IsNotExist(err) {
 		return 0, nil
@@ -89,98 +89,100 @@
 	return strconv.ParseUint(strings.TrimSpace(string(b)), 10, 64)
 }
 
-// againMs is after what a number that could not be kept is tried again.
-const againMs = 1000
+// saveRetryMs is after what a number that could not be kept is tried again.
+const saveRetryMs = 1000
 
-// write keeps numbers, off the loop: whole, and durable before a plan is followed. An older one after a newer is as good as kept.
-func (z *zoned) write() {
+// saveNumbers keeps numbers, off the loop: whole, and durable before a plan is followed. An older one after a newer is as good as kept.
+func (z *zoneFailover) saveNumbers() {
 	defer close(z.done)
 	last := uint64(0)
-	for k := range z.keep {
-		if has, err := z.held(); err == nil { // another process of this pooler, which takes over, may have kept a newer one
+	for k := range z.toSave {
+		if has, err := z.savedNumber(); err == nil { // another process of this pooler, which takes over, may have kept a newer one
 			last = max(last, has)
 		}
-		if k.no > last {
-			if err := store.Replace(store.Dir(z.set.Dir), filepath.Base(z.file()), strconv.AppendUint(nil, k.no, 10)); err != nil {
-				z.p.log.Error("zones: the plan's number cannot be kept; the plan is not followed", "err", err)
-				z.p.loop.Post(func() { z.later(k) })
+		if k.number > last {
+			if err := store.Replace(store.Dir(z.set.Dir), filepath.Base(z.file()), strconv.AppendUint(nil, k.number, 10)); err != nil {
+				z.pooler.log.Error("zones: the plan's number cannot be kept; the plan is not followed", "err", err)
+				z.pooler.loop.Post(func() { z.retrySave(k) })
 				continue
 			}
-			last = k.no
+			last = k.number
 		}
-		z.p.loop.Post(k.done)
+		z.pooler.loop.Post(k.saved)
 	}
 }
 
 // Keep is joined.Keeper's. A renewal does not ask again, so what fails or finds no room is tried until it is kept.
-func (z *zoned) Keep(no uint64, done func()) {
-	k := numbered{no, func() {
+func (z *zoneFailover) Keep(no uint64, done func()) {
+	k := planNumber{no, func() {
 		done()
-		z.say()
+		z.logPlan()
 	}}
 	if z.set.Dir == "" {
-		k.done()
+		k.saved()
 		return
 	}
-	z.put(k)
+	z.enqueueSave(k)
 }
 
-func (z *zoned) put(k numbered) {
+func (z *zoneFailover) enqueueSave(k planNumber) {
 	select {
-	case z.keep <- k:
+	case z.toSave <- k:
 	default:
-		z.later(k)
+		z.retrySave(k)
 	}
 }
 
-func (z *zoned) later(k numbered) { z.p.loop.At(z.p.loop.Now()+againMs, func() { z.put(k) }) }
+func (z *zoneFailover) retrySave(k planNumber) {
+	z.pooler.loop.At(z.pooler.loop.Now()+saveRetryMs, func() { z.enqueueSave(k) })
+}
 
-// say tells the log what this pooler does now.
-func (z *zoned) say() {
-	s, p := z.j.Standing()
+// logPlan tells the log what this pooler does now.
+func (z *zoneFailover) logPlan() {
+	s, p := z.adapter.Standing()
 	if p != nil {
-		z.p.log.Info("zones: follows", "plan", p.No, "by", p.By, "zones", fmt.Sprint(p.Zones), "shares", fmt.Sprint(p.Matrix), "near", z.set.Zones[s.Zone], "why", s.Why.String(), "short", p.Short)
+		z.pooler.log.Info("zones: follows", "plan", p.No, "by", p.By, "zones", fmt.Sprint(p.Zones), "shares", fmt.Sprint(p.Matrix), "near", z.set.Zones[s.Zone], "why", s.Why.String(), "short", p.Short)
 	}
 }
 
-// noteMs is between two notes for the records.
-const noteMs = 1000
+// noteIntervalMs is between two notes for the records.
+const noteIntervalMs = 1000
 
-// note records what this pooler goes by and where reads went, where there is anything to say.
-func (z *zoned) note() {
-	s, p := z.j.Standing()
-	n := zonesadmin.Take(z.j.Settings(), s, p, z.j.Sent(), z.sent)
-	if z.last == nil || n.Sent != nil || !n.Same(z.last) {
-		copy(z.sent, z.j.Sent())
-		z.last = n
-		z.p.core.Note(recordpb.Kind_KIND_ZONES, n.Text())
+// recordNote records what this pooler goes by and where reads went, where there is anything to say.
+func (z *zoneFailover) recordNote() {
+	s, p := z.adapter.Standing()
+	n := zonesadmin.Take(z.adapter.Settings(), s, p, z.adapter.Sent(), z.sentAtNote)
+	if z.lastNote == nil || n.Sent != nil || !n.Same(z.lastNote) {
+		copy(z.sentAtNote, z.adapter.Sent())
+		z.lastNote = n
+		z.pooler.core.Note(recordpb.Kind_KIND_ZONES, n.Text())
 	}
-	z.p.loop.At(z.p.loop.Now()+noteMs, z.note)
+	z.pooler.loop.At(z.pooler.loop.Now()+noteIntervalMs, z.recordNote)
 }
 
 // Propose is zones.Log's.
-func (z *zoned) Propose(entry []byte) {
-	z.p.agreed.part.Propose(0, append([]byte{raftlog.OfZones}, entry...))
+func (z *zoneFailover) Propose(entry []byte) {
+	z.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.OfZones}, entry...))
 }
 
 // reload takes orders as they are now.
-func (z *zoned) reload(set settings.Zones) {
+func (z *zoneFailover) reload(set settings.Zones) {
 	if !set.On {
-		z.p.log.Warn("cannot change while serving, needs a restart", "kept", []string{"zones"})
+		z.pooler.log.Warn("cannot change while serving, needs a restart", "kept", []string{"zones"})
 		return
 	}
-	z.j.Retune(set.Order)
-	z.p.log.Info("zones: orders read again", "orders", len(set.Order))
+	z.adapter.Retune(set.Order)
+	z.pooler.log.Info("zones: orders read again", "orders", len(set.Order))
 }
 
-// tellZones tells how zones stand, where they are decided together.
-func (p *pooler) tellZones(s *exposition.Sheet) {
+// writeZonesMetrics tells how zones stand, where they are decided together.
+func (p *pooler) writeZonesMetrics(s *exposition.Sheet) {
 	if p.zones == nil {
 		return
 	}
 	z, zones := p.zones, s.Part("zones")
-	now, plan := z.j.Standing()
-	n := z.j.Counts()
+	now, plan := z.adapter.Standing()
+	n := z.adapter.Counts()
 	zones.Count("plans", n.Plans)
 	zones.Count("shifts", n.Shifts)
 	zones.Count("fallbacks", n.Fallbacks)
--- a/cmd/beechgrade/zones_admin.go
+++ b/cmd/beechgrade/zones_admin.go
@@ -14,13 +14,13 @@
 // zonesPath is where the operators' door shows zones and takes orders, where they are decided together.
 const zonesPath = "/-/zones"
 
-// call carries an operators' call out: GET shows how zones stand, POST proposes an order. Whether it comes to stand the next GETs show.
-func (z *zoned) call(method string, query url.Values) admin.Answer {
+// handleAdminCall carries an operators' call out: GET shows how zones stand, POST proposes an order. Whether it comes to stand the next GETs show.
+func (z *zoneFailover) handleAdminCall(method string, query url.Values) admin.Answer {
 	status := http.StatusOK
 	switch method {
 	case http.MethodGet:
 	case http.MethodPost:
-		o, stands, err := zonesadmin.Read(query, z.j.Settings(), z.j.Book(), z.p.loop.Now())
+		o, stands, err := zonesadmin.Read(query, z.adapter.Settings(), z.adapter.Book(), z.pooler.loop.Now())
 		switch {
 		case errors.Is(err, zonesadmin.ErrCall):
 			return admin.Answer{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")}
@@ -29,15 +29,15 @@
 		case err != nil:
 			return admin.Answer{Status: http.StatusConflict, Body: []byte(err.Error() + "\n")}
 		case !stands:
-			z.j.Order(o)
-			z.p.log.Info("zones: ordered at the door", "zone", o.Zone, "state", query.Get("state"), "number", o.No, "for", query.Get("for"))
+			z.adapter.Order(o)
+			z.pooler.log.Info("zones: ordered at the door", "zone", o.Zone, "state", query.Get("state"), "number", o.No, "for", query.Get("for"))
 			status = http.StatusAccepted
 		}
 	default:
 		return admin.Answer{Status: http.StatusMethodNotAllowed, Allow: "GET, POST"}
 	}
-	s, p := z.j.Standing()
-	b, err := jsoniter.Marshal(zonesadmin.Look(z.j.Settings(), s, p, z.j.Book(), z.j.Chief() != nil && z.j.Chief().Leads()))
+	s, p := z.adapter.Standing()
+	b, err := jsoniter.Marshal(zonesadmin.Look(z.adapter.Settings(), s, p, z.adapter.Book(), z.adapter.Chief() != nil && z.adapter.Chief().Leads()))
 	if err != nil {
 		return admin.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 	}
