--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -55,7 +55,7 @@
 			w.wait("the first runs", func() bool { return len(w.runs("first")) == 1 })
 		}, ready: func(w *houseWorld) (is bool) { w.onLoop(func() { is = w.p.clickhouse.Waiting() == 1 }); return is }},
 		{phase: "held for room", sql: "SELECT 1", prepare: func(w *houseWorld) { w.servers[0].Full(true) },
-			ready: func(w *houseWorld) (is bool) { w.onLoop(func() { is = w.p.core.Open() == 1 }); return is }},
+			ready: func(w *houseWorld) (is bool) { w.onLoop(func() { is = w.p.core.OpenRequests() == 1 }); return is }},
 		{phase: "connecting", sql: "SELECT 1", prepare: func(w *houseWorld) {
 			w.servers[0].Addr = deafAddr
 			w.write()
@@ -65,7 +65,7 @@
 				return is
 			})
 		}, ready: func(w *houseWorld) (is bool) {
-			w.onLoop(func() { is = w.p.core.Open() == 1 && w.p.clickhouse.Conns() == 1 })
+			w.onLoop(func() { is = w.p.core.OpenRequests() == 1 && w.p.clickhouse.Conns() == 1 })
 			return is
 		}},
 		{phase: "sent", sql: "SELECT /* HANG */", ready: func(w *houseWorld) bool { return len(w.runs("q")) == 1 }, runs: 1},
@@ -89,15 +89,15 @@
 				_, _ = bufio.NewReader(conn).ReadString('\n')
 			}
 			open := 0
-			w.onLoop(func() { open = w.p.core.Open() })
+			w.onLoop(func() { open = w.p.core.OpenRequests() })
 			_ = conn.Close()
 			w.wait("it is forgotten in the turn in which it goes", func() (is bool) {
 				w.onLoop(func() {
 					if w.p.clickhouse.Sessions() > sessions {
 						return
 					}
-					if is = true; c.phase != "queued" && c.phase != "streaming" && w.p.core.Open() >= open {
-						t.Errorf("it has gone, and %d queries are open of %d", w.p.core.Open(), open)
+					if is = true; c.phase != "queued" && c.phase != "streaming" && w.p.core.OpenRequests() >= open {
+						t.Errorf("it has gone, and %d queries are open of %d", w.p.core.OpenRequests(), open)
 					}
 					if w.p.clickhouse.Waiting() != 0 {
 						t.Error("it has gone, and waits")
@@ -127,7 +127,7 @@
 // answer, whole, of one of them.
 func TestHouseCopies(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 2, "", func(c *config.Config) { c.Settings.MayProbe = true })
+	w := houses(t, 2, "", func(c *config.Config) { c.Settings.MayCheckHealth = true })
 	for i := range 20 { // so that it is known how long one takes
 		if s, _, _, err := w.query("GET", "SELECT 1", "", id(fmt.Sprint("w", i))); s != 200 || err != nil {
 			t.Fatal(s, err)
--- a/cmd/beechgrade/clickhouse_hard_test.go
+++ b/cmd/beechgrade/clickhouse_hard_test.go
@@ -213,12 +213,12 @@
 // ahead or the front does before each; where none is, they are refused; writes and reads without one go anywhere.
 func TestHouseBounds(t *testing.T) {
 	t.Parallel()
-	for _, behind := range []decide.Behind{decide.BehindAnswers, decide.BehindRefuses} {
+	for _, behind := range []decide.StaleReadPolicy{decide.StaleReadsAnswered, decide.StaleReadsRefused} {
 		w := housesAs(t, 3, `(deadline 2s) (aim 1s) (class "mes" (path "/mes") (bound 3s) (aim 1s) (deadline 1500ms))`, func(s []*clickhouseserver.Server) {
 			s[1].Lag(60)
 			s[2].Lag(-1)
 			holdUntilAllAsked(s)
-		}, func(c *config.Config) { c.Settings.Behind, c.Settings.MayProbe = behind, true })
+		}, func(c *config.Config) { c.Settings.StaleReads, c.Settings.MayCheckHealth = behind, true })
 		ask := func(path, sql, id string) int {
 			res, err := w.client.Get("http://" + w.addr + path + "?" + url.Values{"query": {sql}, "query_id": {id}}.Encode())
 			if err != nil {
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -100,7 +100,7 @@
 	t.Parallel()
 	const asks, workers, slices = 10000, 24, 25
 	w := housesAs(t, 4, `(deadline 600ms) (aim 300ms) (hold 4k) (class "mes" (path "/mes") (bound 8s) (aim 500ms) (deadline 1500ms))`, func(s []*clickhouseserver.Server) { s[2].Lag(30); s[3].Lag(12) },
-		func(c *config.Config) { c.Settings.MayProbe = true })
+		func(c *config.Config) { c.Settings.MayCheckHealth = true })
 	rng := rand.New(rand.NewPCG(11, 11))
 	all := make([]queries.Ask, asks)
 	var runs []queries.Run
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -90,7 +90,7 @@
 			x.classes[n] = i
 		}
 	}
-	s := x.set.For(cfg.Classes, func(i int) float64 { return cfg.Settings.Classes[i].Worth })
+	s := x.set.For(cfg.Classes, func(i int) float64 { return cfg.Settings.Classes[i].PriorityWeight })
 	s.Voters, s.Name, s.Holder = x.pooler.raftLog.set.Settings.Voters, cfg.Name, x.holder
 	s.Purse.Checks = x.pooler.checks
 	return s
--- a/cmd/beechgrade/departed_test.go
+++ b/cmd/beechgrade/departed_test.go
@@ -132,7 +132,7 @@
 		return func() { _ = held.Conn.(*net.TCPConn).SetLinger(0); _ = held.Close() }
 	}},
 	"while its server is full": {change: func(c *config.Config) {
-		c.Settings.Classes[0].Target, c.Settings.Classes[0].LateWorth = 100*time.Millisecond, 0.5 // it is left alone for two seconds
+		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[0].LateWeight = 100*time.Millisecond, 0.5 // it is left alone for two seconds
 	}, waits: 3 * time.Second, until: func(d *departure) func() {
 		bystander := client(d.t, d.pooler)
 		d.begun().send(failure("53300"))
@@ -140,7 +140,7 @@
 		return func() { bystander.send(pgwire.AppendQuery(nil, "")) } // behind its callback the module's timer runs
 	}},
 	"while a probe is out for the role": {change: func(c *config.Config) {
-		c.Known.Instances[0].Role, c.Settings.MayProbe = "replica", true
+		c.Known.Instances[0].Role, c.Settings.MayCheckHealth = "replica", true
 	}, until: func(d *departure) func() {
 		d.client.send(query("gone", "write", 9000))
 		probe := next(d.t, d.queries)
@@ -201,7 +201,7 @@
 				}
 				last.want("TDCZ v")
 				open := make(chan int)
-				p.loop.Post(func() { open <- p.core.Open() })
+				p.loop.Post(func() { open <- p.core.OpenRequests() })
 				if n := <-open; n != 0 {
 					t.Errorf("%d requests are open still", n)
 				}
--- a/cmd/beechgrade/ends_test.go
+++ b/cmd/beechgrade/ends_test.go
@@ -19,7 +19,7 @@
 func shortest(d time.Duration) func(*config.Config) {
 	return func(c *config.Config) {
 		for i := range c.Settings.Classes {
-			c.Settings.Classes[i].Deadline, c.Settings.Classes[i].Target = d, d
+			c.Settings.Classes[i].Deadline, c.Settings.Classes[i].LatencyObjective = d, d
 		}
 	}
 }
--- a/cmd/beechgrade/fronts_stop_test.go
+++ b/cmd/beechgrade/fronts_stop_test.go
@@ -43,7 +43,7 @@
 	writes.send(simple("INSERT 1"))
 	nextText(t, queries, "INSERT 1")
 	waits.send(simple("INSERT 2"))
-	s.until("it waits", func() bool { return s.p.core.Open() == 1 })
+	s.until("it waits", func() bool { return s.p.core.OpenRequests() == 1 })
 	s.stop <- syscall.SIGTERM
 	writes.want("E$ 08007")
 	waits.want("E$ 57P01")
@@ -81,7 +81,7 @@
 	}
 	hangs.send([]byte(get("hang", "SELECT 2")))
 	w.wait("it runs", func() (is bool) {
-		w.onLoop(func() { is = w.p.core.Open() == 1 })
+		w.onLoop(func() { is = w.p.core.OpenRequests() == 1 })
 		return is
 	})
 	w.stopping()
--- a/cmd/beechgrade/house_report_test.go
+++ b/cmd/beechgrade/house_report_test.go
@@ -137,7 +137,9 @@
 				}
 			}
 			w := housesAs(t, 3, `(class "mes" (path "/mes") (bound 3s) (aim 5s) (deadline 15s))`, scriptHouses(t, asked),
-				func(c *config.Config) { c.Settings.Behind, c.Settings.MayProbe = decide.BehindRefuses, false })
+				func(c *config.Config) {
+					c.Settings.StaleReads, c.Settings.MayCheckHealth = decide.StaleReadsRefused, false
+				})
 			first := w.ask("first")
 			held := next()
 			if held.path != "/replicas_status" {
--- a/cmd/beechgrade/life.go
+++ b/cmd/beechgrade/life.go
@@ -148,7 +148,7 @@
 // metrics are all that the process tells of itself.
 func (p *pooler) metrics() *exposition.Sheet {
 	s := &exposition.Sheet{}
-	for _, tell := range []func(*exposition.Sheet){p.core.WriteFigures, p.platform.WriteFigures, p.writePeersMetrics, p.writeLimitsMetrics, p.writeInvariantsMetrics, p.writeScatterMetrics, p.writeRaftLogMetrics, p.writeCreditMetrics, p.writeOverloadMetrics,
+	for _, tell := range []func(*exposition.Sheet){p.core.WriteMetrics, p.platform.WriteFigures, p.writePeersMetrics, p.writeLimitsMetrics, p.writeInvariantsMetrics, p.writeScatterMetrics, p.writeRaftLogMetrics, p.writeCreditMetrics, p.writeOverloadMetrics,
 		p.writeOutlierMetrics, p.writeZonesMetrics} {
 		tell(s)
 	}
@@ -163,7 +163,7 @@
 	if p.platform.Welcome(p.lifecycle.Welcomes()); now == was {
 		return ok
 	}
-	p.log.Info("life", "was", was.String(), "now", now.String(), "sessions", p.platform.Sessions(), "open", p.core.Open())
+	p.log.Info("life", "was", was.String(), "now", now.String(), "sessions", p.platform.Sessions(), "open", p.core.OpenRequests())
 	if p.inheritedListener != nil && was == lifecycle.Starting && p.lifecycle.Accepts() {
 		p.stopAccepting = p.loop.Take(p.inheritedListener, p.platform.Accept)
 	}
@@ -221,7 +221,7 @@
 
 // enterStage brings a drain that began at the given time to a stage.
 func (p *pooler) enterStage(stage platform.Stage, from float64) {
-	p.log.Info("drain", "stage", stage.String(), "ms", p.loop.Now()-from, "sessions", p.platform.Sessions(), "halfway", p.platform.Halves(), "open", p.core.Open())
+	p.log.Info("drain", "stage", stage.String(), "ms", p.loop.Now()-from, "sessions", p.platform.Sessions(), "halfway", p.platform.Halves(), "open", p.core.OpenRequests())
 	p.platform.SendAway(stage)
 	if stage < platform.CloseAll {
 		return
@@ -282,7 +282,7 @@
 	}
 	var look func()
 	look = func() {
-		now, busy := p.loop.Now(), p.platform.Owes() || p.core.Open() > 0 || p.pooling != nil && p.pooling.Owes() || p.clickhouse != nil && p.clickhouse.Owes()
+		now, busy := p.loop.Now(), p.platform.Owes() || p.core.OpenRequests() > 0 || p.pooling != nil && p.pooling.Owes() || p.clickhouse != nil && p.clickhouse.Owes()
 		if now < began+leastMs || now < began+longest+drainLast && p.platform.Sessions() > 0 || now < began+stopTimeoutMs && busy {
 			p.loop.At(now+pollMs, look)
 			return
--- a/cmd/beechgrade/limits.go
+++ b/cmd/beechgrade/limits.go
@@ -45,7 +45,7 @@
 			l.release(x)
 		}
 	}
-	l.pooler.core.Bind(set.Bounds(), l.pooler.peers)
+	l.pooler.core.SetLimits(set.Bounds(), l.pooler.peers)
 	if !l.ticking {
 		l.ticking = true
 		l.tick()
--- a/cmd/beechgrade/long_wait_test.go
+++ b/cmd/beechgrade/long_wait_test.go
@@ -66,7 +66,7 @@
 				}
 			}()
 			pooler, _, _ := start(t, l.Addr().String(), nil, func(c *config.Config) { // a request takes a tenth of a second, as far as is known
-				c.Settings.Classes[1].Target, c.Settings.Classes[1].LateWorth = 500*time.Millisecond, 0.5
+				c.Settings.Classes[1].LatencyObjective, c.Settings.Classes[1].LateWeight = 500*time.Millisecond, 0.5
 			})
 			c := client(t, pooler)
 			statement := fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', '%s') RETURNING content /* id=1,c=write,d=%d,cluster=0 */",
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -330,9 +330,9 @@
 		}
 		t.Cleanup(f.Close)
 	}, func(c *config.Config) {
-		c.Settings.MayProbe, c.Settings.DrainGrace = true, 250*time.Millisecond
+		c.Settings.MayCheckHealth, c.Settings.DrainGrace = true, 250*time.Millisecond
 		c.ConnectTimeoutMs = 500
-		c.Settings.Classes[1].Target, c.Settings.Classes[1].Deadline = 300*time.Millisecond, time.Second
+		c.Settings.Classes[1].LatencyObjective, c.Settings.Classes[1].Deadline = 300*time.Millisecond, time.Second
 	})
 	first, n := f.Primary(0), 0
 	write := func() bool {
--- a/cmd/beechgrade/offset_test.go
+++ b/cmd/beechgrade/offset_test.go
@@ -49,9 +49,9 @@
 				for i, addr := range []string{addrFresh, addrStale} {
 					c.Known.Instances = append(c.Known.Instances, discovery.Instance{ID: fmt.Sprint("replica-", i), HostPort: addr, Lifecycle: "up", Weight: 1, Role: "replica"})
 				}
-				c.Settings.MayProbe = true
+				c.Settings.MayCheckHealth = true
 				c.Classes = append(c.Classes, "young")
-				c.Settings.Classes = append(c.Settings.Classes, decide.Class{Target: patience, Deadline: patience, Worth: 1, Read: decide.ReadBounded, Bound: 800 * time.Millisecond})
+				c.Settings.Classes = append(c.Settings.Classes, decide.Class{LatencyObjective: patience, Deadline: patience, PriorityWeight: 1, Read: decide.ReadBounded, MaxStaleness: 800 * time.Millisecond})
 			}), slog.New(slog.DiscardHandler))
 			pooler, _, _, _ := launch(t, p)
 			c := client(t, pooler)
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -25,11 +25,11 @@
 		return
 	}
 	j := adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
-	if set.Shed {
-		p.core.SetPressure(j)
+	if set.SetShedding {
+		p.core.SetDemandObserver(j)
 	}
 	if set.Share {
-		p.core.SetProber(adapter.Prober{Joined: j})
+		p.core.SetHealthCheckSharer(adapter.Prober{Joined: j})
 	}
 	j.Begin()
 	p.peers.Join(j)
--- a/cmd/beechgrade/peer_test.go
+++ b/cmd/beechgrade/peer_test.go
@@ -181,10 +181,10 @@
 		ConnectTimeoutMs: 5000, IdleMs: 30000,
 		Known: discovery.List{Generation: 4, Reset: true, Instances: []discovery.Instance{
 			{ID: "s-1", HostPort: server, Lifecycle: "up", Weight: 1, Role: "primary"}}},
-		Settings: decide.Settings{Peers: 1, Tick: 2 * time.Millisecond, AskList: true, ListShowsRole: true,
+		Settings: decide.Settings{Peers: 1, Tick: 2 * time.Millisecond, WatchList: true, ListShowsRole: true,
 			ListRoleLive: true, MayCancel: true, MayDuplicate: true, MaxAttempts: 8, Classes: []decide.Class{
-				{Target: patience, Deadline: patience, Worth: 1, Read: decide.ReadAny},
-				{Target: patience, Deadline: patience, Worth: 1, Read: decide.Write, Effect: decide.Unsafe}}}}
+				{LatencyObjective: patience, Deadline: patience, PriorityWeight: 1, Read: decide.ReadAny},
+				{LatencyObjective: patience, Deadline: patience, PriorityWeight: 1, Read: decide.Write, Idempotency: decide.NotIdempotent}}}}
 	for _, f := range change {
 		f(cfg)
 	}
--- a/cmd/beechgrade/pooled_ends_test.go
+++ b/cmd/beechgrade/pooled_ends_test.go
@@ -176,7 +176,7 @@
 		return unsent > 0
 	})
 	q.send(pgwire.AppendReady(pgwire.AppendComplete(nil, "SELECT 1")))
-	s.until("the pooler has the end of the answer", func() bool { return s.p.core.Open() == 0 })
+	s.until("the pooler has the end of the answer", func() bool { return s.p.core.OpenRequests() == 0 })
 	got := 0
 	for {
 		typ, body := c.message()
@@ -337,7 +337,7 @@
 	c.want("TDCZ 1")
 	c.send([]byte{'D', 0, 0, 0, 4}) // Describe of nothing
 	c.want("E$ 08P01")
-	s.until("nothing is open", func() bool { return s.p.core.Open() == 0 })
+	s.until("nothing is open", func() bool { return s.p.core.OpenRequests() == 0 })
 }
 
 // TestPooledServerClosesUnderPin: a server closes a connection that holds state of its client, at the moment at which that sends its next statement, or once it
@@ -363,7 +363,7 @@
 				release()
 			}
 			c.want(want)
-			s.until("nothing is open", func() bool { return s.p.core.Open() == 0 })
+			s.until("nothing is open", func() bool { return s.p.core.OpenRequests() == 0 })
 		})
 	}
 }
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -137,7 +137,7 @@
 	memory := p.memory
 	p.backend = backend.New(p.loop, log, backend.Options{User: "backend", Database: "store",
 		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", ConnectTimeoutMs: cfg.ConnectTimeoutMs,
-		IdleMs: cfg.IdleMs * idlePart, Memory: memory, Dial: p.core.Dial,
+		IdleMs: cfg.IdleMs * idlePart, Memory: memory, Dial: p.core.LimitDial,
 		MaxConns:       func() int { return min(part(serverConnectionsMost), sockets()-p.platform.Occupied()) },
 		FreeDescriptor: func() bool { return p.backend.Conns() < part(serverConnectionsMost) && p.platform.FreeDescriptor() }}, p.core)
 	spare := func() int {
@@ -158,7 +158,7 @@
 	rec, end := record.Start(record.Options{Pooler: p.cfg.Name, Program: version(), Run: p.loop.Now(),
 		Classes: core.RecordClasses(p.cfg.Classes, p.cfg.Settings.Classes), Files: cmp.Or(p.files, record.Files(record.Dir(o.Dir))),
 		SegmentBytes: o.SegmentBytes, TotalBytes: o.TotalBytes, Events: o.Queue, FlushMs: o.FlushMs, Pack: o.Pack, Log: p.log,
-		ColdFrom: p.cfg.Settings.ColdFrom, ColdMs: clock.Millis(p.cfg.Settings.ColdTime), GraceMs: clock.Millis(p.cfg.Settings.DrainGrace)})
+		ColdFrom: p.cfg.Settings.SlowStartFrom, ColdMs: clock.Millis(p.cfg.Settings.SlowStartTime), GraceMs: clock.Millis(p.cfg.Settings.DrainGrace)})
 	p.core.SetRecorder(rec)
 	if p.pooling != nil {
 		p.pooling.Record(rec)
@@ -211,7 +211,7 @@
 	p.push()
 	p.recall()
 	if p.commits != nil {
-		p.core.Recall(p.commits.Memory())
+		p.core.MergeSnapshot(p.commits.Memory())
 	}
 	p.otherSessions.begin()
 	p.saveSnapshots()
@@ -248,7 +248,7 @@
 
 // push has the list come unasked where the settings say that it does: on sockets that is a watch held open.
 func (p *pooler) push() {
-	p.discovery.Push(!p.cfg.Settings.AskList && (p.sources == nil || p.sources.set.Members.Platform))
+	p.discovery.Push(!p.cfg.Settings.WatchList && (p.sources == nil || p.sources.set.Members.Platform))
 }
 
 // run serves until a signal to stop comes and nothing is owed any more; one to reload changes the configuration.
--- a/cmd/beechgrade/resent_test.go
+++ b/cmd/beechgrade/resent_test.go
@@ -81,7 +81,7 @@
 			addr, queries := server(t)
 			p := newPooler(testConfig(t, addr, nil, func(c *config.Config) {
 				set := c.Settings.Classes[1]
-				set.Effect, set.KeyWindow = decide.Keyed, time.Hour
+				set.Idempotency, set.KeyWindow = decide.IdempotentWithKey, time.Hour
 				short := set
 				short.KeyWindow = 20 * time.Millisecond
 				c.Classes, c.Settings.Classes = append(c.Classes, "keyed", "brief"), append(c.Settings.Classes, set, short)
@@ -93,7 +93,7 @@
 			c := client(t, pooler)
 			c.send(write("400"))
 			story.ends(p, c, next(t, queries))
-			until(t, p, "the first has ended", func() bool { return p.core.Open() == 0 })
+			until(t, p, "the first has ended", func() bool { return p.core.OpenRequests() == 0 })
 			c = client(t, pooler)
 			c.send(write("9000"))
 			answered := make(chan string, 1)
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -86,9 +86,9 @@
 	cfg := testConfig(t, "", nil, func(c *config.Config) {
 		c.Discovery, c.Known = f.Discovery(), f.List()
 		c.Limits.Sockets = 8000
-		c.Settings.MayProbe, c.Settings.DrainGrace = true, clock.Span(fc.GraceMs)
-		c.Settings.ColdFrom, c.Settings.ColdTime = 0.15, time.Second
-		c.Settings.FallMultiple, c.Settings.FallSpan = 2.5, 1500*time.Millisecond
+		c.Settings.MayCheckHealth, c.Settings.DrainGrace = true, clock.Span(fc.GraceMs)
+		c.Settings.SlowStartFrom, c.Settings.SlowStartTime = 0.15, time.Second
+		c.Settings.SlowStartMultiple, c.Settings.SlowStartSpan = 2.5, 1500*time.Millisecond
 		c.ConnectTimeoutMs = 2000
 	})
 	if err := set.Scatter.Check(&set.Pooling, &set.Peers); err != nil {
@@ -342,9 +342,9 @@
 // that the module asks but once, as those of the pools are, or one that it would ask again by itself.
 func TestScatterBreaksEarly(t *testing.T) {
 	t.Parallel()
-	for _, effect := range []decide.Effect{decide.Unsafe, decide.Safe} {
+	for _, effect := range []decide.Idempotency{decide.NotIdempotent, decide.Idempotent} {
 		w := scatterPoolerOf(t, "(whole)", func(c *config.Config) {
-			c.Settings.Classes[slices.Index(c.Classes, "reports")].Effect = effect
+			c.Settings.Classes[slices.Index(c.Classes, "reports")].Idempotency = effect
 		})
 		want := sortedIDs(visits(w.fleet, 60))
 		bad, asked := map[string]string{}, map[string]int{}      // by group
--- a/cmd/beechgrade/second_test.go
+++ b/cmd/beechgrade/second_test.go
@@ -36,7 +36,7 @@
 			<-then // the agent ends the watch
 		case <-r.Context().Done():
 		}
-	}, func(c *config.Config) { c.Settings.AskList = false })
+	}, func(c *config.Config) { c.Settings.WatchList = false })
 	ask := func(id, want string) {
 		t.Helper()
 		c := client(t, pooler)
@@ -74,15 +74,15 @@
 	addr, queries := server(t)
 	p := newPooler(testConfig(t, addr, nil, func(c *config.Config) {
 		c.Tenants = []string{"greedy", "modest"}
-		c.Settings.Tenants = []decide.Tenant{{Allowance: 1e-6}, {Allowance: 1e6}}
-		c.Settings.OverShareWorth = 0.2
+		c.Settings.Tenants = []decide.Tenant{{RateLimit: 1e-6}, {RateLimit: 1e6}}
+		c.Settings.OverQuotaWeight = 0.2
 	}), slog.New(slog.DiscardHandler))
 	pooler, _, _, _ := launch(t, p)
 	open := func(n int) { // waits until so many requests are with the pooler
 		t.Helper()
 		within(t, fmt.Sprint(n, " requests"), func() bool {
 			got := make(chan int)
-			p.loop.Post(func() { got <- p.core.Open() })
+			p.loop.Post(func() { got <- p.core.OpenRequests() })
 			return <-got == n
 		})
 	}
@@ -152,7 +152,7 @@
 func withWindow(d time.Duration, attempts int) func(*config.Config) {
 	return func(c *config.Config) {
 		w := &c.Settings.Classes[1]
-		w.Effect, w.Scope, w.KeyWindow, c.Settings.MaxAttempts = decide.Keyed, decide.ScopeGroup, d, attempts
+		w.Idempotency, w.KeyScope, w.KeyWindow, c.Settings.MaxAttempts = decide.IdempotentWithKey, decide.ScopeGroup, d, attempts
 	}
 }
 
--- a/cmd/beechgrade/sessions_test.go
+++ b/cmd/beechgrade/sessions_test.go
@@ -106,7 +106,7 @@
 		reader.send(query("last", "read", 15000))
 		reader.want("TDCZ v")
 		open := make(chan int, 1)
-		p.loop.Post(func() { open <- p.core.Open() })
+		p.loop.Post(func() { open <- p.core.OpenRequests() })
 		if n := <-open; n != 0 {
 			t.Errorf("%d requests are still open", n)
 		}
--- a/cmd/beechgrade/slow_test.go
+++ b/cmd/beechgrade/slow_test.go
@@ -113,7 +113,7 @@
 func (w *slowWorld) open() int {
 	w.t.Helper()
 	open := make(chan int, 1)
-	w.p.loop.Post(func() { open <- w.p.core.Open() })
+	w.p.loop.Post(func() { open <- w.p.core.OpenRequests() })
 	select {
 	case count := <-open:
 		return count
--- a/cmd/beechgrade/slowstart_test.go
+++ b/cmd/beechgrade/slowstart_test.go
@@ -41,9 +41,9 @@
 				pooler, _, _ := start(t, address, nil, func(c *config.Config) {
 					c.Seed = uint64(i + 1)
 					set := &c.Settings
-					set.Peers, set.FallMultiple, set.FallSpan, set.ColdFrom, set.ColdTime = poolers, multiple, span, coldFrom, time.Hour
+					set.Peers, set.SlowStartMultiple, set.SlowStartSpan, set.SlowStartFrom, set.SlowStartTime = poolers, multiple, span, coldFrom, time.Hour
 					for i := range set.Classes {
-						set.Classes[i].Target, set.Classes[i].LateWorth = aim, 0.5
+						set.Classes[i].LatencyObjective, set.Classes[i].LateWeight = aim, 0.5
 					}
 					c.Known.Instances[0].StartedAtMs = time.Now().Add(-time.Second).UnixMilli()
 				})
--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -27,7 +27,7 @@
 	for name, asked := range map[string]bool{"asked": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			story(t, func(c *config.Config) { c.Settings.AskList = asked })
+			story(t, func(c *config.Config) { c.Settings.WatchList = asked })
 		})
 	}
 }
@@ -170,7 +170,7 @@
 		}
 		first := serve(l, []byte("\n"))
 		var asks bool
-		pooler, _, _ := start(t, addr, nil, mode, func(c *config.Config) { c.Discovery, asks = at, c.Settings.AskList })
+		pooler, _, _ := start(t, addr, nil, mode, func(c *config.Config) { c.Discovery, asks = at, c.Settings.WatchList })
 		<-opened
 		_ = first.Close()
 		time.Sleep(1500 * time.Millisecond)
@@ -197,7 +197,7 @@
 		_, _ = w.Write(append(draining(5, addr), '\n'))
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
-	}, func(c *config.Config) { c.Settings.AskList = false })
+	}, func(c *config.Config) { c.Settings.WatchList = false })
 	if took := barred(t, pooler, queries, began.Add(2*time.Second)).Sub(began); took > time.Second { // of a busy machine; it is a few ms else
 		t.Errorf("heard after %v", took)
 	}
@@ -243,7 +243,7 @@
 	const longest = time.Second
 	pooler, stop, done := start(t, addr, nil, func(c *config.Config) {
 		for i := range c.Settings.Classes {
-			c.Settings.Classes[i].Deadline, c.Settings.Classes[i].Target = longest, longest
+			c.Settings.Classes[i].Deadline, c.Settings.Classes[i].LatencyObjective = longest, longest
 		}
 	})
 	go func() {
@@ -381,7 +381,7 @@
 	time.Sleep(time.Until(began.Add(longest + (drainEnd-200)*time.Millisecond)))
 	stands, goes := make(chan bool), make(chan bool)
 	open := 0
-	p.loop.Post(func() { open = p.core.Open(); close(stands); <-goes })
+	p.loop.Post(func() { open = p.core.OpenRequests(); close(stands); <-goes })
 	<-stands
 	for n, c := range clients {
 		c.send(query(fmt.Sprint("next", n), "read", 500))
@@ -411,9 +411,9 @@
 	addrA, atA := server(t)
 	p := newPooler(testConfig(t, addrP, nil, func(c *config.Config) {
 		c.Known.Instances = append(c.Known.Instances, discovery.Instance{ID: "s-2", HostPort: addrA, Lifecycle: "up", Weight: 1, Role: "replica"})
-		c.Settings.MayProbe = true
+		c.Settings.MayCheckHealth = true
 		c.Classes = append(c.Classes, "young")
-		c.Settings.Classes = append(c.Settings.Classes, decide.Class{Target: patience, Deadline: patience, Worth: 1, Read: decide.ReadBounded, Bound: 200 * time.Millisecond})
+		c.Settings.Classes = append(c.Settings.Classes, decide.Class{LatencyObjective: patience, Deadline: patience, PriorityWeight: 1, Read: decide.ReadBounded, MaxStaleness: 200 * time.Millisecond})
 	}), slog.New(slog.DiscardHandler))
 	pooler, _, _, _ := launch(t, p)
 	w, r := client(t, pooler), client(t, pooler)
--- a/cmd/beechgrade/undelivered_test.go
+++ b/cmd/beechgrade/undelivered_test.go
@@ -61,7 +61,7 @@
 				}
 			}()
 			p := newPooler(testConfig(t, l.Addr().String(), nil, func(c *config.Config) {
-				c.Settings.Classes[1].Target, c.Settings.Classes[1].LateWorth = time.Second, 0.5
+				c.Settings.Classes[1].LatencyObjective, c.Settings.Classes[1].LateWeight = time.Second, 0.5
 			}), slog.New(slog.DiscardHandler))
 			pooler, _, _, _ := launch(t, p)
 			c := client(t, pooler)
@@ -73,7 +73,7 @@
 			}
 			until(t, p, "it waits in the socket", func() bool { return unsentTo(t, l.Addr()) > 0 && p.core.Figures().Tries == whole })
 			story.end(c)
-			until(t, p, "its request has ended", func() bool { return p.core.Open() == 0 })
+			until(t, p, "its request has ended", func() bool { return p.core.OpenRequests() == 0 })
 			time.Sleep(lateBy)
 			close(gate)
 			if got := <-heard; got != "(gone)" {
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -107,12 +107,12 @@
 func (p *pooler) recall() {
 	if b := p.previousState; b != nil {
 		if !slices.Equal(b.Classes, p.cfg.Classes) {
-			b.Memory.Work = nil
+			b.Memory.ClassWork = nil
 		}
 		if !slices.Equal(b.Kinds, p.cfg.Kinds) {
-			b.Memory.Rates = nil
+			b.Memory.KindRates = nil
 		}
-		p.core.Recall(b.Memory)
+		p.core.MergeSnapshot(b.Memory)
 		p.log.Info("goes on from another process", "generation", b.List.Generation, "servers", len(b.Memory.Servers))
 		p.previousState = nil
 	}
@@ -169,7 +169,7 @@
 		known = p.list.complete()
 	}
 	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Moment(), ClockMs: p.loop.Now(), Held: held, Ends: !p.lifecycle.Serves(), From: p.cfg.Discovery, List: known, Anew: p.list.restarts,
-		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.Kinds), Memory: p.core.Memory()}
+		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.Kinds), Memory: p.core.Snapshot()}
 }
 
 // stateFolder is where the processes on a socket report to each other.
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -95,7 +95,7 @@
 }
 
 func newOtherProcess(u *upgrade) *otherProcess {
-	o := &otherProcess{u: u, s: handover.State{From: u.at, Memory: &decide.Memory{}}}
+	o := &otherProcess{u: u, s: handover.State{From: u.at, Memory: &decide.Snapshot{}}}
 	folder, done, quit := handover.In(u.dir), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
--- a/cmd/beechgrade/upgrade_sessions.go
+++ b/cmd/beechgrade/upgrade_sessions.go
@@ -140,7 +140,7 @@
 	told := make(chan error, 1)
 	b.pooler.loop.Post(func() {
 		m := b.pooler.commits.Merge(h, func(err error) { told <- err })
-		b.pooler.core.Recall(m)
+		b.pooler.core.MergeSnapshot(m)
 		b.pooler.log.Info("sessions: another process has ended, and its commits are known here", "sessions", len(m.Commits))
 	})
 	select {
--- a/cmd/beechgrade/verdicts.go
+++ b/cmd/beechgrade/verdicts.go
@@ -23,7 +23,7 @@
 	p.outlier.Tell(func(s outlier.Standing, begins bool) {
 		p.core.Note(recordpb.Kind_KIND_AVOIDED, ejectionText(s, begins))
 	})
-	p.core.SetWitness(p.outlier)
+	p.core.SetServerObserver(p.outlier)
 	p.peers.Join(p.outlier)
 }
 
--- a/cmd/beechgrade/waits_test.go
+++ b/cmd/beechgrade/waits_test.go
@@ -20,10 +20,10 @@
 func TestWaitsInVain(t *testing.T) {
 	keys := func(c *config.Config) {
 		w := &c.Settings.Classes[1]
-		w.Effect, w.Scope, w.KeyWindow = decide.Keyed, decide.ScopeGroup, patience
+		w.Idempotency, w.KeyScope, w.KeyWindow = decide.IdempotentWithKey, decide.ScopeGroup, patience
 	}
 	brief := func(c *config.Config) { // a request takes a fifth of a second, as far as is known
-		c.Settings.Classes[0].Target, c.Settings.Classes[1].Target, c.Settings.Classes[1].LateWorth = time.Second, time.Second, 0.5
+		c.Settings.Classes[0].LatencyObjective, c.Settings.Classes[1].LatencyObjective, c.Settings.Classes[1].LateWeight = time.Second, time.Second, 0.5
 	}
 	breaks := func(q asked) { _ = q.Close() }
 	for name, story := range map[string]struct {
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -54,7 +54,7 @@
 	go z.saveNumbers()
 	z.adapter = adapter.New(s, p.peers, z, p.core, z)
 	z.adapter.Listed(&p.cfg.Known, true)
-	p.core.SetGeography(z.adapter)
+	p.core.SetZoneObserver(z.adapter)
 	p.peers.Join(z.adapter)
 	if z.adapter.Book() != nil {
 		p.raftLog.users.Add(raftlog.OfZones, z.adapter)
--- a/internal/backend/answers.go
+++ b/internal/backend/answers.go
@@ -230,9 +230,9 @@
 			return decide.OK
 		}
 	case "25006", "72000":
-		return decide.Missed
+		return decide.Misdirected
 	case "53300", "57P03":
-		return decide.Full
+		return decide.Overloaded
 	}
 	return decide.Failed
 }
--- a/internal/backend/attempts.go
+++ b/internal/backend/attempts.go
@@ -38,7 +38,7 @@
 		pool.end(attempt, Outcome{Result: decide.Unreachable})
 		return
 	case attempt.Late(pool.loop.Now()):
-		pool.end(attempt, Outcome{Result: decide.Skipped})
+		pool.end(attempt, Outcome{Result: decide.NotSent})
 		return
 	}
 	attempt.endTimer = pool.loop.At(attempt.deadline, func() { pool.drop(attempt, decide.TimedOut) })
@@ -48,7 +48,7 @@
 	}
 	attempt.connectTimer = pool.loop.At(connectBy, func() {
 		if attempt.conn == nil && server.dialing == 0 || attempt.Late(pool.loop.Now()) { // a lack of descriptors says nothing about the server
-			pool.drop(attempt, decide.Skipped)
+			pool.drop(attempt, decide.NotSent)
 			return
 		}
 		pool.drop(attempt, decide.Unreachable)
@@ -65,7 +65,7 @@
 			break
 		}
 		if !attempt.mayGo(pool) {
-			pool.drop(attempt, decide.Skipped)
+			pool.drop(attempt, decide.NotSent)
 			return
 		}
 		conn.carry(attempt)
@@ -80,12 +80,12 @@
 // drop ends an attempt by decision of the pooler rather than by its answer.
 func (pool *Pool) drop(attempt *attempt, result decide.Result) {
 	conn := attempt.conn
-	if conn == nil && attempt.query != nil && result != decide.Unreachable && result != decide.Full {
-		result = decide.Skipped // it was never written
+	if conn == nil && attempt.query != nil && result != decide.Unreachable && result != decide.Overloaded {
+		result = decide.NotSent // it was never written
 	}
 	if conn != nil {
-		if conn.reportWritten(); len(conn.unwritten) > 0 && result != decide.Full {
-			result = decide.Skipped // nor was it written whole
+		if conn.reportWritten(); len(conn.unwritten) > 0 && result != decide.Overloaded {
+			result = decide.NotSent // nor was it written whole
 		}
 		conn.stopPushing()
 		conn.attempt = nil // before Close, which would report a reset
@@ -109,7 +109,7 @@
 	}
 	for i := 0; i < len(server.waiting); {
 		if attempt := server.waiting[i]; attempt.query != nil && which(attempt.tag) {
-			pool.drop(attempt, decide.Skipped)
+			pool.drop(attempt, decide.NotSent)
 			i = 0 // the end may have changed the list
 			continue
 		}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -143,7 +143,7 @@
 	delete(pool.servers, id)
 	server.addr = "" // so that its connections are closed once they are free
 	for len(server.waiting) > 0 {
-		pool.drop(server.waiting[0], decide.Skipped)
+		pool.drop(server.waiting[0], decide.NotSent)
 	}
 }
 
@@ -274,7 +274,7 @@
 		conn.unwritten[0] = text
 		return true
 	}
-	pool.drop(attempt, decide.Skipped)
+	pool.drop(attempt, decide.NotSent)
 	return false
 }
 
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -66,7 +66,7 @@
 	for range 3 {
 		select {
 		case outcome := <-events:
-			if diff := cmp.Diff(Outcome{Result: decide.Skipped}, outcome); diff != "" {
+			if diff := cmp.Diff(Outcome{Result: decide.NotSent}, outcome); diff != "" {
 				t.Error(diff)
 			}
 		case <-time.After(20 * time.Second):
@@ -221,7 +221,7 @@
 			t.Fatal("not told")
 		}
 	}
-	if diff := cmp.Diff([]decide.Result{decide.Skipped, decide.Skipped, decide.OK}, got); diff != "" {
+	if diff := cmp.Diff([]decide.Result{decide.NotSent, decide.NotSent, decide.OK}, got); diff != "" {
 		t.Error(diff)
 	}
 	eventLoop.End()
@@ -265,7 +265,7 @@
 		pool.SetAddress("s", server.Addr().String())
 		pool.Start("s", events, manual.Ms+9000, Terms{}, Tag{})
 	})
-	want := decide.Skipped
+	want := decide.NotSent
 	if passes {
 		want = decide.OK
 		answerOne(t, server)
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -83,7 +83,7 @@
 // against the server.
 func connectResult(err error) decide.Result {
 	if eventloop.IsLocal(err) {
-		return decide.Skipped
+		return decide.NotSent
 	}
 	return decide.Unreachable
 }
@@ -127,7 +127,7 @@
 	for len(conn.server.waiting) > 0 {
 		attempt := conn.server.waiting[0]
 		if !attempt.mayGo(pool) {
-			pool.drop(attempt, decide.Skipped)
+			pool.drop(attempt, decide.NotSent)
 			continue
 		}
 		conn.server.waiting = conn.server.waiting[1:]
@@ -174,7 +174,7 @@
 			result = decide.Unreachable
 		}
 		if conn.reading.Code == "53300" || conn.reading.Code == "57P03" {
-			result = decide.Full
+			result = decide.Overloaded
 		}
 		pool.end(attempt, Outcome{Result: result, Report: conn.outcome.Report})
 	}
@@ -187,7 +187,7 @@
 	if conn.reading.Code == "53300" && len(conn.server.waiting) >= conn.server.dialing && len(conn.server.waiting) > 0 {
 		attempt := conn.server.waiting[0]
 		conn.pool.unqueue(attempt)
-		defer conn.pool.end(attempt, Outcome{Result: decide.Full})
+		defer conn.pool.end(attempt, Outcome{Result: decide.Overloaded})
 	}
 	conn.failed(decide.Unreachable)
 }
--- a/internal/cluster/outlier/adapter/joined.go
+++ b/internal/cluster/outlier/adapter/joined.go
@@ -15,11 +15,11 @@
 
 // Core is what it needs of a pooler's core.
 type Core interface {
-	Memory() *decide.Memory
-	Look(store string)
+	Snapshot() *decide.Snapshot
+	CheckHealthForObserver(store string)
 	ServerReported(store string, said backend.Report, ageMs float64)
-	Avoid(store string)
-	Try(store string)
+	Eject(store string)
+	StartTrial(store string)
 }
 
 // Host is what carries words, and time.
@@ -100,16 +100,16 @@
 func (j *Joined) Tick() {
 	if now := j.host.Now(); now-j.learnt >= learnMs || len(j.works) == 0 {
 		j.learnt = now
-		j.learn(j.core.Memory())
+		j.learn(j.core.Snapshot())
 	}
 	j.do(outlier.Tick{})
 }
 
 // learn takes what requests cost, and which servers the module takes for down.
-func (j *Joined) learn(m *decide.Memory) {
-	j.works = m.Work
+func (j *Joined) learn(m *decide.Snapshot) {
+	j.works = m.ClassWork
 	rate := 0.0
-	for _, x := range m.Rates { // the least
+	for _, x := range m.KindRates { // the least
 		if rate == 0 || x < rate {
 			rate = x
 		}
@@ -120,7 +120,7 @@
 	var down []string
 	for i := range m.Servers {
 		s := &m.Servers[i]
-		if j.kinds[string(s.ID)] = s.Rel * rate; s.Down {
+		if j.kinds[string(s.ID)] = s.RelativeRate * rate; s.Ejected {
 			down = append(down, string(s.ID))
 		}
 	}
@@ -180,7 +180,7 @@
 func (j *Joined) Ended(store string, t backend.Tag, result decide.Result, said backend.Report) {
 	end := outlier.Answered
 	switch result {
-	case decide.TimedOut, decide.Cancelled, decide.Skipped:
+	case decide.TimedOut, decide.Cancelled, decide.NotSent:
 		end = outlier.Void
 	case decide.Unreachable, decide.Reset:
 		end = outlier.Lost
@@ -188,13 +188,13 @@
 	j.do(outlier.Ended{Server: store, Ref: refOf(t), End: end, Said: saidOf(said)})
 }
 
-// Probed is core.Witness's.
-func (j *Joined) Probed(store string, result decide.Result, said backend.Report) {
+// HealthChecked is core.Witness's.
+func (j *Joined) HealthChecked(store string, result decide.Result, said backend.Report) {
 	j.do(outlier.Probed{Server: store, OK: result == decide.OK, Said: saidOf(said)})
 }
 
-// Withholds is core.Witness's.
-func (j *Joined) Withholds(store string) bool { return j.v != nil && j.v.Avoids(store) }
+// Ejects is core.Witness's.
+func (j *Joined) Ejects(store string) bool { return j.v != nil && j.v.Avoids(store) }
 
 func saidOf(s backend.Report) (out outlier.Said) {
 	if s.HasPos {
@@ -219,16 +219,16 @@
 				j.host.Tell(a.Addr, a.To, module.Verdicts, said(a.Word))
 			}
 		case outlier.Avoid:
-			j.core.Avoid(a.Server)
+			j.core.Eject(a.Server)
 		case outlier.Try:
-			j.core.Try(a.Server)
+			j.core.StartTrial(a.Server)
 		case outlier.Begins, outlier.Ends:
 			if j.told != nil {
 				a.Standing.Server = a.Server
 				j.told(a.Standing, a.Kind == outlier.Begins)
 			}
 		case outlier.Look:
-			j.core.Look(a.Server)
+			j.core.CheckHealthForObserver(a.Server)
 		case outlier.Learn:
 			s := backend.Report{Position: a.Said.Position, HasPos: true}
 			if a.Said.Role == outlier.Leads {
--- a/internal/cluster/overload/adapter/joined.go
+++ b/internal/cluster/overload/adapter/joined.go
@@ -16,15 +16,15 @@
 
 // Core is what it needs of a pooler's core.
 type Core interface {
-	Shed(group int, s *decide.Shed)
-	Works() []float64
+	SetShedding(group int, s *decide.SheddingPolicy)
+	AverageWork() []float64
 	Names() (classes, tenants []string)
-	Contracts() *decide.Settings
-	Probe(store string)
-	SetRepeats(b *retrybudget.Repeats, returns float64)
-	Stocks() []decide.Stock
-	Lend(more map[int]float64)
-	ProbeReported(store string, result decide.Result, said backend.Report, ageMs float64)
+	DecisionSettings() *decide.Settings
+	CheckHealth(store string)
+	SetRetryBudget(b *retrybudget.Repeats, returns float64)
+	RetryBudgets() []decide.RetryBudget
+	AddRetryBudget(more map[int]float64)
+	HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64)
 }
 
 // Host is what carries words, and time.
@@ -35,10 +35,10 @@
 
 // Options say what is shared, and how.
 type Options struct {
-	Shed   bool // overload is handled together
-	Set    overload.Settings
-	Share  bool // probes are shared
-	Probes overload.ProbeSettings
+	SetShedding bool // overload is handled together
+	Set         overload.Settings
+	Share       bool // probes are shared
+	Probes      overload.ProbeSettings
 	Bound
 }
 
@@ -91,20 +91,20 @@
 
 // contracts are the classes and tenants as they are now.
 func (j *Joined) contracts() overload.Settings {
-	set, out := j.core.Contracts(), j.opt.Set
+	set, out := j.core.DecisionSettings(), j.opt.Set
 	classes, tenants := j.core.Names()
 	for i, c := range set.Classes {
 		if i < len(classes) {
-			out.Classes = append(out.Classes, overload.Class{Name: classes[i], Worth: c.Worth, Aim: float64(c.Target) / float64(time.Millisecond), Once: c.Effect == decide.Unsafe})
+			out.Classes = append(out.Classes, overload.Class{Name: classes[i], Worth: c.PriorityWeight, Aim: float64(c.LatencyObjective) / float64(time.Millisecond), Once: c.Idempotency == decide.NotIdempotent})
 		}
 	}
 	all := 0.0
 	for _, t := range set.Tenants {
-		all += t.Allowance
+		all += t.RateLimit
 	}
 	for i, t := range set.Tenants {
 		if i < len(tenants) {
-			out.Tenants = append(out.Tenants, overload.Tenant{Name: tenants[i], Share: t.Allowance / max(all, 1e-9)})
+			out.Tenants = append(out.Tenants, overload.Tenant{Name: tenants[i], Share: t.RateLimit / max(all, 1e-9)})
 		}
 	}
 	j.named = len(set.Classes) + len(set.Tenants)<<16
@@ -120,7 +120,7 @@
 		}
 	}
 	now := j.host.Now()
-	if j.o == nil && j.opt.Shed {
+	if j.o == nil && j.opt.SetShedding {
 		j.o = overload.New(j.contracts(), self, now)
 		j.o.Check(j.checks, j.every)
 	}
@@ -159,12 +159,12 @@
 func (j *Joined) Tick() {
 	now := j.host.Now()
 	if j.o != nil {
-		if set := j.core.Contracts(); len(set.Classes)+len(set.Tenants)<<16 != j.named {
+		if set := j.core.DecisionSettings(); len(set.Classes)+len(set.Tenants)<<16 != j.named {
 			j.do(overload.Retune{Settings: j.contracts()})
 		}
 		if now-j.learnt >= learnMs {
 			j.learnt = now
-			j.do(overload.Learned{Work: j.core.Works()})
+			j.do(overload.Learned{Work: j.core.AverageWork()})
 		}
 		j.do(overload.Tick{})
 	}
@@ -177,8 +177,8 @@
 // Leave is part.Part's: what it told fades by itself.
 func (j *Joined) Leave() {}
 
-// Asked is core.Pressure's.
-func (j *Joined) Asked(group, class, tenant int, again, in bool) {
+// Received is core.Pressure's.
+func (j *Joined) Received(group, class, tenant int, again, in bool) {
 	j.do(overload.Asked{Group: j.resource(group, class), Class: class, Tenant: tenant, Again: again, In: in})
 }
 
@@ -209,7 +209,7 @@
 
 // resource is what a class's requests of a group ask for: its primary, or any of its servers. Each has a level of its own.
 func (j *Joined) resource(group, class int) int {
-	if set := j.core.Contracts(); class >= 0 && class < len(set.Classes) && (set.Classes[class].Read == decide.Write || set.Classes[class].Read == decide.ReadFresh) {
+	if set := j.core.DecisionSettings(); class >= 0 && class < len(set.Classes) && (set.Classes[class].Read == decide.Write || set.Classes[class].Read == decide.ReadFresh) {
 		return 2*group + 1
 	}
 	return 2 * group
@@ -220,36 +220,36 @@
 	if j.places[resource] = p; p == nil {
 		delete(j.places, resource)
 	}
-	group, set := resource/2, j.core.Contracts()
+	group, set := resource/2, j.core.DecisionSettings()
 	n := len(set.Classes)
-	s := &decide.Shed{Levels: make([]float64, n), Cells: make([][4]int, n), Of: make([]int, n), Beyond: make([][2]float64, len(set.Tenants)),
-		Keep: time.Duration(j.opt.Set.Keep * float64(time.Millisecond))}
+	s := &decide.SheddingPolicy{Levels: make([]float64, n), Ranks: make([][4]int, n), OverQuotaIndex: make([]int, n), OverQuota: make([][2]float64, len(set.Tenants)),
+		RankLifetime: time.Duration(j.opt.Set.Keep * float64(time.Millisecond))}
 	on := false
 	for i := range set.Classes {
-		s.Of[i] = j.resource(group, i) & 1
-		if p := j.places[2*group+s.Of[i]]; p != nil && i < len(p.Cells) {
-			s.Levels[i], s.Cells[i], on = p.Level, p.Cells[i], true
+		s.OverQuotaIndex[i] = j.resource(group, i) & 1
+		if p := j.places[2*group+s.OverQuotaIndex[i]]; p != nil && i < len(p.Cells) {
+			s.Levels[i], s.Ranks[i], on = p.Level, p.Cells[i], true
 		}
 	}
 	if !on {
-		j.core.Shed(group, nil)
+		j.core.SetShedding(group, nil)
 		return
 	}
 	for k := range 2 {
 		if p := j.places[2*group+k]; p != nil {
-			for i := range min(len(s.Beyond), len(p.Beyond)) {
-				s.Beyond[i][k] = p.Beyond[i]
+			for i := range min(len(s.OverQuota), len(p.Beyond)) {
+				s.OverQuota[i][k] = p.Beyond[i]
 			}
 		}
 	}
-	j.core.Shed(group, s)
+	j.core.SetShedding(group, s)
 }
 
 // Prober is what shares probes, as core.Prober.
 type Prober struct{ *Joined }
 
-// Wanted is core.Prober's.
-func (j Prober) Wanted(store string) bool {
+// Delegates is core.Prober's.
+func (j Prober) Delegates(store string) bool {
 	if j.p == nil {
 		return false
 	}
@@ -277,7 +277,7 @@
 	for i := range acts {
 		switch a := &acts[i]; {
 		case a.Probe != "":
-			j.core.Probe(a.Probe)
+			j.core.CheckHealth(a.Probe)
 		case a.Want != nil:
 			j.host.Tell(a.Addr, a.To, module.Overload, a.Want)
 		case a.Found != nil:
@@ -287,7 +287,7 @@
 			if said.HasPos {
 				said.Position = a.Position
 			}
-			j.core.ProbeReported(a.Server, decide.Result(min(a.Kind, uint8(decide.Missed))), said, a.Age)
+			j.core.HealthCheckReported(a.Server, decide.Result(min(a.Kind, uint8(decide.Misdirected))), said, a.Age)
 		}
 	}
 	if due := j.p.Due(); due < j.due || j.due <= j.host.Now() {
--- a/internal/cluster/overload/adapter/lend.go
+++ b/internal/cluster/overload/adapter/lend.go
@@ -11,18 +11,18 @@
 
 // Bound says what of a group's requests may be sent twice, and how fast servers that return are come back to.
 type Bound struct {
-	Repeats bool
-	Part    float64
-	Floor   float64
-	SpanMs  float64
-	Lend    bool
-	Lending budgetlease.Settings
-	Returns float64 // connections a second of the fleet to one server, 0 for any number
+	Repeats        bool
+	Part           float64
+	Floor          float64
+	SpanMs         float64
+	AddRetryBudget bool
+	Lending        budgetlease.Settings
+	Returns        float64 // connections a second of the fleet to one server, 0 for any number
 }
 
 // DefaultBound is of (repeats) without more.
 func DefaultBound() Bound {
-	return Bound{Part: 0.1, Floor: 10, SpanMs: 10000, Lend: true, Lending: budgetlease.Defaults()}
+	return Bound{Part: 0.1, Floor: 10, SpanMs: 10000, AddRetryBudget: true, Lending: budgetlease.Defaults()}
 }
 
 // Begin has the module told what it needs no other pooler for.
@@ -33,13 +33,13 @@
 		r = &retrybudget.Repeats{Part: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
 	}
 	if r != nil || b.Returns > 0 {
-		j.core.SetRepeats(r, b.Returns)
+		j.core.SetRetryBudget(r, b.Returns)
 	}
 }
 
 // lenders tells who can be reached. A process that takes another ID begins anew.
 func (j *Joined) lenders(self view.ID, peers []overload.Peer) {
-	if !j.opt.Repeats || !j.opt.Lend {
+	if !j.opt.Repeats || !j.opt.AddRetryBudget {
 		return
 	}
 	if j.l == nil {
@@ -54,7 +54,7 @@
 	if j.l == nil {
 		return
 	}
-	all := j.core.Stocks()
+	all := j.core.RetryBudgets()
 	told := make([]budgetlease.Stock, len(all))
 	for i, s := range all {
 		told[i] = budgetlease.Stock(s)
@@ -74,5 +74,5 @@
 			moved[a.Group] += a.Amount
 		}
 	}
-	j.core.Lend(moved)
+	j.core.AddRetryBudget(moved)
 }
--- a/internal/cluster/overload/budgetlease/lend.go
+++ b/internal/cluster/overload/budgetlease/lend.go
@@ -49,9 +49,9 @@
 
 // Stock is what the decision module has of a group, and how many requests wait for want of it.
 type Stock struct {
-	Group int
-	Left  float64
-	Lacks int
+	Group     int
+	Remaining float64
+	Waiting   int
 }
 
 // Give moves what it names to who hears it; Want asks for it. An Amount is in 64ths, whole.
@@ -175,9 +175,9 @@
 	}
 	for _, s := range all {
 		block, mine := s.Group/Block, l.bank(s.Group/Block) == l.self
-		lacks := min(mostAsked, float64(s.Lacks))
-		switch more := floor(s.Left - l.set.Keep); {
-		case s.Lacks > 0 && s.Left < lacks:
+		lacks := min(mostAsked, float64(s.Waiting))
+		switch more := floor(s.Remaining - l.set.Keep); {
+		case s.Waiting > 0 && s.Remaining < lacks:
 			more = lacks
 			if x := l.take(s.Group, floor(more)); x > 0 {
 				out, more = append(out, Action{Group: s.Group, Amount: x}), more-x
@@ -185,7 +185,7 @@
 			if !mine && more > 0 && l.now >= l.askAt[block] {
 				wants[block] = append(wants[block], Item{s.Group, more})
 			}
-		case due && s.Lacks == 0 && more > 0:
+		case due && s.Waiting == 0 && more > 0:
 			out = append(out, Action{Group: s.Group, Amount: -more})
 			if mine {
 				l.put(s.Group, more)
--- a/internal/cluster/zones/adapter/joined.go
+++ b/internal/cluster/zones/adapter/joined.go
@@ -19,11 +19,11 @@
 
 // Core is what it needs of a pooler's core.
 type Core interface {
-	Works() []float64 // a request's, by class, in seconds
-	Contracts() *decide.Settings
+	AverageWork() []float64 // a request's, by class, in seconds
+	DecisionSettings() *decide.Settings
 	SetZone(zone string, price float64)
-	Cold(startedMs float64) float64
-	Pace(store string) float64
+	WarmUpFactor(startedMs float64) float64
+	RelativeRate(store string) float64
 }
 
 // Keeper has a number outlive the process; done comes on the loop.
@@ -74,7 +74,7 @@
 // New makes one. Classes, and how far each may cross, come from the core's contracts.
 func New(set zones.Settings, net module.Net, log zones.Log, c Core, k Keeper) *Joined {
 	j := &Joined{set: set, core: c, net: net, keep: k, sites: map[string]*site{}, asks: map[[2]int]float64{}, sent: make([]uint64, len(set.Zones))}
-	set.Chief.Plan.Classes = classes(c.Contracts())
+	set.Chief.Plan.Classes = classes(c.DecisionSettings())
 	j.set = set
 	j.Zones = zones.New(set, net, log, j)
 	return j
@@ -84,9 +84,9 @@
 func classes(set *decide.Settings) (out []plan.Class) {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	for _, c := range set.Classes {
-		x := plan.Class{Worth: c.Worth, Reach: ms(c.Target)}
+		x := plan.Class{Worth: c.PriorityWeight, Reach: ms(c.LatencyObjective)}
 		if c.Read == decide.ReadBounded {
-			x.Age = ms(c.Bound)
+			x.Age = ms(c.MaxStaleness)
 		}
 		out = append(out, x)
 	}
@@ -101,12 +101,12 @@
 
 // movable tells whether any member may serve a class.
 func (j *Joined) movable(class int) bool {
-	set := j.core.Contracts()
+	set := j.core.DecisionSettings()
 	return class >= 0 && class < len(set.Classes) && set.Classes[class].Read != decide.Write && set.Classes[class].Read != decide.ReadFresh
 }
 
 func (j *Joined) work(class int) float64 {
-	if w := j.core.Works(); class >= 0 && class < len(w) {
+	if w := j.core.AverageWork(); class >= 0 && class < len(w) {
 		return w[class]
 	}
 	return 0
@@ -153,8 +153,8 @@
 	return j.cells[i]
 }
 
-// Asked is core.Geography's.
-func (j *Joined) Asked(group, class int) {
+// Received is core.Geography's.
+func (j *Joined) Received(group, class int) {
 	if j.movable(class) {
 		j.asks[[2]int{group, class}]++
 	}
@@ -163,22 +163,22 @@
 // overtakenPart of its class's aim is after what a copy that was called off counts as lost.
 const overtakenPart = 0.5
 
-// Tried is core.Geography's.
-func (j *Joined) Tried(store string, class int, r decide.Result, ms float64, _ bool) {
+// AttemptEnded is core.Geography's.
+func (j *Joined) AttemptEnded(store string, class int, r decide.Result, ms float64, _ bool) {
 	s := j.sites[store]
 	if s == nil {
 		return
 	}
 	lost := false
-	if r != decide.Skipped && j.movable(class) {
+	if r != decide.NotSent && j.movable(class) {
 		j.sent[s.at.Zone]++
 	}
 	switch r {
-	case decide.Skipped:
+	case decide.NotSent:
 		return
 	case decide.Cancelled:
-		set := j.core.Contracts()
-		if class >= len(set.Classes) || ms < overtakenPart*float64(set.Classes[class].Target)/float64(time.Millisecond) {
+		set := j.core.DecisionSettings()
+		if class >= len(set.Classes) || ms < overtakenPart*float64(set.Classes[class].LatencyObjective)/float64(time.Millisecond) {
 			return
 		}
 		lost = true
@@ -196,8 +196,8 @@
 	}
 }
 
-// Probed is core.Geography's.
-func (j *Joined) Probed(store string, ok bool) {
+// HealthChecked is core.Geography's.
+func (j *Joined) HealthChecked(store string, ok bool) {
 	if s := j.sites[store]; s != nil {
 		if s.misses++; ok {
 			s.misses = 0
@@ -215,7 +215,7 @@
 		for id, s := range c.stores {
 			if s.serves && s.misses < missesMost {
 				whole += s.size * j.set.Cores
-				x.Cores += s.size * j.set.Cores * j.core.Cold(s.started) * max(leastPace, min(1, chancePace*j.core.Pace(id)/usual))
+				x.Cores += s.size * j.set.Cores * j.core.WarmUpFactor(s.started) * max(leastPace, min(1, chancePace*j.core.RelativeRate(id)/usual))
 			}
 		}
 		x.Cores = math.Round(x.Cores*1000) / 1000 // whatever order they were added in
@@ -241,7 +241,7 @@
 	var all []float64
 	for id, s := range j.sites {
 		if s.serves && s.misses < missesMost {
-			all = append(all, j.core.Pace(id))
+			all = append(all, j.core.RelativeRate(id))
 		}
 	}
 	if len(all) == 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -177,7 +177,7 @@
 // underWay is what is left of the contract of a class that has gone: requests of it that are under way may still be sent to such servers alone, and as often,
 // as before. No new ones come.
 func underWay(c decide.Class) decide.Class {
-	return decide.Class{LateWorth: c.LateWorth, Effect: c.Effect, Scope: c.Scope, KeyWindow: c.KeyWindow, Read: c.Read, Bound: c.Bound}
+	return decide.Class{LateWeight: c.LateWeight, Idempotency: c.Idempotency, KeyScope: c.KeyScope, KeyWindow: c.KeyWindow, Read: c.Read, MaxStaleness: c.MaxStaleness}
 }
 
 // Retired tells whether the class of that number is not in the settings any more.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	got := []any{c.Listen, c.Seed, c.Limits.Sockets, c.Known.Generation, c.Classes, c.Kinds, c.ConnectTimeoutMs, c.IdleMs,
-		c.Settings.Classes[0].Bound, c.Settings.Classes[0].Target, c.Settings.MayProbe}
+		c.Settings.Classes[0].MaxStaleness, c.Settings.Classes[0].LatencyObjective, c.Settings.MayCheckHealth}
 	want := []any{"127.0.0.2:1", uint64(0x8c1f30d27a5be964), 1024, int64(41), []string{"a", "b"}, []string{"k1", "k2"}, 120.0,
 		30000.0, 200 * time.Millisecond, 200 * time.Millisecond, true}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -101,7 +101,7 @@
 			t.Error(diff)
 		}
 	}
-	if c.Name != "n3" || c.Settings.Classes[0].Target != 300*time.Millisecond {
+	if c.Name != "n3" || c.Settings.Classes[0].LatencyObjective != 300*time.Millisecond {
 		t.Errorf("changed while serving: %v", c)
 	}
 }
@@ -191,11 +191,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := decide.Class{Target: 1, Deadline: 2, Worth: 3, LateWorth: 0.5, Effect: decide.Keyed, Scope: decide.ScopeGroup, KeyWindow: 4, Read: decide.Write, Bound: 5}
+	was := decide.Class{LatencyObjective: 1, Deadline: 2, PriorityWeight: 3, LateWeight: 0.5, Idempotency: decide.IdempotentWithKey, KeyScope: decide.ScopeGroup, KeyWindow: 4, Read: decide.Write, MaxStaleness: 5}
 	c.Settings.Classes[1] = was
 	next.Classes, next.Settings.Classes = next.Classes[:1], next.Settings.Classes[:1]
 	c.Apply(next)
-	was.Target, was.Deadline, was.Worth = 0, 0, 0
+	was.LatencyObjective, was.Deadline, was.PriorityWeight = 0, 0, 0
 	if diff := cmp.Diff(was, c.Settings.Classes[1]); diff != "" || !c.Retired(1) {
 		t.Errorf("retired %v: %s", c.Retired(1), diff)
 	}
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -10,23 +10,23 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// event is an event that the router has yet to handle, with the time at which it happened.
-type event struct {
+// queuedEvent is an event that the router has yet to handle, with the time at which it happened.
+type queuedEvent struct {
 	at    decide.Time
 	event decide.Event
 }
 
-// handle passes an event of this moment to the router.
-func (c *Core) handle(ev decide.Event) { c.handleAt(clock.Span(c.loop.Now()), ev) }
+// handleEvent passes an event of this moment to the router.
+func (c *Core) handleEvent(ev decide.Event) { c.handleEventAt(clock.Span(c.loop.Now()), ev) }
 
-// handleAt queues an event and, unless an action of an earlier one is being carried out, handles the queue: an event that an
+// handleEventAt queues an event and, unless an action of an earlier one is being carried out, handles the queue: an event that an
 // action causes is handled after all actions of the event before it.
-func (c *Core) handleAt(at decide.Time, ev decide.Event) {
-	c.events = append(c.events, event{at, ev})
-	if c.running {
+func (c *Core) handleEventAt(at decide.Time, ev decide.Event) {
+	c.events = append(c.events, queuedEvent{at, ev})
+	if c.carryingOut {
 		return
 	}
-	c.running = true
+	c.carryingOut = true
 	for i := 0; i < len(c.events); i++ {
 		if c.meter != nil {
 			c.meter.Begin()
@@ -43,11 +43,11 @@
 	c.events = c.events[:0]
 	for _, ref := range c.abandoned {
 		if req, ok := c.requests.Get(ref); ok {
-			c.release(ref, req)
+			c.releaseIfDone(ref, req)
 		}
 	}
-	c.abandoned, c.running = c.abandoned[:0], false
-	if c.checks.On() && c.unreported == 0 {
+	c.abandoned, c.carryingOut = c.abandoned[:0], false
+	if c.checks.On() && c.unreportedEnds == 0 {
 		c.checks.Walk(&c.sinceWalk, c.walkEvery, "core: the walk", c.walk)
 	}
 }
@@ -60,37 +60,37 @@
 		if req, ok := c.requests.Get(refOf(a.ID)); ok && a.Attempt >= 0 && a.Attempt < len(req.attempts) {
 			c.servers.Cancel(req.attempts[a.Attempt].ref)
 		}
-	case decide.Refuse:
-		c.refuse(a, clock.Millis(a.Wait))
+	case decide.Reject:
+		c.reject(a, clock.Millis(a.Wait))
 	case decide.Fail:
 		c.fail(a)
-	case decide.Probe:
-		if c.rec.On() {
-			c.probed[string(a.Server)] = c.loop.Now()
+	case decide.HealthCheck:
+		if c.recorder.On() {
+			c.healthChecksSentAt[string(a.Server)] = c.loop.Now()
 		}
 		id := string(a.Server)
-		if witness := c.witnessing.witness; witness != nil && witness.Withholds(id) { // its answer would not count
-			c.loop.At(c.loop.Now()+withheldProbeMs, func() { c.handle(&decide.ProbeResult{Server: decide.ServerID(id), Result: decide.Failed}) })
-		} else if c.witnessing.pending[id] { // the witness's probe is in flight, whose answer is not the router's
-			c.witnessing.repeat[id] = true
-		} else if c.fleet.prober == nil || !c.fleet.prober.Wanted(id) {
-			c.Probe(id)
+		if witness := c.observation.observer; witness != nil && witness.Ejects(id) { // its answer would not count
+			c.loop.At(c.loop.Now()+unsentHealthCheckMs, func() { c.handleEvent(&decide.HealthCheckResult{Server: decide.ServerID(id), Result: decide.Failed}) })
+		} else if c.observation.pending[id] { // the witness's probe is in flight, whose answer is not the router's
+			c.observation.requestedMeanwhile[id] = true
+		} else if c.fleet.healthCheckSharer == nil || !c.fleet.healthCheckSharer.Delegates(id) {
+			c.CheckHealth(id)
 		}
 	case decide.SetTimer:
 		tag := a.Tag
-		c.loop.At(clock.Millis(a.At), func() { c.handle(&decide.Timer{Tag: tag}) })
+		c.loop.At(clock.Millis(a.At), func() { c.handleEvent(&decide.Timer{Tag: tag}) })
 	case decide.Subscribe:
-		c.countLimit(OfLists, "").do(c, c.dir.Watch)
+		c.useLimit(LimitListCalls, "").run(c, c.directory.Watch)
 	case decide.FetchList:
-		c.countLimit(OfLists, "").do(c, c.dir.Fetch)
+		c.useLimit(LimitListCalls, "").run(c, c.directory.Fetch)
 	case decide.Log:
 		c.log.Info(a.Text)
 	}
 }
 
-func (c *Core) refuse(a *decide.Action, waitMs float64) {
-	if req := c.conclude(a.ID, metrics.Dropped); req != nil {
-		c.decisions.refused[a.Reason]++
+func (c *Core) reject(a *decide.Action, waitMs float64) {
+	if req := c.finishByID(a.ID, metrics.Dropped); req != nil {
+		c.decisions.rejected[a.Reason]++
 		c.logDecision("refuse", req, a)
 		req.client.Refused(waitMs)
 		c.recordAnswer(req, recordpb.Final_FINAL_REFUSED, waitMs)
@@ -101,10 +101,10 @@
 // decision on. Where no attempt has begun on a connection, or each is known not to have run, a retry is harmless, and the client is told so.
 func (c *Core) fail(a *decide.Action) {
 	if req, ok := c.requests.Get(refOf(a.ID)); ok && !req.mayHaveRun() {
-		c.refuse(a, clock.Millis(c.cfg.Settings.MaxRetryAfter))
+		c.reject(a, clock.Millis(c.config.Settings.MaxRetryAfter))
 		return
 	}
-	if req := c.conclude(a.ID, metrics.BadGateway); req != nil {
+	if req := c.finishByID(a.ID, metrics.BadGateway); req != nil {
 		c.decisions.failed[a.Reason]++
 		c.logDecision("fail", req, a)
 		req.client.Failed()
@@ -123,26 +123,26 @@
 		return
 	}
 	if a.Reason != decide.ReasonNone {
-		c.decisions.repeated[a.Reason]++
+		c.decisions.retried[a.Reason]++
 		c.logDecision("repeat", req, a)
 	}
 	no, until := len(req.attempts), req.deadline
 	if a.Wait != 0 {
 		until = min(until, c.loop.Now()+clock.Millis(a.Wait))
 	}
-	req.attempts = append(req.attempts, attempt{server: a.Server, begun: c.loop.Now(), until: until})
-	if req.over || !c.allowed(req, a.Server) || no >= c.cfg.Settings.MaxAttempts || req.deadline <= c.loop.Now() {
-		c.handle(&decide.Outcome{ID: a.ID, Attempt: no, Server: a.Server, Result: decide.Skipped, Final: req.over})
+	req.attempts = append(req.attempts, attempt{server: a.Server, startedAt: c.loop.Now(), writeBefore: until})
+	if req.finished || !c.mayServe(req, a.Server) || no >= c.config.Settings.MaxAttempts || req.deadline <= c.loop.Now() {
+		c.handleEvent(&decide.Outcome{ID: a.ID, Attempt: no, Server: a.Server, Result: decide.NotSent, Final: req.finished})
 		return
 	}
 	req.inFlight++
 	on := backend.Terms{Once: req.once}
-	if a.By < never {
-		on.WriteBefore = clock.Millis(a.By)
-		req.attempts[no].until = min(until, on.WriteBefore)
+	if a.WriteBefore < never {
+		on.WriteBefore = clock.Millis(a.WriteBefore)
+		req.attempts[no].writeBefore = min(until, on.WriteBefore)
 	}
-	if c.witnessing.witness != nil {
-		c.witnessing.witness.Sent(string(a.Server), backend.Tag{Request: ref, Number: no}, req.class)
+	if c.observation.observer != nil {
+		c.observation.observer.Sent(string(a.Server), backend.Tag{Request: ref, Number: no}, req.class)
 	}
 	at := c.servers.Start(string(a.Server), req.query, until, on, backend.Tag{Request: ref, Number: no})
 	req.attempts[no].ref = at
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -22,11 +22,11 @@
 
 // Errors of a request that cannot be passed to the router.
 var (
-	ErrClass  = errors.New("no such class")
-	ErrTenant = errors.New("no such tenant")
-	ErrKey    = errors.New("no key, which its class needs")
-	ErrOpen   = errors.New("a request of this id is open")
-	ErrWrite  = errors.New("a write in a class of reads")
+	ErrUnknownClass     = errors.New("no such class")
+	ErrUnknownTenant    = errors.New("no such tenant")
+	ErrMissingKey       = errors.New("no key, which its class needs")
+	ErrDuplicateID      = errors.New("a request of this id is open")
+	ErrWriteInReadClass = errors.New("a write in a class of reads")
 )
 
 // Servers carries out attempts and probes.
@@ -65,54 +65,54 @@
 
 // Core feeds the router. It must be used on the loop alone.
 type Core struct {
-	loop    Loop
-	log     *slog.Logger
-	cfg     *config.Config
-	router  *decide.Router
-	servers Servers
-	dir     Directory
-
-	classes      map[string]int // numbers of the classes that are in use
-	tenants      map[string]int
-	keys         keys // of keyed requests that may have run
-	ran          keys // of requests that must not run twice and may have run, by id
-	figures      metrics.Figures
-	decisions    decisionCounts
-	classFigures []*metrics.Class // by the classes' numbers
-	processes    int              // processes on the socket, 0 for this one alone
-	peers        int              // poolers that may be sending, 0 for the settings' number
-	zones        numbering
-	kinds        numbering
-
-	requests  slotmap.Table[*request]
-	ids       map[string]slotmap.Ref // the latest request of each id
-	events    []event
-	endsAt    float64 // requests that arrive have their answer by then, 0 for no end
-	running   bool
-	abandoned []slotmap.Ref // requests that were given up while actions are carried out
-	actions   []decide.Action
-
-	rec              *record.Recorder // nil without records
-	recordedRequests uint64           // number of the request recorded last
-	probed           map[string]float64
-	meter            Meter
-	reportSink       ReportSink // nil without one
+	loop      Loop
+	log       *slog.Logger
+	config    *config.Config
+	router    *decide.Router
+	servers   Servers
+	directory Directory
+
+	classNumbers  map[string]int // numbers of the classes that are in use
+	tenantNumbers map[string]int
+	sentKeys      recentKeys // of keyed requests that may have run
+	sentOnce      recentKeys // of requests that must not run twice and may have run, by id
+	metrics       metrics.Figures
+	decisions     decisionCounts
+	classFigures  []*metrics.Class // by the classes' numbers
+	processes     int              // processes on the socket, 0 for this one alone
+	peers         int              // poolers that may be sending, 0 for the settings' number
+	zoneNumbers   nameNumbers
+	kindNumbers   nameNumbers
+
+	requests     slotmap.Table[*request]
+	requestsByID map[string]slotmap.Ref // the latest request of each id
+	events       []queuedEvent
+	answersBy    float64 // requests that arrive have their answer by then, 0 for no end
+	carryingOut  bool
+	abandoned    []slotmap.Ref // requests that were given up while actions are carried out
+	actions      []decide.Action
+
+	recorder           *record.Recorder // nil without records
+	recordedRequests   uint64           // number of the request recorded last
+	healthChecksSentAt map[string]float64
+	meter              Meter
+	reportSink         ReportSink // nil without one
 
 	journal       Journal // nil without one
-	doubt         doubt
+	sessionDoubt  sessionDoubt
 	sessionTokens SessionTokens // nil where sessions' commits are not stored
 
-	bounds     []*bound // limits of the whole fleet
-	leases     Leases   // nil without them
-	fleet      fleet
-	witnessing witnessing
+	limits      []*limit // limits of the whole fleet
+	leases      Leases   // nil without them
+	fleet       fleetState
+	observation serverObservation
 
 	credit Credit // nil where nobody pays ahead
 
-	checks     *invariant.Checks // nil without a checker
-	walkEvery  int               // events between two walks
-	sinceWalk  int
-	unreported int // ends of attempts that the router has yet to handle
+	checks         *invariant.Checks // nil without a checker
+	walkEvery      int               // events between two walks
+	sinceWalk      int
+	unreportedEnds int // ends of attempts that the router has yet to handle
 }
 
 // Journal records how attempts ended, and knows which requests may have run in an earlier process.
@@ -130,7 +130,7 @@
 // SetChecks has the invariants of the core and of the router checked, from the beginning on.
 func (c *Core) SetChecks(checks *invariant.Checks, every int) {
 	c.checks, c.walkEvery = checks, every
-	c.router.Watch(checks, every)
+	c.router.EnableChecks(checks, every)
 }
 
 // Meter measures the time of the decision module.
@@ -144,26 +144,26 @@
 
 // New returns the core of one pooler.
 func New(l Loop, log *slog.Logger, cfg *config.Config) *Core {
-	c := &Core{loop: l, log: log, cfg: cfg, router: decide.New(cfg.Settings, cfg.Seed),
-		decisions: newDecisionCounts(), ids: map[string]slotmap.Ref{}, probed: map[string]float64{}, zones: newNames(cfg.Zones), kinds: newNames(cfg.Kinds)}
+	c := &Core{loop: l, log: log, config: cfg, router: decide.New(cfg.Settings, cfg.Seed),
+		decisions: newDecisionCounts(), requestsByID: map[string]slotmap.Ref{}, healthChecksSentAt: map[string]float64{}, zoneNumbers: numberNames(cfg.Zones), kindNumbers: numberNames(cfg.Kinds)}
 	c.indexNames()
 	return c
 }
 
 // indexNames takes the names and numbers of classes and tenants from the configuration.
 func (c *Core) indexNames() {
-	c.classes, c.classFigures, c.tenants = map[string]int{}, nil, map[string]int{}
-	for i, n := range c.cfg.Tenants {
-		c.tenants[n] = i
+	c.classNumbers, c.classFigures, c.tenantNumbers = map[string]int{}, nil, map[string]int{}
+	for i, n := range c.config.Tenants {
+		c.tenantNumbers[n] = i
 	}
-	for i, n := range c.cfg.Classes {
-		c.classFigures = append(c.classFigures, c.figures.Class(n))
-		if !c.cfg.Retired(i) {
-			c.classes[n] = i
+	for i, n := range c.config.Classes {
+		c.classFigures = append(c.classFigures, c.metrics.Class(n))
+		if !c.config.Retired(i) {
+			c.classNumbers[n] = i
 		}
 	}
-	c.keys.keepMs = keepMs(c.cfg.Settings.Classes)
-	c.ran.keepMs = c.keys.keepMs
+	c.sentKeys.lifetimeMs = keyLifetimeMs(c.config.Settings.Classes)
+	c.sentOnce.lifetimeMs = c.sentKeys.lifetimeMs
 }
 
 // Reload applies the configuration's present settings. Requests in flight keep their class.
@@ -174,18 +174,18 @@
 
 // reload passes the settings to the router, with what the core knows better: processes, peers, zone and assigned limits.
 func (c *Core) reload() {
-	set := c.cfg.Settings
+	set := c.config.Settings
 	set.Processes = max(1, c.processes)
 	if c.peers > 0 {
 		set.Peers = c.peers
 	}
-	if z := set.Zone; z >= 0 && z < len(c.cfg.Zones) {
-		set.Zone = c.zones.number(c.cfg.Zones[z])
+	if z := set.Zone; z >= 0 && z < len(c.config.Zones) {
+		set.Zone = c.zoneNumbers.number(c.config.Zones[z])
 	}
 	c.applyZone(&set)
-	c.applyBounds(&set)
-	set.Shed, set.Repeats, set.Returns = c.fleet.shed, c.fleet.repeats, c.fleet.returns
-	c.handle(&decide.Reload{Settings: set})
+	c.applyLimits(&set)
+	set.Shedding, set.RetryBudget, set.RecoveryRampRate = c.fleet.shedding, c.fleet.retryBudget, c.fleet.recoveryRampRate
+	c.handleEvent(&decide.Reload{Settings: set})
 }
 
 // SetProcesses sets the number of processes that share this pooler's place, and reports whether it changed.
@@ -206,31 +206,31 @@
 	}
 }
 
-// Memory returns what the router knows.
-func (c *Core) Memory() *decide.Memory { return c.router.Memory() }
+// Snapshot returns what the router knows.
+func (c *Core) Snapshot() *decide.Snapshot { return c.router.Snapshot() }
 
-// Recall merges what another router knew into this one's memory.
-func (c *Core) Recall(m *decide.Memory) { c.router.Recall(clock.Span(c.loop.Now()), m) }
+// MergeSnapshot merges what another router knew into this one's memory.
+func (c *Core) MergeSnapshot(m *decide.Snapshot) { c.router.Merge(clock.Span(c.loop.Now()), m) }
 
 // Figures returns the process's figures.
-func (c *Core) Figures() *metrics.Figures { return &c.figures }
+func (c *Core) Figures() *metrics.Figures { return &c.metrics }
 
 // Start joins the core to the servers and the directory, and passes the last known list to the router.
 func (c *Core) Start(s Servers, d Directory) {
-	c.servers, c.dir = s, d
-	if c.fleet.repeats != nil || c.fleet.returns > 0 {
+	c.servers, c.directory = s, d
+	if c.fleet.retryBudget != nil || c.fleet.recoveryRampRate > 0 {
 		c.reload()
 	}
-	c.list(&c.cfg.Known, decide.ListRestored)
+	c.applyList(&c.config.Known, decide.ListRestored)
 }
 
-// Open returns the number of requests that are owed an answer or have attempts in flight.
-func (c *Core) Open() int { return c.requests.Len() }
+// OpenRequests returns the number of requests that are owed an answer or have attempts in flight.
+func (c *Core) OpenRequests() int { return c.requests.Len() }
 
 // EndAt sets the time by which requests of the platform's clients, open ones and new ones, have their answer. Sessions of the other
 // fronts have no deadline and are ended by their fronts.
 func (c *Core) EndAt(ms float64) {
-	c.endsAt = ms
+	c.answersBy = ms
 	var open []slotmap.Ref
 	c.requests.Each(func(ref slotmap.Ref, _ *request) { open = append(open, ref) })
 	for _, ref := range open {
@@ -241,9 +241,9 @@
 // AnswerBy implements platform.Desk. It brings forward the deadline of a request of the platform's clients.
 func (c *Core) AnswerBy(ref slotmap.Ref, ms float64) {
 	req, ok := c.requests.Get(ref)
-	if !ok || !req.platform || req.over || req.deadline <= ms {
+	if !ok || !req.platform || req.finished || req.deadline <= ms {
 		return
 	}
 	req.deadline = ms
-	c.handle(&decide.Hasten{ID: requestID(ref), By: clock.Span(ms)})
+	c.handleEvent(&decide.ShortenDeadline{ID: requestID(ref), By: clock.Span(ms)})
 }
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -22,45 +22,45 @@
 
 // payment is a request's state with its tenant's funds.
 type payment struct {
-	tenant  string
-	hold    lease.Hold
-	pending *decide.Request // what the router gets once the request is admitted; nil otherwise
-	since   float64
+	tenant       string
+	creditHold   lease.Hold
+	pending      *decide.Request // what the router gets once the request is admitted; nil otherwise
+	waitingSince float64
 }
 
 func creditTag(ref slotmap.Ref) uint64 { return uint64(ref.Index)<<32 | uint64(ref.Gen) }
 
-// funded reports whether a request may go on now.
-func (c *Core) funded(ref slotmap.Ref, req *request, incoming *platform.Request, ev *decide.Request) bool {
-	req.payment.tenant, req.payment.pending, req.payment.since = incoming.Tenant, ev, c.loop.Now() // Funded may be called before Hold returns
+// holdCredit reports whether a request may go on now.
+func (c *Core) holdCredit(ref slotmap.Ref, req *request, incoming *platform.Request, ev *decide.Request) bool {
+	req.payment.tenant, req.payment.pending, req.payment.waitingSince = incoming.Tenant, ev, c.loop.Now() // Funded may be called before Hold returns
 	hold, v := c.credit.Hold(incoming.Tenant, incoming.Class, incoming.Session, creditTag(ref))
 	if v == lease.Wait {
-		c.loop.At(max(req.payment.since, incoming.Deadline-refusalMarginMs), func() { c.overdue(ref) })
+		c.loop.At(max(req.payment.waitingSince, incoming.Deadline-creditDeadlineMarginMs), func() { c.rejectOverdue(ref) })
 		return false
 	}
-	req.payment.pending, req.payment.hold = nil, hold
+	req.payment.pending, req.payment.creditHold = nil, hold
 	if v != lease.Pass {
-		c.unfunded(ref, req, v == lease.Slow)
+		c.rejectUnfunded(ref, req, v == lease.Slow)
 	}
 	return v == lease.Pass
 }
 
-const refusalMarginMs = 5 // a request that waits for funds is refused so long before its deadline, so that its client hears of it
+const creditDeadlineMarginMs = 5 // a request that waits for funds is refused so long before its deadline, so that its client hears of it
 
-// overdue refuses a request that has waited for funds as long as its client does.
-func (c *Core) overdue(ref slotmap.Ref) {
+// rejectOverdue refuses a request that has waited for funds as long as its client does.
+func (c *Core) rejectOverdue(ref slotmap.Ref) {
 	if req, ok := c.requests.Get(ref); ok && req.payment.pending != nil {
 		req.payment.pending = nil
 		c.credit.Cancel(req.payment.tenant, creditTag(ref))
-		c.unfunded(ref, req, false)
+		c.rejectUnfunded(ref, req, false)
 	}
 }
 
-// unfunded refuses a request for lack of funds.
-func (c *Core) unfunded(ref slotmap.Ref, req *request, slowed bool) {
+// rejectUnfunded refuses a request for lack of funds.
+func (c *Core) rejectUnfunded(ref slotmap.Ref, req *request, slowed bool) {
 	c.finish(req, metrics.Dropped)
-	c.release(ref, req) // its client may ask, or give up, something else at once
-	wait := min(clock.Millis(c.cfg.Settings.MaxRetryAfter), adviceMs+float64(creditTag(ref)%adviceMs))
+	c.releaseIfDone(ref, req) // its client may ask, or give up, something else at once
+	wait := min(clock.Millis(c.config.Settings.MaxRetryAfter), minCreditRetryAfterMs+float64(creditTag(ref)%minCreditRetryAfterMs))
 	if b, ok := req.client.(platform.PrepaidClient); ok {
 		b.RefusedUnfunded(slowed, wait)
 	} else {
@@ -69,7 +69,7 @@
 	c.recordAnswer(req, recordpb.Final_FINAL_REFUSED, wait)
 }
 
-const adviceMs = 1000 // a payment usually arrives sooner; the advice is up to twice that, so that clients do not return together
+const minCreditRetryAfterMs = 1000 // a payment usually arrives sooner; the advice is up to twice that, so that clients do not return together
 
 // Funded admits a request that waited for funds.
 func (c *Core) Funded(tag uint64, hold lease.Hold) {
@@ -79,17 +79,17 @@
 		return
 	}
 	ev := req.payment.pending
-	if req.payment.pending, req.payment.hold = nil, hold; ev.SinceOwn > 0 {
-		ev.SinceOwn += clock.Span(c.loop.Now() - req.payment.since)
+	if req.payment.pending, req.payment.creditHold = nil, hold; ev.SinceCommit > 0 {
+		ev.SinceCommit += clock.Span(c.loop.Now() - req.payment.waitingSince)
 	}
-	c.handle(ev)
+	c.handleEvent(ev)
 }
 
 // Unfunded refuses a request that waited for funds.
 func (c *Core) Unfunded(tag uint64) {
 	if req, ok := c.requests.Get(creditRef(tag)); ok && req.payment.pending != nil {
 		req.payment.pending = nil
-		c.unfunded(creditRef(tag), req, false)
+		c.rejectUnfunded(creditRef(tag), req, false)
 	}
 }
 
@@ -97,13 +97,13 @@
 	return slotmap.Ref{Index: uint32(tag >> 32), Gen: uint32(tag)}
 }
 
-// settle ends the hold on a tenant's funds: once for each request, however many attempts it had.
-func (c *Core) settle(req *request, end metrics.End) {
+// settleCredit ends the hold on a tenant's funds: once for each request, however many attempts it had.
+func (c *Core) settleCredit(req *request, end metrics.End) {
 	d, sent := lease.Done{}, false
 	from := 0.0
 	for i := range req.attempts {
-		if t := &req.attempts[i]; t.written && (!sent || t.begun < from) {
-			sent, from = true, t.begun
+		if t := &req.attempts[i]; t.written && (!sent || t.startedAt < from) {
+			sent, from = true, t.startedAt
 		}
 	}
 	switch {
@@ -118,5 +118,5 @@
 	case end != metrics.Dropped && sent:
 		d.Failed = 1
 	}
-	c.credit.Settle(&req.payment.hold, d)
+	c.credit.Settle(&req.payment.creditHold, d)
 }
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -66,7 +66,7 @@
 func TestRequestIsPaidForAndSettledOnce(t *testing.T) {
 	begin := func(say lease.Verdict) (*Core, *payer, *asker, *counting, slotmap.Ref) {
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
-			Classes: []decide.Class{{Target: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Read: decide.ReadAny}}},
+			Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 			Known: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
 		c, servers, p, a := New(still{}, slog.New(slog.DiscardHandler), cfg), &counting{}, &payer{say: say}, &asker{}
 		c.Start(servers, still{})
@@ -126,7 +126,7 @@
 // request of its own at that moment, as a scattered read does.
 func TestCreditMayDecideBeforeHoldReturns(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
-		Classes: []decide.Class{{Target: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Read: decide.ReadAny}}},
+		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		Known: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
 	servers, p := &counting{}, &payer{say: lease.Wait}
 	c := New(still{}, slog.New(slog.DiscardHandler), cfg)
@@ -186,12 +186,12 @@
 // TestUnfundedRequestIsRefusedInItsTime: what waits for funds is refused by its client's own time, and one whose time is past already at once.
 func TestUnfundedRequestIsRefusedInItsTime(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8,
-		Classes: []decide.Class{{Target: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Read: decide.ReadAny}}}}
+		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}}}
 	loop, p, a := &hung{}, &payer{say: lease.Wait}, &asker{}
 	c := New(loop, slog.New(slog.DiscardHandler), cfg)
 	c.Start(&counting{}, still{})
 	c.SetCredit(p)
-	for i, x := range []struct{ due, at float64 }{{1e6 + 80, 1e6 + 80 - refusalMarginMs}, {1e6 - 300, 1e6}} {
+	for i, x := range []struct{ due, at float64 }{{1e6 + 80, 1e6 + 80 - creditDeadlineMarginMs}, {1e6 - 300, 1e6}} {
 		if _, err := c.Ask(platform.Request{ID: "1", Class: "read", Deadline: x.due, Query: still{}}, a); err != nil {
 			t.Fatal(err)
 		}
@@ -199,8 +199,8 @@
 			t.Errorf("due %.0f: it ends at %.0f, want %.0f", x.due, loop.at, x.at)
 			continue
 		}
-		if loop.do(); len(a.heard) != i+1 || len(p.told) != i+1 || c.Open() != 0 {
-			t.Errorf("heard %v, the purse %v, %d open", a.heard, p.told, c.Open())
+		if loop.do(); len(a.heard) != i+1 || len(p.told) != i+1 || c.OpenRequests() != 0 {
+			t.Errorf("heard %v, the purse %v, %d open", a.heard, p.told, c.OpenRequests())
 		}
 	}
 }
@@ -209,24 +209,24 @@
 // router as skipped: else it would count an attempt as out for ever.
 func TestRequestGivenUpAmongActionsIsSkipped(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8,
-		Classes: []decide.Class{{Target: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Read: decide.ReadAny}}}}
+		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}}}
 	c := New(still{}, slog.New(slog.DiscardHandler), cfg)
 	c.Start(&counting{}, still{})
-	ref := c.requests.Put(&request{id: "1", client: still{}, deadline: 1e6 + 9000, figures: c.classFigures[0]})
-	c.figures.Open++
-	c.running = true
+	ref := c.requests.Put(&request{id: "1", client: still{}, deadline: 1e6 + 9000, classMetrics: c.classFigures[0]})
+	c.metrics.Open++
+	c.carryingOut = true
 	c.Gone(ref)
 	c.carryOut(&decide.Action{Kind: decide.Send, ID: requestID(ref), Server: "s"})
 	skipped := false
 	for _, e := range c.events {
 		o, ok := e.event.(*decide.Outcome)
-		skipped = skipped || ok && o.Result == decide.Skipped && o.Final && o.ID == requestID(ref)
+		skipped = skipped || ok && o.Result == decide.NotSent && o.Final && o.ID == requestID(ref)
 	}
 	if !skipped {
 		t.Error("the router does not hear that it was not sent")
 	}
-	c.events, c.running = nil, false
-	if c.handle(&decide.Timer{}); c.Open() != 0 {
-		t.Errorf("%d requests are kept", c.Open())
+	c.events, c.carryingOut = nil, false
+	if c.handleEvent(&decide.Timer{}); c.OpenRequests() != 0 {
+		t.Errorf("%d requests are kept", c.OpenRequests())
 	}
 }
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -10,22 +10,22 @@
 
 // decisionCounts are the numbers of decisions by their reason.
 type decisionCounts struct {
-	refused, failed, repeated []uint64
+	rejected, failed, retried []uint64
 }
 
 func newDecisionCounts() decisionCounts {
 	n := len(decide.Reasons())
-	return decisionCounts{refused: make([]uint64, n), failed: make([]uint64, n), repeated: make([]uint64, n)}
+	return decisionCounts{rejected: make([]uint64, n), failed: make([]uint64, n), retried: make([]uint64, n)}
 }
 
-// tell writes the numbers to a sheet.
-func (counts *decisionCounts) tell(figures *exposition.Sheet) {
+// writeMetrics writes the numbers to a sheet.
+func (counts *decisionCounts) writeMetrics(figures *exposition.Sheet) {
 	decisions := figures.Part("decisions")
 	for _, reason := range decide.Reasons()[1:] { // there is none without a reason
 		of := decisions.Of("reason", reason.String())
-		of.Count("refused", counts.refused[reason])
+		of.Count("refused", counts.rejected[reason])
 		of.Count("failed", counts.failed[reason])
-		of.Count("repeated", counts.repeated[reason])
+		of.Count("repeated", counts.retried[reason])
 	}
 }
 
@@ -38,6 +38,6 @@
 	if n := len(req.attempts); n > 0 {
 		last = string(req.attempts[n-1].server)
 	}
-	c.log.Debug("decision", "what", what, "reason", a.Reason.String(), "request", req.id, "class", c.cfg.Classes[req.class], "attempts", len(req.attempts),
+	c.log.Debug("decision", "what", what, "reason", a.Reason.String(), "request", req.id, "class", c.config.Classes[req.class], "attempts", len(req.attempts),
 		"in_flight", req.inFlight, "last_server", last, "server", string(a.Server), "left_ms", req.deadline-c.loop.Now())
 }
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -18,19 +18,19 @@
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	d.skip(0)     // the connection was not to be had: it is sent again
 	l.now += 3000 // beyond its deadline
-	c.handle(&decide.Timer{})
+	c.handleEvent(&decide.Timer{})
 	for _, line := range []string{`msg=decision what=repeat reason=unanswered request=1 class=write attempts=1`, `msg=decision what=refuse reason=`} {
 		if !strings.Contains(log.String(), line) {
 			t.Errorf("no %q in\n%s", line, &log)
 		}
 	}
 	figures := &exposition.Sheet{}
-	c.WriteFigures(figures)
+	c.WriteMetrics(figures)
 	text, err := figures.Text()
 	if err != nil || !strings.Contains(string(text), "decisions") {
 		t.Error(err, string(text))
 	}
-	if c.decisions.repeated[decide.ReasonUnanswered] == 0 {
+	if c.decisions.retried[decide.ReasonRetry] == 0 {
 		t.Errorf("%+v", c.decisions)
 	}
 }
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -41,7 +41,7 @@
 	if d.core.AttemptGoes(tag) { // it has a connection; of one that waits sends_test.go tells
 		d.out = append(d.out, tag)
 	} else {
-		d.core.AttemptEnded(tag, backend.Outcome{Result: decide.Skipped})
+		d.core.AttemptEnded(tag, backend.Outcome{Result: decide.NotSent})
 	}
 	return slotmap.Ref{Index: uint32(tag.Number) + 1, Gen: 1}
 }
@@ -69,8 +69,8 @@
 	for i := range 3 {
 		list = append(list, discovery.Instance{ID: fmt.Sprint("s", i), HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1})
 	}
-	cfg := &config.Config{Classes: []string{"read", "write"}, Settings: decide.Settings{Peers: 2, Tick: time.Millisecond, MaxAttempts: 4, MayCancel: true, MayDuplicate: true, MayProbe: true,
-		Classes: []decide.Class{{Target: time.Second, Deadline: 3 * time.Second, Worth: 1, Read: decide.ReadAny}, {Target: time.Second, Deadline: 3 * time.Second, Worth: 1, Read: decide.Write, Effect: decide.Unsafe}}},
+	cfg := &config.Config{Classes: []string{"read", "write"}, Settings: decide.Settings{Peers: 2, Tick: time.Millisecond, MaxAttempts: 4, MayCancel: true, MayDuplicate: true, MayCheckHealth: true,
+		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}, {LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Read: decide.Write, Idempotency: decide.NotIdempotent}}},
 		Known: discovery.List{Reset: true, Instances: list}}
 	d.core = New(d, slog.New(slog.DiscardHandler), cfg)
 	d.core.SetChecks(c, 1)
@@ -103,7 +103,7 @@
 					i := pick(n)
 					tag := d.out[i]
 					d.out = slices.Delete(d.out, i, i+1)
-					outcome := backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Missed)).Draw(t, "result"))}
+					outcome := backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Misdirected)).Draw(t, "result"))}
 					if rapid.Bool().Draw(t, "says") {
 						outcome.Report = backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: d.now, HasPos: true}
 					}
@@ -163,14 +163,14 @@
 		name string
 		poke func(c *Core, req *request)
 	}{
-		{"core: of what is over nothing is kept", func(_ *Core, req *request) { req.over, req.inFlight = true, 0 }},
+		{"core: of what is over nothing is kept", func(_ *Core, req *request) { req.finished, req.inFlight = true, 0 }},
 		{"core: attempts out are of those made", func(_ *Core, req *request) { req.inFlight = 9 }},
-		{"core: each request has its id", func(c *Core, req *request) { delete(c.ids, req.id) }},
-		{"core: the router has the requests that are owed an answer", func(_ *Core, req *request) { req.over = true }},
+		{"core: each request has its id", func(c *Core, req *request) { delete(c.requestsByID, req.id) }},
+		{"core: the router has the requests that are owed an answer", func(_ *Core, req *request) { req.finished = true }},
 		{"core: the router has the attempts that are out", func(_ *Core, req *request) { req.inFlight++ }},
 		{"core: what waits for funds has not been sent", func(_ *Core, req *request) { req.payment.pending, req.attempts = &decide.Request{}, []attempt{{}} }},
-		{"core: an answer that is held is the request's last", func(_ *Core, req *request) { req.held = &heldAnswer{} }},
-		{"core: the figure is of those in progress", func(c *Core, _ *request) { c.figures.Open++ }},
+		{"core: an answer that is held is the request's last", func(_ *Core, req *request) { req.delayedAnswer = &delayedAnswer{} }},
+		{"core: the figure is of those in progress", func(c *Core, _ *request) { c.metrics.Open++ }},
 	} {
 		d, c := newDrawn(nil), invariant.New(nil)
 		d.ask("read", 3000)
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -7,22 +7,22 @@
 	"beechgrade/internal/decide"
 )
 
-// Of is what a limit of the whole fleet applies to.
-type Of uint8
+// LimitKind is what a limit of the whole fleet applies to.
+type LimitKind uint8
 
 // What a limit may apply to.
 const (
-	OfTenant Of = iota // a tenant's requests a second
-	OfCold             // the fall budget of cold servers, whose whole is 1
-	OfProbes           // probes a second
-	OfLists            // calls for lists a second
-	OfDials            // new connections to servers a second
+	LimitTenantRequests LimitKind = iota // a tenant's requests a second
+	LimitSlowStart                       // the fall budget of cold servers, whose whole is 1
+	LimitHealthChecks                    // probes a second
+	LimitListCalls                       // calls for lists a second
+	LimitDials                           // new connections to servers a second
 )
 
-// Bound is a limit of the whole fleet, of which peers assign a part to this pooler.
-type Bound struct {
-	Limit  string
-	Of     Of
+// Limit is a limit of the whole fleet, of which peers assign a part to this pooler.
+type Limit struct {
+	Name   string
+	Kind   LimitKind
 	Tenant string
 	Amount float64 // of the whole fleet
 	Hard   bool    // a tenant's requests beyond it are refused
@@ -34,30 +34,30 @@
 	Expire()
 }
 
-// bound is a Bound with the part that is assigned to this pooler, and its demand.
-type bound struct {
-	Bound
-	amount, burst float64
-	flow          rateMeter
-	pace          pace
+// limit is a Bound with the part that is assigned to this pooler, and its demand.
+type limit struct {
+	Limit
+	assigned, burst float64
+	demand          rateMeter
+	pacer           pacer
 }
 
-// Bind sets the limits that the core keeps to. Until a part is assigned, nothing of a limit may be used. Limits that were bound before
+// SetLimits sets the limits that the core keeps to. Until a part is assigned, nothing of a limit may be used. Limits that were bound before
 // keep their parts.
-func (c *Core) Bind(list []Bound, l Leases) {
-	old := c.bounds
-	c.bounds, c.leases = nil, l
+func (c *Core) SetLimits(list []Limit, l Leases) {
+	old := c.limits
+	c.limits, c.leases = nil, l
 	for _, b := range list {
-		n := &bound{Bound: b, pace: pace{limited: true}}
-		if i := slices.IndexFunc(old, func(o *bound) bool { return o.Limit == b.Limit && o.Of == b.Of && o.Tenant == b.Tenant }); i >= 0 {
+		n := &limit{Limit: b, pacer: pacer{limited: true}}
+		if i := slices.IndexFunc(old, func(o *limit) bool { return o.Name == b.Name && o.Kind == b.Kind && o.Tenant == b.Tenant }); i >= 0 {
 			n = old[i]
-			n.Bound = b
+			n.Limit = b
 		}
-		c.bounds = append(c.bounds, n)
+		c.limits = append(c.limits, n)
 	}
 	for _, o := range old {
-		if !slices.Contains(c.bounds, o) {
-			o.pace.open(c)
+		if !slices.Contains(c.limits, o) {
+			o.pacer.lift(c)
 		}
 	}
 	c.reload()
@@ -65,12 +65,12 @@
 
 // Allow assigns a part of a limit, and reports whether the limit is one of the core's.
 func (c *Core) Allow(limit string, amount, burst float64) bool {
-	for _, b := range c.bounds {
-		if b.Limit != limit {
+	for _, b := range c.limits {
+		if b.Name != limit {
 			continue
 		}
-		b.amount, b.burst = amount, burst
-		if b.pace.set(c, amount, burst); b.Of == OfTenant || b.Of == OfCold {
+		b.assigned, b.burst = amount, burst
+		if b.pacer.setRate(c, amount, burst); b.Kind == LimitTenantRequests || b.Kind == LimitSlowStart {
 			c.reload()
 		}
 		return true
@@ -80,39 +80,39 @@
 
 // Demand returns what this pooler would use of a limit a second, and false for a limit that is not the core's.
 func (c *Core) Demand(limit string) (float64, bool) {
-	for _, b := range c.bounds {
-		if b.Limit == limit {
-			return b.flow.rate(c.loop.Now()), true
+	for _, b := range c.limits {
+		if b.Name == limit {
+			return b.demand.rate(c.loop.Now()), true
 		}
 	}
 	return 0, false
 }
 
-// applyBounds puts the assigned parts into settings.
-func (c *Core) applyBounds(set *decide.Settings) {
+// applyLimits puts the assigned parts into settings.
+func (c *Core) applyLimits(set *decide.Settings) {
 	cloned := false
-	for _, b := range c.bounds {
-		switch b.Of {
-		case OfTenant:
-			i, ok := c.tenants[b.Tenant]
+	for _, b := range c.limits {
+		switch b.Kind {
+		case LimitTenantRequests:
+			i, ok := c.tenantNumbers[b.Tenant]
 			if !ok || i >= len(set.Tenants) {
 				continue
 			}
 			if !cloned {
 				set.Tenants, cloned = slices.Clone(set.Tenants), true
 			}
-			set.Tenants[i] = decide.Tenant{Allowance: b.Amount, Assigned: true, Own: b.amount, Depth: b.burst, Hard: b.Hard}
-		case OfCold:
-			set.ColdAssigned, set.ColdPart = true, b.amount
+			set.Tenants[i] = decide.Tenant{RateLimit: b.Amount, Assigned: true, AssignedRate: b.assigned, Burst: b.burst, RejectOverLimit: b.Hard}
+		case LimitSlowStart:
+			set.SlowStartAssigned, set.SlowStartPart = true, b.assigned
 		}
 	}
 }
 
-// countLimit counts one use of a limit and returns it, nil without a limit.
-func (c *Core) countLimit(of Of, tenant string) *bound {
-	for _, b := range c.bounds {
-		if b.Of == of && (of != OfTenant || b.Tenant == tenant) {
-			b.flow.count(c.loop.Now())
+// useLimit counts one use of a limit and returns it, nil without a limit.
+func (c *Core) useLimit(of LimitKind, tenant string) *limit {
+	for _, b := range c.limits {
+		if b.Kind == of && (of != LimitTenantRequests || b.Tenant == tenant) {
+			b.demand.count(c.loop.Now())
 			return b
 		}
 	}
@@ -127,81 +127,81 @@
 }
 
 // rateMeter measures a rate a second: over the last second, or over more where little happens.
-type rateMeter struct{ n, long, at float64 }
+type rateMeter struct{ recent, slow, fadedAt float64 }
 
 const (
-	flowMs = 1000 // memory of a rate...
-	longMs = 8000 // ...and of a low one
-	thin   = 8    // a rate with fewer in flowMs is low
+	rateMemoryMs     = 1000 // memory of a rate...
+	slowRateMemoryMs = 8000 // ...and of a low one
+	minRecentEvents  = 8    // a rate with fewer in rateMemoryMs is low
 )
 
 func (f *rateMeter) fade(now float64) {
-	past := max(0, now-f.at)
-	f.n, f.long = f.n*math.Exp(-past/flowMs), f.long*math.Exp(-past/longMs)
-	f.at = max(f.at, now)
+	past := max(0, now-f.fadedAt)
+	f.recent, f.slow = f.recent*math.Exp(-past/rateMemoryMs), f.slow*math.Exp(-past/slowRateMemoryMs)
+	f.fadedAt = max(f.fadedAt, now)
 }
 
 func (f *rateMeter) count(now float64) {
 	f.fade(now)
-	f.n++
-	f.long++
+	f.recent++
+	f.slow++
 }
 
 func (f *rateMeter) rate(now float64) float64 {
-	if f.fade(now); f.n >= thin {
-		return f.n * 1000 / flowMs
+	if f.fade(now); f.recent >= minRecentEvents {
+		return f.recent * 1000 / rateMemoryMs
 	}
-	return f.long * 1000 / longMs
+	return f.slow * 1000 / slowRateMemoryMs
 }
 
-// pace queues this pooler's own actions (probes, list calls, dials) within a limit.
-type pace struct {
-	limited     bool
-	rate, depth float64
-	tokens, at  float64
-	waiting     []func()
-	timed       bool
+// pacer queues this pooler's own actions (probes, list calls, dials) within a limit.
+type pacer struct {
+	limited          bool
+	rate, burst      float64
+	tokens, filledAt float64
+	waiting          []func()
+	timerSet         bool
 }
 
-func (p *pace) fill(now float64) {
-	p.tokens = min(p.depth, p.tokens+p.rate*max(0, now-p.at)/1000)
-	p.at = max(p.at, now)
+func (p *pacer) fill(now float64) {
+	p.tokens = min(p.burst, p.tokens+p.rate*max(0, now-p.filledAt)/1000)
+	p.filledAt = max(p.filledAt, now)
 }
 
-func (p *pace) set(c *Core, rate, depth float64) {
+func (p *pacer) setRate(c *Core, rate, depth float64) {
 	now := c.loop.Now()
 	if p.fill(now); !p.limited {
 		p.tokens = 0
 	}
-	p.limited, p.rate, p.depth = true, rate, depth
+	p.limited, p.rate, p.burst = true, rate, depth
 	p.fill(now)
 	p.release(c)
 }
 
-// open lifts the limit and lets everything go that waits.
-func (p *pace) open(c *Core) {
+// lift lifts the limit and lets everything go that waits.
+func (p *pacer) lift(c *Core) {
 	p.limited = false
 	p.release(c)
 }
 
-// maxWaiting bounds the queue; the router has one probe in flight to each server at most.
-const maxWaiting = 4096
+// maxQueuedActions bounds the queue; the router has one probe in flight to each server at most.
+const maxQueuedActions = 4096
 
-func (b *bound) do(c *Core, f func()) {
-	if b == nil || len(b.pace.waiting) >= maxWaiting {
+func (b *limit) run(c *Core, f func()) {
+	if b == nil || len(b.pacer.waiting) >= maxQueuedActions {
 		f()
 		return
 	}
-	b.pace.waiting = append(b.pace.waiting, f)
-	b.pace.release(c)
+	b.pacer.waiting = append(b.pacer.waiting, f)
+	b.pacer.release(c)
 }
 
-// Dial begins a connection to a server, within the fleet's limit of dials.
-func (c *Core) Dial(do func()) { c.countLimit(OfDials, "").do(c, do) }
+// LimitDial begins a connection to a server, within the fleet's limit of dials.
+func (c *Core) LimitDial(do func()) { c.useLimit(LimitDials, "").run(c, do) }
 
-const minWaitMs = 5
+const minPacerWaitMs = 5
 
-func (p *pace) release(c *Core) {
+func (p *pacer) release(c *Core) {
 	p.fill(c.loop.Now())
 	for len(p.waiting) > 0 && (!p.limited || p.tokens >= 1) {
 		f := p.waiting[0]
@@ -209,10 +209,10 @@
 		p.tokens--
 		f()
 	}
-	if len(p.waiting) > 0 && p.rate > 0 && !p.timed {
-		p.timed = true
-		c.loop.At(c.loop.Now()+max(minWaitMs, (1-p.tokens)*1000/p.rate), func() {
-			p.timed = false
+	if len(p.waiting) > 0 && p.rate > 0 && !p.timerSet {
+		p.timerSet = true
+		c.loop.At(c.loop.Now()+max(minPacerWaitMs, (1-p.tokens)*1000/p.rate), func() {
+			p.timerSet = false
 			p.release(c)
 		})
 	}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -48,12 +48,12 @@
 func TestLimitAllowsOnlyWhatWasAssigned(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Tenants: []string{"a", "b"}, Settings: decide.Settings{Peers: 4, Tick: time.Millisecond, MaxAttempts: 8,
 		MaxRetryAfter: 2 * time.Second, Tenants: make([]decide.Tenant, 2),
-		Classes: []decide.Class{{Target: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Read: decide.ReadAny}}},
+		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		Known: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
 	l, servers, client, lease := &hand{now: 1e6}, &counting{}, &ends{}, &leases{due: 1e12}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
 	c.Start(servers, l)
-	c.Bind([]Bound{{Limit: "x", Of: OfTenant, Tenant: "a", Amount: 100, Hard: true}}, lease)
+	c.SetLimits([]Limit{{Name: "x", Kind: LimitTenantRequests, Tenant: "a", Amount: 100, Hard: true}}, lease)
 	n := 0
 	ask := func(tenant string, times int) (let int) {
 		t.Helper()
@@ -93,7 +93,7 @@
 	if got := ask("a", 9); got != 0 {
 		t.Errorf("%d by a lease that was over", got)
 	}
-	c.Bind(nil, nil)
+	c.SetLimits(nil, nil)
 	if got := ask("a", 9); got != 9 {
 		t.Errorf("%d of 9 without the limit", got)
 	}
@@ -107,9 +107,9 @@
 	l := &hand{now: 1e6}
 	c := New(l, slog.New(slog.DiscardHandler), &config.Config{})
 	c.Start(&counting{}, l)
-	c.Bind([]Bound{{Limit: "p", Of: OfProbes}}, nil)
+	c.SetLimits([]Limit{{Name: "p", Kind: LimitHealthChecks}}, nil)
 	done := 0
-	probe := func() { c.countLimit(OfProbes, "").do(c, func() { done++ }) }
+	probe := func() { c.useLimit(LimitHealthChecks, "").run(c, func() { done++ }) }
 	for range 5 {
 		probe()
 	}
@@ -134,7 +134,7 @@
 	if d, ok := c.Demand("p"); !ok || d > 0.3 {
 		t.Errorf("a demand of %v long after", d)
 	}
-	c.Bind(nil, nil)
+	c.SetLimits(nil, nil)
 	if done != 5 {
 		t.Errorf("%d once there is no limit", done)
 	}
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-func (c *Core) reportServer(server string, outcome *backend.Outcome) {
+func (c *Core) forwardReport(server string, outcome *backend.Outcome) {
 	if c.reportSink != nil && (outcome.Role != decide.RoleUnknown || outcome.HasPos) {
 		c.reportSink.ServerReported(server, outcome.Role == decide.RolePrimary, outcome.Role == decide.RoleReplica, outcome.Position)
 	}
@@ -30,10 +30,10 @@
 	if !ok {
 		return nil
 	}
-	c.unreported++
+	c.unreportedEnds++
 	req.inFlight--
 	c.AttemptWritten(tag)
-	server, final := req.attempts[tag.Number].server, req.over
+	server, final := req.attempts[tag.Number].server, req.finished
 	outcome := backend.Outcome{Result: decide.OK}
 	c.countAttempt(req, tag.Number, outcome.Result)
 	if req.wroteSession != "" && !final { // an answer that is passed on as it comes cannot wait for the commit
@@ -44,13 +44,13 @@
 		c.journal.Ended(tag, outcome.Result)
 	}
 	if taker, ok := req.client.(platform.Taker); ok && !final {
-		req.over, req.stream = true, &stream{Flow: taker.Take(), core: c, ref: tag.Request, stop: stop}
+		req.finished, req.stream = true, &stream{Flow: taker.Take(), core: c, ref: tag.Request, stop: stop}
 		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
 	}
 	f := req.stream
-	c.release(tag.Request, req)
-	c.unreported--
-	c.handle(&decide.Outcome{ID: requestID(tag.Request), Attempt: tag.Number, Server: server, Result: outcome.Result, Final: req.over})
+	c.releaseIfDone(tag.Request, req)
+	c.unreportedEnds--
+	c.handleEvent(&decide.Outcome{ID: requestID(tag.Request), Attempt: tag.Number, Server: server, Result: outcome.Result, Final: req.finished})
 	if f == nil || final {
 		return nil
 	}
@@ -70,9 +70,9 @@
 // streamEnded ends a request whose answer was passed on as it came.
 func (c *Core) streamEnded(ref slotmap.Ref, end metrics.End) {
 	if req, ok := c.requests.Get(ref); ok && req.stream != nil {
-		req.stream, req.answered = nil, end == metrics.Passed && !req.leftUnread()
+		req.stream, req.answerDelivered = nil, end == metrics.Passed && !req.closedBeforeAnswer()
 		c.finish(req, end)
-		c.release(ref, req)
+		c.releaseIfDone(ref, req)
 	}
 }
 
@@ -80,9 +80,9 @@
 func (c *Core) AttemptWritten(tag backend.Tag) {
 	if req, ok := c.requests.Get(tag.Request); ok && !req.attempts[tag.Number].written {
 		req.attempts[tag.Number].written = true
-		c.checkSend(req, tag.Number)
-		c.keys.sent(req.key, req.attempts[tag.Number].begun, c.loop.Now())
-		c.figures.Tries++
+		c.checkWritten(req, tag.Number)
+		c.sentKeys.recordSend(req.key, req.attempts[tag.Number].startedAt, c.loop.Now())
+		c.metrics.Tries++
 	}
 }
 
@@ -92,16 +92,16 @@
 	if !ok {
 		return
 	}
-	c.unreported++
+	c.unreportedEnds++
 	req.inFlight--
 	switch outcome.Result {
-	case decide.OK, decide.Missed, decide.Failed, decide.Reset: // an attempt that was answered, or broke in flight, was written
+	case decide.OK, decide.Misdirected, decide.Failed, decide.Reset: // an attempt that was answered, or broke in flight, was written
 		c.AttemptWritten(tag)
 	}
 	switch outcome.Result {
-	case decide.Missed, decide.Full, decide.Unreachable, decide.Skipped:
-		c.keys.forget(req.key, req.attempts[tag.Number].begun)
-		req.attempts[tag.Number].notRun = true
+	case decide.Misdirected, decide.Overloaded, decide.Unreachable, decide.NotSent:
+		c.sentKeys.forget(req.key, req.attempts[tag.Number].startedAt)
+		req.attempts[tag.Number].didNotRun = true
 	}
 	server := req.attempts[tag.Number].server
 	c.countAttempt(req, tag.Number, outcome.Result)
@@ -109,42 +109,42 @@
 	if c.journal != nil {
 		c.journal.Ended(tag, outcome.Result)
 	}
-	c.reportServer(string(server), &outcome)
-	if outcome.Result == decide.OK && !req.over && c.holdAnswer(tag.Request, req, &outcome) {
-		req.over = true
-	} else if outcome.Result == decide.OK && !req.over {
+	c.forwardReport(string(server), &outcome)
+	if outcome.Result == decide.OK && !req.finished && c.delayAnswer(tag.Request, req, &outcome) {
+		req.finished = true
+	} else if outcome.Result == decide.OK && !req.finished {
 		c.finish(req, metrics.Passed)
-		c.serve(req, outcome.Answer)
+		c.deliver(req, outcome.Answer)
 		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
-	} else if req.departed && !req.over {
+	} else if req.clientClosed && !req.finished {
 		c.finish(req, metrics.Gone)
 		c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
 	}
-	final := req.over
-	c.release(tag.Request, req)
-	c.unreported--
-	c.handle(&decide.Outcome{ID: requestID(tag.Request), Attempt: tag.Number, Server: server, Result: outcome.Result,
+	final := req.finished
+	c.releaseIfDone(tag.Request, req)
+	c.unreportedEnds--
+	c.handleEvent(&decide.Outcome{ID: requestID(tag.Request), Attempt: tag.Number, Server: server, Result: outcome.Result,
 		Final: final, Reported: reportOf(outcome.Report), Load: reportOf(outcome.Load)})
-	if c.witnessing.witness != nil { // it may have the server tried, for which the router must know the report first
-		c.witnessing.witness.Ended(string(server), tag, outcome.Result, outcome.Report)
+	if c.observation.observer != nil { // it may have the server tried, for which the router must know the report first
+		c.observation.observer.Ended(string(server), tag, outcome.Result, outcome.Report)
 	}
 }
 
 // ProbeEnded implements backend.Events.
 func (c *Core) ProbeEnded(server string, outcome backend.Outcome) {
 	c.recordProbe(server, &outcome)
-	c.reportServer(server, &outcome)
-	if c.fleet.geography != nil {
-		c.fleet.geography.Probed(server, outcome.Result == decide.OK)
+	c.forwardReport(server, &outcome)
+	if c.fleet.zoneObserver != nil {
+		c.fleet.zoneObserver.HealthChecked(server, outcome.Result == decide.OK)
 	}
-	if c.probeWitnessed(server, &outcome) {
+	if c.observeHealthCheck(server, &outcome) {
 		return
 	}
-	if c.fleet.prober != nil && outcome.Result == decide.OK { // it may have been made for peers alone, and not reach the router otherwise
-		c.recallRole(server, outcome.Report)
+	if c.fleet.healthCheckSharer != nil && outcome.Result == decide.OK { // it may have been made for peers alone, and not reach the router otherwise
+		c.mergeRole(server, outcome.Report)
 	}
-	if c.fleet.prober == nil || !c.fleet.prober.Ended(server, outcome.Result, outcome.Report) {
-		c.ProbeReported(server, outcome.Result, outcome.Report, 0)
+	if c.fleet.healthCheckSharer == nil || !c.fleet.healthCheckSharer.Ended(server, outcome.Result, outcome.Report) {
+		c.HealthCheckReported(server, outcome.Result, outcome.Report, 0)
 	}
 }
 
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -26,114 +26,114 @@
 
 // request is a client's request. It stays until it is over and its attempts have ended.
 type request struct {
-	id           string
-	clientID     string
-	key          string // by which servers recognise a repeat, empty for none
-	once         bool   // it must not run twice
-	client       platform.Client
-	query        backend.Query
-	deadline     float64
-	attempts     []attempt // by number
-	inFlight     int
-	over         bool
-	recorded     recorded
-	figures      *metrics.Class
-	class        int
-	load         load
-	stream       *stream     // its answer while that is passed on as it comes, else nil
-	held         *heldAnswer // its answer while that waits for its session's commit to be stored, else nil
-	wroteSession string      // the session whose commit must be stored, where it is a write of one
-	payment      payment
+	id            string
+	clientID      string
+	key           string // by which servers recognise a repeat, empty for none
+	once          bool   // it must not run twice
+	client        platform.Client
+	query         backend.Query
+	deadline      float64
+	attempts      []attempt // by number
+	inFlight      int
+	finished      bool
+	recorded      recorded
+	classMetrics  *metrics.Class
+	class         int
+	demand        requestDemand
+	stream        *stream        // its answer while that is passed on as it comes, else nil
+	delayedAnswer *delayedAnswer // its answer while that waits for its session's commit to be stored, else nil
+	wroteSession  string         // the session whose commit must be stored, where it is a write of one
+	payment       payment
 
-	ranBefore bool // an earlier request with its key may have run
-	platform  bool // its client uses the platform's protocol, and has a deadline
-	departed  bool // its client was found to have gone as an attempt was about to go out
-	answered  bool // its client was given its server's answer
+	ranBefore       bool // an earlier request with its key may have run
+	platform        bool // its client uses the platform's protocol, and has a deadline
+	clientClosed    bool // its client was found to have gone as an attempt was about to go out
+	answerDelivered bool // its client was given its server's answer
 }
 
 // attempt is one attempt of a request. One that was skipped has no ref.
 type attempt struct {
-	server   decide.ServerID
-	ref      slotmap.Ref
-	begun    float64
-	until    float64 // it must not be written from then on
-	written  bool
-	released bool // AttemptGoes allowed it to go out
-	notRun   bool // it has ended without having run
+	server      decide.ServerID
+	ref         slotmap.Ref
+	startedAt   float64
+	writeBefore float64 // it must not be written from then on
+	written     bool
+	allowed     bool // AttemptGoes allowed it to go out
+	didNotRun   bool // it has ended without having run
 }
 
 // finish marks a request as over and counts its end.
 func (c *Core) finish(req *request, end metrics.End) {
-	if req.over = true; req.payment.hold.Amount > 0 {
-		c.settle(req, end)
+	if req.finished = true; req.payment.creditHold.Amount > 0 {
+		c.settleCredit(req, end)
 	}
-	c.figures.Open--
-	req.figures.Count(end)
+	c.metrics.Open--
+	req.classMetrics.Count(end)
 	c.countEnd(req, end)
 }
 
 // Ask implements platform.Desk.
 func (c *Core) Ask(incoming platform.Request, client platform.Client) (slotmap.Ref, error) {
-	class, ok := c.classes[incoming.Class]
+	class, ok := c.classNumbers[incoming.Class]
 	if !ok {
-		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrClass)
+		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrUnknownClass)
 	}
-	earlier, resent := c.requests.Get(c.ids[incoming.ID])
-	if resent && earlier.owed() {
-		return slotmap.Ref{}, fmt.Errorf("id %q: %w", incoming.ID, ErrOpen)
+	earlier, resent := c.requests.Get(c.requestsByID[incoming.ID])
+	if resent && earlier.awaitsAnswer() {
+		return slotmap.Ref{}, fmt.Errorf("id %q: %w", incoming.ID, ErrDuplicateID)
 	}
-	tenant, ok := c.tenants[incoming.Tenant]
-	if !ok && (incoming.PlatformForm || incoming.Tenant != "") && len(c.tenants) > 0 {
-		return slotmap.Ref{}, fmt.Errorf("tenant %q: %w", incoming.Tenant, ErrTenant)
+	tenant, ok := c.tenantNumbers[incoming.Tenant]
+	if !ok && (incoming.PlatformForm || incoming.Tenant != "") && len(c.tenantNumbers) > 0 {
+		return slotmap.Ref{}, fmt.Errorf("tenant %q: %w", incoming.Tenant, ErrUnknownTenant)
 	}
 	if !ok {
 		tenant = -1
 	}
-	set := &c.cfg.Settings.Classes[class]
-	if set.Effect == decide.Keyed && incoming.PlatformForm && incoming.IdempotencyKey == "" {
-		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrKey)
+	set := &c.config.Settings.Classes[class]
+	if set.Idempotency == decide.IdempotentWithKey && incoming.PlatformForm && incoming.IdempotencyKey == "" {
+		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrMissingKey)
 	}
 	if incoming.Writes && set.Read != decide.Write { // a read may be repeated
-		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrWrite)
+		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrWriteInReadClass)
 	}
-	known, once := cmp.Or(incoming.ClientID, incoming.ID), set.Effect != decide.Safe
-	unrepeatable := once && !(set.Effect == decide.Keyed && incoming.IdempotencyKey != "") // not sent again, at whatever time, if it may have run
-	repeats := unrepeatable && (resent && earlier.wentOut() || c.hasRun(incoming.ID))      // its client has gone; its attempt is in flight, or was called off
-	if repeats || once && c.journal != nil && c.journal.Ran(known) {                       // whether it has run is unknown
+	known, once := cmp.Or(incoming.ClientID, incoming.ID), set.Idempotency != decide.Idempotent
+	unrepeatable := once && !(set.Idempotency == decide.IdempotentWithKey && incoming.IdempotencyKey != "") // not sent again, at whatever time, if it may have run
+	repeats := unrepeatable && (resent && earlier.mayHaveBeenWritten() || c.mayHaveRun(incoming.ID))        // its client has gone; its attempt is in flight, or was called off
+	if repeats || once && c.journal != nil && c.journal.Ran(known) {                                        // whether it has run is unknown
 		c.classFigures[class].Count(metrics.BadGateway)
 		client.Failed()
 		return slotmap.Ref{}, nil
 	}
-	c.countLimit(OfTenant, incoming.Tenant)
+	c.useLimit(LimitTenantRequests, incoming.Tenant)
 	c.Expire()
 	key := ""
-	if set.Effect == decide.Keyed && incoming.IdempotencyKey != "" {
+	if set.Idempotency == decide.IdempotentWithKey && incoming.IdempotencyKey != "" {
 		key = strconv.Itoa(incoming.Group) + " " + incoming.IdempotencyKey
 	}
 	due := incoming.Deadline
-	if c.endsAt > 0 {
-		incoming.Deadline = min(incoming.Deadline, c.endsAt)
+	if c.answersBy > 0 {
+		incoming.Deadline = min(incoming.Deadline, c.answersBy)
 	}
 	now := clock.Span(c.loop.Now())
-	req := &request{id: incoming.ID, clientID: known, key: key, once: once, client: client, query: incoming.Query, deadline: incoming.Deadline, figures: c.classFigures[class], class: class, platform: incoming.PlatformForm}
-	if incoming.PlatformForm && set.Read == decide.Write && c.keepsTokens() {
+	req := &request{id: incoming.ID, clientID: known, key: key, once: once, client: client, query: incoming.Query, deadline: incoming.Deadline, classMetrics: c.classFigures[class], class: class, platform: incoming.PlatformForm}
+	if incoming.PlatformForm && set.Read == decide.Write && c.storesCommits() {
 		req.wroteSession = incoming.Session
 	}
-	c.figures.Open++
+	c.metrics.Open++
 	ref := c.requests.Put(req)
-	c.ids[incoming.ID] = ref
+	c.requestsByID[incoming.ID] = ref
 	c.recordRequest(req, &incoming, class)
 	ev := &decide.Request{ID: requestID(ref), Class: class, Group: incoming.Group, Tenant: tenant, Deadline: clock.Span(incoming.Deadline),
-		Session: c.sessionOf(&incoming, set), Repeat: incoming.Repeat, Only: decide.ServerID(incoming.OnlyServer)}
+		Session: c.sessionOf(&incoming, set), ClientRetry: incoming.Repeat, OnlyServer: decide.ServerID(incoming.OnlyServer)}
 	if incoming.MinPosition > 0 {
 		// A commit is rounded up and so may lie ahead of the clock, or far ahead where a clock was set; 0 would stand for none.
-		ev.SinceOwn = cmp.Or(now-clock.Span(incoming.MinPosition), 1)
+		ev.SinceCommit = cmp.Or(now-clock.Span(incoming.MinPosition), 1)
 	}
-	if at, ok := c.keys.ran(key, c.loop.Now()); ok {
-		ev.RanAt, req.ranBefore = clock.Span(at), true
+	if at, ok := c.sentKeys.firstSent(key, c.loop.Now()); ok {
+		ev.MayHaveRunSince, req.ranBefore = clock.Span(at), true
 	}
-	if c.credit != nil && !c.funded(ref, req, &incoming, ev) {
-		if req.over {
+	if c.credit != nil && !c.holdCredit(ref, req, &incoming, ev) {
+		if req.finished {
 			ref = slotmap.Ref{}
 		}
 		return ref, nil
@@ -141,48 +141,50 @@
 	c.countLoad(req, now, ev)
 	c.countDemand(ev)
 	if incoming.Deadline == due {
-		c.handleAt(now, ev)
+		c.handleEventAt(now, ev)
 		return ref, nil
 	}
 	// The process's end cuts its time short. It is given up then, but not at once because of the estimated work of its class.
 	ev.Deadline = clock.Span(due)
-	c.handleAt(now, ev)
-	c.handle(&decide.Hasten{ID: ev.ID, By: clock.Span(incoming.Deadline)})
+	c.handleEventAt(now, ev)
+	c.handleEvent(&decide.ShortenDeadline{ID: ev.ID, By: clock.Span(incoming.Deadline)})
 	return ref, nil
 }
 
-// owed reports whether a request's client has yet to get all of its answer.
-func (req *request) owed() bool { return !req.over || req.stream != nil || req.held != nil }
+// awaitsAnswer reports whether a request's client has yet to get all of its answer.
+func (req *request) awaitsAnswer() bool {
+	return !req.finished || req.stream != nil || req.delayedAnswer != nil
+}
 
-// wentOut reports whether an attempt of a request may have run.
-func (req *request) wentOut() bool {
-	return slices.ContainsFunc(req.attempts, func(t attempt) bool { return t.released || t.written })
+// mayHaveBeenWritten reports whether an attempt of a request may have run.
+func (req *request) mayHaveBeenWritten() bool {
+	return slices.ContainsFunc(req.attempts, func(t attempt) bool { return t.allowed || t.written })
 }
 
-// hasRun reports whether a request of that id, which must not run twice, has ended and may have run.
-func (c *Core) hasRun(id string) bool {
-	_, ok := c.ran.ran(id, c.loop.Now())
+// mayHaveRun reports whether a request of that id, which must not run twice, has ended and may have run.
+func (c *Core) mayHaveRun(id string) bool {
+	_, ok := c.sentOnce.firstSent(id, c.loop.Now())
 	return ok
 }
 
-// remember keeps the id of a request that has ended and may have run, where it must not run twice and its client did not get its
+// rememberIfRun keeps the id of a request that has ended and may have run, where it must not run twice and its client did not get its
 // server's answer.
-func (c *Core) remember(req *request) {
-	if req.once && req.key == "" && !req.answered && req.mayHaveRun() {
+func (c *Core) rememberIfRun(req *request) {
+	if req.once && req.key == "" && !req.answerDelivered && req.mayHaveRun() {
 		now := c.loop.Now()
-		c.ran.sent(req.id, now, now)
+		c.sentOnce.recordSend(req.id, now, now)
 	}
 }
 
-// serve gives a request's client its server's answer. A client that has closed its connection by then does not get it, and may send
+// deliver gives a request's client its server's answer. A client that has closed its connection by then does not get it, and may send
 // the request again.
-func (c *Core) serve(req *request, answer []byte) {
-	req.answered = !req.leftUnread()
+func (c *Core) deliver(req *request, answer []byte) {
+	req.answerDelivered = !req.closedBeforeAnswer()
 	req.client.Served(answer)
 }
 
-// leftUnread reports whether the client of a request that must not run twice has closed its connection.
-func (req *request) leftUnread() bool {
+// closedBeforeAnswer reports whether the client of a request that must not run twice has closed its connection.
+func (req *request) closedBeforeAnswer() bool {
 	client, ok := req.client.(platform.Departing)
 	return ok && req.once && client.Departed()
 }
@@ -196,52 +198,52 @@
 		stop()
 		return
 	}
-	if ok && req.held != nil {
-		c.releaseAnswer(ref, req, metrics.Gone)
+	if ok && req.delayedAnswer != nil {
+		c.giveDelayedAnswer(ref, req, metrics.Gone)
 		return
 	}
-	if !ok || req.over {
+	if !ok || req.finished {
 		return
 	}
 	c.finish(req, metrics.Gone)
 	c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
-	if c.running { // a client that hears of one request may give up another, for which the router's actions are yet to be carried out
+	if c.carryingOut { // a client that hears of one request may give up another, for which the router's actions are yet to be carried out
 		c.abandoned = append(c.abandoned, ref)
 	} else {
-		c.release(ref, req)
+		c.releaseIfDone(ref, req)
 	}
 	if req.payment.pending != nil { // the router does not know of it
 		req.payment.pending = nil
 		c.credit.Cancel(req.payment.tenant, creditTag(ref))
 		return
 	}
-	c.handle(&decide.Expired{ID: requestID(ref)})
+	c.handleEvent(&decide.Abandoned{ID: requestID(ref)})
 }
 
 // mayHaveRun reports whether a request, or an earlier one with its key, may have run or may still run.
 func (req *request) mayHaveRun() bool {
-	return req.ranBefore || slices.ContainsFunc(req.attempts, func(t attempt) bool { return (t.released || t.written) && !t.notRun })
+	return req.ranBefore || slices.ContainsFunc(req.attempts, func(t attempt) bool { return (t.allowed || t.written) && !t.didNotRun })
 }
 
-// conclude marks a request as over and returns it, or nil if it was over before.
-func (c *Core) conclude(id decide.RequestID, end metrics.End) *request {
+// finishByID marks a request as over and returns it, or nil if it was over before.
+func (c *Core) finishByID(id decide.RequestID, end metrics.End) *request {
 	ref := refOf(id)
 	req, ok := c.requests.Get(ref)
-	if !ok || req.over {
+	if !ok || req.finished {
 		return nil
 	}
 	c.finish(req, end)
-	c.release(ref, req)
+	c.releaseIfDone(ref, req)
 	return req
 }
 
-// release frees the slot of a request that is over and has no attempt or answer left.
-func (c *Core) release(ref slotmap.Ref, req *request) {
-	if req.over && req.inFlight == 0 && req.stream == nil && req.held == nil {
-		c.remember(req)
+// releaseIfDone frees the slot of a request that is over and has no attempt or answer left.
+func (c *Core) releaseIfDone(ref slotmap.Ref, req *request) {
+	if req.finished && req.inFlight == 0 && req.stream == nil && req.delayedAnswer == nil {
+		c.rememberIfRun(req)
 		c.requests.Drop(ref)
-		if c.ids[req.id] == ref { // else its client has sent it again meanwhile
-			delete(c.ids, req.id)
+		if c.requestsByID[req.id] == ref { // else its client has sent it again meanwhile
+			delete(c.requestsByID, req.id)
 		}
 	}
 }
--- a/internal/core/sends.go
+++ b/internal/core/sends.go
@@ -13,11 +13,11 @@
 // verdicts or the list may report that its server is not the primary. So it is checked again just before its first byte is written, against
 // what the router knows then; and what waits is called off as soon as the report comes, rather than when it has got a connection.
 
-// allowed reports whether a request may go out to a server: one for the primary alone goes to the server that the router takes for it.
-func (c *Core) allowed(req *request, server decide.ServerID) bool {
-	switch c.cfg.Settings.Classes[req.class].Read {
+// mayServe reports whether a request may go out to a server: one for the primary alone goes to the server that the router takes for it.
+func (c *Core) mayServe(req *request, server decide.ServerID) bool {
+	switch c.config.Settings.Classes[req.class].Read {
 	case decide.Write, decide.ReadFresh:
-		return c.router.Leads(server)
+		return c.router.IsPrimary(server)
 	}
 	return true
 }
@@ -26,18 +26,18 @@
 // whose client has closed its connection, though the loop has yet to read that, ends with the attempt that is held back.
 func (c *Core) AttemptGoes(tag backend.Tag) bool {
 	req, ok := c.requests.Get(tag.Request)
-	if !ok || req.over || req.departed {
+	if !ok || req.finished || req.clientClosed {
 		return false
 	}
 	try, now := &req.attempts[tag.Number], c.loop.Now()
-	if now >= try.until || !c.router.Listed(try.server) || !c.allowed(req, try.server) {
+	if now >= try.writeBefore || !c.router.Available(try.server) || !c.mayServe(req, try.server) {
 		return false
 	}
 	if client, ok := req.client.(platform.Departing); ok && client.Departed() {
-		req.departed = true
+		req.clientClosed = true
 		return false
 	}
-	try.released = true
+	try.allowed = true
 	return true
 }
 
@@ -47,35 +47,35 @@
 	now := clock.Span(c.loop.Now())
 	at := now // in an answer to a request it counts at once
 	if probe {
-		at = min(now, c.dated(server, report))
+		at = min(now, c.reportTime(server, report))
 	}
-	if known, ok := c.router.MemoryOf(decide.ServerID(server)); ok && known.Role != decide.RoleReplica {
-		known.Down, known.Role, known.RoleAt = false, decide.RoleReplica, at
-		c.Recall(&decide.Memory{Servers: []decide.ServerMemory{known}})
+	if known, ok := c.router.SnapshotOf(decide.ServerID(server)); ok && known.Role != decide.RoleReplica {
+		known.Ejected, known.Role, known.RoleAt = false, decide.RoleReplica, at
+		c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
 	}
-	c.recallSends(server)
+	c.recallUnwritten(server)
 }
 
-// recallSends calls off the attempts at a server that have not been written yet and must not be any more.
-func (c *Core) recallSends(server string) {
-	if c.servers == nil || c.router.Leads(decide.ServerID(server)) {
+// recallUnwritten calls off the attempts at a server that have not been written yet and must not be any more.
+func (c *Core) recallUnwritten(server string) {
+	if c.servers == nil || c.router.IsPrimary(decide.ServerID(server)) {
 		return
 	}
 	c.servers.Recall(server, func(tag backend.Tag) bool {
 		req, ok := c.requests.Get(tag.Request)
-		return ok && !c.allowed(req, decide.ServerID(server))
+		return ok && !c.mayServe(req, decide.ServerID(server))
 	})
 }
 
-// checkSend states that what is written was allowed to be.
-func (c *Core) checkSend(req *request, no int) {
+// checkWritten states that what is written was allowed to be.
+func (c *Core) checkWritten(req *request, no int) {
 	if c.checks.On() {
 		t := &req.attempts[no]
-		c.checks.That(t.released || c.allowed(req, t.server), "core: what the primary alone may take goes to no other server", func() string {
-			known, _ := c.router.MemoryOf(t.server)
+		c.checks.That(t.allowed || c.mayServe(req, t.server), "core: what the primary alone may take goes to no other server", func() string {
+			known, _ := c.router.SnapshotOf(t.server)
 			return fmt.Sprintf("%s, attempt %d, to %s: %+v", req.id, no, t.server, known)
 		})
-		c.checks.That(t.released, "core: what goes out was let go", func() string {
+		c.checks.That(t.allowed, "core: what goes out was let go", func() string {
 			return fmt.Sprintf("%s, attempt %d, to %s", req.id, no, t.server)
 		})
 	}
--- a/internal/core/sends_test.go
+++ b/internal/core/sends_test.go
@@ -51,7 +51,7 @@
 func (d *dials) skip(i int) {
 	x := d.waits[i]
 	d.waits = slices.Delete(d.waits, i, i+1)
-	d.core.AttemptEnded(x.tag, backend.Outcome{Result: decide.Skipped})
+	d.core.AttemptEnded(x.tag, backend.Outcome{Result: decide.NotSent})
 }
 
 // up has a connection to a server come up, which carries what waits longest.
@@ -79,8 +79,8 @@
 	entry := func(id string) discovery.Instance {
 		return discovery.Instance{ID: id, HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}
 	}
-	cfg := &config.Config{Classes: []string{"write", "read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 4, MayProbe: true, MayCancel: true,
-		Classes: []decide.Class{{Target: time.Second, Deadline: 2 * time.Second, Worth: 1, Read: decide.Write, Effect: decide.Unsafe}, {Target: time.Second, Deadline: 2 * time.Second, Worth: 1, Read: decide.ReadAny}}},
+	cfg := &config.Config{Classes: []string{"write", "read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 4, MayCheckHealth: true, MayCancel: true,
+		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.Write, Idempotency: decide.NotIdempotent}, {LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		Known: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
 	l, d, w := &hand{now: 1e6}, &dials{}, &witness{}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
@@ -107,7 +107,7 @@
 // prober makes probes, and tells the module of none: they were others' to know.
 type prober struct{}
 
-func (prober) Wanted(string) bool                               { return true }
+func (prober) Delegates(string) bool                            { return true }
 func (prober) Ended(string, decide.Result, backend.Report) bool { return true }
 
 // TestWaitingWritesFollowTheNewPrimary: writes wait for a connection to their primary when this pooler hears, from whomever, that it is a replica now. None goes there when
@@ -118,20 +118,20 @@
 	}
 	for by, tells := range map[string]func(c *Core, l *hand, w *witness){
 		"another's probe": func(c *Core, l *hand, _ *witness) {
-			c.ProbeReported("a", decide.OK, said(l, decide.RoleReplica, 10), 30)
+			c.HealthCheckReported("a", decide.OK, said(l, decide.RoleReplica, 10), 30)
 		},
 		"another's probe of what is avoided": func(c *Core, l *hand, w *witness) {
 			w.withholds = "a"
-			c.SetWitness(w)
-			c.ProbeReported("a", decide.OK, said(l, decide.RoleReplica, 10), 30)
+			c.SetServerObserver(w)
+			c.HealthCheckReported("a", decide.OK, said(l, decide.RoleReplica, 10), 30)
 		},
 		"a look": func(c *Core, l *hand, w *witness) {
-			c.SetWitness(w)
-			c.Look("a")
+			c.SetServerObserver(w)
+			c.CheckHealthForObserver("a")
 			c.ProbeEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
 		},
 		"its own probe for another": func(c *Core, l *hand, _ *witness) {
-			c.SetProber(prober{})
+			c.SetHealthCheckSharer(prober{})
 			c.ProbeEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
 		},
 		"its own probe": func(c *Core, l *hand, _ *witness) { c.ServerDenies("a", said(l, decide.RoleReplica, 10), true) },
@@ -141,9 +141,9 @@
 		"a verdict":                         func(c *Core, l *hand, _ *witness) { c.ServerReported("a", said(l, decide.RoleReplica, 10), 20) },
 		"a verdict on another, at the send": func(c *Core, l *hand, _ *witness) { c.ServerReported("b", said(l, decide.RolePrimary, 5), 5) },
 		"another's memory, at the send": func(c *Core, l *hand, _ *witness) {
-			known, _ := c.router.MemoryOf("a")
+			known, _ := c.router.SnapshotOf("a")
 			known.Role, known.RoleAt = decide.RoleReplica, known.RoleAt+1
-			c.Recall(&decide.Memory{Servers: []decide.ServerMemory{known}})
+			c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
 		},
 	} {
 		t.Run(by, func(t *testing.T) {
@@ -158,7 +158,7 @@
 			if len(d.sent) > 0 || d.begun > 4 {
 				t.Errorf("sent to %v, %d attempts begun", d.sent, d.begun)
 			}
-			c.ProbeReported("b", decide.OK, said(l, decide.RolePrimary, 1), 0)
+			c.HealthCheckReported("b", decide.OK, said(l, decide.RolePrimary, 1), 0)
 			for range 3 {
 				d.up("b")
 			}
@@ -173,7 +173,7 @@
 func TestOldRoleReportCallsNothingOff(t *testing.T) {
 	c, d, l, _ := dialling(t)
 	old := backend.Report{Role: decide.RoleReplica, Position: l.now - 900, HasPos: true}
-	c.ProbeReported("a", decide.OK, old, 30)
+	c.HealthCheckReported("a", decide.OK, old, 30)
 	c.ServerDenies("a", old, true)
 	d.up("a")
 	d.up("a")
@@ -222,14 +222,14 @@
 		r    decide.Result
 		want string
 	}{
-		{decide.OK, broke}, {decide.Missed, broke}, {decide.Failed, broke}, {decide.Reset, broke},
-		{decide.Full, "[]"}, {decide.TimedOut, "[]"}, {decide.Unreachable, "[]"}, {decide.Cancelled, "[]"}, {decide.Skipped, "[]"},
+		{decide.OK, broke}, {decide.Misdirected, broke}, {decide.Failed, broke}, {decide.Reset, broke},
+		{decide.Overloaded, "[]"}, {decide.TimedOut, "[]"}, {decide.Unreachable, "[]"}, {decide.Cancelled, "[]"}, {decide.NotSent, "[]"},
 	} {
 		for _, goes := range []bool{false, true} {
 			c, d, _, _ := dialling(t)
 			var broken []string
 			c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
-			tag, want, tries := d.waits[0].tag, x.want, c.figures.Tries
+			tag, want, tries := d.waits[0].tag, x.want, c.metrics.Tries
 			if goes {
 				c.AttemptGoes(tag)
 				want = "[]"
@@ -238,7 +238,7 @@
 			if fmt.Sprint(broken) != want {
 				t.Errorf("result %d, let go %v: %v, not %s", x.r, goes, broken, want)
 			}
-			if counted := c.figures.Tries > tries; counted != (x.want == broke) {
+			if counted := c.metrics.Tries > tries; counted != (x.want == broke) {
 				t.Errorf("result %d, let go %v: it counts as a send: %v", x.r, goes, counted)
 			}
 		}
@@ -276,11 +276,11 @@
 		"its time is up":        {func(_ *Core, l *hand, _ *bool) { l.now += 2000 }, false},
 		"the client closes":     {func(_ *Core, _ *hand, gone *bool) { *gone = true }, false},
 		"its server begins to drain": {func(c *Core, l *hand, _ *bool) {
-			list := &decide.List{Kind: decide.ListChanges, Entries: []decide.Entry{{Server: "a", State: decide.Draining, Size: 1}}}
-			c.handle(list) // the module knows; the connections are yet to hear it
+			list := &decide.EndpointList{Kind: decide.ListChanges, Endpoints: []decide.Endpoint{{Server: "a", State: decide.Draining, Capacity: 1}}}
+			c.handleEvent(list) // the module knows; the connections are yet to hear it
 		}, false},
 		"its server is removed": {func(c *Core, l *hand, _ *bool) {
-			c.handle(&decide.List{Kind: decide.ListChanges, Entries: []decide.Entry{{Server: "a", State: decide.Gone, Size: 1}}})
+			c.handleEvent(&decide.EndpointList{Kind: decide.ListChanges, Endpoints: []decide.Endpoint{{Server: "a", State: decide.Removed, Capacity: 1}}})
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -23,39 +23,39 @@
 
 // SetSessionDoubt has session reads see everything written until now while doubts returns true, whatever the router knows of their sessions:
 // another process may serve these sessions' writes.
-func (c *Core) SetSessionDoubt(doubts func() bool) { c.doubt.doubts = doubts }
+func (c *Core) SetSessionDoubt(doubts func() bool) { c.sessionDoubt.inDoubt = doubts }
 
-// doubt is whether sessions' writes may be served elsewhere.
-type doubt struct {
-	doubts func() bool // nil for never
-	ahead  float64     // sessions that the router does not know count as written until then
+// sessionDoubt is whether sessions' writes may be served elsewhere.
+type sessionDoubt struct {
+	inDoubt      func() bool // nil for never
+	unknownUntil float64     // sessions that the router does not know count as written until then
 }
 
 const (
-	doubtMs      = 1000 // how far ahead of the clock unknown sessions count as written, and a commit elsewhere may lie...
+	doubtAheadMs = 1000 // how far ahead of the clock unknown sessions count as written, and a commit elsewhere may lie...
 	doubtRenewMs = 500  // ...renewed when less than this is left
 )
 
 // sessionOf returns the session for the router: in doubt an unknown one, all of which count as written just now.
 func (c *Core) sessionOf(incoming *platform.Request, set *decide.Class) string {
-	if c.doubt.doubts == nil || set.Read != decide.ReadSession || !c.doubt.doubts() {
+	if c.sessionDoubt.inDoubt == nil || set.Read != decide.ReadSession || !c.sessionDoubt.inDoubt() {
 		return incoming.Session
 	}
-	if now := c.loop.Now(); c.doubt.ahead < now+doubtRenewMs {
-		c.doubt.ahead = now + doubtMs
-		c.Recall(&decide.Memory{Forgotten: clock.Span(c.doubt.ahead)})
+	if now := c.loop.Now(); c.sessionDoubt.unknownUntil < now+doubtRenewMs {
+		c.sessionDoubt.unknownUntil = now + doubtAheadMs
+		c.MergeSnapshot(&decide.Snapshot{ForgottenCommit: clock.Span(c.sessionDoubt.unknownUntil)})
 	}
 	return "\x00" + incoming.Session
 }
 
-func (c *Core) keepsTokens() bool { return c.sessionTokens != nil && c.cfg.Settings.TrackCommits }
+func (c *Core) storesCommits() bool { return c.sessionTokens != nil && c.config.Settings.TrackCommits }
 
-// heldAnswer is a write's answer that waits. To the router the request is answered.
-type heldAnswer struct{ answer []byte }
+// delayedAnswer is a write's answer that waits. To the router the request is answered.
+type delayedAnswer struct{ answer []byte }
 
-// holdAnswer has a write's commit stored, and reports whether the answer waits for that, until its client's deadline at most. A write whose commit
+// delayAnswer has a write's commit stored, and reports whether the answer waits for that, until its client's deadline at most. A write whose commit
 // is not stored by then is answered as failed: a session that has not heard of its write need not see it.
-func (c *Core) holdAnswer(ref slotmap.Ref, req *request, outcome *backend.Outcome) bool {
+func (c *Core) delayAnswer(ref slotmap.Ref, req *request, outcome *backend.Outcome) bool {
 	if req.wroteSession == "" {
 		return false
 	}
@@ -68,26 +68,26 @@
 		if kept {
 			end = metrics.Passed
 		}
-		c.releaseAnswer(ref, req, end)
+		c.giveDelayedAnswer(ref, req, end)
 	}) {
 		return false
 	}
-	req.held = &heldAnswer{answer: slices.Clone(outcome.Answer)}
-	c.loop.At(req.deadline, func() { c.releaseAnswer(ref, req, metrics.BadGateway) })
+	req.delayedAnswer = &delayedAnswer{answer: slices.Clone(outcome.Answer)}
+	c.loop.At(req.deadline, func() { c.giveDelayedAnswer(ref, req, metrics.BadGateway) })
 	return true
 }
 
-// releaseAnswer ends a held answer.
-func (c *Core) releaseAnswer(ref slotmap.Ref, req *request, end metrics.End) {
-	held := req.held
+// giveDelayedAnswer ends a held answer.
+func (c *Core) giveDelayedAnswer(ref slotmap.Ref, req *request, end metrics.End) {
+	held := req.delayedAnswer
 	if held == nil {
 		return
 	}
-	req.held = nil
+	req.delayedAnswer = nil
 	c.finish(req, end)
 	switch end {
 	case metrics.Passed:
-		c.serve(req, held.answer)
+		c.deliver(req, held.answer)
 		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
 	case metrics.Gone:
 		c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
@@ -95,5 +95,5 @@
 		req.client.Failed()
 		c.recordAnswer(req, recordpb.Final_FINAL_FAILED, 0)
 	}
-	c.release(ref, req)
+	c.releaseIfDone(ref, req)
 }
--- a/internal/core/witness_test.go
+++ b/internal/core/witness_test.go
@@ -42,7 +42,7 @@
 	w.note("ended", server, r)
 	w.do(server)
 }
-func (w *witness) Probed(server string, r decide.Result, _ backend.Report) {
+func (w *witness) HealthChecked(server string, r decide.Result, _ backend.Report) {
 	w.note("probed", server, r)
 	w.do(server)
 }
@@ -51,8 +51,8 @@
 		w.then(server)
 	}
 }
-func (w *witness) Withholds(server string) bool { return server == w.withholds }
-func (w *witness) note(x ...any)                { w.told = append(w.told, fmt.Sprint(x...)) }
+func (w *witness) Ejects(server string) bool { return server == w.withholds }
+func (w *witness) note(x ...any)             { w.told = append(w.told, fmt.Sprint(x...)) }
 
 // TestWitnessSeesAndSteersServers: a witness hears what is seen; it has servers avoided and tried, and looks at one without the module's own probes being mixed
 // up with its. What a server said counts as of then; what is of the time to come counts for nothing.
@@ -60,14 +60,14 @@
 	entry := func(id string) discovery.Instance {
 		return discovery.Instance{ID: id, HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}
 	}
-	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayProbe: true,
-		Classes: []decide.Class{{Target: time.Second, Deadline: 2 * time.Second, Worth: 1, Read: decide.ReadAny}}},
+	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCheckHealth: true,
+		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		Known: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
 	l, servers, w := &hand{now: 1e6}, &probing{}, &witness{}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
-	c.SetWitness(w)
+	c.SetServerObserver(w)
 	c.Start(servers, l)
-	c.Avoid("a")
+	c.Eject("a")
 	for i := range 3 {
 		if _, err := c.Ask(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: l.now + 2000, Query: still{}}, still{}); err != nil {
 			t.Fatal(err)
@@ -76,24 +76,24 @@
 	if fmt.Sprint(servers.sent) != "[b b b]" || fmt.Sprint(w.told) != "[listed2 listed2 sentb0 sentb0 sentb0]" {
 		t.Errorf("sent to %v; told %v", servers.sent, w.told)
 	}
-	down := func(id string) bool { known, _ := c.router.MemoryOf(decide.ServerID(id)); return known.Down }
+	down := func(id string) bool { known, _ := c.router.SnapshotOf(decide.ServerID(id)); return known.Ejected }
 	servers.probes = nil
 	if w.withholds = "a"; !down("a") {
 		t.Fatal("it is not avoided")
 	}
-	if c.ProbeReported("a", decide.OK, backend.Report{}, 0); !down("a") {
+	if c.HealthCheckReported("a", decide.OK, backend.Report{}, 0); !down("a") {
 		t.Error("a probe's answer has it back that tells nothing")
 	}
-	if c.carryOut(&decide.Action{Kind: decide.Probe, Server: "a"}); len(servers.probes) != 0 || len(l.at) == 0 {
+	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.probes) != 0 || len(l.at) == 0 {
 		t.Errorf("%v are probed for nothing, and %d wait", servers.probes, len(l.at))
 	}
 	w.withholds = ""
-	c.Look("a")
-	if c.carryOut(&decide.Action{Kind: decide.Probe, Server: "a"}); len(servers.probes) != 1 {
+	c.CheckHealthForObserver("a")
+	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.probes) != 1 {
 		t.Errorf("%v: the module's probe goes out while a look does", servers.probes)
 	}
 	c.ProbeEnded("a", backend.Outcome{Report: backend.Report{Role: decide.RolePrimary, Position: l.now - 30, HasPos: true}})
-	if known, _ := c.router.MemoryOf("a"); !known.Down || known.Role != decide.RolePrimary || known.RoleAt != 999970*1e6 {
+	if known, _ := c.router.SnapshotOf("a"); !known.Ejected || known.Role != decide.RolePrimary || known.RoleAt != 999970*1e6 {
 		t.Errorf("a look is taken for a probe, or not told: %+v", known)
 	}
 	if len(servers.probes) != 2 {
@@ -101,13 +101,13 @@
 	}
 	c.ServerReported("b", backend.Report{Position: l.now + 500, HasPos: true}, 0)
 	c.ServerReported("a", backend.Report{Position: l.now - 10, HasPos: true}, 20)
-	if known, _ := c.router.MemoryOf("b"); known.Position > 0 {
+	if known, _ := c.router.SnapshotOf("b"); known.Position > 0 {
 		t.Errorf("a position of the time to come counts: %+v", known)
 	}
-	if known, _ := c.router.MemoryOf("a"); known.Position != 999990*1e6 || known.PlacedAt != 999980*1e6 || !known.Down {
+	if known, _ := c.router.SnapshotOf("a"); known.Position != 999990*1e6 || known.PositionReportedAt != 999980*1e6 || !known.Ejected {
 		t.Errorf("%+v", known)
 	}
-	if c.Try("a"); down("a") {
+	if c.StartTrial("a"); down("a") {
 		t.Error("it is not tried")
 	}
 }
@@ -115,15 +115,15 @@
 // TestRouterKnowsTheRoleBeforeTheWitness: a primary was avoided, and a write waits for it. What it says next, to a look, to a probe or to a request, has the witness try it:
 // the write goes there if it still leads, and not if it is a replica now.
 func TestRouterKnowsTheRoleBeforeTheWitness(t *testing.T) {
-	cfg := &config.Config{Classes: []string{"write"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayProbe: true,
-		Classes: []decide.Class{{Target: time.Second, Deadline: 2 * time.Second, Worth: 1, Read: decide.Write}}},
+	cfg := &config.Config{Classes: []string{"write"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCheckHealth: true,
+		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.Write}}},
 		Known: discovery.List{Reset: true, Instances: []discovery.Instance{
 			{ID: "a", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}, {ID: "b", HostPort: "1.2.3.4:6", Lifecycle: "up", Weight: 1}}}}
 	for _, role := range []decide.Role{decide.RolePrimary, decide.RoleReplica} {
 		for _, by := range []string{"look", "probe", "request"} {
 			l, servers, w := &hand{now: 1e6}, &probing{}, &witness{}
 			c := New(l, slog.New(slog.DiscardHandler), cfg)
-			c.SetWitness(w)
+			c.SetServerObserver(w)
 			c.Start(servers, l)
 			c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: l.now - 200, HasPos: true}, 0)
 			ask := func(id string) slotmap.Ref {
@@ -134,21 +134,21 @@
 				return ref
 			}
 			first := ask("1")
-			c.Avoid("a")
+			c.Eject("a")
 			if ask("2"); fmt.Sprint(servers.sent) != "[a]" {
 				t.Fatalf("sent to %v", servers.sent)
 			}
-			w.then = c.Try
+			w.then = c.StartTrial
 			outcome := backend.Outcome{Report: backend.Report{Role: role, Position: l.now - 100, HasPos: true}}
 			switch by {
 			case "look":
-				c.Look("a")
+				c.CheckHealthForObserver("a")
 				c.ProbeEnded("a", outcome)
 			case "probe":
 				c.ProbeEnded("a", outcome)
 			case "request":
 				if role == decide.RoleReplica {
-					outcome.Result = decide.Missed
+					outcome.Result = decide.Misdirected
 				}
 				c.AttemptEnded(backend.Tag{Request: first}, outcome)
 			}
--- a/internal/decide/list_test.go
+++ b/internal/decide/list_test.go
@@ -10,17 +10,17 @@
 func longestGap(set Settings, seed uint64, open time.Duration) time.Duration {
 	r, now := New(set, seed), Time(start)
 	began, longest := now, time.Duration(0)
-	out := r.Handle(now, &List{Kind: ListRestored, Entries: []Entry{{Server: "p"}}}, nil)
+	out := r.Handle(now, &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "p"}}}, nil)
 	failed := false
-	for end := now + 30*time.Second; now < end; now += tickEvery {
-		if len(of(Subscribe, out)) > 0 {
+	for end := now + 30*time.Second; now < end; now += tickInterval {
+		if len(actionsOf(Subscribe, out)) > 0 {
 			longest, began, failed = max(longest, now-began), now, false
 		}
 		var ev Event = &Timer{}
 		if !failed && now-began >= open && began > start {
-			ev, failed = &List{Kind: ListFailed}, true
+			ev, failed = &EndpointList{Kind: ListFailed}, true
 		}
-		out = r.Handle(now+tickEvery, ev, nil)
+		out = r.Handle(now+tickInterval, ev, nil)
 	}
 	return longest
 }
@@ -34,8 +34,8 @@
 			for _, open := range []time.Duration{0, 20 * ms, 1200 * ms, 2500 * ms} {
 				for seed := range uint64(40) {
 					set := testSettings()
-					set.AskList, set.AskEvery, set.Peers = true, askEvery, 300
-					if gap := longestGap(set, seed, open); gap > 4500*ms+3*tickEvery {
+					set.WatchList, set.ListStaleAfter, set.Peers = true, askEvery, 300
+					if gap := longestGap(set, seed, open); gap > 4500*ms+3*tickInterval {
 						t.Fatalf("calls that fail after %v, seed %d: %v from one to the next", open, seed, gap)
 					}
 				}
@@ -44,16 +44,16 @@
 	}
 }
 
-// TestNextCallAfterAWatchThatHeld: a watch that was open for long may have been silent for up to 2.5 s when it ends.
-func TestNextCallAfterAWatchThatHeld(t *testing.T) {
+// TestNextListCallAfterASubscriptionThatLasted: a watch that was open for long may have been silent for up to 2.5 s when it ends.
+func TestNextListCallAfterASubscriptionThatLasted(t *testing.T) {
 	for seed := range uint64(40) {
 		set := testSettings()
-		set.AskList, set.Peers = true, 300
-		g := &rig{t: t, r: New(set, seed), now: start}
-		g.do(&List{Kind: ListRestored, Entries: []Entry{{Server: "a"}}})
-		g.pass(20 * time.Second)
-		g.do(&List{Kind: ListFailed})
-		if n := len(of(Subscribe, g.pass(2*time.Second+3*tickEvery))); n != 1 {
+		set.WatchList, set.Peers = true, 300
+		h := &harness{t: t, r: New(set, seed), now: start}
+		h.handle(&EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "a"}}})
+		h.advance(20 * time.Second)
+		h.handle(&EndpointList{Kind: ListFailed})
+		if n := len(actionsOf(Subscribe, h.advance(2*time.Second+3*tickInterval))); n != 1 {
 			t.Fatalf("seed %d: %d calls in the 2 s after the watch ended", seed, n)
 		}
 	}
@@ -65,16 +65,16 @@
 	var first, last time.Duration = time.Hour, 0
 	for seed := range uint64(300) {
 		set := testSettings()
-		set.AskList, set.Peers = true, 300
+		set.WatchList, set.Peers = true, 300
 		r := New(set, seed)
-		now, out := Time(start), r.Handle(start, &List{Kind: ListRestored, Entries: []Entry{{Server: "p"}}}, nil)
-		for len(of(Subscribe, out)) == 0 {
-			now += tickEvery
+		now, out := Time(start), r.Handle(start, &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "p"}}}, nil)
+		for len(actionsOf(Subscribe, out)) == 0 {
+			now += tickInterval
 			out = r.Handle(now, &Timer{}, nil)
 		}
 		first, last = min(first, now-start), max(last, now-start)
 	}
-	if last-first < 4*time.Second || last > 4500*ms+tickEvery {
+	if last-first < 4*time.Second || last > 4500*ms+tickInterval {
 		t.Errorf("the first calls come from %v to %v after the start", first, last)
 	}
 }
--- a/internal/decide/offset.go
+++ b/internal/decide/offset.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// offsetSlack is what delays and rounding explain; clocks are stepped by seconds.
-	offsetSlack = 500 * time.Millisecond
-	// offsetWay bounds the time of an answer that is evidence that the servers' clock is behind.
-	offsetWay = 250 * time.Millisecond
-	// offsetConfirm is how long reports must agree that the servers' clock is behind, offsetReports how many.
-	offsetConfirm = time.Second
-	offsetReports = 3
-	// offsetProbe is the pause between probes for such reports.
-	offsetProbe = offsetConfirm / 4
+	// offsetTolerance is what delays and rounding explain; clocks are stepped by seconds.
+	offsetTolerance = 500 * time.Millisecond
+	// offsetMaxRoundTrip bounds the time of an answer that is evidence that the servers' clock is behind.
+	offsetMaxRoundTrip = 250 * time.Millisecond
+	// offsetConfirmTime is how long reports must agree that the servers' clock is behind, offsetConfirmReports how many.
+	offsetConfirmTime    = time.Second
+	offsetConfirmReports = 3
+	// offsetCheckInterval is the pause between probes for such reports.
+	offsetCheckInterval = offsetConfirmTime / 4
 )
 
 // clockOffset estimates how far the clock of a group's servers is ahead of this router's, from reports of
@@ -25,49 +25,49 @@
 // lets a stale replica serve. So the estimate is raised at once, and lowered only after several reports that
 // agree. A primary that stands still does not agree with itself.
 type clockOffset struct {
-	ahead   time.Duration // the estimate
-	low     time.Duration // the bounds on which the reports since agree...
-	high    time.Duration
-	since   Time // ...that place the servers' clock behind the estimate
-	reports int
+	ahead           time.Duration // the estimate
+	lowerBound      time.Duration // the bounds on which the reports since agree...
+	upperBound      time.Duration
+	agreeingSince   Time // ...that place the servers' clock behind the estimate
+	agreeingReports int
 }
 
 // observe takes a position that a primary reported in answer to what was sent at that time, or never where
 // that is not known.
 func (c *clockOffset) observe(now, sent, position Time) {
 	low, high := position-now, time.Duration(math.MaxInt64)
-	if sent != never && now-sent <= offsetWay {
+	if sent != never && now-sent <= offsetMaxRoundTrip {
 		high = position - sent + time.Millisecond // a position is rounded down
 	}
 	switch {
-	case low > c.ahead+offsetSlack:
+	case low > c.ahead+offsetTolerance:
 		c.adopt(low, high)
-	case high >= c.ahead-offsetSlack:
-		c.reports = 0
+	case high >= c.ahead-offsetTolerance:
+		c.agreeingReports = 0
 	default:
-		c.lower(now, low, high)
+		c.considerLowering(now, low, high)
 	}
 }
 
 // inDoubt tells whether reports agree that the servers' clock is behind, too few to be believed.
-func (c *clockOffset) inDoubt() bool { return c.reports > 1 }
+func (c *clockOffset) inDoubt() bool { return c.agreeingReports > 1 }
 
-// lower counts a report that places the servers' clock behind the estimate.
-func (c *clockOffset) lower(now Time, low, high time.Duration) {
-	if c.reports == 0 || low > c.high || high < c.low {
-		c.low, c.high, c.since, c.reports = low, high, now, 1
+// considerLowering counts a report that places the servers' clock behind the estimate.
+func (c *clockOffset) considerLowering(now Time, low, high time.Duration) {
+	if c.agreeingReports == 0 || low > c.upperBound || high < c.lowerBound {
+		c.lowerBound, c.upperBound, c.agreeingSince, c.agreeingReports = low, high, now, 1
 		return
 	}
-	c.low, c.high = max(c.low, low), min(c.high, high)
-	c.reports++
-	if c.reports >= offsetReports && now-c.since >= offsetConfirm {
-		c.adopt(c.low, c.high)
+	c.lowerBound, c.upperBound = max(c.lowerBound, low), min(c.upperBound, high)
+	c.agreeingReports++
+	if c.agreeingReports >= offsetConfirmReports && now-c.agreeingSince >= offsetConfirmTime {
+		c.adopt(c.lowerBound, c.upperBound)
 	}
 }
 
 // adopt takes the upper bound, where there is one.
 func (c *clockOffset) adopt(low, high time.Duration) {
-	c.ahead, c.reports = low, 0
+	c.ahead, c.agreeingReports = low, 0
 	if high < math.MaxInt64 {
 		c.ahead = high
 	}
@@ -89,22 +89,22 @@
 // taken to be: one that seemed to have started long ago may just have done so.
 func (r *Router) correctStarts(grp *group) {
 	for _, s := range grp.members {
-		if s.entry.Started != 0 {
-			s.coldFrom = max(s.coldFrom, min(r.now, s.entry.Started-grp.clock.ahead))
+		if s.endpoint.Started != 0 {
+			s.startedAt = max(s.startedAt, min(r.now, s.endpoint.Started-grp.clock.ahead))
 		}
 	}
 }
 
-// onClock returns this router's time at which a group's servers' clock showed a time.
-func (grp *group) onClock(servers Time) Time { return servers - grp.clock.ahead }
+// localTime returns this router's time at which a group's servers' clock showed a time.
+func (grp *group) localTime(servers Time) Time { return servers - grp.clock.ahead }
 
-// serversNow returns the time on the clock of a group's servers.
-func (r *Router) serversNow(grp *group) Time { return r.now + grp.clock.ahead }
+// serverClockNow returns the time on the clock of a group's servers.
+func (r *Router) serverClockNow(grp *group) Time { return r.now + grp.clock.ahead }
 
-// OnClock returns the time on this router's clock at which a server's clock showed a time.
-func (r *Router) OnClock(id ServerID, servers Time) Time {
+// ToLocalTime returns the time on this router's clock at which a server's clock showed a time.
+func (r *Router) ToLocalTime(id ServerID, servers Time) Time {
 	if s := r.servers[id]; s != nil {
-		return s.group.onClock(servers)
+		return s.group.localTime(servers)
 	}
 	return servers
 }
--- a/internal/decide/offset_test.go
+++ b/internal/decide/offset_test.go
@@ -73,35 +73,35 @@
 // TestReadsByAFastClock: this router's clock is an hour ahead of the servers'. A replica that is up to date must serve bounded reads all the same, once
 // reports agree, and one that is behind must not; until then the primary serves them, which was no more asked once it seemed an hour behind; a server that has started lately by the servers' clock counts as cold.
 func TestReadsByAFastClock(t *testing.T) {
-	g := newRig(t, testSettings(), Entry{Server: "p", Size: 1}, Entry{Server: "a", Size: 1, Started: start - hour - 100*ms}, Entry{Server: "b", Size: 1})
-	if g.r.warmth(g.r.servers["a"]) != 1 {
+	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1}, Endpoint{Server: "a", Capacity: 1, Started: start - hour - 100*ms}, Endpoint{Server: "b", Capacity: 1})
+	if h.r.warmUpFactor(h.r.servers["a"]) != 1 {
 		t.Fatal("by its own clock alone the router has no reason to take it for cold")
 	}
-	position := map[ServerID]time.Duration{"p": 0, "a": 100 * ms, "b": time3}
+	position := map[ServerID]time.Duration{"p": 0, "a": 100 * ms, "b": second}
 	served := map[ServerID]int{}
 	for n := range 60 {
-		out := append(g.pass(50*ms), g.ask(RequestID(fmt.Sprint(n)), cBounded)...)
+		out := append(h.advance(50*ms), h.request(RequestID(fmt.Sprint(n)), classBounded)...)
 		for len(out) > 0 { // probes are answered after 4 ms, requests at once
 			a := out[0]
 			out = out[1:]
-			if a.Kind == Probe {
-				g.now += 4 * ms
-				report := Report{Role: RoleReplica, Position: g.now - 2*ms - hour - position[a.Server], HasPosition: true}
+			if a.Kind == HealthCheck {
+				h.now += 4 * ms
+				report := Report{Role: RoleReplica, Position: h.now - 2*ms - hour - position[a.Server], HasPosition: true}
 				if a.Server == "p" {
 					report.Role = RolePrimary
 				}
-				out = append(out, g.do(&ProbeResult{Server: a.Server, Load: report})...)
+				out = append(out, h.handle(&HealthCheckResult{Server: a.Server, Load: report})...)
 			}
 			if a.Kind == Send {
 				served[a.Server]++
-				out = append(out, g.end(a.ID, a.Attempt, a.Server, OK)...)
+				out = append(out, h.end(a.ID, a.Attempt, a.Server, OK)...)
 			}
 		}
 	}
 	if served["a"] == 0 || served["b"] > 0 || served["a"]+served["p"] < 58 {
 		t.Errorf("of 60 reads served by %v: want nearly all, some by a, none by b", served)
 	}
-	if g.r.warmth(g.r.servers["a"]) == 1 {
+	if h.r.warmUpFactor(h.r.servers["a"]) == 1 {
 		t.Error("a server that started 3 s ago counts as warm")
 	}
 }
--- a/internal/decide/queue.go
+++ b/internal/decide/queue.go
@@ -10,97 +10,97 @@
 	if r.requests[ev.ID] != nil {
 		return
 	}
-	if uint(ev.Class) >= uint(len(r.classes)) || ev.Deadline <= r.now || r.set.Shed[ev.Group].Off(r.now, ev) {
+	if uint(ev.Class) >= uint(len(r.classes)) || ev.Deadline <= r.now || r.settings.Shedding[ev.Group].RejectsArrival(r.now, ev) {
 		reason := ReasonShed
 		if uint(ev.Class) >= uint(len(r.classes)) || ev.Deadline <= r.now {
-			reason = ReasonLate
+			reason = ReasonExpired
 		}
-		r.act(Action{Kind: Refuse, ID: ev.ID, Wait: r.set.Shed[ev.Group].Advice(r.now, ev), Reason: reason})
+		r.emit(Action{Kind: Reject, ID: ev.ID, Wait: r.settings.Shedding[ev.Group].RetryAfter(r.now, ev), Reason: reason})
 		return
 	}
 	c := &r.classes[ev.Class]
 	if r.groups[ev.Group] == nil && len(r.servers) > 0 { // and leaves no record
-		r.act(Action{Kind: Refuse, ID: ev.ID, Wait: min(r.set.MaxRetryAfter, c.Target), Reason: ReasonGroup})
+		r.emit(Action{Kind: Reject, ID: ev.ID, Wait: min(r.settings.MaxRetryAfter, c.LatencyObjective), Reason: ReasonNoServer})
 		return
 	}
-	req := &request{id: ev.ID, class: c, group: r.groupOf(ev.Group), arrived: r.now, deadline: ev.Deadline,
-		target: min(ev.Deadline, r.now+c.Target), need: never, session: ev.Session, only: ev.Only, size: 1,
-		sendBy: math.MaxInt64, value: max(c.Worth, 1e-6), place: r.set.Shed[ev.Group].Place(r.now, ev)}
-	if ev.RanAt > 0 && c.Effect == Keyed { // another with its key may have run
-		req.ran, req.ranAt, req.sendBy = true, ev.RanAt, ev.RanAt+c.KeyWindow
+	req := &request{id: ev.ID, class: c, group: r.groupFor(ev.Group), arrivedAt: r.now, deadline: ev.Deadline,
+		objectiveAt: min(ev.Deadline, r.now+c.LatencyObjective), requiredPosition: never, session: ev.Session, onlyServer: ev.OnlyServer, relativeWork: 1,
+		sendBy: math.MaxInt64, weight: max(c.PriorityWeight, 1e-6), sheddingRank: r.settings.Shedding[ev.Group].Rank(r.now, ev)}
+	if ev.MayHaveRunSince > 0 && c.Idempotency == IdempotentWithKey { // another with its key may have run
+		req.mayHaveRun, req.mayHaveRunSince, req.sendBy = true, ev.MayHaveRunSince, ev.MayHaveRunSince+c.KeyWindow
 	}
-	if req.classIndex, req.giveUpAt = ev.Class, req.target; c.LateWorth > 0 {
+	if req.classIndex, req.giveUpAt = ev.Class, req.objectiveAt; c.LateWeight > 0 {
 		req.giveUpAt = req.deadline
 	}
 	if c.Read == ReadSession {
-		if r.set.TrackCommits {
-			t, ok := r.commits[ev.Session]
-			if req.need = t; !ok {
-				req.need = r.forgotten
+		if r.settings.TrackCommits {
+			t, ok := r.sessionCommits[ev.Session]
+			if req.requiredPosition = t; !ok {
+				req.requiredPosition = r.forgottenCommit
 			}
-		} else if ev.SinceOwn != 0 {
-			req.need = r.now - ev.SinceOwn
+		} else if ev.SinceCommit != 0 {
+			req.requiredPosition = r.now - ev.SinceCommit
 		}
 	}
-	if ev.Tenant >= 0 && ev.Tenant < len(r.tenants) && r.set.Tenants[ev.Tenant].Allowance > 0 {
-		if t := r.fill(ev.Tenant); t.tokens >= 1 {
+	if ev.Tenant >= 0 && ev.Tenant < len(r.buckets) && r.settings.Tenants[ev.Tenant].RateLimit > 0 {
+		if t := r.refillBucket(ev.Tenant); t.tokens >= 1 {
 			t.tokens--
-		} else if r.set.Tenants[ev.Tenant].Hard {
-			wait := min(r.set.MaxRetryAfter, seconds((1-t.tokens)/max(t.rate, 1e-3)))
-			r.act(Action{Kind: Refuse, ID: ev.ID, Wait: wait, Reason: ReasonAllowance})
+		} else if r.settings.Tenants[ev.Tenant].RejectOverLimit {
+			wait := min(r.settings.MaxRetryAfter, toDuration((1-t.tokens)/max(t.rate, 1e-3)))
+			r.emit(Action{Kind: Reject, ID: ev.ID, Wait: wait, Reason: ReasonRateLimit})
 			return
 		} else {
-			req.value = max(req.value*r.set.OverShareWorth, 1e-6)
+			req.weight = max(req.weight*r.settings.OverQuotaWeight, 1e-6)
 		}
 	}
-	if ev.Repeat {
-		req.value *= repeatValue
+	if ev.ClientRetry {
+		req.weight *= clientRetryFactor
 	}
-	if hint := ev.Work.Seconds(); hint > 0 { // it compares the request with its class
-		c.hint += max(workGain, 1/(c.hints+1)) * (hint - c.hint)
-		c.hints++
-		req.size = min(hintMost, hint/c.hint)
+	if hint := ev.WorkHint.Seconds(); hint > 0 { // it compares the request with its class
+		c.averageHint += max(minAverageGain, 1/(c.hintCount+1)) * (hint - c.averageHint)
+		c.hintCount++
+		req.relativeWork = min(maxRelativeWork, hint/c.averageHint)
 	}
-	req.draw = r.rng.Float64()
-	r.countFlow(1)
+	req.admissionDraw = r.rng.Float64()
+	r.countRequests(1)
 	r.countUrgency(req)
 	r.requests[req.id] = req
-	r.tend(req.group)
-	if len(req.group.held) > 0 || !r.send(req) {
-		req.group.held = append(req.group.held, req)
-		r.drainQueue(req.group)
+	r.checkServers(req.group)
+	if len(req.group.waiting) > 0 || !r.trySend(req) {
+		req.group.waiting = append(req.group.waiting, req)
+		r.sendWaiting(req.group)
 	}
 }
 
 // hasCapacity tells whether a server can take one more. Without one, the request waits for any to free.
 func (r *Router) hasCapacity(s *server, req *request) bool {
-	if r.now < s.fullUntil || s.health == onTrial && len(s.open)-s.lost >= trialJobs || !r.admits(s, req) {
+	if r.now < s.overloadedUntil || s.health == halfOpen && len(s.openAttempts)-s.lostAttempts >= halfOpenAttempts || !r.admits(s, req) {
 		return false
 	}
 	_, n := r.load(s)
-	if n++; n <= width*r.warmth(s) {
+	if n++; n <= fullRateConcurrency*r.warmUpFactor(s) {
 		return true
 	}
-	rate, least := r.rateOf(s)*share(n), r.leastTarget.Seconds()
-	return len(s.open) == 0 && req.work()/rate <= loadOwn*(req.target-r.now).Seconds() &&
-		(req.primaryOnly() || fewRouters >= r.set.Peers || r.work/rate <= loadRead*least) ||
-		r.work/rate <= loadShare*least
+	rate, least := r.serviceRate(s)*rateShare(n), r.shortestObjective.Seconds()
+	return len(s.openAttempts) == 0 && req.expectedWork()/rate <= idleCapacityFraction*(req.objectiveAt-r.now).Seconds() &&
+		(req.primaryOnly() || fewRouters >= r.settings.Peers || r.averageWork/rate <= idleReadCapacityFraction*least) ||
+		r.averageWork/rate <= capacityFraction*least
 }
 
-// closing tells that a request must have its answer now. One that reached no server has half its time.
-func (r *Router) closing(req *request) bool {
+// mustAnswerNow tells that a request must have its answer now. One that reached no server has half its time.
+func (r *Router) mustAnswerNow(req *request) bool {
 	end := req.deadline
-	if !req.reached && req.open == 0 {
-		end = req.arrived + (req.deadline-req.arrived)/2
+	if !req.reachedServer && req.openAttempts == 0 {
+		end = req.arrivedAt + (req.deadline-req.arrivedAt)/2
 	}
-	return r.now+tickEvery+endMargin*r.set.Tick >= end
+	return r.now+tickInterval+finalAnswerTicks*r.settings.Tick >= end
 }
 
 // urgency orders waiting requests: worth per unit of work, less once only the late worth is left.
 func (r *Router) urgency(req *request) float64 {
-	u := req.value / req.work()
-	if r.now > req.target {
-		u *= req.class.LateWorth
+	u := req.weight / req.expectedWork()
+	if r.now > req.objectiveAt {
+		u *= req.class.LateWeight
 	}
 	if req.primaryOnly() { // requests that any member serves leave the primary to this
 		return u * float64(len(req.group.members))
@@ -108,73 +108,73 @@
 	return u
 }
 
-// drainQueue sends what it can of a group's waiting requests, most urgent first, and ends hopeless ones.
-func (r *Router) drainQueue(grp *group) {
-	slices.SortStableFunc(grp.held, func(a, b *request) int {
+// sendWaiting sends what it can of a group's waiting requests, most urgent first, and ends hopeless ones.
+func (r *Router) sendWaiting(grp *group) {
+	slices.SortStableFunc(grp.waiting, func(a, b *request) int {
 		// Newest first: under overload the oldest would each be served just too late.
-		return cmp.Or(cmp.Compare(r.urgency(b), r.urgency(a)), cmp.Compare(b.arrived, a.arrived))
+		return cmp.Or(cmp.Compare(r.urgency(b), r.urgency(a)), cmp.Compare(b.arrivedAt, a.arrivedAt))
 	})
-	kept, queue := grp.held[:0:0], grp.held
-	grp.held = nil
+	kept, queue := grp.waiting[:0:0], grp.waiting
+	grp.waiting = nil
 	for _, req := range queue {
-		switch over := r.over(req); {
+		switch over := r.giveUpReason(req); {
 		case req.finished:
-		case over != ReasonNone && req.open == 0:
-			r.finish(req, over)
-		case over == ReasonNone && !r.send(req):
+		case over != ReasonNone && req.openAttempts == 0:
+			r.giveFinalAnswer(req, over)
+		case over == ReasonNone && !r.trySend(req):
 			kept = append(kept, req)
 		}
 	}
-	grp.held = append(kept, grp.held...)
+	grp.waiting = append(kept, grp.waiting...)
 }
 
-// over tells why a request cannot be sent any more; ReasonNone where it can.
-func (r *Router) over(req *request) Reason {
+// giveUpReason tells why a request cannot be sent any more; ReasonNone where it can.
+func (r *Router) giveUpReason(req *request) Reason {
 	switch {
-	case r.closing(req):
-		return ReasonTime
-	case r.spent(req):
-		return ReasonAttempts
-	case r.now+r.soonest(req) > req.giveUpAt:
-		return ReasonHopeless
+	case r.mustAnswerNow(req):
+		return ReasonDeadline
+	case r.attemptsExhausted(req):
+		return ReasonMaxAttempts
+	case r.now+r.earliestAnswer(req) > req.giveUpAt:
+		return ReasonTooLate
 	}
 	return ReasonNone
 }
 
-// soonest is the least time to an answer, at the server of the group that is fastest under its load.
-func (r *Router) soonest(req *request) Time {
-	if c := req.class; c.soonestAt != r.now || c.soonestFor != req.group {
+// earliestAnswer is the least time to an answer, at the server of the group that is fastest under its load.
+func (r *Router) earliestAnswer(req *request) Time {
+	if c := req.class; c.earliestAnswerAt != r.now || c.earliestAnswerGroup != req.group {
 		best := never
 		for _, s := range req.group.members {
 			_, n := r.load(s)
-			t := seconds(c.work / (r.rateOf(s) * share(n)))
+			t := toDuration(c.averageWork / (r.serviceRate(s) * rateShare(n)))
 			if s.usable() && (best == never || t < best) {
 				best = t
 			}
 		}
-		c.soonest, c.soonestAt, c.soonestFor = max(0, best), r.now, req.group
+		c.earliestAnswer, c.earliestAnswerAt, c.earliestAnswerGroup = max(0, best), r.now, req.group
 	}
-	return seconds(req.class.soonest.Seconds() * req.size)
+	return toDuration(req.class.earliestAnswer.Seconds() * req.relativeWork)
 }
 
-// finish gives the final answer: refused where a retry is harmless, with the longest advice, else failed.
-func (r *Router) finish(req *request, reason Reason) {
+// giveFinalAnswer gives the final answer: refused where a retry is harmless, with the longest advice, else failed.
+func (r *Router) giveFinalAnswer(req *request, reason Reason) {
 	answer := Action{Kind: Fail, ID: req.id, Reason: reason}
-	c, unsent := req.class, !req.ran && req.open == 0
-	if c.Effect == Safe || unsent || c.Effect == Keyed && c.Scope == ScopeAll {
-		answer.Kind, answer.Wait = Refuse, r.set.MaxRetryAfter
+	c, unsent := req.class, !req.mayHaveRun && req.openAttempts == 0
+	if c.Idempotency == Idempotent || unsent || c.Idempotency == IdempotentWithKey && c.KeyScope == ScopeAll {
+		answer.Kind, answer.Wait = Reject, r.settings.MaxRetryAfter
 	}
-	r.act(answer)
-	r.forget(req)
+	r.emit(answer)
+	r.dropRequest(req)
 }
 
-// forget drops a request and calls off its attempts, so that servers do no work for nobody.
-func (r *Router) forget(req *request) {
+// dropRequest drops a request and calls off its attempts, so that servers do no work for nobody.
+func (r *Router) dropRequest(req *request) {
 	req.finished = true
 	delete(r.requests, req.id)
 	for _, a := range req.attempts {
-		if r.set.MayCancel && !a.over {
-			r.act(Action{Kind: Cancel, ID: req.id, Attempt: a.number})
+		if r.settings.MayCancel && !a.ended {
+			r.emit(Action{Kind: Cancel, ID: req.id, Attempt: a.number})
 		}
 	}
 }
--- a/internal/decide/ration.go
+++ b/internal/decide/ration.go
@@ -1,42 +1,42 @@
 package decide
 
-// warmth is the part of its capacity that a server has, after its start.
-func (r *Router) warmth(s *server) float64 {
-	age := r.now - s.coldFrom
-	if r.set.ColdTime <= 0 || age >= r.set.ColdTime {
+// warmUpFactor is the part of its capacity that a server has, after its start.
+func (r *Router) warmUpFactor(s *server) float64 {
+	age := r.now - s.startedAt
+	if r.settings.SlowStartTime <= 0 || age >= r.settings.SlowStartTime {
 		return 1
 	}
-	return r.set.ColdFrom + (1-r.set.ColdFrom)*max(0, age.Seconds())/r.set.ColdTime.Seconds()
+	return r.settings.SlowStartFrom + (1-r.settings.SlowStartFrom)*max(0, age.Seconds())/r.settings.SlowStartTime.Seconds()
 }
 
 // slowStartAllows keeps to this process's part of the budget: by an account, or by draws below one request.
 func (r *Router) slowStartAllows(s *server, req *request) bool {
-	if r.set.FallMultiple <= 0 || r.set.FallSpan <= 0 || r.warmth(s) == 1 {
+	if r.settings.SlowStartMultiple <= 0 || r.settings.SlowStartSpan <= 0 || r.warmUpFactor(s) == 1 {
 		return true
 	}
-	part, span := r.set.ColdPart, r.set.FallSpan.Seconds()
-	rate := min(r.base(s), r.typicalRate(s)) * r.warmth(s) // its own may be far too high
-	unit := coldMargin / 2 * r.set.FallMultiple * rate * width / float64(r.set.Processes) * span
-	leaked := unit * min(part, s.coldPart) * (r.now - s.coldSpentAt).Seconds() / span
+	part, span := r.settings.SlowStartPart, r.settings.SlowStartSpan.Seconds()
+	rate := min(r.warmRate(s), r.typicalRate(s)) * r.warmUpFactor(s) // its own may be far too high
+	unit := slowStartMargin / 2 * r.settings.SlowStartMultiple * rate * fullRateConcurrency / float64(r.settings.Processes) * span
+	leaked := unit * min(part, s.slowStartPart) * (r.now - s.slowStartUsedAt).Seconds() / span
 	// A part is handed over with what was spent of it, so what is left stays as it is when the part changes.
-	s.coldSpent = max(0, min(s.coldSpent, unit*s.coldPart)-leaked+unit*(part-s.coldPart))
-	s.coldSpentAt, s.coldPart = r.now, part
-	if unit*part >= r.work {
-		return s.coldSpent <= unit*part-min(unit*part, req.work())
+	s.slowStartUsed = max(0, min(s.slowStartUsed, unit*s.slowStartPart)-leaked+unit*(part-s.slowStartPart))
+	s.slowStartUsedAt, s.slowStartPart = r.now, part
+	if unit*part >= r.averageWork {
+		return s.slowStartUsed <= unit*part-min(unit*part, req.expectedWork())
 	} // a draw's chance grows with the time since the last one, up to a span: bursts gain nothing
-	if gap := min(r.now-max(s.drawnAt, s.coldFrom), r.set.FallSpan); gap >= r.set.FallSpan/coldDraws {
-		s.drawn, s.drawnAt = r.rng.Float64()/gap.Seconds(), r.now
+	if gap := min(r.now-max(s.slowStartDrawAt, s.startedAt), r.settings.SlowStartSpan); gap >= r.settings.SlowStartSpan/slowStartDrawsPerSpan {
+		s.slowStartDraw, s.slowStartDrawAt = r.rng.Float64()/gap.Seconds(), r.now
 	}
-	return s.drawn*max(req.work(), r.work)*span < unit*part
+	return s.slowStartDraw*max(req.expectedWork(), r.averageWork)*span < unit*part
 }
 
-// fill updates a tenant's bucket: as assigned, or a second of an equal part, as bursts are no excess.
-func (r *Router) fill(i int) *tenant {
-	t, a := &r.tenants[i], r.set.Tenants[i]
+// refillBucket updates a tenant's bucket: as assigned, or a second of an equal part, as bursts are no excess.
+func (r *Router) refillBucket(i int) *tokenBucket {
+	t, a := &r.buckets[i], r.settings.Tenants[i]
 	if !a.Assigned {
-		a.Own = a.Allowance / float64(r.set.Peers)
-		a.Depth = max(a.Own, tenantDepth)
+		a.AssignedRate = a.RateLimit / float64(r.settings.Peers)
+		a.Burst = max(a.AssignedRate, minTenantBurst)
 	}
-	t.tokens, t.at, t.rate = min(a.Depth, t.tokens+a.Own*(r.now-t.at).Seconds()), r.now, a.Own
+	t.tokens, t.updatedAt, t.rate = min(a.Burst, t.tokens+a.AssignedRate*(r.now-t.updatedAt).Seconds()), r.now, a.AssignedRate
 	return t
 }
--- a/internal/decide/shed_place_test.go
+++ b/internal/decide/shed_place_test.go
@@ -8,32 +8,32 @@
 	"pgregory.net/rapid"
 )
 
-// TestSessionKeepsItsShedPlace: a session stands at two places at most within Keep, whatever its request is called and whichever router it comes to; its
+// TestSessionKeepsItsSheddingRank: a session stands at two places at most within Keep, whatever its request is called and whichever router it comes to; its
 // retries stand below its first tries; and what stands below the level is refused at once, with advice that is not the same for all.
-func TestSessionKeepsItsShedPlace(t *testing.T) {
-	s := &Shed{Levels: []float64{3.5}, Cells: [][4]int{{0, 1, 2, 3}}, Of: []int{0}, Keep: time.Minute, Wait: 2 * time.Second}
+func TestSessionKeepsItsSheddingRank(t *testing.T) {
+	s := &SheddingPolicy{Levels: []float64{3.5}, Ranks: [][4]int{{0, 1, 2, 3}}, OverQuotaIndex: []int{0}, RankLifetime: time.Minute, MaxRetryAfter: 2 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		now := Time(rapid.Int64Range(1, 1e18).Draw(t, "now"))
 		session := rapid.StringN(1, 20, -1).Draw(t, "session")
 		places := map[float64]bool{}
 		for i := range 60 {
-			places[s.Place(now+Time(i)*time.Second, &Request{ID: RequestID(fmt.Sprint(i)), Session: session, Tenant: -1})] = true
+			places[s.Rank(now+Time(i)*time.Second, &Request{ID: RequestID(fmt.Sprint(i)), Session: session, Tenant: -1})] = true
 		}
 		if len(places) > 2 {
 			t.Fatalf("%d places in a minute", len(places))
 		}
-		if first, again := s.Place(now, &Request{Session: session, Tenant: -1}), s.Place(now, &Request{Session: session, Repeat: true, Tenant: -1}); again >= first {
+		if first, again := s.Rank(now, &Request{Session: session, Tenant: -1}), s.Rank(now, &Request{Session: session, ClientRetry: true, Tenant: -1}); again >= first {
 			t.Fatalf("a retry stands at %g, the first try at %g", again, first)
 		}
 	})
-	set := Settings{Classes: []Class{{Target: time.Second, Worth: 1}}, Peers: 1, Shed: map[int]*Shed{4: s}, MaxRetryAfter: 2 * time.Second}
+	set := Settings{Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, Peers: 1, Shedding: map[int]*SheddingPolicy{4: s}, MaxRetryAfter: 2 * time.Second}
 	refused, waits := 0, map[time.Duration]bool{}
 	a, b := New(set, 1), New(set, 2)
 	for i := range 1000 {
 		off := func(r *Router) (no bool) {
 			ev := &Request{ID: RequestID(fmt.Sprint(i)), Group: 4, Tenant: -1, Session: fmt.Sprint("s", i), Deadline: Time(time.Hour + time.Second)}
 			for _, x := range r.Handle(Time(time.Hour), ev, nil) {
-				if x.Kind == Refuse {
+				if x.Kind == Reject {
 					no = true
 					waits[x.Wait] = true
 				}
--- a/internal/decide/shed_test.go
+++ b/internal/decide/shed_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// askA asks what only server a can serve.
-func (g *rig) askA(id RequestID) []Action {
-	return g.do(&Request{ID: id, Class: cAny, Deadline: g.now + 2*time.Second, Only: "a"})
+// requestOfA asks what only server a can serve.
+func (h *harness) requestOfA(id RequestID) []Action {
+	return h.handle(&Request{ID: id, Class: classAny, Deadline: h.now + 2*time.Second, OnlyServer: "a"})
 }
 
-// slowly has a router ask one read after another of a server whose answers each take so long.
-func (g *rig) slowly(n int, took time.Duration) {
+// answerSlowly has a router ask one read after another of a server whose answers each take so long.
+func (h *harness) answerSlowly(n int, took time.Duration) {
 	for i := range n {
-		id := RequestID(fmt.Sprint("slow", i, g.now))
-		got := of(Send, g.askA(id))
-		g.pass(took)
+		id := RequestID(fmt.Sprint("slow", i, h.now))
+		got := actionsOf(Send, h.requestOfA(id))
+		h.advance(took)
 		if len(got) == 1 {
-			g.end(id, 0, got[0].Server, OK)
+			h.end(id, 0, got[0].Server, OK)
 		}
-		g.pass(time.Second - took)
+		h.advance(time.Second - took)
 	}
 }
 
@@ -28,43 +28,43 @@
 // goes on sending what is worth least, as it has nothing there itself, keeps the queue standing for all.
 func TestOthersBacklogLowersAdmission(t *testing.T) {
 	for peers, shed := range map[int]bool{1: false, 150: true} {
-		g := trio(t, func(s *Settings) { s.Peers = peers })
-		g.slowly(3, 700*ms)
+		h := newGroupOfThree(t, func(s *Settings) { s.Peers = peers })
+		h.answerSlowly(3, 700*ms)
 		sent := 0
 		for i := range 40 {
 			id := RequestID(fmt.Sprint("read", i))
-			for range of(Send, g.askA(id)) {
+			for range actionsOf(Send, h.requestOfA(id)) {
 				sent++
 			}
-			g.do(&Expired{ID: id})
-			g.end(id, 0, "a", Cancelled)
+			h.handle(&Abandoned{ID: id})
+			h.end(id, 0, "a", Cancelled)
 		}
 		if shed && sent > 20 || !shed && sent != 40 {
 			t.Errorf("%d routers: %d of 40 reads were sent behind answers that waited long", peers, sent)
 		}
-		g.pass(6 * openAgain)
-		g.wantSend(g.askA("later"), "later", "a")
+		h.advance(6 * throttleMemorySeconds)
+		h.wantSend(h.requestOfA("later"), "later", "a")
 	}
 }
 
-// TestMostValuableAreAdmitted: what is shut out is what is worth least for its work, and a class at the edge in part.
-func TestMostValuableAreAdmitted(t *testing.T) {
-	g := trio(t, func(s *Settings) { s.Peers = 1 << 20 })
-	s := g.r.servers["a"]
+// TestMostUrgentAreAdmitted: what is shut out is what is worth least for its work, and a class at the edge in part.
+func TestMostUrgentAreAdmitted(t *testing.T) {
+	h := newGroupOfThree(t, func(s *Settings) { s.Peers = 1 << 20 })
+	s := h.r.servers["a"]
 	for i := range 300 {
-		c := &g.r.classes[i%3*2] // bounded and any, worth 1, and writes, worth 4
-		g.r.countUrgency(&request{group: s.group, class: c, value: c.Worth, size: 1, target: g.now})
+		c := &h.r.classes[i%3*2] // bounded and any, worth 1, and writes, worth 4
+		h.r.countUrgency(&request{group: s.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now})
 	}
 	for _, x := range []struct{ shut, cheap, dear float64 }{{0, 1, 1}, {0.41, 0.5, 1}, {1.1, 0, 1}, {1.8, 0, 0.5}} {
-		for _, c := range g.r.backlogs(s) {
-			c.shut, c.at, c.cutAt = x.shut, g.now, never
+		for _, c := range h.r.backlogsOf(s) {
+			c.throttle, c.updatedAt, c.cutoffAt = x.shut, h.now, never
 		}
 		in := map[float64]float64{}
 		for luck := 0.005; luck < 1; luck += 0.01 {
-			for _, no := range []int{cAny, cWrite} {
-				c := &g.r.classes[no]
-				if g.r.admits(s, &request{group: s.group, class: c, value: c.Worth, size: 1, target: g.now, draw: luck}) {
-					in[c.Worth] += 0.01
+			for _, no := range []int{classAny, classKeyedWrite} {
+				c := &h.r.classes[no]
+				if h.r.admits(s, &request{group: s.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now, admissionDraw: luck}) {
+					in[c.PriorityWeight] += 0.01
 				}
 			}
 		}
--- a/internal/decide/slowstart_parts_test.go
+++ b/internal/decide/slowstart_parts_test.go
@@ -12,9 +12,9 @@
 	move = func() {
 		for i := range f.routers {
 			set := f.set
-			set.ColdAssigned, set.ColdPart = true, 0.1/float64(len(f.routers)-1)
+			set.SlowStartAssigned, set.SlowStartPart = true, 0.1/float64(len(f.routers)-1)
 			if i == holder {
-				set.ColdPart = 0.9
+				set.SlowStartPart = 0.9
 			}
 			f.handle(i, &Reload{Settings: set})
 		}
@@ -49,15 +49,15 @@
 // TestSlowStartDrawsForWhatIsTaken: a server in slow start that costs more than another has no draw used up by a request
 // that goes to the other.
 func TestSlowStartDrawsForWhatIsTaken(t *testing.T) {
-	g := trio(t, func(set *Settings) { set.Peers = 300 })
-	cold := g.r.servers["b"]
-	cold.coldFrom, cold.drawnAt, cold.relativeRate = g.now-time.Second, g.now-time.Second, 0.01
-	before := cold.drawnAt
-	sent := g.do(&Request{ID: "x", Class: cAny, Deadline: g.now + time.Second})
-	if len(sent) == 0 || len(cold.open) > 0 {
+	h := newGroupOfThree(t, func(set *Settings) { set.Peers = 300 })
+	cold := h.r.servers["b"]
+	cold.startedAt, cold.slowStartDrawAt, cold.relativeRate = h.now-time.Second, h.now-time.Second, 0.01
+	before := cold.slowStartDrawAt
+	sent := h.handle(&Request{ID: "x", Class: classAny, Deadline: h.now + time.Second})
+	if len(sent) == 0 || len(cold.openAttempts) > 0 {
 		t.Fatalf("the read goes to a warm server: %v", sent)
 	}
-	if cold.drawnAt != before {
+	if cold.slowStartDrawAt != before {
 		t.Error("a draw was used up for a server that was not taken")
 	}
 }
--- a/internal/decide/slowstart_test.go
+++ b/internal/decide/slowstart_test.go
@@ -66,7 +66,7 @@
 func newSlowStartFleet(t *testing.T, routers int, seed uint64, change func(*Settings)) *slowStartFleet {
 	t.Helper()
 	f := &slowStartFleet{t: t, set: testSettings(), rng: rand.New(rand.NewPCG(seed, 1)), now: start, started: start - time.Hour}
-	f.set.Peers, f.set.MaxAttempts, f.set.ColdTime = routers, 8, 18*time.Second
+	f.set.Peers, f.set.MaxAttempts, f.set.SlowStartTime = routers, 8, 18*time.Second
 	if change != nil {
 		change(&f.set)
 	}
@@ -80,13 +80,13 @@
 
 // work is the time that a request takes at a warm server, alone: what routers take it for before they have heard.
 func (f *slowStartFleet) work() time.Duration {
-	return time.Duration(startWork * float64(f.set.Classes[cWrite].Target))
+	return time.Duration(initialWorkFraction * float64(f.set.Classes[classKeyedWrite].LatencyObjective))
 }
 
 // warmth is the part of its capacity that the primary has.
 func (f *slowStartFleet) warmth(at Time) float64 {
-	age := (at - f.started).Seconds() / f.set.ColdTime.Seconds()
-	return f.set.ColdFrom + (1-f.set.ColdFrom)*min(1, age)
+	age := (at - f.started).Seconds() / f.set.SlowStartTime.Seconds()
+	return f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*min(1, age)
 }
 
 func (f *slowStartFleet) served() (Result, time.Duration) {
@@ -97,14 +97,14 @@
 func (f *slowStartFleet) begin(i int) {
 	r := New(f.set, f.rng.Uint64())
 	f.routers[i] = r
-	entry := Entry{Server: "p", Primary: true}
+	entry := Endpoint{Server: "p", Primary: true}
 	if f.started > start {
 		entry.Started = f.started + f.ahead
 	}
-	f.handle(i, &List{Kind: ListRestored, Entries: []Entry{entry, {Server: "a"}, {Server: "b"}}})
-	f.handle(i, &ProbeResult{Server: "p", Result: OK, Load: Report{Role: RolePrimary, HasPosition: true, Position: f.now}})
-	f.handle(i, &ProbeResult{Server: "a", Result: OK, Load: Report{Role: RoleReplica, HasPosition: true, Position: f.now}})
-	f.handle(i, &ProbeResult{Server: "b", Result: OK, Load: Report{Role: RoleReplica, HasPosition: true, Position: f.now}})
+	f.handle(i, &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{entry, {Server: "a"}, {Server: "b"}}})
+	f.handle(i, &HealthCheckResult{Server: "p", Result: OK, Load: Report{Role: RolePrimary, HasPosition: true, Position: f.now}})
+	f.handle(i, &HealthCheckResult{Server: "a", Result: OK, Load: Report{Role: RoleReplica, HasPosition: true, Position: f.now}})
+	f.handle(i, &HealthCheckResult{Server: "b", Result: OK, Load: Report{Role: RoleReplica, HasPosition: true, Position: f.now}})
 }
 
 func (f *slowStartFleet) at(when Time, call func()) {
@@ -128,12 +128,12 @@
 		switch a.Kind {
 		case SetTimer:
 			f.later(a.At-f.now, i, &Timer{})
-		case Probe:
+		case HealthCheck:
 			role := RoleReplica
 			if a.Server == "p" {
 				role = RolePrimary
 			}
-			f.later(ms, i, &ProbeResult{Server: a.Server, Result: OK, Load: Report{Role: role, HasPosition: true, Position: f.now}})
+			f.later(ms, i, &HealthCheckResult{Server: a.Server, Result: OK, Load: Report{Role: role, HasPosition: true, Position: f.now}})
 		case Send:
 			result, took := OK, f.work()
 			if a.Server == "p" {
@@ -152,7 +152,7 @@
 		f.started = f.now
 		for i := range f.routers {
 			f.later(time.Duration(f.rng.Float64()*float64(heard)), i,
-				&List{Kind: ListChanges, Entries: []Entry{{Server: "p", Primary: true, Started: f.started + f.ahead}}})
+				&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "p", Primary: true, Started: f.started + f.ahead}}})
 		}
 	})
 }
@@ -175,8 +175,8 @@
 			x -= weights[i]
 		}
 		f.requests++
-		f.handle(i, &Request{ID: RequestID(fmt.Sprint(f.requests)), Class: cWrite, Deadline: f.now + 3*time.Second})
-		if when := f.now + seconds(f.rng.ExpFloat64()/perSecond); when < to {
+		f.handle(i, &Request{ID: RequestID(fmt.Sprint(f.requests)), Class: classKeyedWrite, Deadline: f.now + 3*time.Second})
+		if when := f.now + toDuration(f.rng.ExpFloat64()/perSecond); when < to {
 			f.at(when, next)
 		}
 	}
@@ -194,7 +194,7 @@
 
 // allowed is how many calls of mean work the settings let the primary get in a span that ends then.
 func (f *slowStartFleet) allowed(at Time) float64 {
-	return f.set.FallMultiple * f.warmth(at) * width * startRate * f.set.FallSpan.Seconds() / f.work().Seconds()
+	return f.set.SlowStartMultiple * f.warmth(at) * fullRateConcurrency * initialKindRate * f.set.SlowStartSpan.Seconds() / f.work().Seconds()
 }
 
 // worst is the fullest span of any process of the server since it restarted first: its calls, and what was allowed.
@@ -206,7 +206,7 @@
 			first = i + 1
 			continue
 		}
-		for f.sends[first].at <= last.at-f.set.FallSpan || f.sends[first].started != last.started {
+		for f.sends[first].at <= last.at-f.set.SlowStartSpan || f.sends[first].started != last.started {
 			first++
 		}
 		if over := float64(i-first+1) - slowStartBound(last.allowed); over > most {
@@ -237,7 +237,7 @@
 				parts = append(parts, float64(calls)/allowed)
 				total += len(f.sends)
 				if bound := slowStartBound(allowed); float64(calls) > bound {
-					t.Errorf("seed %d: %d calls in %v, allowed are %.1f, at most %.1f", seed+1, calls, f.set.FallSpan, allowed, bound)
+					t.Errorf("seed %d: %d calls in %v, allowed are %.1f, at most %.1f", seed+1, calls, f.set.SlowStartSpan, allowed, bound)
 				}
 			}
 			if total == 0 {
@@ -290,7 +290,7 @@
 		f.at(restartAt, func() {
 			f.answer = func(f *slowStartFleet) (Result, time.Duration) {
 				if f.rng.Float64() < 0.9 {
-					return []Result{Full, Failed, Missed}[f.rng.IntN(3)], 2 * ms
+					return []Result{Overloaded, Failed, Misdirected}[f.rng.IntN(3)], 2 * ms
 				}
 				return f.served()
 			}
@@ -310,7 +310,7 @@
 			f.answer = func(*slowStartFleet) (Result, time.Duration) { return OK, ms }
 		})
 		for step := range 12 {
-			f.at(restartAt+time.Second+Time(step)*f.set.FallSpan/3, func() {
+			f.at(restartAt+time.Second+Time(step)*f.set.SlowStartSpan/3, func() {
 				for i := range f.routers {
 					f.begin(i)
 				}
@@ -348,7 +348,7 @@
 				got++
 			}
 		}
-		allowed += f.allowed((from+to)/2) * float64(to-from) / float64(f.set.FallSpan)
+		allowed += f.allowed((from+to)/2) * float64(to-from) / float64(f.set.SlowStartSpan)
 	}
 	t.Logf("%.2f of what is allowed", got/allowed)
 	if got < 0.65*allowed { // 0.60 where a draw is good for a quarter of a span alone
--- a/internal/decide/trial_test.go
+++ b/internal/decide/trial_test.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// TestDownServerWithoutProbes: where servers answer no probes, nothing but a request can show that a server that refused connections is back.
+// TestEjectedServerWithoutHealthChecksIsTried: where servers answer no probes, nothing but a request can show that a server that refused connections is back.
 // Seen: a group's one server refused two connections, counted as down and got nothing any more, though it listened again a moment later; each
 // request waited for half its deadline and was refused. Cause: a server came back by a probe's answer alone.
-func TestDownServerWithoutProbes(t *testing.T) {
+func TestEjectedServerWithoutHealthChecksIsTried(t *testing.T) {
 	set := testSettings()
-	set.MayProbe = false
-	g := newRig(t, set, Entry{Server: "p", Size: 1})
+	set.MayCheckHealth = false
+	h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1})
 	for n := range 2 {
 		id := RequestID(fmt.Sprint("refused", n))
-		g.wantSend(g.ask(id, cAny), id, "p")
-		g.end(id, 0, "p", Unreachable)
-		g.do(&Expired{ID: id})
+		h.wantSend(h.request(id, classAny), id, "p")
+		h.end(id, 0, "p", Unreachable)
+		h.handle(&Abandoned{ID: id})
 	}
-	g.wantNone(Send, g.ask("at once", cAny))
+	h.wantNone(Send, h.request("at once", classAny))
 
 	// One that still refuses gets a few requests in each pause, and the pause grows.
 	sent, refused := 0, 0
 	for range 500 {
 		refused++
-		g.ask(RequestID(fmt.Sprint("more", refused)), cAny)
-		for _, a := range of(Send, append(g.out, g.pass(20*ms)...)) {
+		h.request(RequestID(fmt.Sprint("more", refused)), classAny)
+		for _, a := range actionsOf(Send, append(h.out, h.advance(20*ms)...)) {
 			sent++
-			g.end(a.ID, a.Attempt, "p", Unreachable)
+			h.end(a.ID, a.Attempt, "p", Unreachable)
 		}
 	}
-	if most := 10 * trialJobs; sent == 0 || sent > most {
+	if most := 10 * halfOpenAttempts; sent == 0 || sent > most {
 		t.Errorf("%d attempts at a server that refuses connections for 10 s, want 1 to %d", sent, most)
 	}
 
 	// It is back: one answer shows that.
 	served := false
 	for n := range 400 {
-		g.ask(RequestID(fmt.Sprint("back", n)), cAny)
-		for _, a := range of(Send, append(g.out, g.pass(10*ms)...)) {
+		h.request(RequestID(fmt.Sprint("back", n)), classAny)
+		for _, a := range actionsOf(Send, append(h.out, h.advance(10*ms)...)) {
 			served = true
-			g.end(a.ID, a.Attempt, "p", OK)
+			h.end(a.ID, a.Attempt, "p", OK)
 		}
 		if served {
 			break
@@ -50,14 +50,14 @@
 	if !served {
 		t.Fatal("nothing is sent to a server that is back")
 	}
-	if s := g.r.servers["p"]; s.health != healthy || g.now-s.coldFrom > 5*time.Second {
-		t.Errorf("health %d, cold since %v at %v: want it in use, and cold, as it refused for more than %v", s.health, s.coldFrom, g.now, outage)
+	if s := h.r.servers["p"]; s.health != healthy || h.now-s.startedAt > 5*time.Second {
+		t.Errorf("health %d, cold since %v at %v: want it in use, and cold, as it refused for more than %v", s.health, s.startedAt, h.now, restartOutage)
 	}
 }
 
-// TestProbeThatWasNotSent: a probe for which this machine had no descriptor says nothing about the server, which must stay in use.
-func TestProbeThatWasNotSent(t *testing.T) {
-	g := trio(t, nil)
-	g.do(&ProbeResult{Server: "p", Result: Skipped})
-	g.wantSend(g.ask("w", cUnsafe), "w", "p")
+// TestHealthCheckThatWasNotSentProvesNothing: a probe for which this machine had no descriptor says nothing about the server, which must stay in use.
+func TestHealthCheckThatWasNotSentProvesNothing(t *testing.T) {
+	h := newGroupOfThree(t, nil)
+	h.handle(&HealthCheckResult{Server: "p", Result: NotSent})
+	h.wantSend(h.request("w", classWriteOnce), "w", "p")
 }
--- a/internal/frontend/clickhouse/answers.go
+++ b/internal/frontend/clickhouse/answers.go
@@ -98,7 +98,7 @@
 	case a.r == nil:
 		l.f.done(a, resultOf(l.head))
 	case !told || s.position < l.f.loop.Now()-a.r.bound():
-		l.f.done(a, decide.Missed)
+		l.f.done(a, decide.Misdirected)
 	case ends: // it goes out on another
 		a.checked = true
 		l.close()
@@ -106,7 +106,7 @@
 		l.f.begin(a)
 		return
 	case !l.f.goes(a): // it was let go to ask for the report; the query is what must not go out now
-		l.f.done(a, decide.Skipped)
+		l.f.done(a, decide.NotSent)
 	default:
 		a.checked = true
 		l.head = nil
@@ -191,10 +191,10 @@
 func resultOf(h *httpwire.Head) decide.Result {
 	switch h.Get("X-ClickHouse-Exception-Code") {
 	case "202", "439": // too many queries; no thread to be had: it has not begun
-		return decide.Full
+		return decide.Overloaded
 	case "":
 		if h.Status == 503 || h.Status == 429 {
-			return decide.Full
+			return decide.Overloaded
 		}
 		if h.Status >= 500 {
 			return decide.Failed
--- a/internal/frontend/clickhouse/attempts.go
+++ b/internal/frontend/clickhouse/attempts.go
@@ -48,7 +48,7 @@
 	}
 	for i := 0; i < len(s.waiting); {
 		if a := s.waiting[i]; a.r != nil && which(a.tag) {
-			f.drop(a, decide.Skipped)
+			f.drop(a, decide.NotSent)
 			i = 0 // what that led to may have changed the rest
 			continue
 		}
@@ -93,7 +93,7 @@
 			continue
 		}
 		if !f.goes(a) {
-			f.drop(a, decide.Skipped)
+			f.drop(a, decide.NotSent)
 			return
 		}
 		s.idle = s.idle[:len(s.idle)-1]
@@ -104,7 +104,7 @@
 		switch {
 		case a.link != nil:
 		case s.dialing == 0: // want of a descriptor tells nothing of the server
-			f.drop(a, decide.Skipped)
+			f.drop(a, decide.NotSent)
 		default:
 			f.drop(a, decide.Unreachable)
 		}
@@ -138,7 +138,7 @@
 		}
 	}
 	if a.r != nil && res != decide.Unreachable {
-		res = decide.Skipped // it was never written
+		res = decide.NotSent // it was never written
 	}
 	f.done(a, res)
 }
@@ -159,11 +159,11 @@
 		f.events.ProbeEnded(a.store.id, o)
 		return
 	}
-	if res != decide.Unreachable && res != decide.Skipped {
+	if res != decide.Unreachable && res != decide.NotSent {
 		a.r.reached = true
 	}
 	o := backend.Outcome{Result: res}
-	if res == decide.Missed {
+	if res == decide.Misdirected {
 		o.Position, o.HasPos = a.store.position, true
 	}
 	f.events.AttemptEnded(a.tag, o)
--- a/internal/frontend/clickhouse/link.go
+++ b/internal/frontend/clickhouse/link.go
@@ -70,7 +70,7 @@
 	}
 	result := decide.Unreachable
 	if eventloop.IsLocal(err) { // it says nothing about the server
-		result = decide.Skipped
+		result = decide.NotSent
 	}
 	if w := l.store.waiting; len(w) > l.store.dialing {
 		l.f.drop(w[0], result)
@@ -99,7 +99,7 @@
 	for len(s.waiting) > 0 {
 		a := s.waiting[0]
 		if !l.f.goes(a) {
-			l.f.drop(a, decide.Skipped)
+			l.f.drop(a, decide.NotSent)
 			continue
 		}
 		s.waiting = s.waiting[1:]
--- a/internal/frontend/clickhouse/servers.go
+++ b/internal/frontend/clickhouse/servers.go
@@ -42,7 +42,7 @@
 		s.idle[0].close()
 	}
 	for len(s.waiting) > 0 {
-		f.drop(s.waiting[0], decide.Skipped)
+		f.drop(s.waiting[0], decide.NotSent)
 	}
 	f.lose(id)
 }
--- a/internal/frontend/pooling/begun.go
+++ b/internal/frontend/pooling/begun.go
@@ -238,11 +238,11 @@
 		for _, s := range does {
 			wanted = wanted || s.ReadOnly
 		}
-		return decide.Missed, !wanted // a transaction that was declared so gets what it asked for
+		return decide.Misdirected, !wanted // a transaction that was declared so gets what it asked for
 	case "72000":
-		return decide.Missed, true
+		return decide.Misdirected, true
 	case "53300", "57P03":
-		return decide.Full, true
+		return decide.Overloaded, true
 	}
 	return 0, false
 }
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -402,7 +402,7 @@
 			a.link.abandon()
 		} else {
 			if r == decide.TimedOut || r == decide.Cancelled {
-				o.Result = decide.Skipped // it never got a connection
+				o.Result = decide.NotSent // it never got a connection
 			}
 			f.do(a.t.c.pool, a.t.c.pool.share.Leave(connpool.ID(refNumber(a.ref)), f.loop.Now()))
 		}
@@ -464,15 +464,15 @@
 	f.Counts.Refused++
 	switch {
 	case p.share.Barred(a.store):
-		f.end(a, decide.Full, nil)
+		f.end(a, decide.Overloaded, nil)
 	case p.opt.Limits.WaitMs > 0 && f.loop.Now()-a.t.asked >= p.opt.Limits.WaitMs:
 		a.t.waited = true
-		f.end(a, decide.Full, nil)
+		f.end(a, decide.Overloaded, nil)
 	case f.downAt(p, a.store):
 		f.end(a, decide.Unreachable, nil)
 	default:
 		a.t.waited = true // no place in the queue
-		f.end(a, decide.Full, nil)
+		f.end(a, decide.Overloaded, nil)
 	}
 }
 
--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -152,7 +152,7 @@
 func codeOf(err error) string {
 	for code, list := range map[string][]error{
 		"53300": {scatter.ErrBusy},
-		"42704": {scatter.ErrSpec, core.ErrClass, core.ErrTenant},
+		"42704": {scatter.ErrSpec, core.ErrUnknownClass, core.ErrUnknownTenant},
 		"42601": {plan.ErrComment, plan.ErrMarks},
 		"22023": {scatter.ErrPage, scatter.ErrEncoding, cursor.ErrCut, cursor.ErrKey, cursor.ErrForged, cursor.ErrOld, cursor.ErrStatement, cursor.ErrReader, cursor.ErrOrder,
 			cursor.ErrShards},
--- a/internal/frontend/scatter/answers.go
+++ b/internal/frontend/scatter/answers.go
@@ -59,9 +59,9 @@
 		r := decide.OK // an answer, if not the one wished for
 		switch code {
 		case "25006", "72000":
-			r = decide.Missed
+			r = decide.Misdirected
 		case "53300", "57P03":
-			r = decide.Full
+			r = decide.Overloaded
 		}
 		if r != decide.OK { // the module knows another one
 			l.broken = true
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -361,5 +361,5 @@
 	g.do(func() { g.requests[0].over = false; g.try(0, "b") })
 	a.gives(2).ends(true)
 	c.begins().gives(3).ends(true)
-	g.want("[1 2 3]", fmt.Sprint("0 ", decide.OK), fmt.Sprint("0 ", decide.Skipped))
+	g.want("[1 2 3]", fmt.Sprint("0 ", decide.OK), fmt.Sprint("0 ", decide.NotSent))
 }
--- a/internal/frontend/scatter/dial.go
+++ b/internal/frontend/scatter/dial.go
@@ -24,7 +24,7 @@
 		}
 	}
 	if f.opt.Spare != nil && f.opt.Spare() < 1 {
-		f.end(a, decide.Full, nil)
+		f.end(a, decide.Overloaded, nil)
 		return
 	}
 	l := &link{f: f, key: k, in: pgwire.NewReader(s.spec.longest()), params: map[string]string{}, server: sessionstate.NewServer(1, 1024), attempt: a, part: a.p}
@@ -33,7 +33,7 @@
 	f.loop.Dial(f.addrs[k.store], f.opt.ConnectMs, l, func(err error) {
 		f.log.Debug("scatter: connect", "store", k.store, "err", err)
 		if eventloop.IsLocal(err) { // it says nothing about the server
-			l.failed(decide.Skipped)
+			l.failed(decide.NotSent)
 			return
 		}
 		l.failed(decide.Unreachable)
--- a/internal/frontend/scatter/part.go
+++ b/internal/frontend/scatter/part.go
@@ -77,7 +77,7 @@
 	case f.addrs[store] == "":
 		f.end(a, decide.Unreachable, nil)
 	case p.over || p.begun:
-		f.end(a, decide.Skipped, nil)
+		f.end(a, decide.NotSent, nil)
 	default:
 		f.connect(a)
 	}
@@ -116,7 +116,7 @@
 	}
 	if a.link = nil; x != nil && r != decide.OK {
 		if !x.asked && quit {
-			o.Result = decide.Skipped // nothing was sent
+			o.Result = decide.NotSent // nothing was sent
 		}
 		x.drop()
 	}
@@ -165,11 +165,11 @@
 func (p *part) send(l *link) {
 	f := p.s.f
 	if f.barred[l.key.store] { // it drains since: the module knows another one
-		f.end(l.attempt, decide.Full, nil)
+		f.end(l.attempt, decide.Overloaded, nil)
 		return
 	}
 	if a := l.attempt; a != nil && !f.events.AttemptGoes(a.tag) {
-		f.end(a, decide.Skipped, nil)
+		f.end(a, decide.NotSent, nil)
 		return
 	}
 	if err := l.ask(p); err != nil {
--- a/internal/frontend/scatter/reused_test.go
+++ b/internal/frontend/scatter/reused_test.go
@@ -56,7 +56,7 @@
 			}
 			then(g, s, a)
 			g.do(func() {
-				if !slices.Contains(g.outcomes, fmt.Sprint("2 ", decide.Skipped)) {
+				if !slices.Contains(g.outcomes, fmt.Sprint("2 ", decide.NotSent)) {
 					t.Errorf("what was not sent did not end so: %q", g.outcomes)
 				}
 				if n := len(g.f.idle[serverKey{"a", "d", "u"}]); n != 1 {
--- a/internal/lifecycle/handover/handover.go
+++ b/internal/lifecycle/handover/handover.go
@@ -37,17 +37,17 @@
 
 // State is what a process tells.
 type State struct {
-	SavedMs float64        `json:"saved_ms"` // Unix ms, for processes of versions that know no Saved
-	Saved   clock.Moment   `json:"saved"`
-	ClockMs float64        `json:"clock_ms"` // then, on the writing process's own clock, which the times in Memory are on
-	Held    int            `json:"held"`     // descriptors
-	Ends    bool           `json:"ends"`     // it takes nothing new
-	From    string         `json:"from"`     // the list's source
-	List    discovery.List `json:"list"`     // whole, as heard last; of generation 0 where none was heard
-	Anew    int            `json:"anew"`     // so often the list's source has begun its generations anew
-	Classes []string       `json:"classes"`
-	Kinds   []string       `json:"kinds"`
-	Memory  *decide.Memory `json:"memory"`
+	SavedMs float64          `json:"saved_ms"` // Unix ms, for processes of versions that know no Saved
+	Saved   clock.Moment     `json:"saved"`
+	ClockMs float64          `json:"clock_ms"` // then, on the writing process's own clock, which the times in Memory are on
+	Held    int              `json:"held"`     // descriptors
+	Ends    bool             `json:"ends"`     // it takes nothing new
+	From    string           `json:"from"`     // the list's source
+	List    discovery.List   `json:"list"`     // whole, as heard last; of generation 0 where none was heard
+	Anew    int              `json:"anew"`     // so often the list's source has begun its generations anew
+	Classes []string         `json:"classes"`
+	Kinds   []string         `json:"kinds"`
+	Memory  *decide.Snapshot `json:"memory"`
 
 	AgeMs float64 `json:"-"` // as it was read
 }
