--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -16,8 +16,8 @@
 func state(at float64) *State {
 	return &State{SavedMs: at, Held: 7, From: "127.0.0.1:8500", Classes: []string{"a"}, Kinds: []string{"k"},
 		List: discovery.List{Generation: 4, Reset: true, Instances: []discovery.Instance{{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "up"}}},
-		Memory: &decide.Memory{Work: []float64{0.1}, Rates: map[int]float64{0: 2}, Mean: 0.1,
-			Servers: []decide.ServerMemory{{ID: "s-1", Role: decide.RolePrimary, RoleAt: 3 * time.Second, Position: time.Second}}}}
+		Memory: &decide.Snapshot{ClassWork: []float64{0.1}, KindRates: map[int]float64{0: 2}, AverageWork: 0.1,
+			Servers: []decide.ServerSnapshot{{ID: "s-1", Role: decide.RolePrimary, RoleAt: 3 * time.Second, Position: time.Second}}}}
 }
 
 // TestWholeOrNot: a file that is cut short anywhere, or has any byte changed, is as good as none.
--- a/internal/protocol/simulator/items.go
+++ b/internal/protocol/simulator/items.go
@@ -44,7 +44,7 @@
 		}
 		delete(d.zero, it.Front)
 	case "MEMBERS":
-		l := &decide.List{}
+		l := &decide.EndpointList{}
 		slot, how := -1, ""
 		for f.next() {
 			switch f.key {
@@ -65,7 +65,7 @@
 			if slot < 0 || slot >= slots {
 				return fmt.Errorf("MEMBERS: slot %d out of range", slot)
 			}
-			l.Entries = d.lists[slot]
+			l.Endpoints = d.lists[slot]
 		}
 		it.Event = l
 	case "ASK":
@@ -73,7 +73,7 @@
 	case "SETTLED":
 		it.Front, it.Event = d.decodeOutcome(f)
 	case "EXPIRED":
-		e := &decide.Expired{}
+		e := &decide.Abandoned{}
 		for f.next() {
 			switch f.key {
 			case "front":
@@ -95,7 +95,7 @@
 		}
 		it.Event = e
 	case "ECHO":
-		e := &decide.ProbeResult{Result: decide.TimedOut}
+		e := &decide.HealthCheckResult{Result: decide.TimedOut}
 		var stats []byte
 		for f.next() {
 			switch f.key {
@@ -141,7 +141,7 @@
 		case "session":
 			e.Session = string(f.val)
 		case "token_ms":
-			e.SinceOwn = max(0, time.Duration(f.float()*float64(time.Millisecond)))
+			e.SinceCommit = max(0, time.Duration(f.float()*float64(time.Millisecond)))
 		case "expected_ns":
 			work = f.duration()
 		case "options":
@@ -151,9 +151,9 @@
 		}
 	}
 	if options&1 != 0 {
-		e.Work = work
+		e.WorkHint = work
 	}
-	e.Repeat = options&2 != 0
+	e.ClientRetry = options&2 != 0
 	if e.ID == "" {
 		f.fail("request_id")
 	}
@@ -214,7 +214,7 @@
 	if slot < 0 || slot >= slots || records < 0 {
 		return fmt.Errorf("CENSUS: slot %d or records %d out of range", slot, records)
 	}
-	var list []decide.Entry // fresh: events of this batch may still hold the old one
+	var list []decide.Endpoint // fresh: events of this batch may still hold the old one
 	for range records {
 		line, err := d.readLine()
 		if err != nil {
@@ -224,7 +224,7 @@
 		if g.name != "ENTRY" {
 			return fmt.Errorf("want ENTRY, got %q", g.name)
 		}
-		e := decide.Entry{Size: 1}
+		e := decide.Endpoint{Capacity: 1}
 		for g.next() {
 			switch g.key {
 			case "online_since_ns":
@@ -240,7 +240,7 @@
 				}
 				e.State = s
 			case "weight":
-				e.Size = g.float()
+				e.Capacity = g.float()
 			case "hall":
 				e.Zone = g.integer()
 			case "store":
@@ -267,7 +267,7 @@
 }
 
 var states = map[string]decide.ServerState{
-	"SERVING": decide.Serving, "DRAINING": decide.Draining, "DELETED": decide.Gone,
+	"SERVING": decide.Serving, "DRAINING": decide.Draining, "DELETED": decide.Removed,
 }
 
 // result reads a disposition. A word not known here becomes an error that may have run: the reading
@@ -277,7 +277,7 @@
 	case "done":
 		return decide.OK
 	case "busy":
-		return decide.Full
+		return decide.Overloaded
 	case "etimedout":
 		return decide.TimedOut
 	case "econnrefused":
@@ -287,9 +287,9 @@
 	case "ecanceled":
 		return decide.Cancelled
 	case "skipped":
-		return decide.Skipped
+		return decide.NotSent
 	case "enoent":
-		return decide.Missed
+		return decide.Misdirected
 	}
 	return decide.Failed
 }
@@ -315,7 +315,7 @@
 				r.Role = decide.RolePrimary
 			}
 		case "busy_reqs":
-			r.Held, r.HasHeld = f.parse(val), true
+			r.InFlight, r.HasInFlight = f.parse(val), true
 		}
 	}
 	return r
--- a/internal/protocol/simulator/reply.go
+++ b/internal/protocol/simulator/reply.go
@@ -31,14 +31,14 @@
 		r.begin("REVOKE", front)
 		r.str("request_id", string(a.ID))
 		r.int("try", int64(a.Attempt))
-	case decide.Refuse:
+	case decide.Reject:
 		r.begin("NOT_NOW", front)
 		r.str("request_id", string(a.ID))
 		r.num("pause_ns", int64(a.Wait))
 	case decide.Fail:
 		r.begin("ERROR", front)
 		r.str("request_id", string(a.ID))
-	case decide.Probe:
+	case decide.HealthCheck:
 		r.begin("PROBE", front)
 		r.str("store", string(a.Server))
 	case decide.SetTimer:
--- a/internal/protocol/simulator/settings.go
+++ b/internal/protocol/simulator/settings.go
@@ -64,63 +64,63 @@
 func Settings(m map[string]string) (decide.Settings, time.Duration, error) {
 	p := &pairs{m: m}
 	s := decide.Settings{
-		Peers:          int(p.dur("siblings")),
-		Zone:           int(p.dur("my_zone")),
-		Tick:           p.dur("tick_ns"),
-		OverShareWorth: p.float("over_share_worth"),
-		AskList:        m["membership_mode"] == "ask",
-		AskEvery:       p.dur("invariants.ask_every_ns"),
-		BehindWait:     p.dur("family_info.holds_for_ns"),
-		TrackCommits:   m["family_info.tokens"] == "kept",
-		ListShowsRole:  m["family_info.shows_role"] == "trailing" || m["family_info.shows_role"] == "static",
-		ListRoleLive:   m["family_info.shows_role"] == "trailing",
-		SizesLive:      m["weights"] == "live",
-		MayCancel:      p.flag("allowed.may_cancel"),
-		MayDuplicate:   p.flag("allowed.may_duplicate"),
-		MayProbe:       p.flag("allowed.probes"),
-		MaxRetryAfter:  p.dur("allowed.max_retry_after_ns"),
-		MaxAttempts:    int(p.dur("allowed.max_attempts")),
-		DrainGrace:     p.dur("invariants.drain_grace_ns"),
-		DrainOnly:      p.flag("invariants.soft_removal"),
-		FallMultiple:   p.float("invariants.fall_multiple"),
-		FallSpan:       p.dur("invariants.tip_after_ns"),
-		ColdFrom:       p.float("invariants.cold_from"),
-		ColdTime:       p.dur("invariants.cold_ns"),
-		PriceCross:     p.float("prices.cross_zone"),
-		PriceProbe:     p.float("prices.probe"),
-		ReportsOnSend:  m["telemetry.source"] == "answers",
+		Peers:              int(p.dur("siblings")),
+		Zone:               int(p.dur("my_zone")),
+		Tick:               p.dur("tick_ns"),
+		OverQuotaWeight:    p.float("over_share_worth"),
+		WatchList:          m["membership_mode"] == "ask",
+		ListStaleAfter:     p.dur("invariants.ask_every_ns"),
+		StaleReadWait:      p.dur("family_info.holds_for_ns"),
+		TrackCommits:       m["family_info.tokens"] == "kept",
+		ListShowsRole:      m["family_info.shows_role"] == "trailing" || m["family_info.shows_role"] == "static",
+		ListRoleLive:       m["family_info.shows_role"] == "trailing",
+		CapacityTracksLoad: m["weights"] == "live",
+		MayCancel:          p.flag("allowed.may_cancel"),
+		MayDuplicate:       p.flag("allowed.may_duplicate"),
+		MayCheckHealth:     p.flag("allowed.probes"),
+		MaxRetryAfter:      p.dur("allowed.max_retry_after_ns"),
+		MaxAttempts:        int(p.dur("allowed.max_attempts")),
+		DrainGrace:         p.dur("invariants.drain_grace_ns"),
+		DrainOnly:          p.flag("invariants.soft_removal"),
+		SlowStartMultiple:  p.float("invariants.fall_multiple"),
+		SlowStartSpan:      p.dur("invariants.tip_after_ns"),
+		SlowStartFrom:      p.float("invariants.cold_from"),
+		SlowStartTime:      p.dur("invariants.cold_ns"),
+		CrossZoneCost:      p.float("prices.cross_zone"),
+		HealthCheckCost:    p.float("prices.probe"),
+		ReportsOnSend:      m["telemetry.source"] == "answers",
 	}
 	if !p.flag("allowed.retry_after") {
 		s.MaxRetryAfter = 0
 	}
 	switch m["family_info.when_behind"] {
 	case "bounce":
-		s.Behind = decide.BehindRefuses
+		s.StaleReads = decide.StaleReadsRefused
 	case "await":
-		s.Behind = decide.BehindWaits
+		s.StaleReads = decide.StaleReadsWait
 	}
 	reads, bounds := p.list("family_info.class_read"), p.list("family_info.staleness_bound_ns")
 	for i := range p.count("request_classes.count") {
 		at := "request_classes." + strconv.Itoa(i) + "."
 		c := decide.Class{
-			Target:    p.dur(at + "slo_ns"),
-			Deadline:  p.dur(at + "deadline_ns"),
-			Worth:     p.float(at + "points"),
-			LateWorth: p.float(at + "late_worth"),
-			KeyWindow: p.dur(at + "key_ttl_ns"),
+			LatencyObjective: p.dur(at + "slo_ns"),
+			Deadline:         p.dur(at + "deadline_ns"),
+			PriorityWeight:   p.float(at + "points"),
+			LateWeight:       p.float(at + "late_worth"),
+			KeyWindow:        p.dur(at + "key_ttl_ns"),
 		}
 		switch m[at+"effect"] {
 		case "retryable":
 		case "dedup":
-			c.Effect = decide.Keyed
+			c.Idempotency = decide.IdempotentWithKey
 		default: // an effect not known here is treated as the most fragile
-			c.Effect = decide.Unsafe
+			c.Idempotency = decide.NotIdempotent
 		}
 		switch m[at+"group"] {
 		case "cell":
-			c.Scope = decide.ScopeGroup
+			c.KeyScope = decide.ScopeGroup
 		case "zone":
-			c.Scope = decide.ScopeZone
+			c.KeyScope = decide.ScopeZone
 		}
 		c.Read = decide.ReadFresh // a need not known here is met by the primary
 		if i < len(reads) {
@@ -140,13 +140,13 @@
 			if err != nil {
 				return s, 0, fmt.Errorf("staleness bound: %w", err)
 			}
-			c.Bound = time.Duration(b)
+			c.MaxStaleness = time.Duration(b)
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range p.count("tenants.count") {
 		s.Tenants = append(s.Tenants, decide.Tenant{
-			Allowance: p.float("tenants." + strconv.Itoa(i) + ".allowance_per_s"),
+			RateLimit: p.float("tenants." + strconv.Itoa(i) + ".allowance_per_s"),
 		})
 	}
 	return s, p.dur("family_info.position_zero_ns"), p.err
--- a/internal/protocol/simulator/simulator.go
+++ b/internal/protocol/simulator/simulator.go
@@ -46,7 +46,7 @@
 type Decoder struct {
 	in    *bufio.Reader
 	line  int
-	lists [slots][]decide.Entry
+	lists [slots][]decide.Endpoint
 	zero  map[int]time.Duration
 	long  []byte
 }
--- a/internal/protocol/simulator/simulator_test.go
+++ b/internal/protocol/simulator/simulator_test.go
@@ -42,29 +42,29 @@
 		t.Fatalf("now %v, %d items", b.Now, len(b.Items))
 	}
 	s := b.Items[0].Settings
-	if b.Items[0].Seed != 17446744073709551615 || s.Peers != 2 || !s.MayCancel || !s.AskList ||
-		s.Behind != decide.BehindWaits || len(s.Classes) != 2 || s.Classes[0].Bound != 300 || s.Classes[0].Target != 7 ||
-		s.Classes[1].Effect != decide.Keyed || s.Classes[1].Scope != decide.ScopeGroup ||
-		s.Classes[1].Read != decide.Write || s.Tenants[0].Allowance != 1.5 {
+	if b.Items[0].Seed != 17446744073709551615 || s.Peers != 2 || !s.MayCancel || !s.WatchList ||
+		s.StaleReads != decide.StaleReadsWait || len(s.Classes) != 2 || s.Classes[0].MaxStaleness != 300 || s.Classes[0].LatencyObjective != 7 ||
+		s.Classes[1].Idempotency != decide.IdempotentWithKey || s.Classes[1].KeyScope != decide.ScopeGroup ||
+		s.Classes[1].Read != decide.Write || s.Tenants[0].RateLimit != 1.5 {
 		t.Errorf("settings: %+v", s)
 	}
 	zero := 500 * time.Nanosecond
 	ms := time.Millisecond
 	want := []decide.Event{
-		&decide.List{Kind: decide.ListRestored, Entries: []decide.Entry{
-			{Server: "h:1", Group: 11, Kind: 1, Zone: 2, Size: 2.5, Primary: true},
-			{Server: "h:2", Group: 11, Size: 1, State: decide.Draining, Started: 61}}},
-		&decide.List{Entries: []decide.Entry{{Server: "h:3", Group: 4, Size: 1, State: decide.Gone}}},
-		&decide.List{Kind: decide.ListFailed},
+		&decide.EndpointList{Kind: decide.ListRestored, Endpoints: []decide.Endpoint{
+			{Server: "h:1", Group: 11, Kind: 1, Zone: 2, Capacity: 2.5, Primary: true},
+			{Server: "h:2", Group: 11, Capacity: 1, State: decide.Draining, Started: 61}}},
+		&decide.EndpointList{Endpoints: []decide.Endpoint{{Server: "h:3", Group: 4, Capacity: 1, State: decide.Removed}}},
+		&decide.EndpointList{Kind: decide.ListFailed},
 		&decide.Request{ID: "ab", Class: 1, Group: 11, Tenant: 1, Deadline: 99, Session: "c.k",
-			SinceOwn: 412500 * time.Microsecond, Work: 12, Repeat: true},
+			SinceCommit: 412500 * time.Microsecond, WorkHint: 12, ClientRetry: true},
 		&decide.Outcome{ID: "ab", Attempt: 2, Server: "h:1", Final: true,
 			Reported: decide.Report{Role: decide.RolePrimary, Position: zero + 10*ms, HasPosition: true}},
 		&decide.Outcome{ID: "ab", Server: "h:1", Result: decide.Failed,
 			Reported: decide.Report{Role: decide.RoleReplica},
-			Load:     decide.Report{Role: decide.RolePrimary, Position: zero + 20*ms, HasPosition: true, Held: 7, HasHeld: true}},
-		&decide.ProbeResult{Server: "h:1", Result: decide.Unreachable},
-		&decide.Expired{ID: "ab"},
+			Load:     decide.Report{Role: decide.RolePrimary, Position: zero + 20*ms, HasPosition: true, InFlight: 7, HasInFlight: true}},
+		&decide.HealthCheckResult{Server: "h:1", Result: decide.Unreachable},
+		&decide.Abandoned{ID: "ab"},
 		&decide.Timer{Tag: -77},
 	}
 	for i, w := range want {
@@ -83,9 +83,9 @@
 
 func TestEachDisposition(t *testing.T) {
 	for word, want := range map[string]decide.Result{
-		"done": decide.OK, "err": decide.Failed, "busy": decide.Full, "etimedout": decide.TimedOut,
+		"done": decide.OK, "err": decide.Failed, "busy": decide.Overloaded, "etimedout": decide.TimedOut,
 		"econnrefused": decide.Unreachable, "econnreset": decide.Reset, "ecanceled": decide.Cancelled,
-		"skipped": decide.Skipped, "enoent": decide.Missed, "unheard of": decide.Failed,
+		"skipped": decide.NotSent, "enoent": decide.Misdirected, "unheard of": decide.Failed,
 	} {
 		if got := result([]byte(word)); got != want {
 			t.Errorf("%s: %d, want %d", word, got, want)
@@ -131,8 +131,8 @@
 	var r Reply
 	for _, a := range []decide.Action{
 		{Kind: decide.Send, ID: "ab", Server: "h:1", Wait: 80}, {Kind: decide.Send, ID: "ab", Server: "h:1"},
-		{Kind: decide.Cancel, ID: "ab", Attempt: 2}, {Kind: decide.Refuse, ID: "ab", Wait: 9},
-		{Kind: decide.Fail, ID: "ab"}, {Kind: decide.Probe, Server: "h:1"},
+		{Kind: decide.Cancel, ID: "ab", Attempt: 2}, {Kind: decide.Reject, ID: "ab", Wait: 9},
+		{Kind: decide.Fail, ID: "ab"}, {Kind: decide.HealthCheck, Server: "h:1"},
 		{Kind: decide.SetTimer, At: 12, Tag: 7}, {Kind: decide.Subscribe}, {Kind: decide.FetchList},
 		{Kind: decide.Log, Text: "a\tb\nc"}, {Kind: 99},
 	} {
--- a/internal/settings/clickhouse.go
+++ b/internal/settings/clickhouse.go
@@ -174,16 +174,16 @@
 		return
 	}
 	add := func(rule string, aim, deadline, worth, bound float64) {
-		class := decide.Class{Target: time.Duration(aim * float64(time.Millisecond)), Deadline: time.Duration(deadline * float64(time.Millisecond)), Worth: worth,
-			LateWorth: 0.5, Read: decide.ReadAny}
+		class := decide.Class{LatencyObjective: time.Duration(aim * float64(time.Millisecond)), Deadline: time.Duration(deadline * float64(time.Millisecond)), PriorityWeight: worth,
+			LateWeight: 0.5, Read: decide.ReadAny}
 		reads, writes := clickhouse.Classes(rule)
 		cfg.Classes = append(cfg.Classes, reads, writes)
 		if bound > 0 {
-			class.Read, class.Bound = decide.ReadBounded, time.Duration(bound*float64(time.Millisecond))
+			class.Read, class.MaxStaleness = decide.ReadBounded, time.Duration(bound*float64(time.Millisecond))
 		}
 		cfg.Settings.Classes = append(cfg.Settings.Classes, class)
-		class.Read, class.Bound = decide.ReadAny, 0
-		class.Effect = decide.Unsafe
+		class.Read, class.MaxStaleness = decide.ReadAny, 0
+		class.Idempotency = decide.NotIdempotent
 		cfg.Settings.Classes = append(cfg.Settings.Classes, class)
 	}
 	add("", c.AimMs, c.DeadlineMs, c.Worth, c.BoundMs)
--- a/internal/settings/clickhouse_test.go
+++ b/internal/settings/clickhouse_test.go
@@ -33,10 +33,10 @@
 	for i, n := range cfg.Classes {
 		got[n] = cfg.Settings.Classes[i]
 	}
-	reads := decide.Class{Target: time.Second, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.5, Read: decide.ReadAny, Effect: decide.Safe}
+	reads := decide.Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, LateWeight: 0.5, Read: decide.ReadAny, Idempotency: decide.Idempotent}
 	writes := reads
-	reads.Read, reads.Bound = decide.ReadBounded, 10*time.Second
-	writes.Effect = decide.Unsafe
+	reads.Read, reads.MaxStaleness = decide.ReadBounded, 10*time.Second
+	writes.Idempotency = decide.NotIdempotent
 	if diff := cmp.Diff(map[string]decide.Class{"clickhouse-reads": reads, "clickhouse-writes": writes}, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -46,11 +46,11 @@
 }
 
 // Bounds are those of the limits that the core keeps to.
-func (f *FleetLimits) Bounds() (out []core.Bound) {
-	kinds := map[string]core.Of{OfTenant: core.OfTenant, OfCold: core.OfCold, OfProbes: core.OfProbes, OfLists: core.OfLists, OfDials: core.OfDials}
+func (f *FleetLimits) Bounds() (out []core.Limit) {
+	kinds := map[string]core.LimitKind{OfTenant: core.LimitTenantRequests, OfCold: core.LimitSlowStart, OfProbes: core.LimitHealthChecks, OfLists: core.LimitListCalls, OfDials: core.LimitDials}
 	for _, x := range f.List {
 		if of, ok := kinds[x.Of]; ok {
-			out = append(out, core.Bound{Limit: x.Name, Of: of, Tenant: x.Whom, Amount: x.Amount, Hard: x.Hard})
+			out = append(out, core.Limit{Name: x.Name, Kind: of, Tenant: x.Whom, Amount: x.Amount, Hard: x.Hard})
 		}
 	}
 	return out
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -31,14 +31,14 @@
 		return func(n *sexp.Node) (err error) { *to, err = n.Bool(); return err }
 	}
 	err := sexp.Form{
-		"shed": flag(&o.Shed), "period": span(&s.Period, 100, 10000), "memory": span(&s.Memory, 100, 10000), "stale": span(&s.Stale, 300, 60000),
+		"shed": flag(&o.SetShedding), "period": span(&s.Period, 100, 10000), "memory": span(&s.Memory, 100, 10000), "stale": span(&s.Stale, 300, 60000),
 		"hold": span(&s.Hold, 500, 600000), "fall": span(&s.Fall, 100, 600000), "keep": span(&s.Keep, 1000, 3600e3),
 		"target": part(&s.Target, 0.01, 0.5), "delay": part(&s.Delay, 0.05, 0.9), "drain": part(&s.Drain, 0.3, 10), "back": part(&s.Back, 0.01, 2),
 		"collectors": func(n *sexp.Node) (err error) { s.Collectors, err = n.Int(1, 7); return err },
 		"returns":    part(&b.Returns, 1, 1e6),
 		"repeats": func(n *sexp.Node) error {
 			b.Repeats = true
-			return sexp.Form{"part": part(&b.Part, 0, 10), "floor": part(&b.Floor, 0, 1e4), "span": span(&b.SpanMs, 100, 3600e3), "lend": flag(&b.Lend),
+			return sexp.Form{"part": part(&b.Part, 0, 10), "floor": part(&b.Floor, 0, 1e4), "span": span(&b.SpanMs, 100, 3600e3), "lend": flag(&b.AddRetryBudget),
 				"keep": part(&b.Lending.Keep, 0, 1e3), "vault": part(&b.Lending.Vault, 1, 1e4)}.Read(n.Args())
 		},
 		"probes": func(n *sexp.Node) error {
--- a/internal/settings/overload_test.go
+++ b/internal/settings/overload_test.go
@@ -23,7 +23,7 @@
 		if !strings.HasPrefix(got, want) || (want == "") != (got == "") {
 			t.Errorf("%s: %q, want %q", in, got, want)
 		}
-		if want == "" && (!s.Overload.On || s.Overload.Shed || s.Overload.Share || s.Overload.Repeats || s.Overload.Returns != 0) {
+		if want == "" && (!s.Overload.On || s.Overload.SetShedding || s.Overload.Share || s.Overload.Repeats || s.Overload.Returns != 0) {
 			t.Errorf("read as %+v", s.Overload)
 		}
 	}
--- a/internal/settings/pooling.go
+++ b/internal/settings/pooling.go
@@ -82,8 +82,8 @@
 	if slices.ContainsFunc(p.Classes, func(c Class) bool { return c.Name == a[0].Text }) {
 		return a[0].Errorf("there is a class %q already", a[0].Text)
 	}
-	c := Class{Name: a[0].Text, Class: decide.Class{Target: 500 * time.Millisecond, Deadline: 60 * time.Second, Worth: 1, LateWorth: 1,
-		Effect: decide.Unsafe, Read: decide.Write}}
+	c := Class{Name: a[0].Text, Class: decide.Class{LatencyObjective: 500 * time.Millisecond, Deadline: 60 * time.Second, PriorityWeight: 1, LateWeight: 1,
+		Idempotency: decide.NotIdempotent, Read: decide.Write}}
 	span := func(to *time.Duration) func(*sexp.Node) error {
 		return func(n *sexp.Node) error {
 			ms, err := n.Millis(1, longest)
@@ -92,11 +92,11 @@
 		}
 	}
 	err := sexp.Form{
-		"aim":      span(&c.Target),
+		"aim":      span(&c.LatencyObjective),
 		"deadline": span(&c.Deadline),
-		"bound":    span(&c.Bound),
-		"worth":    func(n *sexp.Node) (err error) { c.Worth, err = n.Float(0, 1000); return err },
-		"late":     func(n *sexp.Node) (err error) { c.LateWorth, err = n.Float(0, 1); return err },
+		"bound":    span(&c.MaxStaleness),
+		"worth":    func(n *sexp.Node) (err error) { c.PriorityWeight, err = n.Float(0, 1000); return err },
+		"late":     func(n *sexp.Node) (err error) { c.LateWeight, err = n.Float(0, 1); return err },
 		"needs": func(n *sexp.Node) error {
 			s, err := n.Str()
 			if err != nil {
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Read == decide.ReadBounded && c.Bound == 0 {
+	if c.Read == decide.ReadBounded && c.MaxStaleness == 0 {
 		return n.Errorf("class %q: (needs bounded) wants a (bound TIME)", c.Name)
 	}
 	p.Classes = append(p.Classes, c)
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -154,7 +154,7 @@
 	}
 	h.over = true
 	j.loop.Stop(h.timer)
-	j.core.AttemptEnded(h.tag, backend.Outcome{Result: decide.Skipped})
+	j.core.AttemptEnded(h.tag, backend.Outcome{Result: decide.NotSent})
 }
 
 // Cancel is core.Servers'.
--- a/internal/storage/sessiontoken/merge.go
+++ b/internal/storage/sessiontoken/merge.go
@@ -62,14 +62,14 @@
 
 // Merge takes what another process on the same socket held when it ended, and tells what the router has to know of it. done is called
 // off the loop, once it is kept here: from then on it need not be there any more.
-func (k *Keeper) Merge(h *Held, done func(error)) *decide.Memory {
-	m := &decide.Memory{}
+func (k *Keeper) Merge(h *Held, done func(error)) *decide.Snapshot {
+	m := &decide.Snapshot{}
 	var entries []store.Entry
 	if h.unclean { // a session may have written there until its end, whatever is known of it here
 		k.log.Warn("sessions: another process did not end in order: every session counts as written until its end")
 		for _, of := range []map[string]decide.Time{k.earlier, k.long, k.known} {
 			for name, at := range of {
-				m.Commits = append(m.Commits, decide.Commit{Session: name, At: max(at, h.until)})
+				m.Commits = append(m.Commits, decide.SessionCommit{Session: name, At: max(at, h.until)})
 			}
 		}
 		entries = k.drop(h.until)
@@ -80,7 +80,7 @@
 				if _, ok := h.commits[name]; ok || of[name] >= h.dropped {
 					continue
 				}
-				m.Commits = append(m.Commits, decide.Commit{Session: name, At: h.dropped})
+				m.Commits = append(m.Commits, decide.SessionCommit{Session: name, At: h.dropped})
 				if was, ok := k.known[name]; ok && was < h.dropped {
 					k.known[name] = h.dropped
 					entries = append(entries, store.Entry{Key: prefix + name, Value: encode(h.dropped)})
@@ -94,7 +94,7 @@
 		if ok && was >= at {
 			continue
 		}
-		m.Commits = append(m.Commits, decide.Commit{Session: name, At: at})
+		m.Commits = append(m.Commits, decide.SessionCommit{Session: name, At: at})
 		if !ok && k.dropped >= at { // any that is not kept here counts as later; the router may know it still
 			continue
 		}
@@ -108,8 +108,8 @@
 		k.dropped = h.dropped
 		entries = append(entries, store.Entry{Key: dropped, Value: encode(k.dropped)})
 	}
-	m.Forgotten = k.dropped
-	slices.SortStableFunc(m.Commits, func(a, b decide.Commit) int {
+	m.ForgottenCommit = k.dropped
+	slices.SortStableFunc(m.Commits, func(a, b decide.SessionCommit) int {
 		return cmp.Or(cmp.Compare(a.Session, b.Session), cmp.Compare(a.At, b.At))
 	})
 	k.check()
--- a/internal/storage/sessiontoken/sessiontoken.go
+++ b/internal/storage/sessiontoken/sessiontoken.go
@@ -109,12 +109,12 @@
 }
 
 // Memory is what the router is given at a start.
-func (k *Keeper) Memory() *decide.Memory {
-	m := &decide.Memory{Forgotten: k.dropped}
+func (k *Keeper) Memory() *decide.Snapshot {
+	m := &decide.Snapshot{ForgottenCommit: k.dropped}
 	for name, at := range k.known {
-		m.Commits = append(m.Commits, decide.Commit{Session: name, At: at})
+		m.Commits = append(m.Commits, decide.SessionCommit{Session: name, At: at})
 	}
-	slices.SortFunc(m.Commits, func(a, b decide.Commit) int {
+	slices.SortFunc(m.Commits, func(a, b decide.SessionCommit) int {
 		if a.Session < b.Session {
 			return -1
 		}
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -38,7 +38,7 @@
 			return c.At
 		}
 	}
-	return m.Forgotten
+	return m.ForgottenCommit
 }
 
 // TestCrashes: sessions write, generations of them are dropped, the power goes out at any time, the disk fails, the clock goes back: after
@@ -194,7 +194,7 @@
 			}
 			router = map[string]decide.Time{}
 			m := keepers[1].Memory()
-			forgotten = m.Forgotten
+			forgotten = m.ForgottenCommit
 			for _, c := range m.Commits {
 				router[c.Session] = c.At
 			}
@@ -209,7 +209,7 @@
 			if err := <-told; err != nil {
 				rt.Fatal(err)
 			}
-			forgotten = max(forgotten, m.Forgotten)
+			forgotten = max(forgotten, m.ForgottenCommit)
 			for _, c := range m.Commits {
 				router[c.Session] = max(router[c.Session], c.At)
 			}
--- a/internal/testkit/incident/groups.go
+++ b/internal/testkit/incident/groups.go
@@ -39,7 +39,7 @@
 // onWrite takes a write's attempt that ended.
 func (g *group) onWrite(m *Model, s *server, e *record.Event) {
 	if e.Result != uint8(decide.OK) {
-		if e.Result != uint8(decide.Skipped) && e.Result != uint8(decide.Cancelled) {
+		if e.Result != uint8(decide.NotSent) && e.Result != uint8(decide.Cancelled) {
 			g.refused(e.At)
 		}
 		return
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -178,7 +178,7 @@
 		"sent after a drain": {func(s *story) {
 			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_ENTRY, Server: "s-1", State: uint8(decide.Draining)})
 			s.ask(200, 0, 1, false, "s-1", decide.OK, 300, served) // sent within the grace
-			s.ask(300, 0, 2, false, "s-1", decide.Full, 1, refused)
+			s.ask(300, 0, 2, false, "s-1", decide.Overloaded, 1, refused)
 		}, []string{"drain s-1a", "sent after drain s-1a"}},
 		"records lost": {func(s *story) {
 			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 9, From: t0, To: t0 + 5, Cause: record.CauseRing})
--- a/internal/testkit/incident/model.go
+++ b/internal/testkit/incident/model.go
@@ -398,12 +398,12 @@
 // Results as bits of a mask.
 const (
 	bitFailed   = 1 << decide.Failed
-	bitFull     = 1 << decide.Full
+	bitFull     = 1 << decide.Overloaded
 	bitTimedOut = 1 << decide.TimedOut
 	bitUnreach  = 1 << decide.Unreachable
 	bitReset    = 1 << decide.Reset
 	bitCalled   = 1 << decide.Cancelled
-	bitMissed   = 1 << decide.Missed
+	bitMissed   = 1 << decide.Misdirected
 )
 
 // find keeps a finding, within the bounds.
--- a/internal/testkit/incident/servers.go
+++ b/internal/testkit/incident/servers.go
@@ -107,7 +107,7 @@
 
 // heard takes what an attempt or a probe told of a server.
 func (m *Model) heard(x *run, s *server, e *record.Event) {
-	if e.Result == uint8(decide.Skipped) {
+	if e.Result == uint8(decide.NotSent) {
 		return
 	}
 	if s.group == nil && e.Request != 0 {
@@ -284,7 +284,7 @@
 			s.Drains = s.Drains[max(0, len(s.Drains)-maxSpans):]
 			m.find(Finding{At: e.At, Kind: "drain", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Text: "drains, as the list has it"})
 		}
-	case decide.Gone:
+	case decide.Removed:
 		delete(x.entries, e.Server)
 		if !s.gone {
 			m.find(Finding{At: e.At, Kind: "gone", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Text: "has left the list"})
@@ -313,7 +313,7 @@
 		return
 	}
 	switch decide.Result(e.Result) {
-	case decide.Skipped, decide.Unreachable:
+	case decide.NotSent, decide.Unreachable:
 		return
 	}
 	if over := e.At - e.Took - l.draining - float64(x.Header.GraceUs)/1000; over > 0 {
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -87,7 +87,7 @@
 	}
 	st := a.st
 	if a.Late(e.s.now) {
-		a.end(backend.Outcome{Result: decide.Skipped})
+		a.end(backend.Outcome{Result: decide.NotSent})
 		return
 	}
 	e.s.at(a.until, a, atEnd)
@@ -95,7 +95,7 @@
 	if n := len(st.idle); n > 0 {
 		if rest := e.s.now - st.idle[n-1]; !a.Once || rest < p.wear.Limit() {
 			if !a.goes() {
-				a.drop(decide.Skipped)
+				a.drop(decide.NotSent)
 				return
 			}
 			st.idle = st.idle[:n-1]
@@ -119,7 +119,7 @@
 	}
 	for i := 0; i < len(st.waiting); {
 		if a := st.waiting[i]; a.v != nil && which(a.tag) {
-			a.drop(decide.Skipped)
+			a.drop(decide.NotSent)
 			i = 0
 			continue
 		}
@@ -240,8 +240,8 @@
 	}
 }
 
-var results = map[model.Verdict]decide.Result{model.Served: decide.OK, model.NotPrimary: decide.Missed, model.Drains: decide.Full,
-	model.QueueFull: decide.Full, model.HandedOver: decide.Failed}
+var results = map[model.Verdict]decide.Result{model.Served: decide.OK, model.NotPrimary: decide.Misdirected, model.Drains: decide.Overloaded,
+	model.QueueFull: decide.Overloaded, model.HandedOver: decide.Failed}
 
 func (a *attempt) atPooler(what uint64) {
 	if a.ended || a.p.life != a.life {
@@ -289,7 +289,7 @@
 		if !a.sent && !a.held {
 			r := decide.Unreachable
 			if st.dialing == 0 {
-				r = decide.Skipped
+				r = decide.NotSent
 			}
 			a.drop(r)
 		}
@@ -315,8 +315,8 @@
 	}
 	st := a.st
 	if !a.sent {
-		if a.v != nil && r != decide.Unreachable && r != decide.Full {
-			r = decide.Skipped
+		if a.v != nil && r != decide.Unreachable && r != decide.Overloaded {
+			r = decide.NotSent
 		}
 		if a.held {
 			a.unhold()
@@ -342,7 +342,7 @@
 	a.ended = true
 	p, e := a.p, a.p.e
 	p.tries.Drop(a.ref)
-	if e.black != nil && a.st != nil && o.Result != decide.OK && o.Result != decide.Missed && o.Result != decide.Skipped {
+	if e.black != nil && a.st != nil && o.Result != decide.OK && o.Result != decide.Misdirected && o.Result != decide.NotSent {
 		e.black.Unanswered(e.s.now, p.no, a.st.s.No)
 	}
 	if a.v == nil {
@@ -352,7 +352,7 @@
 		return
 	}
 	if a.sent {
-		never := o.Result == decide.Missed || o.Result == decide.Full
+		never := o.Result == decide.Misdirected || o.Result == decide.Overloaded
 		e.check.Ended(e.s.now, a.v.id, a.no, resultNames[o.Result], never)
 	}
 	e.word(a, &o)
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -57,7 +57,7 @@
 	p.CloseIdle(id)
 	st.listed = false
 	for len(st.waiting) > 0 {
-		st.waiting[0].drop(decide.Skipped)
+		st.waiting[0].drop(decide.NotSent)
 	}
 }
 
@@ -117,7 +117,7 @@
 
 // dial opens a connection in its turn, if somebody waits for it then.
 func (st *store) dial() {
-	st.p.core.Dial(func() {
+	st.p.core.LimitDial(func() {
 		if st.dialing < len(st.waiting) {
 			st.open()
 		}
@@ -168,7 +168,7 @@
 		if len(st.waiting) > st.dialing {
 			r := decide.Unreachable
 			if what == atRefused {
-				r = decide.Full
+				r = decide.Overloaded
 			}
 			a := st.waiting[0]
 			st.unqueue(a)
@@ -187,7 +187,7 @@
 	for len(st.waiting) > 0 {
 		a := st.waiting[0]
 		if a.Late(st.p.e.s.now) || !a.goes() {
-			a.drop(decide.Skipped)
+			a.drop(decide.NotSent)
 			continue
 		}
 		st.waiting = st.waiting[1:]
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -23,13 +23,13 @@
 
 // Options say how a scenario is played.
 type Options struct {
-	Seed     uint64
-	Mutant   *Mutant // a pooler that is broken on purpose, to prove the checker
-	Meter    bool    // take the decision module's time apart; it costs some itself
-	Progress func(virtualMs, endMs float64)
-	Broken   func(invariant.Breach) // is told of each invariant that breaks first, at that moment; may be nil
-	Parts    []Joined               // that live in each pooler, beside those that the scenario has
-	Tried    func(t *clients.Try)   // is told how each try ended for its client; may be nil
+	Seed         uint64
+	Mutant       *Mutant // a pooler that is broken on purpose, to prove the checker
+	Meter        bool    // take the decision module's time apart; it costs some itself
+	Progress     func(virtualMs, endMs float64)
+	Broken       func(invariant.Breach) // is told of each invariant that breaks first, at that moment; may be nil
+	Parts        []Joined               // that live in each pooler, beside those that the scenario has
+	AttemptEnded func(t *clients.Try)   // is told how each try ended for its client; may be nil
 
 	ran  func(id string)                                                            // is told of each write that must never run twice, as it runs; for tests
 	Read func(at float64, class *clients.Class, pooler int, work float64, far bool) // is told of each attempt of a read that any member may serve; may be nil
@@ -60,7 +60,7 @@
 	Facts    []model.Fact      `json:"facts,omitempty"`
 
 	Events    uint64             `json:"events"`
-	Asked     uint64             `json:"asked"`
+	Received  uint64             `json:"asked"`
 	Tries     uint64             `json:"tries"`
 	Attempts  uint64             `json:"attempts"`
 	Crossed   uint64             `json:"attempts_across_sites,omitempty"`
@@ -222,7 +222,7 @@
 	runtime.ReadMemStats(&m)
 	s := e.script
 	r := &Result{Scenario: s.Name, Seed: e.opt.Seed, Poolers: s.Poolers, Servers: len(e.world.Servers), Groups: len(e.world.Groups), Hash: fmt.Sprintf("%016x", e.s.hash),
-		Score: e.keeper.Score(), Verdict: e.check.Verdict(), Facts: e.world.Facts(), Events: e.s.events, Asked: e.asked, Tries: e.tries, Attempts: e.attempts, Crossed: e.crossed, Reads: e.reads, Far: e.far, Probes: e.probes,
+		Score: e.keeper.Score(), Verdict: e.check.Verdict(), Facts: e.world.Facts(), Events: e.s.events, Received: e.asked, Tries: e.tries, Attempts: e.attempts, Crossed: e.crossed, Reads: e.reads, Far: e.far, Probes: e.probes,
 		Lists: e.lists, Conns: e.conned, Again: e.agains.result(), Spent: e.spends.result(), Ends: map[string]uint64{}, Lost: e.lost, VirtualMs: e.s.now - startMs, WallMs: float64(time.Since(e.began).Microseconds()) / 1000,
 		ModuleMs: float64(e.moduleNs) / 1e6, HeapMB: float64(m.HeapAlloc) / (1 << 20), P50: e.times.quantile(50), P99: e.times.quantile(99)}
 	for i, n := range e.results {
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -47,7 +47,7 @@
 
 // bind tells the core which limits are its own.
 func (l *lender) bind() {
-	l.x.p.core.Bind(l.set.Bounds(), l)
+	l.x.p.core.SetLimits(l.set.Bounds(), l)
 }
 
 func (l *lender) members() {
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -71,7 +71,7 @@
 		}},
 		{Name: "takes writes for safe to repeat", Breaks: checker.NotTwice, Module: func(c *config.Config) {
 			for i := range c.Settings.Classes {
-				c.Settings.Classes[i].Effect = decide.Safe
+				c.Settings.Classes[i].Idempotency = decide.Idempotent
 			}
 		}},
 		{Name: "takes keys for kept for ever", Breaks: checker.NotTwice, Module: func(c *config.Config) {
@@ -87,7 +87,7 @@
 			}
 		}},
 		{Name: "takes cold servers for warm", Breaks: checker.ColdSpared, Module: func(c *config.Config) {
-			c.Settings.ColdTime, c.Settings.FallMultiple = 0, 0
+			c.Settings.SlowStartTime, c.Settings.SlowStartMultiple = 0, 0
 		}, List: func(l *discovery.List) {
 			for i := range l.Instances {
 				l.Instances[i].StartedAtMs = 0
@@ -100,7 +100,7 @@
 		}, Module: func(c *config.Config) {
 			for i := range c.Settings.Classes {
 				if x := &c.Settings.Classes[i]; x.Read == decide.ReadBounded {
-					x.Bound = time.Minute
+					x.MaxStaleness = time.Minute
 				}
 			}
 		}},
@@ -203,10 +203,10 @@
 type everywhere struct{ adapter.Core }
 
 // Shed is joined.Core's.
-func (e everywhere) Shed(group int, s *decide.Shed) {
+func (e everywhere) Shed(group int, s *decide.SheddingPolicy) {
 	for g := range mostSpoilt {
 		if g == group || s != nil {
-			e.Core.Shed(g, s)
+			e.Core.SetShedding(g, s)
 		}
 	}
 }
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -38,11 +38,11 @@
 		}
 		j := adapter.New(opt, told, h)
 		j.Check(h.x.p.e.checks, partsEach)
-		if opt.Shed {
-			c.SetPressure(j)
+		if opt.SetShedding {
+			c.SetDemandObserver(j)
 		}
 		if opt.Share {
-			c.SetProber(adapter.Prober{Joined: j})
+			c.SetHealthCheckSharer(adapter.Prober{Joined: j})
 		}
 		h.x.over = j
 		j.Begin()
@@ -61,5 +61,5 @@
 	if s := c.p.e.world.Server(store); s != nil && said.Role != decide.RoleUnknown && said.HasPos {
 		c.p.e.check.Word(c.p.e.s.now, said.Position, c.p.no, s.No, said.Role == decide.RolePrimary)
 	}
-	c.Core.ProbeReported(store, result, said, ageMs)
+	c.Core.HealthCheckReported(store, result, said, ageMs)
 }
--- a/internal/testkit/simulation/pages_made.go
+++ b/internal/testkit/simulation/pages_made.go
@@ -271,11 +271,11 @@
 	if a := x.held; a != nil && !a.ended {
 		x.held = nil
 		if !a.st.listed || a.slife != a.st.life { // it is gone since: the module knows another one
-			a.drop(decide.Full)
+			a.drop(decide.Overloaded)
 			return
 		}
 		if !a.goes() {
-			a.drop(decide.Skipped)
+			a.drop(decide.NotSent)
 			return
 		}
 		a.held = false
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -75,7 +75,7 @@
 	for seed := range uint64(3) {
 		s := madeUp(t, seed, seed)
 		asked, served := 0, 0 // of tenants whose funds last
-		r := play(t, s, Options{Seed: 1, Tried: func(x *clients.Try) {
+		r := play(t, s, Options{Seed: 1, AttemptEnded: func(x *clients.Try) {
 			if x.Tenant == s.Clients.Tenants[0].Name {
 				return
 			}
@@ -87,7 +87,7 @@
 			}
 		}})
 		v, f, p := r.Verdict, r.Funds[0], r.Pages
-		t.Logf("%d servers in %d groups, %d classes, %d tenants: %d asked, service %.3f, %d of %d of the others; %+v; %+v", r.Servers, r.Groups, len(r.Score.Classes), len(r.Funds), r.Asked, r.Score.Ratio, served, asked, f, *p)
+		t.Logf("%d servers in %d groups, %d classes, %d tenants: %d asked, service %.3f, %d of %d of the others; %+v; %+v", r.Servers, r.Groups, len(r.Score.Classes), len(r.Funds), r.Received, r.Score.Ratio, served, asked, f, *p)
 		if len(v.Breaches) > 0 {
 			t.Errorf("deployment %d: %v: %s", seed, v.Broken, v.Breaches[0].Text)
 		}
--- a/internal/testkit/simulation/verdicts.go
+++ b/internal/testkit/simulation/verdicts.go
@@ -19,7 +19,7 @@
 				h.x.p.e.heeded(s)
 			}
 		})
-		c.SetWitness(j)
+		c.SetServerObserver(j)
 		h.x.judged = j
 		return []module.Part{j}
 	}
--- a/internal/testkit/simulation/visit.go
+++ b/internal/testkit/simulation/visit.go
@@ -266,9 +266,9 @@
 	if e.funds != nil {
 		e.funds.tried(t)
 	}
-	if e.opt.Tried != nil {
+	if e.opt.AttemptEnded != nil {
 		t.Tenant = e.script.Clients.TenantOf(&a.Ask)
-		e.opt.Tried(t)
+		e.opt.AttemptEnded(t)
 	}
 	if kind == clients.Served || v.no == len(a.Waits) {
 		if kind != clients.Served {
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -45,7 +45,7 @@
 	set.Chief.Plan.Delay = p.e.script.Delays()
 	x.j = adapter.New(set, h, x, p.core, x)
 	x.j.Listed(&p.known, true)
-	p.core.SetGeography(x.j)
+	p.core.SetZoneObserver(x.j)
 	users := &raftlog.Shared{}
 	if x.j.Book() != nil {
 		users.Add(raftlog.OfZones, x.j)
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -43,7 +43,7 @@
 		p.e.s.After(o.EachMs, model.Func(o.step), 0)
 	}
 	delete(o.stands, p.no)
-	p.core.SetGeography(oracleEar{o, p.no % len(p.e.script.Sites)})
+	p.core.SetZoneObserver(oracleEar{o, p.no % len(p.e.script.Sites)})
 	return nil
 }
 
@@ -60,12 +60,12 @@
 	zone int
 }
 
-func (x oracleEar) Listed(*discovery.List, bool)                    {}
-func (x oracleEar) Tried(string, int, decide.Result, float64, bool) {}
-func (x oracleEar) Probed(string, bool)                             {}
-func (x oracleEar) Asked(group, class int)                          { x.o.asked[group][class][x.zone]++ }
-func meanWork(c *clients.Class) float64                             { return (c.Work[0] + c.Work[1]) / 2 }
-func movable(c *clients.Class) bool                                 { return c.Read != clients.Write }
+func (x oracleEar) Listed(*discovery.List, bool)                           {}
+func (x oracleEar) AttemptEnded(string, int, decide.Result, float64, bool) {}
+func (x oracleEar) HealthChecked(string, bool)                             {}
+func (x oracleEar) Received(group, class int)                              { x.o.asked[group][class][x.zone]++ }
+func meanWork(c *clients.Class) float64                                    { return (c.Work[0] + c.Work[1]) / 2 }
+func movable(c *clients.Class) bool                                        { return c.Read != clients.Write }
 func (o *ZoneOracle) smooth(was, count float64) float64 {
 	fade := math.Exp(-o.EachMs / loadMs)
 	return was*fade + count*1000/o.EachMs*(1-fade)
