--- a/internal/cluster/view/api.go
+++ b/internal/cluster/view/api.go
@@ -66,15 +66,15 @@
 
 // Record is what is said of one process.
 type Record struct {
-	ID       ID
-	Name     string
-	Addr     string
-	Zone     string
-	Region   string
-	Version  string
-	Inc      uint32 // incarnation: raised by the process itself, to refute what is said of it
-	State    State
-	Draining bool // it takes no more clients, by its own word
+	ID       ID     `json:"ID"`
+	Name     string `json:"Name"`
+	Addr     string `json:"Addr"`
+	Zone     string `json:"Zone"`
+	Region   string `json:"Region"`
+	Version  string `json:"Version"`
+	Inc      uint32 `json:"Inc"` // incarnation: raised by the process itself, to refute what is said of it
+	State    State  `json:"State"`
+	Draining bool   `json:"Draining"` // it takes no more clients, by its own word
 }
 
 // Bounds of what is taken from outside.
@@ -225,10 +225,10 @@
 
 // Counts are what a view is asked for most.
 type Counts struct {
-	Reachable int  // this process, and those that can be asked or told
-	Sending   int  // this process, and those that may be sending to servers
-	Majority  bool // more than half of those there are to be can be reached
-	Alone     bool // nobody has answered for a while
+	Reachable int  `json:"Reachable"` // this process, and those that can be asked or told
+	Sending   int  `json:"Sending"`   // this process, and those that may be sending to servers
+	Majority  bool `json:"Majority"`  // more than half of those there are to be can be reached
+	Alone     bool `json:"Alone"`     // nobody has answered for a while
 }
 
 // compare orders records of one process: the later word is greater.
