--- a/cmd/beechgrade-sim/main.go
+++ b/cmd/beechgrade-sim/main.go
@@ -38,22 +38,22 @@
 		for i := range batch.Items {
 			it := &batch.Items[i]
 			switch it.Kind {
-			case simulator.Start:
-				routers[it.Front] = decide.New(it.Settings, it.Seed)
-			case simulator.Stop:
-				delete(routers, it.Front)
-			case simulator.Deliver:
-				r := routers[it.Front]
+			case simulator.StartInstance:
+				routers[it.Instance] = decide.New(it.Settings, it.Seed)
+			case simulator.StopInstance:
+				delete(routers, it.Instance)
+			case simulator.DeliverEvent:
+				r := routers[it.Instance]
 				if r == nil {
 					continue
 				}
 				var fault string
 				actions, fault = handle(r, batch.Now, it.Event, actions[:0])
 				if fault != "" {
-					reply.Fault(it.Front, fault)
+					reply.Fault(it.Instance, fault)
 				}
 				for k := range actions {
-					reply.Add(it.Front, &actions[k])
+					reply.Add(it.Instance, &actions[k])
 				}
 			}
 		}
--- a/cmd/beechgrade/clickhouse.go
+++ b/cmd/beechgrade/clickhouse.go
@@ -20,7 +20,7 @@
 	p.clickhouse = clickhouse.New(p.loop, p.log, clickhouse.Options{Group: o.Group, Hold: o.Hold, MostBody: o.MostBody, Bound: o.BoundMs, UploadMs: o.UploadMs,
 		QuietMs: o.QuietMs, StallMs: o.StallMs, Header: o.Header, Sessions: o.Sessions, Check: p.cfg.Settings.StaleReads != decide.StaleReadsAnswered,
 		Deadline: o.DeadlineMs, ConnectMs: p.cfg.ConnectTimeoutMs,
-		IdleMs: o.IdleMs * idlePart, ClientMs: o.ClientMs, HeadMs: o.HeadMs, Kill: o.Kill, GraceMs: clock.Millis(p.cfg.Settings.DrainGrace), Name: p.cfg.Name, Rules: rules, Users: o.Users, Others: o.Others, Expire: p.core.Expire, Memory: func() int { return p.cfg.Limits.MemoryMB << 20 },
+		IdleMs: o.IdleMs * idlePart, ClientMs: o.ClientMs, HeadMs: o.HeadMs, Kill: o.Kill, GraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace), Name: p.cfg.Name, Rules: rules, Users: o.Users, Others: o.Others, Expire: p.core.Expire, Memory: func() int { return p.cfg.Limits.MemoryMB << 20 },
 		Spare: p.spareConns}, p.core, p.core)
 }
 
--- a/cmd/beechgrade/ends_test.go
+++ b/cmd/beechgrade/ends_test.go
@@ -143,11 +143,11 @@
 	c.send(half[:20])
 	for n := -1; n != 1; time.Sleep(time.Millisecond) { // until the half is read
 		read := make(chan int)
-		p.loop.Post(func() { read <- p.platform.Halves() })
+		p.loop.Post(func() { read <- p.platform.PartialMessages() })
 		n = <-read
 	}
 	stands, goes := make(chan bool), make(chan bool)
-	p.loop.Post(func() { close(stands); <-goes; p.platform.SendAway(platform.EndPartial) })
+	p.loop.Post(func() { close(stands); <-goes; p.platform.SetDrainStage(platform.EndPartial) })
 	<-stands
 	c.send(half[20:])
 	k.send(query("whole", "read", 500))
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -34,7 +34,7 @@
 	if p.scatter != nil {
 		p.scatter.Check(p.checks)
 	}
-	p.loop.Between = func() {
+	p.loop.AfterCallback = func() {
 		p.loop.Check(c, every)
 		p.backend.Check(c, every)
 		p.platform.Check(c, every)
--- a/cmd/beechgrade/life.go
+++ b/cmd/beechgrade/life.go
@@ -160,12 +160,12 @@
 	was := p.lifecycle.State()
 	ok := p.lifecycle.Handle(e)
 	now := p.lifecycle.State()
-	if p.platform.Welcome(p.lifecycle.Welcomes()); now == was {
+	if p.platform.SetReady(p.lifecycle.Welcomes()); now == was {
 		return ok
 	}
 	p.log.Info("life", "was", was.String(), "now", now.String(), "sessions", p.platform.Sessions(), "open", p.core.OpenRequests())
 	if p.inheritedListener != nil && was == lifecycle.Starting && p.lifecycle.Accepts() {
-		p.stopAccepting = p.loop.Take(p.inheritedListener, p.platform.Accept)
+		p.stopAccepting = p.loop.AcceptFrom(p.inheritedListener, p.platform.Accept)
 	}
 	if p.peers != nil && now != lifecycle.Starting {
 		p.peers.Drain(now != lifecycle.Ready)
@@ -196,7 +196,7 @@
 	}
 	for _, step := range []struct {
 		ms    float64
-		stage platform.Stage
+		stage platform.DrainStage
 	}{
 		{noticeMs, platform.CloseIdle}, {refuseMs, platform.RefuseCommands}, {endPartialMs, platform.EndPartial},
 		{closeActiveMs, platform.CloseActive}, {p.closeAllMs(), platform.CloseAll},
@@ -214,15 +214,15 @@
 func (p *pooler) closeAllMs() float64 {
 	longest := 0.0
 	for _, class := range p.cfg.Settings.Classes {
-		longest = max(longest, clock.Millis(class.Deadline))
+		longest = max(longest, clock.ToMillis(class.Deadline))
 	}
 	return max(stopTimeoutMs, refuseMs+longest+afterDeadlineMs)
 }
 
 // enterStage brings a drain that began at the given time to a stage.
-func (p *pooler) enterStage(stage platform.Stage, from float64) {
-	p.log.Info("drain", "stage", stage.String(), "ms", p.loop.Now()-from, "sessions", p.platform.Sessions(), "halfway", p.platform.Halves(), "open", p.core.OpenRequests())
-	p.platform.SendAway(stage)
+func (p *pooler) enterStage(stage platform.DrainStage, from float64) {
+	p.log.Info("drain", "stage", stage.String(), "ms", p.loop.Now()-from, "sessions", p.platform.Sessions(), "halfway", p.platform.PartialMessages(), "open", p.core.OpenRequests())
+	p.platform.SetDrainStage(stage)
 	if stage < platform.CloseAll {
 		return
 	}
@@ -254,7 +254,7 @@
 func (p *pooler) end(drained bool) {
 	began, longest := p.loop.Now(), 0.0
 	for _, c := range p.cfg.Settings.Classes {
-		longest = max(longest, clock.Millis(c.Deadline))
+		longest = max(longest, clock.ToMillis(c.Deadline))
 	}
 	longest = min(longest, deadlineMs)
 	p.core.EndAt(began + longest + drainEnd)
@@ -265,13 +265,13 @@
 			p.peers.Leave(true)
 		}
 		closeAt, leastMs = began, handOverMs
-		p.loop.At(began+longest, func() { p.platform.SendAway(platform.RefuseCommands) })
+		p.loop.At(began+longest, func() { p.platform.SetDrainStage(platform.RefuseCommands) })
 	} else if drained {
 		closeAt = began
 	}
-	p.loop.At(closeAt, func() { p.platform.SendAway(platform.CloseIdle) })
-	p.loop.At(began+longest+drainEnd, func() { p.platform.SendAway(platform.EndPartial) })
-	p.loop.At(began+longest+drainActive, func() { p.platform.SendAway(platform.CloseActive) })
+	p.loop.At(closeAt, func() { p.platform.SetDrainStage(platform.CloseIdle) })
+	p.loop.At(began+longest+drainEnd, func() { p.platform.SetDrainStage(platform.EndPartial) })
+	p.loop.At(began+longest+drainActive, func() { p.platform.SetDrainStage(platform.CloseActive) })
 	if p.pooling != nil {
 		p.stopPooling()
 		p.pooling.Drain()
@@ -282,7 +282,7 @@
 	}
 	var look func()
 	look = func() {
-		now, busy := p.loop.Now(), p.platform.Owes() || p.core.OpenRequests() > 0 || p.pooling != nil && p.pooling.Owes() || p.clickhouse != nil && p.clickhouse.Owes()
+		now, busy := p.loop.Now(), p.platform.HasOutstanding() || p.core.OpenRequests() > 0 || p.pooling != nil && p.pooling.HasOutstanding() || p.clickhouse != nil && p.clickhouse.HasOutstanding()
 		if now < began+leastMs || now < began+longest+drainLast && p.platform.Sessions() > 0 || now < began+stopTimeoutMs && busy {
 			p.loop.At(now+pollMs, look)
 			return
@@ -302,7 +302,7 @@
 // endLoop ends the loop. What connects in the last moment is accepted and told so first, lest it be reset with the listener; by the given
 // time it ends whatever they have read of that.
 func (p *pooler) endLoop(by float64) {
-	p.platform.SendAway(platform.EndPartial)
+	p.platform.SetDrainStage(platform.EndPartial)
 	p.loop.StopAccepting(by-p.loop.Now(), func(accepted int) {
 		var look func()
 		look = func() {
--- a/cmd/beechgrade/pooled.go
+++ b/cmd/beechgrade/pooled.go
@@ -18,7 +18,7 @@
 		return
 	}
 	p.poolingAddr = o.Listen
-	p.pooling = pooling.New(p.loop, p.log, pooling.Options{Pools: o.Pools, ConnectMs: p.cfg.ConnectTimeoutMs, GraceMs: clock.Millis(p.cfg.Settings.DrainGrace),
+	p.pooling = pooling.New(p.loop, p.log, pooling.Options{Pools: o.Pools, ConnectMs: p.cfg.ConnectTimeoutMs, GraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace),
 		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", MaxMessage: o.MaxMessage, MaxAnswer: o.MaxAnswer, Expire: p.core.Expire,
 		Spare: p.spareConns, Scatter: p.scatter}, p.core, p.core)
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s frontends) Recall(id string, which func(backend.Tag) bool) {
+func (s frontends) Recall(id string, which func(backend.AttemptID) bool) {
 	s.Pool.Recall(id, which)
 	if s.pooled != nil {
 		s.pooled.Recall(id, which)
@@ -142,7 +142,7 @@
 	}
 }
 
-func (s frontends) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slotmap.Ref {
+func (s frontends) Start(id string, q backend.Query, until float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
 	switch {
 	case s.clickhouse != nil && clickhouse.Ours(q):
 		return s.clickhouse.Try(id, q, until, t)
@@ -154,12 +154,12 @@
 	return s.Pool.Start(id, q, until, on, t)
 }
 
-func (s frontends) Probe(id string) {
+func (s frontends) CheckHealth(id string) {
 	if s.clickhouseServers[id] {
-		s.clickhouse.Probe(id)
+		s.clickhouse.CheckHealth(id)
 		return
 	}
-	s.Pool.Probe(id)
+	s.Pool.CheckHealth(id)
 }
 
 func (s frontends) Cancel(ref slotmap.Ref) {
--- a/cmd/beechgrade/pooled_drain_test.go
+++ b/cmd/beechgrade/pooled_drain_test.go
@@ -42,7 +42,7 @@
 	if !<-drained {
 		t.Fatal("it does not drain")
 	}
-	began, all := time.Now(), clock.Span(w.pool.closeAllMs())
+	began, all := time.Now(), clock.ToDuration(w.pool.closeAllMs())
 	for _, ms := range []int{200, 1000, 1600, 2400, 3000} {
 		time.Sleep(time.Until(began.Add(time.Duration(ms) * time.Millisecond)))
 		come(time.Duration(ms*int(time.Millisecond)).String() + " after it")
--- a/cmd/beechgrade/pooled_world_test.go
+++ b/cmd/beechgrade/pooled_world_test.go
@@ -56,7 +56,7 @@
 	cfg := testConfig(t, "", nil, func(c *config.Config) {
 		c.Discovery, c.Known = f.Discovery(), f.List()
 		c.Limits.Sockets = 8000
-		c.Settings.MayCheckHealth, c.Settings.DrainGrace = true, clock.Span(fc.GraceMs)
+		c.Settings.MayCheckHealth, c.Settings.DrainGrace = true, clock.ToDuration(fc.GraceMs)
 		c.Settings.SlowStartFrom, c.Settings.SlowStartTime = 0.15, time.Second
 		c.Settings.SlowStartMultiple, c.Settings.SlowStartSpan = 2.5, 1500*time.Millisecond
 		c.ConnectTimeoutMs = 2000
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -143,10 +143,10 @@
 	spare := func() int {
 		return sockets() - p.platform.Occupied() - max(part(serverConnectionsLeast), p.backend.Conns())
 	}
-	p.platform = platform.NewPostgres(p.loop, log, p.core, platform.Budget{Spare: spare,
-		Share:          func() int { return p.sockets() / activeClientsPart },
-		FreeDescriptor: func() bool { return p.backend.Conns() > part(serverConnectionsLeast) && p.backend.CloseOldest() },
-		Memory:         memory})
+	p.platform = platform.NewPostgres(p.loop, log, p.core, platform.Budget{SpareDescriptors: spare,
+		EvictionThreshold: func() int { return p.sockets() / activeClientsPart },
+		ReleaseDescriptor: func() bool { return p.backend.Conns() > part(serverConnectionsLeast) && p.backend.CloseOldest() },
+		Memory:            memory})
 	return p
 }
 
@@ -158,7 +158,7 @@
 	rec, end := record.Start(record.Options{Pooler: p.cfg.Name, Program: version(), Run: p.loop.Now(),
 		Classes: core.RecordClasses(p.cfg.Classes, p.cfg.Settings.Classes), Files: cmp.Or(p.files, record.Files(record.Dir(o.Dir))),
 		SegmentBytes: o.SegmentBytes, TotalBytes: o.TotalBytes, Events: o.Queue, FlushMs: o.FlushMs, Pack: o.Pack, Log: p.log,
-		ColdFrom: p.cfg.Settings.SlowStartFrom, ColdMs: clock.Millis(p.cfg.Settings.SlowStartTime), GraceMs: clock.Millis(p.cfg.Settings.DrainGrace)})
+		ColdFrom: p.cfg.Settings.SlowStartFrom, ColdMs: clock.ToMillis(p.cfg.Settings.SlowStartTime), GraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace)})
 	p.core.SetRecorder(rec)
 	if p.pooling != nil {
 		p.pooling.Record(rec)
--- a/cmd/beechgrade/queue_ends_test.go
+++ b/cmd/beechgrade/queue_ends_test.go
@@ -35,12 +35,12 @@
 		}
 	}
 	p.loop.Post(func() {
-		end, check := p.loop.Now()+drainMs, p.loop.Between
-		p.loop.Between = func() {
+		end, check := p.loop.Now()+drainMs, p.loop.AfterCallback
+		p.loop.AfterCallback = func() {
 			if check(); p.loop.Now() < end-2*pollMs {
 				return
 			}
-			p.loop.Between = check
+			p.loop.AfterCallback = check
 			for p.loop.Now() < end+pollMs { // what is due until the process ends comes in the next turn, all of it...
 				time.Sleep(time.Millisecond)
 			}
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -39,7 +39,7 @@
 		return nil, fmt.Errorf("sessions: %w", err)
 	}
 	p.recover("sessions", rec)
-	k, err := sessiontoken.New(s, o.Mode, clock.Span(p.loop.Now()), p.loop.Post, p.log)
+	k, err := sessiontoken.New(s, o.Mode, clock.ToDuration(p.loop.Now()), p.loop.Post, p.log)
 	if err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -170,7 +170,7 @@
 	b, err := snapshot.Append(nil, f)
 	if err == nil {
 		s.k.Put(snapshots.Members, func() (*snapshots.Record, error) {
-			return &snapshots.Record{SavedMs: f.SavedMs, Saved: clock.ThisMachine().Moment(), Body: b}, nil
+			return &snapshots.Record{SavedMs: f.SavedMs, Saved: clock.ThisMachine().Now(), Body: b}, nil
 		})
 	}
 	return err
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -113,7 +113,7 @@
 func TestStoredSessionsAreReadable(t *testing.T) {
 	t.Parallel()
 	s := openStored(t, storedData(t), "sessions")
-	keeper, err := sessiontoken.New(s, sessiontoken.Before, clock.Span(18e11), func(f func()) { f() }, slog.New(slog.DiscardHandler))
+	keeper, err := sessiontoken.New(s, sessiontoken.Before, clock.ToDuration(18e11), func(f func()) { f() }, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -94,7 +94,7 @@
 	}
 	p.previousState = others[0]
 	if then := p.previousState.ClockMs; then > 0 { // its clock and this one's may have started on either side of a step of the wall clock
-		p.previousState.Memory.Shift(clock.Span(p.loop.Now() - p.previousState.AgeMs - then))
+		p.previousState.Memory.Shift(clock.ToDuration(p.loop.Now() - p.previousState.AgeMs - then))
 	}
 	if l := &p.previousState.List; p.sources == nil && p.previousState.From == p.cfg.Discovery && l.Generation > p.cfg.Known.Generation {
 		p.cfg.Known = *l
@@ -168,7 +168,7 @@
 	if p.list.received {
 		known = p.list.complete()
 	}
-	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Moment(), ClockMs: p.loop.Now(), Held: held, Ends: !p.lifecycle.Serves(), From: p.cfg.Discovery, List: known, Anew: p.list.restarts,
+	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Now(), ClockMs: p.loop.Now(), Held: held, Ends: !p.lifecycle.Serves(), From: p.cfg.Discovery, List: known, Anew: p.list.restarts,
 		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.Kinds), Memory: p.core.Snapshot()}
 }
 
--- a/cmd/beechgrade/upgrade_sessions.go
+++ b/cmd/beechgrade/upgrade_sessions.go
@@ -57,7 +57,7 @@
 	}
 	b.pooler.recover("sessions", rec)
 	told := make(chan error, 1)
-	b.pooler.commits.Merge(sessiontoken.Read(s, clock.Span(b.pooler.loop.Now()), b.pooler.log), func(err error) { told <- err })
+	b.pooler.commits.Merge(sessiontoken.Read(s, clock.ToDuration(b.pooler.loop.Now()), b.pooler.log), func(err error) { told <- err })
 	if err = <-told; err == nil {
 		err = sessiontoken.Erase(s)
 	}
@@ -136,7 +136,7 @@
 		return err
 	}
 	opened := b.pooler.loop.Now()
-	h := sessiontoken.Read(s, clock.Span(b.pooler.loop.Now()), b.pooler.log)
+	h := sessiontoken.Read(s, clock.ToDuration(b.pooler.loop.Now()), b.pooler.log)
 	told := make(chan error, 1)
 	b.pooler.loop.Post(func() {
 		m := b.pooler.commits.Merge(h, func(err error) { told <- err })
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -59,7 +59,7 @@
 	one, endOne := start()
 	u.until("alone, it trusts what it knows", one, func() bool { return !one.otherSessions.doubts() })
 	two, endTwo := start()
-	kept, at := make(chan float64, 1), clock.Span(two.loop.Now())
+	kept, at := make(chan float64, 1), clock.ToDuration(two.loop.Now())
 	two.loop.Post(func() {
 		if two.otherSessions.settle == 0 {
 			t.Error("it does not wait at its start, though another process is there")
--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -121,7 +121,7 @@
 	}
 	var out bytes.Buffer
 	_ = res.Write(&out) // into memory
-	d.loop.Stop(c.timer)
+	d.loop.StopTimer(c.timer)
 	if c.conn.Write(out.Bytes()) != nil {
 		return
 	}
@@ -135,7 +135,7 @@
 // Closed is loop's.
 func (c *caller) Closed(error) {
 	c.said = true
-	c.door.loop.Stop(c.timer)
+	c.door.loop.StopTimer(c.timer)
 	if c.at != nil {
 		c.door.callers.Remove(c.at)
 		c.at = nil
--- a/internal/backend/answers.go
+++ b/internal/backend/answers.go
@@ -11,8 +11,8 @@
 // stopPushing stops writing the query of the current attempt.
 func (conn *conn) stopPushing() {
 	conn.unwritten = nil
-	conn.pool.loop.Stop(conn.pushTimer)
-	conn.pool.loop.Stop(conn.leaveTimer)
+	conn.pool.loop.StopTimer(conn.pushTimer)
+	conn.pool.loop.StopTimer(conn.leaveTimer)
 }
 
 // reportWritten reports, once, that the last byte of the current attempt has been sent.
@@ -69,14 +69,14 @@
 // boundPause limits the pauses within an answer that has begun, because some connections fall silent in the middle of one.
 func (conn *conn) boundPause() {
 	attempt, pool := conn.attempt, conn.pool
-	if conn.state != busy || attempt == nil || conn.reading.Untouched() && conn.input.Pending() == 0 {
+	if conn.state != busy || attempt == nil || conn.reading.NothingReceived() && conn.input.Pending() == 0 {
 		return
 	}
 	left := float64(pauseMs)
-	if attempt.Once {
+	if attempt.AtMostOnce {
 		left = pauseOnceMs
 	}
-	pool.loop.Stop(conn.timer)
+	pool.loop.StopTimer(conn.timer)
 	conn.timer = pool.loop.At(pool.loop.Now()+left, func() {
 		pool.log.Debug("an answer stopped short", "store", conn.server.id)
 		pool.drop(attempt, decide.Failed)
@@ -100,36 +100,36 @@
 		conn.protocolBroken(pgwire.ErrMalformed) // a load report is never long
 		return
 	}
-	pool.wear.Note(pool.loop.Now(), conn.restedFor, false)
+	pool.wear.Record(pool.loop.Now(), conn.restedFor, false)
 	conn.state, conn.attempt, attempt.conn = passing, nil, nil
-	pool.loop.Stop(conn.leaveTimer)
-	pool.attempts.Drop(attempt.ref)
-	pool.loop.Stop(attempt.endTimer)
-	pool.loop.Stop(attempt.connectTimer)
+	pool.loop.StopTimer(conn.leaveTimer)
+	pool.attempts.Remove(attempt.ref)
+	pool.loop.StopTimer(attempt.endTimer)
+	pool.loop.StopTimer(attempt.connectTimer)
 	stop := func() {
 		if conn.state == passing {
 			conn.flow = nil
 			conn.socket.Close()
 		}
 	}
-	if conn.flow = pool.events.AttemptBegun(attempt.tag, stop); conn.flow == nil {
+	if conn.flow = pool.events.AnswerStreams(attempt.tag, stop); conn.flow == nil {
 		stop()
 		return
 	}
-	conn.flow.Piece(conn.answer)
+	conn.flow.Chunk(conn.answer)
 	conn.answer = nil
 }
 
 // pace stops reading from the connection while the Flow has no capacity, so that the rest of the answer stays at the server.
 func (conn *conn) pace() {
 	pool := conn.pool
-	pool.loop.Stop(conn.timer)
+	pool.loop.StopTimer(conn.timer)
 	if conn.flow == nil {
 		return
 	}
 	if conn.flow.HasCapacity() {
-		if conn.socket.Parked() {
-			conn.socket.Unpark()
+		if conn.socket.ReadingPaused() {
+			conn.socket.ResumeReading()
 		}
 		conn.timer = pool.loop.At(pool.loop.Now()+silentMs, func() {
 			pool.log.Debug("a long value stopped short", "store", conn.server.id)
@@ -137,7 +137,7 @@
 		})
 		return
 	}
-	conn.socket.Park()
+	conn.socket.PauseReading()
 	conn.timer = pool.loop.At(pool.loop.Now()+capacityMs, conn.pace)
 }
 
@@ -147,7 +147,7 @@
 		conn.answer = append(conn.answer, message.Raw...)
 	case 'D':
 		if message.Part && conn.flow != nil {
-			conn.flow.Piece(message.Raw)
+			conn.flow.Chunk(message.Raw)
 			return
 		}
 		conn.answer = append(conn.answer, message.Raw...)
@@ -200,8 +200,8 @@
 		flow.Ended(answer, whole)
 	case conn.state == busy && conn.attempt != nil:
 		attempt, outcome := conn.attempt, conn.outcome
-		pool.loop.Stop(conn.leaveTimer)
-		pool.wear.Note(pool.loop.Now(), conn.restedFor, false)
+		pool.loop.StopTimer(conn.leaveTimer)
+		pool.wear.Record(pool.loop.Now(), conn.restedFor, false)
 		outcome.Result = conn.result()
 		if outcome.Result == decide.OK {
 			outcome.Answer = conn.answer
@@ -211,7 +211,7 @@
 		}
 		conn.attempt, attempt.conn = nil, nil
 		if outcome.Role == decide.RoleReplica && len(conn.server.waiting) > 0 {
-			pool.events.ServerDenies(conn.server.id, outcome.Report, attempt.query == nil)
+			pool.events.ServerReportsReplica(conn.server.id, outcome.Report, attempt.query == nil)
 		}
 		// The connection is made free first, because the receiver of the end may want to use it.
 		conn.ready()
--- a/internal/backend/api.go
+++ b/internal/backend/api.go
@@ -11,16 +11,16 @@
 	AppendQuery(dst []byte, waitMs int) []byte
 }
 
-// Long is a Query that may be too large to copy. Its parts are written one after another, as fast as the server accepts them;
+// LongQuery is a Query that may be too large to copy. Its parts are written one after another, as fast as the server accepts them;
 // they are nil for a short query. The part with index wait holds only waitMs, in digits, and may be replaced by another number of
 // as many digits.
-type Long interface {
+type LongQuery interface {
 	// QueryParts returns the parts, and the index of the one that holds waitMs.
 	QueryParts(waitMs int) (parts []string, wait int)
 }
 
-// Tag identifies the request and the attempt that an outcome belongs to.
-type Tag struct {
+// AttemptID identifies the request and the attempt that an outcome belongs to.
+type AttemptID struct {
 	Request slotmap.Ref
 	Number  int
 }
@@ -33,14 +33,16 @@
 	Load Report // the load report sent with the answer, which may be some time old
 }
 
-// Terms are the conditions under which an attempt may be written.
-type Terms struct {
-	Once        bool    // it must not run twice, so it is not sent on a connection that is probably unusable
+// SendConditions are the conditions under which an attempt may be written.
+type SendConditions struct {
+	AtMostOnce  bool    // it must not run twice, so it is not sent on a connection that is probably unusable
 	WriteBefore float64 // it must not be written from then on, as servers may have forgotten its key; 0 for no limit
 }
 
-// Late reports whether it is too late to write the attempt.
-func (terms Terms) Late(now float64) bool { return terms.WriteBefore > 0 && now >= terms.WriteBefore }
+// TooLate reports whether it is too late to write the attempt.
+func (terms SendConditions) TooLate(now float64) bool {
+	return terms.WriteBefore > 0 && now >= terms.WriteBefore
+}
 
 // Report is what a server reported about itself.
 type Report struct {
@@ -52,25 +54,25 @@
 // Events receives the ends of attempts and probes, and a notice when the last byte of an attempt has been sent. Its methods may
 // be called from within Start, Cancel and Probe.
 type Events interface {
-	// AttemptGoes is called just before the first byte of an attempt is written; if it returns false, the attempt is not sent.
+	// MaySend is called just before the first byte of an attempt is written; if it returns false, the attempt is not sent.
 	// The attempt may have waited for a connection, and reports that arrived meanwhile may rule it out.
-	AttemptGoes(tag Tag) bool
-	// ServerDenies reports that a server said it is a replica. It is called before the end of the attempt whose answer said so.
-	ServerDenies(server string, report Report, probe bool)
+	MaySend(tag AttemptID) bool
+	// ServerReportsReplica reports that a server said it is a replica. It is called before the end of the attempt whose answer said so.
+	ServerReportsReplica(server string, report Report, probe bool)
 	// AttemptWritten reports that the last byte of an attempt has been sent.
-	AttemptWritten(tag Tag)
-	// AttemptBegun ends an attempt as served when its answer is too long to be kept and is streamed instead. Calling stop
+	AttemptWritten(tag AttemptID)
+	// AnswerStreams ends an attempt as served when its answer is too long to be kept and is streamed instead. Calling stop
 	// abandons the rest. A nil Flow means that nobody takes the answer.
-	AttemptBegun(tag Tag, stop func()) Flow
+	AnswerStreams(tag AttemptID, stop func()) AnswerStream
 	// AttemptEnded reports how an attempt ended.
-	AttemptEnded(tag Tag, outcome Outcome)
-	// ProbeEnded reports how a probe ended.
-	ProbeEnded(server string, outcome Outcome)
+	AttemptEnded(tag AttemptID, outcome Outcome)
+	// HealthCheckEnded reports how a probe ended.
+	HealthCheckEnded(server string, outcome Outcome)
 }
 
-// Flow receives an answer that is streamed.
-type Flow interface {
-	Piece(b []byte)             // valid during the call
+// AnswerStream receives an answer that is streamed.
+type AnswerStream interface {
+	Chunk(b []byte)             // valid during the call
 	HasCapacity() bool          // another piece can be taken
 	Ended(b []byte, whole bool) // b is what follows the last piece; whole is false if the rest will not arrive
 }
--- a/internal/backend/attempts.go
+++ b/internal/backend/attempts.go
@@ -10,15 +10,15 @@
 )
 
 // Start begins an attempt at a server and returns its reference. The attempt times out by itself at its deadline.
-func (pool *Pool) Start(id string, query Query, until float64, terms Terms, tag Tag) slotmap.Ref {
-	attempt := &attempt{tag: tag, id: id, query: query, deadline: until, Terms: terms, server: pool.servers[id]}
+func (pool *Pool) Start(id string, query Query, until float64, terms SendConditions, tag AttemptID) slotmap.Ref {
+	attempt := &attempt{tag: tag, id: id, query: query, deadline: until, SendConditions: terms, server: pool.servers[id]}
 	attempt.ref = pool.attempts.Put(attempt)
 	pool.begin(attempt)
 	return attempt.ref
 }
 
-// Probe requests a load report from a server.
-func (pool *Pool) Probe(id string) {
+// CheckHealth requests a load report from a server.
+func (pool *Pool) CheckHealth(id string) {
 	attempt := &attempt{id: id, deadline: pool.loop.Now() + pool.options.ConnectTimeoutMs, server: pool.servers[id]}
 	attempt.ref = pool.attempts.Put(attempt)
 	pool.begin(attempt)
@@ -37,7 +37,7 @@
 	case server == nil:
 		pool.end(attempt, Outcome{Result: decide.Unreachable})
 		return
-	case attempt.Late(pool.loop.Now()):
+	case attempt.TooLate(pool.loop.Now()):
 		pool.end(attempt, Outcome{Result: decide.NotSent})
 		return
 	}
@@ -47,7 +47,7 @@
 		connectBy = min(connectBy, attempt.WriteBefore)
 	}
 	attempt.connectTimer = pool.loop.At(connectBy, func() {
-		if attempt.conn == nil && server.dialing == 0 || attempt.Late(pool.loop.Now()) { // a lack of descriptors says nothing about the server
+		if attempt.conn == nil && server.dialing == 0 || attempt.TooLate(pool.loop.Now()) { // a lack of descriptors says nothing about the server
 			pool.drop(attempt, decide.NotSent)
 			return
 		}
@@ -57,11 +57,11 @@
 		conn := server.idle[len(server.idle)-1]
 		// The server may have closed the connection, and the loop may not have read that yet. A request written now would end
 		// with a reset, and one that must not run twice could not be retried.
-		if !conn.socket.Quiet() {
+		if !conn.socket.OpenAndIdle() {
 			conn.socket.Close()
 			continue
 		}
-		if attempt.Once && pool.loop.Now()-conn.since >= pool.wear.Limit() { // it is probably unusable
+		if attempt.AtMostOnce && pool.loop.Now()-conn.since >= pool.wear.Limit() { // it is probably unusable
 			break
 		}
 		if !attempt.mayGo(pool) {
@@ -102,7 +102,7 @@
 }
 
 // Recall ends those attempts that wait for a connection to a server and that which selects, as no longer allowed.
-func (pool *Pool) Recall(id string, which func(Tag) bool) {
+func (pool *Pool) Recall(id string, which func(AttemptID) bool) {
 	server := pool.servers[id]
 	if server == nil {
 		return
@@ -132,14 +132,14 @@
 	if _, ok := pool.attempts.Get(attempt.ref); !ok {
 		return
 	}
-	pool.attempts.Drop(attempt.ref)
-	pool.loop.Stop(attempt.endTimer)
-	pool.loop.Stop(attempt.connectTimer)
+	pool.attempts.Remove(attempt.ref)
+	pool.loop.StopTimer(attempt.endTimer)
+	pool.loop.StopTimer(attempt.connectTimer)
 	if attempt.conn != nil && attempt.conn.attempt == attempt {
 		attempt.conn.attempt = nil
 	}
 	if attempt.query == nil {
-		pool.events.ProbeEnded(attempt.id, outcome)
+		pool.events.HealthCheckEnded(attempt.id, outcome)
 		return
 	}
 	pool.events.AttemptEnded(attempt.tag, outcome)
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -29,7 +29,7 @@
 	attempts slotmap.Table[*attempt]
 	conns    slotmap.Table[*conn]
 	idleSeq  uint64
-	wear     idletimeout.Wear
+	wear     idletimeout.Estimator
 	held     int // bytes of answers being received
 	scratch  []byte
 	walks    int // counts calls of Check
@@ -46,7 +46,7 @@
 // attempt is an attempt of a request, or a probe if query is nil.
 type attempt struct {
 	ref          slotmap.Ref
-	tag          Tag
+	tag          AttemptID
 	id           string  // of the server
 	server       *server // nil if it is unknown
 	query        Query
@@ -55,7 +55,7 @@
 	endTimer     *timers.Timer // fires at the deadline
 	connectTimer *timers.Timer // ends its wait for a connection
 	written      bool          // AttemptWritten was called for it
-	Terms
+	SendConditions
 }
 
 type state int
@@ -91,11 +91,11 @@
 	timer         *timers.Timer // bounds the opening, then the idle time, then pauses within an answer
 
 	// The answer that is being received.
-	reading  pgwire.Answer
+	reading  pgwire.AnswerReader
 	answer   []byte
-	flow     Flow   // receives its pieces, nil if the answer is kept whole
-	held     int    // its part of pool.held
-	probeRow []byte // the row that answers a probe
+	flow     AnswerStream // receives its pieces, nil if the answer is kept whole
+	held     int          // its part of pool.held
+	probeRow []byte       // the row that answers a probe
 	outcome  Outcome
 }
 
@@ -163,15 +163,15 @@
 func (conn *conn) carry(attempt *attempt) {
 	pool := conn.pool
 	conn.removeIdle()
-	pool.loop.Stop(conn.timer)
-	pool.loop.Stop(attempt.connectTimer)
+	pool.loop.StopTimer(conn.timer)
+	pool.loop.StopTimer(attempt.connectTimer)
 	conn.state, conn.attempt, attempt.conn = busy, attempt, conn
-	conn.reading, conn.answer, conn.probeRow, conn.outcome = pgwire.Reply(), conn.answer[:0], nil, Outcome{}
+	conn.reading, conn.answer, conn.probeRow, conn.outcome = pgwire.ExpectAnswer(), conn.answer[:0], nil, Outcome{}
 	if attempt.query == nil {
 		pool.scratch = pgwire.AppendQuery(pool.scratch[:0], "SHOW load")
 	} else {
 		left := attempt.left(pool.loop.Now())
-		if long, ok := attempt.query.(Long); ok {
+		if long, ok := attempt.query.(LongQuery); ok {
 			wait := 0
 			conn.unwritten, wait = long.QueryParts(understated(left))
 			conn.partsFromWait = len(conn.unwritten) - wait
@@ -286,7 +286,7 @@
 	if attempt == nil || attempt.query == nil || len(conn.unwritten) == 0 && conn.socket.Untransmitted() == 0 {
 		return
 	}
-	pool.loop.Stop(conn.leaveTimer)
+	pool.loop.StopTimer(conn.leaveTimer)
 	conn.leaveTimer = pool.loop.At(pool.loop.Now()+leaveMs, func() {
 		if conn.attempt == attempt && (len(conn.unwritten) > 0 || conn.socket.Untransmitted() > 0) {
 			pool.log.Debug("a server takes no query", "store", conn.server.id)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -21,13 +21,13 @@
 // outcomes implements Events and Query, and passes on the outcomes of attempts and probes.
 type outcomes chan Outcome
 
-func (outcomes outcomes) AttemptGoes(Tag) bool                 { return true }
-func (outcomes outcomes) ServerDenies(string, Report, bool)    {}
-func (outcomes outcomes) AttemptWritten(Tag)                   {}
-func (outcomes outcomes) AttemptBegun(Tag, func()) Flow        { return nil }
-func (outcomes outcomes) AttemptEnded(_ Tag, outcome Outcome)  { outcomes <- outcome }
-func (outcomes outcomes) ProbeEnded(_ string, outcome Outcome) { outcomes <- outcome }
-func (outcomes) AppendQuery(dst []byte, _ int) []byte          { return pgwire.AppendQuery(dst, "query") }
+func (outcomes outcomes) MaySend(AttemptID) bool                       { return true }
+func (outcomes outcomes) ServerReportsReplica(string, Report, bool)    {}
+func (outcomes outcomes) AttemptWritten(AttemptID)                     {}
+func (outcomes outcomes) AnswerStreams(AttemptID, func()) AnswerStream { return nil }
+func (outcomes outcomes) AttemptEnded(_ AttemptID, outcome Outcome)    { outcomes <- outcome }
+func (outcomes outcomes) HealthCheckEnded(_ string, outcome Outcome)   { outcomes <- outcome }
+func (outcomes) AppendQuery(dst []byte, _ int) []byte                  { return pgwire.AppendQuery(dst, "query") }
 
 // nobody is the handler of connections that the test does not use.
 type nobody struct{}
@@ -50,13 +50,13 @@
 	<-ready
 	eventLoop.Post(func() {
 		pool.SetAddress("s", "127.0.0.1:1")
-		pool.Start("s", events, manual.Ms+9000, Terms{Once: true}, Tag{})
-		pool.Cancel(pool.Start("s", events, manual.Ms+9000, Terms{Once: true}, Tag{Number: 1}))
+		pool.Start("s", events, manual.Ms+9000, SendConditions{AtMostOnce: true}, AttemptID{})
+		pool.Cancel(pool.Start("s", events, manual.Ms+9000, SendConditions{AtMostOnce: true}, AttemptID{Number: 1}))
 	})
 	eventLoop.Post(func() { manual.Ms += 250 })
 	eventLoop.Post(func() {
 		pool.SetAddress("t", "127.0.0.1:1")
-		pool.Start("t", events, manual.Ms+9000, Terms{Once: true}, Tag{Number: 2})
+		pool.Start("t", events, manual.Ms+9000, SendConditions{AtMostOnce: true}, AttemptID{Number: 2})
 		pool.Retain(map[string]bool{"s": true}) // t has left the list
 		pool.Forget("s")
 		if len(pool.servers) != 0 {
@@ -123,7 +123,7 @@
 	go func() { ended <- eventLoop.Run("127.0.0.1:0") }()
 	eventLoop.Post(func() {
 		pool.SetAddress("s", server.Addr().String())
-		pool.Start("s", events, eventLoop.Now()+20000, Terms{}, Tag{})
+		pool.Start("s", events, eventLoop.Now()+20000, SendConditions{}, AttemptID{})
 	})
 	far, err := server.Accept()
 	if err != nil {
@@ -163,10 +163,10 @@
 	dies map[int]bool // attempts that may not go out any more
 }
 
-func (d deniedBy) ServerDenies(server string, _ Report, _ bool) {
-	(*d.p).Recall(server, func(tag Tag) bool { return tag.Number == 1 })
+func (d deniedBy) ServerReportsReplica(server string, _ Report, _ bool) {
+	(*d.p).Recall(server, func(tag AttemptID) bool { return tag.Number == 1 })
 }
-func (d deniedBy) AttemptGoes(tag Tag) bool { return !d.dies[tag.Number] }
+func (d deniedBy) MaySend(tag AttemptID) bool { return !d.dies[tag.Number] }
 
 // TestRecalled: a write that waits for a connection to a server must not be sent there once that server reports that it is a
 // replica, nor a write that may no longer go when its connection is free. A read must be sent.
@@ -189,7 +189,7 @@
 	eventLoop.Post(func() {
 		pool.SetAddress("s", server.Addr().String())
 		for _, no := range []int{0, 1, 3, 2} {
-			pool.Start("s", events, manual.Ms+9000, Terms{Once: no != 2}, Tag{Number: no}) // all but one go without a connection
+			pool.Start("s", events, manual.Ms+9000, SendConditions{AtMostOnce: no != 2}, AttemptID{Number: no}) // all but one go without a connection
 		}
 	})
 	far, err := server.Accept()
@@ -263,7 +263,7 @@
 	go func() { ended <- eventLoop.Run("127.0.0.1:0") }()
 	eventLoop.Post(func() {
 		pool.SetAddress("s", server.Addr().String())
-		pool.Start("s", events, manual.Ms+9000, Terms{}, Tag{})
+		pool.Start("s", events, manual.Ms+9000, SendConditions{}, AttemptID{})
 	})
 	want := decide.NotSent
 	if passes {
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -9,7 +9,7 @@
 
 // mayGo reports whether an attempt may still be sent. A probe always may.
 func (attempt *attempt) mayGo(pool *Pool) bool {
-	return attempt.query == nil || pool.events.AttemptGoes(attempt.tag)
+	return attempt.query == nil || pool.events.MaySend(attempt.tag)
 }
 
 // dial requests one more connection; by the time it may be opened, it must still be needed.
@@ -32,7 +32,7 @@
 		pool.askForDescriptor(server)
 		return
 	}
-	conn := &conn{pool: pool, server: server, addr: server.addr, input: pgwire.NewReader(pgwire.MaxMessage), reading: pgwire.Welcome()}
+	conn := &conn{pool: pool, server: server, addr: server.addr, input: pgwire.NewReader(pgwire.MaxMessage), reading: pgwire.ExpectWelcome()}
 	conn.input.Stream(longValue)
 	conn.ref = pool.conns.Put(conn)
 	server.dialing++
@@ -82,7 +82,7 @@
 // connectResult is the result of an attempt whose connection could not be opened. What this machine lacks must not count
 // against the server.
 func connectResult(err error) decide.Result {
-	if eventloop.IsLocal(err) {
+	if eventloop.IsLocalError(err) {
 		return decide.NotSent
 	}
 	return decide.Unreachable
@@ -94,8 +94,8 @@
 		return
 	}
 	conn.state = closed
-	conn.pool.loop.Stop(conn.timer)
-	conn.pool.conns.Drop(conn.ref)
+	conn.pool.loop.StopTimer(conn.timer)
+	conn.pool.conns.Remove(conn.ref)
 	conn.server.dialing--
 	if waiting := conn.server.waiting; len(waiting) > conn.server.dialing {
 		conn.pool.drop(waiting[0], result)
@@ -119,7 +119,7 @@
 	conn.since = conn.pool.loop.Now()
 	// If the address of the server has changed, another server may listen at the old one. Bytes beyond the answer would be taken
 	// for the answer to the next request.
-	if conn.addr != conn.server.addr || conn.input.Pending() > 0 || !conn.socket.Quiet() || len(conn.unwritten) > 0 {
+	if conn.addr != conn.server.addr || conn.input.Pending() > 0 || !conn.socket.OpenAndIdle() || len(conn.unwritten) > 0 {
 		conn.socket.Close()
 		return
 	}
@@ -137,7 +137,7 @@
 	pool.idleSeq++
 	conn.idleNumber = pool.idleSeq
 	conn.server.idle = append(conn.server.idle, conn)
-	pool.loop.Stop(conn.timer)
+	pool.loop.StopTimer(conn.timer)
 	conn.timer = pool.loop.At(pool.loop.Now()+pool.options.IdleMs, conn.socket.Close)
 }
 
@@ -156,8 +156,8 @@
 	conn.stopPushing()
 	conn.state = closed
 	conn.countHeld()
-	pool.loop.Stop(conn.timer)
-	pool.conns.Drop(conn.ref)
+	pool.loop.StopTimer(conn.timer)
+	pool.conns.Remove(conn.ref)
 	conn.removeIdle()
 	if conn.flow != nil {
 		conn.flow.Ended(nil, false)
@@ -165,8 +165,8 @@
 	}
 	if attempt := conn.attempt; attempt != nil {
 		attempt.conn = nil
-		if conn.reading.Untouched() && pool.loop.Now()-conn.writtenAt <= brokeMs {
-			pool.wear.Note(pool.loop.Now(), conn.restedFor, true)
+		if conn.reading.NothingReceived() && pool.loop.Now()-conn.writtenAt <= brokeMs {
+			pool.wear.Record(pool.loop.Now(), conn.restedFor, true)
 		}
 		result := decide.Reset
 		// If the loop has dropped its buffer, unsent is 0 and the attempt counts as one that may have run, which is the safe side.
--- a/internal/backend/idletimeout/wear.go
+++ b/internal/backend/idletimeout/wear.go
@@ -14,21 +14,21 @@
 	wornYoung    = 2     // ...or a part smaller than so many times that of the youngest class, which break for other reasons
 )
 
-// Wear is what was observed of the connections of one pooler. Times are in milliseconds.
-type Wear struct {
+// Estimator is what was observed of the connections of one pooler. Times are in milliseconds.
+type Estimator struct {
 	used, broke [len(ages)]float64
 	at          float64
 	limit       float64
 }
 
 // New returns a Wear without observations.
-func New() Wear { return Wear{limit: math.Inf(1)} }
+func New() Estimator { return Estimator{limit: math.Inf(1)} }
 
 // Limit returns the idle time from which on a connection is probably unusable, or infinity if nothing suggests that there is one.
-func (w *Wear) Limit() float64 { return w.limit }
+func (w *Estimator) Limit() float64 { return w.limit }
 
-// Note records a request on a connection that had been idle for rested milliseconds, and whether the connection broke.
-func (w *Wear) Note(now, rested float64, broke bool) {
+// Record records a request on a connection that had been idle for rested milliseconds, and whether the connection broke.
+func (w *Estimator) Record(now, rested float64, broke bool) {
 	keep := math.Exp(min(0, w.at-now) / wearMemoryMs)
 	w.at = now
 	for i := range ages {
--- a/internal/backend/idletimeout/wear_test.go
+++ b/internal/backend/idletimeout/wear_test.go
@@ -29,16 +29,16 @@
 		w := New()
 		for _, s := range c.seen {
 			for range s.good {
-				w.Note(1000, s.rested, false)
+				w.Record(1000, s.rested, false)
 			}
 			for range s.lost {
-				w.Note(1000, s.rested, true)
+				w.Record(1000, s.rested, true)
 			}
 		}
 		if diff := cmp.Diff(c.want, w.limit); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
-		w.Note(1000+10*wearMemoryMs, 5, false)
+		w.Record(1000+10*wearMemoryMs, 5, false)
 		if !math.IsInf(w.limit, 1) {
 			t.Errorf("%s: never forgotten", name)
 		}
--- a/internal/backend/invariants_test.go
+++ b/internal/backend/invariants_test.go
@@ -26,7 +26,7 @@
 		{"backend: connections by server agree", func(x parts) { x.s.dialing++ }},
 		{"backend: connections by server agree", func(x parts) { x.s.idle = append(x.s.idle, x.idle) }},
 		{"backend: what waits is an attempt without a connection, once", func(x parts) { x.s.waiting = append(x.s.waiting, x.waits) }},
-		{"backend: what waits is an attempt without a connection, once", func(x parts) { x.p.attempts.Drop(x.waits.ref) }},
+		{"backend: what waits is an attempt without a connection, once", func(x parts) { x.p.attempts.Remove(x.waits.ref) }},
 		{"backend: an attempt is on a connection or waits", func(x parts) { x.s.waiting = nil }},
 		{"backend: nothing idles at a server that is forgotten", func(x parts) { delete(x.p.servers, "s") }},
 		{"backend: memory of answers is counted", func(x parts) { x.p.held++ }},
--- a/internal/cluster/outlier/adapter/joined.go
+++ b/internal/cluster/outlier/adapter/joined.go
@@ -158,7 +158,7 @@
 	j.do(outlier.Listed{Servers: all})
 }
 
-func refOf(t backend.Tag) uint64 {
+func refOf(t backend.AttemptID) uint64 {
 	return uint64(t.Request.Index)<<40 | uint64(t.Request.Gen&0xffffff)<<16 | uint64(t.Number&0xffff)
 }
 
@@ -166,7 +166,7 @@
 const usualMs = 100
 
 // Sent is core.Witness's.
-func (j *Joined) Sent(store string, t backend.Tag, class int) {
+func (j *Joined) Sent(store string, t backend.AttemptID, class int) {
 	work := float64(usualMs)
 	if class >= 0 && class < len(j.works) {
 		if work = j.works[class] * 1000; j.kinds[store] > 0 {
@@ -177,7 +177,7 @@
 }
 
 // Ended is core.Witness's.
-func (j *Joined) Ended(store string, t backend.Tag, result decide.Result, said backend.Report) {
+func (j *Joined) Ended(store string, t backend.AttemptID, result decide.Result, said backend.Report) {
 	end := outlier.Answered
 	switch result {
 	case decide.TimedOut, decide.Cancelled, decide.NotSent:
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -17,7 +17,7 @@
 }
 
 // handleEvent passes an event of this moment to the router.
-func (c *Core) handleEvent(ev decide.Event) { c.handleEventAt(clock.Span(c.loop.Now()), ev) }
+func (c *Core) handleEvent(ev decide.Event) { c.handleEventAt(clock.ToDuration(c.loop.Now()), ev) }
 
 // handleEventAt queues an event and, unless an action of an earlier one is being carried out, handles the queue: an event that an
 // action causes is handled after all actions of the event before it.
@@ -61,7 +61,7 @@
 			c.servers.Cancel(req.attempts[a.Attempt].ref)
 		}
 	case decide.Reject:
-		c.reject(a, clock.Millis(a.Wait))
+		c.reject(a, clock.ToMillis(a.Wait))
 	case decide.Fail:
 		c.fail(a)
 	case decide.HealthCheck:
@@ -78,7 +78,7 @@
 		}
 	case decide.SetTimer:
 		tag := a.Tag
-		c.loop.At(clock.Millis(a.At), func() { c.handleEvent(&decide.Timer{Tag: tag}) })
+		c.loop.At(clock.ToMillis(a.At), func() { c.handleEvent(&decide.Timer{Tag: tag}) })
 	case decide.Subscribe:
 		c.useLimit(LimitListCalls, "").run(c, c.directory.Watch)
 	case decide.FetchList:
@@ -92,7 +92,7 @@
 	if req := c.finishByID(a.ID, metrics.Dropped); req != nil {
 		c.decisions.rejected[a.Reason]++
 		c.logDecision("refuse", req, a)
-		req.client.Refused(waitMs)
+		req.client.Rejected(waitMs)
 		c.recordAnswer(req, recordpb.Final_FINAL_REFUSED, waitMs)
 	}
 }
@@ -101,7 +101,7 @@
 // decision on. Where no attempt has begun on a connection, or each is known not to have run, a retry is harmless, and the client is told so.
 func (c *Core) fail(a *decide.Action) {
 	if req, ok := c.requests.Get(refOf(a.ID)); ok && !req.mayHaveRun() {
-		c.reject(a, clock.Millis(c.config.Settings.MaxRetryAfter))
+		c.reject(a, clock.ToMillis(c.config.Settings.MaxRetryAfter))
 		return
 	}
 	if req := c.finishByID(a.ID, metrics.BadGateway); req != nil {
@@ -128,7 +128,7 @@
 	}
 	no, until := len(req.attempts), req.deadline
 	if a.Wait != 0 {
-		until = min(until, c.loop.Now()+clock.Millis(a.Wait))
+		until = min(until, c.loop.Now()+clock.ToMillis(a.Wait))
 	}
 	req.attempts = append(req.attempts, attempt{server: a.Server, startedAt: c.loop.Now(), writeBefore: until})
 	if req.finished || !c.mayServe(req, a.Server) || no >= c.config.Settings.MaxAttempts || req.deadline <= c.loop.Now() {
@@ -136,14 +136,14 @@
 		return
 	}
 	req.inFlight++
-	on := backend.Terms{Once: req.once}
+	on := backend.SendConditions{AtMostOnce: req.once}
 	if a.WriteBefore < never {
-		on.WriteBefore = clock.Millis(a.WriteBefore)
+		on.WriteBefore = clock.ToMillis(a.WriteBefore)
 		req.attempts[no].writeBefore = min(until, on.WriteBefore)
 	}
 	if c.observation.observer != nil {
-		c.observation.observer.Sent(string(a.Server), backend.Tag{Request: ref, Number: no}, req.class)
+		c.observation.observer.Sent(string(a.Server), backend.AttemptID{Request: ref, Number: no}, req.class)
 	}
-	at := c.servers.Start(string(a.Server), req.query, until, on, backend.Tag{Request: ref, Number: no})
+	at := c.servers.Start(string(a.Server), req.query, until, on, backend.AttemptID{Request: ref, Number: no})
 	req.attempts[no].ref = at
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -35,10 +35,10 @@
 	CloseIdle(id string)
 	Forget(id string)
 	Retain(ids map[string]bool)
-	Start(id string, query backend.Query, until float64, on backend.Terms, tag backend.Tag) slotmap.Ref
+	Start(id string, query backend.Query, until float64, on backend.SendConditions, tag backend.AttemptID) slotmap.Ref
 	Cancel(attempt slotmap.Ref)
-	Probe(id string)
-	Recall(id string, which func(backend.Tag) bool) // ends the attempts that have not been written yet and must not be
+	CheckHealth(id string)
+	Recall(id string, which func(backend.AttemptID) bool) // ends the attempts that have not been written yet and must not be
 }
 
 // Loop is the event loop.
@@ -117,7 +117,7 @@
 
 // Journal records how attempts ended, and knows which requests may have run in an earlier process.
 type Journal interface {
-	Ended(tag backend.Tag, res decide.Result)
+	Ended(tag backend.AttemptID, res decide.Result)
 	Ran(id string) bool
 }
 
@@ -210,7 +210,7 @@
 func (c *Core) Snapshot() *decide.Snapshot { return c.router.Snapshot() }
 
 // MergeSnapshot merges what another router knew into this one's memory.
-func (c *Core) MergeSnapshot(m *decide.Snapshot) { c.router.Merge(clock.Span(c.loop.Now()), m) }
+func (c *Core) MergeSnapshot(m *decide.Snapshot) { c.router.Merge(clock.ToDuration(c.loop.Now()), m) }
 
 // Figures returns the process's figures.
 func (c *Core) Figures() *metrics.Figures { return &c.metrics }
@@ -245,5 +245,5 @@
 		return
 	}
 	req.deadline = ms
-	c.handleEvent(&decide.ShortenDeadline{ID: requestID(ref), By: clock.Span(ms)})
+	c.handleEvent(&decide.ShortenDeadline{ID: requestID(ref), By: clock.ToDuration(ms)})
 }
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -60,11 +60,11 @@
 func (c *Core) rejectUnfunded(ref slotmap.Ref, req *request, slowed bool) {
 	c.finish(req, metrics.Dropped)
 	c.releaseIfDone(ref, req) // its client may ask, or give up, something else at once
-	wait := min(clock.Millis(c.config.Settings.MaxRetryAfter), minCreditRetryAfterMs+float64(creditTag(ref)%minCreditRetryAfterMs))
+	wait := min(clock.ToMillis(c.config.Settings.MaxRetryAfter), minCreditRetryAfterMs+float64(creditTag(ref)%minCreditRetryAfterMs))
 	if b, ok := req.client.(platform.PrepaidClient); ok {
-		b.RefusedUnfunded(slowed, wait)
+		b.RejectedUnfunded(slowed, wait)
 	} else {
-		req.client.Refused(wait)
+		req.client.Rejected(wait)
 	}
 	c.recordAnswer(req, recordpb.Final_FINAL_REFUSED, wait)
 }
@@ -80,7 +80,7 @@
 	}
 	ev := req.payment.pending
 	if req.payment.pending, req.payment.creditHold = nil, hold; ev.SinceCommit > 0 {
-		ev.SinceCommit += clock.Span(c.loop.Now() - req.payment.waitingSince)
+		ev.SinceCommit += clock.ToDuration(c.loop.Now() - req.payment.waitingSince)
 	}
 	c.handleEvent(ev)
 }
@@ -112,7 +112,7 @@
 		if sent {
 			d.Seconds = (c.loop.Now() - from) / 1000
 		}
-		if x, ok := req.client.(platform.Counted); ok {
+		if x, ok := req.client.(platform.RowCounter); ok {
 			d.Rows = x.Rows()
 		}
 	case end != metrics.Dropped && sent:
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -58,9 +58,9 @@
 	heard []string
 }
 
-func (a *asker) RefusedUnfunded(bool, float64) { a.heard = append(a.heard, "broke") }
-func (a *asker) Served([]byte)                 { a.heard = append(a.heard, "served") }
-func (a *asker) Failed()                       { a.heard = append(a.heard, "failed") }
+func (a *asker) RejectedUnfunded(bool, float64) { a.heard = append(a.heard, "broke") }
+func (a *asker) Served([]byte)                  { a.heard = append(a.heard, "served") }
+func (a *asker) Failed()                        { a.heard = append(a.heard, "failed") }
 
 // TestRequestIsPaidForAndSettledOnce has a request be told to the module once it is paid for, and be settled once, whatever becomes of it.
 func TestRequestIsPaidForAndSettledOnce(t *testing.T) {
@@ -71,15 +71,15 @@
 		c, servers, p, a := New(still{}, slog.New(slog.DiscardHandler), cfg), &counting{}, &payer{say: say}, &asker{}
 		c.Start(servers, still{})
 		c.SetCredit(p)
-		ref, err := c.Ask(platform.Request{ID: "1", Class: "read", Deadline: 1e6 + 9000, Query: still{}}, a)
+		ref, err := c.Submit(platform.Request{ID: "1", Class: "read", Deadline: 1e6 + 9000, Query: still{}}, a)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c, p, a, servers, ref
 	}
 	served := func(c *Core, ref slotmap.Ref) {
-		c.AttemptWritten(backend.Tag{Request: ref})
-		c.AttemptEnded(backend.Tag{Request: ref}, backend.Outcome{Result: decide.OK})
+		c.AttemptWritten(backend.AttemptID{Request: ref})
+		c.AttemptEnded(backend.AttemptID{Request: ref}, backend.Outcome{Result: decide.OK})
 	}
 	for _, x := range []struct {
 		name  string
@@ -97,13 +97,13 @@
 		}, 1, []string{"served"}, []string{"served"}},
 		{"waits and is turned away", lease.Wait, func(c *Core, p *payer, _ slotmap.Ref) { c.Unfunded(p.tag) }, 0, nil, []string{"broke"}},
 		{"its client goes while it waits", lease.Wait, func(c *Core, p *payer, ref slotmap.Ref) {
-			c.Gone(ref)
+			c.Abandon(ref)
 			c.Funded(p.tag, lease.Hold{Amount: 5})
 		}, 0, []string{"cancelled", "free"}, nil},
-		{"its client goes before anything was sent", lease.Pass, func(c *Core, _ *payer, ref slotmap.Ref) { c.Gone(ref) }, 1, []string{"free"}, nil},
+		{"its client goes before anything was sent", lease.Pass, func(c *Core, _ *payer, ref slotmap.Ref) { c.Abandon(ref) }, 1, []string{"free"}, nil},
 		{"its client goes after", lease.Pass, func(c *Core, _ *payer, ref slotmap.Ref) {
-			c.AttemptWritten(backend.Tag{Request: ref})
-			c.Gone(ref)
+			c.AttemptWritten(backend.AttemptID{Request: ref})
+			c.Abandon(ref)
 		}, 1, []string{"failed"}, nil},
 	} {
 		c, p, a, servers, ref := begin(x.say)
@@ -133,7 +133,7 @@
 	c.Start(servers, still{})
 	c.SetCredit(p)
 	ask := func(id string, client platform.Client) slotmap.Ref {
-		ref, err := c.Ask(platform.Request{ID: id, Class: "read", Deadline: 1e6 + 9000, Query: still{}}, client)
+		ref, err := c.Submit(platform.Request{ID: id, Class: "read", Deadline: 1e6 + 9000, Query: still{}}, client)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -154,7 +154,7 @@
 	mine, left := ask("4", &asker{}), false
 	req, _ := c.requests.Get(other)
 	req.client = leaver{func() {
-		c.Gone(mine)
+		c.Abandon(mine)
 		c.walk(invariant.Test(t))
 		left = true
 	}}
@@ -166,10 +166,10 @@
 // leaver is a client that gives something up as it is turned away.
 type leaver struct{ leave func() }
 
-func (l leaver) RefusedUnfunded(bool, float64) { l.leave() }
-func (l leaver) Served([]byte)                 {}
-func (l leaver) Refused(float64)               {}
-func (l leaver) Failed()                       {}
+func (l leaver) RejectedUnfunded(bool, float64) { l.leave() }
+func (l leaver) Served([]byte)                  {}
+func (l leaver) Rejected(float64)               {}
+func (l leaver) Failed()                        {}
 
 // hung is a loop that keeps what is hung up, and from when on.
 type hung struct {
@@ -192,7 +192,7 @@
 	c.Start(&counting{}, still{})
 	c.SetCredit(p)
 	for i, x := range []struct{ due, at float64 }{{1e6 + 80, 1e6 + 80 - creditDeadlineMarginMs}, {1e6 - 300, 1e6}} {
-		if _, err := c.Ask(platform.Request{ID: "1", Class: "read", Deadline: x.due, Query: still{}}, a); err != nil {
+		if _, err := c.Submit(platform.Request{ID: "1", Class: "read", Deadline: x.due, Query: still{}}, a); err != nil {
 			t.Fatal(err)
 		}
 		if loop.at != x.at || loop.do == nil {
@@ -215,7 +215,7 @@
 	ref := c.requests.Put(&request{id: "1", client: still{}, deadline: 1e6 + 9000, classMetrics: c.classFigures[0]})
 	c.metrics.Open++
 	c.carryingOut = true
-	c.Gone(ref)
+	c.Abandon(ref)
 	c.carryOut(&decide.Action{Kind: decide.Send, ID: requestID(ref), Server: "s"})
 	skipped := false
 	for _, e := range c.events {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -100,7 +100,7 @@
 
 // CheckHealth probes a server, within the fleet's limit of probes.
 func (c *Core) CheckHealth(server string) {
-	c.useLimit(LimitHealthChecks, "").run(c, func() { c.servers.Probe(server) })
+	c.useLimit(LimitHealthChecks, "").run(c, func() { c.servers.CheckHealth(server) })
 }
 
 // HealthCheckReported passes a probe's result, which is ageMs old at most, to the router.
@@ -111,7 +111,7 @@
 		result, report = decide.Failed, backend.Report{} // it says nothing of whether requests come through
 	}
 	r := reportOf(report)
-	r.Age = clock.Span(ageMs)
+	r.Age = clock.ToDuration(ageMs)
 	c.handleEvent(&decide.HealthCheckResult{Server: decide.ServerID(server), Result: result, Load: r})
 	if denies {
 		c.recallUnwritten(server)
@@ -124,7 +124,7 @@
 		return
 	}
 	s := c.fleet.shedding[ev.Group]
-	req.demand = requestDemand{admitted: !s.RejectsArrival(now, ev), group: ev.Group, class: ev.Class, arrived: c.loop.Now(), target: clock.Millis(c.config.Settings.Classes[ev.Class].LatencyObjective)}
+	req.demand = requestDemand{admitted: !s.RejectsArrival(now, ev), group: ev.Group, class: ev.Class, arrived: c.loop.Now(), target: clock.ToMillis(c.config.Settings.Classes[ev.Class].LatencyObjective)}
 	c.fleet.demandObserver.Received(ev.Group, ev.Class, ev.Tenant, ev.ClientRetry, req.demand.admitted)
 }
 
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -26,9 +26,9 @@
 	now    float64
 	heap   timers.Heap
 	core   *Core
-	out    []backend.Tag
+	out    []backend.AttemptID
 	probes []string
-	flows  []backend.Flow
+	flows  []backend.AnswerStream
 	refs   []slotmap.Ref
 	ends   map[int]int // answers by client
 	asked  int
@@ -36,9 +36,9 @@
 
 func (d *drawn) Now() float64                          { return d.now }
 func (d *drawn) At(ms float64, f func()) *timers.Timer { return d.heap.Add(ms, f) }
-func (d *drawn) Probe(id string)                       { d.probes = append(d.probes, id) }
-func (d *drawn) Start(_ string, _ backend.Query, _ float64, _ backend.Terms, tag backend.Tag) slotmap.Ref {
-	if d.core.AttemptGoes(tag) { // it has a connection; of one that waits sends_test.go tells
+func (d *drawn) CheckHealth(id string)                 { d.probes = append(d.probes, id) }
+func (d *drawn) Start(_ string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
+	if d.core.MaySend(tag) { // it has a connection; of one that waits sends_test.go tells
 		d.out = append(d.out, tag)
 	} else {
 		d.core.AttemptEnded(tag, backend.Outcome{Result: decide.NotSent})
@@ -52,14 +52,14 @@
 	no int
 }
 
-func (a drawnAsker) Served([]byte)      { a.d.ends[a.no]++ }
-func (a drawnAsker) Refused(float64)    { a.d.ends[a.no]++ }
-func (a drawnAsker) Failed()            { a.d.ends[a.no]++ }
-func (a drawnAsker) Take() backend.Flow { a.d.ends[a.no]++; return nothing{} }
+func (a drawnAsker) Served([]byte)                       { a.d.ends[a.no]++ }
+func (a drawnAsker) Rejected(float64)                    { a.d.ends[a.no]++ }
+func (a drawnAsker) Failed()                             { a.d.ends[a.no]++ }
+func (a drawnAsker) ReceiveStream() backend.AnswerStream { a.d.ends[a.no]++; return nothing{} }
 
 type nothing struct{}
 
-func (nothing) Piece([]byte)       {}
+func (nothing) Chunk([]byte)       {}
 func (nothing) HasCapacity() bool  { return true }
 func (nothing) Ended([]byte, bool) {}
 
@@ -80,7 +80,7 @@
 
 func (d *drawn) ask(class string, due float64) {
 	d.asked++
-	ref, err := d.core.Ask(platform.Request{ID: fmt.Sprint(d.asked), Class: class, Deadline: d.now + due, Query: still{}}, drawnAsker{d, d.asked})
+	ref, err := d.core.Submit(platform.Request{ID: fmt.Sprint(d.asked), Class: class, Deadline: d.now + due, Query: still{}}, drawnAsker{d, d.asked})
 	if err == nil {
 		d.refs = append(d.refs, ref)
 	}
@@ -115,7 +115,7 @@
 					i := pick(n)
 					tag := d.out[i]
 					d.out = slices.Delete(d.out, i, i+1)
-					if f := d.core.AttemptBegun(tag, func() {}); f != nil {
+					if f := d.core.AnswerStreams(tag, func() {}); f != nil {
 						d.flows = append(d.flows, f)
 					}
 				}
@@ -128,14 +128,14 @@
 			},
 			"probed": func(t *rapid.T) {
 				if len(d.probes) > 0 {
-					d.core.ProbeEnded(d.probes[0], backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Reset)).Draw(t, "result")),
+					d.core.HealthCheckEnded(d.probes[0], backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Reset)).Draw(t, "result")),
 						Report: backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: d.now, HasPos: true}})
 					d.probes = d.probes[1:]
 				}
 			},
 			"gone": func(*rapid.T) {
 				if n := len(d.refs); n > 0 {
-					d.core.Gone(d.refs[pick(n)])
+					d.core.Abandon(d.refs[pick(n)])
 				}
 			},
 			"pass": func(t *rapid.T) {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -25,7 +25,7 @@
 // ended.
 func keyLifetimeMs(classes []decide.Class) (ms float64) {
 	for _, c := range classes {
-		ms = max(ms, clock.Millis(c.Deadline+c.KeyWindow))
+		ms = max(ms, clock.ToMillis(c.Deadline+c.KeyWindow))
 	}
 	return ms
 }
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -32,7 +32,7 @@
 	refused []float64
 }
 
-func (e *ends) Refused(wait float64) { e.refused = append(e.refused, wait) }
+func (e *ends) Rejected(wait float64) { e.refused = append(e.refused, wait) }
 
 // leases end at a time, and are taken back by a function.
 type leases struct {
@@ -60,7 +60,7 @@
 		before := len(client.refused)
 		for range times {
 			n++
-			if _, err := c.Ask(platform.Request{ID: fmt.Sprint(n), Class: "read", Tenant: tenant, Deadline: l.now + 9000, Query: still{}}, client); err != nil {
+			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(n), Class: "read", Tenant: tenant, Deadline: l.now + 9000, Query: still{}}, client); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -34,7 +34,7 @@
 		entry := decide.Endpoint{Server: decide.ServerID(instance.ID), Group: instance.Cell, Kind: c.kindNumbers.number(instance.MachineType),
 			Zone: c.zoneNumbers.number(instance.Zone), Capacity: instance.Weight, Primary: instance.Role == "primary"}
 		if instance.StartedAtMs > 0 {
-			entry.Started = clock.Span(min(clock.FromUnix(instance.StartedAtMs), now)) // one ahead of the clock would be cold for ever
+			entry.Started = clock.ToDuration(min(clock.FromUnix(instance.StartedAtMs), now)) // one ahead of the clock would be cold for ever
 		}
 		entry.State = serverState(instance)
 		named[instance.ID] = true
@@ -59,7 +59,7 @@
 			c.servers.Forget(id)
 		case e.Endpoints[i].State != decide.Serving:
 			if c.servers.CloseIdle(id); e.Endpoints[i].State == decide.Draining { // an attempt that waits for a connection would be new to it, however late it comes up
-				c.servers.Recall(id, func(backend.Tag) bool { return true })
+				c.servers.Recall(id, func(backend.AttemptID) bool { return true })
 			}
 		}
 	}
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -18,14 +18,14 @@
 
 // stream is a request's answer on its way past the core.
 type stream struct {
-	backend.Flow
+	backend.AnswerStream
 	core *Core
 	ref  slotmap.Ref
 	stop func()
 }
 
-// AttemptBegun implements backend.Events. To the router the request is answered then.
-func (c *Core) AttemptBegun(tag backend.Tag, stop func()) backend.Flow {
+// AnswerStreams implements backend.Events. To the router the request is answered then.
+func (c *Core) AnswerStreams(tag backend.AttemptID, stop func()) backend.AnswerStream {
 	req, ok := c.requests.Get(tag.Request)
 	if !ok {
 		return nil
@@ -37,14 +37,14 @@
 	outcome := backend.Outcome{Result: decide.OK}
 	c.countAttempt(req, tag.Number, outcome.Result)
 	if req.wroteSession != "" && !final { // an answer that is passed on as it comes cannot wait for the commit
-		c.sessionTokens.Keep(req.wroteSession, clock.Span(c.loop.Now()), nil)
+		c.sessionTokens.Keep(req.wroteSession, clock.ToDuration(c.loop.Now()), nil)
 	}
 	c.recordAttempt(req, tag.Number, server, &outcome)
 	if c.journal != nil {
 		c.journal.Ended(tag, outcome.Result)
 	}
-	if taker, ok := req.client.(platform.Taker); ok && !final {
-		req.finished, req.stream = true, &stream{Flow: taker.Take(), core: c, ref: tag.Request, stop: stop}
+	if taker, ok := req.client.(platform.StreamReceiver); ok && !final {
+		req.finished, req.stream = true, &stream{AnswerStream: taker.ReceiveStream(), core: c, ref: tag.Request, stop: stop}
 		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
 	}
 	f := req.stream
@@ -64,7 +64,7 @@
 		end = metrics.BadGateway
 	}
 	f.core.streamEnded(f.ref, end)
-	f.Flow.Ended(b, whole)
+	f.AnswerStream.Ended(b, whole)
 }
 
 // streamEnded ends a request whose answer was passed on as it came.
@@ -77,7 +77,7 @@
 }
 
 // AttemptWritten implements backend.Events.
-func (c *Core) AttemptWritten(tag backend.Tag) {
+func (c *Core) AttemptWritten(tag backend.AttemptID) {
 	if req, ok := c.requests.Get(tag.Request); ok && !req.attempts[tag.Number].written {
 		req.attempts[tag.Number].written = true
 		c.checkWritten(req, tag.Number)
@@ -87,7 +87,7 @@
 }
 
 // AttemptEnded implements backend.Events.
-func (c *Core) AttemptEnded(tag backend.Tag, outcome backend.Outcome) {
+func (c *Core) AttemptEnded(tag backend.AttemptID, outcome backend.Outcome) {
 	req, ok := c.requests.Get(tag.Request)
 	if !ok {
 		return
@@ -130,8 +130,8 @@
 	}
 }
 
-// ProbeEnded implements backend.Events.
-func (c *Core) ProbeEnded(server string, outcome backend.Outcome) {
+// HealthCheckEnded implements backend.Events.
+func (c *Core) HealthCheckEnded(server string, outcome backend.Outcome) {
 	c.recordProbe(server, &outcome)
 	c.forwardReport(server, &outcome)
 	if c.fleet.zoneObserver != nil {
@@ -151,7 +151,7 @@
 func reportOf(o backend.Report) decide.Report {
 	r := decide.Report{Role: o.Role, HasPosition: o.HasPos}
 	if o.HasPos {
-		r.Position = clock.Span(o.Position)
+		r.Position = clock.ToDuration(o.Position)
 	}
 	return r
 }
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -22,7 +22,7 @@
 func (still) Watch()                             {}
 func (still) Fetch()                             {}
 func (still) Served([]byte)                      {}
-func (still) Refused(float64)                    {}
+func (still) Rejected(float64)                   {}
 func (still) Failed()                            {}
 func (still) AppendQuery(b []byte, _ int) []byte { return b }
 
@@ -37,14 +37,14 @@
 // counting are servers that count what they are asked.
 type counting struct{ n int }
 
-func (*counting) SetAddress(string, string)             {}
-func (*counting) CloseIdle(string)                      {}
-func (*counting) Forget(string)                         {}
-func (*counting) Retain(map[string]bool)                {}
-func (*counting) Recall(string, func(backend.Tag) bool) {}
-func (*counting) Probe(string)                          {}
-func (*counting) Cancel(slotmap.Ref)                    {}
-func (c *counting) Start(string, backend.Query, float64, backend.Terms, backend.Tag) slotmap.Ref {
+func (*counting) SetAddress(string, string)                   {}
+func (*counting) CloseIdle(string)                            {}
+func (*counting) Forget(string)                               {}
+func (*counting) Retain(map[string]bool)                      {}
+func (*counting) Recall(string, func(backend.AttemptID) bool) {}
+func (*counting) CheckHealth(string)                          {}
+func (*counting) Cancel(slotmap.Ref)                          {}
+func (c *counting) Start(string, backend.Query, float64, backend.SendConditions, backend.AttemptID) slotmap.Ref {
 	c.n++
 	return slotmap.Ref{}
 }
@@ -65,7 +65,7 @@
 		}
 		loop.now = 1e6
 		for i := range 40 {
-			if _, err := c.Ask(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: 1e6 + 9000, Query: still{}}, still{}); err != nil {
+			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: 1e6 + 9000, Query: still{}}, still{}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -33,7 +33,7 @@
 	now := c.loop.Now()
 	req.recorded = recorded{number: c.recordedRequests, class: int32(class), group: int64(incoming.Group), startedAt: now}
 	c.recorder.Put(&record.Event{At: now, Kind: recordpb.Kind_KIND_REQUEST, Request: c.recordedRequests, Class: int32(class), Group: int64(incoming.Group),
-		Session: xxhash.Sum64String(incoming.Session), ID: xxhash.Sum64String(cmp.Or(incoming.ClientID, incoming.ID)), Left: incoming.Deadline - now, Repeat: incoming.Repeat, Position: incoming.MinPosition})
+		Session: xxhash.Sum64String(incoming.Session), ID: xxhash.Sum64String(cmp.Or(incoming.ClientID, incoming.ID)), Left: incoming.Deadline - now, Repeat: incoming.IsRetry, Position: incoming.MinPosition})
 }
 
 func (c *Core) recordAttempt(req *request, no int, server decide.ServerID, outcome *backend.Outcome) {
@@ -129,7 +129,7 @@
 	var out []*recordpb.Class
 	for i, c := range classes {
 		out = append(out, &recordpb.Class{Name: names[i], Worth: c.PriorityWeight, LateWorth: c.LateWeight, Read: reads[c.Read],
-			AimUs: uint64(clock.Millis(c.LatencyObjective) * 1000), DeadlineUs: uint64(clock.Millis(c.Deadline) * 1000)})
+			AimUs: uint64(clock.ToMillis(c.LatencyObjective) * 1000), DeadlineUs: uint64(clock.ToMillis(c.Deadline) * 1000)})
 	}
 	return out
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -58,7 +58,7 @@
 	startedAt   float64
 	writeBefore float64 // it must not be written from then on
 	written     bool
-	allowed     bool // AttemptGoes allowed it to go out
+	allowed     bool // MaySend allowed it to go out
 	didNotRun   bool // it has ended without having run
 }
 
@@ -72,8 +72,8 @@
 	c.countEnd(req, end)
 }
 
-// Ask implements platform.Desk.
-func (c *Core) Ask(incoming platform.Request, client platform.Client) (slotmap.Ref, error) {
+// Submit implements platform.Desk.
+func (c *Core) Submit(incoming platform.Request, client platform.Client) (slotmap.Ref, error) {
 	class, ok := c.classNumbers[incoming.Class]
 	if !ok {
 		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrUnknownClass)
@@ -83,14 +83,14 @@
 		return slotmap.Ref{}, fmt.Errorf("id %q: %w", incoming.ID, ErrDuplicateID)
 	}
 	tenant, ok := c.tenantNumbers[incoming.Tenant]
-	if !ok && (incoming.PlatformForm || incoming.Tenant != "") && len(c.tenantNumbers) > 0 {
+	if !ok && (incoming.PlatformProtocol || incoming.Tenant != "") && len(c.tenantNumbers) > 0 {
 		return slotmap.Ref{}, fmt.Errorf("tenant %q: %w", incoming.Tenant, ErrUnknownTenant)
 	}
 	if !ok {
 		tenant = -1
 	}
 	set := &c.config.Settings.Classes[class]
-	if set.Idempotency == decide.IdempotentWithKey && incoming.PlatformForm && incoming.IdempotencyKey == "" {
+	if set.Idempotency == decide.IdempotentWithKey && incoming.PlatformProtocol && incoming.IdempotencyKey == "" {
 		return slotmap.Ref{}, fmt.Errorf("class %q: %w", incoming.Class, ErrMissingKey)
 	}
 	if incoming.Writes && set.Read != decide.Write { // a read may be repeated
@@ -114,23 +114,23 @@
 	if c.answersBy > 0 {
 		incoming.Deadline = min(incoming.Deadline, c.answersBy)
 	}
-	now := clock.Span(c.loop.Now())
-	req := &request{id: incoming.ID, clientID: known, key: key, once: once, client: client, query: incoming.Query, deadline: incoming.Deadline, classMetrics: c.classFigures[class], class: class, platform: incoming.PlatformForm}
-	if incoming.PlatformForm && set.Read == decide.Write && c.storesCommits() {
+	now := clock.ToDuration(c.loop.Now())
+	req := &request{id: incoming.ID, clientID: known, key: key, once: once, client: client, query: incoming.Query, deadline: incoming.Deadline, classMetrics: c.classFigures[class], class: class, platform: incoming.PlatformProtocol}
+	if incoming.PlatformProtocol && set.Read == decide.Write && c.storesCommits() {
 		req.wroteSession = incoming.Session
 	}
 	c.metrics.Open++
 	ref := c.requests.Put(req)
 	c.requestsByID[incoming.ID] = ref
 	c.recordRequest(req, &incoming, class)
-	ev := &decide.Request{ID: requestID(ref), Class: class, Group: incoming.Group, Tenant: tenant, Deadline: clock.Span(incoming.Deadline),
-		Session: c.sessionOf(&incoming, set), ClientRetry: incoming.Repeat, OnlyServer: decide.ServerID(incoming.OnlyServer)}
+	ev := &decide.Request{ID: requestID(ref), Class: class, Group: incoming.Group, Tenant: tenant, Deadline: clock.ToDuration(incoming.Deadline),
+		Session: c.sessionOf(&incoming, set), ClientRetry: incoming.IsRetry, OnlyServer: decide.ServerID(incoming.OnlyServer)}
 	if incoming.MinPosition > 0 {
 		// A commit is rounded up and so may lie ahead of the clock, or far ahead where a clock was set; 0 would stand for none.
-		ev.SinceCommit = cmp.Or(now-clock.Span(incoming.MinPosition), 1)
+		ev.SinceCommit = cmp.Or(now-clock.ToDuration(incoming.MinPosition), 1)
 	}
 	if at, ok := c.sentKeys.firstSent(key, c.loop.Now()); ok {
-		ev.MayHaveRunSince, req.ranBefore = clock.Span(at), true
+		ev.MayHaveRunSince, req.ranBefore = clock.ToDuration(at), true
 	}
 	if c.credit != nil && !c.holdCredit(ref, req, &incoming, ev) {
 		if req.finished {
@@ -145,9 +145,9 @@
 		return ref, nil
 	}
 	// The process's end cuts its time short. It is given up then, but not at once because of the estimated work of its class.
-	ev.Deadline = clock.Span(due)
+	ev.Deadline = clock.ToDuration(due)
 	c.handleEventAt(now, ev)
-	c.handleEvent(&decide.ShortenDeadline{ID: ev.ID, By: clock.Span(incoming.Deadline)})
+	c.handleEvent(&decide.ShortenDeadline{ID: ev.ID, By: clock.ToDuration(incoming.Deadline)})
 	return ref, nil
 }
 
@@ -185,12 +185,12 @@
 
 // closedBeforeAnswer reports whether the client of a request that must not run twice has closed its connection.
 func (req *request) closedBeforeAnswer() bool {
-	client, ok := req.client.(platform.Departing)
-	return ok && req.once && client.Departed()
+	client, ok := req.client.(platform.Disconnectable)
+	return ok && req.once && client.Disconnected()
 }
 
-// Gone implements platform.Desk.
-func (c *Core) Gone(ref slotmap.Ref) {
+// Abandon implements platform.Desk.
+func (c *Core) Abandon(ref slotmap.Ref) {
 	req, ok := c.requests.Get(ref)
 	if ok && req.stream != nil {
 		stop := req.stream.stop
@@ -241,7 +241,7 @@
 func (c *Core) releaseIfDone(ref slotmap.Ref, req *request) {
 	if req.finished && req.inFlight == 0 && req.stream == nil && req.delayedAnswer == nil {
 		c.rememberIfRun(req)
-		c.requests.Drop(ref)
+		c.requests.Remove(ref)
 		if c.requestsByID[req.id] == ref { // else its client has sent it again meanwhile
 			delete(c.requestsByID, req.id)
 		}
--- a/internal/core/sends.go
+++ b/internal/core/sends.go
@@ -22,9 +22,9 @@
 	return true
 }
 
-// AttemptGoes implements backend.Events. It is the one place where an attempt is allowed to be written, whatever it waited for. A request
+// MaySend implements backend.Events. It is the one place where an attempt is allowed to be written, whatever it waited for. A request
 // whose client has closed its connection, though the loop has yet to read that, ends with the attempt that is held back.
-func (c *Core) AttemptGoes(tag backend.Tag) bool {
+func (c *Core) MaySend(tag backend.AttemptID) bool {
 	req, ok := c.requests.Get(tag.Request)
 	if !ok || req.finished || req.clientClosed {
 		return false
@@ -33,7 +33,7 @@
 	if now >= try.writeBefore || !c.router.Available(try.server) || !c.mayServe(req, try.server) {
 		return false
 	}
-	if client, ok := req.client.(platform.Departing); ok && client.Departed() {
+	if client, ok := req.client.(platform.Disconnectable); ok && client.Disconnected() {
 		req.clientClosed = true
 		return false
 	}
@@ -41,10 +41,10 @@
 	return true
 }
 
-// ServerDenies implements backend.Events: a server reports that it is a replica. The router must know it first: the attempts that are called off
+// ServerReportsReplica implements backend.Events: a server reports that it is a replica. The router must know it first: the attempts that are called off
 // and the connection that is free now must not meet at that server again.
-func (c *Core) ServerDenies(server string, report backend.Report, probe bool) {
-	now := clock.Span(c.loop.Now())
+func (c *Core) ServerReportsReplica(server string, report backend.Report, probe bool) {
+	now := clock.ToDuration(c.loop.Now())
 	at := now // in an answer to a request it counts at once
 	if probe {
 		at = min(now, c.reportTime(server, report))
@@ -61,7 +61,7 @@
 	if c.servers == nil || c.router.IsPrimary(decide.ServerID(server)) {
 		return
 	}
-	c.servers.Recall(server, func(tag backend.Tag) bool {
+	c.servers.Recall(server, func(tag backend.AttemptID) bool {
 		req, ok := c.requests.Get(tag.Request)
 		return ok && !c.mayServe(req, decide.ServerID(server))
 	})
--- a/internal/core/sends_test.go
+++ b/internal/core/sends_test.go
@@ -28,16 +28,16 @@
 
 type dialled struct {
 	to  string
-	tag backend.Tag
+	tag backend.AttemptID
 }
 
-func (d *dials) Start(id string, _ backend.Query, _ float64, _ backend.Terms, tag backend.Tag) slotmap.Ref {
+func (d *dials) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
 	d.begun++
 	d.waits = append(d.waits, dialled{id, tag})
 	return slotmap.Ref{}
 }
 
-func (d *dials) Recall(id string, which func(backend.Tag) bool) {
+func (d *dials) Recall(id string, which func(backend.AttemptID) bool) {
 	for i := 0; i < len(d.waits); {
 		if x := d.waits[i]; x.to == id && which(x.tag) {
 			d.skip(i)
@@ -62,7 +62,7 @@
 			return
 		}
 		x := d.waits[i]
-		if !d.core.AttemptGoes(x.tag) {
+		if !d.core.MaySend(x.tag) {
 			d.skip(i)
 			continue
 		}
@@ -91,7 +91,7 @@
 	for _, id := range []string{"1", "2"} {
 		ask(t, c, l, id, "write")
 	}
-	if fmt.Sprint(d.waits) != fmt.Sprint([]dialled{{"a", backend.Tag{Request: d.waits[0].tag.Request}}, {"a", backend.Tag{Request: d.waits[1].tag.Request}}}) {
+	if fmt.Sprint(d.waits) != fmt.Sprint([]dialled{{"a", backend.AttemptID{Request: d.waits[0].tag.Request}}, {"a", backend.AttemptID{Request: d.waits[1].tag.Request}}}) {
 		t.Fatalf("%v wait", d.waits)
 	}
 	return c, d, l, w
@@ -99,7 +99,7 @@
 
 func ask(t *testing.T, c *Core, l *hand, id, class string) {
 	t.Helper()
-	if _, err := c.Ask(platform.Request{ID: id, Class: class, Deadline: l.now + 2000, Query: still{}}, still{}); err != nil {
+	if _, err := c.Submit(platform.Request{ID: id, Class: class, Deadline: l.now + 2000, Query: still{}}, still{}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -128,15 +128,15 @@
 		"a look": func(c *Core, l *hand, w *witness) {
 			c.SetServerObserver(w)
 			c.CheckHealthForObserver("a")
-			c.ProbeEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
+			c.HealthCheckEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
 		},
 		"its own probe for another": func(c *Core, l *hand, _ *witness) {
 			c.SetHealthCheckSharer(prober{})
-			c.ProbeEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
+			c.HealthCheckEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
 		},
-		"its own probe": func(c *Core, l *hand, _ *witness) { c.ServerDenies("a", said(l, decide.RoleReplica, 10), true) },
+		"its own probe": func(c *Core, l *hand, _ *witness) { c.ServerReportsReplica("a", said(l, decide.RoleReplica, 10), true) },
 		"an answer": func(c *Core, l *hand, _ *witness) {
-			c.ServerDenies("a", backend.Report{Role: decide.RoleReplica}, false)
+			c.ServerReportsReplica("a", backend.Report{Role: decide.RoleReplica}, false)
 		},
 		"a verdict":                         func(c *Core, l *hand, _ *witness) { c.ServerReported("a", said(l, decide.RoleReplica, 10), 20) },
 		"a verdict on another, at the send": func(c *Core, l *hand, _ *witness) { c.ServerReported("b", said(l, decide.RolePrimary, 5), 5) },
@@ -174,7 +174,7 @@
 	c, d, l, _ := dialling(t)
 	old := backend.Report{Role: decide.RoleReplica, Position: l.now - 900, HasPos: true}
 	c.HealthCheckReported("a", decide.OK, old, 30)
-	c.ServerDenies("a", old, true)
+	c.ServerReportsReplica("a", old, true)
 	d.up("a")
 	d.up("a")
 	if fmt.Sprint(d.sent) != "[a a]" || d.begun != 2 {
@@ -202,7 +202,7 @@
 	var broken []string
 	c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
 	kept := slices.Clone(d.waits)
-	c.AttemptGoes(kept[0].tag)
+	c.MaySend(kept[0].tag)
 	c.AttemptWritten(kept[0].tag)
 	if len(broken) > 0 {
 		t.Fatalf("%v, while it leads", broken)
@@ -231,7 +231,7 @@
 			c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
 			tag, want, tries := d.waits[0].tag, x.want, c.metrics.Tries
 			if goes {
-				c.AttemptGoes(tag)
+				c.MaySend(tag)
 				want = "[]"
 			}
 			c.AttemptEnded(tag, backend.Outcome{Result: x.r})
@@ -247,10 +247,10 @@
 	var broken []string
 	c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
 	taker := drawnAsker{&drawn{ends: map[int]int{}}, 1}
-	if _, err := c.Ask(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: still{}}, taker); err != nil {
+	if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: still{}}, taker); err != nil {
 		t.Fatal(err)
 	}
-	c.AttemptBegun(d.waits[len(d.waits)-1].tag, func() {})
+	c.AnswerStreams(d.waits[len(d.waits)-1].tag, func() {})
 	if fmt.Sprint(broken) != broke {
 		t.Errorf("an answer is passed on: %v", broken)
 	}
@@ -262,7 +262,7 @@
 	gone *bool
 }
 
-func (l leaves) Departed() bool { return *l.gone }
+func (l leaves) Disconnected() bool { return *l.gone }
 
 // TestAttemptIsHeldBackOnceItMayNotGo: an attempt waits for a connection until its time is up, its server drains, or its client has gone, and nobody has
 // called it off: it does not go out then, and its request has its end.
@@ -286,7 +286,7 @@
 		t.Run(name, func(t *testing.T) {
 			c, d, l, _ := dialling(t)
 			gone := false
-			if _, err := c.Ask(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: still{}}, leaves{gone: &gone}); err != nil {
+			if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: still{}}, leaves{gone: &gone}); err != nil {
 				t.Fatal(err)
 			}
 			tag := d.waits[len(d.waits)-1].tag
@@ -300,7 +300,7 @@
 				})
 			}
 			story.then(c, l, &gone)
-			if goes := c.AttemptGoes(tag); goes != story.goes {
+			if goes := c.MaySend(tag); goes != story.goes {
 				t.Errorf("it goes out: %v", goes)
 			}
 		})
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -43,7 +43,7 @@
 	}
 	if now := c.loop.Now(); c.sessionDoubt.unknownUntil < now+doubtRenewMs {
 		c.sessionDoubt.unknownUntil = now + doubtAheadMs
-		c.MergeSnapshot(&decide.Snapshot{ForgottenCommit: clock.Span(c.sessionDoubt.unknownUntil)})
+		c.MergeSnapshot(&decide.Snapshot{ForgottenCommit: clock.ToDuration(c.sessionDoubt.unknownUntil)})
 	}
 	return "\x00" + incoming.Session
 }
@@ -59,9 +59,9 @@
 	if req.wroteSession == "" {
 		return false
 	}
-	at := clock.Span(c.loop.Now())
+	at := clock.ToDuration(c.loop.Now())
 	if outcome.HasPos {
-		at = clock.Span(outcome.Position)
+		at = clock.ToDuration(outcome.Position)
 	}
 	if !c.sessionTokens.Keep(req.wroteSession, at, func(kept bool) {
 		end := metrics.BadGateway
--- a/internal/core/witness.go
+++ b/internal/core/witness.go
@@ -10,8 +10,8 @@
 // ServerObserver receives all that this pooler sees of servers.
 type ServerObserver interface {
 	Listed(list *discovery.List, whole bool)
-	Sent(server string, tag backend.Tag, class int)
-	Ended(server string, tag backend.Tag, result decide.Result, report backend.Report)
+	Sent(server string, tag backend.AttemptID, class int)
+	Ended(server string, tag backend.AttemptID, result decide.Result, report backend.Report)
 	HealthChecked(server string, result decide.Result, report backend.Report) // by this pooler
 	Ejects(server string) bool                                                // peers find that it serves no requests, whatever its probes say
 }
@@ -69,12 +69,12 @@
 
 // reportTime returns the time of a report on this process's clock, by the server's position.
 func (c *Core) reportTime(server string, report backend.Report) decide.Time {
-	return c.router.ToLocalTime(decide.ServerID(server), clock.Span(report.Position))
+	return c.router.ToLocalTime(decide.ServerID(server), clock.ToDuration(report.Position))
 }
 
 // mergeReport gives the router a server's report, as of the report's time.
 func (c *Core) mergeReport(server string, report backend.Report) {
-	if !report.HasPos || c.reportTime(server, report) > clock.Span(c.loop.Now()) {
+	if !report.HasPos || c.reportTime(server, report) > clock.ToDuration(c.loop.Now()) {
 		return
 	}
 	c.ServerReported(server, report, 0)
@@ -82,7 +82,7 @@
 
 // mergeRole is recall without the position.
 func (c *Core) mergeRole(server string, report backend.Report) {
-	now, at := clock.Span(c.loop.Now()), c.reportTime(server, report)
+	now, at := clock.ToDuration(c.loop.Now()), c.reportTime(server, report)
 	if known, ok := c.router.SnapshotOf(decide.ServerID(server)); ok && report.HasPos && report.Role != decide.RoleUnknown && at <= now {
 		known.Ejected, known.Role, known.RoleAt = false, report.Role, at
 		c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
@@ -94,7 +94,7 @@
 
 // ServerReported gives the router a server's report, made to any pooler, that is ageMs old at most. A position also is the time of its report.
 func (c *Core) ServerReported(server string, report backend.Report, ageMs float64) {
-	now, at := clock.Span(c.loop.Now()), c.reportTime(server, report)
+	now, at := clock.ToDuration(c.loop.Now()), c.reportTime(server, report)
 	known, ok := c.router.SnapshotOf(decide.ServerID(server))
 	if !ok || at > now {
 		return
@@ -103,8 +103,8 @@
 	if report.Role != decide.RoleUnknown {
 		known.Role, known.RoleAt = report.Role, at
 	}
-	if position := clock.Span(report.Position); position > known.Position {
-		known.Position, known.PositionAt, known.PositionReportedAt = position, now, now-clock.Span(ageMs)
+	if position := clock.ToDuration(report.Position); position > known.Position {
+		known.Position, known.PositionAt, known.PositionReportedAt = position, now, now-clock.ToDuration(ageMs)
 	}
 	c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
 	if report.Role == decide.RoleReplica {
@@ -115,7 +115,7 @@
 // Eject has the router take a server out of use.
 func (c *Core) Eject(server string) {
 	if known, ok := c.router.SnapshotOf(decide.ServerID(server)); ok {
-		known.Ejected, known.EjectedAt = true, clock.Span(c.loop.Now())
+		known.Ejected, known.EjectedAt = true, clock.ToDuration(c.loop.Now())
 		c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
 	}
 }
--- a/internal/core/witness_test.go
+++ b/internal/core/witness_test.go
@@ -21,8 +21,8 @@
 	sent   []string
 }
 
-func (p *probing) Probe(id string) { p.probes = append(p.probes, id) }
-func (p *probing) Start(id string, _ backend.Query, _ float64, _ backend.Terms, _ backend.Tag) slotmap.Ref {
+func (p *probing) CheckHealth(id string) { p.probes = append(p.probes, id) }
+func (p *probing) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, _ backend.AttemptID) slotmap.Ref {
 	p.sent = append(p.sent, id)
 	return slotmap.Ref{}
 }
@@ -35,10 +35,10 @@
 }
 
 func (w *witness) Listed(list *discovery.List, _ bool) { w.note("listed", len(list.Instances)) }
-func (w *witness) Sent(server string, _ backend.Tag, class int) {
+func (w *witness) Sent(server string, _ backend.AttemptID, class int) {
 	w.note("sent", server, class)
 }
-func (w *witness) Ended(server string, _ backend.Tag, r decide.Result, _ backend.Report) {
+func (w *witness) Ended(server string, _ backend.AttemptID, r decide.Result, _ backend.Report) {
 	w.note("ended", server, r)
 	w.do(server)
 }
@@ -69,7 +69,7 @@
 	c.Start(servers, l)
 	c.Eject("a")
 	for i := range 3 {
-		if _, err := c.Ask(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: l.now + 2000, Query: still{}}, still{}); err != nil {
+		if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: l.now + 2000, Query: still{}}, still{}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -92,7 +92,7 @@
 	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.probes) != 1 {
 		t.Errorf("%v: the module's probe goes out while a look does", servers.probes)
 	}
-	c.ProbeEnded("a", backend.Outcome{Report: backend.Report{Role: decide.RolePrimary, Position: l.now - 30, HasPos: true}})
+	c.HealthCheckEnded("a", backend.Outcome{Report: backend.Report{Role: decide.RolePrimary, Position: l.now - 30, HasPos: true}})
 	if known, _ := c.router.SnapshotOf("a"); !known.Ejected || known.Role != decide.RolePrimary || known.RoleAt != 999970*1e6 {
 		t.Errorf("a look is taken for a probe, or not told: %+v", known)
 	}
@@ -127,7 +127,7 @@
 			c.Start(servers, l)
 			c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: l.now - 200, HasPos: true}, 0)
 			ask := func(id string) slotmap.Ref {
-				ref, err := c.Ask(platform.Request{ID: id, Class: "write", Deadline: l.now + 2000, Query: still{}}, still{})
+				ref, err := c.Submit(platform.Request{ID: id, Class: "write", Deadline: l.now + 2000, Query: still{}}, still{})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -143,14 +143,14 @@
 			switch by {
 			case "look":
 				c.CheckHealthForObserver("a")
-				c.ProbeEnded("a", outcome)
+				c.HealthCheckEnded("a", outcome)
 			case "probe":
-				c.ProbeEnded("a", outcome)
+				c.HealthCheckEnded("a", outcome)
 			case "request":
 				if role == decide.RoleReplica {
 					outcome.Result = decide.Misdirected
 				}
-				c.AttemptEnded(backend.Tag{Request: first}, outcome)
+				c.AttemptEnded(backend.AttemptID{Request: first}, outcome)
 			}
 			want := map[decide.Role]string{decide.RolePrimary: "[a a]", decide.RoleReplica: "[a]"}[role]
 			if fmt.Sprint(servers.sent) != want {
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -72,8 +72,8 @@
 func (c *Core) WarmUpFactor(startedMs float64) float64 {
 	set := &c.config.Settings
 	age := c.loop.Now() - startedMs
-	if startedMs <= 0 || set.SlowStartTime <= 0 || age >= clock.Millis(set.SlowStartTime) {
+	if startedMs <= 0 || set.SlowStartTime <= 0 || age >= clock.ToMillis(set.SlowStartTime) {
 		return 1
 	}
-	return set.SlowStartFrom + (1-set.SlowStartFrom)*max(0, age)/clock.Millis(set.SlowStartTime)
+	return set.SlowStartFrom + (1-set.SlowStartFrom)*max(0, age)/clock.ToMillis(set.SlowStartTime)
 }
--- a/internal/endpoints/discovery/calls_test.go
+++ b/internal/endpoints/discovery/calls_test.go
@@ -80,7 +80,7 @@
 // untilRead waits until all that was sent on calls that are open has been read.
 func (s *station) untilRead() {
 	s.t.Helper()
-	quiet := func(k *call) bool { return k == nil || k.conn != nil && k.conn.Quiet() }
+	quiet := func(k *call) bool { return k == nil || k.conn != nil && k.conn.OpenAndIdle() }
 	s.until("all is read", func() bool { return quiet(s.client.watch) && quiet(s.client.fetch) })
 }
 
@@ -307,7 +307,7 @@
 	s.do(func() {
 		watch.tell(90, true)
 		fetch.tell(91, true)
-		for end := time.Now().Add(patience); s.client.watch.conn.Quiet() || s.client.fetch.conn.Quiet(); {
+		for end := time.Now().Add(patience); s.client.watch.conn.OpenAndIdle() || s.client.fetch.conn.OpenAndIdle(); {
 			if time.Now().After(end) {
 				t.Error("nothing came")
 				break
--- a/internal/endpoints/discovery/discovery.go
+++ b/internal/endpoints/discovery/discovery.go
@@ -127,7 +127,7 @@
 		return
 	}
 	c.pushed = on
-	c.loop.Stop(c.again)
+	c.loop.StopTimer(c.again)
 	if on && c.watch == nil {
 		c.Watch()
 	}
@@ -138,7 +138,7 @@
 	if c.pause = min(againMostMs, max(againMs, 2*c.pause)); held >= heldMs {
 		c.pause = againMs
 	}
-	c.loop.Stop(c.again)
+	c.loop.StopTimer(c.again)
 	c.again = c.loop.At(c.loop.Now()+c.pause, func() {
 		if c.pushed && c.watch == nil {
 			c.Watch()
@@ -202,7 +202,7 @@
 // alive puts off the time at which the call counts as dead.
 func (k *call) alive() {
 	l := k.client.loop
-	l.Stop(k.timer)
+	l.StopTimer(k.timer)
 	k.timer = l.At(l.Now()+silentMs, func() { k.end(errSilent) })
 }
 
@@ -222,7 +222,7 @@
 	if c.fetch == k {
 		c.fetch = nil
 	}
-	c.loop.Stop(k.timer)
+	c.loop.StopTimer(k.timer)
 	if k.conn != nil {
 		k.conn.Close()
 	}
--- a/internal/eventloop/clock/clock.go
+++ b/internal/eventloop/clock/clock.go
@@ -45,14 +45,14 @@
 // Plausible reports whether a time that a server stated, as FromUnix maps it, can be one of its clock, which may differ from this one.
 func Plausible(ms, now float64) bool { return ms > 0 && ms <= now+mostAheadMs }
 
-// Span converts milliseconds to the decision module's unit, exactly to the nanosecond for whole
+// ToDuration converts milliseconds to the decision module's unit, exactly to the nanosecond for whole
 // milliseconds: a position and the commit it must reach compare equal only then.
-func Span(ms float64) time.Duration {
+func ToDuration(ms float64) time.Duration {
 	whole, part := math.Modf(ms)
 	return time.Duration(whole)*time.Millisecond + time.Duration(part*float64(time.Millisecond))
 }
 
-// Millis converts the decision module's unit to milliseconds.
-func Millis(d time.Duration) float64 {
+// ToMillis converts the decision module's unit to milliseconds.
+func ToMillis(d time.Duration) float64 {
 	return float64(d/time.Millisecond) + float64(d%time.Millisecond)/float64(time.Millisecond)
 }
--- a/internal/eventloop/clock/clock_test.go
+++ b/internal/eventloop/clock/clock_test.go
@@ -9,10 +9,10 @@
 // move by a nanosecond on its way to the decision module.
 func TestWholeMillisecondsAreExact(t *testing.T) {
 	for _, ms := range []int64{1, 999, 1767225600123, 1767225600124} {
-		if got := Span(FromUnix(ms)); got != time.Duration(ms)*time.Millisecond {
+		if got := ToDuration(FromUnix(ms)); got != time.Duration(ms)*time.Millisecond {
 			t.Errorf("%d ms became %d ns", ms, got)
 		}
-		if got := Millis(Span(FromUnix(ms))); got != float64(ms) {
+		if got := ToMillis(ToDuration(FromUnix(ms))); got != float64(ms) {
 			t.Errorf("%d ms came back as %v", ms, got)
 		}
 	}
--- a/internal/eventloop/clock/machine.go
+++ b/internal/eventloop/clock/machine.go
@@ -15,8 +15,8 @@
 	Boot      string         // names the boot, empty where it is unknown
 }
 
-// Moment is a time that another process of the machine can compare with its own.
-type Moment struct {
+// Instant is a time that another process of the machine can compare with its own.
+type Instant struct {
 	Boot        string  `json:"boot"`
 	MonotonicMs float64 `json:"monotonic_ms"`
 }
@@ -42,11 +42,11 @@
 	return float64(now.Sec)*1e3 + float64(now.Nsec)/1e6
 }
 
-// Moment returns the present moment.
-func (m Machine) Moment() Moment { return Moment{Boot: m.Boot, MonotonicMs: m.Monotonic()} }
+// Now returns the present moment.
+func (m Machine) Now() Instant { return Instant{Boot: m.Boot, MonotonicMs: m.Monotonic()} }
 
 // Since returns the milliseconds since a moment, and false where it is of another boot, or of one that is unknown.
-func (m Machine) Since(moment Moment) (ms float64, known bool) {
+func (m Machine) Since(moment Instant) (ms float64, known bool) {
 	if m.Boot == "" || moment.Boot != m.Boot {
 		return 0, false
 	}
--- a/internal/eventloop/clock/machine_test.go
+++ b/internal/eventloop/clock/machine_test.go
@@ -6,21 +6,21 @@
 func TestSince(t *testing.T) {
 	monotonic := 1000.0
 	machine := Machine{Wall: func() float64 { return -1e9 * monotonic }, Monotonic: func() float64 { return monotonic }, Boot: "b"}
-	moment := machine.Moment()
+	moment := machine.Now()
 	monotonic = 1250
 	if ms, known := machine.Since(moment); ms != 250 || !known {
 		t.Errorf("%v ms, %v", ms, known)
 	}
-	for name, other := range map[string]Moment{"another boot": {"c", 1000}, "an unknown boot": {"", 1000}} {
+	for name, other := range map[string]Instant{"another boot": {"c", 1000}, "an unknown boot": {"", 1000}} {
 		if _, known := machine.Since(other); known {
 			t.Error(name, "is compared")
 		}
 	}
 	machine.Boot = ""
-	if _, known := machine.Since(Moment{}); known {
+	if _, known := machine.Since(Instant{}); known {
 		t.Error("two unknown boots are compared")
 	}
-	if one, two := ThisMachine().Moment(), ThisMachine().Moment(); one.Boot != two.Boot || two.MonotonicMs < one.MonotonicMs || one.MonotonicMs <= 0 {
+	if one, two := ThisMachine().Now(), ThisMachine().Now(); one.Boot != two.Boot || two.MonotonicMs < one.MonotonicMs || one.MonotonicMs <= 0 {
 		t.Errorf("%+v, then %+v", one, two)
 	}
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -179,9 +179,9 @@
 	_, _ = io.Copy(io.Discard, nc)
 }
 
-// Park stops the reading, until Unpark: what the other side sends stays with that side. It tells whether it could, which is not so while
+// PauseReading stops the reading, until Unpark: what the other side sends stays with that side. It tells whether it could, which is not so while
 // something is yet to be written.
-func (c *Conn) Park() bool {
+func (c *Conn) PauseReading() bool {
 	if c.gone || c.parked || c.Unsent() > 0 {
 		return c.parked
 	}
@@ -190,8 +190,8 @@
 	return true
 }
 
-// Unpark goes on with the reading.
-func (c *Conn) Unpark() {
+// ResumeReading goes on with the reading.
+func (c *Conn) ResumeReading() {
 	if c.gone || !c.parked {
 		return
 	}
@@ -214,8 +214,8 @@
 	return nil
 }
 
-// Parked tells whether the connection is not read.
-func (c *Conn) Parked() bool { return c.parked }
+// ReadingPaused tells whether the connection is not read.
+func (c *Conn) ReadingPaused() bool { return c.parked }
 
 // Ended tells, also while the connection is parked, whether its other side sends no more, and how much of what it sent
 // waits to be read. gone is set where it reads no more either.
@@ -244,9 +244,9 @@
 	c.Close()
 }
 
-// Quiet tells whether the connection stands open with nothing to read: neither data nor an end that
+// OpenAndIdle tells whether the connection stands open with nothing to read: neither data nor an end that
 // the loop has not come to yet.
-func (c *Conn) Quiet() bool {
+func (c *Conn) OpenAndIdle() bool {
 	if c.gone || c.parked {
 		return false
 	}
--- a/internal/eventloop/engine.go
+++ b/internal/eventloop/engine.go
@@ -148,8 +148,8 @@
 	now := l.clk.Now()
 	l.seen(now)
 	l.heap.Run(now)
-	if l.Between != nil {
-		l.Between()
+	if l.AfterCallback != nil {
+		l.AfterCallback()
 	}
 	l.arm()
 }
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -21,10 +21,10 @@
 )
 
 // Dial connects to addr off the loop. On the loop, either h is told Opened or failed is called. Where this machine lacks
-// something for the connection, Dial tries again for a part of the time; IsLocal tells whether that was in vain.
+// something for the connection, Dial tries again for a part of the time; IsLocalError tells whether that was in vain.
 func (l *Loop) Dial(addr string, timeoutMs float64, h Handler, failed func(error)) {
 	go func() {
-		err := l.dial(addr, clock.Span(timeoutMs), h)
+		err := l.dial(addr, clock.ToDuration(timeoutMs), h)
 		if err != nil {
 			l.Post(func() { failed(fmt.Errorf("dial: %w", err)) })
 		}
@@ -39,7 +39,7 @@
 		if err == nil {
 			err = l.enroll(&Conn{loop: l, h: h}, conn)
 		}
-		if err == nil || !IsLocal(err) || time.Since(began)+localPause > timeout/localPart {
+		if err == nil || !IsLocalError(err) || time.Since(began)+localPause > timeout/localPart {
 			return err
 		}
 		time.Sleep(localPause)
@@ -55,9 +55,9 @@
 // localLacks are the errors by which the kernel says that this machine lacks descriptors, memory or ports.
 var localLacks = []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN}
 
-// IsLocal reports whether a connection could not be opened for want of something on this machine: descriptors, memory
+// IsLocalError reports whether a connection could not be opened for want of something on this machine: descriptors, memory
 // or ports. It says nothing about the server.
-func IsLocal(err error) bool {
+func IsLocalError(err error) bool {
 	for _, lack := range localLacks {
 		if errors.Is(err, lack) {
 			return true
@@ -130,11 +130,11 @@
 	if err != nil {
 		return "", nil, fmt.Errorf("listen: %w", err)
 	}
-	return ln.Addr().String(), l.Take(ln, accept), nil
+	return ln.Addr().String(), l.AcceptFrom(ln, accept), nil
 }
 
-// Take accepts what comes to ln, until stop is called, which closes it. Both are for functions that run on the loop.
-func (l *Loop) Take(ln net.Listener, accept func() Handler) (stop func()) {
+// AcceptFrom accepts what comes to ln, until stop is called, which closes it. Both are for functions that run on the loop.
+func (l *Loop) AcceptFrom(ln net.Listener, accept func() Handler) (stop func()) {
 	a := &acceptor{loop: l, ln: ln, accept: accept}
 	a.begin()
 	return a.stop
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -31,7 +31,7 @@
 	// Ready, if it is set before Run, runs on the loop once it serves.
 	Ready func()
 	// Between, if it is set before Run, runs on the loop after each callback, once what was due then has run.
-	Between func()
+	AfterCallback func()
 	// Connect opens the connections of Dial. It may be replaced before Run.
 	Connect func(addr string, timeout time.Duration) (net.Conn, error)
 
@@ -123,8 +123,8 @@
 // At runs f on the loop at the given time.
 func (l *Loop) At(ms float64, f func()) *timers.Timer { return l.heap.Add(ms, f) }
 
-// Stop takes a deadline down.
-func (l *Loop) Stop(t *timers.Timer) { l.heap.Stop(t) }
+// StopTimer takes a deadline down.
+func (l *Loop) StopTimer(t *timers.Timer) { l.heap.Stop(t) }
 
 // Post runs f on the loop. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -37,11 +37,11 @@
 	c := <-w.opened
 	done := make(chan [2]bool)
 	l.Post(func() { // the loop stands here and cannot be told of the close
-		before := c.Quiet()
+		before := c.OpenAndIdle()
 		_ = far.Close()
-		after := c.Quiet()
+		after := c.OpenAndIdle()
 		for end := time.Now().Add(20 * time.Second); after && time.Now().Before(end); {
-			after = c.Quiet()
+			after = c.OpenAndIdle()
 		}
 		done <- [2]bool{before, after}
 	})
--- a/internal/eventloop/pause.go
+++ b/internal/eventloop/pause.go
@@ -24,8 +24,8 @@
 	count    int
 }
 
-// ArrivedSince is a time since which all that is read now has come in: the present, save behind a pause.
-func (l *Loop) ArrivedSince() float64 {
+// EarliestArrival is a time since which all that is read now has come in: the present, save behind a pause.
+func (l *Loop) EarliestArrival() float64 {
 	now := l.clk.Now()
 	if l.pauses.settling || l.overdue(now) {
 		return l.pauses.onTime
@@ -80,7 +80,7 @@
 		return
 	}
 	l.armd = at
-	left := max(0, clock.Span(at-l.clk.Now()))
+	left := max(0, clock.ToDuration(at-l.clk.Now()))
 	if l.wake == nil {
 		l.wake = time.AfterFunc(left, func() { l.Post(l.woken) })
 		return
--- a/internal/eventloop/pause_test.go
+++ b/internal/eventloop/pause_test.go
@@ -18,7 +18,7 @@
 	l.turn()
 	want := func(what string, since float64) {
 		t.Helper()
-		if got := l.ArrivedSince(); got != since {
+		if got := l.EarliestArrival(); got != since {
 			t.Errorf("%s: at %v, since %v, want %v", what, clk.Ms, got, since)
 		}
 	}
--- a/internal/eventloop/slotmap/invariants_test.go
+++ b/internal/eventloop/slotmap/invariants_test.go
@@ -23,7 +23,7 @@
 			"drop": func(t *rapid.T) {
 				if len(refs) > 0 {
 					r := rapid.SampledFrom(refs).Draw(t, "ref")
-					tab.Drop(r)
+					tab.Remove(r)
 					delete(in, r)
 				}
 			},
@@ -56,7 +56,7 @@
 	} {
 		var tab Table[int]
 		tab.Put(1)
-		tab.Drop(tab.Put(2))
+		tab.Remove(tab.Put(2))
 		c := invariant.New(nil)
 		if tab.Check(c, "table"); len(c.Broken()) > 0 {
 			t.Errorf("without: %v", c.Broken())
--- a/internal/eventloop/slotmap/slots.go
+++ b/internal/eventloop/slotmap/slots.go
@@ -43,8 +43,8 @@
 	return t.slots[r.Index].value, true
 }
 
-// Drop ends a tenancy; one that is over already is left alone.
-func (t *Table[T]) Drop(r Ref) {
+// Remove ends a tenancy; one that is over already is left alone.
+func (t *Table[T]) Remove(r Ref) {
 	if _, ok := t.Get(r); !ok {
 		return
 	}
--- a/internal/eventloop/slotmap/slots_test.go
+++ b/internal/eventloop/slotmap/slots_test.go
@@ -6,8 +6,8 @@
 func TestLateRefFindsNothing(t *testing.T) {
 	var tab Table[string]
 	old := tab.Put("old")
-	tab.Drop(old)
-	tab.Drop(old)
+	tab.Remove(old)
+	tab.Remove(old)
 	next := tab.Put("next")
 	if next.Index != old.Index {
 		t.Fatalf("the slot was not used again: %v, %v", old, next)
@@ -15,7 +15,7 @@
 	if v, ok := tab.Get(old); ok {
 		t.Errorf("the old ref finds %q", v)
 	}
-	tab.Drop(old)
+	tab.Remove(old)
 	if v, ok := tab.Get(next); !ok || v != "next" || tab.Len() != 1 {
 		t.Errorf("got %q, %v, %d in use", v, ok, tab.Len())
 	}
--- a/internal/frontend/clickhouse/answers.go
+++ b/internal/frontend/clickhouse/answers.go
@@ -102,7 +102,7 @@
 	case ends: // it goes out on another
 		a.checked = true
 		l.close()
-		l.f.loop.Stop(a.timer)
+		l.f.loop.StopTimer(a.timer)
 		l.f.begin(a)
 		return
 	case !l.f.goes(a): // it was let go to ask for the report; the query is what must not go out now
@@ -123,12 +123,12 @@
 // early looks for the start of an answer whose head tells of the query's progress, field by field for as long as that takes.
 // With the first such field it has begun, and goes on to the client as it comes. It tells whether that is so.
 func (l *link) early() bool {
-	h, at, err := httpwire.Start(l.in)
+	h, at, err := httpwire.ParseStatusLine(l.in)
 	if err != nil || at == 0 || h.Status != 200 {
 		return false
 	}
 	for {
-		f, n, end, err := h.Line(l.in[at:], isProgress)
+		f, n, end, err := h.ParseLine(l.in[at:], isProgress)
 		if err != nil || n == 0 || end {
 			return false
 		}
@@ -154,7 +154,7 @@
 func (l *link) fields() {
 	for at := 0; l.state == heading; {
 		c := l.reader
-		f, n, end, err := l.head.Line(l.in[at:], isProgress)
+		f, n, end, err := l.head.ParseLine(l.in[at:], isProgress)
 		switch {
 		case err != nil:
 			l.f.log.Warn("clickhouse: an answer that cannot be read", "store", l.store.id, "err", err)
@@ -172,7 +172,7 @@
 		l.body = httpwire.AnswerBody(l.head, l.method)
 		rest := l.in[at:]
 		l.in, l.state = nil, streaming
-		c.leaves = c.leaves || l.body.Open() || len(c.unfit()) > 0 && l.head.Chunked
+		c.leaves = c.leaves || l.body.EndsWithConnection() || len(c.unfit()) > 0 && l.head.Chunked
 		if c.conn.Write([]byte(c.connection())) == nil {
 			l.pass(rest)
 		}
@@ -205,7 +205,7 @@
 
 // answer writes the head of a server's answer to the client.
 func (c *client) answer(l *link) {
-	if l.body.Open() || c.req.head.Minor == 0 && l.head.Chunked {
+	if l.body.EndsWithConnection() || c.req.head.Minor == 0 && l.head.Chunked {
 		c.leaves = true
 	}
 	out := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n", l.head.Status, l.head.Reason)
@@ -232,7 +232,7 @@
 	case l.body.Done():
 		l.in = append(l.in, b[n:]...)
 		l.end()
-	case c != nil && c.conn.Unsent() > muchUnsent && !l.parked && l.conn.Park():
+	case c != nil && c.conn.Unsent() > muchUnsent && !l.parked && l.conn.PauseReading():
 		l.parked, l.unsent, l.takenAt = true, c.conn.Unsent(), l.f.loop.Now()
 		l.look()
 	}
--- a/internal/frontend/clickhouse/attempts.go
+++ b/internal/frontend/clickhouse/attempts.go
@@ -12,7 +12,7 @@
 // attempt is a query's attempt, or a probe where r is nil.
 type attempt struct {
 	ref     slotmap.Ref
-	tag     backend.Tag
+	tag     backend.AttemptID
 	store   *store
 	r       *request
 	until   float64
@@ -30,7 +30,7 @@
 func OursRef(ref slotmap.Ref) bool { return ref.Index&firstRef != 0 && ref.Index&(1<<31) == 0 }
 
 // Try starts an attempt that ends by itself at until.
-func (f *Front) Try(id string, q backend.Query, until float64, t backend.Tag) slotmap.Ref {
+func (f *Front) Try(id string, q backend.Query, until float64, t backend.AttemptID) slotmap.Ref {
 	a := &attempt{tag: t, store: f.stores[id], r: q.(*request), until: until}
 	a.ref = f.attempts.Put(a)
 	if a.store != nil {
@@ -41,7 +41,7 @@
 }
 
 // Recall is core.Servers'.
-func (f *Front) Recall(id string, which func(backend.Tag) bool) {
+func (f *Front) Recall(id string, which func(backend.AttemptID) bool) {
 	s := f.stores[id]
 	if s == nil {
 		return
@@ -57,13 +57,13 @@
 }
 
 // goes asks whether an attempt may still go out. A probe always may.
-func (f *Front) goes(a *attempt) bool { return a.r == nil || f.events.AttemptGoes(a.tag) }
+func (f *Front) goes(a *attempt) bool { return a.r == nil || f.events.MaySend(a.tag) }
 
-// Probe asks a server whether it is there.
-func (f *Front) Probe(id string) {
+// CheckHealth asks a server whether it is there.
+func (f *Front) CheckHealth(id string) {
 	s := f.stores[id]
 	if s == nil {
-		f.events.ProbeEnded(id, backend.Outcome{Result: decide.Unreachable})
+		f.events.HealthCheckEnded(id, backend.Outcome{Result: decide.Unreachable})
 		return
 	}
 	a := &attempt{store: s, until: f.loop.Now() + f.opt.ConnectMs, since: f.loop.Now()}
@@ -88,7 +88,7 @@
 	a.timer = f.loop.At(a.until, func() { f.drop(a, decide.TimedOut) })
 	for len(s.idle) > 0 {
 		l := s.idle[len(s.idle)-1]
-		if !l.conn.Quiet() { // the server has closed it, perhaps
+		if !l.conn.OpenAndIdle() { // the server has closed it, perhaps
 			l.close()
 			continue
 		}
@@ -148,15 +148,15 @@
 	if _, ok := f.attempts.Get(a.ref); !ok {
 		return
 	}
-	f.attempts.Drop(a.ref)
-	f.loop.Stop(a.timer)
-	f.loop.Stop(a.connect)
+	f.attempts.Remove(a.ref)
+	f.loop.StopTimer(a.timer)
+	f.loop.StopTimer(a.connect)
 	if a.r == nil {
 		o := backend.Outcome{Result: res}
 		if s := a.store; res == decide.OK && s.toldAt >= a.since && s.toldAt != 0 {
 			o.Position, o.HasPos = s.position, true
 		}
-		f.events.ProbeEnded(a.store.id, o)
+		f.events.HealthCheckEnded(a.store.id, o)
 		return
 	}
 	if res != decide.Unreachable && res != decide.NotSent {
--- a/internal/frontend/clickhouse/client.go
+++ b/internal/frontend/clickhouse/client.go
@@ -112,7 +112,7 @@
 
 // park has nothing more read of the client until what it sent can go on. It is seen all the same when it goes.
 func (c *client) park() {
-	if c.closed || c.last || c.conn.Parked() || !c.conn.Park() || c.looked {
+	if c.closed || c.last || c.conn.ReadingPaused() || !c.conn.PauseReading() || c.looked {
 		return
 	}
 	c.looked = true
@@ -121,14 +121,14 @@
 
 func (c *client) look() {
 	c.f.loop.At(c.f.loop.Now()+lookMs, func() {
-		if c.closed || !c.conn.Parked() {
+		if c.closed || !c.conn.ReadingPaused() {
 			c.looked = false
 			return
 		}
 		left, ended, gone := c.conn.Ended()
 		uploads := c.uploads()
 		if uploads && ended { // all that it wrote may be there still, and be whole
-			more := c.body.Left()
+			more := c.body.Remaining()
 			ended = gone || more > int64(left+len(c.in)) || more < 0 && left == 0 && len(c.in) == 0
 		}
 		switch {
@@ -149,9 +149,9 @@
 	if c.closed {
 		return
 	}
-	if c.conn.Parked() {
+	if c.conn.ReadingPaused() {
 		c.since = c.f.loop.Now()
-		c.conn.Unpark()
+		c.conn.ResumeReading()
 	}
 	c.proceed()
 }
@@ -163,8 +163,8 @@
 	}
 	c.closed = true
 	c.hold(-c.held)
-	c.f.clients.Drop(c.ref)
-	c.f.loop.Stop(c.end)
+	c.f.clients.Remove(c.ref)
+	c.f.loop.StopTimer(c.end)
 	if r := c.req; r != nil {
 		c.req = nil
 		switch {
@@ -174,7 +174,7 @@
 		case !r.over:
 			r.over = true
 			if r.asked {
-				c.f.desk.Gone(r.ref)
+				c.f.desk.Abandon(r.ref)
 			}
 		}
 		c.f.leave(r)
--- a/internal/frontend/clickhouse/drain.go
+++ b/internal/frontend/clickhouse/drain.go
@@ -48,7 +48,7 @@
 }
 
 // ahead tells whether a client has sent something behind the request that is under way, which may not have been read yet.
-func (c *client) ahead() bool { return len(c.in) > 0 || !c.conn.Quiet() }
+func (c *client) ahead() bool { return len(c.in) > 0 || !c.conn.OpenAndIdle() }
 
 // lastWhileDraining tells whether the answer that is given now is the client's last one, as the front drains.
 func (c *client) lastWhileDraining() bool {
@@ -104,7 +104,7 @@
 	default:
 		ran := r.reached || r.taker != nil
 		if c.leaves = true; r.asked {
-			c.f.desk.Gone(r.ref)
+			c.f.desk.Abandon(r.ref)
 		}
 		if ran {
 			c.complain(r, 502, codeNetwork, "NETWORK_ERROR", "the pooler is ending; the query may have run", 0)
--- a/internal/frontend/clickhouse/front.go
+++ b/internal/frontend/clickhouse/front.go
@@ -64,7 +64,7 @@
 	loop     *eventloop.Loop
 	log      *slog.Logger
 	opt      Options
-	desk     platform.Desk
+	desk     platform.Dispatcher
 	events   backend.Events
 	clients  slotmap.Table[*client]
 	attempts slotmap.Table[*attempt]
@@ -86,7 +86,7 @@
 }
 
 // New makes a front.
-func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
+func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Dispatcher, events backend.Events) *Front {
 	f := &Front{loop: l, log: log, opt: opt, desk: desk, events: events, stores: map[string]*store{}, began: l.Now(),
 		gate: limits.New(opt.Users, opt.Others), waiting: map[limits.ID]*request{},
 		sessions: sessions.New(opt.Sessions), inSession: map[sessions.Key]*request{}, bounded: opt.Bound > 0}
@@ -160,7 +160,7 @@
 			continue
 		}
 		if r.asked {
-			f.desk.Gone(r.ref)
+			f.desk.Abandon(r.ref)
 		}
 		r.c.complain(r, 404, codeNoSession, "SESSION_NOT_FOUND", lostText, 0)
 	}
@@ -177,7 +177,7 @@
 		if c.req == nil && !c.last && (begun && now-c.since > f.opt.HeadMs || !begun && now-c.since > f.opt.ClientMs) {
 			late = append(late, c)
 		}
-		if c.uploads() && !c.req.over && !c.conn.Parked() && now-c.since > f.opt.HeadMs {
+		if c.uploads() && !c.req.over && !c.conn.ReadingPaused() && now-c.since > f.opt.HeadMs {
 			slow = append(slow, c)
 		}
 		if c.req != nil && c.req.link != nil && !c.req.link.parked && now-c.req.link.heard > f.opt.QuietMs {
@@ -223,8 +223,8 @@
 // Waiting is how many queries wait for their turn behind others of their user.
 func (f *Front) Waiting() int { return len(f.waiting) }
 
-// Owes tells whether a client waits for an answer, has not read all of one, or has sent a part of a request.
-func (f *Front) Owes() bool {
+// HasOutstanding tells whether a client waits for an answer, has not read all of one, or has sent a part of a request.
+func (f *Front) HasOutstanding() bool {
 	owes := false
 	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		owes = owes || c.req != nil || c.begun() || c.last || c.conn != nil && c.conn.Unsent() > 0
--- a/internal/frontend/clickhouse/kill.go
+++ b/internal/frontend/clickhouse/kill.go
@@ -81,7 +81,7 @@
 	k.over = true
 	k.f.kills--
 	k.f.conns--
-	k.f.loop.Stop(k.timer)
+	k.f.loop.StopTimer(k.timer)
 	if k.conn != nil {
 		k.conn.Close()
 	}
--- a/internal/frontend/clickhouse/link.go
+++ b/internal/frontend/clickhouse/link.go
@@ -69,7 +69,7 @@
 		l.f.lose(l.store.id)
 	}
 	result := decide.Unreachable
-	if eventloop.IsLocal(err) { // it says nothing about the server
+	if eventloop.IsLocalError(err) { // it says nothing about the server
 		result = decide.NotSent
 	}
 	if w := l.store.waiting; len(w) > l.store.dialing {
@@ -92,7 +92,7 @@
 func (l *link) free() {
 	l.state, l.head, l.reader, l.attempt = idle, nil, nil, nil
 	s := l.store
-	if l.addr != s.addr || len(l.in) > 0 || !l.conn.Quiet() {
+	if l.addr != s.addr || len(l.in) > 0 || !l.conn.OpenAndIdle() {
 		l.close()
 		return
 	}
@@ -107,14 +107,14 @@
 		return
 	}
 	s.idle = append(s.idle, l)
-	l.f.loop.Stop(l.timer)
+	l.f.loop.StopTimer(l.timer)
 	l.timer = l.f.loop.At(l.f.loop.Now()+l.f.opt.IdleMs, l.close)
 }
 
 // ask writes an attempt's query.
 func (l *link) ask(a *attempt) {
-	l.f.loop.Stop(l.timer)
-	l.f.loop.Stop(a.connect)
+	l.f.loop.StopTimer(l.timer)
+	l.f.loop.StopTimer(a.connect)
 	l.state, l.attempt, a.link, l.method = asked, a, l, "GET"
 	l.lags = a.r == nil && l.f.bounded || a.r != nil && a.r.bound() > 0 && l.f.opt.Check && !a.checked
 	path := "/ping"
@@ -173,7 +173,7 @@
 			c.conn.Close()
 		case c == nil || c.closed || c.conn.Unsent() <= littleLeft:
 			l.parked = false
-			l.conn.Unpark()
+			l.conn.ResumeReading()
 		default:
 			l.look()
 		}
@@ -212,7 +212,7 @@
 	}
 	l.state = shut
 	l.f.conns--
-	l.f.loop.Stop(l.timer)
+	l.f.loop.StopTimer(l.timer)
 	s := l.store
 	for i := range s.idle {
 		if s.idle[i] == l {
@@ -231,7 +231,7 @@
 	}
 	if c := l.reader; (was == streaming || was == heading) && c != nil {
 		l.reader = nil
-		if was == streaming && l.body.Open() && (err == nil || errors.Is(err, io.EOF)) {
+		if was == streaming && l.body.EndsWithConnection() && (err == nil || errors.Is(err, io.EOF)) {
 			c.finish()
 		} else if !c.closed {
 			c.conn.Abort()
--- a/internal/frontend/clickhouse/replies.go
+++ b/internal/frontend/clickhouse/replies.go
@@ -14,7 +14,7 @@
 		c.leaves = true
 	}
 	c.req = nil
-	c.f.loop.Stop(c.end)
+	c.f.loop.StopTimer(c.end)
 	c.since = c.f.loop.Now()
 	if c.closed {
 		return
@@ -37,8 +37,8 @@
 	c.last = true
 	c.in, c.raw, c.data = nil, nil, nil
 	c.hold(-c.held)
-	if c.conn.Parked() {
-		c.conn.Unpark()
+	if c.conn.ReadingPaused() {
+		c.conn.ResumeReading()
 	}
 	unsent, at, shut := 0, c.f.loop.Now(), false
 	var step func()
@@ -51,7 +51,7 @@
 		switch {
 		case c.closed:
 			return
-		case !shut && n == 0 && !c.conn.Parked():
+		case !shut && n == 0 && !c.conn.ReadingPaused():
 			if c.conn.CloseWrite() != nil {
 				c.conn.Close()
 				return
@@ -80,7 +80,7 @@
 		return
 	}
 	if r.asked {
-		c.f.desk.Gone(r.ref)
+		c.f.desk.Abandon(r.ref)
 	}
 	c.complain(r, status, code, name, text, 0)
 }
--- a/internal/frontend/clickhouse/request.go
+++ b/internal/frontend/clickhouse/request.go
@@ -96,8 +96,8 @@
 			r.raw = nil
 		}
 		l.reader = r.c
-		if r.c.conn.Parked() {
-			r.c.conn.Unpark()
+		if r.c.conn.ReadingPaused() {
+			r.c.conn.ResumeReading()
 		}
 		if r.session != (sessions.Key{}) {
 			r.c.f.sessions.Served(r.session, l.store.id)
@@ -105,11 +105,11 @@
 	}
 }
 
-// Departed is platform.Departing's. A client whose body passes through may end its sending behind it; client.look decides on that.
-func (r *request) Departed() bool { return r.c.closed || !r.stream && r.c.conn.PeerClosed() }
+// Disconnected is platform.Departing's. A client whose body passes through may end its sending behind it; client.look decides on that.
+func (r *request) Disconnected() bool { return r.c.closed || !r.stream && r.c.conn.PeerClosed() }
 
-// Refused is platform.Client's.
-func (r *request) Refused(retryMs float64) {
+// Rejected is platform.Client's.
+func (r *request) Rejected(retryMs float64) {
 	code, name := codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES"
 	if !r.reached {
 		code, name = codeNoServer, "ALL_CONNECTION_TRIES_FAILED"
@@ -117,9 +117,9 @@
 	r.c.complain(r, 503, code, name, "the query has not run; it may be sent again", max(1, int(retryMs/1000+0.5)))
 }
 
-// RefusedUnfunded is platform.PrepaidClient's.
-func (r *request) RefusedUnfunded(slowed bool, retryMs float64) {
-	r.c.complain(r, 402, codeQuota, "QUOTA_EXCEEDED", platform.UnfundedMessage(slowed), max(1, int(retryMs/1000+0.5)))
+// RejectedUnfunded is platform.PrepaidClient's.
+func (r *request) RejectedUnfunded(slowed bool, retryMs float64) {
+	r.c.complain(r, 402, codeQuota, "QUOTA_EXCEEDED", platform.NoCreditMessage(slowed), max(1, int(retryMs/1000+0.5)))
 }
 
 // Failed is platform.Client's.
--- a/internal/frontend/clickhouse/requests.go
+++ b/internal/frontend/clickhouse/requests.go
@@ -224,7 +224,7 @@
 
 // ask puts a request to the decision module.
 func (c *client) ask(r *request) {
-	ref, err := c.f.desk.Ask(platform.Request{ID: "ch-" + strconv.FormatUint(r.number, 36), ClientID: r.query, Class: r.class, Group: c.f.opt.Group, Deadline: r.due, OnlyServer: r.only, Query: r}, r)
+	ref, err := c.f.desk.Submit(platform.Request{ID: "ch-" + strconv.FormatUint(r.number, 36), ClientID: r.query, Class: r.class, Group: c.f.opt.Group, Deadline: r.due, OnlyServer: r.only, Query: r}, r)
 	if err != nil {
 		c.f.log.Error("clickhouse", "err", err)
 		c.complain(r, 500, codeNetwork, "NETWORK_ERROR", "the pooler could not take the query", 0)
--- a/internal/frontend/platform/ahead_test.go
+++ b/internal/frontend/platform/ahead_test.go
@@ -15,7 +15,7 @@
 	client := world.client()
 	client.send(queries(0, maxQueue+20))
 	world.until("as many as may be are asked", func() bool { return len(world.desk.asked) == maxQueue })
-	world.do(func() { world.postgres.SendAway(RefuseCommands) })
+	world.do(func() { world.postgres.SetDrainStage(RefuseCommands) })
 	client.send(queries(100, 103)) // and some come behind that
 	world.until("all is read", func() bool {
 		return world.session().input.Pending() == len(queries(maxQueue, maxQueue+20))+len(queries(100, 103))
@@ -42,7 +42,7 @@
 		client.send(ask)
 	}
 	world.until("all is read", func() bool {
-		return world.postgres.Sessions() == 0 || world.session().input.Pending() > maxAhead-len(ask) && world.session().conn.Quiet()
+		return world.postgres.Sessions() == 0 || world.session().input.Pending() > maxAhead-len(ask) && world.session().conn.OpenAndIdle()
 	})
 	world.do(func() {
 		for n := range maxQueue {
@@ -83,7 +83,7 @@
 	world.until("all is read", func() bool { // it is all in the sockets
 		all := true
 		world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
-			all = all && session.input.Pending() == 0 && session.conn.Quiet()
+			all = all && session.input.Pending() == 0 && session.conn.OpenAndIdle()
 		})
 		return all
 	})
--- a/internal/frontend/platform/capacity.go
+++ b/internal/frontend/platform/capacity.go
@@ -30,10 +30,10 @@
 
 // Budget holds the limits that the machine and the settings impose.
 type Budget struct {
-	Spare          func() int  // descriptors left for clients, negative if there are too many clients
-	Share          func() int  // number of active clients beyond which idle ones are disconnected
-	FreeDescriptor func() bool // frees a descriptor used for something else, and reports whether there was one
-	Memory         func() int  // in bytes
+	SpareDescriptors  func() int  // descriptors left for clients, negative if there are too many clients
+	EvictionThreshold func() int  // number of active clients beyond which idle ones are disconnected
+	ReleaseDescriptor func() bool // frees a descriptor used for something else, and reports whether there was one
+	Memory            func() int  // in bytes
 }
 
 // use orders sessions by the cost of closing their connections.
@@ -135,7 +135,7 @@
 			session.expire(now)
 		}
 	})
-	if postgres.sessions.Len() > postgres.budget.Share() {
+	if postgres.sessions.Len() > postgres.budget.EvictionThreshold() {
 		for postgres.evict(mute, restMs) {
 		}
 	}
@@ -163,7 +163,7 @@
 		return
 	}
 	switch {
-	case !session.conn.Quiet():
+	case !session.conn.OpenAndIdle():
 	case report != "":
 		session.fatal(reason, codeProtocol, report)
 	default:
@@ -176,21 +176,21 @@
 // waits on, then of connections to servers, then of idle clients, which may reconnect, and of those that have been in the middle
 // of a message for long.
 func (postgres *Postgres) admit(session *session) bool {
-	for postgres.budget.Spare() < 0 {
-		if !postgres.evict(leaving, 0) && !postgres.evict(silent, 0) && !postgres.evict(mute, 0) && !postgres.budget.FreeDescriptor() &&
+	for postgres.budget.SpareDescriptors() < 0 {
+		if !postgres.evict(leaving, 0) && !postgres.evict(silent, 0) && !postgres.evict(mute, 0) && !postgres.budget.ReleaseDescriptor() &&
 			!postgres.evict(resting, 0) && !postgres.evict(halfway, sweepMs) {
 			postgres.turnedAway++
 			return false
 		}
 	}
-	if postgres.budget.Spare() < postgres.sessions.Len() && !postgres.evict(mute, restMs) { // over half of the descriptors are used
+	if postgres.budget.SpareDescriptors() < postgres.sessions.Len() && !postgres.evict(mute, restMs) { // over half of the descriptors are used
 		postgres.evict(resting, restMs)
 	}
 	postgres.closeResting()
 	return true
 }
 
-// FreeDescriptor closes a client's connection that nobody waits on, and reports whether there was one.
+// ReleaseDescriptor closes a client's connection that nobody waits on, and reports whether there was one.
 func (postgres *Postgres) FreeDescriptor() bool {
 	return postgres.evict(leaving, 0) || postgres.evict(silent, freshMs) || postgres.evict(mute, freshMs) || postgres.evict(resting, thinMs)
 }
@@ -198,7 +198,7 @@
 // closeResting closes idle connections when many clients are active: some clients may open only so many connections, and keep
 // each for a while after a single request.
 func (postgres *Postgres) closeResting() {
-	for postgres.byUse[resting].Len()+postgres.byUse[halfway].Len()+postgres.byUse[busy].Len() > postgres.budget.Share() && postgres.evict(resting, thinMs) {
+	for postgres.byUse[resting].Len()+postgres.byUse[halfway].Len()+postgres.byUse[busy].Len() > postgres.budget.EvictionThreshold() && postgres.evict(resting, thinMs) {
 	}
 }
 
@@ -215,7 +215,7 @@
 		case of == leaving:
 			session.conn.Close()
 			return true
-		case !session.conn.Quiet() && !session.conn.Parked():
+		case !session.conn.OpenAndIdle() && !session.conn.ReadingPaused():
 			continue
 		case of == halfway:
 			session.fatal(endedByRoom, codeRefused, "too many clients")
@@ -293,5 +293,5 @@
 	}
 }
 
-// Halves returns the number of clients from which a part of a message has been read.
-func (postgres *Postgres) Halves() int { return postgres.byUse[halfway].Len() }
+// PartialMessages returns the number of clients from which a part of a message has been read.
+func (postgres *Postgres) PartialMessages() int { return postgres.byUse[halfway].Len() }
--- a/internal/frontend/platform/closing.go
+++ b/internal/frontend/platform/closing.go
@@ -17,9 +17,9 @@
 func (session *session) leaveIfIdle() {
 	switch {
 	case session.closed, session.ended, session.conn == nil, len(session.queue) > 0:
-	case session.postgres.stage >= EndPartial && session.input.Pending() > 0 && (session.conn.Quiet() || session.conn.Parked()):
+	case session.postgres.stage >= EndPartial && session.input.Pending() > 0 && (session.conn.OpenAndIdle() || session.conn.ReadingPaused()):
 		session.fatal(endedByDrain, codeClosed, errSentAway.Error())
-	case session.input.Pending() > 0, session.fresh(), !session.conn.Quiet():
+	case session.input.Pending() > 0, session.fresh(), !session.conn.OpenAndIdle():
 	case session.postgres.stage >= EndPartial, session.idle():
 		session.endFor(endedByDrain)
 		session.leave()
@@ -59,7 +59,7 @@
 		return
 	}
 	session.ended, session.leaving, session.since = true, true, session.postgres.loop.Now()
-	session.postgres.loop.Stop(session.recheckTimer)
+	session.postgres.loop.StopTimer(session.recheckTimer)
 	session.input.Reset()
 	session.abandon()
 	session.shutOnceFlushed()
@@ -71,7 +71,7 @@
 	eventLoop := session.postgres.loop
 	switch {
 	case session.closed:
-	case session.conn.Parked(): // the loop does not read from it; Close sends what is buffered
+	case session.conn.ReadingPaused(): // the loop does not read from it; Close sends what is buffered
 		session.conn.Close()
 	case session.conn.Unsent() > 0: // sweep disconnects a client that reads nothing
 		session.recheckTimer = eventLoop.At(eventLoop.Now()+recheckMs, session.shutOnceFlushed)
@@ -119,7 +119,7 @@
 		answer.longBytes = 0
 		if answer.open {
 			answer.open = false
-			session.postgres.desk.Gone(answer.ref)
+			session.postgres.desk.Abandon(answer.ref)
 		}
 	}
 	session.countHeld()
@@ -135,8 +135,8 @@
 	}
 	session.closed = true
 	session.countEnd()
-	session.postgres.sessions.Drop(session.ref)
-	session.postgres.loop.Stop(session.recheckTimer)
+	session.postgres.sessions.Remove(session.ref)
+	session.postgres.loop.StopTimer(session.recheckTimer)
 	session.fileByUse()
 	session.postgres.freeLong(session.longBytes)
 	session.longBytes = 0
--- a/internal/frontend/platform/closing_test.go
+++ b/internal/frontend/platform/closing_test.go
@@ -48,7 +48,7 @@
 // sent at the same time meets no reset.
 func TestRestingClientIsNotReset(t *testing.T) {
 	for name, end := range map[string]func(postgres *Postgres){
-		"drain": func(postgres *Postgres) { postgres.SendAway(CloseIdle) },
+		"drain": func(postgres *Postgres) { postgres.SetDrainStage(CloseIdle) },
 		"sweep": func(postgres *Postgres) { postgres.sweep() },
 		"evict": func(postgres *Postgres) { postgres.evict(resting, 0) },
 	} {
@@ -84,7 +84,7 @@
 	world.do(func() {
 		world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.since -= freshMs })
 		began = world.loop.Now()
-		world.postgres.SendAway(CloseIdle)
+		world.postgres.SetDrainStage(CloseIdle)
 	})
 	for _, client := range clients {
 		client.want("$")
@@ -193,8 +193,8 @@
 		if world.session().conn.Unsent() == 0 {
 			t.Error("all has gone out at once: the test shows nothing")
 		}
-		flow := world.desk.asked[1].(Taker).Take()
-		flow.Piece(value[:1<<20])
+		flow := world.desk.asked[1].(StreamReceiver).ReceiveStream()
+		flow.Chunk(value[:1<<20])
 		flow.Ended(nil, false)
 	})
 	if got := strings.TrimSpace(client.answer()); got != "TDCZ first" {
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -9,12 +9,12 @@
 // which includes those before it. The owner of the frontend sets the stages by its clock; nothing that a client does begins one anew.
 // Every connection ends by the last of them, and each command that was read has its answer before.
 
-// Stage says how far clients are being sent away.
-type Stage uint8
+// DrainStage says how far clients are being sent away.
+type DrainStage uint8
 
 const (
-	// Serve is the stage in which nobody is sent away.
-	Serve Stage = iota
+	// Serving is the stage in which nobody is sent away.
+	Serving DrainStage = iota
 	// CloseIdle has connections closed as they become idle. A new connection may still send its first request.
 	CloseIdle
 	// RefuseCommands has all further commands refused, and new connections told so as they open.
@@ -29,15 +29,15 @@
 )
 
 // String returns the stage as the log names it.
-func (stage Stage) String() string {
+func (stage DrainStage) String() string {
 	return [...]string{"serve", "close idle", "refuse commands", "end partial", "close active", "close all"}[stage]
 }
 
 // leaveMs is the time, in milliseconds, that a client whose connection must end may take to read its last answers.
 const leaveMs = 250
 
-// SendAway brings the sending away of clients to a stage. A stage that has been passed is not gone back to.
-func (postgres *Postgres) SendAway(stage Stage) {
+// SetDrainStage brings the sending away of clients to a stage. A stage that has been passed is not gone back to.
+func (postgres *Postgres) SetDrainStage(stage DrainStage) {
 	if stage <= postgres.stage {
 		return
 	}
@@ -50,13 +50,13 @@
 }
 
 // Resume ends the sending away. Connections that are being closed already are closed.
-func (postgres *Postgres) Resume() { postgres.stage = Serve }
+func (postgres *Postgres) Resume() { postgres.stage = Serving }
 
 // sendAway does what the stage demands of the connection.
 func (session *session) sendAway() {
 	stage := session.postgres.stage
 	switch {
-	case session.closed || session.conn == nil || stage == Serve:
+	case session.closed || session.conn == nil || stage == Serving:
 	case stage >= CloseActive && session.mustEnd():
 		session.giveUp()
 	case stage >= EndPartial && session.sendsOn() && !session.ended:
--- a/internal/frontend/platform/drain_test.go
+++ b/internal/frontend/platform/drain_test.go
@@ -14,7 +14,7 @@
 	client := world.client()
 	world.do(func() {
 		world.session().graceEnds = world.loop.Now() + 1e6 // its first request is on its way
-		world.postgres.SendAway(RefuseCommands)
+		world.postgres.SetDrainStage(RefuseCommands)
 	})
 	client.send(query("1"))
 	client.want("EZ 57P03")
@@ -34,17 +34,17 @@
 	sends.send(query("2"))
 	world.until("both are asked", func() bool { return len(world.desk.asked) == 2 })
 	half.send(query("3")[:9])
-	world.until("a part is read", func() bool { return world.postgres.Halves() == 1 })
-	world.do(func() { world.postgres.SendAway(RefuseCommands) })
+	world.until("a part is read", func() bool { return world.postgres.PartialMessages() == 1 })
+	world.do(func() { world.postgres.SetDrainStage(RefuseCommands) })
 	sends.send(query("4"))
 	world.until("it is read", func() bool { return world.postgres.refusedForDrain == 1 })
-	world.do(func() { world.postgres.SendAway(EndPartial) })
+	world.do(func() { world.postgres.SetDrainStage(EndPartial) })
 	half.want("E$ 57P03")
 	world.do(func() {
 		if len(world.desk.hastened) != 1 {
 			t.Errorf("%d requests are to be answered at once, want that of the client that sends on", len(world.desk.hastened))
 		}
-		world.postgres.SendAway(CloseActive)
+		world.postgres.SetDrainStage(CloseActive)
 	})
 	sends.want("EZ 58000", "EZ 57P03", "$")
 	world.do(func() {
@@ -64,9 +64,9 @@
 	waits := world.client()
 	waits.send(query("1"))
 	world.until("it is asked", func() bool { return len(world.desk.asked) == 1 })
-	world.do(func() { world.postgres.SendAway(CloseActive) })
+	world.do(func() { world.postgres.SetDrainStage(CloseActive) })
 	world.connect().want("E$ 57P03")
-	world.do(func() { world.postgres.SendAway(CloseAll) })
+	world.do(func() { world.postgres.SetDrainStage(CloseAll) })
 	waits.want("EZ 58000", "$")
 	world.do(world.postgres.Resume)
 	again := world.client()
@@ -79,7 +79,7 @@
 // TestInvariantOfADrain: a connection that outlives its bound is found, in each of the ways in which one may.
 func TestInvariantOfADrain(t *testing.T) {
 	for name, c := range map[string]struct {
-		stage  Stage
+		stage  DrainStage
 		spoil  func(session *session)
 		broken bool
 	}{
--- a/internal/frontend/platform/gone_test.go
+++ b/internal/frontend/platform/gone_test.go
@@ -36,7 +36,9 @@
 	first.send(long[:1<<18])
 	world.until("the first has its place", func() bool { return world.postgres.longBytes > 0 })
 	client.send(long[:1<<10])
-	world.until("the second waits", func() bool { return len(world.postgres.longQueue) == 1 && world.postgres.longQueue[0].conn.Parked() })
+	world.until("the second waits", func() bool {
+		return len(world.postgres.longQueue) == 1 && world.postgres.longQueue[0].conn.ReadingPaused()
+	})
 	client.send(long[1<<10 : 1<<16]) // it stays unread
 	world.do(func() { world.postgres.longQueue[0].fatal(endedByMemory, codeClosed, "the test ends it") })
 	client.want("E$ 57P03")
@@ -49,7 +51,9 @@
 	first.send(long[:1<<18])
 	world.until("the first has its place", func() bool { return world.postgres.longBytes > 0 })
 	client.send(append(query("1"), long[:1<<10]...))
-	world.until("the second waits", func() bool { return len(world.postgres.longQueue) == 1 && world.postgres.longQueue[0].conn.Parked() })
+	world.until("the second waits", func() bool {
+		return len(world.postgres.longQueue) == 1 && world.postgres.longQueue[0].conn.ReadingPaused()
+	})
 	return client
 }
 
@@ -60,7 +64,7 @@
 	world.do(func() { world.serve(0, "v") })
 	client.want("TDCZ v")
 	world.do(func() {
-		if len(world.postgres.longQueue) != 1 || !world.postgres.longQueue[0].conn.Parked() {
+		if len(world.postgres.longQueue) != 1 || !world.postgres.longQueue[0].conn.ReadingPaused() {
 			t.Error("it waits no more: the test shows nothing")
 		}
 	})
--- a/internal/frontend/platform/postgres.go
+++ b/internal/frontend/platform/postgres.go
@@ -45,11 +45,11 @@
 type Postgres struct {
 	loop       *eventloop.Loop
 	log        *slog.Logger
-	desk       Desk
+	desk       Dispatcher
 	budget     Budget
 	sessions   slotmap.Table[*session]
 	byUse      [uses]list.List // sessions by their use, the longest in that use first
-	stage      Stage           // of sending clients away
+	stage      DrainStage      // of sending clients away
 	notReady   bool            // health checks fail
 	heldBytes  int             // bytes of waiting input and output
 	longBytes  int             // bytes reserved for long messages that are arriving or whose requests are open
@@ -65,7 +65,7 @@
 }
 
 // NewPostgres returns a frontend without clients.
-func NewPostgres(eventLoop *eventloop.Loop, log *slog.Logger, desk Desk, budget Budget) *Postgres {
+func NewPostgres(eventLoop *eventloop.Loop, log *slog.Logger, desk Dispatcher, budget Budget) *Postgres {
 	return &Postgres{loop: eventLoop, log: log, desk: desk, budget: budget}
 }
 
@@ -86,8 +86,8 @@
 	return postgres.sessions.Len() - min(postgres.byUse[leaving].Len(), maxClosing)
 }
 
-// Owes reports whether any client waits for an answer or has not read all of one.
-func (postgres *Postgres) Owes() bool {
+// HasOutstanding reports whether any client waits for an answer or has not read all of one.
+func (postgres *Postgres) HasOutstanding() bool {
 	owes := false
 	postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
 		owes = owes || len(session.queue) > 0 || session.conn != nil && session.conn.Unsent() > 0
@@ -95,8 +95,8 @@
 	return owes
 }
 
-// Welcome sets whether the empty query, which clients use as a health check, succeeds.
-func (postgres *Postgres) Welcome(ready bool) { postgres.notReady = !ready }
+// SetReady sets whether the empty query, which clients use as a health check, succeeds.
+func (postgres *Postgres) SetReady(ready bool) { postgres.notReady = !ready }
 
 // session is a client's connection. It implements loop.Handler.
 type session struct {
@@ -220,7 +220,7 @@
 // proceedIn schedules proceed, in place of what was scheduled before.
 func (session *session) proceedIn(ms float64) {
 	eventLoop := session.postgres.loop
-	eventLoop.Stop(session.recheckTimer)
+	eventLoop.StopTimer(session.recheckTimer)
 	session.recheckTimer = eventLoop.At(eventLoop.Now()+ms, session.proceed)
 }
 
@@ -243,7 +243,7 @@
 	session.longBytes = 0
 	switch message.Type {
 	case 'Q':
-		sql, err := pgwire.KeptText(message)
+		sql, err := pgwire.OwnedText(message)
 		if err != nil {
 			session.postgres.freeLong(long)
 			return false, err
@@ -273,7 +273,7 @@
 // reserveLong reserves memory for a long message that has begun to arrive. If there is not enough, the rest of the message stays
 // unread until there is.
 func (session *session) reserveLong() {
-	postgres, need := session.postgres, session.input.Need()
+	postgres, need := session.postgres, session.input.NextLength()
 	if session.closed || session.ended || !session.started || session.longBytes > 0 || need <= maxMessage || need > maxLong+1 {
 		return
 	}
@@ -284,8 +284,8 @@
 	}
 	if !session.waitsForMemory {
 		session.waitsForMemory, postgres.longQueue = true, append(postgres.longQueue, session)
-		if !session.conn.Parked() {
-			session.unread.looked = postgres.loop.ArrivedSince()
+		if !session.conn.ReadingPaused() {
+			session.unread.looked = postgres.loop.EarliestArrival()
 		}
 	}
 	session.parkWhileWaiting()
@@ -310,7 +310,7 @@
 		first.lastData = postgres.loop.Now()
 		first.seeUnread()
 		first.unread.resume(first.lastData)
-		first.conn.Unpark()
+		first.conn.ResumeReading()
 	}
 }
 
@@ -367,10 +367,10 @@
 		session.answerError(codeSyntax, err)
 		return
 	}
-	request := Request{ID: statement.ID, Class: statement.Class, Tenant: statement.Tenant, IdempotencyKey: statement.Idem, PlatformForm: true, Writes: statement.Writes, Group: statement.Group, Session: statement.Key, Deadline: at + statement.WaitMs,
-		Repeat: statement.Retry, Query: &statement}
-	if statement.After > 0 {
-		request.MinPosition = clock.FromUnix(statement.After)
+	request := Request{ID: statement.RequestID, Class: statement.Class, Tenant: statement.Tenant, IdempotencyKey: statement.IdempotencyKey, PlatformProtocol: true, Writes: statement.Writes, Group: statement.Group, Session: statement.SessionKey, Deadline: at + statement.WaitMs,
+		IsRetry: statement.IsRetry, Query: &statement}
+	if statement.AfterCommitMs > 0 {
+		request.MinPosition = clock.FromUnix(statement.AfterCommitMs)
 	}
 	size := len(sql) - min(len(sql), long)
 	if session.postgres.heldBytes+size > session.postgres.heldLimit()*3/4 { // the rest is reserved for statements that are still arriving
@@ -379,13 +379,13 @@
 	}
 	answer := session.begin(size)
 	answer.open, answer.longBytes, long = true, long, 0
-	ref, err := session.postgres.desk.Ask(request, answer)
+	ref, err := session.postgres.desk.Submit(request, answer)
 	switch {
 	case err != nil:
 		answer.open = false
 		answer.finish(pgwire.AppendReady(pgwire.AppendError(session.output[:0], "ERROR", codeSyntax, err.Error(), "")))
 	case answer.open && session.closed:
-		session.postgres.desk.Gone(ref)
+		session.postgres.desk.Abandon(ref)
 	case answer.open:
 		answer.ref = ref
 	}
--- a/internal/frontend/platform/queue.go
+++ b/internal/frontend/platform/queue.go
@@ -84,8 +84,8 @@
 	answer.finish(pgwire.AppendReady(append(answer.session.output[:0], row...)))
 }
 
-// Refused implements Client.
-func (answer *answer) Refused(retryMs float64) {
+// Rejected implements Client.
+func (answer *answer) Rejected(retryMs float64) {
 	detail := ""
 	if retryMs > 0 {
 		detail = strconv.Itoa(int(math.Ceil(retryMs)))
@@ -93,22 +93,22 @@
 	answer.finish(pgwire.AppendReady(pgwire.AppendError(answer.session.output[:0], "ERROR", codeRefused, "no server can take this now", detail)))
 }
 
-// Departed implements Departing.
-func (answer *answer) Departed() bool {
+// Disconnected implements Departing.
+func (answer *answer) Disconnected() bool {
 	return answer.session.closed || answer.session.conn.PeerClosed()
 }
 
-// RefusedUnfunded implements PrepaidClient. In the platform's protocol it differs from Refused only by its text.
-func (answer *answer) RefusedUnfunded(slowed bool, retryMs float64) {
+// RejectedUnfunded implements PrepaidClient. In the platform's protocol it differs from Refused only by its text.
+func (answer *answer) RejectedUnfunded(slowed bool, retryMs float64) {
 	detail := ""
 	if retryMs > 0 {
 		detail = strconv.Itoa(int(math.Ceil(retryMs)))
 	}
-	answer.finish(pgwire.AppendReady(pgwire.AppendError(answer.session.output[:0], "ERROR", codeRefused, UnfundedMessage(slowed), detail)))
+	answer.finish(pgwire.AppendReady(pgwire.AppendError(answer.session.output[:0], "ERROR", codeRefused, NoCreditMessage(slowed), detail)))
 }
 
-// UnfundedMessage returns the text for clients whose tenant has used its prepaid credit.
-func UnfundedMessage(slowed bool) string {
+// NoCreditMessage returns the text for clients whose tenant has used its prepaid credit.
+func NoCreditMessage(slowed bool) string {
 	if slowed {
 		return "the tenant's prepaid funds run low, this request is among the least"
 	}
@@ -125,15 +125,15 @@
 	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", codeFailed, "the request failed; it may have had an effect", ""))
 }
 
-// Take implements Taker.
-func (answer *answer) Take() backend.Flow {
+// ReceiveStream implements Taker.
+func (answer *answer) ReceiveStream() backend.AnswerStream {
 	answer.flow = true
 	answer.session.postgres.flows++
 	return answer
 }
 
-// Piece implements backend.Flow. Until it is the answer's turn, pieces are kept.
-func (answer *answer) Piece(piece []byte) {
+// Chunk implements backend.Flow. Until it is the answer's turn, pieces are kept.
+func (answer *answer) Chunk(piece []byte) {
 	session := answer.session
 	switch {
 	case session.closed || session.leaving || answer.done:
--- a/internal/frontend/platform/request.go
+++ b/internal/frontend/platform/request.go
@@ -14,50 +14,50 @@
 
 // Request is a client's request, independent of the protocol.
 type Request struct {
-	ID             string // unique among open requests
-	ClientID       string // the client's own id of the request, for records; empty if that is ID
-	Class          string
-	Tenant         string // empty for none
-	IdempotencyKey string // by which servers recognise a repeat, empty for none
-	PlatformForm   bool   // it came in the platform's form: it must name a tenant if there are any, and a key if its class has keys
-	Group          int
-	Session        string
-	Deadline       float64 // on the clock: when the client gives up
-	MinPosition    float64 // on the clock: the position that a read must see, 0 for none
-	Repeat         bool
-	OnlyServer     string // the only server that can serve it, empty for any
-	Writes         bool   // its statement changes data
-	Query          backend.Query
+	ID               string // unique among open requests
+	ClientID         string // the client's own id of the request, for records; empty if that is ID
+	Class            string
+	Tenant           string // empty for none
+	IdempotencyKey   string // by which servers recognise a repeat, empty for none
+	PlatformProtocol bool   // it came in the platform's form: it must name a tenant if there are any, and a key if its class has keys
+	Group            int
+	Session          string
+	Deadline         float64 // on the clock: when the client gives up
+	MinPosition      float64 // on the clock: the position that a read must see, 0 for none
+	IsRetry          bool
+	OnlyServer       string // the only server that can serve it, empty for any
+	Writes           bool   // its statement changes data
+	Query            backend.Query
 }
 
 // Client receives the one final answer to its request.
 type Client interface {
-	Served(answer []byte)    // valid during the call
-	Refused(retryMs float64) // it did not run and may be retried, after retryMs if that is not 0
-	Failed()                 // it may or may not have run
+	Served(answer []byte)     // valid during the call
+	Rejected(retryMs float64) // it did not run and may be retried, after retryMs if that is not 0
+	Failed()                  // it may or may not have run
 }
 
 // PrepaidClient is a Client that distinguishes the refusal of a request whose tenant has used its prepaid credit. It is called in
 // place of Refused.
 type PrepaidClient interface {
-	RefusedUnfunded(slowed bool, retryMs float64) // slowed: the credit is low, and this request is among the tenant's least important
+	RejectedUnfunded(slowed bool, retryMs float64) // slowed: the credit is low, and this request is among the tenant's least important
 }
 
-// Counted is a Client that knows the number of rows of its answer.
-type Counted interface{ Rows() int64 }
+// RowCounter is a Client that knows the number of rows of its answer.
+type RowCounter interface{ Rows() int64 }
 
-// Desk accepts requests; the core implements it. Ask may call the Client before it returns, in which case the returned Ref refers
+// Dispatcher accepts requests; the core implements it. Ask may call the Client before it returns, in which case the returned Ref refers
 // to no request.
-type Desk interface {
-	Ask(request Request, c Client) (slotmap.Ref, error)
-	Gone(ref slotmap.Ref)                 // the client of the request has gone
+type Dispatcher interface {
+	Submit(request Request, c Client) (slotmap.Ref, error)
+	Abandon(ref slotmap.Ref)              // the client of the request has gone
 	AnswerBy(ref slotmap.Ref, ms float64) // the request has its answer by that time on the clock, if its deadline is not sooner
 }
 
-// Departing is a Client that can report whether it has closed its connection, even if the event loop has not read the close yet.
-type Departing interface{ Departed() bool }
+// Disconnectable is a Client that can report whether it has closed its connection, even if the event loop has not read the close yet.
+type Disconnectable interface{ Disconnected() bool }
 
-// Taker is a Client that can receive a long answer as a stream, in place of Served.
-type Taker interface {
-	Take() backend.Flow
+// StreamReceiver is a Client that can receive a long answer as a stream, in place of Served.
+type StreamReceiver interface {
+	ReceiveStream() backend.AnswerStream
 }
--- a/internal/frontend/platform/unread.go
+++ b/internal/frontend/platform/unread.go
@@ -66,7 +66,7 @@
 
 // recordArrival records when n bytes that were just read arrived.
 func (session *session) recordArrival(n int) {
-	now := session.postgres.loop.ArrivedSince()
+	now := session.postgres.loop.EarliestArrival()
 	for n > 0 {
 		count, at := session.unread.take(n, now)
 		session.arrived.add(count, at)
@@ -77,11 +77,11 @@
 // parkWhileWaiting stops reading from a session that waits for memory for a long message, and samples its socket meanwhile.
 func (session *session) parkWhileWaiting() {
 	eventLoop := session.postgres.loop
-	eventLoop.Stop(session.unreadTimer)
+	eventLoop.StopTimer(session.unreadTimer)
 	if !session.waitsForMemory || session.closed {
 		return
 	}
-	if session.conn.Park() { // it cannot be parked while output is buffered
+	if session.conn.PauseReading() { // it cannot be parked while output is buffered
 		session.seeUnread()
 	}
 	session.unreadTimer = eventLoop.At(eventLoop.Now()+recheckMs, session.parkWhileWaiting)
@@ -89,7 +89,7 @@
 
 // seeUnread samples the socket if the connection is parked.
 func (session *session) seeUnread() {
-	if session.conn.Parked() {
+	if session.conn.ReadingPaused() {
 		left, _, _ := session.conn.Ended()
 		session.unread.see(left, session.postgres.loop.Now())
 	}
--- a/internal/frontend/platform/unread_test.go
+++ b/internal/frontend/platform/unread_test.go
@@ -30,7 +30,9 @@
 			world.until("the first has its place", func() bool { return world.postgres.longBytes > 0 })
 			ask := pgwire.AppendQuery(nil, strings.Repeat(" ", story.size), "SELECT content FROM kv WHERE name = 'k' /* id=1,c=read,d=9000,cluster=0 */")
 			client.send(ask[:1<<10])
-			world.until("the second waits", func() bool { return len(world.postgres.longQueue) == 1 && world.postgres.longQueue[0].conn.Parked() })
+			world.until("the second waits", func() bool {
+				return len(world.postgres.longQueue) == 1 && world.postgres.longQueue[0].conn.ReadingPaused()
+			})
 			last := len(ask)
 			if story.later {
 				last--
--- a/internal/frontend/platform/world_test.go
+++ b/internal/frontend/platform/world_test.go
@@ -40,15 +40,15 @@
 	number    uint32
 }
 
-// Ask implements Desk.
-func (desk *scriptedDesk) Ask(request Request, client Client) (slotmap.Ref, error) {
+// Submit implements Desk.
+func (desk *scriptedDesk) Submit(request Request, client Client) (slotmap.Ref, error) {
 	desk.number++
 	desk.asked, desk.ids, desk.deadlines = append(desk.asked, client), append(desk.ids, request.ID), append(desk.deadlines, request.Deadline)
 	return slotmap.Ref{Index: desk.number, Gen: 1}, nil
 }
 
-// Gone implements Desk.
-func (desk *scriptedDesk) Gone(ref slotmap.Ref) { desk.gone = append(desk.gone, ref) }
+// Abandon implements Desk.
+func (desk *scriptedDesk) Abandon(ref slotmap.Ref) { desk.gone = append(desk.gone, ref) }
 
 // AnswerBy implements Desk.
 func (desk *scriptedDesk) AnswerBy(ref slotmap.Ref, _ float64) {
@@ -62,10 +62,10 @@
 	world.loop = eventloop.New(clock.System(), slog.New(slog.DiscardHandler), func() eventloop.Handler { return world.postgres.Accept() }, func() { world.postgres.Start() })
 	world.loop.Ready = func() { close(ready) }
 	world.postgres = NewPostgres(world.loop, slog.New(slog.DiscardHandler), world.desk, Budget{
-		Spare:          func() int { return clients - world.postgres.Occupied() },
-		Share:          func() int { return clients },
-		FreeDescriptor: func() bool { return false },
-		Memory:         func() int { return memory },
+		SpareDescriptors:  func() int { return clients - world.postgres.Occupied() },
+		EvictionThreshold: func() int { return clients },
+		ReleaseDescriptor: func() bool { return false },
+		Memory:            func() int { return memory },
 	})
 	go func() { ended <- world.loop.Run("127.0.0.1:0") }()
 	select {
--- a/internal/frontend/pooling/cancel.go
+++ b/internal/frontend/pooling/cancel.go
@@ -64,7 +64,7 @@
 func (c *client) cancelled(t *txn, code, text string) {
 	if t.open {
 		t.open = false
-		c.f.desk.Gone(t.ref)
+		c.f.desk.Abandon(t.ref)
 	}
 	c.concluded(t, code, text, "")
 }
@@ -79,7 +79,7 @@
 	}
 	if t.open { // before the attempt ends, as another would begin then
 		t.open = false
-		f.desk.Gone(t.ref)
+		f.desk.Abandon(t.ref)
 	}
 	f.end(a, r, l)
 	if r == decide.Reset && c.wrote {
--- a/internal/frontend/pooling/client.go
+++ b/internal/frontend/pooling/client.go
@@ -85,7 +85,7 @@
 	}
 	c.in.Feed(b)
 	c.proceed()
-	if !c.closed && c.in.Pending() > c.f.opt.MaxMessage && c.started && c.waiting() && c.conn.Park() {
+	if !c.closed && c.in.Pending() > c.f.opt.MaxMessage && c.started && c.waiting() && c.conn.PauseReading() {
 		c.parked = true // what it sends ahead stays with it
 	}
 	if !c.closed && c.in.Pending() > 4*c.f.opt.MaxMessage {
@@ -131,7 +131,7 @@
 	if !c.started {
 		return c.startup()
 	}
-	if typ, ok := c.in.Type(); ok && !c.in.Midst() && !strings.ContainsRune("QXSPBDECHFdcf", rune(typ)) {
+	if typ, ok := c.in.Type(); ok && !c.in.InPartialMessage() && !strings.ContainsRune("QXSPBDECHFdcf", rune(typ)) {
 		return false, fmt.Errorf("%w: type %q", pgwire.ErrMalformed, typ)
 	}
 	m, ok, err := c.in.Next()
--- a/internal/frontend/pooling/close.go
+++ b/internal/frontend/pooling/close.go
@@ -24,8 +24,8 @@
 	c.detach()
 	c.lingers = true
 	c.f.lingering++
-	if c.conn.Parked() {
-		c.conn.Unpark()
+	if c.conn.ReadingPaused() {
+		c.conn.ResumeReading()
 	}
 	(&lingering{client: c, conn: c.conn, unsent: c.conn.Unsent(), since: c.f.loop.Now()}).look()
 }
@@ -49,7 +49,7 @@
 	if unsent := g.conn.Unsent(); unsent != g.unsent {
 		g.unsent, g.since = unsent, now
 	}
-	if !g.shut && g.unsent == 0 && !g.conn.Parked() {
+	if !g.shut && g.unsent == 0 && !g.conn.ReadingPaused() {
 		if g.conn.CloseWrite() != nil {
 			g.conn.Close()
 			return
@@ -79,10 +79,10 @@
 	}
 	c.closed = true
 	f := c.f
-	f.clients.Drop(c.ref)
+	f.clients.Remove(c.ref)
 	delete(f.keys, c.pid)
-	f.loop.Stop(c.idle)
-	f.loop.Stop(c.limit)
+	f.loop.StopTimer(c.idle)
+	f.loop.StopTimer(c.limit)
 	if c.paused != nil {
 		c.paused.unpark()
 		c.paused = nil
@@ -109,7 +109,7 @@
 	}
 	if t != nil && t.open && t.ref != (slotmap.Ref{}) { // else it is being put to the core, which hears of it then
 		t.open = false
-		f.desk.Gone(t.ref)
+		f.desk.Abandon(t.ref)
 	}
 	if c.carry != nil {
 		c.carry.Close()
@@ -129,7 +129,7 @@
 	if !f.draining || c.closed || c.conn == nil || c.busy() {
 		return
 	}
-	if ahead := c.in.Pending() > 0 || !c.conn.Quiet(); ahead && f.loop.Now() < f.drainedAt+cutMs {
+	if ahead := c.in.Pending() > 0 || !c.conn.OpenAndIdle(); ahead && f.loop.Now() < f.drainedAt+cutMs {
 		return
 	}
 	c.fatal("57P01", "the pooler is shutting down")
--- a/internal/frontend/pooling/dial.go
+++ b/internal/frontend/pooling/dial.go
@@ -35,8 +35,8 @@
 		return
 	}
 	l.closed = true
-	l.f.loop.Stop(l.timer)
-	l.f.links.Drop(l.ref)
+	l.f.loop.StopTimer(l.timer)
+	l.f.links.Remove(l.ref)
 	l.pool.failed[l.store] = true
 	if l.conn != nil {
 		l.conn.Close()
@@ -99,7 +99,7 @@
 		}
 	case 'Z':
 		l.up = true
-		l.f.loop.Stop(l.timer)
+		l.f.loop.StopTimer(l.timer)
 		delete(l.pool.failed, l.store)
 		l.f.do(l.pool, l.pool.share.Up(l.id(), l.store, l.f.loop.Now()))
 	case 'E':
--- a/internal/frontend/pooling/enter.go
+++ b/internal/frontend/pooling/enter.go
@@ -18,11 +18,11 @@
 	}
 	if c.pool.opt.RefusePins && c.pool.opt.Mode == Transaction {
 		for _, s := range does {
-			if s.Pin != 0 {
-				c.complain("0A000", fmt.Sprintf("%s can't be had in a pool by transaction", s.Pin))
+			if s.Sticky != 0 {
+				c.complain("0A000", fmt.Sprintf("%s can't be had in a pool by transaction", s.Sticky))
 				if m.Type == 'Q' {
 					c.skip = false
-					c.out = pgwire.AppendReadyIn(c.out, c.status)
+					c.out = pgwire.AppendReadyInState(c.out, c.status)
 				}
 				return nil
 			}
@@ -97,7 +97,7 @@
 	t.asked, t.open, q.Query = now, true, t
 	f.Counts.Transactions++
 	c.txn, c.began, c.wrote, c.failed = t, now, !reading(t.does), false
-	ref, err := f.desk.Ask(q, t)
+	ref, err := f.desk.Submit(q, t)
 	switch {
 	case err != nil:
 		t.open, c.txn = false, nil
@@ -109,10 +109,10 @@
 		c.complain("58000", err.Error())
 		if t.held[0] == 'Q' {
 			c.skip = false
-			c.out = pgwire.AppendReadyIn(c.out, c.status)
+			c.out = pgwire.AppendReadyInState(c.out, c.status)
 		}
 	case t.open && c.closed:
-		f.desk.Gone(ref)
+		f.desk.Abandon(ref)
 	case t.open:
 		t.ref = ref
 	}
@@ -171,7 +171,7 @@
 func (c *client) resume(a *attempt, l *link) {
 	a.link = l
 	if c.pool.opt.TxnMs > 0 {
-		c.f.loop.Stop(c.limit)
+		c.f.loop.StopTimer(c.limit)
 		c.limit = c.f.loop.At(c.began+c.pool.opt.TxnMs, func() {
 			if c.busy() {
 				c.fatal("57014", "the transaction took longer than this pool allows")
@@ -208,7 +208,7 @@
 		return
 	}
 	c.txn = nil
-	c.f.loop.Stop(c.limit)
+	c.f.loop.StopTimer(c.limit)
 	defer c.leave()
 	if l := c.link; l != nil && c.pool.opt.Mode == Transaction && c.carry.Pins == 0 {
 		c.link, l.owner = nil, nil
@@ -231,7 +231,7 @@
 		}
 		if c.skip && (m.Type == 'Q' || m.Type == 'S') {
 			c.skip = false
-			c.out = pgwire.AppendReadyIn(c.out, c.status)
+			c.out = pgwire.AppendReadyInState(c.out, c.status)
 			continue
 		}
 		if !c.skip {
--- a/internal/frontend/pooling/forward.go
+++ b/internal/frontend/pooling/forward.go
@@ -13,7 +13,7 @@
 // forward sends a message to the client's server, with statements under their names there.
 func (c *client) forward(m pgwire.Message) error {
 	l := c.link
-	c.f.loop.Stop(c.idle)
+	c.f.loop.StopTimer(c.idle)
 	c.idle = nil
 	if l.over() && c.part() {
 		return c.beginAgain(m.Raw, false)
--- a/internal/frontend/pooling/invariants_test.go
+++ b/internal/frontend/pooling/invariants_test.go
@@ -15,7 +15,7 @@
 		poke func(f *Front, l *link, a *attempt)
 	}{
 		{"pooling: nothing is kept of what is closed", func(_ *Front, l *link, _ *attempt) { l.closed = true }},
-		{"pooling: a pool has the connections that there are", func(f *Front, l *link, _ *attempt) { f.links.Drop(l.ref) }},
+		{"pooling: a pool has the connections that there are", func(f *Front, l *link, _ *attempt) { f.links.Remove(l.ref) }},
 		{"pooling: a pool has the connections that there are", func(_ *Front, l *link, _ *attempt) { l.up = false }},
 		{"pooling: nothing is kept of an attempt that has ended", func(_ *Front, _ *link, a *attempt) { a.ended = true }},
 	} {
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -214,7 +214,7 @@
 
 func (l *link) park() bool {
 	if !l.closed && !l.parked {
-		l.parked = l.conn.Park()
+		l.parked = l.conn.PauseReading()
 	}
 	return l.parked
 }
@@ -222,7 +222,7 @@
 func (l *link) unpark() {
 	if l.parked {
 		l.parked = false
-		l.conn.Unpark()
+		l.conn.ResumeReading()
 	}
 }
 
@@ -241,8 +241,8 @@
 	for i := range l.queue {
 		l.owner.lower(&l.queue[i], false)
 	}
-	l.f.loop.Stop(l.timer)
-	l.f.links.Drop(l.ref)
+	l.f.loop.StopTimer(l.timer)
+	l.f.links.Remove(l.ref)
 	c := l.owner
 	l.owner = nil
 	if c != nil {
--- a/internal/frontend/pooling/message.go
+++ b/internal/frontend/pooling/message.go
@@ -55,7 +55,7 @@
 		c.bound = nil
 		if c.skip || c.link == nil {
 			c.skip, c.open = false, false
-			c.out = pgwire.AppendReadyIn(c.out, c.status)
+			c.out = pgwire.AppendReadyInState(c.out, c.status)
 			return nil
 		}
 	case 'H', 'd', 'c', 'f':
@@ -169,7 +169,7 @@
 		return does[0].ReadOnly // and the server holds it to that
 	}
 	for _, s := range does {
-		if s.Kind != sqltext.Read || s.Pin != 0 {
+		if s.Kind != sqltext.Read || s.Sticky != 0 {
 			return false
 		}
 	}
@@ -202,7 +202,7 @@
 		}
 	}
 	c.failed = false
-	c.out = pgwire.AppendReadyIn(c.out, status)
+	c.out = pgwire.AppendReadyInState(c.out, status)
 	if t := c.txn; t != nil && (status != 'I' || len(l.queue) == 0) {
 		c.txn = nil
 		t.spoke = true
@@ -213,7 +213,7 @@
 	switch {
 	case status != 'I':
 		if c.pool.opt.IdleTxnMs > 0 && len(l.queue) == 0 {
-			c.f.loop.Stop(c.idle)
+			c.f.loop.StopTimer(c.idle)
 			c.idle = c.f.loop.At(c.f.loop.Now()+c.pool.opt.IdleTxnMs, func() {
 				if c.status != 'I' && c.txn == nil && (c.link == nil || len(c.link.queue) == 0) {
 					c.fatal("25P03", "the transaction was idle for longer than this pool allows")
@@ -221,7 +221,7 @@
 			})
 		}
 	case len(l.queue) == 0 && !c.open:
-		c.f.loop.Stop(c.limit)
+		c.f.loop.StopTimer(c.limit)
 		c.wrote = false
 		c.release()
 	}
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -85,7 +85,7 @@
 type Front struct {
 	loop   *eventloop.Loop
 	log    *slog.Logger
-	desk   platform.Desk
+	desk   platform.Dispatcher
 	events backend.Events
 	opt    Options
 
@@ -132,7 +132,7 @@
 }
 
 // New makes a front; events is told of attempts' ends.
-func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
+func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Dispatcher, events backend.Events) *Front {
 	return &Front{loop: l, log: log, desk: desk, events: events, opt: opt, texts: sessionstate.NewTexts(), keys: map[uint32]*client{}, told: map[string]int{},
 		addrs: map[string]string{}, params: map[string]string{"server_version": "15.0", "server_encoding": "UTF8", "client_encoding": "UTF8",
 			"DateStyle": "ISO, MDY", "TimeZone": "UTC", "integer_datetimes": "on", "standard_conforming_strings": "on"}}
@@ -176,8 +176,8 @@
 	return n
 }
 
-// Owes tells whether a client is in the midst of a transaction, waits for an answer or has yet to take its last one.
-func (f *Front) Owes() bool {
+// HasOutstanding tells whether a client is in the midst of a transaction, waits for an answer or has yet to take its last one.
+func (f *Front) HasOutstanding() bool {
 	owes := f.lingering > 0
 	f.clients.Each(func(_ slotmap.Ref, c *client) { owes = owes || c.busy() || c.conn != nil && c.conn.Unsent() > 0 })
 	return owes
@@ -296,7 +296,7 @@
 // attempt is a transaction's try at one server.
 type attempt struct {
 	ref   slotmap.Ref
-	tag   backend.Tag
+	tag   backend.AttemptID
 	store string
 	t     *txn
 	link  *link
@@ -346,14 +346,14 @@
 }
 
 // Try is core.Servers' Start for this front's transactions: it gives one a connection to a server.
-func (f *Front) Try(store string, q backend.Query, until float64, t backend.Tag) slotmap.Ref {
+func (f *Front) Try(store string, q backend.Query, until float64, t backend.AttemptID) slotmap.Ref {
 	a := &attempt{tag: t, store: store, t: q.(*txn)}
 	a.ref = f.attempts.Put(a)
 	a.timer = f.loop.At(until, func() { f.end(a, decide.TimedOut, nil) })
 	a.t.attempt = a
 	if f.addrs[store] == "" {
 		f.end(a, decide.Unreachable, nil)
-	} else if !f.events.AttemptGoes(a.tag) {
+	} else if !f.events.MaySend(a.tag) {
 		f.end(a, decide.Cancelled, nil)
 	} else if c := a.t.c; !c.stay(a) {
 		f.expire()
@@ -363,7 +363,7 @@
 }
 
 // Recall is core.Servers': what has no connection yet and may not go to that server any more is given up.
-func (f *Front) Recall(store string, which func(backend.Tag) bool) {
+func (f *Front) Recall(store string, which func(backend.AttemptID) bool) {
 	var out []*attempt
 	f.attempts.Each(func(_ slotmap.Ref, a *attempt) {
 		if a.store == store && a.link == nil && which(a.tag) {
@@ -388,8 +388,8 @@
 		return
 	}
 	a.ended = true
-	f.attempts.Drop(a.ref)
-	f.loop.Stop(a.timer)
+	f.attempts.Remove(a.ref)
+	f.loop.StopTimer(a.timer)
 	o := backend.Outcome{Result: r}
 	if l != nil {
 		o.Role, o.Position, o.HasPos = l.told()
@@ -431,7 +431,7 @@
 			case !up:
 			case !ok:
 				l.free()
-			case !f.events.AttemptGoes(a.tag):
+			case !f.events.MaySend(a.tag):
 				l.free()
 				f.end(a, decide.Cancelled, nil)
 			case l.serverClosed():
--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -118,7 +118,7 @@
 	b := c.bound
 	c.bound, c.open = nil, false
 	if !b.execute {
-		c.out = pgwire.AppendReadyIn(c.out, c.status)
+		c.out = pgwire.AppendReadyInState(c.out, c.status)
 		return
 	}
 	a, _, err := plan.Read(b.text.SQL)
@@ -171,7 +171,7 @@
 // scatterFail ends a scattered read with an error.
 func (c *client) scatterFail(code, text, detail string) {
 	c.page = nil
-	c.out = pgwire.AppendReadyIn(pgwire.AppendError(c.out, "ERROR", code, text, detail), c.status)
+	c.out = pgwire.AppendReadyInState(pgwire.AppendError(c.out, "ERROR", code, text, detail), c.status)
 	c.scatterEnd()
 }
 
@@ -243,7 +243,7 @@
 		c.out = pgwire.AppendNotice(c.out, "01000", "shards are missing in this page: "+strings.Join(x.Missing, ", "), "")
 	}
 	c.out = pgwire.AppendComplete(c.out, "SELECT "+strconv.Itoa(x.Rows))
-	c.out = pgwire.AppendReadyIn(c.out, c.status)
+	c.out = pgwire.AppendReadyInState(c.out, c.status)
 	c.scatterEnd()
 }
 
--- a/internal/frontend/pooling/sessionstate/carry.go
+++ b/internal/frontend/pooling/sessionstate/carry.go
@@ -90,8 +90,8 @@
 	startup  map[string]string
 	stmts    map[string]*Text
 	pending  []change
-	Pins     sqltext.Pin
-	pinsOpen sqltext.Pin // set within the transaction that is open
+	Pins     sqltext.StickyReason
+	pinsOpen sqltext.StickyReason // set within the transaction that is open
 }
 
 // NewClient makes a client whose startup message had these settings.
@@ -173,10 +173,10 @@
 
 // Did takes note of a statement that a server has completed.
 func (c *Client) Did(s *sqltext.Statement) {
-	c.pinsOpen |= s.Pin
+	c.pinsOpen |= s.Sticky
 	add := func(x change) {
 		if len(c.pending) >= maxPending || len(x.value) > MaxValue {
-			c.pinsOpen |= sqltext.PinUnknown // it can't be carried
+			c.pinsOpen |= sqltext.StickyUnknownSetting // it can't be carried
 			return
 		}
 		c.pending = append(c.pending, x)
@@ -235,7 +235,7 @@
 			delete(s.settings, x.name)
 		default:
 			if _, ok := c.settings[x.name]; !ok && len(c.settings) >= MaxSettings {
-				c.pinsOpen |= sqltext.PinUnknown
+				c.pinsOpen |= sqltext.StickyUnknownSetting
 				continue
 			}
 			c.settings[x.name], s.settings[x.name] = x.value, x.value
@@ -248,7 +248,7 @@
 // Abort drops the transaction's changes. Locks of the session, cursors that are held and what can't be read may have
 // stayed all the same.
 func (c *Client) Abort() {
-	c.Pins |= c.pinsOpen & (sqltext.PinAdvisory | sqltext.PinPrepare | sqltext.PinUnknown)
+	c.Pins |= c.pinsOpen & (sqltext.StickyAdvisoryLock | sqltext.StickyPrepare | sqltext.StickyUnknownSetting)
 	c.pending, c.pinsOpen = nil, 0
 }
 
--- a/internal/frontend/pooling/settle.go
+++ b/internal/frontend/pooling/settle.go
@@ -66,7 +66,7 @@
 	if c.started && !c.closed && (!c.waiting() || c.parked && c.conn.Unsent() > 0) {
 		if c.parked { // it hears what there is, and is read on
 			c.parked = false
-			c.conn.Unpark()
+			c.conn.ResumeReading()
 		}
 		if c.in.Pending() > 0 && !c.waiting() {
 			c.proceed()
--- a/internal/frontend/pooling/startup.go
+++ b/internal/frontend/pooling/startup.go
@@ -28,7 +28,7 @@
 // startupOnly are parameters of the startup message that are no settings.
 var startupOnly = map[string]bool{"user": true, "database": true, "options": true, "replication": true}
 
-func (c *client) begin(s pgwire.StartupMsg) error {
+func (c *client) begin(s pgwire.StartupPacket) error {
 	c.started = true
 	f, p := c.f, s.Params
 	user, database := p["user"], p["database"]
--- a/internal/frontend/pooling/txn.go
+++ b/internal/frontend/pooling/txn.go
@@ -42,11 +42,11 @@
 // Served is platform.Client's. The answer has gone out by itself.
 func (t *txn) Served([]byte) { t.open = false }
 
-// Departed is platform.Departing's.
-func (t *txn) Departed() bool { return t.c.closed || t.c.conn.PeerClosed() }
+// Disconnected is platform.Departing's.
+func (t *txn) Disconnected() bool { return t.c.closed || t.c.conn.PeerClosed() }
 
-// Refused is platform.Client's.
-func (t *txn) Refused(retryMs float64) {
+// Rejected is platform.Client's.
+func (t *txn) Rejected(retryMs float64) {
 	t.open = false
 	text := "no server can take this now"
 	if t.waited {
@@ -62,14 +62,14 @@
 // CodeUnfunded is the SQLSTATE of what is refused as its tenant's prepaid funds are spent, or run low.
 const CodeUnfunded = "PP001"
 
-// RefusedUnfunded is platform.PrepaidClient's.
-func (t *txn) RefusedUnfunded(slowed bool, retryMs float64) {
+// RejectedUnfunded is platform.PrepaidClient's.
+func (t *txn) RejectedUnfunded(slowed bool, retryMs float64) {
 	t.open = false
 	detail := ""
 	if retryMs > 0 {
 		detail = strconv.Itoa(int(math.Ceil(retryMs)))
 	}
-	t.c.concluded(t, CodeUnfunded, platform.UnfundedMessage(slowed), detail)
+	t.c.concluded(t, CodeUnfunded, platform.NoCreditMessage(slowed), detail)
 }
 
 // Failed is platform.Client's.
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -54,7 +54,7 @@
 	conn           net.Conn
 }
 
-func (g *stage) Ask(q platform.Request, c platform.Client) (slotmap.Ref, error) {
+func (g *stage) Submit(q platform.Request, c platform.Client) (slotmap.Ref, error) {
 	g.requests = append(g.requests, &asking{q: q, c: c})
 	n := len(g.requests) - 1
 	server := "c"
@@ -71,10 +71,10 @@
 func (g *stage) try(n int, server string) {
 	x := g.requests[n]
 	x.last = server
-	x.open = append(x.open, g.f.Try(server, x.q.Query, g.loop.Now()+10000, backend.Tag{Request: slotmap.Ref{Index: uint32(n)}}))
+	x.open = append(x.open, g.f.Try(server, x.q.Query, g.loop.Now()+10000, backend.AttemptID{Request: slotmap.Ref{Index: uint32(n)}}))
 }
 
-func (g *stage) Gone(ref slotmap.Ref) { g.close(g.requests[ref.Index]) }
+func (g *stage) Abandon(ref slotmap.Ref) { g.close(g.requests[ref.Index]) }
 
 // AnswerBy is platform.Desk's.
 func (g *stage) AnswerBy(slotmap.Ref, float64) {}
@@ -86,17 +86,17 @@
 	}
 }
 
-func (g *stage) AttemptGoes(backend.Tag) bool                  { return true }
-func (g *stage) ServerDenies(string, backend.Report, bool)     {}
-func (g *stage) AttemptWritten(backend.Tag)                    {}
-func (g *stage) AttemptBegun(backend.Tag, func()) backend.Flow { return nil }
-func (g *stage) ProbeEnded(string, backend.Outcome)            {}
-func (g *stage) Describe([]byte)                               {}
-func (g *stage) Flush()                                        {}
-func (g *stage) Unsent() int                                   { return 0 }
-func (g *stage) Page(p *Page)                                  { g.page <- fmt.Sprint(g.rows) }
-func (g *stage) Fail(_ *execution.Run, err error)              { g.page <- err.Error() }
-func (g *stage) AttemptEnded(t backend.Tag, o backend.Outcome) {
+func (g *stage) MaySend(backend.AttemptID) bool                               { return true }
+func (g *stage) ServerReportsReplica(string, backend.Report, bool)            {}
+func (g *stage) AttemptWritten(backend.AttemptID)                             {}
+func (g *stage) AnswerStreams(backend.AttemptID, func()) backend.AnswerStream { return nil }
+func (g *stage) HealthCheckEnded(string, backend.Outcome)                     {}
+func (g *stage) Describe([]byte)                                              {}
+func (g *stage) Flush()                                                       {}
+func (g *stage) Unsent() int                                                  { return 0 }
+func (g *stage) Page(p *Page)                                                 { g.page <- fmt.Sprint(g.rows) }
+func (g *stage) Fail(_ *execution.Run, err error)                             { g.page <- err.Error() }
+func (g *stage) AttemptEnded(t backend.AttemptID, o backend.Outcome) {
 	x := g.requests[t.Request.Index]
 	g.outcomes = append(g.outcomes, fmt.Sprint(t.Request.Index, " ", o.Result))
 	switch {
--- a/internal/frontend/scatter/dial.go
+++ b/internal/frontend/scatter/dial.go
@@ -16,7 +16,7 @@
 	for list := f.idle[k]; len(list) > 0; list = f.idle[k] {
 		l := list[len(list)-1]
 		f.idle[k] = list[:len(list)-1]
-		f.loop.Stop(l.timer)
+		f.loop.StopTimer(l.timer)
 		if !l.closed {
 			l.attempt, l.part = a, a.p
 			a.p.granted(l)
@@ -32,7 +32,7 @@
 	l.timer = f.loop.At(f.loop.Now()+f.opt.ConnectMs, func() { l.failed(decide.Unreachable) })
 	f.loop.Dial(f.addrs[k.store], f.opt.ConnectMs, l, func(err error) {
 		f.log.Debug("scatter: connect", "store", k.store, "err", err)
-		if eventloop.IsLocal(err) { // it says nothing about the server
+		if eventloop.IsLocalError(err) { // it says nothing about the server
 			l.failed(decide.NotSent)
 			return
 		}
@@ -47,7 +47,7 @@
 	}
 	l.closed = true
 	l.f.conns--
-	l.f.loop.Stop(l.timer)
+	l.f.loop.StopTimer(l.timer)
 	if l.conn != nil {
 		l.conn.Close()
 	}
@@ -83,7 +83,7 @@
 		l.failed(decide.Unreachable)
 	case 'Z':
 		l.up = true
-		l.f.loop.Stop(l.timer)
+		l.f.loop.StopTimer(l.timer)
 		if a := l.attempt; a == nil || a.ended {
 			l.attempt, l.part = nil, nil
 			l.rest()
--- a/internal/frontend/scatter/end.go
+++ b/internal/frontend/scatter/end.go
@@ -45,7 +45,7 @@
 		f.Counts.Refused++
 		s.reader.Fail(s.run, s.cause())
 	case execution.Gone:
-		f.Counts.Gone++
+		f.Counts.Abandon++
 	default:
 		f.Counts.Failed++
 		s.reader.Fail(s.run, s.cause())
--- a/internal/frontend/scatter/front.go
+++ b/internal/frontend/scatter/front.go
@@ -97,7 +97,7 @@
 
 // Counts are figures since the start.
 type Counts struct {
-	Pages, Served, Refused, Failed, Gone, Rows, Asked, Again, Missing, Cancels, Cursors uint64
+	Pages, Served, Refused, Failed, Abandon, Rows, Asked, Again, Missing, Cancels, Cursors uint64
 }
 
 // Front is the scatters of a pooler.
@@ -105,7 +105,7 @@
 	loop   *eventloop.Loop
 	log    *slog.Logger
 	opt    Options
-	desk   platform.Desk
+	desk   platform.Dispatcher
 	events backend.Events
 
 	addrs    map[string]string
@@ -129,7 +129,7 @@
 type serverKey struct{ store, database, user string }
 
 // New makes a front; events is told of attempts' ends.
-func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Desk, events backend.Events) *Front {
+func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Dispatcher, events backend.Events) *Front {
 	f := &Front{loop: l, log: log, opt: opt, desk: desk, events: events, addrs: map[string]string{}, barred: map[string]bool{}, idle: map[serverKey][]*link{},
 		running: map[*Scatter]bool{}, perSpec: make([]int, len(opt.Specs)), told: -1}
 	for i := range f.opt.Specs {
@@ -284,7 +284,7 @@
 	for _, x := range []struct {
 		name string
 		n    uint64
-	}{{"pages", c.Pages}, {"served", c.Served}, {"refused", c.Refused}, {"failed", c.Failed}, {"gone", c.Gone}, {"rows", c.Rows}, {"asked", c.Asked},
+	}{{"pages", c.Pages}, {"served", c.Served}, {"refused", c.Refused}, {"failed", c.Failed}, {"gone", c.Abandon}, {"rows", c.Rows}, {"asked", c.Asked},
 		{"asked_again", c.Again}, {"shards_missing", c.Missing}, {"cancels", c.Cancels}, {"cursors_refused", c.Cursors}} {
 		scatter.Count(x.name, x.n)
 	}
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -44,7 +44,7 @@
 func (l *link) Data(b []byte) {
 	l.in.Feed(b)
 	if l.stopped { // the merge has enough: what came with the last read stays here
-		l.parked = l.conn.Park() // it may have been on its way back when it was stopped
+		l.parked = l.conn.PauseReading() // it may have been on its way back when it was stopped
 		return
 	}
 	l.work()
@@ -158,7 +158,7 @@
 // park has nothing more be read here.
 func (l *link) park() {
 	if !l.parked && !l.closed && l.conn != nil {
-		l.parked = l.conn.Park()
+		l.parked = l.conn.PauseReading()
 	}
 }
 
@@ -166,7 +166,7 @@
 func (l *link) readOn() {
 	if l.parked && !l.stopped && !l.closed {
 		l.parked = false
-		l.conn.Unpark()
+		l.conn.ResumeReading()
 	}
 }
 
@@ -204,7 +204,7 @@
 	l.closed = true
 	f := l.f
 	f.conns--
-	f.loop.Stop(l.timer)
+	f.loop.StopTimer(l.timer)
 	for i, x := range f.idle[l.key] {
 		if x == l {
 			f.idle[l.key] = append(f.idle[l.key][:i:i], f.idle[l.key][i+1:]...)
--- a/internal/frontend/scatter/part.go
+++ b/internal/frontend/scatter/part.go
@@ -27,7 +27,7 @@
 // attempt is a part's try at one server.
 type attempt struct {
 	ref   slotmap.Ref
-	tag   backend.Tag
+	tag   backend.AttemptID
 	store string
 	p     *part
 	link  *link // once it has one
@@ -42,8 +42,8 @@
 // Served is front.Client's. For the decision module a read is served when its first row has come; the rest is the run's.
 func (p *part) Served([]byte) { p.open = false }
 
-// Refused is front.Client's.
-func (p *part) Refused(retryMs float64) {
+// Rejected is front.Client's.
+func (p *part) Rejected(retryMs float64) {
 	p.open = false
 	p.s.event(func(now float64) []execution.Action { return p.s.run.Refused(p.a.Shard, p.a.Try, retryMs, now) })
 }
@@ -67,7 +67,7 @@
 }
 
 // Try is core.Servers' Start for this front's parts.
-func (f *Front) Try(store string, q backend.Query, until float64, t backend.Tag) slotmap.Ref {
+func (f *Front) Try(store string, q backend.Query, until float64, t backend.AttemptID) slotmap.Ref {
 	p := q.(*part)
 	a := &attempt{tag: t, store: store, p: p}
 	a.ref = f.attempts.Put(a)
@@ -97,8 +97,8 @@
 		return
 	}
 	a.ended = true
-	f.attempts.Drop(a.ref)
-	f.loop.Stop(a.timer)
+	f.attempts.Remove(a.ref)
+	f.loop.StopTimer(a.timer)
 	p, x := a.p, a.link
 	if i := slices.Index(p.tries, a); i >= 0 {
 		p.tries = slices.Delete(p.tries, i, i+1)
@@ -168,7 +168,7 @@
 		f.end(l.attempt, decide.Overloaded, nil)
 		return
 	}
-	if a := l.attempt; a != nil && !f.events.AttemptGoes(a.tag) {
+	if a := l.attempt; a != nil && !f.events.MaySend(a.tag) {
 		f.end(a, decide.NotSent, nil)
 		return
 	}
@@ -203,7 +203,7 @@
 	}
 	if p.open {
 		p.open = false
-		p.s.f.desk.Gone(p.ref)
+		p.s.f.desk.Abandon(p.ref)
 	}
 	for _, a := range tries {
 		if l := a.link; l != nil && !l.asked {
--- a/internal/frontend/scatter/scatter.go
+++ b/internal/frontend/scatter/scatter.go
@@ -222,9 +222,9 @@
 func (s *Scatter) ask(a execution.Action) {
 	p := &part{s: s, a: a, open: true}
 	s.parts[a.Shard] = p
-	q := platform.Request{ID: fmt.Sprintf("scatter-%d-%d-%d", s.id, a.Shard, a.Try), Class: s.spec.Class, Tenant: s.asked.Tenant, PlatformForm: s.asked.Tenant != "",
+	q := platform.Request{ID: fmt.Sprintf("scatter-%d-%d-%d", s.id, a.Shard, a.Try), Class: s.spec.Class, Tenant: s.asked.Tenant, PlatformProtocol: s.asked.Tenant != "",
 		Group: s.spec.Shards[a.Shard].Group, Session: s.who.Session, MinPosition: max(float64(a.Need), s.who.After), Deadline: s.due, Query: p}
-	ref, err := s.f.desk.Ask(q, p)
+	ref, err := s.f.desk.Submit(q, p)
 	switch {
 	case err != nil:
 		p.open = false
@@ -232,7 +232,7 @@
 		p.broke(err.Error(), false)
 	case p.open && p.over:
 		p.open = false
-		s.f.desk.Gone(ref)
+		s.f.desk.Abandon(ref)
 	case p.open:
 		p.ref = ref
 	}
--- a/internal/lifecycle/handover/handover.go
+++ b/internal/lifecycle/handover/handover.go
@@ -38,7 +38,7 @@
 // State is what a process tells.
 type State struct {
 	SavedMs float64          `json:"saved_ms"` // Unix ms, for processes of versions that know no Saved
-	Saved   clock.Moment     `json:"saved"`
+	Saved   clock.Instant    `json:"saved"`
 	ClockMs float64          `json:"clock_ms"` // then, on the writing process's own clock, which the times in Memory are on
 	Held    int              `json:"held"`     // descriptors
 	Ends    bool             `json:"ends"`     // it takes nothing new
@@ -169,7 +169,7 @@
 
 // age returns how old a state is, and false where that cannot be told.
 func (f *Folder) age(state *State) (ms float64, known bool) {
-	if state.Saved != (clock.Moment{}) {
+	if state.Saved != (clock.Instant{}) {
 		ms, known = f.machine.Since(state.Saved)
 	} else {
 		ms, known = f.machine.Wall()-state.SavedMs, true
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -55,7 +55,7 @@
 // saved is a state of the present moment.
 func (m *testMachine) saved() *State {
 	s := state(m.wall)
-	s.Saved = m.clocks().Moment()
+	s.Saved = m.clocks().Now()
 	return s
 }
 
--- a/internal/protocol/httpwire/httpwire.go
+++ b/internal/protocol/httpwire/httpwire.go
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// Start reads the status line of an answer whose other lines are read one by one, by Line. n is 0 while it is not whole.
-func Start(b []byte) (h *Head, n int, err error) {
+// ParseStatusLine reads the status line of an answer whose other lines are read one by one, by Line. n is 0 while it is not whole.
+func ParseStatusLine(b []byte) (h *Head, n int, err error) {
 	l, n, err := line(b)
 	if n == 0 || err != nil {
 		return nil, 0, err
@@ -220,9 +220,9 @@
 	return h, n, h.statusLine(l)
 }
 
-// Line reads the next line of a head. An empty one ends the head: end is set, and where its body ends is known. Fields for
+// ParseLine reads the next line of a head. An empty one ends the head: end is set, and where its body ends is known. Fields for
 // which drop says so are not kept, so that a head may have any number of them.
-func (h *Head) Line(b []byte, drop func(Header) bool) (f Header, n int, end bool, err error) {
+func (h *Head) ParseLine(b []byte, drop func(Header) bool) (f Header, n int, end bool, err error) {
 	l, n, err := line(b)
 	switch {
 	case n == 0 || err != nil:
@@ -308,8 +308,8 @@
 // Done tells whether the body has ended.
 func (b *Body) Done() bool { return b.state == bodyDone }
 
-// Left is how much of a body of stated length is to come, -1 for one in chunks or up to the connection's end.
-func (b *Body) Left() int64 {
+// Remaining is how much of a body of stated length is to come, -1 for one in chunks or up to the connection's end.
+func (b *Body) Remaining() int64 {
 	switch b.state {
 	case bodyDone:
 		return 0
@@ -319,8 +319,8 @@
 	return -1
 }
 
-// Open tells whether the body ends with its connection.
-func (b *Body) Open() bool { return b.state == bodyOpen }
+// EndsWithConnection tells whether the body ends with its connection.
+func (b *Body) EndsWithConnection() bool { return b.state == bodyOpen }
 
 // Next tells how many bytes of p are the body's; data, where it is not nil, is called with what they hold besides framing.
 func (b *Body) Next(p []byte, data func([]byte)) (n int, err error) {
--- a/internal/protocol/httpwire/httpwire_test.go
+++ b/internal/protocol/httpwire/httpwire_test.go
@@ -99,7 +99,7 @@
 	}
 	if h, _, _ := Parse([]byte("HTTP/1.0 200 OK\r\n\r\n"), false); !h.Close {
 		t.Error("HTTP/1.0 stays open")
-	} else if b := AnswerBody(h, "GET"); !b.Open() {
+	} else if b := AnswerBody(h, "GET"); !b.EndsWithConnection() {
 		t.Error("a body without a length has an end")
 	}
 }
--- a/internal/protocol/pgwire/answer.go
+++ b/internal/protocol/pgwire/answer.go
@@ -28,9 +28,9 @@
 	placeEnd
 )
 
-// Answer reads what a server says up to ReadyForQuery and holds it to the one form that is good: one row of
+// AnswerReader reads what a server says up to ReadyForQuery and holds it to the one form that is good: one row of
 // one column, complete, or an error. A server that sends anything else cannot be believed in the rest.
-type Answer struct {
+type AnswerReader struct {
 	place  place
 	began  bool
 	beside int    // bytes that were no row
@@ -38,22 +38,22 @@
 	Code   string // an error's
 }
 
-// Welcome is the Answer that is due on a connection that has sent its startup message.
-func Welcome() Answer { return Answer{place: placeAuth} }
+// ExpectWelcome is the Answer that is due on a connection that has sent its startup message.
+func ExpectWelcome() AnswerReader { return AnswerReader{place: placeAuth} }
 
-// Reply is the Answer that is due to a statement.
-func Reply() Answer { return Answer{place: placeDescribe} }
+// ExpectAnswer is the Answer that is due to a statement.
+func ExpectAnswer() AnswerReader { return AnswerReader{place: placeDescribe} }
 
 // Done tells whether ReadyForQuery has come.
-func (a *Answer) Done() bool { return a.place == placeEnd }
+func (a *AnswerReader) Done() bool { return a.place == placeEnd }
 
-// Untouched tells whether no message has come.
-func (a *Answer) Untouched() bool { return !a.began }
+// NothingReceived tells whether no message has come.
+func (a *AnswerReader) NothingReceived() bool { return !a.began }
 
 // Next takes the answer's next message from r. What cannot become good is an error as soon as its first
 // bytes show it: the rest might never come.
-func (a *Answer) Next(r *Reader) (Message, bool, error) {
-	if r.Midst() { // of a row that comes in parts
+func (a *AnswerReader) Next(r *Reader) (Message, bool, error) {
+	if r.InPartialMessage() { // of a row that comes in parts
 		m, ok, err := r.Next()
 		if ok && !m.More {
 			a.place = placeComplete
@@ -87,7 +87,7 @@
 }
 
 // due tells whether a message of this type may come now.
-func (a *Answer) due(typ byte) bool {
+func (a *AnswerReader) due(typ byte) bool {
 	switch typ {
 	case 'N', 'S':
 		return a.place != placeAuth && a.place != placeEnd
@@ -110,7 +110,7 @@
 }
 
 // head checks what there is of the next message.
-func (a *Answer) head(b []byte) error {
+func (a *AnswerReader) head(b []byte) error {
 	if len(b) == 0 {
 		return nil
 	}
@@ -141,7 +141,7 @@
 }
 
 // take checks a whole message that is due.
-func (a *Answer) take(m Message) error {
+func (a *AnswerReader) take(m Message) error {
 	good := true
 	switch m.Type {
 	case 'R':
--- a/internal/protocol/pgwire/answer_test.go
+++ b/internal/protocol/pgwire/answer_test.go
@@ -61,9 +61,9 @@
 				if c.whole {
 					piece = len(c.in)
 				}
-				r, a, got := NewReader(MaxMessage), Reply(), "waits"
+				r, a, got := NewReader(MaxMessage), ExpectAnswer(), "waits"
 				if c.welcome {
-					a = Welcome()
+					a = ExpectWelcome()
 				}
 				for in := c.in; in != "" && got == "waits"; in = in[piece:] {
 					r.Feed([]byte(in[:piece]))
--- a/internal/protocol/pgwire/fuzz_test.go
+++ b/internal/protocol/pgwire/fuzz_test.go
@@ -45,7 +45,7 @@
 	f.Add(append(AppendRow(nil, "content", make([]byte, 200)), "E\x00\x00\x00\x0bCXX000\x00\x00Z\x00\x00\x00\x05I"...), uint8(50))
 	f.Add(AppendReady(AppendRow(nil, "content", nil)), uint8(3))
 	read := func(b []byte, piece int, over int) (raw string, served, bad bool) {
-		r, a := NewReader(MaxMessage), Reply()
+		r, a := NewReader(MaxMessage), ExpectAnswer()
 		r.Stream(over)
 		for {
 			n := min(piece, len(b))
--- a/internal/protocol/pgwire/pgwire.go
+++ b/internal/protocol/pgwire/pgwire.go
@@ -26,12 +26,12 @@
 
 // Message is one message. Body and Raw are valid until the Reader is fed again.
 type Message struct {
-	Type byte
-	Body []byte
-	Raw  []byte // with type and length
-	More bool   // the message goes on in the next one, which has Part; Body is not set
-	Part bool   // Raw goes on with a message that came before
-	Kept bool   // the Reader has given its bytes away: they stay as they are
+	Type  byte
+	Body  []byte
+	Raw   []byte // with type and length
+	More  bool   // the message goes on in the next one, which has Part; Body is not set
+	Part  bool   // Raw goes on with a message that came before
+	Owned bool   // the Reader has given its bytes away: they stay as they are
 }
 
 // StartupKind says what a client opened its connection with.
@@ -64,8 +64,8 @@
 // Stream has rows and copies' data of more than so many bytes come in parts, as they arrive.
 func (r *Reader) Stream(over int) { r.over = over }
 
-// Midst tells whether the next bytes go on with a message that has come in part.
-func (r *Reader) Midst() bool { return r.left > 0 }
+// InPartialMessage tells whether the next bytes go on with a message that has come in part.
+func (r *Reader) InPartialMessage() bool { return r.left > 0 }
 
 // Feed takes over what was read. It copies b.
 func (r *Reader) Feed(b []byte) {
@@ -81,8 +81,8 @@
 // Pending is the number of bytes fed and not yet returned.
 func (r *Reader) Pending() int { return len(r.buf) - r.off }
 
-// Need is the length of the next message, 0 while that is not known.
-func (r *Reader) Need() int {
+// NextLength is the length of the next message, 0 while that is not known.
+func (r *Reader) NextLength() int {
 	if b := r.buf[r.off:]; len(b) >= 5 {
 		return int(binary.BigEndian.Uint32(b[1:])) + 1
 	}
@@ -161,7 +161,7 @@
 	if r.off == len(r.buf) && cap(r.buf) > keepBuf || n > longMessage {
 		r.buf, r.off, kept = append([]byte(nil), r.buf[r.off:]...), 0, true // the message keeps it for as long as it is used
 	}
-	return Message{Type: b[0], Body: b[5 : n+1], Raw: b[:n+1], Kept: kept}, true, nil
+	return Message{Type: b[0], Body: b[5 : n+1], Raw: b[:n+1], Owned: kept}, true, nil
 }
 
 // begin appends a message's type and room for its length; end fills that in.
@@ -320,16 +320,16 @@
 	return "", fmt.Errorf("%w: text without its end", ErrMalformed)
 }
 
-// KeptText is Text of a message whose bytes the Reader has given away: it copies nothing.
-func KeptText(m Message) (string, error) {
-	if !m.Kept || len(m.Body) == 0 || bytes.IndexByte(m.Body, 0) != len(m.Body)-1 {
+// OwnedText is Text of a message whose bytes the Reader has given away: it copies nothing.
+func OwnedText(m Message) (string, error) {
+	if !m.Owned || len(m.Body) == 0 || bytes.IndexByte(m.Body, 0) != len(m.Body)-1 {
 		return Text(m.Body)
 	}
 	return unsafe.String(&m.Body[0], len(m.Body)-1), nil
 }
 
-// StartupMsg is a connection's first message.
-type StartupMsg struct {
+// StartupPacket is a connection's first message.
+type StartupPacket struct {
 	Kind        StartupKind
 	Minor       int
 	Params      map[string]string
@@ -342,10 +342,10 @@
 
 // StartupMessage returns the next message of a connection that has not started, with what it says, and false if it is
 // not whole.
-func (r *Reader) StartupMessage() (StartupMsg, bool, error) {
+func (r *Reader) StartupMessage() (StartupPacket, bool, error) {
 	b := r.buf[r.off:]
 	kind, ok, err := r.Startup()
-	s := StartupMsg{Kind: kind, Params: map[string]string{}}
+	s := StartupPacket{Kind: kind, Params: map[string]string{}}
 	if err != nil || !ok {
 		return s, false, err
 	}
@@ -377,8 +377,8 @@
 	return s, true, nil
 }
 
-// AppendReadyIn appends ReadyForQuery in the given state of a transaction: I, T or E.
-func AppendReadyIn(dst []byte, status byte) []byte { return append(dst, 'Z', 0, 0, 0, 5, status) }
+// AppendReadyInState appends ReadyForQuery in the given state of a transaction: I, T or E.
+func AppendReadyInState(dst []byte, status byte) []byte { return append(dst, 'Z', 0, 0, 0, 5, status) }
 
 // AppendKey appends BackendKeyData.
 func AppendKey(dst []byte, pid, secret uint32) []byte {
--- a/internal/protocol/pgwire/pgwire_test.go
+++ b/internal/protocol/pgwire/pgwire_test.go
@@ -19,14 +19,14 @@
 		sent string // to a server, with 250 ms to wait
 		err  error
 	}{
-		"read": {read, Statement{ID: "9b1f", Class: "basket", WaitMs: 480, Group: 2, After: 1767225600123, Key: "7f3a"},
+		"read": {read, Statement{RequestID: "9b1f", Class: "basket", WaitMs: 480, Group: 2, AfterCommitMs: 1767225600123, SessionKey: "7f3a"},
 			"SELECT content FROM kv WHERE name = '7f3a' /* id=9b1f,c=basket,d=250,cluster=2,after=1767225600123 */", nil},
 		"write, a retry, names not known": {
 			`INSERT INTO kv (name, content) VALUES ('7f3a', '\x2f2a') RETURNING content /* k=9,id=1,r=1,zone=x, d=20.5 ,t=acme,c=order,cluster=0 */;`,
-			Statement{ID: "1", Class: "order", Tenant: "acme", Idem: "9", WaitMs: 20.5, Retry: true, Key: "7f3a", Writes: true},
+			Statement{RequestID: "1", Class: "order", Tenant: "acme", IdempotencyKey: "9", WaitMs: 20.5, IsRetry: true, SessionKey: "7f3a", Writes: true},
 			`INSERT INTO kv (name, content) VALUES ('7f3a', '\x2f2a') RETURNING content /* k=9,id=1,r=1,zone=x, d=250 ,t=acme,c=order,cluster=0 */;`, nil},
 		"a comment inside the value": {"SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=3,cluster=0 */",
-			Statement{ID: "2", Class: "a", WaitMs: 3, Key: "/* id=0,c=x,d=1 */"}, "SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=250,cluster=0 */", nil},
+			Statement{RequestID: "2", Class: "a", WaitMs: 3, SessionKey: "/* id=0,c=x,d=1 */"}, "SELECT '/* id=0,c=x,d=1 */' /* id=2,c=a,d=250,cluster=0 */", nil},
 		"no comment":         {"SELECT 1", Statement{}, "", ErrNoComment},
 		"comment not last":   {"SELECT /* id=2,c=a,d=3 */ 1", Statement{}, "", ErrNoComment},
 		"no wait":            {"SELECT 1 /* id=2,c=a */", Statement{}, "", ErrNoComment},
--- a/internal/protocol/pgwire/statement.go
+++ b/internal/protocol/pgwire/statement.go
@@ -22,16 +22,16 @@
 
 // Statement is a client's statement with what its comment says.
 type Statement struct {
-	ID     string
-	Class  string
-	Tenant string
-	Idem   string  // k, by which servers know a repeat
-	WaitMs float64 // d: how long the client waits, from when it sent the request
-	Group  int     // cluster
-	After  int64   // Unix ms of the session's last commit, 0 for none
-	Retry  bool
-	Key    string // the first quoted value, which names the session where there are any
-	Writes bool   // it changes data, by its first word
+	RequestID      string
+	Class          string
+	Tenant         string
+	IdempotencyKey string  // k, by which servers know a repeat
+	WaitMs         float64 // d: how long the client waits, from when it sent the request
+	Group          int     // cluster
+	AfterCommitMs  int64   // Unix ms of the session's last commit, 0 for none
+	IsRetry        bool
+	SessionKey     string // the first quoted value, which names the session where there are any
+	Writes         bool   // it changes data, by its first word
 
 	head, tail string // the statement up to the value of d, and from its end on
 }
@@ -75,13 +75,13 @@
 		}
 		switch name {
 		case "id":
-			s.ID = val
+			s.RequestID = val
 		case "c":
 			s.Class = val
 		case "t":
 			s.Tenant = val
 		case "k":
-			s.Idem = val
+			s.IdempotencyKey = val
 		case "d":
 			valAt += strings.Index(raw, val)
 			s.head, s.tail = sql[:valAt], sql[valAt+len(val):]
@@ -91,24 +91,24 @@
 		case "cluster":
 			s.Group, err = strconv.Atoi(val)
 		case "after":
-			if s.After, err = strconv.ParseInt(val, 10, 64); err == nil && s.After < 0 {
+			if s.AfterCommitMs, err = strconv.ParseInt(val, 10, 64); err == nil && s.AfterCommitMs < 0 {
 				err = strconv.ErrRange
 			}
 		case "r":
-			s.Retry = val == "1"
+			s.IsRetry = val == "1"
 		}
 		if err != nil {
 			return Statement{}, fmt.Errorf("comment: %s: %w", name, err)
 		}
 	}
-	if s.ID == "" || s.Class == "" || s.head == "" || !seen["cluster"] {
+	if s.RequestID == "" || s.Class == "" || s.head == "" || !seen["cluster"] {
 		return Statement{}, fmt.Errorf("comment: id, c, d and cluster are needed: %w", ErrNoComment)
 	}
-	if max(len(s.ID), len(s.Class), len(s.Tenant), len(s.Idem)) > maxName {
+	if max(len(s.RequestID), len(s.Class), len(s.Tenant), len(s.IdempotencyKey)) > maxName {
 		return Statement{}, fmt.Errorf("comment: id, c, t or k of over %d bytes: %w", maxName, ErrNoComment)
 	}
 	if _, rest, ok := strings.Cut(body[:from], "'"); ok {
-		s.Key, _, _ = strings.Cut(rest, "'")
+		s.SessionKey, _, _ = strings.Cut(rest, "'")
 	}
 	return s, nil
 }
--- a/internal/protocol/simulator/items.go
+++ b/internal/protocol/simulator/items.go
@@ -10,17 +10,17 @@
 )
 
 func (d *Decoder) item(b *Batch, f *fields) error {
-	it := Item{Front: -1, Kind: Deliver}
+	it := Item{Instance: -1, Kind: DeliverEvent}
 	switch f.name {
 	case "CENSUS":
 		return d.census(f)
 	case "PROVISION":
-		it.Kind = Start
+		it.Kind = StartInstance
 		pairs := map[string]string{}
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "prng":
 				it.Seed = uint64(f.int64())
 			default:
@@ -33,23 +33,23 @@
 			if it.Settings, zero, err = Settings(pairs); err != nil {
 				return fmt.Errorf("PROVISION: %w", err)
 			}
-			d.zero[it.Front] = zero
+			d.zero[it.Instance] = zero
 		}
 	case "CRASH_NOW":
-		it.Kind = Stop
+		it.Kind = StopInstance
 		for f.next() {
 			if f.key == "front" {
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			}
 		}
-		delete(d.zero, it.Front)
+		delete(d.zero, it.Instance)
 	case "MEMBERS":
 		l := &decide.EndpointList{}
 		slot, how := -1, ""
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "how":
 				how = string(f.val)
 			case "slot":
@@ -69,15 +69,15 @@
 		}
 		it.Event = l
 	case "ASK":
-		it.Front, it.Event = decodeRequest(f)
+		it.Instance, it.Event = decodeRequest(f)
 	case "SETTLED":
-		it.Front, it.Event = d.decodeOutcome(f)
+		it.Instance, it.Event = d.decodeOutcome(f)
 	case "EXPIRED":
 		e := &decide.Abandoned{}
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "request_id":
 				e.ID = decide.RequestID(f.val)
 			}
@@ -88,7 +88,7 @@
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "tag":
 				e.Tag = f.int64()
 			}
@@ -100,7 +100,7 @@
 		for f.next() {
 			switch f.key {
 			case "front":
-				it.Front = f.integer()
+				it.Instance = f.integer()
 			case "store":
 				e.Server = decide.ServerID(f.val)
 			case "disposition":
@@ -109,12 +109,12 @@
 				stats = f.val
 			}
 		}
-		e.Load = report(stats, d.zero[it.Front], f)
+		e.Load = report(stats, d.zero[it.Instance], f)
 		it.Event = e
 	default:
 		return nil // a message that this adapter has no use for
 	}
-	if f.err == nil && it.Front < 0 {
+	if f.err == nil && it.Instance < 0 {
 		return fmt.Errorf("%s: front missing or negative", f.name)
 	}
 	if f.err == nil {
--- a/internal/protocol/simulator/simulator.go
+++ b/internal/protocol/simulator/simulator.go
@@ -18,14 +18,14 @@
 
 // The kinds.
 const (
-	Start   Kind = iota // a fresh instance: Settings and Seed are set
-	Stop                // the instance was killed
-	Deliver             // Event is for the instance
+	StartInstance Kind = iota // a fresh instance: Settings and Seed are set
+	StopInstance              // the instance was killed
+	DeliverEvent              // Event is for the instance
 )
 
 // Item is one event of a batch for one instance.
 type Item struct {
-	Front    int
+	Instance int
 	Kind     Kind
 	Seed     uint64
 	Settings decide.Settings
--- a/internal/protocol/simulator/simulator_test.go
+++ b/internal/protocol/simulator/simulator_test.go
@@ -69,11 +69,11 @@
 	}
 	for i, w := range want {
 		got := b.Items[i+1]
-		if diff := cmp.Diff(w, got.Event); diff != "" || got.Front != 3 {
-			t.Errorf("event %d at %d: %s", i, got.Front, diff)
+		if diff := cmp.Diff(w, got.Event); diff != "" || got.Instance != 3 {
+			t.Errorf("event %d at %d: %s", i, got.Instance, diff)
 		}
 	}
-	if b.Items[10].Kind != Stop {
+	if b.Items[10].Kind != StopInstance {
 		t.Error("the last item is not the stop")
 	}
 	if _, err := d.Next(); err != io.EOF {
--- a/internal/protocol/sqltext/query.go
+++ b/internal/protocol/sqltext/query.go
@@ -42,7 +42,7 @@
 // query tells whether what is left is a plain read: a query without locks, without data changed in a WITH, and without
 // functions that are not known to change nothing.
 func query(t []token) Statement {
-	s := Statement{Kind: Other, Pin: calls(t)}
+	s := Statement{Kind: Other, Sticky: calls(t)}
 	i := 0
 	for i < len(t) && t[i].sign("(") {
 		i++
@@ -68,16 +68,16 @@
 }
 
 // calls finds calls that bind a session to its connection.
-func calls(t []token) (p Pin) {
+func calls(t []token) (p StickyReason) {
 	for i, x := range t {
 		if x.kind != 'w' || i+1 >= len(t) || !t[i+1].sign("(") {
 			continue
 		}
 		switch n := strings.ToLower(x.text); {
 		case strings.HasPrefix(n, "pg_advisory_lock"), strings.HasPrefix(n, "pg_try_advisory_lock"):
-			p |= PinAdvisory
+			p |= StickyAdvisoryLock
 		case n == "set_config":
-			p |= PinUnknown
+			p |= StickyUnknownSetting
 		}
 	}
 	return p
--- a/internal/protocol/sqltext/settings.go
+++ b/internal/protocol/sqltext/settings.go
@@ -38,7 +38,7 @@
 			s.Value = ""
 		}
 		if strings.HasPrefix(strings.ToUpper(s.Value), "INTERVAL") {
-			return Statement{Kind: Other, Pin: PinUnknown}
+			return Statement{Kind: Other, Sticky: StickyUnknownSetting}
 		}
 	case at(i).is("NAMES"):
 		s.Name, s.Value = "client_encoding", value(i+1)
@@ -50,11 +50,11 @@
 	case at(i).is("SESSION") && at(i+1).is("AUTHORIZATION"):
 		s.Name, s.Value = "session_authorization", value(i+2)
 	case at(i).is("XML", "SCHEMA", "CATALOG"):
-		return Statement{Kind: Other, Pin: PinUnknown}
+		return Statement{Kind: Other, Sticky: StickyUnknownSetting}
 	default:
 		n, end := dotted(t, i)
 		if n == "" || !at(end).is("TO") && !at(end).sign("=") || end+1 >= len(t) {
-			return Statement{Kind: Other, Pin: PinUnknown}
+			return Statement{Kind: Other, Sticky: StickyUnknownSetting}
 		}
 		s.Name, s.Value = n, value(end+1)
 	}
@@ -72,7 +72,7 @@
 			return Statement{Kind: Set, Name: "default_transaction_read_only", Value: v}
 		}
 	}
-	return Statement{Kind: Other, Pin: PinUnknown}
+	return Statement{Kind: Other, Sticky: StickyUnknownSetting}
 }
 
 // SetConfig reads a query that is nothing but one call of set_config with texts that are written out.
