--- a/internal/protocol/sqltext/sqltext.go
+++ b/internal/protocol/sqltext/sqltext.go
@@ -25,22 +25,22 @@
 	Show
 )
 
-// Pin is what binds a session to its server's connection.
-type Pin uint8
+// StickyReason is what binds a session to its server's connection.
+type StickyReason uint8
 
 // The pins; a statement may have several.
 const (
-	PinTemp     Pin = 1 << iota // temporary tables
-	PinAdvisory                 // advisory locks of the session
-	PinCursor                   // a cursor WITH HOLD
-	PinListen
-	PinPrepare // PREPARE in SQL
-	PinUnknown // a setting whose name or value can't be read
+	StickyTempTables   StickyReason = 1 << iota // temporary tables
+	StickyAdvisoryLock                          // advisory locks of the session
+	StickyCursor                                // a cursor WITH HOLD
+	StickyListen
+	StickyPrepare        // PREPARE in SQL
+	StickyUnknownSetting // a setting whose name or value can't be read
 )
 
 var pinNames = []string{"temporary tables", "advisory locks", "a cursor with hold", "LISTEN", "PREPARE", "a setting that cannot be read"}
 
-func (p Pin) String() string {
+func (p StickyReason) String() string {
 	var out []string
 	for i, n := range pinNames {
 		if p&(1<<i) != 0 {
@@ -57,7 +57,7 @@
 	Value    string // as SQL
 	Local    bool   // for this transaction only
 	ReadOnly bool   // Begin: declared so
-	Pin      Pin
+	Sticky   StickyReason
 	Copy     bool // COPY from or to the client
 	From, To int  // its place in the text
 }
@@ -157,7 +157,7 @@
 		if n, end := dotted(t, 1); n != "" && end == len(t) {
 			return Statement{Kind: Set, Name: n}
 		}
-		return Statement{Kind: Other, Pin: PinUnknown}
+		return Statement{Kind: Other, Sticky: StickyUnknownSetting}
 	case first.is("DISCARD"):
 		if at(1).is("ALL") {
 			return Statement{Kind: DiscardAll}
@@ -175,25 +175,25 @@
 	case first.is("SHOW"):
 		return Statement{Kind: Show}
 	case first.is("LISTEN", "UNLISTEN"):
-		return Statement{Kind: Other, Pin: PinListen}
+		return Statement{Kind: Other, Sticky: StickyListen}
 	case first.is("PREPARE"):
 		if at(1).is("TRANSACTION") {
 			return Statement{Kind: Other}
 		}
-		return Statement{Kind: Other, Pin: PinPrepare}
+		return Statement{Kind: Other, Sticky: StickyPrepare}
 	case first.is("DECLARE"):
 		s := Statement{Kind: Other}
 		for i := range t {
 			if t[i].is("WITH") && at(i+1).is("HOLD") {
-				s.Pin = PinCursor
+				s.Sticky = StickyCursor
 			}
 		}
 		return s
 	case first.is("CREATE") || first.is("SELECT") && hasInto(t):
-		s := Statement{Kind: Other, Pin: calls(t)}
+		s := Statement{Kind: Other, Sticky: calls(t)}
 		for i, x := range t[1:] {
 			if x.is("TEMP", "TEMPORARY") && (first.is("CREATE") || t[i].is("INTO")) {
-				s.Pin |= PinTemp
+				s.Sticky |= StickyTempTables
 			}
 			if first.is("CREATE") && x.is("TABLE", "AS", "VIEW", "FROM") {
 				break
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -32,13 +32,13 @@
 type Loop interface {
 	Now() float64
 	At(ms float64, do func()) *timers.Timer
-	Stop(t *timers.Timer)
+	StopTimer(t *timers.Timer)
 }
 
 // Core is the request table as the journal needs it.
 type Core interface {
 	Known(request slotmap.Ref) string // by what its client knows a request
-	AttemptEnded(t backend.Tag, o backend.Outcome)
+	AttemptEnded(t backend.AttemptID, o backend.Outcome)
 }
 
 // Store is the durable store as the journal needs it.
@@ -61,7 +61,7 @@
 	began float64
 	n     uint64
 	held  slotmap.Table[*held]
-	keys  map[backend.Tag]*held
+	keys  map[backend.AttemptID]*held
 	ran   map[string]bool // ids that may have run before this process began
 }
 
@@ -70,7 +70,7 @@
 	ref     slotmap.Ref
 	key     string
 	attempt Attempt
-	tag     backend.Tag
+	tag     backend.AttemptID
 	inner   slotmap.Ref
 	started bool
 	over    bool
@@ -80,7 +80,7 @@
 // New makes a journal on a store that is open, before the connections to servers. What the store holds of earlier processes
 // may have run.
 func New(l Loop, log *slog.Logger, c Core, s Store, mode Mode) *Journal {
-	j := &Journal{loop: l, log: log, core: c, store: s, mode: mode, began: l.Now(), keys: map[backend.Tag]*held{}, ran: map[string]bool{}}
+	j := &Journal{loop: l, log: log, core: c, store: s, mode: mode, began: l.Now(), keys: map[backend.AttemptID]*held{}, ran: map[string]bool{}}
 	for _, a := range Pending(s) {
 		j.ran[a.ID] = true
 	}
@@ -111,8 +111,8 @@
 }
 
 // Start is core.Servers'.
-func (j *Journal) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slotmap.Ref {
-	if !on.Once {
+func (j *Journal) Start(id string, q backend.Query, until float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
+	if !on.AtMostOnce {
 		return j.Servers.Start(id, q, until, on, t)
 	}
 	j.n++
@@ -133,7 +133,7 @@
 			j.failed(err)
 			j.skip(h)
 		default:
-			j.loop.Stop(h.timer)
+			j.loop.StopTimer(h.timer)
 			h.started = true
 			h.inner = j.Servers.Start(id, q, until, on, t)
 		}
@@ -153,7 +153,7 @@
 		return
 	}
 	h.over = true
-	j.loop.Stop(h.timer)
+	j.loop.StopTimer(h.timer)
 	j.core.AttemptEnded(h.tag, backend.Outcome{Result: decide.NotSent})
 }
 
@@ -193,7 +193,7 @@
 }
 
 // Recall is core.Servers'.
-func (j *Journal) Recall(id string, which func(backend.Tag) bool) {
+func (j *Journal) Recall(id string, which func(backend.AttemptID) bool) {
 	j.recall(func(h *held) bool { return h.attempt.Server == id && which(h.tag) })
 	j.Servers.Recall(id, which)
 }
@@ -212,7 +212,7 @@
 
 // Ended is told how an attempt ended. One that was answered, or that is known not to have run, is nobody's concern any more;
 // any other stays.
-func (j *Journal) Ended(t backend.Tag, res decide.Result) {
+func (j *Journal) Ended(t backend.AttemptID, res decide.Result) {
 	h := j.keys[t]
 	if h == nil {
 		return
@@ -220,7 +220,7 @@
 	delete(j.keys, t)
 	h.over = true
 	if h.ref != (slotmap.Ref{}) {
-		j.held.Drop(h.ref)
+		j.held.Remove(h.ref)
 	}
 	e := store.Entry{Key: h.key, Gone: true}
 	switch res {
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -29,24 +29,24 @@
 	out    []string
 }
 
-func (r *rig) Now() float64                           { return r.now }
-func (r *rig) At(ms float64, do func()) *timers.Timer { return r.heap.Add(ms, do) }
-func (r *rig) Stop(t *timers.Timer)                   { r.heap.Stop(t) }
-func (r *rig) Known(ref slotmap.Ref) string           { return fmt.Sprint("id-", ref.Index) }
-func (r *rig) note(format string, args ...any)        { r.out = append(r.out, fmt.Sprintf(format, args...)) }
-func (r *rig) SetAddress(id, addr string)             {}
-func (r *rig) CloseIdle(id string)                    { r.note("idle %s", id) }
-func (r *rig) Forget(id string)                       { r.note("forget %s", id) }
-func (r *rig) Retain(map[string]bool)                 {}
-func (r *rig) Recall(string, func(backend.Tag) bool)  {}
-func (r *rig) Probe(id string)                        {}
-func (r *rig) Cancel(ref slotmap.Ref)                 { r.note("cancel %d", ref.Index) }
-func (r *rig) AttemptEnded(t backend.Tag, o backend.Outcome) {
+func (r *rig) Now() float64                                { return r.now }
+func (r *rig) At(ms float64, do func()) *timers.Timer      { return r.heap.Add(ms, do) }
+func (r *rig) StopTimer(t *timers.Timer)                   { r.heap.Stop(t) }
+func (r *rig) Known(ref slotmap.Ref) string                { return fmt.Sprint("id-", ref.Index) }
+func (r *rig) note(format string, args ...any)             { r.out = append(r.out, fmt.Sprintf(format, args...)) }
+func (r *rig) SetAddress(id, addr string)                  {}
+func (r *rig) CloseIdle(id string)                         { r.note("idle %s", id) }
+func (r *rig) Forget(id string)                            { r.note("forget %s", id) }
+func (r *rig) Retain(map[string]bool)                      {}
+func (r *rig) Recall(string, func(backend.AttemptID) bool) {}
+func (r *rig) CheckHealth(id string)                       {}
+func (r *rig) Cancel(ref slotmap.Ref)                      { r.note("cancel %d", ref.Index) }
+func (r *rig) AttemptEnded(t backend.AttemptID, o backend.Outcome) {
 	r.note("ended %d %d", t.Request.Index, o.Result)
 	r.j.Ended(t, o.Result)
 }
-func (r *rig) Start(id string, _ backend.Query, _ float64, on backend.Terms, t backend.Tag) slotmap.Ref {
-	r.note("start %s %d %v", id, t.Request.Index, on.Once)
+func (r *rig) Start(id string, _ backend.Query, _ float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
+	r.note("start %s %d %v", id, t.Request.Index, on.AtMostOnce)
 	return slotmap.Ref{Index: 100 + t.Request.Index, Gen: 1}
 }
 
@@ -77,7 +77,9 @@
 	r.out = nil
 }
 
-func tag(n uint32) backend.Tag { return backend.Tag{Request: slotmap.Ref{Index: n, Gen: 1}} }
+func tag(n uint32) backend.AttemptID {
+	return backend.AttemptID{Request: slotmap.Ref{Index: n, Gen: 1}}
+}
 
 func (r *rig) pending() (out []string) {
 	for _, a := range Pending(r.store) {
@@ -92,9 +94,9 @@
 // drains before; a read goes out at once. What ended without a word stays, also for the next process.
 func TestBefore(t *testing.T) {
 	r := newRig(t, faultyfs.New(), Before)
-	r.j.Start("a", nil, 2e6, backend.Terms{}, tag(1))
+	r.j.Start("a", nil, 2e6, backend.SendConditions{}, tag(1))
 	r.want("start a 1 false")
-	ref := r.j.Start("a", nil, 2e6, backend.Terms{Once: true}, tag(2))
+	ref := r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2))
 	r.want()
 	if got := r.pending(); len(got) > 1 {
 		t.Error(got)
@@ -106,24 +108,24 @@
 	r.AttemptEnded(tag(2), backend.Outcome{Result: decide.Reset})
 	r.pass(1)
 	r.out = nil
-	called := r.j.Start("a", nil, 2e6, backend.Terms{Once: true}, tag(3))
+	called := r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(3))
 	r.j.Cancel(called)
 	r.pass(2)
 	r.want("ended 3 7")
-	r.j.Start("b", nil, 2e6, backend.Terms{Once: true}, tag(4))
+	r.j.Start("b", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(4))
 	r.j.CloseIdle("b")
 	r.pass(2)
 	r.want("ended 4 7", "idle b")
-	r.j.Start("b", nil, 1.5e6, backend.Terms{Once: true}, tag(5))
+	r.j.Start("b", nil, 1.5e6, backend.SendConditions{AtMostOnce: true}, tag(5))
 	r.now = 1.6e6
 	r.heap.Run(r.now)
 	r.pass(2)
 	r.want("ended 5 7")
-	r.j.Start("a", nil, 2e6, backend.Terms{Once: true}, tag(6))
+	r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(6))
 	r.pass(1)
 	r.AttemptEnded(tag(6), backend.Outcome{Result: decide.OK})
 	r.pass(1)
-	r.j.Start("c", nil, 2e6, backend.Terms{Once: true}, tag(7))
+	r.j.Start("c", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(7))
 	r.pass(1)
 	if diff := cmp.Diff([]string{"a id-2 its connection broke", "c id-7 the pooler ended"}, r.pending()); diff != "" {
 		t.Error(diff)
@@ -133,7 +135,7 @@
 	if !next.j.Ran("id-2") || !next.j.Ran("id-7") || next.j.Ran("id-6") || next.j.Ran("id-3") {
 		t.Errorf("%v", next.j.ran)
 	}
-	next.j.Start("d", nil, 2e6, backend.Terms{Once: true}, tag(2)) // the clock stands where it stood before, and nothing is written over
+	next.j.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2)) // the clock stands where it stood before, and nothing is written over
 	next.pass(1)
 	if got := next.pending(); len(got) != 3 {
 		t.Errorf("%q", got)
@@ -154,7 +156,7 @@
 		r := newRig(t, d, mode)
 		ops, _ := d.Ops()
 		d.FailAt, d.Err = ops+2, fmt.Errorf("input/output error")
-		r.j.Start("a", nil, 2e6, backend.Terms{Once: true}, tag(1))
+		r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(1))
 		r.pass(1)
 		r.want(want...)
 		_ = r.store.Close()
@@ -174,7 +176,7 @@
 				t.Errorf("start %d at %v: id-%d may have run, and is not known", i, now, k+1)
 			}
 		}
-		r.j.Start("a", nil, 2e6, backend.Terms{Once: true}, backend.Tag{Request: slotmap.Ref{Index: uint32(i + 1)}})
+		r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, backend.AttemptID{Request: slotmap.Ref{Index: uint32(i + 1)}})
 		r.pass(1)
 		if n := len(Pending(r.store)); n != i+1 {
 			t.Errorf("start %d at %v: %d are listed", i, now, n)
--- a/internal/storage/snapshots/snapshots.go
+++ b/internal/storage/snapshots/snapshots.go
@@ -40,15 +40,15 @@
 //
 //	message Record { double saved_ms = 1; string from = 2; bytes body = 3; string boot = 4; double monotonic_ms = 5; }
 type Record struct {
-	SavedMs float64      // Unix ms at which it was known to be good
-	Saved   clock.Moment // the same, for the boot in which that was
+	SavedMs float64       // Unix ms at which it was known to be good
+	Saved   clock.Instant // the same, for the boot in which that was
 	From    string
 	Body    []byte
 }
 
 // RecordOf returns a record that is known to be good now.
 func RecordOf(machine clock.Machine, from string, body []byte) *Record {
-	return &Record{SavedMs: machine.Wall(), Saved: machine.Moment(), From: from, Body: body}
+	return &Record{SavedMs: machine.Wall(), Saved: machine.Now(), From: from, Body: body}
 }
 
 // Age returns the milliseconds since a record was known to be good: by the boot's own clock, or by the wall clock after another start of the
--- a/internal/testkit/clients/clients_test.go
+++ b/internal/testkit/clients/clients_test.go
@@ -125,7 +125,7 @@
 				var value []byte
 				if st.Writes { // it gives up after 100 ms
 					time.Sleep(400 * time.Millisecond)
-					value = Value(st.Key, 1)
+					value = Value(st.SessionKey, 1)
 				} else {
 					time.Sleep(300 * time.Millisecond)
 				}
--- a/internal/testkit/fake/database/server.go
+++ b/internal/testkit/fake/database/server.go
@@ -302,7 +302,7 @@
 
 // request has the model work on a client's statement, and words its answer.
 func (c *conn) request(sql string, st *pgwire.Statement) ([]byte, bool) {
-	s, w := c.s, &work{id: st.ID, class: st.Class, key: st.Key, idem: st.Idem, writes: st.Writes}
+	s, w := c.s, &work{id: st.RequestID, class: st.Class, key: st.SessionKey, idem: st.IdempotencyKey, writes: st.Writes}
 	if st.Writes {
 		w.value = literal(sql)
 	}
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -17,7 +17,7 @@
 	p     *pooler
 	life  uint32
 	ref   slotmap.Ref
-	tag   backend.Tag
+	tag   backend.AttemptID
 	st    *store
 	slife uint32
 	v     *visit // nil for a probe
@@ -32,7 +32,7 @@
 	reply model.Reply
 	held  bool    // it has a connection, and waits until all of its page have one
 	rows  *rowsOf // of a page's shard, nil where it is none
-	backend.Terms
+	backend.SendConditions
 }
 
 // What an attempt's event is of; the model's own argument is 0.
@@ -52,16 +52,16 @@
 )
 
 // Start is core.Servers'.
-func (p *pooler) Start(id string, q backend.Query, until float64, on backend.Terms, t backend.Tag) slotmap.Ref {
+func (p *pooler) Start(id string, q backend.Query, until float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
 	v := q.(*visit)
-	a := &attempt{p: p, life: p.life, tag: t, v: v, no: t.Number, until: until, Terms: on}
+	a := &attempt{p: p, life: p.life, tag: t, v: v, no: t.Number, until: until, SendConditions: on}
 	a.ref = p.tries.Put(a)
 	p.begin(a, id)
 	return a.ref
 }
 
-// Probe is core.Servers'.
-func (p *pooler) Probe(id string) {
+// CheckHealth is core.Servers'.
+func (p *pooler) CheckHealth(id string) {
 	p.e.probes++
 	if st := p.store(id); st != nil {
 		p.e.check.Probed(p.e.s.now, st.s.No)
@@ -86,14 +86,14 @@
 		return
 	}
 	st := a.st
-	if a.Late(e.s.now) {
+	if a.TooLate(e.s.now) {
 		a.end(backend.Outcome{Result: decide.NotSent})
 		return
 	}
 	e.s.at(a.until, a, atEnd)
 	st.expire()
 	if n := len(st.idle); n > 0 {
-		if rest := e.s.now - st.idle[n-1]; !a.Once || rest < p.wear.Limit() {
+		if rest := e.s.now - st.idle[n-1]; !a.AtMostOnce || rest < p.wear.Limit() {
 			if !a.goes() {
 				a.drop(decide.NotSent)
 				return
@@ -112,7 +112,7 @@
 }
 
 // Recall is core.Servers'.
-func (p *pooler) Recall(id string, which func(backend.Tag) bool) {
+func (p *pooler) Recall(id string, which func(backend.AttemptID) bool) {
 	st := p.store(id)
 	if st == nil {
 		return
@@ -128,7 +128,7 @@
 }
 
 // goes asks whether an attempt may still go out, as the daemon does. A probe always may.
-func (a *attempt) goes() bool { return a.v == nil || a.p.core.AttemptGoes(a.tag) }
+func (a *attempt) goes() bool { return a.v == nil || a.p.core.MaySend(a.tag) }
 
 // send puts an attempt on a connection.
 func (a *attempt) send() {
@@ -269,16 +269,16 @@
 			return
 		}
 		delete(st.busy, a)
-		a.p.wear.Note(a.p.e.s.now, a.rest, false)
+		a.p.wear.Record(a.p.e.s.now, a.rest, false)
 		if o.Role == decide.RoleReplica && len(st.waiting) > 0 {
-			a.p.core.ServerDenies(a.id, o.Report, a.v == nil)
+			a.p.core.ServerReportsReplica(a.id, o.Report, a.v == nil)
 		}
 		st.free() // before the end is told: what that leads to may use it
 		a.end(o)
 	case atReset:
 		delete(st.busy, a)
 		if now := a.p.e.s.now; now-a.at <= brokeMs {
-			a.p.wear.Note(now, a.rest, true)
+			a.p.wear.Record(now, a.rest, true)
 		}
 		st.add(-1)
 		a.end(backend.Outcome{Result: decide.Reset})
@@ -341,14 +341,14 @@
 	}
 	a.ended = true
 	p, e := a.p, a.p.e
-	p.tries.Drop(a.ref)
+	p.tries.Remove(a.ref)
 	if e.black != nil && a.st != nil && o.Result != decide.OK && o.Result != decide.Misdirected && o.Result != decide.NotSent {
 		e.black.Unanswered(e.s.now, p.no, a.st.s.No)
 	}
 	if a.v == nil {
 		e.word(a, &o)
 		p.trust(a.id, &o)
-		p.core.ProbeEnded(a.id, o)
+		p.core.HealthCheckEnded(a.id, o)
 		return
 	}
 	if a.sent {
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -186,7 +186,7 @@
 	}
 	for len(st.waiting) > 0 {
 		a := st.waiting[0]
-		if a.Late(st.p.e.s.now) || !a.goes() {
+		if a.TooLate(st.p.e.s.now) || !a.goes() {
 			a.drop(decide.NotSent)
 			continue
 		}
--- a/internal/testkit/simulation/disk.go
+++ b/internal/testkit/simulation/disk.go
@@ -88,8 +88,8 @@
 // journalLoop is journal.Loop's.
 type journalLoop struct{ lifeLoop }
 
-// Stop is journal.Loop's: what comes of a timer that was stopped finds its attempt ended.
-func (journalLoop) Stop(*timers.Timer) {}
+// StopTimer is journal.Loop's: what comes of a timer that was stopped finds its attempt ended.
+func (journalLoop) StopTimer(*timers.Timer) {}
 
 // journaled are the pooler's servers, behind its journal where it keeps one.
 func (p *pooler) journaled() core.Servers {
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -380,7 +380,7 @@
 	if !ok || a.v == nil {
 		return
 	}
-	if j.Writes && a.Once && e.opt.ran != nil {
+	if j.Writes && a.AtMostOnce && e.opt.ran != nil {
 		e.opt.ran(a.v.name)
 	}
 	value, position := j.Value, r.Position
--- a/internal/testkit/simulation/pages_made.go
+++ b/internal/testkit/simulation/pages_made.go
@@ -215,7 +215,7 @@
 	if e.script.Limits != nil {
 		e.check.Tenant(e.s.now, id, g.set.Tenant)
 	}
-	ref, err := s.p.core.Ask(platform.Request{ID: x.v.name, Class: g.class.Name, Tenant: g.set.Tenant, PlatformForm: g.set.Tenant != "", Group: a.Shard, Session: session,
+	ref, err := s.p.core.Submit(platform.Request{ID: x.v.name, Class: g.class.Name, Tenant: g.set.Tenant, PlatformProtocol: g.set.Tenant != "", Group: a.Shard, Session: session,
 		MinPosition: float64(a.Need), Deadline: s.due, Query: x.v}, x)
 	switch {
 	case err != nil:
@@ -223,7 +223,7 @@
 		x.broke(err.Error(), false)
 	case x.open && x.over:
 		x.open = false
-		s.p.core.Gone(ref)
+		s.p.core.Abandon(ref)
 	case x.open:
 		x.ref = ref
 	}
@@ -232,8 +232,8 @@
 // Served is platform.Client's.
 func (x *shardRead) Served([]byte) { x.answered("served", true) }
 
-// Refused is platform.Client's.
-func (x *shardRead) Refused(retryMs float64) {
+// Rejected is platform.Client's.
+func (x *shardRead) Rejected(retryMs float64) {
 	x.answered("refused", false)
 	x.s.event(func(now float64) []execution.Action { return x.s.run.Refused(x.a.Shard, x.a.Try, retryMs, now) })
 }
@@ -346,7 +346,7 @@
 	}
 	st := a.st
 	delete(st.busy, a)
-	a.p.wear.Note(e.s.now, a.rest, false)
+	a.p.wear.Record(e.s.now, a.rest, false)
 	st.free()
 	a.end(a.rows.o)
 	s.event(func(now float64) []execution.Action { return s.run.Ended(x.a.Shard, x.a.Try, now) })
@@ -364,7 +364,7 @@
 	if x.open {
 		x.open = false
 		x.s.g.e.check.Gone(x.s.g.e.s.now, x.v.id, "its answer broke off")
-		x.s.p.core.Gone(x.ref)
+		x.s.p.core.Abandon(x.ref)
 	}
 	x.broke("its answer broke off", true)
 }
@@ -401,6 +401,6 @@
 	if x.open {
 		x.open = false
 		x.s.g.e.check.Gone(x.s.g.e.s.now, x.v.id, "the page has no need of it any more")
-		x.s.p.core.Gone(x.ref)
+		x.s.p.core.Abandon(x.ref)
 	}
 }
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -33,7 +33,7 @@
 	conns  int     // to servers, those coming up included
 	most   int     // that its descriptors allow
 	idleMs float64 // a connection idle for so long is closed
-	wear   idletimeout.Wear
+	wear   idletimeout.Estimator
 	member *member               // nil where the list is the platform's
 	limits *settings.FleetLimits // as it last read them
 	disk   *disk                 // that outlives its processes, nil where it keeps no journal
@@ -120,7 +120,7 @@
 		if a.sent {
 			e.s.After(e.way(), a, atCancel)
 		}
-		p.tries.Drop(a.ref)
+		p.tries.Remove(a.ref)
 	}
 	for _, v := range e.sorted(p.visits) {
 		e.s.After(e.way(), v, visitBroken)
--- a/internal/testkit/simulation/visit.go
+++ b/internal/testkit/simulation/visit.go
@@ -195,7 +195,7 @@
 			e.check.Gone(e.s.now, v.id, "its client closed its connection, long after its time")
 			if v.asked && v.p.life == v.life && !v.done {
 				v.done = true
-				v.p.core.Gone(v.ref)
+				v.p.core.Abandon(v.ref)
 			}
 			v.finish(clients.Silent)
 		}
@@ -205,12 +205,12 @@
 // file puts the request to the pooler's core.
 func (v *visit) file(due float64) {
 	a := v.ask
-	q := platform.Request{ID: v.name, Class: v.class.Name, Group: a.Group, Session: a.Key, Deadline: due, MinPosition: v.after, Repeat: v.no > 0,
+	q := platform.Request{ID: v.name, Class: v.class.Name, Group: a.Group, Session: a.Key, Deadline: due, MinPosition: v.after, IsRetry: v.no > 0,
 		Writes: v.class.Read == clients.Write && !v.e.script.Clients.House, Query: v, Tenant: v.e.script.Clients.TenantOf(&a.Ask)}
 	if v.class.KeyMs > 0 {
 		q.IdempotencyKey = a.Idem()
 	}
-	ref, err := v.p.core.Ask(q, v)
+	ref, err := v.p.core.Submit(q, v)
 	if err != nil {
 		v.Failed()
 		return
@@ -227,8 +227,8 @@
 	v.say(clients.Served, 0)
 }
 
-// Refused is platform.Client's.
-func (v *visit) Refused(retryMs float64) { v.say(clients.Refused, retryMs) }
+// Rejected is platform.Client's.
+func (v *visit) Rejected(retryMs float64) { v.say(clients.Refused, retryMs) }
 
 // Failed is platform.Client's.
 func (v *visit) Failed() { v.say(clients.Failed, 0) }
