--- a/cmd/beechgrade-kit/journal.go
+++ b/cmd/beechgrade-kit/journal.go
@@ -48,7 +48,7 @@
 	defer func() { _ = s.Close() }()
 	lines := []pendingLine{}
 	for _, a := range journal.Pending(s) {
-		lines = append(lines, pendingLine{a.ID, a.Server, a.At, a.No, a.How()})
+		lines = append(lines, pendingLine{a.ID, a.Server, a.StartedAt, a.Number, a.OutcomeText()})
 	}
 	if c.Bool("json") {
 		return writeJSON(c.Root().Writer, lines)
@@ -59,8 +59,8 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", l.Server, time.UnixMicro(int64(l.AtMs*1000)).UTC().Format("2006-01-02 15:04:05.000"), l.ID, l.No, l.How)
 	}
 	fmt.Fprintf(w, "%d may have run\n", len(lines))
-	if rec.Dropped > 0 {
-		fmt.Fprintf(w, "the journal's end was not whole: %d bytes were left out (%s)\n", rec.Dropped, rec.Why)
+	if rec.DroppedBytes > 0 {
+		fmt.Fprintf(w, "the journal's end was not whole: %d bytes were left out (%s)\n", rec.DroppedBytes, rec.Reason)
 	}
 	return w.Flush()
 }
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -267,7 +267,7 @@
 	}
 	listed := map[string]int{}
 	for _, a := range journal.Pending(j) {
-		listed[fmt.Sprint(a.ID, " ", a.No, " ", a.At)]++
+		listed[fmt.Sprint(a.ID, " ", a.Number, " ", a.StartedAt)]++
 		listed[a.ID] = 1
 	}
 	_ = j.Close()
--- a/cmd/beechgrade-kit/store.go
+++ b/cmd/beechgrade-kit/store.go
@@ -53,7 +53,7 @@
 
 func checkStore(_ context.Context, c *cli.Command) error {
 	s, rec, err := lookInto(c)
-	if errors.Is(err, store.ErrRotten) {
+	if errors.Is(err, store.ErrCorrupt) {
 		return failed{err}
 	}
 	if err != nil {
@@ -63,9 +63,9 @@
 	if c.Bool("json") {
 		return writeJSON(c.Root().Writer, rec)
 	}
-	fmt.Fprintf(c.Root().Writer, "it opens: %d records, %d segments behind the snapshot\n", rec.Records, rec.Segments)
-	if rec.Dropped > 0 {
-		fmt.Fprintf(c.Root().Writer, "its end was not whole: %d bytes would be cut (%s)\n", rec.Dropped, rec.Why)
+	fmt.Fprintf(c.Root().Writer, "it opens: %d records, %d segments behind the snapshot\n", rec.Records, rec.SegmentsRead)
+	if rec.DroppedBytes > 0 {
+		fmt.Fprintf(c.Root().Writer, "its end was not whole: %d bytes would be cut (%s)\n", rec.DroppedBytes, rec.Reason)
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "file\tbytes\tframes\tentries\tnumbers\tends\tat byte")
 	for _, f := range files {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d to %d\t%s\t%d\n", f.Name, f.Bytes, f.Frames, f.Entries, f.First, f.Last, f.Ends, f.At)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d to %d\t%s\t%d\n", f.Name, f.Bytes, f.Frames, f.Entries, f.FirstSequence, f.LastSequence, f.State, f.ReadUpTo)
 	}
 	return w.Flush()
 }
@@ -108,7 +108,7 @@
 	}
 	kept, lost, err := store.Repair(store.Dir(c.Args().Get(0)), store.Dir(c.Args().Get(1)))
 	for _, l := range lost {
-		fmt.Fprintf(c.Root().Writer, "left out: %s, bytes %d to %d: %s\n", l.Name, l.From, l.To, l.Why)
+		fmt.Fprintf(c.Root().Writer, "left out: %s, bytes %d to %d: %s\n", l.Name, l.From, l.To, l.Reason)
 	}
 	if err != nil {
 		return err
--- a/cmd/beechgrade/clickhouse_stop_test.go
+++ b/cmd/beechgrade/clickhouse_stop_test.go
@@ -47,7 +47,7 @@
 // stopping has the pooler end, and waits until it has begun to.
 func (w *houseWorld) stopping() {
 	w.t.Helper()
-	w.onLoop(func() { w.p.handleLifecycle(lifecycle.Term) })
+	w.onLoop(func() { w.p.handleLifecycle(lifecycle.Terminate) })
 }
 
 // TestHouseStopAnswersWhatWasSent: at SIGTERM a client has a query under way, another sent behind it and a third in part; one has sent the head of a
@@ -90,7 +90,7 @@
 	held, gate := make(chan struct{}), make(chan struct{})
 	w.p.loop.Post(func() { close(held); <-gate })
 	<-held
-	w.p.loop.Post(func() { w.p.handleLifecycle(lifecycle.Term) }) // it comes before whatever is read of sockets
+	w.p.loop.Post(func() { w.p.handleLifecycle(lifecycle.Terminate) }) // it comes before whatever is read of sockets
 	c.send([]byte(get("b", "SELECT 2")))
 	close(gate)
 	c.wantHTTP("200 1\n close=true")
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -29,7 +29,7 @@
 		p.outlier.Check(c, every)
 	}
 	if p.commits != nil {
-		p.commits.Check(c, every)
+		p.commits.UseChecks(c, every)
 	}
 	if p.scatter != nil {
 		p.scatter.Check(p.checks)
--- a/cmd/beechgrade/journal.go
+++ b/cmd/beechgrade/journal.go
@@ -18,8 +18,8 @@
 
 func (p *pooler) journalOn(fs store.FS, o settings.Journal) (stop func(), err error) {
 	checks, every := p.storeChecks()
-	s, rec, err := store.Open(store.Options{FS: fs, MaxBytes: o.MostBytes, SegmentBytes: o.MostBytes / 16, Pace: o.Pace, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB),
-		Post: p.loop.Post, Checks: checks, Every: every})
+	s, rec, err := store.Open(store.Options{FS: fs, MaxBytes: o.MostBytes, SegmentBytes: o.MostBytes / 16, CompactionRate: o.Pace, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB),
+		Post: p.loop.Post, Checks: checks, BatchesPerWalk: every})
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
--- a/cmd/beechgrade/life.go
+++ b/cmd/beechgrade/life.go
@@ -78,7 +78,7 @@
 func (p *pooler) listReceived() {
 	if !p.hasList {
 		p.hasList = true
-		p.handleLifecycle(lifecycle.Began)
+		p.handleLifecycle(lifecycle.Started)
 	}
 }
 
@@ -127,7 +127,7 @@
 	}{
 		"/-/metrics":    {method: http.MethodGet},
 		"/-/prometheus": {method: http.MethodGet},
-		"/-/ready":      {http.MethodGet, p.lifecycle.Serves},
+		"/-/ready":      {http.MethodGet, p.lifecycle.IsServing},
 		"/-/drain":      {http.MethodPost, func() bool { return p.handleLifecycle(lifecycle.Drain) }},
 		"/-/resume":     {http.MethodPost, func() bool { return p.handleLifecycle(lifecycle.Resume) }},
 	}
@@ -160,11 +160,11 @@
 	was := p.lifecycle.State()
 	ok := p.lifecycle.Handle(e)
 	now := p.lifecycle.State()
-	if p.platform.SetReady(p.lifecycle.Welcomes()); now == was {
+	if p.platform.SetReady(p.lifecycle.IsReadyForClients()); now == was {
 		return ok
 	}
 	p.log.Info("life", "was", was.String(), "now", now.String(), "sessions", p.platform.Sessions(), "open", p.core.OpenRequests())
-	if p.inheritedListener != nil && was == lifecycle.Starting && p.lifecycle.Accepts() {
+	if p.inheritedListener != nil && was == lifecycle.Starting && p.lifecycle.AcceptsConnections() {
 		p.stopAccepting = p.loop.AcceptFrom(p.inheritedListener, p.platform.Accept)
 	}
 	if p.peers != nil && now != lifecycle.Starting {
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -259,7 +259,7 @@
 		t.Fatalf("while both run: %s%+v", s, c)
 	}
 	stop := time.Now().Add(3 * time.Second)
-	old.loop.Post(func() { old.handleLifecycle(lifecycle.Term) })
+	old.loop.Post(func() { old.handleLifecycle(lifecycle.Terminate) })
 	taken := false
 	for time.Now().Before(stop) {
 		s, c := fleetOf(other)
@@ -352,7 +352,7 @@
 	})
 	untilFleet(t, near, "the far one is lost", func(s string, _ view.Counts) bool { return strings.Contains(s, "far failed") })
 	next := process()
-	old.loop.Post(func() { old.handleLifecycle(lifecycle.Term) })
+	old.loop.Post(func() { old.handleLifecycle(lifecycle.Terminate) })
 	untilFleet(t, near, "the next one has taken over", func(s string, c view.Counts) bool {
 		if strings.Contains(s, "upgraded failed") {
 			t.Fatalf("the upgraded one is called failed: %s", s)
--- a/cmd/beechgrade/pooled_ends_test.go
+++ b/cmd/beechgrade/pooled_ends_test.go
@@ -149,7 +149,7 @@
 	s := scriptedPool(t, srv, "(connections 2)")
 	c := s.client()
 	release := s.holdLoop()
-	s.p.loop.Post(func() { s.p.handleLifecycle(lifecycle.Term) }) // it comes before whatever is read of sockets
+	s.p.loop.Post(func() { s.p.handleLifecycle(lifecycle.Terminate) }) // it comes before whatever is read of sockets
 	c.send(simple("SELECT 1"))
 	release()
 	nextText(t, queries, "SELECT 1").send(row("1"))
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -255,7 +255,7 @@
 func (p *pooler) run(stop, reload <-chan os.Signal) error {
 	go func() {
 		for range stop {
-			p.loop.Post(func() { p.handleLifecycle(lifecycle.Term) })
+			p.loop.Post(func() { p.handleLifecycle(lifecycle.Terminate) })
 		}
 	}()
 	go func() {
--- a/cmd/beechgrade/queue_ends_test.go
+++ b/cmd/beechgrade/queue_ends_test.go
@@ -19,7 +19,7 @@
 	pooler, _, _, done := launch(t, p)
 	within(t, "it serves", func() bool {
 		serves := make(chan bool, 1)
-		p.loop.Post(func() { serves <- p.lifecycle.Serves() })
+		p.loop.Post(func() { serves <- p.lifecycle.IsServing() })
 		return <-serves
 	})
 	dialled := make(chan net.Conn, 20)
@@ -46,7 +46,7 @@
 			}
 			p.loop.At(end-2*pollMs, dial) // ...and this first: the look that ends the process is behind it, before the loop hears of the connections
 		}
-		p.handleLifecycle(lifecycle.Term)
+		p.handleLifecycle(lifecycle.Terminate)
 	})
 	var clients []*peer
 	for c := range dialled {
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -91,7 +91,7 @@
 	go func() {
 		defer close(l.opened)
 		for {
-			s, rec, err := store.Open(store.Options{FS: store.Dir(l.set.Dir), MaxBytes: l.set.MostBytes, SegmentBytes: l.set.MostBytes / 16, Pace: l.set.Pace, Post: l.postInOrder})
+			s, rec, err := store.Open(store.Options{FS: store.Dir(l.set.Dir), MaxBytes: l.set.MostBytes, SegmentBytes: l.set.MostBytes / 16, CompactionRate: l.set.Pace, Post: l.postInOrder})
 			if errors.Is(err, store.ErrLocked) {
 				select {
 				case <-l.ended:
@@ -143,7 +143,7 @@
 func (l *raftLog) Append(records []raftlog.Record, done func(error)) {
 	entries := make([]store.Entry, len(records))
 	for i, r := range records {
-		entries[i] = store.Entry{Key: r.Key, Value: r.Value, Gone: r.Gone}
+		entries[i] = store.Entry{Key: r.Key, Value: r.Value, Deleted: r.Gone}
 	}
 	l.store.Append(entries, done)
 }
--- a/cmd/beechgrade/recovered.go
+++ b/cmd/beechgrade/recovered.go
@@ -20,8 +20,8 @@
 	if rec == nil {
 		return
 	}
-	if rec.Dropped > 0 {
-		p.log.Warn(name+": its end was not whole", "bytes", rec.Dropped, "why", rec.Why)
+	if rec.DroppedBytes > 0 {
+		p.log.Warn(name+": its end was not whole", "bytes", rec.DroppedBytes, "why", rec.Reason)
 	}
 	p.recovered = append(p.recovered, recovered{name, rec})
 }
@@ -29,8 +29,8 @@
 // recordRecovered records what was found, on the loop.
 func (p *pooler) recordRecovered() {
 	for _, r := range p.recovered {
-		if r.Records > 0 || r.Dropped > 0 {
-			p.core.Recovered(record.Found{Store: r.name, Records: int64(r.Records), Segments: int64(r.Segments), Dropped: int64(r.Dropped)}, r.TookMs, r.Why)
+		if r.Records > 0 || r.DroppedBytes > 0 {
+			p.core.Recovered(record.Found{Store: r.name, Records: int64(r.Records), Segments: int64(r.SegmentsRead), Dropped: int64(r.DroppedBytes)}, r.DurationMs, r.Reason)
 		}
 	}
 	p.recovered = nil
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -33,7 +33,7 @@
 // sessionsIn keeps them in the first of two places that no other process has; the second is for processes on a given socket alone.
 func (p *pooler) sessionsIn(places [2]store.FS, o settings.Sessions) (stop func(), err error) {
 	checks, every := p.storeChecks()
-	opt := store.Options{MaxBytes: o.MostBytes, SegmentBytes: o.MostBytes / 16, Pace: o.Pace, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB), Checks: checks, Every: every}
+	opt := store.Options{MaxBytes: o.MostBytes, SegmentBytes: o.MostBytes / 16, CompactionRate: o.Pace, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB), Checks: checks, BatchesPerWalk: every}
 	s, rec, at, err := p.openSessions(places, opt)
 	if err != nil {
 		return nil, fmt.Errorf("sessions: %w", err)
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
-	k.Bound(int(opt.MaxMemory / store.Memory(1, int64(sessiontoken.MostBytes))))
+	k.LimitSessions(int(opt.MaxMemory / store.MemoryUse(1, int64(sessiontoken.MaxRecordBytes))))
 	p.commits = k
 	p.core.SetSessionTokens(k)
 	end := func() {
--- a/cmd/beechgrade/sessions_test.go
+++ b/cmd/beechgrade/sessions_test.go
@@ -54,7 +54,7 @@
 // deadline comes first, or the disk refuses, it is answered as failed; alongside, it is answered whatever the disk does.
 func TestSlowSessions(t *testing.T) {
 	t.Parallel()
-	for _, mode := range []sessiontoken.Mode{sessiontoken.Before, sessiontoken.Alongside} {
+	for _, mode := range []sessiontoken.Mode{sessiontoken.BeforeAnswer, sessiontoken.Alongside} {
 		addr, queries := server(t)
 		cfg := testConfig(t, addr, nil, func(c *config.Config) { c.Settings.TrackCommits = true })
 		var log bytes.Buffer
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -27,8 +27,8 @@
 	if o.Dir == "" {
 		return nil
 	}
-	k, err := snapshots.Start(snapshots.Options{FS: store.Dir(o.Dir), MostBytes: o.MostBytes, AgeMs: o.AgeMs, Pace: o.Pace, Log: log,
-		Checks: loggedChecks(checked, log), Store: loggedChecks(checked, log), Every: checked.Every})
+	k, err := snapshots.Start(snapshots.Options{FS: store.Dir(o.Dir), MaxBytes: o.MostBytes, MaxAgeMs: o.AgeMs, CompactionRate: o.Pace, Log: log,
+		Checks: loggedChecks(checked, log), Store: loggedChecks(checked, log), BatchesPerWalk: checked.Every})
 	if err != nil {
 		log.Error("kept: starting without it, and nothing is kept", "dir", o.Dir, "err", err)
 		return nil
@@ -42,9 +42,9 @@
 	if k == nil || !errors.Is(cause, config.ErrUnread) {
 		return nil, cause
 	}
-	r, err := k.Found(snapshots.Config, clock.ThisMachine())
-	if err == nil && r != nil && r.From != env("EDGE_CONFIG") {
-		err = fmt.Errorf("it is of %s", r.From)
+	r, err := k.Get(snapshots.Config, clock.ThisMachine())
+	if err == nil && r != nil && r.Source != env("EDGE_CONFIG") {
+		err = fmt.Errorf("it is of %s", r.Source)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w; what was kept is not used: %w", cause, err)
@@ -77,11 +77,11 @@
 
 // restore takes the list that was kept where it is newer than the configuration's, of the same discovery.
 func (p *pooler) restore() {
-	r, err := p.snapshots.Found(snapshots.List, p.machine)
+	r, err := p.snapshots.Get(snapshots.List, p.machine)
 	var l discovery.List
 	if err == nil && r != nil {
 		if err = jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(r.Body, &l); err == nil && (len(l.Instances) == 0 || !l.Reset) {
-			err = snapshots.ErrForeign
+			err = snapshots.ErrMalformed
 		}
 	}
 	known := &p.cfg.Known
@@ -89,8 +89,8 @@
 	case err != nil:
 		p.log.Warn("kept: starting without the list", "err", err)
 	case r == nil:
-	case r.From != p.cfg.Discovery:
-		p.log.Info("kept: the list is another discovery's", "from", r.From)
+	case r.Source != p.cfg.Discovery:
+		p.log.Info("kept: the list is another discovery's", "from", r.Source)
 	case len(known.Instances) > 0 && (l.Generation <= known.Generation || !p.cfg.Kept && p.cfg.WrittenMs > r.SavedMs):
 		p.log.Info("kept: the configuration's list is newer", "generation", known.Generation, "kept", l.Generation)
 	default:
@@ -106,7 +106,7 @@
 	}
 	text := c.Text
 	p.renewConfig = func() {
-		record := snapshots.RecordOf(p.machine, path, text)
+		record := snapshots.NewRecord(p.machine, path, text)
 		p.snapshots.Put(snapshots.Config, func() (*snapshots.Record, error) { return record, nil })
 	}
 	p.renewConfig()
@@ -141,7 +141,7 @@
 	p.listSavedAt = max(now, p.listSavedAt+listSaveIntervalMs)
 	p.loop.At(p.listSavedAt, func() {
 		p.savingList = false
-		l, record := p.list.complete(), snapshots.RecordOf(p.machine, p.cfg.Discovery, nil)
+		l, record := p.list.complete(), snapshots.NewRecord(p.machine, p.cfg.Discovery, nil)
 		if len(l.Instances) == 0 || l.Generation == 0 { // it serves nobody, or is another discovery's still
 			return
 		}
@@ -158,7 +158,7 @@
 
 // Load is snapshot.Saver's.
 func (s savedEndpoints) Load() (*snapshot.File, error) {
-	r, err := s.k.Found(snapshots.Members, clock.ThisMachine())
+	r, err := s.k.Get(snapshots.EndpointList, clock.ThisMachine())
 	if err != nil || r == nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 func (s savedEndpoints) Save(f *snapshot.File) error {
 	b, err := snapshot.Append(nil, f)
 	if err == nil {
-		s.k.Put(snapshots.Members, func() (*snapshots.Record, error) {
+		s.k.Put(snapshots.EndpointList, func() (*snapshots.Record, error) {
 			return &snapshots.Record{SavedMs: f.SavedMs, Saved: clock.ThisMachine().Now(), Body: b}, nil
 		})
 	}
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		t.Fatal(name, err)
 	}
-	if recovery.Dropped > 0 {
-		t.Errorf("%s: %d bytes are dropped: %s", name, recovery.Dropped, recovery.Why)
+	if recovery.DroppedBytes > 0 {
+		t.Errorf("%s: %d bytes are dropped: %s", name, recovery.DroppedBytes, recovery.Reason)
 	}
 	t.Cleanup(func() { _ = s.Close() })
 	return s
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state, err := handover.Parse(text)
+	state, err := handover.Decode(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,18 +93,18 @@
 	t.Parallel()
 	s := openStored(t, storedData(t), "kept")
 	_ = s.Close()
-	keeper, err := snapshots.Start(snapshots.Options{FS: store.Dir(filepath.Join(storedData(t), "kept")), MostBytes: 64 << 20, AgeMs: 1e15, Log: slog.New(slog.DiscardHandler)})
+	keeper, err := snapshots.Start(snapshots.Options{FS: store.Dir(filepath.Join(storedData(t), "kept")), MaxBytes: 64 << 20, MaxAgeMs: 1e15, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer keeper.Stop()
 	var out strings.Builder
 	for _, what := range []string{snapshots.Config, snapshots.List} {
-		record, err := keeper.Found(what, clock.ThisMachine())
+		record, err := keeper.Get(what, clock.ThisMachine())
 		if err != nil || record == nil {
 			t.Fatalf("%s: %v, %v", what, record, err)
 		}
-		fmt.Fprintf(&out, "%s from %s, saved at %.0f: %s\n", what, record.From, record.SavedMs, record.Body)
+		fmt.Fprintf(&out, "%s from %s, saved at %.0f: %s\n", what, record.Source, record.SavedMs, record.Body)
 	}
 	golden(t, "stored-snapshots.txt", out.String())
 }
@@ -113,7 +113,7 @@
 func TestStoredSessionsAreReadable(t *testing.T) {
 	t.Parallel()
 	s := openStored(t, storedData(t), "sessions")
-	keeper, err := sessiontoken.New(s, sessiontoken.Before, clock.ToDuration(18e11), func(f func()) { f() }, slog.New(slog.DiscardHandler))
+	keeper, err := sessiontoken.New(s, sessiontoken.BeforeAnswer, clock.ToDuration(18e11), func(f func()) { f() }, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 	t.Parallel()
 	var out strings.Builder
 	for _, attempt := range journal.Pending(openStored(t, storedData(t), "journal")) {
-		fmt.Fprintf(&out, "%s at %s, attempt %d, %.3f: ended as %d\n", attempt.ID, attempt.Server, attempt.No, attempt.At, attempt.End)
+		fmt.Fprintf(&out, "%s at %s, attempt %d, %.3f: ended as %d\n", attempt.ID, attempt.Server, attempt.Number, attempt.StartedAt, attempt.Outcome)
 	}
 	golden(t, "stored-journal.txt", out.String())
 }
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -53,7 +53,7 @@
 
 // newer tells whether another process's list is newer: discovery has begun anew more often, or its generation is higher.
 func (l *list) newer(s *handover.State) bool {
-	return s.Anew > l.restarts || s.Anew == l.restarts && s.List.Generation > l.gen
+	return s.ListRestarts > l.restarts || s.ListRestarts == l.restarts && s.List.Generation > l.gen
 }
 
 // adopt takes another process's list. What drains in the one that is held goes on draining until discovery itself says otherwise: the
@@ -67,7 +67,7 @@
 		}
 	}
 	l.take(&n)
-	l.restarts, l.received = s.Anew, true
+	l.restarts, l.received = s.ListRestarts, true
 }
 
 // complete is all of it.
@@ -84,8 +84,8 @@
 	if p.inheritedListener == nil || dir == "" {
 		return
 	}
-	p.folder = handover.On(p.machine, dir)
-	others, err := p.folder.Others(handover.KnownMs)
+	p.folder = handover.OpenDirectoryOn(p.machine, dir)
+	others, err := p.folder.Others(handover.UsefulMs)
 	if err != nil {
 		p.log.Warn("what another process handed over is not used", "err", err)
 	}
@@ -96,9 +96,9 @@
 	if then := p.previousState.ClockMs; then > 0 { // its clock and this one's may have started on either side of a step of the wall clock
 		p.previousState.Memory.Shift(clock.ToDuration(p.loop.Now() - p.previousState.AgeMs - then))
 	}
-	if l := &p.previousState.List; p.sources == nil && p.previousState.From == p.cfg.Discovery && l.Generation > p.cfg.Known.Generation {
+	if l := &p.previousState.List; p.sources == nil && p.previousState.ListSource == p.cfg.Discovery && l.Generation > p.cfg.Known.Generation {
 		p.cfg.Known = *l
-		p.list.restarts, p.list.received = p.previousState.Anew, true
+		p.list.restarts, p.list.received = p.previousState.ListRestarts, true
 	}
 	p.count(others)
 }
@@ -123,9 +123,9 @@
 func (p *pooler) count(others []*handover.State) {
 	p.otherProcesses, p.othersDescriptors = 0, 0
 	for _, s := range others {
-		if s.AgeMs <= handover.FreshMs {
+		if s.AgeMs <= handover.LiveMs {
 			p.otherProcesses++
-			p.othersDescriptors += s.Held
+			p.othersDescriptors += s.Descriptors
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	if p.list.received {
 		known = p.list.complete()
 	}
-	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Now(), ClockMs: p.loop.Now(), Held: held, Ends: !p.lifecycle.Serves(), From: p.cfg.Discovery, List: known, Anew: p.list.restarts,
+	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Now(), ClockMs: p.loop.Now(), Descriptors: held, Ending: !p.lifecycle.IsServing(), ListSource: p.cfg.Discovery, List: known, ListRestarts: p.list.restarts,
 		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.Kinds), Memory: p.core.Snapshot()}
 }
 
@@ -216,7 +216,7 @@
 func (p *pooler) observe(quit <-chan struct{}) {
 	last := ""
 	each(quit, func() {
-		others, err := p.folder.Others(handover.KnownMs)
+		others, err := p.folder.Others(handover.UsefulMs)
 		if err != nil && err.Error() != last {
 			last = err.Error()
 			p.log.Warn("what another process tells is not used", "err", err)
@@ -245,7 +245,7 @@
 		return
 	}
 	for _, s := range others {
-		if s.From == p.cfg.Discovery && p.list.newer(s) {
+		if s.ListSource == p.cfg.Discovery && p.list.newer(s) {
 			p.adopt(s)
 		}
 	}
@@ -254,7 +254,7 @@
 // adopt takes another process's list, which is newer, and has discovery asked for its own.
 func (p *pooler) adopt(s *handover.State) {
 	p.log.Info("another process has heard more", "generation", s.List.Generation, "own", p.list.gen)
-	anew := s.Anew > p.list.restarts
+	anew := s.ListRestarts > p.list.restarts
 	p.list.adopt(s)
 	p.discovery.Adopt(p.list.gen, anew)
 	whole := p.list.complete()
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -95,8 +95,8 @@
 }
 
 func newOtherProcess(u *upgrade) *otherProcess {
-	o := &otherProcess{u: u, s: handover.State{From: u.at, Memory: &decide.Snapshot{}}}
-	folder, done, quit := handover.In(u.dir), make(chan struct{}), make(chan struct{})
+	o := &otherProcess{u: u, s: handover.State{ListSource: u.at, Memory: &decide.Snapshot{}}}
+	folder, done, quit := handover.OpenDirectory(u.dir), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
@@ -104,7 +104,7 @@
 			s := o.s
 			o.mu.Unlock()
 			s.SavedMs = clock.Wall()
-			if s.Held > 0 {
+			if s.Descriptors > 0 {
 				if err := folder.Write(&s); err != nil {
 					u.t.Error(err)
 				}
@@ -124,9 +124,9 @@
 func (o *otherProcess) names(p *pooler, l discovery.List, anew int) {
 	o.u.t.Helper()
 	o.mu.Lock()
-	o.s.Held++
-	o.s.List, o.s.Anew = l, anew
-	held := o.s.Held
+	o.s.Descriptors++
+	o.s.List, o.s.ListRestarts = l, anew
+	held := o.s.Descriptors
 	o.mu.Unlock()
 	o.u.until("the other's file is read", p, func() bool { return p.othersDescriptors == held })
 }
@@ -229,7 +229,7 @@
 	u.t.Helper()
 	states := make(chan *handover.State, 1)
 	p.loop.Post(func() { states <- p.state() })
-	if s := <-states; s.Anew != anew || s.List.Generation != 0 && !p.list.received || s.List.Generation > 89 {
-		u.t.Errorf("it tells generation %d, begun anew %d times", s.List.Generation, s.Anew)
+	if s := <-states; s.ListRestarts != anew || s.List.Generation != 0 && !p.list.received || s.List.Generation > 89 {
+		u.t.Errorf("it tells generation %d, begun anew %d times", s.List.Generation, s.ListRestarts)
 	}
 }
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -21,7 +21,7 @@
 // of it, and a third is refused; once the one has ended, the other knows its sessions, keeps them, and doubts no more.
 func TestBeside(t *testing.T) {
 	t.Parallel()
-	for _, mode := range []sessiontoken.Mode{sessiontoken.Before, sessiontoken.Alongside} {
+	for _, mode := range []sessiontoken.Mode{sessiontoken.BeforeAnswer, sessiontoken.Alongside} {
 		t.Run(mode.String(), func(t *testing.T) {
 			t.Parallel()
 			besideIn(t, mode)
@@ -49,7 +49,7 @@
 		stopped := func() { once.Do(close) }
 		t.Cleanup(stopped)
 		_, _, stop, done := launch(t, p)
-		u.until("ready", p, func() bool { return p.lifecycle.Serves() })
+		u.until("ready", p, func() bool { return p.lifecycle.IsServing() })
 		return p, func() {
 			stop <- syscall.SIGTERM
 			<-done
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -32,7 +32,7 @@
 	mute  atomic.Bool
 	known int64 // generation of the list that a process is configured with
 
-	other   *handover.Folder
+	other   *handover.Directory
 	stalled <-chan struct{} // processes that begin while it is set write nothing until it is closed
 }
 
@@ -108,7 +108,7 @@
 		}
 	})
 	_, _, _, ended = launch(u.t, p)
-	u.until("ready", p, func() bool { return p.lifecycle.Serves() })
+	u.until("ready", p, func() bool { return p.lifecycle.IsServing() })
 	return p
 }
 
@@ -143,7 +143,7 @@
 	u.mute.Store(true)
 	var was *handover.State
 	for end := time.Now().Add(patience); was == nil || len(was.Memory.Servers) == 0 || was.Memory.Servers[0].Role != decide.RolePrimary; time.Sleep(2 * time.Millisecond) {
-		if others, _ := handover.In(u.dir).Others(handover.KnownMs); len(others) > 0 {
+		if others, _ := handover.OpenDirectory(u.dir).Others(handover.UsefulMs); len(others) > 0 {
 			was = others[0]
 		}
 		if time.Now().After(end) {
@@ -153,7 +153,7 @@
 	two := u.process()
 	u.until("they know of each other", two, func() bool { return two.otherProcesses == 1 })
 	u.until("they know of each other", one, func() bool { return one.otherProcesses == 1 })
-	one.loop.Post(func() { one.handleLifecycle(lifecycle.Term) })
+	one.loop.Post(func() { one.handleLifecycle(lifecycle.Terminate) })
 	u.until("the other one has ended", two, func() bool { return two.otherProcesses == 0 })
 	c = client(t, u.ln.Addr().String())
 	c.send(query("2", "write", 9000))
@@ -213,14 +213,14 @@
 
 // drainedSince is the state of another process that knew of a drain, as of so many ms ago.
 func drainedSince(u *upgrade, ms float64) *handover.State {
-	return &handover.State{SavedMs: clock.Wall() - ms, From: u.at, Memory: &decide.Snapshot{}, List: discovery.List{Generation: 8, Reset: true,
+	return &handover.State{SavedMs: clock.Wall() - ms, ListSource: u.at, Memory: &decide.Snapshot{}, List: discovery.List{Generation: 8, Reset: true,
 		Instances: []discovery.Instance{{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "draining", Weight: 1}}}}
 }
 
 // write has another process's state stand in the folder.
 func (u *upgrade) write(s *handover.State) {
 	if u.other == nil {
-		u.other = handover.In(u.dir)
+		u.other = handover.OpenDirectory(u.dir)
 	}
 	if err := u.other.Write(s); err != nil {
 		u.t.Error(err)
@@ -233,7 +233,7 @@
 	t.Parallel()
 	u := newUpgrade(t)
 	two := u.process()
-	if err := handover.In(u.dir).Write(&handover.State{SavedMs: clock.Wall(), Held: 400, Memory: &decide.Snapshot{}}); err != nil {
+	if err := handover.OpenDirectory(u.dir).Write(&handover.State{SavedMs: clock.Wall(), Descriptors: 400, Memory: &decide.Snapshot{}}); err != nil {
 		t.Fatal(err)
 	}
 	u.until("limits are shared", two, func() bool { return two.otherProcesses == 1 && two.sockets() == 624 && two.memory() == 96<<20 })
--- a/internal/cluster/credit/form.go
+++ b/internal/cluster/credit/form.go
@@ -41,9 +41,15 @@
 
 type writer struct{ b []byte }
 
-func (w *writer) num(field protowire.Number, v uint64)   { w.b = encoding.AppendUint(w.b, field, v) }
-func (w *writer) fixed(field protowire.Number, v uint64) { w.b = encoding.PutFixed(w.b, field, v) }
-func (w *writer) text(field protowire.Number, s string)  { w.b = encoding.AppendText(w.b, field, s) }
+func (w *writer) num(field protowire.Number, v uint64) {
+	w.b = encoding.AppendNonZeroUint(w.b, field, v)
+}
+func (w *writer) fixed(field protowire.Number, v uint64) {
+	w.b = encoding.AppendFixedField(w.b, field, v)
+}
+func (w *writer) text(field protowire.Number, s string) {
+	w.b = encoding.AppendNonEmptyBytes(w.b, field, s)
+}
 
 func (w *writer) key(k *ledger.Key) {
 	w.text(1, k.Tenant)
@@ -65,7 +71,7 @@
 	part := func(field protowire.Number, do func(w *writer)) {
 		w := &writer{}
 		do(w)
-		o.b = encoding.PutText(o.b, field, w.b)
+		o.b = encoding.AppendBytesField(o.b, field, w.b)
 	}
 	o.fixed(1, m.Who)
 	o.num(2, protowire.EncodeBool(m.Reply))
@@ -111,10 +117,10 @@
 // fields goes through a message's fields, past those of a type that none of them has.
 func fields(b []byte, do func(num protowire.Number, v uint64, text []byte) error) error {
 	return encoding.Fields(b, func(error) error { return ErrForm }, func(f encoding.Field) error {
-		if !f.Valued() {
+		if !f.HasValue() {
 			return nil
 		}
-		return do(f.Num, f.X, f.Text)
+		return do(f.Number, f.Value, f.Bytes)
 	})
 }
 
--- a/internal/cluster/credit/ledger/form.go
+++ b/internal/cluster/credit/ledger/form.go
@@ -53,11 +53,11 @@
 
 func appendLine(b []byte, l *line) []byte {
 	var x []byte
-	num := func(field protowire.Number, v uint64) { x = encoding.AppendUint(x, field, v) }
+	num := func(field protowire.Number, v uint64) { x = encoding.AppendNonZeroUint(x, field, v) }
 	num(1, uint64(l.Kind))
-	x = encoding.AppendText(x, 2, l.Key.Tenant)
+	x = encoding.AppendNonEmptyBytes(x, 2, l.Key.Tenant)
 	num(3, uint64(l.Key.Depth))
-	x = encoding.AppendFixed(x, 4, l.Key.Holder)
+	x = encoding.AppendNonZeroFixed(x, 4, l.Key.Holder)
 	num(5, uint64(l.Key.Gen))
 	num(6, l.No)
 	num(7, uint64(l.Amount))
@@ -72,7 +72,7 @@
 	num(16, uint64(l.lent))
 	num(17, uint64(l.stranded))
 	num(18, uint64(l.full))
-	return encoding.PutText(b, 1, encoding.AppendText(x, 19, l.taken))
+	return encoding.AppendBytesField(b, 1, encoding.AppendNonEmptyBytes(x, 19, l.taken))
 }
 
 // Decode reads an entry, all or nothing.
@@ -97,11 +97,11 @@
 
 func lines(b []byte, do func(l *line) error) error {
 	return encoding.Fields(b, fault, func(f encoding.Field) error {
-		if f.Num != 1 || f.Type != protowire.BytesType {
+		if f.Number != 1 || f.Type != protowire.BytesType {
 			return nil
 		}
 		l := &line{}
-		if err := l.read(f.Text); err != nil {
+		if err := l.read(f.Bytes); err != nil {
 			return err
 		}
 		return do(l)
@@ -122,12 +122,12 @@
 
 // take takes a field; one of another type than its own is passed over.
 func (l *line) take(f encoding.Field) error {
-	switch v := f.X; f.Type {
+	switch v := f.Value; f.Type {
 	case protowire.VarintType:
-		if !inBounds(f.Num, v) {
+		if !inBounds(f.Number, v) {
 			return ErrForm
 		}
-		switch f.Num {
+		switch f.Number {
 		case 1:
 			l.Kind = Kind(min(v, 255))
 		case 3:
@@ -162,14 +162,14 @@
 			l.full = int64(v)
 		}
 	case protowire.BytesType:
-		switch f.Num {
+		switch f.Number {
 		case 2:
-			l.Key.Tenant = string(f.Text)
+			l.Key.Tenant = string(f.Bytes)
 		case 19:
-			l.taken = f.Text
+			l.taken = f.Bytes
 		}
 	case protowire.Fixed64Type:
-		if f.Num == 4 {
+		if f.Number == 4 {
 			l.Key.Holder = v
 		}
 	}
--- a/internal/cluster/form.go
+++ b/internal/cluster/form.go
@@ -102,13 +102,13 @@
 }
 
 func appendUint(b []byte, num protowire.Number, x uint64) []byte {
-	return encoding.AppendUint(b, num, x)
+	return encoding.AppendNonZeroUint(b, num, x)
 }
 func appendFixed(b []byte, num protowire.Number, x uint64) []byte {
-	return encoding.PutFixed(b, num, x)
+	return encoding.AppendFixedField(b, num, x)
 }
 func appendText(b []byte, num protowire.Number, s string) []byte {
-	return encoding.AppendText(b, num, s)
+	return encoding.AppendNonEmptyBytes(b, num, s)
 }
 
 func bit(on bool) uint64 {
@@ -126,21 +126,21 @@
 	var part []byte
 	for i := range e.Records {
 		part = appendRecord(part[:0], &e.Records[i])
-		b = encoding.PutText(b, 5, part)
+		b = encoding.AppendBytesField(b, 5, part)
 	}
 	if c := e.counts; c.Sending > 0 {
 		part = appendUint(appendUint(part[:0], 1, uint64(c.Reachable)), 2, uint64(c.Sending))
 		part = appendUint(appendUint(part, 3, bit(c.Majority)), 4, bit(c.Alone))
-		b = encoding.PutText(b, 6, part)
+		b = encoding.AppendBytesField(b, 6, part)
 	}
 	for i := range e.avoids {
 		part = appendAvoided(part[:0], &e.avoids[i])
-		b = encoding.PutText(b, 10, part)
+		b = encoding.AppendBytesField(b, 10, part)
 	}
 	if m := e.limits; m != nil {
 		for i := range m.Items {
 			part = appendItem(part[:0], &m.Items[i])
-			b = encoding.PutText(b, 7, part)
+			b = encoding.AppendBytesField(b, 7, part)
 		}
 		b = appendUint(b, 8, uint64(m.Verb))
 	}
@@ -168,22 +168,22 @@
 
 func readItem(b []byte) (it quota.Item, err error) {
 	err = encoding.Fields(b, fault, func(f encoding.Field) error {
-		small, real := int(min(f.X, math.MaxInt32)), math.Float64frombits(f.X)
-		switch f.Num {
+		small, real := int(min(f.Value, math.MaxInt32)), math.Float64frombits(f.Value)
+		switch f.Number {
 		case 1:
-			it.Limit = f.X
+			it.Limit = f.Value
 		case 2:
-			it.Seq = uint32(f.X)
+			it.Seq = uint32(f.Value)
 		case 3:
-			it.Epoch = uint32(f.X)
+			it.Epoch = uint32(f.Value)
 		case 4:
 			it.Stamp = real
 		case 5:
-			it.Vote = f.X == 1
+			it.Vote = f.Value == 1
 		case 6:
-			it.Even = f.X == 1
+			it.Even = f.Value == 1
 		case 7:
-			it.Seen = uint32(f.X)
+			it.Seen = uint32(f.Value)
 		case 8:
 			it.Hold = small
 		case 9:
@@ -195,7 +195,7 @@
 		case 12:
 			it.Pool = small
 		case 13:
-			it.Sure = f.X == 1
+			it.Sure = f.Value == 1
 		case 14:
 			it.Share = real
 		}
@@ -219,30 +219,30 @@
 func readEnvelope(b []byte) (*envelope, error) {
 	e := &envelope{}
 	err := encoding.Fields(b, fault, func(f encoding.Field) error {
-		switch f.Num {
+		switch f.Number {
 		case 1:
-			if f.X > 255 {
-				return fmt.Errorf("%w: kind %d", ErrForm, f.X)
+			if f.Value > 255 {
+				return fmt.Errorf("%w: kind %d", ErrForm, f.Value)
 			}
-			e.Kind = view.Kind(f.X)
+			e.Kind = view.Kind(f.Value)
 		case 2:
-			e.From = view.ID(f.X)
+			e.From = view.ID(f.Value)
 		case 3:
-			e.Seq = uint32(f.X)
+			e.Seq = uint32(f.Value)
 		case 4:
-			e.Target = view.ID(f.X)
+			e.Target = view.ID(f.Value)
 		case 5:
 			if len(e.Records) >= view.MostRecords {
 				return fmt.Errorf("%w: over %d records", ErrForm, view.MostRecords)
 			}
-			r, err := readRecord(f.Text)
+			r, err := readRecord(f.Bytes)
 			if err != nil {
 				return err
 			}
 			e.Records = append(e.Records, r)
 		case 6:
-			return encoding.Fields(f.Text, fault, func(f encoding.Field) error {
-				switch x := int(f.X & 0xffffff); f.Num {
+			return encoding.Fields(f.Bytes, fault, func(f encoding.Field) error {
+				switch x := int(f.Value & 0xffffff); f.Number {
 				case 1:
 					e.counts.Reachable = x
 				case 2:
@@ -261,22 +261,22 @@
 			if len(e.limits.Items) >= quota.MostItems {
 				return fmt.Errorf("%w: over %d limits", ErrForm, quota.MostItems)
 			}
-			it, err := readItem(f.Text)
+			it, err := readItem(f.Bytes)
 			e.limits.Items = append(e.limits.Items, it)
 			return err
 		case 8:
 			if e.limits != nil {
-				e.limits.Verb = quota.Verb(min(f.X, 255))
+				e.limits.Verb = quota.Verb(min(f.Value, 255))
 			}
 		case 10:
 			if len(e.avoids) >= mostAvoided {
 				return fmt.Errorf("%w: over %d avoided", ErrForm, mostAvoided)
 			}
-			a, err := readAvoided(f.Text)
+			a, err := readAvoided(f.Bytes)
 			e.avoids = append(e.avoids, a)
 			return err
 		case 9:
-			e.body.raw = slices.Clone(f.Text) // the reader uses its bytes again
+			e.body.raw = slices.Clone(f.Bytes) // the reader uses its bytes again
 		}
 		return nil
 	})
@@ -293,16 +293,16 @@
 	texts := [...]*string{&r.Name, &r.Addr, &r.Zone, &r.Region, &r.Version}
 	err = encoding.Fields(b, fault, func(f encoding.Field) error {
 		switch {
-		case f.Num == 1:
-			r.ID = view.ID(f.X)
-		case f.Num >= 2 && f.Num <= 6:
-			*texts[f.Num-2] = string(f.Text)
-		case f.Num == 7:
-			r.Inc = uint32(f.X)
-		case f.Num == 8:
-			r.State = view.State(min(f.X, 255))
-		case f.Num == 9:
-			r.Draining = f.X == 1
+		case f.Number == 1:
+			r.ID = view.ID(f.Value)
+		case f.Number >= 2 && f.Number <= 6:
+			*texts[f.Number-2] = string(f.Bytes)
+		case f.Number == 7:
+			r.Inc = uint32(f.Value)
+		case f.Number == 8:
+			r.State = view.State(min(f.Value, 255))
+		case f.Number == 9:
+			r.Draining = f.Value == 1
 		}
 		return nil
 	})
--- a/internal/cluster/outlier/form.go
+++ b/internal/cluster/outlier/form.go
@@ -116,7 +116,7 @@
 
 func (r *reader) number(grain, most float64) float64 {
 	x := float64(r.Uvarint()) / grain
-	r.Need(x <= most)
+	r.Require(x <= most)
 	return x
 }
 
@@ -125,11 +125,11 @@
 // rest reads what flags say that there is.
 func (r *reader) rest(f byte, base float64) (s Said, age, answered float64) {
 	s.Role, answered = Role(f&flagRole), -1
-	r.Need(s.Role <= Follows)
+	r.Require(s.Role <= Follows)
 	if f&flagSaid != 0 {
 		s.Position = base - r.number(ageGrain, mostPlace)
 		age = r.age()
-		r.Need(s.Position > 0)
+		r.Require(s.Position > 0)
 	}
 	if f&flagAnswered != 0 {
 		answered = r.age()
@@ -149,12 +149,12 @@
 			f := r.Byte()
 			if x.N = int(r.Byte()); x.N > 0 {
 				x.First, x.Last, x.Work = r.age(), r.age(), r.age()
-				r.Need(x.Last <= x.First)
+				r.Require(x.Last <= x.First)
 			}
 			x.Said, x.SaidAge, x.Answered = r.rest(f, base)
 			t.Items = append(t.Items, x)
 		}
-		if r.Good() {
+		if r.OK() {
 			return t, nil
 		}
 	case verbWord:
@@ -163,20 +163,20 @@
 			x := Sum{Key: r.Uint32()}
 			f := r.Byte()
 			if x.Bad, x.All = f&flagBad != 0, f&flagAll != 0; x.Bad {
-				zones, by := r.ByteTo(mostZones), r.ByteTo(2)
-				for i := 0; i < zones && r.Good(); i++ {
+				zones, by := r.ByteMax(mostZones), r.ByteMax(2)
+				for i := 0; i < zones && r.OK(); i++ {
 					x.Zones = append(x.Zones, r.Uint32())
 				}
-				for i := 0; i < by && r.Good(); i++ {
+				for i := 0; i < by && r.OK(); i++ {
 					x.By = append(x.By, ID(r.Uint64()))
 				}
 				x.First, x.Last = r.age(), r.age()
-				r.Need(x.Last <= x.First)
+				r.Require(x.Last <= x.First)
 			}
 			x.Said, x.SaidAge, x.Answered = r.rest(f, base)
 			w.Items = append(w.Items, x)
 		}
-		if r.Good() {
+		if r.OK() {
 			return w, nil
 		}
 	}
--- a/internal/cluster/overload/form.go
+++ b/internal/cluster/overload/form.go
@@ -94,10 +94,10 @@
 
 func (r *reader) single() float64     { return r.fine(float64(math.Float32frombits(r.Uint32()))) }
 func (r *reader) x(g float64) float64 { return float64(r.Uvarint()) / g }
-func (r *reader) number() int         { return int(r.UvarintTo(math.MaxInt32)) }
+func (r *reader) number() int         { return int(r.UvarintMax(math.MaxInt32)) }
 
 func (r *reader) fine(x float64) float64 {
-	if r.Need(finite(x)); !r.Good() {
+	if r.Require(finite(x)); !r.OK() {
 		return 0
 	}
 	return x
@@ -119,7 +119,7 @@
 	default:
 		return nil, fmt.Errorf("%w: verb %d", ErrForm, verb)
 	}
-	if !r.Done() {
+	if !r.AtEnd() {
 		return nil, ErrForm
 	}
 	return m, nil
@@ -127,12 +127,12 @@
 
 func (r *reader) tell() *Tell {
 	t := &Tell{Seq: uint32(r.Uvarint()), Stamp: r.x(timeGrain), Held: r.x(timeGrain)}
-	for range r.ByteTo(MostClasses) {
+	for range r.ByteMax(MostClasses) {
 		t.Work = append(t.Work, Figure{r.Uint16(), ungrain(r.Byte())})
 	}
-	for range r.ByteTo(Block) {
+	for range r.ByteMax(Block) {
 		p := Pressure{Group: r.number(), Budget: r.single(), Level: r.single()}
-		classes, tenants := r.ByteTo(MostClasses), r.ByteTo(MostTenants)
+		classes, tenants := r.ByteMax(MostClasses), r.ByteMax(MostTenants)
 		for range classes {
 			f := Flow{Key: r.Uint16()}
 			for _, to := range [...]*float64{&f.First, &f.Again, &f.In, &f.Done, &f.Ended, &f.Strain, &f.Open} {
@@ -150,12 +150,12 @@
 
 func (r *reader) answer() *Answer {
 	a := &Answer{Seq: uint32(r.Uvarint()), Stamp: r.x(timeGrain)}
-	for range r.ByteTo(MostClasses) {
+	for range r.ByteMax(MostClasses) {
 		a.Order = append(a.Order, r.Uint16())
 	}
-	for range r.ByteTo(Block) {
+	for range r.ByteMax(Block) {
 		v := Verdict{Group: r.number(), Budget: r.single(), Level: r.single()}
-		for range r.ByteTo(MostTenants * 2) {
+		for range r.ByteMax(MostTenants * 2) {
 			v.Beyond = append(v.Beyond, Figure{r.Uint16(), float64(r.Byte()) / partGrain})
 		}
 		a.Groups = append(a.Groups, v)
--- a/internal/cluster/overload/form_probes.go
+++ b/internal/cluster/overload/form_probes.go
@@ -27,6 +27,6 @@
 	f := &Found{Server: r.text(), Seq: uint32(r.Uvarint()), Began: r.x(timeGrain)}
 	f.Result, f.Kind, f.Role = Result(r.Byte()), r.Byte(), r.Byte()
 	f.Position = r.x(timeGrain)
-	r.Need(f.Result <= Busy && finite(f.Position))
+	r.Require(f.Result <= Busy && finite(f.Position))
 	return f
 }
--- a/internal/cluster/parts.go
+++ b/internal/cluster/parts.go
@@ -22,7 +22,7 @@
 	if w == nil {
 		return b
 	}
-	return encoding.PutText(b, 9, w.Append(nil))
+	return encoding.AppendBytesField(b, 9, w.Append(nil))
 }
 
 // Join has a part live beside the view; before Start.
--- a/internal/cluster/raftlog/form.go
+++ b/internal/cluster/raftlog/form.go
@@ -39,24 +39,24 @@
 }
 
 func (m *message) append(b []byte) []byte {
-	b = encoding.AppendUint(b, 1, uint64(m.verb))
-	b = encoding.AppendFixed(b, 2, m.group)
-	b = encoding.AppendFixed(b, 3, m.from)
-	b = encoding.AppendFixed(b, 4, m.to)
-	b = encoding.AppendText(b, 5, m.name)
-	b = encoding.AppendFixed(b, 6, m.disk)
-	b = encoding.AppendFixed(b, 7, m.echo)
-	b = encoding.AppendUint(b, 8, m.ref)
-	b = encoding.AppendUint(b, 9, m.index)
-	b = encoding.AppendUint(b, 10, m.count)
-	b = encoding.AppendUint(b, 11, m.part)
+	b = encoding.AppendNonZeroUint(b, 1, uint64(m.verb))
+	b = encoding.AppendNonZeroFixed(b, 2, m.group)
+	b = encoding.AppendNonZeroFixed(b, 3, m.from)
+	b = encoding.AppendNonZeroFixed(b, 4, m.to)
+	b = encoding.AppendNonEmptyBytes(b, 5, m.name)
+	b = encoding.AppendNonZeroFixed(b, 6, m.disk)
+	b = encoding.AppendNonZeroFixed(b, 7, m.echo)
+	b = encoding.AppendNonZeroUint(b, 8, m.ref)
+	b = encoding.AppendNonZeroUint(b, 9, m.index)
+	b = encoding.AppendNonZeroUint(b, 10, m.count)
+	b = encoding.AppendNonZeroUint(b, 11, m.part)
 	if m.flag {
-		b = encoding.PutUint(b, 12, 1)
+		b = encoding.AppendUintField(b, 12, 1)
 	}
 	for _, x := range m.members {
-		b = encoding.PutText(b, 13, encoding.PutFixed(encoding.PutText(nil, 1, x.Name), 2, x.Disk))
+		b = encoding.AppendBytesField(b, 13, encoding.AppendFixedField(encoding.AppendBytesField(nil, 1, x.Name), 2, x.Disk))
 	}
-	b = encoding.AppendText(b, 14, m.data)
+	b = encoding.AppendNonEmptyBytes(b, 14, m.data)
 	return b
 }
 
@@ -68,45 +68,45 @@
 func parse(b []byte) (*message, error) {
 	m := &message{}
 	err := encoding.Fields(b, fault, func(f encoding.Field) error {
-		switch f.Num {
+		switch f.Number {
 		case 1:
-			m.verb = verb(f.X)
+			m.verb = verb(f.Value)
 		case 2:
-			m.group = f.X
+			m.group = f.Value
 		case 3:
-			m.from = f.X
+			m.from = f.Value
 		case 4:
-			m.to = f.X
+			m.to = f.Value
 		case 5:
-			if len(f.Text) > mostName {
-				return fmt.Errorf("%w: a name of %d bytes", ErrForm, len(f.Text))
+			if len(f.Bytes) > mostName {
+				return fmt.Errorf("%w: a name of %d bytes", ErrForm, len(f.Bytes))
 			}
-			m.name = string(f.Text)
+			m.name = string(f.Bytes)
 		case 6:
-			m.disk = f.X
+			m.disk = f.Value
 		case 7:
-			m.echo = f.X
+			m.echo = f.Value
 		case 8:
-			m.ref = f.X
+			m.ref = f.Value
 		case 9:
-			m.index = f.X
+			m.index = f.Value
 		case 10:
-			m.count = f.X
+			m.count = f.Value
 		case 11:
-			m.part = f.X
+			m.part = f.Value
 		case 12:
-			m.flag = f.X != 0
+			m.flag = f.Value != 0
 		case 13:
 			if len(m.members) == 2*MostVoters {
 				return fmt.Errorf("%w: too many voters", ErrForm)
 			}
 			var y Member
-			if err := encoding.Fields(f.Text, fault, func(f encoding.Field) error {
-				switch f.Num {
+			if err := encoding.Fields(f.Bytes, fault, func(f encoding.Field) error {
+				switch f.Number {
 				case 1:
-					y.Name = string(f.Text)
+					y.Name = string(f.Bytes)
 				case 2:
-					y.Disk = f.X
+					y.Disk = f.Value
 				}
 				return nil
 			}); err != nil {
@@ -117,7 +117,7 @@
 			}
 			m.members = append(m.members, y)
 		case 14:
-			m.data = f.Text
+			m.data = f.Bytes
 		}
 		return nil
 	})
--- a/internal/cluster/raftlog/shared.go
+++ b/internal/cluster/raftlog/shared.go
@@ -28,7 +28,7 @@
 // Snapshot is Machine's.
 func (s *Shared) Snapshot() (b []byte) {
 	for i, k := range s.kinds {
-		b = encoding.PutText(b, protowire.Number(k), s.of[i].Snapshot())
+		b = encoding.AppendBytesField(b, protowire.Number(k), s.of[i].Snapshot())
 	}
 	return b
 }
@@ -38,8 +38,8 @@
 	parts := make([][]byte, len(s.of))
 	if err := encoding.Fields(b, fault, func(f encoding.Field) error {
 		for i, k := range s.kinds {
-			if protowire.Number(k) == f.Num {
-				parts[i] = f.Text
+			if protowire.Number(k) == f.Number {
+				parts[i] = f.Bytes
 			}
 		}
 		return nil
--- a/internal/cluster/shown.go
+++ b/internal/cluster/shown.go
@@ -57,17 +57,17 @@
 
 func readAvoided(b []byte) (a module.Avoided, err error) {
 	err = encoding.Fields(b, fault, func(f encoding.Field) error {
-		switch f.Num {
+		switch f.Number {
 		case 1:
-			a.Server = string(f.Text)
+			a.Server = string(f.Bytes)
 		case 2:
-			a.Why = string(f.Text)
+			a.Why = string(f.Bytes)
 		case 3:
 			if len(a.By) < mostWords {
-				a.By = append(a.By, view.ID(f.X))
+				a.By = append(a.By, view.ID(f.Value))
 			}
 		case 4:
-			if a.Until = math.Float64frombits(f.X); !(math.Abs(a.Until) < 1e15) {
+			if a.Until = math.Float64frombits(f.Value); !(math.Abs(a.Until) < 1e15) {
 				return ErrForm
 			}
 		}
--- a/internal/cluster/zones/statemachine/book.go
+++ b/internal/cluster/zones/statemachine/book.go
@@ -120,13 +120,13 @@
 	switch entry[0] {
 	case entryPlan:
 		p := r.plan()
-		if !r.Done() {
+		if !r.AtEnd() {
 			return false
 		}
 		return b.take(p)
 	case entryOrder, entryEnd:
 		o := r.order()
-		if !r.Done() {
+		if !r.AtEnd() {
 			return false
 		}
 		return b.order(o, entry[0] == entryEnd)
--- a/internal/cluster/zones/statemachine/form.go
+++ b/internal/cluster/zones/statemachine/form.go
@@ -93,46 +93,46 @@
 type reader struct{ encoding.Reader }
 
 func (r *reader) mark() Mark {
-	return Mark{State: health.State(r.UvarintTo(uint64(health.Returning))), Rest: float64(r.UvarintTo(1e6)) * 1000}
+	return Mark{State: health.State(r.UvarintMax(uint64(health.Returning))), Rest: float64(r.UvarintMax(1e6)) * 1000}
 }
 
-func (r *reader) text(most uint64) string { return string(r.Take(int(r.UvarintTo(most)))) }
+func (r *reader) text(most uint64) string { return string(r.Take(int(r.UvarintMax(most)))) }
 
 func (r *reader) plan() *Plan {
-	p := &Plan{No: r.Uvarint(), Since: r.Uvarint(), Version: r.Uvarint(), Of: uint32(r.UvarintTo(math.MaxUint32)), By: r.text(MostName)}
-	zones := r.UvarintTo(MostZones)
+	p := &Plan{No: r.Uvarint(), Since: r.Uvarint(), Version: r.Uvarint(), Of: uint32(r.UvarintMax(math.MaxUint32)), By: r.text(MostName)}
+	zones := r.UvarintMax(MostZones)
 	for range zones {
 		p.Zones = append(p.Zones, r.mark())
 	}
-	for range r.UvarintTo(MostWays) {
+	for range r.UvarintMax(MostWays) {
 		if zones == 0 {
-			r.Need(false)
+			r.Require(false)
 			return p
 		}
-		p.Ways = append(p.Ways, Way{From: int(r.UvarintTo(zones - 1)), To: int(r.UvarintTo(zones - 1)), Mark: r.mark()})
+		p.Ways = append(p.Ways, Way{From: int(r.UvarintMax(zones - 1)), To: int(r.UvarintMax(zones - 1)), Mark: r.mark()})
 	}
-	p.Short, p.Most = float64(r.UvarintTo(1e12))/parts, float64(r.UvarintTo(1e12))/parts
+	p.Short, p.Most = float64(r.UvarintMax(1e12))/parts, float64(r.UvarintMax(1e12))/parts
 	for range zones {
 		row, sum := make([]float64, zones), uint64(0)
-		for range r.UvarintTo(zones) {
-			to := r.UvarintTo(zones - 1)
-			n := r.UvarintTo(parts)
+		for range r.UvarintMax(zones) {
+			to := r.UvarintMax(zones - 1)
+			n := r.UvarintMax(parts)
 			row[to], sum = float64(n)/parts, sum+n
 		}
-		r.Need(sum <= parts)
+		r.Require(sum <= parts)
 		p.Matrix = append(p.Matrix, row)
 	}
 	return p
 }
 
 func (r *reader) order() Order {
-	return Order{No: r.Uvarint(), Zone: int(r.UvarintTo(MostZones - 1)), Lifts: r.UvarintTo(1) == 1, State: health.State(r.UvarintTo(uint64(health.Returning))), Until: float64(r.UvarintTo(1 << 50))}
+	return Order{No: r.Uvarint(), Zone: int(r.UvarintMax(MostZones - 1)), Lifts: r.UvarintMax(1) == 1, State: health.State(r.UvarintMax(uint64(health.Returning))), Until: float64(r.UvarintMax(1 << 50))}
 }
 
 // ReadPlan reads a plan's bytes, all or nothing.
 func ReadPlan(b []byte) (*Plan, error) {
 	r := reader{encoding.NewReader(b)}
-	if p := r.plan(); r.Done() {
+	if p := r.plan(); r.AtEnd() {
 		return p, nil
 	}
 	return nil, ErrForm
@@ -175,14 +175,14 @@
 	if len(data) > 0 {
 		r := reader{encoding.NewReader(data)}
 		n.Index, n.Version = r.Uvarint(), r.Uvarint()
-		for k := r.UvarintTo(2); k > 0 && r.Good(); k = r.UvarintTo(2) {
+		for k := r.UvarintMax(2); k > 0 && r.OK(); k = r.UvarintMax(2) {
 			o := r.order()
 			n.orders[o.Zone], n.stands[o.Zone] = o, k == 2
 		}
-		if r.More() && r.UvarintTo(1) == 1 {
+		if r.More() && r.UvarintMax(1) == 1 {
 			n.Plan = r.plan()
 		}
-		if !r.Done() {
+		if !r.AtEnd() {
 			return ErrForm
 		}
 	}
--- a/internal/encoding/binaryform.go
+++ b/internal/encoding/binaryform.go
@@ -10,14 +10,14 @@
 
 // Field is one field of a protobuf message.
 type Field struct {
-	Num  protowire.Number
-	Type protowire.Type
-	X    uint64 // of a varint or a fixed64, else 0
-	Text []byte // of bytes, else nil; they are the message's own
+	Number protowire.Number
+	Type   protowire.Type
+	Value  uint64 // of a varint or a fixed64, else 0
+	Bytes  []byte // of bytes, else nil; they are the message's own
 }
 
-// Valued tells whether it is of a type that a Field has a place for.
-func (f *Field) Valued() bool {
+// HasValue tells whether it is of a type that a Field has a place for.
+func (f *Field) HasValue() bool {
 	return f.Type == protowire.VarintType || f.Type == protowire.Fixed64Type || f.Type == protowire.BytesType
 }
 
@@ -26,19 +26,19 @@
 func Fields(b []byte, fault func(why error) error, take func(f Field) error) error {
 	for len(b) > 0 {
 		f, n := Field{}, 0
-		if f.Num, f.Type, n = protowire.ConsumeTag(b); n < 0 {
+		if f.Number, f.Type, n = protowire.ConsumeTag(b); n < 0 {
 			return fault(protowire.ParseError(n))
 		}
 		b = b[n:]
 		switch f.Type {
 		case protowire.VarintType:
-			f.X, n = protowire.ConsumeVarint(b)
+			f.Value, n = protowire.ConsumeVarint(b)
 		case protowire.Fixed64Type:
-			f.X, n = protowire.ConsumeFixed64(b)
+			f.Value, n = protowire.ConsumeFixed64(b)
 		case protowire.BytesType:
-			f.Text, n = protowire.ConsumeBytes(b)
+			f.Bytes, n = protowire.ConsumeBytes(b)
 		default:
-			n = protowire.ConsumeFieldValue(f.Num, f.Type, b)
+			n = protowire.ConsumeFieldValue(f.Number, f.Type, b)
 		}
 		if n < 0 {
 			return fault(protowire.ParseError(n))
@@ -51,71 +51,71 @@
 	return nil
 }
 
-// PutUint appends a field that is a varint.
-func PutUint(b []byte, num protowire.Number, x uint64) []byte {
+// AppendUintField appends a field that is a varint.
+func AppendUintField(b []byte, num protowire.Number, x uint64) []byte {
 	return protowire.AppendVarint(protowire.AppendTag(b, num, protowire.VarintType), x)
 }
 
-// PutFixed appends a field that is a fixed64.
-func PutFixed(b []byte, num protowire.Number, x uint64) []byte {
+// AppendFixedField appends a field that is a fixed64.
+func AppendFixedField(b []byte, num protowire.Number, x uint64) []byte {
 	return protowire.AppendFixed64(protowire.AppendTag(b, num, protowire.Fixed64Type), x)
 }
 
-// PutText appends a field that is bytes, of a string or of a message within.
-func PutText[T string | []byte](b []byte, num protowire.Number, s T) []byte {
+// AppendBytesField appends a field that is bytes, of a string or of a message within.
+func AppendBytesField[T string | []byte](b []byte, num protowire.Number, s T) []byte {
 	b = protowire.AppendVarint(protowire.AppendTag(b, num, protowire.BytesType), uint64(len(s)))
 	return append(b, s...)
 }
 
-// AppendUint is PutUint of what is not 0.
-func AppendUint(b []byte, num protowire.Number, x uint64) []byte {
+// AppendNonZeroUint is AppendUintField of what is not 0.
+func AppendNonZeroUint(b []byte, num protowire.Number, x uint64) []byte {
 	if x == 0 {
 		return b
 	}
-	return PutUint(b, num, x)
+	return AppendUintField(b, num, x)
 }
 
-// AppendFixed is PutFixed of what is not 0.
-func AppendFixed(b []byte, num protowire.Number, x uint64) []byte {
+// AppendNonZeroFixed is AppendFixedField of what is not 0.
+func AppendNonZeroFixed(b []byte, num protowire.Number, x uint64) []byte {
 	if x == 0 {
 		return b
 	}
-	return PutFixed(b, num, x)
+	return AppendFixedField(b, num, x)
 }
 
-// AppendText is PutText of what is not empty.
-func AppendText[T string | []byte](b []byte, num protowire.Number, s T) []byte {
+// AppendNonEmptyBytes is AppendBytesField of what is not empty.
+func AppendNonEmptyBytes[T string | []byte](b []byte, num protowire.Number, s T) []byte {
 	if len(s) == 0 {
 		return b
 	}
-	return PutText(b, num, s)
+	return AppendBytesField(b, num, s)
 }
 
 // Reader takes bytes apart. What is not there, or above its bound, spoils it: from then on all that it yields is zeros.
 type Reader struct {
-	b   []byte
-	bad bool
+	b      []byte
+	failed bool
 }
 
 // NewReader makes a Reader of bytes, which it doesn't change.
 func NewReader(b []byte) Reader { return Reader{b: b} }
 
-// Good tells whether nothing has spoilt it yet.
-func (r *Reader) Good() bool { return !r.bad }
+// OK tells whether nothing has spoilt it yet.
+func (r *Reader) OK() bool { return !r.failed }
 
 // More tells whether it is good and has bytes left.
-func (r *Reader) More() bool { return !r.bad && len(r.b) > 0 }
+func (r *Reader) More() bool { return !r.failed && len(r.b) > 0 }
 
-// Done tells whether it is good and was read to its end.
-func (r *Reader) Done() bool { return !r.bad && len(r.b) == 0 }
+// AtEnd tells whether it is good and was read to its end.
+func (r *Reader) AtEnd() bool { return !r.failed && len(r.b) == 0 }
 
-// Need spoils it unless what has to hold of what was read does.
-func (r *Reader) Need(holds bool) { r.bad = r.bad || !holds }
+// Require spoils it unless what has to hold of what was read does.
+func (r *Reader) Require(holds bool) { r.failed = r.failed || !holds }
 
 // Take yields the next n bytes, which are the Reader's own, or nil.
 func (r *Reader) Take(n int) []byte {
-	if r.bad || n < 0 || len(r.b) < n {
-		r.bad = true
+	if r.failed || n < 0 || len(r.b) < n {
+		r.failed = true
 		return nil
 	}
 	x := r.b[:n:n]
@@ -158,29 +158,29 @@
 // Uvarint yields a varint.
 func (r *Reader) Uvarint() uint64 {
 	x, n := binary.Uvarint(r.b)
-	if r.bad || n <= 0 {
-		r.bad = true
+	if r.failed || n <= 0 {
+		r.failed = true
 		return 0
 	}
 	r.b = r.b[n:]
 	return x
 }
 
-// UvarintTo yields a varint of most at most.
-func (r *Reader) UvarintTo(most uint64) uint64 {
+// UvarintMax yields a varint of most at most.
+func (r *Reader) UvarintMax(most uint64) uint64 {
 	x := r.Uvarint()
 	if x > most {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	return x
 }
 
-// ByteTo yields a byte of most at most, such as a count of what follows.
-func (r *Reader) ByteTo(most int) int {
+// ByteMax yields a byte of most at most, such as a count of what follows.
+func (r *Reader) ByteMax(most int) int {
 	n := int(r.Byte())
 	if n > most {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	return n
--- a/internal/encoding/binaryform_test.go
+++ b/internal/encoding/binaryform_test.go
@@ -20,20 +20,20 @@
 
 // whole has a field of each type: one with a value is a Field with it.
 func whole() ([]byte, []Field) {
-	b := PutUint(nil, 1, 300)
-	b = PutFixed(b, 2, 1<<63)
-	b = PutText(b, 3, "text")
-	b = PutText(b, 4, []byte{})
+	b := AppendUintField(nil, 1, 300)
+	b = AppendFixedField(b, 2, 1<<63)
+	b = AppendBytesField(b, 3, "text")
+	b = AppendBytesField(b, 4, []byte{})
 	b = protowire.AppendFixed32(protowire.AppendTag(b, 5, protowire.Fixed32Type), 7)
-	b = protowire.AppendTag(PutUint(protowire.AppendTag(b, 6, protowire.StartGroupType), 1, 9), 6, protowire.EndGroupType)
-	return PutUint(b, 1, 0), []Field{
-		{Num: 1, Type: protowire.VarintType, X: 300},
-		{Num: 2, Type: protowire.Fixed64Type, X: 1 << 63},
-		{Num: 3, Type: protowire.BytesType, Text: []byte("text")},
-		{Num: 4, Type: protowire.BytesType, Text: []byte{}},
-		{Num: 5, Type: protowire.Fixed32Type},
-		{Num: 6, Type: protowire.StartGroupType},
-		{Num: 1, Type: protowire.VarintType},
+	b = protowire.AppendTag(AppendUintField(protowire.AppendTag(b, 6, protowire.StartGroupType), 1, 9), 6, protowire.EndGroupType)
+	return AppendUintField(b, 1, 0), []Field{
+		{Number: 1, Type: protowire.VarintType, Value: 300},
+		{Number: 2, Type: protowire.Fixed64Type, Value: 1 << 63},
+		{Number: 3, Type: protowire.BytesType, Bytes: []byte("text")},
+		{Number: 4, Type: protowire.BytesType, Bytes: []byte{}},
+		{Number: 5, Type: protowire.Fixed32Type},
+		{Number: 6, Type: protowire.StartGroupType},
+		{Number: 1, Type: protowire.VarintType},
 	}
 }
 
@@ -45,8 +45,8 @@
 		t.Fatal(err, diff)
 	}
 	for _, f := range got {
-		if none := f.Num == 5 || f.Num == 6; f.Valued() == none {
-			t.Errorf("%+v: valued %v", f, f.Valued())
+		if none := f.Number == 5 || f.Number == 6; f.HasValue() == none {
+			t.Errorf("%+v: valued %v", f, f.HasValue())
 		}
 	}
 	ends := 0
@@ -106,11 +106,11 @@
 
 // TestAppend: a field is left out where it is zero, and else as Put writes it.
 func TestAppend(t *testing.T) {
-	if b := AppendText(AppendText(AppendFixed(AppendUint(nil, 1, 0), 2, 0), 3, ""), 4, []byte(nil)); len(b) > 0 {
+	if b := AppendNonEmptyBytes(AppendNonEmptyBytes(AppendNonZeroFixed(AppendNonZeroUint(nil, 1, 0), 2, 0), 3, ""), 4, []byte(nil)); len(b) > 0 {
 		t.Errorf("%x of nothing", b)
 	}
-	b := AppendText(AppendText(AppendFixed(AppendUint([]byte{1}, 1, 300), 2, 2), 3, "s"), 4, []byte("b"))
-	if want := PutText(PutText(PutFixed(PutUint([]byte{1}, 1, 300), 2, 2), 3, "s"), 4, []byte("b")); !bytes.Equal(b, want) {
+	b := AppendNonEmptyBytes(AppendNonEmptyBytes(AppendNonZeroFixed(AppendNonZeroUint([]byte{1}, 1, 300), 2, 2), 3, "s"), 4, []byte("b"))
+	if want := AppendBytesField(AppendBytesField(AppendFixedField(AppendUintField([]byte{1}, 1, 300), 2, 2), 3, "s"), 4, []byte("b")); !bytes.Equal(b, want) {
 		t.Errorf("%x, want %x", b, want)
 	}
 	if want := []byte("\x01\x08\xac\x02\x11\x02\x00\x00\x00\x00\x00\x00\x00\x1a\x01s\x22\x01b"); !bytes.Equal(b, want) {
@@ -130,8 +130,8 @@
 	{"Uint32", func(r *Reader) uint64 { return uint64(r.Uint32()) }, 0x01020304, []byte{1, 2, 3, 4}},
 	{"Uint64", func(r *Reader) uint64 { return r.Uint64() }, 0x0102030405060708, []byte{1, 2, 3, 4, 5, 6, 7, 8}},
 	{"Uvarint", func(r *Reader) uint64 { return r.Uvarint() }, math.MaxUint64, binary.AppendUvarint(nil, math.MaxUint64)},
-	{"UvarintTo", func(r *Reader) uint64 { return r.UvarintTo(300) }, 300, []byte{0xac, 2}},
-	{"ByteTo", func(r *Reader) uint64 { return uint64(r.ByteTo(5)) }, 5, []byte{5}},
+	{"UvarintTo", func(r *Reader) uint64 { return r.UvarintMax(300) }, 300, []byte{0xac, 2}},
+	{"ByteTo", func(r *Reader) uint64 { return uint64(r.ByteMax(5)) }, 5, []byte{5}},
 	{"Take", func(r *Reader) uint64 { return uint64(len(r.Take(3))) }, 3, []byte{0, 0, 0}},
 }
 
@@ -143,26 +143,26 @@
 	}
 	r := NewReader(b)
 	for _, x := range numbers {
-		if got := x.read(&r); got != x.want || !r.Good() {
+		if got := x.read(&r); got != x.want || !r.OK() {
 			t.Errorf("%s: %x, want %x", x.name, got, x.want)
 		}
 	}
-	if !r.Done() || r.More() {
+	if !r.AtEnd() || r.More() {
 		t.Errorf("not done: %+v", r)
 	}
 	for _, x := range numbers {
 		for cut := range x.from {
 			r := NewReader(x.from[:cut])
-			if got := x.read(&r); got != 0 || r.Good() || r.More() || r.Done() {
+			if got := x.read(&r); got != 0 || r.OK() || r.More() || r.AtEnd() {
 				t.Errorf("%s of %d bytes: %x, %+v", x.name, cut, got, r)
 			}
 		}
 		r := NewReader(x.from)
-		r.Need(true)
-		if r.Need(false); x.read(&r) != 0 || r.Good() || r.More() || r.Done() {
+		r.Require(true)
+		if r.Require(false); x.read(&r) != 0 || r.OK() || r.More() || r.AtEnd() {
 			t.Errorf("%s of one that is spoilt: %+v", x.name, r)
 		}
-		if r.Need(true); r.Good() {
+		if r.Require(true); r.OK() {
 			t.Errorf("%+v is good again", r)
 		}
 	}
@@ -174,14 +174,14 @@
 		b    []byte
 		read func(r *Reader) int
 	}{
-		"UvarintTo":         {[]byte{0xad, 2}, func(r *Reader) int { return int(r.UvarintTo(300)) }},
-		"ByteTo":            {[]byte{6}, func(r *Reader) int { return r.ByteTo(5) }},
+		"UvarintTo":         {[]byte{0xad, 2}, func(r *Reader) int { return int(r.UvarintMax(300)) }},
+		"ByteTo":            {[]byte{6}, func(r *Reader) int { return r.ByteMax(5) }},
 		"a varint too long": {bytes.Repeat([]byte{0xff}, 11), func(r *Reader) int { return int(r.Uvarint()) }},
 		"a length below 0":  {[]byte{1, 2}, func(r *Reader) int { return len(r.Take(-1)) }},
 		"a length like all": {[]byte{1, 2}, func(r *Reader) int { return len(r.Take(math.MaxInt)) }},
 	} {
 		r := NewReader(c.b)
-		if n := c.read(&r); n != 0 || r.Good() {
+		if n := c.read(&r); n != 0 || r.OK() {
 			t.Errorf("%s: %d, %+v", name, n, r)
 		}
 	}
@@ -212,13 +212,13 @@
 		for _, x := range got {
 			switch x.Type {
 			case protowire.VarintType:
-				again = PutUint(again, x.Num, x.X)
+				again = AppendUintField(again, x.Number, x.Value)
 			case protowire.Fixed64Type:
-				again = PutFixed(again, x.Num, x.X)
+				again = AppendFixedField(again, x.Number, x.Value)
 			case protowire.BytesType:
-				again = PutText(again, x.Num, x.Text)
+				again = AppendBytesField(again, x.Number, x.Bytes)
 			default:
-				if x.Valued() || x.X != 0 || x.Text != nil {
+				if x.HasValue() || x.Value != 0 || x.Bytes != nil {
 					t.Fatalf("a value of %+v", x)
 				}
 				continue
@@ -238,9 +238,9 @@
 	f.Fuzz(func(t *testing.T, b, calls []byte) {
 		r := NewReader(b)
 		for _, c := range calls {
-			bad, left := !r.Good(), len(r.b)
+			bad, left := !r.OK(), len(r.b)
 			x := numbers[int(c)%len(numbers)].read(&r)
-			if bad && (x != 0 || r.Good()) || len(r.b) > left || r.More() && r.Done() {
+			if bad && (x != 0 || r.OK()) || len(r.b) > left || r.More() && r.AtEnd() {
 				t.Fatalf("%s yields %d: %+v", numbers[int(c)%len(numbers)].name, x, r)
 			}
 		}
--- a/internal/endpoints/snapshot/snapshot.go
+++ b/internal/endpoints/snapshot/snapshot.go
@@ -16,8 +16,8 @@
 
 // Errors of a file that is not used.
 var (
-	ErrForeign = atomicfile.ErrForeign
-	ErrTorn    = atomicfile.ErrTorn
+	ErrForeign = atomicfile.ErrFormat
+	ErrTorn    = atomicfile.ErrIncomplete
 )
 
 // File is what a snapshot's file holds.
@@ -28,7 +28,7 @@
 
 // Append writes a snapshot.
 func Append(dst []byte, f *File) ([]byte, error) {
-	b, err := atomicfile.Append(dst, magic, f)
+	b, err := atomicfile.Encode(dst, magic, f)
 	if err != nil {
 		return b, fmt.Errorf("snapshot: %w", err)
 	}
@@ -38,7 +38,7 @@
 // Parse reads a snapshot, whole or not at all.
 func Parse(b []byte) (*File, error) {
 	f := &File{}
-	if err := atomicfile.Parse(b, magic, f); err != nil {
+	if err := atomicfile.Decode(b, magic, f); err != nil {
 		return nil, err
 	}
 	for i := range f.Entries {
--- a/internal/lifecycle/handover/handover.go
+++ b/internal/lifecycle/handover/handover.go
@@ -21,83 +21,83 @@
 )
 
 const (
-	kind     = "beechgrade handover 1"
+	fileKind = "beechgrade handover 1"
 	prefix   = "handover-"
 	suffix   = ".state"
 	maxBytes = 8 << 20
 	maxFiles = 16 // that are looked at
 
-	// FreshMs is how long a file shows that its process runs.
-	FreshMs = 2000
-	// KnownMs is how long what it tells is worth knowing.
-	KnownMs = 5000
-	// DeadMs is how long a file is kept that nobody writes any more.
-	DeadMs = 60000
+	// LiveMs is how long a file shows that its process runs.
+	LiveMs = 2000
+	// UsefulMs is how long what it tells is worth knowing.
+	UsefulMs = 5000
+	// RemoveAfterMs is how long a file is kept that nobody writes any more.
+	RemoveAfterMs = 60000
 )
 
 // State is what a process tells.
 type State struct {
-	SavedMs float64          `json:"saved_ms"` // Unix ms, for processes of versions that know no Saved
-	Saved   clock.Instant    `json:"saved"`
-	ClockMs float64          `json:"clock_ms"` // then, on the writing process's own clock, which the times in Memory are on
-	Held    int              `json:"held"`     // descriptors
-	Ends    bool             `json:"ends"`     // it takes nothing new
-	From    string           `json:"from"`     // the list's source
-	List    discovery.List   `json:"list"`     // whole, as heard last; of generation 0 where none was heard
-	Anew    int              `json:"anew"`     // so often the list's source has begun its generations anew
-	Classes []string         `json:"classes"`
-	Kinds   []string         `json:"kinds"`
-	Memory  *decide.Snapshot `json:"memory"`
+	SavedMs      float64          `json:"saved_ms"` // Unix ms, for processes of versions that know no Saved
+	Saved        clock.Instant    `json:"saved"`
+	ClockMs      float64          `json:"clock_ms"` // then, on the writing process's own clock, which the times in Memory are on
+	Descriptors  int              `json:"held"`     // descriptors
+	Ending       bool             `json:"ends"`     // it takes nothing new
+	ListSource   string           `json:"from"`     // the list's source
+	List         discovery.List   `json:"list"`     // whole, as heard last; of generation 0 where none was heard
+	ListRestarts int              `json:"anew"`     // so often the list's source has begun its generations anew
+	Classes      []string         `json:"classes"`
+	Kinds        []string         `json:"kinds"`
+	Memory       *decide.Snapshot `json:"memory"`
 
 	AgeMs float64 `json:"-"` // as it was read
 }
 
-// Append writes a state.
-func Append(dst []byte, s *State) ([]byte, error) {
-	b, err := atomicfile.Append(dst, kind, s)
+// Encode writes a state.
+func Encode(dst []byte, s *State) ([]byte, error) {
+	b, err := atomicfile.Encode(dst, fileKind, s)
 	if err != nil {
 		return b, fmt.Errorf("handover: %w", err)
 	}
 	return b, nil
 }
 
-// Parse reads a state, whole or not at all.
-func Parse(b []byte) (*State, error) {
+// Decode reads a state, whole or not at all.
+func Decode(b []byte) (*State, error) {
 	s := &State{}
-	if err := atomicfile.Parse(b, kind, s); err != nil {
+	if err := atomicfile.Decode(b, fileKind, s); err != nil {
 		return nil, err
 	}
-	if s.Memory == nil || s.Held < 0 || s.Anew < 0 || s.List.Generation < 0 || math.IsNaN(s.SavedMs) {
-		return nil, fmt.Errorf("%w: a value is out of its bounds", atomicfile.ErrForeign)
+	if s.Memory == nil || s.Descriptors < 0 || s.ListRestarts < 0 || s.List.Generation < 0 || math.IsNaN(s.SavedMs) {
+		return nil, fmt.Errorf("%w: a value is out of its bounds", atomicfile.ErrFormat)
 	}
 	return s, nil
 }
 
-// Folder is where a process writes its own file and reads the others'.
-type Folder struct {
+// Directory is where a process writes its own file and reads the others'.
+type Directory struct {
 	dir, own string
 	machine  clock.Machine
-	seen     map[string]sighting // files that nobody may write any more
+	seen     map[string]fileVersion // files that nobody may write any more
 }
 
-// sighting is how a file was first seen as it is.
-type sighting struct {
-	modified time.Time
-	size     int64
-	atMs     float64 // on the machine's monotonic clock
+// fileVersion is how a file was first seen as it is.
+type fileVersion struct {
+	modified    time.Time
+	size        int64
+	firstSeenMs float64 // on the machine's monotonic clock
 }
 
-// In makes a process's Folder on this machine.
-func In(dir string) *Folder { return On(clock.ThisMachine(), dir) }
+// OpenDirectory makes a process's Folder on this machine.
+func OpenDirectory(dir string) *Directory { return OpenDirectoryOn(clock.ThisMachine(), dir) }
 
-// On makes a process's Folder on a machine.
-func On(machine clock.Machine, dir string) *Folder {
-	return &Folder{machine: machine, seen: map[string]sighting{}, dir: dir, own: fmt.Sprintf("%s%016x%s", prefix, rand.Uint64(), suffix)}
+// OpenDirectoryOn makes a process's Folder on a machine.
+func OpenDirectoryOn(machine clock.Machine, dir string) *Directory {
+	return &Directory{machine: machine, seen: map[string]fileVersion{}, dir: dir, own: fmt.Sprintf("%s%016x%s", prefix, rand.Uint64(), suffix)}
 }
 
 // Write puts the process's state in its file's place.
-func (f *Folder) Write(s *State) error {
-	b, err := Append(nil, s)
+func (f *Directory) Write(s *State) error {
+	b, err := Encode(nil, s)
 	if err != nil {
 		return err
 	}
@@ -108,11 +108,11 @@
 }
 
 // Remove takes the process's file away.
-func (f *Folder) Remove() { _ = os.Remove(filepath.Join(f.dir, f.own)) }
+func (f *Directory) Remove() { _ = os.Remove(filepath.Join(f.dir, f.own)) }
 
 // Others returns the other processes' states of the last ms milliseconds, the newest first. What cannot be used is told, and what
 // is long dead is removed. The wall clock decides nothing here but for files of versions that tell no other time.
-func (f *Folder) Others(ms float64) ([]*State, error) {
+func (f *Directory) Others(ms float64) ([]*State, error) {
 	files, err := os.ReadDir(f.dir)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -140,7 +140,7 @@
 }
 
 // other reads another process's file; nil without an error for one that says nothing now.
-func (f *Folder) other(file os.DirEntry) (*State, error) {
+func (f *Directory) other(file os.DirEntry) (*State, error) {
 	path := filepath.Join(f.dir, file.Name())
 	if f.abandoned(file) {
 		_ = os.Remove(path)
@@ -153,7 +153,7 @@
 	if err != nil || b == nil { // nil: gone meanwhile
 		return nil, err
 	}
-	state, err := Parse(b)
+	state, err := Decode(b)
 	if err != nil {
 		return nil, err
 	}
@@ -161,33 +161,33 @@
 	if !known {
 		return nil, nil
 	}
-	if state.AgeMs = max(0, age); state.AgeMs > DeadMs {
+	if state.AgeMs = max(0, age); state.AgeMs > RemoveAfterMs {
 		_ = os.Remove(path)
 	}
 	return state, nil
 }
 
 // age returns how old a state is, and false where that cannot be told.
-func (f *Folder) age(state *State) (ms float64, known bool) {
+func (f *Directory) age(state *State) (ms float64, known bool) {
 	if state.Saved != (clock.Instant{}) {
 		ms, known = f.machine.Since(state.Saved)
 	} else {
 		ms, known = f.machine.Wall()-state.SavedMs, true
 	}
-	return ms, known && ms >= -FreshMs
+	return ms, known && ms >= -LiveMs
 }
 
-// abandoned reports whether a file has not changed for DeadMs, as this process has seen it: the time that the file itself gives is the wall
+// abandoned reports whether a file has not changed for RemoveAfterMs, as this process has seen it: the time that the file itself gives is the wall
 // clock's.
-func (f *Folder) abandoned(file os.DirEntry) bool {
+func (f *Directory) abandoned(file os.DirEntry) bool {
 	info, err := file.Info()
 	if err != nil {
 		return false
 	}
 	now, last := f.machine.Monotonic(), f.seen[file.Name()]
 	if !last.modified.Equal(info.ModTime()) || last.size != info.Size() {
-		f.seen[file.Name()] = sighting{info.ModTime(), info.Size(), now}
+		f.seen[file.Name()] = fileVersion{info.ModTime(), info.Size(), now}
 		return false
 	}
-	return now-last.atMs > DeadMs
+	return now-last.firstSeenMs > RemoveAfterMs
 }
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -14,7 +14,7 @@
 )
 
 func state(at float64) *State {
-	return &State{SavedMs: at, Held: 7, From: "127.0.0.1:8500", Classes: []string{"a"}, Kinds: []string{"k"},
+	return &State{SavedMs: at, Descriptors: 7, ListSource: "127.0.0.1:8500", Classes: []string{"a"}, Kinds: []string{"k"},
 		List: discovery.List{Generation: 4, Reset: true, Instances: []discovery.Instance{{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "up"}}},
 		Memory: &decide.Snapshot{ClassWork: []float64{0.1}, KindRates: map[int]float64{0: 2}, AverageWork: 0.1,
 			Servers: []decide.ServerSnapshot{{ID: "s-1", Role: decide.RolePrimary, RoleAt: 3 * time.Second, Position: time.Second}}}}
@@ -22,25 +22,25 @@
 
 // TestWholeOrNot: a file that is cut short anywhere, or has any byte changed, is as good as none.
 func TestWholeOrNot(t *testing.T) {
-	b, err := Append(nil, state(5))
+	b, err := Encode(nil, state(5))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Parse(b)
+	s, err := Decode(b)
 	if diff := cmp.Diff(state(5), s); diff != "" || err != nil {
 		t.Fatal(diff, err)
 	}
 	for i := range b {
-		if _, err := Parse(b[:i]); err == nil {
+		if _, err := Decode(b[:i]); err == nil {
 			t.Errorf("read though cut after %d bytes", i)
 		}
 		c := append([]byte(nil), b...)
 		c[i] ^= 1
-		if _, err := Parse(c); err == nil {
+		if _, err := Decode(c); err == nil {
 			t.Errorf("read though byte %d is another", i)
 		}
 	}
-	if _, err := Parse([]byte("beechgrade handover 2" + string(b[len(kind):]))); err == nil {
+	if _, err := Decode([]byte("beechgrade handover 2" + string(b[len(fileKind):]))); err == nil {
 		t.Error("read though of another version")
 	}
 }
@@ -66,10 +66,10 @@
 // the rest from being heard, and what is long dead is removed.
 func TestFolder(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
-	in := func() *Folder { return On(machine.clocks(), dir) }
+	in := func() *Directory { return OpenDirectoryOn(machine.clocks(), dir) }
 	me, a, b, old := in(), in(), in(), in()
 	for _, write := range []struct {
-		folder *Folder
+		folder *Directory
 		then   float64
 	}{{old, 8100}, {a, 800}, {b, 100}, {me, 0}} {
 		if err := write.folder.Write(machine.saved()); err != nil {
@@ -97,33 +97,33 @@
 		}
 		return ages
 	}
-	if diff := cmp.Diff([]float64{100, 900}, ages(FreshMs, true)); diff != "" {
+	if diff := cmp.Diff([]float64{100, 900}, ages(LiveMs, true)); diff != "" {
 		t.Error(diff)
 	}
 	b.Remove()
 	if diff := cmp.Diff([]float64{900, 9000}, ages(9500, true)); diff != "" {
 		t.Error(diff)
 	}
-	machine.pass(DeadMs + 1)
+	machine.pass(RemoveAfterMs + 1)
 	if got := ages(1e9, false); len(got) > 0 {
 		t.Errorf("heard though long dead: %v", got)
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, prefix+"*")); len(left) != 1 || left[0] != filepath.Join(dir, me.own) {
 		t.Errorf("files are left: %v", left)
 	}
-	if _, err := In(filepath.Join(dir, "none")).Others(FreshMs); err == nil {
+	if _, err := OpenDirectory(filepath.Join(dir, "none")).Others(LiveMs); err == nil {
 		t.Error("a folder that is not there is read")
 	}
 }
 
 // FuzzParse: whatever a file holds, it is a whole state or none.
 func FuzzParse(f *testing.F) {
-	b, _ := Append(nil, state(5))
+	b, _ := Encode(nil, state(5))
 	f.Add(b)
 	f.Add(b[:30])
-	f.Add([]byte(kind + " 00000000 2\n{}"))
+	f.Add([]byte(fileKind + " 00000000 2\n{}"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if s, err := Parse(b); err == nil && s.Memory == nil {
+		if s, err := Decode(b); err == nil && s.Memory == nil {
 			t.Error("a state without a memory")
 		}
 	})
@@ -134,21 +134,21 @@
 func TestSteppedWallClock(t *testing.T) {
 	for _, step := range []float64{-3600e3, -3e3, 3e3, 3600e3} {
 		dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
-		writer, reader := On(machine.clocks(), dir), On(machine.clocks(), dir)
+		writer, reader := OpenDirectoryOn(machine.clocks(), dir), OpenDirectoryOn(machine.clocks(), dir)
 		if err := writer.Write(machine.saved()); err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
 			machine.wall += step
-			if others, err := reader.Others(FreshMs); err != nil || len(others) != 1 || others[0].AgeMs != 0 {
+			if others, err := reader.Others(LiveMs); err != nil || len(others) != 1 || others[0].AgeMs != 0 {
 				t.Errorf("step of %v ms: %d processes are heard, %v", step, len(others), err)
 			}
 		}
 		if _, err := os.Stat(filepath.Join(dir, writer.own)); err != nil {
 			t.Errorf("step of %v ms: %v", step, err)
 		}
-		machine.monotonic += FreshMs + 1
-		if others, _ := reader.Others(FreshMs); len(others) > 0 {
+		machine.monotonic += LiveMs + 1
+		if others, _ := reader.Others(LiveMs); len(others) > 0 {
 			t.Errorf("step of %v ms: a process that has ended is heard", step)
 		}
 	}
@@ -157,15 +157,15 @@
 // TestOlderVersion: a process of a version that tells only its wall time is heard by that.
 func TestOlderVersion(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
-	for at, heard := range map[float64]int{1e12 - 100: 1, 1e12 - FreshMs - 1: 0, 1e12 + FreshMs + 1: 0} {
-		text, err := Append(nil, state(at))
+	for at, heard := range map[float64]int{1e12 - 100: 1, 1e12 - LiveMs - 1: 0, 1e12 + LiveMs + 1: 0} {
+		text, err := Encode(nil, state(at))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := os.WriteFile(filepath.Join(dir, prefix+"older"+suffix), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if others, err := On(machine.clocks(), dir).Others(FreshMs); err != nil || len(others) != heard {
+		if others, err := OpenDirectoryOn(machine.clocks(), dir).Others(LiveMs); err != nil || len(others) != heard {
 			t.Errorf("saved at %.0f: %d are heard, %v", at, len(others), err)
 		}
 	}
@@ -174,12 +174,12 @@
 // TestAnotherBoot: what was told before the machine was started anew is not heard.
 func TestAnotherBoot(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
-	if err := On(machine.clocks(), dir).Write(machine.saved()); err != nil {
+	if err := OpenDirectoryOn(machine.clocks(), dir).Write(machine.saved()); err != nil {
 		t.Fatal(err)
 	}
 	clocks := machine.clocks()
 	clocks.Boot = "c"
-	if others, err := On(clocks, dir).Others(KnownMs); err != nil || len(others) > 0 {
+	if others, err := OpenDirectoryOn(clocks, dir).Others(UsefulMs); err != nil || len(others) > 0 {
 		t.Errorf("%d are heard, %v", len(others), err)
 	}
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -23,10 +23,10 @@
 
 // The events.
 const (
-	Began  Event = iota // it can serve
-	Drain               // the operators want its clients gone
-	Resume              // ...and back
-	Term                // it is to end
+	Started   Event = iota // it can serve
+	Drain                  // the operators want its clients gone
+	Resume                 // ...and back
+	Terminate              // it is to end
 )
 
 // Machine is one pooler's life. Shared says that another process may hold its listening socket too.
@@ -49,12 +49,12 @@
 		m.drained = false
 	}
 	switch {
-	case e == Term && ending:
-	case e == Term && m.Shared:
+	case e == Terminate && ending:
+	case e == Terminate && m.Shared:
 		m.state = HandingOver
-	case e == Term:
+	case e == Terminate:
 		m.state = Stopping
-	case e == Began && m.state == Starting:
+	case e == Started && m.state == Starting:
 		if m.state = Ready; m.drained {
 			m.state = Draining
 		}
@@ -68,16 +68,16 @@
 	return true
 }
 
-// Serves tells whether the process can serve, and goes on doing so.
-func (m *Machine) Serves() bool { return m.state == Ready || m.state == Draining }
+// IsServing tells whether the process can serve, and goes on doing so.
+func (m *Machine) IsServing() bool { return m.state == Ready || m.state == Draining }
 
-// Accepts tells whether clients' new connections are taken.
-func (m *Machine) Accepts() bool { return m.state != Starting && m.state != HandingOver }
+// AcceptsConnections tells whether clients' new connections are taken.
+func (m *Machine) AcceptsConnections() bool { return m.state != Starting && m.state != HandingOver }
 
-// Welcomes tells whether whoever asks if clients may come is told yes.
-func (m *Machine) Welcomes() bool {
+// IsReadyForClients tells whether whoever asks if clients may come is told yes.
+func (m *Machine) IsReadyForClients() bool {
 	return !m.drained && (m.state == Starting || m.state == Ready || m.state == Stopping)
 }
 
-// Sheds tells whether clients' connections are to be closed as they fall idle.
-func (m *Machine) Sheds() bool { return m.state == Draining || m.state == HandingOver }
+// ClosesIdleClients tells whether clients' connections are to be closed as they fall idle.
+func (m *Machine) ClosesIdleClients() bool { return m.state == Draining || m.state == HandingOver }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -12,10 +12,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := Machine{Shared: rapid.Bool().Draw(t, "shared")}
 		began, drained, ended := false, false, false
-		for _, e := range rapid.SliceOf(rapid.SampledFrom([]Event{Began, Drain, Resume, Term})).Draw(t, "events") {
+		for _, e := range rapid.SliceOf(rapid.SampledFrom([]Event{Started, Drain, Resume, Terminate})).Draw(t, "events") {
 			ok := m.Handle(e)
-			began = began || e == Began && !ended
-			ended = ended || e == Term
+			began = began || e == Started && !ended
+			ended = ended || e == Terminate
 			switch e {
 			case Drain:
 				drained = true
@@ -39,8 +39,8 @@
 			if m.State() != want {
 				t.Fatalf("after event %d: %v, want %v", e, m.State(), want)
 			}
-			if m.Serves() != (began && !ended) || m.Sheds() && m.Welcomes() || m.State() == HandingOver && m.Accepts() || m.Serves() && !m.Accepts() {
-				t.Fatalf("%v: serves %v, sheds %v, welcomes %v, accepts %v", m.State(), m.Serves(), m.Sheds(), m.Welcomes(), m.Accepts())
+			if m.IsServing() != (began && !ended) || m.ClosesIdleClients() && m.IsReadyForClients() || m.State() == HandingOver && m.AcceptsConnections() || m.IsServing() && !m.AcceptsConnections() {
+				t.Fatalf("%v: serves %v, sheds %v, welcomes %v, accepts %v", m.State(), m.IsServing(), m.ClosesIdleClients(), m.IsReadyForClients(), m.AcceptsConnections())
 			}
 		}
 	})
@@ -50,26 +50,26 @@
 // must not tell clients that they may come.
 func TestDrainedProcessNeverWelcomes(t *testing.T) {
 	for name, events := range map[string][]Event{
-		"end within the drain":               {Began, Drain, Term},
-		"end before a drain that was wished": {Drain, Term},
-		"drain while it ends":                {Began, Term, Drain},
-		"drained anew":                       {Began, Drain, Resume, Drain, Term},
-		"resume while it ends":               {Began, Drain, Term, Resume},
+		"end within the drain":               {Started, Drain, Terminate},
+		"end before a drain that was wished": {Drain, Terminate},
+		"drain while it ends":                {Started, Terminate, Drain},
+		"drained anew":                       {Started, Drain, Resume, Drain, Terminate},
+		"resume while it ends":               {Started, Drain, Terminate, Resume},
 	} {
 		machine := Machine{}
 		for _, event := range events {
 			machine.Handle(event)
 		}
-		if machine.Welcomes() {
+		if machine.IsReadyForClients() {
 			t.Errorf("%s: welcomes in state %v", name, machine.State())
 		}
 	}
-	for name, events := range map[string][]Event{"never drained": {Began, Term}, "drain taken back": {Began, Drain, Resume, Term}} {
+	for name, events := range map[string][]Event{"never drained": {Started, Terminate}, "drain taken back": {Started, Drain, Resume, Terminate}} {
 		machine := Machine{}
 		for _, event := range events {
 			machine.Handle(event)
 		}
-		if !machine.Welcomes() {
+		if !machine.IsReadyForClients() {
 			t.Errorf("%s: does not welcome", name)
 		}
 	}
--- a/internal/settings/durable_test.go
+++ b/internal/settings/durable_test.go
@@ -38,7 +38,7 @@
 			t.Errorf("%s: %v", in, err)
 		}
 	}
-	if s, err := Parse("o", nil, nil); err != nil || s.Journal.Mode != journal.Before || s.Journal.Dir != "" || s.Sessions.Mode != sessiontoken.Before || s.Sessions.Dir != "" {
+	if s, err := Parse("o", nil, nil); err != nil || s.Journal.Mode != journal.BeforeSend || s.Journal.Dir != "" || s.Sessions.Mode != sessiontoken.BeforeAnswer || s.Sessions.Dir != "" {
 		t.Errorf("of nothing: %+v, %+v, %v", s.Journal, s.Sessions, err)
 	}
 }
--- a/internal/settings/journal.go
+++ b/internal/settings/journal.go
@@ -9,5 +9,5 @@
 type Journal Durable[journal.Mode]
 
 func (j *Journal) read(n *sexp.Node, env func(string) string) error {
-	return (*Durable[journal.Mode])(j).read(n, env, "journal", journal.Before, journal.Alongside)
+	return (*Durable[journal.Mode])(j).read(n, env, "journal", journal.BeforeSend, journal.Alongside)
 }
--- a/internal/settings/sessions.go
+++ b/internal/settings/sessions.go
@@ -9,5 +9,5 @@
 type Sessions Durable[sessiontoken.Mode]
 
 func (s *Sessions) read(n *sexp.Node, env func(string) string) error {
-	return (*Durable[sessiontoken.Mode])(s).read(n, env, "sessions", sessiontoken.Before, sessiontoken.Alongside)
+	return (*Durable[sessiontoken.Mode])(s).read(n, env, "sessions", sessiontoken.BeforeAnswer, sessiontoken.Alongside)
 }
--- a/internal/storage/atomicfile/sealed.go
+++ b/internal/storage/atomicfile/sealed.go
@@ -22,37 +22,37 @@
 
 // Errors of a file that is not used.
 var (
-	ErrForeign = errors.New("it is of another kind or version")
-	ErrTorn    = errors.New("it is not whole")
+	ErrFormat     = errors.New("it is of another kind or version")
+	ErrIncomplete = errors.New("it is not whole")
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Append writes a value; kind names what it is, and its version.
-func Append(dst []byte, kind string, v any) ([]byte, error) {
+// Encode writes a value; kind names what it is, and its version.
+func Encode(dst []byte, kind string, v any) ([]byte, error) {
 	b, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(v)
 	if err != nil {
 		return dst, err
 	}
-	dst = fmt.Appendf(dst, "%s %08x %d\n", kind, crc32.Checksum(b, table), len(b))
+	dst = fmt.Appendf(dst, "%s %08x %d\n", kind, crc32.Checksum(b, checksumTable), len(b))
 	return append(dst, b...), nil
 }
 
-// Parse reads a value of that kind into v.
-func Parse(b []byte, kind string, v any) error {
+// Decode reads a value of that kind into v.
+func Decode(b []byte, kind string, v any) error {
 	head, body, ok := bytes.Cut(b, []byte{'\n'})
 	rest, is := strings.CutPrefix(string(head), kind+" ")
 	if !is {
-		return ErrForeign
+		return ErrFormat
 	}
 	sum, size, two := strings.Cut(rest, " ")
 	want, err := strconv.ParseUint(sum, 16, 32)
 	n, err2 := strconv.Atoi(size)
-	if !ok || !two || errors.Join(err, err2) != nil || n != len(body) || crc32.Checksum(body, table) != uint32(want) {
-		return ErrTorn
+	if !ok || !two || errors.Join(err, err2) != nil || n != len(body) || crc32.Checksum(body, checksumTable) != uint32(want) {
+		return ErrIncomplete
 	}
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("%w: %w", ErrForeign, err)
+		return fmt.Errorf("%w: %w", ErrFormat, err)
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 	defer func() { _ = f.Close() }()
 	b, err := io.ReadAll(io.LimitReader(f, most+1))
 	if err == nil && int64(len(b)) > most {
-		err = ErrForeign
+		err = ErrFormat
 	}
 	return b, err
 }
@@ -87,7 +87,7 @@
 	}
 	_, err = f.Write(b)
 	if err = errors.Join(err, f.Close()); err == nil {
-		err = move(f.Name(), path)
+		err = moveIntoPlace(f.Name(), path)
 	}
 	if err != nil {
 		_ = os.Remove(f.Name())
@@ -95,8 +95,8 @@
 	return err
 }
 
-// move puts a file at a path. One that stands there changes places with it and is removed, as a rename over it may wait for seconds for a busy disk.
-func move(from, path string) error {
+// moveIntoPlace puts a file at a path. One that stands there changes places with it and is removed, as a rename over it may wait for seconds for a busy disk.
+func moveIntoPlace(from, path string) error {
 	if unix.Renameat2(unix.AT_FDCWD, from, unix.AT_FDCWD, path, unix.RENAME_EXCHANGE) == nil {
 		return os.Remove(from)
 	}
--- a/internal/storage/journal/bytes_test.go
+++ b/internal/storage/journal/bytes_test.go
@@ -11,7 +11,7 @@
 		a    Attempt
 		want string
 	}{
-		{Attempt{ID: "id", Server: "server", At: 1.5, No: 300, End: 2}, "0a026964120673657276657219000000000000f83f20ac022802"},
+		{Attempt{ID: "id", Server: "server", StartedAt: 1.5, Number: 300, Outcome: 2}, "0a026964120673657276657219000000000000f83f20ac022802"},
 		{Attempt{}, "0a00120019000000000000000020002800"},
 	} {
 		b := c.a.encode()
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -22,8 +22,8 @@
 
 // The modes.
 const (
-	Before    Mode = iota // once its entry is durable: none that ran is ever missing
-	Alongside             // at once, as its entry is being written: one of the last moments may be missing
+	BeforeSend Mode = iota // once its entry is durable: none that ran is ever missing
+	Alongside              // at once, as its entry is being written: one of the last moments may be missing
 )
 
 func (m Mode) String() string { return [...]string{"before", "alongside"}[m] }
@@ -84,9 +84,9 @@
 	for _, a := range Pending(s) {
 		j.ran[a.ID] = true
 	}
-	s.Range(prefix, behind, func(key string, _ []byte) bool { // none of these may be written over, whatever the clock says
+	s.Range(attemptPrefix, attemptPrefixEnd, func(key string, _ []byte) bool { // none of these may be written over, whatever the clock says
 		var was int64
-		if n, err := fmt.Sscanf(key[len(prefix):], "%013x-", &was); err == nil && n == 1 {
+		if n, err := fmt.Sscanf(key[len(attemptPrefix):], "%013x-", &was); err == nil && n == 1 {
 			j.began = max(j.began, float64(was+1))
 		}
 		return true
@@ -116,8 +116,8 @@
 		return j.Servers.Start(id, q, until, on, t)
 	}
 	j.n++
-	h := &held{key: fmt.Sprintf("%s%013x-%08x", prefix, int64(j.began), j.n), tag: t,
-		attempt: Attempt{ID: j.core.Known(t.Request), Server: id, At: j.loop.Now(), No: t.Number}}
+	h := &held{key: fmt.Sprintf("%s%013x-%08x", attemptPrefix, int64(j.began), j.n), tag: t,
+		attempt: Attempt{ID: j.core.Known(t.Request), Server: id, StartedAt: j.loop.Now(), Number: t.Number}}
 	j.keys[t] = h
 	entry := []store.Entry{{Key: h.key, Value: h.attempt.encode()}}
 	if j.mode == Alongside {
@@ -222,27 +222,27 @@
 	if h.ref != (slotmap.Ref{}) {
 		j.held.Remove(h.ref)
 	}
-	e := store.Entry{Key: h.key, Gone: true}
+	e := store.Entry{Key: h.key, Deleted: true}
 	switch res {
 	case decide.Failed, decide.TimedOut, decide.Reset, decide.Cancelled:
-		h.attempt.End = uint64(res) + 1
+		h.attempt.Outcome = uint64(res) + 1
 		e = store.Entry{Key: h.key, Value: h.attempt.encode()}
 	}
 	j.store.Append([]store.Entry{e}, j.failed)
 }
 
-const prefix, behind = "attempt/", "attempt0" // behind is the first key that is behind all with the prefix
+const attemptPrefix, attemptPrefixEnd = "attempt/", "attempt0" // behind is the first key that is behind all with the prefix
 
 // Pending are the attempts that a store holds, by server and time: each may have run.
 func Pending(s Store) (out []Attempt) {
-	s.Range(prefix, behind, func(_ string, v []byte) bool {
+	s.Range(attemptPrefix, attemptPrefixEnd, func(_ string, v []byte) bool {
 		if a, err := decode(v); err == nil {
 			out = append(out, a)
 		}
 		return true
 	})
 	slices.SortStableFunc(out, func(a, b Attempt) int {
-		return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.At, b.At))
+		return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.StartedAt, b.StartedAt))
 	})
 	return out
 }
@@ -250,8 +250,8 @@
 // Clear drops all that is pending, once it has been reconciled.
 func Clear(s Store, done func(error)) {
 	var gone []store.Entry
-	s.Range(prefix, behind, func(k string, _ []byte) bool {
-		gone = append(gone, store.Entry{Key: k, Gone: true})
+	s.Range(attemptPrefix, attemptPrefixEnd, func(k string, _ []byte) bool {
+		gone = append(gone, store.Entry{Key: k, Deleted: true})
 		return true
 	})
 	if len(gone) == 0 {
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -83,7 +83,7 @@
 
 func (r *rig) pending() (out []string) {
 	for _, a := range Pending(r.store) {
-		out = append(out, fmt.Sprintf("%s %s %s", a.Server, a.ID, a.How()))
+		out = append(out, fmt.Sprintf("%s %s %s", a.Server, a.ID, a.OutcomeText()))
 	}
 	return out
 }
@@ -93,7 +93,7 @@
 // TestBefore: a write goes out once its entry is durable, and not at all where it was called off, its time ended, or its server
 // drains before; a read goes out at once. What ended without a word stays, also for the next process.
 func TestBefore(t *testing.T) {
-	r := newRig(t, faultyfs.New(), Before)
+	r := newRig(t, faultyfs.New(), BeforeSend)
 	r.j.Start("a", nil, 2e6, backend.SendConditions{}, tag(1))
 	r.want("start a 1 false")
 	ref := r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2))
@@ -131,7 +131,7 @@
 		t.Error(diff)
 	}
 	_ = r.store.Close()
-	next := newRig(t, r.disk, Before)
+	next := newRig(t, r.disk, BeforeSend)
 	if !next.j.Ran("id-2") || !next.j.Ran("id-7") || next.j.Ran("id-6") || next.j.Ran("id-3") {
 		t.Errorf("%v", next.j.ran)
 	}
@@ -151,7 +151,7 @@
 
 // TestDiskFails: what cannot be written down is not sent; alongside, it is.
 func TestDiskFails(t *testing.T) {
-	for mode, want := range map[Mode][]string{Before: {"ended 1 7"}, Alongside: {"start a 1 true"}} {
+	for mode, want := range map[Mode][]string{BeforeSend: {"ended 1 7"}, Alongside: {"start a 1 true"}} {
 		d := faultyfs.New()
 		r := newRig(t, d, mode)
 		ops, _ := d.Ops()
@@ -167,9 +167,9 @@
 func TestClockBack(t *testing.T) {
 	d := faultyfs.New()
 	for i, now := range []float64{1e6, 5e5, 5e5, 10, 0} {
-		r := newRig(t, d, Before)
+		r := newRig(t, d, BeforeSend)
 		r.now = now
-		r.j = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, r.store, Before)
+		r.j = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, r.store, BeforeSend)
 		r.j.Wrap(r)
 		for k := range uint32(i) {
 			if !r.j.Ran(fmt.Sprint("id-", k+1)) {
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -26,7 +26,7 @@
 	if k, err = New(s, mode, now, func(f func()) { told <- f }, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, nil, nil, errors.Join(err, s.Close())
 	}
-	k.Check(invariant.New(func(b invariant.Breach) { panic(b.String()) }), 1)
+	k.UseChecks(invariant.New(func(b invariant.Breach) { panic(b.String()) }), 1)
 	return k, s, func() { (<-told)() }, nil
 }
 
@@ -51,12 +51,12 @@
 		answered := map[string]decide.Time{}
 		now := decide.Time(1000)
 		for range rapid.IntRange(1, 5).Draw(rt, "lives") {
-			mode := rapid.SampledFrom([]Mode{Before, Alongside}).Draw(rt, "mode")
+			mode := rapid.SampledFrom([]Mode{BeforeAnswer, Alongside}).Draw(rt, "mode")
 			k, s, wait, err := open(d, mode, now)
 			if err != nil {
 				rt.Fatal(err)
 			}
-			k.most = 5
+			k.maxSessions = 5
 			for name, at := range answered {
 				if got := need(k, name); got < at {
 					rt.Fatalf("%s is held to %d, and heard of %d", name, got, at)
@@ -95,7 +95,7 @@
 // TestOrdered: after an end in order, in either mode, each session is held to its own commit and others to none; after one without, that
 // holds where answers wait, and else everybody counts as written until the start; where the clock has gone back, until the latest kept.
 func TestOrdered(t *testing.T) {
-	for _, mode := range []Mode{Before, Alongside} {
+	for _, mode := range []Mode{BeforeAnswer, Alongside} {
 		for _, ordered := range []bool{true, false} {
 			for _, back := range []bool{false, true} {
 				d := faultyfs.New()
@@ -151,12 +151,12 @@
 		var modes [2]Mode
 		now, answered := decide.Time(1000), map[string]decide.Time{}
 		for i := range keepers {
-			modes[i] = rapid.SampledFrom([]Mode{Before, Alongside}).Draw(rt, "mode")
+			modes[i] = rapid.SampledFrom([]Mode{BeforeAnswer, Alongside}).Draw(rt, "mode")
 			var err error
 			if keepers[i], stores[i], waits[i], err = open(disks[i], modes[i], now); err != nil {
 				rt.Fatal(err)
 			}
-			keepers[i].most = 4
+			keepers[i].maxSessions = 4
 		}
 		router := map[string]decide.Time{} // what the living one's router knows, and of any other
 		forgotten := decide.Time(0)
@@ -248,20 +248,20 @@
 // TestChecksFail: each statement is seen to be false once what it is about is broken, and none is while nothing is.
 func TestChecksFail(t *testing.T) {
 	for want, breaks := range map[string]func(k *Keeper){
-		"":                                   func(k *Keeper) { k.check(); k.checkStep("a", 5, true); k.checkKept("a", 5) },
-		"commits: sessions are bounded":      func(k *Keeper) { k.most = 0; k.check() },
-		"commits: a session's commit is one": func(k *Keeper) { k.known["b"] = -1; k.check() },
+		"":                                   func(k *Keeper) { k.checkInvariants(); k.checkStep("a", 5, true); k.checkStored("a", 5) },
+		"commits: sessions are bounded":      func(k *Keeper) { k.maxSessions = 0; k.checkInvariants() },
+		"commits: a session's commit is one": func(k *Keeper) { k.commits["b"] = -1; k.checkInvariants() },
 		"commits: a session's commit does not go back": func(k *Keeper) { k.checkStep("a", 6, true) },
-		"commits: what is answered as kept is there":   func(k *Keeper) { k.checkKept("a", 6) },
+		"commits: what is answered as kept is there":   func(k *Keeper) { k.checkStored("a", 6) },
 	} {
-		k, s, wait, err := open(faultyfs.New(), Before, 1)
+		k, s, wait, err := open(faultyfs.New(), BeforeAnswer, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		k.Keep("a", 5, func(bool) {})
 		wait()
 		c := invariant.New(nil)
-		k.Check(c, 1)
+		k.UseChecks(c, 1)
 		breaks(k)
 		if broken := c.Broken(); (len(broken) > 0) != (want != "") || want != "" && broken[0].Name != want {
 			t.Errorf("%q: %v", want, broken)
--- a/internal/storage/snapshots/bytes_test.go
+++ b/internal/storage/snapshots/bytes_test.go
@@ -9,7 +9,7 @@
 // TestBytes: a record's bytes are what stands on disks.
 func TestBytes(t *testing.T) {
 	const want = "09000000000000f83f120466726f6d1a04626f6479"
-	r := &Record{SavedMs: 1.5, From: "from", Body: []byte("body")}
+	r := &Record{SavedMs: 1.5, Source: "from", Body: []byte("body")}
 	b := r.encode()
 	if got := hex.EncodeToString(b); got != want {
 		t.Errorf("%s, want %s", got, want)
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -19,7 +19,7 @@
 )
 
 func value(at float64, body string) func() (*Record, error) {
-	return func() (*Record, error) { return &Record{SavedMs: at, From: "f", Body: []byte(body)}, nil }
+	return func() (*Record, error) { return &Record{SavedMs: at, Source: "f", Body: []byte(body)}, nil }
 }
 
 func strict() *invariant.Checks { return invariant.New(func(b invariant.Breach) { panic(b.String()) }) }
@@ -33,28 +33,28 @@
 	for _, step := range []float64{-3600e3, -3e3, 0, 3e3, 3600e3} {
 		d, now, monotonic := faultyfs.New(), 1e12, 5000.0
 		machine := clock.Machine{Wall: func() float64 { return now }, Monotonic: func() float64 { return monotonic }, Boot: "b"}
-		opt := Options{FS: d, MostBytes: 1 << 20, AgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
+		opt := Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
 		k, err := Start(opt)
 		if err != nil {
 			t.Fatal(err)
 		}
-		saved := RecordOf(machine, "from", []byte("body"))
+		saved := NewRecord(machine, "from", []byte("body"))
 		k.Put(List, func() (*Record, error) { return saved, nil })
 		k.Stop()
 		if k, err = Start(opt); err != nil {
 			t.Fatal(err)
 		}
 		now, monotonic = now+step+1000, monotonic+1000
-		if r, err := k.Found(List, machine); err != nil || r == nil || r.Age(machine) != 1000 {
+		if r, err := k.Get(List, machine); err != nil || r == nil || r.Age(machine) != 1000 {
 			t.Errorf("step of %v ms: %+v, %v", step, r, err)
 		}
 		other := machine
 		other.Boot = "c"
-		if r, _ := k.Found(List, other); (r != nil) != (step <= 0 && step >= -aheadMs) {
+		if r, _ := k.Get(List, other); (r != nil) != (step <= 0 && step >= -maxClockSkewMs) {
 			t.Errorf("step of %v ms, in another boot: %+v", step, r)
 		}
 		monotonic++
-		if _, err := k.Found(List, machine); !errors.Is(err, ErrOld) {
+		if _, err := k.Get(List, machine); !errors.Is(err, ErrTooOld) {
 			t.Errorf("step of %v ms: what is too old is found: %v", step, err)
 		}
 		k.Stop()
@@ -65,7 +65,7 @@
 // went back far, whose word on the age is worth nothing.
 func TestFound(t *testing.T) {
 	d := faultyfs.New()
-	opt := Options{FS: d, MostBytes: 1 << 20, AgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
+	opt := Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
 	k, err := Start(opt)
 	if err != nil {
 		t.Fatal(err)
@@ -79,19 +79,19 @@
 	k.Put(Config, value(1e6, "b"))
 	k.Stop()
 	second.Stop()
-	if r, err := second.Found(List, wall(1e6)); r != nil || err != nil {
+	if r, err := second.Get(List, wall(1e6)); r != nil || err != nil {
 		t.Errorf("the second process read %+v, %v", r, err)
 	}
 	if k, err = Start(opt); err != nil {
 		t.Fatal(err)
 	}
 	defer k.Stop()
-	for now, want := range map[float64]error{1e6: nil, 1e6 + 1000: nil, 1e6 + 1001: ErrOld, 1e6 - aheadMs: nil, 1e6 - aheadMs - 1: ErrAhead} {
-		if r, err := k.Found(List, wall(now)); !errors.Is(err, want) || (r != nil) != (want == nil) || r != nil && string(r.Body) != "a" {
+	for now, want := range map[float64]error{1e6: nil, 1e6 + 1000: nil, 1e6 + 1001: ErrTooOld, 1e6 - maxClockSkewMs: nil, 1e6 - maxClockSkewMs - 1: ErrFromFuture} {
+		if r, err := k.Get(List, wall(now)); !errors.Is(err, want) || (r != nil) != (want == nil) || r != nil && string(r.Body) != "a" {
 			t.Errorf("at %v: %+v, %v", now, r, err)
 		}
 	}
-	if r, err := k.Found(Members, wall(1e6)); r != nil || err != nil {
+	if r, err := k.Get(EndpointList, wall(1e6)); r != nil || err != nil {
 		t.Errorf("never kept: %+v, %v", r, err)
 	}
 }
@@ -101,12 +101,12 @@
 func TestDisk(t *testing.T) {
 	play := func(d *faultyfs.Disk) string {
 		var log bytes.Buffer
-		k, err := Start(Options{FS: d, MostBytes: 1 << 20, AgeMs: 1e9, Log: slog.New(slog.NewTextHandler(&log, nil)), Checks: strict(), Store: strict(), Every: 1})
+		k, err := Start(Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.NewTextHandler(&log, nil)), Checks: strict(), Store: strict(), BatchesPerWalk: 1})
 		if err != nil {
 			return err.Error()
 		}
 		for i := range 4 {
-			k.keep(Config, value(float64(i), strings.Repeat(fmt.Sprint(i), 300)))
+			k.save(Config, value(float64(i), strings.Repeat(fmt.Sprint(i), 300)))
 		}
 		k.Stop()
 		return log.String()
@@ -123,17 +123,17 @@
 			if said := play(d); said == "" {
 				t.Errorf("operation %d failed, and nobody was told", at)
 			}
-			k, err := Start(Options{FS: d.Restart(rand.New(rand.NewPCG(uint64(at), 1)), true), MostBytes: 1 << 20, AgeMs: 1e9, Log: slog.New(slog.DiscardHandler)})
+			k, err := Start(Options{FS: d.Restart(rand.New(rand.NewPCG(uint64(at), 1)), true), MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatalf("operation %d: %v", at, err)
 			}
-			if r, err := k.Found(Config, wall(0)); err != nil || r != nil && string(r.Body) != strings.Repeat(fmt.Sprint(r.SavedMs), 300) {
+			if r, err := k.Get(Config, wall(0)); err != nil || r != nil && string(r.Body) != strings.Repeat(fmt.Sprint(r.SavedMs), 300) {
 				t.Errorf("operation %d: %+v %v", at, r, err)
 			}
 			k.Stop()
 		}
 	}
-	if _, err := decode([]byte("no message")); !errors.Is(err, ErrForeign) {
+	if _, err := decode([]byte("no message")); !errors.Is(err, ErrMalformed) {
 		t.Error(err)
 	}
 }
@@ -150,7 +150,7 @@
 		},
 		"kept: one value of each kind waits at most": func(k *Keeper, _ *Record) {
 			for _, what := range []string{"1", "2", "3", "4"} {
-				k.next[what] = nil
+				k.waiting[what] = nil
 			}
 		},
 	} {
@@ -158,12 +158,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &Keeper{opt: Options{Checks: invariant.New(nil)}, store: s, next: map[string]func() (*Record, error){}, failed: map[string]string{}}
-		r := &Record{SavedMs: 1, From: "f", Body: []byte("b")}
-		k.keep(Config, func() (*Record, error) { return r, nil })
+		k := &Keeper{options: Options{Checks: invariant.New(nil)}, store: s, waiting: map[string]func() (*Record, error){}, lastErrors: map[string]string{}}
+		r := &Record{SavedMs: 1, Source: "f", Body: []byte("b")}
+		k.save(Config, func() (*Record, error) { return r, nil })
 		breaks(k, r)
-		k.check(Config, r)
-		if broken := k.opt.Checks.Broken(); (len(broken) > 0) != (want != "") || want != "" && broken[0].Name != want {
+		k.checkInvariants(Config, r)
+		if broken := k.options.Checks.Broken(); (len(broken) > 0) != (want != "") || want != "" && broken[0].Name != want {
 			t.Errorf("%q: %v", want, broken)
 		}
 		_ = s.Close()
@@ -180,12 +180,12 @@
 		n := 0.0
 		for range rapid.IntRange(1, 4).Draw(rt, "lives") {
 			checks, inner := invariant.New(nil), invariant.New(nil)
-			k, err := Start(Options{FS: d, MostBytes: 1 << 20, AgeMs: 1e9, Log: slog.New(slog.DiscardHandler), Checks: checks, Store: inner, Every: 1})
+			k, err := Start(Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler), Checks: checks, Store: inner, BatchesPerWalk: 1})
 			if err != nil {
 				rt.Fatal(err)
 			}
-			for _, what := range []string{Config, List, Members} {
-				r, err := k.Found(what, wall(n))
+			for _, what := range []string{Config, List, EndpointList} {
+				r, err := k.Get(what, wall(n))
 				if err != nil {
 					rt.Fatal(err)
 				}
@@ -205,7 +205,7 @@
 			d.CrashAt = ops + rapid.IntRange(1, 60).Draw(rt, "until")
 			for range rapid.IntRange(0, 12).Draw(rt, "values") {
 				n++
-				what := rapid.SampledFrom([]string{Config, List, Members}).Draw(rt, "what")
+				what := rapid.SampledFrom([]string{Config, List, EndpointList}).Draw(rt, "what")
 				r := &Record{SavedMs: n, Body: []byte(strings.Repeat(what, int(n)%90))}
 				last[what] = n
 				k.Put(what, func() (*Record, error) { return r, nil })
--- a/internal/storage/store/beside_test.go
+++ b/internal/storage/store/beside_test.go
@@ -53,7 +53,7 @@
 // there is each time. It tells how many were acknowledged and asked for, and how the compactions ended.
 func playBeside(t *testing.T, d *faultyfs.Disk, acts []act, all []map[string]string) (acked, asked int, compacted error) {
 	h := &hooked{Disk: d}
-	s, _, err := store.Open(store.Options{FS: h, SegmentBytes: 700, Checks: strict(), Every: 1})
+	s, _, err := store.Open(store.Options{FS: h, SegmentBytes: 700, Checks: strict(), BatchesPerWalk: 1})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -101,7 +101,7 @@
 	for i := range n {
 		e := []store.Entry{{Key: fmt.Sprint("k", i%7), Value: []byte(fmt.Sprint("v", i, strings.Repeat("x", i*5)))}}
 		if i%5 == 4 {
-			e = append(e, store.Entry{Key: fmt.Sprint("k", (i+3)%7), Gone: true})
+			e = append(e, store.Entry{Key: fmt.Sprint("k", (i+3)%7), Deleted: true})
 		}
 		out = append(out, act{entries: e})
 	}
@@ -168,7 +168,7 @@
 	acts := history()
 	play(d, acts)
 	before := d.Files()
-	if _, _, err := store.Open(store.Options{FS: readOnly{d}}); !errors.Is(err, syscall.EROFS) || errors.Is(err, store.ErrRotten) {
+	if _, _, err := store.Open(store.Options{FS: readOnly{d}}); !errors.Is(err, syscall.EROFS) || errors.Is(err, store.ErrCorrupt) {
 		t.Errorf("%v", err)
 	}
 	s, _, err := store.Open(store.Options{FS: store.ReadOnly{FS: readOnly{d}}})
@@ -189,7 +189,7 @@
 func TestBounds(t *testing.T) {
 	const most = 30000
 	d := faultyfs.New()
-	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 2000, MaxBytes: most, Checks: strict(), Every: 1})
+	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 2000, MaxBytes: most, Checks: strict(), BatchesPerWalk: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,7 +230,7 @@
 	}
 	_ = s.Close()
 
-	if s, _, err = store.Open(store.Options{FS: faultyfs.New(), Pace: 200 << 10}); err != nil {
+	if s, _, err = store.Open(store.Options{FS: faultyfs.New(), CompactionRate: 200 << 10}); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 40 {
--- a/internal/storage/store/checks_test.go
+++ b/internal/storage/store/checks_test.go
@@ -23,18 +23,18 @@
 	t.Parallel()
 	for want, breaks := range map[string]func(s *Store){
 		"": func(*Store) {},
-		"store: what was acknowledged is what is durable":                      func(s *Store) { s.seq++ },
-		"store: the segment that is written is replaced by nothing":            func(s *Store) { s.old = append(s.old, segment(s.number)) },
-		"store: it stays within its bound":                                     func(s *Store) { s.total += 2 << 20 },
-		"store: what is live is counted":                                       func(s *Store) { s.live++ },
-		"store: its files' sizes are counted":                                  func(s *Store) { s.size++ },
-		"compaction: every file is written, to be replaced, or being replaced": func(s *Store) { s.sizes["stray"] = 0 },
-		"compaction: a snapshot is no larger than was reserved":                func(s *Store) { s.checkCompacted(&compaction{size: 1 << 20}) },
-		"compaction: a snapshot is of what was before":                         func(s *Store) { s.checkCompacted(&compaction{upTo: 1 << 40}) },
+		"store: what was acknowledged is what is durable":                      func(s *Store) { s.sequence++ },
+		"store: the segment that is written is replaced by nothing":            func(s *Store) { s.replaceable = append(s.replaceable, segmentName(s.segmentNumber)) },
+		"store: it stays within its bound":                                     func(s *Store) { s.totalBytes += 2 << 20 },
+		"store: what is live is counted":                                       func(s *Store) { s.liveBytes++ },
+		"store: its files' sizes are counted":                                  func(s *Store) { s.segmentBytes++ },
+		"compaction: every file is written, to be replaced, or being replaced": func(s *Store) { s.fileBytes["stray"] = 0 },
+		"compaction: a snapshot is no larger than was reserved":                func(s *Store) { s.checkCompacted(&compaction{writtenBytes: 1 << 20}) },
+		"compaction: a snapshot is of what was before":                         func(s *Store) { s.checkCompacted(&compaction{lastSegment: 1 << 40}) },
 		"store: the index has its keys in order, each once": func(s *Store) {
-			other := btree.NewG(degree, func(a, b item) bool { return a.key > b.key })
-			s.tree.Ascend(func(x item) bool { other.ReplaceOrInsert(x); return true })
-			s.tree = other
+			other := btree.NewG(indexDegree, func(a, b item) bool { return a.key > b.key })
+			s.index.Ascend(func(x item) bool { other.ReplaceOrInsert(x); return true })
+			s.index = other
 		},
 	} {
 		s, _, err := Open(Options{FS: Dir(t.TempDir()), SegmentBytes: 500, MaxBytes: 1 << 20})
@@ -49,10 +49,10 @@
 		if err := s.Close(); err != nil { // the writer has ended: what was its own is this test's
 			t.Fatal(err)
 		}
-		s.opt.Checks, s.opt.Every = invariant.New(nil), 1
+		s.options.Checks, s.options.BatchesPerWalk = invariant.New(nil), 1
 		breaks(s)
-		s.check()
-		broken := s.opt.Checks.Broken()
+		s.checkInvariants()
+		broken := s.options.Checks.Broken()
 		if found := len(broken) > 0; found != (want != "") || found && broken[0].Name != want {
 			t.Errorf("%q: %v", want, broken)
 		}
@@ -64,8 +64,8 @@
 func TestMemory(t *testing.T) {
 	t.Parallel()
 	dir := Dir(t.TempDir())
-	most := Memory(10, 10*102)
-	s, _, err := Open(Options{FS: dir, MaxMemory: most, Checks: invariant.Test(t), Every: 1})
+	most := MemoryUse(10, 10*102)
+	s, _, err := Open(Options{FS: dir, MaxMemory: most, Checks: invariant.Test(t), BatchesPerWalk: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,9 +82,9 @@
 		{[]Entry{put(10)}, ErrFull},
 		{[]Entry{put(3)}, nil}, // in place of as much
 		{[]Entry{{Key: "03", Value: make([]byte, 101)}}, ErrFull},
-		{[]Entry{{Key: "04", Gone: true}, put(11)}, nil},
+		{[]Entry{{Key: "04", Deleted: true}, put(11)}, nil},
 		{[]Entry{put(12)}, ErrFull},
-		{[]Entry{{Key: "05", Gone: true}}, nil},
+		{[]Entry{{Key: "05", Deleted: true}}, nil},
 		{[]Entry{put(12)}, nil},
 	} {
 		if err := kept(t, s, x.entries...); !errors.Is(err, x.want) {
@@ -92,7 +92,7 @@
 		}
 	}
 	var errs [4]error // in one batch, room is promised once
-	_ = kept(t, s, Entry{Key: "00", Gone: true})
+	_ = kept(t, s, Entry{Key: "00", Deleted: true})
 	done := make(chan int, len(errs))
 	for i := range errs {
 		s.Append([]Entry{put(20 + i)}, func(err error) { errs[i] = err; done <- i })
@@ -110,13 +110,13 @@
 		t.Fatal(err)
 	}
 	s, rec, err := Open(Options{FS: dir, MaxMemory: most / 2})
-	if err != nil || rec.Records != 10 || rec.TookMs <= 0 {
+	if err != nil || rec.Records != 10 || rec.DurationMs <= 0 {
 		t.Fatal(rec, err)
 	}
 	if err := kept(t, s, put(30)); !errors.Is(err, ErrFull) {
 		t.Error(err)
 	}
-	if err := errors.Join(kept(t, s, Entry{Key: "01", Gone: true}), s.Close()); err != nil {
+	if err := errors.Join(kept(t, s, Entry{Key: "01", Deleted: true}), s.Close()); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/storage/store/frame.go
+++ b/internal/storage/store/frame.go
@@ -12,53 +12,53 @@
 // that is kept with others or not at all, whether it is gone, the lengths of key and value, and both. All numbers are
 // little-endian.
 const (
-	headSize  = 16
-	frameHead = 4 + 4 + 8 + 8 + 1
-	maxFrame  = 16 << 20
-	version   = 1
+	fileHeaderBytes  = 16
+	frameHeaderBytes = 4 + 4 + 8 + 8 + 1
+	maxFrameBytes    = 16 << 20
+	formatVersion    = 1
 )
 
 var magic = [7]byte{'b', 'g', 's', 't', 'o', 'r', 'e'}
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// kind is what a frame is.
-type kind uint8
+// frameKind is what a frame is.
+type frameKind uint8
 
 const (
-	kindPut  kind = iota + 1
-	kindSeal      // the file is whole, and another follows it
-	kindEnd       // a snapshot is whole; its number is how many records it has
+	kindPut  frameKind = iota + 1
+	kindSeal           // the file is whole, and another follows it
+	kindEnd            // a snapshot is whole; its number is how many records it has
 )
 
 type frame struct {
-	seq     uint64
-	durable uint64
-	kind    kind
-	entries []Entry
+	sequence uint64
+	durable  uint64
+	kind     frameKind
+	entries  []Entry
 }
 
-const entryHead = 1 + 4 + 4
+const entryHeaderBytes = 1 + 4 + 4
 
-// sizeOf is how much an entry takes within a frame.
-func sizeOf(e *Entry) int { return entryHead + len(e.Key) + len(e.Value) }
+// encodedSize is how much an entry takes within a frame.
+func encodedSize(e *Entry) int { return entryHeaderBytes + len(e.Key) + len(e.Value) }
 
-// appendHead appends a file's head: what it is, the format's version, and the file's number.
-func appendHead(b []byte, number uint64) []byte {
-	b = append(append(b, magic[:]...), version)
+// appendFileHeader appends a file's head: what it is, the format's version, and the file's number.
+func appendFileHeader(b []byte, number uint64) []byte {
+	b = append(append(b, magic[:]...), formatVersion)
 	return binary.LittleEndian.AppendUint64(b, number)
 }
 
-func readHead(b []byte, number uint64) error {
+func checkFileHeader(b []byte, number uint64) error {
 	switch {
-	case len(b) < headSize:
-		return errShort
+	case len(b) < fileHeaderBytes:
+		return errTruncated
 	case [7]byte(b[:7]) != magic:
-		return fmt.Errorf("%w: no file of this store", ErrRotten)
-	case b[7] != version:
-		return fmt.Errorf("%w: format %d; this program knows %d", ErrRotten, b[7], version)
+		return fmt.Errorf("%w: no file of this store", ErrCorrupt)
+	case b[7] != formatVersion:
+		return fmt.Errorf("%w: format %d; this program knows %d", ErrCorrupt, b[7], formatVersion)
 	case binary.LittleEndian.Uint64(b[8:]) != number:
-		return fmt.Errorf("%w: the file says that it is number %d", ErrRotten, binary.LittleEndian.Uint64(b[8:]))
+		return fmt.Errorf("%w: the file says that it is number %d", ErrCorrupt, binary.LittleEndian.Uint64(b[8:]))
 	}
 	return nil
 }
@@ -67,63 +67,63 @@
 	from := len(b)
 	n := 0
 	for i := range f.entries {
-		n += sizeOf(&f.entries[i])
+		n += encodedSize(&f.entries[i])
 	}
 	b = binary.LittleEndian.AppendUint32(b, uint32(n))
 	b = binary.LittleEndian.AppendUint32(b, 0)
-	b = binary.LittleEndian.AppendUint64(b, f.seq)
+	b = binary.LittleEndian.AppendUint64(b, f.sequence)
 	b = binary.LittleEndian.AppendUint64(b, f.durable)
 	b = append(b, byte(f.kind))
 	for i := range f.entries {
 		e := &f.entries[i]
 		gone := byte(0)
-		if e.Gone {
+		if e.Deleted {
 			gone = 1
 		}
 		b = binary.LittleEndian.AppendUint32(append(b, gone), uint32(len(e.Key)))
 		b = binary.LittleEndian.AppendUint32(b, uint32(len(e.Value)))
 		b = append(append(b, e.Key...), e.Value...)
 	}
-	binary.LittleEndian.PutUint32(b[from+4:], sumOf(b[from:]))
+	binary.LittleEndian.PutUint32(b[from+4:], frameChecksum(b[from:]))
 	return b
 }
 
-// sumOf is a frame's checksum: of its length, and of all behind the checksum's own place.
-func sumOf(f []byte) uint32 {
-	return crc32.Update(crc32.Checksum(f[:4], table), table, f[8:])
+// frameChecksum is a frame's checksum: of its length, and of all behind the checksum's own place.
+func frameChecksum(f []byte) uint32 {
+	return crc32.Update(crc32.Checksum(f[:4], checksumTable), checksumTable, f[8:])
 }
 
 var (
-	errShort = errors.New("it ends within a frame")
-	errSum   = errors.New("a frame's checksum is wrong")
+	errTruncated = errors.New("it ends within a frame")
+	errChecksum  = errors.New("a frame's checksum is wrong")
 )
 
 // readFrame reads the frame at the start of b, and how long it is.
 func readFrame(b []byte) (f frame, n int, err error) {
-	if len(b) < frameHead {
-		return frame{}, 0, errShort
+	if len(b) < frameHeaderBytes {
+		return frame{}, 0, errTruncated
 	}
 	size := int(binary.LittleEndian.Uint32(b))
-	if size > maxFrame {
-		return frame{}, 0, errSum
+	if size > maxFrameBytes {
+		return frame{}, 0, errChecksum
 	}
-	if n = frameHead + size; n > len(b) {
-		return frame{}, 0, errShort
+	if n = frameHeaderBytes + size; n > len(b) {
+		return frame{}, 0, errTruncated
 	}
-	if sumOf(b[:n]) != binary.LittleEndian.Uint32(b[4:]) {
-		return frame{}, 0, errSum
+	if frameChecksum(b[:n]) != binary.LittleEndian.Uint32(b[4:]) {
+		return frame{}, 0, errChecksum
 	}
-	f = frame{seq: binary.LittleEndian.Uint64(b[8:]), durable: binary.LittleEndian.Uint64(b[16:]), kind: kind(b[24])}
-	for p := b[frameHead:n]; len(p) > 0; {
-		if len(p) < entryHead {
-			return frame{}, 0, errSum
+	f = frame{sequence: binary.LittleEndian.Uint64(b[8:]), durable: binary.LittleEndian.Uint64(b[16:]), kind: frameKind(b[24])}
+	for p := b[frameHeaderBytes:n]; len(p) > 0; {
+		if len(p) < entryHeaderBytes {
+			return frame{}, 0, errChecksum
 		}
 		k, v := int(binary.LittleEndian.Uint32(p[1:])), int(binary.LittleEndian.Uint32(p[5:]))
-		if k+v > len(p)-entryHead {
-			return frame{}, 0, errSum
+		if k+v > len(p)-entryHeaderBytes {
+			return frame{}, 0, errChecksum
 		}
-		at := p[entryHead:]
-		f.entries = append(f.entries, Entry{Key: string(at[:k]), Value: append([]byte(nil), at[k:k+v]...), Gone: p[0] == 1})
+		at := p[entryHeaderBytes:]
+		f.entries = append(f.entries, Entry{Key: string(at[:k]), Value: append([]byte(nil), at[k:k+v]...), Deleted: p[0] == 1})
 		p = at[k+v:]
 	}
 	return f, n, nil
@@ -132,8 +132,8 @@
 // laterDurable is the highest number that any whole frame in b, wherever it begins, says is durable. It is looked for behind a
 // frame that cannot be read, to tell rot from a tail that was never whole.
 func laterDurable(b []byte) (durable uint64, found bool) {
-	for i := 0; i+frameHead <= len(b); i++ {
-		if size := binary.LittleEndian.Uint32(b[i:]); size > maxFrame || int(size) > len(b)-i-frameHead {
+	for i := 0; i+frameHeaderBytes <= len(b); i++ {
+		if size := binary.LittleEndian.Uint32(b[i:]); size > maxFrameBytes || int(size) > len(b)-i-frameHeaderBytes {
 			continue
 		}
 		if f, _, err := readFrame(b[i:]); err == nil {
--- a/internal/storage/store/inspect.go
+++ b/internal/storage/store/inspect.go
@@ -8,14 +8,14 @@
 
 // FileReport is what a file of a store holds, read without changing anything.
 type FileReport struct {
-	Name    string `json:"name"`
-	Bytes   int    `json:"bytes"`
-	Frames  int    `json:"frames"`
-	Entries int    `json:"entries"`
-	First   uint64 `json:"first,omitempty"` // numbers of its frames
-	Last    uint64 `json:"last,omitempty"`
-	Ends    string `json:"ends"` // how: sealed, whole, open, or why it can be read no further
-	At      int    `json:"at"`   // ...and at which byte
+	Name          string `json:"name"`
+	Bytes         int    `json:"bytes"`
+	Frames        int    `json:"frames"`
+	Entries       int    `json:"entries"`
+	FirstSequence uint64 `json:"first,omitempty"` // numbers of its frames
+	LastSequence  uint64 `json:"last,omitempty"`
+	State         string `json:"ends"` // how: sealed, whole, open, or why it can be read no further
+	ReadUpTo      int    `json:"at"`   // ...and at which byte
 }
 
 // Inspect reads every file of a store as far as that goes, in their order.
@@ -27,10 +27,10 @@
 	slices.Sort(names)
 	var out []FileReport
 	for _, name := range names {
-		number, is := numberOf(name, ".log")
+		number, is := fileNumber(name, ".log")
 		if !is {
-			if number, is = numberOf(name, ".snap"); !is {
-				out = append(out, FileReport{Name: name, Ends: "not of the store, or never whole"})
+			if number, is = fileNumber(name, ".snap"); !is {
+				out = append(out, FileReport{Name: name, State: "not of the store, or never whole"})
 				continue
 			}
 		}
@@ -44,30 +44,30 @@
 }
 
 func inspect(name string, number uint64, b []byte) FileReport {
-	r := FileReport{Name: name, Bytes: len(b), Ends: "open"}
-	if err := readHead(b, number); err != nil {
-		r.Ends = err.Error()
+	r := FileReport{Name: name, Bytes: len(b), State: "open"}
+	if err := checkFileHeader(b, number); err != nil {
+		r.State = err.Error()
 		return r
 	}
-	for r.At = headSize; r.At < len(b); {
-		f, n, err := readFrame(b[r.At:])
+	for r.ReadUpTo = fileHeaderBytes; r.ReadUpTo < len(b); {
+		f, n, err := readFrame(b[r.ReadUpTo:])
 		if err != nil {
-			r.Ends = err.Error()
+			r.State = err.Error()
 			return r
 		}
-		r.At += n
+		r.ReadUpTo += n
 		r.Frames++
 		r.Entries += len(f.entries)
 		switch f.kind {
 		case kindSeal:
-			r.Ends = "sealed"
+			r.State = "sealed"
 		case kindEnd:
-			r.Ends = "whole"
+			r.State = "whole"
 		default:
-			if r.First == 0 {
-				r.First = f.seq
+			if r.FirstSequence == 0 {
+				r.FirstSequence = f.sequence
 			}
-			r.Last = f.seq
+			r.LastSequence = f.sequence
 		}
 	}
 	return r
@@ -77,17 +77,17 @@
 // would make of it.
 type ReadOnly struct{ FS }
 
-type nowhere struct{}
+type discardFile struct{}
 
-func (nowhere) Write(p []byte) (int, error) { return len(p), nil }
-func (nowhere) Sync() error                 { return nil }
-func (nowhere) Close() error                { return nil }
+func (discardFile) Write(p []byte) (int, error) { return len(p), nil }
+func (discardFile) Sync() error                 { return nil }
+func (discardFile) Close() error                { return nil }
 
 // Create is FS's.
-func (ReadOnly) Create(string) (File, error) { return nowhere{}, nil }
+func (ReadOnly) Create(string) (File, error) { return discardFile{}, nil }
 
 // Append is FS's.
-func (ReadOnly) Append(string) (File, error) { return nowhere{}, nil }
+func (ReadOnly) Append(string) (File, error) { return discardFile{}, nil }
 
 // Truncate is FS's.
 func (ReadOnly) Truncate(string, int64) error { return nil }
@@ -101,17 +101,17 @@
 // Sync is FS's.
 func (ReadOnly) Sync() error { return nil }
 
-// Lost is a part of a file that a repair could make nothing of.
-type Lost struct {
-	Name string `json:"name"`
-	From int    `json:"from"`
-	To   int    `json:"to"`
-	Why  string `json:"why"`
+// LostRange is a part of a file that a repair could make nothing of.
+type LostRange struct {
+	Name   string `json:"name"`
+	From   int    `json:"from"`
+	To     int    `json:"to"`
+	Reason string `json:"why"`
 }
 
 // Repair writes what can be read of a store into another, which must be empty, and tells what it had to leave out. What stood
 // there may have been the word that a key is gone, or a newer value: whoever repairs has to look at what came of it.
-func Repair(from, to FS) (kept int, lost []Lost, err error) {
+func Repair(from, to FS) (kept int, lost []LostRange, err error) {
 	unlock, err := from.Lock()
 	if err != nil {
 		return 0, nil, err
@@ -128,12 +128,12 @@
 	var logs []string
 	slices.Sort(names)
 	for _, name := range names {
-		if n, ok := numberOf(name, ".snap"); ok && n >= base {
+		if n, ok := fileNumber(name, ".snap"); ok && n >= base {
 			base, snap = n, name
 		}
 	}
 	for _, name := range names {
-		if n, ok := numberOf(name, ".log"); ok && n > base {
+		if n, ok := fileNumber(name, ".log"); ok && n > base {
 			logs = append(logs, name)
 		}
 	}
@@ -147,7 +147,7 @@
 			return 0, lost, fmt.Errorf("%s: %w", name, err)
 		}
 		lost = append(lost, salvage(name, b, func(e *Entry) {
-			if delete(live, e.Key); !e.Gone {
+			if delete(live, e.Key); !e.Deleted {
 				live[e.Key] = e.Value
 			}
 		})...)
@@ -171,8 +171,8 @@
 }
 
 // salvage takes every whole frame of a file, wherever it stands, and tells what lies between them.
-func salvage(name string, b []byte, take func(*Entry)) (lost []Lost) {
-	at, from, why := min(headSize, len(b)), -1, ""
+func salvage(name string, b []byte, take func(*Entry)) (lost []LostRange) {
+	at, from, why := min(fileHeaderBytes, len(b)), -1, ""
 	for at < len(b) {
 		f, n, err := readFrame(b[at:])
 		if err != nil {
@@ -183,7 +183,7 @@
 			continue
 		}
 		if from >= 0 {
-			lost = append(lost, Lost{name, from, at, why})
+			lost = append(lost, LostRange{name, from, at, why})
 			from = -1
 		}
 		for i := range f.entries {
@@ -192,7 +192,7 @@
 		at += n
 	}
 	if from >= 0 {
-		lost = append(lost, Lost{name, from, len(b), why})
+		lost = append(lost, LostRange{name, from, len(b), why})
 	}
 	return lost
 }
--- a/internal/storage/store/linear_test.go
+++ b/internal/storage/store/linear_test.go
@@ -69,7 +69,7 @@
 	now := func() int64 { return time.Since(began).Nanoseconds() }
 	var unsure []int
 	for life := range 2 {
-		s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 200, Checks: strict(), Every: 1})
+		s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 200, Checks: strict(), BatchesPerWalk: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/storage/store/recover.go
+++ b/internal/storage/store/recover.go
@@ -10,24 +10,24 @@
 
 // recover reads the newest snapshot and the segments behind it.
 func (s *Store) recover() (*Recovery, error) {
-	names, err := s.opt.FS.List()
+	names, err := s.options.FS.List()
 	if err != nil {
 		return nil, err
 	}
 	slices.Sort(names)
 	rec := &Recovery{}
 	// A process that ended may have left names and bytes that the disk does not have yet: what is told of must be there.
-	if err := s.opt.FS.Sync(); err != nil {
+	if err := s.options.FS.Sync(); err != nil {
 		return rec, err
 	}
 	var snaps, logs []uint64
 	for _, n := range names {
-		if x, ok := numberOf(n, ".snap"); ok {
+		if x, ok := fileNumber(n, ".snap"); ok {
 			snaps = append(snaps, x)
-		} else if x, ok := numberOf(n, ".log"); ok {
+		} else if x, ok := fileNumber(n, ".log"); ok {
 			logs = append(logs, x)
 		} else if strings.HasSuffix(n, ".tmp") { // a snapshot that was never whole
-			if err := s.opt.FS.Remove(n); err != nil {
+			if err := s.options.FS.Remove(n); err != nil {
 				return rec, err
 			}
 		}
@@ -36,13 +36,13 @@
 	if len(snaps) > 0 {
 		base = snaps[len(snaps)-1]
 		if err := s.readSnapshot(base); err != nil {
-			return rec, fmt.Errorf("%s: %w", snapshot(base), err)
+			return rec, fmt.Errorf("%s: %w", snapshotName(base), err)
 		}
 	}
 	stale := false
 	for _, n := range snaps[:max(0, len(snaps)-1)] { // a compaction was killed before it had cleared up
 		stale = true
-		if err := s.opt.FS.Remove(snapshot(n)); err != nil {
+		if err := s.options.FS.Remove(snapshotName(n)); err != nil {
 			return rec, err
 		}
 	}
@@ -53,63 +53,63 @@
 			continue
 		}
 		stale = true
-		if err := s.opt.FS.Remove(segment(n)); err != nil {
+		if err := s.options.FS.Remove(segmentName(n)); err != nil {
 			return rec, err
 		}
 	}
 	if stale {
-		if err := s.opt.FS.Sync(); err != nil {
+		if err := s.options.FS.Sync(); err != nil {
 			return rec, err
 		}
 	}
 	for i, n := range todo {
 		if n != base+1+uint64(i) {
-			return rec, fmt.Errorf("%w: %s is not there", ErrRotten, segment(base+1+uint64(i)))
+			return rec, fmt.Errorf("%w: %s is not there", ErrCorrupt, segmentName(base+1+uint64(i)))
 		}
 		if err := s.readSegment(n, i == len(todo)-1, rec); err != nil {
-			return rec, fmt.Errorf("%s: %w", segment(n), err)
+			return rec, fmt.Errorf("%s: %w", segmentName(n), err)
 		}
-		rec.Segments++
+		rec.SegmentsRead++
 	}
-	s.durable = s.seq
-	rec.Records = s.tree.Len()
-	if len(todo) > 0 && s.file != nil {
+	s.durable = s.sequence
+	rec.Records = s.index.Len()
+	if len(todo) > 0 && s.segmentFile != nil {
 		return rec, nil
 	}
-	return rec, s.begin(base + 1 + uint64(len(todo)))
+	return rec, s.createSegment(base + 1 + uint64(len(todo)))
 }
 
 // readSnapshot takes a snapshot. It was renamed when it was whole: whatever is wrong with it is rot.
 func (s *Store) readSnapshot(n uint64) error {
-	b, err := s.opt.FS.Read(snapshot(n))
+	b, err := s.options.FS.Read(snapshotName(n))
 	if err != nil {
 		return err
 	}
-	if err := readHead(b, n); err != nil {
-		return errors.Join(ErrRotten, err)
+	if err := checkFileHeader(b, n); err != nil {
+		return errors.Join(ErrCorrupt, err)
 	}
 	count := uint64(0)
-	for at := headSize; ; {
+	for at := fileHeaderBytes; ; {
 		f, k, err := readFrame(b[at:])
 		if err != nil {
-			return fmt.Errorf("%w: byte %d: %w", ErrRotten, at, err)
+			return fmt.Errorf("%w: byte %d: %w", ErrCorrupt, at, err)
 		}
 		at += k
 		switch f.kind {
 		case kindPut:
 			count++
-			s.take(&f)
+			s.applyFrame(&f)
 		case kindEnd:
-			if f.seq != count || at != len(b) {
-				return fmt.Errorf("%w: it ends with %d of %d records at byte %d of %d", ErrRotten, count, f.seq, at, len(b))
+			if f.sequence != count || at != len(b) {
+				return fmt.Errorf("%w: it ends with %d of %d records at byte %d of %d", ErrCorrupt, count, f.sequence, at, len(b))
 			}
-			s.seq = max(s.seq, f.durable)
-			s.sizes[snapshot(n)] = int64(len(b))
-			s.total += int64(len(b))
-			s.old = append(s.old, snapshot(n))
+			s.sequence = max(s.sequence, f.durable)
+			s.fileBytes[snapshotName(n)] = int64(len(b))
+			s.totalBytes += int64(len(b))
+			s.replaceable = append(s.replaceable, snapshotName(n))
 			return nil
 		default:
-			return fmt.Errorf("%w: byte %d: a frame of kind %d", ErrRotten, at-k, f.kind)
+			return fmt.Errorf("%w: byte %d: a frame of kind %d", ErrCorrupt, at-k, f.kind)
 		}
 	}
 }
@@ -117,37 +117,37 @@
 // readSegment takes a segment. One with another behind it was sealed before that was made; the last one may have a tail that
 // was never whole, and is cut there.
 func (s *Store) readSegment(n uint64, last bool, rec *Recovery) error {
-	b, err := s.opt.FS.Read(segment(n))
+	b, err := s.options.FS.Read(segmentName(n))
 	if err != nil {
 		return err
 	}
-	at, sealed := headSize, false
-	switch err := readHead(b, n); {
+	at, sealed := fileHeaderBytes, false
+	switch err := checkFileHeader(b, n); {
 	case err == nil:
-	case last && (errors.Is(err, errShort) || len(b) == headSize && bytes.Count(b, []byte{0}) == headSize): // it was being made: its length may be there first
-		rec.Dropped, rec.Why = rec.Dropped+len(b), "its head is not whole"
-		if err := errors.Join(s.opt.FS.Remove(segment(n)), s.opt.FS.Sync()); err != nil {
+	case last && (errors.Is(err, errTruncated) || len(b) == fileHeaderBytes && bytes.Count(b, []byte{0}) == fileHeaderBytes): // it was being made: its length may be there first
+		rec.DroppedBytes, rec.Reason = rec.DroppedBytes+len(b), "its head is not whole"
+		if err := errors.Join(s.options.FS.Remove(segmentName(n)), s.options.FS.Sync()); err != nil {
 			return err
 		}
-		return s.begin(n)
+		return s.createSegment(n)
 	default:
-		return errors.Join(ErrRotten, err)
+		return errors.Join(ErrCorrupt, err)
 	}
 	for at < len(b) {
 		f, k, err := readFrame(b[at:])
-		if err == nil && f.kind == kindPut && f.seq != s.seq+1 {
-			return fmt.Errorf("%w: byte %d: record %d after %d", ErrRotten, at, f.seq, s.seq)
+		if err == nil && f.kind == kindPut && f.sequence != s.sequence+1 {
+			return fmt.Errorf("%w: byte %d: record %d after %d", ErrCorrupt, at, f.sequence, s.sequence)
 		}
 		if err != nil {
 			if !last {
-				return fmt.Errorf("%w: byte %d: %w", ErrRotten, at, err)
+				return fmt.Errorf("%w: byte %d: %w", ErrCorrupt, at, err)
 			}
 			// Nothing was acknowledged before it was synced, and what was synced later frames tell of.
-			if durable, found := laterDurable(b[at+1:]); found && durable > s.seq {
-				return fmt.Errorf("%w: byte %d: %w, and records up to %d were durable", ErrRotten, at, err, durable)
+			if durable, found := laterDurable(b[at+1:]); found && durable > s.sequence {
+				return fmt.Errorf("%w: byte %d: %w, and records up to %d were durable", ErrCorrupt, at, err, durable)
 			}
-			rec.Dropped, rec.Why = rec.Dropped+len(b)-at, fmt.Sprintf("%s, byte %d: %v", segment(n), at, err)
-			if err := s.opt.FS.Truncate(segment(n), int64(at)); err != nil {
+			rec.DroppedBytes, rec.Reason = rec.DroppedBytes+len(b)-at, fmt.Sprintf("%s, byte %d: %v", segmentName(n), at, err)
+			if err := s.options.FS.Truncate(segmentName(n), int64(at)); err != nil {
 				return err
 			}
 			break
@@ -155,53 +155,53 @@
 		at += k
 		switch f.kind {
 		case kindPut:
-			s.seq = f.seq
-			s.take(&f)
+			s.sequence = f.sequence
+			s.applyFrame(&f)
 		case kindSeal:
 			if sealed = true; at != len(b) {
-				return fmt.Errorf("%w: %d bytes behind its seal", ErrRotten, len(b)-at)
+				return fmt.Errorf("%w: %d bytes behind its seal", ErrCorrupt, len(b)-at)
 			}
 		default:
-			return fmt.Errorf("%w: byte %d: a frame of kind %d", ErrRotten, at-k, f.kind)
+			return fmt.Errorf("%w: byte %d: a frame of kind %d", ErrCorrupt, at-k, f.kind)
 		}
 	}
 	if !last && !sealed {
-		return fmt.Errorf("%w: it is not sealed, and another follows", ErrRotten)
+		return fmt.Errorf("%w: it is not sealed, and another follows", ErrCorrupt)
 	}
-	s.sizes[segment(n)] = int64(at)
-	s.total += int64(at)
+	s.fileBytes[segmentName(n)] = int64(at)
+	s.totalBytes += int64(at)
 	if !last {
-		s.old = append(s.old, segment(n))
+		s.replaceable = append(s.replaceable, segmentName(n))
 		return nil
 	}
-	f, err := s.opt.FS.Append(segment(n))
+	f, err := s.options.FS.Append(segmentName(n))
 	if err != nil {
 		return err
 	}
 	if err := f.Sync(); err != nil || sealed {
-		s.old = append(s.old, segment(n))
+		s.replaceable = append(s.replaceable, segmentName(n))
 		return errors.Join(err, f.Close())
 	}
-	s.file, s.number, s.size = f, n, int64(at)
+	s.segmentFile, s.segmentNumber, s.segmentBytes = f, n, int64(at)
 	return nil
 }
 
-// take brings a frame into the index.
-func (s *Store) take(f *frame) {
+// applyFrame brings a frame into the index.
+func (s *Store) applyFrame(f *frame) {
 	for i := range f.entries {
 		e := &f.entries[i]
 		var old item
 		var was bool
-		if e.Gone {
-			old, was = s.tree.Delete(item{key: e.Key})
+		if e.Deleted {
+			old, was = s.index.Delete(item{key: e.Key})
 		} else {
-			old, was = s.tree.ReplaceOrInsert(item{key: e.Key, value: e.Value})
-			s.live += int64(frameHead + sizeOf(e))
-			s.payload += int64(len(e.Key) + len(e.Value))
+			old, was = s.index.ReplaceOrInsert(item{key: e.Key, value: e.Value})
+			s.liveBytes += int64(frameHeaderBytes + encodedSize(e))
+			s.payloadBytes += int64(len(e.Key) + len(e.Value))
 		}
 		if was {
-			s.live -= int64(frameHead + entryHead + len(old.key) + len(old.value))
-			s.payload -= int64(len(old.key) + len(old.value))
+			s.liveBytes -= int64(frameHeaderBytes + entryHeaderBytes + len(old.key) + len(old.value))
+			s.payloadBytes -= int64(len(old.key) + len(old.value))
 		}
 	}
 }
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -29,7 +29,7 @@
 	for i := range 30 {
 		e := []store.Entry{{Key: fmt.Sprint("k", i%7), Value: []byte(fmt.Sprint("v", i, strings.Repeat("x", i*5)))}}
 		if i%5 == 4 {
-			e = append(e, store.Entry{Key: fmt.Sprint("k", (i+3)%7), Gone: true})
+			e = append(e, store.Entry{Key: fmt.Sprint("k", (i+3)%7), Deleted: true})
 		}
 		out = append(out, act{entries: e})
 		if i%11 == 10 {
@@ -52,7 +52,7 @@
 	snap()
 	for _, a := range acts {
 		for _, e := range a.entries {
-			if delete(m, e.Key); !e.Gone {
+			if delete(m, e.Key); !e.Deleted {
 				m[e.Key] = string(e.Value)
 			}
 		}
@@ -66,7 +66,7 @@
 
 // play has a store go through a history, one act after the other, and tells how many were acknowledged, and how many asked for.
 func play(d *faultyfs.Disk, acts []act) (acked, asked int) {
-	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 700, Checks: strict(), Every: 1})
+	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 700, Checks: strict(), BatchesPerWalk: 1})
 	if err != nil {
 		return 0, 0
 	}
@@ -185,14 +185,14 @@
 		c.Set(name, b)
 		s, rec, err := store.Open(store.Options{FS: c})
 		if err != nil {
-			if refused++; !errors.Is(err, store.ErrRotten) {
+			if refused++; !errors.Is(err, store.ErrCorrupt) {
 				t.Fatalf("%s %s: %v", name, what, err)
 			}
 			return
 		}
 		opened++
 		n := prefix(held(s), all, 0, len(acts))
-		if n < 0 || n < len(acts) && rec.Dropped == 0 && !strings.HasPrefix(what, "cut") { // a cut between frames looks like an end
+		if n < 0 || n < len(acts) && rec.DroppedBytes == 0 && !strings.HasPrefix(what, "cut") { // a cut between frames looks like an end
 			t.Fatalf("%s %s: it holds %d acts, %+v", name, what, n, rec)
 		}
 		if name != names[len(names)-1] && n < len(acts) {
@@ -280,7 +280,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range files {
-		if f.At != f.Bytes || f.Frames == 0 {
+		if f.ReadUpTo != f.Bytes || f.Frames == 0 {
 			t.Errorf("%+v", f)
 		}
 	}
@@ -369,7 +369,7 @@
 		model := map[string]string{}
 		checks := invariant.New(nil)
 		open := func() *store.Store {
-			s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 300, Checks: checks, Every: 1})
+			s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 300, Checks: checks, BatchesPerWalk: 1})
 			if err != nil {
 				rt.Fatalf("open: %v", err)
 			}
@@ -380,7 +380,7 @@
 			"append": func(rt *rapid.T) {
 				var e []store.Entry
 				for range rapid.IntRange(1, 3).Draw(rt, "entries") {
-					e = append(e, store.Entry{Key: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(rt, "key"), Value: []byte(rapid.StringN(0, 90, -1).Draw(rt, "value")), Gone: rapid.IntRange(0, 3).Draw(rt, "gone") == 0})
+					e = append(e, store.Entry{Key: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(rt, "key"), Value: []byte(rapid.StringN(0, 90, -1).Draw(rt, "value")), Deleted: rapid.IntRange(0, 3).Draw(rt, "gone") == 0})
 				}
 				done := make(chan error, 1)
 				s.Append(e, func(err error) { done <- err })
@@ -388,7 +388,7 @@
 					rt.Fatal(err)
 				}
 				for _, x := range e {
-					if delete(model, x.Key); !x.Gone {
+					if delete(model, x.Key); !x.Deleted {
 						model[x.Key] = string(x.Value)
 					}
 				}
@@ -457,7 +457,7 @@
 	s.Range("k1", "k2", func(k string, _ []byte) bool {
 		if n++; n == 1 {
 			done := make(chan error, 1)
-			s.Append([]store.Entry{{Key: "k15", Gone: true}, {Key: "k1x", Value: []byte("new")}}, func(err error) { done <- err })
+			s.Append([]store.Entry{{Key: "k15", Deleted: true}, {Key: "k1x", Value: []byte("new")}}, func(err error) { done <- err })
 			if err := <-done; err != nil {
 				t.Error(err)
 			}
--- a/internal/testkit/scenario/journal.go
+++ b/internal/testkit/scenario/journal.go
@@ -24,7 +24,7 @@
 		s.Journal = nil
 		return nil
 	case "before":
-		j.Mode = journal.Before
+		j.Mode = journal.BeforeSend
 	case "alongside":
 		j.Mode = journal.Alongside
 	default:
--- a/internal/testkit/simulation/disk.go
+++ b/internal/testkit/simulation/disk.go
@@ -58,7 +58,7 @@
 func (d *disk) keep(all []appended) {
 	for _, a := range all {
 		for _, e := range a.entries {
-			if delete(d.kept, e.Key); !e.Gone {
+			if delete(d.kept, e.Key); !e.Deleted {
 				d.kept[e.Key] = e.Value
 			}
 		}
--- a/internal/testkit/simulation/journal_test.go
+++ b/internal/testkit/simulation/journal_test.go
@@ -57,7 +57,7 @@
 	var lines []string
 	for _, a := range x.Pending {
 		listed[a.ID] = true
-		lines = append(lines, fmt.Sprint(a.ID, " ", a.No, " ", a.At))
+		lines = append(lines, fmt.Sprint(a.ID, " ", a.Number, " ", a.StartedAt))
 	}
 	slices.Sort(lines)
 	x.listed = len(lines)
