--- a/cmd/beechgrade-kit/peers.go
+++ b/cmd/beechgrade-kit/peers.go
@@ -35,12 +35,12 @@
 
 // asked is what one pooler said, or why it did not.
 type asked struct {
-	Addr    string             `json:"addr"`
-	Name    string             `json:"name,omitempty"`
-	Err     string             `json:"error,omitempty"`
-	Counts  fleetview.Counts   `json:"counts"`
-	Records []fleetview.Record `json:"records"`
-	Avoided []module.Avoided   `json:"avoided,omitempty"` // servers, by others' word
+	Addr    string                 `json:"addr"`
+	Name    string                 `json:"name,omitempty"`
+	Err     string                 `json:"error,omitempty"`
+	Counts  fleetview.Counts       `json:"counts"`
+	Records []fleetview.Record     `json:"records"`
+	Avoided []module.AvoidedServer `json:"avoided,omitempty"` // servers, by others' word
 }
 
 // askPeers asks poolers side by side.
@@ -185,10 +185,10 @@
 	for _, v := range views {
 		for _, a := range v.Avoided {
 			var by []string
-			for _, id := range a.By {
+			for _, id := range a.ReportedBy {
 				by = append(by, cmp.Or(names[id], fmt.Sprintf("%x", uint64(id))))
 			}
-			fmt.Fprintf(w, "%s avoids %s: %s, by the word of %s, until %s\n", v.Name, a.Server, a.Why, strings.Join(by, " and "), time.UnixMilli(int64(a.Until)).UTC().Format("2006-01-02 15:04:05.000"))
+			fmt.Fprintf(w, "%s avoids %s: %s, by the word of %s, until %s\n", v.Name, a.Server, a.Reason, strings.Join(by, " and "), time.UnixMilli(int64(a.UntilMs)).UTC().Format("2006-01-02 15:04:05.000"))
 		}
 	}
 }
--- a/cmd/beechgrade-kit/peers_test.go
+++ b/cmd/beechgrade-kit/peers_test.go
@@ -14,7 +14,7 @@
 	err := peersText(&b, []*asked{
 		{Addr: "x", Err: "refused"},
 		{Addr: "y", Name: "pooler-4", Records: []fleetview.Record{{ID: 4, Name: "pooler-4"}, {ID: 1, Name: "pooler-1"}},
-			Avoided: []module.Avoided{{Server: "db-7", Why: "silent", By: []fleetview.ID{1, 0x9f}, Until: 1764650000912}}},
+			Avoided: []module.AvoidedServer{{Server: "db-7", Reason: "silent", ReportedBy: []fleetview.ID{1, 0x9f}, UntilMs: 1764650000912}}},
 	})
 	if want := "pooler-4 avoids db-7: silent, by the word of pooler-1 and 9f, until 2025-12-02 04:33:20.912\n"; err != nil || !strings.Contains(b.String(), want) {
 		t.Errorf("%v\n%s\nwant %s", err, b.String(), want)
--- a/cmd/beechgrade/verdicts.go
+++ b/cmd/beechgrade/verdicts.go
@@ -20,7 +20,7 @@
 		return
 	}
 	p.outlier = adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
-	p.outlier.Tell(func(s outlier.Standing, begins bool) {
+	p.outlier.OnEjection(func(s outlier.Standing, begins bool) {
 		p.core.Note(recordpb.Kind_KIND_AVOIDED, ejectionText(s, begins))
 	})
 	p.core.SetServerObserver(p.outlier)
@@ -32,7 +32,7 @@
 	if !begins {
 		return s.Server + ": no more"
 	}
-	return fmt.Sprintf("%s: %s by %s until %.0f", s.Server, s.Why, idsText(s.By), s.Until)
+	return fmt.Sprintf("%s: %s by %s until %.0f", s.Server, s.Reason, idsText(s.ReportedBy), s.UntilMs)
 }
 
 func idsText(ids []view.ID) string {
@@ -51,9 +51,9 @@
 	part := s.Part("verdicts")
 	for _, v := range p.outlier.Avoided() {
 		of := part.Of("server", v.Server)
-		of.Whole("until", int64(math.RoundToEven(v.Until)))
-		of.Word("why", v.Why)
-		of.Word("by", idsText(v.By))
+		of.Whole("until", int64(math.RoundToEven(v.UntilMs)))
+		of.Word("why", v.Reason)
+		of.Word("by", idsText(v.ReportedBy))
 	}
 	part.Whole("own_links", int64(p.outlier.Lonely()))
 }
--- a/internal/cluster/bytes_test.go
+++ b/internal/cluster/bytes_test.go
@@ -19,7 +19,7 @@
 		Message: view.Message{Kind: view.Gossip, From: 2, Seq: 300, Target: 4, Records: []view.Record{
 			{ID: 9, Name: "n", Addr: "1.2.3.4:5", Zone: "z", Region: "r", Version: "v", Inc: 7, State: 2, Draining: true}, {ID: 10, Name: "m", Addr: "a"}}},
 		counts: view.Counts{Reachable: 3, Sending: 2, Majority: true, Alone: true},
-		avoids: []module.Avoided{{Server: "s", Why: "silent", By: []view.ID{1, 0}, Until: 1.5}, {}},
+		avoids: []module.AvoidedServer{{Server: "s", Reason: "silent", ReportedBy: []view.ID{1, 0}, UntilMs: 1.5}, {}},
 		limits: &quota.Message{Verb: quota.Answer, From: 2, To: 4, Items: []quota.Item{{Limit: 1 << 63, Seq: 1, Epoch: 2, Stamp: 0.5, Vote: true, Even: true, Seen: 3, Hold: 4, Rest: 0.25,
 			Want: 8, Units: 5, Pool: 6, Sure: true, Share: 0.125}, {}}},
 		body: body{words: rawWords("words")},
--- a/internal/cluster/credit/credit.go
+++ b/internal/cluster/credit/credit.go
@@ -74,7 +74,7 @@
 // Credit is a process's.
 type Credit struct {
 	set    Settings
-	net    module.Net
+	net    module.Transport
 	log    Log
 	files  Files
 	events Events
@@ -104,7 +104,7 @@
 }
 
 // New makes a process's credit. files may be nil, if marks are off.
-func New(set Settings, net module.Net, log Log, files Files, ev Events) *Credit {
+func New(set Settings, net module.Transport, log Log, files Files, ev Events) *Credit {
 	c := &Credit{set: set, net: net, log: log, files: files, events: ev, addrs: map[string]place{}, back: map[ledger.Holder]place{}}
 	c.purse = lease.New(set.Purse, set.Holder, net.Now())
 	if slices.Contains(set.Voters, set.Name) {
@@ -191,10 +191,10 @@
 }
 
 // Kind is part.Part's.
-func (c *Credit) Kind() view.Kind { return module.Credit }
+func (c *Credit) Kind() view.Kind { return module.KindCredit }
 
-// Members is part.Part's.
-func (c *Credit) Members(self view.ID, all []view.Record, _ view.Counts) {
+// UpdateMembers is part.Part's.
+func (c *Credit) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	c.self = self
 	clear(c.addrs)
 	for _, r := range all {
@@ -294,12 +294,12 @@
 		}
 	}
 	if ok {
-		c.net.Tell(p.addr, p.id, module.Credit, m)
+		c.net.Send(p.addr, p.id, module.KindCredit, m)
 	}
 }
 
-// Heard is part.Part's.
-func (c *Credit) Heard(from view.ID, x any) {
+// Receive is part.Part's.
+func (c *Credit) Receive(from view.ID, x any) {
 	m := x.(*Message)
 	now := c.net.Now()
 	switch {
@@ -315,7 +315,7 @@
 	case c.bank == nil:
 	case !c.bank.Leads():
 		if p := c.placeOf(from); p.addr != "" && c.leader != "" && c.leader != c.set.Name {
-			c.net.Tell(p.addr, p.id, module.Credit, &Message{Reply: true, Who: m.Who, Leader: c.leader})
+			c.net.Send(p.addr, p.id, module.KindCredit, &Message{Reply: true, Who: m.Who, Leader: c.leader})
 		}
 	default:
 		c.back[m.Who] = c.placeOf(from)
@@ -354,7 +354,7 @@
 	if m.Who = who; who == c.set.Holder {
 		c.reply(m)
 	} else if p := c.back[who]; p.addr != "" {
-		c.net.Tell(p.addr, p.id, module.Credit, m)
+		c.net.Send(p.addr, p.id, module.KindCredit, m)
 	}
 }
 
@@ -421,7 +421,7 @@
 	n := 0
 	for i := range list {
 		s := size(&list[i])
-		if n += s; len(out) == 0 || n > module.MostBody-60 {
+		if n += s; len(out) == 0 || n > module.MaxBodyBytes-60 {
 			out, n = append(out, nil), s
 		}
 		out[len(out)-1] = append(out[len(out)-1], list[i])
--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -87,10 +87,10 @@
 }
 
 func (n *node) Now() float64 { return n.f.now }
-func (n *node) Tell(addr string, to view.ID, _ view.Kind, w module.Words) {
+func (n *node) Send(addr string, to view.ID, _ view.Kind, w module.Message) {
 	f := n.f
 	b := w.Append(nil)
-	if len(b) > module.MostBody {
+	if len(b) > module.MaxBodyBytes {
 		f.t.Errorf("a datagram of %d bytes", len(b))
 	}
 	f.words++
@@ -105,11 +105,11 @@
 			f.t.Fatal(err)
 		}
 		if !y.dead {
-			y.c.Heard(view.ID(n.no+1), m)
+			y.c.Receive(view.ID(n.no+1), m)
 		}
 	})
 }
-func (n *node) Stream(string, view.ID, view.Kind, module.Words, func(bool)) {}
+func (n *node) SendStream(string, view.ID, view.Kind, module.Message, func(bool)) {}
 func (n *node) Propose(entry []byte) {
 	f := n.f
 	if f.cut != nil && f.cut(n.no) || n.no != f.leader {
@@ -190,7 +190,7 @@
 		n := &node{f: f, no: i, wait: map[uint64]bool{}}
 		f.nodes = append(f.nodes, n)
 		n.c = New(s, n, n, nil, n)
-		n.c.Members(all[i].ID, all, view.Counts{})
+		n.c.UpdateMembers(all[i].ID, all, view.Counts{})
 		var tick func()
 		tick = func() {
 			if !n.dead {
--- a/internal/cluster/credit/form.go
+++ b/internal/cluster/credit/form.go
@@ -124,8 +124,8 @@
 	})
 }
 
-// Read is part.Part's.
-func (c *Credit) Read(b []byte) (any, error) { return Read(b) }
+// Decode is part.Part's.
+func (c *Credit) Decode(b []byte) (any, error) { return Read(b) }
 
 // Read reads words of others.
 func Read(b []byte) (*Message, error) {
--- a/internal/cluster/datagrams.go
+++ b/internal/cluster/datagrams.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		e, err := p.opt.Key.open(b[:n])
-		ofPart := err == nil && e.Kind >= module.First && e.Kind <= module.Last
+		ofPart := err == nil && e.Kind >= module.FirstKind && e.Kind <= module.LastKind
 		if ofPart {
 			err = p.readPart(e)
 		}
--- a/internal/cluster/exchange.go
+++ b/internal/cluster/exchange.go
@@ -108,7 +108,7 @@
 func (p *Peers) answer(c net.Conn) {
 	_ = c.SetDeadline(time.Now().Add(streamMs * time.Millisecond))
 	e, err := readFrame(c, p.opt.Key)
-	if err == nil && e.Kind >= module.First && e.Kind <= module.Last {
+	if err == nil && e.Kind >= module.FirstKind && e.Kind <= module.LastKind {
 		p.answerPart(c, e)
 		return
 	}
--- a/internal/cluster/form.go
+++ b/internal/cluster/form.go
@@ -44,7 +44,7 @@
 
 	// MostDatagram and MostStream bound what is read, in bytes.
 	MostDatagram = 1400
-	MostStream   = module.MostStream + 256
+	MostStream   = module.MaxStreamBytes + 256
 )
 
 // Kinds beside the view's own: what goes over a stream.
@@ -73,7 +73,7 @@
 type envelope struct {
 	view.Message
 	counts view.Counts
-	avoids []module.Avoided
+	avoids []module.AvoidedServer
 	limits *quota.Message
 	body   body // of a part
 }
--- a/internal/cluster/form_test.go
+++ b/internal/cluster/form_test.go
@@ -31,7 +31,7 @@
 			in.counts = view.Counts{Reachable: 3, Sending: rapid.IntRange(1, 2000).Draw(t, "sending"), Majority: rapid.Bool().Draw(t, "majority")}
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "avoids") {
-			in.avoids = append(in.avoids, module.Avoided{Server: text.Draw(t, "server"), Why: "silent", By: []view.ID{view.ID(rapid.Uint64().Draw(t, "by")), 7}, Until: rapid.Float64Range(-1e14, 1e14).Draw(t, "until")})
+			in.avoids = append(in.avoids, module.AvoidedServer{Server: text.Draw(t, "server"), Reason: "silent", ReportedBy: []view.ID{view.ID(rapid.Uint64().Draw(t, "by")), 7}, UntilMs: rapid.Float64Range(-1e14, 1e14).Draw(t, "until")})
 		}
 		b := testKey.seal(nil, in)
 		out, err := testKey.open(b)
--- a/internal/cluster/outlier/adapter/joined.go
+++ b/internal/cluster/outlier/adapter/joined.go
@@ -24,7 +24,7 @@
 
 // Host is what carries words, and time.
 type Host interface {
-	module.Net
+	module.Transport
 	At(ms float64, do func())
 }
 
@@ -55,8 +55,8 @@
 	return &Joined{opt: opt, core: c, host: h, listed: map[string]outlier.Server{}, kinds: map[string]float64{}}
 }
 
-// Tell has somebody hear of what is avoided.
-func (j *Joined) Tell(to Told) { j.told = to }
+// OnEjection has somebody hear of what is avoided.
+func (j *Joined) OnEjection(to Told) { j.told = to }
 
 // Check has its invariants checked.
 func (j *Joined) Check(c *invariant.Checks, every int) {
@@ -69,13 +69,13 @@
 const learnMs = 1000
 
 // Kind is part.Part's.
-func (j *Joined) Kind() view.Kind { return module.Verdicts }
+func (j *Joined) Kind() view.Kind { return module.KindOutlier }
 
-// Read is part.Part's.
-func (j *Joined) Read(b []byte) (any, error) { return outlier.Read(b) }
+// Decode is part.Part's.
+func (j *Joined) Decode(b []byte) (any, error) { return outlier.Read(b) }
 
-// Members is part.Part's.
-func (j *Joined) Members(self view.ID, all []view.Record, _ view.Counts) {
+// UpdateMembers is part.Part's.
+func (j *Joined) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	var peers []outlier.Peer
 	for i := range all {
 		if r := &all[i]; r.ID == self || r.State <= view.Suspect {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Heard is part.Part's.
-func (j *Joined) Heard(from view.ID, m any) { j.do(outlier.Heard{From: from, Message: m}) }
+// Receive is part.Part's.
+func (j *Joined) Receive(from view.ID, m any) { j.do(outlier.Heard{From: from, Message: m}) }
 
 // Tick is part.Part's.
 func (j *Joined) Tick() {
@@ -214,9 +214,9 @@
 		switch a := &acts[i]; a.Kind {
 		case outlier.Send:
 			if a.Tell != nil {
-				j.host.Tell(a.Addr, a.To, module.Verdicts, told(a.Tell))
+				j.host.Send(a.Addr, a.To, module.KindOutlier, told(a.Tell))
 			} else {
-				j.host.Tell(a.Addr, a.To, module.Verdicts, said(a.Word))
+				j.host.Send(a.Addr, a.To, module.KindOutlier, said(a.Word))
 			}
 		case outlier.Avoid:
 			j.core.Eject(a.Server)
--- a/internal/cluster/outlier/api.go
+++ b/internal/cluster/outlier/api.go
@@ -295,6 +295,6 @@
 }
 
 // Standing is why a server is avoided, by whose word, and until when.
-type Standing = module.Avoided
+type Standing = module.AvoidedServer
 
 var inf = math.Inf(1)
--- a/internal/cluster/outlier/verdicts.go
+++ b/internal/cluster/outlier/verdicts.go
@@ -277,7 +277,7 @@
 }
 
 func (s *server) standing() Standing {
-	return Standing{Server: s.Name, Why: s.avoid.why, By: s.avoid.by, Until: s.avoid.until}
+	return Standing{Server: s.Name, Reason: s.avoid.why, ReportedBy: s.avoid.by, UntilMs: s.avoid.until}
 }
 
 // Standings tell what is avoided by others' word.
--- a/internal/cluster/outlier/verdicts_test.go
+++ b/internal/cluster/outlier/verdicts_test.go
@@ -27,7 +27,7 @@
 	for _, p := range f.poolers {
 		first, last = min(first, p.since["s1"]), max(last, p.since["s1"])
 		for _, s := range p.v.Standings() {
-			if len(s.By) != 2 || s.Until > f.now+f.set.Lapse || s.Why == "" {
+			if len(s.ReportedBy) != 2 || s.UntilMs > f.now+f.set.Lapse || s.Reason == "" {
 				t.Errorf("%+v", s)
 			}
 		}
--- a/internal/cluster/overload/adapter/joined.go
+++ b/internal/cluster/overload/adapter/joined.go
@@ -29,7 +29,7 @@
 
 // Host is what carries words, and time.
 type Host interface {
-	module.Net
+	module.Transport
 	At(ms float64, do func())
 }
 
@@ -79,10 +79,10 @@
 const learnMs = 1000
 
 // Kind is part.Part's.
-func (j *Joined) Kind() view.Kind { return module.Overload }
+func (j *Joined) Kind() view.Kind { return module.KindOverload }
 
-// Read is part.Part's.
-func (j *Joined) Read(b []byte) (any, error) {
+// Decode is part.Part's.
+func (j *Joined) Decode(b []byte) (any, error) {
 	if budgetlease.Mine(b) {
 		return budgetlease.Read(b)
 	}
@@ -111,8 +111,8 @@
 	return out
 }
 
-// Members is part.Part's.
-func (j *Joined) Members(self view.ID, all []view.Record, _ view.Counts) {
+// UpdateMembers is part.Part's.
+func (j *Joined) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	var peers []overload.Peer
 	for i := range all {
 		if r := &all[i]; r.ID == self || r.State <= view.Suspect {
@@ -137,8 +137,8 @@
 	}
 }
 
-// Heard is part.Part's.
-func (j *Joined) Heard(from view.ID, m any) {
+// Receive is part.Part's.
+func (j *Joined) Receive(from view.ID, m any) {
 	switch m := m.(type) {
 	case *overload.Tell:
 		j.do(overload.Told{From: from, Tell: m})
@@ -196,9 +196,9 @@
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
 		case overload.SendTell:
-			j.host.Tell(a.Addr, a.To, module.Overload, told(a.Tell))
+			j.host.Send(a.Addr, a.To, module.KindOverload, told(a.Tell))
 		case overload.SendAnswer:
-			j.host.Tell(a.Addr, a.To, module.Overload, answered(a.Answer))
+			j.host.Send(a.Addr, a.To, module.KindOverload, answered(a.Answer))
 		case overload.Shed:
 			j.shed(a.Group, a.Place)
 		}
@@ -279,9 +279,9 @@
 		case a.Probe != "":
 			j.core.CheckHealth(a.Probe)
 		case a.Want != nil:
-			j.host.Tell(a.Addr, a.To, module.Overload, a.Want)
+			j.host.Send(a.Addr, a.To, module.KindOverload, a.Want)
 		case a.Found != nil:
-			j.host.Tell(a.Addr, a.To, module.Overload, a.Found)
+			j.host.Send(a.Addr, a.To, module.KindOverload, a.Found)
 		case a.Tell:
 			said := backend.Report{Role: decide.Role(min(a.Role, uint8(decide.RoleReplica))), HasPos: a.Position > 0}
 			if said.HasPos {
--- a/internal/cluster/overload/adapter/lend.go
+++ b/internal/cluster/overload/adapter/lend.go
@@ -67,9 +67,9 @@
 	for i := range acts {
 		switch a := &acts[i]; {
 		case a.Give != nil:
-			j.host.Tell(a.Addr, a.To, j.Kind(), a.Give)
+			j.host.Send(a.Addr, a.To, j.Kind(), a.Give)
 		case a.Want != nil:
-			j.host.Tell(a.Addr, a.To, j.Kind(), a.Want)
+			j.host.Send(a.Addr, a.To, j.Kind(), a.Want)
 		default:
 			moved[a.Group] += a.Amount
 		}
--- a/internal/cluster/parts.go
+++ b/internal/cluster/parts.go
@@ -13,12 +13,12 @@
 
 // body is a part's message: words on their way out, or what was read of those that came.
 type body struct {
-	words module.Words
+	words module.Message
 	raw   []byte
 	read  any
 }
 
-func appendBody(b []byte, w module.Words) []byte {
+func appendBody(b []byte, w module.Message) []byte {
 	if w == nil {
 		return b
 	}
@@ -26,15 +26,15 @@
 }
 
 // Join has a part live beside the view; before Start.
-func (p *Peers) Join(x module.Part) {
-	if k := x.Kind(); k < module.First || k > module.Last || p.partOf(k) != nil {
+func (p *Peers) Join(x module.Module) {
+	if k := x.Kind(); k < module.FirstKind || k > module.LastKind || p.partOf(k) != nil {
 		panic(fmt.Sprintf("peers: kind %d of a part", k))
 	}
 	p.parts = append(p.parts, x)
 }
 
-func (p *Peers) partOf(k view.Kind) module.Part {
-	if i := slices.IndexFunc(p.parts, func(x module.Part) bool { return x.Kind() == k }); i >= 0 {
+func (p *Peers) partOf(k view.Kind) module.Module {
+	if i := slices.IndexFunc(p.parts, func(x module.Module) bool { return x.Kind() == k }); i >= 0 {
 		return p.parts[i]
 	}
 	return nil
@@ -43,16 +43,16 @@
 // Now is part.Net's.
 func (p *Peers) Now() float64 { return p.loop.Now() }
 
-// Tell is part.Net's.
-func (p *Peers) Tell(addr string, to view.ID, kind view.Kind, w module.Words) {
+// Send is part.Net's.
+func (p *Peers) Send(addr string, to view.ID, kind view.Kind, w module.Message) {
 	if p.ended || p.view == nil {
 		return
 	}
 	p.write(addr, envelope{Message: view.Message{Kind: kind, From: p.view.Self().ID, Target: to}, body: body{words: w}})
 }
 
-// Stream is part.Net's.
-func (p *Peers) Stream(addr string, to view.ID, kind view.Kind, w module.Words, done func(ok bool)) {
+// SendStream is part.Net's.
+func (p *Peers) SendStream(addr string, to view.ID, kind view.Kind, w module.Message, done func(ok bool)) {
 	if p.ended || p.view == nil {
 		return
 	}
@@ -83,7 +83,7 @@
 	if x == nil {
 		return fmt.Errorf("%w: kind %d", ErrForm, e.Kind)
 	}
-	m, err := x.Read(e.body.raw)
+	m, err := x.Decode(e.body.raw)
 	if err != nil {
 		return fmt.Errorf("%w: kind %d: %w", ErrForm, e.Kind, err)
 	}
@@ -96,7 +96,7 @@
 	if p.ended || p.view == nil || e.Target != p.view.Self().ID && e.Target != 0 {
 		return
 	}
-	p.partOf(e.Kind).Heard(e.From, e.body.read)
+	p.partOf(e.Kind).Receive(e.From, e.body.read)
 }
 
 // answerPart takes a part's message that came over a stream.
@@ -130,6 +130,6 @@
 	}
 	self, all := p.view.Self().ID, p.view.Members()
 	for _, x := range p.parts {
-		x.Members(self, all, p.counts)
+		x.UpdateMembers(self, all, p.counts)
 	}
 }
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -79,7 +79,7 @@
 	acts  []quota.Action
 	due   float64
 
-	parts []module.Part
+	parts []module.Module
 
 	checks *invariant.Checks // nil where nothing is checked
 	every  int
--- a/internal/cluster/raftlog/adapter/joined.go
+++ b/internal/cluster/raftlog/adapter/joined.go
@@ -24,7 +24,7 @@
 
 // Part is a pooler's log in common.
 type Part struct {
-	net    module.Net
+	net    module.Transport
 	opt    Options
 	rep    raftlog.Replica
 	disk   Disk
@@ -44,7 +44,7 @@
 }
 
 // New makes one; at a voter nothing goes on before Begin.
-func New(net module.Net, opt Options) *Part {
+func New(net module.Transport, opt Options) *Part {
 	return &Part{net: net, opt: opt, rep: raftlog.Replica{Log: raftlog.New(opt.Settings, net.Now()), Machine: opt.Machine}}
 }
 
@@ -64,13 +64,13 @@
 func (p *Part) Counts() Counts { return p.counts }
 
 // Kind is part.Part's.
-func (p *Part) Kind() view.Kind { return module.Agreed }
+func (p *Part) Kind() view.Kind { return module.KindRaftLog }
 
-// Read is part.Part's: what it is the log finds out.
-func (p *Part) Read(body []byte) (any, error) { return body, nil }
+// Decode is part.Part's: what it is the log finds out.
+func (p *Part) Decode(body []byte) (any, error) { return body, nil }
 
-// Members is part.Part's. Of several processes of a voter's name the youngest that can be reached is the one.
-func (p *Part) Members(self view.ID, all []view.Record, _ view.Counts) {
+// UpdateMembers is part.Part's. Of several processes of a voter's name the youngest that can be reached is the one.
+func (p *Part) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	p.ids, p.addrs = p.ids[:0], p.addrs[:0]
 	var m raftlog.Members
 	for _, v := range p.opt.Settings.Voters {
@@ -92,8 +92,8 @@
 	p.do(m)
 }
 
-// Heard is part.Part's.
-func (p *Part) Heard(from view.ID, m any) {
+// Receive is part.Part's.
+func (p *Part) Receive(from view.ID, m any) {
 	e := raftlog.Heard{Message: m.([]byte)}
 	if i := slices.Index(p.ids, from); i >= 0 {
 		e.From = p.addrs[i]
@@ -160,10 +160,10 @@
 	p.counts.Bytes += uint64(len(a.Message))
 	if !a.Stream {
 		p.counts.Sent++
-		p.net.Tell(a.Addr, to, module.Agreed, words(a.Message))
+		p.net.Send(a.Addr, to, module.KindRaftLog, words(a.Message))
 		return
 	}
 	p.counts.Streams++
 	ref := a.Ref
-	p.net.Stream(a.Addr, to, module.Agreed, words(a.Message), func(ok bool) { p.do(raftlog.Sent{Ref: ref, OK: ok}) })
+	p.net.SendStream(a.Addr, to, module.KindRaftLog, words(a.Message), func(ok bool) { p.do(raftlog.Sent{Ref: ref, OK: ok}) })
 }
--- a/internal/cluster/shown.go
+++ b/internal/cluster/shown.go
@@ -14,7 +14,7 @@
 type Shown struct {
 	Records []view.Record
 	Counts  view.Counts
-	Avoided []module.Avoided // by others' word
+	Avoided []module.AvoidedServer // by others' word
 }
 
 // Show asks a pooler for all that it knows.
@@ -38,36 +38,36 @@
 )
 
 // avoided is what this pooler's parts avoid by others' word, as far as it is told.
-func (p *Peers) avoided() (all []module.Avoided) {
+func (p *Peers) avoided() (all []module.AvoidedServer) {
 	for _, x := range p.parts {
-		if a, ok := x.(module.Avoiding); ok {
+		if a, ok := x.(module.AvoidedReporter); ok {
 			all = append(all, a.Avoided()...)
 		}
 	}
 	return all[:min(len(all), mostAvoided)]
 }
 
-func appendAvoided(b []byte, a *module.Avoided) []byte {
-	b = appendText(appendText(b, 1, a.Server), 2, a.Why)
-	for _, id := range a.By[:min(len(a.By), mostWords)] {
+func appendAvoided(b []byte, a *module.AvoidedServer) []byte {
+	b = appendText(appendText(b, 1, a.Server), 2, a.Reason)
+	for _, id := range a.ReportedBy[:min(len(a.ReportedBy), mostWords)] {
 		b = appendFixed(b, 3, uint64(id))
 	}
-	return appendFixed(b, 4, math.Float64bits(a.Until))
+	return appendFixed(b, 4, math.Float64bits(a.UntilMs))
 }
 
-func readAvoided(b []byte) (a module.Avoided, err error) {
+func readAvoided(b []byte) (a module.AvoidedServer, err error) {
 	err = encoding.Fields(b, fault, func(f encoding.Field) error {
 		switch f.Number {
 		case 1:
 			a.Server = string(f.Bytes)
 		case 2:
-			a.Why = string(f.Bytes)
+			a.Reason = string(f.Bytes)
 		case 3:
-			if len(a.By) < mostWords {
-				a.By = append(a.By, view.ID(f.Value))
+			if len(a.ReportedBy) < mostWords {
+				a.ReportedBy = append(a.ReportedBy, view.ID(f.Value))
 			}
 		case 4:
-			if a.Until = math.Float64frombits(f.Value); !(math.Abs(a.Until) < 1e15) {
+			if a.UntilMs = math.Float64frombits(f.Value); !(math.Abs(a.UntilMs) < 1e15) {
 				return ErrForm
 			}
 		}
--- a/internal/cluster/zones/adapter/joined.go
+++ b/internal/cluster/zones/adapter/joined.go
@@ -34,7 +34,7 @@
 	*zones.Zones
 	set   zones.Settings
 	core  Core
-	net   module.Net
+	net   module.Transport
 	keep  Keeper
 	sites map[string]*site // servers
 	cells []*cell          // in their order
@@ -72,7 +72,7 @@
 const forgetMs = 600_000
 
 // New makes one. Classes, and how far each may cross, come from the core's contracts.
-func New(set zones.Settings, net module.Net, log zones.Log, c Core, k Keeper) *Joined {
+func New(set zones.Settings, net module.Transport, log zones.Log, c Core, k Keeper) *Joined {
 	j := &Joined{set: set, core: c, net: net, keep: k, sites: map[string]*site{}, asks: map[[2]int]float64{}, sent: make([]uint64, len(set.Zones))}
 	set.Chief.Plan.Classes = classes(c.DecisionSettings())
 	j.set = set
--- a/internal/cluster/zones/zones.go
+++ b/internal/cluster/zones/zones.go
@@ -24,7 +24,7 @@
 // Zones is a process's.
 type Zones struct {
 	set    Settings
-	net    module.Net
+	net    module.Transport
 	log    Log
 	pooler Pooler
 
@@ -58,7 +58,7 @@
 }
 
 // New makes a process's.
-func New(set Settings, net module.Net, log Log, p Pooler) *Zones {
+func New(set Settings, net module.Transport, log Log, p Pooler) *Zones {
 	c, f := set.filled()
 	z := &Zones{set: set, net: net, log: log, pooler: p, follow: follower.New(f), votes: slices.Contains(set.Voters, set.Name), looked: net.Now(), sentAt: make([]float64, len(set.Order))}
 	if z.votes {
@@ -96,7 +96,7 @@
 		z.told = p.Since
 		w := &Word{No: p.No, Plan: p}
 		for _, m := range z.members {
-			z.net.Tell(m.addr, m.id, module.Zones, w)
+			z.net.Send(m.addr, m.id, module.KindZones, w)
 		}
 	}
 }
@@ -133,13 +133,13 @@
 }
 
 // Kind is part.Part's.
-func (z *Zones) Kind() view.Kind { return module.Zones }
+func (z *Zones) Kind() view.Kind { return module.KindZones }
 
-// Read is part.Part's.
-func (z *Zones) Read(b []byte) (any, error) { return Read(b) }
+// Decode is part.Part's.
+func (z *Zones) Decode(b []byte) (any, error) { return Read(b) }
 
-// Members is part.Part's.
-func (z *Zones) Members(self view.ID, all []view.Record, _ view.Counts) {
+// UpdateMembers is part.Part's.
+func (z *Zones) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	z.self, z.voters, z.members = self, z.voters[:0], z.members[:0]
 	var near []view.ID
 	for i := range all {
@@ -165,8 +165,8 @@
 	}
 }
 
-// Heard is part.Part's.
-func (z *Zones) Heard(from view.ID, m any) {
+// Receive is part.Part's.
+func (z *Zones) Receive(from view.ID, m any) {
 	now := z.net.Now()
 	switch m := m.(type) {
 	case *Tell:
@@ -201,7 +201,7 @@
 	if has != p.No {
 		w.Plan = p
 	}
-	z.net.Tell(z.members[i].addr, to, module.Zones, w)
+	z.net.Send(z.members[i].addr, to, module.KindZones, w)
 }
 
 func (z *Zones) heard(p *statemachine.Plan, age float64) {
@@ -273,7 +273,7 @@
 			z.chief.Told(now, uint64(z.self), &w.Tell)
 		}
 		for _, v := range z.voters {
-			z.net.Tell(v.addr, v.id, module.Zones, w)
+			z.net.Send(v.addr, v.id, module.KindZones, w)
 		}
 	}
 }
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -135,13 +135,13 @@
 // Now is part.Net's.
 func (h zoneHost) Now() float64 { return h.x().clock }
 
-// Tell is part.Net's.
-func (h zoneHost) Tell(addr string, _ view.ID, _ view.Kind, w module.Words) {
+// Send is part.Net's.
+func (h zoneHost) Send(addr string, _ view.ID, _ view.Kind, w module.Message) {
 	h.x().tells = append(h.x().tells, zoneWord{h.i, slices.Index(h.s.Set.Voters, addr), string(w.Append(nil)), h.x().clock})
 }
 
-// Stream is part.Net's.
-func (h zoneHost) Stream(string, view.ID, view.Kind, module.Words, func(bool)) {}
+// SendStream is part.Net's.
+func (h zoneHost) SendStream(string, view.ID, view.Kind, module.Message, func(bool)) {}
 
 // Propose is zones.Log's.
 func (h zoneHost) Propose(entry []byte) { h.x().asks = append(h.x().asks, string(entry)) }
@@ -184,7 +184,7 @@
 	for k, name := range set.Voters {
 		all = append(all, view.Record{ID: view.ID(k + 1), Name: name, Addr: name, Zone: set.Zones[k], State: view.Alive})
 	}
-	z.Members(view.ID(i+1), all, view.Counts{})
+	z.UpdateMembers(view.ID(i+1), all, view.Counts{})
 	if s.Hasty && x.disk > 0 {
 		z.Lead(set.Voters[(i+1)%len(set.Voters)])
 	}
@@ -205,14 +205,14 @@
 	case zoneTick:
 		z.Tick()
 	case zoneHeard:
-		m, err := z.Read([]byte(e.text))
+		m, err := z.Decode([]byte(e.text))
 		if err != nil {
 			panic(err)
 		}
 		if w, ok := m.(*zones.Word); ok && s.Timeless {
 			w.Age = 0
 		}
-		z.Heard(view.ID(e.n), m)
+		z.Receive(view.ID(e.n), m)
 	case zoneApply:
 		z.Apply(e.n, []byte(e.text))
 	case zoneLead:
--- a/internal/testkit/simulation/agreed_test.go
+++ b/internal/testkit/simulation/agreed_test.go
@@ -26,7 +26,7 @@
 	tallies map[int]*counter.Tally
 }
 
-func (x *tries) join(h Host) []module.Part {
+func (x *tries) join(h Host) []module.Module {
 	m := &counter.Tally{}
 	name, next, first := strconv.Itoa(h.No())+"/"+strconv.Itoa(int(h.Life())), uint64(0), map[uint64]float64{}
 	p := x.log.Join(h, m, func(a *raftlog.Action) {
@@ -81,7 +81,7 @@
 		h.At(h.Now()+x.each, try)
 	}
 	h.At(h.Now()+3000+float64(h.No()), try)
-	return []module.Part{p}
+	return []module.Module{p}
 }
 
 // looks has one look whether another leads that is about to be killed.
@@ -133,7 +133,7 @@
 			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Part{}, tallies: map[int]*counter.Tally{}}
 		s := parse(t, `(rehearsal "agreed" (groups 3) (rate 5) (seconds 40) (peers) (poolers 3) (at 12s (kill-pooler 0) (for 4s)) (at 22s (kill-pooler 1) (for 4s)) (at 32s (kill-pooler 2) (for 4s)))`)
 		bound = x.log.Settings.Elect(s.Way[1], 2)
-		play(t, s, Options{Seed: seed, Parts: []Joined{func(h Host) []module.Part {
+		play(t, s, Options{Seed: seed, Parts: []Joined{func(h Host) []module.Module {
 			if h.Life() == 0 && h.No() < 3 { // looks at the next one just before that is killed
 				h.At(h.Now()+11999, func() { x.looks(h, 0, 1) })
 				h.At(h.Now()+21999, func() { x.looks(h, 1, 2) })
--- a/internal/testkit/simulation/conns_test.go
+++ b/internal/testkit/simulation/conns_test.go
@@ -28,7 +28,7 @@
 func TestPageLeftBeforeItsResetIsNotCounted(t *testing.T) {
 	t.Parallel()
 	left := 0
-	join := func(h Host) []module.Part {
+	join := func(h Host) []module.Module {
 		e := h.x.p.e
 		if h.x.p.no > 0 {
 			return nil
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -53,7 +53,7 @@
 func (x *payer) reread() { x.c.Retune(x.settings()) }
 
 // Join makes a process's parts: the log's and credit's.
-func (c *Prepaid) Join(h Host) []module.Part {
+func (c *Prepaid) Join(h Host) []module.Module {
 	if c.files == nil {
 		c.files, c.writers, c.now = map[ledger.Holder][]lease.Mark{}, map[ledger.Holder]int{}, map[int]*payer{}
 	}
@@ -94,7 +94,7 @@
 	c.now[h.No()] = x
 	x.c.Inherit(gone)
 	h.At(h.Now(), func() { p.core.SetCredit(x) })
-	return []module.Part{x.log, x.c}
+	return []module.Module{x.log, x.c}
 }
 
 // Hold is core.Credit's.
--- a/internal/testkit/simulation/heeds.go
+++ b/internal/testkit/simulation/heeds.go
@@ -18,7 +18,7 @@
 )
 
 // heeded takes it that a pooler begins to avoid a server.
-func (e *Emulation) heeded(s module.Avoided) {
+func (e *Emulation) heeded(s module.AvoidedServer) {
 	now := e.s.now - startMs
 	for i := len(e.heeds) - 1; i >= 0; i-- {
 		if h := &e.heeds[i]; h.Server == s.Server {
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -41,7 +41,7 @@
 	Lists    bool                                           // it goes by its list's role in place of what servers say
 	Over     func(no int, o *adapter.Options)               // how it handles overload with others
 	Core     func(no int, c adapter.Core) adapter.Core      // whom that tells
-	Says     func(no int, w module.Words) module.Words      // what a part of it says in place of its words
+	Says     func(no int, w module.Message) module.Message  // what a part of it says in place of its words
 }
 
 // Mutants are all of them.
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -25,7 +25,7 @@
 
 // Overloaded has poolers handle overload as one.
 func Overloaded(opt adapter.Options) Joined {
-	return func(h Host) []module.Part {
+	return func(h Host) []module.Module {
 		c := h.x.p.core
 		opt, told := opt, adapter.Core(probed{c, h.x.p})
 		if m := h.x.p.e.opt.Mutant; m != nil {
@@ -46,7 +46,7 @@
 		}
 		h.x.over = j
 		j.Begin()
-		return []module.Part{j}
+		return []module.Module{j}
 	}
 }
 
--- a/internal/testkit/simulation/parts.go
+++ b/internal/testkit/simulation/parts.go
@@ -7,7 +7,7 @@
 )
 
 // Joined makes a pooler's parts as a process of it begins: what lives beside the view and is no quota. A Host is what they get to do with it.
-type Joined func(h Host) []module.Part
+type Joined func(h Host) []module.Module
 
 // Host is the process that a part lives in.
 type Host struct{ x *peer }
@@ -22,8 +22,8 @@
 // Now is part.Net's.
 func (h Host) Now() float64 { return h.x.p.e.s.now }
 
-// Tell is part.Net's: coded, it arrives as often and as late as the way has it, and is read there.
-func (h Host) Tell(addr string, to view.ID, kind view.Kind, w module.Words) {
+// Send is part.Net's: coded, it arrives as often and as late as the way has it, and is read there.
+func (h Host) Send(addr string, to view.ID, kind view.Kind, w module.Message) {
 	x := h.x
 	f, e := x.f, x.p.e
 	at := f.at(addr)
@@ -31,10 +31,10 @@
 		w = m.Says(x.p.no, w)
 	}
 	b := w.Append(nil)
-	if at == nil || at == x.p || len(b) > module.MostBody {
+	if at == nil || at == x.p || len(b) > module.MaxBodyBytes {
 		return
 	}
-	if kind == module.Overload && (b[0] == tellVerb || b[0] == answerVerb) {
+	if kind == module.KindOverload && (b[0] == tellVerb || b[0] == answerVerb) {
 		e.check.Talked(e.s.now)
 	}
 	f.told++
@@ -48,13 +48,13 @@
 // The first bytes of words on load and levels, as the form has them; the others are on probes.
 const tellVerb, answerVerb = 1, 2
 
-// Stream is part.Net's: it loses nothing, but does not come up over a way that is cut.
-func (h Host) Stream(addr string, to view.ID, kind view.Kind, w module.Words, done func(ok bool)) {
+// SendStream is part.Net's: it loses nothing, but does not come up over a way that is cut.
+func (h Host) SendStream(addr string, to view.ID, kind view.Kind, w module.Message, done func(ok bool)) {
 	x := h.x
 	f, e := x.f, x.p.e
 	at := f.at(addr)
 	b := w.Append(nil)
-	if at == nil || at == x.p || len(b) > module.MostStream || f.net.Cut(x.p.no, at.no) || f.net.Cut(at.no, x.p.no) {
+	if at == nil || at == x.p || len(b) > module.MaxStreamBytes || f.net.Cut(x.p.no, at.no) || f.net.Cut(at.no, x.p.no) {
 		h.At(e.s.now+streamFailsMs, func() { done(false) })
 		return
 	}
@@ -78,13 +78,13 @@
 		if s.Kind() != kind {
 			continue
 		}
-		m, err := s.Read(b)
+		m, err := s.Decode(b)
 		if err != nil {
 			return false
 		}
 		p.whenRunning(y.life, func() {
 			if to == 0 || to == y.view.Self().ID {
-				s.Heard(from, m)
+				s.Receive(from, m)
 			}
 		})
 		return true
@@ -109,6 +109,6 @@
 // tellParts tells all parts who is there.
 func (x *peer) tellParts() {
 	for _, s := range x.parts {
-		s.Members(x.view.Self().ID, x.view.Members(), x.view.Counts())
+		s.UpdateMembers(x.view.Self().ID, x.view.Members(), x.view.Counts())
 	}
 }
--- a/internal/testkit/simulation/parts_test.go
+++ b/internal/testkit/simulation/parts_test.go
@@ -26,26 +26,26 @@
 
 func (c *partCounter) Kind() view.Kind { return 60 }
 
-func (c *partCounter) Read(b []byte) (any, error) {
+func (c *partCounter) Decode(b []byte) (any, error) {
 	if len(b) != 8 {
 		return nil, errors.New("no number")
 	}
 	return number(binary.BigEndian.Uint64(b)), nil
 }
 
-func (c *partCounter) Members(self view.ID, all []view.Record, _ view.Counts) {
+func (c *partCounter) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	c.self, c.all = self, all
 }
-func (c *partCounter) Heard(from view.ID, m any) { _ = m.(number); c.heard[from]++ }
-func (c *partCounter) Leave()                    {}
+func (c *partCounter) Receive(from view.ID, m any) { _ = m.(number); c.heard[from]++ }
+func (c *partCounter) Leave()                      {}
 
 func (c *partCounter) Tick() {
 	c.n++
 	for i := range c.all {
 		if r := &c.all[i]; r.ID != c.self && r.State == view.Alive {
-			c.h.Tell(r.Addr, r.ID, c.Kind(), c.n)
+			c.h.Send(r.Addr, r.ID, c.Kind(), c.n)
 			if c.n%30 == 0 {
-				c.h.Stream(r.Addr, r.ID, c.Kind(), c.n, func(ok bool) {
+				c.h.SendStream(r.Addr, r.ID, c.Kind(), c.n, func(ok bool) {
 					if ok {
 						c.taken++
 					} else {
@@ -64,10 +64,10 @@
 	script := `(rehearsal "parts" (seconds 30) (poolers 4) (groups 3) (rate 20) (peers) (at 10s (between (0 1) (2 3) cut) (for 2s)) (at 20s (kill-pooler 3) (for 1s)))`
 	run := func() (string, []*partCounter) {
 		var made []*partCounter
-		r := play(t, parse(t, script), Options{Seed: 3, Parts: []Joined{func(h Host) []module.Part {
+		r := play(t, parse(t, script), Options{Seed: 3, Parts: []Joined{func(h Host) []module.Module {
 			c := &partCounter{h: h, heard: map[view.ID]int{}}
 			made = append(made, c)
-			return []module.Part{c}
+			return []module.Module{c}
 		}}})
 		return r.Hash, made
 	}
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -108,7 +108,7 @@
 	was  view.ID
 
 	limits *lender // nil where none hold for the whole fleet
-	parts  []module.Part
+	parts  []module.Module
 	over   *adapter.Joined        // nil where each pooler handles overload alone
 	judged *outlieradapter.Joined // nil where each learns alone
 }
--- a/internal/testkit/simulation/verdicts.go
+++ b/internal/testkit/simulation/verdicts.go
@@ -7,20 +7,20 @@
 
 // Judged has poolers share what they know of servers.
 func Judged(opt adapter.Options) Joined {
-	return func(h Host) []module.Part {
+	return func(h Host) []module.Module {
 		c := h.x.p.core
 		if m := h.x.p.e.opt.Mutant; m != nil && m.Verdicts != nil {
 			m.Verdicts(h.x.p.no, &opt.Set)
 		}
 		j := adapter.New(opt, c, h)
 		j.Check(h.x.p.e.checks, walkEach)
-		j.Tell(func(s module.Avoided, begins bool) {
+		j.OnEjection(func(s module.AvoidedServer, begins bool) {
 			if begins {
 				h.x.p.e.heeded(s)
 			}
 		})
 		c.SetServerObserver(j)
 		h.x.judged = j
-		return []module.Part{j}
+		return []module.Module{j}
 	}
 }
--- a/internal/testkit/simulation/verdicts_liar_test.go
+++ b/internal/testkit/simulation/verdicts_liar_test.go
@@ -17,9 +17,9 @@
 const seldomTold = `(rehearsal "seldom told" (seconds 30.5) (poolers 16) ` + judgedFleet + ` (groups-of 1 4) (rate 60) (verdicts (testers 1) (turn 30s) (lapse 9s) (refresh 20s) (blind 0.75)))`
 
 // lying has some poolers lie of servers once they were heard for a while.
-func lying(l byzantine.Servers, who ...int) func(no int, w module.Words) module.Words {
+func lying(l byzantine.Servers, who ...int) func(no int, w module.Message) module.Message {
 	told := 0
-	return func(no int, w module.Words) module.Words {
+	return func(no int, w module.Message) module.Message {
 		if !slices.Contains(who, no) {
 			return w
 		}
--- a/internal/testkit/simulation/verdicts_test.go
+++ b/internal/testkit/simulation/verdicts_test.go
@@ -33,7 +33,7 @@
 	for i, m := range VerdictMutants() {
 		t.Run(m.Name, func(t *testing.T) {
 			text := []string{lateWords, toldOf, toldOf, seldomTold, another}[i]
-			says := func() func(int, module.Words) module.Words { // afresh for each play
+			says := func() func(int, module.Message) module.Message { // afresh for each play
 				return lying(byzantine.Servers{Silent: true, Since: []float64{0, 0, 20000, 20000, 0}[i]}, [][]int{nil, {1}, {1, 7}, {1, 7}, nil}[i]...)
 			}
 			caught := false
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -29,7 +29,7 @@
 }
 
 // Join makes a process's parts: the log's and zones'.
-func (c *Zoned) Join(h Host) []module.Part {
+func (c *Zoned) Join(h Host) []module.Module {
 	if c.floors == nil {
 		c.floors, c.now = map[int]uint64{}, map[int]*zoner{}
 	}
@@ -52,7 +52,7 @@
 	}
 	x.log = c.Log.Join(h, users, x.j.Hear)
 	c.now[h.No()] = x
-	return []module.Part{x.log, x.j}
+	return []module.Module{x.log, x.j}
 }
 
 // Propose is zones.Log's.
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -33,7 +33,7 @@
 const loadMs = 4000
 
 // Join is Options.Parts'.
-func (o *ZoneOracle) Join(h Host) []module.Part {
+func (o *ZoneOracle) Join(h Host) []module.Module {
 	p := h.x.p
 	if o.e == nil {
 		o.e, o.stands = p.e, map[int]int{}
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -182,7 +182,7 @@
 }
 
 // otherPlan has a voter tell a plan that was not agreed.
-func otherPlan(no int, w module.Words) module.Words {
+func otherPlan(no int, w module.Message) module.Message {
 	x, ok := w.(*zones.Word)
 	if !ok || no != 1 || x.Plan == nil {
 		return w
@@ -193,10 +193,10 @@
 }
 
 // olds has a voter tell the first plan that it ever told in every other word.
-func olds() func(no int, w module.Words) module.Words {
+func olds() func(no int, w module.Message) module.Message {
 	var first *zones.Word
 	n := 0
-	return func(no int, w module.Words) module.Words {
+	return func(no int, w module.Message) module.Message {
 		x, ok := w.(*zones.Word)
 		if !ok || no != 1 {
 			return w
