--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -256,7 +256,7 @@
 		var end func()
 		w := housesOn(t, 2, "", nil, func(p *pooler) {
 			var err error
-			if end, err = p.journalOn(d, settings.Journal{MostBytes: 1 << 20}); err != nil {
+			if end, err = p.journalOn(d, settings.Journal{MaxBytes: 1 << 20}); err != nil {
 				t.Fatal(err)
 			}
 		})
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -76,13 +76,13 @@
 		t.Fatal(err)
 	}
 	cfg := testConfig(t, "", nil, append([]func(*config.Config){func(c *config.Config) {
-		c.Known, c.Settings.DrainGrace = discovery.List{}, 250*time.Millisecond
+		c.InitialList, c.Settings.DrainGrace = discovery.List{}, 250*time.Millisecond
 		c.ConnectTimeoutMs = 2000
 	}}, change...)...)
 	set.ClickHouse.AddClasses(cfg)
 	w.p = newPooler(cfg, testLog())
 	w.p.openClickHouse(set.ClickHouse)
-	w.p.openSources(set.Membership)
+	w.p.openSources(set.Endpoints)
 	add(w.p)
 	first := *cfg
 	w.p.load = func() (*config.Config, error) { return &first, nil }
@@ -115,7 +115,7 @@
 	w.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
 		got := make(chan string, 1)
-		w.p.loop.Post(func() { got <- w.p.sources.members.Sum() })
+		w.p.loop.Post(func() { got <- w.p.sources.members.Summary() })
 		x := <-got
 		if x == sum {
 			return
@@ -626,8 +626,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	cfg := &config.Config{Name: "bench", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Limits: config.Limits{MemoryMB: 192, Sockets: 4096}, ConnectTimeoutMs: 5000, IdleMs: 30000,
-		Known: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "h", HostPort: s.Addr, Cell: houseGroup, Lifecycle: "up", Weight: 1}}}}
+	cfg := &config.Config{Name: "bench", ListenAddress: "127.0.0.1:0", DiscoveryAddress: "127.0.0.1:1", Limits: config.Limits{MemoryMB: 192, Sockets: 4096}, ConnectTimeoutMs: 5000, ServerIdleTimeoutMs: 30000,
+		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "h", HostPort: s.Addr, Cell: houseGroup, Lifecycle: "up", Weight: 1}}}}
 	cfg.Settings.Peers, cfg.Settings.Tick, cfg.Settings.MaxAttempts, cfg.Settings.MayCancel = 1, 2*time.Millisecond, 8, true
 	set.ClickHouse.AddClasses(cfg)
 	p := newPooler(cfg, slog.New(slog.DiscardHandler))
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -43,7 +43,7 @@
 
 // openCredit has tenants pay ahead, where the settings have it on; the function ends it.
 func (p *pooler) openCredit(set settings.Credit) (stop func(), err error) {
-	if !set.On {
+	if !set.Enabled {
 		return func() {}, nil
 	}
 	x := &creditGate{pooler: p, set: set, holder: rand.Uint64() | 1, writes: make(chan leaseMarks, 1), done: make(chan struct{}), locks: map[ledger.Holder]*os.File{}}
@@ -90,7 +90,7 @@
 			x.classes[n] = i
 		}
 	}
-	s := x.set.For(cfg.Classes, func(i int) float64 { return cfg.Settings.Classes[i].PriorityWeight })
+	s := x.set.SettingsFor(cfg.Classes, func(i int) float64 { return cfg.Settings.Classes[i].PriorityWeight })
 	s.Voters, s.Name, s.Holder = x.pooler.raftLog.set.Settings.Voters, cfg.Name, x.holder
 	s.Purse.Checks = x.pooler.checks
 	return s
@@ -98,16 +98,16 @@
 
 // reload takes prices and payments as they are now.
 func (x *creditGate) reload(set settings.Credit) {
-	if !set.On || set.Dir != x.set.Dir {
+	if !set.Enabled || set.Dir != x.set.Dir {
 		x.pooler.log.Warn("cannot change while serving, needs a restart", "kept", []string{"credit"})
-		set.On, set.Dir = true, x.set.Dir
+		set.Enabled, set.Dir = true, x.set.Dir
 		if len(set.Prices) == 0 {
 			return
 		}
 	}
 	x.set = set
 	x.credit.Retune(x.settings())
-	x.pooler.log.Info("credit read again", "prices", len(set.Prices), "payments", len(set.Pays))
+	x.pooler.log.Info("credit read again", "prices", len(set.Prices), "payments", len(set.Payments))
 }
 
 // Hold is core.Credit's.
@@ -298,20 +298,20 @@
 }
 
 // writeCreditMetrics tells how credit stands, where there is any.
-func (p *pooler) writeCreditMetrics(s *exposition.Sheet) {
+func (p *pooler) writeCreditMetrics(s *exposition.Snapshot) {
 	if p.credit == nil {
 		return
 	}
-	x, all := p.credit, s.Part("credit")
+	x, all := p.credit, s.Scope("credit")
 	free, held := int64(0), int64(0)
 	for _, a := range x.credit.Standings() {
 		free, held = free+a.Free, held+a.Held
 	}
-	all.Whole("spent", x.spent)
-	all.Whole("free", free)
-	all.Whole("held", held)
-	all.Count("refused", x.refused)
-	all.Count("waited", x.waited)
+	all.IntGauge("spent", x.spent)
+	all.IntGauge("free", free)
+	all.IntGauge("held", held)
+	all.Counter("refused", x.refused)
+	all.Counter("waited", x.waited)
 	if b := x.credit.Books(); b != nil {
 		var paid, left, lent, stranded, spent int64
 		for _, n := range b.Tenants() {
@@ -319,13 +319,13 @@
 			paid, left, lent, stranded, spent = paid+t.Paid, left+t.Balance, lent+t.Lent, stranded+t.Stranded, spent+t.Spent
 		}
 		tenants, accounts := b.Size()
-		books := s.Part("credit.books")
-		books.Whole("paid", paid)
-		books.Whole("balance", left)
-		books.Whole("lent", lent)
-		books.Whole("stranded", stranded)
-		books.Whole("spent", spent)
-		books.Whole("tenants", int64(tenants))
-		books.Whole("accounts", int64(accounts))
+		books := s.Scope("credit.books")
+		books.IntGauge("paid", paid)
+		books.IntGauge("balance", left)
+		books.IntGauge("lent", lent)
+		books.IntGauge("stranded", stranded)
+		books.IntGauge("spent", spent)
+		books.IntGauge("tenants", int64(tenants))
+		books.IntGauge("accounts", int64(accounts))
 	}
 }
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -29,7 +29,7 @@
 	if err := p.openPeers(peerSettings(t), settings.FleetLimits{}); err != nil {
 		t.Fatal(err)
 	}
-	stop := p.openRaftLog(set.Agreed)
+	stop := p.openRaftLog(set.RaftLog)
 	end, err := p.openCredit(set.Credit)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/beechgrade/departed_test.go
+++ b/cmd/beechgrade/departed_test.go
@@ -140,7 +140,7 @@
 		return func() { bystander.send(pgwire.AppendQuery(nil, "")) } // behind its callback the module's timer runs
 	}},
 	"while a probe is out for the role": {change: func(c *config.Config) {
-		c.Known.Instances[0].Role, c.Settings.MayCheckHealth = "replica", true
+		c.InitialList.Instances[0].Role, c.Settings.MayCheckHealth = "replica", true
 	}, until: func(d *departure) func() {
 		d.client.send(query("gone", "write", 9000))
 		probe := next(d.t, d.queries)
--- a/cmd/beechgrade/figures_test.go
+++ b/cmd/beechgrade/figures_test.go
@@ -157,7 +157,7 @@
 	l := listen(t)
 	_ = l.Close()
 	pooler, door, _, _ := operated(t, l.Addr().String(), func(p *pooler) {
-		p.cfg.Known.Instances = append(p.cfg.Known.Instances, discovery.Instance{ID: "s-2", HostPort: "127.0.0.1:1", Lifecycle: "draining", Weight: 1})
+		p.cfg.InitialList.Instances = append(p.cfg.InitialList.Instances, discovery.Instance{ID: "s-2", HostPort: "127.0.0.1:1", Lifecycle: "draining", Weight: 1})
 	})
 	c := client(t, pooler)
 	c.send(query("1", "write", 400))
@@ -262,7 +262,7 @@
 	hup <- syscall.SIGHUP
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		done := make(chan uint64)
-		p.loop.Post(func() { done <- p.core.Figures().Loads })
+		p.loop.Post(func() { done <- p.core.Figures().ReloadsAccepted })
 		if <-done == 1 || time.Now().After(end) {
 			break
 		}
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -9,9 +9,9 @@
 // openInvariants has the parts check statements about their state, where the settings have it so. A breach is logged once for each
 // name and counted; it stops nothing.
 func (p *pooler) openInvariants(set settings.Invariants) {
-	if set.On {
+	if set.Enabled {
 		p.countsChecks = true
-		p.check(invariant.New(func(b invariant.Breach) { p.log.Error("invariant broken", "name", b.Name, "state", b.State) }), set.Every)
+		p.check(invariant.New(func(b invariant.Breach) { p.log.Error("invariant broken", "name", b.Name, "state", b.State) }), set.WalkInterval)
 	}
 }
 
@@ -53,12 +53,12 @@
 }
 
 // writeInvariantsMetrics tells the figures of statements, where any are checked.
-func (p *pooler) writeInvariantsMetrics(s *exposition.Sheet) {
+func (p *pooler) writeInvariantsMetrics(s *exposition.Snapshot) {
 	if !p.countsChecks {
 		return
 	}
 	made, broken := p.checks.Counts()
-	invariants := s.Part("invariants")
-	invariants.Count("checked", uint64(made))
-	invariants.Count("broken", uint64(broken))
+	invariants := s.Scope("invariants")
+	invariants.Counter("checked", uint64(made))
+	invariants.Counter("broken", uint64(broken))
 }
--- a/cmd/beechgrade/life.go
+++ b/cmd/beechgrade/life.go
@@ -66,7 +66,7 @@
 
 // Listed is discovery.Events'.
 func (l listObserver) Listed(list *discovery.List) {
-	if p := l.pooler; list.Anew || list.Generation >= p.list.gen { // else another process has told all of it, and more
+	if p := l.pooler; list.Restarted || list.Generation >= p.list.gen { // else another process has told all of it, and more
 		p.list.receive(list)
 		p.saveList()
 		l.Events.Listed(list)
@@ -103,8 +103,8 @@
 // adminHandler carries operators' calls out.
 type adminHandler struct{ pooler *pooler }
 
-// Call is control.Desk's.
-func (d adminHandler) Call(method, path string, query url.Values) admin.Answer {
+// Handle is control.Desk's.
+func (d adminHandler) Handle(method, path string, query url.Values) admin.Response {
 	p := d.pooler
 	if path == zonesPath && p.zones != nil {
 		return p.zones.handleAdminCall(method, query)
@@ -112,13 +112,13 @@
 	if method == http.MethodGet {
 		switch path {
 		case "/-/metrics":
-			return admin.Answer{Status: http.StatusOK, Body: p.metrics().AppendLines(nil)}
+			return admin.Response{Status: http.StatusOK, Body: p.metrics().AppendLines(nil)}
 		case "/-/prometheus":
-			b, err := p.metrics().Text()
+			b, err := p.metrics().PrometheusText()
 			if err != nil {
-				return admin.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
+				return admin.Response{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 			}
-			return admin.Answer{Status: http.StatusOK, Type: exposition.TextType, Body: b}
+			return admin.Response{Status: http.StatusOK, ContentType: exposition.PrometheusContentType, Body: b}
 		}
 	}
 	calls := map[string]struct {
@@ -134,21 +134,21 @@
 	c, ok := calls[path]
 	switch {
 	case !ok:
-		return admin.Answer{Status: http.StatusNotFound}
+		return admin.Response{Status: http.StatusNotFound}
 	case c.method != method:
-		return admin.Answer{Status: http.StatusMethodNotAllowed, Allow: c.method}
+		return admin.Response{Status: http.StatusMethodNotAllowed, AllowedMethod: c.method}
 	case c.do():
-		return admin.Answer{Status: http.StatusOK, Body: []byte(p.lifecycle.State().String() + "\n")}
+		return admin.Response{Status: http.StatusOK, Body: []byte(p.lifecycle.State().String() + "\n")}
 	case c.method == http.MethodGet:
-		return admin.Answer{Status: http.StatusServiceUnavailable, Body: []byte(p.lifecycle.State().String() + "\n")}
+		return admin.Response{Status: http.StatusServiceUnavailable, Body: []byte(p.lifecycle.State().String() + "\n")}
 	}
-	return admin.Answer{Status: http.StatusConflict, Body: []byte(p.lifecycle.State().String() + "\n")}
+	return admin.Response{Status: http.StatusConflict, Body: []byte(p.lifecycle.State().String() + "\n")}
 }
 
 // metrics are all that the process tells of itself.
-func (p *pooler) metrics() *exposition.Sheet {
-	s := &exposition.Sheet{}
-	for _, tell := range []func(*exposition.Sheet){p.core.WriteMetrics, p.platform.WriteFigures, p.writePeersMetrics, p.writeLimitsMetrics, p.writeInvariantsMetrics, p.writeScatterMetrics, p.writeRaftLogMetrics, p.writeCreditMetrics, p.writeOverloadMetrics,
+func (p *pooler) metrics() *exposition.Snapshot {
+	s := &exposition.Snapshot{}
+	for _, tell := range []func(*exposition.Snapshot){p.core.WriteMetrics, p.platform.WriteFigures, p.writePeersMetrics, p.writeLimitsMetrics, p.writeInvariantsMetrics, p.writeScatterMetrics, p.writeRaftLogMetrics, p.writeCreditMetrics, p.writeOverloadMetrics,
 		p.writeOutlierMetrics, p.writeZonesMetrics} {
 		tell(s)
 	}
--- a/cmd/beechgrade/life_test.go
+++ b/cmd/beechgrade/life_test.go
@@ -31,7 +31,7 @@
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}
-	p := newPooler(testConfig(t, server, watch, func(c *config.Config) { c.Control = "127.0.0.1:0" }), slog.New(slog.DiscardHandler))
+	p := newPooler(testConfig(t, server, watch, func(c *config.Config) { c.AdminAddress = "127.0.0.1:0" }), slog.New(slog.DiscardHandler))
 	for _, f := range before {
 		f(p)
 	}
--- a/cmd/beechgrade/limits.go
+++ b/cmd/beechgrade/limits.go
@@ -23,7 +23,7 @@
 
 // quotas are the limits as the poolers share them; nil where there are none.
 func quotas(set *settings.FleetLimits, expect int) *quota.Settings {
-	if !set.On {
+	if !set.Enabled {
 		return nil
 	}
 	s := set.Settings
@@ -33,19 +33,19 @@
 
 // apply has the parts keep to nothing of each limit until they are told; it runs on the loop.
 func (l *fleetLimits) apply(set settings.FleetLimits) {
-	old := l.set.List
+	old := l.set.Limits
 	l.set = set
-	for i := range set.List {
-		if x := &set.List[i]; !containsLimit(old, x) { // what the core has is nothing by itself
+	for i := range set.Limits {
+		if x := &set.Limits[i]; !containsLimit(old, x) { // what the core has is nothing by itself
 			l.assign(x, 0, 0)
 		}
 	}
 	for i := range old {
-		if x := &old[i]; !containsLimit(set.List, x) {
+		if x := &old[i]; !containsLimit(set.Limits, x) {
 			l.release(x)
 		}
 	}
-	l.pooler.core.SetLimits(set.Bounds(), l.pooler.peers)
+	l.pooler.core.SetLimits(set.CoreLimits(), l.pooler.peers)
 	if !l.ticking {
 		l.ticking = true
 		l.tick()
@@ -54,7 +54,7 @@
 
 func containsLimit(list []settings.FleetLimit, x *settings.FleetLimit) bool {
 	for i := range list {
-		if list[i].Name == x.Name && list[i].Of == x.Of && list[i].Whom == x.Whom && list[i].Kind == x.Kind {
+		if list[i].Name == x.Name && list[i].Resource == x.Resource && list[i].Subject == x.Subject && list[i].Kind == x.Kind {
 			return true
 		}
 	}
@@ -63,22 +63,22 @@
 
 // assign tells a part what it may use.
 func (l *fleetLimits) assign(x *settings.FleetLimit, amount, burst float64) {
-	switch x.Of {
-	case settings.OfQueries:
-		t := l.assigned[x.Whom]
+	switch x.Resource {
+	case settings.ResourceQueries:
+		t := l.assigned[x.Subject]
 		if x.Kind == quota.Number {
 			t.Queries, t.Most = true, int(amount+1e-9)
 		} else {
 			t.Rate, t.PerSecond, t.Burst = true, amount, burst
 		}
-		if l.assigned[x.Whom] = t; l.pooler.clickhouse != nil {
-			l.pooler.clickhouse.Tell(x.Whom, t)
+		if l.assigned[x.Subject] = t; l.pooler.clickhouse != nil {
+			l.pooler.clickhouse.Tell(x.Subject, t)
 		}
-	case settings.OfPool:
+	case settings.ResourcePool:
 		if l.pooler.pooling != nil {
-			l.pooler.pooling.Tell(x.Whom, int(amount+1e-9))
+			l.pooler.pooling.Tell(x.Subject, int(amount+1e-9))
 		}
-	case settings.OfShards:
+	case settings.ResourceShards:
 		if l.pooler.scatter != nil {
 			l.pooler.scatter.Tell(int(amount + 1e-9))
 		}
@@ -87,25 +87,25 @@
 
 // release has a part go by its own settings again.
 func (l *fleetLimits) release(x *settings.FleetLimit) {
-	switch x.Of {
-	case settings.OfQueries:
-		t := l.assigned[x.Whom]
+	switch x.Resource {
+	case settings.ResourceQueries:
+		t := l.assigned[x.Subject]
 		if x.Kind == quota.Number {
 			t.Queries = false
 		} else {
 			t.Rate = false
 		}
-		if l.assigned[x.Whom] = t; l.pooler.clickhouse == nil {
+		if l.assigned[x.Subject] = t; l.pooler.clickhouse == nil {
 			return
 		}
-		if l.pooler.clickhouse.Tell(x.Whom, t); t == (limits.Told{}) {
-			l.pooler.clickhouse.Untell(x.Whom)
+		if l.pooler.clickhouse.Tell(x.Subject, t); t == (limits.Told{}) {
+			l.pooler.clickhouse.Untell(x.Subject)
 		}
-	case settings.OfPool:
+	case settings.ResourcePool:
 		if l.pooler.pooling != nil {
-			l.pooler.pooling.Untell(x.Whom)
+			l.pooler.pooling.Untell(x.Subject)
 		}
-	case settings.OfShards:
+	case settings.ResourceShards:
 		if l.pooler.scatter != nil {
 			l.pooler.scatter.Untell()
 		}
@@ -119,8 +119,8 @@
 	if l.pooler.core.Allow(name, amount, burst) {
 		return
 	}
-	for i := range l.set.List {
-		if x := &l.set.List[i]; x.Name == name {
+	for i := range l.set.Limits {
+		if x := &l.set.Limits[i]; x.Name == name {
 			l.assign(x, amount, burst)
 			if x.Kind == quota.Number { // what is in use beyond it must be known before it is lent to others
 				l.reportDemand(x)
@@ -132,24 +132,24 @@
 // reportDemand tells what this pooler would use of a limit, and uses.
 func (l *fleetLimits) reportDemand(x *settings.FleetLimit) {
 	if want, ok := l.pooler.core.Demand(x.Name); ok {
-		if x.Of == settings.OfCold { // as a part of what a fleet may ask for
+		if x.Resource == settings.ResourceColdServers { // as a part of what a fleet may ask for
 			want /= coldFlow
 		}
 		l.pooler.peers.Demand(x.Name, want, 0)
 		return
 	}
 	switch {
-	case x.Of == settings.OfQueries && l.pooler.clickhouse != nil:
-		running, more, asked := l.pooler.clickhouse.Demand(x.Whom)
+	case x.Resource == settings.ResourceQueries && l.pooler.clickhouse != nil:
+		running, more, asked := l.pooler.clickhouse.Demand(x.Subject)
 		if x.Kind == quota.Number {
 			l.pooler.peers.Demand(x.Name, float64(running)+more, float64(running))
 		} else {
 			l.pooler.peers.Demand(x.Name, asked, 0)
 		}
-	case x.Of == settings.OfPool && l.pooler.pooling != nil:
-		has, want := l.pooler.pooling.Demand(x.Whom)
+	case x.Resource == settings.ResourcePool && l.pooler.pooling != nil:
+		has, want := l.pooler.pooling.Demand(x.Subject)
 		l.pooler.peers.Demand(x.Name, float64(want), float64(has))
-	case x.Of == settings.OfShards && l.pooler.scatter != nil:
+	case x.Resource == settings.ResourceShards && l.pooler.scatter != nil:
 		has, want := l.pooler.scatter.Demand()
 		l.pooler.peers.Demand(x.Name, float64(want), float64(has))
 	}
@@ -159,8 +159,8 @@
 const coldFlow = 1e5
 
 func (l *fleetLimits) tick() {
-	for i := range l.set.List {
-		l.reportDemand(&l.set.List[i])
+	for i := range l.set.Limits {
+		l.reportDemand(&l.set.Limits[i])
 	}
 	l.pooler.loop.At(l.pooler.loop.Now()+demandIntervalMs, l.tick)
 }
@@ -168,20 +168,20 @@
 // reloadLimits takes limits that have changed.
 func (p *pooler) reloadLimits(set settings.FleetLimits) {
 	if p.peers == nil {
-		if set.On {
+		if set.Enabled {
 			p.log.Warn("cannot change while serving, needs a restart", "kept", []string{"fleet-limits"})
 		}
 		return
 	}
 	if p.limits == nil {
-		if !set.On {
+		if !set.Enabled {
 			return
 		}
 		p.limits = &fleetLimits{pooler: p, assigned: map[string]limits.Told{}}
 	}
 	p.limits.apply(set)
 	p.peers.Limit(*quotasOrNone(&set, p.expectedPoolers))
-	p.log.Info("fleet limits read again", "limits", len(set.List))
+	p.log.Info("fleet limits read again", "limits", len(set.Limits))
 }
 
 func quotasOrNone(set *settings.FleetLimits, expect int) *quota.Settings {
@@ -192,15 +192,15 @@
 }
 
 // writeLimitsMetrics tells how the fleet's limits stand here.
-func (p *pooler) writeLimitsMetrics(s *exposition.Sheet) {
+func (p *pooler) writeLimitsMetrics(s *exposition.Snapshot) {
 	if p.peers == nil || p.limits == nil {
 		return
 	}
 	for _, l := range p.peers.Standings() {
-		of := s.Part("limits").Of("limit", l.Limit.Name)
-		of.Level("allowed", l.Amount)
-		of.Level("floor", l.Floor)
-		of.Flag("owns", l.Owns)
-		of.Level("lent", l.Lent)
+		of := s.Scope("limits").Label("limit", l.Limit.Name)
+		of.Gauge("allowed", l.Amount)
+		of.Gauge("floor", l.Floor)
+		of.BoolGauge("owns", l.Owns)
+		of.Gauge("lent", l.Lent)
 	}
 }
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -63,9 +63,9 @@
 						return err
 					}
 					fmt.Fprintf(c.Root().Writer, "%s: listens on %s, asks %s; %d classes, %d servers known, %d sockets, %d MB\n",
-						cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Classes), len(cfg.Known.Instances),
+						cfg.Name, cfg.ListenAddress, cfg.DiscoveryAddress, len(cfg.Classes), len(cfg.InitialList.Instances),
 						cfg.Limits.Sockets, cfg.Limits.MemoryMB)
-					if r := set.Record; r.On {
+					if r := set.Record; r.Enabled {
 						fmt.Fprintf(c.Root().Writer, "records: to %s, files of %d bytes, %d in all\n", r.Dir, r.SegmentBytes, r.TotalBytes)
 					} else {
 						fmt.Fprintln(c.Root().Writer, "records: off")
@@ -75,7 +75,7 @@
 					} else {
 						fmt.Fprintln(c.Root().Writer, "pooling: off")
 					}
-					if s := set.Scatter; s.On {
+					if s := set.Scatter; s.Enabled {
 						fmt.Fprintf(c.Root().Writer, "scatter: %d reads\n", len(s.Specs))
 					} else {
 						fmt.Fprintln(c.Root().Writer, "scatter: off")
@@ -86,21 +86,21 @@
 						fmt.Fprintln(c.Root().Writer, "clickhouse: off")
 					}
 					if j := set.Journal; j.Dir != "" {
-						fmt.Fprintf(c.Root().Writer, "journal: in %s, %s an attempt goes out, at most %d bytes\n", j.Dir, j.Mode, j.MostBytes)
+						fmt.Fprintf(c.Root().Writer, "journal: in %s, %s an attempt goes out, at most %d bytes\n", j.Dir, j.Mode, j.MaxBytes)
 					} else {
 						fmt.Fprintln(c.Root().Writer, "journal: off")
 					}
 					if x := set.Sessions; x.Dir != "" {
-						fmt.Fprintf(c.Root().Writer, "sessions: commits in %s, %s an answer goes out, at most %d bytes\n", x.Dir, x.Mode, x.MostBytes)
+						fmt.Fprintf(c.Root().Writer, "sessions: commits in %s, %s an answer goes out, at most %d bytes\n", x.Dir, x.Mode, x.MaxBytes)
 					} else {
 						fmt.Fprintln(c.Root().Writer, "sessions: off")
 					}
-					if k := set.Kept; k.Dir != "" {
-						fmt.Fprintf(c.Root().Writer, "kept: configuration and list, in %s, for %.0f s\n", k.Dir, k.AgeMs/1000)
+					if k := set.Snapshots; k.Dir != "" {
+						fmt.Fprintf(c.Root().Writer, "kept: configuration and list, in %s, for %.0f s\n", k.Dir, k.MaxAgeMs/1000)
 					} else {
 						fmt.Fprintln(c.Root().Writer, "kept: off")
 					}
-					if f := set.Peers; f.On {
+					if f := set.Cluster; f.Enabled {
 						if _, err := f.Key(); err != nil {
 							return badInput{err}
 						}
@@ -108,33 +108,33 @@
 					} else {
 						fmt.Fprintln(c.Root().Writer, "peers: off")
 					}
-					if l := set.Limits; l.On {
-						fmt.Fprintf(c.Root().Writer, "fleet limits: %d\n", len(l.List))
+					if l := set.FleetLimits; l.Enabled {
+						fmt.Fprintf(c.Root().Writer, "fleet limits: %d\n", len(l.Limits))
 					} else {
 						fmt.Fprintln(c.Root().Writer, "fleet limits: off")
 					}
-					if a := set.Agreed; a.On {
+					if a := set.RaftLog; a.Enabled {
 						fmt.Fprintf(c.Root().Writer, "agreed: %d voters, in %s\n", len(a.Settings.Voters), a.Dir)
 					} else {
 						fmt.Fprintln(c.Root().Writer, "agreed: off")
 					}
-					if z := set.Zones; z.On {
+					if z := set.Zones; z.Enabled {
 						fmt.Fprintf(c.Root().Writer, "zones: %d decided together, %d orders\n", len(z.Zones), len(z.Order))
 					} else {
 						fmt.Fprintln(c.Root().Writer, "zones: off")
 					}
-					if x := set.Credit; x.On {
-						fmt.Fprintf(c.Root().Writer, "credit: %d prices, %d payments of %d tenants\n", len(x.Prices), len(x.Pays), len(x.Prepaid))
+					if x := set.Credit; x.Enabled {
+						fmt.Fprintf(c.Root().Writer, "credit: %d prices, %d payments of %d tenants\n", len(x.Prices), len(x.Payments), len(x.Prepaid))
 					} else {
 						fmt.Fprintln(c.Root().Writer, "credit: off")
 					}
-					if m := set.Membership; m.On {
-						fmt.Fprintf(c.Root().Writer, "membership: by %s\n", strings.Join(m.Members.Judge.Sources, ", then "))
+					if m := set.Endpoints; m.Enabled {
+						fmt.Fprintf(c.Root().Writer, "membership: by %s\n", strings.Join(m.Options.Reconcile.Sources, ", then "))
 					} else {
 						fmt.Fprintln(c.Root().Writer, "membership: by the platform's discovery")
 					}
-					if i := set.Invariants; i.On {
-						fmt.Fprintf(c.Root().Writer, "invariants: checked, a walk each %d changes\n", i.Every)
+					if i := set.Invariants; i.Enabled {
+						fmt.Fprintf(c.Root().Writer, "invariants: checked, a walk each %d changes\n", i.WalkInterval)
 					} else {
 						fmt.Fprintln(c.Root().Writer, "invariants: off")
 					}
@@ -166,7 +166,7 @@
 func read(settingsFile string, log *slog.Logger) (cfg *config.Config, set *settings.Settings, k *snapshots.Keeper, err error) {
 	set = &settings.Settings{}
 	cfg, err = config.Load(os.Getenv)
-	if err != nil && !errors.Is(err, config.ErrUnread) {
+	if err != nil && !errors.Is(err, config.ErrIncomplete) {
 		return nil, nil, nil, badInput{err}
 	}
 	if settingsFile != "" {
@@ -176,13 +176,13 @@
 		}
 	}
 	if log != nil {
-		k = startSnapshots(set.Kept, set.Invariants, log)
+		k = startSnapshots(set.Snapshots, set.Invariants, log)
 	}
 	if err != nil {
 		cfg, err = snapshotConfig(k, err, os.Getenv, log)
 	}
 	if err == nil {
-		err = errors.Join(set.Pooling.Check(cfg.Classes), set.Scatter.Check(&set.Pooling, &set.Peers))
+		err = errors.Join(set.Pooling.Check(cfg.Classes), set.Scatter.Check(&set.Pooling, &set.Cluster))
 	}
 	if err != nil {
 		k.Stop()
@@ -214,15 +214,15 @@
 	set.Pooling.AddClasses(cfg)
 	set.ClickHouse.AddClasses(cfg)
 	p := newPooler(cfg, log)
-	if err := p.openScatter(set.Scatter, set.Peers); err != nil {
+	if err := p.openScatter(set.Scatter, set.Cluster); err != nil {
 		return err
 	}
 	p.openPooling(set.Pooling)
 	p.openClickHouse(set.ClickHouse)
-	if set.Membership.On && keeper != nil {
-		set.Membership.Members.Saver = savedEndpoints{keeper}
+	if set.Endpoints.Enabled && keeper != nil {
+		set.Endpoints.Options.SnapshotStore = savedEndpoints{keeper}
 	}
-	p.openSources(set.Membership)
+	p.openSources(set.Endpoints)
 	p.openSnapshots(keeper)
 	p.saveConfig(cfg, os.Getenv("EDGE_CONFIG"))
 	p.settings = set
@@ -240,18 +240,18 @@
 	}
 	defer endSessions()
 	p.inheritKnown(os.Getenv("TMPDIR"))
-	if err := p.openPeers(set.Peers, set.Limits); err != nil {
+	if err := p.openPeers(set.Cluster, set.FleetLimits); err != nil {
 		return err
 	}
 	p.openOverload(set.Overload)
-	p.openOutlier(set.Verdicts)
-	if settingsFile != "" && set.Peers.On {
+	p.openOutlier(set.OutlierDetection)
+	if settingsFile != "" && set.Cluster.Enabled {
 		p.loadLimits = func() (*settings.FleetLimits, error) {
 			next, err := settings.Load(settingsFile, os.Getenv)
 			if err != nil {
 				return nil, err
 			}
-			return &next.Limits, nil
+			return &next.FleetLimits, nil
 		}
 	}
 	p.load = func() (*config.Config, error) {
@@ -268,7 +268,7 @@
 	}
 	p.openInvariants(set.Invariants)
 	defer p.logInvariants()
-	defer p.openRaftLog(set.Agreed)()
+	defer p.openRaftLog(set.RaftLog)()
 	unpay, err := p.openCredit(set.Credit)
 	if err != nil {
 		return err
--- a/cmd/beechgrade/members.go
+++ b/cmd/beechgrade/members.go
@@ -19,8 +19,8 @@
 // sources are where the list of servers comes from, where the operators' settings have it come from more than the
 // platform's discovery.
 type sources struct {
-	set     settings.Membership
-	members *endpoints.Members
+	set     settings.Endpoints
+	members *endpoints.Manager
 	consul  *consul.Source // nil for none
 }
 
@@ -32,12 +32,12 @@
 }
 
 // openSources has the list made of several sources, where the settings have it so.
-func (p *pooler) openSources(set settings.Membership) {
-	if !set.On {
+func (p *pooler) openSources(set settings.Endpoints) {
+	if !set.Enabled {
 		return
 	}
 	s := &sources{set: set}
-	s.members = endpoints.New(p.loop, p.log, set.Members, p.core, &p.cfg.Known)
+	s.members = endpoints.New(p.loop, p.log, set.Options, p.core, &p.cfg.InitialList)
 	if set.Consul != nil {
 		opt := *set.Consul
 		opt.Seed = p.cfg.Seed
@@ -49,9 +49,9 @@
 
 // begin starts the sources; it runs on the loop before the core starts.
 func (s *sources) begin(p *pooler) {
-	p.cfg.Known = s.members.Begin()
-	if s.set.Members.Platform {
-		s.members.Use(p.discovery)
+	p.cfg.InitialList = s.members.InitialList()
+	if s.set.Options.Platform {
+		s.members.SetDiscovery(p.discovery)
 	}
 	n, err := s.read()
 	if err != nil {
@@ -76,8 +76,8 @@
 	note(err)
 	n.override, err = s.set.ReadOverride()
 	note(err)
-	if s.set.Static != "" {
-		n.static, err = readStatic(s.set.Static)
+	if s.set.StaticPath != "" {
+		n.static, err = readStatic(s.set.StaticPath)
 		note(err)
 	}
 	return n, errors.Join(errs...)
@@ -89,7 +89,7 @@
 		s.consul.SetToken(n.token)
 	}
 	if n.static != nil {
-		s.members.Heard(endpoints.Static, n.static)
+		s.members.Observe(endpoints.SourceStatic, n.static)
 	}
 	s.members.Override(n.override)
 }
@@ -112,7 +112,7 @@
 		return nil, fmt.Errorf("static list %s: %s", path, strings.Join(strings.Fields(err.Error()), " "))
 	}
 	l.Reset, l.Generation = true, 0
-	return endpoints.ReportOf(&l), nil
+	return endpoints.ReportFromList(&l), nil
 }
 
 // stop ends the sources' goroutines.
--- a/cmd/beechgrade/members_test.go
+++ b/cmd/beechgrade/members_test.go
@@ -60,9 +60,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := testConfig(t, "", nil, append(change, func(c *config.Config) { c.Known = discovery.List{} })...)
+	cfg := testConfig(t, "", nil, append(change, func(c *config.Config) { c.InitialList = discovery.List{} })...)
 	w.p = newPooler(cfg, testLog())
-	w.p.openSources(set.Membership)
+	w.p.openSources(set.Endpoints)
 	first := *cfg
 	w.p.load = func() (*config.Config, error) { return &first, nil }
 	w.addr, w.hup, _, _ = launch(t, w.p)
@@ -192,7 +192,7 @@
 	w.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 		got := make(chan string, 1)
-		w.p.loop.Post(func() { got <- w.p.sources.members.Sum() })
+		w.p.loop.Post(func() { got <- w.p.sources.members.Summary() })
 		switch sum := <-got; {
 		case strings.HasSuffix(sum, fmt.Sprintf(" %d removals held back", n)):
 			return
--- a/cmd/beechgrade/offset_test.go
+++ b/cmd/beechgrade/offset_test.go
@@ -47,7 +47,7 @@
 			go answerByClock(atStale, "replica", ahead, 5*time.Second)
 			p := newPooler(testConfig(t, addrPrimary, nil, func(c *config.Config) {
 				for i, addr := range []string{addrFresh, addrStale} {
-					c.Known.Instances = append(c.Known.Instances, discovery.Instance{ID: fmt.Sprint("replica-", i), HostPort: addr, Lifecycle: "up", Weight: 1, Role: "replica"})
+					c.InitialList.Instances = append(c.InitialList.Instances, discovery.Instance{ID: fmt.Sprint("replica-", i), HostPort: addr, Lifecycle: "up", Weight: 1, Role: "replica"})
 				}
 				c.Settings.MayCheckHealth = true
 				c.Classes = append(c.Classes, "young")
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -21,7 +21,7 @@
 
 // openOverload has the fleet handle overload as one, where the settings have it so; after openPeers.
 func (p *pooler) openOverload(set settings.Overload) {
-	if !set.On || p.peers == nil {
+	if !set.Enabled || p.peers == nil {
 		return
 	}
 	j := adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
@@ -37,14 +37,14 @@
 }
 
 // writeOverloadMetrics tells how groups stand, where overload is handled together.
-func (p *pooler) writeOverloadMetrics(s *exposition.Sheet) {
+func (p *pooler) writeOverloadMetrics(s *exposition.Snapshot) {
 	if p.overload == nil {
 		return
 	}
 	for _, g := range p.overload.Standings() {
-		of := s.Part("overload").Of("group", strconv.Itoa(int(g.Group)))
-		of.Level("level", g.Level)
-		of.Whole("of", int64(g.Cells))
-		of.Whole("answers", int64(g.Answers))
+		of := s.Scope("overload").Label("group", strconv.Itoa(int(g.Group)))
+		of.Gauge("level", g.Level)
+		of.IntGauge("of", int64(g.Cells))
+		of.IntGauge("answers", int64(g.Answers))
 	}
 }
--- a/cmd/beechgrade/peer_test.go
+++ b/cmd/beechgrade/peer_test.go
@@ -176,10 +176,10 @@
 	}
 	dir := httptest.NewServer(watch)
 	t.Cleanup(func() { dir.CloseClientConnections(); dir.Close() })
-	cfg := &config.Config{Name: "test", Listen: "127.0.0.1:0", Discovery: dir.Listener.Addr().String(),
+	cfg := &config.Config{Name: "test", ListenAddress: "127.0.0.1:0", DiscoveryAddress: dir.Listener.Addr().String(),
 		Limits: config.Limits{MemoryMB: 192, Sockets: 1024}, Classes: []string{"read", "write"},
-		ConnectTimeoutMs: 5000, IdleMs: 30000,
-		Known: discovery.List{Generation: 4, Reset: true, Instances: []discovery.Instance{
+		ConnectTimeoutMs: 5000, ServerIdleTimeoutMs: 30000,
+		InitialList: discovery.List{Generation: 4, Reset: true, Instances: []discovery.Instance{
 			{ID: "s-1", HostPort: server, Lifecycle: "up", Weight: 1, Role: "primary"}}},
 		Settings: decide.Settings{Peers: 1, Tick: 2 * time.Millisecond, WatchList: true, ListShowsRole: true,
 			ListRoleLive: true, MayCancel: true, MayDuplicate: true, MaxAttempts: 8, Classes: []decide.Class{
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -15,8 +15,8 @@
 )
 
 // openPeers has the pooler be one of a fleet, where the settings have it so.
-func (p *pooler) openPeers(set settings.Peers, own settings.FleetLimits) error {
-	if !set.On {
+func (p *pooler) openPeers(set settings.Cluster, own settings.FleetLimits) error {
+	if !set.Enabled {
 		return nil
 	}
 	key, err := set.Key()
@@ -34,7 +34,7 @@
 	v.Seed = drawn
 	p.peers = cluster.New(p.loop, p.log, cluster.Options{Listen: set.Listen, Advertise: set.Advertise, Key: key, View: v, Limits: quotas(&own, p.expectedPoolers), Again: p.inheritedListener != nil,
 		Record: view.Record{ID: view.NewID(clock.Wall(), drawn), Name: p.cfg.Name, Zone: zone, Region: set.Region, Version: short(version())}}, fleetEvents{p})
-	if own.On {
+	if own.Enabled {
 		p.limits = &fleetLimits{pooler: p, set: own, assigned: map[string]limits.Told{}}
 	}
 	return nil
@@ -69,17 +69,17 @@
 }
 
 // writePeersMetrics tells the fleet's figures, where there is one.
-func (p *pooler) writePeersMetrics(s *exposition.Sheet) {
+func (p *pooler) writePeersMetrics(s *exposition.Snapshot) {
 	if p.peers == nil {
 		return
 	}
-	peers, c, n := s.Part("peers"), p.peers.Counts(), p.peers.Stats()
-	peers.Whole("reachable", int64(c.Reachable))
-	peers.Whole("sending", int64(c.Sending))
-	peers.Count("datagrams_in", n.In)
-	peers.Count("datagrams_out", n.Out)
-	peers.Count("dropped", n.Dropped)
-	peers.Count("overrun", n.Overrun)
-	peers.Count("exchanges", n.Exchanges)
-	peers.Count("exchanges_failed", n.Fails)
+	peers, c, n := s.Scope("peers"), p.peers.Counts(), p.peers.Stats()
+	peers.IntGauge("reachable", int64(c.Reachable))
+	peers.IntGauge("sending", int64(c.Sending))
+	peers.Counter("datagrams_in", n.In)
+	peers.Counter("datagrams_out", n.Out)
+	peers.Counter("dropped", n.Dropped)
+	peers.Counter("overrun", n.Overrun)
+	peers.Counter("exchanges", n.Exchanges)
+	peers.Counter("exchanges_failed", n.Fails)
 }
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -21,7 +21,7 @@
 )
 
 // peerSettings are those of a peer on loopback, with the key in a file.
-func peerSettings(t testing.TB, seeds ...string) settings.Peers {
+func peerSettings(t testing.TB, seeds ...string) settings.Cluster {
 	t.Helper()
 	key := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(key, []byte("the key of a fleet in tests\n"), 0o600); err != nil {
@@ -29,7 +29,7 @@
 	}
 	v := view.Defaults()
 	v.Probe, v.Timeout, v.Suspicion, v.Reconnect, v.Seeds = 300, 100, 900, 200, seeds
-	return settings.Peers{On: true, Listen: freeBoth(t), KeyFile: key, View: v}
+	return settings.Cluster{Enabled: true, Listen: freeBoth(t), KeyFile: key, View: v}
 }
 
 // freeBoth is an address that is free for datagrams and streams.
@@ -50,7 +50,7 @@
 }
 
 // peerOf runs a pooler as a peer before a server.
-func peerOf(t testing.TB, name, srv string, set settings.Peers) (p *pooler, addr string) {
+func peerOf(t testing.TB, name, srv string, set settings.Cluster) (p *pooler, addr string) {
 	t.Helper()
 	cfg := testConfig(t, srv, nil)
 	cfg.Name = name
@@ -98,10 +98,10 @@
 	addr, queries := server(t)
 	routines, sockets := peerRoutines(), udpSockets(t) // poolers of other tests may still be ending
 	p := newPooler(testConfig(t, addr, nil), slog.New(slog.DiscardHandler))
-	if err := p.openPeers(set.Peers, set.Limits); err != nil || p.peers != nil {
+	if err := p.openPeers(set.Cluster, set.FleetLimits); err != nil || p.peers != nil {
 		t.Fatalf("made %v, %v", p.peers, err)
 	}
-	if p.openOverload(set.Overload); set.Overload.On || p.overload != nil {
+	if p.openOverload(set.Overload); set.Overload.Enabled || p.overload != nil {
 		t.Fatal("overload is handled with others")
 	}
 	pooler, _, _, _ := launch(t, p)
@@ -120,7 +120,7 @@
 	if p.limits != nil {
 		t.Error("there are limits of the whole fleet")
 	}
-	told := &exposition.Sheet{}
+	told := &exposition.Snapshot{}
 	if n := testing.AllocsPerRun(100, func() { p.writePeersMetrics(told); p.writeLimitsMetrics(told); p.core.Expire() }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
@@ -281,7 +281,7 @@
 	t.Parallel()
 	srv, _ := server(t)
 	a := peerSettings(t)
-	joining := func() settings.Peers {
+	joining := func() settings.Cluster {
 		s := peerSettings(t, a.Listen)
 		s.KeyFile = a.KeyFile
 		return s
@@ -321,7 +321,7 @@
 	}
 	t.Cleanup(func() { _ = relays.Close() })
 	base := peerSettings(t)
-	joining := func(i int) settings.Peers {
+	joining := func(i int) settings.Cluster {
 		s := base
 		s.Listen, s.Advertise, s.View.Seeds, s.View.Expect = relays.Real(i), relays.Told(i), []string{relays.Told(0), relays.Told(2)}, 3
 		return s
--- a/cmd/beechgrade/pooled.go
+++ b/cmd/beechgrade/pooled.go
@@ -19,7 +19,7 @@
 	}
 	p.poolingAddr = o.Listen
 	p.pooling = pooling.New(p.loop, p.log, pooling.Options{Pools: o.Pools, ConnectMs: p.cfg.ConnectTimeoutMs, GraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace),
-		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", MaxMessage: o.MaxMessage, MaxAnswer: o.MaxAnswer, Expire: p.core.Expire,
+		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", MaxMessage: o.MaxMessageBytes, MaxAnswer: o.MaxResponseBytes, Expire: p.core.Expire,
 		Spare: p.spareConns, Scatter: p.scatter}, p.core, p.core)
 }
 
--- a/cmd/beechgrade/pooled_world_test.go
+++ b/cmd/beechgrade/pooled_world_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	cfg := testConfig(t, "", nil, func(c *config.Config) {
-		c.Discovery, c.Known = f.Discovery(), f.List()
+		c.DiscoveryAddress, c.InitialList = f.Discovery(), f.List()
 		c.Limits.Sockets = 8000
 		c.Settings.MayCheckHealth, c.Settings.DrainGrace = true, clock.ToDuration(fc.GraceMs)
 		c.Settings.SlowStartFrom, c.Settings.SlowStartTime = 0.15, time.Second
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -114,7 +114,7 @@
 	previousState     *handover.State // what another process knew, until it is taken
 	otherProcesses    int             // processes on the socket...
 	othersDescriptors int             // ...and the descriptors that they hold
-	admin             *admin.Door
+	admin             *admin.Server
 	adminAddr         string // where it listens
 
 	descriptorLimit int // of descriptors
@@ -126,7 +126,7 @@
 }
 
 func newPooler(cfg *config.Config, log *slog.Logger) *pooler {
-	p := &pooler{cfg: cfg, log: log, adminAddr: cfg.Control, machine: clock.ThisMachine(), stopAccepting: func() {}, descriptorLimit: systemLimit()}
+	p := &pooler{cfg: cfg, log: log, adminAddr: cfg.AdminAddress, machine: clock.ThisMachine(), stopAccepting: func() {}, descriptorLimit: systemLimit()}
 	if p.descriptorLimit < cfg.Limits.Sockets {
 		log.Warn("the system allows fewer descriptors than the settings", "system", p.descriptorLimit, "settings", cfg.Limits.Sockets)
 	}
@@ -137,7 +137,7 @@
 	memory := p.memory
 	p.backend = backend.New(p.loop, log, backend.Options{User: "backend", Database: "store",
 		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", ConnectTimeoutMs: cfg.ConnectTimeoutMs,
-		IdleMs: cfg.IdleMs * idlePart, Memory: memory, Dial: p.core.LimitDial,
+		IdleMs: cfg.ServerIdleTimeoutMs * idlePart, Memory: memory, Dial: p.core.LimitDial,
 		MaxConns:       func() int { return min(part(serverConnectionsMost), sockets()-p.platform.Occupied()) },
 		FreeDescriptor: func() bool { return p.backend.Conns() < part(serverConnectionsMost) && p.platform.FreeDescriptor() }}, p.core)
 	spare := func() int {
@@ -152,19 +152,19 @@
 
 // openRecorder has the pooler record what it does, where that is on; the function ends it.
 func (p *pooler) openRecorder(o settings.Record) (stop func()) {
-	if !o.On {
+	if !o.Enabled {
 		return func() {}
 	}
 	rec, end := record.Start(record.Options{Pooler: p.cfg.Name, Program: version(), Run: p.loop.Now(),
 		Classes: core.RecordClasses(p.cfg.Classes, p.cfg.Settings.Classes), Files: cmp.Or(p.files, record.Files(record.Dir(o.Dir))),
-		SegmentBytes: o.SegmentBytes, TotalBytes: o.TotalBytes, Events: o.Queue, FlushMs: o.FlushMs, Pack: o.Pack, Log: p.log,
+		SegmentBytes: o.SegmentBytes, TotalBytes: o.TotalBytes, Events: o.QueueLength, FlushMs: o.FlushIntervalMs, Pack: o.Compress, Log: p.log,
 		ColdFrom: p.cfg.Settings.SlowStartFrom, ColdMs: clock.ToMillis(p.cfg.Settings.SlowStartTime), GraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace)})
 	p.core.SetRecorder(rec)
 	if p.pooling != nil {
 		p.pooling.Record(rec)
 	}
 	if p.sources != nil {
-		p.sources.members.Record(rec)
+		p.sources.members.SetRecorder(rec)
 	}
 	p.recordsGauges = true
 	return func() {
@@ -195,7 +195,7 @@
 	if p.sources != nil {
 		events = p.sources.members
 	}
-	p.discovery = discovery.New(p.loop, p.log, p.cfg.Discovery, p.cfg.Known.Generation, listObserver{p, events})
+	p.discovery = discovery.New(p.loop, p.log, p.cfg.DiscoveryAddress, p.cfg.InitialList.Generation, listObserver{p, events})
 	if directory = p.discovery; p.sources != nil {
 		p.sources.begin(p)
 		directory = p.sources.members
@@ -206,7 +206,7 @@
 	if p.journal != nil {
 		servers = p.journal.Wrap(servers)
 	}
-	p.list.take(&p.cfg.Known)
+	p.list.take(&p.cfg.InitialList)
 	p.core.Start(servers, directory)
 	p.push()
 	p.recall()
@@ -242,13 +242,13 @@
 			return
 		}
 	}
-	p.log.Info("serving", "listen", p.loop.Addr(), "servers", len(p.cfg.Known.Instances),
+	p.log.Info("serving", "listen", p.loop.Addr(), "servers", len(p.cfg.InitialList.Instances),
 		"siblings", p.cfg.Settings.Peers, "max_retry_after", p.cfg.Settings.MaxRetryAfter)
 }
 
 // push has the list come unasked where the settings say that it does: on sockets that is a watch held open.
 func (p *pooler) push() {
-	p.discovery.Push(!p.cfg.Settings.WatchList && (p.sources == nil || p.sources.set.Members.Platform))
+	p.discovery.SetPushMode(!p.cfg.Settings.WatchList && (p.sources == nil || p.sources.set.Options.Platform))
 }
 
 // run serves until a signal to stop comes and nothing is owed any more; one to reload changes the configuration.
@@ -301,24 +301,24 @@
 		defer p.exchangeStates()()
 		return p.loop.Serve(p.inheritedListener)
 	}
-	return p.loop.Run(p.cfg.Listen)
+	return p.loop.Run(p.cfg.ListenAddress)
 }
 
 // rejectConfig tells of a configuration that cannot be used.
 func (p *pooler) rejectConfig(err error) {
 	p.log.Error("configuration not taken; the old one stays", "err", err)
-	p.core.Figures().LoadErrors++
+	p.core.Figures().ReloadsRejected++
 }
 
 // apply takes a new configuration, as far as that goes while serving.
 func (p *pooler) apply(next *config.Config) {
-	if err := p.cfg.Covers(next); err != nil {
+	if err := p.cfg.CheckKeys(next); err != nil {
 		p.rejectConfig(err)
 		return
 	}
 	p.saveConfig(next, os.Getenv("EDGE_CONFIG"))
 	changed, kept := p.cfg.Apply(next)
-	if p.core.Figures().Loads++; slices.Contains(changed, "settings") {
+	if p.core.Figures().ReloadsAccepted++; slices.Contains(changed, "settings") {
 		p.core.Reload()
 	}
 	p.log.Info("configuration read again", "changed", changed)
@@ -327,12 +327,12 @@
 		p.log.Warn("cannot change while serving, needs a restart", "kept", kept)
 	}
 	limitMemory(p.cfg, 1+p.otherProcesses)
-	p.backend.SetTimes(p.cfg.ConnectTimeoutMs, p.cfg.IdleMs*idlePart)
-	if p.sources == nil || p.sources.set.Members.Platform {
+	p.backend.SetTimes(p.cfg.ConnectTimeoutMs, p.cfg.ServerIdleTimeoutMs*idlePart)
+	if p.sources == nil || p.sources.set.Options.Platform {
 		if slices.Contains(changed, "discovery") { // its generations are its own
 			p.list.gen, p.list.restarts, p.list.received = 0, 0, false
 		}
-		p.discovery.Move(p.cfg.Discovery)
+		p.discovery.SetAddress(p.cfg.DiscoveryAddress)
 	}
 	p.push()
 }
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -26,7 +26,7 @@
 // raftLog is the log that the poolers have in common; its users add their Machines before the start.
 type raftLog struct {
 	pooler    *pooler
-	set       settings.Agreed
+	set       settings.RaftLog
 	adapter   *adapter.Part
 	users     *raftlog.Shared
 	observers []func(a *raftlog.Action) // users who want to know what happens
@@ -53,8 +53,8 @@
 }
 
 // openRaftLog joins the log in common, where the settings have it on; the function ends it.
-func (p *pooler) openRaftLog(set settings.Agreed) (stop func()) {
-	if !set.On {
+func (p *pooler) openRaftLog(set settings.RaftLog) (stop func()) {
+	if !set.Enabled {
 		return func() {}
 	}
 	l := &raftLog{pooler: p, set: set, users: &raftlog.Shared{}, ended: make(chan struct{}), opened: make(chan struct{})}
@@ -80,7 +80,7 @@
 // begin opens a voter's disk, off the loop: another process of this pooler may have it still.
 func (l *raftLog) begin() {
 	l.begun = true
-	if l.set.Witness > 0 {
+	if l.set.WitnessPerSecond > 0 {
 		l.next = 1
 		l.pooler.loop.At(l.pooler.loop.Now()+witnessIntervalMs, l.proposeWitnesses)
 	}
@@ -91,7 +91,7 @@
 	go func() {
 		defer close(l.opened)
 		for {
-			s, rec, err := store.Open(store.Options{FS: store.Dir(l.set.Dir), MaxBytes: l.set.MostBytes, SegmentBytes: l.set.MostBytes / 16, CompactionRate: l.set.Pace, Post: l.postInOrder})
+			s, rec, err := store.Open(store.Options{FS: store.Dir(l.set.Dir), MaxBytes: l.set.MaxBytes, SegmentBytes: l.set.MaxBytes / 16, CompactionRate: l.set.CompactionBytesPerSecond, Post: l.postInOrder})
 			if errors.Is(err, store.ErrLocked) {
 				select {
 				case <-l.ended:
@@ -152,7 +152,7 @@
 func (l *raftLog) observe(a *raftlog.Action) {
 	switch a.Kind {
 	case raftlog.Apply:
-		if l.set.Witness > 0 && a.Entry[0] == raftlog.OfTally {
+		if l.set.WitnessPerSecond > 0 && a.Entry[0] == raftlog.OfTally {
 			l.recordLatency(a.Entry[1:])
 		}
 	case raftlog.Leads:
@@ -188,12 +188,12 @@
 		kept = append(kept, w)
 	}
 	l.waiting = kept
-	for l.proposalsDue += l.set.Witness * witnessIntervalMs / 1000; l.proposalsDue >= 1 && len(l.waiting) < mostTries; l.proposalsDue-- {
+	for l.proposalsDue += l.set.WitnessPerSecond * witnessIntervalMs / 1000; l.proposalsDue >= 1 && len(l.waiting) < mostTries; l.proposalsDue-- {
 		l.waiting = append(l.waiting, proposal{l.next, now, now})
 		l.propose(l.next)
 		l.next++
 	}
-	l.proposalsDue = min(l.proposalsDue, l.set.Witness)
+	l.proposalsDue = min(l.proposalsDue, l.set.WitnessPerSecond)
 	if now >= l.logAt {
 		l.logAt = now + logIntervalMs
 		s := l.adapter.Standing()
@@ -222,32 +222,32 @@
 }
 
 // writeRaftLogMetrics tells the log's figures, where there is one.
-func (p *pooler) writeRaftLogMetrics(s *exposition.Sheet) {
+func (p *pooler) writeRaftLogMetrics(s *exposition.Snapshot) {
 	if p.raftLog == nil {
 		return
 	}
-	l, log := p.raftLog, s.Part("agreed")
+	l, log := p.raftLog, s.Scope("agreed")
 	now, n := l.adapter.Standing(), l.adapter.Counts()
-	log.Flag("part", now.Part)
-	log.Flag("leads", now.Leads)
-	log.Flag("broke", n.Broke != "")
-	log.Flag("changes", now.Changes)
-	log.Whole("term", int64(now.Term))
-	log.Whole("last", int64(now.Last))
-	log.Whole("commit", int64(now.Commit))
-	log.Whole("applied", int64(now.Applied))
-	log.Whole("first", int64(now.First))
-	log.Whole("bytes", int64(now.Bytes))
-	log.Whole("writing", int64(now.Pending))
-	log.Whole("forwarded", int64(now.Waiting))
-	log.Count("sent", n.Sent)
-	log.Count("sent_bytes", n.Bytes)
-	log.Count("streams", n.Streams)
-	log.Count("writes", n.Writes)
-	log.Count("dropped", n.Dropped)
-	log.Count("taken", l.counter.Taken)
-	log.Count("again", l.counter.Again)
-	log.Count("sum", l.counter.Sum)
-	log.Count("tried", max(1, l.next)-1)
-	log.Whole("unheard", int64(len(l.waiting)))
+	log.BoolGauge("part", now.Part)
+	log.BoolGauge("leads", now.Leads)
+	log.BoolGauge("broke", n.Broke != "")
+	log.BoolGauge("changes", now.Changes)
+	log.IntGauge("term", int64(now.Term))
+	log.IntGauge("last", int64(now.Last))
+	log.IntGauge("commit", int64(now.Commit))
+	log.IntGauge("applied", int64(now.Applied))
+	log.IntGauge("first", int64(now.First))
+	log.IntGauge("bytes", int64(now.Bytes))
+	log.IntGauge("writing", int64(now.Pending))
+	log.IntGauge("forwarded", int64(now.Waiting))
+	log.Counter("sent", n.Sent)
+	log.Counter("sent_bytes", n.Bytes)
+	log.Counter("streams", n.Streams)
+	log.Counter("writes", n.Writes)
+	log.Counter("dropped", n.Dropped)
+	log.Counter("taken", l.counter.Taken)
+	log.Counter("again", l.counter.Again)
+	log.Counter("sum", l.counter.Sum)
+	log.Counter("tried", max(1, l.next)-1)
+	log.IntGauge("unheard", int64(len(l.waiting)))
 }
--- a/cmd/beechgrade/recovered.go
+++ b/cmd/beechgrade/recovered.go
@@ -47,17 +47,17 @@
 
 // storeChecks are the checks of one store, which are its writer's own; a breach is counted and told on the loop, with all others.
 func (p *pooler) storeChecks() (c *invariant.Checks, every int) {
-	if p.settings == nil || !p.settings.Invariants.On {
+	if p.settings == nil || !p.settings.Invariants.Enabled {
 		return nil, 0
 	}
 	return invariant.New(func(b invariant.Breach) {
 		p.loop.Post(func() { p.checks.That(false, b.Name, func() string { return b.State }) })
-	}), p.settings.Invariants.Every
+	}), p.settings.Invariants.WalkInterval
 }
 
 // loggedChecks are checks of what is no loop's: a breach is told in the log.
 func loggedChecks(set settings.Invariants, log *slog.Logger) *invariant.Checks {
-	if !set.On {
+	if !set.Enabled {
 		return nil
 	}
 	return invariant.New(func(b invariant.Breach) { log.Error("invariant broken", "name", b.Name, "state", b.State) })
--- a/cmd/beechgrade/scatter.go
+++ b/cmd/beechgrade/scatter.go
@@ -8,15 +8,15 @@
 )
 
 // openScatter adds reads over many groups to the second front, where the settings have them. It comes before openPooling.
-func (p *pooler) openScatter(o settings.Scatter, peers settings.Peers) error {
-	if !o.On {
+func (p *pooler) openScatter(o settings.Scatter, peers settings.Cluster) error {
+	if !o.Enabled {
 		return nil
 	}
 	secrets, err := o.Secrets(&peers)
 	if err != nil {
 		return badInput{err}
 	}
-	p.scatter = scatter.New(p.loop, p.log, scatter.Options{Specs: o.Specs, Ring: cursor.NewRing(o.Rotate, o.Age, secrets...), ConnectMs: p.cfg.ConnectTimeoutMs,
+	p.scatter = scatter.New(p.loop, p.log, scatter.Options{Specs: o.Specs, Ring: cursor.NewRing(o.RotateMs, o.MaxCursorAgeMs, secrets...), ConnectMs: p.cfg.ConnectTimeoutMs,
 		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", Spare: func() int { return p.spareConns() }}, p.core, p.core)
 	return nil
 }
@@ -42,7 +42,7 @@
 }
 
 // writeScatterMetrics tells the scattered reads' figures, where there are any.
-func (p *pooler) writeScatterMetrics(s *exposition.Sheet) {
+func (p *pooler) writeScatterMetrics(s *exposition.Snapshot) {
 	if p.scatter != nil {
 		p.scatter.Figures(s)
 	}
--- a/cmd/beechgrade/scatter_bench_test.go
+++ b/cmd/beechgrade/scatter_bench_test.go
@@ -51,11 +51,11 @@
 				b.Fatal(err)
 			}
 			cfg := testConfig(b, "", nil, func(c *config.Config) {
-				c.Discovery, c.Known, c.Limits.Sockets = f.Discovery(), f.List(), 8000
+				c.DiscoveryAddress, c.InitialList, c.Limits.Sockets = f.Discovery(), f.List(), 8000
 			})
 			set.Pooling.AddClasses(cfg)
 			p := newPooler(cfg, slog.New(slog.DiscardHandler))
-			if err := p.openScatter(set.Scatter, set.Peers); err != nil {
+			if err := p.openScatter(set.Scatter, set.Cluster); err != nil {
 				b.Fatal(err)
 			}
 			p.openPooling(set.Pooling)
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -84,14 +84,14 @@
 		t.Fatal(err)
 	}
 	cfg := testConfig(t, "", nil, func(c *config.Config) {
-		c.Discovery, c.Known = f.Discovery(), f.List()
+		c.DiscoveryAddress, c.InitialList = f.Discovery(), f.List()
 		c.Limits.Sockets = 8000
 		c.Settings.MayCheckHealth, c.Settings.DrainGrace = true, clock.ToDuration(fc.GraceMs)
 		c.Settings.SlowStartFrom, c.Settings.SlowStartTime = 0.15, time.Second
 		c.Settings.SlowStartMultiple, c.Settings.SlowStartSpan = 2.5, 1500*time.Millisecond
 		c.ConnectTimeoutMs = 2000
 	})
-	if err := set.Scatter.Check(&set.Pooling, &set.Peers); err != nil {
+	if err := set.Scatter.Check(&set.Pooling, &set.Cluster); err != nil {
 		t.Fatal(err)
 	}
 	set.Pooling.AddClasses(cfg)
@@ -100,7 +100,7 @@
 	if os.Getenv("POOL_LOG") != "" {
 		p.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
-	if err := p.openScatter(set.Scatter, set.Peers); err != nil {
+	if err := p.openScatter(set.Scatter, set.Cluster); err != nil {
 		t.Fatal(err)
 	}
 	checks := invariant.New(func(b invariant.Breach) { t.Errorf("%v", b) })
--- a/cmd/beechgrade/scenario_clients_test.go
+++ b/cmd/beechgrade/scenario_clients_test.go
@@ -177,7 +177,7 @@
 	t.Parallel()
 	addr, _ := server(t)
 	pooler, _, _ := start(t, addr, nil, func(c *config.Config) {
-		c.Known.Instances[0].Cell, c.Settings.MaxRetryAfter = 9, 1500*time.Millisecond
+		c.InitialList.Instances[0].Cell, c.Settings.MaxRetryAfter = 9, 1500*time.Millisecond
 	})
 	c := client(t, pooler)
 	c.send(query("1", "read", 400)) // nobody serves its group
--- a/cmd/beechgrade/scenario_process_test.go
+++ b/cmd/beechgrade/scenario_process_test.go
@@ -93,7 +93,7 @@
 			if loads++; loads == 1 {
 				return nil, errors.New("no good")
 			}
-			c.Discovery = next2.Listener.Addr().String()
+			c.DiscoveryAddress = next2.Listener.Addr().String()
 			return &c, nil
 		})
 	told := func(want string) {
@@ -276,7 +276,7 @@
 	hangs := make(chan struct{}, 1)
 	p := newPooler(testConfig(t, srv, nil), slog.New(slog.DiscardHandler))
 	p.files = stuckFiles{hangs}
-	end := p.openRecorder(settings.Record{On: true, Dir: "x", SegmentBytes: 1 << 20, TotalBytes: 2 << 20, Queue: 64, FlushMs: 1})
+	end := p.openRecorder(settings.Record{Enabled: true, Dir: "x", SegmentBytes: 1 << 20, TotalBytes: 2 << 20, QueueLength: 64, FlushIntervalMs: 1})
 	addr, _, stop, ended := launch(t, p)
 	c := client(t, addr)
 	go func() {
--- a/cmd/beechgrade/scenario_test.go
+++ b/cmd/beechgrade/scenario_test.go
@@ -197,7 +197,7 @@
 	t.Parallel()
 	addr, queries := server(t)
 	pooler, _, _ := start(t, addr, nil, func(c *config.Config) {
-		c.Known.Instances[0].Role, c.Settings.MayCheckHealth = "replica", true
+		c.InitialList.Instances[0].Role, c.Settings.MayCheckHealth = "replica", true
 	})
 	c := client(t, pooler)
 	c.send(query("1", "write", 9000))
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -33,7 +33,7 @@
 // sessionsIn keeps them in the first of two places that no other process has; the second is for processes on a given socket alone.
 func (p *pooler) sessionsIn(places [2]store.FS, o settings.Sessions) (stop func(), err error) {
 	checks, every := p.storeChecks()
-	opt := store.Options{MaxBytes: o.MostBytes, SegmentBytes: o.MostBytes / 16, CompactionRate: o.Pace, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB), Checks: checks, BatchesPerWalk: every}
+	opt := store.Options{MaxBytes: o.MaxBytes, SegmentBytes: o.MaxBytes / 16, CompactionRate: o.CompactionBytesPerSecond, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB), Checks: checks, BatchesPerWalk: every}
 	s, rec, at, err := p.openSessions(places, opt)
 	if err != nil {
 		return nil, fmt.Errorf("sessions: %w", err)
--- a/cmd/beechgrade/slowstart_test.go
+++ b/cmd/beechgrade/slowstart_test.go
@@ -45,7 +45,7 @@
 					for i := range set.Classes {
 						set.Classes[i].LatencyObjective, set.Classes[i].LateWeight = aim, 0.5
 					}
-					c.Known.Instances[0].StartedAtMs = time.Now().Add(-time.Second).UnixMilli()
+					c.InitialList.Instances[0].StartedAtMs = time.Now().Add(-time.Second).UnixMilli()
 				})
 				for range clients {
 					connected = append(connected, client(t, pooler))
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -23,12 +23,12 @@
 )
 
 // startSnapshots opens what is kept, where the settings have it on. Without a disk that can be used the start goes on, as if it were off.
-func startSnapshots(o settings.Kept, checked settings.Invariants, log *slog.Logger) *snapshots.Keeper {
+func startSnapshots(o settings.Snapshots, checked settings.Invariants, log *slog.Logger) *snapshots.Keeper {
 	if o.Dir == "" {
 		return nil
 	}
-	k, err := snapshots.Start(snapshots.Options{FS: store.Dir(o.Dir), MaxBytes: o.MostBytes, MaxAgeMs: o.AgeMs, CompactionRate: o.Pace, Log: log,
-		Checks: loggedChecks(checked, log), Store: loggedChecks(checked, log), BatchesPerWalk: checked.Every})
+	k, err := snapshots.Start(snapshots.Options{FS: store.Dir(o.Dir), MaxBytes: o.MaxBytes, MaxAgeMs: o.MaxAgeMs, CompactionRate: o.CompactionBytesPerSecond, Log: log,
+		Checks: loggedChecks(checked, log), Store: loggedChecks(checked, log), BatchesPerWalk: checked.WalkInterval})
 	if err != nil {
 		log.Error("kept: starting without it, and nothing is kept", "dir", o.Dir, "err", err)
 		return nil
@@ -39,7 +39,7 @@
 // snapshotConfig is the configuration that was kept, for a start whose file cannot be read whole. Any other fault of the file is
 // somebody's to mend, and so is one of the variables.
 func snapshotConfig(k *snapshots.Keeper, cause error, env func(string) string, log *slog.Logger) (*config.Config, error) {
-	if k == nil || !errors.Is(cause, config.ErrUnread) {
+	if k == nil || !errors.Is(cause, config.ErrIncomplete) {
 		return nil, cause
 	}
 	r, err := k.Get(snapshots.Config, clock.ThisMachine())
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w; what was kept is not used: %w", cause, err)
 	}
-	c.Kept = true
+	c.FromSnapshot = true
 	log.Warn("kept: starting with the configuration that was kept", "saved_s_ago", math.Round(r.Age(clock.ThisMachine())/1000), "why", cause)
 	return c, nil
 }
@@ -84,27 +84,27 @@
 			err = snapshots.ErrMalformed
 		}
 	}
-	known := &p.cfg.Known
+	known := &p.cfg.InitialList
 	switch {
 	case err != nil:
 		p.log.Warn("kept: starting without the list", "err", err)
 	case r == nil:
-	case r.Source != p.cfg.Discovery:
+	case r.Source != p.cfg.DiscoveryAddress:
 		p.log.Info("kept: the list is another discovery's", "from", r.Source)
-	case len(known.Instances) > 0 && (l.Generation <= known.Generation || !p.cfg.Kept && p.cfg.WrittenMs > r.SavedMs):
+	case len(known.Instances) > 0 && (l.Generation <= known.Generation || !p.cfg.FromSnapshot && p.cfg.ModifiedAtMs > r.SavedMs):
 		p.log.Info("kept: the configuration's list is newer", "generation", known.Generation, "kept", l.Generation)
 	default:
-		p.cfg.Known = l
+		p.cfg.InitialList = l
 		p.log.Info("kept: starting with the list that was kept", "servers", len(l.Instances), "generation", l.Generation, "saved_s_ago", math.Round(r.Age(p.machine)/1000))
 	}
 }
 
 // saveConfig has the configuration kept that is in force, where it was read from its file.
 func (p *pooler) saveConfig(c *config.Config, path string) {
-	if p.snapshots == nil || c.Kept {
+	if p.snapshots == nil || c.FromSnapshot {
 		return
 	}
-	text := c.Text
+	text := c.Raw
 	p.renewConfig = func() {
 		record := snapshots.NewRecord(p.machine, path, text)
 		p.snapshots.Put(snapshots.Config, func() (*snapshots.Record, error) { return record, nil })
@@ -121,7 +121,7 @@
 	var beat func()
 	beat = func() {
 		p.loop.At(p.loop.Now()+snapshotRenewMs, beat)
-		if p.discovery.Holds() {
+		if p.discovery.WatchEstablished() {
 			p.saveList()
 		}
 		if p.renewConfig != nil {
@@ -141,7 +141,7 @@
 	p.listSavedAt = max(now, p.listSavedAt+listSaveIntervalMs)
 	p.loop.At(p.listSavedAt, func() {
 		p.savingList = false
-		l, record := p.list.complete(), snapshots.NewRecord(p.machine, p.cfg.Discovery, nil)
+		l, record := p.list.complete(), snapshots.NewRecord(p.machine, p.cfg.DiscoveryAddress, nil)
 		if len(l.Instances) == 0 || l.Generation == 0 { // it serves nobody, or is another discovery's still
 			return
 		}
@@ -170,7 +170,7 @@
 	b, err := snapshot.Append(nil, f)
 	if err == nil {
 		s.k.Put(snapshots.EndpointList, func() (*snapshots.Record, error) {
-			return &snapshots.Record{SavedMs: f.SavedMs, Saved: clock.ThisMachine().Now(), Body: b}, nil
+			return &snapshots.Record{SavedMs: f.SavedAtMs, Saved: clock.ThisMachine().Now(), Body: b}, nil
 		})
 	}
 	return err
--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -170,7 +170,7 @@
 		}
 		first := serve(l, []byte("\n"))
 		var asks bool
-		pooler, _, _ := start(t, addr, nil, mode, func(c *config.Config) { c.Discovery, asks = at, c.Settings.WatchList })
+		pooler, _, _ := start(t, addr, nil, mode, func(c *config.Config) { c.DiscoveryAddress, asks = at, c.Settings.WatchList })
 		<-opened
 		_ = first.Close()
 		time.Sleep(1500 * time.Millisecond)
@@ -220,7 +220,7 @@
 		go func() { _ = s.Serve(moved) }()
 		t.Cleanup(func() { _ = s.Close() })
 		pooler, hup, _, _ := startReload(t, addr, nil, func(c config.Config) (*config.Config, error) {
-			c.Discovery = moved.Addr().String()
+			c.DiscoveryAddress = moved.Addr().String()
 			return &c, nil
 		}, mode)
 		c := client(t, pooler)
@@ -410,7 +410,7 @@
 	addrP, atP := server(t)
 	addrA, atA := server(t)
 	p := newPooler(testConfig(t, addrP, nil, func(c *config.Config) {
-		c.Known.Instances = append(c.Known.Instances, discovery.Instance{ID: "s-2", HostPort: addrA, Lifecycle: "up", Weight: 1, Role: "replica"})
+		c.InitialList.Instances = append(c.InitialList.Instances, discovery.Instance{ID: "s-2", HostPort: addrA, Lifecycle: "up", Weight: 1, Role: "replica"})
 		c.Settings.MayCheckHealth = true
 		c.Classes = append(c.Classes, "young")
 		c.Settings.Classes = append(c.Settings.Classes, decide.Class{LatencyObjective: patience, Deadline: patience, PriorityWeight: 1, Read: decide.ReadBounded, MaxStaleness: 200 * time.Millisecond})
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -44,7 +44,7 @@
 
 // receive takes a list from discovery.
 func (l *list) receive(n *discovery.List) {
-	if n.Anew && l.received && n.Generation < l.gen {
+	if n.Restarted && l.received && n.Generation < l.gen {
 		l.restarts++
 	}
 	l.received = true
@@ -96,8 +96,8 @@
 	if then := p.previousState.ClockMs; then > 0 { // its clock and this one's may have started on either side of a step of the wall clock
 		p.previousState.Memory.Shift(clock.ToDuration(p.loop.Now() - p.previousState.AgeMs - then))
 	}
-	if l := &p.previousState.List; p.sources == nil && p.previousState.ListSource == p.cfg.Discovery && l.Generation > p.cfg.Known.Generation {
-		p.cfg.Known = *l
+	if l := &p.previousState.List; p.sources == nil && p.previousState.ListSource == p.cfg.DiscoveryAddress && l.Generation > p.cfg.InitialList.Generation {
+		p.cfg.InitialList = *l
 		p.list.restarts, p.list.received = p.previousState.ListRestarts, true
 	}
 	p.count(others)
@@ -109,7 +109,7 @@
 		if !slices.Equal(b.Classes, p.cfg.Classes) {
 			b.Memory.ClassWork = nil
 		}
-		if !slices.Equal(b.Kinds, p.cfg.Kinds) {
+		if !slices.Equal(b.Kinds, p.cfg.MachineTypes) {
 			b.Memory.KindRates = nil
 		}
 		p.core.MergeSnapshot(b.Memory)
@@ -162,14 +162,14 @@
 func (p *pooler) state() *handover.State {
 	held := uncountedDescriptors + p.platform.Sessions() + p.backend.Conns() + p.heldBeside()
 	if p.admin != nil {
-		held += p.admin.Callers()
+		held += p.admin.Connections()
 	}
 	known := discovery.List{Reset: true}
 	if p.list.received {
 		known = p.list.complete()
 	}
-	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Now(), ClockMs: p.loop.Now(), Descriptors: held, Ending: !p.lifecycle.IsServing(), ListSource: p.cfg.Discovery, List: known, ListRestarts: p.list.restarts,
-		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.Kinds), Memory: p.core.Snapshot()}
+	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Now(), ClockMs: p.loop.Now(), Descriptors: held, Ending: !p.lifecycle.IsServing(), ListSource: p.cfg.DiscoveryAddress, List: known, ListRestarts: p.list.restarts,
+		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.MachineTypes), Memory: p.core.Snapshot()}
 }
 
 // stateFolder is where the processes on a socket report to each other.
@@ -245,7 +245,7 @@
 		return
 	}
 	for _, s := range others {
-		if s.ListSource == p.cfg.Discovery && p.list.newer(s) {
+		if s.ListSource == p.cfg.DiscoveryAddress && p.list.newer(s) {
 			p.adopt(s)
 		}
 	}
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -33,9 +33,9 @@
 	u := newUpgrade(t)
 	dir := t.TempDir()
 	places := [2]store.FS{store.Dir(dir), store.Dir(filepath.Join(dir, upgradeDir))}
-	set := settings.Sessions{Mode: mode, MostBytes: 1 << 20}
+	set := settings.Sessions{Mode: mode, MaxBytes: 1 << 20}
 	unused := func() *pooler {
-		p := newPooler(testConfig(t, "127.0.0.1:1", nil, func(c *config.Config) { c.Discovery, c.Settings.TrackCommits = u.at, true }), slog.New(slog.DiscardHandler))
+		p := newPooler(testConfig(t, "127.0.0.1:1", nil, func(c *config.Config) { c.DiscoveryAddress, c.Settings.TrackCommits = u.at, true }), slog.New(slog.DiscardHandler))
 		give(t, p, u.ln)
 		return p
 	}
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -92,7 +92,7 @@
 func (u *upgrade) process(known ...discovery.Instance) *pooler {
 	u.t.Helper()
 	p := newPooler(testConfig(u.t, "127.0.0.1:1", nil, func(c *config.Config) {
-		c.Discovery, c.Known.Instances, c.Known.Generation = u.at, known, u.known
+		c.DiscoveryAddress, c.InitialList.Instances, c.InitialList.Generation = u.at, known, u.known
 	}), slog.New(slog.DiscardHandler))
 	give(u.t, p, u.ln)
 	p.inheritKnown(u.dir)
--- a/cmd/beechgrade/verdicts.go
+++ b/cmd/beechgrade/verdicts.go
@@ -15,8 +15,8 @@
 )
 
 // openOutlier has the fleet share what it knows of servers, where the settings have it so; after openPeers.
-func (p *pooler) openOutlier(set settings.Verdicts) {
-	if !set.On || p.peers == nil {
+func (p *pooler) openOutlier(set settings.OutlierDetection) {
+	if !set.Enabled || p.peers == nil {
 		return
 	}
 	p.outlier = adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
@@ -44,16 +44,16 @@
 }
 
 // writeOutlierMetrics tells why servers are avoided, by whose word, and until when.
-func (p *pooler) writeOutlierMetrics(s *exposition.Sheet) {
+func (p *pooler) writeOutlierMetrics(s *exposition.Snapshot) {
 	if p.outlier == nil {
 		return
 	}
-	part := s.Part("verdicts")
+	part := s.Scope("verdicts")
 	for _, v := range p.outlier.Avoided() {
-		of := part.Of("server", v.Server)
-		of.Whole("until", int64(math.RoundToEven(v.UntilMs)))
-		of.Word("why", v.Reason)
-		of.Word("by", idsText(v.ReportedBy))
+		of := part.Label("server", v.Server)
+		of.IntGauge("until", int64(math.RoundToEven(v.UntilMs)))
+		of.Info("why", v.Reason)
+		of.Info("by", idsText(v.ReportedBy))
 	}
-	part.Whole("own_links", int64(p.outlier.Lonely()))
+	part.IntGauge("own_links", int64(p.outlier.Lonely()))
 }
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -34,7 +34,7 @@
 
 // openZones has the fleet decide, where the settings have it so; after openRaftLog. The function ends it.
 func (p *pooler) openZones(set settings.Zones) (stop func(), err error) {
-	if !set.On {
+	if !set.Enabled {
 		return func() {}, nil
 	}
 	z := &zoneFailover{pooler: p, set: set, toSave: make(chan planNumber, 64), done: make(chan struct{}), sentAtNote: make([]uint64, len(set.Zones))}
@@ -53,7 +53,7 @@
 	}
 	go z.saveNumbers()
 	z.adapter = adapter.New(s, p.peers, z, p.core, z)
-	z.adapter.Listed(&p.cfg.Known, true)
+	z.adapter.Listed(&p.cfg.InitialList, true)
 	p.core.SetZoneObserver(z.adapter)
 	p.peers.Join(z.adapter)
 	if z.adapter.Book() != nil {
@@ -167,7 +167,7 @@
 
 // reload takes orders as they are now.
 func (z *zoneFailover) reload(set settings.Zones) {
-	if !set.On {
+	if !set.Enabled {
 		z.pooler.log.Warn("cannot change while serving, needs a restart", "kept", []string{"zones"})
 		return
 	}
@@ -176,27 +176,27 @@
 }
 
 // writeZonesMetrics tells how zones stand, where they are decided together.
-func (p *pooler) writeZonesMetrics(s *exposition.Sheet) {
+func (p *pooler) writeZonesMetrics(s *exposition.Snapshot) {
 	if p.zones == nil {
 		return
 	}
-	z, zones := p.zones, s.Part("zones")
+	z, zones := p.zones, s.Scope("zones")
 	now, plan := z.adapter.Standing()
 	n := z.adapter.Counts()
-	zones.Count("plans", n.Plans)
-	zones.Count("shifts", n.Shifts)
-	zones.Count("fallbacks", n.Fallbacks)
-	zones.Whole("why", int64(now.Why))
-	zones.Whole("near", int64(now.Zone))
+	zones.Counter("plans", n.Plans)
+	zones.Counter("shifts", n.Shifts)
+	zones.Counter("fallbacks", n.Fallbacks)
+	zones.IntGauge("why", int64(now.Why))
+	zones.IntGauge("near", int64(now.Zone))
 	if plan == nil {
 		return
 	}
-	zones.Whole("plan", int64(plan.No))
-	zones.Level("short", plan.Short)
-	zones.Level("most", plan.Most)
+	zones.IntGauge("plan", int64(plan.No))
+	zones.Gauge("short", plan.Short)
+	zones.Gauge("most", plan.Most)
 	for i, m := range plan.Zones {
-		zone := zones.Of("zone", z.set.Zones[i])
-		zone.Whole("state", int64(m.State))
-		zone.Level("near", plan.Matrix[i][i])
+		zone := zones.Label("zone", z.set.Zones[i])
+		zone.IntGauge("state", int64(m.State))
+		zone.Gauge("near", plan.Matrix[i][i])
 	}
 }
--- a/cmd/beechgrade/zones_admin.go
+++ b/cmd/beechgrade/zones_admin.go
@@ -15,7 +15,7 @@
 const zonesPath = "/-/zones"
 
 // handleAdminCall carries an operators' call out: GET shows how zones stand, POST proposes an order. Whether it comes to stand the next GETs show.
-func (z *zoneFailover) handleAdminCall(method string, query url.Values) admin.Answer {
+func (z *zoneFailover) handleAdminCall(method string, query url.Values) admin.Response {
 	status := http.StatusOK
 	switch method {
 	case http.MethodGet:
@@ -23,23 +23,23 @@
 		o, stands, err := zonesadmin.Read(query, z.adapter.Settings(), z.adapter.Book(), z.pooler.loop.Now())
 		switch {
 		case errors.Is(err, zonesadmin.ErrCall):
-			return admin.Answer{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")}
+			return admin.Response{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")}
 		case errors.Is(err, zonesadmin.ErrLags):
-			return admin.Answer{Status: http.StatusServiceUnavailable, Body: []byte(err.Error() + "\n")}
+			return admin.Response{Status: http.StatusServiceUnavailable, Body: []byte(err.Error() + "\n")}
 		case err != nil:
-			return admin.Answer{Status: http.StatusConflict, Body: []byte(err.Error() + "\n")}
+			return admin.Response{Status: http.StatusConflict, Body: []byte(err.Error() + "\n")}
 		case !stands:
 			z.adapter.Order(o)
 			z.pooler.log.Info("zones: ordered at the door", "zone", o.Zone, "state", query.Get("state"), "number", o.No, "for", query.Get("for"))
 			status = http.StatusAccepted
 		}
 	default:
-		return admin.Answer{Status: http.StatusMethodNotAllowed, Allow: "GET, POST"}
+		return admin.Response{Status: http.StatusMethodNotAllowed, AllowedMethod: "GET, POST"}
 	}
 	s, p := z.adapter.Standing()
 	b, err := jsoniter.Marshal(zonesadmin.Look(z.adapter.Settings(), s, p, z.adapter.Book(), z.adapter.Chief() != nil && z.adapter.Chief().Leads()))
 	if err != nil {
-		return admin.Answer{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
+		return admin.Response{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 	}
-	return admin.Answer{Status: status, Type: "application/json", Body: append(b, '\n')}
+	return admin.Response{Status: status, ContentType: "application/json", Body: append(b, '\n')}
 }
--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -17,127 +17,127 @@
 
 // Bounds on callers.
 const (
-	maxCallers = 16      // connections; the one that has gone longest without a whole call makes room
-	maxHead    = 8 << 10 // bytes of a call
-	headMs     = 5000    // until a call is whole
-	lingerMs   = 250     // after the answer, for the caller to read it and go
+	maxConnections   = 16      // connections; the one that has gone longest without a whole call makes room
+	maxRequestBytes  = 8 << 10 // bytes of a call
+	requestTimeoutMs = 5000    // until a call is whole
+	closeDelayMs     = 250     // after the answer, for the caller to read it and go
 )
 
-// Answer is what a call is told.
-type Answer struct {
-	Status int
-	Type   string // of the body; empty for plain text
-	Allow  string // the method that the path has, with 405
-	Body   []byte
+// Response is what a call is told.
+type Response struct {
+	Status        int
+	ContentType   string // of the body; empty for plain text
+	AllowedMethod string // the method that the path has, with 405
+	Body          []byte
 }
 
-// Desk carries calls out. It is called on the loop.
-type Desk interface {
-	Call(method, path string, query url.Values) Answer
+// Handler carries calls out. It is called on the loop.
+type Handler interface {
+	Handle(method, path string, query url.Values) Response
 }
 
-// Door takes operators' calls. It is for the loop alone.
-type Door struct {
-	loop    *eventloop.Loop
-	log     *slog.Logger
-	desk    Desk
-	callers list.List // of connections, the oldest first
+// Server takes operators' calls. It is for the loop alone.
+type Server struct {
+	loop        *eventloop.Loop
+	log         *slog.Logger
+	handler     Handler
+	connections list.List // of connections, the oldest first
 }
 
 // New makes a door.
-func New(l *eventloop.Loop, log *slog.Logger, desk Desk) *Door {
-	return &Door{loop: l, log: log, desk: desk}
+func New(loop *eventloop.Loop, log *slog.Logger, handler Handler) *Server {
+	return &Server{loop: loop, log: log, handler: handler}
 }
 
-// Callers is the number of connections.
-func (d *Door) Callers() int { return d.callers.Len() }
+// Connections is the number of connections.
+func (server *Server) Connections() int { return server.connections.Len() }
 
 // Accept makes the handler of a new connection.
-func (d *Door) Accept() eventloop.Handler { return &caller{door: d} }
+func (server *Server) Accept() eventloop.Handler { return &connection{server: server} }
 
-// caller is a connection; it is the loop's Handler.
-type caller struct {
-	door  *Door
-	conn  *eventloop.Conn
-	at    *list.Element
-	timer *timers.Timer
-	in    []byte
-	said  bool // it has its answer
+// connection is a connection; it is the loop's Handler.
+type connection struct {
+	server   *Server
+	conn     *eventloop.Conn
+	element  *list.Element
+	timer    *timers.Timer
+	input    []byte
+	answered bool // it has its answer
 }
 
 // Opened is loop's.
-func (c *caller) Opened(conn *eventloop.Conn) {
-	d := c.door
+func (c *connection) Opened(conn *eventloop.Conn) {
+	server := c.server
 	c.conn = conn
-	if d.callers.Len() >= maxCallers {
-		d.callers.Front().Value.(*caller).conn.Close()
+	if server.connections.Len() >= maxConnections {
+		server.connections.Front().Value.(*connection).conn.Close()
 	}
-	c.at = d.callers.PushBack(c)
-	c.timer = d.loop.At(d.loop.Now()+headMs, func() { c.answer(Answer{Status: http.StatusRequestTimeout}) })
+	c.element = server.connections.PushBack(c)
+	c.timer = server.loop.At(server.loop.Now()+requestTimeoutMs, func() { c.respond(Response{Status: http.StatusRequestTimeout}) })
 }
 
 // Data is loop's.
-func (c *caller) Data(b []byte) {
-	if c.said { // one call to a connection: what follows is dropped
+func (c *connection) Data(b []byte) {
+	if c.answered { // one call to a connection: what follows is dropped
 		return
 	}
-	if c.in = append(c.in, b...); len(c.in) > maxHead {
-		c.answer(Answer{Status: http.StatusRequestHeaderFieldsTooLarge})
+	if c.input = append(c.input, b...); len(c.input) > maxRequestBytes {
+		c.respond(Response{Status: http.StatusRequestHeaderFieldsTooLarge})
 		return
 	}
-	if !bytes.Contains(c.in, []byte("\r\n\r\n")) && !bytes.Contains(c.in, []byte("\n\n")) {
+	if !bytes.Contains(c.input, []byte("\r\n\r\n")) && !bytes.Contains(c.input, []byte("\n\n")) {
 		return // not whole yet
 	}
-	switch r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.in))); {
+	switch request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.input))); {
 	case err != nil:
-		c.answer(Answer{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")})
-	case r.ContentLength != 0:
-		c.answer(Answer{Status: http.StatusRequestEntityTooLarge, Body: []byte("a call has no body\n")})
+		c.respond(Response{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")})
+	case request.ContentLength != 0:
+		c.respond(Response{Status: http.StatusRequestEntityTooLarge, Body: []byte("a call has no body\n")})
 	default:
-		c.answer(c.door.desk.Call(r.Method, r.URL.Path, r.URL.Query()))
+		c.respond(c.server.handler.Handle(request.Method, request.URL.Path, request.URL.Query()))
 	}
 }
 
-// answer ends the call.
-func (c *caller) answer(a Answer) {
-	if c.said || c.conn == nil {
+// respond ends the call.
+func (c *connection) respond(response Response) {
+	if c.answered || c.conn == nil {
 		return
 	}
-	c.said, c.in = true, nil
-	d := c.door
-	if a.Status >= http.StatusBadRequest {
-		d.log.Debug("control: turned away", "status", a.Status)
+	c.answered, c.input = true, nil
+	server := c.server
+	if response.Status >= http.StatusBadRequest {
+		server.log.Debug("control: turned away", "status", response.Status)
 	}
-	if len(a.Body) == 0 {
-		a.Body = []byte(http.StatusText(a.Status) + "\n")
+	if len(response.Body) == 0 {
+		response.Body = []byte(http.StatusText(response.Status) + "\n")
 	}
-	if a.Type == "" {
-		a.Type = "text/plain; charset=utf-8"
+	if response.ContentType == "" {
+		response.ContentType = "text/plain; charset=utf-8"
 	}
-	res := http.Response{StatusCode: a.Status, ProtoMajor: 1, ProtoMinor: 1, Close: true, ContentLength: int64(len(a.Body)), Body: io.NopCloser(bytes.NewReader(a.Body)),
-		Header: http.Header{"Content-Type": {a.Type}, "Cache-Control": {"no-store"}}}
-	if a.Allow != "" {
-		res.Header.Set("Allow", a.Allow)
+	res := http.Response{StatusCode: response.Status, ProtoMajor: 1, ProtoMinor: 1, Close: true, ContentLength: int64(len(response.Body)), Body: io.NopCloser(bytes.NewReader(response.Body)),
+		Header: http.Header{"Content-Type": {response.ContentType}, "Cache-Control": {"no-store"}}}
+	if response.AllowedMethod != "" {
+		res.Header.Set("Allow", response.AllowedMethod)
 	}
 	var out bytes.Buffer
 	_ = res.Write(&out) // into memory
-	d.loop.StopTimer(c.timer)
+	server.loop.StopTimer(c.timer)
 	if c.conn.Write(out.Bytes()) != nil {
 		return
 	}
 	// A close with input unread would be a reset, which may overtake the answer.
-	c.timer = d.loop.At(d.loop.Now()+lingerMs, c.conn.Close)
+	c.timer = server.loop.At(server.loop.Now()+closeDelayMs, c.conn.Close)
 	if c.conn.Unsent() == 0 {
 		_ = c.conn.CloseWrite()
 	}
 }
 
 // Closed is loop's.
-func (c *caller) Closed(error) {
-	c.said = true
-	c.door.loop.StopTimer(c.timer)
-	if c.at != nil {
-		c.door.callers.Remove(c.at)
-		c.at = nil
+func (c *connection) Closed(error) {
+	c.answered = true
+	c.server.loop.StopTimer(c.timer)
+	if c.element != nil {
+		c.server.connections.Remove(c.element)
+		c.element = nil
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,26 +31,26 @@
 
 // Config is what a pooler is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Control   string // where operators call, empty for nowhere
-	Seed      uint64
-	Limits    Limits
-	Known     discovery.List
-	Settings  decide.Settings
+	Name             string
+	ListenAddress    string
+	DiscoveryAddress string
+	AdminAddress     string // where operators call, empty for nowhere
+	Seed             uint64
+	Limits           Limits
+	InitialList      discovery.List
+	Settings         decide.Settings
 
-	Classes, Zones, Kinds []string // names, by the module's numbers
-	Tenants               []string // names, as the settings number them
-	ConnectTimeoutMs      float64
-	IdleMs                float64 // servers close a connection idle for so long
+	Classes, Zones, MachineTypes []string // names, by the module's numbers
+	Tenants                      []string // names, as the settings number them
+	ConnectTimeoutMs             float64
+	ServerIdleTimeoutMs          float64 // servers close a connection idle for so long
 
-	Text      []byte  // of the file, as it was read
-	WrittenMs float64 // when the file was written, Unix ms
-	Kept      bool    // it is not from its file, but was kept from an earlier process
+	Raw          []byte  // of the file, as it was read
+	ModifiedAtMs float64 // when the file was written, Unix ms
+	FromSnapshot bool    // it is not from its file, but was kept from an earlier process
 
-	keys    []string // of the file, numbers in lists as *, each that all entries of its list have
-	retired []bool   // by the classes' numbers
+	keyPaths []string // of the file, numbers in lists as *, each that all entries of its list have
+	retired  []bool   // by the classes' numbers
 }
 
 type file struct {
@@ -66,46 +66,46 @@
 
 // Defaults for what may be left out.
 const (
-	defaultSockets = 1024
-	defaultMemory  = 192
-	minSockets     = 128
-	maxFile        = 16 << 20
-	defaultConnect = 250
-	defaultIdle    = 30000
+	defaultSockets             = 1024
+	defaultMemoryMB            = 192
+	minSockets                 = 128
+	maxFileBytes               = 16 << 20
+	defaultConnectTimeoutMs    = 250
+	defaultServerIdleTimeoutMs = 30000
 )
 
-// ErrUnread is of a file that could not be read whole: it is not there, or ends too soon, or is no such file at all. One that was read
+// ErrIncomplete is of a file that could not be read whole: it is not there, or ends too soon, or is no such file at all. One that was read
 // and says what cannot be used is not among them.
-var ErrUnread = errors.New("not read whole")
+var ErrIncomplete = errors.New("not read whole")
 
 // Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_CONTROL go before it.
 func Load(env func(string) string) (*Config, error) { return load(env, false) }
 
-func load(env func(string) string, again bool) (*Config, error) {
+func load(env func(string) string, reload bool) (*Config, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
 		return nil, errors.New("EDGE_CONFIG: not set; it names the configuration file")
 	}
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("EDGE_CONFIG: %w: %w", ErrUnread, err)
+		return nil, fmt.Errorf("EDGE_CONFIG: %w: %w", ErrIncomplete, err)
 	}
-	defer func() { _ = f.Close() }()
-	b, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	defer func() { _ = file.Close() }()
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("EDGE_CONFIG: %w: %w", ErrUnread, err)
+		return nil, fmt.Errorf("EDGE_CONFIG: %w: %w", ErrIncomplete, err)
 	}
-	if len(b) > maxFile {
-		return nil, fmt.Errorf("EDGE_CONFIG: %s: over %d bytes", path, maxFile)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("EDGE_CONFIG: %s: over %d bytes", path, maxFileBytes)
 	}
-	c, err := parse(b, env, again)
+	config, err := parse(text, env, reload)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if i, err := f.Stat(); err == nil {
-		c.WrittenMs = float64(i.ModTime().UnixMilli())
+	if info, err := file.Stat(); err == nil {
+		config.ModifiedAtMs = float64(info.ModTime().UnixMilli())
 	}
-	return c, nil
+	return config, nil
 }
 
 // Reload reads the file again while the program serves. EDGE_DISCOVERY was set at the start and cannot be set anew,
@@ -114,11 +114,11 @@
 	return load(env, true)
 }
 
-// Covers holds another configuration to the shape of this one: what lacks a key that this one has is not whole.
-func (c *Config) Covers(next *Config) error {
-	for _, k := range c.keys {
-		if !slices.Contains(next.keys, k) {
-			return fmt.Errorf("%s: missing", k)
+// CheckKeys holds another configuration to the shape of this one: what lacks a key that this one has is not whole.
+func (c *Config) CheckKeys(next *Config) error {
+	for _, path := range c.keyPaths {
+		if !slices.Contains(next.keyPaths, path) {
+			return fmt.Errorf("%s: missing", path)
 		}
 	}
 	return nil
@@ -130,87 +130,87 @@
 // Apply takes over from next what can change while the program serves, and returns the names of what has changed
 // and what would have to but cannot. The list as last known and the seed are of use at a start only. Classes, zones and kinds
 // keep their numbers; a class that has gone keeps its own without a contract.
-func (c *Config) Apply(next *Config) (changed, kept []string) {
+func (c *Config) Apply(next *Config) (changed, unchangeable []string) {
 	set := func(name string, differs bool, apply func()) {
 		switch {
 		case differs && apply != nil:
 			apply()
 			changed = append(changed, name)
 		case differs:
-			kept = append(kept, name)
+			unchangeable = append(unchangeable, name)
 		}
 	}
-	set("discovery", c.Discovery != next.Discovery, func() { c.Discovery = next.Discovery })
+	set("discovery", c.DiscoveryAddress != next.DiscoveryAddress, func() { c.DiscoveryAddress = next.DiscoveryAddress })
 	set("limits", c.Limits != next.Limits, func() { c.Limits = next.Limits })
 	set("connect_timeout_ns", c.ConnectTimeoutMs != next.ConnectTimeoutMs, func() { c.ConnectTimeoutMs = next.ConnectTimeoutMs })
-	set("idle_close_ns", c.IdleMs != next.IdleMs, func() { c.IdleMs = next.IdleMs })
+	set("idle_close_ns", c.ServerIdleTimeoutMs != next.ServerIdleTimeoutMs, func() { c.ServerIdleTimeoutMs = next.ServerIdleTimeoutMs })
 	set("name", c.Name != next.Name, nil)
-	set("listen", c.Listen != next.Listen, nil)
-	set("control", c.Control != next.Control, nil)
+	set("listen", c.ListenAddress != next.ListenAddress, nil)
+	set("control", c.AdminAddress != next.AdminAddress, nil)
 
-	settings, classes, zones := next.Settings, union(c.Classes, next.Classes), union(c.Zones, next.Zones)
+	settings, classes, zones := next.Settings, appendMissing(c.Classes, next.Classes), appendMissing(c.Zones, next.Zones)
 	settings.Classes = make([]decide.Class, len(classes))
 	retired := make([]bool, len(classes))
-	for i, n := range classes {
-		k := slices.Index(next.Classes, n)
-		if retired[i] = k < 0; k >= 0 {
-			settings.Classes[i] = next.Settings.Classes[k]
+	for i, name := range classes {
+		index := slices.Index(next.Classes, name)
+		if retired[i] = index < 0; index >= 0 {
+			settings.Classes[i] = next.Settings.Classes[index]
 		} else {
-			settings.Classes[i] = underWay(c.Settings.Classes[i])
+			settings.Classes[i] = retiredClass(c.Settings.Classes[i])
 		}
 	}
-	if z := settings.Zone; z >= 0 && z < len(next.Zones) {
-		settings.Zone = slices.Index(zones, next.Zones[z])
+	if zone := settings.Zone; zone >= 0 && zone < len(next.Zones) {
+		settings.Zone = slices.Index(zones, next.Zones[zone])
 	}
 	if len(classes) > maxClasses {
 		set("request classes' names", true, nil)
-		return changed, kept
+		return changed, unchangeable
 	}
 	set("settings", !reflect.DeepEqual(c.Settings, settings), func() {
-		c.Settings, c.Classes, c.Zones, c.Kinds, c.retired = settings, classes, zones, union(c.Kinds, next.Kinds), retired
+		c.Settings, c.Classes, c.Zones, c.MachineTypes, c.retired = settings, classes, zones, appendMissing(c.MachineTypes, next.MachineTypes), retired
 		c.Tenants = next.Tenants
 	})
-	c.keys = next.keys
-	return changed, kept
+	c.keyPaths = next.keyPaths
+	return changed, unchangeable
 }
 
-// underWay is what is left of the contract of a class that has gone: requests of it that are under way may still be sent to such servers alone, and as often,
+// retiredClass is what is left of the contract of a class that has gone: requests of it that are under way may still be sent to such servers alone, and as often,
 // as before. No new ones come.
-func underWay(c decide.Class) decide.Class {
-	return decide.Class{LateWeight: c.LateWeight, Idempotency: c.Idempotency, KeyScope: c.KeyScope, KeyWindow: c.KeyWindow, Read: c.Read, MaxStaleness: c.MaxStaleness}
+func retiredClass(class decide.Class) decide.Class {
+	return decide.Class{LateWeight: class.LateWeight, Idempotency: class.Idempotency, KeyScope: class.KeyScope, KeyWindow: class.KeyWindow, Read: class.Read, MaxStaleness: class.MaxStaleness}
 }
 
 // Retired tells whether the class of that number is not in the settings any more.
 func (c *Config) Retired(class int) bool { return class < len(c.retired) && c.retired[class] }
 
-// union is a list with the names of another that it does not have behind its own.
-func union(names, more []string) []string {
-	out := slices.Clone(names)
-	for _, n := range more {
-		if !slices.Contains(out, n) {
-			out = append(out, n)
+// appendMissing is a list with the names of another that it does not have behind its own.
+func appendMissing(names, more []string) []string {
+	merged := slices.Clone(names)
+	for _, name := range more {
+		if !slices.Contains(merged, name) {
+			merged = append(merged, name)
 		}
 	}
-	return out
+	return merged
 }
 
 // Parse reads a configuration's text.
-func Parse(b []byte, env func(string) string) (*Config, error) { return parse(b, env, false) }
+func Parse(text []byte, env func(string) string) (*Config, error) { return parse(text, env, false) }
 
-func parse(b []byte, env func(string) string, again bool) (*Config, error) {
-	var f file
+func parse(text []byte, env func(string) string, reload bool) (*Config, error) {
+	var fields file
 	var tree map[string]any
-	if err := errors.Join(whole.Unmarshal(b, &f), whole.Unmarshal(b, &tree)); err != nil {
+	if err := errors.Join(strictJSON.Unmarshal(text, &fields), strictJSON.Unmarshal(text, &tree)); err != nil {
 		first, _, _ := strings.Cut(err.Error(), "\n")
-		return nil, fmt.Errorf("%w: %s", ErrUnread, first)
+		return nil, fmt.Errorf("%w: %s", ErrIncomplete, first)
 	}
-	c := &Config{Text: b, keys: shape(tree), Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Control: f.Control, Limits: f.Limits, Known: f.Known}
-	for name, at := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen, "EDGE_DISCOVERY": &c.Discovery, "EDGE_CONTROL": &c.Control} {
-		if v := env(name); v != "" && !(again && at == &c.Discovery && c.Discovery != "") {
-			*at = v
+	config := &Config{Raw: text, keyPaths: keyPathsOf(tree), Name: fields.Name, ListenAddress: fields.Listen, DiscoveryAddress: fields.Discovery, AdminAddress: fields.Control, Limits: fields.Limits, InitialList: fields.Known}
+	for name, field := range map[string]*string{"EDGE_NAME": &config.Name, "EDGE_LISTEN": &config.ListenAddress, "EDGE_DISCOVERY": &config.DiscoveryAddress, "EDGE_CONTROL": &config.AdminAddress} {
+		if value := env(name); value != "" && !(reload && field == &config.DiscoveryAddress && config.DiscoveryAddress != "") {
+			*field = value
 		}
 	}
-	for name, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery, "control": c.Control} {
+	for name, addr := range map[string]string{"listen": config.ListenAddress, "discovery": config.DiscoveryAddress, "control": config.AdminAddress} {
 		if name == "control" && addr == "" {
 			continue
 		}
@@ -218,31 +218,31 @@
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	c.Seed = rand.Uint64() // where none is given: processes with equal seeds would draw alike
-	if f.Seed != "" {
+	config.Seed = rand.Uint64() // where none is given: processes with equal seeds would draw alike
+	if fields.Seed != "" {
 		var err error
-		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+		if config.Seed, err = strconv.ParseUint(fields.Seed, 16, 64); err != nil {
 			return nil, fmt.Errorf("seed: %w", err)
 		}
 	}
-	if c.Limits.Sockets == 0 {
-		c.Limits.Sockets = defaultSockets
+	if config.Limits.Sockets == 0 {
+		config.Limits.Sockets = defaultSockets
 	}
-	if c.Limits.MemoryMB == 0 {
-		c.Limits.MemoryMB = defaultMemory
+	if config.Limits.MemoryMB == 0 {
+		config.Limits.MemoryMB = defaultMemoryMB
 	}
-	if c.Limits.Sockets < minSockets || c.Limits.MemoryMB < 0 {
+	if config.Limits.Sockets < minSockets || config.Limits.MemoryMB < 0 {
 		return nil, fmt.Errorf("limits: %d sockets and %d MB; at least %d sockets are needed",
-			c.Limits.Sockets, c.Limits.MemoryMB, minSockets)
+			config.Limits.Sockets, config.Limits.MemoryMB, minSockets)
 	}
-	return c, c.settings(f.Settings)
+	return config, config.readSettings(fields.Settings)
 }
 
-// whole reads a file as a whole: what stands behind its object is an error.
-var whole = jsoniter.Config{EscapeHTML: true, SortMapKeys: true, ValidateJsonRawMessage: true, UseNumber: true}.Froze()
+// strictJSON reads a file as a whole: what stands behind its object is an error.
+var strictJSON = jsoniter.Config{EscapeHTML: true, SortMapKeys: true, ValidateJsonRawMessage: true, UseNumber: true}.Froze()
 
-// shape lists the keys of a file. Those within the list as last known are not of its shape.
-func shape(tree map[string]any) []string {
+// keyPathsOf lists the keys of a file. Those within the list as last known are not of its shape.
+func keyPathsOf(tree map[string]any) []string {
 	var keys func(path string, v any) []string
 	keys = func(path string, v any) (out []string) {
 		switch v := v.(type) {
@@ -275,8 +275,8 @@
 	maxAttempts = 1000
 )
 
-// sane checks the numbers without which no request can be decided on.
-func sane(tree map[string]any) error {
+// validate checks the numbers without which no request can be decided on.
+func validate(tree map[string]any) error {
 	number := func(at string, m map[string]any, key string, most float64) error {
 		v, ok := m[key]
 		if !ok {
@@ -311,8 +311,8 @@
 	return nil
 }
 
-func (c *Config) settings(tree map[string]any) error {
-	if err := sane(tree); err != nil {
+func (c *Config) readSettings(tree map[string]any) error {
+	if err := validate(tree); err != nil {
 		return err
 	}
 	pairs := map[string]string{}
@@ -330,22 +330,22 @@
 	for i := range c.Settings.Tenants {
 		c.Tenants = append(c.Tenants, pairs["tenants."+strconv.Itoa(i)+".name"])
 	}
-	c.Zones, c.Kinds = names(pairs["zones"]), names(pairs["kinds"])
-	if c.ConnectTimeoutMs, err = millis(pairs, "allowed.connect_timeout_ns", defaultConnect); err != nil {
+	c.Zones, c.MachineTypes = splitNames(pairs["zones"]), splitNames(pairs["kinds"])
+	if c.ConnectTimeoutMs, err = readMillis(pairs, "allowed.connect_timeout_ns", defaultConnectTimeoutMs); err != nil {
 		return err
 	}
-	c.IdleMs, err = millis(pairs, "allowed.idle_close_ns", defaultIdle)
+	c.ServerIdleTimeoutMs, err = readMillis(pairs, "allowed.idle_close_ns", defaultServerIdleTimeoutMs)
 	return err
 }
 
-func names(list string) []string {
+func splitNames(list string) []string {
 	if list == "" {
 		return nil
 	}
 	return strings.Split(list, ",")
 }
 
-func millis(pairs map[string]string, key string, otherwise float64) (float64, error) {
+func readMillis(pairs map[string]string, key string, otherwise float64) (float64, error) {
 	v := pairs[key]
 	if v == "" {
 		return otherwise, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := []any{c.Listen, c.Seed, c.Limits.Sockets, c.Known.Generation, c.Classes, c.Kinds, c.ConnectTimeoutMs, c.IdleMs,
+	got := []any{c.ListenAddress, c.Seed, c.Limits.Sockets, c.InitialList.Generation, c.Classes, c.MachineTypes, c.ConnectTimeoutMs, c.ServerIdleTimeoutMs,
 		c.Settings.Classes[0].MaxStaleness, c.Settings.Classes[0].LatencyObjective, c.Settings.MayCheckHealth}
 	want := []any{"127.0.0.2:1", uint64(0x8c1f30d27a5be964), 1024, int64(41), []string{"a", "b"}, []string{"k1", "k2"}, 120.0,
 		30000.0, 200 * time.Millisecond, 200 * time.Millisecond, true}
@@ -73,7 +73,7 @@
 		return map[string]string{"EDGE_DISCOVERY": "127.0.0.3:1", "EDGE_LISTEN": "127.0.0.2:1"}[name]
 	}
 	c, err := parse([]byte(good), env, false)
-	if err != nil || c.Discovery != "127.0.0.3:1" {
+	if err != nil || c.DiscoveryAddress != "127.0.0.3:1" {
 		t.Fatal(c, err)
 	}
 	for _, step := range []struct {
@@ -81,11 +81,11 @@
 		changed, kept []string
 		now           Config
 	}{
-		{nil, []string{"discovery"}, nil, Config{Discovery: "127.0.0.1:8500", Limits: c.Limits, ConnectTimeoutMs: 120}},
+		{nil, []string{"discovery"}, nil, Config{DiscoveryAddress: "127.0.0.1:8500", Limits: c.Limits, ConnectTimeoutMs: 120}},
 		{[][2]string{{`"discovery":"127.0.0.1:8500",`, ""}, {`"sockets":1024`, `"sockets":256`}, {"120000000", "90000000"},
 			{`"name":"n3"`, `"name":"n4"`}, {`"slo_ns":200000000`, `"slo_ns":300000000`}},
 			[]string{"discovery", "limits", "connect_timeout_ns", "settings"}, []string{"name"},
-			Config{Discovery: "127.0.0.3:1", Limits: Limits{1, 192, 256}, ConnectTimeoutMs: 90}},
+			Config{DiscoveryAddress: "127.0.0.3:1", Limits: Limits{1, 192, 256}, ConnectTimeoutMs: 90}},
 	} {
 		text := good
 		for _, x := range step.change {
@@ -96,7 +96,7 @@
 			t.Fatal(err)
 		}
 		changed, kept := c.Apply(next)
-		got := Config{Discovery: c.Discovery, Limits: c.Limits, ConnectTimeoutMs: c.ConnectTimeoutMs}
+		got := Config{DiscoveryAddress: c.DiscoveryAddress, Limits: c.Limits, ConnectTimeoutMs: c.ConnectTimeoutMs}
 		if diff := cmp.Diff([]any{step.changed, step.kept, step.now}, []any{changed, kept, got}, cmpopts.IgnoreUnexported(Config{})); diff != "" {
 			t.Error(diff)
 		}
@@ -120,7 +120,7 @@
 	}
 	taken := func(text string) bool {
 		next, err := parse([]byte(text), none, true)
-		return err == nil && c.Covers(next) == nil
+		return err == nil && c.CheckKeys(next) == nil
 	}
 	if !taken(operated) || !taken(operated+"\n") {
 		t.Fatal("a whole file is turned down")
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -89,7 +89,7 @@
 }
 
 func (c *Core) reject(a *decide.Action, waitMs float64) {
-	if req := c.finishByID(a.ID, metrics.Dropped); req != nil {
+	if req := c.finishByID(a.ID, metrics.Rejected); req != nil {
 		c.decisions.rejected[a.Reason]++
 		c.logDecision("refuse", req, a)
 		req.client.Rejected(waitMs)
@@ -104,7 +104,7 @@
 		c.reject(a, clock.ToMillis(c.config.Settings.MaxRetryAfter))
 		return
 	}
-	if req := c.finishByID(a.ID, metrics.BadGateway); req != nil {
+	if req := c.finishByID(a.ID, metrics.Failed); req != nil {
 		c.decisions.failed[a.Reason]++
 		c.logDecision("fail", req, a)
 		req.client.Failed()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -76,7 +76,7 @@
 	tenantNumbers map[string]int
 	sentKeys      recentKeys // of keyed requests that may have run
 	sentOnce      recentKeys // of requests that must not run twice and may have run, by id
-	metrics       metrics.Figures
+	metrics       metrics.Metrics
 	decisions     decisionCounts
 	classFigures  []*metrics.Class // by the classes' numbers
 	processes     int              // processes on the socket, 0 for this one alone
@@ -145,7 +145,7 @@
 // New returns the core of one pooler.
 func New(l Loop, log *slog.Logger, cfg *config.Config) *Core {
 	c := &Core{loop: l, log: log, config: cfg, router: decide.New(cfg.Settings, cfg.Seed),
-		decisions: newDecisionCounts(), requestsByID: map[string]slotmap.Ref{}, healthChecksSentAt: map[string]float64{}, zoneNumbers: numberNames(cfg.Zones), kindNumbers: numberNames(cfg.Kinds)}
+		decisions: newDecisionCounts(), requestsByID: map[string]slotmap.Ref{}, healthChecksSentAt: map[string]float64{}, zoneNumbers: numberNames(cfg.Zones), kindNumbers: numberNames(cfg.MachineTypes)}
 	c.indexNames()
 	return c
 }
@@ -213,7 +213,7 @@
 func (c *Core) MergeSnapshot(m *decide.Snapshot) { c.router.Merge(clock.ToDuration(c.loop.Now()), m) }
 
 // Figures returns the process's figures.
-func (c *Core) Figures() *metrics.Figures { return &c.metrics }
+func (c *Core) Figures() *metrics.Metrics { return &c.metrics }
 
 // Start joins the core to the servers and the directory, and passes the last known list to the router.
 func (c *Core) Start(s Servers, d Directory) {
@@ -221,7 +221,7 @@
 	if c.fleet.retryBudget != nil || c.fleet.recoveryRampRate > 0 {
 		c.reload()
 	}
-	c.applyList(&c.config.Known, decide.ListRestored)
+	c.applyList(&c.config.InitialList, decide.ListRestored)
 }
 
 // OpenRequests returns the number of requests that are owed an answer or have attempts in flight.
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -58,7 +58,7 @@
 
 // rejectUnfunded refuses a request for lack of funds.
 func (c *Core) rejectUnfunded(ref slotmap.Ref, req *request, slowed bool) {
-	c.finish(req, metrics.Dropped)
+	c.finish(req, metrics.Rejected)
 	c.releaseIfDone(ref, req) // its client may ask, or give up, something else at once
 	wait := min(clock.ToMillis(c.config.Settings.MaxRetryAfter), minCreditRetryAfterMs+float64(creditTag(ref)%minCreditRetryAfterMs))
 	if b, ok := req.client.(platform.PrepaidClient); ok {
@@ -98,7 +98,7 @@
 }
 
 // settleCredit ends the hold on a tenant's funds: once for each request, however many attempts it had.
-func (c *Core) settleCredit(req *request, end metrics.End) {
+func (c *Core) settleCredit(req *request, end metrics.Outcome) {
 	d, sent := lease.Done{}, false
 	from := 0.0
 	for i := range req.attempts {
@@ -107,7 +107,7 @@
 		}
 	}
 	switch {
-	case end == metrics.Passed:
+	case end == metrics.Served:
 		d.Served = 1
 		if sent {
 			d.Seconds = (c.loop.Now() - from) / 1000
@@ -115,7 +115,7 @@
 		if x, ok := req.client.(platform.RowCounter); ok {
 			d.Rows = x.Rows()
 		}
-	case end != metrics.Dropped && sent:
+	case end != metrics.Rejected && sent:
 		d.Failed = 1
 	}
 	c.credit.Settle(&req.payment.creditHold, d)
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -67,7 +67,7 @@
 	begin := func(say lease.Verdict) (*Core, *payer, *asker, *counting, slotmap.Ref) {
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 			Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
-			Known: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
+			InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
 		c, servers, p, a := New(still{}, slog.New(slog.DiscardHandler), cfg), &counting{}, &payer{say: say}, &asker{}
 		c.Start(servers, still{})
 		c.SetCredit(p)
@@ -127,7 +127,7 @@
 func TestCreditMayDecideBeforeHoldReturns(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
-		Known: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
+		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
 	servers, p := &counting{}, &payer{say: lease.Wait}
 	c := New(still{}, slog.New(slog.DiscardHandler), cfg)
 	c.Start(servers, still{})
@@ -213,7 +213,7 @@
 	c := New(still{}, slog.New(slog.DiscardHandler), cfg)
 	c.Start(&counting{}, still{})
 	ref := c.requests.Put(&request{id: "1", client: still{}, deadline: 1e6 + 9000, classMetrics: c.classFigures[0]})
-	c.metrics.Open++
+	c.metrics.OpenRequests++
 	c.carryingOut = true
 	c.Abandon(ref)
 	c.carryOut(&decide.Action{Kind: decide.Send, ID: requestID(ref), Server: "s"})
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -19,13 +19,13 @@
 }
 
 // writeMetrics writes the numbers to a sheet.
-func (counts *decisionCounts) writeMetrics(figures *exposition.Sheet) {
-	decisions := figures.Part("decisions")
+func (counts *decisionCounts) writeMetrics(figures *exposition.Snapshot) {
+	decisions := figures.Scope("decisions")
 	for _, reason := range decide.Reasons()[1:] { // there is none without a reason
-		of := decisions.Of("reason", reason.String())
-		of.Count("refused", counts.rejected[reason])
-		of.Count("failed", counts.failed[reason])
-		of.Count("repeated", counts.retried[reason])
+		of := decisions.Label("reason", reason.String())
+		of.Counter("refused", counts.rejected[reason])
+		of.Counter("failed", counts.failed[reason])
+		of.Counter("repeated", counts.retried[reason])
 	}
 }
 
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -24,9 +24,9 @@
 			t.Errorf("no %q in\n%s", line, &log)
 		}
 	}
-	figures := &exposition.Sheet{}
+	figures := &exposition.Snapshot{}
 	c.WriteMetrics(figures)
-	text, err := figures.Text()
+	text, err := figures.PrometheusText()
 	if err != nil || !strings.Contains(string(text), "decisions") {
 		t.Error(err, string(text))
 	}
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -132,15 +132,15 @@
 const strainedFrom = 0.7
 
 // countEnd counts how an admitted request ended.
-func (c *Core) countEnd(req *request, end metrics.End) {
+func (c *Core) countEnd(req *request, end metrics.Outcome) {
 	l := &req.demand
 	if c.fleet.demandObserver == nil || !l.admitted {
 		return
 	}
 	took := (c.loop.Now() - l.arrived) / max(1, l.target)
-	served, strain := end == metrics.Passed, 1.0
+	served, strain := end == metrics.Served, 1.0
 	if served {
 		strain = max(0, min(1, (took-strainedFrom)/(1-strainedFrom)))
 	}
-	c.fleet.demandObserver.Ended(l.group, l.class, served, end == metrics.Gone && took < 1, strain)
+	c.fleet.demandObserver.Ended(l.group, l.class, served, end == metrics.ClientGone && took < 1, strain)
 }
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -31,7 +31,7 @@
 	requests, attempts := c.router.InFlight()
 	state := func() string {
 		return fmt.Sprintf("%d requests owed an answer, the router has %d; %d attempts out, the router has %d; %d ids of %d; %d counted as open", owed, requests,
-			open, attempts, len(c.requestsByID), c.requests.Len(), c.metrics.Open)
+			open, attempts, len(c.requestsByID), c.requests.Len(), c.metrics.OpenRequests)
 	}
 	checks.That(owed == requests, "core: the router has the requests that are owed an answer", state)
 	checks.That(open == attempts, "core: the router has the attempts that are out", state)
@@ -39,5 +39,5 @@
 		req, ok := c.requests.Get(ref)
 		checks.That(ok && req.id == id, "core: each request has its id", state)
 	}
-	checks.That(c.metrics.Open == counted, "core: the figure is of those in progress", state)
+	checks.That(c.metrics.OpenRequests == counted, "core: the figure is of those in progress", state)
 }
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -71,7 +71,7 @@
 	}
 	cfg := &config.Config{Classes: []string{"read", "write"}, Settings: decide.Settings{Peers: 2, Tick: time.Millisecond, MaxAttempts: 4, MayCancel: true, MayDuplicate: true, MayCheckHealth: true,
 		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}, {LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Read: decide.Write, Idempotency: decide.NotIdempotent}}},
-		Known: discovery.List{Reset: true, Instances: list}}
+		InitialList: discovery.List{Reset: true, Instances: list}}
 	d.core = New(d, slog.New(slog.DiscardHandler), cfg)
 	d.core.SetChecks(c, 1)
 	d.core.Start(d, still{})
@@ -170,7 +170,7 @@
 		{"core: the router has the attempts that are out", func(_ *Core, req *request) { req.inFlight++ }},
 		{"core: what waits for funds has not been sent", func(_ *Core, req *request) { req.payment.pending, req.attempts = &decide.Request{}, []attempt{{}} }},
 		{"core: an answer that is held is the request's last", func(_ *Core, req *request) { req.delayedAnswer = &delayedAnswer{} }},
-		{"core: the figure is of those in progress", func(c *Core, _ *request) { c.metrics.Open++ }},
+		{"core: the figure is of those in progress", func(c *Core, _ *request) { c.metrics.OpenRequests++ }},
 	} {
 		d, c := newDrawn(nil), invariant.New(nil)
 		d.ask("read", 3000)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -49,7 +49,7 @@
 	cfg := &config.Config{Classes: []string{"read"}, Tenants: []string{"a", "b"}, Settings: decide.Settings{Peers: 4, Tick: time.Millisecond, MaxAttempts: 8,
 		MaxRetryAfter: 2 * time.Second, Tenants: make([]decide.Tenant, 2),
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
-		Known: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
+		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
 	l, servers, client, lease := &hand{now: 1e6}, &counting{}, &ends{}, &leases{due: 1e12}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
 	c.Start(servers, l)
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -59,18 +59,18 @@
 
 // Ended implements backend.Flow.
 func (f *stream) Ended(b []byte, whole bool) {
-	end := metrics.Passed
+	end := metrics.Served
 	if !whole {
-		end = metrics.BadGateway
+		end = metrics.Failed
 	}
 	f.core.streamEnded(f.ref, end)
 	f.AnswerStream.Ended(b, whole)
 }
 
 // streamEnded ends a request whose answer was passed on as it came.
-func (c *Core) streamEnded(ref slotmap.Ref, end metrics.End) {
+func (c *Core) streamEnded(ref slotmap.Ref, end metrics.Outcome) {
 	if req, ok := c.requests.Get(ref); ok && req.stream != nil {
-		req.stream, req.answerDelivered = nil, end == metrics.Passed && !req.closedBeforeAnswer()
+		req.stream, req.answerDelivered = nil, end == metrics.Served && !req.closedBeforeAnswer()
 		c.finish(req, end)
 		c.releaseIfDone(ref, req)
 	}
@@ -82,7 +82,7 @@
 		req.attempts[tag.Number].written = true
 		c.checkWritten(req, tag.Number)
 		c.sentKeys.recordSend(req.key, req.attempts[tag.Number].startedAt, c.loop.Now())
-		c.metrics.Tries++
+		c.metrics.Attempts++
 	}
 }
 
@@ -113,11 +113,11 @@
 	if outcome.Result == decide.OK && !req.finished && c.delayAnswer(tag.Request, req, &outcome) {
 		req.finished = true
 	} else if outcome.Result == decide.OK && !req.finished {
-		c.finish(req, metrics.Passed)
+		c.finish(req, metrics.Served)
 		c.deliver(req, outcome.Answer)
 		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
 	} else if req.clientClosed && !req.finished {
-		c.finish(req, metrics.Gone)
+		c.finish(req, metrics.ClientGone)
 		c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
 	}
 	final := req.finished
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -56,7 +56,7 @@
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 			SlowStartMultiple: 3, SlowStartSpan: 1500 * time.Millisecond, SlowStartFrom: 0.5, SlowStartTime: 18 * time.Second,
 			Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
-			Known: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", StartedAtMs: 998000, Weight: 1}}}}
+			InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", StartedAtMs: 998000, Weight: 1}}}}
 		loop := &moving{now: 1e6 - 1500} // a process that has just started sends a cold server nothing in the first span
 		c, servers := New(loop, slog.New(slog.DiscardHandler), cfg), &counting{}
 		c.Start(servers, still{})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -63,11 +63,11 @@
 }
 
 // finish marks a request as over and counts its end.
-func (c *Core) finish(req *request, end metrics.End) {
+func (c *Core) finish(req *request, end metrics.Outcome) {
 	if req.finished = true; req.payment.creditHold.Amount > 0 {
 		c.settleCredit(req, end)
 	}
-	c.metrics.Open--
+	c.metrics.OpenRequests--
 	req.classMetrics.Count(end)
 	c.countEnd(req, end)
 }
@@ -100,7 +100,7 @@
 	unrepeatable := once && !(set.Idempotency == decide.IdempotentWithKey && incoming.IdempotencyKey != "") // not sent again, at whatever time, if it may have run
 	repeats := unrepeatable && (resent && earlier.mayHaveBeenWritten() || c.mayHaveRun(incoming.ID))        // its client has gone; its attempt is in flight, or was called off
 	if repeats || once && c.journal != nil && c.journal.Ran(known) {                                        // whether it has run is unknown
-		c.classFigures[class].Count(metrics.BadGateway)
+		c.classFigures[class].Count(metrics.Failed)
 		client.Failed()
 		return slotmap.Ref{}, nil
 	}
@@ -119,7 +119,7 @@
 	if incoming.PlatformProtocol && set.Read == decide.Write && c.storesCommits() {
 		req.wroteSession = incoming.Session
 	}
-	c.metrics.Open++
+	c.metrics.OpenRequests++
 	ref := c.requests.Put(req)
 	c.requestsByID[incoming.ID] = ref
 	c.recordRequest(req, &incoming, class)
@@ -194,18 +194,18 @@
 	req, ok := c.requests.Get(ref)
 	if ok && req.stream != nil {
 		stop := req.stream.stop
-		c.streamEnded(ref, metrics.Gone)
+		c.streamEnded(ref, metrics.ClientGone)
 		stop()
 		return
 	}
 	if ok && req.delayedAnswer != nil {
-		c.giveDelayedAnswer(ref, req, metrics.Gone)
+		c.giveDelayedAnswer(ref, req, metrics.ClientGone)
 		return
 	}
 	if !ok || req.finished {
 		return
 	}
-	c.finish(req, metrics.Gone)
+	c.finish(req, metrics.ClientGone)
 	c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
 	if c.carryingOut { // a client that hears of one request may give up another, for which the router's actions are yet to be carried out
 		c.abandoned = append(c.abandoned, ref)
@@ -226,7 +226,7 @@
 }
 
 // finishByID marks a request as over and returns it, or nil if it was over before.
-func (c *Core) finishByID(id decide.RequestID, end metrics.End) *request {
+func (c *Core) finishByID(id decide.RequestID, end metrics.Outcome) *request {
 	ref := refOf(id)
 	req, ok := c.requests.Get(ref)
 	if !ok || req.finished {
--- a/internal/core/sends_test.go
+++ b/internal/core/sends_test.go
@@ -81,7 +81,7 @@
 	}
 	cfg := &config.Config{Classes: []string{"write", "read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 4, MayCheckHealth: true, MayCancel: true,
 		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.Write, Idempotency: decide.NotIdempotent}, {LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
-		Known: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
+		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
 	l, d, w := &hand{now: 1e6}, &dials{}, &witness{}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
 	c.SetChecks(invariant.Test(t), 1)
@@ -229,7 +229,7 @@
 			c, d, _, _ := dialling(t)
 			var broken []string
 			c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
-			tag, want, tries := d.waits[0].tag, x.want, c.metrics.Tries
+			tag, want, tries := d.waits[0].tag, x.want, c.metrics.Attempts
 			if goes {
 				c.MaySend(tag)
 				want = "[]"
@@ -238,7 +238,7 @@
 			if fmt.Sprint(broken) != want {
 				t.Errorf("result %d, let go %v: %v, not %s", x.r, goes, broken, want)
 			}
-			if counted := c.metrics.Tries > tries; counted != (x.want == broke) {
+			if counted := c.metrics.Attempts > tries; counted != (x.want == broke) {
 				t.Errorf("result %d, let go %v: it counts as a send: %v", x.r, goes, counted)
 			}
 		}
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -64,21 +64,21 @@
 		at = clock.ToDuration(outcome.Position)
 	}
 	if !c.sessionTokens.Keep(req.wroteSession, at, func(kept bool) {
-		end := metrics.BadGateway
+		end := metrics.Failed
 		if kept {
-			end = metrics.Passed
+			end = metrics.Served
 		}
 		c.giveDelayedAnswer(ref, req, end)
 	}) {
 		return false
 	}
 	req.delayedAnswer = &delayedAnswer{answer: slices.Clone(outcome.Answer)}
-	c.loop.At(req.deadline, func() { c.giveDelayedAnswer(ref, req, metrics.BadGateway) })
+	c.loop.At(req.deadline, func() { c.giveDelayedAnswer(ref, req, metrics.Failed) })
 	return true
 }
 
 // giveDelayedAnswer ends a held answer.
-func (c *Core) giveDelayedAnswer(ref slotmap.Ref, req *request, end metrics.End) {
+func (c *Core) giveDelayedAnswer(ref slotmap.Ref, req *request, end metrics.Outcome) {
 	held := req.delayedAnswer
 	if held == nil {
 		return
@@ -86,10 +86,10 @@
 	req.delayedAnswer = nil
 	c.finish(req, end)
 	switch end {
-	case metrics.Passed:
+	case metrics.Served:
 		c.deliver(req, held.answer)
 		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
-	case metrics.Gone:
+	case metrics.ClientGone:
 		c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
 	default:
 		req.client.Failed()
--- a/internal/core/witness.go
+++ b/internal/core/witness.go
@@ -29,7 +29,7 @@
 // SetServerObserver sets the witness and passes it the last known list.
 func (c *Core) SetServerObserver(witness ServerObserver) {
 	c.observation = serverObservation{observer: witness, pending: map[string]bool{}, requestedMeanwhile: map[string]bool{}}
-	witness.Listed(&c.config.Known, true)
+	witness.Listed(&c.config.InitialList, true)
 }
 
 // CheckHealthForObserver probes a server for the witness alone.
--- a/internal/core/witness_test.go
+++ b/internal/core/witness_test.go
@@ -62,7 +62,7 @@
 	}
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCheckHealth: true,
 		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
-		Known: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
+		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
 	l, servers, w := &hand{now: 1e6}, &probing{}, &witness{}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
 	c.SetServerObserver(w)
@@ -117,7 +117,7 @@
 func TestRouterKnowsTheRoleBeforeTheWitness(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"write"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCheckHealth: true,
 		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.Write}}},
-		Known: discovery.List{Reset: true, Instances: []discovery.Instance{
+		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{
 			{ID: "a", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}, {ID: "b", HostPort: "1.2.3.4:6", Lifecycle: "up", Weight: 1}}}}
 	for _, role := range []decide.Role{decide.RolePrimary, decide.RoleReplica} {
 		for _, by := range []string{"look", "probe", "request"} {
--- a/internal/endpoints/consul/consul_test.go
+++ b/internal/endpoints/consul/consul_test.go
@@ -29,50 +29,50 @@
 
 const patience = 20 * time.Second
 
-// heard is a sink that a test can wait for.
-type heard struct {
-	mu    sync.Mutex
-	list  map[string]reconcile.Claim
-	notes []string
-	lost  []string
-	news  chan struct{}
+// recordingSink is a sink that a test can wait for.
+type recordingSink struct {
+	mu      sync.Mutex
+	list    map[string]reconcile.Observation
+	notes   []string
+	lost    []string
+	changed chan struct{}
 }
 
-func (h *heard) Heard(_ string, r *reconcile.Report) {
+func (h *recordingSink) Observe(_ string, r *reconcile.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, c := range r.Claims {
+	for _, c := range r.Observations {
 		h.list[c.ID] = c
 	}
 	for _, id := range r.Removed {
 		delete(h.list, id)
 	}
-	h.tell()
+	h.signal()
 }
 
-func (h *heard) Lost(_, why string) {
+func (h *recordingSink) SourceLost(_, why string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lost = append(h.lost, why)
-	h.tell()
+	h.signal()
 }
 
-func (h *heard) Noted(_ string, w reconcile.What, why string) {
+func (h *recordingSink) Note(_ string, w reconcile.DecisionKind, why string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.notes = append(h.notes, string(w)+": "+why)
-	h.tell()
+	h.signal()
 }
 
-func (h *heard) tell() {
+func (h *recordingSink) signal() {
 	select {
-	case h.news <- struct{}{}:
+	case h.changed <- struct{}{}:
 	default:
 	}
 }
 
 // until waits until something holds of what was heard.
-func (h *heard) until(t *testing.T, what string, ok func() bool) {
+func (h *recordingSink) until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.After(patience); ; {
 		h.mu.Lock()
@@ -82,7 +82,7 @@
 			return
 		}
 		select {
-		case <-h.news:
+		case <-h.changed:
 		case <-end:
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-func (h *heard) noted(part string) func() bool {
+func (h *recordingSink) noted(part string) func() bool {
 	return func() bool { return strings.Contains(strings.Join(h.notes, "\n"), part) }
 }
 
@@ -103,13 +103,13 @@
 	catalog *consulserver.Catalog
 	agents  []*consulserver.Agent
 	src     *Source
-	*heard
+	*recordingSink
 }
 
 // watch starts agents before a catalogue of three instances, and a source that watches them.
 func watch(t *testing.T, agents int, change func(*Options)) *world {
-	w := &world{catalog: consulserver.NewCatalog(), heard: &heard{list: map[string]reconcile.Claim{}, news: make(chan struct{}, 1)}}
-	opt := Options{Name: "consul", Services: []string{"db"}, Wait: 30000, MaxStale: 10000, MostBytes: 1 << 20, Map: DefaultMapping(), Seed: 1}
+	w := &world{catalog: consulserver.NewCatalog(), recordingSink: &recordingSink{list: map[string]reconcile.Observation{}, changed: make(chan struct{}, 1)}}
+	opt := Options{Name: "consul", Services: []string{"db"}, WaitMs: 30000, MaxStaleMs: 10000, MaxResponseBytes: 1 << 20, Mapping: DefaultMapping(), Seed: 1}
 	for range agents {
 		a, err := consulserver.Start(w.catalog)
 		if err != nil {
@@ -123,7 +123,7 @@
 	if change != nil {
 		change(&opt)
 	}
-	w.src = New(opt, func(f func()) { f() }, clock.System().Now, w.heard, slog.New(slog.DiscardHandler))
+	w.src = New(opt, func(f func()) { f() }, clock.System().Now, w.recordingSink, slog.New(slog.DiscardHandler))
 	w.src.Start()
 	t.Cleanup(w.src.Stop)
 	return w
@@ -141,12 +141,12 @@
 // catalogue, which knows no health.
 func TestChanges(t *testing.T) {
 	for _, catalog := range []bool{false, true} {
-		w := watch(t, 1, func(o *Options) { o.Catalog = catalog })
+		w := watch(t, 1, func(o *Options) { o.CatalogOnly = catalog })
 		w.until(t, "three", w.size(3))
 		x := instance(1)
 		x.Maintenance, x.Meta["role"], x.Meta["started"], x.Weight = true, "primary", "1700000000", 3
 		w.catalog.Change("db", []consulserver.Instance{x})
-		want := reconcile.Claim{ID: "db-1", Address: "10.0.0.1:5432", Zone: "dc1", Weight: 3, Started: 1.7e12, Health: reconcile.Maintenance, Role: reconcile.Primary}
+		want := reconcile.Observation{ID: "db-1", Address: "10.0.0.1:5432", Zone: "dc1", Weight: 3, Started: 1.7e12, Health: reconcile.Maintenance, Role: reconcile.Primary}
 		if catalog {
 			want.Health = reconcile.Passing
 		}
@@ -182,7 +182,7 @@
 			w.until(t, "that nobody answers", func() bool { return len(w.lost) == 1 && len(w.list) == 3 })
 			w.all(consulserver.Lie{})
 			w.until(t, "the truth", w.size(4))
-			if read := w.src.Read(); read > 20<<20 {
+			if read := w.src.BytesRead(); read > 20<<20 {
 				t.Errorf("%d bytes were read", read)
 			}
 		})
@@ -191,7 +191,7 @@
 
 // TestEmpty: an empty list is what the agent says. What is made of it is the judge's.
 func TestEmpty(t *testing.T) {
-	w := watch(t, 1, func(o *Options) { o.Wait = 200 })
+	w := watch(t, 1, func(o *Options) { o.WaitMs = 200 })
 	w.until(t, "three", w.size(3))
 	w.all(consulserver.Lie{Empty: true})
 	w.until(t, "none", w.size(0))
@@ -208,7 +208,7 @@
 		"an old index alone": {Frozen: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := watch(t, 2, func(o *Options) { o.Wait = 300 })
+			w := watch(t, 2, func(o *Options) { o.WaitMs = 300 })
 			w.until(t, "three", w.size(3))
 			_, asked := w.agents[0].Queries()
 			first := w.agents[1]
@@ -227,7 +227,7 @@
 
 // TestHang: an agent that takes a query and never answers is left for another in bounded time.
 func TestHang(t *testing.T) {
-	w := watch(t, 2, func(o *Options) { o.Wait = 200 })
+	w := watch(t, 2, func(o *Options) { o.WaitMs = 200 })
 	w.until(t, "three", w.size(3))
 	w.agents[0].Tell(consulserver.Lie{Hang: true})
 	w.catalog.Change("db", []consulserver.Instance{instance(3)})
@@ -363,31 +363,31 @@
 	x := Instance{Node: "n", NodeAddress: "10.1.1.1", Datacenter: "recife", NodeMeta: map[string]string{"rack": "r2"}, ID: "i", Service: "obra-2", Port: 5432,
 		Tags: []string{"Master", "cell=4", "v1"}, Meta: map[string]string{"w": "2.5", "up": "2023-11-14T22:13:20Z"}, Weights: Weights{Passing: 7, Warning: 2}}
 	m := DefaultMapping()
-	m.Group, m.Role, m.Zone, m.Kind, m.Weight, m.Started = From{"tag", "cell="}, From{Kind: "tag"}, From{"node-meta", "rack"}, From{"const", "k"}, From{"meta", "w"}, From{"meta", "up"}
-	c, err := m.Claim(&x)
-	if diff := cmp.Diff(reconcile.Claim{ID: "i", Address: "10.1.1.1:5432", Group: 4, Zone: "r2", Kind: "k", Weight: 2.5, Started: 1.7e12, Role: reconcile.Primary}, c); err != nil || diff != "" {
+	m.Group, m.Role, m.Zone, m.Kind, m.Weight, m.Started = FieldSource{"tag", "cell="}, FieldSource{Kind: "tag"}, FieldSource{"node-meta", "rack"}, FieldSource{"const", "k"}, FieldSource{"meta", "w"}, FieldSource{"meta", "up"}
+	c, err := m.Observation(&x)
+	if diff := cmp.Diff(reconcile.Observation{ID: "i", Address: "10.1.1.1:5432", Group: 4, Zone: "r2", Kind: "k", Weight: 2.5, Started: 1.7e12, Role: reconcile.Primary}, c); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 	m = DefaultMapping()
-	m.Group, m.Groups, m.Role = From{Kind: "service"}, map[string]string{"obra-2": "9"}, From{"tag", "v"}
-	if c, err = m.Claim(&x); err != nil || c.Group != 9 || c.Weight != 7 || c.Zone != "recife" || c.Role != reconcile.RoleUnknown {
+	m.Group, m.GroupNumbers, m.Role = FieldSource{Kind: "service"}, map[string]string{"obra-2": "9"}, FieldSource{"tag", "v"}
+	if c, err = m.Observation(&x); err != nil || c.Group != 9 || c.Weight != 7 || c.Zone != "recife" || c.Role != reconcile.RoleUnknown {
 		t.Errorf("%+v %v", c, err)
 	}
 	x.Health = reconcile.Warning
-	if c, _ = m.Claim(&x); c.Weight != 2 {
+	if c, _ = m.Observation(&x); c.Weight != 2 {
 		t.Errorf("weight %v", c.Weight)
 	}
 	for text, want := range map[string]float64{"1700000000": 1.7e12, "1700000000000": 1.7e12, "-1": 0, "soon": 0, "NaN": 0, "1e300": 0} {
-		if got := start(text); got != want {
+		if got := parseStart(text); got != want {
 			t.Errorf("%s: %v", text, got)
 		}
 	}
-	m.Groups = nil
-	if _, err := m.Claim(&x); !errors.Is(err, ErrNoGroup) {
+	m.GroupNumbers = nil
+	if _, err := m.Observation(&x); !errors.Is(err, ErrNoGroup) {
 		t.Error(err)
 	}
 	x.Port = 70000
-	if _, err := m.Claim(&x); !errors.Is(err, ErrNoAddress) {
+	if _, err := m.Observation(&x); !errors.Is(err, ErrNoAddress) {
 		t.Error(err)
 	}
 }
@@ -401,20 +401,20 @@
 		now, known := 1e6, uint64(0)
 		for range 60 {
 			q, at := w.Next(now)
-			if q.Agent < 0 || q.Agent >= n || at < now || at > now+1.25*mostPause+3600e3 || q.Patience() > 30000 {
+			if q.Agent < 0 || q.Agent >= n || at < now || at > now+1.25*maxBackoffMs+3600e3 || q.TimeoutMs() > 30000 {
 				rt.Fatalf("%+v at %v", q, at-now)
 			}
 			now = at
-			a := Answer{Status: rapid.SampledFrom([]int{200, 200, 200, 403, 500}).Draw(rt, "status"), Index: uint64(rapid.IntRange(0, 9).Draw(rt, "index")),
-				Leaderless: rapid.IntRange(0, 4).Draw(rt, "leaderless") == 0, Contact: float64(rapid.SampledFrom([]int{0, 50, 3600000}).Draw(rt, "contact"))}
-			v := w.Answered(now, q, a)
-			if v.Take && a.Status != 200 || !v.Take && v.Why == "" {
+			a := Response{Status: rapid.SampledFrom([]int{200, 200, 200, 403, 500}).Draw(rt, "status"), Index: uint64(rapid.IntRange(0, 9).Draw(rt, "index")),
+				Leaderless: rapid.IntRange(0, 4).Draw(rt, "leaderless") == 0, LastContactMs: float64(rapid.SampledFrom([]int{0, 50, 3600000}).Draw(rt, "contact"))}
+			v := w.HandleResponse(now, q, a)
+			if v.Accepted && a.Status != 200 || !v.Accepted && v.Reason == "" {
 				rt.Fatalf("%+v: %+v", a, v)
 			}
-			if v.Take && a.Index < known && v.Why == "" {
+			if v.Accepted && a.Index < known && v.Reason == "" {
 				rt.Fatalf("index %d after %d was taken in silence", a.Index, known)
 			}
-			if v.Take {
+			if v.Accepted {
 				known = w.index
 			}
 		}
@@ -435,7 +435,7 @@
 		}
 		m := DefaultMapping()
 		for i := range list {
-			if c, err := m.Claim(&list[i]); err == nil && (c.ID == "" || c.Address == "" || c.Weight <= 0) {
+			if c, err := m.Observation(&list[i]); err == nil && (c.ID == "" || c.Address == "" || c.Weight <= 0) {
 				t.Errorf("%+v", c)
 			}
 		}
@@ -461,7 +461,7 @@
 		b.Fatal(err)
 	}
 	defer a.Stop()
-	src := New(Options{Agents: []string{a.Addr}, MostBytes: 16 << 20}, nil, nil, nil, slog.New(slog.DiscardHandler))
+	src := New(Options{Agents: []string{a.Addr}, MaxResponseBytes: 16 << 20}, nil, nil, nil, slog.New(slog.DiscardHandler))
 	res, err := src.client.Get(src.url("db", Query{}))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/endpoints/consul/mapping.go
+++ b/internal/endpoints/consul/mapping.go
@@ -11,26 +11,26 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-// From says where a field of a server comes from.
-type From struct {
+// FieldSource says where a field of a server comes from.
+type FieldSource struct {
 	Kind string // meta, node-meta, tag (what follows Key in a tag), const, weights, service, datacenter, node, id or none
 	Key  string
 }
 
-// Kinds of places a field may come from.
-var Kinds = []string{"meta", "node-meta", "tag", "const", "weights", "service", "datacenter", "node", "id", "none"}
+// FieldSourceKinds of places a field may come from.
+var FieldSourceKinds = []string{"meta", "node-meta", "tag", "const", "weights", "service", "datacenter", "node", "id", "none"}
 
 // Mapping says how an instance becomes a server.
 type Mapping struct {
-	ID, Group, Zone, Kind, Weight, Started, Role From
-	Primary, Replica                             []string          // words for the roles; for a tag's, the tags themselves
-	Groups                                       map[string]string // names of groups and their numbers
+	ID, Group, Zone, Kind, Weight, Started, Role FieldSource
+	PrimaryWords, ReplicaWords                   []string          // words for the roles; for a tag's, the tags themselves
+	GroupNumbers                                 map[string]string // names of groups and their numbers
 }
 
 // DefaultMapping has the group, role, zone, kind and start in the service's meta.
 func DefaultMapping() Mapping {
-	return Mapping{ID: From{Kind: "id"}, Group: From{"meta", "group"}, Zone: From{Kind: "datacenter"}, Kind: From{"meta", "kind"}, Weight: From{Kind: "weights"},
-		Started: From{"meta", "started"}, Role: From{"meta", "role"}, Primary: []string{"primary", "master", "leader"}, Replica: []string{"replica", "standby", "secondary", "slave"}}
+	return Mapping{ID: FieldSource{Kind: "id"}, Group: FieldSource{"meta", "group"}, Zone: FieldSource{Kind: "datacenter"}, Kind: FieldSource{"meta", "kind"}, Weight: FieldSource{Kind: "weights"},
+		Started: FieldSource{"meta", "started"}, Role: FieldSource{"meta", "role"}, PrimaryWords: []string{"primary", "master", "leader"}, ReplicaWords: []string{"replica", "standby", "secondary", "slave"}}
 }
 
 // Errors of instances that cannot be used.
@@ -39,113 +39,113 @@
 	ErrNoGroup   = errors.New("its group cannot be told")
 )
 
-// get is a field's text, and whether there is one.
-func (f From) get(x *Instance) (string, bool) {
-	var s string
+// value is a field's text, and whether there is one.
+func (f FieldSource) value(instance *Instance) (string, bool) {
+	var text string
 	switch f.Kind {
 	case "meta":
-		s = x.Meta[f.Key]
+		text = instance.Meta[f.Key]
 	case "node-meta":
-		s = x.NodeMeta[f.Key]
+		text = instance.NodeMeta[f.Key]
 	case "tag":
-		for _, t := range x.Tags {
-			if rest, ok := strings.CutPrefix(t, f.Key); ok {
-				return rest, true
+		for _, tag := range instance.Tags {
+			if suffix, ok := strings.CutPrefix(tag, f.Key); ok {
+				return suffix, true
 			}
 		}
 	case "const":
 		return f.Key, true
 	case "service":
-		s = x.Service
+		text = instance.Service
 	case "datacenter":
-		s = x.Datacenter
+		text = instance.Datacenter
 	case "node":
-		s = x.Node
+		text = instance.Node
 	case "id":
-		s = x.ID
+		text = instance.ID
 	}
-	return s, s != ""
+	return text, text != ""
 }
 
-// Claim is what an instance says of a server.
-func (m *Mapping) Claim(x *Instance) (reconcile.Claim, error) {
-	c := reconcile.Claim{Health: x.Health, Weight: 1}
-	host := x.Address
+// Observation is what an instance says of a server.
+func (m *Mapping) Observation(instance *Instance) (reconcile.Observation, error) {
+	observation := reconcile.Observation{Health: instance.Health, Weight: 1}
+	host := instance.Address
 	if host == "" {
-		host = x.NodeAddress
+		host = instance.NodeAddress
 	}
-	if host == "" || x.Port <= 0 || x.Port > 65535 {
-		return c, ErrNoAddress
+	if host == "" || instance.Port <= 0 || instance.Port > 65535 {
+		return observation, ErrNoAddress
 	}
-	if c.ID, _ = m.ID.get(x); c.ID == "" || len(c.ID) > maxField {
-		return c, errors.New("it has no id")
+	if observation.ID, _ = m.ID.value(instance); observation.ID == "" || len(observation.ID) > maxFieldBytes {
+		return observation, errors.New("it has no id")
 	}
-	c.Address = net.JoinHostPort(host, strconv.Itoa(x.Port))
-	text, ok := m.Group.get(x)
+	observation.Address = net.JoinHostPort(host, strconv.Itoa(instance.Port))
+	text, ok := m.Group.value(instance)
 	if !ok {
-		return c, ErrNoGroup
+		return observation, ErrNoGroup
 	}
-	if n, ok := m.Groups[text]; ok {
-		text = n
+	if number, ok := m.GroupNumbers[text]; ok {
+		text = number
 	}
 	var err error
-	if c.Group, err = strconv.Atoi(text); err != nil || c.Group < 0 || c.Group > 1<<30 {
-		return c, fmt.Errorf("%w: %q is no number and has none", ErrNoGroup, text[:min(len(text), 40)])
+	if observation.Group, err = strconv.Atoi(text); err != nil || observation.Group < 0 || observation.Group > 1<<30 {
+		return observation, fmt.Errorf("%w: %q is no number and has none", ErrNoGroup, text[:min(len(text), 40)])
 	}
-	c.Zone, _ = m.Zone.get(x)
-	c.Kind, _ = m.Kind.get(x)
-	c.Role = m.role(x)
-	c.Weight = m.weight(x)
-	if text, ok := m.Started.get(x); ok {
-		c.Started = start(text)
+	observation.Zone, _ = m.Zone.value(instance)
+	observation.Kind, _ = m.Kind.value(instance)
+	observation.Role = m.role(instance)
+	observation.Weight = m.weight(instance)
+	if text, ok := m.Started.value(instance); ok {
+		observation.Started = parseStart(text)
 	}
-	return c, nil
+	return observation, nil
 }
 
-func (m *Mapping) weight(x *Instance) float64 {
+func (m *Mapping) weight(instance *Instance) float64 {
 	if m.Weight.Kind == "weights" {
-		if x.Health == reconcile.Warning && x.Weights.Warning > 0 {
-			return float64(x.Weights.Warning)
+		if instance.Health == reconcile.Warning && instance.Weights.Warning > 0 {
+			return float64(instance.Weights.Warning)
 		}
-		return float64(max(1, x.Weights.Passing))
+		return float64(max(1, instance.Weights.Passing))
 	}
-	if text, ok := m.Weight.get(x); ok {
-		if w, err := strconv.ParseFloat(text, 64); err == nil && w > 0 && w <= 1e6 {
-			return w
+	if text, ok := m.Weight.value(instance); ok {
+		if weight, err := strconv.ParseFloat(text, 64); err == nil && weight > 0 && weight <= 1e6 {
+			return weight
 		}
 	}
 	return 1
 }
 
-func (m *Mapping) role(x *Instance) reconcile.Role {
+func (m *Mapping) role(instance *Instance) reconcile.Role {
 	if m.Role.Kind == "tag" && m.Role.Key == "" { // a tag by itself is the role
-		for _, t := range x.Tags {
-			if r := m.word(t); r != reconcile.RoleUnknown {
-				return r
+		for _, tag := range instance.Tags {
+			if role := m.roleNamed(tag); role != reconcile.RoleUnknown {
+				return role
 			}
 		}
 		return reconcile.RoleUnknown
 	}
-	text, _ := m.Role.get(x)
-	return m.word(text)
+	text, _ := m.Role.value(instance)
+	return m.roleNamed(text)
 }
 
-func (m *Mapping) word(text string) reconcile.Role {
-	for _, w := range m.Primary {
-		if strings.EqualFold(w, text) {
+func (m *Mapping) roleNamed(text string) reconcile.Role {
+	for _, word := range m.PrimaryWords {
+		if strings.EqualFold(word, text) {
 			return reconcile.Primary
 		}
 	}
-	for _, w := range m.Replica {
-		if strings.EqualFold(w, text) {
+	for _, word := range m.ReplicaWords {
+		if strings.EqualFold(word, text) {
 			return reconcile.Replica
 		}
 	}
 	return reconcile.RoleUnknown
 }
 
-// start reads a time in Unix seconds, milliseconds, or as RFC 3339 has it; 0 where it cannot be read.
-func start(text string) float64 {
+// parseStart reads a time in Unix seconds, milliseconds, or as RFC 3339 has it; 0 where it cannot be read.
+func parseStart(text string) float64 {
 	if t, err := time.Parse(time.RFC3339, text); err == nil {
 		return float64(t.UnixMilli())
 	}
--- a/internal/endpoints/consul/parse.go
+++ b/internal/endpoints/consul/parse.go
@@ -21,7 +21,7 @@
 	Meta                          map[string]string
 	Weights                       Weights
 	Health                        reconcile.Health
-	Notes                         string // ids of the checks that are not passing
+	FailingChecks                 string // ids of the checks that are not passing
 }
 
 // Weights are a service's for DNS.
@@ -29,15 +29,15 @@
 
 // Bounds on what an agent says.
 const (
-	maxInstances = 20000
-	maxField     = 1 << 16
+	maxInstances  = 20000
+	maxFieldBytes = 1 << 16
 )
 
 // Errors of what an agent says.
 var (
-	ErrTooLong  = errors.New("the answer is too long")
-	ErrTooMany  = errors.New("too many instances in the answer")
-	ErrNotWhole = errors.New("the answer is not whole")
+	ErrTooLong   = errors.New("the answer is too long")
+	ErrTooMany   = errors.New("too many instances in the answer")
+	ErrMalformed = errors.New("the answer is not whole")
 )
 
 // healthEntry is an entry of /v1/health/service.
@@ -78,86 +78,86 @@
 var jsonAPI = jsoniter.Config{EscapeHTML: false}.Froze()
 
 // Parse reads an answer, whole or not at all. A null is an empty list, as agents say it.
-func Parse(r io.Reader, health bool) ([]Instance, error) {
-	it := jsoniter.Parse(jsonAPI, r, 1<<15)
-	var out []Instance
-	if it.WhatIsNext() == jsoniter.NilValue {
-		it.ReadNil()
+func Parse(reader io.Reader, health bool) ([]Instance, error) {
+	iterator := jsoniter.Parse(jsonAPI, reader, 1<<15)
+	var instances []Instance
+	if iterator.WhatIsNext() == jsoniter.NilValue {
+		iterator.ReadNil()
 	} else {
-		for it.ReadArray() {
-			if len(out) == maxInstances {
+		for iterator.ReadArray() {
+			if len(instances) == maxInstances {
 				return nil, fmt.Errorf("%w: over %d", ErrTooMany, maxInstances)
 			}
-			var x Instance
+			var instance Instance
 			if health {
-				x = readHealth(it)
+				instance = readHealth(iterator)
 			} else {
-				x = readCatalog(it)
+				instance = readCatalog(iterator)
 			}
-			if it.Error != nil {
+			if iterator.Error != nil {
 				break
 			}
-			out = append(out, x)
+			instances = append(instances, instance)
 		}
 	}
-	if it.Error != nil {
-		if errors.Is(it.Error, ErrTooLong) {
+	if iterator.Error != nil {
+		if errors.Is(iterator.Error, ErrTooLong) {
 			return nil, ErrTooLong
 		}
-		text := it.Error.Error()
-		return nil, fmt.Errorf("%w: %s", ErrNotWhole, text[:min(len(text), 120)])
+		text := iterator.Error.Error()
+		return nil, fmt.Errorf("%w: %s", ErrMalformed, text[:min(len(text), 120)])
 	}
-	if rest := it.WhatIsNext(); rest != jsoniter.InvalidValue || it.Error != nil && !errors.Is(it.Error, io.EOF) {
-		return nil, fmt.Errorf("%w: something follows the list", ErrNotWhole)
+	if next := iterator.WhatIsNext(); next != jsoniter.InvalidValue || iterator.Error != nil && !errors.Is(iterator.Error, io.EOF) {
+		return nil, fmt.Errorf("%w: something follows the list", ErrMalformed)
 	}
-	return out, nil
+	return instances, nil
 }
 
-func readHealth(it *jsoniter.Iterator) Instance {
-	var e healthEntry
-	it.ReadVal(&e)
-	x := Instance{Node: e.Node.Node, NodeAddress: e.Node.Address, Datacenter: e.Node.Datacenter, NodeMeta: e.Node.Meta, ID: e.Service.ID, Service: e.Service.Service,
-		Address: e.Service.Address, Port: e.Service.Port, Tags: e.Service.Tags, Meta: e.Service.Meta, Weights: e.Service.Weights}
-	for _, c := range e.Checks {
-		h := reconcile.Passing
-		switch c.Status {
+func readHealth(iterator *jsoniter.Iterator) Instance {
+	var entry healthEntry
+	iterator.ReadVal(&entry)
+	instance := Instance{Node: entry.Node.Node, NodeAddress: entry.Node.Address, Datacenter: entry.Node.Datacenter, NodeMeta: entry.Node.Meta, ID: entry.Service.ID, Service: entry.Service.Service,
+		Address: entry.Service.Address, Port: entry.Service.Port, Tags: entry.Service.Tags, Meta: entry.Service.Meta, Weights: entry.Service.Weights}
+	for _, check := range entry.Checks {
+		health := reconcile.Passing
+		switch check.Status {
 		case "passing":
 			continue
 		case "warning":
-			h = reconcile.Warning
+			health = reconcile.Warning
 		default: // also what is not known: not passing, in any case
-			h = reconcile.Critical
-			if c.CheckID == nodeMaintenance || strings.HasPrefix(c.CheckID, serviceMaintenance) {
-				h = reconcile.Maintenance
+			health = reconcile.Critical
+			if check.CheckID == nodeMaintenance || strings.HasPrefix(check.CheckID, serviceMaintenance) {
+				health = reconcile.Maintenance
 			}
 		}
-		x.Health = max(x.Health, h)
-		if len(x.Notes) < 200 {
-			x.Notes += " " + c.CheckID[:min(len(c.CheckID), 60)]
+		instance.Health = max(instance.Health, health)
+		if len(instance.FailingChecks) < 200 {
+			instance.FailingChecks += " " + check.CheckID[:min(len(check.CheckID), 60)]
 		}
 	}
-	return x
+	return instance
 }
 
-func readCatalog(it *jsoniter.Iterator) Instance {
-	var e catalogEntry
-	it.ReadVal(&e)
-	return Instance{Node: e.Node, NodeAddress: e.Address, Datacenter: e.Datacenter, NodeMeta: e.NodeMeta, ID: e.ServiceID, Service: e.ServiceName, Address: e.ServiceAddress,
-		Port: e.ServicePort, Tags: e.ServiceTags, Meta: e.ServiceMeta, Weights: e.ServiceWeights}
+func readCatalog(iterator *jsoniter.Iterator) Instance {
+	var entry catalogEntry
+	iterator.ReadVal(&entry)
+	return Instance{Node: entry.Node, NodeAddress: entry.Address, Datacenter: entry.Datacenter, NodeMeta: entry.NodeMeta, ID: entry.ServiceID, Service: entry.ServiceName, Address: entry.ServiceAddress,
+		Port: entry.ServicePort, Tags: entry.ServiceTags, Meta: entry.ServiceMeta, Weights: entry.ServiceWeights}
 }
 
-// limited ends with ErrTooLong where more than so many bytes come.
-type limited struct {
-	r    io.Reader
-	left int64
+// limitedReader ends with ErrTooLong where more than so many bytes come.
+type limitedReader struct {
+	reader    io.Reader
+	remaining int64
 }
 
 // Read is io.Reader's.
-func (l *limited) Read(b []byte) (int, error) {
-	if l.left <= 0 {
+func (l *limitedReader) Read(b []byte) (int, error) {
+	if l.remaining <= 0 {
 		return 0, ErrTooLong
 	}
-	n, err := l.r.Read(b[:min(int64(len(b)), l.left)])
-	l.left -= int64(n)
+	n, err := l.reader.Read(b[:min(int64(len(b)), l.remaining)])
+	l.remaining -= int64(n)
 	return n, err
 }
--- a/internal/endpoints/consul/polls_test.go
+++ b/internal/endpoints/consul/polls_test.go
@@ -20,19 +20,19 @@
 					now := 1e6
 					if index > 0 {
 						q, at := w.Next(now)
-						w.Answered(at, q, Answer{Status: 200, Index: index})
+						w.HandleResponse(at, q, Response{Status: 200, Index: index})
 					}
 					for range 9 {
 						q, asked := w.Next(now)
 						told := asked + 6000
 						if index > 0 {
-							told = asked + q.Wait + 2000
-							if q.Wait > wait || q.Patience() < q.Wait+q.Wait/16+500 {
-								t.Fatalf("wait %v: asked for %v, given up after %v", wait, q.Wait, q.Patience())
+							told = asked + q.WaitMs + 2000
+							if q.WaitMs > wait || q.TimeoutMs() < q.WaitMs+q.WaitMs/16+500 {
+								t.Fatalf("wait %v: asked for %v, given up after %v", wait, q.WaitMs, q.TimeoutMs())
 							}
 						}
-						now = asked + q.Patience()
-						w.Answered(now, q, Answer{Err: errors.New("no answer")})
+						now = asked + q.TimeoutMs()
+						w.HandleResponse(now, q, Response{Err: errors.New("no answer")})
 						if next, at := w.Next(now); at+500+late(q) > told || next.Index != index || agents > 1 && next.Agent == q.Agent {
 							t.Fatalf("%d agents, index %d, wait %v: %+v is asked %v ms before what was missed counts as told", agents, index, wait, next, told-at)
 						}
@@ -72,7 +72,7 @@
 		_, _ = w.Write([]byte("[]"))
 	}))
 	t.Cleanup(agent.Close)
-	watch(t, 0, func(o *Options) { o.Agents, o.Wait = []string{agent.Listener.Addr().String()}, 20000 })
+	watch(t, 0, func(o *Options) { o.Agents, o.WaitMs = []string{agent.Listener.Addr().String()}, 20000 })
 	<-polls
 	silent := <-polls
 	if silent.wait == 0 {
@@ -91,14 +91,14 @@
 // denied a query, or while one was under way that hung. However often that has happened, the next query begins in time.
 func TestNextPollIsInTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer Answer
+		answer Response
 		took   float64
 	}{
-		"refused at once":          {Answer{Err: errors.New("refused")}, 1},
-		"hung":                     {Answer{Err: errors.New("no answer")}, Query{}.Patience()},
-		"failed after a while":     {Answer{Status: 500}, 2500},
-		"denied":                   {Answer{Status: 403}, 10},
-		"asked to come back later": {Answer{Status: 429, RetryAfter: 60000}, 10},
+		"refused at once":          {Response{Err: errors.New("refused")}, 1},
+		"hung":                     {Response{Err: errors.New("no answer")}, Query{}.TimeoutMs()},
+		"failed after a while":     {Response{Status: 500}, 2500},
+		"denied":                   {Response{Status: 403}, 10},
+		"asked to come back later": {Response{Status: 429, RetryAfterMs: 60000}, 10},
 	} {
 		for _, agents := range []int{1, 2} {
 			for _, draw := range []float64{0, 0.5, 0.999} {
@@ -107,7 +107,7 @@
 				for range 20 {
 					q, asked := w.Next(now)
 					now = asked + c.took
-					w.Answered(now, q, c.answer)
+					w.HandleResponse(now, q, c.answer)
 					if _, next := w.Next(now); next+500 > asked+6000 {
 						t.Fatalf("%s, %d agents: the next query begins %v ms after this one", name, agents, next-asked)
 					}
--- a/internal/endpoints/consul/source.go
+++ b/internal/endpoints/consul/source.go
@@ -28,59 +28,59 @@
 
 // Options say what is watched where. Times are in milliseconds.
 type Options struct {
-	Name        string // as the judge knows the source
-	Agents      []string
-	TLS         *tls.Config // nil for plain HTTP
-	Services    []string
-	Catalog     bool // the catalogue alone, without health
-	Datacenter  string
-	Namespace   string
-	Partition   string
-	Filter      string
-	Consistency string // "", "stale" or "consistent"
-	MaxStale    float64
-	Wait        float64
-	MostBytes   int64
-	Map         Mapping
-	Seed        uint64
+	Name             string // as the judge knows the source
+	Agents           []string
+	TLS              *tls.Config // nil for plain HTTP
+	Services         []string
+	CatalogOnly      bool // the catalogue alone, without health
+	Datacenter       string
+	Namespace        string
+	Partition        string
+	Filter           string
+	Consistency      string // "", "stale" or "consistent"
+	MaxStaleMs       float64
+	WaitMs           float64
+	MaxResponseBytes int64
+	Mapping          Mapping
+	Seed             uint64
 }
 
 // Sink is told of what the source hears. Its calls come one at a time, through Post.
 type Sink interface {
-	Heard(source string, r *reconcile.Report)
-	Lost(source, why string)                           // no agent answers for any service
-	Noted(source string, w reconcile.What, why string) // something that may be of interest
+	Observe(source string, r *reconcile.Report)
+	SourceLost(source, why string)                            // no agent answers for any service
+	Note(source string, w reconcile.DecisionKind, why string) // something that may be of interest
 }
 
 // Source is the watches over all services.
 type Source struct {
-	opt    Options
-	post   func(func())
-	sink   Sink
-	log    *slog.Logger
-	client *http.Client
-	token  atomic.Pointer[string]
-	again  []chan struct{}
-	now    func() float64
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
+	options      Options
+	post         func(func())
+	sink         Sink
+	log          *slog.Logger
+	client       *http.Client
+	token        atomic.Pointer[string]
+	retrySignals []chan struct{}
+	now          func() float64
+	cancel       context.CancelFunc
+	wg           sync.WaitGroup
 
-	mu   sync.Mutex
-	lost map[string]bool // services that no agent answers for
-	told map[string]bool // services of which a list was told
-	read atomic.Int64    // bytes of answers
+	mu          sync.Mutex
+	unreachable map[string]bool // services that no agent answers for
+	reported    map[string]bool // services of which a list was told
+	bytesRead   atomic.Int64    // bytes of answers
 }
 
 const (
-	dialMs    = 2000
-	idleConns = 4
+	dialTimeoutMs        = 2000
+	maxIdleConnsPerAgent = 4
 )
 
 // New makes a source; Start has it watch. post carries calls to the loop, now is its clock.
-func New(opt Options, post func(func()), now func() float64, sink Sink, log *slog.Logger) *Source {
-	dialer := &net.Dialer{Timeout: dialMs * time.Millisecond}
-	s := &Source{opt: opt, post: post, sink: sink, log: log, now: now, lost: map[string]bool{}, told: map[string]bool{},
-		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, TLSClientConfig: opt.TLS, MaxIdleConnsPerHost: idleConns,
+func New(options Options, post func(func()), now func() float64, sink Sink, log *slog.Logger) *Source {
+	dialer := &net.Dialer{Timeout: dialTimeoutMs * time.Millisecond}
+	s := &Source{options: options, post: post, sink: sink, log: log, now: now, unreachable: map[string]bool{}, reported: map[string]bool{},
+		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, TLSClientConfig: options.TLS, MaxIdleConnsPerHost: maxIdleConnsPerAgent,
 			IdleConnTimeout: time.Minute, MaxResponseHeaderBytes: 1 << 16, ReadBufferSize: 16 << 10, WriteBufferSize: 4 << 10},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 	empty := ""
@@ -89,14 +89,14 @@
 }
 
 // SetToken sets the token that queries carry from now on, and has those that were denied asked again.
-func (s *Source) SetToken(t string) {
-	t = strings.TrimSpace(t)
-	if old := s.token.Swap(&t); *old == t {
+func (s *Source) SetToken(token string) {
+	token = strings.TrimSpace(token)
+	if previous := s.token.Swap(&token); *previous == token {
 		return
 	}
-	for _, a := range s.again {
+	for _, signal := range s.retrySignals {
 		select {
-		case a <- struct{}{}:
+		case signal <- struct{}{}:
 		default:
 		}
 	}
@@ -106,11 +106,11 @@
 func (s *Source) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	for i, name := range s.opt.Services {
-		again := make(chan struct{}, 1)
-		s.again = append(s.again, again)
-		w := &watcher{s: s, service: name, again: again, last: map[string]reconcile.Claim{},
-			plan: NewWatch(len(s.opt.Agents), s.opt.Wait, s.opt.MaxStale, rand.New(rand.NewPCG(s.opt.Seed, uint64(i))).Float64)}
+	for i, name := range s.options.Services {
+		retrySignal := make(chan struct{}, 1)
+		s.retrySignals = append(s.retrySignals, retrySignal)
+		w := &watcher{source: s, service: name, retrySignal: retrySignal, lastObservations: map[string]reconcile.Observation{},
+			plan: NewWatch(len(s.options.Agents), s.options.WaitMs, s.options.MaxStaleMs, rand.New(rand.NewPCG(s.options.Seed, uint64(i))).Float64)}
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
@@ -128,149 +128,151 @@
 	}
 }
 
-// Read is how many bytes of answers have come.
-func (s *Source) Read() int64 { return s.read.Load() }
+// BytesRead is how many bytes of answers have come.
+func (s *Source) BytesRead() int64 { return s.bytesRead.Load() }
 
 // watcher watches one service.
 type watcher struct {
-	s       *Source
-	service string
-	plan    *Watch
-	again   chan struct{}
-	last    map[string]reconcile.Claim
-	said    string // of what could not be used
-	why     string // noted last...
-	whyAt   float64
+	source           *Source
+	service          string
+	plan             *Watch
+	retrySignal      chan struct{}
+	lastObservations map[string]reconcile.Observation
+	lastUnusable     string // of what could not be used
+	lastReason       string // noted last...
+	lastReasonAt     float64
 }
 
-const sameAgain = 10000 // the same note is made again after so long
+const repeatedNoteMs = 10000 // the same note is made again after so long
 
 func (w *watcher) run(ctx context.Context) {
 	for {
-		now := w.s.now()
-		q, at := w.plan.Next(now)
-		if wait := at - now; wait > 0 {
-			t := time.NewTimer(time.Duration(wait * float64(time.Millisecond)))
+		now := w.source.now()
+		query, queryAt := w.plan.Next(now)
+		if wait := queryAt - now; wait > 0 {
+			timer := time.NewTimer(time.Duration(wait * float64(time.Millisecond)))
 			select {
-			case <-t.C:
-			case <-w.again:
-				t.Stop()
-				w.plan.Again()
+			case <-timer.C:
+			case <-w.retrySignal:
+				timer.Stop()
+				w.plan.ResetBackoff()
 				continue
 			case <-ctx.Done():
-				t.Stop()
+				timer.Stop()
 				return
 			}
 		}
-		list, a := w.ask(ctx, q)
+		list, response := w.query(ctx, query)
 		if ctx.Err() != nil {
 			return
 		}
-		v := w.plan.Answered(w.s.now(), q, a)
-		w.note(q, v)
-		if v.Take {
-			w.take(list, v.Age)
+		result := w.plan.HandleResponse(w.source.now(), query, response)
+		w.note(query, result)
+		if result.Accepted {
+			w.reportChanges(list, result.AgeMs)
 		}
 	}
 }
 
 // note tells of what was noticed, and that nobody answers any more.
-func (w *watcher) note(q Query, v Verdict) {
-	s := w.s
-	if now := s.now(); v.Why != "" && (v.Why != w.why || now-w.whyAt > sameAgain) {
-		w.why, w.whyAt = v.Why, now
-		s.log.Info("consul", "service", w.service, "agent", s.opt.Agents[q.Agent], "why", v.Why)
-		s.tell(func() {
-			s.sink.Noted(s.opt.Name, reconcile.NotBelieved, w.service+" at "+s.opt.Agents[q.Agent]+": "+v.Why)
+func (w *watcher) note(query Query, result Result) {
+	source := w.source
+	if now := source.now(); result.Reason != "" && (result.Reason != w.lastReason || now-w.lastReasonAt > repeatedNoteMs) {
+		w.lastReason, w.lastReasonAt = result.Reason, now
+		source.log.Info("consul", "service", w.service, "agent", source.options.Agents[query.Agent], "why", result.Reason)
+		source.dispatch(func() {
+			source.sink.Note(source.options.Name, reconcile.Rejected, w.service+" at "+source.options.Agents[query.Agent]+": "+result.Reason)
 		})
 	}
-	if w.plan.Lost() {
-		s.mu.Lock()
-		s.lost[w.service] = true
-		all := len(s.lost) == len(s.opt.Services)
-		s.mu.Unlock()
-		if all {
-			s.tell(func() { s.sink.Lost(s.opt.Name, v.Why) })
+	if w.plan.BecameUnreachable() {
+		source.mu.Lock()
+		source.unreachable[w.service] = true
+		allUnreachable := len(source.unreachable) == len(source.options.Services)
+		source.mu.Unlock()
+		if allUnreachable {
+			source.dispatch(func() { source.sink.SourceLost(source.options.Name, result.Reason) })
 		} else {
-			s.tell(func() { s.sink.Noted(s.opt.Name, reconcile.SourceLost, "of "+w.service+": "+v.Why) })
+			source.dispatch(func() {
+				source.sink.Note(source.options.Name, reconcile.SourceLost, "of "+w.service+": "+result.Reason)
+			})
 		}
 	}
 }
 
-func (s *Source) tell(f func()) { s.post(f) }
+func (s *Source) dispatch(f func()) { s.post(f) }
 
 // URL is what an agent is asked.
-func (s *Source) url(service string, q Query) string {
+func (s *Source) url(service string, query Query) string {
 	scheme, path := "http", "/v1/health/service/"
-	if s.opt.TLS != nil {
+	if s.options.TLS != nil {
 		scheme = "https"
 	}
-	if s.opt.Catalog {
+	if s.options.CatalogOnly {
 		path = "/v1/catalog/service/"
 	}
-	v := url.Values{}
-	if q.Index > 0 {
-		v.Set("index", strconv.FormatUint(q.Index, 10))
-		v.Set("wait", strconv.Itoa(int(q.Wait))+"ms")
+	parameters := url.Values{}
+	if query.Index > 0 {
+		parameters.Set("index", strconv.FormatUint(query.Index, 10))
+		parameters.Set("wait", strconv.Itoa(int(query.WaitMs))+"ms")
 	}
-	for key, val := range map[string]string{"dc": s.opt.Datacenter, "ns": s.opt.Namespace, "partition": s.opt.Partition, "filter": s.opt.Filter} {
+	for key, val := range map[string]string{"dc": s.options.Datacenter, "ns": s.options.Namespace, "partition": s.options.Partition, "filter": s.options.Filter} {
 		if val != "" {
-			v.Set(key, val)
+			parameters.Set(key, val)
 		}
 	}
-	if s.opt.Consistency != "" {
-		v.Set(s.opt.Consistency, "")
+	if s.options.Consistency != "" {
+		parameters.Set(s.options.Consistency, "")
 	}
-	u := url.URL{Scheme: scheme, Host: s.opt.Agents[q.Agent], Path: path + service, RawQuery: v.Encode()}
+	u := url.URL{Scheme: scheme, Host: s.options.Agents[query.Agent], Path: path + service, RawQuery: parameters.Encode()}
 	return u.String()
 }
 
-// ask asks once.
-func (w *watcher) ask(ctx context.Context, q Query) ([]Instance, Answer) {
-	s := w.s
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(q.Patience()*float64(time.Millisecond)))
+// query asks once.
+func (w *watcher) query(ctx context.Context, query Query) ([]Instance, Response) {
+	source := w.source
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(query.TimeoutMs()*float64(time.Millisecond)))
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.url(w.service, q), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, source.url(w.service, query), nil)
 	if err != nil {
-		return nil, Answer{Err: err}
+		return nil, Response{Err: err}
 	}
-	if t := *s.token.Load(); t != "" {
-		req.Header.Set("X-Consul-Token", t)
+	if token := *source.token.Load(); token != "" {
+		req.Header.Set("X-Consul-Token", token)
 	}
-	res, err := s.client.Do(req)
+	res, err := source.client.Do(req)
 	if err != nil {
 		if u := (*url.Error)(nil); errors.As(err, &u) {
 			err = u.Err // its address is known
 		}
 		if ctx.Err() == context.DeadlineExceeded {
-			err = fmt.Errorf("no answer within %.0f s", q.Patience()/1000)
+			err = fmt.Errorf("no answer within %.0f s", query.TimeoutMs()/1000)
 		}
-		return nil, Answer{Err: err}
+		return nil, Response{Err: err}
 	}
 	defer func() {
 		_, _ = io.CopyN(io.Discard, res.Body, 4096) // what little is left, so that the connection can be used again
 		_ = res.Body.Close()
 	}()
-	a := Answer{Status: res.StatusCode, Leaderless: res.Header.Get("X-Consul-KnownLeader") == "false", RetryAfter: seconds(res.Header.Get("Retry-After")),
-		Contact: min(number(res.Header.Get("X-Consul-LastContact")), 1e12)}
-	if age := seconds(res.Header.Get("Age")); age > 0 { // of an agent's cache
-		a.Contact += age
+	response := Response{Status: res.StatusCode, Leaderless: res.Header.Get("X-Consul-KnownLeader") == "false", RetryAfterMs: headerMillis(res.Header.Get("Retry-After")),
+		LastContactMs: min(nonNegative(res.Header.Get("X-Consul-LastContact")), 1e12)}
+	if age := headerMillis(res.Header.Get("Age")); age > 0 { // of an agent's cache
+		response.LastContactMs += age
 	}
-	a.Index, _ = strconv.ParseUint(res.Header.Get("X-Consul-Index"), 10, 64)
-	if a.Status != http.StatusOK {
-		return nil, a
+	response.Index, _ = strconv.ParseUint(res.Header.Get("X-Consul-Index"), 10, 64)
+	if response.Status != http.StatusOK {
+		return nil, response
 	}
-	body := &limited{r: res.Body, left: s.opt.MostBytes}
-	list, err := Parse(body, !s.opt.Catalog)
-	s.read.Add(s.opt.MostBytes - body.left)
+	body := &limitedReader{reader: res.Body, remaining: source.options.MaxResponseBytes}
+	list, err := Parse(body, !source.options.CatalogOnly)
+	source.bytesRead.Add(source.options.MaxResponseBytes - body.remaining)
 	if err != nil {
-		a.Err = err
+		response.Err = err
 	}
-	return list, a
+	return list, response
 }
 
-// number reads a figure that is not negative, 0 for any other text.
-func number(text string) float64 {
+// nonNegative reads a figure that is not negative, 0 for any other text.
+func nonNegative(text string) float64 {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(x > 0) {
 		return 0
@@ -278,52 +280,52 @@
 	return x
 }
 
-// seconds reads a header's seconds as milliseconds, at most an hour's: no agent stops a watch for longer.
-func seconds(text string) float64 { return min(number(text), 3600) * 1000 }
+// headerMillis reads a header's seconds as milliseconds, at most an hour's: no agent stops a watch for longer.
+func headerMillis(text string) float64 { return min(nonNegative(text), 3600) * 1000 }
 
-// take compares an answer with the last, and tells what has changed.
-func (w *watcher) take(list []Instance, age float64) {
-	s := w.s
-	s.mu.Lock()
-	delete(s.lost, w.service)
-	s.told[w.service] = true
-	more := len(s.told) < len(s.opt.Services)
-	s.mu.Unlock()
-	next := make(map[string]reconcile.Claim, len(list))
-	r := &reconcile.Report{Age: age, More: more}
-	bad, why := 0, ""
+// reportChanges compares an answer with the last, and tells what has changed.
+func (w *watcher) reportChanges(list []Instance, ageMs float64) {
+	source := w.source
+	source.mu.Lock()
+	delete(source.unreachable, w.service)
+	source.reported[w.service] = true
+	moreToCome := len(source.reported) < len(source.options.Services)
+	source.mu.Unlock()
+	next := make(map[string]reconcile.Observation, len(list))
+	report := &reconcile.Report{AgeMs: ageMs, MoreToCome: moreToCome}
+	unusable, example := 0, ""
 	for i := range list {
-		c, err := s.opt.Map.Claim(&list[i])
+		observation, err := source.options.Mapping.Observation(&list[i])
 		if err != nil {
-			bad++
-			why = fmt.Sprintf("%s: %v", cmp.Or(list[i].ID, list[i].Node), err)
+			unusable++
+			example = fmt.Sprintf("%s: %v", cmp.Or(list[i].ID, list[i].Node), err)
 			continue
 		}
-		if old, ok := next[c.ID]; ok && (old.Started > c.Started || old.Started == c.Started && w.last[c.ID].Address == old.Address) {
-			r.Claims = append(r.Claims, c) // the judge hears of both
+		if previous, ok := next[observation.ID]; ok && (previous.Started > observation.Started || previous.Started == observation.Started && w.lastObservations[observation.ID].Address == previous.Address) {
+			report.Observations = append(report.Observations, observation) // the judge hears of both
 			continue
 		}
-		next[c.ID] = c
+		next[observation.ID] = observation
 	}
-	for id, c := range next {
-		if old, ok := w.last[id]; !ok || old != c {
-			r.Claims = append(r.Claims, c)
+	for id, observation := range next {
+		if previous, ok := w.lastObservations[id]; !ok || previous != observation {
+			report.Observations = append(report.Observations, observation)
 		}
 	}
-	slices.SortFunc(r.Claims, func(a, b reconcile.Claim) int {
+	slices.SortFunc(report.Observations, func(a, b reconcile.Observation) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(b.Started, a.Started))
 	})
-	for id := range w.last {
+	for id := range w.lastObservations {
 		if _, ok := next[id]; !ok {
-			r.Removed = append(r.Removed, id)
+			report.Removed = append(report.Removed, id)
 		}
 	}
-	slices.Sort(r.Removed)
-	w.last = next
-	if said := fmt.Sprintf("%s: %d of %d instances cannot be used, such as %s", w.service, bad, len(list), why); bad > 0 && said != w.said {
-		w.said = said
-		s.log.Warn("consul", "why", said)
-		s.tell(func() { s.sink.Noted(s.opt.Name, reconcile.NotBelieved, said) })
+	slices.Sort(report.Removed)
+	w.lastObservations = next
+	if note := fmt.Sprintf("%s: %d of %d instances cannot be used, such as %s", w.service, unusable, len(list), example); unusable > 0 && note != w.lastUnusable {
+		w.lastUnusable = note
+		source.log.Warn("consul", "why", note)
+		source.dispatch(func() { source.sink.Note(source.options.Name, reconcile.Rejected, note) })
 	}
-	s.tell(func() { s.sink.Heard(s.opt.Name, r) })
+	source.dispatch(func() { source.sink.Observe(source.options.Name, report) })
 }
--- a/internal/endpoints/discovery/calls_test.go
+++ b/internal/endpoints/discovery/calls_test.go
@@ -80,8 +80,8 @@
 // untilRead waits until all that was sent on calls that are open has been read.
 func (s *station) untilRead() {
 	s.t.Helper()
-	quiet := func(k *call) bool { return k == nil || k.conn != nil && k.conn.OpenAndIdle() }
-	s.until("all is read", func() bool { return quiet(s.client.watch) && quiet(s.client.fetch) })
+	quiet := func(call *httpCall) bool { return call == nil || call.conn != nil && call.conn.OpenAndIdle() }
+	s.until("all is read", func() bool { return quiet(s.client.watch) && quiet(s.client.fullFetch) })
 }
 
 // want waits for the next event.
@@ -185,7 +185,7 @@
 	s := newStation(t, old)
 	s.do(s.client.Watch)
 	old.nextWatch(4)
-	s.do(func() { s.client.Move(moved.addr) })
+	s.do(func() { s.client.SetAddress(moved.addr) })
 	watch := moved.nextWatch(0)
 	watch.say(okHead)
 	watch.tell(9, false)
@@ -302,18 +302,18 @@
 	watch.say(okHead)
 	fetch.say(okHead)
 	s.until("both heads are read", func() bool {
-		return s.client.watch.reply.inBody && s.client.fetch.reply.inBody
+		return s.client.watch.response.inBody && s.client.fullFetch.response.inBody
 	})
 	s.do(func() {
 		watch.tell(90, true)
 		fetch.tell(91, true)
-		for end := time.Now().Add(patience); s.client.watch.conn.OpenAndIdle() || s.client.fetch.conn.OpenAndIdle(); {
+		for end := time.Now().Add(patience); s.client.watch.conn.OpenAndIdle() || s.client.fullFetch.conn.OpenAndIdle(); {
 			if time.Now().After(end) {
 				t.Error("nothing came")
 				break
 			}
 		}
-		s.client.Move(moved.addr)
+		s.client.SetAddress(moved.addr)
 	})
 	asked := moved.next2()
 	if asked["/v1/endpoints"] == nil || asked["/v1/endpoints?watch=1&from=0"] == nil {
@@ -383,7 +383,7 @@
 				call.say(string(b))
 				s.untilRead()
 			}
-			s.pass(silentMs - 2000 + 1)
+			s.pass(silenceTimeoutMs - 2000 + 1)
 			call.wantEnd()
 			if c.fetch {
 				s.want("failed")
@@ -461,7 +461,7 @@
 	for end := time.Now().Add(patience); time.Now().Before(end); {
 		s.do(func() {
 			if s.client.watch == nil {
-				s.clk.Ms += againMostMs
+				s.clk.Ms += maxRetryPauseMs
 			}
 		})
 		_ = d.ln.(*net.TCPListener).SetDeadline(time.Now().Add(100 * time.Millisecond))
@@ -489,16 +489,16 @@
 			s := newStation(t, at)
 			s.do(func() {
 				if pushed {
-					s.client.Push(true)
+					s.client.SetPushMode(true)
 				} else {
 					s.client.Watch()
 				}
 			})
-			var first *call
+			var first *httpCall
 			s.do(func() { first = s.client.watch })
 			s.until("the dial is given up", func() bool { return s.client.watch != first })
 			if pushed {
-				s.pass(againMs)
+				s.pass(minRetryPauseMs)
 			}
 			s.until("the next is on its way", func() bool { return s.client.watch != nil })
 			select {
--- a/internal/endpoints/discovery/discovery_test.go
+++ b/internal/endpoints/discovery/discovery_test.go
@@ -90,7 +90,7 @@
 	again("5") // and silent from its start
 	pass(2600)
 	again("5")
-	if took := clk.Ms - quiet; took >= 6000-2*connectMs/5 {
+	if took := clk.Ms - quiet; took >= 6000-2*connectTimeoutMs/5 {
 		t.Errorf("the third is asked for %v ms after the first fell silent", took)
 	}
 	say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // and silent behind its head
--- a/internal/endpoints/discovery/http_test.go
+++ b/internal/endpoints/discovery/http_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, size := range []int{1, 2, 3, 7, len(c.in)} {
-				var r reply
+				var r response
 				var got []string
 				var err error
 				for part := range slices.Chunk([]byte(c.in), size) {
--- a/internal/endpoints/members.go
+++ b/internal/endpoints/members.go
@@ -18,10 +18,10 @@
 
 // Names of the sources that are not the operators' to name.
 const (
-	Platform = "platform" // the platform's discovery
-	Consul   = "consul"
-	Static   = "static"
-	Known    = "known" // what was known at the start: the configuration's list, or a snapshot
+	SourcePlatform = "platform" // the platform's discovery
+	SourceConsul   = "consul"
+	SourceStatic   = "static"
+	SourceInitial  = "known" // what was known at the start: the configuration's list, or a snapshot
 )
 
 // Loop is where everything here runs.
@@ -31,316 +31,316 @@
 	Post(f func())
 }
 
-// Directory is the platform's discovery, where it is a source.
-type Directory interface {
+// Discovery is the platform's discovery, where it is a source.
+type Discovery interface {
 	Watch()
 	Fetch()
 }
 
 // Options say what the list is made of.
 type Options struct {
-	Judge    reconcile.Settings
-	Platform bool           // the platform's discovery is a source
-	Snapshot string         // a file, empty for none
-	Saver    snapshot.Saver // in place of a file where there is none; nil for none
+	Reconcile     reconcile.Settings
+	Platform      bool           // the platform's discovery is a source
+	SnapshotPath  string         // a file, empty for none
+	SnapshotStore snapshot.Store // in place of a file where there is none; nil for none
 }
 
-// Members makes the list. It belongs to the loop.
-type Members struct {
-	loop   Loop
-	log    *slog.Logger
-	opt    Options
-	judge  *reconcile.Judge
-	events discovery.Events
-	dir    Directory // nil where the platform's discovery is none
-	rec    *record.Recorder
-	gen    int64
-	shown  int    // servers in the list
-	hung   uint64 // grows with each call of the judge that is hung up: the ones before come to nothing
-	ready  bool
-	due    map[string]bool // sources that have not been heard yet
-
-	dirty  bool // the list has changed since it was saved
-	saving bool
-	saveAt float64
+// Manager makes the list. It belongs to the loop.
+type Manager struct {
+	loop           Loop
+	log            *slog.Logger
+	options        Options
+	reconciler     *reconcile.Reconciler
+	events         discovery.Events
+	discovery      Discovery // nil where the platform's discovery is none
+	recorder       *record.Recorder
+	generation     int64
+	listedCount    int    // servers in the list
+	tickSequence   uint64 // grows with each call of the judge that is hung up: the ones before come to nothing
+	started        bool
+	pendingSources map[string]bool // sources that have not been heard yet
+
+	unsaved    bool // the list has changed since it was saved
+	saving     bool
+	nextSaveAt float64
 }
 
-const saveEvery = 5000 // ms between snapshots
+const saveIntervalMs = 5000 // ms between snapshots
 
 // New makes members; known is what is known at the start.
-func New(l Loop, log *slog.Logger, opt Options, events discovery.Events, known *discovery.List) *Members {
-	m := &Members{loop: l, log: log, opt: opt, events: events, due: map[string]bool{}}
-	for _, s := range opt.Judge.Sources {
-		m.due[s] = true
+func New(loop Loop, log *slog.Logger, options Options, events discovery.Events, known *discovery.List) *Manager {
+	m := &Manager{loop: loop, log: log, options: options, events: events, pendingSources: map[string]bool{}}
+	for _, source := range options.Reconcile.Sources {
+		m.pendingSources[source] = true
 	}
-	opt.Judge.Sources = append(append([]string(nil), opt.Judge.Sources...), Known)
-	m.judge = reconcile.New(opt.Judge)
-	r := &reconcile.Report{Whole: true}
+	options.Reconcile.Sources = append(append([]string(nil), options.Reconcile.Sources...), SourceInitial)
+	m.reconciler = reconcile.New(options.Reconcile)
+	report := &reconcile.Report{Full: true}
 	for i := range known.Instances {
-		if c, ok := claimOf(&known.Instances[i]); ok {
-			r.Claims = append(r.Claims, c)
+		if observation, ok := observationFromInstance(&known.Instances[i]); ok {
+			report.Observations = append(report.Observations, observation)
 		}
 	}
-	if opt.Snapshot != "" {
-		m.opt.Saver = snapshot.Path(opt.Snapshot)
+	if options.SnapshotPath != "" {
+		m.options.SnapshotStore = snapshot.FileStore(options.SnapshotPath)
 	}
-	if m.opt.Saver != nil {
-		f, err := m.opt.Saver.Load()
+	if m.options.SnapshotStore != nil {
+		file, err := m.options.SnapshotStore.Load()
 		switch {
 		case err != nil:
 			log.Warn("starting without the saved list", "err", err)
-		case f != nil:
-			for i := range f.Entries {
-				r.Claims = append(r.Claims, claimOfEntry(&f.Entries[i]))
+		case file != nil:
+			for i := range file.Entries {
+				report.Observations = append(report.Observations, observationFromEntry(&file.Entries[i]))
 			}
-			log.Info("starting with the saved list", "file", opt.Snapshot, "servers", len(f.Entries), "saved_s_ago", math.Round((l.Now()-f.SavedMs)/1000))
+			log.Info("starting with the saved list", "file", options.SnapshotPath, "servers", len(file.Entries), "saved_s_ago", math.Round((loop.Now()-file.SavedAtMs)/1000))
 		}
 	}
-	m.judge.Heard(l.Now(), Known, r)
+	m.reconciler.Observe(loop.Now(), SourceInitial, report)
 	return m
 }
 
-// Begin is the list that the core starts with.
-func (m *Members) Begin() discovery.List {
-	_, said := m.judge.Take()
-	m.tell(said)
-	l := discovery.List{Generation: m.gen, Reset: true}
-	for _, e := range m.judge.List() {
-		l.Instances = append(l.Instances, instanceOf(&e))
+// InitialList is the list that the core starts with.
+func (m *Manager) InitialList() discovery.List {
+	_, decisions := m.reconciler.TakeChanges()
+	m.recordDecisions(decisions)
+	list := discovery.List{Generation: m.generation, Reset: true}
+	for _, entry := range m.reconciler.List() {
+		list.Instances = append(list.Instances, instanceFromEntry(&entry))
 	}
-	m.shown, m.ready = len(l.Instances), true
-	return l
+	m.listedCount, m.started = len(list.Instances), true
+	return list
 }
 
-// Use has the platform's discovery asked.
-func (m *Members) Use(d Directory) { m.dir = d }
+// SetDiscovery has the platform's discovery asked.
+func (m *Manager) SetDiscovery(discovery Discovery) { m.discovery = discovery }
 
-// Record has what is said and judged recorded.
-func (m *Members) Record(r *record.Recorder) { m.rec = r }
+// SetRecorder has what is said and judged recorded.
+func (m *Manager) SetRecorder(recorder *record.Recorder) { m.recorder = recorder }
 
 // Watch is core.Directory's.
-func (m *Members) Watch() {
-	if m.dir != nil {
-		m.dir.Watch()
+func (m *Manager) Watch() {
+	if m.discovery != nil {
+		m.discovery.Watch()
 	}
 }
 
 // Fetch is core.Directory's.
-func (m *Members) Fetch() {
-	if m.dir != nil {
-		m.dir.Fetch()
+func (m *Manager) Fetch() {
+	if m.discovery != nil {
+		m.discovery.Fetch()
 	}
 }
 
 // Listed is discovery.Events'.
-func (m *Members) Listed(l *discovery.List) {
-	m.Heard(Platform, ReportOf(l))
+func (m *Manager) Listed(list *discovery.List) {
+	m.Observe(SourcePlatform, ReportFromList(list))
 }
 
-// ReportOf is what a list in the platform's form says.
-func ReportOf(l *discovery.List) *reconcile.Report {
-	r := &reconcile.Report{Whole: l.Reset, Generation: l.Generation}
-	for i := range l.Instances {
-		n := &l.Instances[i]
-		if n.Lifecycle == "removed" {
-			r.Removed = append(r.Removed, n.ID)
-		} else if c, ok := claimOf(n); ok {
-			r.Claims = append(r.Claims, c)
+// ReportFromList is what a list in the platform's form says.
+func ReportFromList(list *discovery.List) *reconcile.Report {
+	report := &reconcile.Report{Full: list.Reset, Generation: list.Generation}
+	for i := range list.Instances {
+		instance := &list.Instances[i]
+		if instance.Lifecycle == "removed" {
+			report.Removed = append(report.Removed, instance.ID)
+		} else if observation, ok := observationFromInstance(instance); ok {
+			report.Observations = append(report.Observations, observation)
 		}
 	}
-	return r
+	return report
 }
 
 // ListFailed is discovery.Events'. The core asks again, as ever.
-func (m *Members) ListFailed() {
-	m.Lost(Platform, "its watch ended")
+func (m *Manager) ListFailed() {
+	m.SourceLost(SourcePlatform, "its watch ended")
 	m.events.ListFailed()
 }
 
-// Heard is consul.Sink's.
-func (m *Members) Heard(source string, r *reconcile.Report) {
+// Observe is consul.Sink's.
+func (m *Manager) Observe(source string, report *reconcile.Report) {
 	now := m.loop.Now()
-	m.recordSaid(source, r)
-	if m.judge.Heard(now, source, r) && source == Platform {
+	m.recordReport(source, report)
+	if m.reconciler.Observe(now, source, report) && source == SourcePlatform {
 		m.Fetch()
 	}
-	if !r.More {
-		delete(m.due, source)
+	if !report.MoreToCome {
+		delete(m.pendingSources, source)
 	}
-	if len(m.due) == 0 {
-		m.due = map[string]bool{"": true} // once
-		m.judge.Retire(now, Known)
+	if len(m.pendingSources) == 0 {
+		m.pendingSources = map[string]bool{"": true} // once
+		m.reconciler.RetireSource(now, SourceInitial)
 	}
 	m.publish()
 }
 
-// Lost is consul.Sink's.
-func (m *Members) Lost(source, why string) {
-	m.judge.Lost(m.loop.Now(), source, why)
+// SourceLost is consul.Sink's.
+func (m *Manager) SourceLost(source, reason string) {
+	m.reconciler.SourceLost(m.loop.Now(), source, reason)
 	m.publish()
 }
 
-// Noted is consul.Sink's.
-func (m *Members) Noted(source string, w reconcile.What, why string) {
-	m.judge.Noted(m.loop.Now(), source, w, why)
+// Note is consul.Sink's.
+func (m *Manager) Note(source string, kind reconcile.DecisionKind, reason string) {
+	m.reconciler.Note(m.loop.Now(), source, kind, reason)
 	m.publish()
 }
 
 // ServerReported is core.ReportSink's: what a server said of itself in an answer or a probe's.
-func (m *Members) ServerReported(server string, primary, replica bool, position float64) {
-	w := reconcile.Word{Position: position}
+func (m *Manager) ServerReported(server string, primary, replica bool, position float64) {
+	report := reconcile.SelfReport{Position: position}
 	switch {
 	case primary:
-		w.Role = reconcile.Primary
+		report.Role = reconcile.Primary
 	case replica:
-		w.Role = reconcile.Replica
+		report.Role = reconcile.Replica
 	}
-	if m.judge.Told(m.loop.Now(), server, w); m.ready && m.emit() { // most answers say nothing new
-		m.again()
+	if m.reconciler.ObserveServer(m.loop.Now(), server, report); m.started && m.publishChanges() { // most answers say nothing new
+		m.scheduleTick()
 	}
 }
 
 // Override takes the operators' word.
-func (m *Members) Override(o reconcile.Override) {
-	m.judge.Override(m.loop.Now(), o)
+func (m *Manager) Override(override reconcile.Override) {
+	m.reconciler.Override(m.loop.Now(), override)
 	m.publish()
 }
 
 // publish carries on what the judge has made, and sees to it that it is called in time.
-func (m *Members) publish() {
-	if m.ready {
-		m.emit()
-		m.again()
+func (m *Manager) publish() {
+	if m.started {
+		m.publishChanges()
+		m.scheduleTick()
 	}
 }
 
-// emit carries on what the judge has made, and tells whether there was anything.
-func (m *Members) emit() bool {
-	out, said := m.judge.Take()
-	m.tell(said)
-	if len(out) > 0 {
-		m.gen++
-		l := discovery.List{Generation: m.gen, Reset: m.shown == 0}
-		for i := range out {
-			if n := instanceOf(&out[i]); !l.Reset || n.Lifecycle != "removed" {
-				l.Instances = append(l.Instances, n)
+// publishChanges carries on what the judge has made, and tells whether there was anything.
+func (m *Manager) publishChanges() bool {
+	changes, decisions := m.reconciler.TakeChanges()
+	m.recordDecisions(decisions)
+	if len(changes) > 0 {
+		m.generation++
+		list := discovery.List{Generation: m.generation, Reset: m.listedCount == 0}
+		for i := range changes {
+			if instance := instanceFromEntry(&changes[i]); !list.Reset || instance.Lifecycle != "removed" {
+				list.Instances = append(list.Instances, instance)
 			}
 		}
-		m.shown = m.judge.Len()
-		m.events.Listed(&l)
-		m.dirty = true
-		m.save()
+		m.listedCount = m.reconciler.Len()
+		m.events.Listed(&list)
+		m.unsaved = true
+		m.saveSnapshot()
 	}
-	return len(out)+len(said) > 0
+	return len(changes)+len(decisions) > 0
 }
 
-// again hangs up the judge's next call.
-func (m *Members) again() {
-	m.hung++
-	no, next := m.hung, m.judge.Tick(m.loop.Now())
-	m.emit()
+// scheduleTick hangs up the judge's next call.
+func (m *Manager) scheduleTick() {
+	m.tickSequence++
+	sequence, next := m.tickSequence, m.reconciler.Tick(m.loop.Now())
+	m.publishChanges()
 	if next > 0 {
 		m.loop.At(max(next, m.loop.Now()+1), func() {
-			if m.hung == no {
-				m.again()
+			if m.tickSequence == sequence {
+				m.scheduleTick()
 			}
 		})
 	}
 }
 
-// tell logs and records judgements.
-func (m *Members) tell(said []reconcile.Judgement) {
-	for i := range said {
-		g := &said[i]
-		m.log.Info("members", "what", string(g.What), "server", g.Server, "source", g.Source, "why", g.Why)
-		m.rec.Put(&record.Event{At: m.loop.Now(), Kind: recordpb.Kind_KIND_JUDGED, Server: g.Server, Group: int64(g.Group), Source: g.Source, Text: string(g.What) + ": " + g.Why})
+// recordDecisions logs and records judgements.
+func (m *Manager) recordDecisions(decisions []reconcile.Decision) {
+	for i := range decisions {
+		decision := &decisions[i]
+		m.log.Info("members", "what", string(decision.Kind), "server", decision.Server, "source", decision.Source, "why", decision.Reason)
+		m.recorder.Put(&record.Event{At: m.loop.Now(), Kind: recordpb.Kind_KIND_JUDGED, Server: decision.Server, Group: int64(decision.Group), Source: decision.Source, Text: string(decision.Kind) + ": " + decision.Reason})
 	}
 }
 
-func (m *Members) recordSaid(source string, r *reconcile.Report) {
-	if !m.rec.On() {
+func (m *Manager) recordReport(source string, report *reconcile.Report) {
+	if !m.recorder.On() {
 		return
 	}
 	now := m.loop.Now()
-	for i := range r.Claims {
-		c := &r.Claims[i]
-		m.rec.Put(&record.Event{At: now, Kind: recordpb.Kind_KIND_SAID, Server: c.ID, Group: int64(c.Group), Source: source, Health: uint8(c.Health), Role: uint8(c.Role),
-			Primary: c.Role == reconcile.Primary, Number: int64(c.Started), Text: c.Address})
+	for i := range report.Observations {
+		observation := &report.Observations[i]
+		m.recorder.Put(&record.Event{At: now, Kind: recordpb.Kind_KIND_SAID, Server: observation.ID, Group: int64(observation.Group), Source: source, Health: uint8(observation.Health), Role: uint8(observation.Role),
+			Primary: observation.Role == reconcile.Primary, Number: int64(observation.Started), Text: observation.Address})
 	}
-	for _, id := range r.Removed {
-		m.rec.Put(&record.Event{At: now, Kind: recordpb.Kind_KIND_SAID, Server: id, Source: source, State: uint8(reconcile.Gone)})
+	for _, id := range report.Removed {
+		m.recorder.Put(&record.Event{At: now, Kind: recordpb.Kind_KIND_SAID, Server: id, Source: source, State: uint8(reconcile.StateRemoved)})
 	}
 }
 
-// save writes the snapshot, not too often and one at a time, on a goroutine of its own.
-func (m *Members) save() {
-	if m.opt.Saver == nil || m.saving || !m.dirty || m.shown == 0 {
+// saveSnapshot writes the snapshot, not too often and one at a time, on a goroutine of its own.
+func (m *Manager) saveSnapshot() {
+	if m.options.SnapshotStore == nil || m.saving || !m.unsaved || m.listedCount == 0 {
 		return
 	}
 	now := m.loop.Now()
-	if now < m.saveAt {
+	if now < m.nextSaveAt {
 		m.saving = true
-		m.loop.At(m.saveAt, func() { m.saving = false; m.save() })
+		m.loop.At(m.nextSaveAt, func() { m.saving = false; m.saveSnapshot() })
 		return
 	}
-	m.saving, m.dirty, m.saveAt = true, false, now+saveEvery
-	f := &snapshot.File{SavedMs: clock.Wall(), Entries: m.judge.List()}
+	m.saving, m.unsaved, m.nextSaveAt = true, false, now+saveIntervalMs
+	file := &snapshot.File{SavedAtMs: clock.Wall(), Entries: m.reconciler.List()}
 	go func() {
-		err := m.opt.Saver.Save(f)
+		err := m.options.SnapshotStore.Save(file)
 		m.loop.Post(func() {
 			m.saving = false
 			if err != nil {
 				m.log.Warn("the list could not be saved", "err", err)
 				return
 			}
-			m.save()
+			m.saveSnapshot()
 		})
 	}()
 }
 
-// claimOf is what an entry of the platform's form says.
-func claimOf(n *discovery.Instance) (reconcile.Claim, bool) {
-	c := reconcile.Claim{ID: n.ID, Address: n.HostPort, Group: n.Cell, Zone: n.Zone, Kind: n.MachineType, Weight: n.Weight, Started: float64(n.StartedAtMs)}
-	switch n.Role {
+// observationFromInstance is what an entry of the platform's form says.
+func observationFromInstance(instance *discovery.Instance) (reconcile.Observation, bool) {
+	observation := reconcile.Observation{ID: instance.ID, Address: instance.HostPort, Group: instance.Cell, Zone: instance.Zone, Kind: instance.MachineType, Weight: instance.Weight, Started: float64(instance.StartedAtMs)}
+	switch instance.Role {
 	case "primary":
-		c.Role = reconcile.Primary
+		observation.Role = reconcile.Primary
 	case "replica":
-		c.Role = reconcile.Replica
+		observation.Role = reconcile.Replica
 	}
-	if n.Lifecycle == "draining" {
-		c.Health = reconcile.Maintenance
+	if instance.Lifecycle == "draining" {
+		observation.Health = reconcile.Maintenance
 	}
-	return c, n.ID != "" && n.HostPort != "" && n.Lifecycle != "removed"
+	return observation, instance.ID != "" && instance.HostPort != "" && instance.Lifecycle != "removed"
 }
 
-func claimOfEntry(e *reconcile.Entry) reconcile.Claim {
-	c := reconcile.Claim{ID: e.ID, Address: e.Address, Group: e.Group, Zone: e.Zone, Kind: e.Kind, Weight: e.Weight, Started: e.Started}
-	if e.State == reconcile.Draining {
-		c.Health = reconcile.Maintenance
+func observationFromEntry(entry *reconcile.Entry) reconcile.Observation {
+	observation := reconcile.Observation{ID: entry.ID, Address: entry.Address, Group: entry.Group, Zone: entry.Zone, Kind: entry.Kind, Weight: entry.Weight, Started: entry.Started}
+	if entry.State == reconcile.StateDraining {
+		observation.Health = reconcile.Maintenance
 	}
-	if e.Primary {
-		c.Role = reconcile.Primary
+	if entry.Primary {
+		observation.Role = reconcile.Primary
 	}
-	return c
+	return observation
 }
 
-// instanceOf is an entry of the list in the form that the core takes.
-func instanceOf(e *reconcile.Entry) discovery.Instance {
-	n := discovery.Instance{ID: e.ID, HostPort: e.Address, Zone: e.Zone, MachineType: e.Kind, Cell: e.Group, Weight: e.Weight, StartedAtMs: int64(e.Started),
-		Lifecycle: [...]string{"up", "draining", "removed"}[e.State]}
-	if n.Weight <= 0 {
-		n.Weight = 1
+// instanceFromEntry is an entry of the list in the form that the core takes.
+func instanceFromEntry(entry *reconcile.Entry) discovery.Instance {
+	instance := discovery.Instance{ID: entry.ID, HostPort: entry.Address, Zone: entry.Zone, MachineType: entry.Kind, Cell: entry.Group, Weight: entry.Weight, StartedAtMs: int64(entry.Started),
+		Lifecycle: [...]string{"up", "draining", "removed"}[entry.State]}
+	if instance.Weight <= 0 {
+		instance.Weight = 1
 	}
-	if e.Primary {
-		n.Role = "primary"
+	if entry.Primary {
+		instance.Role = "primary"
 	}
-	return n
+	return instance
 }
 
 // Entry is a server as the list has it.
-func (m *Members) Entry(id string) (reconcile.Entry, bool) { return m.judge.Entry(id) }
+func (m *Manager) Entry(id string) (reconcile.Entry, bool) { return m.reconciler.Entry(id) }
 
-// Sum says in a line what the list holds.
-func (m *Members) Sum() string {
-	return fmt.Sprintf("%d servers, %d removals held back", m.shown, m.judge.Held())
+// Summary says in a line what the list holds.
+func (m *Manager) Summary() string {
+	return fmt.Sprintf("%d servers, %d removals held back", m.listedCount, m.reconciler.HeldRemovals())
 }
--- a/internal/endpoints/members_test.go
+++ b/internal/endpoints/members_test.go
@@ -15,7 +15,7 @@
 
 // rig is members on a loop that a test drives; it is discovery.Events too.
 type rig struct {
-	*Members
+	*Manager
 	now    float64
 	due    []func()
 	list   map[string]discovery.Instance
@@ -56,8 +56,8 @@
 
 func newRig(known []discovery.Instance, sources ...string) *rig {
 	r := &rig{now: 1e6, list: map[string]discovery.Instance{}}
-	r.Members = New(r, slog.New(slog.DiscardHandler), Options{Judge: reconcile.Defaults(sources...), Platform: slices.Contains(sources, Platform)}, events{r}, &discovery.List{Instances: known})
-	for _, n := range r.Begin().Instances {
+	r.Manager = New(r, slog.New(slog.DiscardHandler), Options{Reconcile: reconcile.Defaults(sources...), Platform: slices.Contains(sources, SourcePlatform)}, events{r}, &discovery.List{Instances: known})
+	for _, n := range r.InitialList().Instances {
 		r.list[n.ID] = n
 	}
 	return r
@@ -67,20 +67,24 @@
 	return discovery.Instance{ID: id, HostPort: id + ":5432", Lifecycle: "up", Weight: 1}
 }
 
-func claim(id string) reconcile.Claim {
-	return reconcile.Claim{ID: id, Address: id + ":5432", Weight: 1}
+func claim(id string) reconcile.Observation {
+	return reconcile.Observation{ID: id, Address: id + ":5432", Weight: 1}
 }
 
 // TestKnownUntilAllAreHeard: what was known at the start stands until each source has said all that it has, not just a part.
 func TestKnownUntilAllAreHeard(t *testing.T) {
-	r := newRig([]discovery.Instance{up("a"), up("b"), up("old")}, Consul, Static)
+	r := newRig([]discovery.Instance{up("a"), up("b"), up("old")}, SourceConsul, SourceStatic)
 	var got []string
 	for _, step := range []func(){
 		func() {},
-		func() { r.Heard(Consul, &reconcile.Report{Claims: []reconcile.Claim{claim("a")}, More: true}) },
-		func() { r.Heard(Static, &reconcile.Report{Whole: true, Claims: []reconcile.Claim{claim("c")}}) },
-		func() { r.Heard(Consul, &reconcile.Report{Claims: []reconcile.Claim{claim("b")}}) },
-		func() { r.Heard(Consul, &reconcile.Report{Removed: []string{"b"}}) },
+		func() {
+			r.Observe(SourceConsul, &reconcile.Report{Observations: []reconcile.Observation{claim("a")}, MoreToCome: true})
+		},
+		func() {
+			r.Observe(SourceStatic, &reconcile.Report{Full: true, Observations: []reconcile.Observation{claim("c")}})
+		},
+		func() { r.Observe(SourceConsul, &reconcile.Report{Observations: []reconcile.Observation{claim("b")}}) },
+		func() { r.Observe(SourceConsul, &reconcile.Report{Removed: []string{"b"}}) },
 	} {
 		step()
 		got = append(got, r.sum())
@@ -92,7 +96,7 @@
 
 // TestWordsAndPlatform: servers' words reach the list's roles; the platform's changes and failures come through.
 func TestWordsAndPlatform(t *testing.T) {
-	r := newRig(nil, Platform)
+	r := newRig(nil, SourcePlatform)
 	a, b := up("a"), up("b")
 	a.Role = "primary"
 	r.Listed(&discovery.List{Generation: 5, Reset: true, Instances: []discovery.Instance{a, b}})
@@ -107,15 +111,15 @@
 		t.Error(diff)
 	}
 	asked := &fetches{}
-	r.Use(asked)
+	r.SetDiscovery(asked)
 	b.Lifecycle = "up"
 	r.Listed(&discovery.List{Generation: 2, Instances: []discovery.Instance{b}}) // changes that go back
 	if r.ListFailed(); r.failed != 1 || asked.n != 1 || r.sum() != "a up, b draining" {
 		t.Errorf("%d failures, %d asked for the whole list; %s", r.failed, asked.n, r.sum())
 	}
 	r.Listed(&discovery.List{Generation: 2, Reset: true, Instances: []discovery.Instance{b}})
-	if r.Sum() != "1 servers, 0 removals held back" || r.sum() != "b up primary" {
-		t.Errorf("%s; %s", r.Sum(), r.sum())
+	if r.Summary() != "1 servers, 0 removals held back" || r.sum() != "b up primary" {
+		t.Errorf("%s; %s", r.Summary(), r.sum())
 	}
 }
 
--- a/internal/endpoints/reconcile/api.go
+++ b/internal/endpoints/reconcile/api.go
@@ -27,8 +27,8 @@
 
 func (r Role) String() string { return [...]string{"unknown", "primary", "replica"}[r] }
 
-// Claim is what one source says of one server.
-type Claim struct {
+// Observation is what one source says of one server.
+type Observation struct {
 	ID      string
 	Address string
 	Group   int
@@ -42,12 +42,12 @@
 
 // Report is news from a source: all that it has, or what changed since its last.
 type Report struct {
-	Whole      bool
-	Claims     []Claim
-	Removed    []string
-	Generation int64   // 0 where the source has none
-	Age        float64 // how old the source itself calls its news
-	More       bool    // the source has not said all that it has yet
+	Full         bool
+	Observations []Observation
+	Removed      []string
+	Generation   int64   // 0 where the source has none
+	AgeMs        float64 // how old the source itself calls its news
+	MoreToCome   bool    // the source has not said all that it has yet
 }
 
 // State is a server's state in the list that is made.
@@ -55,9 +55,9 @@
 
 // The states.
 const (
-	Serving State = iota
-	Draining
-	Gone
+	StateServing State = iota
+	StateDraining
+	StateRemoved
 )
 
 func (s State) String() string { return [...]string{"serving", "draining", "gone"}[s] }
@@ -75,80 +75,80 @@
 	Primary bool    `json:"Primary"`
 }
 
-// Word is what a server said of itself, in an answer or a probe's.
-type Word struct {
+// SelfReport is what a server said of itself, in an answer or a probe's.
+type SelfReport struct {
 	Role     Role
 	Position float64 // 0 where it told none
 }
 
-// What says what a judgement is about.
-type What string
+// DecisionKind says what a judgement is about.
+type DecisionKind string
 
 // The judgements.
 const (
-	Added        What = "added"
-	Drained      What = "drained"
-	Restored     What = "serving again"
-	Removed      What = "removed"
-	Restarted    What = "restarted"
-	Moved        What = "moved"
-	HeldRemoval  What = "removal held back"
-	Released     What = "removal accepted"
-	Flapping     What = "flapping"
-	Settled      What = "settled"
-	TwoAddresses What = "two addresses"
-	TwoIDs       What = "one address under two ids"
-	TwoPrimaries What = "two primaries"
-	NoPrimary    What = "no primary"
-	NotBelieved  What = "not believed"
-	WentBack     What = "went back"
-	SourceLost   What = "source lost"
-	SourceBack   What = "source back"
-	Expired      What = "expired"
-	Pinned       What = "pinned"
+	Added                DecisionKind = "added"
+	Drained              DecisionKind = "drained"
+	Restored             DecisionKind = "serving again"
+	Removed              DecisionKind = "removed"
+	Restarted            DecisionKind = "restarted"
+	Moved                DecisionKind = "moved"
+	RemovalHeldBack      DecisionKind = "removal held back"
+	RemovalAccepted      DecisionKind = "removal accepted"
+	Flapping             DecisionKind = "flapping"
+	Stabilized           DecisionKind = "settled"
+	ConflictingAddresses DecisionKind = "two addresses"
+	DuplicateAddress     DecisionKind = "one address under two ids"
+	MultiplePrimaries    DecisionKind = "two primaries"
+	NoPrimary            DecisionKind = "no primary"
+	Rejected             DecisionKind = "not believed"
+	Regressed            DecisionKind = "went back"
+	SourceLost           DecisionKind = "source lost"
+	SourceRecovered      DecisionKind = "source back"
+	Expired              DecisionKind = "expired"
+	Pinned               DecisionKind = "pinned"
 )
 
-// Judgement is a decision with its reason.
-type Judgement struct {
+// Decision is a decision with its reason.
+type Decision struct {
 	At     float64
-	What   What
+	Kind   DecisionKind
 	Server string // empty where it is of a source
 	Group  int
 	Source string // whose word it went by, or against; empty for none
-	Why    string
+	Reason string
 }
 
-// OnCritical says what a critical check means.
-type OnCritical uint8
+// CriticalPolicy says what a critical check means.
+type CriticalPolicy uint8
 
 // The ways.
 const (
-	Doubt  OnCritical = iota // it is used if it has answered lately
-	Drains                   // it is not used, unless most of its group is critical
-	Ignore
+	CriticalUseIfResponding CriticalPolicy = iota // it is used if it has answered lately
+	CriticalDrain                                 // it is not used, unless most of its group is critical
+	CriticalIgnore
 )
 
 // Settings are the judge's. The zero value of a time or number switches its rule off.
 type Settings struct {
-	Sources   []string // by rank: where they contradict each other, the first that has a word on it wins
-	Keep      float64  // a source that is lost counts for so long, 0 for ever
-	OldAge    float64  // news that their source calls older than this lose to others'
-	MassPart  float64  // a source that drops this part of its servers within MassIn...
-	MassLeast int      // ...and at least so many is not believed at first...
-	MassIn    float64
-	MassHold  float64 // ...but after so long; 0 for not without the operators' word
-	FlapTimes int     // a server that comes and goes so often within FlapIn...
-	FlapIn    float64
-	FlapHold  float64 // ...is not used until it has kept still for so long
-	WordFor   float64 // a server's own word counts above all sources' for so long
-	Critical  OnCritical
-
-	TrustRoles bool // take sources' roles over servers' own words; what is right has it off
+	Sources             []string // by rank: where they contradict each other, the first that has a word on it wins
+	SourceRetentionMs   float64  // a source that is lost counts for so long, 0 for ever
+	StaleAgeMs          float64  // news that their source calls older than this lose to others'
+	MassRemovalFraction float64  // a source that drops this part of its servers within MassRemovalWindowMs...
+	MassRemovalMinimum  int      // ...and at least so many is not believed at first...
+	MassRemovalWindowMs float64
+	MassRemovalHoldMs   float64 // ...but after so long; 0 for not without the operators' word
+	FlapThreshold       int     // a server that comes and goes so often within FlapWindowMs...
+	FlapWindowMs        float64
+	FlapHoldMs          float64 // ...is not used until it has kept still for so long
+	SelfReportTTLMs     float64 // a server's own word counts above all sources' for so long
+	Critical            CriticalPolicy
+
+	TrustSourceRoles bool // take sources' roles over servers' own words; what is right has it off
 }
 
 // Defaults are what installations have where they say nothing.
 func Defaults(sources ...string) Settings {
-	return Settings{Sources: sources, OldAge: 10000, MassPart: 0.5, MassLeast: 3, MassIn: 30000, MassHold: 600000, FlapTimes: 6, FlapIn: 60000, FlapHold: 20000, WordFor: 30000}
+	return Settings{Sources: sources, StaleAgeMs: 10000, MassRemovalFraction: 0.5, MassRemovalMinimum: 3, MassRemovalWindowMs: 30000, MassRemovalHoldMs: 600000, FlapThreshold: 6, FlapWindowMs: 60000, FlapHoldMs: 20000, SelfReportTTLMs: 30000}
 }
 
 // Pin is the operators' own word on a server.
@@ -159,6 +159,6 @@
 
 // Override is the operators' word, above all else.
 type Override struct {
-	AcceptRemovals bool // that are held back now
-	Pins           []Pin
+	AcceptHeldRemovals bool // that are held back now
+	Pins               []Pin
 }
