--- a/internal/endpoints/reconcile/hear.go
+++ b/internal/endpoints/reconcile/hear.go
@@ -5,203 +5,203 @@
 	"slices"
 )
 
-// Heard takes a source's news. It tells whether the source must be asked for all that it has: its changes do not fit.
-func (j *Judge) Heard(now float64, name string, r *Report) (askWhole bool) {
-	j.now = max(now, j.now)
-	src := j.byName[name]
-	if src == nil {
+// Observe takes a source's news. It tells whether the source must be asked for all that it has: its changes do not fit.
+func (r *Reconciler) Observe(now float64, sourceName string, report *Report) (needsFull bool) {
+	r.now = max(now, r.now)
+	source := r.sourcesByName[sourceName]
+	if source == nil {
 		return false
 	}
-	if src.lostAt != 0 {
-		if !j.standing(src) {
-			j.unsay(src)
+	if source.lostAt != 0 {
+		if !r.sourceCounts(source) {
+			r.forgetRemoved(source)
 		}
-		src.lostAt = 0
-		j.say(SourceBack, nil, name, "it can be had again")
-		j.touchAll(src)
+		source.lostAt = 0
+		r.addDecision(SourceRecovered, nil, sourceName, "it can be had again")
+		r.markSourceDirty(source)
 	}
-	if r.Generation != 0 && r.Generation < src.gen {
-		if !r.Whole {
-			j.say(WentBack, nil, name, "changes of generation %d after %d are not taken", r.Generation, src.gen)
+	if report.Generation != 0 && report.Generation < source.generation {
+		if !report.Full {
+			r.addDecision(Regressed, nil, sourceName, "changes of generation %d after %d are not taken", report.Generation, source.generation)
 			return true
 		}
-		j.say(WentBack, nil, name, "generation %d after %d: it began anew", r.Generation, src.gen)
+		r.addDecision(Regressed, nil, sourceName, "generation %d after %d: it began anew", report.Generation, source.generation)
 	}
-	if was := src.age > j.set.OldAge && j.set.OldAge > 0; was != (r.Age > j.set.OldAge && j.set.OldAge > 0) {
-		j.touchAll(src)
+	if wasStale := source.ageMs > r.settings.StaleAgeMs && r.settings.StaleAgeMs > 0; wasStale != (report.AgeMs > r.settings.StaleAgeMs && r.settings.StaleAgeMs > 0) {
+		r.markSourceDirty(source)
 	}
-	src.gen, src.age = r.Generation, r.Age
-	named := map[string]bool{}
-	for i := range r.Claims {
-		c := j.one(src, r.Claims, i, named)
-		if c == nil {
+	source.generation, source.ageMs = report.Generation, report.AgeMs
+	seen := map[string]bool{}
+	for i := range report.Observations {
+		observation := r.selectObservation(source, report.Observations, i, seen)
+		if observation == nil {
 			continue
 		}
-		delete(src.held, c.ID)
-		old := src.claims[c.ID]
-		x := &claim{Claim: *c}
-		if old != nil {
-			j.keepStart(src, old, x)
-			if !old.dropped && old.Claim == x.Claim {
-				old.backed = x.backed
+		delete(source.heldRemovals, observation.ID)
+		previous := source.observations[observation.ID]
+		updated := &storedObservation{Observation: *observation}
+		if previous != nil {
+			r.keepLatestStart(source, previous, updated)
+			if !previous.removed && previous.Observation == updated.Observation {
+				previous.rejectedStart = updated.rejectedStart
 				continue
 			}
 		}
-		src.claims[c.ID] = x
-		j.touch(c.ID).claims[src.rank] = x
-	}
-	drop := r.Removed
-	if r.Whole && src.heard {
-		for id, c := range src.claims {
-			if !named[id] && !c.dropped {
-				drop = append(drop, id)
+		source.observations[observation.ID] = updated
+		r.markDirty(observation.ID).observations[source.rank] = updated
+	}
+	removed := report.Removed
+	if report.Full && source.hasReported {
+		for id, observation := range source.observations {
+			if !seen[id] && !observation.removed {
+				removed = append(removed, id)
 			}
 		}
-		slices.Sort(drop)
+		slices.Sort(removed)
 	}
-	src.heard = true
-	j.drop(src, drop, r.Whole && len(named) == 0)
-	j.settle()
+	source.hasReported = true
+	r.handleRemovals(source, removed, report.Full && len(seen) == 0)
+	r.reconcileDirty()
 	return false
 }
 
-// one is the claim on a server where its source has only one, and the likeliest of several: of the process that started
+// selectObservation is the claim on a server where its source has only one, and the likeliest of several: of the process that started
 // last, else at the address that is known.
-func (j *Judge) one(src *source, all []Claim, i int, named map[string]bool) *Claim {
-	c := &all[i]
-	if c.ID == "" || named[c.ID] {
+func (r *Reconciler) selectObservation(source *sourceState, observations []Observation, index int, seen map[string]bool) *Observation {
+	observation := &observations[index]
+	if observation.ID == "" || seen[observation.ID] {
 		return nil
 	}
-	named[c.ID] = true
-	best := c
-	for k := i + 1; k < len(all); k++ {
-		o := &all[k]
-		if o.ID != c.ID || o.Address == best.Address {
+	seen[observation.ID] = true
+	best := observation
+	for k := index + 1; k < len(observations); k++ {
+		other := &observations[k]
+		if other.ID != observation.ID || other.Address == best.Address {
 			continue
 		}
-		known := ""
-		if s := j.servers[c.ID]; s != nil {
-			known = s.shown.Address
+		knownAddress := ""
+		if server := r.servers[observation.ID]; server != nil {
+			knownAddress = server.entry.Address
 		}
-		if o.Started > best.Started || o.Started == best.Started && o.Address == known {
-			best = o
+		if other.Started > best.Started || other.Started == best.Started && other.Address == knownAddress {
+			best = other
 		}
-		if s := j.touch(c.ID); s.conflict != c.Address+o.Address {
-			s.conflict = c.Address + o.Address
-			j.say(TwoAddresses, s, src.name, "%s and %s; %s is taken", c.Address, o.Address, best.Address)
+		if server := r.markDirty(observation.ID); server.lastConflict != observation.Address+other.Address {
+			server.lastConflict = observation.Address + other.Address
+			r.addDecision(ConflictingAddresses, server, source.name, "%s and %s; %s is taken", observation.Address, other.Address, best.Address)
 		}
 	}
 	return best
 }
 
-// keepStart keeps the later start where a source tells an earlier one: a process does not start again in the past.
-func (j *Judge) keepStart(src *source, old, c *claim) {
-	if c.backed = old.backed; c.Started >= old.Started {
+// keepLatestStart keeps the later start where a source tells an earlier one: a process does not start again in the past.
+func (r *Reconciler) keepLatestStart(source *sourceState, previous, observation *storedObservation) {
+	if observation.rejectedStart = previous.rejectedStart; observation.Started >= previous.Started {
 		return
 	}
-	if c.Started != old.backed {
-		j.say(WentBack, j.servers[c.ID], src.name, "its start went from %.0f to %.0f; the later one stands", old.Started, c.Started)
+	if observation.Started != previous.rejectedStart {
+		r.addDecision(Regressed, r.servers[observation.ID], source.name, "its start went from %.0f to %.0f; the later one stands", previous.Started, observation.Started)
 	}
-	c.backed, c.Started = c.Started, old.Started
+	observation.rejectedStart, observation.Started = observation.Started, previous.Started
 }
 
-// drop has a source drop servers, unless it drops too many, or all, to be believed.
-func (j *Judge) drop(src *source, ids []string, all bool) {
-	live := 0
-	left := map[int]int{}
-	for _, c := range src.claims {
-		if !c.dropped && src.held[c.ID] == 0 {
-			live++
-			left[c.Group]++
+// handleRemovals has a source drop servers, unless it drops too many, or all, to be believed.
+func (r *Reconciler) handleRemovals(source *sourceState, ids []string, removesAll bool) {
+	liveCount := 0
+	remainingByGroup := map[int]int{}
+	for _, observation := range source.observations {
+		if !observation.removed && source.heldRemovals[observation.ID] == 0 {
+			liveCount++
+			remainingByGroup[observation.Group]++
 		}
 	}
-	src.drops = slices.DeleteFunc(src.drops, func(at float64) bool { return j.now-at > j.set.MassIn })
-	base := live + len(src.drops)
+	source.removalTimes = slices.DeleteFunc(source.removalTimes, func(at float64) bool { return r.now-at > r.settings.MassRemovalWindowMs })
+	recentCount := liveCount + len(source.removalTimes)
 	ids = slices.DeleteFunc(slices.Clone(ids), func(id string) bool {
-		c := src.claims[id]
-		return c == nil || c.dropped || src.held[id] != 0
+		observation := source.observations[id]
+		return observation == nil || observation.removed || source.heldRemovals[id] != 0
 	})
-	n := len(src.drops) + len(ids)
-	mass := j.set.MassPart > 0 && (n >= j.set.MassLeast && float64(n) >= j.set.MassPart*float64(base) || all && live > 1)
+	removalCount := len(source.removalTimes) + len(ids)
+	isMassRemoval := r.settings.MassRemovalFraction > 0 && (removalCount >= r.settings.MassRemovalMinimum && float64(removalCount) >= r.settings.MassRemovalFraction*float64(recentCount) || removesAll && liveCount > 1)
 	for _, id := range ids {
-		left[src.claims[id].Group]--
+		remainingByGroup[source.observations[id].Group]--
 	}
 	for _, id := range ids {
-		c := src.claims[id]
-		empty := j.set.MassPart > 0 && left[c.Group] == 0 && base > 1
-		if mass || empty {
-			src.held[id] = j.now
-			why := fmt.Sprintf("%d of %d within %.0f s", n, base, j.set.MassIn/1000)
-			if !mass {
-				why = fmt.Sprintf("group %d would have no server left", c.Group)
+		observation := source.observations[id]
+		emptiesGroup := r.settings.MassRemovalFraction > 0 && remainingByGroup[observation.Group] == 0 && recentCount > 1
+		if isMassRemoval || emptiesGroup {
+			source.heldRemovals[id] = r.now
+			reason := fmt.Sprintf("%d of %d within %.0f s", removalCount, recentCount, r.settings.MassRemovalWindowMs/1000)
+			if !isMassRemoval {
+				reason = fmt.Sprintf("group %d would have no server left", observation.Group)
 			}
-			j.say(HeldRemoval, j.servers[id], src.name, "%s", why)
+			r.addDecision(RemovalHeldBack, r.servers[id], source.name, "%s", reason)
 		} else {
-			src.drops = append(src.drops, j.now)
-			j.dropped(src, c)
+			source.removalTimes = append(source.removalTimes, r.now)
+			r.markRemoved(source, observation)
 		}
 	}
 }
 
-// Noted has a judgement of a source kept that this module has no part in.
-func (j *Judge) Noted(now float64, name string, what What, why string) {
-	j.now = max(now, j.now)
-	j.say(what, nil, name, "%s", why)
+// Note has a judgement of a source kept that this module has no part in.
+func (r *Reconciler) Note(now float64, sourceName string, kind DecisionKind, reason string) {
+	r.now = max(now, r.now)
+	r.addDecision(kind, nil, sourceName, "%s", reason)
 }
 
-func (j *Judge) dropped(src *source, c *claim) {
-	c.dropped = true
-	delete(src.held, c.ID)
-	j.touch(c.ID)
+func (r *Reconciler) markRemoved(source *sourceState, observation *storedObservation) {
+	observation.removed = true
+	delete(source.heldRemovals, observation.ID)
+	r.markDirty(observation.ID)
 }
 
-// unsay forgets what a source dropped before it was lost for too long: others have had the word on that since.
-func (j *Judge) unsay(src *source) {
-	for id, c := range src.claims {
-		if c.dropped {
-			delete(src.claims, id)
-			j.touch(id).claims[src.rank] = nil
+// forgetRemoved forgets what a source dropped before it was lost for too long: others have had the word on that since.
+func (r *Reconciler) forgetRemoved(source *sourceState) {
+	for id, observation := range source.observations {
+		if observation.removed {
+			delete(source.observations, id)
+			r.markDirty(id).observations[source.rank] = nil
 		}
 	}
 }
 
-// Lost tells that a source cannot be had. What it said stands for a while.
-func (j *Judge) Lost(now float64, name, why string) {
-	j.now = max(now, j.now)
-	if src := j.byName[name]; src != nil && src.lostAt == 0 {
-		src.lostAt = max(j.now, 1)
-		keep := "until it is back"
-		if j.set.Keep > 0 {
-			keep = fmt.Sprintf("for %.0f s", j.set.Keep/1000)
+// SourceLost tells that a source cannot be had. What it said stands for a while.
+func (r *Reconciler) SourceLost(now float64, sourceName, reason string) {
+	r.now = max(now, r.now)
+	if source := r.sourcesByName[sourceName]; source != nil && source.lostAt == 0 {
+		source.lostAt = max(r.now, 1)
+		retention := "until it is back"
+		if r.settings.SourceRetentionMs > 0 {
+			retention = fmt.Sprintf("for %.0f s", r.settings.SourceRetentionMs/1000)
 		}
-		j.say(SourceLost, nil, name, "%s; what it said last stands %s", why, keep)
+		r.addDecision(SourceLost, nil, sourceName, "%s; what it said last stands %s", reason, retention)
 	}
 }
 
-// Told takes a server's own word, by the id that the list has for it.
-func (j *Judge) Told(now float64, id string, w Word) {
-	j.now = max(now, j.now)
-	s := j.named[id]
-	if s == nil {
+// ObserveServer takes a server's own word, by the id that the list has for it.
+func (r *Reconciler) ObserveServer(now float64, id string, report SelfReport) {
+	r.now = max(now, r.now)
+	server := r.listedByID[id]
+	if server == nil {
 		return
 	}
-	x := j.words[s.shown.Address]
-	if x == nil {
-		x = &word{started: s.shown.Started}
-		j.words[s.shown.Address] = x
+	stored := r.selfReports[server.entry.Address]
+	if stored == nil {
+		stored = &selfReportState{processStarted: server.entry.Started}
+		r.selfReports[server.entry.Address] = stored
 	}
-	x.at = j.now
-	x.position = max(x.position, w.Position)
-	if w.Role != RoleUnknown {
-		if x.role != w.Role || j.now-x.roleAt > j.set.WordFor { // it changed, or counted no more
-			j.dirty[s.id] = s
+	stored.respondedAt = r.now
+	stored.position = max(stored.position, report.Position)
+	if report.Role != RoleUnknown {
+		if stored.role != report.Role || r.now-stored.roleReportedAt > r.settings.SelfReportTTLMs { // it changed, or counted no more
+			r.dirty[server.id] = server
 		}
-		x.role, x.roleAt = w.Role, j.now
+		stored.role, stored.roleReportedAt = report.Role, r.now
 	}
-	if s.want == Draining && j.set.Critical == Doubt && !s.doubted {
-		j.dirty[s.id] = s // its answer may speak for it
+	if server.sourceState == StateDraining && r.settings.Critical == CriticalUseIfResponding && !server.usedWhileCritical {
+		r.dirty[server.id] = server // its answer may speak for it
 	}
-	if len(j.dirty) > 0 {
-		j.settle()
+	if len(r.dirty) > 0 {
+		r.reconcileDirty()
 	}
 }
--- a/internal/endpoints/reconcile/judge.go
+++ b/internal/endpoints/reconcile/judge.go
@@ -8,205 +8,205 @@
 	"slices"
 )
 
-// Judge makes the list. It is not safe for concurrent use.
-type Judge struct {
-	set     Settings
-	now     float64
-	sources []*source
-	byName  map[string]*source
-	servers map[string]*server
-	named   map[string]*server // by the ids that the list has for them
-	words   map[string]*word   // by address: it is the process there that speaks
-	addrs   map[string][]*server
-	twins   map[string][]string // ids that are not listed, as their address is under another
-	dirty   map[string]*server
-	groups  map[int]*group
-	out     []Entry
-	said    []Judgement
-	pins    map[string]State
-}
-
-type source struct {
-	name   string
-	rank   int
-	claims map[string]*claim
-	gen    int64
-	heard  bool
-	lostAt float64 // 0 while it can be had
-	age    float64
-	drops  []float64 // when it dropped servers, within MassIn
-	held   map[string]float64
-}
-
-// claim is a source's word as it stands; one that the source has dropped is held back, or marked as dropped.
-type claim struct {
-	Claim
-	dropped bool
-	backed  float64 // an earlier start that was told since, and not taken
-}
-
-type word struct {
-	role     Role
-	roleAt   float64
-	position float64
-	at       float64 // it answered last
-	started  float64 // of the process that spoke
-}
-
-type server struct {
-	id       string
-	name     string   // the list's id for it: its own, or that which its process had before
-	claims   []*claim // by the source's rank, nil for none
-	shown    Entry
-	listed   bool // shown is in the list
-	flips    []float64
-	stillAt  float64 // it counts as flapping until then, 0 for not
-	want     State   // what sources come to, before flapping
-	doubted  bool    // it is critical and used for its answers
-	conflict string  // two addresses that were told of
-	role     Role    // as a source had it when that was last disbelieved
-}
-
-type group struct {
-	id      int
-	members map[string]*server
-	said    What
+// Reconciler makes the list. It is not safe for concurrent use.
+type Reconciler struct {
+	settings        Settings
+	now             float64
+	sources         []*sourceState
+	sourcesByName   map[string]*sourceState
+	servers         map[string]*serverState
+	listedByID      map[string]*serverState     // by the ids that the list has for them
+	selfReports     map[string]*selfReportState // by address: it is the process there that speaks
+	listedByAddress map[string][]*serverState
+	duplicates      map[string][]string // ids that are not listed, as their address is under another
+	dirty           map[string]*serverState
+	groups          map[int]*groupState
+	changes         []Entry
+	decisions       []Decision
+	pins            map[string]State
+}
+
+type sourceState struct {
+	name         string
+	rank         int
+	observations map[string]*storedObservation
+	generation   int64
+	hasReported  bool
+	lostAt       float64 // 0 while it can be had
+	ageMs        float64
+	removalTimes []float64 // when it dropped servers, within MassRemovalWindowMs
+	heldRemovals map[string]float64
+}
+
+// storedObservation is a source's word as it stands; one that the source has dropped is held back, or marked as dropped.
+type storedObservation struct {
+	Observation
+	removed       bool
+	rejectedStart float64 // an earlier start that was told since, and not taken
+}
+
+type selfReportState struct {
+	role           Role
+	roleReportedAt float64
+	position       float64
+	respondedAt    float64 // it answered last
+	processStarted float64 // of the process that spoke
+}
+
+type serverState struct {
+	id                string
+	listedID          string               // the list's id for it: its own, or that which its process had before
+	observations      []*storedObservation // by the source's rank, nil for none
+	entry             Entry
+	listed            bool // shown is in the list
+	stateChanges      []float64
+	flappingUntil     float64 // it counts as flapping until then, 0 for not
+	sourceState       State   // what sources come to, before flapping
+	usedWhileCritical bool    // it is critical and used for its answers
+	lastConflict      string  // two addresses that were told of
+	rejectedRole      Role    // as a source had it when that was last disbelieved
+}
+
+type groupState struct {
+	id          int
+	members     map[string]*serverState
+	lastProblem DecisionKind
 }
 
 // New makes a judge that has heard nothing.
-func New(set Settings) *Judge {
-	j := &Judge{set: set, byName: map[string]*source{}, servers: map[string]*server{}, named: map[string]*server{}, words: map[string]*word{}, addrs: map[string][]*server{}, twins: map[string][]string{}, dirty: map[string]*server{},
-		groups: map[int]*group{}, pins: map[string]State{}}
-	for i, n := range set.Sources {
-		s := &source{name: n, rank: i, claims: map[string]*claim{}, held: map[string]float64{}}
-		j.sources = append(j.sources, s)
-		j.byName[n] = s
+func New(settings Settings) *Reconciler {
+	r := &Reconciler{settings: settings, sourcesByName: map[string]*sourceState{}, servers: map[string]*serverState{}, listedByID: map[string]*serverState{}, selfReports: map[string]*selfReportState{}, listedByAddress: map[string][]*serverState{}, duplicates: map[string][]string{}, dirty: map[string]*serverState{},
+		groups: map[int]*groupState{}, pins: map[string]State{}}
+	for i, name := range settings.Sources {
+		source := &sourceState{name: name, rank: i, observations: map[string]*storedObservation{}, heldRemovals: map[string]float64{}}
+		r.sources = append(r.sources, source)
+		r.sourcesByName[name] = source
 	}
-	return j
+	return r
 }
 
-func (j *Judge) say(what What, s *server, src, format string, args ...any) {
-	g := Judgement{At: j.now, What: what, Source: src, Why: fmt.Sprintf(format, args...)}
-	if s != nil {
-		g.Server, g.Group = s.name, s.shown.Group
-		for _, c := range s.claims {
-			if g.Group == 0 && c != nil {
-				g.Group = c.Group
+func (r *Reconciler) addDecision(kind DecisionKind, server *serverState, sourceName, format string, args ...any) {
+	decision := Decision{At: r.now, Kind: kind, Source: sourceName, Reason: fmt.Sprintf(format, args...)}
+	if server != nil {
+		decision.Server, decision.Group = server.listedID, server.entry.Group
+		for _, observation := range server.observations {
+			if decision.Group == 0 && observation != nil {
+				decision.Group = observation.Group
 			}
 		}
 	}
-	j.said = append(j.said, g)
+	r.decisions = append(r.decisions, decision)
 }
 
-func (j *Judge) touch(id string) *server {
-	s := j.servers[id]
-	if s == nil {
-		s = &server{id: id, name: id, claims: make([]*claim, len(j.sources)), want: Gone}
-		j.servers[id] = s
+func (r *Reconciler) markDirty(id string) *serverState {
+	server := r.servers[id]
+	if server == nil {
+		server = &serverState{id: id, listedID: id, observations: make([]*storedObservation, len(r.sources)), sourceState: StateRemoved}
+		r.servers[id] = server
 	}
-	j.dirty[id] = s
-	return s
+	r.dirty[id] = server
+	return server
 }
 
-func (j *Judge) touchAll(src *source) {
-	for id := range src.claims {
-		j.touch(id)
+func (r *Reconciler) markSourceDirty(source *sourceState) {
+	for id := range source.observations {
+		r.markDirty(id)
 	}
 }
 
 // Tick does what time alone brings about, and tells when it must be called next, 0 for never.
-func (j *Judge) Tick(now float64) (next float64) {
-	j.now = max(now, j.now)
-	if j.set.MassHold > 0 {
-		j.release(j.now-j.set.MassHold, fmt.Sprintf("it was so for %.0f s", j.set.MassHold/1000))
+func (r *Reconciler) Tick(now float64) (next float64) {
+	r.now = max(now, r.now)
+	if r.settings.MassRemovalHoldMs > 0 {
+		r.acceptHeldRemovals(r.now-r.settings.MassRemovalHoldMs, fmt.Sprintf("it was so for %.0f s", r.settings.MassRemovalHoldMs/1000))
 	}
-	soon := func(at float64) {
+	scheduleNext := func(at float64) {
 		if next == 0 || at < next {
 			next = at
 		}
 	}
-	for _, src := range j.sources {
-		if j.set.Keep > 0 && src.lostAt != 0 && j.now >= src.lostAt+j.set.Keep {
-			j.touchAll(src)
+	for _, source := range r.sources {
+		if r.settings.SourceRetentionMs > 0 && source.lostAt != 0 && r.now >= source.lostAt+r.settings.SourceRetentionMs {
+			r.markSourceDirty(source)
 		}
 	}
-	for id, s := range j.servers {
-		if s.stillAt != 0 && j.now >= s.stillAt || s.doubted {
-			j.dirty[id] = s
+	for id, server := range r.servers {
+		if server.flappingUntil != 0 && r.now >= server.flappingUntil || server.usedWhileCritical {
+			r.dirty[id] = server
 		}
-		if !s.listed && s.stillAt == 0 && len(s.flips) > 0 && j.now-s.flips[len(s.flips)-1] > j.set.FlapIn {
-			s.flips = nil
-			j.forget(s)
+		if !server.listed && server.flappingUntil == 0 && len(server.stateChanges) > 0 && r.now-server.stateChanges[len(server.stateChanges)-1] > r.settings.FlapWindowMs {
+			server.stateChanges = nil
+			r.discardUnknown(server)
 		}
 	}
-	for a, w := range j.words {
-		if j.addrs[a] == nil && j.now-w.at > max(10*j.set.WordFor, 60000) {
-			delete(j.words, a)
+	for address, report := range r.selfReports {
+		if r.listedByAddress[address] == nil && r.now-report.respondedAt > max(10*r.settings.SelfReportTTLMs, 60000) {
+			delete(r.selfReports, address)
 		}
 	}
-	j.settle()
-	for _, src := range j.sources {
-		for _, at := range src.held {
-			if j.set.MassHold > 0 {
-				soon(at + j.set.MassHold + 1)
+	r.reconcileDirty()
+	for _, source := range r.sources {
+		for _, at := range source.heldRemovals {
+			if r.settings.MassRemovalHoldMs > 0 {
+				scheduleNext(at + r.settings.MassRemovalHoldMs + 1)
 			}
 		}
-		if j.set.Keep > 0 && src.lostAt != 0 && len(src.claims) > 0 {
-			soon(max(src.lostAt+j.set.Keep, j.now+1000))
+		if r.settings.SourceRetentionMs > 0 && source.lostAt != 0 && len(source.observations) > 0 {
+			scheduleNext(max(source.lostAt+r.settings.SourceRetentionMs, r.now+1000))
 		}
 	}
-	for _, s := range j.servers {
-		if s.stillAt != 0 {
-			soon(s.stillAt)
+	for _, server := range r.servers {
+		if server.flappingUntil != 0 {
+			scheduleNext(server.flappingUntil)
 		}
-		if s.doubted {
-			soon(j.now + 1000)
+		if server.usedWhileCritical {
+			scheduleNext(r.now + 1000)
 		}
 	}
 	return next
 }
 
-// Take is what has changed of the list since it was last called, and the judgements.
-func (j *Judge) Take() ([]Entry, []Judgement) {
-	out, said := j.out, j.said
-	j.out, j.said = nil, nil
-	return out, said
+// TakeChanges is what has changed of the list since it was last called, and the judgements.
+func (r *Reconciler) TakeChanges() ([]Entry, []Decision) {
+	changes, decisions := r.changes, r.decisions
+	r.changes, r.decisions = nil, nil
+	return changes, decisions
 }
 
 // List is the whole list, by id.
-func (j *Judge) List() []Entry {
-	var out []Entry
-	for _, s := range j.named {
-		out = append(out, s.shown)
+func (r *Reconciler) List() []Entry {
+	var entries []Entry
+	for _, server := range r.listedByID {
+		entries = append(entries, server.entry)
 	}
-	slices.SortFunc(out, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
-	return out
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+	return entries
 }
 
 // Entry is a server as the list has it.
-func (j *Judge) Entry(id string) (Entry, bool) {
-	if s := j.named[id]; s != nil {
-		return s.shown, true
+func (r *Reconciler) Entry(id string) (Entry, bool) {
+	if server := r.listedByID[id]; server != nil {
+		return server.entry, true
 	}
 	return Entry{}, false
 }
 
 // Len is how many servers the list has.
-func (j *Judge) Len() int { return len(j.named) }
+func (r *Reconciler) Len() int { return len(r.listedByID) }
 
-// Held is how many removals are held back.
-func (j *Judge) Held() (n int) {
-	for _, s := range j.sources {
-		n += len(s.held)
+// HeldRemovals is how many removals are held back.
+func (r *Reconciler) HeldRemovals() (count int) {
+	for _, source := range r.sources {
+		count += len(source.heldRemovals)
 	}
-	return n
+	return count
 }
 
-func sorted[V any](m map[string]V) []string {
-	out := make([]string, 0, len(m))
-	for k := range m {
-		out = append(out, k)
+func sortedKeys[V any](values map[string]V) []string {
+	keys := make([]string, 0, len(values))
+	for key := range values {
+		keys = append(keys, key)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
--- a/internal/endpoints/reconcile/orders.go
+++ b/internal/endpoints/reconcile/orders.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// Retire has all that a source said count no more: others have taken its place. What none of them knows is dropped as any
+// RetireSource has all that a source said count no more: others have taken its place. What none of them knows is dropped as any
 // other removal is: an empty answer in place of a saved list takes nothing away at first.
-func (j *Judge) Retire(now float64, name string) {
-	j.now = max(now, j.now)
-	src := j.byName[name]
-	if src == nil || len(src.claims) == 0 {
+func (r *Reconciler) RetireSource(now float64, sourceName string) {
+	r.now = max(now, r.now)
+	source := r.sourcesByName[sourceName]
+	if source == nil || len(source.observations) == 0 {
 		return
 	}
 	var alone, shared []string
-	for _, id := range sorted(src.claims) {
+	for _, id := range sortedKeys(source.observations) {
 		known := false
-		for i, c := range j.servers[id].claims {
-			known = known || i != src.rank && c != nil && !c.dropped && j.standing(j.sources[i])
+		for i, observation := range r.servers[id].observations {
+			known = known || i != source.rank && observation != nil && !observation.removed && r.sourceCounts(r.sources[i])
 		}
 		if known {
 			shared = append(shared, id)
@@ -22,37 +22,37 @@
 			alone = append(alone, id)
 		}
 	}
-	j.drop(src, alone, len(shared) == 0)
+	r.handleRemovals(source, alone, len(shared) == 0)
 	for _, id := range shared {
-		j.dropped(src, src.claims[id])
+		r.markRemoved(source, source.observations[id])
 	}
-	j.settle()
+	r.reconcileDirty()
 }
 
 // Override takes the operators' word; it replaces what they said before.
-func (j *Judge) Override(now float64, o Override) {
-	j.now = max(now, j.now)
-	for id := range j.pins {
-		j.touch(id)
+func (r *Reconciler) Override(now float64, override Override) {
+	r.now = max(now, r.now)
+	for id := range r.pins {
+		r.markDirty(id)
 	}
-	clear(j.pins)
-	for _, p := range o.Pins {
-		j.pins[p.ID] = p.State
-		j.say(Pinned, j.touch(p.ID), "", "the operators have it %s", p.State)
+	clear(r.pins)
+	for _, pin := range override.Pins {
+		r.pins[pin.ID] = pin.State
+		r.addDecision(Pinned, r.markDirty(pin.ID), "", "the operators have it %s", pin.State)
 	}
-	if o.AcceptRemovals {
-		j.release(math.Inf(1), "the operators said so")
+	if override.AcceptHeldRemovals {
+		r.acceptHeldRemovals(math.Inf(1), "the operators said so")
 	}
-	j.settle()
+	r.reconcileDirty()
 }
 
-// release accepts removals that were held back since before.
-func (j *Judge) release(before float64, why string) {
-	for _, src := range j.sources {
-		for _, id := range sorted(src.held) {
-			if src.held[id] < before {
-				j.say(Released, j.servers[id], src.name, "%s", why)
-				j.dropped(src, src.claims[id])
+// acceptHeldRemovals accepts removals that were held back since before.
+func (r *Reconciler) acceptHeldRemovals(before float64, reason string) {
+	for _, source := range r.sources {
+		for _, id := range sortedKeys(source.heldRemovals) {
+			if source.heldRemovals[id] < before {
+				r.addDecision(RemovalAccepted, r.servers[id], source.name, "%s", reason)
+				r.markRemoved(source, source.observations[id])
 			}
 		}
 	}
--- a/internal/endpoints/reconcile/weigh.go
+++ b/internal/endpoints/reconcile/weigh.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// settle judges anew all servers of which something has changed, in the order of their ids, and then what that changes
+// reconcileDirty judges anew all servers of which something has changed, in the order of their ids, and then what that changes
 // for others.
-func (j *Judge) settle() {
-	if len(j.dirty) == 0 {
+func (r *Reconciler) reconcileDirty() {
+	if len(r.dirty) == 0 {
 		return
 	}
-	touched := map[int]*group{}
-	for round := 0; len(j.dirty) > 0 && round < maxRounds; round++ {
-		for _, id := range sorted(j.dirty) {
-			s := j.dirty[id]
-			delete(j.dirty, id)
-			was := s.shown.Group
-			j.weigh(s)
-			for _, g := range []int{was, s.shown.Group} {
-				if x := j.groups[g]; x != nil {
-					touched[g] = x
+	touched := map[int]*groupState{}
+	for round := 0; len(r.dirty) > 0 && round < maxReconcileRounds; round++ {
+		for _, id := range sortedKeys(r.dirty) {
+			server := r.dirty[id]
+			delete(r.dirty, id)
+			previousGroup := server.entry.Group
+			r.reconcileServer(server)
+			for _, groupID := range []int{previousGroup, server.entry.Group} {
+				if group := r.groups[groupID]; group != nil {
+					touched[groupID] = group
 				}
 			}
 		}
@@ -31,423 +31,427 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		j.lead(touched[id])
+		r.updatePrimary(touched[id])
 	}
-	for _, g := range ids {
-		if len(j.groups[g].members) == 0 {
-			delete(j.groups, g)
+	for _, groupID := range ids {
+		if len(r.groups[groupID].members) == 0 {
+			delete(r.groups, groupID)
 		}
 	}
 }
 
-// maxRounds bounds how often what changed is judged anew at once; what is left waits for the next time.
-const maxRounds = 4
+// maxReconcileRounds bounds how often what changed is judged anew at once; what is left waits for the next time.
+const maxReconcileRounds = 4
 
-// standing tells whether a source's word counts: it can be had, or could be not long ago.
-func (j *Judge) standing(src *source) bool {
-	return src.lostAt == 0 || j.set.Keep <= 0 || j.now < src.lostAt+j.set.Keep
+// sourceCounts tells whether a source's word counts: it can be had, or could be not long ago.
+func (r *Reconciler) sourceCounts(source *sourceState) bool {
+	return source.lostAt == 0 || r.settings.SourceRetentionMs <= 0 || r.now < source.lostAt+r.settings.SourceRetentionMs
 }
 
-// old tells whether a source calls its own news old.
-func (j *Judge) old(src *source) bool { return j.set.OldAge > 0 && src.age > j.set.OldAge }
+// isStale tells whether a source calls its own news old.
+func (r *Reconciler) isStale(source *sourceState) bool {
+	return r.settings.StaleAgeMs > 0 && source.ageMs > r.settings.StaleAgeMs
+}
 
-// counts tells whether a claim is taken: its source stands, or the server still answers.
-func (j *Judge) counts(src *source, c *claim) bool { return j.standing(src) || j.answers(c.Address) }
+// observationCounts tells whether a claim is taken: its source stands, or the server still answers.
+func (r *Reconciler) observationCounts(source *sourceState, observation *storedObservation) bool {
+	return r.sourceCounts(source) || r.respondedRecently(observation.Address)
+}
 
-// best is the claim that decides on a server, and whose it is: the first by rank that counts, one that is old only where
+// bestObservation is the claim that decides on a server, and whose it is: the first by rank that counts, one that is old only where
 // there is no other. It tells whether there are some that count no more.
-func (j *Judge) best(s *server) (best *claim, who *source, expired bool) {
+func (r *Reconciler) bestObservation(server *serverState) (best *storedObservation, owner *sourceState, expired bool) {
 	for pass := range 2 {
-		for i, c := range s.claims {
-			src := j.sources[i]
-			if c == nil || j.old(src) != (pass == 1) {
+		for i, observation := range server.observations {
+			source := r.sources[i]
+			if observation == nil || r.isStale(source) != (pass == 1) {
 				continue
 			}
-			if !j.counts(src, c) {
+			if !r.observationCounts(source, observation) {
 				expired = true
 			} else if best == nil {
-				best, who = c, src
+				best, owner = observation, source
 			}
 		}
 	}
-	return best, who, expired
+	return best, owner, expired
 }
 
-// weigh makes a server's entry out of the claims on it.
-func (j *Judge) weigh(s *server) {
-	var drain string // why it drains
-	var drainer string
-	best, who, expired := j.best(s)
-	for i, c := range s.claims {
-		if c != nil && c.Health == Maintenance && !c.dropped && drain == "" && j.counts(j.sources[i], c) {
-			drain, drainer = "in maintenance", j.sources[i].name
+// reconcileServer makes a server's entry out of the claims on it.
+func (r *Reconciler) reconcileServer(server *serverState) {
+	var drainReason string // why it drains
+	var drainSource string
+	best, owner, expired := r.bestObservation(server)
+	for i, observation := range server.observations {
+		if observation != nil && observation.Health == Maintenance && !observation.removed && drainReason == "" && r.observationCounts(r.sources[i], observation) {
+			drainReason, drainSource = "in maintenance", r.sources[i].name
 		}
 	}
 	if best == nil { // nobody's word stands
-		why := "no source knows it any more"
+		reason := "no source knows it any more"
 		if expired {
-			why = "its source was lost for too long, and it does not answer"
+			reason = "its source was lost for too long, and it does not answer"
 		}
-		j.show(s, Entry{ID: s.name, State: Gone, Group: s.shown.Group, Address: s.shown.Address}, "", why)
+		r.updateEntry(server, Entry{ID: server.listedID, State: StateRemoved, Group: server.entry.Group, Address: server.entry.Address}, "", reason)
 		return
 	}
-	e := Entry{ID: s.name, Address: best.Address, Group: best.Group, Zone: best.Zone, Kind: best.Kind, Weight: best.Weight}
-	for i, c := range s.claims {
-		if c == nil {
+	entry := Entry{ID: server.listedID, Address: best.Address, Group: best.Group, Zone: best.Zone, Kind: best.Kind, Weight: best.Weight}
+	for i, observation := range server.observations {
+		if observation == nil {
 			continue
 		}
-		if c.Started > e.Started && c.Started <= j.now+aheadMs && !c.dropped {
-			e.Started = c.Started
+		if observation.Started > entry.Started && observation.Started <= r.now+maxFutureStartMs && !observation.removed {
+			entry.Started = observation.Started
 		}
-		if c != best && c.Address != best.Address && c.Address != "" && !c.dropped && !best.dropped {
-			if text := best.Address + " and " + c.Address; s.conflict != text {
-				s.conflict = text
-				j.say(TwoAddresses, s, j.sources[i].name, "%s; %s's is taken", text, who.name)
+		if observation != best && observation.Address != best.Address && observation.Address != "" && !observation.removed && !best.removed {
+			if text := best.Address + " and " + observation.Address; server.lastConflict != text {
+				server.lastConflict = text
+				r.addDecision(ConflictingAddresses, server, r.sources[i].name, "%s; %s's is taken", text, owner.name)
 			}
-			if e.Address == "" {
-				e.Address = c.Address
+			if entry.Address == "" {
+				entry.Address = observation.Address
 			}
 		}
 	}
-	why, by := "", who.name
-	switch s.doubted = false; {
-	case best.dropped:
-		e.State, why = Gone, "its source has dropped it"
-	case drain != "":
-		e.State, why, by = Draining, drain, drainer
-	case best.Health == Critical && j.set.Critical != Ignore:
-		e.State, why = j.critical(s, best)
+	reason, decidedBy := "", owner.name
+	switch server.usedWhileCritical = false; {
+	case best.removed:
+		entry.State, reason = StateRemoved, "its source has dropped it"
+	case drainReason != "":
+		entry.State, reason, decidedBy = StateDraining, drainReason, drainSource
+	case best.Health == Critical && r.settings.Critical != CriticalIgnore:
+		entry.State, reason = r.criticalState(server, best)
 	}
-	if pin, ok := j.pins[s.id]; ok {
-		e.State, why, by = pin, "the operators have it so", ""
+	if pin, ok := r.pins[server.id]; ok {
+		entry.State, reason, decidedBy = pin, "the operators have it so", ""
 	}
-	if s.listed && e.Group != s.shown.Group && e.State != Gone {
+	if server.listed && entry.Group != server.entry.Group && entry.State != StateRemoved {
 		// A server does not change its group: whatever has that id there now is another. The old one goes first.
-		old := s.shown
-		old.State, old.Primary = Gone, false
-		j.show(s, old, by, fmt.Sprintf("its source has moved it to group %d", e.Group))
+		previous := server.entry
+		previous.State, previous.Primary = StateRemoved, false
+		r.updateEntry(server, previous, decidedBy, fmt.Sprintf("its source has moved it to group %d", entry.Group))
 	}
-	j.show(s, e, by, why)
+	r.updateEntry(server, entry, decidedBy, reason)
 }
 
-// aheadMs is how far a start may lie ahead of the clock here.
-const aheadMs = 5000
+// maxFutureStartMs is how far a start may lie ahead of the clock here.
+const maxFutureStartMs = 5000
 
-// answers tells whether the process at an address has answered lately.
-func (j *Judge) answers(addr string) bool {
-	w := j.words[addr]
-	return w != nil && j.now-w.at <= j.set.WordFor
+// respondedRecently tells whether the process at an address has answered lately.
+func (r *Reconciler) respondedRecently(address string) bool {
+	report := r.selfReports[address]
+	return report != nil && r.now-report.respondedAt <= r.settings.SelfReportTTLMs
 }
 
-// critical decides what a critical check means for a server.
-func (j *Judge) critical(s *server, c *claim) (State, string) {
-	if j.set.Critical == Doubt {
-		if j.answers(c.Address) {
-			s.doubted = true
-			return Serving, ""
+// criticalState decides what a critical check means for a server.
+func (r *Reconciler) criticalState(server *serverState, observation *storedObservation) (State, string) {
+	if r.settings.Critical == CriticalUseIfResponding {
+		if r.respondedRecently(observation.Address) {
+			server.usedWhileCritical = true
+			return StateServing, ""
 		}
-		return Draining, "critical, and it has not answered lately"
-	}
-	n, bad := 0, 0
-	for _, x := range j.servers {
-		for _, o := range x.claims {
-			if o != nil && !o.dropped && o.Group == c.Group {
-				n++
-				if o.Health == Critical {
-					bad++
+		return StateDraining, "critical, and it has not answered lately"
+	}
+	memberCount, criticalCount := 0, 0
+	for _, member := range r.servers {
+		for _, memberObservation := range member.observations {
+			if memberObservation != nil && !memberObservation.removed && memberObservation.Group == observation.Group {
+				memberCount++
+				if memberObservation.Health == Critical {
+					criticalCount++
 				}
 				break
 			}
 		}
 	}
-	if j.set.MassPart > 0 && n > 1 && float64(bad) > j.set.MassPart*float64(n) {
-		return Serving, ""
+	if r.settings.MassRemovalFraction > 0 && memberCount > 1 && float64(criticalCount) > r.settings.MassRemovalFraction*float64(memberCount) {
+		return StateServing, ""
 	}
-	return Draining, "critical"
+	return StateDraining, "critical"
 }
 
-// show puts an entry into the list, after holding back what flaps and what stands in it already under another id.
-func (j *Judge) show(s *server, e Entry, by, why string) {
-	if e.State != s.want {
-		if s.listed || s.want != Gone || len(s.flips) > 0 {
-			s.flips = append(s.flips, j.now)
+// updateEntry puts an entry into the list, after holding back what flaps and what stands in it already under another id.
+func (r *Reconciler) updateEntry(server *serverState, entry Entry, decidedBy, reason string) {
+	if entry.State != server.sourceState {
+		if server.listed || server.sourceState != StateRemoved || len(server.stateChanges) > 0 {
+			server.stateChanges = append(server.stateChanges, r.now)
 		}
-		s.want = e.State
+		server.sourceState = entry.State
 	}
-	s.flips = slices.DeleteFunc(s.flips, func(at float64) bool { return j.now-at > j.set.FlapIn })
-	flaps := j.set.FlapTimes > 0 && len(s.flips) >= j.set.FlapTimes
-	if pin, ok := j.pins[s.id]; ok && pin == Serving {
-		flaps = false
+	server.stateChanges = slices.DeleteFunc(server.stateChanges, func(at float64) bool { return r.now-at > r.settings.FlapWindowMs })
+	isFlapping := r.settings.FlapThreshold > 0 && len(server.stateChanges) >= r.settings.FlapThreshold
+	if pin, ok := r.pins[server.id]; ok && pin == StateServing {
+		isFlapping = false
 	}
 	switch {
-	case flaps:
-		if s.stillAt == 0 {
-			j.say(Flapping, s, by, "%d changes within %.0f s; it is not used until it has kept still for %.0f s", len(s.flips), j.set.FlapIn/1000, j.set.FlapHold/1000)
+	case isFlapping:
+		if server.flappingUntil == 0 {
+			r.addDecision(Flapping, server, decidedBy, "%d changes within %.0f s; it is not used until it has kept still for %.0f s", len(server.stateChanges), r.settings.FlapWindowMs/1000, r.settings.FlapHoldMs/1000)
 		}
-		s.stillAt = s.flips[len(s.flips)-1] + j.set.FlapHold
+		server.flappingUntil = server.stateChanges[len(server.stateChanges)-1] + r.settings.FlapHoldMs
 		fallthrough
-	case s.stillAt != 0 && j.now < s.stillAt:
-		if e.State == Serving && j.now < s.stillAt {
-			e.State, why = Draining, "flapping"
+	case server.flappingUntil != 0 && r.now < server.flappingUntil:
+		if entry.State == StateServing && r.now < server.flappingUntil {
+			entry.State, reason = StateDraining, "flapping"
 		}
 	}
-	if s.stillAt != 0 && j.now >= s.stillAt {
-		s.stillAt, s.flips = 0, nil
-		j.say(Settled, s, by, "it has kept still")
+	if server.flappingUntil != 0 && r.now >= server.flappingUntil {
+		server.flappingUntil, server.stateChanges = 0, nil
+		r.addDecision(Stabilized, server, decidedBy, "it has kept still")
 	}
-	if e.State != Gone && j.taken(s, &e) {
-		e.State, why = Gone, "the process at "+e.Address+" is listed under another id"
+	if entry.State != StateRemoved && r.isDuplicate(server, &entry) {
+		entry.State, reason = StateRemoved, "the process at "+entry.Address+" is listed under another id"
 	}
-	if e.State == Gone && !s.listed {
-		j.forget(s)
+	if entry.State == StateRemoved && !server.listed {
+		r.discardUnknown(server)
 		return
 	}
-	if e.State == Gone && by != "" && j.inherit(s) {
-		j.forget(s)
+	if entry.State == StateRemoved && decidedBy != "" && r.transferEntry(server) {
+		r.discardUnknown(server)
 		return
 	}
-	if !s.listed {
-		s.name = j.free(s)
-		e.ID = s.name
+	if !server.listed {
+		server.listedID = r.availableID(server)
+		entry.ID = server.listedID
 	}
-	e.Primary = s.shown.Primary && e.State == Serving && e.Address == s.shown.Address
-	if s.listed && e == s.shown {
+	entry.Primary = server.entry.Primary && entry.State == StateServing && entry.Address == server.entry.Address
+	if server.listed && entry == server.entry {
 		return
 	}
-	j.explain(s, &e, by, why)
-	j.file(s, &e)
-	j.out = append(j.out, e)
-	if e.State == Gone {
-		j.forget(s)
+	r.recordChange(server, &entry, decidedBy, reason)
+	r.storeEntry(server, &entry)
+	r.changes = append(r.changes, entry)
+	if entry.State == StateRemoved {
+		r.discardUnknown(server)
 	}
 }
 
-// explain says what a new entry changes.
-func (j *Judge) explain(s *server, e *Entry, by, why string) {
-	was := s.shown
-	s.shown.Group = e.Group
+// recordChange says what a new entry changes.
+func (r *Reconciler) recordChange(server *serverState, entry *Entry, decidedBy, reason string) {
+	previous := server.entry
+	server.entry.Group = entry.Group
 	switch {
-	case !s.listed:
-		j.say(Added, s, by, "at %s, %s%s", e.Address, e.State, because(why))
-	case e.State != was.State && e.State == Gone:
-		j.say(Removed, s, by, "%s", why)
-	case e.State != was.State && e.State == Draining:
-		j.say(Drained, s, by, "%s", why)
-	case e.State != was.State:
-		j.say(Restored, s, by, "its source has it serving")
-	}
-	if s.listed && e.State != Gone {
-		if e.Address != was.Address {
-			j.say(Moved, s, by, "from %s to %s", was.Address, e.Address)
+	case !server.listed:
+		r.addDecision(Added, server, decidedBy, "at %s, %s%s", entry.Address, entry.State, reasonSuffix(reason))
+	case entry.State != previous.State && entry.State == StateRemoved:
+		r.addDecision(Removed, server, decidedBy, "%s", reason)
+	case entry.State != previous.State && entry.State == StateDraining:
+		r.addDecision(Drained, server, decidedBy, "%s", reason)
+	case entry.State != previous.State:
+		r.addDecision(Restored, server, decidedBy, "its source has it serving")
+	}
+	if server.listed && entry.State != StateRemoved {
+		if entry.Address != previous.Address {
+			r.addDecision(Moved, server, decidedBy, "from %s to %s", previous.Address, entry.Address)
 		}
-		if e.Started > was.Started && was.Started > 0 {
-			j.say(Restarted, s, by, "%.1f s ago", (j.now-e.Started)/1000)
+		if entry.Started > previous.Started && previous.Started > 0 {
+			r.addDecision(Restarted, server, decidedBy, "%.1f s ago", (r.now-entry.Started)/1000)
 		}
 	}
-	s.shown = was
+	server.entry = previous
 }
 
-func because(why string) string {
-	if why == "" {
+func reasonSuffix(reason string) string {
+	if reason == "" {
 		return ""
 	}
-	return ": " + why
+	return ": " + reason
 }
 
-// file keeps an entry, and what is found by its address and group.
-func (j *Judge) file(s *server, e *Entry) {
-	if s.listed {
-		if s.shown.Address != e.Address || e.State == Gone {
-			j.unfile(s)
+// storeEntry keeps an entry, and what is found by its address and group.
+func (r *Reconciler) storeEntry(server *serverState, entry *Entry) {
+	if server.listed {
+		if server.entry.Address != entry.Address || entry.State == StateRemoved {
+			r.removeFromIndexes(server)
 		}
-		if g := j.groups[s.shown.Group]; g != nil && (g.id != e.Group || e.State == Gone) {
-			delete(g.members, s.id)
+		if group := r.groups[server.entry.Group]; group != nil && (group.id != entry.Group || entry.State == StateRemoved) {
+			delete(group.members, server.id)
 		}
 	}
-	if w := j.words[e.Address]; w != nil && e.Started > w.started { // another process: it has said nothing yet
-		*w = word{started: e.Started}
+	if report := r.selfReports[entry.Address]; report != nil && entry.Started > report.processStarted { // another process: it has said nothing yet
+		*report = selfReportState{processStarted: entry.Started}
 	}
-	s.listed, s.shown = e.State != Gone, *e
-	if !s.listed {
-		if j.named[e.ID] == s {
-			delete(j.named, e.ID)
+	server.listed, server.entry = entry.State != StateRemoved, *entry
+	if !server.listed {
+		if r.listedByID[entry.ID] == server {
+			delete(r.listedByID, entry.ID)
 		}
 		return
 	}
-	j.named[e.ID] = s
-	if !slices.Contains(j.addrs[e.Address], s) {
-		j.addrs[e.Address] = append(j.addrs[e.Address], s)
+	r.listedByID[entry.ID] = server
+	if !slices.Contains(r.listedByAddress[entry.Address], server) {
+		r.listedByAddress[entry.Address] = append(r.listedByAddress[entry.Address], server)
 	}
-	g := j.groups[e.Group]
-	if g == nil {
-		g = &group{id: e.Group, members: map[string]*server{}}
-		j.groups[e.Group] = g
+	group := r.groups[entry.Group]
+	if group == nil {
+		group = &groupState{id: entry.Group, members: map[string]*serverState{}}
+		r.groups[entry.Group] = group
 	}
-	g.members[s.id] = s
+	group.members[server.id] = server
 }
 
-func (j *Judge) unfile(s *server) {
-	if j.named[s.shown.ID] == s {
-		delete(j.named, s.shown.ID)
-	}
-	a := s.shown.Address
-	j.addrs[a] = slices.DeleteFunc(j.addrs[a], func(o *server) bool { return o == s })
-	if len(j.addrs[a]) == 0 {
-		delete(j.addrs, a)
-		for _, id := range j.twins[a] {
-			if j.servers[id] != nil {
-				j.touch(id)
+func (r *Reconciler) removeFromIndexes(server *serverState) {
+	if r.listedByID[server.entry.ID] == server {
+		delete(r.listedByID, server.entry.ID)
+	}
+	address := server.entry.Address
+	r.listedByAddress[address] = slices.DeleteFunc(r.listedByAddress[address], func(other *serverState) bool { return other == server })
+	if len(r.listedByAddress[address]) == 0 {
+		delete(r.listedByAddress, address)
+		for _, id := range r.duplicates[address] {
+			if r.servers[id] != nil {
+				r.markDirty(id)
 			}
 		}
-		delete(j.twins, a)
+		delete(r.duplicates, address)
 	}
 }
 
-// inherit has another id stand for a server that its source has dropped, where the same process is registered under that:
+// transferEntry has another id stand for a server that its source has dropped, where the same process is registered under that:
 // in the list it keeps its name, and whoever reads it learns nothing anew.
-func (j *Judge) inherit(s *server) bool {
-	was := s.shown
-	heirs := append(sorted(j.dirty), j.twins[was.Address]...)
-	for _, id := range heirs {
-		o := j.servers[id]
-		if o == nil || o == s || o.listed {
+func (r *Reconciler) transferEntry(server *serverState) bool {
+	previous := server.entry
+	candidates := append(sortedKeys(r.dirty), r.duplicates[previous.Address]...)
+	for _, id := range candidates {
+		other := r.servers[id]
+		if other == nil || other == server || other.listed {
 			continue
 		}
-		c, src, _ := j.best(o) // another's claim would not keep it where it is
-		if c == nil || c.dropped || !j.standing(src) || c.Address != was.Address || c.Group != was.Group || c.Started > was.Started {
+		observation, source, _ := r.bestObservation(other) // another's claim would not keep it where it is
+		if observation == nil || observation.removed || !r.sourceCounts(source) || observation.Address != previous.Address || observation.Group != previous.Group || observation.Started > previous.Started {
 			continue
 		}
-		j.say(TwoIDs, s, "", "its process at %s is registered as %s now; it keeps its name here", was.Address, o.id)
-		j.unfile(s)
-		delete(j.groups[was.Group].members, s.id)
-		s.listed, s.shown, s.name = false, Entry{Group: was.Group}, s.id
-		o.name, o.want = was.ID, was.State
-		j.file(o, &was)
-		j.touch(o.id)
+		r.addDecision(DuplicateAddress, server, "", "its process at %s is registered as %s now; it keeps its name here", previous.Address, other.id)
+		r.removeFromIndexes(server)
+		delete(r.groups[previous.Group].members, server.id)
+		server.listed, server.entry, server.listedID = false, Entry{Group: previous.Group}, server.id
+		other.listedID, other.sourceState = previous.ID, previous.State
+		r.storeEntry(other, &previous)
+		r.markDirty(other.id)
 		return true
 	}
 	return false
 }
 
-// free is a name for a server that is new in the list: its id, unless another has inherited that.
-func (j *Judge) free(s *server) string {
-	name := s.id
-	for n := 2; j.named[name] != nil && j.named[name] != s; n++ {
-		name = fmt.Sprintf("%s#%d", s.id, n)
+// availableID is a name for a server that is new in the list: its id, unless another has inherited that.
+func (r *Reconciler) availableID(server *serverState) string {
+	name := server.id
+	for suffix := 2; r.listedByID[name] != nil && r.listedByID[name] != server; suffix++ {
+		name = fmt.Sprintf("%s#%d", server.id, suffix)
 	}
 	return name
 }
 
-// taken tells whether the process at an entry's address is in the list under another id, and stays there: it was there
+// isDuplicate tells whether the process at an entry's address is in the list under another id, and stays there: it was there
 // first, and no later start is told under this one.
-func (j *Judge) taken(s *server, e *Entry) bool {
-	for _, o := range slices.Clone(j.addrs[e.Address]) {
-		if o == s || e.Address == "" {
+func (r *Reconciler) isDuplicate(server *serverState, entry *Entry) bool {
+	for _, other := range slices.Clone(r.listedByAddress[entry.Address]) {
+		if other == server || entry.Address == "" {
 			continue
 		}
-		if e.Started <= o.shown.Started {
-			if slices.Contains(j.twins[e.Address], s.id) {
+		if entry.Started <= other.entry.Started {
+			if slices.Contains(r.duplicates[entry.Address], server.id) {
 				return true // that has been said
 			}
-			j.twins[e.Address] = append(j.twins[e.Address], s.id)
-			j.say(TwoIDs, s, "", "%s has it as %s, since before", e.Address, o.id)
+			r.duplicates[entry.Address] = append(r.duplicates[entry.Address], server.id)
+			r.addDecision(DuplicateAddress, server, "", "%s has it as %s, since before", entry.Address, other.id)
 			return true
 		}
-		gone := o.shown
-		gone.State, gone.Primary = Gone, false
-		j.say(TwoIDs, o, "", "%s is %s by a later start", e.Address, s.id)
-		o.want = Gone
-		j.file(o, &gone)
-		j.out = append(j.out, gone)
+		removed := other.entry
+		removed.State, removed.Primary = StateRemoved, false
+		r.addDecision(DuplicateAddress, other, "", "%s is %s by a later start", entry.Address, server.id)
+		other.sourceState = StateRemoved
+		r.storeEntry(other, &removed)
+		r.changes = append(r.changes, removed)
 	}
 	return false
 }
 
-// forget unfiles a server that every source has dropped. What a lost source said is kept: it may come back with changes only.
-func (j *Judge) forget(s *server) {
-	for _, c := range s.claims {
-		if c != nil && !c.dropped {
+// discardUnknown unfiles a server that every source has dropped. What a lost source said is kept: it may come back with changes only.
+func (r *Reconciler) discardUnknown(server *serverState) {
+	for _, observation := range server.observations {
+		if observation != nil && !observation.removed {
 			return
 		}
 	}
-	if len(s.flips) > 0 {
+	if len(server.stateChanges) > 0 {
 		return // whether it flaps is still to be seen
 	}
-	for i, c := range s.claims {
-		if c != nil {
-			delete(j.sources[i].claims, s.id)
-			delete(j.sources[i].held, s.id)
+	for i, observation := range server.observations {
+		if observation != nil {
+			delete(r.sources[i].observations, server.id)
+			delete(r.sources[i].heldRemovals, server.id)
 		}
 	}
-	delete(j.servers, s.id)
+	delete(r.servers, server.id)
 }
 
-// lead decides which of a group's servers the list calls its primary: who says so itself, and only where nobody does, whom
+// updatePrimary decides which of a group's servers the list calls its primary: who says so itself, and only where nobody does, whom
 // a source names that has not said otherwise.
-func (j *Judge) lead(g *group) {
-	var says, named []*server
-	for _, id := range sorted(g.members) {
-		s := g.members[id]
-		if s.shown.State != Serving {
+func (r *Reconciler) updatePrimary(group *groupState) {
+	var selfDeclared, sourceDeclared []*serverState
+	for _, id := range sortedKeys(group.members) {
+		server := group.members[id]
+		if server.entry.State != StateServing {
 			continue
 		}
-		if w := j.word(s); w == Primary {
-			says = append(says, s)
+		if reported := r.selfReportedRole(server); reported == Primary {
+			selfDeclared = append(selfDeclared, server)
 		}
-		if role, src := j.claimed(s); role == Primary {
-			if j.word(s) == Replica && !j.set.TrustRoles {
-				if s.role != role {
-					j.say(NotBelieved, s, src, "it is called the primary, and itself says that it is a replica")
+		if role, sourceName := r.observedRole(server); role == Primary {
+			if r.selfReportedRole(server) == Replica && !r.settings.TrustSourceRoles {
+				if server.rejectedRole != role {
+					r.addDecision(Rejected, server, sourceName, "it is called the primary, and itself says that it is a replica")
 				}
-				s.role = role
+				server.rejectedRole = role
 				continue
 			}
-			named = append(named, s)
+			sourceDeclared = append(sourceDeclared, server)
 		} else {
-			s.role = role
+			server.rejectedRole = role
 		}
 	}
-	lead, what := says, What("")
-	if len(says) == 0 || j.set.TrustRoles && len(named) > 0 {
-		lead = named
+	primaries, problem := selfDeclared, DecisionKind("")
+	if len(selfDeclared) == 0 || r.settings.TrustSourceRoles && len(sourceDeclared) > 0 {
+		primaries = sourceDeclared
 	}
 	switch {
-	case len(lead) > 1:
-		what = TwoPrimaries
-	case len(lead) == 0 && len(g.members) > 0:
-		what = NoPrimary
+	case len(primaries) > 1:
+		problem = MultiplePrimaries
+	case len(primaries) == 0 && len(group.members) > 0:
+		problem = NoPrimary
 	}
-	if what != g.said && what != "" {
+	if problem != group.lastProblem && problem != "" {
 		text := "nobody says that it is, and no source names one that has not denied it"
-		if what == TwoPrimaries {
-			text = fmt.Sprintf("%s and %s; the list calls neither one", lead[0].id, lead[1].id)
+		if problem == MultiplePrimaries {
+			text = fmt.Sprintf("%s and %s; the list calls neither one", primaries[0].id, primaries[1].id)
 		}
-		j.said = append(j.said, Judgement{At: j.now, What: what, Group: g.id, Why: text})
-	}
-	g.said = what
-	for _, id := range sorted(g.members) {
-		s := g.members[id]
-		if is := len(lead) == 1 && lead[0] == s; is != s.shown.Primary {
-			s.shown.Primary = is
-			j.out = append(j.out, s.shown)
+		r.decisions = append(r.decisions, Decision{At: r.now, Kind: problem, Group: group.id, Reason: text})
+	}
+	group.lastProblem = problem
+	for _, id := range sortedKeys(group.members) {
+		server := group.members[id]
+		if isPrimary := len(primaries) == 1 && primaries[0] == server; isPrimary != server.entry.Primary {
+			server.entry.Primary = isPrimary
+			r.changes = append(r.changes, server.entry)
 		}
 	}
 }
 
-// word is a server's own word on its role, if it is recent.
-func (j *Judge) word(s *server) Role {
-	if w := j.words[s.shown.Address]; w != nil && j.now-w.roleAt <= j.set.WordFor {
-		return w.role
+// selfReportedRole is a server's own word on its role, if it is recent.
+func (r *Reconciler) selfReportedRole(server *serverState) Role {
+	if report := r.selfReports[server.entry.Address]; report != nil && r.now-report.roleReportedAt <= r.settings.SelfReportTTLMs {
+		return report.role
 	}
 	return RoleUnknown
 }
 
-// claimed is the role that the sources give a server, and whose word that is.
-func (j *Judge) claimed(s *server) (Role, string) {
+// observedRole is the role that the sources give a server, and whose word that is.
+func (r *Reconciler) observedRole(server *serverState) (Role, string) {
 	for pass := range 2 {
-		for i, c := range s.claims {
-			if c != nil && !c.dropped && c.Role != RoleUnknown && j.standing(j.sources[i]) && j.old(j.sources[i]) == (pass == 1) {
-				return c.Role, j.sources[i].name
+		for i, observation := range server.observations {
+			if observation != nil && !observation.removed && observation.Role != RoleUnknown && r.sourceCounts(r.sources[i]) && r.isStale(r.sources[i]) == (pass == 1) {
+				return observation.Role, r.sources[i].name
 			}
 		}
 	}
--- a/internal/endpoints/snapshot/snapshot.go
+++ b/internal/endpoints/snapshot/snapshot.go
@@ -22,13 +22,13 @@
 
 // File is what a snapshot's file holds.
 type File struct {
-	SavedMs float64           `json:"saved_ms"` // Unix ms
-	Entries []reconcile.Entry `json:"entries"`
+	SavedAtMs float64           `json:"saved_ms"` // Unix ms
+	Entries   []reconcile.Entry `json:"entries"`
 }
 
 // Append writes a snapshot.
-func Append(dst []byte, f *File) ([]byte, error) {
-	b, err := atomicfile.Encode(dst, magic, f)
+func Append(dst []byte, file *File) ([]byte, error) {
+	b, err := atomicfile.Encode(dst, magic, file)
 	if err != nil {
 		return b, fmt.Errorf("snapshot: %w", err)
 	}
@@ -37,32 +37,32 @@
 
 // Parse reads a snapshot, whole or not at all.
 func Parse(b []byte) (*File, error) {
-	f := &File{}
-	if err := atomicfile.Decode(b, magic, f); err != nil {
+	file := &File{}
+	if err := atomicfile.Decode(b, magic, file); err != nil {
 		return nil, err
 	}
-	for i := range f.Entries {
-		if e := &f.Entries[i]; e.ID == "" || e.Address == "" || e.State > reconcile.Gone {
+	for i := range file.Entries {
+		if entry := &file.Entries[i]; entry.ID == "" || entry.Address == "" || entry.State > reconcile.StateRemoved {
 			return nil, fmt.Errorf("%w: entry %d", ErrForeign, i)
 		}
 	}
-	return f, nil
+	return file, nil
 }
 
-// Saver keeps snapshots elsewhere than in a file.
-type Saver interface {
+// Store keeps snapshots elsewhere than in a file.
+type Store interface {
 	Load() (*File, error) // nil where there is none
 	Save(f *File) error
 }
 
-// Path is a file that is one.
-type Path string
+// FileStore is a file that is one.
+type FileStore string
 
 // Load is Saver's.
-func (p Path) Load() (*File, error) { return Load(string(p)) }
+func (store FileStore) Load() (*File, error) { return Load(string(store)) }
 
 // Save is Saver's.
-func (p Path) Save(f *File) error { return Save(string(p), f) }
+func (store FileStore) Save(file *File) error { return Save(string(store), file) }
 
 // Load reads a file; nil where there is none.
 func Load(path string) (*File, error) {
@@ -73,16 +73,16 @@
 		}
 		return nil, err
 	}
-	s, err := Parse(b)
+	file, err := Parse(b)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot %s: %w", path, err)
 	}
-	return s, nil
+	return file, nil
 }
 
 // Save puts a snapshot in a file's place: whoever reads finds the old one or the new, also after a loss of power.
-func Save(path string, s *File) error {
-	b, err := Append(nil, s)
+func Save(path string, file *File) error {
+	b, err := Append(nil, file)
 	if err != nil {
 		return err
 	}
--- a/internal/endpoints/snapshot/snapshot_test.go
+++ b/internal/endpoints/snapshot/snapshot_test.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-var file = &File{SavedMs: 1.7e12, Entries: []reconcile.Entry{{ID: "a", Address: "10.0.0.1:5432", Group: 3, Zone: "z", Weight: 2, Started: 1e12, Primary: true}, {ID: "b\n", Address: "10.0.0.2:5432", State: reconcile.Draining}}}
+var file = &File{SavedAtMs: 1.7e12, Entries: []reconcile.Entry{{ID: "a", Address: "10.0.0.1:5432", Group: 3, Zone: "z", Weight: 2, Started: 1e12, Primary: true}, {ID: "b\n", Address: "10.0.0.2:5432", State: reconcile.StateDraining}}}
 
 // TestEveryCut: a file that ends too soon, or has a byte that is not its own, is not read; a whole one is.
 func TestEveryCut(t *testing.T) {
@@ -45,7 +45,7 @@
 	if f, err := Load(path); f != nil || err != nil {
 		t.Errorf("none: %+v %v", f, err)
 	}
-	for _, x := range []*File{{SavedMs: 1}, file} {
+	for _, x := range []*File{{SavedAtMs: 1}, file} {
 		if err := Save(path, x); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/frontend/platform/ends.go
+++ b/internal/frontend/platform/ends.go
@@ -46,13 +46,13 @@
 }
 
 // WriteFigures writes the number of connections, of those that ended by the reason, and of commands refused in drains.
-func (postgres *Postgres) WriteFigures(figures *exposition.Sheet) {
-	clients := figures.Part("clients")
-	clients.Whole("connected", int64(postgres.sessions.Len()))
-	clients.Whole("halfway", int64(postgres.byUse[halfway].Len()))
-	clients.Whole("leaving", int64(postgres.byUse[leaving].Len()))
-	clients.Count("refused_for_drain", postgres.refusedForDrain)
+func (postgres *Postgres) WriteFigures(figures *exposition.Snapshot) {
+	clients := figures.Scope("clients")
+	clients.IntGauge("connected", int64(postgres.sessions.Len()))
+	clients.IntGauge("halfway", int64(postgres.byUse[halfway].Len()))
+	clients.IntGauge("leaving", int64(postgres.byUse[leaving].Len()))
+	clients.Counter("refused_for_drain", postgres.refusedForDrain)
 	for reason, count := range postgres.ended {
-		clients.Of("reason", endReason(reason).String()).Count("ended", count)
+		clients.Label("reason", endReason(reason).String()).Counter("ended", count)
 	}
 }
--- a/internal/frontend/scatter/front.go
+++ b/internal/frontend/scatter/front.go
@@ -279,18 +279,18 @@
 }
 
 // Figures tells what was done.
-func (f *Front) Figures(s *exposition.Sheet) {
-	c, scatter := f.Counts, s.Part("scatter")
+func (f *Front) Figures(s *exposition.Snapshot) {
+	c, scatter := f.Counts, s.Scope("scatter")
 	for _, x := range []struct {
 		name string
 		n    uint64
 	}{{"pages", c.Pages}, {"served", c.Served}, {"refused", c.Refused}, {"failed", c.Failed}, {"gone", c.Abandon}, {"rows", c.Rows}, {"asked", c.Asked},
 		{"asked_again", c.Again}, {"shards_missing", c.Missing}, {"cancels", c.Cancels}, {"cursors_refused", c.Cursors}} {
-		scatter.Count(x.name, x.n)
+		scatter.Counter(x.name, x.n)
 	}
-	scatter.Whole("running", int64(len(f.running)))
-	scatter.Whole("held_bytes", int64(f.Held()))
-	scatter.Whole("connections", int64(f.conns))
+	scatter.IntGauge("running", int64(len(f.running)))
+	scatter.IntGauge("held_bytes", int64(f.Held()))
+	scatter.IntGauge("connections", int64(f.conns))
 }
 
 // Bound is the bound of what is held for one page of a scatter.
--- a/internal/metrics/exposition/sheet.go
+++ b/internal/metrics/exposition/sheet.go
@@ -6,82 +6,84 @@
 
 import "strconv"
 
-// kind is what a figure is.
-type kind uint8
+// sampleKind is what a figure is.
+type sampleKind uint8
 
 const (
-	count kind = iota // grows from 0
-	level             // rises and falls
-	word              // is a text
+	counterSample sampleKind = iota // grows from 0
+	gaugeSample                     // rises and falls
+	infoSample                      // is a text
 )
 
-// figure is one line.
-type figure struct {
-	part Part
-	name string
-	text string // as it is printed
-	x    float64
-	kind kind
+// sample is one line.
+type sample struct {
+	scope Scope
+	name  string
+	text  string // as it is printed
+	value float64
+	kind  sampleKind
 }
 
-// Sheet gathers figures. The zero value is empty.
-type Sheet struct{ figures []figure }
+// Snapshot gathers figures. The zero value is empty.
+type Snapshot struct{ samples []sample }
 
-// Part is a place on a sheet: of a part of the program, and within it of one of several things of a kind.
-type Part struct {
-	sheet          *Sheet
-	name, key, one string
+// Scope is a place on a sheet: of a part of the program, and within it of one of several things of a kind.
+type Scope struct {
+	snapshot                    *Snapshot
+	name, labelName, labelValue string
 }
 
-// Part is the place of a part of the program; the empty one is of the whole.
-func (s *Sheet) Part(name string) Part { return Part{sheet: s, name: name} }
+// Scope is the place of a part of the program; the empty one is of the whole.
+func (s *Snapshot) Scope(name string) Scope { return Scope{snapshot: s, name: name} }
 
-// Of is the place of one thing; key says what kind of thing that is.
-func (p Part) Of(key, one string) Part {
-	p.key, p.one = key, one
+// Label is the place of one thing; key says what kind of thing that is.
+func (p Scope) Label(name, value string) Scope {
+	p.labelName, p.labelValue = name, value
 	return p
 }
 
-// Count tells how often something has happened since the process began.
-func (p Part) Count(name string, n uint64) {
-	p.put(figure{name: name, text: strconv.FormatUint(n, 10), x: float64(n), kind: count})
+// Counter tells how often something has happened since the process began.
+func (p Scope) Counter(name string, count uint64) {
+	p.add(sample{name: name, text: strconv.FormatUint(count, 10), value: float64(count), kind: counterSample})
 }
 
-// Whole tells how much there is of something now.
-func (p Part) Whole(name string, n int64) {
-	p.put(figure{name: name, text: strconv.FormatInt(n, 10), x: float64(n), kind: level})
+// IntGauge tells how much there is of something now.
+func (p Scope) IntGauge(name string, value int64) {
+	p.add(sample{name: name, text: strconv.FormatInt(value, 10), value: float64(value), kind: gaugeSample})
 }
 
-// Level tells how high something stands now.
-func (p Part) Level(name string, x float64) {
-	p.put(figure{name: name, text: strconv.FormatFloat(x, 'g', -1, 64), x: x, kind: level})
+// Gauge tells how high something stands now.
+func (p Scope) Gauge(name string, value float64) {
+	p.add(sample{name: name, text: strconv.FormatFloat(value, 'g', -1, 64), value: value, kind: gaugeSample})
 }
 
-// Flag tells whether something is so, as 1 or 0.
-func (p Part) Flag(name string, is bool) {
+// BoolGauge tells whether something is so, as 1 or 0.
+func (p Scope) BoolGauge(name string, on bool) {
 	n := int64(0)
-	if is {
+	if on {
 		n = 1
 	}
-	p.Whole(name, n)
+	p.IntGauge(name, n)
 }
 
-// Word tells a text, such as a reason.
-func (p Part) Word(name, text string) { p.put(figure{name: name, text: text, x: 1, kind: word}) }
+// Info tells a text, such as a reason.
+func (p Scope) Info(name, text string) {
+	p.add(sample{name: name, text: text, value: 1, kind: infoSample})
+}
 
-func (p Part) put(f figure) {
-	f.part = p
-	p.sheet.figures = append(p.sheet.figures, f)
+func (p Scope) add(f sample) {
+	f.scope = p
+	p.snapshot.samples = append(p.snapshot.samples, f)
 }
 
 // AppendLines prints the pooler's own form: "app", the part, the thing and the name with dots between, "=", the value.
-func (s *Sheet) AppendLines(dst []byte) []byte {
-	for i := range s.figures {
-		f := &s.figures[i]
+func (s *Snapshot) AppendLines(dst []byte) []byte {
+	for i := range s.samples {
+		f := &s.samples[i]
 		dst = append(dst, "app"...)
-		for _, x := range [...]string{f.part.name, f.part.one, f.name} {
-			if x != "" {
-				dst = append(append(dst, '.'), x...)
+		for _, part := range [...]string{f.scope.name, f.scope.labelValue, f.name} {
+			if part != "" {
+				dst = append(append(dst, '.'), part...)
 			}
 		}
 		dst = append(append(append(dst, '='), f.text...), '\n')
--- a/internal/metrics/exposition/sheet_test.go
+++ b/internal/metrics/exposition/sheet_test.go
@@ -44,16 +44,16 @@
 // TestForms: one sheet in both forms; lines of one family stand together in the text however they came.
 func TestForms(t *testing.T) {
 	t.Parallel()
-	var s Sheet
-	s.Part("").Count("upstream_tries", math.MaxUint64)
+	var s Snapshot
+	s.Scope("").Counter("upstream_tries", math.MaxUint64)
 	for _, c := range []string{"read", "write"} {
-		s.Part("handled").Of("class", c).Count("passed", 3)
-		s.Part("handled").Of("class", c).Count("dropped", 0)
+		s.Scope("handled").Label("class", c).Counter("passed", 3)
+		s.Scope("handled").Label("class", c).Counter("dropped", 0)
 	}
-	s.Part("credit.books").Whole("paid", -2)
-	s.Part("zones").Level("short", 1e6)
-	s.Part("zones").Of("zone", "a").Flag("near", true)
-	s.Part("verdicts").Of("server", "s1").Word("why", "silent")
+	s.Scope("credit.books").IntGauge("paid", -2)
+	s.Scope("zones").Gauge("short", 1e6)
+	s.Scope("zones").Label("zone", "a").BoolGauge("near", true)
+	s.Scope("verdicts").Label("server", "s1").Info("why", "silent")
 	lines := `app.upstream_tries=18446744073709551615
 app.handled.read.passed=3
 app.handled.read.dropped=0
@@ -67,7 +67,7 @@
 	if d := cmp.Diff(lines, string(s.AppendLines(nil))); d != "" {
 		t.Error(d)
 	}
-	text, err := s.Text()
+	text, err := s.PrometheusText()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,19 +98,19 @@
 func TestTextHoldsAnyName(t *testing.T) {
 	t.Parallel()
 	deterministic.Check(t, func(t *rapid.T) {
-		var s Sheet
+		var s Snapshot
 		want := map[string]float64{}
 		names := rapid.SliceOfNDistinct(rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"\xff", "a\"b\\", "x\ny", "", "{}=1"})), 0, 8,
 			func(n string) string { return strings.ToValidUTF8(n, "\uFFFD") }).Draw(t, "names")
 		for _, n := range names {
 			x := rapid.Float64().Draw(t, "x")
-			s.Part("limits").Of("limit", n).Level("lent", x)
-			s.Part("limits").Of("limit", n).Word("why", n)
+			s.Scope("limits").Label("limit", n).Gauge("lent", x)
+			s.Scope("limits").Label("limit", n).Info("why", n)
 			n = strings.ToValidUTF8(n, "\uFFFD")
 			want[fmt.Sprintf("app_limits_limit_lent limit=%q", n)] = x
 			want[fmt.Sprintf("app_limits_limit_why limit=%q is=%q", n, n)] = 1
 		}
-		text, err := s.Text()
+		text, err := s.PrometheusText()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,13 +122,13 @@
 
 // BenchmarkForms measures a sheet of 60 figures in each form.
 func BenchmarkForms(b *testing.B) {
-	fill := func() *Sheet {
-		s := &Sheet{}
+	fill := func() *Snapshot {
+		s := &Snapshot{}
 		for i := range 20 {
-			of := s.Part("handled").Of("class", fmt.Sprint(i))
-			of.Count("passed", 1e6)
-			of.Count("dropped", 17)
-			of.Count("bad_gateway", 0)
+			of := s.Scope("handled").Label("class", fmt.Sprint(i))
+			of.Counter("passed", 1e6)
+			of.Counter("dropped", 17)
+			of.Counter("bad_gateway", 0)
 		}
 		return s
 	}
@@ -141,7 +141,7 @@
 	b.Run("text", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, err := fill().Text(); err != nil {
+			if _, err := fill().PrometheusText(); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/metrics/exposition/text.go
+++ b/internal/metrics/exposition/text.go
@@ -9,30 +9,30 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TextType is the media type of Text.
-var TextType = string(expfmt.NewFormat(expfmt.TypeTextPlain))
+// PrometheusContentType is the media type of Text.
+var PrometheusContentType = string(expfmt.NewFormat(expfmt.TypeTextPlain))
 
-// Text prints the form that Prometheus reads, version 0.0.4. A thing's name is a label; a word is one too, of the value 1.
-func (s *Sheet) Text() ([]byte, error) {
+// PrometheusText prints the form that Prometheus reads, version 0.0.4. A thing's name is a label; a word is one too, of the value 1.
+func (s *Snapshot) PrometheusText() ([]byte, error) {
 	var order []*dto.MetricFamily // the form has each family's lines together
 	families := map[string]*dto.MetricFamily{}
-	for i := range s.figures {
-		f := &s.figures[i]
+	for i := range s.samples {
+		f := &s.samples[i]
 		name := f.family()
-		m := families[name]
-		if m == nil {
-			m = &dto.MetricFamily{Name: proto.String(name), Type: dto.MetricType_GAUGE.Enum()}
-			if f.kind == count {
-				m.Type = dto.MetricType_COUNTER.Enum()
+		family := families[name]
+		if family == nil {
+			family = &dto.MetricFamily{Name: proto.String(name), Type: dto.MetricType_GAUGE.Enum()}
+			if f.kind == counterSample {
+				family.Type = dto.MetricType_COUNTER.Enum()
 			}
-			families[name] = m
-			order = append(order, m)
+			families[name] = family
+			order = append(order, family)
 		}
-		m.Metric = append(m.Metric, f.metric())
+		family.Metric = append(family.Metric, f.metric())
 	}
 	var out bytes.Buffer
-	for _, m := range order {
-		if _, err := expfmt.MetricFamilyToText(&out, m); err != nil {
+	for _, family := range order {
+		if _, err := expfmt.MetricFamilyToText(&out, family); err != nil {
 			return nil, err
 		}
 	}
@@ -40,34 +40,34 @@
 }
 
 // family is the name that a figure shares with those of other things of its kind.
-func (f *figure) family() string {
+func (f *sample) family() string {
 	name := "app"
-	for _, x := range [...]string{f.part.name, f.part.key, f.name} {
-		if x != "" {
-			name += "_" + x
+	for _, part := range [...]string{f.scope.name, f.scope.labelName, f.name} {
+		if part != "" {
+			name += "_" + part
 		}
 	}
-	if f.kind == count {
+	if f.kind == counterSample {
 		name += "_total"
 	}
 	return strings.ReplaceAll(name, ".", "_")
 }
 
-func (f *figure) metric() *dto.Metric {
-	m := &dto.Metric{}
-	if f.part.key != "" {
-		m.Label = append(m.Label, &dto.LabelPair{Name: proto.String(f.part.key), Value: label(f.part.one)})
+func (f *sample) metric() *dto.Metric {
+	metric := &dto.Metric{}
+	if f.scope.labelName != "" {
+		metric.Label = append(metric.Label, &dto.LabelPair{Name: proto.String(f.scope.labelName), Value: validUTF8(f.scope.labelValue)})
 	}
-	if f.kind == word {
-		m.Label = append(m.Label, &dto.LabelPair{Name: proto.String("is"), Value: label(f.text)})
+	if f.kind == infoSample {
+		metric.Label = append(metric.Label, &dto.LabelPair{Name: proto.String("is"), Value: validUTF8(f.text)})
 	}
-	if f.kind == count {
-		m.Counter = &dto.Counter{Value: proto.Float64(f.x)}
+	if f.kind == counterSample {
+		metric.Counter = &dto.Counter{Value: proto.Float64(f.value)}
 	} else {
-		m.Gauge = &dto.Gauge{Value: proto.Float64(f.x)}
+		metric.Gauge = &dto.Gauge{Value: proto.Float64(f.value)}
 	}
-	return m
+	return metric
 }
 
-// label is a text as the form can hold it; ids of servers come from outside.
-func label(text string) *string { return proto.String(strings.ToValidUTF8(text, "\uFFFD")) }
+// validUTF8 is a text as the form can hold it; ids of servers come from outside.
+func validUTF8(text string) *string { return proto.String(strings.ToValidUTF8(text, "\uFFFD")) }
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -8,61 +8,61 @@
 	"beechgrade/internal/metrics/exposition"
 )
 
-// End is how a request ended.
-type End uint8
+// Outcome is how a request ended.
+type Outcome uint8
 
 // The ends.
 const (
-	Passed     End = iota // served
-	Dropped               // refused
-	BadGateway            // failed
-	Gone                  // its client went away
-	ends
+	Served     Outcome = iota // served
+	Rejected                  // refused
+	Failed                    // failed
+	ClientGone                // its client went away
+	outcomes
 )
 
-var names = [Gone]string{"passed", "dropped", "bad_gateway"}
+var outcomeNames = [ClientGone]string{"passed", "dropped", "bad_gateway"}
 
 // Class are the figures of one class.
 type Class struct {
-	name  string
-	ended [ends]uint64
+	name   string
+	counts [outcomes]uint64
 }
 
 // Count counts a request's end.
-func (c *Class) Count(e End) { c.ended[e]++ }
+func (c *Class) Count(outcome Outcome) { c.counts[outcome]++ }
 
-// Figures are a process's; they begin at 0. The zero value is ready for use.
-type Figures struct {
-	Open       int    // requests taken and not ended
-	Tries      uint64 // attempts written whole
-	Loads      uint64 // configurations read again and taken...
-	LoadErrors uint64 // ...and turned down
+// Metrics are a process's; they begin at 0. The zero value is ready for use.
+type Metrics struct {
+	OpenRequests    int    // requests taken and not ended
+	Attempts        uint64 // attempts written whole
+	ReloadsAccepted uint64 // configurations read again and taken...
+	ReloadsRejected uint64 // ...and turned down
 
 	classes []*Class
 }
 
 // Class is the class of that name, which is counted from now on. One that has gone keeps its figures.
-func (f *Figures) Class(name string) *Class {
-	i := slices.IndexFunc(f.classes, func(c *Class) bool { return c.name == name })
-	if i < 0 {
-		i, f.classes = len(f.classes), append(f.classes, &Class{name: name})
+func (f *Metrics) Class(name string) *Class {
+	index := slices.IndexFunc(f.classes, func(class *Class) bool { return class.name == name })
+	if index < 0 {
+		index, f.classes = len(f.classes), append(f.classes, &Class{name: name})
 	}
-	return f.classes[i]
+	return f.classes[index]
 }
 
-// Tell tells the figures, with the servers that are listed and those of them that are avoided.
-func (f *Figures) Tell(s *exposition.Sheet, listed, avoided int) {
-	for _, c := range f.classes {
-		of := s.Part("handled").Of("class", c.name)
-		for e, name := range names {
-			of.Count(name, c.ended[e])
+// AppendTo tells the figures, with the servers that are listed and those of them that are avoided.
+func (f *Metrics) AppendTo(snapshot *exposition.Snapshot, listed, avoided int) {
+	for _, class := range f.classes {
+		scope := snapshot.Scope("handled").Label("class", class.name)
+		for outcome, name := range outcomeNames {
+			scope.Counter(name, class.counts[outcome])
 		}
 	}
-	all := s.Part("")
-	all.Count("upstream_tries", f.Tries)
-	all.Whole("in_progress", int64(f.Open))
-	all.Whole("known_database_servers", int64(listed))
-	all.Whole("skipped_database_servers", int64(avoided))
-	all.Count("loads", f.Loads)
-	all.Count("load_errors", f.LoadErrors)
+	process := snapshot.Scope("")
+	process.Counter("upstream_tries", f.Attempts)
+	process.IntGauge("in_progress", int64(f.OpenRequests))
+	process.IntGauge("known_database_servers", int64(listed))
+	process.IntGauge("skipped_database_servers", int64(avoided))
+	process.Counter("loads", f.ReloadsAccepted)
+	process.Counter("load_errors", f.ReloadsRejected)
 }
--- a/internal/settings/agreed_test.go
+++ b/internal/settings/agreed_test.go
@@ -11,9 +11,9 @@
 	read := func(s string) (*Settings, error) {
 		return Parse("f", []byte(peers+s), func(string) string { return "/disk" })
 	}
-	s, err := read(`(agreed (voters "a" "b" "c") (dir "$D/agreed") (tick 100ms) (election 10) (heartbeat 1) (witness 5))`)
-	if err != nil || !s.Agreed.On || s.Agreed.Dir != "/disk/agreed" || s.Agreed.Settings.Tick != 100 || len(s.Agreed.Settings.Voters) != 3 {
-		t.Fatalf("%v %+v", err, s)
+	settings, err := read(`(agreed (voters "a" "b" "c") (dir "$D/agreed") (tick 100ms) (election 10) (heartbeat 1) (witness 5))`)
+	if err != nil || !settings.RaftLog.Enabled || settings.RaftLog.Dir != "/disk/agreed" || settings.RaftLog.Settings.Tick != 100 || len(settings.RaftLog.Settings.Voters) != 3 {
+		t.Fatalf("%v %+v", err, settings)
 	}
 	for text, word := range map[string]string{
 		`(agreed (voters "a" "b") (dir "d"))`:                                 "three names or five",
--- a/internal/settings/clickhouse_test.go
+++ b/internal/settings/clickhouse_test.go
@@ -15,20 +15,20 @@
 
 // TestClickHouse: what is written is what holds, each mistake has its place, and the classes are such that only reads repeat.
 func TestClickHouse(t *testing.T) {
-	s, err := Parse("o", []byte(`(clickhouse (listen "127.0.0.1:8123") (group 9) (aim 1s) (deadline 5s) (most-body 2m) (hold 64k) (bound 10s) (sessions 5)
+	settings, err := Parse("o", []byte(`(clickhouse (listen "127.0.0.1:8123") (group 9) (aim 1s) (deadline 5s) (most-body 2m) (hold 64k) (bound 10s) (sessions 5)
 		(upload 1m) (quiet 2m) (stall 3s) (deadline-header "X-Wait")
 		(user "a" (queries 2) (queue 3) (wait 1s) (rate 5) (burst 9)) (user "*" (queries 4)))`), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := ClickHouse{Listen: "127.0.0.1:8123", Group: 9, AimMs: 1000, DeadlineMs: 5000, Worth: 1, MostBody: 2 << 20, Hold: 64 << 10, BoundMs: 10000,
-		Sessions: 5, UploadMs: 60000, QuietMs: 120000, StallMs: 3000, Header: "X-Wait", IdleMs: 3000, ClientMs: 60000, HeadMs: 10000,
-		Users: map[string]limits.Limits{"a": {Queries: 2, Queue: 3, Wait: 1000, PerSecond: 5, Burst: 9}}, Others: limits.Limits{Queries: 4, Wait: 5000}}
-	if diff := cmp.Diff(want, s.ClickHouse); diff != "" {
+	want := ClickHouse{Listen: "127.0.0.1:8123", Group: 9, LatencyObjectiveMs: 1000, DeadlineMs: 5000, PriorityWeight: 1, MaxBodyBytes: 2 << 20, MaxBufferedBytes: 64 << 10, MaxStalenessMs: 10000,
+		MaxSessions: 5, UploadTimeoutMs: 60000, ServerIdleTimeoutMs: 120000, ClientStallTimeoutMs: 3000, DeadlineHeader: "X-Wait", ConnectionIdleMs: 3000, ClientIdleMs: 60000, HeadTimeoutMs: 10000,
+		Users: map[string]limits.Limits{"a": {Queries: 2, Queue: 3, Wait: 1000, PerSecond: 5, Burst: 9}}, DefaultLimits: limits.Limits{Queries: 4, Wait: 5000}}
+	if diff := cmp.Diff(want, settings.ClickHouse); diff != "" {
 		t.Error(diff)
 	}
 	cfg := &config.Config{}
-	s.ClickHouse.AddClasses(cfg)
+	settings.ClickHouse.AddClasses(cfg)
 	got := map[string]decide.Class{}
 	for i, n := range cfg.Classes {
 		got[n] = cfg.Settings.Classes[i]
@@ -62,11 +62,11 @@
 
 // TestJournal: the folder, the mode and the bound, with variables of the environment; what is not known has its place.
 func TestJournal(t *testing.T) {
-	s, err := Parse("o", []byte(`(journal (dir "$D/j") (mode alongside) (most 5m) (pace 2m))`), func(string) string { return "/d" })
+	settings, err := Parse("o", []byte(`(journal (dir "$D/j") (mode alongside) (most 5m) (pace 2m))`), func(string) string { return "/d" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(Journal{Dir: "/d/j", Mode: journal.Alongside, MostBytes: 5 << 20, Pace: 2 << 20}, s.Journal); diff != "" {
+	if diff := cmp.Diff(Journal{Dir: "/d/j", Mode: journal.Alongside, MaxBytes: 5 << 20, CompactionBytesPerSecond: 2 << 20}, settings.Journal); diff != "" {
 		t.Error(diff)
 	}
 	for in, want := range map[string]string{
--- a/internal/settings/credit_test.go
+++ b/internal/settings/credit_test.go
@@ -14,12 +14,12 @@
 
 // TestCredit reads prices, overdrafts and payments, and has each class find its own.
 func TestCredit(t *testing.T) {
-	s, err := Parse("x", []byte(beforeCredit+`(credit (unit "cent") (slow-below 0.1) (price "read" (request 2)) (price "report" (request 5) (row 1) (most 100) (failed charged))
+	settings, err := Parse("x", []byte(beforeCredit+`(credit (unit "cent") (slow-below 0.1) (price "read" (request 2)) (price "report" (request 5) (row 1) (most 100) (failed charged))
 		(overdraft "write" 500) (payment "m" 2 70) (payment "m" 1 30) (payment "a" 1 10) (prepaid "z"))`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := s.Credit.For([]string{"write", "read", "report"}, func(i int) float64 { return float64(i) })
+	got := settings.Credit.SettingsFor([]string{"write", "read", "report"}, func(i int) float64 { return float64(i) })
 	want := []lease.Class{{Worth: 0, Depth: 500}, {Worth: 1, Price: lease.Price{Request: 2}}, {Worth: 2, Price: lease.Price{Request: 5, Row: 1, Most: 100, Failed: true}}}
 	if d := cmp.Diff(want, got.Purse.Classes); d != "" {
 		t.Error(d)
--- a/internal/settings/durable_test.go
+++ b/internal/settings/durable_test.go
@@ -17,16 +17,16 @@
 		`(dir "$D/x") (mode alongside) (most 1m)`: {"/d/x", "alongside", 1 << 20, 0},
 		`(dir "/x") (most 2g) (pace 3m)`:          {"/x", "before", 2 << 30, 3 << 20},
 	} {
-		s, err := Parse("o", []byte("(journal "+in+")\n(sessions "+in+")"), func(string) string { return "/d" })
+		settings, err := Parse("o", []byte("(journal "+in+")\n(sessions "+in+")"), func(string) string { return "/d" })
 		if err != nil {
 			t.Errorf("%s: %v", in, err)
 			continue
 		}
-		j, c := s.Journal, s.Sessions
-		if diff := cmp.Diff(want, Durable[string]{j.Dir, j.Mode.String(), j.MostBytes, j.Pace}); diff != "" {
+		j, c := settings.Journal, settings.Sessions
+		if diff := cmp.Diff(want, Durable[string]{j.Dir, j.Mode.String(), j.MaxBytes, j.CompactionBytesPerSecond}); diff != "" {
 			t.Errorf("journal %s: %s", in, diff)
 		}
-		if diff := cmp.Diff(want, Durable[string]{c.Dir, c.Mode.String(), c.MostBytes, c.Pace}); diff != "" {
+		if diff := cmp.Diff(want, Durable[string]{c.Dir, c.Mode.String(), c.MaxBytes, c.CompactionBytesPerSecond}); diff != "" {
 			t.Errorf("sessions %s: %s", in, diff)
 		}
 	}
@@ -38,7 +38,7 @@
 			t.Errorf("%s: %v", in, err)
 		}
 	}
-	if s, err := Parse("o", nil, nil); err != nil || s.Journal.Mode != journal.BeforeSend || s.Journal.Dir != "" || s.Sessions.Mode != sessiontoken.BeforeAnswer || s.Sessions.Dir != "" {
-		t.Errorf("of nothing: %+v, %+v, %v", s.Journal, s.Sessions, err)
+	if settings, err := Parse("o", nil, nil); err != nil || settings.Journal.Mode != journal.BeforeSend || settings.Journal.Dir != "" || settings.Sessions.Mode != sessiontoken.BeforeAnswer || settings.Sessions.Dir != "" {
+		t.Errorf("of nothing: %+v, %+v, %v", settings.Journal, settings.Sessions, err)
 	}
 }
--- a/internal/settings/limits_test.go
+++ b/internal/settings/limits_test.go
@@ -40,11 +40,11 @@
 		}
 	}
 	one, _ := Parse("o", []byte(peers+all), env)
-	two, err := Parse("o", []byte(peers+one.Limits.String()), env)
+	two, err := Parse("o", []byte(peers+one.FleetLimits.String()), env)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(one.Limits, two.Limits); diff != "" || len(one.Limits.List) != 7 || one.Limits.List[3].Whom != "db/u/v" {
-		t.Error(diff, one.Limits.List)
+	if diff := cmp.Diff(one.FleetLimits, two.FleetLimits); diff != "" || len(one.FleetLimits.Limits) != 7 || one.FleetLimits.Limits[3].Subject != "db/u/v" {
+		t.Error(diff, one.FleetLimits.Limits)
 	}
 }
--- a/internal/settings/membership_test.go
+++ b/internal/settings/membership_test.go
@@ -15,7 +15,7 @@
 // TestMembership: what is written is what holds, and each mistake has one line with its place.
 func TestMembership(t *testing.T) {
 	env := func(string) string { return "/e" }
-	s, err := Parse("o", []byte(`(membership
+	settings, err := Parse("o", []byte(`(membership
 		(consul (agents "127.0.0.1:8500" "[::1]:8500") (services "a" "b") (token-file "$T/token") (dc "recife") (ns "obra") (filter "Service.Port > 1")
 			(consistency stale) (max-stale 3s) (wait 9s) (most 1m)
 			(map (group (tag "cell=")) (role (tag)) (zone (node-meta "rack")) (started none) (primary "lider") (group-number "obra" 3)))
@@ -23,22 +23,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &s.Membership
-	want := reconcile.Settings{Sources: []string{"static", "consul"}, Keep: 3600000, OldAge: 5000, MassPart: 0.25, MassLeast: 2, MassIn: 10000, MassHold: 60000, FlapIn: 60000, FlapHold: 20000,
-		WordFor: 9000, Critical: reconcile.Drains}
-	if diff := cmp.Diff(want, m.Members.Judge); diff != "" {
+	m := &settings.Endpoints
+	want := reconcile.Settings{Sources: []string{"static", "consul"}, SourceRetentionMs: 3600000, StaleAgeMs: 5000, MassRemovalFraction: 0.25, MassRemovalMinimum: 2, MassRemovalWindowMs: 10000, MassRemovalHoldMs: 60000, FlapWindowMs: 60000, FlapHoldMs: 20000,
+		SelfReportTTLMs: 9000, Critical: reconcile.CriticalDrain}
+	if diff := cmp.Diff(want, m.Options.Reconcile); diff != "" {
 		t.Error(diff)
 	}
 	c := m.Consul
-	c.Map.Replica = nil
+	c.Mapping.ReplicaWords = nil
 	mapping := consul.DefaultMapping()
-	mapping.Group, mapping.Role, mapping.Zone, mapping.Started = consul.From{Kind: "tag", Key: "cell="}, consul.From{Kind: "tag"}, consul.From{Kind: "node-meta", Key: "rack"}, consul.From{Kind: "none"}
-	mapping.Primary, mapping.Replica, mapping.Groups = []string{"lider"}, nil, map[string]string{"obra": "3"}
+	mapping.Group, mapping.Role, mapping.Zone, mapping.Started = consul.FieldSource{Kind: "tag", Key: "cell="}, consul.FieldSource{Kind: "tag"}, consul.FieldSource{Kind: "node-meta", Key: "rack"}, consul.FieldSource{Kind: "none"}
+	mapping.PrimaryWords, mapping.ReplicaWords, mapping.GroupNumbers = []string{"lider"}, nil, map[string]string{"obra": "3"}
 	if diff := cmp.Diff(&consul.Options{Name: "consul", Agents: []string{"127.0.0.1:8500", "[::1]:8500"}, Services: []string{"a", "b"}, Datacenter: "recife", Namespace: "obra",
-		Filter: "Service.Port > 1", Consistency: "stale", MaxStale: 3000, Wait: 9000, MostBytes: 1 << 20, Map: mapping}, c); diff != "" {
+		Filter: "Service.Port > 1", Consistency: "stale", MaxStaleMs: 3000, WaitMs: 9000, MaxResponseBytes: 1 << 20, Mapping: mapping}, c); diff != "" {
 		t.Error(diff)
 	}
-	if !m.On || m.TokenFile != "/e/token" || m.Members.Snapshot != "/e/s" || m.Static != "/s" || m.Override != "/o" {
+	if !m.Enabled || m.TokenFile != "/e/token" || m.Options.SnapshotPath != "/e/s" || m.StaticPath != "/s" || m.OverridePath != "/o" {
 		t.Errorf("%+v", m)
 	}
 	const agents = `(agents "h:1") (services "a")`
@@ -72,20 +72,20 @@
 
 // TestHereItIsOff: on this platform the list is its discovery's alone.
 func TestHereItIsOff(t *testing.T) {
-	s, err := Load("../../deploy/operators.sexp", os.Getenv)
-	if err != nil || s.Membership.On || s.Pooling.Listen != "" || s.ClickHouse.Listen != "" || s.Record.On {
-		t.Errorf("%+v %v", s, err)
+	settings, err := Load("../../deploy/operators.sexp", os.Getenv)
+	if err != nil || settings.Endpoints.Enabled || settings.Pooling.Listen != "" || settings.ClickHouse.Listen != "" || settings.Record.Enabled {
+		t.Errorf("%+v %v", settings, err)
 	}
 }
 
 // TestOverride: the operators' word, none, and one with a mistake.
 func TestOverride(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "o")
-	m := &Membership{Override: file}
+	m := &Endpoints{OverridePath: file}
 	for text, want := range map[string]any{
 		"":                                 reconcile.Override{},
-		`(accept-removals)`:                reconcile.Override{AcceptRemovals: true},
-		`(pin "a" gone) (pin "b" serving)`: reconcile.Override{Pins: []reconcile.Pin{{ID: "a", State: reconcile.Gone}, {ID: "b", State: reconcile.Serving}}},
+		`(accept-removals)`:                reconcile.Override{AcceptHeldRemovals: true},
+		`(pin "a" gone) (pin "b" serving)`: reconcile.Override{Pins: []reconcile.Pin{{ID: "a", State: reconcile.StateRemoved}, {ID: "b", State: reconcile.StateServing}}},
 		`(pin "a")`:                        ":1:1: (pin \"ID\" serving), draining or gone",
 		`(pin "a" up)`:                     ":1:10: serving, draining or gone",
 		`(unpin "a")`:                      `:1:1: "unpin" is not known here; known are: accept-removals, pin`,
--- a/internal/settings/operate_test.go
+++ b/internal/settings/operate_test.go
@@ -12,11 +12,11 @@
 	env := func(name string) string { return map[string]string{"T": "/t"}[name] }
 	for in, want := range map[string]any{
 		"": Settings{},
-		`(record (on) (dir "$T/r") (segment 1m) (total 8m) (queue 128) (flush 1s) (pack yes))`: Settings{Record: Record{On: true,
-			Dir: "/t/r", SegmentBytes: 1 << 20, TotalBytes: 8 << 20, Queue: 128, FlushMs: 1000, Pack: true}},
-		`(record (on no))`: Settings{Record: Record{SegmentBytes: defaultSegment, TotalBytes: defaultTotal,
-			Queue: defaultQueue, FlushMs: defaultFlushMs}},
-		`(kept (dir "$T/k") (age 1h) (pace 1m))`:   Settings{Kept: Kept{Dir: "/t/k", AgeMs: 3600e3, MostBytes: defaultKept, Pace: 1 << 20}},
+		`(record (on) (dir "$T/r") (segment 1m) (total 8m) (queue 128) (flush 1s) (pack yes))`: Settings{Record: Record{Enabled: true,
+			Dir: "/t/r", SegmentBytes: 1 << 20, TotalBytes: 8 << 20, QueueLength: 128, FlushIntervalMs: 1000, Compress: true}},
+		`(record (on no))`: Settings{Record: Record{SegmentBytes: defaultSegmentBytes, TotalBytes: defaultTotalBytes,
+			QueueLength: defaultQueueLength, FlushIntervalMs: defaultFlushIntervalMs}},
+		`(kept (dir "$T/k") (age 1h) (pace 1m))`:   Settings{Snapshots: Snapshots{Dir: "/t/k", MaxAgeMs: 3600e3, MaxBytes: defaultSnapshotBytes, CompactionBytesPerSecond: 1 << 20}},
 		`(kept (dir "$NO"))`:                       `o:1:1: kept: (dir "FOLDER") is due, on a disk that survives`,
 		"(record)\n(records)":                      `o:2:1: "records" is not known here; known are: agreed, clickhouse, credit, fleet-limits, invariants, journal, kept, membership, overload, peers, pooling, record, scatter, sessions, verdicts, zones`,
 		"(record (on))":                            "o:1:1: record: it is on, but no (dir ...) says where",
@@ -27,14 +27,14 @@
 		"(record (dir \"a\") (dir \"b\"))":         `o:1:19: "dir" stands here twice, first on line 1`,
 		"(record (on yes) (dir \"a\")) (record\n)": `o:1:29: "record" stands here twice, first on line 1`,
 	} {
-		s, err := Parse("o", []byte(in), env)
+		settings, err := Parse("o", []byte(in), env)
 		var got any
 		if err != nil {
 			got = err.Error()
 		} else {
-			got = *s
+			got = *settings
 		}
-		if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Pooling{}, Membership{}, Scatter{})); diff != "" {
+		if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Pooling{}, Endpoints{}, Scatter{})); diff != "" {
 			t.Errorf("%q: %s", in, diff)
 		}
 	}
--- a/internal/settings/overload_test.go
+++ b/internal/settings/overload_test.go
@@ -15,7 +15,7 @@
 		`(peers (listen "1.2.3.4:5") (key "k")) (overload (repeats (part -1)))`:       `o:1:65: -1 is out of range`,
 		`(peers (listen "1.2.3.4:5") (key "k")) (overload (probes (share no)))`:       ``,
 	} {
-		s, err := Parse("o", []byte(in), func(string) string { return "" })
+		settings, err := Parse("o", []byte(in), func(string) string { return "" })
 		got := ""
 		if err != nil {
 			got = err.Error()
@@ -23,8 +23,8 @@
 		if !strings.HasPrefix(got, want) || (want == "") != (got == "") {
 			t.Errorf("%s: %q, want %q", in, got, want)
 		}
-		if want == "" && (!s.Overload.On || s.Overload.SetShedding || s.Overload.Share || s.Overload.Repeats || s.Overload.Returns != 0) {
-			t.Errorf("read as %+v", s.Overload)
+		if want == "" && (!settings.Overload.Enabled || settings.Overload.SetShedding || settings.Overload.Share || settings.Overload.Repeats || settings.Overload.Returns != 0) {
+			t.Errorf("read as %+v", settings.Overload)
 		}
 	}
 }
--- a/internal/settings/pooling.go
+++ b/internal/settings/pooling.go
@@ -15,97 +15,97 @@
 
 // Pooling says whether and how ordinary PostgreSQL clients are served.
 type Pooling struct {
-	Listen     string // empty for off
-	Classes    []Class
-	Pools      []pooling.PoolOptions
-	MaxMessage int
-	MaxAnswer  int
+	Listen           string // empty for off
+	Classes          []TransactionClass
+	Pools            []pooling.PoolOptions
+	MaxMessageBytes  int
+	MaxResponseBytes int
 
-	places map[string]sexp.Pos // where pools name their classes
+	classPositions map[string]sexp.Pos // where pools name their classes
 }
 
-// Class is a class of transactions that the operators add to the platform's.
-type Class struct {
+// TransactionClass is a class of transactions that the operators add to the platform's.
+type TransactionClass struct {
 	Name string
 	decide.Class
 }
 
-// defaultPool is what a pool has where its settings say nothing. Times are in milliseconds.
-func defaultPool() pooling.PoolOptions {
+// defaultPoolOptions is what a pool has where its settings say nothing. Times are in milliseconds.
+func defaultPoolOptions() pooling.PoolOptions {
 	return pooling.PoolOptions{Database: "*", User: "*", App: "*", Clients: 5000, TxnMs: 60000, IdleTxnMs: 30000, Statements: 500, StatementBytes: 1 << 20,
 		Limits: connpool.Limits{Most: 20, Queue: 5000, WaitMs: 10000, ReserveMs: 1000, LifeMs: 3600000, IdleMs: 300000, Dials: 4, AgainMs: 200}}
 }
 
-const longest = 24 * 3600 * 1000
+const maxDurationMs = 24 * 3600 * 1000
 
-func (p *Pooling) read(n *sexp.Node) error {
-	p.MaxMessage, p.MaxAnswer, p.places = 1<<20, 16<<20, map[string]sexp.Pos{}
-	err := sexp.Form{
-		"listen": func(n *sexp.Node) (err error) {
-			if p.Listen, err = n.Str(); err != nil {
+func (p *Pooling) read(node *sexp.Node) error {
+	p.MaxMessageBytes, p.MaxResponseBytes, p.classPositions = 1<<20, 16<<20, map[string]sexp.Pos{}
+	err := sexp.Schema{
+		"listen": func(node *sexp.Node) (err error) {
+			if p.Listen, err = node.Str(); err != nil {
 				return err
 			}
 			if _, _, err := net.SplitHostPort(p.Listen); err != nil {
-				return n.Items[1].Errorf("an address with its port is due here: %v", err)
+				return node.Items[1].Errorf("an address with its port is due here: %v", err)
 			}
 			return nil
 		},
-		"class": p.class,
-		"pool":  p.pool,
-		"most-message": func(n *sexp.Node) error {
-			x, err := n.Bytes(64<<10, 64<<20)
-			p.MaxMessage = int(x)
+		"class": p.readClass,
+		"pool":  p.readPool,
+		"most-message": func(node *sexp.Node) error {
+			x, err := node.Bytes(64<<10, 64<<20)
+			p.MaxMessageBytes = int(x)
 			return err
 		},
-		"most-answer": func(n *sexp.Node) error {
-			x, err := n.Bytes(64<<10, 256<<20)
-			p.MaxAnswer = int(x)
+		"most-answer": func(node *sexp.Node) error {
+			x, err := node.Bytes(64<<10, 256<<20)
+			p.MaxResponseBytes = int(x)
 			return err
 		},
-	}.Read(n.Args(), "class", "pool")
+	}.Read(node.Args(), "class", "pool")
 	switch {
 	case err != nil:
 		return err
 	case p.Listen != "" && len(p.Pools) == 0:
-		return n.Errorf("pooling: it listens, but there is no (pool ...)")
+		return node.Errorf("pooling: it listens, but there is no (pool ...)")
 	case p.Listen == "" && len(p.Pools) > 0:
-		return n.Errorf("pooling: there are pools, but no (listen \"ADDRESS:PORT\")")
+		return node.Errorf("pooling: there are pools, but no (listen \"ADDRESS:PORT\")")
 	}
 	return nil
 }
 
-func (p *Pooling) class(n *sexp.Node) error {
-	a := n.Args()
+func (p *Pooling) readClass(node *sexp.Node) error {
+	a := node.Args()
 	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" {
-		return n.Errorf("a class's name is due first")
+		return node.Errorf("a class's name is due first")
 	}
-	if slices.ContainsFunc(p.Classes, func(c Class) bool { return c.Name == a[0].Text }) {
+	if slices.ContainsFunc(p.Classes, func(c TransactionClass) bool { return c.Name == a[0].Text }) {
 		return a[0].Errorf("there is a class %q already", a[0].Text)
 	}
-	c := Class{Name: a[0].Text, Class: decide.Class{LatencyObjective: 500 * time.Millisecond, Deadline: 60 * time.Second, PriorityWeight: 1, LateWeight: 1,
+	c := TransactionClass{Name: a[0].Text, Class: decide.Class{LatencyObjective: 500 * time.Millisecond, Deadline: 60 * time.Second, PriorityWeight: 1, LateWeight: 1,
 		Idempotency: decide.NotIdempotent, Read: decide.Write}}
 	span := func(to *time.Duration) func(*sexp.Node) error {
-		return func(n *sexp.Node) error {
-			ms, err := n.Millis(1, longest)
+		return func(node *sexp.Node) error {
+			ms, err := node.Millis(1, maxDurationMs)
 			*to = time.Duration(ms * float64(time.Millisecond))
 			return err
 		}
 	}
-	err := sexp.Form{
+	err := sexp.Schema{
 		"aim":      span(&c.LatencyObjective),
 		"deadline": span(&c.Deadline),
 		"bound":    span(&c.MaxStaleness),
-		"worth":    func(n *sexp.Node) (err error) { c.PriorityWeight, err = n.Float(0, 1000); return err },
-		"late":     func(n *sexp.Node) (err error) { c.LateWeight, err = n.Float(0, 1); return err },
-		"needs": func(n *sexp.Node) error {
-			s, err := n.Str()
+		"worth":    func(node *sexp.Node) (err error) { c.PriorityWeight, err = node.Float(0, 1000); return err },
+		"late":     func(node *sexp.Node) (err error) { c.LateWeight, err = node.Float(0, 1); return err },
+		"needs": func(node *sexp.Node) error {
+			s, err := node.Str()
 			if err != nil {
 				return err
 			}
 			kinds := map[string]decide.ReadKind{"primary": decide.Write, "any": decide.ReadAny, "session": decide.ReadSession, "bounded": decide.ReadBounded}
 			k, ok := kinds[s]
 			if !ok {
-				return n.Items[1].Errorf("primary, any, session or bounded is due here")
+				return node.Items[1].Errorf("primary, any, session or bounded is due here")
 			}
 			c.Read = k
 			return nil
@@ -115,44 +115,44 @@
 		return err
 	}
 	if c.Read == decide.ReadBounded && c.MaxStaleness == 0 {
-		return n.Errorf("class %q: (needs bounded) wants a (bound TIME)", c.Name)
+		return node.Errorf("class %q: (needs bounded) wants a (bound TIME)", c.Name)
 	}
 	p.Classes = append(p.Classes, c)
 	return nil
 }
 
-func (p *Pooling) pool(n *sexp.Node) error {
-	o := defaultPool()
+func (p *Pooling) readPool(node *sexp.Node) error {
+	o := defaultPoolOptions()
 	l := &o.Limits
 	span := func(to *float64) func(*sexp.Node) error {
-		return func(n *sexp.Node) (err error) { *to, err = n.Millis(0, longest); return err }
+		return func(node *sexp.Node) (err error) { *to, err = node.Millis(0, maxDurationMs); return err }
 	}
 	whole := func(to *int, least, most int) func(*sexp.Node) error {
-		return func(n *sexp.Node) (err error) { *to, err = n.Int(least, most); return err }
+		return func(node *sexp.Node) (err error) { *to, err = node.Int(least, most); return err }
 	}
 	text := func(to *string) func(*sexp.Node) error {
-		return func(n *sexp.Node) (err error) { *to, err = n.Str(); return err }
+		return func(node *sexp.Node) (err error) { *to, err = node.Str(); return err }
 	}
 	class := func(to *string) func(*sexp.Node) error {
-		return func(n *sexp.Node) (err error) {
-			*to, err = n.Str()
-			if _, ok := p.places[*to]; !ok && err == nil {
-				p.places[*to] = n.Items[1].Pos
+		return func(node *sexp.Node) (err error) {
+			*to, err = node.Str()
+			if _, ok := p.classPositions[*to]; !ok && err == nil {
+				p.classPositions[*to] = node.Items[1].Pos
 			}
 			return err
 		}
 	}
 	choice := func(set func(string), names ...string) func(*sexp.Node) error {
-		return func(n *sexp.Node) error {
-			s, err := n.Str()
+		return func(node *sexp.Node) error {
+			s, err := node.Str()
 			if err == nil && !slices.Contains(names, s) {
-				err = n.Items[1].Errorf("one of %v is due here", names)
+				err = node.Items[1].Errorf("one of %v is due here", names)
 			}
 			set(s)
 			return err
 		}
 	}
-	err := sexp.Form{
+	err := sexp.Schema{
 		"database": text(&o.Database), "user": text(&o.User), "application": text(&o.App),
 		"mode": choice(func(s string) {
 			if s == "session" {
@@ -167,19 +167,19 @@
 		"idle": span(&l.IdleMs), "dials": whole(&l.Dials, 1, 1000), "again": span(&l.AgainMs),
 		"clients": whole(&o.Clients, 0, 1000000), "transaction": span(&o.TxnMs), "idle-in-transaction": span(&o.IdleTxnMs),
 		"statements": whole(&o.Statements, 1, 100000),
-		"statement-bytes": func(n *sexp.Node) error {
-			x, err := n.Bytes(1024, 1<<30)
+		"statement-bytes": func(node *sexp.Node) error {
+			x, err := node.Bytes(1024, 1<<30)
 			o.StatementBytes = int(x)
 			return err
 		},
-	}.Read(n.Args())
+	}.Read(node.Args())
 	switch {
 	case err != nil:
 		return err
 	case o.Class == "":
-		return n.Errorf("pool: (class \"NAME\") is missing: which class are its transactions of?")
+		return node.Errorf("pool: (class \"NAME\") is missing: which class are its transactions of?")
 	case o.Mode == pooling.Session && o.Reads != "":
-		return n.Errorf("pool: a pool by session has all its transactions at the primary; (reads ...) is for one by transaction")
+		return node.Errorf("pool: a pool by session has all its transactions at the primary; (reads ...) is for one by transaction")
 	}
 	p.Pools = append(p.Pools, o)
 	return nil
@@ -197,12 +197,12 @@
 			if name == "" {
 				continue
 			}
-			k := slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == name })
+			k := slices.IndexFunc(p.Classes, func(c TransactionClass) bool { return c.Name == name })
 			switch {
 			case k < 0:
-				return &sexp.Error{Pos: p.places[name], Text: fmt.Sprintf("there is no (class %q ...)", name)}
+				return &sexp.Error{Pos: p.classPositions[name], Text: fmt.Sprintf("there is no (class %q ...)", name)}
 			case i == 0 && p.Classes[k].Read != decide.Write:
-				return &sexp.Error{Pos: p.places[name], Text: fmt.Sprintf("class %q does not need the primary, and so is for (reads ...)", name)}
+				return &sexp.Error{Pos: p.classPositions[name], Text: fmt.Sprintf("class %q does not need the primary, and so is for (reads ...)", name)}
 			}
 		}
 	}
--- a/internal/settings/scatter.go
+++ b/internal/settings/scatter.go
@@ -17,90 +17,93 @@
 
 // Scatter says which reads may go over many groups. It rides on (pooling ...).
 type Scatter struct {
-	On      bool
-	KeyFile string // empty for the peers' key
-	Rotate  float64
-	Age     float64
-	Specs   []scatter.Spec
+	Enabled        bool
+	KeyFile        string // empty for the peers' key
+	RotateMs       float64
+	MaxCursorAgeMs float64
+	Specs          []scatter.Spec
 
-	places map[string]sexp.Pos // where reads name their classes
+	classPositions map[string]sexp.Pos // where reads name their classes
 }
 
-const mostReads = 64
+const maxReads = 64
 
-func (s *Scatter) read(n *sexp.Node, env func(string) string) error {
-	*s = Scatter{On: true, Rotate: 3600e3, Age: 24 * 3600e3, places: map[string]sexp.Pos{}}
-	err := sexp.Form{
-		"key": func(n *sexp.Node) error {
-			text, err := n.Str()
+func (s *Scatter) read(node *sexp.Node, env func(string) string) error {
+	*s = Scatter{Enabled: true, RotateMs: 3600e3, MaxCursorAgeMs: 24 * 3600e3, classPositions: map[string]sexp.Pos{}}
+	err := sexp.Schema{
+		"key": func(node *sexp.Node) error {
+			text, err := node.Str()
 			if s.KeyFile = os.Expand(text, env); err == nil && s.KeyFile == "" {
-				err = n.Errorf("the file's name is empty; is its variable set?")
+				err = node.Errorf("the file's name is empty; is its variable set?")
 			}
 			return err
 		},
-		"rotate": func(n *sexp.Node) (err error) { s.Rotate, err = n.Millis(1000, 365*longest); return err },
-		"age":    func(n *sexp.Node) (err error) { s.Age, err = n.Millis(1000, 365*longest); return err },
-		"read":   s.spec,
-	}.Read(n.Args(), "read")
+		"rotate": func(node *sexp.Node) (err error) { s.RotateMs, err = node.Millis(1000, 365*maxDurationMs); return err },
+		"age": func(node *sexp.Node) (err error) {
+			s.MaxCursorAgeMs, err = node.Millis(1000, 365*maxDurationMs)
+			return err
+		},
+		"read": s.readSpec,
+	}.Read(node.Args(), "read")
 	switch {
 	case err != nil:
 		return err
 	case len(s.Specs) == 0:
-		return n.Errorf("(scatter ...) needs a (read ...)")
-	case cursor.Kept(s.Rotate, s.Age) > cursor.MostKept:
-		return n.Errorf("cursors of %g ms take over %d keys that change each %g ms", s.Age, cursor.MostKept, s.Rotate)
+		return node.Errorf("(scatter ...) needs a (read ...)")
+	case cursor.Kept(s.RotateMs, s.MaxCursorAgeMs) > cursor.MostKept:
+		return node.Errorf("cursors of %g ms take over %d keys that change each %g ms", s.MaxCursorAgeMs, cursor.MostKept, s.RotateMs)
 	}
 	return nil
 }
 
-func (s *Scatter) spec(n *sexp.Node) error {
-	a := n.Args()
+func (s *Scatter) readSpec(node *sexp.Node) error {
+	a := node.Args()
 	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" || len(a[0].Text) > 64 {
-		return n.Errorf("a read's name, of 64 bytes at most, is due first")
+		return node.Errorf("a read's name, of 64 bytes at most, is due first")
 	}
 	x := scatter.Spec{Name: a[0].Text, Page: 50, MostPage: 1000, Memory: 8 << 20, MostRow: 64 << 10, AtOnce: 16, WaitMs: 10000, SilentMs: 1000, Again: 3, SettleMs: 20}
 	if slices.ContainsFunc(s.Specs, func(o scatter.Spec) bool { return o.Name == x.Name }) {
 		return a[0].Errorf("there is a read %q already", x.Name)
 	}
-	if len(s.Specs) == mostReads {
-		return a[0].Errorf("over %d reads", mostReads)
+	if len(s.Specs) == maxReads {
+		return a[0].Errorf("over %d reads", maxReads)
 	}
 	span := func(to *float64, least float64) func(*sexp.Node) error {
-		return func(n *sexp.Node) (err error) { *to, err = n.Millis(least, longest); return err }
+		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, maxDurationMs); return err }
 	}
 	whole := func(to *int, least, most int) func(*sexp.Node) error {
-		return func(n *sexp.Node) (err error) { *to, err = n.Int(least, most); return err }
+		return func(node *sexp.Node) (err error) { *to, err = node.Int(least, most); return err }
 	}
 	size := func(to *int, least, most int64) func(*sexp.Node) error {
-		return func(n *sexp.Node) error { b, err := n.Bytes(least, most); *to = int(b); return err }
+		return func(node *sexp.Node) error { b, err := node.Bytes(least, most); *to = int(b); return err }
 	}
 	var own []merge.Column
 	var said *sexp.Node // (whole) or (partial)
 	partial := false
-	err := sexp.Form{
-		"class": func(n *sexp.Node) (err error) {
-			if x.Class, err = n.Str(); err == nil {
-				s.places[x.Class] = n.Items[1].Pos
+	err := sexp.Schema{
+		"class": func(node *sexp.Node) (err error) {
+			if x.Class, err = node.Str(); err == nil {
+				s.classPositions[x.Class] = node.Items[1].Pos
 			}
 			return err
 		},
-		"shards": func(n *sexp.Node) (err error) { x.Shards, err = shards(n); return err },
-		"order":  func(n *sexp.Node) (err error) { x.Order.Columns, err = columns(n); return err },
-		"own":    func(n *sexp.Node) (err error) { own, err = columns(n); return err },
+		"shards": func(node *sexp.Node) (err error) { x.Shards, err = readShards(node); return err },
+		"order":  func(node *sexp.Node) (err error) { x.Order.Columns, err = readColumns(node); return err },
+		"own":    func(node *sexp.Node) (err error) { own, err = readColumns(node); return err },
 		"page":   whole(&x.Page, 1, 100000), "most-page": whole(&x.MostPage, 1, 100000),
-		"whole": func(n *sexp.Node) error {
-			if said != nil || len(n.Args()) > 0 {
-				return n.Errorf("(whole) or (partial NUMBER), once")
+		"whole": func(node *sexp.Node) error {
+			if said != nil || len(node.Args()) > 0 {
+				return node.Errorf("(whole) or (partial NUMBER), once")
 			}
-			said = n
+			said = node
 			return nil
 		},
-		"partial": func(n *sexp.Node) (err error) {
+		"partial": func(node *sexp.Node) (err error) {
 			if said != nil {
-				return n.Errorf("(whole) or (partial NUMBER), once")
+				return node.Errorf("(whole) or (partial NUMBER), once")
 			}
-			said, partial = n, true
-			x.Missing, err = n.Int(1, cursor.MostShards)
+			said, partial = node, true
+			x.Missing, err = node.Int(1, cursor.MostShards)
 			return err
 		},
 		"memory": size(&x.Memory, 64<<10, 1<<30), "most-row": size(&x.MostRow, 1<<10, 16<<20),
@@ -113,25 +116,25 @@
 	case err != nil:
 		return err
 	case x.Class == "" || len(x.Shards) == 0 || x.Order.Own == 0 || len(own) == 0:
-		return n.Errorf("read %q: (class ...), (shards ...), (order ...) and (own ...) are due", x.Name)
+		return node.Errorf("read %q: (class ...), (shards ...), (order ...) and (own ...) are due", x.Name)
 	case said == nil:
-		return n.Errorf("read %q: is a page (whole), or may so many shards be missing: (partial NUMBER)?", x.Name)
+		return node.Errorf("read %q: is a page (whole), or may so many shards be missing: (partial NUMBER)?", x.Name)
 	case partial && x.Missing >= len(x.Shards):
 		return said.Errorf("of %d shards %d cannot be missing", len(x.Shards), x.Missing)
 	case x.Page > x.MostPage:
-		return n.Errorf("read %q: a page of %d rows is over its most, %d", x.Name, x.Page, x.MostPage)
+		return node.Errorf("read %q: a page of %d rows is over its most, %d", x.Name, x.Page, x.MostPage)
 	}
 	for i, c := range x.Order.Columns {
 		if slices.ContainsFunc(x.Order.Columns[:i], func(o merge.Column) bool { return o.Name == c.Name }) {
-			return n.Errorf("read %q: column %q is there twice", x.Name, c.Name)
+			return node.Errorf("read %q: column %q is there twice", x.Name, c.Name)
 		}
 	}
 	s.Specs = append(s.Specs, x)
 	return nil
 }
 
-func shards(n *sexp.Node) (out []scatter.Shard, err error) {
-	for _, a := range n.Args() {
+func readShards(node *sexp.Node) (out []scatter.Shard, err error) {
+	for _, a := range node.Args() {
 		if a.Kind != sexp.List || len(a.Items) != 2 || a.Items[0].Kind == sexp.List || a.Items[0].Text == "" || len(a.Items[0].Text) > 64 {
 			return nil, a.Errorf("(\"NAME\" GROUP) is due")
 		}
@@ -147,14 +150,14 @@
 		out = append(out, x)
 	}
 	if len(out) == 0 || len(out) > cursor.MostShards {
-		return nil, n.Errorf("from 1 to %d shards", cursor.MostShards)
+		return nil, node.Errorf("from 1 to %d shards", cursor.MostShards)
 	}
 	slices.SortFunc(out, func(a, b scatter.Shard) int { return cmp.Compare(a.Name, b.Name) }) // ties go by name
 	return out, nil
 }
 
-func columns(n *sexp.Node) (out []merge.Column, err error) {
-	for _, a := range n.Args() {
+func readColumns(node *sexp.Node) (out []merge.Column, err error) {
+	for _, a := range node.Args() {
 		if a.Kind != sexp.List || len(a.Items) < 2 || a.Items[0].Kind == sexp.List || a.Items[0].Text == "" {
 			return nil, a.Errorf("(\"NAME\" TYPE ...) is due")
 		}
@@ -164,13 +167,13 @@
 			return nil, a.Items[1].Errorf("the order of type %q is not known here: int8, float8, text, bytea, timestamp, timestamptz or uuid", a.Items[1].Text)
 		}
 		nulls := ""
-		err := sexp.Form{
-			"asc":  func(n *sexp.Node) error { return nil },
-			"desc": func(n *sexp.Node) error { c.Desc = true; return nil },
-			"as":   func(n *sexp.Node) (err error) { c.Expr, err = n.Str(); return err },
-			"nulls": func(n *sexp.Node) (err error) {
-				if nulls, err = n.Str(); err == nil && nulls != "first" && nulls != "last" {
-					err = n.Errorf("(nulls first) or (nulls last)")
+		err := sexp.Schema{
+			"asc":  func(node *sexp.Node) error { return nil },
+			"desc": func(node *sexp.Node) error { c.Desc = true; return nil },
+			"as":   func(node *sexp.Node) (err error) { c.Expr, err = node.Str(); return err },
+			"nulls": func(node *sexp.Node) (err error) {
+				if nulls, err = node.Str(); err == nil && nulls != "first" && nulls != "last" {
+					err = node.Errorf("(nulls first) or (nulls last)")
 				}
 				return err
 			},
@@ -182,14 +185,14 @@
 		out = append(out, c)
 	}
 	if len(out) == 0 || len(out) > 16 {
-		return nil, n.Errorf("from 1 to 16 columns")
+		return nil, node.Errorf("from 1 to 16 columns")
 	}
 	return out, nil
 }
 
 // Check holds the reads' classes against those of the pools, and the key against what there is.
-func (s *Scatter) Check(p *Pooling, peers *Peers) error {
-	if !s.On {
+func (s *Scatter) Check(p *Pooling, peers *Cluster) error {
+	if !s.Enabled {
 		return nil
 	}
 	if p.Listen == "" {
@@ -197,12 +200,12 @@
 	}
 	for i := range s.Specs {
 		x := &s.Specs[i]
-		k := slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == x.Class })
+		k := slices.IndexFunc(p.Classes, func(c TransactionClass) bool { return c.Name == x.Class })
 		switch {
 		case k < 0:
-			return &sexp.Error{Pos: s.places[x.Class], Text: fmt.Sprintf("there is no (class %q ...) in (pooling ...)", x.Class)}
+			return &sexp.Error{Pos: s.classPositions[x.Class], Text: fmt.Sprintf("there is no (class %q ...) in (pooling ...)", x.Class)}
 		case p.Classes[k].Read != decide.ReadSession:
-			return &sexp.Error{Pos: s.places[x.Class], Text: fmt.Sprintf("class %q is not of (needs session): a page must not be read behind the one before", x.Class)}
+			return &sexp.Error{Pos: s.classPositions[x.Class], Text: fmt.Sprintf("class %q is not of (needs session): a page must not be read behind the one before", x.Class)}
 		}
 	}
 	_, err := s.Secrets(peers)
@@ -210,25 +213,25 @@
 }
 
 // Secrets are what cursors' keys are derived from: the lines of the key's file, or the peers' key. The first one seals.
-func (s *Scatter) Secrets(p *Peers) ([][]byte, error) {
+func (s *Scatter) Secrets(p *Cluster) ([][]byte, error) {
 	switch {
 	case s.KeyFile != "":
-		b, err := ReadKey(s.KeyFile)
+		secrets, err := ReadKey(s.KeyFile)
 		if err != nil {
 			return nil, fmt.Errorf("the cursors' key: %w", err)
 		}
 		var out [][]byte
-		for line := range bytes.Lines(b) {
+		for line := range bytes.Lines(secrets) {
 			if line = bytes.TrimSpace(line); len(line) == 0 {
 				continue
 			}
-			if len(line) < leastKey {
-				return nil, fmt.Errorf("the cursors' key: %s: a line of %d bytes; %d are wanted", s.KeyFile, len(line), leastKey)
+			if len(line) < minKeyBytes {
+				return nil, fmt.Errorf("the cursors' key: %s: a line of %d bytes; %d are wanted", s.KeyFile, len(line), minKeyBytes)
 			}
 			out = append(out, line)
 		}
 		return out[:min(len(out), 8)], nil
-	case p.On:
+	case p.Enabled:
 		key, err := p.Key()
 		return [][]byte{key}, err
 	}
--- a/internal/settings/scatter_test.go
+++ b/internal/settings/scatter_test.go
@@ -20,21 +20,21 @@
 	env := func(string) string { return dir }
 	pooling := `(pooling (listen "127.0.0.1:1") (class "o" (needs primary)) (class "reports" (needs session)) (class "any" (needs any)) (pool (class "o"))) `
 	read := func(text string) (*Settings, error) {
-		s, err := Parse("f", []byte(text), env)
+		settings, err := Parse("f", []byte(text), env)
 		if err == nil {
-			err = s.Scatter.Check(&s.Pooling, &s.Peers)
+			err = settings.Scatter.Check(&settings.Pooling, &settings.Cluster)
 		}
-		return s, err
+		return settings, err
 	}
-	s, err := read(pooling + `(scatter (key "$DIR/good") ` + readOf + `)`)
+	settings, err := read(pooling + `(scatter (key "$DIR/good") ` + readOf + `)`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := s.Scatter.Specs[0]
+	x := settings.Scatter.Specs[0]
 	if x.Shards[0].Name != "a" || !x.Order.Columns[0].NullsFirst || x.Order.Columns[1].NullsFirst || x.Order.Own != 1 || x.Missing != 0 {
 		t.Errorf("%+v", x)
 	}
-	if keys, err := s.Scatter.Secrets(&s.Peers); err != nil || len(keys) != 2 || string(keys[0]) != "a key of cursors" {
+	if keys, err := settings.Scatter.Secrets(&settings.Cluster); err != nil || len(keys) != 2 || string(keys[0]) != "a key of cursors" {
 		t.Errorf("%q, %v", keys, err)
 	}
 	scatter := func(old, now string) string {
--- a/internal/settings/verdicts.go
+++ b/internal/settings/verdicts.go
@@ -6,35 +6,35 @@
 	"beechgrade/internal/sexp"
 )
 
-// Verdicts says whether and how the fleet shares what it knows of servers. It takes (peers ...).
-type Verdicts struct {
-	On bool
+// OutlierDetection says whether and how the fleet shares what it knows of servers. It takes (peers ...).
+type OutlierDetection struct {
+	Enabled bool
 	adapter.Options
 }
 
-// ReadVerdicts reads (verdicts ...).
-func ReadVerdicts(n *sexp.Node) (*Verdicts, error) {
-	v := &Verdicts{}
-	return v, v.read(n)
+// ReadOutlierDetection reads (verdicts ...).
+func ReadOutlierDetection(node *sexp.Node) (*OutlierDetection, error) {
+	v := &OutlierDetection{}
+	return v, v.read(node)
 }
 
-func (v *Verdicts) read(n *sexp.Node) error {
-	v.On, v.Options = true, adapter.Options{Set: outlier.Defaults()}
+func (v *OutlierDetection) read(node *sexp.Node) error {
+	v.Enabled, v.Options = true, adapter.Options{Set: outlier.Defaults()}
 	s := &v.Set
 	span := func(to *float64, least, most float64) func(*sexp.Node) error {
-		return func(n *sexp.Node) (err error) { *to, err = n.Millis(least, most); return err }
+		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, most); return err }
 	}
 	whole := func(to *int, least, most int) func(*sexp.Node) error {
-		return func(n *sexp.Node) (err error) { *to, err = n.Int(least, most); return err }
+		return func(node *sexp.Node) (err error) { *to, err = node.Int(least, most); return err }
 	}
 	flag := func(to *bool) func(*sexp.Node) error {
-		return func(n *sexp.Node) (err error) { *to, err = n.Bool(); return err }
+		return func(node *sexp.Node) (err error) { *to, err = node.Bool(); return err }
 	}
-	return sexp.Form{
+	return sexp.Schema{
 		"period": span(&s.Period, 50, 10000), "refresh": span(&s.Refresh, 200, 60000), "collectors": whole(&s.Collectors, 1, 7), "testers": whole(&s.Testers, 1, 64),
 		"turn": span(&s.Turn, 200, 60000), "delay": span(&s.Delay, 1, 2000), "stale": span(&s.Stale, 200, 60000),
 		"lapse": span(&s.Lapse, 500, 600000), "observers": whole(&s.Observers, 2, 16), "vouch": whole(&s.Vouch, 1, 16), "shun": span(&s.Shun, 0, 3600e3),
-		"blind":  func(n *sexp.Node) (err error) { s.Blind, err = n.Float(0, 0.75); return err },
+		"blind":  func(node *sexp.Node) (err error) { s.Blind, err = node.Float(0, 0.75); return err },
 		"health": flag(&s.Health), "places": flag(&s.Places), "roles": flag(&s.Roles),
-	}.Read(n.Args())
+	}.Read(node.Args())
 }
--- a/internal/settings/verdicts_test.go
+++ b/internal/settings/verdicts_test.go
@@ -13,7 +13,7 @@
 		`(peers (listen "1.2.3.4:5") (key "k")) (verdicts (blind 1))`:                           `o:1:57: 1 is out of range`,
 		`(peers (listen "1.2.3.4:5") (key "k")) (verdicts (places no) (blind 0.25) (lapse 5s))`: ``,
 	} {
-		s, err := Parse("o", []byte(in), func(string) string { return "" })
+		settings, err := Parse("o", []byte(in), func(string) string { return "" })
 		got := ""
 		if err != nil {
 			got = err.Error()
@@ -21,7 +21,7 @@
 		if !strings.HasPrefix(got, want) || (want == "") != (got == "") {
 			t.Errorf("%s: %q, want %q", in, got, want)
 		}
-		if v := s.Verdicts; want == "" && (!v.On || v.Set.Places || !v.Set.Health || v.Set.Blind != 0.25 || v.Set.Lapse != 5000) {
+		if v := settings.OutlierDetection; want == "" && (!v.Enabled || v.Set.Places || !v.Set.Health || v.Set.Blind != 0.25 || v.Set.Lapse != 5000) {
 			t.Errorf("read as %+v", v)
 		}
 	}
--- a/internal/settings/zones_test.go
+++ b/internal/settings/zones_test.go
@@ -11,12 +11,12 @@
 
 // TestZonesRead: names, ways and orders, and what is wrong with others.
 func TestZonesRead(t *testing.T) {
-	s, err := Parse("x", []byte(zonesNeed+` (zones (names "a" "b") (delay "a" "b" 3ms) (spare 0.3) (order 7 "b" evacuated (until "2026-01-31T12:00:00Z")))`), func(string) string { return "" })
+	settings, err := Parse("x", []byte(zonesNeed+` (zones (names "a" "b") (delay "a" "b" 3ms) (spare 0.3) (order 7 "b" evacuated (until "2026-01-31T12:00:00Z")))`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	z := &s.Zones
-	if o := z.Order[0]; !z.On || z.Chief.Plan.Delay[1][0] != 3 || z.Chief.Plan.Spare != 0.3 || o.No != 7 || o.State != health.Evacuated || o.Until != 1769860800000 {
+	z := &settings.Zones
+	if o := z.Order[0]; !z.Enabled || z.Chief.Plan.Delay[1][0] != 3 || z.Chief.Plan.Spare != 0.3 || o.No != 7 || o.State != health.Evacuated || o.Until != 1769860800000 {
 		t.Errorf("%+v", z)
 	}
 	for text, want := range map[string]string{
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -60,54 +60,54 @@
 
 // Parse reads all expressions of a file. A comment runs from ';' to the end of its line.
 func Parse(file string, b []byte) ([]*Node, error) {
-	p := &parser{in: b, pos: Pos{file, 1, 1}}
+	p := &parser{input: b, position: Pos{file, 1, 1}}
 	if len(b) > MaxBytes {
-		return nil, &Error{p.pos, fmt.Sprintf("the file has %d bytes; at most %d are read", len(b), MaxBytes)}
+		return nil, &Error{p.position, fmt.Sprintf("the file has %d bytes; at most %d are read", len(b), MaxBytes)}
 	}
-	var out []*Node
+	var nodes []*Node
 	for {
-		p.space()
-		if p.at == len(p.in) {
-			return out, nil
+		p.skipSpace()
+		if p.offset == len(p.input) {
+			return nodes, nil
 		}
-		n, err := p.node(0)
+		node, err := p.parseNode(0)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, n)
+		nodes = append(nodes, node)
 	}
 }
 
 type parser struct {
-	in    []byte
-	at    int
-	pos   Pos
-	nodes int
+	input     []byte
+	offset    int
+	position  Pos
+	nodeCount int
 }
 
 // next takes one character.
 func (p *parser) next() (rune, error) {
-	r, size := utf8.DecodeRune(p.in[p.at:])
+	r, size := utf8.DecodeRune(p.input[p.offset:])
 	if r == utf8.RuneError && size <= 1 {
-		return 0, &Error{p.pos, "this is not UTF-8 text"}
+		return 0, &Error{p.position, "this is not UTF-8 text"}
 	}
-	p.at += size
-	p.pos.Col++
+	p.offset += size
+	p.position.Col++
 	if r == '\n' {
-		p.pos.Line, p.pos.Col = p.pos.Line+1, 1
+		p.position.Line, p.position.Col = p.position.Line+1, 1
 	}
 	return r, nil
 }
 
-func (p *parser) space() {
-	for p.at < len(p.in) {
-		switch p.in[p.at] {
+func (p *parser) skipSpace() {
+	for p.offset < len(p.input) {
+		switch p.input[p.offset] {
 		case ' ', '\t', '\r', '\n':
 			_, _ = p.next()
 		case ';':
-			for p.at < len(p.in) && p.in[p.at] != '\n' {
+			for p.offset < len(p.input) && p.input[p.offset] != '\n' {
 				if _, err := p.next(); err != nil {
-					p.at++ // within a comment anything goes
+					p.offset++ // within a comment anything goes
 				}
 			}
 		default:
@@ -116,80 +116,80 @@
 	}
 }
 
-func (p *parser) node(depth int) (*Node, error) {
-	n := &Node{Pos: p.pos}
-	if p.nodes++; p.nodes > maxNodes {
-		return nil, n.Errorf("more than %d expressions", maxNodes)
+func (p *parser) parseNode(depth int) (*Node, error) {
+	node := &Node{Pos: p.position}
+	if p.nodeCount++; p.nodeCount > maxNodes {
+		return nil, node.Errorf("more than %d expressions", maxNodes)
 	}
-	switch c := p.in[p.at]; c {
+	switch c := p.input[p.offset]; c {
 	case '(':
 		if depth == maxDepth {
-			return nil, n.Errorf("lists are nested more than %d deep", maxDepth)
+			return nil, node.Errorf("lists are nested more than %d deep", maxDepth)
 		}
-		n.Kind = List
+		node.Kind = List
 		_, _ = p.next()
 		for {
-			p.space()
-			if p.at == len(p.in) {
-				return nil, n.Errorf("this list is not closed")
+			p.skipSpace()
+			if p.offset == len(p.input) {
+				return nil, node.Errorf("this list is not closed")
 			}
-			if p.in[p.at] == ')' {
+			if p.input[p.offset] == ')' {
 				_, _ = p.next()
-				return n, nil
+				return node, nil
 			}
-			item, err := p.node(depth + 1)
+			item, err := p.parseNode(depth + 1)
 			if err != nil {
 				return nil, err
 			}
-			n.Items = append(n.Items, item)
+			node.Items = append(node.Items, item)
 		}
 	case ')':
-		return nil, n.Errorf("a ')' that closes nothing")
+		return nil, node.Errorf("a ')' that closes nothing")
 	case '"':
-		n.Kind = String
-		return n, p.text(n)
+		node.Kind = String
+		return node, p.parseString(node)
 	}
-	from := p.at
-	for p.at < len(p.in) && !strings.ContainsRune(" \t\r\n();\"", rune(p.in[p.at])) {
+	start := p.offset
+	for p.offset < len(p.input) && !strings.ContainsRune(" \t\r\n();\"", rune(p.input[p.offset])) {
 		if _, err := p.next(); err != nil {
 			return nil, err
 		}
 	}
-	n.Text = string(p.in[from:p.at])
-	return n, nil
+	node.Text = string(p.input[start:p.offset])
+	return node, nil
 }
 
-func (p *parser) text(n *Node) error {
+func (p *parser) parseString(node *Node) error {
 	_, _ = p.next()
 	var b strings.Builder
-	for p.at < len(p.in) {
-		at := p.pos
+	for p.offset < len(p.input) {
+		start := p.position
 		r, err := p.next()
 		if err != nil {
 			return err
 		}
 		switch r {
 		case '"':
-			n.Text = b.String()
+			node.Text = b.String()
 			return nil
 		case '\n':
-			return n.Errorf("this text is not closed on its line")
+			return node.Errorf("this text is not closed on its line")
 		case '\\':
-			if p.at == len(p.in) {
-				return n.Errorf("this text is not closed")
+			if p.offset == len(p.input) {
+				return node.Errorf("this text is not closed")
 			}
 			if r, err = p.next(); err != nil {
 				return err
 			}
 			i := strings.IndexRune(`"\nt`, r)
 			if i < 0 {
-				return &Error{at, fmt.Sprintf(`\%c is not known; there are \" \\ \n \t`, r)}
+				return &Error{start, fmt.Sprintf(`\%c is not known; there are \" \\ \n \t`, r)}
 			}
 			r = rune("\"\\\n\t"[i])
 		}
 		b.WriteRune(r)
 	}
-	return n.Errorf("this text is not closed")
+	return node.Errorf("this text is not closed")
 }
 
 // Head is the name that a list begins with, empty where there is none.
@@ -208,53 +208,53 @@
 	return n.Items[1:]
 }
 
-// One is the single argument of a list such as (seconds 20).
-func (n *Node) One() (*Node, error) {
+// Argument is the single argument of a list such as (seconds 20).
+func (n *Node) Argument() (*Node, error) {
 	if a := n.Args(); len(a) == 1 {
 		return a[0], nil
 	}
 	return nil, n.Errorf("(%s ...) takes one value, here are %d", n.Head(), len(n.Args()))
 }
 
-// Form names what a list may hold and what is done with it.
-type Form map[string]func(*Node) error
+// Schema names what a list may hold and what is done with it.
+type Schema map[string]func(*Node) error
 
 // Read puts each list among items to the function of its name. Names that are not known are an error, and so are
 // those that are said twice, but for those in many.
-func (f Form) Read(items []*Node, many ...string) error {
+func (f Schema) Read(items []*Node, repeatable ...string) error {
 	seen := map[string]Pos{}
-	for _, n := range items {
-		name := n.Head()
+	for _, node := range items {
+		name := node.Head()
 		if name == "" {
-			return n.Errorf("here a list that begins with a name is due; known are: %s", f.names())
+			return node.Errorf("here a list that begins with a name is due; known are: %s", f.keys())
 		}
 		read := f[name]
 		if read == nil {
-			return n.Errorf("%q is not known here; known are: %s", name, f.names())
+			return node.Errorf("%q is not known here; known are: %s", name, f.keys())
 		}
-		if at, twice := seen[name]; twice && !slices.Contains(many, name) {
-			return n.Errorf("%q stands here twice, first on line %d", name, at.Line)
+		if first, twice := seen[name]; twice && !slices.Contains(repeatable, name) {
+			return node.Errorf("%q stands here twice, first on line %d", name, first.Line)
 		}
-		seen[name] = n.Pos
-		if err := read(n); err != nil {
+		seen[name] = node.Pos
+		if err := read(node); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f Form) names() string {
-	var all []string
+func (f Schema) keys() string {
+	var names []string
 	for name := range f {
-		all = append(all, name)
+		names = append(names, name)
 	}
-	slices.Sort(all)
-	return strings.Join(all, ", ")
+	slices.Sort(names)
+	return strings.Join(names, ", ")
 }
 
 // Float reads a list's single number and holds it to a range.
 func (n *Node) Float(least, most float64) (float64, error) {
-	a, err := n.One()
+	a, err := n.Argument()
 	if err != nil {
 		return 0, err
 	}
@@ -290,7 +290,7 @@
 	if len(n.Args()) == 0 {
 		return true, nil
 	}
-	a, err := n.One()
+	a, err := n.Argument()
 	if err != nil {
 		return false, err
 	}
@@ -305,7 +305,7 @@
 
 // Str reads a list's single text.
 func (n *Node) Str() (string, error) {
-	a, err := n.One()
+	a, err := n.Argument()
 	if err != nil {
 		return "", err
 	}
@@ -317,15 +317,15 @@
 
 // Millis reads a list's single time, such as 250ms, 2s or 1m30s, in milliseconds.
 func (n *Node) Millis(least, most float64) (float64, error) {
-	a, err := n.One()
+	a, err := n.Argument()
 	if err != nil {
 		return 0, err
 	}
-	return a.Span(least, most)
+	return a.Duration(least, most)
 }
 
-// Span reads an atom as a time, in milliseconds.
-func (n *Node) Span(least, most float64) (float64, error) {
+// Duration reads an atom as a time, in milliseconds.
+func (n *Node) Duration(least, most float64) (float64, error) {
 	d, err := time.ParseDuration(n.Text)
 	if n.Kind != Atom || err != nil {
 		return 0, n.Errorf("a time is due here, such as 250ms, 2s or 1m30s")
@@ -339,7 +339,7 @@
 
 // Bytes reads a list's single size, such as 512k, 8m or 1g, in bytes.
 func (n *Node) Bytes(least, most int64) (int64, error) {
-	a, err := n.One()
+	a, err := n.Argument()
 	if err != nil {
 		return 0, err
 	}
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -77,7 +77,7 @@
 	} {
 		nodes, err := Parse("f", []byte(in))
 		if err == nil {
-			err = Form{
+			err = Schema{
 				"n": func(n *Node) error { _, err := n.Int(0, 10); return err },
 				"t": func(n *Node) error { _, err := n.Millis(1, 1e5); return err },
 				"b": func(n *Node) error { _, err := n.Bool(); return err },
--- a/internal/testkit/endpointreport/propagation/pace.go
+++ b/internal/testkit/endpointreport/propagation/pace.go
@@ -165,9 +165,9 @@
 	l := &loop{clk: clk, tasks: make(chan func(), 1024), took: hdrhistogram.New(1, 60_000_000, 3)}
 	go l.run(ctx)
 	was, goroutines := heap(), runtime.NumGoroutine()
-	m := endpoints.New(l, slog.New(slog.DiscardHandler), endpoints.Options{Judge: reconcile.Defaults(endpoints.Consul)}, k, &discovery.List{})
-	m.Begin()
-	opt := consul.Options{Name: endpoints.Consul, Agents: []string{a.Addr}, Wait: 20000, MaxStale: 10000, MostBytes: 64 << 20, Map: consul.DefaultMapping(), Seed: 1}
+	m := endpoints.New(l, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: reconcile.Defaults(endpoints.SourceConsul)}, k, &discovery.List{})
+	m.InitialList()
+	opt := consul.Options{Name: endpoints.SourceConsul, Agents: []string{a.Addr}, WaitMs: 20000, MaxStaleMs: 10000, MaxResponseBytes: 64 << 20, Mapping: consul.DefaultMapping(), Seed: 1}
 	for i := range services {
 		opt.Services = append(opt.Services, name(i))
 	}
@@ -226,7 +226,7 @@
 		return nil, err
 	}
 	r.ReloadCPU = cpu() - from
-	r.LoopMs, r.Read = float64(l.took.ValueAtQuantile(99))/1000, src.Read()
+	r.LoopMs, r.Read = float64(l.took.ValueAtQuantile(99))/1000, src.BytesRead()
 	return r, ctx.Err()
 }
 
--- a/internal/testkit/lab/experiment.go
+++ b/internal/testkit/lab/experiment.go
@@ -76,7 +76,7 @@
 	}
 	x := &Experiment{Name: args[0].Text}
 	var base *sexp.Node
-	if err := (sexp.Form{
+	if err := (sexp.Schema{
 		"scenario": func(n *sexp.Node) error {
 			name, err := n.Str()
 			if err != nil {
--- a/internal/testkit/rehearse/daemon.go
+++ b/internal/testkit/rehearse/daemon.go
@@ -94,7 +94,7 @@
 	}
 	if f := p.run.peers; f != nil {
 		peers = f.settings(p.no)
-		if p.limits.On {
+		if p.limits.Enabled {
 			peers += p.limits.String()
 		}
 	}
--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -36,10 +36,10 @@
 		for _, p := range s.Credit.Prices {
 			x.funds.Prices[p.Class] = p.Request
 		}
-		for _, d := range s.Credit.Depths {
+		for _, d := range s.Credit.Overdrafts {
 			x.funds.Beyond += d.Amount
 		}
-		for _, p := range s.Credit.Pays {
+		for _, p := range s.Credit.Payments {
 			x.funds.Pays(0, p.Tenant, p.Amount)
 		}
 	}
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -126,10 +126,10 @@
 		return err
 	}
 	c := Chaos{Faults: int(x)}
-	if c.From, err = a[1].Span(0, maxSeconds*1000); err != nil {
+	if c.From, err = a[1].Duration(0, maxSeconds*1000); err != nil {
 		return err
 	}
-	if c.To, err = a[2].Span(c.From, maxSeconds*1000); err != nil {
+	if c.To, err = a[2].Duration(c.From, maxSeconds*1000); err != nil {
 		return err
 	}
 	for _, k := range a[3:] {
--- a/internal/testkit/scenario/credit.go
+++ b/internal/testkit/scenario/credit.go
@@ -28,7 +28,7 @@
 func (s *Script) agreed(n *sexp.Node) error {
 	a := &Agreed{Settings: raftlog.Defaults(), Disk: [2]float64{0.1, 2}}
 	s.Agreed = a
-	err := sexp.Form{
+	err := sexp.Schema{
 		"voters":    func(n *sexp.Node) (err error) { a.Voters, err = n.Int(3, 5); return err },
 		"disk":      func(n *sexp.Node) error { return spans(n, &a.Disk) },
 		"tick":      func(n *sexp.Node) (err error) { a.Settings.Tick, err = n.Millis(50, 10000); return err },
@@ -101,7 +101,7 @@
 				return s.Credit.node.Errorf("there is no class %q to have a price", p.Class)
 			}
 		}
-		for _, p := range s.Credit.Pays {
+		for _, p := range s.Credit.Payments {
 			if !tenant(p.Tenant) {
 				return s.Credit.node.Errorf("there is no (tenant %q ...) to pay", p.Tenant)
 			}
--- a/internal/testkit/scenario/faults.go
+++ b/internal/testkit/scenario/faults.go
@@ -82,7 +82,7 @@
 	}
 	f := Fault{Pos: n.Pos}
 	var err error
-	if f.At, err = a[0].Span(0, maxSeconds*1000); err != nil {
+	if f.At, err = a[0].Duration(0, maxSeconds*1000); err != nil {
 		return err
 	}
 	for i, x := range a[2:] {
--- a/internal/testkit/scenario/journal.go
+++ b/internal/testkit/scenario/journal.go
@@ -31,5 +31,5 @@
 		return a[0].Errorf("off, before or alongside is due here")
 	}
 	s.Journal = j
-	return sexp.Form{"disk": func(n *sexp.Node) error { return spans(n, (*[2]float64)(&j.Disk)) }}.Read(a[1:])
+	return sexp.Schema{"disk": func(n *sexp.Node) error { return spans(n, (*[2]float64)(&j.Disk)) }}.Read(a[1:])
 }
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -43,17 +43,17 @@
 	if s.Limits == nil {
 		return nil
 	}
-	if i := slices.IndexFunc(s.Limits.List, func(l settings.FleetLimit) bool { return l.Name == name }); i >= 0 {
-		return &s.Limits.List[i]
+	if i := slices.IndexFunc(s.Limits.Limits, func(l settings.FleetLimit) bool { return l.Name == name }); i >= 0 {
+		return &s.Limits.Limits[i]
 	}
 	return nil
 }
 
 // Changed are the limits with one of another amount.
 func Changed(f settings.FleetLimits, name string, amount float64) settings.FleetLimits {
-	f.List = slices.Clone(f.List)
-	for i := range f.List {
-		if l := &f.List[i]; l.Name == name {
+	f.Limits = slices.Clone(f.Limits)
+	for i := range f.Limits {
+		if l := &f.Limits[i]; l.Name == name {
 			l.Burst *= amount / l.Amount
 			l.Amount = amount
 			if l.Kind != quota.Number {
@@ -95,16 +95,16 @@
 		return nil
 	}
 	q := s.Quotas()
-	for _, l := range s.Limits.List {
-		if l.Of == settings.OfQueries && l.Kind == quota.Number && s.Clients.House {
+	for _, l := range s.Limits.Limits {
+		if l.Resource == settings.ResourceQueries && l.Kind == quota.Number && s.Clients.House {
 			out = append(out, checker.Limit{Name: l.Name, AtOnce: int(l.Amount)})
 		}
-		if l.Of == settings.OfTenant && l.Hard {
+		if l.Resource == settings.ResourceTenant && l.Hard {
 			delay := s.Way[1]
 			for i := range s.Faults {
 				delay = max(delay, s.Way[1]+s.Faults[i].Link.Slow)
 			}
-			out = append(out, checker.Limit{Name: l.Name, Tenant: l.Whom, PerSecond: l.Amount, Burst: l.Burst, Even: l.Manner != quota.Never, OverMs: q.EvenOver(delay), CalmMs: calmMs})
+			out = append(out, checker.Limit{Name: l.Name, Tenant: l.Subject, PerSecond: l.Amount, Burst: l.Burst, Even: l.Manner != quota.Never, OverMs: q.EvenOver(delay), CalmMs: calmMs})
 		}
 	}
 	return out
--- a/internal/testkit/scenario/pages.go
+++ b/internal/testkit/scenario/pages.go
@@ -29,7 +29,7 @@
 	whole := func(to *int, least, most int) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Int(least, most); return err }
 	}
-	err := sexp.Form{
+	err := sexp.Schema{
 		"class":   func(n *sexp.Node) (err error) { p.Class, err = n.Str(); return err },
 		"tenant":  func(n *sexp.Node) (err error) { p.Tenant, err = n.Str(); return err },
 		"rows":    whole(&p.Rows, 1, 100000),
--- a/internal/testkit/scenario/peers.go
+++ b/internal/testkit/scenario/peers.go
@@ -21,7 +21,7 @@
 	span := func(to *float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Millis(0, maxSeconds*1000); return err }
 	}
-	return sexp.Form{
+	return sexp.Schema{
 		"probe": span(&p.View.Probe), "timeout": span(&p.View.Timeout), "suspicion": span(&p.View.Suspicion), "gossip": span(&p.View.Gossip),
 		"exchange": span(&p.View.Exchange), "reconnect": span(&p.View.Reconnect), "hold": span(&p.View.Hold), "forget": span(&p.View.Forget),
 		"seeds": func(n *sexp.Node) (err error) { p.Seeds, err = n.Int(0, maxPoolers); return err },
@@ -42,7 +42,7 @@
 	part := func(to *float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Float(0, 1); return err }
 	}
-	form := sexp.Form{"lose": part(&f.Link.Lose), "duplicate": part(&f.Link.Duplicate), "reorder": part(&f.Link.Reorder),
+	form := sexp.Schema{"lose": part(&f.Link.Lose), "duplicate": part(&f.Link.Duplicate), "reorder": part(&f.Link.Reorder),
 		"slow": func(n *sexp.Node) (err error) { f.Link.Slow, err = n.Millis(0, 60000); return err }}
 	rest := a[2:]
 	if rest[0].Kind != sexp.List && rest[0].Text == "cut" {
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -183,7 +183,7 @@
 	return s, nil
 }
 
-func (s *Script) form() sexp.Form {
+func (s *Script) form() sexp.Schema {
 	f, c := &s.Fleet, &s.Clients
 	float := func(to *float64, least, most float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Float(least, most); return err }
@@ -197,7 +197,7 @@
 	both := func(to *model.Range) func(*sexp.Node) error {
 		return func(n *sexp.Node) error { return spans(n, (*[2]float64)(to)) }
 	}
-	return sexp.Form{
+	return sexp.Schema{
 		"seconds":      float(&c.Seconds, 1, maxSeconds),
 		"poolers":      whole(&s.Poolers, 1, maxPoolers),
 		"groups":       s.groups,
@@ -282,7 +282,7 @@
 	if slices.ContainsFunc(s.Clients.Tenants, func(o clients.Tenant) bool { return o.Name == t.Name }) {
 		return args[0].Errorf("there are two tenants %q", t.Name)
 	}
-	err := sexp.Form{
+	err := sexp.Schema{
 		"share": func(n *sexp.Node) (err error) { t.Share, err = n.Float(0.001, 1); return err },
 		"usage": func(n *sexp.Node) (err error) { t.Usage, err = n.Float(0, 100); return err },
 	}.Read(args[1:])
@@ -304,7 +304,7 @@
 		return args[0].Errorf("there is no class %q", args[0].Text)
 	}
 	c := &s.Clients.Classes[i]
-	return sexp.Form{
+	return sexp.Schema{
 		"share":    func(n *sexp.Node) (err error) { c.Share, err = n.Float(0, 1); return err },
 		"aim":      func(n *sexp.Node) (err error) { c.Aim, err = n.Millis(1, 600000); return err },
 		"deadline": func(n *sexp.Node) (err error) { c.Deadline, err = n.Millis(1, 600000); return err },
--- a/internal/testkit/scenario/topology.go
+++ b/internal/testkit/scenario/topology.go
@@ -68,7 +68,7 @@
 		return n.Errorf("(%s LEAST MOST) takes two times", n.Head())
 	}
 	for i := range to {
-		if to[i], err = a[i].Span(0, maxSeconds*1000); err != nil {
+		if to[i], err = a[i].Duration(0, maxSeconds*1000); err != nil {
 			return err
 		}
 	}
--- a/internal/testkit/scenario/verdicts.go
+++ b/internal/testkit/scenario/verdicts.go
@@ -7,13 +7,13 @@
 
 // Verdicts is how the fleet shares what it knows of servers.
 type Verdicts struct {
-	settings.Verdicts
+	settings.OutlierDetection
 	node *sexp.Node
 }
 
 // verdicts reads (verdicts ...), as the operators' settings have it.
 func (s *Script) verdicts(n *sexp.Node) error {
-	set, err := settings.ReadVerdicts(n)
+	set, err := settings.ReadOutlierDetection(n)
 	s.Verdicts = &Verdicts{*set, n}
 	return err
 }
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -41,10 +41,10 @@
 func (x *payer) settings() credit.Settings {
 	p, s := x.h.x.p, x.Set
 	if x.Later != nil {
-		s.Pays = append(slices.Clone(s.Pays), x.Later(x.h.No())...)
-		slices.SortFunc(s.Pays, credit.ByNumber)
+		s.Payments = append(slices.Clone(s.Payments), x.Later(x.h.No())...)
+		slices.SortFunc(s.Payments, credit.ByNumber)
 	}
-	set := s.For(x.names, func(i int) float64 { return p.e.script.Clients.Classes[i].Worth })
+	set := s.SettingsFor(x.names, func(i int) float64 { return p.e.script.Clients.Classes[i].Worth })
 	set.Purse.Marks, set.Purse.Checks = true, p.e.checks
 	return set
 }
--- a/internal/testkit/simulation/funds.go
+++ b/internal/testkit/simulation/funds.go
@@ -43,10 +43,10 @@
 	for _, p := range s.Credit.Prices {
 		f.check.Prices[p.Class] = p.Request
 	}
-	for _, d := range s.Credit.Depths {
+	for _, d := range s.Credit.Overdrafts {
 		f.check.Beyond += d.Amount
 	}
-	for _, p := range s.Credit.Pays {
+	for _, p := range s.Credit.Payments {
 		f.took(startMs, p)
 	}
 	f.Later = func(no int) []lessor.Pay { return f.pays[no] }
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -47,7 +47,7 @@
 
 // bind tells the core which limits are its own.
 func (l *lender) bind() {
-	l.x.p.core.SetLimits(l.set.Bounds(), l)
+	l.x.p.core.SetLimits(l.set.CoreLimits(), l)
 }
 
 func (l *lender) members() {
@@ -131,10 +131,10 @@
 const coldFlow = 1e5 // as the daemon has it
 
 func (l *lender) beat() {
-	for i := range l.set.List {
-		x := &l.set.List[i]
+	for i := range l.set.Limits {
+		x := &l.set.Limits[i]
 		if want, ok := l.x.p.core.Demand(x.Name); ok {
-			if x.Of == settings.OfCold {
+			if x.Resource == settings.ResourceColdServers {
 				want /= coldFlow
 			}
 			if m := l.x.p.e.opt.Mutant; m != nil && m.Demand != nil {
--- a/internal/testkit/simulation/members.go
+++ b/internal/testkit/simulation/members.go
@@ -40,8 +40,8 @@
 	p     *pooler
 	life  uint32
 	plan  *consul.Watch
-	join  *endpoints.Members
-	last  map[string]reconcile.Claim
+	join  *endpoints.Manager
+	last  map[string]reconcile.Observation
 	alias map[string]*model.Server // by the ids that the catalogue has
 }
 
@@ -80,20 +80,20 @@
 // arrive has an agent take a query, and answer it now or at a change.
 func (a *agents) arrive(q *question) {
 	s := &a.states[q.query.Agent]
-	list, index, ans := a.e.world.Catalog.All(), a.index(), consul.Answer{Status: 200}
+	list, index, ans := a.e.world.Catalog.All(), a.index(), consul.Response{Status: 200}
 	switch {
 	case s.what == "hang":
 		return // its poolers give up by themselves
 	case s.what == "down" || a.e.world.List.Gone:
-		ans = consul.Answer{Status: 500}
+		ans = consul.Response{Status: 500}
 	case s.what == "cut":
-		ans = consul.Answer{Status: 200, Err: errors.New("the answer is not whole")}
+		ans = consul.Response{Status: 200, Err: errors.New("the answer is not whole")}
 	case s.what == "empty":
 		list, index = nil, index+1
 	case s.what == "frozen" || s.what == "leaderless":
 		list, index = s.frozen, s.index
 		ans.Leaderless = s.what == "leaderless"
-		ans.Contact = 3600e3
+		ans.LastContactMs = 3600e3
 	}
 	if ans.Err == nil && ans.Status == 200 {
 		if q.query.Index > 0 && index == q.query.Index {
@@ -119,13 +119,13 @@
 
 // newMember joins a pooler's list to the catalogue; its core is told what comes of it.
 func (p *pooler) newMember() *member {
-	m := &member{p: p, life: p.life, last: map[string]reconcile.Claim{}, alias: map[string]*model.Server{}}
-	set := reconcile.Defaults(endpoints.Consul)
+	m := &member{p: p, life: p.life, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
+	set := reconcile.Defaults(endpoints.SourceConsul)
 	if mu := p.e.opt.Mutant; mu != nil && mu.Judge != nil {
 		mu.Judge(&set)
 	}
 	m.plan = consul.NewWatch(len(p.e.agents.states), watchWaitMs, maxStaleMs, p.e.rng.Float64)
-	m.join = endpoints.New(memberLoop{lifeLoop{p, p.life}}, slog.New(slog.DiscardHandler), endpoints.Options{Judge: set}, listener{p, p.life}, &discovery.List{}) // it starts knowing nothing
+	m.join = endpoints.New(memberLoop{lifeLoop{p, p.life}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listener{p, p.life}, &discovery.List{}) // it starts knowing nothing
 	return m
 }
 
@@ -138,7 +138,7 @@
 			e.lists++
 			x := &question{m: m, life: m.life, query: q}
 			e.s.After(e.way(), model.Func(func() { e.agents.arrive(x) }), 0)
-			e.s.After(q.Patience(), model.Func(func() { m.p.whenRunning(m.life, func() { m.late(x) }) }), 0)
+			e.s.After(q.TimeoutMs(), model.Func(func() { m.p.whenRunning(m.life, func() { m.late(x) }) }), 0)
 		})
 	}), 0)
 }
@@ -150,10 +150,10 @@
 	}
 	q.answered = true
 	if s := m.p.e.agents.states[q.query.Agent]; s.what == "hang" {
-		m.answered(q.query, consul.Answer{Err: errors.New("no answer in time")}, nil)
+		m.answered(q.query, consul.Response{Err: errors.New("no answer in time")}, nil)
 		return
 	}
-	m.answered(q.query, consul.Answer{Status: 200, Index: q.query.Index, Contact: m.p.e.agents.contact(q.query.Agent)}, nil)
+	m.answered(q.query, consul.Response{Status: 200, Index: q.query.Index, LastContactMs: m.p.e.agents.contact(q.query.Agent)}, nil)
 }
 
 func (a *agents) contact(n int) float64 {
@@ -164,20 +164,20 @@
 }
 
 // answered takes an answer as the daemon's source does.
-func (m *member) answered(q consul.Query, a consul.Answer, list []model.Registration) {
+func (m *member) answered(q consul.Query, a consul.Response, list []model.Registration) {
 	e := m.p.e
 	same := a.Index == q.Index && q.Index > 0 && list == nil
-	v := m.plan.Answered(e.s.now, q, a)
-	if m.plan.Lost() {
-		m.join.Lost(endpoints.Consul, v.Why)
+	v := m.plan.HandleResponse(e.s.now, q, a)
+	if m.plan.BecameUnreachable() {
+		m.join.SourceLost(endpoints.SourceConsul, v.Reason)
 	}
-	if v.Take && !same {
-		r := &reconcile.Report{Age: v.Age}
-		next := map[string]reconcile.Claim{}
+	if v.Accepted && !same {
+		r := &reconcile.Report{AgeMs: v.AgeMs}
+		next := map[string]reconcile.Observation{}
 		for i := range list {
 			x := &list[i]
 			m.alias[x.ID] = x.Server
-			c := reconcile.Claim{ID: x.ID, Address: x.Address, Group: x.Server.Group.ID, Zone: "room", Kind: "padrao-4", Weight: 1, Started: x.Started}
+			c := reconcile.Observation{ID: x.ID, Address: x.Address, Group: x.Server.Group.ID, Zone: "room", Kind: "padrao-4", Weight: 1, Started: x.Started}
 			if x.Critical {
 				c.Health = reconcile.Critical
 			}
@@ -189,7 +189,7 @@
 			}
 			next[c.ID] = c
 			if old, ok := m.last[c.ID]; !ok || old != c {
-				r.Claims = append(r.Claims, c)
+				r.Observations = append(r.Observations, c)
 			}
 		}
 		for _, id := range slices.Sorted(maps.Keys(m.last)) {
@@ -198,7 +198,7 @@
 			}
 		}
 		m.last = next
-		m.join.Heard(endpoints.Consul, r)
+		m.join.Observe(endpoints.SourceConsul, r)
 	}
 	m.ask()
 }
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -105,7 +105,7 @@
 			}
 		}},
 		{Name: "a server that takes writes after it was replaced", Breaks: checker.PrimaryRan, World: func(w *model.World) { w.SplitBrain = true }},
-		{Name: "trusts the catalogue's word on roles", Breaks: checker.NotDenied, Judge: func(s *reconcile.Settings) { s.TrustRoles = true }, Lists: true},
+		{Name: "trusts the catalogue's word on roles", Breaks: checker.NotDenied, Judge: func(s *reconcile.Settings) { s.TrustSourceRoles = true }, Lists: true},
 		{Name: "serves what no server made", Breaks: checker.NoInvented, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
 			if kind == clients.Served && v.id%64 == 0 {
 				v.answer = []byte("cached")
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -60,7 +60,7 @@
 	if m := e.opt.Mutant; m != nil && m.Module != nil {
 		m.Module(cfg)
 	}
-	p.conns, p.most, p.idleMs, p.wear = 0, serverConns(cfg.Limits.Sockets), idlePart*cfg.IdleMs, idletimeout.New()
+	p.conns, p.most, p.idleMs, p.wear = 0, serverConns(cfg.Limits.Sockets), idlePart*cfg.ServerIdleTimeoutMs, idletimeout.New()
 	p.core = core.New(lifeLoop{p, p.life}, slog.New(slog.DiscardHandler), cfg)
 	p.core.SetChecks(e.checks, walkEach)
 	if e.opt.Meter {
@@ -81,7 +81,7 @@
 	}
 	p.member = p.newMember()
 	p.core.SetReportSink(p.member.join)
-	cfg.Known = p.member.join.Begin()
+	cfg.InitialList = p.member.join.InitialList()
 	p.core.Start(servers, p.member.join)
 	p.member.ask()
 	return nil
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -47,22 +47,22 @@
 		servers += n
 	}
 	c.Rate = 0.7 * float64(servers*f.Cores) / (work / shares / 1000) // of what they can do
-	c.Tenants, s.Credit.Pays, s.Credit.Prepaid = nil, nil, nil
+	c.Tenants, s.Credit.Payments, s.Credit.Prepaid = nil, nil, nil
 	for i := range 2 + rng.IntN(3) {
 		x := clients.Tenant{Name: name(i), Share: between(0.2, 1), Usage: 1}
 		c.Tenants = append(c.Tenants, x)
-		s.Credit.Pays = append(s.Credit.Pays, lessor.Pay{Tenant: x.Name, No: 1, Amount: 1e9})
+		s.Credit.Payments = append(s.Credit.Payments, lessor.Pay{Tenant: x.Name, No: 1, Amount: 1e9})
 		s.Credit.Prepaid = append(s.Credit.Prepaid, x.Name)
 	}
 	mean := int64(0)
 	for _, p := range s.Credit.Prices {
 		mean += p.Request / int64(len(s.Credit.Prices))
 	}
-	s.Credit.Pays[0].Amount = max(60*mean, int64(c.Rate)*mean/4) // of the first one's: gone within the time
+	s.Credit.Payments[0].Amount = max(60*mean, int64(c.Rate)*mean/4) // of the first one's: gone within the time
 	s.Pages.Class, s.Pages.Tenant = c.Classes[0].Name, c.Tenants[1].Name
 	for i := range s.Faults {
 		if x := &s.Faults[i]; x.What == "pay" {
-			x.Target.Word, x.Value = c.Tenants[0].Name, float64(s.Credit.Pays[0].Amount/2)
+			x.Target.Word, x.Value = c.Tenants[0].Name, float64(s.Credit.Payments[0].Amount/2)
 		}
 	}
 	return s
