--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -59,15 +59,15 @@
 	x.inheritEnded(gone)
 	p.peers.Join(x.credit)
 	if x.credit.Books() != nil {
-		p.raftLog.users.Add(raftlog.OfCredit, x.credit)
+		p.raftLog.users.Add(raftlog.CreditEntries, x.credit)
 	}
 	p.raftLog.observers = append(p.raftLog.observers, func(a *raftlog.Action) {
 		switch a.Kind {
-		case raftlog.Leads:
+		case raftlog.BecameLeader:
 			x.credit.Lead(p.cfg.Name)
-		case raftlog.Follows:
+		case raftlog.LeaderChanged:
 			x.credit.Lead(a.Leader)
-		case raftlog.Broke:
+		case raftlog.Stopped:
 			x.credit.Lead("")
 		}
 	})
@@ -143,7 +143,7 @@
 
 // Propose is credit.Log's. What is dropped the poolers ask for again.
 func (x *creditGate) Propose(entry []byte) {
-	x.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.OfCredit}, entry...))
+	x.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.CreditEntries}, entry...))
 }
 
 // Write is credit.Files': the newest marks are all that there are.
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -28,7 +28,7 @@
 	pooler    *pooler
 	set       settings.RaftLog
 	adapter   *adapter.Part
-	users     *raftlog.Shared
+	users     *raftlog.MachineMux
 	observers []func(a *raftlog.Action) // users who want to know what happens
 	store     *store.Store
 	ended     chan struct{}
@@ -38,7 +38,7 @@
 	mu      sync.Mutex
 	pending []func() // words of the disk, on their way to the loop
 
-	counter      counter.Tally
+	counter      counter.Counter
 	proposalsDue float64
 	logAt        float64
 	next         uint64 // number of the next entry that is proposed to try the voters
@@ -57,11 +57,11 @@
 	if !set.Enabled {
 		return func() {}
 	}
-	l := &raftLog{pooler: p, set: set, users: &raftlog.Shared{}, ended: make(chan struct{}), opened: make(chan struct{})}
+	l := &raftLog{pooler: p, set: set, users: &raftlog.MachineMux{}, ended: make(chan struct{}), opened: make(chan struct{})}
 	l.process = fmt.Sprintf("%s/%x", p.cfg.Name, rand.Uint32())
-	l.users.Add(raftlog.OfTally, &l.counter)
+	l.users.Add(raftlog.CounterEntries, &l.counter)
 	s := set.Settings
-	s.Self, s.Drawn, s.Checks = p.cfg.Name, rand.Uint64(), p.checks
+	s.Self, s.Seed, s.Checks = p.cfg.Name, rand.Uint64(), p.checks
 	l.adapter = adapter.New(p.peers, adapter.Options{Settings: s, Machine: l.users, Told: l.observe})
 	p.peers.Join(l.adapter)
 	p.raftLog = l
@@ -143,7 +143,7 @@
 func (l *raftLog) Append(records []raftlog.Record, done func(error)) {
 	entries := make([]store.Entry, len(records))
 	for i, r := range records {
-		entries[i] = store.Entry{Key: r.Key, Value: r.Value, Deleted: r.Gone}
+		entries[i] = store.Entry{Key: r.Key, Value: r.Value, Deleted: r.Deleted}
 	}
 	l.store.Append(entries, done)
 }
@@ -152,16 +152,16 @@
 func (l *raftLog) observe(a *raftlog.Action) {
 	switch a.Kind {
 	case raftlog.Apply:
-		if l.set.WitnessPerSecond > 0 && a.Entry[0] == raftlog.OfTally {
+		if l.set.WitnessPerSecond > 0 && a.Entry[0] == raftlog.CounterEntries {
 			l.recordLatency(a.Entry[1:])
 		}
-	case raftlog.Leads:
+	case raftlog.BecameLeader:
 		l.pooler.log.Info("agreed: this pooler leads", "term", a.Term)
-	case raftlog.Follows:
+	case raftlog.LeaderChanged:
 		l.pooler.log.Info("agreed: follows", "leader", a.Leader, "term", a.Term)
-	case raftlog.Voters:
+	case raftlog.VotersChanged:
 		l.pooler.log.Warn("agreed: a voter's place went to another disk", "from", a.Index, "voters", fmt.Sprint(a.Members))
-	case raftlog.Broke:
+	case raftlog.Stopped:
 		l.pooler.log.Error("agreed: this pooler votes no more", "why", a.Text)
 	}
 	for _, f := range l.observers {
@@ -178,10 +178,10 @@
 		if l.counter.Has(l.process, w.number) {
 			continue
 		}
-		if now >= w.at+l.set.Settings.Patience() {
+		if now >= w.at+l.set.Settings.ForwardTimeout() {
 			w.at = now
 			l.propose(w.number)
-			if !l.adapter.Standing().Votes { // it hears nothing of what came of it: twice will do
+			if !l.adapter.Standing().IsVoter { // it hears nothing of what came of it: twice will do
 				continue
 			}
 		}
@@ -203,22 +203,22 @@
 			half, most = l.latencies[n/2], l.latencies[n*99/100]
 		}
 		l.latencies = l.latencies[:0]
-		l.pooler.log.Info("agreed: tally", "taken", l.counter.Taken, "sum", l.counter.Sum, "again", l.counter.Again, "term", s.Term, "applied", s.Applied, "first", s.First, "leads", s.Leads,
-			"part", s.Part, "tried", l.next-1, "unheard", len(l.waiting), "p50", half, "p99", most)
+		l.pooler.log.Info("agreed: tally", "taken", l.counter.Counted, "sum", l.counter.Checksum, "again", l.counter.Duplicates, "term", s.Term, "applied", s.AppliedIndex, "first", s.FirstIndex, "leads", s.IsLeader,
+			"part", s.Participates, "tried", l.next-1, "unheard", len(l.waiting), "p50", half, "p99", most)
 	}
 	l.pooler.loop.At(now+witnessIntervalMs, l.proposeWitnesses)
 }
 
 // recordLatency takes how long one of this process's own entries took.
 func (l *raftLog) recordLatency(entry []byte) {
-	name, number, _ := counter.Read(entry)
+	name, number, _ := counter.DecodeEntry(entry)
 	if i, ok := slices.BinarySearchFunc(l.waiting, number, func(w proposal, n uint64) int { return cmp.Compare(w.number, n) }); ok && name == l.process {
 		l.latencies = append(l.latencies, l.pooler.loop.Now()-l.waiting[i].first)
 	}
 }
 
 func (l *raftLog) propose(number uint64) {
-	l.adapter.Propose(number, append([]byte{raftlog.OfTally}, counter.Entry(l.process, number, 0)...))
+	l.adapter.Propose(number, append([]byte{raftlog.CounterEntries}, counter.EncodeEntry(l.process, number, 0)...))
 }
 
 // writeRaftLogMetrics tells the log's figures, where there is one.
@@ -228,26 +228,26 @@
 	}
 	l, log := p.raftLog, s.Scope("agreed")
 	now, n := l.adapter.Standing(), l.adapter.Counts()
-	log.BoolGauge("part", now.Part)
-	log.BoolGauge("leads", now.Leads)
+	log.BoolGauge("part", now.Participates)
+	log.BoolGauge("leads", now.IsLeader)
 	log.BoolGauge("broke", n.Broke != "")
-	log.BoolGauge("changes", now.Changes)
+	log.BoolGauge("changes", now.ChangingVoters)
 	log.IntGauge("term", int64(now.Term))
-	log.IntGauge("last", int64(now.Last))
-	log.IntGauge("commit", int64(now.Commit))
-	log.IntGauge("applied", int64(now.Applied))
-	log.IntGauge("first", int64(now.First))
-	log.IntGauge("bytes", int64(now.Bytes))
-	log.IntGauge("writing", int64(now.Pending))
-	log.IntGauge("forwarded", int64(now.Waiting))
+	log.IntGauge("last", int64(now.LastIndex))
+	log.IntGauge("commit", int64(now.CommitIndex))
+	log.IntGauge("applied", int64(now.AppliedIndex))
+	log.IntGauge("first", int64(now.FirstIndex))
+	log.IntGauge("bytes", int64(now.LogBytes))
+	log.IntGauge("writing", int64(now.PendingWrites))
+	log.IntGauge("forwarded", int64(now.PendingForwards))
 	log.Counter("sent", n.Sent)
 	log.Counter("sent_bytes", n.Bytes)
 	log.Counter("streams", n.Streams)
 	log.Counter("writes", n.Writes)
 	log.Counter("dropped", n.Dropped)
-	log.Counter("taken", l.counter.Taken)
-	log.Counter("again", l.counter.Again)
-	log.Counter("sum", l.counter.Sum)
+	log.Counter("taken", l.counter.Counted)
+	log.Counter("again", l.counter.Duplicates)
+	log.Counter("sum", l.counter.Checksum)
 	log.Counter("tried", max(1, l.next)-1)
 	log.IntGauge("unheard", int64(len(l.waiting)))
 }
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -184,12 +184,12 @@
 	settings.Self, settings.Voters = "pooler-0", []string{"pooler-0", "pooler-1", "pooler-2"}
 	log := raftlog.New(settings, 0)
 	var out strings.Builder
-	for _, action := range log.Handle(0, raftlog.Restored{Records: records}, nil) {
+	for _, action := range log.Handle(0, raftlog.StorageLoaded{Records: records}, nil) {
 		if len(action.Entry) > 0 || len(action.Data) > 0 {
 			fmt.Fprintf(&out, "index %d: entry %x, snapshot %x\n", action.Index, sha256.Sum256(action.Entry), sha256.Sum256(action.Data))
 		}
 	}
-	standing := log.Standing()
-	fmt.Fprintf(&out, "%d records; term %d, commit %d, first %d, last %d\n", len(records), standing.Term, standing.Commit, standing.First, standing.Last)
+	standing := log.Status()
+	fmt.Fprintf(&out, "%d records; term %d, commit %d, first %d, last %d\n", len(records), standing.Term, standing.CommitIndex, standing.FirstIndex, standing.LastIndex)
 	golden(t, "stored-raft-log.txt", out.String())
 }
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -57,7 +57,7 @@
 	p.core.SetZoneObserver(z.adapter)
 	p.peers.Join(z.adapter)
 	if z.adapter.Book() != nil {
-		p.raftLog.users.Add(raftlog.OfZones, z.adapter)
+		p.raftLog.users.Add(raftlog.ZoneEntries, z.adapter)
 	}
 	p.raftLog.observers = append(p.raftLog.observers, z.adapter.Hear)
 	p.zones = z
@@ -162,7 +162,7 @@
 
 // Propose is zones.Log's.
 func (z *zoneFailover) Propose(entry []byte) {
-	z.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.OfZones}, entry...))
+	z.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.ZoneEntries}, entry...))
 }
 
 // reload takes orders as they are now.
--- a/internal/cluster/raftlog/adapter/joined.go
+++ b/internal/cluster/raftlog/adapter/joined.go
@@ -51,14 +51,14 @@
 // Begin brings a voter's disk and what it held; err tells that it cannot be read.
 func (p *Part) Begin(d Disk, records []raftlog.Record, err error) {
 	p.disk = d
-	p.do(raftlog.Restored{Records: records, Err: err})
+	p.do(raftlog.StorageLoaded{Records: records, Err: err})
 }
 
 // Propose asks for an entry. Ref comes back where it is dropped.
 func (p *Part) Propose(ref uint64, entry []byte) { p.do(raftlog.Propose{Ref: ref, Entry: entry}) }
 
 // Standing tells how the log stands here.
-func (p *Part) Standing() raftlog.Standing { return p.rep.Standing() }
+func (p *Part) Standing() raftlog.Status { return p.rep.Status() }
 
 // Counts are the counts so far.
 func (p *Part) Counts() Counts { return p.counts }
@@ -72,7 +72,7 @@
 // UpdateMembers is part.Part's. Of several processes of a voter's name the youngest that can be reached is the one.
 func (p *Part) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	p.ids, p.addrs = p.ids[:0], p.addrs[:0]
-	var m raftlog.Members
+	var m raftlog.AddressesChanged
 	for _, v := range p.opt.Settings.Voters {
 		var best *view.Record
 		for i := range all {
@@ -94,7 +94,7 @@
 
 // Receive is part.Part's.
 func (p *Part) Receive(from view.ID, m any) {
-	e := raftlog.Heard{Message: m.([]byte)}
+	e := raftlog.MessageReceived{Message: m.([]byte)}
 	if i := slices.Index(p.ids, from); i >= 0 {
 		e.From = p.addrs[i]
 	}
@@ -105,7 +105,7 @@
 func (p *Part) Tick() { p.do(raftlog.Tick{}) }
 
 // Leave is part.Part's.
-func (p *Part) Leave() { p.do(raftlog.Leave{}) }
+func (p *Part) Leave() { p.do(raftlog.Shutdown{}) }
 
 // do tells the log; what comes of it may tell it more, which waits its turn.
 func (p *Part) do(e raftlog.Event) {
@@ -138,13 +138,13 @@
 	case raftlog.Store:
 		p.counts.Writes++
 		ref := a.Ref
-		p.disk.Append(a.Records, func(err error) { p.do(raftlog.Stored{Ref: ref, Err: err}) })
+		p.disk.Append(a.Records, func(err error) { p.do(raftlog.StoreCompleted{Ref: ref, Err: err}) })
 		return
 	case raftlog.Apply:
 		p.counts.Applied++
-	case raftlog.Dropped:
+	case raftlog.ProposalDropped:
 		p.counts.Dropped++
-	case raftlog.Broke:
+	case raftlog.Stopped:
 		p.counts.Broke = a.Text
 	}
 	if p.opt.Told != nil {
@@ -165,5 +165,5 @@
 	}
 	p.counts.Streams++
 	ref := a.Ref
-	p.net.SendStream(a.Addr, to, module.KindRaftLog, words(a.Message), func(ok bool) { p.do(raftlog.Sent{Ref: ref, OK: ok}) })
+	p.net.SendStream(a.Addr, to, module.KindRaftLog, words(a.Message), func(ok bool) { p.do(raftlog.StreamCompleted{Ref: ref, OK: ok}) })
 }
--- a/internal/cluster/raftlog/agreed_test.go
+++ b/internal/cluster/raftlog/agreed_test.go
@@ -16,26 +16,26 @@
 	set.Self = "a"
 	a := New(set, 0)
 	b := New(set, 0)
-	a.addr["b"], a.table = "b", []Member{{"b", 2}}
+	a.addresses["b"], a.members = "b", []Member{{"b", 2}}
 	data := bytes.Repeat([]byte("0123456789"), 130000)
 	parts := func() (all [][]byte) {
-		a.out = nil
-		a.split(&message{group: 1, from: 1, to: a.table[0].number(), data: data})
-		for len(a.out) > 0 {
-			x := a.out[0]
-			a.out = nil
+		a.actions = nil
+		a.startTransfer(&message{group: 1, from: 1, to: a.members[0].raftID(), data: data})
+		for len(a.actions) > 0 {
+			x := a.actions[0]
+			a.actions = nil
 			all = append(all, x.Message)
-			a.sentPart(Sent{Ref: x.Ref, OK: true})
+			a.chunkSent(StreamCompleted{Ref: x.Ref, OK: true})
 		}
 		return all
 	}
 	take := func(all ...[]byte) (got []byte) {
 		for _, x := range all {
-			m, err := parse(x)
-			if err != nil || len(x) > MostChunk+200 {
+			m, err := decodeMessage(x)
+			if err != nil || len(x) > MaxChunkBytes+200 {
 				t.Fatal(err, len(x))
 			}
-			if d := b.join(m); d != nil {
+			if d := b.receiveChunk(m); d != nil {
 				got = d
 			}
 		}
@@ -51,7 +51,7 @@
 	if take(one[0], one[1], one[3]) != nil || take(one[0], one[1], one[1], one[3]) != nil || take(one[0], two[1], one[2], one[3]) != nil {
 		t.Error("half of it was taken")
 	}
-	if !bytes.Equal(take(two...), data) || len(a.going) != 0 {
+	if !bytes.Equal(take(two...), data) || len(a.outgoing) != 0 {
 		t.Error("it did not arrive after that")
 	}
 }
@@ -59,13 +59,13 @@
 // TestForward: who does not vote goes by hints to who leads, tries the next where nothing is heard, and tells what is lost.
 func TestForward(t *testing.T) {
 	set := Defaults()
-	set.Voters, set.Self, set.Forwards = []string{"a", "b", "c"}, "x", 2
+	set.Voters, set.Self, set.MaxForwards = []string{"a", "b", "c"}, "x", 2
 	l := New(set, 0)
-	l.Handle(0, Members{Voters: []Address{{"a", "A"}, {"b", "B"}, {"c", "C"}}}, nil)
+	l.Handle(0, AddressesChanged{Voters: []Address{{"a", "A"}, {"b", "B"}, {"c", "C"}}}, nil)
 	propose := func(now float64, ref uint64) (to string, m *message) {
 		for _, a := range l.Handle(now, Propose{Ref: ref, Entry: []byte("e")}, nil) {
 			if a.Kind == Send {
-				m, _ = parse(a.Message)
+				m, _ = decodeMessage(a.Message)
 				return a.Addr, m
 			}
 		}
@@ -75,15 +75,15 @@
 	if to != "A" || string(m.data) != "e" {
 		t.Fatal(to, m)
 	}
-	out := l.Handle(1, Heard{From: "A", Message: (&message{verb: verbTook, ref: m.ref, name: "c"}).append(nil)}, nil)
-	if len(out) != 1 || out[0].Kind != Dropped || out[0].Ref != 1 {
+	out := l.Handle(1, MessageReceived{From: "A", Message: (&message{kind: kindForwardResult, ref: m.ref, name: "c"}).encode(nil)}, nil)
+	if len(out) != 1 || out[0].Kind != ProposalDropped || out[0].Ref != 1 {
 		t.Fatalf("%+v", out)
 	}
 	to, m = propose(2, 2)
 	if to != "C" {
 		t.Error("the hint was not taken:", to)
 	}
-	if out = l.Handle(3, Heard{From: "C", Message: (&message{verb: verbTook, ref: m.ref, flag: true}).append(nil)}, nil); len(out) != 0 {
+	if out = l.Handle(3, MessageReceived{From: "C", Message: (&message{kind: kindForwardResult, ref: m.ref, flag: true}).encode(nil)}, nil); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
 	propose(4, 3)
@@ -92,9 +92,9 @@
 		t.Error("more wait than may:", to)
 	}
 	lost := 0
-	for now := 4.0; now < 4+set.Patience()+2*set.Tick; now += set.Tick {
+	for now := 4.0; now < 4+set.ForwardTimeout()+2*set.TickInterval; now += set.TickInterval {
 		for _, a := range l.Handle(now, Tick{}, nil) {
-			if a.Kind == Dropped {
+			if a.Kind == ProposalDropped {
 				lost++
 			}
 		}
@@ -107,11 +107,11 @@
 // TestForm: what is written is read; other bytes are errors or something, never a panic, here and in a voter.
 func TestForm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &message{verb: verb(rapid.IntRange(1, 6).Draw(t, "verb")), group: rapid.Uint64().Draw(t, "group"), from: rapid.Uint64().Draw(t, "from"), name: "n",
+		m := &message{kind: messageKind(rapid.IntRange(1, 6).Draw(t, "verb")), group: rapid.Uint64().Draw(t, "group"), from: rapid.Uint64().Draw(t, "from"), name: "n",
 			ref: rapid.Uint64().Draw(t, "ref"), flag: rapid.Bool().Draw(t, "flag"), members: []Member{{"a", rapid.Uint64().Draw(t, "disk")}}, data: []byte("d")}
-		b := m.append(nil)
-		got, err := parse(b)
-		if err != nil || !bytes.Equal(got.append(nil), b) {
+		b := m.encode(nil)
+		got, err := decodeMessage(b)
+		if err != nil || !bytes.Equal(got.encode(nil), b) {
 			t.Fatal(err, got)
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
@@ -119,10 +119,10 @@
 		set := Defaults()
 		set.Voters, set.Self = []string{"a", "b", "c"}, "a"
 		l := New(set, 0)
-		l.Handle(0, Restored{Records: Founded(all[0], all)}, nil)
-		l.Handle(1, Heard{From: "B", Message: b}, nil)
-		if l.broke != "" {
-			t.Fatal(l.broke)
+		l.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
+		l.Handle(1, MessageReceived{From: "B", Message: b}, nil)
+		if l.stopReason != "" {
+			t.Fatal(l.stopReason)
 		}
 	})
 }
@@ -134,13 +134,13 @@
 	set.Voters, set.Self = []string{"a", "b", "c"}, "a"
 	ninth, _ := proto.Marshal(&pb.Entry{Index: proto.Uint64(9), Term: proto.Uint64(1)})
 	for name, records := range map[string][]Record{
-		"another's":         Founded(all[1], all),
-		"without its owner": Founded(all[0], all)[1:],
-		"without entries":   append(Founded(all[0], all), Record{Key: entryKey(9), Value: ninth}),
+		"another's":         BootstrapRecords(all[1], all),
+		"without its owner": BootstrapRecords(all[0], all)[1:],
+		"without entries":   append(BootstrapRecords(all[0], all), Record{Key: entryKey(9), Value: ninth}),
 	} {
 		l := New(set, 0)
-		out := l.Handle(0, Restored{Records: records}, nil)
-		if len(out) != 1 || out[0].Kind != Broke || l.Standing().Part {
+		out := l.Handle(0, StorageLoaded{Records: records}, nil)
+		if len(out) != 1 || out[0].Kind != Stopped || l.Status().Participates {
 			t.Errorf("%s: %+v", name, out)
 		}
 		if out = l.Handle(5000, Tick{}, nil); len(out) != 0 {
@@ -158,21 +158,21 @@
 	set := Defaults()
 	set.Voters, set.Self = []string{"a", "b", "c"}, "a"
 	follower := New(set, 0)
-	follower.Handle(0, Members{Voters: []Address{{"a", "A"}, {"b", "B"}, {"c", "C"}}}, nil)
-	follower.Handle(0, Restored{Records: Founded(all[0], all)}, nil)
+	follower.Handle(0, AddressesChanged{Voters: []Address{{"a", "A"}, {"b", "B"}, {"c", "C"}}}, nil)
+	follower.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
 	set.Self = "b"
 	leader := New(set, 0)
-	leader.self, leader.group = fresh, groupOf(all)
-	leader.table, leader.addr["a"] = all, "A"
+	leader.self, leader.group = fresh, groupID(all)
+	leader.members, leader.addresses["a"] = all, "A"
 	kind := pb.MsgHeartbeat
-	leader.send(&pb.Message{Type: &kind, From: proto.Uint64(fresh.number()), To: proto.Uint64(all[0].number()), Term: proto.Uint64(5)})
-	if len(leader.out) != 1 {
-		t.Fatalf("%+v", leader.out)
+	leader.send(&pb.Message{Type: &kind, From: proto.Uint64(fresh.raftID()), To: proto.Uint64(all[0].raftID()), Term: proto.Uint64(5)})
+	if len(leader.actions) != 1 {
+		t.Fatalf("%+v", leader.actions)
 	}
-	out := follower.Handle(1, Heard{Message: leader.out[0].Message}, nil)
+	out := follower.Handle(1, MessageReceived{Message: leader.actions[0].Message}, nil)
 	for _, a := range out { // the new term is stored before the answer
 		if a.Kind == Store {
-			out = append(out, follower.Handle(2, Stored{Ref: a.Ref}, nil)...)
+			out = append(out, follower.Handle(2, StoreCompleted{Ref: a.Ref}, nil)...)
 		}
 	}
 	for _, a := range out {
--- a/internal/cluster/raftlog/bytes_test.go
+++ b/internal/cluster/raftlog/bytes_test.go
@@ -7,22 +7,22 @@
 
 // TestBytes: a message's bytes are what poolers of other versions read.
 func TestBytes(t *testing.T) {
-	m := &message{verb: verbTook, group: 2, from: 3, to: 4, name: "pooler", disk: 6, echo: 7, ref: 300, index: 9, count: 10, part: 11, flag: true,
+	m := &message{kind: kindForwardResult, group: 2, from: 3, to: 4, name: "pooler", disk: 6, askerDisk: 7, ref: 300, index: 9, count: 10, chunk: 11, flag: true,
 		members: []Member{{"a", 1}, {"b", 0}}, data: []byte("data")}
 	for _, c := range []struct {
 		b    []byte
 		want string
 	}{
-		{m.append(nil), "08061102000000000000001903000000000000002104000000000000002a06706f6f6c657231060000000000000039070000000000000040ac024809500a580b60016a0c0a01611101000000000000006a0c0a0162110000000000000000720464617461"},
-		{(&message{}).append([]byte{1}), "01"},
-		{(&message{members: []Member{{}}}).append(nil), "6a0b0a00110000000000000000"},
+		{m.encode(nil), "08061102000000000000001903000000000000002104000000000000002a06706f6f6c657231060000000000000039070000000000000040ac024809500a580b60016a0c0a01611101000000000000006a0c0a0162110000000000000000720464617461"},
+		{(&message{}).encode([]byte{1}), "01"},
+		{(&message{members: []Member{{}}}).encode(nil), "6a0b0a00110000000000000000"},
 	} {
 		if got := hex.EncodeToString(c.b); got != c.want {
 			t.Errorf("%s, want %s", got, c.want)
 		}
 	}
-	b := m.append(nil)
-	if got, err := parse(b); err != nil || hex.EncodeToString(got.append(nil)) != hex.EncodeToString(b) {
+	b := m.encode(nil)
+	if got, err := decodeMessage(b); err != nil || hex.EncodeToString(got.encode(nil)) != hex.EncodeToString(b) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
--- a/internal/cluster/raftlog/counter/tally.go
+++ b/internal/cluster/raftlog/counter/tally.go
@@ -16,121 +16,121 @@
 const Window = 4096
 
 const (
-	mostNames = 1024
-	mostName  = 64
+	maxProposers = 1024
+	maxNameBytes = 64
 )
 
-// ErrForm is that of bytes that are no tally.
-var ErrForm = errors.New("not a tally")
-
-// Tally is the Machine.
-type Tally struct {
-	Index  uint64 // of the last entry
-	Taken  uint64
-	Again  uint64 // entries that were there before
-	Sum    uint64 // of those taken, in their order
-	names  []*proposer
-	Sloppy bool // a mutant: entries are taken again
+// ErrMalformed is that of bytes that are no tally.
+var ErrMalformed = errors.New("not a tally")
+
+// Counter is the Machine.
+type Counter struct {
+	AppliedIndex    uint64 // of the last entry
+	Counted         uint64
+	Duplicates      uint64 // entries that were there before
+	Checksum        uint64 // of those taken, in their order
+	proposers       []*proposer
+	CountDuplicates bool // a mutant: entries are taken again
 }
 
 type proposer struct {
-	name  string
-	low   uint64   // all up to it are taken
-	above []uint64 // that are taken beyond it, in their order
+	name       string
+	contiguous uint64   // all up to it are taken
+	beyond     []uint64 // that are taken beyond it, in their order
 }
 
 func (p *proposer) has(number uint64) bool {
-	_, above := slices.BinarySearch(p.above, number)
-	return number <= p.low || above
+	_, above := slices.BinarySearch(p.beyond, number)
+	return number <= p.contiguous || above
 }
 
-// Entry makes a proposer's numbered entry, the first of which is 1, with so many bytes beside.
-func Entry(name string, number uint64, pad int) []byte {
+// EncodeEntry makes a proposer's numbered entry, the first of which is 1, with so many bytes beside.
+func EncodeEntry(name string, number uint64, pad int) []byte {
 	b := append([]byte{byte(len(name))}, name...)
 	b = binary.BigEndian.AppendUint64(b, number)
 	return append(b, make([]byte, pad)...)
 }
 
-// Read takes an entry apart.
-func Read(entry []byte) (name string, number uint64, ok bool) {
-	if len(entry) < 1 || len(entry) < 9+int(entry[0]) || entry[0] > mostName {
+// DecodeEntry takes an entry apart.
+func DecodeEntry(entry []byte) (name string, number uint64, ok bool) {
+	if len(entry) < 1 || len(entry) < 9+int(entry[0]) || entry[0] > maxNameBytes {
 		return "", 0, false
 	}
 	n := int(entry[0])
 	return string(entry[1 : 1+n]), binary.BigEndian.Uint64(entry[1+n:]), true
 }
 
-func (t *Tally) of(name string, make bool) *proposer {
-	i, found := slices.BinarySearchFunc(t.names, name, func(p *proposer, n string) int { return strings.Compare(p.name, n) })
-	if !found && make && len(t.names) < mostNames {
-		t.names = slices.Insert(t.names, i, &proposer{name: name})
+func (c *Counter) proposerOf(name string, create bool) *proposer {
+	i, found := slices.BinarySearchFunc(c.proposers, name, func(p *proposer, n string) int { return strings.Compare(p.name, n) })
+	if !found && create && len(c.proposers) < maxProposers {
+		c.proposers = slices.Insert(c.proposers, i, &proposer{name: name})
 		found = true
 	}
 	if !found {
 		return nil
 	}
-	return t.names[i]
+	return c.proposers[i]
 }
 
 // Has tells whether a proposer's entry has been taken.
-func (t *Tally) Has(name string, number uint64) bool {
-	p := t.of(name, false)
+func (c *Counter) Has(name string, number uint64) bool {
+	p := c.proposerOf(name, false)
 	return p != nil && p.has(number)
 }
 
 // Numbers are how many different entries of each proposer have been taken, one by one.
-func (t *Tally) Numbers() (out []uint64) {
-	for _, p := range t.names {
-		for n := uint64(1); n <= p.low; n++ {
+func (c *Counter) Numbers() (out []uint64) {
+	for _, p := range c.proposers {
+		for n := uint64(1); n <= p.contiguous; n++ {
 			out = append(out, n)
 		}
-		out = append(out, p.above...)
+		out = append(out, p.beyond...)
 	}
 	return out
 }
 
 // Apply is Machine's.
-func (t *Tally) Apply(index uint64, entry []byte) {
-	t.Index = index
-	name, number, ok := Read(entry)
+func (c *Counter) Apply(index uint64, entry []byte) {
+	c.AppliedIndex = index
+	name, number, ok := DecodeEntry(entry)
 	if !ok || number == 0 {
 		return
 	}
-	p := t.of(name, true)
-	if p == nil || number > p.low+Window {
+	p := c.proposerOf(name, true)
+	if p == nil || number > p.contiguous+Window {
 		return
 	}
-	if p.has(number) && !t.Sloppy {
-		t.Again++
+	if p.has(number) && !c.CountDuplicates {
+		c.Duplicates++
 		return
 	}
-	if at, above := slices.BinarySearch(p.above, number); number > p.low && !above {
-		p.above = slices.Insert(p.above, at, number)
+	if at, above := slices.BinarySearch(p.beyond, number); number > p.contiguous && !above {
+		p.beyond = slices.Insert(p.beyond, at, number)
 		n := 0
-		for n < len(p.above) && p.above[n] == p.low+1 {
-			p.low++
+		for n < len(p.beyond) && p.beyond[n] == p.contiguous+1 {
+			p.contiguous++
 			n++
 		}
-		p.above = slices.Delete(p.above, 0, n)
+		p.beyond = slices.Delete(p.beyond, 0, n)
 	}
-	t.Taken++
+	c.Counted++
 	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], t.Sum)
-	t.Sum = xxhash.Sum64(append(b[:], entry...))
+	binary.BigEndian.PutUint64(b[:], c.Checksum)
+	c.Checksum = xxhash.Sum64(append(b[:], entry...))
 }
 
 // Snapshot is Machine's.
-func (t *Tally) Snapshot() []byte {
+func (c *Counter) Snapshot() []byte {
 	var b []byte
-	for _, x := range []uint64{t.Index, t.Taken, t.Again, t.Sum, uint64(len(t.names))} {
+	for _, x := range []uint64{c.AppliedIndex, c.Counted, c.Duplicates, c.Checksum, uint64(len(c.proposers))} {
 		b = binary.AppendUvarint(b, x)
 	}
-	for _, p := range t.names {
+	for _, p := range c.proposers {
 		b = binary.AppendUvarint(b, uint64(len(p.name)))
 		b = append(b, p.name...)
-		b = binary.AppendUvarint(b, p.low)
-		b = binary.AppendUvarint(b, uint64(len(p.above)))
-		for _, x := range p.above {
+		b = binary.AppendUvarint(b, p.contiguous)
+		b = binary.AppendUvarint(b, uint64(len(p.beyond)))
+		for _, x := range p.beyond {
 			b = binary.AppendUvarint(b, x)
 		}
 	}
@@ -138,8 +138,8 @@
 }
 
 // Restore is Machine's.
-func (t *Tally) Restore(b []byte) error {
-	*t = Tally{Sloppy: t.Sloppy}
+func (c *Counter) Restore(b []byte) error {
+	*c = Counter{CountDuplicates: c.CountDuplicates}
 	if len(b) == 0 {
 		return nil
 	}
@@ -153,22 +153,22 @@
 		b = b[n:]
 		return x
 	}
-	t.Index, t.Taken, t.Again, t.Sum = num(), num(), num(), num()
+	c.AppliedIndex, c.Counted, c.Duplicates, c.Checksum = num(), num(), num(), num()
 	for n := num(); n > 0 && ok; n-- {
 		k := num()
-		if k > mostName || k > uint64(len(b)) {
-			return ErrForm
+		if k > maxNameBytes || k > uint64(len(b)) {
+			return ErrMalformed
 		}
 		p := &proposer{name: string(b[:k])}
 		b = b[k:]
-		p.low = num()
+		p.contiguous = num()
 		for m := num(); m > 0 && ok; m-- {
-			p.above = append(p.above, num())
+			p.beyond = append(p.beyond, num())
 		}
-		t.names = append(t.names, p)
+		c.proposers = append(c.proposers, p)
 	}
 	if !ok || len(b) > 0 {
-		return ErrForm
+		return ErrMalformed
 	}
 	return nil
 }
--- a/internal/cluster/raftlog/doc.go
+++ b/internal/cluster/raftlog/doc.go
@@ -41,7 +41,7 @@
 //	    others, back, and on; where a message is lost, a heartbeat finds it: H*T + 2*d more for each loss in a row;
 //	a leader that is cut off stops calling itself one within 2*E*T of running;
 //	no answer to a Forward within E*T + 2*T: Dropped, and another voter is tried;
-//	the log has at most   Keep + Every + what is proposed meanwhile   entries, Every at most SnapBytes bytes more than Keep
-//	    (Settings.MostLog); MaxPending bytes wait for a majority, what is beyond is Dropped;
-//	a start reads the snapshot and at most MostLog entries.
+//	the log has at most   Keep + Every + what is proposed meanwhile   entries, Every at most SnapshotBytes bytes more than Keep
+//	    (Settings.MaxLogEntries); MaxPendingBytes bytes wait for a majority, what is beyond is Dropped;
+//	a start reads the snapshot and at most MaxLogEntries entries.
 package raftlog
--- a/internal/cluster/raftlog/form.go
+++ b/internal/cluster/raftlog/form.go
@@ -7,49 +7,49 @@
 	"beechgrade/internal/encoding"
 )
 
-// ErrForm is that of bytes that are no message, or none that may be taken.
-var ErrForm = errors.New("not a message of the log in common")
+// ErrMalformed is that of bytes that are no message, or none that may be taken.
+var ErrMalformed = errors.New("not a message of the log in common")
 
-type verb uint64
+type messageKind uint64
 
 const (
-	verbRaft    verb = iota + 1 // data is one of raft's
-	verbPart                    // data is the part-th of count parts of one of raft's
-	verbHello                   // who has no group asks who has one; a voter that hears no leader, too
-	verbIs                      // answers it
-	verbForward                 // data is a proposal
-	verbTook                    // answers it: flag tells that a leader has it, name who may lead
+	kindRaft          messageKind = iota + 1 // data is one of raft's
+	kindChunk                                // data is the part-th of count parts of one of raft's
+	kindDiscover                             // who has no group asks who has one; a voter that hears no leader, too
+	kindIdentity                             // answers it
+	kindForward                              // data is a proposal
+	kindForwardResult                        // answers it: flag tells that a leader has it, name who may lead
 )
 
 // message goes between poolers, and the same form keeps what is on a disk beside raft's own.
 type message struct {
-	verb     verb
-	group    uint64
-	from, to uint64 // raft's numbers
-	name     string
-	disk     uint64
-	echo     uint64 // the asker's disk
-	ref      uint64
-	index    uint64
-	count    uint64
-	part     uint64
-	flag     bool
-	members  []Member
-	data     []byte
+	kind      messageKind
+	group     uint64
+	from, to  uint64 // raft's numbers
+	name      string
+	disk      uint64
+	askerDisk uint64 // the asker's disk
+	ref       uint64
+	index     uint64
+	count     uint64
+	chunk     uint64
+	flag      bool
+	members   []Member
+	data      []byte
 }
 
-func (m *message) append(b []byte) []byte {
-	b = encoding.AppendNonZeroUint(b, 1, uint64(m.verb))
+func (m *message) encode(b []byte) []byte {
+	b = encoding.AppendNonZeroUint(b, 1, uint64(m.kind))
 	b = encoding.AppendNonZeroFixed(b, 2, m.group)
 	b = encoding.AppendNonZeroFixed(b, 3, m.from)
 	b = encoding.AppendNonZeroFixed(b, 4, m.to)
 	b = encoding.AppendNonEmptyBytes(b, 5, m.name)
 	b = encoding.AppendNonZeroFixed(b, 6, m.disk)
-	b = encoding.AppendNonZeroFixed(b, 7, m.echo)
+	b = encoding.AppendNonZeroFixed(b, 7, m.askerDisk)
 	b = encoding.AppendNonZeroUint(b, 8, m.ref)
 	b = encoding.AppendNonZeroUint(b, 9, m.index)
 	b = encoding.AppendNonZeroUint(b, 10, m.count)
-	b = encoding.AppendNonZeroUint(b, 11, m.part)
+	b = encoding.AppendNonZeroUint(b, 11, m.chunk)
 	if m.flag {
 		b = encoding.AppendUintField(b, 12, 1)
 	}
@@ -60,17 +60,17 @@
 	return b
 }
 
-func fault(why error) error { return fmt.Errorf("%w: %w", ErrForm, why) }
+func malformed(why error) error { return fmt.Errorf("%w: %w", ErrMalformed, why) }
 
-const mostName = 64
+const maxNameBytes = 64
 
-// parse reads a message; what it holds of bytes is b's.
-func parse(b []byte) (*message, error) {
+// decodeMessage reads a message; what it holds of bytes is b's.
+func decodeMessage(b []byte) (*message, error) {
 	m := &message{}
-	err := encoding.Fields(b, fault, func(f encoding.Field) error {
+	err := encoding.Fields(b, malformed, func(f encoding.Field) error {
 		switch f.Number {
 		case 1:
-			m.verb = verb(f.Value)
+			m.kind = messageKind(f.Value)
 		case 2:
 			m.group = f.Value
 		case 3:
@@ -78,14 +78,14 @@
 		case 4:
 			m.to = f.Value
 		case 5:
-			if len(f.Bytes) > mostName {
-				return fmt.Errorf("%w: a name of %d bytes", ErrForm, len(f.Bytes))
+			if len(f.Bytes) > maxNameBytes {
+				return fmt.Errorf("%w: a name of %d bytes", ErrMalformed, len(f.Bytes))
 			}
 			m.name = string(f.Bytes)
 		case 6:
 			m.disk = f.Value
 		case 7:
-			m.echo = f.Value
+			m.askerDisk = f.Value
 		case 8:
 			m.ref = f.Value
 		case 9:
@@ -93,15 +93,15 @@
 		case 10:
 			m.count = f.Value
 		case 11:
-			m.part = f.Value
+			m.chunk = f.Value
 		case 12:
 			m.flag = f.Value != 0
 		case 13:
-			if len(m.members) == 2*MostVoters {
-				return fmt.Errorf("%w: too many voters", ErrForm)
+			if len(m.members) == 2*MaxVoters {
+				return fmt.Errorf("%w: too many voters", ErrMalformed)
 			}
 			var y Member
-			if err := encoding.Fields(f.Bytes, fault, func(f encoding.Field) error {
+			if err := encoding.Fields(f.Bytes, malformed, func(f encoding.Field) error {
 				switch f.Number {
 				case 1:
 					y.Name = string(f.Bytes)
@@ -112,8 +112,8 @@
 			}); err != nil {
 				return err
 			}
-			if y.Name == "" || len(y.Name) > mostName {
-				return fmt.Errorf("%w: a voter's name of %d bytes", ErrForm, len(y.Name))
+			if y.Name == "" || len(y.Name) > maxNameBytes {
+				return fmt.Errorf("%w: a voter's name of %d bytes", ErrMalformed, len(y.Name))
 			}
 			m.members = append(m.members, y)
 		case 14:
--- a/internal/cluster/raftlog/forward.go
+++ b/internal/cluster/raftlog/forward.go
@@ -6,113 +6,113 @@
 	"go.etcd.io/raft/v3"
 )
 
-// forwards are proposals that went to another pooler, which leads or may know who does.
-type forwards struct {
-	waiting []forward // by when they went
-	nextRef uint64
-	guessed string // who may lead
+// forwarding are proposals that went to another pooler, which leads or may know who does.
+type forwarding struct {
+	forwarded    []forwardedProposal // by when they went
+	nextRef      uint64
+	likelyLeader string // who may lead
 }
 
-type forward struct {
-	ref, own uint64
-	to       string
-	till     float64
+type forwardedProposal struct {
+	ref, proposerRef uint64
+	to               string
+	deadline         float64
 }
 
 // propose puts an entry to raft where this voter leads, else to who leads.
 func (l *Log) propose(e Propose) {
-	ok := len(e.Entry) > 0 && len(e.Entry) <= MostEntry && !l.left
+	ok := len(e.Entry) > 0 && len(e.Entry) <= MaxEntryBytes && !l.left
 	switch {
 	case !ok:
-	case l.leads:
+	case l.isLeader:
 		ok = l.node.Propose(e.Entry) == nil
-	case len(l.waiting) >= l.set.Forwards:
+	case len(l.forwarded) >= l.settings.MaxForwards:
 		ok = false
 	default:
 		ok = l.forward(e)
 	}
 	if !ok {
-		l.out = append(l.out, Action{Kind: Dropped, Ref: e.Ref})
+		l.actions = append(l.actions, Action{Kind: ProposalDropped, Ref: e.Ref})
 	}
 }
 
 func (l *Log) forward(e Propose) bool {
-	to := l.guessed
-	if l.node != nil && !l.isNew {
-		if to = l.nameOf(l.lead); l.lead == raft.None {
+	to := l.likelyLeader
+	if l.node != nil && !l.awaitingAdmission {
+		if to = l.nameOf(l.leader); l.leader == raft.None {
 			return false
 		}
-	} else if to == "" || l.addr[to] == "" {
-		to = l.another(to)
+	} else if to == "" || l.addresses[to] == "" {
+		to = l.nextReachableVoter(to)
 	}
-	if l.addr[to] == "" {
+	if l.addresses[to] == "" {
 		return false
 	}
 	if l.nextRef == 0 {
 		l.nextRef = uint64(l.rng.Uint32()) + 1 // a last life's answers are not this one's
 	}
 	l.nextRef++
-	l.guessed = to
-	l.waiting = append(l.waiting, forward{l.nextRef, e.Ref, to, l.now + l.set.Patience()})
-	l.tell(to, &message{verb: verbForward, ref: l.nextRef, data: e.Entry})
+	l.likelyLeader = to
+	l.forwarded = append(l.forwarded, forwardedProposal{l.nextRef, e.Ref, to, l.now + l.settings.ForwardTimeout()})
+	l.sendTo(to, &message{kind: kindForward, ref: l.nextRef, data: e.Entry})
 	return true
 }
 
-// another is the next voter that there is a way to.
-func (l *Log) another(than string) string {
-	i := slices.Index(l.set.Voters, than)
-	for k := 1; k <= len(l.set.Voters); k++ {
-		if v := l.set.Voters[(i+k+len(l.set.Voters))%len(l.set.Voters)]; v != l.set.Self && l.addr[v] != "" {
+// nextReachableVoter is the next voter that there is a way to.
+func (l *Log) nextReachableVoter(than string) string {
+	i := slices.Index(l.settings.Voters, than)
+	for k := 1; k <= len(l.settings.Voters); k++ {
+		if v := l.settings.Voters[(i+k+len(l.settings.Voters))%len(l.settings.Voters)]; v != l.settings.Self && l.addresses[v] != "" {
 			return v
 		}
 	}
 	return ""
 }
 
-// onForward takes another's proposal, where this voter leads.
-func (l *Log) onForward(from string, m *message) {
-	if !l.votes || from == "" || len(m.data) == 0 || len(m.data) > MostEntry {
+// handleForward takes another's proposal, where this voter leads.
+func (l *Log) handleForward(from string, m *message) {
+	if !l.isVoter || from == "" || len(m.data) == 0 || len(m.data) > MaxEntryBytes {
 		return
 	}
-	re := &message{verb: verbTook, ref: m.ref}
-	if l.leads {
-		re.name, re.flag = l.set.Self, l.node.Propose(m.data) == nil
+	re := &message{kind: kindForwardResult, ref: m.ref}
+	if l.isLeader {
+		re.name, re.flag = l.settings.Self, l.node.Propose(m.data) == nil
 	} else if l.node != nil {
-		re.name = l.nameOf(l.lead)
+		re.name = l.nameOf(l.leader)
 	}
-	l.out = append(l.out, Action{Kind: Send, Addr: from, Message: re.append(nil)})
+	l.actions = append(l.actions, Action{Kind: Send, Addr: from, Message: re.encode(nil)})
 }
 
-// onTook takes the word on a proposal.
-func (l *Log) onTook(m *message) {
-	i := slices.IndexFunc(l.waiting, func(f forward) bool { return f.ref == m.ref })
+// handleForwardResult takes the word on a proposal.
+func (l *Log) handleForwardResult(m *message) {
+	i := slices.IndexFunc(l.forwarded, func(f forwardedProposal) bool { return f.ref == m.ref })
 	if i < 0 {
 		return
 	}
-	f := l.waiting[i]
-	l.waiting = slices.Delete(l.waiting, i, i+1)
+	f := l.forwarded[i]
+	l.forwarded = slices.Delete(l.forwarded, i, i+1)
 	if m.flag {
-		l.guessed = f.to
+		l.likelyLeader = f.to
 		return
 	}
-	l.lost(f, m.name)
+	l.dropForward(f, m.name)
 }
 
-// lost tells that a proposal has come to nothing, and goes by the hint to who leads, or to the next.
-func (l *Log) lost(f forward, hint string) {
-	if l.guessed == f.to {
-		if l.guessed = hint; hint == "" || hint == f.to || hint == l.set.Self || l.addr[hint] == "" {
-			l.guessed = l.another(f.to)
+// dropForward tells that a proposal has come to nothing, and goes by the hint to who leads, or to the next.
+func (l *Log) dropForward(f forwardedProposal, hint string) {
+	if l.likelyLeader == f.to {
+		if l.likelyLeader = hint; hint == "" || hint == f.to || hint == l.settings.Self || l.addresses[hint] == "" {
+			l.likelyLeader = l.nextReachableVoter(f.to)
 		}
 	}
-	l.out = append(l.out, Action{Kind: Dropped, Ref: f.own})
+	l.actions = append(l.actions, Action{Kind: ProposalDropped, Ref: f.proposerRef})
 }
 
-// patience gives up what has had no word.
-func (l *Log) patience() {
-	for len(l.waiting) > 0 && l.now >= l.waiting[0].till {
-		f := l.waiting[0]
-		l.waiting = slices.Delete(l.waiting, 0, 1)
-		l.lost(f, "")
+// expireForwards gives up what has had no word.
+func (l *Log) expireForwards() {
+	for len(l.forwarded) > 0 && l.now >= l.forwarded[0].deadline {
+		f := l.forwarded[0]
+		l.forwarded = slices.Delete(l.forwarded, 0, 1)
+		l.dropForward(f, "")
 	}
 }
--- a/internal/cluster/raftlog/invariants_test.go
+++ b/internal/cluster/raftlog/invariants_test.go
@@ -15,7 +15,7 @@
 	set := Defaults()
 	set.Voters, set.Self, set.Checks = []string{"a", "b", "c"}, "a", invariant.New(nil)
 	l := New(set, 0)
-	l.Handle(0, Restored{Records: Founded(all[0], all)}, nil)
+	l.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
 	if b := set.Checks.Broken(); b != nil {
 		t.Fatal(b)
 	}
--- a/internal/cluster/raftlog/replica.go
+++ b/internal/cluster/raftlog/replica.go
@@ -16,19 +16,19 @@
 			r.Machine.Apply(a.Index, a.Entry)
 		case ApplySnapshot:
 			if err := r.Machine.Restore(a.Data); err != nil {
-				r.Log.out = out
+				r.Log.actions = out
 				r.Log.stop("a snapshot: " + err.Error())
-				out, r.Log.out = r.Log.out, nil
+				out, r.Log.actions = r.Log.actions, nil
 			}
 		case TakeSnapshot:
-			out = r.Log.Handle(now, Taken{Index: a.Index, Data: r.Machine.Snapshot()}, out)
+			out = r.Log.Handle(now, SnapshotTaken{Index: a.Index, Data: r.Machine.Snapshot()}, out)
 		}
 	}
 	return out
 }
 
-// Founded is the disk of a voter of a group that begins with these voters, for tests and for a start with a known group.
-func Founded(self Member, all []Member) []Record {
-	m := &message{name: self.Name, disk: self.Disk, group: groupOf(all), members: all}
-	return []Record{{Key: keyMeta, Value: m.append(nil)}, hard(firstHard()), snapshot(firstSnapshot(all))}
+// BootstrapRecords is the disk of a voter of a group that begins with these voters, for tests and for a start with a known group.
+func BootstrapRecords(self Member, all []Member) []Record {
+	m := &message{name: self.Name, disk: self.Disk, group: groupID(all), members: all}
+	return []Record{{Key: keyMeta, Value: m.encode(nil)}, hardStateRecord(initialHardState()), snapshotRecord(initialSnapshot(all))}
 }
--- a/internal/cluster/raftlog/shared.go
+++ b/internal/cluster/raftlog/shared.go
@@ -6,37 +6,39 @@
 	"beechgrade/internal/encoding"
 )
 
-// Shared is a Machine of several: an entry's first byte says whose it is. What is nobody's is passed over, the same at each voter
+// MachineMux is a Machine of several: an entry's first byte says whose it is. What is nobody's is passed over, the same at each voter
 // that has the same users.
-type Shared struct {
-	kinds []byte
-	of    []Machine
+type MachineMux struct {
+	kinds    []byte
+	machines []Machine
 }
 
 // Add has entries that begin with a byte be a user's, who gets what follows.
-func (s *Shared) Add(kind byte, m Machine) { s.kinds, s.of = append(s.kinds, kind), append(s.of, m) }
+func (s *MachineMux) Add(kind byte, m Machine) {
+	s.kinds, s.machines = append(s.kinds, kind), append(s.machines, m)
+}
 
 // Apply is Machine's.
-func (s *Shared) Apply(index uint64, entry []byte) {
+func (s *MachineMux) Apply(index uint64, entry []byte) {
 	for i, k := range s.kinds {
 		if len(entry) > 0 && entry[0] == k {
-			s.of[i].Apply(index, entry[1:])
+			s.machines[i].Apply(index, entry[1:])
 		}
 	}
 }
 
 // Snapshot is Machine's.
-func (s *Shared) Snapshot() (b []byte) {
+func (s *MachineMux) Snapshot() (b []byte) {
 	for i, k := range s.kinds {
-		b = encoding.AppendBytesField(b, protowire.Number(k), s.of[i].Snapshot())
+		b = encoding.AppendBytesField(b, protowire.Number(k), s.machines[i].Snapshot())
 	}
 	return b
 }
 
 // Restore is Machine's.
-func (s *Shared) Restore(b []byte) error {
-	parts := make([][]byte, len(s.of))
-	if err := encoding.Fields(b, fault, func(f encoding.Field) error {
+func (s *MachineMux) Restore(b []byte) error {
+	parts := make([][]byte, len(s.machines))
+	if err := encoding.Fields(b, malformed, func(f encoding.Field) error {
 		for i, k := range s.kinds {
 			if protowire.Number(k) == f.Number {
 				parts[i] = f.Bytes
@@ -46,7 +48,7 @@
 	}); err != nil {
 		return err
 	}
-	for i, m := range s.of {
+	for i, m := range s.machines {
 		if err := m.Restore(parts[i]); err != nil {
 			return err
 		}
@@ -56,7 +58,7 @@
 
 // The users' bytes.
 const (
-	OfTally  byte = 1
-	OfCredit byte = 2
-	OfZones  byte = 4
+	CounterEntries byte = 1
+	CreditEntries  byte = 2
+	ZoneEntries    byte = 4
 )
--- a/internal/cluster/raftlog/snaps.go
+++ b/internal/cluster/raftlog/snaps.go
@@ -6,92 +6,94 @@
 	"go.etcd.io/raft/v3"
 )
 
-// snaps are snapshots on their way, in parts: one to each voter, one to this.
-type snaps struct {
-	going  []*going
-	coming coming
-	parts  uint64
+// transfers are snapshots on their way, in parts: one to each voter, one to this.
+type transfers struct {
+	outgoing     []*outgoingTransfer
+	incoming     incomingTransfer
+	lastTransfer uint64
 }
 
-type going struct {
-	m    *message
-	to   string
-	seq  uint64
-	ref  uint64
-	next int
+type outgoingTransfer struct {
+	message   *message
+	to        string
+	sequence  uint64
+	ref       uint64
+	nextChunk int
 }
 
-type coming struct {
-	from, seq, next, count uint64
-	data                   []byte
+type incomingTransfer struct {
+	from, sequence, nextChunk, count uint64
+	data                             []byte
 }
 
-const mostParts = (MostSnapshot+(1<<20))/MostChunk + 1
+const maxChunks = (MaxSnapshotBytes+(1<<20))/MaxChunkBytes + 1
 
-// split sends a message that is too large for a datagram.
-func (l *Log) split(m *message) {
-	l.going = slices.DeleteFunc(l.going, func(g *going) bool { return g.m.to == m.to })
-	l.parts++
-	g := &going{m: m, to: l.nameOf(m.to), seq: l.parts}
-	l.going = append(l.going, g)
-	l.part(g)
+// startTransfer sends a message that is too large for a datagram.
+func (l *Log) startTransfer(m *message) {
+	l.outgoing = slices.DeleteFunc(l.outgoing, func(transfer *outgoingTransfer) bool { return transfer.message.to == m.to })
+	l.lastTransfer++
+	transfer := &outgoingTransfer{message: m, to: l.nameOf(m.to), sequence: l.lastTransfer}
+	l.outgoing = append(l.outgoing, transfer)
+	l.sendChunk(transfer)
 }
 
-// part sends the next part.
-func (l *Log) part(g *going) {
-	addr := l.addr[g.to]
+// sendChunk sends the next part.
+func (l *Log) sendChunk(transfer *outgoingTransfer) {
+	addr := l.addresses[transfer.to]
 	if addr == "" {
-		l.arrived(g, false)
+		l.finishTransfer(transfer, false)
 		return
 	}
-	l.ref++
-	g.ref = l.ref
-	lo, hi := g.next*MostChunk, min((g.next+1)*MostChunk, len(g.m.data))
-	m := &message{verb: verbPart, group: g.m.group, from: g.m.from, to: g.m.to, ref: g.seq, part: uint64(g.next), count: g.count(), data: g.m.data[lo:hi]}
-	l.out = append(l.out, Action{Kind: Send, To: g.to, Addr: addr, Message: m.append(nil), Stream: true, Ref: g.ref})
+	l.lastRef++
+	transfer.ref = l.lastRef
+	lo, hi := transfer.nextChunk*MaxChunkBytes, min((transfer.nextChunk+1)*MaxChunkBytes, len(transfer.message.data))
+	m := &message{kind: kindChunk, group: transfer.message.group, from: transfer.message.from, to: transfer.message.to, ref: transfer.sequence, chunk: uint64(transfer.nextChunk), count: transfer.chunkCount(), data: transfer.message.data[lo:hi]}
+	l.actions = append(l.actions, Action{Kind: Send, To: transfer.to, Addr: addr, Message: m.encode(nil), Stream: true, Ref: transfer.ref})
 }
 
-func (g *going) count() uint64 { return uint64(max(1, (len(g.m.data)+MostChunk-1)/MostChunk)) }
+func (transfer *outgoingTransfer) chunkCount() uint64 {
+	return uint64(max(1, (len(transfer.message.data)+MaxChunkBytes-1)/MaxChunkBytes))
+}
 
-// sentPart goes on once a part has arrived.
-func (l *Log) sentPart(e Sent) {
-	i := slices.IndexFunc(l.going, func(g *going) bool { return g.ref == e.Ref })
+// chunkSent goes on once a part has arrived.
+func (l *Log) chunkSent(e StreamCompleted) {
+	i := slices.IndexFunc(l.outgoing, func(transfer *outgoingTransfer) bool { return transfer.ref == e.Ref })
 	if i < 0 {
 		return
 	}
-	g := l.going[i]
-	if g.next++; !e.OK || uint64(g.next) == g.count() {
-		l.arrived(g, e.OK)
+	transfer := l.outgoing[i]
+	if transfer.nextChunk++; !e.OK || uint64(transfer.nextChunk) == transfer.chunkCount() {
+		l.finishTransfer(transfer, e.OK)
 		return
 	}
-	l.part(g)
+	l.sendChunk(transfer)
 }
 
-func (l *Log) arrived(g *going, ok bool) {
-	l.going = slices.DeleteFunc(l.going, func(x *going) bool { return x == g })
+func (l *Log) finishTransfer(transfer *outgoingTransfer, ok bool) {
+	l.outgoing = slices.DeleteFunc(l.outgoing, func(x *outgoingTransfer) bool { return x == transfer })
 	status := raft.SnapshotFailure
 	if ok {
 		status = raft.SnapshotFinish
 	}
 	if l.node != nil {
-		l.node.ReportSnapshot(g.m.to, status)
+		l.node.ReportSnapshot(transfer.message.to, status)
 	}
 }
 
-// join puts parts together; nil until the last has come.
-func (l *Log) join(m *message) []byte {
-	c := &l.coming
-	if m.part == 0 && m.count <= mostParts {
-		*c = coming{from: m.from, seq: m.ref, count: m.count}
+// receiveChunk puts parts together; nil until the last has come.
+func (l *Log) receiveChunk(m *message) []byte {
+	c := &l.incoming
+	if m.chunk == 0 && m.count <= maxChunks {
+		*c = incomingTransfer{from: m.from, sequence: m.ref, count: m.count}
 	}
-	if c.from != m.from || c.seq != m.ref || c.next != m.part || c.count != m.count || m.count == 0 {
+	if c.from != m.from || c.sequence != m.ref || c.nextChunk != m.chunk || c.count != m.count || m.count == 0 {
 		return nil
 	}
 	c.data = append(c.data, m.data...)
-	if c.next++; c.next < c.count {
+	if c.nextChunk++; c.nextChunk < c.count {
 		return nil
 	}
 	data := c.data
-	*c = coming{}
+	*c = incomingTransfer{}
 	return data
 }
--- a/internal/cluster/zones/adapter/joined.go
+++ b/internal/cluster/zones/adapter/joined.go
@@ -272,11 +272,11 @@
 // Hear passes on what happens to the log in common.
 func (j *Joined) Hear(a *raftlog.Action) {
 	switch a.Kind {
-	case raftlog.Leads:
+	case raftlog.BecameLeader:
 		j.Lead(j.set.Name)
-	case raftlog.Follows:
+	case raftlog.LeaderChanged:
 		j.Lead(a.Leader)
-	case raftlog.Broke:
+	case raftlog.Stopped:
 		j.Lead("")
 	}
 }
--- a/internal/settings/agreed.go
+++ b/internal/settings/agreed.go
@@ -45,11 +45,11 @@
 			a.CompactionBytesPerSecond, err = node.Bytes(minCompactionRate, 1<<40)
 			return err
 		},
-		"tick":      func(node *sexp.Node) (err error) { s.Tick, err = node.Millis(50, 10000); return err },
-		"election":  func(node *sexp.Node) (err error) { s.Election, err = node.Int(4, 1000); return err },
-		"heartbeat": func(node *sexp.Node) (err error) { s.Heartbeat, err = node.Int(1, 250); return err },
-		"every":     func(node *sexp.Node) (err error) { s.Every, err = node.Int(16, 1e6); return err },
-		"keep":      func(node *sexp.Node) (err error) { s.Keep, err = node.Int(1, 1e6); return err },
+		"tick":      func(node *sexp.Node) (err error) { s.TickInterval, err = node.Millis(50, 10000); return err },
+		"election":  func(node *sexp.Node) (err error) { s.ElectionTicks, err = node.Int(4, 1000); return err },
+		"heartbeat": func(node *sexp.Node) (err error) { s.HeartbeatTicks, err = node.Int(1, 250); return err },
+		"every":     func(node *sexp.Node) (err error) { s.SnapshotEntries, err = node.Int(16, 1e6); return err },
+		"keep":      func(node *sexp.Node) (err error) { s.KeepEntries, err = node.Int(1, 1e6); return err },
 		"witness":   func(node *sexp.Node) (err error) { a.WitnessPerSecond, err = node.Float(0, 1e5); return err },
 	}.Read(node.Args())
 	switch {
@@ -59,8 +59,8 @@
 		return node.Errorf("agreed: (voters ...) has three names or five, not %d", len(s.Voters))
 	case a.Dir == "":
 		return node.Errorf("agreed: (dir \"FOLDER\") is due, on a disk that survives")
-	case s.Election < 4*s.Heartbeat:
-		return node.Errorf("agreed: an election after %d ticks is to be four times the %d between heartbeats at least", s.Election, s.Heartbeat)
+	case s.ElectionTicks < 4*s.HeartbeatTicks:
+		return node.Errorf("agreed: an election after %d ticks is to be four times the %d between heartbeats at least", s.ElectionTicks, s.HeartbeatTicks)
 	}
 	return nil
 }
--- a/internal/settings/agreed_test.go
+++ b/internal/settings/agreed_test.go
@@ -12,7 +12,7 @@
 		return Parse("f", []byte(peers+s), func(string) string { return "/disk" })
 	}
 	settings, err := read(`(agreed (voters "a" "b" "c") (dir "$D/agreed") (tick 100ms) (election 10) (heartbeat 1) (witness 5))`)
-	if err != nil || !settings.RaftLog.Enabled || settings.RaftLog.Dir != "/disk/agreed" || settings.RaftLog.Settings.Tick != 100 || len(settings.RaftLog.Settings.Voters) != 3 {
+	if err != nil || !settings.RaftLog.Enabled || settings.RaftLog.Dir != "/disk/agreed" || settings.RaftLog.Settings.TickInterval != 100 || len(settings.RaftLog.Settings.Voters) != 3 {
 		t.Fatalf("%v %+v", err, settings)
 	}
 	for text, word := range map[string]string{
--- a/internal/testkit/modelcheck/agreed.go
+++ b/internal/testkit/modelcheck/agreed.go
@@ -49,7 +49,7 @@
 	key     uint64 // of all it was told
 	broke   string
 	leads   bool
-	tally   *counter.Tally
+	tally   *counter.Counter
 }
 
 type write struct {
@@ -79,7 +79,7 @@
 // AgreedSettings are of a small log.
 func AgreedSettings(n int) raftlog.Settings {
 	s := raftlog.Defaults()
-	s.Tick, s.Election, s.Heartbeat, s.Every, s.Keep = 1, 3, 1, 4, 1
+	s.TickInterval, s.ElectionTicks, s.HeartbeatTicks, s.SnapshotEntries, s.KeepEntries = 1, 3, 1, 4, 1
 	for i := range n {
 		s.Voters = append(s.Voters, fmt.Sprint("p", i))
 	}
@@ -96,7 +96,7 @@
 	for i, v := range set.Voters {
 		x := &voter{name: v, disk: map[string][]byte{}, had: map[string]bool{}}
 		if founded {
-			for _, r := range raftlog.Founded(all[i], all) {
+			for _, r := range raftlog.BootstrapRecords(all[i], all) {
 				x.disk[r.Key] = r.Value
 			}
 		}
@@ -110,8 +110,8 @@
 
 func (s *Agreed) made(x *voter) *raftlog.Replica {
 	set := s.set
-	set.Self, set.Drawn, set.Checks = x.name, uint64(x.life), s.Checks
-	x.tally = &counter.Tally{Sloppy: s.Sloppy}
+	set.Self, set.Seed, set.Checks = x.name, uint64(x.life), s.Checks
+	x.tally = &counter.Counter{CountDuplicates: s.Sloppy}
 	return &raftlog.Replica{Log: raftlog.New(set, 0), Machine: x.tally}
 }
 
@@ -122,7 +122,7 @@
 	x.told, x.pending, x.leads, x.now, x.broke = nil, nil, false, 0, ""
 	x.rep = s.made(x)
 	x.key = xxhash.Sum64String(fmt.Sprint(x.key, i, x.life))
-	var m raftlog.Members
+	var m raftlog.AddressesChanged
 	for _, y := range s.voters {
 		m.Voters = append(m.Voters, raftlog.Address{Name: y.name, Addr: y.name})
 	}
@@ -133,7 +133,7 @@
 	if err := s.do(i, m); err != nil {
 		return err
 	}
-	return s.do(i, raftlog.Restored{Records: records})
+	return s.do(i, raftlog.StorageLoaded{Records: records})
 }
 
 func (s *Agreed) clone() *Agreed {
@@ -193,16 +193,16 @@
 		}
 		if !x.pending[k].told {
 			x.pending[k].told = true
-			return s.do(i, raftlog.Stored{Ref: x.pending[k].Ref})
+			return s.do(i, raftlog.StoreCompleted{Ref: x.pending[k].Ref})
 		}
 	}
-	if x.tally.Taken > uint64(len(x.tally.Numbers())) {
-		return fmt.Errorf("%s has taken %d entries, of %d numbers", x.name, x.tally.Taken, len(x.tally.Numbers()))
+	if x.tally.Counted > uint64(len(x.tally.Numbers())) {
+		return fmt.Errorf("%s has taken %d entries, of %d numbers", x.name, x.tally.Counted, len(x.tally.Numbers()))
 	}
-	if x.tally.Taken < before.Taken && x.tally.Index > before.Index {
-		return fmt.Errorf("%s had taken %d entries up to %d, and %d up to %d", x.name, before.Taken, before.Index, x.tally.Taken, x.tally.Index)
+	if x.tally.Counted < before.Counted && x.tally.AppliedIndex > before.AppliedIndex {
+		return fmt.Errorf("%s had taken %d entries up to %d, and %d up to %d", x.name, before.Counted, before.AppliedIndex, x.tally.Counted, x.tally.AppliedIndex)
 	}
-	if n, sum := x.tally.Taken, x.tally.Sum; n > 0 {
+	if n, sum := x.tally.Counted, x.tally.Checksum; n > 0 {
 		if was, ok := s.truth.sums[n]; ok && was != sum {
 			return fmt.Errorf("%s has taken %d entries, others than another did", x.name, n)
 		}
@@ -220,7 +220,7 @@
 	switch a.Kind {
 	case raftlog.Send:
 		to := s.index(a.Addr)
-		if len(a.Message) > raftlog.MostDatagram && !a.Stream {
+		if len(a.Message) > raftlog.MaxDatagramBytes && !a.Stream {
 			return fmt.Errorf("a message of %d bytes", len(a.Message))
 		}
 		if to < 0 || to == i {
@@ -236,15 +236,15 @@
 		x.pending = append(x.pending, write{Action: *a})
 	case raftlog.Apply:
 		return s.applied(x, a)
-	case raftlog.Leads:
+	case raftlog.BecameLeader:
 		if was := s.truth.leaders[a.Term]; was != "" && was != x.name {
 			return fmt.Errorf("%s and %s lead in term %d", was, x.name, a.Term)
 		}
 		s.truth.leaders[a.Term] = x.name
 		x.leads = true
-	case raftlog.Follows:
+	case raftlog.LeaderChanged:
 		x.leads = false
-	case raftlog.Broke:
+	case raftlog.Stopped:
 		x.broke, x.leads, x.pending = a.Text, false, nil
 	}
 	return nil
@@ -337,7 +337,7 @@
 	a := x.pending[0]
 	x.pending = x.pending[1:]
 	for _, r := range a.Records {
-		if r.Gone {
+		if r.Deleted {
 			delete(x.disk, r.Key)
 			continue
 		}
@@ -353,7 +353,7 @@
 	if !tell || a.told {
 		return nil
 	}
-	return s.do(i, raftlog.Stored{Ref: a.Ref})
+	return s.do(i, raftlog.StoreCompleted{Ref: a.Ref})
 }
 
 // crash has a voter end and start again; of its writes the first so many are on the disk.
@@ -383,13 +383,13 @@
 	for i, v := range s.set.Voters {
 		all = append(all, raftlog.Member{Name: v, Disk: uint64(i + 1)})
 	}
-	return raftlog.Founded(all[0], all)[2].Value
+	return raftlog.BootstrapRecords(all[0], all)[2].Value
 }
 
 // stand lets time pass at a voter until it stands for election; at a leader, until it has told that it lives.
 func (s *Agreed) stand(i int) error {
 	x := s.voters[i]
-	for range 2*s.set.Election + 1 {
+	for range 2*s.set.ElectionTicks + 1 {
 		had := len(s.wires)
 		x.now++
 		if err := s.do(i, raftlog.Tick{}); err != nil || len(s.wires) > had {
@@ -404,10 +404,10 @@
 	if !keep {
 		s.wires = slices.Delete(s.wires, k, k+1)
 	}
-	if err := s.do(w.to, raftlog.Heard{From: s.voters[w.from].name, Message: []byte(w.text)}); err != nil || w.stream == 0 || keep {
+	if err := s.do(w.to, raftlog.MessageReceived{From: s.voters[w.from].name, Message: []byte(w.text)}); err != nil || w.stream == 0 || keep {
 		return err
 	}
-	return s.do(w.from, raftlog.Sent{Ref: w.stream, OK: true})
+	return s.do(w.from, raftlog.StreamCompleted{Ref: w.stream, OK: true})
 }
 
 // lose has a message not come.
@@ -417,7 +417,7 @@
 	if w.stream == 0 {
 		return nil
 	}
-	return s.do(w.from, raftlog.Sent{Ref: w.stream})
+	return s.do(w.from, raftlog.StreamCompleted{Ref: w.stream})
 }
 
 func (s *Agreed) propose(i int) error {
@@ -427,7 +427,7 @@
 
 // again proposes a number that may have been proposed before.
 func (s *Agreed) again(i int, number uint64) error {
-	return s.do(i, raftlog.Propose{Ref: number, Entry: counter.Entry("x", number, 0)})
+	return s.do(i, raftlog.Propose{Ref: number, Entry: counter.EncodeEntry("x", number, 0)})
 }
 
 // Moves are System's.
--- a/internal/testkit/modelcheck/agreed_test.go
+++ b/internal/testkit/modelcheck/agreed_test.go
@@ -13,7 +13,7 @@
 
 func (s *Agreed) leader() int {
 	for i, x := range s.voters {
-		if x.rep != nil && x.rep.Standing().Leads {
+		if x.rep != nil && x.rep.Status().IsLeader {
 			return i
 		}
 	}
@@ -34,7 +34,7 @@
 		do(s.Settle(40))
 		l := s.leader()
 		if l < 0 {
-			t.Fatalf("nobody leads: %+v", s.voters[0].rep.Standing())
+			t.Fatalf("nobody leads: %+v", s.voters[0].rep.Status())
 		}
 		for range 10 {
 			do(s.propose((l + 1) % n))
@@ -42,15 +42,15 @@
 		}
 		do(s.Settle(5))
 		for _, x := range s.voters {
-			if x.tally.Taken != 10 {
-				t.Errorf("%s has taken %d: %+v", x.name, x.tally.Taken, x.rep.Standing())
+			if x.tally.Counted != 10 {
+				t.Errorf("%s has taken %d: %+v", x.name, x.tally.Counted, x.rep.Status())
 			}
 		}
 		do(s.wipe((l + 1) % n))
 		do(s.Settle(40))
 		x := s.voters[(l+1)%n]
-		if st := x.rep.Standing(); !st.Part || x.tally.Taken != 10 {
-			t.Errorf("%+v, took %d", st, x.tally.Taken)
+		if st := x.rep.Status(); !st.Participates || x.tally.Counted != 10 {
+			t.Errorf("%+v, took %d", st, x.tally.Counted)
 		}
 		do(s.Check())
 	}
@@ -73,7 +73,7 @@
 		}
 		if least, most, part := s.Taken(); least != most || part != n {
 			for _, x := range s.voters {
-				t.Logf("%s %+v", x.name, x.rep.Standing())
+				t.Logf("%s %+v", x.name, x.rep.Status())
 			}
 			t.Fatalf("taken %d to %d, %d of %d take part", least, most, part, n)
 		}
@@ -83,7 +83,7 @@
 func hardOnly(w []raftlog.Record) bool { return len(w) > 0 && w[0].Key == "hard" && len(w) == 1 }
 
 func entries(w []raftlog.Record) bool {
-	return len(w) > 0 && strings.HasPrefix(w[len(w)-1].Key, "e/") && !w[len(w)-1].Gone
+	return len(w) > 0 && strings.HasPrefix(w[len(w)-1].Key, "e/") && !w[len(w)-1].Deleted
 }
 
 // TestAgreedMutants: each of these is found by what crosses the wires and what the disks hold.
@@ -170,15 +170,15 @@
 	change("p0", "p1", "p3")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
-	if st := s.voters[3].rep.Standing(); !st.Part || s.voters[3].tally.Taken != 2 {
-		t.Errorf("the new voter: %+v, took %d", st, s.voters[3].tally.Taken)
+	if st := s.voters[3].rep.Status(); !st.Participates || s.voters[3].tally.Counted != 2 {
+		t.Errorf("the new voter: %+v, took %d", st, s.voters[3].tally.Counted)
 	}
 	change("p0", "p1", "p3", "p4", "p5")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
 	for i, x := range s.voters {
-		if st := x.rep.Standing(); i != 2 && (!st.Part || len(st.Members) != 5 || x.tally.Taken != 3) {
-			t.Errorf("%s: %+v, took %d", x.name, st, x.tally.Taken)
+		if st := x.rep.Status(); i != 2 && (!st.Participates || len(st.Members) != 5 || x.tally.Counted != 3) {
+			t.Errorf("%s: %+v, took %d", x.name, st, x.tally.Counted)
 		}
 	}
 }
--- a/internal/testkit/modelcheck/agreed_ways.go
+++ b/internal/testkit/modelcheck/agreed_ways.go
@@ -10,11 +10,11 @@
 // lost counts voters with a disk that was lost, and which are not of the group again; all, while a place goes over.
 func (s *Agreed) lost() (n int) {
 	for _, x := range s.voters {
-		st := x.rep.Standing()
-		if !st.Part {
+		st := x.rep.Status()
+		if !st.Participates {
 			n++
 		}
-		if st.Changes {
+		if st.ChangingVoters {
 			return len(s.voters)
 		}
 	}
@@ -104,8 +104,8 @@
 func (s *Agreed) Taken() (least, most uint64, part int) {
 	least = s.number
 	for _, x := range s.voters {
-		least, most = min(least, x.tally.Taken), max(most, x.tally.Taken)
-		if x.rep.Standing().Part {
+		least, most = min(least, x.tally.Counted), max(most, x.tally.Counted)
+		if x.rep.Status().Participates {
 			part++
 		}
 	}
--- a/internal/testkit/scenario/credit.go
+++ b/internal/testkit/scenario/credit.go
@@ -31,11 +31,11 @@
 	err := sexp.Schema{
 		"voters":    func(n *sexp.Node) (err error) { a.Voters, err = n.Int(3, 5); return err },
 		"disk":      func(n *sexp.Node) error { return spans(n, &a.Disk) },
-		"tick":      func(n *sexp.Node) (err error) { a.Settings.Tick, err = n.Millis(50, 10000); return err },
-		"election":  func(n *sexp.Node) (err error) { a.Settings.Election, err = n.Int(4, 1000); return err },
-		"heartbeat": func(n *sexp.Node) (err error) { a.Settings.Heartbeat, err = n.Int(1, 250); return err },
-		"every":     func(n *sexp.Node) (err error) { a.Settings.Every, err = n.Int(16, 1e6); return err },
-		"keep":      func(n *sexp.Node) (err error) { a.Settings.Keep, err = n.Int(1, 1e6); return err },
+		"tick":      func(n *sexp.Node) (err error) { a.Settings.TickInterval, err = n.Millis(50, 10000); return err },
+		"election":  func(n *sexp.Node) (err error) { a.Settings.ElectionTicks, err = n.Int(4, 1000); return err },
+		"heartbeat": func(n *sexp.Node) (err error) { a.Settings.HeartbeatTicks, err = n.Int(1, 250); return err },
+		"every":     func(n *sexp.Node) (err error) { a.Settings.SnapshotEntries, err = n.Int(16, 1e6); return err },
+		"keep":      func(n *sexp.Node) (err error) { a.Settings.KeepEntries, err = n.Int(1, 1e6); return err },
 	}.Read(n.Args())
 	if err == nil && a.Voters != 3 && a.Voters != 5 {
 		err = n.Errorf("(agreed ...) has (voters 3) or (voters 5)")
@@ -147,7 +147,7 @@
 		for i := range a.Voters {
 			fmt.Fprintf(&b, " \"pooler-%d\"", i)
 		}
-		fmt.Fprintf(&b, ") (dir %s) (tick %gms) (election %d) (heartbeat %d) (every %d) (keep %d))\n", quote(disk), a.Settings.Tick, a.Settings.Election, a.Settings.Heartbeat, a.Settings.Every, a.Settings.Keep)
+		fmt.Fprintf(&b, ") (dir %s) (tick %gms) (election %d) (heartbeat %d) (every %d) (keep %d))\n", quote(disk), a.Settings.TickInterval, a.Settings.ElectionTicks, a.Settings.HeartbeatTicks, a.Settings.SnapshotEntries, a.Settings.KeepEntries)
 	}
 	if c := s.Credit; c != nil {
 		fmt.Fprintf(&b, "(credit (files %s)", quote(marks))
--- a/internal/testkit/simulation/agreed.go
+++ b/internal/testkit/simulation/agreed.go
@@ -38,7 +38,7 @@
 	d.free = max(d.free, w.h.Now()+c.DiskMs[0]+(c.DiskMs[1]-c.DiskMs[0])*c.rng.Float64())
 	w.h.At(d.free, func() {
 		for _, r := range records {
-			if r.Gone {
+			if r.Deleted {
 				delete(d.records, r.Key)
 			} else {
 				d.records[r.Key] = r.Value
@@ -58,7 +58,7 @@
 	for i := range c.Voters {
 		set.Voters = append(set.Voters, h.x.p.e.poolerName(i))
 	}
-	set.Self, set.Drawn, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Life()), h.x.p.e.checks
+	set.Self, set.Seed, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Life()), h.x.p.e.checks
 	p := adapter.New(h, adapter.Options{Settings: set, Machine: m, Told: told})
 	if h.No() >= c.Voters {
 		return p
--- a/internal/testkit/simulation/agreed_test.go
+++ b/internal/testkit/simulation/agreed_test.go
@@ -23,24 +23,24 @@
 	lost    float64   // since when nobody leads
 	most    uint64
 	parts   map[int]*adapter.Part
-	tallies map[int]*counter.Tally
+	tallies map[int]*counter.Counter
 }
 
 func (x *tries) join(h Host) []module.Module {
-	m := &counter.Tally{}
+	m := &counter.Counter{}
 	name, next, first := strconv.Itoa(h.No())+"/"+strconv.Itoa(int(h.Life())), uint64(0), map[uint64]float64{}
 	p := x.log.Join(h, m, func(a *raftlog.Action) {
 		switch a.Kind {
 		case raftlog.Apply:
-			if was, ok := x.sums[m.Taken]; ok && was != m.Sum {
-				x.t.Errorf("pooler %d has other %d entries", h.No(), m.Taken)
+			if was, ok := x.sums[m.Counted]; ok && was != m.Checksum {
+				x.t.Errorf("pooler %d has other %d entries", h.No(), m.Counted)
 			}
-			x.sums[m.Taken], x.most = m.Sum, max(x.most, m.Taken)
-			if by, number, ok := counter.Read(a.Entry); ok && by == name && first[number] > 0 {
+			x.sums[m.Counted], x.most = m.Checksum, max(x.most, m.Counted)
+			if by, number, ok := counter.DecodeEntry(a.Entry); ok && by == name && first[number] > 0 {
 				x.waits = append(x.waits, h.Now()-first[number])
 				delete(first, number)
 			}
-		case raftlog.Leads:
+		case raftlog.BecameLeader:
 			if was, ok := x.leaders[a.Term]; ok && was != h.No() {
 				x.t.Errorf("%d and %d lead in term %d", was, h.No(), a.Term)
 			}
@@ -48,7 +48,7 @@
 			if x.lost > 0 {
 				x.leadMs, x.lost = append(x.leadMs, h.Now()-x.lost), 0
 			}
-		case raftlog.Broke:
+		case raftlog.Stopped:
 			x.t.Errorf("pooler %d: %s", h.No(), a.Text)
 		}
 	})
@@ -65,9 +65,9 @@
 			if m.Has(name, w.number) {
 				continue
 			}
-			if h.Now() > w.again+x.log.Settings.Patience() {
+			if h.Now() > w.again+x.log.Settings.ForwardTimeout() {
 				w.again = h.Now()
-				p.Propose(w.number, counter.Entry(name, w.number, 30))
+				p.Propose(w.number, counter.EncodeEntry(name, w.number, 30))
 			}
 			if h.No() < x.log.Voters || w.again == w.at { // others hear nothing of it: twice will do
 				kept = append(kept, w)
@@ -77,7 +77,7 @@
 		next++
 		all = append(all, waiting{next, h.Now(), h.Now()})
 		first[next] = h.Now()
-		p.Propose(next, counter.Entry(name, next, 30))
+		p.Propose(next, counter.EncodeEntry(name, next, 30))
 		h.At(h.Now()+x.each, try)
 	}
 	h.At(h.Now()+3000+float64(h.No()), try)
@@ -86,19 +86,19 @@
 
 // looks has one look whether another leads that is about to be killed.
 func (x *tries) looks(h Host, whom, by int) {
-	if h.No() == by && x.parts[whom].Standing().Leads {
+	if h.No() == by && x.parts[whom].Standing().IsLeader {
 		x.lost = h.Now()
 	}
 }
 
 func play5(t *testing.T, seed uint64, voters, poolers int, each float64, script string) (*tries, string) {
 	x := &tries{t: t, log: &CommonLog{Settings: raftlog.Defaults(), Voters: voters, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: each,
-		sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Part{}, tallies: map[int]*counter.Tally{}}
-	x.log.Settings.Every, x.log.Settings.Keep = 1000, 100
+		sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Part{}, tallies: map[int]*counter.Counter{}}
+	x.log.Settings.SnapshotEntries, x.log.Settings.KeepEntries = 1000, 100
 	r := play(t, parse(t, `(rehearsal "agreed" (groups 3) (rate 20) (peers) (poolers `+strconv.Itoa(poolers)+`) `+script+`)`), Options{Seed: seed, Parts: []Joined{x.join}})
 	least := x.most
 	for i := range voters {
-		least = min(least, x.tallies[i].Taken)
+		least = min(least, x.tallies[i].Counted)
 	}
 	if least+200 < x.most {
 		t.Errorf("in the end voters have taken %d to %d", least, x.most)
@@ -130,9 +130,9 @@
 	bound := 0.0
 	for seed := range uint64(4) {
 		x := &tries{t: t, log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: 20,
-			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Part{}, tallies: map[int]*counter.Tally{}}
+			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Part{}, tallies: map[int]*counter.Counter{}}
 		s := parse(t, `(rehearsal "agreed" (groups 3) (rate 5) (seconds 40) (peers) (poolers 3) (at 12s (kill-pooler 0) (for 4s)) (at 22s (kill-pooler 1) (for 4s)) (at 32s (kill-pooler 2) (for 4s)))`)
-		bound = x.log.Settings.Elect(s.Way[1], 2)
+		bound = x.log.Settings.ElectionBound(s.Way[1], 2)
 		play(t, s, Options{Seed: seed, Parts: []Joined{func(h Host) []module.Module {
 			if h.Life() == 0 && h.No() < 3 { // looks at the next one just before that is killed
 				h.At(h.Now()+11999, func() { x.looks(h, 0, 1) })
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -69,17 +69,17 @@
 	}
 	set.Name, set.Holder = p.name, x.of
 	x.c = credit.New(set, h, x, x, x)
-	users := &raftlog.Shared{}
+	users := &raftlog.MachineMux{}
 	if x.c.Books() != nil {
-		users.Add(raftlog.OfCredit, x.c)
+		users.Add(raftlog.CreditEntries, x.c)
 	}
 	x.log = c.Log.Join(h, users, func(a *raftlog.Action) {
 		switch a.Kind {
-		case raftlog.Leads:
+		case raftlog.BecameLeader:
 			x.c.Lead(p.name)
-		case raftlog.Follows:
+		case raftlog.LeaderChanged:
 			x.c.Lead(a.Leader)
-		case raftlog.Broke:
+		case raftlog.Stopped:
 			x.c.Lead("")
 		}
 	})
@@ -120,7 +120,7 @@
 
 // Propose is credit.Log's.
 func (x *payer) Propose(entry []byte) {
-	x.log.Propose(0, append([]byte{raftlog.OfCredit}, entry...))
+	x.log.Propose(0, append([]byte{raftlog.CreditEntries}, entry...))
 }
 
 // Write is credit.Files'.
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -46,9 +46,9 @@
 	x.j = adapter.New(set, h, x, p.core, x)
 	x.j.Listed(&p.known, true)
 	p.core.SetZoneObserver(x.j)
-	users := &raftlog.Shared{}
+	users := &raftlog.MachineMux{}
 	if x.j.Book() != nil {
-		users.Add(raftlog.OfZones, x.j)
+		users.Add(raftlog.ZoneEntries, x.j)
 	}
 	x.log = c.Log.Join(h, users, x.j.Hear)
 	c.now[h.No()] = x
@@ -57,7 +57,7 @@
 
 // Propose is zones.Log's.
 func (x *zoner) Propose(entry []byte) {
-	x.log.Propose(0, append([]byte{raftlog.OfZones}, entry...))
+	x.log.Propose(0, append([]byte{raftlog.ZoneEntries}, entry...))
 }
 
 // Keep is joined.Keeper's.
