--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -29,7 +29,7 @@
 func (outcomes outcomes) HealthCheckEnded(_ string, outcome Outcome)   { outcomes <- outcome }
 func (outcomes) AppendQuery(dst []byte, _ int) []byte                  { return pgwire.AppendQuery(dst, "query") }
 
-// nobody is the handler of connections that the test does not use.
+// discardHandler is the handler of connections that the test does not use.
 type nobody struct{}
 
 func (nobody) Opened(*eventloop.Conn) {}
@@ -60,7 +60,7 @@
 		pool.Retain(map[string]bool{"s": true}) // t has left the list
 		pool.Forget("s")
 		if len(pool.servers) != 0 {
-			t.Errorf("kept of servers that left: %v", pool.servers)
+			t.Errorf("servers that left the list are still there: %v", pool.servers)
 		}
 	})
 	for range 3 {
@@ -70,7 +70,7 @@
 				t.Error(diff)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("not told")
+			t.Fatal("the end is not reported")
 		}
 	}
 	eventLoop.End()
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestReport: a report that can be read only in part, or has a position that no server can have, must be rejected whole.
+// TestReport: a report that can be read only in part, or has a position that no server can have, must be rejected
+// completely.
 func TestReport(t *testing.T) {
 	pool := &Pool{loop: eventloop.New(&clock.Manual{Ms: 5000}, nil, nil, nil)}
 	unreadable := Outcome{Result: decide.Failed}
@@ -129,11 +130,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, say := range [][]byte{pgwire.AppendWelcome(nil), pgwire.AppendRow(nil, "content", make([]byte, 60<<10))[:50<<10]} {
+	for _, message := range [][]byte{pgwire.AppendWelcome(nil), pgwire.AppendRow(nil, "content", make([]byte, 60<<10))[:50<<10]} {
 		if _, err := far.Read(make([]byte, 999)); err != nil { // the startup message, then the query
 			t.Fatal(err)
 		}
-		if _, err := far.Write(say); err != nil {
+		if _, err := far.Write(message); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -143,12 +144,12 @@
 			t.Errorf("result %v", outcome.Result)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("not told")
+		t.Fatal("the end is not reported")
 	}
 	done := make(chan int)
 	eventLoop.Post(func() { done <- pool.held })
 	if held := <-done; held != 0 {
-		t.Errorf("%d bytes still count as held", held)
+		t.Errorf("%d bytes still count as buffered", held)
 	}
 	eventLoop.End()
 	if err := <-ended; err != nil {
@@ -156,7 +157,7 @@
 	}
 }
 
-// deniedBy recalls attempt 1 when a server reports that it is a replica, as the core does with writes.
+// recallingEvents recalls attempt 1 when a server reports that it is a replica, as the core does with writes.
 type deniedBy struct {
 	outcomes
 	p    **Pool
@@ -218,7 +219,7 @@
 		case outcome := <-events:
 			got = append(got, outcome.Result)
 		case <-time.After(20 * time.Second):
-			t.Fatal("not told")
+			t.Fatal("the end is not reported")
 		}
 	}
 	if diff := cmp.Diff([]decide.Result{decide.NotSent, decide.NotSent, decide.OK}, got); diff != "" {
@@ -230,13 +231,13 @@
 	}
 }
 
-// TestLocalFailure: connections that cannot be opened for want of something on this machine say nothing about the server, and the want passes.
-// The attempt must wait and be sent; with nothing to be had it ends as never sent. Seen: sockets that failed with ENOBUFS counted against the
-// one server, which was taken out of use.
+// TestLocalFailure: a connection that cannot be opened because this machine lacks a resource shows nothing about the
+// server. The attempt must wait and be sent if the lack is temporary, and end as never sent otherwise. Sockets that failed with ENOBUFS
+// once counted against the only server, which was then ejected.
 func TestLocalFailure(t *testing.T) {
 	for _, lack := range []error{unix.ENOBUFS, unix.EADDRNOTAVAIL, unix.EMFILE, unix.ENFILE, unix.ENOMEM} {
 		for _, passes := range []bool{true, false} {
-			t.Run(fmt.Sprint(lack, " passes ", passes), func(t *testing.T) { localFailure(t, lack, passes) })
+			t.Run(fmt.Sprint(lack, " recovers ", passes), func(t *testing.T) { localFailure(t, lack, passes) })
 		}
 	}
 }
@@ -279,7 +280,7 @@
 		t.Error("the attempt does not end")
 	}
 	if got := tries.Load(); got < 3 {
-		t.Errorf("%d connections are tried", got)
+		t.Errorf("%d connects are tried", got)
 	}
 	eventLoop.End()
 	if err := <-ended; err != nil {
@@ -294,11 +295,11 @@
 		t.Fatal(err)
 	}
 	_ = far.SetDeadline(time.Now().Add(20 * time.Second))
-	for _, say := range [][]byte{pgwire.AppendWelcome(nil), pgwire.AppendReady(pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte("v")), "SELECT 1"))} {
+	for _, message := range [][]byte{pgwire.AppendWelcome(nil), pgwire.AppendReady(pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte("v")), "SELECT 1"))} {
 		if _, err := far.Read(make([]byte, 999)); err != nil { // the startup message, then the query
 			t.Fatal(err)
 		}
-		if _, err := far.Write(say); err != nil {
+		if _, err := far.Write(message); err != nil {
 			t.Fatal(err)
 		}
 	}
--- /dev/null
+++ b/internal/eventloop/accept.go
@@ -0,0 +1,165 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	acceptPause   = 20 * time.Millisecond // before a call is retried that lacked a resource of the machine
+	acceptPauseMs = 20                    // the same, as a time on the loop
+	acceptBatch   = 16                    // connections accepted from one listener before other events are handled
+	backlogIdleMs = 5                     // without a new connection, until the backlog of a listener counts as empty
+)
+
+// Addr returns the address that the loop listens on. Its port is the actual one, also if port 0 was requested.
+func (l *Loop) Addr() string { return l.addr }
+
+// Listen accepts connections at one more address, until stop is called. accept and stop run on the loop.
+func (l *Loop) Listen(addr string, accept func() Handler) (at string, stop func(), err error) {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return "", nil, fmt.Errorf("listen: %w", err)
+	}
+	return listener.Addr().String(), l.AcceptFrom(listener, accept), nil
+}
+
+// AcceptFrom accepts connections from a listener, until stop is called, which closes it. accept and stop run on the loop.
+func (l *Loop) AcceptFrom(listener net.Listener, accept func() Handler) (stop func()) {
+	a := &acceptor{loop: l, listener: listener, accept: accept}
+	a.resume()
+	return a.stop
+}
+
+// StopAccepting closes the loop's own listener after it has accepted the connections that are complete by now, within withinMs. Then
+// it calls done, on the loop, with their number. It does not close a socket that was given to Serve, because other processes may
+// share it.
+func (l *Loop) StopAccepting(withinMs float64, done func(accepted int)) {
+	a := l.ownListener
+	if a == nil || a.ending {
+		done(0)
+		return
+	}
+	now := l.Now()
+	a.ending = true
+	a.acceptUntil = now + withinMs
+	a.lastAccept = now
+	a.drainBacklog(done)
+}
+
+// acceptor accepts connections on the loop. If the machine or the process lacks descriptors or memory, it pauses. A listener that is
+// closed with connections in its backlog resets them, so the backlog is accepted first.
+type acceptor struct {
+	loop     *Loop
+	listener net.Listener
+	accept   func() Handler
+
+	fd         int  // of the listener
+	registered bool // the poller watches it
+	stopped    bool
+
+	ending      bool    // only the backlog is still accepted...
+	acceptUntil float64 // ...until this time at most
+	lastAccept  float64
+	accepted    int // since ending
+}
+
+// resume has the poller watch the listener. If the poller has no memory for that, it is asked again later.
+func (a *acceptor) resume() {
+	if a.stopped || a.registered {
+		return
+	}
+	fd, err := listeningDescriptor(a.listener)
+	if err == nil {
+		err = a.loop.poller.setInterest(unix.EPOLL_CTL_ADD, fd, readEvents)
+	}
+	if err != nil {
+		a.loop.log.Warn("listener not registered with the poller, will be retried", "err", err)
+		a.resumeLater()
+		return
+	}
+	a.fd = fd
+	a.registered = true
+	a.loop.acceptors[fd] = a
+}
+
+func (a *acceptor) resumeLater() { a.loop.At(a.loop.Now()+acceptPauseMs, a.resume) }
+
+// pause stops watching the listener.
+func (a *acceptor) pause() {
+	if a.registered {
+		a.registered = false
+		delete(a.loop.acceptors, a.fd)
+		a.loop.poller.removeInterest(a.fd)
+	}
+}
+
+// stop closes the listener.
+func (a *acceptor) stop() {
+	if !a.stopped {
+		a.pause()
+		a.stopped = true
+		_ = a.listener.Close()
+	}
+}
+
+// acceptSome accepts up to acceptBatch connections, and reports whether there was one.
+func (a *acceptor) acceptSome() (some bool) {
+	for range acceptBatch {
+		if a.stopped {
+			return some
+		}
+		fd, err := a.loop.calls.accept(a.fd)
+		switch {
+		case err == nil:
+			some = true
+			a.opened(fd)
+		case errors.Is(err, unix.EAGAIN):
+			return some
+		case concernsOneConnection(err):
+		default: // the process or the machine lacks descriptors, buffers or memory
+			a.pause()
+			a.resumeLater()
+			return some
+		}
+	}
+	return some
+}
+
+// opened adds an accepted connection to the loop.
+func (a *acceptor) opened(fd int) {
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	a.lastAccept = a.loop.Now()
+	if a.ending {
+		a.accepted++
+	}
+	a.loop.register(&Conn{loop: a.loop, accept: a.accept, fd: fd})
+}
+
+// drainBacklog accepts connections until no more come, and then closes the listener.
+func (a *acceptor) drainBacklog(done func(accepted int)) {
+	for a.acceptSome() {
+	}
+	if now := a.loop.Now(); now < a.acceptUntil && now-a.lastAccept < backlogIdleMs {
+		a.loop.At(now+1, func() { a.drainBacklog(done) })
+		return
+	}
+	a.stop()
+	done(a.accepted)
+}
+
+// connectionErrors are the errors of accept that concern only the connection that it met, or an interruption.
+var connectionErrors = []error{
+	unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
+	unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH,
+}
+
+// concernsOneConnection reports whether accept may succeed at once for the next connection.
+func concernsOneConnection(err error) bool {
+	return slices.ContainsFunc(connectionErrors, func(one error) bool { return errors.Is(err, one) })
+}
--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -15,9 +15,9 @@
 
 const patience = 20 * time.Second
 
-// accepting is a loop that hands out what it accepts.
-func accepting(run func(l *Loop) error) (l *Loop, opened <-chan *Conn, ended <-chan error) {
-	w, began, end := watcher{make(chan *Conn, 99)}, make(chan struct{}), make(chan error, 1)
+// startLoop runs a loop whose accepted connections are sent to opened.
+func startLoop(run func(l *Loop) error) (l *Loop, opened <-chan *Conn, ended <-chan error) {
+	w, began, end := openedRecorder{make(chan *Conn, 99)}, make(chan struct{}), make(chan error, 1)
 	l = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return w }, func() {})
 	l.Ready = func() { close(began) }
 	go func() { end <- run(l) }()
@@ -29,15 +29,15 @@
 	return l, w.opened, end
 }
 
-// comes wants a connection to be accepted, and the loop's end to come when it is told to.
-func comes(t *testing.T, l *Loop, opened <-chan *Conn, ended <-chan error) {
+// expectAccept waits until a connection is accepted, and then ends the loop.
+func expectAccept(t *testing.T, l *Loop, opened <-chan *Conn, ended <-chan error) {
 	t.Helper()
 	select {
 	case <-opened:
 	case err := <-ended:
 		t.Fatalf("the loop has ended: %v", err)
 	case <-time.After(patience):
-		t.Fatal("nothing is accepted")
+		t.Fatal("no connection is accepted")
 	}
 	l.End()
 	if err := <-ended; err != nil {
@@ -45,14 +45,15 @@
 	}
 }
 
-// TestAcceptWaitsForDescriptors guards against the loop's end, and so that of all requests, at an accept that has no descriptor to be had.
-func TestAcceptWaitsForDescriptors(t *testing.T) {
-	l, opened, ended := accepting(func(l *Loop) error { return l.Run("127.0.0.1:0") })
+// TestAcceptSurvivesDescriptorExhaustion: if accept fails because the process has no descriptor left, the loop must not end, which would
+// end all requests, but accept later.
+func TestAcceptSurvivesDescriptorExhaustion(t *testing.T) {
+	l, opened, ended := startLoop(func(l *Loop) error { return l.Run("127.0.0.1:0") })
 	addr, err := net.ResolveTCPAddr("tcp", l.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for again := true; again; { // a connection that the loop may make to itself
+	for again := true; again; { // skip a connection that the loop may make to itself
 		select {
 		case <-opened:
 		case <-time.After(50 * time.Millisecond):
@@ -64,7 +65,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = unix.Close(client) }()
-	free, err := os.Open(os.DevNull) // the lowest number that is free
+	free, err := os.Open(os.DevNull) // the lowest free descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,22 +79,22 @@
 		t.Fatal(err)
 	}
 	err = unix.Connect(client, &unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte{127, 0, 0, 1}})
-	time.Sleep(100 * time.Millisecond) // it is accepted in vain
+	time.Sleep(100 * time.Millisecond) // so that accept fails
 	if again := unix.Setrlimit(unix.RLIMIT_NOFILE, &was); err != nil || again != nil {
 		t.Fatal(err, again)
 	}
-	comes(t, l, opened, ended)
+	expectAccept(t, l, opened, ended)
 }
 
-// TestAcceptWaitsForTheMachine: the whole machine's want of files, buffers or memory passes as well, and so do errors of connections that are
-// gone before they are accepted.
-func TestAcceptWaitsForTheMachine(t *testing.T) {
+// TestAcceptSurvivesTemporaryErrors: the same holds if the machine lacks files, buffers or memory, and for errors of connections that were
+// closed before they are accepted.
+func TestAcceptSurvivesTemporaryErrors(t *testing.T) {
 	for _, failure := range []error{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, errors.New("any other"), unix.ECONNABORTED, unix.EPROTO, unix.EPERM,
 		unix.EINTR, unix.ENETDOWN, unix.EHOSTUNREACH} {
 		t.Run(failure.Error(), func(t *testing.T) {
 			var left atomic.Int32
 			left.Store(3)
-			l, opened, ended := accepting(func(l *Loop) error {
+			l, opened, ended := startLoop(func(l *Loop) error {
 				l.calls.accept = func(listening int) (int, error) {
 					if left.Add(-1) >= 0 {
 						return -1, failure
@@ -107,7 +108,7 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = c.Close() }()
-			comes(t, l, opened, ended)
+			expectAccept(t, l, opened, ended)
 			if left.Load() >= 0 {
 				t.Errorf("%d errors are left", left.Load())
 			}
@@ -115,10 +116,10 @@
 	}
 }
 
-// TestStopAcceptingTakesWhatHasConnected: clients that have connected while the loop was at something else are accepted before the listener
-// is closed, and none that comes later can connect.
-func TestStopAcceptingTakesWhatHasConnected(t *testing.T) {
-	l, opened, ended := accepting(func(l *Loop) error { return l.Run("127.0.0.1:0") })
+// TestStopAcceptingAcceptsBacklog: clients that have connected while the loop was busy are accepted before the listener is closed, and
+// later ones cannot connect.
+func TestStopAcceptingAcceptsBacklog(t *testing.T) {
+	l, opened, ended := startLoop(func(l *Loop) error { return l.Run("127.0.0.1:0") })
 	stopped := make(chan int, 1)
 	l.Post(func() { // the loop accepts nothing meanwhile
 		for range 20 {
@@ -137,14 +138,14 @@
 			t.Errorf("%d were accepted at the end", n)
 		}
 	case <-time.After(patience):
-		t.Fatal("it does not stop")
+		t.Fatal("done was not called")
 	}
 	if len(opened) != 20 {
 		t.Errorf("%d of 20 are on the loop", len(opened))
 	}
 	if c, err := net.Dial("tcp", l.Addr()); err == nil {
 		_ = c.Close()
-		t.Error("one has connected since")
+		t.Error("a client could connect after the end")
 	}
 	l.End()
 	if err := <-ended; err != nil {
--- a/internal/eventloop/calls_test.go
+++ b/internal/eventloop/calls_test.go
@@ -14,14 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// faults has calls fail in turn: of each call's tries, so many fail with the error, then one is made.
+// faults makes calls fail: of each call, fails attempts fail with the error, and the next one is made.
 type faults struct {
 	mu    sync.Mutex
 	fails int
 	tries map[string]int
 }
 
-// fail reports whether this try of a call is to fail.
+// fail reports whether this attempt of a call must fail.
 func (f *faults) fail(call string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,7 +29,7 @@
 	return f.tries[call]%(f.fails+1) != 0
 }
 
-// failingCalls are the real calls, of which those named fail, and which read and write most bytes at once.
+// failingCalls returns the real calls, of which those named fail, and which read and write at most that many bytes at once.
 func failingCalls(f *faults, failing map[string]error, most int) systemCalls {
 	calls := realCalls
 	cut := func(b []byte) []byte { return b[:min(len(b), most)] }
@@ -37,7 +37,7 @@
 		if err := failing["read"]; err != nil && f.fail("read") {
 			return -1, err
 		}
-		if len(b) > 8 { // a socket's
+		if len(b) > 8 { // of a socket, not the wake-up's
 			b = cut(b)
 		}
 		return unix.Read(fd, b)
@@ -66,7 +66,7 @@
 	return calls
 }
 
-// echo sends back what it gets.
+// echo is a handler that sends back what it receives.
 type echo struct {
 	conn   *Conn
 	closed chan error
@@ -76,8 +76,9 @@
 func (e *echo) Data(b []byte)    { _ = e.conn.Write(b) }
 func (e *echo) Closed(err error) { e.closed <- err }
 
-// TestCallsThatFail: calls that fail in a way that passes, or that read and write little at once, lose no byte, no connection and no function.
-func TestCallsThatFail(t *testing.T) {
+// TestTemporaryErrorsLoseNothing: calls that fail for a temporary reason, or that read and write little at once, lose no byte, no connection and no
+// posted function.
+func TestTemporaryErrorsLoseNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		failing map[string]error
 		most    int
@@ -113,7 +114,7 @@
 			go func() { _, _ = conn.Write(sent) }()
 			got := make([]byte, len(sent))
 			if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, sent) {
-				t.Errorf("what comes back is not what was sent: %v", err)
+				t.Errorf("the echo differs from what was sent: %v", err)
 			}
 			for range 20 {
 				ran := make(chan bool)
@@ -135,8 +136,8 @@
 	}
 }
 
-// TestBrokenConnection: an error that does not pass ends its connection, with that error, and no other.
-func TestBrokenConnection(t *testing.T) {
+// TestPermanentErrorEndsOnlyItsConnection: an error that is not temporary ends its connection, with that error, and no other.
+func TestPermanentErrorEndsOnlyItsConnection(t *testing.T) {
 	for _, failing := range []struct {
 		call  string
 		error unix.Errno
@@ -199,16 +200,16 @@
 	}
 }
 
-// nobody hears nothing of a connection.
-type nobody struct{}
+// discardHandler ignores the events of its connection.
+type discardHandler struct{}
 
-func (nobody) Opened(*Conn) {}
-func (nobody) Data([]byte)  {}
-func (nobody) Closed(error) {}
+func (discardHandler) Opened(*Conn) {}
+func (discardHandler) Data([]byte)  {}
+func (discardHandler) Closed(error) {}
 
-// TestLostWakeup: where the poller cannot be woken, what was posted runs all the same.
-func TestLostWakeup(t *testing.T) {
-	l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return nobody{} }, func() {})
+// TestPostedFunctionsRunWithoutWakeup: posted functions run even if the eventfd of the poller cannot be written.
+func TestPostedFunctionsRunWithoutWakeup(t *testing.T) {
+	l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return discardHandler{} }, func() {})
 	l.calls.write = func(fd int, b []byte) (int, error) { return -1, unix.EIO }
 	ready, ended := make(chan bool), make(chan error, 1)
 	l.Ready = func() { close(ready) }
--- a/internal/eventloop/clock/clock_test.go
+++ b/internal/eventloop/clock/clock_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestWholeMillisecondsAreExact: a position and the commit that it must reach are compared for equality, so neither may
-// move by a nanosecond on its way to the decision module.
-func TestWholeMillisecondsAreExact(t *testing.T) {
+// TestWholeMillisecondsConvertExactly: a position and the commit that it must reach are compared for equality, so
+// neither may change by a nanosecond on its way to the decision module.
+func TestWholeMillisecondsConvertExactly(t *testing.T) {
 	for _, ms := range []int64{1, 999, 1767225600123, 1767225600124} {
 		if got := ToDuration(FromUnix(ms)); got != time.Duration(ms)*time.Millisecond {
 			t.Errorf("%d ms became %d ns", ms, got)
@@ -17,6 +17,6 @@
 		}
 	}
 	if now, unix := System().Now(), float64(time.Now().UnixMilli()); now > unix+1000 || now < unix-1000 {
-		t.Errorf("the clock says %v, Unix time is %v", now, unix)
+		t.Errorf("the clock reads %v, Unix time is %v", now, unix)
 	}
 }
--- a/internal/eventloop/clock/machine_test.go
+++ b/internal/eventloop/clock/machine_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestSince: moments of one boot are compared by the monotonic clock, whatever the wall clock does; others are not compared.
-func TestSince(t *testing.T) {
+// TestInstantsOfOneBootAreCompared: moments of one boot are compared by the monotonic clock, whatever the wall clock does; others are not compared.
+func TestInstantsOfOneBootAreCompared(t *testing.T) {
 	monotonic := 1000.0
 	machine := Machine{Wall: func() float64 { return -1e9 * monotonic }, Monotonic: func() float64 { return monotonic }, Boot: "b"}
 	moment := machine.Now()
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,8 +1,10 @@
-// Package eventloop is the program's one event loop. That loop owns all state: accepted and dialled connections, posted functions and
-// deadlines all run on it, one at a time, so nothing needs a lock.
+// Package eventloop is the event loop of the program. One goroutine runs all callbacks, one at a time: those of accepted and dialled
+// connections, timers and posted functions. State that is used only in callbacks needs no lock.
 //
-// A system call that fails in a way that passes (EINTR, EAGAIN, want of memory or buffers) is made again and costs time alone; any other
-// failure ends its connection. A wake-up that fails is made in another way.
+// Its inputs are sockets, the clock and functions that other goroutines post; its outputs are the calls of Handler and of the
+// functions given to At and Post. A system call that fails for a temporary reason (EINTR, EAGAIN, a lack of memory or buffers) is
+// repeated and costs only time; any other failure ends its connection. Output that a socket does not accept is buffered without a
+// bound: callers limit it by Conn.Unsent. A peer that sends nothing is not timed out here.
 package eventloop
 
 import (
@@ -18,80 +20,92 @@
 	"beechgrade/internal/invariant"
 )
 
-// Handler is told of one connection. Data is valid during the call only.
+// Handler receives the events of one connection. Its methods are called on the loop.
 type Handler interface {
+	// Opened is called once, when the connection is on the loop.
 	Opened(c *Conn)
+	// Data is called with bytes that were read. They are valid during the call only.
 	Data(b []byte)
+	// Closed is called once, before the descriptor is closed. err is nil if this side closed the connection, and io.EOF if its
+	// peer did.
 	Closed(err error)
 }
 
-// Loop is the event loop. Now, After, Stop and Conn's methods are for functions that run on it; Post
-// may be called from anywhere.
+// Loop is the event loop. All methods but Post and End, and those of Conn, must be called on the loop; Run and Serve are the loop.
 type Loop struct {
-	// Ready, if it is set before Run, runs on the loop once it serves.
+	// Ready runs on the loop once it serves. It may be set before Run.
 	Ready func()
-	// Between, if it is set before Run, runs on the loop after each callback, once what was due then has run.
+	// AfterCallback runs on the loop after each callback, once the timers due by then have run. It may be set before Run.
 	AfterCallback func()
 	// Connect opens the connections of Dial. It may be replaced before Run.
 	Connect func(addr string, timeout time.Duration) (net.Conn, error)
 
-	clk    clock.Clock
+	clock  clock.Clock
 	log    *slog.Logger
 	accept func() Handler
 	start  func()
 
-	addr      string    // that it listens on
-	own       *acceptor // accepts there, nil where it serves on a socket that it was given
-	ended     chan struct{}
-	once      sync.Once
-	stopped   chan struct{} // closed once all connections are
-	calls     systemCalls
-	conns     map[int]*Conn // by descriptor, as acceptors
-	acceptors map[int]*acceptor
-	heap      timers.Heap
-	wake      *time.Timer
-	walks     int
-	armd      float64 // time for which wake is set, 0 for none
-	pauses    pauses
-
-	depth int // callbacks that run inside each other: a close within a write, say
-
-	mu       sync.Mutex // guards what follows
-	poller   *poller    // set once; only the loop uses it without mu
-	posted   []func()   // to be run
-	wakeSent bool       // the poller has been woken for them
-	over     bool       // nothing more is run
-	spare    []func()   // a buffer for posted
+	addr          string    // the address that it listens on
+	ownListener   *acceptor // accepts there; nil if the socket was given to Serve
+	ended         chan struct{}
+	endOnce       sync.Once
+	stopped       chan struct{} // closed once all connections are closed
+	calls         systemCalls
+	conns         map[int]*Conn     // by descriptor
+	acceptors     map[int]*acceptor // by descriptor
+	timers        timers.Heap
+	wake          *time.Timer
+	wakeAt        float64 // the time for which wake is set, 0 for none
+	pauses        pauses
+	checkCalls    int // counts calls of Check
+	callbackDepth int // callbacks that run inside each other, such as a close within a write
+
+	mu          sync.Mutex // guards the fields below
+	poller      *poller    // set once; the loop itself uses it without mu
+	posted      []func()   // functions to run
+	spareBuffer []func()   // a buffer for posted
+	wakeSent    bool       // the poller has been woken for them
+	finished    bool       // no more functions are run
 }
 
-// New makes a loop. accept makes the handler of each accepted connection; start runs on the loop before
-// anything else.
+// New returns a loop that does not run yet. accept returns the handler of each accepted connection; start runs on the loop before
+// any other callback.
 func New(clk clock.Clock, log *slog.Logger, accept func() Handler, start func()) *Loop {
-	return &Loop{Connect: connect, clk: clk, log: log, accept: accept, start: start, ended: make(chan struct{}), stopped: make(chan struct{}),
-		calls: realCalls, conns: map[int]*Conn{}, acceptors: map[int]*acceptor{}}
+	return &Loop{
+		Connect:   connect,
+		clock:     clk,
+		log:       log,
+		accept:    accept,
+		start:     start,
+		ended:     make(chan struct{}),
+		stopped:   make(chan struct{}),
+		calls:     realCalls,
+		conns:     map[int]*Conn{},
+		acceptors: map[int]*acceptor{},
+	}
 }
 
 // Run listens on addr and serves until End.
 func (l *Loop) Run(addr string) error {
-	lc := net.ListenConfig{KeepAlive: -1} // a client that is silent has not gone
-	ln, err := lc.Listen(context.Background(), "tcp", addr)
+	config := net.ListenConfig{KeepAlive: -1} // a client that sends nothing is not necessarily gone
+	listener, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	return l.run(ln)
+	return l.run(listener)
 }
 
-// run serves on a listener of its own.
-func (l *Loop) run(ln net.Listener) error {
-	l.own = &acceptor{loop: l, ln: ln, accept: l.accept}
-	return l.Serve(ln)
+// run serves on a listener that belongs to this process alone.
+func (l *Loop) run(listener net.Listener) error {
+	l.ownListener = &acceptor{loop: l, listener: listener, accept: l.accept}
+	return l.Serve(listener)
 }
 
-// Serve serves until End on a listening socket that other processes may hold too; ln is closed then. What comes there is accepted once
-// Take is called.
-func (l *Loop) Serve(ln net.Listener) error {
-	defer func() { _ = ln.Close() }()
-	l.addr = ln.Addr().String()
+// Serve serves until End on a listening socket that other processes may share, and closes it then. Connections to it are accepted
+// once AcceptFrom is called.
+func (l *Loop) Serve(listener net.Listener) error {
+	defer func() { _ = listener.Close() }()
+	l.addr = listener.Addr().String()
 	poller, err := newPoller(l.calls)
 	if err != nil {
 		return fmt.Errorf("event loop: %w", err)
@@ -102,35 +116,35 @@
 	if l.Ready != nil {
 		l.Post(l.Ready)
 	}
-	err = l.serve()
+	err = l.runUntilEnd()
 	l.runPosted()
 	l.closeAll()
 	poller.close()
 	return err
 }
 
-// End stops the loop; Run and Serve return.
+// End stops the loop, so that Run or Serve returns. It may be called from any goroutine, and more than once.
 func (l *Loop) End() {
-	l.once.Do(func() {
+	l.endOnce.Do(func() {
 		close(l.ended)
-		l.Post(func() {}) // wakes it
+		l.Post(func() {}) // wakes the loop
 	})
 }
 
-// Now is the time in milliseconds.
-func (l *Loop) Now() float64 { return l.clk.Now() }
+// Now returns the time in milliseconds.
+func (l *Loop) Now() float64 { return l.clock.Now() }
 
-// At runs f on the loop at the given time.
-func (l *Loop) At(ms float64, f func()) *timers.Timer { return l.heap.Add(ms, f) }
+// At runs f on the loop at the given time in milliseconds.
+func (l *Loop) At(ms float64, f func()) *timers.Timer { return l.timers.Add(ms, f) }
 
-// StopTimer takes a deadline down.
-func (l *Loop) StopTimer(t *timers.Timer) { l.heap.Stop(t) }
+// StopTimer cancels a timer. It does nothing for nil and for a timer that has fired.
+func (l *Loop) StopTimer(t *timers.Timer) { l.timers.Stop(t) }
 
-// Post runs f on the loop. It may be called from any goroutine.
+// Post runs f on the loop. It may be called from any goroutine. After the end of the loop it does nothing.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.finished {
 		return
 	}
 	l.posted = append(l.posted, f)
@@ -140,7 +154,7 @@
 	}
 }
 
-// Check has the order of deadlines checked, once in so many calls.
-func (l *Loop) Check(c *invariant.Checks, every int) {
-	c.Walk(&l.walks, every, "deadlines: the walk", l.heap.Check)
+// Check checks the invariants of the timers, once in every calls.
+func (l *Loop) Check(checks *invariant.Checks, every int) {
+	checks.Walk(&l.checkCalls, every, "timers: all", l.timers.Check)
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -9,19 +9,19 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// watcher hands out its connection.
-type watcher struct{ opened chan *Conn }
+// openedRecorder is a handler that sends its connection to opened.
+type openedRecorder struct{ opened chan *Conn }
 
-func (w watcher) Opened(c *Conn) { w.opened <- c }
-func (w watcher) Data([]byte)    {}
-func (w watcher) Closed(error)   {}
+func (w openedRecorder) Opened(c *Conn) { w.opened <- c }
+func (w openedRecorder) Data([]byte)    {}
+func (w openedRecorder) Closed(error)   {}
 
-// TestQuietSeesAnEndNotYetTold guards against writing a request to a connection that its server has closed while the loop
-// was at something else: that request would count as one that may have run.
-func TestQuietSeesAnEndNotYetTold(t *testing.T) {
-	w := watcher{make(chan *Conn, 9)}
+// TestIdleConnectionSeesUnreadClose : a connection that its server has closed must not count as idle, even if the loop was busy
+// and has not read the close: a request written to it would count as one that may have run.
+func TestIdleConnectionSeesUnreadClose(t *testing.T) {
+	w := openedRecorder{make(chan *Conn, 9)}
 	started, ended := make(chan struct{}), make(chan error, 1)
-	l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return watcher{make(chan *Conn, 1)} },
+	l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return openedRecorder{make(chan *Conn, 1)} },
 		func() { close(started) })
 	go func() { ended <- l.Run("127.0.0.1:0") }()
 	<-started
@@ -36,7 +36,7 @@
 	}
 	c := <-w.opened
 	done := make(chan [2]bool)
-	l.Post(func() { // the loop stands here and cannot be told of the close
+	l.Post(func() { // the loop is here, and cannot read the close meanwhile
 		before := c.OpenAndIdle()
 		_ = far.Close()
 		after := c.OpenAndIdle()
--- a/internal/eventloop/pause.go
+++ b/internal/eventloop/pause.go
@@ -6,84 +6,85 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// A process may be stopped, or get no processor for a while, and a turn may take long. What comes in meanwhile waits in the
-// sockets, and was sent long before it is read. The loop notices by its own wake-up, which then runs late: what is read behind
-// a pause counts as come when the loop was last seen on time. Together the two limits stay under the 150 ms by which a
-// deadline that a server is told may be wrong.
+// The process may be stopped or get no processor for a while, and a callback may take long. Input that arrives meanwhile waits in the
+// sockets, and is read long after it was sent. The loop detects such a pause by its own wake-up, which then fires late: input read
+// right after a pause counts as arrived when the loop was last on time. The sum of tickMs and maxLatenessMs is below 150 ms, the
+// tolerance of the deadline that a server is told.
 const (
-	heartbeatMs = 75 // the longest time for which the wake-up is set, so that a pause of an idle process shows as well
-	lateMs      = 25 // a wake-up that is later than that comes behind a pause
-	settle      = 5 * time.Millisecond
+	tickMs        = 75 // the longest time until the next wake-up, so that a pause of an idle process is detected too
+	maxLatenessMs = 25 // a wake-up that fires later than that shows a pause
+	settleTime    = 5 * time.Millisecond
 )
 
-// pauses is what the loop knows of its pauses.
+// pauses is what the loop knows about its pauses. Times are on the loop's clock.
 type pauses struct {
-	onTime   float64 // the loop was last seen on time then
-	settling bool    // a pause is over, and what waited meanwhile may be yet to be read
-	over     float64 // the pause was over then
-	count    int
+	lastOnTime float64 // when the loop was last on time
+	settling   bool    // a pause has ended, and input from during the pause may still be unread
+	endedAt    float64 // when that pause ended
+	count      int
 }
 
-// EarliestArrival is a time since which all that is read now has come in: the present, save behind a pause.
+// EarliestArrival returns the earliest time at which input that is read now can have arrived: the present, except after a pause.
 func (l *Loop) EarliestArrival() float64 {
-	now := l.clk.Now()
+	now := l.clock.Now()
 	if l.pauses.settling || l.overdue(now) {
-		return l.pauses.onTime
+		return l.pauses.lastOnTime
 	}
 	return now
 }
 
-// overdue tells whether the wake-up should have come well before now.
-func (l *Loop) overdue(now float64) bool { return l.armd != 0 && now > l.armd+lateMs }
+// overdue reports whether the wake-up should have fired well before now.
+func (l *Loop) overdue(now float64) bool { return l.wakeAt != 0 && now > l.wakeAt+maxLatenessMs }
 
-// seen notes that the loop has come to the end of a callback.
-func (l *Loop) seen(now float64) {
+// noteOnTime records the end of a callback.
+func (l *Loop) noteOnTime(now float64) {
 	if !l.pauses.settling && !l.overdue(now) {
-		l.pauses.onTime = now
+		l.pauses.lastOnTime = now
 	}
 }
 
-// heartbeat keeps the wake-up set.
-func (l *Loop) heartbeat() { l.At(l.clk.Now()+heartbeatMs, l.heartbeat) }
+// tick keeps the wake-up set.
+func (l *Loop) tick() { l.At(l.clock.Now()+tickMs, l.tick) }
 
-// woken takes the wake-up. It comes behind the connections' events of its batch; those that waited beside these come in the
-// next one.
-func (l *Loop) woken() {
-	if now := l.clk.Now(); l.overdue(now) {
-		l.resumed(now)
+// handleWakeUp handles the wake-up. It runs after the connections' events of its batch; events that arrived meanwhile are in the next
+// batch.
+func (l *Loop) handleWakeUp() {
+	if now := l.clock.Now(); l.overdue(now) {
+		l.notePause(now)
 	}
-	l.armd = 0
+	l.wakeAt = 0
 }
 
-// resumed notes that a pause is over.
-func (l *Loop) resumed(now float64) {
+// notePause records that a pause has ended.
+func (l *Loop) notePause(now float64) {
 	p := &l.pauses
-	if p.settling { // what waited through the pause before this one has been read by now
-		p.onTime = p.over
+	if p.settling { // input from during the previous pause has been read by now
+		p.lastOnTime = p.endedAt
 	}
-	p.settling, p.over = true, now
+	p.settling = true
+	p.endedAt = now
 	p.count++
 	count := p.count
-	time.AfterFunc(settle, func() {
+	time.AfterFunc(settleTime, func() {
 		l.Post(func() {
-			if count == p.count && !l.overdue(l.clk.Now()) { // else another pause is noticed in a moment
+			if count == p.count && !l.overdue(l.clock.Now()) { // otherwise another pause is about to be recorded
 				p.settling = false
 			}
 		})
 	})
 }
 
-// arm sets the wake-up for the next deadline.
-func (l *Loop) arm() {
-	at, ok := l.heap.Next()
-	if !ok || l.armd != 0 && l.armd <= at {
+// setWakeUp sets the wake-up for the next timer.
+func (l *Loop) setWakeUp() {
+	at, ok := l.timers.Next()
+	if !ok || l.wakeAt != 0 && l.wakeAt <= at {
 		return
 	}
-	l.armd = at
-	left := max(0, clock.ToDuration(at-l.clk.Now()))
+	l.wakeAt = at
+	remaining := max(0, clock.ToDuration(at-l.clock.Now()))
 	if l.wake == nil {
-		l.wake = time.AfterFunc(left, func() { l.Post(l.woken) })
+		l.wake = time.AfterFunc(remaining, func() { l.Post(l.handleWakeUp) })
 		return
 	}
-	l.wake.Reset(left)
+	l.wake.Reset(remaining)
 }
--- a/internal/eventloop/pause_test.go
+++ b/internal/eventloop/pause_test.go
@@ -8,22 +8,22 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// TestArrivedSince guards against counting what is read behind a pause from when it was read: it may have come at any time since the
-// loop was last on time, and in the batch of events behind that one as well.
-func TestArrivedSince(t *testing.T) {
-	clk := &clock.Manual{Ms: 1000}
-	l := New(clk, slog.New(slog.DiscardHandler), nil, nil)
-	l.pauses.onTime = clk.Now()
-	l.heartbeat()
-	l.turn()
+// TestEarliestArrivalCoversPauses: input that is read after a pause may have arrived at any time since the loop was last on time, and so
+// may input of the next batch of events. It must not count from when it was read.
+func TestEarliestArrivalCoversPauses(t *testing.T) {
+	manual := &clock.Manual{Ms: 1000}
+	l := New(manual, slog.New(slog.DiscardHandler), nil, nil)
+	l.pauses.lastOnTime = manual.Now()
+	l.tick()
+	l.endCallback()
 	want := func(what string, since float64) {
 		t.Helper()
 		if got := l.EarliestArrival(); got != since {
-			t.Errorf("%s: at %v, since %v, want %v", what, clk.Ms, got, since)
+			t.Errorf("%s: at %v, since %v, want %v", what, manual.Ms, got, since)
 		}
 	}
-	callback := func() { l.turn() }
-	posted := func() { // runs what goroutines have posted, and nothing else
+	callback := func() { l.endCallback() }
+	posted := func() { // runs only what goroutines have posted
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 			l.mu.Lock()
@@ -38,30 +38,30 @@
 			}
 		}
 	}
-	if l.armd > 1000+heartbeatMs {
-		t.Errorf("nothing wakes an idle loop before %v", l.armd)
+	if l.wakeAt > 1000+tickMs {
+		t.Errorf("nothing wakes an idle loop before %v", l.wakeAt)
 	}
 	l.wake.Stop()
-	clk.Ms = 1070
+	manual.Ms = 1070
 	want("on time", 1070)
-	clk.Ms = 1000 + heartbeatMs + lateMs
-	want("a little late", clk.Ms)
-	clk.Ms = 1600
-	want("behind a pause", 1000)
+	manual.Ms = 1000 + tickMs + maxLatenessMs
+	want("a little late", manual.Ms)
+	manual.Ms = 1600
+	want("after a pause", 1000)
 	callback()
 	want("in the same batch", 1000)
-	l.woken()
+	l.handleWakeUp()
 	callback()
 	l.wake.Stop()
-	want("in the batch behind it", 1000)
-	clk.Ms = 1900 // that one takes long as well
-	want("in the midst of a long batch", 1000)
-	l.woken()
+	want("in the batch after it", 1000)
+	manual.Ms = 1900 // that batch takes long as well
+	want("within a long batch", 1000)
+	l.handleWakeUp()
 	callback()
 	l.wake.Stop()
-	want("behind a long batch, whatever came while the first was read", 1600)
-	clk.Ms = 1910
-	posted() // of the second pause, or of the first, which says nothing any more
+	want("after a long batch, for input from while the first was read", 1600)
+	manual.Ms = 1910
+	posted() // of the second pause, or of the first, which has no effect any more
 	for end := time.Now().Add(20 * time.Second); l.pauses.settling && time.Now().Before(end); {
 		posted()
 	}
--- a/internal/eventloop/peer.go
+++ b/internal/eventloop/peer.go
@@ -6,35 +6,67 @@
 	"golang.org/x/sys/unix"
 )
 
-// PeerClosed tells whether the other side has closed the connection or its sending half, or whether the connection was
-// reset, also where the loop has not read that yet: it asks the socket itself. What the other side sent before may still
-// wait to be read.
-func (c *Conn) PeerClosed() bool { return c.gone || peerClosed(c.fd) }
-
-// Undelivered is the number of bytes written that the other side's system has not taken yet, as far as is known: those that wait
-// here for the socket, and those that wait in it. A close still delivers these, however late; an Abort does not.
-func (c *Conn) Undelivered() int {
-	if c.gone || c.parked {
-		return c.Unsent()
-	}
-	waiting, err := unix.IoctlGetInt(c.fd, unix.TIOCOUTQ)
+// PeerState is the state of the other side of a connection, as the socket shows it.
+type PeerState struct {
+	Unread      int  // bytes that it has sent and that were not read yet
+	EndOfStream bool // it sends no more
+	Closed      bool // it reads no more either
+}
+
+// PeerState asks the socket for the state of the peer. It works also while reading is paused.
+func (c *Conn) PeerState() PeerState {
+	if c.closed {
+		return PeerState{EndOfStream: true, Closed: true}
+	}
+	events, err := poll(c.fd, unix.POLLRDHUP)
 	if err != nil {
-		waiting = 0
+		return PeerState{}
+	}
+	closed := events&(unix.POLLERR|unix.POLLHUP) != 0
+	unread, _ := unix.IoctlGetInt(c.fd, unix.TIOCINQ)
+	return PeerState{Unread: unread, EndOfStream: closed || events&unix.POLLRDHUP != 0, Closed: closed}
+}
+
+// PeerClosed reports whether the peer has closed the connection or its write side, or whether the connection was reset. It asks
+// the socket, so that a close counts that the loop has not read yet. What the peer sent before may still be unread.
+func (c *Conn) PeerClosed() bool { return c.closed || peerClosed(c.fd) }
+
+// OpenAndIdle reports whether the connection is open and has nothing to read: neither data nor a close that the loop has not read
+// yet. It is false while reading is paused.
+func (c *Conn) OpenAndIdle() bool {
+	if c.closed || c.readingPaused {
+		return false
 	}
-	return waiting + c.Unsent()
+	_, err := peek(c.fd)
+	return errors.Is(err, unix.EAGAIN)
 }
 
-// Untransmitted is the number of bytes written that have not left this machine even once: those that wait here for the socket, and
-// those that wait in it until the other side's system has room.
-func (c *Conn) Untransmitted() int {
-	if c.gone || c.parked {
-		return c.Unsent()
+// Unsent returns the number of bytes written that the socket has not accepted yet.
+func (c *Conn) Unsent() int {
+	if c.closed {
+		return 0
 	}
-	waiting, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQNSD)
+	return len(c.output) - c.sent
+}
+
+// Undelivered returns the number of bytes written that the peer's system has not acknowledged, as far as is known: those buffered
+// here and those in the socket. Close still delivers the latter, however late; Abort does not.
+func (c *Conn) Undelivered() int { return c.Unsent() + c.queuedInSocket(unix.TIOCOUTQ) }
+
+// Untransmitted returns the number of bytes written that have not left this machine even once: those buffered here, and those that
+// wait in the socket until the peer's system has capacity for them.
+func (c *Conn) Untransmitted() int { return c.Unsent() + c.queuedInSocket(unix.SIOCOUTQNSD) }
+
+// queuedInSocket returns the number of bytes that a request about the socket's output queue reports, 0 if it fails.
+func (c *Conn) queuedInSocket(request uint) int {
+	if c.closed || c.readingPaused {
+		return 0
+	}
+	queued, err := unix.IoctlGetInt(c.fd, request)
 	if err != nil {
-		waiting = 0
+		return 0
 	}
-	return waiting + c.Unsent()
+	return queued
 }
 
 func peerClosed(fd int) bool {
@@ -45,7 +77,29 @@
 	case err != nil, n == 0:
 		return true
 	}
-	// Bytes that wait to be read hide the end behind them.
+	// Unread bytes hide a close that follows them.
 	events, err := poll(fd, unix.POLLRDHUP)
 	return err == nil && events&(unix.POLLERR|unix.POLLHUP|unix.POLLRDHUP) != 0
 }
+
+// peek reports what a read of the socket would return: bytes, nothing yet (EAGAIN), the end (0 and nil) or an error.
+func peek(fd int) (n int, err error) {
+	var b [1]byte
+	for {
+		n, _, err = unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		if !errors.Is(err, unix.EINTR) {
+			return n, err
+		}
+	}
+}
+
+// poll returns which of the given events a descriptor has now.
+func poll(fd int, events int16) (int16, error) {
+	for {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
+		_, err := unix.Poll(fds, 0)
+		if !errors.Is(err, unix.EINTR) {
+			return fds[0].Revents, err
+		}
+	}
+}
--- /dev/null
+++ b/internal/eventloop/run.go
@@ -0,0 +1,155 @@
+package eventloop
+
+import (
+	"errors"
+	"io"
+	"os"
+
+	"golang.org/x/sys/unix"
+)
+
+const readBuffer = 1 << 16 // bytes read at once from a connection
+
+// errEnded is returned for a connection that is ready only after the loop has ended.
+var errEnded = errors.New("the loop has ended")
+
+// begin runs the start function, and accepts connections from then on.
+func (l *Loop) begin() {
+	defer l.enterCallback()()
+	l.pauses.lastOnTime = l.clock.Now()
+	l.tick()
+	l.start()
+	if l.ownListener != nil {
+		l.ownListener.resume()
+	}
+}
+
+// runUntilEnd runs the loop until End.
+func (l *Loop) runUntilEnd() error {
+	l.begin()
+	buffer := make([]byte, readBuffer)
+	for !l.hasEnded() {
+		events, err := l.poller.wait()
+		if err != nil {
+			return err
+		}
+		for _, event := range events {
+			l.dispatch(int(event.Fd), event.Events, buffer)
+		}
+		l.runPosted()
+	}
+	return nil
+}
+
+func (l *Loop) hasEnded() bool {
+	select {
+	case <-l.ended:
+		return true
+	default:
+		return false
+	}
+}
+
+// dispatch handles the events of a descriptor. The descriptor may be unknown by now, if an earlier event of the batch closed it.
+func (l *Loop) dispatch(fd int, events uint32, buffer []byte) {
+	if c := l.conns[fd]; c != nil {
+		l.handleConn(c, events, buffer)
+		return
+	}
+	if a := l.acceptors[fd]; a != nil {
+		defer l.enterCallback()()
+		a.acceptSome()
+	}
+}
+
+// handleConn handles the events of a connection.
+func (l *Loop) handleConn(c *Conn, events uint32, buffer []byte) {
+	defer l.enterCallback()()
+	if events&unix.EPOLLOUT != 0 {
+		if err := c.flush(); err != nil {
+			l.closeConn(c, err)
+			return
+		}
+		c.updateInterest()
+	}
+	if events&^unix.EPOLLOUT != 0 && !c.readingPaused {
+		l.read(c, buffer)
+	}
+}
+
+// read reads once from a connection. If more is waiting, there will be another event.
+func (l *Loop) read(c *Conn, buffer []byte) {
+	n, err := l.poller.calls.read(c.fd, buffer)
+	switch {
+	case err != nil && isTemporary(err): // there will be another event
+	case err != nil:
+		l.closeConn(c, os.NewSyscallError("read", err))
+	case n == 0:
+		l.closeConn(c, io.EOF)
+	default:
+		c.handler.Data(buffer[:n])
+	}
+}
+
+// runPosted runs the functions posted so far.
+func (l *Loop) runPosted() {
+	l.mu.Lock()
+	posted := l.posted
+	l.posted = l.spareBuffer
+	l.wakeSent = false
+	l.mu.Unlock()
+	for i, f := range posted {
+		posted[i] = nil
+		func() {
+			defer l.enterCallback()()
+			f()
+		}()
+	}
+	l.spareBuffer = posted[:0]
+}
+
+// register adds a connection to the loop and calls its handler.
+func (l *Loop) register(c *Conn) {
+	l.conns[c.fd] = c
+	if c.handler == nil {
+		c.handler = c.accept()
+	}
+	c.updateInterest()
+	c.handler.Opened(c)
+}
+
+// closeAll closes all connections, and marks the loop as stopped.
+func (l *Loop) closeAll() {
+	func() {
+		defer l.enterCallback()()
+		for _, c := range l.conns {
+			c.Close()
+		}
+	}()
+	l.mu.Lock()
+	l.finished = true
+	l.mu.Unlock()
+	close(l.stopped)
+}
+
+// enterCallback begins a callback and returns the function that ends it. Timers run between callbacks, never within one.
+func (l *Loop) enterCallback() func() {
+	l.callbackDepth++
+	return func() {
+		if l.callbackDepth == 1 {
+			l.endCallback()
+		}
+		l.callbackDepth--
+	}
+}
+
+// endCallback runs the timers that are due, and sets the wake-up for the next one.
+func (l *Loop) endCallback() {
+	now := l.clock.Now()
+	l.noteOnTime(now)
+	l.timers.Run(now)
+	if l.AfterCallback != nil {
+		l.AfterCallback()
+	}
+	l.setWakeUp()
+}
--- a/internal/eventloop/slotmap/invariants.go
+++ b/internal/eventloop/slotmap/invariants.go
@@ -6,8 +6,9 @@
 	"beechgrade/internal/invariant"
 )
 
-// Check states that each slot is either in use or free, and free once: none leaks, and none is used twice.
-func (t *Table[T]) Check(c *invariant.Checks, whose string) {
+// Check checks that each slot is either in use or free, and free only once, so that none leaks and none is used for two values. The
+// owner of the table is named in the reports.
+func (t *Table[T]) Check(checks *invariant.Checks, owner string) {
 	used := 0
 	for i := range t.slots {
 		if t.slots[i].inUse {
@@ -17,12 +18,14 @@
 	seen := make([]bool, len(t.slots))
 	for _, i := range t.free {
 		ok := int(i) < len(t.slots) && !t.slots[i].inUse && !seen[i]
-		c.That(ok, whose+": a slot that is free is not in use, and free once", func() string { return fmt.Sprintf("slot %d of %d", i, len(t.slots)) })
+		checks.That(ok, owner+": a free slot is not in use, and free only once", func() string {
+			return fmt.Sprintf("slot %d of %d", i, len(t.slots))
+		})
 		if ok {
 			seen[i] = true
 		}
 	}
-	c.That(used == t.used && used+len(t.free) == len(t.slots), whose+": no slot leaks", func() string {
+	checks.That(used == t.used && used+len(t.free) == len(t.slots), owner+": no slot leaks", func() string {
 		return fmt.Sprintf("%d slots, %d in use, counted %d, %d free", len(t.slots), used, t.used, len(t.free))
 	})
 }
--- a/internal/eventloop/slotmap/invariants_test.go
+++ b/internal/eventloop/slotmap/invariants_test.go
@@ -9,8 +9,9 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestInvariants: whatever is put and dropped in any order, no slot leaks, none is used twice, and each ref finds its own or nothing.
-func TestInvariants(t *testing.T) {
+// TestTableInvariantsHold: whatever is put and removed in any order, no slot leaks, none is used twice, and each reference finds its own value or
+// nothing.
+func TestTableInvariantsHold(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		var tab Table[int]
 		var refs []Ref
@@ -43,14 +44,14 @@
 	})
 }
 
-// TestMutants: each statement is seen to break.
-func TestMutants(t *testing.T) {
+// TestBrokenInvariantsAreReported: each invariant must be found broken after one change of the state.
+func TestBrokenInvariantsAreReported(t *testing.T) {
 	for _, m := range []struct {
 		name string
 		poke func(*Table[int])
 	}{
-		{"table: a slot that is free is not in use, and free once", func(t *Table[int]) { t.free = append(t.free, t.free[0]) }},
-		{"table: a slot that is free is not in use, and free once", func(t *Table[int]) { t.free[0] = 0 }},
+		{"table: a free slot is not in use, and free only once", func(t *Table[int]) { t.free = append(t.free, t.free[0]) }},
+		{"table: a free slot is not in use, and free only once", func(t *Table[int]) { t.free[0] = 0 }},
 		{"table: no slot leaks", func(t *Table[int]) { t.free = t.free[:0] }},
 		{"table: no slot leaks", func(t *Table[int]) { t.used++ }},
 	} {
--- a/internal/eventloop/slotmap/slots_test.go
+++ b/internal/eventloop/slotmap/slotmap_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestLateRefFindsNothing: a callback that comes after its connection has gone must not reach the slot's next tenant.
-func TestLateRefFindsNothing(t *testing.T) {
+// TestStaleRefFindsNothing: a callback that runs after its value was removed must not reach the value that uses the slot now.
+func TestStaleRefFindsNothing(t *testing.T) {
 	var tab Table[string]
 	old := tab.Put("old")
 	tab.Remove(old)
--- a/internal/eventloop/timers/invariants_test.go
+++ b/internal/eventloop/timers/invariants_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestInvariants: whatever is hung up, taken down and run in any order, the heap is one, and what runs is what is due, in order.
-func TestInvariants(t *testing.T) {
+// TestHeapInvariantsHold: whatever is added, stopped and run in any order, the timers form a heap, and those that run are those that are due.
+func TestHeapInvariantsHold(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		var h Heap
 		var timers []*Timer
@@ -20,8 +20,8 @@
 			"add": func(t *rapid.T) {
 				var x *Timer
 				x = h.Add(now+rapid.Float64Range(0, 10).Draw(t, "in"), func() {
-					if !want[x] || x.at > now {
-						t.Errorf("ran at %v, due at %v, hung up: %v", now, x.at, want[x])
+					if !want[x] || x.dueAt > now {
+						t.Errorf("ran at %v, due at %v, in the heap: %v", now, x.dueAt, want[x])
 					}
 					delete(want, x)
 					ran++
@@ -40,8 +40,8 @@
 				now += rapid.Float64Range(0, 5).Draw(t, "ms")
 				h.Run(now)
 				for x := range want {
-					if x.at <= now {
-						t.Errorf("due at %v and not run at %v", x.at, now)
+					if x.dueAt <= now {
+						t.Errorf("due at %v and not run at %v", x.dueAt, now)
 					}
 				}
 			},
@@ -50,11 +50,11 @@
 	})
 }
 
-// TestMutants: each statement is seen to break.
-func TestMutants(t *testing.T) {
+// TestBrokenInvariantsAreReported: each invariant must be found broken after one change of the state.
+func TestBrokenInvariantsAreReported(t *testing.T) {
 	for name, poke := range map[string]func(*Heap){
-		"deadlines: the earliest comes first": func(h *Heap) { h.items[0].at = 100 },
-		"deadlines: each knows its place":     func(h *Heap) { h.items[1].index = 0 },
+		"timers: the earliest comes first": func(h *Heap) { h.items[0].dueAt = 100 },
+		"timers: each knows its index":     func(h *Heap) { h.items[1].index = 0 },
 	} {
 		var h Heap
 		for i := range 5 {
--- a/internal/eventloop/timers/deadline_test.go
+++ b/internal/eventloop/timers/timers_test.go
@@ -6,9 +6,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestHeap: order of time, then of setting; what is stopped never runs; what is set for now while running waits, or a
-// timer that sets itself anew would hold the loop up.
-func TestHeap(t *testing.T) {
+// TestTimersRunInOrder: timers run in the order of time, then of adding; a stopped one never runs; one that is added for now by a running
+// timer waits, or a timer that adds itself again would block the loop.
+func TestTimersRunInOrder(t *testing.T) {
 	var h Heap
 	var got []string
 	say := func(s string) func() { return func() { got = append(got, s) } }
--- a/internal/frontend/clickhouse/client.go
+++ b/internal/frontend/clickhouse/client.go
@@ -125,7 +125,8 @@
 			c.looked = false
 			return
 		}
-		left, ended, gone := c.conn.Ended()
+		peer := c.conn.PeerState()
+		left, ended, gone := peer.Unread, peer.EndOfStream, peer.Closed
 		uploads := c.uploads()
 		if uploads && ended { // all that it wrote may be there still, and be whole
 			more := c.body.Remaining()
--- a/internal/frontend/platform/capacity.go
+++ b/internal/frontend/platform/capacity.go
@@ -128,7 +128,7 @@
 			session.conn.Close()
 		case session.leaving:
 		case session.waitsForMemory:
-			if _, ended, _ := session.conn.Ended(); ended { // the loop does not notice that while it reads nothing from the connection
+			if session.conn.PeerState().EndOfStream { // the loop does not notice that while it reads nothing from the connection
 				session.conn.Close()
 			}
 		default:
--- a/internal/frontend/platform/unread.go
+++ b/internal/frontend/platform/unread.go
@@ -90,7 +90,6 @@
 // seeUnread samples the socket if the connection is parked.
 func (session *session) seeUnread() {
 	if session.conn.ReadingPaused() {
-		left, _, _ := session.conn.Ended()
-		session.unread.see(left, session.postgres.loop.Now())
+		session.unread.see(session.conn.PeerState().Unread, session.postgres.loop.Now())
 	}
 }
--- a/internal/frontend/platform/world_test.go
+++ b/internal/frontend/platform/world_test.go
@@ -21,7 +21,7 @@
 // patience bounds every wait of a test; no result depends on how fast something happens.
 const patience = 20 * time.Second
 
-// world is a frontend on its own event loop, with a scripted Desk.
+// fixture is a frontend on its own event loop, with a scripted Dispatcher.
 type world struct {
 	t        testing.TB
 	loop     *eventloop.Loop
@@ -30,7 +30,7 @@
 	addr     string
 }
 
-// scriptedDesk keeps the clients of the requests it receives, for the test to answer.
+// scriptedDispatcher stores the clients of the requests it receives, for the test to answer.
 type scriptedDesk struct {
 	asked     []Client
 	ids       []string
@@ -40,17 +40,17 @@
 	number    uint32
 }
 
-// Submit implements Desk.
+// Submit implements Dispatcher.
 func (desk *scriptedDesk) Submit(request Request, client Client) (slotmap.Ref, error) {
 	desk.number++
 	desk.asked, desk.ids, desk.deadlines = append(desk.asked, client), append(desk.ids, request.ID), append(desk.deadlines, request.Deadline)
 	return slotmap.Ref{Index: desk.number, Gen: 1}, nil
 }
 
-// Abandon implements Desk.
+// Abandon implements Dispatcher.
 func (desk *scriptedDesk) Abandon(ref slotmap.Ref) { desk.gone = append(desk.gone, ref) }
 
-// AnswerBy implements Desk.
+// AnswerBy implements Dispatcher.
 func (desk *scriptedDesk) AnswerBy(ref slotmap.Ref, _ float64) {
 	desk.hastened = append(desk.hastened, ref)
 }
@@ -80,7 +80,7 @@
 		}
 	})
 	world.addr = world.loop.Addr()
-	world.until("the loop's connection to itself has gone", func() bool { return world.postgres.Sessions() == 0 })
+	world.until("the loop's connection to itself is closed", func() bool { return world.postgres.Sessions() == 0 })
 	return world
 }
 
@@ -92,7 +92,7 @@
 	select {
 	case <-done:
 	case <-time.After(patience):
-		world.t.Fatal("the loop does not come to it")
+		world.t.Fatal("the loop does not run it")
 	}
 }
 
@@ -137,7 +137,7 @@
 	return pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte(value)), "SELECT 1")
 }
 
-// customer is the client's end of a connection.
+// testClient is the client's end of a connection.
 type customer struct {
 	t testing.TB
 	*net.TCPConn
--- a/internal/frontend/pooling/close.go
+++ b/internal/frontend/pooling/close.go
@@ -118,8 +118,8 @@
 
 // left tells whether a client that is not read has gone: it reads no more, or sends no more while its transaction waits for a connection.
 func (c *client) left() bool {
-	_, ended, gone := c.conn.Ended()
-	return gone || ended && c.queued()
+	peer := c.conn.PeerState()
+	return peer.Closed || peer.EndOfStream && c.queued()
 }
 
 // shed closes the connection of a client that has nothing under way, while the front drains. What the client has sent is answered first, but not for
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -122,8 +122,7 @@
 
 // serverClosed tells whether the server has closed a connection that rested here, which the loop may not have come to yet.
 func (l *link) serverClosed() bool {
-	_, ended, _ := l.conn.Ended()
-	return ended
+	return l.conn.PeerState().EndOfStream
 }
 
 // over tells whether nothing more may be sent here.
