--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -38,7 +38,7 @@
 
 type leaseMarks struct {
 	number uint64
-	list   []lease.Mark
+	list   []lease.HighWaterMark
 }
 
 // openCredit has tenants pay ahead, where the settings have it on; the function ends it.
@@ -58,17 +58,17 @@
 	x.credit = credit.New(s, p.peers, x, x, x)
 	x.inheritEnded(gone)
 	p.peers.Join(x.credit)
-	if x.credit.Books() != nil {
+	if x.credit.Ledger() != nil {
 		p.raftLog.users.Add(raftlog.CreditEntries, x.credit)
 	}
 	p.raftLog.observers = append(p.raftLog.observers, func(a *raftlog.Action) {
 		switch a.Kind {
 		case raftlog.BecameLeader:
-			x.credit.Lead(p.cfg.Name)
+			x.credit.SetLeader(p.cfg.Name)
 		case raftlog.LeaderChanged:
-			x.credit.Lead(a.Leader)
+			x.credit.SetLeader(a.Leader)
 		case raftlog.Stopped:
-			x.credit.Lead("")
+			x.credit.SetLeader("")
 		}
 	})
 	p.core.SetCredit(x)
@@ -92,7 +92,7 @@
 	}
 	s := x.set.SettingsFor(cfg.Classes, func(i int) float64 { return cfg.Settings.Classes[i].PriorityWeight })
 	s.Voters, s.Name, s.Holder = x.pooler.raftLog.set.Settings.Voters, cfg.Name, x.holder
-	s.Purse.Checks = x.pooler.checks
+	s.Lease.Checks = x.pooler.checks
 	return s
 }
 
@@ -106,37 +106,37 @@
 		}
 	}
 	x.set = set
-	x.credit.Retune(x.settings())
+	x.credit.UpdateSettings(x.settings())
 	x.pooler.log.Info("credit read again", "prices", len(set.Prices), "payments", len(set.Payments))
 }
 
 // Hold is core.Credit's.
-func (x *creditGate) Hold(tenant, class, session string, tag uint64) (lease.Hold, lease.Verdict) {
+func (x *creditGate) Hold(tenant, class, session string, tag uint64) (lease.Reservation, lease.Decision) {
 	i, ok := x.classes[class]
 	if !ok {
-		return lease.Hold{}, lease.Pass
+		return lease.Reservation{}, lease.Admitted
 	}
-	h, v := x.credit.Hold(tenant, i, lease.Session(session), 1, tag)
+	h, v := x.credit.Reserve(tenant, i, lease.SessionNumber(session), 1, tag)
 	switch v {
-	case lease.Wait:
+	case lease.Queued:
 		x.waited++
-	case lease.Slow, lease.None:
+	case lease.Throttled, lease.Exhausted:
 		x.refused++
 	}
 	return h, v
 }
 
 // Settle is core.Credit's.
-func (x *creditGate) Settle(h *lease.Hold, d lease.Done) { x.spent += x.credit.Settle(h, d) }
+func (x *creditGate) Settle(h *lease.Reservation, d lease.Usage) { x.spent += x.credit.Settle(h, d) }
 
 // Cancel is core.Credit's.
 func (x *creditGate) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
 
 // Admit is credit.Events'.
-func (x *creditGate) Admit(tag uint64, h lease.Hold) { x.pooler.core.Funded(tag, h) }
+func (x *creditGate) Admit(tag uint64, h lease.Reservation) { x.pooler.core.Funded(tag, h) }
 
-// Turn is credit.Events'.
-func (x *creditGate) Turn(tag uint64) {
+// Reject is credit.Events'.
+func (x *creditGate) Reject(tag uint64) {
 	x.refused++
 	x.pooler.core.Unfunded(tag)
 }
@@ -147,7 +147,7 @@
 }
 
 // Write is credit.Files': the newest marks are all that there are.
-func (x *creditGate) Write(no uint64, list []lease.Mark) {
+func (x *creditGate) Write(no uint64, list []lease.HighWaterMark) {
 	select {
 	case <-x.writes:
 	default:
@@ -188,7 +188,7 @@
 			b, err = jsoniter.Marshal(m.list)
 		}
 		no := m.number
-		x.pooler.loop.Post(func() { x.credit.Written(no) })
+		x.pooler.loop.Post(func() { x.credit.MarksPersisted(no) })
 	}
 }
 
@@ -240,7 +240,7 @@
 func (x *creditGate) inheritEnded(gone []ledger.Holder) {
 	if len(gone) > 0 {
 		x.pooler.log.Info("credit: found what processes that are no more left", "processes", len(gone))
-		x.credit.Inherit(gone)
+		x.credit.Recover(gone)
 	}
 }
 
@@ -255,11 +255,11 @@
 }
 
 // Read is credit.Files'.
-func (x *creditGate) Read(h ledger.Holder, do func([]lease.Mark)) {
+func (x *creditGate) Read(h ledger.Holder, do func([]lease.HighWaterMark)) {
 	path := x.file(h, marksSuffix)
 	go func() {
 		b, err := os.ReadFile(path)
-		var list []lease.Mark
+		var list []lease.HighWaterMark
 		if err == nil {
 			err = jsoniter.Unmarshal(b, &list)
 		}
@@ -288,7 +288,7 @@
 // close tells last words, and how things stood.
 func (x *creditGate) close() {
 	x.credit.Close()
-	if b := x.credit.Books(); b != nil {
+	if b := x.credit.Ledger(); b != nil {
 		for _, n := range b.Tenants() {
 			t := b.Tenant(n)
 			x.pooler.log.Info("credit: books", "tenant", n, "paid", t.Paid, "balance", t.Balance, "lent", t.Lent, "stranded", t.Stranded, "spent", t.Spent)
@@ -304,15 +304,15 @@
 	}
 	x, all := p.credit, s.Scope("credit")
 	free, held := int64(0), int64(0)
-	for _, a := range x.credit.Standings() {
-		free, held = free+a.Free, held+a.Held
+	for _, a := range x.credit.Statuses() {
+		free, held = free+a.Free, held+a.Reserved
 	}
 	all.IntGauge("spent", x.spent)
 	all.IntGauge("free", free)
 	all.IntGauge("held", held)
 	all.Counter("refused", x.refused)
 	all.Counter("waited", x.waited)
-	if b := x.credit.Books(); b != nil {
+	if b := x.credit.Ledger(); b != nil {
 		var paid, left, lent, stranded, spent int64
 		for _, n := range b.Tenants() {
 			t := b.Tenant(n)
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -56,7 +56,7 @@
 	dir := t.TempDir()
 	one, stop := creditOf(t, dir)
 	x := one.credit
-	want := []lease.Mark{{Key: ledger.Key{Tenant: "t", Holder: x.holder, Gen: 3}, Spent: 70}}
+	want := []lease.HighWaterMark{{Key: ledger.Key{Tenant: "t", Holder: x.holder, Generation: 3}, Spent: 70}}
 	x.Write(1, want)
 	stop()
 	two, stopTwo := creditOf(t, dir)
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []lease.Mark
+	var got []lease.HighWaterMark
 	if err := jsoniter.Unmarshal(b, &got); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -139,11 +139,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []lease.Mark
+	var list []lease.HighWaterMark
 	if err := jsoniter.Unmarshal(text, &list); err != nil {
 		t.Fatal(err)
 	}
-	want := []lease.Mark{{Key: ledger.Key{Tenant: "t", Depth: 5, Holder: 0x2a, Gen: 3}, Spent: 70}}
+	want := []lease.HighWaterMark{{Key: ledger.Key{Tenant: "t", Overdraft: 5, Holder: 0x2a, Generation: 3}, Spent: 70}}
 	if diff := cmp.Diff(want, list); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/cluster/credit/bytes_test.go
+++ b/internal/cluster/credit/bytes_test.go
@@ -11,10 +11,10 @@
 
 // TestBytes: a message's bytes are what poolers of other versions read.
 func TestBytes(t *testing.T) {
-	k := ledger.Key{Tenant: "t", Depth: 300, Holder: 3, Gen: 4}
-	m := &Message{Who: 1, Reply: true, Leader: "l", Digest: 6, Pays: []lessor.Pay{{Tenant: "p", No: 2, Amount: 3}},
-		Asks:    []message.Ask{{Key: k, Seq: 5, Spent: 6, Returned: 7, Want: 8, Need: 9, Rate: 10, Final: true, Heir: true, Rest: true}, {Key: k}},
-		Answers: []message.Answer{{Key: k, Seq: 5, Granted: 12, Left: -13, Full: 14, Keep: 15, Closed: true, Ended: true, Call: true}, {Key: k}}}
+	k := ledger.Key{Tenant: "t", Overdraft: 300, Holder: 3, Generation: 4}
+	m := &Message{Holder: 1, Reply: true, Leader: "l", PaymentDigest: 6, Payments: []lessor.Payment{{Tenant: "p", Number: 2, Amount: 3}},
+		Requests:  []message.Request{{Key: k, Sequence: 5, Spent: 6, Returned: 7, Requested: 8, Queued: 9, SpendRate: 10, Final: true, Recovered: true, MarksRead: true}, {Key: k}},
+		Responses: []message.Response{{Key: k, Sequence: 5, Granted: 12, Available: -13, AvailableAtPayment: 14, Retain: 15, Closed: true, Expired: true, Recall: true}, {Key: k}}}
 	for _, c := range []struct {
 		b    []byte
 		want string
@@ -27,7 +27,7 @@
 		}
 	}
 	b := m.Append(nil)
-	if got, err := Read(b); err != nil || hex.EncodeToString(got.Append(nil)) != hex.EncodeToString(b) {
+	if got, err := DecodeMessage(b); err != nil || hex.EncodeToString(got.Append(nil)) != hex.EncodeToString(b) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
--- a/internal/cluster/credit/credit.go
+++ b/internal/cluster/credit/credit.go
@@ -41,12 +41,12 @@
 
 // Settings say how.
 type Settings struct {
-	Purse  lease.Settings
-	Bank   lessor.Settings
-	Pays   []lessor.Pay
-	Voters []string // names of poolers
-	Name   string   // this one's
-	Holder ledger.Holder
+	Lease    lease.Settings
+	Lessor   lessor.Settings
+	Payments []lessor.Payment
+	Voters   []string // names of poolers
+	Name     string   // this one's
+	Holder   ledger.Holder
 }
 
 // Log is where entries are proposed; Apply, Lead and Follow bring what comes of it.
@@ -54,139 +54,139 @@
 
 // Files keep marks, each process's in its own.
 type Files interface {
-	Write(no uint64, marks []lease.Mark)         // then Written is called with no
-	Read(h ledger.Holder, do func([]lease.Mark)) // of a process that is no more
+	Write(no uint64, marks []lease.HighWaterMark)         // then Written is called with no
+	Read(h ledger.Holder, do func([]lease.HighWaterMark)) // of a process that is no more
 	Erase(h ledger.Holder)
 }
 
 // Events are told what becomes of requests that waited.
 type Events interface {
-	Admit(tag uint64, h lease.Hold)
-	Turn(tag uint64)
+	Admit(tag uint64, h lease.Reservation)
+	Reject(tag uint64)
 }
 
 const (
-	paysEvery = 500 // ms between two hashes of payments, until they are all in the books
-	paysBytes = 1000
-	paysPace  = 8 // datagrams of payments in a tick
+	paymentsInterval       = 500 // ms between two hashes of payments, until they are all in the books
+	paymentsMessageBytes   = 1000
+	paymentMessagesPerTick = 8 // datagrams of payments in a tick
 )
 
 // Credit is a process's.
 type Credit struct {
-	set    Settings
-	net    module.Transport
-	log    Log
-	files  Files
-	events Events
-
-	purse  *lease.Purse
-	books  *ledger.Ledger
-	bank   *lessor.Bank // nil where this pooler does not vote
-	self   view.ID
-	addrs  map[string]place // by name
-	back   map[ledger.Holder]place
-	leader string
-	heard  float64 // from the leader
-	next   int
-
-	unpaid []lessor.Pay
-	digest uint64
-	paidAt float64
-	tells  bool // the leader has other payments: ours are told
-	told   int
-	acts   []lease.Action
-	left   bool
+	settings Settings
+	net      module.Transport
+	log      Log
+	files    Files
+	events   Events
+
+	leases          *lease.Manager
+	ledger          *ledger.Ledger
+	lessor          *lessor.Lessor // nil where this pooler does not vote
+	self            view.ID
+	voters          map[string]endpoint // by name
+	holders         map[ledger.Holder]endpoint
+	leader          string
+	leaderContactAt float64 // from the leader
+	nextVoter       int
+
+	unconfirmed         []lessor.Payment
+	paymentDigest       uint64
+	nextPaymentsAt      float64
+	leaderLacksPayments bool // the leader has other payments: ours are told
+	paymentsSent        int
+	actionBuffer        []lease.Action
+	closing             bool
 }
 
-type place struct {
+type endpoint struct {
 	addr string
 	id   view.ID
 }
 
 // New makes a process's credit. files may be nil, if marks are off.
 func New(set Settings, net module.Transport, log Log, files Files, ev Events) *Credit {
-	c := &Credit{set: set, net: net, log: log, files: files, events: ev, addrs: map[string]place{}, back: map[ledger.Holder]place{}}
-	c.purse = lease.New(set.Purse, set.Holder, net.Now())
+	c := &Credit{settings: set, net: net, log: log, files: files, events: ev, voters: map[string]endpoint{}, holders: map[ledger.Holder]endpoint{}}
+	c.leases = lease.New(set.Lease, set.Holder, net.Now())
 	if slices.Contains(set.Voters, set.Name) {
-		c.books = ledger.New()
-		c.books.Checks = set.Purse.Checks
-		c.bank = lessor.New(set.Bank, c.books, net.Now())
+		c.ledger = ledger.New()
+		c.ledger.Checks = set.Lease.Checks
+		c.lessor = lessor.New(set.Lessor, c.ledger, net.Now())
 	}
-	c.pays(set.Pays)
+	c.setPayments(set.Payments)
 	return c
 }
 
-// pays takes payments as the settings have them.
-func (c *Credit) pays(list []lessor.Pay) {
-	c.unpaid = slices.Clone(list)
-	c.digest, c.tells, c.told = Digest(list), false, 0
+// setPayments takes payments as the settings have them.
+func (c *Credit) setPayments(list []lessor.Payment) {
+	c.unconfirmed = slices.Clone(list)
+	c.paymentDigest, c.leaderLacksPayments, c.paymentsSent = PaymentDigest(list), false, 0
 }
 
-// Digest is the same for the same payments.
-func Digest(list []lessor.Pay) (sum uint64) {
+// PaymentDigest is the same for the same payments.
+func PaymentDigest(list []lessor.Payment) (sum uint64) {
 	for _, p := range list {
-		b := binary.LittleEndian.AppendUint64([]byte(p.Tenant), p.No)
+		b := binary.LittleEndian.AppendUint64([]byte(p.Tenant), p.Number)
 		sum += xxhash.Sum64(binary.LittleEndian.AppendUint64(b, uint64(p.Amount)))
 	}
 	return max(1, sum)
 }
 
-// Retune takes settings that have changed: prices, payments, who pays ahead.
-func (c *Credit) Retune(set Settings) {
-	set.Voters, set.Name, set.Holder = c.set.Voters, c.set.Name, c.set.Holder
-	c.set = set
-	c.pursed(lease.Retune{Settings: set.Purse})
-	c.pays(set.Pays)
+// UpdateSettings takes settings that have changed: prices, payments, who pays ahead.
+func (c *Credit) UpdateSettings(set Settings) {
+	set.Voters, set.Name, set.Holder = c.settings.Voters, c.settings.Name, c.settings.Holder
+	c.settings = set
+	c.handleLeaseEvent(lease.SettingsChanged{Settings: set.Lease})
+	c.setPayments(set.Payments)
 }
 
-// Hold asks to let a request in; Settle ends it.
-func (c *Credit) Hold(tenant string, class int, session uint64, parts int, tag uint64) (lease.Hold, lease.Verdict) {
-	h, v := c.purse.Hold(c.net.Now(), tenant, class, session, parts, tag)
-	if v == lease.Wait {
-		c.pursed(lease.Tick{}) // it asks at once
+// Reserve asks to let a request in; Settle ends it.
+func (c *Credit) Reserve(tenant string, class int, session uint64, parts int, tag uint64) (lease.Reservation, lease.Decision) {
+	h, v := c.leases.Reserve(c.net.Now(), tenant, class, session, parts, tag)
+	if v == lease.Queued {
+		c.handleLeaseEvent(lease.Tick{}) // it asks at once
 	}
 	return h, v
 }
 
 // Settle ends a request that was let in, and tells what it cost.
-func (c *Credit) Settle(h *lease.Hold, d lease.Done) int64 { return c.purse.Settle(h, d) }
+func (c *Credit) Settle(h *lease.Reservation, d lease.Usage) int64 { return c.leases.Settle(h, d) }
 
 // Cancel has a request wait no longer.
-func (c *Credit) Cancel(tenant string, tag uint64) { c.purse.Cancel(tenant, tag) }
+func (c *Credit) Cancel(tenant string, tag uint64) { c.leases.Cancel(tenant, tag) }
 
-// Inherit names processes that are no more and left files.
-func (c *Credit) Inherit(gone []ledger.Holder) { c.pursed(lease.Inherit{Gone: gone}) }
+// Recover names processes that are no more and left files.
+func (c *Credit) Recover(gone []ledger.Holder) { c.handleLeaseEvent(lease.Recover{Holders: gone}) }
 
-// Written tells that marks are safe.
-func (c *Credit) Written(no uint64) { c.pursed(lease.Marked{No: no}) }
+// MarksPersisted tells that marks are safe.
+func (c *Credit) MarksPersisted(no uint64) { c.handleLeaseEvent(lease.MarksPersisted{Write: no}) }
 
-// Standings tell how tenants stand here.
-func (c *Credit) Standings() []lease.Standing { return c.purse.Standings() }
+// Statuses tell how tenants stand here.
+func (c *Credit) Statuses() []lease.Status { return c.leases.Statuses() }
 
-// Books are this voter's, nil at others.
-func (c *Credit) Books() *ledger.Ledger { return c.books }
+// Ledger are this voter's, nil at others.
+func (c *Credit) Ledger() *ledger.Ledger { return c.ledger }
 
 // Apply is agreed's Machine's.
 func (c *Credit) Apply(index uint64, entry []byte) {
-	if c.bank != nil {
-		c.banked(c.bank.Apply(c.net.Now(), index, entry, nil))
+	if c.lessor != nil {
+		c.runLessorActions(c.lessor.Apply(c.net.Now(), index, entry, nil))
 	}
 }
 
 // Snapshot is agreed's Machine's.
-func (c *Credit) Snapshot() []byte { return c.books.Snapshot() }
+func (c *Credit) Snapshot() []byte { return c.ledger.Snapshot() }
 
 // Restore is agreed's Machine's.
 func (c *Credit) Restore(b []byte) error {
-	err := c.books.Restore(b)
-	c.bank.Restored(c.net.Now())
+	err := c.ledger.Restore(b)
+	c.lessor.LedgerRestored(c.net.Now())
 	return err
 }
 
-// Lead tells a voter who leads, as far as it knows; empty for nobody.
-func (c *Credit) Lead(name string) {
-	if c.leader = name; c.bank != nil {
-		c.bank.Lead(c.net.Now(), name != "" && name == c.set.Name)
+// SetLeader tells a voter who leads, as far as it knows; empty for nobody.
+func (c *Credit) SetLeader(name string) {
+	if c.leader = name; c.lessor != nil {
+		c.lessor.SetLeader(c.net.Now(), name != "" && name == c.settings.Name)
 	}
 }
 
@@ -196,20 +196,20 @@
 // UpdateMembers is part.Part's.
 func (c *Credit) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	c.self = self
-	clear(c.addrs)
+	clear(c.voters)
 	for _, r := range all {
-		if r.State <= view.Suspect && slices.Contains(c.set.Voters, r.Name) && r.ID > c.addrs[r.Name].id { // of two processes the younger
-			c.addrs[r.Name] = place{r.Addr, r.ID}
+		if r.State <= view.Suspect && slices.Contains(c.settings.Voters, r.Name) && r.ID > c.voters[r.Name].id { // of two processes the younger
+			c.voters[r.Name] = endpoint{r.Addr, r.ID}
 		}
 	}
-	for h, p := range c.back {
+	for h, p := range c.holders {
 		if !slices.ContainsFunc(all, func(r view.Record) bool { return r.ID == p.id }) {
-			delete(c.back, h)
+			delete(c.holders, h)
 		}
 	}
-	if c.bank != nil {
+	if c.lessor != nil {
 		for _, r := range all {
-			c.back[uint64(r.ID)] = place{r.Addr, r.ID}
+			c.holders[uint64(r.ID)] = endpoint{r.Addr, r.ID}
 		}
 	}
 }
@@ -217,76 +217,76 @@
 // Tick is part.Part's.
 func (c *Credit) Tick() {
 	now := c.net.Now()
-	if c.bank != nil {
-		c.banked(c.bank.Tick(now, nil))
+	if c.lessor != nil {
+		c.runLessorActions(c.lessor.Tick(now, nil))
 	}
-	c.pursed(lease.Tick{})
-	c.payments(now)
+	c.handleLeaseEvent(lease.Tick{})
+	c.sendPayments(now)
 }
 
 // Leave is part.Part's. Where files are kept what is here may be spent on by requests that still come to this process; whoever finds
 // the files tells the last words.
 func (c *Credit) Leave() {
-	if c.left = true; !c.set.Purse.Marks {
-		c.pursed(lease.Leave{})
+	if c.closing = true; !c.settings.Lease.PersistMarks {
+		c.handleLeaseEvent(lease.Shutdown{})
 	}
 }
 
 // Close tells last words: no more requests come.
 func (c *Credit) Close() {
-	c.left = true
-	c.pursed(lease.Leave{})
+	c.closing = true
+	c.handleLeaseEvent(lease.Shutdown{})
 }
 
-// payments has those that this pooler's settings have, and that the books may not, be told.
-func (c *Credit) payments(now float64) {
-	if len(c.unpaid) == 0 || now < c.paidAt || c.left {
+// sendPayments has those that this pooler's settings have, and that the books may not, be told.
+func (c *Credit) sendPayments(now float64) {
+	if len(c.unconfirmed) == 0 || now < c.nextPaymentsAt || c.closing {
 		return
 	}
-	if c.books != nil {
-		c.unpaid = slices.DeleteFunc(c.unpaid, func(p lessor.Pay) bool { return c.books.Taken(p.Tenant, p.No) })
+	if c.ledger != nil {
+		c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(p lessor.Payment) bool { return c.ledger.PaymentApplied(p.Tenant, p.Number) })
 	}
-	if c.bank != nil && c.bank.Leads() {
-		c.paidAt = now + paysEvery
-		c.banked(c.bank.Pay(now, c.unpaid, nil))
+	if c.lessor != nil && c.lessor.IsLeader() {
+		c.nextPaymentsAt = now + paymentsInterval
+		c.runLessorActions(c.lessor.AddPayments(now, c.unconfirmed, nil))
 		return
 	}
-	if c.paidAt = now + paysEvery; !c.tells {
-		c.tell(&Message{Digest: c.digest})
+	if c.nextPaymentsAt = now + paymentsInterval; !c.leaderLacksPayments {
+		c.sendToLeader(&Message{PaymentDigest: c.paymentDigest})
 		return
 	}
-	for range paysPace {
+	for range paymentMessagesPerTick {
 		m, size := &Message{}, 0
-		for ; c.told < len(c.unpaid) && size < paysBytes; c.told++ {
-			m.Pays = append(m.Pays, c.unpaid[c.told])
-			size += 24 + len(c.unpaid[c.told].Tenant)
+		for ; c.paymentsSent < len(c.unconfirmed) && size < paymentsMessageBytes; c.paymentsSent++ {
+			m.Payments = append(m.Payments, c.unconfirmed[c.paymentsSent])
+			size += 24 + len(c.unconfirmed[c.paymentsSent].Tenant)
 		}
-		if len(m.Pays) > 0 {
-			c.tell(m)
+		if len(m.Payments) > 0 {
+			c.sendToLeader(m)
 		}
 	}
-	if c.told >= len(c.unpaid) {
-		c.told = 0
+	if c.paymentsSent >= len(c.unconfirmed) {
+		c.paymentsSent = 0
 		return
 	}
-	c.paidAt = now
+	c.nextPaymentsAt = now
 }
 
-// tell tells whoever leads.
-func (c *Credit) tell(m *Message) {
-	m.Who = c.set.Holder
-	if c.leader == c.set.Name && c.bank != nil {
-		c.lead(c.set.Holder, m)
+// sendToLeader tells whoever leads.
+func (c *Credit) sendToLeader(m *Message) {
+	m.Holder = c.settings.Holder
+	if c.leader == c.settings.Name && c.lessor != nil {
+		c.handleAsLeader(c.settings.Holder, m)
 		return
 	}
-	p, ok := c.addrs[c.leader]
-	if now := c.net.Now(); !ok || c.bank == nil && now-c.heard > 2*c.set.Purse.Renew { // whoever votes may know
-		c.heard = now
-		for range c.set.Voters {
-			c.next = (c.next + 1) % len(c.set.Voters)
-			if p, ok = c.addrs[c.set.Voters[c.next]]; ok && c.set.Voters[c.next] != c.set.Name {
-				if c.bank == nil {
-					c.leader = c.set.Voters[c.next]
+	p, ok := c.voters[c.leader]
+	if now := c.net.Now(); !ok || c.lessor == nil && now-c.leaderContactAt > 2*c.settings.Lease.RenewInterval { // whoever votes may know
+		c.leaderContactAt = now
+		for range c.settings.Voters {
+			c.nextVoter = (c.nextVoter + 1) % len(c.settings.Voters)
+			if p, ok = c.voters[c.settings.Voters[c.nextVoter]]; ok && c.settings.Voters[c.nextVoter] != c.settings.Name {
+				if c.lessor == nil {
+					c.leader = c.settings.Voters[c.nextVoter]
 				}
 				break
 			}
@@ -305,119 +305,119 @@
 	switch {
 	case m.Reply:
 		if m.Leader != "" {
-			if slices.Contains(c.set.Voters, m.Leader) && c.bank == nil {
+			if slices.Contains(c.settings.Voters, m.Leader) && c.lessor == nil {
 				c.leader = m.Leader
 			}
 			return
 		}
-		c.heard = now
-		c.reply(m)
-	case c.bank == nil:
-	case !c.bank.Leads():
-		if p := c.placeOf(from); p.addr != "" && c.leader != "" && c.leader != c.set.Name {
-			c.net.Send(p.addr, p.id, module.KindCredit, &Message{Reply: true, Who: m.Who, Leader: c.leader})
+		c.leaderContactAt = now
+		c.handleReply(m)
+	case c.lessor == nil:
+	case !c.lessor.IsLeader():
+		if p := c.endpointOf(from); p.addr != "" && c.leader != "" && c.leader != c.settings.Name {
+			c.net.Send(p.addr, p.id, module.KindCredit, &Message{Reply: true, Holder: m.Holder, Leader: c.leader})
 		}
 	default:
-		c.back[m.Who] = c.placeOf(from)
-		c.lead(m.Who, m)
+		c.holders[m.Holder] = c.endpointOf(from)
+		c.handleAsLeader(m.Holder, m)
 	}
 }
 
-func (c *Credit) placeOf(id view.ID) place { return c.back[uint64(id)] }
+func (c *Credit) endpointOf(id view.ID) endpoint { return c.holders[uint64(id)] }
 
-// lead does what a pooler asks of who leads.
-func (c *Credit) lead(who ledger.Holder, m *Message) {
+// handleAsLeader does what a pooler asks of who leads.
+func (c *Credit) handleAsLeader(who ledger.Holder, m *Message) {
 	now := c.net.Now()
-	if len(m.Asks) > 0 {
-		c.banked(c.bank.Heard(now, who, m.Asks, nil))
+	if len(m.Requests) > 0 {
+		c.runLessorActions(c.lessor.HandleRequests(now, who, m.Requests, nil))
 	}
-	if m.Digest > 0 {
-		r := &Message{Reply: true, Digest: c.digest}
-		if all := !slices.ContainsFunc(c.unpaid, func(p lessor.Pay) bool { return !c.books.Taken(p.Tenant, p.No) }); all || m.Digest != c.digest {
-			c.reach(who, r)
+	if m.PaymentDigest > 0 {
+		r := &Message{Reply: true, PaymentDigest: c.paymentDigest}
+		if all := !slices.ContainsFunc(c.unconfirmed, func(p lessor.Payment) bool { return !c.ledger.PaymentApplied(p.Tenant, p.Number) }); all || m.PaymentDigest != c.paymentDigest {
+			c.sendToHolder(who, r)
 		}
 	}
-	if len(m.Pays) > 0 {
+	if len(m.Payments) > 0 {
 		r := &Message{Reply: true}
-		for _, p := range m.Pays {
-			if c.books.Taken(p.Tenant, p.No) {
-				r.Pays = append(r.Pays, p)
+		for _, p := range m.Payments {
+			if c.ledger.PaymentApplied(p.Tenant, p.Number) {
+				r.Payments = append(r.Payments, p)
 			}
 		}
-		c.reach(who, r)
-		c.banked(c.bank.Pay(now, m.Pays, nil))
+		c.sendToHolder(who, r)
+		c.runLessorActions(c.lessor.AddPayments(now, m.Payments, nil))
 	}
 }
 
-// reach tells a pooler.
-func (c *Credit) reach(who ledger.Holder, m *Message) {
-	if m.Who = who; who == c.set.Holder {
-		c.reply(m)
-	} else if p := c.back[who]; p.addr != "" {
+// sendToHolder tells a pooler.
+func (c *Credit) sendToHolder(who ledger.Holder, m *Message) {
+	if m.Holder = who; who == c.settings.Holder {
+		c.handleReply(m)
+	} else if p := c.holders[who]; p.addr != "" {
 		c.net.Send(p.addr, p.id, module.KindCredit, m)
 	}
 }
 
-// reply takes the leader's word.
-func (c *Credit) reply(m *Message) {
-	if len(m.Answers) > 0 {
-		c.pursed(lease.Heard{Answers: m.Answers})
+// handleReply takes the leader's word.
+func (c *Credit) handleReply(m *Message) {
+	if len(m.Responses) > 0 {
+		c.handleLeaseEvent(lease.ResponsesReceived{Responses: m.Responses})
 	}
 	switch {
-	case m.Digest == 0:
-	case m.Digest == c.digest:
-		c.unpaid = nil
-	case !c.tells:
-		c.tells, c.paidAt = true, 0
+	case m.PaymentDigest == 0:
+	case m.PaymentDigest == c.paymentDigest:
+		c.unconfirmed = nil
+	case !c.leaderLacksPayments:
+		c.leaderLacksPayments, c.nextPaymentsAt = true, 0
 	}
-	if len(m.Pays) > 0 {
-		n := len(c.unpaid)
-		c.unpaid = slices.DeleteFunc(c.unpaid, func(p lessor.Pay) bool { return slices.Contains(m.Pays, p) })
-		c.told = max(0, min(c.told-(n-len(c.unpaid)), len(c.unpaid)))
+	if len(m.Payments) > 0 {
+		n := len(c.unconfirmed)
+		c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(p lessor.Payment) bool { return slices.Contains(m.Payments, p) })
+		c.paymentsSent = max(0, min(c.paymentsSent-(n-len(c.unconfirmed)), len(c.unconfirmed)))
 	}
 }
 
-func (c *Credit) banked(acts []lessor.Action) {
+func (c *Credit) runLessorActions(acts []lessor.Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case lessor.Propose:
 			c.log.Propose(a.Entry)
-		case lessor.Answer:
-			for _, x := range packed(a.Answers, func(x *message.Answer) int { return 64 + len(x.Key.Tenant) }) {
-				c.reach(a.To, &Message{Reply: true, Answers: x})
+		case lessor.Respond:
+			for _, x := range splitByDatagram(a.Responses, func(x *message.Response) int { return 64 + len(x.Key.Tenant) }) {
+				c.sendToHolder(a.To, &Message{Reply: true, Responses: x})
 			}
 		}
 	}
 }
 
-func (c *Credit) pursed(e lease.Event) {
-	acts := c.purse.Handle(c.net.Now(), e, c.acts[:0])
-	c.acts = nil // who is told may tell again
+func (c *Credit) handleLeaseEvent(e lease.Event) {
+	acts := c.leases.Handle(c.net.Now(), e, c.actionBuffer[:0])
+	c.actionBuffer = nil // who is told may tell again
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
-		case lease.Tell:
-			for _, x := range packed(a.Asks, func(x *message.Ask) int { return 80 + len(x.Key.Tenant) }) {
-				c.tell(&Message{Asks: x})
+		case lease.SendRequests:
+			for _, x := range splitByDatagram(a.Requests, func(x *message.Request) int { return 80 + len(x.Key.Tenant) }) {
+				c.sendToLeader(&Message{Requests: x})
 			}
 		case lease.Admit:
-			c.events.Admit(a.Tag, a.Hold)
-		case lease.Turn:
-			c.events.Turn(a.Tag)
-		case lease.Write:
-			c.files.Write(a.No, a.Marks)
-		case lease.Read:
+			c.events.Admit(a.Tag, a.Reservation)
+		case lease.Reject:
+			c.events.Reject(a.Tag)
+		case lease.PersistMarks:
+			c.files.Write(a.Write, a.Marks)
+		case lease.ReadMarks:
 			h := a.Holder
-			c.files.Read(h, func(m []lease.Mark) { c.pursed(lease.Found{Holder: h, Marks: m}) })
-		case lease.Erase:
+			c.files.Read(h, func(m []lease.HighWaterMark) { c.handleLeaseEvent(lease.MarksRead{Holder: h, Marks: m}) })
+		case lease.EraseMarks:
 			c.files.Erase(a.Holder)
 		}
 	}
 	clear(acts)
-	c.acts = acts
+	c.actionBuffer = acts
 }
 
-// packed cuts a list so that each part fits a datagram.
-func packed[T any](list []T, size func(*T) int) (out [][]T) {
+// splitByDatagram cuts a list so that each part fits a datagram.
+func splitByDatagram[T any](list []T, size func(*T) int) (out [][]T) {
 	n := 0
 	for i := range list {
 		s := size(&list[i])
@@ -429,7 +429,7 @@
 	return out
 }
 
-// ByNumber has payments in the order of tenants and numbers.
-func ByNumber(a, b lessor.Pay) int {
-	return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.No, b.No))
+// ComparePayments has payments in the order of tenants and numbers.
+func ComparePayments(a, b lessor.Payment) int {
+	return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Number, b.Number))
 }
--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -100,7 +100,7 @@
 		return
 	}
 	f.at(wayMs+f.rng.Float64(), func() {
-		m, err := Read(b)
+		m, err := DecodeMessage(b)
 		if err != nil {
 			f.t.Fatal(err)
 		}
@@ -126,18 +126,18 @@
 }
 
 func (n *node) catch() {
-	for n.c.books != nil && !n.dead && n.has < len(n.f.log) && (n.f.cut == nil || !n.f.cut(n.no)) {
+	for n.c.ledger != nil && !n.dead && n.has < len(n.f.log) && (n.f.cut == nil || !n.f.cut(n.no)) {
 		n.has++
 		n.c.Apply(uint64(n.has), n.f.log[n.has-1])
 	}
 }
 
-func (n *node) Admit(tag uint64, h lease.Hold) {
+func (n *node) Admit(tag uint64, h lease.Reservation) {
 	delete(n.wait, tag)
 	n.f.serve(n, h)
 }
 
-func (n *node) Turn(tag uint64) {
+func (n *node) Reject(tag uint64) {
 	delete(n.wait, tag)
 	n.f.refuse()
 }
@@ -148,20 +148,20 @@
 	}
 }
 
-func (f *fleet) serve(n *node, h lease.Hold) {
+func (f *fleet) serve(n *node, h lease.Reservation) {
 	f.served++
 	f.passedAt[n.no] = f.now
 	f.charged += h.Amount
-	f.at(serveMs, func() { n.c.Settle(&h, lease.Done{Served: 1}) })
+	f.at(serveMs, func() { n.c.Settle(&h, lease.Usage{Served: 1}) })
 }
 
 // ask has a client ask a pooler.
 func (f *fleet) ask(n *node, tenant string, class int) {
 	f.asked++
-	switch h, v := n.c.Hold(tenant, class, uint64(f.asked), 1, uint64(f.asked)); v {
-	case lease.Pass:
+	switch h, v := n.c.Reserve(tenant, class, uint64(f.asked), 1, uint64(f.asked)); v {
+	case lease.Admitted:
 		f.serve(n, h)
-	case lease.Wait:
+	case lease.Queued:
 		if f.waited++; f.firstRefusal < 0 && f.charged < f.ample {
 			f.early++
 		}
@@ -179,11 +179,11 @@
 		all = append(all, view.Record{ID: view.ID(i + 1), Name: fmt.Sprintf("p%d", i), Addr: fmt.Sprint(i)})
 	}
 	for i := range poolers {
-		s := Settings{Purse: lease.Defaults(), Bank: lessor.Defaults(), Voters: []string{"p0", "p1", "p2"}, Name: all[i].Name, Holder: ledger.Holder(1000 + i)}
-		s.Purse.Classes = []lease.Class{{Price: lease.Price{Request: 1}, Worth: 1}}
-		s.Purse.Prepaid = []string{"t"}
-		s.Purse.Checks = invariant.Test(t)
-		s.Bank.Ends = s.Purse.Ends()
+		s := Settings{Lease: lease.Defaults(), Lessor: lessor.Defaults(), Voters: []string{"p0", "p1", "p2"}, Name: all[i].Name, Holder: ledger.Holder(1000 + i)}
+		s.Lease.Classes = []lease.Class{{Price: lease.Price{PerRequest: 1}, PriorityWeight: 1}}
+		s.Lease.PrepaidTenants = []string{"t"}
+		s.Lease.Checks = invariant.Test(t)
+		s.Lessor.ExpiryDelay = s.Lease.ExpiryDelay()
 		if change != nil {
 			change(&s)
 		}
@@ -207,7 +207,7 @@
 func (f *fleet) lead(i int) {
 	f.leader = i
 	for _, n := range f.nodes[:3] {
-		n.c.Lead(fmt.Sprintf("p%d", i))
+		n.c.SetLeader(fmt.Sprintf("p%d", i))
 	}
 }
 
@@ -236,7 +236,7 @@
 func even(int) float64     { return 1 }
 func skewed(i int) float64 { return 1 / float64(1+i) }
 
-func pay(list ...lessor.Pay) func(s *Settings) { return func(s *Settings) { s.Pays = list } }
+func pay(list ...lessor.Payment) func(s *Settings) { return func(s *Settings) { s.Payments = list } }
 
 // check holds what was charged to what was paid.
 func (f *fleet) check(paid int64) {
@@ -245,7 +245,7 @@
 		f.t.Errorf("%d are charged, of %d paid", f.charged, paid)
 	}
 	for _, n := range f.nodes[:3] {
-		if err := n.c.Books().Check(); err != nil {
+		if err := n.c.Ledger().Check(); err != nil {
 			f.t.Error(err)
 		}
 	}
@@ -257,7 +257,7 @@
 	for _, poolers := range []int{8, 100, 300} {
 		for name, weight := range map[string]func(int) float64{"even": even, "skewed": skewed} {
 			const funds, rate = 20000, 1000
-			f := newFleet(t, poolers, pay(lessor.Pay{Tenant: "t", No: 1, Amount: funds}))
+			f := newFleet(t, poolers, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: funds}))
 			f.ample = funds * 9 / 10
 			f.run(2000)
 			f.load(rate, 30000, weight, nil)
@@ -276,7 +276,7 @@
 // TestTenRequests has 300 poolers want the funds for ten.
 func TestTenRequests(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, 300, pay(lessor.Pay{Tenant: "t", No: 1, Amount: 10}))
+	f := newFleet(t, 300, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: 10}))
 	f.run(2000)
 	f.load(300, 8000, even, nil)
 	f.run(9000)
@@ -290,18 +290,18 @@
 func TestPaymentOpens(t *testing.T) {
 	t.Parallel()
 	for _, poolers := range []int{8, 100, 300} {
-		f := newFleet(t, poolers, pay(lessor.Pay{Tenant: "t", No: 1, Amount: 500}))
+		f := newFleet(t, poolers, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: 500}))
 		f.run(2000)
 		f.load(float64(10*poolers), 20000, even, nil)
 		f.run(10000)
 		f.check(500)
 		reads := f.nodes[poolers-1] // one that does not vote, where there are others
-		s := reads.c.set
-		s.Pays = append(slices.Clone(s.Pays), lessor.Pay{Tenant: "t", No: 2, Amount: 1_000_000})
+		s := reads.c.settings
+		s.Payments = append(slices.Clone(s.Payments), lessor.Payment{Tenant: "t", Number: 2, Amount: 1_000_000})
 		first := map[int]float64{}
 		at := f.now
 		clear(f.passedAt)
-		reads.c.Retune(s)
+		reads.c.UpdateSettings(s)
 		for len(first) < poolers && f.now < at+8000 {
 			f.run(f.now + 10)
 			for i, x := range f.passedAt {
@@ -331,28 +331,30 @@
 	f    *fleet
 	of   ledger.Holder
 	to   func(no uint64)
-	kept map[ledger.Holder][]lease.Mark
+	kept map[ledger.Holder][]lease.HighWaterMark
 }
 
-func (d *disk) Write(no uint64, m []lease.Mark) {
+func (d *disk) Write(no uint64, m []lease.HighWaterMark) {
 	d.f.at(2, func() { d.kept[d.of] = m; d.to(no) })
 }
-func (d *disk) Read(h ledger.Holder, do func([]lease.Mark)) { d.f.at(2, func() { do(d.kept[h]) }) }
-func (d *disk) Erase(h ledger.Holder)                       { delete(d.kept, h) }
+func (d *disk) Read(h ledger.Holder, do func([]lease.HighWaterMark)) {
+	d.f.at(2, func() { do(d.kept[h]) })
+}
+func (d *disk) Erase(h ledger.Holder) { delete(d.kept, h) }
 
 // TestFilesFound has processes crash with what they hold, and others find their files: nothing stays stranded, and what was in flight alone is
 // charged without having been done, beside what the marks were ahead.
 func TestFilesFound(t *testing.T) {
 	t.Parallel()
-	kept := map[ledger.Holder][]lease.Mark{}
+	kept := map[ledger.Holder][]lease.HighWaterMark{}
 	f := newFleet(t, 8, func(s *Settings) {
-		s.Pays = []lessor.Pay{{Tenant: "t", No: 1, Amount: 100000}}
-		s.Purse.Marks = true
+		s.Payments = []lessor.Payment{{Tenant: "t", Number: 1, Amount: 100000}}
+		s.Lease.PersistMarks = true
 	})
 	for _, n := range f.nodes {
-		n.c.files = &disk{f, n.c.set.Holder, func(no uint64) {
+		n.c.files = &disk{f, n.c.settings.Holder, func(no uint64) {
 			if !n.dead {
-				n.c.Written(no)
+				n.c.MarksPersisted(no)
 			}
 		}, kept}
 	}
@@ -366,9 +368,9 @@
 		most += int64(len(kept[h])) * 500
 	}
 	f.run(9000)
-	f.nodes[5].c.Inherit(crash)
+	f.nodes[5].c.Recover(crash)
 	f.run(40000)
-	b := f.nodes[0].c.Books().Tenant("t")
+	b := f.nodes[0].c.Ledger().Tenant("t")
 	t.Logf("served %d, %+v", f.charged, b)
 	if b.Stranded != 0 || kept[1003] != nil || kept[1004] != nil {
 		t.Errorf("stranded %d, files %v", b.Stranded, kept)
@@ -382,11 +384,11 @@
 func TestManyTenants(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 30, func(s *Settings) {
-		s.Purse.Prepaid, s.Purse.Checks = nil, nil
+		s.Lease.PrepaidTenants, s.Lease.Checks = nil, nil
 		for i := range 10000 {
 			name := fmt.Sprintf("t%d", i)
-			s.Purse.Prepaid = append(s.Purse.Prepaid, name)
-			s.Pays = append(s.Pays, lessor.Pay{Tenant: name, No: 1, Amount: 1000})
+			s.Lease.PrepaidTenants = append(s.Lease.PrepaidTenants, name)
+			s.Payments = append(s.Payments, lessor.Payment{Tenant: name, Number: 1, Amount: 1000})
 		}
 	})
 	f.run(6000)
@@ -400,7 +402,7 @@
 		f.at(float64(i), next)
 	}
 	f.run(16000)
-	tenants, accounts := f.nodes[0].c.Books().Size()
+	tenants, accounts := f.nodes[0].c.Ledger().Size()
 	t.Logf("%d requests, %d waited, %d refused; %d tenants, %d accounts; %.1f entries and %.0f bytes a second, snapshot of %d bytes", f.asked, f.waited, f.refused, tenants, accounts,
 		float64(f.entries-entries)/10, float64(f.bytes-bytes)/10, len(f.nodes[0].c.Snapshot()))
 	if tenants != 10000 || accounts > 100*30*2 || f.refused > 0 {
@@ -415,7 +417,7 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		funds := int64(2000 + rng.IntN(4000))
-		f := newFleet(t, 12, pay(lessor.Pay{Tenant: "t", No: 1, Amount: funds}))
+		f := newFleet(t, 12, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: funds}))
 		f.rng = rand.New(rand.NewPCG(seed, 4))
 		f.run(1000)
 		f.load(600, 14000, even, func(i int) bool { return f.now > f.nodes[i].late })
@@ -429,7 +431,7 @@
 		}
 		f.run(40000)
 		f.check(funds)
-		if b := f.nodes[f.leader].c.Books().Tenant("t"); b.Spent+b.Stranded+b.Lent < f.charged || b.Paid != funds {
+		if b := f.nodes[f.leader].c.Ledger().Tenant("t"); b.Spent+b.Stranded+b.Lent < f.charged || b.Paid != funds {
 			t.Errorf("seed %d: charged %d, books %+v", seed, f.charged, b)
 		}
 	}
@@ -442,8 +444,8 @@
 	const price, funds, poolers = 10, 100, 8
 	for seed := range uint64(200) {
 		f := newFleet(t, poolers, func(s *Settings) {
-			s.Purse.Classes = []lease.Class{{Price: lease.Price{Request: price}, Worth: 1}}
-			s.Pays = []lessor.Pay{{Tenant: "t", No: 1, Amount: funds}}
+			s.Lease.Classes = []lease.Class{{Price: lease.Price{PerRequest: price}, PriorityWeight: 1}}
+			s.Payments = []lessor.Payment{{Tenant: "t", Number: 1, Amount: funds}}
 		})
 		f.rng = rand.New(rand.NewPCG(seed, 11))
 		f.run(2000)
--- a/internal/cluster/credit/lease/api.go
+++ b/internal/cluster/credit/lease/api.go
@@ -37,103 +37,105 @@
 
 // Price is what a request of a class costs, in the operators' unit.
 type Price struct {
-	Request int64
-	Row     int64 // each row of an answer
-	Second  int64 // each second of a server's work
-	Most    int64 // what is held, and charged at most; Request, where it is less
-	Failed  bool  // one that failed costs Request
+	PerRequest   int64
+	PerRow       int64 // each row of an answer
+	PerSecond    int64 // each second of a server's work
+	Max          int64 // what is held, and charged at most; Request, where it is less
+	ChargeFailed bool  // one that failed costs Request
 }
 
-func (p *Price) held(parts int) int64 { return max(p.Request, p.Most) * int64(max(1, parts)) }
+func (p *Price) reservation(parts int) int64 { return max(p.PerRequest, p.Max) * int64(max(1, parts)) }
 
 // Class is one, as far as credit goes.
 type Class struct {
 	Price
-	Worth float64
-	Depth int64 // how far below nothing its tenant's balance may go for it
+	PriorityWeight float64
+	Overdraft      int64 // how far below nothing its tenant's balance may go for it
 }
 
 // Settings say how a purse is kept. Times are in ms.
 type Settings struct {
-	Lease   float64 // from the ask that is answered
-	Renew   float64 // between two asks about one account where nothing is needed, and an ask's patience
-	Soon    float64 // the same where something is
-	Dry     float64 // between two asks for what there was nothing of
-	Span    float64 // of spending that is asked for
-	Idle    float64 // a tenant that spends nothing for so long has none
-	Wait    float64 // that a request may wait for
-	Drift   float64 // part of a span by which a clock may be off
-	Grace   float64 // added to what a voter waits before an end
-	Step    float64
-	Below   float64 // part of what there was after the last payment, below which a tenant is slowed; 0 for never
-	Least   float64 // part of what it would spend that one that is slowed may at least
-	Marks   bool
-	Classes []Class
-	Prepaid []string // tenants; others pay nothing
-	Checks  *invariant.Checks
-
-	FromAnswer bool // a mutant: ends count from the answer's arrival
+	Duration          float64 // from the ask that is answered
+	RenewInterval     float64 // between two asks about one account where nothing is needed, and an ask's patience
+	UrgentInterval    float64 // the same where something is
+	ExhaustedInterval float64 // between two asks for what there was nothing of
+	GrantHorizon      float64 // of spending that is asked for
+	IdleTimeout       float64 // a tenant that spends nothing for so long has none
+	QueueTimeout      float64 // that a request may wait for
+	ClockDrift        float64 // part of a span by which a clock may be off
+	Grace             float64 // added to what a voter waits before an end
+	TickInterval      float64
+	ThrottleBelow     float64 // part of what there was after the last payment, below which a tenant is slowed; 0 for never
+	MinThrottledShare float64 // part of what it would spend that one that is slowed may at least
+	PersistMarks      bool
+	Classes           []Class
+	PrepaidTenants    []string // tenants; others pay nothing
+	Checks            *invariant.Checks
+
+	ExpireFromResponse bool // a mutant: ends count from the answer's arrival
 }
 
 // Defaults are for a fleet within one region or a few.
 func Defaults() Settings {
-	return Settings{Lease: 10000, Renew: 1000, Soon: 100, Dry: 400, Span: 2000, Idle: 5000, Wait: 250, Drift: 0.001, Grace: 500, Step: 50, Least: 0.25}
+	return Settings{Duration: 10000, RenewInterval: 1000, UrgentInterval: 100, ExhaustedInterval: 400, GrantHorizon: 2000, IdleTimeout: 5000, QueueTimeout: 250, ClockDrift: 0.001, Grace: 500, TickInterval: 50, MinThrottledShare: 0.25}
 }
 
-// Stretch is how long one must wait by its clock for a span of another's to be over.
-func (s *Settings) Stretch(ms float64) float64 { return ms * (1 + s.Drift) / (1 - s.Drift) }
+// StretchForDrift is how long one must wait by its clock for a span of another's to be over.
+func (s *Settings) StretchForDrift(ms float64) float64 {
+	return ms * (1 + s.ClockDrift) / (1 - s.ClockDrift)
+}
 
-// Ends is how long a voter waits, from when it applied an account's last Seq itself, before it proposes the account's end.
-func (s *Settings) Ends() float64 { return s.Stretch(s.Lease) + s.Grace }
+// ExpiryDelay is how long a voter waits, from when it applied an account's last Seq itself, before it proposes the account's end.
+func (s *Settings) ExpiryDelay() float64 { return s.StretchForDrift(s.Duration) + s.Grace }
 
-// Opens bounds the time from when the log has a payment until a tenant whose funds were out is let in at a pooler that hears the leader: its
+// PaymentPropagation bounds the time from when the log has a payment until a tenant whose funds were out is let in at a pooler that hears the leader: its
 // next ask, the leader's beat and the log's round, the answer.
-func (s *Settings) Opens(beat, commit, delay float64) float64 {
-	return s.Dry + 2*s.Step + beat + commit + 2*delay
+func (s *Settings) PaymentPropagation(beat, commit, delay float64) float64 {
+	return s.ExhaustedInterval + 2*s.TickInterval + beat + commit + 2*delay
 }
 
-// MostWaits bounds the requests of one tenant that wait.
-const MostWaits = 1024
+// MaxQueued bounds the requests of one tenant that wait.
+const MaxQueued = 1024
 
-// Verdict is about a request.
-type Verdict uint8
+// Decision is about a request.
+type Decision uint8
 
 // The verdicts.
 const (
-	Pass Verdict = iota
-	Wait         // Admit or Turn will tell
-	Slow         // the tenant's funds run low, and this request is among its least
-	None         // its funds are out
+	Admitted  Decision = iota
+	Queued             // Admit or Turn will tell
+	Throttled          // the tenant's funds run low, and this request is among its least
+	Exhausted          // its funds are out
 )
 
-func (v Verdict) String() string {
-	return [...]string{"pass", "wait", "slowed", "no funds"}[min(v, None)]
+func (v Decision) String() string {
+	return [...]string{"pass", "wait", "slowed", "no funds"}[min(v, Exhausted)]
 }
 
-// Hold is what is held for a request that was let in; Settle gives it up.
-type Hold struct {
-	Tenant string
-	Depth  int64
-	Gen    uint32
-	Amount int64
-	Price  Price // as it was
+// Reservation is what is held for a request that was let in; Settle gives it up.
+type Reservation struct {
+	Tenant     string
+	Overdraft  int64
+	Generation uint32
+	Amount     int64
+	Price      Price // as it was
 }
 
-// Done is what came of a request: of a scattered one, of its parts.
-type Done struct {
+// Usage is what came of a request: of a scattered one, of its parts.
+type Usage struct {
 	Served, Failed int
 	Rows           int64
 	Seconds        float64
 }
 
-// Cost is what is charged.
-func (h *Hold) Cost(d Done) int64 {
-	n := int64(d.Served) * h.Price.Request
-	if h.Price.Failed {
-		n += int64(d.Failed) * h.Price.Request
+// Charge is what is charged.
+func (h *Reservation) Charge(d Usage) int64 {
+	n := int64(d.Served) * h.Price.PerRequest
+	if h.Price.ChargeFailed {
+		n += int64(d.Failed) * h.Price.PerRequest
 	}
 	if d.Served > 0 {
-		n += h.Price.Row*max(0, d.Rows) + int64(float64(h.Price.Second)*max(0, d.Seconds))
+		n += h.Price.PerRow*max(0, d.Rows) + int64(float64(h.Price.PerSecond)*max(0, d.Seconds))
 	}
 	return max(0, min(n, h.Amount))
 }
@@ -144,37 +146,37 @@
 // Tick tells that the time asked for has come.
 type Tick struct{}
 
-// Heard is answers that came from the leader.
-type Heard struct{ Answers []message.Answer }
+// ResponsesReceived is answers that came from the leader.
+type ResponsesReceived struct{ Responses []message.Response }
 
-// Retune brings settings that have changed.
-type Retune struct{ Settings Settings }
+// SettingsChanged brings settings that have changed.
+type SettingsChanged struct{ Settings Settings }
 
-// Marked tells that marks are safely written, up to this one.
-type Marked struct{ No uint64 }
+// MarksPersisted tells that marks are safely written, up to this one.
+type MarksPersisted struct{ Write uint64 }
 
-// Inherit names processes that are no more and left files.
-type Inherit struct{ Gone []ledger.Holder }
+// Recover names processes that are no more and left files.
+type Recover struct{ Holders []ledger.Holder }
 
-// Found is what such a file has, read after Read.
-type Found struct {
+// MarksRead is what such a file has, read after Read.
+type MarksRead struct {
 	Holder ledger.Holder
-	Marks  []Mark
+	Marks  []HighWaterMark
 }
 
-// Leave tells that nothing is spent any more.
-type Leave struct{}
+// Shutdown tells that nothing is spent any more.
+type Shutdown struct{}
 
-func (Tick) event()    {}
-func (Heard) event()   {}
-func (Retune) event()  {}
-func (Marked) event()  {}
-func (Inherit) event() {}
-func (Found) event()   {}
-func (Leave) event()   {}
+func (Tick) event()              {}
+func (ResponsesReceived) event() {}
+func (SettingsChanged) event()   {}
+func (MarksPersisted) event()    {}
+func (Recover) event()           {}
+func (MarksRead) event()         {}
+func (Shutdown) event()          {}
 
-// Mark is the most of an account that may have been spent.
-type Mark struct {
+// HighWaterMark is the most of an account that may have been spent.
+type HighWaterMark struct {
 	Key   ledger.Key `json:"Key"`
 	Spent int64      `json:"Spent"`
 }
@@ -184,32 +186,32 @@
 
 // The actions.
 const (
-	Tell  ActionKind = iota // Asks go to the leader
-	Admit                   // the request of Tag may go on, with Hold
-	Turn                    // the request of Tag is refused
-	Write                   // Marks, all that there are, are to be written under No
-	Read                    // the file of Holder is to be read, by Found
-	Erase                   // the file of Holder has served
+	SendRequests ActionKind = iota // Asks go to the leader
+	Admit                          // the request of Tag may go on, with Hold
+	Reject                         // the request of Tag is refused
+	PersistMarks                   // Marks, all that there are, are to be written under No
+	ReadMarks                      // the file of Holder is to be read, by Found
+	EraseMarks                     // the file of Holder has served
 )
 
 // Action is something a purse asks for.
 type Action struct {
-	Kind  ActionKind
-	Asks  []message.Ask
-	Tag   uint64
-	Hold  Hold
-	Marks []Mark
-	No    uint64
+	Kind        ActionKind
+	Requests    []message.Request
+	Tag         uint64
+	Reservation Reservation
+	Marks       []HighWaterMark
+	Write       uint64
 
 	Holder ledger.Holder
 }
 
-// Standing is how a tenant stands here, for those who look.
-type Standing struct {
-	Tenant     string
-	Free, Held int64
-	Left, Full int64
-	Waiting    int
-	Until      float64
-	Dry        bool
+// Status is how a tenant stands here, for those who look.
+type Status struct {
+	Tenant                        string
+	Free, Reserved                int64
+	Available, AvailableAtPayment int64
+	Queued                        int
+	ExpiresAt                     float64
+	Exhausted                     bool
 }
--- a/internal/cluster/credit/lease/look.go
+++ b/internal/cluster/credit/lease/look.go
@@ -2,32 +2,32 @@
 
 import "fmt"
 
-// check makes the statements about all accounts.
-func (p *Purse) check() {
-	if !p.set.Checks.On() {
+// checkInvariants makes the statements about all accounts.
+func (p *Manager) checkInvariants() {
+	if !p.settings.Checks.On() {
 		return
 	}
-	for _, t := range p.list {
-		for _, o := range t.pots {
-			a := &o.cur
-			p.set.Checks.That(a.free() >= 0 && a.held >= 0 && a.spent >= 0, "credit: no more is held and spent than was granted", func() string {
-				return fmt.Sprintf("tenant %q, account %d: granted %d, given back %d, spent %d, held %d", t.name, a.gen, a.granted, a.returned, a.spent, a.held)
+	for _, tenant := range p.active {
+		for _, lease := range tenant.leases {
+			a := &lease.current
+			p.settings.Checks.That(a.free() >= 0 && a.reserved >= 0 && a.spent >= 0, "credit: no more is held and spent than was granted", func() string {
+				return fmt.Sprintf("tenant %q, account %d: granted %d, given back %d, spent %d, held %d", tenant.name, a.generation, a.granted, a.returned, a.spent, a.reserved)
 			})
-			p.set.Checks.That(!p.set.Marks || a.spent+a.held <= a.mark, "credit: no more is spent than is marked", func() string {
-				return fmt.Sprintf("tenant %q, account %d: spent %d, held %d, marked %d", t.name, a.gen, a.spent, a.held, a.mark)
+			p.settings.Checks.That(!p.settings.PersistMarks || a.spent+a.reserved <= a.persistedMark, "credit: no more is spent than is marked", func() string {
+				return fmt.Sprintf("tenant %q, account %d: spent %d, held %d, marked %d", tenant.name, a.generation, a.spent, a.reserved, a.persistedMark)
 			})
 		}
 	}
 }
 
-// Standings tell how tenants stand here.
-func (p *Purse) Standings() (out []Standing) {
-	for _, t := range p.list {
-		s := Standing{Tenant: t.name, Left: t.left, Full: t.full, Waiting: len(t.waits), Dry: p.now < t.dry}
-		for _, o := range t.pots {
-			s.Free += o.cur.free()
-			s.Held += o.cur.held
-			s.Until = max(s.Until, o.cur.till)
+// Statuses tell how tenants stand here.
+func (p *Manager) Statuses() (out []Status) {
+	for _, tenant := range p.active {
+		s := Status{Tenant: tenant.name, Available: tenant.available, AvailableAtPayment: tenant.availableAtPayment, Queued: len(tenant.queue), Exhausted: p.now < tenant.exhaustedUntil}
+		for _, lease := range tenant.leases {
+			s.Free += lease.current.free()
+			s.Reserved += lease.current.reserved
+			s.ExpiresAt = max(s.ExpiresAt, lease.current.expiresAt)
 		}
 		out = append(out, s)
 	}
--- a/internal/cluster/credit/lease/purse.go
+++ b/internal/cluster/credit/lease/purse.go
@@ -11,112 +11,114 @@
 )
 
 const (
-	askMemory = 16   // asks about an account whose answers still carry its end on
-	flowMs    = 1000 // memory of what is spent
-	tooMuch   = 3    // times what is wanted, that is given back unasked
-	markPart  = 4    // of what is free, that a mark goes up by
+	maxUnanswered   = 16   // asks about an account whose answers still carry its end on
+	rateWindowMs    = 1000 // memory of what is spent
+	excessFactor    = 3    // times what is wanted, that is given back unasked
+	markStepDivisor = 4    // of what is free, that a mark goes up by
 )
 
-// Purse is one process's side of credit.
-type Purse struct {
-	set     Settings
-	self    ledger.Holder
-	now     float64
-	gen     uint32
-	prepaid map[string]bool
-	order   []int // classes, the most worth for their price first
-	tenants map[string]*tenant
-	list    []*tenant // those with anything here, in the order that they came in
-	wills   []will
-	out     []Action
-	markNo  uint64
-	left    bool
+// Manager is one process's side of credit.
+type Manager struct {
+	settings       Settings
+	self           ledger.Holder
+	now            float64
+	lastGeneration uint32
+	prepaid        map[string]bool
+	classesByValue []int // classes, the most worth for their price first
+	tenants        map[string]*tenantState
+	active         []*tenantState // those with anything here, in the order that they came in
+	claims         []settlementClaim
+	actions        []Action
+	lastWrite      uint64
+	closing        bool
 }
 
-type will struct {
-	Mark
-	askAt float64
-	read  bool // of a process: its file was read after all ends
+type settlementClaim struct {
+	HighWaterMark
+	nextRequestAt float64
+	marksRead     bool // of a process: its file was read after all ends
 }
 
-type tenant struct {
-	name  string
-	flows []flow // what was asked for, by class
-	pots  []*pot // by depth
-	left  int64
-	full  int64
-	told  bool
-	waits []waiting
-	dry   float64 // until then nothing is to be had
+type tenantState struct {
+	name               string
+	classRates         []rateMeter    // what was asked for, by class
+	leases             []*tenantLease // by depth
+	available          int64
+	availableAtPayment int64
+	availableKnown     bool
+	queue              []queuedRequest
+	exhaustedUntil     float64 // until then nothing is to be had
 }
 
-type waiting struct {
-	tag     uint64
-	class   int
-	parts   int
-	session uint64
-	until   float64
+type queuedRequest struct {
+	tag      uint64
+	class    int
+	parts    int
+	session  uint64
+	deadline float64
 }
 
-// pot is what is here of a tenant's funds, to one depth.
-type pot struct {
-	depth  int64
-	cur    account
-	over   []account // whose end is past, and that are not closed
-	flow   flow
-	used   float64 // when something was let in last
-	askAt  float64
-	called bool
+// tenantLease is what is here of a tenant's funds, to one depth.
+type tenantLease struct {
+	overdraft   int64
+	current     account
+	expired     []account // whose end is past, and that are not closed
+	rate        rateMeter
+	lastUsedAt  float64 // when something was let in last
+	requestedAt float64
+	reportSoon  bool
 }
 
 type account struct {
-	gen, seq                       uint32
-	granted, returned, spent, held int64
-	till                           float64
-	asks                           []asked
-	askAt                          float64
-	mark, marking                  int64
-	markNo                         uint64
+	generation, sequence               uint32
+	granted, returned, spent, reserved int64
+	expiresAt                          float64
+	unanswered                         []sentRequest
+	nextRequestAt                      float64
+	persistedMark, pendingMark         int64
+	pendingWrite                       uint64
 }
 
-type asked struct {
-	seq uint32
-	at  float64
+type sentRequest struct {
+	sequence uint32
+	sentAt   float64
 }
 
-func (a *account) free() int64 { return a.granted - a.returned - a.spent - a.held }
+func (a *account) free() int64 { return a.granted - a.returned - a.spent - a.reserved }
 
-// flow is how much of something there is a second, lately.
-type flow struct{ n, at float64 }
+// rateMeter is how much of something there is a second, lately.
+type rateMeter struct{ amount, updatedAt float64 }
 
-func (f *flow) count(now, n float64) {
-	f.n = f.n*math.Exp(-max(0, now-f.at)/flowMs) + n
-	f.at = max(f.at, now)
+func (f *rateMeter) add(now, n float64) {
+	f.amount = f.amount*math.Exp(-max(0, now-f.updatedAt)/rateWindowMs) + n
+	f.updatedAt = max(f.updatedAt, now)
 }
 
-func (f *flow) rate(now float64) float64 {
-	return f.n * math.Exp(-max(0, now-f.at)/flowMs) * 1000 / flowMs
+func (f *rateMeter) perSecond(now float64) float64 {
+	return f.amount * math.Exp(-max(0, now-f.updatedAt)/rateWindowMs) * 1000 / rateWindowMs
 }
 
 // New makes a process's purse.
-func New(set Settings, self ledger.Holder, now float64) *Purse {
-	p := &Purse{self: self, now: now, tenants: map[string]*tenant{}}
-	p.retune(set)
+func New(set Settings, self ledger.Holder, now float64) *Manager {
+	p := &Manager{self: self, now: now, tenants: map[string]*tenantState{}}
+	p.applySettings(set)
 	return p
 }
 
-func (p *Purse) retune(set Settings) {
-	p.set = set
+func (p *Manager) applySettings(set Settings) {
+	p.settings = set
 	p.prepaid = map[string]bool{}
-	for _, n := range set.Prepaid {
+	for _, n := range set.PrepaidTenants {
 		p.prepaid[n] = true
 	}
-	p.order = p.order[:0]
+	p.classesByValue = p.classesByValue[:0]
 	for i := range set.Classes {
-		p.order = append(p.order, i)
+		p.classesByValue = append(p.classesByValue, i)
 	}
-	value := func(i int) float64 { return set.Classes[i].Worth / float64(max(1, set.Classes[i].held(1))) }
-	slices.SortStableFunc(p.order, func(a, b int) int {
+	value := func(i int) float64 {
+		return set.Classes[i].PriorityWeight / float64(max(1, set.Classes[i].reservation(1)))
+	}
+	slices.SortStableFunc(p.classesByValue, func(a, b int) int {
 		switch x, y := value(a), value(b); {
 		case x > y:
 			return -1
@@ -125,158 +127,160 @@
 		}
 		return 0
 	})
-	for _, t := range p.list {
-		p.turn(t, func(w *waiting) bool { return w.class >= len(set.Classes) })
-		t.flows = t.flows[:min(len(t.flows), len(set.Classes))]
-		for len(t.flows) < len(set.Classes) {
-			t.flows = append(t.flows, flow{})
+	for _, tenant := range p.active {
+		p.rejectQueued(tenant, func(request *queuedRequest) bool { return request.class >= len(set.Classes) })
+		tenant.classRates = tenant.classRates[:min(len(tenant.classRates), len(set.Classes))]
+		for len(tenant.classRates) < len(set.Classes) {
+			tenant.classRates = append(tenant.classRates, rateMeter{})
 		}
 	}
 }
 
 // Next is when it wants a Tick.
-func (p *Purse) Next() float64 { return p.now + p.set.Step }
+func (p *Manager) Next() float64 { return p.now + p.settings.TickInterval }
 
 // Handle takes one event and appends what is to be done.
-func (p *Purse) Handle(now float64, e Event, out []Action) []Action {
-	p.out = out
-	p.time(now)
+func (p *Manager) Handle(now float64, e Event, out []Action) []Action {
+	p.actions = out
+	p.advanceTo(now)
 	switch e := e.(type) {
 	case Tick:
 		p.tick()
-	case Heard:
-		for i := range e.Answers {
-			p.heard(&e.Answers[i])
+	case ResponsesReceived:
+		for i := range e.Responses {
+			p.handleResponse(&e.Responses[i])
 		}
-		p.ask()
-	case Retune:
-		p.retune(e.Settings)
-	case Marked:
-		p.marked(e.No)
-	case Inherit:
-		for _, h := range e.Gone {
-			p.wills = append(p.wills, will{Mark: Mark{Key: ledger.Key{Holder: h, Gen: math.MaxUint32}}})
+		p.sendRequests()
+	case SettingsChanged:
+		p.applySettings(e.Settings)
+	case MarksPersisted:
+		p.marksPersisted(e.Write)
+	case Recover:
+		for _, h := range e.Holders {
+			p.claims = append(p.claims, settlementClaim{HighWaterMark: HighWaterMark{Key: ledger.Key{Holder: h, Generation: math.MaxUint32}}})
 		}
-	case Found:
-		p.found(&e)
-	case Leave:
-		p.leave()
+	case MarksRead:
+		p.marksRead(&e)
+	case Shutdown:
+		p.shutDown()
 	}
-	p.check()
-	return p.out
+	p.checkInvariants()
+	return p.actions
 }
 
-// time goes on; what is over is so before anything else.
-func (p *Purse) time(now float64) {
+// advanceTo goes on; what is over is so before anything else.
+func (p *Manager) advanceTo(now float64) {
 	p.now = max(p.now, now)
-	for _, t := range p.list {
-		for _, o := range t.pots {
-			p.expire(o)
+	for _, tenant := range p.active {
+		for _, lease := range tenant.leases {
+			p.expireIfDue(lease)
 		}
 	}
 }
 
-func (p *Purse) expire(o *pot) {
-	if o.cur.gen > 0 && o.cur.till > 0 && p.now >= o.cur.till {
-		o.close()
+func (p *Manager) expireIfDue(lease *tenantLease) {
+	if lease.current.generation > 0 && lease.current.expiresAt > 0 && p.now >= lease.current.expiresAt {
+		lease.expireCurrent()
 	}
 }
 
-func (o *pot) close() {
-	o.cur.askAt = 0
-	o.over = append(o.over, o.cur)
-	o.cur, o.askAt = account{}, 0
+func (lease *tenantLease) expireCurrent() {
+	lease.current.nextRequestAt = 0
+	lease.expired = append(lease.expired, lease.current)
+	lease.current, lease.requestedAt = account{}, 0
 }
 
-// depths are those that a class may draw on.
-func (p *Purse) depths(class int) [2]int64 { return [2]int64{0, p.set.Classes[class].Depth} }
+// overdrafts are those that a class may draw on.
+func (p *Manager) overdrafts(class int) [2]int64 {
+	return [2]int64{0, p.settings.Classes[class].Overdraft}
+}
 
-func (p *Purse) tenantOf(name string) *tenant {
-	t := p.tenants[name]
-	if t == nil {
-		t = &tenant{name: name, flows: make([]flow, len(p.set.Classes))}
-		p.tenants[name] = t
-		p.list = append(p.list, t)
+func (p *Manager) tenantFor(name string) *tenantState {
+	tenant := p.tenants[name]
+	if tenant == nil {
+		tenant = &tenantState{name: name, classRates: make([]rateMeter, len(p.settings.Classes))}
+		p.tenants[name] = tenant
+		p.active = append(p.active, tenant)
 	}
-	return t
+	return tenant
 }
 
-func (t *tenant) pot(depth int64) *pot {
-	for _, o := range t.pots {
-		if o.depth == depth {
-			return o
+func (tenant *tenantState) lease(overdraft int64) *tenantLease {
+	for _, lease := range tenant.leases {
+		if lease.overdraft == overdraft {
+			return lease
 		}
 	}
-	o := &pot{depth: depth}
-	t.pots = append(t.pots, o)
-	return o
+	lease := &tenantLease{overdraft: overdraft}
+	tenant.leases = append(tenant.leases, lease)
+	return lease
 }
 
-// Hold asks to let a request in, which has so many parts. One that waits is known by its tag.
-func (p *Purse) Hold(now float64, name string, class int, session uint64, parts int, tag uint64) (Hold, Verdict) {
+// Reserve asks to let a request in, which has so many parts. One that waits is known by its tag.
+func (p *Manager) Reserve(now float64, name string, class int, session uint64, parts int, tag uint64) (Reservation, Decision) {
 	if !p.prepaid[name] {
-		return Hold{}, Pass
+		return Reservation{}, Admitted
 	}
 	p.now = max(p.now, now)
-	c := &p.set.Classes[class]
-	price := c.held(parts)
+	c := &p.settings.Classes[class]
+	price := c.reservation(parts)
 	if price == 0 {
-		return Hold{}, Pass
+		return Reservation{}, Admitted
 	}
-	if p.left {
-		return Hold{}, None
+	if p.closing {
+		return Reservation{}, Exhausted
 	}
-	t := p.tenantOf(name)
-	t.flows[class].count(p.now, float64(price))
-	if c.Depth == 0 && !p.within(t, class, session) {
-		return Hold{}, Slow
+	tenant := p.tenantFor(name)
+	tenant.classRates[class].add(p.now, float64(price))
+	if c.Overdraft == 0 && !p.withinThrottle(tenant, class, session) {
+		return Reservation{}, Throttled
 	}
-	if !slices.ContainsFunc(t.waits, func(w waiting) bool { return w.class == class }) {
-		if h, ok := p.take(t, class, price); ok {
-			return h, Pass
+	if !slices.ContainsFunc(tenant.queue, func(request queuedRequest) bool { return request.class == class }) {
+		if h, ok := p.reserve(tenant, class, price); ok {
+			return h, Admitted
 		}
 	}
-	if p.now < t.dry || p.set.Wait == 0 || len(t.waits) >= MostWaits {
-		t.pot(0)
-		return Hold{}, None
+	if p.now < tenant.exhaustedUntil || p.settings.QueueTimeout == 0 || len(tenant.queue) >= MaxQueued {
+		tenant.lease(0)
+		return Reservation{}, Exhausted
 	}
-	t.waits = append(t.waits, waiting{tag, class, parts, session, p.now + p.set.Wait})
-	return Hold{}, Wait
+	tenant.queue = append(tenant.queue, queuedRequest{tag, class, parts, session, p.now + p.settings.QueueTimeout})
+	return Reservation{}, Queued
 }
 
-// take holds a price of what is here.
-func (p *Purse) take(t *tenant, class int, price int64) (Hold, bool) {
-	for i, depth := range p.depths(class) {
-		if i > 0 && depth == 0 {
+// reserve holds a price of what is here.
+func (p *Manager) reserve(tenant *tenantState, class int, price int64) (Reservation, bool) {
+	for i, overdraft := range p.overdrafts(class) {
+		if i > 0 && overdraft == 0 {
 			break
 		}
-		o := t.pot(depth)
-		p.expire(o)
-		a := &o.cur
-		if a.free() < price || p.set.Marks && a.spent+a.held+price > a.mark {
+		lease := tenant.lease(overdraft)
+		p.expireIfDue(lease)
+		a := &lease.current
+		if a.free() < price || p.settings.PersistMarks && a.spent+a.reserved+price > a.persistedMark {
 			continue
 		}
-		a.held += price
-		o.flow.count(p.now, float64(price))
-		o.used = p.now
-		return Hold{Tenant: t.name, Depth: depth, Gen: a.gen, Amount: price, Price: p.set.Classes[class].Price}, true
+		a.reserved += price
+		lease.rate.add(p.now, float64(price))
+		lease.lastUsedAt = p.now
+		return Reservation{Tenant: tenant.name, Overdraft: overdraft, Generation: a.generation, Amount: price, Price: p.settings.Classes[class].Price}, true
 	}
-	return Hold{}, false
+	return Reservation{}, false
 }
 
-// within tells whether a tenant that runs low may spend on a request: of what it asks for the most worth for its price comes first, and in
+// withinThrottle tells whether a tenant that runs low may spend on a request: of what it asks for the most worth for its price comes first, and in
 // the class that may be let in by half it goes by the session.
-func (p *Purse) within(t *tenant, class int, session uint64) bool {
-	if p.set.Below == 0 || !t.told || float64(t.left) >= p.set.Below*float64(t.full) {
+func (p *Manager) withinThrottle(tenant *tenantState, class int, session uint64) bool {
+	if p.settings.ThrottleBelow == 0 || !tenant.availableKnown || float64(tenant.available) >= p.settings.ThrottleBelow*float64(tenant.availableAtPayment) {
 		return true
 	}
-	part := max(p.set.Least, float64(t.left)/(p.set.Below*float64(t.full)))
+	part := max(p.settings.MinThrottledShare, float64(tenant.available)/(p.settings.ThrottleBelow*float64(tenant.availableAtPayment)))
 	all, before := 0.0, 0.0
-	for i := range t.flows {
-		all += t.flows[i].rate(p.now)
+	for i := range tenant.classRates {
+		all += tenant.classRates[i].perSecond(p.now)
 	}
-	for _, i := range p.order {
-		n := t.flows[i].rate(p.now)
+	for _, i := range p.classesByValue {
+		n := tenant.classRates[i].perSecond(p.now)
 		if i != class {
 			before += n
 			continue
@@ -290,193 +294,193 @@
 	return true
 }
 
-// Session is a session's number for Hold.
-func Session(name string) uint64 { return xxhash.Sum64String(name) }
+// SessionNumber is a session's number for Hold.
+func SessionNumber(name string) uint64 { return xxhash.Sum64String(name) }
 
 // Settle ends what is held for a request, and tells what it cost.
-func (p *Purse) Settle(h *Hold, d Done) int64 {
+func (p *Manager) Settle(h *Reservation, d Usage) int64 {
 	if h.Amount == 0 {
 		return 0
 	}
-	a := p.account(ledger.Key{Tenant: h.Tenant, Depth: h.Depth, Gen: h.Gen})
+	a := p.findAccount(ledger.Key{Tenant: h.Tenant, Overdraft: h.Overdraft, Generation: h.Generation})
 	if a == nil {
 		return 0
 	}
-	n := h.Cost(d)
-	a.held -= h.Amount
+	n := h.Charge(d)
+	a.reserved -= h.Amount
 	a.spent += n
 	h.Amount = 0
 	return n
 }
 
 // Cancel has a request wait no longer.
-func (p *Purse) Cancel(name string, tag uint64) {
-	if t := p.tenants[name]; t != nil {
-		t.waits = slices.DeleteFunc(t.waits, func(w waiting) bool { return w.tag == tag })
+func (p *Manager) Cancel(name string, tag uint64) {
+	if tenant := p.tenants[name]; tenant != nil {
+		tenant.queue = slices.DeleteFunc(tenant.queue, func(request queuedRequest) bool { return request.tag == tag })
 	}
 }
 
-func (p *Purse) account(k ledger.Key) *account {
-	t := p.tenants[k.Tenant]
-	if t == nil {
+func (p *Manager) findAccount(k ledger.Key) *account {
+	tenant := p.tenants[k.Tenant]
+	if tenant == nil {
 		return nil
 	}
-	for _, o := range t.pots {
-		if o.depth != k.Depth {
+	for _, lease := range tenant.leases {
+		if lease.overdraft != k.Overdraft {
 			continue
 		}
-		if o.cur.gen == k.Gen {
-			return &o.cur
+		if lease.current.generation == k.Generation {
+			return &lease.current
 		}
-		for i := range o.over {
-			if o.over[i].gen == k.Gen {
-				return &o.over[i]
+		for i := range lease.expired {
+			if lease.expired[i].generation == k.Generation {
+				return &lease.expired[i]
 			}
 		}
 	}
 	return nil
 }
 
-func (p *Purse) heard(a *message.Answer) {
+func (p *Manager) handleResponse(a *message.Response) {
 	if a.Key.Holder != p.self {
-		p.willed(a)
+		p.handleClaimResponse(a)
 		return
 	}
-	t := p.tenants[a.Key.Tenant]
-	if t == nil {
+	tenant := p.tenants[a.Key.Tenant]
+	if tenant == nil {
 		return
 	}
-	i := slices.IndexFunc(t.pots, func(o *pot) bool { return o.depth == a.Key.Depth })
+	i := slices.IndexFunc(tenant.leases, func(lease *tenantLease) bool { return lease.overdraft == a.Key.Overdraft })
 	if i < 0 {
 		return
 	}
-	o := t.pots[i]
-	t.left, t.full, t.told = a.Left, a.Full, true
+	lease := tenant.leases[i]
+	tenant.available, tenant.availableAtPayment, tenant.availableKnown = a.Available, a.AvailableAtPayment, true
 	if a.Closed {
-		if o.cur.gen == a.Key.Gen {
-			if o.cur.granted > 0 { // the log has had its end: what was let in by it goes on, and nothing is spent of it any more
-				o.cur.returned += o.cur.free()
+		if lease.current.generation == a.Key.Generation {
+			if lease.current.granted > 0 { // the log has had its end: what was let in by it goes on, and nothing is spent of it any more
+				lease.current.returned += lease.current.free()
 			}
-			o.over = append(o.over, o.cur)
-			o.cur, o.askAt = account{}, 0
+			lease.expired = append(lease.expired, lease.current)
+			lease.current, lease.requestedAt = account{}, 0
 		}
-		o.over = slices.DeleteFunc(o.over, func(x account) bool { return x.gen == a.Key.Gen && x.held == 0 })
+		lease.expired = slices.DeleteFunc(lease.expired, func(x account) bool { return x.generation == a.Key.Generation && x.reserved == 0 })
 		return
 	}
-	if o.cur.gen != a.Key.Gen {
+	if lease.current.generation != a.Key.Generation {
 		return
 	}
-	if a.Ended {
-		o.close()
+	if a.Expired {
+		lease.expireCurrent()
 		return
 	}
-	c := &o.cur
-	if a.Call {
-		if n := c.free() - a.Keep; n > 0 {
+	c := &lease.current
+	if a.Recall {
+		if n := c.free() - a.Retain; n > 0 {
 			c.returned += n
-			o.called = true
+			lease.reportSoon = true
 		}
 		return
 	}
 	grew := a.Granted > c.granted
 	c.granted = max(c.granted, a.Granted)
-	for _, x := range c.asks {
-		if x.seq == a.Seq && a.Granted > 0 {
-			if p.set.FromAnswer {
-				x.at = p.now
+	for _, x := range c.unanswered {
+		if x.sequence == a.Sequence && a.Granted > 0 {
+			if p.settings.ExpireFromResponse {
+				x.sentAt = p.now
 			}
-			c.till = max(c.till, x.at+p.set.Lease)
+			c.expiresAt = max(c.expiresAt, x.sentAt+p.settings.Duration)
 		}
 	}
-	c.asks = slices.DeleteFunc(c.asks, func(x asked) bool { return x.seq <= a.Seq })
-	p.mark(t, o)
+	c.unanswered = slices.DeleteFunc(c.unanswered, func(x sentRequest) bool { return x.sequence <= a.Sequence })
+	p.raiseMark(tenant, lease)
 	switch {
 	case grew:
-		t.dry, o.used = 0, p.now
-	case p.now < t.dry && len(t.waits) == 0:
-		t.dry = p.now + 2*p.set.Dry + p.set.Step
+		tenant.exhaustedUntil, lease.lastUsedAt = 0, p.now
+	case p.now < tenant.exhaustedUntil && len(tenant.queue) == 0:
+		tenant.exhaustedUntil = p.now + 2*p.settings.ExhaustedInterval + p.settings.TickInterval
 	}
-	p.wake(t)
-	if !grew && c.free() == 0 && t.elsewhere() <= 0 && o.depth == 0 { // nobody has any
-		p.turn(t, func(w *waiting) bool { return p.set.Classes[w.class].Depth == 0 })
+	p.admitQueued(tenant)
+	if !grew && c.free() == 0 && tenant.heldElsewhere() <= 0 && lease.overdraft == 0 { // nobody has any
+		p.rejectQueued(tenant, func(request *queuedRequest) bool { return p.settings.Classes[request.class].Overdraft == 0 })
 	}
 }
 
-// elsewhere is what others have of a tenant's funds, or may have.
-func (t *tenant) elsewhere() int64 {
-	n := t.left
-	for _, o := range t.pots {
-		n -= o.cur.granted - o.cur.returned - o.cur.spent
-		for i := range o.over {
-			n -= o.over[i].granted - o.over[i].returned - o.over[i].spent
+// heldElsewhere is what others have of a tenant's funds, or may have.
+func (tenant *tenantState) heldElsewhere() int64 {
+	n := tenant.available
+	for _, lease := range tenant.leases {
+		n -= lease.current.granted - lease.current.returned - lease.current.spent
+		for i := range lease.expired {
+			n -= lease.expired[i].granted - lease.expired[i].returned - lease.expired[i].spent
 		}
 	}
 	return n
 }
 
-// wake lets in what waits, of each class the first first.
-func (p *Purse) wake(t *tenant) {
-	if len(t.waits) == 0 {
+// admitQueued lets in what waits, of each class the first first.
+func (p *Manager) admitQueued(tenant *tenantState) {
+	if len(tenant.queue) == 0 {
 		return
 	}
 	short := 0 // bits of classes for which there is not enough
-	t.waits = slices.DeleteFunc(t.waits, func(w waiting) bool {
-		bit := 1 << min(w.class, 62)
+	tenant.queue = slices.DeleteFunc(tenant.queue, func(request queuedRequest) bool {
+		bit := 1 << min(request.class, 62)
 		if short&bit != 0 {
 			return false
 		}
-		h, ok := p.take(t, w.class, p.set.Classes[w.class].held(w.parts))
+		h, ok := p.reserve(tenant, request.class, p.settings.Classes[request.class].reservation(request.parts))
 		if !ok {
 			short |= bit
 			return false
 		}
-		p.out = append(p.out, Action{Kind: Admit, Tag: w.tag, Hold: h})
+		p.actions = append(p.actions, Action{Kind: Admit, Tag: request.tag, Reservation: h})
 		return true
 	})
 }
 
-// turn refuses those that wait of whom something holds; nothing is to be had for a while.
-func (p *Purse) turn(t *tenant, which func(*waiting) bool) {
-	n := len(t.waits)
-	t.waits = slices.DeleteFunc(t.waits, func(w waiting) bool {
-		if which(&w) {
-			p.out = append(p.out, Action{Kind: Turn, Tag: w.tag})
+// rejectQueued refuses those that wait of whom something holds; nothing is to be had for a while.
+func (p *Manager) rejectQueued(tenant *tenantState, which func(*queuedRequest) bool) {
+	n := len(tenant.queue)
+	tenant.queue = slices.DeleteFunc(tenant.queue, func(request queuedRequest) bool {
+		if which(&request) {
+			p.actions = append(p.actions, Action{Kind: Reject, Tag: request.tag})
 			return true
 		}
 		return false
 	})
-	if len(t.waits) < n || n == 0 { // or nothing waits that could find out
-		t.dry = p.now + 2*p.set.Dry + p.set.Step
+	if len(tenant.queue) < n || n == 0 { // or nothing waits that could find out
+		tenant.exhaustedUntil = p.now + 2*p.settings.ExhaustedInterval + p.settings.TickInterval
 	}
 }
 
-func (p *Purse) tick() {
-	for _, t := range p.list {
-		if len(t.waits) > 0 && p.now >= t.waits[0].until {
-			p.turn(t, func(w *waiting) bool { return p.now >= w.until })
+func (p *Manager) tick() {
+	for _, tenant := range p.active {
+		if len(tenant.queue) > 0 && p.now >= tenant.queue[0].deadline {
+			p.rejectQueued(tenant, func(request *queuedRequest) bool { return p.now >= request.deadline })
 		}
-		for _, o := range t.pots {
-			p.mark(t, o)
+		for _, lease := range tenant.leases {
+			p.raiseMark(tenant, lease)
 		}
 	}
-	p.ask()
-	p.list = slices.DeleteFunc(p.list, func(t *tenant) bool {
-		for _, o := range t.pots {
-			if o.cur.gen > 0 || len(o.over) > 0 || p.now-o.used < p.set.Idle {
+	p.sendRequests()
+	p.active = slices.DeleteFunc(p.active, func(tenant *tenantState) bool {
+		for _, lease := range tenant.leases {
+			if lease.current.generation > 0 || len(lease.expired) > 0 || p.now-lease.lastUsedAt < p.settings.IdleTimeout {
 				return false
 			}
 		}
-		if len(t.waits) > 0 || t.total(p.now) > 0 {
+		if len(tenant.queue) > 0 || tenant.demand(p.now) > 0 {
 			return false
 		}
-		delete(p.tenants, t.name)
+		delete(p.tenants, tenant.name)
 		return true
 	})
 }
 
-func (t *tenant) total(now float64) (n float64) {
-	for i := range t.flows {
-		n += t.flows[i].rate(now)
+func (tenant *tenantState) demand(now float64) (n float64) {
+	for i := range tenant.classRates {
+		n += tenant.classRates[i].perSecond(now)
 	}
 	if n < 1e-3 {
 		return 0
--- a/internal/cluster/credit/lease/purse_test.go
+++ b/internal/cluster/credit/lease/purse_test.go
@@ -10,20 +10,20 @@
 
 func settings(t *testing.T) Settings {
 	s := Defaults()
-	s.Prepaid = []string{"t"}
-	s.Classes = []Class{{Price: Price{Request: 10}, Worth: 5}, {Price: Price{Request: 10, Row: 2, Most: 50}, Worth: 1}, {Price: Price{Request: 10}, Worth: 1, Depth: 40}}
+	s.PrepaidTenants = []string{"t"}
+	s.Classes = []Class{{Price: Price{PerRequest: 10}, PriorityWeight: 5}, {Price: Price{PerRequest: 10, PerRow: 2, Max: 50}, PriorityWeight: 1}, {Price: Price{PerRequest: 10}, PriorityWeight: 1, Overdraft: 40}}
 	s.Checks = invariant.Test(t)
 	return s
 }
 
 // fill has the purse ask, and be granted so much by the answer.
-func fill(t *testing.T, p *Purse, at float64, granted, left, full int64) (seq uint32, gen uint32) {
+func fill(t *testing.T, p *Manager, at float64, granted, left, full int64) (seq uint32, gen uint32) {
 	t.Helper()
 	for _, a := range p.Handle(at, Tick{}, nil) {
-		for _, x := range a.Asks {
-			if !x.Final && x.Key.Depth == 0 {
-				p.Handle(at, Heard{[]message.Answer{{Key: x.Key, Seq: x.Seq, Granted: granted, Left: left, Full: full}}}, nil)
-				return x.Seq, x.Key.Gen
+		for _, x := range a.Requests {
+			if !x.Final && x.Key.Overdraft == 0 {
+				p.Handle(at, ResponsesReceived{[]message.Response{{Key: x.Key, Sequence: x.Sequence, Granted: granted, Available: left, AvailableAtPayment: full}}}, nil)
+				return x.Sequence, x.Key.Generation
 			}
 		}
 	}
@@ -34,22 +34,22 @@
 // TestWaitsOnce has a tenant's first request wait for one answer, and the next for nobody.
 func TestWaitsOnce(t *testing.T) {
 	p := New(settings(t), 7, 0)
-	if _, v := p.Hold(1000, "t", 0, 1, 1, 11); v != Wait {
+	if _, v := p.Reserve(1000, "t", 0, 1, 1, 11); v != Queued {
 		t.Fatal(v)
 	}
 	acts := p.Handle(1000, Tick{}, nil)
-	if len(acts) != 1 || acts[0].Asks[0].Need != 10 {
+	if len(acts) != 1 || acts[0].Requests[0].Queued != 10 {
 		t.Fatalf("%+v", acts)
 	}
-	k := acts[0].Asks[0]
-	acts = p.Handle(1005, Heard{[]message.Answer{{Key: k.Key, Seq: k.Seq, Granted: 100, Left: 1000, Full: 1000}}}, nil)
-	if len(acts) == 0 || acts[0].Kind != Admit || acts[0].Tag != 11 || acts[0].Hold.Amount != 10 {
+	k := acts[0].Requests[0]
+	acts = p.Handle(1005, ResponsesReceived{[]message.Response{{Key: k.Key, Sequence: k.Sequence, Granted: 100, Available: 1000, AvailableAtPayment: 1000}}}, nil)
+	if len(acts) == 0 || acts[0].Kind != Admit || acts[0].Tag != 11 || acts[0].Reservation.Amount != 10 {
 		t.Fatalf("%+v", acts)
 	}
-	if _, v := p.Hold(1006, "t", 0, 1, 1, 12); v != Pass {
+	if _, v := p.Reserve(1006, "t", 0, 1, 1, 12); v != Admitted {
 		t.Error(v)
 	}
-	if _, v := p.Hold(1006, "other", 0, 1, 1, 13); v != Pass {
+	if _, v := p.Reserve(1006, "other", 0, 1, 1, 13); v != Admitted {
 		t.Error("one who does not pay ahead was stopped")
 	}
 }
@@ -58,10 +58,10 @@
 func TestPastItsEnd(t *testing.T) {
 	for _, late := range []float64{999, 10001} {
 		p := New(settings(t), 7, 0)
-		p.Hold(1000, "t", 0, 1, 1, 1)
+		p.Reserve(1000, "t", 0, 1, 1, 1)
 		fill(t, p, 1000, 100, 1000, 1000)
-		_, v := p.Hold(1000+late, "t", 0, 1, 1, 2)
-		if want := map[bool]Verdict{true: Pass, false: Wait}[late < 10000]; v != want {
+		_, v := p.Reserve(1000+late, "t", 0, 1, 1, 2)
+		if want := map[bool]Decision{true: Admitted, false: Queued}[late < 10000]; v != want {
 			t.Errorf("after %g ms: %v, want %v", late, v, want)
 		}
 	}
@@ -71,31 +71,31 @@
 func TestChargedOnce(t *testing.T) {
 	set := settings(t)
 	p := New(set, 7, 0)
-	p.Hold(1000, "t", 1, 1, 1, 1)
+	p.Reserve(1000, "t", 1, 1, 1, 1)
 	fill(t, p, 1000, 200, 1000, 1000)
-	h, v := p.Hold(1001, "t", 1, 1, 1, 2)
-	if v != Pass || h.Amount != 50 {
+	h, v := p.Reserve(1001, "t", 1, 1, 1, 2)
+	if v != Admitted || h.Amount != 50 {
 		t.Fatal(h, v)
 	}
 	dear := set
-	dear.Classes = []Class{{Price: Price{Request: 1000}}, {Price: Price{Request: 1000}}, {}}
-	p.Handle(1002, Retune{dear}, nil)
+	dear.Classes = []Class{{Price: Price{PerRequest: 1000}}, {Price: Price{PerRequest: 1000}}, {}}
+	p.Handle(1002, SettingsChanged{dear}, nil)
 	for _, c := range []struct {
-		d    Done
+		d    Usage
 		want int64
-	}{{Done{Served: 1, Rows: 3}, 16}, {Done{Served: 1, Rows: 1000}, 50}, {Done{}, 0}, {Done{Failed: 1}, 0}} {
-		if got := h.Cost(c.d); got != c.want {
+	}{{Usage{Served: 1, Rows: 3}, 16}, {Usage{Served: 1, Rows: 1000}, 50}, {Usage{}, 0}, {Usage{Failed: 1}, 0}} {
+		if got := h.Charge(c.d); got != c.want {
 			t.Errorf("%+v costs %d, want %d", c.d, got, c.want)
 		}
 	}
-	if got := p.Settle(&h, Done{Served: 1, Rows: 3}); got != 16 {
+	if got := p.Settle(&h, Usage{Served: 1, Rows: 3}); got != 16 {
 		t.Error(got)
 	}
-	if got := p.Settle(&h, Done{Served: 1, Rows: 3}); got != 0 {
+	if got := p.Settle(&h, Usage{Served: 1, Rows: 3}); got != 0 {
 		t.Error("a repeat was charged", got)
 	}
-	scattered := Hold{Amount: 40, Price: Price{Request: 10, Failed: true}}
-	if got := scattered.Cost(Done{Served: 2, Failed: 1}); got != 30 {
+	scattered := Reservation{Amount: 40, Price: Price{PerRequest: 10, ChargeFailed: true}}
+	if got := scattered.Charge(Usage{Served: 2, Failed: 1}); got != 30 {
 		t.Error("a scatter of two served parts and a failed one costs", got)
 	}
 }
@@ -103,25 +103,25 @@
 // TestLeastFirst slows a tenant that runs low: its most worth goes on, its least does not, and a session meets the same verdict.
 func TestLeastFirst(t *testing.T) {
 	set := settings(t)
-	set.Below, set.Classes[1] = 0.5, Class{Price: Price{Request: 10}, Worth: 1}
+	set.ThrottleBelow, set.Classes[1] = 0.5, Class{Price: Price{PerRequest: 10}, PriorityWeight: 1}
 	p := New(set, 7, 0)
-	p.Hold(1000, "t", 0, 1, 1, 1)
+	p.Reserve(1000, "t", 0, 1, 1, 1)
 	fill(t, p, 1000, 100000, 250, 1000) // half of what is slowed below
 	n := map[int]int{}
 	for i := range 2000 {
 		now := 1001 + float64(i)
 		for class := range 2 {
-			h, v := p.Hold(now, "t", class, Session(string(rune(i%100))), 1, 9)
-			if v == Pass {
+			h, v := p.Reserve(now, "t", class, SessionNumber(string(rune(i%100))), 1, 9)
+			if v == Admitted {
 				n[class]++
-				p.Settle(&h, Done{})
+				p.Settle(&h, Usage{})
 			}
 		}
 	}
 	if n[0] < 1980 || n[1] > 100 {
 		t.Errorf("of the most worth %d were let in, of the least %d; want nearly 2000 and few", n[0], n[1])
 	}
-	if _, v := p.Hold(3001, "t", 2, 1, 1, 1); v != Pass {
+	if _, v := p.Reserve(3001, "t", 2, 1, 1, 1); v != Admitted {
 		t.Error("work that must not stop was slowed:", v)
 	}
 }
@@ -129,18 +129,18 @@
 // TestOverdraft has only its own class go on beyond the funds, by what it holds for that.
 func TestOverdraft(t *testing.T) {
 	p := New(settings(t), 7, 0)
-	p.Hold(1000, "t", 2, 1, 1, 1)
+	p.Reserve(1000, "t", 2, 1, 1, 1)
 	for _, a := range p.Handle(1000, Tick{}, nil) {
-		for _, x := range a.Asks {
-			if x.Key.Depth == 40 {
-				p.Handle(1001, Heard{[]message.Answer{{Key: x.Key, Seq: x.Seq, Granted: 30, Left: 0, Full: 100}}}, nil)
+		for _, x := range a.Requests {
+			if x.Key.Overdraft == 40 {
+				p.Handle(1001, ResponsesReceived{[]message.Response{{Key: x.Key, Sequence: x.Sequence, Granted: 30, Available: 0, AvailableAtPayment: 100}}}, nil)
 			}
 		}
 	}
-	if _, v := p.Hold(1002, "t", 0, 1, 1, 2); v == Pass {
+	if _, v := p.Reserve(1002, "t", 0, 1, 1, 2); v == Admitted {
 		t.Error("another class spent of the overdraft")
 	}
-	if _, v := p.Hold(1002, "t", 2, 1, 1, 3); v != Pass {
+	if _, v := p.Reserve(1002, "t", 2, 1, 1, 3); v != Admitted {
 		t.Error(v)
 	}
 }
@@ -148,29 +148,29 @@
 // TestMarks has nothing be spent that is not written, and a process's files be read only after the ends of its accounts.
 func TestMarks(t *testing.T) {
 	set := settings(t)
-	set.Marks = true
+	set.PersistMarks = true
 	p := New(set, 7, 0)
-	p.Hold(1000, "t", 0, 1, 1, 1)
+	p.Reserve(1000, "t", 0, 1, 1, 1)
 	acts := p.Handle(1000, Tick{}, nil)
-	k := acts[0].Asks[0]
-	acts = p.Handle(1001, Heard{[]message.Answer{{Key: k.Key, Seq: k.Seq, Granted: 100, Left: 1000, Full: 1000}}}, nil)
-	if len(acts) == 0 || acts[0].Kind != Write {
+	k := acts[0].Requests[0]
+	acts = p.Handle(1001, ResponsesReceived{[]message.Response{{Key: k.Key, Sequence: k.Sequence, Granted: 100, Available: 1000, AvailableAtPayment: 1000}}}, nil)
+	if len(acts) == 0 || acts[0].Kind != PersistMarks {
 		t.Fatalf("%+v", acts)
 	}
-	if acts = p.Handle(1002, Marked{acts[0].No}, nil); len(acts) == 0 || acts[0].Kind != Admit {
+	if acts = p.Handle(1002, MarksPersisted{acts[0].Write}, nil); len(acts) == 0 || acts[0].Kind != Admit {
 		t.Fatalf("after the mark: %+v", acts)
 	}
 	heir := New(set, 8, 0)
-	heir.Handle(0, Inherit{[]ledger.Holder{7}}, nil)
+	heir.Handle(0, Recover{[]ledger.Holder{7}}, nil)
 	acts = heir.Handle(50, Tick{}, nil)
-	bar := acts[0].Asks[0]
-	if !bar.Heir || bar.Rest || bar.Key.Holder != 7 {
+	bar := acts[0].Requests[0]
+	if !bar.Recovered || bar.MarksRead || bar.Key.Holder != 7 {
 		t.Fatalf("%+v", bar)
 	}
-	if acts = heir.Handle(60, Heard{[]message.Answer{{Key: bar.Key}}}, nil); len(acts) != 0 {
+	if acts = heir.Handle(60, ResponsesReceived{[]message.Response{{Key: bar.Key}}}, nil); len(acts) != 0 {
 		t.Fatalf("read before the ends: %+v", acts)
 	}
-	if acts = heir.Handle(70, Heard{[]message.Answer{{Key: bar.Key, Ended: true}}}, nil); len(acts) != 1 || acts[0].Kind != Read {
+	if acts = heir.Handle(70, ResponsesReceived{[]message.Response{{Key: bar.Key, Expired: true}}}, nil); len(acts) != 1 || acts[0].Kind != ReadMarks {
 		t.Fatalf("%+v", acts)
 	}
 }
@@ -179,10 +179,10 @@
 func TestInvariantsSeen(t *testing.T) {
 	seen := map[string]bool{}
 	set := settings(t)
-	set.Marks, set.Checks = true, invariant.New(func(b invariant.Breach) { seen[b.Name] = true })
+	set.PersistMarks, set.Checks = true, invariant.New(func(b invariant.Breach) { seen[b.Name] = true })
 	p := New(set, 7, 0)
-	p.tenantOf("t").pot(0).cur = account{gen: 1, granted: 10, held: 20, till: 1e6}
-	p.Handle(1, Heard{}, nil)
+	p.tenantFor("t").lease(0).current = account{generation: 1, granted: 10, reserved: 20, expiresAt: 1e6}
+	p.Handle(1, ResponsesReceived{}, nil)
 	for _, name := range []string{"credit: no more is held and spent than was granted", "credit: no more is spent than is marked"} {
 		if !seen[name] {
 			t.Errorf("%q was not found broken", name)
@@ -193,15 +193,15 @@
 // BenchmarkHold is what credit costs a request.
 func BenchmarkHold(b *testing.B) {
 	s := Defaults()
-	s.Prepaid, s.Classes = []string{"t"}, []Class{{Price: Price{Request: 1}, Worth: 1}}
+	s.PrepaidTenants, s.Classes = []string{"t"}, []Class{{Price: Price{PerRequest: 1}, PriorityWeight: 1}}
 	p := New(s, 7, 0)
-	p.tenantOf("t").pot(0).cur = account{gen: 1, granted: 1 << 50, till: 1e6}
+	p.tenantFor("t").lease(0).current = account{generation: 1, granted: 1 << 50, expiresAt: 1e6}
 	b.ReportAllocs()
 	for b.Loop() {
-		h, v := p.Hold(1002, "t", 0, 1, 1, 2)
-		if v != Pass {
+		h, v := p.Reserve(1002, "t", 0, 1, 1, 2)
+		if v != Admitted {
 			b.Fatal(v)
 		}
-		p.Settle(&h, Done{Served: 1})
+		p.Settle(&h, Usage{Served: 1})
 	}
 }
--- a/internal/cluster/credit/ledger/bytes_test.go
+++ b/internal/cluster/credit/ledger/bytes_test.go
@@ -6,32 +6,32 @@
 )
 
 // wholeLine has something in each field.
-func wholeLine() *line {
-	return &line{Op: Op{Kind: kindTenant, Key: Key{Tenant: "t", Depth: 300, Holder: 4, Gen: 5}, No: 6, Amount: 7, Spent: 8, Returned: 9, Seq: 10, Heir: true},
-		expired: true, granted: 13, paid: 14, balance: -15, lent: 16, stranded: 17, full: 18, taken: []byte{1, 2}}
+func wholeLine() *record {
+	return &record{Op: Op{Kind: kindTenant, Key: Key{Tenant: "t", Overdraft: 300, Holder: 4, Generation: 5}, Number: 6, Amount: 7, Spent: 8, Returned: 9, Sequence: 10, Recovered: true},
+		expired: true, granted: 13, paid: 14, balance: -15, lent: 16, stranded: 17, availableAtPayment: 18, appliedPayments: []byte{1, 2}}
 }
 
 // TestBytes: an entry's and a snapshot's bytes are what poolers of other versions read.
 func TestBytes(t *testing.T) {
 	l := New()
-	l.Apply(1, Encode([]Op{{Kind: Payment, Key: Key{Tenant: "t"}, No: 1, Amount: 100}}))
-	l.Apply(2, Encode([]Op{{Kind: Lend, Key: Key{Tenant: "t", Depth: 3, Holder: 1, Gen: 1}, Seq: 1, Amount: 5}, {Kind: Bar, Key: Key{Holder: 9, Gen: 2}}}))
+	l.Apply(1, Encode([]Op{{Kind: Payment, Key: Key{Tenant: "t"}, Number: 1, Amount: 100}}))
+	l.Apply(2, Encode([]Op{{Kind: Grant, Key: Key{Tenant: "t", Overdraft: 3, Holder: 1, Generation: 1}, Sequence: 1, Amount: 5}, {Kind: Fence, Key: Key{Holder: 9, Generation: 2}}}))
 	for _, c := range []struct {
 		b    []byte
 		want string
 	}{
-		{appendLine(nil, wholeLine()), "0a35081112017418ac0221040000000000000028053006380740084809500a58016001680d700e781d8001108801119001129a01020102"},
-		{appendLine([]byte{1}, &line{}), "010a00"},
-		{Encode([]Op{{Kind: Lend, Key: Key{Tenant: "t", Holder: 1, Gen: 1}, Seq: 1, Amount: 5}, {Kind: Rest, Key: Key{Holder: 1}}}), "0a1408021201742101000000000000002801380550010a0b0807210100000000000000"},
+		{appendRecord(nil, wholeLine()), "0a35081112017418ac0221040000000000000028053006380740084809500a58016001680d700e781d8001108801119001129a01020102"},
+		{appendRecord([]byte{1}, &record{}), "010a00"},
+		{Encode([]Op{{Kind: Grant, Key: Key{Tenant: "t", Holder: 1, Generation: 1}, Sequence: 1, Amount: 5}, {Kind: CloseRemaining, Key: Key{Holder: 1}}}), "0a1408021201742101000000000000002801380550010a0b0807210100000000000000"},
 		{l.Snapshot(), "0a04081330020a150811120174706478be018001059001649a010201010a16081012017418032101000000000000002801500168050a0d081221010000000000000028010a11081221090000000000000028ffffffff0f"},
 	} {
 		if got := hex.EncodeToString(c.b); got != c.want {
 			t.Errorf("%s, want %s", got, c.want)
 		}
 	}
-	b := appendLine(nil, wholeLine())
+	b := appendRecord(nil, wholeLine())
 	var again []byte
-	if err := lines(b, func(l *line) error { again = appendLine(again, l); return nil }); err != nil || hex.EncodeToString(again) != hex.EncodeToString(b) {
+	if err := eachRecord(b, func(l *record) error { again = appendRecord(again, l); return nil }); err != nil || hex.EncodeToString(again) != hex.EncodeToString(b) {
 		t.Errorf("read as %x, %v", again, err)
 	}
 	n := New()
--- a/internal/cluster/credit/ledger/form.go
+++ b/internal/cluster/credit/ledger/form.go
@@ -22,8 +22,8 @@
 //
 // and processes of kind 18.
 
-// ErrForm is of an entry that cannot be read.
-var ErrForm = errors.New("no entry of the ledger's")
+// ErrMalformed is of an entry that cannot be read.
+var ErrMalformed = errors.New("no entry of the ledger's")
 
 const (
 	kindAccount Kind = 16
@@ -35,54 +35,54 @@
 // Encode makes an entry.
 func Encode(ops []Op) (b []byte) {
 	for i := range ops {
-		b = appendLine(b, &line{Op: ops[i]})
+		b = appendRecord(b, &record{Op: ops[i]})
 	}
 	return b
 }
 
-// line is an Op, or a line of a snapshot.
-type line struct {
+// record is an Op, or a line of a snapshot.
+type record struct {
 	Op
-	expired              bool
-	granted              int64
-	paid                 int64
-	balance              int64
-	lent, stranded, full int64
-	taken                []byte
+	expired                            bool
+	granted                            int64
+	paid                               int64
+	balance                            int64
+	lent, stranded, availableAtPayment int64
+	appliedPayments                    []byte
 }
 
-func appendLine(b []byte, l *line) []byte {
+func appendRecord(b []byte, l *record) []byte {
 	var x []byte
 	num := func(field protowire.Number, v uint64) { x = encoding.AppendNonZeroUint(x, field, v) }
 	num(1, uint64(l.Kind))
 	x = encoding.AppendNonEmptyBytes(x, 2, l.Key.Tenant)
-	num(3, uint64(l.Key.Depth))
+	num(3, uint64(l.Key.Overdraft))
 	x = encoding.AppendNonZeroFixed(x, 4, l.Key.Holder)
-	num(5, uint64(l.Key.Gen))
-	num(6, l.No)
+	num(5, uint64(l.Key.Generation))
+	num(6, l.Number)
 	num(7, uint64(l.Amount))
 	num(8, uint64(l.Spent))
 	num(9, uint64(l.Returned))
-	num(10, uint64(l.Seq))
-	num(11, protowire.EncodeBool(l.Heir))
+	num(10, uint64(l.Sequence))
+	num(11, protowire.EncodeBool(l.Recovered))
 	num(12, protowire.EncodeBool(l.expired))
 	num(13, uint64(l.granted))
 	num(14, uint64(l.paid))
 	num(15, protowire.EncodeZigZag(l.balance))
 	num(16, uint64(l.lent))
 	num(17, uint64(l.stranded))
-	num(18, uint64(l.full))
-	return encoding.AppendBytesField(b, 1, encoding.AppendNonEmptyBytes(x, 19, l.taken))
+	num(18, uint64(l.availableAtPayment))
+	return encoding.AppendBytesField(b, 1, encoding.AppendNonEmptyBytes(x, 19, l.appliedPayments))
 }
 
 // Decode reads an entry, all or nothing.
 func Decode(b []byte) (ops []Op, err error) {
-	err = lines(b, func(l *line) error {
-		if len(ops) == MostOps || l.Kind < Payment || l.Kind > Rest || (l.Key.Tenant == "") != (l.Kind >= Bar) {
-			return ErrForm
+	err = eachRecord(b, func(l *record) error {
+		if len(ops) == MaxOps || l.Kind < Payment || l.Kind > CloseRemaining || (l.Key.Tenant == "") != (l.Kind >= Fence) {
+			return ErrMalformed
 		}
 		if l.Kind == Payment && l.Amount == 0 {
-			return ErrForm
+			return ErrMalformed
 		}
 		ops = append(ops, l.Op)
 		return nil
@@ -93,14 +93,14 @@
 	return ops, nil
 }
 
-func fault(error) error { return ErrForm }
+func malformed(error) error { return ErrMalformed }
 
-func lines(b []byte, do func(l *line) error) error {
-	return encoding.Fields(b, fault, func(f encoding.Field) error {
+func eachRecord(b []byte, do func(l *record) error) error {
+	return encoding.Fields(b, malformed, func(f encoding.Field) error {
 		if f.Number != 1 || f.Type != protowire.BytesType {
 			return nil
 		}
-		l := &line{}
+		l := &record{}
 		if err := l.read(f.Bytes); err != nil {
 			return err
 		}
@@ -115,27 +115,27 @@
 	case 6, 15:
 		return true
 	case 18:
-		return int64(v) >= -MostPaid && int64(v) <= MostPaid
+		return int64(v) >= -MaxPaid && int64(v) <= MaxPaid
 	}
-	return v <= uint64(MostPaid)
+	return v <= uint64(MaxPaid)
 }
 
-// take takes a field; one of another type than its own is passed over.
-func (l *line) take(f encoding.Field) error {
+// readField takes a field; one of another type than its own is passed over.
+func (l *record) readField(f encoding.Field) error {
 	switch v := f.Value; f.Type {
 	case protowire.VarintType:
 		if !inBounds(f.Number, v) {
-			return ErrForm
+			return ErrMalformed
 		}
 		switch f.Number {
 		case 1:
 			l.Kind = Kind(min(v, 255))
 		case 3:
-			l.Key.Depth = int64(v)
+			l.Key.Overdraft = int64(v)
 		case 5:
-			l.Key.Gen = uint32(v)
+			l.Key.Generation = uint32(v)
 		case 6:
-			l.No = v
+			l.Number = v
 		case 7:
 			l.Amount = int64(v)
 		case 8:
@@ -143,9 +143,9 @@
 		case 9:
 			l.Returned = int64(v)
 		case 10:
-			l.Seq = uint32(v)
+			l.Sequence = uint32(v)
 		case 11:
-			l.Heir = v != 0
+			l.Recovered = v != 0
 		case 12:
 			l.expired = v != 0
 		case 13:
@@ -159,14 +159,14 @@
 		case 17:
 			l.stranded = int64(v)
 		case 18:
-			l.full = int64(v)
+			l.availableAtPayment = int64(v)
 		}
 	case protowire.BytesType:
 		switch f.Number {
 		case 2:
 			l.Key.Tenant = string(f.Bytes)
 		case 19:
-			l.taken = f.Bytes
+			l.appliedPayments = f.Bytes
 		}
 	case protowire.Fixed64Type:
 		if f.Number == 4 {
@@ -176,33 +176,33 @@
 	return nil
 }
 
-func (l *line) read(b []byte) error {
-	if err := encoding.Fields(b, fault, l.take); err != nil {
+func (l *record) read(b []byte) error {
+	if err := encoding.Fields(b, malformed, l.readField); err != nil {
 		return err
 	}
-	if len(l.Key.Tenant) > MostName || l.Kind <= Rest && (l.Amount > MostAmount || l.Key.Depth > MostAmount) {
-		return ErrForm
+	if len(l.Key.Tenant) > MaxNameBytes || l.Kind <= CloseRemaining && (l.Amount > MaxAmount || l.Key.Overdraft > MaxAmount) {
+		return ErrMalformed
 	}
 	return nil
 }
 
 // Snapshot is the books as bytes: the same books, the same bytes.
 func (l *Ledger) Snapshot() (b []byte) {
-	b = appendLine(b, &line{Op: Op{Kind: kindIndex, No: l.Index}})
+	b = appendRecord(b, &record{Op: Op{Kind: kindIndex, Number: l.AppliedIndex}})
 	for _, name := range l.Tenants() {
 		t := l.tenants[name]
-		x := line{Op: Op{Kind: kindTenant, Key: Key{Tenant: name}, Spent: t.Spent}, paid: t.Paid, balance: t.Balance, lent: t.Lent, stranded: t.Stranded, full: t.Full}
-		for _, s := range t.taken {
-			x.taken = protowire.AppendVarint(protowire.AppendVarint(x.taken, s.from), s.to)
+		x := record{Op: Op{Kind: kindTenant, Key: Key{Tenant: name}, Spent: t.Spent}, paid: t.Paid, balance: t.Balance, lent: t.Lent, stranded: t.Stranded, availableAtPayment: t.AvailableAtPayment}
+		for _, s := range t.appliedPayments {
+			x.appliedPayments = protowire.AppendVarint(protowire.AppendVarint(x.appliedPayments, s.from), s.to)
 		}
-		b = appendLine(b, &x)
+		b = appendRecord(b, &x)
 	}
-	for _, k := range l.All() {
+	for _, k := range l.AllAccounts() {
 		a := l.accounts[k]
-		b = appendLine(b, &line{Op: Op{Kind: kindAccount, Key: k, Spent: a.Spent, Returned: a.Returned, Seq: a.Seq}, granted: a.Granted, expired: a.Expired})
+		b = appendRecord(b, &record{Op: Op{Kind: kindAccount, Key: k, Spent: a.Spent, Returned: a.Returned, Sequence: a.Sequence}, granted: a.Granted, expired: a.Expired})
 	}
-	for _, h := range slices.Sorted(maps.Keys(l.opened)) {
-		b = appendLine(b, &line{Op: Op{Kind: kindHolder, Key: Key{Holder: h, Gen: l.opened[h]}}})
+	for _, h := range slices.Sorted(maps.Keys(l.lastGeneration)) {
+		b = appendRecord(b, &record{Op: Op{Kind: kindHolder, Key: Key{Holder: h, Generation: l.lastGeneration[h]}}})
 	}
 	return b
 }
@@ -211,34 +211,34 @@
 func (l *Ledger) Restore(b []byte) error {
 	n := New()
 	n.Checks = l.Checks
-	err := lines(b, func(x *line) error {
+	err := eachRecord(b, func(x *record) error {
 		switch x.Kind {
 		case kindIndex:
-			n.Index = x.No
+			n.AppliedIndex = x.Number
 		case kindTenant:
-			t := &Tenant{Paid: x.paid, Balance: x.balance, Lent: x.lent, Stranded: x.stranded, Spent: x.Spent, Full: x.full}
-			for p := x.taken; len(p) > 0; {
+			t := &Tenant{Paid: x.paid, Balance: x.balance, Lent: x.lent, Stranded: x.stranded, Spent: x.Spent, AvailableAtPayment: x.availableAtPayment}
+			for p := x.appliedPayments; len(p) > 0; {
 				from, i := protowire.ConsumeVarint(p)
 				if i < 0 {
-					return ErrForm
+					return ErrMalformed
 				}
 				to, k := protowire.ConsumeVarint(p[i:])
 				if k < 0 || to < from {
-					return ErrForm
+					return ErrMalformed
 				}
-				t.taken = append(t.taken, span{from, to})
+				t.appliedPayments = append(t.appliedPayments, numberRange{from, to})
 				p = p[i+k:]
 			}
 			n.tenants[x.Key.Tenant] = t
 		case kindAccount:
 			if n.accounts[x.Key] != nil {
-				return ErrForm
+				return ErrMalformed
 			}
-			*n.begin(x.Key) = Account{Granted: x.granted, Returned: x.Returned, Spent: x.Spent, Seq: x.Seq, Expired: x.expired}
+			*n.openAccount(x.Key) = Account{Granted: x.granted, Returned: x.Returned, Spent: x.Spent, Sequence: x.Sequence, Expired: x.expired}
 		case kindHolder:
-			n.opened[x.Key.Holder] = x.Key.Gen
+			n.lastGeneration[x.Key.Holder] = x.Key.Generation
 		default:
-			return ErrForm
+			return ErrMalformed
 		}
 		return nil
 	})
@@ -255,15 +255,15 @@
 // Clone makes another like it.
 func (l *Ledger) Clone() *Ledger {
 	c := New()
-	c.Index, c.Checks = l.Index, l.Checks
+	c.AppliedIndex, c.Checks = l.AppliedIndex, l.Checks
 	for k, t := range l.tenants {
 		x := *t
-		x.taken = slices.Clone(t.taken)
+		x.appliedPayments = slices.Clone(t.appliedPayments)
 		c.tenants[k] = &x
 	}
 	for k, a := range l.accounts {
-		*c.begin(k) = *a
+		*c.openAccount(k) = *a
 	}
-	c.opened = maps.Clone(l.opened)
+	c.lastGeneration = maps.Clone(l.lastGeneration)
 	return c
 }
--- a/internal/cluster/credit/lessor/bank.go
+++ b/internal/cluster/credit/lessor/bank.go
@@ -30,26 +30,26 @@
 
 // Settings say how. Times are in ms.
 type Settings struct {
-	Beat    float64 // between two entries at least
-	Again   float64 // an entry that is not heard of is given up after that
-	Ends    float64 // from an account's last Seq here to its end
-	Keep    float64 // what is stranded waits for somebody who knows, and then is spent
-	Patient float64 // an ask may wait for what others were called for
-	Recall  float64 // between two calls about an account
-	Fresh   float64 // what a pooler told of what it spends counts for so long
-	Shrink  float64
-	Most    int // bytes of an entry
+	BatchInterval     float64 // between two entries at least
+	ProposalTimeout   float64 // an entry that is not heard of is given up after that
+	ExpiryDelay       float64 // from an account's last Seq here to its end
+	StrandedRetention float64 // what is stranded waits for somebody who knows, and then is spent
+	RecallWait        float64 // an ask may wait for what others were called for
+	RecallInterval    float64 // between two calls about an account
+	DemandWindow      float64 // what a pooler told of what it spends counts for so long
+	ShareDivisor      float64
+	MaxEntryBytes     int // bytes of an entry
 }
 
 // Defaults are for a fleet within one region or a few.
 func Defaults() Settings {
-	return Settings{Beat: 25, Again: 1000, Ends: 11000, Keep: 24 * 3600e3, Patient: 150, Recall: 100, Fresh: 5000, Shrink: 4, Most: 850}
+	return Settings{BatchInterval: 25, ProposalTimeout: 1000, ExpiryDelay: 11000, StrandedRetention: 24 * 3600e3, RecallWait: 150, RecallInterval: 100, DemandWindow: 5000, ShareDivisor: 4, MaxEntryBytes: 850}
 }
 
-// Pay is a payment, as the operators' settings have it.
-type Pay struct {
+// Payment is a payment, as the operators' settings have it.
+type Payment struct {
 	Tenant string
-	No     uint64
+	Number uint64
 	Amount int64
 }
 
@@ -59,337 +59,337 @@
 // The actions.
 const (
 	Propose ActionKind = iota // Entry goes to the log
-	Answer                    // Answers go to To
+	Respond                   // Answers go to To
 )
 
 // Action is something a bank asks for.
 type Action struct {
-	Kind    ActionKind
-	Entry   []byte
-	To      ledger.Holder
-	Answers []message.Answer
+	Kind      ActionKind
+	Entry     []byte
+	To        ledger.Holder
+	Responses []message.Response
 }
 
-// Bank is a voter's.
-type Bank struct {
-	set    Settings
-	books  *ledger.Ledger
-	now    float64
-	leads  bool
-	asks   []pending
-	byKey  map[ledger.Key]int // of asks
-	pays   []Pay
-	flight [][]byte
-	sentAt float64
-	queue  []due // accounts by when their last Seq was applied here
-	ended  []due // those whose end is past
-	demand map[string][]told
-	called map[ledger.Key]float64
-	out    []Action
+// Lessor is a voter's.
+type Lessor struct {
+	settings        Settings
+	ledger          *ledger.Ledger
+	now             float64
+	isLeader        bool
+	requests        []pendingRequest
+	requestIndex    map[ledger.Key]int // of asks
+	payments        []Payment
+	inFlight        [][]byte
+	proposedAt      float64
+	activeAccounts  []accountDeadline // accounts by when their last Seq was applied here
+	expiredAccounts []accountDeadline // those whose end is past
+	demand          map[string][]spendReport
+	recalledAt      map[ledger.Key]float64
+	actions         []Action
 }
 
-type pending struct {
-	message.Ask
-	from  ledger.Holder
-	since float64
+type pendingRequest struct {
+	message.Request
+	from       ledger.Holder
+	receivedAt float64
 }
 
-type due struct {
-	key ledger.Key
-	seq uint32
-	at  float64
+type accountDeadline struct {
+	key       ledger.Key
+	sequence  uint32
+	appliedAt float64
 }
 
-type told struct {
-	who  ledger.Holder
-	rate int64
-	at   float64
+type spendReport struct {
+	holder     ledger.Holder
+	rate       int64
+	reportedAt float64
 }
 
 // New makes a voter's bank over its books.
-func New(set Settings, books *ledger.Ledger, now float64) *Bank {
-	b := &Bank{set: set, books: books, now: now, demand: map[string][]told{}, called: map[ledger.Key]float64{}, byKey: map[ledger.Key]int{}}
-	b.Restored(now)
+func New(set Settings, books *ledger.Ledger, now float64) *Lessor {
+	b := &Lessor{settings: set, ledger: books, now: now, demand: map[string][]spendReport{}, recalledAt: map[ledger.Key]float64{}, requestIndex: map[ledger.Key]int{}}
+	b.LedgerRestored(now)
 	return b
 }
 
-// Restored tells that the books are other ones: what is lent by them counts from now.
-func (b *Bank) Restored(now float64) {
+// LedgerRestored tells that the books are other ones: what is lent by them counts from now.
+func (b *Lessor) LedgerRestored(now float64) {
 	b.now = max(b.now, now)
-	b.queue, b.ended, b.flight = nil, nil, nil
-	for _, k := range b.books.All() {
-		a, _ := b.books.Account(k)
-		if d := (due{k, a.Seq, b.now}); a.Expired {
-			b.ended = append(b.ended, d)
+	b.activeAccounts, b.expiredAccounts, b.inFlight = nil, nil, nil
+	for _, k := range b.ledger.AllAccounts() {
+		a, _ := b.ledger.Account(k)
+		if d := (accountDeadline{k, a.Sequence, b.now}); a.Expired {
+			b.expiredAccounts = append(b.expiredAccounts, d)
 		} else {
-			b.queue = append(b.queue, d)
+			b.activeAccounts = append(b.activeAccounts, d)
 		}
 	}
 }
 
-// Lead tells whether this voter leads.
-func (b *Bank) Lead(now float64, leads bool) {
+// SetLeader tells whether this voter leads.
+func (b *Lessor) SetLeader(now float64, leads bool) {
 	b.now = max(b.now, now)
-	if b.leads != leads {
-		b.leads, b.flight, b.asks = leads, nil, nil
-		clear(b.byKey)
+	if b.isLeader != leads {
+		b.isLeader, b.inFlight, b.requests = leads, nil, nil
+		clear(b.requestIndex)
 		clear(b.demand)
 	}
 }
 
-const mostAsks = 100_000
+const maxPending = 100_000
 
-// Heard takes what a pooler asks.
-func (b *Bank) Heard(now float64, from ledger.Holder, asks []message.Ask, out []Action) []Action {
-	b.now, b.out = max(b.now, now), out
+// HandleRequests takes what a pooler asks.
+func (b *Lessor) HandleRequests(now float64, from ledger.Holder, asks []message.Request, out []Action) []Action {
+	b.now, b.actions = max(b.now, now), out
 	for i := range asks {
-		if !b.leads || len(b.asks) >= mostAsks || !asks[i].Heir && (asks[i].Key.Holder != from || asks[i].Key.Tenant == "") {
+		if !b.isLeader || len(b.requests) >= maxPending || !asks[i].Recovered && (asks[i].Key.Holder != from || asks[i].Key.Tenant == "") {
 			continue
 		}
-		p := pending{asks[i], from, b.now}
-		if k, ok := b.byKey[p.Key]; !ok {
-			b.byKey[p.Key] = len(b.asks)
-			b.asks = append(b.asks, p)
-		} else if o := &b.asks[k]; p.Seq >= o.Seq || p.Final {
-			p.since = o.since
+		p := pendingRequest{asks[i], from, b.now}
+		if k, ok := b.requestIndex[p.Key]; !ok {
+			b.requestIndex[p.Key] = len(b.requests)
+			b.requests = append(b.requests, p)
+		} else if o := &b.requests[k]; p.Sequence >= o.Sequence || p.Final {
+			p.receivedAt = o.receivedAt
 			*o = p
 		}
 	}
-	return b.beat()
+	return b.proposeBatch()
 }
 
-// Pay takes payments that somebody's settings have.
-func (b *Bank) Pay(now float64, pays []Pay, out []Action) []Action {
-	b.now, b.out = max(b.now, now), out
+// AddPayments takes payments that somebody's settings have.
+func (b *Lessor) AddPayments(now float64, pays []Payment, out []Action) []Action {
+	b.now, b.actions = max(b.now, now), out
 	for _, p := range pays {
-		if b.leads && !b.books.Taken(p.Tenant, p.No) && len(b.pays) < mostAsks && !slices.Contains(b.pays, p) {
-			b.pays = append(b.pays, p)
+		if b.isLeader && !b.ledger.PaymentApplied(p.Tenant, p.Number) && len(b.payments) < maxPending && !slices.Contains(b.payments, p) {
+			b.payments = append(b.payments, p)
 		}
 	}
-	return b.beat()
+	return b.proposeBatch()
 }
 
 // Tick tells that time has gone on.
-func (b *Bank) Tick(now float64, out []Action) []Action {
-	b.now, b.out = max(b.now, now), out
-	return b.beat()
+func (b *Lessor) Tick(now float64, out []Action) []Action {
+	b.now, b.actions = max(b.now, now), out
+	return b.proposeBatch()
 }
 
 // Apply has the books take an entry of the log, and answers those whom it is about.
-func (b *Bank) Apply(now float64, index uint64, entry []byte, out []Action) []Action {
-	b.now, b.out = max(b.now, now), out
-	for _, r := range b.books.Apply(index, entry) {
+func (b *Lessor) Apply(now float64, index uint64, entry []byte, out []Action) []Action {
+	b.now, b.actions = max(b.now, now), out
+	for _, r := range b.ledger.Apply(index, entry) {
 		switch {
-		case r.Kind == ledger.Lend && r.Done:
-			b.queue = append(b.queue, due{r.Key, r.Account.Seq, b.now})
-		case r.Kind == ledger.Expire && r.Done:
-			b.ended = append(b.ended, due{r.Key, r.Account.Seq, b.now})
+		case r.Kind == ledger.Grant && r.Applied:
+			b.activeAccounts = append(b.activeAccounts, accountDeadline{r.Key, r.Account.Sequence, b.now})
+		case r.Kind == ledger.Expire && r.Applied:
+			b.expiredAccounts = append(b.expiredAccounts, accountDeadline{r.Key, r.Account.Sequence, b.now})
 		}
 		if r.Kind == ledger.Payment {
-			b.pays = slices.DeleteFunc(b.pays, func(p Pay) bool { return p.Tenant == r.Key.Tenant && p.No == r.No })
+			b.payments = slices.DeleteFunc(b.payments, func(p Payment) bool { return p.Tenant == r.Key.Tenant && p.Number == r.Number })
 		}
-		if b.leads && (r.Kind == ledger.Lend || r.Kind == ledger.Final || r.Kind >= ledger.Bar) {
+		if b.isLeader && (r.Kind == ledger.Grant || r.Kind == ledger.Close || r.Kind >= ledger.Fence) {
 			to := r.Key.Holder
-			if r.Heir {
-				to = r.No // who told
+			if r.Recovered {
+				to = r.Number // who told
 			}
-			w := b.word(r.Key, r.Closed)
-			w.Ended = w.Ended || r.Ended
-			b.answer(to, w)
+			w := b.accountResponse(r.Key, r.Closed)
+			w.Expired = w.Expired || r.AllExpired
+			b.respond(to, w)
 		}
 	}
-	if len(b.queue) > 2*b.sizeOf()+1024 {
-		b.queue = slices.DeleteFunc(b.queue, func(d due) bool { return !b.current(d) })
+	if len(b.activeAccounts) > 2*b.accountCount()+1024 {
+		b.activeAccounts = slices.DeleteFunc(b.activeAccounts, func(d accountDeadline) bool { return !b.isCurrent(d) })
 	}
-	b.flight = slices.DeleteFunc(b.flight, func(e []byte) bool { return bytes.Equal(e, entry) })
-	return b.beat()
+	b.inFlight = slices.DeleteFunc(b.inFlight, func(e []byte) bool { return bytes.Equal(e, entry) })
+	return b.proposeBatch()
 }
 
-func (b *Bank) sizeOf() int {
-	_, n := b.books.Size()
+func (b *Lessor) accountCount() int {
+	_, n := b.ledger.Size()
 	return n
 }
 
-func (b *Bank) current(d due) bool {
-	a, ok := b.books.Account(d.key)
-	return ok && a.Seq == d.seq && !a.Expired
+func (b *Lessor) isCurrent(d accountDeadline) bool {
+	a, ok := b.ledger.Account(d.key)
+	return ok && a.Sequence == d.sequence && !a.Expired
 }
 
-// word is what the books say about an account.
-func (b *Bank) word(k ledger.Key, closed bool) message.Answer {
-	a, _ := b.books.Account(k)
-	t := b.books.Tenant(k.Tenant)
-	return message.Answer{Key: k, Seq: a.Seq, Granted: a.Granted, Closed: closed, Ended: a.Expired, Left: t.Left(), Full: t.Full}
+// accountResponse is what the books say about an account.
+func (b *Lessor) accountResponse(k ledger.Key, closed bool) message.Response {
+	a, _ := b.ledger.Account(k)
+	t := b.ledger.Tenant(k.Tenant)
+	return message.Response{Key: k, Sequence: a.Sequence, Granted: a.Granted, Closed: closed, Expired: a.Expired, Available: t.Available(), AvailableAtPayment: t.AvailableAtPayment}
 }
 
-func (b *Bank) answer(to ledger.Holder, a message.Answer) {
-	for i := len(b.out) - 1; i >= 0; i-- {
-		if x := &b.out[i]; x.Kind == Answer && x.To == to && len(x.Answers) < message.MostItems {
-			x.Answers = append(x.Answers, a)
+func (b *Lessor) respond(to ledger.Holder, a message.Response) {
+	for i := len(b.actions) - 1; i >= 0; i-- {
+		if x := &b.actions[i]; x.Kind == Respond && x.To == to && len(x.Responses) < message.MaxItems {
+			x.Responses = append(x.Responses, a)
 			return
 		}
 	}
-	b.out = append(b.out, Action{Kind: Answer, To: to, Answers: []message.Answer{a}})
+	b.actions = append(b.actions, Action{Kind: Respond, To: to, Responses: []message.Response{a}})
 }
 
-// beat puts what has gathered to the log, when it is time.
-func (b *Bank) beat() []Action {
-	if !b.leads || b.now < b.sentAt+b.set.Beat || len(b.flight) > 0 && b.now < b.sentAt+b.set.Again {
-		return b.out
+// proposeBatch puts what has gathered to the log, when it is time.
+func (b *Lessor) proposeBatch() []Action {
+	if !b.isLeader || b.now < b.proposedAt+b.settings.BatchInterval || len(b.inFlight) > 0 && b.now < b.proposedAt+b.settings.ProposalTimeout {
+		return b.actions
 	}
-	ops := b.ends(nil)
-	for i, p := range b.pays {
-		if i == ledger.MostOps/4 {
+	ops := b.appendExpirations(nil)
+	for i, p := range b.payments {
+		if i == ledger.MaxOps/4 {
 			break
 		}
-		ops = append(ops, ledger.Op{Kind: ledger.Payment, Key: ledger.Key{Tenant: p.Tenant}, No: p.No, Amount: p.Amount})
+		ops = append(ops, ledger.Op{Kind: ledger.Payment, Key: ledger.Key{Tenant: p.Tenant}, Number: p.Number, Amount: p.Amount})
 	}
-	ops = b.lend(ops)
+	ops = b.appendGrants(ops)
 	if len(ops) == 0 {
-		return b.out
+		return b.actions
 	}
-	b.flight, b.sentAt = nil, b.now
+	b.inFlight, b.proposedAt = nil, b.now
 	var entry []byte
 	put := func() {
-		b.flight = append(b.flight, entry)
-		b.out = append(b.out, Action{Kind: Propose, Entry: entry})
+		b.inFlight = append(b.inFlight, entry)
+		b.actions = append(b.actions, Action{Kind: Propose, Entry: entry})
 		entry = nil
 	}
 	for i := range ops {
 		op := ledger.Encode(ops[i : i+1])
-		if entry != nil && len(entry)+len(op) > b.set.Most {
+		if entry != nil && len(entry)+len(op) > b.settings.MaxEntryBytes {
 			put()
 		}
 		entry = append(entry, op...)
 	}
 	put()
-	return b.out
+	return b.actions
 }
 
-// ends are of accounts of which nothing can be spent any more.
-func (b *Bank) ends(ops []ledger.Op) []ledger.Op {
+// appendExpirations are of accounts of which nothing can be spent any more.
+func (b *Lessor) appendExpirations(ops []ledger.Op) []ledger.Op {
 	n := 0
-	for ; n < len(b.queue) && len(ops) < ledger.MostOps/4; n++ {
-		d := b.queue[n]
-		if !b.current(d) {
+	for ; n < len(b.activeAccounts) && len(ops) < ledger.MaxOps/4; n++ {
+		d := b.activeAccounts[n]
+		if !b.isCurrent(d) {
 			continue
 		}
-		if b.now < d.at+b.set.Ends {
+		if b.now < d.appliedAt+b.settings.ExpiryDelay {
 			break
 		}
-		ops = append(ops, ledger.Op{Kind: ledger.Expire, Key: d.key, Seq: d.seq})
-		b.queue = append(b.queue, due{d.key, d.seq, b.now - b.set.Ends + b.set.Again}) // again, if this is lost
+		ops = append(ops, ledger.Op{Kind: ledger.Expire, Key: d.key, Sequence: d.sequence})
+		b.activeAccounts = append(b.activeAccounts, accountDeadline{d.key, d.sequence, b.now - b.settings.ExpiryDelay + b.settings.ProposalTimeout}) // again, if this is lost
 	}
-	b.queue = b.queue[n:]
-	for n = 0; n < len(b.ended) && len(ops) < ledger.MostOps/4; n++ {
-		d := b.ended[n]
-		if _, ok := b.books.Account(d.key); !ok {
+	b.activeAccounts = b.activeAccounts[n:]
+	for n = 0; n < len(b.expiredAccounts) && len(ops) < ledger.MaxOps/4; n++ {
+		d := b.expiredAccounts[n]
+		if _, ok := b.ledger.Account(d.key); !ok {
 			continue
 		}
-		if b.now < d.at+b.set.Keep {
+		if b.now < d.appliedAt+b.settings.StrandedRetention {
 			break
 		}
-		ops = append(ops, ledger.Op{Kind: ledger.Fold, Key: d.key})
-		b.ended = append(b.ended, due{d.key, d.seq, b.now - b.set.Keep + b.set.Again})
+		ops = append(ops, ledger.Op{Kind: ledger.WriteOff, Key: d.key})
+		b.expiredAccounts = append(b.expiredAccounts, accountDeadline{d.key, d.sequence, b.now - b.settings.StrandedRetention + b.settings.ProposalTimeout})
 	}
-	b.ended = b.ended[n:]
+	b.expiredAccounts = b.expiredAccounts[n:]
 	return ops
 }
 
-// lend decides what those who asked get.
-func (b *Bank) lend(ops []ledger.Op) []ledger.Op {
+// appendGrants decides what those who asked get.
+func (b *Lessor) appendGrants(ops []ledger.Op) []ledger.Op {
 	spare := map[string]int64{} // balance, as it will be
 	unmet := map[string]int64{}
 	var order []string
-	for i := range b.asks { // what is given back in the same entry can be lent by it
-		p := &b.asks[i]
+	for i := range b.requests { // what is given back in the same entry can be lent by it
+		p := &b.requests[i]
 		if _, ok := spare[p.Key.Tenant]; !ok {
-			spare[p.Key.Tenant] = b.books.Tenant(p.Key.Tenant).Balance
+			spare[p.Key.Tenant] = b.ledger.Tenant(p.Key.Tenant).Balance
 			order = append(order, p.Key.Tenant)
 		}
-		if a, ok := b.books.Account(p.Key); ok && !a.Expired && p.Seq > a.Seq {
+		if a, ok := b.ledger.Account(p.Key); ok && !a.Expired && p.Sequence > a.Sequence {
 			spare[p.Key.Tenant] += max(0, min(p.Returned, a.Granted-max(a.Spent, p.Spent))-a.Returned)
 		}
-		b.spends(p)
+		b.recordDemand(p)
 	}
-	var rest []pending
-	for i := range b.asks {
-		p := &b.asks[i]
-		if len(ops) >= ledger.MostOps {
+	var rest []pendingRequest
+	for i := range b.requests {
+		p := &b.requests[i]
+		if len(ops) >= ledger.MaxOps {
 			rest = append(rest, *p)
 			continue
 		}
 		if p.Final {
-			op := ledger.Op{Kind: ledger.Final, Key: p.Key, Spent: p.Spent, Heir: p.Heir}
-			if p.Heir {
-				op.No = p.from
+			op := ledger.Op{Kind: ledger.Close, Key: p.Key, Spent: p.Spent, Recovered: p.Recovered}
+			if p.Recovered {
+				op.Number = p.from
 			}
 			if p.Key.Tenant == "" {
-				op.Kind = ledger.Bar
-				if p.Rest {
-					op.Kind = ledger.Rest
+				op.Kind = ledger.Fence
+				if p.MarksRead {
+					op.Kind = ledger.CloseRemaining
 				}
 			}
 			ops = append(ops, op)
 			continue
 		}
 		name := p.Key.Tenant
-		a, known := b.books.Account(p.Key)
-		if known && (a.Expired || p.Seq <= a.Seq) {
-			b.answer(p.from, b.word(p.Key, false))
+		a, known := b.ledger.Account(p.Key)
+		if known && (a.Expired || p.Sequence <= a.Sequence) {
+			b.respond(p.from, b.accountResponse(p.Key, false))
 			continue
 		}
-		can := max(0, spare[name]+p.Key.Depth)
-		n := min(can, p.Want, max(p.Need, b.beyondNeed(p, &a, can)))
+		can := max(0, spare[name]+p.Key.Overdraft)
+		n := min(can, p.Requested, max(p.Queued, b.maxBeyondQueued(p, &a, can)))
 		n = max(0, n)
-		if n < p.Need {
-			unmet[name] += p.Need - n
-			if b.now < p.since+b.set.Patient && b.others(p) && p.Returned == a.Returned {
+		if n < p.Queued {
+			unmet[name] += p.Queued - n
+			if b.now < p.receivedAt+b.settings.RecallWait && b.heldByOthers(p) && p.Returned == a.Returned {
 				rest = append(rest, *p)
 				continue
 			}
 		}
 		if !known && n == 0 {
-			b.answer(p.from, b.word(p.Key, false))
+			b.respond(p.from, b.accountResponse(p.Key, false))
 			continue
 		}
 		spare[name] -= n
-		ops = append(ops, ledger.Op{Kind: ledger.Lend, Key: p.Key, Seq: p.Seq, Spent: p.Spent, Returned: p.Returned, Amount: n})
+		ops = append(ops, ledger.Op{Kind: ledger.Grant, Key: p.Key, Sequence: p.Sequence, Spent: p.Spent, Returned: p.Returned, Amount: n})
 	}
-	b.asks = rest
-	clear(b.byKey)
+	b.requests = rest
+	clear(b.requestIndex)
 	for i := range rest {
-		b.byKey[rest[i].Key] = i
+		b.requestIndex[rest[i].Key] = i
 	}
 	for _, name := range order {
 		if unmet[name] > 0 {
-			b.call(name, unmet[name])
+			b.recallFunds(name, unmet[name])
 		}
 	}
 	return ops
 }
 
-// others tells whether anybody else has something of what an ask needs.
-func (b *Bank) others(p *pending) bool {
-	a, _ := b.books.Account(p.Key)
-	return b.books.Tenant(p.Key.Tenant).Lent > a.Open()
+// heldByOthers tells whether anybody else has something of what an ask needs.
+func (b *Lessor) heldByOthers(p *pendingRequest) bool {
+	a, _ := b.ledger.Account(p.Key)
+	return b.ledger.Tenant(p.Key.Tenant).Lent > a.Outstanding()
 }
 
-// spends keeps what a pooler says that it spends of a tenant's funds.
-func (b *Bank) spends(p *pending) {
-	if p.Heir {
+// recordDemand keeps what a pooler says that it spends of a tenant's funds.
+func (b *Lessor) recordDemand(p *pendingRequest) {
+	if p.Recovered {
 		return
 	}
 	list := b.demand[p.Key.Tenant]
-	if len(list) > 0 && list[0].at < b.now-b.set.Fresh {
-		list = slices.DeleteFunc(list, func(x told) bool { return x.at < b.now-b.set.Fresh })
+	if len(list) > 0 && list[0].reportedAt < b.now-b.settings.DemandWindow {
+		list = slices.DeleteFunc(list, func(x spendReport) bool { return x.reportedAt < b.now-b.settings.DemandWindow })
 	}
-	i := slices.IndexFunc(list, func(x told) bool { return x.who == p.from })
+	i := slices.IndexFunc(list, func(x spendReport) bool { return x.holder == p.from })
 	if i < 0 {
-		list = append(list, told{who: p.from})
+		list = append(list, spendReport{holder: p.from})
 		i = len(list) - 1
 	}
-	list[i].rate, list[i].at = p.Rate, b.now
+	list[i].rate, list[i].reportedAt = p.SpendRate, b.now
 	if p.Final && len(list) == 1 {
 		delete(b.demand, p.Key.Tenant)
 		return
@@ -397,39 +397,39 @@
 	b.demand[p.Key.Tenant] = list
 }
 
-// beyondNeed is the most that a pooler may get beside what waits. Where a part of what is left is less than one unit and nobody holds any of
+// maxBeyondQueued is the most that a pooler may get beside what waits. Where a part of what is left is less than one unit and nobody holds any of
 // it, one gets all that it wants: smaller parts would be of use to nobody.
-func (b *Bank) beyondNeed(p *pending, a *ledger.Account, can int64) int64 {
+func (b *Lessor) maxBeyondQueued(p *pendingRequest, a *ledger.Account, can int64) int64 {
 	holds := max(0, a.Granted-max(a.Returned, p.Returned)-max(a.Spent, p.Spent))
-	part := b.part(p)
-	if part == 0 && holds == 0 && p.Want <= can && !b.others(p) {
-		return p.Want
+	part := b.fairShare(p)
+	if part == 0 && holds == 0 && p.Requested <= can && !b.heldByOthers(p) {
+		return p.Requested
 	}
 	return part - holds
 }
 
-// part is the most that a pooler may hold of what its tenant has left, beside what waits.
-func (b *Bank) part(p *pending) int64 {
-	t := b.books.Tenant(p.Key.Tenant)
+// fairShare is the most that a pooler may hold of what its tenant has left, beside what waits.
+func (b *Lessor) fairShare(p *pendingRequest) int64 {
+	t := b.ledger.Tenant(p.Key.Tenant)
 	all := int64(0)
 	for _, x := range b.demand[p.Key.Tenant] {
 		all += max(1, x.rate)
 	}
-	return int64(float64(max(0, t.Left()+p.Key.Depth)) / b.set.Shrink * float64(max(1, p.Rate)) / float64(max(1, all)))
+	return int64(float64(max(0, t.Available()+p.Key.Overdraft)) / b.settings.ShareDivisor * float64(max(1, p.SpendRate)) / float64(max(1, all)))
 }
 
-// call has those who hold most give back half, until so much comes in.
-func (b *Bank) call(tenant string, n int64) {
+// recallFunds has those who hold most give back half, until so much comes in.
+func (b *Lessor) recallFunds(tenant string, n int64) {
 	type holds struct {
 		key  ledger.Key
 		open int64
 	}
 	var all []holds
-	for _, k := range b.books.Accounts(tenant) {
-		i, asks := b.byKey[k]
-		needs := asks && b.asks[i].Need > 0
-		if a, _ := b.books.Account(k); !needs && !a.Expired && a.Open() > 0 {
-			all = append(all, holds{k, a.Open()})
+	for _, k := range b.ledger.Accounts(tenant) {
+		i, asks := b.requestIndex[k]
+		needs := asks && b.requests[i].Queued > 0
+		if a, _ := b.ledger.Account(k); !needs && !a.Expired && a.Outstanding() > 0 {
+			all = append(all, holds{k, a.Outstanding()})
 		}
 	}
 	slices.SortStableFunc(all, func(x, y holds) int { return int(max(-1, min(1, y.open-x.open))) })
@@ -437,17 +437,17 @@
 		if n <= 0 {
 			return
 		}
-		if at, ok := b.called[x.key]; ok && b.now < at+b.set.Recall {
+		if at, ok := b.recalledAt[x.key]; ok && b.now < at+b.settings.RecallInterval {
 			n -= x.open - x.open/2
 			continue
 		}
-		if len(b.called) > mostAsks {
-			clear(b.called)
+		if len(b.recalledAt) > maxPending {
+			clear(b.recalledAt)
 		}
-		b.called[x.key] = b.now
-		w := b.word(x.key, false)
-		w.Call, w.Keep = true, x.open/2
-		b.answer(x.key.Holder, w)
+		b.recalledAt[x.key] = b.now
+		w := b.accountResponse(x.key, false)
+		w.Recall, w.Retain = true, x.open/2
+		b.respond(x.key.Holder, w)
 		n -= x.open - x.open/2
 	}
 }
--- a/internal/cluster/credit/lessor/clone.go
+++ b/internal/cluster/credit/lessor/clone.go
@@ -10,47 +10,47 @@
 )
 
 // Clone makes another like it, with books of its own.
-func (b *Bank) Clone() *Bank {
+func (b *Lessor) Clone() *Lessor {
 	c := *b
-	c.out = nil
-	c.books = b.books.Clone()
-	c.asks, c.pays, c.queue, c.ended = slices.Clone(b.asks), slices.Clone(b.pays), slices.Clone(b.queue), slices.Clone(b.ended)
-	c.flight, c.byKey = slices.Clone(b.flight), maps.Clone(b.byKey)
-	c.demand, c.called = map[string][]told{}, maps.Clone(b.called)
+	c.actions = nil
+	c.ledger = b.ledger.Clone()
+	c.requests, c.payments, c.activeAccounts, c.expiredAccounts = slices.Clone(b.requests), slices.Clone(b.payments), slices.Clone(b.activeAccounts), slices.Clone(b.expiredAccounts)
+	c.inFlight, c.requestIndex = slices.Clone(b.inFlight), maps.Clone(b.requestIndex)
+	c.demand, c.recalledAt = map[string][]spendReport{}, maps.Clone(b.recalledAt)
 	for k, l := range b.demand {
 		c.demand[k] = slices.Clone(l)
 	}
 	return &c
 }
 
-// Books are those that it has.
-func (b *Bank) Books() *ledger.Ledger { return b.books }
+// Ledger are those that it has.
+func (b *Lessor) Ledger() *ledger.Ledger { return b.ledger }
 
-// Leads tells whether it was told that it leads.
-func (b *Bank) Leads() bool { return b.leads }
+// IsLeader tells whether it was told that it leads.
+func (b *Lessor) IsLeader() bool { return b.isLeader }
 
 // Key is the same for banks that do the same from now on.
-func (b *Bank) Key() string {
+func (b *Lessor) Key() string {
 	var s strings.Builder
 	ago := func(at float64) float64 { return float64(int64((b.now-at)*1000)) / 1000 }
-	fmt.Fprint(&s, b.leads, len(b.flight), ago(max(b.sentAt, b.now-10*b.set.Again)), "|")
-	for _, p := range b.asks {
-		fmt.Fprint(&s, p.Ask, ago(p.since))
+	fmt.Fprint(&s, b.isLeader, len(b.inFlight), ago(max(b.proposedAt, b.now-10*b.settings.ProposalTimeout)), "|")
+	for _, p := range b.requests {
+		fmt.Fprint(&s, p.Request, ago(p.receivedAt))
 	}
-	for _, d := range b.queue {
-		if b.current(d) {
-			fmt.Fprint(&s, d.key, d.seq, ago(d.at))
+	for _, d := range b.activeAccounts {
+		if b.isCurrent(d) {
+			fmt.Fprint(&s, d.key, d.sequence, ago(d.appliedAt))
 		}
 	}
-	for _, d := range b.ended {
+	for _, d := range b.expiredAccounts {
 		fmt.Fprint(&s, "e", d.key)
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.demand)) {
 		for _, x := range b.demand[name] {
-			fmt.Fprint(&s, name, x.who, x.rate, ago(x.at))
+			fmt.Fprint(&s, name, x.holder, x.rate, ago(x.reportedAt))
 		}
 	}
-	s.Write(b.books.Snapshot())
-	fmt.Fprint(&s, len(b.pays), len(b.called))
+	s.Write(b.ledger.Snapshot())
+	fmt.Fprint(&s, len(b.payments), len(b.recalledAt))
 	return s.String()
 }
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -12,8 +12,8 @@
 
 // Credit decides whether a tenant's prepaid funds admit a request. The router sees a request once it is admitted.
 type Credit interface {
-	Hold(tenant, class, session string, tag uint64) (lease.Hold, lease.Verdict)
-	Settle(h *lease.Hold, d lease.Done)
+	Hold(tenant, class, session string, tag uint64) (lease.Reservation, lease.Decision)
+	Settle(h *lease.Reservation, d lease.Usage)
 	Cancel(tenant string, tag uint64)
 }
 
@@ -23,7 +23,7 @@
 // payment is a request's state with its tenant's funds.
 type payment struct {
 	tenant       string
-	creditHold   lease.Hold
+	creditHold   lease.Reservation
 	pending      *decide.Request // what the router gets once the request is admitted; nil otherwise
 	waitingSince float64
 }
@@ -34,15 +34,15 @@
 func (c *Core) holdCredit(ref slotmap.Ref, req *request, incoming *platform.Request, ev *decide.Request) bool {
 	req.payment.tenant, req.payment.pending, req.payment.waitingSince = incoming.Tenant, ev, c.loop.Now() // Funded may be called before Hold returns
 	hold, v := c.credit.Hold(incoming.Tenant, incoming.Class, incoming.Session, creditTag(ref))
-	if v == lease.Wait {
+	if v == lease.Queued {
 		c.loop.At(max(req.payment.waitingSince, incoming.Deadline-creditDeadlineMarginMs), func() { c.rejectOverdue(ref) })
 		return false
 	}
 	req.payment.pending, req.payment.creditHold = nil, hold
-	if v != lease.Pass {
-		c.rejectUnfunded(ref, req, v == lease.Slow)
+	if v != lease.Admitted {
+		c.rejectUnfunded(ref, req, v == lease.Throttled)
 	}
-	return v == lease.Pass
+	return v == lease.Admitted
 }
 
 const creditDeadlineMarginMs = 5 // a request that waits for funds is refused so long before its deadline, so that its client hears of it
@@ -72,10 +72,10 @@
 const minCreditRetryAfterMs = 1000 // a payment usually arrives sooner; the advice is up to twice that, so that clients do not return together
 
 // Funded admits a request that waited for funds.
-func (c *Core) Funded(tag uint64, hold lease.Hold) {
+func (c *Core) Funded(tag uint64, hold lease.Reservation) {
 	req, ok := c.requests.Get(creditRef(tag))
 	if !ok || req.payment.pending == nil {
-		c.credit.Settle(&hold, lease.Done{})
+		c.credit.Settle(&hold, lease.Usage{})
 		return
 	}
 	ev := req.payment.pending
@@ -99,7 +99,7 @@
 
 // settleCredit ends the hold on a tenant's funds: once for each request, however many attempts it had.
 func (c *Core) settleCredit(req *request, end metrics.Outcome) {
-	d, sent := lease.Done{}, false
+	d, sent := lease.Usage{}, false
 	from := 0.0
 	for i := range req.attempts {
 		if t := &req.attempts[i]; t.written && (!sent || t.startedAt < from) {
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -20,24 +20,24 @@
 
 // payer lets in as it is told to, and notes what it is told.
 type payer struct {
-	say  lease.Verdict
+	say  lease.Decision
 	tag  uint64
 	told []string
 	at   func(tag uint64) // is done before Hold returns, where it is set
 }
 
-func (p *payer) Hold(_, _, _ string, tag uint64) (lease.Hold, lease.Verdict) {
+func (p *payer) Hold(_, _, _ string, tag uint64) (lease.Reservation, lease.Decision) {
 	p.tag = tag
 	if p.at != nil {
 		p.at(tag)
 	}
-	if p.say == lease.Pass {
-		return lease.Hold{Amount: 5}, lease.Pass
+	if p.say == lease.Admitted {
+		return lease.Reservation{Amount: 5}, lease.Admitted
 	}
-	return lease.Hold{}, p.say
+	return lease.Reservation{}, p.say
 }
 
-func (p *payer) Settle(h *lease.Hold, d lease.Done) {
+func (p *payer) Settle(h *lease.Reservation, d lease.Usage) {
 	word := "free"
 	switch {
 	case h.Amount == 0:
@@ -64,7 +64,7 @@
 
 // TestRequestIsPaidForAndSettledOnce has a request be told to the module once it is paid for, and be settled once, whatever becomes of it.
 func TestRequestIsPaidForAndSettledOnce(t *testing.T) {
-	begin := func(say lease.Verdict) (*Core, *payer, *asker, *counting, slotmap.Ref) {
+	begin := func(say lease.Decision) (*Core, *payer, *asker, *counting, slotmap.Ref) {
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 			Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 			InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
@@ -83,25 +83,25 @@
 	}
 	for _, x := range []struct {
 		name  string
-		say   lease.Verdict
+		say   lease.Decision
 		do    func(c *Core, p *payer, ref slotmap.Ref)
 		sends int
 		told  []string
 		heard []string
 	}{
-		{"served", lease.Pass, func(c *Core, _ *payer, ref slotmap.Ref) { served(c, ref) }, 1, []string{"served"}, []string{"served"}},
-		{"no funds", lease.None, func(*Core, *payer, slotmap.Ref) {}, 0, nil, []string{"broke"}},
-		{"waits, is let in and served", lease.Wait, func(c *Core, p *payer, ref slotmap.Ref) {
-			c.Funded(p.tag, lease.Hold{Amount: 5})
+		{"served", lease.Admitted, func(c *Core, _ *payer, ref slotmap.Ref) { served(c, ref) }, 1, []string{"served"}, []string{"served"}},
+		{"no funds", lease.Exhausted, func(*Core, *payer, slotmap.Ref) {}, 0, nil, []string{"broke"}},
+		{"waits, is let in and served", lease.Queued, func(c *Core, p *payer, ref slotmap.Ref) {
+			c.Funded(p.tag, lease.Reservation{Amount: 5})
 			served(c, ref)
 		}, 1, []string{"served"}, []string{"served"}},
-		{"waits and is turned away", lease.Wait, func(c *Core, p *payer, _ slotmap.Ref) { c.Unfunded(p.tag) }, 0, nil, []string{"broke"}},
-		{"its client goes while it waits", lease.Wait, func(c *Core, p *payer, ref slotmap.Ref) {
+		{"waits and is turned away", lease.Queued, func(c *Core, p *payer, _ slotmap.Ref) { c.Unfunded(p.tag) }, 0, nil, []string{"broke"}},
+		{"its client goes while it waits", lease.Queued, func(c *Core, p *payer, ref slotmap.Ref) {
 			c.Abandon(ref)
-			c.Funded(p.tag, lease.Hold{Amount: 5})
+			c.Funded(p.tag, lease.Reservation{Amount: 5})
 		}, 0, []string{"cancelled", "free"}, nil},
-		{"its client goes before anything was sent", lease.Pass, func(c *Core, _ *payer, ref slotmap.Ref) { c.Abandon(ref) }, 1, []string{"free"}, nil},
-		{"its client goes after", lease.Pass, func(c *Core, _ *payer, ref slotmap.Ref) {
+		{"its client goes before anything was sent", lease.Admitted, func(c *Core, _ *payer, ref slotmap.Ref) { c.Abandon(ref) }, 1, []string{"free"}, nil},
+		{"its client goes after", lease.Admitted, func(c *Core, _ *payer, ref slotmap.Ref) {
 			c.AttemptWritten(backend.AttemptID{Request: ref})
 			c.Abandon(ref)
 		}, 1, []string{"failed"}, nil},
@@ -128,7 +128,7 @@
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
-	servers, p := &counting{}, &payer{say: lease.Wait}
+	servers, p := &counting{}, &payer{say: lease.Queued}
 	c := New(still{}, slog.New(slog.DiscardHandler), cfg)
 	c.Start(servers, still{})
 	c.SetCredit(p)
@@ -139,7 +139,7 @@
 		}
 		return ref
 	}
-	p.at = func(tag uint64) { c.Funded(tag, lease.Hold{Amount: 5}) }
+	p.at = func(tag uint64) { c.Funded(tag, lease.Reservation{Amount: 5}) }
 	if ask("1", &asker{}); servers.n != 1 {
 		t.Errorf("let in at once: sent %d times", servers.n)
 	}
@@ -150,7 +150,7 @@
 	p.at = nil
 	other := ask("3", &asker{})
 	tag := p.tag
-	p.say = lease.Pass
+	p.say = lease.Admitted
 	mine, left := ask("4", &asker{}), false
 	req, _ := c.requests.Get(other)
 	req.client = leaver{func() {
@@ -187,7 +187,7 @@
 func TestUnfundedRequestIsRefusedInItsTime(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8,
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}}}
-	loop, p, a := &hung{}, &payer{say: lease.Wait}, &asker{}
+	loop, p, a := &hung{}, &payer{say: lease.Queued}, &asker{}
 	c := New(loop, slog.New(slog.DiscardHandler), cfg)
 	c.Start(&counting{}, still{})
 	c.SetCredit(p)
--- a/internal/settings/credit.go
+++ b/internal/settings/credit.go
@@ -21,7 +21,7 @@
 	Lessor     lessor.Settings
 	Prices     []ClassPrice
 	Overdrafts []ClassOverdraft
-	Payments   []lessor.Pay
+	Payments   []lessor.Payment
 	Prepaid    []string
 }
 
@@ -39,27 +39,27 @@
 
 // SettingsFor are the settings of a pooler with these classes, worth so much.
 func (c *Credit) SettingsFor(classes []string, worth func(i int) float64) credit.Settings {
-	s := credit.Settings{Purse: c.Lease, Bank: c.Lessor, Pays: c.Payments}
-	s.Purse.Marks = c.Dir != ""
-	s.Purse.Prepaid = c.Prepaid
-	s.Bank.Ends = s.Purse.Ends()
+	s := credit.Settings{Lease: c.Lease, Lessor: c.Lessor, Payments: c.Payments}
+	s.Lease.PersistMarks = c.Dir != ""
+	s.Lease.PrepaidTenants = c.Prepaid
+	s.Lessor.ExpiryDelay = s.Lease.ExpiryDelay()
 	for i, name := range classes {
-		x := lease.Class{Worth: worth(i)}
+		x := lease.Class{PriorityWeight: worth(i)}
 		if k := slices.IndexFunc(c.Prices, func(p ClassPrice) bool { return p.Class == name }); k >= 0 {
 			x.Price = c.Prices[k].Price
 		}
 		if k := slices.IndexFunc(c.Overdrafts, func(d ClassOverdraft) bool { return d.Class == name }); k >= 0 {
-			x.Depth = c.Overdrafts[k].Amount
+			x.Overdraft = c.Overdrafts[k].Amount
 		}
-		s.Purse.Classes = append(s.Purse.Classes, x)
+		s.Lease.Classes = append(s.Lease.Classes, x)
 	}
 	return s
 }
 
 func readCreditName(node *sexp.Node, what string) (string, error) {
 	a := node.Args()
-	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" || len(a[0].Text) > ledger.MostName {
-		return "", node.Errorf("%s, of %d bytes at most, is due first", what, ledger.MostName)
+	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" || len(a[0].Text) > ledger.MaxNameBytes {
+		return "", node.Errorf("%s, of %d bytes at most, is due first", what, ledger.MaxNameBytes)
 	}
 	return a[0].Text, nil
 }
@@ -67,8 +67,8 @@
 // wholeNumber reads a whole number.
 func wholeNumber(node *sexp.Node, least int64) (int64, error) {
 	x, err := strconv.ParseInt(node.Text, 10, 64)
-	if node.Kind == sexp.List || err != nil || x < least || x > ledger.MostAmount {
-		return 0, node.Errorf("a whole number from %d to %d is due here", least, ledger.MostAmount)
+	if node.Kind == sexp.List || err != nil || x < least || x > ledger.MaxAmount {
+		return 0, node.Errorf("a whole number from %d to %d is due here", least, ledger.MaxAmount)
 	}
 	return x, nil
 }
@@ -107,37 +107,37 @@
 		"price": c.readPrice, "overdraft": c.readOverdraft, "payment": c.readPayment,
 		"prepaid": func(node *sexp.Node) error {
 			for _, x := range node.Args() {
-				if x.Kind == sexp.List || x.Text == "" || len(x.Text) > ledger.MostName {
-					return x.Errorf("a tenant's name, of %d bytes at most, is due here", ledger.MostName)
+				if x.Kind == sexp.List || x.Text == "" || len(x.Text) > ledger.MaxNameBytes {
+					return x.Errorf("a tenant's name, of %d bytes at most, is due here", ledger.MaxNameBytes)
 				}
 				c.Prepaid = append(c.Prepaid, x.Text)
 			}
 			return nil
 		},
-		"slow-below": func(node *sexp.Node) (err error) { p.Below, err = node.Float(0, 1); return err },
-		"least":      func(node *sexp.Node) (err error) { p.Least, err = node.Float(0.01, 1); return err },
-		"lease":      span(&p.Lease, 1000, 3600e3), "renew": span(&p.Renew, 200, 60000), "soon": span(&p.Soon, 50, 10000), "dry": span(&p.Dry, 100, 60000),
-		"span": span(&p.Span, 100, 600e3), "idle": span(&p.Idle, 500, 3600e3), "wait": span(&p.Wait, 0, 10000), "grace": span(&p.Grace, 0, 60000),
-		"keep":  span(&c.Lessor.Keep, 60000, 365*24*3600e3),
-		"drift": func(node *sexp.Node) (err error) { p.Drift, err = node.Float(0, 0.1); return err },
+		"slow-below": func(node *sexp.Node) (err error) { p.ThrottleBelow, err = node.Float(0, 1); return err },
+		"least":      func(node *sexp.Node) (err error) { p.MinThrottledShare, err = node.Float(0.01, 1); return err },
+		"lease":      span(&p.Duration, 1000, 3600e3), "renew": span(&p.RenewInterval, 200, 60000), "soon": span(&p.UrgentInterval, 50, 10000), "dry": span(&p.ExhaustedInterval, 100, 60000),
+		"span": span(&p.GrantHorizon, 100, 600e3), "idle": span(&p.IdleTimeout, 500, 3600e3), "wait": span(&p.QueueTimeout, 0, 10000), "grace": span(&p.Grace, 0, 60000),
+		"keep":  span(&c.Lessor.StrandedRetention, 60000, 365*24*3600e3),
+		"drift": func(node *sexp.Node) (err error) { p.ClockDrift, err = node.Float(0, 0.1); return err },
 	}.Read(node.Args(), "price", "overdraft", "payment", "prepaid")
 	switch {
 	case err != nil:
 		return err
 	case len(c.Prices) == 0:
 		return node.Errorf("(credit ...) needs a (price CLASS ...)")
-	case p.Lease < 4*p.Renew || p.Renew < p.Soon:
-		return node.Errorf("a lease of %g ms is to be four times the %g ms between asks at least, and these no less than the %g ms of those that are soon", p.Lease, p.Renew, p.Soon)
+	case p.Duration < 4*p.RenewInterval || p.RenewInterval < p.UrgentInterval:
+		return node.Errorf("a lease of %g ms is to be four times the %g ms between asks at least, and these no less than the %g ms of those that are soon", p.Duration, p.RenewInterval, p.UrgentInterval)
 	}
 	for _, x := range c.Payments {
 		c.Prepaid = append(c.Prepaid, x.Tenant)
 	}
 	slices.Sort(c.Prepaid)
 	c.Prepaid = slices.Compact(c.Prepaid)
-	slices.SortFunc(c.Payments, credit.ByNumber)
+	slices.SortFunc(c.Payments, credit.ComparePayments)
 	for i := 1; i < len(c.Payments); i++ {
-		if a, b := c.Payments[i-1], c.Payments[i]; a.Tenant == b.Tenant && a.No == b.No {
-			return node.Errorf("there are two payments %d of %q", a.No, a.Tenant)
+		if a, b := c.Payments[i-1], c.Payments[i]; a.Tenant == b.Tenant && a.Number == b.Number {
+			return node.Errorf("there are two payments %d of %q", a.Number, a.Tenant)
 		}
 	}
 	return nil
@@ -150,10 +150,10 @@
 	}
 	x := ClassPrice{Class: class}
 	err = sexp.Schema{
-		"request": creditAmountReader(&x.Request, 0), "row": creditAmountReader(&x.Row, 0), "second": creditAmountReader(&x.Second, 0), "most": creditAmountReader(&x.Most, 1),
+		"request": creditAmountReader(&x.PerRequest, 0), "row": creditAmountReader(&x.PerRow, 0), "second": creditAmountReader(&x.PerSecond, 0), "most": creditAmountReader(&x.Max, 1),
 		"failed": func(node *sexp.Node) error {
 			s, err := node.Str()
-			if x.Failed = s == "charged"; err == nil && !x.Failed && s != "free" {
+			if x.ChargeFailed = s == "charged"; err == nil && !x.ChargeFailed && s != "free" {
 				err = node.Errorf("charged or free is due here")
 			}
 			return err
@@ -164,7 +164,7 @@
 		return err
 	case slices.ContainsFunc(c.Prices, func(o ClassPrice) bool { return o.Class == class }):
 		return node.Errorf("there is a price of %q already", class)
-	case (x.Row > 0 || x.Second > 0) && (x.Most == 0 || x.Most < x.Request):
+	case (x.PerRow > 0 || x.PerSecond > 0) && (x.Max == 0 || x.Max < x.PerRequest):
 		return node.Errorf("price of %q: (most AMOUNT) is due where it goes by rows or work: as much is held for each request, and charged at most", class)
 	}
 	c.Prices = append(c.Prices, x)
@@ -202,6 +202,6 @@
 		return err
 	}
 	x, err := wholeNumber(a[2], 1)
-	c.Payments = append(c.Payments, lessor.Pay{Tenant: tenant, No: uint64(no), Amount: x})
+	c.Payments = append(c.Payments, lessor.Payment{Tenant: tenant, Number: uint64(no), Amount: x})
 	return err
 }
--- a/internal/settings/credit_test.go
+++ b/internal/settings/credit_test.go
@@ -20,18 +20,18 @@
 		t.Fatal(err)
 	}
 	got := settings.Credit.SettingsFor([]string{"write", "read", "report"}, func(i int) float64 { return float64(i) })
-	want := []lease.Class{{Worth: 0, Depth: 500}, {Worth: 1, Price: lease.Price{Request: 2}}, {Worth: 2, Price: lease.Price{Request: 5, Row: 1, Most: 100, Failed: true}}}
-	if d := cmp.Diff(want, got.Purse.Classes); d != "" {
+	want := []lease.Class{{PriorityWeight: 0, Overdraft: 500}, {PriorityWeight: 1, Price: lease.Price{PerRequest: 2}}, {PriorityWeight: 2, Price: lease.Price{PerRequest: 5, PerRow: 1, Max: 100, ChargeFailed: true}}}
+	if d := cmp.Diff(want, got.Lease.Classes); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff([]lessor.Pay{{Tenant: "a", No: 1, Amount: 10}, {Tenant: "m", No: 1, Amount: 30}, {Tenant: "m", No: 2, Amount: 70}}, got.Pays); d != "" {
+	if d := cmp.Diff([]lessor.Payment{{Tenant: "a", Number: 1, Amount: 10}, {Tenant: "m", Number: 1, Amount: 30}, {Tenant: "m", Number: 2, Amount: 70}}, got.Payments); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff([]string{"a", "m", "z"}, got.Purse.Prepaid); d != "" {
+	if d := cmp.Diff([]string{"a", "m", "z"}, got.Lease.PrepaidTenants); d != "" {
 		t.Error(d)
 	}
-	if got.Bank.Ends != got.Purse.Ends() || got.Purse.Marks {
-		t.Errorf("ends after %g ms, marks %v", got.Bank.Ends, got.Purse.Marks)
+	if got.Lessor.ExpiryDelay != got.Lease.ExpiryDelay() || got.Lease.PersistMarks {
+		t.Errorf("ends after %g ms, marks %v", got.Lessor.ExpiryDelay, got.Lease.PersistMarks)
 	}
 }
 
--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -48,31 +48,31 @@
 type CreditFaults struct{ Ask, Lose, Double, Depose, Crash, Stop, Pay int }
 
 type creditVoter struct {
-	b    *lessor.Bank
+	b    *lessor.Lessor
 	has  int // entries of the log that it applied
 	rate float64
 }
 
 type spender struct {
 	id      ledger.Holder
-	p       *lease.Purse
+	p       *lease.Manager
 	rate    float64
 	gone    bool
 	stopped int
-	files   []lease.Mark
+	files   []lease.HighWaterMark
 	wrote   uint64
 	legacy  []ledger.Holder // whose files it has taken over
-	flights []lease.Hold
+	flights []lease.Reservation
 }
 
 // CreditMail is what is on its way.
 type CreditMail struct {
 	From, To int // poolers; a voter's number is -1-i
-	Asks     []message.Ask
-	Answers  []message.Answer
+	Asks     []message.Request
+	Answers  []message.Response
 	Entry    []byte // to the log
 	Write    uint64 // to a file
-	Marks    []lease.Mark
+	Marks    []lease.HighWaterMark
 	again    bool
 }
 
@@ -93,9 +93,9 @@
 // NewCredits makes a system of so many voters and poolers, with prices of 1.
 func NewCredits(voters, poolers int, funds int64) *Credits {
 	s := &Credits{t: 100, Price: 1, Funds: funds, Many: 1}
-	s.Set = lease.Settings{Lease: 4, Renew: 2, Soon: 1, Dry: 2, Span: 2000, Idle: 3, Wait: 2, Drift: 0.01, Grace: 0.5, Step: 1, Marks: true,
-		Classes: []lease.Class{{Price: lease.Price{Request: 1}, Worth: 1}}, Prepaid: []string{CreditTenant}}
-	s.Banks = lessor.Settings{Again: 2, Keep: 1e9, Patient: 0, Recall: 1, Fresh: 5, Shrink: 2, Most: 900}
+	s.Set = lease.Settings{Duration: 4, RenewInterval: 2, UrgentInterval: 1, ExhaustedInterval: 2, GrantHorizon: 2000, IdleTimeout: 3, QueueTimeout: 2, ClockDrift: 0.01, Grace: 0.5, TickInterval: 1, PersistMarks: true,
+		Classes: []lease.Class{{Price: lease.Price{PerRequest: 1}, PriorityWeight: 1}}, PrepaidTenants: []string{CreditTenant}}
+	s.Banks = lessor.Settings{ProposalTimeout: 2, StrandedRetention: 1e9, RecallWait: 0, RecallInterval: 1, DemandWindow: 5, ShareDivisor: 2, MaxEntryBytes: 900}
 	for i := range voters {
 		s.voters = append(s.voters, &creditVoter{rate: 1 + 0.01*float64(i%3-1)})
 	}
@@ -107,19 +107,19 @@
 
 // Start begins all; settings are taken as they are by then.
 func (s *Credits) Start() {
-	if s.Banks.Ends = s.Set.Ends(); s.Early {
-		s.Banks.Ends /= 4
+	if s.Banks.ExpiryDelay = s.Set.ExpiryDelay(); s.Early {
+		s.Banks.ExpiryDelay /= 4
 	}
 	for i, v := range s.voters {
 		books := ledger.New()
 		books.Checks = s.Set.Checks
 		v.b = lessor.New(s.Banks, books, s.clockOf(-1-i))
 	}
-	s.voters[0].b.Lead(s.clockOf(-1), true)
+	s.voters[0].b.SetLeader(s.clockOf(-1), true)
 	for i, x := range s.poolers {
 		x.p = lease.New(s.Set, x.id, s.clockOf(i))
 	}
-	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, No: 1, Amount: s.Funds}}))
+	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, Number: 1, Amount: s.Funds}}))
 	s.Paid = s.Funds
 	s.apply()
 }
@@ -188,10 +188,10 @@
 				a.Entry = ledger.Encode(ops)
 			}
 			s.mail = append(s.mail, CreditMail{From: -1 - i, Entry: a.Entry})
-		case lessor.Answer:
+		case lessor.Respond:
 			for k, x := range s.poolers {
 				if x.id == a.To {
-					s.mail = append(s.mail, CreditMail{From: -1 - i, To: k, Answers: a.Answers})
+					s.mail = append(s.mail, CreditMail{From: -1 - i, To: k, Answers: a.Responses})
 				}
 			}
 		}
@@ -202,34 +202,34 @@
 	x := s.poolers[i]
 	for _, a := range acts {
 		switch a.Kind {
-		case lease.Tell:
-			for _, w := range a.Asks {
-				if s.Hasty && w.Heir && w.Key.Tenant == "" && !w.Rest {
-					s.mail = append(s.mail, CreditMail{From: -1, To: i, Answers: []message.Answer{{Key: w.Key, Ended: true}}})
+		case lease.SendRequests:
+			for _, w := range a.Requests {
+				if s.Hasty && w.Recovered && w.Key.Tenant == "" && !w.MarksRead {
+					s.mail = append(s.mail, CreditMail{From: -1, To: i, Answers: []message.Response{{Key: w.Key, Expired: true}}})
 				}
 			}
-			s.mail = append(s.mail, CreditMail{From: i, To: -1 - s.leader, Asks: a.Asks})
+			s.mail = append(s.mail, CreditMail{From: i, To: -1 - s.leader, Asks: a.Requests})
 		case lease.Admit:
-			s.admit(x, a.Hold)
-		case lease.Turn:
+			s.admit(x, a.Reservation)
+		case lease.Reject:
 			s.Turned++
-		case lease.Erase:
+		case lease.EraseMarks:
 			x.legacy = slices.DeleteFunc(slices.Clone(x.legacy), func(h ledger.Holder) bool { return h == a.Holder })
-		case lease.Read:
+		case lease.ReadMarks:
 			k := slices.IndexFunc(s.poolers, func(x *spender) bool { return x.id == a.Holder })
-			s.pursed(i, x.p.Handle(s.clockOf(i), lease.Found{Holder: a.Holder, Marks: s.poolers[k].files}, nil))
-		case lease.Write:
-			s.mail = append(s.mail, CreditMail{From: i, Write: a.No, Marks: a.Marks})
+			s.pursed(i, x.p.Handle(s.clockOf(i), lease.MarksRead{Holder: a.Holder, Marks: s.poolers[k].files}, nil))
+		case lease.PersistMarks:
+			s.mail = append(s.mail, CreditMail{From: i, Write: a.Write, Marks: a.Marks})
 		}
 	}
 }
 
 // admit has a request go to its server.
-func (s *Credits) admit(x *spender, h lease.Hold) {
+func (s *Credits) admit(x *spender, h lease.Reservation) {
 	x.flights = append(x.flights, h)
-	k := ledger.Key{Tenant: h.Tenant, Depth: h.Depth, Holder: x.id, Gen: h.Gen}
+	k := ledger.Key{Tenant: h.Tenant, Overdraft: h.Overdraft, Holder: x.id, Generation: h.Generation}
 	for _, v := range s.voters {
-		if a, ok := v.b.Books().Account(k); ok && a.Expired {
+		if a, ok := v.b.Ledger().Account(k); ok && a.Expired {
 			s.Late++
 			return
 		}
@@ -249,28 +249,28 @@
 	case m.Write > 0:
 		if x := s.poolers[m.From]; !x.gone && m.Write > x.wrote {
 			x.files, x.wrote = m.Marks, m.Write
-			s.pursed(m.From, x.p.Handle(s.clockOf(m.From), lease.Marked{No: m.Write}, nil))
+			s.pursed(m.From, x.p.Handle(s.clockOf(m.From), lease.MarksPersisted{Write: m.Write}, nil))
 		}
 	case m.To < 0:
 		i := -1 - m.To
-		s.banked(i, s.voters[i].b.Heard(s.clockOf(m.To), s.poolers[m.From].id, m.Asks, nil))
+		s.banked(i, s.voters[i].b.HandleRequests(s.clockOf(m.To), s.poolers[m.From].id, m.Asks, nil))
 	default:
 		if x := s.poolers[m.To]; !x.gone {
-			s.pursed(m.To, x.p.Handle(s.clockOf(m.To), lease.Heard{Answers: m.Answers}, nil))
+			s.pursed(m.To, x.p.Handle(s.clockOf(m.To), lease.ResponsesReceived{Responses: m.Answers}, nil))
 		}
 	}
 }
 
 // Request has a client ask a pooler.
-func (s *Credits) Request(i int) lease.Verdict {
+func (s *Credits) Request(i int) lease.Decision {
 	x := s.poolers[i]
 	s.tag++
 	s.Asked++
-	h, v := x.p.Hold(s.clockOf(i), CreditTenant, 0, s.tag, 1, s.tag)
+	h, v := x.p.Reserve(s.clockOf(i), CreditTenant, 0, s.tag, 1, s.tag)
 	switch v {
-	case lease.Pass:
+	case lease.Admitted:
 		s.admit(x, h)
-	case lease.Slow, lease.None:
+	case lease.Throttled, lease.Exhausted:
 		s.Turned++
 	}
 	return v
@@ -285,7 +285,7 @@
 	h := x.flights[0]
 	x.flights = x.flights[1:]
 	s.Served += s.Price
-	x.p.Settle(&h, lease.Done{Served: int(s.Many)})
+	x.p.Settle(&h, lease.Usage{Served: int(s.Many)})
 }
 
 // asleep tells whether a message is for a process that stands still.
@@ -366,22 +366,22 @@
 const creditStop = 7 // steps, more than an account's end
 
 func (s *Credits) pay(no uint64) {
-	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, No: no, Amount: s.Funds}}))
+	s.commit(ledger.Encode([]ledger.Op{{Kind: ledger.Payment, Key: ledger.Key{Tenant: CreditTenant}, Number: no, Amount: s.Funds}}))
 	s.apply()
 }
 
 // Lead has another voter lead.
 func (s *Credits) Lead(i int) {
-	s.voters[s.leader].b.Lead(s.clockOf(-1-s.leader), false)
+	s.voters[s.leader].b.SetLeader(s.clockOf(-1-s.leader), false)
 	s.leader = i
-	s.voters[i].b.Lead(s.clockOf(-1-i), true)
+	s.voters[i].b.SetLeader(s.clockOf(-1-i), true)
 }
 
 // Kill ends a process, or stops it for so many steps, and has another begin with its files.
 func (s *Credits) Kill(i, stop int) {
 	x := s.poolers[i]
-	for _, st := range x.p.Standings() {
-		s.Crashed += st.Free + st.Held
+	for _, st := range x.p.Statuses() {
+		s.Crashed += st.Free + st.Reserved
 	}
 	y := &spender{id: ledger.Holder(100 * len(s.poolers)), rate: x.rate, legacy: append(slices.Clone(x.legacy), x.id)}
 	s.poolers = append(s.poolers, y)
@@ -390,8 +390,8 @@
 	}
 	k := len(s.poolers) - 1
 	y.p = lease.New(s.Set, y.id, s.clockOf(k))
-	if s.Set.Marks {
-		s.pursed(k, y.p.Handle(s.clockOf(k), lease.Inherit{Gone: y.legacy}, nil))
+	if s.Set.PersistMarks {
+		s.pursed(k, y.p.Handle(s.clockOf(k), lease.Recover{Holders: y.legacy}, nil))
 	}
 }
 
@@ -441,13 +441,13 @@
 func (s *Credits) Leave() {
 	for i, x := range s.poolers {
 		if !x.gone {
-			s.pursed(i, x.p.Handle(s.clockOf(i), lease.Leave{}, nil))
+			s.pursed(i, x.p.Handle(s.clockOf(i), lease.Shutdown{}, nil))
 		}
 	}
 }
 
 // Books are the leader's.
-func (s *Credits) Books() *ledger.Ledger { return s.voters[s.leader].b.Books() }
+func (s *Credits) Books() *ledger.Ledger { return s.voters[s.leader].b.Ledger() }
 
 // Check is System's: what was served costs no more than was paid, and the books are whole.
 func (s *Credits) Check() error {
@@ -462,10 +462,10 @@
 		return fmt.Errorf("at %g a request was let in by an account whose end the log has", s.t)
 	}
 	for i, v := range s.voters {
-		if err := v.b.Books().Check(); err != nil {
+		if err := v.b.Ledger().Check(); err != nil {
 			return fmt.Errorf("at %g voter %d: %w", s.t, i, err)
 		}
-		t := v.b.Books().Tenant(CreditTenant)
+		t := v.b.Ledger().Tenant(CreditTenant)
 		if t.Paid != s.Paid || t.Balance < 0 {
 			return fmt.Errorf("at %g voter %d: paid %d, of %d that were; balance %d", s.t, i, t.Paid, s.Paid, t.Balance)
 		}
--- a/internal/testkit/modelcheck/credits_test.go
+++ b/internal/testkit/modelcheck/credits_test.go
@@ -20,7 +20,7 @@
 		s := NewCredits(3, 3, int64(rapid.IntRange(0, 40).Draw(r, "funds")))
 		s.Free = true
 		s.Set.Checks = invariant.Test(r)
-		s.Set.Marks = rapid.Bool().Draw(r, "marks")
+		s.Set.PersistMarks = rapid.Bool().Draw(r, "marks")
 		s.CreditFaults = CreditFaults{Ask: 60, Lose: 10, Double: 10, Depose: 4, Crash: 2, Stop: 2, Pay: 1}
 		s.Start()
 		for range rapid.IntRange(20, 150).Draw(r, "steps") {
@@ -48,19 +48,19 @@
 		}
 		b := s.Books().Tenant(CreditTenant)
 		if b.Lent != 0 {
-			r.Fatalf("all have left, and %d are lent: %v", b.Lent, s.Books().All())
+			r.Fatalf("all have left, and %d are lent: %v", b.Lent, s.Books().AllAccounts())
 		}
 		most := s.Crashed // and what was on its way to one when it crashed
-		for _, k := range s.Books().All() {
+		for _, k := range s.Books().AllAccounts() {
 			a, _ := s.Books().Account(k)
-			if most += a.Open(); !s.Gone(k.Holder) {
+			if most += a.Outstanding(); !s.Gone(k.Holder) {
 				r.Fatalf("account %v is open, and its process has left in order", k)
 			}
 		}
 		if over := b.Spent + b.Stranded - s.Served; over < 0 || over > most && s.Stop == 2 { // of one that was replaced asleep and woke its mark is charged
 			r.Fatalf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, most)
 		}
-		if s.Set.Marks && b.Stranded != 0 {
+		if s.Set.PersistMarks && b.Stranded != 0 {
 			r.Fatalf("files were found, and %d are stranded", b.Stranded)
 		}
 	})
@@ -113,7 +113,7 @@
 		s.CreditFaults = CreditFaults{Ask: 30, Lose: 5, Double: 8, Depose: 3, Crash: 1, Stop: 1, Pay: 2}
 		return s
 	}
-	answers := func(do func(s *Credits, a *message.Answer)) func(*Credits, int, *CreditMail) bool {
+	answers := func(do func(s *Credits, a *message.Response)) func(*Credits, int, *CreditMail) bool {
 		return func(s *Credits, to int, m *CreditMail) bool {
 			m.Answers = slices.Clone(m.Answers)
 			for i := range m.Answers {
@@ -125,13 +125,13 @@
 	mutants := map[string]func(s *Credits){
 		"none": func(*Credits) {},
 		"a slice is lent again after a leader's change": func(s *Credits) {
-			s.Break = answers(func(s *Credits, a *message.Answer) {
+			s.Break = answers(func(s *Credits, a *message.Response) {
 				if s.leader != 0 && a.Granted > 0 {
 					a.Granted++
 				}
 			})
 		},
-		"the end counts from the answer's arrival": func(s *Credits) { s.Set.FromAnswer = true },
+		"the end counts from the answer's arrival": func(s *Credits) { s.Set.ExpireFromResponse = true },
 		"a payment is taken each time": func(s *Credits) {
 			s.Trust = func(op *ledger.Op) {}
 			s.Again = true
@@ -149,8 +149,8 @@
 				return false
 			}
 		},
-		"a client's repeats are charged":  func(s *Credits) { s.Many, s.Set.Classes[0].Most, s.Stop = 2, 2, 0 },
-		"one that was stopped spends on":  func(s *Credits) { s.Set.Lease *= 4; s.Early = true },
+		"a client's repeats are charged":  func(s *Credits) { s.Many, s.Set.Classes[0].Max, s.Stop = 2, 2, 0 },
+		"one that was stopped spends on":  func(s *Credits) { s.Set.Duration *= 4; s.Early = true },
 		"an heir reads the files at once": func(s *Credits) { s.Hasty, s.Stop, s.Crash, s.Ask = true, 3, 0, 60 },
 	}
 	for name, change := range mutants {
--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -34,7 +34,7 @@
 	if s.Credit != nil {
 		x.funds = &checker.Credit{Prices: map[string]int64{}}
 		for _, p := range s.Credit.Prices {
-			x.funds.Prices[p.Class] = p.Request
+			x.funds.Prices[p.Class] = p.PerRequest
 		}
 		for _, d := range s.Credit.Overdrafts {
 			x.funds.Beyond += d.Amount
--- a/internal/testkit/scenario/credit.go
+++ b/internal/testkit/scenario/credit.go
@@ -126,7 +126,7 @@
 	}
 	for _, p := range s.Credit.Prices {
 		if p.Class == class {
-			return p.Request
+			return p.PerRequest
 		}
 	}
 	return 0
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -19,9 +19,9 @@
 	Set   settings.Credit
 	Marks [2]float64 // ms that a durable write of marks takes, from and to
 
-	Later func(no int) []lessor.Pay // payments that a pooler has read of since the start; may be nil
+	Later func(no int) []lessor.Payment // payments that a pooler has read of since the start; may be nil
 
-	files   map[ledger.Holder][]lease.Mark
+	files   map[ledger.Holder][]lease.HighWaterMark
 	writers map[ledger.Holder]int // pooler
 	now     map[int]*payer        // the process of each pooler
 }
@@ -42,20 +42,20 @@
 	p, s := x.h.x.p, x.Set
 	if x.Later != nil {
 		s.Payments = append(slices.Clone(s.Payments), x.Later(x.h.No())...)
-		slices.SortFunc(s.Payments, credit.ByNumber)
+		slices.SortFunc(s.Payments, credit.ComparePayments)
 	}
 	set := s.SettingsFor(x.names, func(i int) float64 { return p.e.script.Clients.Classes[i].Worth })
-	set.Purse.Marks, set.Purse.Checks = true, p.e.checks
+	set.Lease.PersistMarks, set.Lease.Checks = true, p.e.checks
 	return set
 }
 
 // reread has a process read its settings again.
-func (x *payer) reread() { x.c.Retune(x.settings()) }
+func (x *payer) reread() { x.c.UpdateSettings(x.settings()) }
 
 // Join makes a process's parts: the log's and credit's.
 func (c *Prepaid) Join(h Host) []module.Module {
 	if c.files == nil {
-		c.files, c.writers, c.now = map[ledger.Holder][]lease.Mark{}, map[ledger.Holder]int{}, map[int]*payer{}
+		c.files, c.writers, c.now = map[ledger.Holder][]lease.HighWaterMark{}, map[ledger.Holder]int{}, map[int]*payer{}
 	}
 	p := h.x.p
 	x := &payer{Prepaid: c, h: h, of: ledger.Holder(h.No()+1)<<32 | ledger.Holder(h.Life()), classes: map[string]int{}}
@@ -70,17 +70,17 @@
 	set.Name, set.Holder = p.name, x.of
 	x.c = credit.New(set, h, x, x, x)
 	users := &raftlog.MachineMux{}
-	if x.c.Books() != nil {
+	if x.c.Ledger() != nil {
 		users.Add(raftlog.CreditEntries, x.c)
 	}
 	x.log = c.Log.Join(h, users, func(a *raftlog.Action) {
 		switch a.Kind {
 		case raftlog.BecameLeader:
-			x.c.Lead(p.name)
+			x.c.SetLeader(p.name)
 		case raftlog.LeaderChanged:
-			x.c.Lead(a.Leader)
+			x.c.SetLeader(a.Leader)
 		case raftlog.Stopped:
-			x.c.Lead("")
+			x.c.SetLeader("")
 		}
 	})
 	var gone []ledger.Holder // this pooler's own; each has a disk of its own
@@ -92,31 +92,31 @@
 	slices.Sort(gone)
 	c.writers[x.of] = h.No()
 	c.now[h.No()] = x
-	x.c.Inherit(gone)
+	x.c.Recover(gone)
 	h.At(h.Now(), func() { p.core.SetCredit(x) })
 	return []module.Module{x.log, x.c}
 }
 
 // Hold is core.Credit's.
-func (x *payer) Hold(tenant, class, session string, tag uint64) (lease.Hold, lease.Verdict) {
+func (x *payer) Hold(tenant, class, session string, tag uint64) (lease.Reservation, lease.Decision) {
 	i, ok := x.classes[class]
 	if !ok {
-		return lease.Hold{}, lease.Pass
+		return lease.Reservation{}, lease.Admitted
 	}
-	return x.c.Hold(tenant, i, lease.Session(session), 1, tag)
+	return x.c.Reserve(tenant, i, lease.SessionNumber(session), 1, tag)
 }
 
 // Settle is core.Credit's.
-func (x *payer) Settle(h *lease.Hold, d lease.Done) { x.c.Settle(h, d) }
+func (x *payer) Settle(h *lease.Reservation, d lease.Usage) { x.c.Settle(h, d) }
 
 // Cancel is core.Credit's.
 func (x *payer) Cancel(tenant string, tag uint64) { x.c.Cancel(tenant, tag) }
 
 // Admit is credit.Events'.
-func (x *payer) Admit(tag uint64, h lease.Hold) { x.h.x.p.core.Funded(tag, h) }
+func (x *payer) Admit(tag uint64, h lease.Reservation) { x.h.x.p.core.Funded(tag, h) }
 
-// Turn is credit.Events'.
-func (x *payer) Turn(tag uint64) { x.h.x.p.core.Unfunded(tag) }
+// Reject is credit.Events'.
+func (x *payer) Reject(tag uint64) { x.h.x.p.core.Unfunded(tag) }
 
 // Propose is credit.Log's.
 func (x *payer) Propose(entry []byte) {
@@ -124,15 +124,15 @@
 }
 
 // Write is credit.Files'.
-func (x *payer) Write(no uint64, m []lease.Mark) {
+func (x *payer) Write(no uint64, m []lease.HighWaterMark) {
 	x.h.At(x.h.Now()+(x.Marks[0]+x.Marks[1])/2, func() {
 		x.files[x.of] = m
-		x.c.Written(no)
+		x.c.MarksPersisted(no)
 	})
 }
 
 // Read is credit.Files'.
-func (x *payer) Read(h ledger.Holder, do func([]lease.Mark)) {
+func (x *payer) Read(h ledger.Holder, do func([]lease.HighWaterMark)) {
 	x.h.At(x.h.Now()+1, func() { do(x.files[h]) })
 }
 
@@ -143,4 +143,4 @@
 }
 
 // Books are those of a voter's process.
-func (c *Prepaid) Books(no int) *ledger.Ledger { return c.now[no].c.Books() }
+func (c *Prepaid) Books(no int) *ledger.Ledger { return c.now[no].c.Ledger() }
--- a/internal/testkit/simulation/funds.go
+++ b/internal/testkit/simulation/funds.go
@@ -15,8 +15,8 @@
 	e     *Emulation
 	check *checker.Credit
 	paid  map[string]int64
-	pays  map[int][]lessor.Pay // by pooler: the payments that it has read of since the start
-	once  map[lessor.Pay]bool
+	pays  map[int][]lessor.Payment // by pooler: the payments that it has read of since the start
+	once  map[lessor.Payment]bool
 }
 
 // Funds is what became of a tenant's: as clients saw it, and as the books of the log have it in the end.
@@ -38,10 +38,10 @@
 	s := e.script
 	log := &CommonLog{Settings: s.Agreed.Settings, Voters: s.Agreed.Voters, Seed: e.opt.Seed, DiskMs: s.Agreed.Disk}
 	f := &funds{e: e, Prepaid: &Prepaid{Log: log, Set: s.Credit.Credit, Marks: [2]float64{0.1, marksMost}}, check: &checker.Credit{Prices: map[string]int64{}}, paid: map[string]int64{},
-		pays: map[int][]lessor.Pay{}, once: map[lessor.Pay]bool{}}
+		pays: map[int][]lessor.Payment{}, once: map[lessor.Payment]bool{}}
 	f.Set.Dir = "marks" // they are kept
 	for _, p := range s.Credit.Prices {
-		f.check.Prices[p.Class] = p.Request
+		f.check.Prices[p.Class] = p.PerRequest
 	}
 	for _, d := range s.Credit.Overdrafts {
 		f.check.Beyond += d.Amount
@@ -49,12 +49,12 @@
 	for _, p := range s.Credit.Payments {
 		f.took(startMs, p)
 	}
-	f.Later = func(no int) []lessor.Pay { return f.pays[no] }
+	f.Later = func(no int) []lessor.Payment { return f.pays[no] }
 	return f
 }
 
 // took tells the checker of a payment, as of when the first pooler reads of it.
-func (f *funds) took(at float64, p lessor.Pay) {
+func (f *funds) took(at float64, p lessor.Payment) {
 	if !f.once[p] {
 		f.once[p] = true
 		f.paid[p.Tenant] += p.Amount
@@ -64,7 +64,7 @@
 
 // pay has poolers read of a payment.
 func (f *funds) pay(x *scenario.Fault) {
-	p := lessor.Pay{Tenant: x.Target.Word, No: uint64(x.Number), Amount: int64(x.Value)}
+	p := lessor.Payment{Tenant: x.Target.Word, Number: uint64(x.Number), Amount: int64(x.Value)}
 	f.took(f.e.s.now, p)
 	for _, no := range x.Struck(f.e.script) {
 		if slices.Contains(f.pays[no], p) {
@@ -100,8 +100,8 @@
 		if y == nil || !f.e.poolers[no].up {
 			continue
 		}
-		for _, name := range y.c.Books().Tenants() {
-			spent += y.c.Books().Tenant(name).Spent
+		for _, name := range y.c.Ledger().Tenants() {
+			spent += y.c.Ledger().Tenant(name).Spent
 		}
 		if spent > most {
 			books, most = y, spent
@@ -113,7 +113,7 @@
 		x.Served, _ = f.check.Served(name, f.e.s.now)
 		x.Received, x.Turned = f.check.Counts(name)
 		if books != nil {
-			b := books.c.Books().Tenant(name)
+			b := books.c.Ledger().Tenant(name)
 			x.Balance, x.Lent, x.Spent, x.Stranded = b.Balance, b.Lent, b.Spent, b.Stranded
 		}
 		out = append(out, x)
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -40,7 +40,7 @@
 		c.Classes = append(c.Classes, x)
 		f.Work[x.Name] = x.Work
 		shares, work = shares+x.Share, work+x.Share*(x.Work[0]+x.Work[1])/2
-		s.Credit.Prices = append(s.Credit.Prices, settings.ClassPrice{Class: x.Name, Price: lease.Price{Request: 1 + rng.Int64N(50)}})
+		s.Credit.Prices = append(s.Credit.Prices, settings.ClassPrice{Class: x.Name, Price: lease.Price{PerRequest: 1 + rng.Int64N(50)}})
 	}
 	servers := 0
 	for _, n := range f.Groups {
@@ -51,12 +51,12 @@
 	for i := range 2 + rng.IntN(3) {
 		x := clients.Tenant{Name: name(i), Share: between(0.2, 1), Usage: 1}
 		c.Tenants = append(c.Tenants, x)
-		s.Credit.Payments = append(s.Credit.Payments, lessor.Pay{Tenant: x.Name, No: 1, Amount: 1e9})
+		s.Credit.Payments = append(s.Credit.Payments, lessor.Payment{Tenant: x.Name, Number: 1, Amount: 1e9})
 		s.Credit.Prepaid = append(s.Credit.Prepaid, x.Name)
 	}
 	mean := int64(0)
 	for _, p := range s.Credit.Prices {
-		mean += p.Request / int64(len(s.Credit.Prices))
+		mean += p.PerRequest / int64(len(s.Credit.Prices))
 	}
 	s.Credit.Payments[0].Amount = max(60*mean, int64(c.Rate)*mean/4) // of the first one's: gone within the time
 	s.Pages.Class, s.Pages.Tenant = c.Classes[0].Name, c.Tenants[1].Name
