--- a/cmd/beechgrade-kit/peers.go
+++ b/cmd/beechgrade-kit/peers.go
@@ -52,7 +52,7 @@
 		go func() {
 			defer wg.Done()
 			out[i] = &asked{Addr: a}
-			shown, err := cluster.Show(a, key)
+			shown, err := cluster.QueryStatus(a, key)
 			if err != nil {
 				out[i].Err = err.Error()
 				return
@@ -118,7 +118,7 @@
 				l = &line{Record: r}
 				lines[r.ID] = l
 			}
-			if r.Inc > l.Inc {
+			if r.Incarnation > l.Incarnation {
 				l.Record = r
 			}
 		}
@@ -157,7 +157,7 @@
 		if l.differ {
 			mark = "!"
 		}
-		fmt.Fprintf(t, "%s\t%x\t%s\t%s\t%s\t%d\t%s\n", mark, uint64(l.ID), l.Name, l.Zone, l.Addr, l.Inc, strings.Join(l.says, "\t"))
+		fmt.Fprintf(t, "%s\t%x\t%s\t%s\t%s\t%d\t%s\n", mark, uint64(l.ID), l.Name, l.Zone, l.Addr, l.Incarnation, strings.Join(l.says, "\t"))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -165,7 +165,7 @@
 	for _, v := range views {
 		if v.Err == "" {
 			fmt.Fprintf(w, "%s reaches %d, counts %d that may be sending, %s%s\n", v.Name, v.Counts.Reachable, v.Counts.Sending,
-				map[bool]string{true: "sees a majority", false: "sees no majority"}[v.Counts.Majority], map[bool]string{true: ", hears nobody"}[v.Counts.Alone])
+				map[bool]string{true: "sees a majority", false: "sees no majority"}[v.Counts.Majority], map[bool]string{true: ", hears nobody"}[v.Counts.Isolated])
 		}
 	}
 	if avoidedText(w, views); heard == 0 {
--- a/cmd/beechgrade-kit/peers_measure.go
+++ b/cmd/beechgrade-kit/peers_measure.go
@@ -127,7 +127,7 @@
 		}
 	}
 	v := fleetview.Defaults()
-	row.Detect, row.Settle = v.Detect(n, 1, 1), v.Settle(n, n/2, 1, loss > 0)
+	row.Detect, row.Settle = v.DetectionBound(n, 1, 1), v.ConvergenceBound(n, n/2, 1, loss > 0)
 	row.Crash, row.Heal, row.Crashes, row.Heals = quantiles(crash), quantiles(heal), len(crash), len(heal)
 	return row, nil
 }
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -57,7 +57,7 @@
 	s := x.settings()
 	x.credit = credit.New(s, p.peers, x, x, x)
 	x.inheritEnded(gone)
-	p.peers.Join(x.credit)
+	p.peers.Register(x.credit)
 	if x.credit.Ledger() != nil {
 		p.raftLog.users.Add(raftlog.CreditEntries, x.credit)
 	}
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -20,7 +20,7 @@
 	p.checks = c
 	p.core.SetChecks(c, every)
 	if p.peers != nil {
-		p.peers.Check(c, every)
+		p.peers.CheckInvariants(c, every)
 	}
 	if p.overload != nil {
 		p.overload.Check(c, every)
--- a/cmd/beechgrade/limits.go
+++ b/cmd/beechgrade/limits.go
@@ -27,7 +27,7 @@
 		return nil
 	}
 	s := set.Settings
-	s.Limits, s.Expect = set.Quotas(), expect
+	s.Limits, s.ExpectedPoolers = set.Quotas(), expect
 	return &s
 }
 
@@ -66,7 +66,7 @@
 	switch x.Resource {
 	case settings.ResourceQueries:
 		t := l.assigned[x.Subject]
-		if x.Kind == quota.Number {
+		if x.Kind == quota.Concurrency {
 			t.Queries, t.Most = true, int(amount+1e-9)
 		} else {
 			t.Rate, t.PerSecond, t.Burst = true, amount, burst
@@ -90,7 +90,7 @@
 	switch x.Resource {
 	case settings.ResourceQueries:
 		t := l.assigned[x.Subject]
-		if x.Kind == quota.Number {
+		if x.Kind == quota.Concurrency {
 			t.Queries = false
 		} else {
 			t.Rate = false
@@ -122,7 +122,7 @@
 	for i := range l.set.Limits {
 		if x := &l.set.Limits[i]; x.Name == name {
 			l.assign(x, amount, burst)
-			if x.Kind == quota.Number { // what is in use beyond it must be known before it is lent to others
+			if x.Kind == quota.Concurrency { // what is in use beyond it must be known before it is lent to others
 				l.reportDemand(x)
 			}
 		}
@@ -135,23 +135,23 @@
 		if x.Resource == settings.ResourceColdServers { // as a part of what a fleet may ask for
 			want /= coldFlow
 		}
-		l.pooler.peers.Demand(x.Name, want, 0)
+		l.pooler.peers.ReportDemand(x.Name, want, 0)
 		return
 	}
 	switch {
 	case x.Resource == settings.ResourceQueries && l.pooler.clickhouse != nil:
 		running, more, asked := l.pooler.clickhouse.Demand(x.Subject)
-		if x.Kind == quota.Number {
-			l.pooler.peers.Demand(x.Name, float64(running)+more, float64(running))
+		if x.Kind == quota.Concurrency {
+			l.pooler.peers.ReportDemand(x.Name, float64(running)+more, float64(running))
 		} else {
-			l.pooler.peers.Demand(x.Name, asked, 0)
+			l.pooler.peers.ReportDemand(x.Name, asked, 0)
 		}
 	case x.Resource == settings.ResourcePool && l.pooler.pooling != nil:
 		has, want := l.pooler.pooling.Demand(x.Subject)
-		l.pooler.peers.Demand(x.Name, float64(want), float64(has))
+		l.pooler.peers.ReportDemand(x.Name, float64(want), float64(has))
 	case x.Resource == settings.ResourceShards && l.pooler.scatter != nil:
 		has, want := l.pooler.scatter.Demand()
-		l.pooler.peers.Demand(x.Name, float64(want), float64(has))
+		l.pooler.peers.ReportDemand(x.Name, float64(want), float64(has))
 	}
 }
 
@@ -180,7 +180,7 @@
 		p.limits = &fleetLimits{pooler: p, assigned: map[string]limits.Told{}}
 	}
 	p.limits.apply(set)
-	p.peers.Limit(*quotasOrNone(&set, p.expectedPoolers))
+	p.peers.SetLimits(*quotasOrNone(&set, p.expectedPoolers))
 	p.log.Info("fleet limits read again", "limits", len(set.Limits))
 }
 
@@ -188,7 +188,7 @@
 	if s := quotas(set, expect); s != nil {
 		return s
 	}
-	return &quota.Settings{Expect: expect}
+	return &quota.Settings{ExpectedPoolers: expect}
 }
 
 // writeLimitsMetrics tells how the fleet's limits stand here.
@@ -196,11 +196,11 @@
 	if p.peers == nil || p.limits == nil {
 		return
 	}
-	for _, l := range p.peers.Standings() {
+	for _, l := range p.peers.QuotaStatuses() {
 		of := s.Scope("limits").Label("limit", l.Limit.Name)
 		of.Gauge("allowed", l.Amount)
-		of.Gauge("floor", l.Floor)
-		of.BoolGauge("owns", l.Owns)
+		of.Gauge("floor", l.Reserved)
+		of.BoolGauge("owns", l.IsOwner)
 		of.Gauge("lent", l.Lent)
 	}
 }
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -104,7 +104,7 @@
 						if _, err := f.Key(); err != nil {
 							return badInput{err}
 						}
-						fmt.Fprintf(c.Root().Writer, "peers: listens on %s, %d seeds\n", f.Listen, len(f.View.Seeds))
+						fmt.Fprintf(c.Root().Writer, "peers: listens on %s, %d seeds\n", f.Listen, len(f.View.SeedAddresses))
 					} else {
 						fmt.Fprintln(c.Root().Writer, "peers: off")
 					}
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -12,7 +12,7 @@
 
 // clusterHost is what a part lives on: the peers' words and the loop's time.
 type clusterHost struct {
-	*cluster.Peers
+	*cluster.Node
 	loop *eventloop.Loop
 }
 
@@ -32,7 +32,7 @@
 		p.core.SetHealthCheckSharer(adapter.Prober{Joined: j})
 	}
 	j.Begin()
-	p.peers.Join(j)
+	p.peers.Register(j)
 	p.overload = j
 }
 
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -28,11 +28,11 @@
 		zone = p.cfg.Zones[z]
 	}
 	v := set.View
-	v.Expect = cmp.Or(v.Expect, p.cfg.Settings.Peers)
-	p.expectedPoolers = v.Expect
+	v.ExpectedPoolers = cmp.Or(v.ExpectedPoolers, p.cfg.Settings.Peers)
+	p.expectedPoolers = v.ExpectedPoolers
 	drawn := rand.Uint64() // not of the configuration's seed, which two processes may have
-	v.Seed = drawn
-	p.peers = cluster.New(p.loop, p.log, cluster.Options{Listen: set.Listen, Advertise: set.Advertise, Key: key, View: v, Limits: quotas(&own, p.expectedPoolers), Again: p.inheritedListener != nil,
+	v.RandomSeed = drawn
+	p.peers = cluster.New(p.loop, p.log, cluster.Options{Listen: set.Listen, Advertise: set.Advertise, Key: key, View: v, Quota: quotas(&own, p.expectedPoolers), RetryBind: p.inheritedListener != nil,
 		Record: view.Record{ID: view.NewID(clock.Wall(), drawn), Name: p.cfg.Name, Zone: zone, Region: set.Region, Version: short(version())}}, fleetEvents{p})
 	if own.Enabled {
 		p.limits = &fleetLimits{pooler: p, set: own, assigned: map[string]limits.Told{}}
@@ -40,27 +40,27 @@
 	return nil
 }
 
-func short(s string) string { return s[:min(len(s), view.MostName)] }
+func short(s string) string { return s[:min(len(s), view.MaxNameBytes)] }
 
 // fleetEvents carries on what the view comes to.
 type fleetEvents struct{ pooler *pooler }
 
-// Fleet is peers.Events'.
-func (f fleetEvents) Fleet(c view.Counts) {
+// CountsChanged is peers.Events'.
+func (f fleetEvents) CountsChanged(c view.Counts) {
 	p := f.pooler
-	p.log.Info("fleet", "reachable", c.Reachable, "sending", c.Sending, "majority", c.Majority, "alone", c.Alone)
+	p.log.Info("fleet", "reachable", c.Reachable, "sending", c.Sending, "majority", c.Majority, "alone", c.Isolated)
 	p.core.SetPeers(c.Sending)
 }
 
-// Allow is peers.Events'.
-func (f fleetEvents) Allow(limit string, amount, burst float64) {
+// AllowanceChanged is peers.Events'.
+func (f fleetEvents) AllowanceChanged(limit string, amount, burst float64) {
 	if f.pooler.limits != nil {
 		f.pooler.limits.allow(limit, amount, burst)
 	}
 }
 
-// Member is peers.Events'.
-func (f fleetEvents) Member(r view.Record, was view.State, isNew bool) {
+// MemberChanged is peers.Events'.
+func (f fleetEvents) MemberChanged(r view.Record, was view.State, isNew bool) {
 	if isNew {
 		f.pooler.core.Note(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s", r.Name, uint64(r.ID), r.Zone, r.State))
 		return
@@ -76,10 +76,10 @@
 	peers, c, n := s.Scope("peers"), p.peers.Counts(), p.peers.Stats()
 	peers.IntGauge("reachable", int64(c.Reachable))
 	peers.IntGauge("sending", int64(c.Sending))
-	peers.Counter("datagrams_in", n.In)
-	peers.Counter("datagrams_out", n.Out)
+	peers.Counter("datagrams_in", n.DatagramsIn)
+	peers.Counter("datagrams_out", n.DatagramsOut)
 	peers.Counter("dropped", n.Dropped)
-	peers.Counter("overrun", n.Overrun)
+	peers.Counter("overrun", n.Overflowed)
 	peers.Counter("exchanges", n.Exchanges)
-	peers.Counter("exchanges_failed", n.Fails)
+	peers.Counter("exchanges_failed", n.ExchangesFailed)
 }
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	v := view.Defaults()
-	v.Probe, v.Timeout, v.Suspicion, v.Reconnect, v.Seeds = 300, 100, 900, 200, seeds
+	v.ProbeInterval, v.ProbeTimeout, v.SuspicionTimeout, v.ReconnectInterval, v.SeedAddresses = 300, 100, 900, 200, seeds
 	return settings.Cluster{Enabled: true, Listen: freeBoth(t), KeyFile: key, View: v}
 }
 
@@ -177,8 +177,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	forged := cluster.Key("a key that is none").Datagram(&view.Message{Kind: view.Gossip, From: 99, Records: []view.Record{{ID: 98, Name: "forged", Addr: "127.0.0.1:9"}}})
-	good := key.Datagram(&view.Message{Kind: view.Ping, From: 97, Seq: 1, Target: 1})
+	forged := cluster.Key("a key that is none").SealDatagram(&view.Message{Kind: view.Gossip, From: 99, Records: []view.Record{{ID: 98, Name: "forged", Addr: "127.0.0.1:9"}}})
+	good := key.SealDatagram(&view.Message{Kind: view.Ping, From: 97, Sequence: 1, Target: 1})
 	out, err := net.Dial("udp", a.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -234,9 +234,9 @@
 	t.Parallel()
 	srv, _ := server(t)
 	a := peerSettings(t)
-	a.View.Probe, a.View.Timeout = 2000, 900 // over what a busy machine may take to start the next one's sockets
+	a.View.ProbeInterval, a.View.ProbeTimeout = 2000, 900 // over what a busy machine may take to start the next one's sockets
 	b := peerSettings(t, a.Listen)
-	b.KeyFile, b.View.Probe, b.View.Timeout = a.KeyFile, a.View.Probe, a.View.Timeout
+	b.KeyFile, b.View.ProbeInterval, b.View.ProbeTimeout = a.KeyFile, a.View.ProbeInterval, a.View.ProbeTimeout
 	other, _ := peerOf(t, "other", srv, a)
 	ln := listen(t).(*net.TCPListener)
 	process := func() *pooler {
@@ -323,7 +323,7 @@
 	base := peerSettings(t)
 	joining := func(i int) settings.Cluster {
 		s := base
-		s.Listen, s.Advertise, s.View.Seeds, s.View.Expect = relays.Real(i), relays.Told(i), []string{relays.Told(0), relays.Told(2)}, 3
+		s.Listen, s.Advertise, s.View.SeedAddresses, s.View.ExpectedPoolers = relays.Real(i), relays.Told(i), []string{relays.Told(0), relays.Told(2)}, 3
 		return s
 	}
 	far, _ := peerOf(t, "far", srv, joining(0))
@@ -359,7 +359,7 @@
 		}
 		return strings.Contains(s, "upgraded left") && strings.Contains(s, "upgraded alive") && c.Sending == 3
 	})
-	if s, c := fleetOf(far); c.Sending != 3 || !c.Alone && c.Reachable > 1 {
+	if s, c := fleetOf(far); c.Sending != 3 || !c.Isolated && c.Reachable > 1 {
 		t.Errorf("the far one sees %s%+v", s, c)
 	}
 	relays.Strike(func(n *netfault.Net) {
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -78,7 +78,7 @@
 	clickhouseGroup int
 	stopClickHouse  func()
 
-	peers           *cluster.Peers         // nil where it is no fleet's
+	peers           *cluster.Node          // nil where it is no fleet's
 	expectedPoolers int                    // poolers that there are to be
 	limits          *fleetLimits           // nil where none hold for the whole fleet
 	overload        *adapter.Joined        // nil where overload is handled alone
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -63,7 +63,7 @@
 	s := set.Settings
 	s.Self, s.Seed, s.Checks = p.cfg.Name, rand.Uint64(), p.checks
 	l.adapter = adapter.New(p.peers, adapter.Options{Settings: s, Machine: l.users, Told: l.observe})
-	p.peers.Join(l.adapter)
+	p.peers.Register(l.adapter)
 	p.raftLog = l
 	return func() {
 		close(l.ended)
--- a/cmd/beechgrade/verdicts.go
+++ b/cmd/beechgrade/verdicts.go
@@ -24,7 +24,7 @@
 		p.core.Note(recordpb.Kind_KIND_AVOIDED, ejectionText(s, begins))
 	})
 	p.core.SetServerObserver(p.outlier)
-	p.peers.Join(p.outlier)
+	p.peers.Register(p.outlier)
 }
 
 // ejectionText is what the records have of a server that is avoided from now on by others' word, or no more.
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -55,7 +55,7 @@
 	z.adapter = adapter.New(s, p.peers, z, p.core, z)
 	z.adapter.Listed(&p.cfg.InitialList, true)
 	p.core.SetZoneObserver(z.adapter)
-	p.peers.Join(z.adapter)
+	p.peers.Register(z.adapter)
 	if z.adapter.Book() != nil {
 		p.raftLog.users.Add(raftlog.ZoneEntries, z.adapter)
 	}
--- a/internal/cluster/bytes_test.go
+++ b/internal/cluster/bytes_test.go
@@ -9,20 +9,20 @@
 	"beechgrade/internal/cluster/view"
 )
 
-type rawWords []byte
+type rawMessage []byte
 
-func (w rawWords) Append(b []byte) []byte { return append(b, w...) }
+func (w rawMessage) Append(b []byte) []byte { return append(b, w...) }
 
-// wholeEnvelope has something in each field.
-func wholeEnvelope() *envelope {
+// fullEnvelope has something in each field.
+func fullEnvelope() *envelope {
 	return &envelope{
-		Message: view.Message{Kind: view.Gossip, From: 2, Seq: 300, Target: 4, Records: []view.Record{
-			{ID: 9, Name: "n", Addr: "1.2.3.4:5", Zone: "z", Region: "r", Version: "v", Inc: 7, State: 2, Draining: true}, {ID: 10, Name: "m", Addr: "a"}}},
-		counts: view.Counts{Reachable: 3, Sending: 2, Majority: true, Alone: true},
-		avoids: []module.AvoidedServer{{Server: "s", Reason: "silent", ReportedBy: []view.ID{1, 0}, UntilMs: 1.5}, {}},
-		limits: &quota.Message{Verb: quota.Answer, From: 2, To: 4, Items: []quota.Item{{Limit: 1 << 63, Seq: 1, Epoch: 2, Stamp: 0.5, Vote: true, Even: true, Seen: 3, Hold: 4, Rest: 0.25,
-			Want: 8, Units: 5, Pool: 6, Sure: true, Share: 0.125}, {}}},
-		body: body{words: rawWords("words")},
+		Message: view.Message{Kind: view.Gossip, From: 2, Sequence: 300, Target: 4, Records: []view.Record{
+			{ID: 9, Name: "n", Addr: "1.2.3.4:5", Zone: "z", Region: "r", Version: "v", Incarnation: 7, State: 2, Draining: true}, {ID: 10, Name: "m", Addr: "a"}}},
+		counts:  view.Counts{Reachable: 3, Sending: 2, Majority: true, Isolated: true},
+		avoided: []module.AvoidedServer{{Server: "s", Reason: "silent", ReportedBy: []view.ID{1, 0}, UntilMs: 1.5}, {}},
+		quota: &quota.Message{Kind: quota.LeaseAnswer, From: 2, To: 4, Items: []quota.Item{{LimitHash: 1 << 63, Sequence: 1, Epoch: 2, OwnerTime: 0.5, Vote: true, SoonEven: true, LastTaken: 3, UnitsInUse: 4, RemainingMs: 0.25,
+			Demand: 8, Units: 5, Pool: 6, AllAccounted: true, Share: 0.125}, {}}},
+		body: moduleBody{message: rawMessage("words")},
 	}
 }
 
@@ -32,7 +32,7 @@
 		b    []byte
 		want string
 	}{
-		{appendEnvelope(nil, wholeEnvelope()), "080311020000000000000018ac022104000000000000002a2609090000000000000012016e1a09312e322e332e343a3522017a2a01723201763807400248012a0f090a0000000000000012016d1a01613208080310021801200152260a0173120673696c656e7419010000000000000019000000000000000021000000000000f83f52092100000000000000003a3f0900000000000000801001180221000000000000e03f280130013803400449000000000000d03f51000000000000204058056006680171000000000000c03f3a0909000000000000000040014a05776f726473"},
+		{appendEnvelope(nil, fullEnvelope()), "080311020000000000000018ac022104000000000000002a2609090000000000000012016e1a09312e322e332e343a3522017a2a01723201763807400248012a0f090a0000000000000012016d1a01613208080310021801200152260a0173120673696c656e7419010000000000000019000000000000000021000000000000f83f52092100000000000000003a3f0900000000000000801001180221000000000000e03f280130013803400449000000000000d03f51000000000000204058056006680171000000000000c03f3a0909000000000000000040014a05776f726473"},
 		{appendEnvelope([]byte{1}, &envelope{}), "01110000000000000000210000000000000000"},
 		{testKey.seal(nil, &envelope{Message: view.Message{Kind: view.Ping, From: 1}}), "62677031113f210525cebfe908760bb3404e63d1110100000000000000210000000000000000"},
 	} {
@@ -40,12 +40,12 @@
 			t.Errorf("%s, want %s", got, c.want)
 		}
 	}
-	b := appendEnvelope(nil, wholeEnvelope())
-	got, err := readEnvelope(b)
+	b := appendEnvelope(nil, fullEnvelope())
+	got, err := decodeEnvelope(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.body.words = rawWords(got.body.raw)
+	got.body.message = rawMessage(got.body.raw)
 	if again := appendEnvelope(nil, got); hex.EncodeToString(again) != hex.EncodeToString(b) {
 		t.Errorf("read as %+v", got)
 	}
--- a/internal/cluster/datagrams.go
+++ b/internal/cluster/datagrams.go
@@ -12,82 +12,82 @@
 
 // datagram is one that goes out; the view's message is not changed any more.
 type datagram struct {
-	to netip.AddrPort
-	e  envelope
+	to       netip.AddrPort
+	envelope envelope
 }
 
-// write has a datagram go out, unless too many wait.
-func (p *Peers) write(addr string, e envelope) {
+// enqueueDatagram has a datagram go out, unless too many wait.
+func (node *Node) enqueueDatagram(addr string, message envelope) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		p.dropped.Add(1)
+		node.dropped.Add(1)
 		return
 	}
 	select {
-	case p.send <- datagram{to, e}:
+	case node.sendQueue <- datagram{to, message}:
 	default:
-		p.overrun.Add(1)
+		node.overflowed.Add(1)
 	}
 }
 
-func (p *Peers) writer() {
-	defer p.wg.Done()
-	defer close(p.written)
+func (node *Node) writeLoop() {
+	defer node.workers.Done()
+	defer close(node.writerDone)
 	var b []byte
-	for d := range p.send {
-		b = p.opt.Key.seal(b[:0], &d.e)
-		if _, err := p.packet.WriteToUDPAddrPort(b, d.to); err == nil {
-			p.sent.Add(1)
+	for d := range node.sendQueue {
+		b = node.options.Key.seal(b[:0], &d.envelope)
+		if _, err := node.udp.WriteToUDPAddrPort(b, d.to); err == nil {
+			node.sent.Add(1)
 		}
 	}
 }
 
-func (p *Peers) reader() {
-	defer p.wg.Done()
-	b := make([]byte, MostDatagram+1)
+func (node *Node) readLoop() {
+	defer node.workers.Done()
+	b := make([]byte, MaxDatagramBytes+1)
 	for {
-		n, _, err := p.packet.ReadFromUDPAddrPort(b)
+		n, _, err := node.udp.ReadFromUDPAddrPort(b)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue // a refusal of what was sent to one who has gone
 		}
-		if n > MostDatagram {
-			p.dropped.Add(1)
+		if n > MaxDatagramBytes {
+			node.dropped.Add(1)
 			continue
 		}
-		e, err := p.opt.Key.open(b[:n])
-		ofPart := err == nil && e.Kind >= module.FirstKind && e.Kind <= module.LastKind
+		message, err := node.options.Key.open(b[:n])
+		ofPart := err == nil && message.Kind >= module.FirstKind && message.Kind <= module.LastKind
 		if ofPart {
-			err = p.readPart(e)
+			err = node.decodeModuleMessage(message)
 		}
-		if err != nil || !ofPart && e.Kind > view.Gossip && (e.Kind != kindLimits || e.limits == nil) {
-			p.dropped.Add(1)
+		if err != nil || !ofPart && message.Kind > view.Gossip && (message.Kind != kindQuota || message.quota == nil) {
+			node.dropped.Add(1)
 			continue
 		}
-		p.in.Add(1)
+		node.received.Add(1)
 		if ofPart {
-			p.post(func() { p.heardPart(e) })
+			node.postToLoop(func() { node.deliverToModule(message) })
 			continue
 		}
-		if e.Kind == kindLimits {
-			p.post(func() { p.share(quota.Heard{Message: e.limits}) })
+		if message.Kind == kindQuota {
+			node.postToLoop(func() { node.handleQuota(quota.Received{Message: message.quota}) })
 			continue
 		}
-		p.post(func() { p.do(view.Heard{Message: &e.Message}) })
+		node.postToLoop(func() { node.handleView(view.Received{Message: &message.Message}) })
 	}
 }
 
-// post tells the view from a goroutine, unless too much waits for the loop.
-func (p *Peers) post(do func()) {
-	if p.posted.Add(1) > waiting {
-		p.posted.Add(-1)
-		p.overrun.Add(1)
+// postToLoop tells the view from a goroutine, unless too much waits for the loop.
+func (node *Node) postToLoop(do func()) {
+	if node.pendingEvents.Add(1) > maxPendingEvents {
+		node.pendingEvents.Add(-1)
+		node.overflowed.Add(1)
 		return
 	}
-	p.loop.Post(func() {
-		p.posted.Add(-1)
+	node.loop.Post(func() {
+		node.pendingEvents.Add(-1)
 		do()
 	})
 }
--- a/internal/cluster/exchange.go
+++ b/internal/cluster/exchange.go
@@ -12,50 +12,50 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// trade begins a full exchange.
-func (p *Peers) trade(addr string) {
-	if p.asking.Add(1) > streams {
-		p.asking.Add(-1)
-		p.overrun.Add(1)
+// startExchange begins a full exchange.
+func (node *Node) startExchange(addr string) {
+	if node.openExchanges.Add(1) > maxConcurrentStreams {
+		node.openExchanges.Add(-1)
+		node.overflowed.Add(1)
 		return
 	}
-	mine := p.side()
-	p.traded.Add(1)
+	mine := node.localEnvelope()
+	node.exchanges.Add(1)
 	go func() {
-		defer p.asking.Add(-1)
-		e, err := p.exchange(addr, mine)
+		defer node.openExchanges.Add(-1)
+		message, err := node.exchange(addr, mine)
 		if err != nil {
-			p.failed.Add(1)
-			p.log.Debug("peers: exchange", "addr", addr, "err", err)
+			node.exchangesFailed.Add(1)
+			node.log.Debug("peers: exchange", "addr", addr, "err", err)
 			return
 		}
-		p.post(func() { p.do(view.Exchanged{Records: e.Records}) })
+		node.postToLoop(func() { node.handleView(view.ExchangeCompleted{Records: message.Records}) })
 	}()
 }
 
-// side is this process's side of an exchange; it is made on the loop.
-func (p *Peers) side() *envelope {
-	me := p.view.Self()
-	return &envelope{Message: view.Message{Kind: kindRecords, From: me.ID, Records: p.view.Records()}, counts: p.counts}
+// localEnvelope is this process's side of an exchange; it is made on the loop.
+func (node *Node) localEnvelope() *envelope {
+	me := node.view.Self()
+	return &envelope{Message: view.Message{Kind: kindExchange, From: me.ID, Records: node.view.Records()}, counts: node.counts}
 }
 
-func (p *Peers) exchange(addr string, mine *envelope) (*envelope, error) {
-	d := net.Dialer{Timeout: streamMs * time.Millisecond, LocalAddr: &net.TCPAddr{IP: p.local.AsSlice()}}
-	c, err := d.Dial("tcp", addr)
+func (node *Node) exchange(addr string, mine *envelope) (*envelope, error) {
+	d := net.Dialer{Timeout: streamTimeoutMs * time.Millisecond, LocalAddr: &net.TCPAddr{IP: node.localIP.AsSlice()}}
+	conn, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = c.Close() }()
-	return Call(c, p.opt.Key, mine)
+	defer func() { _ = conn.Close() }()
+	return Exchange(conn, node.options.Key, mine)
 }
 
-// Call has one side of an exchange over a connection that is up.
-func Call(c net.Conn, key Key, mine *envelope) (*envelope, error) {
-	_ = c.SetDeadline(time.Now().Add(streamMs * time.Millisecond))
-	if _, err := c.Write(appendFrame(nil, key.seal(nil, mine))); err != nil {
+// Exchange has one side of an exchange over a connection that is up.
+func Exchange(conn net.Conn, key Key, mine *envelope) (*envelope, error) {
+	_ = conn.SetDeadline(time.Now().Add(streamTimeoutMs * time.Millisecond))
+	if _, err := conn.Write(appendFrame(nil, key.seal(nil, mine))); err != nil {
 		return nil, err
 	}
-	return readFrame(c, key)
+	return readFrame(conn, key)
 }
 
 // readFrame reads one sealed message of a stream. Nothing is set aside for what a length promises before it has come.
@@ -65,8 +65,8 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > MostStream {
-		return nil, fmt.Errorf("%w: %d bytes", ErrForm, n)
+	if n > MaxStreamBytes {
+		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, n)
 	}
 	b, err := io.ReadAll(io.LimitReader(c, int64(n)))
 	if err != nil {
@@ -78,69 +78,69 @@
 	return key.open(b)
 }
 
-func (p *Peers) accepter() {
-	defer p.wg.Done()
-	room := make(chan struct{}, streams)
+func (node *Node) acceptLoop() {
+	defer node.workers.Done()
+	room := make(chan struct{}, maxConcurrentStreams)
 	for {
-		c, err := p.listen.Accept()
+		conn, err := node.tcp.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(againMs * time.Millisecond) // no descriptor
+			time.Sleep(retryPauseMs * time.Millisecond) // no descriptor
 			continue
 		}
 		select {
 		case room <- struct{}{}:
 		default:
-			p.overrun.Add(1)
-			_ = c.Close()
+			node.overflowed.Add(1)
+			_ = conn.Close()
 			continue
 		}
 		go func() {
-			defer func() { _ = c.Close(); <-room }()
-			p.answer(c)
+			defer func() { _ = conn.Close(); <-room }()
+			node.serveStream(conn)
 		}()
 	}
 }
 
-// answer has the other side of an exchange.
-func (p *Peers) answer(c net.Conn) {
-	_ = c.SetDeadline(time.Now().Add(streamMs * time.Millisecond))
-	e, err := readFrame(c, p.opt.Key)
-	if err == nil && e.Kind >= module.FirstKind && e.Kind <= module.LastKind {
-		p.answerPart(c, e)
+// serveStream has the other side of an exchange.
+func (node *Node) serveStream(conn net.Conn) {
+	_ = conn.SetDeadline(time.Now().Add(streamTimeoutMs * time.Millisecond))
+	message, err := readFrame(conn, node.options.Key)
+	if err == nil && message.Kind >= module.FirstKind && message.Kind <= module.LastKind {
+		node.serveModuleStream(conn, message)
 		return
 	}
-	if err != nil || e.Kind != kindRecords && e.Kind != kindShow {
-		p.dropped.Add(1)
+	if err != nil || message.Kind != kindExchange && message.Kind != kindStatusQuery {
+		node.dropped.Add(1)
 		return
 	}
 	got := make(chan *envelope, 1)
-	if p.posted.Add(1) > waiting {
-		p.posted.Add(-1)
-		p.overrun.Add(1)
+	if node.pendingEvents.Add(1) > maxPendingEvents {
+		node.pendingEvents.Add(-1)
+		node.overflowed.Add(1)
 		return
 	}
-	p.loop.Post(func() {
-		p.posted.Add(-1)
-		if p.ended {
+	node.loop.Post(func() {
+		node.pendingEvents.Add(-1)
+		if node.stopped {
 			close(got)
 			return
 		}
-		mine := p.side()
-		if e.Kind == kindRecords {
-			p.do(view.Exchanged{Records: e.Records})
+		mine := node.localEnvelope()
+		if message.Kind == kindExchange {
+			node.handleView(view.ExchangeCompleted{Records: message.Records})
 		} else {
-			mine.avoids = p.avoided()
+			mine.avoided = node.avoidedServers()
 		}
 		got <- mine
 	})
 	select {
 	case mine := <-got:
 		if mine != nil {
-			_, _ = c.Write(appendFrame(nil, p.opt.Key.seal(nil, mine)))
+			_, _ = conn.Write(appendFrame(nil, node.options.Key.seal(nil, mine)))
 		}
-	case <-time.After(streamMs * time.Millisecond):
+	case <-time.After(streamTimeoutMs * time.Millisecond):
 	}
 }
--- a/internal/cluster/form.go
+++ b/internal/cluster/form.go
@@ -38,67 +38,67 @@
 // Fields that are not known are skipped, so that a later version can say more. A datagram that is sent again by a stranger who has
 // seen it tells nothing new: what a record says is ordered by the incarnation that its process gave it.
 const (
-	mark     = "bgp1"
-	hashSize = 16 // bytes of the hash that are sent
-	headSize = len(mark) + hashSize
+	protocolMagic = "bgp1"
+	macBytes      = 16 // bytes of the hash that are sent
+	headerBytes   = len(protocolMagic) + macBytes
 
-	// MostDatagram and MostStream bound what is read, in bytes.
-	MostDatagram = 1400
-	MostStream   = module.MaxStreamBytes + 256
+	// MaxDatagramBytes and MaxStreamBytes bound what is read, in bytes.
+	MaxDatagramBytes = 1400
+	MaxStreamBytes   = module.MaxStreamBytes + 256
 )
 
 // Kinds beside the view's own: what goes over a stream.
 const (
-	kindRecords view.Kind = 16 // one side of a full exchange
-	kindShow    view.Kind = 17 // asks for all that is known, and tells nothing
-	kindLimits  view.Kind = 18 // about limits of the whole fleet
+	kindExchange    view.Kind = 16 // one side of a full exchange
+	kindStatusQuery view.Kind = 17 // asks for all that is known, and tells nothing
+	kindQuota       view.Kind = 18 // about limits of the whole fleet
 )
 
 // Errors of what cannot be read.
 var (
-	ErrKey  = errors.New("not by one who has the key")
-	ErrForm = errors.New("cannot be read")
+	ErrNotAuthenticated = errors.New("not by one who has the key")
+	ErrMalformed        = errors.New("cannot be read")
 )
 
 // Key is what all poolers of a fleet share.
 type Key []byte
 
-func (k Key) hash(body []byte) []byte {
+func (k Key) mac(body []byte) []byte {
 	h := hmac.New(sha256.New, k)
 	_, _ = h.Write(body)
-	return h.Sum(nil)[:hashSize]
+	return h.Sum(nil)[:macBytes]
 }
 
 // envelope is a message with what only streams have.
 type envelope struct {
 	view.Message
-	counts view.Counts
-	avoids []module.AvoidedServer
-	limits *quota.Message
-	body   body // of a part
+	counts  view.Counts
+	avoided []module.AvoidedServer
+	quota   *quota.Message
+	body    moduleBody // of a part
 }
 
 // seal appends a message as it goes out.
-func (k Key) seal(dst []byte, e *envelope) []byte {
+func (k Key) seal(dst []byte, message *envelope) []byte {
 	from := len(dst)
-	dst = append(append(dst, mark...), make([]byte, hashSize)...)
-	dst = appendEnvelope(dst, e)
-	copy(dst[from+len(mark):], k.hash(dst[from+headSize:]))
+	dst = append(append(dst, protocolMagic...), make([]byte, macBytes)...)
+	dst = appendEnvelope(dst, message)
+	copy(dst[from+len(protocolMagic):], k.mac(dst[from+headerBytes:]))
 	return dst
 }
 
-// Datagram is a message as it goes out.
-func (k Key) Datagram(m *view.Message) []byte { return k.seal(nil, &envelope{Message: *m}) }
+// SealDatagram is a message as it goes out.
+func (k Key) SealDatagram(m *view.Message) []byte { return k.seal(nil, &envelope{Message: *m}) }
 
 // open reads a message that came.
 func (k Key) open(b []byte) (*envelope, error) {
-	if len(b) < headSize || string(b[:len(mark)]) != mark {
-		return nil, ErrKey
+	if len(b) < headerBytes || string(b[:len(protocolMagic)]) != protocolMagic {
+		return nil, ErrNotAuthenticated
 	}
-	if !hmac.Equal(b[len(mark):headSize], k.hash(b[headSize:])) {
-		return nil, ErrKey
+	if !hmac.Equal(b[len(protocolMagic):headerBytes], k.mac(b[headerBytes:])) {
+		return nil, ErrNotAuthenticated
 	}
-	return readEnvelope(b[headSize:])
+	return decodeEnvelope(b[headerBytes:])
 }
 
 func appendUint(b []byte, num protowire.Number, x uint64) []byte {
@@ -111,205 +111,205 @@
 	return encoding.AppendNonEmptyBytes(b, num, s)
 }
 
-func bit(on bool) uint64 {
+func boolToUint(on bool) uint64 {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-func appendEnvelope(b []byte, e *envelope) []byte {
-	b = appendUint(b, 1, uint64(e.Kind))
-	b = appendFixed(b, 2, uint64(e.From))
-	b = appendUint(b, 3, uint64(e.Seq))
-	b = appendFixed(b, 4, uint64(e.Target))
+func appendEnvelope(b []byte, message *envelope) []byte {
+	b = appendUint(b, 1, uint64(message.Kind))
+	b = appendFixed(b, 2, uint64(message.From))
+	b = appendUint(b, 3, uint64(message.Sequence))
+	b = appendFixed(b, 4, uint64(message.Target))
 	var part []byte
-	for i := range e.Records {
-		part = appendRecord(part[:0], &e.Records[i])
+	for i := range message.Records {
+		part = appendRecord(part[:0], &message.Records[i])
 		b = encoding.AppendBytesField(b, 5, part)
 	}
-	if c := e.counts; c.Sending > 0 {
+	if c := message.counts; c.Sending > 0 {
 		part = appendUint(appendUint(part[:0], 1, uint64(c.Reachable)), 2, uint64(c.Sending))
-		part = appendUint(appendUint(part, 3, bit(c.Majority)), 4, bit(c.Alone))
+		part = appendUint(appendUint(part, 3, boolToUint(c.Majority)), 4, boolToUint(c.Isolated))
 		b = encoding.AppendBytesField(b, 6, part)
 	}
-	for i := range e.avoids {
-		part = appendAvoided(part[:0], &e.avoids[i])
+	for i := range message.avoided {
+		part = appendAvoided(part[:0], &message.avoided[i])
 		b = encoding.AppendBytesField(b, 10, part)
 	}
-	if m := e.limits; m != nil {
+	if m := message.quota; m != nil {
 		for i := range m.Items {
-			part = appendItem(part[:0], &m.Items[i])
+			part = appendQuotaItem(part[:0], &m.Items[i])
 			b = encoding.AppendBytesField(b, 7, part)
 		}
-		b = appendUint(b, 8, uint64(m.Verb))
+		b = appendUint(b, 8, uint64(m.Kind))
 	}
-	return appendBody(b, e.body.words)
+	return appendModuleBody(b, message.body.message)
 }
 
-func appendItem(b []byte, it *quota.Item) []byte {
+func appendQuotaItem(b []byte, item *quota.Item) []byte {
 	real := func(num protowire.Number, x float64) {
 		if x != 0 {
 			b = appendFixed(b, num, math.Float64bits(x))
 		}
 	}
-	b = appendFixed(b, 1, it.Limit)
-	b = appendUint(appendUint(b, 2, uint64(it.Seq)), 3, uint64(it.Epoch))
-	real(4, it.Stamp)
-	b = appendUint(appendUint(b, 5, bit(it.Vote)), 6, bit(it.Even))
-	b = appendUint(appendUint(b, 7, uint64(it.Seen)), 8, uint64(it.Hold))
-	real(9, it.Rest)
-	real(10, it.Want)
-	b = appendUint(appendUint(b, 11, uint64(it.Units)), 12, uint64(it.Pool))
-	b = appendUint(b, 13, bit(it.Sure))
-	real(14, it.Share)
+	b = appendFixed(b, 1, item.LimitHash)
+	b = appendUint(appendUint(b, 2, uint64(item.Sequence)), 3, uint64(item.Epoch))
+	real(4, item.OwnerTime)
+	b = appendUint(appendUint(b, 5, boolToUint(item.Vote)), 6, boolToUint(item.SoonEven))
+	b = appendUint(appendUint(b, 7, uint64(item.LastTaken)), 8, uint64(item.UnitsInUse))
+	real(9, item.RemainingMs)
+	real(10, item.Demand)
+	b = appendUint(appendUint(b, 11, uint64(item.Units)), 12, uint64(item.Pool))
+	b = appendUint(b, 13, boolToUint(item.AllAccounted))
+	real(14, item.Share)
 	return b
 }
 
-func readItem(b []byte) (it quota.Item, err error) {
-	err = encoding.Fields(b, fault, func(f encoding.Field) error {
-		small, real := int(min(f.Value, math.MaxInt32)), math.Float64frombits(f.Value)
-		switch f.Number {
+func decodeQuotaItem(b []byte) (item quota.Item, err error) {
+	err = encoding.Fields(b, malformed, func(field encoding.Field) error {
+		small, real := int(min(field.Value, math.MaxInt32)), math.Float64frombits(field.Value)
+		switch field.Number {
 		case 1:
-			it.Limit = f.Value
+			item.LimitHash = field.Value
 		case 2:
-			it.Seq = uint32(f.Value)
+			item.Sequence = uint32(field.Value)
 		case 3:
-			it.Epoch = uint32(f.Value)
+			item.Epoch = uint32(field.Value)
 		case 4:
-			it.Stamp = real
+			item.OwnerTime = real
 		case 5:
-			it.Vote = f.Value == 1
+			item.Vote = field.Value == 1
 		case 6:
-			it.Even = f.Value == 1
+			item.SoonEven = field.Value == 1
 		case 7:
-			it.Seen = uint32(f.Value)
+			item.LastTaken = uint32(field.Value)
 		case 8:
-			it.Hold = small
+			item.UnitsInUse = small
 		case 9:
-			it.Rest = real
+			item.RemainingMs = real
 		case 10:
-			it.Want = real
+			item.Demand = real
 		case 11:
-			it.Units = small
+			item.Units = small
 		case 12:
-			it.Pool = small
+			item.Pool = small
 		case 13:
-			it.Sure = f.Value == 1
+			item.AllAccounted = field.Value == 1
 		case 14:
-			it.Share = real
+			item.Share = real
 		}
 		return nil
 	})
-	return it, err
+	return item, err
 }
 
-func appendRecord(b []byte, r *view.Record) []byte {
-	b = appendFixed(b, 1, uint64(r.ID))
-	for i, s := range []string{r.Name, r.Addr, r.Zone, r.Region, r.Version} {
+func appendRecord(b []byte, record *view.Record) []byte {
+	b = appendFixed(b, 1, uint64(record.ID))
+	for i, s := range []string{record.Name, record.Addr, record.Zone, record.Region, record.Version} {
 		b = appendText(b, protowire.Number(2+i), s)
 	}
-	b = appendUint(b, 7, uint64(r.Inc))
-	b = appendUint(b, 8, uint64(r.State))
-	return appendUint(b, 9, bit(r.Draining))
+	b = appendUint(b, 7, uint64(record.Incarnation))
+	b = appendUint(b, 8, uint64(record.State))
+	return appendUint(b, 9, boolToUint(record.Draining))
 }
 
-func fault(why error) error { return fmt.Errorf("%w: %w", ErrForm, why) }
+func malformed(why error) error { return fmt.Errorf("%w: %w", ErrMalformed, why) }
 
-func readEnvelope(b []byte) (*envelope, error) {
-	e := &envelope{}
-	err := encoding.Fields(b, fault, func(f encoding.Field) error {
-		switch f.Number {
+func decodeEnvelope(b []byte) (*envelope, error) {
+	message := &envelope{}
+	err := encoding.Fields(b, malformed, func(field encoding.Field) error {
+		switch field.Number {
 		case 1:
-			if f.Value > 255 {
-				return fmt.Errorf("%w: kind %d", ErrForm, f.Value)
+			if field.Value > 255 {
+				return fmt.Errorf("%w: kind %d", ErrMalformed, field.Value)
 			}
-			e.Kind = view.Kind(f.Value)
+			message.Kind = view.Kind(field.Value)
 		case 2:
-			e.From = view.ID(f.Value)
+			message.From = view.ID(field.Value)
 		case 3:
-			e.Seq = uint32(f.Value)
+			message.Sequence = uint32(field.Value)
 		case 4:
-			e.Target = view.ID(f.Value)
+			message.Target = view.ID(field.Value)
 		case 5:
-			if len(e.Records) >= view.MostRecords {
-				return fmt.Errorf("%w: over %d records", ErrForm, view.MostRecords)
+			if len(message.Records) >= view.MaxRecords {
+				return fmt.Errorf("%w: over %d records", ErrMalformed, view.MaxRecords)
 			}
-			r, err := readRecord(f.Bytes)
+			record, err := decodeRecord(field.Bytes)
 			if err != nil {
 				return err
 			}
-			e.Records = append(e.Records, r)
+			message.Records = append(message.Records, record)
 		case 6:
-			return encoding.Fields(f.Bytes, fault, func(f encoding.Field) error {
-				switch x := int(f.Value & 0xffffff); f.Number {
+			return encoding.Fields(field.Bytes, malformed, func(field encoding.Field) error {
+				switch x := int(field.Value & 0xffffff); field.Number {
 				case 1:
-					e.counts.Reachable = x
+					message.counts.Reachable = x
 				case 2:
-					e.counts.Sending = x
+					message.counts.Sending = x
 				case 3:
-					e.counts.Majority = x == 1
+					message.counts.Majority = x == 1
 				case 4:
-					e.counts.Alone = x == 1
+					message.counts.Isolated = x == 1
 				}
 				return nil
 			})
 		case 7:
-			if e.limits == nil {
-				e.limits = &quota.Message{}
+			if message.quota == nil {
+				message.quota = &quota.Message{}
 			}
-			if len(e.limits.Items) >= quota.MostItems {
-				return fmt.Errorf("%w: over %d limits", ErrForm, quota.MostItems)
+			if len(message.quota.Items) >= quota.MaxItems {
+				return fmt.Errorf("%w: over %d limits", ErrMalformed, quota.MaxItems)
 			}
-			it, err := readItem(f.Bytes)
-			e.limits.Items = append(e.limits.Items, it)
+			item, err := decodeQuotaItem(field.Bytes)
+			message.quota.Items = append(message.quota.Items, item)
 			return err
 		case 8:
-			if e.limits != nil {
-				e.limits.Verb = quota.Verb(min(f.Value, 255))
+			if message.quota != nil {
+				message.quota.Kind = quota.MessageKind(min(field.Value, 255))
 			}
 		case 10:
-			if len(e.avoids) >= mostAvoided {
-				return fmt.Errorf("%w: over %d avoided", ErrForm, mostAvoided)
+			if len(message.avoided) >= maxAvoidedServers {
+				return fmt.Errorf("%w: over %d avoided", ErrMalformed, maxAvoidedServers)
 			}
-			a, err := readAvoided(f.Bytes)
-			e.avoids = append(e.avoids, a)
+			server, err := decodeAvoided(field.Bytes)
+			message.avoided = append(message.avoided, server)
 			return err
 		case 9:
-			e.body.raw = slices.Clone(f.Bytes) // the reader uses its bytes again
+			message.body.raw = slices.Clone(field.Bytes) // the reader uses its bytes again
 		}
 		return nil
 	})
-	if e.limits != nil {
-		e.limits.From, e.limits.To = e.From, e.Target
+	if message.quota != nil {
+		message.quota.From, message.quota.To = message.From, message.Target
 	}
-	if err == nil && e.From == 0 && e.Kind != kindShow {
-		err = fmt.Errorf("%w: from nobody", ErrForm)
+	if err == nil && message.From == 0 && message.Kind != kindStatusQuery {
+		err = fmt.Errorf("%w: from nobody", ErrMalformed)
 	}
-	return e, err
+	return message, err
 }
 
-func readRecord(b []byte) (r view.Record, err error) {
-	texts := [...]*string{&r.Name, &r.Addr, &r.Zone, &r.Region, &r.Version}
-	err = encoding.Fields(b, fault, func(f encoding.Field) error {
+func decodeRecord(b []byte) (record view.Record, err error) {
+	texts := [...]*string{&record.Name, &record.Addr, &record.Zone, &record.Region, &record.Version}
+	err = encoding.Fields(b, malformed, func(field encoding.Field) error {
 		switch {
-		case f.Number == 1:
-			r.ID = view.ID(f.Value)
-		case f.Number >= 2 && f.Number <= 6:
-			*texts[f.Number-2] = string(f.Bytes)
-		case f.Number == 7:
-			r.Inc = uint32(f.Value)
-		case f.Number == 8:
-			r.State = view.State(min(f.Value, 255))
-		case f.Number == 9:
-			r.Draining = f.Value == 1
+		case field.Number == 1:
+			record.ID = view.ID(field.Value)
+		case field.Number >= 2 && field.Number <= 6:
+			*texts[field.Number-2] = string(field.Bytes)
+		case field.Number == 7:
+			record.Incarnation = uint32(field.Value)
+		case field.Number == 8:
+			record.State = view.State(min(field.Value, 255))
+		case field.Number == 9:
+			record.Draining = field.Value == 1
 		}
 		return nil
 	})
-	if err == nil && !r.Good() {
-		err = fmt.Errorf("%w: a record", ErrForm)
+	if err == nil && !record.Valid() {
+		err = fmt.Errorf("%w: a record", ErrMalformed)
 	}
-	return r, err
+	return record, err
 }
 
 // appendFrame puts the length of a sealed message before it, for a stream.
--- a/internal/cluster/form_test.go
+++ b/internal/cluster/form_test.go
@@ -19,33 +19,33 @@
 
 // TestForm: whatever a pooler can say comes out as it went in, and not where a byte of it was changed, or the key is another.
 func TestForm(t *testing.T) {
-	text := rapid.StringN(0, 20, view.MostName)
+	text := rapid.StringN(0, 20, view.MaxNameBytes)
 	deterministic.Check(t, func(t *rapid.T) {
 		in := &envelope{Message: view.Message{Kind: view.Kind(rapid.IntRange(0, 20).Draw(t, "kind")), From: view.ID(rapid.Uint64Min(1).Draw(t, "from")),
-			Seq: rapid.Uint32().Draw(t, "seq"), Target: view.ID(rapid.Uint64().Draw(t, "target"))}}
+			Sequence: rapid.Uint32().Draw(t, "seq"), Target: view.ID(rapid.Uint64().Draw(t, "target"))}}
 		for range rapid.IntRange(0, 5).Draw(t, "records") {
 			in.Records = append(in.Records, view.Record{ID: view.ID(rapid.Uint64Min(1).Draw(t, "id")), Name: "n", Addr: "1.2.3.4:5", Zone: text.Draw(t, "zone"),
-				Version: text.Draw(t, "version"), Inc: rapid.Uint32().Draw(t, "inc"), State: view.State(rapid.IntRange(0, 3).Draw(t, "state")), Draining: rapid.Bool().Draw(t, "draining")})
+				Version: text.Draw(t, "version"), Incarnation: rapid.Uint32().Draw(t, "inc"), State: view.State(rapid.IntRange(0, 3).Draw(t, "state")), Draining: rapid.Bool().Draw(t, "draining")})
 		}
 		if rapid.Bool().Draw(t, "counts") {
 			in.counts = view.Counts{Reachable: 3, Sending: rapid.IntRange(1, 2000).Draw(t, "sending"), Majority: rapid.Bool().Draw(t, "majority")}
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "avoids") {
-			in.avoids = append(in.avoids, module.AvoidedServer{Server: text.Draw(t, "server"), Reason: "silent", ReportedBy: []view.ID{view.ID(rapid.Uint64().Draw(t, "by")), 7}, UntilMs: rapid.Float64Range(-1e14, 1e14).Draw(t, "until")})
+			in.avoided = append(in.avoided, module.AvoidedServer{Server: text.Draw(t, "server"), Reason: "silent", ReportedBy: []view.ID{view.ID(rapid.Uint64().Draw(t, "by")), 7}, UntilMs: rapid.Float64Range(-1e14, 1e14).Draw(t, "until")})
 		}
 		b := testKey.seal(nil, in)
 		out, err := testKey.open(b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(in, out, cmp.AllowUnexported(envelope{}, body{}), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(in, out, cmp.AllowUnexported(envelope{}, moduleBody{}), cmpopts.EquateEmpty()); diff != "" {
 			t.Fatal(diff)
 		}
-		if _, err := Key("another key of a fleet").open(b); !errors.Is(err, ErrKey) {
+		if _, err := Key("another key of a fleet").open(b); !errors.Is(err, ErrNotAuthenticated) {
 			t.Fatalf("with another key: %v", err)
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
-		if _, err := testKey.open(b); !errors.Is(err, ErrKey) {
+		if _, err := testKey.open(b); !errors.Is(err, ErrNotAuthenticated) {
 			t.Fatalf("with a byte changed: %v", err)
 		}
 	})
@@ -55,7 +55,7 @@
 func TestFieldsToCome(t *testing.T) {
 	in := &envelope{Message: view.Message{Kind: view.Gossip, From: 7, Records: []view.Record{{ID: 9, Name: "n", Addr: "a"}}}}
 	body := appendText(appendUint(appendEnvelope(nil, in), 99, 5), 77, "news of a later version")
-	out, err := readEnvelope(body)
+	out, err := decodeEnvelope(body)
 	if err != nil || len(out.Records) != 1 || out.From != 7 {
 		t.Errorf("%+v, %v", out, err)
 	}
@@ -68,36 +68,36 @@
 	f.Add(testKey.seal(nil, &envelope{Message: view.Message{From: 1}}), false)
 	f.Fuzz(func(t *testing.T, b []byte, sealed bool) {
 		if sealed {
-			b = append(append([]byte(mark), testKey.hash(b)...), b...)
+			b = append(append([]byte(protocolMagic), testKey.mac(b)...), b...)
 		}
-		e, err := testKey.open(b)
+		message, err := testKey.open(b)
 		if err != nil {
 			return
 		}
-		for i := range e.Records {
-			if !e.Records[i].Good() {
-				t.Fatalf("taken: %+v", e.Records[i])
+		for i := range message.Records {
+			if !message.Records[i].Valid() {
+				t.Fatalf("taken: %+v", message.Records[i])
 			}
 		}
-		again, err := testKey.open(testKey.seal(nil, e))
-		if err != nil || !cmp.Equal(e, again, cmp.AllowUnexported(envelope{}, body{}), cmpopts.EquateEmpty()) {
-			t.Fatalf("%+v came back as %+v, %v", e, again, err)
+		again, err := testKey.open(testKey.seal(nil, message))
+		if err != nil || !cmp.Equal(message, again, cmp.AllowUnexported(envelope{}, moduleBody{}), cmpopts.EquateEmpty()) {
+			t.Fatalf("%+v came back as %+v, %v", message, again, err)
 		}
 	})
 }
 
 // TestFrame: a stream's message is read whole or not at all, and no length has memory set aside for what does not come.
 func TestFrame(t *testing.T) {
-	b := appendFrame(nil, testKey.seal(nil, &envelope{Message: view.Message{Kind: kindShow}}))
-	if e, err := readFrame(bytes.NewReader(b), testKey); err != nil || e.Kind != kindShow {
-		t.Fatalf("%+v, %v", e, err)
+	b := appendFrame(nil, testKey.seal(nil, &envelope{Message: view.Message{Kind: kindStatusQuery}}))
+	if message, err := readFrame(bytes.NewReader(b), testKey); err != nil || message.Kind != kindStatusQuery {
+		t.Fatalf("%+v, %v", message, err)
 	}
 	for cut := range b {
 		if _, err := readFrame(bytes.NewReader(b[:cut]), testKey); err == nil {
 			t.Errorf("cut at %d it was taken", cut)
 		}
 	}
-	if _, err := readFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}), testKey); !errors.Is(err, ErrForm) {
+	if _, err := readFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}), testKey); !errors.Is(err, ErrMalformed) {
 		t.Error(err)
 	}
 }
@@ -105,23 +105,23 @@
 // TestLimitsForm: what is said of limits reads as it was written, in one datagram for as many as go into a message.
 func TestLimitsForm(t *testing.T) {
 	key := Key("0123456789abcdef")
-	m := &quota.Message{Verb: quota.Answer, From: 7, To: 9}
-	for i := range quota.MostItems {
-		m.Items = append(m.Items, quota.Item{Limit: 1<<63 + uint64(i), Seq: 1 << 31, Epoch: 3, Stamp: 1e9 + 0.5, Vote: true, Even: i%2 == 0, Seen: 4, Hold: 5, Rest: 0.25, Want: 1e3, Units: 4096, Pool: 4000, Sure: true, Share: 0.125})
+	m := &quota.Message{Kind: quota.LeaseAnswer, From: 7, To: 9}
+	for i := range quota.MaxItems {
+		m.Items = append(m.Items, quota.Item{LimitHash: 1<<63 + uint64(i), Sequence: 1 << 31, Epoch: 3, OwnerTime: 1e9 + 0.5, Vote: true, SoonEven: i%2 == 0, LastTaken: 4, UnitsInUse: 5, RemainingMs: 0.25, Demand: 1e3, Units: 4096, Pool: 4000, AllAccounted: true, Share: 0.125})
 	}
-	b := key.seal(nil, &envelope{Message: view.Message{Kind: kindLimits, From: m.From, Target: m.To}, limits: m})
-	if len(b) > MostDatagram {
+	b := key.seal(nil, &envelope{Message: view.Message{Kind: kindQuota, From: m.From, Target: m.To}, quota: m})
+	if len(b) > MaxDatagramBytes {
 		t.Errorf("%d bytes", len(b))
 	}
-	e, err := key.open(b)
+	message, err := key.open(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(m, e.limits); diff != "" {
+	if diff := cmp.Diff(m, message.quota); diff != "" {
 		t.Error(diff)
 	}
 	m.Items = append(m.Items, quota.Item{})
-	if _, err := key.open(key.seal(nil, &envelope{Message: view.Message{Kind: kindLimits, From: 1}, limits: m})); err == nil {
+	if _, err := key.open(key.seal(nil, &envelope{Message: view.Message{Kind: kindQuota, From: 1}, quota: m})); err == nil {
 		t.Error("too many were read")
 	}
 }
--- a/internal/cluster/limits.go
+++ b/internal/cluster/limits.go
@@ -7,77 +7,77 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// members tells the quota who is there. A process that has taken another ID begins anew: what it had was lent to the old one.
-func (p *Peers) members() {
-	if p.opt.Limits == nil || p.ended {
+// updateQuotaMembers tells the quota who is there. A process that has taken another ID begins anew: what it had was lent to the old one.
+func (node *Node) updateQuotaMembers() {
+	if node.options.Quota == nil || node.stopped {
 		return
 	}
-	if self := p.view.Self().ID; p.quota == nil || self != p.lends {
-		p.lends, p.quota = self, quota.New(*p.opt.Limits, self, p.loop.Now())
-		p.quota.Check(p.checks, p.every)
+	if self := node.view.Self().ID; node.quota == nil || self != node.quotaSelf {
+		node.quotaSelf, node.quota = self, quota.New(*node.options.Quota, self, node.loop.Now())
+		node.quota.CheckInvariants(node.checks, node.checkInterval)
 	}
-	e := quota.Members{Sending: p.counts.Sending}
-	for _, r := range p.view.Members() {
-		if r.State <= view.Suspect {
-			e.Peers = append(e.Peers, quota.Peer{ID: r.ID, Addr: r.Addr, Ending: r.Draining})
+	e := quota.MembersChanged{SendingPoolers: node.counts.Sending}
+	for _, record := range node.view.Members() {
+		if record.State <= view.Suspect {
+			e.Peers = append(e.Peers, quota.Peer{ID: record.ID, Addr: record.Addr, Draining: record.Draining})
 		}
 	}
-	p.share(e)
+	node.handleQuota(e)
 }
 
-// share tells the quota and carries out what it asks for.
-func (p *Peers) share(e quota.Event) {
-	if p.ended || p.quota == nil {
+// handleQuota tells the quota and carries out what it asks for.
+func (node *Node) handleQuota(e quota.Event) {
+	if node.stopped || node.quota == nil {
 		return
 	}
-	acts := p.quota.Handle(p.loop.Now(), e, p.acts[:0])
-	p.acts = nil // who is told may tell again
-	p.due = p.quota.Due()
+	acts := node.quota.Handle(node.loop.Now(), e, node.quotaActions[:0])
+	node.quotaActions = nil // who is told may tell again
+	node.quotaDue = node.quota.Due()
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
 		case quota.Send:
-			p.write(a.Addr, envelope{Message: view.Message{Kind: kindLimits, From: a.Message.From, Target: a.Message.To}, limits: a.Message})
-		case quota.Allow:
-			p.events.Allow(a.Limit, a.Amount, a.Burst)
+			node.enqueueDatagram(a.Addr, envelope{Message: view.Message{Kind: kindQuota, From: a.Message.From, Target: a.Message.To}, quota: a.Message})
+		case quota.SetAllowance:
+			node.events.AllowanceChanged(a.Limit, a.Amount, a.Burst)
 		}
 	}
 	clear(acts)
-	p.acts = acts
+	node.quotaActions = acts
 }
 
-// Demand tells what this pooler would use of a limit, and uses.
-func (p *Peers) Demand(limit string, want, used float64) {
-	p.share(quota.Demand{Limit: limit, Want: want, Used: used})
+// ReportDemand tells what this pooler would use of a limit, and uses.
+func (node *Node) ReportDemand(limit string, want, used float64) {
+	node.handleQuota(quota.Demand{Limit: limit, Wanted: want, Used: used})
 }
 
-// Limit has the limits be these from now on. How they are shared stays as it was, where there were some before.
-func (p *Peers) Limit(set quota.Settings) {
-	if p.opt.Limits == nil {
-		p.opt.Limits = &set
-		if p.view != nil {
-			p.members()
+// SetLimits has the limits be these from now on. How they are shared stays as it was, where there were some before.
+func (node *Node) SetLimits(set quota.Settings) {
+	if node.options.Quota == nil {
+		node.options.Quota = &set
+		if node.view != nil {
+			node.updateQuotaMembers()
 		}
 		return
 	}
-	p.opt.Limits.Limits = set.Limits
-	p.share(quota.Retune{Limits: set.Limits})
+	node.options.Quota.Limits = set.Limits
+	node.handleQuota(quota.LimitsChanged{Limits: set.Limits})
 }
 
 // Due is when what is allowed may fall without another word; never where nothing may.
-func (p *Peers) Due() float64 {
-	if p.quota == nil {
+func (node *Node) Due() float64 {
+	if node.quota == nil {
 		return math.Inf(1)
 	}
-	return p.due
+	return node.quotaDue
 }
 
 // Expire has leases that are over be so.
-func (p *Peers) Expire() { p.share(quota.Tick{}) }
+func (node *Node) Expire() { node.handleQuota(quota.Tick{}) }
 
-// Standings tell how limits stand here.
-func (p *Peers) Standings() []quota.Standing {
-	if p.quota == nil {
+// QuotaStatuses tell how limits stand here.
+func (node *Node) QuotaStatuses() []quota.Status {
+	if node.quota == nil {
 		return nil
 	}
-	return p.quota.Standings()
+	return node.quota.Statuses()
 }
--- a/internal/cluster/parts.go
+++ b/internal/cluster/parts.go
@@ -11,125 +11,125 @@
 	"beechgrade/internal/encoding"
 )
 
-// body is a part's message: words on their way out, or what was read of those that came.
-type body struct {
-	words module.Message
-	raw   []byte
-	read  any
+// moduleBody is a part's message: words on their way out, or what was read of those that came.
+type moduleBody struct {
+	message module.Message
+	raw     []byte
+	decoded any
 }
 
-func appendBody(b []byte, w module.Message) []byte {
-	if w == nil {
+func appendModuleBody(b []byte, payload module.Message) []byte {
+	if payload == nil {
 		return b
 	}
-	return encoding.AppendBytesField(b, 9, w.Append(nil))
+	return encoding.AppendBytesField(b, 9, payload.Append(nil))
 }
 
-// Join has a part live beside the view; before Start.
-func (p *Peers) Join(x module.Module) {
-	if k := x.Kind(); k < module.FirstKind || k > module.LastKind || p.partOf(k) != nil {
+// Register has a part live beside the view; before Start.
+func (node *Node) Register(mod module.Module) {
+	if k := mod.Kind(); k < module.FirstKind || k > module.LastKind || node.moduleOfKind(k) != nil {
 		panic(fmt.Sprintf("peers: kind %d of a part", k))
 	}
-	p.parts = append(p.parts, x)
+	node.modules = append(node.modules, mod)
 }
 
-func (p *Peers) partOf(k view.Kind) module.Module {
-	if i := slices.IndexFunc(p.parts, func(x module.Module) bool { return x.Kind() == k }); i >= 0 {
-		return p.parts[i]
+func (node *Node) moduleOfKind(k view.Kind) module.Module {
+	if i := slices.IndexFunc(node.modules, func(mod module.Module) bool { return mod.Kind() == k }); i >= 0 {
+		return node.modules[i]
 	}
 	return nil
 }
 
 // Now is part.Net's.
-func (p *Peers) Now() float64 { return p.loop.Now() }
+func (node *Node) Now() float64 { return node.loop.Now() }
 
 // Send is part.Net's.
-func (p *Peers) Send(addr string, to view.ID, kind view.Kind, w module.Message) {
-	if p.ended || p.view == nil {
+func (node *Node) Send(addr string, to view.ID, kind view.Kind, payload module.Message) {
+	if node.stopped || node.view == nil {
 		return
 	}
-	p.write(addr, envelope{Message: view.Message{Kind: kind, From: p.view.Self().ID, Target: to}, body: body{words: w}})
+	node.enqueueDatagram(addr, envelope{Message: view.Message{Kind: kind, From: node.view.Self().ID, Target: to}, body: moduleBody{message: payload}})
 }
 
 // SendStream is part.Net's.
-func (p *Peers) SendStream(addr string, to view.ID, kind view.Kind, w module.Message, done func(ok bool)) {
-	if p.ended || p.view == nil {
+func (node *Node) SendStream(addr string, to view.ID, kind view.Kind, payload module.Message, done func(ok bool)) {
+	if node.stopped || node.view == nil {
 		return
 	}
-	if p.asking.Add(1) > streams {
-		p.asking.Add(-1)
-		p.overrun.Add(1)
+	if node.openExchanges.Add(1) > maxConcurrentStreams {
+		node.openExchanges.Add(-1)
+		node.overflowed.Add(1)
 		done(false)
 		return
 	}
-	e := &envelope{Message: view.Message{Kind: kind, From: p.view.Self().ID, Target: to}, body: body{words: w}}
+	message := &envelope{Message: view.Message{Kind: kind, From: node.view.Self().ID, Target: to}, body: moduleBody{message: payload}}
 	go func() {
-		defer p.asking.Add(-1)
-		_, err := p.exchange(addr, e) // the answer is one side of a full exchange, and says that it was taken
+		defer node.openExchanges.Add(-1)
+		_, err := node.exchange(addr, message) // the answer is one side of a full exchange, and says that it was taken
 		if err != nil {
-			p.log.Debug("peers: stream", "addr", addr, "kind", kind, "err", err)
+			node.log.Debug("peers: stream", "addr", addr, "kind", kind, "err", err)
 		}
-		p.loop.Post(func() {
-			if !p.ended {
+		node.loop.Post(func() {
+			if !node.stopped {
 				done(err == nil)
 			}
 		})
 	}()
 }
 
-// readPart has a part read its message, off the loop.
-func (p *Peers) readPart(e *envelope) error {
-	x := p.partOf(e.Kind)
-	if x == nil {
-		return fmt.Errorf("%w: kind %d", ErrForm, e.Kind)
+// decodeModuleMessage has a part read its message, off the loop.
+func (node *Node) decodeModuleMessage(message *envelope) error {
+	mod := node.moduleOfKind(message.Kind)
+	if mod == nil {
+		return fmt.Errorf("%w: kind %d", ErrMalformed, message.Kind)
 	}
-	m, err := x.Decode(e.body.raw)
+	m, err := mod.Decode(message.body.raw)
 	if err != nil {
-		return fmt.Errorf("%w: kind %d: %w", ErrForm, e.Kind, err)
+		return fmt.Errorf("%w: kind %d: %w", ErrMalformed, message.Kind, err)
 	}
-	e.body.read = m
+	message.body.decoded = m
 	return nil
 }
 
-// heardPart passes on what a part was told; what was for another process is not for this one.
-func (p *Peers) heardPart(e *envelope) {
-	if p.ended || p.view == nil || e.Target != p.view.Self().ID && e.Target != 0 {
+// deliverToModule passes on what a part was told; what was for another process is not for this one.
+func (node *Node) deliverToModule(message *envelope) {
+	if node.stopped || node.view == nil || message.Target != node.view.Self().ID && message.Target != 0 {
 		return
 	}
-	p.partOf(e.Kind).Receive(e.From, e.body.read)
+	node.moduleOfKind(message.Kind).Receive(message.From, message.body.decoded)
 }
 
-// answerPart takes a part's message that came over a stream.
-func (p *Peers) answerPart(c net.Conn, e *envelope) {
-	if err := p.readPart(e); err != nil {
-		p.dropped.Add(1)
+// serveModuleStream takes a part's message that came over a stream.
+func (node *Node) serveModuleStream(conn net.Conn, message *envelope) {
+	if err := node.decodeModuleMessage(message); err != nil {
+		node.dropped.Add(1)
 		return
 	}
 	got := make(chan *envelope, 1)
-	p.post(func() {
-		if p.ended {
+	node.postToLoop(func() {
+		if node.stopped {
 			close(got)
 			return
 		}
-		p.heardPart(e)
-		got <- &envelope{Message: view.Message{Kind: kindRecords, From: p.view.Self().ID}}
+		node.deliverToModule(message)
+		got <- &envelope{Message: view.Message{Kind: kindExchange, From: node.view.Self().ID}}
 	})
 	select {
 	case mine := <-got:
 		if mine != nil {
-			_, _ = c.Write(appendFrame(nil, p.opt.Key.seal(nil, mine)))
+			_, _ = conn.Write(appendFrame(nil, node.options.Key.seal(nil, mine)))
 		}
-	case <-time.After(streamMs * time.Millisecond):
+	case <-time.After(streamTimeoutMs * time.Millisecond):
 	}
 }
 
-// tellParts tells all parts who is there.
-func (p *Peers) tellParts() {
-	if len(p.parts) == 0 || p.view == nil || p.ended {
+// updateModules tells all parts who is there.
+func (node *Node) updateModules() {
+	if len(node.modules) == 0 || node.view == nil || node.stopped {
 		return
 	}
-	self, all := p.view.Self().ID, p.view.Members()
-	for _, x := range p.parts {
-		x.UpdateMembers(self, all, p.counts)
+	self, all := node.view.Self().ID, node.view.Members()
+	for _, mod := range node.modules {
+		mod.UpdateMembers(self, all, node.counts)
 	}
 }
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -27,8 +27,8 @@
 	Key       Key
 	Record    view.Record // but for the address
 	View      view.Settings
-	Limits    *quota.Settings // that hold for the whole fleet, nil for none
-	Again     bool            // the address may still be held by this pooler's last process: it is asked for until it is free
+	Quota     *quota.Settings // that hold for the whole fleet, nil for none
+	RetryBind bool            // the address may still be held by this pooler's last process: it is asked for until it is free
 }
 
 // Loop is where the view lives.
@@ -40,109 +40,111 @@
 
 // Events is told what the view comes to, on the loop.
 type Events interface {
-	Fleet(c view.Counts)                              // whenever it differs from before
-	Member(r view.Record, was view.State, isNew bool) // news of a process
-	Allow(limit string, amount, burst float64)        // what this pooler may use of a limit from now on
+	CountsChanged(c view.Counts)                             // whenever it differs from before
+	MemberChanged(r view.Record, was view.State, isNew bool) // news of a process
+	AllowanceChanged(limit string, amount, burst float64)    // what this pooler may use of a limit from now on
 }
 
 // Bounds of what is done at a time for others.
 const (
-	waiting  = 256 // events that wait for the loop
-	outgoing = 512 // datagrams that wait for the socket
-	streams  = 8   // full exchanges of each side at a time
-	streamMs = 1500
-	againMs  = 50
-	leaveMs  = 200 // that the last words may take
+	maxPendingEvents     = 256 // events that wait for the loop
+	maxQueuedDatagrams   = 512 // datagrams that wait for the socket
+	maxConcurrentStreams = 8   // full exchanges of each side at a time
+	streamTimeoutMs      = 1500
+	retryPauseMs         = 50
+	leaveTimeoutMs       = 200 // that the last words may take
 )
 
 // Stats are counts since the start.
 type Stats struct {
-	In, Out          uint64 // datagrams
-	Dropped          uint64 // what came without the key, or could not be read
-	Overrun          uint64 // what came or went when too much waited
-	Exchanges, Fails uint64 // full exchanges that this pooler began, and those of them that failed
+	DatagramsIn, DatagramsOut  uint64 // datagrams
+	Dropped                    uint64 // what came without the key, or could not be read
+	Overflowed                 uint64 // what came or went when too much waited
+	Exchanges, ExchangesFailed uint64 // full exchanges that this pooler began, and those of them that failed
 }
 
-// Peers is a pooler as one of a fleet.
-type Peers struct {
-	opt    Options
-	loop   Loop
-	log    *slog.Logger
-	events Events
-	view   *view.View
-	counts view.Counts
-	out    []view.Action
-	local  netip.Addr
+// Node is a pooler as one of a fleet.
+type Node struct {
+	options     Options
+	loop        Loop
+	log         *slog.Logger
+	events      Events
+	view        *view.View
+	counts      view.Counts
+	viewActions []view.Action
+	localIP     netip.Addr
 
-	quota *quota.Quota // nil where there is none
-	lends view.ID      // whom the quota goes by
-	acts  []quota.Action
-	due   float64
+	quota        *quota.Quota // nil where there is none
+	quotaSelf    view.ID      // whom the quota goes by
+	quotaActions []quota.Action
+	quotaDue     float64
 
-	parts []module.Module
+	modules []module.Module
 
-	checks *invariant.Checks // nil where nothing is checked
-	every  int
+	checks        *invariant.Checks // nil where nothing is checked
+	checkInterval int
 
-	packet  *net.UDPConn
-	listen  *net.TCPListener
-	wg      sync.WaitGroup
-	send    chan datagram
-	written chan struct{} // closed once all that was to be sent has been
+	udp        *net.UDPConn
+	tcp        *net.TCPListener
+	workers    sync.WaitGroup
+	sendQueue  chan datagram
+	writerDone chan struct{} // closed once all that was to be sent has been
 
-	posted   atomic.Int64
-	asking   atomic.Int64
-	in, sent atomic.Uint64
-	dropped  atomic.Uint64
-	overrun  atomic.Uint64
-	traded   atomic.Uint64
-	failed   atomic.Uint64
-	ended    bool // on the loop: nothing is told to the view any more
+	pendingEvents   atomic.Int64
+	openExchanges   atomic.Int64
+	received, sent  atomic.Uint64
+	dropped         atomic.Uint64
+	overflowed      atomic.Uint64
+	exchanges       atomic.Uint64
+	exchangesFailed atomic.Uint64
+	stopped         bool // on the loop: nothing is told to the view any more
 }
 
 // New makes a peer; Start begins it.
-func New(l Loop, log *slog.Logger, opt Options, events Events) *Peers {
+func New(l Loop, log *slog.Logger, opt Options, events Events) *Node {
 	if opt.Advertise == "" {
 		opt.Advertise = opt.Listen
 	}
-	return &Peers{opt: opt, loop: l, log: log, events: events, send: make(chan datagram, outgoing), written: make(chan struct{})}
+	return &Node{options: opt, loop: l, log: log, events: events, sendQueue: make(chan datagram, maxQueuedDatagrams), writerDone: make(chan struct{})}
 }
 
-// Check has the invariants of the view and of the limits checked, from the beginning on.
-func (p *Peers) Check(c *invariant.Checks, every int) { p.checks, p.every = c, every }
+// CheckInvariants has the invariants of the view and of the limits checked, from the beginning on.
+func (node *Node) CheckInvariants(c *invariant.Checks, every int) {
+	node.checks, node.checkInterval = c, every
+}
 
 // Start opens the sockets and begins the view; it runs on the loop.
-func (p *Peers) Start() error {
-	at, err := netip.ParseAddrPort(p.opt.Listen)
+func (node *Node) Start() error {
+	at, err := netip.ParseAddrPort(node.options.Listen)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	p.local = at.Addr()
-	err = p.open()
-	if err != nil && p.opt.Again {
-		p.loop.At(p.loop.Now()+againMs, p.retry)
+	node.localIP = at.Addr()
+	err = node.bind()
+	if err != nil && node.options.RetryBind {
+		node.loop.At(node.loop.Now()+retryPauseMs, node.retryBind)
 		return nil
 	}
 	if err == nil {
-		p.begin()
+		node.startView()
 	}
 	return err
 }
 
-// retry asks for the address again.
-func (p *Peers) retry() {
-	if p.ended {
+// retryBind asks for the address again.
+func (node *Node) retryBind() {
+	if node.stopped {
 		return
 	}
-	if err := p.open(); err != nil {
-		p.loop.At(p.loop.Now()+againMs, p.retry)
+	if err := node.bind(); err != nil {
+		node.loop.At(node.loop.Now()+retryPauseMs, node.retryBind)
 		return
 	}
-	p.begin()
+	node.startView()
 }
 
-func (p *Peers) open() error {
-	addr, err := net.ResolveUDPAddr("udp", p.opt.Listen)
+func (node *Node) bind() error {
+	addr, err := net.ResolveUDPAddr("udp", node.options.Listen)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
@@ -154,121 +156,121 @@
 	if err != nil {
 		return errors.Join(fmt.Errorf("peers: %w", err), packet.Close())
 	}
-	p.packet, p.listen = packet, listen
+	node.udp, node.tcp = packet, listen
 	return nil
 }
 
-func (p *Peers) begin() {
-	me := p.opt.Record
-	me.Addr = p.opt.Advertise
-	p.view = view.New(p.opt.View, me, p.loop.Now())
-	p.view.Check(p.checks, p.every)
-	p.wg.Add(3)
-	go p.reader()
-	go p.writer()
-	go p.accepter()
-	p.tellParts()
-	p.log.Info("peers", "listen", p.opt.Listen, "id", fmt.Sprintf("%x", uint64(me.ID)), "seeds", p.opt.View.Seeds)
-	p.tick()
+func (node *Node) startView() {
+	me := node.options.Record
+	me.Addr = node.options.Advertise
+	node.view = view.New(node.options.View, me, node.loop.Now())
+	node.view.CheckInvariants(node.checks, node.checkInterval)
+	node.workers.Add(3)
+	go node.readLoop()
+	go node.writeLoop()
+	go node.acceptLoop()
+	node.updateModules()
+	node.log.Info("peers", "listen", node.options.Listen, "id", fmt.Sprintf("%x", uint64(me.ID)), "seeds", node.options.View.SeedAddresses)
+	node.tick()
 }
 
-func (p *Peers) tick() {
-	if p.ended {
+func (node *Node) tick() {
+	if node.stopped {
 		return
 	}
-	p.do(view.Tick{})
-	p.share(quota.Tick{})
-	for _, x := range p.parts {
-		x.Tick()
+	node.handleView(view.Tick{})
+	node.handleQuota(quota.Tick{})
+	for _, mod := range node.modules {
+		mod.Tick()
 	}
-	p.loop.At(p.view.Next(), p.tick)
+	node.loop.At(node.view.NextTick(), node.tick)
 }
 
-// do tells the view and carries out what it asks for.
-func (p *Peers) do(e view.Event) {
-	if p.ended || p.view == nil {
+// handleView tells the view and carries out what it asks for.
+func (node *Node) handleView(e view.Event) {
+	if node.stopped || node.view == nil {
 		return
 	}
-	p.out = p.view.Handle(p.loop.Now(), e, p.out[:0])
-	news := p.view.Self().ID != p.lends
-	for i := range p.out {
-		a := &p.out[i]
+	node.viewActions = node.view.Handle(node.loop.Now(), e, node.viewActions[:0])
+	news := node.view.Self().ID != node.quotaSelf
+	for i := range node.viewActions {
+		a := &node.viewActions[i]
 		switch a.Kind {
 		case view.Send:
-			p.write(a.Addr, envelope{Message: *a.Message})
-		case view.Trade:
-			p.trade(a.Addr)
-		case view.Changed:
-			p.log.Info("fleet", "pooler", a.Record.Name, "id", fmt.Sprintf("%x", uint64(a.Record.ID)), "addr", a.Record.Addr, "state", a.Record.State.String(), "inc", a.Record.Inc)
-			p.events.Member(a.Record, a.Was, a.New)
+			node.enqueueDatagram(a.Addr, envelope{Message: *a.Message})
+		case view.StartExchange:
+			node.startExchange(a.Addr)
+		case view.RecordChanged:
+			node.log.Info("fleet", "pooler", a.Record.Name, "id", fmt.Sprintf("%x", uint64(a.Record.ID)), "addr", a.Record.Addr, "state", a.Record.State.String(), "inc", a.Record.Incarnation)
+			node.events.MemberChanged(a.Record, a.Previous, a.IsNew)
 			news = true
-		case view.Conflict:
-			p.log.Error("fleet", "err", a.Text)
+		case view.NameConflict:
+			node.log.Error("fleet", "err", a.Text)
 		}
 	}
-	clear(p.out)
-	if c := p.view.Counts(); c != p.counts {
-		p.counts, news = c, true
-		p.events.Fleet(c)
+	clear(node.viewActions)
+	if c := node.view.Counts(); c != node.counts {
+		node.counts, news = c, true
+		node.events.CountsChanged(c)
 	}
 	if news {
-		p.members()
-		p.tellParts()
+		node.updateQuotaMembers()
+		node.updateModules()
 	}
 }
 
 // Drain tells the others that this pooler takes no more clients, or does again.
-func (p *Peers) Drain(on bool) { p.do(view.Drain{On: on}) }
+func (node *Node) Drain(on bool) { node.handleView(view.SetDraining{Draining: on}) }
 
 // Counts are the view's.
-func (p *Peers) Counts() view.Counts { return p.counts }
+func (node *Node) Counts() view.Counts { return node.counts }
 
 // Members are all processes that are known; nil before the start.
-func (p *Peers) Members() []view.Record {
-	if p.view == nil {
+func (node *Node) Members() []view.Record {
+	if node.view == nil {
 		return nil
 	}
-	return p.view.Members()
+	return node.view.Members()
 }
 
 // Name is what this process goes by; the settings' name, unless another has that.
-func (p *Peers) Name() string {
-	if p.view == nil {
-		return p.opt.Record.Name
+func (node *Node) Name() string {
+	if node.view == nil {
+		return node.options.Record.Name
 	}
-	return p.view.Self().Name
+	return node.view.Self().Name
 }
 
 // Stats are the counts so far.
-func (p *Peers) Stats() Stats {
-	return Stats{In: p.in.Load(), Out: p.sent.Load(), Dropped: p.dropped.Load(), Overrun: p.overrun.Load(), Exchanges: p.traded.Load(), Fails: p.failed.Load()}
+func (node *Node) Stats() Stats {
+	return Stats{DatagramsIn: node.received.Load(), DatagramsOut: node.sent.Load(), Dropped: node.dropped.Load(), Overflowed: node.overflowed.Load(), Exchanges: node.exchanges.Load(), ExchangesFailed: node.exchangesFailed.Load()}
 }
 
 // Leave tells the others that this process ends, and gives the address up; quietly where another of this pooler's processes goes
 // on in its place. It runs on the loop, and nothing comes of the view afterwards.
-func (p *Peers) Leave(quietly bool) {
-	if p.ended {
+func (node *Node) Leave(quietly bool) {
+	if node.stopped {
 		return
 	}
 	if !quietly {
-		p.do(view.Leave{})
+		node.handleView(view.Leave{})
 	}
-	p.share(quota.Leave{})
-	if p.view != nil {
-		for _, x := range p.parts {
-			x.Leave()
+	node.handleQuota(quota.Leave{})
+	if node.view != nil {
+		for _, mod := range node.modules {
+			mod.Leave()
 		}
 	}
-	p.ended = true
-	if p.view == nil {
+	node.stopped = true
+	if node.view == nil {
 		return
 	}
-	close(p.send) // the writer sends what waits, then ends
+	close(node.sendQueue) // the writer sends what waits, then ends
 	select {
-	case <-p.written:
-	case <-time.After(leaveMs * time.Millisecond):
+	case <-node.writerDone:
+	case <-time.After(leaveTimeoutMs * time.Millisecond):
 	}
-	_ = p.packet.Close()
-	_ = p.listen.Close()
-	p.wg.Wait()
+	_ = node.udp.Close()
+	_ = node.tcp.Close()
+	node.workers.Wait()
 }
--- a/internal/cluster/quota/ask.go
+++ b/internal/cluster/quota/ask.go
@@ -2,167 +2,167 @@
 
 import "math"
 
-func (q *Quota) demand(e Demand) {
-	l := q.find(e.Limit)
-	if l == nil || !finite(e.Want) || !finite(e.Used) {
+func (q *Quota) updateDemand(e Demand) {
+	limit := q.limitByName(e.Limit)
+	if limit == nil || !finite(e.Wanted) || !finite(e.Used) {
 		return
 	}
-	l.want = min(1e3, e.Want/max(1e-9, l.Amount))
-	if l.Kind == Number {
-		l.high = max(l.hold, int(e.Used)-l.low)
+	limit.demand = min(1e3, e.Wanted/max(1e-9, limit.Amount))
+	if limit.Kind == Concurrency {
+		limit.unitsInUse = max(limit.leasedUnits, int(e.Used)-limit.reserved)
 	}
-	if d := math.Abs(l.want - l.told); d > changed*l.told && d*float64(l.cut.Units) >= 1 && (d > little || l.Kind == Number) {
-		l.hurry = true
+	if d := math.Abs(limit.demand - limit.reportedDemand); d > demandChange*limit.reportedDemand && d*float64(limit.partition.Units) >= 1 && (d > smallDemand || limit.Kind == Concurrency) {
+		limit.urgent = true
 	}
 }
 
-// turn does what time brings.
-func (q *Quota) turn() {
-	for _, l := range q.limits {
-		if l.Manner == Even {
-			q.turnEven(l)
+// advance does what time brings.
+func (q *Quota) advance() {
+	for _, limit := range q.limits {
+		if limit.Guarantee == SoonEven {
+			q.advanceShare(limit)
 		}
-		if l.Manner == Fixed {
+		if limit.Guarantee == FixedShare {
 			continue
 		}
-		if q.now >= l.askAt || l.hurry && q.now >= l.askAt-q.set.Renew+q.set.Soon {
-			q.ask(l)
+		if q.now >= limit.nextRequest || limit.urgent && q.now >= limit.nextRequest-q.settings.RenewInterval+q.settings.UrgentInterval {
+			q.sendRequest(limit)
 		}
-		if l.Manner == Never {
-			q.own(l)
+		if limit.Guarantee == NeverOver {
+			q.updateOwnership(limit)
 		}
 	}
 }
 
-// ask tells the owner of this process's demand, votes for it where that may be, and says what it holds.
-func (q *Quota) ask(l *limit) {
-	l.askAt, l.hurry, l.told = q.now+q.set.Renew, false, l.want
-	l.seq++
-	it := Item{Limit: l.key, Seq: l.seq, Want: l.want, Seen: l.seen, Pool: l.cut.Pool, Even: l.Manner == Even}
-	if l.Manner == Never {
-		fresh := l.heard == l.best && q.now-l.heardAt <= voteFresh*q.set.Promise
-		free := l.bound == l.best || q.now >= l.until
-		if fresh && free && q.now >= l.began+q.ban(l.Kind) {
-			if l.bound != l.best || l.epoch != l.stampOf {
-				l.bound, l.epoch = l.best, l.stampOf
+// sendRequest tells the owner of this process's demand, votes for it where that may be, and says what it holds.
+func (q *Quota) sendRequest(limit *limitState) {
+	limit.nextRequest, limit.urgent, limit.reportedDemand = q.now+q.settings.RenewInterval, false, limit.demand
+	limit.sequence++
+	item := Item{LimitHash: limit.key, Sequence: limit.sequence, Demand: limit.demand, LastTaken: limit.lastTaken, Pool: limit.partition.Pool, SoonEven: limit.Guarantee == SoonEven}
+	if limit.Guarantee == NeverOver {
+		fresh := limit.ownerTimeFrom == limit.currentOwner && q.now-limit.ownerTimeAt <= voteFreshness*q.settings.VoteDuration
+		free := limit.votedFor == limit.currentOwner || q.now >= limit.voteEnds
+		if fresh && free && q.now >= limit.startedAt+q.voteDelay(limit.Kind) {
+			if limit.votedFor != limit.currentOwner || limit.votedEpoch != limit.ownerEpoch {
+				limit.votedFor, limit.votedEpoch = limit.currentOwner, limit.ownerEpoch
 			}
-			l.until = q.now + q.set.Promise
-			it.Vote, it.Epoch, it.Stamp, it.Hold = true, l.epoch, l.stamp, l.high
-			it.Rest = max(0, l.heldTill-q.now)
+			limit.voteEnds = q.now + q.settings.VoteDuration
+			item.Vote, item.Epoch, item.OwnerTime, item.UnitsInUse = true, limit.votedEpoch, limit.ownerTime, limit.unitsInUse
+			item.RemainingMs = max(0, limit.leaseEnds-q.now)
 		}
 	}
-	l.asks = append(l.asks, asked{l.seq, q.now, it.Vote})
-	if len(l.asks) > askMemory {
-		l.asks = append(l.asks[:0], l.asks[1:]...)
+	limit.requests = append(limit.requests, request{limit.sequence, q.now, item.Vote})
+	if len(limit.requests) > maxRequests {
+		limit.requests = append(limit.requests[:0], limit.requests[1:]...)
 	}
-	q.put(l.best, Ask, it)
+	q.enqueue(limit.currentOwner, LeaseRequest, item)
 }
 
-// ban is how long a process that has begun does not vote: its last life may have promised, and what it let in may go on.
-func (q *Quota) ban(k Kind) float64 {
-	if k == Number {
-		return q.set.Stretch(max(q.set.Promise, q.set.Linger))
+// voteDelay is how long a process that has begun does not vote: its last life may have promised, and what it let in may go on.
+func (q *Quota) voteDelay(k Kind) float64 {
+	if k == Concurrency {
+		return q.settings.LocalWait(max(q.settings.VoteDuration, q.settings.UseTimeout))
 	}
-	return q.set.Stretch(q.set.Promise)
+	return q.settings.LocalWait(q.settings.VoteDuration)
 }
 
-// put has an item go to a process, with others that go there.
-func (q *Quota) put(to ID, v Verb, it Item) {
-	for _, m := range q.box {
-		if m.To == to && m.Verb == v && len(m.Items) < MostItems {
-			m.Items = append(m.Items, it)
+// enqueue has an item go to a process, with others that go there.
+func (q *Quota) enqueue(to ID, v MessageKind, item Item) {
+	for _, message := range q.outbox {
+		if message.To == to && message.Kind == v && len(message.Items) < MaxItems {
+			message.Items = append(message.Items, item)
 			return
 		}
 	}
-	q.box = append(q.box, &Message{Verb: v, From: q.self, To: to, Items: []Item{it}})
+	q.outbox = append(q.outbox, &Message{Kind: v, From: q.self, To: to, Items: []Item{item}})
 }
 
-// post sends what was put. What is for this process itself is told at once.
-func (q *Quota) post() {
-	for len(q.box) > 0 {
-		m := q.box[0]
-		q.box = q.box[1:]
-		if m.To == q.self {
-			q.hear(m)
-		} else if a := q.addr[m.To]; a != "" {
-			q.out = append(q.out, Action{Kind: Send, Addr: a, Message: m})
+// flush sends what was put. What is for this process itself is told at once.
+func (q *Quota) flush() {
+	for len(q.outbox) > 0 {
+		message := q.outbox[0]
+		q.outbox = q.outbox[1:]
+		if message.To == q.self {
+			q.handleMessage(message)
+		} else if a := q.addresses[message.To]; a != "" {
+			q.actions = append(q.actions, Action{Kind: Send, Addr: a, Message: message})
 		}
 	}
-	q.box = nil
+	q.outbox = nil
 }
 
-func (q *Quota) hear(m *Message) {
-	if m.To != q.self || m.Verb > Call || len(m.Items) > MostItems {
+func (q *Quota) handleMessage(message *Message) {
+	if message.To != q.self || message.Kind > LeaseRecall || len(message.Items) > MaxItems {
 		return
 	}
-	for i := range m.Items {
-		it := &m.Items[i]
-		l := q.byHash[it.Limit]
-		if l == nil || it.Even != (l.Manner == Even) || l.Manner == Fixed || !it.good() {
+	for i := range message.Items {
+		item := &message.Items[i]
+		limit := q.byHash[item.LimitHash]
+		if limit == nil || item.SoonEven != (limit.Guarantee == SoonEven) || limit.Guarantee == FixedShare || !item.valid() {
 			continue
 		}
-		switch m.Verb {
-		case Ask:
-			if it.Even {
-				q.onTold(l, m.From, it)
+		switch message.Kind {
+		case LeaseRequest:
+			if item.SoonEven {
+				q.handleShareRequest(limit, message.From, item)
 			} else {
-				q.onAsk(l, m.From, it)
+				q.handleLeaseRequest(limit, message.From, item)
 			}
-		case Answer:
-			if it.Even {
-				q.onShare(l, m.From, it)
+		case LeaseAnswer:
+			if item.SoonEven {
+				q.handleShareAnswer(limit, message.From, item)
 			} else {
-				q.onAnswer(l, m.From, it)
+				q.handleLeaseAnswer(limit, message.From, item)
 			}
-		case Call:
-			if !it.Even && m.From == l.bound && it.Epoch == l.epoch {
-				l.lower(it.Units)
-				l.hurry = true
+		case LeaseRecall:
+			if !item.SoonEven && message.From == limit.votedFor && item.Epoch == limit.votedEpoch {
+				limit.reduceTo(item.Units)
+				limit.urgent = true
 			}
 		}
 	}
 }
 
-func (it *Item) good() bool {
-	return finite(it.Stamp) && finite(it.Rest) && finite(it.Want) && finite(it.Share) && min(it.Hold, it.Units, it.Pool) >= 0 &&
-		max(it.Hold, it.Units, it.Pool) <= MostUnits*256
+func (item *Item) valid() bool {
+	return finite(item.OwnerTime) && finite(item.RemainingMs) && finite(item.Demand) && finite(item.Share) && min(item.UnitsInUse, item.Units, item.Pool) >= 0 &&
+		max(item.UnitsInUse, item.Units, item.Pool) <= MaxUnits*256
 }
 
-// askOf finds the ask that an answer is to; each is answered once.
-func (l *limit) askOf(seq uint32) (asked, bool) {
-	for _, a := range l.asks {
-		if a.seq == seq && seq > l.seen {
+// pendingRequest finds the ask that an answer is to; each is answered once.
+func (limit *limitState) pendingRequest(seq uint32) (request, bool) {
+	for _, a := range limit.requests {
+		if a.sequence == seq && seq > limit.lastTaken {
 			return a, true
 		}
 	}
-	return asked{}, false
+	return request{}, false
 }
 
-// onAnswer takes what an owner lends.
-func (q *Quota) onAnswer(l *limit, from ID, it *Item) {
-	a, ok := l.askOf(it.Seq)
-	if !ok || from != l.best && from != l.bound {
+// handleLeaseAnswer takes what an owner lends.
+func (q *Quota) handleLeaseAnswer(limit *limitState, from ID, item *Item) {
+	a, ok := limit.pendingRequest(item.Sequence)
+	if !ok || from != limit.currentOwner && from != limit.votedFor {
 		return
 	}
-	if from == l.best && (l.heard != from || it.Stamp > l.stamp) {
-		if l.heard != from || l.stampOf != it.Epoch {
-			l.hurry = true // it can be voted for now
+	if from == limit.currentOwner && (limit.ownerTimeFrom != from || item.OwnerTime > limit.ownerTime) {
+		if limit.ownerTimeFrom != from || limit.ownerEpoch != item.Epoch {
+			limit.urgent = true // it can be voted for now
 		}
-		l.heard, l.stamp, l.stampOf, l.heardAt = from, it.Stamp, it.Epoch, a.at
+		limit.ownerTimeFrom, limit.ownerTime, limit.ownerEpoch, limit.ownerTimeAt = from, item.OwnerTime, item.Epoch, a.sentAt
 	}
-	if !it.Vote || !a.vote || from != l.bound || it.Epoch != l.epoch || it.Pool != l.cut.Pool {
+	if !item.Vote || !a.vote || from != limit.votedFor || item.Epoch != limit.votedEpoch || item.Pool != limit.partition.Pool {
 		return
 	}
-	if l.seen = it.Seq; it.Sure {
-		l.low = l.cut.Floor
+	if limit.lastTaken = item.Sequence; item.AllAccounted {
+		limit.reserved = limit.partition.Reserved
 	}
-	l.hold, l.heldTill = it.Units, a.at+q.set.Lease
-	if q.now >= l.heldTill {
-		l.hold = 0
+	limit.leasedUnits, limit.leaseEnds = item.Units, a.sentAt+q.settings.LeaseDuration
+	if q.now >= limit.leaseEnds {
+		limit.leasedUnits = 0
 	}
-	if l.Kind == Number {
-		l.high = max(l.high, l.hold)
+	if limit.Kind == Concurrency {
+		limit.unitsInUse = max(limit.unitsInUse, limit.leasedUnits)
 	} else {
-		l.high = l.hold
+		limit.unitsInUse = limit.leasedUnits
 	}
 }
--- a/internal/cluster/quota/clone.go
+++ b/internal/cluster/quota/clone.go
@@ -10,83 +10,83 @@
 // Clone is a copy that goes its own way, for explorers.
 func (q *Quota) Clone() *Quota {
 	c := *q
-	c.out, c.box = nil, nil
-	c.addr = maps.Clone(q.addr)
-	c.limits, c.byHash = make([]*limit, len(q.limits)), map[uint64]*limit{}
-	for i, l := range q.limits {
-		n := *l
-		n.asks = slices.Clone(l.asks)
-		n.o.books, n.o.byID = make([]*book, len(l.o.books)), map[ID]*book{}
-		for k, b := range l.o.books {
-			x := *b
-			x.pend = slices.Clone(b.pend)
-			n.o.books[k], n.o.byID[b.id] = &x, &x
+	c.actions, c.outbox = nil, nil
+	c.addresses = maps.Clone(q.addresses)
+	c.limits, c.byHash = make([]*limitState, len(q.limits)), map[uint64]*limitState{}
+	for i, limit := range q.limits {
+		n := *limit
+		n.requests = slices.Clone(limit.requests)
+		n.ownership.holders, n.ownership.holderByID = make([]*holder, len(limit.ownership.holders)), map[ID]*holder{}
+		for k, peer := range limit.ownership.holders {
+			x := *peer
+			x.grants = slices.Clone(peer.grants)
+			n.ownership.holders[k], n.ownership.holderByID[peer.id] = &x, &x
 		}
 		c.limits[i], c.byHash[n.key] = &n, &n
 	}
 	return &c
 }
 
-// Key is all of a quota that what it does follows from, with times as seen from now, and the numbers of asks as seen from each
+// StateKey is all of a quota that what it does follows from, with times as seen from now, and the numbers of asks as seen from each
 // process's last, for explorers.
-func (q *Quota) Key(last func(ID) uint32) string {
+func (q *Quota) StateKey(last func(ID) uint32) string {
 	var w strings.Builder
 	ago := func(at float64) float64 { return max(-1e6, min(q.now-at, 1e6)) }
 	till := func(at float64) float64 { return max(0, min(at-q.now, 1e6)) }
-	fmt.Fprint(&w, q.left, q.peers)
-	for _, l := range q.limits {
-		fmt.Fprintf(&w, "|%v %d %v %d %d %d %v %d %v %d %v ", l.cut, l.low, till(l.began+q.ban(l.Kind)), l.best, l.bound, l.epoch, till(l.until), l.heard, ago(l.stamp), l.stampOf, min(ago(l.heardAt), q.set.Promise))
-		fmt.Fprintf(&w, "%d %d %d %v %v %v %v %v ", l.seq-l.seen, l.hold, l.high, till(l.heldTill), l.want, l.told, till(l.askAt), l.hurry)
-		for _, a := range l.asks {
-			if a.seq > l.seen && q.now-a.at < q.set.Lease {
-				fmt.Fprintf(&w, "a%d %v %v ", l.seq-a.seq, ago(a.at), a.vote)
+	fmt.Fprint(&w, q.hasLeft, q.peers)
+	for _, limit := range q.limits {
+		fmt.Fprintf(&w, "|%v %d %v %d %d %d %v %d %v %d %v ", limit.partition, limit.reserved, till(limit.startedAt+q.voteDelay(limit.Kind)), limit.currentOwner, limit.votedFor, limit.votedEpoch, till(limit.voteEnds), limit.ownerTimeFrom, ago(limit.ownerTime), limit.ownerEpoch, min(ago(limit.ownerTimeAt), q.settings.VoteDuration))
+		fmt.Fprintf(&w, "%d %d %d %v %v %v %v %v ", limit.sequence-limit.lastTaken, limit.leasedUnits, limit.unitsInUse, till(limit.leaseEnds), limit.demand, limit.reportedDemand, till(limit.nextRequest), limit.urgent)
+		for _, a := range limit.requests {
+			if a.sequence > limit.lastTaken && q.now-a.sentAt < q.settings.LeaseDuration {
+				fmt.Fprintf(&w, "a%d %v %v ", limit.sequence-a.sequence, ago(a.sentAt), a.vote)
 			}
 		}
-		o := &l.o
-		fmt.Fprintf(&w, "o%d %v %v %d %v %v %v %v ", o.epoch, till(o.right), o.owns, o.unknown, till(o.waitTo), o.dirty, till(o.planAt), till(o.rightAt))
-		for _, b := range o.books {
-			n := last(b.id)
-			fmt.Fprintf(&w, "b%d %d %v %v %v %d %v %d %v %d %d %.3f %v ", b.id, n-b.seq, till(b.promise), b.want, b.adopted, b.claim, till(b.till), b.conf, till(b.confEnd), n-b.confSeq, b.target,
-				b.credit, min(q.set.Soon, ago(b.calledAt)))
-			for _, p := range b.pend {
-				fmt.Fprintf(&w, "p%d %d %v ", n-p.seq, p.units, till(p.end))
+		state := &limit.ownership
+		fmt.Fprintf(&w, "o%d %v %v %d %v %v %v %v ", state.epoch, till(state.ends), state.active, state.unaccounted, till(state.unaccountedUntil), state.planNeeded, till(state.plannedAt), till(state.nextElection))
+		for _, peer := range state.holders {
+			n := last(peer.id)
+			fmt.Fprintf(&w, "b%d %d %v %v %v %d %v %d %v %d %d %.3f %v ", peer.id, n-peer.sequence, till(peer.voteEnds), peer.demand, peer.adopted, peer.claimedUnits, till(peer.claimEnds), peer.confirmedUnits, till(peer.confirmedEnds), n-peer.confirmedSequence, peer.target,
+				peer.deficit, min(q.settings.UrgentInterval, ago(peer.recalledAt)))
+			for _, p := range peer.grants {
+				fmt.Fprintf(&w, "p%d %d %v ", n-p.sequence, p.units, till(p.ends))
 			}
 		}
 	}
 	return w.String()
 }
 
-// Last is the number of the last ask about a limit.
-func (q *Quota) Last(name string) uint32 {
-	if l := q.find(name); l != nil {
-		return l.seq
+// LastSequence is the number of the last ask about a limit.
+func (q *Quota) LastSequence(name string) uint32 {
+	if limit := q.limitByName(name); limit != nil {
+		return limit.sequence
 	}
 	return 0
 }
 
 // Usable is how much of a limit may be used, had nothing come since.
 func (q *Quota) Usable(name string, now float64) float64 {
-	l := q.find(name)
-	if l == nil || q.left {
+	limit := q.limitByName(name)
+	if limit == nil || q.hasLeft {
 		return 0
 	}
-	n := l.low
-	if l.Kind == Number && now < l.began+q.ban(l.Kind) {
+	n := limit.reserved
+	if limit.Kind == Concurrency && now < limit.startedAt+q.voteDelay(limit.Kind) {
 		n = 0
 	}
-	if now < l.heldTill {
-		n += l.hold
+	if now < limit.leaseEnds {
+		n += limit.leasedUnits
 	}
-	amount, _ := l.part(&l.cut, n)
+	amount, _ := limit.unitsAllowance(&limit.partition, n)
 	return amount
 }
 
-// Recount has the lease by the answer to an ask count from now: for a checker's mutant.
-func (q *Quota) Recount(limit uint64, seq uint32) {
-	if l := q.byHash[limit]; l != nil {
-		for i := range l.asks {
-			if l.asks[i].seq == seq {
-				l.asks[i].at = q.now
+// RestartLease has the lease by the answer to an ask count from now: for a checker's mutant.
+func (q *Quota) RestartLease(hash uint64, seq uint32) {
+	if limit := q.byHash[hash]; limit != nil {
+		for i := range limit.requests {
+			if limit.requests[i].sequence == seq {
+				limit.requests[i].sentAt = q.now
 			}
 		}
 	}
--- a/internal/cluster/quota/even.go
+++ b/internal/cluster/quota/even.go
@@ -2,60 +2,60 @@
 
 import "slices"
 
-// onTold is the owner's side of an ask about a limit that is soon even.
-func (q *Quota) onTold(l *limit, from ID, it *Item) {
-	o := &l.o
-	b := o.byID[from]
-	if b == nil {
-		if len(o.books) >= MostPeers {
+// handleShareRequest is the owner's side of an ask about a limit that is soon even.
+func (q *Quota) handleShareRequest(limit *limitState, from ID, item *Item) {
+	state := &limit.ownership
+	peer := state.holderByID[from]
+	if peer == nil {
+		if len(state.holders) >= MaxPeers {
 			return
 		}
-		b = &book{id: from}
-		o.byID[from] = b
-		o.books = append(o.books, b)
+		peer = &holder{id: from}
+		state.holderByID[from] = peer
+		state.holders = append(state.holders, peer)
 	}
-	if it.Seq <= b.seq {
+	if item.Sequence <= peer.sequence {
 		return
 	}
-	b.seq, b.want, b.at = it.Seq, it.Want, q.now
-	o.books = slices.DeleteFunc(o.books, func(x *book) bool {
-		if q.now-x.at < q.set.Stale() {
+	peer.sequence, peer.demand, peer.lastRequest = item.Sequence, item.Demand, q.now
+	state.holders = slices.DeleteFunc(state.holders, func(x *holder) bool {
+		if q.now-x.lastRequest < q.settings.StaleAfter() {
 			return false
 		}
-		delete(o.byID, x.id)
+		delete(state.holderByID, x.id)
 		return true
 	})
-	n := float64(len(o.books))
+	n := float64(len(state.holders))
 	total := 0.0
-	for _, x := range o.books {
-		total += x.weight(len(o.books))
+	for _, x := range state.holders {
+		total += x.weight(len(state.holders))
 	}
-	q.put(from, Answer, Item{Limit: l.key, Seq: it.Seq, Even: true, Share: n / max(n, float64(q.sending)) * b.weight(len(o.books)) / total})
+	q.enqueue(from, LeaseAnswer, Item{LimitHash: limit.key, Sequence: item.Sequence, SoonEven: true, Share: n / max(n, float64(q.sendingPoolers)) * peer.weight(len(state.holders)) / total})
 }
 
-// onShare takes a share: less at once, more once others have made room.
-func (q *Quota) onShare(l *limit, from ID, it *Item) {
-	a, ok := l.askOf(it.Seq)
-	if !ok || from != l.best || it.Share > 1 {
+// handleShareAnswer takes a share: less at once, more once others have made room.
+func (q *Quota) handleShareAnswer(limit *limitState, from ID, item *Item) {
+	a, ok := limit.pendingRequest(item.Sequence)
+	if !ok || from != limit.currentOwner || item.Share > 1 {
 		return
 	}
-	l.seen, l.sharedAt = it.Seq, a.at
-	if it.Share <= l.share {
-		l.share, l.riseAt = it.Share, 0
+	limit.lastTaken, limit.shareAnsweredAt = item.Sequence, a.sentAt
+	if item.Share <= limit.share {
+		limit.share, limit.higherShareAt = item.Share, 0
 		return
 	}
-	if l.riseAt == 0 {
-		l.riseAt = q.now + q.set.Renew + q.set.Soon
+	if limit.higherShareAt == 0 {
+		limit.higherShareAt = q.now + q.settings.RenewInterval + q.settings.UrgentInterval
 	}
-	l.rise = it.Share
+	limit.higherShare = item.Share
 }
 
-// turnEven lets a share grow, and gives it up where nobody has answered.
-func (q *Quota) turnEven(l *limit) {
-	if l.riseAt > 0 && q.now >= l.riseAt {
-		l.share, l.riseAt = l.rise, 0
+// advanceShare lets a share grow, and gives it up where nobody has answered.
+func (q *Quota) advanceShare(limit *limitState) {
+	if limit.higherShareAt > 0 && q.now >= limit.higherShareAt {
+		limit.share, limit.higherShareAt = limit.higherShare, 0
 	}
-	if q.now-l.sharedAt >= q.set.Stale() {
-		l.share, l.riseAt = 1/float64(q.sending), 0
+	if q.now-limit.shareAnsweredAt >= q.settings.StaleAfter() {
+		limit.share, limit.higherShareAt = 1/float64(q.sendingPoolers), 0
 	}
 }
--- a/internal/cluster/quota/invariants_test.go
+++ b/internal/cluster/quota/invariants_test.go
@@ -11,8 +11,8 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// drawn is a few quotas whose messages come in any order, twice, or never.
-type drawn struct {
+// testCluster is a few quotas whose messages come in any order, twice, or never.
+type testCluster struct {
 	now   float64
 	c     *invariant.Checks
 	set   Settings
@@ -22,38 +22,38 @@
 	queue []*Message
 }
 
-func newDrawn(c *invariant.Checks, burst, amount float64) *drawn {
-	d := &drawn{now: 1e6, c: c, set: Defaults(), q: map[ID]*Quota{}, next: 1}
-	d.set.Expect, d.set.Lease, d.set.Promise, d.set.Linger = 3, 3000, 1000, 1000
+func newTestCluster(c *invariant.Checks, burst, amount float64) *testCluster {
+	d := &testCluster{now: 1e6, c: c, set: Defaults(), q: map[ID]*Quota{}, next: 1}
+	d.set.ExpectedPoolers, d.set.LeaseDuration, d.set.VoteDuration, d.set.UseTimeout = 3, 3000, 1000, 1000
 	d.set.Limits = []Limit{{Name: "rate", Amount: 100, Burst: burst, Reserve: 0.1},
-		{Name: "number", Kind: Number, Amount: amount}, {Name: "even", Manner: Even, Amount: 50, Burst: 10}}
+		{Name: "number", Kind: Concurrency, Amount: amount}, {Name: "even", Guarantee: SoonEven, Amount: 50, Burst: 10}}
 	for range 3 {
 		d.join()
 	}
 	return d
 }
 
-func (d *drawn) join() {
+func (d *testCluster) join() {
 	id := d.next
 	d.next++
 	d.q[id], d.ids = New(d.set, id, d.now), append(d.ids, id)
-	d.q[id].Check(d.c, 1)
+	d.q[id].CheckInvariants(d.c, 1)
 	for _, x := range d.ids {
 		d.members(x, d.ids)
 	}
 }
 
-func (d *drawn) members(x ID, ids []ID) {
-	m := Members{Sending: len(ids)}
+func (d *testCluster) members(x ID, ids []ID) {
+	m := MembersChanged{SendingPoolers: len(ids)}
 	for _, id := range ids {
 		m.Peers = append(m.Peers, Peer{ID: id, Addr: fmt.Sprint(id)})
 	}
 	d.do(x, m)
 }
 
-func (d *drawn) do(id ID, e Event) {
+func (d *testCluster) do(id ID, event Event) {
 	if q := d.q[id]; q != nil {
-		for _, a := range q.Handle(d.now, e, nil) {
+		for _, a := range q.Handle(d.now, event, nil) {
 			if a.Kind == Send {
 				d.queue = append(d.queue, a.Message)
 			}
@@ -61,7 +61,7 @@
 	}
 }
 
-func (d *drawn) kill(id ID) {
+func (d *testCluster) kill(id ID) {
 	delete(d.q, id)
 	d.ids = slices.DeleteFunc(slices.Clone(d.ids), func(x ID) bool { return x == id })
 }
@@ -69,7 +69,7 @@
 // TestInvariants: whatever comes in whatever order, the statements hold, and no more than a limit may be used by all together.
 func TestInvariants(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		d := newDrawn(invariant.Test(t), rapid.Float64Range(1, 40).Draw(t, "burst"), rapid.Float64Range(1, 50).Draw(t, "amount"))
+		d := newTestCluster(invariant.Test(t), rapid.Float64Range(1, 40).Draw(t, "burst"), rapid.Float64Range(1, 50).Draw(t, "amount"))
 		who := func(t *rapid.T) ID { return rapid.SampledFrom(d.ids).Draw(t, "who") }
 		pass := func(ms float64) {
 			for end := d.now + ms; d.now < end; {
@@ -80,9 +80,9 @@
 			}
 		}
 		deliver := func(i int) {
-			m := d.queue[i]
+			message := d.queue[i]
 			d.queue = slices.Delete(d.queue, i, i+1)
-			d.do(m.To, Heard{m})
+			d.do(message.To, Received{message})
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) { pass(rapid.Float64Range(50, 900).Draw(t, "ms")) },
@@ -107,9 +107,9 @@
 			"lost": func(*rapid.T) { d.queue = nil },
 			"demand": func(t *rapid.T) {
 				l := rapid.SampledFrom(d.set.Limits).Draw(t, "limit")
-				q, id := Demand{Limit: l.Name, Want: rapid.Float64Range(0, 200).Draw(t, "want")}, who(t)
-				if x := d.q[id].find(l.Name); l.Kind == Number && x != nil { // in use is what was allowed
-					a, _ := d.q[id].may(x)
+				q, id := Demand{Limit: l.Name, Wanted: rapid.Float64Range(0, 200).Draw(t, "want")}, who(t)
+				if x := d.q[id].limitByName(l.Name); l.Kind == Concurrency && x != nil { // in use is what was allowed
+					a, _ := d.q[id].allowance(x)
 					q.Used = a * rapid.Float64Range(0, 1).Draw(t, "used")
 				}
 				d.do(id, q)
@@ -143,25 +143,25 @@
 	})
 }
 
-// lentFleet is a fleet in which something is lent, and its owner.
-func lentFleet(t *testing.T) (*drawn, *Quota, *limit) {
+// clusterWithLeases is a fleet in which something is lent, and its owner.
+func clusterWithLeases(t *testing.T) (*testCluster, *Quota, *limitState) {
 	t.Helper()
-	d := newDrawn(invariant.Test(t), 20, 20)
+	d := newTestCluster(invariant.Test(t), 20, 20)
 	for range 120 {
 		d.now += 50
 		for _, id := range d.ids {
-			d.do(id, Demand{Limit: "rate", Want: 30})
+			d.do(id, Demand{Limit: "rate", Wanted: 30})
 			d.do(id, Tick{})
 		}
 		for len(d.queue) > 0 {
-			m := d.queue[0]
+			message := d.queue[0]
 			d.queue = d.queue[1:]
-			d.do(m.To, Heard{m})
+			d.do(message.To, Received{message})
 		}
 	}
 	for _, id := range d.ids {
-		if l := d.q[id].find("rate"); l.o.owns && l.hold > 0 {
-			return d, d.q[id], l
+		if limit := d.q[id].limitByName("rate"); limit.ownership.active && limit.leasedUnits > 0 {
+			return d, d.q[id], limit
 		}
 	}
 	t.Fatal("nobody owns")
@@ -170,34 +170,40 @@
 
 // TestMutants: each statement is seen to break by one line of state.
 func TestMutants(t *testing.T) {
-	for name, poke := range map[string]func(*Quota, *limit){
-		"quota: what was put has gone out":                   func(q *Quota, _ *limit) { q.box = append(q.box, &Message{}) },
-		"quota: limits are filed":                            func(q *Quota, l *limit) { delete(q.byHash, l.key) },
-		"quota: a share is a part":                           func(q *Quota, _ *limit) { q.find("even").share = 1.5 },
-		"quota: nobody holds more than there is":             func(_ *Quota, l *limit) { l.hold, l.high = l.cut.Pool+1, l.cut.Pool+1 },
-		"quota: no lease outlives its end":                   func(q *Quota, l *limit) { l.heldTill = q.now },
-		"quota: a lease counts from its ask":                 func(q *Quota, l *limit) { l.heldTill = q.now + q.set.Lease + 1 },
-		"quota: what may be in use is what is held at least": func(_ *Quota, l *limit) { l.high = l.hold - 1 },
-		"quota: a promise counts from its vote":              func(q *Quota, l *limit) { l.until = q.now + q.set.Promise + 1 },
-		"quota: nobody may use more than the limit":          func(_ *Quota, l *limit) { l.Amount = -1 },
-		"quota: asks are in order":                           func(_ *Quota, l *limit) { slices.Reverse(l.asks) },
-		"quota: no more is lent than the pool":               func(q *Quota, l *limit) { l.o.books[0].conf, l.o.books[0].confEnd = l.cut.Pool+1, q.now+1 },
-		"quota: what is not known is within the pool":        func(_ *Quota, l *limit) { l.o.unknown = -1 },
-		"quota: nobody owns beyond what was promised":        func(q *Quota, l *limit) { l.o.right = q.now + q.set.Promise + 1 },
-		"quota: books are in order, each filed once":         func(_ *Quota, l *limit) { slices.Reverse(l.o.books) },
-		"quota: a book's figures are ones that can be":       func(q *Quota, l *limit) { l.o.books[0].promise = q.now + q.set.Promise + 1 },
-		"quota: no book is kept of one that has gone": func(q *Quota, l *limit) {
-			b := &book{id: 999}
-			l.o.books, l.o.byID[999] = append(l.o.books, b), b
+	for name, poke := range map[string]func(*Quota, *limitState){
+		"quota: what was put has gone out": func(q *Quota, _ *limitState) { q.outbox = append(q.outbox, &Message{}) },
+		"quota: limits are filed":          func(q *Quota, limit *limitState) { delete(q.byHash, limit.key) },
+		"quota: a share is a part":         func(q *Quota, _ *limitState) { q.limitByName("even").share = 1.5 },
+		"quota: nobody holds more than there is": func(_ *Quota, limit *limitState) {
+			limit.leasedUnits, limit.unitsInUse = limit.partition.Pool+1, limit.partition.Pool+1
+		},
+		"quota: no lease outlives its end":                   func(q *Quota, limit *limitState) { limit.leaseEnds = q.now },
+		"quota: a lease counts from its ask":                 func(q *Quota, limit *limitState) { limit.leaseEnds = q.now + q.settings.LeaseDuration + 1 },
+		"quota: what may be in use is what is held at least": func(_ *Quota, limit *limitState) { limit.unitsInUse = limit.leasedUnits - 1 },
+		"quota: a promise counts from its vote":              func(q *Quota, limit *limitState) { limit.voteEnds = q.now + q.settings.VoteDuration + 1 },
+		"quota: nobody may use more than the limit":          func(_ *Quota, limit *limitState) { limit.Amount = -1 },
+		"quota: asks are in order":                           func(_ *Quota, limit *limitState) { slices.Reverse(limit.requests) },
+		"quota: no more is lent than the pool": func(q *Quota, limit *limitState) {
+			limit.ownership.holders[0].confirmedUnits, limit.ownership.holders[0].confirmedEnds = limit.partition.Pool+1, q.now+1
+		},
+		"quota: what is not known is within the pool": func(_ *Quota, limit *limitState) { limit.ownership.unaccounted = -1 },
+		"quota: nobody owns beyond what was promised": func(q *Quota, limit *limitState) { limit.ownership.ends = q.now + q.settings.VoteDuration + 1 },
+		"quota: books are in order, each filed once":  func(_ *Quota, limit *limitState) { slices.Reverse(limit.ownership.holders) },
+		"quota: a book's figures are ones that can be": func(q *Quota, limit *limitState) {
+			limit.ownership.holders[0].voteEnds = q.now + q.settings.VoteDuration + 1
+		},
+		"quota: no book is kept of one that has gone": func(q *Quota, limit *limitState) {
+			peer := &holder{id: 999}
+			limit.ownership.holders, limit.ownership.holderByID[999] = append(limit.ownership.holders, peer), peer
 		},
 	} {
-		_, q, l := lentFleet(t)
+		_, q, limit := clusterWithLeases(t)
 		c := invariant.New(nil)
-		if q.walk(c); len(c.Broken()) > 0 {
+		if q.checkState(c); len(c.Broken()) > 0 {
 			t.Fatalf("without: %v", c.Broken())
 		}
-		poke(q, l)
-		q.walk(c)
+		poke(q, limit)
+		q.checkState(c)
 		if !slices.ContainsFunc(c.Broken(), func(b invariant.Breach) bool { return b.Name == name }) {
 			t.Fatalf("%q is not seen: %v", name, c.Broken())
 		}
@@ -206,7 +212,7 @@
 
 // TestBooksOfTheGone: processes that begin again and again, each time as another, leave no books behind: an owner's books would be full.
 func TestBooksOfTheGone(t *testing.T) {
-	d, q, l := lentFleet(t)
+	d, q, limit := clusterWithLeases(t)
 	for range 10 {
 		for _, id := range d.ids {
 			if id != q.self {
@@ -221,12 +227,12 @@
 				d.do(id, Tick{})
 			}
 			for len(d.queue) > 0 {
-				m := d.queue[0]
+				message := d.queue[0]
 				d.queue = d.queue[1:]
-				d.do(m.To, Heard{m})
+				d.do(message.To, Received{message})
 			}
 		}
-		if n := len(l.o.books); n > 4 {
+		if n := len(limit.ownership.holders); n > 4 {
 			t.Fatalf("%d books of %d processes", n, len(d.ids))
 		}
 	}
--- a/internal/cluster/quota/owner.go
+++ b/internal/cluster/quota/owner.go
@@ -8,65 +8,65 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-type owner struct {
-	epoch   uint32
-	right   float64 // it may lend before then
-	owns    bool
-	unknown int
-	waitTo  float64
-	books   []*book // by ID
-	byID    map[ID]*book
-	dirty   bool
-	planAt  float64
-	rightAt float64
+type ownership struct {
+	epoch            uint32
+	ends             float64 // it may lend before then
+	active           bool
+	unaccounted      int
+	unaccountedUntil float64
+	holders          []*holder // by ID
+	holderByID       map[ID]*holder
+	planNeeded       bool
+	plannedAt        float64
+	nextElection     float64
 }
 
-type book struct {
-	id       ID
-	seq      uint32
-	promise  float64
-	want     float64
-	at       float64 // of the last ask
-	adopted  bool
-	claim    int
-	till     float64 // the claim's
-	conf     int
-	confEnd  float64
-	confSeq  uint32
-	pend     []lent
-	target   int
-	credit   float64
-	calledAt float64
+type holder struct {
+	id                ID
+	sequence          uint32
+	voteEnds          float64
+	demand            float64
+	lastRequest       float64 // of the last ask
+	adopted           bool
+	claimedUnits      int
+	claimEnds         float64 // the claim's
+	confirmedUnits    int
+	confirmedEnds     float64
+	confirmedSequence uint32
+	grants            []grant
+	target            int
+	deficit           float64
+	recalledAt        float64
 }
 
-type lent struct {
-	seq   uint32
-	units int
-	end   float64
+type grant struct {
+	sequence uint32
+	units    int
+	ends     float64
 }
 
-func (q *Quota) members(e Members) {
-	q.peers = e.Peers[:min(len(e.Peers), MostPeers)]
-	q.sending = max(1, e.Sending)
-	clear(q.addr)
+func (q *Quota) updateMembers(e MembersChanged) {
+	q.peers = e.Peers[:min(len(e.Peers), MaxPeers)]
+	q.sendingPoolers = max(1, e.SendingPoolers)
+	clear(q.addresses)
 	for _, p := range q.peers {
-		q.addr[p.ID] = p.Addr
+		q.addresses[p.ID] = p.Addr
 	}
-	for _, l := range q.limits {
-		if b := q.bestOf(l); b != l.best {
-			l.best, l.hurry = b, true
+	for _, limit := range q.limits {
+		if b := q.ownerOf(limit); b != limit.currentOwner {
+			limit.currentOwner, limit.urgent = b, true
 		}
 	}
 }
 
-// bestOf is whom a limit's asks go to.
-func (q *Quota) bestOf(l *limit) ID { return lender(l.key, q.self, q.peers) }
+// ownerOf is whom a limit's asks go to.
+func (q *Quota) ownerOf(limit *limitState) ID { return selectOwner(limit.key, q.self, q.peers) }
 
-func lender(key uint64, self ID, peers []Peer) (best ID) {
+func selectOwner(key uint64, self ID, peers []Peer) (best ID) {
 	best = self
 	most := uint64(0)
 	for _, p := range peers {
-		if s := score(key, p.ID); !p.Ending && (s > most || s == most && p.ID > best) {
+		if s := rendezvousScore(key, p.ID); !p.Draining && (s > most || s == most && p.ID > best) {
 			best, most = p.ID, s
 		}
 	}
@@ -75,10 +75,10 @@
 
 // OwnerOf is who lends a limit of a name where these processes can all be reached: the first by a hash of the name and the process.
 func OwnerOf(limit string, peers []Peer) ID {
-	return lender((&Limit{Name: limit}).hash(), 0, peers)
+	return selectOwner((&Limit{Name: limit}).hash(), 0, peers)
 }
 
-func score(key uint64, id ID) uint64 {
+func rendezvousScore(key uint64, id ID) uint64 {
 	var b [16]byte
 	for i := range 8 {
 		b[i], b[8+i] = byte(key>>(8*i)), byte(id>>(8*i))
@@ -86,266 +86,266 @@
 	return xxhash.Sum64(b[:])
 }
 
-// begin makes an owner start anew: with nothing known, and a higher epoch.
-func (q *Quota) begin(l *limit) {
-	l.o = owner{epoch: l.o.epoch + 1, byID: map[ID]*book{}}
+// restartOwnership makes an owner start anew: with nothing known, and a higher epoch.
+func (q *Quota) restartOwnership(limit *limitState) {
+	limit.ownership = ownership{epoch: limit.ownership.epoch + 1, holderByID: map[ID]*holder{}}
 }
 
-// onAsk is the owner's side of an ask.
-func (q *Quota) onAsk(l *limit, from ID, it *Item) {
-	o := &l.o
-	q.own(l)
-	b := o.byID[from]
-	if b == nil {
-		if len(o.books) >= MostPeers {
+// handleLeaseRequest is the owner's side of an ask.
+func (q *Quota) handleLeaseRequest(limit *limitState, from ID, item *Item) {
+	state := &limit.ownership
+	q.updateOwnership(limit)
+	peer := state.holderByID[from]
+	if peer == nil {
+		if len(state.holders) >= MaxPeers {
 			return
 		}
-		b = &book{id: from}
-		o.byID[from] = b
-		i, _ := slices.BinarySearchFunc(o.books, from, func(b *book, id ID) int { return cmp.Compare(b.id, id) })
-		o.books = slices.Insert(o.books, i, b)
+		peer = &holder{id: from}
+		state.holderByID[from] = peer
+		i, _ := slices.BinarySearchFunc(state.holders, from, func(peer *holder, id ID) int { return cmp.Compare(peer.id, id) })
+		state.holders = slices.Insert(state.holders, i, peer)
 	}
-	if it.Seq <= b.seq { // overtaken, or come twice
+	if item.Sequence <= peer.sequence { // overtaken, or come twice
 		return
 	}
-	b.seq, b.at = it.Seq, q.now
-	re := Item{Limit: l.key, Seq: it.Seq, Epoch: o.epoch, Stamp: q.now, Pool: l.cut.Pool}
-	if it.Vote && it.Epoch == o.epoch && it.Stamp <= q.now && it.Pool == l.cut.Pool {
-		b.promise = max(b.promise, it.Stamp+q.set.Promise*(1-q.set.Drift)/(1+q.set.Drift))
-		b.claim, b.till = it.Hold, it.Stamp+it.Rest*(1-q.set.Drift)/(1+q.set.Drift)
-		if b.want != it.Want {
-			b.want, o.dirty = it.Want, true
+	peer.sequence, peer.lastRequest = item.Sequence, q.now
+	re := Item{LimitHash: limit.key, Sequence: item.Sequence, Epoch: state.epoch, OwnerTime: q.now, Pool: limit.partition.Pool}
+	if item.Vote && item.Epoch == state.epoch && item.OwnerTime <= q.now && item.Pool == limit.partition.Pool {
+		peer.voteEnds = max(peer.voteEnds, item.OwnerTime+q.settings.VoteDuration*(1-q.settings.ClockDrift)/(1+q.settings.ClockDrift))
+		peer.claimedUnits, peer.claimEnds = item.UnitsInUse, item.OwnerTime+item.RemainingMs*(1-q.settings.ClockDrift)/(1+q.settings.ClockDrift)
+		if peer.demand != item.Demand {
+			peer.demand, state.planNeeded = item.Demand, true
 		}
-		q.own(l)
-		had := b.out(q.now)
-		if b.confirm(it); b.out(q.now) < had { // there may be something for who is short
-			o.dirty = true
+		q.updateOwnership(limit)
+		had := peer.outstandingUnits(q.now)
+		if peer.confirmTaken(item); peer.outstandingUnits(q.now) < had { // there may be something for who is short
+			state.planNeeded = true
 		}
-		if o.owns {
-			q.adopt(l, b)
+		if state.active {
+			q.adoptClaim(limit, peer)
 		}
-		if o.owns && b.adopted {
-			q.plan(l)
-			re.Vote, re.Units = true, q.lend(l, b, it.Seq)
-			re.Sure = q.now >= o.waitTo
+		if state.active && peer.adopted {
+			q.planTargets(limit)
+			re.Vote, re.Units = true, q.grantUnits(limit, peer, item.Sequence)
+			re.AllAccounted = q.now >= state.unaccountedUntil
 		}
 	}
-	q.put(from, Answer, re)
+	q.enqueue(from, LeaseAnswer, re)
 }
 
-// confirm takes a process's word on what it took last: older answers are never taken any more.
-func (b *book) confirm(it *Item) {
-	if !b.adopted {
+// confirmTaken takes a process's word on what it took last: older answers are never taken any more.
+func (peer *holder) confirmTaken(item *Item) {
+	if !peer.adopted {
 		return
 	}
-	kept := b.pend[:0]
-	for _, p := range b.pend {
+	kept := peer.grants[:0]
+	for _, p := range peer.grants {
 		switch {
-		case p.seq > it.Seen:
+		case p.sequence > item.LastTaken:
 			kept = append(kept, p)
-		case p.seq == it.Seen:
-			b.confEnd, b.confSeq = p.end, p.seq
+		case p.sequence == item.LastTaken:
+			peer.confirmedEnds, peer.confirmedSequence = p.ends, p.sequence
 		}
 	}
-	b.pend = kept
-	if it.Seen == b.confSeq {
-		b.conf = it.Hold
+	peer.grants = kept
+	if item.LastTaken == peer.confirmedSequence {
+		peer.confirmedUnits = item.UnitsInUse
 	}
 }
 
-// own brings an owner's right up to date: it lasts as long as more than half have promised.
-func (q *Quota) own(l *limit) {
-	o := &l.o
-	if o.owns && q.now >= o.right {
-		q.begin(l)
-		o = &l.o
+// updateOwnership brings an owner's right up to date: it lasts as long as more than half have promised.
+func (q *Quota) updateOwnership(limit *limitState) {
+	state := &limit.ownership
+	if state.active && q.now >= state.ends {
+		q.restartOwnership(limit)
+		state = &limit.ownership
 	}
-	if q.now >= o.rightAt || !o.owns || o.right-q.now < q.set.Promise/2 {
-		o.rightAt = q.now + 2*q.set.Step
-		q.forget(l)
-		ends := make([]float64, 0, len(o.books))
-		for _, b := range o.books {
-			if b.promise > q.now {
-				ends = append(ends, b.promise)
+	if q.now >= state.nextElection || !state.active || state.ends-q.now < q.settings.VoteDuration/2 {
+		state.nextElection = q.now + 2*q.settings.TickInterval
+		q.removeExpiredHolders(limit)
+		ends := make([]float64, 0, len(state.holders))
+		for _, peer := range state.holders {
+			if peer.voteEnds > q.now {
+				ends = append(ends, peer.voteEnds)
 			}
 		}
-		most := q.set.Expect/2 + 1
+		most := q.settings.ExpectedPoolers/2 + 1
 		if len(ends) >= most {
 			slices.Sort(ends)
-			o.right = max(o.right, ends[len(ends)-most])
-			if !o.owns {
-				o.owns, o.unknown, o.waitTo = true, l.cut.Pool, q.now+q.set.kept(l.Kind)
-				o.dirty = true
-				for _, b := range o.books {
-					q.adopt(l, b)
+			state.ends = max(state.ends, ends[len(ends)-most])
+			if !state.active {
+				state.active, state.unaccounted, state.unaccountedUntil = true, limit.partition.Pool, q.now+q.settings.leaseRetention(limit.Kind)
+				state.planNeeded = true
+				for _, peer := range state.holders {
+					q.adoptClaim(limit, peer)
 				}
 			}
 		}
 	}
-	if !o.owns {
+	if !state.active {
 		return
 	}
-	if o.unknown > 0 && q.now >= o.waitTo {
-		o.unknown, o.dirty = 0, true
+	if state.unaccounted > 0 && q.now >= state.unaccountedUntil {
+		state.unaccounted, state.planNeeded = 0, true
 	}
-	if o.unknown > 0 && q.heardAll(l) {
-		o.unknown, o.dirty = 0, true
+	if state.unaccounted > 0 && q.allHoldersKnown(limit) {
+		state.unaccounted, state.planNeeded = 0, true
 	}
-	q.plan(l)
+	q.planTargets(limit)
 }
 
-// done tells that a process is not there and, for so long at least, can have held nothing: of its last words none would be taken.
-func (q *Quota) done(l *limit, b *book, ms float64) bool {
-	_, here := q.addr[b.id]
-	return !here && b.id != q.self && q.now-ms >= b.promise+q.set.kept(l.Kind) && q.now-ms >= b.at+q.set.kept(l.Kind) && b.out(q.now-ms) == 0
+// isExpired tells that a process is not there and, for so long at least, can have held nothing: of its last words none would be taken.
+func (q *Quota) isExpired(limit *limitState, peer *holder, ms float64) bool {
+	_, here := q.addresses[peer.id]
+	return !here && peer.id != q.self && q.now-ms >= peer.voteEnds+q.settings.leaseRetention(limit.Kind) && q.now-ms >= peer.lastRequest+q.settings.leaseRetention(limit.Kind) && peer.outstandingUnits(q.now-ms) == 0
 }
 
-// forget closes the books of those that have gone: each start of a process is another, and they would fill up.
-func (q *Quota) forget(l *limit) {
-	l.o.books = slices.DeleteFunc(l.o.books, func(b *book) bool {
-		gone := q.done(l, b, 0)
+// removeExpiredHolders closes the books of those that have gone: each start of a process is another, and they would fill up.
+func (q *Quota) removeExpiredHolders(limit *limitState) {
+	limit.ownership.holders = slices.DeleteFunc(limit.ownership.holders, func(peer *holder) bool {
+		gone := q.isExpired(limit, peer, 0)
 		if gone {
-			delete(l.o.byID, b.id)
+			delete(limit.ownership.holderByID, peer.id)
 		}
 		return gone
 	})
 }
 
-// heardAll tells whether every process that can hold something has said so, and is bound to this owner.
-func (q *Quota) heardAll(l *limit) bool {
+// allHoldersKnown tells whether every process that can hold something has said so, and is bound to this owner.
+func (q *Quota) allHoldersKnown(limit *limitState) bool {
 	n := 0
-	for _, b := range l.o.books {
-		if b.adopted && b.promise > q.now {
+	for _, peer := range limit.ownership.holders {
+		if peer.adopted && peer.voteEnds > q.now {
 			n++
 		}
 	}
-	return n >= q.set.Expect
+	return n >= q.settings.ExpectedPoolers
 }
 
-// adopt takes into the books what a process holds of an older owner, where that is surely so still.
-func (q *Quota) adopt(l *limit, b *book) {
-	o := &l.o
-	if b.adopted || b.promise <= q.now {
+// adoptClaim takes into the books what a process holds of an older owner, where that is surely so still.
+func (q *Quota) adoptClaim(limit *limitState, peer *holder) {
+	state := &limit.ownership
+	if peer.adopted || peer.voteEnds <= q.now {
 		return
 	}
 	switch {
-	case b.claim == 0:
-	case q.now < b.till && b.claim <= o.unknown:
-		o.unknown -= b.claim
-		b.conf, b.confEnd = b.claim, q.now+q.set.kept(l.Kind)
-	case o.unknown == 0 && q.now >= o.waitTo:
+	case peer.claimedUnits == 0:
+	case q.now < peer.claimEnds && peer.claimedUnits <= state.unaccounted:
+		state.unaccounted -= peer.claimedUnits
+		peer.confirmedUnits, peer.confirmedEnds = peer.claimedUnits, q.now+q.settings.leaseRetention(limit.Kind)
+	case state.unaccounted == 0 && q.now >= state.unaccountedUntil:
 	default:
 		return
 	}
-	b.adopted, b.confSeq, b.target = true, math.MaxUint32, b.out(q.now) // until there is a plan it keeps what it has
-	o.dirty = true
+	peer.adopted, peer.confirmedSequence, peer.target = true, math.MaxUint32, peer.outstandingUnits(q.now) // until there is a plan it keeps what it has
+	state.planNeeded = true
 }
 
-// out is the most that a process can come to hold.
-func (b *book) out(now float64) int {
+// outstandingUnits is the most that a process can come to hold.
+func (peer *holder) outstandingUnits(now float64) int {
 	n := 0
-	if now < b.confEnd {
-		n = b.conf
+	if now < peer.confirmedEnds {
+		n = peer.confirmedUnits
 	}
-	for _, p := range b.pend {
-		if now < p.end {
+	for _, p := range peer.grants {
+		if now < p.ends {
 			n = max(n, p.units)
 		}
 	}
 	return n
 }
 
-func (q *Quota) lentOf(l *limit) int {
-	n := l.o.unknown
-	for _, b := range l.o.books {
-		n += b.out(q.now)
+func (q *Quota) lentUnits(limit *limitState) int {
+	n := limit.ownership.unaccounted
+	for _, peer := range limit.ownership.holders {
+		n += peer.outstandingUnits(q.now)
 	}
 	return n
 }
 
-// lend gives a process what it is to have, as far as that is there.
-func (q *Quota) lend(l *limit, b *book, seq uint32) int {
-	has := b.out(q.now)
-	n := max(0, min(b.target, has+max(0, l.cut.Pool-q.lentOf(l))))
-	if len(b.pend) >= pendMost { // the two oldest are kept as one that is taken for the later
-		b.pend[1].units, b.pend[1].end = max(b.pend[0].units, b.pend[1].units), max(b.pend[0].end, b.pend[1].end)
-		b.pend = append(b.pend[:0], b.pend[1:]...)
+// grantUnits gives a process what it is to have, as far as that is there.
+func (q *Quota) grantUnits(limit *limitState, peer *holder, seq uint32) int {
+	has := peer.outstandingUnits(q.now)
+	n := max(0, min(peer.target, has+max(0, limit.partition.Pool-q.lentUnits(limit))))
+	if len(peer.grants) >= maxGrants { // the two oldest are kept as one that is taken for the later
+		peer.grants[1].units, peer.grants[1].ends = max(peer.grants[0].units, peer.grants[1].units), max(peer.grants[0].ends, peer.grants[1].ends)
+		peer.grants = append(peer.grants[:0], peer.grants[1:]...)
 	}
 	books := n
-	if l.Kind == Number { // what is in use beyond it goes on for as long as this answer's lease does
+	if limit.Kind == Concurrency { // what is in use beyond it goes on for as long as this answer's lease does
 		books = max(n, has)
 	}
-	b.pend = append(b.pend, lent{seq, books, q.now + q.set.kept(l.Kind)})
+	peer.grants = append(peer.grants, grant{seq, books, q.now + q.settings.leaseRetention(limit.Kind)})
 	return n
 }
 
-// plan says what each process is to have: by its demand, whole units; what is left over goes round by turns. Who has too much is told to
+// planTargets says what each process is to have: by its demand, whole units; what is left over goes round by turns. Who has too much is told to
 // give back, and who has too little to ask again once there is something.
-func (q *Quota) plan(l *limit) {
-	o := &l.o
-	if !o.owns || q.now < o.planAt || !o.dirty && q.now < o.planAt+q.set.Renew-q.set.Step {
+func (q *Quota) planTargets(limit *limitState) {
+	state := &limit.ownership
+	if !state.active || q.now < state.plannedAt || !state.planNeeded && q.now < state.plannedAt+q.settings.RenewInterval-q.settings.TickInterval {
 		return
 	}
-	turns := (q.now - o.planAt + q.set.Step) / (2 * q.set.Renew)
-	o.dirty, o.planAt = false, q.now+q.set.Step
-	live := make([]*book, 0, len(o.books))
-	total, left := 0.0, l.cut.Pool-o.unknown // what one that has gone may hold is nobody's until its lease is over
-	for _, b := range o.books {
-		b.target = 0
-		if b.adopted && b.promise > q.now {
-			live = append(live, b)
-			total += b.weight(q.set.Expect)
+	turns := (q.now - state.plannedAt + q.settings.TickInterval) / (2 * q.settings.RenewInterval)
+	state.planNeeded, state.plannedAt = false, q.now+q.settings.TickInterval
+	live := make([]*holder, 0, len(state.holders))
+	total, left := 0.0, limit.partition.Pool-state.unaccounted // what one that has gone may hold is nobody's until its lease is over
+	for _, peer := range state.holders {
+		peer.target = 0
+		if peer.adopted && peer.voteEnds > q.now {
+			live = append(live, peer)
+			total += peer.weight(q.settings.ExpectedPoolers)
 		} else {
-			left -= b.out(q.now)
+			left -= peer.outstandingUnits(q.now)
 		}
 	}
 	left = max(0, left)
 	pool := float64(left)
-	for _, b := range live {
-		part := pool * b.weight(q.set.Expect) / total
-		b.target = int(part + 1e-9)
-		b.credit = max(-float64(l.cut.Pool), min(float64(l.cut.Pool), b.credit+(part-float64(b.out(q.now)))*min(1, turns)))
-		left -= b.target
+	for _, peer := range live {
+		part := pool * peer.weight(q.settings.ExpectedPoolers) / total
+		peer.target = int(part + 1e-9)
+		peer.deficit = max(-float64(limit.partition.Pool), min(float64(limit.partition.Pool), peer.deficit+(part-float64(peer.outstandingUnits(q.now)))*min(1, turns)))
+		left -= peer.target
 	}
-	slices.SortStableFunc(live, func(a, b *book) int {
+	slices.SortStableFunc(live, func(a, peer *holder) int {
 		// By what each is owed; a unit that one has is kept for a turn.
-		return cmp.Or(cmp.Compare(b.owed(q.now), a.owed(q.now)), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(peer.priority(q.now), a.priority(q.now)), cmp.Compare(a.id, peer.id))
 	})
-	for _, b := range live {
-		if left > 0 && b.want > 0 {
-			b.target++
+	for _, peer := range live {
+		if left > 0 && peer.demand > 0 {
+			peer.target++
 			left--
 		}
 	}
-	for _, b := range live {
+	for _, peer := range live {
 		if left > 0 {
-			b.target++
+			peer.target++
 			left--
 		}
 	}
-	free := l.cut.Pool - q.lentOf(l)
+	free := limit.partition.Pool - q.lentUnits(limit)
 	short := false
-	for _, b := range live {
-		short = short || b.out(q.now) < b.target
+	for _, peer := range live {
+		short = short || peer.outstandingUnits(q.now) < peer.target
 	}
-	for _, b := range live {
-		has := b.out(q.now)
+	for _, peer := range live {
+		has := peer.outstandingUnits(q.now)
 		near := 0 // of fine units, what is about right is left until the next ask
-		if l.Kind != Number {
-			near = max(b.target/10, l.cut.Pool/200)
+		if limit.Kind != Concurrency {
+			near = max(peer.target/10, limit.partition.Pool/200)
 		}
-		if q.now >= b.calledAt+q.set.Soon && (short && has > b.target+near || free > 0 && has < b.target-near) {
-			b.calledAt = q.now
-			q.put(b.id, Call, Item{Limit: l.key, Epoch: o.epoch, Units: b.target, Pool: l.cut.Pool})
+		if q.now >= peer.recalledAt+q.settings.UrgentInterval && (short && has > peer.target+near || free > 0 && has < peer.target-near) {
+			peer.recalledAt = q.now
+			q.enqueue(peer.id, LeaseRecall, Item{LimitHash: limit.key, Epoch: state.epoch, Units: peer.target, Pool: limit.partition.Pool})
 		}
 	}
 }
 
-func (b *book) weight(n int) float64 { return b.want + idleWeight/float64(n) }
+func (peer *holder) weight(n int) float64 { return peer.demand + idleWeight/float64(n) }
 
-func (b *book) owed(now float64) float64 {
-	if b.out(now) > b.target {
-		return b.credit + 1
+func (peer *holder) priority(now float64) float64 {
+	if peer.outstandingUnits(now) > peer.target {
+		return peer.deficit + 1
 	}
-	return b.credit
+	return peer.deficit
 }
--- a/internal/cluster/quota/quota.go
+++ b/internal/cluster/quota/quota.go
@@ -8,242 +8,244 @@
 )
 
 const (
-	askMemory  = 64   // asks whose answers are still taken
-	pendMost   = 8    // answers of each process that are kept apart
-	changed    = 0.1  // a demand that differs by so much, or a unit, from the one told last is told soon
-	little     = 0.01 // ...if that is not a small part of the limit
-	idleWeight = 0.02 // part of the limit that all together count as wanting beside their demand: newcomers have a share
-	voteFresh  = 0.5  // part of Promise that an answer may be old for the owner to be voted for again
+	maxRequests   = 64   // asks whose answers are still taken
+	maxGrants     = 8    // answers of each process that are kept apart
+	demandChange  = 0.1  // a demand that differs by so much, or a unit, from the one told last is told soon
+	smallDemand   = 0.01 // ...if that is not a small part of the limit
+	idleWeight    = 0.02 // part of the limit that all together count as wanting beside their demand: newcomers have a share
+	voteFreshness = 0.5  // part of Promise that an answer may be old for the owner to be voted for again
 )
 
 // Quota is one process's side of the fleet's limits.
 type Quota struct {
-	set     Settings
-	self    ID
-	now     float64
-	peers   []Peer
-	addr    map[ID]string
-	sending int
-	limits  []*limit
-	byHash  map[uint64]*limit
-	out     []Action
-	box     []*Message // that go out at the end
-	left    bool
-
-	checks *invariant.Checks // nil where nothing is checked
-	every  int
-	walks  int
+	settings       Settings
+	self           ID
+	now            float64
+	peers          []Peer
+	addresses      map[ID]string
+	sendingPoolers int
+	limits         []*limitState
+	byHash         map[uint64]*limitState
+	actions        []Action
+	outbox         []*Message // that go out at the end
+	hasLeft        bool
+
+	checks        *invariant.Checks // nil where nothing is checked
+	checkInterval int
+	checkCounter  int
 }
 
-type limit struct {
+type limitState struct {
 	Limit
-	key        uint64
-	cut        Cut
-	low        int // floor that is in effect: a higher one waits until no more is lent than the new pool
-	began      float64
-	given      float64 // amount that was allowed last
-	givenBurst float64
+	key           uint64
+	partition     Partition
+	reserved      int // floor that is in effect: a higher one waits until no more is lent than the new pool
+	startedAt     float64
+	allowedAmount float64 // amount that was allowed last
+	allowedBurst  float64
 
 	// as a holder
-	best      ID
-	bound     ID // whom it voted for
-	epoch     uint32
-	until     float64 // its promise
-	heard     ID      // whom the stamp is from
-	stamp     float64
-	stampOf   uint32
-	heardAt   float64
-	seq, seen uint32
-	asks      []asked
-	hold      int
-	high      int // that may be in use
-	heldTill  float64
-	want      float64 // as a part of the limit
-	told      float64
-	askAt     float64
-	hurry     bool
+	currentOwner        ID
+	votedFor            ID // whom it voted for
+	votedEpoch          uint32
+	voteEnds            float64 // its promise
+	ownerTimeFrom       ID      // whom the stamp is from
+	ownerTime           float64
+	ownerEpoch          uint32
+	ownerTimeAt         float64
+	sequence, lastTaken uint32
+	requests            []request
+	leasedUnits         int
+	unitsInUse          int // that may be in use
+	leaseEnds           float64
+	demand              float64 // as a part of the limit
+	reportedDemand      float64
+	nextRequest         float64
+	urgent              bool
 
 	// soon even
-	share, rise float64
-	riseAt      float64
-	sharedAt    float64
+	share, higherShare float64
+	higherShareAt      float64
+	shareAnsweredAt    float64
 
 	// as an owner
-	o owner
+	ownership ownership
 }
 
-type asked struct {
-	seq  uint32
-	at   float64
-	vote bool
+type request struct {
+	sequence uint32
+	sentAt   float64
+	vote     bool
 }
 
 // New makes a process's quota.
 func New(set Settings, self ID, now float64) *Quota {
-	q := &Quota{set: set, self: self, now: now, sending: max(1, set.Expect), byHash: map[uint64]*limit{}, addr: map[ID]string{}}
-	q.set.Expect = max(1, set.Expect)
-	q.retune(set.Limits)
+	q := &Quota{settings: set, self: self, now: now, sendingPoolers: max(1, set.ExpectedPoolers), byHash: map[uint64]*limitState{}, addresses: map[ID]string{}}
+	q.settings.ExpectedPoolers = max(1, set.ExpectedPoolers)
+	q.updateLimits(set.Limits)
 	return q
 }
 
-// Next is when it wants a Tick.
-func (q *Quota) Next() float64 { return q.now + q.set.Step }
+// NextTick is when it wants a Tick.
+func (q *Quota) NextTick() float64 { return q.now + q.settings.TickInterval }
 
 // Handle takes one event and appends what is to be done.
-func (q *Quota) Handle(now float64, e Event, out []Action) []Action {
-	q.now, q.out = max(now, q.now), out
-	if q.left {
-		return q.out
+func (q *Quota) Handle(now float64, event Event, out []Action) []Action {
+	q.now, q.actions = max(now, q.now), out
+	if q.hasLeft {
+		return q.actions
 	}
-	for _, l := range q.limits { // whatever has come, one that was stopped finds its leases over first
-		if l.hold > 0 && q.now >= l.heldTill {
-			l.lower(0)
+	for _, limit := range q.limits { // whatever has come, one that was stopped finds its leases over first
+		if limit.leasedUnits > 0 && q.now >= limit.leaseEnds {
+			limit.reduceTo(0)
 		}
 	}
-	switch e := e.(type) {
-	case Members:
-		q.members(e)
+	switch e := event.(type) {
+	case MembersChanged:
+		q.updateMembers(e)
 	case Demand:
-		q.demand(e)
-	case Retune:
-		q.retune(e.Limits)
-	case Heard:
-		q.hear(e.Message)
+		q.updateDemand(e)
+	case LimitsChanged:
+		q.updateLimits(e.Limits)
+	case Received:
+		q.handleMessage(e.Message)
 	case Leave:
 		q.leave()
 	}
-	q.turn()
-	q.post()
-	for _, l := range q.limits {
-		q.allow(l)
+	q.advance()
+	q.flush()
+	for _, limit := range q.limits {
+		q.reportAllowance(limit)
 	}
 	if q.checks.On() {
-		q.checks.Walk(&q.walks, q.every, "quota: the walk", q.walk)
+		q.checks.Walk(&q.checkCounter, q.checkInterval, "quota: the walk", q.checkState)
 	}
-	return q.out
+	return q.actions
 }
 
 // Due is when what is allowed may fall without another word, so that who was stopped can ask first; +Inf for never.
 func (q *Quota) Due() float64 {
 	due := math.Inf(1)
-	for _, l := range q.limits {
-		if l.hold > 0 && l.Manner == Never {
-			due = min(due, l.heldTill)
+	for _, limit := range q.limits {
+		if limit.leasedUnits > 0 && limit.Guarantee == NeverOver {
+			due = min(due, limit.leaseEnds)
 		}
 	}
 	return due
 }
 
-func (q *Quota) find(name string) *limit {
-	for _, l := range q.limits {
-		if l.Name == name {
-			return l
+func (q *Quota) limitByName(name string) *limitState {
+	for _, limit := range q.limits {
+		if limit.Name == name {
+			return limit
 		}
 	}
 	return nil
 }
 
-// retune takes the limits as they are now. What was lent is cut in proportion where the pool has become smaller.
-func (q *Quota) retune(limits []Limit) {
+// updateLimits takes the limits as they are now. What was lent is cut in proportion where the pool has become smaller.
+func (q *Quota) updateLimits(limits []Limit) {
 	old := q.limits
-	q.limits, q.byHash = nil, map[uint64]*limit{}
+	q.limits, q.byHash = nil, map[uint64]*limitState{}
 	for _, n := range limits {
-		i := slices.IndexFunc(old, func(l *limit) bool { return l.Name == n.Name && l.Kind == n.Kind && l.Manner == n.Manner })
+		i := slices.IndexFunc(old, func(limit *limitState) bool {
+			return limit.Name == n.Name && limit.Kind == n.Kind && limit.Guarantee == n.Guarantee
+		})
 		if i < 0 {
-			l := &limit{Limit: n, key: n.hash(), began: q.now, given: -1, sharedAt: q.now}
-			l.cut = n.Cut(q.set.Expect)
-			l.low, l.share = l.cut.Floor, 1/float64(max(1, q.sending))
-			l.o = owner{epoch: 1, byID: map[ID]*book{}}
-			q.limits, q.byHash[l.key] = append(q.limits, l), l
-			l.best = q.bestOf(l)
+			limit := &limitState{Limit: n, key: n.hash(), startedAt: q.now, allowedAmount: -1, shareAnsweredAt: q.now}
+			limit.partition = n.Partition(q.settings.ExpectedPoolers)
+			limit.reserved, limit.share = limit.partition.Reserved, 1/float64(max(1, q.sendingPoolers))
+			limit.ownership = ownership{epoch: 1, holderByID: map[ID]*holder{}}
+			q.limits, q.byHash[limit.key] = append(q.limits, limit), limit
+			limit.currentOwner = q.ownerOf(limit)
 			continue
 		}
-		l := old[i]
-		if l.Limit != n {
-			was, amount := l.cut, l.Amount
-			l.Limit, l.cut = n, n.Cut(q.set.Expect)
+		limit := old[i]
+		if limit.Limit != n {
+			was, amount := limit.partition, limit.Amount
+			limit.Limit, limit.partition = n, n.Partition(q.settings.ExpectedPoolers)
 			// No more than before of the limit, and a floor of no more than it was, until the owner knows the limit as it is.
-			low, _ := (&Limit{Amount: amount}).part(&was, l.low)
-			l.low = min(l.cut.Floor, int(low/n.Amount*float64(l.cut.Units)+1e-9))
-			l.hold = l.hold * l.cut.Pool / max(1, was.Pool)
-			if l.Kind != Number { // the measure of what is kept in units has changed
-				l.high = l.hold
+			low, _ := (&Limit{Amount: amount}).unitsAllowance(&was, limit.reserved)
+			limit.reserved = min(limit.partition.Reserved, int(low/n.Amount*float64(limit.partition.Units)+1e-9))
+			limit.leasedUnits = limit.leasedUnits * limit.partition.Pool / max(1, was.Pool)
+			if limit.Kind != Concurrency { // the measure of what is kept in units has changed
+				limit.unitsInUse = limit.leasedUnits
 			}
-			l.given = -1
-			l.hurry = true
-			l.o.dirty = true
-			if was.Pool != l.cut.Pool { // books in the old measure: what is not known to be free is waited out
-				q.begin(l)
+			limit.allowedAmount = -1
+			limit.urgent = true
+			limit.ownership.planNeeded = true
+			if was.Pool != limit.partition.Pool { // books in the old measure: what is not known to be free is waited out
+				q.restartOwnership(limit)
 			}
 		}
-		q.limits, q.byHash[l.key] = append(q.limits, l), l
+		q.limits, q.byHash[limit.key] = append(q.limits, limit), limit
 	}
 }
 
-// lower has the holder use less from now on.
-func (l *limit) lower(to int) {
-	l.hold = min(l.hold, to)
-	if l.Kind != Number {
-		l.high = l.hold
+// reduceTo has the holder use less from now on.
+func (limit *limitState) reduceTo(to int) {
+	limit.leasedUnits = min(limit.leasedUnits, to)
+	if limit.Kind != Concurrency {
+		limit.unitsInUse = limit.leasedUnits
 	}
 }
 
 // leave gives back what this process holds.
 func (q *Quota) leave() {
-	for _, l := range q.limits {
-		l.lower(0)
-		l.want, l.low = 0, 0
-		if l.Manner != Fixed {
-			q.ask(l)
+	for _, limit := range q.limits {
+		limit.reduceTo(0)
+		limit.demand, limit.reserved = 0, 0
+		if limit.Guarantee != FixedShare {
+			q.sendRequest(limit)
 		}
 	}
-	q.post()
-	q.left = true
+	q.flush()
+	q.hasLeft = true
 }
 
-// allow tells the embedder of what has changed.
-func (q *Quota) allow(l *limit) {
-	amount, burst := q.may(l)
-	if amount != l.given || burst != l.givenBurst {
-		l.given, l.givenBurst = amount, burst
-		q.out = append(q.out, Action{Kind: Allow, Limit: l.Name, Amount: amount, Burst: burst})
+// reportAllowance tells the embedder of what has changed.
+func (q *Quota) reportAllowance(limit *limitState) {
+	amount, burst := q.allowance(limit)
+	if amount != limit.allowedAmount || burst != limit.allowedBurst {
+		limit.allowedAmount, limit.allowedBurst = amount, burst
+		q.actions = append(q.actions, Action{Kind: SetAllowance, Limit: limit.Name, Amount: amount, Burst: burst})
 	}
 }
 
-// may is what this process may use now.
-func (q *Quota) may(l *limit) (amount, burst float64) {
-	switch l.Manner {
-	case Never:
-		n := l.hold
-		if l.Kind != Number || q.now >= l.began+q.ban(l.Kind) { // what a last life let in may still go on
-			n += l.low
+// allowance is what this process may use now.
+func (q *Quota) allowance(limit *limitState) (amount, burst float64) {
+	switch limit.Guarantee {
+	case NeverOver:
+		n := limit.leasedUnits
+		if limit.Kind != Concurrency || q.now >= limit.startedAt+q.voteDelay(limit.Kind) { // what a last life let in may still go on
+			n += limit.reserved
 		}
-		return l.part(&l.cut, n)
-	case Even:
-		amount, burst = l.Amount*l.share, l.Burst*l.share
+		return limit.unitsAllowance(&limit.partition, n)
+	case SoonEven:
+		amount, burst = limit.Amount*limit.share, limit.Burst*limit.share
 	default:
-		amount, burst = l.Amount/float64(q.sending), l.Burst/float64(q.sending)
+		amount, burst = limit.Amount/float64(q.sendingPoolers), limit.Burst/float64(q.sendingPoolers)
 	}
-	if l.Kind == Number {
+	if limit.Kind == Concurrency {
 		amount = max(1, math.Floor(amount+1e-9))
 	}
 	return amount, max(1, burst)
 }
 
-// Standings tell how limits stand here.
-func (q *Quota) Standings() (out []Standing) {
-	for _, l := range q.limits {
-		amount, _ := q.may(l)
-		s := Standing{Limit: l.Limit, Amount: amount, Until: l.heldTill, Owner: l.best, Epoch: l.epoch}
-		s.Floor, _ = l.part(&l.cut, l.low)
-		if l.o.owns && q.now < l.o.right {
-			s.Owns = true
-			s.Epoch = l.o.epoch
-			s.Lent, _ = l.part(&l.cut, q.lentOf(l))
+// Statuses tell how limits stand here.
+func (q *Quota) Statuses() (out []Status) {
+	for _, limit := range q.limits {
+		amount, _ := q.allowance(limit)
+		s := Status{Limit: limit.Limit, Amount: amount, LeaseEnds: limit.leaseEnds, Owner: limit.currentOwner, Epoch: limit.votedEpoch}
+		s.Reserved, _ = limit.unitsAllowance(&limit.partition, limit.reserved)
+		if limit.ownership.active && q.now < limit.ownership.ends {
+			s.IsOwner = true
+			s.Epoch = limit.ownership.epoch
+			s.Lent, _ = limit.unitsAllowance(&limit.partition, q.lentUnits(limit))
 		}
-		for _, b := range l.o.books {
-			if b.promise > q.now {
-				s.Seen++
+		for _, peer := range limit.ownership.holders {
+			if peer.voteEnds > q.now {
+				s.Voters++
 			}
 		}
 		out = append(out, s)
--- a/internal/cluster/shown.go
+++ b/internal/cluster/shown.go
@@ -10,68 +10,68 @@
 	"beechgrade/internal/encoding"
 )
 
-// Shown is what a pooler says to those who look.
-type Shown struct {
+// Status is what a pooler says to those who look.
+type Status struct {
 	Records []view.Record
 	Counts  view.Counts
 	Avoided []module.AvoidedServer // by others' word
 }
 
-// Show asks a pooler for all that it knows.
-func Show(addr string, key Key) (Shown, error) {
-	c, err := net.DialTimeout("tcp", addr, streamMs*time.Millisecond)
+// QueryStatus asks a pooler for all that it knows.
+func QueryStatus(addr string, key Key) (Status, error) {
+	conn, err := net.DialTimeout("tcp", addr, streamTimeoutMs*time.Millisecond)
 	if err != nil {
-		return Shown{}, err
+		return Status{}, err
 	}
-	defer func() { _ = c.Close() }()
-	e, err := Call(c, key, &envelope{Message: view.Message{Kind: kindShow}})
+	defer func() { _ = conn.Close() }()
+	message, err := Exchange(conn, key, &envelope{Message: view.Message{Kind: kindStatusQuery}})
 	if err != nil {
-		return Shown{}, err
+		return Status{}, err
 	}
-	return Shown{e.Records, e.counts, e.avoids}, nil
+	return Status{message.Records, message.counts, message.avoided}, nil
 }
 
-// mostAvoided and mostWords bound what is told, and read, of what a pooler avoids: servers, and of each those by whose word.
+// maxAvoidedServers and maxAvoidedReporters bound what is told, and read, of what a pooler avoids: servers, and of each those by whose word.
 const (
-	mostAvoided = 1000
-	mostWords   = 16
+	maxAvoidedServers   = 1000
+	maxAvoidedReporters = 16
 )
 
-// avoided is what this pooler's parts avoid by others' word, as far as it is told.
-func (p *Peers) avoided() (all []module.AvoidedServer) {
-	for _, x := range p.parts {
-		if a, ok := x.(module.AvoidedReporter); ok {
+// avoidedServers is what this pooler's parts avoid by others' word, as far as it is told.
+func (node *Node) avoidedServers() (all []module.AvoidedServer) {
+	for _, mod := range node.modules {
+		if a, ok := mod.(module.AvoidedReporter); ok {
 			all = append(all, a.Avoided()...)
 		}
 	}
-	return all[:min(len(all), mostAvoided)]
+	return all[:min(len(all), maxAvoidedServers)]
 }
 
-func appendAvoided(b []byte, a *module.AvoidedServer) []byte {
-	b = appendText(appendText(b, 1, a.Server), 2, a.Reason)
-	for _, id := range a.ReportedBy[:min(len(a.ReportedBy), mostWords)] {
+func appendAvoided(b []byte, server *module.AvoidedServer) []byte {
+	b = appendText(appendText(b, 1, server.Server), 2, server.Reason)
+	for _, id := range server.ReportedBy[:min(len(server.ReportedBy), maxAvoidedReporters)] {
 		b = appendFixed(b, 3, uint64(id))
 	}
-	return appendFixed(b, 4, math.Float64bits(a.UntilMs))
+	return appendFixed(b, 4, math.Float64bits(server.UntilMs))
 }
 
-func readAvoided(b []byte) (a module.AvoidedServer, err error) {
-	err = encoding.Fields(b, fault, func(f encoding.Field) error {
-		switch f.Number {
+func decodeAvoided(b []byte) (server module.AvoidedServer, err error) {
+	err = encoding.Fields(b, malformed, func(field encoding.Field) error {
+		switch field.Number {
 		case 1:
-			a.Server = string(f.Bytes)
+			server.Server = string(field.Bytes)
 		case 2:
-			a.Reason = string(f.Bytes)
+			server.Reason = string(field.Bytes)
 		case 3:
-			if len(a.ReportedBy) < mostWords {
-				a.ReportedBy = append(a.ReportedBy, view.ID(f.Value))
+			if len(server.ReportedBy) < maxAvoidedReporters {
+				server.ReportedBy = append(server.ReportedBy, view.ID(field.Value))
 			}
 		case 4:
-			if a.UntilMs = math.Float64frombits(f.Value); !(math.Abs(a.UntilMs) < 1e15) {
-				return ErrForm
+			if server.UntilMs = math.Float64frombits(field.Value); !(math.Abs(server.UntilMs) < 1e15) {
+				return ErrMalformed
 			}
 		}
 		return nil
 	})
-	return a, err
+	return server, err
 }
--- a/internal/cluster/view/api.go
+++ b/internal/cluster/view/api.go
@@ -66,32 +66,32 @@
 
 // Record is what is said of one process.
 type Record struct {
-	ID       ID     `json:"ID"`
-	Name     string `json:"Name"`
-	Addr     string `json:"Addr"`
-	Zone     string `json:"Zone"`
-	Region   string `json:"Region"`
-	Version  string `json:"Version"`
-	Inc      uint32 `json:"Inc"` // incarnation: raised by the process itself, to refute what is said of it
-	State    State  `json:"State"`
-	Draining bool   `json:"Draining"` // it takes no more clients, by its own word
+	ID          ID     `json:"ID"`
+	Name        string `json:"Name"`
+	Addr        string `json:"Addr"`
+	Zone        string `json:"Zone"`
+	Region      string `json:"Region"`
+	Version     string `json:"Version"`
+	Incarnation uint32 `json:"Inc"` // incarnation: raised by the process itself, to refute what is said of it
+	State       State  `json:"State"`
+	Draining    bool   `json:"Draining"` // it takes no more clients, by its own word
 }
 
 // Bounds of what is taken from outside.
 const (
-	MostRecords = 2000 // processes in a view, those that failed or left included
-	MostName    = 64   // bytes of each of a record's texts
+	MaxRecords   = 2000 // processes in a view, those that failed or left included
+	MaxNameBytes = 64   // bytes of each of a record's texts
 )
 
 // Size is about what a record takes in a message.
-func (r *Record) Size() int {
-	return 32 + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.Region) + len(r.Version)
+func (record *Record) Size() int {
+	return 32 + len(record.Name) + len(record.Addr) + len(record.Zone) + len(record.Region) + len(record.Version)
 }
 
-// Good tells whether a record may be taken.
-func (r *Record) Good() bool {
-	return r.ID != 0 && r.State <= Left && r.Name != "" && r.Addr != "" &&
-		max(len(r.Name), len(r.Addr), len(r.Zone), len(r.Region), len(r.Version)) <= MostName
+// Valid tells whether a record may be taken.
+func (record *Record) Valid() bool {
+	return record.ID != 0 && record.State <= Left && record.Name != "" && record.Addr != "" &&
+		max(len(record.Name), len(record.Addr), len(record.Zone), len(record.Region), len(record.Version)) <= MaxNameBytes
 }
 
 // Kind is a message's.
@@ -99,83 +99,85 @@
 
 // The kinds.
 const (
-	Ping   Kind = iota // asks for an Ack
-	Ack                // answers a Ping
-	Ask                // asks for a Ping to the Target on the sender's behalf
-	Gossip             // is only its records
+	Ping        Kind = iota // asks for an Ack
+	Ack                     // answers a Ping
+	PingRequest             // asks for a Ping to the Target on the sender's behalf
+	Gossip                  // is only its records
 )
 
 // Message is a datagram between two processes.
 type Message struct {
-	Kind    Kind
-	From    ID
-	Seq     uint32 // of the Ping or Ask that is asked or answered
-	Target  ID     // whom a Ping is for, or an Ask about; whom an Ack is from
-	Records []Record
+	Kind     Kind
+	From     ID
+	Sequence uint32 // of the Ping or Ask that is asked or answered
+	Target   ID     // whom a Ping is for, or an Ask about; whom an Ack is from
+	Records  []Record
 }
 
 // Settings say how a view is kept. Times are in ms.
 type Settings struct {
-	Probe     float64  // between two probes of a process by one that watches it
-	Timeout   float64  // for an answer, directly, and again by way of others
-	Watched   int      // processes that each watches
-	Helpers   int      // that are asked where there is no direct answer
-	Confirm   int      // others that must have answered lately before this process accuses; 0 suits a fleet of two only
-	Calm      float64  // one that stood still accuses nobody for so long
-	Suspicion float64  // from an accusation until a failure
-	Gossip    float64  // between rounds of gossip
-	Fanout    int      // processes that a round goes to
-	Exchange  float64  // between full exchanges with somebody
-	Reconnect float64  // between looks for one that failed, or for a seed
-	Forget    float64  // what has failed is sought, and remembered as such, for so long
-	Hold      float64  // one that cannot be reached may be sending for so long
-	Step      float64  // the grain of all these
-	Packet    int      // bytes of records in a datagram
-	Expect    int      // poolers that there are to be, 0 where that is not known
-	Seeds     []string // addresses where somebody may be
-	Seed      uint64   // of random numbers
+	ProbeInterval     float64  // between two probes of a process by one that watches it
+	ProbeTimeout      float64  // for an answer, directly, and again by way of others
+	WatchedPeers      int      // processes that each watches
+	IndirectProbes    int      // that are asked where there is no direct answer
+	Confirmations     int      // others that must have answered lately before this process accuses; 0 suits a fleet of two only
+	PauseGrace        float64  // one that stood still accuses nobody for so long
+	SuspicionTimeout  float64  // from an accusation until a failure
+	GossipInterval    float64  // between rounds of gossip
+	GossipFanout      int      // processes that a round goes to
+	ExchangeInterval  float64  // between full exchanges with somebody
+	ReconnectInterval float64  // between looks for one that failed, or for a seed
+	Retention         float64  // what has failed is sought, and remembered as such, for so long
+	SendingTimeout    float64  // one that cannot be reached may be sending for so long
+	TickInterval      float64  // the grain of all these
+	MaxRecordBytes    int      // bytes of records in a datagram
+	ExpectedPoolers   int      // poolers that there are to be, 0 where that is not known
+	SeedAddresses     []string // addresses where somebody may be
+	RandomSeed        uint64   // of random numbers
 }
 
 // Defaults are for a fleet within one region or a few.
 func Defaults() Settings {
-	return Settings{Probe: 1000, Timeout: 250, Watched: 3, Helpers: 3, Confirm: 1, Calm: 1500, Suspicion: 3000, Gossip: 200, Fanout: 3, Exchange: 10000, Reconnect: 1000,
-		Forget: 3600e3, Hold: 60e3, Step: 50, Packet: 1100}
+	return Settings{ProbeInterval: 1000, ProbeTimeout: 250, WatchedPeers: 3, IndirectProbes: 3, Confirmations: 1, PauseGrace: 1500, SuspicionTimeout: 3000, GossipInterval: 200, GossipFanout: 3, ExchangeInterval: 10000, ReconnectInterval: 1000,
+		Retention: 3600e3, SendingTimeout: 60e3, TickInterval: 50, MaxRecordBytes: 1100}
 }
 
-// Spread is D: within it what is new comes to all n that can reach one another, whose messages take delay at most.
-func (s *Settings) Spread(n int, delay float64) float64 {
-	return s.Gossip*(math.Ceil(math.Log2(float64(max(2, n))))+2) + delay
+// PropagationBound is D: within it what is new comes to all n that can reach one another, whose messages take delay at most.
+func (s *Settings) PropagationBound(n int, delay float64) float64 {
+	return s.GossipInterval*(math.Ceil(math.Log2(float64(max(2, n))))+2) + delay
 }
 
-// Detect bounds the time from the crash of f of n processes at once until all others call them failed.
-func (s *Settings) Detect(n, f int, delay float64) float64 {
+// DetectionBound bounds the time from the crash of f of n processes at once until all others call them failed.
+func (s *Settings) DetectionBound(n, f int, delay float64) float64 {
 	run := 1.0
 	if f > 1 {
 		run = math.Min(float64(f), math.Ceil(math.Log(float64(n)*1e6)/math.Log(float64(n)/float64(f))))
 	}
-	rounds := math.Ceil(run / float64(s.Watched))
+	rounds := math.Ceil(run / float64(s.WatchedPeers))
 	if f > 1 { // those who were asked to help may be among the dead
 		rounds++
 	}
-	return rounds*(s.Probe+2*s.Timeout+2*delay+2*s.Step) + s.Suspicion + s.Step + s.Spread(n, delay)
+	return rounds*(s.ProbeInterval+2*s.ProbeTimeout+2*delay+2*s.TickInterval) + s.SuspicionTimeout + s.TickInterval + s.PropagationBound(n, delay)
 }
 
-// Settle bounds the time from the last fault until all views of n processes are equal and true, where f were called failed wrongly.
-func (s *Settings) Settle(n, f int, delay float64, lossy bool) float64 {
-	ms := s.Detect(n, f, delay) + 2*s.Reconnect*math.Ceil(float64(f)/float64(seekMost*max(1, n-f))) + 3*s.Spread(n, delay)
+// ConvergenceBound bounds the time from the last fault until all views of n processes are equal and true, where f were called failed wrongly.
+func (s *Settings) ConvergenceBound(n, f int, delay float64, lossy bool) float64 {
+	ms := s.DetectionBound(n, f, delay) + 2*s.ReconnectInterval*math.Ceil(float64(f)/float64(maxReconnects*max(1, n-f))) + 3*s.PropagationBound(n, delay)
 	if lossy {
-		ms += 1.5 * s.Exchange * math.Ceil(math.Log2(float64(max(2, n))))
+		ms += 1.5 * s.ExchangeInterval * math.Ceil(math.Log2(float64(max(2, n))))
 	}
 	return ms
 }
 
-// Join bounds the time from when a new process can reach a seed until all n count it.
-func (s *Settings) Join(n int, delay float64) float64 {
-	return 2*s.Reconnect + 2*delay + 2*s.Step + s.Spread(n, delay)
+// JoinBound bounds the time from when a new process can reach a seed until all n count it.
+func (s *Settings) JoinBound(n int, delay float64) float64 {
+	return 2*s.ReconnectInterval + 2*delay + 2*s.TickInterval + s.PropagationBound(n, delay)
 }
 
-// Self is how long one that is cut off from all may take others' silence for theirs.
-func (s *Settings) Self(delay float64) float64 { return s.Probe + 2*s.Timeout + 2*s.Step + delay }
+// IsolationBound is how long one that is cut off from all may take others' silence for theirs.
+func (s *Settings) IsolationBound(delay float64) float64 {
+	return s.ProbeInterval + 2*s.ProbeTimeout + 2*s.TickInterval + delay
+}
 
 // Event is something a view is told.
 type Event interface{ event() }
@@ -183,44 +185,44 @@
 // Tick tells that the time asked for has come.
 type Tick struct{}
 
-// Heard is a message that came.
-type Heard struct{ Message *Message }
+// Received is a message that came.
+type Received struct{ Message *Message }
 
-// Exchanged is the other side's records of a full exchange, whoever began it.
-type Exchanged struct{ Records []Record }
+// ExchangeCompleted is the other side's records of a full exchange, whoever began it.
+type ExchangeCompleted struct{ Records []Record }
 
-// Drain tells that this process takes no more clients, or does again.
-type Drain struct{ On bool }
+// SetDraining tells that this process takes no more clients, or does again.
+type SetDraining struct{ Draining bool }
 
 // Leave tells that this process ends, and sends nothing to servers any more.
 type Leave struct{}
 
-func (Tick) event()      {}
-func (Heard) event()     {}
-func (Exchanged) event() {}
-func (Drain) event()     {}
-func (Leave) event()     {}
+func (Tick) event()              {}
+func (Received) event()          {}
+func (ExchangeCompleted) event() {}
+func (SetDraining) event()       {}
+func (Leave) event()             {}
 
 // ActionKind says what an Action asks for.
 type ActionKind uint8
 
 // The actions.
 const (
-	Send     ActionKind = iota // Message goes to Addr
-	Trade                      // a full exchange with Addr
-	Changed                    // Record is news; Was is its state before, Left where it is new
-	Conflict                   // another process has this one's name: Text
+	Send          ActionKind = iota // Message goes to Addr
+	StartExchange                   // a full exchange with Addr
+	RecordChanged                   // Record is news; Was is its state before, Left where it is new
+	NameConflict                    // another process has this one's name: Text
 )
 
 // Action is something a view asks for.
 type Action struct {
-	Kind    ActionKind
-	Addr    string
-	Message *Message
-	Record  Record
-	Was     State
-	New     bool
-	Text    string
+	Kind     ActionKind
+	Addr     string
+	Message  *Message
+	Record   Record
+	Previous State
+	IsNew    bool
+	Text     string
 }
 
 // Counts are what a view is asked for most.
@@ -228,13 +230,13 @@
 	Reachable int  `json:"Reachable"` // this process, and those that can be asked or told
 	Sending   int  `json:"Sending"`   // this process, and those that may be sending to servers
 	Majority  bool `json:"Majority"`  // more than half of those there are to be can be reached
-	Alone     bool `json:"Alone"`     // nobody has answered for a while
+	Isolated  bool `json:"Alone"`     // nobody has answered for a while
 }
 
-// compare orders records of one process: the later word is greater.
-func compare(a, b *Record) int {
+// compareRecords orders records of one process: the later word is greater.
+func compareRecords(a, b *Record) int {
 	if a.State == Left || b.State == Left {
 		return cmp.Compare(a.State, b.State)
 	}
-	return cmp.Or(cmp.Compare(a.Inc, b.Inc), cmp.Compare(a.State, b.State))
+	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.State, b.State))
 }
--- a/internal/cluster/view/probe.go
+++ b/internal/cluster/view/probe.go
@@ -2,218 +2,218 @@
 
 import "slices"
 
-// try is a probe that is out.
-type try struct {
-	m      *member
-	at     float64
-	asked  bool // others have been asked
-	seek   bool // of one that has failed
-	helped ID   // on whose behalf
-	seq    uint32
+// probe is a probe that is out.
+type probe struct {
+	member          *member
+	sentAt          float64
+	indirect        bool // others have been asked
+	reconnect       bool // of one that has failed
+	onBehalfOf      ID   // on whose behalf
+	requestSequence uint32
 }
 
-// stoodStill takes back what this process thought while it did not run: nobody could answer it.
-func (v *View) stoodStill(late float64) {
-	v.tries, v.order = map[uint32]*try{}, nil
-	v.calmUntil = v.now + v.set.Calm
-	for _, m := range v.ring {
-		m.missed = 0
-		if m.State == Suspect {
-			m.deadline += late + v.set.Suspicion
+// resumeAfterPause takes back what this process thought while it did not run: nobody could answer it.
+func (v *View) resumeAfterPause(late float64) {
+	v.probes, v.probeOrder = map[uint32]*probe{}, nil
+	v.noAccusationsUntil = v.now + v.settings.PauseGrace
+	for _, peer := range v.ring {
+		peer.missedProbes = 0
+		if peer.State == Suspect {
+			peer.suspicionEnds += late + v.settings.SuspicionTimeout
 		}
 	}
 }
 
-// hears tells whether somebody other than m has answered since then: it is not this process's own links that are silent.
-func (v *View) hears(m *member, since float64) bool {
-	at := v.ackAt
-	if v.ackFrom == m.ID {
-		at = v.ackOther
+// confirmedByOthers tells whether somebody other than m has answered since then: it is not this process's own links that are silent.
+func (v *View) confirmedByOthers(peer *member, since float64) bool {
+	at := v.lastAck
+	if v.lastAckFrom == peer.ID {
+		at = v.lastAckFromOther
 	}
-	return v.now >= v.calmUntil && (v.set.Confirm == 0 || at > since)
+	return v.now >= v.noAccusationsUntil && (v.settings.Confirmations == 0 || at > since)
 }
 
-// alone tells whether nobody has answered for a while.
-func (v *View) alone() bool {
-	return v.now-max(v.ackAt, v.ackOther, v.began) > 3*v.set.Probe
+// isolated tells whether nobody has answered for a while.
+func (v *View) isolated() bool {
+	return v.now-max(v.lastAck, v.lastAckFromOther, v.startedAt) > 3*v.settings.ProbeInterval
 }
 
-// round probes those that this process watches.
-func (v *View) round() {
+// probeWatchedPeers probes those that this process watches.
+func (v *View) probeWatchedPeers() {
 	i := slices.Index(v.ring, v.self)
 	n := len(v.ring)
-	if v.alone() { // it goes round the whole ring for anybody who answers
-		for range min(search, n-1) {
-			if v.walk++; v.walk%n == 0 {
-				v.walk++
+	if v.isolated() { // it goes round the whole ring for anybody who answers
+		for range min(isolatedProbes, n-1) {
+			if v.nextOnRing++; v.nextOnRing%n == 0 {
+				v.nextOnRing++
 			}
-			v.probe(v.ring[(i+v.walk)%n], false, 0, 0)
+			v.sendProbe(v.ring[(i+v.nextOnRing)%n], false, 0, 0)
 		}
 		return
 	}
 	watched := 0
-	for k := 1; k < n && watched < v.set.Watched && k <= 8*v.set.Watched; k++ {
-		m := v.ring[(i+k)%n]
-		if v.probe(m, false, 0, 0); m.State == Alive && m.missed < 2 {
+	for k := 1; k < n && watched < v.settings.WatchedPeers && k <= 8*v.settings.WatchedPeers; k++ {
+		peer := v.ring[(i+k)%n]
+		if v.sendProbe(peer, false, 0, 0); peer.State == Alive && peer.missedProbes < 2 {
 			watched++
 		}
 	}
 }
 
-// probe asks a process whether it is there.
-func (v *View) probe(m *member, seek bool, helped ID, seq uint32) {
-	v.seq++
-	v.tries[v.seq] = &try{m: m, at: v.now, seek: seek, helped: helped, seq: seq}
-	v.order = append(v.order, v.seq)
-	v.send(m, &Message{Kind: Ping, Seq: v.seq, Target: m.ID})
+// sendProbe asks a process whether it is there.
+func (v *View) sendProbe(peer *member, seek bool, helped ID, seq uint32) {
+	v.sequence++
+	v.probes[v.sequence] = &probe{member: peer, sentAt: v.now, reconnect: seek, onBehalfOf: helped, requestSequence: seq}
+	v.probeOrder = append(v.probeOrder, v.sequence)
+	v.send(peer, &Message{Kind: Ping, Sequence: v.sequence, Target: peer.ID})
 }
 
-func (v *View) first(n *news) {
-	i := slices.Index(v.news, n)
-	copy(v.news[1:i+1], v.news[:i])
-	v.news[0] = n
+func (v *View) moveToFront(n *update) {
+	i := slices.Index(v.updates, n)
+	copy(v.updates[1:i+1], v.updates[:i])
+	v.updates[0] = n
 }
 
-// any draws processes that are taken for running, other than this one and one more.
-func (v *View) any(n int, not *member) (out []*member) {
+// randomPeers draws processes that are taken for running, other than this one and one more.
+func (v *View) randomPeers(n int, not *member) (out []*member) {
 	for range 4 * n {
 		if len(out) == n || len(v.ring) < 2 {
 			break
 		}
-		m := v.ring[v.rng.IntN(len(v.ring))]
-		if m != v.self && m != not && !slices.Contains(out, m) {
-			out = append(out, m)
+		peer := v.ring[v.rng.IntN(len(v.ring))]
+		if peer != v.self && peer != not && !slices.Contains(out, peer) {
+			out = append(out, peer)
 		}
 	}
 	return out
 }
 
-// lookOut seeks one that has failed, and a seed where nobody is known.
-func (v *View) lookOut() {
-	if n := len(v.lost); n > 0 {
-		for range min(seekMost, 1+n/max(1, len(v.ring)), n) {
-			v.seek = (v.seek + 1) % n
-			v.probe(v.lost[v.seek], true, 0, 0)
+// reconnect seeks one that has failed, and a seed where nobody is known.
+func (v *View) reconnect() {
+	if n := len(v.failed); n > 0 {
+		for range min(maxReconnects, 1+n/max(1, len(v.ring)), n) {
+			v.nextFailed = (v.nextFailed + 1) % n
+			v.sendProbe(v.failed[v.nextFailed], true, 0, 0)
 		}
 	}
-	if n := len(v.set.Seeds); n > 0 && (!v.settled || v.alone()) {
+	if n := len(v.settings.SeedAddresses); n > 0 && (!v.contacted || v.isolated()) {
 		for range n {
-			v.seeds = (v.seeds + 1) % n
-			if a := v.set.Seeds[v.seeds]; a != v.self.Addr {
-				v.act(Action{Kind: Trade, Addr: a})
+			v.nextSeed = (v.nextSeed + 1) % n
+			if a := v.settings.SeedAddresses[v.nextSeed]; a != v.self.Addr {
+				v.emit(Action{Kind: StartExchange, Addr: a})
 				break
 			}
 		}
 	}
 }
 
-// overdue goes on with probes that have no answer.
-func (v *View) overdue() {
-	kept := v.order[:0]
-	for _, no := range v.order {
-		t := v.tries[no]
-		if t == nil {
+// handleProbeTimeouts goes on with probes that have no answer.
+func (v *View) handleProbeTimeouts() {
+	remaining := v.probeOrder[:0]
+	for _, sequence := range v.probeOrder {
+		pending := v.probes[sequence]
+		if pending == nil {
 			continue
 		}
-		switch age := v.now - t.at; {
-		case t.helped != 0 || t.seek:
-			if age >= 2*v.set.Timeout {
-				delete(v.tries, no)
+		switch age := v.now - pending.sentAt; {
+		case pending.onBehalfOf != 0 || pending.reconnect:
+			if age >= 2*v.settings.ProbeTimeout {
+				delete(v.probes, sequence)
 				continue
 			}
-		case age >= 2*v.set.Timeout:
-			delete(v.tries, no)
-			v.silent(t)
+		case age >= 2*v.settings.ProbeTimeout:
+			delete(v.probes, sequence)
+			v.probeFailed(pending)
 			continue
-		case age >= v.set.Timeout && !t.asked:
-			t.asked = true
-			for _, h := range v.any(v.set.Helpers, t.m) {
-				v.send(h, &Message{Kind: Ask, Seq: no, Target: t.m.ID})
+		case age >= v.settings.ProbeTimeout && !pending.indirect:
+			pending.indirect = true
+			for _, h := range v.randomPeers(v.settings.IndirectProbes, pending.member) {
+				v.send(h, &Message{Kind: PingRequest, Sequence: sequence, Target: pending.member.ID})
 			}
-			v.send(t.m, &Message{Kind: Ping, Seq: no, Target: t.m.ID})
+			v.send(pending.member, &Message{Kind: Ping, Sequence: sequence, Target: pending.member.ID})
 		}
-		kept = append(kept, no)
+		remaining = append(remaining, sequence)
 	}
-	v.order = kept
+	v.probeOrder = remaining
 }
 
-// silent notes that a process answered neither directly nor by way of others.
-func (v *View) silent(t *try) {
-	m := t.m
-	m.missed++
-	v.stale = true
-	if m.State == Alive && v.hears(m, t.at) {
-		r := m.Record
-		r.State = Suspect
-		v.take(&r)
+// probeFailed notes that a process answered neither directly nor by way of others.
+func (v *View) probeFailed(pending *probe) {
+	peer := pending.member
+	peer.missedProbes++
+	v.countsStale = true
+	if peer.State == Alive && v.confirmedByOthers(peer, pending.sentAt) {
+		record := peer.Record
+		record.State = Suspect
+		v.applyRecord(&record)
 	}
 }
 
-// suspicions have those fail that did not refute theirs in time.
-func (v *View) suspicions() {
-	if v.suspects == 0 {
+// expireSuspicions have those fail that did not refute theirs in time.
+func (v *View) expireSuspicions() {
+	if v.suspectCount == 0 {
 		return
 	}
-	lately := v.now - v.set.Probe - 2*v.set.Timeout - 2*v.set.Step
-	for _, m := range slices.Clone(v.ring) {
-		if m.State == Suspect && v.now >= m.deadline && v.hears(m, lately) {
-			r := m.Record
-			r.State = Failed
-			v.take(&r)
+	lately := v.now - v.settings.ProbeInterval - 2*v.settings.ProbeTimeout - 2*v.settings.TickInterval
+	for _, peer := range slices.Clone(v.ring) {
+		if peer.State == Suspect && v.now >= peer.suspicionEnds && v.confirmedByOthers(peer, lately) {
+			record := peer.Record
+			record.State = Failed
+			v.applyRecord(&record)
 		}
 	}
 }
 
-func (v *View) heard(x *Message) {
-	if x.From == v.self.ID {
+func (v *View) handleMessage(message *Message) {
+	if message.From == v.self.ID {
 		return
 	}
-	from := v.all[x.From]
+	from := v.members[message.From]
 	if from != nil {
-		v.met(from)
+		v.noteContact(from)
 	}
-	for i := range x.Records {
-		v.take(&x.Records[i])
+	for i := range message.Records {
+		v.applyRecord(&message.Records[i])
 	}
-	from = v.all[x.From]
-	switch x.Kind {
+	from = v.members[message.From]
+	switch message.Kind {
 	case Ping:
-		if from != nil && x.Target == v.self.ID {
-			v.send(from, &Message{Kind: Ack, Seq: x.Seq, Target: v.self.ID})
+		if from != nil && message.Target == v.self.ID {
+			v.send(from, &Message{Kind: Ack, Sequence: message.Sequence, Target: v.self.ID})
 		} else if from != nil { // one that was here before is looked for
-			v.trade(from, v.set.Reconnect)
+			v.requestExchange(from, v.settings.ReconnectInterval)
 		}
-	case Ask:
-		if m := v.all[x.Target]; from != nil && m != nil && m != v.self {
-			v.send(from, &Message{Kind: Ack, Seq: x.Seq, Target: v.self.ID}) // it is here, and asks
-			v.probe(m, false, from.ID, x.Seq)
+	case PingRequest:
+		if peer := v.members[message.Target]; from != nil && peer != nil && peer != v.self {
+			v.send(from, &Message{Kind: Ack, Sequence: message.Sequence, Target: v.self.ID}) // it is here, and asks
+			v.sendProbe(peer, false, from.ID, message.Sequence)
 		}
 	case Ack:
-		v.acked(x)
+		v.handleAck(message)
 	}
 	if from != nil && from.State == Failed { // it runs, and knows others that may have been given up too
-		v.trade(from, v.set.Reconnect)
+		v.requestExchange(from, v.settings.ReconnectInterval)
 	}
 }
 
-func (v *View) acked(x *Message) {
-	t := v.tries[x.Seq]
-	if t == nil || t.m.ID != x.Target && x.Target != x.From {
+func (v *View) handleAck(message *Message) {
+	pending := v.probes[message.Sequence]
+	if pending == nil || pending.member.ID != message.Target && message.Target != message.From {
 		return
 	}
-	if v.ackFrom != x.From {
-		v.ackOther, v.ackFrom = v.ackAt, x.From
+	if v.lastAckFrom != message.From {
+		v.lastAckFromOther, v.lastAckFrom = v.lastAck, message.From
 	}
-	if v.ackAt = v.now; t.m.ID != x.Target { // a helper's word that it asks
+	if v.lastAck = v.now; pending.member.ID != message.Target { // a helper's word that it asks
 		return
 	}
-	delete(v.tries, x.Seq)
-	if t.m.missed > 0 {
-		t.m.missed, v.stale = 0, true
+	delete(v.probes, message.Sequence)
+	if pending.member.missedProbes > 0 {
+		pending.member.missedProbes, v.countsStale = 0, true
 	}
-	if t.helped != 0 {
-		if h := v.all[t.helped]; h != nil {
-			v.send(h, &Message{Kind: Ack, Seq: t.seq, Target: t.m.ID})
+	if pending.onBehalfOf != 0 {
+		if h := v.members[pending.onBehalfOf]; h != nil {
+			v.send(h, &Message{Kind: Ack, Sequence: pending.requestSequence, Target: pending.member.ID})
 		}
 	}
 }
--- a/internal/cluster/view/records.go
+++ b/internal/cluster/view/records.go
@@ -7,264 +7,266 @@
 	"slices"
 )
 
-// news is a record that is to go round.
-type news struct {
-	m    *member
-	sent int
-	no   uint32
+// update is a record that is to go round.
+type update struct {
+	member    *member
+	timesSent int
+	sequence  uint32
 }
 
-// fill adds news to a message, those that went out least first.
-func (v *View) fill(x *Message, to *member, left int) {
-	most := repeats * bits.Len(uint(len(v.ring)))
-	kept := v.news[:0]
-	for _, n := range v.news {
-		if n.sent >= most {
+// attachUpdates adds news to a message, those that went out least first.
+func (v *View) attachUpdates(message *Message, to *member, capacity int) {
+	maxSends := updateRepeats * bits.Len(uint(len(v.ring)))
+	remaining := v.updates[:0]
+	for _, n := range v.updates {
+		if n.timesSent >= maxSends {
 			continue
 		}
-		kept = append(kept, n)
+		remaining = append(remaining, n)
 	}
-	clear(v.news[len(kept):])
-	v.news = kept
+	clear(v.updates[len(remaining):])
+	v.updates = remaining
 	sent := false
-	for _, n := range v.news {
-		if size := n.m.Size(); n.m != to && size <= left {
-			x.Records = append(x.Records, n.m.Record)
-			left -= size
-			n.sent++
+	for _, n := range v.updates {
+		if size := n.member.Size(); n.member != to && size <= capacity {
+			message.Records = append(message.Records, n.member.Record)
+			capacity -= size
+			n.timesSent++
 			sent = true
 		}
-		if left < 40 {
+		if capacity < 40 {
 			break
 		}
 	}
 	if sent {
-		slices.SortStableFunc(v.news, func(a, b *news) int { return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(b.no, a.no)) })
+		slices.SortStableFunc(v.updates, func(a, b *update) int {
+			return cmp.Or(cmp.Compare(a.timesSent, b.timesSent), cmp.Compare(b.sequence, a.sequence))
+		})
 	}
 }
 
-// tell has a record go round.
-func (v *View) tell(m *member) {
-	v.seq++
-	for _, n := range v.news {
-		if n.m == m {
-			n.sent, n.no = 0, v.seq
-			v.first(n)
+// enqueueUpdate has a record go round.
+func (v *View) enqueueUpdate(peer *member) {
+	v.sequence++
+	for _, n := range v.updates {
+		if n.member == peer {
+			n.timesSent, n.sequence = 0, v.sequence
+			v.moveToFront(n)
 			return
 		}
 	}
-	n := &news{m: m, no: v.seq}
-	v.news = append(v.news, n)
-	v.first(n)
+	n := &update{member: peer, sequence: v.sequence}
+	v.updates = append(v.updates, n)
+	v.moveToFront(n)
 }
 
 func (v *View) gossip() {
-	if len(v.news) == 0 {
+	if len(v.updates) == 0 {
 		return
 	}
-	for _, m := range v.any(v.set.Fanout, nil) {
-		x := &Message{Kind: Gossip}
-		if v.send(m, x); len(x.Records) == 0 {
-			v.out = v.out[:len(v.out)-1]
+	for _, peer := range v.randomPeers(v.settings.GossipFanout, nil) {
+		message := &Message{Kind: Gossip}
+		if v.send(peer, message); len(message.Records) == 0 {
+			v.actions = v.actions[:len(v.actions)-1]
 		}
 	}
 }
 
-// trade has a full exchange with a process, unless there was one within the pause.
-func (v *View) trade(m *member, pause float64) {
-	if at, ok := v.tradedAt[m.ID]; ok && v.now-at < pause {
+// requestExchange has a full exchange with a process, unless there was one within the pause.
+func (v *View) requestExchange(peer *member, pause float64) {
+	if at, ok := v.lastExchange[peer.ID]; ok && v.now-at < pause {
 		return
 	}
-	v.tradedAt[m.ID] = v.now
-	v.act(Action{Kind: Trade, Addr: m.Addr})
+	v.lastExchange[peer.ID] = v.now
+	v.emit(Action{Kind: StartExchange, Addr: peer.Addr})
 }
 
-// exchanged takes the other side's records.
-func (v *View) exchanged(records []Record) {
+// handleExchange takes the other side's records.
+func (v *View) handleExchange(records []Record) {
 	for i := range records {
 		if i == 0 { // its own comes first
-			if m := v.all[records[i].ID]; m != nil && m != v.self {
-				v.met(m)
+			if peer := v.members[records[i].ID]; peer != nil && peer != v.self {
+				v.noteContact(peer)
 			}
 		}
-		v.take(&records[i])
+		v.applyRecord(&records[i])
 	}
-	v.settled = v.settled || len(records) > 0 && records[0].ID != v.self.ID
+	v.contacted = v.contacted || len(records) > 0 && records[0].ID != v.self.ID
 }
 
 // Records are all that this process knows, its own first: its side of a full exchange.
 func (v *View) Records() []Record {
 	out := []Record{v.self.Record}
-	for _, m := range v.members() {
-		if m != v.self {
-			out = append(out, m.Record)
+	for _, peer := range v.sortedMembers() {
+		if peer != v.self {
+			out = append(out, peer.Record)
 		}
 	}
 	return out
 }
 
-// members are all that are known, by ID.
-func (v *View) members() []*member {
-	out := make([]*member, 0, len(v.all))
-	for _, m := range v.all {
-		out = append(out, m)
+// sortedMembers are all that are known, by ID.
+func (v *View) sortedMembers() []*member {
+	out := make([]*member, 0, len(v.members))
+	for _, peer := range v.members {
+		out = append(out, peer)
 	}
 	slices.SortFunc(out, func(a, b *member) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
-// take takes a record, where it is a later word than what is known.
-func (v *View) take(r *Record) {
-	if !r.Good() {
-		v.stranger++
+// applyRecord takes a record, where it is a later word than what is known.
+func (v *View) applyRecord(record *Record) {
+	if !record.Valid() {
+		v.rejectedRecords++
 		return
 	}
-	if r.ID == v.self.ID {
-		if r.State == Suspect || r.State == Failed || r.Inc > v.self.Inc { // it is said of one that runs
-			if r.Inc >= v.self.Inc {
-				v.raise(r.Inc + 1)
+	if record.ID == v.self.ID {
+		if record.State == Suspect || record.State == Failed || record.Incarnation > v.self.Incarnation { // it is said of one that runs
+			if record.Incarnation >= v.self.Incarnation {
+				v.raiseIncarnation(record.Incarnation + 1)
 			}
 		}
 		return
 	}
-	m := v.all[r.ID]
-	fresh := m == nil
-	if fresh {
-		if len(v.all) >= MostRecords {
-			v.stranger++
+	peer := v.members[record.ID]
+	isNew := peer == nil
+	if isNew {
+		if len(v.members) >= MaxRecords {
+			v.rejectedRecords++
 			return
 		}
-		m = &member{Record: *r, place: place(r.ID)}
-		v.all[r.ID] = m
-	} else if compare(r, &m.Record) <= 0 {
+		peer = &member{Record: *record, ringPosition: ringPosition(record.ID)}
+		v.members[record.ID] = peer
+	} else if compareRecords(record, &peer.Record) <= 0 {
 		return
 	}
-	was := m.State
-	if !fresh && was == Suspect {
-		v.suspects--
+	was := peer.State
+	if !isNew && was == Suspect {
+		v.suspectCount--
 	}
-	if r.Addr != m.Addr && v.holds[m.Addr] == m {
-		delete(v.holds, m.Addr)
+	if record.Addr != peer.Addr && v.byAddress[peer.Addr] == peer {
+		delete(v.byAddress, peer.Addr)
 	}
-	m.Record, v.stale = *r, true
-	switch m.State {
+	peer.Record, v.countsStale = *record, true
+	switch peer.State {
 	case Alive:
-		m.missed, m.goneAt = 0, 0
+		peer.missedProbes, peer.unavailableSince = 0, 0
 	case Suspect:
-		v.suspects++
-		m.goneAt = 0 // a later word than its failure: it was there in between
-		m.deadline = v.now + v.set.Suspicion
+		v.suspectCount++
+		peer.unavailableSince = 0 // a later word than its failure: it was there in between
+		peer.suspicionEnds = v.now + v.settings.SuspicionTimeout
 	default:
-		if m.goneAt == 0 {
-			m.goneAt = v.now
+		if peer.unavailableSince == 0 {
+			peer.unavailableSince = v.now
 		}
 	}
-	v.file(m)
-	v.tell(m)
-	v.act(Action{Kind: Changed, Record: m.Record, Was: was, New: fresh})
-	if m.State == Alive {
-		v.displace(m)
+	v.updateLists(peer)
+	v.enqueueUpdate(peer)
+	v.emit(Action{Kind: RecordChanged, Record: peer.Record, Previous: was, IsNew: isNew})
+	if peer.State == Alive {
+		v.resolveAddress(peer)
 	}
 }
 
-// file puts a process among those that run, or among the lost, or in neither.
-func (v *View) file(m *member) {
-	at, on := slices.BinarySearchFunc(v.ring, m, func(a, b *member) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.ID, b.ID))
+// updateLists puts a process among those that run, or among the lost, or in neither.
+func (v *View) updateLists(peer *member) {
+	at, on := slices.BinarySearchFunc(v.ring, peer, func(a, b *member) int {
+		return cmp.Or(cmp.Compare(a.ringPosition, b.ringPosition), cmp.Compare(a.ID, b.ID))
 	})
-	switch runs := m.State <= Suspect; {
+	switch runs := peer.State <= Suspect; {
 	case runs && !on:
-		v.ring = slices.Insert(v.ring, at, m)
+		v.ring = slices.Insert(v.ring, at, peer)
 	case !runs && on:
 		v.ring = slices.Delete(v.ring, at, at+1)
 	}
-	i := slices.Index(v.lost, m)
+	i := slices.Index(v.failed, peer)
 	switch {
-	case m.State == Failed && i < 0:
-		v.lost = append(v.lost, m)
-	case m.State != Failed && i >= 0:
-		v.lost = slices.Delete(v.lost, i, i+1)
+	case peer.State == Failed && i < 0:
+		v.failed = append(v.failed, peer)
+	case peer.State != Failed && i >= 0:
+		v.failed = slices.Delete(v.failed, i, i+1)
 	}
 }
 
-// displace has an older process leave whose name and address a younger one has: only one can hold the address.
-func (v *View) displace(m *member) {
-	o := v.holds[m.Addr]
-	if o == nil || o == m || o.State == Left || o.Name != m.Name {
-		if o == nil || o.ID < m.ID {
-			v.holds[m.Addr] = m
+// resolveAddress has an older process leave whose name and address a younger one has: only one can hold the address.
+func (v *View) resolveAddress(peer *member) {
+	holder := v.byAddress[peer.Addr]
+	if holder == nil || holder == peer || holder.State == Left || holder.Name != peer.Name {
+		if holder == nil || holder.ID < peer.ID {
+			v.byAddress[peer.Addr] = peer
 		}
 		return
 	}
-	old, young := o, m
+	old, young := holder, peer
 	if old.ID > young.ID {
 		old, young = young, old
 	}
-	v.holds[m.Addr] = young
+	v.byAddress[peer.Addr] = young
 	if old == v.self { // it holds the address: the other has ended, and began by a clock that was ahead
-		v.act(Action{Kind: Conflict, Text: fmt.Sprintf("process %x was at %s before this one and is younger by its clock: this one takes a later ID", uint64(young.ID), young.Addr)})
-		v.renew(young)
+		v.emit(Action{Kind: NameConflict, Text: fmt.Sprintf("process %x was at %s before this one and is younger by its clock: this one takes a later ID", uint64(young.ID), young.Addr)})
+		v.replaceOwnID(young)
 		return
 	}
-	r := old.Record
-	r.State = Left
-	v.take(&r)
+	record := old.Record
+	record.State = Left
+	v.applyRecord(&record)
 }
 
-// renew has this process go by an ID that is later than another's.
-func (v *View) renew(than *member) {
+// replaceOwnID has this process go by an ID that is later than another's.
+func (v *View) replaceOwnID(than *member) {
 	id := (than.ID>>16+1)<<16 | v.self.ID&0xffff
-	delete(v.all, v.self.ID)
-	v.ring = slices.DeleteFunc(v.ring, func(m *member) bool { return m == v.self })
-	v.self.ID, v.self.place = id, place(id)
-	v.all[id], v.holds[v.self.Addr] = v.self, v.self
-	v.file(v.self)
-	r := than.Record
-	r.State = Left
-	v.take(&r)
-	v.raise(v.self.Inc + 1)
+	delete(v.members, v.self.ID)
+	v.ring = slices.DeleteFunc(v.ring, func(peer *member) bool { return peer == v.self })
+	v.self.ID, v.self.ringPosition = id, ringPosition(id)
+	v.members[id], v.byAddress[v.self.Addr] = v.self, v.self
+	v.updateLists(v.self)
+	record := than.Record
+	record.State = Left
+	v.applyRecord(&record)
+	v.raiseIncarnation(v.self.Incarnation + 1)
 }
 
-// giveWay settles who keeps a name that two processes have at different addresses, each of which runs: the older one.
-func (v *View) giveWay(m *member) {
-	if m.ID > v.self.ID {
-		if m.missed >= 0 && v.tradedAt[^m.ID] == 0 { // said once
-			v.tradedAt[^m.ID] = v.now
-			v.act(Action{Kind: Conflict, Text: fmt.Sprintf("a younger process at %s has this one's name %q; it is to give way", m.Addr, m.Name)})
+// resolveNameConflict settles who keeps a name that two processes have at different addresses, each of which runs: the older one.
+func (v *View) resolveNameConflict(peer *member) {
+	if peer.ID > v.self.ID {
+		if peer.missedProbes >= 0 && v.lastExchange[^peer.ID] == 0 { // said once
+			v.lastExchange[^peer.ID] = v.now
+			v.emit(Action{Kind: NameConflict, Text: fmt.Sprintf("a younger process at %s has this one's name %q; it is to give way", peer.Addr, peer.Name)})
 		}
 		return
 	}
 	name := fmt.Sprintf("%.48s~%x", v.self.Name, uint64(v.self.ID)&0xffffff)
-	v.act(Action{Kind: Conflict, Text: fmt.Sprintf("an older process at %s has the name %q: this one goes by %q", m.Addr, m.Name, name)})
+	v.emit(Action{Kind: NameConflict, Text: fmt.Sprintf("an older process at %s has the name %q: this one goes by %q", peer.Addr, peer.Name, name)})
 	v.self.Name = name
-	v.raise(v.self.Inc + 1)
+	v.raiseIncarnation(v.self.Incarnation + 1)
 }
 
-// raise gives this process a later word on itself.
-func (v *View) raise(inc uint32) {
-	v.self.Inc = inc
-	v.tell(v.self)
+// raiseIncarnation gives this process a later word on itself.
+func (v *View) raiseIncarnation(inc uint32) {
+	v.self.Incarnation = inc
+	v.enqueueUpdate(v.self)
 }
 
-// forget drops what has been gone for long.
-func (v *View) forget() {
-	if v.now < v.forgetAt {
+// removeExpired drops what has been gone for long.
+func (v *View) removeExpired() {
+	if v.now < v.nextCleanup {
 		return
 	}
-	v.forgetAt = v.now + v.set.Reconnect
-	for _, m := range v.all {
-		if m.State >= Failed && v.now-m.goneAt >= v.set.Forget {
-			delete(v.all, m.ID)
-			delete(v.tradedAt, m.ID)
-			delete(v.tradedAt, ^m.ID)
-			if v.holds[m.Addr] == m {
-				delete(v.holds, m.Addr)
+	v.nextCleanup = v.now + v.settings.ReconnectInterval
+	for _, peer := range v.members {
+		if peer.State >= Failed && v.now-peer.unavailableSince >= v.settings.Retention {
+			delete(v.members, peer.ID)
+			delete(v.lastExchange, peer.ID)
+			delete(v.lastExchange, ^peer.ID)
+			if v.byAddress[peer.Addr] == peer {
+				delete(v.byAddress, peer.Addr)
 			}
-			v.stale = true
-			if i := slices.Index(v.lost, m); i >= 0 {
-				v.lost = slices.Delete(v.lost, i, i+1)
+			v.countsStale = true
+			if i := slices.Index(v.failed, peer); i >= 0 {
+				v.failed = slices.Delete(v.failed, i, i+1)
 			}
-			v.news = slices.DeleteFunc(v.news, func(n *news) bool { return n.m == m })
+			v.updates = slices.DeleteFunc(v.updates, func(n *update) bool { return n.member == peer })
 		}
 	}
 }
--- a/internal/settings/agreed.go
+++ b/internal/settings/agreed.go
@@ -25,7 +25,7 @@
 	err := sexp.Schema{
 		"voters": func(node *sexp.Node) error {
 			for _, x := range node.Args() {
-				if x.Kind == sexp.List || x.Text == "" || len(x.Text) > view.MostName {
+				if x.Kind == sexp.List || x.Text == "" || len(x.Text) > view.MaxNameBytes {
 					return x.Errorf("a pooler's name is due here")
 				}
 				if slices.Contains(s.Voters, x.Text) {
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -69,9 +69,9 @@
 		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, most); return err }
 	}
 	err := sexp.Schema{
-		"lease": span(&s.Lease, 500, 600000), "promise": span(&s.Promise, 500, 600000), "renew": span(&s.Renew, 100, 60000),
-		"soon": span(&s.Soon, 50, 60000), "linger": span(&s.Linger, 0, 3600e3),
-		"drift": func(node *sexp.Node) (err error) { s.Drift, err = node.Float(0, 0.1); return err },
+		"lease": span(&s.LeaseDuration, 500, 600000), "promise": span(&s.VoteDuration, 500, 600000), "renew": span(&s.RenewInterval, 100, 60000),
+		"soon": span(&s.UrgentInterval, 50, 60000), "linger": span(&s.UseTimeout, 0, 3600e3),
+		"drift": func(node *sexp.Node) (err error) { s.ClockDrift, err = node.Float(0, 0.1); return err },
 		"limit": f.readLimit,
 	}.Read(node.Args(), "limit")
 	switch {
@@ -79,25 +79,25 @@
 		return err
 	case len(f.Limits) == 0:
 		return node.Errorf("(fleet-limits ...) needs a (limit ...)")
-	case s.Soon > s.Renew:
-		return node.Errorf("what is asked again soon, after %g ms, is asked later than every %g ms", s.Soon, s.Renew)
-	case s.Promise < 4*s.Renew || s.Lease < 4*s.Renew:
-		return node.Errorf("a promise of %g ms and a lease of %g ms are to be four times the %g ms between asks at least", s.Promise, s.Lease, s.Renew)
+	case s.UrgentInterval > s.RenewInterval:
+		return node.Errorf("what is asked again soon, after %g ms, is asked later than every %g ms", s.UrgentInterval, s.RenewInterval)
+	case s.VoteDuration < 4*s.RenewInterval || s.LeaseDuration < 4*s.RenewInterval:
+		return node.Errorf("a promise of %g ms and a lease of %g ms are to be four times the %g ms between asks at least", s.VoteDuration, s.LeaseDuration, s.RenewInterval)
 	}
 	return nil
 }
 
 func (f *FleetLimits) readLimit(node *sexp.Node) error {
 	a := node.Args()
-	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" || len(a[0].Text) > quota.MostName {
-		return node.Errorf("a limit's name, of %d bytes at most, is due first", quota.MostName)
+	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" || len(a[0].Text) > quota.MaxNameBytes {
+		return node.Errorf("a limit's name, of %d bytes at most, is due first", quota.MaxNameBytes)
 	}
 	l := FleetLimit{Limit: quota.Limit{Name: a[0].Text, Reserve: 0.1}, Hard: true}
 	if slices.ContainsFunc(f.Limits, func(o FleetLimit) bool { return o.Name == l.Name }) {
 		return a[0].Errorf("there is a limit %q already", l.Name)
 	}
-	if len(f.Limits) == quota.MostLimits {
-		return a[0].Errorf("over %d limits", quota.MostLimits)
+	if len(f.Limits) == quota.MaxLimits {
+		return a[0].Errorf("over %d limits", quota.MaxLimits)
 	}
 	rate, once := false, false
 	word := func(node *sexp.Node, words ...string) (int, error) {
@@ -133,8 +133,8 @@
 		"at-once": func(node *sexp.Node) error { x, err := node.Int(1, 1e6); l.Amount, once = float64(x), true; return err },
 		"reserve": func(node *sexp.Node) (err error) { l.Reserve, err = node.Float(0, 1); return err },
 		"manner": func(node *sexp.Node) error {
-			i, err := word(node, quota.Never.String(), quota.Even.String(), quota.Fixed.String())
-			l.Manner = quota.Manner(i)
+			i, err := word(node, quota.NeverOver.String(), quota.SoonEven.String(), quota.FixedShare.String())
+			l.Guarantee = quota.Guarantee(i)
 			return err
 		},
 		"beyond": func(node *sexp.Node) error {
@@ -154,7 +154,7 @@
 	case (l.Resource == ResourcePool || l.Resource == ResourceShards) && !once, l.Resource != ResourceColdServers && l.Resource != ResourcePool && l.Resource != ResourceShards && l.Resource != ResourceQueries && !rate, l.Resource == ResourceQueries && rate == once:
 		return node.Errorf("limit %q: (rate A-SECOND) is due, or (at-once N) where something goes on: of a pool, of shards, or of queries", l.Name)
 	case once:
-		l.Kind = quota.Number
+		l.Kind = quota.Concurrency
 	case l.Resource == ResourceColdServers:
 		l.Kind, l.Amount, l.Burst = quota.Budget, 1, coldBudgetUnits
 	case l.Resource == ResourceHealthChecks, l.Resource == ResourceListCalls, l.Resource == ResourceDials:
@@ -177,7 +177,7 @@
 func (f *FleetLimits) String() string {
 	var b strings.Builder
 	s := &f.Settings
-	fmt.Fprintf(&b, "(fleet-limits (lease %gms) (promise %gms) (renew %gms) (soon %gms) (linger %gms) (drift %g)", s.Lease, s.Promise, s.Renew, s.Soon, s.Linger, s.Drift)
+	fmt.Fprintf(&b, "(fleet-limits (lease %gms) (promise %gms) (renew %gms) (soon %gms) (linger %gms) (drift %g)", s.LeaseDuration, s.VoteDuration, s.RenewInterval, s.UrgentInterval, s.UseTimeout, s.ClockDrift)
 	for _, l := range f.Limits {
 		whom := ""
 		for i, part := range strings.SplitN(l.Subject, "/", 2) {
@@ -189,10 +189,10 @@
 		switch {
 		case l.Resource == ResourceColdServers:
 			amount = ""
-		case l.Kind == quota.Number:
+		case l.Kind == quota.Concurrency:
 			amount = fmt.Sprintf(" (at-once %g)", l.Amount)
 		}
-		fmt.Fprintf(&b, "\n  (limit %q (of %s%s)%s (reserve %g) (manner %s) (beyond %s))", l.Name, l.Resource, whom, amount, l.Reserve, l.Manner,
+		fmt.Fprintf(&b, "\n  (limit %q (of %s%s)%s (reserve %g) (manner %s) (beyond %s))", l.Name, l.Resource, whom, amount, l.Reserve, l.Guarantee,
 			map[bool]string{true: "refused", false: "worth-less"}[l.Hard])
 	}
 	return b.String() + ")\n"
--- a/internal/settings/peers.go
+++ b/internal/settings/peers.go
@@ -44,8 +44,8 @@
 	}
 	text := func(to *string) func(*sexp.Node) error {
 		return func(node *sexp.Node) (err error) {
-			if *to, err = node.Str(); err == nil && (*to == "" || len(*to) > view.MostName) {
-				err = node.Errorf("from 1 to %d bytes", view.MostName)
+			if *to, err = node.Str(); err == nil && (*to == "" || len(*to) > view.MaxNameBytes) {
+				err = node.Errorf("from 1 to %d bytes", view.MaxNameBytes)
 			}
 			return err
 		}
@@ -68,18 +68,18 @@
 				if at, err := netip.ParseAddrPort(a.Text); a.Kind == sexp.List || err != nil || at.Port() == 0 {
 					return a.Errorf("%q is no address and port in numbers", a.Text)
 				}
-				v.Seeds = append(v.Seeds, a.Text)
+				v.SeedAddresses = append(v.SeedAddresses, a.Text)
 			}
-			if len(v.Seeds) > 64 {
-				return node.Errorf("%d seeds; 64 may be", len(v.Seeds))
+			if len(v.SeedAddresses) > 64 {
+				return node.Errorf("%d seeds; 64 may be", len(v.SeedAddresses))
 			}
 			return nil
 		},
 		"zone": text(&p.Zone), "region": text(&p.Region),
-		"expect": func(node *sexp.Node) (err error) { v.Expect, err = node.Int(1, view.MostRecords); return err },
-		"probe":  span(&v.Probe, 50, 60000), "timeout": span(&v.Timeout, 10, 10000), "suspicion": span(&v.Suspicion, 100, 600000),
-		"gossip": span(&v.Gossip, 50, 10000), "exchange": span(&v.Exchange, 500, 600000), "reconnect": span(&v.Reconnect, 100, 600000),
-		"hold": span(&v.Hold, 1000, maxHoldMs), "forget": span(&v.Forget, 10000, maxHoldMs),
+		"expect": func(node *sexp.Node) (err error) { v.ExpectedPoolers, err = node.Int(1, view.MaxRecords); return err },
+		"probe":  span(&v.ProbeInterval, 50, 60000), "timeout": span(&v.ProbeTimeout, 10, 10000), "suspicion": span(&v.SuspicionTimeout, 100, 600000),
+		"gossip": span(&v.GossipInterval, 50, 10000), "exchange": span(&v.ExchangeInterval, 500, 600000), "reconnect": span(&v.ReconnectInterval, 100, 600000),
+		"hold": span(&v.SendingTimeout, 1000, maxHoldMs), "forget": span(&v.Retention, 10000, maxHoldMs),
 	}.Read(node.Args())
 	if err != nil {
 		return err
@@ -89,13 +89,13 @@
 			return node.Errorf("(peers ...) needs (%s ...)", name)
 		}
 	}
-	if 2*v.Timeout+2*v.Step > v.Probe {
-		return node.Errorf("a probe of %g ms leaves no room for two times the time-out of %g ms", v.Probe, v.Timeout)
+	if 2*v.ProbeTimeout+2*v.TickInterval > v.ProbeInterval {
+		return node.Errorf("a probe of %g ms leaves no room for two times the time-out of %g ms", v.ProbeInterval, v.ProbeTimeout)
 	}
-	if v.Hold > v.Forget {
-		return node.Errorf("what is forgotten after %g ms cannot be held for %g ms", v.Forget, v.Hold)
+	if v.SendingTimeout > v.Retention {
+		return node.Errorf("what is forgotten after %g ms cannot be held for %g ms", v.Retention, v.SendingTimeout)
 	}
-	v.Calm = v.Probe + 2*v.Timeout
+	v.PauseGrace = v.ProbeInterval + 2*v.ProbeTimeout
 	return nil
 }
 
--- a/internal/testkit/modelcheck/explore_test.go
+++ b/internal/testkit/modelcheck/explore_test.go
@@ -44,7 +44,7 @@
 func TestViewMutants(t *testing.T) {
 	change := func(by func(r *view.Record)) func(i int, e view.Event) view.Event {
 		return func(i int, e view.Event) view.Event {
-			h, ok := e.(view.Heard)
+			h, ok := e.(view.Received)
 			if !ok || i != 0 {
 				return e
 			}
@@ -54,16 +54,16 @@
 				by(&r)
 				m.Records = append(m.Records, r)
 			}
-			return view.Heard{Message: &m}
+			return view.Received{Message: &m}
 		}
 	}
 	for name, m := range map[string]func(i int, e view.Event) view.Event{
 		"answers for another": change(func(r *view.Record) {
 			if r.State == view.Suspect {
-				r.State, r.Inc = view.Alive, r.Inc+1
+				r.State, r.Incarnation = view.Alive, r.Incarnation+1
 			}
 		}),
-		"ages every word": change(func(r *view.Record) { r.Inc++ }),
+		"ages every word": change(func(r *view.Record) { r.Incarnation++ }),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -74,11 +74,11 @@
 
 // NewQuotas makes a system of so many, with a number at once, whose clocks run apart as far as drift allows.
 func NewQuotas(n, limit int, reserve float64, set quota.Settings) *Quotas {
-	set.Expect = n
+	set.ExpectedPoolers = n
 	set.Limits = []quota.Limit{{Name: QuotaName, Kind: quota.Rate, Amount: float64(limit), Burst: float64(limit), Reserve: reserve}}
 	s := &Quotas{Set: set, t: 100, most: limit, LateSteps: lateSteps, Only: -1}
 	for i := range n {
-		s.nodes = append(s.nodes, &holder{rate: 1 + set.Drift*float64(1-i%3), want: 1})
+		s.nodes = append(s.nodes, &holder{rate: 1 + set.ClockDrift*float64(1-i%3), want: 1})
 	}
 	return s
 }
@@ -86,14 +86,14 @@
 // Start begins all processes; settings of the system are taken as they are by then.
 func (s *Quotas) Start() {
 	if s.Number {
-		s.Set.Limits[0].Kind = quota.Number
+		s.Set.Limits[0].Kind = quota.Concurrency
 	}
 	for i := range s.nodes {
 		s.begin(i)
 	}
 	for i := range s.nodes {
 		_ = s.do(i, s.members(i))
-		_ = s.do(i, quota.Demand{Limit: QuotaName, Want: s.nodes[i].want})
+		_ = s.do(i, quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].want})
 	}
 }
 
@@ -128,11 +128,11 @@
 func (s *Quotas) clock(i int) float64 { return s.t * s.nodes[i].rate }
 
 // members are those that a process thinks are there: all that live, or those on its side.
-func (s *Quotas) members(i int) quota.Members {
-	e := quota.Members{Sending: len(s.nodes)}
+func (s *Quotas) members(i int) quota.MembersChanged {
+	e := quota.MembersChanged{SendingPoolers: len(s.nodes)}
 	for k, x := range s.nodes {
 		if !x.dead && (!s.parted || (i == s.Alone) == (k == s.Alone)) {
-			e.Peers = append(e.Peers, quota.Peer{ID: s.id(k), Addr: fmt.Sprint(k), Ending: s.Ends == k+1})
+			e.Peers = append(e.Peers, quota.Peer{ID: s.id(k), Addr: fmt.Sprint(k), Draining: s.Ends == k+1})
 		}
 	}
 	return e
@@ -157,24 +157,24 @@
 	last := func(id quota.ID) uint32 {
 		for i, x := range s.nodes {
 			if s.id(i) == id {
-				return x.q.Last(QuotaName)
+				return x.q.LastSequence(QuotaName)
 			}
 		}
 		return 0
 	}
 	for i, x := range s.nodes {
 		fmt.Fprintf(&b, "%.3f", math.Mod(s.clock(i), 1))
-		fmt.Fprint(&b, x.dead, x.stopped, x.life, x.want, x.q.Key(last), "|")
+		fmt.Fprint(&b, x.dead, x.stopped, x.life, x.want, x.q.StateKey(last), "|")
 	}
 	for _, w := range s.wires {
-		fmt.Fprint(&b, w.to, w.age, w.m.Verb, w.m.From, w.m.To, "|")
+		fmt.Fprint(&b, w.to, w.age, w.m.Kind, w.m.From, w.m.To, "|")
 		asker, owner := w.m.From, w.to
-		if w.m.Verb != quota.Ask {
+		if w.m.Kind != quota.LeaseRequest {
 			asker, owner = w.m.To, w.from
 		}
 		for _, it := range w.m.Items {
-			it.Seq, it.Seen = last(asker)-it.Seq, last(asker)-it.Seen
-			it.Stamp = math.Round((s.clock(owner)-it.Stamp)*1e6) / 1e6
+			it.Sequence, it.LastTaken = last(asker)-it.Sequence, last(asker)-it.LastTaken
+			it.OwnerTime = math.Round((s.clock(owner)-it.OwnerTime)*1e6) / 1e6
 			fmt.Fprint(&b, it)
 		}
 	}
@@ -184,7 +184,7 @@
 // do tells one process of an event, and puts on the wires what follows.
 func (s *Quotas) do(i int, e quota.Event) error {
 	x, c := s.nodes[i], invariant.New(nil)
-	x.q.Check(c, 1)
+	x.q.CheckInvariants(c, 1)
 	for _, a := range x.q.Handle(s.clock(i), e, nil) {
 		if a.Kind != quota.Send {
 			continue
@@ -209,9 +209,9 @@
 	m := *w.m
 	m.Items = slices.Clone(m.Items)
 	for i := range m.Items {
-		m.Items[i].Stamp = 0
+		m.Items[i].OwnerTime = 0
 	}
-	w.text = fmt.Sprint(m.Verb, m.From, m.To, m.Items)
+	w.text = fmt.Sprint(m.Kind, m.From, m.To, m.Items)
 	s.wires = append(s.wires, w)
 	sort.SliceStable(s.wires, func(a, b int) bool { return s.wires[a].to < s.wires[b].to })
 }
@@ -224,11 +224,11 @@
 	m := *w.m
 	m.Items = slices.Clone(m.Items)
 	if s.Break != nil && s.Break(w.to, x.q, &m) {
-		if err := s.do(w.to, quota.Heard{Message: &m}); err != nil {
+		if err := s.do(w.to, quota.Received{Message: &m}); err != nil {
 			return err
 		}
 	}
-	return s.do(w.to, quota.Heard{Message: &m})
+	return s.do(w.to, quota.Received{Message: &m})
 }
 
 // Moves is System's.
@@ -293,7 +293,7 @@
 			c.halved = true
 			for i, x := range c.nodes {
 				if !x.dead {
-					_ = c.do(i, quota.Retune{Limits: c.half()})
+					_ = c.do(i, quota.LimitsChanged{Limits: c.half()})
 				}
 			}
 			return nil
@@ -308,7 +308,7 @@
 	x := s.nodes[i]
 	x.dead, x.stopped = true, 0
 	if x.used > 0 {
-		s.ghosts = append(s.ghosts, ghost{x.used, s.t + s.Set.Linger})
+		s.ghosts = append(s.ghosts, ghost{x.used, s.t + s.Set.UseTimeout})
 		x.used = 0
 	}
 }
@@ -324,14 +324,14 @@
 }
 
 func (s *Quotas) demand(i int) quota.Demand {
-	return quota.Demand{Limit: QuotaName, Want: s.nodes[i].want, Used: float64(s.nodes[i].used)}
+	return quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].want, Used: float64(s.nodes[i].used)}
 }
 
 // linger ends what goes on for longer than it may after its lease or its process has ended.
 func (s *Quotas) linger() {
 	s.ghosts = slices.DeleteFunc(s.ghosts, func(g ghost) bool { return s.t >= g.until })
 	for i, x := range s.nodes {
-		if n := int(x.q.Usable(QuotaName, s.clock(i)) + 1e-9); x.used > n && s.clock(i) >= x.q.Standings()[0].Until+s.Set.Linger {
+		if n := int(x.q.Usable(QuotaName, s.clock(i)) + 1e-9); x.used > n && s.clock(i) >= x.q.Statuses()[0].LeaseEnds+s.Set.UseTimeout {
 			x.used = n
 		}
 	}
@@ -343,7 +343,7 @@
 	x.life++
 	x.dead = false
 	s.begin(i)
-	_ = s.do(i, quota.Demand{Limit: QuotaName, Want: x.want})
+	_ = s.do(i, quota.Demand{Limit: QuotaName, Wanted: x.want})
 	return s.look()
 }
 
