--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -12,7 +12,7 @@
 
 // smallQuota has clocks that run an eighth too fast, right and an eighth too slow.
 func smallQuota() quota.Settings {
-	return quota.Settings{Lease: 7, Promise: 3, Renew: 0.8, Soon: 0.8, Linger: 1, Drift: 0.125, Step: 1}
+	return quota.Settings{LeaseDuration: 7, VoteDuration: 3, RenewInterval: 0.8, UrgentInterval: 0.8, UseTimeout: 1, ClockDrift: 0.125, TickInterval: 1}
 }
 
 // quotas is three poolers with a limit that is lent.
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			set := smallQuota()
-			set.Promise = max(set.Promise, x.promise)
+			set.VoteDuration = max(set.VoteDuration, x.promise)
 			s := quotas(t, x.limit, x.reserve, set, func(s *Quotas) { s.Alone, s.LateSteps = x.alone, max(s.LateSteps, x.late) })
 			s.Any, s.QuotaFaults = x.f.Stop == 0, x.f // what has come for one that stands still arrives in its order
 			r := Run(s, Bounds{Depth: x.depth, States: 100000})
@@ -87,22 +87,22 @@
 		"an owner that lends without waiting": {QuotaFaults{Split: 1}, 0, func(s *Quotas) {
 			s.Each = func(i, _ int, set *quota.Settings) {
 				if i != 0 {
-					set.Lease = 0.5
+					set.LeaseDuration = 0.5
 				}
 			}
 		}},
 		"a lease without an end": {QuotaFaults{Split: 1}, 0, func(s *Quotas) {
 			s.Each = func(i, _ int, set *quota.Settings) {
 				if i == 0 {
-					set.Lease = 1e9
+					set.LeaseDuration = 1e9
 				}
 			}
 		}},
 		"an end that counts from the answer": {QuotaFaults{Split: 1, Late: 1}, 2, func(s *Quotas) {
 			s.Break = func(_ int, q *quota.Quota, m *quota.Message) bool {
-				if m.Verb == quota.Answer {
+				if m.Kind == quota.LeaseAnswer {
 					for _, it := range m.Items {
-						q.Recount(it.Limit, it.Seq)
+						q.RestartLease(it.LimitHash, it.Sequence)
 					}
 				}
 				return false
@@ -133,7 +133,7 @@
 func TestForgottenPromise(t *testing.T) {
 	for _, mutant := range []bool{false, true} {
 		set := smallQuota()
-		set.Promise = 8
+		set.VoteDuration = 8
 		s := quotas(t, 2, 0, set, func(s *Quotas) { s.Rash, s.Alone = mutant, 2 })
 		s.parted = true
 		_ = s.look()
@@ -168,7 +168,7 @@
 			for len(s.wires) > 0 && late == nil {
 				w := s.wires[0]
 				s.wires = s.wires[1:]
-				if w.to == 0 && w.m.Verb == quota.Answer && w.m.Items[0].Units == 2 {
+				if w.to == 0 && w.m.Kind == quota.LeaseAnswer && w.m.Items[0].Units == 2 {
 					late = &w
 					continue
 				}
@@ -182,7 +182,7 @@
 			for len(s.wires) > 0 {
 				w := s.wires[0]
 				s.wires = s.wires[1:]
-				if w.to != 0 || w.m.Verb != quota.Answer || !w.m.Items[0].Vote { // those to 0 that lend are lost
+				if w.to != 0 || w.m.Kind != quota.LeaseAnswer || !w.m.Items[0].Vote { // those to 0 that lend are lost
 					_ = s.deliver(w)
 				}
 			}
@@ -202,9 +202,9 @@
 func TestQuotaModel(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		set := smallQuota()
-		set.Lease = rapid.SampledFrom([]float64{3, 7, 12}).Draw(rt, "lease")
-		set.Promise = rapid.SampledFrom([]float64{3, 5, 9}).Draw(rt, "promise")
-		set.Linger = rapid.SampledFrom([]float64{1, 4}).Draw(rt, "linger")
+		set.LeaseDuration = rapid.SampledFrom([]float64{3, 7, 12}).Draw(rt, "lease")
+		set.VoteDuration = rapid.SampledFrom([]float64{3, 5, 9}).Draw(rt, "promise")
+		set.UseTimeout = rapid.SampledFrom([]float64{1, 4}).Draw(rt, "linger")
 		n := rapid.SampledFrom([]int{2, 3, 5}).Draw(rt, "poolers")
 		s := NewQuotas(n, rapid.IntRange(1, 9).Draw(rt, "limit"), rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "reserve"), set)
 		s.Number, s.Any, s.LateSteps = rapid.Bool().Draw(rt, "number"), true, rapid.IntRange(2, 15).Draw(rt, "late")
@@ -263,12 +263,12 @@
 func eight(t *testing.T, limit int, reserve float64) (*Quotas, quota.Settings) {
 	t.Helper()
 	set := quota.Defaults()
-	for _, x := range []*float64{&set.Lease, &set.Promise, &set.Renew, &set.Soon, &set.Linger, &set.Step} {
+	for _, x := range []*float64{&set.LeaseDuration, &set.VoteDuration, &set.RenewInterval, &set.UrgentInterval, &set.UseTimeout, &set.TickInterval} {
 		*x /= grain
 	}
 	s := NewQuotas(8, limit, reserve, set)
 	s.Start()
-	if err := s.Settle(int(set.TakeOver(quota.Rate, 0)) + 20); err != nil {
+	if err := s.Settle(int(set.TakeoverBound(quota.Rate, 0)) + 20); err != nil {
 		t.Fatal(err)
 	}
 	return s, set
@@ -284,8 +284,8 @@
 // floorOf is a pooler's floor.
 func floorOf(s *Quotas) float64 {
 	l := s.Set.Limits[0]
-	c := l.Cut(len(s.nodes))
-	return l.Amount * float64(c.Floor) / float64(c.Units)
+	c := l.Partition(len(s.nodes))
+	return l.Amount * float64(c.Reserved) / float64(c.Units)
 }
 
 // within lets time pass until something is so, which must be by a bound.
@@ -308,7 +308,7 @@
 		who := (5*k + 3) % 8
 		_ = s.Settle(17 + k%13) // whenever it comes between asks and plans
 		_ = s.swing(who)
-		within(t, s, set.Follow(0), "demand at one", func() bool { return s.Held()[who] > 160*85/100 })
+		within(t, s, set.DemandBound(0), "demand at one", func() bool { return s.Held()[who] > 160*85/100 })
 	}
 }
 
@@ -317,13 +317,13 @@
 func TestLimitCutOff(t *testing.T) {
 	s, set := eight(t, 160, 0.1)
 	_ = s.swing(0)
-	_ = s.Settle(int(set.Follow(0)) + 1)
+	_ = s.Settle(int(set.DemandBound(0)) + 1)
 	floor := floorOf(s)
 	s.Alone, s.parted = 0, true
 	_ = s.look()
 	_ = s.swing(1)
-	within(t, s, set.Lease, "the floor of one that is cut off", func() bool { return s.Held()[0] == floor })
-	within(t, s, set.Free(quota.Rate)-set.Lease+set.Elect(0), "others have what it had", func() bool { return s.Held()[1] > 160*8/10 })
+	within(t, s, set.LeaseDuration, "the floor of one that is cut off", func() bool { return s.Held()[0] == floor })
+	within(t, s, set.ReclaimBound(quota.Rate)-set.LeaseDuration+set.ElectionBound(0), "others have what it had", func() bool { return s.Held()[1] > 160*8/10 })
 	for range 200 {
 		if err := s.Settle(1); err != nil || s.Held()[0] != floor {
 			t.Fatal(err, s.Held())
@@ -332,7 +332,7 @@
 	s.parted = false
 	_ = s.look()
 	_ = s.swing(0)
-	within(t, s, set.Follow(0)+1.5*set.Promise, "its share once it is back", func() bool { return s.Held()[0] > 160*8/10 })
+	within(t, s, set.DemandBound(0)+1.5*set.VoteDuration, "its share once it is back", func() bool { return s.Held()[0] > 160*8/10 })
 }
 
 // TestLimitOwnerCrashes: what the others hold of a crashed owner's goes on without a gap, and the whole is lent again within TakeOver.
@@ -340,7 +340,7 @@
 	s, set := eight(t, 160, 0.1)
 	owner := -1
 	for i, x := range s.nodes {
-		if x.q.Standings()[0].Owns {
+		if x.q.Statuses()[0].IsOwner {
 			owner = i
 		}
 	}
@@ -351,7 +351,7 @@
 	s.kill(owner)
 	_ = s.look()
 	had := sumOf(held) - held[owner]
-	within(t, s, set.TakeOver(quota.Rate, 0), "the whole is lent again", func() bool {
+	within(t, s, set.TakeoverBound(quota.Rate, 0), "the whole is lent again", func() bool {
 		if now := sumOf(s.Held()); now < had*9/10 {
 			t.Fatalf("%g of %g are left: %v", now, had, s.Held())
 		}
@@ -363,12 +363,12 @@
 func TestLimitJoins(t *testing.T) {
 	s, set := eight(t, 160, 0.1)
 	who := 5
-	for s.nodes[who].q.Standings()[0].Owns {
+	for s.nodes[who].q.Statuses()[0].IsOwner {
 		who--
 	}
 	_ = s.restart(who)
 	// What its last life held is nobody's yet: the others make room.
-	within(t, s, set.Stretch(set.Promise)+set.Follow(0)+2*set.Renew, "a newcomer's part", func() bool { return s.Held()[who] >= 160/8*8/10 && sumOf(s.Held()) <= 160 })
+	within(t, s, set.LocalWait(set.VoteDuration)+set.DemandBound(0)+2*set.RenewInterval, "a newcomer's part", func() bool { return s.Held()[who] >= 160/8*8/10 && sumOf(s.Held()) <= 160 })
 }
 
 // TestLimitChanges: a limit that is lowered at one pooler after the other binds within Free of the last, and never is more used than the
@@ -383,12 +383,12 @@
 	for _, x := range []struct{ to, most float64 }{{16, 16}, {8, 16}, {15, 15}} {
 		s.most = int(x.most)
 		for i := range s.nodes {
-			_ = s.do(i, quota.Retune{Limits: change(x.to)})
+			_ = s.do(i, quota.LimitsChanged{Limits: change(x.to)})
 			if err := s.Settle(3); err != nil {
 				t.Fatalf("to %g at %d: %v", x.to, i, err)
 			}
 		}
-		if err := s.Settle(int(set.Free(quota.Rate) + set.Elect(0))); err != nil {
+		if err := s.Settle(int(set.ReclaimBound(quota.Rate) + set.ElectionBound(0))); err != nil {
 			t.Fatal(err)
 		}
 		if got := sumOf(s.Held()); got < x.to*0.98 {
@@ -418,7 +418,7 @@
 			}
 		}
 	}
-	lends := func(w parcel) bool { return w.to == 2 && w.m.Verb == quota.Answer && w.m.Items[0].Vote }
+	lends := func(w parcel) bool { return w.to == 2 && w.m.Kind == quota.LeaseAnswer && w.m.Items[0].Vote }
 	for k := 0; late == nil; k++ {
 		if k > 20 {
 			t.Fatal("2 was not lent all")
@@ -451,7 +451,7 @@
 // before it can say that they go on. They may, for as long after that answer's lease as uses do; nobody else is lent them until then.
 func TestUsesOutliveASmallerAnswer(t *testing.T) {
 	set := smallQuota()
-	set.Linger, set.Promise = 6, 12
+	set.UseTimeout, set.VoteDuration = 6, 12
 	s := quotas(t, 2, 0, set, func(s *Quotas) { s.Number, s.Alone = true, 2 })
 	_ = s.swing(2)
 	if err := s.Settle(20); err != nil || s.Held()[2] != 2 {
@@ -466,7 +466,7 @@
 		for len(s.wires) > 0 && !lent {
 			w := s.wires[0]
 			s.wires = s.wires[1:]
-			if w.to != 2 || w.m.Verb != quota.Answer {
+			if w.to != 2 || w.m.Kind != quota.LeaseAnswer {
 				_ = s.deliver(w)
 			} else if lent = k > 4 && w.m.Items[0].Vote && w.m.Items[0].Units == 0; lent {
 				_ = s.deliver(w)
@@ -504,7 +504,7 @@
 	s, set := eight(t, 160, 0.1)
 	for _, limits := range [][]quota.Limit{nil, s.Set.Limits} {
 		for i, x := range s.nodes {
-			_ = s.do(i, quota.Retune{Limits: limits})
+			_ = s.do(i, quota.LimitsChanged{Limits: limits})
 			_ = s.do(i, s.demand(i))
 			if n := x.q.Usable(QuotaName, s.clock(i)); limits == nil && n != 0 {
 				t.Errorf("%g of a limit that is not there", n)
@@ -514,5 +514,5 @@
 			}
 		}
 	}
-	within(t, s, set.TakeOver(quota.Rate, 0)+set.Promise, "the limit is back", func() bool { return sumOf(s.Held()) > 159 })
+	within(t, s, set.TakeoverBound(quota.Rate, 0)+set.VoteDuration, "the limit is back", func() bool { return sumOf(s.Held()) > 159 })
 }
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -38,8 +38,8 @@
 }
 
 func smallSettings(i int) view.Settings {
-	return view.Settings{Probe: 6, Timeout: 2, Watched: 2, Helpers: 1, Confirm: 1, Calm: 10, Suspicion: 4, Gossip: 2, Fanout: 1, Exchange: 1e9, Reconnect: 6, Forget: 1e6, Hold: 30,
-		Step: 1, Packet: 1000, Expect: 3, Seeds: []string{"0"}, Seed: uint64(i)}
+	return view.Settings{ProbeInterval: 6, ProbeTimeout: 2, WatchedPeers: 2, IndirectProbes: 1, Confirmations: 1, PauseGrace: 10, SuspicionTimeout: 4, GossipInterval: 2, GossipFanout: 1, ExchangeInterval: 1e9, ReconnectInterval: 6, Retention: 1e6, SendingTimeout: 30,
+		TickInterval: 1, MaxRecordBytes: 1000, ExpectedPoolers: 3, SeedAddresses: []string{"0"}, RandomSeed: uint64(i)}
 }
 
 func (s *Views) id(i, life int) view.ID { return view.NewID(float64(1000+life), uint64(i+1)) }
@@ -54,7 +54,7 @@
 		all = append(all, r)
 	}
 	for i, x := range s.nodes {
-		x.v.Handle(s.now, view.Exchanged{Records: slices.Concat(all[(i+1)%n:(i+1)%n+1], all)}, nil)
+		x.v.Handle(s.now, view.ExchangeCompleted{Records: slices.Concat(all[(i+1)%n:(i+1)%n+1], all)}, nil)
 	}
 	return s
 }
@@ -80,7 +80,7 @@
 	var b strings.Builder
 	fmt.Fprint(&b, s.Lose, s.Double, s.Late, s.Crash, s.Restart, "|")
 	for _, x := range s.nodes {
-		fmt.Fprint(&b, x.dead, x.life, x.v.Key(), "|")
+		fmt.Fprint(&b, x.dead, x.life, x.v.StateKey(), "|")
 	}
 	for _, w := range s.wires {
 		fmt.Fprint(&b, w.to, w.age, w.back, w.text, "|")
@@ -109,7 +109,7 @@
 		case to < 0 || to == i:
 		case a.Kind == view.Send:
 			s.put(wire{to: to, m: a.Message, back: -1})
-		case a.Kind == view.Trade:
+		case a.Kind == view.StartExchange:
 			s.put(wire{to: to, recs: x.v.Records(), back: i})
 		}
 	}
@@ -117,18 +117,18 @@
 	if self.State != view.Alive {
 		return fmt.Errorf("process %d takes itself for %s", i, self.State)
 	}
-	s.inc[self.ID] = max(s.inc[self.ID], self.Inc)
+	s.inc[self.ID] = max(s.inc[self.ID], self.Incarnation)
 	after := map[view.ID]view.Record{}
 	for _, r := range x.v.Members() {
 		after[r.ID] = r
 	}
 	for _, r := range before {
 		switch n := after[r.ID]; {
-		case n.Inc < r.Inc && n.State != view.Left:
-			return fmt.Errorf("process %d goes back from incarnation %d to %d of %x", i, r.Inc, n.Inc, r.ID)
+		case n.Incarnation < r.Incarnation && n.State != view.Left:
+			return fmt.Errorf("process %d goes back from incarnation %d to %d of %x", i, r.Incarnation, n.Incarnation, r.ID)
 		case r.State == view.Left && n.State != view.Left:
 			return fmt.Errorf("process %d takes %x, which had left, for %s", i, r.ID, n.State)
-		case r.State == view.Failed && n.State < view.Failed && n.Inc <= r.Inc:
+		case r.State == view.Failed && n.State < view.Failed && n.Incarnation <= r.Incarnation:
 			return fmt.Errorf("process %d takes %x back from the dead without a later word of its own", i, r.ID)
 		}
 	}
@@ -138,8 +138,8 @@
 func (s *Views) put(w wire) {
 	if w.m != nil {
 		m := *w.m
-		m.Seq &= 0xffff
-		w.text = fmt.Sprint(m.Kind, m.From, m.Seq, m.Target, m.Records)
+		m.Sequence &= 0xffff
+		w.text = fmt.Sprint(m.Kind, m.From, m.Sequence, m.Target, m.Records)
 	} else {
 		w.text = fmt.Sprint(w.recs)
 	}
@@ -162,10 +162,10 @@
 	if w.m != nil {
 		m := *w.m
 		m.Records = slices.Clone(m.Records)
-		return s.do(w.to, view.Heard{Message: &m})
+		return s.do(w.to, view.Received{Message: &m})
 	}
 	mine := x.v.Records()
-	err := s.do(w.to, view.Exchanged{Records: slices.Clone(w.recs)})
+	err := s.do(w.to, view.ExchangeCompleted{Records: slices.Clone(w.recs)})
 	if w.back >= 0 {
 		s.put(wire{to: w.back, recs: mine, back: -1})
 	}
@@ -253,8 +253,8 @@
 func (s *Views) Check() error {
 	for i, x := range s.nodes {
 		for _, r := range x.v.Members() {
-			if r.Inc > s.inc[r.ID] {
-				return fmt.Errorf("process %d knows incarnation %d of %x, which never had more than %d", i, r.Inc, r.ID, s.inc[r.ID])
+			if r.Incarnation > s.inc[r.ID] {
+				return fmt.Errorf("process %d knows incarnation %d of %x, which never had more than %d", i, r.Incarnation, r.ID, s.inc[r.ID])
 			}
 		}
 	}
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -77,8 +77,8 @@
 	for i := range min(p.Seeds, f.run.script.Poolers) {
 		fmt.Fprintf(&b, " %q", f.relays.Told(i))
 	}
-	fmt.Fprintf(&b, ")\n  (probe %.0fms) (timeout %.0fms) (suspicion %.0fms) (gossip %.0fms) (exchange %.0fms) (reconnect %.0fms) (hold %.0fms) (forget %.0fms))\n", v.Probe, v.Timeout,
-		v.Suspicion, v.Gossip, v.Exchange, v.Reconnect, v.Hold, v.Forget)
+	fmt.Fprintf(&b, ")\n  (probe %.0fms) (timeout %.0fms) (suspicion %.0fms) (gossip %.0fms) (exchange %.0fms) (reconnect %.0fms) (hold %.0fms) (forget %.0fms))\n", v.ProbeInterval, v.ProbeTimeout,
+		v.SuspicionTimeout, v.GossipInterval, v.ExchangeInterval, v.ReconnectInterval, v.SendingTimeout, v.Retention)
 	return b.String()
 }
 
@@ -111,7 +111,7 @@
 			if pid == 0 {
 				return
 			}
-			shown, err := cluster.Show(f.relays.Real(i), f.key)
+			shown, err := cluster.QueryStatus(f.relays.Real(i), f.key)
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if err != nil || len(shown.Records) == 0 || p.pid() != pid {
@@ -143,7 +143,7 @@
 	for _, r := range records[1:] {
 		if was, known := f.says[i][r.ID]; !known || was != r.State {
 			f.says[i][r.ID] = r.State
-			f.check.Says(now, i, uint64(r.ID), int(r.State), r.Inc)
+			f.check.Says(now, i, uint64(r.ID), int(r.State), r.Incarnation)
 		}
 	}
 	f.check.Counts(now, i, counts.Sending)
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -56,7 +56,7 @@
 		if l := &f.Limits[i]; l.Name == name {
 			l.Burst *= amount / l.Amount
 			l.Amount = amount
-			if l.Kind != quota.Number {
+			if l.Kind != quota.Concurrency {
 				l.Burst = max(1, l.Burst)
 			}
 		}
@@ -79,13 +79,13 @@
 // WarmMs is until parts of limits that are used are counted: the first owner waits for votes, and leases out.
 func (s *Script) WarmMs() float64 {
 	q := s.Quotas()
-	return q.TakeOver(quota.Rate, s.Way[1])
+	return q.TakeoverBound(quota.Rate, s.Way[1])
 }
 
 // Quotas are how poolers share the limits.
 func (s *Script) Quotas() quota.Settings {
 	q := s.Limits.Settings
-	q.Limits, q.Expect = s.Limits.Quotas(), s.Poolers
+	q.Limits, q.ExpectedPoolers = s.Limits.Quotas(), s.Poolers
 	return q
 }
 
@@ -96,7 +96,7 @@
 	}
 	q := s.Quotas()
 	for _, l := range s.Limits.Limits {
-		if l.Resource == settings.ResourceQueries && l.Kind == quota.Number && s.Clients.House {
+		if l.Resource == settings.ResourceQueries && l.Kind == quota.Concurrency && s.Clients.House {
 			out = append(out, checker.Limit{Name: l.Name, AtOnce: int(l.Amount)})
 		}
 		if l.Resource == settings.ResourceTenant && l.Hard {
@@ -104,7 +104,7 @@
 			for i := range s.Faults {
 				delay = max(delay, s.Way[1]+s.Faults[i].Link.Slow)
 			}
-			out = append(out, checker.Limit{Name: l.Name, Tenant: l.Subject, PerSecond: l.Amount, Burst: l.Burst, Even: l.Manner != quota.Never, OverMs: q.EvenOver(delay), CalmMs: calmMs})
+			out = append(out, checker.Limit{Name: l.Name, Tenant: l.Subject, PerSecond: l.Amount, Burst: l.Burst, Even: l.Guarantee != quota.NeverOver, OverMs: q.OvershootBound(delay), CalmMs: calmMs})
 		}
 	}
 	return out
@@ -118,7 +118,7 @@
 	q := s.Quotas()
 	l := s.limit(f.Target.Word)
 	if f.Value < l.Amount {
-		return q.Free(l.Kind)
+		return q.ReclaimBound(l.Kind)
 	}
 	return 0
 }
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -34,7 +34,7 @@
 	if p := &s.Overload.Probes; s.Overload.Share {
 		v := &s.Peers.View
 		c.Probes = p.Most(s.Poolers) + float64(p.Probers)
-		c.CalmMs = p.Shun + p.Latest() + v.Detect(s.Poolers, max(1, s.Poolers/2), s.Way[1]) + v.Settle(s.Poolers, max(1, s.Poolers/2), s.Way[1], false)
+		c.CalmMs = p.Shun + p.Latest() + v.DetectionBound(s.Poolers, max(1, s.Poolers/2), s.Way[1]) + v.ConvergenceBound(s.Poolers, max(1, s.Poolers/2), s.Way[1], false)
 	}
 	if b := &s.Overload.Bound; b.Repeats {
 		r := retrybudget.Repeats{Part: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -65,12 +65,12 @@
 			}
 		}
 		l.id, l.q = self, quota.New(set, self, from)
-		l.q.Check(e.checks, 8)
+		l.q.CheckInvariants(e.checks, 8)
 	}
-	m := quota.Members{Sending: l.x.view.Counts().Sending}
+	m := quota.MembersChanged{SendingPoolers: l.x.view.Counts().Sending}
 	for _, r := range l.x.view.Members() {
 		if r.State <= view.Suspect {
-			m.Peers = append(m.Peers, quota.Peer{ID: r.ID, Addr: r.Addr, Ending: r.Draining})
+			m.Peers = append(m.Peers, quota.Peer{ID: r.ID, Addr: r.Addr, Draining: r.Draining})
 		}
 	}
 	l.share(m)
@@ -84,7 +84,7 @@
 		switch a := &acts[i]; a.Kind {
 		case quota.Send:
 			l.send(a.Addr, a.Message)
-		case quota.Allow:
+		case quota.SetAllowance:
 			l.x.p.core.Allow(a.Limit, a.Amount, a.Burst)
 			e.s.mix(uint64(l.x.p.no)<<32|uint64(a.Amount*1000), uint64(e.s.now))
 		}
@@ -119,7 +119,7 @@
 		k.Limits(l.x.p.no, l.q, &c)
 		m = &c
 	}
-	l.share(quota.Heard{Message: m})
+	l.share(quota.Received{Message: m})
 }
 
 // Due is core.Leases'.
@@ -140,7 +140,7 @@
 			if m := l.x.p.e.opt.Mutant; m != nil && m.Demand != nil {
 				want = m.Demand(l.x.p.no, want)
 			}
-			l.share(quota.Demand{Limit: x.Name, Want: want})
+			l.share(quota.Demand{Limit: x.Name, Wanted: want})
 		}
 	}
 	lifeLoop{l.x.p, l.x.life}.At(l.x.p.e.s.now+demandMs, l.beat)
@@ -166,7 +166,7 @@
 		p.whenRunning(x.life, func() {
 			x.limits.set = set
 			x.limits.bind()
-			x.limits.share(quota.Retune{Limits: set.Quotas()})
+			x.limits.share(quota.LimitsChanged{Limits: set.Quotas()})
 		})
 	}
 }
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -128,29 +128,29 @@
 				return kept
 			}
 			switch ev := ev.(type) {
-			case view.Heard:
+			case view.Received:
 				m := *ev.Message
 				m.Records = drop(m.Records)
-				x.out = x.view.Handle(x.p.e.s.now, view.Heard{Message: &m}, x.out[:0])
+				x.out = x.view.Handle(x.p.e.s.now, view.Received{Message: &m}, x.out[:0])
 				x.carry()
 				return false
-			case view.Exchanged:
-				x.out = x.view.Handle(x.p.e.s.now, view.Exchanged{Records: drop(ev.Records)}, x.out[:0])
+			case view.ExchangeCompleted:
+				x.out = x.view.Handle(x.p.e.s.now, view.ExchangeCompleted{Records: drop(ev.Records)}, x.out[:0])
 				x.carry()
 				return false
 			}
 			return true
 		}},
 		{Name: "forgets its incarnation on a restart", Breaks: checker.ViewAccurate, SameID: true},
-		{Name: "does not look for those it lost", Breaks: checker.ViewSettled, View: func(s *view.Settings) { s.Reconnect, s.Seeds = 1e9, s.Seeds[:0] }},
-		{Name: "accuses while it stands still", Breaks: checker.ViewRash, View: func(s *view.Settings) { s.Confirm, s.Calm = 0, 0 }, Peer: func(x *peer, ev view.Event) bool {
-			for now := x.p.e.s.now; x.view.Next() < now; { // it makes up for the time as if it had run
-				x.out = x.view.Handle(x.view.Next(), view.Tick{}, x.out[:0])
+		{Name: "does not look for those it lost", Breaks: checker.ViewSettled, View: func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] }},
+		{Name: "accuses while it stands still", Breaks: checker.ViewRash, View: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, Peer: func(x *peer, ev view.Event) bool {
+			for now := x.p.e.s.now; x.view.NextTick() < now; { // it makes up for the time as if it had run
+				x.out = x.view.Handle(x.view.NextTick(), view.Tick{}, x.out[:0])
 				x.carry()
 			}
 			return true
 		}},
-		{Name: "counts what is cut off as gone", Breaks: checker.ViewSending, View: func(s *view.Settings) { s.Hold, s.Expect = 0, 0 }},
+		{Name: "counts what is cut off as gone", Breaks: checker.ViewSending, View: func(s *view.Settings) { s.SendingTimeout, s.ExpectedPoolers = 0, 0 }},
 	}
 }
 
@@ -160,18 +160,18 @@
 	return []Mutant{
 		{Name: "lends without waiting", Breaks: checker.FleetLimit, Quota: func(no int, s *quota.Settings) {
 			if no != 0 {
-				s.Lease = 500
+				s.LeaseDuration = 500
 			}
 		}},
 		{Name: "a lease without an end", Breaks: checker.FleetLimit, Quota: func(no int, s *quota.Settings) {
 			if no == 0 {
-				s.Lease = 1e9
+				s.LeaseDuration = 1e9
 			}
 		}},
 		{Name: "counts a lease's end from the answer", Breaks: checker.FleetLimit, Limits: func(no int, q *quota.Quota, m *quota.Message) {
-			if no == 0 && m.Verb == quota.Answer {
+			if no == 0 && m.Kind == quota.LeaseAnswer {
 				for _, it := range m.Items {
-					q.Recount(it.Limit, it.Seq)
+					q.RestartLease(it.LimitHash, it.Sequence)
 				}
 			}
 		}},
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -63,8 +63,8 @@
 		}
 	}
 	n := s.Poolers
-	return checker.ViewConfig{Detect: func(f int) float64 { return v.Detect(n, f, delay) }, SettleMs: v.Settle(n, f, delay, lossy), JoinMs: v.Join(n, delay), SpreadMs: v.Spread(n, delay), HoldMs: v.Hold,
-		SelfMs: v.Self(delay)}
+	return checker.ViewConfig{Detect: func(f int) float64 { return v.DetectionBound(n, f, delay) }, SettleMs: v.ConvergenceBound(n, f, delay, lossy), JoinMs: v.JoinBound(n, delay), SpreadMs: v.PropagationBound(n, delay), HoldMs: v.SendingTimeout,
+		SelfMs: v.IsolationBound(delay)}
 }
 
 func (e *Emulation) newFleet() *fleetOf {
@@ -117,9 +117,9 @@
 func (p *pooler) join() {
 	f := p.e.fleet
 	set := p.e.script.Peers.View
-	set.Expect, set.Seed = p.e.script.Poolers, p.e.opt.Seed*31+uint64(p.no)
+	set.ExpectedPoolers, set.RandomSeed = p.e.script.Poolers, p.e.opt.Seed*31+uint64(p.no)
 	for i := range p.e.script.Peers.Seeds {
-		set.Seeds = append(set.Seeds, p.e.poolerName(i))
+		set.SeedAddresses = append(set.SeedAddresses, p.e.poolerName(i))
 	}
 	id := view.NewID(p.e.s.now, uint64(p.no)*131+uint64(p.life))
 	if m := p.e.opt.Mutant; m != nil {
@@ -136,7 +136,7 @@
 	}
 	x := &peer{p: p, f: f, life: p.life}
 	x.view = view.New(set, view.Record{ID: id, Name: p.name, Addr: p.name, Zone: site}, p.e.s.now)
-	x.view.Check(p.e.checks, walkEach)
+	x.view.CheckInvariants(p.e.checks, walkEach)
 	p.peer = x
 	f.check.Began(p.e.s.now, p.no, uint64(id))
 	x.lend()
@@ -157,7 +157,7 @@
 	for _, s := range x.parts {
 		s.Tick()
 	}
-	lifeLoop{x.p, x.life}.At(x.view.Next(), x.tick)
+	lifeLoop{x.p, x.life}.At(x.view.NextTick(), x.tick)
 }
 
 // do tells the view of an event and carries out what it asks for.
@@ -176,9 +176,9 @@
 func (x *peer) told(ev view.Event) {
 	var records []view.Record
 	switch ev := ev.(type) {
-	case view.Heard:
+	case view.Received:
 		records = ev.Message.Records
-	case view.Exchanged:
+	case view.ExchangeCompleted:
 		records = ev.Records
 	}
 	for i := range records {
@@ -199,10 +199,10 @@
 		switch a := &x.out[i]; a.Kind {
 		case view.Send:
 			x.send(a.Addr, a.Message)
-		case view.Trade:
+		case view.StartExchange:
 			x.trade(a.Addr)
-		case view.Changed:
-			x.f.check.Says(e.s.now, x.p.no, uint64(a.Record.ID), int(a.Record.State), a.Record.Inc)
+		case view.RecordChanged:
+			x.f.check.Says(e.s.now, x.p.no, uint64(a.Record.ID), int(a.Record.State), a.Record.Incarnation)
 			e.s.mix(uint64(a.Record.ID), uint64(x.p.no)<<8|uint64(a.Record.State))
 			news = true
 		}
@@ -248,7 +248,7 @@
 	for _, late := range f.net.Fate(x.p.no, to.no, f.rng) {
 		e.s.After(e.wayBetween(x.p, to)+late, model.Func(func() {
 			if y := to.peer; y != nil && to.up {
-				to.whenRunning(y.life, func() { y.do(view.Heard{Message: m}) })
+				to.whenRunning(y.life, func() { y.do(view.Received{Message: m}) })
 			}
 		}), 0)
 	}
@@ -273,13 +273,13 @@
 		}
 		to.whenRunning(y.life, func() {
 			theirs := y.view.Records()
-			y.do(view.Exchanged{Records: mine})
+			y.do(view.ExchangeCompleted{Records: mine})
 			if f.net.Cut(to.no, x.p.no) {
 				return
 			}
 			e.s.After(e.wayBetween(x.p, to)+f.net.Slow(to.no, x.p.no), model.Func(func() {
 				if x.p.up {
-					x.p.whenRunning(x.life, func() { x.do(view.Exchanged{Records: theirs}) })
+					x.p.whenRunning(x.life, func() { x.do(view.ExchangeCompleted{Records: theirs}) })
 				}
 			}), 0)
 		})
--- a/internal/testkit/simulation/strike.go
+++ b/internal/testkit/simulation/strike.go
@@ -114,7 +114,7 @@
 	began := e.s.now
 	var look func()
 	if p.peer != nil {
-		p.whenRunning(p.life, func() { p.peer.do(view.Drain{On: true}) })
+		p.whenRunning(p.life, func() { p.peer.do(view.SetDraining{Draining: true}) })
 	}
 	look = func() {
 		if p.life != life {
