--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -116,7 +116,7 @@
 	if !ok {
 		return lease.Reservation{}, lease.Admitted
 	}
-	h, v := x.credit.Reserve(tenant, i, lease.SessionNumber(session), 1, tag)
+	h, v := x.credit.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: i, Session: lease.SessionNumber(session), Parts: 1, Tag: tag})
 	switch v {
 	case lease.Queued:
 		x.waited++
--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -158,7 +158,7 @@
 // ask has a client ask a pooler.
 func (f *fleet) ask(n *node, tenant string, class int) {
 	f.asked++
-	switch h, v := n.c.Reserve(tenant, class, uint64(f.asked), 1, uint64(f.asked)); v {
+	switch h, v := n.c.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: class, Session: uint64(f.asked), Parts: 1, Tag: uint64(f.asked)}); v {
 	case lease.Admitted:
 		f.serve(n, h)
 	case lease.Queued:
--- a/internal/cluster/credit/lease/api.go
+++ b/internal/cluster/credit/lease/api.go
@@ -1,170 +1,110 @@
-// Package lease is a pooler's side of credit: what it holds of tenants' funds, what it asks for, and whether a request is let in. Events in,
-// actions out: no I/O, no clock, no goroutines.
+// Package lease is a pooler's side of prepaid credit: which part of tenants' funds this process holds, what it requests from the
+// leader, and whether a request is admitted. It is a deterministic state machine: events in, actions out, no I/O, clock or goroutines.
 //
-// # What it decides
+// # Admission
 //
-// A request is let in if its price can be held of what is here. The price is held once, at the admission; what the request came to cost is taken
-// of it at the final answer, and the rest is free again. So repeats and copies cost nothing, and nothing is charged that is not held. Where a
-// tenant has no account here, or its account is empty, and it is not known that its funds are out, the request waits, for Wait at
-// most; once they are known to be out it is refused at once.
+// A request is admitted if its maximum price can be reserved of the funds held here. The price is reserved once, at admission; the final
+// answer charges what the request came to, and the remainder is free again. So retries and hedged requests cost nothing, and nothing is
+// charged that was not reserved. Where a tenant has no funds here, and it is not known that it has none at all, its requests are queued
+// for at most Settings.QueueTimeout; once its funds are known to be exhausted they are rejected at once.
 //
-// # What it asks for
+// # Requests to the leader
 //
-// As much as the tenant spends in Span, of which the leader grants what there is (package bank). It asks again at half of it, so that
-// a request finds funds here and waits for nobody. What a tenant that has fallen silent has left goes back after Idle, and what the
-// leader calls for goes back at once.
+// The manager requests what the tenant spends in Settings.GrantHorizon, of which the leader grants what there is (package lessor). It
+// requests more when half of that is used, so that requests find funds here and wait for no round trip. What an idle tenant has left is
+// returned after Settings.IdleTimeout, and what the leader recalls is returned at once.
 //
-// # Ends
+// # Expiry
 //
-// What is here may be used for Lease from the sending of the last ask that was answered, by this process's clock. Whatever comes is
-// held to that first: a process that was stopped and wakes spends nothing of what is over. An account that is over is closed by its last word, once all
-// that was let in by it has ended, and a new one opened. A process that hears nobody spends what it has until then, by class also what it
-// holds beyond the funds (Class.Depth), and then nothing.
+// An account may be used for Settings.Duration from the moment at which the last answered request was sent, by this process's clock.
+// Every event is checked against that first: a process that was suspended and wakes up spends nothing of what has expired. An expired
+// account is closed by its final report, once all that was admitted on it has ended, and a new one is opened. A process that hears
+// nobody spends what it holds until then, for some classes also what it holds of the overdraft (Class.Overdraft), and then nothing.
 //
-// # Marks
+// # High-water marks
 //
-// Where files are kept (Settings.Marks), it spends of an account no more than the mark that is safely written, and asks for a higher one
-// in time. Whoever finds the files of a process that is no more has the log bar it, waits until the log has the ends of all its
-// accounts, and only then reads the marks and tells them as last words: a process that was asleep, not dead, has woken to no funds by then. Of one
-// that crashed what its last mark was above what it spent is charged, and no more.
+// With Settings.PersistMarks, no more of an account is spent than a mark that is durable, and a higher mark is requested in time. A
+// process that finds the files of one that has ended has the log fence it, waits until the log has expired all its accounts, and only
+// then reads the marks and reports them as final: a process that was asleep and not dead has woken up to no funds by then. Of a crashed
+// process the difference between its last marks and what it spent is charged, and no more.
 package lease
 
 import (
 	"beechgrade/internal/cluster/credit/ledger"
 	"beechgrade/internal/cluster/credit/message"
-	"beechgrade/internal/invariant"
 )
 
-// Price is what a request of a class costs, in the operators' unit.
-type Price struct {
-	PerRequest   int64
-	PerRow       int64 // each row of an answer
-	PerSecond    int64 // each second of a server's work
-	Max          int64 // what is held, and charged at most; Request, where it is less
-	ChargeFailed bool  // one that failed costs Request
-}
-
-func (p *Price) reservation(parts int) int64 { return max(p.PerRequest, p.Max) * int64(max(1, parts)) }
-
-// Class is one, as far as credit goes.
-type Class struct {
-	Price
-	PriorityWeight float64
-	Overdraft      int64 // how far below nothing its tenant's balance may go for it
-}
-
-// Settings say how a purse is kept. Times are in ms.
-type Settings struct {
-	Duration          float64 // from the ask that is answered
-	RenewInterval     float64 // between two asks about one account where nothing is needed, and an ask's patience
-	UrgentInterval    float64 // the same where something is
-	ExhaustedInterval float64 // between two asks for what there was nothing of
-	GrantHorizon      float64 // of spending that is asked for
-	IdleTimeout       float64 // a tenant that spends nothing for so long has none
-	QueueTimeout      float64 // that a request may wait for
-	ClockDrift        float64 // part of a span by which a clock may be off
-	Grace             float64 // added to what a voter waits before an end
-	TickInterval      float64
-	ThrottleBelow     float64 // part of what there was after the last payment, below which a tenant is slowed; 0 for never
-	MinThrottledShare float64 // part of what it would spend that one that is slowed may at least
-	PersistMarks      bool
-	Classes           []Class
-	PrepaidTenants    []string // tenants; others pay nothing
-	Checks            *invariant.Checks
-
-	ExpireFromResponse bool // a mutant: ends count from the answer's arrival
-}
-
-// Defaults are for a fleet within one region or a few.
-func Defaults() Settings {
-	return Settings{Duration: 10000, RenewInterval: 1000, UrgentInterval: 100, ExhaustedInterval: 400, GrantHorizon: 2000, IdleTimeout: 5000, QueueTimeout: 250, ClockDrift: 0.001, Grace: 500, TickInterval: 50, MinThrottledShare: 0.25}
-}
-
-// StretchForDrift is how long one must wait by its clock for a span of another's to be over.
-func (s *Settings) StretchForDrift(ms float64) float64 {
-	return ms * (1 + s.ClockDrift) / (1 - s.ClockDrift)
-}
-
-// ExpiryDelay is how long a voter waits, from when it applied an account's last Seq itself, before it proposes the account's end.
-func (s *Settings) ExpiryDelay() float64 { return s.StretchForDrift(s.Duration) + s.Grace }
-
-// PaymentPropagation bounds the time from when the log has a payment until a tenant whose funds were out is let in at a pooler that hears the leader: its
-// next ask, the leader's beat and the log's round, the answer.
-func (s *Settings) PaymentPropagation(beat, commit, delay float64) float64 {
-	return s.ExhaustedInterval + 2*s.TickInterval + beat + commit + 2*delay
-}
-
-// MaxQueued bounds the requests of one tenant that wait.
+// MaxQueued bounds the requests of one tenant in the queue.
 const MaxQueued = 1024
 
-// Decision is about a request.
+// Decision is the answer to a request for admission.
 type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
 	Admitted  Decision = iota
-	Queued             // Admit or Turn will tell
-	Throttled          // the tenant's funds run low, and this request is among its least
-	Exhausted          // its funds are out
+	Queued             // an Admit or a Reject action follows
+	Throttled          // the tenant's funds run low, and the request is among those with the lowest priority for their price
+	Exhausted          // the tenant's funds are exhausted
 )
 
-func (v Decision) String() string {
-	return [...]string{"pass", "wait", "slowed", "no funds"}[min(v, Exhausted)]
+func (d Decision) String() string {
+	return [...]string{"pass", "wait", "slowed", "no funds"}[min(d, Exhausted)]
 }
 
-// Reservation is what is held for a request that was let in; Settle gives it up.
+// Reservation is what is reserved for an admitted request, until Settle ends it.
 type Reservation struct {
 	Tenant     string
 	Overdraft  int64
-	Generation uint32
+	Generation uint32 // of the account
 	Amount     int64
-	Price      Price // as it was
+	Price      Price // as it was at admission
 }
 
-// Usage is what came of a request: of a scattered one, of its parts.
+// Usage is what a request came to; for a scattered one the sum over its parts.
 type Usage struct {
 	Served, Failed int
 	Rows           int64
 	Seconds        float64
 }
 
-// Charge is what is charged.
-func (h *Reservation) Charge(d Usage) int64 {
-	n := int64(d.Served) * h.Price.PerRequest
-	if h.Price.ChargeFailed {
-		n += int64(d.Failed) * h.Price.PerRequest
+// Charge returns what is charged for a request: never more than was reserved.
+func (r *Reservation) Charge(usage Usage) int64 {
+	amount := int64(usage.Served) * r.Price.PerRequest
+	if r.Price.ChargeFailed {
+		amount += int64(usage.Failed) * r.Price.PerRequest
 	}
-	if d.Served > 0 {
-		n += h.Price.PerRow*max(0, d.Rows) + int64(float64(h.Price.PerSecond)*max(0, d.Seconds))
+	if usage.Served > 0 {
+		amount += r.Price.PerRow*max(0, usage.Rows) + int64(float64(r.Price.PerSecond)*max(0, usage.Seconds))
 	}
-	return max(0, min(n, h.Amount))
+	return max(0, min(amount, r.Amount))
 }
 
-// Event is something a purse is told.
+// Event is an input of the state machine.
 type Event interface{ event() }
 
-// Tick tells that the time asked for has come.
+// Tick is due every Settings.TickInterval.
 type Tick struct{}
 
-// ResponsesReceived is answers that came from the leader.
+// ResponsesReceived brings responses of the leader.
 type ResponsesReceived struct{ Responses []message.Response }
 
-// SettingsChanged brings settings that have changed.
+// SettingsChanged brings changed prices and tenants.
 type SettingsChanged struct{ Settings Settings }
 
-// MarksPersisted tells that marks are safely written, up to this one.
+// MarksPersisted reports that the marks of this write, and of all before it, are durable.
 type MarksPersisted struct{ Write uint64 }
 
-// Recover names processes that are no more and left files.
+// Recover names processes that have ended and left files.
 type Recover struct{ Holders []ledger.Holder }
 
-// MarksRead is what such a file has, read after Read.
+// MarksRead brings the marks of such a process; it answers ReadMarks.
 type MarksRead struct {
 	Holder ledger.Holder
 	Marks  []HighWaterMark
 }
 
-// Shutdown tells that nothing is spent any more.
+// Shutdown reports that nothing is spent any more.
 type Shutdown struct{}
 
 func (Tick) event()              {}
@@ -175,26 +115,31 @@
 func (MarksRead) event()         {}
 func (Shutdown) event()          {}
 
-// HighWaterMark is the most of an account that may have been spent.
+// HighWaterMark is the most that may have been spent of an account. It is stored as JSON.
 type HighWaterMark struct {
 	Key   ledger.Key `json:"Key"`
 	Spent int64      `json:"Spent"`
 }
 
-// ActionKind says what an Action asks for.
+// ActionKind is what an Action asks for.
 type ActionKind uint8
 
 // The actions.
 const (
-	SendRequests ActionKind = iota // Asks go to the leader
-	Admit                          // the request of Tag may go on, with Hold
-	Reject                         // the request of Tag is refused
-	PersistMarks                   // Marks, all that there are, are to be written under No
-	ReadMarks                      // the file of Holder is to be read, by Found
-	EraseMarks                     // the file of Holder has served
+	SendRequests ActionKind = iota // Requests go to the leader
+	Admit                          // the queued request with Tag is admitted, with Reservation
+	Reject                         // the queued request with Tag is rejected
+	PersistMarks                   // Marks, which are all there are, are to be made durable; MarksPersisted answers with Write
+	ReadMarks                      // the marks of Holder are to be read; MarksRead answers
+	EraseMarks                     // the files of Holder are not needed any more
 )
 
-// Action is something a purse asks for.
+func (k ActionKind) String() string {
+	names := [...]string{"send requests", "admit", "reject", "persist marks", "read marks", "erase marks"}
+	return names[min(k, EraseMarks)]
+}
+
+// Action is an output of the state machine.
 type Action struct {
 	Kind        ActionKind
 	Requests    []message.Request
@@ -202,16 +147,17 @@
 	Reservation Reservation
 	Marks       []HighWaterMark
 	Write       uint64
-
-	Holder ledger.Holder
+	Holder      ledger.Holder
 }
 
-// Status is how a tenant stands here, for those who look.
+// Status is the state of one tenant at this process, for metrics. Amounts are in the operators' unit, times in ms.
 type Status struct {
-	Tenant                        string
-	Free, Reserved                int64
-	Available, AvailableAtPayment int64
-	Queued                        int
-	ExpiresAt                     float64
-	Exhausted                     bool
+	Tenant             string
+	Free               int64 // held here and not reserved
+	Reserved           int64
+	Available          int64 // to the tenant in all, as the leader reported last
+	AvailableAtPayment int64 // the same after the last payment
+	Queued             int   // requests
+	ExpiresAt          float64
+	Exhausted          bool
 }
--- a/internal/cluster/credit/lease/clone.go
+++ b/internal/cluster/credit/lease/clone.go
@@ -7,63 +7,80 @@
 	"strings"
 )
 
-// Clone makes another purse like it, which shares nothing that changes.
-func (p *Manager) Clone() *Manager {
-	c := *p
-	c.actions = nil
-	c.claims = slices.Clone(p.claims)
-	c.classesByValue = slices.Clone(p.classesByValue)
-	c.prepaid = maps.Clone(p.prepaid)
-	c.tenants, c.active = map[string]*tenantState{}, nil
-	for _, tenant := range p.active {
-		x := *tenant
-		x.classRates, x.queue, x.leases = slices.Clone(tenant.classRates), slices.Clone(tenant.queue), nil
-		for _, lease := range tenant.leases {
-			y := *lease
-			y.current.unanswered, y.expired = slices.Clone(lease.current.unanswered), slices.Clone(lease.expired)
-			x.leases = append(x.leases, &y)
-		}
-		c.tenants[x.name] = &x
-		c.active = append(c.active, &x)
+// Clone returns an independent copy, for the model checker.
+func (m *Manager) Clone() *Manager {
+	clone := *m
+	clone.actions = nil
+	clone.claims = slices.Clone(m.claims)
+	clone.classesByValue = slices.Clone(m.classesByValue)
+	clone.prepaid = maps.Clone(m.prepaid)
+	clone.tenants = map[string]*tenantState{}
+	clone.active = nil
+	for _, tenant := range m.active {
+		copied := tenant.clone()
+		clone.tenants[copied.name] = copied
+		clone.active = append(clone.active, copied)
 	}
-	return &c
+	return &clone
 }
 
-// Key is the same for purses that do the same from now on; times are told by how long ago they were.
-func (p *Manager) Key() string {
+func (t *tenantState) clone() *tenantState {
+	clone := *t
+	clone.classRates = slices.Clone(t.classRates)
+	clone.queue = slices.Clone(t.queue)
+	clone.leases = nil
+	for _, lease := range t.leases {
+		copied := *lease
+		copied.current.unanswered = slices.Clone(lease.current.unanswered)
+		copied.expired = slices.Clone(lease.expired)
+		clone.leases = append(clone.leases, &copied)
+	}
+	return &clone
+}
+
+// Key returns a text that is the same for managers that behave the same from now on, for the model checker. Times count back from now.
+func (m *Manager) Key() string {
 	var b strings.Builder
-	ago := func(at float64) float64 {
-		if at == 0 {
-			return -1
-		}
-		return float64(int64((p.now-at)*1000)) / 1000
+	fmt.Fprint(&b, m.self, m.lastGeneration, m.closing, m.lastWrite, "|")
+	for _, tenant := range m.active {
+		m.appendTenantKey(&b, tenant)
 	}
-	fmt.Fprint(&b, p.self, p.lastGeneration, p.closing, p.lastWrite, "|")
-	account := func(a *account) {
-		fmt.Fprint(&b, a.generation, a.sequence, a.granted, a.returned, a.spent, a.reserved, ago(a.expiresAt), ago(a.nextRequestAt), a.persistedMark, a.pendingMark, a.pendingWrite, "[")
-		for _, x := range a.unanswered {
-			fmt.Fprint(&b, x.sequence, ago(x.sentAt), " ")
-		}
+	for _, claim := range m.claims {
+		fmt.Fprint(&b, claim.HighWaterMark, m.since(claim.nextRequestAt), claim.marksRead)
 	}
-	for _, tenant := range p.active {
-		fmt.Fprint(&b, tenant.name, tenant.available, tenant.availableAtPayment, tenant.availableKnown, ago(tenant.exhaustedUntil), "|")
-		for i := range tenant.classRates {
-			fmt.Fprintf(&b, "%.3g ", tenant.classRates[i].perSecond(p.now))
-		}
-		for _, request := range tenant.queue {
-			fmt.Fprint(&b, request.tag, request.class, ago(request.deadline), " ")
-		}
-		for _, lease := range tenant.leases {
-			fmt.Fprintf(&b, "%d %.3g", lease.overdraft, lease.rate.perSecond(p.now))
-			fmt.Fprint(&b, ago(lease.lastUsedAt), ago(lease.requestedAt), lease.reportSoon)
-			account(&lease.current)
-			for i := range lease.expired {
-				account(&lease.expired[i])
-			}
+	return b.String()
+}
+
+// since is how long ago a time was, in ms with three digits, or -1 for one that is not set.
+func (m *Manager) since(at float64) float64 {
+	if at == 0 {
+		return -1
+	}
+	return float64(int64((m.now-at)*1000)) / 1000
+}
+
+func (m *Manager) appendTenantKey(b *strings.Builder, tenant *tenantState) {
+	fmt.Fprint(b, tenant.name, tenant.available, tenant.availableAtPayment, tenant.availableKnown, m.since(tenant.exhaustedUntil), "|")
+	for i := range tenant.classRates {
+		fmt.Fprintf(b, "%.3g ", tenant.classRates[i].perSecond(m.now))
+	}
+	for _, request := range tenant.queue {
+		fmt.Fprint(b, request.tag, request.class, m.since(request.deadline), " ")
+	}
+	for _, lease := range tenant.leases {
+		fmt.Fprintf(b, "%d %.3g", lease.overdraft, lease.rate.perSecond(m.now))
+		fmt.Fprint(b, m.since(lease.lastUsedAt), m.since(lease.requestedAt), lease.reportSoon)
+		m.appendAccountKey(b, &lease.current)
+		for i := range lease.expired {
+			m.appendAccountKey(b, &lease.expired[i])
 		}
 	}
-	for _, w := range p.claims {
-		fmt.Fprint(&b, w.HighWaterMark, ago(w.nextRequestAt), w.marksRead)
+}
+
+func (m *Manager) appendAccountKey(b *strings.Builder, account *account) {
+	fmt.Fprint(b, account.generation, account.sequence, account.granted, account.returned, account.spent, account.reserved,
+		m.since(account.expiresAt), m.since(account.nextRequestAt), account.persistedMark, account.pendingMark, account.pendingWrite, "[")
+	for _, sent := range account.unanswered {
+		fmt.Fprint(b, sent.sequence, m.since(sent.sentAt), " ")
 	}
-	return b.String()
 }
--- a/internal/cluster/credit/lease/purse_test.go
+++ b/internal/cluster/credit/lease/manager_test.go
@@ -34,7 +34,7 @@
 // TestWaitsOnce has a tenant's first request wait for one answer, and the next for nobody.
 func TestWaitsOnce(t *testing.T) {
 	p := New(settings(t), 7, 0)
-	if _, v := p.Reserve(1000, "t", 0, 1, 1, 11); v != Queued {
+	if _, v := p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 11}); v != Queued {
 		t.Fatal(v)
 	}
 	acts := p.Handle(1000, Tick{}, nil)
@@ -46,10 +46,10 @@
 	if len(acts) == 0 || acts[0].Kind != Admit || acts[0].Tag != 11 || acts[0].Reservation.Amount != 10 {
 		t.Fatalf("%+v", acts)
 	}
-	if _, v := p.Reserve(1006, "t", 0, 1, 1, 12); v != Admitted {
+	if _, v := p.Reserve(1006, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 12}); v != Admitted {
 		t.Error(v)
 	}
-	if _, v := p.Reserve(1006, "other", 0, 1, 1, 13); v != Admitted {
+	if _, v := p.Reserve(1006, AdmissionRequest{Tenant: "other", Session: 1, Parts: 1, Tag: 13}); v != Admitted {
 		t.Error("one who does not pay ahead was stopped")
 	}
 }
@@ -58,9 +58,9 @@
 func TestPastItsEnd(t *testing.T) {
 	for _, late := range []float64{999, 10001} {
 		p := New(settings(t), 7, 0)
-		p.Reserve(1000, "t", 0, 1, 1, 1)
+		p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
 		fill(t, p, 1000, 100, 1000, 1000)
-		_, v := p.Reserve(1000+late, "t", 0, 1, 1, 2)
+		_, v := p.Reserve(1000+late, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2})
 		if want := map[bool]Decision{true: Admitted, false: Queued}[late < 10000]; v != want {
 			t.Errorf("after %g ms: %v, want %v", late, v, want)
 		}
@@ -71,9 +71,9 @@
 func TestChargedOnce(t *testing.T) {
 	set := settings(t)
 	p := New(set, 7, 0)
-	p.Reserve(1000, "t", 1, 1, 1, 1)
+	p.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 1, Session: 1, Parts: 1, Tag: 1})
 	fill(t, p, 1000, 200, 1000, 1000)
-	h, v := p.Reserve(1001, "t", 1, 1, 1, 2)
+	h, v := p.Reserve(1001, AdmissionRequest{Tenant: "t", Class: 1, Session: 1, Parts: 1, Tag: 2})
 	if v != Admitted || h.Amount != 50 {
 		t.Fatal(h, v)
 	}
@@ -105,13 +105,13 @@
 	set := settings(t)
 	set.ThrottleBelow, set.Classes[1] = 0.5, Class{Price: Price{PerRequest: 10}, PriorityWeight: 1}
 	p := New(set, 7, 0)
-	p.Reserve(1000, "t", 0, 1, 1, 1)
+	p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
 	fill(t, p, 1000, 100000, 250, 1000) // half of what is slowed below
 	n := map[int]int{}
 	for i := range 2000 {
 		now := 1001 + float64(i)
 		for class := range 2 {
-			h, v := p.Reserve(now, "t", class, SessionNumber(string(rune(i%100))), 1, 9)
+			h, v := p.Reserve(now, AdmissionRequest{Tenant: "t", Class: class, Session: SessionNumber(string(rune(i % 100))), Parts: 1, Tag: 9})
 			if v == Admitted {
 				n[class]++
 				p.Settle(&h, Usage{})
@@ -121,7 +121,7 @@
 	if n[0] < 1980 || n[1] > 100 {
 		t.Errorf("of the most worth %d were let in, of the least %d; want nearly 2000 and few", n[0], n[1])
 	}
-	if _, v := p.Reserve(3001, "t", 2, 1, 1, 1); v != Admitted {
+	if _, v := p.Reserve(3001, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 1}); v != Admitted {
 		t.Error("work that must not stop was slowed:", v)
 	}
 }
@@ -129,7 +129,7 @@
 // TestOverdraft has only its own class go on beyond the funds, by what it holds for that.
 func TestOverdraft(t *testing.T) {
 	p := New(settings(t), 7, 0)
-	p.Reserve(1000, "t", 2, 1, 1, 1)
+	p.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 1})
 	for _, a := range p.Handle(1000, Tick{}, nil) {
 		for _, x := range a.Requests {
 			if x.Key.Overdraft == 40 {
@@ -137,10 +137,10 @@
 			}
 		}
 	}
-	if _, v := p.Reserve(1002, "t", 0, 1, 1, 2); v == Admitted {
+	if _, v := p.Reserve(1002, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2}); v == Admitted {
 		t.Error("another class spent of the overdraft")
 	}
-	if _, v := p.Reserve(1002, "t", 2, 1, 1, 3); v != Admitted {
+	if _, v := p.Reserve(1002, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 3}); v != Admitted {
 		t.Error(v)
 	}
 }
@@ -150,7 +150,7 @@
 	set := settings(t)
 	set.PersistMarks = true
 	p := New(set, 7, 0)
-	p.Reserve(1000, "t", 0, 1, 1, 1)
+	p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
 	acts := p.Handle(1000, Tick{}, nil)
 	k := acts[0].Requests[0]
 	acts = p.Handle(1001, ResponsesReceived{[]message.Response{{Key: k.Key, Sequence: k.Sequence, Granted: 100, Available: 1000, AvailableAtPayment: 1000}}}, nil)
@@ -198,7 +198,7 @@
 	p.tenantFor("t").lease(0).current = account{generation: 1, granted: 1 << 50, expiresAt: 1e6}
 	b.ReportAllocs()
 	for b.Loop() {
-		h, v := p.Reserve(1002, "t", 0, 1, 1, 2)
+		h, v := p.Reserve(1002, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2})
 		if v != Admitted {
 			b.Fatal(v)
 		}
--- /dev/null
+++ b/internal/cluster/credit/lease/rate.go
@@ -0,0 +1,20 @@
+package lease
+
+import "math"
+
+const (
+	rateWindowMs   = 1000
+	negligibleRate = 1e-3 // units a second; what is below counts as no demand
+)
+
+// rateMeter measures how much is counted a second, with an exponentially decaying window of rateWindowMs.
+type rateMeter struct{ amount, updatedAt float64 }
+
+func (r *rateMeter) add(now, amount float64) {
+	r.amount = r.amount*math.Exp(-max(0, now-r.updatedAt)/rateWindowMs) + amount
+	r.updatedAt = max(r.updatedAt, now)
+}
+
+func (r *rateMeter) perSecond(now float64) float64 {
+	return r.amount * math.Exp(-max(0, now-r.updatedAt)/rateWindowMs) * 1000 / rateWindowMs
+}
--- a/internal/cluster/credit/lessor/clone.go
+++ b/internal/cluster/credit/lessor/clone.go
@@ -5,52 +5,52 @@
 	"maps"
 	"slices"
 	"strings"
-
-	"beechgrade/internal/cluster/credit/ledger"
 )
 
-// Clone makes another like it, with books of its own.
-func (b *Lessor) Clone() *Lessor {
-	c := *b
-	c.actions = nil
-	c.ledger = b.ledger.Clone()
-	c.requests, c.payments, c.activeAccounts, c.expiredAccounts = slices.Clone(b.requests), slices.Clone(b.payments), slices.Clone(b.activeAccounts), slices.Clone(b.expiredAccounts)
-	c.inFlight, c.requestIndex = slices.Clone(b.inFlight), maps.Clone(b.requestIndex)
-	c.demand, c.recalledAt = map[string][]spendReport{}, maps.Clone(b.recalledAt)
-	for k, l := range b.demand {
-		c.demand[k] = slices.Clone(l)
+// Clone returns an independent copy with a ledger of its own, for the model checker.
+func (l *Lessor) Clone() *Lessor {
+	clone := *l
+	clone.actions = nil
+	clone.ledger = l.ledger.Clone()
+	clone.requests = slices.Clone(l.requests)
+	clone.requestIndex = maps.Clone(l.requestIndex)
+	clone.payments = slices.Clone(l.payments)
+	clone.inFlight = slices.Clone(l.inFlight)
+	clone.activeAccounts = slices.Clone(l.activeAccounts)
+	clone.expiredAccounts = slices.Clone(l.expiredAccounts)
+	clone.demand = map[string][]spendReport{}
+	for tenant, reports := range l.demand {
+		clone.demand[tenant] = slices.Clone(reports)
 	}
-	return &c
+	clone.recalledAt = maps.Clone(l.recalledAt)
+	return &clone
 }
 
-// Ledger are those that it has.
-func (b *Lessor) Ledger() *ledger.Ledger { return b.ledger }
-
-// IsLeader tells whether it was told that it leads.
-func (b *Lessor) IsLeader() bool { return b.isLeader }
-
-// Key is the same for banks that do the same from now on.
-func (b *Lessor) Key() string {
-	var s strings.Builder
-	ago := func(at float64) float64 { return float64(int64((b.now-at)*1000)) / 1000 }
-	fmt.Fprint(&s, b.isLeader, len(b.inFlight), ago(max(b.proposedAt, b.now-10*b.settings.ProposalTimeout)), "|")
-	for _, p := range b.requests {
-		fmt.Fprint(&s, p.Request, ago(p.receivedAt))
+// Key returns a text that is the same for lessors that behave the same from now on, for the model checker. Times count back from now.
+func (l *Lessor) Key() string {
+	var b strings.Builder
+	oldest := l.now - 10*l.settings.ProposalTimeout
+	fmt.Fprint(&b, l.isLeader, len(l.inFlight), l.since(max(l.proposedAt, oldest)), "|")
+	for _, request := range l.requests {
+		fmt.Fprint(&b, request.Request, l.since(request.receivedAt))
 	}
-	for _, d := range b.activeAccounts {
-		if b.isCurrent(d) {
-			fmt.Fprint(&s, d.key, d.sequence, ago(d.appliedAt))
+	for _, account := range l.activeAccounts {
+		if l.isCurrent(account) {
+			fmt.Fprint(&b, account.key, account.sequence, l.since(account.appliedAt))
 		}
 	}
-	for _, d := range b.expiredAccounts {
-		fmt.Fprint(&s, "e", d.key)
+	for _, account := range l.expiredAccounts {
+		fmt.Fprint(&b, "e", account.key)
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.demand)) {
-		for _, x := range b.demand[name] {
-			fmt.Fprint(&s, name, x.holder, x.rate, ago(x.reportedAt))
+	for _, tenant := range slices.Sorted(maps.Keys(l.demand)) {
+		for _, report := range l.demand[tenant] {
+			fmt.Fprint(&b, tenant, report.holder, report.rate, l.since(report.reportedAt))
 		}
 	}
-	s.Write(b.ledger.Snapshot())
-	fmt.Fprint(&s, len(b.payments), len(b.recalledAt))
-	return s.String()
+	b.Write(l.ledger.Snapshot())
+	fmt.Fprint(&b, len(l.payments), len(l.recalledAt))
+	return b.String()
 }
+
+// since is how long ago a time was, in ms with three digits.
+func (l *Lessor) since(at float64) float64 { return float64(int64((l.now-at)*1000)) / 1000 }
--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -266,7 +266,7 @@
 	x := s.poolers[i]
 	s.tag++
 	s.Asked++
-	h, v := x.p.Reserve(s.clockOf(i), CreditTenant, 0, s.tag, 1, s.tag)
+	h, v := x.p.Reserve(s.clockOf(i), lease.AdmissionRequest{Tenant: CreditTenant, Session: s.tag, Parts: 1, Tag: s.tag})
 	switch v {
 	case lease.Admitted:
 		s.admit(x, h)
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -103,7 +103,7 @@
 	if !ok {
 		return lease.Reservation{}, lease.Admitted
 	}
-	return x.c.Reserve(tenant, i, lease.SessionNumber(session), 1, tag)
+	return x.c.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: i, Session: lease.SessionNumber(session), Parts: 1, Tag: tag})
 }
 
 // Settle is core.Credit's.
