--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -19,12 +19,12 @@
 	}
 	p.poolingAddr = o.Listen
 	p.pooling = pooling.New(p.loop, p.log, pooling.Options{Pools: o.Pools, ConnectMs: p.cfg.ConnectTimeoutMs, GraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace),
-		Roles: [2]string{"primary", "replica"}, PositionName: "applied_ms", MaxMessage: o.MaxMessageBytes, MaxAnswer: o.MaxResponseBytes, Expire: p.core.Expire,
+		Roles: serverRoles, PositionName: positionParameter, MaxMessage: o.MaxMessageBytes, MaxAnswer: o.MaxResponseBytes, Expire: p.core.Expire,
 		Spare: p.spareConns, Scatter: p.scatter}, p.core, p.core)
 }
 
-// listen opens the second front's address.
-func (p *pooler) listen() {
+// listenPooling opens the address of the pooling frontend.
+func (p *pooler) listenPooling() {
 	at, stop, err := p.loop.Listen(p.poolingAddr, p.pooling.Accept)
 	if err != nil {
 		p.log.Error("pooling", "err", err)
@@ -50,7 +50,7 @@
 		stop()
 		return
 	}
-	p.loop.At(now+drainMs, stop)
+	p.loop.At(now+acceptAfterTermMs, stop)
 }
 
 // servers are what carries out attempts: the platform's connections, and those of the other fronts.
--- a/cmd/beechgrade/queue_ends_test.go
+++ b/cmd/beechgrade/queue_ends_test.go
@@ -35,16 +35,16 @@
 		}
 	}
 	p.loop.Post(func() {
-		end, check := p.loop.Now()+drainMs, p.loop.AfterCallback
+		end, check := p.loop.Now()+acceptAfterTermMs, p.loop.AfterCallback
 		p.loop.AfterCallback = func() {
-			if check(); p.loop.Now() < end-2*pollMs {
+			if check(); p.loop.Now() < end-2*stopPollMs {
 				return
 			}
 			p.loop.AfterCallback = check
-			for p.loop.Now() < end+pollMs { // what is due until the process ends comes in the next turn, all of it...
+			for p.loop.Now() < end+stopPollMs { // what is due until the process ends comes in the next turn, all of it...
 				time.Sleep(time.Millisecond)
 			}
-			p.loop.At(end-2*pollMs, dial) // ...and this first: the look that ends the process is behind it, before the loop hears of the connections
+			p.loop.At(end-2*stopPollMs, dial) // ...and this first: the look that ends the process is behind it, before the loop hears of the connections
 		}
 		p.handleLifecycle(lifecycle.Terminate)
 	})
--- /dev/null
+++ b/cmd/beechgrade/recorder.go
@@ -0,0 +1,53 @@
+package main
+
+import (
+	"cmp"
+
+	"beechgrade/internal/core"
+	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/record"
+	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/settings"
+)
+
+// gaugeIntervalMs is the time between two records of how many connections there are.
+const gaugeIntervalMs = 1000
+
+// openRecorder opens the recorder of events, where the settings have it on. closeRecorder ends it, after the loop has ended.
+func (p *pooler) openRecorder(o settings.Record) (closeRecorder func()) {
+	if !o.Enabled {
+		return func() {}
+	}
+	rec, end := record.Start(record.Options{Pooler: p.cfg.Name, Program: version(), Run: p.loop.Now(),
+		Classes: core.RecordClasses(p.cfg.Classes, p.cfg.Settings.Classes), Files: cmp.Or(p.files, record.Files(record.Dir(o.Dir))),
+		SegmentBytes: o.SegmentBytes, TotalBytes: o.TotalBytes, Events: o.QueueLength, FlushMs: o.FlushIntervalMs, Pack: o.Compress, Log: p.log,
+		ColdFrom: p.cfg.Settings.SlowStartFrom, ColdMs: clock.ToMillis(p.cfg.Settings.SlowStartTime), GraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace)})
+	p.core.SetRecorder(rec)
+	if p.pooling != nil {
+		p.pooling.Record(rec)
+	}
+	if p.sources != nil {
+		p.sources.members.SetRecorder(rec)
+	}
+	p.recordsGauges = true
+	return func() {
+		p.core.Note(recordpb.Kind_KIND_STOP, "") // the loop has ended
+		end()
+	}
+}
+
+// gauge records how many clients and connections to servers there are, and does so again after gaugeIntervalMs.
+func (p *pooler) gauge() {
+	sessions, conns := p.platform.Sessions(), p.backend.Conns()
+	if p.pooling != nil {
+		sessions, conns = sessions+p.pooling.Sessions(), conns+p.pooling.Conns()
+	}
+	if p.scatter != nil {
+		conns += p.scatter.Conns()
+	}
+	if p.clickhouse != nil {
+		sessions, conns = sessions+p.clickhouse.Sessions(), conns+p.clickhouse.Conns()
+	}
+	p.core.Gauge(sessions, conns)
+	p.loop.At(p.loop.Now()+gaugeIntervalMs, p.gauge)
+}
--- /dev/null
+++ b/cmd/beechgrade/reload.go
@@ -0,0 +1,119 @@
+package main
+
+import (
+	"os"
+	"slices"
+	"strings"
+
+	"beechgrade/internal/config"
+	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/settings"
+)
+
+// reloader reads one subsystem's settings again after SIGHUP.
+type reloader struct {
+	failure string // the log's message where the settings cannot be read; those in force stay
+	read    func() (apply func(), err error)
+}
+
+// reloadConfig reads the configuration again, and adds the classes of the optional frontends.
+func reloadConfig(set *settings.Settings) (*config.Config, error) {
+	next, err := config.Reload(os.Getenv)
+	if err == nil {
+		err = set.Pooling.Check(next.Classes)
+	}
+	if err != nil {
+		return nil, err
+	}
+	set.Pooling.AddClasses(next)
+	set.ClickHouse.AddClasses(next)
+	return next, nil
+}
+
+// settingsReloaders returns the reloaders of the subsystems that are on. apply runs on the event loop.
+func (p *pooler) settingsReloaders(settingsFile string) []reloader {
+	load := func(apply func(next *settings.Settings)) func() (func(), error) {
+		return func() (func(), error) {
+			next, err := settings.Load(settingsFile, os.Getenv)
+			if err != nil {
+				return nil, err
+			}
+			return func() { apply(next) }, nil
+		}
+	}
+	var all []reloader
+	if p.peers != nil {
+		all = append(all, reloader{"fleet limits: the old ones stay", load(func(next *settings.Settings) { p.reloadLimits(next.FleetLimits) })})
+	}
+	if p.credit != nil {
+		all = append(all, reloader{"credit: the old prices and payments stay", load(func(next *settings.Settings) { p.credit.reload(next.Credit) })})
+	}
+	if p.zones != nil {
+		all = append(all, reloader{"zones: the old orders stay", load(func(next *settings.Settings) { p.zones.reload(next.Zones) })})
+	}
+	return all
+}
+
+// reload reads everything again that may change while serving. It runs off the event loop.
+func (p *pooler) reload() {
+	next, err := p.load()
+	if err != nil {
+		p.loop.Post(func() { p.rejectConfig(err) })
+		return
+	}
+	p.loop.Post(func() { p.apply(next) })
+	for _, r := range p.reloaders {
+		apply, err := r.read()
+		if err != nil {
+			p.loop.Post(func() { p.log.Error(r.failure, "err", err) })
+			continue
+		}
+		p.loop.Post(apply)
+	}
+	if p.sources == nil {
+		return
+	}
+	files, err := p.sources.read()
+	if err != nil {
+		p.log.Error("membership: what cannot be read stays as it was", "err", err)
+	}
+	p.loop.Post(func() { p.sources.take(files) })
+}
+
+// rejectConfig logs and counts a configuration that cannot be used.
+func (p *pooler) rejectConfig(err error) {
+	p.log.Error("configuration not taken; the old one stays", "err", err)
+	p.core.Figures().ReloadsRejected++
+}
+
+// apply puts a new configuration in force, but for what needs a restart, which the log names.
+func (p *pooler) apply(next *config.Config) {
+	if err := p.cfg.CheckKeys(next); err != nil {
+		p.rejectConfig(err)
+		return
+	}
+	p.saveConfig(next, os.Getenv("EDGE_CONFIG"))
+	changed, kept := p.cfg.Apply(next)
+	if p.core.Figures().ReloadsAccepted++; slices.Contains(changed, "settings") {
+		p.core.Reload()
+	}
+	p.log.Info("configuration read again", "changed", changed)
+	p.core.Note(recordpb.Kind_KIND_RELOAD, strings.Join(changed, ", "))
+	if len(kept) > 0 {
+		p.log.Warn("cannot change while serving, needs a restart", "kept", kept)
+	}
+	limitMemory(p.cfg, 1+p.otherProcesses)
+	p.backend.SetTimes(p.cfg.ConnectTimeoutMs, p.cfg.ServerIdleTimeoutMs*closeIdlePart)
+	if p.sources == nil || p.sources.set.Options.Platform {
+		if slices.Contains(changed, "discovery") { // its generations are its own
+			p.list.gen, p.list.restarts, p.list.received = 0, 0, false
+		}
+		p.discovery.SetAddress(p.cfg.DiscoveryAddress)
+	}
+	p.push()
+}
+
+// push has discovery keep a watch open where the settings say that lists are pushed.
+func (p *pooler) push() {
+	p.discovery.SetPushMode(!p.cfg.Settings.WatchList && (p.sources == nil || p.sources.set.Options.Platform))
+}
--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -236,7 +236,7 @@
 // TestStopUnderClients: after SIGTERM clients send on every connection that stays open, one request behind the other, and open new
 // ones for a while. Every request that was taken has its answer, and the process is gone before it may be killed. A close may cross a request
 // that was not read; no answer may be cut short or late. A client that asks again at once upon each answer need never be seen idle, so at the very end
-// (from drainEnd behind the longest deadline on) what it asks is refused, and nothing else but its connection's end comes behind that.
+// (from endPartialAfterMs behind the longest deadline on) what it asks is refused, and nothing else but its connection's end comes behind that.
 func TestStopUnderClients(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
@@ -287,7 +287,7 @@
 			mu.Lock()
 			counts[got]++
 			if got == sentAwayWord {
-				if told.IsZero() || time.Since(told) < longest+drainEnd*time.Millisecond {
+				if told.IsZero() || time.Since(told) < longest+endPartialAfterMs*time.Millisecond {
 					early++
 				}
 				sentAway = true
@@ -378,7 +378,7 @@
 		clients = append(clients, c)
 		time.AfterFunc(time.Until(began.Add(longest-50*time.Millisecond)), func() { c.send(query(fmt.Sprint("hang", n), "read", 550)) }) // it would wait beyond the end
 	}
-	time.Sleep(time.Until(began.Add(longest + (drainEnd-200)*time.Millisecond)))
+	time.Sleep(time.Until(began.Add(longest + (endPartialAfterMs-200)*time.Millisecond)))
 	stands, goes := make(chan bool), make(chan bool)
 	open := 0
 	p.loop.Post(func() { open = p.core.OpenRequests(); close(stands); <-goes })
@@ -386,7 +386,7 @@
 	for n, c := range clients {
 		c.send(query(fmt.Sprint("next", n), "read", 500))
 	}
-	time.Sleep(time.Until(began.Add(longest + (drainEnd+20)*time.Millisecond)))
+	time.Sleep(time.Until(began.Add(longest + (endPartialAfterMs+20)*time.Millisecond)))
 	close(goes)
 	told := map[string]int{}
 	for _, c := range clients {
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"sync"
 	"time"
@@ -10,8 +9,6 @@
 	"beechgrade/internal/endpoints/discovery"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/lifecycle/handover"
-
-	"golang.org/x/sys/unix"
 )
 
 const (
@@ -138,26 +135,6 @@
 	}
 }
 
-// sockets is how many descriptors this process may hold, of those that the machine has. The system's limit holds for each process alone.
-func (p *pooler) sockets() int {
-	if p.otherProcesses == 0 {
-		return min(p.descriptorLimit, p.cfg.Limits.Sockets)
-	}
-	return min(p.descriptorLimit, max(2*reservedDescriptors, p.cfg.Limits.Sockets-p.othersDescriptors))
-}
-
-// descriptorLimit is how many descriptors the system lets this process have. Beyond it nothing can be accepted or dialled.
-func systemLimit() int {
-	var limit unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
-		return math.MaxInt
-	}
-	return int(min(limit.Cur, math.MaxInt32))
-}
-
-// memory is how many bytes this process may take.
-func (p *pooler) memory() int { return p.cfg.Limits.MemoryMB << 20 / (1 + p.otherProcesses) }
-
 // state is what this process tells the others.
 func (p *pooler) state() *handover.State {
 	held := uncountedDescriptors + p.platform.Sessions() + p.backend.Conns() + p.heldBeside()
