--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -27,7 +27,7 @@
 type raftLog struct {
 	pooler    *pooler
 	set       settings.RaftLog
-	adapter   *adapter.Part
+	adapter   *adapter.Adapter
 	users     *raftlog.MachineMux
 	observers []func(a *raftlog.Action) // users who want to know what happens
 	store     *store.Store
@@ -62,7 +62,7 @@
 	l.users.Add(raftlog.CounterEntries, &l.counter)
 	s := set.Settings
 	s.Self, s.Seed, s.Checks = p.cfg.Name, rand.Uint64(), p.checks
-	l.adapter = adapter.New(p.peers, adapter.Options{Settings: s, Machine: l.users, Told: l.observe})
+	l.adapter = adapter.New(p.peers, adapter.Options{Settings: s, Machine: l.users, Observe: l.observe})
 	p.peers.Register(l.adapter)
 	p.raftLog = l
 	return func() {
@@ -113,7 +113,7 @@
 					l.pooler.recover("agreed", rec)
 					l.pooler.recordRecovered()
 				}
-				l.adapter.Begin(l, records, err)
+				l.adapter.Start(l, records, err)
 			})
 			return
 		}
@@ -181,7 +181,7 @@
 		if now >= w.at+l.set.Settings.ForwardTimeout() {
 			w.at = now
 			l.propose(w.number)
-			if !l.adapter.Standing().IsVoter { // it hears nothing of what came of it: twice will do
+			if !l.adapter.Status().IsVoter { // it hears nothing of what came of it: twice will do
 				continue
 			}
 		}
@@ -196,7 +196,7 @@
 	l.proposalsDue = min(l.proposalsDue, l.set.WitnessPerSecond)
 	if now >= l.logAt {
 		l.logAt = now + logIntervalMs
-		s := l.adapter.Standing()
+		s := l.adapter.Status()
 		slices.Sort(l.latencies)
 		half, most := 0.0, 0.0
 		if n := len(l.latencies); n > 0 {
@@ -227,10 +227,10 @@
 		return
 	}
 	l, log := p.raftLog, s.Scope("agreed")
-	now, n := l.adapter.Standing(), l.adapter.Counts()
+	now, n := l.adapter.Status(), l.adapter.Counts()
 	log.BoolGauge("part", now.Participates)
 	log.BoolGauge("leads", now.IsLeader)
-	log.BoolGauge("broke", n.Broke != "")
+	log.BoolGauge("broke", n.StopReason != "")
 	log.BoolGauge("changes", now.ChangingVoters)
 	log.IntGauge("term", int64(now.Term))
 	log.IntGauge("last", int64(now.LastIndex))
--- a/internal/testkit/simulation/agreed.go
+++ b/internal/testkit/simulation/agreed.go
@@ -49,7 +49,7 @@
 }
 
 // Join makes a process's part in the log.
-func (c *CommonLog) Join(h Host, m raftlog.Machine, told func(a *raftlog.Action)) *adapter.Part {
+func (c *CommonLog) Join(h Host, m raftlog.Machine, told func(a *raftlog.Action)) *adapter.Adapter {
 	if c.disks == nil {
 		c.disks, c.rng = map[int]*platter{}, rand.New(rand.NewPCG(c.Seed, 33))
 	}
@@ -59,7 +59,7 @@
 		set.Voters = append(set.Voters, h.x.p.e.poolerName(i))
 	}
 	set.Self, set.Seed, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Life()), h.x.p.e.checks
-	p := adapter.New(h, adapter.Options{Settings: set, Machine: m, Told: told})
+	p := adapter.New(h, adapter.Options{Settings: set, Machine: m, Observe: told})
 	if h.No() >= c.Voters {
 		return p
 	}
@@ -73,7 +73,7 @@
 	for _, k := range slices.Sorted(maps.Keys(d.records)) {
 		records = append(records, raftlog.Record{Key: k, Value: d.records[k]})
 	}
-	h.At(h.Now(), func() { p.Begin(written{d, h}, records, nil) })
+	h.At(h.Now(), func() { p.Start(written{d, h}, records, nil) })
 	return p
 }
 
--- a/internal/testkit/simulation/agreed_test.go
+++ b/internal/testkit/simulation/agreed_test.go
@@ -22,7 +22,7 @@
 	leadMs  []float64 // without a leader
 	lost    float64   // since when nobody leads
 	most    uint64
-	parts   map[int]*adapter.Part
+	parts   map[int]*adapter.Adapter
 	tallies map[int]*counter.Counter
 }
 
@@ -86,14 +86,14 @@
 
 // looks has one look whether another leads that is about to be killed.
 func (x *tries) looks(h Host, whom, by int) {
-	if h.No() == by && x.parts[whom].Standing().IsLeader {
+	if h.No() == by && x.parts[whom].Status().IsLeader {
 		x.lost = h.Now()
 	}
 }
 
 func play5(t *testing.T, seed uint64, voters, poolers int, each float64, script string) (*tries, string) {
 	x := &tries{t: t, log: &CommonLog{Settings: raftlog.Defaults(), Voters: voters, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: each,
-		sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Part{}, tallies: map[int]*counter.Counter{}}
+		sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Adapter{}, tallies: map[int]*counter.Counter{}}
 	x.log.Settings.SnapshotEntries, x.log.Settings.KeepEntries = 1000, 100
 	r := play(t, parse(t, `(rehearsal "agreed" (groups 3) (rate 20) (peers) (poolers `+strconv.Itoa(poolers)+`) `+script+`)`), Options{Seed: seed, Parts: []Joined{x.join}})
 	least := x.most
@@ -130,7 +130,7 @@
 	bound := 0.0
 	for seed := range uint64(4) {
 		x := &tries{t: t, log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: 20,
-			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Part{}, tallies: map[int]*counter.Counter{}}
+			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Adapter{}, tallies: map[int]*counter.Counter{}}
 		s := parse(t, `(rehearsal "agreed" (groups 3) (rate 5) (seconds 40) (peers) (poolers 3) (at 12s (kill-pooler 0) (for 4s)) (at 22s (kill-pooler 1) (for 4s)) (at 32s (kill-pooler 2) (for 4s)))`)
 		bound = x.log.Settings.ElectionBound(s.Way[1], 2)
 		play(t, s, Options{Seed: seed, Parts: []Joined{func(h Host) []module.Module {
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -32,7 +32,7 @@
 	h       Host
 	of      ledger.Holder
 	c       *credit.Credit
-	log     *adapter.Part
+	log     *adapter.Adapter
 	classes map[string]int
 	names   []string
 }
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -25,7 +25,7 @@
 	*Zoned
 	h   Host
 	j   *adapter.Joined
-	log *raftadapter.Part
+	log *raftadapter.Adapter
 }
 
 // Join makes a process's parts: the log's and zones'.
