--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -26,7 +26,7 @@
 		p.overload.Check(c, every)
 	}
 	if p.outlier != nil {
-		p.outlier.Check(c, every)
+		p.outlier.CheckInvariants(c, every)
 	}
 	if p.commits != nil {
 		p.commits.UseChecks(c, every)
--- a/cmd/beechgrade/outlier.go
+++ b/cmd/beechgrade/outlier.go
@@ -20,7 +20,7 @@
 		return
 	}
 	p.outlier = adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
-	p.outlier.OnEjection(func(s outlier.Standing, begins bool) {
+	p.outlier.OnEjection(func(s outlier.Ejection, begins bool) {
 		p.core.Note(recordpb.Kind_KIND_AVOIDED, ejectionText(s, begins))
 	})
 	p.core.SetServerObserver(p.outlier)
@@ -28,7 +28,7 @@
 }
 
 // ejectionText is what the records have of a server that is avoided from now on by others' word, or no more.
-func ejectionText(s outlier.Standing, begins bool) string {
+func ejectionText(s outlier.Ejection, begins bool) string {
 	if !begins {
 		return s.Server + ": no more"
 	}
@@ -55,5 +55,5 @@
 		of.Info("why", v.Reason)
 		of.Info("by", idsText(v.ReportedBy))
 	}
-	part.IntGauge("own_links", int64(p.outlier.Lonely()))
+	part.IntGauge("own_links", int64(p.outlier.LocallyUnreachable()))
 }
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -73,7 +73,7 @@
 	expectedPoolers int
 	limits          *fleetLimits
 	overload        *adapter.Joined
-	outlier         *outlieradapter.Joined
+	outlier         *outlieradapter.Adapter
 	raftLog         *raftLog
 	credit          *creditGate
 	zones           *zoneFailover
--- a/internal/cluster/outlier/adapter/honest.go
+++ b/internal/cluster/outlier/adapter/honest.go
@@ -4,6 +4,6 @@
 
 import "beechgrade/internal/cluster/outlier"
 
-// told and said are what is told in truth; rehearsals build a program that lies with the tag liar.
-func told(t *outlier.Tell) *outlier.Tell { return t }
-func said(w *outlier.Word) *outlier.Word { return w }
+// outgoingObservations and said are what is told in truth; rehearsals build a program that lies with the tag liar.
+func outgoingObservations(t *outlier.Observations) *outlier.Observations { return t }
+func outgoingAssessments(w *outlier.Assessments) *outlier.Assessments    { return w }
--- a/internal/cluster/outlier/adapter/joined.go
+++ b/internal/cluster/outlier/adapter/joined.go
@@ -29,85 +29,87 @@
 }
 
 // Options say what is shared, and how.
-type Options struct{ Set outlier.Settings }
+type Options struct{ Settings outlier.Settings }
 
-// Told hears of each server that this pooler begins or ends to avoid by others' word.
-type Told func(s outlier.Standing, begins bool)
+// EjectionObserver hears of each server that this pooler begins or ends to avoid by others' word.
+type EjectionObserver func(s outlier.Ejection, begins bool)
 
-// Joined is a pooler's side. It is part.Part and core.Witness.
-type Joined struct {
-	opt    Options
-	core   Core
-	host   Host
-	v      *outlier.Verdicts // nil until somebody is known
-	acts   []outlier.Action
-	listed map[string]outlier.Server
-	kinds  map[string]float64 // rates of the servers, as learned
-	works  []float64
-	learnt float64
-	told   Told // may be nil
-	checks *invariant.Checks
-	every  int
+// Adapter is a pooler's side. It is part.Part and core.Witness.
+type Adapter struct {
+	options       Options
+	core          Core
+	host          Host
+	detector      *outlier.Detector // nil until somebody is known
+	actions       []outlier.Action
+	listed        map[string]outlier.Server
+	serverRates   map[string]float64 // rates of the servers, as learned
+	classWork     []float64
+	learnedAt     float64
+	onEjection    EjectionObserver // may be nil
+	checks        *invariant.Checks
+	checkInterval int
 }
 
 // New makes one; it is to be joined to the peers and to the core.
-func New(opt Options, c Core, h Host) *Joined {
-	return &Joined{opt: opt, core: c, host: h, listed: map[string]outlier.Server{}, kinds: map[string]float64{}}
+func New(opt Options, c Core, h Host) *Adapter {
+	return &Adapter{options: opt, core: c, host: h, listed: map[string]outlier.Server{}, serverRates: map[string]float64{}}
 }
 
 // OnEjection has somebody hear of what is avoided.
-func (j *Joined) OnEjection(to Told) { j.told = to }
+func (adapter *Adapter) OnEjection(to EjectionObserver) { adapter.onEjection = to }
 
-// Check has its invariants checked.
-func (j *Joined) Check(c *invariant.Checks, every int) {
-	if j.checks, j.every = c, every; j.v != nil {
-		j.v.Check(c, every)
+// CheckInvariants has its invariants checked.
+func (adapter *Adapter) CheckInvariants(c *invariant.Checks, every int) {
+	if adapter.checks, adapter.checkInterval = c, every; adapter.detector != nil {
+		adapter.detector.CheckInvariants(c, every)
 	}
 }
 
-// learnMs is between two looks at what requests cost.
-const learnMs = 1000
+// learnIntervalMs is between two looks at what requests cost.
+const learnIntervalMs = 1000
 
 // Kind is part.Part's.
-func (j *Joined) Kind() view.Kind { return module.KindOutlier }
+func (adapter *Adapter) Kind() view.Kind { return module.KindOutlier }
 
 // Decode is part.Part's.
-func (j *Joined) Decode(b []byte) (any, error) { return outlier.Read(b) }
+func (adapter *Adapter) Decode(b []byte) (any, error) { return outlier.Decode(b) }
 
 // UpdateMembers is part.Part's.
-func (j *Joined) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
+func (adapter *Adapter) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	var peers []outlier.Peer
 	for i := range all {
 		if r := &all[i]; r.ID == self || r.State <= view.Suspect {
 			peers = append(peers, outlier.Peer{ID: r.ID, Addr: r.Addr, Zone: r.Zone})
 		}
 	}
-	began := j.v == nil
+	began := adapter.detector == nil
 	if began {
-		j.v = outlier.New(j.opt.Set, self, j.host.Now())
-		j.v.Check(j.checks, j.every)
+		adapter.detector = outlier.New(adapter.options.Settings, self, adapter.host.Now())
+		adapter.detector.CheckInvariants(adapter.checks, adapter.checkInterval)
 	}
-	j.do(outlier.Members{Self: self, Peers: peers})
+	adapter.handle(outlier.MembersChanged{Self: self, Peers: peers})
 	if began {
-		j.list()
+		adapter.updateServers()
 	}
 }
 
 // Receive is part.Part's.
-func (j *Joined) Receive(from view.ID, m any) { j.do(outlier.Heard{From: from, Message: m}) }
+func (adapter *Adapter) Receive(from view.ID, m any) {
+	adapter.handle(outlier.Received{From: from, Message: m})
+}
 
 // Tick is part.Part's.
-func (j *Joined) Tick() {
-	if now := j.host.Now(); now-j.learnt >= learnMs || len(j.works) == 0 {
-		j.learnt = now
-		j.learn(j.core.Snapshot())
+func (adapter *Adapter) Tick() {
+	if now := adapter.host.Now(); now-adapter.learnedAt >= learnIntervalMs || len(adapter.classWork) == 0 {
+		adapter.learnedAt = now
+		adapter.learn(adapter.core.Snapshot())
 	}
-	j.do(outlier.Tick{})
+	adapter.handle(outlier.Tick{})
 }
 
 // learn takes what requests cost, and which servers the module takes for down.
-func (j *Joined) learn(m *decide.Snapshot) {
-	j.works = m.ClassWork
+func (adapter *Adapter) learn(m *decide.Snapshot) {
+	adapter.classWork = m.ClassWork
 	rate := 0.0
 	for _, x := range m.KindRates { // the least
 		if rate == 0 || x < rate {
@@ -120,21 +122,21 @@
 	var down []string
 	for i := range m.Servers {
 		s := &m.Servers[i]
-		if j.kinds[string(s.ID)] = s.RelativeRate * rate; s.Ejected {
+		if adapter.serverRates[string(s.ID)] = s.RelativeRate * rate; s.Ejected {
 			down = append(down, string(s.ID))
 		}
 	}
 	slices.Sort(down)
-	j.do(outlier.Downs{Servers: down})
+	adapter.handle(outlier.ServersDown{Servers: down})
 }
 
 // Leave is part.Part's: what it told fades by itself.
-func (j *Joined) Leave() {}
+func (adapter *Adapter) Leave() {}
 
 // Listed is core.Witness's.
-func (j *Joined) Listed(l *discovery.List, whole bool) {
+func (adapter *Adapter) Listed(l *discovery.List, whole bool) {
 	if whole {
-		clear(j.listed)
+		clear(adapter.listed)
 	}
 	for i := range l.Instances {
 		n := &l.Instances[i]
@@ -142,117 +144,119 @@
 			continue
 		}
 		if n.Lifecycle == "removed" {
-			delete(j.listed, n.ID)
+			delete(adapter.listed, n.ID)
 			continue
 		}
-		j.listed[n.ID] = outlier.Server{Name: n.ID, Group: n.Cell, Start: float64(n.StartedAtMs)}
+		adapter.listed[n.ID] = outlier.Server{Name: n.ID, Group: n.Cell, Start: float64(n.StartedAtMs)}
 	}
-	j.list()
+	adapter.updateServers()
 }
 
-func (j *Joined) list() {
+func (adapter *Adapter) updateServers() {
 	var all []outlier.Server
-	for _, x := range j.listed { // the module sorts them
+	for _, x := range adapter.listed { // the module sorts them
 		all = append(all, x)
 	}
-	j.do(outlier.Listed{Servers: all})
+	adapter.handle(outlier.ServersListed{Servers: all})
 }
 
-func refOf(t backend.AttemptID) uint64 {
+func attemptRef(t backend.AttemptID) uint64 {
 	return uint64(t.Request.Index)<<40 | uint64(t.Request.Gen&0xffffff)<<16 | uint64(t.Number&0xffff)
 }
 
-// usualMs is what a request takes whose class nothing is known of.
-const usualMs = 100
+// defaultWorkMs is what a request takes whose class nothing is known of.
+const defaultWorkMs = 100
 
 // Sent is core.Witness's.
-func (j *Joined) Sent(store string, t backend.AttemptID, class int) {
-	work := float64(usualMs)
-	if class >= 0 && class < len(j.works) {
-		if work = j.works[class] * 1000; j.kinds[store] > 0 {
-			work /= j.kinds[store]
+func (adapter *Adapter) Sent(store string, t backend.AttemptID, class int) {
+	work := float64(defaultWorkMs)
+	if class >= 0 && class < len(adapter.classWork) {
+		if work = adapter.classWork[class] * 1000; adapter.serverRates[store] > 0 {
+			work /= adapter.serverRates[store]
 		}
 	}
-	j.do(outlier.Sent{Server: store, Ref: refOf(t), Work: max(1, work)})
+	adapter.handle(outlier.AttemptSent{Server: store, Ref: attemptRef(t), Work: max(1, work)})
 }
 
 // Ended is core.Witness's.
-func (j *Joined) Ended(store string, t backend.AttemptID, result decide.Result, said backend.Report) {
+func (adapter *Adapter) Ended(store string, t backend.AttemptID, result decide.Result, said backend.Report) {
 	end := outlier.Answered
 	switch result {
 	case decide.TimedOut, decide.Cancelled, decide.NotSent:
-		end = outlier.Void
+		end = outlier.Inconclusive
 	case decide.Unreachable, decide.Reset:
-		end = outlier.Lost
+		end = outlier.Unanswered
 	}
-	j.do(outlier.Ended{Server: store, Ref: refOf(t), End: end, Said: saidOf(said)})
+	adapter.handle(outlier.AttemptEnded{Server: store, Ref: attemptRef(t), Outcome: end, Report: reportOf(said)})
 }
 
 // HealthChecked is core.Witness's.
-func (j *Joined) HealthChecked(store string, result decide.Result, said backend.Report) {
-	j.do(outlier.Probed{Server: store, OK: result == decide.OK, Said: saidOf(said)})
+func (adapter *Adapter) HealthChecked(store string, result decide.Result, said backend.Report) {
+	adapter.handle(outlier.HealthChecked{Server: store, OK: result == decide.OK, Report: reportOf(said)})
 }
 
 // Ejects is core.Witness's.
-func (j *Joined) Ejects(store string) bool { return j.v != nil && j.v.Avoids(store) }
+func (adapter *Adapter) Ejects(store string) bool {
+	return adapter.detector != nil && adapter.detector.Withholds(store)
+}
 
-func saidOf(s backend.Report) (out outlier.Said) {
+func reportOf(s backend.Report) (out outlier.ServerReport) {
 	if s.HasPos {
 		out.Position = s.Position
-		out.Role = map[decide.Role]outlier.Role{decide.RolePrimary: outlier.Leads, decide.RoleReplica: outlier.Follows}[s.Role]
+		out.Role = map[decide.Role]outlier.Role{decide.RolePrimary: outlier.RolePrimary, decide.RoleReplica: outlier.RoleReplica}[s.Role]
 	}
 	return out
 }
 
-func (j *Joined) do(e outlier.Event) {
-	if j.v == nil {
+func (adapter *Adapter) handle(e outlier.Event) {
+	if adapter.detector == nil {
 		return
 	}
-	acts := j.v.Handle(j.host.Now(), e, j.acts[:0])
-	j.acts = nil
+	acts := adapter.detector.Handle(adapter.host.Now(), e, adapter.actions[:0])
+	adapter.actions = nil
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
 		case outlier.Send:
-			if a.Tell != nil {
-				j.host.Send(a.Addr, a.To, module.KindOutlier, told(a.Tell))
+			if a.Observations != nil {
+				adapter.host.Send(a.Addr, a.To, module.KindOutlier, outgoingObservations(a.Observations))
 			} else {
-				j.host.Send(a.Addr, a.To, module.KindOutlier, said(a.Word))
+				adapter.host.Send(a.Addr, a.To, module.KindOutlier, outgoingAssessments(a.Assessments))
 			}
-		case outlier.Avoid:
-			j.core.Eject(a.Server)
-		case outlier.Try:
-			j.core.StartTrial(a.Server)
-		case outlier.Begins, outlier.Ends:
-			if j.told != nil {
-				a.Standing.Server = a.Server
-				j.told(a.Standing, a.Kind == outlier.Begins)
+		case outlier.Eject:
+			adapter.core.Eject(a.Server)
+		case outlier.Restore:
+			adapter.core.StartTrial(a.Server)
+		case outlier.EjectionStarted, outlier.EjectionEnded:
+			if adapter.onEjection != nil {
+				a.Ejection.Server = a.Server
+				adapter.onEjection(a.Ejection, a.Kind == outlier.EjectionStarted)
 			}
-		case outlier.Look:
-			j.core.CheckHealthForObserver(a.Server)
-		case outlier.Learn:
-			s := backend.Report{Position: a.Said.Position, HasPos: true}
-			if a.Said.Role == outlier.Leads {
+		case outlier.CheckHealth:
+			adapter.core.CheckHealthForObserver(a.Server)
+		case outlier.LearnReport:
+			s := backend.Report{Position: a.Report.Position, HasPos: true}
+			if a.Report.Role == outlier.RolePrimary {
 				s.Role = decide.RolePrimary
 			}
-			j.core.ServerReported(a.Server, s, max(0, a.Age))
+			adapter.core.ServerReported(a.Server, s, max(0, a.Age))
 		}
 	}
 	clear(acts)
-	j.acts = acts
+	adapter.actions = acts
 }
 
 // Avoided is part.Avoiding's: the servers that this pooler avoids by others' word.
-func (j *Joined) Avoided() []outlier.Standing {
-	if j.v == nil {
+func (adapter *Adapter) Avoided() []outlier.Ejection {
+	if adapter.detector == nil {
 		return nil
 	}
-	return j.v.Standings()
+	return adapter.detector.Ejections()
 }
 
-// Lonely counts the servers that others get answers from and this pooler does not.
-func (j *Joined) Lonely() int {
-	if j.v == nil {
+// LocallyUnreachable counts the servers that others get answers from and this pooler does not.
+func (adapter *Adapter) LocallyUnreachable() int {
+	if adapter.detector == nil {
 		return 0
 	}
-	return j.v.Lonely()
+	return adapter.detector.LocallyUnreachable()
 }
--- a/internal/cluster/outlier/bench_test.go
+++ b/internal/cluster/outlier/bench_test.go
@@ -38,36 +38,36 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	v := New(Defaults(), 1, 1e6)
-	m := Members{Self: 1}
+	detector := New(Defaults(), 1, 1e6)
+	m := MembersChanged{Self: 1}
 	for i := range 300 {
 		m.Peers = append(m.Peers, Peer{ID: ID(i + 1), Addr: fmt.Sprintf("10.0.0.%d:7400", i), Zone: string(rune('a' + i%3))})
 	}
-	v.Handle(1e6, m, nil)
-	var l Listed
+	detector.Handle(1e6, m, nil)
+	var l ServersListed
 	for i := range 100 {
-		l.Servers = append(l.Servers, Server{Name: fmt.Sprintf("db-%d", i), Group: i / 4 % Block})
+		l.Servers = append(l.Servers, Server{Name: fmt.Sprintf("db-%d", i), Group: i / 4 % GroupsPerBlock})
 	}
-	v.Handle(1e6, l, nil)
-	v.set.Collectors = 300
-	v.members(m)
+	detector.Handle(1e6, l, nil)
+	detector.settings.Collectors = 300
+	detector.updateMembers(m)
 	now, at, seq := 1e6, 0, uint32(0)
 	var out []Action
 	var stalls stalls
-	handle := func(e Event) { stalls.time(func() { out = v.Handle(now, e, out[:0]) }) }
+	handle := func(e Event) { stalls.time(func() { out = detector.Handle(now, e, out[:0]) }) }
 	round := func() {
 		defer stalls.round()
 		seq++
 		for i := 2; i <= 300; i++ {
-			t := &Tell{Seq: seq}
+			t := &Observations{Sequence: seq}
 			for k := range 10 {
-				s := v.order[(at+k)%100]
-				t.Items = append(t.Items, Item{Key: s.key, Answered: 20, Said: Said{Follows, now - 40}, SaidAge: 20})
+				server := detector.servers[(at+k)%100]
+				t.Items = append(t.Items, Observation{Key: server.key, Answered: 20, Report: ServerReport{RoleReplica, now - 40}, ReportAge: 20})
 			}
 			at += 10
-			handle(Heard{From: ID(i), Message: t})
+			handle(Received{From: ID(i), Message: t})
 		}
-		now += v.set.Period
+		now += detector.settings.ReportInterval
 		handle(Tick{})
 		clear(out)
 	}
@@ -83,46 +83,46 @@
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "MB")
 	stalls.report(b)
-	runtime.KeepAlive(v)
+	runtime.KeepAlive(detector)
 }
 
 // BenchmarkHeed is a pooler that collects nothing and hears three collectors tell of 100 servers, all of whose positions moved, once every Period: the time for
 // all that comes in one, and the longest that one event of it keeps the loop.
 func BenchmarkHeed(b *testing.B) {
-	v := New(Defaults(), 1, 1e6)
-	m := Members{Self: 1}
+	detector := New(Defaults(), 1, 1e6)
+	m := MembersChanged{Self: 1}
 	for i := range 300 {
 		m.Peers = append(m.Peers, Peer{ID: ID(i + 1), Addr: fmt.Sprint(i), Zone: string(rune('a' + i%3))})
 	}
-	var l Listed
+	var l ServersListed
 	for i := range 100 {
 		l.Servers = append(l.Servers, Server{Name: fmt.Sprintf("db-%d", i), Group: i / 4})
 	}
-	v.Handle(1e6, m, nil)
-	v.Handle(1e6, l, nil)
+	detector.Handle(1e6, m, nil)
+	detector.Handle(1e6, l, nil)
 	now, seq := 1e6, uint32(0)
 	var stalls stalls
 	var out []Action
 	round := func() {
 		defer stalls.round()
 		seq++
-		now += v.set.Period
+		now += detector.settings.ReportInterval
 		for n := range 3 {
-			var items [2][]Sum
+			var items [2][]Assessment
 			var from [2]ID
-			for i, s := range v.order {
-				block := min(1, s.Group/Block)
-				from[block] = v.collectors(s)[n]
-				items[block] = append(items[block], Sum{Key: s.key, Answered: 20, Said: Said{Follows, now - 40 - float64(i%7)}, SaidAge: 20})
+			for i, server := range detector.servers {
+				block := min(1, server.Group/GroupsPerBlock)
+				from[block] = detector.collectors(server)[n]
+				items[block] = append(items[block], Assessment{Key: server.key, Answered: 20, Report: ServerReport{RoleReplica, now - 40 - float64(i%7)}, ReportAge: 20})
 			}
 			for block := range items {
-				split(items[block], (*Sum).size, func(part []Sum) {
-					e := Heard{From: from[block], Message: &Word{Seq: seq, Items: part}}
-					stalls.time(func() { out = v.Handle(now, e, out[:0]) })
+				split(items[block], (*Assessment).wireBytes, func(part []Assessment) {
+					e := Received{From: from[block], Message: &Assessments{Sequence: seq, Items: part}}
+					stalls.time(func() { out = detector.Handle(now, e, out[:0]) })
 				})
 			}
 		}
-		stalls.time(func() { out = v.Handle(now, Tick{}, out[:0]) })
+		stalls.time(func() { out = detector.Handle(now, Tick{}, out[:0]) })
 		clear(out)
 	}
 	for range 30 {
--- a/internal/cluster/outlier/bytes_test.go
+++ b/internal/cluster/outlier/bytes_test.go
@@ -8,9 +8,9 @@
 // wholeWords have something in each field.
 func wholeWords() []interface{ Append([]byte) []byte } {
 	return []interface{ Append([]byte) []byte }{
-		&Tell{Seq: 300, Items: []Item{{Key: 1 << 31, Answered: 1.5, N: 2, First: 9, Last: 8, Work: 7, Said: Said{Leads, 1e12}, SaidAge: 3}, {Key: 2, Answered: -1}}},
-		&Word{Seq: 300, Items: []Sum{{Key: 9, Answered: -1, Bad: true, All: true, Zones: []uint32{4, 5}, First: 20, Last: 10.5, By: []ID{1, 1 << 60}, Said: Said{Follows, 1e12}, SaidAge: 3},
-			{Key: 10, Answered: 4, Said: Said{Unsaid, 1e12 - 70.5}, SaidAge: 1}}},
+		&Observations{Sequence: 300, Items: []Observation{{Key: 1 << 31, Answered: 1.5, Unanswered: 2, FirstUnanswered: 9, LastUnanswered: 8, Work: 7, Report: ServerReport{RolePrimary, 1e12}, ReportAge: 3}, {Key: 2, Answered: -1}}},
+		&Assessments{Sequence: 300, Items: []Assessment{{Key: 9, Answered: -1, Unhealthy: true, AllZones: true, Zones: []uint32{4, 5}, FirstUnanswered: 20, LastUnanswered: 10.5, Observers: []ID{1, 1 << 60}, Report: ServerReport{RoleReplica, 1e12}, ReportAge: 3},
+			{Key: 10, Answered: 4, Report: ServerReport{RoleUnknown, 1e12 - 70.5}, ReportAge: 1}}},
 	}
 }
 
@@ -25,7 +25,7 @@
 		if got := hex.EncodeToString(b); got != want[i] {
 			t.Errorf("%s, want %s", got, want[i])
 		}
-		if got, err := Read(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
+		if got, err := Decode(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
 			t.Errorf("read as %+v, %v", got, err)
 		}
 	}
--- a/internal/cluster/outlier/collect.go
+++ b/internal/cluster/outlier/collect.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	silentTurns = 3.0     // a server is silent for this many times the work of a request, and...
-	silentJobs  = 8.0     // ...this many shared among those that wait, up to...
-	silentMost  = 4       // ...so many
-	contrary    = 3       // so many others contradict one
-	old         = 1 << 20 // messages: so far back one that was overtaken may lie
-	lookEach    = 200     // ms between probes for one that is said to lead
+	silentWorks            = 3.0     // a server is silent for this many times the work of a request, and...
+	silentSharedWorks      = 8.0     // ...this many shared among those that wait, up to...
+	maxWaiting             = 4       // ...so many
+	contradictingObservers = 3       // so many others contradict one
+	maxReorderedMessages   = 1 << 20 // messages: so far back one that was overtaken may lie
+	healthCheckIntervalMs  = 200     // ms between probes for one that is said to lead
 )
 
 // observer finds what one told, and where it stands.
-func (s *server) observer(id ID) (int, bool) {
-	return slices.BinarySearchFunc(s.seen, id, func(x *seen, id ID) int { return cmp.Compare(x.id, id) })
+func (server *serverState) observer(id ID) (int, bool) {
+	return slices.BinarySearchFunc(server.observers, id, func(x *observer, id ID) int { return cmp.Compare(x.id, id) })
 }
 
-// file takes an observer's word of a server, where this process collects it.
-func (v *Verdicts) file(s *server, from ID, seq uint32, m *Item, delay float64) {
-	if !slices.Contains(v.collectors(s), v.self) {
+// recordObservation takes an observer's word of a server, where this process collects it.
+func (detector *Detector) recordObservation(server *serverState, from ID, seq uint32, m *Observation, delay float64) {
+	if !slices.Contains(detector.collectors(server), detector.self) {
 		return
 	}
-	i, ok := s.observer(from)
+	i, ok := server.observer(from)
 	if !ok {
-		if len(s.seen) >= MostPeers {
+		if len(server.observers) >= MaxPeers {
 			return
 		}
-		s.seen = slices.Insert(s.seen, i, &seen{id: from, seq: seq - old, answeredSeq: seq - old, saidSeq: seq - old, answered: -inf, since: -inf, saidAt: -inf})
+		server.observers = slices.Insert(server.observers, i, &observer{id: from, sequence: seq - maxReorderedMessages, answeredSequence: seq - maxReorderedMessages, reportSequence: seq - maxReorderedMessages, answeredAt: -inf, soleAnswersSince: -inf, reportedAt: -inf})
 	}
-	x := s.seen[i]
-	x.zone, s.fresh = v.at[from].Zone, true
+	x := server.observers[i]
+	x.zone, server.changed = detector.peerByID[from].Zone, true
 	at := func(age float64) float64 {
-		if v.set.Broken == HeardAge {
-			return v.now
+		if detector.settings.Fault == AgeFromReceipt {
+			return detector.now
 		}
-		return v.now - age
+		return detector.now - age
 	}
 	newer := func(had *uint32) bool { // each kind's newest stands, in whatever order they come, and however often
 		if int32(seq-*had) <= 0 {
@@ -48,306 +48,308 @@
 		*had = seq
 		return true
 	}
-	if m.Answered >= 0 && newer(&x.answeredSeq) {
-		x.answered = at(m.Answered)
+	if m.Answered >= 0 && newer(&x.answeredSequence) {
+		x.answeredAt = at(m.Answered)
 	}
-	if newer(&x.seq) {
-		x.at, x.n, x.first, x.last, x.work = v.now, m.N, at(m.First), at(m.Last), m.Work
+	if newer(&x.sequence) {
+		x.receivedAt, x.unanswered, x.firstUnanswered, x.lastUnanswered, x.work = detector.now, m.Unanswered, at(m.FirstUnanswered), at(m.LastUnanswered), m.Work
 	}
 	leads := false
-	if age := m.SaidAge + delay; (m.Said.Role != Unsaid || m.Said.Position > 0) && age <= v.set.Stale && newer(&x.saidSeq) {
-		x.said, x.saidAt = m.Said, v.now-age
-		if leads = m.Said.Role == Leads && s.said.Said.Role != Leads; leads {
-			v.rumour(s, x)
+	if age := m.ReportAge + delay; (m.Report.Role != RoleUnknown || m.Report.Position > 0) && age <= detector.settings.StaleAfter && newer(&x.reportSequence) {
+		x.report, x.reportedAt = m.Report, detector.now-age
+		if leads = m.Report.Role == RolePrimary && server.published.Report.Role != RolePrimary; leads {
+			detector.verifyPrimary(server, x)
 		}
 	}
-	if leads || s.said.Bad && x.answered > s.said.Last { // else it has time until the next tick
-		v.tellChange(s)
+	if leads || server.published.Unhealthy && x.answeredAt > server.published.LastUnanswered { // else it has time until the next tick
+		detector.publishChange(server)
 	}
 }
 
-// limit is how long a server may be silent with n waiting whose work is that.
-func limit(work float64, n int) float64 {
-	return work * (silentTurns + silentJobs/float64(min(silentMost, max(1, n))))
+// silenceLimit is how long a server may be silent with n waiting whose work is that.
+func silenceLimit(work float64, n int) float64 {
+	return work * (silentWorks + silentSharedWorks/float64(min(maxWaiting, max(1, n))))
 }
 
-func (v *Verdicts) counts(x *seen) bool { return len(v.shunned) == 0 || v.now >= v.shunned[x.id] }
+func (detector *Detector) isTrusted(x *observer) bool {
+	return len(detector.distrustedUntil) == 0 || detector.now >= detector.distrustedUntil[x.id]
+}
 
-// review has those count for nothing for a while whose words others' evidence contradicts: one alone gets answers, or one alone gets none.
-func (v *Verdicts) review(s *server) {
+// updateDistrust has those count for nothing for a while whose words others' evidence contradicts: one alone gets answers, or one alone gets none.
+func (detector *Detector) updateDistrust(server *serverState) {
 	first, second, by, silent := -inf, -inf, ID(0), 0 // the last answers of two
-	for _, x := range s.seen {
-		if x.n > 0 {
+	for _, x := range server.observers {
+		if x.unanswered > 0 {
 			silent++
 		}
 		switch {
-		case !v.counts(x):
-		case x.answered > first:
-			first, second, by = x.answered, first, x.id
-		case x.answered > second:
-			second = x.answered
+		case !detector.isTrusted(x):
+		case x.answeredAt > first:
+			first, second, by = x.answeredAt, first, x.id
+		case x.answeredAt > second:
+			second = x.answeredAt
 		}
 	}
 	var liars []ID
-	for _, x := range s.seen {
+	for _, x := range server.observers {
 		others := first
 		if by == x.id {
 			others = second
 		}
-		if x.answered > x.since && others > x.since {
-			x.since = x.answered
+		if x.answeredAt > x.soleAnswersSince && others > x.soleAnswersSince {
+			x.soleAnswersSince = x.answeredAt
 		}
-		if silent > 0 && (x.n >= silentMost || x.answered > x.since && silent >= contrary) && v.counts(x) && v.contradicted(s, x) {
+		if silent > 0 && (x.unanswered >= maxWaiting || x.answeredAt > x.soleAnswersSince && silent >= contradictingObservers) && detector.isTrusted(x) && detector.contradicted(server, x) {
 			liars = append(liars, x.id)
 		}
 	}
 	for _, id := range liars {
-		v.shunned[id] = v.now + v.set.Shun
+		detector.distrustedUntil[id] = detector.now + detector.settings.DistrustTime
 	}
 }
 
-func (v *Verdicts) contradicted(s *server, x *seen) bool {
+func (detector *Detector) contradicted(server *serverState, x *observer) bool {
 	fails, gets := 0, 0
-	for _, y := range s.seen {
-		if y == x || !v.counts(y) || y.zone != x.zone {
+	for _, y := range server.observers {
+		if y == x || !detector.isTrusted(y) || y.zone != x.zone {
 			continue
 		}
-		if y.n > 0 && y.last > x.since && y.answered < x.since && v.now-max(y.first, x.since) > limit(y.work, 1) {
+		if y.unanswered > 0 && y.lastUnanswered > x.soleAnswersSince && y.answeredAt < x.soleAnswersSince && detector.now-max(y.firstUnanswered, x.soleAnswersSince) > silenceLimit(y.work, 1) {
 			fails++
 		}
-		if y.answered > x.first+limit(x.work, 1) {
+		if y.answeredAt > x.firstUnanswered+silenceLimit(x.work, 1) {
 			gets++
 		}
 	}
-	return x.answered > x.since && fails >= contrary || x.n >= silentMost && x.last-x.first > limit(x.work, 1) && gets >= contrary
+	return x.answeredAt > x.soleAnswersSince && fails >= contradictingObservers || x.unanswered >= maxWaiting && x.lastUnanswered-x.firstUnanswered > silenceLimit(x.work, 1) && gets >= contradictingObservers
 }
 
 // silence is what observers in a zone (or all) say of a server since a moment.
 type silence struct {
-	k, n        int
-	first, last float64
-	works       []float64
-	zones       map[string]bool
-	by          []ID
+	observers, attempts int
+	first, last         float64
+	works               []float64
+	zones               map[string]bool
+	witnesses           []ID
 }
 
-func (v *Verdicts) silent(s *server, zone *string) (silence, bool) {
+func (detector *Detector) silenceOf(server *serverState, zone *string) (silence, bool) {
 	a := -inf
-	for _, x := range s.seen {
-		if (zone == nil || x.zone == *zone) && v.counts(x) {
-			a = max(a, x.answered)
+	for _, x := range server.observers {
+		if (zone == nil || x.zone == *zone) && detector.isTrusted(x) {
+			a = max(a, x.answeredAt)
 		}
 	}
 	q := silence{first: inf, last: -inf, zones: map[string]bool{}}
-	for _, x := range s.seen {
-		if x.n == 0 || zone != nil && x.zone != *zone || x.last <= a || v.now-x.last > v.set.Lapse || !v.counts(x) {
+	for _, x := range server.observers {
+		if x.unanswered == 0 || zone != nil && x.zone != *zone || x.lastUnanswered <= a || detector.now-x.lastUnanswered > detector.settings.EjectionTime || !detector.isTrusted(x) {
 			continue
 		}
-		first, n := x.first, min(x.n, silentMost)
+		first, n := x.firstUnanswered, min(x.unanswered, maxWaiting)
 		if first <= a {
-			first, n = x.last, 1
+			first, n = x.lastUnanswered, 1
 		}
-		q.k, q.n, q.first, q.last, q.zones[x.zone] = q.k+1, q.n+n, min(q.first, first), max(q.last, x.last), true
+		q.observers, q.attempts, q.first, q.last, q.zones[x.zone] = q.observers+1, q.attempts+n, min(q.first, first), max(q.last, x.lastUnanswered), true
 		q.works = append(q.works, x.work)
-		if len(q.by) < 2 {
-			q.by = append(q.by, x.id)
+		if len(q.witnesses) < 2 {
+			q.witnesses = append(q.witnesses, x.id)
 		}
 	}
-	if q.k < v.set.observers() {
+	if q.observers < detector.settings.minObservers() {
 		return q, false
 	}
 	slices.Sort(q.works)
-	return q, v.now-q.first > limit(q.works[len(q.works)/2], q.n)
+	return q, detector.now-q.first > silenceLimit(q.works[len(q.works)/2], q.attempts)
 }
 
-// judge is what this collector makes of a server: of the evidence alone, whatever the order that it came in.
-func (v *Verdicts) judge(s *server) Sum {
-	out := Sum{Key: s.key, Answered: -1}
-	if v.set.Health {
+// assess is what this collector makes of a server: of the evidence alone, whatever the order that it came in.
+func (detector *Detector) assess(server *serverState) Assessment {
+	out := Assessment{Key: server.key, Answered: -1}
+	if detector.settings.ShareHealth {
 		var zones []string
 		any := false
-		for _, x := range s.seen {
-			if !v.counts(x) {
+		for _, x := range server.observers {
+			if !detector.isTrusted(x) {
 				continue
 			}
-			if x.answered > -inf {
-				out.Answered = max(out.Answered, x.answered)
+			if x.answeredAt > -inf {
+				out.Answered = max(out.Answered, x.answeredAt)
 			}
-			if any = any || x.n > 0; x.n > 0 && !slices.Contains(zones, x.zone) && len(zones) < mostZones {
+			if any = any || x.unanswered > 0; x.unanswered > 0 && !slices.Contains(zones, x.zone) && len(zones) < maxZones {
 				zones = append(zones, x.zone)
 			}
 		}
 		if any {
-			v.judgeHealth(s, zones, &out)
+			detector.assessHealth(server, zones, &out)
 		}
 	}
-	out.Said, out.SaidAge = v.vouched(s)
+	out.Report, out.ReportAge = detector.vouchedReport(server)
 	return out // its times are moments yet
 }
 
-func (v *Verdicts) judgeHealth(s *server, zones []string, out *Sum) {
-	q, bad := v.silent(s, nil)
-	out.All = bad && (v.zones < 2 || len(q.zones) >= 2 || v.set.Broken == OneEnough)
-	if out.Bad = out.All; !out.All {
+func (detector *Detector) assessHealth(server *serverState, zones []string, out *Assessment) {
+	q, bad := detector.silenceOf(server, nil)
+	out.AllZones = bad && (detector.zoneCount < 2 || len(q.zones) >= 2 || detector.settings.Fault == SingleObserver)
+	if out.Unhealthy = out.AllZones; !out.AllZones {
 		for _, z := range zones {
-			if qz, bad := v.silent(s, &z); bad {
-				out.Bad, q = true, qz
+			if qz, bad := detector.silenceOf(server, &z); bad {
+				out.Unhealthy, q = true, qz
 				out.Zones = append(out.Zones, zoneKey(z))
 			}
 		}
 	}
-	if out.Bad {
-		out.First, out.Last, out.By = q.first, q.last, q.by
+	if out.Unhealthy {
+		out.FirstUnanswered, out.LastUnanswered, out.Observers = q.first, q.last, q.witnesses
 	}
 }
 
 func zoneKey(z string) uint32 { return uint32(xxhash.Sum64String(z)) }
 
-// newest are the newest few that were told, the newest first.
-type newest struct {
-	at, told [16]float64
-	n        int
+// newestPositions are the newest few that were told, the newest first.
+type newestPositions struct {
+	positions, reportedAt [16]float64
+	count                 int
 }
 
-func (w *newest) add(at, told float64, most int) {
-	i := w.n
-	for i > 0 && at > w.at[i-1] {
+func (w *newestPositions) add(at, told float64, most int) {
+	i := w.count
+	for i > 0 && at > w.positions[i-1] {
 		i--
 	}
 	if i >= most {
 		return
 	}
-	w.n = min(w.n+1, most)
-	copy(w.at[i+1:w.n], w.at[i:])
-	copy(w.told[i+1:w.n], w.told[i:])
-	w.at[i], w.told[i] = at, told
+	w.count = min(w.count+1, most)
+	copy(w.positions[i+1:w.count], w.positions[i:])
+	copy(w.reportedAt[i+1:w.count], w.reportedAt[i:])
+	w.positions[i], w.reportedAt[i] = at, told
 }
 
-// vouched is the newest that enough observers say of a server, and when the last of them was told.
-func (v *Verdicts) vouched(s *server) (Said, float64) {
-	k := min(16, max(1, v.set.Vouch))
-	if v.set.Broken == OneEnough {
+// vouchedReport is the newest that enough observers say of a server, and when the last of them was told.
+func (detector *Detector) vouchedReport(server *serverState) (ServerReport, float64) {
+	k := min(16, max(1, detector.settings.MinVouchers))
+	if detector.settings.Fault == SingleObserver {
 		k = 1
 	}
-	var by [3]newest // of whatever role, as the primary, as a replica
-	for _, x := range s.seen {
-		if x.said.Position <= 0 || v.now-x.saidAt > v.set.Stale || !v.counts(x) {
+	var by [3]newestPositions // of whatever role, as the primary, as a replica
+	for _, x := range server.observers {
+		if x.report.Position <= 0 || detector.now-x.reportedAt > detector.settings.StaleAfter || !detector.isTrusted(x) {
 			continue
 		}
-		by[Unsaid].add(x.said.Position, x.saidAt, k)
-		if x.said.Role != Unsaid {
-			by[x.said.Role].add(x.said.Position, x.saidAt, k)
+		by[RoleUnknown].add(x.report.Position, x.reportedAt, k)
+		if x.report.Role != RoleUnknown {
+			by[x.report.Role].add(x.report.Position, x.reportedAt, k)
 		}
 	}
 	said := func(r Role) float64 {
-		if by[r].n < k {
+		if by[r].count < k {
 			return 0
 		}
-		return by[r].at[k-1]
+		return by[r].positions[k-1]
 	}
-	role := Unsaid
+	role := RoleUnknown
 	switch {
-	case v.set.Roles && said(Leads) > said(Follows):
-		role = Leads
-	case !v.set.Places || said(Unsaid) == 0:
-		return Said{}, 0
-	case said(Follows) > 0:
-		role = Follows
-	}
-	return Said{role, by[role].at[k-1]}, by[role].told[k-1]
+	case detector.settings.ShareRoles && said(RolePrimary) > said(RoleReplica):
+		role = RolePrimary
+	case !detector.settings.SharePositions || said(RoleUnknown) == 0:
+		return ServerReport{}, 0
+	case said(RoleReplica) > 0:
+		role = RoleReplica
+	}
+	return ServerReport{role, by[role].positions[k-1]}, by[role].reportedAt[k-1]
 }
 
-// Judged is what this process makes of all servers as a collector, for those who look.
-func (v *Verdicts) Judged() (out []Sum) {
-	for _, s := range v.order {
-		out = append(out, v.judge(s))
+// Assessments is what this process makes of all servers as a collector, for those who look.
+func (detector *Detector) Assessments() (out []Assessment) {
+	for _, server := range detector.servers {
+		out = append(out, detector.assess(server))
 	}
 	return out
 }
 
-// rumour has this collector look itself where one says that another than the known one leads.
-func (v *Verdicts) rumour(s *server, x *seen) {
-	if !v.set.Roles || v.now-s.looked < lookEach {
+// verifyPrimary has this collector look itself where one says that another than the known one leads.
+func (detector *Detector) verifyPrimary(server *serverState, x *observer) {
+	if !detector.settings.ShareRoles || detector.now-server.healthCheckedAt < healthCheckIntervalMs {
 		return
 	}
 	newest := 0.0
-	for _, o := range v.groups[s.Group] {
-		newest = max(newest, o.said.leads())
+	for _, o := range detector.groups[server.Group] {
+		newest = max(newest, o.published.primaryPosition())
 	}
-	if x.said.Position > newest {
-		s.looked = v.now
-		v.out = append(v.out, Action{Kind: Look, Server: s.Name})
+	if x.report.Position > newest {
+		server.healthCheckedAt = detector.now
+		detector.actions = append(detector.actions, Action{Kind: CheckHealth, Server: server.Name})
 	}
 }
 
-func (m *Sum) leads() float64 {
-	if m.Said.Role == Leads {
-		return m.Said.Position
+func (m *Assessment) primaryPosition() float64 {
+	if m.Report.Role == RolePrimary {
+		return m.Report.Position
 	}
 	return 0
 }
 
-func (m *Sum) same(o *Sum) bool {
-	return m.Bad == o.Bad && m.All == o.All && slices.Equal(m.Zones, o.Zones) && (m.Said.Role == Leads) == (o.Said.Role == Leads)
+func (m *Assessment) sameConclusion(o *Assessment) bool {
+	return m.Unhealthy == o.Unhealthy && m.AllZones == o.AllZones && slices.Equal(m.Zones, o.Zones) && (m.Report.Role == RolePrimary) == (o.Report.Role == RolePrimary)
 }
 
-// tellChange has all hear at once of a verdict or a leader that changed.
-func (v *Verdicts) tellChange(s *server) {
-	if x := v.judge(s); !x.same(&s.said) {
-		s.said = x
-		v.word([]*server{s})
+// publishChange has all hear at once of a verdict or a leader that changed.
+func (detector *Detector) publishChange(server *serverState) {
+	if x := detector.assess(server); !x.sameConclusion(&server.published) {
+		server.published = x
+		detector.sendAssessments([]*serverState{server})
 	}
 }
 
 // publish tells all what is new, or what stands.
-func (v *Verdicts) publish(full bool) {
-	var list []*server
-	for _, s := range v.order {
-		if len(s.seen) == 0 || !slices.Contains(v.collectors(s), v.self) {
+func (detector *Detector) publish(full bool) {
+	var list []*serverState
+	for _, server := range detector.servers {
+		if len(server.observers) == 0 || !slices.Contains(detector.collectors(server), detector.self) {
 			continue
 		}
 		if full {
-			v.review(s)
+			detector.updateDistrust(server)
 		}
-		if !s.fresh && !s.said.Bad && !full {
+		if !server.changed && !server.published.Unhealthy && !full {
 			continue
 		}
-		x, was := v.judge(s), s.said
-		s.fresh = slices.ContainsFunc(s.seen, func(x *seen) bool { return x.n > 0 }) // time may make it a verdict
-		if s.said = x; !x.same(&was) || v.set.Places && x.Said.Position > was.Said.Position || full && (x.Bad || x.Said.Role == Leads) {
-			list = append(list, s)
+		x, was := detector.assess(server), server.published
+		server.changed = slices.ContainsFunc(server.observers, func(x *observer) bool { return x.unanswered > 0 }) // time may make it a verdict
+		if server.published = x; !x.sameConclusion(&was) || detector.settings.SharePositions && x.Report.Position > was.Report.Position || full && (x.Unhealthy || x.Report.Role == RolePrimary) {
+			list = append(list, server)
 		}
 	}
-	v.word(list)
+	detector.sendAssessments(list)
 }
 
-// word tells everybody, this process included, what it made of servers.
-func (v *Verdicts) word(list []*server) {
+// sendAssessments tells everybody, this process included, what it made of servers.
+func (detector *Detector) sendAssessments(list []*serverState) {
 	if len(list) == 0 {
 		return
 	}
-	v.seq++
+	detector.sequence++
 	age := func(at float64) float64 {
 		if at <= 0 {
 			return -1
 		}
-		return v.now - at
+		return detector.now - at
 	}
-	var items []Sum
-	for _, s := range list {
-		x := s.said
-		x.First, x.Last, x.Answered, x.SaidAge = age(x.First), age(x.Last), age(x.Answered), max(0, age(x.SaidAge))
+	var items []Assessment
+	for _, server := range list {
+		x := server.published
+		x.FirstUnanswered, x.LastUnanswered, x.Answered, x.ReportAge = age(x.FirstUnanswered), age(x.LastUnanswered), age(x.Answered), max(0, age(x.ReportAge))
 		items = append(items, x)
 	}
-	split(items, (*Sum).size, func(part []Sum) {
-		w := &Word{Seq: v.seq, Items: part}
-		for i := range v.peers {
-			if p := &v.peers[i]; p.ID != v.self {
-				v.out = append(v.out, Action{Kind: Send, To: p.ID, Addr: p.Addr, Word: w})
+	split(items, (*Assessment).wireBytes, func(part []Assessment) {
+		w := &Assessments{Sequence: detector.sequence, Items: part}
+		for i := range detector.peers {
+			if p := &detector.peers[i]; p.ID != detector.self {
+				detector.actions = append(detector.actions, Action{Kind: Send, To: p.ID, Addr: p.Addr, Assessments: w})
 			}
 		}
 	})
-	for i, s := range list {
-		v.hear(s, v.self, v.seq, &items[i])
+	for i, server := range list {
+		detector.recordAssessment(server, detector.self, detector.sequence, &items[i])
 	}
 }
--- a/internal/cluster/outlier/fleet_test.go
+++ b/internal/cluster/outlier/fleet_test.go
@@ -35,9 +35,9 @@
 	f      *fleet
 	id     ID
 	zone   string
-	v      *Verdicts
+	v      *Detector
 	down   map[string]bool
-	knows  map[string]Said // what its module was told, by server and role
+	knows  map[string]ServerReport // what its module was told, by server and role
 	since  map[string]float64
 	stands float64 // until then
 	open   []attempt
@@ -60,7 +60,7 @@
 func newFleet(t *testing.T, zones ...string) *fleet {
 	f := &fleet{t: t, set: Defaults(), now: 1e6, leads: map[string]bool{"s0": true, "s4": true}, cut: func(_, _ *pooler) bool { return false },
 		answers: func(*pooler, string) bool { return true }}
-	f.set.Delay = wayMs
+	f.set.MaxDelay = wayMs
 	f.checks = invariant.New(func(b invariant.Breach) { t.Errorf("%s: %s", b.Name, b.State) })
 	for i := range 8 {
 		f.servers = append(f.servers, Server{Name: fmt.Sprintf("s%d", i), Group: i / 4, Start: 1000})
@@ -69,20 +69,20 @@
 		f.poolers = append(f.poolers, &pooler{f: f, id: ID(i + 1), zone: z})
 	}
 	for _, p := range f.poolers {
-		p.begin()
+		p.start()
 	}
 	return f
 }
 
-func (p *pooler) begin() {
-	p.v, p.down, p.knows, p.since, p.open = New(p.f.set, p.id, p.f.now), map[string]bool{}, map[string]Said{}, map[string]float64{}, nil
-	p.v.Check(p.f.checks, 1)
-	m := Members{Self: p.id}
+func (p *pooler) start() {
+	p.v, p.down, p.knows, p.since, p.open = New(p.f.set, p.id, p.f.now), map[string]bool{}, map[string]ServerReport{}, map[string]float64{}, nil
+	p.v.CheckInvariants(p.f.checks, 1)
+	m := MembersChanged{Self: p.id}
 	for _, o := range p.f.poolers {
 		m.Peers = append(m.Peers, Peer{ID: o.id, Addr: fmt.Sprint(o.id), Zone: o.zone})
 	}
 	p.do(m)
-	p.do(Listed{Servers: p.f.servers})
+	p.do(ServersListed{Servers: p.f.servers})
 }
 
 func (p *pooler) do(e Event) {
@@ -92,49 +92,49 @@
 		case Send:
 			i := slices.IndexFunc(f.poolers, func(o *pooler) bool { return fmt.Sprint(o.id) == a.Addr })
 			var b []byte
-			if a.Tell != nil {
-				b = a.Tell.Append(nil)
+			if a.Observations != nil {
+				b = a.Observations.Append(nil)
 			} else {
-				b = a.Word.Append(nil)
+				b = a.Assessments.Append(nil)
 			}
 			if len(b) > 1200 {
 				f.t.Errorf("a message of %d bytes", len(b))
 			}
 			f.sent++
 			f.mail = append(f.mail, mail{f.now + wayMs, p, f.poolers[i], b})
-		case Avoid:
+		case Eject:
 			p.down[a.Server] = true
 			p.since[a.Server] = f.now
-		case Try:
+		case Restore:
 			delete(p.down, a.Server)
-		case Learn:
-			if a.Said.Role != Leads && !f.leads[a.Server] && a.Said.Position > f.now-behindMs {
-				f.t.Errorf("%s is taken to be at %v at %v, newer than it said", a.Server, a.Said.Position, f.now)
+		case LearnReport:
+			if a.Report.Role != RolePrimary && !f.leads[a.Server] && a.Report.Position > f.now-behindMs {
+				f.t.Errorf("%s is taken to be at %v at %v, newer than it said", a.Server, a.Report.Position, f.now)
 			}
-			p.knows[fmt.Sprint(a.Server, a.Said.Role)] = a.Said
-		case Look:
+			p.knows[fmt.Sprint(a.Server, a.Report.Role)] = a.Report
+		case CheckHealth:
 			f.mail = append(f.mail, mail{f.now + 1, p, nil, []byte(a.Server)})
 		}
 	}
 }
 
-// says is what a server tells of itself now.
-func (f *fleet) says(server string) Said {
+// reportOf is what a server tells of itself now.
+func (f *fleet) reportOf(server string) ServerReport {
 	if f.leads[server] {
-		return Said{Leads, f.now}
+		return ServerReport{RolePrimary, f.now}
 	}
-	return Said{Follows, f.now - behindMs}
+	return ServerReport{RoleReplica, f.now - behindMs}
 }
 
 // ask has a pooler send a request.
 func (p *pooler) ask(server string) {
 	p.f.refs++
 	p.open = append(p.open, attempt{server, p.f.refs, p.f.now})
-	p.do(Sent{Server: server, Ref: p.f.refs, Work: workMs})
+	p.do(AttemptSent{Server: server, Ref: p.f.refs, Work: workMs})
 }
 
-// pass lets time go by; each pooler asks each server that it does not avoid once every each ms, at a time of its own; 0 for never.
-func (f *fleet) pass(ms, each float64) {
+// advance lets time go by; each pooler asks each server that it does not avoid once every each ms, at a time of its own; 0 for never.
+func (f *fleet) advance(ms, each float64) {
 	for end := f.now + ms; f.now < end; f.now += 5 {
 		for _, p := range f.poolers {
 			if f.now < p.stands {
@@ -143,10 +143,10 @@
 			p.open = slices.DeleteFunc(p.open, func(a attempt) bool {
 				switch took := f.now - a.at; {
 				case took >= workMs && f.answers(p, a.server):
-					p.do(Ended{Server: a.server, Ref: a.ref, End: Answered, Said: f.says(a.server)})
+					p.do(AttemptEnded{Server: a.server, Ref: a.ref, Outcome: Answered, Report: f.reportOf(a.server)})
 					return true
 				case took >= 1500:
-					p.do(Ended{Server: a.server, Ref: a.ref, End: Void})
+					p.do(AttemptEnded{Server: a.server, Ref: a.ref, Outcome: Inconclusive})
 					return true
 				}
 				return false
@@ -169,28 +169,28 @@
 			case m.at > f.now || m.to != nil && f.now < m.to.stands || f.now < m.from.stands:
 				f.mail = append(f.mail, m)
 			case m.to == nil:
-				m.from.do(Probed{Server: string(m.b), OK: true, Said: f.says(string(m.b))})
+				m.from.do(HealthChecked{Server: string(m.b), OK: true, Report: f.reportOf(string(m.b))})
 			case !f.cut(m.from, m.to):
-				x, err := Read(m.b)
+				x, err := Decode(m.b)
 				if err != nil {
 					f.t.Fatal(err)
 				}
-				m.to.do(Heard{From: m.from.id, Message: x})
+				m.to.do(Received{From: m.from.id, Message: x})
 			}
 		}
 	}
 }
 
-// avoiding counts the poolers that avoid a server by others' word.
-func (f *fleet) avoiding(server string) (n int) {
+// countEjecting counts the poolers that avoid a server by others' word.
+func (f *fleet) countEjecting(server string) (n int) {
 	for _, p := range f.poolers {
-		if p.avoids(server) {
+		if p.ejects(server) {
 			n++
 		}
 	}
 	return n
 }
 
-func (p *pooler) avoids(server string) bool {
-	return slices.ContainsFunc(p.v.Standings(), func(s Standing) bool { return s.Server == server })
+func (p *pooler) ejects(server string) bool {
+	return slices.ContainsFunc(p.v.Ejections(), func(s Ejection) bool { return s.Server == server })
 }
--- a/internal/cluster/outlier/form.go
+++ b/internal/cluster/outlier/form.go
@@ -10,37 +10,37 @@
 
 // The form of a message: a byte for what it is, then numbers as varints; ages are in tenths of a ms, one too long ago is the longest.
 
-// ErrForm is of a message that cannot be read.
-var ErrForm = errors.New("verdicts: not of the form")
+// ErrMalformed is of a message that cannot be read.
+var ErrMalformed = errors.New("verdicts: not of the form")
 
 const (
-	verbTell = iota + 1
-	verbWord
+	kindObservations = iota + 1
+	kindAssessments
 )
 
 const (
-	ageGrain  = 10
-	mostAge   = 1e7
-	mostPlace = 1e13
-	mostZones = 8
+	agesPerMs   = 10
+	maxAgeMs    = 1e7
+	maxPosition = 1e13
+	maxZones    = 8
 )
 
-func putAge(b []byte, x float64) []byte {
-	return binary.AppendUvarint(b, uint64(math.Round(min(max(0, x), mostAge)*ageGrain)))
+func appendAge(b []byte, x float64) []byte {
+	return binary.AppendUvarint(b, uint64(math.Round(min(max(0, x), maxAgeMs)*agesPerMs)))
 }
 
 const (
-	flagRole = 3 // the bits of a role
-	flagSaid = 4 << iota
+	flagRole     = 3 // the bits of a role
+	flagPosition = 4 << iota
 	flagAnswered
-	flagBad
-	flagAll
+	flagUnhealthy
+	flagAllZones
 )
 
-func flags(s Said, answered float64) byte {
+func flags(s ServerReport, answered float64) byte {
 	f := byte(s.Role)
 	if s.Position > 0 {
-		f |= flagSaid
+		f |= flagPosition
 	}
 	if answered >= 0 {
 		f |= flagAnswered
@@ -49,54 +49,54 @@
 }
 
 // base is the newest position of a message; each is told as so far behind it, rounded: never newer than it was.
-func putBase[T any](b []byte, items []T, said func(*T) Said) ([]byte, float64) {
+func appendBase[T any](b []byte, items []T, said func(*T) ServerReport) ([]byte, float64) {
 	base := 0.0
 	for i := range items {
 		base = max(base, said(&items[i]).Position)
 	}
-	base = math.Ceil(min(base, mostPlace))
+	base = math.Ceil(min(base, maxPosition))
 	return binary.AppendUvarint(b, uint64(base)), base
 }
 
-func putRest(b []byte, base float64, s Said, age, answered float64) []byte {
+func appendReport(b []byte, base float64, s ServerReport, age, answered float64) []byte {
 	if s.Position > 0 {
-		b = putAge(binary.AppendUvarint(b, uint64(math.Ceil(min(max(0, base-s.Position), mostPlace)*ageGrain))), age)
+		b = appendAge(binary.AppendUvarint(b, uint64(math.Ceil(min(max(0, base-s.Position), maxPosition)*agesPerMs))), age)
 	}
 	if answered >= 0 {
-		b = putAge(b, answered)
+		b = appendAge(b, answered)
 	}
 	return b
 }
 
 // Append is part.Words'.
-func (t *Tell) Append(b []byte) []byte {
-	b, base := putBase(binary.BigEndian.AppendUint32(append(b, verbTell), t.Seq), t.Items, func(x *Item) Said { return x.Said })
+func (t *Observations) Append(b []byte) []byte {
+	b, base := appendBase(binary.BigEndian.AppendUint32(append(b, kindObservations), t.Sequence), t.Items, func(x *Observation) ServerReport { return x.Report })
 	for i := range t.Items {
 		x := &t.Items[i]
-		b = append(binary.BigEndian.AppendUint32(b, x.Key), flags(x.Said, x.Answered), byte(min(x.N, mostCount)))
-		if x.N > 0 {
-			b = putAge(putAge(putAge(b, x.First), x.Last), x.Work)
+		b = append(binary.BigEndian.AppendUint32(b, x.Key), flags(x.Report, x.Answered), byte(min(x.Unanswered, maxUnanswered)))
+		if x.Unanswered > 0 {
+			b = appendAge(appendAge(appendAge(b, x.FirstUnanswered), x.LastUnanswered), x.Work)
 		}
-		b = putRest(b, base, x.Said, x.SaidAge, x.Answered)
+		b = appendReport(b, base, x.Report, x.ReportAge, x.Answered)
 	}
 	return b
 }
 
 // Append is part.Words'.
-func (w *Word) Append(b []byte) []byte {
-	b, base := putBase(binary.BigEndian.AppendUint32(append(b, verbWord), w.Seq), w.Items, func(x *Sum) Said { return x.Said })
+func (w *Assessments) Append(b []byte) []byte {
+	b, base := appendBase(binary.BigEndian.AppendUint32(append(b, kindAssessments), w.Sequence), w.Items, func(x *Assessment) ServerReport { return x.Report })
 	for i := range w.Items {
 		x := &w.Items[i]
-		f := flags(x.Said, x.Answered)
-		if x.Bad {
-			f |= flagBad
+		f := flags(x.Report, x.Answered)
+		if x.Unhealthy {
+			f |= flagUnhealthy
 		}
-		if x.All {
-			f |= flagAll
+		if x.AllZones {
+			f |= flagAllZones
 		}
 		b = append(binary.BigEndian.AppendUint32(b, x.Key), f)
-		if x.Bad {
-			zones, by := x.Zones[:min(len(x.Zones), mostZones)], x.By[:min(len(x.By), 2)]
+		if x.Unhealthy {
+			zones, by := x.Zones[:min(len(x.Zones), maxZones)], x.Observers[:min(len(x.Observers), 2)]
 			b = append(b, byte(len(zones)), byte(len(by)))
 			for _, z := range zones {
 				b = binary.BigEndian.AppendUint32(b, z)
@@ -104,9 +104,9 @@
 			for _, id := range by {
 				b = binary.BigEndian.AppendUint64(b, uint64(id))
 			}
-			b = putAge(putAge(b, x.First), x.Last)
+			b = appendAge(appendAge(b, x.FirstUnanswered), x.LastUnanswered)
 		}
-		b = putRest(b, base, x.Said, x.SaidAge, x.Answered)
+		b = appendReport(b, base, x.Report, x.ReportAge, x.Answered)
 	}
 	return b
 }
@@ -120,14 +120,14 @@
 	return x
 }
 
-func (r *reader) age() float64 { return r.number(ageGrain, mostAge) }
+func (r *reader) age() float64 { return r.number(agesPerMs, maxAgeMs) }
 
-// rest reads what flags say that there is.
-func (r *reader) rest(f byte, base float64) (s Said, age, answered float64) {
+// report reads what flags say that there is.
+func (r *reader) report(f byte, base float64) (s ServerReport, age, answered float64) {
 	s.Role, answered = Role(f&flagRole), -1
-	r.Require(s.Role <= Follows)
-	if f&flagSaid != 0 {
-		s.Position = base - r.number(ageGrain, mostPlace)
+	r.Require(s.Role <= RoleReplica)
+	if f&flagPosition != 0 {
+		s.Position = base - r.number(agesPerMs, maxPosition)
 		age = r.age()
 		r.Require(s.Position > 0)
 	}
@@ -137,48 +137,48 @@
 	return s, age, answered
 }
 
-// Read reads a message.
-func Read(b []byte) (any, error) {
+// Decode reads a message.
+func Decode(b []byte) (any, error) {
 	r := &reader{encoding.NewReader(b)}
-	verb, seq, base := r.Byte(), r.Uint32(), r.number(1, mostPlace)
+	verb, seq, base := r.Byte(), r.Uint32(), r.number(1, maxPosition)
 	switch verb {
-	case verbTell:
-		t := &Tell{Seq: seq}
+	case kindObservations:
+		t := &Observations{Sequence: seq}
 		for r.More() {
-			x := Item{Key: r.Uint32()}
+			x := Observation{Key: r.Uint32()}
 			f := r.Byte()
-			if x.N = int(r.Byte()); x.N > 0 {
-				x.First, x.Last, x.Work = r.age(), r.age(), r.age()
-				r.Require(x.Last <= x.First)
+			if x.Unanswered = int(r.Byte()); x.Unanswered > 0 {
+				x.FirstUnanswered, x.LastUnanswered, x.Work = r.age(), r.age(), r.age()
+				r.Require(x.LastUnanswered <= x.FirstUnanswered)
 			}
-			x.Said, x.SaidAge, x.Answered = r.rest(f, base)
+			x.Report, x.ReportAge, x.Answered = r.report(f, base)
 			t.Items = append(t.Items, x)
 		}
 		if r.OK() {
 			return t, nil
 		}
-	case verbWord:
-		w := &Word{Seq: seq}
+	case kindAssessments:
+		w := &Assessments{Sequence: seq}
 		for r.More() {
-			x := Sum{Key: r.Uint32()}
+			x := Assessment{Key: r.Uint32()}
 			f := r.Byte()
-			if x.Bad, x.All = f&flagBad != 0, f&flagAll != 0; x.Bad {
-				zones, by := r.ByteMax(mostZones), r.ByteMax(2)
+			if x.Unhealthy, x.AllZones = f&flagUnhealthy != 0, f&flagAllZones != 0; x.Unhealthy {
+				zones, by := r.ByteMax(maxZones), r.ByteMax(2)
 				for i := 0; i < zones && r.OK(); i++ {
 					x.Zones = append(x.Zones, r.Uint32())
 				}
 				for i := 0; i < by && r.OK(); i++ {
-					x.By = append(x.By, ID(r.Uint64()))
+					x.Observers = append(x.Observers, ID(r.Uint64()))
 				}
-				x.First, x.Last = r.age(), r.age()
-				r.Require(x.Last <= x.First)
+				x.FirstUnanswered, x.LastUnanswered = r.age(), r.age()
+				r.Require(x.LastUnanswered <= x.FirstUnanswered)
 			}
-			x.Said, x.SaidAge, x.Answered = r.rest(f, base)
+			x.Report, x.ReportAge, x.Answered = r.report(f, base)
 			w.Items = append(w.Items, x)
 		}
 		if r.OK() {
 			return w, nil
 		}
 	}
-	return nil, ErrForm
+	return nil, ErrMalformed
 }
--- a/internal/cluster/outlier/heed.go
+++ b/internal/cluster/outlier/heed.go
@@ -5,196 +5,199 @@
 	"slices"
 )
 
-// word is what a collector said of a server, in this process's time.
-type word struct {
-	seq         uint32
-	at          float64
-	bad         bool // for this process's zone
-	first, last float64
-	answered    float64
-	by          []ID
-	said        Said
-	saidAt      float64
+// assessment is what a collector said of a server, in this process's time.
+type assessment struct {
+	sequence                        uint32
+	receivedAt                      float64
+	unhealthy                       bool // for this process's zone
+	firstUnanswered, lastUnanswered float64
+	answeredAt                      float64
+	observers                       []ID
+	report                          ServerReport
+	reportedAt                      float64
 }
 
-// avoid is how a server stands here by others' word.
-type avoid struct {
-	on    bool
-	turn  bool // it is this process's turn to try
-	since float64
-	until float64
-	why   string
-	by    []ID
+// ejection is how a server stands here by others' word.
+type ejection struct {
+	active    bool
+	testing   bool // it is this process's turn to try
+	since     float64
+	until     float64
+	reason    string
+	observers []ID
 }
 
-// hear takes a collector's word.
-func (v *Verdicts) hear(s *server, from ID, seq uint32, m *Sum) {
-	if !slices.Contains(v.collectors(s), from) {
+// recordAssessment takes a collector's word.
+func (detector *Detector) recordAssessment(server *serverState, from ID, seq uint32, m *Assessment) {
+	if !slices.Contains(detector.collectors(server), from) {
 		return
 	}
-	w := s.says[from]
-	if w == nil {
-		w = &word{seq: seq - 1}
-		s.says[from] = w
+	word := server.assessments[from]
+	if word == nil {
+		word = &assessment{sequence: seq - 1}
+		server.assessments[from] = word
 	}
-	if int32(seq-w.seq) <= 0 {
+	if int32(seq-word.sequence) <= 0 {
 		return
 	}
-	delay := v.set.Delay
-	if from == v.self {
+	delay := detector.settings.MaxDelay
+	if from == detector.self {
 		delay = 0
 	}
 	at := func(age float64) float64 {
 		if age < 0 {
 			return -inf
 		}
-		if v.set.Broken == HeardAge {
-			return v.now
+		if detector.settings.Fault == AgeFromReceipt {
+			return detector.now
 		}
-		return v.now - age
+		return detector.now - age
 	}
-	w.seq, w.at, w.first, w.last, w.answered, w.by = seq, v.now, at(m.First), at(m.Last), at(m.Answered), m.By
-	w.bad = m.Bad && v.set.Health && (m.All || slices.Contains(m.Zones, zoneKey(v.at[v.self].Zone)))
-	if m.Said != (Said{}) && m.SaidAge+delay <= v.set.Stale {
-		w.said, w.saidAt = m.Said, v.now-m.SaidAge-delay
+	word.sequence, word.receivedAt, word.firstUnanswered, word.lastUnanswered, word.answeredAt, word.observers = seq, detector.now, at(m.FirstUnanswered), at(m.LastUnanswered), at(m.Answered), m.Observers
+	word.unhealthy = m.Unhealthy && detector.settings.ShareHealth && (m.AllZones || slices.Contains(m.Zones, zoneKey(detector.peerByID[detector.self].Zone)))
+	if m.Report != (ServerReport{}) && m.ReportAge+delay <= detector.settings.StaleAfter {
+		word.report, word.reportedAt = m.Report, detector.now-m.ReportAge-delay
 	}
-	v.learn(s)
-	v.weigh(s)
+	detector.shareReports(server)
+	detector.updateEjection(server)
 }
 
-// learn has the module take the newest that enough collectors say.
-func (v *Verdicts) learn(s *server) {
-	nth := func(ok func(Said) bool) (p, at float64) {
-		var have []*word
-		for _, w := range s.says { // sorted below
-			if ok(w.said) && v.now-w.saidAt <= v.set.Stale {
-				have = append(have, w)
+// shareReports has the module take the newest that enough collectors say.
+func (detector *Detector) shareReports(server *serverState) {
+	nth := func(ok func(ServerReport) bool) (p, at float64) {
+		var have []*assessment
+		for _, word := range server.assessments { // sorted below
+			if ok(word.report) && detector.now-word.reportedAt <= detector.settings.StaleAfter {
+				have = append(have, word)
 			}
 		}
-		if n := v.set.need(len(v.peers)); len(have) >= n {
-			slices.SortFunc(have, func(a, b *word) int {
-				return cmp.Or(cmp.Compare(b.said.Position, a.said.Position), cmp.Compare(b.saidAt, a.saidAt))
+		if n := detector.settings.collectorQuorum(len(detector.peers)); len(have) >= n {
+			slices.SortFunc(have, func(a, b *assessment) int {
+				return cmp.Or(cmp.Compare(b.report.Position, a.report.Position), cmp.Compare(b.reportedAt, a.reportedAt))
 			})
-			return have[n-1].said.Position, have[n-1].saidAt
+			return have[n-1].report.Position, have[n-1].reportedAt
 		}
 		return 0, 0
 	}
 	tell := func(k int, role Role, p, at float64) {
-		if v.set.Broken == NotAged {
-			p = v.now
+		if detector.settings.Fault == PositionsNotAged {
+			p = detector.now
 		}
-		if p > s.learnt[k] {
-			s.learnt[k] = p
-			v.out = append(v.out, Action{Kind: Learn, Server: s.Name, Said: Said{role, p}, Age: v.now - at})
+		if p > server.learnedPositions[k] {
+			server.learnedPositions[k] = p
+			detector.actions = append(detector.actions, Action{Kind: LearnReport, Server: server.Name, Report: ServerReport{role, p}, Age: detector.now - at})
 		}
 	}
-	if p, at := nth(func(x Said) bool { return x.Role == Leads && x.Position > 0 }); p > 0 && v.set.Roles {
-		tell(1, Leads, p, at)
+	if p, at := nth(func(x ServerReport) bool { return x.Role == RolePrimary && x.Position > 0 }); p > 0 && detector.settings.ShareRoles {
+		tell(1, RolePrimary, p, at)
 	}
-	if p, at := nth(func(x Said) bool { return x.Position > 0 }); p > 0 && v.set.Places {
-		tell(0, Unsaid, p, at)
+	if p, at := nth(func(x ServerReport) bool { return x.Position > 0 }); p > 0 && detector.settings.SharePositions {
+		tell(0, RoleUnknown, p, at)
 	}
 }
 
-// calledBad tells whether enough collectors call a server bad, and what the newest says.
-func (v *Verdicts) calledBad(s *server) bool { n, _ := v.called(s); return n }
+// isCalledUnhealthy tells whether enough collectors call a server bad, and what the newest says.
+func (detector *Detector) isCalledUnhealthy(server *serverState) bool {
+	n, _ := detector.newestVerdict(server)
+	return n
+}
 
-func (v *Verdicts) called(s *server) (bool, *word) {
-	var newest *word
+func (detector *Detector) newestVerdict(server *serverState) (bool, *assessment) {
+	var newest *assessment
 	n := 0
-	for _, id := range v.collectors(s) {
-		if w := s.says[id]; w != nil && w.bad && v.now-w.at <= v.set.holds() && v.now-w.last <= v.set.Lapse {
-			if n++; newest == nil || w.last > newest.last {
-				newest = w
+	for _, id := range detector.collectors(server) {
+		if word := server.assessments[id]; word != nil && word.unhealthy && detector.now-word.receivedAt <= detector.settings.assessmentLifetime() && detector.now-word.lastUnanswered <= detector.settings.EjectionTime {
+			if n++; newest == nil || word.lastUnanswered > newest.lastUnanswered {
+				newest = word
 			}
 		}
 	}
-	return n >= v.set.need(len(v.peers)), newest
+	return n >= detector.settings.collectorQuorum(len(detector.peers)), newest
 }
 
-// weigh holds what collectors say of a server against what this process saw, and against what they take away already.
-func (v *Verdicts) weigh(s *server) {
-	bad, w := v.called(s)
-	if bad && s.own.as >= w.first && v.set.Broken != OwnLoses { // it answered what this process sent after all that they have against it began
+// updateEjection holds what collectors say of a server against what this process saw, and against what they take away already.
+func (detector *Detector) updateEjection(server *serverState) {
+	bad, word := detector.newestVerdict(server)
+	if bad && server.own.answeredSentAt >= word.firstUnanswered && detector.settings.Fault != IgnoresOwnEvidence { // it answered what this process sent after all that they have against it began
 		bad = false
 	}
-	if bad && !v.spare(s) {
+	if bad && !detector.canEject(server) {
 		bad = false
 	}
 	if !bad {
-		if s.avoid.on {
-			v.release(s, true)
+		if server.ejection.active {
+			detector.endEjection(server, true)
 		}
 		return
 	}
-	begins := !s.avoid.on
+	begins := !server.ejection.active
 	if begins {
-		s.avoid = avoid{on: true, since: v.now}
-		v.out = append(v.out, Action{Kind: Avoid, Server: s.Name})
+		server.ejection = ejection{active: true, since: detector.now}
+		detector.actions = append(detector.actions, Action{Kind: Eject, Server: server.Name})
 	}
-	s.avoid.why, s.avoid.by, s.avoid.until = "silent", w.by, min(w.last+v.set.Lapse, w.at+v.set.holds())
+	server.ejection.reason, server.ejection.observers, server.ejection.until = "silent", word.observers, min(word.lastUnanswered+detector.settings.EjectionTime, word.receivedAt+detector.settings.assessmentLifetime())
 	if begins {
-		v.out = append(v.out, Action{Kind: Begins, Server: s.Name, Standing: s.standing()})
+		detector.actions = append(detector.actions, Action{Kind: EjectionStarted, Server: server.Name, Ejection: server.publicEjection()})
 	}
-	turn := v.turn(s)
+	turn := detector.isTester(server)
 	switch {
-	case turn && !s.avoid.turn:
-		v.out = append(v.out, Action{Kind: Look, Server: s.Name})
-	case !turn && s.avoid.turn:
-		v.out = append(v.out, Action{Kind: Avoid, Server: s.Name})
+	case turn && !server.ejection.testing:
+		detector.actions = append(detector.actions, Action{Kind: CheckHealth, Server: server.Name})
+	case !turn && server.ejection.testing:
+		detector.actions = append(detector.actions, Action{Kind: Eject, Server: server.Name})
 	}
-	s.avoid.turn = turn
+	server.ejection.testing = turn
 }
 
-// spare tells whether a group can do without a server by others' word: not too many are so, and another is left.
-func (v *Verdicts) spare(s *server) bool {
-	members := v.groups[s.Group]
+// canEject tells whether a group can do without a server by others' word: not too many are so, and another is left.
+func (detector *Detector) canEject(server *serverState) bool {
+	members := detector.groups[server.Group]
 	taken, left := 0, 0
 	for _, o := range members {
 		switch {
-		case o == s:
-		case o.avoid.on:
+		case o == server:
+		case o.ejection.active:
 			taken++
 		case !o.down:
 			left++
 		}
 	}
-	return left > 0 && taken < v.set.Blinded(len(members))
+	return left > 0 && taken < detector.settings.MaxEjected(len(members))
 }
 
-// turn tells whether it is this process's turn to try a server: some of all do at any time, each for a while, the ones with the least hashes.
-func (v *Verdicts) turn(s *server) bool {
-	round := uint64((v.now - s.avoid.since) / max(1, v.set.Turn))
+// isTester tells whether it is this process's turn to try a server: some of all do at any time, each for a while, the ones with the least hashes.
+func (detector *Detector) isTester(server *serverState) bool {
+	round := uint64((detector.now - server.ejection.since) / max(1, detector.settings.TesterTurn))
 	if round == 0 {
 		return false
 	}
-	draw := func(id ID) uint64 { return mixed(uint64(s.key)<<32^uint64(id), round+1) }
-	own, before := draw(v.self), 0
-	for i := range v.peers {
-		if id := v.peers[i].ID; id != v.self && draw(id) < own {
+	draw := func(id ID) uint64 { return mixHash(uint64(server.key)<<32^uint64(id), round+1) }
+	own, before := draw(detector.self), 0
+	for i := range detector.peers {
+		if id := detector.peers[i].ID; id != detector.self && draw(id) < own {
 			before++
 		}
 	}
-	return before < v.set.Trying(len(v.peers))
+	return before < detector.settings.TesterCount(len(detector.peers))
 }
 
-func mixed(h, salt uint64) uint64 {
+func mixHash(h, salt uint64) uint64 {
 	h = (h ^ salt*0x9e3779b97f4a7c15) * 0xff51afd7ed558ccd
 	h = (h ^ h>>32) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>29
 }
 
-// release ends a verdict here.
-func (v *Verdicts) release(s *server, try bool) {
-	last := s.avoid
-	s.avoid = avoid{}
-	v.out = append(v.out, Action{Kind: Ends, Server: s.Name})
+// endEjection ends a verdict here.
+func (detector *Detector) endEjection(server *serverState, try bool) {
+	last := server.ejection
+	server.ejection = ejection{}
+	detector.actions = append(detector.actions, Action{Kind: EjectionEnded, Server: server.Name})
 	if !try {
 		return
 	}
-	for _, w := range s.says { // any
-		if !w.bad && w.answered > last.since {
-			v.out = append(v.out, Action{Kind: Try, Server: s.Name})
+	for _, word := range server.assessments { // any
+		if !word.unhealthy && word.answeredAt > last.since {
+			detector.actions = append(detector.actions, Action{Kind: Restore, Server: server.Name})
 			return
 		}
 	}
--- a/internal/cluster/outlier/observe.go
+++ b/internal/cluster/outlier/observe.go
@@ -4,175 +4,177 @@
 	"slices"
 )
 
-// early is how many times its work an attempt may take before it is told as unanswered.
-const early = 2.0
+// reportAfterWorks is how many times its work an attempt may take before it is told as unanswered.
+const reportAfterWorks = 2.0
 
-// own is what this process saw of a server.
-type own struct {
-	open              []sent
-	answered, as      float64 // the last answer's coming; the send of the latest attempt that was answered
-	n                 int     // that ended without an answer, sent after that
-	first, last, work float64
-	said              Said
-	saidAt            float64
-	fresh             bool // something is new since it was told
+// localEvidence is what this process saw of a server.
+type localEvidence struct {
+	openAttempts                          []openAttempt
+	answeredAt, answeredSentAt            float64 // the last answer's coming; the send of the latest attempt that was answered
+	unanswered                            int     // that ended without an answer, sent after that
+	firstUnanswered, lastUnanswered, work float64
+	report                                ServerReport
+	reportedAt                            float64
+	changed                               bool // something is new since it was told
 }
 
-type sent struct {
-	ref      uint64
-	at, work float64
+type openAttempt struct {
+	ref          uint64
+	sentAt, work float64
 }
 
-func (o *own) clear() { *o = own{answered: -inf, as: -inf, saidAt: -inf} }
+func (o *localEvidence) clear() {
+	*o = localEvidence{answeredAt: -inf, answeredSentAt: -inf, reportedAt: -inf}
+}
 
-func (o *own) sent(now float64, ref uint64, work float64) {
-	if len(o.open) < mostOpen {
-		o.open = append(o.open, sent{ref, now, work})
+func (o *localEvidence) attemptSent(now float64, ref uint64, work float64) {
+	if len(o.openAttempts) < maxOpenAttempts {
+		o.openAttempts = append(o.openAttempts, openAttempt{ref, now, work})
 	}
 }
 
-func (o *own) say(now float64, s Said) {
-	if s.Role != Unsaid || s.Position > 0 {
-		o.said, o.saidAt, o.fresh = s, now, true
+func (o *localEvidence) recordReport(now float64, s ServerReport) {
+	if s.Role != RoleUnknown || s.Position > 0 {
+		o.report, o.reportedAt, o.changed = s, now, true
 	}
 }
 
-func (v *Verdicts) ended(e *Ended) {
-	s := v.byName[e.Server]
-	if s == nil {
+func (detector *Detector) attemptEnded(e *AttemptEnded) {
+	server := detector.byName[e.Server]
+	if server == nil {
 		return
 	}
-	o := &s.own
-	i := slices.IndexFunc(o.open, func(x sent) bool { return x.ref == e.Ref })
+	o := &server.own
+	i := slices.IndexFunc(o.openAttempts, func(x openAttempt) bool { return x.ref == e.Ref })
 	if i < 0 {
 		return
 	}
-	x := o.open[i]
-	o.open = slices.Delete(o.open, i, i+1)
-	switch end := e.End; {
+	x := o.openAttempts[i]
+	o.openAttempts = slices.Delete(o.openAttempts, i, i+1)
+	switch end := e.Outcome; {
 	case end == Answered:
-		o.answered, o.as, o.fresh = v.now, max(o.as, x.at), true
-		if o.last <= o.as {
-			o.n = 0
-		} else if o.n > 0 {
-			o.n, o.first = 1, o.last
+		o.answeredAt, o.answeredSentAt, o.changed = detector.now, max(o.answeredSentAt, x.sentAt), true
+		if o.lastUnanswered <= o.answeredSentAt {
+			o.unanswered = 0
+		} else if o.unanswered > 0 {
+			o.unanswered, o.firstUnanswered = 1, o.lastUnanswered
 		}
-		if s.avoid.on && !s.avoid.turn || v.calledBad(s) { // it is not what they say
-			v.weigh(s)
-			v.push(s)
+		if server.ejection.active && !server.ejection.testing || detector.isCalledUnhealthy(server) { // it is not what they say
+			detector.updateEjection(server)
+			detector.reportAtOnce(server)
 		}
-	case end == Lost || v.now-x.at >= early*x.work:
-		if x.at > o.as {
-			if o.n == 0 {
-				o.first, o.last, o.work = x.at, x.at, x.work
+	case end == Unanswered || detector.now-x.sentAt >= reportAfterWorks*x.work:
+		if x.sentAt > o.answeredSentAt {
+			if o.unanswered == 0 {
+				o.firstUnanswered, o.lastUnanswered, o.work = x.sentAt, x.sentAt, x.work
 			}
-			o.first, o.last, o.work, o.n, o.fresh = min(o.first, x.at), max(o.last, x.at), max(o.work, x.work), min(o.n+1, mostCount), true
+			o.firstUnanswered, o.lastUnanswered, o.work, o.unanswered, o.changed = min(o.firstUnanswered, x.sentAt), max(o.lastUnanswered, x.sentAt), max(o.work, x.work), min(o.unanswered+1, maxUnanswered), true
 		}
 	}
-	v.says(s, e.Said)
+	detector.recordReport(server, e.Report)
 }
 
-func (v *Verdicts) probed(e *Probed) {
-	s := v.byName[e.Server]
-	if s == nil {
+func (detector *Detector) healthChecked(e *HealthChecked) {
+	server := detector.byName[e.Server]
+	if server == nil {
 		return
 	}
-	v.says(s, e.Said)
-	if e.OK && s.avoid.on && s.avoid.turn {
-		v.out = append(v.out, Action{Kind: Try, Server: s.Name})
+	detector.recordReport(server, e.Report)
+	if e.OK && server.ejection.active && server.ejection.testing {
+		detector.actions = append(detector.actions, Action{Kind: Restore, Server: server.Name})
 	}
 }
 
-// says takes what a server said of itself. That another than the known one leads is told at once.
-func (v *Verdicts) says(s *server, said Said) {
-	if s.own.say(v.now, said); said.Role == Leads && v.set.Roles && v.leader(s.Group) != s {
-		v.push(s)
+// recordReport takes what a server said of itself. That another than the known one leads is told at once.
+func (detector *Detector) recordReport(server *serverState, said ServerReport) {
+	if server.own.recordReport(detector.now, said); said.Role == RolePrimary && detector.settings.ShareRoles && detector.primaryOf(server.Group) != server {
+		detector.reportAtOnce(server)
 	}
 }
 
-// leader is who leads a group by what the module was told, or by what this process heard itself.
-func (v *Verdicts) leader(group int) (best *server) {
+// primaryOf is who leads a group by what the module was told, or by what this process heard itself.
+func (detector *Detector) primaryOf(group int) (best *serverState) {
 	at := 0.0
-	for _, s := range v.groups[group] {
-		if x := s.learnt[1]; x > at {
-			best, at = s, x
+	for _, server := range detector.groups[group] {
+		if x := server.learnedPositions[1]; x > at {
+			best, at = server, x
 		}
 	}
 	return best
 }
 
-// push tells the collectors of a server at once, but not twice within a step.
-func (v *Verdicts) push(s *server) {
-	if v.now-s.pushed < v.set.Step {
+// reportAtOnce tells the collectors of a server at once, but not twice within a step.
+func (detector *Detector) reportAtOnce(server *serverState) {
+	if detector.now-server.reportedAt < detector.settings.TickInterval {
 		return
 	}
-	s.pushed = v.now
-	v.tell([]*server{s})
+	server.reportedAt = detector.now
+	detector.sendObservations([]*serverState{server})
 }
 
-// item is what there is to tell of a server.
-func (v *Verdicts) item(s *server) Item {
-	o := &s.own
-	x := Item{Key: s.key, Answered: -1}
-	if v.set.Health {
-		if v.now-o.answered <= 2*v.set.Lapse {
-			x.Answered = v.now - o.answered
+// observationOf is what there is to tell of a server.
+func (detector *Detector) observationOf(server *serverState) Observation {
+	o := &server.own
+	x := Observation{Key: server.key, Answered: -1}
+	if detector.settings.ShareHealth {
+		if detector.now-o.answeredAt <= 2*detector.settings.EjectionTime {
+			x.Answered = detector.now - o.answeredAt
 		}
-		n, first, last, work := o.n, o.first, o.last, o.work
-		for _, a := range o.open {
-			if a.at <= o.as || v.now-a.at < early*a.work {
+		n, first, last, work := o.unanswered, o.firstUnanswered, o.lastUnanswered, o.work
+		for _, a := range o.openAttempts {
+			if a.sentAt <= o.answeredSentAt || detector.now-a.sentAt < reportAfterWorks*a.work {
 				continue
 			}
 			if n == 0 {
-				first, last = a.at, a.at
+				first, last = a.sentAt, a.sentAt
 			}
-			n, first, last, work = n+1, min(first, a.at), max(last, a.at), max(work, a.work)
+			n, first, last, work = n+1, min(first, a.sentAt), max(last, a.sentAt), max(work, a.work)
 		}
-		if n > 0 && v.now-last <= v.set.Lapse {
-			x.N, x.First, x.Last, x.Work = min(n, mostCount), v.now-first, v.now-last, work
+		if n > 0 && detector.now-last <= detector.settings.EjectionTime {
+			x.Unanswered, x.FirstUnanswered, x.LastUnanswered, x.Work = min(n, maxUnanswered), detector.now-first, detector.now-last, work
 		}
 	}
-	if age := v.now - o.saidAt; age <= v.set.Stale && (v.set.Places || v.set.Roles && o.said.Role == Leads) {
-		x.Said, x.SaidAge = o.said, age
+	if age := detector.now - o.reportedAt; age <= detector.settings.StaleAfter && (detector.settings.SharePositions || detector.settings.ShareRoles && o.report.Role == RolePrimary) {
+		x.Report, x.ReportAge = o.report, age
 	}
 	return x
 }
 
-// tellNews tells what is new, or all that stands.
-func (v *Verdicts) tellNews(full bool) {
-	var list []*server
-	for _, s := range v.order {
-		if x := v.item(s); s.own.fresh || x.N != s.told.N || full && (x.N > 0 || x.Answered >= 0 && x.Answered <= v.set.Lapse || x.Said.Role == Leads) {
-			list = append(list, s)
+// reportChanges tells what is new, or all that stands.
+func (detector *Detector) reportChanges(full bool) {
+	var list []*serverState
+	for _, server := range detector.servers {
+		if x := detector.observationOf(server); server.own.changed || x.Unanswered != server.reported.Unanswered || full && (x.Unanswered > 0 || x.Answered >= 0 && x.Answered <= detector.settings.EjectionTime || x.Report.Role == RolePrimary) {
+			list = append(list, server)
 		}
 	}
-	v.tell(list)
+	detector.sendObservations(list)
 }
 
-// tell tells the servers' collectors.
-func (v *Verdicts) tell(list []*server) {
-	v.seq++
-	slices.SortStableFunc(list, func(a, b *server) int { return a.Group/Block - b.Group/Block })
+// sendObservations tells the servers' collectors.
+func (detector *Detector) sendObservations(list []*serverState) {
+	detector.sequence++
+	slices.SortStableFunc(list, func(a, b *serverState) int { return a.Group/GroupsPerBlock - b.Group/GroupsPerBlock })
 	for len(list) > 0 {
 		n := 1
-		for n < len(list) && list[n].Group/Block == list[0].Group/Block {
+		for n < len(list) && list[n].Group/GroupsPerBlock == list[0].Group/GroupsPerBlock {
 			n++
 		}
-		var items []Item
-		for _, s := range list[:n] {
-			x := v.item(s)
-			s.told, s.own.fresh = x, false
+		var items []Observation
+		for _, server := range list[:n] {
+			x := detector.observationOf(server)
+			server.reported, server.own.changed = x, false
 			items = append(items, x)
 		}
-		for _, id := range v.collectors(list[0]) {
-			if id == v.self {
-				for i, s := range list[:n] {
-					v.file(s, id, v.seq, &items[i], 0)
+		for _, id := range detector.collectors(list[0]) {
+			if id == detector.self {
+				for i, server := range list[:n] {
+					detector.recordObservation(server, id, detector.sequence, &items[i], 0)
 				}
 				continue
 			}
-			split(items, (*Item).size, func(part []Item) {
-				v.out = append(v.out, Action{Kind: Send, To: id, Addr: v.at[id].Addr, Tell: &Tell{Seq: v.seq, Items: part}})
+			split(items, (*Observation).wireBytes, func(part []Observation) {
+				detector.actions = append(detector.actions, Action{Kind: Send, To: id, Addr: detector.peerByID[id].Addr, Observations: &Observations{Sequence: detector.sequence, Items: part}})
 			})
 		}
 		list = list[n:]
--- a/internal/cluster/outlier/verdicts.go
+++ b/internal/cluster/outlier/verdicts.go
@@ -11,246 +11,248 @@
 	"beechgrade/internal/invariant"
 )
 
-// Verdicts is a process's side: as an observer, as a collector, and as one that heeds what collectors say.
-type Verdicts struct {
-	set     Settings
-	self    ID
-	now     float64
-	peers   []Peer
-	ring    []overload.Peer // the same, for hashing
-	at      map[ID]*Peer
-	zones   int // in which poolers stand
-	byKey   map[uint32]*server
-	byName  map[string]*server
-	order   []*server // by key
-	groups  map[int][]*server
-	of      map[int][]ID // collectors, by block
-	shunned map[ID]float64
-	seq     uint32
-	ticked  float64
-	tellAt  float64
-	fullAt  float64
-	out     []Action
+// Detector is a process's side: as an observer, as a collector, and as one that heeds what collectors say.
+type Detector struct {
+	settings          Settings
+	self              ID
+	now               float64
+	peers             []Peer
+	hashPeers         []overload.Peer // the same, for hashing
+	peerByID          map[ID]*Peer
+	zoneCount         int // in which poolers stand
+	byKey             map[uint32]*serverState
+	byName            map[string]*serverState
+	servers           []*serverState // by key
+	groups            map[int][]*serverState
+	collectorsByBlock map[int][]ID // collectors, by block
+	distrustedUntil   map[ID]float64
+	sequence          uint32
+	lastTick          float64
+	nextReport        float64
+	nextRefresh       float64
+	actions           []Action
 
-	checks *invariant.Checks // nil where nothing is checked
-	every  int
-	walks  int
+	checks        *invariant.Checks // nil where nothing is checked
+	checkInterval int
+	checkCounter  int
 }
 
-// server is what is known of one.
-type server struct {
+// serverState is what is known of one.
+type serverState struct {
 	Server
-	key    uint32
-	own    own
-	told   Item    // as last told, by what changes it: see news
-	seen   []*seen // by observer
-	fresh  bool    // something was filed since it was judged
-	says   map[ID]*word
-	said   Sum // as last published
-	looked float64
-	avoid  avoid
-	learnt [2]float64 // positions that the module was told: of whatever role, and as the primary
-	pushed float64
-	down   bool // in this pooler's module
+	key              uint32
+	own              localEvidence
+	reported         Observation // as last told, by what changes it: see news
+	observers        []*observer // by observer
+	changed          bool        // something was filed since it was judged
+	assessments      map[ID]*assessment
+	published        Assessment // as last published
+	healthCheckedAt  float64
+	ejection         ejection
+	learnedPositions [2]float64 // positions that the module was told: of whatever role, and as the primary
+	reportedAt       float64
+	down             bool // in this pooler's module
 }
 
-// seen is what an observer told of a server, in this process's time.
-type seen struct {
-	id                        ID
-	seq, answeredSeq, saidSeq uint32
-	at                        float64
-	answered, since           float64 // since: its answers since then are all that there were
-	n                         int
-	first, last, work         float64
-	said                      Said
-	saidAt                    float64
-	zone                      string
+// observer is what an observer told of a server, in this process's time.
+type observer struct {
+	id                                         ID
+	sequence, answeredSequence, reportSequence uint32
+	receivedAt                                 float64
+	answeredAt, soleAnswersSince               float64 // since: its answers since then are all that there were
+	unanswered                                 int
+	firstUnanswered, lastUnanswered, work      float64
+	report                                     ServerReport
+	reportedAt                                 float64
+	zone                                       string
 }
 
 // New makes a process's side.
-func New(set Settings, self ID, now float64) *Verdicts {
-	return &Verdicts{set: set, self: self, now: now, at: map[ID]*Peer{}, byKey: map[uint32]*server{}, byName: map[string]*server{}, groups: map[int][]*server{}, of: map[int][]ID{},
-		shunned: map[ID]float64{}, tellAt: now, fullAt: now}
+func New(set Settings, self ID, now float64) *Detector {
+	return &Detector{settings: set, self: self, now: now, peerByID: map[ID]*Peer{}, byKey: map[uint32]*serverState{}, byName: map[string]*serverState{}, groups: map[int][]*serverState{}, collectorsByBlock: map[int][]ID{},
+		distrustedUntil: map[ID]float64{}, nextReport: now, nextRefresh: now}
 }
 
 // Handle takes one event at time now and appends what is to be done to out.
-func (v *Verdicts) Handle(now float64, e Event, out []Action) []Action {
-	if v.ticked > 0 && now-v.ticked > still { // it stood still: what was out may have its answer in a socket
-		v.stood()
+func (detector *Detector) Handle(now float64, e Event, out []Action) []Action {
+	if detector.lastTick > 0 && now-detector.lastTick > maxPauseMs { // it stood still: what was out may have its answer in a socket
+		detector.discardOpenAttempts()
 	}
-	v.now, v.out = max(now, v.now), out
+	detector.now, detector.actions = max(now, detector.now), out
 	switch e := e.(type) {
 	case Tick:
-		v.ticked = v.now
-		v.tick()
-	case Members:
-		v.members(e)
-	case Listed:
-		v.listed(e.Servers)
-	case Sent:
-		if s := v.byName[e.Server]; s != nil {
-			s.own.sent(v.now, e.Ref, e.Work)
+		detector.lastTick = detector.now
+		detector.tick()
+	case MembersChanged:
+		detector.updateMembers(e)
+	case ServersListed:
+		detector.updateServers(e.Servers)
+	case AttemptSent:
+		if server := detector.byName[e.Server]; server != nil {
+			server.own.attemptSent(detector.now, e.Ref, e.Work)
 		}
-	case Ended:
-		v.ended(&e)
-	case Probed:
-		v.probed(&e)
-	case Downs:
-		for _, s := range v.order {
-			_, s.down = slices.BinarySearch(e.Servers, s.Name)
+	case AttemptEnded:
+		detector.attemptEnded(&e)
+	case HealthChecked:
+		detector.healthChecked(&e)
+	case ServersDown:
+		for _, server := range detector.servers {
+			_, server.down = slices.BinarySearch(e.Servers, server.Name)
 		}
-	case Heard:
-		v.heard(e.From, e.Message)
+	case Received:
+		detector.handleMessage(e.From, e.Message)
 	}
-	if v.checks.On() {
-		v.checks.Walk(&v.walks, v.every, "verdicts: the walk", v.walk)
+	if detector.checks.On() {
+		detector.checks.Walk(&detector.checkCounter, detector.checkInterval, "verdicts: the walk", detector.checkState)
 	}
-	out, v.out = v.out, nil
+	out, detector.actions = detector.actions, nil
 	return out
 }
 
-// still is how long after its last tick a process stood still.
-const still = 500
+// maxPauseMs is how long after its last tick a process stood still.
+const maxPauseMs = 500
 
-// stood has nothing count that was out while this process stood still, and what it heard before be as old as it is.
-func (v *Verdicts) stood() {
-	for _, s := range v.order {
-		s.own.open = s.own.open[:0]
-		s.own.n = 0
+// discardOpenAttempts has nothing count that was out while this process stood still, and what it heard before be as old as it is.
+func (detector *Detector) discardOpenAttempts() {
+	for _, server := range detector.servers {
+		server.own.openAttempts = server.own.openAttempts[:0]
+		server.own.unanswered = 0
 	}
 }
 
-func (v *Verdicts) members(e Members) {
-	v.self = e.Self
-	v.peers = slices.Clone(e.Peers[:min(len(e.Peers), MostPeers)])
-	v.ring = v.ring[:0]
-	clear(v.at)
-	clear(v.of)
+func (detector *Detector) updateMembers(e MembersChanged) {
+	detector.self = e.Self
+	detector.peers = slices.Clone(e.Peers[:min(len(e.Peers), MaxPeers)])
+	detector.hashPeers = detector.hashPeers[:0]
+	clear(detector.peerByID)
+	clear(detector.collectorsByBlock)
 	zones := map[string]bool{}
-	for i := range v.peers {
-		p := &v.peers[i]
-		v.at[p.ID] = p
-		v.ring = append(v.ring, overload.Peer{ID: p.ID, Addr: p.Addr})
+	for i := range detector.peers {
+		p := &detector.peers[i]
+		detector.peerByID[p.ID] = p
+		detector.hashPeers = append(detector.hashPeers, overload.Peer{ID: p.ID, Addr: p.Addr})
 		zones[p.Zone] = true
 	}
-	v.zones = len(zones)
-	v.fullAt = min(v.fullAt, v.now+v.set.Step) // somebody may be new
+	detector.zoneCount = len(zones)
+	detector.nextRefresh = min(detector.nextRefresh, detector.now+detector.settings.TickInterval) // somebody may be new
 }
 
 // collectors are those of a server's block.
-func (v *Verdicts) collectors(s *server) []ID {
-	block := s.Group / Block
-	ids, ok := v.of[block]
+func (detector *Detector) collectors(server *serverState) []ID {
+	block := server.Group / GroupsPerBlock
+	ids, ok := detector.collectorsByBlock[block]
 	if !ok {
-		ids = overload.First(uint64(block)*0x9e3779b97f4a7c15+1, v.set.Collectors, v.ring)
-		v.of[block] = ids
+		ids = overload.First(uint64(block)*0x9e3779b97f4a7c15+1, detector.settings.Collectors, detector.hashPeers)
+		detector.collectorsByBlock[block] = ids
 	}
 	return ids
 }
 
-func (v *Verdicts) listed(all []Server) {
+func (detector *Detector) updateServers(all []Server) {
 	named := map[string]bool{}
 	for _, x := range all {
-		if named[x.Name] || len(named) >= MostServers {
+		if named[x.Name] || len(named) >= MaxServers {
 			continue
 		}
-		if o := v.byKey[v.keyOf(x)]; o != nil && o.Name != x.Name { // it shares its key: it goes without
+		if o := detector.byKey[detector.keyOf(x)]; o != nil && o.Name != x.Name { // it shares its key: it goes without
 			continue
 		}
 		named[x.Name] = true
-		s := v.byName[x.Name]
-		if s == nil || s.Start != x.Start && v.set.Broken != KeepsOld || s.Group != x.Group {
-			if s != nil && s.avoid.on {
-				v.release(s, false)
+		server := detector.byName[x.Name]
+		if server == nil || server.Start != x.Start && detector.settings.Fault != KeepsOldEvidence || server.Group != x.Group {
+			if server != nil && server.ejection.active {
+				detector.endEjection(server, false)
 			}
-			down := s != nil && s.down
-			if s != nil {
-				delete(v.byKey, s.key)
+			down := server != nil && server.down
+			if server != nil {
+				delete(detector.byKey, server.key)
 			}
-			s = &server{Server: x, key: v.keyOf(x), says: map[ID]*word{}, down: down}
-			s.own.clear()
-			v.byName[x.Name], v.byKey[s.key] = s, s
+			server = &serverState{Server: x, key: detector.keyOf(x), assessments: map[ID]*assessment{}, down: down}
+			server.own.clear()
+			detector.byName[x.Name], detector.byKey[server.key] = server, server
 		}
-		s.Start = x.Start
+		server.Start = x.Start
 	}
-	v.order, v.groups = v.order[:0], map[int][]*server{}
-	for name, s := range v.byName { // sorted below
+	detector.servers, detector.groups = detector.servers[:0], map[int][]*serverState{}
+	for name, server := range detector.byName { // sorted below
 		if !named[name] {
-			delete(v.byName, name)
-			delete(v.byKey, s.key)
+			delete(detector.byName, name)
+			delete(detector.byKey, server.key)
 			continue
 		}
-		v.order = append(v.order, s)
+		detector.servers = append(detector.servers, server)
 	}
-	slices.SortFunc(v.order, func(a, b *server) int { return cmp.Compare(a.key, b.key) })
-	for _, s := range v.order {
-		v.groups[s.Group] = append(v.groups[s.Group], s)
+	slices.SortFunc(detector.servers, func(a, b *serverState) int { return cmp.Compare(a.key, b.key) })
+	for _, server := range detector.servers {
+		detector.groups[server.Group] = append(detector.groups[server.Group], server)
 	}
-	for _, s := range v.order { // a group that has lost a member spares fewer
-		if s.avoid.on {
-			v.weigh(s)
+	for _, server := range detector.servers { // a group that has lost a member spares fewer
+		if server.ejection.active {
+			detector.updateEjection(server)
 		}
 	}
 }
 
 // keyOf names a server's process.
-func (v *Verdicts) keyOf(x Server) uint32 {
-	if v.set.Broken == KeepsOld {
+func (detector *Detector) keyOf(x Server) uint32 {
+	if detector.settings.Fault == KeepsOldEvidence {
 		x.Start = 0
 	}
 	return uint32(xxhash.Sum64String(fmt.Sprintf("%s %.0f", x.Name, x.Start)))
 }
 
-func (v *Verdicts) tick() {
-	for _, s := range v.order {
-		v.weigh(s)
+func (detector *Detector) tick() {
+	for _, server := range detector.servers {
+		detector.updateEjection(server)
 	}
-	if v.now < v.tellAt {
+	if detector.now < detector.nextReport {
 		return
 	}
-	v.tellAt = v.now + v.set.Period
-	full := v.now >= v.fullAt
+	detector.nextReport = detector.now + detector.settings.ReportInterval
+	full := detector.now >= detector.nextRefresh
 	if full {
-		v.fullAt = v.now + v.set.Refresh
-		v.prune()
+		detector.nextRefresh = detector.now + detector.settings.RefreshInterval
+		detector.removeStale()
 	}
-	v.tellNews(full)
-	v.publish(full)
+	detector.reportChanges(full)
+	detector.publish(full)
 }
 
-// prune forgets what counts for nothing any more.
-func (v *Verdicts) prune() {
-	for id, until := range v.shunned { // each on its own
-		if v.now >= until {
-			delete(v.shunned, id)
+// removeStale forgets what counts for nothing any more.
+func (detector *Detector) removeStale() {
+	for id, until := range detector.distrustedUntil { // each on its own
+		if detector.now >= until {
+			delete(detector.distrustedUntil, id)
 		}
 	}
-	for _, s := range v.order {
-		s.seen = slices.DeleteFunc(s.seen, func(x *seen) bool { return v.now-x.at > 2*v.set.Lapse || v.at[x.id] == nil })
-		s.fresh = true
-		for id, w := range s.says {
-			if v.now-w.at > v.set.Lapse || v.at[id] == nil {
-				delete(s.says, id)
+	for _, server := range detector.servers {
+		server.observers = slices.DeleteFunc(server.observers, func(x *observer) bool {
+			return detector.now-x.receivedAt > 2*detector.settings.EjectionTime || detector.peerByID[x.id] == nil
+		})
+		server.changed = true
+		for id, word := range server.assessments {
+			if detector.now-word.receivedAt > detector.settings.EjectionTime || detector.peerByID[id] == nil {
+				delete(server.assessments, id)
 			}
 		}
 	}
 }
 
-func (v *Verdicts) heard(from ID, m any) {
-	if v.at[from] == nil || from == v.self {
+func (detector *Detector) handleMessage(from ID, m any) {
+	if detector.peerByID[from] == nil || from == detector.self {
 		return
 	}
 	switch m := m.(type) {
-	case *Tell:
+	case *Observations:
 		for i := range m.Items {
-			if s := v.byKey[m.Items[i].Key]; s != nil {
-				v.file(s, from, m.Seq, &m.Items[i], v.set.Delay)
+			if server := detector.byKey[m.Items[i].Key]; server != nil {
+				detector.recordObservation(server, from, m.Sequence, &m.Items[i], detector.settings.MaxDelay)
 			}
 		}
-	case *Word:
+	case *Assessments:
 		for i := range m.Items {
-			if s := v.byKey[m.Items[i].Key]; s != nil {
-				v.hear(s, from, m.Seq, &m.Items[i])
+			if server := detector.byKey[m.Items[i].Key]; server != nil {
+				detector.recordAssessment(server, from, m.Sequence, &m.Items[i])
 			}
 		}
 	}
@@ -260,7 +262,7 @@
 func split[T any](items []T, size func(*T) int, send func([]T)) {
 	for len(items) > 0 {
 		n, all := 0, 0
-		for n < len(items) && (n == 0 || all+size(&items[n]) <= mostPacket) {
+		for n < len(items) && (n == 0 || all+size(&items[n]) <= maxPacketBytes) {
 			all += size(&items[n])
 			n++
 		}
@@ -269,34 +271,34 @@
 	}
 }
 
-// Avoids tells whether a probe's success at a server is no reason to send requests there: others find that it takes none, and it is not this
+// Withholds tells whether a probe's success at a server is no reason to send requests there: others find that it takes none, and it is not this
 // pooler's turn to try.
-func (v *Verdicts) Avoids(name string) bool {
-	s := v.byName[name]
-	return s != nil && s.avoid.on && !s.avoid.turn
+func (detector *Detector) Withholds(name string) bool {
+	server := detector.byName[name]
+	return server != nil && server.ejection.active && !server.ejection.testing
 }
 
-func (s *server) standing() Standing {
-	return Standing{Server: s.Name, Reason: s.avoid.why, ReportedBy: s.avoid.by, UntilMs: s.avoid.until}
+func (server *serverState) publicEjection() Ejection {
+	return Ejection{Server: server.Name, Reason: server.ejection.reason, ReportedBy: server.ejection.observers, UntilMs: server.ejection.until}
 }
 
-// Standings tell what is avoided by others' word.
-func (v *Verdicts) Standings() (out []Standing) {
-	for _, s := range v.order {
-		if s.avoid.on {
-			out = append(out, s.standing())
+// Ejections tell what is avoided by others' word.
+func (detector *Detector) Ejections() (out []Ejection) {
+	for _, server := range detector.servers {
+		if server.ejection.active {
+			out = append(out, server.publicEjection())
 		}
 	}
-	slices.SortFunc(out, func(a, b Standing) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(out, func(a, b Ejection) int { return cmp.Compare(a.Server, b.Server) })
 	return out
 }
 
-// Lonely counts the servers that this pooler gets no answer from and others do: where there are many, it is its own links.
-func (v *Verdicts) Lonely() (n int) {
-	for _, s := range v.order {
-		if s.own.n > 0 && s.down && !s.avoid.on {
-			for _, w := range s.says {
-				if !w.bad && w.answered > s.own.last {
+// LocallyUnreachable counts the servers that this pooler gets no answer from and others do: where there are many, it is its own links.
+func (detector *Detector) LocallyUnreachable() (n int) {
+	for _, server := range detector.servers {
+		if server.own.unanswered > 0 && server.down && !server.ejection.active {
+			for _, word := range server.assessments {
+				if !word.unhealthy && word.answeredAt > server.own.lastUnanswered {
 					n++
 					break
 				}
--- a/internal/cluster/outlier/verdicts_test.go
+++ b/internal/cluster/outlier/verdicts_test.go
@@ -17,31 +17,31 @@
 // time of one another; one that answers again is back soon.
 func TestDeaf(t *testing.T) {
 	f := newFleet(t, zones("a", 8)...)
-	f.pass(2000, 400)
+	f.advance(2000, 400)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
-	f.pass(workMs*(silentTurns+silentJobs/2)+2*f.set.Period+400, 400)
-	if n := f.avoiding("s1"); n != 8 {
+	f.advance(workMs*(silentWorks+silentSharedWorks/2)+2*f.set.ReportInterval+400, 400)
+	if n := f.countEjecting("s1"); n != 8 {
 		t.Fatalf("%d of 8 avoid it", n)
 	}
 	first, last := inf, 0.0
 	for _, p := range f.poolers {
 		first, last = min(first, p.since["s1"]), max(last, p.since["s1"])
-		for _, s := range p.v.Standings() {
-			if len(s.ReportedBy) != 2 || s.UntilMs > f.now+f.set.Lapse || s.Reason == "" {
+		for _, s := range p.v.Ejections() {
+			if len(s.ReportedBy) != 2 || s.UntilMs > f.now+f.set.EjectionTime || s.Reason == "" {
 				t.Errorf("%+v", s)
 			}
 		}
 	}
-	if spread := f.set.Spread(wayMs); last-first > spread {
+	if spread := f.set.SpreadBound(wayMs); last-first > spread {
 		t.Errorf("%v ms between the first and the last, of %v", last-first, spread)
 	}
-	f.pass(12000, 400) // its testers find it deaf: longer than a verdict stands by itself
-	if n := f.avoiding("s1"); n != 8 {
+	f.advance(12000, 400) // its testers find it deaf: longer than a verdict stands by itself
+	if n := f.countEjecting("s1"); n != 8 {
 		t.Errorf("%d of 8 avoid it later", n)
 	}
 	f.answers = func(*pooler, string) bool { return true }
-	if f.pass(f.set.Lasting(8, 400, workMs, wayMs), 400); f.avoiding("s1") > 0 {
-		t.Errorf("%d avoid it though it answers", f.avoiding("s1"))
+	if f.advance(f.set.RecoveryBound(8, 400, workMs, wayMs), 400); f.countEjecting("s1") > 0 {
+		t.Errorf("%d avoid it though it answers", f.countEjecting("s1"))
 	}
 }
 
@@ -49,32 +49,32 @@
 func TestTesters(t *testing.T) {
 	set := Defaults()
 	for poolers, want := range map[int]int{2: 2, 8: 2, 11: 2, 12: 3, 30: 7, 32: 8, 300: 8} {
-		if n := set.Trying(poolers); n != want {
+		if n := set.TesterCount(poolers); n != want {
 			t.Errorf("%d of %d poolers try, not %d", n, poolers, want)
 		}
 	}
-	if set.Testers = 1; set.Trying(8) != 1 || set.Trying(300) != 1 {
+	if set.MaxTesters = 1; set.TesterCount(8) != 1 || set.TesterCount(300) != 1 {
 		t.Error("more try than the settings allow")
 	}
 	for _, poolers := range []int{8, 13} {
 		f := newFleet(t, zones("a", poolers)...)
 		f.answers = func(_ *pooler, s string) bool { return s != "s1" }
-		f.pass(2000, 400)
+		f.advance(2000, 400)
 		had := map[ID]bool{}
 		for range 8 {
-			for f.pass(50, 400); int(f.now-f.poolers[0].v.byName["s1"].avoid.since)%int(f.set.Turn) < 900; { // to the middle of a turn
-				f.pass(50, 400)
+			for f.advance(50, 400); int(f.now-f.poolers[0].v.byName["s1"].ejection.since)%int(f.set.TesterTurn) < 900; { // to the middle of a turn
+				f.advance(50, 400)
 			}
 			n := 0
 			for _, p := range f.poolers {
-				if a := &p.v.byName["s1"].avoid; a.on && a.turn {
+				if a := &p.v.byName["s1"].ejection; a.active && a.testing {
 					n, had[p.id] = n+1, true
 				}
 			}
-			if round := int((f.now - f.poolers[0].v.byName["s1"].avoid.since) / f.set.Turn); round > 0 && n != f.set.Trying(poolers) {
+			if round := int((f.now - f.poolers[0].v.byName["s1"].ejection.since) / f.set.TesterTurn); round > 0 && n != f.set.TesterCount(poolers) {
 				t.Errorf("%d of %d poolers try it in round %d", n, poolers, round)
 			}
-			f.pass(1200, 400)
+			f.advance(1200, 400)
 		}
 		if len(had) < 3 {
 			t.Errorf("always the same of %d poolers try it: %v", poolers, had)
@@ -86,11 +86,11 @@
 func TestLapses(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
-	f.pass(2000, 300)
-	if f.avoiding("s1") != 5 {
+	f.advance(2000, 300)
+	if f.countEjecting("s1") != 5 {
 		t.Fatal("nobody avoids it")
 	}
-	if f.pass(f.set.Lapse+2000, 0); f.avoiding("s1") > 0 {
+	if f.advance(f.set.EjectionTime+2000, 0); f.countEjecting("s1") > 0 {
 		t.Error("it has no end")
 	}
 }
@@ -98,12 +98,12 @@
 // TestZoneCut: a server cannot be reached from one zone. That zone goes elsewhere, the other goes on.
 func TestZoneCut(t *testing.T) {
 	f := newFleet(t, "a", "a", "a", "b", "b", "b")
-	f.pass(1000, 300)
+	f.advance(1000, 300)
 	f.answers = func(p *pooler, s string) bool { return p.zone == "b" || s != "s1" }
-	f.pass(4000, 300)
+	f.advance(4000, 300)
 	for _, p := range f.poolers {
-		if p.avoids("s1") != (p.zone == "a") {
-			t.Errorf("%d of zone %s: %v", p.id, p.zone, p.avoids("s1"))
+		if p.ejects("s1") != (p.zone == "a") {
+			t.Errorf("%d of zone %s: %v", p.id, p.zone, p.ejects("s1"))
 		}
 	}
 }
@@ -111,17 +111,17 @@
 // TestOwnLinks: one reaches no server. Nobody is led by that; it can tell that it is itself.
 func TestOwnLinks(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
-	f.pass(1000, 300)
+	f.advance(1000, 300)
 	f.answers = func(p *pooler, _ string) bool { return p.id != 2 }
-	f.pass(5000, 300)
+	f.advance(5000, 300)
 	for _, s := range f.servers {
-		if n := f.avoiding(s.Name); n > 0 {
+		if n := f.countEjecting(s.Name); n > 0 {
 			t.Errorf("%d avoid %s", n, s.Name)
 		}
 	}
 	p := f.poolers[1]
-	p.do(Downs{Servers: []string{"s0", "s1", "s2", "s3"}})
-	if n := p.v.Lonely(); n != 4 {
+	p.do(ServersDown{Servers: []string{"s0", "s1", "s2", "s3"}})
+	if n := p.v.LocallyUnreachable(); n != 4 {
 		t.Errorf("it thinks that it is itself for %d of 4", n)
 	}
 }
@@ -130,34 +130,34 @@
 // collector. Nobody heeds it; what it says counts for nothing for a while.
 func TestLiar(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
-	f.pass(1000, 300)
+	f.advance(1000, 300)
 	liar := f.poolers[0]
 	for range 60 {
 		for _, s := range f.servers {
 			x := f.poolers[1].v.byName[s.Name]
-			tell := &Tell{Seq: uint32(f.now), Items: []Item{{Key: x.key, Answered: -1, N: 200, First: 5000, Last: 10, Work: 1, Said: Said{Leads, f.now + 5000}}}}
-			word := &Word{Seq: uint32(f.now), Items: []Sum{{Key: x.key, Bad: true, All: true, First: 5000, Last: 10, By: []ID{2, 3}, Said: Said{Leads, f.now + 5000}}}}
+			tell := &Observations{Sequence: uint32(f.now), Items: []Observation{{Key: x.key, Answered: -1, Unanswered: 200, FirstUnanswered: 5000, LastUnanswered: 10, Work: 1, Report: ServerReport{RolePrimary, f.now + 5000}}}}
+			word := &Assessments{Sequence: uint32(f.now), Items: []Assessment{{Key: x.key, Unhealthy: true, AllZones: true, FirstUnanswered: 5000, LastUnanswered: 10, Observers: []ID{2, 3}, Report: ServerReport{RolePrimary, f.now + 5000}}}}
 			for _, p := range f.poolers[1:] {
-				p.do(Heard{From: liar.id, Message: tell})
-				p.do(Heard{From: liar.id, Message: word})
+				p.do(Received{From: liar.id, Message: tell})
+				p.do(Received{From: liar.id, Message: word})
 			}
 		}
-		f.pass(50, 300)
+		f.advance(50, 300)
 	}
 	for _, p := range f.poolers[1:] {
 		for _, s := range f.servers {
-			if p.avoids(s.Name) {
+			if p.ejects(s.Name) {
 				t.Errorf("%d avoids %s", p.id, s.Name)
 			}
-			if at := p.knows[fmt.Sprint(s.Name, Leads)]; at.Position > f.now || at.Role == Leads && !f.leads[s.Name] {
+			if at := p.knows[fmt.Sprint(s.Name, RolePrimary)]; at.Position > f.now || at.Role == RolePrimary && !f.leads[s.Name] {
 				t.Errorf("%d takes it that %s leads: %+v", p.id, s.Name, at)
 			}
-			if at := p.knows[fmt.Sprint(s.Name, Unsaid)]; at.Position > f.now {
+			if at := p.knows[fmt.Sprint(s.Name, RoleUnknown)]; at.Position > f.now {
 				t.Errorf("%d takes it that %s is at %v of %v", p.id, s.Name, at.Position, f.now)
 			}
 		}
 	}
-	if i := slices.IndexFunc(f.poolers[1:], func(p *pooler) bool { return p.v.shunned[liar.id] > f.now }); i < 0 {
+	if i := slices.IndexFunc(f.poolers[1:], func(p *pooler) bool { return p.v.distrustedUntil[liar.id] > f.now }); i < 0 {
 		t.Error("its words count on")
 	}
 }
@@ -165,13 +165,13 @@
 // TestSoleAnswer: one says again and again that a deaf server answers it. The others are not kept from avoiding it for long.
 func TestSoleAnswer(t *testing.T) {
 	f := newFleet(t, zones("a", 7)...)
-	f.pass(1000, 300)
+	f.advance(1000, 300)
 	f.answers = func(p *pooler, s string) bool { return p.id == 1 || s != "s1" }
-	f.pass(6000, 300)
-	if n := f.avoiding("s1"); n != 6 {
+	f.advance(6000, 300)
+	if n := f.countEjecting("s1"); n != 6 {
 		t.Errorf("%d of 6 avoid it", n)
 	}
-	if f.poolers[0].avoids("s1") {
+	if f.poolers[0].ejects("s1") {
 		t.Error("one avoids it that has its answers") // own evidence stands above others'
 	}
 }
@@ -179,26 +179,26 @@
 // TestPartition: while poolers are parted a server falls silent for one side alone. After the heal all come to what is so, without a flood.
 func TestPartition(t *testing.T) {
 	f := newFleet(t, zones("a", 8)...)
-	f.pass(1000, 300)
+	f.advance(1000, 300)
 	side := func(p *pooler) bool { return p.id <= 4 }
 	f.cut = func(from, to *pooler) bool { return side(from) != side(to) }
 	f.answers = func(p *pooler, s string) bool { return !side(p) || s != "s1" }
-	f.pass(5000, 300)
+	f.advance(5000, 300)
 	for _, p := range f.poolers[4:] {
-		if p.avoids("s1") {
+		if p.ejects("s1") {
 			t.Errorf("%d avoids a server that answers it", p.id)
 		}
 	}
 	before := f.sent
-	f.pass(2000, 300)
+	f.advance(2000, 300)
 	usual := f.sent - before
 	f.cut, f.answers, before = func(_, _ *pooler) bool { return false }, func(*pooler, string) bool { return true }, f.sent
-	f.pass(2000, 300)
+	f.advance(2000, 300)
 	if sent := f.sent - before; sent > 2*usual {
 		t.Errorf("%d messages after the heal, %d before", sent, usual)
 	}
-	if f.pass(f.set.Lasting(8, 300, workMs, wayMs), 300); f.avoiding("s1") > 0 {
-		t.Errorf("%d avoid it after the heal", f.avoiding("s1"))
+	if f.advance(f.set.RecoveryBound(8, 300, workMs, wayMs), 300); f.countEjecting("s1") > 0 {
+		t.Errorf("%d avoid it after the heal", f.countEjecting("s1"))
 	}
 }
 
@@ -206,17 +206,17 @@
 // the stated time: the sound words of the other side are old by then.
 func TestPartitionNews(t *testing.T) {
 	f := newFleet(t, zones("a", 8)...)
-	f.pass(1000, 300)
+	f.advance(1000, 300)
 	side := func(p *pooler) bool { return p.id <= 4 }
 	f.cut = func(from, to *pooler) bool { return side(from) != side(to) }
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 	for _, p := range f.poolers[4:] {
 		p.deaf = true
 	}
-	f.pass(5000, 300)
+	f.advance(5000, 300)
 	f.cut = func(_, _ *pooler) bool { return false }
-	if f.pass(f.set.Caught(wayMs), 300); f.avoiding("s1") < 8 {
-		t.Errorf("%d of 8 avoid it %v ms after the heal", f.avoiding("s1"), f.set.Caught(wayMs))
+	if f.advance(f.set.CatchUpBound(wayMs), 300); f.countEjecting("s1") < 8 {
+		t.Errorf("%d of 8 avoid it %v ms after the heal", f.countEjecting("s1"), f.set.CatchUpBound(wayMs))
 	}
 }
 
@@ -224,36 +224,36 @@
 func TestRestart(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
-	f.pass(2000, 300)
-	if f.avoiding("s1") != 5 {
+	f.advance(2000, 300)
+	if f.countEjecting("s1") != 5 {
 		t.Fatal("nobody avoids it")
 	}
 	f.answers = func(*pooler, string) bool { return true }
 	f.servers[1].Start = f.now
 	for i, p := range f.poolers {
 		if i > 0 {
-			p.do(Listed{Servers: f.servers})
+			p.do(ServersListed{Servers: f.servers})
 		}
 	}
-	if n := f.avoiding("s1"); n != 1 { // that has the old list: at once, as stated
+	if n := f.countEjecting("s1"); n != 1 { // that has the old list: at once, as stated
 		t.Errorf("%d avoid the new process", n)
 	}
 	f.poolers[0].do(Tick{}) // it has the old list yet, and tells what it has of the old process
-	if f.pass(300, 300); f.avoiding("s1") > 1 {
-		t.Errorf("%d avoid the new process by an old word", f.avoiding("s1"))
+	if f.advance(300, 300); f.countEjecting("s1") > 1 {
+		t.Errorf("%d avoid the new process by an old word", f.countEjecting("s1"))
 	}
 }
 
 // TestTakeover: one pooler sees first that another server leads. All know within two ways and a probe, and as of when it said so.
 func TestTakeover(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
-	f.pass(2000, 300)
+	f.advance(2000, 300)
 	f.leads = map[string]bool{"s2": true, "s4": true}
 	seen := f.now
-	f.poolers[3].do(Probed{Server: "s2", OK: true, Said: f.says("s2")})
-	f.pass(5*wayMs, 0)
+	f.poolers[3].do(HealthChecked{Server: "s2", OK: true, Report: f.reportOf("s2")})
+	f.advance(5*wayMs, 0)
 	for _, p := range f.poolers {
-		got, old := p.knows[fmt.Sprint("s2", Leads)], p.knows[fmt.Sprint("s0", Leads)]
+		got, old := p.knows[fmt.Sprint("s2", RolePrimary)], p.knows[fmt.Sprint("s0", RolePrimary)]
 		if got.Position < seen || got.Position > f.now || got.Position <= old.Position {
 			t.Errorf("%d: %+v, of the old one %+v, of %v", p.id, got, old, seen)
 		}
@@ -264,16 +264,16 @@
 func TestPositionsAge(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.poolers[0].deaf = true
-	f.pass(2000, 300)
+	f.advance(2000, 300)
 	p := f.poolers[0]
 	for _, s := range f.servers {
-		at := p.knows[fmt.Sprint(s.Name, Unsaid)]
+		at := p.knows[fmt.Sprint(s.Name, RoleUnknown)]
 		if age := f.now - at.Position; age < 40 && !f.leads[s.Name] || age > 1000 {
 			t.Errorf("%s: %v ms old", s.Name, age)
 		}
 	}
 	had := p.knows["s1Unsaid"]
-	if f.pass(3000, 0); p.knows["s1Unsaid"].Position > had.Position+200 {
+	if f.advance(3000, 0); p.knows["s1Unsaid"].Position > had.Position+200 {
 		t.Errorf("its position moved by %v with nobody asking", p.knows["s1Unsaid"].Position-had.Position)
 	}
 }
@@ -281,7 +281,7 @@
 // TestWakes: one stands still for 5 s with requests out. What it tells then leads nobody, and it forgets what it heard before.
 func TestWakes(t *testing.T) {
 	f := newFleet(t, zones("a", 4)...)
-	f.pass(1000, 300)
+	f.advance(1000, 300)
 	a, b := f.poolers[0], f.poolers[1]
 	for _, p := range []*pooler{a, b} {
 		for range 5 {
@@ -289,9 +289,9 @@
 		}
 		p.stands = f.now + 5000
 	}
-	f.pass(5600, 0) // nobody else asks, so nobody contradicts
+	f.advance(5600, 0) // nobody else asks, so nobody contradicts
 	for _, s := range f.servers {
-		if n := f.avoiding(s.Name); n > 0 {
+		if n := f.countEjecting(s.Name); n > 0 {
 			t.Errorf("%d avoid %s", n, s.Name)
 		}
 	}
@@ -303,18 +303,18 @@
 	f := newFleet(t, zones("a", 6)...)
 	bad := "s1"
 	f.answers = func(_ *pooler, s string) bool { return s != bad }
-	f.pass(2000, 300)
+	f.advance(2000, 300)
 	p := f.poolers[5]
-	if !p.avoids("s1") {
+	if !p.ejects("s1") {
 		t.Fatal("it avoids nothing")
 	}
 	p.stands, bad = f.now+5000, "s5"
-	f.pass(5000, 300)
-	if f.avoiding("s1") != 1 || f.avoiding("s5") != 5 {
-		t.Fatalf("%d avoid the one that answers again, %d the one that is silent now", f.avoiding("s1"), f.avoiding("s5"))
+	f.advance(5000, 300)
+	if f.countEjecting("s1") != 1 || f.countEjecting("s5") != 5 {
+		t.Fatalf("%d avoid the one that answers again, %d the one that is silent now", f.countEjecting("s1"), f.countEjecting("s5"))
 	}
-	if f.pass(f.set.Caught(wayMs), 300); p.avoids("s1") || !p.avoids("s5") {
-		t.Errorf("%v ms after it woke it avoids %v", f.set.Caught(wayMs), p.v.Standings())
+	if f.advance(f.set.CatchUpBound(wayMs), 300); p.ejects("s1") || !p.ejects("s5") {
+		t.Errorf("%v ms after it woke it avoids %v", f.set.CatchUpBound(wayMs), p.v.Ejections())
 	}
 }
 
@@ -323,9 +323,9 @@
 func TestSeedsDeaf(t *testing.T) {
 	took := func(seeded bool) float64 {
 		f := newFleet(t, zones("a", 6)...)
-		f.pass(1000, 300)
+		f.advance(1000, 300)
 		f.answers = func(_ *pooler, s string) bool { return s != "s1" }
-		f.pass(3000, 300)
+		f.advance(3000, 300)
 		for i, p := range f.poolers {
 			if i > 0 || !seeded {
 				p.id += 100
@@ -333,10 +333,10 @@
 		}
 		for i, p := range f.poolers {
 			if i > 0 || !seeded {
-				p.begin()
+				p.start()
 				continue
 			}
-			m := Members{Self: p.id}
+			m := MembersChanged{Self: p.id}
 			for _, o := range f.poolers {
 				m.Peers = append(m.Peers, Peer{ID: o.id, Addr: fmt.Sprint(o.id), Zone: o.zone})
 			}
@@ -344,7 +344,7 @@
 		}
 		f.mail = nil
 		first := 0.0
-		for end := f.now + 4000; f.now < end && f.avoiding("s1") < 6; f.pass(5, 300) {
+		for end := f.now + 4000; f.now < end && f.countEjecting("s1") < 6; f.advance(5, 300) {
 			for _, p := range f.poolers[1:] {
 				for _, a := range p.open {
 					if a.server == "s1" && (first == 0 || a.at < first) {
@@ -355,8 +355,8 @@
 		}
 		return f.now - first
 	}
-	step := Defaults().Step
-	bound := early*workMs + (&Settings{Period: Defaults().Period, Step: step}).Spread(wayMs) + step
+	step := Defaults().TickInterval
+	bound := reportAfterWorks*workMs + (&Settings{ReportInterval: Defaults().ReportInterval, TickInterval: step}).SpreadBound(wayMs) + step
 	if with := took(true); with > bound {
 		t.Errorf("%v ms until all avoid it, of %v", with, bound)
 	}
@@ -368,25 +368,25 @@
 // TestSeeds: all begin anew but one. Who leads is known to all by it, and a server that is deaf is found by two of them, not by all.
 func TestSeeds(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
-	f.pass(2000, 300)
+	f.advance(2000, 300)
 	for _, p := range f.poolers[1:] {
 		p.id += 100
 	}
 	for _, p := range f.poolers {
 		if p == f.poolers[0] {
-			m := Members{Self: p.id}
+			m := MembersChanged{Self: p.id}
 			for _, o := range f.poolers {
 				m.Peers = append(m.Peers, Peer{ID: o.id, Addr: fmt.Sprint(o.id), Zone: o.zone})
 			}
 			p.do(m)
 		} else {
-			p.begin()
+			p.start()
 		}
 	}
 	f.mail = nil
-	f.pass(f.set.Caught(wayMs), 0)
+	f.advance(f.set.CatchUpBound(wayMs), 0)
 	for _, p := range f.poolers[1:] {
-		if p.knows["s0Leads"] == (Said{}) && p.knows[fmt.Sprint("s0", Leads)] == (Said{}) {
+		if p.knows["s0Leads"] == (ServerReport{}) && p.knows[fmt.Sprint("s0", RolePrimary)] == (ServerReport{}) {
 			t.Errorf("%d does not know who leads", p.id)
 		}
 	}
@@ -396,15 +396,15 @@
 func TestGroupLooksBad(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
 	f.answers = func(_ *pooler, s string) bool { return s >= "s4" }
-	f.pass(6000, 300)
+	f.advance(6000, 300)
 	for _, p := range f.poolers {
-		if n := len(p.v.Standings()); n != f.set.Blinded(4) {
-			t.Errorf("%d avoids %d, of %d at most", p.id, n, f.set.Blinded(4))
+		if n := len(p.v.Ejections()); n != f.set.MaxEjected(4) {
+			t.Errorf("%d avoids %d, of %d at most", p.id, n, f.set.MaxEjected(4))
 		}
 	}
 	p := f.poolers[0]
-	p.do(Downs{Servers: []string{"s0", "s1", "s2", "s3"}}) // its own module has all of them down
-	if p.do(Tick{}); len(p.v.Standings()) > 0 {
+	p.do(ServersDown{Servers: []string{"s0", "s1", "s2", "s3"}}) // its own module has all of them down
+	if p.do(Tick{}); len(p.v.Ejections()) > 0 {
 		t.Error("words take the last")
 	}
 }
@@ -413,14 +413,14 @@
 func TestGroupShrinks(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" && s != "s2" }
-	f.pass(3000, 300)
+	f.advance(3000, 300)
 	p := f.poolers[0]
-	if n := len(p.v.Standings()); n != 2 {
+	if n := len(p.v.Ejections()); n != 2 {
 		t.Fatalf("%d are avoided", n)
 	}
 	f.servers = slices.Delete(f.servers, 3, 4)
-	if p.do(Listed{Servers: f.servers}); len(p.v.Standings()) != 1 {
-		t.Errorf("words take %d of three", len(p.v.Standings()))
+	if p.do(ServersListed{Servers: f.servers}); len(p.v.Ejections()) != 1 {
+		t.Errorf("words take %d of three", len(p.v.Ejections()))
 	}
 }
 
@@ -428,14 +428,14 @@
 func TestAlone(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
-	f.pass(2000, 300)
+	f.advance(2000, 300)
 	p := f.poolers[0]
 	f.cut = func(from, to *pooler) bool { return from == p || to == p }
 	p.deaf = true
-	if f.pass(f.set.Lonely()+f.set.Step, 300); p.avoids("s1") {
+	if f.advance(f.set.IsolationBound()+f.set.TickInterval, 300); p.ejects("s1") {
 		t.Error("it goes on avoiding")
 	}
-	if f.avoiding("s1") < 4 {
+	if f.countEjecting("s1") < 4 {
 		t.Error("the others do not")
 	}
 }
--- a/internal/settings/verdicts.go
+++ b/internal/settings/verdicts.go
@@ -19,8 +19,8 @@
 }
 
 func (v *OutlierDetection) read(node *sexp.Node) error {
-	v.Enabled, v.Options = true, adapter.Options{Set: outlier.Defaults()}
-	s := &v.Set
+	v.Enabled, v.Options = true, adapter.Options{Settings: outlier.Defaults()}
+	s := &v.Settings
 	span := func(to *float64, least, most float64) func(*sexp.Node) error {
 		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, most); return err }
 	}
@@ -31,10 +31,10 @@
 		return func(node *sexp.Node) (err error) { *to, err = node.Bool(); return err }
 	}
 	return sexp.Schema{
-		"period": span(&s.Period, 50, 10000), "refresh": span(&s.Refresh, 200, 60000), "collectors": whole(&s.Collectors, 1, 7), "testers": whole(&s.Testers, 1, 64),
-		"turn": span(&s.Turn, 200, 60000), "delay": span(&s.Delay, 1, 2000), "stale": span(&s.Stale, 200, 60000),
-		"lapse": span(&s.Lapse, 500, 600000), "observers": whole(&s.Observers, 2, 16), "vouch": whole(&s.Vouch, 1, 16), "shun": span(&s.Shun, 0, 3600e3),
-		"blind":  func(node *sexp.Node) (err error) { s.Blind, err = node.Float(0, 0.75); return err },
-		"health": flag(&s.Health), "places": flag(&s.Places), "roles": flag(&s.Roles),
+		"period": span(&s.ReportInterval, 50, 10000), "refresh": span(&s.RefreshInterval, 200, 60000), "collectors": whole(&s.Collectors, 1, 7), "testers": whole(&s.MaxTesters, 1, 64),
+		"turn": span(&s.TesterTurn, 200, 60000), "delay": span(&s.MaxDelay, 1, 2000), "stale": span(&s.StaleAfter, 200, 60000),
+		"lapse": span(&s.EjectionTime, 500, 600000), "observers": whole(&s.MinObservers, 2, 16), "vouch": whole(&s.MinVouchers, 1, 16), "shun": span(&s.DistrustTime, 0, 3600e3),
+		"blind":  func(node *sexp.Node) (err error) { s.MaxEjectedShare, err = node.Float(0, 0.75); return err },
+		"health": flag(&s.ShareHealth), "places": flag(&s.SharePositions), "roles": flag(&s.ShareRoles),
 	}.Read(node.Args())
 }
--- a/internal/settings/verdicts_test.go
+++ b/internal/settings/verdicts_test.go
@@ -21,7 +21,7 @@
 		if !strings.HasPrefix(got, want) || (want == "") != (got == "") {
 			t.Errorf("%s: %q, want %q", in, got, want)
 		}
-		if v := settings.OutlierDetection; want == "" && (!v.Enabled || v.Set.Places || !v.Set.Health || v.Set.Blind != 0.25 || v.Set.Lapse != 5000) {
+		if v := settings.OutlierDetection; want == "" && (!v.Enabled || v.Settings.SharePositions || !v.Settings.ShareHealth || v.Settings.MaxEjectedShare != 0.25 || v.Settings.EjectionTime != 5000) {
 			t.Errorf("read as %+v", v)
 		}
 	}
--- a/internal/testkit/byzantine/servers.go
+++ b/internal/testkit/byzantine/servers.go
@@ -24,33 +24,33 @@
 }
 
 func (l Servers) of(word any) any {
-	said := func(s outlier.Said) outlier.Said {
+	said := func(s outlier.ServerReport) outlier.ServerReport {
 		if s.Position > 0 {
 			s.Position += l.Ahead
 			if l.Lead {
-				s.Role = outlier.Leads
+				s.Role = outlier.RolePrimary
 			}
 		}
 		return s
 	}
 	switch m := word.(type) {
-	case *outlier.Tell:
+	case *outlier.Observations:
 		c := *m
 		c.Items = slices.Clone(m.Items)
 		for i := range c.Items {
 			x := &c.Items[i]
-			if x.Said = said(x.Said); l.Silent {
-				x.Answered, x.N, x.First, x.Last, x.Work = -1, 100, l.Since, 0, 1
+			if x.Report = said(x.Report); l.Silent {
+				x.Answered, x.Unanswered, x.FirstUnanswered, x.LastUnanswered, x.Work = -1, 100, l.Since, 0, 1
 			}
 		}
 		return &c
-	case *outlier.Word:
+	case *outlier.Assessments:
 		c := *m
 		c.Items = slices.Clone(m.Items)
 		for i := range c.Items {
 			x := &c.Items[i]
-			if x.Said = said(x.Said); l.Silent {
-				x.Bad, x.All, x.First, x.Last, x.By, x.Answered = true, true, l.Since, 0, []outlier.ID{1, 2}, -1
+			if x.Report = said(x.Report); l.Silent {
+				x.Unhealthy, x.AllZones, x.FirstUnanswered, x.LastUnanswered, x.Observers, x.Answered = true, true, l.Since, 0, []outlier.ID{1, 2}, -1
 			}
 		}
 		return &c
--- a/internal/testkit/modelcheck/verdicts.go
+++ b/internal/testkit/modelcheck/verdicts.go
@@ -9,13 +9,13 @@
 // Evidence is what one process hears of servers' state from others, in whatever order, each word once and as many of them twice as Twice says.
 type Evidence struct {
 	Set     outlier.Settings
-	Members outlier.Members
+	Members outlier.MembersChanged
 	Servers []outlier.Server
-	Words   []outlier.Heard
+	Words   []outlier.Received
 	Twice   int
 
 	heard []int // in their order
-	v     *outlier.Verdicts
+	v     *outlier.Detector
 	want  string // what is made of all of them, heard in their order
 }
 
@@ -36,7 +36,7 @@
 	x := *e
 	x.heard, x.v = heard, outlier.New(e.Set, e.Members.Self, evidenceAt)
 	x.v.Handle(evidenceAt, e.Members, nil)
-	x.v.Handle(evidenceAt, outlier.Listed{Servers: e.Servers}, nil)
+	x.v.Handle(evidenceAt, outlier.ServersListed{Servers: e.Servers}, nil)
 	for _, i := range heard {
 		x.v.Handle(evidenceAt, e.Words[i], nil)
 	}
@@ -44,7 +44,7 @@
 }
 
 // made is what it makes of what it heard: as a collector, and as one that heeds collectors.
-func (e *Evidence) made() string { return fmt.Sprintf("%+v %+v", e.v.Judged(), e.v.Standings()) }
+func (e *Evidence) made() string { return fmt.Sprintf("%+v %+v", e.v.Assessments(), e.v.Ejections()) }
 
 func (e *Evidence) times() (n []int, twice int) {
 	n = make([]int, len(e.Words))
@@ -80,8 +80,8 @@
 			by[e.Words[i].From] = true
 		}
 	}
-	if len(by) < 2 && len(e.v.Standings()) > 0 {
-		return fmt.Errorf("by one alone: %+v", e.v.Standings())
+	if len(by) < 2 && len(e.v.Ejections()) > 0 {
+		return fmt.Errorf("by one alone: %+v", e.v.Ejections())
 	}
 	if got := e.made(); all && got != e.want {
 		return fmt.Errorf("%s is made of it, and of the words in their order %s", got, e.want)
--- a/internal/testkit/modelcheck/verdicts_test.go
+++ b/internal/testkit/modelcheck/verdicts_test.go
@@ -10,8 +10,8 @@
 // evidence is of a group of four: three observers find a server silent, one of them has an answer later; two collectors' older and newer words.
 func evidence(t *testing.T, broken outlier.Fault, lastly bool) *Evidence {
 	t.Helper()
-	e := &Evidence{Set: outlier.Defaults(), Members: outlier.Members{Self: 1}, Twice: 1}
-	e.Set.Broken = broken
+	e := &Evidence{Set: outlier.Defaults(), Members: outlier.MembersChanged{Self: 1}, Twice: 1}
+	e.Set.Fault = broken
 	for i := range 5 {
 		e.Members.Peers = append(e.Members.Peers, outlier.Peer{ID: outlier.ID(i + 1), Addr: fmt.Sprint(i), Zone: "z"})
 	}
@@ -21,19 +21,19 @@
 	}
 	v := outlier.New(e.Set, 1, evidenceAt)
 	v.Handle(evidenceAt, e.Members, nil)
-	v.Handle(evidenceAt, outlier.Listed{Servers: e.Servers}, nil)
-	key := v.Judged()[0].Key
-	tell := func(from outlier.ID, seq uint32, x outlier.Item) {
+	v.Handle(evidenceAt, outlier.ServersListed{Servers: e.Servers}, nil)
+	key := v.Assessments()[0].Key
+	tell := func(from outlier.ID, seq uint32, x outlier.Observation) {
 		x.Key = key
-		e.Words = append(e.Words, outlier.Heard{From: from, Message: &outlier.Tell{Seq: seq, Items: []outlier.Item{x}}})
+		e.Words = append(e.Words, outlier.Received{From: from, Message: &outlier.Observations{Sequence: seq, Items: []outlier.Observation{x}}})
 	}
 	word := func(from outlier.ID, seq uint32, bad bool) {
-		e.Words = append(e.Words, outlier.Heard{From: from, Message: &outlier.Word{Seq: seq, Items: []outlier.Sum{{Key: key, Bad: bad, All: bad, First: 3000, Last: 100, Answered: -1}}}})
+		e.Words = append(e.Words, outlier.Received{From: from, Message: &outlier.Assessments{Sequence: seq, Items: []outlier.Assessment{{Key: key, Unhealthy: bad, AllZones: bad, FirstUnanswered: 3000, LastUnanswered: 100, Answered: -1}}}})
 	}
-	said := outlier.Said{Role: outlier.Follows, Position: evidenceAt - 500}
-	tell(2, 1, outlier.Item{Answered: 5000, N: 3, First: 3000, Last: 400, Work: 80, Said: said, SaidAge: 300})
-	tell(3, 1, outlier.Item{Answered: -1, N: 2, First: 2500, Last: 300, Work: 80, Said: said, SaidAge: 200})
-	tell(3, 2, outlier.Item{Answered: 100, Work: 80})
+	said := outlier.ServerReport{Role: outlier.RoleReplica, Position: evidenceAt - 500}
+	tell(2, 1, outlier.Observation{Answered: 5000, Unanswered: 3, FirstUnanswered: 3000, LastUnanswered: 400, Work: 80, Report: said, ReportAge: 300})
+	tell(3, 1, outlier.Observation{Answered: -1, Unanswered: 2, FirstUnanswered: 2500, LastUnanswered: 300, Work: 80, Report: said, ReportAge: 200})
+	tell(3, 2, outlier.Observation{Answered: 100, Work: 80})
 	word(2, 9, true)
 	word(3, 7, true)
 	word(4, 8, true)
@@ -46,16 +46,16 @@
 // TestEvidence: whatever the order of the words, and if one of them comes twice, the same is made of them in the end; and none is by one alone.
 func TestEvidence(t *testing.T) {
 	for _, lastly := range []bool{false, true} {
-		e := evidence(t, outlier.Sound, lastly)
+		e := evidence(t, outlier.NoFault, lastly)
 		r := Run(e, Bounds{Depth: 2 * len(e.Words), States: 1 << 16})
 		if r.Err != nil || !r.Whole {
 			t.Errorf("%v, %v; whole: %v, %d states", r.Err, r.Trace, r.Whole, r.States)
 		}
-		if stands := len(e.after([]int{3, 4, 5}).v.Standings()); stands != 1 {
+		if stands := len(e.after([]int{3, 4, 5}).v.Ejections()); stands != 1 {
 			t.Errorf("three collectors' word makes %d verdicts: it proves nothing", stands)
 		}
 	}
-	if r := Run(evidence(t, outlier.OneEnough, true), Bounds{Depth: 14, States: 1 << 16}); r.Err == nil {
+	if r := Run(evidence(t, outlier.SingleObserver, true), Bounds{Depth: 14, States: 1 << 16}); r.Err == nil {
 		t.Error("a verdict by one alone is not found")
 	}
 }
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -14,7 +14,7 @@
 	c := checker.BlackoutConfig{Poolers: s.Poolers, WindowMs: 10000, AfterMs: 10000, OwnMs: 120000, Part: 0.8, Least: 12, Wanted: 20}
 	if v := s.Verdicts; v != nil {
 		c.FreshMs = freshMs
-		c.AfterMs, c.Part = v.Set.Lapse+2000, max(c.Part, v.Set.Blind)
+		c.AfterMs, c.Part = v.Settings.EjectionTime+2000, max(c.Part, v.Settings.MaxEjectedShare)
 	}
 	next := 0
 	for _, n := range s.Fleet.Groups {
--- a/internal/testkit/simulation/mutants_verdicts.go
+++ b/internal/testkit/simulation/mutants_verdicts.go
@@ -8,10 +8,10 @@
 // VerdictMutants are poolers that share what they know of servers in a way that is broken on purpose.
 func VerdictMutants() []Mutant {
 	return []Mutant{
-		{Name: "positions are not aged", Breaks: checker.NotStale, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.NotAged }},
-		{Name: "one word is enough", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.OneEnough }},
-		{Name: "age is taken from when it was heard", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.HeardAge }},
-		{Name: "own evidence is overruled by others' older", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.OwnLoses }},
-		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.KeepsOld }},
+		{Name: "positions are not aged", Breaks: checker.NotStale, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.PositionsNotAged }},
+		{Name: "one word is enough", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver }},
+		{Name: "age is taken from when it was heard", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.AgeFromReceipt }},
+		{Name: "own evidence is overruled by others' older", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.IgnoresOwnEvidence }},
+		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.KeepsOldEvidence }},
 	}
 }
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -109,8 +109,8 @@
 
 	limits *lender // nil where none hold for the whole fleet
 	parts  []module.Module
-	over   *adapter.Joined        // nil where each pooler handles overload alone
-	judged *outlieradapter.Joined // nil where each learns alone
+	over   *adapter.Joined         // nil where each pooler handles overload alone
+	judged *outlieradapter.Adapter // nil where each learns alone
 }
 
 // join begins a process's view.
--- a/internal/testkit/simulation/verdicts_liar_test.go
+++ b/internal/testkit/simulation/verdicts_liar_test.go
@@ -51,7 +51,7 @@
 			}
 			t.Logf("service %.4f, %.4f without the liar", r.Score.Ratio, honest)
 			if rule := believed[name]; rule != "" {
-				m := &Mutant{Says: lying(lie, 1), Verdicts: func(_ int, s *outlier.Settings) { s.Broken = outlier.OneEnough }}
+				m := &Mutant{Says: lying(lie, 1), Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver }}
 				if r := play(t, s, Options{Seed: 1, Mutant: m}); r.Verdict.Broken[rule] == 0 {
 					t.Errorf("%q holds though one word is enough: %v", rule, r.Verdict.Checked)
 				}
