--- a/cmd/beechgrade/clickhouse_drain_test.go
+++ b/cmd/beechgrade/clickhouse_drain_test.go
@@ -139,11 +139,11 @@
 	}
 }
 
-// TestNoHTTPHabitOutlivesADrain: clients of the ClickHouse frontend end by the same bound as the platform's, whatever they do, and each request that was
+// TestDrainEndsEveryHTTPClient: clients of the ClickHouse frontend end by the same bound as the platform's, whatever they do, and each request that was
 // read has its answer.
-func TestNoHTTPHabitOutlivesADrain(t *testing.T) {
+func TestDrainEndsEveryHTTPClient(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 2, "")
+	w := startClickHouse(t, 2, "")
 	within(t, "it serves", func() bool {
 		state := make(chan lifecycle.State)
 		w.p.loop.Post(func() { state <- w.p.lifecycle.State() })
--- a/cmd/beechgrade/clickhouse_driver_test.go
+++ b/cmd/beechgrade/clickhouse_driver_test.go
@@ -134,10 +134,10 @@
 	}
 }
 
-// TestHouseDriver: the published Go driver over HTTP, with each compression: queries, batches beyond what is held, exceptions
+// TestClickHouseDriver: the published Go driver over HTTP, with each compression: queries, batches beyond what is held, exceptions
 // of servers and of the pooler, cancellation, and sessions that stay in one place.
-func TestHouseDriver(t *testing.T) {
-	w := houses(t, 3, `(hold 16k) (class "u" (user "outro") (deadline 5s) (aim 1s))`)
+func TestClickHouseDriver(t *testing.T) {
+	w := startClickHouse(t, 3, `(hold 16k) (class "u" (user "outro") (deadline 5s) (aim 1s))`)
 	for _, s := range w.servers {
 		speakNative(s)
 	}
--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -21,9 +21,9 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// TestHouseCancelPhases: a client that goes is forgotten at once in every phase: while it waits behind its user's others, for
+// TestClickHouseCancelPhases: a client that goes is forgotten at once in every phase: while it waits behind its user's others, for
 // room, for a connection, for its answer, and in its midst; its query does not run where it had not been sent.
-func TestHouseCancelPhases(t *testing.T) {
+func TestClickHouseCancelPhases(t *testing.T) {
 	deaf, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0) // a listener whose queue is full: connections hang
 	if err != nil {
 		t.Fatal(err)
@@ -42,21 +42,21 @@
 	}
 	for _, c := range []struct {
 		phase, settings, sql string
-		ready                func(w *houseWorld) bool
-		prepare              func(w *houseWorld)
+		ready                func(w *clickhouseWorld) bool
+		prepare              func(w *clickhouseWorld)
 		runs                 int
 	}{
-		{phase: "queued", settings: `(user "default" (queries 1) (queue 5) (wait 15s))`, sql: "SELECT 1", prepare: func(w *houseWorld) {
+		{phase: "queued", settings: `(user "default" (queries 1) (queue 5) (wait 15s))`, sql: "SELECT 1", prepare: func(w *clickhouseWorld) {
 			go func() {
 				if res, err := w.client.Get("http://" + w.addr + "/?query=SELECT+/*+HANG+*/&query_id=first"); err == nil {
 					_ = res.Body.Close()
 				}
 			}()
 			w.wait("the first runs", func() bool { return len(w.runs("first")) == 1 })
-		}, ready: func(w *houseWorld) (is bool) { w.onLoop(func() { is = w.p.clickhouse.Waiting() == 1 }); return is }},
-		{phase: "held for room", sql: "SELECT 1", prepare: func(w *houseWorld) { w.servers[0].Full(true) },
-			ready: func(w *houseWorld) (is bool) { w.onLoop(func() { is = w.p.core.OpenRequests() == 1 }); return is }},
-		{phase: "connecting", sql: "SELECT 1", prepare: func(w *houseWorld) {
+		}, ready: func(w *clickhouseWorld) (is bool) { w.onLoop(func() { is = w.p.clickhouse.Waiting() == 1 }); return is }},
+		{phase: "held for room", sql: "SELECT 1", prepare: func(w *clickhouseWorld) { w.servers[0].Full(true) },
+			ready: func(w *clickhouseWorld) (is bool) { w.onLoop(func() { is = w.p.core.OpenRequests() == 1 }); return is }},
+		{phase: "connecting", sql: "SELECT 1", prepare: func(w *clickhouseWorld) {
 			w.servers[0].Addr = deafAddr
 			w.write()
 			w.hup <- syscall.SIGHUP
@@ -64,15 +64,15 @@
 				w.onLoop(func() { e, _ := w.p.sources.members.Entry("h0"); is = e.Address == deafAddr })
 				return is
 			})
-		}, ready: func(w *houseWorld) (is bool) {
+		}, ready: func(w *clickhouseWorld) (is bool) {
 			w.onLoop(func() { is = w.p.core.OpenRequests() == 1 && w.p.clickhouse.Conns() == 1 })
 			return is
 		}},
-		{phase: "sent", sql: "SELECT /* HANG */", ready: func(w *houseWorld) bool { return len(w.runs("q")) == 1 }, runs: 1},
-		{phase: "streaming", sql: "SELECT /* SLOW 100000 */", ready: func(w *houseWorld) bool { return len(w.runs("q")) == 1 }, runs: 1},
+		{phase: "sent", sql: "SELECT /* HANG */", ready: func(w *clickhouseWorld) bool { return len(w.runs("q")) == 1 }, runs: 1},
+		{phase: "streaming", sql: "SELECT /* SLOW 100000 */", ready: func(w *clickhouseWorld) bool { return len(w.runs("q")) == 1 }, runs: 1},
 	} {
 		t.Run(c.phase, func(t *testing.T) {
-			w := houses(t, 1, c.settings)
+			w := startClickHouse(t, 1, c.settings)
 			if c.prepare != nil {
 				c.prepare(w)
 			}
@@ -123,11 +123,11 @@
 	}
 }
 
-// TestHouseCopies: reads that one server keeps are copied to the other, and both answer at the same moment: the client has one
+// TestClickHouseCopies: reads that one server keeps are copied to the other, and both answer at the same moment: the client has one
 // answer, whole, of one of them.
-func TestHouseCopies(t *testing.T) {
+func TestClickHouseCopies(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 2, "", func(c *config.Config) { c.Settings.MayCheckHealth = true })
+	w := startClickHouse(t, 2, "", func(c *config.Config) { c.Settings.MayCheckHealth = true })
 	for i := range 20 { // so that it is known how long one takes
 		if s, _, _, err := w.query("GET", "SELECT 1", "", id(fmt.Sprint("w", i))); s != 200 || err != nil {
 			t.Fatal(s, err)
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestHouseDies: wherever in its answer a server dies, the client has one final answer, which it can tell from a whole one; a read
+// TestClickHouseDies: wherever in its answer a server dies, the client has one final answer, which it can tell from a whole one; a read
 // is tried elsewhere only where none of it had come.
-func TestHouseDies(t *testing.T) {
+func TestClickHouseDies(t *testing.T) {
 	for _, c := range []struct{ name, says, want string }{
 		{"before anything", "", "503 202"},
 		{"within the head", "HTTP/1.1 200 OK\r\nContent-Ty", "503 202"},
@@ -212,7 +212,7 @@
 					t.Fatal(err)
 				}
 				defer s.Stop()
-				w := houses(t, 0, "(deadline 600ms) (aim 600ms)")
+				w := startClickHouse(t, 0, "(deadline 600ms) (aim 600ms)")
 				w.servers = []*clickhouseserver.Server{{Name: "raw", Addr: s.Addr}}
 				w.write()
 				w.hup <- syscall.SIGHUP
--- a/cmd/beechgrade/clickhouse_hard_test.go
+++ b/cmd/beechgrade/clickhouse_hard_test.go
@@ -24,17 +24,17 @@
 )
 
 // onLoop runs a function on the pooler's loop, and waits for it.
-func (w *houseWorld) onLoop(f func()) {
+func (w *clickhouseWorld) onLoop(f func()) {
 	done := make(chan struct{})
 	w.p.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// TestHouseSessions: a session stays with one server, whatever connection it comes by; one query at a time; where its server
+// TestClickHouseSessions: a session stays with one server, whatever connection it comes by; one query at a time; where its server
 // drains or dies it is lost, which is said once, and begins anew; nothing of one user is another's.
-func TestHouseSessions(t *testing.T) {
+func TestClickHouseSessions(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 3, "")
+	w := startClickHouse(t, 3, "")
 	ask := func(sql, session string, more ...string) string {
 		v := url.Values{"session_id": {session}}
 		for i := 0; i+1 < len(more); i += 2 {
@@ -145,11 +145,11 @@
 	}
 }
 
-// TestHouseProgress: fields of progress reach the client while its query runs, however many there are; the answer has begun
+// TestClickHouseProgress: fields of progress reach the client while its query runs, however many there are; the answer has begun
 // with the first, so that the deadline holds no more.
-func TestHouseProgress(t *testing.T) {
+func TestClickHouseProgress(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, "(deadline 300ms) (aim 300ms)")
+	w := startClickHouse(t, 1, "(deadline 300ms) (aim 300ms)")
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -209,12 +209,12 @@
 	}
 }
 
-// TestHouseBounds: reads with a bound go only to servers whose data is known to be so new, whether the module asks for that
+// TestClickHouseBounds: reads with a bound go only to servers whose data is known to be so new, whether the module asks for that
 // ahead or the front does before each; where none is, they are refused; writes and reads without one go anywhere.
-func TestHouseBounds(t *testing.T) {
+func TestClickHouseBounds(t *testing.T) {
 	t.Parallel()
 	for _, behind := range []decide.StaleReadPolicy{decide.StaleReadsAnswered, decide.StaleReadsRefused} {
-		w := housesAs(t, 3, `(deadline 2s) (aim 1s) (class "mes" (path "/mes") (bound 3s) (aim 1s) (deadline 1500ms))`, func(s []*clickhouseserver.Server) {
+		w := startClickHouseAs(t, 3, `(deadline 2s) (aim 1s) (class "mes" (path "/mes") (bound 3s) (aim 1s) (deadline 1500ms))`, func(s []*clickhouseserver.Server) {
 			s[1].Lag(60)
 			s[2].Lag(-1)
 			holdUntilAllAsked(s)
@@ -272,7 +272,7 @@
 	}
 }
 
-func (w *houseWorld) get(path string) (int, string) {
+func (w *clickhouseWorld) get(path string) (int, string) {
 	res, err := w.client.Get("http://" + w.addr + path)
 	if err != nil {
 		w.t.Fatal(err)
@@ -282,11 +282,11 @@
 	return res.StatusCode, string(b)
 }
 
-// TestHouseSmuggling: what two readers could read as two messages is refused, and its connection closed; none of it reaches a
+// TestClickHouseSmuggling: what two readers could read as two messages is refused, and its connection closed; none of it reaches a
 // server, nor what stands behind it.
-func TestHouseSmuggling(t *testing.T) {
+func TestClickHouseSmuggling(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, "")
+	w := startClickHouse(t, 1, "")
 	const host = " HTTP/1.1\r\nHost: h\r\n"
 	behind := "GET /?query=SELECT+2 HTTP/1.1\r\nHost: h\r\n\r\n"
 	for _, c := range []struct{ text, status string }{
@@ -347,11 +347,11 @@
 	}
 }
 
-// TestHouseSlow: clients that send a byte now and then, and one that reads nothing, are ended in their time; others are served
+// TestClickHouseSlow: clients that send a byte now and then, and one that reads nothing, are ended in their time; others are served
 // meanwhile, and what is held stays bounded.
-func TestHouseSlow(t *testing.T) {
+func TestClickHouseSlow(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, "(head 400ms) (stall 400ms)", func(c *config.Config) { c.Limits.MemoryMB = 32 })
+	w := startClickHouse(t, 1, "(head 400ms) (stall 400ms)", func(c *config.Config) { c.Limits.MemoryMB = 32 })
 	var open []net.Conn
 	for i := range 150 {
 		c, err := net.Dial("tcp", w.addr)
--- a/cmd/beechgrade/clickhouse_report_test.go
+++ b/cmd/beechgrade/clickhouse_report_test.go
@@ -21,14 +21,14 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// houseAsked is a request that came to a scripted ClickHouse server, and waits for its answer there.
-type houseAsked struct {
+// clickhouseRequest is a request that came to a scripted ClickHouse server, and waits for its answer there.
+type clickhouseRequest struct {
 	server, path, query string
 	conn                net.Conn
 }
 
 // answer writes an answer.
-func (a houseAsked) answer(t testing.TB, body string) {
+func (a clickhouseRequest) answer(t testing.TB, body string) {
 	t.Helper()
 	if _, err := fmt.Fprintf(a.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
 		t.Fatal(err)
@@ -38,8 +38,8 @@
 // upToDate is a server's report that it is not behind.
 const upToDate = "default.x:\tAbsolute delay: 0. Relative delay: 0.\n"
 
-// scriptHouses has servers hand the requests that they get to the test.
-func scriptHouses(t testing.TB, asked chan<- houseAsked) func([]*clickhouseserver.Server) {
+// scriptClickHouse has servers hand the requests that they get to the test.
+func scriptClickHouse(t testing.TB, asked chan<- clickhouseRequest) func([]*clickhouseserver.Server) {
 	serve := func(name string, c net.Conn) {
 		for in := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(in)
@@ -47,7 +47,7 @@
 				_ = c.Close()
 				return
 			}
-			asked <- houseAsked{name, r.URL.Path, r.URL.Query().Get("query_id"), c}
+			asked <- clickhouseRequest{name, r.URL.Path, r.URL.Query().Get("query_id"), c}
 		}
 	}
 	return func(servers []*clickhouseserver.Server) {
@@ -91,11 +91,11 @@
 
 const tcpFinWait2 = 5 // Linux's name for a connection whose own end has been acknowledged
 
-// TestHouseReportThenNothing: a server reports how far behind it is; before the pooler reads that report the query's client has closed
+// TestClickHouseReportThenNothing: a server reports how far behind it is; before the pooler reads that report the query's client has closed
 // its connection, or the server drains or has left the list. The query does not go out there. Where its client waits still, it goes
 // out elsewhere.
-func TestHouseReportThenNothing(t *testing.T) {
-	leaves := func(w *houseWorld, p *houseClient, held houseAsked) (release func()) {
+func TestClickHouseReportThenNothing(t *testing.T) {
+	leaves := func(w *clickhouseWorld, p *clickhouseClient, held clickhouseRequest) (release func()) {
 		resume := standstill(w.p)
 		held.answer(w.t, upToDate) // the loop finds this first
 		untilTCP(w.t, held.conn, "the report has arrived", func(i *unix.TCPInfo) bool { return i.Unacked == 0 })
@@ -105,8 +105,8 @@
 		untilTCP(w.t, p.TCPConn, "the close has arrived", func(i *unix.TCPInfo) bool { return i.State == tcpFinWait2 })
 		return resume
 	}
-	listed := func(cycle string, is func(state uint8, there bool) bool) func(*houseWorld, *houseClient, houseAsked) func() {
-		return func(w *houseWorld, _ *houseClient, held houseAsked) func() {
+	listed := func(cycle string, is func(state uint8, there bool) bool) func(*clickhouseWorld, *clickhouseClient, clickhouseRequest) func() {
+		return func(w *clickhouseWorld, _ *clickhouseClient, held clickhouseRequest) func() {
 			w.writeAs(held.server, cycle)
 			w.hup <- syscall.SIGHUP
 			w.wait("the list is taken", func() (ok bool) {
@@ -117,7 +117,7 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		then   func(*houseWorld, *houseClient, houseAsked) (release func())
+		then   func(*clickhouseWorld, *clickhouseClient, clickhouseRequest) (release func())
 		leaves bool
 	}{
 		"its client closes": {leaves, true},
@@ -125,18 +125,18 @@
 		"its server leaves": {listed("", func(_ uint8, there bool) bool { return !there }), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan houseAsked, 100)
-			next := func() houseAsked {
+			asked := make(chan clickhouseRequest, 100)
+			next := func() clickhouseRequest {
 				t.Helper()
 				select {
 				case a := <-asked:
 					return a
 				case <-time.After(patience):
 					t.Fatal("no server is asked")
-					return houseAsked{}
+					return clickhouseRequest{}
 				}
 			}
-			w := housesAs(t, 3, `(class "mes" (path "/mes") (bound 3s) (aim 5s) (deadline 15s))`, scriptHouses(t, asked),
+			w := startClickHouseAs(t, 3, `(class "mes" (path "/mes") (bound 3s) (aim 5s) (deadline 15s))`, scriptClickHouse(t, asked),
 				func(c *config.Config) {
 					c.Settings.StaleReads, c.Settings.MayCheckHealth = decide.StaleReadsRefused, false
 				})
@@ -170,11 +170,11 @@
 	}
 }
 
-// houseClient is a client's connection to the ClickHouse front.
-type houseClient struct{ *net.TCPConn }
+// clickhouseClient is a client's connection to the ClickHouse front.
+type clickhouseClient struct{ *net.TCPConn }
 
 // ask opens a connection and puts a read with a bound.
-func (w *houseWorld) ask(id string) *houseClient {
+func (w *clickhouseWorld) ask(id string) *clickhouseClient {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
@@ -185,11 +185,11 @@
 	if _, err := io.WriteString(c, "GET /mes?"+url.Values{"query": {"SELECT 1"}, "query_id": {id}}.Encode()+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		w.t.Fatal(err)
 	}
-	return &houseClient{c.(*net.TCPConn)}
+	return &clickhouseClient{c.(*net.TCPConn)}
 }
 
 // read reads an answer.
-func (p *houseClient) read() (string, error) {
+func (p *clickhouseClient) read() (string, error) {
 	res, err := http.ReadResponse(bufio.NewReader(p), nil)
 	if err != nil {
 		return "", err
@@ -200,7 +200,7 @@
 }
 
 // writeAs writes the list with one server in another state, or without it.
-func (w *houseWorld) writeAs(name, cycle string) {
+func (w *clickhouseWorld) writeAs(name, cycle string) {
 	w.t.Helper()
 	var parts []string
 	for _, s := range w.servers {
--- a/cmd/beechgrade/clickhouse_stop_test.go
+++ b/cmd/beechgrade/clickhouse_stop_test.go
@@ -45,15 +45,15 @@
 }
 
 // stopping has the pooler end, and waits until it has begun to.
-func (w *houseWorld) stopping() {
+func (w *clickhouseWorld) stopping() {
 	w.t.Helper()
 	w.onLoop(func() { w.p.handleLifecycle(lifecycle.Terminate) })
 }
 
-// TestHouseStopAnswersWhatWasSent: at SIGTERM a client has a query under way, another sent behind it and a third in part; one has sent the head of a
+// TestClickHouseStopAnswersWhatWasSent: at SIGTERM a client has a query under way, another sent behind it and a third in part; one has sent the head of a
 // query and a part of its body. Each query has its answer, and the last one of each client says that the connection ends.
-func TestHouseStopAnswersWhatWasSent(t *testing.T) {
-	w := houses(t, 1, "")
+func TestClickHouseStopAnswersWhatWasSent(t *testing.T) {
+	w := startClickHouse(t, 1, "")
 	answer := make(chan struct{})
 	w.servers[0].Answer(func(rw http.ResponseWriter, _ *http.Request, _ *clickhouseserver.Run, _ []byte) bool {
 		<-answer
@@ -81,9 +81,9 @@
 	half.wantEnd()
 }
 
-// TestHouseStopUnreadQuery: a query lies in the socket of a resting client when SIGTERM is carried out. It is answered.
-func TestHouseStopUnreadQuery(t *testing.T) {
-	w := houses(t, 1, "")
+// TestClickHouseStopUnreadQuery: a query lies in the socket of a resting client when SIGTERM is carried out. It is answered.
+func TestClickHouseStopUnreadQuery(t *testing.T) {
+	w := startClickHouse(t, 1, "")
 	c := dial(t, w.addr)
 	c.send([]byte(get("a", "SELECT 1")))
 	c.wantHTTP("200 1\n close=false")
@@ -97,9 +97,9 @@
 	c.wantEnd()
 }
 
-// TestHouseStopHalfSent: a client that does not send the rest of its query while the pooler ends is told so; it is not left without a word.
-func TestHouseStopHalfSent(t *testing.T) {
-	w := houses(t, 1, "")
+// TestClickHouseStopHalfSent: a client that does not send the rest of its query while the pooler ends is told so; it is not left without a word.
+func TestClickHouseStopHalfSent(t *testing.T) {
+	w := startClickHouse(t, 1, "")
 	head, body := dial(t, w.addr), dial(t, w.addr)
 	head.send([]byte("GET /?query=SELECT+1 HT"))
 	body.send([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nSELE"))
@@ -112,9 +112,9 @@
 	body.wantHTTP("503 202 close=true")
 }
 
-// TestHouseLateBody: a client that does not get on with what it has begun to send hears why its connection ends.
-func TestHouseLateBody(t *testing.T) {
-	w := houses(t, 1, "(head 200ms)")
+// TestClickHouseLateBody: a client that does not get on with what it has begun to send hears why its connection ends.
+func TestClickHouseLateBody(t *testing.T) {
+	w := startClickHouse(t, 1, "(head 200ms)")
 	c := dial(t, w.addr)
 	c.send([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nSELE"))
 	c.wantHTTP("408 159 close=true")
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -94,12 +94,12 @@
 	}
 }
 
-// TestHouseStorm: 10,000 queries of all kinds, from a seed, through servers that are full, silent, dead and back, behind, and
+// TestClickHouseStorm: 10,000 queries of all kinds, from a seed, through servers that are full, silent, dead and back, behind, and
 // drained: each has exactly one end, counted on both sides, and no rule is broken.
-func TestHouseStorm(t *testing.T) {
+func TestClickHouseStorm(t *testing.T) {
 	t.Parallel()
 	const asks, workers, slices = 10000, 24, 25
-	w := housesAs(t, 4, `(deadline 600ms) (aim 300ms) (hold 4k) (class "mes" (path "/mes") (bound 8s) (aim 500ms) (deadline 1500ms))`, func(s []*clickhouseserver.Server) { s[2].Lag(30); s[3].Lag(12) },
+	w := startClickHouseAs(t, 4, `(deadline 600ms) (aim 300ms) (hold 4k) (class "mes" (path "/mes") (bound 8s) (aim 500ms) (deadline 1500ms))`, func(s []*clickhouseserver.Server) { s[2].Lag(30); s[3].Lag(12) },
 		func(c *config.Config) { c.Settings.MayCheckHealth = true })
 	rng := rand.New(rand.NewPCG(11, 11))
 	all := make([]queries.Ask, asks)
@@ -247,14 +247,14 @@
 	}
 }
 
-// TestHouseJournal: writes go out once their entries are durable, and those of which nothing was heard are listed by their
+// TestClickHouseJournal: writes go out once their entries are durable, and those of which nothing was heard are listed by their
 // query_id; a pooler that starts on that journal answers such an id as failed, and sends nothing.
-func TestHouseJournal(t *testing.T) {
+func TestClickHouseJournal(t *testing.T) {
 	t.Parallel()
 	d := faultyfs.New()
-	start := func() (*houseWorld, func()) {
+	start := func() (*clickhouseWorld, func()) {
 		var end func()
-		w := housesOn(t, 2, "", nil, func(p *pooler) {
+		w := startClickHouseOn(t, 2, "", nil, func(p *pooler) {
 			var err error
 			if end, err = p.journalOn(d, settings.Journal{MaxBytes: 1 << 20}); err != nil {
 				t.Fatal(err)
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -29,8 +29,8 @@
 	"beechgrade/internal/testkit/fake/clickhouseserver"
 )
 
-// houseWorld is a pooler before stand-ins for ClickHouse's servers, whose list is a file.
-type houseWorld struct {
+// clickhouseWorld is a pooler before stand-ins for ClickHouse's servers, whose list is a file.
+type clickhouseWorld struct {
 	t       testing.TB
 	p       *pooler
 	addr    string
@@ -42,19 +42,19 @@
 
 const houseGroup = 9
 
-func houses(t testing.TB, n int, more string, change ...func(*config.Config)) *houseWorld {
-	return housesAs(t, n, more, nil, change...)
+func startClickHouse(t testing.TB, n int, more string, change ...func(*config.Config)) *clickhouseWorld {
+	return startClickHouseAs(t, n, more, nil, change...)
 }
 
-// housesAs has a function set the servers up before the pooler knows them.
-func housesAs(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), change ...func(*config.Config)) *houseWorld {
-	return housesOn(t, n, more, setUp, func(*pooler) {}, change...)
+// startClickHouseAs has a function set the servers up before the pooler knows them.
+func startClickHouseAs(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), change ...func(*config.Config)) *clickhouseWorld {
+	return startClickHouseOn(t, n, more, setUp, func(*pooler) {}, change...)
 }
 
-// housesOn has another function add to the pooler before it runs.
-func housesOn(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), add func(*pooler), change ...func(*config.Config)) *houseWorld {
+// startClickHouseOn has another function add to the pooler before it runs.
+func startClickHouseOn(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), add func(*pooler), change ...func(*config.Config)) *clickhouseWorld {
 	t.Helper()
-	w := &houseWorld{t: t, list: filepath.Join(t.TempDir(), "list.json"), client: &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: patience}}
+	w := &clickhouseWorld{t: t, list: filepath.Join(t.TempDir(), "list.json"), client: &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: patience}}
 	t.Cleanup(w.client.CloseIdleConnections)
 	for i := range n {
 		s, err := clickhouseserver.Start(fmt.Sprint("h", i))
@@ -95,7 +95,7 @@
 }
 
 // write writes the list; the servers named drain.
-func (w *houseWorld) write(drain ...string) {
+func (w *clickhouseWorld) write(drain ...string) {
 	var parts []string
 	for _, s := range w.servers {
 		cycle := "up"
@@ -111,7 +111,7 @@
 	}
 }
 
-func (w *houseWorld) until(sum string) {
+func (w *clickhouseWorld) until(sum string) {
 	w.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
 		got := make(chan string, 1)
@@ -127,7 +127,7 @@
 }
 
 // query puts one query, and reads its answer: status, exception code, body.
-func (w *houseWorld) query(method, sql, body string, more url.Values) (status int, code, text string, err error) {
+func (w *clickhouseWorld) query(method, sql, body string, more url.Values) (status int, code, text string, err error) {
 	v := url.Values{}
 	if sql != "" {
 		v.Set("query", sql)
@@ -150,7 +150,7 @@
 }
 
 // runs are the runs at all servers, of one query's id or of all.
-func (w *houseWorld) runs(id string) (out []clickhouseserver.Run) {
+func (w *clickhouseWorld) runs(id string) (out []clickhouseserver.Run) {
 	for _, s := range w.servers {
 		for _, r := range s.Runs() {
 			if id == "" || r.ID == id {
@@ -163,10 +163,10 @@
 
 func id(s string) url.Values { return url.Values{"query_id": {s}} }
 
-// TestHouseServes: queries in each form that the interface has, and answers and exceptions as the server gave them.
-func TestHouseServes(t *testing.T) {
+// TestClickHouseServes: queries in each form that the interface has, and answers and exceptions as the server gave them.
+func TestClickHouseServes(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, "")
+	w := startClickHouse(t, 1, "")
 	for _, c := range []struct{ method, sql, body, status string }{
 		{"GET", "SELECT 1", "", "200  1\n"},
 		{"POST", "", "SELECT 1", "200  1\n"},
@@ -192,11 +192,11 @@
 	}
 }
 
-// TestHousePipelined: requests sent at once are answered in their order, chunked bodies are passed on, and what is not HTTP as
+// TestClickHousePipelined: requests sent at once are answered in their order, chunked bodies are passed on, and what is not HTTP as
 // it should be ends the connection with its reason.
-func TestHousePipelined(t *testing.T) {
+func TestClickHousePipelined(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 2, "(most-body 64k)")
+	w := startClickHouse(t, 2, "(most-body 64k)")
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -232,10 +232,10 @@
 	}
 }
 
-// TestHouseStreams: a result far beyond what the pooler may hold passes whole, to a client that reads slowly too.
-func TestHouseStreams(t *testing.T) {
+// TestClickHouseStreams: a result far beyond what the pooler may hold passes whole, to a client that reads slowly too.
+func TestClickHouseStreams(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, "", func(c *config.Config) { c.Limits.MemoryMB = 16 })
+	w := startClickHouse(t, 1, "", func(c *config.Config) { c.Limits.MemoryMB = 16 })
 	res, err := w.client.Get("http://" + w.addr + "/?" + url.Values{"query": {"SELECT /* ROWS 50000 */"}}.Encode())
 	if err != nil {
 		t.Fatal(err)
@@ -260,10 +260,10 @@
 	}
 }
 
-// TestHouseCancel: a client that goes ends its query, before its answer has begun and in the midst of it.
-func TestHouseCancel(t *testing.T) {
+// TestClickHouseCancel: a client that goes ends its query, before its answer has begun and in the midst of it.
+func TestClickHouseCancel(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, "")
+	w := startClickHouse(t, 1, "")
 	for i, sql := range []string{"SELECT /* HANG */", "INSERT /* HANG */", "SELECT /* SLOW 100000 */"} {
 		ctx, cancel := context.WithCancel(context.Background())
 		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {sql}, "query_id": {fmt.Sprint("c", i)}}.Encode(), nil)
@@ -291,7 +291,7 @@
 	}
 }
 
-func (w *houseWorld) wait(what string, ok func() bool) {
+func (w *clickhouseWorld) wait(what string, ok func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -300,11 +300,11 @@
 	}
 }
 
-// TestHouseKill: where the settings have it, a query whose client has gone, or whose time is over, is killed by its id, given or
+// TestClickHouseKill: where the settings have it, a query whose client has gone, or whose time is over, is killed by its id, given or
 // made, as the user that asked; nothing is killed that has ended, and nothing is sent to a server whose drain's grace is over.
-func TestHouseKill(t *testing.T) {
+func TestClickHouseKill(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, "(kill)")
+	w := startClickHouse(t, 1, "(kill)")
 	kills := func() (out []string) {
 		for _, r := range w.runs("") {
 			if strings.HasPrefix(r.Text, "KILL") {
@@ -368,11 +368,11 @@
 	}
 }
 
-// TestHouseAgain: what reads is tried elsewhere where a server is full, dead or drops it; what may write never runs twice; an
+// TestClickHouseAgain: what reads is tried elsewhere where a server is full, dead or drops it; what may write never runs twice; an
 // answer that broke off in its midst is not made whole by another.
-func TestHouseAgain(t *testing.T) {
+func TestClickHouseAgain(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 3, "")
+	w := startClickHouse(t, 3, "")
 	w.servers[0].Full(true)
 	for i := range 12 {
 		if s, code, text, err := w.query("POST", "INSERT INTO t VALUES (1)", "", id(fmt.Sprint("f", i))); err != nil || s != 200 {
@@ -400,10 +400,10 @@
 	}
 }
 
-// TestHouseTime: the sooner of the class's deadline and the query's own limit ends it, with its own code, and at the server too.
-func TestHouseTime(t *testing.T) {
+// TestClickHouseTime: the sooner of the class's deadline and the query's own limit ends it, with its own code, and at the server too.
+func TestClickHouseTime(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, `(deadline-header "X-Wait")`)
+	w := startClickHouse(t, 1, `(deadline-header "X-Wait")`)
 	req, _ := http.NewRequest(http.MethodPost, "http://"+w.addr+"/?query=INSERT+/*+HANG+*/&query_id=h", nil)
 	req.Header.Set("X-Wait", "300")
 	if res, err := w.client.Do(req); err != nil || res.StatusCode != 504 {
@@ -419,11 +419,11 @@
 	w.wait("it is cancelled", func() bool { r := w.runs("t"); return len(r) == 1 && r[0].Cancelled })
 }
 
-// TestHouseClasses: queries are of classes by user, database, path or header, the first that matches, and have their deadlines; the
+// TestClickHouseClasses: queries are of classes by user, database, path or header, the first that matches, and have their deadlines; the
 // server is asked at its own path.
-func TestHouseClasses(t *testing.T) {
+func TestClickHouseClasses(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, `(class "fast" (path "/fast") (aim 100ms) (deadline 300ms)) (class "mes" (database "mes") (header "X-Report" "mes") (aim 100ms) (deadline 400ms))`)
+	w := startClickHouse(t, 1, `(class "fast" (path "/fast") (aim 100ms) (deadline 300ms)) (class "mes" (database "mes") (header "X-Report" "mes") (aim 100ms) (deadline 400ms))`)
 	ask := func(path string, header http.Header, v url.Values) (int, time.Duration) {
 		v.Set("query", "INSERT /* HANG */")
 		req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+path+"?"+v.Encode(), nil)
@@ -457,11 +457,11 @@
 	}
 }
 
-// TestHouseDrain: while queries come without a pause, nothing new goes to a server once the pooler has heard that it drains, and
+// TestClickHouseDrain: while queries come without a pause, nothing new goes to a server once the pooler has heard that it drains, and
 // what runs there ends in its time. Every query has its one answer.
-func TestHouseDrain(t *testing.T) {
+func TestClickHouseDrain(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 2, "")
+	w := startClickHouse(t, 2, "")
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	var mu sync.Mutex
@@ -511,11 +511,11 @@
 	}
 }
 
-// TestHouseOneAnswer: whatever befalls the servers, each query has exactly one answer or a broken connection, no write runs twice,
+// TestClickHouseOneAnswer: whatever befalls the servers, each query has exactly one answer or a broken connection, no write runs twice,
 // and each answer is one that a server gave for that query.
-func TestHouseOneAnswer(t *testing.T) {
+func TestClickHouseOneAnswer(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 3, "")
+	w := startClickHouse(t, 3, "")
 	rng := rand.New(rand.NewPCG(7, 7))
 	texts := []string{"SELECT 1", "INSERT INTO t VALUES (1)", "SELECT /* SLOW 3 */", "INSERT /* DROP */", "SELECT /* FAIL 60 */", "INSERT /* FAIL 241 */", "SELECT /* ROWS 50 */", "INSERT /* BROKEN */"}
 	var wg sync.WaitGroup
@@ -558,11 +558,11 @@
 	}
 }
 
-// TestHouseUsers: a user's queries beyond its limits wait or are turned away at once; another's are served meanwhile; a place is
+// TestClickHouseUsers: a user's queries beyond its limits wait or are turned away at once; another's are served meanwhile; a place is
 // free again once its query has ended, also where its client has gone.
-func TestHouseUsers(t *testing.T) {
+func TestClickHouseUsers(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, `(user "escritorio" (queries 2) (queue 1) (wait 15s)) (user "lento" (queries 1) (queue 1) (wait 50ms)) (user "raro" (rate 0.001) (burst 2))`)
+	w := startClickHouse(t, 1, `(user "escritorio" (queries 2) (queue 1) (wait 15s)) (user "lento" (queries 1) (queue 1) (wait 50ms)) (user "raro" (rate 0.001) (burst 2))`)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	hang := func(ctx context.Context, user, id string) {
@@ -615,8 +615,8 @@
 	}
 }
 
-// BenchmarkHouse is a query by the stand-in itself, through the pooler, and through the standard library's reverse proxy.
-func BenchmarkHouse(b *testing.B) {
+// BenchmarkClickHouse is a query by the stand-in itself, through the pooler, and through the standard library's reverse proxy.
+func BenchmarkClickHouse(b *testing.B) {
 	s, err := clickhouseserver.Start("h")
 	if err != nil {
 		b.Fatal(err)
--- a/cmd/beechgrade/clickhouse_uploads_test.go
+++ b/cmd/beechgrade/clickhouse_uploads_test.go
@@ -18,7 +18,7 @@
 )
 
 // raw puts a raw request, and reads its answer up to the connection's end.
-func (w *houseWorld) raw(text string) (answer string, err error) {
+func (w *clickhouseWorld) raw(text string) (answer string, err error) {
 	c, err := net.Dial("tcp", w.addr)
 	if err != nil {
 		w.t.Fatal(err)
@@ -55,7 +55,7 @@
 	return n, nil
 }
 
-func (w *houseWorld) upload(id string, f *filler, length int64) (status int, code string, err error) {
+func (w *clickhouseWorld) upload(id string, f *filler, length int64) (status int, code string, err error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {"INSERT INTO t FORMAT TSV"}, "query_id": {id}}.Encode(), f)
 	if err != nil {
 		return 0, "", err
@@ -70,11 +70,11 @@
 	return res.StatusCode, res.Header.Get("X-ClickHouse-Exception-Code"), err
 }
 
-// TestHouseUploads: a body far beyond the memory passes whole, by length and in chunks, to a server that reads slowly too, and
+// TestClickHouseUploads: a body far beyond the memory passes whole, by length and in chunks, to a server that reads slowly too, and
 // with a bound on what is held; one that is longer than any may be is refused, before its end or once that shows.
-func TestHouseUploads(t *testing.T) {
+func TestClickHouseUploads(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 2, "(hold 64k) (most-body 40m)", func(c *config.Config) { c.Limits.MemoryMB = 16 })
+	w := startClickHouse(t, 2, "(hold 64k) (most-body 40m)", func(c *config.Config) { c.Limits.MemoryMB = 16 })
 	w.servers[0].SlowRead(time.Millisecond)
 	w.servers[1].SlowRead(time.Millisecond)
 	var most atomic.Int64
@@ -120,11 +120,11 @@
 	}
 }
 
-// TestHouseUploadBreaks: a body that breaks off is broken off at its server too, and never made whole by another; where the
+// TestClickHouseUploadBreaks: a body that breaks off is broken off at its server too, and never made whole by another; where the
 // server breaks, the client is told once, and nothing is sent again; one whose rest does not come is answered.
-func TestHouseUploadBreaks(t *testing.T) {
+func TestClickHouseUploadBreaks(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 1, "(hold 16k) (head 300ms)")
+	w := startClickHouse(t, 1, "(hold 16k) (head 300ms)")
 	if s, _, err := w.upload("c", &filler{left: 4 << 20, sum: xxhash.New(), then: errors.New("it is broken")}, 8<<20); err == nil {
 		t.Errorf("%d", s)
 	}
@@ -170,10 +170,10 @@
 	}
 }
 
-// TestHouseEarly: a server that answers before it has read a body gives the one answer, and the connection ends behind it.
-func TestHouseEarly(t *testing.T) {
+// TestClickHouseEarly: a server that answers before it has read a body gives the one answer, and the connection ends behind it.
+func TestClickHouseEarly(t *testing.T) {
 	t.Parallel()
-	w := houses(t, 2, "(hold 16k)")
+	w := startClickHouse(t, 2, "(hold 16k)")
 	for i := range 4 {
 		req, _ := http.NewRequest(http.MethodPost, "http://"+w.addr+"/?"+url.Values{"query": {"INSERT /* EARLY 241 */"}, "query_id": {fmt.Sprint("e", i)}}.Encode(), &filler{left: 1 << 20, sum: xxhash.New()})
 		req.ContentLength = 1 << 20
--- a/cmd/beechgrade/compatibility_test.go
+++ b/cmd/beechgrade/compatibility_test.go
@@ -185,7 +185,7 @@
 	config["control"] = "127.0.0.1:0"
 	d := runDaemon(t, buildDaemon(t), config, 1024, "--settings", file)
 	admin := d.admin()
-	for end := time.Now().Add(patience); call(t, admin, "GET", "/-/ready") != "200 ready"; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(patience); callAdmin(t, admin, "GET", "/-/ready") != "200 ready"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the process is not ready")
 		}
@@ -193,7 +193,7 @@
 	var out strings.Builder
 	for _, path := range []string{"/-/ready", "/-/metrics", "/-/prometheus", "/-/zones", "/-/drain", "/-/resume", "/-/none", "/"} {
 		for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
-			answer := call(t, admin, method, path)
+			answer := callAdmin(t, admin, method, path)
 			status, body, _ := strings.Cut(answer, " ")
 			if status == "200" && method == http.MethodGet && path != "/-/ready" {
 				body = "as below"
@@ -201,11 +201,11 @@
 			fmt.Fprintf(&out, "%s %s: %s %s\n", method, path, status, body)
 		}
 	}
-	_ = call(t, admin, "POST", "/-/resume")
+	_ = callAdmin(t, admin, "POST", "/-/resume")
 	lines := func(path string, name func(line string) string) {
 		fmt.Fprintf(&out, "\n%s\n", path)
 		var names []string
-		for line := range strings.Lines(strings.TrimPrefix(call(t, admin, "GET", path), "200 ")) {
+		for line := range strings.Lines(strings.TrimPrefix(callAdmin(t, admin, "GET", path), "200 ")) {
 			names = append(names, name(strings.TrimSpace(line)))
 		}
 		slices.Sort(names)
@@ -221,7 +221,7 @@
 		return line[:strings.LastIndexByte(line, ' ')]
 	})
 	var zones any
-	body := strings.TrimPrefix(call(t, admin, "GET", "/-/zones"), "200 ")
+	body := strings.TrimPrefix(callAdmin(t, admin, "GET", "/-/zones"), "200 ")
 	if err := jsoniter.UnmarshalFromString(body, &zones); err != nil {
 		t.Fatal(err, body)
 	}
@@ -386,7 +386,7 @@
 		_ = c.Close()
 	}
 	waiting := client(t, pooler)
-	_ = call(t, admin, "POST", "/-/drain")
+	_ = callAdmin(t, admin, "POST", "/-/drain")
 	waiting.send(pgwire.AppendQuery(nil, read+"/* id=20,c=read,d=9000,cluster=0 */"))
 	fmt.Fprintf(&out, "a read while clients are sent away: %s\n", answerText(waiting))
 	late := dial(t, pooler)
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -23,17 +23,17 @@
 
 // creditGate is what tenants pay ahead for, as this pooler has it. It is core's Credit, and credit's Log, Files and Events.
 type creditGate struct {
-	pooler  *pooler
-	set     settings.Credit
-	credit  *credit.Credit
-	classes map[string]int
-	holder  ledger.Holder
-	writes  chan leaseMarks
-	done    chan struct{}
-	locks   map[ledger.Holder]*os.File // of this process's marks, and of those that it has taken over
-	spent   int64
-	refused uint64
-	waited  uint64
+	pooler   *pooler
+	set      settings.Credit
+	credit   *credit.Credit
+	classes  map[string]int
+	holder   ledger.Holder
+	writes   chan leaseMarks
+	done     chan struct{}
+	locks    map[ledger.Holder]*os.File // of this process's marks, and of those that it has taken over
+	consumed int64
+	refused  uint64
+	waited   uint64
 }
 
 type leaseMarks struct {
@@ -127,7 +127,7 @@
 }
 
 // Settle is core.Credit's.
-func (x *creditGate) Settle(h *lease.Reservation, d lease.Usage) { x.spent += x.credit.Settle(h, d) }
+func (x *creditGate) Settle(h *lease.Reservation, d lease.Usage) { x.consumed += x.credit.Settle(h, d) }
 
 // Cancel is core.Credit's.
 func (x *creditGate) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
@@ -294,7 +294,7 @@
 			x.pooler.log.Info("credit: books", "tenant", n, "paid", t.Paid, "balance", t.Balance, "lent", t.Lent, "stranded", t.Stranded, "spent", t.Spent)
 		}
 	}
-	x.pooler.log.Info("credit: ends", "spent", x.spent, "refused", x.refused, "waited", x.waited)
+	x.pooler.log.Info("credit: ends", "spent", x.consumed, "refused", x.refused, "waited", x.waited)
 }
 
 // writeCreditMetrics tells how credit stands, where there is any.
@@ -307,7 +307,7 @@
 	for _, a := range x.credit.Statuses() {
 		free, held = free+a.Free, held+a.Reserved
 	}
-	all.IntGauge("spent", x.spent)
+	all.IntGauge("spent", x.consumed)
 	all.IntGauge("free", free)
 	all.IntGauge("held", held)
 	all.Counter("refused", x.refused)
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -37,8 +37,8 @@
 	return p, func() { end(); stop() }
 }
 
-// TestNeverBegan: a pooler that could not begin, as its address is taken, ends all the same.
-func TestNeverBegan(t *testing.T) {
+// TestCreditEndsWithoutAStart: a pooler that could not begin, as its address is taken, ends all the same.
+func TestCreditEndsWithoutAStart(t *testing.T) {
 	t.Parallel()
 	_, stop := creditOf(t, t.TempDir())
 	done := make(chan struct{})
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestMarksKept: marks are written whole; those of a process that is there are left alone, of one that is gone they are found once.
-func TestMarksKept(t *testing.T) {
+// TestLeaseMarksAreInheritedOnce: marks are written whole; those of a process that is there are left alone, of one that is gone they are found once.
+func TestLeaseMarksAreInheritedOnce(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	one, stop := creditOf(t, dir)
--- a/cmd/beechgrade/descriptors.go
+++ b/cmd/beechgrade/descriptors.go
@@ -15,7 +15,9 @@
 )
 
 // platformDescriptors is how many descriptors the platform's clients and connections to servers may hold together.
-func (p *pooler) platformDescriptors() int { return p.sockets() - reservedDescriptors - p.heldBeside() }
+func (p *pooler) platformDescriptors() int {
+	return p.sockets() - reservedDescriptors - p.frontendDescriptors()
+}
 
 func (p *pooler) partOfPlatform(part float64) int {
 	return int(part * float64(p.platformDescriptors()))
@@ -41,8 +43,8 @@
 	return p.backend.Conns() > p.partOfPlatform(serverConnectionsLeast) && p.backend.CloseOldest()
 }
 
-// heldBeside is how many descriptors the other fronts hold, beside the first one and its connections to servers.
-func (p *pooler) heldBeside() int {
+// frontendDescriptors is how many descriptors the other fronts hold, beside the first one and its connections to servers.
+func (p *pooler) frontendDescriptors() int {
 	n := 0
 	if p.pooling != nil {
 		n += p.pooling.Sessions() + p.pooling.Conns()
@@ -58,7 +60,7 @@
 
 // spareConns is how many descriptors the other fronts may take yet.
 func (p *pooler) spareConns() int {
-	return p.sockets() - reservedDescriptors - p.platform.Sessions() - p.backend.Conns() - p.heldBeside()
+	return p.sockets() - reservedDescriptors - p.platform.Sessions() - p.backend.Conns() - p.frontendDescriptors()
 }
 
 // sockets is how many descriptors this process may hold, of those that the machine has. The system's limit holds for each process alone.
--- a/cmd/beechgrade/drain.go
+++ b/cmd/beechgrade/drain.go
@@ -18,8 +18,8 @@
 // sendAway begins a drain: clients are sent away in stages, each at a time that counts from now. A resume cancels the stages that have not
 // come yet; the end of the process does not.
 func (p *pooler) sendAway() {
-	p.drains++
-	this, from := p.drains, p.loop.Now()
+	p.drainCount++
+	this, from := p.drainCount, p.loop.Now()
 	if p.pooling != nil {
 		p.pooling.Drain()
 	}
@@ -34,7 +34,7 @@
 		{closeActiveMs, platform.CloseActive}, {p.closeAllMs(), platform.CloseAll},
 	} {
 		p.loop.At(from+step.ms, func() {
-			if p.drains == this {
+			if p.drainCount == this {
 				p.enterStage(step.stage, from)
 			}
 		})
@@ -64,7 +64,7 @@
 
 // resume ends a drain.
 func (p *pooler) resume() {
-	p.drains++ // its remaining stages have no effect
+	p.drainCount++ // its remaining stages have no effect
 	p.platform.Resume()
 	if p.pooling != nil {
 		p.pooling.Resume()
--- a/cmd/beechgrade/drain_habits_test.go
+++ b/cmd/beechgrade/drain_habits_test.go
@@ -261,15 +261,15 @@
 	return all
 }
 
-// TestNoHabitOutlivesADrain: whatever a client does, and whenever it comes, its connection ends by the bound, and every command that was
+// TestDrainEndsEveryClient: whatever a client does, and whenever it comes, its connection ends by the bound, and every command that was
 // read has its answer. A second drain, a reload or the end of the process in the drain move no bound.
-func TestNoHabitOutlivesADrain(t *testing.T) {
+func TestDrainEndsEveryClient(t *testing.T) {
 	path := buildDaemon(t)
 	for name, inBetween := range map[string]func(d *daemon, admin string){
 		"a drain": func(*daemon, string) {},
 		"drained again and again": func(d *daemon, admin string) {
 			for range 8 {
-				call(d.t, admin, "POST", "/-/drain")
+				callAdmin(d.t, admin, "POST", "/-/drain")
 				time.Sleep(400 * time.Millisecond)
 			}
 		},
@@ -292,7 +292,7 @@
 	config["control"] = "127.0.0.1:0"
 	d := runDaemon(t, path, config, 1024, "--verbose")
 	admin := d.admin()
-	for call(t, admin, "GET", "/-/ready") != "200 ready" {
+	for callAdmin(t, admin, "GET", "/-/ready") != "200 ready" {
 		time.Sleep(time.Millisecond)
 	}
 	var number int64
@@ -318,7 +318,7 @@
 	hold := next(t, held)
 	come("before the drain")
 	time.Sleep(100 * time.Millisecond)
-	if got := call(t, admin, "POST", "/-/drain"); got != "200 draining" {
+	if got := callAdmin(t, admin, "POST", "/-/drain"); got != "200 draining" {
 		t.Fatal(got)
 	}
 	began := time.Now()
--- a/cmd/beechgrade/drain_test.go
+++ b/cmd/beechgrade/drain_test.go
@@ -31,9 +31,9 @@
 	config["control"] = "127.0.0.1:0"
 	d := runDaemon(t, buildDaemon(t), config, 256)
 	admin := d.admin()
-	for call(t, admin, "GET", "/-/ready") != "200 ready" {
+	for callAdmin(t, admin, "GET", "/-/ready") != "200 ready" {
 	}
-	if got := call(t, admin, "POST", "/-/drain"); got != "200 draining" {
+	if got := callAdmin(t, admin, "POST", "/-/drain"); got != "200 draining" {
 		t.Fatal(got)
 	}
 	const most = 1000
--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -133,7 +133,7 @@
 func (l *fleetLimits) reportDemand(x *settings.FleetLimit) {
 	if want, ok := l.pooler.core.Demand(x.Name); ok {
 		if x.Resource == settings.ResourceColdServers { // as a part of what a fleet may ask for
-			want /= coldFlow
+			want /= slowStartScale
 		}
 		l.pooler.peers.ReportDemand(x.Name, want, 0)
 		return
@@ -155,8 +155,8 @@
 	}
 }
 
-// coldFlow is a flow, a second, that stands for the whole of the fall budget: parts of it follow how flows compare.
-const coldFlow = 1e5
+// slowStartScale is a flow, a second, that stands for the whole of the fall budget: parts of it follow how flows compare.
+const slowStartScale = 1e5
 
 func (l *fleetLimits) tick() {
 	for i := range l.set.Limits {
--- a/cmd/beechgrade/fronts_stop_test.go
+++ b/cmd/beechgrade/fronts_stop_test.go
@@ -31,8 +31,8 @@
 	busy.want("E$ 57P01")
 }
 
-// TestPooledLastWord: what is still under way when the process ends in any case has its last word: whether it may have been committed.
-func TestPooledLastWord(t *testing.T) {
+// TestPooledLastAnswers: what is still under way when the process ends in any case has its last word: whether it may have been committed.
+func TestPooledLastAnswers(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	s := scriptedPool(t, srv, "(connections 2) (queue 9)")
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(raw.Stop)
-	w := houses(t, 0, "")
+	w := startClickHouse(t, 0, "")
 	w.servers = []*clickhouseserver.Server{{Name: "raw", Addr: raw.Addr}}
 	w.write()
 	w.hup <- syscall.SIGHUP
@@ -91,9 +91,9 @@
 	hangs.wantHTTP("502 210 close=true")
 }
 
-// TestHouseStopNewClient: a client that comes while the pooler ends is told so in answer to its query; its connection is not reset.
-func TestHouseStopNewClient(t *testing.T) {
-	w := houses(t, 1, "")
+// TestClickHouseStopNewClient: a client that comes while the pooler ends is told so in answer to its query; its connection is not reset.
+func TestClickHouseStopNewClient(t *testing.T) {
+	w := startClickHouse(t, 1, "")
 	w.stopping()
 	c := dial(t, w.addr)
 	c.send([]byte(get("a", "SELECT 1")))
--- a/cmd/beechgrade/journal.go
+++ b/cmd/beechgrade/journal.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	p.recover("journal", rec)
+	p.noteRecovery("journal", rec)
 	p.journal = journal.New(p.loop, p.log, p.core, s, o.Mode)
 	p.core.SetJournal(p.journal)
 	if n := len(journal.Pending(s)); n > 0 {
--- a/cmd/beechgrade/lifecycle_test.go
+++ b/cmd/beechgrade/lifecycle_test.go
@@ -39,14 +39,14 @@
 	at := make(chan string)
 	p.loop.Post(func() { at <- p.adminAddr })
 	door = <-at
-	for say(t, door, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") != "200 ready" {
+	for sendToAdmin(t, door, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") != "200 ready" {
 		time.Sleep(time.Millisecond)
 	}
 	return addr, door, hup, stop, done
 }
 
-// say puts bytes to a door and returns the answer's status and body; nothing for a door that just closes.
-func say(t testing.TB, door, text string) string {
+// sendToAdmin puts bytes to a door and returns the answer's status and body; nothing for a door that just closes.
+func sendToAdmin(t testing.TB, door, text string) string {
 	t.Helper()
 	c := dial(t, door)
 	c.send([]byte(text))
@@ -59,9 +59,9 @@
 	return strings.TrimSpace(fmt.Sprintf("%d %s", r.StatusCode, b))
 }
 
-func call(t testing.TB, door, method, path string) string {
+func callAdmin(t testing.TB, door, method, path string) string {
 	t.Helper()
-	return say(t, door, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
+	return sendToAdmin(t, door, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
 }
 
 // empty asks, as clients' side does, whether clients may come.
@@ -72,8 +72,8 @@
 	return c.answer()
 }
 
-// TestDoor: each call has its answer, what is no call is turned away, and callers that finish none keep nobody out.
-func TestDoor(t *testing.T) {
+// TestAdminAnswersEachCall: each call has its answer, what is no call is turned away, and callers that finish none keep nobody out.
+func TestAdminAnswersEachCall(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	pooler, door, _, _ := operated(t, srv)
@@ -91,7 +91,7 @@
 		if strings.Contains(text, "Host") {
 			name += "+"
 		}
-		got[name], _, _ = strings.Cut(say(t, door, text), ":")
+		got[name], _, _ = strings.Cut(sendToAdmin(t, door, text), ":")
 	}
 	if diff := cmp.Diff(map[string]string{
 		"GET /-/ready HTTP/1.1+": "200 ready", "GET /-/ready?a=b HTTP/1.0": "200 ready", "POST /-/ready HTTP/1.1+": "405 Method Not Allowed",
@@ -125,7 +125,7 @@
 	idle, busy, never, mute := client(t, pooler), client(t, pooler), client(t, pooler), dial(t, pooler)
 	busy.send(query("1", "read", 19000))
 	held := next(t, queries)
-	if got := call(t, door, "POST", "/-/drain") + ", " + call(t, door, "POST", "/-/drain") + ", " + call(t, door, "GET", "/-/ready"); got != "200 draining, 200 draining, 200 draining" {
+	if got := callAdmin(t, door, "POST", "/-/drain") + ", " + callAdmin(t, door, "POST", "/-/drain") + ", " + callAdmin(t, door, "GET", "/-/ready"); got != "200 draining, 200 draining, 200 draining" {
 		t.Fatal(got)
 	}
 	began := time.Now()
@@ -166,13 +166,13 @@
 	if got := busy.answer(); got != "$" {
 		t.Errorf("behind its answer it was told %q", got)
 	}
-	if got := call(t, door, "POST", "/-/resume") + ", " + call(t, door, "POST", "/-/resume") + ", " + empty(t, pooler); got != "200 ready, 200 ready, IZ" {
+	if got := callAdmin(t, door, "POST", "/-/resume") + ", " + callAdmin(t, door, "POST", "/-/resume") + ", " + empty(t, pooler); got != "200 ready, 200 ready, IZ" {
 		t.Error(got)
 	}
 	c := client(t, pooler)
 	c.send(query("9", "read", 9000))
 	c.want("TDCZ v")
-	call(t, door, "POST", "/-/drain")
+	callAdmin(t, door, "POST", "/-/drain")
 	stop <- syscall.SIGTERM // while drained: nobody is left, so the end is soon
 	if got := c.answer(); got != "$" {
 		t.Errorf("told %q", got)
@@ -190,18 +190,18 @@
 	pooler, door, _, _ := operated(t, srv)
 	c := client(t, pooler)
 	for range 3 {
-		call(t, door, "POST", "/-/drain")
-		call(t, door, "POST", "/-/resume")
+		callAdmin(t, door, "POST", "/-/drain")
+		callAdmin(t, door, "POST", "/-/resume")
 	}
 	time.Sleep(2 * noticeMs * time.Millisecond)
 	c.send(query("1", "read", 9000))
 	next(t, queries).send(row("v"))
 	c.want("TDCZ v")
-	call(t, door, "POST", "/-/drain")
+	callAdmin(t, door, "POST", "/-/drain")
 	if got := c.answer(); got != "$" {
 		t.Errorf("told %q", got)
 	}
-	call(t, door, "POST", "/-/resume")
+	callAdmin(t, door, "POST", "/-/resume")
 	k := client(t, pooler)
 	time.Sleep(refuseMs * time.Millisecond)
 	k.send(query("2", "read", 9000))
@@ -209,8 +209,8 @@
 	k.want("TDCZ w")
 }
 
-// TestNoDoor: without the setting nothing listens for operators.
-func TestNoDoor(t *testing.T) {
+// TestNoAdminEndpointWithoutAnAddress: without the setting nothing listens for operators.
+func TestNoAdminEndpointWithoutAnAddress(t *testing.T) {
 	t.Parallel()
 	srv, _ := server(t)
 	p := newPooler(testConfig(t, srv, nil), slog.New(slog.DiscardHandler))
@@ -256,7 +256,7 @@
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("ended after %v", took)
 	}
-	if got := empty(t, addr) + ", " + call(t, door2, "GET", "/-/ready"); got != "IZ, 200 ready" {
+	if got := empty(t, addr) + ", " + callAdmin(t, door2, "GET", "/-/ready"); got != "IZ, 200 ready" {
 		t.Error(got)
 	}
 }
--- a/cmd/beechgrade/long_test.go
+++ b/cmd/beechgrade/long_test.go
@@ -105,7 +105,7 @@
 			t.Fatalf("got %.40q, %d long", got, len(got))
 		}
 	}
-	settle(t, door, map[string]string{"known_database_servers": "1", "handled.read.passed": fmt.Sprint(many + 7), "upstream_tries": fmt.Sprint(many + 7)})
+	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "handled.read.passed": fmt.Sprint(many + 7), "upstream_tries": fmt.Sprint(many + 7)})
 }
 
 // TestLongAnswerCutShort: a server that dies, or spoils what comes behind, part way through a long value leaves an answer that the
@@ -127,7 +127,7 @@
 			if got, err := io.ReadAll(c.in); err != nil || bytes.Contains(got, []byte("SELECT 1")) || bytes.HasSuffix(got, []byte{'Z', 0, 0, 0, 5, 'I'}) || len(got) > len(whole) {
 				t.Errorf("%v, %d bytes that end in %q", err, len(got), got[max(0, len(got)-20):])
 			}
-			settle(t, door, map[string]string{"known_database_servers": "1", "handled.read.bad_gateway": "1", "upstream_tries": "1"})
+			awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "handled.read.bad_gateway": "1", "upstream_tries": "1"})
 		})
 	}
 	srv, queries := server(t)
@@ -141,11 +141,11 @@
 	if q := next(t, queries); q.sql != "(gone)" {
 		t.Errorf("asked %q", q.sql)
 	}
-	settle(t, door, map[string]string{"known_database_servers": "1", "upstream_tries": "1"})
+	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "upstream_tries": "1"})
 }
 
-// TestLongLies: a length beyond the bound, or one that contradicts the value's own, is never passed on.
-func TestLongLies(t *testing.T) {
+// TestLongAnswersThatBreakTheProtocol: a length beyond the bound, or one that contradicts the value's own, is never passed on.
+func TestLongAnswersThatBreakTheProtocol(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	pooler, _, _, _ := operated(t, srv, func(p *pooler) { p.cfg.Settings.MaxAttempts = 1; p.loop.Post(p.core.Reload) })
@@ -251,7 +251,7 @@
 	for _, c := range clients {
 		c.want("TDCZ w")
 	}
-	settle(t, door, map[string]string{"known_database_servers": "1", "handled.read.passed": "2", "handled.write.passed": fmt.Sprint(many + 1), "upstream_tries": fmt.Sprint(many + 3)})
+	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "handled.read.passed": "2", "handled.write.passed": fmt.Sprint(many + 1), "upstream_tries": fmt.Sprint(many + 3)})
 }
 
 // TestLongWriteNeverWhole: a long write whose server goes before its last byte never ran, so its client may try
@@ -287,5 +287,5 @@
 	time.Sleep(50 * time.Millisecond)
 	_ = leaver.Close()
 	c.want("EZ 53300")
-	settle(t, door, map[string]string{"known_database_servers": "1", "handled.write.dropped": "1", "decisions.refused": "1"})
+	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "handled.write.dropped": "1", "decisions.refused": "1"})
 }
--- a/cmd/beechgrade/long_wait_test.go
+++ b/cmd/beechgrade/long_wait_test.go
@@ -78,7 +78,7 @@
 			left := story.wait - time.Since(sent)
 			close(gate)
 			q := next(t, whole)
-			if told := toldWait(t, q); told > left+slack || q.conn != story.conn {
+			if told := advisedWait(t, q); told > left+slack || q.conn != story.conn {
 				t.Errorf("the server was told %v on connection %d, the client has %v left", told, q.conn, left)
 			}
 			c.want("TDCZ v")
--- a/cmd/beechgrade/metrics_test.go
+++ b/cmd/beechgrade/metrics_test.go
@@ -18,19 +18,19 @@
 	"beechgrade/internal/endpoints/discovery"
 )
 
-// clientFigures is the prefix of the figures of clients' connections, which have tests of their own: how many are connected depends on
+// clientMetrics is the prefix of the figures of clients' connections, which have tests of their own: how many are connected depends on
 // when a close is read.
-const clientFigures = "clients."
+const clientMetrics = "clients."
 
-// figures fetches what a door tells, but for what is 0 and for clients' connections. Decisions are summed over their reasons: which of two
+// metricsOf fetches what a door tells, but for what is 0 and for clients' connections. Decisions are summed over their reasons: which of two
 // reasons comes first may depend on the machine, and TestReasons has each.
-func figures(t testing.TB, door string) map[string]string {
+func metricsOf(t testing.TB, door string) map[string]string {
 	t.Helper()
 	got := map[string]string{}
-	for name, value := range allFigures(t, door) {
+	for name, value := range allMetricsOf(t, door) {
 		parts := strings.Split(name, ".")
 		switch {
-		case strings.HasPrefix(name, clientFigures):
+		case strings.HasPrefix(name, clientMetrics):
 		case parts[0] == "decisions" && len(parts) == 3:
 			sum := "decisions." + parts[2]
 			before, _ := strconv.Atoi(got[sum])
@@ -46,11 +46,11 @@
 	return got
 }
 
-// allFigures fetches what a door tells, but for what is 0.
-func allFigures(t testing.TB, door string) map[string]string {
+// allMetricsOf fetches what a door tells, but for what is 0.
+func allMetricsOf(t testing.TB, door string) map[string]string {
 	t.Helper()
 	got := map[string]string{}
-	for l := range strings.Lines(strings.TrimPrefix(call(t, door, "GET", "/-/metrics"), "200 ")) {
+	for l := range strings.Lines(strings.TrimPrefix(callAdmin(t, door, "GET", "/-/metrics"), "200 ")) {
 		name, val, ok := strings.Cut(strings.TrimSpace(l), "=")
 		if !ok || !strings.HasPrefix(name, "app.") {
 			t.Errorf("line %q", l)
@@ -62,70 +62,70 @@
 	return got
 }
 
-// settle waits until the figures are as wanted, and tells how they differ at last.
-func settle(t testing.TB, door string, want map[string]string) {
+// awaitMetrics waits until the figures are as wanted, and tells how they differ at last.
+func awaitMetrics(t testing.TB, door string, want map[string]string) {
 	t.Helper()
 	diff := ""
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if diff = cmp.Diff(want, figures(t, door)); diff == "" {
+		if diff = cmp.Diff(want, metricsOf(t, door)); diff == "" {
 			return
 		}
 	}
 	t.Error(diff)
 }
 
-// TestFigures: they are true after every kind of end.
-func TestFigures(t *testing.T) {
+// TestMetricsAfterEachOutcome: they are true after every kind of end.
+func TestMetricsAfterEachOutcome(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	pooler, door, _, _ := operated(t, srv)
 	const listed = "known_database_servers"
-	settle(t, door, map[string]string{listed: "1"})
+	awaitMetrics(t, door, map[string]string{listed: "1"})
 
 	served, failed, refused, gone, twice := client(t, pooler), client(t, pooler), client(t, pooler), client(t, pooler), client(t, pooler)
 	served.send(query("1", "read", 9000))
 	held := next(t, queries)
-	settle(t, door, map[string]string{listed: "1", "in_progress": "1", "upstream_tries": "1"})
+	awaitMetrics(t, door, map[string]string{listed: "1", "in_progress": "1", "upstream_tries": "1"})
 	held.send(row("v"))
 	served.want("TDCZ v")
-	settle(t, door, map[string]string{listed: "1", "upstream_tries": "1", "handled.read.passed": "1"})
+	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "1", "handled.read.passed": "1"})
 
 	failed.send(query("2", "write", 9000)) // its connection breaks: it may have run
 	_ = next(t, queries).Close()
 	failed.want("EZ 58000")
-	settle(t, door, map[string]string{listed: "1", "upstream_tries": "2", "handled.read.passed": "1", "handled.write.bad_gateway": "1", "decisions.failed": "1"})
+	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "2", "handled.read.passed": "1", "handled.write.bad_gateway": "1", "decisions.failed": "1"})
 
 	twice.send(query("3", "read", 9000)) // turned away once, then served
 	nextQuery(t, queries).send(append(pgError("53300"), 'Z', 0, 0, 0, 5, 'I'))
 	next(t, queries).send(row("v"))
 	twice.want("TDCZ v")
-	settle(t, door, map[string]string{listed: "1", "upstream_tries": "4", "handled.read.passed": "2", "handled.write.bad_gateway": "1", "decisions.failed": "1", "decisions.repeated": "1"})
+	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "4", "handled.read.passed": "2", "handled.write.bad_gateway": "1", "decisions.failed": "1", "decisions.repeated": "1"})
 
 	gone.send(query("4", "read", 9000)) // abandoned by its client
 	next(t, queries)
 	_ = gone.Close()
-	settle(t, door, map[string]string{listed: "1", "upstream_tries": "5", "handled.read.passed": "2", "handled.write.bad_gateway": "1", "decisions.failed": "1", "decisions.repeated": "1"})
+	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "5", "handled.read.passed": "2", "handled.write.bad_gateway": "1", "decisions.failed": "1", "decisions.repeated": "1"})
 
 	refused.send([]byte(strings.Replace(string(query("5", "read", 9000)), "cluster=0", "cluster=7", 1))) // no such group
 	refused.want("EZ 53300")
-	settle(t, door, map[string]string{listed: "1", "upstream_tries": "5", "handled.read.passed": "2", "handled.read.dropped": "1", "handled.write.bad_gateway": "1",
+	awaitMetrics(t, door, map[string]string{listed: "1", "upstream_tries": "5", "handled.read.passed": "2", "handled.read.dropped": "1", "handled.write.bad_gateway": "1",
 		"decisions.failed": "1", "decisions.repeated": "1", "decisions.refused": "1"})
 
 	// The same for Prometheus.
-	text := call(t, door, "GET", "/-/prometheus")
+	text := callAdmin(t, door, "GET", "/-/prometheus")
 	for _, want := range []string{"200 # TYPE app_handled_class_passed_total counter\n", "\napp_upstream_tries_total 5\n", "\napp_handled_class_passed_total{class=\"read\"} 2\n",
 		"\napp_handled_class_bad_gateway_total{class=\"write\"} 1\n", "\napp_known_database_servers 1\n"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("no %q in\n%s", want, text)
 		}
 	}
-	if got := call(t, door, "POST", "/-/prometheus"); !strings.HasPrefix(got, "405 ") {
+	if got := callAdmin(t, door, "POST", "/-/prometheus"); !strings.HasPrefix(got, "405 ") {
 		t.Errorf("a wrong method: %.60q", got)
 	}
 }
 
-// TestFiguresOfCopies: a read that many later ones overtook is copied; both attempts count, and the request once.
-func TestFiguresOfCopies(t *testing.T) {
+// TestMetricsOfHedgedRequests: a read that many later ones overtook is copied; both attempts count, and the request once.
+func TestMetricsOfHedgedRequests(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	pooler, door, _, _ := operated(t, srv)
@@ -147,12 +147,12 @@
 		served++
 	}
 	slow.want("TDCZ v")
-	settle(t, door, map[string]string{"known_database_servers": "1", "upstream_tries": fmt.Sprint(tries), "handled.read.passed": fmt.Sprint(served + 1), "decisions.repeated": "1"})
+	awaitMetrics(t, door, map[string]string{"known_database_servers": "1", "upstream_tries": fmt.Sprint(tries), "handled.read.passed": fmt.Sprint(served + 1), "decisions.repeated": "1"})
 }
 
-// TestFiguresOfTheUnreached: a connection that never comes up is no attempt that was written. A server that drains is listed and
+// TestMetricsOfUnreachableServers: a connection that never comes up is no attempt that was written. A server that drains is listed and
 // avoided.
-func TestFiguresOfTheUnreached(t *testing.T) {
+func TestMetricsOfUnreachableServers(t *testing.T) {
 	t.Parallel()
 	l := listen(t)
 	_ = l.Close()
@@ -162,7 +162,7 @@
 	c := client(t, pooler)
 	c.send(query("1", "write", 400))
 	c.want("EZ 53300")
-	settle(t, door, map[string]string{"known_database_servers": "2", "skipped_database_servers": "1", "handled.write.dropped": "1", "decisions.refused": "1"})
+	awaitMetrics(t, door, map[string]string{"known_database_servers": "2", "skipped_database_servers": "1", "handled.write.dropped": "1", "decisions.refused": "1"})
 }
 
 func pgError(code string) []byte {
@@ -171,9 +171,9 @@
 	return b
 }
 
-// TestRetune: new settings take hold while requests are under way, which keep what they came with; a class that has gone is not
+// TestReloadChangesSettings: new settings take hold while requests are under way, which keep what they came with; a class that has gone is not
 // asked for until it is back, and one that was never there appears.
-func TestRetune(t *testing.T) {
+func TestReloadChangesSettings(t *testing.T) {
 	t.Parallel()
 	srv, queries := server(t)
 	files := make(chan func(*config.Config), 1)
@@ -198,7 +198,7 @@
 			loads, errs = loads-1, errs+1
 		}
 		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-			if f := figures(t, door); f["loads"] == zero(loads) && f["load_errors"] == zero(errs) {
+			if f := metricsOf(t, door); f["loads"] == zero(loads) && f["load_errors"] == zero(errs) {
 				return
 			} else if time.Now().After(end) {
 				t.Fatal(f)
@@ -234,7 +234,7 @@
 	k.want("EZ 53300")
 	want := map[string]string{"handled.write.passed": "2", "handled.read.passed": "1", "handled.read.dropped": "1", "handled.other.bad_gateway": "1",
 		"upstream_tries": "5", "known_database_servers": "1", "loads": "2", "load_errors": "1", "decisions.failed": "1", "decisions.refused": "1"}
-	settle(t, door, want)
+	awaitMetrics(t, door, want)
 }
 
 func zero(n int) string {
@@ -274,8 +274,8 @@
 	}
 }
 
-// TestFiguresOfClients: the connected clients are counted, and those that have ended by the reason.
-func TestFiguresOfClients(t *testing.T) {
+// TestMetricsOfClients: the connected clients are counted, and those that have ended by the reason.
+func TestMetricsOfClients(t *testing.T) {
 	t.Parallel()
 	srv, _ := server(t)
 	pooler, door, _, _ := operated(t, srv)
@@ -283,9 +283,9 @@
 		t.Helper()
 		diff := ""
 		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-			got := allFigures(t, door)
+			got := allMetricsOf(t, door)
 			maps.DeleteFunc(got, func(name, _ string) bool {
-				return !strings.HasPrefix(name, clientFigures) || name == "clients.client.ended" // the loop's connection to itself is one
+				return !strings.HasPrefix(name, clientMetrics) || name == "clients.client.ended" // the loop's connection to itself is one
 			})
 			if diff = cmp.Diff(want, got); diff == "" {
 				return
@@ -298,7 +298,7 @@
 	half.send(query("1", "read", 9000)[:9])
 	malformed.send([]byte("y"))
 	settleClients(map[string]string{"clients.connected": "2", "clients.halfway": "1", "clients.protocol.ended": "1"})
-	call(t, door, "POST", "/-/drain")
+	callAdmin(t, door, "POST", "/-/drain")
 	if got := idle.answer(); got != "$" {
 		t.Errorf("the idle client is told %q", got)
 	}
--- a/cmd/beechgrade/paused_test.go
+++ b/cmd/beechgrade/paused_test.go
@@ -130,8 +130,8 @@
 	return err == nil
 }
 
-// toldWait is the d of a query that came to a server.
-func toldWait(t testing.TB, q asked) time.Duration {
+// advisedWait is the d of a query that came to a server.
+func advisedWait(t testing.TB, q asked) time.Duration {
 	t.Helper()
 	_, rest, _ := strings.Cut(q.sql, ",d=")
 	var ms int
@@ -166,7 +166,7 @@
 				time.Sleep(pause)
 				left := wait - time.Since(sent)
 				p.resume()
-				if told := toldWait(t, nextQuery(t, queries)); told > left+slack {
+				if told := advisedWait(t, nextQuery(t, queries)); told > left+slack {
 					t.Errorf("the server was told %v, the client has %v left", told, left)
 				}
 			})
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -101,7 +101,7 @@
 
 	// The process's lifecycle, and its part of an inherited socket.
 	lifecycle         lifecycle.Machine
-	drains            int // begun and ended so far
+	drainCount        int // begun and ended so far
 	inheritedListener net.Listener
 	stopAccepting     func() // on the inherited listener
 	folder            stateFolder
@@ -192,8 +192,8 @@
 	}
 	p.list.take(&p.cfg.InitialList)
 	p.core.Start(servers, directory)
-	p.push()
-	p.recall()
+	p.setPushMode()
+	p.applyPreviousState()
 	if p.commits != nil {
 		p.core.MergeSnapshot(p.commits.Memory())
 	}
--- a/cmd/beechgrade/pooling_drain_test.go
+++ b/cmd/beechgrade/pooling_drain_test.go
@@ -9,9 +9,9 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestNoPooledHabitOutlivesADrain: clients of the pooling frontend end by the same bound as the platform's, whatever they do; one in the midst of
+// TestDrainEndsEveryPooledClient: clients of the pooling frontend end by the same bound as the platform's, whatever they do; one in the midst of
 // a transaction keeps its time until all are ended.
-func TestNoPooledHabitOutlivesADrain(t *testing.T) {
+func TestDrainEndsEveryPooledClient(t *testing.T) {
 	t.Parallel()
 	w := pooled(t, `(pooling (listen "127.0.0.1:0") (class "office" (needs primary) (aim 1s) (deadline 3s)) (class "office-reads" (needs session) (aim 1s) (deadline 3s))
 		(pool (class "office") (reads "office-reads") (clients 1000)))`)
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -110,7 +110,7 @@
 			}
 			l.pooler.loop.Post(func() {
 				if err == nil {
-					l.pooler.recover("agreed", rec)
+					l.pooler.noteRecovery("agreed", rec)
 					l.pooler.recordRecovered()
 				}
 				l.adapter.Start(l, records, err)
--- a/cmd/beechgrade/recovered.go
+++ b/cmd/beechgrade/recovered.go
@@ -15,8 +15,8 @@
 	*store.Recovery
 }
 
-// recover notes what was found, for the log now and for the records once there are any.
-func (p *pooler) recover(name string, rec *store.Recovery) {
+// noteRecovery notes what was found, for the log now and for the records once there are any.
+func (p *pooler) noteRecovery(name string, rec *store.Recovery) {
 	if rec == nil {
 		return
 	}
--- a/cmd/beechgrade/reload.go
+++ b/cmd/beechgrade/reload.go
@@ -110,10 +110,10 @@
 		}
 		p.discovery.SetAddress(p.cfg.DiscoveryAddress)
 	}
-	p.push()
+	p.setPushMode()
 }
 
-// push has discovery keep a watch open where the settings say that lists are pushed.
-func (p *pooler) push() {
+// setPushMode has discovery keep a watch open where the settings say that lists are pushed.
+func (p *pooler) setPushMode() {
 	p.discovery.SetPushMode(!p.cfg.Settings.WatchList && (p.sources == nil || p.sources.set.Options.Platform))
 }
--- a/cmd/beechgrade/scenario_clients_test.go
+++ b/cmd/beechgrade/scenario_clients_test.go
@@ -10,9 +10,9 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestGoneClient: when a client goes, its attempt is called off by closing the server's connection, which carries nothing
+// TestRequestsEndWithTheirClient: when a client goes, its attempt is called off by closing the server's connection, which carries nothing
 // after that.
-func TestGoneClient(t *testing.T) {
+func TestRequestsEndWithTheirClient(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
 	pooler, _, _ := start(t, addr, nil)
@@ -86,9 +86,9 @@
 	other.want("TDCZ w")
 }
 
-// TestSilentClients: clients that connect and say nothing, or stop within a message, are closed soon, and make room at once for
+// TestUnresponsiveClientsAreClosed: clients that connect and say nothing, or stop within a message, are closed soon, and make room at once for
 // one that asks; neither costs a client with an open request anything.
-func TestSilentClients(t *testing.T) {
+func TestUnresponsiveClientsAreClosed(t *testing.T) {
 	t.Parallel()
 	addr, queries := server(t)
 	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 }) // eight for clients
@@ -155,9 +155,9 @@
 	ask(mute)
 }
 
-// TestTurnedAwayWithAWord: a client for which there is no room is told so though it has sent its request already: a close with
+// TestRejectedClientsReadTheirError: a client for which there is no room is told so though it has sent its request already: a close with
 // that unread would be a reset, which may overtake the word.
-func TestTurnedAwayWithAWord(t *testing.T) {
+func TestRejectedClientsReadTheirError(t *testing.T) {
 	t.Parallel()
 	addr, _ := server(t)
 	pooler, _, _ := start(t, addr, nil, func(c *config.Config) { c.Limits.Sockets = reservedDescriptors + 10 })
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestRefusalSaysWhenToComeBack: where the settings allow advice, a refusal has the module's wait in field D.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+// TestRejectionHasARetryAfter: where the settings allow advice, a refusal has the module's wait in field D.
+func TestRejectionHasARetryAfter(t *testing.T) {
 	t.Parallel()
 	addr, _ := server(t)
 	pooler, _, _ := start(t, addr, nil, func(c *config.Config) {
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("sessions: %w", err)
 	}
-	p.recover("sessions", rec)
+	p.noteRecovery("sessions", rec)
 	k, err := sessiontoken.New(s, o.Mode, clock.ToDuration(p.loop.Now()), p.loop.Post, p.log)
 	if err != nil {
 		return nil, errors.Join(err, s.Close())
@@ -69,20 +69,20 @@
 }
 
 const (
-	openAgain = 20 * time.Millisecond // another process looks whether a place is free, and has it for that moment
-	openMost  = 8 * time.Second       // one that takes a place over holds it for as long as the disk takes; a process is to be ready within 10 s
-	openSlow  = 250 * time.Millisecond
+	openRetry   = 20 * time.Millisecond // another process looks whether a place is free, and has it for that moment
+	openTimeout = 8 * time.Second       // one that takes a place over holds it for as long as the disk takes; a process is to be ready within 10 s
+	openSlowLog = 250 * time.Millisecond
 )
 
 // openSessions opens a place that no process has.
 func (p *pooler) openSessions(places [2]store.FS, opt store.Options) (s *store.Store, rec *store.Recovery, at int, err error) {
 	began := time.Now()
 	defer func() {
-		if took := time.Since(began); took > openSlow {
+		if took := time.Since(began); took > openSlowLog {
 			p.log.Warn("sessions: a place was long in coming free", "ms", took.Milliseconds(), "place", at, "err", err)
 		}
 	}()
-	for until := began.Add(openMost); ; time.Sleep(openAgain) {
+	for until := began.Add(openTimeout); ; time.Sleep(openRetry) {
 		for at = range places {
 			if at == 1 && (p.inheritedListener == nil || places[1] == nil) {
 				return nil, nil, 0, err
--- a/cmd/beechgrade/sources_test.go
+++ b/cmd/beechgrade/sources_test.go
@@ -27,8 +27,8 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// membersWorld is a pooler that takes its list from stand-ins for Consul's agents.
-type membersWorld struct {
+// sourcesWorld is a pooler that takes its list from stand-ins for Consul's agents.
+type sourcesWorld struct {
 	t       testing.TB
 	p       *pooler
 	addr    string
@@ -45,10 +45,10 @@
 	return slog.New(slog.DiscardHandler)
 }
 
-// membersOf starts one with more settings of (membership ...), and of (consul ...).
-func membersOf(t testing.TB, more, consulForms string, register func(c *consulserver.Catalog), change ...func(*config.Config)) *membersWorld {
+// startSources starts one with more settings of (membership ...), and of (consul ...).
+func startSources(t testing.TB, more, consulForms string, register func(c *consulserver.Catalog), change ...func(*config.Config)) *sourcesWorld {
 	t.Helper()
-	w := &membersWorld{t: t, catalog: consulserver.NewCatalog()}
+	w := &sourcesWorld{t: t, catalog: consulserver.NewCatalog()}
 	a, err := consulserver.Start(w.catalog)
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 }
 
 // list is the list in short, as the loop has it.
-func (w *membersWorld) list() string {
+func (w *sourcesWorld) list() string {
 	got := make(chan string, 1)
 	w.p.loop.Post(func() {
 		var parts []string
@@ -85,7 +85,7 @@
 }
 
 // until waits until the list is so.
-func (w *membersWorld) until(want string) {
+func (w *sourcesWorld) until(want string) {
 	w.t.Helper()
 	got := ""
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -105,10 +105,10 @@
 }
 
 // pair is two scripted servers, registered, and what each is asked.
-func pair(t testing.TB, more, consulForms string) (w *membersWorld, a, b <-chan asked) {
+func pair(t testing.TB, more, consulForms string) (w *sourcesWorld, a, b <-chan asked) {
 	addrA, a := server(t)
 	addrB, b := server(t)
-	w = membersOf(t, more, consulForms, func(c *consulserver.Catalog) {
+	w = startSources(t, more, consulForms, func(c *consulserver.Catalog) {
 		c.Change(database.Service, []consulserver.Instance{at("a", addrA, "primary"), at("b", addrB, "replica")})
 	})
 	w.until("a serving, b serving")
@@ -116,7 +116,7 @@
 }
 
 // ask puts reads to the pooler one after the other, and counts who was asked.
-func (w *membersWorld) ask(a, b <-chan asked, n int) (toA, toB int) {
+func (w *sourcesWorld) ask(a, b <-chan asked, n int) (toA, toB int) {
 	w.t.Helper()
 	c := client(w.t, w.addr)
 	for i := range n {
@@ -178,7 +178,7 @@
 	}
 }
 
-func (w *membersWorld) entry(id string) reconcile.Entry {
+func (w *sourcesWorld) entry(id string) reconcile.Entry {
 	got := make(chan reconcile.Entry, 1)
 	w.p.loop.Post(func() {
 		e, _ := w.p.sources.members.Entry(id)
@@ -188,7 +188,7 @@
 }
 
 // held waits until so many removals are held back.
-func (w *membersWorld) held(n int) {
+func (w *sourcesWorld) held(n int) {
 	w.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 		got := make(chan string, 1)
@@ -277,7 +277,7 @@
 		if err := os.WriteFile(file, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n := membersOf(t, fmt.Sprintf("(snapshot %q)", file), "", func(*consulserver.Catalog) {})
+		n := startSources(t, fmt.Sprintf("(snapshot %q)", file), "", func(*consulserver.Catalog) {})
 		n.agent.Stop()
 		if got := n.list(); got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
@@ -300,7 +300,7 @@
 		}
 	}
 	write(fmt.Sprintf(`{"instances":[{"instanceId":"b","hostPort":%q,"cell":0,"lifecycle":"up","weight":1,"role":"replica"}]}`, addrB))
-	w := membersOf(t, fmt.Sprintf("(static %q) (platform) (rank static consul platform)", file), "", func(c *consulserver.Catalog) {
+	w := startSources(t, fmt.Sprintf("(static %q) (platform) (rank static consul platform)", file), "", func(c *consulserver.Catalog) {
 		c.Change(database.Service, []consulserver.Instance{at("a", addrA, "primary")})
 	})
 	w.until("a serving, b serving")
@@ -323,7 +323,7 @@
 	fc.Detect, fc.Elect, fc.List, fc.Roles = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{1e6, 1e6}
 	fc.Report, fc.Seed = database.Range{20, 40}, 3
 	f := database.New(fc, clock.System(), slog.New(slog.DiscardHandler))
-	w := membersOf(t, "", "", func(c *consulserver.Catalog) {
+	w := startSources(t, "", "", func(c *consulserver.Catalog) {
 		f.Register(c)
 		if err := f.Start(); err != nil {
 			t.Fatal(err)
--- a/cmd/beechgrade/standing_test.go
+++ b/cmd/beechgrade/standing_test.go
@@ -79,9 +79,9 @@
 	})
 }
 
-// TestSilentDiscovery: a watch falls silent, wherever in it, and so does the one that is opened in its place; a server begins to
+// TestUnresponsiveDiscovery: a watch falls silent, wherever in it, and so does the one that is opened in its place; a server begins to
 // drain just then. It counts as told 6 s after that, and is heard by then.
-func TestSilentDiscovery(t *testing.T) {
+func TestUnresponsiveDiscovery(t *testing.T) {
 	t.Parallel()
 	flush := func(w http.ResponseWriter, s string) {
 		_, _ = w.Write([]byte(s))
@@ -203,8 +203,8 @@
 	}
 }
 
-// TestReloadToASilentDiscovery: the discovery that a new configuration names hangs at first. What it has counts as told 4 s after SIGHUP.
-func TestReloadToASilentDiscovery(t *testing.T) {
+// TestReloadToAnUnresponsiveDiscovery: the discovery that a new configuration names hangs at first. What it has counts as told 4 s after SIGHUP.
+func TestReloadToAnUnresponsiveDiscovery(t *testing.T) {
 	t.Parallel()
 	both(t, func(t *testing.T, mode func(*config.Config)) {
 		addr, queries := server(t)
@@ -403,9 +403,9 @@
 	}
 }
 
-// TestWordThatWaited: a pooler stands still. A primary's answer comes meanwhile, and a read whose data may be 200 ms old; then another
+// TestDelayedMessageIsAnswered: a pooler stands still. A primary's answer comes meanwhile, and a read whose data may be 200 ms old; then another
 // takes over. When the pooler wakes, that answer is 1.5 s old, not news: the read goes to nobody until somebody is asked.
-func TestWordThatWaited(t *testing.T) {
+func TestDelayedMessageIsAnswered(t *testing.T) {
 	t.Parallel()
 	addrP, atP := server(t)
 	addrA, atA := server(t)
--- a/cmd/beechgrade/syscalls_test.go
+++ b/cmd/beechgrade/syscalls_test.go
@@ -85,7 +85,7 @@
 		}
 	})
 	admin := d.admin()
-	for end := time.Now().Add(patience); call(t, admin, "GET", "/-/ready") != "200 ready" && time.Now().Before(end); {
+	for end := time.Now().Add(patience); callAdmin(t, admin, "GET", "/-/ready") != "200 ready" && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	var lost, served atomic.Int32
@@ -136,7 +136,7 @@
 	if served.Load() < clients*each/2 {
 		t.Errorf("%d of %d requests are served", served.Load(), clients*each)
 	}
-	if got := call(t, admin, "GET", "/-/ready"); got != "200 ready" && !injection.ends {
+	if got := callAdmin(t, admin, "GET", "/-/ready"); got != "200 ready" && !injection.ends {
 		t.Errorf("ready: %q", got)
 	}
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -97,11 +97,11 @@
 		p.cfg.InitialList = *l
 		p.list.restarts, p.list.received = p.previousState.ListRestarts, true
 	}
-	p.count(others)
+	p.countProcesses(others)
 }
 
-// recall gives the module what another process knew. Its classes and kinds have to be the same ones.
-func (p *pooler) recall() {
+// applyPreviousState gives the module what another process knew. Its classes and kinds have to be the same ones.
+func (p *pooler) applyPreviousState() {
 	if b := p.previousState; b != nil {
 		if !slices.Equal(b.Classes, p.cfg.Classes) {
 			b.Memory.ClassWork = nil
@@ -113,11 +113,11 @@
 		p.log.Info("goes on from another process", "generation", b.List.Generation, "servers", len(b.Memory.Servers))
 		p.previousState = nil
 	}
-	p.share()
+	p.updateProcesses()
 }
 
-// count notes how many processes there are on the socket, and what the others hold.
-func (p *pooler) count(others []*handover.State) {
+// countProcesses notes how many processes there are on the socket, and what the others hold.
+func (p *pooler) countProcesses(others []*handover.State) {
 	p.otherProcesses, p.othersDescriptors = 0, 0
 	for _, s := range others {
 		if s.AgeMs <= handover.LiveMs {
@@ -127,8 +127,8 @@
 	}
 }
 
-// share shares limits out among the processes on the socket.
-func (p *pooler) share() {
+// updateProcesses shares limits out among the processes on the socket.
+func (p *pooler) updateProcesses() {
 	if p.core.SetProcesses(1 + p.otherProcesses) {
 		p.log.Info("processes on the socket", "others", p.otherProcesses, "they_hold", p.othersDescriptors)
 		limitMemory(p.cfg, 1+p.otherProcesses)
@@ -137,7 +137,7 @@
 
 // state is what this process tells the others.
 func (p *pooler) state() *handover.State {
-	held := uncountedDescriptors + p.platform.Sessions() + p.backend.Conns() + p.heldBeside()
+	held := uncountedDescriptors + p.platform.Sessions() + p.backend.Conns() + p.frontendDescriptors()
 	if p.admin != nil {
 		held += p.admin.Connections()
 	}
@@ -216,8 +216,8 @@
 
 // applyStates takes what others tell. A list is news by its generation, also where its process took too long to write it to count as one that runs.
 func (p *pooler) applyStates(others []*handover.State) {
-	p.count(others)
-	p.share()
+	p.countProcesses(others)
+	p.updateProcesses()
 	if p.sources != nil {
 		return
 	}
--- a/cmd/beechgrade/upgrade_sessions.go
+++ b/cmd/beechgrade/upgrade_sessions.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	upgradeDir     = "beside"               // the second place's folder, in the first
-	lookEvery      = 100 * time.Millisecond // between looks at whether another process has the other place
-	trustMs        = 300                    // after a look began that found none, sessions' reads go by what is known here
-	slowTakeoverMs = 250                    // in which the other place is held
-	settleMs       = 500                    // after the start, until a write is answered: by then the other process has looked, or trusts itself no more
+	upgradeDir         = "beside"               // the second place's folder, in the first
+	otherPlaceInterval = 100 * time.Millisecond // between looks at whether another process has the other place
+	trustMs            = 300                    // after a look began that found none, sessions' reads go by what is known here
+	slowTakeoverMs     = 250                    // in which the other place is held
+	settleMs           = 500                    // after the start, until a write is answered: by then the other process has looked, or trusts itself no more
 )
 
 // upgradeSessions is the place of the other process on this socket, where an upgrade has two. While that one lives, either may serve a
 // session's writes, and both hold sessions' reads to the present; once it has ended, its commits are taken from there.
 type upgradeSessions struct {
-	pooler *pooler
-	opt    store.Options
-	owns   bool // the first place is this process's own: the other need not be there
-	locked bool // at the start
-	asked  bool // ...and its commits have not been taken since; the goroutine's
+	pooler       *pooler
+	opt          store.Options
+	owns         bool // the first place is this process's own: the other need not be there
+	locked       bool // at the start
+	mergePending bool // ...and its commits have not been taken since; the goroutine's
 
 	trusted float64 // until then nobody else serves sessions' writes
 	settle  float64 // no write is answered before
@@ -49,13 +49,13 @@
 	}
 	s, rec, err := store.Open(b.opt)
 	if errors.Is(err, store.ErrLocked) {
-		b.locked, b.asked = true, true
+		b.locked, b.mergePending = true, true
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	b.pooler.recover("sessions", rec)
+	b.pooler.noteRecovery("sessions", rec)
 	told := make(chan error, 1)
 	b.pooler.commits.Merge(sessiontoken.Read(s, clock.ToDuration(b.pooler.loop.Now()), b.pooler.log), func(err error) { told <- err })
 	if err = <-told; err == nil {
@@ -100,15 +100,15 @@
 	for {
 		last := began
 		if began = b.pooler.loop.Now(); began-last > trustMs { // one may have come and gone meanwhile
-			b.asked = true
+			b.mergePending = true
 		}
-		err := b.look()
+		err := b.checkOtherPlace()
 		switch {
 		case err == nil:
 			until := began + trustMs
 			b.pooler.loop.Post(func() { b.trusted = max(b.trusted, until) })
 		case errors.Is(err, store.ErrLocked):
-			b.asked = true
+			b.mergePending = true
 		case err.Error() != said: // reads stay held to the present
 			said = err.Error()
 			b.pooler.log.Error("sessions: what the other process had is not known", "err", err)
@@ -116,14 +116,14 @@
 		select {
 		case <-b.quit:
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(otherPlaceInterval):
 		}
 	}
 }
 
-// look takes over what a process that has ended had; nil means that there is none, and that nothing of it is missing here.
-func (b *upgradeSessions) look() error {
-	if !b.asked {
+// checkOtherPlace takes over what a process that has ended had; nil means that there is none, and that nothing of it is missing here.
+func (b *upgradeSessions) checkOtherPlace() error {
+	if !b.mergePending {
 		unlock, err := b.opt.FS.Lock()
 		if err != nil {
 			return err
@@ -154,7 +154,7 @@
 	}
 	erased := b.pooler.loop.Now()
 	if err = errors.Join(err, s.Close()); err == nil {
-		b.asked = false
+		b.mergePending = false
 	}
 	if ended := b.pooler.loop.Now(); ended-began > slowTakeoverMs { // a process that starts meanwhile finds no free place
 		b.pooler.log.Warn("sessions: taking over was slow", "open_ms", opened-began, "merge_ms", merged-opened, "erase_ms", erased-merged, "close_ms", ended-erased)
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -17,9 +17,9 @@
 	"beechgrade/internal/storage/store"
 )
 
-// TestBeside: while there are two processes on a socket both doubt what they know of sessions, the next answers no write before the other knows
+// TestTwoProcessesServeSessions: while there are two processes on a socket both doubt what they know of sessions, the next answers no write before the other knows
 // of it, and a third is refused; once the one has ended, the other knows its sessions, keeps them, and doubts no more.
-func TestBeside(t *testing.T) {
+func TestTwoProcessesServeSessions(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []sessiontoken.Mode{sessiontoken.BeforeAnswer, sessiontoken.Alongside} {
 		t.Run(mode.String(), func(t *testing.T) {
--- a/cmd/beechgrade/waits_test.go
+++ b/cmd/beechgrade/waits_test.go
@@ -15,9 +15,9 @@
 	return pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('k', 'v') RETURNING content /* id=%s,k=%s,c=write,d=%d,cluster=0 */", id, key, wait))
 }
 
-// TestWaitsInVain: the time of a write runs out while its attempt waits for a connection that does not come up. What its client is told hangs on
+// TestAttemptsThatWaitInVainEnd: the time of a write runs out while its attempt waits for a connection that does not come up. What its client is told hangs on
 // what has gone out before: with nothing, or only what did not run, trying again is harmless; else nothing is promised.
-func TestWaitsInVain(t *testing.T) {
+func TestAttemptsThatWaitInVainEnd(t *testing.T) {
 	keys := func(c *config.Config) {
 		w := &c.Settings.Classes[1]
 		w.Idempotency, w.KeyScope, w.KeyWindow = decide.IdempotentWithKey, decide.ScopeGroup, patience
--- a/cmd/beechgrade/zones_test.go
+++ b/cmd/beechgrade/zones_test.go
@@ -10,9 +10,9 @@
 	"beechgrade/internal/storage/store"
 )
 
-// TestZonesKeep: a plan's number that the disk does not take at first is kept once it does, and only then the plan is followed; an older one that
+// TestPlanNumberIsSavedBeforeThePlanIsFollowed: a plan's number that the disk does not take at first is kept once it does, and only then the plan is followed; an older one that
 // comes behind does not take its place, nor that of a newer one of another process.
-func TestZonesKeep(t *testing.T) {
+func TestPlanNumberIsSavedBeforeThePlanIsFollowed(t *testing.T) {
 	t.Parallel()
 	var p *pooler
 	_, _, stop, ended := operated(t, "", func(at *pooler) { p = at })
