--- a/internal/endpoints/consul/mapping.go
+++ b/internal/endpoints/consul/mapping.go
@@ -11,86 +11,120 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-// FieldSource says where a field of a server comes from.
-type FieldSource struct {
-	Kind string // meta, node-meta, tag (what follows Key in a tag), const, weights, service, datacenter, node, id or none
-	Key  string
+// FieldKind is a kind of place in an instance, as settings name it.
+type FieldKind string
+
+// The kinds of places.
+const (
+	FieldMeta       FieldKind = "meta"
+	FieldNodeMeta   FieldKind = "node-meta"
+	FieldTag        FieldKind = "tag" // what follows the key in a tag
+	FieldConst      FieldKind = "const"
+	FieldWeights    FieldKind = "weights"
+	FieldService    FieldKind = "service"
+	FieldDatacenter FieldKind = "datacenter"
+	FieldNode       FieldKind = "node"
+	FieldID         FieldKind = "id"
+	FieldNone       FieldKind = "none"
+)
+
+// FieldKinds are all kinds of places.
+var FieldKinds = []FieldKind{
+	FieldMeta, FieldNodeMeta, FieldTag, FieldConst, FieldWeights, FieldService, FieldDatacenter, FieldNode, FieldID, FieldNone,
 }
 
-// FieldSourceKinds of places a field may come from.
-var FieldSourceKinds = []string{"meta", "node-meta", "tag", "const", "weights", "service", "datacenter", "node", "id", "none"}
+// FieldSource says where in an instance a field of a server comes from.
+type FieldSource struct {
+	Kind FieldKind
+	Key  string // for meta, node-meta and tag; the value itself for const
+}
 
 // Mapping says how an instance becomes a server.
 type Mapping struct {
 	ID, Group, Zone, Kind, Weight, Started, Role FieldSource
-	PrimaryWords, ReplicaWords                   []string          // words for the roles; for a tag's, the tags themselves
-	GroupNumbers                                 map[string]string // names of groups and their numbers
+	PrimaryWords, ReplicaWords                   []string          // values of Role; for a tag without a key, the tags themselves
+	GroupNumbers                                 map[string]string // numbers of groups, by name
 }
 
-// DefaultMapping has the group, role, zone, kind and start in the service's meta.
+// DefaultMapping has the group, role, kind and start in the service's meta.
 func DefaultMapping() Mapping {
-	return Mapping{ID: FieldSource{Kind: "id"}, Group: FieldSource{"meta", "group"}, Zone: FieldSource{Kind: "datacenter"}, Kind: FieldSource{"meta", "kind"}, Weight: FieldSource{Kind: "weights"},
-		Started: FieldSource{"meta", "started"}, Role: FieldSource{"meta", "role"}, PrimaryWords: []string{"primary", "master", "leader"}, ReplicaWords: []string{"replica", "standby", "secondary", "slave"}}
+	return Mapping{
+		ID:           FieldSource{Kind: FieldID},
+		Group:        FieldSource{FieldMeta, "group"},
+		Zone:         FieldSource{Kind: FieldDatacenter},
+		Kind:         FieldSource{FieldMeta, "kind"},
+		Weight:       FieldSource{Kind: FieldWeights},
+		Started:      FieldSource{FieldMeta, "started"},
+		Role:         FieldSource{FieldMeta, "role"},
+		PrimaryWords: []string{"primary", "master", "leader"},
+		ReplicaWords: []string{"replica", "standby", "secondary", "slave"},
+	}
 }
 
 // Errors of instances that cannot be used.
 var (
 	ErrNoAddress = errors.New("it has no address or port")
 	ErrNoGroup   = errors.New("its group cannot be told")
+
+	errNoID = errors.New("it has no id")
+)
+
+// Bounds of the values in an instance.
+const (
+	maxPort         = 65535
+	maxGroup        = 1 << 30
+	maxWeight       = 1e6
+	maxStartMs      = 1e14
+	minStartMs      = 1e11 // a smaller number is in seconds
+	maxQuotedLength = 40   // of a value in an error
 )
 
 // value is a field's text, and whether there is one.
 func (f FieldSource) value(instance *Instance) (string, bool) {
 	var text string
 	switch f.Kind {
-	case "meta":
+	case FieldMeta:
 		text = instance.Meta[f.Key]
-	case "node-meta":
+	case FieldNodeMeta:
 		text = instance.NodeMeta[f.Key]
-	case "tag":
+	case FieldTag:
 		for _, tag := range instance.Tags {
 			if suffix, ok := strings.CutPrefix(tag, f.Key); ok {
 				return suffix, true
 			}
 		}
-	case "const":
+	case FieldConst:
 		return f.Key, true
-	case "service":
+	case FieldService:
 		text = instance.Service
-	case "datacenter":
+	case FieldDatacenter:
 		text = instance.Datacenter
-	case "node":
+	case FieldNode:
 		text = instance.Node
-	case "id":
+	case FieldID:
 		text = instance.ID
 	}
 	return text, text != ""
 }
 
-// Observation is what an instance says of a server.
+// Observation is the server that an instance stands for. An error says why it cannot be used.
 func (m *Mapping) Observation(instance *Instance) (reconcile.Observation, error) {
 	observation := reconcile.Observation{Health: instance.Health, Weight: 1}
 	host := instance.Address
 	if host == "" {
 		host = instance.NodeAddress
 	}
-	if host == "" || instance.Port <= 0 || instance.Port > 65535 {
+	if host == "" || instance.Port <= 0 || instance.Port > maxPort {
 		return observation, ErrNoAddress
 	}
-	if observation.ID, _ = m.ID.value(instance); observation.ID == "" || len(observation.ID) > maxFieldBytes {
-		return observation, errors.New("it has no id")
+	observation.ID, _ = m.ID.value(instance)
+	if observation.ID == "" || len(observation.ID) > maxFieldBytes {
+		return observation, errNoID
 	}
 	observation.Address = net.JoinHostPort(host, strconv.Itoa(instance.Port))
-	text, ok := m.Group.value(instance)
-	if !ok {
-		return observation, ErrNoGroup
-	}
-	if number, ok := m.GroupNumbers[text]; ok {
-		text = number
-	}
 	var err error
-	if observation.Group, err = strconv.Atoi(text); err != nil || observation.Group < 0 || observation.Group > 1<<30 {
-		return observation, fmt.Errorf("%w: %q is no number and has none", ErrNoGroup, text[:min(len(text), 40)])
+	if observation.Group, err = m.group(instance); err != nil {
+		return observation, err
 	}
 	observation.Zone, _ = m.Zone.value(instance)
 	observation.Kind, _ = m.Kind.value(instance)
@@ -102,15 +136,30 @@
 	return observation, nil
 }
 
+func (m *Mapping) group(instance *Instance) (int, error) {
+	text, ok := m.Group.value(instance)
+	if !ok {
+		return 0, ErrNoGroup
+	}
+	if number, ok := m.GroupNumbers[text]; ok {
+		text = number
+	}
+	group, err := strconv.Atoi(text)
+	if err != nil || group < 0 || group > maxGroup {
+		return 0, fmt.Errorf("%w: %q is no number and has none", ErrNoGroup, text[:min(len(text), maxQuotedLength)])
+	}
+	return group, nil
+}
+
 func (m *Mapping) weight(instance *Instance) float64 {
-	if m.Weight.Kind == "weights" {
+	if m.Weight.Kind == FieldWeights {
 		if instance.Health == reconcile.Warning && instance.Weights.Warning > 0 {
 			return float64(instance.Weights.Warning)
 		}
 		return float64(max(1, instance.Weights.Passing))
 	}
 	if text, ok := m.Weight.value(instance); ok {
-		if weight, err := strconv.ParseFloat(text, 64); err == nil && weight > 0 && weight <= 1e6 {
+		if weight, err := strconv.ParseFloat(text, 64); err == nil && weight > 0 && weight <= maxWeight {
 			return weight
 		}
 	}
@@ -118,7 +167,7 @@
 }
 
 func (m *Mapping) role(instance *Instance) reconcile.Role {
-	if m.Role.Kind == "tag" && m.Role.Key == "" { // a tag by itself is the role
+	if m.Role.Kind == FieldTag && m.Role.Key == "" { // a tag by itself is the role
 		for _, tag := range instance.Tags {
 			if role := m.roleNamed(tag); role != reconcile.RoleUnknown {
 				return role
@@ -144,17 +193,17 @@
 	return reconcile.RoleUnknown
 }
 
-// parseStart reads a time in Unix seconds, milliseconds, or as RFC 3339 has it; 0 where it cannot be read.
+// parseStart reads a time in Unix seconds, in Unix milliseconds or in RFC 3339, as Unix milliseconds; 0 where it is none of these.
 func parseStart(text string) float64 {
-	if t, err := time.Parse(time.RFC3339, text); err == nil {
-		return float64(t.UnixMilli())
+	if start, err := time.Parse(time.RFC3339, text); err == nil {
+		return float64(start.UnixMilli())
 	}
-	x, err := strconv.ParseFloat(text, 64)
+	number, err := strconv.ParseFloat(text, 64)
 	switch {
-	case err != nil || !(x > 0) || x > 1e14:
+	case err != nil || !(number > 0) || number > maxStartMs:
 		return 0
-	case x < 1e11:
-		return x * 1000
+	case number < minStartMs:
+		return number * msPerSecond
 	}
-	return x
+	return number
 }
--- a/internal/endpoints/consul/parse.go
+++ b/internal/endpoints/consul/parse.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-// Instance is a service's instance, as the health and the catalogue API tell of it.
+// Instance is an instance of a service, as the health or the catalogue API has it.
 type Instance struct {
 	Node, NodeAddress, Datacenter string
 	NodeMeta                      map[string]string
@@ -24,16 +24,23 @@
 	FailingChecks                 string // ids of the checks that are not passing
 }
 
-// Weights are a service's for DNS.
-type Weights struct{ Passing, Warning int }
+// Weights are the DNS weights of a service.
+type Weights struct {
+	Passing int `json:"Passing"`
+	Warning int `json:"Warning"`
+}
 
-// Bounds on what an agent says.
+// Bounds of a response.
 const (
-	maxInstances  = 20000
-	maxFieldBytes = 1 << 16
+	maxInstances         = 20000
+	maxFieldBytes        = 1 << 16
+	parseBufferBytes     = 1 << 15
+	maxFailingCheckBytes = 200 // of all ids together, but for the last one
+	maxCheckIDBytes      = 60
+	maxErrorBytes        = 120
 )
 
-// Errors of what an agent says.
+// Errors of a response that cannot be read.
 var (
 	ErrTooLong   = errors.New("the answer is too long")
 	ErrTooMany   = errors.New("too many instances in the answer")
@@ -43,43 +50,56 @@
 // healthEntry is an entry of /v1/health/service.
 type healthEntry struct {
 	Node struct {
-		Node, Address, Datacenter string
-		Meta                      map[string]string
-	}
+		Node       string            `json:"Node"`
+		Address    string            `json:"Address"`
+		Datacenter string            `json:"Datacenter"`
+		Meta       map[string]string `json:"Meta"`
+	} `json:"Node"`
 	Service struct {
-		ID, Service, Address string
-		Port                 int
-		Tags                 []string
-		Meta                 map[string]string
-		Weights              Weights
-	}
-	Checks []struct{ CheckID, Status string }
+		ID      string            `json:"ID"`
+		Service string            `json:"Service"`
+		Address string            `json:"Address"`
+		Port    int               `json:"Port"`
+		Tags    []string          `json:"Tags"`
+		Meta    map[string]string `json:"Meta"`
+		Weights Weights           `json:"Weights"`
+	} `json:"Service"`
+	Checks []struct {
+		CheckID string `json:"CheckID"`
+		Status  string `json:"Status"`
+	} `json:"Checks"`
 }
 
 // catalogEntry is an entry of /v1/catalog/service.
 type catalogEntry struct {
-	Node, Address, Datacenter           string
-	NodeMeta                            map[string]string
-	ServiceID, ServiceName              string
-	ServiceAddress                      string
-	ServicePort                         int
-	ServiceTags                         []string
-	ServiceMeta                         map[string]string
-	ServiceWeights                      Weights
-	CreateIndex, ModifyIndex, LockIndex uint64
+	Node           string            `json:"Node"`
+	Address        string            `json:"Address"`
+	Datacenter     string            `json:"Datacenter"`
+	NodeMeta       map[string]string `json:"NodeMeta"`
+	ServiceID      string            `json:"ServiceID"`
+	ServiceName    string            `json:"ServiceName"`
+	ServiceAddress string            `json:"ServiceAddress"`
+	ServicePort    int               `json:"ServicePort"`
+	ServiceTags    []string          `json:"ServiceTags"`
+	ServiceMeta    map[string]string `json:"ServiceMeta"`
+	ServiceWeights Weights           `json:"ServiceWeights"`
+	CreateIndex    uint64            `json:"CreateIndex"`
+	ModifyIndex    uint64            `json:"ModifyIndex"`
+	LockIndex      uint64            `json:"LockIndex"`
 }
 
-// Maintenance's checks, as agents name them.
+// Ids of the checks that agents register for maintenance.
 const (
-	nodeMaintenance    = "_node_maintenance"
-	serviceMaintenance = "_service_maintenance:"
+	nodeMaintenance          = "_node_maintenance"
+	serviceMaintenancePrefix = "_service_maintenance:"
 )
 
 var jsonAPI = jsoniter.Config{EscapeHTML: false}.Froze()
 
-// Parse reads an answer, whole or not at all. A null is an empty list, as agents say it.
+// Parse reads a response of the health API, or else of the catalogue API, completely or not at all. A null is an empty list, as
+// agents write it. Errors wrap ErrTooMany or ErrMalformed, or are ErrTooLong.
 func Parse(reader io.Reader, health bool) ([]Instance, error) {
-	iterator := jsoniter.Parse(jsonAPI, reader, 1<<15)
+	iterator := jsoniter.Parse(jsonAPI, reader, parseBufferBytes)
 	var instances []Instance
 	if iterator.WhatIsNext() == jsoniter.NilValue {
 		iterator.ReadNil()
@@ -88,12 +108,7 @@
 			if len(instances) == maxInstances {
 				return nil, fmt.Errorf("%w: over %d", ErrTooMany, maxInstances)
 			}
-			var instance Instance
-			if health {
-				instance = readHealth(iterator)
-			} else {
-				instance = readCatalog(iterator)
-			}
+			instance := readInstance(iterator, health)
 			if iterator.Error != nil {
 				break
 			}
@@ -105,54 +120,91 @@
 			return nil, ErrTooLong
 		}
 		text := iterator.Error.Error()
-		return nil, fmt.Errorf("%w: %s", ErrMalformed, text[:min(len(text), 120)])
+		return nil, fmt.Errorf("%w: %s", ErrMalformed, text[:min(len(text), maxErrorBytes)])
 	}
-	if next := iterator.WhatIsNext(); next != jsoniter.InvalidValue || iterator.Error != nil && !errors.Is(iterator.Error, io.EOF) {
+	next := iterator.WhatIsNext()
+	failed := iterator.Error != nil && !errors.Is(iterator.Error, io.EOF)
+	if next != jsoniter.InvalidValue || failed {
 		return nil, fmt.Errorf("%w: something follows the list", ErrMalformed)
 	}
 	return instances, nil
 }
 
+func readInstance(iterator *jsoniter.Iterator, health bool) Instance {
+	if health {
+		return readHealth(iterator)
+	}
+	return readCatalog(iterator)
+}
+
 func readHealth(iterator *jsoniter.Iterator) Instance {
 	var entry healthEntry
 	iterator.ReadVal(&entry)
-	instance := Instance{Node: entry.Node.Node, NodeAddress: entry.Node.Address, Datacenter: entry.Node.Datacenter, NodeMeta: entry.Node.Meta, ID: entry.Service.ID, Service: entry.Service.Service,
-		Address: entry.Service.Address, Port: entry.Service.Port, Tags: entry.Service.Tags, Meta: entry.Service.Meta, Weights: entry.Service.Weights}
+	instance := Instance{
+		Node:        entry.Node.Node,
+		NodeAddress: entry.Node.Address,
+		Datacenter:  entry.Node.Datacenter,
+		NodeMeta:    entry.Node.Meta,
+		ID:          entry.Service.ID,
+		Service:     entry.Service.Service,
+		Address:     entry.Service.Address,
+		Port:        entry.Service.Port,
+		Tags:        entry.Service.Tags,
+		Meta:        entry.Service.Meta,
+		Weights:     entry.Service.Weights,
+	}
 	for _, check := range entry.Checks {
-		health := reconcile.Passing
-		switch check.Status {
-		case "passing":
+		health := checkHealth(check.CheckID, check.Status)
+		if health == reconcile.Passing {
 			continue
-		case "warning":
-			health = reconcile.Warning
-		default: // also what is not known: not passing, in any case
-			health = reconcile.Critical
-			if check.CheckID == nodeMaintenance || strings.HasPrefix(check.CheckID, serviceMaintenance) {
-				health = reconcile.Maintenance
-			}
 		}
 		instance.Health = max(instance.Health, health)
-		if len(instance.FailingChecks) < 200 {
-			instance.FailingChecks += " " + check.CheckID[:min(len(check.CheckID), 60)]
+		if len(instance.FailingChecks) < maxFailingCheckBytes {
+			instance.FailingChecks += " " + check.CheckID[:min(len(check.CheckID), maxCheckIDBytes)]
 		}
 	}
 	return instance
 }
 
+// checkHealth is the health that a check stands for. A status that is not known here counts as critical.
+func checkHealth(id, status string) reconcile.Health {
+	switch status {
+	case "passing":
+		return reconcile.Passing
+	case "warning":
+		return reconcile.Warning
+	}
+	if id == nodeMaintenance || strings.HasPrefix(id, serviceMaintenancePrefix) {
+		return reconcile.Maintenance
+	}
+	return reconcile.Critical
+}
+
 func readCatalog(iterator *jsoniter.Iterator) Instance {
 	var entry catalogEntry
 	iterator.ReadVal(&entry)
-	return Instance{Node: entry.Node, NodeAddress: entry.Address, Datacenter: entry.Datacenter, NodeMeta: entry.NodeMeta, ID: entry.ServiceID, Service: entry.ServiceName, Address: entry.ServiceAddress,
-		Port: entry.ServicePort, Tags: entry.ServiceTags, Meta: entry.ServiceMeta, Weights: entry.ServiceWeights}
+	return Instance{
+		Node:        entry.Node,
+		NodeAddress: entry.Address,
+		Datacenter:  entry.Datacenter,
+		NodeMeta:    entry.NodeMeta,
+		ID:          entry.ServiceID,
+		Service:     entry.ServiceName,
+		Address:     entry.ServiceAddress,
+		Port:        entry.ServicePort,
+		Tags:        entry.ServiceTags,
+		Meta:        entry.ServiceMeta,
+		Weights:     entry.ServiceWeights,
+	}
 }
 
-// limitedReader ends with ErrTooLong where more than so many bytes come.
+// limitedReader fails with ErrTooLong after a number of bytes.
 type limitedReader struct {
 	reader    io.Reader
 	remaining int64
 }
 
-// Read is io.Reader's.
+// Read reads up to len(b) bytes, within what remains.
 func (l *limitedReader) Read(b []byte) (int, error) {
 	if l.remaining <= 0 {
 		return 0, ErrTooLong
--- /dev/null
+++ b/internal/endpoints/consul/watcher.go
@@ -0,0 +1,157 @@
+package consul
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"slices"
+	"time"
+
+	"beechgrade/internal/endpoints/reconcile"
+)
+
+// repeatedNoteMs is the least time between two notes of the same reason.
+const repeatedNoteMs = 10000
+
+// watcher watches one service on a goroutine of its own.
+type watcher struct {
+	source           *Source
+	service          string
+	plan             *Watch
+	retrySignal      chan struct{}
+	lastObservations map[string]reconcile.Observation
+	lastUnusable     string // the last note on instances that cannot be used
+	lastReason       string // of the last other note
+	lastReasonAt     float64
+}
+
+// run queries until ctx ends.
+func (w *watcher) run(ctx context.Context) {
+	for {
+		now := w.source.now()
+		query, queryAt := w.plan.Next(now)
+		if wait := queryAt - now; wait > 0 {
+			retry, ok := w.sleep(ctx, wait)
+			if !ok {
+				return
+			}
+			if retry {
+				w.plan.ResetBackoff()
+				continue
+			}
+		}
+		instances, response := w.query(ctx, query)
+		if ctx.Err() != nil {
+			return
+		}
+		result := w.plan.HandleResponse(w.source.now(), query, response)
+		w.note(query, result)
+		if result.Accepted {
+			w.reportChanges(instances, result.AgeMs)
+		}
+	}
+}
+
+// sleep waits, and reports whether to retry at once instead. It is not ok once ctx has ended.
+func (w *watcher) sleep(ctx context.Context, waitMs float64) (retry, ok bool) {
+	timer := time.NewTimer(milliseconds(waitMs))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return false, true
+	case <-w.retrySignal:
+		return true, true
+	case <-ctx.Done():
+		return false, false
+	}
+}
+
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+// note passes on why a response was not accepted, and that no agent answers any more.
+func (w *watcher) note(query Query, result Result) {
+	s := w.source
+	name, agent := s.options.Name, s.options.Agents[query.Agent]
+	now := s.now()
+	repeated := result.Reason == w.lastReason && now-w.lastReasonAt <= repeatedNoteMs
+	if result.Reason != "" && !repeated {
+		w.lastReason, w.lastReasonAt = result.Reason, now
+		s.log.Info("consul", "service", w.service, "agent", agent, "reason", result.Reason)
+		s.post(func() { s.sink.Note(name, reconcile.Rejected, w.service+" at "+agent+": "+result.Reason) })
+	}
+	if !w.plan.BecameUnreachable() {
+		return
+	}
+	if s.setUnreachable(w.service) {
+		s.post(func() { s.sink.SourceLost(name, result.Reason) })
+	} else {
+		s.post(func() { s.sink.Note(name, reconcile.SourceLost, "of "+w.service+": "+result.Reason) })
+	}
+}
+
+// reportChanges compares a response with the last one, and reports the changes.
+func (w *watcher) reportChanges(instances []Instance, ageMs float64) {
+	s := w.source
+	report := &reconcile.Report{AgeMs: ageMs, MoreToCome: s.setReported(w.service)}
+	current := w.observations(instances, report)
+	for id, observation := range current {
+		if previous, ok := w.lastObservations[id]; !ok || previous != observation {
+			report.Observations = append(report.Observations, observation)
+		}
+	}
+	slices.SortFunc(report.Observations, func(a, b reconcile.Observation) int {
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(b.Started, a.Started))
+	})
+	for id := range w.lastObservations {
+		if _, ok := current[id]; !ok {
+			report.Removed = append(report.Removed, id)
+		}
+	}
+	slices.Sort(report.Removed)
+	w.lastObservations = current
+	s.post(func() { s.sink.Observe(s.options.Name, report) })
+}
+
+// observations maps instances to servers, by id. Where several have one id, the one that started last counts, or else the one
+// that counted before; the others go into the report as well, so that the conflict is seen.
+func (w *watcher) observations(instances []Instance, report *reconcile.Report) map[string]reconcile.Observation {
+	current := make(map[string]reconcile.Observation, len(instances))
+	unusable, example := 0, ""
+	for i := range instances {
+		instance := &instances[i]
+		observation, err := w.source.options.Mapping.Observation(instance)
+		if err != nil {
+			unusable++
+			example = fmt.Sprintf("%s: %v", cmp.Or(instance.ID, instance.Node), err)
+			continue
+		}
+		if other, ok := current[observation.ID]; ok && w.precedes(other, observation) {
+			report.Observations = append(report.Observations, observation)
+			continue
+		}
+		current[observation.ID] = observation
+	}
+	if unusable > 0 {
+		w.noteUnusable(fmt.Sprintf("%s: %d of %d instances cannot be used, such as %s", w.service, unusable, len(instances), example))
+	}
+	return current
+}
+
+// precedes reports whether an observation counts rather than a later one in the response with the same id.
+func (w *watcher) precedes(observation, later reconcile.Observation) bool {
+	if observation.Started != later.Started {
+		return observation.Started > later.Started
+	}
+	return w.lastObservations[later.ID].Address == observation.Address
+}
+
+// noteUnusable passes on that instances cannot be used, unless that was the last such note.
+func (w *watcher) noteUnusable(reason string) {
+	if reason == w.lastUnusable {
+		return
+	}
+	w.lastUnusable = reason
+	s := w.source
+	s.log.Warn("consul", "reason", reason)
+	s.post(func() { s.sink.Note(s.options.Name, reconcile.Rejected, reason) })
+}
--- /dev/null
+++ b/internal/endpoints/discovery/response.go
@@ -0,0 +1,265 @@
+package discovery
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Bounds of a response, in bytes.
+const (
+	maxHeadBytes      = 16 << 10
+	maxChunkHeadBytes = 1024
+	maxListBytes      = 8 << 20
+	maxRetainedBytes  = 1 << 16 // of the buffer of one list, for the next one
+)
+
+const crlf = "\r\n"
+
+var (
+	errTooLong   = errors.New("too long")
+	errMalformed = errors.New("not one JSON object after another")
+)
+
+// response parses an HTTP/1.1 response as it comes in: a head, then a body that is chunked, of a stated length, or that runs to the
+// end of the connection. The body is a sequence of JSON objects, which may be indented.
+type response struct {
+	buffer    []byte // read and not yet consumed
+	status    int
+	inBody    bool
+	chunked   bool
+	inChunk   bool
+	remaining int // bytes of this chunk or body, -1 for up to the end of the connection
+	ended     bool
+
+	object    []byte // the object that is coming in
+	depth     int    // open brackets in it
+	inString  bool
+	escaped   bool // the next byte stands for itself
+	lineBlank bool // nothing since the last line break: inside an object, this is where it broke off
+
+	progressSteps int // the head, and the beginnings and ends of objects
+	lineBreaks    int // between objects
+}
+
+// feed takes bytes that were read, and calls onObject for each object that is complete. The object is valid during the call.
+func (r *response) feed(b []byte, onObject func(object []byte) error) error {
+	r.buffer = append(r.buffer, b...)
+	if !r.inBody {
+		end := bytes.Index(r.buffer, []byte(crlf+crlf))
+		if end < 0 {
+			if len(r.buffer) > maxHeadBytes {
+				return fmt.Errorf("head: %w", errTooLong)
+			}
+			return nil
+		}
+		if err := r.parseHead(string(r.buffer[:end])); err != nil {
+			return err
+		}
+		r.buffer = r.buffer[end+len(crlf+crlf):]
+		r.inBody = true
+		r.progressSteps++
+	}
+	for !r.ended {
+		n, err := r.consume(onObject)
+		if err != nil {
+			return err
+		}
+		if n == 0 {
+			break
+		}
+		r.buffer = r.buffer[n:]
+	}
+	if len(r.buffer) == 0 {
+		r.buffer = nil
+	}
+	return nil
+}
+
+func (r *response) parseHead(head string) error {
+	lines := strings.Split(head, crlf)
+	fields := strings.SplitN(lines[0], " ", 3)
+	if len(fields) < 2 || !strings.HasPrefix(fields[0], "HTTP/1.") {
+		return fmt.Errorf("status line %q", lines[0])
+	}
+	var err error
+	if r.status, err = strconv.Atoi(fields[1]); err != nil {
+		return fmt.Errorf("status: %w", err)
+	}
+	r.remaining = -1
+	for _, line := range lines[1:] {
+		name, value, _ := strings.Cut(line, ":")
+		value = strings.TrimSpace(value)
+		switch strings.ToLower(name) {
+		case "transfer-encoding":
+			r.chunked = strings.EqualFold(value, "chunked")
+		case "content-length":
+			if r.remaining, err = strconv.Atoi(value); err != nil || r.remaining < 0 {
+				return fmt.Errorf("content length %q", value)
+			}
+		}
+	}
+	return nil
+}
+
+// consume takes one piece of the body off the buffer, and returns its length, 0 where more has to come first.
+func (r *response) consume(onObject func([]byte) error) (int, error) {
+	if r.chunked && !r.inChunk {
+		return r.consumeChunkHead()
+	}
+	if r.chunked && r.remaining == 0 { // the line break behind a chunk
+		if len(r.buffer) < len(crlf) {
+			return 0, nil
+		}
+		r.inChunk = false
+		return len(crlf), nil
+	}
+	n := len(r.buffer)
+	if r.remaining >= 0 {
+		n = min(n, r.remaining)
+		r.remaining -= n
+	}
+	err := r.scanBody(r.buffer[:n], onObject)
+	if err == nil && !r.chunked && r.remaining == 0 {
+		r.ended = true
+		err = r.finishBody()
+	}
+	return n, err
+}
+
+func (r *response) consumeChunkHead() (int, error) {
+	end := bytes.Index(r.buffer, []byte(crlf))
+	if end < 0 {
+		if len(r.buffer) > maxChunkHeadBytes {
+			return 0, fmt.Errorf("chunk head: %w", errTooLong)
+		}
+		return 0, nil
+	}
+	text, _, _ := strings.Cut(string(r.buffer[:end]), ";")
+	size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
+	if err != nil {
+		return 0, fmt.Errorf("chunk head: %w", err)
+	}
+	r.inChunk = true
+	r.remaining = int(size)
+	if size == 0 {
+		r.ended = true
+		err = r.finishBody()
+	}
+	return end + len(crlf), err
+}
+
+// scanBody scans a piece of the body for objects. Between objects there may be any white space, such as the empty lines of a watch. An
+// empty line within an object is an error, so that an object that broke off does not swallow the next one.
+func (r *response) scanBody(b []byte, onObject func([]byte) error) error {
+	start := 0 // of the current object in b
+	for i, c := range b {
+		if r.inString {
+			if isPlain(c) && !r.escaped {
+				continue
+			}
+			if err := r.scanString(c); err != nil {
+				return err
+			}
+			continue
+		}
+		if r.depth == 0 && isSpace(c) {
+			if c == '\n' {
+				r.lineBreaks++
+			}
+			start = i + 1
+			continue
+		}
+		complete, err := r.scanByte(c)
+		if err != nil {
+			return err
+		}
+		if !complete {
+			continue
+		}
+		r.object = append(r.object, b[start:i+1]...)
+		start = i + 1
+		r.progressSteps++
+		if err := onObject(r.takeObject()); err != nil {
+			return err
+		}
+	}
+	r.object = append(r.object, b[start:]...)
+	if len(r.object) > maxListBytes {
+		return fmt.Errorf("list: %w", errTooLong)
+	}
+	return nil
+}
+
+func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
+
+// isPlain reports whether a byte of a string stands for itself and does not end the string.
+func isPlain(c byte) bool { return c >= ' ' && c != '\\' && c != '"' }
+
+// scanString scans a byte of a string.
+func (r *response) scanString(c byte) error {
+	switch {
+	case c < ' ':
+		return fmt.Errorf("list: %w", errMalformed)
+	case r.escaped:
+		r.escaped = false
+	case c == '\\':
+		r.escaped = true
+	case c == '"':
+		r.inString = false
+	}
+	return nil
+}
+
+// scanByte scans a byte of an object outside its strings, and reports whether it completes the object.
+func (r *response) scanByte(c byte) (complete bool, err error) {
+	if r.depth == 0 && c != '{' {
+		return false, fmt.Errorf("list: %w", errMalformed)
+	}
+	if c == '\n' {
+		if r.lineBlank {
+			return false, fmt.Errorf("list: %w", errMalformed)
+		}
+		r.lineBlank = true
+		return false, nil
+	}
+	if isSpace(c) {
+		return false, nil
+	}
+	r.lineBlank = false
+	switch c {
+	case '"':
+		r.inString = true
+	case '{', '[':
+		if r.depth == 0 {
+			r.progressSteps++
+		}
+		r.depth++
+	case '}', ']':
+		r.depth--
+	}
+	return r.depth == 0, nil
+}
+
+// takeObject returns the object that is complete, and keeps its buffer for the next one unless it is large.
+func (r *response) takeObject() []byte {
+	object := r.object
+	r.object = r.object[:0]
+	if cap(object) > maxRetainedBytes {
+		r.object = nil
+	}
+	return object
+}
+
+// objectOpen reports whether an object has begun and is not complete.
+func (r *response) objectOpen() bool { return r.depth > 0 }
+
+// finishBody ends the body.
+func (r *response) finishBody() error {
+	if r.objectOpen() {
+		return fmt.Errorf("list: %w", errMalformed)
+	}
+	return nil
+}
--- a/internal/endpoints/reconcile/api.go
+++ b/internal/endpoints/reconcile/api.go
@@ -1,21 +1,21 @@
 package reconcile
 
-// Health is what a source says of a server's health.
+// Health is the health of a server as a source observes it.
 type Health uint8
 
-// The healths, as Consul tells them apart.
+// The healths, as Consul distinguishes them, from good to bad.
 const (
 	Passing Health = iota
 	Warning
 	Critical
-	Maintenance // of the service or its node: it drains
+	Maintenance // of the service or its node: the server drains
 )
 
 func (h Health) String() string {
 	return [...]string{"passing", "warning", "critical", "maintenance"}[h]
 }
 
-// Role is a server's role, as a source or the server itself has it.
+// Role is the role of a server in its group, as a source or the server itself reports it.
 type Role uint8
 
 // The roles.
@@ -27,7 +27,7 @@
 
 func (r Role) String() string { return [...]string{"unknown", "primary", "replica"}[r] }
 
-// Observation is what one source says of one server.
+// Observation is what one source reports of one server.
 type Observation struct {
 	ID      string
 	Address string
@@ -35,22 +35,22 @@
 	Zone    string
 	Kind    string
 	Weight  float64
-	Started float64 // when its process last started, 0 for long ago or unknown
+	Started float64 // when its process last started, in ms; 0 for long ago or unknown
 	Health  Health
 	Role    Role
 }
 
-// Report is news from a source: all that it has, or what changed since its last.
+// Report is one message of a source.
 type Report struct {
-	Full         bool
+	Full         bool // Observations are all that the source has; otherwise the changes since its last report
 	Observations []Observation
-	Removed      []string
-	Generation   int64   // 0 where the source has none
-	AgeMs        float64 // how old the source itself calls its news
-	MoreToCome   bool    // the source has not said all that it has yet
+	Removed      []string // ids of servers
+	Generation   int64    // 0 where the source has none
+	AgeMs        float64  // how old the source itself calls the report
+	MoreToCome   bool     // further reports follow until the source has reported all that it has
 }
 
-// State is a server's state in the list that is made.
+// State is the state of a server in the endpoint list. Its numbers are stored and recorded.
 type State uint8
 
 // The states.
@@ -62,7 +62,7 @@
 
 func (s State) String() string { return [...]string{"serving", "draining", "gone"}[s] }
 
-// Entry is a line of the list that is made.
+// Entry is one server of the endpoint list. Snapshots store it, hence the tags.
 type Entry struct {
 	ID      string  `json:"ID"`
 	Address string  `json:"Address"`
@@ -75,16 +75,16 @@
 	Primary bool    `json:"Primary"`
 }
 
-// SelfReport is what a server said of itself, in an answer or a probe's.
+// SelfReport is what a server reports of itself, in a response to a request or to a health check.
 type SelfReport struct {
 	Role     Role
-	Position float64 // 0 where it told none
+	Position float64 // of its data; 0 where it reports none
 }
 
-// DecisionKind says what a judgement is about.
+// DecisionKind says what a decision is about. Its texts are logged and recorded.
 type DecisionKind string
 
-// The judgements.
+// The kinds of decisions.
 const (
 	Added                DecisionKind = "added"
 	Drained              DecisionKind = "drained"
@@ -101,64 +101,80 @@
 	MultiplePrimaries    DecisionKind = "two primaries"
 	NoPrimary            DecisionKind = "no primary"
 	Rejected             DecisionKind = "not believed"
-	Regressed            DecisionKind = "went back"
+	Regressed            DecisionKind = "went back" // a generation or a start that is earlier than the one before
 	SourceLost           DecisionKind = "source lost"
 	SourceRecovered      DecisionKind = "source back"
-	Expired              DecisionKind = "expired"
 	Pinned               DecisionKind = "pinned"
 )
 
-// Decision is a decision with its reason.
+// Decision is a decision with its reason, for logs and records.
 type Decision struct {
-	At     float64
+	At     float64 // ms
 	Kind   DecisionKind
-	Server string // empty where it is of a source
+	Server string // id in the list; empty where the decision is about a source
 	Group  int
-	Source string // whose word it went by, or against; empty for none
+	Source string // whose report was followed or rejected; empty for none
 	Reason string
 }
 
-// CriticalPolicy says what a critical check means.
+// CriticalPolicy says what a critical health check means for a server.
 type CriticalPolicy uint8
 
-// The ways.
+// The policies.
 const (
-	CriticalUseIfResponding CriticalPolicy = iota // it is used if it has answered lately
-	CriticalDrain                                 // it is not used, unless most of its group is critical
-	CriticalIgnore
+	CriticalUseIfResponding CriticalPolicy = iota // the server is used as long as it responds
+	CriticalDrain                                 // the server drains, unless most of its group is critical
+	CriticalIgnore                                // the server is used
 )
 
-// Settings are the judge's. The zero value of a time or number switches its rule off.
+// Settings configure a Reconciler. Times are in milliseconds. A time or number of 0 switches its rule off.
 type Settings struct {
-	Sources             []string // by rank: where they contradict each other, the first that has a word on it wins
-	SourceRetentionMs   float64  // a source that is lost counts for so long, 0 for ever
-	StaleAgeMs          float64  // news that their source calls older than this lose to others'
-	MassRemovalFraction float64  // a source that drops this part of its servers within MassRemovalWindowMs...
-	MassRemovalMinimum  int      // ...and at least so many is not believed at first...
+	Sources           []string // by rank: where sources contradict each other, the first wins
+	SourceRetentionMs float64  // a source that is lost counts for so long; 0 for ever
+	StaleAgeMs        float64  // a report that its source calls older than this counts only where there is no other
+
+	// A source that removes MassRemovalFraction of its servers, and at least MassRemovalMinimum, within MassRemovalWindowMs
+	// has its removals held back for MassRemovalHoldMs; 0 holds them back until the operators accept them.
+	MassRemovalFraction float64
+	MassRemovalMinimum  int
 	MassRemovalWindowMs float64
-	MassRemovalHoldMs   float64 // ...but after so long; 0 for not without the operators' word
-	FlapThreshold       int     // a server that comes and goes so often within FlapWindowMs...
-	FlapWindowMs        float64
-	FlapHoldMs          float64 // ...is not used until it has kept still for so long
-	SelfReportTTLMs     float64 // a server's own word counts above all sources' for so long
-	Critical            CriticalPolicy
-
-	TrustSourceRoles bool // take sources' roles over servers' own words; what is right has it off
+	MassRemovalHoldMs   float64
+
+	// A server whose state changes FlapThreshold times within FlapWindowMs drains until it has been stable for FlapHoldMs.
+	FlapThreshold int
+	FlapWindowMs  float64
+	FlapHoldMs    float64
+
+	SelfReportTTLMs float64 // a self-report counts above all sources for so long
+	Critical        CriticalPolicy
+
+	TrustSourceRoles bool // sources' roles count above self-reports; for tests of the checks, off otherwise
 }
 
-// Defaults are what installations have where they say nothing.
+// Defaults returns the settings of an installation that sets nothing but its sources.
 func Defaults(sources ...string) Settings {
-	return Settings{Sources: sources, StaleAgeMs: 10000, MassRemovalFraction: 0.5, MassRemovalMinimum: 3, MassRemovalWindowMs: 30000, MassRemovalHoldMs: 600000, FlapThreshold: 6, FlapWindowMs: 60000, FlapHoldMs: 20000, SelfReportTTLMs: 30000}
+	return Settings{
+		Sources:             sources,
+		StaleAgeMs:          10000,
+		MassRemovalFraction: 0.5,
+		MassRemovalMinimum:  3,
+		MassRemovalWindowMs: 30000,
+		MassRemovalHoldMs:   600000,
+		FlapThreshold:       6,
+		FlapWindowMs:        60000,
+		FlapHoldMs:          20000,
+		SelfReportTTLMs:     30000,
+	}
 }
 
-// Pin is the operators' own word on a server.
+// Pin fixes the state of a server, whatever sources report.
 type Pin struct {
 	ID    string
-	State State // Serving: it is not dropped or drained by any source
+	State State
 }
 
-// Override is the operators' word, above all else.
+// Override holds the operators' instructions, which count above all sources.
 type Override struct {
-	AcceptHeldRemovals bool // that are held back now
+	AcceptHeldRemovals bool // accept the removals that are held back now
 	Pins               []Pin
 }
--- /dev/null
+++ b/internal/endpoints/reconcile/observe.go
@@ -0,0 +1,182 @@
+package reconcile
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Observe takes the report of a source. It reports whether the source must be asked for a full one, as these changes do not
+// follow its last report. Sources that the settings do not name are ignored.
+func (r *Reconciler) Observe(now float64, sourceName string, report *Report) (needsFull bool) {
+	r.now = max(now, r.now)
+	source := r.sourcesByName[sourceName]
+	if source == nil {
+		return false
+	}
+	r.recoverSource(source)
+	if !r.acceptGeneration(source, report) {
+		return true
+	}
+	if r.isStale(source) != r.isStaleAge(report.AgeMs) {
+		r.markSourceDirty(source)
+	}
+	source.generation, source.ageMs = report.Generation, report.AgeMs
+	seen := r.storeObservations(source, report.Observations)
+	removed := report.Removed
+	if report.Full && source.hasReported {
+		for id, observation := range source.observations {
+			if !seen[id] && !observation.removed {
+				removed = append(removed, id)
+			}
+		}
+		slices.Sort(removed)
+	}
+	source.hasReported = true
+	r.handleRemovals(source, removed, report.Full && len(seen) == 0)
+	r.reconcileDirty()
+	return false
+}
+
+// recoverSource ends the loss of a source that reports again.
+func (r *Reconciler) recoverSource(source *sourceState) {
+	if source.lostAt == 0 {
+		return
+	}
+	if !r.sourceCounts(source) {
+		r.forgetRemoved(source)
+	}
+	source.lostAt = 0
+	r.addDecision(SourceRecovered, nil, source.name, "it can be had again")
+	r.markSourceDirty(source)
+}
+
+// acceptGeneration reports whether a report is taken: changes of an earlier generation than the last are not.
+func (r *Reconciler) acceptGeneration(source *sourceState, report *Report) bool {
+	if report.Generation == 0 || report.Generation >= source.generation {
+		return true
+	}
+	if !report.Full {
+		r.addDecision(Regressed, nil, source.name, "changes of generation %d after %d are not taken", report.Generation, source.generation)
+		return false
+	}
+	r.addDecision(Regressed, nil, source.name, "generation %d after %d: it began anew", report.Generation, source.generation)
+	return true
+}
+
+// storeObservations stores what a source reports, and returns the ids in it.
+func (r *Reconciler) storeObservations(source *sourceState, observations []Observation) (seen map[string]bool) {
+	seen = map[string]bool{}
+	for i := range observations {
+		id := observations[i].ID
+		if id == "" || seen[id] {
+			continue
+		}
+		seen[id] = true
+		r.storeObservation(source, r.selectObservation(source, observations[i:]))
+	}
+	return seen
+}
+
+func (r *Reconciler) storeObservation(source *sourceState, observation *Observation) {
+	delete(source.heldRemovals, observation.ID)
+	previous := source.observations[observation.ID]
+	updated := &storedObservation{Observation: *observation}
+	if previous != nil {
+		r.keepLatestStart(source, previous, updated)
+		if !previous.removed && previous.Observation == updated.Observation {
+			previous.rejectedStart = updated.rejectedStart
+			return
+		}
+	}
+	source.observations[observation.ID] = updated
+	r.markDirty(observation.ID).observations[source.rank] = updated
+}
+
+// selectObservation returns the first observation or, where a source reports the same id at several addresses, the likeliest:
+// the one of the process that started last, or else the one at the address that is listed.
+func (r *Reconciler) selectObservation(source *sourceState, observations []Observation) *Observation {
+	first := &observations[0]
+	best := first
+	for i := 1; i < len(observations); i++ {
+		other := &observations[i]
+		if other.ID != first.ID || other.Address == best.Address {
+			continue
+		}
+		listedAddress := ""
+		if server := r.servers[first.ID]; server != nil {
+			listedAddress = server.entry.Address
+		}
+		if other.Started > best.Started || other.Started == best.Started && other.Address == listedAddress {
+			best = other
+		}
+		if server := r.markDirty(first.ID); server.lastConflict != first.Address+other.Address {
+			server.lastConflict = first.Address + other.Address
+			r.addDecision(ConflictingAddresses, server, source.name, "%s and %s; %s is taken", first.Address, other.Address, best.Address)
+		}
+	}
+	return best
+}
+
+// keepLatestStart keeps the later start where a source reports an earlier one: a process does not start again in the past.
+func (r *Reconciler) keepLatestStart(source *sourceState, previous, updated *storedObservation) {
+	updated.rejectedStart = previous.rejectedStart
+	if updated.Started >= previous.Started {
+		return
+	}
+	if updated.Started != previous.rejectedStart {
+		r.addDecision(Regressed, r.servers[updated.ID], source.name, "its start went from %.0f to %.0f; the later one stands",
+			previous.Started, updated.Started)
+	}
+	updated.rejectedStart = updated.Started
+	updated.Started = previous.Started
+}
+
+// Note adds a decision about a source that was made elsewhere, such as that its message could not be read.
+func (r *Reconciler) Note(now float64, sourceName string, kind DecisionKind, reason string) {
+	r.now = max(now, r.now)
+	r.addDecision(kind, nil, sourceName, "%s", reason)
+}
+
+// SourceLost takes that a source is unreachable. Its observations count for Settings.SourceRetentionMs more.
+func (r *Reconciler) SourceLost(now float64, sourceName, reason string) {
+	r.now = max(now, r.now)
+	source := r.sourcesByName[sourceName]
+	if source == nil || source.lostAt != 0 {
+		return
+	}
+	source.lostAt = max(r.now, 1)
+	retention := "until it is back"
+	if r.settings.SourceRetentionMs > 0 {
+		retention = fmt.Sprintf("for %.0f s", r.settings.SourceRetentionMs/msPerSecond)
+	}
+	r.addDecision(SourceLost, nil, sourceName, "%s; what it said last stands %s", reason, retention)
+}
+
+// ObserveServer takes the self-report of a server, by its id in the list.
+func (r *Reconciler) ObserveServer(now float64, id string, report SelfReport) {
+	r.now = max(now, r.now)
+	server := r.listedByID[id]
+	if server == nil {
+		return
+	}
+	stored := r.selfReports[server.entry.Address]
+	if stored == nil {
+		stored = &selfReportState{processStarted: server.entry.Started}
+		r.selfReports[server.entry.Address] = stored
+	}
+	stored.respondedAt = r.now
+	stored.position = max(stored.position, report.Position)
+	if report.Role != RoleUnknown {
+		expired := r.now-stored.roleReportedAt > r.settings.SelfReportTTLMs
+		if stored.role != report.Role || expired {
+			r.dirty[server.id] = server
+		}
+		stored.role, stored.roleReportedAt = report.Role, r.now
+	}
+	if server.sourceState == StateDraining && r.settings.Critical == CriticalUseIfResponding && !server.usedWhileCritical {
+		r.dirty[server.id] = server // its response may have it used
+	}
+	if len(r.dirty) > 0 {
+		r.reconcileDirty()
+	}
+}
--- a/internal/endpoints/reconcile/orders.go
+++ b/internal/endpoints/reconcile/override.go
@@ -2,34 +2,43 @@
 
 import "math"
 
-// RetireSource has all that a source said count no more: others have taken its place. What none of them knows is dropped as any
-// other removal is: an empty answer in place of a saved list takes nothing away at first.
+// RetireSource has the observations of a source count no more, as other sources have taken its place. Servers that none of
+// these knows are removed by the rules of all removals: an empty report in place of a snapshot removes nothing at first.
 func (r *Reconciler) RetireSource(now float64, sourceName string) {
 	r.now = max(now, r.now)
 	source := r.sourcesByName[sourceName]
 	if source == nil || len(source.observations) == 0 {
 		return
 	}
-	var alone, shared []string
+	var unknown, shared []string
 	for _, id := range sortedKeys(source.observations) {
-		known := false
-		for i, observation := range r.servers[id].observations {
-			known = known || i != source.rank && observation != nil && !observation.removed && r.sourceCounts(r.sources[i])
-		}
-		if known {
+		if r.knownToOthers(source, id) {
 			shared = append(shared, id)
 		} else {
-			alone = append(alone, id)
+			unknown = append(unknown, id)
 		}
 	}
-	r.handleRemovals(source, alone, len(shared) == 0)
+	r.handleRemovals(source, unknown, len(shared) == 0)
 	for _, id := range shared {
 		r.markRemoved(source, source.observations[id])
 	}
 	r.reconcileDirty()
 }
 
-// Override takes the operators' word; it replaces what they said before.
+// knownToOthers reports whether a source other than this one has the server.
+func (r *Reconciler) knownToOthers(source *sourceState, id string) bool {
+	for rank, observation := range r.servers[id].observations {
+		if rank == source.rank || observation == nil || observation.removed {
+			continue
+		}
+		if r.sourceCounts(r.sources[rank]) {
+			return true
+		}
+	}
+	return false
+}
+
+// Override applies the operators' instructions, in place of those before.
 func (r *Reconciler) Override(now float64, override Override) {
 	r.now = max(now, r.now)
 	for id := range r.pins {
@@ -46,7 +55,7 @@
 	r.reconcileDirty()
 }
 
-// acceptHeldRemovals accepts removals that were held back since before.
+// acceptHeldRemovals accepts the removals that have been held back since before the given time.
 func (r *Reconciler) acceptHeldRemovals(before float64, reason string) {
 	for _, source := range r.sources {
 		for _, id := range sortedKeys(source.heldRemovals) {
--- a/internal/endpoints/snapshot/snapshot.go
+++ b/internal/endpoints/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot keeps the last good list of servers in a file, so that a start without any source serves at once. A
-// file that is torn, foreign or too old is told apart from one that is not there, and is never believed in part.
+// Package snapshot stores the last good endpoint list, so that a pooler that starts while no source is reachable serves at once. A
+// snapshot is read completely or not at all: one that is damaged or foreign is an error, one that does not exist is nil.
 package snapshot
 
 import (
@@ -14,79 +14,83 @@
 	maxBytes = 32 << 20
 )
 
-// Errors of a file that is not used.
+// Errors of a snapshot that cannot be used.
 var (
 	ErrForeign = atomicfile.ErrFormat
 	ErrTorn    = atomicfile.ErrIncomplete
 )
 
-// File is what a snapshot's file holds.
+// File is the content of a snapshot.
 type File struct {
 	SavedAtMs float64           `json:"saved_ms"` // Unix ms
 	Entries   []reconcile.Entry `json:"entries"`
 }
 
-// Append writes a snapshot.
+// Store loads and saves a snapshot.
+type Store interface {
+	Load() (*File, error) // nil where there is none
+	Save(file *File) error
+}
+
+// FileStore is a Store in the file of that path.
+type FileStore string
+
+// Load reads the file, nil where there is none.
+func (s FileStore) Load() (*File, error) { return Load(string(s)) }
+
+// Save replaces the file.
+func (s FileStore) Save(file *File) error { return Save(string(s), file) }
+
+// Append appends the bytes of a snapshot to dst.
 func Append(dst []byte, file *File) ([]byte, error) {
-	b, err := atomicfile.Encode(dst, magic, file)
+	dst, err := atomicfile.Encode(dst, magic, file)
 	if err != nil {
-		return b, fmt.Errorf("snapshot: %w", err)
+		return dst, fmt.Errorf("snapshot: %w", err)
 	}
-	return b, nil
+	return dst, nil
 }
 
-// Parse reads a snapshot, whole or not at all.
-func Parse(b []byte) (*File, error) {
+// Parse reads the bytes of a snapshot. Errors wrap ErrForeign or ErrTorn.
+func Parse(content []byte) (*File, error) {
 	file := &File{}
-	if err := atomicfile.Decode(b, magic, file); err != nil {
+	if err := atomicfile.Decode(content, magic, file); err != nil {
 		return nil, err
 	}
 	for i := range file.Entries {
-		if entry := &file.Entries[i]; entry.ID == "" || entry.Address == "" || entry.State > reconcile.StateRemoved {
+		if !isValid(&file.Entries[i]) {
 			return nil, fmt.Errorf("%w: entry %d", ErrForeign, i)
 		}
 	}
 	return file, nil
 }
 
-// Store keeps snapshots elsewhere than in a file.
-type Store interface {
-	Load() (*File, error) // nil where there is none
-	Save(f *File) error
+func isValid(entry *reconcile.Entry) bool {
+	return entry.ID != "" && entry.Address != "" && entry.State <= reconcile.StateRemoved
 }
 
-// FileStore is a file that is one.
-type FileStore string
-
-// Load is Saver's.
-func (store FileStore) Load() (*File, error) { return Load(string(store)) }
-
-// Save is Saver's.
-func (store FileStore) Save(file *File) error { return Save(string(store), file) }
-
-// Load reads a file; nil where there is none.
+// Load reads the snapshot at path, nil where there is none.
 func Load(path string) (*File, error) {
-	b, err := atomicfile.Read(path, maxBytes)
-	if err != nil || b == nil {
-		if err != nil {
-			err = fmt.Errorf("snapshot %s: %w", path, err)
-		}
-		return nil, err
+	content, err := atomicfile.Read(path, maxBytes)
+	if err != nil {
+		return nil, fmt.Errorf("snapshot %s: %w", path, err)
+	}
+	if content == nil {
+		return nil, nil
 	}
-	file, err := Parse(b)
+	file, err := Parse(content)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot %s: %w", path, err)
 	}
 	return file, nil
 }
 
-// Save puts a snapshot in a file's place: whoever reads finds the old one or the new, also after a loss of power.
+// Save replaces the snapshot at path. A reader finds the old one or the new one, also after a loss of power.
 func Save(path string, file *File) error {
-	b, err := Append(nil, file)
+	content, err := Append(nil, file)
 	if err != nil {
 		return err
 	}
-	if err := atomicfile.Replace(path, b, true); err != nil {
+	if err := atomicfile.Replace(path, content, true); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return nil
