--- a/internal/settings/clickhouse.go
+++ b/internal/settings/clickhouse.go
@@ -1,7 +1,7 @@
 package settings
 
 import (
-	"net"
+	"slices"
 	"time"
 
 	"beechgrade/internal/config"
@@ -14,86 +14,93 @@
 // ClickHouse says whether and how the ClickHouse HTTP interface is served. Times are in milliseconds.
 type ClickHouse struct {
 	Listen               string // empty for off
-	Group                int    // whose servers are ClickHouse's
+	Group                int    // whose servers are ClickHouse servers
 	LatencyObjectiveMs   float64
 	DeadlineMs           float64
 	PriorityWeight       float64
-	MaxBufferedBytes     int
-	MaxBodyBytes         int64   // 0 for any number of bytes
+	MaxBufferedBytes     int     // of a query's body; a longer one passes through and is never retried
+	MaxBodyBytes         int64   // 0 for any
 	MaxStalenessMs       float64 // 0 for data of any age
 	UploadTimeoutMs      float64
-	ServerIdleTimeoutMs  float64
-	ClientStallTimeoutMs float64
-	DeadlineHeader       string // may tell how many ms a client waits
+	ServerIdleTimeoutMs  float64 // without a byte of a response
+	ClientStallTimeoutMs float64 // in which a client takes no byte of a response
+	DeadlineHeader       string  // names the header that may state for how many ms a client waits
 	MaxSessions          int
-	ConnectionIdleMs     float64
+	ConnectionIdleMs     float64 // to servers
 	ClientIdleMs         float64
 	HeadTimeoutMs        float64
-	KillQueries          bool // KILL QUERY beside a connection that is closed
+	KillQueries          bool // send KILL QUERY when a connection with a query is closed
 	Rules                []ClickHouseRule
 	Users                map[string]limits.Limits
-	DefaultLimits        limits.Limits
+	DefaultLimits        limits.Limits // of users that are not named
 }
 
-// minStalenessMs is the least bound of data's age: servers tell it in whole seconds, and are asked now and then.
-const minStalenessMs = 3000
-
-// ClickHouseRule is a rule with what its classes are worth.
+// ClickHouseRule is a rule that assigns queries to classes, with the objective and weight of these.
 type ClickHouseRule struct {
 	clickhouse.Rule
 	LatencyObjectiveMs, PriorityWeight float64
 }
 
-func (c *ClickHouse) read(node *sexp.Node) error {
-	*c = ClickHouse{Group: -1, LatencyObjectiveMs: 2000, DeadlineMs: 60000, PriorityWeight: 1, MaxBufferedBytes: 256 << 10, UploadTimeoutMs: 600e3, ServerIdleTimeoutMs: 600e3, ClientStallTimeoutMs: 60e3, MaxSessions: 10000,
-		ConnectionIdleMs: 3000, ClientIdleMs: 60000, HeadTimeoutMs: 10000}
+const (
+	defaultLatencyObjectiveMs = 2 * second
+	defaultDeadlineMs         = minute
+	defaultPriorityWeight     = 1
+	defaultUserWaitMs         = 5 * second
+	lateWeight                = 0.5 // of a response after its objective, as a part of the weight
+)
+
+func defaultClickHouse() ClickHouse {
+	return ClickHouse{
+		Group:                -1,
+		LatencyObjectiveMs:   defaultLatencyObjectiveMs,
+		DeadlineMs:           defaultDeadlineMs,
+		PriorityWeight:       defaultPriorityWeight,
+		MaxBufferedBytes:     256 * kilobyte,
+		UploadTimeoutMs:      10 * minute,
+		ServerIdleTimeoutMs:  10 * minute,
+		ClientStallTimeoutMs: minute,
+		MaxSessions:          10000,
+		ConnectionIdleMs:     3 * second,
+		ClientIdleMs:         minute,
+		HeadTimeoutMs:        10 * second,
+	}
+}
+
+var (
+	stalenessBounds = durationRange{3 * second, day} // servers report the age of their data in whole seconds, and are polled
+	idleTimeouts    = durationRange{10, day}
+	priorityWeights = numberRange{0, 1000}
+	bufferedBytes   = sizeRange{kilobyte, 64 * megabyte}
+	bodyBytes       = sizeRange{kilobyte, 1 << 50}
+	sessionCounts   = countRange{0, 1e6}
+	queryCounts     = countRange{1, 1e6}
+	queryQueues     = countRange{0, 1e6}
+	queryRates      = numberRange{0.001, 1e6} // a second
+	queryBursts     = numberRange{1, 1e6}
+)
+
+func (c *ClickHouse) read(node *sexp.Node, _ func(string) string) error {
+	*c = defaultClickHouse()
 	err := sexp.Schema{
-		"listen": func(node *sexp.Node) (err error) {
-			if c.Listen, err = node.Str(); err != nil {
-				return err
-			}
-			if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-				return node.Items[1].Errorf("an address with its port is due here: %v", err)
-			}
-			return nil
-		},
-		"group": func(node *sexp.Node) (err error) { c.Group, err = node.Int(0, 1<<30); return err },
-		"aim": func(node *sexp.Node) (err error) {
-			c.LatencyObjectiveMs, err = node.Millis(1, maxDurationMs)
-			return err
-		},
-		"deadline": func(node *sexp.Node) (err error) { c.DeadlineMs, err = node.Millis(1, maxDurationMs); return err },
-		"worth":    func(node *sexp.Node) (err error) { c.PriorityWeight, err = node.Float(0, 1000); return err },
-		"hold": func(node *sexp.Node) error {
-			x, err := node.Bytes(1024, 64<<20)
-			c.MaxBufferedBytes = int(x)
-			return err
-		},
-		"most-body": func(node *sexp.Node) (err error) { c.MaxBodyBytes, err = node.Bytes(1024, 1<<50); return err },
-		"bound": func(node *sexp.Node) (err error) {
-			c.MaxStalenessMs, err = node.Millis(minStalenessMs, maxDurationMs)
-			return err
-		},
-		"upload": func(node *sexp.Node) (err error) { c.UploadTimeoutMs, err = node.Millis(1, maxDurationMs); return err },
-		"quiet": func(node *sexp.Node) (err error) {
-			c.ServerIdleTimeoutMs, err = node.Millis(1, maxDurationMs)
-			return err
-		},
-		"stall": func(node *sexp.Node) (err error) {
-			c.ClientStallTimeoutMs, err = node.Millis(1, maxDurationMs)
-			return err
-		},
-		"deadline-header": func(node *sexp.Node) (err error) { c.DeadlineHeader, err = node.Str(); return err },
-		"sessions":        func(node *sexp.Node) (err error) { c.MaxSessions, err = node.Int(0, 1e6); return err },
-		"idle": func(node *sexp.Node) (err error) {
-			c.ConnectionIdleMs, err = node.Millis(10, maxDurationMs)
-			return err
-		},
-		"client-idle": func(node *sexp.Node) (err error) { c.ClientIdleMs, err = node.Millis(10, maxDurationMs); return err },
-		"user":        c.readUser,
-		"class":       c.readClass,
-		"kill":        func(node *sexp.Node) (err error) { c.KillQueries, err = node.Bool(); return err },
-		"head":        func(node *sexp.Node) (err error) { c.HeadTimeoutMs, err = node.Millis(10, maxDurationMs); return err },
+		"listen":          listenAddress(&c.Listen),
+		"group":           count(&c.Group, groupNumbers),
+		"aim":             duration(&c.LatencyObjectiveMs, positiveDuration),
+		"deadline":        duration(&c.DeadlineMs, positiveDuration),
+		"worth":           number(&c.PriorityWeight, priorityWeights),
+		"hold":            size(&c.MaxBufferedBytes, bufferedBytes),
+		"most-body":       size(&c.MaxBodyBytes, bodyBytes),
+		"bound":           duration(&c.MaxStalenessMs, stalenessBounds),
+		"upload":          duration(&c.UploadTimeoutMs, positiveDuration),
+		"quiet":           duration(&c.ServerIdleTimeoutMs, positiveDuration),
+		"stall":           duration(&c.ClientStallTimeoutMs, positiveDuration),
+		"deadline-header": text(&c.DeadlineHeader),
+		"sessions":        count(&c.MaxSessions, sessionCounts),
+		"idle":            duration(&c.ConnectionIdleMs, idleTimeouts),
+		"client-idle":     duration(&c.ClientIdleMs, idleTimeouts),
+		"user":            c.readUser,
+		"class":           c.readClass,
+		"kill":            flag(&c.KillQueries),
+		"head":            duration(&c.HeadTimeoutMs, idleTimeouts),
 	}.Read(node.Args(), "user", "class")
 	switch {
 	case err != nil:
@@ -108,107 +115,127 @@
 	return nil
 }
 
-// readUser reads (user "NAME" (queries N) (queue N) (wait TIME) (rate PER-SECOND) (burst N)); "*" is all that are not named.
+// readUser reads (user "NAME" (queries N) (queue N) (wait TIME) (rate PER-SECOND) (burst N)); "*" stands for all that are not named.
 func (c *ClickHouse) readUser(node *sexp.Node) error {
-	a := node.Args()
-	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" {
+	arguments := node.Args()
+	name, ok := firstName(arguments)
+	if !ok {
 		return node.Errorf("a user's name is due first, or \"*\"")
 	}
-	l := limits.Limits{Wait: 5000}
-	if err := (sexp.Schema{
-		"queries": func(node *sexp.Node) (err error) { l.Queries, err = node.Int(1, 1e6); return err },
-		"queue":   func(node *sexp.Node) (err error) { l.Queue, err = node.Int(0, 1e6); return err },
-		"wait":    func(node *sexp.Node) (err error) { l.Wait, err = node.Millis(1, maxDurationMs); return err },
-		"rate":    func(node *sexp.Node) (err error) { l.PerSecond, err = node.Float(0.001, 1e6); return err },
-		"burst":   func(node *sexp.Node) (err error) { l.Burst, err = node.Float(1, 1e6); return err },
-	}).Read(a[1:]); err != nil {
+	user := limits.Limits{Wait: defaultUserWaitMs}
+	err := sexp.Schema{
+		"queries": count(&user.Queries, queryCounts),
+		"queue":   count(&user.Queue, queryQueues),
+		"wait":    duration(&user.Wait, positiveDuration),
+		"rate":    number(&user.PerSecond, queryRates),
+		"burst":   number(&user.Burst, queryBursts),
+	}.Read(arguments[1:])
+	if err != nil {
 		return err
 	}
-	if a[0].Text == "*" {
-		c.DefaultLimits = l
+	if name == "*" {
+		c.DefaultLimits = user
 		return nil
 	}
-	if _, twice := c.Users[a[0].Text]; twice {
-		return a[0].Errorf("this user stands here twice")
+	if _, exists := c.Users[name]; exists {
+		return arguments[0].Errorf("this user stands here twice")
 	}
 	if c.Users == nil {
 		c.Users = map[string]limits.Limits{}
 	}
-	c.Users[a[0].Text] = l
+	c.Users[name] = user
 	return nil
 }
 
 // readClass reads (class "NAME" (user "U") (database "D") (path "/P") (header "NAME" "VALUE") (aim TIME) (deadline TIME) (worth N)).
 func (c *ClickHouse) readClass(node *sexp.Node) error {
-	a := node.Args()
-	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" {
+	arguments := node.Args()
+	name, ok := firstName(arguments)
+	if !ok {
 		return node.Errorf("a class's name is due first")
 	}
-	r := ClickHouseRule{Rule: clickhouse.Rule{Name: a[0].Text, Deadline: 60000}, LatencyObjectiveMs: 2000, PriorityWeight: 1}
-	for _, o := range c.Rules {
-		if o.Name == r.Name {
-			return a[0].Errorf("this class stands here twice")
-		}
+	if slices.ContainsFunc(c.Rules, func(other ClickHouseRule) bool { return other.Name == name }) {
+		return arguments[0].Errorf("this class stands here twice")
 	}
-	text := func(to *string) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Str(); return err }
+	rule := ClickHouseRule{
+		Rule:               clickhouse.Rule{Name: name, Deadline: defaultDeadlineMs},
+		LatencyObjectiveMs: defaultLatencyObjectiveMs,
+		PriorityWeight:     defaultPriorityWeight,
 	}
 	err := sexp.Schema{
-		"user": text(&r.User), "database": text(&r.Database), "path": text(&r.Path),
+		"user":     text(&rule.User),
+		"database": text(&rule.Database),
+		"path":     text(&rule.Path),
 		"header": func(node *sexp.Node) error {
-			x := node.Args()
-			if len(x) != 2 || x[0].Text == "" {
+			arguments := node.Args()
+			if len(arguments) != 2 || arguments[0].Text == "" {
 				return node.Errorf("(header \"NAME\" \"VALUE\")")
 			}
-			r.Header, r.Value = x[0].Text, x[1].Text
+			rule.Header, rule.Value = arguments[0].Text, arguments[1].Text
 			return nil
 		},
-		"bound": func(node *sexp.Node) (err error) {
-			r.Bound, err = node.Millis(minStalenessMs, maxDurationMs)
-			return err
-		},
-		"aim": func(node *sexp.Node) (err error) {
-			r.LatencyObjectiveMs, err = node.Millis(1, maxDurationMs)
-			return err
-		},
-		"deadline": func(node *sexp.Node) (err error) { r.Deadline, err = node.Millis(1, maxDurationMs); return err },
-		"worth":    func(node *sexp.Node) (err error) { r.PriorityWeight, err = node.Float(0, 1000); return err },
-	}.Read(a[1:])
-	switch {
-	case err != nil:
+		"bound":    duration(&rule.Bound, stalenessBounds),
+		"aim":      duration(&rule.LatencyObjectiveMs, positiveDuration),
+		"deadline": duration(&rule.Deadline, positiveDuration),
+		"worth":    number(&rule.PriorityWeight, priorityWeights),
+	}.Read(arguments[1:])
+	if err != nil {
 		return err
-	case r.User == "" && r.Database == "" && r.Path == "" && r.Header == "":
+	}
+	if err := rule.check(node); err != nil {
+		return err
+	}
+	c.Rules = append(c.Rules, rule)
+	return nil
+}
+
+func (r *ClickHouseRule) check(node *sexp.Node) error {
+	selectsByClient := r.User != "" || r.Database != ""
+	selectsByRequest := r.Path != "" || r.Header != ""
+	switch {
+	case !selectsByClient && !selectsByRequest:
 		return node.Errorf("class %q: whose queries are of it? (user ...), (database ...), (path ...) or (header ...)", r.Name)
 	case r.Path != "" && r.Path[0] != '/':
 		return node.Errorf("class %q: a path begins with /", r.Name)
 	case r.Deadline < r.LatencyObjectiveMs:
 		return node.Errorf("class %q: the deadline comes before the aim", r.Name)
 	}
-	c.Rules = append(c.Rules, r)
 	return nil
 }
 
-// AddClasses adds the front's classes to the platform's: any member of the group takes either, and what is not known to read
-// never runs twice.
+// AddClasses adds the interface's classes to a configuration, for each rule one of reads and one of writes. Both go to any server of the
+// group. What is not known to be a read is never sent twice.
 func (c *ClickHouse) AddClasses(cfg *config.Config) {
 	if c.Listen == "" {
 		return
 	}
-	add := func(rule string, aim, deadline, worth, bound float64) {
-		class := decide.Class{LatencyObjective: time.Duration(aim * float64(time.Millisecond)), Deadline: time.Duration(deadline * float64(time.Millisecond)), PriorityWeight: worth,
-			LateWeight: 0.5, Read: decide.ReadAny}
-		reads, writes := clickhouse.Classes(rule)
-		cfg.Classes = append(cfg.Classes, reads, writes)
-		if bound > 0 {
-			class.Read, class.MaxStaleness = decide.ReadBounded, time.Duration(bound*float64(time.Millisecond))
-		}
-		cfg.Settings.Classes = append(cfg.Settings.Classes, class)
-		class.Read, class.MaxStaleness = decide.ReadAny, 0
-		class.Idempotency = decide.NotIdempotent
-		cfg.Settings.Classes = append(cfg.Settings.Classes, class)
-	}
-	add("", c.LatencyObjectiveMs, c.DeadlineMs, c.PriorityWeight, c.MaxStalenessMs)
+	defaults := ClickHouseRule{
+		Rule:               clickhouse.Rule{Deadline: c.DeadlineMs, Bound: c.MaxStalenessMs},
+		LatencyObjectiveMs: c.LatencyObjectiveMs,
+		PriorityWeight:     c.PriorityWeight,
+	}
+	defaults.addClasses(cfg)
 	for i := range c.Rules {
-		add(c.Rules[i].Name, c.Rules[i].LatencyObjectiveMs, c.Rules[i].Deadline, c.Rules[i].PriorityWeight, c.Rules[i].Bound)
+		c.Rules[i].addClasses(cfg)
 	}
 }
+
+func (r *ClickHouseRule) addClasses(cfg *config.Config) {
+	read := decide.Class{
+		LatencyObjective: milliseconds(r.LatencyObjectiveMs),
+		Deadline:         milliseconds(r.Deadline),
+		PriorityWeight:   r.PriorityWeight,
+		LateWeight:       lateWeight,
+		Read:             decide.ReadAny,
+	}
+	write := read
+	write.Idempotency = decide.NotIdempotent
+	if r.Bound > 0 {
+		read.Read, read.MaxStaleness = decide.ReadBounded, milliseconds(r.Bound)
+	}
+	reads, writes := clickhouse.Classes(r.Name)
+	cfg.Classes = append(cfg.Classes, reads, writes)
+	cfg.Settings.Classes = append(cfg.Settings.Classes, read, write)
+}
+
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/settings/cluster.go
+++ b/internal/settings/cluster.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/sexp"
 )
 
-// Cluster says how a pooler is one of a fleet. Without it, it talks to no other.
+// Cluster says how a pooler is one of a cluster. Without it, it talks to no other pooler.
 type Cluster struct {
 	Enabled      bool
 	Listen       string
@@ -22,99 +22,122 @@
 	View         view.Settings
 }
 
-// Bounds of a key, in bytes.
 const (
 	minKeyBytes = 16
 	maxKeyBytes = 4096
-	maxHoldMs   = 24 * 3600e3
+	maxSeeds    = 64
 )
 
-func (p *Cluster) read(node *sexp.Node, env func(string) string) error {
-	p.Enabled, p.View = true, view.Defaults()
-	v := &p.View
-	address := func(node *sexp.Node) (string, error) {
-		a := node.Args()
-		if len(a) != 1 || a[0].Kind == sexp.List {
-			return "", node.Errorf("(%s \"ADDRESS:PORT\") takes one address", node.Head())
-		}
-		if at, err := netip.ParseAddrPort(a[0].Text); err != nil || at.Port() == 0 {
-			return "", a[0].Errorf("%q is no address and port in numbers", a[0].Text)
-		}
-		return a[0].Text, nil
-	}
-	text := func(to *string) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) {
-			if *to, err = node.Str(); err == nil && (*to == "" || len(*to) > view.MaxNameBytes) {
-				err = node.Errorf("from 1 to %d bytes", view.MaxNameBytes)
-			}
-			return err
-		}
-	}
-	span := func(to *float64, least, most float64) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, most); return err }
-	}
+var (
+	peerCounts     = countRange{1, view.MaxRecords}
+	probeIntervals = durationRange{50, minute}
+	probeTimeouts  = durationRange{10, 10 * second}
+	suspicionTimes = durationRange{100, 10 * minute}
+	gossipTimes    = durationRange{50, 10 * second}
+	exchangeTimes  = durationRange{500, 10 * minute}
+	reconnectTimes = durationRange{100, 10 * minute}
+	holdTimes      = durationRange{second, day}
+	forgetTimes    = durationRange{10 * second, day}
+)
+
+func (c *Cluster) read(node *sexp.Node, env func(string) string) error {
+	c.Enabled = true
+	c.View = view.Defaults()
+	v := &c.View
 	err := sexp.Schema{
-		"listen":    func(node *sexp.Node) (err error) { p.Listen, err = address(node); return err },
-		"advertise": func(node *sexp.Node) (err error) { p.Advertise, err = address(node); return err },
-		"key": func(node *sexp.Node) error {
-			text, err := node.Str()
-			if p.KeyFile = os.Expand(text, env); err == nil && p.KeyFile == "" {
-				err = node.Errorf("the file's name is empty; is its variable set?")
-			}
-			return err
-		},
-		"seeds": func(node *sexp.Node) error {
-			for _, a := range node.Args() {
-				if at, err := netip.ParseAddrPort(a.Text); a.Kind == sexp.List || err != nil || at.Port() == 0 {
-					return a.Errorf("%q is no address and port in numbers", a.Text)
-				}
-				v.SeedAddresses = append(v.SeedAddresses, a.Text)
-			}
-			if len(v.SeedAddresses) > 64 {
-				return node.Errorf("%d seeds; 64 may be", len(v.SeedAddresses))
-			}
-			return nil
-		},
-		"zone": text(&p.Zone), "region": text(&p.Region),
-		"expect": func(node *sexp.Node) (err error) { v.ExpectedPoolers, err = node.Int(1, view.MaxRecords); return err },
-		"probe":  span(&v.ProbeInterval, 50, 60000), "timeout": span(&v.ProbeTimeout, 10, 10000), "suspicion": span(&v.SuspicionTimeout, 100, 600000),
-		"gossip": span(&v.GossipInterval, 50, 10000), "exchange": span(&v.ExchangeInterval, 500, 600000), "reconnect": span(&v.ReconnectInterval, 100, 600000),
-		"hold": span(&v.SendingTimeout, 1000, maxHoldMs), "forget": span(&v.Retention, 10000, maxHoldMs),
+		"listen":    peerAddress(&c.Listen),
+		"advertise": peerAddress(&c.Advertise),
+		"key":       filePath(&c.KeyFile, env),
+		"seeds":     c.readSeeds,
+		"zone":      placeName(&c.Zone),
+		"region":    placeName(&c.Region),
+		"expect":    count(&v.ExpectedPoolers, peerCounts),
+		"probe":     duration(&v.ProbeInterval, probeIntervals),
+		"timeout":   duration(&v.ProbeTimeout, probeTimeouts),
+		"suspicion": duration(&v.SuspicionTimeout, suspicionTimes),
+		"gossip":    duration(&v.GossipInterval, gossipTimes),
+		"exchange":  duration(&v.ExchangeInterval, exchangeTimes),
+		"reconnect": duration(&v.ReconnectInterval, reconnectTimes),
+		"hold":      duration(&v.SendingTimeout, holdTimes),
+		"forget":    duration(&v.Retention, forgetTimes),
 	}.Read(node.Args())
-	if err != nil {
+	switch {
+	case err != nil:
 		return err
+	case c.Listen == "":
+		return node.Errorf("(peers ...) needs (listen ...)")
+	case c.KeyFile == "":
+		return node.Errorf("(peers ...) needs (key ...)")
+	case 2*v.ProbeTimeout+2*v.TickInterval > v.ProbeInterval:
+		return node.Errorf("a probe of %g ms leaves no room for two times the time-out of %g ms", v.ProbeInterval, v.ProbeTimeout)
+	case v.SendingTimeout > v.Retention:
+		return node.Errorf("what is forgotten after %g ms cannot be held for %g ms", v.Retention, v.SendingTimeout)
 	}
-	for name, is := range map[string]string{"listen": p.Listen, "key": p.KeyFile} {
-		if is == "" {
-			return node.Errorf("(peers ...) needs (%s ...)", name)
+	v.PauseGrace = v.ProbeInterval + 2*v.ProbeTimeout
+	return nil
+}
+
+func (c *Cluster) readSeeds(node *sexp.Node) error {
+	for _, item := range node.Args() {
+		if err := checkAddress(item); err != nil {
+			return err
 		}
+		c.View.SeedAddresses = append(c.View.SeedAddresses, item.Text)
 	}
-	if 2*v.ProbeTimeout+2*v.TickInterval > v.ProbeInterval {
-		return node.Errorf("a probe of %g ms leaves no room for two times the time-out of %g ms", v.ProbeInterval, v.ProbeTimeout)
+	if len(c.View.SeedAddresses) > maxSeeds {
+		return node.Errorf("%d seeds; %d may be", len(c.View.SeedAddresses), maxSeeds)
 	}
-	if v.SendingTimeout > v.Retention {
-		return node.Errorf("what is forgotten after %g ms cannot be held for %g ms", v.Retention, v.SendingTimeout)
+	return nil
+}
+
+// peerAddress reads (key "ADDRESS:PORT"), in numbers, into target.
+func peerAddress(target *string) reader {
+	return func(node *sexp.Node) error {
+		arguments := node.Args()
+		if len(arguments) != 1 || arguments[0].Kind == sexp.List {
+			return node.Errorf("(%s \"ADDRESS:PORT\") takes one address", node.Head())
+		}
+		*target = arguments[0].Text
+		return checkAddress(arguments[0])
+	}
+}
+
+func checkAddress(node *sexp.Node) error {
+	address, err := netip.ParseAddrPort(node.Text)
+	if node.Kind == sexp.List || err != nil || address.Port() == 0 {
+		return node.Errorf("%q is no address and port in numbers", node.Text)
 	}
-	v.PauseGrace = v.ProbeInterval + 2*v.ProbeTimeout
 	return nil
 }
 
-// Key reads the key's file.
-func (p *Cluster) Key() (cluster.Key, error) { return ReadKey(p.KeyFile) }
+// placeName reads the name of a zone or region into target.
+func placeName(target *string) reader {
+	return func(node *sexp.Node) (err error) {
+		*target, err = node.Str()
+		if err == nil && (*target == "" || len(*target) > view.MaxNameBytes) {
+			err = node.Errorf("from 1 to %d bytes", view.MaxNameBytes)
+		}
+		return err
+	}
+}
+
+// Key reads the key file.
+func (c *Cluster) Key() (cluster.Key, error) { return ReadKey(c.KeyFile) }
 
-// ReadKey reads a file that holds the key of a fleet.
+// ReadKey reads a file that holds the key of a cluster, from 16 to 4096 bytes but for white space around them.
 func ReadKey(path string) (cluster.Key, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("the fleet's key: %w", err)
 	}
-	defer func() { _ = f.Close() }()
-	text, err := io.ReadAll(io.LimitReader(f, maxKeyBytes+1))
+	defer func() { _ = file.Close() }()
+	key, err := io.ReadAll(io.LimitReader(file, maxKeyBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("the fleet's key: %w", err)
 	}
-	if text = bytes.TrimSpace(text); len(text) < minKeyBytes || len(text) > maxKeyBytes {
-		return nil, fmt.Errorf("the fleet's key: %s: %d bytes; from %d to %d are wanted", path, len(text), minKeyBytes, maxKeyBytes)
+	key = bytes.TrimSpace(key)
+	if len(key) < minKeyBytes || len(key) > maxKeyBytes {
+		return nil, fmt.Errorf("the fleet's key: %s: %d bytes; from %d to %d are wanted", path, len(key), minKeyBytes, maxKeyBytes)
 	}
-	return text, nil
+	return key, nil
 }
--- a/internal/settings/credit.go
+++ b/internal/settings/credit.go
@@ -12,75 +12,75 @@
 	"beechgrade/internal/sexp"
 )
 
-// Credit has tenants pay ahead. It takes (peers ...) and (agreed ...).
+// Credit has tenants pay in advance. It needs (peers ...) and (agreed ...).
 type Credit struct {
 	Enabled    bool
-	Unit       string // what amounts are in, for those who read figures
-	Dir        string // where marks are kept; empty for nowhere. "$NAME" stands for a variable of the environment
+	Unit       string // of amounts, for readers of metrics
+	Dir        string // of the marks; empty for none. "$NAME" stands for a variable of the environment
 	Lease      lease.Settings
 	Lessor     lessor.Settings
 	Prices     []ClassPrice
 	Overdrafts []ClassOverdraft
 	Payments   []lessor.Payment
-	Prepaid    []string
+	Prepaid    []string // tenants, sorted
 }
 
-// ClassPrice is what a class's requests cost.
+// ClassPrice is the price of a class's requests.
 type ClassPrice struct {
 	Class string
 	lease.Price
 }
 
-// ClassOverdraft is how far below nothing a tenant's balance may go for a class.
+// ClassOverdraft is how far below zero a tenant's balance may go for a class.
 type ClassOverdraft struct {
 	Class  string
 	Amount int64
 }
 
-// SettingsFor are the settings of a pooler with these classes, worth so much.
-func (c *Credit) SettingsFor(classes []string, worth func(i int) float64) credit.Settings {
-	s := credit.Settings{Lease: c.Lease, Lessor: c.Lessor, Payments: c.Payments}
-	s.Lease.PersistMarks = c.Dir != ""
-	s.Lease.PrepaidTenants = c.Prepaid
-	s.Lessor.ExpiryDelay = s.Lease.ExpiryDelay()
+const minRenewalsPerLease = 4
+
+var (
+	slowdownParts      = numberRange{0, 1}
+	slowdownMinimums   = numberRange{0.01, 1}
+	leaseTimes         = durationRange{second, hour}
+	renewalIntervals   = durationRange{200, minute}
+	urgentIntervals    = durationRange{50, 10 * second}
+	exhaustedIntervals = durationRange{100, minute}
+	leaseSpans         = durationRange{100, 10 * minute}
+	leaseIdleTimes     = durationRange{500, hour}
+	creditWaits        = durationRange{0, 10 * second}
+	creditGraceTimes   = durationRange{0, minute}
+	ledgerRetention    = durationRange{minute, year}
+	clockDrifts        = numberRange{0, 0.1}
+)
+
+// SettingsFor are the settings of a pooler with these classes. weight is the priority weight of a class.
+func (c *Credit) SettingsFor(classes []string, weight func(class int) float64) credit.Settings {
+	settings := credit.Settings{Lease: c.Lease, Lessor: c.Lessor, Payments: c.Payments}
+	settings.Lease.PersistMarks = c.Dir != ""
+	settings.Lease.PrepaidTenants = c.Prepaid
+	settings.Lessor.ExpiryDelay = settings.Lease.ExpiryDelay()
 	for i, name := range classes {
-		x := lease.Class{PriorityWeight: worth(i)}
-		if k := slices.IndexFunc(c.Prices, func(p ClassPrice) bool { return p.Class == name }); k >= 0 {
-			x.Price = c.Prices[k].Price
+		class := lease.Class{PriorityWeight: weight(i)}
+		if price := c.priceOf(name); price >= 0 {
+			class.Price = c.Prices[price].Price
 		}
-		if k := slices.IndexFunc(c.Overdrafts, func(d ClassOverdraft) bool { return d.Class == name }); k >= 0 {
-			x.Overdraft = c.Overdrafts[k].Amount
+		if overdraft := c.overdraftOf(name); overdraft >= 0 {
+			class.Overdraft = c.Overdrafts[overdraft].Amount
 		}
-		s.Lease.Classes = append(s.Lease.Classes, x)
+		settings.Lease.Classes = append(settings.Lease.Classes, class)
 	}
-	return s
+	return settings
 }
 
-func readCreditName(node *sexp.Node, what string) (string, error) {
-	a := node.Args()
-	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" || len(a[0].Text) > ledger.MaxNameBytes {
-		return "", node.Errorf("%s, of %d bytes at most, is due first", what, ledger.MaxNameBytes)
-	}
-	return a[0].Text, nil
-}
-
-// wholeNumber reads a whole number.
-func wholeNumber(node *sexp.Node, least int64) (int64, error) {
-	x, err := strconv.ParseInt(node.Text, 10, 64)
-	if node.Kind == sexp.List || err != nil || x < least || x > ledger.MaxAmount {
-		return 0, node.Errorf("a whole number from %d to %d is due here", least, ledger.MaxAmount)
-	}
-	return x, nil
+// priceOf is the index of a class's price, -1 for none.
+func (c *Credit) priceOf(class string) int {
+	return slices.IndexFunc(c.Prices, func(price ClassPrice) bool { return price.Class == class })
 }
 
-func creditAmountReader(to *int64, least int64) func(*sexp.Node) error {
-	return func(node *sexp.Node) error {
-		a, err := node.Argument()
-		if err == nil {
-			*to, err = wholeNumber(a, least)
-		}
-		return err
-	}
+// overdraftOf is the index of a class's overdraft, -1 for none.
+func (c *Credit) overdraftOf(class string) int {
+	return slices.IndexFunc(c.Overdrafts, func(overdraft ClassOverdraft) bool { return overdraft.Class == class })
 }
 
 // ReadCredit reads (credit ...).
@@ -91,53 +91,51 @@
 
 func (c *Credit) read(node *sexp.Node, env func(string) string) error {
 	*c = Credit{Enabled: true, Lease: lease.Defaults(), Lessor: lessor.Defaults()}
-	p := &c.Lease
-	span := func(to *float64, least, most float64) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, most); return err }
-	}
+	l := &c.Lease
 	err := sexp.Schema{
-		"unit": func(node *sexp.Node) (err error) { c.Unit, err = node.Str(); return err },
-		"files": func(node *sexp.Node) error {
-			text, err := node.Str()
-			if c.Dir = os.Expand(text, env); err == nil && c.Dir == "" {
-				err = node.Errorf("the folder's name is empty; is its variable set?")
-			}
-			return err
-		},
-		"price": c.readPrice, "overdraft": c.readOverdraft, "payment": c.readPayment,
-		"prepaid": func(node *sexp.Node) error {
-			for _, x := range node.Args() {
-				if x.Kind == sexp.List || x.Text == "" || len(x.Text) > ledger.MaxNameBytes {
-					return x.Errorf("a tenant's name, of %d bytes at most, is due here", ledger.MaxNameBytes)
-				}
-				c.Prepaid = append(c.Prepaid, x.Text)
-			}
-			return nil
-		},
-		"slow-below": func(node *sexp.Node) (err error) { p.ThrottleBelow, err = node.Float(0, 1); return err },
-		"least":      func(node *sexp.Node) (err error) { p.MinThrottledShare, err = node.Float(0.01, 1); return err },
-		"lease":      span(&p.Duration, 1000, 3600e3), "renew": span(&p.RenewInterval, 200, 60000), "soon": span(&p.UrgentInterval, 50, 10000), "dry": span(&p.ExhaustedInterval, 100, 60000),
-		"span": span(&p.GrantHorizon, 100, 600e3), "idle": span(&p.IdleTimeout, 500, 3600e3), "wait": span(&p.QueueTimeout, 0, 10000), "grace": span(&p.Grace, 0, 60000),
-		"keep":  span(&c.Lessor.StrandedRetention, 60000, 365*24*3600e3),
-		"drift": func(node *sexp.Node) (err error) { p.ClockDrift, err = node.Float(0, 0.1); return err },
+		"unit":       text(&c.Unit),
+		"files":      folderPath(&c.Dir, env),
+		"price":      c.readPrice,
+		"overdraft":  c.readOverdraft,
+		"payment":    c.readPayment,
+		"prepaid":    c.readPrepaid,
+		"slow-below": number(&l.ThrottleBelow, slowdownParts),
+		"least":      number(&l.MinThrottledShare, slowdownMinimums),
+		"lease":      duration(&l.Duration, leaseTimes),
+		"renew":      duration(&l.RenewInterval, renewalIntervals),
+		"soon":       duration(&l.UrgentInterval, urgentIntervals),
+		"dry":        duration(&l.ExhaustedInterval, exhaustedIntervals),
+		"span":       duration(&l.GrantHorizon, leaseSpans),
+		"idle":       duration(&l.IdleTimeout, leaseIdleTimes),
+		"wait":       duration(&l.QueueTimeout, creditWaits),
+		"grace":      duration(&l.Grace, creditGraceTimes),
+		"keep":       duration(&c.Lessor.StrandedRetention, ledgerRetention),
+		"drift":      number(&l.ClockDrift, clockDrifts),
 	}.Read(node.Args(), "price", "overdraft", "payment", "prepaid")
 	switch {
 	case err != nil:
 		return err
 	case len(c.Prices) == 0:
 		return node.Errorf("(credit ...) needs a (price CLASS ...)")
-	case p.Duration < 4*p.RenewInterval || p.RenewInterval < p.UrgentInterval:
-		return node.Errorf("a lease of %g ms is to be four times the %g ms between asks at least, and these no less than the %g ms of those that are soon", p.Duration, p.RenewInterval, p.UrgentInterval)
+	case l.Duration < minRenewalsPerLease*l.RenewInterval || l.RenewInterval < l.UrgentInterval:
+		return node.Errorf("a lease of %g ms is to be four times the %g ms between asks at least, and these no less than the %g ms of those that are soon",
+			l.Duration, l.RenewInterval, l.UrgentInterval)
 	}
-	for _, x := range c.Payments {
-		c.Prepaid = append(c.Prepaid, x.Tenant)
+	return c.sortPayments(node)
+}
+
+// sortPayments sorts the payments, and adds the tenants who made them to those who pay in advance.
+func (c *Credit) sortPayments(node *sexp.Node) error {
+	for _, payment := range c.Payments {
+		c.Prepaid = append(c.Prepaid, payment.Tenant)
 	}
 	slices.Sort(c.Prepaid)
 	c.Prepaid = slices.Compact(c.Prepaid)
 	slices.SortFunc(c.Payments, credit.ComparePayments)
 	for i := 1; i < len(c.Payments); i++ {
-		if a, b := c.Payments[i-1], c.Payments[i]; a.Tenant == b.Tenant && a.Number == b.Number {
-			return node.Errorf("there are two payments %d of %q", a.Number, a.Tenant)
+		previous, payment := c.Payments[i-1], c.Payments[i]
+		if previous.Tenant == payment.Tenant && previous.Number == payment.Number {
+			return node.Errorf("there are two payments %d of %q", previous.Number, previous.Tenant)
 		}
 	}
 	return nil
@@ -148,26 +146,28 @@
 	if err != nil {
 		return err
 	}
-	x := ClassPrice{Class: class}
+	price := ClassPrice{Class: class}
 	err = sexp.Schema{
-		"request": creditAmountReader(&x.PerRequest, 0), "row": creditAmountReader(&x.PerRow, 0), "second": creditAmountReader(&x.PerSecond, 0), "most": creditAmountReader(&x.Max, 1),
+		"request": creditAmount(&price.PerRequest, 0),
+		"row":     creditAmount(&price.PerRow, 0),
+		"second":  creditAmount(&price.PerSecond, 0),
+		"most":    creditAmount(&price.Max, 1),
 		"failed": func(node *sexp.Node) error {
-			s, err := node.Str()
-			if x.ChargeFailed = s == "charged"; err == nil && !x.ChargeFailed && s != "free" {
-				err = node.Errorf("charged or free is due here")
-			}
+			i, err := oneOf(node, "charged", "free")
+			price.ChargeFailed = i == 0
 			return err
 		},
 	}.Read(node.Args()[1:])
+	varies := price.PerRow > 0 || price.PerSecond > 0
 	switch {
 	case err != nil:
 		return err
-	case slices.ContainsFunc(c.Prices, func(o ClassPrice) bool { return o.Class == class }):
+	case c.priceOf(class) >= 0:
 		return node.Errorf("there is a price of %q already", class)
-	case (x.PerRow > 0 || x.PerSecond > 0) && (x.Max == 0 || x.Max < x.PerRequest):
+	case varies && (price.Max == 0 || price.Max < price.PerRequest):
 		return node.Errorf("price of %q: (most AMOUNT) is due where it goes by rows or work: as much is held for each request, and charged at most", class)
 	}
-	c.Prices = append(c.Prices, x)
+	c.Prices = append(c.Prices, price)
 	return nil
 }
 
@@ -176,15 +176,15 @@
 	if err != nil {
 		return err
 	}
-	a := node.Args()
-	if len(a) != 2 {
+	arguments := node.Args()
+	if len(arguments) != 2 {
 		return node.Errorf("(overdraft CLASS AMOUNT) is due")
 	}
-	if slices.ContainsFunc(c.Overdrafts, func(o ClassOverdraft) bool { return o.Class == class }) {
+	if c.overdraftOf(class) >= 0 {
 		return node.Errorf("there is an overdraft of %q already", class)
 	}
-	x, err := wholeNumber(a[1], 0)
-	c.Overdrafts = append(c.Overdrafts, ClassOverdraft{class, x})
+	amount, err := wholeNumber(arguments[1], 0)
+	c.Overdrafts = append(c.Overdrafts, ClassOverdraft{class, amount})
 	return err
 }
 
@@ -193,15 +193,54 @@
 	if err != nil {
 		return err
 	}
-	a := node.Args()
-	if len(a) != 3 {
+	arguments := node.Args()
+	if len(arguments) != 3 {
 		return node.Errorf("(payment TENANT NUMBER AMOUNT) is due")
 	}
-	no, err := wholeNumber(a[1], 0)
+	number, err := wholeNumber(arguments[1], 0)
 	if err != nil {
 		return err
 	}
-	x, err := wholeNumber(a[2], 1)
-	c.Payments = append(c.Payments, lessor.Payment{Tenant: tenant, Number: uint64(no), Amount: x})
+	amount, err := wholeNumber(arguments[2], 1)
+	c.Payments = append(c.Payments, lessor.Payment{Tenant: tenant, Number: uint64(number), Amount: amount})
 	return err
 }
+
+func (c *Credit) readPrepaid(node *sexp.Node) error {
+	for _, item := range node.Args() {
+		if !isName(item) || len(item.Text) > ledger.MaxNameBytes {
+			return item.Errorf("a tenant's name, of %d bytes at most, is due here", ledger.MaxNameBytes)
+		}
+		c.Prepaid = append(c.Prepaid, item.Text)
+	}
+	return nil
+}
+
+// readCreditName reads the first argument of a form as the name of a class or tenant. what says which in an error.
+func readCreditName(node *sexp.Node, what string) (string, error) {
+	name, ok := firstName(node.Args())
+	if !ok || len(name) > ledger.MaxNameBytes {
+		return "", node.Errorf("%s, of %d bytes at most, is due first", what, ledger.MaxNameBytes)
+	}
+	return name, nil
+}
+
+// wholeNumber reads an atom as a whole number from least to ledger.MaxAmount.
+func wholeNumber(node *sexp.Node, least int64) (int64, error) {
+	number, err := strconv.ParseInt(node.Text, 10, 64)
+	if node.Kind == sexp.List || err != nil || number < least || number > ledger.MaxAmount {
+		return 0, node.Errorf("a whole number from %d to %d is due here", least, ledger.MaxAmount)
+	}
+	return number, nil
+}
+
+// creditAmount reads (key AMOUNT), at least as much as stated, into target.
+func creditAmount(target *int64, least int64) reader {
+	return func(node *sexp.Node) error {
+		argument, err := node.Argument()
+		if err == nil {
+			*target, err = wholeNumber(argument, least)
+		}
+		return err
+	}
+}
--- a/internal/settings/durable.go
+++ b/internal/settings/durable.go
@@ -1,53 +1,65 @@
 package settings
 
 import (
-	"os"
-
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/storage/journal"
+	"beechgrade/internal/storage/sessiontoken"
 )
 
-// Durable says whether and where something is kept on a disk, with a mode of what is kept.
+// Durable says whether and where a durable store is kept, and in which mode.
 type Durable[M any] struct {
 	Dir                      string // empty for off; "$NAME" stands for a variable of the environment
 	Mode                     M
 	MaxBytes                 int64
-	CompactionBytesPerSecond int64 // bytes a second that its compactions write at most, 0 for any
+	CompactionBytesPerSecond int64 // 0 for any
 }
 
-// read reads what is called name; its modes are before and alongside.
-func (d *Durable[M]) read(node *sexp.Node, env func(string) string, name string, before, alongside M) error {
-	*d = Durable[M]{MaxBytes: 64 << 20, Mode: before}
-	if err := (sexp.Schema{
-		"dir": func(node *sexp.Node) error {
-			text, err := node.Str()
-			d.Dir = os.Expand(text, env)
-			return err
-		},
+// Journal is the store of the attempts that may have run.
+type Journal Durable[journal.Mode]
+
+// Sessions is the store of sessions' last commits.
+type Sessions Durable[sessiontoken.Mode]
+
+const defaultDurableBytes = 64 * megabyte
+
+var durableBytes = sizeRange{megabyte, terabyte}
+
+// read reads the form called key. Its modes are before, the default, and alongside.
+func (d *Durable[M]) read(node *sexp.Node, env func(string) string, key string, before, alongside M) error {
+	*d = Durable[M]{MaxBytes: defaultDurableBytes, Mode: before}
+	err := sexp.Schema{
+		"dir": expanded(&d.Dir, env),
 		"mode": func(node *sexp.Node) error {
-			a, err := node.Argument()
+			mode, err := node.Argument()
 			if err != nil {
 				return err
 			}
-			switch a.Text {
+			switch mode.Text {
 			case "before":
 				d.Mode = before
 			case "alongside":
 				d.Mode = alongside
 			default:
-				return a.Errorf("before or alongside is due here")
+				return mode.Errorf("before or alongside is due here")
 			}
 			return nil
 		},
-		"most": func(node *sexp.Node) (err error) { d.MaxBytes, err = node.Bytes(1<<20, 1<<40); return err },
-		"pace": func(node *sexp.Node) (err error) {
-			d.CompactionBytesPerSecond, err = node.Bytes(minCompactionRate, 1<<40)
-			return err
-		},
-	}).Read(node.Args()); err != nil {
+		"most": size(&d.MaxBytes, durableBytes),
+		"pace": size(&d.CompactionBytesPerSecond, compactionRate),
+	}.Read(node.Args())
+	if err != nil {
 		return err
 	}
 	if d.Dir == "" {
-		return node.Errorf("%s: (dir \"FOLDER\") is due, on a disk that survives", name)
+		return node.Errorf("%s: (dir \"FOLDER\") is due, on a disk that survives", key)
 	}
 	return nil
 }
+
+func (j *Journal) read(node *sexp.Node, env func(string) string) error {
+	return (*Durable[journal.Mode])(j).read(node, env, "journal", journal.BeforeSend, journal.Alongside)
+}
+
+func (s *Sessions) read(node *sexp.Node, env func(string) string) error {
+	return (*Durable[sessiontoken.Mode])(s).read(node, env, "sessions", sessiontoken.BeforeAnswer, sessiontoken.Alongside)
+}
--- a/internal/settings/fleetlimits.go
+++ b/internal/settings/fleetlimits.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"os"
 	"slices"
 	"strings"
 
@@ -10,69 +11,112 @@
 	"beechgrade/internal/sexp"
 )
 
-// FleetLimits are limits that hold for the whole fleet. They take (peers ...).
+// FleetLimits are limits of all poolers together. They need (peers ...).
 type FleetLimits struct {
 	Enabled  bool
 	Settings quota.Settings // but for the limits, and how many poolers are expected
 	Limits   []FleetLimit
 }
 
-// What a limit may be of.
+// Resource is what a limit is of, by its name in the settings.
+type Resource string
+
+// The resources.
 const (
-	ResourceTenant       = "tenant"  // requests a second of one
-	ResourceColdServers  = "cold"    // the fall budget of cold servers
-	ResourceHealthChecks = "probes"  // probes of servers a second
-	ResourceListCalls    = "lists"   // calls for lists a second
-	ResourceDials        = "dials"   // new connections to the platform's servers a second
-	ResourceQueries      = "queries" // of a user at the ClickHouse interface, at once or a second
-	ResourcePool         = "pool"    // connections to servers of the pools of a database and a user, at once
-	ResourceShards       = "shards"  // that scattered reads ask at once
+	ResourceTenant       Resource = "tenant"  // requests of a tenant, a second
+	ResourceColdServers  Resource = "cold"    // the budget of requests to servers that are warming up
+	ResourceHealthChecks Resource = "probes"  // of servers, a second
+	ResourceListCalls    Resource = "lists"   // calls to discovery, a second
+	ResourceDials        Resource = "dials"   // new connections to the platform's servers, a second
+	ResourceQueries      Resource = "queries" // of a user at the ClickHouse interface, at once or a second
+	ResourcePool         Resource = "pool"    // connections of a database and a user to servers, at once
+	ResourceShards       Resource = "shards"  // that scattered reads query at once
 )
 
-// FleetLimit is one.
+// namesOfResource is how many names follow a resource in the settings.
+var namesOfResource = map[Resource]int{
+	ResourceTenant:       1,
+	ResourceQueries:      1,
+	ResourcePool:         2,
+	ResourceColdServers:  0,
+	ResourceHealthChecks: 0,
+	ResourceListCalls:    0,
+	ResourceDials:        0,
+	ResourceShards:       0,
+}
+
+// coreResources are the resources whose limits the core enforces.
+var coreResources = map[Resource]core.LimitKind{
+	ResourceTenant:       core.LimitTenantRequests,
+	ResourceColdServers:  core.LimitSlowStart,
+	ResourceHealthChecks: core.LimitHealthChecks,
+	ResourceListCalls:    core.LimitListCalls,
+	ResourceDials:        core.LimitDials,
+}
+
+// FleetLimit is one limit.
 type FleetLimit struct {
 	quota.Limit
-	Resource string
-	Subject  string // a tenant's or user's name, or DATABASE/USER
-	Hard     bool   // of a tenant: what is beyond is refused, not only worth less
+	Resource Resource
+	Subject  string // name of a tenant or user, or DATABASE/USER
+	Hard     bool   // of a tenant: requests beyond it are rejected, rather than of less weight
 }
 
-// Quotas are the limits as they are shared.
-func (f *FleetLimits) Quotas() (out []quota.Limit) {
+const (
+	coldBudgetUnits     = 1000 // into which the budget of cold servers is divided
+	defaultReserve      = 0.1
+	minRenewalsPerQuota = 4
+	beyondRejected      = "refused"
+	beyondLessWeight    = "worth-less"
+)
+
+var (
+	quotaLeases    = durationRange{500, 10 * minute}
+	quotaRenewals  = durationRange{100, minute}
+	quotaRetries   = durationRange{50, minute}
+	quotaLingering = durationRange{0, hour}
+	limitRates     = numberRange{0.01, 1e7} // a second
+	limitBursts    = numberRange{1, 1e7}
+	limitNumbers   = countRange{1, 1e6}
+	limitReserves  = numberRange{0, 1}
+)
+
+// Quotas are the limits as they are shared among poolers.
+func (f *FleetLimits) Quotas() (quotas []quota.Limit) {
 	for i := range f.Limits {
-		out = append(out, f.Limits[i].Limit)
+		quotas = append(quotas, f.Limits[i].Limit)
 	}
-	return out
+	return quotas
 }
 
-// CoreLimits are those of the limits that the core keeps to.
-func (f *FleetLimits) CoreLimits() (out []core.Limit) {
-	kinds := map[string]core.LimitKind{ResourceTenant: core.LimitTenantRequests, ResourceColdServers: core.LimitSlowStart, ResourceHealthChecks: core.LimitHealthChecks, ResourceListCalls: core.LimitListCalls, ResourceDials: core.LimitDials}
-	for _, x := range f.Limits {
-		if of, ok := kinds[x.Resource]; ok {
-			out = append(out, core.Limit{Name: x.Name, Kind: of, Tenant: x.Subject, Amount: x.Amount, Hard: x.Hard})
+// CoreLimits are the limits that the core enforces.
+func (f *FleetLimits) CoreLimits() (bounds []core.Limit) {
+	for _, limit := range f.Limits {
+		if of, ok := coreResources[limit.Resource]; ok {
+			bounds = append(bounds, core.Limit{Name: limit.Name, Kind: of, Tenant: limit.Subject, Amount: limit.Amount, Hard: limit.Hard})
 		}
 	}
-	return out
+	return bounds
 }
 
 // ReadFleetLimits reads (fleet-limits ...).
 func ReadFleetLimits(node *sexp.Node) (*FleetLimits, error) {
 	f := &FleetLimits{}
-	return f, f.read(node)
+	return f, f.read(node, os.Getenv)
 }
 
-func (f *FleetLimits) read(node *sexp.Node) error {
-	f.Enabled, f.Settings = true, quota.Defaults()
+func (f *FleetLimits) read(node *sexp.Node, _ func(string) string) error {
+	f.Enabled = true
+	f.Settings = quota.Defaults()
 	s := &f.Settings
-	span := func(to *float64, least, most float64) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, most); return err }
-	}
 	err := sexp.Schema{
-		"lease": span(&s.LeaseDuration, 500, 600000), "promise": span(&s.VoteDuration, 500, 600000), "renew": span(&s.RenewInterval, 100, 60000),
-		"soon": span(&s.UrgentInterval, 50, 60000), "linger": span(&s.UseTimeout, 0, 3600e3),
-		"drift": func(node *sexp.Node) (err error) { s.ClockDrift, err = node.Float(0, 0.1); return err },
-		"limit": f.readLimit,
+		"lease":   duration(&s.LeaseDuration, quotaLeases),
+		"promise": duration(&s.VoteDuration, quotaLeases),
+		"renew":   duration(&s.RenewInterval, quotaRenewals),
+		"soon":    duration(&s.UrgentInterval, quotaRetries),
+		"linger":  duration(&s.UseTimeout, quotaLingering),
+		"drift":   number(&s.ClockDrift, clockDrifts),
+		"limit":   f.readLimit,
 	}.Read(node.Args(), "limit")
 	switch {
 	case err != nil:
@@ -81,119 +125,172 @@
 		return node.Errorf("(fleet-limits ...) needs a (limit ...)")
 	case s.UrgentInterval > s.RenewInterval:
 		return node.Errorf("what is asked again soon, after %g ms, is asked later than every %g ms", s.UrgentInterval, s.RenewInterval)
-	case s.VoteDuration < 4*s.RenewInterval || s.LeaseDuration < 4*s.RenewInterval:
+	case s.VoteDuration < minRenewalsPerQuota*s.RenewInterval || s.LeaseDuration < minRenewalsPerQuota*s.RenewInterval:
 		return node.Errorf("a promise of %g ms and a lease of %g ms are to be four times the %g ms between asks at least", s.VoteDuration, s.LeaseDuration, s.RenewInterval)
 	}
 	return nil
 }
 
+// limitReader reads one (limit ...).
+type limitReader struct {
+	limit   FleetLimit
+	hasRate bool // (rate ...)
+	atOnce  bool // (at-once ...)
+}
+
 func (f *FleetLimits) readLimit(node *sexp.Node) error {
-	a := node.Args()
-	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" || len(a[0].Text) > quota.MaxNameBytes {
+	arguments := node.Args()
+	name, ok := firstName(arguments)
+	if !ok || len(name) > quota.MaxNameBytes {
 		return node.Errorf("a limit's name, of %d bytes at most, is due first", quota.MaxNameBytes)
 	}
-	l := FleetLimit{Limit: quota.Limit{Name: a[0].Text, Reserve: 0.1}, Hard: true}
-	if slices.ContainsFunc(f.Limits, func(o FleetLimit) bool { return o.Name == l.Name }) {
-		return a[0].Errorf("there is a limit %q already", l.Name)
+	if slices.ContainsFunc(f.Limits, func(other FleetLimit) bool { return other.Name == name }) {
+		return arguments[0].Errorf("there is a limit %q already", name)
 	}
 	if len(f.Limits) == quota.MaxLimits {
-		return a[0].Errorf("over %d limits", quota.MaxLimits)
-	}
-	rate, once := false, false
-	word := func(node *sexp.Node, words ...string) (int, error) {
-		s, err := node.Str()
-		i := slices.Index(words, s)
-		if err == nil && i < 0 {
-			err = node.Errorf("%s is due here", strings.Join(words, " or "))
-		}
-		return i, err
+		return arguments[0].Errorf("over %d limits", quota.MaxLimits)
 	}
-	err := sexp.Schema{
-		"of": func(node *sexp.Node) error {
-			a := node.Args()
-			if len(a) == 0 || a[0].Kind == sexp.List {
-				return node.Errorf("(of WHAT ...) is due: tenant, queries or pool with a name, cold, probes, lists, dials or shards")
-			}
-			l.Resource = a[0].Text
-			named := map[string]int{ResourceTenant: 1, ResourceQueries: 1, ResourcePool: 2, ResourceColdServers: 0, ResourceHealthChecks: 0, ResourceListCalls: 0, ResourceDials: 0, ResourceShards: 0}
-			names, known := named[l.Resource]
-			if !known || len(a) != 1+names {
-				return a[0].Errorf("tenant or queries with a name, pool with a database and a user, cold, probes, lists, dials or shards is due here")
-			}
-			for _, x := range a[1:] {
-				if x.Kind == sexp.List || x.Text == "" {
-					return x.Errorf("a name is due here")
-				}
-				l.Subject = strings.TrimPrefix(l.Subject+"/"+x.Text, "/")
-			}
-			return nil
+	r := &limitReader{limit: FleetLimit{Limit: quota.Limit{Name: name, Reserve: defaultReserve}, Hard: true}}
+	if err := r.schema().Read(arguments[1:]); err != nil {
+		return err
+	}
+	if err := r.finish(node); err != nil {
+		return err
+	}
+	limit := r.limit
+	same := func(other FleetLimit) bool {
+		return other.Resource == limit.Resource && other.Subject == limit.Subject && other.Kind == limit.Kind
+	}
+	if slices.ContainsFunc(f.Limits, same) {
+		return node.Errorf("limit %q: there is another of the same", name)
+	}
+	f.Limits = append(f.Limits, limit)
+	return nil
+}
+
+func (r *limitReader) schema() sexp.Schema {
+	limit := &r.limit
+	return sexp.Schema{
+		"of": r.readResource,
+		"rate": func(node *sexp.Node) error {
+			r.hasRate = true
+			return number(&limit.Amount, limitRates)(node)
+		},
+		"burst": number(&limit.Burst, limitBursts),
+		"at-once": func(node *sexp.Node) error {
+			r.atOnce = true
+			amount, err := node.Int(limitNumbers.min, limitNumbers.max)
+			limit.Amount = float64(amount)
+			return err
 		},
-		"rate":    func(node *sexp.Node) (err error) { l.Amount, err = node.Float(0.01, 1e7); rate = true; return err },
-		"burst":   func(node *sexp.Node) (err error) { l.Burst, err = node.Float(1, 1e7); return err },
-		"at-once": func(node *sexp.Node) error { x, err := node.Int(1, 1e6); l.Amount, once = float64(x), true; return err },
-		"reserve": func(node *sexp.Node) (err error) { l.Reserve, err = node.Float(0, 1); return err },
+		"reserve": number(&limit.Reserve, limitReserves),
 		"manner": func(node *sexp.Node) error {
-			i, err := word(node, quota.NeverOver.String(), quota.SoonEven.String(), quota.FixedShare.String())
-			l.Guarantee = quota.Guarantee(i)
+			i, err := oneOf(node, quota.NeverOver.String(), quota.SoonEven.String(), quota.FixedShare.String())
+			limit.Guarantee = quota.Guarantee(i)
 			return err
 		},
 		"beyond": func(node *sexp.Node) error {
-			i, err := word(node, "refused", "worth-less")
-			l.Hard = i == 0
+			i, err := oneOf(node, beyondRejected, beyondLessWeight)
+			limit.Hard = i == 0
 			return err
 		},
-	}.Read(a[1:])
-	if err != nil {
-		return err
 	}
-	switch {
-	case l.Resource == "":
-		return node.Errorf("limit %q: (of WHAT ...) is due", l.Name)
-	case l.Resource == ResourceColdServers && (rate || once):
-		return node.Errorf("limit %q: how much cold servers bear is known from elsewhere", l.Name)
-	case (l.Resource == ResourcePool || l.Resource == ResourceShards) && !once, l.Resource != ResourceColdServers && l.Resource != ResourcePool && l.Resource != ResourceShards && l.Resource != ResourceQueries && !rate, l.Resource == ResourceQueries && rate == once:
-		return node.Errorf("limit %q: (rate A-SECOND) is due, or (at-once N) where something goes on: of a pool, of shards, or of queries", l.Name)
-	case once:
-		l.Kind = quota.Concurrency
-	case l.Resource == ResourceColdServers:
-		l.Kind, l.Amount, l.Burst = quota.Budget, 1, coldBudgetUnits
-	case l.Resource == ResourceHealthChecks, l.Resource == ResourceListCalls, l.Resource == ResourceDials:
-		l.Kind = quota.Budget
+}
+
+// readResource reads (of RESOURCE NAME ...).
+func (r *limitReader) readResource(node *sexp.Node) error {
+	arguments := node.Args()
+	if len(arguments) == 0 || arguments[0].Kind == sexp.List {
+		return node.Errorf("(of WHAT ...) is due: tenant, queries or pool with a name, cold, probes, lists, dials or shards")
 	}
-	if !once && l.Burst == 0 {
-		l.Burst = max(1, l.Amount)
+	r.limit.Resource = Resource(arguments[0].Text)
+	names, known := namesOfResource[r.limit.Resource]
+	if !known || len(arguments) != 1+names {
+		return arguments[0].Errorf("tenant or queries with a name, pool with a database and a user, cold, probes, lists, dials or shards is due here")
 	}
-	if slices.ContainsFunc(f.Limits, func(o FleetLimit) bool { return o.Resource == l.Resource && o.Subject == l.Subject && o.Kind == l.Kind }) {
-		return node.Errorf("limit %q: there is another of the same", l.Name)
+	for _, item := range arguments[1:] {
+		if !isName(item) {
+			return item.Errorf("a name is due here")
+		}
+		r.limit.Subject = strings.TrimPrefix(r.limit.Subject+"/"+item.Text, "/")
 	}
-	f.Limits = append(f.Limits, l)
 	return nil
 }
 
-// coldBudgetUnits is in how many parts the fall budget is shared out.
-const coldBudgetUnits = 1000
+// hasAmount reports whether a limit says how much, in the way that fits its resource.
+func (r *limitReader) hasAmount() bool {
+	switch r.limit.Resource {
+	case ResourceColdServers:
+		return true
+	case ResourcePool, ResourceShards:
+		return r.atOnce
+	case ResourceQueries:
+		return r.hasRate != r.atOnce
+	}
+	return r.hasRate
+}
 
-// String is the settings' text.
+// finish completes a limit from what was set, and checks it.
+func (r *limitReader) finish(node *sexp.Node) error {
+	limit := &r.limit
+	switch {
+	case limit.Resource == "":
+		return node.Errorf("limit %q: (of WHAT ...) is due", limit.Name)
+	case limit.Resource == ResourceColdServers && (r.hasRate || r.atOnce):
+		return node.Errorf("limit %q: how much cold servers bear is known from elsewhere", limit.Name)
+	case !r.hasAmount():
+		return node.Errorf("limit %q: (rate A-SECOND) is due, or (at-once N) where something goes on: of a pool, of shards, or of queries", limit.Name)
+	}
+	if r.atOnce {
+		limit.Kind = quota.Concurrency
+		return nil
+	}
+	switch limit.Resource {
+	case ResourceColdServers:
+		limit.Kind = quota.Budget
+		limit.Amount = 1
+		limit.Burst = coldBudgetUnits
+	case ResourceHealthChecks, ResourceListCalls, ResourceDials:
+		limit.Kind = quota.Budget
+	}
+	if limit.Burst == 0 {
+		limit.Burst = max(1, limit.Amount)
+	}
+	return nil
+}
+
+// String is the text of the settings.
 func (f *FleetLimits) String() string {
 	var b strings.Builder
 	s := &f.Settings
-	fmt.Fprintf(&b, "(fleet-limits (lease %gms) (promise %gms) (renew %gms) (soon %gms) (linger %gms) (drift %g)", s.LeaseDuration, s.VoteDuration, s.RenewInterval, s.UrgentInterval, s.UseTimeout, s.ClockDrift)
-	for _, l := range f.Limits {
-		whom := ""
-		for i, part := range strings.SplitN(l.Subject, "/", 2) {
-			if part != "" && (i == 0 || l.Resource == ResourcePool) {
-				whom += fmt.Sprintf(" %q", part)
-			}
-		}
-		amount := fmt.Sprintf(" (rate %g) (burst %g)", l.Amount, l.Burst)
-		switch {
-		case l.Resource == ResourceColdServers:
-			amount = ""
-		case l.Kind == quota.Concurrency:
-			amount = fmt.Sprintf(" (at-once %g)", l.Amount)
+	fmt.Fprintf(&b, "(fleet-limits (lease %gms) (promise %gms) (renew %gms) (soon %gms) (linger %gms) (drift %g)",
+		s.LeaseDuration, s.VoteDuration, s.RenewInterval, s.UrgentInterval, s.UseTimeout, s.ClockDrift)
+	for i := range f.Limits {
+		b.WriteString("\n  " + f.Limits[i].text())
+	}
+	b.WriteString(")\n")
+	return b.String()
+}
+
+// text is the text of the limit in the settings.
+func (l *FleetLimit) text() string {
+	subject := ""
+	for i, part := range strings.SplitN(l.Subject, "/", 2) {
+		if part != "" && (i == 0 || l.Resource == ResourcePool) {
+			subject += fmt.Sprintf(" %q", part)
 		}
-		fmt.Fprintf(&b, "\n  (limit %q (of %s%s)%s (reserve %g) (manner %s) (beyond %s))", l.Name, l.Resource, whom, amount, l.Reserve, l.Guarantee,
-			map[bool]string{true: "refused", false: "worth-less"}[l.Hard])
 	}
-	return b.String() + ")\n"
+	amount := fmt.Sprintf(" (rate %g) (burst %g)", l.Amount, l.Burst)
+	switch {
+	case l.Resource == ResourceColdServers:
+		amount = ""
+	case l.Kind == quota.Concurrency:
+		amount = fmt.Sprintf(" (at-once %g)", l.Amount)
+	}
+	beyond := beyondLessWeight
+	if l.Hard {
+		beyond = beyondRejected
+	}
+	return fmt.Sprintf("(limit %q (of %s%s)%s (reserve %g) (manner %s) (beyond %s))",
+		l.Name, l.Resource, subject, amount, l.Reserve, l.Guarantee, beyond)
 }
--- a/internal/settings/invariants.go
+++ b/internal/settings/invariants.go
@@ -2,15 +2,19 @@
 
 import "beechgrade/internal/sexp"
 
-// Invariants say whether the process checks statements about its own state as it serves.
+// Invariants say whether the process checks invariants of its own state while it serves.
 type Invariants struct {
 	Enabled      bool
-	WalkInterval int // changes for one walk over what is large
+	WalkInterval int // changes between two walks over large state
 }
 
-func (i *Invariants) read(node *sexp.Node) error {
-	*i = Invariants{Enabled: true, WalkInterval: 64}
+const defaultWalkInterval = 64
+
+var walkIntervals = countRange{1, 1 << 20}
+
+func (i *Invariants) read(node *sexp.Node, _ func(string) string) error {
+	*i = Invariants{Enabled: true, WalkInterval: defaultWalkInterval}
 	return sexp.Schema{
-		"every": func(node *sexp.Node) (err error) { i.WalkInterval, err = node.Int(1, 1<<20); return err },
+		"every": count(&i.WalkInterval, walkIntervals),
 	}.Read(node.Args())
 }
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -1,56 +1,107 @@
 package settings
 
 import (
+	"os"
+
 	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/cluster/overload/adapter"
 	"beechgrade/internal/sexp"
 )
 
-// Overload says whether and how the fleet handles overload as one. It takes (peers ...).
+// Overload says whether and how the poolers handle overload together. It needs (peers ...).
 type Overload struct {
 	Enabled bool
 	adapter.Options
 }
 
+const minPeriodsUntilStale = 3
+
+var (
+	overloadPeriods      = durationRange{100, 10 * second}
+	overloadMemories     = durationRange{100, 10 * second}
+	overloadStaleness    = durationRange{300, minute}
+	overloadHolds        = durationRange{500, 10 * minute}
+	overloadFalls        = durationRange{100, 10 * minute}
+	overloadRetention    = durationRange{second, hour}
+	overloadTargets      = numberRange{0.01, 0.5}
+	overloadDelays       = numberRange{0.05, 0.9}
+	overloadDrains       = numberRange{0.3, 10}
+	overloadRecoveries   = numberRange{0.01, 2}
+	collectorCounts      = countRange{1, 7}
+	returnLimits         = numberRange{1, 1e6}
+	retryParts           = numberRange{0, 10}
+	retryFloors          = numberRange{0, 1e4}
+	retrySpans           = durationRange{100, hour}
+	lendingReserves      = numberRange{0, 1e3}
+	lendingVaults        = numberRange{1, 1e4}
+	proberCounts         = countRange{1, 16}
+	healthCheckIntervals = durationRange{1, 10 * second}
+	healthCheckAges      = durationRange{0, 10 * second}
+	healthCheckPatience  = durationRange{10, 10 * second}
+	shunTimes            = durationRange{0, 10 * minute}
+)
+
 // ReadOverload reads (overload ...).
 func ReadOverload(node *sexp.Node) (*Overload, error) {
 	o := &Overload{}
-	return o, o.read(node)
+	return o, o.read(node, os.Getenv)
 }
 
-func (o *Overload) read(node *sexp.Node) error {
-	o.Enabled, o.Options = true, adapter.Options{Set: overload.Defaults(), Share: true, Probes: overload.DefaultProbes(), Bound: adapter.DefaultBound()}
-	s, p, b := &o.Set, &o.Probes, &o.Bound
-	span := func(to *float64, least, most float64) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, most); return err }
-	}
-	part := func(to *float64, least, most float64) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Float(least, most); return err }
-	}
-	flag := func(to *bool) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Bool(); return err }
+func (o *Overload) read(node *sexp.Node, _ func(string) string) error {
+	o.Enabled = true
+	o.Options = adapter.Options{
+		Set:    overload.Defaults(),
+		Share:  true,
+		Probes: overload.DefaultProbes(),
+		Bound:  adapter.DefaultBound(),
 	}
+	s := &o.Set
 	err := sexp.Schema{
-		"shed": flag(&o.SetShedding), "period": span(&s.Period, 100, 10000), "memory": span(&s.Memory, 100, 10000), "stale": span(&s.Stale, 300, 60000),
-		"hold": span(&s.Hold, 500, 600000), "fall": span(&s.Fall, 100, 600000), "keep": span(&s.Keep, 1000, 3600e3),
-		"target": part(&s.Target, 0.01, 0.5), "delay": part(&s.Delay, 0.05, 0.9), "drain": part(&s.Drain, 0.3, 10), "back": part(&s.Back, 0.01, 2),
-		"collectors": func(node *sexp.Node) (err error) { s.Collectors, err = node.Int(1, 7); return err },
-		"returns":    part(&b.Returns, 1, 1e6),
-		"repeats": func(node *sexp.Node) error {
-			b.Repeats = true
-			return sexp.Schema{"part": part(&b.Part, 0, 10), "floor": part(&b.Floor, 0, 1e4), "span": span(&b.SpanMs, 100, 3600e3), "lend": flag(&b.AddRetryBudget),
-				"keep": part(&b.Lending.Keep, 0, 1e3), "vault": part(&b.Lending.Vault, 1, 1e4)}.Read(node.Args())
-		},
-		"probes": func(node *sexp.Node) error {
-			return sexp.Schema{
-				"share":   flag(&o.Share),
-				"probers": func(node *sexp.Node) (err error) { p.Probers, err = node.Int(1, 16); return err },
-				"each":    span(&p.Each, 1, 10000), "age": span(&p.Age, 0, 10000), "patience": span(&p.Patience, 10, 10000), "shun": span(&p.Shun, 0, 600000),
-			}.Read(node.Args())
-		},
+		"shed":       flag(&o.SetShedding),
+		"period":     duration(&s.Period, overloadPeriods),
+		"memory":     duration(&s.Memory, overloadMemories),
+		"stale":      duration(&s.Stale, overloadStaleness),
+		"hold":       duration(&s.Hold, overloadHolds),
+		"fall":       duration(&s.Fall, overloadFalls),
+		"keep":       duration(&s.Keep, overloadRetention),
+		"target":     number(&s.Target, overloadTargets),
+		"delay":      number(&s.Delay, overloadDelays),
+		"drain":      number(&s.Drain, overloadDrains),
+		"back":       number(&s.Back, overloadRecoveries),
+		"collectors": count(&s.Collectors, collectorCounts),
+		"returns":    number(&o.Bound.Returns, returnLimits),
+		"repeats":    o.readRepeats,
+		"probes":     o.readProbes,
 	}.Read(node.Args())
-	if err == nil && s.Stale < 3*s.Period {
+	if err == nil && s.Stale < minPeriodsUntilStale*s.Period {
 		err = node.Errorf("with a period of %g ms, what is stale after %g ms leaves no room for a lost word", s.Period, s.Stale)
 	}
 	return err
 }
+
+// readRepeats reads (repeats ...), the budget of retries.
+func (o *Overload) readRepeats(node *sexp.Node) error {
+	b := &o.Bound
+	b.Repeats = true
+	return sexp.Schema{
+		"part":  number(&b.Part, retryParts),
+		"floor": number(&b.Floor, retryFloors),
+		"span":  duration(&b.SpanMs, retrySpans),
+		"lend":  flag(&b.AddRetryBudget),
+		"keep":  number(&b.Lending.Keep, lendingReserves),
+		"vault": number(&b.Lending.Vault, lendingVaults),
+	}.Read(node.Args())
+}
+
+// readProbes reads (probes ...), shared health checks.
+func (o *Overload) readProbes(node *sexp.Node) error {
+	p := &o.Probes
+	return sexp.Schema{
+		"share":    flag(&o.Share),
+		"probers":  count(&p.Probers, proberCounts),
+		"each":     duration(&p.Each, healthCheckIntervals),
+		"age":      duration(&p.Age, healthCheckAges),
+		"patience": duration(&p.Patience, healthCheckPatience),
+		"shun":     duration(&p.Shun, shunTimes),
+	}.Read(node.Args())
+}
--- a/internal/settings/pooling.go
+++ b/internal/settings/pooling.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"slices"
 	"time"
 
@@ -13,7 +12,7 @@
 	"beechgrade/internal/sexp"
 )
 
-// Pooling says whether and how ordinary PostgreSQL clients are served.
+// Pooling says whether and how PostgreSQL clients are served.
 type Pooling struct {
 	Listen           string // empty for off
 	Classes          []TransactionClass
@@ -24,44 +23,74 @@
 	classPositions map[string]sexp.Pos // where pools name their classes
 }
 
-// TransactionClass is a class of transactions that the operators add to the platform's.
+// TransactionClass is a class of transactions that the operators add to the platform's classes.
 type TransactionClass struct {
 	Name string
 	decide.Class
 }
 
-// defaultPoolOptions is what a pool has where its settings say nothing. Times are in milliseconds.
+const (
+	defaultMaxMessageBytes     = megabyte
+	defaultMaxResponseBytes    = 16 * megabyte
+	defaultTransactionTarget   = 500 * time.Millisecond
+	defaultTransactionDeadline = 60 * time.Second
+)
+
+// defaultPoolOptions are the options of a pool whose settings name none.
 func defaultPoolOptions() pooling.PoolOptions {
-	return pooling.PoolOptions{Database: "*", User: "*", App: "*", Clients: 5000, TxnMs: 60000, IdleTxnMs: 30000, Statements: 500, StatementBytes: 1 << 20,
-		Limits: connpool.Limits{Most: 20, Queue: 5000, WaitMs: 10000, ReserveMs: 1000, LifeMs: 3600000, IdleMs: 300000, Dials: 4, AgainMs: 200}}
+	return pooling.PoolOptions{
+		Database:       "*",
+		User:           "*",
+		App:            "*",
+		Clients:        5000,
+		TxnMs:          minute,
+		IdleTxnMs:      30 * second,
+		Statements:     500,
+		StatementBytes: megabyte,
+		Limits: connpool.Limits{
+			Most:      20,
+			Queue:     5000,
+			WaitMs:    10 * second,
+			ReserveMs: second,
+			LifeMs:    hour,
+			IdleMs:    5 * minute,
+			Dials:     4,
+			AgainMs:   200,
+		},
+	}
 }
 
-const maxDurationMs = 24 * 3600 * 1000
+var (
+	messageBytes      = sizeRange{64 * kilobyte, 64 * megabyte}
+	responseBytes     = sizeRange{64 * kilobyte, 256 * megabyte}
+	lateWeights       = numberRange{0, 1}
+	poolConnections   = countRange{1, 100000}
+	poolReserves      = countRange{0, 100000}
+	poolQueues        = countRange{0, 1000000}
+	poolDials         = countRange{1, 1000}
+	poolClients       = countRange{0, 1000000}
+	statementCounts   = countRange{1, 100000}
+	statementByteSize = sizeRange{kilobyte, gigabyte}
+)
+
+// readKinds are the words of (needs WORD).
+var readKinds = map[string]decide.ReadKind{
+	"primary": decide.Write,
+	"any":     decide.ReadAny,
+	"session": decide.ReadSession,
+	"bounded": decide.ReadBounded,
+}
 
-func (p *Pooling) read(node *sexp.Node) error {
-	p.MaxMessageBytes, p.MaxResponseBytes, p.classPositions = 1<<20, 16<<20, map[string]sexp.Pos{}
+func (p *Pooling) read(node *sexp.Node, _ func(string) string) error {
+	p.MaxMessageBytes = defaultMaxMessageBytes
+	p.MaxResponseBytes = defaultMaxResponseBytes
+	p.classPositions = map[string]sexp.Pos{}
 	err := sexp.Schema{
-		"listen": func(node *sexp.Node) (err error) {
-			if p.Listen, err = node.Str(); err != nil {
-				return err
-			}
-			if _, _, err := net.SplitHostPort(p.Listen); err != nil {
-				return node.Items[1].Errorf("an address with its port is due here: %v", err)
-			}
-			return nil
-		},
-		"class": p.readClass,
-		"pool":  p.readPool,
-		"most-message": func(node *sexp.Node) error {
-			x, err := node.Bytes(64<<10, 64<<20)
-			p.MaxMessageBytes = int(x)
-			return err
-		},
-		"most-answer": func(node *sexp.Node) error {
-			x, err := node.Bytes(64<<10, 256<<20)
-			p.MaxResponseBytes = int(x)
-			return err
-		},
+		"listen":       listenAddress(&p.Listen),
+		"class":        p.readClass,
+		"pool":         p.readPool,
+		"most-message": size(&p.MaxMessageBytes, messageBytes),
+		"most-answer":  size(&p.MaxResponseBytes, responseBytes),
 	}.Read(node.Args(), "class", "pool")
 	switch {
 	case err != nil:
@@ -74,145 +103,172 @@
 	return nil
 }
 
+// classNamed is the index of a class, -1 for none.
+func (p *Pooling) classNamed(name string) int {
+	return slices.IndexFunc(p.Classes, func(class TransactionClass) bool { return class.Name == name })
+}
+
 func (p *Pooling) readClass(node *sexp.Node) error {
-	a := node.Args()
-	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" {
+	arguments := node.Args()
+	name, ok := firstName(arguments)
+	if !ok {
 		return node.Errorf("a class's name is due first")
 	}
-	if slices.ContainsFunc(p.Classes, func(c TransactionClass) bool { return c.Name == a[0].Text }) {
-		return a[0].Errorf("there is a class %q already", a[0].Text)
-	}
-	c := TransactionClass{Name: a[0].Text, Class: decide.Class{LatencyObjective: 500 * time.Millisecond, Deadline: 60 * time.Second, PriorityWeight: 1, LateWeight: 1,
-		Idempotency: decide.NotIdempotent, Read: decide.Write}}
-	span := func(to *time.Duration) func(*sexp.Node) error {
-		return func(node *sexp.Node) error {
-			ms, err := node.Millis(1, maxDurationMs)
-			*to = time.Duration(ms * float64(time.Millisecond))
-			return err
-		}
+	if p.classNamed(name) >= 0 {
+		return arguments[0].Errorf("there is a class %q already", name)
 	}
+	class := TransactionClass{Name: name, Class: decide.Class{
+		LatencyObjective: defaultTransactionTarget,
+		Deadline:         defaultTransactionDeadline,
+		PriorityWeight:   defaultPriorityWeight,
+		LateWeight:       1,
+		Idempotency:      decide.NotIdempotent,
+		Read:             decide.Write,
+	}}
 	err := sexp.Schema{
-		"aim":      span(&c.LatencyObjective),
-		"deadline": span(&c.Deadline),
-		"bound":    span(&c.MaxStaleness),
-		"worth":    func(node *sexp.Node) (err error) { c.PriorityWeight, err = node.Float(0, 1000); return err },
-		"late":     func(node *sexp.Node) (err error) { c.LateWeight, err = node.Float(0, 1); return err },
+		"aim":      timeDuration(&class.LatencyObjective),
+		"deadline": timeDuration(&class.Deadline),
+		"bound":    timeDuration(&class.MaxStaleness),
+		"worth":    number(&class.PriorityWeight, priorityWeights),
+		"late":     number(&class.LateWeight, lateWeights),
 		"needs": func(node *sexp.Node) error {
-			s, err := node.Str()
+			word, err := node.Str()
 			if err != nil {
 				return err
 			}
-			kinds := map[string]decide.ReadKind{"primary": decide.Write, "any": decide.ReadAny, "session": decide.ReadSession, "bounded": decide.ReadBounded}
-			k, ok := kinds[s]
+			kind, ok := readKinds[word]
 			if !ok {
 				return node.Items[1].Errorf("primary, any, session or bounded is due here")
 			}
-			c.Read = k
+			class.Read = kind
 			return nil
 		},
-	}.Read(a[1:])
+	}.Read(arguments[1:])
 	if err != nil {
 		return err
 	}
-	if c.Read == decide.ReadBounded && c.MaxStaleness == 0 {
-		return node.Errorf("class %q: (needs bounded) wants a (bound TIME)", c.Name)
+	if class.Read == decide.ReadBounded && class.MaxStaleness == 0 {
+		return node.Errorf("class %q: (needs bounded) wants a (bound TIME)", name)
 	}
-	p.Classes = append(p.Classes, c)
+	p.Classes = append(p.Classes, class)
 	return nil
 }
 
-func (p *Pooling) readPool(node *sexp.Node) error {
-	o := defaultPoolOptions()
-	l := &o.Limits
-	span := func(to *float64) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Millis(0, maxDurationMs); return err }
-	}
-	whole := func(to *int, least, most int) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Int(least, most); return err }
-	}
-	text := func(to *string) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Str(); return err }
-	}
-	class := func(to *string) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) {
-			*to, err = node.Str()
-			if _, ok := p.classPositions[*to]; !ok && err == nil {
-				p.classPositions[*to] = node.Items[1].Pos
-			}
-			return err
-		}
-	}
-	choice := func(set func(string), names ...string) func(*sexp.Node) error {
-		return func(node *sexp.Node) error {
-			s, err := node.Str()
-			if err == nil && !slices.Contains(names, s) {
-				err = node.Items[1].Errorf("one of %v is due here", names)
-			}
-			set(s)
-			return err
-		}
+// timeDuration reads (key TIME) into target.
+func timeDuration(target *time.Duration) reader {
+	return func(node *sexp.Node) error {
+		ms, err := node.Millis(positiveDuration.min, positiveDuration.max)
+		*target = milliseconds(ms)
+		return err
 	}
+}
+
+func (p *Pooling) readPool(node *sexp.Node) error {
+	options := defaultPoolOptions()
+	limits := &options.Limits
 	err := sexp.Schema{
-		"database": text(&o.Database), "user": text(&o.User), "application": text(&o.App),
-		"mode": choice(func(s string) {
-			if s == "session" {
-				o.Mode = pooling.Session
+		"database":    text(&options.Database),
+		"user":        text(&options.User),
+		"application": text(&options.App),
+		"mode": choice(func(word string) {
+			if word == "session" {
+				options.Mode = pooling.Session
 			}
 		}, "transaction", "session"),
-		"pins":  choice(func(s string) { o.RefusePins = s == "refuse" }, "keep", "refuse"),
-		"class": class(&o.Class), "reads": class(&o.Reads),
-		"group":       whole(&o.Group, 0, 1<<30),
-		"connections": whole(&l.Most, 1, 100000), "per-server": whole(&l.PerServer, 1, 100000), "reserve": whole(&l.Reserve, 0, 100000),
-		"reserve-after": span(&l.ReserveMs), "queue": whole(&l.Queue, 0, 1000000), "wait": span(&l.WaitMs), "lifetime": span(&l.LifeMs),
-		"idle": span(&l.IdleMs), "dials": whole(&l.Dials, 1, 1000), "again": span(&l.AgainMs),
-		"clients": whole(&o.Clients, 0, 1000000), "transaction": span(&o.TxnMs), "idle-in-transaction": span(&o.IdleTxnMs),
-		"statements": whole(&o.Statements, 1, 100000),
-		"statement-bytes": func(node *sexp.Node) error {
-			x, err := node.Bytes(1024, 1<<30)
-			o.StatementBytes = int(x)
-			return err
-		},
+		"pins":                choice(func(word string) { options.RefusePins = word == "refuse" }, "keep", "refuse"),
+		"class":               p.readClassName(&options.Class),
+		"reads":               p.readClassName(&options.Reads),
+		"group":               count(&options.Group, groupNumbers),
+		"connections":         count(&limits.Most, poolConnections),
+		"per-server":          count(&limits.PerServer, poolConnections),
+		"reserve":             count(&limits.Reserve, poolReserves),
+		"reserve-after":       duration(&limits.ReserveMs, anyDuration),
+		"queue":               count(&limits.Queue, poolQueues),
+		"wait":                duration(&limits.WaitMs, anyDuration),
+		"lifetime":            duration(&limits.LifeMs, anyDuration),
+		"idle":                duration(&limits.IdleMs, anyDuration),
+		"dials":               count(&limits.Dials, poolDials),
+		"again":               duration(&limits.AgainMs, anyDuration),
+		"clients":             count(&options.Clients, poolClients),
+		"transaction":         duration(&options.TxnMs, anyDuration),
+		"idle-in-transaction": duration(&options.IdleTxnMs, anyDuration),
+		"statements":          count(&options.Statements, statementCounts),
+		"statement-bytes":     size(&options.StatementBytes, statementByteSize),
 	}.Read(node.Args())
 	switch {
 	case err != nil:
 		return err
-	case o.Class == "":
+	case options.Class == "":
 		return node.Errorf("pool: (class \"NAME\") is missing: which class are its transactions of?")
-	case o.Mode == pooling.Session && o.Reads != "":
+	case options.Mode == pooling.Session && options.Reads != "":
 		return node.Errorf("pool: a pool by session has all its transactions at the primary; (reads ...) is for one by transaction")
 	}
-	p.Pools = append(p.Pools, o)
+	p.Pools = append(p.Pools, options)
 	return nil
 }
 
-// Check holds the pools' classes against those that there are, the platform's by name.
-func (p *Pooling) Check(platform []string) error {
-	for _, c := range p.Classes {
-		if slices.Contains(platform, c.Name) {
-			return fmt.Errorf("pooling: class %q is one of the platform's", c.Name)
+// readClassName reads the name of a class into target, and keeps where it was named first.
+func (p *Pooling) readClassName(target *string) reader {
+	return func(node *sexp.Node) (err error) {
+		if *target, err = node.Str(); err != nil {
+			return err
 		}
+		if _, ok := p.classPositions[*target]; !ok {
+			p.classPositions[*target] = node.Items[1].Pos
+		}
+		return nil
 	}
-	for _, o := range p.Pools {
-		for i, name := range []string{o.Class, o.Reads} {
-			if name == "" {
-				continue
-			}
-			k := slices.IndexFunc(p.Classes, func(c TransactionClass) bool { return c.Name == name })
-			switch {
-			case k < 0:
-				return &sexp.Error{Pos: p.classPositions[name], Text: fmt.Sprintf("there is no (class %q ...)", name)}
-			case i == 0 && p.Classes[k].Read != decide.Write:
-				return &sexp.Error{Pos: p.classPositions[name], Text: fmt.Sprintf("class %q does not need the primary, and so is for (reads ...)", name)}
-			}
+}
+
+// choice reads one of the words allowed, and has set take it.
+func choice(set func(string), allowed ...string) reader {
+	return func(node *sexp.Node) error {
+		word, err := node.Str()
+		if err == nil && !slices.Contains(allowed, word) {
+			err = node.Items[1].Errorf("one of %v is due here", allowed)
+		}
+		set(word)
+		return err
+	}
+}
+
+// Check checks that the pools' classes exist and fit, and are none of the platform's.
+func (p *Pooling) Check(platformClasses []string) error {
+	for _, class := range p.Classes {
+		if slices.Contains(platformClasses, class.Name) {
+			return fmt.Errorf("pooling: class %q is one of the platform's", class.Name)
+		}
+	}
+	for _, pool := range p.Pools {
+		if err := p.checkClass(pool.Class, true); err != nil {
+			return err
+		}
+		if err := p.checkClass(pool.Reads, false); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// AddClasses adds the operators' classes to the platform's.
+func (p *Pooling) checkClass(name string, needsPrimary bool) error {
+	if name == "" {
+		return nil
+	}
+	i := p.classNamed(name)
+	if i < 0 {
+		return &sexp.Error{Pos: p.classPositions[name], Text: fmt.Sprintf("there is no (class %q ...)", name)}
+	}
+	if needsPrimary && p.Classes[i].Read != decide.Write {
+		reason := fmt.Sprintf("class %q does not need the primary, and so is for (reads ...)", name)
+		return &sexp.Error{Pos: p.classPositions[name], Text: reason}
+	}
+	return nil
+}
+
+// AddClasses adds the operators' classes to a configuration.
 func (p *Pooling) AddClasses(cfg *config.Config) {
-	for _, c := range p.Classes {
-		cfg.Classes = append(cfg.Classes, c.Name)
-		cfg.Settings.Classes = append(cfg.Settings.Classes, c.Class)
+	for _, class := range p.Classes {
+		cfg.Classes = append(cfg.Classes, class.Name)
+		cfg.Settings.Classes = append(cfg.Settings.Classes, class.Class)
 	}
 }
--- a/internal/settings/raftlog.go
+++ b/internal/settings/raftlog.go
@@ -1,7 +1,6 @@
 package settings
 
 import (
-	"os"
 	"slices"
 
 	"beechgrade/internal/cluster/raftlog"
@@ -9,58 +8,69 @@
 	"beechgrade/internal/sexp"
 )
 
-// RaftLog says whether the poolers keep a log in common, and who of them votes.
+// RaftLog says whether the poolers keep a replicated log, and which of them vote. It needs (peers ...).
 type RaftLog struct {
 	Enabled                  bool
 	Dir                      string // of a voter; "$NAME" stands for a variable of the environment
 	MaxBytes                 int64
-	CompactionBytesPerSecond int64 // bytes a second that its compactions write at most, 0 for any
+	CompactionBytesPerSecond int64 // 0 for any
 	Settings                 raftlog.Settings
-	WitnessPerSecond         float64 // entries a second that this pooler proposes to try the voters
+	WitnessPerSecond         float64 // entries that this pooler proposes to test the voters
 }
 
-func (a *RaftLog) read(node *sexp.Node, env func(string) string) error {
-	*a = RaftLog{Enabled: true, MaxBytes: 256 << 20, Settings: raftlog.Defaults()}
-	s := &a.Settings
+const (
+	defaultRaftLogBytes      = 256 * megabyte
+	minHeartbeatsPerElection = 4
+)
+
+var (
+	raftLogBytes     = sizeRange{64 * megabyte, terabyte}
+	raftTicks        = durationRange{50, 10 * second}
+	electionTicks    = countRange{4, 1000}
+	heartbeatTicks   = countRange{1, 250}
+	compactionEvery  = countRange{16, 1e6} // entries
+	retainedEntries  = countRange{1, 1e6}
+	witnessPerSecond = numberRange{0, 1e5}
+)
+
+func (l *RaftLog) read(node *sexp.Node, env func(string) string) error {
+	*l = RaftLog{Enabled: true, MaxBytes: defaultRaftLogBytes, Settings: raftlog.Defaults()}
+	s := &l.Settings
 	err := sexp.Schema{
-		"voters": func(node *sexp.Node) error {
-			for _, x := range node.Args() {
-				if x.Kind == sexp.List || x.Text == "" || len(x.Text) > view.MaxNameBytes {
-					return x.Errorf("a pooler's name is due here")
-				}
-				if slices.Contains(s.Voters, x.Text) {
-					return x.Errorf("%q votes already", x.Text)
-				}
-				s.Voters = append(s.Voters, x.Text)
-			}
-			return nil
-		},
-		"dir": func(node *sexp.Node) error {
-			text, err := node.Str()
-			a.Dir = os.Expand(text, env)
-			return err
-		},
-		"most": func(node *sexp.Node) (err error) { a.MaxBytes, err = node.Bytes(64<<20, 1<<40); return err },
-		"pace": func(node *sexp.Node) (err error) {
-			a.CompactionBytesPerSecond, err = node.Bytes(minCompactionRate, 1<<40)
-			return err
-		},
-		"tick":      func(node *sexp.Node) (err error) { s.TickInterval, err = node.Millis(50, 10000); return err },
-		"election":  func(node *sexp.Node) (err error) { s.ElectionTicks, err = node.Int(4, 1000); return err },
-		"heartbeat": func(node *sexp.Node) (err error) { s.HeartbeatTicks, err = node.Int(1, 250); return err },
-		"every":     func(node *sexp.Node) (err error) { s.SnapshotEntries, err = node.Int(16, 1e6); return err },
-		"keep":      func(node *sexp.Node) (err error) { s.KeepEntries, err = node.Int(1, 1e6); return err },
-		"witness":   func(node *sexp.Node) (err error) { a.WitnessPerSecond, err = node.Float(0, 1e5); return err },
+		"voters":    l.readVoters,
+		"dir":       expanded(&l.Dir, env),
+		"most":      size(&l.MaxBytes, raftLogBytes),
+		"pace":      size(&l.CompactionBytesPerSecond, compactionRate),
+		"tick":      duration(&s.TickInterval, raftTicks),
+		"election":  count(&s.ElectionTicks, electionTicks),
+		"heartbeat": count(&s.HeartbeatTicks, heartbeatTicks),
+		"every":     count(&s.SnapshotEntries, compactionEvery),
+		"keep":      count(&s.KeepEntries, retainedEntries),
+		"witness":   number(&l.WitnessPerSecond, witnessPerSecond),
 	}.Read(node.Args())
 	switch {
 	case err != nil:
 		return err
 	case len(s.Voters) != 3 && len(s.Voters) != 5:
 		return node.Errorf("agreed: (voters ...) has three names or five, not %d", len(s.Voters))
-	case a.Dir == "":
+	case l.Dir == "":
 		return node.Errorf("agreed: (dir \"FOLDER\") is due, on a disk that survives")
-	case s.ElectionTicks < 4*s.HeartbeatTicks:
+	case s.ElectionTicks < minHeartbeatsPerElection*s.HeartbeatTicks:
 		return node.Errorf("agreed: an election after %d ticks is to be four times the %d between heartbeats at least", s.ElectionTicks, s.HeartbeatTicks)
 	}
 	return nil
 }
+
+func (l *RaftLog) readVoters(node *sexp.Node) error {
+	s := &l.Settings
+	for _, item := range node.Args() {
+		if !isName(item) || len(item.Text) > view.MaxNameBytes {
+			return item.Errorf("a pooler's name is due here")
+		}
+		if slices.Contains(s.Voters, item.Text) {
+			return item.Errorf("%q votes already", item.Text)
+		}
+		s.Voters = append(s.Voters, item.Text)
+	}
+	return nil
+}
--- a/internal/settings/scatter.go
+++ b/internal/settings/scatter.go
@@ -5,7 +5,6 @@
 	"cmp"
 	"fmt"
 	"math"
-	"os"
 	"slices"
 
 	"beechgrade/internal/decide"
@@ -15,10 +14,10 @@
 	"beechgrade/internal/sexp"
 )
 
-// Scatter says which reads may go over many groups. It rides on (pooling ...).
+// Scatter says which reads may go to many groups. It needs (pooling ...).
 type Scatter struct {
 	Enabled        bool
-	KeyFile        string // empty for the peers' key
+	KeyFile        string // of the cursors' keys; empty for the cluster's key
 	RotateMs       float64
 	MaxCursorAgeMs float64
 	Specs          []scatter.Spec
@@ -26,24 +25,54 @@
 	classPositions map[string]sexp.Pos // where reads name their classes
 }
 
-const maxReads = 64
+const (
+	maxReads        = 64
+	maxScatterName  = 64 // bytes of the name of a read or shard
+	maxColumns      = 16
+	maxCursorKeys   = 8
+	defaultRotateMs = hour
+	defaultAgeMs    = day
+
+	// A read keeps this part of its time limit, and at most maxSpareMs, to answer after its shards' time is over.
+	sparePart  = 10
+	maxSpareMs = 500
+)
+
+var (
+	cursorTimes    = durationRange{second, year}
+	pageRows       = countRange{1, 100000}
+	missingShards  = countRange{1, cursor.MostShards}
+	scatterMemory  = sizeRange{64 * kilobyte, gigabyte}
+	rowBytes       = sizeRange{kilobyte, 16 * megabyte}
+	shardsAtOnce   = countRange{1, 10000}
+	scatterWaits   = durationRange{100, day}
+	shardSilences  = durationRange{50, day}
+	scatterRetries = countRange{0, 100}
+)
+
+// defaultSpec is a read whose settings name no more than what they must.
+func defaultSpec(name string) scatter.Spec {
+	return scatter.Spec{
+		Name:     name,
+		Page:     50,
+		MostPage: 1000,
+		Memory:   8 * megabyte,
+		MostRow:  64 * kilobyte,
+		AtOnce:   16,
+		WaitMs:   10 * second,
+		SilentMs: second,
+		Again:    3,
+		SettleMs: 20,
+	}
+}
 
 func (s *Scatter) read(node *sexp.Node, env func(string) string) error {
-	*s = Scatter{Enabled: true, RotateMs: 3600e3, MaxCursorAgeMs: 24 * 3600e3, classPositions: map[string]sexp.Pos{}}
+	*s = Scatter{Enabled: true, RotateMs: defaultRotateMs, MaxCursorAgeMs: defaultAgeMs, classPositions: map[string]sexp.Pos{}}
 	err := sexp.Schema{
-		"key": func(node *sexp.Node) error {
-			text, err := node.Str()
-			if s.KeyFile = os.Expand(text, env); err == nil && s.KeyFile == "" {
-				err = node.Errorf("the file's name is empty; is its variable set?")
-			}
-			return err
-		},
-		"rotate": func(node *sexp.Node) (err error) { s.RotateMs, err = node.Millis(1000, 365*maxDurationMs); return err },
-		"age": func(node *sexp.Node) (err error) {
-			s.MaxCursorAgeMs, err = node.Millis(1000, 365*maxDurationMs)
-			return err
-		},
-		"read": s.readSpec,
+		"key":    filePath(&s.KeyFile, env),
+		"rotate": duration(&s.RotateMs, cursorTimes),
+		"age":    duration(&s.MaxCursorAgeMs, cursorTimes),
+		"read":   s.readSpec,
 	}.Read(node.Args(), "read")
 	switch {
 	case err != nil:
@@ -56,184 +85,234 @@
 	return nil
 }
 
+// specReader reads one (read ...).
+type specReader struct {
+	spec         scatter.Spec
+	own          []merge.Column
+	completeness *sexp.Node // (whole) or (partial NUMBER)
+	partial      bool
+}
+
 func (s *Scatter) readSpec(node *sexp.Node) error {
-	a := node.Args()
-	if len(a) == 0 || a[0].Kind == sexp.List || a[0].Text == "" || len(a[0].Text) > 64 {
-		return node.Errorf("a read's name, of 64 bytes at most, is due first")
+	arguments := node.Args()
+	name, ok := firstName(arguments)
+	if !ok || len(name) > maxScatterName {
+		return node.Errorf("a read's name, of %d bytes at most, is due first", maxScatterName)
 	}
-	x := scatter.Spec{Name: a[0].Text, Page: 50, MostPage: 1000, Memory: 8 << 20, MostRow: 64 << 10, AtOnce: 16, WaitMs: 10000, SilentMs: 1000, Again: 3, SettleMs: 20}
-	if slices.ContainsFunc(s.Specs, func(o scatter.Spec) bool { return o.Name == x.Name }) {
-		return a[0].Errorf("there is a read %q already", x.Name)
+	if slices.ContainsFunc(s.Specs, func(other scatter.Spec) bool { return other.Name == name }) {
+		return arguments[0].Errorf("there is a read %q already", name)
 	}
 	if len(s.Specs) == maxReads {
-		return a[0].Errorf("over %d reads", maxReads)
+		return arguments[0].Errorf("over %d reads", maxReads)
 	}
-	span := func(to *float64, least float64) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, maxDurationMs); return err }
+	r := &specReader{spec: defaultSpec(name)}
+	schema := r.schema()
+	schema["class"] = func(node *sexp.Node) (err error) {
+		if r.spec.Class, err = node.Str(); err == nil {
+			s.classPositions[r.spec.Class] = node.Items[1].Pos
+		}
+		return err
 	}
-	whole := func(to *int, least, most int) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Int(least, most); return err }
+	if err := schema.Read(arguments[1:]); err != nil {
+		return err
 	}
-	size := func(to *int, least, most int64) func(*sexp.Node) error {
-		return func(node *sexp.Node) error { b, err := node.Bytes(least, most); *to = int(b); return err }
+	if err := r.finish(node); err != nil {
+		return err
 	}
-	var own []merge.Column
-	var said *sexp.Node // (whole) or (partial)
-	partial := false
-	err := sexp.Schema{
-		"class": func(node *sexp.Node) (err error) {
-			if x.Class, err = node.Str(); err == nil {
-				s.classPositions[x.Class] = node.Items[1].Pos
-			}
-			return err
-		},
-		"shards": func(node *sexp.Node) (err error) { x.Shards, err = readShards(node); return err },
-		"order":  func(node *sexp.Node) (err error) { x.Order.Columns, err = readColumns(node); return err },
-		"own":    func(node *sexp.Node) (err error) { own, err = readColumns(node); return err },
-		"page":   whole(&x.Page, 1, 100000), "most-page": whole(&x.MostPage, 1, 100000),
+	s.Specs = append(s.Specs, r.spec)
+	return nil
+}
+
+func (r *specReader) schema() sexp.Schema {
+	spec := &r.spec
+	return sexp.Schema{
+		"shards":    func(node *sexp.Node) (err error) { spec.Shards, err = readShards(node); return err },
+		"order":     func(node *sexp.Node) (err error) { spec.Order.Columns, err = readColumns(node); return err },
+		"own":       func(node *sexp.Node) (err error) { r.own, err = readColumns(node); return err },
+		"page":      count(&spec.Page, pageRows),
+		"most-page": count(&spec.MostPage, pageRows),
 		"whole": func(node *sexp.Node) error {
-			if said != nil || len(node.Args()) > 0 {
+			if r.completeness != nil || len(node.Args()) > 0 {
 				return node.Errorf("(whole) or (partial NUMBER), once")
 			}
-			said = node
+			r.completeness = node
 			return nil
 		},
-		"partial": func(node *sexp.Node) (err error) {
-			if said != nil {
+		"partial": func(node *sexp.Node) error {
+			if r.completeness != nil {
 				return node.Errorf("(whole) or (partial NUMBER), once")
 			}
-			said, partial = node, true
-			x.Missing, err = node.Int(1, cursor.MostShards)
-			return err
+			r.completeness = node
+			r.partial = true
+			return count(&spec.Missing, missingShards)(node)
 		},
-		"memory": size(&x.Memory, 64<<10, 1<<30), "most-row": size(&x.MostRow, 1<<10, 16<<20),
-		"at-once": whole(&x.AtOnce, 1, 10000), "wait": span(&x.WaitMs, 100), "silent": span(&x.SilentMs, 50), "again": whole(&x.Again, 0, 100), "settle": span(&x.SettleMs, 0),
-	}.Read(a[1:])
-	x.Order.Own = len(x.Order.Columns)
-	x.Order.Columns = append(x.Order.Columns, own...)
-	x.SpareMs = min(500, x.WaitMs/10)
+		"memory":   size(&spec.Memory, scatterMemory),
+		"most-row": size(&spec.MostRow, rowBytes),
+		"at-once":  count(&spec.AtOnce, shardsAtOnce),
+		"wait":     duration(&spec.WaitMs, scatterWaits),
+		"silent":   duration(&spec.SilentMs, shardSilences),
+		"again":    count(&spec.Again, scatterRetries),
+		"settle":   duration(&spec.SettleMs, anyDuration),
+	}
+}
+
+// finish completes a read from what was set, and checks it.
+func (r *specReader) finish(node *sexp.Node) error {
+	spec := &r.spec
+	spec.Order.Own = len(spec.Order.Columns)
+	spec.Order.Columns = append(spec.Order.Columns, r.own...)
+	spec.SpareMs = min(maxSpareMs, spec.WaitMs/sparePart)
+	isDescribed := spec.Class != "" && len(spec.Shards) > 0
+	isOrdered := spec.Order.Own > 0 && len(r.own) > 0
 	switch {
-	case err != nil:
-		return err
-	case x.Class == "" || len(x.Shards) == 0 || x.Order.Own == 0 || len(own) == 0:
-		return node.Errorf("read %q: (class ...), (shards ...), (order ...) and (own ...) are due", x.Name)
-	case said == nil:
-		return node.Errorf("read %q: is a page (whole), or may so many shards be missing: (partial NUMBER)?", x.Name)
-	case partial && x.Missing >= len(x.Shards):
-		return said.Errorf("of %d shards %d cannot be missing", len(x.Shards), x.Missing)
-	case x.Page > x.MostPage:
-		return node.Errorf("read %q: a page of %d rows is over its most, %d", x.Name, x.Page, x.MostPage)
-	}
-	for i, c := range x.Order.Columns {
-		if slices.ContainsFunc(x.Order.Columns[:i], func(o merge.Column) bool { return o.Name == c.Name }) {
-			return node.Errorf("read %q: column %q is there twice", x.Name, c.Name)
+	case !isDescribed || !isOrdered:
+		return node.Errorf("read %q: (class ...), (shards ...), (order ...) and (own ...) are due", spec.Name)
+	case r.completeness == nil:
+		return node.Errorf("read %q: is a page (whole), or may so many shards be missing: (partial NUMBER)?", spec.Name)
+	case r.partial && spec.Missing >= len(spec.Shards):
+		return r.completeness.Errorf("of %d shards %d cannot be missing", len(spec.Shards), spec.Missing)
+	case spec.Page > spec.MostPage:
+		return node.Errorf("read %q: a page of %d rows is over its most, %d", spec.Name, spec.Page, spec.MostPage)
+	}
+	for i, column := range spec.Order.Columns {
+		sameName := func(other merge.Column) bool { return other.Name == column.Name }
+		if slices.ContainsFunc(spec.Order.Columns[:i], sameName) {
+			return node.Errorf("read %q: column %q is there twice", spec.Name, column.Name)
 		}
 	}
-	s.Specs = append(s.Specs, x)
 	return nil
 }
 
-func readShards(node *sexp.Node) (out []scatter.Shard, err error) {
-	for _, a := range node.Args() {
-		if a.Kind != sexp.List || len(a.Items) != 2 || a.Items[0].Kind == sexp.List || a.Items[0].Text == "" || len(a.Items[0].Text) > 64 {
-			return nil, a.Errorf("(\"NAME\" GROUP) is due")
-		}
-		x := scatter.Shard{Name: a.Items[0].Text}
-		group, err := a.Items[1].Number(0, 1<<30)
-		if err != nil || group != math.Trunc(group) {
-			return nil, a.Items[1].Errorf("a group's number is due here")
+// readShards reads (shards ("NAME" GROUP) ...), and sorts them by name, which decides ties.
+func readShards(node *sexp.Node) (shards []scatter.Shard, err error) {
+	for _, item := range node.Args() {
+		shard, err := readShard(item)
+		if err != nil {
+			return nil, err
 		}
-		x.Group = int(group)
-		if slices.ContainsFunc(out, func(o scatter.Shard) bool { return o.Name == x.Name || o.Group == x.Group }) {
-			return nil, a.Errorf("a shard of this name or group is there already")
+		exists := func(other scatter.Shard) bool { return other.Name == shard.Name || other.Group == shard.Group }
+		if slices.ContainsFunc(shards, exists) {
+			return nil, item.Errorf("a shard of this name or group is there already")
 		}
-		out = append(out, x)
+		shards = append(shards, shard)
 	}
-	if len(out) == 0 || len(out) > cursor.MostShards {
+	if len(shards) == 0 || len(shards) > cursor.MostShards {
 		return nil, node.Errorf("from 1 to %d shards", cursor.MostShards)
 	}
-	slices.SortFunc(out, func(a, b scatter.Shard) int { return cmp.Compare(a.Name, b.Name) }) // ties go by name
-	return out, nil
+	slices.SortFunc(shards, func(a, b scatter.Shard) int { return cmp.Compare(a.Name, b.Name) })
+	return shards, nil
 }
 
-func readColumns(node *sexp.Node) (out []merge.Column, err error) {
-	for _, a := range node.Args() {
-		if a.Kind != sexp.List || len(a.Items) < 2 || a.Items[0].Kind == sexp.List || a.Items[0].Text == "" {
-			return nil, a.Errorf("(\"NAME\" TYPE ...) is due")
-		}
-		c := merge.Column{Name: a.Items[0].Text}
-		known := false
-		if c.Type, known = merge.TypeNamed(a.Items[1].Text); !known {
-			return nil, a.Items[1].Errorf("the order of type %q is not known here: int8, float8, text, bytea, timestamp, timestamptz or uuid", a.Items[1].Text)
-		}
-		nulls := ""
-		err := sexp.Schema{
-			"asc":  func(node *sexp.Node) error { return nil },
-			"desc": func(node *sexp.Node) error { c.Desc = true; return nil },
-			"as":   func(node *sexp.Node) (err error) { c.Expr, err = node.Str(); return err },
-			"nulls": func(node *sexp.Node) (err error) {
-				if nulls, err = node.Str(); err == nil && nulls != "first" && nulls != "last" {
-					err = node.Errorf("(nulls first) or (nulls last)")
-				}
-				return err
-			},
-		}.Read(a.Items[2:])
+func readShard(node *sexp.Node) (scatter.Shard, error) {
+	isPair := node.Kind == sexp.List && len(node.Items) == 2
+	if !isPair || !isName(node.Items[0]) || len(node.Items[0].Text) > maxScatterName {
+		return scatter.Shard{}, node.Errorf("(\"NAME\" GROUP) is due")
+	}
+	group, err := node.Items[1].Number(float64(groupNumbers.min), float64(groupNumbers.max))
+	if err != nil || group != math.Trunc(group) {
+		return scatter.Shard{}, node.Items[1].Errorf("a group's number is due here")
+	}
+	return scatter.Shard{Name: node.Items[0].Text, Group: int(group)}, nil
+}
+
+// readColumns reads (order ("NAME" TYPE ...) ...) or (own ...).
+func readColumns(node *sexp.Node) (columns []merge.Column, err error) {
+	for _, item := range node.Args() {
+		column, err := readColumn(item)
 		if err != nil {
 			return nil, err
 		}
-		c.NullsFirst = nulls == "first" || nulls == "" && c.Desc // as the servers have it
-		out = append(out, c)
+		columns = append(columns, column)
 	}
-	if len(out) == 0 || len(out) > 16 {
-		return nil, node.Errorf("from 1 to 16 columns")
+	if len(columns) == 0 || len(columns) > maxColumns {
+		return nil, node.Errorf("from 1 to %d columns", maxColumns)
 	}
-	return out, nil
+	return columns, nil
 }
 
-// Check holds the reads' classes against those of the pools, and the key against what there is.
-func (s *Scatter) Check(p *Pooling, peers *Cluster) error {
+func readColumn(node *sexp.Node) (merge.Column, error) {
+	if node.Kind != sexp.List || len(node.Items) < 2 || !isName(node.Items[0]) {
+		return merge.Column{}, node.Errorf("(\"NAME\" TYPE ...) is due")
+	}
+	column := merge.Column{Name: node.Items[0].Text}
+	typeNode, known := node.Items[1], false
+	if column.Type, known = merge.TypeNamed(typeNode.Text); !known {
+		return column, typeNode.Errorf("the order of type %q is not known here: int8, float8, text, bytea, timestamp, timestamptz or uuid", typeNode.Text)
+	}
+	nulls := ""
+	err := sexp.Schema{
+		"asc":  func(*sexp.Node) error { return nil },
+		"desc": func(*sexp.Node) error { column.Desc = true; return nil },
+		"as":   text(&column.Expr),
+		"nulls": func(node *sexp.Node) (err error) {
+			nulls, err = node.Str()
+			if err == nil && nulls != "first" && nulls != "last" {
+				err = node.Errorf("(nulls first) or (nulls last)")
+			}
+			return err
+		},
+	}.Read(node.Items[2:])
+	column.NullsFirst = nulls == "first" || nulls == "" && column.Desc // PostgreSQL's default
+	return column, err
+}
+
+// Check checks that the reads' classes exist in the pooling settings and fit, and that there is a key for cursors.
+func (s *Scatter) Check(pooling *Pooling, cluster *Cluster) error {
 	if !s.Enabled {
 		return nil
 	}
-	if p.Listen == "" {
+	if pooling.Listen == "" {
 		return fmt.Errorf("(scatter ...) needs (pooling ...)")
 	}
 	for i := range s.Specs {
-		x := &s.Specs[i]
-		k := slices.IndexFunc(p.Classes, func(c TransactionClass) bool { return c.Name == x.Class })
-		switch {
-		case k < 0:
-			return &sexp.Error{Pos: s.classPositions[x.Class], Text: fmt.Sprintf("there is no (class %q ...) in (pooling ...)", x.Class)}
-		case p.Classes[k].Read != decide.ReadSession:
-			return &sexp.Error{Pos: s.classPositions[x.Class], Text: fmt.Sprintf("class %q is not of (needs session): a page must not be read behind the one before", x.Class)}
+		if err := s.checkClass(pooling, s.Specs[i].Class); err != nil {
+			return err
 		}
 	}
-	_, err := s.Secrets(peers)
+	_, err := s.Secrets(cluster)
 	return err
 }
 
-// Secrets are what cursors' keys are derived from: the lines of the key's file, or the peers' key. The first one seals.
-func (s *Scatter) Secrets(p *Cluster) ([][]byte, error) {
+func (s *Scatter) checkClass(pooling *Pooling, name string) error {
+	i := pooling.classNamed(name)
+	if i < 0 {
+		reason := fmt.Sprintf("there is no (class %q ...) in (pooling ...)", name)
+		return &sexp.Error{Pos: s.classPositions[name], Text: reason}
+	}
+	if pooling.Classes[i].Read != decide.ReadSession {
+		reason := fmt.Sprintf("class %q is not of (needs session): a page must not be read behind the one before", name)
+		return &sexp.Error{Pos: s.classPositions[name], Text: reason}
+	}
+	return nil
+}
+
+// Secrets returns what the cursors' keys are derived from: the lines of the key file, or the cluster's key. The first one seals.
+func (s *Scatter) Secrets(cluster *Cluster) ([][]byte, error) {
 	switch {
 	case s.KeyFile != "":
-		secrets, err := ReadKey(s.KeyFile)
-		if err != nil {
-			return nil, fmt.Errorf("the cursors' key: %w", err)
-		}
-		var out [][]byte
-		for line := range bytes.Lines(secrets) {
-			if line = bytes.TrimSpace(line); len(line) == 0 {
-				continue
-			}
-			if len(line) < minKeyBytes {
-				return nil, fmt.Errorf("the cursors' key: %s: a line of %d bytes; %d are wanted", s.KeyFile, len(line), minKeyBytes)
-			}
-			out = append(out, line)
-		}
-		return out[:min(len(out), 8)], nil
-	case p.Enabled:
-		key, err := p.Key()
+		return readCursorKeys(s.KeyFile)
+	case cluster.Enabled:
+		key, err := cluster.Key()
 		return [][]byte{key}, err
 	}
 	return nil, fmt.Errorf("(scatter ...) needs a (key \"FILE\"), as there are no (peers ...) with one")
 }
+
+func readCursorKeys(path string) ([][]byte, error) {
+	text, err := ReadKey(path)
+	if err != nil {
+		return nil, fmt.Errorf("the cursors' key: %w", err)
+	}
+	var keys [][]byte
+	for line := range bytes.Lines(text) {
+		line = bytes.TrimSpace(line)
+		if len(line) == 0 {
+			continue
+		}
+		if len(line) < minKeyBytes {
+			return nil, fmt.Errorf("the cursors' key: %s: a line of %d bytes; %d are wanted", path, len(line), minKeyBytes)
+		}
+		keys = append(keys, line)
+	}
+	return keys[:min(len(keys), maxCursorKeys)], nil
+}
--- a/internal/settings/snapshots.go
+++ b/internal/settings/snapshots.go
@@ -1,47 +1,37 @@
 package settings
 
-import (
-	"os"
+import "beechgrade/internal/sexp"
 
-	"beechgrade/internal/sexp"
-)
-
-// Snapshots says whether and where the last good configuration and list are kept for a start whose sources are gone.
+// Snapshots says whether and where the last good configuration and endpoint list are kept, for a start without their sources.
 type Snapshots struct {
 	Dir                      string // empty for off; "$NAME" stands for a variable of the environment
 	MaxAgeMs                 float64
 	MaxBytes                 int64
-	CompactionBytesPerSecond int64 // bytes a second that its compactions write at most, 0 for any
+	CompactionBytesPerSecond int64 // 0 for any
 }
 
-// Defaults and bounds of Kept.
 const (
-	defaultSnapshotAgeMs = 24 * 3600e3
-	defaultSnapshotBytes = 32 << 20
-	minCompactionRate    = 64 << 10 // of any store's compactions: a slower one may never end
+	defaultSnapshotAgeMs = day
+	defaultSnapshotBytes = 32 * megabyte
+)
+
+var (
+	snapshotAges  = durationRange{second, year}
+	snapshotBytes = sizeRange{megabyte, terabyte}
 )
 
-func (k *Snapshots) read(node *sexp.Node, env func(string) string) error {
-	*k = Snapshots{MaxAgeMs: defaultSnapshotAgeMs, MaxBytes: defaultSnapshotBytes}
-	if err := (sexp.Schema{
-		"dir": func(node *sexp.Node) error {
-			text, err := node.Str()
-			k.Dir = os.Expand(text, env)
-			return err
-		},
-		"age": func(node *sexp.Node) (err error) {
-			k.MaxAgeMs, err = node.Millis(1000, 365*defaultSnapshotAgeMs)
-			return err
-		},
-		"most": func(node *sexp.Node) (err error) { k.MaxBytes, err = node.Bytes(1<<20, 1<<40); return err },
-		"pace": func(node *sexp.Node) (err error) {
-			k.CompactionBytesPerSecond, err = node.Bytes(minCompactionRate, 1<<40)
-			return err
-		},
-	}).Read(node.Args()); err != nil {
+func (s *Snapshots) read(node *sexp.Node, env func(string) string) error {
+	*s = Snapshots{MaxAgeMs: defaultSnapshotAgeMs, MaxBytes: defaultSnapshotBytes}
+	err := sexp.Schema{
+		"dir":  expanded(&s.Dir, env),
+		"age":  duration(&s.MaxAgeMs, snapshotAges),
+		"most": size(&s.MaxBytes, snapshotBytes),
+		"pace": size(&s.CompactionBytesPerSecond, compactionRate),
+	}.Read(node.Args())
+	if err != nil {
 		return err
 	}
-	if k.Dir == "" {
+	if s.Dir == "" {
 		return node.Errorf("kept: (dir \"FOLDER\") is due, on a disk that survives")
 	}
 	return nil
--- a/internal/settings/zones.go
+++ b/internal/settings/zones.go
@@ -1,7 +1,6 @@
 package settings
 
 import (
-	"os"
 	"slices"
 	"time"
 
@@ -11,114 +10,154 @@
 	"beechgrade/internal/sexp"
 )
 
-// Zones says whether the poolers decide together which zone's reads are served where. It takes (peers ...) and (agreed ...).
+// Zones says whether the poolers decide together to which zones each zone's reads go. It needs (peers ...) and (agreed ...).
 type Zones struct {
 	Enabled bool
 	Dir     string // where a pooler keeps the number of the plan that it follows; empty for nowhere
 	zones.Settings
 }
 
+const minZones = 2
+
+var (
+	zoneCores         = numberRange{0.1, 1024} // of a server
+	zonePrices        = numberRange{0, 10}
+	zoneReserves      = numberRange{0, 0.9}
+	zonePeriods       = durationRange{100, 10 * second}
+	planLifetimes     = durationRange{second, 10 * minute}
+	planIntervals     = durationRange{200, minute}
+	planSteps         = numberRange{0.01, 1}
+	planMemories      = durationRange{200, 10 * minute}
+	zoneDelays        = durationRange{0, minute}
+	minZoneRequests   = numberRange{1, 1e6}
+	zoneFailureParts  = numberRange{0.01, 1}
+	zoneRecoveryParts = numberRange{0, 1}
+	zoneFailureTimes  = durationRange{100, 10 * minute}
+	zoneEmptyTimes    = durationRange{0, 10 * minute}
+	zoneRestTimes     = durationRange{second, hour}
+	zoneMaxRestTimes  = durationRange{second, day}
+	zoneWarmupTimes   = durationRange{0, hour}
+)
+
 func (z *Zones) read(node *sexp.Node, env func(string) string) error {
 	*z = Zones{Enabled: true, Settings: zones.Defaults()}
-	s, c := &z.Settings, &z.Settings.Chief
-	span := func(to *float64, least, most float64) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Millis(least, most); return err }
-	}
-	part := func(to *float64, least, most float64) func(*sexp.Node) error {
-		return func(node *sexp.Node) (err error) { *to, err = node.Float(least, most); return err }
-	}
-	var delays []*sexp.Node
+	s := &z.Settings
+	planner := &s.Chief
+	state := &planner.State
+	var delays []*sexp.Node // read once all zones are named
 	err := sexp.Schema{
-		"names": func(node *sexp.Node) error {
-			for _, x := range node.Args() {
-				if x.Kind == sexp.List || x.Text == "" || len(x.Text) > statemachine.MostName || slices.Contains(s.Zones, x.Text) {
-					return x.Errorf("a zone's name, each once, is due here")
-				}
-				s.Zones = append(s.Zones, x.Text)
-			}
-			return nil
-		},
-		"delay": func(node *sexp.Node) error { delays = append(delays, node); return nil },
-		"order": func(node *sexp.Node) error {
-			o, err := readZoneOrder(node)
-			s.Order = append(s.Order, o)
-			return err
-		},
-		"dir": func(node *sexp.Node) error {
-			text, err := node.Str()
-			if z.Dir = os.Expand(text, env); err == nil && z.Dir == "" {
-				err = node.Errorf("the folder's name is empty; is its variable set?")
-			}
-			return err
-		},
-		"cores": part(&s.Cores, 0.1, 1024), "price": part(&s.Price, 0, 10), "spare": part(&c.Plan.Spare, 0, 0.9), "tight": part(&c.Plan.Tight, 0, 0.9),
-		"period": span(&s.Period, 100, 10000), "life": span(&s.Life, 1000, 600000), "renew": span(&c.Renew, 200, 60000), "step": span(&c.Step, 200, 60000),
-		"out": part(&c.Out, 0.01, 1), "back": part(&c.Back, 0.01, 1), "window": span(&c.Window, 200, 60000), "memory": span(&c.Memory, 200, 600000),
-		"least": part(&c.State.Least, 1, 1e6), "fail-at": part(&c.State.FailAt, 0.01, 1), "well-at": part(&c.State.WellAt, 0, 1), "up-at": part(&c.State.UpAt, 0, 1),
-		"fail": span(&c.State.Fail, 100, 600000), "empty": span(&c.State.Empty, 0, 600000), "rest": span(&c.State.Rest, 1000, 3600e3), "most-rest": span(&c.State.MostRest, 1000, 24*3600e3),
-		"warm": span(&c.State.Warm, 0, 3600e3),
+		"names":     z.readNames,
+		"delay":     func(node *sexp.Node) error { delays = append(delays, node); return nil },
+		"order":     z.readOrder,
+		"dir":       folderPath(&z.Dir, env),
+		"cores":     number(&s.Cores, zoneCores),
+		"price":     number(&s.Price, zonePrices),
+		"spare":     number(&planner.Plan.Spare, zoneReserves),
+		"tight":     number(&planner.Plan.Tight, zoneReserves),
+		"period":    duration(&s.Period, zonePeriods),
+		"life":      duration(&s.Life, planLifetimes),
+		"renew":     duration(&planner.Renew, planIntervals),
+		"step":      duration(&planner.Step, planIntervals),
+		"out":       number(&planner.Out, planSteps),
+		"back":      number(&planner.Back, planSteps),
+		"window":    duration(&planner.Window, planIntervals),
+		"memory":    duration(&planner.Memory, planMemories),
+		"least":     number(&state.Least, minZoneRequests),
+		"fail-at":   number(&state.FailAt, zoneFailureParts),
+		"well-at":   number(&state.WellAt, zoneRecoveryParts),
+		"up-at":     number(&state.UpAt, zoneRecoveryParts),
+		"fail":      duration(&state.Fail, zoneFailureTimes),
+		"empty":     duration(&state.Empty, zoneEmptyTimes),
+		"rest":      duration(&state.Rest, zoneRestTimes),
+		"most-rest": duration(&state.MostRest, zoneMaxRestTimes),
+		"warm":      duration(&state.Warm, zoneWarmupTimes),
 	}.Read(node.Args(), "delay", "order")
 	switch {
 	case err != nil:
 		return err
-	case len(s.Zones) < 2 || len(s.Zones) > statemachine.MostZones:
-		return node.Errorf("(zones ...) needs (names NAME NAME ...), from 2 to %d of them", statemachine.MostZones)
-	case s.Life < 2*c.Renew+2*s.Period:
+	case len(s.Zones) < minZones || len(s.Zones) > statemachine.MostZones:
+		return node.Errorf("(zones ...) needs (names NAME NAME ...), from %d to %d of them", minZones, statemachine.MostZones)
+	case s.Life < 2*planner.Renew+2*s.Period:
 		return node.Errorf("a plan's life of %g ms is to be two renewals and two periods at least", s.Life)
 	}
-	for range s.Zones {
-		c.Plan.Delay = append(c.Plan.Delay, make([]float64, len(s.Zones)))
+	if err := z.readDelays(delays); err != nil {
+		return err
 	}
-	for _, d := range delays {
-		if err := z.readDelay(d); err != nil {
-			return err
+	for _, order := range s.Order {
+		if s.Index(order.Zone) < 0 {
+			return node.Errorf("an order is of zone %q, which is not named", order.Zone)
 		}
 	}
-	for _, o := range s.Order {
-		if s.Index(o.Zone) < 0 {
-			return node.Errorf("an order is of zone %q, which is not named", o.Zone)
+	return nil
+}
+
+func (z *Zones) readNames(node *sexp.Node) error {
+	for _, item := range node.Args() {
+		isNew := isName(item) && !slices.Contains(z.Zones, item.Text)
+		if !isNew || len(item.Text) > statemachine.MostName {
+			return item.Errorf("a zone's name, each once, is due here")
 		}
+		z.Zones = append(z.Zones, item.Text)
 	}
 	return nil
 }
 
-func (z *Zones) readDelay(node *sexp.Node) error {
-	a := node.Args()
-	if len(a) != 3 || z.Index(a[0].Text) < 0 || z.Index(a[1].Text) < 0 {
-		return node.Errorf("(delay ZONE ZONE TIME): one way between two zones that are named")
+// readDelays reads the delays between zones; those that are not set are 0.
+func (z *Zones) readDelays(nodes []*sexp.Node) error {
+	plan := &z.Chief.Plan
+	for range z.Zones {
+		plan.Delay = append(plan.Delay, make([]float64, len(z.Zones)))
+	}
+	for _, node := range nodes {
+		arguments := node.Args()
+		if len(arguments) != 3 || z.Index(arguments[0].Text) < 0 || z.Index(arguments[1].Text) < 0 {
+			return node.Errorf("(delay ZONE ZONE TIME): one way between two zones that are named")
+		}
+		ms, err := arguments[2].Duration(zoneDelays.min, zoneDelays.max)
+		if err != nil {
+			return err
+		}
+		a, b := z.Index(arguments[0].Text), z.Index(arguments[1].Text)
+		plan.Delay[a][b], plan.Delay[b][a] = ms, ms
 	}
-	ms, err := a[2].Duration(0, 60000)
-	x, y := z.Index(a[0].Text), z.Index(a[1].Text)
-	z.Chief.Plan.Delay[x][y], z.Chief.Plan.Delay[y][x] = ms, ms
-	return err
+	return nil
 }
 
-// readZoneOrder reads (order NUMBER ZONE STATE (until "TIME")), or lifted in place of a state.
-func readZoneOrder(node *sexp.Node) (o zones.Order, err error) {
-	a := node.Args()
-	if len(a) < 3 || len(a) > 4 {
-		return o, node.Errorf("(order NUMBER ZONE STATE), with (until \"2026-01-31T12:00:00Z\") behind it where it ends; STATE is one of %v, or lifted", health.Names)
+// readOrder reads (order NUMBER ZONE STATE (until "TIME")), or lifted in place of a state.
+func (z *Zones) readOrder(node *sexp.Node) error {
+	arguments := node.Args()
+	if len(arguments) < 3 || len(arguments) > 4 {
+		return node.Errorf("(order NUMBER ZONE STATE), with (until \"2026-01-31T12:00:00Z\") behind it where it ends; STATE is one of %v, or lifted", health.Names)
 	}
-	no, err := wholeNumber(a[0], 1)
+	number, err := wholeNumber(arguments[0], 1)
 	if err != nil {
-		return o, err
+		return err
 	}
-	o.No, o.Zone = uint64(no), a[1].Text
-	i := slices.Index(health.Names[:], a[2].Text)
-	if o.Lifts = a[2].Text == "lifted"; i < 0 && !o.Lifts {
-		return o, a[2].Errorf("a state is one of %v, or lifted", health.Names)
+	stateNode := arguments[2]
+	state := slices.Index(health.Names[:], stateNode.Text)
+	lifts := stateNode.Text == "lifted"
+	if state < 0 && !lifts {
+		return stateNode.Errorf("a state is one of %v, or lifted", health.Names)
 	}
-	o.State = health.State(max(0, i))
-	if len(a) == 4 {
-		text, err := a[3].Str()
-		if err != nil || a[3].Head() != "until" {
-			return o, a[3].Errorf("(until \"TIME\") is due here")
-		}
-		at, err := time.Parse(time.RFC3339, text)
-		if err != nil {
-			return o, a[3].Errorf("%q is no time as 2026-01-31T12:00:00Z", text)
+	order := zones.Order{No: uint64(number), Zone: arguments[1].Text, State: health.State(max(0, state)), Lifts: lifts}
+	if len(arguments) == 4 {
+		if order.Until, err = readUntil(arguments[3]); err != nil {
+			return err
 		}
-		o.Until = float64(at.UnixMilli())
 	}
-	return o, nil
+	z.Order = append(z.Order, order)
+	return nil
+}
+
+// readUntil reads (until "TIME"), in RFC 3339, as Unix milliseconds.
+func readUntil(node *sexp.Node) (float64, error) {
+	text, err := node.Str()
+	if err != nil || node.Head() != "until" {
+		return 0, node.Errorf("(until \"TIME\") is due here")
+	}
+	until, err := time.Parse(time.RFC3339, text)
+	if err != nil {
+		return 0, node.Errorf("%q is no time as 2026-01-31T12:00:00Z", text)
+	}
+	return float64(until.UnixMilli()), nil
 }
