--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin is the door for operators: HTTP/1.1 at an address of its own, one call to a connection. It reads calls
-// and bounds callers; what a call does is the Desk's.
+// Package admin serves the admin endpoint: HTTP/1.1 at an address of its own, one request to a connection. A Server reads requests
+// and bounds connections, their size and their time; a Handler says what a request does.
 package admin
 
 import (
@@ -15,57 +15,57 @@
 	"beechgrade/internal/eventloop/timers"
 )
 
-// Bounds on callers.
+// Bounds of connections.
 const (
-	maxConnections   = 16      // connections; the one that has gone longest without a whole call makes room
-	maxRequestBytes  = 8 << 10 // bytes of a call
-	requestTimeoutMs = 5000    // until a call is whole
-	closeDelayMs     = 250     // after the answer, for the caller to read it and go
+	maxConnections   = 16 // at one more, the oldest is closed
+	maxRequestBytes  = 8 << 10
+	requestTimeoutMs = 5000 // until a request is complete
+	closeDelayMs     = 250  // after the response, for the client to read it and to close
 )
 
-// Response is what a call is told.
+// Response is the response to a request.
 type Response struct {
 	Status        int
-	ContentType   string // of the body; empty for plain text
-	AllowedMethod string // the method that the path has, with 405
-	Body          []byte
+	ContentType   string // empty for plain text
+	AllowedMethod string // of the path, with status 405
+	Body          []byte // empty for the text of the status
 }
 
-// Handler carries calls out. It is called on the loop.
+// Handler handles requests. It is called on the event loop.
 type Handler interface {
 	Handle(method, path string, query url.Values) Response
 }
 
-// Server takes operators' calls. It is for the loop alone.
+// Server serves the admin endpoint. It belongs to the event loop.
 type Server struct {
 	loop        *eventloop.Loop
 	log         *slog.Logger
 	handler     Handler
-	connections list.List // of connections, the oldest first
+	connections list.List // of *connection, the oldest first
 }
 
-// New makes a door.
+// New returns a server. Accept has to be called for each connection.
 func New(loop *eventloop.Loop, log *slog.Logger, handler Handler) *Server {
 	return &Server{loop: loop, log: log, handler: handler}
 }
 
-// Connections is the number of connections.
-func (server *Server) Connections() int { return server.connections.Len() }
+// Connections is the number of open connections.
+func (s *Server) Connections() int { return s.connections.Len() }
 
-// Accept makes the handler of a new connection.
-func (server *Server) Accept() eventloop.Handler { return &connection{server: server} }
+// Accept returns the handler of a new connection.
+func (s *Server) Accept() eventloop.Handler { return &connection{server: s} }
 
-// connection is a connection; it is the loop's Handler.
+// connection is one client's connection. The event loop calls it.
 type connection struct {
 	server   *Server
 	conn     *eventloop.Conn
-	element  *list.Element
+	element  *list.Element // in the server's connections
 	timer    *timers.Timer
 	input    []byte
-	answered bool // it has its answer
+	answered bool
 }
 
-// Opened is loop's.
+// Opened counts the connection, and starts the time for its request.
 func (c *connection) Opened(conn *eventloop.Conn) {
 	server := c.server
 	c.conn = conn
@@ -76,19 +76,21 @@
 	c.timer = server.loop.At(server.loop.Now()+requestTimeoutMs, func() { c.respond(Response{Status: http.StatusRequestTimeout}) })
 }
 
-// Data is loop's.
+// Data takes bytes of the request; what follows the first request is dropped.
 func (c *connection) Data(b []byte) {
-	if c.answered { // one call to a connection: what follows is dropped
+	if c.answered {
 		return
 	}
-	if c.input = append(c.input, b...); len(c.input) > maxRequestBytes {
+	c.input = append(c.input, b...)
+	if len(c.input) > maxRequestBytes {
 		c.respond(Response{Status: http.StatusRequestHeaderFieldsTooLarge})
 		return
 	}
-	if !bytes.Contains(c.input, []byte("\r\n\r\n")) && !bytes.Contains(c.input, []byte("\n\n")) {
-		return // not whole yet
+	if !isComplete(c.input) {
+		return
 	}
-	switch request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.input))); {
+	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.input)))
+	switch {
 	case err != nil:
 		c.respond(Response{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")})
 	case request.ContentLength != 0:
@@ -98,41 +100,59 @@
 	}
 }
 
-// respond ends the call.
+// isComplete reports whether the head of a request is complete.
+func isComplete(input []byte) bool {
+	return bytes.Contains(input, []byte("\r\n\r\n")) || bytes.Contains(input, []byte("\n\n"))
+}
+
+// respond sends the response, and closes the connection closeDelayMs later: a close over unread input would be a reset, which may
+// overtake the response.
 func (c *connection) respond(response Response) {
 	if c.answered || c.conn == nil {
 		return
 	}
-	c.answered, c.input = true, nil
+	c.answered = true
+	c.input = nil
 	server := c.server
 	if response.Status >= http.StatusBadRequest {
-		server.log.Debug("control: turned away", "status", response.Status)
+		server.log.Debug("admin: request rejected", "status", response.Status)
 	}
-	if len(response.Body) == 0 {
-		response.Body = []byte(http.StatusText(response.Status) + "\n")
-	}
-	if response.ContentType == "" {
-		response.ContentType = "text/plain; charset=utf-8"
-	}
-	res := http.Response{StatusCode: response.Status, ProtoMajor: 1, ProtoMinor: 1, Close: true, ContentLength: int64(len(response.Body)), Body: io.NopCloser(bytes.NewReader(response.Body)),
-		Header: http.Header{"Content-Type": {response.ContentType}, "Cache-Control": {"no-store"}}}
-	if response.AllowedMethod != "" {
-		res.Header.Set("Allow", response.AllowedMethod)
-	}
-	var out bytes.Buffer
-	_ = res.Write(&out) // into memory
 	server.loop.StopTimer(c.timer)
-	if c.conn.Write(out.Bytes()) != nil {
+	if c.conn.Write(response.encode()) != nil {
 		return
 	}
-	// A close with input unread would be a reset, which may overtake the answer.
 	c.timer = server.loop.At(server.loop.Now()+closeDelayMs, c.conn.Close)
 	if c.conn.Unsent() == 0 {
 		_ = c.conn.CloseWrite()
 	}
 }
 
-// Closed is loop's.
+// encode returns the response as it is sent.
+func (r Response) encode() []byte {
+	if len(r.Body) == 0 {
+		r.Body = []byte(http.StatusText(r.Status) + "\n")
+	}
+	if r.ContentType == "" {
+		r.ContentType = "text/plain; charset=utf-8"
+	}
+	response := http.Response{
+		StatusCode:    r.Status,
+		ProtoMajor:    1,
+		ProtoMinor:    1,
+		Close:         true,
+		ContentLength: int64(len(r.Body)),
+		Body:          io.NopCloser(bytes.NewReader(r.Body)),
+		Header:        http.Header{"Content-Type": {r.ContentType}, "Cache-Control": {"no-store"}},
+	}
+	if r.AllowedMethod != "" {
+		response.Header.Set("Allow", r.AllowedMethod)
+	}
+	var out bytes.Buffer
+	_ = response.Write(&out) // into memory
+	return out.Bytes()
+}
+
+// Closed removes the connection.
 func (c *connection) Closed(error) {
 	c.answered = true
 	c.server.loop.StopTimer(c.timer)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what the pooler does, where the core sees a request or an attempt begin and end, and tells it on a
-// sheet. It does no I/O.
+// Package metrics counts what the pooler does, where the core sees requests and attempts begin and end, and writes the counts
+// to an exposition.Snapshot. It does no I/O. Metrics belong to the event loop.
 package metrics
 
 import (
@@ -11,58 +11,69 @@
 // Outcome is how a request ended.
 type Outcome uint8
 
-// The ends.
+// The outcomes.
 const (
-	Served     Outcome = iota // served
-	Rejected                  // refused
-	Failed                    // failed
-	ClientGone                // its client went away
+	Served Outcome = iota
+	Rejected
+	Failed
+	ClientGone // its client closed the connection; counted, and not written
 	outcomes
 )
 
-var outcomeNames = [ClientGone]string{"passed", "dropped", "bad_gateway"}
+// outcomeNames are the names of the metrics, which are fixed.
+var outcomeNames = [ClientGone]string{Served: "passed", Rejected: "dropped", Failed: "bad_gateway"}
 
-// Class are the figures of one class.
+func (o Outcome) String() string {
+	if o < ClientGone {
+		return outcomeNames[o]
+	}
+	return "client_gone"
+}
+
+// Class counts the requests of one class.
 type Class struct {
 	name   string
 	counts [outcomes]uint64
 }
 
-// Count counts a request's end.
+// Count counts the outcome of a request.
 func (c *Class) Count(outcome Outcome) { c.counts[outcome]++ }
 
-// Metrics are a process's; they begin at 0. The zero value is ready for use.
+// Metrics are the counts of a process, from 0. The zero value is ready for use.
 type Metrics struct {
-	OpenRequests    int    // requests taken and not ended
-	Attempts        uint64 // attempts written whole
-	ReloadsAccepted uint64 // configurations read again and taken...
-	ReloadsRejected uint64 // ...and turned down
+	OpenRequests    int    // received and not ended
+	Attempts        uint64 // sent completely
+	ReloadsAccepted uint64 // of the configuration
+	ReloadsRejected uint64
 
 	classes []*Class
 }
 
-// Class is the class of that name, which is counted from now on. One that has gone keeps its figures.
-func (f *Metrics) Class(name string) *Class {
-	index := slices.IndexFunc(f.classes, func(class *Class) bool { return class.name == name })
-	if index < 0 {
-		index, f.classes = len(f.classes), append(f.classes, &Class{name: name})
+// Class returns the counts of the class of that name, from the first call on. A class that was removed from the configuration
+// keeps its counts.
+func (m *Metrics) Class(name string) *Class {
+	i := slices.IndexFunc(m.classes, func(class *Class) bool { return class.name == name })
+	if i >= 0 {
+		return m.classes[i]
 	}
-	return f.classes[index]
+	class := &Class{name: name}
+	m.classes = append(m.classes, class)
+	return class
 }
 
-// AppendTo tells the figures, with the servers that are listed and those of them that are avoided.
-func (f *Metrics) AppendTo(snapshot *exposition.Snapshot, listed, avoided int) {
-	for _, class := range f.classes {
+// AppendTo writes the counts, with the numbers of servers that are listed and of those among them that are avoided.
+func (m *Metrics) AppendTo(snapshot *exposition.Snapshot, listed, avoided int) {
+	for _, class := range m.classes {
 		scope := snapshot.Scope("handled").Label("class", class.name)
 		for outcome, name := range outcomeNames {
 			scope.Counter(name, class.counts[outcome])
 		}
 	}
 	process := snapshot.Scope("")
-	process.Counter("upstream_tries", f.Attempts)
-	process.IntGauge("in_progress", int64(f.OpenRequests))
+	process.Counter("upstream_tries", m.Attempts)
+	process.IntGauge("in_progress", int64(m.OpenRequests))
 	process.IntGauge("known_database_servers", int64(listed))
 	process.IntGauge("skipped_database_servers", int64(avoided))
-	process.Counter("loads", f.ReloadsAccepted)
-	process.Counter("load_errors", f.ReloadsRejected)
+	process.Counter("loads", m.ReloadsAccepted)
+	process.Counter("load_errors", m.ReloadsRejected)
 }
