--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,68 +1,34 @@
-// Package core is the loop's state between the router and the sockets: it passes events to the router and carries out its
-// actions in order. Its inputs are requests of the fronts, ends of attempts and probes, server lists, settings and what
-// peers assign; its outputs are attempts and probes at the servers, answers to clients, and records. It decides nothing.
-// It keeps a slot for each request until that is over and its attempts have ended, and keys for some minutes (see keys).
-// Without peers, journal or credit their fields are nil, and the settings alone hold.
+// Package core is the event loop's state between the router, the servers and the clients: it passes events to the router
+// (package decide) and carries out its actions in order. It decides nothing itself.
+//
+// Its inputs are requests of the frontends, ends of attempts and health checks, endpoint lists, settings and what peers assign.
+// Its outputs are attempts and health checks at the servers, answers to clients, and records. It holds a slot for each request
+// until that is over and its attempts have ended, and keys of requests for some minutes (see recentKeys). Without peers, a
+// journal or credit their fields are nil, and the settings alone apply: a pooler that hears nobody goes on by itself.
+//
+// One file holds one concern:
+//
+//   - core.go: the state, settings and their reload; api.go: what the core needs from others
+//   - events.go: the queue of events and the actions of the router
+//   - request.go, requesttable.go, keys.go: requests from their arrival to their end, and those that may have run
+//   - dispatch.go, outcomes.go: the start of attempts, and their ends
+//   - healthcheck.go, observer.go, lists.go: health checks, reports of servers, and endpoint lists
+//   - sessiontokens.go, credit.go, limits.go, pacer.go: answers that wait for a commit, prepaid credit, limits of the fleet
+//   - overload.go, zones.go: the core's part in the fleet's handling of overload and zones
+//   - recorder.go, decisions.go: records, metrics and log lines; invariants.go: statements that hold between events
 package core
 
 import (
-	"errors"
 	"log/slog"
 
-	"beechgrade/internal/backend"
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/metrics"
-	"beechgrade/internal/record"
 )
 
-// Errors of a request that cannot be passed to the router.
-var (
-	ErrUnknownClass     = errors.New("no such class")
-	ErrUnknownTenant    = errors.New("no such tenant")
-	ErrMissingKey       = errors.New("no key, which its class needs")
-	ErrDuplicateID      = errors.New("a request of this id is open")
-	ErrWriteInReadClass = errors.New("a write in a class of reads")
-)
-
-// Servers carries out attempts and probes.
-type Servers interface {
-	SetAddress(id, addr string)
-	CloseIdle(id string)
-	Forget(id string)
-	Retain(ids map[string]bool)
-	Start(id string, query backend.Query, until float64, on backend.SendConditions, tag backend.AttemptID) slotmap.Ref
-	Cancel(attempt slotmap.Ref)
-	CheckHealth(id string)
-	Recall(id string, which func(backend.AttemptID) bool) // ends the attempts that have not been written yet and must not be
-}
-
-// Loop is the event loop.
-type Loop interface {
-	Now() float64
-	At(ms float64, do func()) *timers.Timer
-}
-
-// Directory fetches the server list.
-type Directory interface {
-	Watch()
-	Fetch()
-}
-
-// Grouped is implemented by servers that need to know the group of each of them.
-type Grouped interface {
-	SetGroup(id string, group int) // called before SetAddress
-}
-
-// ReportSink receives what servers report of themselves, each time.
-type ReportSink interface {
-	ServerReported(server string, primary, replica bool, position float64)
-}
-
 // Core feeds the router. It must be used on the loop alone.
 type Core struct {
 	loop      Loop
@@ -72,42 +38,34 @@
 	servers   Servers
 	directory Directory
 
-	classNumbers  map[string]int // numbers of the classes that are in use
+	classNumbers  map[string]int // of the classes that are in use
 	tenantNumbers map[string]int
-	sentKeys      recentKeys // of keyed requests that may have run
-	sentOnce      recentKeys // of requests that must not run twice and may have run, by id
-	metrics       metrics.Metrics
-	decisions     decisionCounts
-	classFigures  []*metrics.Class // by the classes' numbers
-	processes     int              // processes on the socket, 0 for this one alone
-	peers         int              // poolers that may be sending, 0 for the settings' number
 	zoneNumbers   nameNumbers
 	kindNumbers   nameNumbers
-
-	requests     slotmap.Table[*request]
-	requestsByID map[string]slotmap.Ref // the latest request of each id
-	events       []queuedEvent
-	answersBy    float64 // requests that arrive have their answer by then, 0 for no end
-	carryingOut  bool
-	abandoned    []slotmap.Ref // requests that were given up while actions are carried out
-	actions      []decide.Action
-
-	recorder           *record.Recorder // nil without records
-	recordedRequests   uint64           // number of the request recorded last
-	healthChecksSentAt map[string]float64
-	meter              Meter
-	reportSink         ReportSink // nil without one
-
-	journal       Journal // nil without one
+	processes     int     // on the socket, 0 for this one alone
+	peers         int     // poolers that may be sending, 0 for the settings' number
+	answersBy     float64 // requests that arrive have their answer by then, 0 for no end
+
+	requests    requestTable
+	events      []queuedEvent
+	actions     []decide.Action
+	carryingOut bool
+	abandoned   []slotmap.Ref // requests that were given up while actions are carried out
+
+	metrics      metrics.Metrics
+	classMetrics []*metrics.Class // by the classes' numbers
+	decisions    decisionCounts
+	recorder     recorder
+	meter        Meter
+
+	reportSink    ReportSink // nil without one
+	journal       Journal    // nil without one
 	sessionDoubt  sessionDoubt
 	sessionTokens SessionTokens // nil where sessions' commits are not stored
-
-	limits      []*limit // limits of the whole fleet
-	leases      Leases   // nil without them
-	fleet       fleetState
-	observation serverObservation
-
-	credit Credit // nil where nobody pays ahead
+	credit        Credit        // nil without prepaid credit
+	limits        limitGate
+	fleet         fleetState
+	observation   serverObservation
 
 	checks         *invariant.Checks // nil without a checker
 	walkEvery      int               // events between two walks
@@ -115,55 +73,63 @@
 	unreportedEnds int // ends of attempts that the router has yet to handle
 }
 
-// Journal records how attempts ended, and knows which requests may have run in an earlier process.
-type Journal interface {
-	Ended(tag backend.AttemptID, res decide.Result)
-	Ran(id string) bool
+// New returns the core of one pooler.
+func New(loop Loop, log *slog.Logger, config *config.Config) *Core {
+	c := &Core{
+		loop:        loop,
+		log:         log,
+		config:      config,
+		router:      decide.New(config.Settings, config.Seed),
+		zoneNumbers: numberNames(config.Zones),
+		kindNumbers: numberNames(config.MachineTypes),
+		requests:    newRequestTable(),
+		decisions:   newDecisionCounts(),
+		recorder:    recorder{loop: loop, healthChecksSentAt: map[string]float64{}},
+		limits:      limitGate{loop: loop},
+	}
+	c.indexNames()
+	return c
 }
 
 // SetJournal sets the journal.
-func (c *Core) SetJournal(j Journal) { c.journal = j }
+func (c *Core) SetJournal(journal Journal) { c.journal = journal }
 
 // SetReportSink sets the receiver of servers' reports.
-func (c *Core) SetReportSink(w ReportSink) { c.reportSink = w }
+func (c *Core) SetReportSink(sink ReportSink) { c.reportSink = sink }
+
+// SetMeter sets the meter.
+func (c *Core) SetMeter(meter Meter) { c.meter = meter }
 
 // SetChecks has the invariants of the core and of the router checked, from the beginning on.
 func (c *Core) SetChecks(checks *invariant.Checks, every int) {
-	c.checks, c.walkEvery = checks, every
+	c.checks = checks
+	c.walkEvery = every
 	c.router.EnableChecks(checks, every)
 }
 
-// Meter measures the time of the decision module.
-type Meter interface {
-	Begin()
-	End()
-}
-
-// SetMeter sets the meter.
-func (c *Core) SetMeter(m Meter) { c.meter = m }
-
-// New returns the core of one pooler.
-func New(l Loop, log *slog.Logger, cfg *config.Config) *Core {
-	c := &Core{loop: l, log: log, config: cfg, router: decide.New(cfg.Settings, cfg.Seed),
-		decisions: newDecisionCounts(), requestsByID: map[string]slotmap.Ref{}, healthChecksSentAt: map[string]float64{}, zoneNumbers: numberNames(cfg.Zones), kindNumbers: numberNames(cfg.MachineTypes)}
-	c.indexNames()
-	return c
+// Start joins the core to the servers and the directory, and passes the last known list to the router.
+func (c *Core) Start(servers Servers, directory Directory) {
+	c.servers = servers
+	c.directory = directory
+	if c.fleet.retryBudget != nil || c.fleet.recoveryRampRate > 0 {
+		c.reload()
+	}
+	c.applyList(&c.config.InitialList, decide.ListRestored)
 }
 
 // indexNames takes the names and numbers of classes and tenants from the configuration.
 func (c *Core) indexNames() {
-	c.classNumbers, c.classFigures, c.tenantNumbers = map[string]int{}, nil, map[string]int{}
-	for i, n := range c.config.Tenants {
-		c.tenantNumbers[n] = i
+	c.classNumbers, c.classMetrics, c.tenantNumbers = map[string]int{}, nil, map[string]int{}
+	for number, name := range c.config.Tenants {
+		c.tenantNumbers[name] = number
 	}
-	for i, n := range c.config.Classes {
-		c.classFigures = append(c.classFigures, c.metrics.Class(n))
-		if !c.config.Retired(i) {
-			c.classNumbers[n] = i
+	for number, name := range c.config.Classes {
+		c.classMetrics = append(c.classMetrics, c.metrics.Class(name))
+		if !c.config.Retired(number) {
+			c.classNumbers[name] = number
 		}
 	}
-	c.sentKeys.lifetimeMs = keyLifetimeMs(c.config.Settings.Classes)
-	c.sentOnce.lifetimeMs = c.sentKeys.lifetimeMs
+	c.requests.setKeyLifetime(keyLifetimeMs(c.config.Settings.Classes))
 }
 
 // Reload applies the configuration's present settings. Requests in flight keep their class.
@@ -174,18 +140,20 @@
 
 // reload passes the settings to the router, with what the core knows better: processes, peers, zone and assigned limits.
 func (c *Core) reload() {
-	set := c.config.Settings
-	set.Processes = max(1, c.processes)
+	settings := c.config.Settings
+	settings.Processes = max(1, c.processes)
 	if c.peers > 0 {
-		set.Peers = c.peers
+		settings.Peers = c.peers
 	}
-	if z := set.Zone; z >= 0 && z < len(c.config.Zones) {
-		set.Zone = c.zoneNumbers.number(c.config.Zones[z])
+	if zone := settings.Zone; zone >= 0 && zone < len(c.config.Zones) {
+		settings.Zone = c.zoneNumbers.number(c.config.Zones[zone])
 	}
-	c.applyZone(&set)
-	c.applyLimits(&set)
-	set.Shedding, set.RetryBudget, set.RecoveryRampRate = c.fleet.shedding, c.fleet.retryBudget, c.fleet.recoveryRampRate
-	c.handleEvent(&decide.Reload{Settings: set})
+	c.applyZone(&settings)
+	c.limits.apply(&settings, c.tenantNumbers)
+	settings.Shedding = c.fleet.shedding
+	settings.RetryBudget = c.fleet.retryBudget
+	settings.RecoveryRampRate = c.fleet.recoveryRampRate
+	c.handleEvent(&decide.Reload{Settings: settings})
 }
 
 // SetProcesses sets the number of processes that share this pooler's place, and reports whether it changed.
@@ -209,26 +177,19 @@
 // Snapshot returns what the router knows.
 func (c *Core) Snapshot() *decide.Snapshot { return c.router.Snapshot() }
 
-// MergeSnapshot merges what another router knew into this one's memory.
-func (c *Core) MergeSnapshot(m *decide.Snapshot) { c.router.Merge(clock.ToDuration(c.loop.Now()), m) }
+// MergeSnapshot merges what another router knew into this one's state.
+func (c *Core) MergeSnapshot(snapshot *decide.Snapshot) {
+	c.router.Merge(clock.ToDuration(c.loop.Now()), snapshot)
+}
 
-// Figures returns the process's figures.
+// Figures returns the process's metrics.
 func (c *Core) Figures() *metrics.Metrics { return &c.metrics }
 
-// Start joins the core to the servers and the directory, and passes the last known list to the router.
-func (c *Core) Start(s Servers, d Directory) {
-	c.servers, c.directory = s, d
-	if c.fleet.retryBudget != nil || c.fleet.recoveryRampRate > 0 {
-		c.reload()
-	}
-	c.applyList(&c.config.InitialList, decide.ListRestored)
-}
-
-// OpenRequests returns the number of requests that are owed an answer or have attempts in flight.
+// OpenRequests returns the number of requests that await an answer or have attempts in flight.
 func (c *Core) OpenRequests() int { return c.requests.Len() }
 
-// EndAt sets the time by which requests of the platform's clients, open ones and new ones, have their answer. Sessions of the other
-// fronts have no deadline and are ended by their fronts.
+// EndAt sets the time by which requests of the platform's clients, open ones and new ones, have their answer. Sessions of the
+// other frontends have no deadline and are ended by their frontends.
 func (c *Core) EndAt(ms float64) {
 	c.answersBy = ms
 	var open []slotmap.Ref
@@ -237,13 +198,3 @@
 		c.AnswerBy(ref, ms)
 	}
 }
-
-// AnswerBy implements platform.Desk. It brings forward the deadline of a request of the platform's clients.
-func (c *Core) AnswerBy(ref slotmap.Ref, ms float64) {
-	req, ok := c.requests.Get(ref)
-	if !ok || !req.platform || req.finished || req.deadline <= ms {
-		return
-	}
-	req.deadline = ms
-	c.handleEvent(&decide.ShortenDeadline{ID: requestID(ref), By: clock.ToDuration(ms)})
-}
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -10,7 +10,16 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// Credit decides whether a tenant's prepaid funds admit a request. The router sees a request once it is admitted.
+const (
+	// creditDeadlineMarginMs is how long before its deadline a request that waits for credit is rejected, so that its client
+	// gets the answer.
+	creditDeadlineMarginMs = 5
+	// minCreditRetryAfterMs is the least wait that a client is advised for lack of credit, and twice that the longest: a payment
+	// usually arrives sooner, and clients must not return together.
+	minCreditRetryAfterMs = 1000
+)
+
+// Credit decides whether a tenant's prepaid credit admits a request. The router gets a request once it is admitted.
 type Credit interface {
 	Hold(tenant, class, session string, tag uint64) (lease.Reservation, lease.Decision)
 	Settle(h *lease.Reservation, d lease.Usage)
@@ -18,9 +27,9 @@
 }
 
 // SetCredit has requests paid for.
-func (c *Core) SetCredit(x Credit) { c.credit = x }
+func (c *Core) SetCredit(credit Credit) { c.credit = credit }
 
-// payment is a request's state with its tenant's funds.
+// payment is a request's state with its tenant's credit.
 type payment struct {
 	tenant       string
 	creditHold   lease.Reservation
@@ -28,26 +37,35 @@
 	waitingSince float64
 }
 
+// creditTag names a request to Credit by its slot.
 func creditTag(ref slotmap.Ref) uint64 { return uint64(ref.Index)<<32 | uint64(ref.Gen) }
 
-// holdCredit reports whether a request may go on now.
-func (c *Core) holdCredit(ref slotmap.Ref, req *request, incoming *platform.Request, ev *decide.Request) bool {
-	req.payment.tenant, req.payment.pending, req.payment.waitingSince = incoming.Tenant, ev, c.loop.Now() // Funded may be called before Hold returns
-	hold, v := c.credit.Hold(incoming.Tenant, incoming.Class, incoming.Session, creditTag(ref))
-	if v == lease.Queued {
+// creditRef returns the slot of a request by its name for Credit.
+func creditRef(tag uint64) slotmap.Ref {
+	return slotmap.Ref{Index: uint32(tag >> 32), Gen: uint32(tag)}
+}
+
+// holdCredit reserves a tenant's credit for a request, and reports whether the request may go on now. Otherwise it waits, or
+// was rejected.
+func (c *Core) holdCredit(ref slotmap.Ref, req *request, incoming *platform.Request, event *decide.Request) bool {
+	// Funded may be called before Hold returns.
+	req.payment.tenant = incoming.Tenant
+	req.payment.pending = event
+	req.payment.waitingSince = c.loop.Now()
+	hold, verdict := c.credit.Hold(incoming.Tenant, incoming.Class, incoming.Session, creditTag(ref))
+	if verdict == lease.Queued {
 		c.loop.At(max(req.payment.waitingSince, incoming.Deadline-creditDeadlineMarginMs), func() { c.rejectOverdue(ref) })
 		return false
 	}
-	req.payment.pending, req.payment.creditHold = nil, hold
-	if v != lease.Admitted {
-		c.rejectUnfunded(ref, req, v == lease.Throttled)
+	req.payment.pending = nil
+	req.payment.creditHold = hold
+	if verdict != lease.Admitted {
+		c.rejectUnfunded(ref, req, verdict == lease.Throttled)
 	}
-	return v == lease.Admitted
+	return verdict == lease.Admitted
 }
 
-const creditDeadlineMarginMs = 5 // a request that waits for funds is refused so long before its deadline, so that its client hears of it
-
-// rejectOverdue refuses a request that has waited for funds as long as its client does.
+// rejectOverdue rejects a request that has waited for credit as long as its client does.
 func (c *Core) rejectOverdue(ref slotmap.Ref) {
 	if req, ok := c.requests.Get(ref); ok && req.payment.pending != nil {
 		req.payment.pending = nil
@@ -56,36 +74,37 @@
 	}
 }
 
-// rejectUnfunded refuses a request for lack of funds.
+// rejectUnfunded rejects a request for lack of credit; slowed if the credit is low and the request among the least important.
 func (c *Core) rejectUnfunded(ref slotmap.Ref, req *request, slowed bool) {
 	c.finish(req, metrics.Rejected)
-	c.releaseIfDone(ref, req) // its client may ask, or give up, something else at once
-	wait := min(clock.ToMillis(c.config.Settings.MaxRetryAfter), minCreditRetryAfterMs+float64(creditTag(ref)%minCreditRetryAfterMs))
-	if b, ok := req.client.(platform.PrepaidClient); ok {
-		b.RejectedUnfunded(slowed, wait)
+	c.releaseIfDone(ref, req) // its client may send, or give up, something else at once
+	spread := float64(creditTag(ref) % minCreditRetryAfterMs)
+	wait := min(clock.ToMillis(c.config.Settings.MaxRetryAfter), minCreditRetryAfterMs+spread)
+	if client, ok := req.client.(platform.PrepaidClient); ok {
+		client.RejectedUnfunded(slowed, wait)
 	} else {
 		req.client.Rejected(wait)
 	}
-	c.recordAnswer(req, recordpb.Final_FINAL_REFUSED, wait)
+	c.recorder.answer(req, recordpb.Final_FINAL_REFUSED, wait)
 }
 
-const minCreditRetryAfterMs = 1000 // a payment usually arrives sooner; the advice is up to twice that, so that clients do not return together
-
-// Funded admits a request that waited for funds.
+// Funded admits a request that waited for credit.
 func (c *Core) Funded(tag uint64, hold lease.Reservation) {
 	req, ok := c.requests.Get(creditRef(tag))
 	if !ok || req.payment.pending == nil {
 		c.credit.Settle(&hold, lease.Usage{})
 		return
 	}
-	ev := req.payment.pending
-	if req.payment.pending, req.payment.creditHold = nil, hold; ev.SinceCommit > 0 {
-		ev.SinceCommit += clock.ToDuration(c.loop.Now() - req.payment.waitingSince)
+	event := req.payment.pending
+	req.payment.pending = nil
+	req.payment.creditHold = hold
+	if event.SinceCommit > 0 {
+		event.SinceCommit += clock.ToDuration(c.loop.Now() - req.payment.waitingSince)
 	}
-	c.handleEvent(ev)
+	c.handleEvent(event)
 }
 
-// Unfunded refuses a request that waited for funds.
+// Unfunded rejects a request that waited for credit.
 func (c *Core) Unfunded(tag uint64) {
 	if req, ok := c.requests.Get(creditRef(tag)); ok && req.payment.pending != nil {
 		req.payment.pending = nil
@@ -93,30 +112,32 @@
 	}
 }
 
-func creditRef(tag uint64) slotmap.Ref {
-	return slotmap.Ref{Index: uint32(tag >> 32), Gen: uint32(tag)}
-}
-
-// settleCredit ends the hold on a tenant's funds: once for each request, however many attempts it had.
+// settleCredit ends the hold on a tenant's credit: once for each request, however many attempts it had.
 func (c *Core) settleCredit(req *request, end metrics.Outcome) {
-	d, sent := lease.Usage{}, false
-	from := 0.0
-	for i := range req.attempts {
-		if t := &req.attempts[i]; t.written && (!sent || t.startedAt < from) {
-			sent, from = true, t.startedAt
-		}
-	}
+	done := lease.Usage{}
+	firstWritten, sent := req.firstWrittenAt()
 	switch {
 	case end == metrics.Served:
-		d.Served = 1
+		done.Served = 1
 		if sent {
-			d.Seconds = (c.loop.Now() - from) / 1000
+			done.Seconds = (c.loop.Now() - firstWritten) / msPerSecond
 		}
-		if x, ok := req.client.(platform.RowCounter); ok {
-			d.Rows = x.Rows()
+		if counted, ok := req.client.(platform.RowCounter); ok {
+			done.Rows = counted.Rows()
 		}
 	case end != metrics.Rejected && sent:
-		d.Failed = 1
+		done.Failed = 1
+	}
+	c.credit.Settle(&req.payment.creditHold, done)
+}
+
+// firstWrittenAt returns when the earliest attempt that was written was started, and false if none was.
+func (req *request) firstWrittenAt() (at float64, sent bool) {
+	for i := range req.attempts {
+		a := &req.attempts[i]
+		if a.written && (!sent || a.startedAt < at) {
+			at, sent = a.startedAt, true
+		}
 	}
-	c.credit.Settle(&req.payment.creditHold, d)
+	return at, sent
 }
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -212,7 +212,7 @@
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}}}
 	c := New(still{}, slog.New(slog.DiscardHandler), cfg)
 	c.Start(&counting{}, still{})
-	ref := c.requests.Put(&request{id: "1", client: still{}, deadline: 1e6 + 9000, classMetrics: c.classFigures[0]})
+	ref := c.requests.Put(&request{id: "1", client: still{}, deadline: 1e6 + 9000, classMetrics: c.classMetrics[0]})
 	c.metrics.OpenRequests++
 	c.carryingOut = true
 	c.Abandon(ref)
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -13,14 +13,15 @@
 	rejected, failed, retried []uint64
 }
 
+// newDecisionCounts returns counts of zero.
 func newDecisionCounts() decisionCounts {
 	n := len(decide.Reasons())
 	return decisionCounts{rejected: make([]uint64, n), failed: make([]uint64, n), retried: make([]uint64, n)}
 }
 
 // writeMetrics writes the numbers to a sheet.
-func (counts *decisionCounts) writeMetrics(figures *exposition.Snapshot) {
-	decisions := figures.Scope("decisions")
+func (counts *decisionCounts) writeMetrics(sheet *exposition.Snapshot) {
+	decisions := sheet.Scope("decisions")
 	for _, reason := range decide.Reasons()[1:] { // there is none without a reason
 		of := decisions.Label("reason", reason.String())
 		of.Counter("refused", counts.rejected[reason])
@@ -29,8 +30,15 @@
 	}
 }
 
+// WriteMetrics writes the process's metrics, with those of its list.
+func (c *Core) WriteMetrics(sheet *exposition.Snapshot) {
+	listed, avoided := c.router.CountServers()
+	c.metrics.AppendTo(sheet, listed, avoided)
+	c.decisions.writeMetrics(sheet)
+}
+
 // logDecision logs what the router decided about a request and why.
-func (c *Core) logDecision(what string, req *request, a *decide.Action) {
+func (c *Core) logDecision(what string, req *request, action *decide.Action) {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
@@ -38,6 +46,7 @@
 	if n := len(req.attempts); n > 0 {
 		last = string(req.attempts[n-1].server)
 	}
-	c.log.Debug("decision", "what", what, "reason", a.Reason.String(), "request", req.id, "class", c.config.Classes[req.class], "attempts", len(req.attempts),
-		"in_flight", req.inFlight, "last_server", last, "server", string(a.Server), "left_ms", req.deadline-c.loop.Now())
+	c.log.Debug("decision", "what", what, "reason", action.Reason.String(), "request", req.id, "class", c.config.Classes[req.class],
+		"attempts", len(req.attempts), "in_flight", req.inFlight, "last_server", last, "server", string(action.Server),
+		"left_ms", req.deadline-c.loop.Now())
 }
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -163,14 +163,14 @@
 		name string
 		poke func(c *Core, req *request)
 	}{
-		{"core: of what is over nothing is kept", func(_ *Core, req *request) { req.finished, req.inFlight = true, 0 }},
-		{"core: attempts out are of those made", func(_ *Core, req *request) { req.inFlight = 9 }},
-		{"core: each request has its id", func(c *Core, req *request) { delete(c.requestsByID, req.id) }},
-		{"core: the router has the requests that are owed an answer", func(_ *Core, req *request) { req.finished = true }},
-		{"core: the router has the attempts that are out", func(_ *Core, req *request) { req.inFlight++ }},
-		{"core: what waits for funds has not been sent", func(_ *Core, req *request) { req.payment.pending, req.attempts = &decide.Request{}, []attempt{{}} }},
-		{"core: an answer that is held is the request's last", func(_ *Core, req *request) { req.delayedAnswer = &delayedAnswer{} }},
-		{"core: the figure is of those in progress", func(c *Core, _ *request) { c.metrics.OpenRequests++ }},
+		{"core: of what is over nothing is stored", func(_ *Core, req *request) { req.finished, req.inFlight = true, 0 }},
+		{"core: attempts in flight are of those made", func(_ *Core, req *request) { req.inFlight = 9 }},
+		{"core: each request has its id", func(c *Core, req *request) { delete(c.requests.byID, req.id) }},
+		{"core: the router has the requests without a final answer", func(_ *Core, req *request) { req.finished = true }},
+		{"core: the router has the attempts in flight", func(_ *Core, req *request) { req.inFlight++ }},
+		{"core: what waits for credit has not been sent", func(_ *Core, req *request) { req.payment.pending, req.attempts = &decide.Request{}, []attempt{{}} }},
+		{"core: an answer that waits is the request's last", func(_ *Core, req *request) { req.delayedAnswer = &delayedAnswer{} }},
+		{"core: the metric is of those in progress", func(c *Core, _ *request) { c.metrics.OpenRequests++ }},
 	} {
 		d, c := newDrawn(nil), invariant.New(nil)
 		d.ask("read", 3000)
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -11,35 +11,38 @@
 	maxKeys          = 20000
 )
 
-// recentKeys remembers when requests that may have run were first sent. The core has two: one by the key by which servers recognise a
-// repeat, so that a repeat under another id is held to the same window, and one by id, of requests that must not run twice. An entry
-// stays for minKeyLifetimeMs and for lifetimeMs at least, unless more than maxKeys come in that time, and for twice that at most: there are two
-// generations, and the older one is dropped whole.
+// recentKeys remembers when requests that may have run were first sent. The core has two: one by the key by which servers
+// recognise a repeat, so that a repeat under another id is bound by the same window, and one by id, of requests that must not
+// run twice. An entry stays for minKeyLifetimeMs and for lifetimeMs at least, unless more than maxKeys come in that time, and
+// for twice that at most: there are two generations, and the older one is dropped whole.
 type recentKeys struct {
 	recent, previous map[string]float64
 	recentSince      float64 // when the recent generation began
 	lifetimeMs       float64
 }
 
-// lifetimeMs is how long requests of such classes are remembered: until their clients' deadlines and their servers' memory of keys have
-// ended.
+// keyLifetimeMs returns how long requests of such classes are remembered: until their clients' deadlines and their servers'
+// memory of keys have ended.
 func keyLifetimeMs(classes []decide.Class) (ms float64) {
-	for _, c := range classes {
-		ms = max(ms, clock.ToMillis(c.Deadline+c.KeyWindow))
+	for _, class := range classes {
+		ms = max(ms, clock.ToMillis(class.Deadline+class.KeyWindow))
 	}
 	return ms
 }
 
 // rotate begins a new generation when the recent one is old or full.
 func (k *recentKeys) rotate(now float64) {
-	keep := max(minKeyLifetimeMs, k.lifetimeMs)
-	if k.recent != nil && now-k.recentSince < keep && len(k.recent) < maxKeys {
+	lifetime := max(minKeyLifetimeMs, k.lifetimeMs)
+	age := now - k.recentSince
+	if k.recent != nil && age < lifetime && len(k.recent) < maxKeys {
 		return
 	}
-	if k.previous = k.recent; now-k.recentSince >= 2*keep {
+	k.previous = k.recent
+	if age >= 2*lifetime {
 		k.previous = nil
 	}
-	k.recent, k.recentSince = map[string]float64{}, now
+	k.recent = map[string]float64{}
+	k.recentSince = now
 }
 
 // firstSent returns when a request of that key was first sent, if it may have run.
@@ -56,16 +59,17 @@
 
 // recordSend records a send.
 func (k *recentKeys) recordSend(key string, at, now float64) {
-	if first, ok := k.firstSent(key, now); key != "" && (!ok || at < first) {
+	first, known := k.firstSent(key, now)
+	if key != "" && (!known || at < first) {
 		k.recent[key] = at
 	}
 }
 
 // forget takes back a send that turned out not to have run.
 func (k *recentKeys) forget(key string, at float64) {
-	for _, m := range []map[string]float64{k.recent, k.previous} {
-		if m[key] == at {
-			delete(m, key)
+	for _, generation := range []map[string]float64{k.recent, k.previous} {
+		if generation[key] == at {
+			delete(generation, key)
 		}
 	}
 }
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -109,7 +109,7 @@
 	c.Start(&counting{}, l)
 	c.SetLimits([]Limit{{Name: "p", Kind: LimitHealthChecks}}, nil)
 	done := 0
-	probe := func() { c.useLimit(LimitHealthChecks, "").run(c, func() { done++ }) }
+	probe := func() { c.limits.use(LimitHealthChecks, "").run(func() { done++ }) }
 	for range 5 {
 		probe()
 	}
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -8,6 +8,9 @@
 	"beechgrade/internal/record/recordpb"
 )
 
+// primaryRole is the role of a primary in the endpoint list.
+const primaryRole = "primary"
+
 // Listed implements discovery.Events.
 func (c *Core) Listed(list *discovery.List) {
 	kind := decide.ListChanges
@@ -23,67 +26,104 @@
 	c.handleEvent(&decide.EndpointList{Kind: decide.ListFailed})
 }
 
+// applyList passes a list to the servers, the router and the observers.
 func (c *Core) applyList(list *discovery.List, kind decide.ListKind) {
-	e, now := &decide.EndpointList{Kind: kind}, c.loop.Now()
+	whole := kind != decide.ListChanges
+	event, now := &decide.EndpointList{Kind: kind}, c.loop.Now()
 	named := map[string]bool{}
 	for i := range list.Instances {
 		instance := &list.Instances[i]
 		if instance.ID == "" {
 			continue
 		}
-		entry := decide.Endpoint{Server: decide.ServerID(instance.ID), Group: instance.Cell, Kind: c.kindNumbers.number(instance.MachineType),
-			Zone: c.zoneNumbers.number(instance.Zone), Capacity: instance.Weight, Primary: instance.Role == "primary"}
-		if instance.StartedAtMs > 0 {
-			entry.Started = clock.ToDuration(min(clock.FromUnix(instance.StartedAtMs), now)) // one ahead of the clock would be cold for ever
-		}
-		entry.State = serverState(instance)
 		named[instance.ID] = true
-		if g, ok := c.servers.(Grouped); ok {
-			g.SetGroup(instance.ID, instance.Cell)
+		event.Endpoints = append(event.Endpoints, c.endpointOf(instance, now))
+		if servers, ok := c.servers.(Grouped); ok {
+			servers.SetGroup(instance.ID, instance.Cell)
 		}
 		if instance.HostPort != "" {
 			c.servers.SetAddress(instance.ID, instance.HostPort)
 		}
-		e.Endpoints = append(e.Endpoints, entry)
 	}
-	c.recordList(list, kind)
-	c.reportList(list, kind)
-	c.log.Debug("list", "kind", kind, "generation", list.Generation, "entries", len(e.Endpoints))
-	c.handleEvent(e)
+	c.recorder.list(list, kind)
+	if c.fleet.zoneObserver != nil {
+		c.fleet.zoneObserver.Listed(list, whole)
+	}
+	c.log.Debug("list", "kind", kind, "generation", list.Generation, "entries", len(event.Endpoints))
+	c.handleEvent(event)
 	if c.observation.observer != nil {
-		c.observation.observer.Listed(list, kind != decide.ListChanges)
+		c.observation.observer.Listed(list, whole)
+	}
+	c.closeUnavailable(event.Endpoints)
+	if whole && !c.config.Settings.DrainOnly { // with DrainOnly a server that left the list may still serve
+		c.servers.Retain(named)
+	}
+}
+
+// endpointOf returns an entry of the list in the router's form.
+func (c *Core) endpointOf(instance *discovery.Instance, now float64) decide.Endpoint {
+	endpoint := decide.Endpoint{
+		Server:   decide.ServerID(instance.ID),
+		Group:    instance.Cell,
+		Kind:     c.kindNumbers.number(instance.MachineType),
+		Zone:     c.zoneNumbers.number(instance.Zone),
+		Capacity: instance.Weight,
+		Primary:  instance.Role == primaryRole,
+		State:    serverState(instance),
+	}
+	if instance.StartedAtMs > 0 { // one ahead of the clock would be cold for ever
+		endpoint.Started = clock.ToDuration(min(clock.FromUnix(instance.StartedAtMs), now))
 	}
-	for i := range e.Endpoints { // attempts and connections in use there stay until they end
-		switch id := string(e.Endpoints[i].Server); {
-		case e.Endpoints[i].State == decide.Removed && !c.config.Settings.DrainOnly:
+	return endpoint
+}
+
+// closeUnavailable closes idle connections to servers that are draining or removed. Attempts and connections in use there stay
+// until they end.
+func (c *Core) closeUnavailable(endpoints []decide.Endpoint) {
+	for i := range endpoints {
+		id, state := string(endpoints[i].Server), endpoints[i].State
+		switch {
+		case state == decide.Removed && !c.config.Settings.DrainOnly:
 			c.servers.Forget(id)
-		case e.Endpoints[i].State != decide.Serving:
-			if c.servers.CloseIdle(id); e.Endpoints[i].State == decide.Draining { // an attempt that waits for a connection would be new to it, however late it comes up
-				c.servers.Recall(id, func(backend.AttemptID) bool { return true })
-			}
+		case state == decide.Draining:
+			c.servers.CloseIdle(id)
+			// An attempt that waits for a connection would be new to the server, however late the connection is open.
+			c.servers.Recall(id, func(backend.AttemptID) bool { return true })
+		case state == decide.Removed:
+			c.servers.CloseIdle(id)
 		}
 	}
-	if kind != decide.ListChanges && !c.config.Settings.DrainOnly { // with DrainOnly a server that left the list may still serve
-		c.servers.Retain(named)
+}
+
+// serverState returns an entry's state.
+func serverState(instance *discovery.Instance) decide.ServerState {
+	switch instance.Lifecycle {
+	case "draining":
+		return decide.Draining
+	case "removed":
+		return decide.Removed
 	}
+	return decide.Serving
 }
 
 // nameNumbers assigns numbers to names; names that the settings do not have get the next ones.
 type nameNumbers map[string]int
 
-func numberNames(list []string) nameNumbers {
-	n := nameNumbers{}
-	for _, s := range list {
-		n.number(s)
+// numberNames numbers a list of names.
+func numberNames(names []string) nameNumbers {
+	numbers := nameNumbers{}
+	for _, name := range names {
+		numbers.number(name)
 	}
-	return n
+	return numbers
 }
 
-func (n nameNumbers) number(s string) int {
-	i, ok := n[s]
+// number returns a name's number.
+func (numbers nameNumbers) number(name string) int {
+	number, ok := numbers[name]
 	if !ok {
-		i = len(n)
-		n[s] = i
+		number = len(numbers)
+		numbers[name] = number
 	}
-	return i
+	return number
 }
--- a/internal/core/witness.go
+++ b/internal/core/observer.go
@@ -7,32 +7,31 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// ServerObserver receives all that this pooler sees of servers.
+// ServerObserver receives all that this pooler learns of servers, for the fleet's outlier detection.
 type ServerObserver interface {
 	Listed(list *discovery.List, whole bool)
 	Sent(server string, tag backend.AttemptID, class int)
 	Ended(server string, tag backend.AttemptID, result decide.Result, report backend.Report)
-	HealthChecked(server string, result decide.Result, report backend.Report) // by this pooler
-	Ejects(server string) bool                                                // peers find that it serves no requests, whatever its probes say
+	// HealthChecked takes a health check by this pooler.
+	HealthChecked(server string, result decide.Result, report backend.Report)
+	// Ejects reports whether peers find that a server serves no requests, whatever its health checks show.
+	Ejects(server string) bool
 }
 
-// serverObservation is the core's state for a witness; all nil without one.
+// serverObservation is the core's state for an observer; all nil without one.
 type serverObservation struct {
 	observer           ServerObserver
-	pending            map[string]bool // servers with a probe in flight that was made for the witness alone
-	requestedMeanwhile map[string]bool // of these, the ones that the router has asked to probe meanwhile
+	pending            map[string]bool // servers with a health check in flight that was made for the observer alone
+	requestedMeanwhile map[string]bool // of these, the ones whose health check the router has requested since
 }
 
-// unsentHealthCheckMs is the time that a probe which is not made appears to take.
-const unsentHealthCheckMs = 2
-
-// SetServerObserver sets the witness and passes it the last known list.
-func (c *Core) SetServerObserver(witness ServerObserver) {
-	c.observation = serverObservation{observer: witness, pending: map[string]bool{}, requestedMeanwhile: map[string]bool{}}
-	witness.Listed(&c.config.InitialList, true)
+// SetServerObserver sets the observer and passes it the last known list.
+func (c *Core) SetServerObserver(observer ServerObserver) {
+	c.observation = serverObservation{observer: observer, pending: map[string]bool{}, requestedMeanwhile: map[string]bool{}}
+	observer.Listed(&c.config.InitialList, true)
 }
 
-// CheckHealthForObserver probes a server for the witness alone.
+// CheckHealthForObserver checks a server's health for the observer alone.
 func (c *Core) CheckHealthForObserver(server string) {
 	if !c.observation.pending[server] {
 		c.observation.pending[server] = true
@@ -40,29 +39,31 @@
 	}
 }
 
-// observeHealthCheck passes a probe's end to the witness, and reports whether the probe was the witness's own. The router gets the server's role first: the
-// witness may have the server tried at once, and what waits must not go there if it is a replica now.
+// observeHealthCheck passes the end of a health check to the observer, and reports whether it was the observer's own. The
+// router gets the server's role first: the observer may start a trial of the server at once, and what waits must not go there
+// if it is a replica now.
 func (c *Core) observeHealthCheck(server string, outcome *backend.Outcome) bool {
-	if c.observation.observer == nil {
+	observation := &c.observation
+	if observation.observer == nil {
 		return false
 	}
-	look := c.observation.pending[server]
+	own := observation.pending[server]
 	switch {
 	case outcome.Result != decide.OK:
-	case look:
+	case own:
 		c.mergeReport(server, outcome.Report)
-	default: // the position comes with the probe's result, from which the router learns the server's pace
+	default: // the position comes with the check's result, from which the router learns the rate at which it advances
 		c.mergeRole(server, outcome.Report)
 	}
-	c.observation.observer.HealthChecked(server, outcome.Result, outcome.Report)
-	if !look {
+	observation.observer.HealthChecked(server, outcome.Result, outcome.Report)
+	if !own {
 		return false
 	}
-	again := c.observation.requestedMeanwhile[server]
-	delete(c.observation.pending, server)
-	delete(c.observation.requestedMeanwhile, server)
-	if again {
-		c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: decide.ServerID(server)})
+	requested := observation.requestedMeanwhile[server]
+	delete(observation.pending, server)
+	delete(observation.requestedMeanwhile, server)
+	if requested {
+		c.checkHealthForRouter(server)
 	}
 	return true
 }
@@ -72,6 +73,11 @@
 	return c.router.ToLocalTime(decide.ServerID(server), clock.ToDuration(report.Position))
 }
 
+// mergeServer gives the router what is known of one server.
+func (c *Core) mergeServer(known decide.ServerSnapshot) {
+	c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
+}
+
 // mergeReport gives the router a server's report, as of the report's time.
 func (c *Core) mergeReport(server string, report backend.Report) {
 	if !report.HasPos || c.reportTime(server, report) > clock.ToDuration(c.loop.Now()) {
@@ -80,19 +86,25 @@
 	c.ServerReported(server, report, 0)
 }
 
-// mergeRole is recall without the position.
+// mergeRole is mergeReport without the position.
 func (c *Core) mergeRole(server string, report backend.Report) {
 	now, at := clock.ToDuration(c.loop.Now()), c.reportTime(server, report)
-	if known, ok := c.router.SnapshotOf(decide.ServerID(server)); ok && report.HasPos && report.Role != decide.RoleUnknown && at <= now {
-		known.Ejected, known.Role, known.RoleAt = false, report.Role, at
-		c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
-		if report.Role == decide.RoleReplica {
-			c.recallUnwritten(server)
-		}
+	known, ok := c.router.SnapshotOf(decide.ServerID(server))
+	hasRole := report.HasPos && report.Role != decide.RoleUnknown
+	if !ok || !hasRole || at > now {
+		return
+	}
+	known.Ejected = false
+	known.Role = report.Role
+	known.RoleAt = at
+	c.mergeServer(known)
+	if report.Role == decide.RoleReplica {
+		c.recallUnwritten(server)
 	}
 }
 
-// ServerReported gives the router a server's report, made to any pooler, that is ageMs old at most. A position also is the time of its report.
+// ServerReported gives the router a server's report, made to any pooler, that is ageMs old at most. A position also is the time
+// of its report.
 func (c *Core) ServerReported(server string, report backend.Report, ageMs float64) {
 	now, at := clock.ToDuration(c.loop.Now()), c.reportTime(server, report)
 	known, ok := c.router.SnapshotOf(decide.ServerID(server))
@@ -101,12 +113,15 @@
 	}
 	known.Ejected = false
 	if report.Role != decide.RoleUnknown {
-		known.Role, known.RoleAt = report.Role, at
+		known.Role = report.Role
+		known.RoleAt = at
 	}
 	if position := clock.ToDuration(report.Position); position > known.Position {
-		known.Position, known.PositionAt, known.PositionReportedAt = position, now, now-clock.ToDuration(ageMs)
+		known.Position = position
+		known.PositionAt = now
+		known.PositionReportedAt = now - clock.ToDuration(ageMs)
 	}
-	c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
+	c.mergeServer(known)
 	if report.Role == decide.RoleReplica {
 		c.recallUnwritten(server)
 	}
@@ -115,12 +130,13 @@
 // Eject has the router take a server out of use.
 func (c *Core) Eject(server string) {
 	if known, ok := c.router.SnapshotOf(decide.ServerID(server)); ok {
-		known.Ejected, known.EjectedAt = true, clock.ToDuration(c.loop.Now())
-		c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
+		known.Ejected = true
+		known.EjectedAt = clock.ToDuration(c.loop.Now())
+		c.mergeServer(known)
 	}
 }
 
-// StartTrial has the router send a few requests to a server that it has taken out of use.
+// StartTrial has the router send a few requests to a server that it has ejected.
 func (c *Core) StartTrial(server string) {
 	if known, ok := c.router.SnapshotOf(decide.ServerID(server)); ok && known.Ejected {
 		c.handleEvent(&decide.HealthCheckResult{Server: known.ID})
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -10,13 +10,7 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-func (c *Core) forwardReport(server string, outcome *backend.Outcome) {
-	if c.reportSink != nil && (outcome.Role != decide.RoleUnknown || outcome.HasPos) {
-		c.reportSink.ServerReported(server, outcome.Role == decide.RolePrimary, outcome.Role == decide.RoleReplica, outcome.Position)
-	}
-}
-
-// stream is a request's answer on its way past the core.
+// stream is a request's answer that is streamed to its client.
 type stream struct {
 	backend.AnswerStream
 	core *Core
@@ -24,53 +18,21 @@
 	stop func()
 }
 
-// AnswerStreams implements backend.Events. To the router the request is answered then.
-func (c *Core) AnswerStreams(tag backend.AttemptID, stop func()) backend.AnswerStream {
-	req, ok := c.requests.Get(tag.Request)
-	if !ok {
-		return nil
-	}
-	c.unreportedEnds++
-	req.inFlight--
-	c.AttemptWritten(tag)
-	server, final := req.attempts[tag.Number].server, req.finished
-	outcome := backend.Outcome{Result: decide.OK}
-	c.countAttempt(req, tag.Number, outcome.Result)
-	if req.wroteSession != "" && !final { // an answer that is passed on as it comes cannot wait for the commit
-		c.sessionTokens.Keep(req.wroteSession, clock.ToDuration(c.loop.Now()), nil)
-	}
-	c.recordAttempt(req, tag.Number, server, &outcome)
-	if c.journal != nil {
-		c.journal.Ended(tag, outcome.Result)
-	}
-	if taker, ok := req.client.(platform.StreamReceiver); ok && !final {
-		req.finished, req.stream = true, &stream{AnswerStream: taker.ReceiveStream(), core: c, ref: tag.Request, stop: stop}
-		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
-	}
-	f := req.stream
-	c.releaseIfDone(tag.Request, req)
-	c.unreportedEnds--
-	c.handleEvent(&decide.Outcome{ID: requestID(tag.Request), Attempt: tag.Number, Server: server, Result: outcome.Result, Final: req.finished})
-	if f == nil || final {
-		return nil
-	}
-	return f
-}
-
-// Ended implements backend.Flow.
-func (f *stream) Ended(b []byte, whole bool) {
+// Ended implements backend.AnswerStream.
+func (s *stream) Ended(b []byte, whole bool) {
 	end := metrics.Served
 	if !whole {
 		end = metrics.Failed
 	}
-	f.core.streamEnded(f.ref, end)
-	f.AnswerStream.Ended(b, whole)
+	s.core.streamEnded(s.ref, end)
+	s.AnswerStream.Ended(b, whole)
 }
 
-// streamEnded ends a request whose answer was passed on as it came.
+// streamEnded ends a request whose answer was streamed.
 func (c *Core) streamEnded(ref slotmap.Ref, end metrics.Outcome) {
 	if req, ok := c.requests.Get(ref); ok && req.stream != nil {
-		req.stream, req.answerDelivered = nil, end == metrics.Served && !req.closedBeforeAnswer()
+		req.stream = nil
+		req.answerDelivered = end == metrics.Served && !req.closedBeforeAnswer()
 		c.finish(req, end)
 		c.releaseIfDone(ref, req)
 	}
@@ -78,12 +40,43 @@
 
 // AttemptWritten implements backend.Events.
 func (c *Core) AttemptWritten(tag backend.AttemptID) {
-	if req, ok := c.requests.Get(tag.Request); ok && !req.attempts[tag.Number].written {
-		req.attempts[tag.Number].written = true
-		c.checkWritten(req, tag.Number)
-		c.sentKeys.recordSend(req.key, req.attempts[tag.Number].startedAt, c.loop.Now())
-		c.metrics.Attempts++
+	req, ok := c.requests.Get(tag.Request)
+	if !ok || req.attempts[tag.Number].written {
+		return
+	}
+	req.attempts[tag.Number].written = true
+	c.checkWritten(req, tag.Number)
+	c.requests.sentKeys.recordSend(req.key, req.attempts[tag.Number].startedAt, c.loop.Now())
+	c.metrics.Attempts++
+}
+
+// AnswerStreams implements backend.Events. To the router the request is answered then.
+func (c *Core) AnswerStreams(tag backend.AttemptID, stop func()) backend.AnswerStream {
+	req, ok := c.requests.Get(tag.Request)
+	if !ok {
+		return nil
+	}
+	c.unreportedEnds++
+	req.inFlight--
+	c.AttemptWritten(tag)
+	wasFinished := req.finished
+	outcome := backend.Outcome{Result: decide.OK}
+	c.countAttempt(req, tag.Number, outcome.Result)
+	if req.wroteSession != "" && !wasFinished { // an answer that is streamed cannot wait for the commit
+		c.sessionTokens.Keep(req.wroteSession, clock.ToDuration(c.loop.Now()), nil)
 	}
+	c.recordEnd(req, tag, &outcome)
+	if taker, ok := req.client.(platform.StreamReceiver); ok && !wasFinished {
+		req.finished = true
+		req.stream = &stream{AnswerStream: taker.ReceiveStream(), core: c, ref: tag.Request, stop: stop}
+		c.recorder.answer(req, recordpb.Final_FINAL_SERVED, 0)
+	}
+	answer := req.stream
+	c.reportEnd(req, tag, &outcome, req.finished)
+	if answer == nil || wasFinished {
+		return nil
+	}
+	return answer
 }
 
 // AttemptEnded implements backend.Events.
@@ -94,64 +87,97 @@
 	}
 	c.unreportedEnds++
 	req.inFlight--
-	switch outcome.Result {
-	case decide.OK, decide.Misdirected, decide.Failed, decide.Reset: // an attempt that was answered, or broke in flight, was written
+	if showsWritten(outcome.Result) {
 		c.AttemptWritten(tag)
 	}
-	switch outcome.Result {
-	case decide.Misdirected, decide.Overloaded, decide.Unreachable, decide.NotSent:
-		c.sentKeys.forget(req.key, req.attempts[tag.Number].startedAt)
-		req.attempts[tag.Number].didNotRun = true
+	a := &req.attempts[tag.Number]
+	if showsNotRun(outcome.Result) {
+		c.requests.sentKeys.forget(req.key, a.startedAt)
+		a.didNotRun = true
 	}
-	server := req.attempts[tag.Number].server
+	server := string(a.server)
 	c.countAttempt(req, tag.Number, outcome.Result)
-	c.recordAttempt(req, tag.Number, server, &outcome)
-	if c.journal != nil {
-		c.journal.Ended(tag, outcome.Result)
+	c.recordEnd(req, tag, &outcome)
+	c.forwardReport(server, &outcome)
+	c.answerClient(tag.Request, req, &outcome)
+	c.reportEnd(req, tag, &outcome, req.finished)
+	if observer := c.observation.observer; observer != nil { // it may start a trial of the server, for which the router must know the report first
+		observer.Ended(server, tag, outcome.Result, outcome.Report)
 	}
-	c.forwardReport(string(server), &outcome)
-	if outcome.Result == decide.OK && !req.finished && c.delayAnswer(tag.Request, req, &outcome) {
-		req.finished = true
-	} else if outcome.Result == decide.OK && !req.finished {
+}
+
+// showsWritten reports whether an attempt that ended so was written: it was answered, or broke in flight.
+func showsWritten(result decide.Result) bool {
+	switch result {
+	case decide.OK, decide.Misdirected, decide.Failed, decide.Reset:
+		return true
+	}
+	return false
+}
+
+// showsNotRun reports whether an attempt that ended so has not run.
+func showsNotRun(result decide.Result) bool {
+	switch result {
+	case decide.Misdirected, decide.Overloaded, decide.Unreachable, decide.NotSent:
+		return true
+	}
+	return false
+}
+
+// answerClient gives the client of an open request the answer that has come, and ends a request whose client is gone.
+func (c *Core) answerClient(ref slotmap.Ref, req *request, outcome *backend.Outcome) {
+	switch {
+	case req.finished:
+	case outcome.Result == decide.OK:
+		if c.delayAnswer(ref, req, outcome) {
+			req.finished = true
+			return
+		}
 		c.finish(req, metrics.Served)
 		c.deliver(req, outcome.Answer)
-		c.recordAnswer(req, recordpb.Final_FINAL_SERVED, 0)
-	} else if req.clientClosed && !req.finished {
+		c.recorder.answer(req, recordpb.Final_FINAL_SERVED, 0)
+	case req.clientClosed:
 		c.finish(req, metrics.ClientGone)
-		c.recordAnswer(req, recordpb.Final_FINAL_GONE, 0)
+		c.recorder.answer(req, recordpb.Final_FINAL_GONE, 0)
+	}
+}
+
+// recordEnd records the end of an attempt, and enters it in the journal.
+func (c *Core) recordEnd(req *request, tag backend.AttemptID, outcome *backend.Outcome) {
+	c.recorder.attempt(req, tag.Number, outcome)
+	if c.journal != nil {
+		c.journal.Ended(tag, outcome.Result)
 	}
-	final := req.finished
+}
+
+// reportEnd releases a request that is done, and passes the end of its attempt to the router.
+func (c *Core) reportEnd(req *request, tag backend.AttemptID, outcome *backend.Outcome, final bool) {
+	server := req.attempts[tag.Number].server
 	c.releaseIfDone(tag.Request, req)
 	c.unreportedEnds--
-	c.handleEvent(&decide.Outcome{ID: requestID(tag.Request), Attempt: tag.Number, Server: server, Result: outcome.Result,
-		Final: final, Reported: reportOf(outcome.Report), Load: reportOf(outcome.Load)})
-	if c.observation.observer != nil { // it may have the server tried, for which the router must know the report first
-		c.observation.observer.Ended(string(server), tag, outcome.Result, outcome.Report)
-	}
+	c.handleEvent(&decide.Outcome{
+		ID:       requestID(tag.Request),
+		Attempt:  tag.Number,
+		Server:   server,
+		Result:   outcome.Result,
+		Final:    final,
+		Reported: reportOf(outcome.Report),
+		Load:     reportOf(outcome.Load),
+	})
 }
 
-// HealthCheckEnded implements backend.Events.
-func (c *Core) HealthCheckEnded(server string, outcome backend.Outcome) {
-	c.recordProbe(server, &outcome)
-	c.forwardReport(server, &outcome)
-	if c.fleet.zoneObserver != nil {
-		c.fleet.zoneObserver.HealthChecked(server, outcome.Result == decide.OK)
-	}
-	if c.observeHealthCheck(server, &outcome) {
-		return
-	}
-	if c.fleet.healthCheckSharer != nil && outcome.Result == decide.OK { // it may have been made for peers alone, and not reach the router otherwise
-		c.mergeRole(server, outcome.Report)
-	}
-	if c.fleet.healthCheckSharer == nil || !c.fleet.healthCheckSharer.Ended(server, outcome.Result, outcome.Report) {
-		c.HealthCheckReported(server, outcome.Result, outcome.Report, 0)
+// forwardReport passes on what a server reported of itself.
+func (c *Core) forwardReport(server string, outcome *backend.Outcome) {
+	if c.reportSink != nil && (outcome.Role != decide.RoleUnknown || outcome.HasPos) {
+		c.reportSink.ServerReported(server, outcome.Role == decide.RolePrimary, outcome.Role == decide.RoleReplica, outcome.Position)
 	}
 }
 
-func reportOf(o backend.Report) decide.Report {
-	r := decide.Report{Role: o.Role, HasPosition: o.HasPos}
-	if o.HasPos {
-		r.Position = clock.ToDuration(o.Position)
+// reportOf returns a report in the router's form.
+func reportOf(report backend.Report) decide.Report {
+	out := decide.Report{Role: report.Role, HasPosition: report.HasPos}
+	if report.HasPos {
+		out.Position = clock.ToDuration(report.Position)
 	}
-	return r
+	return out
 }
--- /dev/null
+++ b/internal/core/recorder.go
@@ -0,0 +1,230 @@
+package core
+
+import (
+	"cmp"
+
+	"github.com/cespare/xxhash/v2"
+
+	"beechgrade/internal/backend"
+	"beechgrade/internal/decide"
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/frontend/platform"
+	"beechgrade/internal/record"
+	"beechgrade/internal/record/recordpb"
+)
+
+// recorder records what the core sees and does, where records are on.
+type recorder struct {
+	loop               Loop
+	records            *record.Recorder // nil without records
+	requests           uint64           // number of the request recorded last
+	healthChecksSentAt map[string]float64
+}
+
+// recorded is what a request stores for its records.
+type recorded struct {
+	number         uint64
+	class          int32
+	group          int64
+	startedAt      float64
+	lastAttemptEnd record.Reason
+}
+
+// SetRecorder has the core record what it sees and does.
+func (c *Core) SetRecorder(records *record.Recorder) { c.recorder.records = records }
+
+// on reports whether records are on.
+func (r *recorder) on() bool { return r.records.On() }
+
+// request records a request that was received.
+func (r *recorder) request(req *request, incoming *platform.Request) {
+	if !r.on() {
+		return
+	}
+	r.requests++
+	now := r.loop.Now()
+	req.recorded = recorded{number: r.requests, class: int32(req.class), group: int64(incoming.Group), startedAt: now}
+	r.records.Put(&record.Event{
+		At:       now,
+		Kind:     recordpb.Kind_KIND_REQUEST,
+		Request:  r.requests,
+		Class:    int32(req.class),
+		Group:    int64(incoming.Group),
+		Session:  xxhash.Sum64String(incoming.Session),
+		ID:       xxhash.Sum64String(cmp.Or(incoming.ClientID, incoming.ID)),
+		Left:     incoming.Deadline - now,
+		Repeat:   incoming.IsRetry,
+		Position: incoming.MinPosition,
+	})
+}
+
+// attempt records the end of an attempt.
+func (r *recorder) attempt(req *request, number int, outcome *backend.Outcome) {
+	if !r.on() {
+		return
+	}
+	now := r.loop.Now()
+	a := &req.attempts[number]
+	req.recorded.lastAttemptEnd = record.ReasonEnded + record.Reason(outcome.Result)
+	event := record.Event{
+		At:      now,
+		Kind:    recordpb.Kind_KIND_ATTEMPT,
+		Request: req.recorded.number,
+		Class:   req.recorded.class,
+		Group:   req.recorded.group,
+		Server:  string(a.server),
+		Attempt: int32(number),
+		Result:  uint8(outcome.Result),
+		Role:    uint8(outcome.Role),
+		Took:    now - a.startedAt,
+	}
+	if outcome.HasPos {
+		event.Position = outcome.Position
+	}
+	r.records.Put(&event)
+}
+
+// answer records the final answer to a request, with the wait that its client is advised.
+func (r *recorder) answer(req *request, final recordpb.Final, waitMs float64) {
+	if !r.on() {
+		return
+	}
+	now := r.loop.Now()
+	event := record.Event{
+		At:      now,
+		Kind:    recordpb.Kind_KIND_ANSWER,
+		Request: req.recorded.number,
+		Class:   req.recorded.class,
+		Group:   req.recorded.group,
+		Final:   final,
+		Attempt: int32(len(req.attempts)),
+		Wait:    waitMs,
+		Took:    now - req.recorded.startedAt,
+	}
+	switch {
+	case final == recordpb.Final_FINAL_SERVED:
+	case req.inFlight > 0:
+		event.Reason = record.ReasonOut
+	case req.recorded.lastAttemptEnd == record.ReasonNone:
+		event.Reason = record.ReasonUnsent
+	default:
+		event.Reason = req.recorded.lastAttemptEnd
+	}
+	r.records.Put(&event)
+}
+
+// healthCheckSent takes the time at which a health check is sent.
+func (r *recorder) healthCheckSent(server string) {
+	if r.on() {
+		r.healthChecksSentAt[server] = r.loop.Now()
+	}
+}
+
+// healthCheck records the end of a health check.
+func (r *recorder) healthCheck(server string, outcome *backend.Outcome) {
+	if !r.on() {
+		return
+	}
+	event := record.Event{
+		At:     r.loop.Now(),
+		Kind:   recordpb.Kind_KIND_PROBE,
+		Server: server,
+		Result: uint8(outcome.Result),
+		Role:   uint8(outcome.Role),
+	}
+	if outcome.HasPos {
+		event.Position = outcome.Position
+	}
+	if sentAt, ok := r.healthChecksSentAt[server]; ok {
+		event.Took = event.At - sentAt
+		delete(r.healthChecksSentAt, server)
+	}
+	r.records.Put(&event)
+}
+
+// list records a change of the endpoint list, or the whole list.
+func (r *recorder) list(list *discovery.List, kind decide.ListKind) {
+	if !r.on() {
+		return
+	}
+	now := r.loop.Now()
+	r.records.Put(&record.Event{
+		At:     now,
+		Kind:   recordpb.Kind_KIND_LIST,
+		Number: list.Generation,
+		Whole:  kind != decide.ListChanges,
+		Result: uint8(kind),
+	})
+	for i := range list.Instances {
+		instance := &list.Instances[i]
+		if instance.ID == "" {
+			continue
+		}
+		r.records.Put(&record.Event{
+			At:      now,
+			Kind:    recordpb.Kind_KIND_ENTRY,
+			Server:  instance.ID,
+			Group:   int64(instance.Cell),
+			State:   uint8(serverState(instance)),
+			Primary: instance.Role == primaryRole,
+			Number:  instance.StartedAtMs,
+			Text:    instance.HostPort,
+		})
+	}
+}
+
+// Gauge records the numbers of sessions, connections and requests, once a second.
+func (c *Core) Gauge(sessions, conns int) {
+	if c.recorder.on() {
+		c.recorder.records.Put(&record.Event{
+			At:       c.loop.Now(),
+			Kind:     recordpb.Kind_KIND_GAUGE,
+			Sessions: int64(sessions),
+			Conns:    int64(conns),
+			Number:   int64(c.requests.Len()),
+			Wall:     clock.Wall(),
+		})
+	}
+}
+
+// Note records an event of the pooler itself.
+func (c *Core) Note(kind record.Kind, text string) {
+	if c.recorder.on() {
+		c.recorder.records.Put(&record.Event{At: c.loop.Now(), Kind: kind, Text: text})
+	}
+}
+
+// Recovered records what the opening of a durable store found, how many ms it took, and what was wrong with the store's end.
+func (c *Core) Recovered(found record.Found, took float64, why string) {
+	if c.recorder.on() {
+		c.recorder.records.Put(&record.Event{
+			At: c.loop.Now(), Kind: recordpb.Kind_KIND_RECOVERED, Took: took, Text: why, Found: &found,
+		})
+	}
+}
+
+// RecordClasses returns the classes in the form of the records' headers.
+func RecordClasses(names []string, classes []decide.Class) []*recordpb.Class {
+	reads := map[decide.ReadKind]string{
+		decide.ReadAny:     "any",
+		decide.ReadBounded: "bounded",
+		decide.ReadSession: "session",
+		decide.ReadFresh:   "fresh",
+		decide.Write:       "write",
+	}
+	var out []*recordpb.Class
+	for i, class := range classes {
+		out = append(out, &recordpb.Class{
+			Name:       names[i],
+			Worth:      class.PriorityWeight,
+			LateWorth:  class.LateWeight,
+			Read:       reads[class.Read],
+			AimUs:      uint64(clock.ToMillis(class.LatencyObjective) * usPerMs),
+			DeadlineUs: uint64(clock.ToMillis(class.Deadline) * usPerMs),
+		})
+	}
+	return out
+}
+
+const usPerMs = 1000
--- /dev/null
+++ b/internal/core/requesttable.go
@@ -0,0 +1,79 @@
+package core
+
+import (
+	"encoding/binary"
+
+	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/slotmap"
+)
+
+// requestTable holds the requests that are open or have attempts in flight, and remembers for some minutes which ones may have
+// run.
+type requestTable struct {
+	slotmap.Table[*request]
+	byID     map[string]slotmap.Ref // the latest request of each id
+	sentKeys recentKeys             // keys of requests that may have run
+	sentOnce recentKeys             // ids of requests that must not run twice and may have run
+}
+
+// newRequestTable returns an empty table.
+func newRequestTable() requestTable { return requestTable{byID: map[string]slotmap.Ref{}} }
+
+// setKeyLifetime sets how long keys and ids are remembered at least.
+func (table *requestTable) setKeyLifetime(ms float64) {
+	table.sentKeys.lifetimeMs = ms
+	table.sentOnce.lifetimeMs = ms
+}
+
+// add stores a request.
+func (table *requestTable) add(req *request) slotmap.Ref {
+	ref := table.Put(req)
+	table.byID[req.id] = ref
+	return ref
+}
+
+// latest returns the latest request of an id, while it has a slot.
+func (table *requestTable) latest(id string) (*request, bool) { return table.Get(table.byID[id]) }
+
+// release frees the slot of a request that is done.
+func (table *requestTable) release(ref slotmap.Ref, req *request, now float64) {
+	table.rememberIfRun(req, now)
+	table.Remove(ref)
+	if table.byID[req.id] == ref { // else its client has sent it again meanwhile
+		delete(table.byID, req.id)
+	}
+}
+
+// rememberIfRun remembers the id of a request that may have run, where it must not run twice and its client did not get its
+// server's answer.
+func (table *requestTable) rememberIfRun(req *request, now float64) {
+	if req.once && req.key == "" && !req.answerDelivered && req.mayHaveRun() {
+		table.sentOnce.recordSend(req.id, now, now)
+	}
+}
+
+// mayHaveRun reports whether a request of that id, which must not run twice, has ended and may have run.
+func (table *requestTable) mayHaveRun(id string, now float64) bool {
+	_, known := table.sentOnce.firstSent(id, now)
+	return known
+}
+
+// requestIDBytes is the length of a request's name for the router.
+const requestIDBytes = 8
+
+// requestID names a request to the router by its slot, as the ids of different clients may be equal.
+func requestID(ref slotmap.Ref) decide.RequestID {
+	var id [requestIDBytes]byte
+	binary.BigEndian.PutUint32(id[:4], ref.Index)
+	binary.BigEndian.PutUint32(id[4:], ref.Gen)
+	return decide.RequestID(id[:])
+}
+
+// refOf returns the slot of a request by its name for the router.
+func refOf(id decide.RequestID) slotmap.Ref {
+	if len(id) != requestIDBytes {
+		return slotmap.Ref{}
+	}
+	b := []byte(id)
+	return slotmap.Ref{Index: binary.BigEndian.Uint32(b[:4]), Gen: binary.BigEndian.Uint32(b[4:])}
+}
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -6,7 +6,8 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// ZoneObserver receives where servers are, what is asked, and how attempts ended, for the fleet to plan which zone serves what.
+// ZoneObserver receives where servers are, what is requested, and how attempts ended, for the fleet to plan which zone serves
+// what.
 type ZoneObserver interface {
 	Listed(list *discovery.List, whole bool)
 	Received(group, class int)
@@ -14,31 +15,36 @@
 	HealthChecked(server string, ok bool)
 }
 
-// zoneOverride is the zone that the router takes this pooler to be in, and the price of another zone; the settings' own unless on.
+// zoneOverride is the zone that the router assumes this pooler to be in, and the cost of another zone; the settings' own unless
+// active.
 type zoneOverride struct {
 	zone   string
 	price  float64
 	active bool
 }
 
-// SetZoneObserver sets the receiver.
-func (c *Core) SetZoneObserver(geography ZoneObserver) { c.fleet.zoneObserver = geography }
+// SetZoneObserver sets the observer.
+func (c *Core) SetZoneObserver(observer ZoneObserver) { c.fleet.zoneObserver = observer }
 
-// SetZone has the router take another zone as its own, and sets the price of an attempt into others; below 0 for the settings' price.
+// SetZone has the router take another zone as its own, and sets the cost of an attempt into others; below 0 for the settings'
+// cost.
 func (c *Core) SetZone(zone string, price float64) {
-	if s := (zoneOverride{zone, price, true}); s != c.fleet.zoneOverride {
-		c.fleet.zoneOverride = s
+	override := zoneOverride{zone: zone, price: price, active: true}
+	if override != c.fleet.zoneOverride {
+		c.fleet.zoneOverride = override
 		c.reload()
 	}
 }
 
-// applyZone puts the zone and the price into settings.
-func (c *Core) applyZone(set *decide.Settings) {
-	if s := &c.fleet.zoneOverride; s.active {
-		set.Zone = c.zoneNumbers.number(s.zone)
-		if s.price >= 0 {
-			set.CrossZoneCost = s.price
-		}
+// applyZone puts the zone and the cost into settings.
+func (c *Core) applyZone(settings *decide.Settings) {
+	override := &c.fleet.zoneOverride
+	if !override.active {
+		return
+	}
+	settings.Zone = c.zoneNumbers.number(override.zone)
+	if override.price >= 0 {
+		settings.CrossZoneCost = override.price
 	}
 }
 
@@ -47,33 +53,21 @@
 	return c.router.RelativeRate(decide.ServerID(server))
 }
 
-// countDemand counts a request that arrived, countAttempt how an attempt ended.
-func (c *Core) countDemand(ev *decide.Request) {
-	if geography := c.fleet.zoneObserver; geography != nil {
-		geography.Received(ev.Group, ev.Class)
-	}
-}
-
-func (c *Core) countAttempt(req *request, no int, result decide.Result) {
-	if geography := c.fleet.zoneObserver; geography != nil {
-		t := &req.attempts[no]
-		geography.AttemptEnded(string(t.server), req.class, result, c.loop.Now()-t.startedAt, req.finished)
-	}
-}
-
-// reportList passes a list on.
-func (c *Core) reportList(list *discovery.List, kind decide.ListKind) {
-	if geography := c.fleet.zoneObserver; geography != nil {
-		geography.Listed(list, kind != decide.ListChanges)
-	}
-}
-
 // WarmUpFactor returns the part of its capacity that a server has, by the time of its start.
 func (c *Core) WarmUpFactor(startedMs float64) float64 {
-	set := &c.config.Settings
+	settings := &c.config.Settings
 	age := c.loop.Now() - startedMs
-	if startedMs <= 0 || set.SlowStartTime <= 0 || age >= clock.ToMillis(set.SlowStartTime) {
+	if startedMs <= 0 || settings.SlowStartTime <= 0 || age >= clock.ToMillis(settings.SlowStartTime) {
 		return 1
 	}
-	return set.SlowStartFrom + (1-set.SlowStartFrom)*max(0, age)/clock.ToMillis(set.SlowStartTime)
+	from := settings.SlowStartFrom
+	return from + (1-from)*max(0, age)/clock.ToMillis(settings.SlowStartTime)
+}
+
+// countAttempt counts how an attempt ended.
+func (c *Core) countAttempt(req *request, number int, result decide.Result) {
+	if observer := c.fleet.zoneObserver; observer != nil {
+		a := &req.attempts[number]
+		observer.AttemptEnded(string(a.server), req.class, result, c.loop.Now()-a.startedAt, req.finished)
+	}
 }
