--- a/cmd/beechgrade-kit/trace.go
+++ b/cmd/beechgrade-kit/trace.go
@@ -46,16 +46,16 @@
 func (t *tracer) Fault(records.Fault)        {}
 
 func (t *tracer) Event(r *records.Run, e *record.Event) {
-	s := step{At: e.At, Pooler: r.Pooler, Server: e.Server, TookMs: e.Took}
+	s := step{At: e.At, Pooler: r.Pooler, Server: e.Server, TookMs: e.DurationMs}
 	mine := t.open[r][e.Request]
 	switch {
 	case e.Kind == recordpb.Kind_KIND_REQUEST && e.ID == t.hash:
 		t.open[r][e.Request] = true
 		t.whose[r] = e.Session
 		s.What = "request"
-		s.Text = fmt.Sprintf("class %d, group %d, %s left", e.Class, e.Group, incident.Span(e.Left))
+		s.Text = fmt.Sprintf("class %d, group %d, %s left", e.Class, e.Group, incident.Span(e.RemainingMs))
 		if int(e.Class) < len(r.Header.Classes) {
-			s.Text = fmt.Sprintf("%s, group %d, %s left", r.Header.Classes[e.Class].Name, e.Group, incident.Span(e.Left))
+			s.Text = fmt.Sprintf("%s, group %d, %s left", r.Header.Classes[e.Class].Name, e.Group, incident.Span(e.RemainingMs))
 		}
 		if e.Repeat {
 			s.Text += ", the client asks again"
@@ -87,9 +87,9 @@
 // handText says how a transaction's wait for a server connection ended.
 func handText(e *record.Event) string {
 	switch e.How {
-	case record.HandRefused:
+	case record.AssignmentRejected:
 		return "none came free in time"
-	case record.HandAgain:
+	case record.AssignmentRestarted:
 		return "the transaction had only begun, and begins again elsewhere"
 	}
 	text := "pool " + e.Pool
--- a/internal/backend/invariants_test.go
+++ b/internal/backend/invariants_test.go
@@ -47,13 +47,13 @@
 		}
 		x.s.idle, x.s.waiting, x.s.dialing = []*conn{x.idle}, []*attempt{x.waits}, 1
 		c := invariant.New(nil)
-		if pool.walk(c); len(c.Broken()) > 0 {
-			t.Errorf("without: %v", c.Broken())
+		if pool.walk(c); len(c.Breaches()) > 0 {
+			t.Errorf("without: %v", c.Breaches())
 		}
 		m.poke(x)
 		pool.walk(c)
-		if !slices.ContainsFunc(c.Broken(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not seen: %v", m.name, c.Broken())
+		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
+			t.Errorf("%q is not seen: %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/cluster/credit/lease/invariants.go
+++ b/internal/cluster/credit/lease/invariants.go
@@ -5,7 +5,7 @@
 // checkInvariants states what always holds of all accounts.
 func (m *Manager) checkInvariants() {
 	checks := m.settings.Checks
-	if !checks.On() {
+	if !checks.Enabled() {
 		return
 	}
 	for _, tenant := range m.active {
--- a/internal/cluster/credit/ledger/invariants.go
+++ b/internal/cluster/credit/ledger/invariants.go
@@ -12,7 +12,7 @@
 // checkTenant states the invariant of the tenant that an operation was about, and now and then that of the whole ledger.
 func (l *Ledger) checkTenant(name string) {
 	tenant := l.tenants[name]
-	if !l.Checks.On() || tenant == nil {
+	if !l.Checks.Enabled() || tenant == nil {
 		return
 	}
 	state := func(checks *invariant.Checks, statement string, err error) {
--- a/internal/cluster/outlier/verdicts.go
+++ b/internal/cluster/outlier/verdicts.go
@@ -102,7 +102,7 @@
 	case Received:
 		detector.handleMessage(e.From, e.Message)
 	}
-	if detector.checks.On() {
+	if detector.checks.Enabled() {
 		detector.checks.Walk(&detector.checkCounter, detector.checkInterval, "verdicts: the walk", detector.checkState)
 	}
 	out, detector.actions = detector.actions, nil
--- a/internal/cluster/overload/budgetlease/lend_test.go
+++ b/internal/cluster/overload/budgetlease/lend_test.go
@@ -210,8 +210,8 @@
 	l.take(0, 5)
 	l.vaults[0].left = 5
 	l.take(0, 5)
-	if len(c.Broken()) != 1 {
-		t.Errorf("caught %v", c.Broken())
+	if len(c.Breaches()) != 1 {
+		t.Errorf("caught %v", c.Breaches())
 	}
 }
 
--- a/internal/cluster/overload/invariants_test.go
+++ b/internal/cluster/overload/invariants_test.go
@@ -69,13 +69,13 @@
 	t.Helper()
 	c, n, found := invariant.New(nil), 0, want == ""
 	c.Walk(&n, 1, "walk", walk)
-	for _, b := range c.Broken() {
+	for _, b := range c.Breaches() {
 		if found = found || strings.Contains(b.Name, want); want == "" {
 			t.Errorf("%v, of state that is sound", b)
 		}
 	}
 	if !found {
-		t.Errorf("%q: nobody saw it: %v", want, c.Broken())
+		t.Errorf("%q: nobody saw it: %v", want, c.Breaches())
 	}
 }
 
--- a/internal/cluster/overload/overload.go
+++ b/internal/cluster/overload/overload.go
@@ -183,7 +183,7 @@
 			o.answered(o.self, a.Answer)
 		}
 	}
-	if _, ticked := e.(Tick); ticked && o.checks.On() {
+	if _, ticked := e.(Tick); ticked && o.checks.Enabled() {
 		o.checks.Walk(&o.walks, o.every, "overload: a walk", o.walk)
 	}
 	return o.out
--- a/internal/cluster/overload/probes.go
+++ b/internal/cluster/overload/probes.go
@@ -374,7 +374,7 @@
 			delete(p.shunned, id)
 		}
 	}
-	if p.checks.On() {
+	if p.checks.Enabled() {
 		p.checks.Walk(&p.walks, p.every, "probes: a walk", p.walk)
 	}
 	return out
--- a/internal/cluster/quota/invariants_test.go
+++ b/internal/cluster/quota/invariants_test.go
@@ -199,13 +199,13 @@
 	} {
 		_, q, limit := clusterWithLeases(t)
 		c := invariant.New(nil)
-		if q.checkState(c); len(c.Broken()) > 0 {
-			t.Fatalf("without: %v", c.Broken())
+		if q.checkState(c); len(c.Breaches()) > 0 {
+			t.Fatalf("without: %v", c.Breaches())
 		}
 		poke(q, limit)
 		q.checkState(c)
-		if !slices.ContainsFunc(c.Broken(), func(b invariant.Breach) bool { return b.Name == name }) {
-			t.Fatalf("%q is not seen: %v", name, c.Broken())
+		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == name }) {
+			t.Fatalf("%q is not seen: %v", name, c.Breaches())
 		}
 	}
 }
--- a/internal/cluster/quota/quota.go
+++ b/internal/cluster/quota/quota.go
@@ -117,7 +117,7 @@
 	for _, limit := range q.limits {
 		q.reportAllowance(limit)
 	}
-	if q.checks.On() {
+	if q.checks.Enabled() {
 		q.checks.Walk(&q.checkCounter, q.checkInterval, "quota: the walk", q.checkState)
 	}
 	return q.actions
--- a/internal/cluster/raftlog/log.go
+++ b/internal/cluster/raftlog/log.go
@@ -269,7 +269,7 @@
 	}
 	st := l.node.BasicStatus()
 	term, lead, leads := st.GetTerm(), st.Lead, st.RaftState == raft.StateLeader
-	if c := l.settings.Checks; c.On() {
+	if c := l.settings.Checks; c.Enabled() {
 		c.That(term >= l.term, "agreed: the term never falls", func() string { return fmt.Sprint(l.settings.Self, " ", l.term, " ", term) })
 	}
 	if lead == l.leader && leads == l.isLeader && (term == l.term || !leads) {
@@ -329,7 +329,7 @@
 func (l *Log) apply(m *pb.Message) {
 	for _, e := range m.GetEntries() {
 		i := e.GetIndex()
-		if c := l.settings.Checks; c.On() {
+		if c := l.settings.Checks; c.Enabled() {
 			c.That(i == l.appliedIndex+1 && e.GetTerm() >= l.appliedTerm, "agreed: entries are applied one by one, in terms that never fall", func() string {
 				return fmt.Sprint(l.settings.Self, " applies ", i, " of term ", e.GetTerm(), " after ", l.appliedIndex, " of term ", l.appliedTerm)
 			})
--- a/internal/cluster/view/invariants_test.go
+++ b/internal/cluster/view/invariants_test.go
@@ -74,13 +74,13 @@
 		f := newTestCluster(t, "a", "b", "c", "d")
 		f.advance(8000)
 		v, c := f.views[0], invariant.New(nil)
-		if v.checkState(c); len(c.Broken()) > 0 {
-			t.Errorf("without: %v", c.Broken())
+		if v.checkState(c); len(c.Breaches()) > 0 {
+			t.Errorf("without: %v", c.Breaches())
 		}
 		poke(v, v.members[f.views[1].self.ID])
 		v.checkState(c)
-		if !slices.ContainsFunc(c.Broken(), func(b invariant.Breach) bool { return b.Name == name }) {
-			t.Errorf("%q is not seen: %v", name, c.Broken())
+		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == name }) {
+			t.Errorf("%q is not seen: %v", name, c.Breaches())
 		}
 	}
 }
--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -113,7 +113,7 @@
 	case Leave:
 		v.leave()
 	}
-	if v.checks.On() && !v.hasLeft {
+	if v.checks.Enabled() && !v.hasLeft {
 		v.checks.Walk(&v.checkCounter, v.checkInterval, "view: the walk", v.checkState)
 	}
 	return v.actions
--- a/internal/cluster/zones/statemachine/book.go
+++ b/internal/cluster/zones/statemachine/book.go
@@ -142,7 +142,7 @@
 	if (p.No != last+1 || p.Version != b.Version) && !b.Sloppy {
 		return false
 	}
-	if b.Checks.On() {
+	if b.Checks.Enabled() {
 		b.Checks.That(p.No > last, "zones: no old plan after a new one", func() string { return describe(b.Plan, p) })
 	}
 	if p.Since = p.No; b.Plan != nil && b.Plan.Same(p) {
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -131,7 +131,7 @@
 
 // checkWritten states that what is written was allowed to be.
 func (c *Core) checkWritten(req *request, number int) {
-	if !c.checks.On() {
+	if !c.checks.Enabled() {
 		return
 	}
 	a := &req.attempts[number]
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -47,7 +47,7 @@
 	}
 	c.abandoned = c.abandoned[:0]
 	c.carryingOut = false
-	if c.checks.On() && c.unreportedEnds == 0 {
+	if c.checks.Enabled() && c.unreportedEnds == 0 {
 		c.checks.Walk(&c.sinceWalk, c.walkEvery, "core: the walk", c.walk)
 	}
 }
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -174,14 +174,14 @@
 	} {
 		d, c := newDrawn(nil), invariant.New(nil)
 		d.ask("read", 3000)
-		if d.core.walk(c); len(c.Broken()) > 0 {
-			t.Errorf("without: %v", c.Broken())
+		if d.core.walk(c); len(c.Breaches()) > 0 {
+			t.Errorf("without: %v", c.Breaches())
 		}
 		req, _ := d.core.requests.Get(d.refs[0])
 		m.poke(d.core, req)
 		d.core.walk(c)
-		if !slices.ContainsFunc(c.Broken(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not seen: %v", m.name, c.Broken())
+		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
+			t.Errorf("%q is not seen: %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/core/recorder.go
+++ b/internal/core/recorder.go
@@ -35,7 +35,7 @@
 func (c *Core) SetRecorder(records *record.Recorder) { c.recorder.records = records }
 
 // on reports whether records are on.
-func (r *recorder) on() bool { return r.records.On() }
+func (r *recorder) on() bool { return r.records.Enabled() }
 
 // request records a request that was received.
 func (r *recorder) request(req *request, incoming *platform.Request) {
@@ -46,16 +46,16 @@
 	now := r.loop.Now()
 	req.recorded = recorded{number: r.requests, class: int32(req.class), group: int64(incoming.Group), startedAt: now}
 	r.records.Put(&record.Event{
-		At:       now,
-		Kind:     recordpb.Kind_KIND_REQUEST,
-		Request:  r.requests,
-		Class:    int32(req.class),
-		Group:    int64(incoming.Group),
-		Session:  xxhash.Sum64String(incoming.Session),
-		ID:       xxhash.Sum64String(cmp.Or(incoming.ClientID, incoming.ID)),
-		Left:     incoming.Deadline - now,
-		Repeat:   incoming.IsRetry,
-		Position: incoming.MinPosition,
+		At:          now,
+		Kind:        recordpb.Kind_KIND_REQUEST,
+		Request:     r.requests,
+		Class:       int32(req.class),
+		Group:       int64(incoming.Group),
+		Session:     xxhash.Sum64String(incoming.Session),
+		ID:          xxhash.Sum64String(cmp.Or(incoming.ClientID, incoming.ID)),
+		RemainingMs: incoming.Deadline - now,
+		Repeat:      incoming.IsRetry,
+		Position:    incoming.MinPosition,
 	})
 }
 
@@ -68,16 +68,16 @@
 	a := &req.attempts[number]
 	req.recorded.lastAttemptEnd = record.ReasonEnded + record.Reason(outcome.Result)
 	event := record.Event{
-		At:      now,
-		Kind:    recordpb.Kind_KIND_ATTEMPT,
-		Request: req.recorded.number,
-		Class:   req.recorded.class,
-		Group:   req.recorded.group,
-		Server:  string(a.server),
-		Attempt: int32(number),
-		Result:  uint8(outcome.Result),
-		Role:    uint8(outcome.Role),
-		Took:    now - a.startedAt,
+		At:         now,
+		Kind:       recordpb.Kind_KIND_ATTEMPT,
+		Request:    req.recorded.number,
+		Class:      req.recorded.class,
+		Group:      req.recorded.group,
+		Server:     string(a.server),
+		Attempt:    int32(number),
+		Result:     uint8(outcome.Result),
+		Role:       uint8(outcome.Role),
+		DurationMs: now - a.startedAt,
 	}
 	if outcome.HasPos {
 		event.Position = outcome.Position
@@ -92,22 +92,22 @@
 	}
 	now := r.loop.Now()
 	event := record.Event{
-		At:      now,
-		Kind:    recordpb.Kind_KIND_ANSWER,
-		Request: req.recorded.number,
-		Class:   req.recorded.class,
-		Group:   req.recorded.group,
-		Final:   final,
-		Attempt: int32(len(req.attempts)),
-		Wait:    waitMs,
-		Took:    now - req.recorded.startedAt,
+		At:         now,
+		Kind:       recordpb.Kind_KIND_ANSWER,
+		Request:    req.recorded.number,
+		Class:      req.recorded.class,
+		Group:      req.recorded.group,
+		Final:      final,
+		Attempt:    int32(len(req.attempts)),
+		WaitMs:     waitMs,
+		DurationMs: now - req.recorded.startedAt,
 	}
 	switch {
 	case final == recordpb.Final_FINAL_SERVED:
 	case req.inFlight > 0:
-		event.Reason = record.ReasonOut
+		event.Reason = record.ReasonNoResponse
 	case req.recorded.lastAttemptEnd == record.ReasonNone:
-		event.Reason = record.ReasonUnsent
+		event.Reason = record.ReasonNotSent
 	default:
 		event.Reason = req.recorded.lastAttemptEnd
 	}
@@ -137,7 +137,7 @@
 		event.Position = outcome.Position
 	}
 	if sentAt, ok := r.healthChecksSentAt[server]; ok {
-		event.Took = event.At - sentAt
+		event.DurationMs = event.At - sentAt
 		delete(r.healthChecksSentAt, server)
 	}
 	r.records.Put(&event)
@@ -153,7 +153,7 @@
 		At:     now,
 		Kind:   recordpb.Kind_KIND_LIST,
 		Number: list.Generation,
-		Whole:  kind != decide.ListChanges,
+		Full:   kind != decide.ListChanges,
 		Result: uint8(kind),
 	})
 	for i := range list.Instances {
@@ -178,12 +178,12 @@
 func (c *Core) Gauge(sessions, conns int) {
 	if c.recorder.on() {
 		c.recorder.records.Put(&record.Event{
-			At:       c.loop.Now(),
-			Kind:     recordpb.Kind_KIND_GAUGE,
-			Sessions: int64(sessions),
-			Conns:    int64(conns),
-			Number:   int64(c.requests.Len()),
-			Wall:     clock.Wall(),
+			At:          c.loop.Now(),
+			Kind:        recordpb.Kind_KIND_GAUGE,
+			Sessions:    int64(sessions),
+			Connections: int64(conns),
+			Number:      int64(c.requests.Len()),
+			Wall:        clock.Wall(),
 		})
 	}
 }
@@ -196,10 +196,10 @@
 }
 
 // Recovered records what the opening of a durable store found, how many ms it took, and what was wrong with the store's end.
-func (c *Core) Recovered(found record.Found, took float64, why string) {
+func (c *Core) Recovered(found record.StoreRecovery, took float64, why string) {
 	if c.recorder.on() {
 		c.recorder.records.Put(&record.Event{
-			At: c.loop.Now(), Kind: recordpb.Kind_KIND_RECOVERED, Took: took, Text: why, Found: &found,
+			At: c.loop.Now(), Kind: recordpb.Kind_KIND_RECOVERED, DurationMs: took, Text: why, Recovery: &found,
 		})
 	}
 }
--- a/internal/decide/invariants_checker.go
+++ b/internal/decide/invariants_checker.go
@@ -9,7 +9,7 @@
 // event, and a walk over all state every so many events. It has no effect if checks are off.
 func (r *Router) EnableChecks(checks *invariant.Checks, walkInterval int) {
 	r.checker = nil
-	if checks.On() {
+	if checks.Enabled() {
 		r.checker = &checker{
 			checks:       checks,
 			walkInterval: walkInterval,
--- a/internal/decide/invariants_test.go
+++ b/internal/decide/invariants_test.go
@@ -240,15 +240,15 @@
 		c := invariant.New(nil)
 		h.r.checker.checks = c
 		w := h.r.checker
-		if w.walk(h.r, &Timer{}); len(c.Broken()) > 0 {
-			t.Errorf("without: %v", c.Broken())
+		if w.walk(h.r, &Timer{}); len(c.Breaches()) > 0 {
+			t.Errorf("without: %v", c.Breaches())
 		}
 		if m.poke != nil {
 			m.poke(h)
 		}
 		w.observe(h.r, &Timer{}, m.do(h))
-		if !slices.ContainsFunc(c.Broken(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not seen: %v", m.name, c.Broken())
+		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
+			t.Errorf("%q is not seen: %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/decide/twice_test.go
+++ b/internal/decide/twice_test.go
@@ -86,7 +86,7 @@
 			rt.Fatalf("%d repeats of %d first attempts; at most %v", again, firsts, most)
 		}
 		if hasBudgetBreach(c) {
-			rt.Fatalf("broken: %v", c.Broken())
+			rt.Fatalf("broken: %v", c.Breaches())
 		}
 	})
 }
@@ -100,7 +100,7 @@
 }
 
 func hasBudgetBreach(c *invariant.Checks) bool {
-	return slices.ContainsFunc(c.Broken(), func(b invariant.Breach) bool {
+	return slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool {
 		return strings.HasPrefix(b.Name, "decide: duplicates stay within the retry budget")
 	})
 }
@@ -114,7 +114,7 @@
 	lent.Lent = map[int]float64{0: 1} // of which the settings know nothing
 	h.r.retryBudgets.Tune(h.r.now, &lent, 10, 1)
 	if n := h.failFirstAttempt("r"); n != 2 || !hasBudgetBreach(c) {
-		t.Errorf("%d attempts; caught %v", n, c.Broken())
+		t.Errorf("%d attempts; caught %v", n, c.Breaches())
 	}
 }
 
--- a/internal/endpoints/manager.go
+++ b/internal/endpoints/manager.go
@@ -275,7 +275,7 @@
 
 // recordReport records what a source reported.
 func (m *Manager) recordReport(source string, report *reconcile.Report) {
-	if !m.recorder.On() {
+	if !m.recorder.Enabled() {
 		return
 	}
 	now := m.loop.Now()
--- a/internal/eventloop/slotmap/invariants_test.go
+++ b/internal/eventloop/slotmap/invariants_test.go
@@ -59,12 +59,12 @@
 		tab.Put(1)
 		tab.Remove(tab.Put(2))
 		c := invariant.New(nil)
-		if tab.Check(c, "table"); len(c.Broken()) > 0 {
-			t.Errorf("without: %v", c.Broken())
+		if tab.Check(c, "table"); len(c.Breaches()) > 0 {
+			t.Errorf("without: %v", c.Breaches())
 		}
 		m.poke(&tab)
-		if tab.Check(c, "table"); len(c.Broken()) == 0 || c.Broken()[0].Name != m.name {
-			t.Errorf("%q: %v", m.name, c.Broken())
+		if tab.Check(c, "table"); len(c.Breaches()) == 0 || c.Breaches()[0].Name != m.name {
+			t.Errorf("%q: %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/eventloop/timers/invariants_test.go
+++ b/internal/eventloop/timers/invariants_test.go
@@ -61,12 +61,12 @@
 			h.Add(float64(i), func() {})
 		}
 		c := invariant.New(nil)
-		if h.Check(c); len(c.Broken()) > 0 {
-			t.Errorf("%q without: %v", name, c.Broken())
+		if h.Check(c); len(c.Breaches()) > 0 {
+			t.Errorf("%q without: %v", name, c.Breaches())
 		}
 		poke(&h)
-		if h.Check(c); len(c.Broken()) == 0 || c.Broken()[0].Name != name {
-			t.Errorf("%q: %v", name, c.Broken())
+		if h.Check(c); len(c.Breaches()) == 0 || c.Breaches()[0].Name != name {
+			t.Errorf("%q: %v", name, c.Breaches())
 		}
 	}
 }
--- a/internal/frontend/pooling/begun.go
+++ b/internal/frontend/pooling/begun.go
@@ -129,7 +129,7 @@
 	}
 	c.opened, c.opening, c.leg, c.pre = nil, nil, nil, nil
 	c.f.Counts.Again++
-	c.recordHand(record.HandAgain, nil, 0, false)
+	c.recordHand(record.AssignmentRestarted, nil, 0, false)
 	began := c.began
 	err := c.put(t)
 	c.began = began
--- a/internal/frontend/pooling/connpool/invariants_test.go
+++ b/internal/frontend/pooling/connpool/invariants_test.go
@@ -32,13 +32,13 @@
 		p.Free(2, 0)
 		p.Want(9, "a", 0)
 		c := invariant.New(nil)
-		if p.Check(c); len(c.Broken()) > 0 {
-			t.Errorf("without: %v", c.Broken())
+		if p.Check(c); len(c.Breaches()) > 0 {
+			t.Errorf("without: %v", c.Breaches())
 		}
 		m.poke(p)
 		p.Check(c)
-		if !slices.ContainsFunc(c.Broken(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not seen: %v", m.name, c.Broken())
+		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
+			t.Errorf("%q is not seen: %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/frontend/pooling/enter.go
+++ b/internal/frontend/pooling/enter.go
@@ -65,7 +65,7 @@
 		return
 	}
 	c.outside = nil
-	c.recordHand(record.HandRefused, nil, c.f.loop.Now()-x.since, false)
+	c.recordHand(record.AssignmentRejected, nil, c.f.loop.Now()-x.since, false)
 	c.txn = &txn{c: c, held: x.raw}
 	c.concluded(c.txn, "53300", "no connection came free in time", "")
 }
@@ -163,7 +163,7 @@
 		l.free()
 		return
 	}
-	c.recordHand(record.HandGiven, l, c.doorMs+c.f.loop.Now()-a.t.asked, other)
+	c.recordHand(record.AssignmentGranted, l, c.doorMs+c.f.loop.Now()-a.t.asked, other)
 	c.last = l.store
 	c.resume(a, l)
 }
--- a/internal/frontend/pooling/invariants_test.go
+++ b/internal/frontend/pooling/invariants_test.go
@@ -25,13 +25,13 @@
 		p.share.Want(connpool.ID(refNumber(a.ref)), "s", 0)
 		p.share.Up(l.id(), "s", 0)
 		c := invariant.New(nil)
-		if f.walk(c); len(c.Broken()) > 0 {
-			t.Errorf("without: %v", c.Broken())
+		if f.walk(c); len(c.Breaches()) > 0 {
+			t.Errorf("without: %v", c.Breaches())
 		}
 		m.poke(f, l, a)
 		f.walk(c)
-		if !slices.ContainsFunc(c.Broken(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not seen: %v", m.name, c.Broken())
+		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
+			t.Errorf("%q is not seen: %v", m.name, c.Breaches())
 		}
 	}
 }
--- a/internal/frontend/pooling/records.go
+++ b/internal/frontend/pooling/records.go
@@ -18,7 +18,7 @@
 func sessionKey(pid uint32) string { return strconv.FormatUint(uint64(pid), 10) }
 
 func (c *client) recordBegin() {
-	if c.pool == nil || !c.f.rec.On() {
+	if c.pool == nil || !c.f.rec.Enabled() {
 		return
 	}
 	c.session = xxhash.Sum64String(sessionKey(c.pid))
@@ -26,19 +26,19 @@
 }
 
 func (c *client) recordEnd() {
-	if c.pool == nil || c.session == 0 || !c.f.rec.On() {
+	if c.pool == nil || c.session == 0 || !c.f.rec.Enabled() {
 		return
 	}
 	c.f.rec.Put(&record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_SESSION_END, Pool: c.pool.name, Session: c.session, Text: c.ended,
-		Took: c.f.loop.Now() - c.since})
+		DurationMs: c.f.loop.Now() - c.since})
 }
 
 // recordHand records how a wait for a server connection ended. It comes before the settings are sent ahead.
 func (c *client) recordHand(how uint8, l *link, waited float64, other bool) {
-	if !c.f.rec.On() {
+	if !c.f.rec.Enabled() {
 		return
 	}
-	e := record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_HAND, Pool: c.pool.name, Session: c.session, How: how, Took: waited, Other: other,
+	e := record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_HAND, Pool: c.pool.name, Session: c.session, How: how, DurationMs: waited, Other: other,
 		Group: int64(c.pool.opt.Group)}
 	if l != nil {
 		e.Server, e.Moved, e.Carried = l.store, c.last != "" && c.last != l.store, c.carry.Sync(l.server) != ""
@@ -49,16 +49,16 @@
 // gauge records once a second what the pools hold.
 func (f *Front) gauge() {
 	now := f.loop.Now()
-	if !f.rec.On() || now < f.gaugeAt {
+	if !f.rec.Enabled() || now < f.gaugeAt {
 		return
 	}
 	f.gaugeAt = now + gaugeMs
 	for _, p := range f.pools {
 		idle, used, dialing, waiting := p.share.Counts()
-		e := record.Event{At: now, Kind: recordpb.Kind_KIND_POOL, Pool: p.name, Holds: record.PoolHolds{Clients: int32(p.clients), Idle: int32(idle),
+		e := record.Event{At: now, Kind: recordpb.Kind_KIND_POOL, Pool: p.name, PoolState: record.PoolState{Clients: int32(p.clients), Idle: int32(idle),
 			Used: int32(used), Connecting: int32(dialing), Waiting: int32(waiting + p.share.Outside()), Most: int32(p.opt.Limits.Most)}}
 		if at := p.share.Oldest(); at > 0 {
-			e.Holds.LongestMs = now - at
+			e.PoolState.LongestMs = now - at
 		}
 		f.rec.Put(&e)
 	}
--- a/internal/frontend/scatter/rows.go
+++ b/internal/frontend/scatter/rows.go
@@ -33,7 +33,7 @@
 	s.do(s.run.Row(p.a.Shard, p.a.Try, key, own, m.Raw, s.f.loop.Now()))
 	s.drain()
 	s.busy = false
-	if s.f.opt.Checks.On() {
+	if s.f.opt.Checks.Enabled() {
 		set := s.spec.Held()
 		s.f.opt.Checks.That(s.f.heldOf(s.no) <= set, "scatter: bytes held of all pages are within their bound",
 			func() string { return fmt.Sprintf("%d of %d", s.f.heldOf(s.no), set) })
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -23,8 +23,8 @@
 
 // Bounds of what is kept.
 const (
-	mostNames = 256
-	mostState = 8192 // bytes
+	maxBreaches   = 256
+	maxStateBytes = 8192 // bytes
 )
 
 // Breach is a statement that was found false.
@@ -38,14 +38,14 @@
 
 // Checks takes statements. nil takes none.
 type Checks struct {
-	told   func(Breach)
-	broken []Breach
-	times  int
-	made   int
+	onBreach     func(Breach)
+	breaches     []Breach
+	failedCount  int
+	checkedCount int
 }
 
 // New returns checks that tell of the first breach of each name; told may be nil.
-func New(told func(Breach)) *Checks { return &Checks{told: told} }
+func New(onBreach func(Breach)) *Checks { return &Checks{onBreach: onBreach} }
 
 // T is what Test needs of a *testing.T or *rapid.T.
 type T interface {
@@ -59,38 +59,38 @@
 	return New(func(b Breach) { t.Errorf("%v", b) })
 }
 
-// On says whether statements are checked: what is only needed for one goes behind it.
-func (c *Checks) On() bool { return c != nil }
+// Enabled says whether statements are checked: what is only needed for one goes behind it.
+func (c *Checks) Enabled() bool { return c != nil }
 
 // That states that ok holds. state is called where it does not, the first time.
 func (c *Checks) That(ok bool, name string, state func() string) {
 	if c == nil {
 		return
 	}
-	if c.made++; !ok {
+	if c.checkedCount++; !ok {
 		c.breach(name, state)
 	}
 }
 
 func (c *Checks) breach(name string, state func() string) {
-	c.times++
-	i := slices.IndexFunc(c.broken, func(b Breach) bool { return b.Name == name })
+	c.failedCount++
+	i := slices.IndexFunc(c.breaches, func(b Breach) bool { return b.Name == name })
 	if i >= 0 {
-		c.broken[i].Times++
+		c.breaches[i].Times++
 		return
 	}
-	if len(c.broken) >= mostNames {
+	if len(c.breaches) >= maxBreaches {
 		return
 	}
-	b := Breach{Name: name, State: tell(state), Times: 1}
-	c.broken = append(c.broken, b)
-	if c.told != nil {
-		c.told(b)
+	b := Breach{Name: name, State: describe(state), Times: 1}
+	c.breaches = append(c.breaches, b)
+	if c.onBreach != nil {
+		c.onBreach(b)
 	}
 }
 
-// tell is the state in words, as far as it can be told: it is broken.
-func tell(state func() string) (s string) {
+// describe is the state in words, as far as it can be told: it is broken.
+func describe(state func() string) (s string) {
 	defer func() {
 		if p := recover(); p != nil {
 			s = fmt.Sprintf("state that cannot be told: %v", p)
@@ -99,8 +99,8 @@
 	if state == nil {
 		return ""
 	}
-	if s = state(); len(s) > mostState {
-		s = s[:mostState] + "..."
+	if s = state(); len(s) > maxStateBytes {
+		s = s[:maxStateBytes] + "..."
 	}
 	return s
 }
@@ -123,12 +123,12 @@
 	walk(c)
 }
 
-// Broken are the breaches so far, by when each was found first; nil for none.
-func (c *Checks) Broken() []Breach {
+// Breaches are the breaches so far, by when each was found first; nil for none.
+func (c *Checks) Breaches() []Breach {
 	if c == nil {
 		return nil
 	}
-	return slices.Clone(c.broken)
+	return slices.Clone(c.breaches)
 }
 
 // Counts are how many statements were made, and how many of these were false.
@@ -136,5 +136,5 @@
 	if c == nil {
 		return 0, 0
 	}
-	return c.made, c.times
+	return c.checkedCount, c.failedCount
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -27,8 +27,8 @@
 	if len(told) != len(want) {
 		t.Errorf("told %q", told)
 	}
-	if made, broken := c.Counts(); made != 4 || broken != 5 || c.Broken()[0].Times != 2 {
-		t.Errorf("%d made, %d broken: %v", made, broken, c.Broken())
+	if made, broken := c.Counts(); made != 4 || broken != 5 || c.Breaches()[0].Times != 2 {
+		t.Errorf("%d made, %d broken: %v", made, broken, c.Breaches())
 	}
 }
 
@@ -38,7 +38,7 @@
 	n := 0
 	c.That(false, "x", func() string { t.Error("asked for state"); return "" })
 	c.Walk(&n, 1, "x", func(*Checks) { t.Error("walked") })
-	if made, broken := c.Counts(); c.On() || c.Broken() != nil || made != 0 || broken != 0 {
+	if made, broken := c.Counts(); c.Enabled() || c.Breaches() != nil || made != 0 || broken != 0 {
 		t.Error("nil checks something")
 	}
 }
@@ -64,7 +64,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		s[i&7]++
-		if c.On() {
+		if c.Enabled() {
 			c.That(s[i&7] >= 0, "x", func() string { return fmt.Sprint(s, i) })
 		}
 	}
@@ -86,7 +86,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		s[i&7]++
-		if c.On() {
+		if c.Enabled() {
 			c.That(s[i&7] >= 0, "x", func() string { return fmt.Sprint(s, i) })
 		}
 	}
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -11,8 +11,8 @@
 // A segment is Magic, then frames: the payload's length (4 bytes, little-endian), its type, a CRC-32C over length,
 // type and payload (4 bytes), the payload. The first frame is the Header.
 const (
-	Magic     = "BGREC01\n"
-	headBytes = 9
+	Magic          = "BGREC01\n"
+	frameHeadBytes = 9
 	// MaxFrame bounds a frame's payload in bytes, packed or not.
 	MaxFrame = 4 << 20
 )
@@ -39,14 +39,14 @@
 }
 
 func endFrame(dst []byte, at int) []byte {
-	h := dst[at : at+headBytes]
-	payload := dst[at+headBytes:]
+	h := dst[at : at+frameHeadBytes]
+	payload := dst[at+frameHeadBytes:]
 	binary.LittleEndian.PutUint32(h, uint32(len(payload)))
-	binary.LittleEndian.PutUint32(h[5:], sum(h[:5], payload))
+	binary.LittleEndian.PutUint32(h[5:], checksum(h[:5], payload))
 	return dst
 }
 
-func sum(head, payload []byte) uint32 {
+func checksum(head, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, payload)
 }
 
@@ -81,7 +81,7 @@
 // Next returns the next frame; the payload is valid until the call after. At the file's end the error is io.EOF, in
 // the midst of a frame it wraps ErrTorn, where the bytes are not as they were written ErrCorrupt.
 func (f *Frames) Next() (typ byte, payload []byte, err error) {
-	b, err := f.read(headBytes)
+	b, err := f.read(frameHeadBytes)
 	switch {
 	case errors.Is(err, io.EOF):
 		return 0, nil, io.EOF
@@ -90,7 +90,7 @@
 	case err != nil:
 		return 0, nil, err
 	}
-	var head [headBytes]byte
+	var head [frameHeadBytes]byte
 	copy(head[:], b)
 	n := binary.LittleEndian.Uint32(head[:])
 	if n > MaxFrame {
@@ -103,10 +103,10 @@
 	case err != nil:
 		return 0, nil, err
 	}
-	if sum(head[:5], payload) != binary.LittleEndian.Uint32(head[5:]) {
+	if checksum(head[:5], payload) != binary.LittleEndian.Uint32(head[5:]) {
 		return 0, nil, fmt.Errorf("%w: checksum of a frame", ErrCorrupt)
 	}
-	f.at += headBytes + int64(n)
+	f.at += frameHeadBytes + int64(n)
 	return head[4], payload, nil
 }
 
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -16,11 +16,11 @@
 
 // The reasons. A reason behind ReasonEnded is that of the attempt that ended last, by the decision module's Result.
 const (
-	ReasonNone    Reason = iota
-	ReasonUnsent         // no attempt was begun
-	ReasonOut            // an attempt was still out
-	ReasonEnded          // ...plus the Result of the last attempt
-	reasonsBehind = 9
+	ReasonNone       Reason = iota
+	ReasonNotSent           // no attempt was begun
+	ReasonNoResponse        // an attempt was still out
+	ReasonEnded             // ...plus the Result of the last attempt
+	reasonsBehind    = 9
 )
 
 var resultNames = [...]string{"ok", "error", "turned away", "timed out", "unreachable", "reset", "called off", "never sent", "missed"}
@@ -37,9 +37,9 @@
 	switch {
 	case r == ReasonNone:
 		return "none"
-	case r == ReasonUnsent:
+	case r == ReasonNotSent:
 		return "nothing sent"
-	case r == ReasonOut:
+	case r == ReasonNoResponse:
 		return "no answer yet"
 	case r < ReasonEnded+reasonsBehind:
 		return ResultName(uint32(r - ReasonEnded))
@@ -50,71 +50,71 @@
 // Event is one event on its way to disk, or read back. Times are in milliseconds; At and Position are Unix time.
 // Which fields count depends on Kind, as the schema says.
 type Event struct {
-	At       float64
-	Kind     Kind
-	Final    recordpb.Final
-	Result   uint8
-	Role     uint8
-	State    uint8
-	Repeat   bool
-	Primary  bool
-	Whole    bool
-	Held     bool
-	Class    int32
-	Attempt  int32
-	Group    int64
-	Request  uint64
-	Server   string
-	Session  uint64
-	ID       uint64
-	Took     float64
-	Left     float64
-	Wait     float64
-	Position float64 // 0 for none
-	Reason   Reason
-	Number   int64 // a list's generation; a server's start in Unix ms; a gauge's open requests
-	Sessions int64
-	Conns    int64
-	Memory   int64
-	Files    int64
-	Wall     float64 // the machine's clock at a gauge, Unix ms
-	Text     string
-	Lost     uint64 // events
-	From, To float64
-	Cause    uint8
+	At          float64
+	Kind        Kind
+	Final       recordpb.Final
+	Result      uint8
+	Role        uint8
+	State       uint8
+	Repeat      bool
+	Primary     bool
+	Full        bool
+	Restated    bool
+	Class       int32
+	Attempt     int32
+	Group       int64
+	Request     uint64
+	Server      string
+	Session     uint64
+	ID          uint64
+	DurationMs  float64
+	RemainingMs float64
+	WaitMs      float64
+	Position    float64 // 0 for none
+	Reason      Reason
+	Number      int64 // a list's generation; a server's start in Unix ms; a gauge's open requests
+	Sessions    int64
+	Connections int64
+	Memory      int64
+	Descriptors int64
+	Wall        float64 // the machine's clock at a gauge, Unix ms
+	Text        string
+	Lost        uint64 // events
+	From, To    float64
+	Cause       uint8
 
 	Source string // of membership
 	Health uint8  // as that says
 
-	Pool    string
-	How     uint8 // of a hand-over
-	Other   bool
-	Moved   bool
-	Carried bool
-	Holds   PoolHolds
+	Pool      string
+	How       uint8 // of a hand-over
+	Other     bool
+	Moved     bool
+	Carried   bool
+	PoolState PoolState
 
-	Found *Found // of a store that was opened; Text is why some of it was dropped
+	Recovery *StoreRecovery // of a store that was opened; Text is why some of it was dropped
 }
 
-// Found is what the opening of a durable store found.
-type Found struct {
+// StoreRecovery is what the opening of a durable store found.
+type StoreRecovery struct {
 	Store    string
 	Records  int64
 	Segments int64
 	Dropped  int64 // bytes
 }
 
-// PoolHolds is what a pool holds; LongestMs is for how long one of those who wait has.
-type PoolHolds struct {
+// PoolState is what a pool holds; LongestMs is for how long one of those who wait has.
+type PoolState struct {
 	Clients, Idle, Used, Connecting, Waiting, Most int32
 	LongestMs                                      float64
 }
 
 // How a transaction's wait for a server connection ended.
 const (
-	HandGiven   = 1
-	HandRefused = 2
-	HandAgain   = 3 // it had only begun, and begins again elsewhere
+	AssignmentGranted   = 1
+	AssignmentRejected  = 2
+	AssignmentRestarted = 3 // it had only begun, and begins again elsewhere
 )
 
 // Causes of a loss.
@@ -131,8 +131,8 @@
 	total atomic.Uint64
 }
 
-// On tells whether events are kept.
-func (r *Recorder) On() bool { return r != nil }
+// Enabled tells whether events are kept.
+func (r *Recorder) Enabled() bool { return r != nil }
 
 // Put keeps an event, or counts it as lost where the ring is full. It is for the loop alone, and neither waits nor
 // allocates.
@@ -141,12 +141,12 @@
 		return
 	}
 	if r.lost.Lost > 0 && !r.flushLost() {
-		r.lose(e.At)
+		r.countLost(e.At)
 		return
 	}
 	room := r.ring.put(e)
 	if room < 0 {
-		r.lose(e.At)
+		r.countLost(e.At)
 	} else if room == len(r.ring.buf)/2 {
 		select {
 		case r.wake <- struct{}{}:
@@ -163,7 +163,7 @@
 	return r.total.Load()
 }
 
-func (r *Recorder) lose(at float64) {
+func (r *Recorder) countLost(at float64) {
 	if r.lost.Lost == 0 {
 		r.lost = Event{Kind: recordpb.Kind_KIND_LOST, From: at, Cause: CauseRing}
 	}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -124,12 +124,12 @@
 }
 
 func options(d *disk) Options {
-	return Options{Pooler: "n 1/../x", Run: 1.7e12, Files: d, SegmentBytes: 64 << 10, TotalBytes: 256 << 10, Events: 256, FlushMs: 1,
+	return Options{Pooler: "n 1/../x", RunStartMs: 1.7e12, Files: d, SegmentBytes: 64 << 10, TotalBytes: 256 << 10, QueueLength: 256, FlushIntervalMs: 1,
 		Log: slog.New(slog.DiscardHandler)}
 }
 
 func event(i int) *Event {
-	return &Event{At: 1.7e12 + float64(i), Kind: recordpb.Kind_KIND_ATTEMPT, Request: uint64(i), Server: "s-1", Took: 3}
+	return &Event{At: 1.7e12 + float64(i), Kind: recordpb.Kind_KIND_ATTEMPT, Request: uint64(i), Server: "s-1", DurationMs: 3}
 }
 
 // TestSlowDisk guards against a disk that holds the loop up, and against a loss that nobody hears of: while a write
@@ -204,7 +204,7 @@
 	d.files["n_1-old"] = bytes.NewBufferString("no segment")
 	d.files["n_10-0001700000000000-000001.bgr"] = bytes.NewBuffer(make([]byte, 1<<20))
 	opt := options(d)
-	opt.Events = 8192
+	opt.QueueLength = 8192
 	Write(opt, func(put func(*Event)) {
 		put(&Event{At: 1.7e12, Kind: recordpb.Kind_KIND_ENTRY, Server: "s-1", Primary: true})
 		for i := range 200000 {
@@ -233,12 +233,12 @@
 
 // BenchmarkPut measures what an event costs the loop.
 func BenchmarkPut(b *testing.B) {
-	rec, stop := Start(Options{Pooler: "n", Files: Dir(b.TempDir()), SegmentBytes: 16 << 20, TotalBytes: 64 << 20, Events: 1 << 16, FlushMs: 50,
+	rec, stop := Start(Options{Pooler: "n", Files: Dir(b.TempDir()), SegmentBytes: 16 << 20, TotalBytes: 64 << 20, QueueLength: 1 << 16, FlushIntervalMs: 50,
 		Log: slog.New(slog.DiscardHandler)})
 	defer stop()
 	b.ReportAllocs()
 	for i := range b.N {
-		e := Event{At: 1.7e12 + float64(i), Kind: recordpb.Kind_KIND_ATTEMPT, Request: uint64(i), Server: "s-1", Took: 3, Position: 1.7e12}
+		e := Event{At: 1.7e12 + float64(i), Kind: recordpb.Kind_KIND_ATTEMPT, Request: uint64(i), Server: "s-1", DurationMs: 3, Position: 1.7e12}
 		rec.Put(&e)
 	}
 }
--- a/internal/record/segment.go
+++ b/internal/record/segment.go
@@ -16,29 +16,29 @@
 func (w *writer) write() error {
 	w.batch.Number = w.batches + 1
 	var err error
-	if w.payld, err = (proto.MarshalOptions{}).MarshalAppend(w.payld[:0], &w.batch); err != nil {
+	if w.payload, err = (proto.MarshalOptions{}).MarshalAppend(w.payload[:0], &w.batch); err != nil {
 		return fmt.Errorf("encode: %w", err)
 	}
 	w.out = beginFrame(w.out[:0], FrameBatch)
-	if w.opt.Pack {
-		if w.packer == nil {
-			if w.packer, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.EncoderLevel(packLevel)), zstd.WithEncoderConcurrency(1),
+	if w.options.Compress {
+		if w.compressor == nil {
+			if w.compressor, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.EncoderLevel(compressionLevel)), zstd.WithEncoderConcurrency(1),
 				zstd.WithWindowSize(1<<17), zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false)); err != nil {
 				return fmt.Errorf("zstd: %w", err)
 			}
 		}
 		w.out[4] = FrameZstd
-		w.out = w.packer.EncodeAll(w.payld, w.out)
+		w.out = w.compressor.EncodeAll(w.payload, w.out)
 	} else {
-		w.out = append(w.out, w.payld...)
+		w.out = append(w.out, w.payload...)
 	}
-	if err = w.put(endFrame(w.out, 0)); err == nil {
+	if err = w.writeBytes(endFrame(w.out, 0)); err == nil {
 		w.batches++
 	}
 	return err
 }
 
-func (w *writer) put(b []byte) error {
+func (w *writer) writeBytes(b []byte) error {
 	n, err := w.file.Write(b)
 	w.size += int64(n)
 	if err == nil && n < len(b) {
@@ -47,8 +47,8 @@
 	return err
 }
 
-// ready has a segment open, unless the last failure was just now.
-func (w *writer) ready(at float64) bool {
+// ensureSegment has a segment open, unless the last failure was just now.
+func (w *writer) ensureSegment(at float64) bool {
 	if w.file != nil {
 		return true
 	}
@@ -56,10 +56,10 @@
 		return false
 	}
 	if err := w.open(at); err != nil {
-		w.broke(err)
+		w.failSegment(err)
 		return false
 	}
-	w.retryMs, w.told = 0, false
+	w.retryMs, w.failureLogged = 0, false
 	return true
 }
 
@@ -68,37 +68,37 @@
 		return err
 	}
 	w.segment++
-	w.name = SegmentName(w.opt.Pooler, w.opt.Run, w.segment)
-	f, err := w.opt.Files.Create(w.name)
+	w.name = SegmentName(w.options.Pooler, w.options.RunStartMs, w.segment)
+	f, err := w.options.Files.Create(w.name)
 	if err != nil {
 		return err
 	}
-	w.file, w.size, w.names = f, 0, map[string]uint32{}
-	head, err := proto.Marshal(&recordpb.Header{Pooler: w.opt.Pooler, Program: w.opt.Program, RunUs: micros(w.opt.Run),
-		Segment: w.segment, OpenedUs: micros(at), Schema: Schema, Classes: w.opt.Classes, LostBefore: w.lost,
-		ColdFrom: w.opt.ColdFrom, ColdUs: uspan(w.opt.ColdMs), GraceUs: uspan(w.opt.GraceMs)})
+	w.file, w.size, w.nameNumbers = f, 0, map[string]uint32{}
+	head, err := proto.Marshal(&recordpb.Header{Pooler: w.options.Pooler, Program: w.options.Program, RunUs: microseconds(w.options.RunStartMs),
+		Segment: w.segment, OpenedUs: microseconds(at), Schema: Schema, Classes: w.options.Classes, LostBefore: w.lost,
+		ColdFrom: w.options.ColdFrom, ColdUs: unsignedMicroseconds(w.options.ColdMs), GraceUs: unsignedMicroseconds(w.options.GraceMs)})
 	if err != nil {
 		return err
 	}
 	b := append([]byte(Magic), endFrame(append(beginFrame(nil, FrameHeader), head...), 0)...)
-	if err := w.put(b); err != nil || len(w.held) == 0 {
+	if err := w.writeBytes(b); err != nil || len(w.listed) == 0 {
 		return err
 	}
 	// The list as it stands: a segment must be readable with those before it gone.
 	w.batch.Reset()
 	w.batch.Events, w.batch.Names = w.batch.Events[:0], nil
-	w.last = micros(at)
-	w.batch.BaseUs = w.last
-	for _, id := range sortedKeys(w.held) {
-		e := w.held[id]
-		e.At, e.Held = at, true
-		w.add(&e)
+	w.previousUs = microseconds(at)
+	w.batch.BaseUs = w.previousUs
+	for _, id := range sortedKeys(w.listed) {
+		e := w.listed[id]
+		e.At, e.Restated = at, true
+		w.encode(&e)
 		if len(w.batch.Events) == batchEvents {
 			if err := w.write(); err != nil {
 				return err
 			}
 			w.batch.Events, w.batch.Names = w.batch.Events[:0], nil
-			w.last = micros(at)
+			w.previousUs = microseconds(at)
 		}
 	}
 	if len(w.batch.Events) == 0 {
@@ -109,23 +109,23 @@
 
 // prune removes the oldest segments until another has room.
 func (w *writer) prune() error {
-	all, err := w.opt.Files.List()
+	all, err := w.options.Files.List()
 	if err != nil {
 		return err
 	}
-	mine, total := []string{}, w.opt.SegmentBytes
+	mine, total := []string{}, w.options.SegmentBytes
 	for name, size := range all {
-		if strings.HasPrefix(name, namePrefix(w.opt.Pooler)) && strings.HasSuffix(name, Suffix) {
+		if strings.HasPrefix(name, namePrefix(w.options.Pooler)) && strings.HasSuffix(name, Suffix) {
 			mine = append(mine, name)
 			total += size
 		}
 	}
 	slices.Sort(mine)
 	for _, name := range mine {
-		if total <= w.opt.TotalBytes {
+		if total <= w.options.TotalBytes {
 			break
 		}
-		if err := w.opt.Files.Remove(name); err != nil {
+		if err := w.options.Files.Remove(name); err != nil {
 			return err
 		}
 		total -= all[name]
@@ -139,21 +139,21 @@
 		return
 	}
 	if ordered {
-		if err := w.put(endFrame(beginFrame(nil, FrameEnd), 0)); err != nil {
-			w.opt.Log.Warn("records: the end of a segment was not written", "file", w.name, "err", err)
+		if err := w.writeBytes(endFrame(beginFrame(nil, FrameEnd), 0)); err != nil {
+			w.options.Log.Warn("records: the end of a segment was not written", "file", w.name, "err", err)
 		}
 	}
 	if err := w.file.Close(); err != nil {
-		w.opt.Log.Warn("records: close", "file", w.name, "err", err)
+		w.options.Log.Warn("records: close", "file", w.name, "err", err)
 	}
 	w.file = nil
 }
 
-// broke gives the segment and the batch up; what it held is counted.
-func (w *writer) broke(err error) {
-	if !w.told {
-		w.told = true
-		w.opt.Log.Error("records cannot be written; service goes on without", "err", err)
+// failSegment gives the segment and the batch up; what it held is counted.
+func (w *writer) failSegment(err error) {
+	if !w.failureLogged {
+		w.failureLogged = true
+		w.options.Log.Error("records cannot be written; service goes on without", "err", err)
 	}
 	w.close(false)
 	at := w.batch.BaseUs
@@ -164,31 +164,31 @@
 			w.lost -= x.Lost.Events // it is still to be told
 		case x.Lost != nil:
 			w.lost -= x.Lost.Events
-			w.miss(float64(x.Lost.FromUs)/1000, x.Lost.Events)
-			w.miss(float64(x.Lost.ToUs)/1000, 0)
+			w.countLost(float64(x.Lost.FromUs)/1000, x.Lost.Events)
+			w.countLost(float64(x.Lost.ToUs)/1000, 0)
 		case x.Entry == nil || !x.Entry.Held:
-			w.miss(float64(at)/1000, 1)
+			w.countLost(float64(at)/1000, 1)
 		}
 	}
 	w.batch.Events = w.batch.Events[:0]
-	w.retryMs = min(retryMostMs, max(retryLeastMs, 2*w.retryMs))
+	w.retryMs = min(maxRetryMs, max(minRetryMs, 2*w.retryMs))
 	w.retryAt = time.Now().Add(time.Duration(w.retryMs * float64(time.Millisecond)))
 }
 
-// skip counts all that waits as lost.
-func (w *writer) skip() {
-	for e := w.rec.ring.next(); e != nil; e = w.rec.ring.next() {
-		w.note(e)
+// discardQueued counts all that waits as lost.
+func (w *writer) discardQueued() {
+	for e := w.recorder.ring.next(); e != nil; e = w.recorder.ring.next() {
+		w.trackList(e)
 		if e.Kind == recordpb.Kind_KIND_LOST {
-			w.miss(e.From, e.Lost)
+			w.countLost(e.From, e.Lost)
 		} else {
-			w.miss(e.At, 1)
+			w.countLost(e.At, 1)
 		}
-		w.rec.ring.drop()
+		w.recorder.ring.drop()
 	}
 }
 
-func (w *writer) miss(at float64, events uint64) {
+func (w *writer) countLost(at float64, events uint64) {
 	l := &w.pendingLost
 	if l.Lost == 0 {
 		*l = Event{Kind: recordpb.Kind_KIND_LOST, From: at, To: at, Cause: CauseWrite}
--- a/internal/storage/sessiontoken/checks.go
+++ b/internal/storage/sessiontoken/checks.go
@@ -10,7 +10,7 @@
 // checkInvariants states what holds between two calls.
 func (k *Keeper) checkInvariants() {
 	c := k.checks
-	if !c.On() {
+	if !c.Enabled() {
 		return
 	}
 	c.That(len(k.commits) <= k.maxSessions, "commits: sessions are bounded", func() string { return fmt.Sprintf("%d of %d", len(k.commits), k.maxSessions) })
@@ -32,7 +32,7 @@
 // checkStored states that a write whose answer may go out now is kept.
 func (k *Keeper) checkStored(session string, at decide.Time) {
 	c := k.checks
-	if !c.On() {
+	if !c.Enabled() {
 		return
 	}
 	read := func(key string) decide.Time {
--- a/internal/storage/sessiontoken/sessiontoken.go
+++ b/internal/storage/sessiontoken/sessiontoken.go
@@ -144,7 +144,7 @@
 		k.commits[session] = at
 		entries = append(entries, store.Entry{Key: commitPrefix + session, Value: encode(at)})
 	}
-	if k.checks.On() {
+	if k.checks.Enabled() {
 		k.checkStep(session, was, ok)
 		k.checkInvariants()
 	}
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -263,7 +263,7 @@
 		c := invariant.New(nil)
 		k.UseChecks(c, 1)
 		breaks(k)
-		if broken := c.Broken(); (len(broken) > 0) != (want != "") || want != "" && broken[0].Name != want {
+		if broken := c.Breaches(); (len(broken) > 0) != (want != "") || want != "" && broken[0].Name != want {
 			t.Errorf("%q: %v", want, broken)
 		}
 		_ = s.Close()
--- a/internal/storage/snapshots/snapshots.go
+++ b/internal/storage/snapshots/snapshots.go
@@ -272,7 +272,7 @@
 // checkInvariants states what holds once a value has been kept.
 func (k *Keeper) checkInvariants(what string, r *Record) {
 	c := k.options.Checks
-	if !c.On() {
+	if !c.Enabled() {
 		return
 	}
 	v, ok := k.store.Get(what)
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -163,7 +163,7 @@
 		k.save(Config, func() (*Record, error) { return r, nil })
 		breaks(k, r)
 		k.checkInvariants(Config, r)
-		if broken := k.options.Checks.Broken(); (len(broken) > 0) != (want != "") || want != "" && broken[0].Name != want {
+		if broken := k.options.Checks.Breaches(); (len(broken) > 0) != (want != "") || want != "" && broken[0].Name != want {
 			t.Errorf("%q: %v", want, broken)
 		}
 		_ = s.Close()
@@ -216,7 +216,7 @@
 					least[what] = at
 				}
 			}
-			if broken := append(checks.Broken(), inner.Broken()...); broken != nil {
+			if broken := append(checks.Breaches(), inner.Breaches()...); broken != nil {
 				rt.Fatal(broken)
 			}
 			d = d.Restart(rng, true)
--- a/internal/storage/store/checks.go
+++ b/internal/storage/store/checks.go
@@ -10,7 +10,7 @@
 // checkInvariants states what holds between two batches. It is the writer's, and so are the checks.
 func (s *Store) checkInvariants() {
 	c := s.options.Checks
-	if !c.On() || s.diskFailure() != nil {
+	if !c.Enabled() || s.diskFailure() != nil {
 		return
 	}
 	c.That(s.sequence == s.durable, "store: what was acknowledged is what is durable", func() string { return fmt.Sprintf("%d kept, %d durable", s.sequence, s.durable) })
@@ -60,7 +60,7 @@
 // checkCompacted states what holds once a compaction has replaced its files.
 func (s *Store) checkCompacted(b *compaction) {
 	c := s.options.Checks
-	if !c.On() {
+	if !c.Enabled() {
 		return
 	}
 	c.That(b.writtenBytes <= b.reservedBytes+fileHeaderBytes+frameHeaderBytes, "compaction: a snapshot is no larger than was reserved", func() string {
--- a/internal/storage/store/checks_test.go
+++ b/internal/storage/store/checks_test.go
@@ -52,7 +52,7 @@
 		s.options.Checks, s.options.BatchesPerWalk = invariant.New(nil), 1
 		breaks(s)
 		s.checkInvariants()
-		broken := s.options.Checks.Broken()
+		broken := s.options.Checks.Breaches()
 		if found := len(broken) > 0; found != (want != "") || found && broken[0].Name != want {
 			t.Errorf("%q: %v", want, broken)
 		}
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -402,7 +402,7 @@
 			},
 			"crash": func(rt *rapid.T) {
 				_ = s.Close()
-				if broken := checks.Broken(); broken != nil {
+				if broken := checks.Breaches(); broken != nil {
 					rt.Fatal(broken)
 				}
 				d = d.Restart(rng, rapid.Bool().Draw(rt, "power"))
@@ -415,7 +415,7 @@
 			},
 		})
 		_ = s.Close()
-		if broken := checks.Broken(); broken != nil {
+		if broken := checks.Breaches(); broken != nil {
 			rt.Fatal(broken)
 		}
 	})
--- a/internal/testkit/checker/invariants.go
+++ b/internal/testkit/checker/invariants.go
@@ -12,7 +12,7 @@
 		return
 	}
 	v.Broken[Invariant] += broken
-	for _, b := range c.Broken() {
+	for _, b := range c.Breaches() {
 		v.Breaches = append(v.Breaches, Breach{Rule: Invariant, At: at, Text: b.Name + ": " + b.State})
 	}
 }
--- a/internal/testkit/fake/records.go
+++ b/internal/testkit/fake/records.go
@@ -68,8 +68,8 @@
 				skew = d.StepMs
 			}
 		}
-		opt := record.Options{Pooler: fmt.Sprintf("p%d", no), Program: "made up", Run: now + skew, Classes: Classes(), Files: record.Dir(dir),
-			SegmentBytes: segment, TotalBytes: 1 << 40, Events: 1 << 14, Pack: d.Pack, Log: slog.New(slog.DiscardHandler),
+		opt := record.Options{Pooler: fmt.Sprintf("p%d", no), Program: "made up", RunStartMs: now + skew, Classes: Classes(), Files: record.Dir(dir),
+			SegmentBytes: segment, TotalBytes: 1 << 40, QueueLength: 1 << 14, Compress: d.Pack, Log: slog.New(slog.DiscardHandler),
 			ColdFrom: 0.15, ColdMs: 18000, GraceMs: 250}
 		record.Write(opt, func(put func(*record.Event)) {
 			tell := func(e record.Event) {
@@ -78,7 +78,7 @@
 				put(&e)
 			}
 			tell(record.Event{At: now, Kind: recordpb.Kind_KIND_START})
-			tell(record.Event{At: now, Kind: recordpb.Kind_KIND_LIST, Whole: true, Number: 1})
+			tell(record.Event{At: now, Kind: recordpb.Kind_KIND_LIST, Full: true, Number: 1})
 			for g := range d.Groups {
 				for m := range d.Members {
 					tell(record.Event{At: now, Kind: recordpb.Kind_KIND_ENTRY, Server: Server(g, m), Group: int64(g), Primary: m == 0})
@@ -88,7 +88,7 @@
 				now = d.From + float64(i)*d.EveryMs + rng.Float64()*d.EveryMs/2
 				d.request(rng, i, now, tell)
 				if i%int(max(1, 1000/d.EveryMs)) == 0 {
-					tell(record.Event{At: now, Kind: recordpb.Kind_KIND_GAUGE, Sessions: 10, Conns: 20, Wall: now + skew})
+					tell(record.Event{At: now, Kind: recordpb.Kind_KIND_GAUGE, Sessions: 10, Connections: 20, Wall: now + skew})
 				}
 			}
 			tell(record.Event{At: now, Kind: recordpb.Kind_KIND_STOP})
@@ -106,7 +106,7 @@
 	g, class := rng.IntN(d.Groups), int32(rng.IntN(2))
 	no, took := uint64(i+1), 1+rng.Float64()*20
 	key := rng.Uint64()
-	tell(record.Event{At: now, Kind: recordpb.Kind_KIND_REQUEST, Request: no, Class: class, Group: int64(g), Session: key, ID: rng.Uint64(), Left: 800})
+	tell(record.Event{At: now, Kind: recordpb.Kind_KIND_REQUEST, Request: no, Class: class, Group: int64(g), Session: key, ID: rng.Uint64(), RemainingMs: 800})
 	primary, ok := 0, true
 	for _, o := range d.Outages {
 		if at := now - d.From; o.Group == g && at >= o.At {
@@ -120,7 +120,7 @@
 			role = decide.RoleReplica
 		}
 	}
-	a := record.Event{At: now, Kind: recordpb.Kind_KIND_ATTEMPT, Request: no, Class: class, Group: int64(g), Server: Server(g, member), Took: took,
+	a := record.Event{At: now, Kind: recordpb.Kind_KIND_ATTEMPT, Request: no, Class: class, Group: int64(g), Server: Server(g, member), DurationMs: took,
 		Role: uint8(role), Position: now - 1}
 	if role == decide.RoleReplica {
 		a.Position -= rng.Float64() * 30
@@ -137,5 +137,5 @@
 		a.Role = uint8(decide.RoleReplica)
 	}
 	tell(a)
-	tell(record.Event{At: now, Kind: recordpb.Kind_KIND_ANSWER, Request: no, Class: class, Group: int64(g), Final: final, Reason: reason, Took: took, Attempt: 1})
+	tell(record.Event{At: now, Kind: recordpb.Kind_KIND_ANSWER, Request: no, Class: class, Group: int64(g), Final: final, Reason: reason, DurationMs: took, Attempt: 1})
 }
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -46,21 +46,21 @@
 // ask tells of a request and, where final says so, of its one attempt and its answer.
 func (s *story) ask(at float64, class int32, key uint64, repeat bool, server string, res decide.Result, took float64, final recordpb.Final) uint64 {
 	s.no++
-	s.tell(at, record.Event{Kind: recordpb.Kind_KIND_REQUEST, Request: s.no, Class: class, Session: key, ID: s.no, Left: 2000, Repeat: repeat})
-	reason := record.ReasonUnsent
+	s.tell(at, record.Event{Kind: recordpb.Kind_KIND_REQUEST, Request: s.no, Class: class, Session: key, ID: s.no, RemainingMs: 2000, Repeat: repeat})
+	reason := record.ReasonNotSent
 	if server != "" {
 		role := decide.RoleUnknown
 		if res == decide.OK && class == 1 {
 			role = decide.RolePrimary
 		}
-		s.tell(at+took, record.Event{Kind: recordpb.Kind_KIND_ATTEMPT, Request: s.no, Class: class, Server: server, Result: uint8(res), Took: took, Role: uint8(role)})
+		s.tell(at+took, record.Event{Kind: recordpb.Kind_KIND_ATTEMPT, Request: s.no, Class: class, Server: server, Result: uint8(res), DurationMs: took, Role: uint8(role)})
 		reason = record.ReasonEnded + record.Reason(res)
 	}
 	if final != recordpb.Final_FINAL_NONE {
 		if final == recordpb.Final_FINAL_SERVED {
 			reason = record.ReasonNone
 		}
-		s.tell(at+took, record.Event{Kind: recordpb.Kind_KIND_ANSWER, Request: s.no, Class: class, Final: final, Reason: reason, Took: took, Attempt: 1})
+		s.tell(at+took, record.Event{Kind: recordpb.Kind_KIND_ANSWER, Request: s.no, Class: class, Final: final, Reason: reason, DurationMs: took, Attempt: 1})
 	}
 	return s.no
 }
@@ -119,7 +119,7 @@
 	s.ask(3000, 1, 2, false, "s-2", decide.OK, 10, served)
 	entry(6000, "s-2", true, decide.Serving, 0)
 	entry(6100, "s-1", false, decide.Serving, t0+5000)
-	s.tell(7000, record.Event{Kind: recordpb.Kind_KIND_PROBE, Server: "s-1", Role: uint8(decide.RoleReplica), Position: t0 + 4000, Took: 3})
+	s.tell(7000, record.Event{Kind: recordpb.Kind_KIND_PROBE, Server: "s-1", Role: uint8(decide.RoleReplica), Position: t0 + 4000, DurationMs: 3})
 	s.Finish()
 	v := s.View()
 	want := []Gap{{From: t0 + 110, To: t0 + 3010, FirstFailed: t0 + 205, Old: "s-1", New: "s-2", Unserved: 10, ListWrongMs: 5795, Lost: 15}}
--- a/internal/testkit/incident/model.go
+++ b/internal/testkit/incident/model.go
@@ -212,7 +212,7 @@
 	if x == nil {
 		return
 	}
-	if !e.Held {
+	if !e.Restated {
 		m.events++
 		x.pooler.Events++
 	}
@@ -244,7 +244,7 @@
 		m.heard(x, s, e)
 	case recordpb.Kind_KIND_LIST:
 		x.pooler.Lists++
-		if e.Whole {
+		if e.Full {
 			for name := range x.entries {
 				if l := x.entries[name]; l.draining == 0 {
 					delete(x.entries, name) // what is still there is named next
@@ -297,8 +297,8 @@
 
 func (m *Model) onGauge(x *run, e *record.Event) {
 	p := x.pooler
-	p.Memory, p.Files = max(p.Memory, e.Memory), max(p.Files, e.Files)
-	p.Sessions, p.Conns = max(p.Sessions, e.Sessions), max(p.Conns, e.Conns)
+	p.Memory, p.Files = max(p.Memory, e.Memory), max(p.Files, e.Descriptors)
+	p.Sessions, p.Conns = max(p.Sessions, e.Sessions), max(p.Conns, e.Connections)
 	if e.Wall == 0 {
 		return
 	}
@@ -315,7 +315,7 @@
 		return
 	}
 	c, g := x.classes[e.Class], m.group(e.Group)
-	q := &request{id: e.ID, class: c, group: g, at: e.At, until: e.At + e.Left, repeat: e.Repeat}
+	q := &request{id: e.ID, class: c, group: g, at: e.At, until: e.At + e.RemainingMs, repeat: e.Repeat}
 	x.open[e.Request] = q
 	c.Requests++
 	cl := m.cell(c, e.At)
@@ -374,7 +374,7 @@
 	case recordpb.Final_FINAL_SERVED:
 		c.Served++
 		cl.served++
-		c.Times.add(e.Took)
+		c.Times.add(e.DurationMs)
 		m.served(ch, e.At)
 		return
 	case recordpb.Final_FINAL_REFUSED:
--- a/internal/testkit/incident/pools.go
+++ b/internal/testkit/incident/pools.go
@@ -190,18 +190,18 @@
 func (m *Model) onHand(e *record.Event) {
 	p := m.pool(e.Pool)
 	switch e.How {
-	case record.HandRefused:
+	case record.AssignmentRejected:
 		p.Refused++
 		m.turned(p, p.refused.add(e.At, stormMs))
 		return
-	case record.HandAgain:
+	case record.AssignmentRestarted:
 		p.Again++
 		return
 	}
 	p.Hands++
-	p.waits.add(e.Took)
-	if e.Took > p.WaitMost {
-		p.WaitMost, p.WaitMostAt = e.Took, e.At
+	p.waits.add(e.DurationMs)
+	if e.DurationMs > p.WaitMost {
+		p.WaitMost, p.WaitMostAt = e.DurationMs, e.At
 	}
 	if e.Other {
 		p.Changed++
@@ -223,7 +223,7 @@
 }
 
 func (m *Model) onPool(x *run, e *record.Event) {
-	p, h := m.pool(e.Pool), &e.Holds
+	p, h := m.pool(e.Pool), &e.PoolState
 	now := p.now(x)
 	p.setClients(now, int64(h.Clients))
 	p.MostUsed, p.MostWaiting = max(p.MostUsed, int64(h.Used)), max(p.MostWaiting, int64(h.Waiting))
--- a/internal/testkit/incident/pools_test.go
+++ b/internal/testkit/incident/pools_test.go
@@ -21,21 +21,21 @@
 		s.tell(at, e)
 	}
 	gauge := func(at float64, used, waiting int32) {
-		s.tell(at, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: name, Holds: record.PoolHolds{Clients: 40, Used: used, Waiting: waiting, Most: 2}})
+		s.tell(at, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: name, PoolState: record.PoolState{Clients: 40, Used: used, Waiting: waiting, Most: 2}})
 	}
 	for i := range 40 {
 		s.tell(float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: name, Session: uint64(i + 1)})
 	}
 	gauge(100, 1, 0)
-	hand(200, record.Event{How: record.HandGiven, Server: "s-1", Session: 1, Took: 3})
-	hand(300, record.Event{How: record.HandGiven, Server: "s-2", Session: 1, Took: 70, Other: true, Moved: true, Carried: true})
+	hand(200, record.Event{How: record.AssignmentGranted, Server: "s-1", Session: 1, DurationMs: 3})
+	hand(300, record.Event{How: record.AssignmentGranted, Server: "s-2", Session: 1, DurationMs: 70, Other: true, Moved: true, Carried: true})
 	for at := 1000.0; at <= 4000; at += 1000 { // all in use, and somebody waits
 		gauge(at, 2, 7)
 	}
 	gauge(5000, 2, 0)
-	hand(5100, record.Event{How: record.HandAgain, Session: 2})
+	hand(5100, record.Event{How: record.AssignmentRestarted, Session: 2})
 	for i := range 3 {
-		hand(5200+float64(i), record.Event{How: record.HandRefused, Session: 3})
+		hand(5200+float64(i), record.Event{How: record.AssignmentRejected, Session: 3})
 	}
 	for i := range 25 {
 		s.tell(6000+float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: uint64(i + 1), Text: "57P01"})
@@ -72,7 +72,7 @@
 	begin := func(s *story, count int) { sessions(s, recordpb.Kind_KIND_SESSION_BEGIN, count) }
 	end := func(s *story, count int) { sessions(s, recordpb.Kind_KIND_SESSION_END, count) }
 	gauge := func(s *story, clients int32) {
-		s.tell(0, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: name, Holds: record.PoolHolds{Clients: clients}})
+		s.tell(0, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: name, PoolState: record.PoolState{Clients: clients}})
 	}
 	for what, c := range map[string]struct {
 		events func(s *story)
@@ -135,7 +135,7 @@
 	for i := range maxPools + 5 {
 		s.tell(0, record.Event{Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: fmt.Sprint("obra/", i), Session: uint64(i + 1)})
 	}
-	s.tell(0, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: "obra/none", Holds: record.PoolHolds{Clients: 1}})
+	s.tell(0, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: "obra/none", PoolState: record.PoolState{Clients: 1}})
 	s.Finish()
 	for _, p := range s.View().Pools {
 		if p.MostClients != 1 {
--- a/internal/testkit/incident/recovered.go
+++ b/internal/testkit/incident/recovered.go
@@ -23,16 +23,16 @@
 const mostRecoveries = 20000
 
 func (m *Model) recovered(by string, e *record.Event) {
-	f := e.Found
+	f := e.Recovery
 	if f == nil {
 		return
 	}
-	text := fmt.Sprintf("the %s store held %d records, %d segments behind its snapshot, read in %.1f ms", cmp.Or(f.Store, "durable"), f.Records, f.Segments, e.Took)
+	text := fmt.Sprintf("the %s store held %d records, %d segments behind its snapshot, read in %.1f ms", cmp.Or(f.Store, "durable"), f.Records, f.Segments, e.DurationMs)
 	if f.Dropped > 0 {
 		text += fmt.Sprintf("; %d bytes of its end were never whole, and were dropped: %s", f.Dropped, e.Text)
 	}
 	m.find(Finding{At: e.At, Kind: "recovered", Pooler: by, Text: text})
 	if len(m.recoveries) < mostRecoveries {
-		m.recoveries = append(m.recoveries, Recovery{At: e.At, Pooler: by, Store: f.Store, Records: f.Records, Segments: f.Segments, Dropped: f.Dropped, TookMs: e.Took, Why: e.Text})
+		m.recoveries = append(m.recoveries, Recovery{At: e.At, Pooler: by, Store: f.Store, Records: f.Records, Segments: f.Segments, Dropped: f.Dropped, TookMs: e.DurationMs, Why: e.Text})
 	}
 }
--- a/internal/testkit/incident/servers.go
+++ b/internal/testkit/incident/servers.go
@@ -116,7 +116,7 @@
 	}
 	s.Results[record.ResultName(uint32(e.Result))]++
 	cell := s.at(m, e.At)
-	from := e.At - e.Took
+	from := e.At - e.DurationMs
 	switch decide.Result(e.Result) {
 	case decide.Unreachable, decide.Reset:
 		cell.bad++
@@ -259,7 +259,7 @@
 		s.group.named(x, s, e.At)
 	}
 	started := float64(e.Number)
-	if !e.Held && started > s.started {
+	if !e.Restated && started > s.started {
 		if s.started != 0 || started > m.from-firstCellMs {
 			m.find(Finding{At: started, Kind: "start of server", Server: s.Name, Group: s.Group, Pooler: x.Pooler,
 				Text: fmt.Sprintf("started anew, heard of %s later", Span(max(0, e.At-started)))})
@@ -274,7 +274,7 @@
 	case decide.Draining:
 		if l.draining == 0 {
 			l.draining = e.At
-			if e.Held {
+			if e.Restated {
 				l.draining = math.Inf(1) // heard before what is here: from when on is not known
 			}
 		}
@@ -316,8 +316,8 @@
 	case decide.NotSent, decide.Unreachable:
 		return
 	}
-	if over := e.At - e.Took - l.draining - float64(x.Header.GraceUs)/1000; over > 0 {
-		m.find(Finding{At: e.At - e.Took, Kind: "sent after drain", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Grave: true,
+	if over := e.At - e.DurationMs - l.draining - float64(x.Header.GraceUs)/1000; over > 0 {
+		m.find(Finding{At: e.At - e.DurationMs, Kind: "sent after drain", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Grave: true,
 			Text: fmt.Sprintf("an attempt began %s after the grace had passed", Span(over))})
 	}
 }
--- a/internal/testkit/modelcheck/agreed.go
+++ b/internal/testkit/modelcheck/agreed.go
@@ -325,7 +325,7 @@
 			return fmt.Errorf("%s: %s", x.name, x.broke)
 		}
 	}
-	if b := s.Checks.Broken(); len(b) > 0 {
+	if b := s.Checks.Breaches(); len(b) > 0 {
 		return fmt.Errorf("%v", b[0])
 	}
 	return nil
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -206,7 +206,7 @@
 		x.o.Check(c, 1)
 		s.do(i, overload.Tick{})
 		x.o.Check(nil, 0)
-		if b := c.Broken(); len(b) > 0 {
+		if b := c.Breaches(); len(b) > 0 {
 			return fmt.Errorf("process %d: %v", i, b[0])
 		}
 	}
--- a/internal/testkit/modelcheck/probes.go
+++ b/internal/testkit/modelcheck/probes.go
@@ -337,7 +337,7 @@
 		if err := s.do(i, x.p.Tick(s.now, nil)); err != nil {
 			return err
 		}
-		if b := c.Broken(); len(b) > 0 {
+		if b := c.Breaches(); len(b) > 0 {
 			return fmt.Errorf("process %d: %v", i, b[0])
 		}
 	}
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -195,7 +195,7 @@
 			}
 		}
 	}
-	for _, b := range c.Broken() {
+	for _, b := range c.Breaches() {
 		return errors.New(b.String())
 	}
 	return nil
--- a/internal/testkit/records/stream.go
+++ b/internal/testkit/records/stream.go
@@ -221,8 +221,8 @@
 
 func (st *stream) event(e *record.Event, x *recordpb.Event, at int64) error {
 	*e = record.Event{At: ms(at), Kind: x.Kind, Final: x.Final, Result: uint8(x.Result), Role: uint8(x.Role), Repeat: x.Repeat,
-		Whole: x.Whole, Class: int32(x.Class), Attempt: int32(x.Attempt), Group: x.Group, Request: x.Request,
-		Session: x.Session, ID: x.Id, Took: ms(int64(x.TookUs)), Left: ms(int64(x.LeftUs)), Wait: ms(int64(x.WaitUs)),
+		Full: x.Whole, Class: int32(x.Class), Attempt: int32(x.Attempt), Group: x.Group, Request: x.Request,
+		Session: x.Session, ID: x.Id, DurationMs: ms(int64(x.TookUs)), RemainingMs: ms(int64(x.LeftUs)), WaitMs: ms(int64(x.WaitUs)),
 		Reason: record.Reason(x.Reason), Number: x.Number, Text: x.Text, Health: uint8(x.Health)}
 	for _, n := range []struct {
 		to     *string
@@ -240,24 +240,24 @@
 		e.How, e.Other, e.Moved, e.Carried = uint8(h.How), h.Other, h.Moved, h.Carried
 	}
 	if h := x.Held; h != nil {
-		e.Holds = record.PoolHolds{Clients: int32(h.Clients), Idle: int32(h.Idle), Used: int32(h.Used), Connecting: int32(h.Connecting),
+		e.PoolState = record.PoolState{Clients: int32(h.Clients), Idle: int32(h.Idle), Used: int32(h.Used), Connecting: int32(h.Connecting),
 			Waiting: int32(h.Waiting), LongestMs: ms(int64(h.LongestUs)), Most: int32(h.Most)}
 	}
 	if x.Positioned {
 		e.Position = ms(at - x.BehindUs)
 	}
 	if n := x.Entry; n != nil {
-		e.State, e.Primary, e.Number, e.Text, e.Held = uint8(n.State), n.Primary, n.StartedUs/1000, n.Address, n.Held
+		e.State, e.Primary, e.Number, e.Text, e.Restated = uint8(n.State), n.Primary, n.StartedUs/1000, n.Address, n.Held
 	}
 	if g := x.Gauge; g != nil {
-		e.Sessions, e.Conns, e.Number, e.Memory, e.Files = int64(g.Sessions), int64(g.Connections), int64(g.Open), int64(g.Memory), int64(g.Descriptors)
+		e.Sessions, e.Connections, e.Number, e.Memory, e.Descriptors = int64(g.Sessions), int64(g.Connections), int64(g.Open), int64(g.Memory), int64(g.Descriptors)
 		e.Wall = ms(g.WallUs)
 	}
 	if l := x.Lost; l != nil {
 		e.Lost, e.From, e.To, e.Cause = l.Events, ms(l.FromUs), ms(l.ToUs), uint8(l.Cause)
 	}
 	if r := x.Recovered; r != nil {
-		e.Found = &record.Found{Store: r.Store, Records: int64(r.Records), Segments: int64(r.Segments), Dropped: int64(r.Dropped)}
+		e.Recovery = &record.StoreRecovery{Store: r.Store, Records: int64(r.Records), Segments: int64(r.Segments), Dropped: int64(r.Dropped)}
 	}
 	st.stopped = x.Kind == recordpb.Kind_KIND_STOP
 	return nil
