--- /dev/null
+++ b/internal/decide/candidates_test.go
@@ -0,0 +1,135 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestBoundedReadAtTheBoundary(t *testing.T) {
+	for _, c := range []struct {
+		age  time.Duration
+		want bool
+	}{{300 * ms, true}, {301 * ms, false}} {
+		h := newHarness(t, testSettings(), Endpoint{Server: "a"})
+		h.report("a", RoleReplica, h.now-c.age)
+		if got := len(actionsOf(Send, h.request("1", classBounded))) == 1; got != c.want {
+			t.Errorf("position %v old: sent %v, want %v", c.age, got, c.want)
+		}
+	}
+}
+
+func TestSessionReadAtTheBoundary(t *testing.T) {
+	for _, c := range []struct {
+		token time.Duration
+		want  bool
+	}{{0, true}, {100 * ms, true}, {99 * ms, false}} {
+		h := newHarness(t, testSettings(), Endpoint{Server: "a"})
+		h.report("a", RoleReplica, h.now-100*ms)
+		got := h.handle(&Request{ID: "1", Class: classSession, Deadline: h.now + time.Second, SinceCommit: c.token})
+		if sent := len(actionsOf(Send, got)) == 1; sent != c.want {
+			t.Errorf("written %v ago: sent %v, want %v", c.token, sent, c.want)
+		}
+	}
+}
+
+func TestRememberedCommitsBindSessionReads(t *testing.T) {
+	h := newGroupOfThree(t, func(s *Settings) { s.TrackCommits = true })
+	h.handle(&Request{ID: "w", Class: classKeyedWrite, Deadline: h.now + time.Second, Session: "s"})
+	h.now += 50 * ms
+	h.handle(&Outcome{ID: "w", Server: "p", Final: true, Reported: Report{Role: RolePrimary, Position: h.now, HasPosition: true}})
+	got := h.handle(&Request{ID: "r", Class: classSession, Deadline: h.now + time.Second, Session: "s"})
+	got = append(append(got, h.report("a", RoleReplica, h.now-51*ms)...), h.report("b", RoleReplica, h.now-51*ms)...)
+	h.wantSend(append(got, h.advance(2*tickInterval)...), "r", "p")
+	for i := range maxRememberedSessions + 1 {
+		h.r.rememberCommit(fmt.Sprint(i), h.now)
+		h.r.rememberCommit(fmt.Sprint("more", i), h.now)
+	}
+	if n := len(h.r.sessionCommits); n > maxRememberedSessions {
+		t.Errorf("%d sessions kept", n)
+	}
+	if h.r.forgottenCommit != h.now {
+		t.Error("dropping sessions must raise what an unknown one is taken to have written")
+	}
+}
+
+// TestStaleReplicaGetsNoReadThatItWouldAnswer guards the stale rule.
+func TestStaleReplicaGetsNoReadThatItWouldAnswer(t *testing.T) {
+	for _, c := range []struct {
+		behind StaleReadPolicy
+		want   bool
+	}{{StaleReadsAnswered, false}, {StaleReadsRefused, true}, {StaleReadsWait, true}} {
+		set := testSettings()
+		set.StaleReads = c.behind
+		h := newHarness(t, set, Endpoint{Server: "a"})
+		h.report("a", RoleReplica, h.now)
+		h.now += 350 * ms
+		if got := len(actionsOf(Send, h.request("1", classBounded))) == 1; got != c.want {
+			t.Errorf("behind=%d: sent %v, want %v", c.behind, got, c.want)
+		}
+	}
+}
+
+func TestPositionNeverGoesBackNorAhead(t *testing.T) {
+	h := newGroupOfThree(t, nil)
+	h.report("a", RoleReplica, h.now-time.Second)
+	if h.r.servers["a"].position != start {
+		t.Error("an older report took the position back")
+	}
+	h.report("a", RoleReplica, h.now+time.Hour)
+	if h.r.servers["a"].position != start {
+		t.Error("a position in the future was believed")
+	}
+}
+
+// TestReadTriesEveryMemberBeforeOneAgain: two members fail by turns. Fails if a read goes back and forth between them, or
+// if having asked for positions once it may ask no more.
+func TestReadTriesEveryMemberBeforeOneAgain(t *testing.T) {
+	h := newGroupOfThree(t, nil)
+	seen := map[ServerID]bool{}
+	sent := actionsOf(Send, h.request("1", classAny))
+	for i := range 3 {
+		if len(sent) != 1 || seen[sent[0].Server] {
+			t.Fatalf("try %d: %+v, tried before: %v", i, sent, seen)
+		}
+		seen[sent[0].Server] = true
+		h.now += 5 * ms
+		sent = actionsOf(Send, h.end("1", i, sent[0].Server, Failed))
+	}
+	h = newHarness(t, testSettings(), Endpoint{Server: "p"}, Endpoint{Server: "a"}, Endpoint{Server: "b"})
+	h.report("p", RolePrimary, h.now)
+	h.r.servers["p"].failureAtLast, h.r.servers["p"].failureAt = 0.95, h.now
+	asked := actionsOf(HealthCheck, h.request("2", classBounded))
+	if len(asked) != 1 || asked[0].Server == "p" {
+		t.Fatalf("asked %+v, want one replica", asked)
+	}
+	h.now += 5 * ms
+	sent = actionsOf(Send, h.report(asked[0].Server, RoleReplica, h.now))
+	if len(sent) != 1 {
+		t.Fatalf("sent %+v", sent)
+	}
+	h.now += 310 * ms // what was told is too old by now
+	h.r.servers["p"].failureAt = h.now
+	if again := actionsOf(HealthCheck, h.end("2", 0, sent[0].Server, Failed)); len(again) == 0 {
+		t.Error("after a failure the others are not asked")
+	}
+}
+
+// TestReadIsNotSentAgainToReplicasThatAreBehind: a session read is turned away by every replica as too far behind. Fails if it goes back
+// to one before that can have caught up.
+func TestReadIsNotSentAgainToReplicasThatAreBehind(t *testing.T) {
+	set := testSettings()
+	set.StaleReads = StaleReadsRefused
+	h := newHarness(t, set, Endpoint{Server: "a"}, Endpoint{Server: "b"})
+	out := h.handle(&Request{ID: "1", Class: classSession, Deadline: h.now + time.Second, SinceCommit: 50 * ms})
+	for i := range 2 {
+		sent := actionsOf(Send, out)
+		if len(sent) != 1 {
+			t.Fatalf("try %d: %+v", i, sent)
+		}
+		h.now += 5 * ms
+		out = h.handle(&Outcome{ID: "1", Attempt: i, Server: sent[0].Server, Result: Misdirected,
+			Reported: Report{Role: RoleReplica, Position: h.now - 2*time.Second, HasPosition: true}})
+	}
+	h.wantNone(Send, append(out, h.advance(100*ms)...))
+}
--- /dev/null
+++ b/internal/decide/harness_test.go
@@ -0,0 +1,123 @@
+package decide
+
+import (
+	"testing"
+	"time"
+
+	"beechgrade/internal/invariant"
+)
+
+const ms = time.Millisecond
+
+// start is where the tests' clock begins.
+const start = 1000 * time.Second
+
+// harness drives one router by hand.
+type harness struct {
+	t   *testing.T
+	r   *Router
+	now Time
+	out []Action
+}
+
+// classes used by the tests, by number.
+const (
+	classBounded = iota
+	classSession
+	classKeyedWrite // keyed, inside the group
+	classWriteOnce  // a write that must never run twice
+	classAny
+)
+
+func testSettings() Settings {
+	return Settings{
+		Peers: 1, Tick: 5 * ms, MayCancel: true, MayDuplicate: true, MayCheckHealth: true,
+		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: 500 * ms, SlowStartMultiple: 3, SlowStartSpan: time.Second,
+		SlowStartFrom: 0.2, SlowStartTime: 10 * time.Second, OverQuotaWeight: 0.1,
+		Classes: []Class{
+			classBounded: {LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Read: ReadBounded, MaxStaleness: 300 * ms},
+			classSession: {LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Read: ReadSession},
+			classKeyedWrite: {LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 4, LateWeight: 0.3, Read: Write, Idempotency: IdempotentWithKey,
+				KeyScope: ScopeGroup, KeyWindow: 2 * time.Second},
+			classWriteOnce: {LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 4, LateWeight: 0.3, Read: Write, Idempotency: NotIdempotent},
+			classAny:       {LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Read: ReadAny},
+		},
+	}
+}
+
+func newHarness(t *testing.T, set Settings, entries ...Endpoint) *harness {
+	t.Helper()
+	h := &harness{t: t, r: New(set, 7), now: start}
+	h.r.EnableChecks(invariant.Test(t), 1)
+	h.handle(&EndpointList{Kind: ListRestored, Endpoints: entries})
+	return h
+}
+
+// newGroupOfThree is a group with primary p and replicas a and b, all in touch and up to date.
+func newGroupOfThree(t *testing.T, change func(*Settings)) *harness {
+	t.Helper()
+	set := testSettings()
+	if change != nil {
+		change(&set)
+	}
+	h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1}, Endpoint{Server: "a", Capacity: 1}, Endpoint{Server: "b", Capacity: 1})
+	h.report("p", RolePrimary, h.now)
+	h.report("a", RoleReplica, h.now)
+	h.report("b", RoleReplica, h.now)
+	return h
+}
+
+func (h *harness) handle(ev Event) []Action {
+	h.out = h.r.Handle(h.now, ev, nil)
+	return h.out
+}
+
+func (h *harness) report(s ServerID, role Role, at Time) []Action {
+	return h.handle(&HealthCheckResult{Server: s, Load: Report{Role: role, Position: at, HasPosition: true}})
+}
+
+func (h *harness) request(id RequestID, class int) []Action {
+	return h.handle(&Request{ID: id, Class: class, Deadline: h.now + h.r.classes[class].Deadline})
+}
+
+func (h *harness) end(id RequestID, no int, s ServerID, res Result) []Action {
+	return h.handle(&Outcome{ID: id, Attempt: no, Server: s, Result: res, Final: res == OK})
+}
+
+// advance lets time go by with beats and returns all that was done meanwhile.
+func (h *harness) advance(d time.Duration) (all []Action) {
+	for end := h.now + d; h.now < end; {
+		h.now = min(end, h.now+tickInterval)
+		all = append(all, h.handle(&Timer{})...)
+	}
+	return all
+}
+
+// actionsOf picks the actions of a kind.
+func actionsOf(kind ActionKind, actions []Action) (got []Action) {
+	for _, a := range actions {
+		if a.Kind == kind {
+			got = append(got, a)
+		}
+	}
+	return got
+}
+
+func (h *harness) wantSend(actions []Action, id RequestID, s ServerID) {
+	h.t.Helper()
+	got := actionsOf(Send, actions)
+	if len(got) != 1 || got[0].ID != id || s != "" && got[0].Server != s {
+		h.t.Fatalf("want one send of %s to %q, got %+v", id, s, got)
+	}
+}
+
+func (h *harness) wantNone(kind ActionKind, actions []Action) {
+	h.t.Helper()
+	if got := actionsOf(kind, actions); len(got) != 0 {
+		h.t.Fatalf("want none of kind %d, got %+v", kind, got)
+	}
+}
+
+func finalAnswers(actions []Action) []Action {
+	return append(actionsOf(Reject, actions), actionsOf(Fail, actions)...)
+}
--- a/internal/decide/primary_test.go
+++ b/internal/decide/primary_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 )
 
 // TestReadsLeaveThePrimaryToWrites: behind a primary that answers late, reads that are worth a little more for their work do not keep out the
@@ -36,3 +37,86 @@
 		t.Errorf("let in %v of 100 each: want all writes (%d) and a part of the reads (%d)", fmt.Sprint(in), classWriteOnce, classBounded)
 	}
 }
+
+// TestWritesWaitForAPrimaryAndGoOnce holds writes while no primary is known and releases each once when one appears.
+func TestWritesWaitForAPrimaryAndGoOnce(t *testing.T) {
+	h := newGroupOfThree(t, nil)
+	h.request("0", classKeyedWrite)
+	h.handle(&Outcome{ID: "0", Server: "p", Result: Misdirected, Reported: Report{Role: RoleReplica}})
+	var out []Action
+	for i := 1; i <= 3; i++ {
+		out = append(out, h.request(RequestID(fmt.Sprint(i)), classWriteOnce)...)
+	}
+	out = append(out, h.advance(150*ms)...)
+	h.wantNone(Send, out)
+	if len(actionsOf(HealthCheck, out)) == 0 {
+		t.Error("nobody asks who is primary")
+	}
+	sent := map[RequestID]int{}
+	for _, a := range actionsOf(Send, append(h.report("a", RolePrimary, h.now), h.advance(50*ms)...)) {
+		if a.Server != "a" {
+			t.Errorf("sent to %s", a.Server)
+		}
+		sent[a.ID]++
+	}
+	if len(sent) != 4 {
+		t.Errorf("released %v", sent)
+	}
+	for id, n := range sent {
+		if n != 1 {
+			t.Errorf("%s sent %d times", id, n)
+		}
+	}
+}
+
+// TestOldPrimaryReportCountsUpToItsTime: what once said that it is the primary may have been replaced since, unheard. Its word counts for
+// reads up to when it was said, and the list's counts for nothing; where nothing can be asked, they have to do.
+func TestOldPrimaryReportCountsUpToItsTime(t *testing.T) {
+	h := newGroupOfThree(t, nil)
+	h.wantSend(h.request("1", classBounded), "1", "")
+	h.end("1", 0, actionsOf(Send, h.out)[0].Server, OK)
+	h.now += 2 * time.Second // it hung, was replaced, and is back
+	h.wantNone(Send, h.request("2", classBounded))
+	if len(actionsOf(HealthCheck, h.out)) == 0 {
+		t.Fatal("nobody was asked")
+	}
+	h.wantNone(Send, h.report("p", RoleReplica, h.now-1900*ms))
+	h.wantSend(h.report("a", RolePrimary, h.now), "2", "a")
+
+	h = newGroupOfThree(t, nil) // probes that tell nothing: it is asked again and again, but not without end
+	h.now += 2 * time.Second
+	asked, acts := 0, h.request("1", classBounded)
+	for range 30 {
+		var next []Action
+		for _, a := range actionsOf(HealthCheck, acts) {
+			asked++
+			next = append(next, h.handle(&HealthCheckResult{Server: a.Server, Result: Overloaded})...)
+		}
+		h.wantNone(Send, next)
+		acts = append(next, h.advance(tickInterval)...)
+	}
+	if asked <= 2 || asked > 12 {
+		t.Errorf("%d probes in 0.3 s", asked)
+	}
+	h.wantSend(h.report("p", RolePrimary, h.now-200*ms), "1", "p")
+
+	for _, probes := range []bool{true, false} {
+		set := testSettings()
+		set.ListShowsRole, set.MayCheckHealth = true, probes
+		h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1, Primary: true}, Endpoint{Server: "a", Capacity: 1})
+		if sent := len(actionsOf(Send, h.request("1", classBounded))) > 0; sent == probes {
+			t.Errorf("sent by the list's word alone: %v, where probes are allowed: %v", sent, probes)
+		}
+	}
+}
+
+func TestDemotionInAnAnswerBinds(t *testing.T) {
+	h := newGroupOfThree(t, nil)
+	h.handle(&Request{ID: "1", Class: classKeyedWrite, Deadline: h.now + time.Second})
+	h.now += 20 * ms
+	h.handle(&Outcome{ID: "1", Server: "p", Result: Misdirected, Reported: Report{Role: RoleReplica}})
+	h.report("p", RolePrimary, h.now-10*ms) // an older report must not undo it
+	if h.r.primary(h.r.groupFor(0)) != nil {
+		t.Error("an old report brought the demoted primary back")
+	}
+}
--- /dev/null
+++ b/internal/decide/retries_test.go
@@ -0,0 +1,152 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestRetryFollowsIdempotency is the table of what may follow an attempt's end.
+func TestRetryFollowsIdempotency(t *testing.T) {
+	again, fail := "sent again", "failed"
+	for _, c := range []struct {
+		res                 Result
+		safe, keyed, unsafe string
+	}{
+		{Failed, again, again, fail},
+		{TimedOut, again, again, fail},
+		{Reset, again, again, fail},
+		{Cancelled, again, again, fail},
+		{Overloaded, again, again, again},
+		{Unreachable, again, again, again},
+		{Misdirected, again, again, again},
+	} {
+		for class, want := range map[int]string{classAny: c.safe, classKeyedWrite: c.keyed, classWriteOnce: c.unsafe} {
+			h := newGroupOfThree(t, nil)
+			first := actionsOf(Send, h.request("1", class))
+			if len(first) != 1 {
+				t.Fatalf("not sent")
+			}
+			h.now += 5 * ms
+			out := h.end("1", 0, first[0].Server, c.res)
+			for range 40 { // help a primary that was doubted back
+				h.report("p", RolePrimary, h.now)
+				out = append(append(out, h.out...), h.advance(tickInterval)...)
+			}
+			got := "held"
+			switch {
+			case len(actionsOf(Send, out)) > 0:
+				got = again
+			case len(actionsOf(Fail, out)) > 0:
+				got = fail
+			case len(actionsOf(Reject, out)) > 0:
+				got = "refused"
+			}
+			if got != want {
+				t.Errorf("result %d, class %d: %s, want %s", c.res, class, got, want)
+			}
+		}
+	}
+}
+
+// TestKeyedRequestIsRetriedOnlyWithinItsWindow sends a keyed request again just inside its window and not at its edge.
+func TestKeyedRequestIsRetriedOnlyWithinItsWindow(t *testing.T) {
+	for _, c := range []struct {
+		after time.Duration
+		want  bool
+	}{{1990 * ms, true}, {1995 * ms, false}} {
+		h := newGroupOfThree(t, nil)
+		h.request("1", classKeyedWrite)
+		h.now += c.after
+		out := h.end("1", 0, "p", Failed)
+		if got := len(actionsOf(Send, out)) == 1; got != c.want {
+			t.Errorf("after %v: sent %v", c.after, got)
+		}
+		if !c.want && len(actionsOf(Fail, out)) != 1 {
+			t.Errorf("after %v: a keyed request that may have run is failed, not refused: %+v", c.after, out)
+		}
+	}
+}
+
+func TestNeverTwoInFlightWhereNotAllowed(t *testing.T) {
+	h := newGroupOfThree(t, func(s *Settings) { s.MayDuplicate = false })
+	first := actionsOf(Send, h.request("1", classAny))[0].Server
+	h.r.eject(h.r.servers[first])
+	out := h.advance(100 * ms)
+	h.wantNone(Send, out)
+	if len(actionsOf(Cancel, out)) != 1 {
+		t.Fatalf("want it called off first: %+v", out)
+	}
+	out = h.end("1", 0, first, Cancelled)
+	if got := actionsOf(Send, out); len(got) != 1 || got[0].Server == first {
+		t.Fatalf("want it sent elsewhere: %+v", out)
+	}
+}
+
+// TestOneFinalAnswerBeforeTheDeadline demands exactly one final answer before the client's time is up.
+func TestOneFinalAnswerBeforeTheDeadline(t *testing.T) {
+	for class, want := range map[int]ActionKind{classAny: Reject, classWriteOnce: Fail, classKeyedWrite: Fail} {
+		h := newGroupOfThree(t, nil)
+		h.handle(&Request{ID: "1", Class: class, Deadline: h.now + 200*ms})
+		out := h.advance(200 * ms)
+		if got := finalAnswers(out); len(got) != 1 || got[0].Kind != want {
+			t.Fatalf("class %d: %+v", class, got)
+		}
+		h.wantNone(Send, h.end("1", 0, "p", TimedOut))
+		h.wantNone(Send, h.advance(time.Second))
+	}
+}
+
+func TestRequestIsRejectedOnceItsObjectiveHasPassed(t *testing.T) {
+	h := newHarness(t, testSettings()) // nobody to ask
+	if got := finalAnswers(append(h.request("1", classBounded), h.advance(410*ms)...)); len(got) != 1 || got[0].Kind != Reject {
+		t.Fatalf("want a refusal once the aim has passed: %+v", got)
+	} else if got[0].Wait != time.Second { // it found no capacity for all its target: soon again it would be late
+		t.Fatalf("advised %v, want the longest that there is", got[0].Wait)
+	}
+}
+
+func TestClientRetriesWaitBehindFirstAttempts(t *testing.T) {
+	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
+	h.report("p", RolePrimary, h.now)
+	for i := 0; h.r.hasCapacity(h.r.servers["p"], &request{class: &h.r.classes[classAny]}); i++ {
+		h.request(RequestID(fmt.Sprint("fill", i)), classAny)
+	}
+	h.handle(&Request{ID: "repeat", Class: classAny, Deadline: h.now + time.Second, ClientRetry: true})
+	h.request("first", classAny)
+	h.now += 10 * ms
+	if got := actionsOf(Send, h.end("fill0", 0, "p", OK)); len(got) == 0 || got[0].ID != "first" {
+		t.Errorf("want the first try sent first: %+v", got)
+	}
+}
+
+// TestRequestThatReachedNoServerHasHalfItsTime guards against keeping a write for a primary that does not come until too late
+// for its client to ask again: nothing is gained by the second half, and a late refusal without an attempt costs
+// 0.3 of the worth. One whose connection failed is as unseen as one never sent; one that was missed is not.
+func TestRequestThatReachedNoServerHasHalfItsTime(t *testing.T) {
+	for name, c := range map[string]struct {
+		result Result
+		most   time.Duration
+		least  time.Duration
+	}{
+		"never sent":  {OK, 1500 * ms, 1400 * ms},
+		"unreachable": {Unreachable, 1500 * ms, 1400 * ms},
+		"seen":        {Misdirected, 3000 * ms, 2900 * ms},
+	} {
+		h := newGroupOfThree(t, func(s *Settings) { s.MayCheckHealth = false })
+		began := h.now
+		if c.result == OK {
+			h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "p", State: Removed}}})
+			h.request("w", classWriteOnce)
+		} else {
+			h.wantSend(h.request("w", classWriteOnce), "w", "p")
+			h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "p", State: Removed}}})
+			h.end("w", 0, "p", c.result)
+		}
+		for len(finalAnswers(h.advance(10*ms))) == 0 && h.now-began < 4*time.Second {
+		}
+		if took := h.now - began; took < c.least || took > c.most {
+			t.Errorf("%s: given up after %v, want %v to %v", name, took, c.least, c.most)
+		}
+	}
+}
--- a/internal/decide/slowstart_test.go
+++ b/internal/decide/slowstart_test.go
@@ -52,11 +52,15 @@
 type fleetEvents []fleetEvent
 
 func (h fleetEvents) Len() int { return len(h) }
+
 func (h fleetEvents) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].sequence, h[j].sequence)) < 0
 }
+
 func (h fleetEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *fleetEvents) Push(x any)   { *h = append(*h, x.(fleetEvent)) }
+
+func (h *fleetEvents) Push(x any) { *h = append(*h, x.(fleetEvent)) }
+
 func (h *fleetEvents) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- /dev/null
+++ b/internal/decide/tenants_test.go
@@ -0,0 +1,19 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestTenantOverItsQuotaHasALowerWeight(t *testing.T) {
+	// One of 100 routers: its part of the share is one request in ten seconds, and clumps are no excess.
+	h := newGroupOfThree(t, func(s *Settings) { s.Peers, s.Tenants = 100, []Tenant{{RateLimit: 10}} })
+	h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "x", Group: 9}}}) // new: requests wait for its probe
+	for i := range int(minTenantBurst) + 1 {
+		h.handle(&Request{ID: RequestID(fmt.Sprint(i)), Class: classAny, Group: 9, Deadline: h.now + time.Second})
+	}
+	if a, b := h.r.requests["3"].weight, h.r.requests["4"].weight; a != 1 || b != 0.1 {
+		t.Errorf("values %v and %v", a, b)
+	}
+}
