--- a/internal/cluster/raftlog/doc.go
+++ b/internal/cluster/raftlog/doc.go
@@ -1,47 +1,48 @@
-// Package raftlog decides, with other poolers, on one sequence of entries: a log in common, by the Raft of go.etcd.io/raft/v3. Events
-// in, actions out: no I/O, no clock, no goroutines; a disk's answer is an event like a message.
+// Package raftlog decides, with other poolers, on one sequence of entries: a replicated log by the Raft of go.etcd.io/raft/v3. It is a
+// deterministic state machine: events in, actions out, no I/O, clock or goroutines; the answer of a disk is an event like a message.
 //
-// # What it decides, and what not
+// # What it decides
 //
-// It decides which entry is the n-th, for all and for good. What an entry means its user's Machine decides, the same at each voter,
-// as each applies the same entries in the same order. It does not know who proposed an entry, nor whether it was there before: a
+// It decides which entry is the n-th, for all and for good. What an entry means is decided by its user's Machine, which is the same at each
+// voter, as each applies the same entries in the same order. The log does not know who proposed an entry, nor whether it has it already: a
 // proposal whose answer was lost is made again, so entries carry their user's ids, and the Machine takes each id once.
 //
-// # Who votes
+// # Voters
 //
-// Three or five poolers, named by the settings, the same at all. Each has a disk with a number drawn when the disk was new; in the
-// log a voter is its name with that number (Member), so a name with another disk is another voter. The group begins once all of
-// these names have told one another, each after the other's disk was new, that they have nothing. From then on a name that comes
-// with an empty disk neither votes nor counts until the others have agreed, as an entry, that it takes its old self's place: what
-// its old self promised is not forgotten but void, as that voter is no more. So nobody votes twice in a term. While such a change goes
-// on the old disk counts too: of three, a second one lost before it is done stops the group for good. Poolers that do not
-// vote propose by way of those that do (Forward) and learn what came of it by their user's own messages.
+// The settings name three or five voters, the same at all poolers. Each has a disk with a random number that was drawn when the disk was
+// new; in the log a voter is its name with that number (Member), so a name with another disk is another voter. The group is founded once all
+// of these names have told one another, each after the other's disk was new, that they belong to none. From then on a name that comes with
+// an empty disk neither votes nor counts until the others have agreed, as an entry, that it takes its former self's place. What that one
+// promised is void, as it is no voter any more; so nobody votes twice in a term. While such a change is under way the old disk counts too:
+// of three voters, a second disk lost before it is done stops the group for good. Poolers that do not vote propose by way of those that do,
+// and learn what came of it by their user's own messages.
 //
-// # What is told and asked
+// # Inputs and outputs
 //
-// It is told the time, messages, addresses of voters, what its disk holds and what has become durable there. It asks for messages
-// and writes, and hands over what is agreed (Apply, ApplySnapshot). A vote, and the word that an entry is had, go out after Stored
-// alone; an entry is applied once more than half have it durable, this voter too.
+// Events bring the time, messages, the voters' addresses, what the disk holds and what has become durable there. Actions ask for messages
+// and writes, and hand over what is committed (Apply, ApplySnapshot). A vote, and the acknowledgement of an entry, are sent only after
+// StoreCompleted; an entry is applied once a majority has it durable, this voter included.
 //
-// # What one does that hears no majority
+// # Without a majority
 //
-// It applies nothing more and promises nothing new. A leader that has not been answered by a majority for Election ticks gives
-// that up; a proposal to it may wait, be Dropped or come to nothing without a word. That is safe, as only what more than half have
-// on their disks counts, and of two majorities one voter is in both. It asks whether it could be elected before it raises the term
-// (PreVote), so one that was cut off disturbs nobody when it is back. A standing leader is not voted out before Election ticks of its
-// silence; but an old one that was stopped may call itself leader until it hears or counts ticks: Leads is a hint, Apply is not.
+// A voter that reaches no majority applies nothing more and promises nothing new. A leader that no majority has answered for ElectionTicks
+// steps down; a proposal to it may wait, be dropped, or come to nothing without notice. That is safe, as only what a majority has on disk
+// counts, and of two majorities one voter is in both. A voter asks whether it could be elected before it raises the term (PreVote), so one
+// that was cut off disturbs nobody when it is back. A leader is not voted out before it has been silent for ElectionTicks; but a former
+// leader that was suspended may take itself for the leader until it receives a message or counts ticks: BecameLeader is a hint, Apply is not.
 //
 // # Bounds
 //
-// With T = Tick, E = Election ticks, H = Heartbeat ticks, d the longest delay of a message, w of a durable write, and a majority that runs:
-//
-//	a crashed leader is followed by another within   2*E*T + 4*d + 2*w + 2*T, where no two stand at once (Settings.Elect); with
-//	    n voters that happens with at most (n-1)*(2*d+w+T)/(E*T) and costs as much again each time;
-//	a proposal at a pooler is applied there within    4*d + 2*w of a leader that stands (Settings.Propose): to the leader, to the
-//	    others, back, and on; where a message is lost, a heartbeat finds it: H*T + 2*d more for each loss in a row;
-//	a leader that is cut off stops calling itself one within 2*E*T of running;
-//	no answer to a Forward within E*T + 2*T: Dropped, and another voter is tried;
-//	the log has at most   Keep + Every + what is proposed meanwhile   entries, Every at most SnapshotBytes bytes more than Keep
-//	    (Settings.MaxLogEntries); MaxPendingBytes bytes wait for a majority, what is beyond is Dropped;
-//	a start reads the snapshot and at most MaxLogEntries entries.
+// With T = TickInterval, E = ElectionTicks, H = HeartbeatTicks, d the longest delay of a message, w that of a durable write, n voters, and a
+// majority that runs:
+//
+//   - A crashed leader is followed by another within 2*E*T + 4*d + 2*w + 2*T, if no two voters stand at once (Settings.ElectionBound); that
+//     happens with a chance of at most (n-1)*(2*d+w+T)/(E*T) (Settings.SplitVoteBound), and costs as much again each time.
+//   - A proposal is applied where it was made within 4*d + 2*w, while a leader stands (Settings.ProposalBound): to the leader, to the others,
+//     back, and on; each message lost in a row costs H*T + 2*d more.
+//   - A leader that is cut off steps down within 2*E*T of running.
+//   - A proposal forwarded to another pooler that does not answer is dropped after E*T + 2*T, and another voter is tried.
+//   - The log has at most KeepEntries + SnapshotEntries + what is proposed meanwhile entries (Settings.MaxLogEntries), and SnapshotBytes
+//     bytes more than KeepEntries of them; MaxPendingBytes wait for a majority, what is beyond is dropped.
+//   - A start reads the snapshot and at most MaxLogEntries entries.
 package raftlog
--- a/internal/cluster/raftlog/forward.go
+++ b/internal/cluster/raftlog/forward.go
@@ -6,113 +6,133 @@
 	"go.etcd.io/raft/v3"
 )
 
-// forwarding are proposals that went to another pooler, which leads or may know who does.
+// forwarding is what became of proposals that went to another pooler, which leads or may know who does.
 type forwarding struct {
-	forwarded    []forwardedProposal // by when they went
+	forwarded    []forwardedProposal // in the order in which they were sent
 	nextRef      uint64
-	likelyLeader string // who may lead
+	likelyLeader string
 }
 
 type forwardedProposal struct {
-	ref, proposerRef uint64
-	to               string
-	deadline         float64
+	ref         uint64
+	proposerRef uint64
+	to          string
+	deadline    float64
 }
 
-// propose puts an entry to raft where this voter leads, else to who leads.
-func (l *Log) propose(e Propose) {
-	ok := len(e.Entry) > 0 && len(e.Entry) <= MaxEntryBytes && !l.left
+// propose gives an entry to raft where this voter leads, and else to another pooler.
+func (l *Log) propose(event Propose) {
+	if !l.acceptProposal(event) {
+		l.actions = append(l.actions, Action{Kind: ProposalDropped, Ref: event.Ref})
+	}
+}
+
+func (l *Log) acceptProposal(event Propose) bool {
 	switch {
-	case !ok:
+	case len(event.Entry) == 0 || len(event.Entry) > MaxEntryBytes:
+		return false
 	case l.isLeader:
-		ok = l.node.Propose(e.Entry) == nil
+		return l.node.Propose(event.Entry) == nil
 	case len(l.forwarded) >= l.settings.MaxForwards:
-		ok = false
-	default:
-		ok = l.forward(e)
-	}
-	if !ok {
-		l.actions = append(l.actions, Action{Kind: ProposalDropped, Ref: e.Ref})
+		return false
 	}
+	return l.forward(event)
 }
 
-func (l *Log) forward(e Propose) bool {
-	to := l.likelyLeader
-	if l.node != nil && !l.awaitingAdmission {
-		if to = l.nameOf(l.leader); l.leader == raft.None {
-			return false
-		}
-	} else if to == "" || l.addresses[to] == "" {
-		to = l.nextReachableVoter(to)
-	}
+// forward sends a proposal to the leader, or to a voter that may know it. It reports whether there is one.
+func (l *Log) forward(event Propose) bool {
+	to := l.forwardTarget()
 	if l.addresses[to] == "" {
 		return false
 	}
 	if l.nextRef == 0 {
-		l.nextRef = uint64(l.rng.Uint32()) + 1 // a last life's answers are not this one's
+		l.nextRef = uint64(l.rng.Uint32()) + 1 // answers to a former process of this pooler are not taken
 	}
 	l.nextRef++
 	l.likelyLeader = to
-	l.forwarded = append(l.forwarded, forwardedProposal{l.nextRef, e.Ref, to, l.now + l.settings.ForwardTimeout()})
-	l.sendTo(to, &message{kind: kindForward, ref: l.nextRef, data: e.Entry})
+	l.forwarded = append(l.forwarded, forwardedProposal{
+		ref: l.nextRef, proposerRef: event.Ref, to: to, deadline: l.now + l.settings.ForwardTimeout(),
+	})
+	l.sendTo(to, &message{kind: kindForward, ref: l.nextRef, data: event.Entry})
 	return true
 }
 
-// nextReachableVoter is the next voter that there is a way to.
-func (l *Log) nextReachableVoter(than string) string {
-	i := slices.Index(l.settings.Voters, than)
-	for k := 1; k <= len(l.settings.Voters); k++ {
-		if v := l.settings.Voters[(i+k+len(l.settings.Voters))%len(l.settings.Voters)]; v != l.settings.Self && l.addresses[v] != "" {
-			return v
+// forwardTarget returns the name of the pooler that a proposal goes to, empty for none.
+func (l *Log) forwardTarget() string {
+	isMember := l.node != nil && !l.awaitingAdmission
+	switch {
+	case isMember && l.leader == raft.None:
+		return ""
+	case isMember:
+		return l.nameOf(l.leader)
+	case l.addresses[l.likelyLeader] == "":
+		return l.nextReachableVoter(l.likelyLeader)
+	}
+	return l.likelyLeader
+}
+
+// nextReachableVoter returns the other voter after one that has an address, empty for none.
+func (l *Log) nextReachableVoter(after string) string {
+	voters := l.settings.Voters
+	from := slices.Index(voters, after)
+	for i := 1; i <= len(voters); i++ {
+		voter := voters[(from+i+len(voters))%len(voters)]
+		if voter != l.settings.Self && l.addresses[voter] != "" {
+			return voter
 		}
 	}
 	return ""
 }
 
-// handleForward takes another's proposal, where this voter leads.
+// handleForward takes another pooler's proposal, if this voter leads, and answers.
 func (l *Log) handleForward(from string, m *message) {
-	if !l.isVoter || from == "" || len(m.data) == 0 || len(m.data) > MaxEntryBytes {
+	validEntry := len(m.data) > 0 && len(m.data) <= MaxEntryBytes
+	if !l.isVoter || from == "" || !validEntry {
 		return
 	}
-	re := &message{kind: kindForwardResult, ref: m.ref}
-	if l.isLeader {
-		re.name, re.flag = l.settings.Self, l.node.Propose(m.data) == nil
-	} else if l.node != nil {
-		re.name = l.nameOf(l.leader)
+	answer := &message{kind: kindForwardResult, ref: m.ref}
+	switch {
+	case l.isLeader:
+		answer.name = l.settings.Self
+		answer.flag = l.node.Propose(m.data) == nil
+	case l.node != nil:
+		answer.name = l.nameOf(l.leader)
 	}
-	l.actions = append(l.actions, Action{Kind: Send, Addr: from, Message: re.encode(nil)})
+	l.actions = append(l.actions, Action{Kind: Send, Addr: from, Message: answer.encode(nil)})
 }
 
-// handleForwardResult takes the word on a proposal.
+// handleForwardResult takes the answer to a forwarded proposal.
 func (l *Log) handleForwardResult(m *message) {
-	i := slices.IndexFunc(l.forwarded, func(f forwardedProposal) bool { return f.ref == m.ref })
+	i := slices.IndexFunc(l.forwarded, func(proposal forwardedProposal) bool { return proposal.ref == m.ref })
 	if i < 0 {
 		return
 	}
-	f := l.forwarded[i]
+	proposal := l.forwarded[i]
 	l.forwarded = slices.Delete(l.forwarded, i, i+1)
 	if m.flag {
-		l.likelyLeader = f.to
+		l.likelyLeader = proposal.to
 		return
 	}
-	l.dropForward(f, m.name)
+	l.dropForward(proposal, m.name)
 }
 
-// dropForward tells that a proposal has come to nothing, and goes by the hint to who leads, or to the next.
-func (l *Log) dropForward(f forwardedProposal, hint string) {
-	if l.likelyLeader == f.to {
-		if l.likelyLeader = hint; hint == "" || hint == f.to || hint == l.settings.Self || l.addresses[hint] == "" {
-			l.likelyLeader = l.nextReachableVoter(f.to)
+// dropForward drops a proposal, and turns to the pooler that the answer names as the leader, or to the next.
+func (l *Log) dropForward(proposal forwardedProposal, hint string) {
+	if l.likelyLeader == proposal.to {
+		l.likelyLeader = hint
+		useless := hint == "" || hint == proposal.to || hint == l.settings.Self
+		if useless || l.addresses[hint] == "" {
+			l.likelyLeader = l.nextReachableVoter(proposal.to)
 		}
 	}
-	l.actions = append(l.actions, Action{Kind: ProposalDropped, Ref: f.proposerRef})
+	l.actions = append(l.actions, Action{Kind: ProposalDropped, Ref: proposal.proposerRef})
 }
 
-// expireForwards gives up what has had no word.
+// expireForwards drops the proposals that were not answered in time.
 func (l *Log) expireForwards() {
 	for len(l.forwarded) > 0 && l.now >= l.forwarded[0].deadline {
-		f := l.forwarded[0]
+		proposal := l.forwarded[0]
 		l.forwarded = slices.Delete(l.forwarded, 0, 1)
-		l.dropForward(f, "")
+		l.dropForward(proposal, "")
 	}
 }
--- a/internal/cluster/raftlog/replica.go
+++ b/internal/cluster/raftlog/replica.go
@@ -1,34 +1,34 @@
 package raftlog
 
-// Replica is a log with the Machine that its entries go to.
+// Replica is a Log with the Machine that its entries go to.
 type Replica struct {
 	*Log
 	Machine Machine
 }
 
-// Handle is Log's. What goes to the Machine has gone there when it returns, in its order, and is told all the same.
-func (r *Replica) Handle(now float64, e Event, out []Action) []Action {
-	from := len(out)
-	out = r.Log.Handle(now, e, out)
-	for i := from; i < len(out); i++ { // more may come on the way
-		switch a := out[i]; a.Kind {
+// Handle is Log.Handle. When it returns, what goes to the Machine has gone there, in its order; the actions say so all the same.
+func (r *Replica) Handle(now float64, event Event, actions []Action) []Action {
+	from := len(actions)
+	actions = r.Log.Handle(now, event, actions)
+	for i := from; i < len(actions); i++ { // the loop adds actions
+		switch action := actions[i]; action.Kind {
 		case Apply:
-			r.Machine.Apply(a.Index, a.Entry)
+			r.Machine.Apply(action.Index, action.Entry)
 		case ApplySnapshot:
-			if err := r.Machine.Restore(a.Data); err != nil {
-				r.Log.actions = out
-				r.Log.stop("a snapshot: " + err.Error())
-				out, r.Log.actions = r.Log.actions, nil
+			if err := r.Machine.Restore(action.Data); err != nil {
+				actions = r.stopWith("a snapshot: "+err.Error(), actions)
 			}
 		case TakeSnapshot:
-			out = r.Log.Handle(now, SnapshotTaken{Index: a.Index, Data: r.Machine.Snapshot()}, out)
+			actions = r.Log.Handle(now, SnapshotTaken{Index: action.Index, Data: r.Machine.Snapshot()}, actions)
 		}
 	}
-	return out
+	return actions
 }
 
-// BootstrapRecords is the disk of a voter of a group that begins with these voters, for tests and for a start with a known group.
-func BootstrapRecords(self Member, all []Member) []Record {
-	m := &message{name: self.Name, disk: self.Disk, group: groupID(all), members: all}
-	return []Record{{Key: keyMeta, Value: m.encode(nil)}, hardStateRecord(initialHardState()), snapshotRecord(initialSnapshot(all))}
+// stopWith stops the log and appends the action that says so.
+func (r *Replica) stopWith(reason string, actions []Action) []Action {
+	r.actions = actions
+	r.stop(reason)
+	actions, r.actions = r.actions, nil
+	return actions
 }
