--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestSeedsDiffer: processes that are given no seed draw apart, as what each may send to a server in slow start is drawn.
-func TestSeedsDiffer(t *testing.T) {
+// TestSeedsAreDrawnWhereNoneIsGiven: processes that are given no seed draw apart, as what each may send to a server in slow start is drawn.
+func TestSeedsAreDrawnWhereNoneIsGiven(t *testing.T) {
 	seeds := map[uint64]bool{}
 	for range 3 {
 		c, err := parse([]byte(strings.Replace(good, `"seed":"8c1f30d27a5be964",`, "", 1)), func(string) string { return "" }, false)
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestBadValueNamesItself: a start that fails must say by which value, in one line.
-func TestBadValueNamesItself(t *testing.T) {
+// TestErrorNamesTheKey: a start that fails must say by which value, in one line.
+func TestErrorNamesTheKey(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"listen":             {"127.0.0.1:6543", "nowhere"},
 		"seed":               {"8c1f30d27a5be964", "xyz"},
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestReload guards against a reload that keeps what the environment said of discovery at the start, or that changes under
+// TestReloadAppliesWhatCanChange guards against a reload that keeps what the environment said of discovery at the start, or that changes under
 // way what only a restart can change.
-func TestReload(t *testing.T) {
+func TestReloadAppliesWhatCanChange(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"EDGE_DISCOVERY": "127.0.0.3:1", "EDGE_LISTEN": "127.0.0.2:1"}[name]
 	}
@@ -111,8 +111,8 @@
  "settings":{"allowed":{"max_attempts":8,"probes":true},"my_zone":0,"zones":["z"],"kinds":["k1"],"family_info":{"class_read":["lag_bound","mutate"]},
   "request_classes":[{"name":"a","deadline_ns":800000000,"slo_ns":200000000,"effect":"retryable"},{"name":"b","deadline_ns":2000000000,"slo_ns":250000000,"effect":"fragile"}]}}`
 
-// TestTurnedDownWhole: a file that is cut short anywhere, lacks any key, or has a number that is none, is not taken.
-func TestTurnedDownWhole(t *testing.T) {
+// TestIncompleteFileIsRejected: a file that is cut short anywhere, lacks any key, or has a number that is none, is not taken.
+func TestIncompleteFileIsRejected(t *testing.T) {
 	none := func(string) string { return "" }
 	c, err := parse([]byte(operated), none, false)
 	if err != nil {
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestClassesKeepTheirNumbers: by name, in whatever order they stand; one that has gone holds its number until it is back.
-func TestClassesKeepTheirNumbers(t *testing.T) {
+// TestClassesKeepTheirNumbersByName: by name, in whatever order they stand; one that has gone holds its number until it is back.
+func TestClassesKeepTheirNumbersByName(t *testing.T) {
 	none := func(string) string { return "" }
 	c, err := parse([]byte(operated), none, false)
 	if err != nil {
@@ -180,8 +180,8 @@
 	}
 }
 
-// TestGoneClassKeepsItsKind: of a class that has gone stays what says where requests under way may be sent, and how often; the rest goes.
-func TestGoneClassKeepsItsKind(t *testing.T) {
+// TestRetiredClassKeepsItsRouting: of a class that has gone stays what says where requests under way may be sent, and how often; the rest goes.
+func TestRetiredClassKeepsItsRouting(t *testing.T) {
 	none := func(string) string { return "" }
 	c, err := parse([]byte(operated), none, false)
 	if err != nil {
--- a/internal/endpoints/consul/consul_test.go
+++ b/internal/endpoints/consul/consul_test.go
@@ -99,16 +99,16 @@
 	return consulserver.Instance{ID: fmt.Sprint("db-", i), Node: fmt.Sprint("n", i), Address: fmt.Sprint("10.0.0.", i), Port: 5432, Meta: map[string]string{"group": fmt.Sprint(i / 3), "role": "replica"}}
 }
 
-type world struct {
+type testSetup struct {
 	catalog *consulserver.Catalog
 	agents  []*consulserver.Agent
 	src     *Source
 	*recordingSink
 }
 
-// watch starts agents before a catalogue of three instances, and a source that watches them.
-func watch(t *testing.T, agents int, change func(*Options)) *world {
-	w := &world{catalog: consulserver.NewCatalog(), recordingSink: &recordingSink{list: map[string]reconcile.Observation{}, changed: make(chan struct{}, 1)}}
+// startWatch starts agents before a catalogue of three instances, and a source that watches them.
+func startWatch(t *testing.T, agents int, change func(*Options)) *testSetup {
+	w := &testSetup{catalog: consulserver.NewCatalog(), recordingSink: &recordingSink{list: map[string]reconcile.Observation{}, changed: make(chan struct{}, 1)}}
 	opt := Options{Name: "consul", Services: []string{"db"}, WaitMs: 30000, MaxStaleMs: 10000, MaxResponseBytes: 1 << 20, Mapping: DefaultMapping(), Seed: 1}
 	for range agents {
 		a, err := consulserver.Start(w.catalog)
@@ -129,20 +129,20 @@
 	return w
 }
 
-func (w *world) all(lie consulserver.Lie) {
+func (w *testSetup) setAllFaults(lie consulserver.Lie) {
 	for _, a := range w.agents {
 		a.Tell(lie)
 	}
 }
 
-func (w *world) size(n int) func() bool { return func() bool { return len(w.list) == n } }
+func (w *testSetup) hasSize(n int) func() bool { return func() bool { return len(w.list) == n } }
 
-// TestChanges: what is registered, changed, put into maintenance and deregistered is heard, by the health API and by the
+// TestChangesAreReported: what is registered, changed, put into maintenance and deregistered is heard, by the health API and by the
 // catalogue, which knows no health.
-func TestChanges(t *testing.T) {
+func TestChangesAreReported(t *testing.T) {
 	for _, catalog := range []bool{false, true} {
-		w := watch(t, 1, func(o *Options) { o.CatalogOnly = catalog })
-		w.until(t, "three", w.size(3))
+		w := startWatch(t, 1, func(o *Options) { o.CatalogOnly = catalog })
+		w.until(t, "three", w.hasSize(3))
 		x := instance(1)
 		x.Maintenance, x.Meta["role"], x.Meta["started"], x.Weight = true, "primary", "1700000000", 3
 		w.catalog.Change("db", []consulserver.Instance{x})
@@ -152,16 +152,16 @@
 		}
 		w.until(t, "the change", func() bool { return cmp.Equal(want, w.list["db-1"]) })
 		w.catalog.Change("db", nil, "db-0")
-		w.until(t, "the removal", w.size(2))
+		w.until(t, "the removal", w.hasSize(2))
 		if n, paths := w.agents[0].Queries(); n > 10 || !strings.Contains(paths[len(paths)-1], "index=") || !strings.Contains(paths[len(paths)-1], "wait=10000ms") {
 			t.Errorf("%d queries, the last %q", n, paths)
 		}
 	}
 }
 
-// TestLies: what an agent says wrongly changes nothing that was known, is told of with its reason, and the truth is heard
+// TestFaultyAgentsChangeNothing: what an agent says wrongly changes nothing that was known, is told of with its reason, and the truth is heard
 // once it is back.
-func TestLies(t *testing.T) {
+func TestFaultyAgentsChangeNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		lie consulserver.Lie
 		why string
@@ -174,14 +174,14 @@
 		"elsewhere":           {consulserver.Lie{Status: 301}, "status 301"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := watch(t, 2, nil)
-			w.until(t, "three", w.size(3))
-			w.all(c.lie)
+			w := startWatch(t, 2, nil)
+			w.until(t, "three", w.hasSize(3))
+			w.setAllFaults(c.lie)
 			w.catalog.Change("db", []consulserver.Instance{instance(3)})
 			w.until(t, "its reason", w.noted(c.why))
 			w.until(t, "that nobody answers", func() bool { return len(w.lost) == 1 && len(w.list) == 3 })
-			w.all(consulserver.Lie{})
-			w.until(t, "the truth", w.size(4))
+			w.setAllFaults(consulserver.Lie{})
+			w.until(t, "the truth", w.hasSize(4))
 			if read := w.src.BytesRead(); read > 20<<20 {
 				t.Errorf("%d bytes were read", read)
 			}
@@ -189,18 +189,18 @@
 	}
 }
 
-// TestEmpty: an empty list is what the agent says. What is made of it is the judge's.
-func TestEmpty(t *testing.T) {
-	w := watch(t, 1, func(o *Options) { o.WaitMs = 200 })
-	w.until(t, "three", w.size(3))
-	w.all(consulserver.Lie{Empty: true})
-	w.until(t, "none", w.size(0))
-	w.all(consulserver.Lie{})
-	w.until(t, "three again", w.size(3))
+// TestEmptyListIsReported: an empty list is what the agent says. What is made of it is the judge's.
+func TestEmptyListIsReported(t *testing.T) {
+	w := startWatch(t, 1, func(o *Options) { o.WaitMs = 200 })
+	w.until(t, "three", w.hasSize(3))
+	w.setAllFaults(consulserver.Lie{Empty: true})
+	w.until(t, "none", w.hasSize(0))
+	w.setAllFaults(consulserver.Lie{})
+	w.until(t, "three again", w.hasSize(3))
 }
 
-// TestOneOfTwo: one agent that is down, hangs, is an hour behind or knows no leader does not keep the other's word away.
-func TestOneOfTwo(t *testing.T) {
+// TestOneFaultyAgentOfTwoHidesNothing: one agent that is down, hangs, is an hour behind or knows no leader does not keep the other's word away.
+func TestOneFaultyAgentOfTwoHidesNothing(t *testing.T) {
 	for name, lie := range map[string]consulserver.Lie{
 		"down":               {Status: 500},
 		"an hour behind":     {Frozen: true, Contact: time.Hour},
@@ -208,8 +208,8 @@
 		"an old index alone": {Frozen: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := watch(t, 2, func(o *Options) { o.WaitMs = 300 })
-			w.until(t, "three", w.size(3))
+			w := startWatch(t, 2, func(o *Options) { o.WaitMs = 300 })
+			w.until(t, "three", w.hasSize(3))
 			_, asked := w.agents[0].Queries()
 			first := w.agents[1]
 			if len(asked) > 0 {
@@ -220,66 +220,66 @@
 			if name == "an old index alone" {
 				first.Tell(consulserver.Lie{}) // it lags, no more
 			}
-			w.until(t, "what changed", w.size(4))
+			w.until(t, "what changed", w.hasSize(4))
 		})
 	}
 }
 
-// TestHang: an agent that takes a query and never answers is left for another in bounded time.
-func TestHang(t *testing.T) {
-	w := watch(t, 2, func(o *Options) { o.WaitMs = 200 })
-	w.until(t, "three", w.size(3))
+// TestHangingAgentIsReplaced: an agent that takes a query and never answers is left for another in bounded time.
+func TestHangingAgentIsReplaced(t *testing.T) {
+	w := startWatch(t, 2, func(o *Options) { o.WaitMs = 200 })
+	w.until(t, "three", w.hasSize(3))
 	w.agents[0].Tell(consulserver.Lie{Hang: true})
 	w.catalog.Change("db", []consulserver.Instance{instance(3)})
-	w.until(t, "what changed", w.size(4))
+	w.until(t, "what changed", w.hasSize(4))
 }
 
-// TestIndexReset: after an index that went back the list is heard again, whole.
-func TestIndexReset(t *testing.T) {
-	w := watch(t, 2, nil)
-	w.until(t, "three", w.size(3))
+// TestIndexResetReloadsTheList: after an index that went back the list is heard again, whole.
+func TestIndexResetReloadsTheList(t *testing.T) {
+	w := startWatch(t, 2, nil)
+	w.until(t, "three", w.hasSize(3))
 	for i := range 20 {
 		w.catalog.Change("db", []consulserver.Instance{instance(3 + i%2)})
 	}
-	w.until(t, "five", w.size(5))
+	w.until(t, "five", w.hasSize(5))
 	w.catalog.Reset()
 	w.until(t, "that it was noticed", w.noted("index"))
 	w.catalog.Change("db", nil, "db-4")
-	w.until(t, "what changed since", w.size(4))
+	w.until(t, "what changed since", w.hasSize(4))
 }
 
-// TestNoIndex: an agent that gives no index is asked now and then, not without end.
-func TestNoIndex(t *testing.T) {
-	w := watch(t, 1, nil)
-	w.all(consulserver.Lie{NoIndex: true})
-	w.until(t, "three", w.size(3))
+// TestAgentWithoutIndexIsPolledSlowly: an agent that gives no index is asked now and then, not without end.
+func TestAgentWithoutIndexIsPolledSlowly(t *testing.T) {
+	w := startWatch(t, 1, nil)
+	w.setAllFaults(consulserver.Lie{NoIndex: true})
+	w.until(t, "three", w.hasSize(3))
 	w.catalog.Change("db", nil, "db-1")
-	w.until(t, "two", w.size(2))
+	w.until(t, "two", w.hasSize(2))
 	if n, _ := w.agents[0].Queries(); n > 20 {
 		t.Errorf("it was asked %d times", n)
 	}
 }
 
-// TestToken: a token that is denied, and one that takes its place.
-func TestToken(t *testing.T) {
-	w := watch(t, 1, nil)
-	w.until(t, "three", w.size(3))
+// TestNewTokenRetriesAtOnce: a token that is denied, and one that takes its place.
+func TestNewTokenRetriesAtOnce(t *testing.T) {
+	w := startWatch(t, 1, nil)
+	w.until(t, "three", w.hasSize(3))
 	w.agents[0].Need("new")
 	w.src.SetToken("old\n")
 	w.catalog.Change("db", []consulserver.Instance{instance(3)})
 	w.until(t, "that it is denied", w.noted("its token"))
 	w.src.SetToken("new\n")
-	w.until(t, "what changed", w.size(4))
+	w.until(t, "what changed", w.hasSize(4))
 	if text := strings.Join(w.notes, " "); strings.Contains(text, "old") || strings.Contains(text, "new\n") {
 		t.Errorf("a token was told: %s", text)
 	}
 }
 
-// TestTLS: agents over TLS are asked where their authority is known, and not where it is not.
-func TestTLS(t *testing.T) {
+// TestTLSNeedsAKnownAuthority: agents over TLS are asked where their authority is known, and not where it is not.
+func TestTLSNeedsAKnownAuthority(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		var proxy *httptest.Server
-		w := watch(t, 1, func(o *Options) {
+		w := startWatch(t, 1, func(o *Options) {
 			to, err := url.Parse("http://" + o.Agents[0])
 			if err != nil {
 				t.Fatal(err)
@@ -294,46 +294,46 @@
 			}
 		})
 		if known {
-			w.until(t, "three", w.size(3))
+			w.until(t, "three", w.hasSize(3))
 		} else {
 			w.until(t, "that it is not believed", w.noted("certificate"))
 		}
 	}
 }
 
-// TestUnusable: what cannot be used is told of once and takes nothing with it.
-func TestUnusable(t *testing.T) {
-	w := watch(t, 1, nil)
+// TestUnusableInstancesAreNotedOnce: what cannot be used is told of once and takes nothing with it.
+func TestUnusableInstancesAreNotedOnce(t *testing.T) {
+	w := startWatch(t, 1, nil)
 	x, y := instance(7), instance(8)
 	x.Meta = map[string]string{"group": "seven"}
 	y.Port = 0
 	w.catalog.Change("db", []consulserver.Instance{x, y, instance(3)})
 	w.until(t, "the others", func() bool { return len(w.list) == 4 && w.noted("2 of 6 instances cannot be used")() })
 	w.catalog.Change("db", []consulserver.Instance{instance(4)})
-	w.until(t, "one more", w.size(5))
+	w.until(t, "one more", w.hasSize(5))
 	if n := strings.Count(strings.Join(w.notes, "\n"), "cannot be used"); n > 2 {
 		t.Errorf("told %d times", n)
 	}
 }
 
-// TestManyServices: a service whose agent hangs does not hold the others.
-func TestManyServices(t *testing.T) {
+// TestServicesAreWatchedIndependently: a service whose agent hangs does not hold the others.
+func TestServicesAreWatchedIndependently(t *testing.T) {
 	var names []string
 	for i := range 40 {
 		names = append(names, fmt.Sprint("db-", i))
 	}
-	w := watch(t, 1, func(o *Options) { o.Services = append(names, "db", "none") })
+	w := startWatch(t, 1, func(o *Options) { o.Services = append(names, "db", "none") })
 	for i, n := range names {
 		x := instance(i)
 		x.ID = n + "-" + x.ID
 		w.catalog.Change(n, []consulserver.Instance{x})
 	}
-	w.until(t, "all", w.size(43))
+	w.until(t, "all", w.hasSize(43))
 }
 
-// TestRealClient: the stand-in speaks the protocol as Consul's own client library understands it.
-func TestRealClient(t *testing.T) {
-	w := watch(t, 1, nil)
+// TestFakeServerSpeaksConsulsProtocol: the stand-in speaks the protocol as Consul's own client library understands it.
+func TestFakeServerSpeaksConsulsProtocol(t *testing.T) {
+	w := startWatch(t, 1, nil)
 	cfg := api.DefaultConfig()
 	cfg.Address, cfg.Token = w.agents[0].Addr, "t"
 	w.agents[0].Need("t")
@@ -358,8 +358,8 @@
 	}
 }
 
-// TestMapping: where fields may come from, and what cannot be used.
-func TestMapping(t *testing.T) {
+// TestMappingOfInstances: where fields may come from, and what cannot be used.
+func TestMappingOfInstances(t *testing.T) {
 	x := Instance{Node: "n", NodeAddress: "10.1.1.1", Datacenter: "recife", NodeMeta: map[string]string{"rack": "r2"}, ID: "i", Service: "obra-2", Port: 5432,
 		Tags: []string{"Master", "cell=4", "v1"}, Meta: map[string]string{"w": "2.5", "up": "2023-11-14T22:13:20Z"}, Weights: Weights{Passing: 7, Warning: 2}}
 	m := DefaultMapping()
@@ -392,9 +392,9 @@
 	}
 }
 
-// TestWatchKeepsAsking: whatever answers come, the next query is due in bounded time and asks an agent that there is; what
+// TestWatchKeepsQuerying: whatever answers come, the next query is due in bounded time and asks an agent that there is; what
 // is taken never has a lower index than what was taken from the same agents before, but after an index that began anew.
-func TestWatchKeepsAsking(t *testing.T) {
+func TestWatchKeepsQuerying(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(rt, "agents")
 		w := NewWatch(n, 20000, 10000, func() float64 { return rapid.Float64Range(0, 1).Draw(rt, "random") })
--- a/internal/endpoints/consul/polls_test.go
+++ b/internal/endpoints/consul/polls_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestSilentPoll: queries that may wait fall silent, with one agent or two, however often. What each missed counts as told 2 s after the
+// TestSilentQueryLeavesTimeForAnother: queries that may wait fall silent, with one agent or two, however often. What each missed counts as told 2 s after the
 // wait that it asked for is over, and one that may not wait, 6 s after it was asked: by then the next is asked, from where the list
 // stands, with half a second to answer. Half a second is also left to an answer that the agent holds back for as long as it may.
-func TestSilentPoll(t *testing.T) {
+func TestSilentQueryLeavesTimeForAnother(t *testing.T) {
 	for _, agents := range []int{1, 2} {
 		for _, index := range []uint64{0, 7} {
 			for _, wait := range []float64{200, 5000, 20000, 60000, 600000} {
@@ -52,9 +52,9 @@
 	return 150
 }
 
-// TestSilentPollOnTheWire: an agent takes a poll and never answers it. It is asked again in time for what it tells then to be known 2 s
+// TestSilentQueryOnTheWireIsReplaced: an agent takes a poll and never answers it. It is asked again in time for what it tells then to be known 2 s
 // after the wait that the poll asked for, also with the wait of the settings where they say nothing.
-func TestSilentPollOnTheWire(t *testing.T) {
+func TestSilentQueryOnTheWireIsReplaced(t *testing.T) {
 	t.Parallel()
 	type poll struct {
 		wait time.Duration // that it asked for; 0 for an answer at once
@@ -72,7 +72,7 @@
 		_, _ = w.Write([]byte("[]"))
 	}))
 	t.Cleanup(agent.Close)
-	watch(t, 0, func(o *Options) { o.Agents, o.WaitMs = []string{agent.Listener.Addr().String()}, 20000 })
+	startWatch(t, 0, func(o *Options) { o.Agents, o.WaitMs = []string{agent.Listener.Addr().String()}, 20000 })
 	<-polls
 	silent := <-polls
 	if silent.wait == 0 {
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestNextPollIsInTime: what an agent has counts as told 6 s after it could be reached, which may be just after it has failed, refused or
+// TestNextQueryMeetsTheDeadline: what an agent has counts as told 6 s after it could be reached, which may be just after it has failed, refused or
 // denied a query, or while one was under way that hung. However often that has happened, the next query begins in time.
-func TestNextPollIsInTime(t *testing.T) {
+func TestNextQueryMeetsTheDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer Response
 		took   float64
--- a/internal/endpoints/discovery/calls_test.go
+++ b/internal/endpoints/discovery/calls_test.go
@@ -178,9 +178,9 @@
 	}
 }
 
-// TestWholeListIsAskedForUntilItComes: after a move, a watch that tells changes alone leaves open what they are changes of. The whole
+// TestFullListIsRequestedUntilReceived: after a move, a watch that tells changes alone leaves open what they are changes of. The whole
 // list is asked for, and again where that fails: a new watch may not go on from the changes.
-func TestWholeListIsAskedForUntilItComes(t *testing.T) {
+func TestFullListIsRequestedUntilReceived(t *testing.T) {
 	old, moved := newScripted(t), newScripted(t)
 	s := newStation(t, old)
 	s.do(s.client.Watch)
@@ -205,9 +205,9 @@
 	moved.nextWatch(9)
 }
 
-// TestOlderWholeList: calls are handled in turn, so a whole list may be older than what the watch has told meanwhile. It is not told: a
+// TestOlderFullListIsRejected: calls are handled in turn, so a whole list may be older than what the watch has told meanwhile. It is not told: a
 // server that drains would be up again.
-func TestOlderWholeList(t *testing.T) {
+func TestOlderFullListIsRejected(t *testing.T) {
 	at := newScripted(t)
 	s := newStation(t, at)
 	s.do(s.client.Watch)
@@ -227,8 +227,8 @@
 	s.want("list 7, whole true")
 }
 
-// TestChangesOfBeforeTheWholeList: a whole list may be newer than what the watch tells next. Those changes are in it.
-func TestChangesOfBeforeTheWholeList(t *testing.T) {
+// TestChangesOlderThanTheFullListAreIgnored: a whole list may be newer than what the watch tells next. Those changes are in it.
+func TestChangesOlderThanTheFullListAreIgnored(t *testing.T) {
 	at := newScripted(t)
 	s := newStation(t, at)
 	s.do(s.client.Watch)
@@ -244,9 +244,9 @@
 	s.want("list 10, whole false")
 }
 
-// TestOlderListOnAWatch: on one watch generations grow. One that goes back shows that the watch is broken; the next goes on from the
+// TestOlderListOnAWatchEndsIt: on one watch generations grow. One that goes back shows that the watch is broken; the next goes on from the
 // newest.
-func TestOlderListOnAWatch(t *testing.T) {
+func TestOlderListOnAWatchEndsIt(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		t.Run(fmt.Sprintf("whole %v", whole), func(t *testing.T) {
 			at := newScripted(t)
@@ -265,9 +265,9 @@
 	}
 }
 
-// TestDiscoveryBeganAnew: a discovery that has lost its state counts generations from the start. What it tells first on a new watch is how
+// TestRestartOfDiscoveryIsDetected: a discovery that has lost its state counts generations from the start. What it tells first on a new watch is how
 // it stands; where that is changes alone, the whole list is asked for.
-func TestDiscoveryBeganAnew(t *testing.T) {
+func TestRestartOfDiscoveryIsDetected(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		t.Run(fmt.Sprintf("whole %v", whole), func(t *testing.T) {
 			at := newScripted(t)
@@ -291,8 +291,8 @@
 	}
 }
 
-// TestOldAddressInTheTurnOfTheMove: what the old discovery has sent, but is not read yet when the client moves, is not told.
-func TestOldAddressInTheTurnOfTheMove(t *testing.T) {
+// TestOldAddressIsIgnoredAfterSetAddress: what the old discovery has sent, but is not read yet when the client moves, is not told.
+func TestOldAddressIsIgnoredAfterSetAddress(t *testing.T) {
 	old, moved := newScripted(t), newScripted(t)
 	s := newStation(t, old)
 	s.do(s.client.Watch)
@@ -346,9 +346,9 @@
 	return asked
 }
 
-// TestTrickle: an answer that comes byte by byte is no sign of life, wherever in it: a call whose head, or chunk's head, or whole list never
+// TestTricklingResponseTimesOut: an answer that comes byte by byte is no sign of life, wherever in it: a call whose head, or chunk's head, or whole list never
 // gets whole is given up like a silent one.
-func TestTrickle(t *testing.T) {
+func TestTricklingResponseTimesOut(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, c := range map[string]struct {
 		fetch bool
@@ -394,8 +394,8 @@
 	}
 }
 
-// TestSignsOfLife: what does make progress keeps its call open: empty lines and lists on a watch, each step of a whole list.
-func TestSignsOfLife(t *testing.T) {
+// TestProgressKeepsCallsOpen: what does make progress keeps its call open: empty lines and lists on a watch, each step of a whole list.
+func TestProgressKeepsCallsOpen(t *testing.T) {
 	at := newScripted(t)
 	s := newStation(t, at)
 	s.do(s.client.Watch)
@@ -480,9 +480,9 @@
 	return nil
 }
 
-// TestSilentDial: a connection to discovery that never comes up is silence: the watch is asked for again at once, and nobody is told of a
+// TestUnansweredDialTimesOut: a connection to discovery that never comes up is silence: the watch is asked for again at once, and nobody is told of a
 // failure, after which the next call would wait for its turn.
-func TestSilentDial(t *testing.T) {
+func TestUnansweredDialTimesOut(t *testing.T) {
 	for name, pushed := range map[string]bool{"asked": false, "pushed": true} {
 		t.Run(name, func(t *testing.T) {
 			at, empty := fullListener(t)
--- a/internal/endpoints/discovery/client_test.go
+++ b/internal/endpoints/discovery/client_test.go
@@ -12,10 +12,10 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-type told chan string
+type eventLog chan string
 
-func (c told) Listed(*List) { c <- "list" }
-func (c told) ListFailed()  { c <- "failed" }
+func (c eventLog) Listed(*List) { c <- "list" }
+func (c eventLog) ListFailed()  { c <- "failed" }
 
 type nobody struct{}
 
@@ -23,16 +23,16 @@
 func (nobody) Data([]byte)            {}
 func (nobody) Closed(error)           {}
 
-// TestSilentWatchIsDead guards against waiting for ever on a discovery that vanished: nothing closes such a connection, and
+// TestSilentWatchTimesOutAndIsReopened guards against waiting for ever on a discovery that vanished: nothing closes such a connection, and
 // drains would go unheard. A sign of life puts the end off. Whatever a watch falls silent in, the next is asked for at once and goes
 // on from what was heard, with time for one more before 6 s are over; that it broke is told only where it did break.
-func TestSilentWatchIsDead(t *testing.T) {
+func TestSilentWatchTimesOutAndIsReopened(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	clk := &clock.Manual{Ms: 1e6}
-	events := make(told, 9)
+	events := make(eventLog, 9)
 	var l *eventloop.Loop
 	l = eventloop.New(clk, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {
 		New(l, slog.New(slog.DiscardHandler), server.Addr().String(), 4, events).Watch()
--- a/internal/endpoints/discovery/response_test.go
+++ b/internal/endpoints/discovery/response_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestReply guards against reading a list by how its bytes come in, or by how it is laid out: chunks, lines and objects do not end together.
-func TestReply(t *testing.T) {
+// TestResponseParsesAnyChunking guards against reading a list by how its bytes come in, or by how it is laid out: chunks, lines and objects do not end together.
+func TestResponseParsesAnyChunking(t *testing.T) {
 	for name, c := range map[string]struct {
 		in    string
 		want  []string
--- a/internal/endpoints/manager_test.go
+++ b/internal/endpoints/manager_test.go
@@ -13,23 +13,23 @@
 	"beechgrade/internal/eventloop/timers"
 )
 
-// rig is members on a loop that a test drives; it is discovery.Events too.
-type rig struct {
+// harness is members on a loop that a test drives; it is discovery.Events too.
+type harness struct {
 	*Manager
-	now    float64
-	due    []func()
-	list   map[string]discovery.Instance
-	failed int
+	now       float64
+	scheduled []func()
+	list      map[string]discovery.Instance
+	failed    int
 }
 
-func (r *rig) Now() float64 { return r.now }
-func (r *rig) At(_ float64, do func()) *timers.Timer {
-	r.due = append(r.due, do)
+func (r *harness) Now() float64 { return r.now }
+func (r *harness) At(_ float64, do func()) *timers.Timer {
+	r.scheduled = append(r.scheduled, do)
 	return nil
 }
-func (r *rig) Post(f func()) { f() }
+func (r *harness) Post(f func()) { f() }
 
-type events struct{ r *rig }
+type events struct{ r *harness }
 
 func (e events) Listed(l *discovery.List) {
 	if l.Reset {
@@ -45,7 +45,7 @@
 }
 func (e events) ListFailed() { e.r.failed++ }
 
-func (r *rig) sum() string {
+func (r *harness) listed() string {
 	var out []string
 	for id, n := range r.list {
 		out = append(out, strings.TrimSpace(id+" "+n.Lifecycle+" "+n.Role))
@@ -54,8 +54,8 @@
 	return strings.Join(out, ", ")
 }
 
-func newRig(known []discovery.Instance, sources ...string) *rig {
-	r := &rig{now: 1e6, list: map[string]discovery.Instance{}}
+func newHarness(known []discovery.Instance, sources ...string) *harness {
+	r := &harness{now: 1e6, list: map[string]discovery.Instance{}}
 	r.Manager = New(r, slog.New(slog.DiscardHandler), Options{Reconcile: reconcile.Defaults(sources...), Platform: slices.Contains(sources, SourcePlatform)}, events{r}, &discovery.List{Instances: known})
 	for _, n := range r.InitialList().Instances {
 		r.list[n.ID] = n
@@ -71,9 +71,9 @@
 	return reconcile.Observation{ID: id, Address: id + ":5432", Weight: 1}
 }
 
-// TestKnownUntilAllAreHeard: what was known at the start stands until each source has said all that it has, not just a part.
-func TestKnownUntilAllAreHeard(t *testing.T) {
-	r := newRig([]discovery.Instance{up("a"), up("b"), up("old")}, SourceConsul, SourceStatic)
+// TestInitialListStandsUntilAllSourcesReported: what was known at the start stands until each source has said all that it has, not just a part.
+func TestInitialListStandsUntilAllSourcesReported(t *testing.T) {
+	r := newHarness([]discovery.Instance{up("a"), up("b"), up("old")}, SourceConsul, SourceStatic)
 	var got []string
 	for _, step := range []func(){
 		func() {},
@@ -87,43 +87,43 @@
 		func() { r.Observe(SourceConsul, &reconcile.Report{Removed: []string{"b"}}) },
 	} {
 		step()
-		got = append(got, r.sum())
+		got = append(got, r.listed())
 	}
 	if diff := cmp.Diff([]string{"a up, b up, old up", "a up, b up, old up", "a up, b up, c up, old up", "a up, b up, c up", "a up, c up"}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestWordsAndPlatform: servers' words reach the list's roles; the platform's changes and failures come through.
-func TestWordsAndPlatform(t *testing.T) {
-	r := newRig(nil, SourcePlatform)
+// TestSelfReportsAndPlatformReachTheList: servers' words reach the list's roles; the platform's changes and failures come through.
+func TestSelfReportsAndPlatformReachTheList(t *testing.T) {
+	r := newHarness(nil, SourcePlatform)
 	a, b := up("a"), up("b")
 	a.Role = "primary"
 	r.Listed(&discovery.List{Generation: 5, Reset: true, Instances: []discovery.Instance{a, b}})
 	r.ServerReported("b", true, false, 0)
 	r.ServerReported("a", false, true, 0)
-	if diff := cmp.Diff("a up, b up primary", r.sum()); diff != "" {
+	if diff := cmp.Diff("a up, b up primary", r.listed()); diff != "" {
 		t.Error(diff)
 	}
 	b.Lifecycle = "draining"
 	r.Listed(&discovery.List{Generation: 6, Instances: []discovery.Instance{b}})
-	if diff := cmp.Diff("a up, b draining", r.sum()); diff != "" {
+	if diff := cmp.Diff("a up, b draining", r.listed()); diff != "" {
 		t.Error(diff)
 	}
-	asked := &fetches{}
+	asked := &countingDiscovery{}
 	r.SetDiscovery(asked)
 	b.Lifecycle = "up"
 	r.Listed(&discovery.List{Generation: 2, Instances: []discovery.Instance{b}}) // changes that go back
-	if r.ListFailed(); r.failed != 1 || asked.n != 1 || r.sum() != "a up, b draining" {
-		t.Errorf("%d failures, %d asked for the whole list; %s", r.failed, asked.n, r.sum())
+	if r.ListFailed(); r.failed != 1 || asked.n != 1 || r.listed() != "a up, b draining" {
+		t.Errorf("%d failures, %d asked for the whole list; %s", r.failed, asked.n, r.listed())
 	}
 	r.Listed(&discovery.List{Generation: 2, Reset: true, Instances: []discovery.Instance{b}})
-	if r.Summary() != "1 servers, 0 removals held back" || r.sum() != "b up primary" {
-		t.Errorf("%s; %s", r.Summary(), r.sum())
+	if r.Summary() != "1 servers, 0 removals held back" || r.listed() != "b up primary" {
+		t.Errorf("%s; %s", r.Summary(), r.listed())
 	}
 }
 
-type fetches struct{ n int }
+type countingDiscovery struct{ n int }
 
-func (f *fetches) Watch() {}
-func (f *fetches) Fetch() { f.n++ }
+func (f *countingDiscovery) Watch() {}
+func (f *countingDiscovery) Fetch() { f.n++ }
--- a/internal/endpoints/reconcile/reconciler_test.go
+++ b/internal/endpoints/reconcile/reconciler_test.go
@@ -110,8 +110,8 @@
 	return c
 }
 
-// TestRoles: a source's word on the primary counts only while no server's own speaks against it.
-func TestRoles(t *testing.T) {
+// TestSelfReportsDecideOnThePrimary: a source's word on the primary counts only while no server's own speaks against it.
+func TestSelfReportsDecideOnThePrimary(t *testing.T) {
 	r := newHarness(t, nil)
 	three := []Observation{role(at("1", 0), Primary), role(at("2", 0), Replica), role(at("3", 0), Replica)}
 	r.wantDecisions(r.observe("consul", true, three...), Added, Added, Added)
@@ -156,8 +156,8 @@
 	mutant.wantList("1 serving*, 2 serving, 3 serving")
 }
 
-// TestHealth: maintenance drains at once whoever says it, a critical server is used only for its answers.
-func TestHealth(t *testing.T) {
+// TestMaintenanceDrainsAndCriticalNeedsResponses: maintenance drains at once whoever says it, a critical server is used only for its answers.
+func TestMaintenanceDrainsAndCriticalNeedsResponses(t *testing.T) {
 	r := newHarness(t, nil)
 	r.observe("consul", true, at("1", 0), health(at("2", 0), Warning), health(at("3", 0), Critical))
 	r.wantList("1 serving, 2 serving, 3 draining")
@@ -188,9 +188,9 @@
 	loose.wantList("1 serving")
 }
 
-// TestMassRemoval: one empty answer takes nothing away; single servers go at once, the operators' word lets all go, and so
+// TestMassRemovalsAreHeldBack: one empty answer takes nothing away; single servers go at once, the operators' word lets all go, and so
 // does time.
-func TestMassRemoval(t *testing.T) {
+func TestMassRemovalsAreHeldBack(t *testing.T) {
 	eight := func() (out []Observation) {
 		for i := range 8 {
 			out = append(out, at(fmt.Sprint(i), i/4))
@@ -261,9 +261,9 @@
 	}
 }
 
-// TestSources: the first by rank wins, but not with old news; a lost one counts for as long as it is kept, and what answers
+// TestSourcesCountByRankAgeAndRetention: the first by rank wins, but not with old news; a lost one counts for as long as it is kept, and what answers
 // stays even then.
-func TestSources(t *testing.T) {
+func TestSourcesCountByRankAgeAndRetention(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.SourceRetentionMs = 60000 })
 	other := at("1", 0)
 	other.Address, other.Zone = "10.9.9.9:5432", "b"
@@ -296,8 +296,8 @@
 	r.wantList("1 serving, 2 serving, 3 serving, 4 serving")
 }
 
-// TestOddities: two addresses, two ids, groups that change, starts and generations that go back.
-func TestOddities(t *testing.T) {
+// TestConflictsMovesAndRegressions: two addresses, two ids, groups that change, starts and generations that go back.
+func TestConflictsMovesAndRegressions(t *testing.T) {
 	r := newHarness(t, nil)
 	a, b := at("1", 0), at("1", 0)
 	b.Address, b.Started = "10.7.7.7:5432", 5e5
@@ -338,8 +338,8 @@
 	}
 }
 
-// TestFlapping: what comes and goes is not used until it keeps still.
-func TestFlapping(t *testing.T) {
+// TestFlappingServerDrainsUntilStable: what comes and goes is not used until it keeps still.
+func TestFlappingServerDrainsUntilStable(t *testing.T) {
 	r := newHarness(t, nil)
 	r.observe("consul", true, at("1", 0), at("2", 0))
 	for i := range 8 {
@@ -367,8 +367,8 @@
 	}
 }
 
-// TestRetired: a source whose place others take leaves what they know; that they know nothing takes nothing away at first.
-func TestRetired(t *testing.T) {
+// TestRetiredSourceLeavesWhatOthersKnow: a source whose place others take leaves what they know; that they know nothing takes nothing away at first.
+func TestRetiredSourceLeavesWhatOthersKnow(t *testing.T) {
 	three := []Observation{at("1", 0), at("2", 0), at("3", 1)}
 	r := newHarness(t, nil)
 	r.observe("static", true, three...)
@@ -388,8 +388,8 @@
 	r.wantList("1 serving, 3 serving")
 }
 
-// TestOldDrops: what a source dropped before it was lost does not take away what another has said meanwhile.
-func TestOldDrops(t *testing.T) {
+// TestRemovalsBeforeALossAreForgotten: what a source dropped before it was lost does not take away what another has said meanwhile.
+func TestRemovalsBeforeALossAreForgotten(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.SourceRetentionMs, s.MassRemovalFraction = 5000, 0 })
 	r.observe("consul", true, at("1", 0), at("2", 0))
 	r.observe("consul", true, at("2", 0))
@@ -402,8 +402,8 @@
 	r.wantList("1 serving, 2 serving")
 }
 
-// TestHeirElsewhere: a server that moves with its address to another group is not kept where it was by one that has moved too.
-func TestHeirElsewhere(t *testing.T) {
+// TestEntryIsNotTransferredToAnotherAddress: a server that moves with its address to another group is not kept where it was by one that has moved too.
+func TestEntryIsNotTransferredToAnotherAddress(t *testing.T) {
 	r := newHarness(t, nil)
 	moved := func(id string, group int) Observation {
 		c := at(id, group)
@@ -419,10 +419,10 @@
 	}
 }
 
-// TestStateMachine holds the judge to what must be so whatever its sources say: the changes that it gives come to the list
+// TestInvariantsOfAnySequenceOfInputs holds the judge to what must be so whatever its sources say: the changes that it gives come to the list
 // that it has; no address is listed twice; no group has two primaries, and no primary has said lately that it is none; an
 // empty list never follows from one answer; and nothing that says maintenance serves.
-func TestStateMachine(t *testing.T) {
+func TestInvariantsOfAnySequenceOfInputs(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		set := Defaults("a", "b")
 		set.SourceRetentionMs = 5000
--- a/internal/endpoints/snapshot/snapshot_test.go
+++ b/internal/endpoints/snapshot/snapshot_test.go
@@ -14,8 +14,8 @@
 
 var file = &File{SavedAtMs: 1.7e12, Entries: []reconcile.Entry{{ID: "a", Address: "10.0.0.1:5432", Group: 3, Zone: "z", Weight: 2, Started: 1e12, Primary: true}, {ID: "b\n", Address: "10.0.0.2:5432", State: reconcile.StateDraining}}}
 
-// TestEveryCut: a file that ends too soon, or has a byte that is not its own, is not read; a whole one is.
-func TestEveryCut(t *testing.T) {
+// TestSnapshotCutAnywhereIsRejected: a file that ends too soon, or has a byte that is not its own, is not read; a whole one is.
+func TestSnapshotCutAnywhereIsRejected(t *testing.T) {
 	b, err := Append(nil, file)
 	if err != nil {
 		t.Fatal(err)
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestFile: a file is replaced as a whole, and one that is missing, foreign or not to be written is told of.
-func TestFile(t *testing.T) {
+// TestFileIsReplacedAndRead: a file is replaced as a whole, and one that is missing, foreign or not to be written is told of.
+func TestFileIsReplacedAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members")
 	if f, err := Load(path); f != nil || err != nil {
 		t.Errorf("none: %+v %v", f, err)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestToldOnce: a breach is told once for each name with the state of the first time, counted each time, and stops nobody.
-func TestToldOnce(t *testing.T) {
+// TestBreachIsReportedOnce: a breach is told once for each name with the state of the first time, counted each time, and stops nobody.
+func TestBreachIsReportedOnce(t *testing.T) {
 	var told []string
 	c := New(func(b Breach) { told = append(told, b.String()) })
 	for i := range 3 {
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestOffIsNothing: nil takes everything and does nothing.
-func TestOffIsNothing(t *testing.T) {
+// TestNilChecksNothing: nil takes everything and does nothing.
+func TestNilChecksNothing(t *testing.T) {
 	var c *Checks
 	n := 0
 	c.That(false, "x", func() string { t.Error("asked for state"); return "" })
@@ -48,8 +48,8 @@
 func (s *sayer) Helper()                      {}
 func (s *sayer) Errorf(f string, args ...any) { s.said += fmt.Sprintf(f, args...) }
 
-// TestTestFails: checks for a test fail it.
-func TestTestFails(t *testing.T) {
+// TestBreachFailsTheTest: checks for a test fail it.
+func TestBreachFailsTheTest(t *testing.T) {
 	var s sayer
 	Test(&s).That(false, "x", func() string { return "y" })
 	if s.said != "invariant broken: x: y" {
--- a/internal/metrics/exposition/exposition_test.go
+++ b/internal/metrics/exposition/exposition_test.go
@@ -41,8 +41,8 @@
 	return out
 }
 
-// TestForms: one sheet in both forms; lines of one family stand together in the text however they came.
-func TestForms(t *testing.T) {
+// TestBothForms: one sheet in both forms; lines of one family stand together in the text however they came.
+func TestBothForms(t *testing.T) {
 	t.Parallel()
 	var s Snapshot
 	s.Scope("").Counter("upstream_tries", math.MaxUint64)
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -132,9 +132,9 @@
 	return &Event{At: 1.7e12 + float64(i), Kind: recordpb.Kind_KIND_ATTEMPT, Request: uint64(i), Server: "s-1", DurationMs: 3}
 }
 
-// TestSlowDisk guards against a disk that holds the loop up, and against a loss that nobody hears of: while a write
+// TestSlowDiskLosesAndCountsEvents guards against a disk that holds the loop up, and against a loss that nobody hears of: while a write
 // hangs, events go on being taken without waiting, and every one that found no room is counted where it would stand.
-func TestSlowDisk(t *testing.T) {
+func TestSlowDiskLosesAndCountsEvents(t *testing.T) {
 	d := newDisk()
 	d.hold, d.began = make(chan struct{}), make(chan struct{}, 1)
 	rec, stop := Start(options(d))
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestDiskFull guards against records that end service, or that hide what a full disk swallowed.
-func TestDiskFull(t *testing.T) {
+// TestFullDiskIsRetriedAndCounted guards against records that end service, or that hide what a full disk swallowed.
+func TestFullDiskIsRetriedAndCounted(t *testing.T) {
 	for _, room := range []int{0, 5, 300, 5000, 20000} {
 		d := newDisk()
 		d.room = room
@@ -198,8 +198,8 @@
 	}
 }
 
-// TestCap guards against records that grow without end, and against removing what is not this pooler's.
-func TestCap(t *testing.T) {
+// TestOldestSegmentsAreRemoved guards against records that grow without end, and against removing what is not this pooler's.
+func TestOldestSegmentsAreRemoved(t *testing.T) {
 	d := newDisk()
 	d.files["n_1-old"] = bytes.NewBufferString("no segment")
 	d.files["n_10-0001700000000000-000001.bgr"] = bytes.NewBuffer(make([]byte, 1<<20))
--- a/internal/settings/clickhouse_test.go
+++ b/internal/settings/clickhouse_test.go
@@ -13,8 +13,8 @@
 	"beechgrade/internal/storage/journal"
 )
 
-// TestClickHouse: what is written is what holds, each mistake has its place, and the classes are such that only reads repeat.
-func TestClickHouse(t *testing.T) {
+// TestClickHouseSettings: what is written is what holds, each mistake has its place, and the classes are such that only reads repeat.
+func TestClickHouseSettings(t *testing.T) {
 	settings, err := Parse("o", []byte(`(clickhouse (listen "127.0.0.1:8123") (group 9) (aim 1s) (deadline 5s) (most-body 2m) (hold 64k) (bound 10s) (sessions 5)
 		(upload 1m) (quiet 2m) (stall 3s) (deadline-header "X-Wait")
 		(user "a" (queries 2) (queue 3) (wait 1s) (rate 5) (burst 9)) (user "*" (queries 4)))`), nil)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestJournal: the folder, the mode and the bound, with variables of the environment; what is not known has its place.
-func TestJournal(t *testing.T) {
+// TestJournalSettings: the folder, the mode and the bound, with variables of the environment; what is not known has its place.
+func TestJournalSettings(t *testing.T) {
 	settings, err := Parse("o", []byte(`(journal (dir "$D/j") (mode alongside) (most 5m) (pace 2m))`), func(string) string { return "/d" })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/cluster_test.go
+++ b/internal/settings/cluster_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestPeersSettings: what is wrong with (peers ...) is named with its place, in one line; what is right is taken.
-func TestPeersSettings(t *testing.T) {
+// TestClusterSettings: what is wrong with (peers ...) is named with its place, in one line; what is right is taken.
+func TestClusterSettings(t *testing.T) {
 	dir := t.TempDir()
 	short, good := filepath.Join(dir, "short"), filepath.Join(dir, "good")
 	if err := os.WriteFile(short, []byte("too short\n"), 0o600); err != nil {
--- a/internal/settings/durable_test.go
+++ b/internal/settings/durable_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/storage/sessiontoken"
 )
 
-// TestDurable: the journal and the sessions' commits are set alike, and an error names which of them it is about.
-func TestDurable(t *testing.T) {
+// TestCompactionRateSettings: the journal and the sessions' commits are set alike, and an error names which of them it is about.
+func TestCompactionRateSettings(t *testing.T) {
 	for in, want := range map[string]Durable[string]{
 		`(dir "/x")`:                              {"/x", "before", 64 << 20, 0},
 		`(dir "/x") (mode before)`:                {"/x", "before", 64 << 20, 0},
--- a/internal/settings/endpoints_test.go
+++ b/internal/settings/endpoints_test.go
@@ -12,8 +12,8 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-// TestMembership: what is written is what holds, and each mistake has one line with its place.
-func TestMembership(t *testing.T) {
+// TestEndpointsSettings: what is written is what holds, and each mistake has one line with its place.
+func TestEndpointsSettings(t *testing.T) {
 	env := func(string) string { return "/e" }
 	settings, err := Parse("o", []byte(`(membership
 		(consul (agents "127.0.0.1:8500" "[::1]:8500") (services "a" "b") (token-file "$T/token") (dc "recife") (ns "obra") (filter "Service.Port > 1")
@@ -70,16 +70,16 @@
 	}
 }
 
-// TestHereItIsOff: on this platform the list is its discovery's alone.
-func TestHereItIsOff(t *testing.T) {
+// TestPlatformDeploymentHasSourcesDisabled: on this platform the list is its discovery's alone.
+func TestPlatformDeploymentHasSourcesDisabled(t *testing.T) {
 	settings, err := Load("../../deploy/operators.sexp", os.Getenv)
 	if err != nil || settings.Endpoints.Enabled || settings.Pooling.Listen != "" || settings.ClickHouse.Listen != "" || settings.Record.Enabled {
 		t.Errorf("%+v %v", settings, err)
 	}
 }
 
-// TestOverride: the operators' word, none, and one with a mistake.
-func TestOverride(t *testing.T) {
+// TestOverrideFile: the operators' word, none, and one with a mistake.
+func TestOverrideFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "o")
 	m := &Endpoints{OverridePath: file}
 	for text, want := range map[string]any{
--- a/internal/settings/outlier_test.go
+++ b/internal/settings/outlier_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestVerdictsSettings: what is wrong with (verdicts ...) is named with its place, in one line.
-func TestVerdictsSettings(t *testing.T) {
+// TestOutlierDetectionSettings: what is wrong with (verdicts ...) is named with its place, in one line.
+func TestOutlierDetectionSettings(t *testing.T) {
 	for in, want := range map[string]string{
 		`(verdicts)`: `o:1:1: (verdicts ...) needs (peers ...)`,
 		`(peers (listen "1.2.3.4:5") (key "k")) (verdicts (observers 1))`:                       `o:1:61: 1 is out of range`,
--- a/internal/settings/raftlog_test.go
+++ b/internal/settings/raftlog_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestAgreed: what is told is taken, and each fault has its line.
-func TestAgreed(t *testing.T) {
+// TestRaftLogSettings: what is told is taken, and each fault has its line.
+func TestRaftLogSettings(t *testing.T) {
 	const peers = `(peers (listen "127.0.0.1:1") (key "/k"))`
 	read := func(s string) (*Settings, error) {
 		return Parse("f", []byte(peers+s), func(string) string { return "/disk" })
--- a/internal/settings/sessions_test.go
+++ b/internal/settings/sessions_test.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/storage/sessiontoken"
 )
 
-// TestSessions: sessions' commits have a folder and a mode, or one line says what is wrong.
-func TestSessions(t *testing.T) {
+// TestSessionsSettings: sessions' commits have a folder and a mode, or one line says what is wrong.
+func TestSessionsSettings(t *testing.T) {
 	for in, want := range map[string]any{
 		`(sessions (dir "/s") (mode alongside) (most 2m) (pace 64k))`: Sessions{Dir: "/s", Mode: sessiontoken.Alongside, MaxBytes: 2 << 20, CompactionBytesPerSecond: 64 << 10},
 		`(sessions (dir "$NO"))`:             `o:1:1: sessions: (dir "FOLDER") is due, on a disk that survives`,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// TestParse guards against settings that are half taken: each fault has one line with its place.
-func TestParse(t *testing.T) {
+// TestRecordSettingsAndErrorPositions guards against settings that are half taken: each fault has one line with its place.
+func TestRecordSettingsAndErrorPositions(t *testing.T) {
 	env := func(name string) string { return map[string]string{"T": "/t"}[name] }
 	for in, want := range map[string]any{
 		"": Settings{},
