--- a/internal/cluster/outlier/adapter/liar.go
+++ b/internal/cluster/outlier/adapter/liar.go
@@ -1,6 +1,6 @@
 //go:build liar
 
-package joined
+package adapter
 
 import (
 	"os"
@@ -10,5 +10,9 @@
 )
 
 // A program with the tag liar lies of servers as LIE in its environment has it; rehearsals build it.
-func told(t *verdicts.Tell) *verdicts.Tell { return lies.Said(t, lies.OfServers[os.Getenv("LIE")]) }
-func said(w *verdicts.Word) *verdicts.Word { return lies.Said(w, lies.OfServers[os.Getenv("LIE")]) }
+func outgoingObservations(t *outlier.Observations) *outlier.Observations {
+	return byzantine.Said(t, byzantine.OfServers[os.Getenv("LIE")])
+}
+func outgoingAssessments(w *outlier.Assessments) *outlier.Assessments {
+	return byzantine.Said(w, byzantine.OfServers[os.Getenv("LIE")])
+}
--- a/internal/cluster/overload/adapter/liar.go
+++ b/internal/cluster/overload/adapter/liar.go
@@ -1,6 +1,6 @@
 //go:build liar
 
-package joined
+package adapter
 
 import (
 	"os"
@@ -10,5 +10,7 @@
 )
 
 // A program with the tag liar lies as LIE in its environment has it; rehearsals build it.
-func told(t *overload.Tell) *overload.Tell         { return lies.Of(t, lies.Times[os.Getenv("LIE")]) }
-func answered(a *overload.Answer) *overload.Answer { return lies.Of(a, lies.Times[os.Getenv("LIE")]) }
+func told(t *overload.Tell) *overload.Tell { return byzantine.Of(t, byzantine.Times[os.Getenv("LIE")]) }
+func answered(a *overload.Answer) *overload.Answer {
+	return byzantine.Of(a, byzantine.Times[os.Getenv("LIE")])
+}
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -202,8 +202,8 @@
 // everywhere tells the module of each group what is for one.
 type everywhere struct{ adapter.Core }
 
-// Shed is joined.Core's.
-func (e everywhere) Shed(group int, s *decide.SheddingPolicy) {
+// SetShedding implements adapter.Core.
+func (e everywhere) SetShedding(group int, s *decide.SheddingPolicy) {
 	for g := range mostSpoilt {
 		if g == group || s != nil {
 			e.Core.SetShedding(g, s)
