--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -195,7 +195,7 @@
 	p.setPushMode()
 	p.applyPreviousState()
 	if p.commits != nil {
-		p.core.MergeSnapshot(p.commits.Memory())
+		p.core.MergeSnapshot(p.commits.Snapshot())
 	}
 	p.otherSessions.begin()
 	p.saveSnapshots()
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -64,7 +64,7 @@
 			end = func() { b.stop(); endKeeper() }
 		}
 	}
-	p.log.Info("sessions: kept", "mode", o.Mode.String(), "sessions", len(p.commits.Memory().Commits), "beside", p.otherSessions != nil && p.otherSessions.locked)
+	p.log.Info("sessions: kept", "mode", o.Mode.String(), "sessions", len(p.commits.Snapshot().Commits), "beside", p.otherSessions != nil && p.otherSessions.locked)
 	return end, nil
 }
 
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -118,7 +118,7 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	for _, commit := range keeper.Memory().Commits {
+	for _, commit := range keeper.Snapshot().Commits {
 		fmt.Fprintf(&out, "%s %d\n", commit.Session, commit.At)
 	}
 	golden(t, "stored-sessions.txt", out.String())
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -91,7 +91,7 @@
 	}
 	p.previousState = others[0]
 	if then := p.previousState.ClockMs; then > 0 { // its clock and this one's may have started on either side of a step of the wall clock
-		p.previousState.Memory.Shift(clock.ToDuration(p.loop.Now() - p.previousState.AgeMs - then))
+		p.previousState.Snapshot.Shift(clock.ToDuration(p.loop.Now() - p.previousState.AgeMs - then))
 	}
 	if l := &p.previousState.List; p.sources == nil && p.previousState.ListSource == p.cfg.DiscoveryAddress && l.Generation > p.cfg.InitialList.Generation {
 		p.cfg.InitialList = *l
@@ -104,13 +104,13 @@
 func (p *pooler) applyPreviousState() {
 	if b := p.previousState; b != nil {
 		if !slices.Equal(b.Classes, p.cfg.Classes) {
-			b.Memory.ClassWork = nil
+			b.Snapshot.ClassWork = nil
 		}
 		if !slices.Equal(b.Kinds, p.cfg.MachineTypes) {
-			b.Memory.KindRates = nil
+			b.Snapshot.KindRates = nil
 		}
-		p.core.MergeSnapshot(b.Memory)
-		p.log.Info("goes on from another process", "generation", b.List.Generation, "servers", len(b.Memory.Servers))
+		p.core.MergeSnapshot(b.Snapshot)
+		p.log.Info("goes on from another process", "generation", b.List.Generation, "servers", len(b.Snapshot.Servers))
 		p.previousState = nil
 	}
 	p.updateProcesses()
@@ -146,7 +146,7 @@
 		known = p.list.complete()
 	}
 	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Now(), ClockMs: p.loop.Now(), Descriptors: held, Ending: !p.lifecycle.IsServing(), ListSource: p.cfg.DiscoveryAddress, List: known, ListRestarts: p.list.restarts,
-		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.MachineTypes), Memory: p.core.Snapshot()}
+		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.MachineTypes), Snapshot: p.core.Snapshot()}
 }
 
 // stateFolder is where the processes on a socket report to each other.
--- a/cmd/beechgrade/upgrade_anew_test.go
+++ b/cmd/beechgrade/upgrade_anew_test.go
@@ -95,7 +95,7 @@
 }
 
 func newOtherProcess(u *upgrade) *otherProcess {
-	o := &otherProcess{u: u, s: handover.State{ListSource: u.at, Memory: &decide.Snapshot{}}}
+	o := &otherProcess{u: u, s: handover.State{ListSource: u.at, Snapshot: &decide.Snapshot{}}}
 	folder, done, quit := handover.OpenDirectory(u.dir), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -90,7 +90,7 @@
 	endOne()
 	u.until("it trusts what it knows", two, func() bool { return !two.otherSessions.doubts() })
 	u.until("it knows", two, func() bool {
-		return slices.Contains(two.commits.Memory().Commits, decide.SessionCommit{Session: "s", At: at + 5})
+		return slices.Contains(two.commits.Snapshot().Commits, decide.SessionCommit{Session: "s", At: at + 5})
 	})
 	endTwo()
 	last := newPooler(testConfig(t, "127.0.0.1:1", nil, func(c *config.Config) { c.Settings.TrackCommits = true }), slog.New(slog.DiscardHandler))
@@ -99,8 +99,8 @@
 		t.Fatal(err)
 	}
 	for _, want := range []decide.SessionCommit{{Session: "s", At: at + 5}, {Session: "x", At: at}} {
-		if !slices.Contains(last.commits.Memory().Commits, want) {
-			t.Errorf("%s: %v is not in %v", mode, want, last.commits.Memory())
+		if !slices.Contains(last.commits.Snapshot().Commits, want) {
+			t.Errorf("%s: %v is not in %v", mode, want, last.commits.Snapshot())
 		}
 	}
 	end()
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -142,7 +142,7 @@
 	c.want("TDCZ v")
 	u.mute.Store(true)
 	var was *handover.State
-	for end := time.Now().Add(patience); was == nil || len(was.Memory.Servers) == 0 || was.Memory.Servers[0].Role != decide.RolePrimary; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(patience); was == nil || len(was.Snapshot.Servers) == 0 || was.Snapshot.Servers[0].Role != decide.RolePrimary; time.Sleep(2 * time.Millisecond) {
 		if others, _ := handover.OpenDirectory(u.dir).Others(handover.UsefulMs); len(others) > 0 {
 			was = others[0]
 		}
@@ -213,7 +213,7 @@
 
 // drainedSince is the state of another process that knew of a drain, as of so many ms ago.
 func drainedSince(u *upgrade, ms float64) *handover.State {
-	return &handover.State{SavedMs: clock.Wall() - ms, ListSource: u.at, Memory: &decide.Snapshot{}, List: discovery.List{Generation: 8, Reset: true,
+	return &handover.State{SavedMs: clock.Wall() - ms, ListSource: u.at, Snapshot: &decide.Snapshot{}, List: discovery.List{Generation: 8, Reset: true,
 		Instances: []discovery.Instance{{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "draining", Weight: 1}}}}
 }
 
@@ -233,7 +233,7 @@
 	t.Parallel()
 	u := newUpgrade(t)
 	two := u.process()
-	if err := handover.OpenDirectory(u.dir).Write(&handover.State{SavedMs: clock.Wall(), Descriptors: 400, Memory: &decide.Snapshot{}}); err != nil {
+	if err := handover.OpenDirectory(u.dir).Write(&handover.State{SavedMs: clock.Wall(), Descriptors: 400, Snapshot: &decide.Snapshot{}}); err != nil {
 		t.Fatal(err)
 	}
 	u.until("limits are shared", two, func() bool { return two.otherProcesses == 1 && two.sockets() == 624 && two.memory() == 96<<20 })
--- a/internal/lifecycle/handover/handover.go
+++ b/internal/lifecycle/handover/handover.go
@@ -47,7 +47,7 @@
 	ListRestarts int              `json:"anew"`     // so often the list's source has begun its generations anew
 	Classes      []string         `json:"classes"`
 	Kinds        []string         `json:"kinds"`
-	Memory       *decide.Snapshot `json:"memory"`
+	Snapshot     *decide.Snapshot `json:"memory"`
 
 	AgeMs float64 `json:"-"` // as it was read
 }
@@ -67,7 +67,7 @@
 	if err := atomicfile.Decode(b, fileKind, s); err != nil {
 		return nil, err
 	}
-	if s.Memory == nil || s.Descriptors < 0 || s.ListRestarts < 0 || s.List.Generation < 0 || math.IsNaN(s.SavedMs) {
+	if s.Snapshot == nil || s.Descriptors < 0 || s.ListRestarts < 0 || s.List.Generation < 0 || math.IsNaN(s.SavedMs) {
 		return nil, fmt.Errorf("%w: a value is out of its bounds", atomicfile.ErrFormat)
 	}
 	return s, nil
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -16,7 +16,7 @@
 func state(at float64) *State {
 	return &State{SavedMs: at, Descriptors: 7, ListSource: "127.0.0.1:8500", Classes: []string{"a"}, Kinds: []string{"k"},
 		List: discovery.List{Generation: 4, Reset: true, Instances: []discovery.Instance{{ID: "s-1", HostPort: "127.0.0.1:1", Lifecycle: "up"}}},
-		Memory: &decide.Snapshot{ClassWork: []float64{0.1}, KindRates: map[int]float64{0: 2}, AverageWork: 0.1,
+		Snapshot: &decide.Snapshot{ClassWork: []float64{0.1}, KindRates: map[int]float64{0: 2}, AverageWork: 0.1,
 			Servers: []decide.ServerSnapshot{{ID: "s-1", Role: decide.RolePrimary, RoleAt: 3 * time.Second, Position: time.Second}}}}
 }
 
@@ -123,7 +123,7 @@
 	f.Add(b[:30])
 	f.Add([]byte(fileKind + " 00000000 2\n{}"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if s, err := Decode(b); err == nil && s.Memory == nil {
+		if s, err := Decode(b); err == nil && s.Snapshot == nil {
 			t.Error("a state without a memory")
 		}
 	})
--- a/internal/storage/sessiontoken/sessiontoken.go
+++ b/internal/storage/sessiontoken/sessiontoken.go
@@ -108,8 +108,8 @@
 	return append(entries, store.Entry{Key: forgottenKey, Value: encode(k.forgottenUntil)})
 }
 
-// Memory is what the router is given at a start.
-func (k *Keeper) Memory() *decide.Snapshot {
+// Snapshot is what the router is given at a start.
+func (k *Keeper) Snapshot() *decide.Snapshot {
 	m := &decide.Snapshot{ForgottenCommit: k.forgottenUntil}
 	for name, at := range k.commits {
 		m.Commits = append(m.Commits, decide.SessionCommit{Session: name, At: at})
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -32,7 +32,7 @@
 
 // need is what a router that was given a keeper's memory holds a session's read to.
 func need(k *Keeper, session string) decide.Time {
-	m := k.Memory()
+	m := k.Snapshot()
 	for _, c := range m.Commits {
 		if c.Session == session {
 			return c.At
@@ -193,7 +193,7 @@
 				rt.Fatal(err)
 			}
 			router = map[string]decide.Time{}
-			m := keepers[1].Memory()
+			m := keepers[1].Snapshot()
 			forgotten = m.ForgottenCommit
 			for _, c := range m.Commits {
 				router[c.Session] = c.At
