--- a/internal/endpoints/consul/consul_test.go
+++ b/internal/endpoints/consul/consul_test.go
@@ -38,61 +38,61 @@
 	changed chan struct{}
 }
 
-func (h *recordingSink) Observe(_ string, r *reconcile.Report) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (sink *recordingSink) Observe(_ string, r *reconcile.Report) {
+	sink.mu.Lock()
+	defer sink.mu.Unlock()
 	for _, c := range r.Observations {
-		h.list[c.ID] = c
+		sink.list[c.ID] = c
 	}
 	for _, id := range r.Removed {
-		delete(h.list, id)
+		delete(sink.list, id)
 	}
-	h.signal()
+	sink.signal()
 }
 
-func (h *recordingSink) SourceLost(_, why string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.lost = append(h.lost, why)
-	h.signal()
+func (sink *recordingSink) SourceLost(_, why string) {
+	sink.mu.Lock()
+	defer sink.mu.Unlock()
+	sink.lost = append(sink.lost, why)
+	sink.signal()
 }
 
-func (h *recordingSink) Note(_ string, w reconcile.DecisionKind, why string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.notes = append(h.notes, string(w)+": "+why)
-	h.signal()
+func (sink *recordingSink) Note(_ string, w reconcile.DecisionKind, why string) {
+	sink.mu.Lock()
+	defer sink.mu.Unlock()
+	sink.notes = append(sink.notes, string(w)+": "+why)
+	sink.signal()
 }
 
-func (h *recordingSink) signal() {
+func (sink *recordingSink) signal() {
 	select {
-	case h.changed <- struct{}{}:
+	case sink.changed <- struct{}{}:
 	default:
 	}
 }
 
-// until waits until something holds of what was heard.
-func (h *recordingSink) until(t *testing.T, what string, ok func() bool) {
+// waitUntil waits until something holds of what was heard.
+func (sink *recordingSink) waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.After(patience); ; {
-		h.mu.Lock()
+		sink.mu.Lock()
 		is := ok()
-		h.mu.Unlock()
+		sink.mu.Unlock()
 		if is {
 			return
 		}
 		select {
-		case <-h.changed:
+		case <-sink.changed:
 		case <-end:
-			h.mu.Lock()
-			defer h.mu.Unlock()
-			t.Fatalf("not so: %s; list %v, notes %q, lost %q", what, h.list, h.notes, h.lost)
+			sink.mu.Lock()
+			defer sink.mu.Unlock()
+			t.Fatalf("not so: %s; list %v, notes %q, lost %q", what, sink.list, sink.notes, sink.lost)
 		}
 	}
 }
 
-func (h *recordingSink) noted(part string) func() bool {
-	return func() bool { return strings.Contains(strings.Join(h.notes, "\n"), part) }
+func (sink *recordingSink) hasNote(part string) func() bool {
+	return func() bool { return strings.Contains(strings.Join(sink.notes, "\n"), part) }
 }
 
 func instance(i int) consulserver.Instance {
@@ -142,7 +142,7 @@
 func TestChangesAreReported(t *testing.T) {
 	for _, catalog := range []bool{false, true} {
 		w := startWatch(t, 1, func(o *Options) { o.CatalogOnly = catalog })
-		w.until(t, "three", w.hasSize(3))
+		w.waitUntil(t, "three", w.hasSize(3))
 		x := instance(1)
 		x.Maintenance, x.Meta["role"], x.Meta["started"], x.Weight = true, "primary", "1700000000", 3
 		w.catalog.Change("db", []consulserver.Instance{x})
@@ -150,9 +150,9 @@
 		if catalog {
 			want.Health = reconcile.Passing
 		}
-		w.until(t, "the change", func() bool { return cmp.Equal(want, w.list["db-1"]) })
+		w.waitUntil(t, "the change", func() bool { return cmp.Equal(want, w.list["db-1"]) })
 		w.catalog.Change("db", nil, "db-0")
-		w.until(t, "the removal", w.hasSize(2))
+		w.waitUntil(t, "the removal", w.hasSize(2))
 		if n, paths := w.agents[0].Queries(); n > 10 || !strings.Contains(paths[len(paths)-1], "index=") || !strings.Contains(paths[len(paths)-1], "wait=10000ms") {
 			t.Errorf("%d queries, the last %q", n, paths)
 		}
@@ -175,13 +175,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := startWatch(t, 2, nil)
-			w.until(t, "three", w.hasSize(3))
+			w.waitUntil(t, "three", w.hasSize(3))
 			w.setAllFaults(c.lie)
 			w.catalog.Change("db", []consulserver.Instance{instance(3)})
-			w.until(t, "its reason", w.noted(c.why))
-			w.until(t, "that nobody answers", func() bool { return len(w.lost) == 1 && len(w.list) == 3 })
+			w.waitUntil(t, "its reason", w.hasNote(c.why))
+			w.waitUntil(t, "that nobody answers", func() bool { return len(w.lost) == 1 && len(w.list) == 3 })
 			w.setAllFaults(consulserver.Lie{})
-			w.until(t, "the truth", w.hasSize(4))
+			w.waitUntil(t, "the truth", w.hasSize(4))
 			if read := w.src.BytesRead(); read > 20<<20 {
 				t.Errorf("%d bytes were read", read)
 			}
@@ -192,11 +192,11 @@
 // TestEmptyListIsReported: an empty list is what the agent says. What is made of it is the judge's.
 func TestEmptyListIsReported(t *testing.T) {
 	w := startWatch(t, 1, func(o *Options) { o.WaitMs = 200 })
-	w.until(t, "three", w.hasSize(3))
+	w.waitUntil(t, "three", w.hasSize(3))
 	w.setAllFaults(consulserver.Lie{Empty: true})
-	w.until(t, "none", w.hasSize(0))
+	w.waitUntil(t, "none", w.hasSize(0))
 	w.setAllFaults(consulserver.Lie{})
-	w.until(t, "three again", w.hasSize(3))
+	w.waitUntil(t, "three again", w.hasSize(3))
 }
 
 // TestOneFaultyAgentOfTwoHidesNothing: one agent that is down, hangs, is an hour behind or knows no leader does not keep the other's word away.
@@ -209,7 +209,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := startWatch(t, 2, func(o *Options) { o.WaitMs = 300 })
-			w.until(t, "three", w.hasSize(3))
+			w.waitUntil(t, "three", w.hasSize(3))
 			_, asked := w.agents[0].Queries()
 			first := w.agents[1]
 			if len(asked) > 0 {
@@ -220,7 +220,7 @@
 			if name == "an old index alone" {
 				first.Tell(consulserver.Lie{}) // it lags, no more
 			}
-			w.until(t, "what changed", w.hasSize(4))
+			w.waitUntil(t, "what changed", w.hasSize(4))
 		})
 	}
 }
@@ -228,33 +228,33 @@
 // TestHangingAgentIsReplaced: an agent that takes a query and never answers is left for another in bounded time.
 func TestHangingAgentIsReplaced(t *testing.T) {
 	w := startWatch(t, 2, func(o *Options) { o.WaitMs = 200 })
-	w.until(t, "three", w.hasSize(3))
+	w.waitUntil(t, "three", w.hasSize(3))
 	w.agents[0].Tell(consulserver.Lie{Hang: true})
 	w.catalog.Change("db", []consulserver.Instance{instance(3)})
-	w.until(t, "what changed", w.hasSize(4))
+	w.waitUntil(t, "what changed", w.hasSize(4))
 }
 
 // TestIndexResetReloadsTheList: after an index that went back the list is heard again, whole.
 func TestIndexResetReloadsTheList(t *testing.T) {
 	w := startWatch(t, 2, nil)
-	w.until(t, "three", w.hasSize(3))
+	w.waitUntil(t, "three", w.hasSize(3))
 	for i := range 20 {
 		w.catalog.Change("db", []consulserver.Instance{instance(3 + i%2)})
 	}
-	w.until(t, "five", w.hasSize(5))
+	w.waitUntil(t, "five", w.hasSize(5))
 	w.catalog.Reset()
-	w.until(t, "that it was noticed", w.noted("index"))
+	w.waitUntil(t, "that it was noticed", w.hasNote("index"))
 	w.catalog.Change("db", nil, "db-4")
-	w.until(t, "what changed since", w.hasSize(4))
+	w.waitUntil(t, "what changed since", w.hasSize(4))
 }
 
 // TestAgentWithoutIndexIsPolledSlowly: an agent that gives no index is asked now and then, not without end.
 func TestAgentWithoutIndexIsPolledSlowly(t *testing.T) {
 	w := startWatch(t, 1, nil)
 	w.setAllFaults(consulserver.Lie{NoIndex: true})
-	w.until(t, "three", w.hasSize(3))
+	w.waitUntil(t, "three", w.hasSize(3))
 	w.catalog.Change("db", nil, "db-1")
-	w.until(t, "two", w.hasSize(2))
+	w.waitUntil(t, "two", w.hasSize(2))
 	if n, _ := w.agents[0].Queries(); n > 20 {
 		t.Errorf("it was asked %d times", n)
 	}
@@ -263,13 +263,13 @@
 // TestNewTokenRetriesAtOnce: a token that is denied, and one that takes its place.
 func TestNewTokenRetriesAtOnce(t *testing.T) {
 	w := startWatch(t, 1, nil)
-	w.until(t, "three", w.hasSize(3))
+	w.waitUntil(t, "three", w.hasSize(3))
 	w.agents[0].Need("new")
 	w.src.SetToken("old\n")
 	w.catalog.Change("db", []consulserver.Instance{instance(3)})
-	w.until(t, "that it is denied", w.noted("its token"))
+	w.waitUntil(t, "that it is denied", w.hasNote("its token"))
 	w.src.SetToken("new\n")
-	w.until(t, "what changed", w.hasSize(4))
+	w.waitUntil(t, "what changed", w.hasSize(4))
 	if text := strings.Join(w.notes, " "); strings.Contains(text, "old") || strings.Contains(text, "new\n") {
 		t.Errorf("a token was told: %s", text)
 	}
@@ -294,9 +294,9 @@
 			}
 		})
 		if known {
-			w.until(t, "three", w.hasSize(3))
+			w.waitUntil(t, "three", w.hasSize(3))
 		} else {
-			w.until(t, "that it is not believed", w.noted("certificate"))
+			w.waitUntil(t, "that it is not believed", w.hasNote("certificate"))
 		}
 	}
 }
@@ -308,9 +308,9 @@
 	x.Meta = map[string]string{"group": "seven"}
 	y.Port = 0
 	w.catalog.Change("db", []consulserver.Instance{x, y, instance(3)})
-	w.until(t, "the others", func() bool { return len(w.list) == 4 && w.noted("2 of 6 instances cannot be used")() })
+	w.waitUntil(t, "the others", func() bool { return len(w.list) == 4 && w.hasNote("2 of 6 instances cannot be used")() })
 	w.catalog.Change("db", []consulserver.Instance{instance(4)})
-	w.until(t, "one more", w.hasSize(5))
+	w.waitUntil(t, "one more", w.hasSize(5))
 	if n := strings.Count(strings.Join(w.notes, "\n"), "cannot be used"); n > 2 {
 		t.Errorf("told %d times", n)
 	}
@@ -328,7 +328,7 @@
 		x.ID = n + "-" + x.ID
 		w.catalog.Change(n, []consulserver.Instance{x})
 	}
-	w.until(t, "all", w.hasSize(43))
+	w.waitUntil(t, "all", w.hasSize(43))
 }
 
 // TestFakeServerSpeaksConsulsProtocol: the stand-in speaks the protocol as Consul's own client library understands it.
--- a/internal/endpoints/consul/polls_test.go
+++ b/internal/endpoints/consul/polls_test.go
@@ -19,22 +19,22 @@
 					w := NewWatch(agents, wait, 0, func() float64 { return draw })
 					now := 1e6
 					if index > 0 {
-						q, at := w.Next(now)
-						w.HandleResponse(at, q, Response{Status: 200, Index: index})
+						query, at := w.Next(now)
+						w.HandleResponse(at, query, Response{Status: 200, Index: index})
 					}
 					for range 9 {
-						q, asked := w.Next(now)
-						told := asked + 6000
+						query, queriedAt := w.Next(now)
+						deadline := queriedAt + 6000
 						if index > 0 {
-							told = asked + q.WaitMs + 2000
-							if q.WaitMs > wait || q.TimeoutMs() < q.WaitMs+q.WaitMs/16+500 {
-								t.Fatalf("wait %v: asked for %v, given up after %v", wait, q.WaitMs, q.TimeoutMs())
+							deadline = queriedAt + query.WaitMs + 2000
+							if query.WaitMs > wait || query.TimeoutMs() < query.WaitMs+query.WaitMs/16+500 {
+								t.Fatalf("wait %v: asked for %v, given up after %v", wait, query.WaitMs, query.TimeoutMs())
 							}
 						}
-						now = asked + q.TimeoutMs()
-						w.HandleResponse(now, q, Response{Err: errors.New("no answer")})
-						if next, at := w.Next(now); at+500+late(q) > told || next.Index != index || agents > 1 && next.Agent == q.Agent {
-							t.Fatalf("%d agents, index %d, wait %v: %+v is asked %v ms before what was missed counts as told", agents, index, wait, next, told-at)
+						now = queriedAt + query.TimeoutMs()
+						w.HandleResponse(now, query, Response{Err: errors.New("no answer")})
+						if next, at := w.Next(now); at+500+timerDelay(query) > deadline || next.Index != index || agents > 1 && next.Agent == query.Agent {
+							t.Fatalf("%d agents, index %d, wait %v: %+v is asked %v ms before what was missed counts as told", agents, index, wait, next, deadline-at)
 						}
 					}
 				}
@@ -43,9 +43,9 @@
 	}
 }
 
-// late is how late timers may be on a busy machine before the query after a silent poll has less than half a second. After a query that
+// timerDelay is how late timers may be on a busy machine before the query after a silent poll has less than half a second. After a query that
 // may not wait, the pause ends at a drawn time before that.
-func late(q Query) float64 {
+func timerDelay(q Query) float64 {
 	if q.Index == 0 {
 		return 0
 	}
@@ -80,8 +80,8 @@
 	}
 	const answer = 500 * time.Millisecond
 	select {
-	case again := <-polls:
-		t.Logf("asked to wait for %v, asked again after %v", silent.wait, again.at.Sub(silent.at))
+	case next := <-polls:
+		t.Logf("asked to wait for %v, asked again after %v", silent.wait, next.at.Sub(silent.at))
 	case <-time.After(time.Until(silent.at.Add(silent.wait + 2*time.Second - answer))):
 		t.Fatalf("not asked again within 1.5 s after a wait of %v", silent.wait)
 	}
@@ -105,11 +105,11 @@
 				w := NewWatch(agents, 60000, 0, func() float64 { return draw })
 				now := 1e6
 				for range 20 {
-					q, asked := w.Next(now)
-					now = asked + c.took
-					w.HandleResponse(now, q, c.answer)
-					if _, next := w.Next(now); next+500 > asked+6000 {
-						t.Fatalf("%s, %d agents: the next query begins %v ms after this one", name, agents, next-asked)
+					query, queriedAt := w.Next(now)
+					now = queriedAt + c.took
+					w.HandleResponse(now, query, c.answer)
+					if _, next := w.Next(now); next+500 > queriedAt+6000 {
+						t.Fatalf("%s, %d agents: the next query begins %v ms after this one", name, agents, next-queriedAt)
 					}
 				}
 			}
--- a/internal/endpoints/discovery/calls_test.go
+++ b/internal/endpoints/discovery/calls_test.go
@@ -19,27 +19,27 @@
 
 const patience = 20 * time.Second
 
-// station is a client on a loop whose clock the test sets, before scripted discoveries.
-type station struct {
+// testClient is a client on a loop whose clock the test sets, before scripted discoveries.
+type testClient struct {
 	t      *testing.T
-	clk    *clock.Manual
+	clock  *clock.Manual
 	loop   *eventloop.Loop
 	client *Client
 	events chan string
 }
 
-func (s *station) Listed(l *List) {
-	s.events <- fmt.Sprintf("list %d, whole %v", l.Generation, l.Reset)
+func (s *testClient) Listed(list *List) {
+	s.events <- fmt.Sprintf("list %d, whole %v", list.Generation, list.Reset)
 }
-func (s *station) ListFailed() { s.events <- "failed" }
+func (s *testClient) ListFailed() { s.events <- "failed" }
 
-// newStation makes a client that holds generation 4 from the given discovery.
-func newStation(t *testing.T, at *scripted) *station {
-	s := &station{t: t, clk: &clock.Manual{Ms: 1e6}, events: make(chan string, 99)}
+// newTestClient makes a client that holds generation 4 from the given discovery.
+func newTestClient(t *testing.T, at *scriptedServer) *testClient {
+	s := &testClient{t: t, clock: &clock.Manual{Ms: 1e6}, events: make(chan string, 99)}
 	began, ended := make(chan struct{}), make(chan error, 1)
 	log := slog.New(slog.DiscardHandler)
-	s.loop = eventloop.New(s.clk, log, func() eventloop.Handler { return nobody{} }, func() {
-		s.client = New(s.loop, log, at.addr, 4, s)
+	s.loop = eventloop.New(s.clock, log, func() eventloop.Handler { return ignoringHandler{} }, func() {
+		s.client = New(s.loop, log, at.address, 4, s)
 		close(began)
 	})
 	go func() { ended <- s.loop.Run("127.0.0.1:0") }()
@@ -53,22 +53,22 @@
 	return s
 }
 
-// do runs a function on the loop, and waits for its end.
-func (s *station) do(f func()) {
+// onLoop runs a function on the loop, and waits for its end.
+func (s *testClient) onLoop(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// pass moves the clock on.
-func (s *station) pass(ms float64) { s.do(func() { s.clk.Ms += ms }) }
+// advance moves the clock on.
+func (s *testClient) advance(ms float64) { s.onLoop(func() { s.clock.Ms += ms }) }
 
-// until waits until something holds on the loop.
-func (s *station) until(what string, ok func() bool) {
+// waitUntil waits until something holds on the loop.
+func (s *testClient) waitUntil(what string, ok func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		holds := false
-		if s.do(func() { holds = ok() }); holds {
+		satisfied := false
+		if s.onLoop(func() { satisfied = ok() }); satisfied {
 			return
 		}
 		if time.Now().After(end) {
@@ -77,15 +77,15 @@
 	}
 }
 
-// untilRead waits until all that was sent on calls that are open has been read.
-func (s *station) untilRead() {
+// waitUntilRead waits until all that was sent on calls that are open has been read.
+func (s *testClient) waitUntilRead() {
 	s.t.Helper()
-	quiet := func(call *httpCall) bool { return call == nil || call.conn != nil && call.conn.OpenAndIdle() }
-	s.until("all is read", func() bool { return quiet(s.client.watch) && quiet(s.client.fullFetch) })
+	idle := func(call *httpCall) bool { return call == nil || call.conn != nil && call.conn.OpenAndIdle() }
+	s.waitUntil("all is read", func() bool { return idle(s.client.watch) && idle(s.client.fullFetch) })
 }
 
-// want waits for the next event.
-func (s *station) want(event string) {
+// wantEvent waits for the next event.
+func (s *testClient) wantEvent(event string) {
 	s.t.Helper()
 	select {
 	case got := <-s.events:
@@ -97,63 +97,63 @@
 	}
 }
 
-// scripted is a discovery that says what the test has it say.
-type scripted struct {
-	t    *testing.T
-	ln   net.Listener
-	addr string
+// scriptedServer is a discovery that says what the test has it say.
+type scriptedServer struct {
+	t        *testing.T
+	listener net.Listener
+	address  string
 }
 
-func newScripted(t *testing.T) *scripted {
+func newScriptedServer(t *testing.T) *scriptedServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	return &scripted{t: t, ln: ln, addr: ln.Addr().String()}
+	return &scriptedServer{t: t, listener: ln, address: ln.Addr().String()}
 }
 
-// called is one call that a discovery has accepted.
-type called struct {
-	t    *testing.T
-	conn net.Conn
-	in   *bufio.Reader
+// acceptedCall is one call that a discovery has accepted.
+type acceptedCall struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 // next accepts a call, which has to be for the given path.
-func (d *scripted) next(path string) *called {
+func (d *scriptedServer) next(path string) *acceptedCall {
 	d.t.Helper()
-	_ = d.ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
-	conn, err := d.ln.Accept()
+	_ = d.listener.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	conn, err := d.listener.Accept()
 	if err != nil {
 		d.t.Fatalf("not asked for %s: %v", path, err)
 	}
 	d.t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(patience))
-	c := &called{t: d.t, conn: conn, in: bufio.NewReader(conn)}
-	line, err := c.in.ReadString('\n')
+	c := &acceptedCall{t: d.t, conn: conn, reader: bufio.NewReader(conn)}
+	line, err := c.reader.ReadString('\n')
 	if err != nil || line != "GET "+path+" HTTP/1.1\r\n" {
 		d.t.Fatalf("asked %q, %v, want %s", line, err, path)
 	}
 	for line != "\r\n" {
-		if line, err = c.in.ReadString('\n'); err != nil {
+		if line, err = c.reader.ReadString('\n'); err != nil {
 			d.t.Fatal(err)
 		}
 	}
 	return c
 }
 
-func (d *scripted) nextWatch(from int) *called {
+func (d *scriptedServer) nextWatch(from int) *acceptedCall {
 	d.t.Helper()
 	return d.next(fmt.Sprintf("/v1/endpoints?watch=1&from=%d", from))
 }
 
-func (d *scripted) nextFetch() *called {
+func (d *scriptedServer) nextFetch() *acceptedCall {
 	d.t.Helper()
 	return d.next("/v1/endpoints")
 }
 
-func (c *called) say(text string) {
+func (c *acceptedCall) send(text string) {
 	c.t.Helper()
 	if _, err := c.conn.Write([]byte(text)); err != nil {
 		c.t.Fatal(err)
@@ -162,16 +162,16 @@
 
 const okHead = "HTTP/1.1 200 OK\r\n\r\n"
 
-// tell says a list of no instances.
-func (c *called) tell(generation int, whole bool) {
+// sendList says a list of no instances.
+func (c *acceptedCall) sendList(generation int, full bool) {
 	c.t.Helper()
-	c.say(fmt.Sprintf("{\"generation\":%d,\"reset\":%v,\"instances\":[]}\n", generation, whole))
+	c.send(fmt.Sprintf("{\"generation\":%d,\"reset\":%v,\"instances\":[]}\n", generation, full))
 }
 
 // wantEnd waits until the client has closed the connection.
-func (c *called) wantEnd() {
+func (c *acceptedCall) wantEnd() {
 	c.t.Helper()
-	if b, err := c.in.ReadByte(); err == nil {
+	if b, err := c.reader.ReadByte(); err == nil {
 		c.t.Fatalf("the client sent %q", b)
 	} else if strings.Contains(err.Error(), "timeout") {
 		c.t.Fatal("the client keeps the call")
@@ -181,85 +181,85 @@
 // TestFullListIsRequestedUntilReceived: after a move, a watch that tells changes alone leaves open what they are changes of. The whole
 // list is asked for, and again where that fails: a new watch may not go on from the changes.
 func TestFullListIsRequestedUntilReceived(t *testing.T) {
-	old, moved := newScripted(t), newScripted(t)
-	s := newStation(t, old)
-	s.do(s.client.Watch)
+	old, moved := newScriptedServer(t), newScriptedServer(t)
+	s := newTestClient(t, old)
+	s.onLoop(s.client.Watch)
 	old.nextWatch(4)
-	s.do(func() { s.client.SetAddress(moved.addr) })
+	s.onLoop(func() { s.client.SetAddress(moved.address) })
 	watch := moved.nextWatch(0)
-	watch.say(okHead)
-	watch.tell(9, false)
-	s.want("list 9, whole false")
-	moved.nextFetch().say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-	s.want("failed")
-	s.do(s.client.Watch) // as the module has it after a failure
+	watch.send(okHead)
+	watch.sendList(9, false)
+	s.wantEvent("list 9, whole false")
+	moved.nextFetch().send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	s.wantEvent("failed")
+	s.onLoop(s.client.Watch) // as the module has it after a failure
 	watch = moved.nextWatch(0)
-	watch.say(okHead)
-	watch.tell(9, false)
-	s.want("list 9, whole false")
+	watch.send(okHead)
+	watch.sendList(9, false)
+	s.wantEvent("list 9, whole false")
 	fetch := moved.nextFetch()
-	fetch.say(okHead)
-	fetch.tell(9, true)
-	s.want("list 9, whole true")
-	s.do(s.client.Watch)
+	fetch.send(okHead)
+	fetch.sendList(9, true)
+	s.wantEvent("list 9, whole true")
+	s.onLoop(s.client.Watch)
 	moved.nextWatch(9)
 }
 
 // TestOlderFullListIsRejected: calls are handled in turn, so a whole list may be older than what the watch has told meanwhile. It is not told: a
 // server that drains would be up again.
 func TestOlderFullListIsRejected(t *testing.T) {
-	at := newScripted(t)
-	s := newStation(t, at)
-	s.do(s.client.Watch)
+	at := newScriptedServer(t)
+	s := newTestClient(t, at)
+	s.onLoop(s.client.Watch)
 	watch := at.nextWatch(4)
-	watch.say(okHead)
-	s.do(s.client.Fetch)
+	watch.send(okHead)
+	s.onLoop(s.client.Fetch)
 	fetch := at.nextFetch()
-	watch.tell(7, false)
-	s.want("list 7, whole false")
-	fetch.say(okHead)
-	fetch.tell(6, true)
-	s.want("failed")
-	s.do(s.client.Fetch)
+	watch.sendList(7, false)
+	s.wantEvent("list 7, whole false")
+	fetch.send(okHead)
+	fetch.sendList(6, true)
+	s.wantEvent("failed")
+	s.onLoop(s.client.Fetch)
 	fetch = at.nextFetch()
-	fetch.say(okHead)
-	fetch.tell(7, true)
-	s.want("list 7, whole true")
+	fetch.send(okHead)
+	fetch.sendList(7, true)
+	s.wantEvent("list 7, whole true")
 }
 
 // TestChangesOlderThanTheFullListAreIgnored: a whole list may be newer than what the watch tells next. Those changes are in it.
 func TestChangesOlderThanTheFullListAreIgnored(t *testing.T) {
-	at := newScripted(t)
-	s := newStation(t, at)
-	s.do(s.client.Watch)
+	at := newScriptedServer(t)
+	s := newTestClient(t, at)
+	s.onLoop(s.client.Watch)
 	watch := at.nextWatch(4)
-	watch.say(okHead)
-	s.do(s.client.Fetch)
+	watch.send(okHead)
+	s.onLoop(s.client.Fetch)
 	fetch := at.nextFetch()
-	fetch.say(okHead)
-	fetch.tell(9, true)
-	s.want("list 9, whole true")
-	watch.tell(8, false)
-	watch.tell(10, false)
-	s.want("list 10, whole false")
+	fetch.send(okHead)
+	fetch.sendList(9, true)
+	s.wantEvent("list 9, whole true")
+	watch.sendList(8, false)
+	watch.sendList(10, false)
+	s.wantEvent("list 10, whole false")
 }
 
 // TestOlderListOnAWatchEndsIt: on one watch generations grow. One that goes back shows that the watch is broken; the next goes on from the
 // newest.
 func TestOlderListOnAWatchEndsIt(t *testing.T) {
-	for _, whole := range []bool{false, true} {
-		t.Run(fmt.Sprintf("whole %v", whole), func(t *testing.T) {
-			at := newScripted(t)
-			s := newStation(t, at)
-			s.do(s.client.Watch)
+	for _, full := range []bool{false, true} {
+		t.Run(fmt.Sprintf("whole %v", full), func(t *testing.T) {
+			at := newScriptedServer(t)
+			s := newTestClient(t, at)
+			s.onLoop(s.client.Watch)
 			watch := at.nextWatch(4)
-			watch.say(okHead)
-			watch.tell(7, false)
-			s.want("list 7, whole false")
-			watch.tell(6, whole)
-			s.want("failed")
+			watch.send(okHead)
+			watch.sendList(7, false)
+			s.wantEvent("list 7, whole false")
+			watch.sendList(6, full)
+			s.wantEvent("failed")
 			watch.wantEnd()
-			s.do(s.client.Watch)
+			s.onLoop(s.client.Watch)
 			at.nextWatch(7)
 		})
 	}
@@ -268,24 +268,24 @@
 // TestRestartOfDiscoveryIsDetected: a discovery that has lost its state counts generations from the start. What it tells first on a new watch is how
 // it stands; where that is changes alone, the whole list is asked for.
 func TestRestartOfDiscoveryIsDetected(t *testing.T) {
-	for _, whole := range []bool{true, false} {
-		t.Run(fmt.Sprintf("whole %v", whole), func(t *testing.T) {
-			at := newScripted(t)
-			s := newStation(t, at)
-			s.do(s.client.Watch)
+	for _, full := range []bool{true, false} {
+		t.Run(fmt.Sprintf("whole %v", full), func(t *testing.T) {
+			at := newScriptedServer(t)
+			s := newTestClient(t, at)
+			s.onLoop(s.client.Watch)
 			watch := at.nextWatch(4)
-			watch.say(okHead)
-			watch.tell(2, whole)
-			s.want(fmt.Sprintf("list 2, whole %v", whole))
-			if !whole {
+			watch.send(okHead)
+			watch.sendList(2, full)
+			s.wantEvent(fmt.Sprintf("list 2, whole %v", full))
+			if !full {
 				fetch := at.nextFetch()
-				fetch.say(okHead)
-				fetch.tell(2, true)
-				s.want("list 2, whole true")
+				fetch.send(okHead)
+				fetch.sendList(2, true)
+				s.wantEvent("list 2, whole true")
 			}
-			watch.tell(3, false)
-			s.want("list 3, whole false")
-			s.do(s.client.Watch)
+			watch.sendList(3, false)
+			s.wantEvent("list 3, whole false")
+			s.onLoop(s.client.Watch)
 			at.nextWatch(3)
 		})
 	}
@@ -293,51 +293,51 @@
 
 // TestOldAddressIsIgnoredAfterSetAddress: what the old discovery has sent, but is not read yet when the client moves, is not told.
 func TestOldAddressIsIgnoredAfterSetAddress(t *testing.T) {
-	old, moved := newScripted(t), newScripted(t)
-	s := newStation(t, old)
-	s.do(s.client.Watch)
-	s.do(s.client.Fetch)
+	old, moved := newScriptedServer(t), newScriptedServer(t)
+	s := newTestClient(t, old)
+	s.onLoop(s.client.Watch)
+	s.onLoop(s.client.Fetch)
 	calls := old.next2()
 	watch, fetch := calls["/v1/endpoints?watch=1&from=4"], calls["/v1/endpoints"]
-	watch.say(okHead)
-	fetch.say(okHead)
-	s.until("both heads are read", func() bool {
+	watch.send(okHead)
+	fetch.send(okHead)
+	s.waitUntil("both heads are read", func() bool {
 		return s.client.watch.response.inBody && s.client.fullFetch.response.inBody
 	})
-	s.do(func() {
-		watch.tell(90, true)
-		fetch.tell(91, true)
+	s.onLoop(func() {
+		watch.sendList(90, true)
+		fetch.sendList(91, true)
 		for end := time.Now().Add(patience); s.client.watch.conn.OpenAndIdle() || s.client.fullFetch.conn.OpenAndIdle(); {
 			if time.Now().After(end) {
 				t.Error("nothing came")
 				break
 			}
 		}
-		s.client.SetAddress(moved.addr)
+		s.client.SetAddress(moved.address)
 	})
 	asked := moved.next2()
 	if asked["/v1/endpoints"] == nil || asked["/v1/endpoints?watch=1&from=0"] == nil {
 		t.Fatalf("asked %v", asked)
 	}
 	watch = asked["/v1/endpoints?watch=1&from=0"]
-	watch.say(okHead)
-	watch.tell(3, true)
-	s.want("list 3, whole true")
+	watch.send(okHead)
+	watch.sendList(3, true)
+	s.wantEvent("list 3, whole true")
 }
 
 // next2 accepts two calls, by their paths: connections may come up in either order.
-func (d *scripted) next2() map[string]*called {
+func (d *scriptedServer) next2() map[string]*acceptedCall {
 	d.t.Helper()
-	asked := map[string]*called{}
+	asked := map[string]*acceptedCall{}
 	for range 2 {
-		conn, err := d.ln.Accept()
+		conn, err := d.listener.Accept()
 		if err != nil {
 			d.t.Fatal(err)
 		}
 		d.t.Cleanup(func() { _ = conn.Close() })
 		_ = conn.SetDeadline(time.Now().Add(patience))
-		c := &called{t: d.t, conn: conn, in: bufio.NewReader(conn)}
-		line, err := c.in.ReadString('\n')
+		c := &acceptedCall{t: d.t, conn: conn, reader: bufio.NewReader(conn)}
+		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			d.t.Fatal(err)
 		}
@@ -366,27 +366,27 @@
 		"spaces on a watch":        {first: okHead, then: "    "},
 	} {
 		t.Run(name, func(t *testing.T) {
-			at := newScripted(t)
-			s := newStation(t, at)
-			var call *called
+			at := newScriptedServer(t)
+			s := newTestClient(t, at)
+			var call *acceptedCall
 			if c.fetch {
-				s.do(s.client.Fetch)
+				s.onLoop(s.client.Fetch)
 				call = at.nextFetch()
 			} else {
-				s.do(s.client.Watch)
+				s.onLoop(s.client.Watch)
 				call = at.nextWatch(4)
 			}
-			call.say(c.first)
-			s.untilRead()
+			call.send(c.first)
+			s.waitUntilRead()
 			for _, b := range c.then[:2] { // within the time
-				s.pass(1000)
-				call.say(string(b))
-				s.untilRead()
+				s.advance(1000)
+				call.send(string(b))
+				s.waitUntilRead()
 			}
-			s.pass(silenceTimeoutMs - 2000 + 1)
+			s.advance(silenceTimeoutMs - 2000 + 1)
 			call.wantEnd()
 			if c.fetch {
-				s.want("failed")
+				s.wantEvent("failed")
 			} else {
 				at.nextWatch(4)
 			}
@@ -396,10 +396,10 @@
 
 // TestProgressKeepsCallsOpen: what does make progress keeps its call open: empty lines and lists on a watch, each step of a whole list.
 func TestProgressKeepsCallsOpen(t *testing.T) {
-	at := newScripted(t)
-	s := newStation(t, at)
-	s.do(s.client.Watch)
-	s.do(s.client.Fetch)
+	at := newScriptedServer(t)
+	s := newTestClient(t, at)
+	s.onLoop(s.client.Watch)
+	s.onLoop(s.client.Fetch)
 	calls := at.next2()
 	watch, fetch := calls["/v1/endpoints?watch=1&from=4"], calls["/v1/endpoints"]
 	for _, part := range []struct{ watch, fetch string }{
@@ -409,20 +409,20 @@
 		{`"instances":[]}` + "\n", ""},
 		{"\n", ""},
 	} {
-		s.pass(2000)
-		watch.say(part.watch)
-		fetch.say(part.fetch)
-		s.untilRead()
+		s.advance(2000)
+		watch.send(part.watch)
+		fetch.send(part.fetch)
+		s.waitUntilRead()
 	}
-	s.want("list 5, whole true")
-	s.want("list 5, whole false")
-	watch.tell(6, false)
-	s.want("list 6, whole false")
+	s.wantEvent("list 5, whole true")
+	s.wantEvent("list 5, whole false")
+	watch.sendList(6, false)
+	s.wantEvent("list 6, whole false")
 }
 
 // fullListener listens with a backlog that is full: connections to it never come up, as the system drops what asks for them. The
 // function closes what fills it.
-func fullListener(t *testing.T) (d *scripted, empty func()) {
+func fullListener(t *testing.T) (d *scriptedServer, empty func()) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -448,7 +448,7 @@
 	for at := ln.Addr().String(); ; {
 		conn, err := net.DialTimeout("tcp", at, 100*time.Millisecond)
 		if err != nil {
-			return &scripted{t: t, ln: ln, addr: at}, empty
+			return &scriptedServer{t: t, listener: ln, address: at}, empty
 		}
 		fill = append(fill, conn)
 	}
@@ -456,23 +456,23 @@
 
 // nextAfterEmpty accepts the first call for a path behind connections that were closed before they said anything. Meanwhile it moves
 // the clock on for a client that waits before its next call.
-func (d *scripted) nextAfterEmpty(s *station, path string) *called {
+func (d *scriptedServer) nextAfterEmpty(s *testClient, path string) *acceptedCall {
 	d.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); {
-		s.do(func() {
+		s.onLoop(func() {
 			if s.client.watch == nil {
-				s.clk.Ms += maxRetryPauseMs
+				s.clock.Ms += maxRetryPauseMs
 			}
 		})
-		_ = d.ln.(*net.TCPListener).SetDeadline(time.Now().Add(100 * time.Millisecond))
-		conn, err := d.ln.Accept()
+		_ = d.listener.(*net.TCPListener).SetDeadline(time.Now().Add(100 * time.Millisecond))
+		conn, err := d.listener.Accept()
 		if err != nil {
 			continue
 		}
 		d.t.Cleanup(func() { _ = conn.Close() })
 		_ = conn.SetDeadline(end)
-		c := &called{t: d.t, conn: conn, in: bufio.NewReader(conn)}
-		if line, err := c.in.ReadString('\n'); err == nil && line == "GET "+path+" HTTP/1.1\r\n" {
+		c := &acceptedCall{t: d.t, conn: conn, reader: bufio.NewReader(conn)}
+		if line, err := c.reader.ReadString('\n'); err == nil && line == "GET "+path+" HTTP/1.1\r\n" {
 			return c
 		}
 	}
@@ -486,8 +486,8 @@
 	for name, pushed := range map[string]bool{"asked": false, "pushed": true} {
 		t.Run(name, func(t *testing.T) {
 			at, empty := fullListener(t)
-			s := newStation(t, at)
-			s.do(func() {
+			s := newTestClient(t, at)
+			s.onLoop(func() {
 				if pushed {
 					s.client.SetPushMode(true)
 				} else {
@@ -495,12 +495,12 @@
 				}
 			})
 			var first *httpCall
-			s.do(func() { first = s.client.watch })
-			s.until("the dial is given up", func() bool { return s.client.watch != first })
+			s.onLoop(func() { first = s.client.watch })
+			s.waitUntil("the dial is given up", func() bool { return s.client.watch != first })
 			if pushed {
-				s.pass(minRetryPauseMs)
+				s.advance(minRetryPauseMs)
 			}
-			s.until("the next is on its way", func() bool { return s.client.watch != nil })
+			s.waitUntil("the next is on its way", func() bool { return s.client.watch != nil })
 			select {
 			case got := <-s.events:
 				t.Fatalf("told %q", got)
@@ -508,9 +508,9 @@
 			}
 			empty()
 			watch := at.nextAfterEmpty(s, "/v1/endpoints?watch=1&from=4")
-			watch.say(okHead)
-			watch.tell(5, false)
-			s.want("list 5, whole false")
+			watch.send(okHead)
+			watch.sendList(5, false)
+			s.wantEvent("list 5, whole false")
 		})
 	}
 }
--- a/internal/endpoints/discovery/client_test.go
+++ b/internal/endpoints/discovery/client_test.go
@@ -17,11 +17,11 @@
 func (c eventLog) Listed(*List) { c <- "list" }
 func (c eventLog) ListFailed()  { c <- "failed" }
 
-type nobody struct{}
+type ignoringHandler struct{}
 
-func (nobody) Opened(*eventloop.Conn) {}
-func (nobody) Data([]byte)            {}
-func (nobody) Closed(error)           {}
+func (ignoringHandler) Opened(*eventloop.Conn) {}
+func (ignoringHandler) Data([]byte)            {}
+func (ignoringHandler) Closed(error)           {}
 
 // TestSilentWatchTimesOutAndIsReopened guards against waiting for ever on a discovery that vanished: nothing closes such a connection, and
 // drains would go unheard. A sign of life puts the end off. Whatever a watch falls silent in, the next is asked for at once and goes
@@ -31,29 +31,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clk := &clock.Manual{Ms: 1e6}
+	manual := &clock.Manual{Ms: 1e6}
 	events := make(eventLog, 9)
 	var l *eventloop.Loop
-	l = eventloop.New(clk, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {
+	l = eventloop.New(manual, slog.New(slog.DiscardHandler), func() eventloop.Handler { return ignoringHandler{} }, func() {
 		New(l, slog.New(slog.DiscardHandler), server.Addr().String(), 4, events).Watch()
 	})
 	ended := make(chan error, 1)
 	go func() { ended <- l.Run("127.0.0.1:0") }()
-	far, err := server.Accept()
+	conn, err := server.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	say := func(s string) {
-		if _, err := far.Write([]byte(s)); err != nil {
+	send := func(s string) {
+		if _, err := conn.Write([]byte(s)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	pass := func(ms float64) {
+	advance := func(ms float64) {
 		done := make(chan struct{})
-		l.Post(func() { clk.Ms += ms; close(done) })
+		l.Post(func() { manual.Ms += ms; close(done) })
 		<-done // what is said after this comes after it
 	}
-	next := func(want string) {
+	wantEvent := func(want string) {
 		t.Helper()
 		select {
 		case got := <-events:
@@ -65,47 +65,47 @@
 		}
 	}
 	const list = "11\r\n{\"generation\":5}\n\r\n"
-	again := func(from string) {
+	wantReopened := func(from string) {
 		t.Helper()
-		if far, err = server.Accept(); err != nil {
+		if conn, err = server.Accept(); err != nil {
 			t.Fatal(err)
 		}
-		_ = far.SetReadDeadline(time.Now().Add(20 * time.Second))
-		line, err := bufio.NewReader(far).ReadString('\n')
+		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.Contains(line, "watch=1&from="+from+" ") {
 			t.Fatalf("asked %q, %v", line, err)
 		}
 	}
-	say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + list)
-	next("list")
-	pass(2400) // signs of life come every 2 s
-	say(list)
-	next("list")
-	pass(2400)
-	say(list)
-	next("list")
-	say("b\r\n{\"generation\r\n") // and silent in the midst of a list
-	quiet := clk.Ms
-	pass(2600)
-	again("5") // and silent from its start
-	pass(2600)
-	again("5")
-	if took := clk.Ms - quiet; took >= 6000-2*connectTimeoutMs/5 {
+	send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + list)
+	wantEvent("list")
+	advance(2400) // signs of life come every 2 s
+	send(list)
+	wantEvent("list")
+	advance(2400)
+	send(list)
+	wantEvent("list")
+	send("b\r\n{\"generation\r\n") // and silent in the midst of a list
+	quiet := manual.Ms
+	advance(2600)
+	wantReopened("5") // and silent from its start
+	advance(2600)
+	wantReopened("5")
+	if took := manual.Ms - quiet; took >= 6000-2*connectTimeoutMs/5 {
 		t.Errorf("the third is asked for %v ms after the first fell silent", took)
 	}
-	say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // and silent behind its head
-	pass(2600)
-	again("5")
-	say("HTTP/1.1 200 OK\r\n\r\n{\"generation\":\n") // a list that never ends, though signs of life come
+	send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // and silent behind its head
+	advance(2600)
+	wantReopened("5")
+	send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":\n") // a list that never ends, though signs of life come
 	time.Sleep(50 * time.Millisecond)
-	pass(2000)
-	say(" ")
+	advance(2000)
+	send(" ")
 	time.Sleep(50 * time.Millisecond)
-	pass(2000)
-	say(" ")
-	again("5")
-	say("HTTP/1.1 503 Busy\r\n\r\n")
-	next("failed")
+	advance(2000)
+	send(" ")
+	wantReopened("5")
+	send("HTTP/1.1 503 Busy\r\n\r\n")
+	wantEvent("failed")
 	l.End()
 	if err := <-ended; err != nil {
 		t.Error(err)
--- a/internal/endpoints/reconcile/reconciler_test.go
+++ b/internal/endpoints/reconcile/reconciler_test.go
@@ -141,19 +141,19 @@
 	r.wantList("1 serving, 1#2 serving, 2 serving, 3 serving*")
 
 	// Its word is too old to count, and then it says the same again.
-	again := newHarness(t, nil)
-	again.observe("consul", true, role(at("1", 0), Primary))
-	again.selfReport("1", Replica)
-	again.pass(31000)
-	again.observe("consul", false, at("2", 0))
-	again.wantList("1 serving*, 2 serving")
-	again.selfReport("1", Replica)
-	again.wantList("1 serving, 2 serving")
+	expired := newHarness(t, nil)
+	expired.observe("consul", true, role(at("1", 0), Primary))
+	expired.selfReport("1", Replica)
+	expired.pass(31000)
+	expired.observe("consul", false, at("2", 0))
+	expired.wantList("1 serving*, 2 serving")
+	expired.selfReport("1", Replica)
+	expired.wantList("1 serving, 2 serving")
 
-	mutant := newHarness(t, func(s *Settings) { s.TrustSourceRoles = true })
-	mutant.observe("consul", true, three...)
-	mutant.selfReport("1", Replica)
-	mutant.wantList("1 serving*, 2 serving, 3 serving")
+	trusting := newHarness(t, func(s *Settings) { s.TrustSourceRoles = true })
+	trusting.observe("consul", true, three...)
+	trusting.selfReport("1", Replica)
+	trusting.wantList("1 serving*, 2 serving, 3 serving")
 }
 
 // TestMaintenanceDrainsAndCriticalNeedsResponses: maintenance drains at once whoever says it, a critical server is used only for its answers.
@@ -427,7 +427,7 @@
 		set := Defaults("a", "b")
 		set.SourceRetentionMs = 5000
 		r := &harness{t: t, reconciler: New(set), now: 1e6, list: map[string]Entry{}}
-		claims := map[string]map[string]Observation{"a": {}, "b": {}}
+		observations := map[string]map[string]Observation{"a": {}, "b": {}}
 		denied := map[string]float64{}
 		draw := func(rt *rapid.T) Observation {
 			c := at(fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "id")), rapid.IntRange(0, 1).Draw(rt, "group"))
@@ -440,35 +440,35 @@
 			return c
 		}
 		source := rapid.SampledFrom([]string{"a", "b"})
-		heard := false
+		reported := false
 		rt.Repeat(map[string]func(*rapid.T){
 			"changes": func(rt *rapid.T) {
 				c, src := draw(rt), source.Draw(rt, "source")
-				claims[src][c.ID] = c
+				observations[src][c.ID] = c
 				r.observe(src, false, c)
-				heard = true
+				reported = true
 			},
 			"whole": func(rt *rapid.T) {
 				src := source.Draw(rt, "source")
-				clear(claims[src])
+				clear(observations[src])
 				var all []Observation
 				for range rapid.IntRange(0, 5).Draw(rt, "claims") {
 					c := draw(rt)
-					if _, ok := claims[src][c.ID]; !ok {
-						claims[src][c.ID] = c
+					if _, ok := observations[src][c.ID]; !ok {
+						observations[src][c.ID] = c
 						all = append(all, c)
 					}
 				}
 				was := len(r.list)
 				r.observe(src, true, all...)
-				heard = heard || len(all) > 0
+				reported = reported || len(all) > 0
 				if was > 1 && len(all) == 0 && len(r.list) == 0 {
 					rt.Fatalf("an empty answer emptied the list: %+v", r.decisions)
 				}
 			},
 			"removed": func(rt *rapid.T) {
 				src, id := source.Draw(rt, "source"), fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "id"))
-				delete(claims[src], id)
+				delete(observations[src], id)
 				r.reconciler.Observe(r.now, src, &Report{Removed: []string{id}})
 				r.takeChanges()
 			},
@@ -510,7 +510,7 @@
 							rt.Fatalf("%s is called the primary, and has said that it is none", entry.ID)
 						}
 					}
-					for src, all := range claims {
+					for src, all := range observations {
 						c, ok := all[entry.ID]
 						if source := r.reconciler.sourcesByName[src]; ok && r.reconciler.listedByID[entry.ID].id == entry.ID && source.observations[entry.ID] != nil && c.Health == Maintenance && source.lostAt == 0 && source.heldRemovals[entry.ID] == 0 && entry.State == StateServing {
 							rt.Fatalf("%s serves, and %s has it in maintenance", entry.ID, src)
