--- a/cmd/beechgrade-kit/zones.go
+++ b/cmd/beechgrade-kit/zones.go
@@ -55,7 +55,7 @@
 		Name: "zones", Usage: "show the plan for zones that is in force, and who follows it", Flags: []cli.Flag{doors(), asJSON()}, Action: showZones,
 		Commands: []*cli.Command{
 			order("evacuate", "have a zone's reads served elsewhere", "evacuated", until),
-			order("return", "take a zone's order back; it comes back in steps", admin.Lifted),
+			order("return", "take a zone's order back; it comes back in steps", admin.LiftedState),
 			order("order", "have a zone be in a state, whatever is seen: serving, strained, failing, evacuated or returning", "", until),
 		},
 	}
@@ -65,11 +65,11 @@
 type zoneDoor struct {
 	Door string `json:"door"`
 	Err  string `json:"error,omitempty"`
-	*admin.Standing
+	*admin.Status
 }
 
 // callZones makes a call at a door. A no of the door's is an error with its status.
-func callZones(ctx context.Context, door, method string, q url.Values) (*admin.Standing, int, error) {
+func callZones(ctx context.Context, door, method string, q url.Values) (*admin.Status, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, zonesAnswer)
 	defer cancel()
 	u := url.URL{Scheme: "http", Host: door, Path: "/-/zones", RawQuery: q.Encode()}
@@ -91,7 +91,7 @@
 	case a.StatusCode >= http.StatusMultipleChoices:
 		return nil, a.StatusCode, errors.New(strings.TrimSpace(string(b)))
 	}
-	s := &admin.Standing{}
+	s := &admin.Status{}
 	if err := jsoniter.Unmarshal(b, s); err != nil {
 		return nil, a.StatusCode, fmt.Errorf("its answer cannot be read: %w", err)
 	}
@@ -106,7 +106,7 @@
 		wg.Go(func() {
 			out[i] = &zoneDoor{Door: d}
 			s, _, err := callZones(ctx, d, http.MethodGet, nil)
-			if out[i].Standing = s; err != nil {
+			if out[i].Status = s; err != nil {
 				out[i].Err = err.Error()
 			}
 		})
@@ -138,7 +138,7 @@
 	if err := zonesText(c.Root().Writer, all); err != nil {
 		return err
 	}
-	if !slices.ContainsFunc(all, func(d *zoneDoor) bool { return d.Standing != nil }) {
+	if !slices.ContainsFunc(all, func(d *zoneDoor) bool { return d.Status != nil }) {
 		return failed{errors.New("no door answered")}
 	}
 	return nil
@@ -146,9 +146,9 @@
 
 // zonesText shows the newest plan that anybody has in force, the zones by it, and what each pooler does.
 func zonesText(w io.Writer, all []*zoneDoor) error {
-	var newest, book *admin.Standing
+	var newest, book *admin.Status
 	for _, d := range all {
-		s := d.Standing
+		s := d.Status
 		if s == nil {
 			continue
 		}
@@ -177,10 +177,10 @@
 	}
 	fmt.Fprintln(t, "pooler\tzone\tnear\tgoes by\tplan\tvotes")
 	for _, d := range all {
-		if d.Standing == nil {
+		if d.Status == nil {
 			continue
 		}
-		s, no := d.Standing, "-"
+		s, no := d.Status, "-"
 		if s.Plan != nil {
 			no = strconv.FormatUint(s.Plan.No, 10)
 		}
@@ -210,7 +210,7 @@
 }
 
 // orderText is the order of a zone by a voter's book; its number too, as a next one must have a higher one.
-func orderText(book *admin.Standing, zone int) string {
+func orderText(book *admin.Status, zone int) string {
 	if book == nil || zone >= len(book.Zones) {
 		return "no voter was asked"
 	}
@@ -254,7 +254,7 @@
 			switch {
 			case d.Err != "" && ctx.Err() == nil:
 				why = fmt.Errorf("%s: %s", d.Door, d.Err)
-			case d.Standing == nil:
+			case d.Status == nil:
 			case !d.Votes:
 				why = fmt.Errorf("%s: %s does not vote; these do: %s", d.Door, d.Pooler, strings.Join(d.Voters, " "))
 			default:
@@ -288,7 +288,7 @@
 // newestOrder is the number of a zone's newest order at any voter that answered; 0 for a zone that nobody knows, too.
 func newestOrder(all []*zoneDoor, zone string) (newest uint64, ok bool) {
 	for _, d := range all {
-		if d.Standing == nil || !d.Votes {
+		if d.Status == nil || !d.Votes {
 			continue
 		}
 		ok = true
--- a/cmd/beechgrade-kit/zones_hard_test.go
+++ b/cmd/beechgrade-kit/zones_hard_test.go
@@ -81,7 +81,7 @@
 				break
 			}
 		}
-		if n, most := z.shifts(p, 1, orderFlaps, orderIn), z.set.Chief.State.Shifts(orderIn-orderFlaps); n > most {
+		if n, most := z.shifts(p, 1, orderFlaps, orderIn), z.set.Planner.Health.MaxShifts(orderIn-orderFlaps); n > most {
 			t.Errorf("pooler %d: zone b's reads were sent elsewhere %d times while the way flapped; %d are stated", p, n, most)
 		}
 	}
--- a/cmd/beechgrade-kit/zones_kit_test.go
+++ b/cmd/beechgrade-kit/zones_kit_test.go
@@ -33,7 +33,7 @@
 type aDoor struct {
 	mu    sync.Mutex
 	set   zones.Settings
-	book  *statemachine.Book
+	book  *statemachine.StateMachine
 	after int
 	asked int
 }
@@ -42,9 +42,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if r.Method == http.MethodPost {
-		o, stands, err := admin.Read(r.URL.Query(), &d.set, d.book, 1e12)
+		o, stands, err := admin.ParseOrder(r.URL.Query(), &d.set, d.book, 1e12)
 		switch {
-		case errors.Is(err, admin.ErrCall):
+		case errors.Is(err, admin.ErrInvalidOrder):
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		case err != nil:
@@ -52,13 +52,13 @@
 			return
 		case !stands:
 			if d.asked++; d.asked >= d.after {
-				d.book.Apply(d.book.Index+1, statemachine.EncodeOrder(&statemachine.Order{No: o.No, Zone: d.set.Index(o.Zone), Lifts: o.Lifts, State: o.State, Until: o.Until}))
+				d.book.Apply(d.book.Index+1, statemachine.EncodeOrder(&statemachine.Order{Number: o.Number, Zone: d.set.Index(o.Zone), Lifts: o.Lifts, State: o.State, Until: o.Until}))
 			}
 			w.WriteHeader(http.StatusAccepted)
 		}
 	}
-	p := &statemachine.Plan{No: 9, Since: 7, By: "p", Zones: make([]statemachine.Mark, 2), Matrix: plan.Matrix{{1, 0}, {0.25, 0.75}}}
-	b, _ := jsoniter.Marshal(admin.Look(&d.set, follower.Stand{Why: follower.Planned}, p, d.book, d.book != nil))
+	p := &statemachine.Plan{Number: 9, Since: 7, Author: "p", Zones: make([]statemachine.ZoneStatus, 2), Matrix: plan.Matrix{{1, 0}, {0.25, 0.75}}}
+	b, _ := jsoniter.Marshal(admin.NewStatus(&d.set, follower.Status{Reason: follower.Planned}, p, d.book, d.book != nil))
 	_, _ = w.Write(b)
 }
 
@@ -67,7 +67,7 @@
 func TestZonesKit(t *testing.T) {
 	t.Parallel()
 	b := statemachine.New()
-	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{No: 4, Zone: 1, State: health.Serving}))
+	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{Number: 4, Zone: 1, State: health.Serving}))
 	names := []string{"a", "b"}
 	voter := &aDoor{set: zones.Settings{Name: "p", Zone: "a", Zones: names, Voters: []string{"p"}}, book: b, after: 2}
 	other := &aDoor{set: zones.Settings{Name: "q", Zone: "b", Zones: names, Voters: []string{"p"}}}
@@ -105,8 +105,8 @@
 			t.Errorf("zones %s: %q, %v", x.args, out, err)
 		}
 	}
-	if _, stands := b.Order(1); stands || b.Newest(1) != 6 {
-		t.Errorf("after all, %d is zone b's newest order", b.Newest(1))
+	if _, stands := b.Order(1); stands || b.NewestOrder(1) != 6 {
+		t.Errorf("after all, %d is zone b's newest order", b.NewestOrder(1))
 	}
 	voter.after = 1000 // nobody agrees
 	if _, err := kit("zones", "evacuate", "--door", p, "--wait", "500ms", "b"); exitCode(err) != 1 || !strings.Contains(err.Error(), "order 7 was not seen to stand; it may yet") {
--- a/cmd/beechgrade/check.go
+++ b/cmd/beechgrade/check.go
@@ -107,7 +107,7 @@
 	if !set.Enabled {
 		return "zones: off"
 	}
-	return fmt.Sprintf("zones: %d decided together, %d orders", len(set.Zones), len(set.Order))
+	return fmt.Sprintf("zones: %d decided together, %d orders", len(set.Zones), len(set.Orders))
 }
 
 func describeCredit(set settings.Credit) string {
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -20,7 +20,7 @@
 type zoneFailover struct {
 	pooler     *pooler
 	set        settings.Zones
-	adapter    *adapter.Joined
+	adapter    *adapter.Adapter
 	toSave     chan planNumber
 	done       chan struct{}
 	lastNote   *zonesadmin.Note // that was recorded
@@ -47,7 +47,7 @@
 	}
 	s.Name, s.Voters, s.Checks = p.cfg.Name, p.raftLog.set.Settings.Voters, p.checks
 	if set.Dir != "" {
-		if s.Floor, err = z.lastNumber(); err != nil {
+		if s.MinPlan, err = z.lastNumber(); err != nil {
 			return nil, badInput{fmt.Errorf("zones: %w", err)}
 		}
 	}
@@ -56,10 +56,10 @@
 	z.adapter.Listed(&p.cfg.InitialList, true)
 	p.core.SetZoneObserver(z.adapter)
 	p.peers.Register(z.adapter)
-	if z.adapter.Book() != nil {
+	if z.adapter.State() != nil {
 		p.raftLog.users.Add(raftlog.ZoneEntries, z.adapter)
 	}
-	p.raftLog.observers = append(p.raftLog.observers, z.adapter.Hear)
+	p.raftLog.observers = append(p.raftLog.observers, z.adapter.HandleLogAction)
 	p.zones = z
 	return func() {
 		close(z.toSave)
@@ -112,8 +112,8 @@
 	}
 }
 
-// Keep is joined.Keeper's. A renewal does not ask again, so what fails or finds no room is tried until it is kept.
-func (z *zoneFailover) Keep(no uint64, done func()) {
+// StorePlanNumber is joined.Keeper's. A renewal does not ask again, so what fails or finds no room is tried until it is kept.
+func (z *zoneFailover) StorePlanNumber(no uint64, done func()) {
 	k := planNumber{no, func() {
 		done()
 		z.logPlan()
@@ -139,9 +139,9 @@
 
 // logPlan tells the log what this pooler does now.
 func (z *zoneFailover) logPlan() {
-	s, p := z.adapter.Standing()
+	s, p := z.adapter.Status()
 	if p != nil {
-		z.pooler.log.Info("zones: follows", "plan", p.No, "by", p.By, "zones", fmt.Sprint(p.Zones), "shares", fmt.Sprint(p.Matrix), "near", z.set.Zones[s.Zone], "why", s.Why.String(), "short", p.Short)
+		z.pooler.log.Info("zones: follows", "plan", p.Number, "by", p.Author, "zones", fmt.Sprint(p.Zones), "shares", fmt.Sprint(p.Matrix), "near", z.set.Zones[s.Zone], "why", s.Reason.String(), "short", p.Unserved)
 	}
 }
 
@@ -150,9 +150,9 @@
 
 // recordNote records what this pooler goes by and where reads went, where there is anything to say.
 func (z *zoneFailover) recordNote() {
-	s, p := z.adapter.Standing()
-	n := zonesadmin.Take(z.adapter.Settings(), s, p, z.adapter.Sent(), z.sentAtNote)
-	if z.lastNote == nil || n.Sent != nil || !n.Same(z.lastNote) {
+	s, p := z.adapter.Status()
+	n := zonesadmin.NewNote(z.adapter.Settings(), s, p, z.adapter.Sent(), z.sentAtNote)
+	if z.lastNote == nil || n.Sent != nil || !n.SameDecision(z.lastNote) {
 		copy(z.sentAtNote, z.adapter.Sent())
 		z.lastNote = n
 		z.pooler.core.Note(recordpb.Kind_KIND_ZONES, n.Text())
@@ -171,8 +171,8 @@
 		z.pooler.log.Warn("cannot change while serving, needs a restart", "kept", []string{"zones"})
 		return
 	}
-	z.adapter.Retune(set.Order)
-	z.pooler.log.Info("zones: orders read again", "orders", len(set.Order))
+	z.adapter.SetOrders(set.Orders)
+	z.pooler.log.Info("zones: orders read again", "orders", len(set.Orders))
 }
 
 // writeZonesMetrics tells how zones stand, where they are decided together.
@@ -181,19 +181,19 @@
 		return
 	}
 	z, zones := p.zones, s.Scope("zones")
-	now, plan := z.adapter.Standing()
+	now, plan := z.adapter.Status()
 	n := z.adapter.Counts()
 	zones.Counter("plans", n.Plans)
 	zones.Counter("shifts", n.Shifts)
 	zones.Counter("fallbacks", n.Fallbacks)
-	zones.IntGauge("why", int64(now.Why))
+	zones.IntGauge("why", int64(now.Reason))
 	zones.IntGauge("near", int64(now.Zone))
 	if plan == nil {
 		return
 	}
-	zones.IntGauge("plan", int64(plan.No))
-	zones.Gauge("short", plan.Short)
-	zones.Gauge("most", plan.Most)
+	zones.IntGauge("plan", int64(plan.Number))
+	zones.Gauge("short", plan.Unserved)
+	zones.Gauge("most", plan.MaxFill)
 	for i, m := range plan.Zones {
 		zone := zones.Label("zone", z.set.Zones[i])
 		zone.IntGauge("state", int64(m.State))
--- a/cmd/beechgrade/zones_admin.go
+++ b/cmd/beechgrade/zones_admin.go
@@ -20,24 +20,24 @@
 	switch method {
 	case http.MethodGet:
 	case http.MethodPost:
-		o, stands, err := zonesadmin.Read(query, z.adapter.Settings(), z.adapter.Book(), z.pooler.loop.Now())
+		o, stands, err := zonesadmin.ParseOrder(query, z.adapter.Settings(), z.adapter.State(), z.pooler.loop.Now())
 		switch {
-		case errors.Is(err, zonesadmin.ErrCall):
+		case errors.Is(err, zonesadmin.ErrInvalidOrder):
 			return admin.Response{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")}
-		case errors.Is(err, zonesadmin.ErrLags):
+		case errors.Is(err, zonesadmin.ErrBehind):
 			return admin.Response{Status: http.StatusServiceUnavailable, Body: []byte(err.Error() + "\n")}
 		case err != nil:
 			return admin.Response{Status: http.StatusConflict, Body: []byte(err.Error() + "\n")}
 		case !stands:
-			z.adapter.Order(o)
-			z.pooler.log.Info("zones: ordered at the door", "zone", o.Zone, "state", query.Get("state"), "number", o.No, "for", query.Get("for"))
+			z.adapter.ProposeOrder(o)
+			z.pooler.log.Info("zones: ordered at the door", "zone", o.Zone, "state", query.Get("state"), "number", o.Number, "for", query.Get("for"))
 			status = http.StatusAccepted
 		}
 	default:
 		return admin.Response{Status: http.StatusMethodNotAllowed, AllowedMethod: "GET, POST"}
 	}
-	s, p := z.adapter.Standing()
-	b, err := jsoniter.Marshal(zonesadmin.Look(z.adapter.Settings(), s, p, z.adapter.Book(), z.adapter.Chief() != nil && z.adapter.Chief().Leads()))
+	s, p := z.adapter.Status()
+	b, err := jsoniter.Marshal(zonesadmin.NewStatus(z.adapter.Settings(), s, p, z.adapter.State(), z.adapter.Planner() != nil && z.adapter.Planner().IsLeading()))
 	if err != nil {
 		return admin.Response{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 	}
--- a/internal/cluster/zones/admin/desk.go
+++ b/internal/cluster/zones/admin/desk.go
@@ -22,8 +22,8 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// Standing is how zones stand at a pooler, as its door shows it.
-type Standing struct {
+// Status is how zones stand at a pooler, as its door shows it.
+type Status struct {
 	Pooler string   `json:"pooler"`
 	Zone   string   `json:"zone"`
 	Near   string   `json:"near"` // the zone that it takes for near
@@ -67,30 +67,30 @@
 	UntilMs float64 `json:"until_ms,omitempty"`
 }
 
-// Lifted is what is said in place of a state, where no order is to stand any more.
-const Lifted = "lifted"
+// LiftedState is what is said in place of a state, where no order is to stand any more.
+const LiftedState = "lifted"
 
-// MostFor bounds how long an order may hold that has an end.
-const MostFor = 30 * 24 * time.Hour
+// MaxOrderTime bounds how long an order may hold that has an end.
+const MaxOrderTime = 30 * 24 * time.Hour
 
-// Errors of calls; ErrLate of one that came when there was a newer order.
+// Errors of calls; ErrOutdated of one that came when there was a newer order.
 var (
-	ErrCall = errors.New("no such order")
-	ErrLate = errors.New("the zone's newest order is another one")
-	ErrVote = errors.New("this pooler does not vote")
-	ErrLags = errors.New("this pooler has not heard of the order before this one yet")
+	ErrInvalidOrder = errors.New("no such order")
+	ErrOutdated     = errors.New("the zone's newest order is another one")
+	ErrNotVoter     = errors.New("this pooler does not vote")
+	ErrBehind       = errors.New("this pooler has not heard of the order before this one yet")
 )
 
-// Look is how things stand; b is nil at a pooler that does not vote.
-func Look(set *zones.Settings, s follower.Stand, p *statemachine.Plan, b *statemachine.Book, leads bool) *Standing {
-	out := &Standing{Pooler: set.Name, Zone: set.Zone, Near: set.Zones[s.Zone], Why: s.Why.String(), Votes: b != nil, Leads: leads, Voters: set.Voters}
+// NewStatus is how things stand; b is nil at a pooler that does not vote.
+func NewStatus(set *zones.Settings, s follower.Status, p *statemachine.Plan, b *statemachine.StateMachine, leads bool) *Status {
+	out := &Status{Pooler: set.Name, Zone: set.Zone, Near: set.Zones[s.Zone], Why: s.Reason.String(), Votes: b != nil, Leads: leads, Voters: set.Voters}
 	if p != nil {
-		out.Plan = &Plan{No: p.No, Since: p.Since, By: p.By, Short: p.Short, Most: p.Most}
+		out.Plan = &Plan{No: p.Number, Since: p.Since, By: p.Author, Short: p.Unserved, Most: p.MaxFill}
 	}
 	for z, name := range set.Zones {
 		x := Zone{Name: name}
 		if p != nil && z < len(p.Zones) && z < len(p.Matrix) {
-			x.State, x.RestMs = p.Zones[z].State.String(), p.Zones[z].Rest
+			x.State, x.RestMs = p.Zones[z].State.String(), p.Zones[z].RestMs
 			for to, part := range p.Matrix[z] {
 				if part > 0 && to < len(set.Zones) {
 					x.Shares = append(x.Shares, Share{set.Zones[to], part})
@@ -98,9 +98,9 @@
 			}
 		}
 		if b != nil {
-			x.Newest = b.Newest(z)
+			x.Newest = b.NewestOrder(z)
 			if o, ok := b.Order(z); ok {
-				x.Order = &Order{o.No, o.State.String(), o.Until}
+				x.Order = &Order{o.Number, o.State.String(), o.Until}
 			}
 		}
 		out.Zones = append(out.Zones, x)
@@ -108,45 +108,45 @@
 	return out
 }
 
-// Read reads a call's (zone, state, number, and for how long), at a time in Unix ms. Where stands is true the order came to stand before: it is
+// ParseOrder reads a call's (zone, state, number, and for how long), at a time in Unix ms. Where stands is true the order came to stand before: it is
 // the same call again.
-func Read(q url.Values, set *zones.Settings, b *statemachine.Book, now float64) (o zones.Order, stands bool, err error) {
+func ParseOrder(q url.Values, set *zones.Settings, b *statemachine.StateMachine, now float64) (o zones.Order, stands bool, err error) {
 	for k := range q {
 		if !slices.Contains([]string{"zone", "state", "number", "for"}, k) {
-			return o, false, fmt.Errorf("%w: %q is not known; known are zone, state, number and for", ErrCall, k)
+			return o, false, fmt.Errorf("%w: %q is not known; known are zone, state, number and for", ErrInvalidOrder, k)
 		}
 	}
 	if b == nil {
-		return o, false, fmt.Errorf("%w; these do: %s", ErrVote, strings.Join(set.Voters, " "))
+		return o, false, fmt.Errorf("%w; these do: %s", ErrNotVoter, strings.Join(set.Voters, " "))
 	}
 	if o.Zone = q.Get("zone"); set.Index(o.Zone) < 0 {
-		return o, false, fmt.Errorf("%w: there is no zone %q; there are: %s", ErrCall, o.Zone, strings.Join(set.Zones, " "))
+		return o, false, fmt.Errorf("%w: there is no zone %q; there are: %s", ErrInvalidOrder, o.Zone, strings.Join(set.Zones, " "))
 	}
 	word := q.Get("state")
-	i := slices.Index(health.Names[:], word)
-	if o.Lifts = word == Lifted; i < 0 && !o.Lifts {
-		return o, false, fmt.Errorf("%w: there is no state %q; there are: %s %s", ErrCall, word, strings.Join(health.Names[:], " "), Lifted)
+	i := slices.Index(health.StateNames[:], word)
+	if o.Lifts = word == LiftedState; i < 0 && !o.Lifts {
+		return o, false, fmt.Errorf("%w: there is no state %q; there are: %s %s", ErrInvalidOrder, word, strings.Join(health.StateNames[:], " "), LiftedState)
 	}
 	o.State = health.State(max(0, i))
 	if text := q.Get("for"); text != "" {
 		d, err := time.ParseDuration(text)
-		if err != nil || d <= 0 || d > MostFor || o.Lifts {
-			return o, false, fmt.Errorf("%w: for: a time above 0 and up to %s is due, as 10m, and none with %s", ErrCall, MostFor, Lifted)
+		if err != nil || d <= 0 || d > MaxOrderTime || o.Lifts {
+			return o, false, fmt.Errorf("%w: for: a time above 0 and up to %s is due, as 10m, and none with %s", ErrInvalidOrder, MaxOrderTime, LiftedState)
 		}
 		o.Until = now + float64(d.Milliseconds())
 	}
-	if o.No, err = strconv.ParseUint(q.Get("number"), 10, 64); err != nil || o.No == 0 {
-		return o, false, fmt.Errorf("%w: number: the one after the zone's newest order is due", ErrCall)
+	if o.Number, err = strconv.ParseUint(q.Get("number"), 10, 64); err != nil || o.Number == 0 {
+		return o, false, fmt.Errorf("%w: number: the one after the zone's newest order is due", ErrInvalidOrder)
 	}
 	at := set.Index(o.Zone)
-	if newest := b.Newest(at); o.No > newest+1 {
-		return o, false, fmt.Errorf("%w: it knows %d", ErrLags, newest)
-	} else if o.No <= newest {
+	if newest := b.NewestOrder(at); o.Number > newest+1 {
+		return o, false, fmt.Errorf("%w: it knows %d", ErrBehind, newest)
+	} else if o.Number <= newest {
 		was, standing := b.Order(at)
-		if o.No == newest && standing != o.Lifts && (o.Lifts || was.State == o.State) {
+		if o.Number == newest && standing != o.Lifts && (o.Lifts || was.State == o.State) {
 			return o, true, nil
 		}
-		return o, false, fmt.Errorf("%w: it has number %d", ErrLate, newest)
+		return o, false, fmt.Errorf("%w: it has number %d", ErrOutdated, newest)
 	}
 	return o, false, nil
 }
--- a/internal/cluster/zones/admin/desk_test.go
+++ b/internal/cluster/zones/admin/desk_test.go
@@ -19,38 +19,38 @@
 func TestRead(t *testing.T) {
 	set := &zones.Settings{Zones: []string{"a", "b"}, Voters: []string{"p", "q"}}
 	b := statemachine.New()
-	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{No: 4, Zone: 1, State: health.Evacuated}))
+	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{Number: 4, Zone: 1, State: health.Evacuated}))
 	const now = 1e12
 	for text, want := range map[string]struct {
 		order  zones.Order
 		stands bool
 		err    error
 	}{
-		"zone=b&state=lifted&number=5":                 {order: zones.Order{No: 5, Zone: "b", Lifts: true}},
-		"zone=a&state=evacuated&number=1&for=10m":      {order: zones.Order{No: 1, Zone: "a", State: health.Evacuated, Until: now + 600000}},
-		"zone=b&state=evacuated&number=4":              {order: zones.Order{No: 4, Zone: "b", State: health.Evacuated}, stands: true},
-		"zone=b&state=serving&number=4":                {err: ErrLate},
-		"zone=b&state=lifted&number=4":                 {err: ErrLate},
-		"zone=b&state=evacuated&number=3":              {err: ErrLate},
-		"zone=b&state=evacuated&number=6":              {err: ErrLags},
-		"zone=b&state=evacuated":                       {err: ErrCall},
-		"zone=b&state=evacuated&number=0":              {err: ErrCall},
-		"zone=c&state=evacuated&number=1":              {err: ErrCall},
-		"zone=a&state=away&number=1":                   {err: ErrCall},
-		"zone=a&state=evacuated&number=1&for=-1s":      {err: ErrCall},
-		"zone=a&state=evacuated&number=1&for=9999h":    {err: ErrCall},
-		"zone=a&state=lifted&number=1&for=1m":          {err: ErrCall},
-		"zone=a&state=evacuated&number=1&until=monday": {err: ErrCall},
+		"zone=b&state=lifted&number=5":                 {order: zones.Order{Number: 5, Zone: "b", Lifts: true}},
+		"zone=a&state=evacuated&number=1&for=10m":      {order: zones.Order{Number: 1, Zone: "a", State: health.Evacuated, Until: now + 600000}},
+		"zone=b&state=evacuated&number=4":              {order: zones.Order{Number: 4, Zone: "b", State: health.Evacuated}, stands: true},
+		"zone=b&state=serving&number=4":                {err: ErrOutdated},
+		"zone=b&state=lifted&number=4":                 {err: ErrOutdated},
+		"zone=b&state=evacuated&number=3":              {err: ErrOutdated},
+		"zone=b&state=evacuated&number=6":              {err: ErrBehind},
+		"zone=b&state=evacuated":                       {err: ErrInvalidOrder},
+		"zone=b&state=evacuated&number=0":              {err: ErrInvalidOrder},
+		"zone=c&state=evacuated&number=1":              {err: ErrInvalidOrder},
+		"zone=a&state=away&number=1":                   {err: ErrInvalidOrder},
+		"zone=a&state=evacuated&number=1&for=-1s":      {err: ErrInvalidOrder},
+		"zone=a&state=evacuated&number=1&for=9999h":    {err: ErrInvalidOrder},
+		"zone=a&state=lifted&number=1&for=1m":          {err: ErrInvalidOrder},
+		"zone=a&state=evacuated&number=1&until=monday": {err: ErrInvalidOrder},
 	} {
 		q, err := url.ParseQuery(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		o, stands, err := Read(q, set, b, now)
+		o, stands, err := ParseOrder(q, set, b, now)
 		if !errors.Is(err, want.err) || err == nil && (o != want.order || stands != want.stands) {
 			t.Errorf("%s: %+v, stands %v, %v", text, o, stands, err)
 		}
-		if _, _, err := Read(q, set, nil, now); !errors.Is(err, ErrVote) && !errors.Is(want.err, ErrCall) {
+		if _, _, err := ParseOrder(q, set, nil, now); !errors.Is(err, ErrNotVoter) && !errors.Is(want.err, ErrInvalidOrder) {
 			t.Errorf("%s, where there is no vote: %v", text, err)
 		}
 	}
@@ -60,18 +60,18 @@
 func TestLook(t *testing.T) {
 	set := &zones.Settings{Name: "p", Zone: "a", Zones: []string{"a", "b"}, Voters: []string{"p"}}
 	b := statemachine.New()
-	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{No: 4, Zone: 1, State: health.Evacuated, Until: 5000}))
-	b.Apply(2, statemachine.EncodeOrder(&statemachine.Order{No: 1, Zone: 0, State: health.Serving}))
-	b.Apply(3, statemachine.EncodeOrder(&statemachine.Order{No: 2, Zone: 0, Lifts: true}))
-	p := &statemachine.Plan{No: 9, Since: 7, By: "q", Most: 0.5, Zones: []statemachine.Mark{{}, {State: health.Evacuated, Rest: 2000}}, Matrix: plan.Matrix{{1, 0}, {0.75, 0.25}}}
-	got := Look(set, follower.Stand{Zone: 1, Why: follower.Planned}, p, b, true)
-	want := &Standing{Pooler: "p", Zone: "a", Near: "b", Why: "plan", Votes: true, Leads: true, Voters: []string{"p"}, Plan: &Plan{No: 9, Since: 7, By: "q", Most: 0.5},
+	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{Number: 4, Zone: 1, State: health.Evacuated, Until: 5000}))
+	b.Apply(2, statemachine.EncodeOrder(&statemachine.Order{Number: 1, Zone: 0, State: health.Serving}))
+	b.Apply(3, statemachine.EncodeOrder(&statemachine.Order{Number: 2, Zone: 0, Lifts: true}))
+	p := &statemachine.Plan{Number: 9, Since: 7, Author: "q", MaxFill: 0.5, Zones: []statemachine.ZoneStatus{{}, {State: health.Evacuated, RestMs: 2000}}, Matrix: plan.Matrix{{1, 0}, {0.75, 0.25}}}
+	got := NewStatus(set, follower.Status{Zone: 1, Reason: follower.Planned}, p, b, true)
+	want := &Status{Pooler: "p", Zone: "a", Near: "b", Why: "plan", Votes: true, Leads: true, Voters: []string{"p"}, Plan: &Plan{No: 9, Since: 7, By: "q", Most: 0.5},
 		Zones: []Zone{{Name: "a", State: "serving", Shares: []Share{{"a", 1}}, Newest: 2},
 			{Name: "b", State: "evacuated", RestMs: 2000, Shares: []Share{{"a", 0.75}, {"b", 0.25}}, Newest: 4, Order: &Order{4, "evacuated", 5000}}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if got := Look(set, follower.Stand{}, nil, nil, false); got.Plan != nil || got.Votes || got.Why != "none" || len(got.Zones) != 2 {
+	if got := NewStatus(set, follower.Status{}, nil, nil, false); got.Plan != nil || got.Votes || got.Why != "none" || len(got.Zones) != 2 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/cluster/zones/admin/note.go
+++ b/internal/cluster/zones/admin/note.go
@@ -22,11 +22,11 @@
 	Sent   []uint64 `json:"sent,omitempty"`   // attempts that ended, by Zones; nothing for none
 }
 
-// Take makes a note; sent are the counts since the start, and was those at the note before.
-func Take(set *zones.Settings, s follower.Stand, p *statemachine.Plan, sent, was []uint64) *Note {
-	n := &Note{Why: s.Why.String(), Zone: set.Zone, Near: set.Zones[s.Zone], Zones: set.Zones}
+// NewNote makes a note; sent are the counts since the start, and was those at the note before.
+func NewNote(set *zones.Settings, s follower.Status, p *statemachine.Plan, sent, was []uint64) *Note {
+	n := &Note{Why: s.Reason.String(), Zone: set.Zone, Near: set.Zones[s.Zone], Zones: set.Zones}
 	if p != nil {
-		n.Plan, n.By = p.No, p.By
+		n.Plan, n.By = p.Number, p.Author
 		for _, m := range p.Zones {
 			n.States = append(n.States, m.State.String())
 		}
@@ -42,8 +42,8 @@
 	return n
 }
 
-// Same tells whether two notes say the same of what the pooler goes by, whatever the plan's number.
-func (n *Note) Same(o *Note) bool {
+// SameDecision tells whether two notes say the same of what the pooler goes by, whatever the plan's number.
+func (n *Note) SameDecision(o *Note) bool {
 	return n.Why == o.Why && n.Near == o.Near && slices.Equal(n.States, o.States)
 }
 
@@ -56,9 +56,9 @@
 	return string(b)
 }
 
-// ReadNote reads one; false for what is none.
-func ReadNote(text string) (n Note, ok bool) {
-	if jsoniter.UnmarshalFromString(text, &n) != nil || len(n.Zones) == 0 || len(n.Zones) > statemachine.MostZones || !slices.Contains(n.Zones, n.Zone) {
+// ParseNote reads one; false for what is none.
+func ParseNote(text string) (n Note, ok bool) {
+	if jsoniter.UnmarshalFromString(text, &n) != nil || len(n.Zones) == 0 || len(n.Zones) > statemachine.MaxZones || !slices.Contains(n.Zones, n.Zone) {
 		return n, false
 	}
 	return n, (len(n.Sent) == 0 || len(n.Sent) == len(n.Zones)) && (len(n.States) == 0 || len(n.States) == len(n.Zones))
--- a/internal/cluster/zones/follower/follow.go
+++ b/internal/cluster/zones/follower/follow.go
@@ -23,167 +23,167 @@
 
 // Settings say how. Times are in ms.
 type Settings struct {
-	Zone    int    // this pooler's own
-	Of      uint32 // a sum of the zones' names
-	Life    float64
-	Price   float64 // of crossing where the fleet has a plan or has lost it, as a part of a request's worth
-	Least   float64 // attempts near in a window, for their losses to count
-	FailAt  float64 // part lost
-	Fail    float64 // that it lasts until this pooler goes by it, without news
-	Floor   uint64  // Since of the plan that this pooler followed last, before it was started
-	Forgets bool    // a mutant: any plan is followed
+	Zone             int    // this pooler's own
+	ZonesHash        uint32 // a sum of the zones' names
+	PlanLifetime     float64
+	CrossingPrice    float64 // of crossing where the fleet has a plan or has lost it, as a part of a request's worth
+	MinAttempts      float64 // attempts near in a window, for their losses to count
+	FailingLossShare float64 // part lost
+	FailureTime      float64 // that it lasts until this pooler goes by it, without news
+	MinPlan          uint64  // Since of the plan that this pooler followed last, before it was started
+	FollowsAnyPlan   bool    // a mutant: any plan is followed
 }
 
-// Why is what a pooler goes by.
-type Why uint8
+// Reason is what a pooler goes by.
+type Reason uint8
 
 // The reasons.
 const (
-	None     Why = iota // no plan was ever heard: as without zones
-	Planned             // a plan in force
-	Fallback            // without news: near first
-	Spilling            // ...but near fails: where the last plan had sent it
+	NoPlan   Reason = iota // no plan was ever heard: as without zones
+	Planned                // a plan in force
+	Fallback               // without news: near first
+	Spilling               // ...but near fails: where the last plan had sent it
 )
 
-func (w Why) String() string {
+func (w Reason) String() string {
 	return [...]string{"none", "plan", "fallback", "spilling"}[min(w, Spilling)]
 }
 
-// Stand is what a pooler does.
-type Stand struct {
-	Zone  int     // near
-	Price float64 // below 0 for that of its own settings
-	Why   Why
-	No    uint64 // of the plan
+// Status is what a pooler does.
+type Status struct {
+	Zone       int     // near
+	Price      float64 // below 0 for that of its own settings
+	Reason     Reason
+	PlanNumber uint64 // of the plan
 }
 
 // Follower is a pooler's.
 type Follower struct {
-	set   Settings
-	plan  *statemachine.Plan // in force, or the last
-	next  *statemachine.Plan // its number is being kept
-	later *statemachine.Plan // heard since: its number is kept once that one's is, so that a slow disk delays, and no haste of plans stops, what is followed
-	ends  float64
-	nextE float64
-	lateE float64
-	rank  int
-	of    int
-	bad   float64
-	fails bool
+	settings     Settings
+	plan         *statemachine.Plan // in force, or the last
+	storing      *statemachine.Plan // its number is being kept
+	waiting      *statemachine.Plan // heard since: its number is kept once that one's is, so that a slow disk delays, and no haste of plans stops, what is followed
+	planEnds     float64
+	storingEnds  float64
+	waitingEnds  float64
+	rank         int
+	poolers      int
+	failingSince float64
+	failing      bool
 }
 
 // New makes one.
-func New(set Settings) *Follower { return &Follower{set: set, of: 1} }
+func New(set Settings) *Follower { return &Follower{settings: set, poolers: 1} }
 
-// Count tells that this pooler is the rank-th, from 0, of so many in its zone.
-func (f *Follower) Count(rank, of int) { f.rank, f.of = max(0, rank), max(1, of) }
+// SetRank tells that this pooler is the rank-th, from 0, of so many in its zone.
+func (f *Follower) SetRank(rank, of int) { f.rank, f.poolers = max(0, rank), max(1, of) }
 
-// Heard is a plan that was in force age ms ago. It tells the number that is to be kept before the plan is followed, 0 for none.
-func (f *Follower) Heard(now float64, p *statemachine.Plan, age float64) (keep uint64) {
-	ends := now + f.set.Life - max(0, age)
-	if p.Of != f.set.Of || ends <= now && f.plan == nil {
+// HandlePlan is a plan that was in force age ms ago. It tells the number that is to be kept before the plan is followed, 0 for none.
+func (f *Follower) HandlePlan(now float64, p *statemachine.Plan, age float64) (keep uint64) {
+	ends := now + f.settings.PlanLifetime - max(0, age)
+	if p.ZonesHash != f.settings.ZonesHash || ends <= now && f.plan == nil {
 		return 0
 	}
 	switch {
-	case f.set.Forgets:
-		f.plan, f.ends = p, ends
+	case f.settings.FollowsAnyPlan:
+		f.plan, f.planEnds = p, ends
 		return 0
-	case p.Since < f.set.Floor, p.No < f.Number():
+	case p.Since < f.settings.MinPlan, p.Number < f.NewestPlan():
 		return 0
-	case f.later != nil && p.Since == f.later.Since:
-		f.later, f.lateE = p, max(f.lateE, ends)
+	case f.waiting != nil && p.Since == f.waiting.Since:
+		f.waiting, f.waitingEnds = p, max(f.waitingEnds, ends)
 		return 0
-	case f.next != nil && f.later == nil && p.Since == f.next.Since:
-		f.next, f.nextE = p, max(f.nextE, ends)
+	case f.storing != nil && f.waiting == nil && p.Since == f.storing.Since:
+		f.storing, f.storingEnds = p, max(f.storingEnds, ends)
 		return 0
-	case f.next != nil:
-		f.later, f.lateE = p, ends
+	case f.storing != nil:
+		f.waiting, f.waitingEnds = p, ends
 		return 0
 	case f.plan != nil && p.Since == f.plan.Since:
-		f.plan, f.ends = p, max(f.ends, ends)
+		f.plan, f.planEnds = p, max(f.planEnds, ends)
 		return 0
 	}
-	f.next, f.nextE = p, ends
+	f.storing, f.storingEnds = p, ends
 	return p.Since
 }
 
-// Again tells that the newest plan that was heard was in force age ms ago still.
-func (f *Follower) Again(now float64, no uint64, age float64) {
-	ends := now + f.set.Life - max(0, age)
-	if no != f.Number() {
+// HandleRenewal tells that the newest plan that was heard was in force age ms ago still.
+func (f *Follower) HandleRenewal(now float64, no uint64, age float64) {
+	ends := now + f.settings.PlanLifetime - max(0, age)
+	if no != f.NewestPlan() {
 		return
 	}
 	switch {
-	case f.later != nil:
-		f.lateE = max(f.lateE, ends)
-	case f.next != nil:
-		f.nextE = max(f.nextE, ends)
+	case f.waiting != nil:
+		f.waitingEnds = max(f.waitingEnds, ends)
+	case f.storing != nil:
+		f.storingEnds = max(f.storingEnds, ends)
 	case f.plan != nil:
-		f.ends = max(f.ends, ends)
+		f.planEnds = max(f.planEnds, ends)
 	}
 }
 
-// Kept tells that a number is where the next self of this process finds it. It tells the next number that is to be kept, 0 for none.
-func (f *Follower) Kept(since uint64) (keep uint64) {
-	if f.next == nil || f.next.Since > since {
+// NumberStored tells that a number is where the next self of this process finds it. It tells the next number that is to be kept, 0 for none.
+func (f *Follower) NumberStored(since uint64) (keep uint64) {
+	if f.storing == nil || f.storing.Since > since {
 		return 0
 	}
-	f.plan, f.ends, f.next, f.nextE, f.later = f.next, f.nextE, f.later, f.lateE, nil
-	if f.next == nil {
+	f.plan, f.planEnds, f.storing, f.storingEnds, f.waiting = f.storing, f.storingEnds, f.waiting, f.waitingEnds, nil
+	if f.storing == nil {
 		return 0
 	}
-	return f.next.Since
+	return f.storing.Since
 }
 
 // Plan is the last one that was followed, nil for none, and when it ends.
-func (f *Follower) Plan() (p *statemachine.Plan, ends float64) { return f.plan, f.ends }
+func (f *Follower) Plan() (p *statemachine.Plan, ends float64) { return f.plan, f.planEnds }
 
-// Number is the newest plan that was heard.
-func (f *Follower) Number() uint64 {
+// NewestPlan is the newest plan that was heard.
+func (f *Follower) NewestPlan() uint64 {
 	switch {
-	case f.later != nil:
-		return f.later.No
-	case f.next != nil:
-		return f.next.No
+	case f.waiting != nil:
+		return f.waiting.Number
+	case f.storing != nil:
+		return f.storing.Number
 	case f.plan != nil:
-		return f.plan.No
+		return f.plan.Number
 	}
 	return 0
 }
 
-// Near is what this pooler saw of its own zone in the last window.
-func (f *Follower) Near(now, asked, lost float64) {
+// RecordLocalAttempts is what this pooler saw of its own zone in the last window.
+func (f *Follower) RecordLocalAttempts(now, asked, lost float64) {
 	switch {
-	case asked >= f.set.Least && lost < f.set.FailAt*asked:
-		f.bad, f.fails = 0, false
-	case asked < f.set.Least:
-	case f.bad == 0:
-		f.bad = now
-	case now-f.bad >= f.set.Fail:
-		f.fails = true
+	case asked >= f.settings.MinAttempts && lost < f.settings.FailingLossShare*asked:
+		f.failingSince, f.failing = 0, false
+	case asked < f.settings.MinAttempts:
+	case f.failingSince == 0:
+		f.failingSince = now
+	case now-f.failingSince >= f.settings.FailureTime:
+		f.failing = true
 	}
 }
 
-// Stand is what to do now.
-func (f *Follower) Stand(now float64) Stand {
-	if f.plan == nil || f.set.Zone >= len(f.plan.Matrix) {
-		return Stand{Zone: f.set.Zone, Price: -1}
+// Status is what to do now.
+func (f *Follower) Status(now float64) Status {
+	if f.plan == nil || f.settings.Zone >= len(f.plan.Matrix) {
+		return Status{Zone: f.settings.Zone, Price: -1}
 	}
-	s := Stand{Zone: f.set.Zone, Price: f.set.Price, Why: Planned, No: f.plan.No}
-	home := Home(f.plan.Matrix[f.set.Zone], f.set.Zone, f.rank, f.of)
+	s := Status{Zone: f.settings.Zone, Price: f.settings.CrossingPrice, Reason: Planned, PlanNumber: f.plan.Number}
+	home := TargetZone(f.plan.Matrix[f.settings.Zone], f.settings.Zone, f.rank, f.poolers)
 	switch {
-	case now < f.ends:
+	case now < f.planEnds:
 		s.Zone = home
-	case f.fails && home != f.set.Zone:
-		s.Zone, s.Why = home, Spilling
+	case f.failing && home != f.settings.Zone:
+		s.Zone, s.Reason = home, Spilling
 	default:
-		s.Why = Fallback
+		s.Reason = Fallback
 	}
 	return s
 }
 
-// Home is the zone that the rank-th of so many poolers of a zone takes for near, by its row.
-func Home(row []float64, self, rank, of int) int {
+// TargetZone is the zone that the rank-th of so many poolers of a zone takes for near, by its row.
+func TargetZone(row []float64, self, rank, of int) int {
 	const whole = 1e-3 // less than this stays is nothing
 	n, best, first, sum := make([]int, len(row)), self, 0, 0.0
 	for z, p := range row {
--- a/internal/cluster/zones/follower/follow_test.go
+++ b/internal/cluster/zones/follower/follow_test.go
@@ -8,11 +8,11 @@
 )
 
 func set() Settings {
-	return Settings{Zone: 0, Of: 9, Life: 5000, Price: 0.4, Least: 10, FailAt: 0.2, Fail: 1000}
+	return Settings{Zone: 0, ZonesHash: 9, PlanLifetime: 5000, CrossingPrice: 0.4, MinAttempts: 10, FailingLossShare: 0.2, FailureTime: 1000}
 }
 
 func thePlan(no uint64, away float64) *statemachine.Plan {
-	return &statemachine.Plan{No: no, Since: no, Of: 9, Zones: make([]statemachine.Mark, 2), Matrix: plan.Matrix{{1 - away, away}, {0, 1}}}
+	return &statemachine.Plan{Number: no, Since: no, ZonesHash: 9, Zones: make([]statemachine.ZoneStatus, 2), Matrix: plan.Matrix{{1 - away, away}, {0, 1}}}
 }
 
 // TestSharesAreDealt: never more poolers than a share has go, but where a zone is left whole.
@@ -32,7 +32,7 @@
 	} {
 		got := make([]int, 3)
 		for i := range c.of {
-			got[Home(c.row, 0, i, c.of)]++
+			got[TargetZone(c.row, 0, i, c.of)]++
 		}
 		for z := range got {
 			if got[z] != c.want[z] {
@@ -42,7 +42,7 @@
 	}
 	for i := range 10 { // who has gone stays gone as more go
 		for n := 1; n < 10; n++ {
-			if Home([]float64{1 - float64(n)/10, float64(n) / 10}, 0, i, 10) == 1 && Home([]float64{0.9 - float64(n)/10, float64(n+1) / 10}, 0, i, 10) != 1 {
+			if TargetZone([]float64{1 - float64(n)/10, float64(n) / 10}, 0, i, 10) == 1 && TargetZone([]float64{0.9 - float64(n)/10, float64(n+1) / 10}, 0, i, 10) != 1 {
 				t.Errorf("pooler %d comes back as more go", i)
 			}
 		}
@@ -56,24 +56,24 @@
 		spill int
 	}{{1, 1}, {0, 0}} {
 		f := New(set())
-		if s := f.Stand(0); s.Why != None || s.Price >= 0 || s.Zone != 0 {
+		if s := f.Status(0); s.Reason != NoPlan || s.Price >= 0 || s.Zone != 0 {
 			t.Errorf("%+v before any plan", s)
 		}
-		f.Kept(f.Heard(0, thePlan(1, x.away), 1000))
-		if s := f.Stand(3999); s.Why != Planned || s.Zone != x.spill || s.No != 1 {
+		f.NumberStored(f.HandlePlan(0, thePlan(1, x.away), 1000))
+		if s := f.Status(3999); s.Reason != Planned || s.Zone != x.spill || s.PlanNumber != 1 {
 			t.Errorf("%+v under a plan", s)
 		}
-		if s := f.Stand(4001); s.Why != Fallback || s.Zone != 0 || s.Price != 0.4 {
+		if s := f.Status(4001); s.Reason != Fallback || s.Zone != 0 || s.Price != 0.4 {
 			t.Errorf("%+v without news", s)
 		}
 		for now := 5000.0; now <= 6500; now += 500 {
-			f.Near(now, 20, 15)
+			f.RecordLocalAttempts(now, 20, 15)
 		}
-		if s := f.Stand(6500); s.Zone != x.spill {
+		if s := f.Status(6500); s.Zone != x.spill {
 			t.Errorf("%+v without news, where near fails", s)
 		}
-		f.Near(7000, 20, 0)
-		if s := f.Stand(7000); s.Zone != 0 {
+		f.RecordLocalAttempts(7000, 20, 0)
+		if s := f.Status(7000); s.Zone != 0 {
 			t.Errorf("%+v where near is well again", s)
 		}
 	}
@@ -82,32 +82,32 @@
 // TestNeverOlder: no old plan after a new one, whoever tells, not after a restart either; and none before its number is kept.
 func TestNeverOlder(t *testing.T) {
 	f := New(set())
-	f.Kept(f.Heard(0, thePlan(7, 1), 0))
-	if f.Heard(10, thePlan(6, 0), 0) != 0 || f.Stand(10).No != 7 {
-		t.Errorf("%+v", f.Stand(10))
+	f.NumberStored(f.HandlePlan(0, thePlan(7, 1), 0))
+	if f.HandlePlan(10, thePlan(6, 0), 0) != 0 || f.Status(10).PlanNumber != 7 {
+		t.Errorf("%+v", f.Status(10))
 	}
-	if keep := f.Heard(20, thePlan(8, 0), 0); keep != 8 || f.Stand(20).No != 7 {
-		t.Errorf("%d is to be kept, and %+v", keep, f.Stand(20))
+	if keep := f.HandlePlan(20, thePlan(8, 0), 0); keep != 8 || f.Status(20).PlanNumber != 7 {
+		t.Errorf("%d is to be kept, and %+v", keep, f.Status(20))
 	}
 	s := set()
-	s.Floor = 8
+	s.MinPlan = 8
 	g := New(s)
-	if g.Heard(0, thePlan(7, 1), 0) != 0 || g.Stand(0).Why != None {
-		t.Errorf("%+v after a restart", g.Stand(0))
+	if g.HandlePlan(0, thePlan(7, 1), 0) != 0 || g.Status(0).Reason != NoPlan {
+		t.Errorf("%+v after a restart", g.Status(0))
 	}
-	if g.Kept(g.Heard(0, thePlan(8, 0), 0)); g.Stand(0).No != 8 {
-		t.Errorf("%+v: the one that it had", g.Stand(0))
+	if g.NumberStored(g.HandlePlan(0, thePlan(8, 0), 0)); g.Status(0).PlanNumber != 8 {
+		t.Errorf("%+v: the one that it had", g.Status(0))
 	}
 	again := thePlan(9, 0) // the same once more
-	if again.Since = 8; g.Heard(10, again, 0) != 0 || g.Stand(10).No != 9 {
-		t.Errorf("%+v: the same plan, renewed", g.Stand(10))
+	if again.Since = 8; g.HandlePlan(10, again, 0) != 0 || g.Status(10).PlanNumber != 9 {
+		t.Errorf("%+v: the same plan, renewed", g.Status(10))
 	}
-	g.Again(4000, 9, 0)
-	if g.Stand(8999).Why != Planned || g.Stand(9001).Why != Fallback {
+	g.HandleRenewal(4000, 9, 0)
+	if g.Status(8999).Reason != Planned || g.Status(9001).Reason != Fallback {
 		t.Error("a plan ends Life after it was in force")
 	}
 	other := thePlan(10, 0)
-	if other.Of = 1; g.Heard(0, other, 0) != 0 {
+	if other.ZonesHash = 1; g.HandlePlan(0, other, 0) != 0 {
 		t.Error("a plan for other zones")
 	}
 }
@@ -118,29 +118,29 @@
 	f, keep, last := New(set()), uint64(0), uint64(0)
 	for no := uint64(1); no <= 40; no++ {
 		now := 100 * float64(no)
-		if k := f.Heard(now, thePlan(no, float64(no%2)), 0); k > 0 && keep > 0 {
+		if k := f.HandlePlan(now, thePlan(no, float64(no%2)), 0); k > 0 && keep > 0 {
 			t.Fatalf("%d and %d are kept at once", keep, k)
 		} else if k > 0 {
 			keep = k
 		}
-		if f.Number() != no {
-			t.Fatalf("%d was heard, %d is the newest", no, f.Number())
+		if f.NewestPlan() != no {
+			t.Fatalf("%d was heard, %d is the newest", no, f.NewestPlan())
 		}
 		if no%7 != 0 { // the disk takes seven times as long
 			continue
 		}
 		was := keep
-		keep = f.Kept(keep)
-		if s := f.Stand(now); s.No != was || s.No <= last || s.Why != Planned || keep != no {
+		keep = f.NumberStored(keep)
+		if s := f.Status(now); s.PlanNumber != was || s.PlanNumber <= last || s.Reason != Planned || keep != no {
 			t.Fatalf("%d was kept: %+v after %d, then %d is", was, s, last, keep)
 		}
 		last = was
 	}
-	f.Again(8000, 40, 0)
+	f.HandleRenewal(8000, 40, 0)
 	for keep > 0 {
-		keep = f.Kept(keep)
+		keep = f.NumberStored(keep)
 	}
-	if s := f.Stand(12000); s.No != 40 || s.Why != Planned {
+	if s := f.Status(12000); s.PlanNumber != 40 || s.Reason != Planned {
 		t.Errorf("%+v in the end", s)
 	}
 }
--- a/internal/cluster/zones/form.go
+++ b/internal/cluster/zones/form.go
@@ -9,83 +9,83 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// ErrForm is of bytes that are no word about zones.
-var ErrForm = errors.New("no word about zones")
+// ErrMalformed is of bytes that are no word about zones.
+var ErrMalformed = errors.New("no word about zones")
 
-// Tell is a pooler's word to a voter: the newest plan that it has, and what it saw.
-type Tell struct {
-	No uint64
-	planner.Tell
+// Report is a pooler's word to a voter: the newest plan that it has, and what it saw.
+type Report struct {
+	PlanNumber uint64
+	planner.Report
 }
 
-// Word is a voter's: the newest plan that it applied, whole where Plan is there, and how long ago.
-type Word struct {
-	No   uint64
-	Age  float64
-	Plan *statemachine.Plan
+// PlanUpdate is a voter's: the newest plan that it applied, whole where Plan is there, and how long ago.
+type PlanUpdate struct {
+	PlanNumber uint64
+	AgeMs      float64
+	Plan       *statemachine.Plan
 }
 
 const (
-	verbTell = 1
-	verbWord = 2
+	kindReport     = 1
+	kindPlanUpdate = 2
 
-	mostParts = 64
-	mostCells = 32 // of a part, so that it goes in one datagram
-	mostAsks  = 60
-	hundred   = 100
+	maxParts          = 64
+	maxCellsPerPart   = 32 // of a part, so that it goes in one datagram
+	maxDemandsPerPart = 60
+	rateScale         = 100
 )
 
-// split makes parts that each fit a datagram.
-func split(t *planner.Tell) (out []planner.Tell) {
-	cells, asks := t.Cells, t.Asks
-	for len(out) < mostParts && (len(out) == 0 || len(cells)+len(asks) > 0) {
-		p := planner.Tell{Zone: t.Zone, Part: len(out)}
-		n := min(len(cells), mostCells)
+// splitReport makes parts that each fit a datagram.
+func splitReport(t *planner.Report) (out []planner.Report) {
+	cells, asks := t.Cells, t.Demands
+	for len(out) < maxParts && (len(out) == 0 || len(cells)+len(asks) > 0) {
+		p := planner.Report{Zone: t.Zone, Part: len(out)}
+		n := min(len(cells), maxCellsPerPart)
 		p.Cells, cells = cells[:n], cells[n:]
-		if n = min(len(asks), mostAsks); len(p.Cells) < mostCells/2 { // one or the other, mostly
-			p.Asks, asks = asks[:n], asks[n:]
+		if n = min(len(asks), maxDemandsPerPart); len(p.Cells) < maxCellsPerPart/2 { // one or the other, mostly
+			p.Demands, asks = asks[:n], asks[n:]
 		}
 		out = append(out, p)
 	}
 	return out
 }
 
-func num(b []byte, x float64) []byte {
+func appendNumber(b []byte, x float64) []byte {
 	return binary.AppendUvarint(b, uint64(min(1e12, max(0, math.Round(x)))))
 }
 
 // Append is part.Words'.
-func (t *Tell) Append(b []byte) []byte {
-	b = binary.AppendUvarint(append(b, verbTell), t.No)
-	b = num(num(num(b, float64(t.Zone)), float64(t.Part)), float64(len(t.Cells)))
+func (t *Report) Append(b []byte) []byte {
+	b = binary.AppendUvarint(append(b, kindReport), t.PlanNumber)
+	b = appendNumber(appendNumber(appendNumber(b, float64(t.Zone)), float64(t.Part)), float64(len(t.Cells)))
 	for i := range t.Cells {
 		c := &t.Cells[i]
-		b = num(num(b, float64(c.Group)), float64(c.Zone))
-		for _, x := range []float64{c.Asked, c.Lost, c.Cores, c.Whole, c.Fixed} {
-			b = num(b, x*hundred)
+		b = appendNumber(appendNumber(b, float64(c.Group)), float64(c.Zone))
+		for _, x := range []float64{c.Attempts, c.Lost, c.Cores, c.FullCores, c.FixedCores} {
+			b = appendNumber(b, x*rateScale)
 		}
-		b = num(b, c.Age)
+		b = appendNumber(b, c.AgeMs)
 	}
-	b = num(b, float64(len(t.Asks)))
-	for _, a := range t.Asks {
-		b = num(num(num(b, float64(a.Group)), float64(a.Class)), a.Load*10*hundred)
+	b = appendNumber(b, float64(len(t.Demands)))
+	for _, a := range t.Demands {
+		b = appendNumber(appendNumber(appendNumber(b, float64(a.Group)), float64(a.Class)), a.Load*10*rateScale)
 	}
 	return b
 }
 
 // Append is part.Words'.
-func (w *Word) Append(b []byte) []byte {
-	b = num(binary.AppendUvarint(append(b, verbWord), w.No), w.Age)
+func (w *PlanUpdate) Append(b []byte) []byte {
+	b = appendNumber(binary.AppendUvarint(append(b, kindPlanUpdate), w.PlanNumber), w.AgeMs)
 	if w.Plan != nil {
 		b = w.Plan.Append(b)
 	}
 	return b
 }
 
-// Read reads either, all or nothing.
-func Read(b []byte) (any, error) {
+// Decode reads either, all or nothing.
+func Decode(b []byte) (any, error) {
 	if len(b) == 0 {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	verb, bad := b[0], false
 	b = b[1:]
@@ -100,40 +100,40 @@
 	}
 	no, n := binary.Uvarint(b)
 	if n <= 0 {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	b = b[n:]
 	switch verb {
-	case verbTell:
-		t := &Tell{No: no}
-		t.Zone, t.Part = int(next(statemachine.MostZones-1)), int(next(mostParts-1))
-		for range int(next(mostCells)) {
-			c := planner.Cell{Group: int(next(math.MaxInt32)), Zone: int(next(statemachine.MostZones - 1))}
-			for _, x := range []*float64{&c.Asked, &c.Lost, &c.Cores, &c.Whole, &c.Fixed} {
-				*x = next(1e12) / hundred
+	case kindReport:
+		t := &Report{PlanNumber: no}
+		t.Zone, t.Part = int(next(statemachine.MaxZones-1)), int(next(maxParts-1))
+		for range int(next(maxCellsPerPart)) {
+			c := planner.Cell{Group: int(next(math.MaxInt32)), Zone: int(next(statemachine.MaxZones - 1))}
+			for _, x := range []*float64{&c.Attempts, &c.Lost, &c.Cores, &c.FullCores, &c.FixedCores} {
+				*x = next(1e12) / rateScale
 			}
-			c.Age = next(1e12)
+			c.AgeMs = next(1e12)
 			t.Cells = append(t.Cells, c)
 		}
-		for range int(next(mostAsks)) {
-			t.Asks = append(t.Asks, planner.Ask{Group: int(next(math.MaxInt32)), Class: int(next(1 << 16)), Load: next(1e12) / (10 * hundred)})
+		for range int(next(maxDemandsPerPart)) {
+			t.Demands = append(t.Demands, planner.Demand{Group: int(next(math.MaxInt32)), Class: int(next(1 << 16)), Load: next(1e12) / (10 * rateScale)})
 		}
 		if bad || len(b) > 0 {
-			return nil, ErrForm
+			return nil, ErrMalformed
 		}
 		return t, nil
-	case verbWord:
-		w := &Word{No: no, Age: next(1e12)}
+	case kindPlanUpdate:
+		w := &PlanUpdate{PlanNumber: no, AgeMs: next(1e12)}
 		if bad {
-			return nil, ErrForm
+			return nil, ErrMalformed
 		}
 		if len(b) > 0 {
 			var err error
-			if w.Plan, err = statemachine.ReadPlan(b); err != nil {
+			if w.Plan, err = statemachine.DecodePlan(b); err != nil {
 				return nil, err
 			}
 		}
 		return w, nil
 	}
-	return nil, ErrForm
+	return nil, ErrMalformed
 }
--- a/internal/cluster/zones/health/state_test.go
+++ b/internal/cluster/zones/health/state_test.go
@@ -19,9 +19,9 @@
 	last := map[State]float64{}
 	var rests []float64
 	for ; now < 400000; now += tick {
-		e := Seen{Asked: 100, Lost: 33, Up: 1, Load: 0.5}
+		e := Observation{Attempts: 100, Lost: 33, ServingShare: 1, Load: 0.5}
 		if z.State == Evacuated {
-			e.Asked, e.Lost = 0, 0
+			e.Attempts, e.Lost = 0, 0
 		}
 		if now > 200000 {
 			e.Lost = 0
@@ -41,7 +41,7 @@
 			t.Errorf("rests of %v", rests)
 		}
 	}
-	if rests[0] < set.Rest || rests[0] > set.Rest+set.Fail+2*tick {
+	if rests[0] < set.MinRest || rests[0] > set.MinRest+set.FailureTime+2*tick {
 		t.Errorf("the first rest took %v", rests[0])
 	}
 }
@@ -52,24 +52,24 @@
 	z := New(&set)
 	z.Order(0, Evacuated)
 	for now := 0.0; now < 300000; now += tick {
-		if z.Step(&set, now, &Seen{Asked: 100, Up: 1}) || z.State != Evacuated {
+		if z.Step(&set, now, &Observation{Attempts: 100, ServingShare: 1}) || z.State != Evacuated {
 			t.Fatalf("%v at %v, under an order", z.State, now)
 		}
 	}
-	z.Free(300000)
-	if z.State != Returning || z.Warmed(&set, 300000+set.Warm/2) != 0.5 {
+	z.ClearOrder(300000)
+	if z.State != Returning || z.RecoveredShare(&set, 300000+set.RecoveryTime/2) != 0.5 {
 		t.Errorf("%v after the order", z.State)
 	}
-	if !z.Step(&set, 300000+set.Warm, &Seen{Asked: 100, Up: 1}) || z.State != Serving {
+	if !z.Step(&set, 300000+set.RecoveryTime, &Observation{Attempts: 100, ServingShare: 1}) || z.State != Serving {
 		t.Errorf("%v, warm", z.State)
 	}
 	z.Order(0, Serving)
 	for now := 0.0; now < 10000; now += tick {
-		if z.Step(&set, now, &Seen{Up: 0}); z.State != Serving {
+		if z.Step(&set, now, &Observation{ServingShare: 0}); z.State != Serving {
 			t.Fatalf("%v: it was ordered to serve", z.State)
 		}
 	}
-	if z.Free(10000); !z.Step(&set, 10000, &Seen{Up: 0}) || z.State != Failing {
+	if z.ClearOrder(10000); !z.Step(&set, 10000, &Observation{ServingShare: 0}) || z.State != Failing {
 		t.Errorf("%v: what was seen all the while counts at the order's end", z.State)
 	}
 }
@@ -80,14 +80,14 @@
 	z, now := New(&set), 0.0
 	run := func(load, ms float64) State {
 		for end := now + ms; now < end; now += tick {
-			z.Step(&set, now, &Seen{Asked: 100, Up: 1, Load: load})
+			z.Step(&set, now, &Observation{Attempts: 100, ServingShare: 1, Load: load})
 		}
 		return z.State
 	}
 	for i, s := range []struct {
 		load, ms float64
 		want     State
-	}{{1.2, set.Strain, Serving}, {0.9, tick, Serving}, {1.2, set.Strain + 2*tick, Strained}, {0.9, 5 * set.Strain, Strained}, {0.7, set.Strain, Strained}, {0.7, 2 * tick, Serving}} {
+	}{{1.2, set.StrainTime, Serving}, {0.9, tick, Serving}, {1.2, set.StrainTime + 2*tick, Strained}, {0.9, 5 * set.StrainTime, Strained}, {0.7, set.StrainTime, Strained}, {0.7, 2 * tick, Serving}} {
 		if got := run(s.load, s.ms); got != s.want {
 			t.Errorf("%d: %v, want %v", i, got, s.want)
 		}
@@ -98,17 +98,17 @@
 func TestShiftsAreFew(t *testing.T) {
 	deterministic.Check(t, func(r *rapid.T) {
 		set := Defaults()
-		set.Rest = rapid.Float64Range(2000, 20000).Draw(r, "rest")
+		set.MinRest = rapid.Float64Range(2000, 20000).Draw(r, "rest")
 		z, now, out := New(&set), 0.0, false
 		var shifts []float64
 		for now < 150000 {
-			e := Seen{Asked: 100, Up: 1, Dark: rapid.IntRange(0, 9).Draw(r, "dark") == 0}
+			e := Observation{Attempts: 100, ServingShare: 1, Unobserved: rapid.IntRange(0, 9).Draw(r, "dark") == 0}
 			if rapid.Bool().Draw(r, "bad") {
 				e.Lost = 100
 			}
 			for range rapid.IntRange(1, 40).Draw(r, "ticks") {
 				now += tick
-				if z.Step(&set, now, &e); z.State.Out() != out {
+				if z.Step(&set, now, &e); z.State.Abandoned() != out {
 					out = !out
 					shifts = append(shifts, now)
 				}
@@ -121,8 +121,8 @@
 					n++
 				}
 			}
-			if n > set.Shifts(60000) {
-				r.Fatalf("%d shifts in a minute from %v: %v; %d are stated", n, shifts[i], shifts, set.Shifts(60000))
+			if n > set.MaxShifts(60000) {
+				r.Fatalf("%d shifts in a minute from %v: %v; %d are stated", n, shifts[i], shifts, set.MaxShifts(60000))
 			}
 		}
 	})
@@ -133,11 +133,11 @@
 	set := Defaults()
 	z := Resume(Evacuated, 60000, 1000)
 	for now := 1000.0; now < 61000; now += tick { // its rest is not over
-		if z.Step(&set, now, &Seen{Up: 1}) {
+		if z.Step(&set, now, &Observation{ServingShare: 1}) {
 			t.Fatalf("%v at %v", z.State, now)
 		}
 	}
-	if !z.Step(&set, 61000, &Seen{Up: 1}) || z.State != Returning || z.Rest != 60000 {
-		t.Errorf("%v after its rest of %v", z.State, z.Rest)
+	if !z.Step(&set, 61000, &Observation{ServingShare: 1}) || z.State != Returning || z.RestMs != 60000 {
+		t.Errorf("%v after its rest of %v", z.State, z.RestMs)
 	}
 }
--- a/internal/cluster/zones/plan/matrix.go
+++ b/internal/cluster/zones/plan/matrix.go
@@ -4,8 +4,8 @@
 // anywhere: it is left to the zone itself, where the least worth is shed first.
 type Matrix [][]float64
 
-// Near is the matrix by which everything stays.
-func Near(zones int) Matrix {
+// IdentityMatrix is the matrix by which everything stays.
+func IdentityMatrix(zones int) Matrix {
 	m := make(Matrix, zones)
 	for z := range m {
 		m[z] = make([]float64, zones)
@@ -23,8 +23,8 @@
 	return c
 }
 
-// Cross is the part of all reads that crosses, weighed by the groups' loads.
-func (m Matrix) Cross(groups []Group) float64 {
+// CrossingShare is the part of all reads that crosses, weighed by the groups' loads.
+func (m Matrix) CrossingShare(groups []Group) float64 {
 	all, cross := 0.0, 0.0
 	for i := range groups {
 		for _, f := range groups[i].Flows {
@@ -52,17 +52,17 @@
 	return came, all
 }
 
-// slack is what rounding may add to a load.
-const slack = 1e-6
+// roundingSlack is what rounding may add to a load.
+const roundingSlack = 1e-6
 
-// Most is, over all groups, the largest part of its safe room that a zone gets which receives anything.
-func (s *Settings) Most(m Matrix, groups []Group) (most float64) {
+// MaxFill is, over all groups, the largest part of its safe room that a zone gets which receives anything.
+func (s *Settings) MaxFill(m Matrix, groups []Group) (most float64) {
 	for i := range groups {
 		g := &groups[i]
 		came, all := m.loads(g)
 		for b := range m {
-			if came[b] > slack {
-				most = max(most, all[b]/max(s.Safe(&g.Rooms[b]), 1e-9))
+			if came[b] > roundingSlack {
+				most = max(most, all[b]/max(s.SafeCapacity(&g.Capacities[b]), 1e-9))
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 // Fold makes one matrix of the groups' plans, weighed by their loads, and tells the work for which there is no safe room.
-func (s *Settings) Fold(groups []Group, answers []Answer) (m Matrix, left float64) {
+func (s *Settings) Fold(groups []Group, answers []Solution) (m Matrix, left float64) {
 	zones := len(s.Delay)
 	m = make(Matrix, zones)
 	sums := make([]float64, zones)
@@ -80,11 +80,11 @@
 	for i := range groups {
 		for k, f := range groups[i].Flows {
 			sums[f.Zone] += f.Load
-			for b, p := range answers[i].To[k] {
+			for b, p := range answers[i].Shares[k] {
 				m[f.Zone][b] += p * f.Load
 			}
 		}
-		left += answers[i].Left
+		left += answers[i].Unserved
 	}
 	for z := range m {
 		for b := range m[z] {
@@ -93,21 +93,21 @@
 			}
 		}
 		if sums[z] <= 0 {
-			s.quiet(m[z], z, groups)
+			s.fillIdleRow(m[z], z, groups)
 		}
 	}
-	s.trim(m, groups)
+	s.trimToCapacity(m, groups)
 	return m, left
 }
 
-// quiet is the row of a zone that asks nothing: near, or the nearest that takes in all groups.
-func (s *Settings) quiet(row []float64, z int, groups []Group) {
+// fillIdleRow is the row of a zone that asks nothing: near, or the nearest that takes in all groups.
+func (s *Settings) fillIdleRow(row []float64, z int, groups []Group) {
 	may := func(b int) bool {
-		if s.Cut(z, b) {
+		if s.Unreachable(z, b) {
 			return false
 		}
 		for i := range groups {
-			if r := &groups[i].Rooms[b]; b == z && !r.Keeps || b != z && !r.Takes {
+			if r := &groups[i].Capacities[b]; b == z && !r.ServesNear || b != z && !r.ServesRemote {
 				return false
 			}
 		}
@@ -116,7 +116,7 @@
 	best := z
 	if !may(z) {
 		for b := range row {
-			if may(b) && (best == z || s.crossing(z, b) < s.crossing(z, best)) {
+			if may(b) && (best == z || s.crossingCost(z, b) < s.crossingCost(z, best)) {
 				best = b
 			}
 		}
@@ -124,13 +124,13 @@
 	row[best] = 1
 }
 
-// trim has less go to zones where a group would be above its safe room: groups differ, and a matrix is one for all. What does not go stays
+// trimToCapacity has less go to zones where a group would be above its safe room: groups differ, and a matrix is one for all. What does not go stays
 // near, where it may, so that zone can take less of others; in the end it takes nothing.
-func (s *Settings) trim(m Matrix, groups []Group) {
+func (s *Settings) trimToCapacity(m Matrix, groups []Group) {
 	for pass, last := 0, 2*len(m); pass <= last; pass++ {
 		done := true
 		for b := range m {
-			keep := s.fits(m, b, groups)
+			keep := s.fittingShare(m, b, groups)
 			if keep >= 1 {
 				continue
 			}
@@ -143,7 +143,7 @@
 				}
 				back := m[a][b] * (1 - keep)
 				m[a][b] -= back
-				if s.keeps(a, groups) { // near has to do with it
+				if s.mayStay(a, groups) { // near has to do with it
 					m[a][a] += back
 				}
 			}
@@ -154,8 +154,8 @@
 	}
 }
 
-// fits is the part of what comes to a zone from others that it has safe room for, in all groups.
-func (s *Settings) fits(m Matrix, b int, groups []Group) float64 {
+// fittingShare is the part of what comes to a zone from others that it has safe room for, in all groups.
+func (s *Settings) fittingShare(m Matrix, b int, groups []Group) float64 {
 	keep, part := 1.0, 0.0
 	for a := range m {
 		if a != b {
@@ -167,41 +167,41 @@
 	}
 	for i := range groups {
 		g := &groups[i]
-		if !g.Rooms[b].Takes {
+		if !g.Capacities[b].ServesRemote {
 			return 0
 		}
 		came, all := m.loads(g)
-		if came[b] <= slack {
+		if came[b] <= roundingSlack {
 			continue
 		}
-		if over := all[b] - s.Safe(&g.Rooms[b]); over > slack {
+		if over := all[b] - s.SafeCapacity(&g.Capacities[b]); over > roundingSlack {
 			keep = min(keep, max(0, 1-over/came[b]))
 		}
 	}
 	return keep
 }
 
-// keeps tells whether a zone's own reads may stay, in all groups.
-func (s *Settings) keeps(z int, groups []Group) bool {
+// mayStay tells whether a zone's own reads may stay, in all groups.
+func (s *Settings) mayStay(z int, groups []Group) bool {
 	for i := range groups {
-		if !groups[i].Rooms[z].Keeps {
+		if !groups[i].Capacities[z].ServesNear {
 			return false
 		}
 	}
 	return true
 }
 
-// Pace is how far a plan may go at once with a zone: the part of its reads that may move. Out is 1 where there is nothing left to stay at.
-type Pace struct{ Out, Back float64 }
+// StepLimit is how far a plan may go at once with a zone: the part of its reads that may move. Out is 1 where there is nothing left to stay at.
+type StepLimit struct{ Out, Return float64 }
 
 // Step goes from one matrix towards another: out by Out at most, back near by Back. What the old one asks for that
 // is not safe any more, or not allowed, is left at once: then the new one is taken whole. A way between two safe ones is safe.
-func (s *Settings) Step(old, want Matrix, groups []Group, p []Pace) Matrix {
+func (s *Settings) Step(old, want Matrix, groups []Group, p []StepLimit) Matrix {
 	next := old.Clone()
 	for z := range want {
 		most := p[z].Out
 		if want[z][z] > old[z][z] {
-			most = p[z].Back
+			most = p[z].Return
 		}
 		far := 0.0
 		for b := range want[z] {
@@ -218,7 +218,7 @@
 			}
 		}
 	}
-	if !s.Allowed(next, groups) || s.Most(next, groups) > 1+slack {
+	if !s.Allowed(next, groups) || s.MaxFill(next, groups) > 1+roundingSlack {
 		return want.Clone()
 	}
 	return next
@@ -229,7 +229,7 @@
 	for i := range groups {
 		for a := range m {
 			for b, p := range m[a] {
-				if a != b && p > slack && (s.Cut(a, b) || !groups[i].Rooms[b].Takes) {
+				if a != b && p > roundingSlack && (s.Unreachable(a, b) || !groups[i].Capacities[b].ServesRemote) {
 					return false
 				}
 			}
--- a/internal/cluster/zones/plan/plan.go
+++ b/internal/cluster/zones/plan/plan.go
@@ -19,18 +19,18 @@
 
 // Class is a class of reads that any server may answer whose data is new enough.
 type Class struct {
-	Worth float64 // of a core's work for it
-	Reach float64 // ms there and back that it may cross, 0 for any
-	Age   float64 // ms that its data may be old, 0 for any
+	Priority     float64 // of a core's work for it
+	MaxRoundTrip float64 // ms there and back that it may cross, 0 for any
+	MaxAge       float64 // ms that its data may be old, 0 for any
 }
 
 // Settings are the same for all groups.
 type Settings struct {
-	Classes []Class
-	Delay   [][]float64 // ms one way, from the zone of a pooler to that of a server; endless where nothing may go
-	Price   float64     // of crossing, as ms of delay
-	Spare   float64     // part of a zone's servers that is kept free of what comes from elsewhere
-	Tight   float64     // ...and of near reads, before they go elsewhere
+	Classes        []Class
+	Delay          [][]float64 // ms one way, from the zone of a pooler to that of a server; endless where nothing may go
+	CrossingPrice  float64     // of crossing, as ms of delay
+	SpareShare     float64     // part of a zone's servers that is kept free of what comes from elsewhere
+	NearSpareShare float64     // ...and of near reads, before they go elsewhere
 }
 
 // Flow is what is asked of a group: the work of a class from clients near a zone, in cores.
@@ -39,69 +39,71 @@
 	Load        float64
 }
 
-// Room is what a group's servers in a zone can do.
-type Room struct {
-	Cores float64 // of servers that serve
-	Fixed float64 // of them taken by what cannot go elsewhere
-	Age   float64 // ms that their data is old
-	Keeps bool    // near reads may go there
-	Takes bool    // reads of other zones too
+// Capacity is what a group's servers in a zone can do.
+type Capacity struct {
+	Cores        float64 // of servers that serve
+	FixedCores   float64 // of them taken by what cannot go elsewhere
+	Age          float64 // ms that their data is old
+	ServesNear   bool    // near reads may go there
+	ServesRemote bool    // reads of other zones too
 }
 
 // Group is one.
 type Group struct {
-	Flows []Flow
-	Rooms []Room // by zone
+	Flows      []Flow
+	Capacities []Capacity // by zone
 }
 
-// Safe is what reads may take of a room that receives.
-func (s *Settings) Safe(r *Room) float64 { return max(0, r.Cores*(1-s.Spare)-r.Fixed) }
+// SafeCapacity is what reads may take of a room that receives.
+func (s *Settings) SafeCapacity(r *Capacity) float64 {
+	return max(0, r.Cores*(1-s.SpareShare)-r.FixedCores)
+}
 
-// Beyond is what near reads alone may take above that.
-func (s *Settings) Beyond(r *Room) float64 {
-	return max(0, r.Cores*(1-min(s.Spare, s.Tight))-r.Fixed) - s.Safe(r)
+// NearExtraCapacity is what near reads alone may take above that.
+func (s *Settings) NearExtraCapacity(r *Capacity) float64 {
+	return max(0, r.Cores*(1-min(s.SpareShare, s.NearSpareShare))-r.FixedCores) - s.SafeCapacity(r)
 }
 
-// Answer is a group's plan.
-type Answer struct {
-	To    [][]float64 // by flow and zone: the part of it that goes there; what is missing to 1 is shed
-	Left  float64     // cores of work for which there is no safe room
-	Cross float64     // cores of work that cross
+// Solution is a group's plan.
+type Solution struct {
+	Shares   [][]float64 // by flow and zone: the part of it that goes there; what is missing to 1 is shed
+	Unserved float64     // cores of work for which there is no safe room
+	Crossing float64     // cores of work that cross
 }
 
 // Feasible tells whether all is served.
-func (a *Answer) Feasible() bool { return a.Left <= 0 }
+func (a *Solution) Feasible() bool { return a.Unserved <= 0 }
 
-// may tells whether a flow may go to a zone.
-func (s *Settings) may(f *Flow, g *Group, to int) bool {
-	r, c := &g.Rooms[to], &s.Classes[f.Class]
+// allowed tells whether a flow may go to a zone.
+func (s *Settings) allowed(f *Flow, g *Group, to int) bool {
+	r, c := &g.Capacities[to], &s.Classes[f.Class]
 	if f.Zone == to {
-		return r.Keeps && (c.Age <= 0 || r.Age <= c.Age)
+		return r.ServesNear && (c.MaxAge <= 0 || r.Age <= c.MaxAge)
 	}
-	return r.Takes && !s.Cut(f.Zone, to) && (c.Age <= 0 || r.Age <= c.Age) && (c.Reach <= 0 || 2*s.Delay[f.Zone][to] <= c.Reach)
+	return r.ServesRemote && !s.Unreachable(f.Zone, to) && (c.MaxAge <= 0 || r.Age <= c.MaxAge) && (c.MaxRoundTrip <= 0 || 2*s.Delay[f.Zone][to] <= c.MaxRoundTrip)
 }
 
-// Cut tells whether nothing may go from one zone to another.
-func (s *Settings) Cut(from, to int) bool { return math.IsInf(s.Delay[from][to], 1) }
+// Unreachable tells whether nothing may go from one zone to another.
+func (s *Settings) Unreachable(from, to int) bool { return math.IsInf(s.Delay[from][to], 1) }
 
-// crossing is the price of a unit from one zone to another, in whole microseconds.
-func (s *Settings) crossing(from, to int) int64 {
-	if from == to || s.Cut(from, to) {
+// crossingCost is the price of a unit from one zone to another, in whole microseconds.
+func (s *Settings) crossingCost(from, to int) int64 {
+	if from == to || s.Unreachable(from, to) {
 		return 0
 	}
-	return 2*beyond + int64(math.Round(1000*(s.Price+max(0, s.Delay[from][to]))))
+	return 2*nearExtraCost + int64(math.Round(1000*(s.CrossingPrice+max(0, s.Delay[from][to]))))
 }
 
-const beyond = 1 // the price of a unit that is served near above what is safe for one that receives: less than any crossing
+const nearExtraCost = 1 // the price of a unit that is served near above what is safe for one that receives: less than any crossing
 
-const worths = 1000 // a worth counts in so many parts of one
+const priorityScale = 1000 // a worth counts in so many parts of one
 
-func worthOf(c *Class) int64 { return 1 + int64(math.Round(worths*max(0, c.Worth))) }
+func priorityCost(c *Class) int64 { return 1 + int64(math.Round(priorityScale*max(0, c.Priority))) }
 
 // Solve makes a group's plan.
-func (s *Settings) Solve(g *Group) Answer {
-	n := &net{}
-	src, flows, zones, own := n.node(), make([]int, len(g.Flows)), make([]int, len(g.Rooms)), make([]int, len(g.Rooms))
+func (s *Settings) Solve(g *Group) Solution {
+	n := &flowNetwork{}
+	src, flows, zones, own := n.node(), make([]int, len(g.Flows)), make([]int, len(g.Capacities)), make([]int, len(g.Capacities))
 	for i := range flows {
 		flows[i] = n.node()
 	}
@@ -110,83 +112,83 @@
 	}
 	sink := n.node()
 	most := int64(1)
-	for a := range g.Rooms {
-		for b := range g.Rooms {
-			most = max(most, s.crossing(a, b))
+	for a := range g.Capacities {
+		for b := range g.Capacities {
+			most = max(most, s.crossingCost(a, b))
 		}
 	}
-	weight := most*int64(2*len(g.Rooms)+2) + 1 // any worth outweighs every crossing that a way may have
+	weight := most*int64(2*len(g.Capacities)+2) + 1 // any worth outweighs every crossing that a way may have
 	loads := make([]int64, len(g.Flows))
 	at := make([][]int, len(g.Flows))
 	for i := range g.Flows {
 		f := &g.Flows[i]
 		loads[i] = int64(math.Ceil(f.Load/Unit - 1e-6))
-		n.edge(src, flows[i], loads[i], -worthOf(&s.Classes[f.Class])*weight)
-		at[i] = make([]int, len(g.Rooms)+1)
-		at[i][len(g.Rooms)] = -1
-		if z := f.Zone; s.may(f, g, z) {
-			at[i][len(g.Rooms)] = n.edge(flows[i], own[z], math.MaxInt32, beyond)
+		n.edge(src, flows[i], loads[i], -priorityCost(&s.Classes[f.Class])*weight)
+		at[i] = make([]int, len(g.Capacities)+1)
+		at[i][len(g.Capacities)] = -1
+		if z := f.Zone; s.allowed(f, g, z) {
+			at[i][len(g.Capacities)] = n.edge(flows[i], own[z], math.MaxInt32, nearExtraCost)
 		}
-		for z := range g.Rooms {
+		for z := range g.Capacities {
 			at[i][z] = -1
-			if s.may(f, g, z) {
-				at[i][z] = n.edge(flows[i], zones[z], math.MaxInt32, s.crossing(f.Zone, z))
+			if s.allowed(f, g, z) {
+				at[i][z] = n.edge(flows[i], zones[z], math.MaxInt32, s.crossingCost(f.Zone, z))
 			}
 		}
 	}
-	for z := range g.Rooms {
-		n.edge(zones[z], sink, int64(s.Safe(&g.Rooms[z])/Unit+1e-6), 0)
-		n.edge(own[z], sink, int64(s.Beyond(&g.Rooms[z])/Unit+1e-6), 0)
+	for z := range g.Capacities {
+		n.edge(zones[z], sink, int64(s.SafeCapacity(&g.Capacities[z])/Unit+1e-6), 0)
+		n.edge(own[z], sink, int64(s.NearExtraCapacity(&g.Capacities[z])/Unit+1e-6), 0)
 	}
-	n.run(src, sink)
-	a := Answer{To: make([][]float64, len(g.Flows))}
+	n.minimizeCost(src, sink)
+	a := Solution{Shares: make([][]float64, len(g.Flows))}
 	for i := range g.Flows {
-		a.To[i] = make([]float64, len(g.Rooms))
+		a.Shares[i] = make([]float64, len(g.Capacities))
 		left := loads[i]
 		for z, e := range at[i] {
 			if e < 0 || loads[i] == 0 {
 				continue
 			}
-			used := n.edges[e^1].room
-			if z == len(g.Rooms) {
+			used := n.edges[e^1].capacity
+			if z == len(g.Capacities) {
 				z = g.Flows[i].Zone
 			}
-			a.To[i][z] += float64(used) / float64(loads[i])
+			a.Shares[i][z] += float64(used) / float64(loads[i])
 			if left -= used; z != g.Flows[i].Zone {
-				a.Cross += float64(used) * Unit
+				a.Crossing += float64(used) * Unit
 			}
 		}
-		a.Left += float64(left) * Unit
+		a.Unserved += float64(left) * Unit
 	}
 	return a
 }
 
-// net is a network in which flow is as cheap as can be: by shortest ways, one after another.
-type net struct {
-	edges []edge // each one with its way back behind it
-	from  [][]int
+// flowNetwork is a network in which flow is as cheap as can be: by shortest ways, one after another.
+type flowNetwork struct {
+	edges   []flowEdge // each one with its way back behind it
+	edgesOf [][]int
 }
 
-type edge struct {
-	to         int
-	room, cost int64
+type flowEdge struct {
+	to             int
+	capacity, cost int64
 }
 
-func (n *net) node() int {
-	n.from = append(n.from, nil)
-	return len(n.from) - 1
+func (n *flowNetwork) node() int {
+	n.edgesOf = append(n.edgesOf, nil)
+	return len(n.edgesOf) - 1
 }
 
-func (n *net) edge(a, b int, room, cost int64) int {
+func (n *flowNetwork) edge(a, b int, room, cost int64) int {
 	e := len(n.edges)
-	n.edges = append(n.edges, edge{b, room, cost}, edge{a, 0, -cost})
-	n.from[a], n.from[b] = append(n.from[a], e), append(n.from[b], e+1)
+	n.edges = append(n.edges, flowEdge{b, room, cost}, flowEdge{a, 0, -cost})
+	n.edgesOf[a], n.edgesOf[b] = append(n.edgesOf[a], e), append(n.edgesOf[b], e+1)
 	return e
 }
 
-// run sends as much as is worth it. A way never leaves the source twice, so what was served once stays served.
-func (n *net) run(src, sink int) {
-	dist, by := make([]int64, len(n.from)), make([]int, len(n.from))
+// minimizeCost sends as much as is worth it. A way never leaves the source twice, so what was served once stays served.
+func (n *flowNetwork) minimizeCost(src, sink int) {
+	dist, by := make([]int64, len(n.edgesOf)), make([]int, len(n.edgesOf))
 	for {
 		for i := range dist {
 			dist[i], by[i] = math.MaxInt64, -1
@@ -194,12 +196,12 @@
 		dist[src] = 0
 		for news := true; news; {
 			news = false
-			for a := range n.from {
+			for a := range n.edgesOf {
 				if dist[a] == math.MaxInt64 {
 					continue
 				}
-				for _, e := range n.from[a] {
-					if x := &n.edges[e]; x.room > 0 && dist[a]+x.cost < dist[x.to] {
+				for _, e := range n.edgesOf[a] {
+					if x := &n.edges[e]; x.capacity > 0 && dist[a]+x.cost < dist[x.to] {
 						dist[x.to], by[x.to], news = dist[a]+x.cost, e, true
 					}
 				}
@@ -210,11 +212,11 @@
 		}
 		push := int64(math.MaxInt64)
 		for v := sink; v != src; v = n.edges[by[v]^1].to {
-			push = min(push, n.edges[by[v]].room)
+			push = min(push, n.edges[by[v]].capacity)
 		}
 		for v := sink; v != src; v = n.edges[by[v]^1].to {
-			n.edges[by[v]].room -= push
-			n.edges[by[v]^1].room += push
+			n.edges[by[v]].capacity -= push
+			n.edges[by[v]^1].capacity += push
 		}
 	}
 }
--- a/internal/cluster/zones/plan/plan_test.go
+++ b/internal/cluster/zones/plan/plan_test.go
@@ -12,10 +12,10 @@
 
 // brute finds the best plan of a group by trying every one, in whole units: the most worth, then the least crossing.
 func brute(s *Settings, g *Group) (worth, cross int64) {
-	zones := len(g.Rooms)
+	zones := len(g.Capacities)
 	room, left := make([]int64, 2*zones), make([]int64, len(g.Flows)) // the second half: for near reads alone
 	for z := range zones {
-		room[z], room[zones+z] = int64(math.Floor(s.Safe(&g.Rooms[z])/Unit+1e-6)), int64(math.Floor(s.Beyond(&g.Rooms[z])/Unit+1e-6))
+		room[z], room[zones+z] = int64(math.Floor(s.SafeCapacity(&g.Capacities[z])/Unit+1e-6)), int64(math.Floor(s.NearExtraCapacity(&g.Capacities[z])/Unit+1e-6))
 	}
 	for i := range left {
 		left[i] = int64(math.Round(g.Flows[i].Load / Unit))
@@ -33,16 +33,16 @@
 			return
 		}
 		f := &g.Flows[i]
-		may, price := z < zones && s.may(f, g, z), int64(beyond)
+		may, price := z < zones && s.allowed(f, g, z), int64(nearExtraCost)
 		if z < zones {
-			price = s.crossing(f.Zone, z)
+			price = s.crossingCost(f.Zone, z)
 		} else {
-			may = z-zones == f.Zone && s.may(f, g, f.Zone)
+			may = z-zones == f.Zone && s.allowed(f, g, f.Zone)
 		}
 		for n := int64(0); n <= left[i] && n <= room[z] && (n == 0 || may); n++ {
 			left[i] -= n
 			room[z] -= n
-			try(i, z+1, w+n*worthOf(&s.Classes[f.Class]), c+n*price)
+			try(i, z+1, w+n*priorityCost(&s.Classes[f.Class]), c+n*price)
 			left[i] += n
 			room[z] += n
 		}
@@ -51,18 +51,18 @@
 	return worth, cross
 }
 
-func (s *Settings) value(g *Group, a *Answer) (worth, cross int64) {
-	all := make([]int64, len(g.Rooms))
+func (s *Settings) value(g *Group, a *Solution) (worth, cross int64) {
+	all := make([]int64, len(g.Capacities))
 	defer func() {
 		for z := range all {
-			cross += beyond * max(0, all[z]-int64(s.Safe(&g.Rooms[z])/Unit+1e-6))
+			cross += nearExtraCost * max(0, all[z]-int64(s.SafeCapacity(&g.Capacities[z])/Unit+1e-6))
 		}
 	}()
 	for i := range g.Flows {
-		for z, p := range a.To[i] {
+		for z, p := range a.Shares[i] {
 			n := int64(math.Round(p * g.Flows[i].Load / Unit))
-			worth += n * worthOf(&s.Classes[g.Flows[i].Class])
-			cross += n * s.crossing(g.Flows[i].Zone, z)
+			worth += n * priorityCost(&s.Classes[g.Flows[i].Class])
+			cross += n * s.crossingCost(g.Flows[i].Zone, z)
 			all[z] += n
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 func small(zones int) *Settings {
-	s := &Settings{Classes: []Class{{Worth: 1}, {Worth: 3, Reach: 5, Age: 100}}, Price: 1, Spare: 0.5}
+	s := &Settings{Classes: []Class{{Priority: 1}, {Priority: 3, MaxRoundTrip: 5, MaxAge: 100}}, CrossingPrice: 1, SpareShare: 0.5}
 	for a := range zones {
 		s.Delay = append(s.Delay, nil)
 		for b := range zones {
@@ -105,7 +105,7 @@
 					x /= most
 				}
 				for z := range zones {
-					g.Rooms = append(g.Rooms, Room{Cores: float64(2*(x%most)) * Unit, Fixed: float64(x%most/2) * Unit, Keeps: kinds>>z&1 > 0, Takes: kinds>>(zones+z)&1 > 0, Age: float64(z * 60)})
+					g.Capacities = append(g.Capacities, Capacity{Cores: float64(2*(x%most)) * Unit, FixedCores: float64(x%most/2) * Unit, ServesNear: kinds>>z&1 > 0, ServesRemote: kinds>>(zones+z)&1 > 0, Age: float64(z * 60)})
 					x /= most
 				}
 				a := s.Solve(g)
@@ -130,8 +130,8 @@
 			for c := range 2 {
 				g.Flows = append(g.Flows, Flow{c, z, rapid.Float64Range(0, 3).Draw(r, fmt.Sprint("load", i))})
 			}
-			g.Rooms = append(g.Rooms, Room{Cores: rapid.Float64Range(0, 9).Draw(r, "cores"), Fixed: rapid.Float64Range(0, 2).Draw(r, "fixed"), Keeps: rapid.Bool().Draw(r, "keeps"),
-				Takes: rapid.Bool().Draw(r, "takes")})
+			g.Capacities = append(g.Capacities, Capacity{Cores: rapid.Float64Range(0, 9).Draw(r, "cores"), FixedCores: rapid.Float64Range(0, 2).Draw(r, "fixed"), ServesNear: rapid.Bool().Draw(r, "keeps"),
+				ServesRemote: rapid.Bool().Draw(r, "takes")})
 		}
 		groups = append(groups, g)
 	}
@@ -143,22 +143,22 @@
 	deterministic.Check(t, func(r *rapid.T) {
 		zones := rapid.IntRange(2, 4).Draw(r, "zones")
 		s := small(zones)
-		s.Spare = rapid.Float64Range(0, 0.5).Draw(r, "spare")
-		m := Near(zones)
+		s.SpareShare = rapid.Float64Range(0, 0.5).Draw(r, "spare")
+		m := IdentityMatrix(zones)
 		for range rapid.IntRange(1, 3).Draw(r, "plans") {
 			groups := drawn(r, zones)
-			var answers []Answer
+			var answers []Solution
 			for i := range groups {
 				answers = append(answers, s.Solve(&groups[i]))
 			}
 			want, _ := s.Fold(groups, answers)
-			p := make([]Pace, zones)
+			p := make([]StepLimit, zones)
 			for z := range p {
-				p[z] = Pace{Out: rapid.Float64Range(0.1, 1).Draw(r, "out"), Back: rapid.Float64Range(0.05, 0.3).Draw(r, "back")}
+				p[z] = StepLimit{Out: rapid.Float64Range(0.1, 1).Draw(r, "out"), Return: rapid.Float64Range(0.05, 0.3).Draw(r, "back")}
 			}
 			for range 4 {
 				m = s.Step(m, want, groups, p)
-				if most := s.Most(m, groups); most > 1.001 {
+				if most := s.MaxFill(m, groups); most > 1.001 {
 					r.Fatalf("a zone that receives is at %.3f of its safe room: %v of %+v", most, m, groups)
 				}
 				if !s.Allowed(m, groups) {
@@ -169,7 +169,7 @@
 					from[z] = rapid.IntRange(0, 6).Draw(r, "poolers")
 				}
 				whole := s.Round(m, groups, from)
-				if most := s.Most(whole, groups); most > 1.001 || !s.Allowed(whole, groups) {
+				if most := s.MaxFill(whole, groups); most > 1.001 || !s.Allowed(whole, groups) {
 					r.Fatalf("rounded to %v, a zone is at %.3f: %v of %+v", whole, most, m, groups)
 				}
 				for z := range whole {
@@ -196,10 +196,10 @@
 // TestStepsBackAreSmall: out in big steps, back in small ones, and there in the end; what is dead is left at once.
 func TestStepsBackAreSmall(t *testing.T) {
 	s, far := small(2), Matrix{{0, 1}, {0, 1}}
-	well := []Group{{Flows: []Flow{{0, 0, 1}, {0, 1, 1}}, Rooms: []Room{{Cores: 9, Keeps: true, Takes: true}, {Cores: 9, Keeps: true, Takes: true}}}}
-	m, steps, slow := far, 0, []Pace{{0.5, 0.1}, {0.5, 0.1}}
+	well := []Group{{Flows: []Flow{{0, 0, 1}, {0, 1, 1}}, Capacities: []Capacity{{Cores: 9, ServesNear: true, ServesRemote: true}, {Cores: 9, ServesNear: true, ServesRemote: true}}}}
+	m, steps, slow := far, 0, []StepLimit{{0.5, 0.1}, {0.5, 0.1}}
 	for ; m[0][0] < 0.999 && steps < 100; steps++ {
-		next := s.Step(m, Near(2), well, slow)
+		next := s.Step(m, IdentityMatrix(2), well, slow)
 		if next[0][0]-m[0][0] > 0.1001 {
 			t.Fatalf("a step back of %.2f", next[0][0]-m[0][0])
 		}
@@ -208,10 +208,10 @@
 	if steps != 10 {
 		t.Errorf("back after %d steps", steps)
 	}
-	if m = s.Step(Near(2), far, well, slow); m[0][1] != 0.5 {
+	if m = s.Step(IdentityMatrix(2), far, well, slow); m[0][1] != 0.5 {
 		t.Errorf("a step out of %v", m)
 	}
-	if m = s.Step(Near(2), far, well, []Pace{{1, 0.1}, {0.5, 0.1}}); m[0][1] != 1 {
+	if m = s.Step(IdentityMatrix(2), far, well, []StepLimit{{1, 0.1}, {0.5, 0.1}}); m[0][1] != 1 {
 		t.Errorf("a zone that is gone is left by %v", m)
 	}
 }
@@ -219,8 +219,8 @@
 // TestRounded: whole poolers go, as many as is safe; a zone that nothing stays in is left whole.
 func TestRounded(t *testing.T) {
 	s := small(3)
-	s.Spare = 0
-	group := []Group{{Flows: []Flow{{0, 0, 2}}, Rooms: []Room{{Cores: 2, Keeps: true}, {Cores: 0.5, Takes: true}, {Cores: 9, Takes: true}}}}
+	s.SpareShare = 0
+	group := []Group{{Flows: []Flow{{0, 0, 2}}, Capacities: []Capacity{{Cores: 2, ServesNear: true}, {Cores: 0.5, ServesRemote: true}, {Cores: 9, ServesRemote: true}}}}
 	for _, c := range []struct {
 		row, want []float64
 		n         int
@@ -232,7 +232,7 @@
 		{[]float64{0, 0.25, 0.4}, []float64{0, 0, 1}, 1}, // there is room
 		{[]float64{0, 0.25, 0.4}, []float64{0, 0.25, 0.4}, 0},
 	} {
-		m := Near(3)
+		m := IdentityMatrix(3)
 		m[0] = c.row
 		got := s.Round(m, group, []int{c.n, 1, 1})[0]
 		for b := range got {
--- a/internal/cluster/zones/plan/round.go
+++ b/internal/cluster/zones/plan/round.go
@@ -26,18 +26,18 @@
 			if b == z {
 				continue
 			}
-			whole := math.Floor(p*n + slack)
+			whole := math.Floor(p*n + roundingSlack)
 			out[z][b], sum, total = whole/n, sum+p*n, total+whole
-			if p*n-whole > slack {
+			if p*n-whole > roundingSlack {
 				rests = append(rests, rest{z, b, p*n - whole})
 			}
 		}
-		if more[z] = int(math.Ceil(sum - total - 0.5 - slack)); m[z][z] < slack {
-			more[z] = int(math.Ceil(sum - total - slack))
+		if more[z] = int(math.Ceil(sum - total - 0.5 - roundingSlack)); m[z][z] < roundingSlack {
+			more[z] = int(math.Ceil(sum - total - roundingSlack))
 		}
 		out[z][z] += (sum - total) / n
 	}
-	s.whole(out, groups, from)
+	s.returnExcess(out, groups, from)
 	slices.SortStableFunc(rests, func(a, b rest) int {
 		switch {
 		case a.part > b.part:
@@ -54,7 +54,7 @@
 		next, one := out.Clone(), 1/float64(from[r.z])
 		next[r.z][r.b] += one
 		next[r.z][r.z] = max(0, next[r.z][r.z]-one)
-		if s.Allowed(next, groups) && s.Most(next, groups) <= 1+slack {
+		if s.Allowed(next, groups) && s.MaxFill(next, groups) <= 1+roundingSlack {
 			out = next
 			more[r.z]--
 		}
@@ -62,13 +62,13 @@
 	return out
 }
 
-// whole takes poolers away from zones that would be above their safe room, as what others keep near has grown.
-func (s *Settings) whole(m Matrix, groups []Group, from []int) {
+// returnExcess takes poolers away from zones that would be above their safe room, as what others keep near has grown.
+func (s *Settings) returnExcess(m Matrix, groups []Group, from []int) {
 	for b := range m {
-		for s.fits(m, b, groups) < 1 {
+		for s.fittingShare(m, b, groups) < 1 {
 			most := -1
 			for a := range m {
-				if a != b && m[a][b] > slack && (most < 0 || m[a][b] > m[most][b]) {
+				if a != b && m[a][b] > roundingSlack && (most < 0 || m[a][b] > m[most][b]) {
 					most = a
 				}
 			}
@@ -80,7 +80,7 @@
 				back = min(back, 1/float64(n))
 			}
 			m[most][b] = max(0, m[most][b]-back)
-			if m[most][b] < slack {
+			if m[most][b] < roundingSlack {
 				m[most][b] = 0
 			}
 		}
--- a/internal/cluster/zones/planner/chief.go
+++ b/internal/cluster/zones/planner/chief.go
@@ -22,52 +22,52 @@
 
 // Settings say how. Times are in ms.
 type Settings struct {
-	Name   string
-	Of     uint32 // a sum of the zones' names
-	Zones  int
-	Plan   plan.Settings
-	State  health.Settings
-	Stale  float64 // what a pooler told is forgotten
-	Window float64 // over which attempts are counted
-	Memory float64 // over which loads are smoothed
-	Step   float64 // between two steps of a plan
-	Out    float64 // part of a zone's reads that leave in a step
-	Back   float64 // ...and that come back
-	Renew  float64 // between two entries of a plan that does not change
-	Settle float64 // that a new chief listens before it changes anything
-	Late   float64 // after which an entry that was proposed is given up
+	Name            string
+	ZonesHash       uint32 // a sum of the zones' names
+	Zones           int
+	Plan            plan.Settings
+	Health          health.Settings
+	ReportLifetime  float64 // what a pooler told is forgotten
+	Window          float64 // over which attempts are counted
+	LoadMemory      float64 // over which loads are smoothed
+	StepInterval    float64 // between two steps of a plan
+	OutwardShare    float64 // part of a zone's reads that leave in a step
+	ReturnShare     float64 // ...and that come back
+	RenewInterval   float64 // between two entries of a plan that does not change
+	SettleTime      float64 // that a new chief listens before it changes anything
+	ProposalTimeout float64 // after which an entry that was proposed is given up
 }
 
 // Cell is what a pooler saw of a group's servers in a zone, over the last window.
 type Cell struct {
-	Group, Zone int
-	Asked, Lost float64 // attempts a second; lost are those without an answer
-	Cores       float64 // of servers that serve, as far as this pooler knows
-	Whole       float64 // of those that there are when all is well
-	Fixed       float64 // cores that it used there for what only they can do
-	Age         float64 // ms that their data is old
+	Group, Zone    int
+	Attempts, Lost float64 // attempts a second; lost are those without an answer
+	Cores          float64 // of servers that serve, as far as this pooler knows
+	FullCores      float64 // of those that there are when all is well
+	FixedCores     float64 // cores that it used there for what only they can do
+	AgeMs          float64 // ms that their data is old
 }
 
-// Ask is what a pooler's clients ask of a group's reads, in cores.
-type Ask struct {
+// Demand is what a pooler's clients ask of a group's reads, in cores.
+type Demand struct {
 	Group, Class int
 	Load         float64
 }
 
-// Tell is a pooler's word; a long one comes in parts.
-type Tell struct {
-	Zone  int
-	Part  int
-	Cells []Cell
-	Asks  []Ask
+// Report is a pooler's word; a long one comes in parts.
+type Report struct {
+	Zone    int
+	Part    int
+	Cells   []Cell
+	Demands []Demand
 }
 
-type teller struct {
-	at   float64
-	tell Tell
+type reportEntry struct {
+	receivedAt float64
+	report     Report
 }
 
-type key struct {
+type reportKey struct {
 	from uint64
 	part int
 }
@@ -76,193 +76,193 @@
 
 type flow struct{ group, class, zone int }
 
-// Chief is a voter's.
-type Chief struct {
-	set    Settings
-	told   map[key]teller
-	leads  bool
-	from   float64 // it leads since
-	zones  []health.Zone
-	ways   [][]health.Zone
-	loads  map[flow]float64 // smoothed
-	ends   [][2]float64     // by zone of the poolers and of the servers: attempts that ended and were lost, about over Window
-	lookAt float64
-	fine   plan.Matrix // of which the plan is what whole poolers can follow
-	fineOf uint64      // ...as of this plan
-	stepAt float64
-	lastAt float64
-	sent   uint64 // number of the plan that was proposed
-	sentAt float64
-	view   Sight
-	plan   plan.Settings // with the ways as they are
+// Planner is a voter's.
+type Planner struct {
+	settings       Settings
+	reports        map[reportKey]reportEntry
+	leading        bool
+	leadingSince   float64 // it leads since
+	zones          []health.Zone
+	links          [][]health.Zone
+	loads          map[flow]float64 // smoothed
+	outcomes       [][2]float64     // by zone of the poolers and of the servers: attempts that ended and were lost, about over Window
+	lastSample     float64
+	exactMatrix    plan.Matrix // of which the plan is what whole poolers can follow
+	exactPlan      uint64      // ...as of this plan
+	lastStep       float64
+	lastProposal   float64
+	proposedNumber uint64 // number of the plan that was proposed
+	proposedAt     float64
+	snapshot       Snapshot
+	planSettings   plan.Settings // with the ways as they are
 }
 
-// Sight is what a chief made of the last windows, for those who look.
-type Sight struct {
-	Groups []plan.Group
-	Seen   []health.Seen
-	Want   plan.Matrix
-	Short  float64
-	Cross  float64
+// Snapshot is what a chief made of the last windows, for those who look.
+type Snapshot struct {
+	Groups       []plan.Group
+	Observations []health.Observation
+	Target       plan.Matrix
+	Unserved     float64
+	Crossing     float64
 }
 
 // New makes one.
-func New(set Settings) *Chief {
-	c := &Chief{set: set, told: map[key]teller{}, loads: map[flow]float64{}}
-	c.begin(nil, 0)
-	return c
+func New(set Settings) *Planner {
+	planner := &Planner{settings: set, reports: map[reportKey]reportEntry{}, loads: map[flow]float64{}}
+	planner.restoreHealth(nil, 0)
+	return planner
 }
 
-// Sight is what it sees.
-func (c *Chief) Sight() *Sight { return &c.view }
+// Snapshot is what it sees.
+func (planner *Planner) Snapshot() *Snapshot { return &planner.snapshot }
 
 // Zone is how one stands.
-func (c *Chief) Zone(z int) health.Zone { return c.zones[z] }
+func (planner *Planner) Zone(z int) health.Zone { return planner.zones[z] }
 
-// Leads tells whether it takes itself for the one who leads.
-func (c *Chief) Leads() bool { return c.leads }
+// IsLeading tells whether it takes itself for the one who leads.
+func (planner *Planner) IsLeading() bool { return planner.leading }
 
-// begin takes the states that the plan in force has.
-func (c *Chief) begin(p *statemachine.Plan, now float64) {
-	c.zones, c.ways = make([]health.Zone, c.set.Zones), make([][]health.Zone, c.set.Zones)
-	for z := range c.zones {
-		c.zones[z] = health.New(&c.set.State)
-		c.ways[z] = make([]health.Zone, c.set.Zones)
-		for y := range c.ways[z] {
-			c.ways[z][y] = health.New(&c.set.State)
+// restoreHealth takes the states that the plan in force has.
+func (planner *Planner) restoreHealth(p *statemachine.Plan, now float64) {
+	planner.zones, planner.links = make([]health.Zone, planner.settings.Zones), make([][]health.Zone, planner.settings.Zones)
+	for z := range planner.zones {
+		planner.zones[z] = health.New(&planner.settings.Health)
+		planner.links[z] = make([]health.Zone, planner.settings.Zones)
+		for y := range planner.links[z] {
+			planner.links[z][y] = health.New(&planner.settings.Health)
 		}
 	}
-	if p == nil || len(p.Zones) != c.set.Zones {
+	if p == nil || len(p.Zones) != planner.settings.Zones {
 		return
 	}
 	for z, m := range p.Zones {
-		if m.State != health.Serving || m.Rest > c.set.State.Rest {
-			c.zones[z] = health.Resume(m.State, m.Rest, now)
+		if m.State != health.Serving || m.RestMs > planner.settings.Health.MinRest {
+			planner.zones[z] = health.Resume(m.State, m.RestMs, now)
 		}
 	}
-	for _, w := range p.Ways {
-		c.ways[w.From][w.To] = health.Resume(w.State, w.Rest, now)
+	for _, w := range p.Links {
+		planner.links[w.From][w.To] = health.Resume(w.State, w.RestMs, now)
 	}
 }
 
-// Lead tells whether this voter leads, and the plan in force by its book.
-func (c *Chief) Lead(now float64, leads bool, p *statemachine.Plan) {
-	if leads && !c.leads {
-		c.from, c.sent = now, 0
-		clear(c.loads)
-		c.ends = nil
-		c.begin(p, now)
+// SetLeading tells whether this voter leads, and the plan in force by its book.
+func (planner *Planner) SetLeading(now float64, leads bool, p *statemachine.Plan) {
+	if leads && !planner.leading {
+		planner.leadingSince, planner.proposedNumber = now, 0
+		clear(planner.loads)
+		planner.outcomes = nil
+		planner.restoreHealth(p, now)
 	}
-	c.leads = leads
+	planner.leading = leads
 }
 
-// Told takes a pooler's word.
-func (c *Chief) Told(now float64, from uint64, t *Tell) {
-	if t.Zone < c.set.Zones {
-		c.told[key{from, t.Part}] = teller{now, *t}
+// Receive takes a pooler's word.
+func (planner *Planner) Receive(now float64, from uint64, t *Report) {
+	if t.Zone < planner.settings.Zones {
+		planner.reports[reportKey{from, t.Part}] = reportEntry{now, *t}
 	}
 }
 
 // Step looks at everything, and tells what to propose. now is Unix ms, by which orders end.
-func (c *Chief) Step(now float64, b *statemachine.Book) (entries [][]byte) {
-	maps.DeleteFunc(c.told, func(_ key, t teller) bool { return now-t.at > c.set.Stale })
-	if !c.leads {
+func (planner *Planner) Step(now float64, b *statemachine.StateMachine) (entries [][]byte) {
+	maps.DeleteFunc(planner.reports, func(_ reportKey, t reportEntry) bool { return now-t.receivedAt > planner.settings.ReportLifetime })
+	if !planner.leading {
 		return nil
 	}
-	for z := range c.zones {
+	for z := range planner.zones {
 		if o, ok := b.Order(z); ok && o.Until > 0 && now >= o.Until {
-			entries = append(entries, statemachine.EncodeEnd(&o))
+			entries = append(entries, statemachine.EncodeOrderEnd(&o))
 		} else if ok {
-			c.zones[z].Order(now, o.State)
+			planner.zones[z].Order(now, o.State)
 		} else {
-			c.zones[z].Free(now)
+			planner.zones[z].ClearOrder(now)
 		}
 	}
-	if now-c.from >= c.set.Settle {
-		c.look(now, b)
+	if now-planner.leadingSince >= planner.settings.SettleTime {
+		planner.sample(now, b)
 	}
-	if p := c.next(now, b); p != nil {
-		c.sent, c.sentAt = p.No, now
+	if p := planner.nextPlan(now, b); p != nil {
+		planner.proposedNumber, planner.proposedAt = p.Number, now
 		entries = append(entries, statemachine.EncodePlan(p))
 	}
 	return entries
 }
 
-// next is the plan to propose, nil for none.
-func (c *Chief) next(now float64, b *statemachine.Book) *statemachine.Plan {
+// nextPlan is the plan to propose, nil for none.
+func (planner *Planner) nextPlan(now float64, b *statemachine.StateMachine) *statemachine.Plan {
 	last := b.Plan
 	no := uint64(0)
 	if last != nil {
-		no = last.No
+		no = last.Number
 	}
-	if c.sent > no && now-c.sentAt < c.set.Late {
+	if planner.proposedNumber > no && now-planner.proposedAt < planner.settings.ProposalTimeout {
 		return nil // it is on its way
 	}
-	p := &statemachine.Plan{No: no + 1, Version: b.Version, Of: c.set.Of, By: c.set.Name}
-	for z := range c.zones {
-		p.Zones = append(p.Zones, statemachine.Mark{State: c.zones[z].State, Rest: c.zones[z].Rest})
+	p := &statemachine.Plan{Number: no + 1, Version: b.Version, ZonesHash: planner.settings.ZonesHash, Author: planner.settings.Name}
+	for z := range planner.zones {
+		p.Zones = append(p.Zones, statemachine.ZoneStatus{State: planner.zones[z].State, RestMs: planner.zones[z].RestMs})
 	}
-	for a := range c.ways {
-		for b := range c.ways[a] {
-			if w := &c.ways[a][b]; w.State != health.Serving && len(p.Ways) < statemachine.MostWays {
-				p.Ways = append(p.Ways, statemachine.Way{From: a, To: b, Mark: statemachine.Mark{State: w.State, Rest: w.Rest}})
+	for a := range planner.links {
+		for b := range planner.links[a] {
+			if w := &planner.links[a][b]; w.State != health.Serving && len(p.Links) < statemachine.MaxLinks {
+				p.Links = append(p.Links, statemachine.LinkStatus{From: a, To: b, ZoneStatus: statemachine.ZoneStatus{State: w.State, RestMs: w.RestMs}})
 			}
 		}
 	}
-	p.Matrix = plan.Near(c.set.Zones)
-	fits := last != nil && len(last.Matrix) == c.set.Zones
+	p.Matrix = plan.IdentityMatrix(planner.settings.Zones)
+	fits := last != nil && len(last.Matrix) == planner.settings.Zones
 	if fits {
 		p.Matrix = last.Matrix
 	}
-	if c.view.Want != nil && c.from+c.set.Settle <= now {
-		if c.fine == nil || !fits || last.By != c.set.Name || last.No != c.fineOf {
-			c.fine = p.Matrix
+	if planner.snapshot.Target != nil && planner.leadingSince+planner.settings.SettleTime <= now {
+		if planner.exactMatrix == nil || !fits || last.Author != planner.settings.Name || last.Number != planner.exactPlan {
+			planner.exactMatrix = p.Matrix
 		}
-		c.fine = c.step(now, c.fine, last)
-		if c.fineOf = p.No; len(c.view.Groups) > 0 {
-			p.Matrix = c.plan.Round(c.fine, c.view.Groups, c.counts())
+		planner.exactMatrix = planner.stepTowardsTarget(now, planner.exactMatrix, last)
+		if planner.exactPlan = p.Number; len(planner.snapshot.Groups) > 0 {
+			p.Matrix = planner.planSettings.Round(planner.exactMatrix, planner.snapshot.Groups, planner.poolerCounts())
 		} else {
-			p.Matrix = c.fine
+			p.Matrix = planner.exactMatrix
 		}
-		p.Short, p.Most = c.view.Short, c.plan.Most(p.Matrix, c.view.Groups)
+		p.Unserved, p.MaxFill = planner.snapshot.Unserved, planner.planSettings.MaxFill(p.Matrix, planner.snapshot.Groups)
 	} else if fits {
-		p.Zones, p.Ways, p.Short, p.Most = last.Zones, last.Ways, last.Short, last.Most
+		p.Zones, p.Links, p.Unserved, p.MaxFill = last.Zones, last.Links, last.Unserved, last.MaxFill
 	}
-	if fits && last.Same(p) && now-c.lastAt < c.set.Renew {
-		c.fineOf = last.No
+	if fits && last.SameTarget(p) && now-planner.lastProposal < planner.settings.RenewInterval {
+		planner.exactPlan = last.Number
 		return nil
 	}
-	c.lastAt = now
+	planner.lastProposal = now
 	return p
 }
 
-// small is a difference that no plan is made for.
-const small = 0.03
+// smallDifference is a difference that no plan is made for.
+const smallDifference = 0.03
 
-// step goes from the matrix in force towards the one that is wanted.
-func (c *Chief) step(now float64, m plan.Matrix, last *statemachine.Plan) plan.Matrix {
-	safe := c.plan.Allowed(m, c.view.Groups) && c.plan.Most(m, c.view.Groups) <= 1
+// stepTowardsTarget goes from the matrix in force towards the one that is wanted.
+func (planner *Planner) stepTowardsTarget(now float64, m plan.Matrix, last *statemachine.Plan) plan.Matrix {
+	safe := planner.planSettings.Allowed(m, planner.snapshot.Groups) && planner.planSettings.MaxFill(m, planner.snapshot.Groups) <= 1
 	far := 0.0
 	for z := range m {
 		for y := range m[z] {
-			far = max(far, math.Abs(m[z][y]-c.view.Want[z][y]))
+			far = max(far, math.Abs(m[z][y]-planner.snapshot.Target[z][y]))
 		}
 	}
 	edge := false // a share that comes to its end is gone there whole
 	for z := range m {
-		w := c.view.Want[z][z]
+		w := planner.snapshot.Target[z][z]
 		edge = edge || (w == 1 || w == 0) && m[z][z] != w
 	}
-	if safe && (far <= small && !edge || now-c.stepAt < c.set.Step && last != nil) {
+	if safe && (far <= smallDifference && !edge || now-planner.lastStep < planner.settings.StepInterval && last != nil) {
 		return m
 	}
-	c.stepAt = now
-	paces := make([]plan.Pace, len(m))
+	planner.lastStep = now
+	paces := make([]plan.StepLimit, len(m))
 	for z := range paces {
-		paces[z] = plan.Pace{Out: c.set.Out, Back: c.set.Back}
-		if s := &c.view.Seen[z]; c.zones[z].State == health.Evacuated && !c.zones[z].Ordered || c.zones[z].State.Out() && s.Up < gone {
+		paces[z] = plan.StepLimit{Out: planner.settings.OutwardShare, Return: planner.settings.ReturnShare}
+		if s := &planner.snapshot.Observations[z]; planner.zones[z].State == health.Evacuated && !planner.zones[z].Ordered || planner.zones[z].State.Abandoned() && s.ServingShare < emptyZoneShare {
 			paces[z].Out = 1
 		}
 	}
-	return c.plan.Step(m, c.view.Want, c.view.Groups, paces)
+	return planner.planSettings.Step(m, planner.snapshot.Target, planner.snapshot.Groups, paces)
 }
--- a/internal/cluster/zones/planner/chief_test.go
+++ b/internal/cluster/zones/planner/chief_test.go
@@ -22,8 +22,8 @@
 type rig struct {
 	t     *testing.T
 	set   Settings
-	book  *statemachine.Book
-	chief *Chief
+	book  *statemachine.StateMachine
+	chief *Planner
 	now   float64
 	index uint64
 	cores []float64            // that serve
@@ -38,8 +38,8 @@
 }
 
 func settings(zones int) Settings {
-	s := Settings{Name: "a", Of: 1, Zones: zones, State: health.Defaults(), Stale: 1600, Window: 1000, Memory: 3000, Step: 1000, Out: 0.34, Back: 0.1, Renew: 2000, Settle: 1000, Late: 1000}
-	s.Plan = plan.Settings{Classes: []plan.Class{{Worth: 1}}, Price: 1, Spare: 0.2, Tight: 0.2}
+	s := Settings{Name: "a", ZonesHash: 1, Zones: zones, Health: health.Defaults(), ReportLifetime: 1600, Window: 1000, LoadMemory: 3000, StepInterval: 1000, OutwardShare: 0.34, ReturnShare: 0.1, RenewInterval: 2000, SettleTime: 1000, ProposalTimeout: 1000}
+	s.Plan = plan.Settings{Classes: []plan.Class{{Priority: 1}}, CrossingPrice: 1, SpareShare: 0.2, NearSpareShare: 0.2}
 	for a := range zones {
 		s.Plan.Delay = append(s.Plan.Delay, make([]float64, zones))
 		for b := range zones {
@@ -62,12 +62,12 @@
 func (r *rig) elect(name string) {
 	r.set.Name = name
 	r.chief = New(r.set)
-	r.chief.Lead(r.now, true, r.book.Plan)
+	r.chief.SetLeading(r.now, true, r.book.Plan)
 }
 
 func (r *rig) matrix() plan.Matrix {
 	if r.book.Plan == nil {
-		return plan.Near(r.set.Zones)
+		return plan.IdentityMatrix(r.set.Zones)
 	}
 	return r.book.Plan.Matrix
 }
@@ -81,11 +81,11 @@
 		}
 		p := r.book.Plan
 		r.plans = append(r.plans, p)
-		if most := r.chief.plan.Most(p.Matrix, r.chief.view.Groups); len(r.chief.view.Groups) > 0 && r.now-r.chief.from > r.set.Settle && most > 1.02 {
-			r.t.Errorf("at %.0f plan %d has a zone that receives at %.2f of its safe room: %v", r.now-1e6, p.No, most, p.Matrix)
+		if most := r.chief.planSettings.MaxFill(p.Matrix, r.chief.snapshot.Groups); len(r.chief.snapshot.Groups) > 0 && r.now-r.chief.leadingSince > r.set.SettleTime && most > 1.02 {
+			r.t.Errorf("at %.0f plan %d has a zone that receives at %.2f of its safe room: %v", r.now-1e6, p.Number, most, p.Matrix)
 		}
 		for z := range r.out {
-			if o := p.Zones[z].State.Out(); o != r.out[z] {
+			if o := p.Zones[z].State.Abandoned(); o != r.out[z] {
 				r.out[z], r.shift = o, append(r.shift, r.now)
 			}
 		}
@@ -98,26 +98,26 @@
 		if r.dark[a] {
 			continue
 		}
-		t := Tell{Zone: a, Asks: []Ask{{0, 0, r.load[a]}}}
+		t := Report{Zone: a, Demands: []Demand{{0, 0, r.load[a]}}}
 		for b := range n {
-			c := Cell{Zone: b, Cores: r.cores[b], Whole: r.whole[b], Asked: 1 + 100*r.matrix()[a][b]}
-			c.Lost = c.Asked * r.lost[b]
+			c := Cell{Zone: b, Cores: r.cores[b], FullCores: r.whole[b], Attempts: 1 + 100*r.matrix()[a][b]}
+			c.Lost = c.Attempts * r.lost[b]
 			if r.cores[b] == 0 {
-				c.Lost = c.Asked
+				c.Lost = c.Attempts
 			}
 			for _, w := range r.ways {
 				if w == [2]int{a, b} {
-					c.Asked, c.Lost = 30, 30
+					c.Attempts, c.Lost = 30, 30
 				}
 			}
 			t.Cells = append(t.Cells, c)
 		}
 		for i := range t.Cells {
-			t.Cells[i].Asked, t.Cells[i].Lost = t.Cells[i].Asked/poolers, t.Cells[i].Lost/poolers
+			t.Cells[i].Attempts, t.Cells[i].Lost = t.Cells[i].Attempts/poolers, t.Cells[i].Lost/poolers
 		}
-		t.Asks[0].Load /= poolers
+		t.Demands[0].Load /= poolers
 		for i := range poolers {
-			r.chief.Told(r.now, uint64(a*poolers+i+1), &t)
+			r.chief.Receive(r.now, uint64(a*poolers+i+1), &t)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 	if n := len(r.plans); n < 20 || n > 32 {
 		t.Errorf("%d plans in a minute", n)
 	}
-	if c := r.matrix().Cross(r.chief.view.Groups); c != 0 {
+	if c := r.matrix().CrossingShare(r.chief.snapshot.Groups); c != 0 {
 		t.Errorf("%.3f cross", c)
 	}
 }
@@ -159,21 +159,21 @@
 	r.run(10000)
 	r.cores[0] = 0
 	took := r.until(20000, "evacuated", func() bool { return r.matrix()[0][0] == 0 })
-	if bound := r.set.State.Fail + r.set.Window + 2*r.set.Step + 2*period; took > bound {
+	if bound := r.set.Health.FailureTime + r.set.Window + 2*r.set.StepInterval + 2*period; took > bound {
 		t.Errorf("%.0f ms to evacuate, bound %.0f", took, bound)
 	}
 	r.run(20000)
 	r.cores[0] = 10
 	was := 0.0
 	took = r.until(120000, "back", func() bool {
-		if now := r.matrix()[0][0]; now < was-0.001 || now > was+r.set.Back+0.002 {
+		if now := r.matrix()[0][0]; now < was-0.001 || now > was+r.set.ReturnShare+0.002 {
 			t.Fatalf("%.2f near after %.2f", now, was)
 		} else {
 			was = now
 		}
 		return was == 1
 	})
-	if took < r.set.Step/r.set.Back-r.set.Step || r.chief.Zone(0).State != health.Returning && r.chief.Zone(0).State != health.Serving {
+	if took < r.set.StepInterval/r.set.ReturnShare-r.set.StepInterval || r.chief.Zone(0).State != health.Returning && r.chief.Zone(0).State != health.Serving {
 		t.Errorf("back after %.0f ms, %v", took, r.chief.Zone(0).State)
 	}
 }
@@ -185,7 +185,7 @@
 	r.lost[1] = 0.33
 	r.until(20000, "evacuated", func() bool { return r.matrix()[1][1] == 0 })
 	r.run(280000)
-	if n := len(r.shift); n < 3 || n > r.set.State.Shifts(240000)+1 {
+	if n := len(r.shift); n < 3 || n > r.set.Health.MaxShifts(240000)+1 {
 		t.Errorf("%d shifts: %v", n, r.shift)
 	}
 	r.lost[1] = 0
@@ -197,13 +197,13 @@
 	r := newRig(t, 3)
 	r.load = []float64{9, 9, 3}
 	r.run(30000)
-	if c := r.chief; c.Zone(0).State != health.Strained || c.Zone(1).State != health.Strained || r.matrix()[0][2]+r.matrix()[1][2] == 0 || r.book.Plan.Short > 0 {
-		t.Errorf("%v and %v, %v, short %.2f", c.Zone(0).State, c.Zone(1).State, r.matrix(), r.book.Plan.Short)
+	if planner := r.chief; planner.Zone(0).State != health.Strained || planner.Zone(1).State != health.Strained || r.matrix()[0][2]+r.matrix()[1][2] == 0 || r.book.Plan.Unserved > 0 {
+		t.Errorf("%v and %v, %v, short %.2f", planner.Zone(0).State, planner.Zone(1).State, r.matrix(), r.book.Plan.Unserved)
 	}
 	r.cores[2] = 0
 	r.run(30000)
-	if r.book.Plan.Short < 4 || r.matrix()[0][2] > 0 {
-		t.Errorf("short by %.2f, %v", r.book.Plan.Short, r.matrix())
+	if r.book.Plan.Unserved < 4 || r.matrix()[0][2] > 0 {
+		t.Errorf("short by %.2f, %v", r.book.Plan.Unserved, r.matrix())
 	}
 }
 
@@ -237,8 +237,8 @@
 			last, shifts = on, shifts+1
 		}
 	}
-	if shifts == 0 || shifts > r.set.State.Shifts(60000) {
-		t.Errorf("%d shifts in a minute; %d are stated", shifts, r.set.State.Shifts(60000))
+	if shifts == 0 || shifts > r.set.Health.MaxShifts(60000) {
+		t.Errorf("%d shifts in a minute; %d are stated", shifts, r.set.Health.MaxShifts(60000))
 	}
 }
 
@@ -251,21 +251,21 @@
 	r.lost[0] = 0.5
 	r.until(10000, "under way", func() bool { return r.matrix()[0][0] < 1 })
 	late := r.chief
-	r.apply([][]byte{statemachine.EncodeOrder(&statemachine.Order{No: 1, Zone: 2, State: health.Evacuated, Until: r.now + 60000})})
-	if p := r.book.Clone(); p.Apply(1<<40, statemachine.EncodePlan(&statemachine.Plan{No: p.Plan.No + 1, Version: 0, Zones: p.Plan.Zones, Matrix: plan.Near(3)})) {
+	r.apply([][]byte{statemachine.EncodeOrder(&statemachine.Order{Number: 1, Zone: 2, State: health.Evacuated, Until: r.now + 60000})})
+	if p := r.book.Clone(); p.Apply(1<<40, statemachine.EncodePlan(&statemachine.Plan{Number: p.Plan.Number + 1, Version: 0, Zones: p.Plan.Zones, Matrix: plan.IdentityMatrix(3)})) {
 		t.Error("a plan that does not know of the order is taken")
 	}
 	r.elect("b")
 	r.until(20000, "both evacuated", func() bool { return r.matrix()[0][1] == 1 && r.matrix()[2][1] == 1 })
-	no := r.book.Plan.No
-	late.sent = 0
+	no := r.book.Plan.Number
+	late.proposedNumber = 0
 	for _, e := range late.Step(r.now, statemachine.New()) { // it was asleep, and has its book of old
 		if r.index++; r.book.Apply(r.index, e) {
 			t.Error("a plan of old is taken")
 		}
 	}
 	b := statemachine.New()
-	if err := b.Restore(r.book.Snapshot()); err != nil || b.Plan.No != no {
+	if err := b.Restore(r.book.Snapshot()); err != nil || b.Plan.Number != no {
 		t.Fatal(err)
 	}
 	r.book = b
@@ -276,7 +276,7 @@
 		}
 	}
 	r.run(20000)
-	if o, ok := r.book.Order(2); !ok || o.No != 1 || r.matrix()[2][2] != 0 {
+	if o, ok := r.book.Order(2); !ok || o.Number != 1 || r.matrix()[2][2] != 0 {
 		t.Errorf("%+v stands", o)
 	}
 	r.until(60000, "the order's end", func() bool { _, ok := r.book.Order(2); return !ok })
@@ -294,8 +294,8 @@
 	r.until(60000, "half way", func() bool { return r.matrix()[0][0] > 0.4 })
 	r.load = []float64{6, 6}
 	r.run(60000)
-	if m := r.matrix(); m[0][0] != 1 || r.book.Plan.Short > 0 {
-		t.Errorf("%v, short %.2f", m, r.book.Plan.Short)
+	if m := r.matrix(); m[0][0] != 1 || r.book.Plan.Unserved > 0 {
+		t.Errorf("%v, short %.2f", m, r.book.Plan.Unserved)
 	}
 }
 
@@ -310,35 +310,35 @@
 		return float64(m.HeapAlloc) / (1 << 20)
 	}
 	before := heap()
-	c, bk := New(set), statemachine.New()
-	c.Lead(1, true, nil)
+	planner, bk := New(set), statemachine.New()
+	planner.SetLeading(1, true, nil)
 	now, took := 1.0, []float64{}
 	for range b.N {
 		for p := range uint64(90) {
-			t := &Tell{Zone: int(p % 9)}
+			t := &Report{Zone: int(p % 9)}
 			for g := range 20 {
 				for z := range 9 {
-					x := Cell{Group: g, Zone: z, Asked: 3, Cores: 4, Whole: 4}
+					x := Cell{Group: g, Zone: z, Attempts: 3, Cores: 4, FullCores: 4}
 					if z == 0 && len(took)%2 == 1 {
 						x.Cores, x.Lost = 0, 3
 					}
 					t.Cells = append(t.Cells, x)
 				}
-				t.Asks = append(t.Asks, Ask{Group: g, Load: 0.1})
+				t.Demands = append(t.Demands, Demand{Group: g, Load: 0.1})
 			}
-			c.Told(now, p, t)
+			planner.Receive(now, p, t)
 		}
 		from := time.Now()
-		entries := c.Step(now, bk)
+		entries := planner.Step(now, bk)
 		took = append(took, float64(time.Since(from).Microseconds())/1000)
 		for i, e := range entries {
 			bk.Apply(bk.Index+uint64(i)+1, e)
 		}
-		now += set.Step / 4
+		now += set.StepInterval / 4
 	}
 	slices.Sort(took)
 	b.ReportMetric(heap()-before, "MB-kept")
-	runtime.KeepAlive(c)
+	runtime.KeepAlive(planner)
 	b.ReportMetric(took[len(took)/2], "p50-ms")
 	b.ReportMetric(took[len(took)*99/100], "p99-ms")
 }
--- a/internal/cluster/zones/planner/look.go
+++ b/internal/cluster/zones/planner/look.go
@@ -12,63 +12,63 @@
 )
 
 const (
-	gone    = 0.05 // a zone with less of its servers than this is left at once
-	coldBy  = 0.25 // of a zone's room is there when it begins to return
-	atOnce  = 1.0
-	fewAsks = 1e-9
+	emptyZoneShare         = 0.05 // a zone with less of its servers than this is left at once
+	returningCapacityShare = 0.25 // of a zone's room is there when it begins to return
+	fullCapacityShare      = 1.0
+	minAttempts            = 1e-9
 )
 
-// look makes a picture of what was told, and has the zones and ways take it.
-func (c *Chief) look(now float64, b *statemachine.Book) {
-	c.view = Sight{Seen: make([]health.Seen, c.set.Zones)}
-	groups, cells := c.gather()
-	c.smooth(now, groups)
-	c.count(now, cells)
-	for z := range c.zones {
-		c.view.Seen[z] = c.seen(z, cells)
+// sample makes a picture of what was told, and has the zones and ways take it.
+func (planner *Planner) sample(now float64, b *statemachine.StateMachine) {
+	planner.snapshot = Snapshot{Observations: make([]health.Observation, planner.settings.Zones)}
+	groups, cells := planner.collectCells()
+	planner.smoothLoads(now, groups)
+	planner.countOutcomes(now, cells)
+	for z := range planner.zones {
+		planner.snapshot.Observations[z] = planner.observeZone(z, cells)
 	}
-	c.plan = c.set.Plan
-	c.plan.Delay = make([][]float64, c.set.Zones)
-	for z := range c.plan.Delay {
-		c.plan.Delay[z] = slices.Clone(c.set.Plan.Delay[z])
+	planner.planSettings = planner.settings.Plan
+	planner.planSettings.Delay = make([][]float64, planner.settings.Zones)
+	for z := range planner.planSettings.Delay {
+		planner.planSettings.Delay[z] = slices.Clone(planner.settings.Plan.Delay[z])
 	}
-	c.fill(groups, cells, now)
-	for z := range c.zones {
-		c.view.Seen[z].Load = c.load(z)
-		c.zones[z].Step(&c.set.State, now, &c.view.Seen[z])
+	planner.fillGroups(groups, cells, now)
+	for z := range planner.zones {
+		planner.snapshot.Observations[z].Load = planner.nearLoad(z)
+		planner.zones[z].Step(&planner.settings.Health, now, &planner.snapshot.Observations[z])
 	}
-	for a := range c.ways {
-		for b := range c.ways[a] {
+	for a := range planner.links {
+		for b := range planner.links[a] {
 			if a == b {
 				continue
 			}
-			w := &c.ways[a][b]
-			e := c.way(a, b)
-			if w.Step(&c.set.State, now, &e); w.State.Out() {
-				c.plan.Delay[a][b] = math.Inf(1)
+			w := &planner.links[a][b]
+			e := planner.observeLink(a, b)
+			if w.Step(&planner.settings.Health, now, &e); w.State.Abandoned() {
+				planner.planSettings.Delay[a][b] = math.Inf(1)
 			}
 		}
 	}
-	c.fill(groups, cells, now)
-	var answers []plan.Answer
-	for i := range c.view.Groups {
-		answers = append(answers, c.plan.Solve(&c.view.Groups[i]))
+	planner.fillGroups(groups, cells, now)
+	var answers []plan.Solution
+	for i := range planner.snapshot.Groups {
+		answers = append(answers, planner.planSettings.Solve(&planner.snapshot.Groups[i]))
 	}
-	c.view.Want, c.view.Short = c.plan.Fold(c.view.Groups, answers)
-	c.view.Cross = c.view.Want.Cross(c.view.Groups)
+	planner.snapshot.Target, planner.snapshot.Unserved = planner.planSettings.Fold(planner.snapshot.Groups, answers)
+	planner.snapshot.Crossing = planner.snapshot.Target.CrossingShare(planner.snapshot.Groups)
 }
 
-// gather sorts what was told: which groups there are, and what each zone's poolers say of each cell.
-func (c *Chief) gather() (groups []int, sorted []words) {
-	by := map[cell][]seenBy{}
-	for _, k := range slices.SortedFunc(maps.Keys(c.told), func(a, b key) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.part, b.part)) }) {
-		t := c.told[k]
-		for _, x := range t.tell.Cells {
-			if x.Zone < 0 || x.Zone >= c.set.Zones {
+// collectCells sorts what was told: which groups there are, and what each zone's poolers say of each cell.
+func (planner *Planner) collectCells() (groups []int, sorted []cellReports) {
+	by := map[cell][]reportedCell{}
+	for _, k := range slices.SortedFunc(maps.Keys(planner.reports), func(a, b reportKey) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.part, b.part)) }) {
+		t := planner.reports[k]
+		for _, x := range t.report.Cells {
+			if x.Zone < 0 || x.Zone >= planner.settings.Zones {
 				continue
 			}
 			at := cell{x.Group, x.Zone}
-			by[at] = append(by[at], seenBy{t.tell.Zone, x})
+			by[at] = append(by[at], reportedCell{t.report.Zone, x})
 			if !slices.Contains(groups, x.Group) {
 				groups = append(groups, x.Group)
 			}
@@ -76,55 +76,55 @@
 	}
 	slices.Sort(groups)
 	for _, at := range slices.SortedFunc(maps.Keys(by), func(a, b cell) int { return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.zone, b.zone)) }) {
-		sorted = append(sorted, words{at, by[at]})
+		sorted = append(sorted, cellReports{at, by[at]})
 	}
 	return groups, sorted
 }
 
-// words are what all say of a cell.
-type words struct {
+// cellReports are what all say of a cell.
+type cellReports struct {
 	cell
-	all []seenBy
+	reports []reportedCell
 }
 
-type seenBy struct {
+type reportedCell struct {
 	zone int
 	Cell
 }
 
-// smooth follows what is asked. A load that grows is taken at once, as plans must be safe; one that falls fades.
-func (c *Chief) smooth(now float64, groups []int) {
+// smoothLoads follows what is asked. A load that grows is taken at once, as plans must be safe; one that falls fades.
+func (planner *Planner) smoothLoads(now float64, groups []int) {
 	sums := map[flow]float64{}
-	for _, k := range slices.SortedFunc(maps.Keys(c.told), func(a, b key) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.part, b.part)) }) {
-		t := c.told[k]
-		for _, a := range t.tell.Asks {
-			if a.Class >= 0 && a.Class < len(c.set.Plan.Classes) && slices.Contains(groups, a.Group) {
-				sums[flow{a.Group, a.Class, t.tell.Zone}] += max(0, a.Load)
+	for _, k := range slices.SortedFunc(maps.Keys(planner.reports), func(a, b reportKey) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.part, b.part)) }) {
+		t := planner.reports[k]
+		for _, a := range t.report.Demands {
+			if a.Class >= 0 && a.Class < len(planner.settings.Plan.Classes) && slices.Contains(groups, a.Group) {
+				sums[flow{a.Group, a.Class, t.report.Zone}] += max(0, a.Load)
 			}
 		}
 	}
-	fade := math.Exp(-1 / max(1, c.set.Memory/c.set.lookEach()))
-	for k, was := range c.loads {
-		c.loads[k] = was * fade
-		if sums[k] == 0 && c.loads[k] < plan.Unit {
-			delete(c.loads, k)
+	fade := math.Exp(-1 / max(1, planner.settings.LoadMemory/planner.settings.sampleInterval()))
+	for k, was := range planner.loads {
+		planner.loads[k] = was * fade
+		if sums[k] == 0 && planner.loads[k] < plan.Unit {
+			delete(planner.loads, k)
 		}
 	}
 	for k, x := range sums {
-		c.loads[k] += x * (1 - fade)
-		if x > c.loads[k]*(1+small) {
-			c.loads[k] += (x - c.loads[k]) * rise
+		planner.loads[k] += x * (1 - fade)
+		if x > planner.loads[k]*(1+smallDifference) {
+			planner.loads[k] += (x - planner.loads[k]) * loadIncreaseShare
 		}
 	}
 }
 
-const rise = 0.15 // of what a load has grown is taken in a look
+const loadIncreaseShare = 0.15 // of what a load has grown is taken in a look
 
-func (s *Settings) lookEach() float64 { return max(1, s.Step/4) }
+func (s *Settings) sampleInterval() float64 { return max(1, s.StepInterval/4) }
 
-// best are the words on a cell that count: of the zone's own poolers, else of all.
-func best(all []seenBy, zone int) []seenBy {
-	own := make([]seenBy, 0, len(all))
+// relevantReports are the words on a cell that count: of the zone's own poolers, else of all.
+func relevantReports(all []reportedCell, zone int) []reportedCell {
+	own := make([]reportedCell, 0, len(all))
 	for _, x := range all {
 		if x.zone == zone {
 			own = append(own, x)
@@ -136,135 +136,135 @@
 	return all
 }
 
-// count follows how attempts end, over a window: one word of a pooler has few.
-func (c *Chief) count(now float64, by []words) {
-	n := c.set.Zones
-	if len(c.ends) != n*n {
-		c.ends, c.lookAt = make([][2]float64, n*n), now
+// countOutcomes follows how attempts end, over a window: one word of a pooler has few.
+func (planner *Planner) countOutcomes(now float64, by []cellReports) {
+	n := planner.settings.Zones
+	if len(planner.outcomes) != n*n {
+		planner.outcomes, planner.lastSample = make([][2]float64, n*n), now
 	}
-	fade := math.Exp(-(now - c.lookAt) / max(1, c.set.Window))
-	c.lookAt = now
+	fade := math.Exp(-(now - planner.lastSample) / max(1, planner.settings.Window))
+	planner.lastSample = now
 	sums := make([][2]float64, n*n)
 	for _, w := range by {
-		for _, x := range w.all {
-			sums[x.zone*n+w.zone][0] += x.Asked
+		for _, x := range w.reports {
+			sums[x.zone*n+w.zone][0] += x.Attempts
 			sums[x.zone*n+w.zone][1] += x.Lost
 		}
 	}
 	for i := range sums {
 		for k := range 2 {
-			c.ends[i][k] = c.ends[i][k]*fade + sums[i][k]*c.set.Window/1000*(1-fade)
+			planner.outcomes[i][k] = planner.outcomes[i][k]*fade + sums[i][k]*planner.settings.Window/1000*(1-fade)
 		}
 	}
 }
 
-// seen is what there is to say of a zone: what its own poolers see, where they ask enough.
-func (c *Chief) seen(z int, by []words) (e health.Seen) {
-	var far health.Seen
+// observeZone is what there is to say of a zone: what its own poolers see, where they ask enough.
+func (planner *Planner) observeZone(z int, by []cellReports) (e health.Observation) {
+	var far health.Observation
 	up, whole := 0.0, 0.0
-	e.Dark = true
+	e.Unobserved = true
 	for _, w := range by {
 		if w.zone == z {
-			e.Dark = false
-			cores, most := middle(best(w.all, z))
+			e.Unobserved = false
+			cores, most := medianCores(relevantReports(w.reports, z))
 			up, whole = up+cores, whole+most
 		}
 	}
-	for a := range c.set.Zones {
-		if x := c.ends[a*c.set.Zones+z]; a == z {
-			e.Asked, e.Lost = x[0], x[1]
+	for a := range planner.settings.Zones {
+		if x := planner.outcomes[a*planner.settings.Zones+z]; a == z {
+			e.Attempts, e.Lost = x[0], x[1]
 		} else {
-			far.Asked, far.Lost = far.Asked+x[0], far.Lost+x[1]
+			far.Attempts, far.Lost = far.Attempts+x[0], far.Lost+x[1]
 		}
 	}
-	if e.Asked < c.set.State.Least && (len(c.poolers(z)) == 0 || far.Lost < c.set.State.FailAt*far.Asked) {
-		e.Asked, e.Lost = far.Asked, far.Lost
+	if e.Attempts < planner.settings.Health.MinAttempts && (len(planner.poolers(z)) == 0 || far.Lost < planner.settings.Health.FailingLossShare*far.Attempts) {
+		e.Attempts, e.Lost = far.Attempts, far.Lost
 	}
-	if e.Up = 1; whole > 0 {
-		e.Up = up / whole
+	if e.ServingShare = 1; whole > 0 {
+		e.ServingShare = up / whole
 	}
 	return e
 }
 
 // poolers are those of a zone that have told something lately.
-func (c *Chief) poolers(z int) (out []uint64) {
-	for k, t := range c.told {
-		if t.tell.Zone == z && !slices.Contains(out, k.from) {
+func (planner *Planner) poolers(z int) (out []uint64) {
+	for k, t := range planner.reports {
+		if t.report.Zone == z && !slices.Contains(out, k.from) {
 			out = append(out, k.from)
 		}
 	}
 	return out
 }
 
-// counts are how many poolers of each zone have told something lately.
-func (c *Chief) counts() []int {
-	n := make([]int, c.set.Zones)
+// poolerCounts are how many poolers of each zone have told something lately.
+func (planner *Planner) poolerCounts() []int {
+	n := make([]int, planner.settings.Zones)
 	for z := range n {
-		n[z] = len(c.poolers(z))
+		n[z] = len(planner.poolers(z))
 	}
 	return n
 }
 
-// middle is the median of what is said of a cell's cores.
-func middle(all []seenBy) (cores, whole float64) {
+// medianCores is the median of what is said of a cell's cores.
+func medianCores(all []reportedCell) (cores, whole float64) {
 	var a, b []float64
 	for _, x := range all {
-		a, b = append(a, x.Cores), append(b, x.Whole)
+		a, b = append(a, x.Cores), append(b, x.FullCores)
 	}
 	slices.Sort(a)
 	slices.Sort(b)
 	return a[len(a)/2], b[len(b)/2]
 }
 
-// way is what there is to say of one: what one zone's poolers see of another that is well by its own.
-func (c *Chief) way(a, b int) (e health.Seen) {
-	x := c.ends[a*c.set.Zones+b]
-	e.Up, e.Asked, e.Lost = 1, x[0], x[1]
-	z := &c.view.Seen[b]
-	e.Dark = c.set.State.Bad(z) || z.Asked < fewAsks && e.Asked < fewAsks
+// observeLink is what there is to say of one: what one zone's poolers see of another that is well by its own.
+func (planner *Planner) observeLink(a, b int) (e health.Observation) {
+	x := planner.outcomes[a*planner.settings.Zones+b]
+	e.ServingShare, e.Attempts, e.Lost = 1, x[0], x[1]
+	z := &planner.snapshot.Observations[b]
+	e.Unobserved = planner.settings.Health.IsFailure(z) || z.Attempts < minAttempts && e.Attempts < minAttempts
 	return e
 }
 
-// fill makes the groups that are to be solved.
-func (c *Chief) fill(groups []int, by []words, now float64) {
-	c.view.Groups = c.view.Groups[:0]
+// fillGroups makes the groups that are to be solved.
+func (planner *Planner) fillGroups(groups []int, by []cellReports, now float64) {
+	planner.snapshot.Groups = planner.snapshot.Groups[:0]
 	for _, id := range groups {
 		g := plan.Group{}
-		for z := range c.zones {
-			for class := range c.set.Plan.Classes {
-				if x := c.loads[flow{id, class, z}]; x > 0 {
+		for z := range planner.zones {
+			for class := range planner.settings.Plan.Classes {
+				if x := planner.loads[flow{id, class, z}]; x > 0 {
 					g.Flows = append(g.Flows, plan.Flow{Class: class, Zone: z, Load: x})
 				}
 			}
-			r := plan.Room{}
-			if i := slices.IndexFunc(by, func(w words) bool { return w.cell == cell{id, z} }); i >= 0 {
-				all := by[i].all
-				r.Cores, _ = middle(best(all, z))
+			r := plan.Capacity{}
+			if i := slices.IndexFunc(by, func(w cellReports) bool { return w.cell == cell{id, z} }); i >= 0 {
+				all := by[i].reports
+				r.Cores, _ = medianCores(relevantReports(all, z))
 				for _, x := range all {
-					r.Fixed += x.Fixed
+					r.FixedCores += x.FixedCores
 				}
-				r.Age = best(all, z)[0].Age
+				r.Age = relevantReports(all, z)[0].AgeMs
 			}
-			s := &c.zones[z]
-			r.Keeps, r.Takes = !s.State.Out(), s.State == health.Serving
-			r.Cores *= coldBy + (atOnce-coldBy)*s.Warmed(&c.set.State, now)
-			g.Rooms = append(g.Rooms, r)
+			s := &planner.zones[z]
+			r.ServesNear, r.ServesRemote = !s.State.Abandoned(), s.State == health.Serving
+			r.Cores *= returningCapacityShare + (fullCapacityShare-returningCapacityShare)*s.RecoveredShare(&planner.settings.Health, now)
+			g.Capacities = append(g.Capacities, r)
 		}
-		c.view.Groups = append(c.view.Groups, g)
+		planner.snapshot.Groups = append(planner.snapshot.Groups, g)
 	}
 }
 
-// load is the largest part of its safe room that a group's near reads fill in a zone.
-func (c *Chief) load(z int) (most float64) {
-	for i := range c.view.Groups {
-		g, near := &c.view.Groups[i], 0.0
+// nearLoad is the largest part of its safe room that a group's near reads fill in a zone.
+func (planner *Planner) nearLoad(z int) (most float64) {
+	for i := range planner.snapshot.Groups {
+		g, near := &planner.snapshot.Groups[i], 0.0
 		for _, f := range g.Flows {
 			if f.Zone == z {
 				near += f.Load
 			}
 		}
 		if near > 0 {
-			most = max(most, near/max(c.set.Plan.Safe(&g.Rooms[z]), plan.Unit))
+			most = max(most, near/max(planner.settings.Plan.SafeCapacity(&g.Capacities[z]), plan.Unit))
 		}
 	}
 	return most
--- a/internal/cluster/zones/statemachine/book.go
+++ b/internal/cluster/zones/statemachine/book.go
@@ -19,100 +19,100 @@
 
 // Bounds of what is taken.
 const (
-	MostZones = 27
-	MostName  = 64
-	MostWays  = 64 // ways between zones that are not as usual
+	MaxZones     = 27
+	MaxNameBytes = 64
+	MaxLinks     = 64 // ways between zones that are not as usual
 )
 
-// ErrForm is of an entry that cannot be read.
-var ErrForm = errors.New("no entry about zones")
+// ErrMalformed is of an entry that cannot be read.
+var ErrMalformed = errors.New("no entry about zones")
 
-// Mark is how a zone, or a way, stands by a plan.
-type Mark struct {
-	State health.State
-	Rest  float64 // ms, the next one's, in whole seconds
+// ZoneStatus is how a zone, or a way, stands by a plan.
+type ZoneStatus struct {
+	State  health.State
+	RestMs float64 // ms, the next one's, in whole seconds
 }
 
-// Way is one between two zones that does not stand as usual.
-type Way struct {
+// LinkStatus is one between two zones that does not stand as usual.
+type LinkStatus struct {
 	From, To int
-	Mark
+	ZoneStatus
 }
 
 // Plan is what the fleet does. Shares are in thousandths, rounded so that nothing more than was meant goes anywhere else.
 type Plan struct {
-	No      uint64
-	Since   uint64 // the number from which on plans asked for the same; the log's order says it
-	Version uint64 // of the orders that it was made with
-	Of      uint32 // a sum of the zones' names: a pooler that has others does not follow
-	By      string // the voter that made it
-	Zones   []Mark
-	Ways    []Way
-	Matrix  plan.Matrix
-	Short   float64 // cores of work without safe room, in thousandths
-	Most    float64 // the largest part of its safe room that a zone gets which receives, in thousandths
+	Number    uint64
+	Since     uint64 // the number from which on plans asked for the same; the log's order says it
+	Version   uint64 // of the orders that it was made with
+	ZonesHash uint32 // a sum of the zones' names: a pooler that has others does not follow
+	Author    string // the voter that made it
+	Zones     []ZoneStatus
+	Links     []LinkStatus
+	Matrix    plan.Matrix
+	Unserved  float64 // cores of work without safe room, in thousandths
+	MaxFill   float64 // the largest part of its safe room that a zone gets which receives, in thousandths
 }
 
-// Same tells whether two plans ask for the same.
-func (p *Plan) Same(o *Plan) bool {
+// SameTarget tells whether two plans ask for the same.
+func (p *Plan) SameTarget(o *Plan) bool {
 	a, b := *p, *o
-	a.No, b.No, a.Since, b.Since, a.By, b.By, a.Short, b.Short, a.Most, b.Most = 0, 0, 0, 0, "", "", 0, 0, 0, 0
+	a.Number, b.Number, a.Since, b.Since, a.Author, b.Author, a.Unserved, b.Unserved, a.MaxFill, b.MaxFill = 0, 0, 0, 0, "", "", 0, 0, 0, 0
 	return string(a.append(nil)) == string(b.append(nil))
 }
 
 // Order is an operators' word on a zone.
 type Order struct {
-	No    uint64
-	Zone  int
-	Lifts bool // none holds from here on
-	State health.State
-	Until float64 // Unix ms, whole; 0 for until it is taken back
+	Number uint64
+	Zone   int
+	Lifts  bool // none holds from here on
+	State  health.State
+	Until  float64 // Unix ms, whole; 0 for until it is taken back
 }
 
-// Book is what was agreed.
-type Book struct {
-	Index   uint64
-	Plan    *Plan // nil before the first
-	Version uint64
-	Checks  *invariant.Checks
-	Sloppy  bool // a mutant: any plan is taken
+// StateMachine is what was agreed.
+type StateMachine struct {
+	Index          uint64
+	Plan           *Plan // nil before the first
+	Version        uint64
+	Checks         *invariant.Checks
+	AcceptsAnyPlan bool // a mutant: any plan is taken
 
-	orders [MostZones]Order // by zone: the newest
-	stands [MostZones]bool
+	orders [MaxZones]Order // by zone: the newest
+	active [MaxZones]bool
 }
 
 // New makes an empty book.
-func New() *Book { return &Book{} }
+func New() *StateMachine { return &StateMachine{} }
 
 // Order is the one that stands for a zone.
-func (b *Book) Order(zone int) (o Order, ok bool) {
-	if zone < 0 || zone >= MostZones || !b.stands[zone] {
+func (machine *StateMachine) Order(zone int) (o Order, ok bool) {
+	if zone < 0 || zone >= MaxZones || !machine.active[zone] {
 		return Order{}, false
 	}
-	return b.orders[zone], true
+	return machine.orders[zone], true
 }
 
-// Newest is the number of a zone's newest order.
-func (b *Book) Newest(zone int) uint64 { return b.orders[zone].No }
+// NewestOrder is the number of a zone's newest order.
+func (machine *StateMachine) NewestOrder(zone int) uint64 { return machine.orders[zone].Number }
 
 // What an entry is.
 const (
-	entryPlan  = 1
-	entryOrder = 2
-	entryEnd   = 3
+	entryPlan     = 1
+	entryOrder    = 2
+	entryOrderEnd = 3
 )
 
-// EncodePlan, EncodeOrder and EncodeEnd make entries. An order's end is that of its number.
-func EncodePlan(p *Plan) []byte   { return p.append([]byte{entryPlan}) }
-func EncodeOrder(o *Order) []byte { return o.append([]byte{entryOrder}) }
-func EncodeEnd(o *Order) []byte   { return o.append([]byte{entryEnd}) }
+// EncodePlan, EncodeOrder and EncodeOrderEnd make entries. An order's end is that of its number.
+func EncodePlan(p *Plan) []byte      { return p.append([]byte{entryPlan}) }
+func EncodeOrder(o *Order) []byte    { return o.append([]byte{entryOrder}) }
+func EncodeOrderEnd(o *Order) []byte { return o.append([]byte{entryOrderEnd}) }
 
 // Apply takes an entry, once, and tells whether it changed anything. One that cannot be read does not.
-func (b *Book) Apply(index uint64, entry []byte) bool {
-	if index <= b.Index {
+func (machine *StateMachine) Apply(index uint64, entry []byte) bool {
+	if index <= machine.Index {
 		return false
 	}
-	b.Index = index
+	machine.Index = index
 	if len(entry) == 0 {
 		return false
 	}
@@ -123,45 +123,45 @@
 		if !r.AtEnd() {
 			return false
 		}
-		return b.take(p)
-	case entryOrder, entryEnd:
+		return machine.applyPlan(p)
+	case entryOrder, entryOrderEnd:
 		o := r.order()
 		if !r.AtEnd() {
 			return false
 		}
-		return b.order(o, entry[0] == entryEnd)
+		return machine.applyOrder(o, entry[0] == entryOrderEnd)
 	}
 	return false
 }
 
-func (b *Book) take(p *Plan) bool {
+func (machine *StateMachine) applyPlan(p *Plan) bool {
 	last := uint64(0)
-	if b.Plan != nil {
-		last = b.Plan.No
+	if machine.Plan != nil {
+		last = machine.Plan.Number
 	}
-	if (p.No != last+1 || p.Version != b.Version) && !b.Sloppy {
+	if (p.Number != last+1 || p.Version != machine.Version) && !machine.AcceptsAnyPlan {
 		return false
 	}
-	if b.Checks.Enabled() {
-		b.Checks.That(p.No > last, "zones: no old plan after a new one", func() string { return describe(b.Plan, p) })
+	if machine.Checks.Enabled() {
+		machine.Checks.That(p.Number > last, "zones: no old plan after a new one", func() string { return describe(machine.Plan, p) })
 	}
-	if p.Since = p.No; b.Plan != nil && b.Plan.Same(p) {
-		p.Since = b.Plan.Since
+	if p.Since = p.Number; machine.Plan != nil && machine.Plan.SameTarget(p) {
+		p.Since = machine.Plan.Since
 	}
-	b.Plan = p
+	machine.Plan = p
 	return true
 }
 
-func (b *Book) order(o Order, end bool) bool {
-	at := &b.orders[o.Zone]
+func (machine *StateMachine) applyOrder(o Order, end bool) bool {
+	at := &machine.orders[o.Zone]
 	switch {
-	case end && (o.No != at.No || !b.stands[o.Zone]), !end && o.No <= at.No:
+	case end && (o.Number != at.Number || !machine.active[o.Zone]), !end && o.Number <= at.Number:
 		return false
 	case end:
-		b.stands[o.Zone] = false
+		machine.active[o.Zone] = false
 	default:
-		*at, b.stands[o.Zone] = o, !o.Lifts
+		*at, machine.active[o.Zone] = o, !o.Lifts
 	}
-	b.Version++
+	machine.Version++
 	return true
 }
--- a/internal/cluster/zones/statemachine/bytes_test.go
+++ b/internal/cluster/zones/statemachine/bytes_test.go
@@ -8,12 +8,12 @@
 )
 
 // wholeBook has something in each field.
-func wholeBook() *Book {
-	b := &Book{Index: 300, Version: 2, Plan: &Plan{No: 1, Since: 2, Version: 3, Of: 4, By: "voter", Zones: []Mark{{State: health.Returning, Rest: 5000}, {}},
-		Ways: []Way{{From: 1, To: 0, Mark: Mark{Rest: 6000}}}, Matrix: [][]float64{{0.5, 0.5}, {0, 1}}, Short: 1.5, Most: 0.25}}
-	b.orders[1], b.stands[1] = Order{No: 7, Zone: 1, Lifts: true, State: health.Returning, Until: 8e5}, true
-	b.orders[3] = Order{No: 6, Zone: 3}
-	return b
+func wholeBook() *StateMachine {
+	machine := &StateMachine{Index: 300, Version: 2, Plan: &Plan{Number: 1, Since: 2, Version: 3, ZonesHash: 4, Author: "voter", Zones: []ZoneStatus{{State: health.Returning, RestMs: 5000}, {}},
+		Links: []LinkStatus{{From: 1, To: 0, ZoneStatus: ZoneStatus{RestMs: 6000}}}, Matrix: [][]float64{{0.5, 0.5}, {0, 1}}, Unserved: 1.5, MaxFill: 0.25}}
+	machine.orders[1], machine.active[1] = Order{Number: 7, Zone: 1, Lifts: true, State: health.Returning, Until: 8e5}, true
+	machine.orders[3] = Order{Number: 6, Zone: 3}
+	return machine
 }
 
 // TestBytes: a snapshot's bytes, with a plan and orders, are what poolers of other versions read.
@@ -23,7 +23,7 @@
 	if got := hex.EncodeToString(b); got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
-	n := &Book{}
+	n := &StateMachine{}
 	if err := n.Restore(b); err != nil || hex.EncodeToString(n.Snapshot()) != want {
 		t.Errorf("restored as %x, %v", n.Snapshot(), err)
 	}
@@ -32,7 +32,7 @@
 	}
 	p := wholeBook().Plan.Append(nil)
 	for cut := range p {
-		if x, err := ReadPlan(p[:cut]); err == nil {
+		if x, err := DecodePlan(p[:cut]); err == nil {
 			t.Errorf("a plan cut at %d is read as %+v", cut, x)
 		}
 	}
--- a/internal/settings/zones.go
+++ b/internal/settings/zones.go
@@ -42,48 +42,48 @@
 func (z *Zones) read(node *sexp.Node, env func(string) string) error {
 	*z = Zones{Enabled: true, Settings: zones.Defaults()}
 	s := &z.Settings
-	planner := &s.Chief
-	state := &planner.State
+	planner := &s.Planner
+	state := &planner.Health
 	var delays []*sexp.Node // read once all zones are named
 	err := sexp.Schema{
 		"names":     z.readNames,
 		"delay":     func(node *sexp.Node) error { delays = append(delays, node); return nil },
 		"order":     z.readOrder,
 		"dir":       folderPath(&z.Dir, env),
-		"cores":     number(&s.Cores, zoneCores),
-		"price":     number(&s.Price, zonePrices),
-		"spare":     number(&planner.Plan.Spare, zoneReserves),
-		"tight":     number(&planner.Plan.Tight, zoneReserves),
-		"period":    duration(&s.Period, zonePeriods),
-		"life":      duration(&s.Life, planLifetimes),
-		"renew":     duration(&planner.Renew, planIntervals),
-		"step":      duration(&planner.Step, planIntervals),
-		"out":       number(&planner.Out, planSteps),
-		"back":      number(&planner.Back, planSteps),
+		"cores":     number(&s.CoresPerSize, zoneCores),
+		"price":     number(&s.CrossingPrice, zonePrices),
+		"spare":     number(&planner.Plan.SpareShare, zoneReserves),
+		"tight":     number(&planner.Plan.NearSpareShare, zoneReserves),
+		"period":    duration(&s.ReportInterval, zonePeriods),
+		"life":      duration(&s.PlanLifetime, planLifetimes),
+		"renew":     duration(&planner.RenewInterval, planIntervals),
+		"step":      duration(&planner.StepInterval, planIntervals),
+		"out":       number(&planner.OutwardShare, planSteps),
+		"back":      number(&planner.ReturnShare, planSteps),
 		"window":    duration(&planner.Window, planIntervals),
-		"memory":    duration(&planner.Memory, planMemories),
-		"least":     number(&state.Least, minZoneRequests),
-		"fail-at":   number(&state.FailAt, zoneFailureParts),
-		"well-at":   number(&state.WellAt, zoneRecoveryParts),
-		"up-at":     number(&state.UpAt, zoneRecoveryParts),
-		"fail":      duration(&state.Fail, zoneFailureTimes),
-		"empty":     duration(&state.Empty, zoneEmptyTimes),
-		"rest":      duration(&state.Rest, zoneRestTimes),
-		"most-rest": duration(&state.MostRest, zoneMaxRestTimes),
-		"warm":      duration(&state.Warm, zoneWarmupTimes),
+		"memory":    duration(&planner.LoadMemory, planMemories),
+		"least":     number(&state.MinAttempts, minZoneRequests),
+		"fail-at":   number(&state.FailingLossShare, zoneFailureParts),
+		"well-at":   number(&state.HealthyLossShare, zoneRecoveryParts),
+		"up-at":     number(&state.MinServingShare, zoneRecoveryParts),
+		"fail":      duration(&state.FailureTime, zoneFailureTimes),
+		"empty":     duration(&state.EvacuationTime, zoneEmptyTimes),
+		"rest":      duration(&state.MinRest, zoneRestTimes),
+		"most-rest": duration(&state.MaxRest, zoneMaxRestTimes),
+		"warm":      duration(&state.RecoveryTime, zoneWarmupTimes),
 	}.Read(node.Args(), "delay", "order")
 	switch {
 	case err != nil:
 		return err
-	case len(s.Zones) < minZones || len(s.Zones) > statemachine.MostZones:
-		return node.Errorf("(zones ...) needs (names NAME NAME ...), from %d to %d of them", minZones, statemachine.MostZones)
-	case s.Life < 2*planner.Renew+2*s.Period:
-		return node.Errorf("a plan's life of %g ms is to be two renewals and two periods at least", s.Life)
+	case len(s.Zones) < minZones || len(s.Zones) > statemachine.MaxZones:
+		return node.Errorf("(zones ...) needs (names NAME NAME ...), from %d to %d of them", minZones, statemachine.MaxZones)
+	case s.PlanLifetime < 2*planner.RenewInterval+2*s.ReportInterval:
+		return node.Errorf("a plan's life of %g ms is to be two renewals and two periods at least", s.PlanLifetime)
 	}
 	if err := z.readDelays(delays); err != nil {
 		return err
 	}
-	for _, order := range s.Order {
+	for _, order := range s.Orders {
 		if s.Index(order.Zone) < 0 {
 			return node.Errorf("an order is of zone %q, which is not named", order.Zone)
 		}
@@ -94,7 +94,7 @@
 func (z *Zones) readNames(node *sexp.Node) error {
 	for _, item := range node.Args() {
 		isNew := isName(item) && !slices.Contains(z.Zones, item.Text)
-		if !isNew || len(item.Text) > statemachine.MostName {
+		if !isNew || len(item.Text) > statemachine.MaxNameBytes {
 			return item.Errorf("a zone's name, each once, is due here")
 		}
 		z.Zones = append(z.Zones, item.Text)
@@ -104,7 +104,7 @@
 
 // readDelays reads the delays between zones; those that are not set are 0.
 func (z *Zones) readDelays(nodes []*sexp.Node) error {
-	plan := &z.Chief.Plan
+	plan := &z.Planner.Plan
 	for range z.Zones {
 		plan.Delay = append(plan.Delay, make([]float64, len(z.Zones)))
 	}
@@ -127,25 +127,25 @@
 func (z *Zones) readOrder(node *sexp.Node) error {
 	arguments := node.Args()
 	if len(arguments) < 3 || len(arguments) > 4 {
-		return node.Errorf("(order NUMBER ZONE STATE), with (until \"2026-01-31T12:00:00Z\") behind it where it ends; STATE is one of %v, or lifted", health.Names)
+		return node.Errorf("(order NUMBER ZONE STATE), with (until \"2026-01-31T12:00:00Z\") behind it where it ends; STATE is one of %v, or lifted", health.StateNames)
 	}
 	number, err := wholeNumber(arguments[0], 1)
 	if err != nil {
 		return err
 	}
 	stateNode := arguments[2]
-	state := slices.Index(health.Names[:], stateNode.Text)
+	state := slices.Index(health.StateNames[:], stateNode.Text)
 	lifts := stateNode.Text == "lifted"
 	if state < 0 && !lifts {
-		return stateNode.Errorf("a state is one of %v, or lifted", health.Names)
+		return stateNode.Errorf("a state is one of %v, or lifted", health.StateNames)
 	}
-	order := zones.Order{No: uint64(number), Zone: arguments[1].Text, State: health.State(max(0, state)), Lifts: lifts}
+	order := zones.Order{Number: uint64(number), Zone: arguments[1].Text, State: health.State(max(0, state)), Lifts: lifts}
 	if len(arguments) == 4 {
 		if order.Until, err = readUntil(arguments[3]); err != nil {
 			return err
 		}
 	}
-	z.Order = append(z.Order, order)
+	z.Orders = append(z.Orders, order)
 	return nil
 }
 
--- a/internal/settings/zones_test.go
+++ b/internal/settings/zones_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	z := &settings.Zones
-	if o := z.Order[0]; !z.Enabled || z.Chief.Plan.Delay[1][0] != 3 || z.Chief.Plan.Spare != 0.3 || o.No != 7 || o.State != health.Evacuated || o.Until != 1769860800000 {
+	if o := z.Orders[0]; !z.Enabled || z.Planner.Plan.Delay[1][0] != 3 || z.Planner.Plan.SpareShare != 0.3 || o.Number != 7 || o.State != health.Evacuated || o.Until != 1769860800000 {
 		t.Errorf("%+v", z)
 	}
 	for text, want := range map[string]string{
--- a/internal/testkit/incident/zones.go
+++ b/internal/testkit/incident/zones.go
@@ -74,7 +74,7 @@
 
 // event takes a pooler's note.
 func (z *zones) event(by string, e *record.Event) {
-	n, ok := admin.ReadNote(e.Text)
+	n, ok := admin.ParseNote(e.Text)
 	if !ok {
 		return
 	}
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -54,7 +54,7 @@
 }
 
 type zoneProc struct {
-	z     *zones.Zones // nil where it is to be made again
+	z     *zones.Coordinator // nil where it is to be made again
 	told  []zoneEvent
 	key   uint64
 	life  int
@@ -103,15 +103,15 @@
 		s.Zones = append(s.Zones, string(rune('a'+i)))
 		s.Voters = append(s.Voters, fmt.Sprint("p", i))
 	}
-	s.Period, s.Life = 1, 3
-	c := &s.Chief
-	c.Stale, c.Window, c.Memory, c.Step, c.Out, c.Back, c.Renew, c.Settle, c.Late = 3, 1, 1, 4, 1, 1, 1, 0, 1
-	st := &c.State
-	st.Fail, st.Empty, st.Strain, st.Rest, st.MostRest, st.Warm = 0, 0, 100, 100, 100, 1
+	s.ReportInterval, s.PlanLifetime = 1, 3
+	c := &s.Planner
+	c.ReportLifetime, c.Window, c.LoadMemory, c.StepInterval, c.OutwardShare, c.ReturnShare, c.RenewInterval, c.SettleTime, c.ProposalTimeout = 3, 1, 1, 4, 1, 1, 1, 0, 1
+	st := &c.Health
+	st.FailureTime, st.EvacuationTime, st.StrainTime, st.MinRest, st.MaxRest, st.RecoveryTime = 0, 0, 100, 100, 100, 1
 	for range n {
 		c.Plan.Delay = append(c.Plan.Delay, make([]float64, n))
 	}
-	c.Plan.Classes = append(c.Plan.Classes, plan.Class{Worth: 1})
+	c.Plan.Classes = append(c.Plan.Classes, plan.Class{Priority: 1})
 	return s
 }
 
@@ -146,47 +146,49 @@
 // Propose is zones.Log's.
 func (h zoneHost) Propose(entry []byte) { h.x().asks = append(h.x().asks, string(entry)) }
 
-// Look is zones.Pooler's: a little is asked everywhere, and from a time on one zone has nothing that serves.
-func (h zoneHost) Look(float64) (cells []planner.Cell, asks []planner.Ask) {
+// Sample is zones.Pooler's: a little is asked everywhere, and from a time on one zone has nothing that serves.
+func (h zoneHost) Sample(float64) (cells []planner.Cell, asks []planner.Demand) {
 	for z := range h.s.Set.Zones {
-		c := planner.Cell{Zone: z, Cores: 4, Whole: 4, Asked: 20}
+		c := planner.Cell{Zone: z, Cores: 4, FullCores: 4, Attempts: 20}
 		if z == len(h.s.Set.Zones)-1 && h.x().clock >= h.s.GoneAt {
 			c.Cores, c.Lost = 0, 20
 		}
 		cells = append(cells, c)
 	}
-	return cells, []planner.Ask{{Load: 0.5}}
+	return cells, []planner.Demand{{Load: 0.5}}
 }
 
-// Stand is zones.Pooler's.
-func (h zoneHost) Stand(follower.Stand) {}
+// ApplyStatus is zones.Pooler's.
+func (h zoneHost) ApplyStatus(follower.Status) {}
 
-// Keep is zones.Pooler's.
-func (h zoneHost) Keep(no uint64, done func()) { h.x().keeps = append(h.x().keeps, zoneKeep{no, done}) }
+// StorePlanNumber is zones.Pooler's.
+func (h zoneHost) StorePlanNumber(no uint64, done func()) {
+	h.x().keeps = append(h.x().keeps, zoneKeep{no, done})
+}
 
 // made makes a process, and has it hear again what it was told.
-func (s *ZoneVoters) made(i int) *zones.Zones {
+func (s *ZoneVoters) made(i int) *zones.Coordinator {
 	x := s.procs[i]
 	set := s.Set
-	set.Zone, set.Name, set.Floor = set.Zones[i], set.Voters[i], x.floor
+	set.Zone, set.Name, set.MinPlan = set.Zones[i], set.Voters[i], x.floor
 	if s.Amnesiac {
-		set.Floor = 0
+		set.MinPlan = 0
 	}
 	if s.Endless {
-		set.Life = 1e9
+		set.PlanLifetime = 1e9
 	}
 	h := zoneHost{s, i}
 	clock := x.clock
 	x.clock, x.keeps = x.began, nil
 	z := zones.New(set, h, h, h)
-	z.Book().Sloppy = s.Sloppy
+	z.State().AcceptsAnyPlan = s.Sloppy
 	var all []view.Record
 	for k, name := range set.Voters {
 		all = append(all, view.Record{ID: view.ID(k + 1), Name: name, Addr: name, Zone: set.Zones[k], State: view.Alive})
 	}
 	z.UpdateMembers(view.ID(i+1), all, view.Counts{})
 	if s.Hasty && x.disk > 0 {
-		z.Lead(set.Voters[(i+1)%len(set.Voters)])
+		z.SetLeader(set.Voters[(i+1)%len(set.Voters)])
 	}
 	for k := range x.disk {
 		z.Apply(uint64(k+1), []byte(s.log[k]))
@@ -200,7 +202,7 @@
 }
 
 // tell has a process have an event.
-func (x *zoneProc) tell(z *zones.Zones, s *ZoneVoters, e *zoneEvent) {
+func (x *zoneProc) tell(z *zones.Coordinator, s *ZoneVoters, e *zoneEvent) {
 	switch e.what {
 	case zoneTick:
 		z.Tick()
@@ -209,14 +211,14 @@
 		if err != nil {
 			panic(err)
 		}
-		if w, ok := m.(*zones.Word); ok && s.Timeless {
-			w.Age = 0
+		if w, ok := m.(*zones.PlanUpdate); ok && s.Timeless {
+			w.AgeMs = 0
 		}
 		z.Receive(view.ID(e.n), m)
 	case zoneApply:
 		z.Apply(e.n, []byte(e.text))
 	case zoneLead:
-		z.Lead(e.text)
+		z.SetLeader(e.text)
 	case zoneKept:
 		k := x.keeps[0]
 		x.keeps = slices.Delete(slices.Clone(x.keeps), 0, 1)
@@ -258,16 +260,16 @@
 // look holds what a voter has and follows to the rules.
 func (s *ZoneVoters) look(i int) error {
 	x := s.procs[i]
-	stand, p := x.z.Standing()
+	stand, p := x.z.Status()
 	for _, q := range []struct {
 		what string
 		no   uint64
 		text string
 	}{{"has", 0, ""}, {"follows", 0, ""}} {
-		if b := x.z.Book().Plan; q.what == "has" && b != nil {
-			q.no, q.text = b.No, string(b.Append(nil))
+		if b := x.z.State().Plan; q.what == "has" && b != nil {
+			q.no, q.text = b.Number, string(b.Append(nil))
 		} else if q.what == "follows" && p != nil {
-			q.no, q.text = p.No, string(p.Append(nil))
+			q.no, q.text = p.Number, string(p.Append(nil))
 		}
 		if was, known := s.truth.plans[q.no]; known && was != q.text {
 			return fmt.Errorf("voter %d %s another plan %d than was known", i, q.what, q.no)
@@ -279,18 +281,18 @@
 	if p == nil {
 		return nil
 	}
-	if p.No < x.number {
-		return fmt.Errorf("voter %d follows plan %d after %d", i, p.No, x.number)
+	if p.Number < x.number {
+		return fmt.Errorf("voter %d follows plan %d after %d", i, p.Number, x.number)
 	}
 	if p.Since < x.since {
-		return fmt.Errorf("voter %d follows plan %d, which asks for what plan %d did, after plan %d", i, p.No, p.Since, x.since)
+		return fmt.Errorf("voter %d follows plan %d, which asks for what plan %d did, after plan %d", i, p.Number, p.Since, x.since)
 	}
-	x.number, x.since = p.No, p.Since
-	if at, known := s.truth.applied[stand.No]; stand.Why == follower.Planned && x.woke == s.now && (!known || s.now >= at+s.Set.Life+s.Most) {
-		return fmt.Errorf("voter %d goes by plan %d at %v; it was applied last at %v", i, stand.No, s.now, at)
+	x.number, x.since = p.Number, p.Since
+	if at, known := s.truth.applied[stand.PlanNumber]; stand.Reason == follower.Planned && x.woke == s.now && (!known || s.now >= at+s.Set.PlanLifetime+s.Most) {
+		return fmt.Errorf("voter %d goes by plan %d at %v; it was applied last at %v", i, stand.PlanNumber, s.now, at)
 	}
 	if stand.Zone != i && p.Matrix[i][stand.Zone] == 0 {
-		return fmt.Errorf("voter %d goes to zone %d, where plan %d sends nothing", i, stand.Zone, p.No)
+		return fmt.Errorf("voter %d goes to zone %d, where plan %d sends nothing", i, stand.Zone, p.Number)
 	}
 	return nil
 }
@@ -347,8 +349,8 @@
 	x := s.procs[i]
 	x.done++
 	s.hear(i, zoneEvent{what: zoneApply, text: s.log[x.done-1], n: uint64(x.done)})
-	if p := x.z.Book().Plan; p != nil && x.leads >= 0 {
-		s.truth.applied[p.No] = s.now
+	if p := x.z.State().Plan; p != nil && x.leads >= 0 {
+		s.truth.applied[p.Number] = s.now
 	}
 	return s.look(i)
 }
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -28,7 +28,7 @@
 		do(s.settle())
 	}
 	for i, x := range s.procs {
-		if stand, p := x.z.Standing(); p == nil || stand.Zone != i {
+		if stand, p := x.z.Status(); p == nil || stand.Zone != i {
 			t.Fatalf("voter %d: %+v, %+v", i, stand, p)
 		}
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	for i, x := range s.procs {
-		if stand, p := x.z.Standing(); p == nil || p.Matrix[2][2] != 0 || i == 2 && stand.Zone == 2 {
+		if stand, p := x.z.Status(); p == nil || p.Matrix[2][2] != 0 || i == 2 && stand.Zone == 2 {
 			t.Errorf("voter %d: %+v, %+v", i, stand, p)
 		}
 	}
@@ -110,7 +110,7 @@
 				t.Fatal(err)
 			}
 		}
-		if _, p := s.procs[1].z.Standing(); p.Matrix[2][2] != 0 {
+		if _, p := s.procs[1].z.Status(); p.Matrix[2][2] != 0 {
 			t.Fatalf("%+v", p)
 		}
 	}
@@ -171,7 +171,7 @@
 		{"what was kept is not there after a start", "after plan", func(s *ZoneVoters) { s.Amnesiac = true }},
 		{"a start takes what its disk has for news", "applied last", func(s *ZoneVoters) { s.Hasty = true }},
 		{"words come without their age", "applied last", func(s *ZoneVoters) { s.Timeless = true }},
-		{"any plan is followed", "after", func(s *ZoneVoters) { s.Set.Forgets = true }},
+		{"any plan is followed", "after", func(s *ZoneVoters) { s.Set.FollowsAnyPlan = true }},
 		{"a plan has no end", "applied last", func(s *ZoneVoters) { s.Endless = true }},
 	} {
 		t.Run(m.name, func(t *testing.T) {
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -24,7 +24,7 @@
 type zoner struct {
 	*Zoned
 	h   Host
-	j   *adapter.Joined
+	j   *adapter.Adapter
 	log *raftadapter.Adapter
 }
 
@@ -36,21 +36,21 @@
 	p := h.x.p
 	x := &zoner{Zoned: c, h: h}
 	set := c.Set
-	set.Zones, set.Zone, set.Name, set.Floor, set.Checks = p.e.script.Sites, p.e.script.Sites[p.no%len(p.e.script.Sites)], p.name, c.floors[h.No()], p.e.checks
-	set.Cores = float64(p.e.script.Fleet.Cores)
+	set.Zones, set.Zone, set.Name, set.MinPlan, set.Checks = p.e.script.Sites, p.e.script.Sites[p.no%len(p.e.script.Sites)], p.name, c.floors[h.No()], p.e.checks
+	set.CoresPerSize = float64(p.e.script.Fleet.Cores)
 	set.Voters = nil
 	for i := range c.Log.Voters {
 		set.Voters = append(set.Voters, p.e.poolerName(i))
 	}
-	set.Chief.Plan.Delay = p.e.script.Delays()
+	set.Planner.Plan.Delay = p.e.script.Delays()
 	x.j = adapter.New(set, h, x, p.core, x)
 	x.j.Listed(&p.known, true)
 	p.core.SetZoneObserver(x.j)
 	users := &raftlog.MachineMux{}
-	if x.j.Book() != nil {
+	if x.j.State() != nil {
 		users.Add(raftlog.ZoneEntries, x.j)
 	}
-	x.log = c.Log.Join(h, users, x.j.Hear)
+	x.log = c.Log.Join(h, users, x.j.HandleLogAction)
 	c.now[h.No()] = x
 	return []module.Module{x.log, x.j}
 }
@@ -60,8 +60,8 @@
 	x.log.Propose(0, append([]byte{raftlog.ZoneEntries}, entry...))
 }
 
-// Keep is joined.Keeper's.
-func (x *zoner) Keep(no uint64, done func()) {
+// StorePlanNumber is joined.Keeper's.
+func (x *zoner) StorePlanNumber(no uint64, done func()) {
 	x.h.At(x.h.Now()+x.KeepMs, func() {
 		x.floors[x.h.No()] = max(x.floors[x.h.No()], no)
 		if done(); x.Told != nil {
@@ -86,7 +86,7 @@
 func (c *Zoned) Now(pooler int) float64 { return c.now[pooler].h.Now() }
 
 // Of is a pooler's present process.
-func (c *Zoned) Of(pooler int) *adapter.Joined {
+func (c *Zoned) Of(pooler int) *adapter.Adapter {
 	if x := c.now[pooler]; x != nil {
 		return x.j
 	}
--- a/internal/testkit/simulation/zones_figures_test.go
+++ b/internal/testkit/simulation/zones_figures_test.go
@@ -50,11 +50,11 @@
 						case "on", "on-cheap":
 							z = &Zoned{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: zones.Defaults(), KeepMs: 1}
 							if how == "on-cheap" {
-								z.Set.Price = 0.01
+								z.Set.CrossingPrice = 0.01
 							}
 							opt.Parts = []Joined{z.Join}
 						case "oracle", "oracle-cheap":
-							o := &ZoneOracle{Plan: zones.Defaults().Chief.Plan, Price: zones.Defaults().Price, EachMs: 250, Lossy: 0.05}
+							o := &ZoneOracle{Plan: zones.Defaults().Planner.Plan, Price: zones.Defaults().CrossingPrice, EachMs: 250, Lossy: 0.05}
 							if how == "oracle-cheap" {
 								o.Price = 0.01
 							}
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -85,21 +85,21 @@
 	}
 	classes := e.script.Clients.Classes
 	for i := range classes {
-		c := plan.Class{Worth: classes[i].Worth, Reach: classes[i].Aim}
+		c := plan.Class{Priority: classes[i].Worth, MaxRoundTrip: classes[i].Aim}
 		if classes[i].Read == clients.ReadBounded {
-			c.Age = classes[i].Bound
+			c.MaxAge = classes[i].Bound
 		}
 		set.Classes = append(set.Classes, c)
 	}
 	var groups []plan.Group
-	var answers []plan.Answer
+	var answers []plan.Solution
 	for k, g := range e.world.Groups {
-		x := plan.Group{Rooms: make([]plan.Room, sites)}
+		x := plan.Group{Capacities: make([]plan.Capacity, sites)}
 		members, lossy := make([]float64, sites), make([]float64, sites)
 		for _, s := range g.Members {
 			z := s.SiteNo()
 			part, loses := s.Truth(e.s.now)
-			x.Rooms[z].Cores += part * float64(e.script.Fleet.Cores)
+			x.Capacities[z].Cores += part * float64(e.script.Fleet.Cores)
 			if members[z]++; loses > o.Lossy {
 				lossy[z]++
 			}
@@ -112,13 +112,13 @@
 				if movable(&classes[c]) {
 					x.Flows = append(x.Flows, plan.Flow{Class: c, Zone: z, Load: load})
 				} else if g.Primary != nil {
-					x.Rooms[g.Primary.SiteNo()].Fixed += load
+					x.Capacities[g.Primary.SiteNo()].FixedCores += load
 				}
 			}
 		}
-		for z := range x.Rooms {
+		for z := range x.Capacities {
 			well := members[z] > 0 && lossy[z]*2 < members[z]
-			x.Rooms[z].Keeps, x.Rooms[z].Takes = well, well
+			x.Capacities[z].ServesNear, x.Capacities[z].ServesRemote = well, well
 		}
 		groups = append(groups, x)
 		answers = append(answers, set.Solve(&x))
@@ -138,7 +138,7 @@
 	for z := range at {
 		slices.SortFunc(at[z], func(a, b *pooler) int { return a.no - b.no })
 		for rank, p := range at[z] {
-			home := follower.Home(m[z], z, rank, len(at[z]))
+			home := follower.TargetZone(m[z], z, rank, len(at[z]))
 			if was, stood := o.stands[p.no]; stood && was != home {
 				o.Shifts++
 			}
--- a/internal/testkit/simulation/zones_seeds_test.go
+++ b/internal/testkit/simulation/zones_seeds_test.go
@@ -118,8 +118,8 @@
 				changes[i] += returnMs
 			}
 			z := zoned(t, seed, true, f.text+fmt.Sprintf("(seconds %.0f) ", f.seconds+45)+text, changes, func(s *zones.Settings, _ *Options) {
-				st := &s.Chief.State
-				st.Rest, st.MostRest, st.Warm, s.Chief.Back = 4000, 8000, 6000, 0.25
+				st := &s.Planner.Health
+				st.MinRest, st.MaxRest, st.RecoveryTime, s.Planner.ReturnShare = 4000, 8000, 6000, 0.25
 			})
 			z.hold(t)
 			if t.Failed() {
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -77,26 +77,26 @@
 			if x == nil {
 				continue
 			}
-			if _, plan := x.Standing(); plan != nil {
-				z.rules.Follows(at-startMs, p, plan.No, xxhash.Sum64(plan.Append(nil)))
+			if _, plan := x.Status(); plan != nil {
+				z.rules.Follows(at-startMs, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
 			}
 		}
 		if z.Of(1) == nil {
 			return
 		}
-		if p, plan := z.Of(1).Standing(); p.Why == follower.Planned {
-			z.rules.Planned(at-startMs, plan.No, plan.Matrix, loads, z.Cores(1))
+		if p, plan := z.Of(1).Status(); p.Reason == follower.Planned {
+			z.rules.Planned(at-startMs, plan.Number, plan.Matrix, loads, z.Cores(1))
 		}
 	}
 	z.Told = func(p int, _ uint64) {
-		_, plan := z.Of(p).Standing()
+		_, plan := z.Of(p).Status()
 		if plan == nil {
 			return // a newer one was heard meanwhile
 		}
 		at := z.Now(p) - startMs
-		z.rules.Follows(at, p, plan.No, xxhash.Sum64(plan.Append(nil)))
+		z.rules.Follows(at, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
 		if p == 1 {
-			z.steps = append(z.steps, step{at, plan.Matrix[0][0], plan.Zones[0].State, plan.Short})
+			z.steps = append(z.steps, step{at, plan.Matrix[0][0], plan.Zones[0].State, plan.Unserved})
 		}
 	}
 	if on {
@@ -138,15 +138,15 @@
 	t.Parallel()
 	z := zoned(t, 1, true, threeZones+`(seconds 90) (at 20s (power "a") (for 10s))`, []float64{20000, 65000}, nil)
 	z.hold(t)
-	bound := z.Set.Decide(2, 2, 1)
+	bound := z.Set.DecisionBound(2, 2, 1)
 	if out := z.until(20000, func(s *step) bool { return s.near == 0 }); out < 0 || out > bound+1500 { // and the list is late
 		t.Errorf("left after %.0f ms, bound %.0f", out, bound)
 	}
 	back := z.until(30000, func(s *step) bool { return s.near == 1 })
-	if last := z.steps[len(z.steps)-1]; back < z.Set.Chief.State.Rest-10000 || last.state != health.Serving {
+	if last := z.steps[len(z.steps)-1]; back < z.Set.Planner.Health.MinRest-10000 || last.state != health.Serving {
 		t.Errorf("back after %.0f ms, %v at the end", back, last.state)
 	}
-	if p, _ := z.Of(5).Standing(); p.Why != follower.Planned {
+	if p, _ := z.Of(5).Status(); p.Reason != follower.Planned {
 		t.Errorf("%+v", p)
 	}
 }
@@ -175,7 +175,7 @@
 		if cut := p%3 == 0; cut != (c.Fallbacks > 0) {
 			t.Errorf("pooler %d fell back %d times", p, c.Fallbacks)
 		}
-		if s, _ := z.Of(p).Standing(); s.Why != follower.Planned {
+		if s, _ := z.Of(p).Status(); s.Reason != follower.Planned {
 			t.Errorf("pooler %d: %+v in the end", p, s)
 		}
 	}
@@ -183,26 +183,26 @@
 
 // otherPlan has a voter tell a plan that was not agreed.
 func otherPlan(no int, w module.Message) module.Message {
-	x, ok := w.(*zones.Word)
+	x, ok := w.(*zones.PlanUpdate)
 	if !ok || no != 1 || x.Plan == nil {
 		return w
 	}
 	p := *x.Plan
 	p.Matrix = slices.Concat(p.Matrix[1:], p.Matrix[:1])
-	return &zones.Word{No: x.No, Age: x.Age, Plan: &p}
+	return &zones.PlanUpdate{PlanNumber: x.PlanNumber, AgeMs: x.AgeMs, Plan: &p}
 }
 
 // olds has a voter tell the first plan that it ever told in every other word.
 func olds() func(no int, w module.Message) module.Message {
-	var first *zones.Word
+	var first *zones.PlanUpdate
 	n := 0
 	return func(no int, w module.Message) module.Message {
-		x, ok := w.(*zones.Word)
+		x, ok := w.(*zones.PlanUpdate)
 		if !ok || no != 1 {
 			return w
 		}
 		if first == nil && x.Plan != nil {
-			first = &zones.Word{No: x.No, Plan: x.Plan}
+			first = &zones.PlanUpdate{PlanNumber: x.PlanNumber, Plan: x.Plan}
 		}
 		if n++; first == nil || n%2 == 0 {
 			return w
@@ -221,10 +221,10 @@
 		both         func(*Options)
 		mutate       func(*zones.Settings, *Options)
 	}{
-		{checker.NearCalm, "(rate 50)", `(seconds 40)`, nil, nil, func(s *zones.Settings, _ *Options) { s.Price = 0 }},
+		{checker.NearCalm, "(rate 50)", `(seconds 40)`, nil, nil, func(s *zones.Settings, _ *Options) { s.CrossingPrice = 0 }},
 		{checker.OnePlan, "(rate 30)", `(seconds 20)`, nil, nil, func(_ *zones.Settings, o *Options) { o.Mutant = &Mutant{Says: otherPlan} }},
-		{checker.OldPlan, "(rate 30)", `(seconds 20)`, nil, func(o *Options) { o.Mutant = &Mutant{Says: olds()} }, func(s *zones.Settings, _ *Options) { s.Forgets = true }},
-		{checker.FullZone, "(rate 300)", `(seconds 28) (at 4s (die site "a") (for 60s)) (at 4s (die site "b") (for 60s))`, []float64{4000, 64000}, nil, func(s *zones.Settings, _ *Options) { s.Chief.Plan.Spare = -4 }},
+		{checker.OldPlan, "(rate 30)", `(seconds 20)`, nil, func(o *Options) { o.Mutant = &Mutant{Says: olds()} }, func(s *zones.Settings, _ *Options) { s.FollowsAnyPlan = true }},
+		{checker.FullZone, "(rate 300)", `(seconds 28) (at 4s (die site "a") (for 60s)) (at 4s (die site "b") (for 60s))`, []float64{4000, 64000}, nil, func(s *zones.Settings, _ *Options) { s.Planner.Plan.SpareShare = -4 }},
 	} {
 		t.Run(string(x.rule), func(t *testing.T) {
 			t.Parallel()
