--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,19 +1,19 @@
-// Package invariant holds statements about state that must be true whatever happens, checked where state changes and told with the
-// state that broke them.
+// Package invariant checks statements about state that must hold whatever happens, where the state changes, and reports those that
+// do not, with the state that broke them.
 //
-// Each owner of state is handed a *Checks; nil is off, and then a check costs a comparison:
+// Each owner of state has a *Checks; nil checks nothing, at the cost of a comparison:
 //
-//	if c.On() {
+//	if c.Enabled() {
 //		c.That(len(p.idle)+len(p.busy) == p.count, "pool: counted connections are those listed", func() string {
 //			return fmt.Sprintf("server %s: %d idle, %d busy, counted %d", p.id, len(p.idle), len(p.busy), p.count)
 //		})
 //	}
 //
-// What is O(n) goes in a Walk, which every so many changes may do; what a walk trips over in broken state is a breach like any other.
-// A breach never stops the caller: it is told once for each name, counted, and fails whatever play it happened in.
+// Checks of O(n) belong in a Walk, which runs once in a number of changes. A breach never stops the caller: it is reported once for each
+// name, and counted. A panic of a walk in broken state is a breach like any other.
 //
-// A Checks belongs to one loop, like the state that it is about; it is not safe for concurrent use. One for each play or pooler:
-// there is nothing in common between two.
+// A Checks belongs to one event loop, like the state that it checks, and is not safe for concurrent use. Each simulation and each
+// pooler has its own.
 package invariant
 
 import (
@@ -23,20 +23,20 @@
 
 // Bounds of what is kept.
 const (
-	maxBreaches   = 256
-	maxStateBytes = 8192 // bytes
+	maxBreaches   = 256  // names
+	maxStateBytes = 8192 // of each
 )
 
-// Breach is a statement that was found false.
+// Breach is a statement that did not hold.
 type Breach struct {
 	Name  string
-	State string // as it was the first time
+	State string // the first time
 	Times int
 }
 
 func (b Breach) String() string { return fmt.Sprintf("invariant broken: %s: %s", b.Name, b.State) }
 
-// Checks takes statements. nil takes none.
+// Checks checks statements. A nil *Checks checks none.
 type Checks struct {
 	onBreach     func(Breach)
 	breaches     []Breach
@@ -44,37 +44,38 @@
 	checkedCount int
 }
 
-// New returns checks that tell of the first breach of each name; told may be nil.
+// New returns checks that report the first breach of each name to onBreach, which may be nil.
 func New(onBreach func(Breach)) *Checks { return &Checks{onBreach: onBreach} }
 
-// T is what Test needs of a *testing.T or *rapid.T.
+// T is the part of a *testing.T or *rapid.T that Test needs.
 type T interface {
 	Helper()
 	Errorf(format string, args ...any)
 }
 
-// Test returns checks that fail a test. Errorf, as the callers go on after a breach.
+// Test returns checks that fail a test on a breach. The test goes on, as callers go on after a breach.
 func Test(t T) *Checks {
 	t.Helper()
-	return New(func(b Breach) { t.Errorf("%v", b) })
+	return New(func(breach Breach) { t.Errorf("%v", breach) })
 }
 
-// Enabled says whether statements are checked: what is only needed for one goes behind it.
+// Enabled reports whether statements are checked. Work that only serves a check is done only then.
 func (c *Checks) Enabled() bool { return c != nil }
 
-// That states that ok holds. state is called where it does not, the first time.
+// That checks that ok holds. state describes the state; it is called for the first breach of the name.
 func (c *Checks) That(ok bool, name string, state func() string) {
 	if c == nil {
 		return
 	}
-	if c.checkedCount++; !ok {
+	c.checkedCount++
+	if !ok {
 		c.breach(name, state)
 	}
 }
 
 func (c *Checks) breach(name string, state func() string) {
 	c.failedCount++
-	i := slices.IndexFunc(c.breaches, func(b Breach) bool { return b.Name == name })
+	i := slices.IndexFunc(c.breaches, func(breach Breach) bool { return breach.Name == name })
 	if i >= 0 {
 		c.breaches[i].Times++
 		return
@@ -82,39 +83,40 @@
 	if len(c.breaches) >= maxBreaches {
 		return
 	}
-	b := Breach{Name: name, State: describe(state), Times: 1}
-	c.breaches = append(c.breaches, b)
+	breach := Breach{Name: name, State: describe(state), Times: 1}
+	c.breaches = append(c.breaches, breach)
 	if c.onBreach != nil {
-		c.onBreach(b)
+		c.onBreach(breach)
 	}
 }
 
-// describe is the state in words, as far as it can be told: it is broken.
-func describe(state func() string) (s string) {
+// describe calls state, which may panic as the state is broken.
+func describe(state func() string) (text string) {
 	defer func() {
 		if p := recover(); p != nil {
-			s = fmt.Sprintf("state that cannot be told: %v", p)
+			text = fmt.Sprintf("state that cannot be told: %v", p)
 		}
 	}()
 	if state == nil {
 		return ""
 	}
-	if s = state(); len(s) > maxStateBytes {
-		s = s[:maxStateBytes] + "..."
+	text = state()
+	if len(text) > maxStateBytes {
+		text = text[:maxStateBytes] + "..."
 	}
-	return s
+	return text
 }
 
-// Walk does a walk over state that makes statements on the way. Every is how many calls there are for one walk, counted in n, which is
-// the caller's; 1 walks each time.
-func (c *Checks) Walk(n *int, every int, name string, walk func(c *Checks)) {
+// Walk runs walk, which checks large state, once in every calls. counter counts the calls and belongs to the caller.
+func (c *Checks) Walk(counter *int, every int, name string, walk func(c *Checks)) {
 	if c == nil {
 		return
 	}
-	if *n++; *n < every {
+	*counter++
+	if *counter < every {
 		return
 	}
-	*n = 0
+	*counter = 0
 	defer func() {
 		if p := recover(); p != nil {
 			c.breach(name, func() string { return fmt.Sprintf("the walk broke off: %v", p) })
@@ -123,7 +125,7 @@
 	walk(c)
 }
 
-// Breaches are the breaches so far, by when each was found first; nil for none.
+// Breaches are the breaches so far, in the order in which they were found; nil for none.
 func (c *Checks) Breaches() []Breach {
 	if c == nil {
 		return nil
@@ -131,8 +133,8 @@
 	return slices.Clone(c.breaches)
 }
 
-// Counts are how many statements were made, and how many of these were false.
-func (c *Checks) Counts() (made, broken int) {
+// Counts are how many statements were checked, and how many of them did not hold.
+func (c *Checks) Counts() (checked, failed int) {
 	if c == nil {
 		return 0, 0
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestBreachIsReportedOnce: a breach is told once for each name with the state of the first time, counted each time, and stops nobody.
+// TestBreachIsReportedOnce checks that a breach is reported once for each name, and counted.
 func TestBreachIsReportedOnce(t *testing.T) {
 	var told []string
 	c := New(func(b Breach) { told = append(told, b.String()) })
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestNilChecksNothing: nil takes everything and does nothing.
+// TestNilChecksNothing checks that nil checks nothing and calls nothing.
 func TestNilChecksNothing(t *testing.T) {
 	var c *Checks
 	n := 0
@@ -48,7 +48,7 @@
 func (s *sayer) Helper()                      {}
 func (s *sayer) Errorf(f string, args ...any) { s.said += fmt.Sprintf(f, args...) }
 
-// TestBreachFailsTheTest: checks for a test fail it.
+// TestBreachFailsTheTest checks that a breach fails the test.
 func TestBreachFailsTheTest(t *testing.T) {
 	var s sayer
 	Test(&s).That(false, "x", func() string { return "y" })
