--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,6 +19,7 @@
   "family_info":{"class_read":["lag_bound","mutate"],"staleness_bound_ns":[200000000,0]},
   "request_classes":[{"name":"a","slo_ns":200000000,"effect":"retryable"},{"name":"b","effect":"fragile"}]}}`
 
+// TestParse checks the values of a file, and that the environment goes before it.
 func TestParse(t *testing.T) {
 	env := func(name string) string { return map[string]string{"EDGE_LISTEN": "127.0.0.2:1"}[name] }
 	c, err := parse([]byte(good), env, false)
@@ -34,7 +35,7 @@
 	}
 }
 
-// TestSeedsAreDrawnWhereNoneIsGiven: processes that are given no seed draw apart, as what each may send to a server in slow start is drawn.
+// TestSeedsAreDrawnWhereNoneIsGiven checks that processes without a seed draw different ones, since slow start is drawn by it.
 func TestSeedsAreDrawnWhereNoneIsGiven(t *testing.T) {
 	seeds := map[uint64]bool{}
 	for range 3 {
@@ -49,7 +50,7 @@
 	}
 }
 
-// TestErrorNamesTheKey: a start that fails must say by which value, in one line.
+// TestErrorNamesTheKey checks that the error of a value names its key, in one line.
 func TestErrorNamesTheKey(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"listen":             {"127.0.0.1:6543", "nowhere"},
@@ -66,8 +67,8 @@
 	}
 }
 
-// TestReloadAppliesWhatCanChange guards against a reload that keeps what the environment said of discovery at the start, or that changes under
-// way what only a restart can change.
+// TestReloadAppliesWhatCanChange checks that a reload applies the file's address of discovery rather than the environment's,
+// and leaves what only a restart can change.
 func TestReloadAppliesWhatCanChange(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"EDGE_DISCOVERY": "127.0.0.3:1", "EDGE_LISTEN": "127.0.0.2:1"}[name]
@@ -111,7 +112,7 @@
  "settings":{"allowed":{"max_attempts":8,"probes":true},"my_zone":0,"zones":["z"],"kinds":["k1"],"family_info":{"class_read":["lag_bound","mutate"]},
   "request_classes":[{"name":"a","deadline_ns":800000000,"slo_ns":200000000,"effect":"retryable"},{"name":"b","deadline_ns":2000000000,"slo_ns":250000000,"effect":"fragile"}]}}`
 
-// TestIncompleteFileIsRejected: a file that is cut short anywhere, lacks any key, or has a number that is none, is not taken.
+// TestIncompleteFileIsRejected checks that a file that is cut short, lacks a key, or has a value that is no number is rejected.
 func TestIncompleteFileIsRejected(t *testing.T) {
 	none := func(string) string { return "" }
 	c, err := parse([]byte(operated), none, false)
@@ -151,7 +152,8 @@
 	}
 }
 
-// TestClassesKeepTheirNumbersByName: by name, in whatever order they stand; one that has gone holds its number until it is back.
+// TestClassesKeepTheirNumbersByName checks that classes keep their numbers by name in any order, and that a retired class keeps
+// its own until it returns.
 func TestClassesKeepTheirNumbersByName(t *testing.T) {
 	none := func(string) string { return "" }
 	c, err := parse([]byte(operated), none, false)
@@ -180,7 +182,8 @@
 	}
 }
 
-// TestRetiredClassKeepsItsRouting: of a class that has gone stays what says where requests under way may be sent, and how often; the rest goes.
+// TestRetiredClassKeepsItsRouting checks that a retired class keeps what says where its open requests may be sent, and how
+// often, and nothing else.
 func TestRetiredClassKeepsItsRouting(t *testing.T) {
 	none := func(string) string { return "" }
 	c, err := parse([]byte(operated), none, false)
@@ -201,7 +204,7 @@
 	}
 }
 
-// FuzzReload: whatever a file holds, it is taken or turned down in one line.
+// FuzzReload checks that any file is accepted, or rejected with a one-line error.
 func FuzzReload(f *testing.F) {
 	f.Add([]byte(operated))
 	f.Add([]byte(operated[:200]))
--- a/internal/endpoints/consul/consul_test.go
+++ b/internal/endpoints/consul/consul_test.go
@@ -137,8 +137,8 @@
 
 func (w *testSetup) hasSize(n int) func() bool { return func() bool { return len(w.list) == n } }
 
-// TestChangesAreReported: what is registered, changed, put into maintenance and deregistered is heard, by the health API and by the
-// catalogue, which knows no health.
+// TestChangesAreReported checks that registrations, changes, maintenance and removals are reported, by the health API and by
+// the catalogue, which has no health.
 func TestChangesAreReported(t *testing.T) {
 	for _, catalog := range []bool{false, true} {
 		w := startWatch(t, 1, func(o *Options) { o.CatalogOnly = catalog })
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestFaultyAgentsChangeNothing: what an agent says wrongly changes nothing that was known, is told of with its reason, and the truth is heard
-// once it is back.
+// TestFaultyAgentsChangeNothing checks that faulty responses change nothing and are noted with their reason, and that the next
+// correct one is reported.
 func TestFaultyAgentsChangeNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		lie consulserver.Lie
@@ -189,7 +189,7 @@
 	}
 }
 
-// TestEmptyListIsReported: an empty list is what the agent says. What is made of it is the judge's.
+// TestEmptyListIsReported checks that an empty list is reported as it is; the reconciler decides what to make of it.
 func TestEmptyListIsReported(t *testing.T) {
 	w := startWatch(t, 1, func(o *Options) { o.WaitMs = 200 })
 	w.waitUntil(t, "three", w.hasSize(3))
@@ -199,7 +199,8 @@
 	w.waitUntil(t, "three again", w.hasSize(3))
 }
 
-// TestOneFaultyAgentOfTwoHidesNothing: one agent that is down, hangs, is an hour behind or knows no leader does not keep the other's word away.
+// TestOneFaultyAgentOfTwoHidesNothing checks that changes are reported while one of two agents is down, an hour behind, or
+// knows no leader.
 func TestOneFaultyAgentOfTwoHidesNothing(t *testing.T) {
 	for name, lie := range map[string]consulserver.Lie{
 		"down":               {Status: 500},
@@ -225,7 +226,7 @@
 	}
 }
 
-// TestHangingAgentIsReplaced: an agent that takes a query and never answers is left for another in bounded time.
+// TestHangingAgentIsReplaced checks that an agent that never responds is left for another in bounded time.
 func TestHangingAgentIsReplaced(t *testing.T) {
 	w := startWatch(t, 2, func(o *Options) { o.WaitMs = 200 })
 	w.waitUntil(t, "three", w.hasSize(3))
@@ -234,7 +235,7 @@
 	w.waitUntil(t, "what changed", w.hasSize(4))
 }
 
-// TestIndexResetReloadsTheList: after an index that went back the list is heard again, whole.
+// TestIndexResetReloadsTheList checks that the list is read again after an index that went back.
 func TestIndexResetReloadsTheList(t *testing.T) {
 	w := startWatch(t, 2, nil)
 	w.waitUntil(t, "three", w.hasSize(3))
@@ -248,7 +249,7 @@
 	w.waitUntil(t, "what changed since", w.hasSize(4))
 }
 
-// TestAgentWithoutIndexIsPolledSlowly: an agent that gives no index is asked now and then, not without end.
+// TestAgentWithoutIndexIsPolledSlowly checks that an agent that sends no index is queried with pauses.
 func TestAgentWithoutIndexIsPolledSlowly(t *testing.T) {
 	w := startWatch(t, 1, nil)
 	w.setAllFaults(consulserver.Lie{NoIndex: true})
@@ -260,7 +261,7 @@
 	}
 }
 
-// TestNewTokenRetriesAtOnce: a token that is denied, and one that takes its place.
+// TestNewTokenRetriesAtOnce checks that a denied query is repeated at once with a new token, and that notes hold no token.
 func TestNewTokenRetriesAtOnce(t *testing.T) {
 	w := startWatch(t, 1, nil)
 	w.waitUntil(t, "three", w.hasSize(3))
@@ -275,7 +276,7 @@
 	}
 }
 
-// TestTLSNeedsAKnownAuthority: agents over TLS are asked where their authority is known, and not where it is not.
+// TestTLSNeedsAKnownAuthority checks that agents over TLS are queried only where their authority is known.
 func TestTLSNeedsAKnownAuthority(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		var proxy *httptest.Server
@@ -301,7 +302,7 @@
 	}
 }
 
-// TestUnusableInstancesAreNotedOnce: what cannot be used is told of once and takes nothing with it.
+// TestUnusableInstancesAreNotedOnce checks that instances that cannot be used are noted once and hide no others.
 func TestUnusableInstancesAreNotedOnce(t *testing.T) {
 	w := startWatch(t, 1, nil)
 	x, y := instance(7), instance(8)
@@ -316,7 +317,7 @@
 	}
 }
 
-// TestServicesAreWatchedIndependently: a service whose agent hangs does not hold the others.
+// TestServicesAreWatchedIndependently checks that a service without instances does not delay the others.
 func TestServicesAreWatchedIndependently(t *testing.T) {
 	var names []string
 	for i := range 40 {
@@ -331,7 +332,7 @@
 	w.waitUntil(t, "all", w.hasSize(43))
 }
 
-// TestFakeServerSpeaksConsulsProtocol: the stand-in speaks the protocol as Consul's own client library understands it.
+// TestFakeServerSpeaksConsulsProtocol checks the fake server against Consul's own client library.
 func TestFakeServerSpeaksConsulsProtocol(t *testing.T) {
 	w := startWatch(t, 1, nil)
 	cfg := api.DefaultConfig()
@@ -358,7 +359,7 @@
 	}
 }
 
-// TestMappingOfInstances: where fields may come from, and what cannot be used.
+// TestMappingOfInstances checks the places that fields may come from, and which instances cannot be used.
 func TestMappingOfInstances(t *testing.T) {
 	x := Instance{Node: "n", NodeAddress: "10.1.1.1", Datacenter: "recife", NodeMeta: map[string]string{"rack": "r2"}, ID: "i", Service: "obra-2", Port: 5432,
 		Tags: []string{"Master", "cell=4", "v1"}, Meta: map[string]string{"w": "2.5", "up": "2023-11-14T22:13:20Z"}, Weights: Weights{Passing: 7, Warning: 2}}
@@ -392,8 +393,8 @@
 	}
 }
 
-// TestWatchKeepsQuerying: whatever answers come, the next query is due in bounded time and asks an agent that there is; what
-// is taken never has a lower index than what was taken from the same agents before, but after an index that began anew.
+// TestWatchKeepsQuerying checks that whatever responses come, the next query is due in bounded time at an existing agent, and
+// that a lower index is never accepted silently.
 func TestWatchKeepsQuerying(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(rt, "agents")
@@ -421,7 +422,7 @@
 	})
 }
 
-// FuzzParse: whatever an agent sends, it is read whole or not at all, in bounded memory.
+// FuzzParse checks that any response is read completely or not at all, in bounded memory.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{`[]`, `null`, `[{"Node":{"Node":"a","Address":"1.2.3.4"},"Service":{"ID":"x","Port":5432,"Tags":null,"Meta":{"group":"1"}},"Checks":[{"CheckID":"_node_maintenance","Status":"critical"}]}]`,
 		`[{"Node":"a","ServiceID":"x","ServicePort":1}]`, `[{`, `[] x`, `{"a":1}`, `[1,2]`, "[{\"Checks\":[{\"Status\":\"warning\"}]}]\n"} {
@@ -448,7 +449,7 @@
 	})
 }
 
-// BenchmarkParse is a full reload of 2,000 instances.
+// BenchmarkParse measures a full response of 2,000 instances.
 func BenchmarkParse(b *testing.B) {
 	c := consulserver.NewCatalog()
 	var all []consulserver.Instance
--- a/internal/endpoints/consul/polls_test.go
+++ b/internal/endpoints/consul/polls_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestSilentQueryLeavesTimeForAnother: queries that may wait fall silent, with one agent or two, however often. What each missed counts as told 2 s after the
-// wait that it asked for is over, and one that may not wait, 6 s after it was asked: by then the next is asked, from where the list
-// stands, with half a second to answer. Half a second is also left to an answer that the agent holds back for as long as it may.
+// TestSilentQueryLeavesTimeForAnother checks that after a silent query the next one is due early enough: half a second before
+// what the silent one missed must be known, which is 2 s after its wait, or 6 s after its start without a wait. Half a second
+// is also left to a response that the agent holds back for as long as it may.
 func TestSilentQueryLeavesTimeForAnother(t *testing.T) {
 	for _, agents := range []int{1, 2} {
 		for _, index := range []uint64{0, 7} {
@@ -52,8 +52,8 @@
 	return 150
 }
 
-// TestSilentQueryOnTheWireIsReplaced: an agent takes a poll and never answers it. It is asked again in time for what it tells then to be known 2 s
-// after the wait that the poll asked for, also with the wait of the settings where they say nothing.
+// TestSilentQueryOnTheWireIsReplaced checks the same over HTTP, with the default wait: an agent that never answers is queried
+// again within 1.5 s after the wait.
 func TestSilentQueryOnTheWireIsReplaced(t *testing.T) {
 	t.Parallel()
 	type poll struct {
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestNextQueryMeetsTheDeadline: what an agent has counts as told 6 s after it could be reached, which may be just after it has failed, refused or
-// denied a query, or while one was under way that hung. However often that has happened, the next query begins in time.
+// TestNextQueryMeetsTheDeadline checks that the next query begins early enough after failures of all kinds, however often they
+// come: what an agent has must be known 6 s after it could be reached.
 func TestNextQueryMeetsTheDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer Response
--- a/internal/endpoints/discovery/calls_test.go
+++ b/internal/endpoints/discovery/calls_test.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// TestFullListIsRequestedUntilReceived: after a move, a watch that tells changes alone leaves open what they are changes of. The whole
-// list is asked for, and again where that fails: a new watch may not go on from the changes.
+// TestFullListIsRequestedUntilReceived checks that after a change of address a watch that sends changes alone has the full list
+// fetched, and fetched again when that fails: a new watch may not go on from the changes.
 func TestFullListIsRequestedUntilReceived(t *testing.T) {
 	old, moved := newScriptedServer(t), newScriptedServer(t)
 	s := newTestClient(t, old)
@@ -205,8 +205,8 @@
 	moved.nextWatch(9)
 }
 
-// TestOlderFullListIsRejected: calls are handled in turn, so a whole list may be older than what the watch has told meanwhile. It is not told: a
-// server that drains would be up again.
+// TestOlderFullListIsRejected checks that a full list older than what the watch has sent meanwhile is rejected: a draining
+// server would be up again. Discovery handles calls in turn, so it may come.
 func TestOlderFullListIsRejected(t *testing.T) {
 	at := newScriptedServer(t)
 	s := newTestClient(t, at)
@@ -227,7 +227,7 @@
 	s.wantEvent("list 7, whole true")
 }
 
-// TestChangesOlderThanTheFullListAreIgnored: a whole list may be newer than what the watch tells next. Those changes are in it.
+// TestChangesOlderThanTheFullListAreIgnored checks that changes on a watch that the full list already holds are ignored.
 func TestChangesOlderThanTheFullListAreIgnored(t *testing.T) {
 	at := newScriptedServer(t)
 	s := newTestClient(t, at)
@@ -244,8 +244,8 @@
 	s.wantEvent("list 10, whole false")
 }
 
-// TestOlderListOnAWatchEndsIt: on one watch generations grow. One that goes back shows that the watch is broken; the next goes on from the
-// newest.
+// TestOlderListOnAWatchEndsIt checks that a generation that goes back on one watch ends it, and that the next one goes on from
+// the newest.
 func TestOlderListOnAWatchEndsIt(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		t.Run(fmt.Sprintf("whole %v", full), func(t *testing.T) {
@@ -265,8 +265,8 @@
 	}
 }
 
-// TestRestartOfDiscoveryIsDetected: a discovery that has lost its state counts generations from the start. What it tells first on a new watch is how
-// it stands; where that is changes alone, the whole list is asked for.
+// TestRestartOfDiscoveryIsDetected checks that a lower generation first on a new watch counts as a restart of discovery, and
+// that the full list is fetched where only changes came.
 func TestRestartOfDiscoveryIsDetected(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		t.Run(fmt.Sprintf("whole %v", full), func(t *testing.T) {
@@ -291,7 +291,8 @@
 	}
 }
 
-// TestOldAddressIsIgnoredAfterSetAddress: what the old discovery has sent, but is not read yet when the client moves, is not told.
+// TestOldAddressIsIgnoredAfterSetAddress checks that what the old discovery has sent, and was not read before SetAddress, is
+// ignored.
 func TestOldAddressIsIgnoredAfterSetAddress(t *testing.T) {
 	old, moved := newScriptedServer(t), newScriptedServer(t)
 	s := newTestClient(t, old)
@@ -346,8 +347,8 @@
 	return asked
 }
 
-// TestTricklingResponseTimesOut: an answer that comes byte by byte is no sign of life, wherever in it: a call whose head, or chunk's head, or whole list never
-// gets whole is given up like a silent one.
+// TestTricklingResponseTimesOut checks that single bytes are no progress anywhere in a response: a call whose head, chunk head
+// or list never completes ends like a silent one.
 func TestTricklingResponseTimesOut(t *testing.T) {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -394,7 +395,7 @@
 	}
 }
 
-// TestProgressKeepsCallsOpen: what does make progress keeps its call open: empty lines and lists on a watch, each step of a whole list.
+// TestProgressKeepsCallsOpen checks that empty lines and lists keep a watch open, and each step of a list a fetch.
 func TestProgressKeepsCallsOpen(t *testing.T) {
 	at := newScriptedServer(t)
 	s := newTestClient(t, at)
@@ -480,8 +481,8 @@
 	return nil
 }
 
-// TestUnansweredDialTimesOut: a connection to discovery that never comes up is silence: the watch is asked for again at once, and nobody is told of a
-// failure, after which the next call would wait for its turn.
+// TestUnansweredDialTimesOut checks that a connection that never comes up counts as silence: the watch is reopened at once,
+// without a failure, which would delay the next call.
 func TestUnansweredDialTimesOut(t *testing.T) {
 	for name, pushed := range map[string]bool{"asked": false, "pushed": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/endpoints/discovery/client_test.go
+++ b/internal/endpoints/discovery/client_test.go
@@ -23,9 +23,9 @@
 func (ignoringHandler) Data([]byte)            {}
 func (ignoringHandler) Closed(error)           {}
 
-// TestSilentWatchTimesOutAndIsReopened guards against waiting for ever on a discovery that vanished: nothing closes such a connection, and
-// drains would go unheard. A sign of life puts the end off. Whatever a watch falls silent in, the next is asked for at once and goes
-// on from what was heard, with time for one more before 6 s are over; that it broke is told only where it did break.
+// TestSilentWatchTimesOutAndIsReopened checks that a watch without progress ends, since nothing closes a connection to a
+// discovery that vanished, and that progress keeps it open. Wherever a watch falls silent, the next one is opened at once from
+// the last list on, with time for one more within 6 s. Only a watch that was refused is reported as a failure.
 func TestSilentWatchTimesOutAndIsReopened(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/endpoints/discovery/response_test.go
+++ b/internal/endpoints/discovery/response_test.go
@@ -8,7 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestResponseParsesAnyChunking guards against reading a list by how its bytes come in, or by how it is laid out: chunks, lines and objects do not end together.
+// TestResponseParsesAnyChunking checks that lists are read however their bytes arrive and are laid out: chunks, lines and
+// objects do not end together.
 func TestResponseParsesAnyChunking(t *testing.T) {
 	for name, c := range map[string]struct {
 		in    string
--- a/internal/endpoints/manager_test.go
+++ b/internal/endpoints/manager_test.go
@@ -71,7 +71,8 @@
 	return reconcile.Observation{ID: id, Address: id + ":5432", Weight: 1}
 }
 
-// TestInitialListStandsUntilAllSourcesReported: what was known at the start stands until each source has said all that it has, not just a part.
+// TestInitialListStandsUntilAllSourcesReported checks that the initial list stands until each source has reported all that it
+// has.
 func TestInitialListStandsUntilAllSourcesReported(t *testing.T) {
 	r := newHarness([]discovery.Instance{up("a"), up("b"), up("old")}, SourceConsul, SourceStatic)
 	var got []string
@@ -94,7 +95,8 @@
 	}
 }
 
-// TestSelfReportsAndPlatformReachTheList: servers' words reach the list's roles; the platform's changes and failures come through.
+// TestSelfReportsAndPlatformReachTheList checks that servers' self-reports decide on roles, and that the platform's changes and
+// failures are passed on.
 func TestSelfReportsAndPlatformReachTheList(t *testing.T) {
 	r := newHarness(nil, SourcePlatform)
 	a, b := up("a"), up("b")
--- a/internal/endpoints/reconcile/reconciler_test.go
+++ b/internal/endpoints/reconcile/reconciler_test.go
@@ -110,7 +110,7 @@
 	return c
 }
 
-// TestSelfReportsDecideOnThePrimary: a source's word on the primary counts only while no server's own speaks against it.
+// TestSelfReportsDecideOnThePrimary checks that a source's primary counts only while no server's self-report contradicts it.
 func TestSelfReportsDecideOnThePrimary(t *testing.T) {
 	r := newHarness(t, nil)
 	three := []Observation{role(at("1", 0), Primary), role(at("2", 0), Replica), role(at("3", 0), Replica)}
@@ -156,7 +156,8 @@
 	trusting.wantList("1 serving*, 2 serving, 3 serving")
 }
 
-// TestMaintenanceDrainsAndCriticalNeedsResponses: maintenance drains at once whoever says it, a critical server is used only for its answers.
+// TestMaintenanceDrainsAndCriticalNeedsResponses checks that maintenance drains a server whichever source reports it, and that
+// a critical server is used only while it responds.
 func TestMaintenanceDrainsAndCriticalNeedsResponses(t *testing.T) {
 	r := newHarness(t, nil)
 	r.observe("consul", true, at("1", 0), health(at("2", 0), Warning), health(at("3", 0), Critical))
@@ -188,8 +189,8 @@
 	loose.wantList("1 serving")
 }
 
-// TestMassRemovalsAreHeldBack: one empty answer takes nothing away; single servers go at once, the operators' word lets all go, and so
-// does time.
+// TestMassRemovalsAreHeldBack checks that an empty report removes nothing at first, that single removals count at once, and
+// that operators or time release those held back.
 func TestMassRemovalsAreHeldBack(t *testing.T) {
 	eight := func() (out []Observation) {
 		for i := range 8 {
@@ -261,8 +262,8 @@
 	}
 }
 
-// TestSourcesCountByRankAgeAndRetention: the first by rank wins, but not with old news; a lost one counts for as long as it is kept, and what answers
-// stays even then.
+// TestSourcesCountByRankAgeAndRetention checks that the first source by rank wins unless its report is stale, and that a lost
+// source counts for its retention, or while its servers respond.
 func TestSourcesCountByRankAgeAndRetention(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.SourceRetentionMs = 60000 })
 	other := at("1", 0)
@@ -296,7 +297,8 @@
 	r.wantList("1 serving, 2 serving, 3 serving, 4 serving")
 }
 
-// TestConflictsMovesAndRegressions: two addresses, two ids, groups that change, starts and generations that go back.
+// TestConflictsMovesAndRegressions checks two addresses of one id, two ids of one address, moves between groups, and starts and
+// generations that go back.
 func TestConflictsMovesAndRegressions(t *testing.T) {
 	r := newHarness(t, nil)
 	a, b := at("1", 0), at("1", 0)
@@ -338,7 +340,7 @@
 	}
 }
 
-// TestFlappingServerDrainsUntilStable: what comes and goes is not used until it keeps still.
+// TestFlappingServerDrainsUntilStable checks that a server that flaps is not used until it has been stable.
 func TestFlappingServerDrainsUntilStable(t *testing.T) {
 	r := newHarness(t, nil)
 	r.observe("consul", true, at("1", 0), at("2", 0))
@@ -367,7 +369,8 @@
 	}
 }
 
-// TestRetiredSourceLeavesWhatOthersKnow: a source whose place others take leaves what they know; that they know nothing takes nothing away at first.
+// TestRetiredSourceLeavesWhatOthersKnow checks that a retired source leaves the servers that others know, and that its removals
+// are held back where they know none.
 func TestRetiredSourceLeavesWhatOthersKnow(t *testing.T) {
 	three := []Observation{at("1", 0), at("2", 0), at("3", 1)}
 	r := newHarness(t, nil)
@@ -388,7 +391,8 @@
 	r.wantList("1 serving, 3 serving")
 }
 
-// TestRemovalsBeforeALossAreForgotten: what a source dropped before it was lost does not take away what another has said meanwhile.
+// TestRemovalsBeforeALossAreForgotten checks that what a source removed before a long loss does not remove what another has
+// reported since.
 func TestRemovalsBeforeALossAreForgotten(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.SourceRetentionMs, s.MassRemovalFraction = 5000, 0 })
 	r.observe("consul", true, at("1", 0), at("2", 0))
@@ -402,7 +406,8 @@
 	r.wantList("1 serving, 2 serving")
 }
 
-// TestEntryIsNotTransferredToAnotherAddress: a server that moves with its address to another group is not kept where it was by one that has moved too.
+// TestEntryIsNotTransferredToAnotherAddress checks that a server that moves with its address to another group does not keep its
+// old entry by way of another id that moves too.
 func TestEntryIsNotTransferredToAnotherAddress(t *testing.T) {
 	r := newHarness(t, nil)
 	moved := func(id string, group int) Observation {
@@ -419,9 +424,9 @@
 	}
 }
 
-// TestInvariantsOfAnySequenceOfInputs holds the judge to what must be so whatever its sources say: the changes that it gives come to the list
-// that it has; no address is listed twice; no group has two primaries, and no primary has said lately that it is none; an
-// empty list never follows from one answer; and nothing that says maintenance serves.
+// TestInvariantsOfAnySequenceOfInputs checks, after any sequence of inputs, that the changes add up to the list, no address is
+// listed twice, no group has two primaries, no primary has lately reported to be a replica, one empty report never empties the
+// list, and no server serves that a source has in maintenance.
 func TestInvariantsOfAnySequenceOfInputs(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		set := Defaults("a", "b")
@@ -525,7 +530,7 @@
 	})
 }
 
-// BenchmarkChanges is a tenth of 2,000 servers that change, as one report of changes.
+// BenchmarkChanges measures a report of changes of a tenth of 2,000 servers.
 func BenchmarkChanges(b *testing.B) {
 	r := New(Defaults("consul"))
 	var all []Observation
--- a/internal/endpoints/snapshot/snapshot_test.go
+++ b/internal/endpoints/snapshot/snapshot_test.go
@@ -14,7 +14,8 @@
 
 var file = &File{SavedAtMs: 1.7e12, Entries: []reconcile.Entry{{ID: "a", Address: "10.0.0.1:5432", Group: 3, Zone: "z", Weight: 2, Started: 1e12, Primary: true}, {ID: "b\n", Address: "10.0.0.2:5432", State: reconcile.StateDraining}}}
 
-// TestSnapshotCutAnywhereIsRejected: a file that ends too soon, or has a byte that is not its own, is not read; a whole one is.
+// TestSnapshotCutAnywhereIsRejected checks that a file that ends too soon or has a changed byte is rejected, and that a
+// complete one is read.
 func TestSnapshotCutAnywhereIsRejected(t *testing.T) {
 	b, err := Append(nil, file)
 	if err != nil {
@@ -39,7 +40,8 @@
 	}
 }
 
-// TestFileIsReplacedAndRead: a file is replaced as a whole, and one that is missing, foreign or not to be written is told of.
+// TestFileIsReplacedAndRead checks that a file is replaced completely, and that one that is missing, foreign or cannot be
+// written is reported.
 func TestFileIsReplacedAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members")
 	if f, err := Load(path); f != nil || err != nil {
--- a/internal/metrics/exposition/exposition_test.go
+++ b/internal/metrics/exposition/exposition_test.go
@@ -41,7 +41,7 @@
 	return out
 }
 
-// TestBothForms: one sheet in both forms; lines of one family stand together in the text however they came.
+// TestBothForms checks one snapshot in both forms; Prometheus has the lines of a family together.
 func TestBothForms(t *testing.T) {
 	t.Parallel()
 	var s Snapshot
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestTextHoldsAnyName: whatever a class, a limit or a server is called, quotes, line ends and bytes that are no text included, a
-// reader finds each figure once, with its value.
+// TestTextHoldsAnyName checks that any name of an object, with quotes, line breaks and bytes that are no text, is read back
+// with its value.
 func TestTextHoldsAnyName(t *testing.T) {
 	t.Parallel()
 	deterministic.Check(t, func(t *rapid.T) {
@@ -120,7 +120,7 @@
 	})
 }
 
-// BenchmarkForms measures a sheet of 60 figures in each form.
+// BenchmarkForms measures a snapshot of 60 samples in each form.
 func BenchmarkForms(b *testing.B) {
 	fill := func() *Snapshot {
 		s := &Snapshot{}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -132,8 +132,7 @@
 	return &Event{At: 1.7e12 + float64(i), Kind: recordpb.Kind_KIND_ATTEMPT, Request: uint64(i), Server: "s-1", DurationMs: 3}
 }
 
-// TestSlowDiskLosesAndCountsEvents guards against a disk that holds the loop up, and against a loss that nobody hears of: while a write
-// hangs, events go on being taken without waiting, and every one that found no room is counted where it would stand.
+// TestSlowDiskLosesAndCountsEvents checks that a slow disk never holds up the event loop, and that lost events are counted.
 func TestSlowDiskLosesAndCountsEvents(t *testing.T) {
 	d := newDisk()
 	d.hold, d.began = make(chan struct{}), make(chan struct{}, 1)
@@ -163,7 +162,8 @@
 	}
 }
 
-// TestFullDiskIsRetriedAndCounted guards against records that end service, or that hide what a full disk swallowed.
+// TestFullDiskIsRetriedAndCounted checks that a full disk ends neither service nor records, and that the events it lost are
+// counted.
 func TestFullDiskIsRetriedAndCounted(t *testing.T) {
 	for _, room := range []int{0, 5, 300, 5000, 20000} {
 		d := newDisk()
@@ -198,7 +198,8 @@
 	}
 }
 
-// TestOldestSegmentsAreRemoved guards against records that grow without end, and against removing what is not this pooler's.
+// TestOldestSegmentsAreRemoved checks that the segments of a pooler stay within their limit, that other files stay, and that
+// each segment begins with the list.
 func TestOldestSegmentsAreRemoved(t *testing.T) {
 	d := newDisk()
 	d.files["n_1-old"] = bytes.NewBufferString("no segment")
@@ -231,7 +232,7 @@
 	}
 }
 
-// BenchmarkPut measures what an event costs the loop.
+// BenchmarkPut measures what an event costs the event loop.
 func BenchmarkPut(b *testing.B) {
 	rec, stop := Start(Options{Pooler: "n", Files: Dir(b.TempDir()), SegmentBytes: 16 << 20, TotalBytes: 64 << 20, QueueLength: 1 << 16, FlushIntervalMs: 50,
 		Log: slog.New(slog.DiscardHandler)})
--- a/internal/settings/clickhouse_test.go
+++ b/internal/settings/clickhouse_test.go
@@ -10,10 +10,10 @@
 	"beechgrade/internal/config"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/frontend/clickhouse/limits"
-	"beechgrade/internal/storage/journal"
 )
 
-// TestClickHouseSettings: what is written is what holds, each mistake has its place, and the classes are such that only reads repeat.
+// TestClickHouseSettings checks the values of (clickhouse ...), the place of each error, and that only classes of reads may be
+// retried.
 func TestClickHouseSettings(t *testing.T) {
 	settings, err := Parse("o", []byte(`(clickhouse (listen "127.0.0.1:8123") (group 9) (aim 1s) (deadline 5s) (most-body 2m) (hold 64k) (bound 10s) (sessions 5)
 		(upload 1m) (quiet 2m) (stall 3s) (deadline-header "X-Wait")
@@ -59,24 +59,3 @@
 		}
 	}
 }
-
-// TestJournalSettings: the folder, the mode and the bound, with variables of the environment; what is not known has its place.
-func TestJournalSettings(t *testing.T) {
-	settings, err := Parse("o", []byte(`(journal (dir "$D/j") (mode alongside) (most 5m) (pace 2m))`), func(string) string { return "/d" })
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(Journal{Dir: "/d/j", Mode: journal.Alongside, MaxBytes: 5 << 20, CompactionBytesPerSecond: 2 << 20}, settings.Journal); diff != "" {
-		t.Error(diff)
-	}
-	for in, want := range map[string]string{
-		`(journal)`:                            "o:1:1: journal: (dir",
-		`(journal (dir "x") (mode sometimes))`: "o:1:26: before or alongside",
-		`(journal (dir "x") (most 5))`:         "o:1:26: 5 is out of range",
-		`(journal (dir "x") (pace 5))`:         "o:1:26: 5 is out of range",
-	} {
-		if _, err := Parse("o", []byte(in), nil); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: %v", in, err)
-		}
-	}
-}
--- a/internal/settings/cluster_test.go
+++ b/internal/settings/cluster_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestClusterSettings: what is wrong with (peers ...) is named with its place, in one line; what is right is taken.
+// TestClusterSettings checks that errors in (peers ...) name their place in one line, and that correct settings are read.
 func TestClusterSettings(t *testing.T) {
 	dir := t.TempDir()
 	short, good := filepath.Join(dir, "short"), filepath.Join(dir, "good")
--- a/internal/settings/credit_test.go
+++ b/internal/settings/credit_test.go
@@ -12,7 +12,7 @@
 
 const beforeCredit = `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d")) `
 
-// TestCreditSettings reads prices, overdrafts and payments, and has each class find its own.
+// TestCreditSettings checks the values of (credit ...).
 func TestCreditSettings(t *testing.T) {
 	settings, err := Parse("x", []byte(beforeCredit+`(credit (unit "cent") (slow-below 0.1) (price "read" (request 2)) (price "report" (request 5) (row 1) (most 100) (failed charged))
 		(overdraft "write" 500) (payment "m" 2 70) (payment "m" 1 30) (payment "a" 1 10) (prepaid "z"))`), func(string) string { return "" })
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestCreditErrors has each fault be told in one line.
+// TestCreditErrors checks an error for each mistake in (credit ...).
 func TestCreditErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`(credit (price "a" (request 1)))`:                                                                "needs (peers ...) and (agreed ...)",
--- a/internal/settings/durable_test.go
+++ b/internal/settings/durable_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"strings"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -9,8 +10,9 @@
 	"beechgrade/internal/storage/sessiontoken"
 )
 
-// TestCompactionRateSettings: the journal and the sessions' commits are set alike, and an error names which of them it is about.
-func TestCompactionRateSettings(t *testing.T) {
+// TestDurableStoreSettings checks that the journal and the sessions' store are set alike, and that errors name which of them
+// they are about.
+func TestDurableStoreSettings(t *testing.T) {
 	for in, want := range map[string]Durable[string]{
 		`(dir "/x")`:                              {"/x", "before", 64 << 20, 0},
 		`(dir "/x") (mode before)`:                {"/x", "before", 64 << 20, 0},
@@ -42,3 +44,44 @@
 		t.Errorf("of nothing: %+v, %+v, %v", settings.Journal, settings.Sessions, err)
 	}
 }
+
+// TestJournalSettings checks the values and errors of (journal ...).
+func TestJournalSettings(t *testing.T) {
+	settings, err := Parse("o", []byte(`(journal (dir "$D/j") (mode alongside) (most 5m) (pace 2m))`), func(string) string { return "/d" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(Journal{Dir: "/d/j", Mode: journal.Alongside, MaxBytes: 5 << 20, CompactionBytesPerSecond: 2 << 20}, settings.Journal); diff != "" {
+		t.Error(diff)
+	}
+	for in, want := range map[string]string{
+		`(journal)`:                            "o:1:1: journal: (dir",
+		`(journal (dir "x") (mode sometimes))`: "o:1:26: before or alongside",
+		`(journal (dir "x") (most 5))`:         "o:1:26: 5 is out of range",
+		`(journal (dir "x") (pace 5))`:         "o:1:26: 5 is out of range",
+	} {
+		if _, err := Parse("o", []byte(in), nil); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%s: %v", in, err)
+		}
+	}
+}
+
+// TestSessionsSettings checks the values and errors of (sessions ...).
+func TestSessionsSettings(t *testing.T) {
+	for in, want := range map[string]any{
+		`(sessions (dir "/s") (mode alongside) (most 2m) (pace 64k))`: Sessions{Dir: "/s", Mode: sessiontoken.Alongside, MaxBytes: 2 << 20, CompactionBytesPerSecond: 64 << 10},
+		`(sessions (dir "$NO"))`:             `o:1:1: sessions: (dir "FOLDER") is due, on a disk that survives`,
+		`(sessions (dir "/s") (mode never))`: "o:1:28: before or alongside is due here",
+	} {
+		settings, err := Parse("o", []byte(in), func(string) string { return "" })
+		var got any
+		if got = err; err != nil {
+			got = err.Error()
+		} else {
+			got = settings.Sessions
+		}
+		if diff := cmp.Diff(want, got); diff != "" {
+			t.Errorf("%q: %s", in, diff)
+		}
+	}
+}
--- a/internal/settings/endpoints_test.go
+++ b/internal/settings/endpoints_test.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-// TestEndpointsSettings: what is written is what holds, and each mistake has one line with its place.
+// TestEndpointsSettings checks the values of (membership ...), and that each error is one line with its place.
 func TestEndpointsSettings(t *testing.T) {
 	env := func(string) string { return "/e" }
 	settings, err := Parse("o", []byte(`(membership
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestPlatformDeploymentHasSourcesDisabled: on this platform the list is its discovery's alone.
+// TestPlatformDeploymentHasSourcesDisabled checks that this deployment's list is that of the platform's discovery alone.
 func TestPlatformDeploymentHasSourcesDisabled(t *testing.T) {
 	settings, err := Load("../../deploy/operators.sexp", os.Getenv)
 	if err != nil || settings.Endpoints.Enabled || settings.Pooling.Listen != "" || settings.ClickHouse.Listen != "" || settings.Record.Enabled {
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestOverrideFile: the operators' word, none, and one with a mistake.
+// TestOverrideFile checks override files: pins, accepted removals, none, and errors.
 func TestOverrideFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "o")
 	m := &Endpoints{OverridePath: file}
--- a/internal/settings/fleetlimits_test.go
+++ b/internal/settings/fleetlimits_test.go
@@ -6,8 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestFleetLimitsSettings: what is wrong with (fleet-limits ...) is named with its place; what is right is taken, and its text reads as
-// the same again.
+// TestFleetLimitsSettings checks that errors in (fleet-limits ...) name their place, and that the text of settings reads as the
+// same again.
 func TestFleetLimitsSettings(t *testing.T) {
 	peers := `(peers (listen "1.2.3.4:5") (key "k"))`
 	env := func(string) string { return "" }
--- a/internal/settings/outlier_test.go
+++ b/internal/settings/outlier_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestOutlierDetectionSettings: what is wrong with (verdicts ...) is named with its place, in one line.
+// TestOutlierDetectionSettings checks the values and errors of (verdicts ...).
 func TestOutlierDetectionSettings(t *testing.T) {
 	for in, want := range map[string]string{
 		`(verdicts)`: `o:1:1: (verdicts ...) needs (peers ...)`,
--- a/internal/settings/overload_test.go
+++ b/internal/settings/overload_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestOverloadSettings: what is wrong with (overload ...) is named with its place, in one line.
+// TestOverloadSettings checks the values and errors of (overload ...).
 func TestOverloadSettings(t *testing.T) {
 	for in, want := range map[string]string{
 		`(overload)`: `o:1:1: (overload ...) needs (peers ...)`,
--- a/internal/settings/raftlog_test.go
+++ b/internal/settings/raftlog_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestRaftLogSettings: what is told is taken, and each fault has its line.
+// TestRaftLogSettings checks the values of (agreed ...), and an error for each mistake.
 func TestRaftLogSettings(t *testing.T) {
 	const peers = `(peers (listen "127.0.0.1:1") (key "/k"))`
 	read := func(s string) (*Settings, error) {
--- a/internal/settings/scatter_test.go
+++ b/internal/settings/scatter_test.go
@@ -9,7 +9,7 @@
 
 const readOf = `(read "r" (class "reports") (shards ("b" 1) ("a" 0)) (order ("at" timestamptz (desc))) (own ("id" int8)) (whole))`
 
-// TestScatterSettings: what is read, and one line with its place for each fault.
+// TestScatterSettings checks the values and errors of (scatter ...).
 func TestScatterSettings(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"good": "a key of cursors\n\nan older key of them\n", "short": "a key of cursors\nshort\n"} {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// TestRecordSettingsAndErrorPositions guards against settings that are half taken: each fault has one line with its place.
+// TestRecordSettingsAndErrorPositions checks the values of (record ...) and (kept ...), and that each error is one line with
+// its place: settings are read completely or not at all.
 func TestRecordSettingsAndErrorPositions(t *testing.T) {
 	env := func(name string) string { return map[string]string{"T": "/t"}[name] }
 	for in, want := range map[string]any{
--- a/internal/settings/zones_test.go
+++ b/internal/settings/zones_test.go
@@ -9,7 +9,7 @@
 
 const zonesNeed = `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d"))`
 
-// TestZonesSettings: names, ways and orders, and what is wrong with others.
+// TestZonesSettings checks the values and errors of (zones ...).
 func TestZonesSettings(t *testing.T) {
 	settings, err := Parse("x", []byte(zonesNeed+` (zones (names "a" "b") (delay "a" "b" 3ms) (spare 0.3) (order 7 "b" evacuated (until "2026-01-31T12:00:00Z")))`), func(string) string { return "" })
 	if err != nil {
