--- a/internal/backend/api.go
+++ b/internal/backend/api.go
@@ -7,7 +7,7 @@
 
 // Query is a request in the form that is sent to a server.
 type Query interface {
-	// AppendQuery appends the message to dst. The server is told that the client waits for waitMs more.
+	// AppendQuery appends the message to dst. It states that the client waits for waitMs more.
 	AppendQuery(dst []byte, waitMs int) []byte
 }
 
@@ -22,10 +22,10 @@
 // AttemptID identifies the request and the attempt that an outcome belongs to.
 type AttemptID struct {
 	Request slotmap.Ref
-	Number  int
+	Number  int // of the attempt within its request, from 0
 }
 
-// Outcome is the result of an attempt or a probe, with what the server reported in its answer.
+// Outcome is the result of an attempt or a health check, with what the server reported in its answer.
 type Outcome struct {
 	Result decide.Result
 	Answer []byte // if the result is OK: the row as messages, valid during the call
@@ -40,8 +40,8 @@
 }
 
 // TooLate reports whether it is too late to write the attempt.
-func (terms SendConditions) TooLate(now float64) bool {
-	return terms.WriteBefore > 0 && now >= terms.WriteBefore
+func (conditions SendConditions) TooLate(now float64) bool {
+	return conditions.WriteBefore > 0 && now >= conditions.WriteBefore
 }
 
 // Report is what a server reported about itself.
@@ -51,37 +51,41 @@
 	HasPos   bool
 }
 
-// Events receives the ends of attempts and probes, and a notice when the last byte of an attempt has been sent. Its methods may
-// be called from within Start, Cancel and Probe.
+// Events receives the ends of attempts and health checks, and a notice when the last byte of an attempt has been sent. Its methods
+// are called on the event loop, also from within Start, Cancel and CheckHealth.
 type Events interface {
-	// MaySend is called just before the first byte of an attempt is written; if it returns false, the attempt is not sent.
-	// The attempt may have waited for a connection, and reports that arrived meanwhile may rule it out.
-	MaySend(tag AttemptID) bool
-	// ServerReportsReplica reports that a server said it is a replica. It is called before the end of the attempt whose answer said so.
-	ServerReportsReplica(server string, report Report, probe bool)
+	// MaySend is called just before the first byte of an attempt is written; if it returns false, the attempt is not sent. The
+	// attempt may have waited for a connection, and reports that arrived meanwhile may rule it out.
+	MaySend(id AttemptID) bool
+	// ServerReportsReplica is called when a server reports that it is a replica, before the end of the attempt whose answer
+	// reported it.
+	ServerReportsReplica(server string, report Report, healthCheck bool)
 	// AttemptWritten reports that the last byte of an attempt has been sent.
-	AttemptWritten(tag AttemptID)
-	// AnswerStreams ends an attempt as served when its answer is too long to be kept and is streamed instead. Calling stop
-	// abandons the rest. A nil Flow means that nobody takes the answer.
-	AnswerStreams(tag AttemptID, stop func()) AnswerStream
+	AttemptWritten(id AttemptID)
+	// AnswerStreams ends an attempt as served if its answer is too long to be buffered and is streamed instead. Calling stop
+	// abandons the rest. If it returns nil, the answer is dropped.
+	AnswerStreams(id AttemptID, stop func()) AnswerStream
 	// AttemptEnded reports how an attempt ended.
-	AttemptEnded(tag AttemptID, outcome Outcome)
-	// HealthCheckEnded reports how a probe ended.
+	AttemptEnded(id AttemptID, outcome Outcome)
+	// HealthCheckEnded reports how a health check ended.
 	HealthCheckEnded(server string, outcome Outcome)
 }
 
 // AnswerStream receives an answer that is streamed.
 type AnswerStream interface {
-	Chunk(b []byte)             // valid during the call
-	HasCapacity() bool          // another piece can be taken
-	Ended(b []byte, whole bool) // b is what follows the last piece; whole is false if the rest will not arrive
+	// Chunk receives the next bytes, which are valid during the call.
+	Chunk(b []byte)
+	// HasCapacity reports whether another chunk can be taken.
+	HasCapacity() bool
+	// Ended receives what follows the last chunk. whole is false if the rest of the answer will not arrive.
+	Ended(b []byte, whole bool)
 }
 
 // Options are the settings and limits of a Pool.
 type Options struct {
 	User, Database   string
 	Roles            [2]string // the values by which servers report that they are primary or replica
-	PositionName     string
+	PositionName     string    // the parameter by which servers report their position
 	ConnectTimeoutMs float64
 	IdleMs           float64         // how long a connection may be idle before it is closed
 	MaxConns         func() int      // to all servers together, given the descriptors available now
@@ -90,18 +94,23 @@
 	Dial             func(do func()) // schedules the start of a connection; nil to start it at once
 }
 
+// Limits of memory. Sizes are in bytes.
 const (
-	heldPart    = 8       // answers being received may take one part in heldPart of the memory
-	keepAnswer  = 1 << 14 // bytes of a buffer kept from one answer to the next
-	pauseMs     = 150     // pause within an answer after which it is given up...
-	pauseOnceMs = 600     // ...and for an attempt that must not run twice, which cannot be retried
-	longValue   = 1 << 16 // bytes; a longer row is streamed
-	silentMs    = 10000   // pause within such a row after which it is given up
-	sendPiece   = 1 << 16 // bytes of a long query written at a time...
-	sendAhead   = 1 << 18 // ...while fewer than this are buffered for the server
-	capacityMs  = 5       // between checks of whether there is capacity for the next piece...
-	headMs      = 1       // ...and right after a piece was written
-	leaveMs     = 100     // within which the remaining time must be transmitted; it may be wrong by 150 ms, pauses included
-	digitsMs    = 50      // within which a query can be sent without the remaining time losing a digit
-	brokeMs     = 50      // a connection that breaks so soon after a request is counted as broken by it
+	memoryPart      = 8       // answers being received may take one part in memoryPart of the memory
+	maxIdleBuffer   = 1 << 14 // of an answer's buffer that is kept for the next answer
+	streamThreshold = 1 << 16 // a longer row is streamed
+	writePiece      = 1 << 16 // of a long query written at a time...
+	maxUnsent       = 1 << 18 // ...while fewer than this are buffered for the server
+)
+
+// Limits of time, in milliseconds.
+const (
+	answerPauseMs     = 150   // pause within an answer after which it is given up...
+	atMostOncePauseMs = 600   // ...and for an attempt that must not run twice, which cannot be retried
+	streamPauseMs     = 10000 // pause within a streamed row after which it is given up
+	capacityCheckMs   = 5     // between checks of whether there is capacity for the next piece...
+	soonCheckMs       = 1     // ...and right after a piece was written
+	transmitMs        = 100   // within which the remaining time must be transmitted; it may be wrong by 150 ms, pauses included
+	digitReserveMs    = 50    // within which a query can be sent without the remaining time losing a digit
+	brokenSoonMs      = 50    // a connection that breaks so soon after a request is counted as broken by it
 )
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -18,7 +18,7 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// outcomes implements Events and Query, and passes on the outcomes of attempts and probes.
+// outcomes implements Events and Query, and passes on the outcomes of attempts and health checks.
 type outcomes chan Outcome
 
 func (outcomes outcomes) MaySend(AttemptID) bool                       { return true }
@@ -30,31 +30,118 @@
 func (outcomes) AppendQuery(dst []byte, _ int) []byte                  { return pgwire.AppendQuery(dst, "query") }
 
 // discardHandler is the handler of connections that the test does not use.
-type nobody struct{}
+type discardHandler struct{}
 
-func (nobody) Opened(*eventloop.Conn) {}
-func (nobody) Data([]byte)            {}
-func (nobody) Closed(error)           {}
+func (discardHandler) Opened(*eventloop.Conn) {}
+func (discardHandler) Data([]byte)            {}
+func (discardHandler) Closed(error)           {}
 
-// TestNeverWritten: an attempt for which there is no descriptor, or that is cancelled or whose server leaves the list while it
+// patience bounds every wait of a test; no result depends on how fast something happens.
+const patience = 20 * time.Second
+
+// newLoop returns an event loop on a clock that the test sets.
+func newLoop(manual *clock.Manual) *eventloop.Loop {
+	return eventloop.New(manual, slog.New(slog.DiscardHandler), func() eventloop.Handler { return discardHandler{} }, func() {})
+}
+
+// newPool returns a pool on a loop.
+func newPool(loop *eventloop.Loop, options Options, events Events) *Pool {
+	return New(loop, slog.New(slog.DiscardHandler), options, events)
+}
+
+// run runs a loop until the returned function is called.
+func run(t *testing.T, loop *eventloop.Loop) (end func()) {
+	t.Helper()
+	ready, ended := make(chan struct{}), make(chan error, 1)
+	loop.Ready = func() { close(ready) }
+	go func() { ended <- loop.Run("127.0.0.1:0") }()
+	<-ready
+	return func() {
+		t.Helper()
+		loop.End()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+// next returns the next outcome.
+func (outcomes outcomes) next(t *testing.T) Outcome {
+	t.Helper()
+	select {
+	case outcome := <-outcomes:
+		return outcome
+	case <-time.After(patience):
+		t.Fatal("the end is not reported")
+	}
+	return Outcome{}
+}
+
+// listen returns a listener for a server.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	server, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = server.Close() })
+	return server
+}
+
+// serverConn is a server's end of a connection.
+type serverConn struct {
+	t *testing.T
+	net.Conn
+}
+
+// accept returns the next connection to a server.
+func accept(t *testing.T, server net.Listener) serverConn {
+	t.Helper()
+	socket, err := server.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = socket.Close() })
+	_ = socket.SetDeadline(time.Now().Add(patience))
+	return serverConn{t, socket}
+}
+
+// reply reads a message and sends another in reply.
+func (conn serverConn) reply(message []byte) {
+	conn.t.Helper()
+	conn.receive()
+	if _, err := conn.Write(message); err != nil {
+		conn.t.Fatal(err)
+	}
+}
+
+// receive reads a message.
+func (conn serverConn) receive() {
+	conn.t.Helper()
+	if _, err := conn.Read(make([]byte, 1<<10)); err != nil {
+		conn.t.Fatal(err)
+	}
+}
+
+// valueRow is a complete row without what follows it.
+func valueRow() []byte {
+	return pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte("v")), "SELECT 1")
+}
+
+// TestUnsentAttemptEndsAsNotSent: an attempt for which there is no descriptor, or that is cancelled or whose server leaves the list while it
 // waits for a connection, was never sent. It must not count against its server, nor as one that may have run.
-func TestNeverWritten(t *testing.T) {
+func TestUnsentAttemptEndsAsNotSent(t *testing.T) {
 	manual, events := &clock.Manual{Ms: 1e6}, make(outcomes, 9)
-	var pool *Pool
-	eventLoop := eventloop.New(manual, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {})
-	pool = New(eventLoop, slog.New(slog.DiscardHandler), Options{ConnectTimeoutMs: 250, MaxConns: func() int { return 0 }}, events)
-	ready := make(chan struct{})
-	eventLoop.Ready = func() { close(ready) }
-	ended := make(chan error, 1)
-	go func() { ended <- eventLoop.Run("127.0.0.1:0") }()
-	<-ready
-	eventLoop.Post(func() {
+	loop := newLoop(manual)
+	pool := newPool(loop, Options{ConnectTimeoutMs: 250, MaxConns: func() int { return 0 }}, events)
+	end := run(t, loop)
+	loop.Post(func() {
 		pool.SetAddress("s", "127.0.0.1:1")
 		pool.Start("s", events, manual.Ms+9000, SendConditions{AtMostOnce: true}, AttemptID{})
 		pool.Cancel(pool.Start("s", events, manual.Ms+9000, SendConditions{AtMostOnce: true}, AttemptID{Number: 1}))
 	})
-	eventLoop.Post(func() { manual.Ms += 250 })
-	eventLoop.Post(func() {
+	loop.Post(func() { manual.Ms += 250 })
+	loop.Post(func() {
 		pool.SetAddress("t", "127.0.0.1:1")
 		pool.Start("t", events, manual.Ms+9000, SendConditions{AtMostOnce: true}, AttemptID{Number: 2})
 		pool.Retain(map[string]bool{"s": true}) // t has left the list
@@ -64,24 +151,16 @@
 		}
 	})
 	for range 3 {
-		select {
-		case outcome := <-events:
-			if diff := cmp.Diff(Outcome{Result: decide.NotSent}, outcome); diff != "" {
-				t.Error(diff)
-			}
-		case <-time.After(20 * time.Second):
-			t.Fatal("the end is not reported")
+		if diff := cmp.Diff(Outcome{Result: decide.NotSent}, events.next(t)); diff != "" {
+			t.Error(diff)
 		}
 	}
-	eventLoop.End()
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
+	end()
 }
 
-// TestReport: a report that can be read only in part, or has a position that no server can have, must be rejected
+// TestUnreadableReportIsRejected: a report that can be read only in part, or has a position that no server can have, must be rejected
 // completely.
-func TestReport(t *testing.T) {
+func TestUnreadableReportIsRejected(t *testing.T) {
 	pool := &Pool{loop: eventloop.New(&clock.Manual{Ms: 5000}, nil, nil, nil)}
 	unreadable := Outcome{Result: decide.Failed}
 	for report, want := range map[string]Outcome{
@@ -102,205 +181,121 @@
 		"\xff\x00":               unreadable,
 	} {
 		row := append([]byte{0, 1, 0, 0, 0, byte(len(report))}, report...)
-		if diff := cmp.Diff(want, pool.report(row)); diff != "" {
+		if diff := cmp.Diff(want, pool.parseHealthReport(row)); diff != "" {
 			t.Errorf("%q: %s", report, diff)
 		}
 	}
 }
 
-// TestMemoryForAnswers: answers being received share a part of the memory. One that would exceed it must be given up, or large
+// TestAnswersBeyondMemoryAreAborted: answers being received share a part of the memory. One that would exceed it must be given up, or large
 // values would get the program killed. The clock stands still, so that no answer is given up for its time.
-func TestMemoryForAnswers(t *testing.T) {
-	server, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	events := make(outcomes, 9)
-	var pool *Pool
-	eventLoop := eventloop.New(&clock.Manual{Ms: 1e6}, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {})
-	pool = New(eventLoop, slog.New(slog.DiscardHandler), Options{ConnectTimeoutMs: 20000, IdleMs: 20000,
-		MaxConns: func() int { return 9 }, Memory: func() int { return 1 << 18 }}, events)
-	ended := make(chan error, 1)
-	go func() { ended <- eventLoop.Run("127.0.0.1:0") }()
-	eventLoop.Post(func() {
+func TestAnswersBeyondMemoryAreAborted(t *testing.T) {
+	server, events := listen(t), make(outcomes, 9)
+	loop := newLoop(&clock.Manual{Ms: 1e6})
+	pool := newPool(loop, Options{ConnectTimeoutMs: 20000, IdleMs: 20000, MaxConns: func() int { return 9 },
+		Memory: func() int { return 1 << 18 }}, events)
+	end := run(t, loop)
+	loop.Post(func() {
 		pool.SetAddress("s", server.Addr().String())
-		pool.Start("s", events, eventLoop.Now()+20000, SendConditions{}, AttemptID{})
+		pool.Start("s", events, loop.Now()+20000, SendConditions{}, AttemptID{})
 	})
-	far, err := server.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, message := range [][]byte{pgwire.AppendWelcome(nil), pgwire.AppendRow(nil, "content", make([]byte, 60<<10))[:50<<10]} {
-		if _, err := far.Read(make([]byte, 999)); err != nil { // the startup message, then the query
-			t.Fatal(err)
-		}
-		if _, err := far.Write(message); err != nil {
-			t.Fatal(err)
-		}
-	}
-	select {
-	case outcome := <-events:
-		if outcome.Result != decide.Failed {
-			t.Errorf("result %v", outcome.Result)
-		}
-	case <-time.After(20 * time.Second):
-		t.Fatal("the end is not reported")
+	conn := accept(t, server)
+	conn.reply(pgwire.AppendWelcome(nil))
+	conn.reply(pgwire.AppendRow(nil, "content", make([]byte, 60<<10))[:50<<10])
+	if outcome := events.next(t); outcome.Result != decide.Failed {
+		t.Errorf("result %v", outcome.Result)
 	}
 	done := make(chan int)
-	eventLoop.Post(func() { done <- pool.held })
-	if held := <-done; held != 0 {
-		t.Errorf("%d bytes still count as buffered", held)
-	}
-	eventLoop.End()
-	if err := <-ended; err != nil {
-		t.Error(err)
+	loop.Post(func() { done <- pool.bufferedBytes })
+	if buffered := <-done; buffered != 0 {
+		t.Errorf("%d bytes still count as buffered", buffered)
 	}
+	end()
 }
 
 // recallingEvents recalls attempt 1 when a server reports that it is a replica, as the core does with writes.
-type deniedBy struct {
+type recallingEvents struct {
 	outcomes
-	p    **Pool
-	dies map[int]bool // attempts that may not go out any more
+	pool     **Pool
+	rejected map[int]bool // numbers of attempts that may not be sent any more
 }
 
-func (d deniedBy) ServerReportsReplica(server string, _ Report, _ bool) {
-	(*d.p).Recall(server, func(tag AttemptID) bool { return tag.Number == 1 })
+func (events recallingEvents) ServerReportsReplica(server string, _ Report, _ bool) {
+	(*events.pool).Recall(server, func(id AttemptID) bool { return id.Number == 1 })
 }
-func (d deniedBy) MaySend(tag AttemptID) bool { return !d.dies[tag.Number] }
 
-// TestRecalled: a write that waits for a connection to a server must not be sent there once that server reports that it is a
-// replica, nor a write that may no longer go when its connection is free. A read must be sent.
-func TestRecalled(t *testing.T) {
-	server, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = server.Close() }()
-	manual, events := &clock.Manual{Ms: 1e6}, make(outcomes, 9)
+func (events recallingEvents) MaySend(id AttemptID) bool { return !events.rejected[id.Number] }
+
+// TestWaitingWriteIsRecalledFromReplica: a write that waits for a connection to a server must not be sent there once that server
+// reports that it is a replica, nor a write that may no longer be sent when its connection is free. A read must be sent.
+func TestWaitingWriteIsRecalledFromReplica(t *testing.T) {
+	server, manual, ends := listen(t), &clock.Manual{Ms: 1e6}, make(outcomes, 9)
+	loop := newLoop(manual)
 	var pool *Pool
-	eventLoop := eventloop.New(manual, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {})
-	pool = New(eventLoop, slog.New(slog.DiscardHandler), Options{Roles: [2]string{"primary", "replica"}, ConnectTimeoutMs: 1e5, IdleMs: 1e5, MaxConns: func() int { return 1 },
-		Memory: func() int { return 1 << 18 }}, deniedBy{events, &pool, map[int]bool{3: true}})
-	ready := make(chan struct{})
-	eventLoop.Ready = func() { close(ready) }
-	ended := make(chan error, 1)
-	go func() { ended <- eventLoop.Run("127.0.0.1:0") }()
-	<-ready
-	eventLoop.Post(func() {
+	pool = newPool(loop, Options{Roles: [2]string{"primary", "replica"}, ConnectTimeoutMs: 1e5, IdleMs: 1e5, MaxConns: func() int { return 1 },
+		Memory: func() int { return 1 << 18 }}, recallingEvents{ends, &pool, map[int]bool{3: true}})
+	end := run(t, loop)
+	loop.Post(func() {
 		pool.SetAddress("s", server.Addr().String())
-		for _, no := range []int{0, 1, 3, 2} {
-			pool.Start("s", events, manual.Ms+9000, SendConditions{AtMostOnce: no != 2}, AttemptID{Number: no}) // all but one go without a connection
+		for _, number := range []int{0, 1, 3, 2} { // all but one wait, as there is one connection
+			pool.Start("s", ends, manual.Ms+9000, SendConditions{AtMostOnce: number != 2}, AttemptID{Number: number})
 		}
 	})
-	far, err := server.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = far.Close() }()
-	_ = far.SetDeadline(time.Now().Add(20 * time.Second))
-	asked := make([]byte, 1<<10)
-	read := func() int {
-		n, err := far.Read(asked)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return n
-	}
-	read()
-	_, _ = far.Write(pgwire.AppendWelcome(nil))
-	read()
-	answer := pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte("v")), "SELECT 1")
-	_, _ = far.Write(pgwire.AppendReady(pgwire.AppendParameter(answer, "role", "replica")))
-	read() // the read, on the same connection
+	conn := accept(t, server)
+	conn.reply(pgwire.AppendWelcome(nil))
+	conn.reply(pgwire.AppendReady(pgwire.AppendParameter(valueRow(), "role", "replica")))
+	conn.receive() // the read, on the same connection
 	var got []decide.Result
 	for range 3 {
-		select {
-		case outcome := <-events:
-			got = append(got, outcome.Result)
-		case <-time.After(20 * time.Second):
-			t.Fatal("the end is not reported")
-		}
+		got = append(got, ends.next(t).Result)
 	}
 	if diff := cmp.Diff([]decide.Result{decide.NotSent, decide.NotSent, decide.OK}, got); diff != "" {
 		t.Error(diff)
 	}
-	eventLoop.End()
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
+	end()
 }
 
-// TestLocalFailure: a connection that cannot be opened because this machine lacks a resource shows nothing about the
+// TestLocalFailureDoesNotBlameServer: a connection that cannot be opened because this machine lacks a resource shows nothing about the
 // server. The attempt must wait and be sent if the lack is temporary, and end as never sent otherwise. Sockets that failed with ENOBUFS
 // once counted against the only server, which was then ejected.
-func TestLocalFailure(t *testing.T) {
-	for _, lack := range []error{unix.ENOBUFS, unix.EADDRNOTAVAIL, unix.EMFILE, unix.ENFILE, unix.ENOMEM} {
-		for _, passes := range []bool{true, false} {
-			t.Run(fmt.Sprint(lack, " recovers ", passes), func(t *testing.T) { localFailure(t, lack, passes) })
+func TestLocalFailureDoesNotBlameServer(t *testing.T) {
+	for _, failure := range []error{unix.ENOBUFS, unix.EADDRNOTAVAIL, unix.EMFILE, unix.ENFILE, unix.ENOMEM} {
+		for _, recovers := range []bool{true, false} {
+			t.Run(fmt.Sprint(failure, " recovers ", recovers), func(t *testing.T) { testLocalFailure(t, failure, recovers) })
 		}
 	}
 }
 
-func localFailure(t *testing.T, lack error, passes bool) {
-	server, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = server.Close() }()
-	manual, events := &clock.Manual{Ms: 1e6}, make(outcomes, 9)
-	var pool *Pool
-	eventLoop := eventloop.New(manual, slog.New(slog.DiscardHandler), func() eventloop.Handler { return nobody{} }, func() {})
-	real, tries := eventLoop.Connect, atomic.Int32{}
-	eventLoop.Connect = func(addr string, timeout time.Duration) (net.Conn, error) {
-		if tries.Add(1) > 2 && passes {
-			return real(addr, timeout)
+func testLocalFailure(t *testing.T, failure error, recovers bool) {
+	t.Helper()
+	server, manual, events := listen(t), &clock.Manual{Ms: 1e6}, make(outcomes, 9)
+	loop := newLoop(manual)
+	connect, connects := loop.Connect, atomic.Int32{}
+	loop.Connect = func(addr string, timeout time.Duration) (net.Conn, error) {
+		if connects.Add(1) > 2 && recovers {
+			return connect(addr, timeout)
 		}
-		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", lack)}
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", failure)}
 	}
-	pool = New(eventLoop, slog.New(slog.DiscardHandler), Options{ConnectTimeoutMs: 200, IdleMs: 1e5, MaxConns: func() int { return 9 },
+	pool := newPool(loop, Options{ConnectTimeoutMs: 200, IdleMs: 1e5, MaxConns: func() int { return 9 },
 		Memory: func() int { return 1 << 18 }}, events)
-	ended := make(chan error, 1)
-	go func() { ended <- eventLoop.Run("127.0.0.1:0") }()
-	eventLoop.Post(func() {
+	end := run(t, loop)
+	loop.Post(func() {
 		pool.SetAddress("s", server.Addr().String())
 		pool.Start("s", events, manual.Ms+9000, SendConditions{}, AttemptID{})
 	})
 	want := decide.NotSent
-	if passes {
+	if recovers {
 		want = decide.OK
-		answerOne(t, server)
+		conn := accept(t, server)
+		conn.reply(pgwire.AppendWelcome(nil))
+		conn.reply(pgwire.AppendReady(valueRow()))
 	}
-	select {
-	case outcome := <-events:
-		if outcome.Result != want {
-			t.Errorf("the attempt ended with %d, want %d", outcome.Result, want)
-		}
-	case <-time.After(20 * time.Second):
-		t.Error("the attempt does not end")
+	if outcome := events.next(t); outcome.Result != want {
+		t.Errorf("the attempt ended with %d, want %d", outcome.Result, want)
 	}
-	if got := tries.Load(); got < 3 {
+	if got := connects.Load(); got < 3 {
 		t.Errorf("%d connects are tried", got)
 	}
-	eventLoop.End()
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
-}
-
-// answerOne accepts a connection and answers one query.
-func answerOne(t *testing.T, server net.Listener) {
-	far, err := server.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	_ = far.SetDeadline(time.Now().Add(20 * time.Second))
-	for _, message := range [][]byte{pgwire.AppendWelcome(nil), pgwire.AppendReady(pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte("v")), "SELECT 1"))} {
-		if _, err := far.Read(make([]byte, 999)); err != nil { // the startup message, then the query
-			t.Fatal(err)
-		}
-		if _, err := far.Write(message); err != nil {
-			t.Fatal(err)
-		}
-	}
+	end()
 }
--- /dev/null
+++ b/internal/backend/conn.go
@@ -0,0 +1,124 @@
+package backend
+
+import (
+	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop"
+	"beechgrade/internal/protocol/pgwire"
+)
+
+// Opened implements eventloop.Handler.
+func (conn *conn) Opened(socket *eventloop.Conn) {
+	conn.socket = socket
+	if conn.state == closed { // it was given up while it was being opened
+		socket.Close()
+		return
+	}
+	conn.state = startingUp
+	_ = socket.Write(pgwire.AppendStartup(nil, conn.pool.options.User, conn.pool.options.Database))
+}
+
+// ready gives the connection to the next waiting attempt, or makes it idle.
+func (conn *conn) ready() {
+	conn.state = idle
+	conn.since = conn.pool.loop.Now()
+	if !conn.reusable() {
+		conn.socket.Close()
+		return
+	}
+	pool := conn.pool
+	for len(conn.server.waiting) > 0 {
+		attempt := conn.server.waiting[0]
+		if !attempt.maySend(pool) {
+			pool.abort(attempt, decide.NotSent)
+			continue
+		}
+		conn.server.waiting = conn.server.waiting[1:]
+		conn.startAttempt(attempt)
+		return
+	}
+	pool.idleSeq++
+	conn.idleNumber = pool.idleSeq
+	conn.server.idle = append(conn.server.idle, conn)
+	pool.loop.StopTimer(conn.timer)
+	conn.timer = pool.loop.At(pool.loop.Now()+pool.options.IdleMs, conn.socket.Close)
+}
+
+// reusable reports whether another query may be sent on the connection.
+func (conn *conn) reusable() bool {
+	switch {
+	case conn.addr != conn.server.addr: // another server may listen at the old address
+		return false
+	case conn.input.Pending() > 0, !conn.socket.OpenAndIdle(): // bytes beyond the answer would be taken for the next answer
+		return false
+	}
+	return len(conn.unwritten) == 0
+}
+
+// removeIdle removes the connection from the idle ones of its server.
+func (conn *conn) removeIdle() {
+	idle := conn.server.idle
+	for i := len(idle) - 1; i >= 0; i-- {
+		if idle[i] == conn {
+			conn.server.idle = append(idle[:i], idle[i+1:]...)
+			return
+		}
+	}
+}
+
+// Closed implements eventloop.Handler.
+func (conn *conn) Closed(error) {
+	pool := conn.pool
+	was, unsent := conn.state, conn.socket.Unsent()
+	switch was {
+	case closed:
+		return
+	case startingUp:
+		conn.closedDuringStartup()
+		return
+	}
+	conn.reportWritten()
+	conn.stopWriting()
+	conn.state = closed
+	conn.countBuffered()
+	pool.loop.StopTimer(conn.timer)
+	pool.conns.Remove(conn.ref)
+	conn.removeIdle()
+	if conn.stream != nil {
+		conn.stream.Ended(nil, false)
+		conn.stream = nil
+	}
+	if conn.attempt != nil {
+		conn.attemptBroken(unsent)
+	}
+	pool.dialForWaiting(conn.server)
+}
+
+// attemptBroken ends the attempt on a connection that was closed with that many bytes unsent.
+func (conn *conn) attemptBroken(unsent int) {
+	pool, attempt := conn.pool, conn.attempt
+	attempt.conn = nil
+	if conn.answerReader.NothingReceived() && pool.loop.Now()-conn.writtenAt <= brokenSoonMs {
+		pool.idleTimeout.Record(pool.loop.Now(), conn.idleFor, true)
+	}
+	result := decide.Reset
+	// If the loop has dropped its buffer, unsent is 0 and the attempt counts as one that may have run, which is the safe side.
+	if !conn.fullyWritten || unsent > 0 { // its last byte was never sent, so it cannot have run
+		result = decide.Unreachable
+	}
+	if refusesLoad(conn.answerReader.Code) {
+		result = decide.Overloaded
+	}
+	pool.finish(attempt, Outcome{Result: result, Report: conn.outcome.Report})
+}
+
+// closedDuringStartup handles a connection that was closed while it was being established. A server with too many connections sends
+// an error message with that code first.
+func (conn *conn) closedDuringStartup() {
+	waiting := conn.server.waiting
+	tooManyClients := conn.answerReader.Code == codeTooManyClients
+	if tooManyClients && len(waiting) >= conn.server.dialing && len(waiting) > 0 {
+		conn.pool.unqueue(waiting[0])
+		defer conn.pool.finish(waiting[0], Outcome{Result: decide.Overloaded})
+	}
+	conn.failed(decide.Unreachable)
+}
--- a/internal/backend/invariants.go
+++ b/internal/backend/invariants.go
@@ -10,56 +10,82 @@
 
 // Check checks the invariants of the pool, once in every calls. It must be called between the callbacks of the loop.
 func (pool *Pool) Check(checks *invariant.Checks, every int) {
-	checks.Walk(&pool.walks, every, "backend: the walk", pool.walk)
+	checks.Walk(&pool.checkCalls, every, "backend: all", pool.checkAll)
 }
 
-// walk checks that the connections agree with the lists of their servers, and that each attempt is on a connection or waits for
+// connCounts are the connections that were found, by their server and state.
+type connCounts struct {
+	idle, dialing map[*server]int
+	bufferedBytes int
+}
+
+// checkAll checks that the connections agree with the lists of their servers, and that each attempt is on a connection or waits for
 // one.
-func (pool *Pool) walk(checks *invariant.Checks) {
+func (pool *Pool) checkAll(checks *invariant.Checks) {
 	pool.attempts.Check(checks, "backend: attempts")
 	pool.conns.Check(checks, "backend: connections")
-	idles, dials, held := map[*server]int{}, map[*server]int{}, 0
-	pool.conns.Each(func(ref slotmap.Ref, conn *conn) {
-		state := func() string {
-			return fmt.Sprintf("%v to %s: state %d, carries %v, holds %d", ref, conn.server.id, conn.state, conn.attempt != nil, conn.held)
-		}
-		held += conn.held
-		switch conn.state {
-		case dialing, greeting:
-			dials[conn.server]++
-		case idle:
-			idles[conn.server]++
-			checks.That(slices.Contains(conn.server.idle, conn), "backend: what idles is listed at its server", state)
-		case busy:
-			checks.That(conn.attempt != nil && conn.attempt.conn == conn, "backend: what is busy carries an attempt", state)
-		case closed:
-			checks.That(false, "backend: nothing is kept of what is closed", state)
-		}
-		checks.That(conn.attempt == nil || conn.state == busy, "backend: what carries an attempt is busy", state)
-	})
-	checkServer := func(server *server) {
-		checks.That(len(server.idle) == idles[server] && server.dialing == dials[server], "backend: connections by server agree", func() string {
-			return fmt.Sprintf("%s: %d listed idle, %d are; %d coming up, %d are", server.id, len(server.idle), idles[server], server.dialing, dials[server])
-		})
-		for i, attempt := range server.waiting {
-			_, ok := pool.attempts.Get(attempt.ref)
-			checks.That(ok && attempt.conn == nil && !slices.Contains(server.waiting[:i], attempt), "backend: what waits is an attempt without a connection, once", func() string {
-				return fmt.Sprintf("%s: %v", server.id, attempt.ref)
-			})
-		}
-	}
+	counts := connCounts{idle: map[*server]int{}, dialing: map[*server]int{}}
+	pool.conns.Each(func(ref slotmap.Ref, conn *conn) { conn.check(checks, ref, &counts) })
 	for _, server := range pool.servers {
-		checkServer(server)
-		delete(idles, server)
-		delete(dials, server)
+		server.check(checks, pool, counts)
+		delete(counts.idle, server)
+		delete(counts.dialing, server)
 	}
-	for server := range idles { // servers that were forgotten
-		checks.That(false, "backend: nothing idles at a server that is forgotten", func() string { return server.id })
+	for server := range counts.idle { // of servers that were forgotten
+		checks.That(false, "backend: no connection to a forgotten server is idle", func() string { return server.id })
 	}
 	pool.attempts.Each(func(ref slotmap.Ref, attempt *attempt) {
-		checks.That(attempt.conn != nil && attempt.conn.attempt == attempt || attempt.conn == nil && attempt.server != nil && slices.Contains(attempt.server.waiting, attempt), "backend: an attempt is on a connection or waits", func() string {
-			return fmt.Sprintf("%v at %s: on one %v", ref, attempt.id, attempt.conn != nil)
+		checks.That(attempt.onConnection() || attempt.isQueued(), "backend: an attempt is on a connection or waits for one", func() string {
+			return fmt.Sprintf("%v at %s: has a connection: %v", ref, attempt.serverID, attempt.conn != nil)
 		})
 	})
-	checks.That(held == pool.held, "backend: memory of answers is counted", func() string { return fmt.Sprintf("%d, counted %d", held, pool.held) })
+	checks.That(counts.bufferedBytes == pool.bufferedBytes, "backend: memory of answers is counted", func() string {
+		return fmt.Sprintf("%d bytes, counted %d", counts.bufferedBytes, pool.bufferedBytes)
+	})
+}
+
+// onConnection reports whether the attempt is on a connection that knows it.
+func (attempt *attempt) onConnection() bool {
+	return attempt.conn != nil && attempt.conn.attempt == attempt
+}
+
+// isQueued reports whether the attempt waits for a connection.
+func (attempt *attempt) isQueued() bool {
+	return attempt.conn == nil && attempt.server != nil && slices.Contains(attempt.server.waiting, attempt)
+}
+
+// check checks a connection, and counts it.
+func (conn *conn) check(checks *invariant.Checks, ref slotmap.Ref, counts *connCounts) {
+	state := func() string {
+		return fmt.Sprintf("%v to %s: %v, has an attempt: %v, buffers %d bytes", ref, conn.server.id, conn.state, conn.attempt != nil, conn.bufferedBytes)
+	}
+	counts.bufferedBytes += conn.bufferedBytes
+	switch conn.state {
+	case dialing, startingUp:
+		counts.dialing[conn.server]++
+	case idle:
+		counts.idle[conn.server]++
+		checks.That(slices.Contains(conn.server.idle, conn), "backend: an idle connection is listed at its server", state)
+	case busy:
+		checks.That(conn.attempt != nil && conn.attempt.conn == conn, "backend: a busy connection has an attempt", state)
+	case closed:
+		checks.That(false, "backend: closed connections are removed", state)
+	}
+	checks.That(conn.attempt == nil || conn.state == busy, "backend: a connection with an attempt is busy", state)
+}
+
+// check checks the lists of a server against the connections that were found.
+func (server *server) check(checks *invariant.Checks, pool *Pool, counts connCounts) {
+	agree := len(server.idle) == counts.idle[server] && server.dialing == counts.dialing[server]
+	checks.That(agree, "backend: connections are counted by server", func() string {
+		return fmt.Sprintf("%s: %d listed as idle, %d are; %d counted as being opened, %d are",
+			server.id, len(server.idle), counts.idle[server], server.dialing, counts.dialing[server])
+	})
+	for i, attempt := range server.waiting {
+		_, ok := pool.attempts.Get(attempt.ref)
+		once := !slices.Contains(server.waiting[:i], attempt)
+		checks.That(ok && attempt.conn == nil && once, "backend: each waiting attempt is open, without a connection, and listed once", func() string {
+			return fmt.Sprintf("%s: %v", server.id, attempt.ref)
+		})
+	}
 }
--- /dev/null
+++ b/internal/backend/stream.go
@@ -0,0 +1,52 @@
+package backend
+
+import "beechgrade/internal/protocol/pgwire"
+
+// beginStream streams the answer from now on, starting with what was received of it. The attempt ends as served.
+func (conn *conn) beginStream() {
+	pool, attempt := conn.pool, conn.attempt
+	if attempt == nil || attempt.isHealthCheck() {
+		conn.protocolBroken(pgwire.ErrMalformed) // a load report is never long
+		return
+	}
+	pool.idleTimeout.Record(pool.loop.Now(), conn.idleFor, false)
+	conn.state, conn.attempt, attempt.conn = streaming, nil, nil
+	pool.loop.StopTimer(conn.transmitTimer)
+	pool.attempts.Remove(attempt.ref)
+	pool.loop.StopTimer(attempt.endTimer)
+	pool.loop.StopTimer(attempt.connectTimer)
+	stop := func() {
+		if conn.state == streaming {
+			conn.stream = nil
+			conn.socket.Close()
+		}
+	}
+	conn.stream = pool.events.AnswerStreams(attempt.id, stop)
+	if conn.stream == nil {
+		stop()
+		return
+	}
+	conn.stream.Chunk(conn.answer)
+	conn.answer = nil
+}
+
+// paceStream stops reading from the connection while the stream has no capacity, so that the rest of the answer stays at the server.
+func (conn *conn) paceStream() {
+	pool := conn.pool
+	pool.loop.StopTimer(conn.timer)
+	if conn.stream == nil {
+		return
+	}
+	if !conn.stream.HasCapacity() {
+		conn.socket.PauseReading()
+		conn.timer = pool.loop.At(pool.loop.Now()+capacityCheckMs, conn.paceStream)
+		return
+	}
+	if conn.socket.ReadingPaused() {
+		conn.socket.ResumeReading()
+	}
+	conn.timer = pool.loop.At(pool.loop.Now()+streamPauseMs, func() {
+		pool.log.Debug("streamed answer stopped before its end", "server", conn.server.id)
+		conn.socket.Close()
+	})
+}
