--- a/internal/decide/api.go
+++ b/internal/decide/api.go
@@ -33,10 +33,11 @@
 // Time is a reading of the embedder's monotonic clock. Its origin does not matter.
 type Time = time.Duration
 
-type (
-	ServerID  string // ServerID names one server: its address.
-	RequestID string // RequestID names one request.
-)
+// ServerID names one server: its address.
+type ServerID string
+
+// RequestID names one request.
+type RequestID string
 
 // Event is an input of the router.
 type Event interface{ event() }
@@ -50,7 +51,7 @@
 	Tenant          int // index into Settings.Tenants, negative for none
 	Deadline        Time
 	Session         string
-	SinceCommit     time.Duration // session reads: time since its last commit, negative if that is ahead, 0 for none
+	SinceCommit     time.Duration // session reads: time since its commit, negative if that is ahead, 0: none
 	WorkHint        time.Duration // expected work on a standard core, 0 if unknown
 	ClientRetry     bool          // the client has sent it before
 	MayHaveRunSince Time          // when one with its key that may have run was first sent; 0 for none
--- a/internal/decide/attempts.go
+++ b/internal/decide/attempts.go
@@ -142,7 +142,11 @@
 
 // mayHaveRun reports whether an attempt that ended so may have run.
 func mayHaveRun(result Result) bool {
-	return result == Failed || result == TimedOut || result == Reset || result == Cancelled
+	switch result {
+	case Failed, TimedOut, Reset, Cancelled:
+		return true
+	}
+	return false
 }
 
 // applyOutcomeReports takes the reports of an outcome. That a server is a replica counts at once; that it
--- a/internal/decide/backlog.go
+++ b/internal/decide/backlog.go
@@ -15,6 +15,8 @@
 	minThrottle = -0.5
 	// throttleMemorySeconds is the time in which a throttle fades by a factor of e.
 	throttleMemorySeconds = 10.0
+	// minBinCount bounds the requests of a bin of urgencies, which others are divided by.
+	minBinCount = 1e-9
 )
 
 // backlog estimates, from the times of answers alone, how much waits at a group's primary or at its other
@@ -89,7 +91,7 @@
 	backlog.cutoffBin = urgencyBins
 	for backlog.cutoffBin > 0 && remaining >= 0 {
 		backlog.cutoffBin--
-		backlog.cutoffPart = remaining / max(1e-9, r.urgencies[backlog.cutoffBin])
+		backlog.cutoffPart = remaining / max(minBinCount, r.urgencies[backlog.cutoffBin])
 		remaining -= r.urgencies[backlog.cutoffBin]
 	}
 }
--- a/internal/decide/backlog_test.go
+++ b/internal/decide/backlog_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// requestOfA asks what only server a can serve.
+// requestOfA sends a read that only server a can serve.
 func (h *harness) requestOfA(id RequestID) []Action {
 	return h.handle(&Request{ID: id, Class: classAny, Deadline: h.now + 2*time.Second, OnlyServer: "a"})
 }
 
-// answerSlowly has a router ask one read after another of a server whose answers each take so long.
+// answerSlowly sends one read after another to a server whose answers each take so long.
 func (h *harness) answerSlowly(n int, took time.Duration) {
 	for i := range n {
 		id := RequestID(fmt.Sprint("slow", i, h.now))
@@ -24,8 +24,9 @@
 	}
 }
 
-// TestOthersBacklogLowersAdmission: what hundreds of others have waiting at servers shows in one's own answers only. A router that
-// goes on sending what is worth least, as it has nothing there itself, keeps the queue standing for all.
+// TestOthersBacklogLowersAdmission: the requests of hundreds of other routers that wait at servers show in the times of
+// this router's answers only. A router that went on sending its least urgent requests, as it has none there itself,
+// would keep the queue standing for all.
 func TestOthersBacklogLowersAdmission(t *testing.T) {
 	for peers, shed := range map[int]bool{1: false, 150: true} {
 		h := newGroupOfThree(t, func(s *Settings) { s.Peers = peers })
@@ -47,7 +48,8 @@
 	}
 }
 
-// TestMostUrgentAreAdmitted: what is shut out is what is worth least for its work, and a class at the edge in part.
+// TestMostUrgentAreAdmitted: what is not admitted is what has the least weight for its work, and a class at the cutoff
+// in part.
 func TestMostUrgentAreAdmitted(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.Peers = 1 << 20 })
 	s := h.r.servers["a"]
@@ -55,21 +57,22 @@
 		c := &h.r.classes[i%3*2] // bounded and any, worth 1, and writes, worth 4
 		h.r.countUrgency(&request{group: s.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now})
 	}
-	for _, x := range []struct{ shut, cheap, dear float64 }{{0, 1, 1}, {0.41, 0.5, 1}, {1.1, 0, 1}, {1.8, 0, 0.5}} {
+	for _, x := range []struct{ throttle, light, heavy float64 }{{0, 1, 1}, {0.41, 0.5, 1}, {1.1, 0, 1}, {1.8, 0, 0.5}} {
 		for _, c := range h.r.backlogsOf(s) {
-			c.throttle, c.updatedAt, c.cutoffAt = x.shut, h.now, never
+			c.throttle, c.updatedAt, c.cutoffAt = x.throttle, h.now, never
 		}
 		in := map[float64]float64{}
-		for luck := 0.005; luck < 1; luck += 0.01 {
+		for draw := 0.005; draw < 1; draw += 0.01 {
 			for _, no := range []int{classAny, classKeyedWrite} {
 				c := &h.r.classes[no]
-				if h.r.admits(s, &request{group: s.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now, admissionDraw: luck}) {
+				if h.r.admits(s, &request{group: s.group, class: c, weight: c.PriorityWeight, relativeWork: 1,
+					objectiveAt: h.now, admissionDraw: draw}) {
 					in[c.PriorityWeight] += 0.01
 				}
 			}
 		}
-		if d := in[1] - x.cheap; d > 0.03 || d < -0.03 || in[4] < x.dear-0.03 || in[4] > x.dear+0.03 {
-			t.Errorf("shut by %v: let in %v of what is worth 1 and %v of what is worth 4, want %v and %v", x.shut, in[1], in[4], x.cheap, x.dear)
+		if d := in[1] - x.light; d > 0.03 || d < -0.03 || in[4] < x.heavy-0.03 || in[4] > x.heavy+0.03 {
+			t.Errorf("throttle %v: admitted %v of weight 1 and %v of weight 4, want %v and %v", x.throttle, in[1], in[4], x.light, x.heavy)
 		}
 	}
 }
--- a/internal/decide/candidates.go
+++ b/internal/decide/candidates.go
@@ -126,7 +126,7 @@
 			continue
 		}
 		fresh := r.freshness(s, request)
-		if !fresh.known && !r.worthTrying(s, request, fresh) {
+		if !fresh.known && !r.isPossible(s, request, fresh) {
 			continue
 		}
 		cost := r.cost(s, request).seconds
@@ -134,8 +134,8 @@
 			cost += r.costOfMiss(s, request)
 		}
 		isCertain := fresh.known || r.settings.StaleReads != StaleReadsAnswered
-		tooDear := isCertain && cost >= leastCertain || !isCertain && cost >= least
-		if tooDear || !r.slowStartAllows(s, request) { // slowStartAllows last, as it draws
+		costsTooMuch := isCertain && cost >= leastCertain || !isCertain && cost >= least
+		if costsTooMuch || !r.slowStartAllows(s, request) { // slowStartAllows last, as it draws
 			continue
 		}
 		if isCertain {
@@ -148,9 +148,9 @@
 	return certain, cheapest
 }
 
-// worthTrying reports whether a server that is not known to be fresh may be used: it refuses reads if it is
+// isPossible reports whether a server that is not known to be fresh may be used: it refuses reads if it is
 // stale, or its health may be checked first.
-func (r *Router) worthTrying(s *server, request *request, fresh freshness) bool {
+func (r *Router) isPossible(s *server, request *request, fresh freshness) bool {
 	return fresh.likely && (r.settings.StaleReads != StaleReadsAnswered || r.mayAwaitHealthCheck(s, request))
 }
 
--- a/internal/decide/candidates_test.go
+++ b/internal/decide/candidates_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// TestBoundedReadAtTheBoundary: a position as old as the bound covers a bounded read, and an older one does not.
 func TestBoundedReadAtTheBoundary(t *testing.T) {
 	for _, c := range []struct {
 		age  time.Duration
@@ -19,6 +20,7 @@
 	}
 }
 
+// TestSessionReadAtTheBoundary: a position at the session's commit covers its read, and an earlier one does not.
 func TestSessionReadAtTheBoundary(t *testing.T) {
 	for _, c := range []struct {
 		token time.Duration
@@ -33,6 +35,8 @@
 	}
 }
 
+// TestRememberedCommitsBindSessionReads: a session's read goes to a server that has its last write; sessions that were
+// dropped count as having written at the latest of the dropped commits.
 func TestRememberedCommitsBindSessionReads(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.TrackCommits = true })
 	h.handle(&Request{ID: "w", Class: classKeyedWrite, Deadline: h.now + time.Second, Session: "s"})
@@ -53,7 +57,8 @@
 	}
 }
 
-// TestStaleReplicaGetsNoReadThatItWouldAnswer guards the stale rule.
+// TestStaleReplicaGetsNoReadThatItWouldAnswer: a replica that would answer from old data gets no read on an estimate of
+// its position.
 func TestStaleReplicaGetsNoReadThatItWouldAnswer(t *testing.T) {
 	for _, c := range []struct {
 		behind StaleReadPolicy
@@ -70,6 +75,7 @@
 	}
 }
 
+// TestPositionNeverGoesBackNorAhead: neither an older report nor one from the future changes a position.
 func TestPositionNeverGoesBackNorAhead(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.report("a", RoleReplica, h.now-time.Second)
@@ -82,8 +88,8 @@
 	}
 }
 
-// TestReadTriesEveryMemberBeforeOneAgain: two members fail by turns. Fails if a read goes back and forth between them, or
-// if having asked for positions once it may ask no more.
+// TestReadTriesEveryMemberBeforeOneAgain: two members fail in turn. Fails if a read goes back and forth between them,
+// or if it may have no positions checked after the first round.
 func TestReadTriesEveryMemberBeforeOneAgain(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	seen := map[ServerID]bool{}
@@ -99,24 +105,24 @@
 	h = newHarness(t, testSettings(), Endpoint{Server: "p"}, Endpoint{Server: "a"}, Endpoint{Server: "b"})
 	h.report("p", RolePrimary, h.now)
 	h.r.servers["p"].failureAtLast, h.r.servers["p"].failureAt = 0.95, h.now
-	asked := actionsOf(HealthCheck, h.request("2", classBounded))
-	if len(asked) != 1 || asked[0].Server == "p" {
-		t.Fatalf("asked %+v, want one replica", asked)
+	checked := actionsOf(HealthCheck, h.request("2", classBounded))
+	if len(checked) != 1 || checked[0].Server == "p" {
+		t.Fatalf("checked %+v, want one replica", checked)
 	}
 	h.now += 5 * ms
-	sent = actionsOf(Send, h.report(asked[0].Server, RoleReplica, h.now))
+	sent = actionsOf(Send, h.report(checked[0].Server, RoleReplica, h.now))
 	if len(sent) != 1 {
 		t.Fatalf("sent %+v", sent)
 	}
-	h.now += 310 * ms // what was told is too old by now
+	h.now += 310 * ms // the reported position is too old by now
 	h.r.servers["p"].failureAt = h.now
 	if again := actionsOf(HealthCheck, h.end("2", 0, sent[0].Server, Failed)); len(again) == 0 {
-		t.Error("after a failure the others are not asked")
+		t.Error("after a failure the others are not checked")
 	}
 }
 
-// TestReadIsNotSentAgainToReplicasThatAreBehind: a session read is turned away by every replica as too far behind. Fails if it goes back
-// to one before that can have caught up.
+// TestReadIsNotSentAgainToReplicasThatAreBehind: every replica refuses a session read as it is too far behind. Fails if
+// the read returns to one before that can have caught up.
 func TestReadIsNotSentAgainToReplicasThatAreBehind(t *testing.T) {
 	set := testSettings()
 	set.StaleReads = StaleReadsRefused
--- a/internal/decide/clockoffset_test.go
+++ b/internal/decide/clockoffset_test.go
@@ -14,8 +14,8 @@
 	c.observe(now, now-4*ms, now-2*ms+ahead)
 }
 
-// TestClockOffset: reports of the primary tell how far its clock is ahead. The estimate is raised at once, as a read would else be too stale, and
-// lowered only when several agree.
+// TestClockOffset: reports of the primary show how far its clock is ahead. The estimate is raised at once, as reads
+// would otherwise be too stale, and lowered only when several agree.
 func TestClockOffset(t *testing.T) {
 	near := func(t *testing.T, c *clockOffset, want time.Duration) {
 		t.Helper()
@@ -32,7 +32,7 @@
 			}
 			near(t, c, ahead)
 			for range 12 {
-				c.answerAt(now, 0) // another machine leads now
+				c.answerAt(now, 0) // another server is the primary now
 				now += 100 * ms
 			}
 			near(t, c, 0)
@@ -70,10 +70,13 @@
 	})
 }
 
-// TestReadsByAFastClock: this router's clock is an hour ahead of the servers'. A replica that is up to date must serve bounded reads all the same, once
-// reports agree, and one that is behind must not; until then the primary serves them, which was no more asked once it seemed an hour behind; a server that has started lately by the servers' clock counts as cold.
+// TestReadsByAFastClock: this router's clock is an hour ahead of the servers'. A replica that is up to date must serve
+// bounded reads all the same, once reports agree, and one that is behind must not; until then the primary serves them;
+// a server that has started lately by the servers' clock counts as cold. Seen: the primary got no health checks once it
+// seemed an hour behind.
 func TestReadsByAFastClock(t *testing.T) {
-	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1}, Endpoint{Server: "a", Capacity: 1, Started: start - hour - 100*ms}, Endpoint{Server: "b", Capacity: 1})
+	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1},
+		Endpoint{Server: "a", Capacity: 1, Started: start - hour - 100*ms}, Endpoint{Server: "b", Capacity: 1})
 	if h.r.warmUpFactor(h.r.servers["a"]) != 1 {
 		t.Fatal("by its own clock alone the router has no reason to take it for cold")
 	}
@@ -81,7 +84,7 @@
 	served := map[ServerID]int{}
 	for n := range 60 {
 		out := append(h.advance(50*ms), h.request(RequestID(fmt.Sprint(n)), classBounded)...)
-		for len(out) > 0 { // probes are answered after 4 ms, requests at once
+		for len(out) > 0 { // health checks are answered after 4 ms, requests at once
 			a := out[0]
 			out = out[1:]
 			if a.Kind == HealthCheck {
--- a/internal/decide/cost_test.go
+++ b/internal/decide/cost_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestCostFollowsEquation2 checks equation 2 on an example worked by hand: rate 1, width 4, average work 0.08. A request among n gets
-// (1+(n/4)^4)^(-1/4): 0.9990 alone, 0.9864 as the second, 0.8409 as the fourth, 0.7347 as the fifth. The new one takes
-// 0.08 over its share, and each of those there slows from its share to that.
+// TestCostFollowsEquation2: equation 2 on an example computed by hand: rate 1, full-rate concurrency 4, average work
+// 0.08. A request among n gets (1+(n/4)^4)^(-1/4): 0.9990 alone, 0.9864 as the second, 0.8409 as the fourth, 0.7347 as
+// the fifth. The new one takes 0.08 over its share, and each of those there slows from its share to that.
 func TestCostFollowsEquation2(t *testing.T) {
 	for _, c := range []struct {
 		inFlight int
@@ -32,19 +32,23 @@
 	}
 }
 
+// TestCostWeighsTheSlowdownOfOthersByPriority: the slowdown of requests in flight counts by their weight against the
+// new one's.
 func TestCostWeighsTheSlowdownOfOthersByPriority(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	s := h.r.servers["p"]
 	read := &request{class: &h.r.classes[classAny], weight: 1, relativeWork: 1}
-	dear := &request{class: &h.r.classes[classAny], weight: 4, relativeWork: 1}
+	heavy := &request{class: &h.r.classes[classAny], weight: 4, relativeWork: 1}
 	for range 4 {
-		s.openAttempts = append(s.openAttempts, &attempt{request: dear})
+		s.openAttempts = append(s.openAttempts, &attempt{request: heavy})
 	}
 	if got := h.r.cost(s, read).seconds; math.Abs(got-(0.08/0.7347+4*4*(0.08/0.7347-0.08/0.8409))) > 2e-3 {
-		t.Errorf("cost %v: the slowdown of dearer requests must count by their worth", got)
+		t.Errorf("cost %v: the slowdown of requests must count by their weight", got)
 	}
 }
 
+// TestSharesAreFrozenAfterAPick: the estimated share of a server's rate is fixed for a while after a request was sent
+// there.
 func TestSharesAreFrozenAfterAPick(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	s := h.r.servers["a"]
@@ -68,7 +72,7 @@
 	}
 }
 
-// TestReadGoesToTheServerOfLeastCost fails if reads do not spread to the least loaded qualifying member.
+// TestReadGoesToTheServerOfLeastCost: fails if reads do not spread to the least loaded member that may serve them.
 func TestReadGoesToTheServerOfLeastCost(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.r.servers["p"].relativeRate, h.r.servers["a"].relativeRate, h.r.servers["b"].relativeRate = 0.5, 1, 2
@@ -81,8 +85,8 @@
 	h.wantSend(h.request("5", classBounded), "5", "a")
 }
 
-// TestReadsSpreadOverTheMembers: one of many routers that has nothing in flight must not send read after read to the same
-// server, however little it sees. Fails if the other routers are not taken to do as it does.
+// TestReadsSpreadOverTheMembers: one of many routers that has nothing in flight must not send read after read to the
+// same server, however little it observes. Fails if the other routers are not assumed to do as it does.
 func TestReadsSpreadOverTheMembers(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.Peers, s.StaleReads = 200, StaleReadsRefused })
 	got := map[ServerID]int{}
@@ -99,13 +103,13 @@
 	}
 	for _, s := range []ServerID{"p", "a", "b"} {
 		if got[s] < 12 || got[s] > 28 {
-			t.Errorf("reads by store: %v, want about a third each", got)
+			t.Errorf("reads by server: %v, want about a third each", got)
 		}
 	}
 }
 
-// TestFailingServerIsNotTheCheapest: quick failures leave a server idle, and an idle server costs least. Fails if failed
-// answers do not count.
+// TestFailingServerIsNotTheCheapest: quick failures leave a server idle, and an idle server costs least. Fails if
+// failed answers do not count.
 func TestFailingServerIsNotTheCheapest(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.r.servers["a"].relativeRate = 1.5
@@ -117,7 +121,7 @@
 			h.wantSend(h.end(id, 0, sent[0].Server, Failed), id, "")
 		}
 		if i > 0 && sent[0].Server == "a" {
-			t.Errorf("read %d went to the store that failed", i)
+			t.Errorf("read %d went to the server that failed", i)
 		}
 	}
 }
--- a/internal/decide/endpointlist_test.go
+++ b/internal/decide/endpointlist_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// TestDrainingServerGetsNothingOnceTheListChanges: from the change of the list on, nothing goes to a server that is
+// draining or removed.
 func TestDrainingServerGetsNothingOnceTheListChanges(t *testing.T) {
 	for _, state := range []ServerState{Draining, Removed} {
 		h := newGroupOfThree(t, nil)
@@ -18,6 +20,8 @@
 	}
 }
 
+// TestServerMissingFromAFullListIsRemoved: a server that is missing from a whole list is not used, except with
+// DrainOnly.
 func TestServerMissingFromAFullListIsRemoved(t *testing.T) {
 	for _, soft := range []bool{false, true} {
 		h := newGroupOfThree(t, func(s *Settings) { s.DrainOnly = soft })
@@ -28,6 +32,8 @@
 	}
 }
 
+// TestSubscriptionIsRenewedAfterItFails: a subscription that failed is renewed once, and the list stays in force
+// meanwhile.
 func TestSubscriptionIsRenewedAfterItFails(t *testing.T) {
 	set := testSettings()
 	set.WatchList = true
@@ -44,8 +50,9 @@
 	}
 }
 
-// TestSubscriptionThatBreaksIsRenewedSoon: a watch that held and broke is replaced at once, as drains and new primaries are told by it
-// alone; one that breaks as it is opened is not, or a discovery in trouble would be flooded.
+// TestSubscriptionThatBreaksIsRenewedSoon: a subscription that had lasted and broke is renewed at once, as draining
+// servers and new primaries are known by it alone; one that breaks as it is opened is not, or an overloaded source
+// would be flooded.
 func TestSubscriptionThatBreaksIsRenewedSoon(t *testing.T) {
 	set := testSettings()
 	set.WatchList = true
@@ -53,7 +60,7 @@
 	h.advance(10 * time.Second)
 	h.handle(&EndpointList{Kind: ListFailed})
 	if n := len(actionsOf(Subscribe, h.advance(3*minResubscribePause))); n != 1 {
-		t.Errorf("%d subscriptions soon after a watch broke, want 1", n)
+		t.Errorf("%d subscriptions soon after a subscription broke, want 1", n)
 	}
 	n := 0
 	for end := h.now + 10*time.Second; h.now < end; {
@@ -68,12 +75,12 @@
 	h.advance(maxResubscribePause * 2)
 	h.handle(&EndpointList{Kind: ListFailed})
 	if n := len(actionsOf(Subscribe, h.advance(3*minResubscribePause))); n != 1 {
-		t.Errorf("%d subscriptions soon after a watch that held again", n)
+		t.Errorf("%d subscriptions soon after a subscription that lasted again", n)
 	}
 }
 
-// TestServerRemovedAfterDrainingStaysExcluded: where only draining binds, a server seen draining and then listed as gone is
-// barred; one only listed as gone is not, and is forgotten once it has not answered for a while.
+// TestServerRemovedAfterDrainingStaysExcluded: with DrainOnly, a server seen draining and then listed as removed is
+// excluded; one only listed as removed is not, and is dropped once it has not answered for a while.
 func TestServerRemovedAfterDrainingStaysExcluded(t *testing.T) {
 	set := testSettings()
 	set.DrainOnly = true
@@ -87,6 +94,6 @@
 	h.end("2", 0, "b", OK)
 	h.advance(removedServerMemory + 2*rateRefreshInterval)
 	if len(h.r.servers) != 1 || h.r.servers["a"] == nil {
-		t.Errorf("%d stores kept, want a alone", len(h.r.servers))
+		t.Errorf("%d servers remain, want a alone", len(h.r.servers))
 	}
 }
--- a/internal/decide/harness_test.go
+++ b/internal/decide/harness_test.go
@@ -29,6 +29,7 @@
 	classAny
 )
 
+// testSettings returns settings with the classes above.
 func testSettings() Settings {
 	return Settings{
 		Peers: 1, Tick: 5 * ms, MayCancel: true, MayDuplicate: true, MayCheckHealth: true,
@@ -37,14 +38,17 @@
 		Classes: []Class{
 			classBounded: {LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Read: ReadBounded, MaxStaleness: 300 * ms},
 			classSession: {LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Read: ReadSession},
-			classKeyedWrite: {LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 4, LateWeight: 0.3, Read: Write, Idempotency: IdempotentWithKey,
+			classKeyedWrite: {LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 4, LateWeight: 0.3,
+				Read: Write, Idempotency: IdempotentWithKey,
 				KeyScope: ScopeGroup, KeyWindow: 2 * time.Second},
-			classWriteOnce: {LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 4, LateWeight: 0.3, Read: Write, Idempotency: NotIdempotent},
-			classAny:       {LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Read: ReadAny},
+			classWriteOnce: {LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 4, LateWeight: 0.3,
+				Read: Write, Idempotency: NotIdempotent},
+			classAny: {LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1, Read: ReadAny},
 		},
 	}
 }
 
+// newHarness returns a router with checks on that has the list.
 func newHarness(t *testing.T, set Settings, entries ...Endpoint) *harness {
 	t.Helper()
 	h := &harness{t: t, r: New(set, 7), now: start}
@@ -53,7 +57,7 @@
 	return h
 }
 
-// newGroupOfThree is a group with primary p and replicas a and b, all in touch and up to date.
+// newGroupOfThree is a group with primary p and replicas a and b, all reachable and up to date.
 func newGroupOfThree(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
 	set := testSettings()
@@ -84,7 +88,7 @@
 	return h.handle(&Outcome{ID: id, Attempt: no, Server: s, Result: res, Final: res == OK})
 }
 
-// advance lets time go by with beats and returns all that was done meanwhile.
+// advance passes time with ticks, and returns all actions.
 func (h *harness) advance(d time.Duration) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		h.now = min(end, h.now+tickInterval)
@@ -93,7 +97,7 @@
 	return all
 }
 
-// actionsOf picks the actions of a kind.
+// actionsOf returns the actions of a kind.
 func actionsOf(kind ActionKind, actions []Action) (got []Action) {
 	for _, a := range actions {
 		if a.Kind == kind {
@@ -103,6 +107,7 @@
 	return got
 }
 
+// wantSend fails unless one attempt of a request was sent, to a server if one is named.
 func (h *harness) wantSend(actions []Action, id RequestID, s ServerID) {
 	h.t.Helper()
 	got := actionsOf(Send, actions)
@@ -111,6 +116,7 @@
 	}
 }
 
+// wantNone fails if there is an action of a kind.
 func (h *harness) wantNone(kind ActionKind, actions []Action) {
 	h.t.Helper()
 	if got := actionsOf(kind, actions); len(got) != 0 {
@@ -118,6 +124,7 @@
 	}
 }
 
+// finalAnswers returns the final answers among actions.
 func finalAnswers(actions []Action) []Action {
 	return append(actionsOf(Reject, actions), actionsOf(Fail, actions)...)
 }
--- a/internal/decide/healthcheck_test.go
+++ b/internal/decide/healthcheck_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestHealthCheckPauseGrowsAfterSeveralFailures: probes fail by chance too, and one that comes late after a few such keeps a server out, and lets it
-// count as restarted. Only after several does the pause between them grow.
+// TestHealthCheckPauseGrowsAfterSeveralFailures: health checks fail by chance too, and a late one after a few of these
+// would keep a server out, and have it count as restarted. Only after several does the pause between them grow.
 func TestHealthCheckPauseGrowsAfterSeveralFailures(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.request("open", classWriteOnce) // its group is tended to
@@ -18,14 +18,15 @@
 		}
 		want := ejectedCheckInterval << max(0, n-checksBeforeBackoff)
 		if took := h.now - last; n > 0 && (took < want || took > want+2*tickInterval) {
-			t.Errorf("probe %d after %v, want %v", n, took, want)
+			t.Errorf("health check %d after %v, want %v", n, took, want)
 		}
 		last = h.now
 		h.handle(&HealthCheckResult{Server: "a", Result: Unreachable})
 	}
 }
 
-// TestUnreadableReportNeitherEjectsNorReturns: a probe answered with what cannot be read neither takes a server out of use nor back.
+// TestUnreadableReportNeitherEjectsNorReturns: a health check with an answer that cannot be read neither ejects a
+// server nor returns it to use.
 func TestUnreadableReportNeitherEjectsNorReturns(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	for _, was := range []healthState{healthy, ejected} {
--- a/internal/decide/hedging.go
+++ b/internal/decide/hedging.go
@@ -88,7 +88,8 @@
 // be slow.
 func (r *Router) recordLoss(s *server, attempt *attempt, result Result) {
 	gaveUp := result == Cancelled || result == TimedOut
-	if neverServed(result) || gaveUp && (attempt.overtakenBy < overtakingForLoss || !attempt.presumedLost) {
+	wasStuck := attempt.overtakenBy >= overtakingForLoss && attempt.presumedLost
+	if neverServed(result) || gaveUp && !wasStuck {
 		return
 	}
 	lost := 0.0
--- a/internal/decide/hedging_test.go
+++ b/internal/decide/hedging_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestOvertakenAttemptIsPresumedLostAndHedged: one that later ones overtake is written off and sent again; the server stays in use.
+// TestOvertakenAttemptIsPresumedLostAndHedged: an attempt that later ones overtake is presumed lost and its request
+// sent again; the server stays in use.
 func TestOvertakenAttemptIsPresumedLostAndHedged(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
@@ -28,10 +29,11 @@
 	}
 }
 
-// TestLossesShortenTheTimeToHedging: where many attempts are never answered, one that others overtake is copied while its answer may
-// still be in time; where none is lost, or others wait for capacity, not yet. A copy at six times the work came too late.
+// TestLossesShortenTheTimeToHedging: where many attempts are never answered, one that others overtake is hedged while
+// its answer may still be in time; where none is lost, or others wait for capacity, not yet. A hedge at six times the
+// work came too late.
 func TestLossesShortenTheTimeToHedging(t *testing.T) {
-	copied := func(lose, wait bool) bool {
+	hedged := func(lose, wait bool) bool {
 		h := newGroupOfThree(t, nil)
 		n := 0
 		one := func(res Result) {
@@ -64,17 +66,18 @@
 		h.r.hedgeStuckRequests(s.group)
 		return len(actionsOf(Send, h.r.actions)) > 0
 	}
-	if !copied(true, false) {
-		t.Error("an attempt that is probably lost was not copied")
+	if !hedged(true, false) {
+		t.Error("an attempt that is probably lost was not hedged")
 	}
-	if copied(false, false) {
-		t.Error("copied where nothing was ever lost")
+	if hedged(false, false) {
+		t.Error("hedged where nothing was ever lost")
 	}
-	if copied(true, true) {
-		t.Error("copied while others wait for room")
+	if hedged(true, true) {
+		t.Error("hedged while others wait for capacity")
 	}
 }
 
+// TestAttemptThatNoneOvertookIsNotPresumedLost: attempts at a slow server that none overtook are not presumed lost.
 func TestAttemptThatNoneOvertookIsNotPresumedLost(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
--- a/internal/decide/invariants_actions.go
+++ b/internal/decide/invariants_actions.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// sumTolerance is what rounding may add to a sum of work, in seconds.
+const sumTolerance = 1e-9
+
 // onAction checks an action, and takes it.
 func (c *checker) onAction(r *Router, action *Action) {
 	switch action.Kind {
@@ -111,8 +114,8 @@
 	s := r.servers[action.Server]
 	ahead := request.group.clock.ahead
 	covered := view.position >= required || view.primaryAt+ahead >= required
-	askedInTime := view.primaryNotDeniedAt >= max(required-ahead, request.arrivedAt)
-	c.checks.That(covered || askedInTime && s.role == RolePrimary, "decide: a read goes where its position is covered", func() string {
+	checkedInTime := view.primaryNotDeniedAt >= max(required-ahead, request.arrivedAt)
+	c.checks.That(covered || checkedInTime && s.role == RolePrimary, "decide: a read goes where its position is covered", func() string {
 		ago := func(t Time) time.Duration { return r.now - t }
 		return fmt.Sprintf("%s for %x, which came %v ago and needs %v ago (bound %v): it reported to be at %v ago and to be the primary %v ago, "+
 			"when asked %v ago; the router has position %v ago, role %d as of %v ago, last position report %v ago",
@@ -143,7 +146,7 @@
 		sum += send.work
 		most = max(most, send.budget)
 	}
-	c.checks.That(sum <= most+1e-9, "decide: a cold server stays within its slow-start budget", func() string {
+	c.checks.That(sum <= most+sumTolerance, "decide: a cold server stays within its slow-start budget", func() string {
 		return fmt.Sprintf("%s: %.3f of work in %v, at most %.3f: %v", action.Server, sum, span, most, view.slowStartSends)
 	})
 }
--- a/internal/decide/invariants_duplicates.go
+++ b/internal/decide/invariants_duplicates.go
@@ -6,6 +6,9 @@
 	"beechgrade/internal/cluster/overload/retrybudget"
 )
 
+// budgetTolerance is what rounding may add to a budget of duplicates.
+const budgetTolerance = 1e-6
+
 // duplicateCounts is what follows of a group's hedged requests and retries from its router's actions alone.
 type duplicateCounts struct {
 	since      Time
@@ -39,7 +42,7 @@
 	}
 	spans := (r.now - counts.since + retrybudget.Slow).Seconds() / budget.Span.Seconds()
 	most := budget.Part*float64(counts.firsts) + counts.floor*(1+spans) + budget.Lent[request.group.id]
-	c.checks.That(float64(counts.duplicates) <= most+1e-6, "decide: duplicates stay within the retry budget", func() string {
+	c.checks.That(float64(counts.duplicates) <= most+budgetTolerance, "decide: duplicates stay within the retry budget", func() string {
 		return fmt.Sprintf("group %d: %d, of %v; %+v", request.group.id, counts.duplicates, most, *counts)
 	})
 }
--- a/internal/decide/invariants_state.go
+++ b/internal/decide/invariants_state.go
@@ -113,7 +113,8 @@
 			waiting[request] = true
 			open := !request.finished && (request.openAttempts > 0 || r.now < request.deadline)
 			c.checks.That(!ticked || open, "decide: after a tick no request that waits is over", func() string {
-				return fmt.Sprintf("%s: finished %v, %d in flight, due in %v", where(), request.finished, request.openAttempts, request.deadline-r.now)
+				return fmt.Sprintf("%s: finished %v, %d in flight, due in %v",
+					where(), request.finished, request.openAttempts, request.deadline-r.now)
 			})
 		}
 	}
--- a/internal/decide/invariants_test.go
+++ b/internal/decide/invariants_test.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// randomRun is a router with its embedder, which keeps its promises: each attempt and each probe ends once, with a served one or one whose
+// randomRun is a router with its embedder, which is correct: each attempt and each health check ends once, with a served one or one whose
 // request is over as the final one, timers come late but come. All else is drawn.
 type randomRun struct {
 	r            *Router
@@ -32,7 +32,7 @@
 	set := testSettings()
 	flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
 	set.Peers = rapid.SampledFrom([]int{1, 3, 20, 300}).Draw(t, "siblings")
-	set.MayCancel, set.MayDuplicate, set.MayCheckHealth = flag("cancel"), flag("duplicate"), flag("probe")
+	set.MayCancel, set.MayDuplicate, set.MayCheckHealth = flag("cancel"), flag("duplicate"), flag("health checks")
 	set.TrackCommits, set.DrainOnly, set.ListShowsRole = flag("tokens"), flag("drain only"), flag("roles")
 	set.StaleReads = StaleReadPolicy(rapid.IntRange(0, 2).Draw(t, "behind"))
 	set.MaxAttempts = rapid.IntRange(1, 6).Draw(t, "attempts")
@@ -47,7 +47,8 @@
 }
 
 func newRandomRun(c *invariant.Checks, set Settings, seed uint64) *randomRun {
-	d := &randomRun{r: New(set, seed), c: c, now: start, attempts: map[RequestID]int{}, finished: map[RequestID]bool{}, finalAnswers: map[RequestID]int{}}
+	d := &randomRun{r: New(set, seed), c: c, now: start, attempts: map[RequestID]int{}, finished: map[RequestID]bool{},
+		finalAnswers: map[RequestID]int{}}
 	d.r.EnableChecks(c, 1)
 	var entries []Endpoint
 	for g := range 2 {
@@ -81,7 +82,7 @@
 
 func (d *randomRun) report(t *rapid.T) Report {
 	rep := Report{Role: Role(rapid.IntRange(0, 2).Draw(t, "role")), HasPosition: rapid.Bool().Draw(t, "placed"),
-		HasInFlight: rapid.Bool().Draw(t, "loaded"), InFlight: rapid.Float64Range(0, 30).Draw(t, "held")}
+		HasInFlight: rapid.Bool().Draw(t, "loaded"), InFlight: rapid.Float64Range(0, 30).Draw(t, "in flight")}
 	if rep.HasPosition {
 		rep.Position = d.now + rapid.SampledFrom([]Time{-10 * time.Second, -400 * ms, -200 * ms, -20 * ms, 0, 20 * ms}).Draw(t, "position")
 	}
@@ -112,13 +113,14 @@
 
 func (d *randomRun) request(t *rapid.T) {
 	d.lastRequest++
-	d.do(&Request{ID: RequestID(fmt.Sprint(d.lastRequest)), Class: rapid.IntRange(0, 5).Draw(t, "class"), Group: rapid.IntRange(0, 2).Draw(t, "group"),
+	d.do(&Request{ID: RequestID(fmt.Sprint(d.lastRequest)), Class: rapid.IntRange(0, 5).Draw(t, "class"),
+		Group:  rapid.IntRange(0, 2).Draw(t, "group"),
 		Tenant: rapid.IntRange(-1, 1).Draw(t, "tenant"), Deadline: d.now + Time(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "due")),
 		Session: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "session"), SinceCommit: Time(rapid.Int64Range(0, int64(time.Second)).Draw(t, "own")),
 		ClientRetry: rapid.Bool().Draw(t, "repeat"), WorkHint: Time(rapid.Int64Range(0, int64(200*ms)).Draw(t, "work"))})
 }
 
-// TestInvariants: settings, lists, requests, outcomes, probes, timers and standstills in any order.
+// TestInvariants: settings, lists, requests, outcomes, health checks, timers and pauses in any order.
 func TestInvariants(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		d := newRandomRun(invariant.Test(t), drawSettings(t), rapid.Uint64().Draw(t, "seed"))
@@ -130,9 +132,9 @@
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"ask": many(d.request), "end": many(d.end),
+			"request": many(d.request), "end": many(d.end),
 			"pass": func(t *rapid.T) {
-				for range rapid.IntRange(1, 20).Draw(t, "beats") {
+				for range rapid.IntRange(1, 20).Draw(t, "ticks") {
 					if d.now += tickInterval; d.timers > 0 {
 						d.timers--
 						d.do(&Timer{})
@@ -140,11 +142,12 @@
 				}
 			},
 			"stand still": func(t *rapid.T) { d.now += Time(rapid.Int64Range(int64(ms), int64(6*time.Second)).Draw(t, "ms")) },
-			"probed": func(t *rapid.T) {
+			"health check result": func(t *rapid.T) {
 				if len(d.healthChecks) > 0 {
 					s := d.healthChecks[0]
 					d.healthChecks = d.healthChecks[1:]
-					ev := &HealthCheckResult{Server: s, Result: rapid.SampledFrom([]Result{OK, OK, OK, Overloaded, TimedOut, Unreachable}).Draw(t, "result")}
+					ev := &HealthCheckResult{Server: s, Result: rapid.SampledFrom([]Result{OK, OK, OK, Overloaded, TimedOut,
+						Unreachable}).Draw(t, "result")}
 					if ev.Result == OK {
 						ev.Load = d.report(t)
 					}
@@ -154,14 +157,16 @@
 			"list": func(t *rapid.T) {
 				l := &EndpointList{Kind: ListKind(rapid.IntRange(0, int(ListFailed)).Draw(t, "kind"))}
 				for _, s := range rapid.SliceOfDistinct(rapid.SampledFrom(append(d.servers, "new")), rapid.ID).Draw(t, "named") {
-					l.Endpoints = append(l.Endpoints, Endpoint{Server: s, Group: int(s[1]) % 2, Capacity: 1, State: ServerState(rapid.IntRange(0, 2).Draw(t, "state")), Started: d.now - Time(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "age"))})
+					l.Endpoints = append(l.Endpoints, Endpoint{Server: s, Group: int(s[1]) % 2, Capacity: 1,
+						State:   ServerState(rapid.IntRange(0, 2).Draw(t, "state")),
+						Started: d.now - Time(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "age"))})
 				}
 				if l.Kind == ListFailed {
 					l.Endpoints = nil
 				}
 				d.do(l)
 			},
-			"gone": func(t *rapid.T) {
+			"abandon": func(t *rapid.T) {
 				if d.lastRequest > 0 {
 					id := RequestID(fmt.Sprint(rapid.IntRange(1, d.lastRequest).Draw(t, "request")))
 					if !d.finished[id] {
@@ -170,8 +175,8 @@
 					}
 				}
 			},
-			"retune": func(t *rapid.T) { d.do(&Reload{Settings: drawSettings(t)}) },
-			"recall": func(*rapid.T) { d.r.Merge(d.now, d.r.Snapshot()) },
+			"reload": func(t *rapid.T) { d.do(&Reload{Settings: drawSettings(t)}) },
+			"merge":  func(*rapid.T) { d.r.Merge(d.now, d.r.Snapshot()) },
 			"": func(t *rapid.T) {
 				for id, n := range d.finalAnswers {
 					if n > 1 {
@@ -183,13 +188,14 @@
 	})
 }
 
-// TestInvariantsFailWhenBroken: each statement is seen to break by one line of state, or by what the router would do if it were broken.
+// TestInvariantsFailWhenBroken: each statement is seen to fail for one change of state, or for what the router would do
+// if it were broken.
 func TestInvariantsFailWhenBroken(t *testing.T) {
 	send := func(id RequestID, s ServerID) func(*harness) []Action {
 		return func(h *harness) []Action { return []Action{{Kind: Send, ID: id, Server: s}} }
 	}
 	none := func(*harness) []Action { return nil }
-	held := func(h *harness) *request {
+	newWaiting := func(h *harness) *request {
 		return &request{id: "h", group: h.r.groups[0], class: &h.r.classes[0], deadline: h.now + time.Hour}
 	}
 	for _, m := range []struct {
@@ -200,11 +206,15 @@
 		{"decide: each request has one final answer", nil, func(*harness) []Action { return []Action{{Kind: Reject, ID: "none"}} }},
 		{"decide: only an attempt in flight is cancelled", nil, func(*harness) []Action { return []Action{{Kind: Cancel, ID: "w", Attempt: 3}} }},
 		{"decide: only a listed server is checked", nil, func(*harness) []Action { return []Action{{Kind: HealthCheck, Server: "z"}} }},
-		{"decide: nothing is sent to a server that is draining or removed", func(h *harness) { h.r.checker.servers["p"].draining = true }, send("w", "p")},
-		{"decide: nothing is sent to a server that is draining or removed", func(h *harness) { h.r.checker.servers["p"].removed = true }, func(*harness) []Action { return []Action{{Kind: HealthCheck, Server: "p"}} }},
+		{"decide: nothing is sent to a server that is draining or removed",
+			func(h *harness) { h.r.checker.servers["p"].draining = true }, send("w", "p")},
+		{"decide: nothing is sent to a server that is draining or removed",
+			func(h *harness) { h.r.checker.servers["p"].removed = true },
+			func(*harness) []Action { return []Action{{Kind: HealthCheck, Server: "p"}} }},
 		{"decide: only an open request is sent, to a listed server", func(h *harness) { h.r.checker.requests["w"].ended = true }, send("w", "p")},
 		{"decide: a request has no more than the attempts allowed", func(h *harness) { h.r.checker.requests["w"].attempts = 9 }, send("w", "p")},
-		{"decide: what must not run twice is in flight once", func(h *harness) { h.r.requests["w"].class.Idempotency = NotIdempotent }, send("w", "p")},
+		{"decide: what must not run twice is in flight once",
+			func(h *harness) { h.r.requests["w"].class.Idempotency = NotIdempotent }, send("w", "p")},
 		{"decide: a read goes where its position is covered", func(h *harness) {
 			s := h.r.checker.servers["p"]
 			s.position, s.primaryAt, s.primaryNotDeniedAt = h.now-time.Second, never, never
@@ -226,13 +236,21 @@
 		{"decide: a server is a member of its group", func(h *harness) { h.r.groups[0].members = nil }, none},
 		{"decide: a position is one that was reported", func(h *harness) { h.r.servers["a"].position = h.now + 1 }, none},
 		{"decide: a server's values are in range", func(h *harness) { h.r.servers["a"].othersLoad = -1 }, none},
-		{"decide: a request waits once", func(h *harness) { req := held(h); req.group.waiting = []*request{req, req} }, none},
-		{"decide: a request waits in its group", func(h *harness) { req := held(h); req.group.waiting, req.group = []*request{req}, &group{} }, none},
-		{"decide: after a tick no request that waits is over", func(h *harness) { req := held(h); req.finished, req.group.waiting = true, []*request{req} }, none},
+		{"decide: a request waits once", func(h *harness) { req := newWaiting(h); req.group.waiting = []*request{req, req} }, none},
+		{"decide: a request waits in its group", func(h *harness) {
+			req := newWaiting(h)
+			req.group.waiting,
+				req.group = []*request{req}, &group{}
+		}, none},
+		{"decide: after a tick no request that waits is over",
+			func(h *harness) { req := newWaiting(h); req.finished, req.group.waiting = true, []*request{req} }, none},
 		{"decide: a request without a final answer is known", func(h *harness) { delete(h.r.requests, "w") }, none},
-		{"decide: a request that is known has no final answer", func(h *harness) { h.r.requests["x"] = held(h) }, none},
+		{"decide: a request that is known has no final answer", func(h *harness) { h.r.requests["x"] = newWaiting(h) }, none},
 		{"decide: a request's attempts are counted", func(h *harness) { h.r.requests["w"].openAttempts = 2 }, none},
-		{"decide: a request is in flight or waits", func(h *harness) { h.r.requests["w"].attempts[0].ended, h.r.requests["w"].openAttempts = true, 0 }, none},
+		{"decide: a request is in flight or waits", func(h *harness) {
+			h.r.requests["w"].attempts[0].ended,
+				h.r.requests["w"].openAttempts = true, 0
+		}, none},
 		{"decide: a timer is pending while anything is open", func(h *harness) { h.r.timerAt = never }, none},
 	} {
 		h := newGroupOfThree(t, nil)
@@ -253,7 +271,7 @@
 	}
 }
 
-// BenchmarkWatch: what the statements cost where they are off, on, and with a walk at every event.
+// BenchmarkWatch measures the statements where they are off, on, and with a walk at every event.
 func BenchmarkWatch(b *testing.B) {
 	for _, x := range []struct {
 		name  string
--- a/internal/decide/late_test.go
+++ b/internal/decide/late_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRoleReportReadLateCountsAsOfItsTime: a process that stood still reads the answers that came meanwhile when it wakes. That a server led then
-// tells nothing of what it holds now: it may have been replaced.
+// TestRoleReportReadLateCountsAsOfItsTime: a process that was paused reads the answers that came meanwhile when it
+// continues. That a server was the primary then does not cover a read now: it may have been replaced.
 func TestRoleReportReadLateCountsAsOfItsTime(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1})
 	h.report("p", RolePrimary, h.now)
@@ -20,19 +20,19 @@
 	h.wantSend(h.request("r2", classBounded), "r2", "p")
 }
 
-// TestProbeSentBeforeAReadDoesNotQualifyIt: the answer to a probe that was sent before a read came says nothing of the read's own time, however late it is
-// read; the read waits for a probe of its own.
+// TestProbeSentBeforeAReadDoesNotQualifyIt: the result of a health check that was sent before a read arrived does not
+// cover the read, however late it is read; the read waits for a check of its own.
 func TestProbeSentBeforeAReadDoesNotQualifyIt(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.advance(time.Second)
 	if len(actionsOf(HealthCheck, h.request("r", classBounded))) == 0 {
-		t.Fatal("no probe")
+		t.Fatal("no health check")
 	}
-	asked := h.now
+	checkedAt := h.now
 	h.now += 5 * time.Second
 	h.handle(&Abandoned{ID: "r"})
 	h.request("r2", classBounded)
-	h.wantNone(Send, h.report("p", RolePrimary, asked))
+	h.wantNone(Send, h.report("p", RolePrimary, checkedAt))
 	h.now += ms
 	h.report("p", RolePrimary, h.now)
 }
--- a/internal/decide/load_test.go
+++ b/internal/decide/load_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestEstimatedLoadRejectsNothing: in a busy fleet the guess of others' load alone makes every member look too slow. Fails if
-// that refuses a read which no report and no answer speaks against.
+// TestEstimatedLoadRejectsNothing: in a busy fleet the estimate of others' load alone makes every member seem too slow.
+// Fails if that rejects a read which no report and no answer speaks against.
 func TestEstimatedLoadRejectsNothing(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.Peers, s.StaleReads = 250, StaleReadsRefused })
 	h.r.requestRate, h.r.recentRequests, h.r.requestRateSpan, h.r.requestRateAt = 50, 250, 5, h.now
@@ -17,8 +17,8 @@
 	h.wantNone(Reject, out)
 }
 
-// TestSlowAnswersShowTheLoadOfOthers: one of many routers has nothing at a server whose queue is full. Fails if it sends the
-// next read there after an answer many times its work; with few routers their own requests explain that.
+// TestSlowAnswersShowTheLoadOfOthers: one of many routers has nothing at a server whose queue is full. Fails if it
+// sends the next read there after an answer many times its work; with few routers their own requests explain that.
 func TestSlowAnswersShowTheLoadOfOthers(t *testing.T) {
 	for peers, avoids := range map[int]bool{250: true, 1: false} {
 		h := newGroupOfThree(t, func(s *Settings) { s.Peers, s.StaleReads = peers, StaleReadsRefused })
@@ -29,7 +29,7 @@
 		}
 		h.end("1", 0, first, OK)
 		if got := a.othersLoad > fullRateConcurrency; got != avoids {
-			t.Errorf("%d routers: told of %v requests there, want load seen: %v", peers, a.othersLoad, avoids)
+			t.Errorf("%d routers: estimated %v requests of others there, want load observed: %v", peers, a.othersLoad, avoids)
 		}
 	}
 }
--- a/internal/decide/outlier.go
+++ b/internal/decide/outlier.go
@@ -69,7 +69,7 @@
 func (r *Router) unresponsive(s *server) bool {
 	first, count, longest := r.now, 0.0, r.averageWork
 	for _, attempt := range s.openAttempts {
-		if attempt.overtakenBy == 0 && !attempt.presumedLost {
+		if attempt.showsServer() {
 			first = min(first, attempt.sentAt)
 			count++
 			longest = max(longest, attempt.request.expectedWork())
--- a/internal/decide/outlier_test.go
+++ b/internal/decide/outlier_test.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// TestUnresponsiveServerGetsNoReads: a server that answers probes but no requests is left alone.
+// TestUnresponsiveServerGetsNoReads: a server that answers health checks but no requests is not used.
 func TestUnresponsiveServerGetsNoReads(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	for _, s := range h.r.serversByID {
 		s.relativeRate = 4
 	}
 	s := actionsOf(Send, h.request("1", classAny))[0].Server
-	var rescued bool
+	var hedged bool
 	for range 100 {
 		for _, a := range h.advance(tickInterval) {
-			rescued = rescued || a.Kind == Send && a.ID == "1" && a.Server != s
+			hedged = hedged || a.Kind == Send && a.ID == "1" && a.Server != s
 		}
 		if !h.r.servers[s].usable() {
 			break
 		}
 	}
-	if !rescued {
-		t.Error("the read was left at the silent store")
+	if !hedged {
+		t.Error("the read was left at the unresponsive server")
 	}
 	h.r.eject(h.r.servers[s])
 	h.report(s, RoleReplica, h.now)
 	if h.r.servers[s].health != halfOpen {
-		t.Error("an answered probe alone must not make it healthy")
+		t.Error("an answered health check alone must not make it healthy")
 	}
 }
 
-// TestAttemptsFromAnOutageDoNotBlockTheTrial: attempts left hanging by an outage must not keep the server from its trial.
+// TestAttemptsFromAnOutageDoNotBlockTheTrial: attempts that are still in flight from an outage must not keep the server
+// from its trial.
 func TestAttemptsFromAnOutageDoNotBlockTheTrial(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
@@ -41,7 +42,7 @@
 	}
 	h.advance(1500 * ms)
 	if h.r.servers["p"].health != ejected {
-		t.Fatal("a silent store is not down")
+		t.Fatal("an unresponsive server is not ejected")
 	}
 	h.report("p", RolePrimary, h.now)
 	h.wantSend(h.request("trial", classWriteOnce), "trial", "p")
@@ -53,7 +54,8 @@
 	h.wantSend(h.end("trial", 0, "p", OK), "next", "p")
 }
 
-// TestServerWhoseTrialIsNotAnsweredIsEjectedAgain: a server that lets its trial hang goes down again.
+// TestServerWhoseTrialIsNotAnsweredIsEjectedAgain: a half-open server that leaves its requests unanswered is ejected
+// again.
 func TestServerWhoseTrialIsNotAnsweredIsEjectedAgain(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
@@ -62,12 +64,12 @@
 	h.wantSend(h.request("trial", classWriteOnce), "trial", "p")
 	h.advance(1500 * ms)
 	if h.r.servers["p"].health != ejected {
-		t.Error("the trial hangs and the store is not down")
+		t.Error("the trial is not answered and the server is not ejected")
 	}
 }
 
-// TestPauseOfThisProcessIsNoEvidenceAgainstServers: a router that stood still finds every timer late and every answer late. Fails if it takes
-// servers for silent or slow by that.
+// TestPauseOfThisProcessIsNoEvidenceAgainstServers: a router that was paused finds every timer late and every answer
+// late. Fails if it takes servers for unresponsive or slow by that.
 func TestPauseOfThisProcessIsNoEvidenceAgainstServers(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	sent := actionsOf(Send, h.request("1", classAny))[0].Server
@@ -81,9 +83,10 @@
 	}
 }
 
-// TestServerBehindASlowLinkIsNotEjected: probes and connections into one other zone take long and fail, while that zone's servers
-// are well. Reads go elsewhere; a write still goes to the primary there, and it does not count as restarted. Fails if
-// the server is judged by the way to it. A refusal that comes at once is the server's own.
+// TestServerBehindASlowLinkIsNotEjected: health checks and connections into one other zone take long and fail, while
+// that zone's servers are healthy. Reads go elsewhere; a write still goes to the primary there, and it does not count
+// as restarted. Fails if the server is ejected because of the link to it. A refusal that comes at once is the server's
+// own.
 func TestServerBehindASlowLinkIsNotEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Zone: 1}, Endpoint{Server: "a"})
 	h.report("p", RolePrimary, h.now)
@@ -103,12 +106,12 @@
 	h.now += 2 * ms
 	h.end("write", 2, "p", Unreachable)
 	if s := h.r.servers["p"]; s.health != ejected {
-		t.Errorf("refused at once: health %v, want down", s.health)
+		t.Errorf("refused at once: health %v, want ejected", s.health)
 	}
 }
 
-// TestSlowConnectionFailureCausesAHealthCheck: opening connections has become slow, so that some fail at their time limit, while
-// the servers are well. Fails if that takes a server out of use; a probe tells whether it lives.
+// TestSlowConnectionFailureCausesAHealthCheck: opening connections has become slow, so that some fail at their time
+// limit, while the servers are healthy. Fails if that ejects a server; a health check shows whether it lives.
 func TestSlowConnectionFailureCausesAHealthCheck(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.wantSend(h.request("1", classWriteOnce), "1", "p")
@@ -116,31 +119,31 @@
 	out := h.end("1", 0, "p", Unreachable)
 	h.wantSend(out, "1", "p")
 	if got := actionsOf(HealthCheck, out); len(got) != 1 || got[0].Server != "p" || h.r.servers["p"].health != healthy {
-		t.Errorf("probes %+v, health %v", got, h.r.servers["p"].health)
+		t.Errorf("health checks %+v, health %v", got, h.r.servers["p"].health)
 	}
 	for range 2 {
 		h.now += 5 * ms
 		h.handle(&HealthCheckResult{Server: "p", Result: Unreachable})
 	}
 	if h.r.servers["p"].health != ejected {
-		t.Error("the probe failed too, and again, and the store is not down")
+		t.Error("the health check failed too, and again, and the server is not ejected")
 	}
 }
 
-// TestOneBrokenConnectionDoesNotEject: connections of servers that are well break by themselves. Fails if one takes its server out,
-// if no probe asks soon whether there is more to it, or if a server that answers what was sent before counts as restarted.
+// TestOneBrokenConnectionDoesNotEject: connections of healthy servers break now and then. Fails if one ejects its
+// server, if no health check follows soon, or if a server that answers what was sent before counts as restarted.
 func TestOneBrokenConnectionDoesNotEject(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	s := h.r.servers["p"]
-	h.request("held", classWriteOnce)
-	h.request("held2", classWriteOnce)
+	h.request("open", classWriteOnce)
+	h.request("open2", classWriteOnce)
 	for _, broken := range []Event{&HealthCheckResult{Server: "p", Result: Reset}, &HealthCheckResult{Server: "p", Result: Unreachable}} {
 		h.handle(broken)
 		if s.health != healthy {
 			t.Fatalf("after one %+v: health %v", broken, s.health)
 		}
 		if got := actionsOf(HealthCheck, h.advance(2*tickInterval)); len(got) != 1 || got[0].Server != "p" {
-			t.Fatalf("asked %+v", got)
+			t.Fatalf("checked %+v", got)
 		}
 		h.handle(&HealthCheckResult{Server: "p", Result: OK})
 	}
@@ -151,10 +154,10 @@
 		t.Fatalf("after two: health %v", s.health)
 	}
 	h.now += restartOutage
-	h.end("held", 0, "p", OK) // it was alive all the time
+	h.end("open", 0, "p", OK) // it was alive all the time
 	h.now += 10 * ms
 	h.report("p", RolePrimary, h.now)
 	if s.health == ejected || h.r.warmUpFactor(s) < 1 {
-		t.Errorf("health %v, warmth %v", s.health, h.r.warmUpFactor(s))
+		t.Errorf("health %v, warm-up factor %v", s.health, h.r.warmUpFactor(s))
 	}
 }
--- a/internal/decide/place_test.go
+++ b/internal/decide/place_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestPrimaryIsCheckedOnceForEachSessionRead: session reads, one after the other, with positions that only other poolers have heard of. The members that cost least are asked
-// where they stand and are behind; the primary, which costs more, is asked then, once for each read. As it had been asked for the read before, it was not
-// asked again for half of the least target, and the read was held.
+// TestPrimaryIsCheckedOnceForEachSessionRead: session reads one after the other, with positions that only other poolers
+// know. The members of least cost are checked and are behind; then the primary, which costs more, is checked once for
+// each read. Seen: it had been checked for the read before, was not checked again for half of the shortest objective,
+// and the read waited.
 func TestPrimaryIsCheckedOnceForEachSessionRead(t *testing.T) {
 	set := testSettings()
 	for i := range set.Classes {
@@ -24,11 +25,11 @@
 			h.report("b", RoleReplica, h.now-2*ms)
 		}
 		h.now += 20 * ms
-		writes := []RequestID{id + "a", id + "b", id + "c"} // which make the primary dearer than the others
+		writes := []RequestID{id + "a", id + "b", id + "c"} // which make the primary cost more than the others
 		for _, w := range writes {
 			h.request(w, classWriteOnce)
 		}
-		from, asked, sent := h.now, 0, ServerID("")
+		from, checks, sent := h.now, 0, ServerID("")
 		acts := h.handle(&Request{ID: id, Class: classSession, Deadline: h.now + 10*time.Second, SinceCommit: 4 * ms})
 		for sent == "" && h.now-from < 300*ms {
 			var next []Action
@@ -36,7 +37,7 @@
 				role, at := RoleReplica, from-5*ms
 				if a.Server == "p" {
 					role, at = RolePrimary, h.now
-					asked++
+					checks++
 				}
 				next = append(next, h.report(a.Server, role, at)...)
 			}
@@ -45,8 +46,8 @@
 			}
 			acts = append(next, h.advance(tickInterval)...)
 		}
-		if sent != "p" || asked != 1 {
-			t.Errorf("read %s: sent to %q within %v; the primary was asked %d times", id, sent, h.now-from, asked)
+		if sent != "p" || checks != 1 {
+			t.Errorf("read %s: sent to %q within %v; the primary was checked %d times", id, sent, h.now-from, checks)
 		}
 		for _, x := range append(writes, id) {
 			h.end(x, 0, "p", OK)
--- a/internal/decide/positioncheck_test.go
+++ b/internal/decide/positioncheck_test.go
@@ -1,15 +1,16 @@
 package decide
 
-// What is asked before a read goes, and what that may cost.
+// Health checks before a read is sent, and what they may cost.
 
 import (
 	"testing"
 	"time"
 )
 
-// newStaleGroup is a group whose positions were told long ago: p leads, a was up to date then and b far behind.
-func newStaleGroup(t *testing.T, price float64, lacked time.Duration) *harness {
-	h := newGroupOfThree(t, func(s *Settings) { s.HealthCheckCost = price })
+// newStaleGroup is a group whose positions were reported long ago: p is the primary, a was up to date then and b far
+// behind.
+func newStaleGroup(t *testing.T, cost float64, lacked time.Duration) *harness {
+	h := newGroupOfThree(t, func(s *Settings) { s.HealthCheckCost = cost })
 	h.r.servers["p"].failureAtLast, h.r.servers["p"].failureAt = 0.95, h.now
 	h.now += time.Second
 	h.report("a", RoleReplica, h.now)
@@ -19,93 +20,96 @@
 	return h
 }
 
-// TestReadChecksOneServerAtATime: a read asks the next server when the first has told that it is behind, not both at once: the second
-// probe would mostly be for nothing, times all routers.
+// TestReadChecksOneServerAtATime: a read has the next server checked when the first has reported that it is behind, not
+// both at once: the second check would mostly be wasted, times the number of routers.
 func TestReadChecksOneServerAtATime(t *testing.T) {
 	h := newStaleGroup(t, 0, 0)
 	first := actionsOf(HealthCheck, h.request("1", classBounded))
 	if len(first) != 1 {
-		t.Fatalf("asked %+v, want one", first)
+		t.Fatalf("checked %+v, want one", first)
 	}
 	h.now += 5 * ms
 	next := actionsOf(HealthCheck, h.report(first[0].Server, RoleReplica, h.now-400*ms))
 	if len(next) != 1 || next[0].Server == first[0].Server {
-		t.Fatalf("then asked %+v, want another", next)
+		t.Fatalf("then checked %+v, want another", next)
 	}
 	h.now += 5 * ms
 	h.wantSend(h.report(next[0].Server, RoleReplica, h.now), "1", next[0].Server)
 }
 
-// TestServerKnownBehindIsCheckedLast: a server that lacked too much when last told is asked after the others, though it is faster.
+// TestServerKnownBehindIsCheckedLast: a server that was too far behind at its last report is checked after the others,
+// though it is faster.
 func TestServerKnownBehindIsCheckedLast(t *testing.T) {
 	h := newStaleGroup(t, 0.15, 900*ms)
 	h.r.servers["b"].relativeRate, h.r.servers["p"].draining = 1.2, true
-	if asked := actionsOf(HealthCheck, h.request("1", classBounded)); len(asked) != 1 || asked[0].Server != "a" {
-		t.Fatalf("asked %+v, want a", asked)
+	if checked := actionsOf(HealthCheck, h.request("1", classBounded)); len(checked) != 1 || checked[0].Server != "a" {
+		t.Fatalf("checked %+v, want a", checked)
 	}
 	h.now += 5 * ms
-	if asked := actionsOf(HealthCheck, h.report("a", RoleReplica, h.now-400*ms)); len(asked) != 1 || asked[0].Server != "b" {
-		t.Fatalf("then asked %+v, want b", asked)
+	if checked := actionsOf(HealthCheck, h.report("a", RoleReplica, h.now-400*ms)); len(checked) != 1 || checked[0].Server != "b" {
+		t.Fatalf("then checked %+v, want b", checked)
 	}
 }
 
-// TestServerThatRefusesHealthChecksGetsNone: a server that has more probes than it takes, from all routers together, is left alone for a while, and
-// another is asked. Asked again at each tick by each of hundreds, it never comes out of that.
+// TestServerThatRefusesHealthChecksGetsNone: a server that refuses health checks, as it gets too many from all routers
+// together, gets none for a while, and another is checked. With a check at each tick from hundreds of routers it would
+// not recover.
 func TestServerThatRefusesHealthChecksGetsNone(t *testing.T) {
 	h := newStaleGroup(t, 0, 0)
 	first := actionsOf(HealthCheck, h.request("1", classBounded))
 	if len(first) != 1 {
-		t.Fatalf("asked %+v", first)
+		t.Fatalf("checked %+v", first)
 	}
-	asked := map[ServerID]int{}
+	checked := map[ServerID]int{}
 	acts := h.handle(&HealthCheckResult{Server: first[0].Server, Result: Overloaded})
 	for range int(ejectedCheckInterval/tickInterval) - 1 {
 		for _, a := range actionsOf(HealthCheck, acts) {
-			asked[a.Server]++
+			checked[a.Server]++
 		}
 		acts = h.advance(tickInterval)
 	}
-	if asked[first[0].Server] != 0 || len(asked) == 0 {
-		t.Errorf("turned away by %s, then asked %v", first[0].Server, asked)
+	if checked[first[0].Server] != 0 || len(checked) == 0 {
+		t.Errorf("refused by %s, then checked %v", first[0].Server, checked)
 	}
 }
 
-// TestHealthChecksAreWeighedAgainstTheRead: where all servers tell that they are behind, the best two are asked for a read and no more; and
-// those that wait for a primary look for it the less often, the dearer that is.
+// TestHealthChecksAreWeighedAgainstTheRead: where all servers report that they are behind, the best two are checked for
+// a read and no more; and the dearer health checks are, the less often requests that wait for a primary search for it.
 func TestHealthChecksAreWeighedAgainstTheRead(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "a"}, Endpoint{Server: "b"}, Endpoint{Server: "c"}, Endpoint{Server: "d"})
-	asked, acts := 0, h.request("1", classBounded)
+	checked, acts := 0, h.request("1", classBounded)
 	for range 50 {
 		var next []Action
 		for _, a := range actionsOf(HealthCheck, acts) {
-			asked++
+			checked++
 			next = append(next, h.report(a.Server, RoleReplica, h.now-350*ms)...)
 		}
 		acts = append(next, h.advance(tickInterval)...)
 	}
-	if asked != 2 {
-		t.Errorf("%d probes for one read, want 2", asked)
+	if checked != 2 {
+		t.Errorf("%d health checks for one read, want 2", checked)
 	}
-	sought := map[float64]int{}
-	for _, price := range []float64{0, 0.05} {
+	checksByCost := map[float64]int{}
+	for _, cost := range []float64{0, 0.05} {
 		h := newHarness(t, testSettings(), Endpoint{Server: "a"}, Endpoint{Server: "b"}, Endpoint{Server: "c"}, Endpoint{Server: "d"})
-		h.r.settings.HealthCheckCost = price
+		h.r.settings.HealthCheckCost = cost
 		acts := h.handle(&Request{ID: "w", Class: classKeyedWrite, Deadline: h.now + 3*time.Second})
 		for range 100 {
 			var next []Action
 			for _, a := range actionsOf(HealthCheck, acts) {
-				sought[price]++
+				checksByCost[cost]++
 				next = append(next, h.report(a.Server, RoleReplica, h.now)...)
 			}
 			acts = append(next, h.advance(tickInterval)...)
 		}
 	}
-	if sought[0] != 20 || sought[0.05] != 16 {
-		t.Errorf("probes in a second by price: %v", sought)
+	if checksByCost[0] != 20 || checksByCost[0.05] != 16 {
+		t.Errorf("health checks in a second by cost: %v", checksByCost)
 	}
 }
 
-// TestPrimaryWithoutCapacityIsNotChecked: a session's read that finds no server with capacity is not helped by what a primary without capacity tells.
+// TestPrimaryWithoutCapacityIsNotChecked: a session's read that finds no server with capacity gains nothing from the
+// report of a primary without capacity.
 func TestPrimaryWithoutCapacityIsNotChecked(t *testing.T) {
 	for full, want := range map[bool]int{true: 0, false: 1} {
 		h := newGroupOfThree(t, nil)
@@ -117,7 +121,7 @@
 		}
 		acts := h.handle(&Request{ID: "1", Class: classSession, Deadline: h.now + 2*time.Second, SinceCommit: -ms})
 		if got := len(actionsOf(HealthCheck, append(acts, h.advance(100*ms)...))); got != want {
-			t.Errorf("primary full: %v; probed %d times, want %d", full, got, want)
+			t.Errorf("primary full: %v; checked %d times, want %d", full, got, want)
 		}
 	}
 }
--- a/internal/decide/primary_test.go
+++ b/internal/decide/primary_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestReadsLeaveThePrimaryToWrites: behind a primary that answers late, reads that are worth a little more for their work do not keep out the
-// writes that nobody else can take.
+// TestReadsLeaveThePrimaryToWrites: behind a primary with a backlog, reads with a little more weight for their work do
+// not displace the writes that no other server can take.
 func TestReadsLeaveThePrimaryToWrites(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) {
 		s.Peers = 1 << 20
@@ -23,22 +23,22 @@
 		h.r.countUrgency(&request{group: p.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now})
 	}
 	for _, c := range h.r.backlogsOf(p) {
-		c.throttle, c.updatedAt, c.cutoffAt = 0.4, h.now, never // two thirds of what is asked are let in
+		c.throttle, c.updatedAt, c.cutoffAt = 0.4, h.now, never // two thirds of the demand are admitted
 	}
-	for luck := 0.005; luck < 1; luck += 0.01 {
+	for draw := 0.005; draw < 1; draw += 0.01 {
 		for _, no := range []int{classBounded, classWriteOnce} {
 			c := &h.r.classes[no]
-			if h.r.admits(p, &request{group: p.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now, admissionDraw: luck}) {
+			if h.r.admits(p, &request{group: p.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now, admissionDraw: draw}) {
 				in[no]++
 			}
 		}
 	}
 	if in[classWriteOnce] != 100 || in[classBounded] == 0 || in[classBounded] == 100 {
-		t.Errorf("let in %v of 100 each: want all writes (%d) and a part of the reads (%d)", fmt.Sprint(in), classWriteOnce, classBounded)
+		t.Errorf("admitted %v of 100 each: want all writes (%d) and a part of the reads (%d)", fmt.Sprint(in), classWriteOnce, classBounded)
 	}
 }
 
-// TestWritesWaitForAPrimaryAndGoOnce holds writes while no primary is known and releases each once when one appears.
+// TestWritesWaitForAPrimaryAndGoOnce: writes wait while no primary is known, and each is sent once when one appears.
 func TestWritesWaitForAPrimaryAndGoOnce(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.request("0", classKeyedWrite)
@@ -50,7 +50,7 @@
 	out = append(out, h.advance(150*ms)...)
 	h.wantNone(Send, out)
 	if len(actionsOf(HealthCheck, out)) == 0 {
-		t.Error("nobody asks who is primary")
+		t.Error("no server is checked")
 	}
 	sent := map[RequestID]int{}
 	for _, a := range actionsOf(Send, append(h.report("a", RolePrimary, h.now), h.advance(50*ms)...)) {
@@ -69,8 +69,9 @@
 	}
 }
 
-// TestOldPrimaryReportCountsUpToItsTime: what once said that it is the primary may have been replaced since, unheard. Its word counts for
-// reads up to when it was said, and the list's counts for nothing; where nothing can be asked, they have to do.
+// TestOldPrimaryReportCountsUpToItsTime: a server that once reported that it is the primary may have been replaced
+// since. Its report covers reads up to the time of the report, and the list's role covers none; where servers answer no
+// health checks, they have to suffice.
 func TestOldPrimaryReportCountsUpToItsTime(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.wantSend(h.request("1", classBounded), "1", "")
@@ -78,38 +79,40 @@
 	h.now += 2 * time.Second // it hung, was replaced, and is back
 	h.wantNone(Send, h.request("2", classBounded))
 	if len(actionsOf(HealthCheck, h.out)) == 0 {
-		t.Fatal("nobody was asked")
+		t.Fatal("no server was checked")
 	}
 	h.wantNone(Send, h.report("p", RoleReplica, h.now-1900*ms))
 	h.wantSend(h.report("a", RolePrimary, h.now), "2", "a")
 
-	h = newGroupOfThree(t, nil) // probes that tell nothing: it is asked again and again, but not without end
+	h = newGroupOfThree(t, nil) // health checks that are refused: they are repeated, but not without end
 	h.now += 2 * time.Second
-	asked, acts := 0, h.request("1", classBounded)
+	checked, acts := 0, h.request("1", classBounded)
 	for range 30 {
 		var next []Action
 		for _, a := range actionsOf(HealthCheck, acts) {
-			asked++
+			checked++
 			next = append(next, h.handle(&HealthCheckResult{Server: a.Server, Result: Overloaded})...)
 		}
 		h.wantNone(Send, next)
 		acts = append(next, h.advance(tickInterval)...)
 	}
-	if asked <= 2 || asked > 12 {
-		t.Errorf("%d probes in 0.3 s", asked)
+	if checked <= 2 || checked > 12 {
+		t.Errorf("%d health checks in 0.3 s", checked)
 	}
 	h.wantSend(h.report("p", RolePrimary, h.now-200*ms), "1", "p")
 
-	for _, probes := range []bool{true, false} {
+	for _, checks := range []bool{true, false} {
 		set := testSettings()
-		set.ListShowsRole, set.MayCheckHealth = true, probes
+		set.ListShowsRole, set.MayCheckHealth = true, checks
 		h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1, Primary: true}, Endpoint{Server: "a", Capacity: 1})
-		if sent := len(actionsOf(Send, h.request("1", classBounded))) > 0; sent == probes {
-			t.Errorf("sent by the list's word alone: %v, where probes are allowed: %v", sent, probes)
+		if sent := len(actionsOf(Send, h.request("1", classBounded))) > 0; sent == checks {
+			t.Errorf("sent by the list's role alone: %v, where health checks are allowed: %v", sent, checks)
 		}
 	}
 }
 
+// TestDemotionInAnAnswerBinds: a server whose answer says that it is a replica is not the primary, whatever an older
+// report says.
 func TestDemotionInAnAnswerBinds(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.handle(&Request{ID: "1", Class: classKeyedWrite, Deadline: h.now + time.Second})
--- a/internal/decide/rates.go
+++ b/internal/decide/rates.go
@@ -105,7 +105,7 @@
 func (r *Router) countLateAttempts(s *server, rate serviceRate) {
 	for _, attempt := range s.openAttempts {
 		excess := s.virtualService - attempt.serviceAtSend - attempt.request.expectedWork()/rate
-		if excess > 0 && attempt.overtakenBy == 0 && !attempt.presumedLost && !attempt.unmeasured {
+		if excess > 0 && attempt.showsServer() && !attempt.unmeasured {
 			s.receivedService += excess
 		}
 	}
--- a/internal/decide/rates_test.go
+++ b/internal/decide/rates_test.go
@@ -7,11 +7,13 @@
 	"time"
 )
 
+// TestNewServerHasTheRateOfItsKind: answers of one server change the rate of its kind, in every group, and of no other
+// kind.
 func TestNewServerHasTheRateOfItsKind(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "a", Kind: 0}, Endpoint{Server: "b", Kind: 1}, Endpoint{Server: "c", Kind: 1},
 		Endpoint{Server: "d", Kind: 1, Group: 5})
 	if got := h.r.warmRate(h.r.servers["a"]); got != initialKindRate {
-		t.Errorf("nothing heard: %v", got)
+		t.Errorf("no answers: %v", got)
 	}
 	// b's answers take half the service that was expected, second after second.
 	for i := range 10 {
@@ -35,7 +37,7 @@
 }
 
 // TestColdAnswersDoNotRaiseTheRate: a server that started sooner than the router knows answers sooner than one so cold
-// would. Its rate must not rise for that: it would take more than it stands later, while still cold.
+// would. Its rate must not rise for that: it would take more than it can serve later, while still cold.
 func TestColdAnswersDoNotRaiseTheRate(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	s, sent := h.r.servers["p"], 0
@@ -58,7 +60,7 @@
 	was, work := h.r.warmRate(s), h.r.classes[classWriteOnce].averageWork
 	rounds("cold", 20)
 	if now := h.r.warmRate(s); sent < 10 || now > 1.001*was || h.r.classes[classWriteOnce].averageWork != work {
-		t.Errorf("%d answers of a cold store; its rate went from %v to %v", sent, was, now)
+		t.Errorf("%d answers of a cold server; its rate went from %v to %v", sent, was, now)
 	}
 	h.advance(10 * time.Second)
 	rounds("warm", 20)
@@ -83,6 +85,8 @@
 	}
 }
 
+// TestWorkHintScalesTheClassAverage: a request's work is its class's average, scaled by its hint against the average
+// hint.
 func TestWorkHintScalesTheClassAverage(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	deadline := h.now + time.Second
@@ -91,7 +95,8 @@
 	h.handle(&Request{ID: "3", Class: classAny, Deadline: deadline})
 	avg := h.r.classes[classAny].averageWork
 	// The second raises the average to 20 ms, so it counts half as much again.
-	if a, b, c := h.r.requests["1"].expectedWork(), h.r.requests["2"].expectedWork(), h.r.requests["3"].expectedWork(); math.Abs(a-avg)+math.Abs(b-1.5*avg)+math.Abs(c-avg) > 1e-9 {
+	if a, b, c := h.r.requests["1"].expectedWork(), h.r.requests["2"].expectedWork(),
+		h.r.requests["3"].expectedWork(); math.Abs(a-avg)+math.Abs(b-1.5*avg)+math.Abs(c-avg) > 1e-9 {
 		t.Errorf("work %v, %v, %v with an average of %v", a, b, c, avg)
 	}
 }
--- a/internal/decide/reason_test.go
+++ b/internal/decide/reason_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestReasons: each refusal, failure and repeat states why.
+// TestReasons: each rejection, failure and retry states its reason.
 func TestReasons(t *testing.T) {
 	want := func(t *testing.T, kind ActionKind, reason Reason, actions []Action) {
 		t.Helper()
--- a/internal/decide/reporttime_test.go
+++ b/internal/decide/reporttime_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-// primaryReport is what a server says of itself that is the primary.
+// primaryReport is a primary's report of that time.
 func primaryReport(at Time) Report { return Report{Role: RolePrimary, Position: at, HasPosition: true} }
 
-// TestReportsReadLateCountAsOfTheirTime: a router stood still, and the primary was replaced meanwhile. What the old one said before that waits in the
-// process's sockets and is read after the first request that comes: it is as old as it is, not news.
+// TestReportsReadLateCountAsOfTheirTime: a router was paused, and the primary was replaced meanwhile. Reports of the
+// old one from before wait in the process's sockets and are read after the first request that comes: they count as of
+// their time, not as of now.
 func TestReportsReadLateCountAsOfTheirTime(t *testing.T) {
 	for _, class := range []int{classBounded, classSession} {
 		h := newGroupOfThree(t, nil)
@@ -17,24 +18,25 @@
 		h.request("old", classKeyedWrite)
 		h.wantSend(h.out, "old", "p")
 		h.now += 10 * ms
-		probed := h.r.servers["p"]
-		probed.healthCheckPending, probed.healthCheckSentAt = true, h.now
-		said := h.now
-		h.now += 3 * second // it stood still
+		primary := h.r.servers["p"]
+		primary.healthCheckPending, primary.healthCheckSentAt = true, h.now
+		reportedAt := h.now
+		h.now += 3 * second // it was paused
 		h.handle(&Request{ID: "1", Class: class, Deadline: h.now + 2*second, SinceCommit: 1})
 		h.wantNone(Send, h.out)
-		h.wantNone(Send, h.handle(&Outcome{ID: "old", Server: "p", Result: OK, Final: true, Reported: primaryReport(said)}))
-		h.wantNone(Send, h.handle(&HealthCheckResult{Server: "p", Load: primaryReport(said)}))
+		h.wantNone(Send, h.handle(&Outcome{ID: "old", Server: "p", Result: OK, Final: true, Reported: primaryReport(reportedAt)}))
+		h.wantNone(Send, h.handle(&HealthCheckResult{Server: "p", Load: primaryReport(reportedAt)}))
 		h.wantNone(Send, h.advance(100*ms))
-		if got := h.r.servers["p"].roleAt; got > said {
-			t.Errorf("its word of %v counts as of %v", said, got)
+		if got := h.r.servers["p"].roleAt; got > reportedAt {
+			t.Errorf("its report of %v counts as of %v", reportedAt, got)
 		}
 	}
 }
 
 const second = 1000 * ms
 
-// TestWaitingReadNeedsAReportWithinItsBound: a read that has waited for longer than its bound is not sent by a word that came soon after it.
+// TestWaitingReadNeedsAReportWithinItsBound: a read that has waited for longer than its staleness bound is not sent by
+// a report that came soon after it.
 func TestWaitingReadNeedsAReportWithinItsBound(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1})
 	h.report("p", RolePrimary, h.now)
@@ -45,7 +47,8 @@
 	h.wantNone(Send, append(h.handle(&Outcome{ID: "1", Server: "p", Result: NotSent}), h.advance(tickInterval)...))
 }
 
-// TestReadIsWrittenInTime: what is known of a server suffices for a read up to a time, and it may wait for a connection for no longer.
+// TestReadIsWrittenInTime: a server's position covers a read up to a time, and the attempt may wait for a connection
+// for no longer.
 func TestReadIsWrittenInTime(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.now += 100 * ms
@@ -54,18 +57,19 @@
 		t.Errorf("by %v, want %v", by-start, want-start)
 	}
 	h.request("2", classAny)
-	if a := actionsOf(Send, h.out)[0]; a.WriteBefore < never2 {
+	if a := actionsOf(Send, h.out)[0]; a.WriteBefore < noLimit {
 		t.Errorf("any read has an end: %v", a.WriteBefore)
 	}
 	h.handle(&Request{ID: "3", Class: classSession, Deadline: h.now + second, SinceCommit: 50 * ms})
-	if got := actionsOf(Send, h.out); len(got) > 0 && got[0].WriteBefore < never2 {
+	if got := actionsOf(Send, h.out); len(got) > 0 && got[0].WriteBefore < noLimit {
 		t.Errorf("a session's read has an end: %v", got[0].WriteBefore)
 	}
 }
 
-const never2 = 1 << 62
+const noLimit = 1 << 62
 
-// TestCommitAheadOfTheClockIsNotCoveredNow: a commit may lie ahead of this clock, where a server's is fast or was set. What a replica had by now is not enough.
+// TestCommitAheadOfTheClockIsNotCoveredNow: a commit may lie ahead of this clock, where a server's is fast or was set.
+// The position that a replica has by now does not cover it.
 func TestCommitAheadOfTheClockIsNotCoveredNow(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.now += 10 * ms
@@ -79,7 +83,8 @@
 	h.wantSend(append(h.report("a", RoleReplica, h.now), h.advance(40*ms)...), "1", "a")
 }
 
-// TestWriteWithoutAPositionCountsAsCommittedNow: a session's write whose answer told no position was committed by now at the latest.
+// TestWriteWithoutAPositionCountsAsCommittedNow: a session's write whose answer had no position was committed by now at
+// the latest.
 func TestWriteWithoutAPositionCountsAsCommittedNow(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.TrackCommits = true })
 	h.handle(&Request{ID: "w", Class: classKeyedWrite, Session: "s", Deadline: h.now + second})
@@ -91,8 +96,8 @@
 	}
 }
 
-// TestReplicaReportDoesNotConfirmThePrimary: a probe sent for a read is answered, but with a report from before the server was last heard to lead, which says
-// replica. That is no word that it still leads.
+// TestReplicaReportDoesNotConfirmThePrimary: a health check sent for a read is answered with a report, from before the
+// server last was known as the primary, which says replica. It does not confirm the primary.
 func TestReplicaReportDoesNotConfirmThePrimary(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1})
 	h.now += 40 * ms
@@ -102,40 +107,42 @@
 	h.wantNone(Send, h.out)
 	for _, a := range actionsOf(Send, append(h.report("p", RoleReplica, h.now-310*ms), h.advance(10*ms)...)) {
 		if a.Server == "p" {
-			t.Error("sent to p, which did not say that it leads")
+			t.Error("sent to p, which did not report that it is the primary")
 		}
 	}
 }
 
-// TestSubscribesInTime: however many routers there are, each subscribes anew before what changed without it counts as told.
+// TestSubscribesInTime: however many routers there are, each renews its subscription before changes that it missed
+// count as known.
 func TestSubscribesInTime(t *testing.T) {
 	for seed := range uint64(50) {
 		set := testSettings()
 		set.WatchList, set.ListStaleAfter, set.Peers = true, 2*second, 1000
 		r := New(set, seed)
-		now, asked := Time(start), 0
+		now, subscribed := Time(start), 0
 		out := r.Handle(now, &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "p"}}}, nil)
 		for failed := now; now < start+10*second; now += tickInterval {
 			if len(actionsOf(Subscribe, out)) > 0 {
-				if asked++; now-failed > 1200*ms+tickInterval {
+				if subscribed++; now-failed > 1200*ms+tickInterval {
 					t.Fatalf("seed %d: %v without a subscription", seed, now-failed)
 				}
-				failed = now + 300*ms // so long it held
+				failed = now + 300*ms // it was open for so long
 			}
 			var ev Event = &Timer{}
-			if now == failed && asked > 0 {
+			if now == failed && subscribed > 0 {
 				ev = &EndpointList{Kind: ListFailed}
 			}
 			out = r.Handle(now+tickInterval, ev, nil)
 		}
-		if asked < 5 {
-			t.Errorf("seed %d: subscribed %d times", seed, asked)
+		if subscribed < 5 {
+			t.Errorf("seed %d: subscribed %d times", seed, subscribed)
 		}
 	}
 }
 
-// TestReadsByASlowClock: this router's clock is behind the servers', as that of a process that began behind a step. A replica that is 3.1 s behind
-// its primary looks 0.1 s old by this clock, and must not get a read whose bound is 0.3 s.
+// TestReadsByASlowClock: this router's clock is behind the servers', as that of a process that began before a clock
+// step. A replica that is 3.1 s behind its primary seems 0.1 s old by this clock, and must not get a read whose bound
+// is 0.3 s.
 func TestReadsByASlowClock(t *testing.T) {
 	const behind = 3 * second
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1}, Endpoint{Server: "a", Capacity: 1})
--- a/internal/decide/request.go
+++ b/internal/decide/request.go
@@ -88,6 +88,10 @@
 	unmeasured    bool // in flight while this router was paused: its time measures nothing
 }
 
+// showsServer reports whether an attempt without an answer is evidence of its server. One that was
+// overtaken or is presumed lost shows something of itself alone.
+func (attempt *attempt) showsServer() bool { return attempt.overtakenBy == 0 && !attempt.presumedLost }
+
 // onRequest admits a request, and sends it or lets it wait.
 func (r *Router) onRequest(event *Request) {
 	if r.requests[event.ID] != nil || r.rejectsOnArrival(event) {
--- a/internal/decide/retries_test.go
+++ b/internal/decide/retries_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestRetryFollowsIdempotency is the table of what may follow an attempt's end.
+// TestRetryFollowsIdempotency: what may follow an attempt's end, by its result and the request's idempotency.
 func TestRetryFollowsIdempotency(t *testing.T) {
 	again, fail := "sent again", "failed"
 	for _, c := range []struct {
@@ -33,14 +33,14 @@
 				h.report("p", RolePrimary, h.now)
 				out = append(append(out, h.out...), h.advance(tickInterval)...)
 			}
-			got := "held"
+			got := "waits"
 			switch {
 			case len(actionsOf(Send, out)) > 0:
 				got = again
 			case len(actionsOf(Fail, out)) > 0:
 				got = fail
 			case len(actionsOf(Reject, out)) > 0:
-				got = "refused"
+				got = "rejected"
 			}
 			if got != want {
 				t.Errorf("result %d, class %d: %s, want %s", c.res, class, got, want)
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestKeyedRequestIsRetriedOnlyWithinItsWindow sends a keyed request again just inside its window and not at its edge.
+// TestKeyedRequestIsRetriedOnlyWithinItsWindow: a request with an idempotency key is sent again just inside its window
+// and not at its end.
 func TestKeyedRequestIsRetriedOnlyWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -63,11 +64,13 @@
 			t.Errorf("after %v: sent %v", c.after, got)
 		}
 		if !c.want && len(actionsOf(Fail, out)) != 1 {
-			t.Errorf("after %v: a keyed request that may have run is failed, not refused: %+v", c.after, out)
+			t.Errorf("after %v: a keyed request that may have run is failed, not rejected: %+v", c.after, out)
 		}
 	}
 }
 
+// TestNeverTwoInFlightWhereNotAllowed: where duplicates are not allowed, the attempt at an ejected server is cancelled
+// before the request is sent elsewhere.
 func TestNeverTwoInFlightWhereNotAllowed(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.MayDuplicate = false })
 	first := actionsOf(Send, h.request("1", classAny))[0].Server
@@ -83,7 +86,7 @@
 	}
 }
 
-// TestOneFinalAnswerBeforeTheDeadline demands exactly one final answer before the client's time is up.
+// TestOneFinalAnswerBeforeTheDeadline: each request has exactly one final answer before its deadline.
 func TestOneFinalAnswerBeforeTheDeadline(t *testing.T) {
 	for class, want := range map[int]ActionKind{classAny: Reject, classWriteOnce: Fail, classKeyedWrite: Fail} {
 		h := newGroupOfThree(t, nil)
@@ -97,15 +100,19 @@
 	}
 }
 
+// TestRequestIsRejectedOnceItsObjectiveHasPassed: a request without late weight that no server can take is rejected
+// once its objective has passed, with the longest advice.
 func TestRequestIsRejectedOnceItsObjectiveHasPassed(t *testing.T) {
 	h := newHarness(t, testSettings()) // nobody to ask
 	if got := finalAnswers(append(h.request("1", classBounded), h.advance(410*ms)...)); len(got) != 1 || got[0].Kind != Reject {
-		t.Fatalf("want a refusal once the aim has passed: %+v", got)
+		t.Fatalf("want a rejection once the objective has passed: %+v", got)
 	} else if got[0].Wait != time.Second { // it found no capacity for all its target: soon again it would be late
 		t.Fatalf("advised %v, want the longest that there is", got[0].Wait)
 	}
 }
 
+// TestClientRetriesWaitBehindFirstAttempts: of two requests that wait, a first attempt by the client goes before a
+// retry.
 func TestClientRetriesWaitBehindFirstAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
@@ -120,9 +127,10 @@
 	}
 }
 
-// TestRequestThatReachedNoServerHasHalfItsTime guards against keeping a write for a primary that does not come until too late
-// for its client to ask again: nothing is gained by the second half, and a late refusal without an attempt costs
-// 0.3 of the worth. One whose connection failed is as unseen as one never sent; one that was missed is not.
+// TestRequestThatReachedNoServerHasHalfItsTime: guards against holding a write for a primary that does not come until
+// too late for its client to retry: nothing is gained by the second half, and a late rejection without an attempt costs
+// 0.3 of the weight. One whose connection failed counts as not having reached a server; one that was misdirected has
+// reached one.
 func TestRequestThatReachedNoServerHasHalfItsTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		result Result
--- a/internal/decide/retrybudget_test.go
+++ b/internal/decide/retrybudget_test.go
@@ -14,7 +14,7 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// withRetryBudget has repeats be at most this part of first attempts, without a floor.
+// withRetryBudget limits duplicates to a part of first attempts, with a floor.
 func withRetryBudget(part, floor float64) func(*Settings) {
 	return func(s *Settings) {
 		s.Peers = 10
@@ -22,7 +22,7 @@
 	}
 }
 
-// failFirstAttempt asks a read and has its first attempt fail; it tells how many attempts it had by then.
+// failFirstAttempt sends a read and has its first attempt fail; it returns how many attempts were made by then.
 func (h *harness) failFirstAttempt(id RequestID) int {
 	got := actionsOf(Send, h.request(id, classAny))
 	if len(got) != 1 {
@@ -31,8 +31,9 @@
 	return 1 + len(actionsOf(Send, h.end(id, 0, got[0].Server, Failed)))
 }
 
-// TestFirstAttemptsEarnRetries: with a part of a tenth, ten first attempts pay for one repeat; a read that failed waits until there is one, and goes
-// out once another router has lent it. One turned away unseen costs nothing.
+// TestFirstAttemptsEarnRetries: with a part of a half, two first attempts pay for one retry; a read that failed waits
+// until there is one, and is sent once another router has lent it. One that was refused without being read costs
+// nothing.
 func TestFirstAttemptsEarnRetries(t *testing.T) {
 	h := newGroupOfThree(t, withRetryBudget(0.5, 0))
 	if n := h.failFirstAttempt("first"); n != 1 {
@@ -53,11 +54,12 @@
 	}
 	got := actionsOf(Send, h.request("full", classAny))
 	if n := len(actionsOf(Send, h.end("full", 0, got[0].Server, Overloaded))) + len(actionsOf(Send, h.advance(50*ms))); n != 1 {
-		t.Errorf("turned away unseen, it was sent again %d times", n)
+		t.Errorf("refused without being read, it was sent again %d times", n)
 	}
 }
 
-// TestDuplicatesStayWithinTheBudget: whatever fails and is lent, repeats stay within the formula, by the invariant's own count.
+// TestDuplicatesStayWithinTheBudget: whatever fails and is lent, duplicates stay within the budget, by the invariant's
+// own count.
 func TestDuplicatesStayWithinTheBudget(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		part, floor := rapid.Float64Range(0, 1).Draw(rt, "part"), rapid.Float64Range(0, 20).Draw(rt, "floor")
@@ -65,7 +67,7 @@
 		c := invariant.New(nil)
 		h.enableChecks(c)
 		firsts, again := 0, 0
-		for i := range rapid.IntRange(1, 60).Draw(rt, "asks") {
+		for i := range rapid.IntRange(1, 60).Draw(rt, "requests") {
 			id := RequestID(fmt.Sprint("r", i))
 			acts := h.request(id, classAny)
 			for no := 0; no < 3; no++ {
@@ -91,7 +93,7 @@
 	})
 }
 
-// enableChecks has the router watched from here on, with its servers known.
+// enableChecks has the router checked from here on, with its servers known.
 func (h *harness) enableChecks(c *invariant.Checks) {
 	h.r.EnableChecks(c, 1)
 	for _, id := range []ServerID{"p", "a", "b"} {
@@ -99,13 +101,14 @@
 	}
 }
 
+// hasBudgetBreach reports whether the statement on the retry budget was broken.
 func hasBudgetBreach(c *invariant.Checks) bool {
 	return slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool {
 		return strings.HasPrefix(b.Name, "decide: duplicates stay within the retry budget")
 	})
 }
 
-// TestInvariantCatchesUncountedDuplicates: a router that does not count what it repeats is caught.
+// TestInvariantCatchesUncountedDuplicates: a router that does not count its duplicates is detected.
 func TestInvariantCatchesUncountedDuplicates(t *testing.T) {
 	c := invariant.New(nil)
 	h := newGroupOfThree(t, withRetryBudget(0.1, 0))
@@ -118,8 +121,9 @@
 	}
 }
 
-// TestRoutersReturnSlowlyToARecoveredServer: of twenty routers that each see a server come back, none opens a connection at once, about ten have within a second at ten a
-// second, and all may after account.Slow. Without the setting all do at once.
+// TestRoutersReturnSlowlyToARecoveredServer: of twenty routers that each see a server return, none opens a connection
+// at once, about ten have one within a second at ten a second, and all may after the slow start's time. Without the
+// setting all do at once.
 func TestRoutersReturnSlowlyToARecoveredServer(t *testing.T) {
 	for rate, want := range map[float64][6]int{0: {20, 20, 20, 20, 20, 20}, 10: {0, 0, 5, 15, 20, 20}} {
 		sent := [3]int{}
@@ -128,7 +132,7 @@
 			for range i {
 				h.r.rng.Float64()
 			}
-			h.r.servers["a"].ejectedAt = h.now // and its probe has just been answered
+			h.r.servers["a"].ejectedAt = h.now // and its health check has just been answered
 			for k, wait := range []time.Duration{0, time.Second, retrybudget.Slow} {
 				h.advance(wait)
 				id := RequestID(fmt.Sprint("x", k))
@@ -148,7 +152,8 @@
 	}
 }
 
-// TestReloadKeepsLearning: settings that change no class leave what is under way teaching its class.
+// TestReloadKeepsLearning: after settings that change no class, answers to attempts in flight still update the averages
+// of their classes.
 func TestReloadKeepsLearning(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	was := h.r.classes[classAny].averageWork
--- a/internal/decide/router_test.go
+++ b/internal/decide/router_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestBadInputHasADefinedResult feeds what should never come; each has a defined result and no panic.
+// TestBadInputHasADefinedResult: events that should never come have a defined result and do not panic.
 func TestBadInputHasADefinedResult(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.Peers = 0 })
 	for _, ev := range []Event{
@@ -34,7 +34,7 @@
 	e.advance(time.Second)
 }
 
-// playMixedLoad runs a mixed day and returns all actions; every server answers, some badly.
+// playMixedLoad plays a mixed load and returns all actions; every server answers, some badly.
 func playMixedLoad(t *testing.T, requests int) (*harness, []Action) {
 	h := newGroupOfThree(t, func(s *Settings) { s.TrackCommits = true })
 	var all []Action
@@ -102,6 +102,7 @@
 	return h, all
 }
 
+// TestSameEventsSameActions: two routers with the same seed and events cause the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	_, a := playMixedLoad(t, 1000)
 	_, b := playMixedLoad(t, 1000)
@@ -110,6 +111,7 @@
 	}
 }
 
+// TestNothingIsLeftBehind: after a mixed load no requests, attempts or servers that were removed remain.
 func TestNothingIsLeftBehind(t *testing.T) {
 	h, _ := playMixedLoad(t, 10000)
 	if n := len(h.r.requests); n != 0 {
@@ -122,19 +124,19 @@
 	}
 	for _, x := range h.r.groupsByNumber {
 		if len(x.waiting) != 0 {
-			t.Errorf("%d held", len(x.waiting))
+			t.Errorf("%d wait", len(x.waiting))
 		}
 	}
 	h.handle(&EndpointList{Kind: ListFull})
 	h.now += removedServerMemory
 	h.handle(&Timer{})
 	if len(h.r.servers) != 0 || len(h.r.serversByID) != 0 || len(h.r.groupFor(0).members) != 0 {
-		t.Error("vanished stores are kept")
+		t.Error("servers that were removed remain")
 	}
 }
 
-// TestIdleRouterCausesNoActions: hundreds of routers wait for nothing most of the time. Fails if one without requests
-// sets a timer or probes.
+// TestIdleRouterCausesNoActions: most of hundreds of routers are idle most of the time. Fails if one without requests
+// sets a timer or checks servers.
 func TestIdleRouterCausesNoActions(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	if out := h.report("a", RoleReplica, h.now); len(out) != 0 {
@@ -170,8 +172,8 @@
 	}
 }
 
-// TestOddInputNeitherPanicsNorGrows: numbers of routers far off, and lists that real registries send now and then. None may panic, and
-// memory must stay bounded.
+// TestOddInputNeitherPanicsNorGrows: numbers of routers far off, and lists as real registries send them now and then.
+// None may panic, and memory must stay bounded.
 func TestOddInputNeitherPanicsNorGrows(t *testing.T) {
 	for _, peers := range []int{-1, 0, 1, 1000} {
 		set := testSettings()
@@ -190,19 +192,20 @@
 		}
 		list[0].Group = 7 // moved
 		h.handle(&EndpointList{Kind: ListFull, Endpoints: list[:250]})
-		h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "s1", State: Draining}, {Server: "s1", State: Removed}, {Server: "s1"}}})
+		h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "s1", State: Draining},
+			{Server: "s1", State: Removed}, {Server: "s1"}}})
 		h.advance(removedServerMemory + 3*time.Second)
 		if len(h.r.requests) != 0 || h.r.openAttempts > 500 {
 			t.Errorf("%d siblings: %d requests and %d attempts left", peers, len(h.r.requests), h.r.openAttempts)
 		}
 		if h.r.servers["s1"] == nil || !h.r.servers["s1"].available() {
-			t.Error("drained, gone and back: not usable")
+			t.Error("drained, removed and back: not available")
 		}
 	}
 }
 
-// TestUnknownGroupIsRejectedWithoutARecord: what asks for groups that there are not is turned away at once, and neither that nor a
-// group whose servers have all left takes memory for good.
+// TestUnknownGroupIsRejectedWithoutARecord: requests for groups that do not exist are rejected at once, and neither
+// they nor a group whose servers were all removed take memory for good.
 func TestUnknownGroupIsRejectedWithoutARecord(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.MaxRetryAfter = time.Second })
 	groups := len(h.r.groups)
--- a/internal/decide/shedding_test.go
+++ b/internal/decide/shedding_test.go
@@ -8,10 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestSessionKeepsItsSheddingRank: a session stands at two places at most within Keep, whatever its request is called and whichever router it comes to; its
-// retries stand below its first tries; and what stands below the level is refused at once, with advice that is not the same for all.
+// TestSessionKeepsItsSheddingRank: a session has two ranks at most within RankLifetime, whatever the ids of its
+// requests and whichever router it comes to; its retries rank below its first attempts; and what ranks below the level
+// is rejected at once, with advice that differs by session.
 func TestSessionKeepsItsSheddingRank(t *testing.T) {
-	s := &SheddingPolicy{Levels: []float64{3.5}, Ranks: [][4]int{{0, 1, 2, 3}}, OverQuotaIndex: []int{0}, RankLifetime: time.Minute, MaxRetryAfter: 2 * time.Second}
+	s := &SheddingPolicy{Levels: []float64{3.5}, Ranks: [][4]int{{0, 1, 2, 3}}, OverQuotaIndex: []int{0},
+		RankLifetime: time.Minute, MaxRetryAfter: 2 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		now := Time(rapid.Int64Range(1, 1e18).Draw(t, "now"))
 		session := rapid.StringN(1, 20, -1).Draw(t, "session")
@@ -22,12 +24,14 @@
 		if len(places) > 2 {
 			t.Fatalf("%d places in a minute", len(places))
 		}
-		if first, again := s.Rank(now, &Request{Session: session, Tenant: -1}), s.Rank(now, &Request{Session: session, ClientRetry: true, Tenant: -1}); again >= first {
+		if first, again := s.Rank(now, &Request{Session: session, Tenant: -1}),
+			s.Rank(now, &Request{Session: session, ClientRetry: true, Tenant: -1}); again >= first {
 			t.Fatalf("a retry stands at %g, the first try at %g", again, first)
 		}
 	})
-	set := Settings{Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, Peers: 1, Shedding: map[int]*SheddingPolicy{4: s}, MaxRetryAfter: 2 * time.Second}
-	refused, waits := 0, map[time.Duration]bool{}
+	set := Settings{Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, Peers: 1,
+		Shedding: map[int]*SheddingPolicy{4: s}, MaxRetryAfter: 2 * time.Second}
+	rejected, waits := 0, map[time.Duration]bool{}
 	a, b := New(set, 1), New(set, 2)
 	for i := range 1000 {
 		off := func(r *Router) (no bool) {
@@ -45,10 +49,10 @@
 			t.Fatalf("two routers differ on session %d", i)
 		}
 		if first {
-			refused++
+			rejected++
 		}
 	}
-	if refused < 400 || refused > 600 || len(waits) < refused/2 {
-		t.Errorf("%d of 1000 refused where half stands below the level, with %d waits", refused, len(waits))
+	if rejected < 400 || rejected > 600 || len(waits) < rejected/2 {
+		t.Errorf("%d of 1000 rejected where half ranks below the level, with %d waits", rejected, len(waits))
 	}
 }
--- a/internal/decide/slowstart.go
+++ b/internal/decide/slowstart.go
@@ -26,13 +26,13 @@
 	if r.settings.SlowStartMultiple <= 0 || r.settings.SlowStartSpan <= 0 || r.warmUpFactor(s) == 1 {
 		return true
 	}
-	whole := r.slowStartBudget(s)
-	r.updateSlowStartAccount(s, whole)
+	budget := r.slowStartBudget(s)
+	r.updateSlowStartAccount(s, budget)
 	part := r.settings.SlowStartPart
-	if whole*part >= r.averageWork {
-		return s.slowStartUsed <= whole*part-min(whole*part, request.expectedWork())
+	if budget*part >= r.averageWork {
+		return s.slowStartUsed <= budget*part-min(budget*part, request.expectedWork())
 	}
-	return r.slowStartDrawAllows(s, request, whole*part)
+	return r.slowStartDrawAllows(s, request, budget*part)
 }
 
 // slowStartBudget returns the work that the processes of all routers with this one's number may send to a
@@ -47,12 +47,12 @@
 // updateSlowStartAccount brings the account of work sent up to now: it leaks a whole budget in each span. A
 // part of the budget is handed over with what was used of it, so that what remains is unchanged when the
 // part changes.
-func (r *Router) updateSlowStartAccount(s *server, whole workSeconds) {
+func (r *Router) updateSlowStartAccount(s *server, budget workSeconds) {
 	part := r.settings.SlowStartPart
 	elapsed := (r.now - s.slowStartUsedAt).Seconds()
-	leaked := whole * min(part, s.slowStartPart) * elapsed / r.settings.SlowStartSpan.Seconds()
-	handedOver := whole * (part - s.slowStartPart)
-	s.slowStartUsed = max(0, min(s.slowStartUsed, whole*s.slowStartPart)-leaked+handedOver)
+	leaked := budget * min(part, s.slowStartPart) * elapsed / r.settings.SlowStartSpan.Seconds()
+	handedOver := budget * (part - s.slowStartPart)
+	s.slowStartUsed = max(0, min(s.slowStartUsed, budget*s.slowStartPart)-leaked+handedOver)
 	s.slowStartUsedAt = r.now
 	s.slowStartPart = part
 }
--- a/internal/decide/slowstart_budget_test.go
+++ b/internal/decide/slowstart_budget_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestColdServerStaysWithinItsBudget counts the work sent to a cold server within the rule's span.
+// TestColdServerStaysWithinItsBudget: the work sent to a cold server within the span stays within the budget.
 func TestColdServerStaysWithinItsBudget(t *testing.T) {
 	for _, peers := range []int{1, 3} {
 		set := testSettings()
@@ -32,6 +32,7 @@
 	}
 }
 
+// TestServerIsColdAfterAnOutage: a server that refused connections for a while has probably restarted, and is cold.
 func TestServerIsColdAfterAnOutage(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	s := actionsOf(Send, h.request("1", classAny))[0].Server
@@ -40,12 +41,12 @@
 	h.now += restartOutage + ms
 	h.report(s, RoleReplica, h.now)
 	if w := h.r.warmUpFactor(h.r.servers[s]); w > 0.3 {
-		t.Errorf("warmth %v after an outage", w)
+		t.Errorf("warm-up factor %v after an outage", w)
 	}
 }
 
-// TestManyRoutersKeepTheSlowStartBudgetTogether: the part of one of many is less than a request, yet the sum must neither be
-// nothing nor break the rule. Fails if the budget only lets through what fits a router's part.
+// TestManyRoutersKeepTheSlowStartBudgetTogether: the part of one of many routers is less than a request, yet the sum
+// must neither be nothing nor exceed the budget. Fails if the budget only admits what fits a router's part.
 func TestManyRoutersKeepTheSlowStartBudgetTogether(t *testing.T) {
 	const routers = 200
 	set := testSettings()
@@ -77,7 +78,7 @@
 			t.Errorf("%.2f of work in the second from %d ms, allowed %.2f", sum, i*100, most)
 		}
 		if i == 0 && sum == 0 {
-			t.Error("nothing at all was sent to the cold store in its first second")
+			t.Error("nothing at all was sent to the cold server in its first second")
 		}
 	}
 }
--- a/internal/decide/slowstart_parts_test.go
+++ b/internal/decide/slowstart_parts_test.go
@@ -26,8 +26,8 @@
 	f.at(from, move)
 }
 
-// TestSlowStartPartsMove: parts of the budget move from router to router within its span. What one has spent of a part is not
-// spent again by the next that holds it, nor by the same one when the part returns.
+// TestSlowStartPartsMove: parts of the budget move from router to router within its span. What one has used of a part
+// is not used again by the next that gets it, nor by the same one when the part returns.
 func TestSlowStartPartsMove(t *testing.T) {
 	for _, every := range []time.Duration{50 * ms, 100 * ms, 250 * ms, time.Second} {
 		for seed := range uint64(3) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestSlowStartDrawsForWhatIsTaken: a server in slow start that costs more than another has no draw used up by a request
-// that goes to the other.
+// TestSlowStartDrawsForWhatIsTaken: a server in slow start that costs more than another has no draw used up by a
+// request that goes to the other.
 func TestSlowStartDrawsForWhatIsTaken(t *testing.T) {
 	h := newGroupOfThree(t, func(set *Settings) { set.Peers = 300 })
 	cold := h.r.servers["b"]
--- a/internal/decide/slowstart_test.go
+++ b/internal/decide/slowstart_test.go
@@ -82,19 +82,19 @@
 	return f
 }
 
-// work is the time that a request takes at a warm server, alone: what routers take it for before they have heard.
+// work is the time that a request takes at a warm server, alone: what routers take it for before they have delay.
 func (f *slowStartFleet) work() time.Duration {
 	return time.Duration(initialWorkFraction * float64(f.set.Classes[classKeyedWrite].LatencyObjective))
 }
 
-// warmth is the part of its capacity that the primary has.
-func (f *slowStartFleet) warmth(at Time) float64 {
+// warmUpFactor is the part of its capacity that the primary has.
+func (f *slowStartFleet) warmUpFactor(at Time) float64 {
 	age := (at - f.started).Seconds() / f.set.SlowStartTime.Seconds()
 	return f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*min(1, age)
 }
 
 func (f *slowStartFleet) served() (Result, time.Duration) {
-	return OK, time.Duration(float64(f.work()) / f.warmth(f.now))
+	return OK, time.Duration(float64(f.work()) / f.warmUpFactor(f.now))
 }
 
 // begin starts a router that knows nothing but the list.
@@ -151,11 +151,11 @@
 }
 
 // restart has the primary begin anew; each router hears of it up to so much later.
-func (f *slowStartFleet) restart(when Time, heard time.Duration) {
+func (f *slowStartFleet) restart(when Time, delay time.Duration) {
 	f.at(when, func() {
 		f.started = f.now
 		for i := range f.routers {
-			f.later(time.Duration(f.rng.Float64()*float64(heard)), i,
+			f.later(time.Duration(f.rng.Float64()*float64(delay)), i,
 				&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "p", Primary: true, Started: f.started + f.ahead}}})
 		}
 	})
@@ -198,7 +198,7 @@
 
 // allowed is how many calls of mean work the settings let the primary get in a span that ends then.
 func (f *slowStartFleet) allowed(at Time) float64 {
-	return f.set.SlowStartMultiple * f.warmth(at) * fullRateConcurrency * initialKindRate * f.set.SlowStartSpan.Seconds() / f.work().Seconds()
+	return f.set.SlowStartMultiple * f.warmUpFactor(at) * fullRateConcurrency * initialKindRate * f.set.SlowStartSpan.Seconds() / f.work().Seconds()
 }
 
 // worst is the fullest span of any process of the server since it restarted first: its calls, and what was allowed.
@@ -228,7 +228,7 @@
 }{{"one", 1, 4}, {"two", 2, 4}, {"twenty-four", 24, 6}, {"thirty", 30, 6}, {"three hundred", 300, 3}}
 
 // holds has a fleet play with many seeds, and holds the fullest span of each against the bound.
-func holdSlowStart(t *testing.T, change func(*Settings), play func(f *slowStartFleet) (counted Time)) {
+func checkSlowStartBudget(t *testing.T, change func(*Settings), play func(f *slowStartFleet) (counted Time)) {
 	t.Helper()
 	for _, c := range slowStartCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -256,9 +256,9 @@
 
 const restartAt = start + 10*time.Second
 
-// TestSlowStartBurst: hardly anybody asks, then the primary restarts and all clients ask at once.
+// TestSlowStartBurst: there is little demand, then the primary restarts and all clients send at once.
 func TestSlowStartBurst(t *testing.T) {
-	holdSlowStart(t, nil, func(f *slowStartFleet) Time {
+	checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
 		f.demand(start, start+20*time.Second, 20)
 		f.restart(restartAt, 0)
 		f.demand(restartAt+time.Second, restartAt+2*time.Second, 1000)
@@ -268,12 +268,12 @@
 	})
 }
 
-// TestSlowStartBySteppedClocks: the wall clock of the server, or that of the routers, has been stepped: the start that the list reports lies
-// ahead of the routers' clock, or long before it.
+// TestSlowStartBySteppedClocks: the wall clock of the server, or that of the routers, has been stepped: the start that
+// the list reports lies ahead of the routers' clock, or long before it.
 func TestSlowStartBySteppedClocks(t *testing.T) {
 	for _, ahead := range []time.Duration{0, -time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		t.Run(ahead.String(), func(t *testing.T) {
-			holdSlowStart(t, nil, func(f *slowStartFleet) Time {
+			checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
 				f.ahead = ahead
 				f.demand(start, start+20*time.Second, 20)
 				f.restart(restartAt, 0)
@@ -286,9 +286,9 @@
 	}
 }
 
-// TestSlowStartRetries: the server turns away most of what it gets, and all of it is sent again.
+// TestSlowStartRetries: the server refuses most of what it gets, and all of it is sent again.
 func TestSlowStartRetries(t *testing.T) {
-	holdSlowStart(t, nil, func(f *slowStartFleet) Time {
+	checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
 		f.demand(start+7*time.Second, start+18*time.Second, 200)
 		f.restart(restartAt, 0)
 		f.at(restartAt, func() {
@@ -304,10 +304,10 @@
 	})
 }
 
-// TestSlowStartRestarts: all routers are replaced, by such as know nothing, again and again while the server is
-// cold. What a router before sent counts in the same span.
+// TestSlowStartRestarts: all routers are replaced, by ones without a snapshot, again and again while the server is
+// cold. What a router sent before counts in the same span.
 func TestSlowStartRestarts(t *testing.T) {
-	holdSlowStart(t, nil, func(f *slowStartFleet) Time {
+	checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
 		f.demand(start+7*time.Second, start+18*time.Second, 200)
 		f.restart(restartAt, 0)
 		f.at(restartAt, func() { // it answers at once, so that nothing but its budget holds a router back
@@ -325,20 +325,21 @@
 	})
 }
 
-// TestSlowStartAnew: routers hear of the start at different times, and during the ramp the server starts once more.
+// TestSlowStartAnew: routers learn of the start at different times, and during the slow start the server starts once
+// more.
 func TestSlowStartAnew(t *testing.T) {
-	const heard = 300 * ms
-	holdSlowStart(t, nil, func(f *slowStartFleet) Time {
+	const delay = 300 * ms
+	checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
 		f.demand(start+7*time.Second, start+18*time.Second, 200)
-		f.restart(restartAt, heard)
+		f.restart(restartAt, delay)
 		f.restart(restartAt+4*time.Second, 0)
 		f.run(start + 18*time.Second)
-		return restartAt + heard
+		return restartAt + delay
 	})
 }
 
-// TestSlowStartSparse: where each router has a request now and then, a server in slow start still gets a good part of what it may have.
-// It may be asked for more than it is allowed, but not by many routers at a time.
+// TestSlowStartSparse: where each router has a request now and then, a server in slow start still gets a good part of
+// its budget. There may be more demand than the budget, but not by many routers at a time.
 func TestSlowStartSparse(t *testing.T) {
 	const from, to = restartAt + 2*time.Second, restartAt + 8*time.Second
 	got, allowed := 0.0, 0.0
--- a/internal/decide/snapshot_test.go
+++ b/internal/decide/snapshot_test.go
@@ -8,18 +8,21 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestMergeTakesWhatIsNewerAndPossible: what one router knows another goes on with, so far as it is newer and can be true.
+// TestMergeTakesWhatIsNewerAndPossible: a router takes from another's snapshot what is newer and possible.
 func TestMergeTakesWhatIsNewerAndPossible(t *testing.T) {
 	list := &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "a", Capacity: 1}, {Server: "b", Capacity: 1}}}
-	set := Settings{Peers: 1, Tick: time.Millisecond, MayCheckHealth: true, Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, SlowStartTime: 10 * time.Second, SlowStartFrom: 0.2}
+	set := Settings{Peers: 1, Tick: time.Millisecond, MayCheckHealth: true,
+		Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, SlowStartTime: 10 * time.Second, SlowStartFrom: 0.2}
 	made := func() *Router {
 		r := New(set, 1)
 		r.Handle(100*time.Second, list, nil)
 		return r
 	}
 	old := made()
-	old.Handle(101*time.Second, &HealthCheckResult{Server: "a", Result: OK, Load: Report{Role: RolePrimary, HasPosition: true, Position: 101 * time.Second}}, nil)
-	old.Handle(102*time.Second, &HealthCheckResult{Server: "b", Result: OK, Load: Report{Role: RoleReplica, HasPosition: true, Position: 99 * time.Second}}, nil)
+	old.Handle(101*time.Second, &HealthCheckResult{Server: "a", Result: OK,
+		Load: Report{Role: RolePrimary, HasPosition: true, Position: 101 * time.Second}}, nil)
+	old.Handle(102*time.Second, &HealthCheckResult{Server: "b", Result: OK,
+		Load: Report{Role: RoleReplica, HasPosition: true, Position: 99 * time.Second}}, nil)
 	old.servers["b"].startedAt, old.servers["b"].slowStartUsed, old.servers["b"].slowStartUsedAt = 98*time.Second, 3, 101*time.Second
 	old.servers["b"].relativeRate, old.classes[0].averageWork, old.averageWork = 1.5, 0.04, 0.05
 	m := old.Snapshot()
@@ -32,7 +35,8 @@
 	if p := next.primary(next.groups[0]); p == nil || p.id != "a" {
 		t.Errorf("the primary is %v", p)
 	}
-	next.Handle(104*time.Second, &HealthCheckResult{Server: "a", Result: OK, Load: Report{Role: RoleReplica, HasPosition: true, Position: 104 * time.Second}}, nil)
+	next.Handle(104*time.Second, &HealthCheckResult{Server: "a", Result: OK,
+		Load: Report{Role: RoleReplica, HasPosition: true, Position: 104 * time.Second}}, nil)
 	before := next.Snapshot()
 	next.Merge(105*time.Second, m) // older by now
 	if diff := cmp.Diff(before.Servers[0], next.Snapshot().Servers[0]); diff != "" {
@@ -41,7 +45,8 @@
 
 	hostile := *m
 	hostile.AverageWork, hostile.ClassWork, hostile.KindRates = math.Inf(1), []float64{-1}, map[int]float64{0: 1e9}
-	hostile.Servers = []ServerSnapshot{{ID: "a", Role: 9, RoleAt: 300 * time.Second, Position: 300 * time.Second, RelativeRate: -1, StartedAt: 300 * time.Second, SlowStartUsed: 1e9}, {ID: "c"}}
+	hostile.Servers = []ServerSnapshot{{ID: "a", Role: 9, RoleAt: 300 * time.Second, Position: 300 * time.Second,
+		RelativeRate: -1, StartedAt: 300 * time.Second, SlowStartUsed: 1e9}, {ID: "c"}}
 	other := made()
 	want := other.Snapshot()
 	other.Merge(103*time.Second, &hostile)
@@ -50,13 +55,16 @@
 	}
 }
 
-// TestProcessesShareTheSlowStartBudget: two processes in one router's place send a cold server together what one may send alone.
+// TestProcessesShareTheSlowStartBudget: two processes in one router's place together send a cold server what one may
+// send alone.
 func TestProcessesShareTheSlowStartBudget(t *testing.T) {
 	room := func(processes int) float64 {
-		set := Settings{Peers: 1, Processes: processes, Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, SlowStartTime: 10 * time.Second, SlowStartFrom: 0.5,
+		set := Settings{Peers: 1, Processes: processes, Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}},
+			SlowStartTime: 10 * time.Second, SlowStartFrom: 0.5,
 			SlowStartMultiple: 2.5, SlowStartSpan: 1500 * time.Millisecond}
 		r := New(set, 1)
-		r.Handle(100*time.Second, &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "a", Capacity: 1, Started: 100 * time.Second}}}, nil)
+		r.Handle(100*time.Second, &EndpointList{Kind: ListRestored,
+			Endpoints: []Endpoint{{Server: "a", Capacity: 1, Started: 100 * time.Second}}}, nil)
 		s, req := r.servers["a"], &request{class: &r.classes[0], relativeWork: 1}
 		sent := 0.0
 		for s.slowStartUsed = 0; r.slowStartAllows(s, req); s.slowStartUsed += 0.01 {
--- a/internal/decide/subscription_test.go
+++ b/internal/decide/subscription_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// longestGap has the watch of a router fail at once, again and again, each time after it was open for so long, and returns the
-// longest time from the start of a call to the start of the next.
+// longestGap has the subscription of a router fail again and again, each time after it was open for so long, and
+// returns the longest time from the start of a call to the start of the next.
 func longestGap(set Settings, seed uint64, open time.Duration) time.Duration {
 	r, now := New(set, seed), Time(start)
 	began, longest := now, time.Duration(0)
@@ -25,9 +25,10 @@
 	return longest
 }
 
-// TestNextCallIsInTime: what discovery has counts as told 6 s after it could be reached. It may come back just after a call has begun,
-// which then fails after being silent; the next call needs up to 1.5 s to connect and to be answered. So calls begin no further apart
-// than 4.5 s, however many routers there are and whatever time the settings give for asking; and from the start of a process alike.
+// TestNextCallIsInTime: the list counts as known 6 s after its source can be reached again. That may be just after a
+// call has begun, which then fails after being silent; the next call needs up to 1.5 s to connect and to be answered.
+// So calls begin no further apart than 4.5 s, however many routers there are and whatever the settings; and from the
+// start of a process alike.
 func TestNextCallIsInTime(t *testing.T) {
 	for name, askEvery := range map[string]time.Duration{"not set": 0, "short": 2 * time.Second, "long": time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +45,8 @@
 	}
 }
 
-// TestNextListCallAfterASubscriptionThatLasted: a watch that was open for long may have been silent for up to 2.5 s when it ends.
+// TestNextListCallAfterASubscriptionThatLasted: a subscription that was open for long may have been silent for up to
+// 2.5 s when it ends.
 func TestNextListCallAfterASubscriptionThatLasted(t *testing.T) {
 	for seed := range uint64(40) {
 		set := testSettings()
@@ -59,8 +61,8 @@
 	}
 }
 
-// TestCallsAreSpread: the calls of many routers that fail at the same time are spread over the time that there is: discovery handles calls
-// in turn.
+// TestCallsAreSpread: the calls of many routers whose subscriptions fail at the same time are spread over the time
+// available: the source handles calls in turn.
 func TestCallsAreSpread(t *testing.T) {
 	var first, last time.Duration = time.Hour, 0
 	for seed := range uint64(300) {
--- a/internal/decide/tenants_test.go
+++ b/internal/decide/tenants_test.go
@@ -6,10 +6,12 @@
 	"time"
 )
 
+// TestTenantOverItsQuotaHasALowerWeight: requests beyond a router's part of the limit, and beyond the least burst, have
+// a lower weight.
 func TestTenantOverItsQuotaHasALowerWeight(t *testing.T) {
 	// One of 100 routers: its part of the share is one request in ten seconds, and clumps are no excess.
 	h := newGroupOfThree(t, func(s *Settings) { s.Peers, s.Tenants = 100, []Tenant{{RateLimit: 10}} })
-	h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "x", Group: 9}}}) // new: requests wait for its probe
+	h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "x", Group: 9}}}) // new: requests wait for its health check
 	for i := range int(minTenantBurst) + 1 {
 		h.handle(&Request{ID: RequestID(fmt.Sprint(i)), Class: classAny, Group: 9, Deadline: h.now + time.Second})
 	}
--- a/internal/decide/trial_test.go
+++ b/internal/decide/trial_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestEjectedServerWithoutHealthChecksIsTried: where servers answer no probes, nothing but a request can show that a server that refused connections is back.
-// Seen: a group's one server refused two connections, counted as down and got nothing any more, though it listened again a moment later; each
-// request waited for half its deadline and was refused. Cause: a server came back by a probe's answer alone.
+// TestEjectedServerWithoutHealthChecksIsTried: where servers answer no health checks, only a request can show that a
+// server that refused connections is back. Seen: a group's one server refused two connections, was ejected and got
+// nothing any more, though it listened again a moment later; each request waited for half its deadline and was
+// rejected. Cause: a server returned by a health check alone.
 func TestEjectedServerWithoutHealthChecksIsTried(t *testing.T) {
 	set := testSettings()
 	set.MayCheckHealth = false
@@ -51,11 +52,13 @@
 		t.Fatal("nothing is sent to a server that is back")
 	}
 	if s := h.r.servers["p"]; s.health != healthy || h.now-s.startedAt > 5*time.Second {
-		t.Errorf("health %d, cold since %v at %v: want it in use, and cold, as it refused for more than %v", s.health, s.startedAt, h.now, restartOutage)
+		t.Errorf("health %d, cold since %v at %v: want it in use, and cold, as it refused for more than %v", s.health,
+			s.startedAt, h.now, restartOutage)
 	}
 }
 
-// TestHealthCheckThatWasNotSentProvesNothing: a probe for which this machine had no descriptor says nothing about the server, which must stay in use.
+// TestHealthCheckThatWasNotSentProvesNothing: a health check for which this machine had no descriptor shows nothing of
+// the server, which must stay in use.
 func TestHealthCheckThatWasNotSentProvesNothing(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.handle(&HealthCheckResult{Server: "p", Result: NotSent})
