--- a/cmd/beechgrade-kit/repeats_test.go
+++ b/cmd/beechgrade-kit/repeats_test.go
@@ -26,9 +26,9 @@
 		t.Fatal(err)
 	}
 	breached(t, res)
-	b := retrybudget.Repeats{Part: 0.02, Floor: 4, Span: 10e9}
+	b := retrybudget.Settings{AttemptShare: 0.02, Floor: 4, Span: 10e9}
 	for g, x := range res.Twice {
-		most := b.Most(x.Taken-x.Again+int(res.Score.Total.Tries/20), 8, 5, 16e9) // those that were sent and lost, beside what was taken; a side counts five or three
+		most := b.MaxRetries(x.Taken-x.Again+int(res.Score.Total.Tries/20), 8, 5, 16e9) // those that were sent and lost, beside what was taken; a side counts five or three
 		t.Logf("group %d: %d taken, %d again, at most %.1f", g, x.Taken, x.Again, most)
 		if float64(x.Again) > most {
 			t.Errorf("group %d: servers took %d a second time, which is beyond %v", g, x.Again, most)
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -23,7 +23,7 @@
 		p.peers.CheckInvariants(c, every)
 	}
 	if p.overload != nil {
-		p.overload.Check(c, every)
+		p.overload.CheckInvariants(c, every)
 	}
 	if p.outlier != nil {
 		p.outlier.CheckInvariants(c, every)
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -29,7 +29,7 @@
 		p.core.SetDemandObserver(j)
 	}
 	if set.Share {
-		p.core.SetHealthCheckSharer(adapter.Prober{Joined: j})
+		p.core.SetHealthCheckSharer(adapter.Prober{Adapter: j})
 	}
 	j.Begin()
 	p.peers.Register(j)
@@ -41,7 +41,7 @@
 	if p.overload == nil {
 		return
 	}
-	for _, g := range p.overload.Standings() {
+	for _, g := range p.overload.Statuses() {
 		of := s.Scope("overload").Label("group", strconv.Itoa(int(g.Group)))
 		of.Gauge("level", g.Level)
 		of.IntGauge("of", int64(g.Cells))
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -72,7 +72,7 @@
 	peers           *cluster.Node
 	expectedPoolers int
 	limits          *fleetLimits
-	overload        *adapter.Joined
+	overload        *adapter.Adapter
 	outlier         *outlieradapter.Adapter
 	raftLog         *raftLog
 	credit          *creditGate
--- a/internal/cluster/outlier/verdicts.go
+++ b/internal/cluster/outlier/verdicts.go
@@ -142,7 +142,7 @@
 	block := server.Group / GroupsPerBlock
 	ids, ok := detector.collectorsByBlock[block]
 	if !ok {
-		ids = overload.First(uint64(block)*0x9e3779b97f4a7c15+1, detector.settings.Collectors, detector.hashPeers)
+		ids = overload.RendezvousPeers(uint64(block)*0x9e3779b97f4a7c15+1, detector.settings.Collectors, detector.hashPeers)
 		detector.collectorsByBlock[block] = ids
 	}
 	return ids
--- a/internal/cluster/overload/adapter/joined.go
+++ b/internal/cluster/overload/adapter/joined.go
@@ -21,7 +21,7 @@
 	Names() (classes, tenants []string)
 	DecisionSettings() *decide.Settings
 	CheckHealth(store string)
-	SetRetryBudget(b *retrybudget.Repeats, returns float64)
+	SetRetryBudget(b *retrybudget.Settings, returns float64)
 	RetryBudgets() []decide.RetryBudget
 	AddRetryBudget(more map[int]float64)
 	HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64)
@@ -39,63 +39,63 @@
 	Set         overload.Settings
 	Share       bool // probes are shared
 	Probes      overload.ProbeSettings
-	Bound
+	RetryBounds
 }
 
-// Joined is a pooler's side. It is part.Part, core.Pressure and core.Prober.
-type Joined struct {
-	opt    Options
-	core   Core
-	host   Host
-	o      *overload.Overload
-	p      *overload.Probes
-	l      *budgetlease.Lend
-	acts   []overload.Action
-	due    float64
-	named  int // classes and tenants that the settings had
-	learnt float64
-	places map[int]*overload.Place // by resource
+// Adapter is a pooler's side. It is part.Part, core.Pressure and core.Prober.
+type Adapter struct {
+	options      Options
+	core         Core
+	host         Host
+	controller   *overload.Controller
+	probes       *overload.ProbeSharing
+	budget       *budgetlease.Lender
+	actions      []overload.Action
+	probesDue    float64
+	contractSize int // classes and tenants that the settings had
+	learnedAt    float64
+	shedding     map[int]*overload.Shedding // by resource
 
-	checks *invariant.Checks
-	every  int
+	checks        *invariant.Checks
+	checkInterval int
 }
 
 // New makes one; it is to be joined to the peers and to the core.
-func New(opt Options, c Core, h Host) *Joined {
-	return &Joined{opt: opt, core: c, host: h, places: map[int]*overload.Place{}}
+func New(opt Options, c Core, h Host) *Adapter {
+	return &Adapter{options: opt, core: c, host: h, shedding: map[int]*overload.Shedding{}}
 }
 
-// Check has statements about its state checked at one tick of so many.
-func (j *Joined) Check(c *invariant.Checks, every int) {
-	if j.checks, j.every = c, every; j.o != nil {
-		j.o.Check(c, every)
+// CheckInvariants has statements about its state checked at one tick of so many.
+func (adapter *Adapter) CheckInvariants(c *invariant.Checks, every int) {
+	if adapter.checks, adapter.checkInterval = c, every; adapter.controller != nil {
+		adapter.controller.CheckInvariants(c, every)
 	}
-	if j.p != nil {
-		j.p.Check(c, every)
+	if adapter.probes != nil {
+		adapter.probes.CheckInvariants(c, every)
 	}
 }
 
-// learnMs is between two looks at what classes cost.
-const learnMs = 1000
+// learnIntervalMs is between two looks at what classes cost.
+const learnIntervalMs = 1000
 
 // Kind is part.Part's.
-func (j *Joined) Kind() view.Kind { return module.KindOverload }
+func (adapter *Adapter) Kind() view.Kind { return module.KindOverload }
 
 // Decode is part.Part's.
-func (j *Joined) Decode(b []byte) (any, error) {
-	if budgetlease.Mine(b) {
-		return budgetlease.Read(b)
+func (adapter *Adapter) Decode(b []byte) (any, error) {
+	if budgetlease.IsBudgetMessage(b) {
+		return budgetlease.Decode(b)
 	}
-	return overload.Read(b)
+	return overload.Decode(b)
 }
 
 // contracts are the classes and tenants as they are now.
-func (j *Joined) contracts() overload.Settings {
-	set, out := j.core.DecisionSettings(), j.opt.Set
-	classes, tenants := j.core.Names()
+func (adapter *Adapter) contracts() overload.Settings {
+	set, out := adapter.core.DecisionSettings(), adapter.options.Set
+	classes, tenants := adapter.core.Names()
 	for i, c := range set.Classes {
 		if i < len(classes) {
-			out.Classes = append(out.Classes, overload.Class{Name: classes[i], Worth: c.PriorityWeight, Aim: float64(c.LatencyObjective) / float64(time.Millisecond), Once: c.Idempotency == decide.NotIdempotent})
+			out.Classes = append(out.Classes, overload.Class{Name: classes[i], Priority: c.PriorityWeight, ObjectiveMs: float64(c.LatencyObjective) / float64(time.Millisecond), NotIdempotent: c.Idempotency == decide.NotIdempotent})
 		}
 	}
 	all := 0.0
@@ -107,204 +107,204 @@
 			out.Tenants = append(out.Tenants, overload.Tenant{Name: tenants[i], Share: t.RateLimit / max(all, 1e-9)})
 		}
 	}
-	j.named = len(set.Classes) + len(set.Tenants)<<16
+	adapter.contractSize = len(set.Classes) + len(set.Tenants)<<16
 	return out
 }
 
 // UpdateMembers is part.Part's.
-func (j *Joined) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
+func (adapter *Adapter) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	var peers []overload.Peer
 	for i := range all {
 		if r := &all[i]; r.ID == self || r.State <= view.Suspect {
 			peers = append(peers, overload.Peer{ID: r.ID, Addr: r.Addr})
 		}
 	}
-	now := j.host.Now()
-	if j.o == nil && j.opt.SetShedding {
-		j.o = overload.New(j.contracts(), self, now)
-		j.o.Check(j.checks, j.every)
+	now := adapter.host.Now()
+	if adapter.controller == nil && adapter.options.SetShedding {
+		adapter.controller = overload.New(adapter.contracts(), self, now)
+		adapter.controller.CheckInvariants(adapter.checks, adapter.checkInterval)
 	}
-	if j.p == nil && j.opt.Share {
-		j.p = overload.NewProbes(j.opt.Probes, self, now)
-		j.p.Check(j.checks, j.every)
+	if adapter.probes == nil && adapter.options.Share {
+		adapter.probes = overload.NewProbes(adapter.options.Probes, self, now)
+		adapter.probes.CheckInvariants(adapter.checks, adapter.checkInterval)
 	}
-	j.lenders(self, peers)
-	if j.o != nil {
-		j.do(overload.Members{Self: self, Peers: peers})
+	adapter.updateLenders(self, peers)
+	if adapter.controller != nil {
+		adapter.handle(overload.MembersChanged{Self: self, Peers: peers})
 	}
-	if j.p != nil {
-		j.p.Members(self, peers)
+	if adapter.probes != nil {
+		adapter.probes.UpdateMembers(self, peers)
 	}
 }
 
 // Receive is part.Part's.
-func (j *Joined) Receive(from view.ID, m any) {
+func (adapter *Adapter) Receive(from view.ID, m any) {
 	switch m := m.(type) {
-	case *overload.Tell:
-		j.do(overload.Told{From: from, Tell: m})
-	case *overload.Answer:
-		j.do(overload.Answered{From: from, Answer: m})
-	case *budgetlease.Give, *budgetlease.Want:
-		if j.l != nil {
-			j.lends(j.l.Heard(j.host.Now(), from, m, nil))
+	case *overload.LoadReport:
+		adapter.handle(overload.ReportReceived{From: from, Report: m})
+	case *overload.ShedDecisions:
+		adapter.handle(overload.DecisionsReceived{From: from, Decisions: m})
+	case *budgetlease.Transfer, *budgetlease.TransferRequest:
+		if adapter.budget != nil {
+			adapter.handleBudgetActions(adapter.budget.Receive(adapter.host.Now(), from, m, nil))
 		}
 	default:
-		if j.p != nil {
-			j.probes(j.p.Heard(j.host.Now(), from, m, nil))
+		if adapter.probes != nil {
+			adapter.handleProbeActions(adapter.probes.Receive(adapter.host.Now(), from, m, nil))
 		}
 	}
 }
 
 // Tick is part.Part's.
-func (j *Joined) Tick() {
-	now := j.host.Now()
-	if j.o != nil {
-		if set := j.core.DecisionSettings(); len(set.Classes)+len(set.Tenants)<<16 != j.named {
-			j.do(overload.Retune{Settings: j.contracts()})
+func (adapter *Adapter) Tick() {
+	now := adapter.host.Now()
+	if adapter.controller != nil {
+		if set := adapter.core.DecisionSettings(); len(set.Classes)+len(set.Tenants)<<16 != adapter.contractSize {
+			adapter.handle(overload.SettingsChanged{Settings: adapter.contracts()})
 		}
-		if now-j.learnt >= learnMs {
-			j.learnt = now
-			j.do(overload.Learned{Work: j.core.AverageWork()})
+		if now-adapter.learnedAt >= learnIntervalMs {
+			adapter.learnedAt = now
+			adapter.handle(overload.WorkLearned{Work: adapter.core.AverageWork()})
 		}
-		j.do(overload.Tick{})
+		adapter.handle(overload.Tick{})
 	}
-	if j.p != nil {
-		j.probes(j.p.Tick(now, nil))
+	if adapter.probes != nil {
+		adapter.handleProbeActions(adapter.probes.Tick(now, nil))
 	}
-	j.stocks()
+	adapter.reportBalances()
 }
 
 // Leave is part.Part's: what it told fades by itself.
-func (j *Joined) Leave() {}
+func (adapter *Adapter) Leave() {}
 
 // Received is core.Pressure's.
-func (j *Joined) Received(group, class, tenant int, again, in bool) {
-	j.do(overload.Asked{Group: j.resource(group, class), Class: class, Tenant: tenant, Again: again, In: in})
+func (adapter *Adapter) Received(group, class, tenant int, again, in bool) {
+	adapter.handle(overload.RequestReceived{Group: adapter.resource(group, class), Class: class, Tenant: tenant, Retry: again, Admitted: in})
 }
 
 // Ended is core.Pressure's.
-func (j *Joined) Ended(group, class int, served, gone bool, strain float64) {
-	j.do(overload.Ended{Group: j.resource(group, class), Class: class, Served: served, Gone: gone, Strain: strain})
+func (adapter *Adapter) Ended(group, class int, served, gone bool, strain float64) {
+	adapter.handle(overload.RequestEnded{Group: adapter.resource(group, class), Class: class, Served: served, ClientGone: gone, Strain: strain})
 }
 
-func (j *Joined) do(e overload.Event) {
-	if j.o == nil {
+func (adapter *Adapter) handle(e overload.Event) {
+	if adapter.controller == nil {
 		return
 	}
-	acts := j.o.Handle(j.host.Now(), e, j.acts[:0])
-	j.acts = nil
+	acts := adapter.controller.Handle(adapter.host.Now(), e, adapter.actions[:0])
+	adapter.actions = nil
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
-		case overload.SendTell:
-			j.host.Send(a.Addr, a.To, module.KindOverload, told(a.Tell))
-		case overload.SendAnswer:
-			j.host.Send(a.Addr, a.To, module.KindOverload, answered(a.Answer))
+		case overload.SendReport:
+			adapter.host.Send(a.Addr, a.To, module.KindOverload, outgoingReport(a.Report))
+		case overload.SendDecisions:
+			adapter.host.Send(a.Addr, a.To, module.KindOverload, outgoingDecisions(a.Decisions))
 		case overload.Shed:
-			j.shed(a.Group, a.Place)
+			adapter.shed(a.Group, a.Shedding)
 		}
 	}
 	clear(acts)
-	j.acts = acts
+	adapter.actions = acts
 }
 
 // resource is what a class's requests of a group ask for: its primary, or any of its servers. Each has a level of its own.
-func (j *Joined) resource(group, class int) int {
-	if set := j.core.DecisionSettings(); class >= 0 && class < len(set.Classes) && (set.Classes[class].Read == decide.Write || set.Classes[class].Read == decide.ReadFresh) {
+func (adapter *Adapter) resource(group, class int) int {
+	if set := adapter.core.DecisionSettings(); class >= 0 && class < len(set.Classes) && (set.Classes[class].Read == decide.Write || set.Classes[class].Read == decide.ReadFresh) {
 		return 2*group + 1
 	}
 	return 2 * group
 }
 
 // shed has the module turn away what both of a group's levels say.
-func (j *Joined) shed(resource int, p *overload.Place) {
-	if j.places[resource] = p; p == nil {
-		delete(j.places, resource)
+func (adapter *Adapter) shed(resource int, p *overload.Shedding) {
+	if adapter.shedding[resource] = p; p == nil {
+		delete(adapter.shedding, resource)
 	}
-	group, set := resource/2, j.core.DecisionSettings()
+	group, set := resource/2, adapter.core.DecisionSettings()
 	n := len(set.Classes)
 	s := &decide.SheddingPolicy{Levels: make([]float64, n), Ranks: make([][4]int, n), OverQuotaIndex: make([]int, n), OverQuota: make([][2]float64, len(set.Tenants)),
-		RankLifetime: time.Duration(j.opt.Set.Keep * float64(time.Millisecond))}
+		RankLifetime: time.Duration(adapter.options.Set.SessionPeriod * float64(time.Millisecond))}
 	on := false
 	for i := range set.Classes {
-		s.OverQuotaIndex[i] = j.resource(group, i) & 1
-		if p := j.places[2*group+s.OverQuotaIndex[i]]; p != nil && i < len(p.Cells) {
+		s.OverQuotaIndex[i] = adapter.resource(group, i) & 1
+		if p := adapter.shedding[2*group+s.OverQuotaIndex[i]]; p != nil && i < len(p.Cells) {
 			s.Levels[i], s.Ranks[i], on = p.Level, p.Cells[i], true
 		}
 	}
 	if !on {
-		j.core.SetShedding(group, nil)
+		adapter.core.SetShedding(group, nil)
 		return
 	}
 	for k := range 2 {
-		if p := j.places[2*group+k]; p != nil {
-			for i := range min(len(s.OverQuota), len(p.Beyond)) {
-				s.OverQuota[i][k] = p.Beyond[i]
+		if p := adapter.shedding[2*group+k]; p != nil {
+			for i := range min(len(s.OverQuota), len(p.BeyondQuota)) {
+				s.OverQuota[i][k] = p.BeyondQuota[i]
 			}
 		}
 	}
-	j.core.SetShedding(group, s)
+	adapter.core.SetShedding(group, s)
 }
 
 // Prober is what shares probes, as core.Prober.
-type Prober struct{ *Joined }
+type Prober struct{ *Adapter }
 
 // Delegates is core.Prober's.
 func (j Prober) Delegates(store string) bool {
-	if j.p == nil {
+	if j.probes == nil {
 		return false
 	}
-	j.probes(j.p.Wanted(j.host.Now(), store, nil))
+	j.handleProbeActions(j.probes.RequestProbe(j.host.Now(), store, nil))
 	return true
 }
 
 // Ended is core.Prober's.
 func (j Prober) Ended(store string, result decide.Result, said backend.Report) bool {
-	if j.p == nil {
+	if j.probes == nil {
 		return false
 	}
 	f := overload.Finding{Kind: uint8(result), Role: uint8(said.Role)}
 	if result != decide.OK {
-		f.Result = overload.Bad
+		f.Result = overload.Unhealthy
 	}
 	if said.HasPos {
 		f.Position = said.Position
 	}
-	j.probes(j.p.Ended(j.host.Now(), store, f, nil))
+	j.handleProbeActions(j.probes.ProbeEnded(j.host.Now(), store, f, nil))
 	return true
 }
 
-func (j *Joined) probes(acts []overload.ProbeAction) {
+func (adapter *Adapter) handleProbeActions(acts []overload.ProbeAction) {
 	for i := range acts {
 		switch a := &acts[i]; {
 		case a.Probe != "":
-			j.core.CheckHealth(a.Probe)
-		case a.Want != nil:
-			j.host.Send(a.Addr, a.To, module.KindOverload, a.Want)
-		case a.Found != nil:
-			j.host.Send(a.Addr, a.To, module.KindOverload, a.Found)
-		case a.Tell:
+			adapter.core.CheckHealth(a.Probe)
+		case a.Request != nil:
+			adapter.host.Send(a.Addr, a.To, module.KindOverload, a.Request)
+		case a.Response != nil:
+			adapter.host.Send(a.Addr, a.To, module.KindOverload, a.Response)
+		case a.Report:
 			said := backend.Report{Role: decide.Role(min(a.Role, uint8(decide.RoleReplica))), HasPos: a.Position > 0}
 			if said.HasPos {
 				said.Position = a.Position
 			}
-			j.core.HealthCheckReported(a.Server, decide.Result(min(a.Kind, uint8(decide.Misdirected))), said, a.Age)
+			adapter.core.HealthCheckReported(a.Server, decide.Result(min(a.Kind, uint8(decide.Misdirected))), said, a.Age)
 		}
 	}
-	if due := j.p.Due(); due < j.due || j.due <= j.host.Now() {
-		if j.due = due; due < 1e300 {
-			j.host.At(due, func() {
-				if j.host.Now() >= due {
-					j.probes(j.p.Tick(j.host.Now(), nil))
+	if due := adapter.probes.Due(); due < adapter.probesDue || adapter.probesDue <= adapter.host.Now() {
+		if adapter.probesDue = due; due < 1e300 {
+			adapter.host.At(due, func() {
+				if adapter.host.Now() >= due {
+					adapter.handleProbeActions(adapter.probes.Tick(adapter.host.Now(), nil))
 				}
 			})
 		}
 	}
 }
 
-// Standings tell how groups stand here, for those who look.
-func (j *Joined) Standings() []overload.Standing {
-	if j.o == nil {
+// Statuses tell how groups stand here, for those who look.
+func (adapter *Adapter) Statuses() []overload.Status {
+	if adapter.controller == nil {
 		return nil
 	}
-	return j.o.Standings()
+	return adapter.controller.Statuses()
 }
--- a/internal/cluster/overload/adapter/lend.go
+++ b/internal/cluster/overload/adapter/lend.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// Bound says what of a group's requests may be sent twice, and how fast servers that return are come back to.
-type Bound struct {
+// RetryBounds says what of a group's requests may be sent twice, and how fast servers that return are come back to.
+type RetryBounds struct {
 	Repeats        bool
 	Part           float64
 	Floor          float64
@@ -20,59 +20,59 @@
 	Returns        float64 // connections a second of the fleet to one server, 0 for any number
 }
 
-// DefaultBound is of (repeats) without more.
-func DefaultBound() Bound {
-	return Bound{Part: 0.1, Floor: 10, SpanMs: 10000, AddRetryBudget: true, Lending: budgetlease.Defaults()}
+// DefaultRetryBounds is of (repeats) without more.
+func DefaultRetryBounds() RetryBounds {
+	return RetryBounds{Part: 0.1, Floor: 10, SpanMs: 10000, AddRetryBudget: true, Lending: budgetlease.Defaults()}
 }
 
 // Begin has the module told what it needs no other pooler for.
-func (j *Joined) Begin() {
-	b := &j.opt.Bound
-	var r *retrybudget.Repeats
+func (adapter *Adapter) Begin() {
+	b := &adapter.options.RetryBounds
+	var r *retrybudget.Settings
 	if b.Repeats {
-		r = &retrybudget.Repeats{Part: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
+		r = &retrybudget.Settings{AttemptShare: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
 	}
 	if r != nil || b.Returns > 0 {
-		j.core.SetRetryBudget(r, b.Returns)
+		adapter.core.SetRetryBudget(r, b.Returns)
 	}
 }
 
-// lenders tells who can be reached. A process that takes another ID begins anew.
-func (j *Joined) lenders(self view.ID, peers []overload.Peer) {
-	if !j.opt.Repeats || !j.opt.AddRetryBudget {
+// updateLenders tells who can be reached. A process that takes another ID begins anew.
+func (adapter *Adapter) updateLenders(self view.ID, peers []overload.Peer) {
+	if !adapter.options.Repeats || !adapter.options.AddRetryBudget {
 		return
 	}
-	if j.l == nil {
-		j.l = budgetlease.New(j.opt.Lending, self, j.host.Now())
-		j.l.Check(j.checks)
+	if adapter.budget == nil {
+		adapter.budget = budgetlease.New(adapter.options.Lending, self, adapter.host.Now())
+		adapter.budget.CheckInvariants(adapter.checks)
 	}
-	j.l.Members(self, peers)
+	adapter.budget.UpdateMembers(self, peers)
 }
 
-// stocks tells what the module has.
-func (j *Joined) stocks() {
-	if j.l == nil {
+// reportBalances tells what the module has.
+func (adapter *Adapter) reportBalances() {
+	if adapter.budget == nil {
 		return
 	}
-	all := j.core.RetryBudgets()
-	told := make([]budgetlease.Stock, len(all))
+	all := adapter.core.RetryBudgets()
+	told := make([]budgetlease.Balance, len(all))
 	for i, s := range all {
-		told[i] = budgetlease.Stock(s)
+		told[i] = budgetlease.Balance(s)
 	}
-	j.lends(j.l.Tick(j.host.Now(), told, nil))
+	adapter.handleBudgetActions(adapter.budget.Tick(adapter.host.Now(), told, nil))
 }
 
-func (j *Joined) lends(acts []budgetlease.Action) {
+func (adapter *Adapter) handleBudgetActions(acts []budgetlease.Action) {
 	moved := map[int]float64{}
 	for i := range acts {
 		switch a := &acts[i]; {
-		case a.Give != nil:
-			j.host.Send(a.Addr, a.To, j.Kind(), a.Give)
-		case a.Want != nil:
-			j.host.Send(a.Addr, a.To, j.Kind(), a.Want)
+		case a.Transfer != nil:
+			adapter.host.Send(a.Addr, a.To, adapter.Kind(), a.Transfer)
+		case a.Request != nil:
+			adapter.host.Send(a.Addr, a.To, adapter.Kind(), a.Request)
 		default:
 			moved[a.Group] += a.Amount
 		}
 	}
-	j.core.AddRetryBudget(moved)
+	adapter.core.AddRetryBudget(moved)
 }
--- a/internal/cluster/overload/budgetlease/bytes_test.go
+++ b/internal/cluster/overload/budgetlease/bytes_test.go
@@ -12,14 +12,14 @@
 		message interface{ Append([]byte) []byte }
 		want    string
 	}{
-		"a gift":    {&Give{300, items}, "10ac02020760808080800400"},
-		"a request": {&Want{300, items}, "11ac02020760808080800400"},
+		"a gift":    {&Transfer{300, items}, "10ac02020760808080800400"},
+		"a request": {&TransferRequest{300, items}, "11ac02020760808080800400"},
 	} {
 		b := c.message.Append(nil)
 		if got := hex.EncodeToString(b); got != c.want {
 			t.Errorf("%s: %s, want %s", name, got, c.want)
 		}
-		if got, err := Read(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
+		if got, err := Decode(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
 	}
--- a/internal/cluster/overload/budgetlease/form.go
+++ b/internal/cluster/overload/budgetlease/form.go
@@ -8,34 +8,38 @@
 
 // The form of a message: a byte for what it is, its number, then groups and amounts in 64ths, as varints.
 const (
-	verbGive = 16
-	verbWant = 17
-	grain    = 64
-	mostItem = 1 << 20 // 64ths
+	kindTransfer        = 16
+	kindTransferRequest = 17
+	unitsPerRetry       = 64
+	maxItemUnits        = 1 << 20 // 64ths
 )
 
-// Mine tells whether a message is of this package.
-func Mine(b []byte) bool { return len(b) > 0 && (b[0] == verbGive || b[0] == verbWant) }
+// IsBudgetMessage tells whether a message is of this package.
+func IsBudgetMessage(b []byte) bool {
+	return len(b) > 0 && (b[0] == kindTransfer || b[0] == kindTransferRequest)
+}
 
 func appendItems(b []byte, verb byte, seq uint32, items []Item) []byte {
 	b = binary.AppendUvarint(append(b, verb), uint64(seq))
 	b = append(b, byte(len(items)))
 	for _, x := range items {
-		b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(x.Group)), uint64(min(mostItem, x.Amount*grain)))
+		b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(x.Group)), uint64(min(maxItemUnits, x.Amount*unitsPerRetry)))
 	}
 	return b
 }
 
 // Append is part.Words'.
-func (g *Give) Append(b []byte) []byte { return appendItems(b, verbGive, g.Seq, g.Items) }
+func (g *Transfer) Append(b []byte) []byte { return appendItems(b, kindTransfer, g.Sequence, g.Items) }
 
 // Append is part.Words'.
-func (w *Want) Append(b []byte) []byte { return appendItems(b, verbWant, w.Seq, w.Items) }
+func (w *TransferRequest) Append(b []byte) []byte {
+	return appendItems(b, kindTransferRequest, w.Sequence, w.Items)
+}
 
-// Read reads a message.
-func Read(b []byte) (any, error) {
-	if !Mine(b) {
-		return nil, overload.ErrForm
+// Decode reads a message.
+func Decode(b []byte) (any, error) {
+	if !IsBudgetMessage(b) {
+		return nil, overload.ErrMalformed
 	}
 	verb, bad := b[0], false
 	b = b[1:]
@@ -51,13 +55,13 @@
 	n := int(uint(Block))
 	var items []Item
 	for range n {
-		items = append(items, Item{int(uint(1<<31 - 1)), float64(uint(mostItem)) / grain})
+		items = append(items, Item{int(uint(1<<31 - 1)), float64(uint(maxItemUnits)) / unitsPerRetry})
 	}
 	switch {
 	case bad || len(b) > 0:
-		return nil, overload.ErrForm
-	case verb == verbGive:
-		return &Give{seq, items}, nil
+		return nil, overload.ErrMalformed
+	case verb == kindTransfer:
+		return &Transfer{seq, items}, nil
 	}
-	return &Want{seq, items}, nil
+	return &TransferRequest{seq, items}, nil
 }
--- a/internal/cluster/overload/budgetlease/lend_test.go
+++ b/internal/cluster/overload/budgetlease/lend_test.go
@@ -14,7 +14,7 @@
 // fleet is some poolers with what their modules have, and words that may be lost, doubled and late.
 type fleet struct {
 	now    float64
-	all    []*Lend
+	all    []*Lender
 	left   [][]float64 // by pooler and group
 	lacks  [][]int
 	mail   []letter
@@ -32,7 +32,7 @@
 	f := &fleet{now: 1e6, dup: func() int { return 1 }}
 	for i := range n {
 		l := New(Defaults(), ID(i+1), f.now)
-		l.Check(c)
+		l.CheckInvariants(c)
 		f.all = append(f.all, l)
 		f.left, f.lacks = append(f.left, make([]float64, groups)), append(f.lacks, make([]int, groups))
 	}
@@ -50,17 +50,17 @@
 			peers = append(peers, Peer{ID: ID(k + 1), Addr: string(rune('a' + k))})
 		}
 	}
-	f.all[i].Members(ID(i+1), peers)
+	f.all[i].UpdateMembers(ID(i+1), peers)
 }
 
 func (f *fleet) do(i int, acts []Action) {
 	for _, a := range acts {
 		var m any
 		switch {
-		case a.Give != nil:
-			m, _ = Read(a.Give.Append(nil))
-		case a.Want != nil:
-			m, _ = Read(a.Want.Append(nil))
+		case a.Transfer != nil:
+			m, _ = Decode(a.Transfer.Append(nil))
+		case a.Request != nil:
+			m, _ = Decode(a.Request.Append(nil))
 		default:
 			f.left[i][a.Group] += a.Amount
 			continue
@@ -89,9 +89,9 @@
 }
 
 func (f *fleet) tick(i int) {
-	var s []Stock
+	var s []Balance
 	for g, x := range f.left[i] {
-		s = append(s, Stock{g, x, f.lacks[i][g]})
+		s = append(s, Balance{g, x, f.lacks[i][g]})
 	}
 	f.do(i, f.all[i].Tick(f.now, s, nil))
 }
@@ -99,7 +99,7 @@
 func (f *fleet) hear(k int) {
 	x := f.mail[k]
 	f.mail = append(f.mail[:k:k], f.mail[k+1:]...)
-	f.do(x.to, f.all[x.to].Heard(f.now, ID(x.from+1), x.m, nil))
+	f.do(x.to, f.all[x.to].Receive(f.now, ID(x.from+1), x.m, nil))
 }
 
 func (f *fleet) step() {
@@ -118,8 +118,8 @@
 		for _, y := range f.left[i] {
 			x += y
 		}
-		for _, v := range l.vaults {
-			x += v.left
+		for _, v := range l.balances {
+			x += v.amount
 		}
 	}
 	return x
@@ -145,7 +145,7 @@
 		}
 		f.step()
 	}
-	most := float64(asked) * f.all[0].set.Wait(0) / 50
+	most := float64(asked) * f.all[0].settings.WaitBound(0) / 50
 	if got < asked-1 || float64(waits) > most {
 		t.Errorf("of %d repeats %d were made, after %d steps of waiting, of at most %v", asked, got, waits, most)
 	}
@@ -205,11 +205,11 @@
 func TestInvariantLentTwice(t *testing.T) {
 	c := invariant.New(nil)
 	l := New(Defaults(), 1, 0)
-	l.Check(c)
-	l.put(0, 5)
-	l.take(0, 5)
-	l.vaults[0].left = 5
-	l.take(0, 5)
+	l.CheckInvariants(c)
+	l.deposit(0, 5)
+	l.withdraw(0, 5)
+	l.balances[0].amount = 5
+	l.withdraw(0, 5)
 	if len(c.Breaches()) != 1 {
 		t.Errorf("caught %v", c.Breaches())
 	}
@@ -219,17 +219,17 @@
 func TestForm(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		items := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) Item {
-			return Item{rapid.IntRange(0, math.MaxInt32).Draw(rt, "group"), float64(rapid.IntRange(0, mostItem).Draw(rt, "amount")) / grain}
+			return Item{rapid.IntRange(0, math.MaxInt32).Draw(rt, "group"), float64(rapid.IntRange(0, maxItemUnits).Draw(rt, "amount")) / unitsPerRetry}
 		}), 1, Block).Draw(rt, "items")
-		g := &Give{rapid.Uint32().Draw(rt, "seq"), items}
+		g := &Transfer{rapid.Uint32().Draw(rt, "seq"), items}
 		b := g.Append(nil)
-		m, err := Read(b)
+		m, err := Decode(b)
 		if diff := cmp.Diff(any(g), any(m)); err != nil || diff != "" || len(b) > 100 {
 			rt.Fatalf("%d bytes: %v %s", len(b), err, diff)
 		}
-		if m, err := Read(b[:rapid.IntRange(0, len(b)-1).Draw(rt, "cut")]); err == nil {
+		if m, err := Decode(b[:rapid.IntRange(0, len(b)-1).Draw(rt, "cut")]); err == nil {
 			rt.Fatalf("a part of it read as %+v", m)
 		}
-		_, _ = Read(rapid.SliceOf(rapid.Byte()).Draw(rt, "noise"))
+		_, _ = Decode(rapid.SliceOf(rapid.Byte()).Draw(rt, "noise"))
 	})
 }
--- a/internal/cluster/overload/bytes_test.go
+++ b/internal/cluster/overload/bytes_test.go
@@ -8,11 +8,11 @@
 // wholeWords have something in each field.
 func wholeWords() []interface{ Append([]byte) []byte } {
 	return []interface{ Append([]byte) []byte }{
-		&Tell{Seq: 300, Stamp: 1.5, Held: 2, Work: []Figure{{1, 0.5}, {2, 0}}, Groups: []Pressure{{Group: 7, Budget: 8, Level: 0.5,
-			Classes: []Flow{{1, 2, 3, 4, 5, 6, 7, 8}, {Key: 2}}, Tenants: []Figure{{3, 4.5}}}, {Group: 1 << 30}}},
-		&Answer{Seq: 300, Stamp: 1.5, Order: []uint16{1, 0xffff}, Groups: []Verdict{{Group: 7, Budget: 8, Level: 0.5, Beyond: []Figure{{1, 1}, {2, 0}}}, {}}},
-		&Want{"server", 300},
-		&Found{Server: "server", Seq: 300, Began: 1.5, Finding: Finding{Result: Busy, Kind: 2, Role: 1, Position: 17.25}},
+		&LoadReport{Sequence: 300, CollectorTime: 1.5, HeldMs: 2, Work: []KeyedValue{{1, 0.5}, {2, 0}}, Groups: []GroupLoad{{Group: 7, Budget: 8, Level: 0.5,
+			Classes: []ClassLoad{{1, 2, 3, 4, 5, 6, 7, 8}, {Key: 2}}, Tenants: []KeyedValue{{3, 4.5}}}, {Group: 1 << 30}}},
+		&ShedDecisions{Sequence: 300, CollectorTime: 1.5, Order: []uint16{1, 0xffff}, Groups: []ShedDecision{{Group: 7, Budget: 8, Level: 0.5, BeyondQuota: []KeyedValue{{1, 1}, {2, 0}}}, {}}},
+		&ProbeRequest{"server", 300},
+		&ProbeResult{Server: "server", Sequence: 300, StartedMsAgo: 1.5, Finding: Finding{Result: InProgress, Kind: 2, Role: 1, Position: 17.25}},
 	}
 }
 
@@ -29,14 +29,14 @@
 		if got := hex.EncodeToString(b); got != want[i] {
 			t.Errorf("%s, want %s", got, want[i])
 		}
-		if got, err := Read(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
+		if got, err := Decode(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
 			t.Errorf("read as %+v, %v", got, err)
 		}
-		if _, err := Read(append(b, 0)); err == nil {
+		if _, err := Decode(append(b, 0)); err == nil {
 			t.Errorf("%T with a byte after its end is taken", m)
 		}
 		for cut := range b {
-			if x, err := Read(b[:cut]); err == nil {
+			if x, err := Decode(b[:cut]); err == nil {
 				t.Errorf("%T cut at %d is read as %+v", m, cut, x)
 			}
 		}
--- a/internal/cluster/overload/clone.go
+++ b/internal/cluster/overload/clone.go
@@ -9,91 +9,91 @@
 )
 
 // Clone makes another that shares nothing with this one, for explorers.
-func (p *Probes) Clone() *Probes {
-	c := *p
-	c.peers, c.names = slices.Clone(p.peers), slices.Clone(p.names)
-	c.addr, c.shunned = maps.Clone(p.addr), maps.Clone(p.shunned)
-	c.servers = map[string]*server{}
-	for name, s := range p.servers {
-		n := *s
-		n.askers, n.asked = slices.Clone(s.askers), slices.Clone(s.asked)
+func (sharing *ProbeSharing) Clone() *ProbeSharing {
+	c := *sharing
+	c.peers, c.names = slices.Clone(sharing.peers), slices.Clone(sharing.names)
+	c.addresses, c.skippedUntil = maps.Clone(sharing.addresses), maps.Clone(sharing.skippedUntil)
+	c.servers = map[string]*probedServer{}
+	for name, server := range sharing.servers {
+		n := *server
+		n.requesters, n.askedProbers = slices.Clone(server.requesters), slices.Clone(server.askedProbers)
 		c.servers[name] = &n
 	}
 	return &c
 }
 
-// Key is all that what it does follows from, with times as seen from now, and the numbers of wants as seen from each process's last, for
+// StateKey is all that what it does follows from, with times as seen from now, and the numbers of wants as seen from each process's last, for
 // explorers.
-func (p *Probes) Key(last func(ID) uint32) string {
+func (sharing *ProbeSharing) StateKey(last func(ID) uint32) string {
 	var w strings.Builder
-	ago := func(at float64) float64 { return max(-1e6, min(p.now-at, 1e6)) }
-	fmt.Fprint(&w, p.peers)
-	for _, name := range p.names {
-		s := p.servers[name]
-		fmt.Fprintf(&w, "|%s %v %v %v ", name, min(ago(s.began), p.set.Each), s.probing, s.again)
-		if s.probing {
-			fmt.Fprint(&w, ago(s.began))
+	ago := func(at float64) float64 { return max(-1e6, min(sharing.now-at, 1e6)) }
+	fmt.Fprint(&w, sharing.peers)
+	for _, name := range sharing.names {
+		server := sharing.servers[name]
+		fmt.Fprintf(&w, "|%s %v %v %v ", name, min(ago(server.startedAt), sharing.settings.MinInterval), server.probing, server.again)
+		if server.probing {
+			fmt.Fprint(&w, ago(server.startedAt))
 		}
-		if s.found != nil && ago(s.foundAt) <= p.set.Age {
-			fmt.Fprint(&w, s.found.Result, s.found.Kind, s.found.Role, ago(s.foundAt), ago(s.found.Position))
+		if server.result != nil && ago(server.resultAt) <= sharing.settings.MaxResultAge {
+			fmt.Fprint(&w, server.result.Result, server.result.Kind, server.result.Role, ago(server.resultAt), ago(server.result.Position))
 		}
-		for _, a := range s.askers {
-			fmt.Fprintf(&w, " a%d %d %v %v %v", a.id, last(a.id)-a.seq, a.own, ago(a.at), a.hi)
+		for _, a := range server.requesters {
+			fmt.Fprintf(&w, " a%d %d %v %v %v", a.id, last(a.id)-a.sequence, a.local, ago(a.requestedAt), a.notified)
 		}
-		if p.now < s.avoids {
-			fmt.Fprint(&w, " v", s.avoid, ago(s.avoids))
+		if sharing.now < server.skippedProberUntil {
+			fmt.Fprint(&w, " v", server.skippedProber, ago(server.skippedProberUntil))
 		}
-		if s.wanted {
-			fmt.Fprint(&w, " w", ago(s.wantAt), s.asked, p.seq-s.seq, max(-1e6, ago(s.until)), s.own)
-			if s.bad != nil {
-				fmt.Fprint(&w, " b", s.badBy, s.bad.Kind, s.bad.Role, ago(s.bad.Position), s.badAge)
+		if server.wanted {
+			fmt.Fprint(&w, " w", ago(server.requestedAt), server.askedProbers, sharing.sequence-server.sequence, max(-1e6, ago(server.waitsUntil)), server.probesLocally)
+			if server.unhealthyResult != nil {
+				fmt.Fprint(&w, " b", server.unhealthyFrom, server.unhealthyResult.Kind, server.unhealthyResult.Role, ago(server.unhealthyResult.Position), server.unhealthyAge)
 			}
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(p.shunned)) {
-		fmt.Fprintf(&w, " s%d %v", id, ago(p.shunned[id]))
+	for _, id := range slices.Sorted(maps.Keys(sharing.skippedUntil)) {
+		fmt.Fprintf(&w, " s%d %v", id, ago(sharing.skippedUntil[id]))
 	}
 	return w.String()
 }
 
-// Last is the number of its last want.
-func (p *Probes) Last() uint32 { return p.seq }
+// LastSequence is the number of its last want.
+func (sharing *ProbeSharing) LastSequence() uint32 { return sharing.sequence }
 
 // Clone makes another that shares nothing with this one, for explorers.
-func (o *Overload) Clone() *Overload {
-	c := *o
-	c.out, c.box = nil, nil
-	c.peers, c.classes, c.tenants = slices.Clone(o.peers), slices.Clone(o.classes), slices.Clone(o.tenants)
-	c.lead, c.sent = slices.Clone(o.lead), slices.Clone(o.sent)
-	c.addr, c.stamps, c.work = maps.Clone(o.addr), maps.Clone(o.stamps), maps.Clone(o.work)
-	c.groups, c.order = map[int]*group{}, make([]*group, len(o.order))
-	for i, g := range o.order {
-		n := *g
-		n.n, n.rate, n.tn, n.tr, n.open = slices.Clone(g.n), slices.Clone(g.rate), slices.Clone(g.tn), slices.Clone(g.tr), slices.Clone(g.open)
-		n.given, n.tells = slices.Clone(g.given), slices.Clone(g.tells)
-		c.groups[n.id], c.order[i] = &n, &n
+func (controller *Controller) Clone() *Controller {
+	c := *controller
+	c.actions, c.selfMessages = nil, nil
+	c.peers, c.classes, c.tenants = slices.Clone(controller.peers), slices.Clone(controller.classes), slices.Clone(controller.tenants)
+	c.collectorOrder, c.pendingReports = slices.Clone(controller.collectorOrder), slices.Clone(controller.pendingReports)
+	c.addresses, c.collectorTimes, c.work = maps.Clone(controller.addresses), maps.Clone(controller.collectorTimes), maps.Clone(controller.work)
+	c.groups, c.sortedGroups = map[int]*groupState{}, make([]*groupState, len(controller.sortedGroups))
+	for i, group := range controller.sortedGroups {
+		n := *group
+		n.counts, n.rates, n.tenantCounts, n.tenantRates, n.openRequests = slices.Clone(group.counts), slices.Clone(group.rates), slices.Clone(group.tenantCounts), slices.Clone(group.tenantRates), slices.Clone(group.openRequests)
+		n.decisions, n.reports = slices.Clone(group.decisions), slices.Clone(group.reports)
+		c.groups[n.id], c.sortedGroups[i] = &n, &n
 	}
 	return &c
 }
 
-// Key is all that what it turns away, and tells as a collector, follows from while it counts nothing of its own, for explorers.
-func (o *Overload) Key() string {
+// StateKey is all that what it turns away, and tells as a collector, follows from while it counts nothing of its own, for explorers.
+func (controller *Controller) StateKey() string {
 	var w strings.Builder
-	fmt.Fprint(&w, o.now, o.tellAt, o.seq, o.lead)
-	for _, g := range o.order {
-		fmt.Fprintf(&w, "|%d %v %v %v %v %v %+v", g.id, g.level, g.budget, g.heldAt, g.orderOf, g.placed, g.c)
-		for _, x := range slices.SortedFunc(slices.Values(g.given), func(a, b given) int { return int(math.Copysign(1, float64(a.from)-float64(b.from))) }) {
-			fmt.Fprintf(&w, " g%d %v %v %v", x.from, x.at, x.v.Level, x.v.Budget)
+	fmt.Fprint(&w, controller.now, controller.nextReport, controller.sequence, controller.collectorOrder)
+	for _, group := range controller.sortedGroups {
+		fmt.Fprintf(&w, "|%d %v %v %v %v %v %+v", group.id, group.level, group.budget, group.decidedAt, group.classOrder, group.applied, group.collected)
+		for _, x := range slices.SortedFunc(slices.Values(group.decisions), func(a, b collectorDecision) int { return int(math.Copysign(1, float64(a.from)-float64(b.from))) }) {
+			fmt.Fprintf(&w, " g%d %v %v %v", x.from, x.reportedAt, x.decision.Level, x.decision.Budget)
 		}
-		for _, t := range g.tells {
-			fmt.Fprintf(&w, " t%d %d %v", t.id, t.seq, t.at)
+		for _, t := range group.reports {
+			fmt.Fprintf(&w, " t%d %d %v", t.id, t.sequence, t.reportedAt)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(o.stamps)) {
-		fmt.Fprintf(&w, " s%d %v", id, o.stamps[id])
+	for _, id := range slices.Sorted(maps.Keys(controller.collectorTimes)) {
+		fmt.Fprintf(&w, " s%d %v", id, controller.collectorTimes[id])
 	}
 	return w.String()
 }
 
-// LastTell is the number of its last tell.
-func (o *Overload) LastTell() uint32 { return o.seq }
+// LastReport is the number of its last tell.
+func (controller *Controller) LastReport() uint32 { return controller.sequence }
--- a/internal/cluster/overload/collect.go
+++ b/internal/cluster/overload/collect.go
@@ -6,278 +6,278 @@
 	"slices"
 )
 
-// told is what a process told last of a group.
-type told struct {
-	id   ID
-	seq  uint32
-	at   float64 // not before then it was told
-	work []Figure
-	p    Pressure
+// peerReport is what a process told last of a group.
+type peerReport struct {
+	id         ID
+	sequence   uint32
+	reportedAt float64 // not before then it was told
+	work       []KeyedValue
+	load       GroupLoad
 }
 
 // collected is what a collector makes of a group.
 type collected struct {
-	at      float64 // 0 for never
-	came    float64 // of the budget, lately
-	since   float64 // it collects
-	most    float64 // that was served, lately
-	calm    float64 // s without strain
-	verdict Verdict
+	decidedAt     float64 // 0 for never
+	admittedRatio float64 // of the budget, lately
+	since         float64 // it collects
+	peakServed    float64 // that was served, lately
+	calmSeconds   float64 // s without strain
+	decision      ShedDecision
 }
 
-// told takes what a process tells, and answers.
-func (o *Overload) told(from ID, t *Tell) {
-	if from != o.self && o.addr[from] == "" {
+// handleReport takes what a process tells, and answers.
+func (controller *Controller) handleReport(from ID, t *LoadReport) {
+	if from != controller.self && controller.addresses[from] == "" {
 		return
 	}
-	age := o.now - t.Stamp - t.Held
-	counts := from == o.self || t.Stamp > 0 && t.Held >= 0 && age >= -o.set.Stale && age <= o.set.Stale
-	a := &Answer{Seq: t.Seq, Stamp: o.now, Order: o.lead}
+	age := controller.now - t.CollectorTime - t.HeldMs
+	counts := from == controller.self || t.CollectorTime > 0 && t.HeldMs >= 0 && age >= -controller.settings.StaleAfter && age <= controller.settings.StaleAfter
+	a := &ShedDecisions{Sequence: t.Sequence, CollectorTime: controller.now, Order: controller.collectorOrder}
 	for i := range t.Groups {
 		p := &t.Groups[i]
-		g := o.group(p.Group)
-		if g == nil || !p.good() {
+		group := controller.group(p.Group)
+		if group == nil || !p.valid() {
 			continue
 		}
 		if counts {
-			g.hear(&told{from, t.Seq, o.now - max(0, age), t.Work, *p}, o.self == from, o.now)
+			group.recordReport(&peerReport{from, t.Sequence, controller.now - max(0, age), t.Work, *p}, controller.self == from, controller.now)
 		}
-		if g.c.at > 0 && o.now-g.c.at <= o.set.Stale {
-			a.Groups = append(a.Groups, g.c.verdict)
+		if group.collected.decidedAt > 0 && controller.now-group.collected.decidedAt <= controller.settings.StaleAfter {
+			a.Groups = append(a.Groups, group.collected.decision)
 		}
 	}
-	o.put(Action{Kind: SendAnswer, To: from, Answer: a})
+	controller.enqueue(Action{Kind: SendDecisions, To: from, Decisions: a})
 }
 
-func (p *Pressure) good() bool {
-	ok := finite(p.Budget) && finite(p.Level) && len(p.Classes) <= MostClasses && len(p.Tenants) <= MostTenants
+func (p *GroupLoad) valid() bool {
+	ok := finite(p.Budget) && finite(p.Level) && len(p.Classes) <= MaxClasses && len(p.Tenants) <= MaxTenants
 	for _, f := range p.Classes {
-		ok = ok && finite(f.First) && finite(f.Again) && finite(f.In) && finite(f.Open) && finite(f.Done) && finite(f.Ended) && finite(f.Strain)
+		ok = ok && finite(f.FirstAttempts) && finite(f.Retries) && finite(f.Admitted) && finite(f.Open) && finite(f.Served) && finite(f.Ended) && finite(f.Strain)
 	}
 	for _, f := range p.Tenants {
-		ok = ok && finite(f.X)
+		ok = ok && finite(f.Value)
 	}
 	return ok
 }
 
-func (g *group) hear(t *told, own bool, now float64) {
+func (group *groupState) recordReport(t *peerReport, own bool, now float64) {
 	if own {
-		t.at = now
+		t.reportedAt = now
 	}
-	i, ok := slices.BinarySearchFunc(g.tells, t.id, func(x *told, id ID) int { return cmp.Compare(x.id, id) })
+	i, ok := slices.BinarySearchFunc(group.reports, t.id, func(x *peerReport, id ID) int { return cmp.Compare(x.id, id) })
 	switch {
-	case ok && t.seq <= g.tells[i].seq: // doubled, or overtaken
+	case ok && t.sequence <= group.reports[i].sequence: // doubled, or overtaken
 	case ok:
-		g.tells[i] = t
-	case len(g.tells) < MostPeers:
-		g.tells = slices.Insert(g.tells, i, t)
+		group.reports[i] = t
+	case len(group.reports) < MaxPeers:
+		group.reports = slices.Insert(group.reports, i, t)
 	}
 }
 
 // collect makes verdicts of what was told lately.
-func (o *Overload) collect() {
+func (controller *Controller) collect() {
 	work := map[uint16][]float64{}
 	seen := map[ID]bool{}
-	for _, g := range o.order {
-		g.tells = slices.DeleteFunc(g.tells, func(t *told) bool { return o.now-t.at > o.set.Stale })
-		for _, t := range g.tells {
+	for _, group := range controller.sortedGroups {
+		group.reports = slices.DeleteFunc(group.reports, func(t *peerReport) bool { return controller.now-t.reportedAt > controller.settings.StaleAfter })
+		for _, t := range group.reports {
 			if seen[t.id] {
 				continue
 			}
 			seen[t.id] = true
 			for _, f := range t.work {
-				if _, ok := o.worth[f.Key]; ok && finite(f.X) && f.X > 0 {
-					work[f.Key] = append(work[f.Key], f.X)
+				if _, ok := controller.priority[f.Key]; ok && finite(f.Value) && f.Value > 0 {
+					work[f.Key] = append(work[f.Key], f.Value)
 				}
 			}
 		}
 	}
 	mid := map[uint16]float64{}
-	for k := range o.worth { // each on its own
-		if mid[k] = middle(work[k]); mid[k] == 0 {
+	for k := range controller.priority { // each on its own
+		if mid[k] = lowerMedian(work[k]); mid[k] == 0 {
 			mid[k] = 1
 		}
 	}
 	if len(seen) > 0 {
-		o.lead = reorder(o.lead, o.worth, mid, o.aim)
+		controller.collectorOrder = orderClasses(controller.collectorOrder, controller.priority, mid, controller.objective)
 	}
-	for _, g := range o.order {
-		if len(g.tells) > 0 {
-			o.judge(g, mid)
+	for _, group := range controller.sortedGroups {
+		if len(group.reports) > 0 {
+			controller.decide(group, mid)
 		}
 	}
 }
 
-// judge brings a group's budget up to date and makes a level of it.
-func (o *Overload) judge(g *group, work map[uint16]float64) {
-	s := o.sum(g, work)
-	c := &g.c
-	dt := min(o.set.Stale, o.now-c.at) / 1000
-	budget := middleBudget(s.budgets)
-	if c.at > 0 && o.now-c.at <= o.set.Stale && budget > 0 && c.verdict.Budget > budget/roughly && c.verdict.Budget < budget*roughly {
-		budget = c.verdict.Budget
+// decide brings a group's budget up to date and makes a level of it.
+func (controller *Controller) decide(group *groupState, work map[uint16]float64) {
+	s := controller.sumReports(group, work)
+	c := &group.collected
+	dt := min(controller.settings.StaleAfter, controller.now-c.decidedAt) / 1000
+	budget := medianBudget(s.budgets)
+	if c.decidedAt > 0 && controller.now-c.decidedAt <= controller.settings.StaleAfter && budget > 0 && c.decision.Budget > budget/toleranceFactor && c.decision.Budget < budget*toleranceFactor {
+		budget = c.decision.Budget
 	}
 	switch {
-	case c.verdict.Level == 0 || budget == 0:
-		c.came = 1
+	case c.decision.Level == 0 || budget == 0:
+		c.admittedRatio = 1
 	default:
-		c.came += (s.in/budget - c.came) * min(1, dt/cameOver)
+		c.admittedRatio += (s.admitted/budget - c.admittedRatio) * min(1, dt/admittedRatioSeconds)
 	}
-	if c.at == 0 || o.now-c.at > o.set.Stale {
-		c.since, c.most, c.calm = o.now, 0, 0
+	if c.decidedAt == 0 || controller.now-c.decidedAt > controller.settings.StaleAfter {
+		c.since, c.peakServed, c.calmSeconds = controller.now, 0, 0
 	}
-	o.gauge(c, &s, budget, dt)
-	strained := s.strain > o.set.Target || s.delay > 2*o.set.Delay
-	if c.calm += dt; strained && s.ended >= leastEnded {
-		c.calm = 0
+	controller.updatePeakServed(c, &s, budget, dt)
+	strained := s.strain > controller.settings.StrainTarget || s.delay > 2*controller.settings.DelayTarget
+	if c.calmSeconds += dt; strained && s.ended >= minEndedRate {
+		c.calmSeconds = 0
 	}
 	switch {
-	case o.now-c.since < o.set.Stale: // it may not have heard of all yet: what others know stands
+	case controller.now-c.since < controller.settings.StaleAfter: // it may not have heard of all yet: what others know stands
 	case budget == 0:
-		if s.ended >= leastEnded && (s.strain > 3*o.set.Target || strained && s.strain > o.set.Target/2 && s.delay > 2*o.set.Delay) {
-			budget = c.most
+		if s.ended >= minEndedRate && (s.strain > 3*controller.settings.StrainTarget || strained && s.strain > controller.settings.StrainTarget/2 && s.delay > 2*controller.settings.DelayTarget) {
+			budget = c.peakServed
 		}
-	case !strained || s.ended < leastEnded: // the longer nobody is late, the faster
-		budget *= 1 + min(o.set.Back, slow*math.Exp2(c.calm))*dt
-	case s.in > late*budget*max(1, c.came): // what was decided is not felt yet
+	case !strained || s.ended < minEndedRate: // the longer nobody is late, the faster
+		budget *= 1 + min(controller.settings.GrowthRate, slowRate*math.Exp2(c.calmSeconds))*dt
+	case s.admitted > overBudgetFactor*budget*max(1, c.admittedRatio): // what was decided is not felt yet
 	default:
-		budget = c.most / max(0.2, min(1, c.came)) * max(least, min(1, 1+(o.set.Delay-s.delay)/o.set.Drain))
+		budget = c.peakServed / max(0.2, min(1, c.admittedRatio)) * max(minAdmittedShare, min(1, 1+(controller.settings.DelayTarget-s.delay)/controller.settings.BacklogDivisor))
 	}
-	if budget > spare*s.total { // more than anybody wants: there is no overload
+	if budget > spareFactor*s.total { // more than anybody wants: there is no overload
 		budget = 0
 	}
-	v := Verdict{Group: g.id, Budget: budget}
+	v := ShedDecision{Group: group.id, Budget: budget}
 	if budget > 0 {
-		v.Beyond = s.beyond(o, budget)
-		demand := s.cells(o, v.Beyond)
-		v.Level = levelOf(demand, s.total-budget)
-		if was := middle(s.levels); was > 0 && v.Level > 0 {
-			if lets := above(demand, was); lets > budget*(1-stays) && lets < budget*(1+stays) {
+		v.BeyondQuota = s.beyondQuota(controller, budget)
+		demand := s.cellDemand(controller, v.BeyondQuota)
+		v.Level = levelFor(demand, s.total-budget)
+		if was := lowerMedian(s.levels); was > 0 && v.Level > 0 {
+			if lets := admittedDemand(demand, was); lets > budget*(1-levelTolerance) && lets < budget*(1+levelTolerance) {
 				v.Level = was
 			}
 		}
 	}
-	c.at, c.verdict = o.now, v
+	c.decidedAt, c.decision = controller.now, v
 }
 
-// gauge keeps what was served at most lately: what the servers can do. It fades, and faster where less is served though as much was let in.
-func (o *Overload) gauge(c *collected, s *sums, budget, dt float64) {
-	fade := slow
-	if s.strain > o.set.Target && (budget == 0 || s.in <= late*budget) && s.done < 0.8*c.most && s.done < s.in {
-		fade = fall
+// updatePeakServed keeps what was served at most lately: what the servers can do. It fades, and faster where less is served though as much was let in.
+func (controller *Controller) updatePeakServed(c *collected, s *groupTotals, budget, dt float64) {
+	fade := slowRate
+	if s.strain > controller.settings.StrainTarget && (budget == 0 || s.admitted <= overBudgetFactor*budget) && s.served < 0.8*c.peakServed && s.served < s.admitted {
+		fade = fastDecayRate
 	}
-	c.most = max(s.done, c.most*(1-min(1, fade*dt)))
+	c.peakServed = max(s.served, c.peakServed*(1-min(1, fade*dt)))
 }
 
 // Of judging.
 const (
-	cameOver   = 3.0  // s
-	leastEnded = 4    // a second: fewer prove nothing
-	fall       = 0.15 // of what was served at most, a second, that is forgotten where the servers seem to do less
-	late       = 1.3
-	slow       = 0.05 // of the budget, a second, that it grows by at first
-	least      = 0.75 // of what is served is let in at least
-	apart      = 1.5  // collectors' budgets may be by this factor
-	spare      = 1.5  // ...and above what is wanted is no budget
-	stays      = 0.02 // a level that is right to this part stays
-	manyTell   = 4    // from so many on, one may lie
+	admittedRatioSeconds  = 3.0  // s
+	minEndedRate          = 4    // a second: fewer prove nothing
+	fastDecayRate         = 0.15 // of what was served at most, a second, that is forgotten where the servers seem to do less
+	overBudgetFactor      = 1.3
+	slowRate              = 0.05 // of the budget, a second, that it grows by at first
+	minAdmittedShare      = 0.75 // of what is served is let in at least
+	collectorBudgetFactor = 1.5  // collectors' budgets may be by this factor
+	spareFactor           = 1.5  // ...and above what is wanted is no budget
+	levelTolerance        = 0.02 // a level that is right to this part stays
+	minReportsToTrim      = 4    // from so many on, one may lie
 )
 
-// sums are those of all that was told of a group, nobody's word above all others' together. In work a second.
-type sums struct {
-	classes         map[uint16]Flow
-	tenants         []Figure // by key
+// groupTotals are those of all that was told of a group, nobody's word above all others' together. In work a second.
+type groupTotals struct {
+	classes         map[uint16]ClassLoad
+	tenants         []KeyedValue // by key
 	total           float64
-	in              float64
-	done            float64
+	admitted        float64
+	served          float64
 	ended           float64 // requests
-	aim             float64 // s, on average
+	objective       float64 // s, on average
 	strain          float64
 	delay           float64 // what is out by what is answered, as a part of the aims
 	budgets, levels []float64
 }
 
-func (o *Overload) sum(g *group, work map[uint16]float64) sums {
-	s := sums{classes: map[uint16]Flow{}}
-	asks := make([]float64, len(g.tells))
+func (controller *Controller) sumReports(group *groupState, work map[uint16]float64) groupTotals {
+	s := groupTotals{classes: map[uint16]ClassLoad{}}
+	asks := make([]float64, len(group.reports))
 	all := 0.0
-	for i, t := range g.tells {
-		for _, f := range t.p.Classes {
-			asks[i] += max(f.First+f.Again, f.Ended) * work[f.Key]
+	for i, t := range group.reports {
+		for _, f := range t.load.Classes {
+			asks[i] += max(f.FirstAttempts+f.Retries, f.Ended) * work[f.Key]
 		}
 		all += asks[i]
 	}
 	tenants, aims := map[uint16]float64{}, 0.0
-	parts := make([]float64, len(g.tells))
-	for i, t := range g.tells {
+	parts := make([]float64, len(group.reports))
+	for i, t := range group.reports {
 		part := 1.0
-		if others := all - asks[i]; len(g.tells) >= manyTell && asks[i] > others {
+		if others := all - asks[i]; len(group.reports) >= minReportsToTrim && asks[i] > others {
 			part = others / asks[i]
 		}
 		parts[i] = part
-		for _, f := range t.p.Classes {
-			if _, ok := o.worth[f.Key]; !ok {
+		for _, f := range t.load.Classes {
+			if _, ok := controller.priority[f.Key]; !ok {
 				continue
 			}
 			x := s.classes[f.Key]
-			x.First += part * f.First
-			x.Again += part * f.Again
-			x.Done += part * min(f.Done, f.Ended)
+			x.FirstAttempts += part * f.FirstAttempts
+			x.Retries += part * f.Retries
+			x.Served += part * min(f.Served, f.Ended)
 			x.Ended += part * f.Ended
 			x.Open += part * f.Open
 			s.classes[f.Key] = x
-			s.total += part * (f.First + f.Again) * work[f.Key]
-			s.in += part * f.In * work[f.Key]
-			aims += part * f.Ended * o.aim[f.Key]
-			s.done += part * min(f.Done, f.Ended) * work[f.Key]
+			s.total += part * (f.FirstAttempts + f.Retries) * work[f.Key]
+			s.admitted += part * f.Admitted * work[f.Key]
+			aims += part * f.Ended * controller.objective[f.Key]
+			s.served += part * min(f.Served, f.Ended) * work[f.Key]
 			s.ended += part * f.Ended
 		}
-		for _, f := range t.p.Tenants {
-			tenants[f.Key] += part * f.X
+		for _, f := range t.load.Tenants {
+			tenants[f.Key] += part * f.Value
 		}
-		if s.budgets = append(s.budgets, t.p.Budget); t.p.Budget > 0 {
-			s.levels = append(s.levels, t.p.Level)
+		if s.budgets = append(s.budgets, t.load.Budget); t.load.Budget > 0 {
+			s.levels = append(s.levels, t.load.Level)
 		}
 	}
 	for k, x := range tenants { // sorted below
-		s.tenants = append(s.tenants, Figure{k, x})
+		s.tenants = append(s.tenants, KeyedValue{k, x})
 	}
-	slices.SortFunc(s.tenants, func(a, b Figure) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(s.tenants, func(a, b KeyedValue) int { return cmp.Compare(a.Key, b.Key) })
 	for k, f := range s.classes { // each on its own
-		f.First, f.Again = f.First*work[k], f.Again*work[k]
+		f.FirstAttempts, f.Retries = f.FirstAttempts*work[k], f.Retries*work[k]
 		s.classes[k] = f
 	}
-	s.aim = aims / max(1e-9, s.ended)
+	s.objective = aims / max(1e-9, s.ended)
 	served := func(k uint16) float64 { // a class that is hardly served has no servers: it is no evidence
 		x := s.classes[k]
-		return min(1, 2*x.Done/max(1e-9, x.Ended))
+		return min(1, 2*x.Served/max(1e-9, x.Ended))
 	}
-	s.strain = g.ratio(parts, func(f *Flow) (float64, float64) {
+	s.strain = group.trimmedRatio(parts, func(f *ClassLoad) (float64, float64) {
 		w := work[f.Key] * served(f.Key)
 		return w * min(f.Strain, f.Ended), w * f.Ended
 	})
-	s.delay = g.ratio(parts, func(f *Flow) (float64, float64) {
+	s.delay = group.trimmedRatio(parts, func(f *ClassLoad) (float64, float64) {
 		w := served(f.Key)
-		return w * f.Open, w * f.Ended * o.aim[f.Key]
+		return w * f.Open, w * f.Ended * controller.objective[f.Key]
 	})
 	return s
 }
 
-// ratio sums up both sides of what each tells but the one who adds most to it, and the one who takes most from it, and is their ratio.
-func (g *group) ratio(parts []float64, of func(f *Flow) (x, y float64)) float64 {
-	xs, ys := make([]float64, len(g.tells)), make([]float64, len(g.tells))
+// trimmedRatio sums up both sides of what each tells but the one who adds most to it, and the one who takes most from it, and is their ratio.
+func (group *groupState) trimmedRatio(parts []float64, of func(f *ClassLoad) (x, y float64)) float64 {
+	xs, ys := make([]float64, len(group.reports)), make([]float64, len(group.reports))
 	x, y := 0.0, 0.0
-	for i, t := range g.tells {
-		for k := range t.p.Classes {
-			a, b := of(&t.p.Classes[k])
+	for i, t := range group.reports {
+		for k := range t.load.Classes {
+			a, b := of(&t.load.Classes[k])
 			xs[i] += parts[i] * a
 			ys[i] += parts[i] * b
 		}
 		x += xs[i]
 		y += ys[i]
 	}
-	part := func(x, y float64) float64 { return min(mostRatio, max(0, x)/max(1e-9, y)) }
-	if len(g.tells) < manyTell {
+	part := func(x, y float64) float64 { return min(maxRatio, max(0, x)/max(1e-9, y)) }
+	if len(group.reports) < minReportsToTrim {
 		return part(x, y)
 	}
 	most, calmest := 0, 0
@@ -294,48 +294,48 @@
 	return part(x-xs[most]-xs[calmest], y-ys[most]-ys[calmest])
 }
 
-const mostRatio = 100
+const maxRatio = 100
 
-// beyond are the parts of tenants' sessions that are beyond their share of the budget.
-func (s *sums) beyond(o *Overload, budget float64) (out []Figure) {
+// beyondQuota are the parts of tenants' sessions that are beyond their share of the budget.
+func (s *groupTotals) beyondQuota(controller *Controller, budget float64) (out []KeyedValue) {
 	all := 0.0
 	for _, f := range s.tenants {
-		all += f.X
+		all += f.Value
 	}
 	if all <= 0 {
 		return nil
 	}
 	want, share := make([]float64, len(s.tenants)), make([]float64, len(s.tenants))
 	for i, f := range s.tenants {
-		want[i], share[i] = f.X/all*s.total, o.share[f.Key]
+		want[i], share[i] = f.Value/all*s.total, controller.share[f.Key]
 	}
-	for i, x := range beyond(want, share, budget) {
+	for i, x := range beyondQuota(want, share, budget) {
 		if x = float64(int(x*255+0.5)) / 255; x > 0 {
-			out = append(out, Figure{s.tenants[i].Key, x})
+			out = append(out, KeyedValue{s.tenants[i].Key, x})
 		}
 	}
 	return out
 }
 
-// cells is the demand of each cell of the order.
-func (s *sums) cells(o *Overload, over []Figure) []float64 {
+// cellDemand is the demand of each cell of the order.
+func (s *groupTotals) cellDemand(controller *Controller, over []KeyedValue) []float64 {
 	all, part := 0.0, 0.0
 	for _, f := range s.tenants {
-		all += f.X
+		all += f.Value
 		for _, b := range over {
 			if b.Key == f.Key {
-				part += f.X * b.X
+				part += f.Value * b.Value
 			}
 		}
 	}
 	if all > 0 {
 		part /= all
 	}
-	c := cellsOf(o.lead, o.once)
-	out := make([]float64, c.n)
-	for k, at := range c.of { // each has cells of its own
+	c := cellsOf(controller.collectorOrder, controller.notIdempotent)
+	out := make([]float64, c.count)
+	for k, at := range c.byClass { // each has cells of its own
 		f := s.classes[k]
-		for i, x := range [4]float64{f.Again * part, f.Again * (1 - part), f.First * part, f.First * (1 - part)} {
+		for i, x := range [4]float64{f.Retries * part, f.Retries * (1 - part), f.FirstAttempts * part, f.FirstAttempts * (1 - part)} {
 			out[at[i]] += x
 		}
 	}
--- a/internal/cluster/overload/form.go
+++ b/internal/cluster/overload/form.go
@@ -11,24 +11,24 @@
 
 // The form of a message: a byte for what it is, then numbers as varints. Rates are in 64ths, times in thousandths.
 
-// ErrForm is of a message that cannot be read.
-var ErrForm = errors.New("overload: not of the form")
+// ErrMalformed is of a message that cannot be read.
+var ErrMalformed = errors.New("overload: not of the form")
 
 // Verbs of messages.
 const (
-	verbTell = iota + 1
-	verbAnswer
-	verbWant
-	verbFound
+	kindReport = iota + 1
+	kindDecisions
+	kindProbeRequest
+	kindProbeResult
 )
 
 const (
-	rateGrain = 64
-	timeGrain = 1000
-	partGrain = 255
+	unitsPerRate  = 64
+	unitsPerMs    = 1000
+	unitsPerShare = 255
 )
 
-func putX(b []byte, x, grain float64) []byte {
+func appendScaled(b []byte, x, grain float64) []byte {
 	if math.IsNaN(x) {
 		x = 0
 	}
@@ -36,15 +36,15 @@
 }
 
 // Append is part.Words'.
-func (t *Tell) Append(b []byte) []byte {
-	b = append(b, verbTell)
-	b = binary.AppendUvarint(b, uint64(t.Seq))
-	b = putX(b, t.Stamp, timeGrain)
-	b = putX(b, t.Held, timeGrain)
+func (t *LoadReport) Append(b []byte) []byte {
+	b = append(b, kindReport)
+	b = binary.AppendUvarint(b, uint64(t.Sequence))
+	b = appendScaled(b, t.CollectorTime, unitsPerMs)
+	b = appendScaled(b, t.HeldMs, unitsPerMs)
 	b = append(b, byte(len(t.Work)))
 	for _, f := range t.Work {
 		b = binary.BigEndian.AppendUint16(b, f.Key)
-		b = append(b, grain(f.X))
+		b = append(b, encodeWork(f.Value))
 	}
 	b = append(b, byte(len(t.Groups)))
 	for i := range t.Groups {
@@ -55,22 +55,22 @@
 		b = append(b, byte(len(p.Classes)), byte(len(p.Tenants)))
 		for _, f := range p.Classes {
 			b = binary.BigEndian.AppendUint16(b, f.Key)
-			for _, x := range [...]float64{f.First, f.Again, f.In, f.Done, f.Ended, f.Strain, f.Open} {
-				b = putX(b, x, rateGrain)
+			for _, x := range [...]float64{f.FirstAttempts, f.Retries, f.Admitted, f.Served, f.Ended, f.Strain, f.Open} {
+				b = appendScaled(b, x, unitsPerRate)
 			}
 		}
 		for _, f := range p.Tenants {
-			b = putX(binary.BigEndian.AppendUint16(b, f.Key), f.X, rateGrain)
+			b = appendScaled(binary.BigEndian.AppendUint16(b, f.Key), f.Value, unitsPerRate)
 		}
 	}
 	return b
 }
 
 // Append is part.Words'.
-func (a *Answer) Append(b []byte) []byte {
-	b = append(b, verbAnswer)
-	b = binary.AppendUvarint(b, uint64(a.Seq))
-	b = putX(b, a.Stamp, timeGrain)
+func (a *ShedDecisions) Append(b []byte) []byte {
+	b = append(b, kindDecisions)
+	b = binary.AppendUvarint(b, uint64(a.Sequence))
+	b = appendScaled(b, a.CollectorTime, unitsPerMs)
 	b = append(b, byte(len(a.Order)))
 	for _, k := range a.Order {
 		b = binary.BigEndian.AppendUint16(b, k)
@@ -81,9 +81,9 @@
 		b = binary.AppendUvarint(b, uint64(v.Group))
 		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(v.Budget)))
 		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(v.Level)))
-		b = append(b, byte(len(v.Beyond)))
-		for _, f := range v.Beyond {
-			b = append(binary.BigEndian.AppendUint16(b, f.Key), byte(math.Round(min(1, f.X)*partGrain)))
+		b = append(b, byte(len(v.BeyondQuota)))
+		for _, f := range v.BeyondQuota {
+			b = append(binary.BigEndian.AppendUint16(b, f.Key), byte(math.Round(min(1, f.Value)*unitsPerShare)))
 		}
 	}
 	return b
@@ -92,71 +92,71 @@
 // reader takes a message apart; after a fault it yields zeros.
 type reader struct{ encoding.Reader }
 
-func (r *reader) single() float64     { return r.fine(float64(math.Float32frombits(r.Uint32()))) }
-func (r *reader) x(g float64) float64 { return float64(r.Uvarint()) / g }
-func (r *reader) number() int         { return int(r.UvarintMax(math.MaxInt32)) }
+func (r *reader) single() float64          { return r.finite(float64(math.Float32frombits(r.Uint32()))) }
+func (r *reader) scaled(g float64) float64 { return float64(r.Uvarint()) / g }
+func (r *reader) number() int              { return int(r.UvarintMax(math.MaxInt32)) }
 
-func (r *reader) fine(x float64) float64 {
+func (r *reader) finite(x float64) float64 {
 	if r.Require(finite(x)); !r.OK() {
 		return 0
 	}
 	return x
 }
 
-// Read reads a message.
-func Read(b []byte) (any, error) {
+// Decode reads a message.
+func Decode(b []byte) (any, error) {
 	r := &reader{encoding.NewReader(b)}
 	var m any
 	switch verb := r.Byte(); verb {
-	case verbTell:
-		m = r.tell()
-	case verbAnswer:
-		m = r.answer()
-	case verbWant:
-		m = r.want()
-	case verbFound:
-		m = r.found()
+	case kindReport:
+		m = r.loadReport()
+	case kindDecisions:
+		m = r.shedDecisions()
+	case kindProbeRequest:
+		m = r.probeRequest()
+	case kindProbeResult:
+		m = r.probeResult()
 	default:
-		return nil, fmt.Errorf("%w: verb %d", ErrForm, verb)
+		return nil, fmt.Errorf("%w: verb %d", ErrMalformed, verb)
 	}
 	if !r.AtEnd() {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	return m, nil
 }
 
-func (r *reader) tell() *Tell {
-	t := &Tell{Seq: uint32(r.Uvarint()), Stamp: r.x(timeGrain), Held: r.x(timeGrain)}
-	for range r.ByteMax(MostClasses) {
-		t.Work = append(t.Work, Figure{r.Uint16(), ungrain(r.Byte())})
+func (r *reader) loadReport() *LoadReport {
+	t := &LoadReport{Sequence: uint32(r.Uvarint()), CollectorTime: r.scaled(unitsPerMs), HeldMs: r.scaled(unitsPerMs)}
+	for range r.ByteMax(MaxClasses) {
+		t.Work = append(t.Work, KeyedValue{r.Uint16(), decodeWork(r.Byte())})
 	}
-	for range r.ByteMax(Block) {
-		p := Pressure{Group: r.number(), Budget: r.single(), Level: r.single()}
-		classes, tenants := r.ByteMax(MostClasses), r.ByteMax(MostTenants)
+	for range r.ByteMax(GroupsPerBlock) {
+		p := GroupLoad{Group: r.number(), Budget: r.single(), Level: r.single()}
+		classes, tenants := r.ByteMax(MaxClasses), r.ByteMax(MaxTenants)
 		for range classes {
-			f := Flow{Key: r.Uint16()}
-			for _, to := range [...]*float64{&f.First, &f.Again, &f.In, &f.Done, &f.Ended, &f.Strain, &f.Open} {
-				*to = r.fine(r.x(rateGrain))
+			f := ClassLoad{Key: r.Uint16()}
+			for _, to := range [...]*float64{&f.FirstAttempts, &f.Retries, &f.Admitted, &f.Served, &f.Ended, &f.Strain, &f.Open} {
+				*to = r.finite(r.scaled(unitsPerRate))
 			}
 			p.Classes = append(p.Classes, f)
 		}
 		for range tenants {
-			p.Tenants = append(p.Tenants, Figure{r.Uint16(), r.fine(r.x(rateGrain))})
+			p.Tenants = append(p.Tenants, KeyedValue{r.Uint16(), r.finite(r.scaled(unitsPerRate))})
 		}
 		t.Groups = append(t.Groups, p)
 	}
 	return t
 }
 
-func (r *reader) answer() *Answer {
-	a := &Answer{Seq: uint32(r.Uvarint()), Stamp: r.x(timeGrain)}
-	for range r.ByteMax(MostClasses) {
+func (r *reader) shedDecisions() *ShedDecisions {
+	a := &ShedDecisions{Sequence: uint32(r.Uvarint()), CollectorTime: r.scaled(unitsPerMs)}
+	for range r.ByteMax(MaxClasses) {
 		a.Order = append(a.Order, r.Uint16())
 	}
-	for range r.ByteMax(Block) {
-		v := Verdict{Group: r.number(), Budget: r.single(), Level: r.single()}
-		for range r.ByteMax(MostTenants * 2) {
-			v.Beyond = append(v.Beyond, Figure{r.Uint16(), float64(r.Byte()) / partGrain})
+	for range r.ByteMax(GroupsPerBlock) {
+		v := ShedDecision{Group: r.number(), Budget: r.single(), Level: r.single()}
+		for range r.ByteMax(MaxTenants * 2) {
+			v.BeyondQuota = append(v.BeyondQuota, KeyedValue{r.Uint16(), float64(r.Byte()) / unitsPerShare})
 		}
 		a.Groups = append(a.Groups, v)
 	}
--- a/internal/cluster/overload/form_probes.go
+++ b/internal/cluster/overload/form_probes.go
@@ -10,23 +10,23 @@
 func (r *reader) text() string { return string(r.Take(int(r.Byte()))) }
 
 // Append is part.Words'.
-func (w *Want) Append(b []byte) []byte {
-	return binary.AppendUvarint(appendText(append(b, verbWant), w.Server), uint64(w.Seq))
+func (w *ProbeRequest) Append(b []byte) []byte {
+	return binary.AppendUvarint(appendText(append(b, kindProbeRequest), w.Server), uint64(w.Sequence))
 }
 
 // Append is part.Words'.
-func (f *Found) Append(b []byte) []byte {
-	b = binary.AppendUvarint(appendText(append(b, verbFound), f.Server), uint64(f.Seq))
-	b = append(putX(b, f.Began, timeGrain), byte(f.Result), f.Kind, f.Role)
-	return putX(b, math.Floor(f.Position*timeGrain)/timeGrain, timeGrain) // never newer than it is
+func (f *ProbeResult) Append(b []byte) []byte {
+	b = binary.AppendUvarint(appendText(append(b, kindProbeResult), f.Server), uint64(f.Sequence))
+	b = append(appendScaled(b, f.StartedMsAgo, unitsPerMs), byte(f.Result), f.Kind, f.Role)
+	return appendScaled(b, math.Floor(f.Position*unitsPerMs)/unitsPerMs, unitsPerMs) // never newer than it is
 }
 
-func (r *reader) want() *Want { return &Want{r.text(), uint32(r.Uvarint())} }
+func (r *reader) probeRequest() *ProbeRequest { return &ProbeRequest{r.text(), uint32(r.Uvarint())} }
 
-func (r *reader) found() *Found {
-	f := &Found{Server: r.text(), Seq: uint32(r.Uvarint()), Began: r.x(timeGrain)}
+func (r *reader) probeResult() *ProbeResult {
+	f := &ProbeResult{Server: r.text(), Sequence: uint32(r.Uvarint()), StartedMsAgo: r.scaled(unitsPerMs)}
 	f.Result, f.Kind, f.Role = Result(r.Byte()), r.Byte(), r.Byte()
-	f.Position = r.x(timeGrain)
-	r.Require(f.Result <= Busy && finite(f.Position))
+	f.Position = r.scaled(unitsPerMs)
+	r.Require(f.Result <= InProgress && finite(f.Position))
 	return f
 }
--- a/internal/cluster/overload/invariants.go
+++ b/internal/cluster/overload/invariants.go
@@ -8,91 +8,97 @@
 	"beechgrade/internal/invariant"
 )
 
-// Check has statements about its state checked at one tick of so many.
-func (o *Overload) Check(c *invariant.Checks, every int) { o.checks, o.every = c, every }
+// CheckInvariants has statements about its state checked at one tick of so many.
+func (controller *Controller) CheckInvariants(c *invariant.Checks, every int) {
+	controller.checks, controller.checkInterval = c, every
+}
 
-// walk makes the statements about all state, as it is after a tick.
-func (o *Overload) walk(c *invariant.Checks) {
-	c.That(len(o.box) == 0, "overload: what was put has gone out", func() string { return fmt.Sprintf("%d messages", len(o.box)) })
-	c.That(len(o.groups) == len(o.order) && len(o.order) <= MostGroups && slices.IsSortedFunc(o.order, func(a, b *group) int { return a.id - b.id }), "overload: groups are in order, each filed once",
-		func() string { return fmt.Sprintf("%d filed, %d in order", len(o.groups), len(o.order)) })
-	c.That(len(o.peers) <= MostPeers && len(o.addr) == len(o.peers) && len(o.sent) <= remembered, "overload: what is kept is bounded", func() string {
-		return fmt.Sprintf("%d peers, %d addresses, %d tells", len(o.peers), len(o.addr), len(o.sent))
+// checkState makes the statements about all state, as it is after a tick.
+func (controller *Controller) checkState(c *invariant.Checks) {
+	c.That(len(controller.selfMessages) == 0, "overload: what was put has gone out", func() string { return fmt.Sprintf("%d messages", len(controller.selfMessages)) })
+	c.That(len(controller.groups) == len(controller.sortedGroups) && len(controller.sortedGroups) <= MaxGroups && slices.IsSortedFunc(controller.sortedGroups, func(a, b *groupState) int { return a.id - b.id }), "overload: groups are in order, each filed once",
+		func() string {
+			return fmt.Sprintf("%d filed, %d in order", len(controller.groups), len(controller.sortedGroups))
+		})
+	c.That(len(controller.peers) <= MaxPeers && len(controller.addresses) == len(controller.peers) && len(controller.pendingReports) <= maxPendingReports, "overload: what is kept is bounded", func() string {
+		return fmt.Sprintf("%d peers, %d addresses, %d tells", len(controller.peers), len(controller.addresses), len(controller.pendingReports))
 	})
-	for id := range o.stamps { // each by itself
-		c.That(o.addr[id] != "" || id == o.self, "overload: nothing is kept of peers that are gone", func() string { return fmt.Sprintf("%x's stamp", uint64(id)) })
+	for id := range controller.collectorTimes { // each by itself
+		c.That(controller.addresses[id] != "" || id == controller.self, "overload: nothing is kept of peers that are gone", func() string { return fmt.Sprintf("%x's stamp", uint64(id)) })
 	}
-	for _, g := range o.order {
-		state := func() string { return o.stateOf(g) }
-		c.That(o.groups[g.id] == g, "overload: groups are in order, each filed once", state)
-		o.walkShedder(c, g, state)
-		o.walkCollector(c, g, state)
+	for _, group := range controller.sortedGroups {
+		state := func() string { return controller.describe(group) }
+		c.That(controller.groups[group.id] == group, "overload: groups are in order, each filed once", state)
+		controller.checkShedding(c, group, state)
+		controller.checkCollector(c, group, state)
 	}
 }
 
-// walkShedder is the side of one that is told levels.
-func (o *Overload) walkShedder(c *invariant.Checks, g *group, state func() string) {
-	cells := float64(4 * len(g.orderOf))
-	c.That(g.level >= 0 && g.level <= cells && g.placed.level <= cells && finite(g.budget), "overload: a level stands within the cells", state)
-	c.That(g.level == 0 || o.now-g.heldAt <= o.set.Lonely(), "overload: no level outlives Lonely", state)
-	for i, x := range g.given {
-		c.That(o.now-x.at <= o.set.Stale && !slices.ContainsFunc(g.given[:i], func(y given) bool { return y.from == x.from }), "overload: an answer is young, one of each collector", state)
+// checkShedding is the side of one that is told levels.
+func (controller *Controller) checkShedding(c *invariant.Checks, group *groupState, state func() string) {
+	cells := float64(4 * len(group.classOrder))
+	c.That(group.level >= 0 && group.level <= cells && group.applied.level <= cells && finite(group.budget), "overload: a level stands within the cells", state)
+	c.That(group.level == 0 || controller.now-group.decidedAt <= controller.settings.IsolationBound(), "overload: no level outlives Lonely", state)
+	for i, x := range group.decisions {
+		c.That(controller.now-x.reportedAt <= controller.settings.StaleAfter && !slices.ContainsFunc(group.decisions[:i], func(y collectorDecision) bool { return y.from == x.from }), "overload: an answer is young, one of each collector", state)
 	}
-	for i := range g.rate {
-		r := g.rate[i]
-		c.That(finite(r.first) && finite(r.again) && finite(r.in) && finite(r.done) && finite(r.strain) && finite(g.open[i]) && r.done <= r.ended*(1+1e-9) && r.strain <= r.ended*(1+1e-9),
+	for i := range group.rates {
+		r := group.rates[i]
+		c.That(finite(r.first) && finite(r.retries) && finite(r.admitted) && finite(r.served) && finite(r.strain) && finite(group.openRequests[i]) && r.served <= r.ended*(1+1e-9) && r.strain <= r.ended*(1+1e-9),
 			"overload: rates are ones that can be", state)
 	}
 }
 
-// walkCollector is the side of one that adds up.
-func (o *Overload) walkCollector(c *invariant.Checks, g *group, state func() string) {
-	v := &g.c.verdict
-	c.That(finite(v.Budget) && v.Level >= 0 && v.Level <= float64(4*len(o.lead)) && (v.Budget > 0 || v.Level == 0), "overload: a verdict is within its bounds", state)
-	for _, b := range v.Beyond {
-		c.That(b.X > 0 && b.X <= 1, "overload: a verdict is within its bounds", state)
+// checkCollector is the side of one that adds up.
+func (controller *Controller) checkCollector(c *invariant.Checks, group *groupState, state func() string) {
+	v := &group.collected.decision
+	c.That(finite(v.Budget) && v.Level >= 0 && v.Level <= float64(4*len(controller.collectorOrder)) && (v.Budget > 0 || v.Level == 0), "overload: a verdict is within its bounds", state)
+	for _, b := range v.BeyondQuota {
+		c.That(b.Value > 0 && b.Value <= 1, "overload: a verdict is within its bounds", state)
 	}
-	c.That(len(g.tells) <= MostPeers, "overload: what is kept is bounded", state)
-	for i, t := range g.tells {
-		c.That((i == 0 || g.tells[i-1].id < t.id) && o.now-t.at <= o.set.Stale+o.set.Period+o.set.Step && t.at <= o.now, "overload: one young tell is kept of each process", state)
+	c.That(len(group.reports) <= MaxPeers, "overload: what is kept is bounded", state)
+	for i, t := range group.reports {
+		c.That((i == 0 || group.reports[i-1].id < t.id) && controller.now-t.reportedAt <= controller.settings.StaleAfter+controller.settings.ReportInterval+controller.settings.TickInterval && t.reportedAt <= controller.now, "overload: one young tell is kept of each process", state)
 	}
 }
 
-func (o *Overload) stateOf(g *group) string {
-	s := fmt.Sprintf("group %d at %.0f: level %g of %d cells (placed %g) held at %.0f, budget %g, verdict %+v of %d classes; rates %+v, open %v;", g.id, o.now, g.level, 4*len(g.orderOf), g.placed.level,
-		g.heldAt, g.budget, g.c.verdict, len(o.lead), g.rate, g.open)
-	for _, x := range g.given {
-		s += fmt.Sprintf(" given by %x at %.0f: %+v", uint64(x.from), x.at, x.v)
+func (controller *Controller) describe(group *groupState) string {
+	s := fmt.Sprintf("group %d at %.0f: level %g of %d cells (placed %g) held at %.0f, budget %g, verdict %+v of %d classes; rates %+v, open %v;", group.id, controller.now, group.level, 4*len(group.classOrder), group.applied.level,
+		group.decidedAt, group.budget, group.collected.decision, len(controller.collectorOrder), group.rates, group.openRequests)
+	for _, x := range group.decisions {
+		s += fmt.Sprintf(" given by %x at %.0f: %+v", uint64(x.from), x.reportedAt, x.decision)
 	}
-	for _, t := range g.tells {
-		s += fmt.Sprintf(" told by %x at %.0f", uint64(t.id), t.at)
+	for _, t := range group.reports {
+		s += fmt.Sprintf(" told by %x at %.0f", uint64(t.id), t.reportedAt)
 	}
 	return s
 }
 
-// Check has statements about its state checked at one tick of so many.
-func (p *Probes) Check(c *invariant.Checks, every int) { p.checks, p.every = c, every }
+// CheckInvariants has statements about its state checked at one tick of so many.
+func (sharing *ProbeSharing) CheckInvariants(c *invariant.Checks, every int) {
+	sharing.checks, sharing.checkInterval = c, every
+}
 
-// walk makes the statements about all state, as it is after a tick.
-func (p *Probes) walk(c *invariant.Checks) {
-	c.That(len(p.names) == len(p.servers) && len(p.names) <= mostServers && slices.IsSorted(p.names), "probes: servers are in order, each filed once", func() string { return fmt.Sprint(p.names) })
-	for id, until := range p.shunned { // each by itself
-		c.That(until > p.now && until <= p.now+p.set.Shun, "probes: nobody is passed over for longer than Shun", func() string { return fmt.Sprintf("%x until %.0f, now %.0f", uint64(id), until, p.now) })
+// checkState makes the statements about all state, as it is after a tick.
+func (sharing *ProbeSharing) checkState(c *invariant.Checks) {
+	c.That(len(sharing.names) == len(sharing.servers) && len(sharing.names) <= maxServers && slices.IsSorted(sharing.names), "probes: servers are in order, each filed once", func() string { return fmt.Sprint(sharing.names) })
+	for id, until := range sharing.skippedUntil { // each by itself
+		c.That(until > sharing.now && until <= sharing.now+sharing.settings.SkipTime, "probes: nobody is passed over for longer than Shun", func() string { return fmt.Sprintf("%x until %.0f, now %.0f", uint64(id), until, sharing.now) })
 	}
-	for _, name := range p.names {
-		s := p.servers[name]
-		state := func() string { return fmt.Sprintf("%s at %.0f: %+v", name, p.now, *s) }
+	for _, name := range sharing.names {
+		server := sharing.servers[name]
+		state := func() string { return fmt.Sprintf("%s at %.0f: %+v", name, sharing.now, *server) }
 		own := 0
-		for i, a := range s.askers {
-			if a.own {
+		for i, a := range server.requesters {
+			if a.local {
 				own++
 			}
-			c.That(a.own || p.addr[a.id] != "", "probes: nothing is kept of peers that are gone", state)
-			c.That(len(s.askers) <= MostPeers+1 && !slices.ContainsFunc(s.askers[:i], func(b asker) bool { return a.id == b.id && a.own == b.own }), "probes: who waits is in line once", state)
+			c.That(a.local || sharing.addresses[a.id] != "", "probes: nothing is kept of peers that are gone", state)
+			c.That(len(server.requesters) <= MaxPeers+1 && !slices.ContainsFunc(server.requesters[:i], func(b requester) bool { return a.id == b.id && a.local == b.local }), "probes: who waits is in line once", state)
 		}
-		c.That(len(s.askers) == 0 || s.probing || p.now-s.began < p.set.Each, "probes: who waits is served", state)
-		c.That(s.own == (own == 1) && own <= 1 && (s.wanted || !s.own), "probes: what this process probes for itself is what it wants", state)
-		c.That(!s.wanted || s.own || len(s.asked) > 0 && s.until <= p.now+max(p.set.Patience, p.set.atIt()), "probes: each want has an end", state)
-		c.That(s.began <= p.now && s.foundAt <= s.began && (s.found != nil || math.IsInf(s.foundAt, -1)), "probes: a finding is of a probe that began", state)
+		c.That(len(server.requesters) == 0 || server.probing || sharing.now-server.startedAt < sharing.settings.MinInterval, "probes: who waits is served", state)
+		c.That(server.probesLocally == (own == 1) && own <= 1 && (server.wanted || !server.probesLocally), "probes: what this process probes for itself is what it wants", state)
+		c.That(!server.wanted || server.probesLocally || len(server.askedProbers) > 0 && server.waitsUntil <= sharing.now+max(sharing.settings.Patience, sharing.settings.progressTimeout()), "probes: each want has an end", state)
+		c.That(server.startedAt <= sharing.now && server.resultAt <= server.startedAt && (server.result != nil || math.IsInf(server.resultAt, -1)), "probes: a finding is of a probe that began", state)
 	}
 }
--- a/internal/cluster/overload/order.go
+++ b/internal/cluster/overload/order.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// cells numbers the cells of the order: by class in the order of shedding, safe ones before those that must not run twice.
-type cells struct {
-	of map[uint16][4]int
-	n  int
+// cellOrder numbers the cells of the order: by class in the order of shedding, safe ones before those that must not run twice.
+type cellOrder struct {
+	byClass map[uint16][4]int
+	count   int
 }
 
-func cellsOf(order []uint16, once map[uint16]bool) cells {
-	c := cells{of: map[uint16][4]int{}}
+func cellsOf(order []uint16, once map[uint16]bool) cellOrder {
+	c := cellOrder{byClass: map[uint16][4]int{}}
 	for _, last := range []bool{false, true} {
 		for stage := range 4 {
 			for _, k := range order {
 				if once[k] == last {
-					x := c.of[k]
-					x[stage] = c.n
-					c.of[k] = x
-					c.n++
+					x := c.byClass[k]
+					x[stage] = c.count
+					c.byClass[k] = x
+					c.count++
 				}
 			}
 		}
@@ -29,8 +29,8 @@
 	return c
 }
 
-// reorder sorts classes by worth for work, equals by worth and then the longest aim first, and leaves the order that there was where it is about right.
-func reorder(old []uint16, worth, work, aim map[uint16]float64) []uint16 {
+// orderClasses sorts classes by worth for work, equals by worth and then the longest aim first, and leaves the order that there was where it is about right.
+func orderClasses(old []uint16, worth, work, aim map[uint16]float64) []uint16 {
 	keys := make([]uint16, 0, len(worth))
 	dear := map[uint16]float64{}
 	for k, w := range worth { // sorted below: the map's order does not matter
@@ -46,7 +46,7 @@
 	most := 0.0
 	for _, k := range old {
 		d, ok := dear[k]
-		if !ok || d < most/roughly {
+		if !ok || d < most/toleranceFactor {
 			return keys
 		}
 		most = max(most, d)
@@ -54,10 +54,10 @@
 	return old
 }
 
-const roughly = 1.25
+const toleranceFactor = 1.25
 
-// levelOf is the level at which as much as need stands below it.
-func levelOf(demand []float64, need float64) float64 {
+// levelFor is the level at which as much as need stands below it.
+func levelFor(demand []float64, need float64) float64 {
 	for i, d := range demand {
 		if need <= 0 {
 			return float64(i)
@@ -70,16 +70,16 @@
 	return float64(len(demand))
 }
 
-// above is the demand that a level lets in.
-func above(demand []float64, level float64) (sum float64) {
+// admittedDemand is the demand that a level lets in.
+func admittedDemand(demand []float64, level float64) (sum float64) {
 	for i, d := range demand {
 		sum += d * max(0, min(1, float64(i+1)-level))
 	}
 	return sum
 }
 
-// beyond is the part of each tenant's demand that is beyond its share of a budget; what some leave is the others'.
-func beyond(want, share []float64, budget float64) []float64 {
+// beyondQuota is the part of each tenant's demand that is beyond its share of a budget; what some leave is the others'.
+func beyondQuota(want, share []float64, budget float64) []float64 {
 	out := make([]float64, len(want))
 	left, shares, open := budget, 0.0, []int{}
 	for i := range want {
@@ -100,8 +100,8 @@
 	return out
 }
 
-// middle is the median, the lower of two; 0 of none.
-func middle(x []float64) float64 {
+// lowerMedian is the median, the lower of two; 0 of none.
+func lowerMedian(x []float64) float64 {
 	if len(x) == 0 {
 		return 0
 	}
@@ -109,32 +109,32 @@
 	return x[(len(x)-1)/2]
 }
 
-// middleBudget is the median of budgets, the upper of two where that of levels is the lower: both let in more. It is 0 of none.
-func middleBudget(budgets []float64) float64 {
+// medianBudget is the median of budgets, the upper of two where that of levels is the lower: both let in more. It is 0 of none.
+func medianBudget(budgets []float64) float64 {
 	if len(budgets) == 0 {
 		return 0
 	}
-	slices.SortFunc(budgets, func(a, b float64) int { return cmp.Compare(limitOf(a), limitOf(b)) })
+	slices.SortFunc(budgets, func(a, b float64) int { return cmp.Compare(effectiveBudget(a), effectiveBudget(b)) })
 	return budgets[len(budgets)/2]
 }
 
-// limitOf is how much a budget lets in: 0 is none, which lets in everything.
-func limitOf(budget float64) float64 {
+// effectiveBudget is how much a budget lets in: 0 is none, which lets in everything.
+func effectiveBudget(budget float64) float64 {
 	if budget == 0 {
 		return math.Inf(1)
 	}
 	return budget
 }
 
-// grain rounds a guess of work to eighths of a doubling, so that it takes a byte and hardly ever changes.
-func grain(x float64) uint8 {
+// encodeWork rounds a guess of work to eighths of a doubling, so that it takes a byte and hardly ever changes.
+func encodeWork(x float64) uint8 {
 	if x <= 0 {
 		return 0
 	}
 	return uint8(max(1, min(255, 128+math.Round(8*math.Log2(x)))))
 }
 
-func ungrain(b uint8) float64 {
+func decodeWork(b uint8) float64 {
 	if b == 0 {
 		return 0
 	}
--- a/internal/cluster/overload/overload.go
+++ b/internal/cluster/overload/overload.go
@@ -11,89 +11,89 @@
 	"beechgrade/internal/invariant"
 )
 
-// Overload is one process's side of it.
-type Overload struct {
-	set     Settings
-	self    ID
-	now     float64
-	peers   []Peer // by ID
-	addr    map[ID]string
-	out     []Action
-	classes []uint16 // keys by number
-	tenants []uint16
-	worth   map[uint16]float64
-	aim     map[uint16]float64 // s
-	share   map[uint16]float64
-	once    map[uint16]bool
-	work    map[uint16]float64 // this pooler's own guesses
-	groups  map[int]*group
-	order   []*group // by number
-	tellAt  float64
-	seq     uint32
-	sent    []sent
-	stamps  map[ID]stamp // of collectors' last answers
-	lead    []uint16     // the order that it tells as a collector
-	box     []Action     // what is for this process itself
-
-	checks       *invariant.Checks
-	every, walks int
+// Controller is one process's side of it.
+type Controller struct {
+	settings       Settings
+	self           ID
+	now            float64
+	peers          []Peer // by ID
+	addresses      map[ID]string
+	actions        []Action
+	classes        []uint16 // keys by number
+	tenants        []uint16
+	priority       map[uint16]float64
+	objective      map[uint16]float64 // s
+	share          map[uint16]float64
+	notIdempotent  map[uint16]bool
+	work           map[uint16]float64 // this pooler's own guesses
+	groups         map[int]*groupState
+	sortedGroups   []*groupState // by number
+	nextReport     float64
+	sequence       uint32
+	pendingReports []pendingReport
+	collectorTimes map[ID]collectorTime // of collectors' last answers
+	collectorOrder []uint16             // the order that it tells as a collector
+	selfMessages   []Action             // what is for this process itself
+
+	checks                      *invariant.Checks
+	checkInterval, checkCounter int
 }
 
-type sent struct {
-	seq uint32
-	at  float64
+type pendingReport struct {
+	sequence uint32
+	sentAt   float64
 }
 
-type stamp struct{ stamp, at float64 }
-
-type flows struct{ first, again, in, done, ended, strain float64 }
-
-// group is one of which something was asked lately, or told.
-type group struct {
-	id      int
-	n, rate []flows // by class: since the last tell, and a second
-	tn, tr  []float64
-	open    []float64 // by class
-	since   float64
-	idle    int // tells without anything
-	given   []given
-	level   float64
-	budget  float64
-	heldAt  float64 // of the answer that the level is from
-	placed  placed
-	tells   []*told // as a collector, by ID
-	c       collected
-	orderOf []uint16
-	beyond  []Figure
+type collectorTime struct{ time, receivedAt float64 }
+
+type loadCounts struct{ first, retries, admitted, served, ended, strain float64 }
+
+// groupState is one of which something was asked lately, or told.
+type groupState struct {
+	id                        int
+	counts, rates             []loadCounts // by class: since the last tell, and a second
+	tenantCounts, tenantRates []float64
+	openRequests              []float64 // by class
+	ratesAt                   float64
+	idleReports               int // tells without anything
+	decisions                 []collectorDecision
+	level                     float64
+	budget                    float64
+	decidedAt                 float64 // of the answer that the level is from
+	applied                   appliedLevel
+	reports                   []*peerReport // as a collector, by ID
+	collected                 collected
+	classOrder                []uint16
+	beyondQuota               []KeyedValue
 }
 
-// given is a collector's answer.
-type given struct {
-	from  ID
-	at    float64 // of the tell that it answers: it is younger
-	order []uint16
-	v     Verdict
+// collectorDecision is a collector's answer.
+type collectorDecision struct {
+	from       ID
+	reportedAt float64 // of the tell that it answers: it is younger
+	order      []uint16
+	decision   ShedDecision
 }
 
-// placed is what the decision module was told last.
-type placed struct {
-	level  float64
-	order  []uint16
-	beyond []Figure
+// appliedLevel is what the decision module was told last.
+type appliedLevel struct {
+	level       float64
+	order       []uint16
+	beyondQuota []KeyedValue
 }
 
 // New makes a process's side.
-func New(set Settings, self ID, now float64) *Overload {
-	o := &Overload{self: self, now: now, groups: map[int]*group{}, addr: map[ID]string{}, stamps: map[ID]stamp{}, work: map[uint16]float64{}}
-	o.tellAt = now + float64(mixed(uint64(self), 1)%1000)/1000*set.Period
-	o.retune(set)
-	return o
+func New(set Settings, self ID, now float64) *Controller {
+	controller := &Controller{self: self, now: now, groups: map[int]*groupState{}, addresses: map[ID]string{}, collectorTimes: map[ID]collectorTime{}, work: map[uint16]float64{}}
+	controller.nextReport = now + float64(mixHash(uint64(self), 1)%1000)/1000*set.ReportInterval
+	controller.updateSettings(set)
+	return controller
 }
 
-// Key names a class or tenant between poolers.
-func Key(name string) uint16 { return uint16(xxhash.Sum64String(name)) }
+// NameKey names a class or tenant between poolers.
+func NameKey(name string) uint16 { return uint16(xxhash.Sum64String(name)) }
 
-func mixed(a, b uint64) uint64 {
+func mixHash(a, b uint64) uint64 {
 	var x [16]byte
 	for i := range 8 {
 		x[i], x[8+i] = byte(a>>(8*i)), byte(b>>(8*i))
@@ -101,126 +101,126 @@
 	return xxhash.Sum64(x[:])
 }
 
-func (o *Overload) retune(set Settings) {
-	o.set = set
-	o.classes, o.tenants = nil, nil
-	o.aim = map[uint16]float64{}
-	o.worth, o.share, o.once = map[uint16]float64{}, map[uint16]float64{}, map[uint16]bool{}
-	for _, c := range set.Classes[:min(len(set.Classes), MostClasses)] {
-		k := Key(c.Name)
-		o.classes = append(o.classes, k)
-		o.worth[k], o.once[k], o.aim[k] = c.Worth, c.Once, max(1, c.Aim)/1000
+func (controller *Controller) updateSettings(set Settings) {
+	controller.settings = set
+	controller.classes, controller.tenants = nil, nil
+	controller.objective = map[uint16]float64{}
+	controller.priority, controller.share, controller.notIdempotent = map[uint16]float64{}, map[uint16]float64{}, map[uint16]bool{}
+	for _, c := range set.Classes[:min(len(set.Classes), MaxClasses)] {
+		k := NameKey(c.Name)
+		controller.classes = append(controller.classes, k)
+		controller.priority[k], controller.notIdempotent[k], controller.objective[k] = c.Priority, c.NotIdempotent, max(1, c.ObjectiveMs)/1000
 	}
 	for _, t := range set.Tenants {
-		o.tenants = append(o.tenants, Key(t.Name))
-		o.share[Key(t.Name)] = t.Share
+		controller.tenants = append(controller.tenants, NameKey(t.Name))
+		controller.share[NameKey(t.Name)] = t.Share
 	}
-	for _, g := range o.order {
-		g.n, g.rate = sized(g.n, len(o.classes)), sized(g.rate, len(o.classes))
-		g.open = sized(g.open, len(o.classes))
-		g.tn, g.tr = sized(g.tn, len(o.tenants)), sized(g.tr, len(o.tenants))
-		g.placed = placed{level: -1}
+	for _, group := range controller.sortedGroups {
+		group.counts, group.rates = resized(group.counts, len(controller.classes)), resized(group.rates, len(controller.classes))
+		group.openRequests = resized(group.openRequests, len(controller.classes))
+		group.tenantCounts, group.tenantRates = resized(group.tenantCounts, len(controller.tenants)), resized(group.tenantRates, len(controller.tenants))
+		group.applied = appliedLevel{level: -1}
 	}
-	o.lead = nil
+	controller.collectorOrder = nil
 }
 
-func sized[T any](x []T, n int) []T { return append(x, make([]T, max(0, n-len(x)))...)[:n] }
+func resized[T any](x []T, n int) []T { return append(x, make([]T, max(0, n-len(x)))...)[:n] }
 
 // Handle takes one event and appends what is to be done.
-func (o *Overload) Handle(now float64, e Event, out []Action) []Action {
-	o.now, o.out = max(now, o.now), out
+func (controller *Controller) Handle(now float64, e Event, out []Action) []Action {
+	controller.now, controller.actions = max(now, controller.now), out
 	switch e := e.(type) {
 	case Tick:
-		o.tick()
-	case Members:
-		o.members(e)
-	case Asked:
-		if g := o.group(e.Group); g != nil && e.Class >= 0 && e.Class < len(g.n) {
-			if e.Again {
-				g.n[e.Class].again++
+		controller.tick()
+	case MembersChanged:
+		controller.updateMembers(e)
+	case RequestReceived:
+		if group := controller.group(e.Group); group != nil && e.Class >= 0 && e.Class < len(group.counts) {
+			if e.Retry {
+				group.counts[e.Class].retries++
 			} else {
-				g.n[e.Class].first++
+				group.counts[e.Class].first++
 			}
-			if e.In {
-				g.n[e.Class].in++
-				g.open[e.Class]++
+			if e.Admitted {
+				group.counts[e.Class].admitted++
+				group.openRequests[e.Class]++
 			}
-			if e.Tenant >= 0 && e.Tenant < len(g.tn) {
-				g.tn[e.Tenant]++
+			if e.Tenant >= 0 && e.Tenant < len(group.tenantCounts) {
+				group.tenantCounts[e.Tenant]++
 			}
 		}
-	case Ended:
-		if g := o.group(e.Group); g != nil && e.Class >= 0 && e.Class < len(g.n) && finite(e.Strain) {
-			f := &g.n[e.Class]
-			if g.open[e.Class] = max(0, g.open[e.Class]-1); e.Gone {
+	case RequestEnded:
+		if group := controller.group(e.Group); group != nil && e.Class >= 0 && e.Class < len(group.counts) && finite(e.Strain) {
+			f := &group.counts[e.Class]
+			if group.openRequests[e.Class] = max(0, group.openRequests[e.Class]-1); e.ClientGone {
 				break
 			}
 			f.ended++
 			f.strain += min(1, e.Strain)
 			if e.Served {
-				f.done++
+				f.served++
 			}
 		}
-	case Learned:
+	case WorkLearned:
 		for i, w := range e.Work {
-			if i < len(o.classes) && finite(w) {
-				o.work[o.classes[i]] = w
+			if i < len(controller.classes) && finite(w) {
+				controller.work[controller.classes[i]] = w
 			}
 		}
-	case Told:
-		o.told(e.From, e.Tell)
-	case Answered:
-		o.answered(e.From, e.Answer)
-	case Retune:
-		o.retune(e.Settings)
-	}
-	for len(o.box) > 0 { // at most one step deep: an answer leads to nothing
-		a := o.box[0]
-		o.box = o.box[1:]
-		if a.Kind == SendTell {
-			o.told(o.self, a.Tell)
+	case ReportReceived:
+		controller.handleReport(e.From, e.Report)
+	case DecisionsReceived:
+		controller.handleDecisions(e.From, e.Decisions)
+	case SettingsChanged:
+		controller.updateSettings(e.Settings)
+	}
+	for len(controller.selfMessages) > 0 { // at most one step deep: an answer leads to nothing
+		a := controller.selfMessages[0]
+		controller.selfMessages = controller.selfMessages[1:]
+		if a.Kind == SendReport {
+			controller.handleReport(controller.self, a.Report)
 		} else {
-			o.answered(o.self, a.Answer)
+			controller.handleDecisions(controller.self, a.Decisions)
 		}
 	}
-	if _, ticked := e.(Tick); ticked && o.checks.Enabled() {
-		o.checks.Walk(&o.walks, o.every, "overload: a walk", o.walk)
+	if _, ticked := e.(Tick); ticked && controller.checks.Enabled() {
+		controller.checks.Walk(&controller.checkCounter, controller.checkInterval, "overload: a walk", controller.checkState)
 	}
-	return o.out
+	return controller.actions
 }
 
 // group finds or files a group; nil where there are too many.
-func (o *Overload) group(id int) *group {
-	g := o.groups[id]
-	if g == nil && len(o.order) < MostGroups && id >= 0 {
-		g = &group{id: id, since: o.now, n: make([]flows, len(o.classes)), rate: make([]flows, len(o.classes)), open: make([]float64, len(o.classes)), tn: make([]float64, len(o.tenants)), tr: make([]float64, len(o.tenants))}
-		o.groups[id] = g
-		i, _ := slices.BinarySearchFunc(o.order, id, func(g *group, id int) int { return cmp.Compare(g.id, id) })
-		o.order = slices.Insert(o.order, i, g)
-	}
-	return g
+func (controller *Controller) group(id int) *groupState {
+	group := controller.groups[id]
+	if group == nil && len(controller.sortedGroups) < MaxGroups && id >= 0 {
+		group = &groupState{id: id, ratesAt: controller.now, counts: make([]loadCounts, len(controller.classes)), rates: make([]loadCounts, len(controller.classes)), openRequests: make([]float64, len(controller.classes)), tenantCounts: make([]float64, len(controller.tenants)), tenantRates: make([]float64, len(controller.tenants))}
+		controller.groups[id] = group
+		i, _ := slices.BinarySearchFunc(controller.sortedGroups, id, func(group *groupState, id int) int { return cmp.Compare(group.id, id) })
+		controller.sortedGroups = slices.Insert(controller.sortedGroups, i, group)
+	}
+	return group
 }
 
-func (o *Overload) members(e Members) {
-	o.self = e.Self
-	o.peers = append(o.peers[:0], e.Peers[:min(len(e.Peers), MostPeers)]...)
-	slices.SortFunc(o.peers, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
-	clear(o.addr)
-	for _, p := range o.peers {
-		o.addr[p.ID] = p.Addr
+func (controller *Controller) updateMembers(e MembersChanged) {
+	controller.self = e.Self
+	controller.peers = append(controller.peers[:0], e.Peers[:min(len(e.Peers), MaxPeers)]...)
+	slices.SortFunc(controller.peers, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
+	clear(controller.addresses)
+	for _, p := range controller.peers {
+		controller.addresses[p.ID] = p.Addr
 	}
-	maps.DeleteFunc(o.stamps, func(id ID, _ stamp) bool { return id != o.self && o.addr[id] == "" })
+	maps.DeleteFunc(controller.collectorTimes, func(id ID, _ collectorTime) bool { return id != controller.self && controller.addresses[id] == "" })
 }
 
-// First are the n first of the peers by rendezvous hashing of a key.
-func First(key uint64, n int, peers []Peer) []ID {
+// RendezvousPeers are the n first of the peers by rendezvous hashing of a key.
+func RendezvousPeers(key uint64, n int, peers []Peer) []ID {
 	type scored struct {
 		id ID
 		s  uint64
 	}
 	best := make([]scored, 0, n+1)
 	for _, p := range peers {
-		s := mixed(key, uint64(p.ID))
+		s := mixHash(key, uint64(p.ID))
 		i := len(best)
 		for i > 0 && (s > best[i-1].s || s == best[i-1].s && p.ID > best[i-1].id) {
 			i--
@@ -238,225 +238,225 @@
 }
 
 // CollectorsOf are those of a group, where these processes can all be reached.
-func (o *Overload) CollectorsOf(id int) []ID {
-	return First(uint64(id/Block)<<8|1, o.set.Collectors, o.peers)
+func (controller *Controller) CollectorsOf(id int) []ID {
+	return RendezvousPeers(uint64(id/GroupsPerBlock)<<8|1, controller.settings.Collectors, controller.peers)
 }
 
-func (o *Overload) tick() {
-	if o.now >= o.tellAt {
-		o.tellAt = max(o.tellAt+o.set.Period, o.now+o.set.Period/2)
-		o.tell()
-		o.collect()
+func (controller *Controller) tick() {
+	if controller.now >= controller.nextReport {
+		controller.nextReport = max(controller.nextReport+controller.settings.ReportInterval, controller.now+controller.settings.ReportInterval/2)
+		controller.sendReports()
+		controller.collect()
 	}
-	for _, g := range o.order {
-		o.settle(g)
+	for _, group := range controller.sortedGroups {
+		controller.updateLevel(group)
 	}
-	o.order = slices.DeleteFunc(o.order, func(g *group) bool {
-		old := g.idle > 200 && g.level == 0 && len(g.tells) == 0
+	controller.sortedGroups = slices.DeleteFunc(controller.sortedGroups, func(group *groupState) bool {
+		old := group.idleReports > 200 && group.level == 0 && len(group.reports) == 0
 		if old {
-			delete(o.groups, g.id)
+			delete(controller.groups, group.id)
 		}
 		return old
 	})
 }
 
-// tell brings rates up to now and tells them.
-func (o *Overload) tell() {
-	var block []*group
+// sendReports brings rates up to now and tells them.
+func (controller *Controller) sendReports() {
+	var block []*groupState
 	flush := func() {
 		if len(block) == 0 {
 			return
 		}
-		for _, id := range o.CollectorsOf(block[0].id) {
-			o.send(id, block)
+		for _, id := range controller.CollectorsOf(block[0].id) {
+			controller.sendReport(id, block)
 		}
 		block = nil
 	}
-	for _, g := range o.order {
-		if o.fade(g); g.idle > 20 && g.level == 0 {
+	for _, group := range controller.sortedGroups {
+		if controller.updateRates(group); group.idleReports > 20 && group.level == 0 {
 			continue
 		}
-		size := o.set.toldOf()
-		if len(block) > 0 && (block[0].id/Block != g.id/Block || size*(len(block)+1) > mostTold) {
+		size := controller.settings.groupReportBytes()
+		if len(block) > 0 && (block[0].id/GroupsPerBlock != group.id/GroupsPerBlock || size*(len(block)+1) > maxReportBytes) {
 			flush()
 		}
-		block = append(block, g)
+		block = append(block, group)
 	}
 	flush()
 }
 
-func (o *Overload) fade(g *group) {
-	dt := o.now - g.since
+func (controller *Controller) updateRates(group *groupState) {
+	dt := controller.now - group.ratesAt
 	if dt <= 0 {
 		return
 	}
-	keep := math.Exp(-dt / o.set.Memory)
+	keep := math.Exp(-dt / controller.settings.RateMemory)
 	in := (1 - keep) * 1000 / dt
 	busy := false
-	for i := range g.n {
-		n, r := &g.n[i], &g.rate[i]
-		busy = busy || n.first+n.again+n.ended > 0
-		r.first, r.again, r.done = r.first*keep+n.first*in, r.again*keep+n.again*in, r.done*keep+n.done*in
-		r.in = r.in*keep + n.in*in
+	for i := range group.counts {
+		n, r := &group.counts[i], &group.rates[i]
+		busy = busy || n.first+n.retries+n.ended > 0
+		r.first, r.retries, r.served = r.first*keep+n.first*in, r.retries*keep+n.retries*in, r.served*keep+n.served*in
+		r.admitted = r.admitted*keep + n.admitted*in
 		r.ended, r.strain = r.ended*keep+n.ended*in, r.strain*keep+n.strain*in
-		*n = flows{}
+		*n = loadCounts{}
 	}
-	for i := range g.tn {
-		g.tr[i] = g.tr[i]*keep + g.tn[i]*in
-		g.tn[i] = 0
+	for i := range group.tenantCounts {
+		group.tenantRates[i] = group.tenantRates[i]*keep + group.tenantCounts[i]*in
+		group.tenantCounts[i] = 0
 	}
-	g.since = o.now
-	if g.idle++; busy {
-		g.idle = 0
+	group.ratesAt = controller.now
+	if group.idleReports++; busy {
+		group.idleReports = 0
 	}
 }
 
-const mostTold = 1000 // bytes about groups in a datagram
+const maxReportBytes = 1000 // bytes about groups in a datagram
 
-const remembered = 64 // tells whose answers are taken
+const maxPendingReports = 64 // tells whose answers are taken
 
-func (o *Overload) send(to ID, block []*group) {
-	o.seq++
-	if o.sent = append(o.sent, sent{o.seq, o.now}); len(o.sent) > remembered {
-		o.sent = o.sent[1:]
+func (controller *Controller) sendReport(to ID, block []*groupState) {
+	controller.sequence++
+	if controller.pendingReports = append(controller.pendingReports, pendingReport{controller.sequence, controller.now}); len(controller.pendingReports) > maxPendingReports {
+		controller.pendingReports = controller.pendingReports[1:]
 	}
-	t := &Tell{Seq: o.seq}
-	if s, ok := o.stamps[to]; ok {
-		t.Stamp, t.Held = s.stamp, o.now-s.at
+	t := &LoadReport{Sequence: controller.sequence}
+	if s, ok := controller.collectorTimes[to]; ok {
+		t.CollectorTime, t.HeldMs = s.time, controller.now-s.receivedAt
 	}
-	for _, k := range o.classes {
-		if w := o.work[k]; w > 0 {
-			t.Work = append(t.Work, Figure{k, ungrain(grain(w))})
+	for _, k := range controller.classes {
+		if w := controller.work[k]; w > 0 {
+			t.Work = append(t.Work, KeyedValue{k, decodeWork(encodeWork(w))})
 		}
 	}
-	for _, g := range block {
-		p := Pressure{Group: g.id, Budget: g.budget, Level: g.level}
-		for i, k := range o.classes {
-			if r := g.rate[i]; r.first+r.again+r.ended+g.open[i] >= nothing {
-				p.Classes = append(p.Classes, Flow{k, r.first, r.again, r.in, r.done, r.ended, r.strain, g.open[i]})
+	for _, group := range block {
+		p := GroupLoad{Group: group.id, Budget: group.budget, Level: group.level}
+		for i, k := range controller.classes {
+			if r := group.rates[i]; r.first+r.retries+r.ended+group.openRequests[i] >= minRate {
+				p.Classes = append(p.Classes, ClassLoad{k, r.first, r.retries, r.admitted, r.served, r.ended, r.strain, group.openRequests[i]})
 			}
 		}
-		p.Tenants = o.mostOf(g)
+		p.Tenants = controller.topTenants(group)
 		t.Groups = append(t.Groups, p)
 	}
-	o.put(Action{Kind: SendTell, To: to, Tell: t})
+	controller.enqueue(Action{Kind: SendReport, To: to, Report: t})
 }
 
-const nothing = 1.0 / 64 // a second: less is nothing
+const minRate = 1.0 / 64 // a second: less is nothing
 
-// mostOf are the tenants that ask for most.
-func (o *Overload) mostOf(g *group) (out []Figure) {
-	for i, k := range o.tenants {
-		if g.tr[i] >= nothing {
-			out = append(out, Figure{k, g.tr[i]})
+// topTenants are the tenants that ask for most.
+func (controller *Controller) topTenants(group *groupState) (out []KeyedValue) {
+	for i, k := range controller.tenants {
+		if group.tenantRates[i] >= minRate {
+			out = append(out, KeyedValue{k, group.tenantRates[i]})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Figure) int { return cmp.Compare(b.X, a.X) })
-	return out[:min(len(out), MostTenants)]
+	slices.SortStableFunc(out, func(a, b KeyedValue) int { return cmp.Compare(b.Value, a.Value) })
+	return out[:min(len(out), MaxTenants)]
 }
 
-func (o *Overload) put(a Action) {
-	if a.To == o.self {
-		o.box = append(o.box, a)
-	} else if a.Addr = o.addr[a.To]; a.Addr != "" {
-		o.out = append(o.out, a)
+func (controller *Controller) enqueue(a Action) {
+	if a.To == controller.self {
+		controller.selfMessages = append(controller.selfMessages, a)
+	} else if a.Addr = controller.addresses[a.To]; a.Addr != "" {
+		controller.actions = append(controller.actions, a)
 	}
 }
 
-// answered takes a collector's answer.
-func (o *Overload) answered(from ID, a *Answer) {
-	i := slices.IndexFunc(o.sent, func(s sent) bool { return s.seq == a.Seq })
-	if i < 0 || o.now-o.sent[i].at > o.set.Stale {
+// handleDecisions takes a collector's answer.
+func (controller *Controller) handleDecisions(from ID, a *ShedDecisions) {
+	i := slices.IndexFunc(controller.pendingReports, func(s pendingReport) bool { return s.sequence == a.Sequence })
+	if i < 0 || controller.now-controller.pendingReports[i].sentAt > controller.settings.StaleAfter {
 		return
 	}
-	at := o.sent[i].at
-	if from != o.self && o.addr[from] == "" || !finite(a.Stamp) {
+	at := controller.pendingReports[i].sentAt
+	if from != controller.self && controller.addresses[from] == "" || !finite(a.CollectorTime) {
 		return
 	}
-	if s, ok := o.stamps[from]; !ok || a.Stamp > s.stamp {
-		o.stamps[from] = stamp{a.Stamp, o.now}
+	if s, ok := controller.collectorTimes[from]; !ok || a.CollectorTime > s.time {
+		controller.collectorTimes[from] = collectorTime{a.CollectorTime, controller.now}
 	}
 	for _, v := range a.Groups {
-		g := o.groups[v.Group]
+		group := controller.groups[v.Group]
 		v.Level = min(v.Level, float64(4*len(a.Order))) // a collector's word is none on classes that it does not know
-		if g == nil || !finite(v.Level) || !finite(v.Budget) || !slices.Contains(o.CollectorsOf(v.Group), from) {
+		if group == nil || !finite(v.Level) || !finite(v.Budget) || !slices.Contains(controller.CollectorsOf(v.Group), from) {
 			continue
 		}
-		k := slices.IndexFunc(g.given, func(x given) bool { return x.from == from })
+		k := slices.IndexFunc(group.decisions, func(x collectorDecision) bool { return x.from == from })
 		switch {
 		case k < 0:
-			g.given = append(g.given, given{from, at, a.Order, v})
-		case at >= g.given[k].at:
-			g.given[k] = given{from, at, a.Order, v}
+			group.decisions = append(group.decisions, collectorDecision{from, at, a.Order, v})
+		case at >= group.decisions[k].reportedAt:
+			group.decisions[k] = collectorDecision{from, at, a.Order, v}
 		default: // overtaken
 			continue
 		}
-		o.settle(g)
+		controller.updateLevel(group)
 	}
 }
 
-// settle goes by the answer with the middle level, or lets the level fall where there is none.
-func (o *Overload) settle(g *group) {
-	g.given = slices.DeleteFunc(g.given, func(x given) bool { return o.now-x.at > o.set.Stale })
-	if len(g.given) > 0 {
-		slices.SortStableFunc(g.given, func(a, b given) int {
-			return cmp.Or(cmp.Compare(a.v.Level, b.v.Level), cmp.Compare(a.from, b.from))
+// updateLevel goes by the answer with the middle level, or lets the level fall where there is none.
+func (controller *Controller) updateLevel(group *groupState) {
+	group.decisions = slices.DeleteFunc(group.decisions, func(x collectorDecision) bool { return controller.now-x.reportedAt > controller.settings.StaleAfter })
+	if len(group.decisions) > 0 {
+		slices.SortStableFunc(group.decisions, func(a, b collectorDecision) int {
+			return cmp.Or(cmp.Compare(a.decision.Level, b.decision.Level), cmp.Compare(a.from, b.from))
 		})
-		x := g.given[(len(g.given)-1)/2]
-		budgets := make([]float64, len(g.given)) // apart: of equal levels one could be a liar's
-		for i := range g.given {
-			budgets[i] = g.given[i].v.Budget
+		x := group.decisions[(len(group.decisions)-1)/2]
+		budgets := make([]float64, len(group.decisions)) // apart: of equal levels one could be a liar's
+		for i := range group.decisions {
+			budgets[i] = group.decisions[i].decision.Budget
 		}
-		g.level, g.budget, g.heldAt, g.orderOf, g.beyond = x.v.Level, middleBudget(budgets), o.now, x.order, x.v.Beyond
-		o.place(g, g.level)
+		group.level, group.budget, group.decidedAt, group.classOrder, group.beyondQuota = x.decision.Level, medianBudget(budgets), controller.now, x.order, x.decision.BeyondQuota
+		controller.applyShedding(group, group.level)
 		return
 	}
-	if g.level > 0 {
-		fall := min(1, max(0, (o.now-g.heldAt-o.set.Hold)/o.set.Fall))
-		if o.place(g, g.level*(1-fall)); fall == 1 {
-			g.level, g.budget = 0, 0
+	if group.level > 0 {
+		fall := min(1, max(0, (controller.now-group.decidedAt-controller.settings.HoldTime)/controller.settings.FadeTime))
+		if controller.applyShedding(group, group.level*(1-fall)); fall == 1 {
+			group.level, group.budget = 0, 0
 		}
 	}
 }
 
-// place tells the decision module, where that is news.
-func (o *Overload) place(g *group, level float64) {
-	p := &g.placed
-	if level == p.level && (level == 0 || slices.Equal(p.order, g.orderOf) && slices.Equal(p.beyond, g.beyond)) {
+// applyShedding tells the decision module, where that is news.
+func (controller *Controller) applyShedding(group *groupState, level float64) {
+	p := &group.applied
+	if level == p.level && (level == 0 || slices.Equal(p.order, group.classOrder) && slices.Equal(p.beyondQuota, group.beyondQuota)) {
 		return
 	}
 	if level == 0 && p.level <= 0 {
 		p.level = 0
 		return
 	}
-	*p = placed{level, g.orderOf, g.beyond}
+	*p = appliedLevel{level, group.classOrder, group.beyondQuota}
 	if level == 0 {
-		o.out = append(o.out, Action{Kind: Shed, Group: g.id})
+		controller.actions = append(controller.actions, Action{Kind: Shed, Group: group.id})
 		return
 	}
-	x := &Place{Level: level, Cells: make([][4]int, len(o.classes)), Beyond: make([]float64, len(o.tenants)), Keep: o.set.Keep}
-	c := cellsOf(g.orderOf, o.once)
-	for i, k := range o.classes {
-		at, ok := c.of[k]
+	x := &Shedding{Level: level, Cells: make([][4]int, len(controller.classes)), BeyondQuota: make([]float64, len(controller.tenants)), SessionPeriod: controller.settings.SessionPeriod}
+	c := cellsOf(group.classOrder, controller.notIdempotent)
+	for i, k := range controller.classes {
+		at, ok := c.byClass[k]
 		if !ok { // a class that the collector does not know is shed last
-			at = [4]int{c.n, c.n, c.n, c.n}
+			at = [4]int{c.count, c.count, c.count, c.count}
 		}
 		x.Cells[i] = at
 	}
-	for i, k := range o.tenants {
-		for _, b := range g.beyond {
+	for i, k := range controller.tenants {
+		for _, b := range group.beyondQuota {
 			if b.Key == k {
-				x.Beyond[i] = min(1, b.X)
+				x.BeyondQuota[i] = min(1, b.Value)
 			}
 		}
 	}
-	o.out = append(o.out, Action{Kind: Shed, Group: g.id, Place: x})
+	controller.actions = append(controller.actions, Action{Kind: Shed, Group: group.id, Shedding: x})
 }
 
-// Standings tell how groups stand here.
-func (o *Overload) Standings() (out []Standing) {
-	for _, g := range o.order {
-		out = append(out, Standing{Group: g.id, Level: max(0, g.placed.level), Cells: 4 * len(o.classes), Budget: g.budget, Answers: len(g.given)})
+// Statuses tell how groups stand here.
+func (controller *Controller) Statuses() (out []Status) {
+	for _, group := range controller.sortedGroups {
+		out = append(out, Status{Group: group.id, Level: max(0, group.applied.level), Cells: 4 * len(controller.classes), Budget: group.budget, Answers: len(group.decisions)})
 	}
 	return out
 }
--- a/internal/cluster/overload/overload_test.go
+++ b/internal/cluster/overload/overload_test.go
@@ -14,8 +14,8 @@
 // fleet is some processes whose words take delay to arrive, in steps.
 type fleet struct {
 	now   float64
-	all   []*Overload
-	place []map[int]*Place
+	all   []*Controller
+	place []map[int]*Shedding
 	mail  []mail
 	delay float64
 	later func(to int) float64 // than delay
@@ -29,43 +29,43 @@
 	m        any
 }
 
-var classes = []Class{{Name: "list", Worth: 1, Aim: 400}, {Name: "read", Worth: 4, Aim: 400}, {Name: "write", Worth: 5, Aim: 400, Once: true}}
+var classes = []Class{{Name: "list", Priority: 1, ObjectiveMs: 400}, {Name: "read", Priority: 4, ObjectiveMs: 400}, {Name: "write", Priority: 5, ObjectiveMs: 400, NotIdempotent: true}}
 
 func newFleet(t invariant.T, n int, set Settings) *fleet {
 	f := &fleet{now: 1e6, cut: func(int, int) bool { return false }, later: func(int) float64 { return 0 }, delay: 1}
 	set.Classes = classes
 	for i := range n {
-		o := New(set, ID(i+1), f.now)
-		o.Check(invariant.Test(t), 1)
-		f.all = append(f.all, o)
-		f.place = append(f.place, map[int]*Place{})
+		controller := New(set, ID(i+1), f.now)
+		controller.CheckInvariants(invariant.Test(t), 1)
+		f.all = append(f.all, controller)
+		f.place = append(f.place, map[int]*Shedding{})
 	}
 	f.members()
 	return f
 }
 
 func (f *fleet) members() {
-	for i, o := range f.all {
+	for i, controller := range f.all {
 		var p []Peer
 		for k := range f.all {
 			if !f.cut(i, k) {
 				p = append(p, Peer{ID(k + 1), string(rune('a' + k))})
 			}
 		}
-		f.do(i, Members{ID(i + 1), p})
-		_ = o
+		f.do(i, MembersChanged{ID(i + 1), p})
+		_ = controller
 	}
 }
 
 func (f *fleet) do(i int, e Event) {
 	for _, a := range f.all[i].Handle(f.now, e, nil) {
-		var m any = a.Tell
+		var m any = a.Report
 		switch a.Kind {
 		case Shed:
-			f.place[i][a.Group] = a.Place
+			f.place[i][a.Group] = a.Shedding
 			continue
-		case SendAnswer:
-			m = a.Answer
+		case SendDecisions:
+			m = a.Decisions
 		}
 		if f.twist != nil {
 			m = f.twist(i, m)
@@ -87,10 +87,10 @@
 			continue
 		}
 		switch x := m.m.(type) {
-		case *Tell:
-			f.do(m.to, Told{ID(m.from + 1), x})
-		case *Answer:
-			f.do(m.to, Answered{ID(m.from + 1), x})
+		case *LoadReport:
+			f.do(m.to, ReportReceived{ID(m.from + 1), x})
+		case *ShedDecisions:
+			f.do(m.to, DecisionsReceived{ID(m.from + 1), x})
 		}
 	}
 	for i := range f.all {
@@ -139,7 +139,7 @@
 				s.session++
 				class, u := s.session%3, math.Mod(float64(s.session)*0.618034, 1)
 				ok := s.lets(i, class, u)
-				s.f.do(i, Asked{Group: 3, Class: class, Tenant: -1, In: ok})
+				s.f.do(i, RequestReceived{Group: 3, Class: class, Tenant: -1, Admitted: ok})
 				if !ok {
 					continue
 				}
@@ -151,12 +151,12 @@
 		for len(s.line) > 0 {
 			w, age := s.line[0], s.f.now-s.line[0].at
 			if age > 2000 {
-				s.f.do(w.i, Ended{Group: 3, Class: w.class, Strain: 1})
+				s.f.do(w.i, RequestEnded{Group: 3, Class: w.class, Strain: 1})
 			} else if s.able < 1 {
 				break
 			} else {
 				s.able--
-				s.f.do(w.i, Ended{Group: 3, Class: w.class, Served: true, Strain: max(0, min(1, (age/400-0.7)/0.3))})
+				s.f.do(w.i, RequestEnded{Group: 3, Class: w.class, Served: true, Strain: max(0, min(1, (age/400-0.7)/0.3))})
 			}
 			s.line = s.line[1:]
 		}
@@ -210,14 +210,14 @@
 	for name, times := range map[string]float64{"no load": 0, "all load": 1000} {
 		f := newFleet(t, 8, Defaults())
 		f.twist = func(from int, m any) any {
-			if x, ok := m.(*Tell); ok && from == 2 {
+			if x, ok := m.(*LoadReport); ok && from == 2 {
 				c := *x
 				c.Groups = slices.Clone(x.Groups)
 				for i := range c.Groups {
 					c.Groups[i].Classes = slices.Clone(c.Groups[i].Classes)
 					for k := range c.Groups[i].Classes {
 						l := &c.Groups[i].Classes[k]
-						l.First, l.In, l.Done, l.Ended, l.Strain = l.First*times, l.In*times, l.Done*times, l.Ended*times, l.Strain*times
+						l.FirstAttempts, l.Admitted, l.Served, l.Ended, l.Strain = l.FirstAttempts*times, l.Admitted*times, l.Served*times, l.Ended*times, l.Strain*times
 					}
 				}
 				return &c
@@ -242,7 +242,7 @@
 	}
 	f.cut = func(a, b int) bool { return (a == 0) != (b == 0) }
 	set := Defaults()
-	s.run(int((set.Lonely() + set.Stale) / 50))
+	s.run(int((set.IsolationBound() + set.StaleAfter) / 50))
 	if p := f.place[0][3]; p != nil {
 		t.Errorf("it still sheds from %g", p.Level)
 	}
@@ -269,28 +269,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		x := func(most float64) float64 { return math.Round(rapid.Float64Range(0, most).Draw(t, "x")*64) / 64 }
 		key := rapid.Uint16()
-		m := &Tell{Seq: rapid.Uint32().Draw(t, "seq"), Stamp: x(1e12), Held: x(1e4)}
-		for range rapid.IntRange(0, Block).Draw(t, "groups") {
-			p := Pressure{Group: rapid.IntRange(0, 1<<30).Draw(t, "group"), Budget: float64(float32(x(1e6))), Level: float64(float32(x(100)))}
+		m := &LoadReport{Sequence: rapid.Uint32().Draw(t, "seq"), CollectorTime: x(1e12), HeldMs: x(1e4)}
+		for range rapid.IntRange(0, GroupsPerBlock).Draw(t, "groups") {
+			p := GroupLoad{Group: rapid.IntRange(0, 1<<30).Draw(t, "group"), Budget: float64(float32(x(1e6))), Level: float64(float32(x(100)))}
 			for range rapid.IntRange(0, 4).Draw(t, "classes") {
-				p.Classes = append(p.Classes, Flow{key.Draw(t, "key"), x(1e5), x(1e5), x(1e5), x(1e5), x(1e5), x(1e5), x(1e5)})
+				p.Classes = append(p.Classes, ClassLoad{key.Draw(t, "key"), x(1e5), x(1e5), x(1e5), x(1e5), x(1e5), x(1e5), x(1e5)})
 			}
 			m.Groups = append(m.Groups, p)
 		}
 		b := m.Append(nil)
-		got, err := Read(b)
+		got, err := Decode(b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again := got.(*Tell).Append(nil); !bytes.Equal(b, again) {
+		if again := got.(*LoadReport).Append(nil); !bytes.Equal(b, again) {
 			t.Fatalf("read as %+v, told %+v", got, m)
 		}
 		if n := rapid.IntRange(0, len(b)-1).Draw(t, "cut"); n < len(b) {
-			if _, err := Read(b[:n]); err == nil {
+			if _, err := Decode(b[:n]); err == nil {
 				t.Fatalf("%d of %d bytes were taken", n, len(b))
 			}
 		}
-		_, _ = Read(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "noise"))
+		_, _ = Decode(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "noise"))
 	})
 }
 
@@ -313,9 +313,9 @@
 			f := newFleet(t, 8, Defaults())
 			asked := f.all[0]
 			collectors := asked.CollectorsOf(3)
-			asker := slices.IndexFunc(f.all, func(o *Overload) bool { return !slices.Contains(collectors, o.self) })
+			asker := slices.IndexFunc(f.all, func(controller *Controller) bool { return !slices.Contains(collectors, controller.self) })
 			asked = f.all[asker]
-			f.do(asker, Asked{Group: 3, Class: 0, Tenant: -1, In: true})
+			f.do(asker, RequestReceived{Group: 3, Class: 0, Tenant: -1, Admitted: true})
 			for range 6 {
 				f.now += 50
 				f.do(asker, Tick{})
@@ -326,9 +326,9 @@
 				if x.budgets[i] > 1 {
 					level = 8
 				}
-				f.do(asker, Answered{collectors[i], &Answer{Seq: asked.seq, Stamp: f.now, Order: []uint16{1, 2, 3}, Groups: []Verdict{{Group: 3, Level: level, Budget: x.budgets[i]}}}})
+				f.do(asker, DecisionsReceived{collectors[i], &ShedDecisions{Sequence: asked.sequence, CollectorTime: f.now, Order: []uint16{1, 2, 3}, Groups: []ShedDecision{{Group: 3, Level: level, Budget: x.budgets[i]}}}})
 			}
-			if got := asked.Standings()[0]; got.Answers != len(x.budgets) || got.Budget != x.middle {
+			if got := asked.Statuses()[0]; got.Answers != len(x.budgets) || got.Budget != x.middle {
 				t.Errorf("%s: of %v from %d on it goes by %g", x.name, x.budgets, turn, got.Budget)
 			}
 		}
@@ -343,7 +343,7 @@
 		collectors := f.all[0].CollectorsOf(3)
 		liar, slow := int(collectors[0])-1, int(collectors[1])-1
 		f.twist = func(from int, m any) any {
-			x, ok := m.(*Answer)
+			x, ok := m.(*ShedDecisions)
 			if !ok || from != liar {
 				return m
 			}
@@ -381,7 +381,7 @@
 func TestLiarBegins(t *testing.T) {
 	f := newFleet(t, 8, Defaults())
 	f.twist = func(from int, m any) any {
-		x, ok := m.(*Tell)
+		x, ok := m.(*LoadReport)
 		if !ok || from != 2 {
 			return m
 		}
--- a/internal/cluster/overload/probes.go
+++ b/internal/cluster/overload/probes.go
@@ -27,41 +27,47 @@
 //
 // Probes that a server gets: at most Probers*(1000/Each) a second by the fleet's word, and those that askers make for themselves (Settings.Most).
 type ProbeSettings struct {
-	Probers  int
-	Each     float64
-	Age      float64
-	Patience float64
-	Shun     float64
-	Probe    float64 // that a probe takes at most
-	Step     float64
+	Probers      int
+	MinInterval  float64
+	MaxResultAge float64
+	Patience     float64
+	SkipTime     float64
+	ProbeTimeout float64 // that a probe takes at most
+	TickInterval float64
 }
 
 // DefaultProbes suit poolers that stand near each other.
 func DefaultProbes() ProbeSettings {
-	return ProbeSettings{Probers: 2, Each: 20, Age: 20, Patience: 120, Shun: 2000, Probe: 300, Step: 50}
+	return ProbeSettings{Probers: 2, MinInterval: 20, MaxResultAge: 20, Patience: 120, SkipTime: 2000, ProbeTimeout: 300, TickInterval: 50}
 }
 
-// Replace bounds how long a prober that has died is waited for.
-func (s *ProbeSettings) Replace() float64 { return s.Patience + s.Step }
+// ReplacementBound bounds how long a prober that has died is waited for.
+func (s *ProbeSettings) ReplacementBound() float64 { return s.Patience + s.TickInterval }
 
-// atIt is for how long one that is at a probe is waited for, from its word.
-func (s *ProbeSettings) atIt() float64 { return max(s.Probe, s.Each) + 2*s.Step }
+// progressTimeout is for how long one that is at a probe is waited for, from its word.
+func (s *ProbeSettings) progressTimeout() float64 {
+	return max(s.ProbeTimeout, s.MinInterval) + 2*s.TickInterval
+}
 
-// Latest bounds the time from when a probe is wanted until the module is told: both probers may be at one, and then at the next, then it
+// LatencyBound bounds the time from when a probe is wanted until the module is told: both probers may be at one, and then at the next, then it
 // probes itself.
-func (s *ProbeSettings) Latest() float64 { return 2*(s.Patience+2*s.atIt()+s.Step) + s.Probe }
+func (s *ProbeSettings) LatencyBound() float64 {
+	return 2*(s.Patience+2*s.progressTimeout()+s.TickInterval) + s.ProbeTimeout
+}
 
-// Most bounds the probes a second that a server gets from n poolers, all of which hear their probers: by these.
-func (s *ProbeSettings) Most(n int) float64 { return float64(min(n, s.Probers)) * 1000 / s.Each }
+// MaxRate bounds the probes a second that a server gets from n poolers, all of which hear their probers: by these.
+func (s *ProbeSettings) MaxRate(n int) float64 {
+	return float64(min(n, s.Probers)) * 1000 / s.MinInterval
+}
 
 // Result is what a probe found.
 type Result uint8
 
 // The results.
 const (
-	Good Result = iota
-	Bad         // no answer, or none that tells it to be well
-	Busy        // Found only: the prober is at it
+	Healthy    Result = iota
+	Unhealthy         // no answer, or none that tells it to be well
+	InProgress        // Found only: the prober is at it
 )
 
 // Finding is what a probe found: for the poolers' cores to read.
@@ -72,320 +78,322 @@
 	Position float64 // 0 for none
 }
 
-// Want asks a prober about a server.
-type Want struct {
-	Server string
-	Seq    uint32
+// ProbeRequest asks a prober about a server.
+type ProbeRequest struct {
+	Server   string
+	Sequence uint32
 }
 
-// Found answers a Want.
-type Found struct {
-	Server string
-	Seq    uint32
-	Began  float64 // ms before this answer that the probe began
+// ProbeResult answers a Want.
+type ProbeResult struct {
+	Server       string
+	Sequence     uint32
+	StartedMsAgo float64 // ms before this answer that the probe began
 	Finding
 }
 
-// MostServer bounds a server's name, in bytes.
-const MostServer = 255
+// MaxServerNameBytes bounds a server's name, in bytes.
+const MaxServerNameBytes = 255
 
 // ProbeAction is something that is to be done.
 type ProbeAction struct {
-	Probe  string // this process is to probe it
-	To     ID     // Want or Found goes there
-	Addr   string
-	Want   *Want
-	Found  *Found
-	Tell   bool // the module is told Finding of Server, as old as Age
-	Server string
-	Age    float64
+	Probe    string // this process is to probe it
+	To       ID     // Want or Found goes there
+	Addr     string
+	Request  *ProbeRequest
+	Response *ProbeResult
+	Report   bool // the module is told Finding of Server, as old as Age
+	Server   string
+	Age      float64
 	Finding
 }
 
-// Probes shares them. It is told by calls and appends to out what is to be done.
-type Probes struct {
-	set     ProbeSettings
-	self    ID
-	now     float64
-	peers   []Peer
-	addr    map[ID]string
-	servers map[string]*server
-	names   []string
-	shunned map[ID]float64
-	seq     uint32
-
-	checks       *invariant.Checks
-	every, walks int
+// ProbeSharing shares them. It is told by calls and appends to out what is to be done.
+type ProbeSharing struct {
+	settings     ProbeSettings
+	self         ID
+	now          float64
+	peers        []Peer
+	addresses    map[ID]string
+	servers      map[string]*probedServer
+	names        []string
+	skippedUntil map[ID]float64
+	sequence     uint32
+
+	checks                      *invariant.Checks
+	checkInterval, checkCounter int
 }
 
-type server struct {
+type probedServer struct {
 	// as a prober
-	began   float64 // of the last probe, -Inf for none
-	probing bool
-	found   *Finding // of the last that ended
-	foundAt float64  // began of it
-	askers  []asker  // that wait for the next
-	again   bool     // a probe is due once Each is over
+	startedAt  float64 // of the last probe, -Inf for none
+	probing    bool
+	result     *Finding    // of the last that ended
+	resultAt   float64     // began of it
+	requesters []requester // that wait for the next
+	again      bool        // a probe is due once Each is over
 	// as an asker
-	wanted bool
-	wantAt float64
-	asked  []ID
-	seq    uint32
-	until  float64
-	own    bool // it probes itself
-	bad    *Finding
-	badAge float64
-	badBy  ID
-	avoid  ID      // said lately that it does not answer, where another found it well: it is passed over here...
-	avoids float64 // ...until then
-	last   float64
+	wanted             bool
+	requestedAt        float64
+	askedProbers       []ID
+	sequence           uint32
+	waitsUntil         float64
+	probesLocally      bool // it probes itself
+	unhealthyResult    *Finding
+	unhealthyAge       float64
+	unhealthyFrom      ID
+	skippedProber      ID      // said lately that it does not answer, where another found it well: it is passed over here...
+	skippedProberUntil float64 // ...until then
+	lastUsed           float64
 }
 
-type asker struct {
-	id  ID
-	seq uint32
-	own bool
-	at  float64
-	hi  bool // it was told that this one is at it
+type requester struct {
+	id          ID
+	sequence    uint32
+	local       bool
+	requestedAt float64
+	notified    bool // it was told that this one is at it
 }
 
 // NewProbes makes a process's side.
-func NewProbes(set ProbeSettings, self ID, now float64) *Probes {
-	return &Probes{set: set, self: self, now: now, servers: map[string]*server{}, shunned: map[ID]float64{}, addr: map[ID]string{}}
+func NewProbes(set ProbeSettings, self ID, now float64) *ProbeSharing {
+	return &ProbeSharing{settings: set, self: self, now: now, servers: map[string]*probedServer{}, skippedUntil: map[ID]float64{}, addresses: map[ID]string{}}
 }
 
-// Members brings those that can be reached.
-func (p *Probes) Members(self ID, peers []Peer) {
-	p.self = self
-	p.peers = peers[:min(len(peers), MostPeers)]
-	clear(p.addr)
-	for _, x := range p.peers {
-		p.addr[x.ID] = x.Addr
+// UpdateMembers brings those that can be reached.
+func (sharing *ProbeSharing) UpdateMembers(self ID, peers []Peer) {
+	sharing.self = self
+	sharing.peers = peers[:min(len(peers), MaxPeers)]
+	clear(sharing.addresses)
+	for _, x := range sharing.peers {
+		sharing.addresses[x.ID] = x.Addr
 	}
-	for _, s := range p.servers { // each by itself
-		s.askers = slices.DeleteFunc(s.askers, func(a asker) bool { return !a.own && p.addr[a.id] == "" })
+	for _, server := range sharing.servers { // each by itself
+		server.requesters = slices.DeleteFunc(server.requesters, func(a requester) bool { return !a.local && sharing.addresses[a.id] == "" })
 	}
 }
 
 // ProbersOf are those of a server.
-func (p *Probes) ProbersOf(name string) []ID { return ProbersOf(name, p.set.Probers, p.peers) }
+func (sharing *ProbeSharing) ProbersOf(name string) []ID {
+	return ProbersOf(name, sharing.settings.Probers, sharing.peers)
+}
 
 // ProbersOf are so many probers of a server, of processes that can be reached.
 func ProbersOf(name string, n int, peers []Peer) []ID {
-	return First(xxhash.Sum64String(name), n, peers)
+	return RendezvousPeers(xxhash.Sum64String(name), n, peers)
 }
 
-const mostServers = 4096
+const maxServers = 4096
 
-func (p *Probes) server(name string) *server {
-	s := p.servers[name]
-	if s == nil {
-		if len(p.names) >= mostServers {
+func (sharing *ProbeSharing) server(name string) *probedServer {
+	server := sharing.servers[name]
+	if server == nil {
+		if len(sharing.names) >= maxServers {
 			return nil
 		}
-		s = &server{began: math.Inf(-1), foundAt: math.Inf(-1)}
-		p.servers[name] = s
-		i, _ := slices.BinarySearch(p.names, name)
-		p.names = slices.Insert(p.names, i, name)
+		server = &probedServer{startedAt: math.Inf(-1), resultAt: math.Inf(-1)}
+		sharing.servers[name] = server
+		i, _ := slices.BinarySearch(sharing.names, name)
+		sharing.names = slices.Insert(sharing.names, i, name)
 	}
-	s.last = p.now
-	return s
+	server.lastUsed = sharing.now
+	return server
 }
 
-// Wanted has the module want a probe.
-func (p *Probes) Wanted(now float64, name string, out []ProbeAction) []ProbeAction {
-	p.now = max(now, p.now)
-	s := p.server(name)
-	if s == nil || len(name) > MostServer {
+// RequestProbe has the module want a probe.
+func (sharing *ProbeSharing) RequestProbe(now float64, name string, out []ProbeAction) []ProbeAction {
+	sharing.now = max(now, sharing.now)
+	server := sharing.server(name)
+	if server == nil || len(name) > MaxServerNameBytes {
 		return append(out, ProbeAction{Probe: name})
 	}
-	if s.wanted {
+	if server.wanted {
 		return out
 	}
-	s.wanted, s.wantAt, s.asked, s.bad, s.own = true, p.now, s.asked[:0], nil, false
-	return p.ask(name, s, out)
+	server.wanted, server.requestedAt, server.askedProbers, server.unhealthyResult, server.probesLocally = true, sharing.now, server.askedProbers[:0], nil, false
+	return sharing.requestFromNextProber(name, server, out)
 }
 
-// ask asks the next prober that may answer, or has this process probe.
-func (p *Probes) ask(name string, s *server, out []ProbeAction) []ProbeAction {
-	ids := p.ProbersOf(name)
-	if slices.Contains(ids, p.self) || len(ids) == 0 {
-		return p.mine(name, s, out)
+// requestFromNextProber asks the next prober that may answer, or has this process probe.
+func (sharing *ProbeSharing) requestFromNextProber(name string, server *probedServer, out []ProbeAction) []ProbeAction {
+	ids := sharing.ProbersOf(name)
+	if slices.Contains(ids, sharing.self) || len(ids) == 0 {
+		return sharing.probeLocally(name, server, out)
 	}
 	for _, id := range ids {
-		if slices.Contains(s.asked, id) || p.now < p.shunned[id] || id == s.avoid && p.now < s.avoids {
+		if slices.Contains(server.askedProbers, id) || sharing.now < sharing.skippedUntil[id] || id == server.skippedProber && sharing.now < server.skippedProberUntil {
 			continue
 		}
-		p.seq++
-		s.asked = append(s.asked, id)
-		s.seq, s.wantAt, s.until = p.seq, p.now, p.now+p.set.Patience
-		return append(out, ProbeAction{To: id, Addr: p.addr[id], Want: &Want{name, s.seq}})
+		sharing.sequence++
+		server.askedProbers = append(server.askedProbers, id)
+		server.sequence, server.requestedAt, server.waitsUntil = sharing.sequence, sharing.now, sharing.now+sharing.settings.Patience
+		return append(out, ProbeAction{To: id, Addr: sharing.addresses[id], Request: &ProbeRequest{name, server.sequence}})
 	}
-	if s.bad != nil && len(s.asked) >= min(2, len(ids)) {
-		return p.end(name, s, *s.bad, s.badAge, out)
+	if server.unhealthyResult != nil && len(server.askedProbers) >= min(2, len(ids)) {
+		return sharing.reportResult(name, server, *server.unhealthyResult, server.unhealthyAge, out)
 	}
-	return p.mine(name, s, out)
+	return sharing.probeLocally(name, server, out)
 }
 
-// mine has this process probe for itself.
-func (p *Probes) mine(name string, s *server, out []ProbeAction) []ProbeAction {
-	s.own, s.until = true, math.Inf(1)
-	return p.serve(name, s, asker{own: true, at: p.now}, out)
+// probeLocally has this process probe for itself.
+func (sharing *ProbeSharing) probeLocally(name string, server *probedServer, out []ProbeAction) []ProbeAction {
+	server.probesLocally, server.waitsUntil = true, math.Inf(1)
+	return sharing.serveRequester(name, server, requester{local: true, requestedAt: sharing.now}, out)
 }
 
-// serve has somebody told of a probe that is young enough, or of the next.
-func (p *Probes) serve(name string, s *server, a asker, out []ProbeAction) []ProbeAction {
-	if s.found != nil && p.now-s.foundAt <= p.set.Age {
-		return p.give(name, s, a, out)
+// serveRequester has somebody told of a probe that is young enough, or of the next.
+func (sharing *ProbeSharing) serveRequester(name string, server *probedServer, a requester, out []ProbeAction) []ProbeAction {
+	if server.result != nil && sharing.now-server.resultAt <= sharing.settings.MaxResultAge {
+		return sharing.sendResult(name, server, a, out)
 	}
-	i := slices.IndexFunc(s.askers, func(x asker) bool { return x.id == a.id && x.own == a.own })
+	i := slices.IndexFunc(server.requesters, func(x requester) bool { return x.id == a.id && x.local == a.local })
 	switch {
 	case i >= 0:
-		s.askers[i] = a
-	case len(s.askers) < MostPeers:
-		s.askers = append(s.askers, a)
+		server.requesters[i] = a
+	case len(server.requesters) < MaxPeers:
+		server.requesters = append(server.requesters, a)
 	}
-	return p.begin(name, s, out)
+	return sharing.startProbe(name, server, out)
 }
 
-func (p *Probes) begin(name string, s *server, out []ProbeAction) []ProbeAction {
-	if s.probing || len(s.askers) == 0 || p.now-s.began < p.set.Each {
+func (sharing *ProbeSharing) startProbe(name string, server *probedServer, out []ProbeAction) []ProbeAction {
+	if server.probing || len(server.requesters) == 0 || sharing.now-server.startedAt < sharing.settings.MinInterval {
 		return out
 	}
-	s.probing, s.began = true, p.now
+	server.probing, server.startedAt = true, sharing.now
 	return append(out, ProbeAction{Probe: name})
 }
 
-// give tells an asker what was found.
-func (p *Probes) give(name string, s *server, a asker, out []ProbeAction) []ProbeAction {
-	age := p.now - s.foundAt
-	if a.own {
-		return p.end(name, s, *s.found, age, out)
+// sendResult tells an asker what was found.
+func (sharing *ProbeSharing) sendResult(name string, server *probedServer, a requester, out []ProbeAction) []ProbeAction {
+	age := sharing.now - server.resultAt
+	if a.local {
+		return sharing.reportResult(name, server, *server.result, age, out)
 	}
-	return append(out, ProbeAction{To: a.id, Addr: p.addr[a.id], Found: &Found{name, a.seq, age, *s.found}})
+	return append(out, ProbeAction{To: a.id, Addr: sharing.addresses[a.id], Response: &ProbeResult{name, a.sequence, age, *server.result}})
 }
 
-// end tells the module.
-func (p *Probes) end(name string, s *server, f Finding, age float64, out []ProbeAction) []ProbeAction {
-	if s.bad != nil && f.Result == Good {
-		s.avoid, s.avoids = s.badBy, p.now+p.set.Shun
+// reportResult tells the module.
+func (sharing *ProbeSharing) reportResult(name string, server *probedServer, f Finding, age float64, out []ProbeAction) []ProbeAction {
+	if server.unhealthyResult != nil && f.Result == Healthy {
+		server.skippedProber, server.skippedProberUntil = server.unhealthyFrom, sharing.now+sharing.settings.SkipTime
 	}
-	s.wanted, s.own, s.bad, s.until = false, false, nil, 0
-	return append(out, ProbeAction{Tell: true, Server: name, Age: age, Finding: f})
+	server.wanted, server.probesLocally, server.unhealthyResult, server.waitsUntil = false, false, nil, 0
+	return append(out, ProbeAction{Report: true, Server: name, Age: age, Finding: f})
 }
 
-// Ended tells what a probe of this process's own found. Who asked after it began waits for the next, unless it is young enough.
-func (p *Probes) Ended(now float64, name string, f Finding, out []ProbeAction) []ProbeAction {
-	p.now = max(now, p.now)
-	s := p.server(name)
-	if s == nil {
-		return append(out, ProbeAction{Tell: true, Server: name, Finding: f})
+// ProbeEnded tells what a probe of this process's own found. Who asked after it began waits for the next, unless it is young enough.
+func (sharing *ProbeSharing) ProbeEnded(now float64, name string, f Finding, out []ProbeAction) []ProbeAction {
+	sharing.now = max(now, sharing.now)
+	server := sharing.server(name)
+	if server == nil {
+		return append(out, ProbeAction{Report: true, Server: name, Finding: f})
 	}
-	if !s.probing {
+	if !server.probing {
 		return out
 	}
-	s.probing, s.found, s.foundAt = false, &f, s.began
-	askers := s.askers
-	s.askers = nil
+	server.probing, server.result, server.resultAt = false, &f, server.startedAt
+	askers := server.requesters
+	server.requesters = nil
 	for _, a := range askers {
-		if a.at <= s.began || a.at-s.began <= p.set.Age || f.Result != Good {
-			out = p.give(name, s, a, out)
+		if a.requestedAt <= server.startedAt || a.requestedAt-server.startedAt <= sharing.settings.MaxResultAge || f.Result != Healthy {
+			out = sharing.sendResult(name, server, a, out)
 		} else {
-			a.hi = false // of the next probe it is to be told by itself
-			s.askers = append(s.askers, a)
+			a.notified = false // of the next probe it is to be told by itself
+			server.requesters = append(server.requesters, a)
 		}
 	}
-	return p.begin(name, s, out)
+	return sharing.startProbe(name, server, out)
 }
 
-// Heard takes a message.
-func (p *Probes) Heard(now float64, from ID, m any, out []ProbeAction) []ProbeAction {
-	p.now = max(now, p.now)
-	if p.addr[from] == "" {
+// Receive takes a message.
+func (sharing *ProbeSharing) Receive(now float64, from ID, m any, out []ProbeAction) []ProbeAction {
+	sharing.now = max(now, sharing.now)
+	if sharing.addresses[from] == "" {
 		return out
 	}
 	switch m := m.(type) {
-	case *Want:
-		s := p.server(m.Server)
-		if s == nil {
+	case *ProbeRequest:
+		server := sharing.server(m.Server)
+		if server == nil {
 			return out
 		}
 		n := len(out)
-		out = p.serve(m.Server, s, asker{id: from, seq: m.Seq, at: p.now}, out)
-		if s.probing && p.now-s.began > p.set.Age && len(out) == n { // it takes its time: say so
-			out = p.busy(m.Server, s, out)
+		out = sharing.serveRequester(m.Server, server, requester{id: from, sequence: m.Sequence, requestedAt: sharing.now}, out)
+		if server.probing && sharing.now-server.startedAt > sharing.settings.MaxResultAge && len(out) == n { // it takes its time: say so
+			out = sharing.notifyInProgress(m.Server, server, out)
 		}
-	case *Found:
-		s := p.servers[m.Server]
-		if s == nil || !s.wanted || s.own || s.seq != m.Seq || len(s.asked) == 0 || s.asked[len(s.asked)-1] != from {
+	case *ProbeResult:
+		server := sharing.servers[m.Server]
+		if server == nil || !server.wanted || server.probesLocally || server.sequence != m.Sequence || len(server.askedProbers) == 0 || server.askedProbers[len(server.askedProbers)-1] != from {
 			return out
 		}
-		delete(p.shunned, from)
-		switch age := p.now - s.wantAt + m.Began; {
-		case m.Result == Busy:
-			s.until = p.now + p.set.atIt()
-		case m.Result == Good:
-			return p.end(m.Server, s, m.Finding, age, out)
+		delete(sharing.skippedUntil, from)
+		switch age := sharing.now - server.requestedAt + m.StartedMsAgo; {
+		case m.Result == InProgress:
+			server.waitsUntil = sharing.now + sharing.settings.progressTimeout()
+		case m.Result == Healthy:
+			return sharing.reportResult(m.Server, server, m.Finding, age, out)
 		default:
-			s.bad, s.badAge, s.badBy = &m.Finding, age, from
-			return p.ask(m.Server, s, out)
+			server.unhealthyResult, server.unhealthyAge, server.unhealthyFrom = &m.Finding, age, from
+			return sharing.requestFromNextProber(m.Server, server, out)
 		}
 	}
 	return out
 }
 
-// busy tells those who wait that a probe is under way.
-func (p *Probes) busy(name string, s *server, out []ProbeAction) []ProbeAction {
-	for i := range s.askers {
-		if a := &s.askers[i]; !a.own && !a.hi {
-			a.hi = true
-			out = append(out, ProbeAction{To: a.id, Addr: p.addr[a.id], Found: &Found{name, a.seq, 0, Finding{Result: Busy}}})
+// notifyInProgress tells those who wait that a probe is under way.
+func (sharing *ProbeSharing) notifyInProgress(name string, server *probedServer, out []ProbeAction) []ProbeAction {
+	for i := range server.requesters {
+		if a := &server.requesters[i]; !a.local && !a.notified {
+			a.notified = true
+			out = append(out, ProbeAction{To: a.id, Addr: sharing.addresses[a.id], Response: &ProbeResult{name, a.sequence, 0, Finding{Result: InProgress}}})
 		}
 	}
 	return out
 }
 
 // Tick tells that time has passed.
-func (p *Probes) Tick(now float64, out []ProbeAction) []ProbeAction {
-	p.now = max(now, p.now)
-	for _, name := range p.names {
-		s := p.servers[name]
-		if s.wanted && !s.own && p.now >= s.until {
-			if n := len(s.asked); n > 0 {
-				p.shunned[s.asked[n-1]] = p.now + p.set.Shun
+func (sharing *ProbeSharing) Tick(now float64, out []ProbeAction) []ProbeAction {
+	sharing.now = max(now, sharing.now)
+	for _, name := range sharing.names {
+		server := sharing.servers[name]
+		if server.wanted && !server.probesLocally && sharing.now >= server.waitsUntil {
+			if n := len(server.askedProbers); n > 0 {
+				sharing.skippedUntil[server.askedProbers[n-1]] = sharing.now + sharing.settings.SkipTime
 			}
-			out = p.mine(name, s, out)
+			out = sharing.probeLocally(name, server, out)
 		}
-		if s.probing && p.now-s.began > p.set.Age {
-			out = p.busy(name, s, out)
+		if server.probing && sharing.now-server.startedAt > sharing.settings.MaxResultAge {
+			out = sharing.notifyInProgress(name, server, out)
 		}
-		out = p.begin(name, s, out)
+		out = sharing.startProbe(name, server, out)
 	}
-	p.names = slices.DeleteFunc(p.names, func(name string) bool {
-		s := p.servers[name]
-		old := !s.wanted && !s.probing && len(s.askers) == 0 && p.now-s.last > 60000
+	sharing.names = slices.DeleteFunc(sharing.names, func(name string) bool {
+		server := sharing.servers[name]
+		old := !server.wanted && !server.probing && len(server.requesters) == 0 && sharing.now-server.lastUsed > 60000
 		if old {
-			delete(p.servers, name)
+			delete(sharing.servers, name)
 		}
 		return old
 	})
-	for id, until := range p.shunned { // each on its own
-		if p.now >= until {
-			delete(p.shunned, id)
+	for id, until := range sharing.skippedUntil { // each on its own
+		if sharing.now >= until {
+			delete(sharing.skippedUntil, id)
 		}
 	}
-	if p.checks.Enabled() {
-		p.checks.Walk(&p.walks, p.every, "probes: a walk", p.walk)
+	if sharing.checks.Enabled() {
+		sharing.checks.Walk(&sharing.checkCounter, sharing.checkInterval, "probes: a walk", sharing.checkState)
 	}
 	return out
 }
 
 // Due is when a probe that waits for its turn may begin, +Inf for none.
-func (p *Probes) Due() float64 {
+func (sharing *ProbeSharing) Due() float64 {
 	due := math.Inf(1)
-	for _, name := range p.names {
-		if s := p.servers[name]; !s.probing && len(s.askers) > 0 {
-			due = min(due, s.began+p.set.Each)
+	for _, name := range sharing.names {
+		if server := sharing.servers[name]; !server.probing && len(server.requesters) > 0 {
+			due = min(due, server.startedAt+sharing.settings.MinInterval)
 		}
 	}
 	return due
--- a/internal/cluster/overload/probes_test.go
+++ b/internal/cluster/overload/probes_test.go
@@ -13,7 +13,7 @@
 // probers are processes that share probes, in steps of 1 ms; each word takes way to arrive.
 type probers struct {
 	now    float64
-	all    []*Probes
+	all    []*ProbeSharing
 	dead   map[int]bool
 	mail   []mail
 	sees   func(i int) bool // the server answers a probe of this process
@@ -30,10 +30,10 @@
 		peers = append(peers, Peer{ID(i + 1), fmt.Sprint(i)})
 	}
 	for i := range n {
-		p := NewProbes(DefaultProbes(), ID(i+1), w.now)
-		p.Members(ID(i+1), peers)
-		p.Check(invariant.Test(t), 1)
-		w.all = append(w.all, p)
+		sharing := NewProbes(DefaultProbes(), ID(i+1), w.now)
+		sharing.UpdateMembers(ID(i+1), peers)
+		sharing.CheckInvariants(invariant.Test(t), 1)
+		w.all = append(w.all, sharing)
 	}
 	return w
 }
@@ -44,11 +44,11 @@
 		case a.Probe != "":
 			w.probes[i]++
 			w.began[i] = w.now
-		case a.Want != nil:
-			w.mail = append(w.mail, mail{w.now + 1, i, int(a.To) - 1, a.Want})
-		case a.Found != nil:
-			w.mail = append(w.mail, mail{w.now + 1, i, int(a.To) - 1, a.Found})
-		case a.Tell:
+		case a.Request != nil:
+			w.mail = append(w.mail, mail{w.now + 1, i, int(a.To) - 1, a.Request})
+		case a.Response != nil:
+			w.mail = append(w.mail, mail{w.now + 1, i, int(a.To) - 1, a.Response})
+		case a.Report:
 			w.ends[i] = append(w.ends[i], a)
 		}
 	}
@@ -59,11 +59,11 @@
 	for i, at := range w.began {
 		took, f := w.took, Finding{Position: 5}
 		if !w.sees(i) {
-			took, f = 250, Finding{Result: Bad, Kind: 4}
+			took, f = 250, Finding{Result: Unhealthy, Kind: 4}
 		}
 		if w.now >= at+took && !w.dead[i] {
 			delete(w.began, i)
-			w.do(i, w.all[i].Ended(w.now, "s", f, nil))
+			w.do(i, w.all[i].ProbeEnded(w.now, "s", f, nil))
 		}
 	}
 	mails := w.mail
@@ -72,12 +72,12 @@
 		if m.at > w.now {
 			w.mail = append(w.mail, m)
 		} else if !w.dead[m.to] && !w.dead[m.from] {
-			w.do(m.to, w.all[m.to].Heard(w.now, ID(m.from+1), m.m, nil))
+			w.do(m.to, w.all[m.to].Receive(w.now, ID(m.from+1), m.m, nil))
 		}
 	}
-	for i, p := range w.all {
-		if !w.dead[i] && (int(w.now)%50 == 0 || w.now >= p.Due()) {
-			w.do(i, p.Tick(w.now, nil))
+	for i, sharing := range w.all {
+		if !w.dead[i] && (int(w.now)%50 == 0 || w.now >= sharing.Due()) {
+			w.do(i, sharing.Tick(w.now, nil))
 		}
 	}
 }
@@ -89,8 +89,8 @@
 	set := DefaultProbes()
 	for ms := range 2000 {
 		if ms%10 == 0 {
-			for i, p := range w.all {
-				w.do(i, p.Wanted(w.now, "s", nil))
+			for i, sharing := range w.all {
+				w.do(i, sharing.RequestProbe(w.now, "s", nil))
 			}
 		}
 		w.step()
@@ -99,7 +99,7 @@
 	for _, n := range w.probes {
 		total += n
 	}
-	if most := set.Most(20) * 2; float64(total) > most+4 || total < 50 {
+	if most := set.MaxRate(20) * 2; float64(total) > most+4 || total < 50 {
 		t.Errorf("%d probes; the bound is %g", total, most)
 	}
 	for i := range w.all {
@@ -107,7 +107,7 @@
 			t.Errorf("process %d was told %d times", i, len(w.ends[i]))
 		}
 		for _, a := range w.ends[i] {
-			if a.Age > set.Age+2*set.Each+10 || a.Result != Good {
+			if a.Age > set.MaxResultAge+2*set.MinInterval+10 || a.Result != Healthy {
 				t.Fatalf("process %d was told %+v", i, a)
 			}
 		}
@@ -125,16 +125,16 @@
 		} else {
 			w.sees = func(i int) bool { return i != first }
 		}
-		for i, p := range w.all {
+		for i, sharing := range w.all {
 			if !w.dead[i] {
-				w.do(i, p.Wanted(w.now, "s", nil))
+				w.do(i, sharing.RequestProbe(w.now, "s", nil))
 			}
 		}
-		for range int(set.Latest()) {
+		for range int(set.LatencyBound()) {
 			w.step()
 		}
 		for i := range w.all {
-			if ends := w.ends[i]; i != first && (len(ends) != 1 || ends[0].Result != Good) {
+			if ends := w.ends[i]; i != first && (len(ends) != 1 || ends[0].Result != Healthy) {
 				t.Errorf("dead %v: process %d was told %+v", dead, i, ends)
 			}
 		}
@@ -152,7 +152,7 @@
 	}
 	waits := make([]float64, 6)
 	for k := range waits {
-		w.do(who, w.all[who].Wanted(w.now, "s", nil))
+		w.do(who, w.all[who].RequestProbe(w.now, "s", nil))
 		for began := w.now; len(w.ends[who]) <= k && w.now < began+2000; w.step() {
 			waits[k] = w.now - began
 		}
@@ -178,8 +178,8 @@
 				w.dead[k] = rapid.Bool().Draw(t, "is")
 			}
 			had := len(w.ends[who])
-			w.do(who, w.all[who].Wanted(w.now, "s", nil))
-			for range int(set.Latest()) {
+			w.do(who, w.all[who].RequestProbe(w.now, "s", nil))
+			for range int(set.LatencyBound()) {
 				w.step()
 			}
 			if got := len(w.ends[who]) - had; got != 1 {
--- a/internal/cluster/overload/retrybudget/account.go
+++ b/internal/cluster/overload/retrybudget/account.go
@@ -13,106 +13,108 @@
 	"time"
 )
 
-// Repeats says how many copies, and repeats of what may have run, a group may have. It is not changed any more.
-type Repeats struct {
-	Part  float64         // of first attempts
-	Floor float64         // so many more over all poolers, and as many again each Span
-	Span  time.Duration   //
-	Lent  map[int]float64 // by group: what this pooler was lent, less what it lent, ever
+// Settings says how many copies, and repeats of what may have run, a group may have. It is not changed any more.
+type Settings struct {
+	AttemptShare float64         // of first attempts
+	Floor        float64         // so many more over all poolers, and as many again each Span
+	Span         time.Duration   //
+	Lent         map[int]float64 // by group: what this pooler was lent, less what it lent, ever
 }
 
-// least is what a pooler may have saved up at least.
-const least = 2.0
+// minDepth is what a pooler may have saved up at least.
+const minDepth = 2.0
 
-// Own is a pooler's part of the floor, of so many that stand beside each other.
-func (b *Repeats) Own(siblings, processes int) float64 {
+// OwnFloor is a pooler's part of the floor, of so many that stand beside each other.
+func (b *Settings) OwnFloor(siblings, processes int) float64 {
 	return b.Floor / float64(max(1, siblings)*max(1, processes))
 }
 
 // Depth is what it may have saved up.
-func (b *Repeats) Depth(siblings, processes int) float64 {
-	return max(least, b.Own(siblings, processes))
+func (b *Settings) Depth(siblings, processes int) float64 {
+	return max(minDepth, b.OwnFloor(siblings, processes))
 }
 
-// Most bounds the repeats of a group over all poolers, if none is lost, where so many first attempts were sent since the first of n processes
+// MaxRetries bounds the repeats of a group over all poolers, if none is lost, where so many first attempts were sent since the first of n processes
 // began. Each process that begins later brings its part of a floor.
-func (b *Repeats) Most(firsts, n, siblings int, since time.Duration) float64 {
-	return b.Part*float64(firsts) + b.Own(siblings, 1)*float64(n)*(1+since.Seconds()/b.Span.Seconds())
+func (b *Settings) MaxRetries(firsts, n, siblings int, since time.Duration) float64 {
+	return b.AttemptShare*float64(firsts) + b.OwnFloor(siblings, 1)*float64(n)*(1+since.Seconds()/b.Span.Seconds())
 }
 
-// Accounts are a pooler's, by group. Without Repeats everything is allowed.
-type Accounts struct {
-	set        *Repeats
-	own, depth float64
-	of         map[int]*held
+// Budgets are a pooler's, by group. Without Repeats everything is allowed.
+type Budgets struct {
+	settings        *Settings
+	ownFloor, depth float64
+	balances        map[int]*balance
 }
 
-type held struct {
-	left float64
-	at   time.Duration
+type balance struct {
+	remaining float64
+	at        time.Duration
 }
 
-// Tune takes new settings, and what was lent since those that were.
-func (a *Accounts) Tune(now time.Duration, b *Repeats, siblings, processes int) {
-	was := a.set
-	if a.set = b; b == nil || was == nil {
-		a.of = nil
+// UpdateSettings takes new settings, and what was lent since those that were.
+func (a *Budgets) UpdateSettings(now time.Duration, b *Settings, siblings, processes int) {
+	was := a.settings
+	if a.settings = b; b == nil || was == nil {
+		a.balances = nil
 	}
 	if b == nil {
 		return
 	}
-	a.own, a.depth = b.Own(siblings, processes), b.Depth(siblings, processes)
+	a.ownFloor, a.depth = b.OwnFloor(siblings, processes), b.Depth(siblings, processes)
 	if was == nil {
 		return
 	}
 	for id, x := range b.Lent { // each on its own
 		if d := x - was.Lent[id]; d != 0 {
-			a.at(now, id).left += d
+			a.balanceAt(now, id).remaining += d
 		}
 	}
 }
 
-// at brings a group's up to now.
-func (a *Accounts) at(now time.Duration, group int) *held {
-	p := a.of[group]
+// balanceAt brings a group's up to now.
+func (a *Budgets) balanceAt(now time.Duration, group int) *balance {
+	p := a.balances[group]
 	if p == nil {
-		if a.of == nil {
-			a.of = map[int]*held{}
+		if a.balances == nil {
+			a.balances = map[int]*balance{}
 		}
-		p = &held{a.own, now}
-		a.of[group] = p
+		p = &balance{a.ownFloor, now}
+		a.balances[group] = p
 	}
-	p.add(a.own*(now-p.at).Seconds()/a.set.Span.Seconds(), a.depth)
+	p.add(a.ownFloor*(now-p.at).Seconds()/a.settings.Span.Seconds(), a.depth)
 	p.at = now
 	return p
 }
 
 // add brings more, as far as there is room; what was lent may stand above that.
-func (p *held) add(x, depth float64) { p.left = max(p.left, min(depth, p.left+x)) }
+func (p *balance) add(x, depth float64) { p.remaining = max(p.remaining, min(depth, p.remaining+x)) }
 
-// Affords tells whether a group may have one more.
-func (a *Accounts) Affords(now time.Duration, group int) bool {
-	return a.set == nil || a.at(now, group).left >= 1
+// Allows tells whether a group may have one more.
+func (a *Budgets) Allows(now time.Duration, group int) bool {
+	return a.settings == nil || a.balanceAt(now, group).remaining >= 1
 }
 
-// Sent counts an attempt: a request's first one, or one that does again what may have run.
-func (a *Accounts) Sent(now time.Duration, group int, first, again bool) {
+// CountAttempt counts an attempt: a request's first one, or one that does again what may have run.
+func (a *Budgets) CountAttempt(now time.Duration, group int, first, again bool) {
 	switch {
-	case a.set == nil:
+	case a.settings == nil:
 	case first:
-		a.at(now, group).add(a.set.Part, a.depth)
+		a.balanceAt(now, group).add(a.settings.AttemptShare, a.depth)
 	case again:
-		a.at(now, group).left--
+		a.balanceAt(now, group).remaining--
 	}
 }
 
-// Left is what a group has, and Groups those that anything was sent to.
-func (a *Accounts) Left(now time.Duration, group int) float64 { return a.at(now, group).left }
+// Remaining is what a group has, and Groups those that anything was sent to.
+func (a *Budgets) Remaining(now time.Duration, group int) float64 {
+	return a.balanceAt(now, group).remaining
+}
 
 // Groups are in their order.
-func (a *Accounts) Groups() []int {
+func (a *Budgets) Groups() []int {
 	var out []int
-	for id := range a.of { // sorted below
+	for id := range a.balances { // sorted below
 		out = append(out, id)
 	}
 	slices.Sort(out)
@@ -122,31 +124,31 @@
 // never is before anything.
 const never = time.Duration(math.MinInt64 / 2)
 
-// Slow is how long a server that has returned is come back to slowly.
-const Slow = 5 * time.Second
+// SlowStartTime is how long a server that has returned is come back to slowly.
+const SlowStartTime = 5 * time.Second
 
-// Return is a server as one that was down, or is new: when that was, since when it is used again, and how many this pooler has had there at
+// SlowStart is a server as one that was down, or is new: when that was, since when it is used again, and how many this pooler has had there at
 // once since.
-type Return struct {
-	of, from time.Duration
-	luck     float64
-	most     int
+type SlowStart struct {
+	returnedAt, usedSince time.Duration
+	phase                 float64
+	maxConnections        int
 }
 
-// NewReturn is of a server that was always there.
-func NewReturn() Return { return Return{of: never} }
+// NewSlowStart is of a server that was always there.
+func NewSlowStart() SlowStart { return SlowStart{returnedAt: never} }
 
-// Has counts what is there at once.
-func (b *Return) Has(n int) { b.most = max(b.most, n) }
+// ObserveConnections counts what is there at once.
+func (b *SlowStart) ObserveConnections(n int) { b.maxConnections = max(b.maxConnections, n) }
 
-// May tells whether so many may become one more: as many as there were, or by this pooler's rate a second since it is used again. It last
+// AllowsConnection tells whether so many may become one more: as many as there were, or by this pooler's rate a second since it is used again. It last
 // returned at of, and was used from then on, or is so only now.
-func (b *Return) May(now, of time.Duration, then bool, n int, rate float64, luck func() float64) bool {
-	if of > b.of {
-		if *b = (Return{of: of, from: now}); then {
-			b.from = min(now, of)
+func (b *SlowStart) AllowsConnection(now, of time.Duration, then bool, n int, rate float64, luck func() float64) bool {
+	if of > b.returnedAt {
+		if *b = (SlowStart{returnedAt: of, usedSince: now}); then {
+			b.usedSince = min(now, of)
 		}
-		b.luck = luck()
+		b.phase = luck()
 	}
-	return n < b.most || b.of == never || now-b.from >= Slow || float64(b.most) < math.Floor(b.luck+(now-b.from).Seconds()*rate)
+	return n < b.maxConnections || b.returnedAt == never || now-b.usedSince >= SlowStartTime || float64(b.maxConnections) < math.Floor(b.phase+(now-b.usedSince).Seconds()*rate)
 }
--- a/internal/cluster/overload/retrybudget/account_test.go
+++ b/internal/cluster/overload/retrybudget/account_test.go
@@ -15,11 +15,11 @@
 func TestNeverMoreThanEarned(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(rt, "poolers")
-		set := Repeats{Part: rapid.Float64Range(0, 1).Draw(rt, "part"), Floor: rapid.Float64Range(0, 20).Draw(rt, "floor"), Span: 10 * sec}
-		all, lent := make([]Accounts, n), make([]float64, n)
+		set := Settings{AttemptShare: rapid.Float64Range(0, 1).Draw(rt, "part"), Floor: rapid.Float64Range(0, 20).Draw(rt, "floor"), Span: 10 * sec}
+		all, lent := make([]Budgets, n), make([]float64, n)
 		for i := range all {
 			b := set
-			all[i].Tune(0, &b, n, 1)
+			all[i].UpdateSettings(0, &b, n, 1)
 		}
 		now, firsts, again := time.Duration(0), 0, 0
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
@@ -27,26 +27,26 @@
 			i := rapid.IntRange(0, n-1).Draw(rt, "who")
 			switch a := &all[i]; rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0, 1:
-				a.Sent(now, 7, true, false)
+				a.CountAttempt(now, 7, true, false)
 				firsts++
 			case 2:
-				if a.Affords(now, 7) {
-					a.Sent(now, 7, false, true)
+				if a.Allows(now, 7) {
+					a.CountAttempt(now, 7, false, true)
 					again++
 				}
 			case 3: // all that is whole goes to the next one
-				if x := a.Left(now, 7); x > 0 {
+				if x := a.Remaining(now, 7); x > 0 {
 					to := (i + 1) % n
 					lent[i], lent[to] = lent[i]-x, lent[to]+x
 					for _, k := range []int{i, to} {
 						b := set
 						b.Lent = map[int]float64{7: lent[k]}
-						all[k].Tune(now, &b, n, 1)
+						all[k].UpdateSettings(now, &b, n, 1)
 					}
 				}
 			}
 		}
-		if most := set.Most(firsts, n, n, now); float64(again) > most+1e-6 {
+		if most := set.MaxRetries(firsts, n, n, now); float64(again) > most+1e-6 {
 			rt.Fatalf("%d repeats of %d first attempts by %d poolers in %v; at most %v", again, firsts, n, now, most)
 		}
 	})
@@ -54,11 +54,11 @@
 
 // TestWithoutRepeats: without settings everything is allowed, and nothing is kept.
 func TestWithoutRepeats(t *testing.T) {
-	var a Accounts
+	var a Budgets
 	for range 3 {
-		a.Sent(0, 1, false, true)
+		a.CountAttempt(0, 1, false, true)
 	}
-	if !a.Affords(0, 1) || len(a.Groups()) != 0 {
+	if !a.Allows(0, 1) || len(a.Groups()) != 0 {
 		t.Errorf("refused, or kept %v", a.Groups())
 	}
 }
@@ -66,18 +66,18 @@
 // TestComeBackSlowly: twenty poolers at their part of ten a second are at a server with about ten within a second of its return, with what
 // they had there before at once if it never left, and with what they like once it is back for long.
 func TestComeBackSlowly(t *testing.T) {
-	all, opened := make([]Return, 20), 0
+	all, opened := make([]SlowStart, 20), 0
 	for i := range all {
-		all[i] = NewReturn()
-		if !all[i].May(sec, never, false, 30, 0.5, nil) {
+		all[i] = NewSlowStart()
+		if !all[i].AllowsConnection(sec, never, false, 30, 0.5, nil) {
 			t.Fatal("a server that was always there is held back")
 		}
 	}
 	for now := sec; now < 2*sec; now += 10 * time.Millisecond {
 		for i := range all {
 			luck := func() float64 { return (float64(i) + 0.5) / 20 }
-			for n := all[i].most; all[i].May(now, sec, true, n, 0.5, luck); n++ {
-				all[i].Has(n + 1)
+			for n := all[i].maxConnections; all[i].AllowsConnection(now, sec, true, n, 0.5, luck); n++ {
+				all[i].ObserveConnections(n + 1)
 				opened++
 			}
 		}
@@ -85,7 +85,7 @@
 	if opened < 8 || opened > 12 {
 		t.Errorf("%d were opened in the first second, want about 10", opened)
 	}
-	if !all[0].May(sec+Slow, sec, true, 99, 0.5, nil) {
+	if !all[0].AllowsConnection(sec+SlowStartTime, sec, true, 99, 0.5, nil) {
 		t.Error("one that is back for long is held back")
 	}
 }
--- a/internal/core/overload.go
+++ b/internal/core/overload.go
@@ -33,7 +33,7 @@
 	demandObserver    DemandObserver
 	healthCheckSharer HealthCheckSharer
 	shedding          map[int]*decide.SheddingPolicy
-	retryBudget       *retrybudget.Repeats
+	retryBudget       *retrybudget.Settings
 	recoveryRampRate  float64
 
 	zoneObserver ZoneObserver
@@ -81,7 +81,7 @@
 
 // SetRetryBudget sets the bound on hedged requests and retries, and on new connections a second, over all poolers, to a server
 // that has returned; 0 for any number.
-func (c *Core) SetRetryBudget(budget *retrybudget.Repeats, recoveryRampRate float64) {
+func (c *Core) SetRetryBudget(budget *retrybudget.Settings, recoveryRampRate float64) {
 	c.fleet.retryBudget = budget
 	c.fleet.recoveryRampRate = recoveryRampRate
 	if c.servers != nil {
--- a/internal/decide/attempts.go
+++ b/internal/decide/attempts.go
@@ -64,14 +64,14 @@
 // addAttempt records an attempt that is sent.
 func (r *Router) addAttempt(s *server, attempt *attempt) {
 	request := attempt.request
-	r.retryBudgets.Sent(r.now, request.group.id, len(request.attempts) == 0, request.duplicates())
+	r.retryBudgets.CountAttempt(r.now, request.group.id, len(request.attempts) == 0, request.duplicates())
 	request.awaitsRetryBudget = false
 	s.openAttempts = append(s.openAttempts, attempt)
 	request.attempts = append(request.attempts, attempt)
 	request.openAttempts++
 	r.openAttempts++
 	s.group.openAttempts++
-	s.recoveryRamp.Has(len(s.openAttempts))
+	s.recoveryRamp.ObserveConnections(len(s.openAttempts))
 }
 
 // removeAttempt removes an attempt that ended and returns it with the number of older ones still in flight
--- a/internal/decide/inspect.go
+++ b/internal/decide/inspect.go
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, id := range r.retryBudgets.Groups() {
-		remaining := r.retryBudgets.Left(r.now, id)
+		remaining := r.retryBudgets.Remaining(r.now, id)
 		budgets = append(budgets, RetryBudget{Group: id, Remaining: remaining, Waiting: waiting[id]})
 	}
 	return budgets
--- a/internal/decide/invariants_duplicates.go
+++ b/internal/decide/invariants_duplicates.go
@@ -33,15 +33,15 @@
 		counts = &duplicateCounts{since: r.now}
 		c.duplicatesByGroup[request.group.id] = counts
 	}
-	counts.floor = max(counts.floor, budget.Own(r.settings.Peers, r.settings.Processes))
+	counts.floor = max(counts.floor, budget.OwnFloor(r.settings.Peers, r.settings.Processes))
 	switch {
 	case view.attempts == 0:
 		counts.firsts++
 	case len(view.openAttempts) > 0 || view.mayHaveRun:
 		counts.duplicates++
 	}
-	spans := (r.now - counts.since + retrybudget.Slow).Seconds() / budget.Span.Seconds()
-	most := budget.Part*float64(counts.firsts) + counts.floor*(1+spans) + budget.Lent[request.group.id]
+	spans := (r.now - counts.since + retrybudget.SlowStartTime).Seconds() / budget.Span.Seconds()
+	most := budget.AttemptShare*float64(counts.firsts) + counts.floor*(1+spans) + budget.Lent[request.group.id]
 	c.checks.That(float64(counts.duplicates) <= most+budgetTolerance, "decide: duplicates stay within the retry budget", func() string {
 		return fmt.Sprintf("group %d: %d, of %v; %+v", request.group.id, counts.duplicates, most, *counts)
 	})
--- a/internal/decide/retries.go
+++ b/internal/decide/retries.go
@@ -28,7 +28,7 @@
 // retryBudgetAllows reports whether a request's next attempt is a first one, or its group may send a
 // duplicate.
 func (r *Router) retryBudgetAllows(request *request) bool {
-	request.awaitsRetryBudget = request.duplicates() && !r.retryBudgets.Affords(r.now, request.group.id)
+	request.awaitsRetryBudget = request.duplicates() && !r.retryBudgets.Allows(r.now, request.group.id)
 	return !request.awaitsRetryBudget
 }
 
--- a/internal/decide/retrybudget_test.go
+++ b/internal/decide/retrybudget_test.go
@@ -18,7 +18,7 @@
 func withRetryBudget(part, floor float64) func(*Settings) {
 	return func(s *Settings) {
 		s.Peers = 10
-		s.RetryBudget = &retrybudget.Repeats{Part: part, Floor: floor, Span: 10 * time.Second}
+		s.RetryBudget = &retrybudget.Settings{AttemptShare: part, Floor: floor, Span: 10 * time.Second}
 	}
 }
 
@@ -84,7 +84,7 @@
 				acts = append(h.end(id, no, got[0].Server, res), h.advance(20*ms)...)
 			}
 		}
-		if most := h.r.settings.RetryBudget.Most(firsts, 1, 10, time.Duration(h.now)); float64(again) > most+1e-9 {
+		if most := h.r.settings.RetryBudget.MaxRetries(firsts, 1, 10, time.Duration(h.now)); float64(again) > most+1e-9 {
 			rt.Fatalf("%d repeats of %d first attempts; at most %v", again, firsts, most)
 		}
 		if hasBudgetBreach(c) {
@@ -115,7 +115,7 @@
 	h.enableChecks(c)
 	lent := *h.r.settings.RetryBudget
 	lent.Lent = map[int]float64{0: 1} // of which the settings know nothing
-	h.r.retryBudgets.Tune(h.r.now, &lent, 10, 1)
+	h.r.retryBudgets.UpdateSettings(h.r.now, &lent, 10, 1)
 	if n := h.failFirstAttempt("r"); n != 2 || !hasBudgetBreach(c) {
 		t.Errorf("%d attempts; caught %v", n, c.Breaches())
 	}
@@ -133,7 +133,7 @@
 				h.r.rng.Float64()
 			}
 			h.r.servers["a"].ejectedAt = h.now // and its health check has just been answered
-			for k, wait := range []time.Duration{0, time.Second, retrybudget.Slow} {
+			for k, wait := range []time.Duration{0, time.Second, retrybudget.SlowStartTime} {
 				h.advance(wait)
 				id := RequestID(fmt.Sprint("x", k))
 				n := len(actionsOf(Send, h.requestOfA(id)))
@@ -146,7 +146,7 @@
 		}
 		for k, n := range sent {
 			if n < want[2*k] || n > want[2*k+1] {
-				t.Errorf("at %v a second: sent %v at once, after a second, and after %v", rate, sent, retrybudget.Slow)
+				t.Errorf("at %v a second: sent %v at once, after a second, and after %v", rate, sent, retrybudget.SlowStartTime)
 			}
 		}
 	}
--- a/internal/decide/router.go
+++ b/internal/decide/router.go
@@ -66,8 +66,8 @@
 
 	urgencies      [urgencyBins]float64 // recent requests by urgency, fading, up to urgenciesAt
 	urgenciesAt    Time
-	memberBacklogs [2]backlog           // at the primaries of all groups, and at the other members
-	retryBudgets   retrybudget.Accounts // the hedged requests and retries that groups may still send
+	memberBacklogs [2]backlog          // at the primaries of all groups, and at the other members
+	retryBudgets   retrybudget.Budgets // the hedged requests and retries that groups may still send
 
 	timerAt              Time // when the pending timer fires, never for none
 	hasList              bool
--- a/internal/decide/server.go
+++ b/internal/decide/server.go
@@ -75,7 +75,7 @@
 	refusingSince Time // start of an unbroken run of refused or broken connections, 0 for none
 
 	overloadedUntil Time
-	recoveryRamp    retrybudget.Return
+	recoveryRamp    retrybudget.SlowStart
 
 	healthCheckSentAt    Time // the last one
 	healthCheckPending   bool
@@ -108,7 +108,7 @@
 		primaryConfirmedAt:   never,
 		ejectedAt:            never,
 		failureAt:            never,
-		recoveryRamp:         retrybudget.NewReturn(),
+		recoveryRamp:         retrybudget.NewSlowStart(),
 		healthCheckSentAt:    never,
 		healthCheckRefusedAt: never,
 		startedAt:            never,
--- a/internal/decide/settings.go
+++ b/internal/decide/settings.go
@@ -110,8 +110,8 @@
 	HealthCheckCost   float64       // of a health check, as a part of the request's latency objective
 	ReportsOnSend     bool          // answers carry load reports too
 
-	RetryBudget      *retrybudget.Repeats // the bound on hedged requests and retries, nil for none
-	RecoveryRampRate float64              // new connections a second to a returned server, of all; 0 for any
+	RetryBudget      *retrybudget.Settings // the bound on hedged requests and retries, nil for none
+	RecoveryRampRate float64               // new connections a second to a returned server, of all; 0 for any
 
 	Shedding map[int]*SheddingPolicy // by group: what the routers have agreed to shed; read only
 }
@@ -152,7 +152,7 @@
 		}
 	}
 	r.primarySearchPause = max(r.shortestObjective/2, tickInterval)
-	r.retryBudgets.Tune(r.now, settings.RetryBudget, r.settings.Peers, r.settings.Processes)
+	r.retryBudgets.UpdateSettings(r.now, settings.RetryBudget, r.settings.Peers, r.settings.Processes)
 }
 
 // repeatWindow returns how long a request of the class that may have run may be sent again.
--- a/internal/decide/slowstart.go
+++ b/internal/decide/slowstart.go
@@ -85,5 +85,5 @@
 	if rate <= 0 {
 		return true
 	}
-	return s.recoveryRamp.May(r.now, returnedAt, inUseSince, len(s.openAttempts), rate, r.rng.Float64)
+	return s.recoveryRamp.AllowsConnection(r.now, returnedAt, inUseSince, len(s.openAttempts), rate, r.rng.Float64)
 }
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -50,46 +50,46 @@
 func (o *Overload) read(node *sexp.Node, _ func(string) string) error {
 	o.Enabled = true
 	o.Options = adapter.Options{
-		Set:    overload.Defaults(),
-		Share:  true,
-		Probes: overload.DefaultProbes(),
-		Bound:  adapter.DefaultBound(),
+		Set:         overload.Defaults(),
+		Share:       true,
+		Probes:      overload.DefaultProbes(),
+		RetryBounds: adapter.DefaultRetryBounds(),
 	}
 	s := &o.Set
 	err := sexp.Schema{
 		"shed":       flag(&o.SetShedding),
-		"period":     duration(&s.Period, overloadPeriods),
-		"memory":     duration(&s.Memory, overloadMemories),
-		"stale":      duration(&s.Stale, overloadStaleness),
-		"hold":       duration(&s.Hold, overloadHolds),
-		"fall":       duration(&s.Fall, overloadFalls),
-		"keep":       duration(&s.Keep, overloadRetention),
-		"target":     number(&s.Target, overloadTargets),
-		"delay":      number(&s.Delay, overloadDelays),
-		"drain":      number(&s.Drain, overloadDrains),
-		"back":       number(&s.Back, overloadRecoveries),
+		"period":     duration(&s.ReportInterval, overloadPeriods),
+		"memory":     duration(&s.RateMemory, overloadMemories),
+		"stale":      duration(&s.StaleAfter, overloadStaleness),
+		"hold":       duration(&s.HoldTime, overloadHolds),
+		"fall":       duration(&s.FadeTime, overloadFalls),
+		"keep":       duration(&s.SessionPeriod, overloadRetention),
+		"target":     number(&s.StrainTarget, overloadTargets),
+		"delay":      number(&s.DelayTarget, overloadDelays),
+		"drain":      number(&s.BacklogDivisor, overloadDrains),
+		"back":       number(&s.GrowthRate, overloadRecoveries),
 		"collectors": count(&s.Collectors, collectorCounts),
-		"returns":    number(&o.Bound.Returns, returnLimits),
+		"returns":    number(&o.RetryBounds.Returns, returnLimits),
 		"repeats":    o.readRepeats,
 		"probes":     o.readProbes,
 	}.Read(node.Args())
-	if err == nil && s.Stale < minPeriodsUntilStale*s.Period {
-		err = node.Errorf("with a period of %g ms, what is stale after %g ms leaves no room for a lost word", s.Period, s.Stale)
+	if err == nil && s.StaleAfter < minPeriodsUntilStale*s.ReportInterval {
+		err = node.Errorf("with a period of %g ms, what is stale after %g ms leaves no room for a lost word", s.ReportInterval, s.StaleAfter)
 	}
 	return err
 }
 
 // readRepeats reads (repeats ...), the budget of retries.
 func (o *Overload) readRepeats(node *sexp.Node) error {
-	b := &o.Bound
+	b := &o.RetryBounds
 	b.Repeats = true
 	return sexp.Schema{
 		"part":  number(&b.Part, retryParts),
 		"floor": number(&b.Floor, retryFloors),
 		"span":  duration(&b.SpanMs, retrySpans),
 		"lend":  flag(&b.AddRetryBudget),
-		"keep":  number(&b.Lending.Keep, lendingReserves),
-		"vault": number(&b.Lending.Vault, lendingVaults),
+		"keep":  number(&b.Lending.OwnReserve, lendingReserves),
+		"vault": number(&b.Lending.MaxBankBalance, lendingVaults),
 	}.Read(node.Args())
 }
 
@@ -99,9 +99,9 @@
 	return sexp.Schema{
 		"share":    flag(&o.Share),
 		"probers":  count(&p.Probers, proberCounts),
-		"each":     duration(&p.Each, healthCheckIntervals),
-		"age":      duration(&p.Age, healthCheckAges),
+		"each":     duration(&p.MinInterval, healthCheckIntervals),
+		"age":      duration(&p.MaxResultAge, healthCheckAges),
 		"patience": duration(&p.Patience, healthCheckPatience),
-		"shun":     duration(&p.Shun, shunTimes),
+		"shun":     duration(&p.SkipTime, shunTimes),
 	}.Read(node.Args())
 }
--- a/internal/testkit/byzantine/lies.go
+++ b/internal/testkit/byzantine/lies.go
@@ -18,7 +18,7 @@
 
 func of(m any, times float64) any {
 	switch m := m.(type) {
-	case *overload.Tell:
+	case *overload.LoadReport:
 		c := *m
 		c.Groups = slices.Clone(m.Groups)
 		for i := range c.Groups {
@@ -26,13 +26,13 @@
 			g.Classes = slices.Clone(g.Classes)
 			for k := range g.Classes {
 				f := &g.Classes[k]
-				f.First, f.Again, f.In, f.Ended, f.Open = f.First*times, f.Again*times, f.In*times, f.Ended*times, f.Open*times
-				f.Done, f.Strain = 0, f.Ended
+				f.FirstAttempts, f.Retries, f.Admitted, f.Ended, f.Open = f.FirstAttempts*times, f.Retries*times, f.Admitted*times, f.Ended*times, f.Open*times
+				f.Served, f.Strain = 0, f.Ended
 			}
 			g.Budget, g.Level = g.Budget*times, g.Level*times
 		}
 		return &c
-	case *overload.Answer:
+	case *overload.ShedDecisions:
 		c := *m
 		c.Groups = slices.Clone(m.Groups)
 		for i := range c.Groups {
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -29,7 +29,7 @@
 type LevelFaults struct{ Lose, Double, Late int }
 
 type leveler struct {
-	o     *overload.Overload
+	o     *overload.Controller
 	heard map[string]bool // words that came, by their text
 	story string          // those that came for the first time, by steps
 	fresh []string        // ...of this step, sorted
@@ -40,17 +40,17 @@
 func NewLevels(n int) *Levels {
 	s := &Levels{now: 1e6, set: overload.Defaults(), same: map[string]string{}}
 	s.set.Collectors = n
-	s.set.Classes = []overload.Class{{Name: "list", Worth: 1, Aim: 400}, {Name: "write", Worth: 5, Aim: 400, Once: true}}
+	s.set.Classes = []overload.Class{{Name: "list", Priority: 1, ObjectiveMs: 400}, {Name: "write", Priority: 5, ObjectiveMs: 400, NotIdempotent: true}}
 	var peers []overload.Peer
 	for i := range n {
 		peers = append(peers, overload.Peer{ID: overload.ID(i + 1), Addr: fmt.Sprint(i)})
 	}
 	for i := range n {
 		o := overload.New(s.set, overload.ID(i+1), s.now)
-		o.Handle(s.now, overload.Members{Self: overload.ID(i + 1), Peers: peers}, nil)
+		o.Handle(s.now, overload.MembersChanged{Self: overload.ID(i + 1), Peers: peers}, nil)
 		s.nodes = append(s.nodes, &leveler{o: o, heard: map[string]bool{}})
 	}
-	for range int(2*s.set.Stale/s.set.Period) + 4 {
+	for range int(2*s.set.StaleAfter/s.set.ReportInterval) + 4 {
 		_ = s.time()
 		s.drain()
 	}
@@ -73,7 +73,7 @@
 // Held are the levels that they go by.
 func (s *Levels) Held() (out []float64) {
 	for _, x := range s.nodes {
-		for _, g := range x.o.Standings() {
+		for _, g := range x.o.Statuses() {
 			out = append(out, g.Level)
 		}
 	}
@@ -97,7 +97,7 @@
 	var b strings.Builder
 	fmt.Fprint(&b, s.LevelFaults, s.steps, "|")
 	for _, x := range s.nodes {
-		fmt.Fprint(&b, x.o.Key(), x.story, x.fresh, "|")
+		fmt.Fprint(&b, x.o.StateKey(), x.story, x.fresh, "|")
 		if s.Break != nil {
 			fmt.Fprint(&b, x.came)
 		}
@@ -112,12 +112,12 @@
 	for _, a := range s.nodes[i].o.Handle(s.now, e, nil) {
 		w := word{from: i, to: int(a.To) - 1}
 		switch a.Kind {
-		case overload.SendTell:
-			w.m = a.Tell
-			w.text = fmt.Sprintf("tell %d %+v", i, *a.Tell)
-		case overload.SendAnswer:
-			w.m = a.Answer
-			w.text = fmt.Sprintf("answer %d %+v", i, *a.Answer)
+		case overload.SendReport:
+			w.m = a.Report
+			w.text = fmt.Sprintf("tell %d %+v", i, *a.Report)
+		case overload.SendDecisions:
+			w.m = a.Decisions
+			w.text = fmt.Sprintf("answer %d %+v", i, *a.Decisions)
 		default:
 			continue
 		}
@@ -134,17 +134,17 @@
 		slices.Sort(x.fresh)
 	}
 	m := w.m
-	if _, ok := m.(*overload.Tell); ok {
+	if _, ok := m.(*overload.LoadReport); ok {
 		x.came++
 	}
 	if s.Break != nil {
-		m = s.Break(m, x.o.LastTell(), x.came)
+		m = s.Break(m, x.o.LastReport(), x.came)
 	}
 	switch m := m.(type) {
-	case *overload.Tell:
-		s.do(w.to, overload.Told{From: overload.ID(w.from + 1), Tell: m})
-	case *overload.Answer:
-		s.do(w.to, overload.Answered{From: overload.ID(w.from + 1), Answer: m})
+	case *overload.LoadReport:
+		s.do(w.to, overload.ReportReceived{From: overload.ID(w.from + 1), Report: m})
+	case *overload.ShedDecisions:
+		s.do(w.to, overload.DecisionsReceived{From: overload.ID(w.from + 1), Decisions: m})
 	}
 }
 
@@ -184,13 +184,13 @@
 	for i, x := range s.nodes { // the same words have come to it, in whatever order and however often: the same must follow
 		x.story += fmt.Sprint(x.fresh, ";")
 		x.fresh = nil
-		key, is := fmt.Sprint(i, s.steps, x.story), x.o.Key()
+		key, is := fmt.Sprint(i, s.steps, x.story), x.o.StateKey()
 		if was, ok := s.same[key]; ok && was != is {
 			return fmt.Errorf("process %d: from the same words there follow two states:\n%s\n%s", i, was, is)
 		}
 		s.same[key] = is
 	}
-	s.now += s.set.Period
+	s.now += s.set.ReportInterval
 	s.steps++
 	for i := range s.words {
 		s.words[i].age = min(0, s.words[i].age+1)
@@ -198,14 +198,14 @@
 	for i, x := range s.nodes {
 		for class := range s.set.Classes {
 			for k := range 5 {
-				s.do(i, overload.Asked{Class: class, Tenant: -1, In: true})
-				s.do(i, overload.Ended{Class: class, Served: k < 3, Strain: float64(k) / 4})
+				s.do(i, overload.RequestReceived{Class: class, Tenant: -1, Admitted: true})
+				s.do(i, overload.RequestEnded{Class: class, Served: k < 3, Strain: float64(k) / 4})
 			}
 		}
 		c := invariant.New(nil)
-		x.o.Check(c, 1)
+		x.o.CheckInvariants(c, 1)
 		s.do(i, overload.Tick{})
-		x.o.Check(nil, 0)
+		x.o.CheckInvariants(nil, 0)
 		if b := c.Breaches(); len(b) > 0 {
 			return fmt.Errorf("process %d: %v", i, b[0])
 		}
@@ -224,7 +224,7 @@
 // Check is System's: levels are within the cells.
 func (s *Levels) Check() error {
 	for i, x := range s.nodes {
-		for _, g := range x.o.Standings() {
+		for _, g := range x.o.Statuses() {
 			if g.Level < 0 || g.Level > float64(g.Cells) {
 				return fmt.Errorf("process %d sheds from %g of %d", i, g.Level, g.Cells)
 			}
@@ -237,7 +237,7 @@
 func (s *Levels) settled() float64 {
 	c := s.clone()
 	c.End, c.same = -1, map[string]string{}
-	for range int(s.set.Differ(0)/s.set.Period) + 1 {
+	for range int(s.set.DivergenceBound(0)/s.set.ReportInterval) + 1 {
 		_ = c.time()
 		c.drain()
 	}
--- a/internal/testkit/modelcheck/levels_test.go
+++ b/internal/testkit/modelcheck/levels_test.go
@@ -42,17 +42,17 @@
 func TestLevelMutants(t *testing.T) {
 	for name, mutant := range map[string]func(m any, last, came uint32) any{
 		"counts what is overtaken": func(m any, _, came uint32) any {
-			if x, ok := m.(*overload.Tell); ok {
+			if x, ok := m.(*overload.LoadReport); ok {
 				c := *x
-				c.Seq = 1<<20 + came
+				c.Sequence = 1<<20 + came
 				return &c
 			}
 			return m
 		},
 		"takes an old answer for the newest": func(m any, last, _ uint32) any {
-			if x, ok := m.(*overload.Answer); ok {
+			if x, ok := m.(*overload.ShedDecisions); ok {
 				c := *x
-				c.Seq = last
+				c.Sequence = last
 				return &c
 			}
 			return m
--- a/internal/testkit/modelcheck/probes.go
+++ b/internal/testkit/modelcheck/probes.go
@@ -31,7 +31,7 @@
 type ProbeFaults struct{ Want, Lose, Double, Late, Crash, Restart, Drop int }
 
 type prober struct {
-	p      *overload.Probes
+	p      *overload.ProbeSharing
 	life   int
 	dead   bool
 	wanted float64 // since when its module wants one, 0 for not so
@@ -53,7 +53,7 @@
 
 // SmallProbes are settings in steps.
 func SmallProbes() overload.ProbeSettings {
-	return overload.ProbeSettings{Probers: 2, Each: 2, Age: 1, Patience: 3, Shun: 6, Probe: 3, Step: 1}
+	return overload.ProbeSettings{Probers: 2, MinInterval: 2, MaxResultAge: 1, Patience: 3, SkipTime: 6, ProbeTimeout: 3, TickInterval: 1}
 }
 
 const badKind = 4 // a finding of a process that did not reach the server; its Role is who found it, its Position when that probe began
@@ -109,7 +109,7 @@
 func (s *Probers) look(i int) {
 	x := s.nodes[i]
 	x.sees = s.alive()
-	x.p.Members(s.id(i), x.sees)
+	x.p.UpdateMembers(s.id(i), x.sees)
 }
 
 func (s *Probers) clone() *Probers {
@@ -130,7 +130,7 @@
 	fmt.Fprint(&b, s.ProbeFaults, s.wrong, "|")
 	ago := func(at float64) float64 { return min(s.now-at, 1e3) }
 	for i, x := range s.nodes {
-		fmt.Fprint(&b, x.dead, x.life, ago(x.wanted), ago(x.began), min(ago(x.last), s.Set.Each), s.Blind[i], "b", len(x.bad), x.p.Key(s.last), "|")
+		fmt.Fprint(&b, x.dead, x.life, ago(x.wanted), ago(x.began), min(ago(x.last), s.Set.MinInterval), s.Blind[i], "b", len(x.bad), x.p.StateKey(s.last), "|")
 	}
 	for _, w := range s.words {
 		fmt.Fprint(&b, w.from, w.to, w.age, s.norm(w), "|")
@@ -141,7 +141,7 @@
 func (s *Probers) last(id overload.ID) uint32 {
 	for i, x := range s.nodes {
 		if s.id(i) == id {
-			return x.p.Last()
+			return x.p.LastSequence()
 		}
 	}
 	return 0
@@ -150,10 +150,10 @@
 // norm is a message as seen from now.
 func (s *Probers) norm(w word) string {
 	switch m := w.m.(type) {
-	case *overload.Want:
-		return fmt.Sprint("want", s.nodes[w.from].p.Last()-m.Seq)
-	case *overload.Found:
-		return fmt.Sprint("found", s.nodes[w.to].p.Last()-m.Seq, m.Began, m.Result, m.Kind, m.Role, s.now-m.Position)
+	case *overload.ProbeRequest:
+		return fmt.Sprint("want", s.nodes[w.from].p.LastSequence()-m.Sequence)
+	case *overload.ProbeResult:
+		return fmt.Sprint("found", s.nodes[w.to].p.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
 	}
 	return ""
 }
@@ -167,18 +167,18 @@
 			if x.began > 0 {
 				return fmt.Errorf("process %d makes two probes at once", i)
 			}
-			if s.now-x.last < s.Set.Each {
+			if s.now-x.last < s.Set.MinInterval {
 				return fmt.Errorf("process %d probes again after %g", i, s.now-x.last)
 			}
 			if !s.wrong && !slices.Contains(s.Probing(), i) {
 				return fmt.Errorf("process %d probes, and is no prober, though nothing went wrong", i)
 			}
 			x.began, x.last = s.now, s.now
-		case a.Want != nil:
-			s.put(word{from: i, to: int(a.To-1) % 100, m: a.Want})
-		case a.Found != nil:
-			s.put(word{from: i, to: int(a.To-1) % 100, m: a.Found})
-		case a.Tell:
+		case a.Request != nil:
+			s.put(word{from: i, to: int(a.To-1) % 100, m: a.Request})
+		case a.Response != nil:
+			s.put(word{from: i, to: int(a.To-1) % 100, m: a.Response})
+		case a.Report:
 			if err := s.told(i, &a); err != nil {
 				return err
 			}
@@ -195,9 +195,9 @@
 		return fmt.Errorf("process %d is told what it does not want", i)
 	case a.Age < s.now-a.Position-1e-9:
 		return fmt.Errorf("process %d is told of a probe that began %g ago as if it were %g", i, s.now-a.Position, a.Age)
-	case a.Kind == badKind && s.now-a.Position > s.now-x.wanted+s.Set.Age+s.Set.Probe:
-		return fmt.Errorf("process %d is told of a probe that ended %g before it wanted one", i, x.wanted-a.Position-s.Set.Probe)
-	case a.Kind != badKind && a.Position < x.wanted-s.Set.Age:
+	case a.Kind == badKind && s.now-a.Position > s.now-x.wanted+s.Set.MaxResultAge+s.Set.ProbeTimeout:
+		return fmt.Errorf("process %d is told of a probe that ended %g before it wanted one", i, x.wanted-a.Position-s.Set.ProbeTimeout)
+	case a.Kind != badKind && a.Position < x.wanted-s.Set.MaxResultAge:
 		return fmt.Errorf("process %d is told of a probe that began %g before it wanted one", i, x.wanted-a.Position)
 	case a.Kind == badKind && from != i && len(x.bad) < min(2, len(x.p.ProbersOf(Target))):
 		return fmt.Errorf("process %d takes bad news from %d alone", i, from)
@@ -227,15 +227,15 @@
 	}
 	m := w.m
 	if s.Break != nil {
-		m = s.Break(w.to, x.p.Last(), m)
+		m = s.Break(w.to, x.p.LastSequence(), m)
 	}
-	if f, ok := w.m.(*overload.Found); ok && f.Kind == badKind && f.Result != overload.Busy {
+	if f, ok := w.m.(*overload.ProbeResult); ok && f.Kind == badKind && f.Result != overload.InProgress {
 		if x.bad == nil {
 			x.bad = map[int]bool{}
 		}
 		x.bad[w.from] = true
 	}
-	return s.do(w.to, x.p.Heard(s.now, s.id(w.from), m, nil))
+	return s.do(w.to, x.p.Receive(s.now, s.id(w.from), m, nil))
 }
 
 // end has a process's probe end.
@@ -243,10 +243,10 @@
 	x := s.nodes[i]
 	f := overload.Finding{Role: uint8(i), Position: x.began}
 	if s.Blind[i] {
-		f.Result, f.Kind = overload.Bad, badKind
+		f.Result, f.Kind = overload.Unhealthy, badKind
 	}
 	x.began = 0
-	return s.do(i, x.p.Ended(s.now, Target, f, nil))
+	return s.do(i, x.p.ProbeEnded(s.now, Target, f, nil))
 }
 
 func (s *Probers) want(i int) error {
@@ -254,7 +254,7 @@
 	if x.wanted == 0 {
 		x.wanted, x.bad = s.now, nil
 	}
-	return s.do(i, x.p.Wanted(s.now, Target, nil))
+	return s.do(i, x.p.RequestProbe(s.now, Target, nil))
 }
 
 // Moves is System's. Within a step messages arrive first, in any order; then probes end, processes want one, crash or begin; then time goes on.
@@ -303,7 +303,7 @@
 			continue
 		}
 		if x.began > 0 {
-			must = must || s.now >= x.began+s.Set.Probe
+			must = must || s.now >= x.began+s.Set.ProbeTimeout
 			move(fmt.Sprint("probe ends ", i), false, func(c *Probers) error { return c.end(i) })
 		}
 		if s.Want > 0 && x.wanted == 0 {
@@ -333,7 +333,7 @@
 			continue
 		}
 		c := invariant.New(nil)
-		x.p.Check(c, 1)
+		x.p.CheckInvariants(c, 1)
 		if err := s.do(i, x.p.Tick(s.now, nil)); err != nil {
 			return err
 		}
@@ -347,7 +347,7 @@
 // Check is System's: each want has an end within Latest.
 func (s *Probers) Check() error {
 	for i, x := range s.nodes {
-		if !x.dead && x.wanted > 0 && s.now > x.wanted+s.Set.Latest() {
+		if !x.dead && x.wanted > 0 && s.now > x.wanted+s.Set.LatencyBound() {
 			return fmt.Errorf("process %d wants a probe for %g, and was told nothing", i, s.now-x.wanted)
 		}
 	}
--- a/internal/testkit/modelcheck/probes_test.go
+++ b/internal/testkit/modelcheck/probes_test.go
@@ -53,10 +53,10 @@
 
 // TestProberMutants: the search finds each of these.
 func TestProberMutants(t *testing.T) {
-	found := func(do func(seq uint32, f *overload.Found)) func(*Probers) {
+	found := func(do func(seq uint32, f *overload.ProbeResult)) func(*Probers) {
 		return func(s *Probers) {
 			s.Break = func(_ int, seq uint32, m any) any {
-				if f, ok := m.(*overload.Found); ok {
+				if f, ok := m.(*overload.ProbeResult); ok {
 					c := *f
 					do(seq, &c)
 					return &c
@@ -73,12 +73,12 @@
 		blind  []int
 		mutant func(*Probers)
 	}{
-		"takes an old answer for its own": {ProbeFaults{Want: 2, Double: 1}, nil, found(func(seq uint32, f *overload.Found) { f.Seq = seq })},
-		"tells no age":                    {ProbeFaults{Want: 2}, nil, found(func(_ uint32, f *overload.Found) { f.Began = -5 })},
-		"believes one prober":             {ProbeFaults{Want: 2}, []int{0}, found(func(_ uint32, f *overload.Found) { f.Result = min(f.Result, overload.Good) })},
+		"takes an old answer for its own": {ProbeFaults{Want: 2, Double: 1}, nil, found(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
+		"tells no age":                    {ProbeFaults{Want: 2}, nil, found(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
+		"believes one prober":             {ProbeFaults{Want: 2}, []int{0}, found(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
 		"waits for ever":                  {ProbeFaults{Want: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.Patience = 1e6 })},
-		"probes as often as asked":        {ProbeFaults{Want: 2}, nil, set(func(s *overload.ProbeSettings) { s.Each, s.Age = 0, -1 })},
-		"keeps what it found":             {ProbeFaults{Want: 2}, nil, set(func(s *overload.ProbeSettings) { s.Age = 10 })},
+		"probes as often as asked":        {ProbeFaults{Want: 2}, nil, set(func(s *overload.ProbeSettings) { s.MinInterval, s.MaxResultAge = 0, -1 })},
+		"keeps what it found":             {ProbeFaults{Want: 2}, nil, set(func(s *overload.ProbeSettings) { s.MaxResultAge = 10 })},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -33,13 +33,13 @@
 	c := &checker.Overload{Poolers: s.Poolers, BackMs: s.BackMs, Tenants: map[string]float64{}}
 	if p := &s.Overload.Probes; s.Overload.Share {
 		v := &s.Peers.View
-		c.Probes = p.Most(s.Poolers) + float64(p.Probers)
-		c.CalmMs = p.Shun + p.Latest() + v.DetectionBound(s.Poolers, max(1, s.Poolers/2), s.Way[1]) + v.ConvergenceBound(s.Poolers, max(1, s.Poolers/2), s.Way[1], false)
+		c.Probes = p.MaxRate(s.Poolers) + float64(p.Probers)
+		c.CalmMs = p.SkipTime + p.LatencyBound() + v.DetectionBound(s.Poolers, max(1, s.Poolers/2), s.Way[1]) + v.ConvergenceBound(s.Poolers, max(1, s.Poolers/2), s.Way[1], false)
 	}
-	if b := &s.Overload.Bound; b.Repeats {
-		r := retrybudget.Repeats{Part: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
+	if b := &s.Overload.RetryBounds; b.Repeats {
+		r := retrybudget.Settings{AttemptShare: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
 		c.Repeats = func(firsts, n int, ms float64) float64 {
-			return r.Most(firsts, n, s.Poolers, time.Duration(ms*float64(time.Millisecond)))
+			return r.MaxRetries(firsts, n, s.Poolers, time.Duration(ms*float64(time.Millisecond)))
 		}
 	}
 	set := s.Overload.Set
@@ -52,7 +52,7 @@
 		set.Tenants = append(set.Tenants, overload.Tenant{Name: t.Name})
 	}
 	if s.Overload.SetShedding {
-		c.Talk = set.Talk(2 * len(s.Fleet.Groups)) // each is told of as two
+		c.Talk = set.TrafficBound(2 * len(s.Fleet.Groups)) // each is told of as two
 	}
 	one := float64(s.Fleet.Cores) * 1000
 	for _, n := range s.Fleet.Groups {
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -37,12 +37,12 @@
 			}
 		}
 		j := adapter.New(opt, told, h)
-		j.Check(h.x.p.e.checks, partsEach)
+		j.CheckInvariants(h.x.p.e.checks, partsEach)
 		if opt.SetShedding {
 			c.SetDemandObserver(j)
 		}
 		if opt.Share {
-			c.SetHealthCheckSharer(adapter.Prober{Joined: j})
+			c.SetHealthCheckSharer(adapter.Prober{Adapter: j})
 		}
 		h.x.over = j
 		j.Begin()
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -109,7 +109,7 @@
 
 	limits *lender // nil where none hold for the whole fleet
 	parts  []module.Module
-	over   *adapter.Joined         // nil where each pooler handles overload alone
+	over   *adapter.Adapter        // nil where each pooler handles overload alone
 	judged *outlieradapter.Adapter // nil where each learns alone
 }
 
