--- /dev/null
+++ b/internal/lifecycle/handover/directory.go
@@ -0,0 +1,157 @@
+package handover
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/storage/atomicfile"
+)
+
+const (
+	filePrefix = "handover-"
+	fileSuffix = ".state"
+	maxFiles   = 16 // that are looked at
+)
+
+// Ages of a file, in ms.
+const (
+	LiveMs        = 2000  // a file shows that its process runs
+	UsefulMs      = 5000  // what it says is worth knowing
+	RemoveAfterMs = 60000 // a file that nobody writes any more is removed
+)
+
+// Directory is where a process writes its own file and reads the others'.
+type Directory struct {
+	path    string
+	ownName string
+	machine clock.Machine
+	seen    map[string]fileVersion // by name: files that may be abandoned
+}
+
+// fileVersion is how a file was first seen as it is.
+type fileVersion struct {
+	modified    time.Time
+	size        int64
+	firstSeenMs float64 // on the machine's monotonic clock
+}
+
+// OpenDirectory makes a process's Directory on this machine.
+func OpenDirectory(path string) *Directory { return OpenDirectoryOn(clock.ThisMachine(), path) }
+
+// OpenDirectoryOn makes a process's Directory with the clocks of a machine.
+func OpenDirectoryOn(machine clock.Machine, path string) *Directory {
+	return &Directory{
+		path:    path,
+		ownName: fmt.Sprintf("%s%016x%s", filePrefix, rand.Uint64(), fileSuffix),
+		machine: machine,
+		seen:    map[string]fileVersion{},
+	}
+}
+
+// Write replaces the process's own file.
+func (d *Directory) Write(state *State) error {
+	b, err := Encode(nil, state)
+	if err != nil {
+		return err
+	}
+	if err := atomicfile.Replace(filepath.Join(d.path, d.ownName), b, false); err != nil {
+		return fmt.Errorf("handover: %w", err)
+	}
+	return nil
+}
+
+// Remove removes the process's own file.
+func (d *Directory) Remove() { _ = os.Remove(filepath.Join(d.path, d.ownName)) }
+
+// Others returns the other processes' states of at most that age, the newest first. An error says which files cannot be used; it comes with
+// the states of the others. Abandoned files are removed. The wall clock decides on files of old versions only.
+func (d *Directory) Others(maxAgeMs float64) ([]*State, error) {
+	files, err := os.ReadDir(d.path)
+	if err != nil {
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	var states []*State
+	var errs []error
+	looked := 0
+	for _, file := range files {
+		isState := strings.HasPrefix(file.Name(), filePrefix) && file.Type().IsRegular()
+		if file.Name() == d.ownName || !isState {
+			continue
+		}
+		looked++
+		if looked > maxFiles {
+			break
+		}
+		state, err := d.readOther(file)
+		if err != nil {
+			errs = append(errs, fmt.Errorf("handover %s: %w", file.Name(), err))
+		}
+		if state != nil && state.AgeMs <= maxAgeMs {
+			states = append(states, state)
+		}
+	}
+	slices.SortFunc(states, func(a, b *State) int { return cmp.Compare(a.AgeMs, b.AgeMs) })
+	return states, errors.Join(errs...)
+}
+
+// readOther reads another process's file; nil without an error for one that has nothing to say now.
+func (d *Directory) readOther(file os.DirEntry) (*State, error) {
+	path := filepath.Join(d.path, file.Name())
+	if d.isAbandoned(file) {
+		_ = os.Remove(path)
+		return nil, nil
+	}
+	if !strings.HasSuffix(file.Name(), fileSuffix) { // it is being written
+		return nil, nil
+	}
+	b, err := atomicfile.Read(path, maxBytes)
+	if err != nil || b == nil { // nil: removed meanwhile
+		return nil, err
+	}
+	state, err := Decode(b)
+	if err != nil {
+		return nil, err
+	}
+	age, known := d.age(state)
+	if !known {
+		return nil, nil
+	}
+	state.AgeMs = max(0, age)
+	if state.AgeMs > RemoveAfterMs {
+		_ = os.Remove(path)
+	}
+	return state, nil
+}
+
+// age returns how old a state is in ms, and whether that is known.
+func (d *Directory) age(state *State) (ms float64, known bool) {
+	if state.Saved != (clock.Instant{}) {
+		ms, known = d.machine.Since(state.Saved)
+	} else {
+		ms, known = d.machine.Wall()-state.SavedMs, true
+	}
+	return ms, known && ms >= -LiveMs
+}
+
+// isAbandoned reports whether a file has not changed for RemoveAfterMs, as this process has seen it: the file's own time is by the wall clock.
+func (d *Directory) isAbandoned(file os.DirEntry) bool {
+	info, err := file.Info()
+	if err != nil {
+		return false
+	}
+	now := d.machine.Monotonic()
+	last := d.seen[file.Name()]
+	if !last.modified.Equal(info.ModTime()) || last.size != info.Size() {
+		d.seen[file.Name()] = fileVersion{modified: info.ModTime(), size: info.Size(), firstSeenMs: now}
+		return false
+	}
+	return now-last.firstSeenMs > RemoveAfterMs
+}
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -108,7 +108,7 @@
 	if got := ages(1e9, false); len(got) > 0 {
 		t.Errorf("heard though long dead: %v", got)
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, prefix+"*")); len(left) != 1 || left[0] != filepath.Join(dir, me.own) {
+	if left, _ := filepath.Glob(filepath.Join(dir, filePrefix+"*")); len(left) != 1 || left[0] != filepath.Join(dir, me.ownName) {
 		t.Errorf("files are left: %v", left)
 	}
 	if _, err := OpenDirectory(filepath.Join(dir, "none")).Others(LiveMs); err == nil {
@@ -144,7 +144,7 @@
 				t.Errorf("step of %v ms: %d processes are heard, %v", step, len(others), err)
 			}
 		}
-		if _, err := os.Stat(filepath.Join(dir, writer.own)); err != nil {
+		if _, err := os.Stat(filepath.Join(dir, writer.ownName)); err != nil {
 			t.Errorf("step of %v ms: %v", step, err)
 		}
 		machine.monotonic += LiveMs + 1
@@ -162,7 +162,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(dir, prefix+"older"+suffix), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, filePrefix+"older"+fileSuffix), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if others, err := OpenDirectoryOn(machine.clocks(), dir).Others(LiveMs); err != nil || len(others) != heard {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,83 +1,104 @@
-// Package lifecycle is the life of a pooler as a state machine, without I/O or clock. It is told what happens, and says
-// what follows.
+// Package lifecycle is the life of a pooler's process as a state machine, without I/O or clock: from its start to its end, with the drain
+// that operators may ask for in between.
 package lifecycle
 
-// State is where a pooler's life has come to.
+// State is the state of a process.
 type State uint8
 
 // The states.
 const (
 	Starting    State = iota // it cannot serve yet
 	Ready                    // it serves
-	Draining                 // the operators send its clients away; it goes on living
-	HandingOver              // it ends, and another process takes what comes on the same socket
-	Stopping                 // it ends, and nobody else takes what comes at its address
+	Draining                 // it serves, and sends its clients away, as the operators asked for
+	HandingOver              // it ends, and another process accepts the connections on the same socket
+	Stopping                 // it ends, and nobody else accepts connections at its address
 )
 
 func (s State) String() string {
 	return [...]string{"starting", "ready", "draining", "handing over", "stopping"}[s]
 }
 
-// Event is what happens to a pooler.
+// Event is what happens to a process.
 type Event uint8
 
 // The events.
 const (
 	Started   Event = iota // it can serve
 	Drain                  // the operators want its clients gone
-	Resume                 // ...and back
+	Resume                 // the operators take that back
 	Terminate              // it is to end
 )
 
-// Machine is one pooler's life. Shared says that another process may hold its listening socket too.
+func (e Event) String() string {
+	return [...]string{"started", "drain", "resume", "terminate"}[e]
+}
+
+// Machine is the life of one process.
 type Machine struct {
-	Shared  bool
+	Shared bool // another process may have its listening socket too
+
 	state   State
-	drained bool // the operators have its clients sent away, whatever the state
+	drained bool // the operators want its clients gone, whatever the state
 }
 
-// State is the present one.
+// State returns the present state.
 func (m *Machine) State() State { return m.state }
 
-// Handle takes an event and tells whether it is one that can be followed now.
-func (m *Machine) Handle(e Event) bool {
+// Handle processes an event, and reports whether it can be followed now: a process that ends cannot resume.
+func (m *Machine) Handle(event Event) bool {
 	ending := m.state == HandingOver || m.state == Stopping
-	switch {
-	case e == Drain:
+	switch event {
+	case Started:
+		m.start()
+	case Drain:
 		m.drained = true
-	case e == Resume && !ending:
+		if m.state == Ready {
+			m.state = Draining
+		}
+	case Resume:
+		if ending {
+			return false
+		}
 		m.drained = false
+		if m.state == Draining {
+			m.state = Ready
+		}
+	case Terminate:
+		if !ending {
+			m.terminate()
+		}
 	}
+	return true
+}
+
+func (m *Machine) start() {
 	switch {
-	case e == Terminate && ending:
-	case e == Terminate && m.Shared:
-		m.state = HandingOver
-	case e == Terminate:
-		m.state = Stopping
-	case e == Started && m.state == Starting:
-		if m.state = Ready; m.drained {
-			m.state = Draining
-		}
-	case e == Drain && m.state == Ready:
+	case m.state != Starting:
+	case m.drained:
 		m.state = Draining
-	case e == Resume && m.state == Draining:
+	default:
 		m.state = Ready
-	case e == Resume && ending: // there is no way back
-		return false
 	}
-	return true
 }
 
-// IsServing tells whether the process can serve, and goes on doing so.
+func (m *Machine) terminate() {
+	m.state = Stopping
+	if m.Shared {
+		m.state = HandingOver
+	}
+}
+
+// IsServing reports whether the process can serve, and is not about to end.
 func (m *Machine) IsServing() bool { return m.state == Ready || m.state == Draining }
 
-// AcceptsConnections tells whether clients' new connections are taken.
+// AcceptsConnections reports whether new connections of clients are accepted.
 func (m *Machine) AcceptsConnections() bool { return m.state != Starting && m.state != HandingOver }
 
-// IsReadyForClients tells whether whoever asks if clients may come is told yes.
+// IsReadyForClients reports whether a readiness check is answered with yes.
 func (m *Machine) IsReadyForClients() bool {
-	return !m.drained && (m.state == Starting || m.state == Ready || m.state == Stopping)
+	welcoming := m.state == Starting || m.state == Ready || m.state == Stopping
+	return welcoming && !m.drained
 }
 
-// ClosesIdleClients tells whether clients' connections are to be closed as they fall idle.
+// ClosesIdleClients reports whether clients' connections are to be closed once they are idle.
 func (m *Machine) ClosesIdleClients() bool { return m.state == Draining || m.state == HandingOver }
--- a/internal/storage/sessiontoken/merge.go
+++ b/internal/storage/sessiontoken/merge.go
@@ -14,109 +14,134 @@
 type StoredTokens struct {
 	commits         map[string]decide.Time
 	forgottenUntil  decide.Time
-	uncleanShutdown bool        // its process had answered writes without waiting, and did not end in order
+	uncleanShutdown bool        // its process had answered writes without waiting, and did not shut down cleanly
 	latestCommit    decide.Time // then: no commit of its process is later
 	empty           bool
 }
 
-// Read reads what a store holds.
+// Read reads what a store holds. A value that cannot be read counts as written now.
 func Read(s *store.Store, now decide.Time, log *slog.Logger) *StoredTokens {
-	h := &StoredTokens{commits: map[string]decide.Time{}, empty: true}
+	stored := &StoredTokens{commits: map[string]decide.Time{}, empty: true}
 	latest := decide.Time(0)
-	s.Range("", "", func(key string, v []byte) bool {
-		h.empty = false
-		at, err := decode(v)
+	s.Range("", "", func(key string, value []byte) bool {
+		stored.empty = false
+		at, err := decode(value)
 		switch {
 		case err != nil:
 			log.Warn("sessions: a value is not used", "key", key, "err", err)
-			latest = max(latest, now) // whatever it was
-			h.forgottenUntil = max(h.forgottenUntil, now)
+			latest = max(latest, now)
+			stored.forgottenUntil = max(stored.forgottenUntil, now)
 		case key == forgottenKey:
-			h.forgottenUntil = max(h.forgottenUntil, at)
 			latest = max(latest, at)
+			stored.forgottenUntil = max(stored.forgottenUntil, at)
 		case key >= commitPrefix && key < commitPrefixEnd:
-			h.commits[key[len(commitPrefix):]] = at
 			latest = max(latest, at)
+			stored.commits[key[len(commitPrefix):]] = at
 		}
 		return true
 	})
-	_, h.uncleanShutdown = s.Get(openKey)
-	h.latestCommit = max(now, latest)
-	return h
+	_, stored.uncleanShutdown = s.Get(openKey)
+	stored.latestCommit = max(now, latest)
+	return stored
 }
 
 // Erase empties a store whose content is kept elsewhere.
 func Erase(s *store.Store) error {
-	var gone []store.Entry
+	var deletions []store.Entry
 	s.Range("", "", func(key string, _ []byte) bool {
-		gone = append(gone, store.Entry{Key: key, Deleted: true})
+		deletions = append(deletions, store.Entry{Key: key, Deleted: true})
 		return true
 	})
-	if len(gone) == 0 {
-		return nil
+	return appendAndWait(s, deletions)
+}
+
+// merge is what comes of a Merge.
+type merge struct {
+	snapshot decide.Snapshot // what the decision module has to know
+	entries  []store.Entry   // what is to be stored
+}
+
+func (m *merge) commit(session string, at decide.Time) {
+	m.snapshot.Commits = append(m.snapshot.Commits, decide.SessionCommit{Session: session, At: at})
+}
+
+// Merge takes what another process on the same socket held when it ended, and returns what the decision module has to know of it. done is
+// called once that is durable here, not on the loop: from then on it need not be stored there any more.
+func (k *Keeper) Merge(other *StoredTokens, done func(error)) *decide.Snapshot {
+	m := &merge{}
+	if other.uncleanShutdown {
+		k.mergeUnclean(m, other)
+	}
+	if other.forgottenUntil > 0 {
+		k.mergeForgotten(m, other)
 	}
-	done := make(chan error, 1)
-	s.Append(gone, func(err error) { done <- err })
-	return <-done
+	k.mergeCommits(m, other)
+	if other.forgottenUntil > k.forgottenUntil {
+		k.forgottenUntil = other.forgottenUntil
+		m.entries = append(m.entries, k.forgottenEntry())
+	}
+	m.snapshot.ForgottenCommit = k.forgottenUntil
+	slices.SortStableFunc(m.snapshot.Commits, func(a, b decide.SessionCommit) int {
+		return cmp.Or(cmp.Compare(a.Session, b.Session), cmp.Compare(a.At, b.At))
+	})
+	k.checkInvariants()
+	if len(m.entries) == 0 {
+		done(nil)
+	} else {
+		k.store.Append(m.entries, done)
+	}
+	return &m.snapshot
 }
 
-// Merge takes what another process on the same socket held when it ended, and tells what the router has to know of it. done is called
-// off the loop, once it is kept here: from then on it need not be there any more.
-func (k *Keeper) Merge(h *StoredTokens, done func(error)) *decide.Snapshot {
-	m := &decide.Snapshot{}
-	var entries []store.Entry
-	if h.uncleanShutdown { // a session may have written there until its end, whatever is known of it here
-		k.log.Warn("sessions: another process did not end in order: every session counts as written until its end")
-		for _, of := range []map[string]decide.Time{k.lastForgotten, k.longNamed, k.commits} {
-			for name, at := range of {
-				m.Commits = append(m.Commits, decide.SessionCommit{Session: name, At: max(at, h.latestCommit)})
-			}
+// knownSessions are all maps of sessions that the decision module may know by name.
+func (k *Keeper) knownSessions() []map[string]decide.Time {
+	return []map[string]decide.Time{k.lastForgotten, k.longNamed, k.commits}
+}
+
+// mergeUnclean takes it that every session may have written at the other process until its end.
+func (k *Keeper) mergeUnclean(m *merge, other *StoredTokens) {
+	k.log.Warn("sessions: another process did not end in order: every session counts as written until its end")
+	for _, sessions := range k.knownSessions() {
+		for name, at := range sessions {
+			m.commit(name, max(at, other.latestCommit))
 		}
-		entries = k.forgetAll(h.latestCommit)
 	}
-	if h.forgottenUntil > 0 { // what was dropped there may be later than what is known here
-		for _, of := range []map[string]decide.Time{k.lastForgotten, k.longNamed, k.commits} {
-			for _, name := range slices.Sorted(maps.Keys(of)) {
-				if _, ok := h.commits[name]; ok || of[name] >= h.forgottenUntil {
-					continue
-				}
-				m.Commits = append(m.Commits, decide.SessionCommit{Session: name, At: h.forgottenUntil})
-				if was, ok := k.commits[name]; ok && was < h.forgottenUntil {
-					k.commits[name] = h.forgottenUntil
-					entries = append(entries, store.Entry{Key: commitPrefix + name, Value: encode(h.forgottenUntil)})
-				}
+	m.entries = k.forgetAll(other.latestCommit)
+}
+
+// mergeForgotten takes it that the sessions that the other process does not know by name may be among those it has forgotten.
+func (k *Keeper) mergeForgotten(m *merge, other *StoredTokens) {
+	for _, sessions := range k.knownSessions() {
+		for _, name := range slices.Sorted(maps.Keys(sessions)) {
+			_, named := other.commits[name]
+			if named || sessions[name] >= other.forgottenUntil {
+				continue
+			}
+			m.commit(name, other.forgottenUntil)
+			if at, known := k.commits[name]; known && at < other.forgottenUntil {
+				k.commits[name] = other.forgottenUntil
+				m.entries = append(m.entries, commitEntry(name, other.forgottenUntil))
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.commits)) {
-		at := h.commits[name]
-		was, ok := k.commits[name]
-		if ok && was >= at {
+}
+
+// mergeCommits takes the later commits of the other process.
+func (k *Keeper) mergeCommits(m *merge, other *StoredTokens) {
+	for _, name := range slices.Sorted(maps.Keys(other.commits)) {
+		at := other.commits[name]
+		before, known := k.commits[name]
+		if known && before >= at {
 			continue
 		}
-		m.Commits = append(m.Commits, decide.SessionCommit{Session: name, At: at})
-		if !ok && k.forgottenUntil >= at { // any that is not kept here counts as later; the router may know it still
+		m.commit(name, at)
+		if !known && k.forgottenUntil >= at { // any session that is not kept here counts as later; the decision module may know it still
 			continue
 		}
-		if !ok && len(k.commits) >= k.maxSessions {
-			entries = append(entries, k.forgetAll(0)...)
+		if !known && len(k.commits) >= k.maxSessions {
+			m.entries = append(m.entries, k.forgetAll(0)...)
 		}
 		k.commits[name] = at
-		entries = append(entries, store.Entry{Key: commitPrefix + name, Value: encode(at)})
-	}
-	if h.forgottenUntil > k.forgottenUntil {
-		k.forgottenUntil = h.forgottenUntil
-		entries = append(entries, store.Entry{Key: forgottenKey, Value: encode(k.forgottenUntil)})
-	}
-	m.ForgottenCommit = k.forgottenUntil
-	slices.SortStableFunc(m.Commits, func(a, b decide.SessionCommit) int {
-		return cmp.Or(cmp.Compare(a.Session, b.Session), cmp.Compare(a.At, b.At))
-	})
-	k.checkInvariants()
-	if len(entries) == 0 {
-		done(nil)
-		return m
+		m.entries = append(m.entries, commitEntry(name, at))
 	}
-	k.store.Append(entries, done)
-	return m
 }
--- a/internal/storage/snapshots/snapshots.go
+++ b/internal/storage/snapshots/snapshots.go
@@ -1,193 +1,153 @@
-// Package snapshots keeps the last good configuration and the last list of servers on a durable store, so that a start whose sources
-// are gone serves by them. What is kept is one value for each, with the time at which it was known to be good, and where it is from.
+// Package snapshots keeps the last good configuration and the last endpoint lists on a durable store, so that a start whose sources cannot be
+// reached serves by them. It keeps one value of each kind, with the time at which it was known to be good, and where it is from. A value that
+// is too old, or whose age is not known, is not used.
 package snapshots
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"log/slog"
-	"math"
 	"sync"
 	"time"
 
-	"google.golang.org/protobuf/encoding/protowire"
-
-	"beechgrade/internal/encoding"
 	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/invariant"
 	"beechgrade/internal/storage/store"
 )
 
-// What is kept.
+// The kinds of values: keys of the store.
 const (
 	Config       = "config"  // the configuration file's text, from its path
 	List         = "list"    // the platform's list, from discovery's address
-	EndpointList = "members" // the list that membership makes
+	EndpointList = "members" // the list that this pooler's endpoint reconciliation makes
 )
 
-// Errors of what is kept and not used.
+func kinds() []string { return []string{Config, List, EndpointList} }
+
+// Errors of a stored value that is not used.
 var (
 	ErrTooOld     = errors.New("it is too old")
 	ErrFromFuture = errors.New("it was kept at a time that lies ahead of this clock")
 	ErrMalformed  = errors.New("it is not of this program")
 )
 
-// maxClockSkewMs is how far ahead of the clock a time may lie: a clock may have been set back a little.
-const maxClockSkewMs = 60000
-
-// Record is a value that is kept, as a protobuf message:
-//
-//	message Record { double saved_ms = 1; string from = 2; bytes body = 3; string boot = 4; double monotonic_ms = 5; }
-type Record struct {
-	SavedMs float64       // Unix ms at which it was known to be good
-	Saved   clock.Instant // the same, for the boot in which that was
-	Source  string
-	Body    []byte
-}
-
-// NewRecord returns a record that is known to be good now.
-func NewRecord(machine clock.Machine, from string, body []byte) *Record {
-	return &Record{SavedMs: machine.Wall(), Saved: machine.Now(), Source: from, Body: body}
-}
-
-// Age returns the milliseconds since a record was known to be good: by the boot's own clock, or by the wall clock after another start of the
-// machine.
-func (r *Record) Age(machine clock.Machine) float64 {
-	if ms, known := machine.Since(r.Saved); known {
-		return ms
-	}
-	return machine.Wall() - r.SavedMs
-}
-
-func (r *Record) encode() []byte {
-	b := encoding.AppendFixedField(nil, 1, math.Float64bits(r.SavedMs))
-	b = encoding.AppendBytesField(encoding.AppendBytesField(b, 2, r.Source), 3, r.Body)
-	if r.Saved.Boot == "" {
-		return b
-	}
-	return encoding.AppendFixedField(encoding.AppendBytesField(b, 4, r.Saved.Boot), 5, math.Float64bits(r.Saved.MonotonicMs))
-}
-
-func decode(b []byte) (*Record, error) {
-	r, seen := &Record{}, 0
-	err := encoding.Fields(b, func(error) error { return ErrMalformed }, func(f encoding.Field) error {
-		switch {
-		case f.Number == 1 && f.Type == protowire.Fixed64Type:
-			r.SavedMs = math.Float64frombits(f.Value)
-			seen |= 1
-		case f.Number == 2 && f.Type == protowire.BytesType:
-			r.Source = string(f.Bytes)
-		case f.Number == 3 && f.Type == protowire.BytesType:
-			r.Body = f.Bytes
-			seen |= 2
-		case f.Number == 4 && f.Type == protowire.BytesType:
-			r.Saved.Boot = string(f.Bytes)
-		case f.Number == 5 && f.Type == protowire.Fixed64Type:
-			r.Saved.MonotonicMs = math.Float64frombits(f.Value)
-		}
-		return nil
-	})
-	if err != nil || seen != 3 || math.IsNaN(r.SavedMs) || math.IsNaN(r.Saved.MonotonicMs) {
-		return nil, ErrMalformed
-	}
-	return r, nil
-}
+const (
+	maxClockSkewMs    = 60000                  // that a time may be ahead of the clock, as that may have been set back a little
+	lockRetryInterval = 500 * time.Millisecond // between attempts to open a store that another process has
+	maxValueBytes     = 15 << 20               // the store takes no more at once
+	segmentsPerStore  = 8
+)
 
-// Options are a keeper's.
+// Options configure a Keeper.
 type Options struct {
 	FS             store.FS
-	MaxBytes       int64
-	CompactionRate int64 // of its compactions, in bytes a second; 0 for any
+	MaxBytes       int64 // of the store
+	CompactionRate int64 // bytes a second; 0 for no bound
 	MaxMemory      int64
-	Checks         *invariant.Checks // the keeper's goroutine's own; nil for off
-	Store          *invariant.Checks // the store's
+	Checks         *invariant.Checks // of the keeper's goroutine; nil for off
+	Store          *invariant.Checks // of the store; nil for off
 	BatchesPerWalk int
-	MaxAgeMs       float64 // what was last known to be good before that is not used
+	MaxAgeMs       float64 // a value that was known to be good longer ago is not used
 	Log            *slog.Logger
 }
 
-// Keeper keeps values. It holds the store on a goroutine of its own; whoever has something new never waits for a disk.
+// Keeper keeps values. The store belongs to a goroutine of its own, which Stop ends: who has a new value never waits for a disk. A nil Keeper
+// keeps nothing.
 type Keeper struct {
 	options  Options
-	loaded   map[string]*Record // as found at the start
-	recovery *store.Recovery    // by the start
+	loaded   map[string]*Record // at the start
+	recovery *store.Recovery    // of the start
+
+	mu      sync.Mutex
+	waiting map[string]func() (*Record, error) // the newest value of each kind that is not stored
 
-	mu         sync.Mutex
-	waiting    map[string]func() (*Record, error)
 	wake       chan struct{}
 	quit       chan struct{}
 	done       chan struct{}
-	store      *store.Store // the goroutine's own, once it runs
-	lastErrors map[string]string
-}
-
-const (
-	lockRetryInterval = 500 * time.Millisecond // between tries to have a store that another process has
-	maxValueBytes     = 15 << 20               // of one value: the store takes no more at once
-)
-
-// Start opens the store. An error is one line on why nothing of it is used and nothing is kept; another process that has it, as
-// where one takes another's place, is none: what it keeps is not read, and this one keeps on once that one has ended.
-func Start(opt Options) (*Keeper, error) {
-	k := &Keeper{options: opt, loaded: map[string]*Record{}, waiting: map[string]func() (*Record, error){}, lastErrors: map[string]string{},
-		wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
-	err := k.open(true)
-	if err != nil && !errors.Is(err, store.ErrLocked) {
+	store      *store.Store      // the goroutine's own, once it runs
+	lastErrors map[string]string // by kind: each error is logged once
+}
+
+// Start opens the store. An error says why nothing of it is used and nothing is kept. Another process that has the store is no error, as
+// where one takes another's place: what it keeps is not read, and this one keeps values once that one has ended.
+func Start(options Options) (*Keeper, error) {
+	k := &Keeper{
+		options:    options,
+		loaded:     map[string]*Record{},
+		waiting:    map[string]func() (*Record, error){},
+		lastErrors: map[string]string{},
+		wake:       make(chan struct{}, 1),
+		quit:       make(chan struct{}),
+		done:       make(chan struct{}),
+	}
+	switch err := k.openAndLoad(); {
+	case errors.Is(err, store.ErrLocked):
+		options.Log.Info("kept: another process has the store", "err", err)
+	case err != nil:
 		return nil, err
 	}
-	if err != nil {
-		opt.Log.Info("kept: another process has the store", "err", err)
-	}
 	go k.run()
 	return k, nil
 }
 
-// open opens the store; what it holds is read at a start only.
-func (k *Keeper) open(start bool) error {
-	s, rec, err := store.Open(store.Options{FS: k.options.FS, MaxBytes: k.options.MaxBytes, SegmentBytes: k.options.MaxBytes / 8, CompactionRate: k.options.CompactionRate, MaxMemory: k.options.MaxMemory,
-		Checks: k.options.Store, BatchesPerWalk: k.options.BatchesPerWalk})
+// openAndLoad opens the store and reads what it holds.
+func (k *Keeper) openAndLoad() error {
+	recovery, err := k.open()
 	if err != nil {
 		return err
 	}
-	if start {
-		k.recovery = rec
-	}
-	if k.store = s; rec.DroppedBytes > 0 {
-		k.options.Log.Warn("kept: its end was not whole", "bytes", rec.DroppedBytes, "why", rec.Reason)
-	}
-	for _, what := range []string{Config, List, EndpointList} {
-		v, ok := s.Get(what)
-		if !ok || !start {
+	k.recovery = recovery
+	for _, kind := range kinds() {
+		value, ok := k.store.Get(kind)
+		if !ok {
 			continue
 		}
-		r, err := decode(v)
+		record, err := decode(value)
 		if err != nil {
-			k.options.Log.Warn("kept: a value is not used", "what", what, "err", err)
+			k.options.Log.Warn("kept: a value is not used", "what", kind, "err", err)
 			continue
 		}
-		k.loaded[what] = r
+		k.loaded[kind] = record
 	}
 	return nil
 }
 
-// Get is what was kept when the store was opened, nil where there is nothing; an error says why it is not used. Nothing that is
-// older than the bound, or whose age nobody can tell, is.
-func (k *Keeper) Get(what string, machine clock.Machine) (*Record, error) {
-	if k == nil || k.loaded[what] == nil {
+func (k *Keeper) open() (*store.Recovery, error) {
+	s, recovery, err := store.Open(store.Options{
+		FS:             k.options.FS,
+		MaxBytes:       k.options.MaxBytes,
+		SegmentBytes:   k.options.MaxBytes / segmentsPerStore,
+		CompactionRate: k.options.CompactionRate,
+		MaxMemory:      k.options.MaxMemory,
+		Checks:         k.options.Store,
+		BatchesPerWalk: k.options.BatchesPerWalk,
+	})
+	if err != nil {
+		return nil, err
+	}
+	k.store = s
+	if recovery.DroppedBytes > 0 {
+		k.options.Log.Warn("kept: its end was not whole", "bytes", recovery.DroppedBytes, "why", recovery.Reason)
+	}
+	return recovery, nil
+}
+
+// Get returns the value that was stored when the store was opened, nil where there is none. An error says why it is not used.
+func (k *Keeper) Get(kind string, machine clock.Machine) (*Record, error) {
+	if k == nil || k.loaded[kind] == nil {
 		return nil, nil
 	}
-	r := k.loaded[what]
-	switch age := r.Age(machine); {
+	record := k.loaded[kind]
+	switch age := record.Age(machine); {
 	case age < -maxClockSkewMs:
 		return nil, fmt.Errorf("%w, by %.0f s", ErrFromFuture, -age/1000)
 	case age > k.options.MaxAgeMs:
 		return nil, fmt.Errorf("%w: %.0f s, at most %.0f", ErrTooOld, age/1000, k.options.MaxAgeMs/1000)
 	}
-	return r, nil
+	return record, nil
 }
 
-// Recovery is what the opening of the store found, nil where another process had it.
+// Recovery returns what opening the store found, nil where another process had it.
 func (k *Keeper) Recovery() *store.Recovery {
 	if k == nil {
 		return nil
@@ -195,40 +155,39 @@
 	return k.recovery
 }
 
-// Put has a value kept in place of the one before. What makes it runs on the keeper's goroutine; of several that wait, only the
-// last does.
-func (k *Keeper) Put(what string, value func() (*Record, error)) {
+// Put stores a value in place of the one before. value is called on the keeper's goroutine; of several that wait, only the last is.
+func (k *Keeper) Put(kind string, value func() (*Record, error)) {
 	if k == nil {
 		return
 	}
 	k.mu.Lock()
-	k.waiting[what] = value
+	k.waiting[kind] = value
 	k.mu.Unlock()
 	select {
 	case k.wake <- struct{}{}:
-	default:
+	default: // the goroutine will look anyway
 	}
 }
 
+// Stop stores what waits, closes the store and ends the goroutine.
+func (k *Keeper) Stop() {
+	if k == nil {
+		return
+	}
+	close(k.quit)
+	<-k.done
+}
+
 func (k *Keeper) run() {
 	defer close(k.done)
-	for k.store == nil {
-		select {
-		case <-k.quit:
-			return
-		case <-time.After(lockRetryInterval):
-		}
-		if err := k.open(false); err != nil && !errors.Is(err, store.ErrLocked) {
-			k.options.Log.Error("kept: nothing is kept", "err", err)
-			<-k.quit
-			return
-		}
+	if !k.awaitStore() {
+		return
 	}
 	for {
-		k.flush()
+		k.saveWaiting()
 		select {
 		case <-k.quit:
-			k.flush()
+			k.saveWaiting()
 			if err := k.store.Close(); err != nil {
 				k.options.Log.Warn("kept", "err", err)
 			}
@@ -238,64 +197,56 @@
 	}
 }
 
-func (k *Keeper) flush() {
+// awaitStore opens the store once no other process has it, and reports whether it is open; it is not when the keeper is stopped before.
+func (k *Keeper) awaitStore() bool {
+	for k.store == nil {
+		select {
+		case <-k.quit:
+			return false
+		case <-time.After(lockRetryInterval):
+		}
+		if _, err := k.open(); err != nil && !errors.Is(err, store.ErrLocked) {
+			k.options.Log.Error("kept: nothing is kept", "err", err)
+			<-k.quit
+			return false
+		}
+	}
+	return true
+}
+
+func (k *Keeper) saveWaiting() {
 	k.mu.Lock()
-	next := k.waiting
+	waiting := k.waiting
 	k.waiting = map[string]func() (*Record, error){}
 	k.mu.Unlock()
-	for _, what := range []string{Config, List, EndpointList} {
-		if value := next[what]; value != nil {
-			k.save(what, value)
+	for _, kind := range kinds() {
+		if value := waiting[kind]; value != nil {
+			k.save(kind, value)
 		}
 	}
 }
 
-func (k *Keeper) save(what string, value func() (*Record, error)) {
-	r, err := value()
-	if err == nil && len(r.Body) > maxValueBytes {
-		err = fmt.Errorf("%d bytes; at most %d", len(r.Body), maxValueBytes)
-	}
+func (k *Keeper) save(kind string, value func() (*Record, error)) {
+	record, err := value()
 	if err == nil {
-		done := make(chan error, 1)
-		k.store.Append([]store.Entry{{Key: what, Value: r.encode()}}, func(err error) { done <- err })
-		err = <-done
+		err = k.write(kind, record)
 	}
 	if err == nil {
-		k.checkInvariants(what, r)
-		delete(k.lastErrors, what)
-	} else if k.lastErrors[what] != err.Error() { // once
-		k.lastErrors[what] = err.Error()
-		k.options.Log.Error("kept: it could not be kept", "what", what, "err", err)
-	}
-}
-
-// checkInvariants states what holds once a value has been kept.
-func (k *Keeper) checkInvariants(what string, r *Record) {
-	c := k.options.Checks
-	if !c.Enabled() {
+		k.checkInvariants(kind, record)
+		delete(k.lastErrors, kind)
 		return
 	}
-	v, ok := k.store.Get(what)
-	got, err := decode(v)
-	c.That(ok && err == nil && got.SavedMs == r.SavedMs && got.Source == r.Source && bytes.Equal(got.Body, r.Body), "kept: a value is there as it was kept", func() string {
-		return fmt.Sprintf("%s: there %v, %v, %d bytes of %d", what, ok, err, len(v), len(r.Body))
-	})
-	n := 0
-	k.store.Range("", "", func(key string, _ []byte) bool {
-		n++
-		c.That(key == Config || key == List || key == EndpointList, "kept: nothing else is there", func() string { return fmt.Sprintf("%q", key) })
-		return n < 8
-	})
-	k.mu.Lock()
-	waiting := len(k.waiting)
-	k.mu.Unlock()
-	c.That(waiting <= 3, "kept: one value of each kind waits at most", func() string { return fmt.Sprint(waiting, " wait") })
+	if k.lastErrors[kind] != err.Error() {
+		k.lastErrors[kind] = err.Error()
+		k.options.Log.Error("kept: it could not be kept", "what", kind, "err", err)
+	}
 }
 
-// Stop keeps what waits, and ends.
-func (k *Keeper) Stop() {
-	if k != nil {
-		close(k.quit)
-		<-k.done
+func (k *Keeper) write(kind string, record *Record) error {
+	if len(record.Body) > maxValueBytes {
+		return fmt.Errorf("%d bytes; at most %d", len(record.Body), maxValueBytes)
 	}
+	done := make(chan error, 1)
+	k.store.Append([]store.Entry{{Key: kind, Value: record.encode()}}, func(err error) { done <- err })
+	return <-done
 }
--- a/internal/storage/store/frame.go
+++ b/internal/storage/store/frame.go
@@ -7,28 +7,44 @@
 	"hash/crc32"
 )
 
-// A file is a head of 16 bytes and frames behind it. A frame is its payload's length, a checksum of all else in it, the record's
-// number, the number up to which all was known to be durable when it was written, its kind, and the payload: of each entry
-// that is kept with others or not at all, whether it is gone, the lengths of key and value, and both. All numbers are
-// little-endian.
+// A file is a header of 16 bytes and the frames after it:
+//
+//	header: magic (7 bytes), format version (1), the file's number (8)
+//	frame:  length of the payload (4), checksum of all else in the frame (4), sequence number (8), the sequence number up to which all was
+//	        known to be durable when it was written (8), kind (1), payload
+//
+// The payload has, for each entry, whether it is a deletion (1), the lengths of key and value (4 each), and both. All numbers are
+// little-endian. The entries of a frame are kept all or none.
 const (
 	fileHeaderBytes  = 16
 	frameHeaderBytes = 4 + 4 + 8 + 8 + 1
+	entryHeaderBytes = 1 + 4 + 4
 	maxFrameBytes    = 16 << 20
 	formatVersion    = 1
 )
 
+// Offsets within a frame and within an entry.
+const (
+	checksumOffset = 4
+	sequenceOffset = 8
+	durableOffset  = 16
+	kindOffset     = 24
+
+	keyBytesOffset   = 1
+	valueBytesOffset = 5
+)
+
 var magic = [7]byte{'b', 'g', 's', 't', 'o', 'r', 'e'}
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// frameKind is what a frame is.
+// frameKind is what a frame is. Its numbers are stored.
 type frameKind uint8
 
 const (
 	kindPut  frameKind = iota + 1
-	kindSeal           // the file is whole, and another follows it
-	kindEnd            // a snapshot is whole; its number is how many records it has
+	kindSeal           // the file is complete, and another follows it
+	kindEnd            // a snapshot is complete; the sequence number is how many records it has
 )
 
 type frame struct {
@@ -38,106 +54,141 @@
 	entries  []Entry
 }
 
-const entryHeaderBytes = 1 + 4 + 4
+// Errors of a frame, which need not be damage: the last file may end within one.
+var (
+	errTruncated = errors.New("it ends within a frame")
+	errChecksum  = errors.New("a frame's checksum is wrong")
+)
 
 // encodedSize is how much an entry takes within a frame.
-func encodedSize(e *Entry) int { return entryHeaderBytes + len(e.Key) + len(e.Value) }
+func encodedSize(entry *Entry) int { return entryHeaderBytes + len(entry.Key) + len(entry.Value) }
+
+// frameBytes is how much a frame of entries takes.
+func frameBytes(entries []Entry) int64 {
+	size := int64(frameHeaderBytes)
+	for i := range entries {
+		size += int64(encodedSize(&entries[i]))
+	}
+	return size
+}
 
-// appendFileHeader appends a file's head: what it is, the format's version, and the file's number.
 func appendFileHeader(b []byte, number uint64) []byte {
-	b = append(append(b, magic[:]...), formatVersion)
+	b = append(b, magic[:]...)
+	b = append(b, formatVersion)
 	return binary.LittleEndian.AppendUint64(b, number)
 }
 
+// checkFileHeader reports why a file does not begin with the header of its number.
 func checkFileHeader(b []byte, number uint64) error {
-	switch {
-	case len(b) < fileHeaderBytes:
+	if len(b) < fileHeaderBytes {
 		return errTruncated
-	case [7]byte(b[:7]) != magic:
+	}
+	version := b[len(magic)]
+	found := binary.LittleEndian.Uint64(b[len(magic)+1:])
+	switch {
+	case [len(magic)]byte(b[:len(magic)]) != magic:
 		return fmt.Errorf("%w: no file of this store", ErrCorrupt)
-	case b[7] != formatVersion:
-		return fmt.Errorf("%w: format %d; this program knows %d", ErrCorrupt, b[7], formatVersion)
-	case binary.LittleEndian.Uint64(b[8:]) != number:
-		return fmt.Errorf("%w: the file says that it is number %d", ErrCorrupt, binary.LittleEndian.Uint64(b[8:]))
+	case version != formatVersion:
+		return fmt.Errorf("%w: format %d; this program knows %d", ErrCorrupt, version, formatVersion)
+	case found != number:
+		return fmt.Errorf("%w: the file says that it is number %d", ErrCorrupt, found)
 	}
 	return nil
 }
 
 func appendFrame(b []byte, f *frame) []byte {
-	from := len(b)
-	n := 0
-	for i := range f.entries {
-		n += encodedSize(&f.entries[i])
-	}
-	b = binary.LittleEndian.AppendUint32(b, uint32(n))
-	b = binary.LittleEndian.AppendUint32(b, 0)
+	start := len(b)
+	payloadBytes := frameBytes(f.entries) - frameHeaderBytes
+	b = binary.LittleEndian.AppendUint32(b, uint32(payloadBytes))
+	b = binary.LittleEndian.AppendUint32(b, 0) // the checksum, below
 	b = binary.LittleEndian.AppendUint64(b, f.sequence)
 	b = binary.LittleEndian.AppendUint64(b, f.durable)
 	b = append(b, byte(f.kind))
 	for i := range f.entries {
-		e := &f.entries[i]
-		gone := byte(0)
-		if e.Deleted {
-			gone = 1
-		}
-		b = binary.LittleEndian.AppendUint32(append(b, gone), uint32(len(e.Key)))
-		b = binary.LittleEndian.AppendUint32(b, uint32(len(e.Value)))
-		b = append(append(b, e.Key...), e.Value...)
+		b = appendEntry(b, &f.entries[i])
 	}
-	binary.LittleEndian.PutUint32(b[from+4:], frameChecksum(b[from:]))
+	binary.LittleEndian.PutUint32(b[start+checksumOffset:], frameChecksum(b[start:]))
 	return b
 }
 
-// frameChecksum is a frame's checksum: of its length, and of all behind the checksum's own place.
-func frameChecksum(f []byte) uint32 {
-	return crc32.Update(crc32.Checksum(f[:4], checksumTable), checksumTable, f[8:])
+func appendEntry(b []byte, entry *Entry) []byte {
+	deleted := byte(0)
+	if entry.Deleted {
+		deleted = 1
+	}
+	b = append(b, deleted)
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(entry.Key)))
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(entry.Value)))
+	b = append(b, entry.Key...)
+	return append(b, entry.Value...)
 }
 
-var (
-	errTruncated = errors.New("it ends within a frame")
-	errChecksum  = errors.New("a frame's checksum is wrong")
-)
+// frameChecksum is over a frame's length, and all behind the checksum's own place.
+func frameChecksum(f []byte) uint32 {
+	return crc32.Update(crc32.Checksum(f[:checksumOffset], checksumTable), checksumTable, f[sequenceOffset:])
+}
 
 // readFrame reads the frame at the start of b, and how long it is.
 func readFrame(b []byte) (f frame, n int, err error) {
 	if len(b) < frameHeaderBytes {
 		return frame{}, 0, errTruncated
 	}
-	size := int(binary.LittleEndian.Uint32(b))
-	if size > maxFrameBytes {
+	payloadBytes := int(binary.LittleEndian.Uint32(b))
+	if payloadBytes > maxFrameBytes {
 		return frame{}, 0, errChecksum
 	}
-	if n = frameHeaderBytes + size; n > len(b) {
+	n = frameHeaderBytes + payloadBytes
+	if n > len(b) {
 		return frame{}, 0, errTruncated
 	}
-	if frameChecksum(b[:n]) != binary.LittleEndian.Uint32(b[4:]) {
+	if frameChecksum(b[:n]) != binary.LittleEndian.Uint32(b[checksumOffset:]) {
 		return frame{}, 0, errChecksum
 	}
-	f = frame{sequence: binary.LittleEndian.Uint64(b[8:]), durable: binary.LittleEndian.Uint64(b[16:]), kind: frameKind(b[24])}
-	for p := b[frameHeaderBytes:n]; len(p) > 0; {
-		if len(p) < entryHeaderBytes {
-			return frame{}, 0, errChecksum
+	entries, err := readEntries(b[frameHeaderBytes:n])
+	if err != nil {
+		return frame{}, 0, err
+	}
+	return frame{
+		sequence: binary.LittleEndian.Uint64(b[sequenceOffset:]),
+		durable:  binary.LittleEndian.Uint64(b[durableOffset:]),
+		kind:     frameKind(b[kindOffset]),
+		entries:  entries,
+	}, n, nil
+}
+
+func readEntries(payload []byte) ([]Entry, error) {
+	var entries []Entry
+	for len(payload) > 0 {
+		if len(payload) < entryHeaderBytes {
+			return nil, errChecksum
 		}
-		k, v := int(binary.LittleEndian.Uint32(p[1:])), int(binary.LittleEndian.Uint32(p[5:]))
-		if k+v > len(p)-entryHeaderBytes {
-			return frame{}, 0, errChecksum
+		keyBytes := int(binary.LittleEndian.Uint32(payload[keyBytesOffset:]))
+		valueBytes := int(binary.LittleEndian.Uint32(payload[valueBytesOffset:]))
+		remaining := payload[entryHeaderBytes:]
+		if keyBytes+valueBytes > len(remaining) {
+			return nil, errChecksum
 		}
-		at := p[entryHeaderBytes:]
-		f.entries = append(f.entries, Entry{Key: string(at[:k]), Value: append([]byte(nil), at[k:k+v]...), Deleted: p[0] == 1})
-		p = at[k+v:]
+		entries = append(entries, Entry{
+			Key:     string(remaining[:keyBytes]),
+			Value:   append([]byte(nil), remaining[keyBytes:keyBytes+valueBytes]...),
+			Deleted: payload[0] == 1,
+		})
+		payload = remaining[keyBytes+valueBytes:]
 	}
-	return f, n, nil
+	return entries, nil
 }
 
-// laterDurable is the highest number that any whole frame in b, wherever it begins, says is durable. It is looked for behind a
-// frame that cannot be read, to tell rot from a tail that was never whole.
+// laterDurable returns the highest sequence number that any complete frame in b, wherever it begins, says is durable. It is called for what
+// follows a frame that cannot be read, to tell damage from a tail that was never complete.
 func laterDurable(b []byte) (durable uint64, found bool) {
 	for i := 0; i+frameHeaderBytes <= len(b); i++ {
-		if size := binary.LittleEndian.Uint32(b[i:]); size > maxFrameBytes || int(size) > len(b)-i-frameHeaderBytes {
+		payloadBytes := binary.LittleEndian.Uint32(b[i:])
+		if payloadBytes > maxFrameBytes || int(payloadBytes) > len(b)-i-frameHeaderBytes {
 			continue
 		}
 		if f, _, err := readFrame(b[i:]); err == nil {
-			durable, found = max(durable, f.durable), true
+			durable = max(durable, f.durable)
+			found = true
 		}
 	}
 	return durable, found
--- a/internal/storage/store/fs.go
+++ b/internal/storage/store/fs.go
@@ -10,17 +10,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is a folder as the store needs it. Names hold no separators.
+// FS is a folder. Names have no separators.
 type FS interface {
-	Lock() (unlock func() error, err error) // against a second process
+	// Lock keeps other processes out. It fails with ErrLocked where another has the lock.
+	Lock() (unlock func() error, err error)
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
-	Create(name string) (File, error) // it must not exist
-	Append(name string) (File, error) // it must exist
+	// Create makes a file, which must not exist.
+	Create(name string) (File, error)
+	// Append opens a file, which must exist, for writing at its end.
+	Append(name string) (File, error)
+	// Truncate cuts a file, durably.
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
-	Sync() error // of the folder: names made, renamed and removed before stay so
+	// Sync makes the creations, renames and removals before it durable.
+	Sync() error
 }
 
 // File is a file that is written at its end.
@@ -30,19 +35,23 @@
 	Close() error
 }
 
-// Dir is a folder of the file system; it is made where it is not there.
+// Dir is a folder of the file system. Lock makes it where it is not there.
 type Dir string
 
-const lockName = "lock"
+const (
+	lockName = "lock"
+	dirMode  = 0o750
+	fileMode = 0o640
+)
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Lock is FS's.
+// Lock takes a lock on a file in the folder. It ends with the process.
 func (d Dir) Lock() (func() error, error) {
-	if err := os.MkdirAll(string(d), 0o750); err != nil {
+	if err := os.MkdirAll(string(d), dirMode); err != nil {
 		return nil, err
 	}
-	f, err := os.OpenFile(d.path(lockName), os.O_CREATE|os.O_RDWR, 0o640)
+	f, err := os.OpenFile(d.path(lockName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, err
 	}
@@ -56,50 +65,50 @@
 	return f.Close, nil
 }
 
-// List is FS's.
+// List returns the names of regular files but the lock.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, err
 	}
-	var out []string
-	for _, e := range entries {
-		if e.Name() != lockName && e.Type().IsRegular() {
-			out = append(out, e.Name())
+	var names []string
+	for _, entry := range entries {
+		if entry.Name() != lockName && entry.Type().IsRegular() {
+			names = append(names, entry.Name())
 		}
 	}
-	return out, nil
+	return names, nil
 }
 
-// Read is FS's.
+// Read returns a file's content.
 func (d Dir) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-// Create is FS's.
+// Create makes a file, which must not exist.
 func (d Dir) Create(name string) (File, error) {
-	return os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o640)
+	return os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// Append is FS's.
+// Append opens a file, which must exist, for writing at its end.
 func (d Dir) Append(name string) (File, error) {
-	return os.OpenFile(d.path(name), os.O_WRONLY|os.O_APPEND, 0o640)
+	return os.OpenFile(d.path(name), os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// Truncate is FS's; it is synced before it returns.
+// Truncate cuts a file, and syncs it.
 func (d Dir) Truncate(name string, size int64) error {
-	f, err := os.OpenFile(d.path(name), os.O_WRONLY, 0o640)
+	f, err := os.OpenFile(d.path(name), os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
 	return errors.Join(f.Truncate(size), f.Sync(), f.Close())
 }
 
-// Rename is FS's.
+// Rename renames a file, over one of the other name.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// Remove is FS's.
+// Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Sync is FS's.
+// Sync syncs the folder.
 func (d Dir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
--- a/internal/storage/store/inspect.go
+++ b/internal/storage/store/inspect.go
@@ -1,7 +1,6 @@
 package store
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 )
@@ -12,187 +11,105 @@
 	Bytes         int    `json:"bytes"`
 	Frames        int    `json:"frames"`
 	Entries       int    `json:"entries"`
-	FirstSequence uint64 `json:"first,omitempty"` // numbers of its frames
+	FirstSequence uint64 `json:"first,omitempty"` // of its records
 	LastSequence  uint64 `json:"last,omitempty"`
-	State         string `json:"ends"` // how: sealed, whole, open, or why it can be read no further
-	ReadUpTo      int    `json:"at"`   // ...and at which byte
+	State         string `json:"ends"` // sealed, whole, open, or why it can be read no further
+	ReadUpTo      int    `json:"at"`   // byte
 }
 
-// Inspect reads every file of a store as far as that goes, in their order.
+// The states of a file that can be read to its end.
+const (
+	stateOpen     = "open"
+	stateSealed   = "sealed"
+	stateComplete = "whole"
+	stateForeign  = "not of the store, or never whole"
+)
+
+// Inspect reads every file of a store as far as that goes, sorted by name.
 func Inspect(fs FS) ([]FileReport, error) {
 	names, err := fs.List()
 	if err != nil {
 		return nil, err
 	}
 	slices.Sort(names)
-	var out []FileReport
+	var reports []FileReport
 	for _, name := range names {
-		number, is := fileNumber(name, ".log")
-		if !is {
-			if number, is = fileNumber(name, ".snap"); !is {
-				out = append(out, FileReport{Name: name, State: "not of the store, or never whole"})
-				continue
-			}
+		number, ok := fileNumber(name, segmentSuffix)
+		if !ok {
+			number, ok = fileNumber(name, snapshotSuffix)
+		}
+		if !ok {
+			reports = append(reports, FileReport{Name: name, State: stateForeign})
+			continue
 		}
 		b, err := fs.Read(name)
 		if err != nil {
-			return out, fmt.Errorf("%s: %w", name, err)
+			return reports, fmt.Errorf("%s: %w", name, err)
 		}
-		out = append(out, inspect(name, number, b))
+		reports = append(reports, inspectFile(name, number, b))
 	}
-	return out, nil
+	return reports, nil
 }
 
-func inspect(name string, number uint64, b []byte) FileReport {
-	r := FileReport{Name: name, Bytes: len(b), State: "open"}
+func inspectFile(name string, number uint64, b []byte) FileReport {
+	report := FileReport{Name: name, Bytes: len(b), State: stateOpen}
 	if err := checkFileHeader(b, number); err != nil {
-		r.State = err.Error()
-		return r
+		report.State = err.Error()
+		return report
 	}
-	for r.ReadUpTo = fileHeaderBytes; r.ReadUpTo < len(b); {
-		f, n, err := readFrame(b[r.ReadUpTo:])
+	for report.ReadUpTo = fileHeaderBytes; report.ReadUpTo < len(b); {
+		f, n, err := readFrame(b[report.ReadUpTo:])
 		if err != nil {
-			r.State = err.Error()
-			return r
+			report.State = err.Error()
+			return report
 		}
-		r.ReadUpTo += n
-		r.Frames++
-		r.Entries += len(f.entries)
-		switch f.kind {
-		case kindSeal:
-			r.State = "sealed"
-		case kindEnd:
-			r.State = "whole"
-		default:
-			if r.FirstSequence == 0 {
-				r.FirstSequence = f.sequence
-			}
-			r.LastSequence = f.sequence
+		report.ReadUpTo += n
+		report.addFrame(&f)
+	}
+	return report
+}
+
+func (r *FileReport) addFrame(f *frame) {
+	r.Frames++
+	r.Entries += len(f.entries)
+	switch f.kind {
+	case kindSeal:
+		r.State = stateSealed
+	case kindEnd:
+		r.State = stateComplete
+	default:
+		if r.FirstSequence == 0 {
+			r.FirstSequence = f.sequence
 		}
+		r.LastSequence = f.sequence
 	}
-	return r
 }
 
-// ReadOnly is a folder in which nothing is changed, whatever is asked of it: a store that is opened on it shows what recovery
-// would make of it.
+// ReadOnly is a folder in which nothing is changed, whatever is asked of it: a store that is opened on it shows what recovery would make of
+// it.
 type ReadOnly struct{ FS }
 
+// discardFile takes what is written to it and keeps nothing.
 type discardFile struct{}
 
 func (discardFile) Write(p []byte) (int, error) { return len(p), nil }
 func (discardFile) Sync() error                 { return nil }
 func (discardFile) Close() error                { return nil }
 
-// Create is FS's.
+// Create returns a file that keeps nothing.
 func (ReadOnly) Create(string) (File, error) { return discardFile{}, nil }
 
-// Append is FS's.
+// Append returns a file that keeps nothing.
 func (ReadOnly) Append(string) (File, error) { return discardFile{}, nil }
 
-// Truncate is FS's.
+// Truncate does nothing.
 func (ReadOnly) Truncate(string, int64) error { return nil }
 
-// Rename is FS's.
+// Rename does nothing.
 func (ReadOnly) Rename(string, string) error { return nil }
 
-// Remove is FS's.
+// Remove does nothing.
 func (ReadOnly) Remove(string) error { return nil }
 
-// Sync is FS's.
+// Sync does nothing.
 func (ReadOnly) Sync() error { return nil }
-
-// LostRange is a part of a file that a repair could make nothing of.
-type LostRange struct {
-	Name   string `json:"name"`
-	From   int    `json:"from"`
-	To     int    `json:"to"`
-	Reason string `json:"why"`
-}
-
-// Repair writes what can be read of a store into another, which must be empty, and tells what it had to leave out. What stood
-// there may have been the word that a key is gone, or a newer value: whoever repairs has to look at what came of it.
-func Repair(from, to FS) (kept int, lost []LostRange, err error) {
-	unlock, err := from.Lock()
-	if err != nil {
-		return 0, nil, err
-	}
-	defer func() { err = errors.Join(err, unlock()) }()
-	if names, err := to.List(); err == nil && len(names) > 0 {
-		return 0, nil, fmt.Errorf("the copy's folder is not empty: %s", names[0])
-	}
-	names, err := from.List()
-	if err != nil {
-		return 0, nil, err
-	}
-	base, snap := uint64(0), ""
-	var logs []string
-	slices.Sort(names)
-	for _, name := range names {
-		if n, ok := fileNumber(name, ".snap"); ok && n >= base {
-			base, snap = n, name
-		}
-	}
-	for _, name := range names {
-		if n, ok := fileNumber(name, ".log"); ok && n > base {
-			logs = append(logs, name)
-		}
-	}
-	if snap != "" {
-		logs = append([]string{snap}, logs...)
-	}
-	live := map[string][]byte{}
-	for _, name := range logs {
-		b, err := from.Read(name)
-		if err != nil {
-			return 0, lost, fmt.Errorf("%s: %w", name, err)
-		}
-		lost = append(lost, salvage(name, b, func(e *Entry) {
-			if delete(live, e.Key); !e.Deleted {
-				live[e.Key] = e.Value
-			}
-		})...)
-	}
-	s, _, err := Open(Options{FS: to})
-	if err != nil {
-		return 0, lost, err
-	}
-	keys := make([]string, 0, len(live))
-	for k := range live {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	var failed error
-	for _, k := range keys {
-		done := make(chan error, 1)
-		s.Append([]Entry{{Key: k, Value: live[k]}}, func(err error) { done <- err })
-		failed = errors.Join(failed, <-done)
-	}
-	return len(keys), lost, errors.Join(failed, s.Close())
-}
-
-// salvage takes every whole frame of a file, wherever it stands, and tells what lies between them.
-func salvage(name string, b []byte, take func(*Entry)) (lost []LostRange) {
-	at, from, why := min(fileHeaderBytes, len(b)), -1, ""
-	for at < len(b) {
-		f, n, err := readFrame(b[at:])
-		if err != nil {
-			if from < 0 {
-				from, why = at, err.Error()
-			}
-			at++
-			continue
-		}
-		if from >= 0 {
-			lost = append(lost, LostRange{name, from, at, why})
-			from = -1
-		}
-		for i := range f.entries {
-			take(&f.entries[i])
-		}
-		at += n
-	}
-	if from >= 0 {
-		lost = append(lost, LostRange{name, from, len(b), why})
-	}
-	return lost
-}
--- a/internal/storage/store/replace.go
+++ b/internal/storage/store/replace.go
@@ -6,24 +6,26 @@
 	"math/rand/v2"
 )
 
-// Replace puts a file in another's place, durably: it is written under a name of its own and synced, takes the place, and the folder is synced.
-// Whoever reads, at any time and after any loss of power, finds the old one or the new, whole; once this has returned without an error,
-// the new one. Names are drawn, as two processes may replace one file. After an error either may be there.
-func Replace(fs FS, name string, b []byte) (err error) {
-	part := fmt.Sprintf("%s.new-%016x", name, rand.Uint64())
-	f, err := fs.Create(part)
+// Replace replaces a file durably: the new one is written under a name of its own and synced, takes the old one's place, and the folder is
+// synced. Whoever reads, at any time and after any loss of power, finds the old one or the new one, complete; once Replace has returned
+// without an error, the new one. After an error either may be there. Two processes may replace one file.
+func Replace(fs FS, name string, content []byte) error {
+	partial := fmt.Sprintf("%s.new-%016x", name, rand.Uint64())
+	f, err := fs.Create(partial)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(b)
+	_, err = f.Write(content)
 	if err == nil {
 		err = f.Sync()
 	}
-	if err = errors.Join(err, f.Close()); err == nil {
-		if err = fs.Rename(part, name); err == nil {
-			return fs.Sync()
-		}
+	err = errors.Join(err, f.Close())
+	if err == nil {
+		err = fs.Rename(partial, name)
+	}
+	if err == nil {
+		return fs.Sync()
 	}
-	_ = fs.Remove(part)
+	_ = fs.Remove(partial)
 	return err
 }
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -1,5 +1,8 @@
-// Package store keeps records that must survive a crash: a log in segments, an index by key in memory, and compaction into
-// snapshots. What was acknowledged is there after a crash; what is there was given to it, once, in the order in which it was.
+// Package store keeps records that must survive a crash: a log in segments, an index by key in memory, and compaction into snapshots.
+//
+// What was acknowledged is there after a crash; what is there was given to the store, once, in the order in which it was. All entries of one
+// Append are kept, or none. A sync that fails is final: the store takes nothing more until it is opened anew. Damage of what was durable is
+// never repaired silently: opening fails with ErrCorrupt, and an operator has to look (Inspect, Repair).
 package store
 
 import (
@@ -15,7 +18,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// Errors of the store. What is rotten is never opened in silence: an operator has to look.
+// Errors of the store.
 var (
 	ErrCorrupt    = errors.New("the store is damaged")
 	ErrLocked     = errors.New("another process has the store")
@@ -24,126 +27,144 @@
 	ErrClosed     = errors.New("the store is closed")
 )
 
-// Entry is a record to be kept: a key with its value, or the word that a key is there no more.
+// Entry is a record to be kept: a key with its value, or the deletion of a key.
 type Entry struct {
 	Key     string
 	Value   []byte
 	Deleted bool
 }
 
-// Options are the store's.
+const defaultSegmentBytes = 8 << 20
+
+// Options configure a Store.
 type Options struct {
 	FS             FS
-	SegmentBytes   int64        // a segment that has so much is followed by another
-	MaxBytes       int64        // of all that is kept, a snapshot that is being written among it, 0 for any; beyond it nothing more is taken
-	CompactionRate int64        // bytes a second that a compaction writes at most, 0 for any
-	MaxMemory      int64        // that live records may take, by Memory, 0 for any; beyond it nothing that takes more is taken
-	Post           func(func()) // runs what tells of a commit, on the loop say; nil for where it happens
+	SegmentBytes   int64        // a segment of that size is followed by another; 0 for the default
+	MaxBytes       int64        // of all files, a snapshot that is being written included; 0 for no bound. Beyond it nothing is taken
+	CompactionRate int64        // bytes a second that a compaction writes at most; 0 for no bound
+	MaxMemory      int64        // that live records may take, by MemoryUse; 0 for no bound. Beyond it nothing is taken that takes more
+	Post           func(func()) // runs the callbacks of commits, for example on a loop; nil runs them on the writer's goroutine
 
 	Checks         *invariant.Checks // the writer's own; nil for off
-	BatchesPerWalk int               // batches for a walk over all that there is
+	BatchesPerWalk int               // a check of all that there is every so many batches
 }
 
-// Recovery is what opening found.
+// Recovery is what opening a store found.
 type Recovery struct {
-	Records      int    // live ones
-	SegmentsRead int    // read behind the snapshot
-	DroppedBytes int    // bytes of a tail that was never whole
-	Reason       string // ...and what was wrong with it
+	Records      int    // live
+	SegmentsRead int    // after the snapshot
+	DroppedBytes int    // of a tail that was never complete
+	Reason       string // why they were dropped
 	DurationMs   float64
 }
 
-// indexBytesPerRecord is what a record takes in the index beside its key and value: its place, with half of a tree's nodes free, the allocations'
-// rounding, and as much again as the collector lets grow.
-const indexBytesPerRecord = 160
-
-// MemoryUse is about how many bytes of memory so many live records take, whose keys and values have so many bytes.
-func MemoryUse(records int, bytes int64) int64 { return 2*bytes + indexBytesPerRecord*int64(records) }
-
-type item struct {
-	key   string
-	value []byte
-}
-
-func less(a, b item) bool { return a.key < b.key }
-
 // Store is an open store. Its methods may be called from any goroutine.
 type Store struct {
 	options Options
 	unlock  func() error
+	wake    chan struct{}
+	stopped chan struct{} // closed when the writer has ended
 
 	mu           sync.Mutex
 	index        *btree.BTreeG[item] // what is durable
 	queue        []commit
 	diskError    error
 	closed       bool
-	wake         chan struct{}
-	stopped      chan struct{}
-	liveBytes    int64 // bytes of live records, as a snapshot has them
-	payloadBytes int64 // bytes of their keys and values
-	totalBytes   int64 // bytes of all files
+	liveBytes    int64 // of live records, as a snapshot has them
+	payloadBytes int64 // of their keys and values
+	totalBytes   int64 // of all files
 
 	// The writer's own.
 	segmentFile      File
-	segmentNumber    uint64 // of the segment that is written
+	segmentNumber    uint64
 	segmentBytes     int64
-	sequence         uint64
-	durable          uint64
+	sequence         uint64   // of the last frame
+	durable          uint64   // the last that is known to be durable
 	replaceable      []string // files that the next snapshot replaces
 	fileBytes        map[string]int64
-	compacting       *compaction   // that is under way, nil for none
-	compactionDone   chan error    // of it, when it has ended
-	closing          chan struct{} // closed once a compaction shall not spare the disk any more
+	compacting       *compaction   // under way, nil for none
+	compactionDone   chan error    // its end
+	closing          chan struct{} // closed by Close: a compaction need not spare the disk any more
 	batchesSinceWalk int
-	bytesAtOpen      int64 // bytes that were there at the start
+	bytesAtOpen      int64
+}
+
+// item is a live record in the index.
+type item struct {
+	key   string
+	value []byte
 }
 
+func less(a, b item) bool { return a.key < b.key }
+
+const indexDegree = 32
+
+// commit is a call that waits for the writer.
 type commit struct {
 	entries []Entry
 	done    func(error)
 	compact bool
 }
 
-const indexDegree = 32
-
-// Open opens a store, and recovers what it held.
-func Open(opt Options) (s *Store, rec *Recovery, err error) {
-	if opt.SegmentBytes <= 0 {
-		opt.SegmentBytes = 8 << 20
+// Open opens a store and recovers what it holds. It fails with ErrLocked where another process has the store, and with ErrCorrupt where what
+// was durable is damaged.
+func Open(options Options) (s *Store, recovery *Recovery, err error) {
+	if options.SegmentBytes <= 0 {
+		options.SegmentBytes = defaultSegmentBytes
 	}
-	began := time.Now()
-	unlock, err := opt.FS.Lock()
+	startedAt := time.Now()
+	unlock, err := options.FS.Lock()
 	if err != nil {
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
-	s = &Store{options: opt, unlock: unlock, index: btree.NewG(indexDegree, less), wake: make(chan struct{}, 1), stopped: make(chan struct{}), fileBytes: map[string]int64{},
-		compactionDone: make(chan error, 1), closing: make(chan struct{})}
-	if rec, err = s.recover(); err != nil {
-		return nil, rec, errors.Join(fmt.Errorf("store: %w", err), unlock())
+	s = &Store{
+		options:        options,
+		unlock:         unlock,
+		wake:           make(chan struct{}, 1),
+		stopped:        make(chan struct{}),
+		index:          btree.NewG(indexDegree, less),
+		fileBytes:      map[string]int64{},
+		compactionDone: make(chan error, 1),
+		closing:        make(chan struct{}),
+	}
+	recovery, err = s.recover()
+	if err != nil {
+		return nil, recovery, errors.Join(fmt.Errorf("store: %w", err), unlock())
 	}
 	s.bytesAtOpen = s.totalBytes
-	rec.DurationMs = float64(time.Since(began).Microseconds()) / 1000
+	recovery.DurationMs = float64(time.Since(startedAt).Microseconds()) / 1000
 	go s.runWriter()
-	return s, rec, nil
+	return s, recovery, nil
 }
 
-func segmentName(n uint64) string  { return fmt.Sprintf("%016x.log", n) }
-func snapshotName(n uint64) string { return fmt.Sprintf("%016x.snap", n) }
+const (
+	segmentSuffix  = ".log"
+	snapshotSuffix = ".snap"
+	partialSuffix  = ".tmp" // of a snapshot that is not complete
+	numberDigits   = 16     // of a file's number in its name, hexadecimal
+)
 
-// fileNumber is a file's number by its name.
-func fileNumber(name, suffix string) (uint64, bool) {
-	text, ok := strings.CutSuffix(name, suffix)
-	n, err := strconv.ParseUint(text, 16, 64)
-	return n, ok && err == nil && len(text) == 16
+func segmentName(number uint64) string {
+	return fmt.Sprintf("%0*x%s", numberDigits, number, segmentSuffix)
+}
+func snapshotName(number uint64) string {
+	return fmt.Sprintf("%0*x%s", numberDigits, number, snapshotSuffix)
 }
 
-// Append has entries kept, all or none of them, in the order of the calls. done is called once: with nil after they have been
-// synced, so that no crash takes them away; with an error where they are not kept, or nobody can tell.
+// fileNumber returns the number in a file's name.
+func fileNumber(name, suffix string) (number uint64, ok bool) {
+	text, found := strings.CutSuffix(name, suffix)
+	number, err := strconv.ParseUint(text, 16, 64)
+	return number, found && err == nil && len(text) == numberDigits
+}
+
+// Append keeps entries, all or none of them, in the order of the calls. done is called once: with nil after they were synced, so that no
+// crash loses them; with an error where they are not kept, or it is not known. done may be nil.
 func (s *Store) Append(entries []Entry, done func(error)) {
 	s.enqueue(commit{entries: entries, done: done})
 }
 
-// Compact has a snapshot made of what is live, in place of the segments there are.
+// Compact replaces the segments by a snapshot of what is live.
 func (s *Store) Compact(done func(error)) { s.enqueue(commit{done: done, compact: true}) }
 
 func (s *Store) enqueue(c commit) {
@@ -160,12 +181,17 @@
 		s.notify(c.done, err)
 		return
 	}
+	s.wakeWriter()
+}
+
+func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
-	default:
+	default: // it will look anyway
 	}
 }
 
+// notify calls back, by way of Options.Post.
 func (s *Store) notify(done func(error), err error) {
 	switch {
 	case done == nil:
@@ -176,37 +202,40 @@
 	}
 }
 
-// Get is a key's value, as it is durable.
+// Get returns the durable value of a key.
 func (s *Store) Get(key string) (value []byte, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x, ok := s.index.Get(item{key: key})
-	return x.value, ok
+	found, ok := s.index.Get(item{key: key})
+	return found.value, ok
 }
 
-// Range calls f for the keys from from on and before to (empty for all), in their order, until it returns false. It sees the
-// store as it is at the call, whatever is written meanwhile.
-func (s *Store) Range(from, to string, f func(key string, value []byte) bool) {
+// Range calls visit for the keys from from on and before to (empty for all), in their order, until it returns false. It sees the store as it
+// is at the call, whatever is written meanwhile.
+func (s *Store) Range(from, to string, visit func(key string, value []byte) bool) {
 	s.mu.Lock()
-	tree := s.index.Clone()
+	records := s.index.Clone()
 	s.mu.Unlock()
-	tree.AscendGreaterOrEqual(item{key: from}, func(x item) bool { return (to == "" || x.key < to) && f(x.key, x.value) })
+	records.AscendGreaterOrEqual(item{key: from}, func(record item) bool {
+		inRange := to == "" || record.key < to
+		return inRange && visit(record.key, record.value)
+	})
 }
 
-// Stats are figures of a store.
+// Stats are the sizes of a store.
 type Stats struct {
 	Records int   `json:"records"`
 	Live    int64 `json:"live_bytes"`
 }
 
-// Stats tells how much there is.
+// Stats returns the sizes of the store.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Stats{s.index.Len(), s.liveBytes}
+	return Stats{Records: s.index.Len(), Live: s.liveBytes}
 }
 
-// Close takes nothing more, and ends once all that came before has been told its end.
+// Close takes nothing more, and returns once all that came before has been called back. It may be called more than once.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -216,10 +245,7 @@
 	s.closed = true
 	s.mu.Unlock()
 	close(s.closing)
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
+	s.wakeWriter()
 	<-s.stopped
 	var err error
 	if s.segmentFile != nil {
