--- a/cmd/beechgrade-kit/trace.go
+++ b/cmd/beechgrade-kit/trace.go
@@ -86,7 +86,7 @@
 
 // handText says how a transaction's wait for a server connection ended.
 func handText(e *record.Event) string {
-	switch e.How {
+	switch e.Assignment {
 	case record.AssignmentRejected:
 		return "none came free in time"
 	case record.AssignmentRestarted:
@@ -96,7 +96,7 @@
 	for _, x := range []struct {
 		is  bool
 		say string
-	}{{e.Other, "another client had it before"}, {e.Moved, "the session was at another server before"}, {e.Carried, "settings go ahead"}} {
+	}{{e.FromOtherClient, "another client had it before"}, {e.ServerChanged, "the session was at another server before"}, {e.SettingsRestored, "settings go ahead"}} {
 		if x.is {
 			text += "; " + x.say
 		}
--- a/internal/core/recorder.go
+++ b/internal/core/recorder.go
@@ -183,7 +183,7 @@
 			Sessions:    int64(sessions),
 			Connections: int64(conns),
 			Number:      int64(c.requests.Len()),
-			Wall:        clock.Wall(),
+			WallClockMs: clock.Wall(),
 		})
 	}
 }
--- a/internal/frontend/pooling/records.go
+++ b/internal/frontend/pooling/records.go
@@ -38,10 +38,10 @@
 	if !c.f.rec.Enabled() {
 		return
 	}
-	e := record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_HAND, Pool: c.pool.name, Session: c.session, How: how, DurationMs: waited, Other: other,
+	e := record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_HAND, Pool: c.pool.name, Session: c.session, Assignment: how, DurationMs: waited, FromOtherClient: other,
 		Group: int64(c.pool.opt.Group)}
 	if l != nil {
-		e.Server, e.Moved, e.Carried = l.store, c.last != "" && c.last != l.store, c.carry.Sync(l.server) != ""
+		e.Server, e.ServerChanged, e.SettingsRestored = l.store, c.last != "" && c.last != l.store, c.carry.Sync(l.server) != ""
 	}
 	c.f.rec.Put(&e)
 }
@@ -56,9 +56,9 @@
 	for _, p := range f.pools {
 		idle, used, dialing, waiting := p.share.Counts()
 		e := record.Event{At: now, Kind: recordpb.Kind_KIND_POOL, Pool: p.name, PoolState: record.PoolState{Clients: int32(p.clients), Idle: int32(idle),
-			Used: int32(used), Connecting: int32(dialing), Waiting: int32(waiting + p.share.Outside()), Most: int32(p.opt.Limits.Most)}}
+			Used: int32(used), Connecting: int32(dialing), Waiting: int32(waiting + p.share.Outside()), MaxConnections: int32(p.opt.Limits.Most)}}
 		if at := p.share.Oldest(); at > 0 {
-			e.PoolState.LongestMs = now - at
+			e.PoolState.LongestWaitMs = now - at
 		}
 		f.rec.Put(&e)
 	}
--- a/internal/record/census.go
+++ b/internal/record/census.go
@@ -48,20 +48,20 @@
 	x.Pool, x.Source, x.Health = w.nameNumber(e.Pool), w.nameNumber(e.Source), uint32(e.Health)
 	switch e.Kind {
 	case recordpb.Kind_KIND_HAND:
-		x.Hand = &recordpb.Hand{How: uint32(e.How), Other: e.Other, Moved: e.Moved, Carried: e.Carried}
+		x.Hand = &recordpb.Hand{How: uint32(e.Assignment), Other: e.FromOtherClient, Moved: e.ServerChanged, Carried: e.SettingsRestored}
 	case recordpb.Kind_KIND_POOL:
 		h := &e.PoolState
 		x.Held = &recordpb.Pool{Clients: uint32(h.Clients), Idle: uint32(h.Idle), Used: uint32(h.Used), Connecting: uint32(h.Connecting),
-			Waiting: uint32(h.Waiting), LongestUs: unsignedMicroseconds(h.LongestMs), Most: uint32(h.Most)}
+			Waiting: uint32(h.Waiting), LongestUs: unsignedMicroseconds(h.LongestWaitMs), Most: uint32(h.MaxConnections)}
 	case recordpb.Kind_KIND_ENTRY, recordpb.Kind_KIND_SAID:
 		x.Text = ""
 		x.Entry = &recordpb.Entry{State: uint32(e.State), Primary: e.Primary, StartedUs: e.Number * 1000, Address: e.Text, Held: e.Restated}
 	case recordpb.Kind_KIND_GAUGE:
 		memory, files := w.processUsage()
 		x.Gauge = &recordpb.Gauge{Sessions: uint32(e.Sessions), Connections: uint32(e.Connections), Open: uint32(e.Number),
-			Memory: memory, Descriptors: files, WallUs: microseconds(e.Wall)}
+			Memory: memory, Descriptors: files, WallUs: microseconds(e.WallClockMs)}
 	case recordpb.Kind_KIND_LOST:
-		x.Lost = &recordpb.Lost{Events: e.Lost, FromUs: microseconds(e.From), ToUs: microseconds(e.To), Cause: uint32(e.Cause)}
+		x.Lost = &recordpb.Lost{Events: e.Lost, FromUs: microseconds(e.LostFrom), ToUs: microseconds(e.LostTo), Cause: uint32(e.LossCause)}
 		w.lost += e.Lost
 	case recordpb.Kind_KIND_LIST:
 		x.Number, x.Whole = e.Number, e.Full
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -52,14 +52,14 @@
 
 // Frames reads a segment's frames.
 type Frames struct {
-	in  io.Reader
-	at  int64
-	buf []byte
+	reader io.Reader
+	offset int64
+	buffer []byte
 }
 
 // NewFrames reads a segment from its first byte on.
 func NewFrames(r io.Reader) (*Frames, error) {
-	f := &Frames{in: r}
+	f := &Frames{reader: r}
 	b, err := f.read(len(Magic))
 	switch {
 	case errors.Is(err, io.EOF):
@@ -71,12 +71,12 @@
 	case string(b) != Magic:
 		return nil, fmt.Errorf("%w: it does not begin as a segment of records", ErrCorrupt)
 	}
-	f.at = int64(len(Magic))
+	f.offset = int64(len(Magic))
 	return f, nil
 }
 
-// At is the offset behind the last whole frame.
-func (f *Frames) At() int64 { return f.at }
+// Offset is the offset behind the last whole frame.
+func (f *Frames) Offset() int64 { return f.offset }
 
 // Next returns the next frame; the payload is valid until the call after. At the file's end the error is io.EOF, in
 // the midst of a frame it wraps ErrTorn, where the bytes are not as they were written ErrCorrupt.
@@ -106,16 +106,16 @@
 	if checksum(head[:5], payload) != binary.LittleEndian.Uint32(head[5:]) {
 		return 0, nil, fmt.Errorf("%w: checksum of a frame", ErrCorrupt)
 	}
-	f.at += frameHeadBytes + int64(n)
+	f.offset += frameHeadBytes + int64(n)
 	return head[4], payload, nil
 }
 
 func (f *Frames) read(n int) ([]byte, error) {
-	if cap(f.buf) < n {
-		f.buf = make([]byte, n)
+	if cap(f.buffer) < n {
+		f.buffer = make([]byte, n)
 	}
-	b := f.buf[:n]
-	_, err := io.ReadFull(f.in, b)
+	b := f.buffer[:n]
+	_, err := io.ReadFull(f.reader, b)
 	if n == 0 {
 		err = nil
 	}
@@ -123,4 +123,4 @@
 }
 
 // ResumeFrames goes on in a segment behind a whole frame.
-func ResumeFrames(r io.Reader, at int64) *Frames { return &Frames{in: r, at: at} }
+func ResumeFrames(r io.Reader, at int64) *Frames { return &Frames{reader: r, offset: at} }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -50,48 +50,48 @@
 // Event is one event on its way to disk, or read back. Times are in milliseconds; At and Position are Unix time.
 // Which fields count depends on Kind, as the schema says.
 type Event struct {
-	At          float64
-	Kind        Kind
-	Final       recordpb.Final
-	Result      uint8
-	Role        uint8
-	State       uint8
-	Repeat      bool
-	Primary     bool
-	Full        bool
-	Restated    bool
-	Class       int32
-	Attempt     int32
-	Group       int64
-	Request     uint64
-	Server      string
-	Session     uint64
-	ID          uint64
-	DurationMs  float64
-	RemainingMs float64
-	WaitMs      float64
-	Position    float64 // 0 for none
-	Reason      Reason
-	Number      int64 // a list's generation; a server's start in Unix ms; a gauge's open requests
-	Sessions    int64
-	Connections int64
-	Memory      int64
-	Descriptors int64
-	Wall        float64 // the machine's clock at a gauge, Unix ms
-	Text        string
-	Lost        uint64 // events
-	From, To    float64
-	Cause       uint8
+	At               float64
+	Kind             Kind
+	Final            recordpb.Final
+	Result           uint8
+	Role             uint8
+	State            uint8
+	Repeat           bool
+	Primary          bool
+	Full             bool
+	Restated         bool
+	Class            int32
+	Attempt          int32
+	Group            int64
+	Request          uint64
+	Server           string
+	Session          uint64
+	ID               uint64
+	DurationMs       float64
+	RemainingMs      float64
+	WaitMs           float64
+	Position         float64 // 0 for none
+	Reason           Reason
+	Number           int64 // a list's generation; a server's start in Unix ms; a gauge's open requests
+	Sessions         int64
+	Connections      int64
+	MemoryBytes      int64
+	Descriptors      int64
+	WallClockMs      float64 // the machine's clock at a gauge, Unix ms
+	Text             string
+	Lost             uint64 // events
+	LostFrom, LostTo float64
+	LossCause        uint8
 
 	Source string // of membership
 	Health uint8  // as that says
 
-	Pool      string
-	How       uint8 // of a hand-over
-	Other     bool
-	Moved     bool
-	Carried   bool
-	PoolState PoolState
+	Pool             string
+	Assignment       uint8 // of a hand-over
+	FromOtherClient  bool
+	ServerChanged    bool
+	SettingsRestored bool
+	PoolState        PoolState
 
 	Recovery *StoreRecovery // of a store that was opened; Text is why some of it was dropped
 }
@@ -104,10 +104,10 @@
 	Dropped  int64 // bytes
 }
 
-// PoolState is what a pool holds; LongestMs is for how long one of those who wait has.
+// PoolState is what a pool holds; LongestWaitMs is for how long one of those who wait has.
 type PoolState struct {
-	Clients, Idle, Used, Connecting, Waiting, Most int32
-	LongestMs                                      float64
+	Clients, Idle, Used, Connecting, Waiting, MaxConnections int32
+	LongestWaitMs                                            float64
 }
 
 // How a transaction's wait for a server connection ended.
@@ -125,10 +125,10 @@
 
 // Recorder takes events on the loop. A nil Recorder takes none.
 type Recorder struct {
-	ring  ring
-	wake  chan struct{}
-	lost  Event // what the ring had no room for since
-	total atomic.Uint64
+	ring        ring
+	wake        chan struct{}
+	pendingLost Event // what the ring had no room for since
+	lostCount   atomic.Uint64
 }
 
 // Enabled tells whether events are kept.
@@ -140,7 +140,7 @@
 	if r == nil {
 		return
 	}
-	if r.lost.Lost > 0 && !r.flushLost() {
+	if r.pendingLost.Lost > 0 && !r.flushLost() {
 		r.countLost(e.At)
 		return
 	}
@@ -160,24 +160,24 @@
 	if r == nil {
 		return 0
 	}
-	return r.total.Load()
+	return r.lostCount.Load()
 }
 
 func (r *Recorder) countLost(at float64) {
-	if r.lost.Lost == 0 {
-		r.lost = Event{Kind: recordpb.Kind_KIND_LOST, From: at, Cause: CauseRing}
+	if r.pendingLost.Lost == 0 {
+		r.pendingLost = Event{Kind: recordpb.Kind_KIND_LOST, LostFrom: at, LossCause: CauseRing}
 	}
-	r.lost.Lost++
-	r.lost.At, r.lost.To = at, at
-	r.total.Add(1)
+	r.pendingLost.Lost++
+	r.pendingLost.At, r.pendingLost.LostTo = at, at
+	r.lostCount.Add(1)
 }
 
 // flushLost puts the word of a loss where the lost events would have stood.
 func (r *Recorder) flushLost() bool {
-	if r.ring.put(&r.lost) < 0 {
+	if r.ring.put(&r.pendingLost) < 0 {
 		return false
 	}
-	r.lost = Event{}
+	r.pendingLost = Event{}
 	return true
 }
 
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -17,19 +17,19 @@
 
 // disk keeps segments in memory. It fails, or blocks, as it is told to.
 type disk struct {
-	mu    sync.Mutex
-	files map[string]*bytes.Buffer
-	room  int           // bytes left, -1 for no end
-	hold  chan struct{} // writes wait for it to close, where it is set
-	began chan struct{} // told of each write that waits
+	mu           sync.Mutex
+	files        map[string]*bytes.Buffer
+	capacity     int           // bytes left, -1 for no end
+	blocked      chan struct{} // writes wait for it to close, where it is set
+	writeStarted chan struct{} // told of each write that waits
 }
 
-func newDisk() *disk { return &disk{files: map[string]*bytes.Buffer{}, room: -1} }
+func newDisk() *disk { return &disk{files: map[string]*bytes.Buffer{}, capacity: -1} }
 
 func (d *disk) Create(name string) (io.WriteCloser, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.room == 0 {
+	if d.capacity == 0 {
 		return nil, errors.New("no space left")
 	}
 	d.files[name] = &bytes.Buffer{}
@@ -54,14 +54,14 @@
 }
 
 type diskFile struct {
-	d    *disk
+	disk *disk
 	name string
 }
 
 func (f *diskFile) Write(b []byte) (int, error) {
-	f.d.mu.Lock()
-	hold, began := f.d.hold, f.d.began
-	f.d.mu.Unlock()
+	f.disk.mu.Lock()
+	hold, began := f.disk.blocked, f.disk.writeStarted
+	f.disk.mu.Unlock()
 	if hold != nil {
 		select {
 		case began <- struct{}{}:
@@ -69,14 +69,14 @@
 		}
 		<-hold
 	}
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
 	n := len(b)
-	if f.d.room >= 0 {
-		n = min(n, f.d.room)
-		f.d.room -= n
+	if f.disk.capacity >= 0 {
+		n = min(n, f.disk.capacity)
+		f.disk.capacity -= n
 	}
-	f.d.files[f.name].Write(b[:n])
+	f.disk.files[f.name].Write(b[:n])
 	if n < len(b) {
 		return n, errors.New("no space left")
 	}
@@ -85,8 +85,8 @@
 
 func (f *diskFile) Close() error { return nil }
 
-// told sums up what is on the disk: events that are there, and events that are told as lost.
-func (d *disk) told(t *testing.T) (kept int, lost uint64) {
+// countEvents sums up what is on the disk: events that are there, and events that are told as lost.
+func (d *disk) countEvents(t *testing.T) (kept int, lost uint64) {
 	t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,10 +135,10 @@
 // TestSlowDiskLosesAndCountsEvents checks that a slow disk never holds up the event loop, and that lost events are counted.
 func TestSlowDiskLosesAndCountsEvents(t *testing.T) {
 	d := newDisk()
-	d.hold, d.began = make(chan struct{}), make(chan struct{}, 1)
+	d.blocked, d.writeStarted = make(chan struct{}), make(chan struct{}, 1)
 	rec, stop := Start(options(d))
 	rec.Put(event(0))
-	<-d.began // the writer hangs now
+	<-d.writeStarted // the writer hangs now
 	const all = 5000
 	for i := 1; i < all; i++ {
 		rec.Put(event(i))
@@ -146,7 +146,7 @@
 	if rec.Lost() < all-2*256 {
 		t.Fatalf("%d events lost with a ring of 256; the ring is not bounded", rec.Lost())
 	}
-	close(d.hold)
+	close(d.blocked)
 	for { // until there is room, and so the loss is told
 		before := rec.Lost()
 		rec.Put(event(all))
@@ -156,7 +156,7 @@
 	}
 	lostInRing := rec.Lost()
 	stop()
-	kept, lost := d.told(t)
+	kept, lost := d.countEvents(t)
 	if lost != lostInRing || kept+int(lost) < all {
 		t.Errorf("%d kept, %d told as lost; %d were lost of over %d", kept, lost, lostInRing, all)
 	}
@@ -167,7 +167,7 @@
 func TestFullDiskIsRetriedAndCounted(t *testing.T) {
 	for _, room := range []int{0, 5, 300, 5000, 20000} {
 		d := newDisk()
-		d.room = room
+		d.capacity = room
 		rec, stop := Start(options(d))
 		put := 0
 		fill := func(n int) {
@@ -181,10 +181,10 @@
 		}
 		fill(3000)
 		d.mu.Lock()
-		d.room = -1
+		d.capacity = -1
 		d.mu.Unlock()
 		until := time.Now().Add(20 * time.Second)
-		for kept, lost := d.told(t); lost == 0 && time.Now().Before(until); kept, lost = d.told(t) {
+		for kept, lost := d.countEvents(t); lost == 0 && time.Now().Before(until); kept, lost = d.countEvents(t) {
 			if kept == put {
 				break
 			}
@@ -192,7 +192,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		stop()
-		if kept, lost := d.told(t); kept+int(lost) != put || lost == 0 {
+		if kept, lost := d.countEvents(t); kept+int(lost) != put || lost == 0 {
 			t.Errorf("with %d bytes: %d events kept and %d told as lost, %d were put", room, kept, lost, put)
 		}
 	}
--- a/internal/record/segment.go
+++ b/internal/record/segment.go
@@ -76,7 +76,7 @@
 	w.file, w.size, w.nameNumbers = f, 0, map[string]uint32{}
 	head, err := proto.Marshal(&recordpb.Header{Pooler: w.options.Pooler, Program: w.options.Program, RunUs: microseconds(w.options.RunStartMs),
 		Segment: w.segment, OpenedUs: microseconds(at), Schema: Schema, Classes: w.options.Classes, LostBefore: w.lost,
-		ColdFrom: w.options.ColdFrom, ColdUs: unsignedMicroseconds(w.options.ColdMs), GraceUs: unsignedMicroseconds(w.options.GraceMs)})
+		ColdFrom: w.options.WarmupStartShare, ColdUs: unsignedMicroseconds(w.options.WarmupMs), GraceUs: unsignedMicroseconds(w.options.DrainGraceMs)})
 	if err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 	for e := w.recorder.ring.next(); e != nil; e = w.recorder.ring.next() {
 		w.trackList(e)
 		if e.Kind == recordpb.Kind_KIND_LOST {
-			w.countLost(e.From, e.Lost)
+			w.countLost(e.LostFrom, e.Lost)
 		} else {
 			w.countLost(e.At, 1)
 		}
@@ -191,8 +191,8 @@
 func (w *writer) countLost(at float64, events uint64) {
 	l := &w.pendingLost
 	if l.Lost == 0 {
-		*l = Event{Kind: recordpb.Kind_KIND_LOST, From: at, To: at, Cause: CauseWrite}
+		*l = Event{Kind: recordpb.Kind_KIND_LOST, LostFrom: at, LostTo: at, LossCause: CauseWrite}
 	}
 	l.Lost += events
-	l.From, l.To = min(l.From, at), max(l.To, at)
+	l.LostFrom, l.LostTo = min(l.LostFrom, at), max(l.LostTo, at)
 }
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -27,20 +27,20 @@
 
 // Options say what is recorded where.
 type Options struct {
-	Pooler          string
-	Program         string
-	RunStartMs      float64 // when the process started, Unix ms
-	Classes         []*recordpb.Class
-	ColdFrom        float64 // part of its capacity that a server starts with
-	ColdMs          float64 // from its start until it is warm
-	GraceMs         float64 // for sends, from hearing that a server drains
-	Files           Files
-	SegmentBytes    int64 // a segment is closed when it has this many
-	TotalBytes      int64 // of all segments of this pooler; the oldest go first
-	QueueLength     int   // that wait for the writer at most
-	FlushIntervalMs float64
-	Compress        bool // with zstd
-	Log             *slog.Logger
+	Pooler           string
+	Program          string
+	RunStartMs       float64 // when the process started, Unix ms
+	Classes          []*recordpb.Class
+	WarmupStartShare float64 // part of its capacity that a server starts with
+	WarmupMs         float64 // from its start until it is warm
+	DrainGraceMs     float64 // for sends, from hearing that a server drains
+	Files            Files
+	SegmentBytes     int64 // a segment is closed when it has this many
+	TotalBytes       int64 // of all segments of this pooler; the oldest go first
+	QueueLength      int   // that wait for the writer at most
+	FlushIntervalMs  float64
+	Compress         bool // with zstd
+	Log              *slog.Logger
 }
 
 // writer runs on a goroutine of its own; what is here belongs to it.
--- a/internal/testkit/fake/records.go
+++ b/internal/testkit/fake/records.go
@@ -70,7 +70,7 @@
 		}
 		opt := record.Options{Pooler: fmt.Sprintf("p%d", no), Program: "made up", RunStartMs: now + skew, Classes: Classes(), Files: record.Dir(dir),
 			SegmentBytes: segment, TotalBytes: 1 << 40, QueueLength: 1 << 14, Compress: d.Pack, Log: slog.New(slog.DiscardHandler),
-			ColdFrom: 0.15, ColdMs: 18000, GraceMs: 250}
+			WarmupStartShare: 0.15, WarmupMs: 18000, DrainGraceMs: 250}
 		record.Write(opt, func(put func(*record.Event)) {
 			tell := func(e record.Event) {
 				e.At += skew
@@ -88,7 +88,7 @@
 				now = d.From + float64(i)*d.EveryMs + rng.Float64()*d.EveryMs/2
 				d.request(rng, i, now, tell)
 				if i%int(max(1, 1000/d.EveryMs)) == 0 {
-					tell(record.Event{At: now, Kind: recordpb.Kind_KIND_GAUGE, Sessions: 10, Connections: 20, Wall: now + skew})
+					tell(record.Event{At: now, Kind: recordpb.Kind_KIND_GAUGE, Sessions: 10, Connections: 20, WallClockMs: now + skew})
 				}
 			}
 			tell(record.Event{At: now, Kind: recordpb.Kind_KIND_STOP})
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -181,13 +181,13 @@
 			s.ask(300, 0, 2, false, "s-1", decide.Overloaded, 1, refused)
 		}, []string{"drain s-1a", "sent after drain s-1a"}},
 		"records lost": {func(s *story) {
-			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 9, From: t0, To: t0 + 5, Cause: record.CauseRing})
+			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 9, LostFrom: t0, LostTo: t0 + 5, LossCause: record.CauseRing})
 		}, []string{"records lost a"}},
 		"clock stepped": {func(s *story) {
-			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_GAUGE, Wall: t0 + 1})
-			s.tell(1000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, Wall: t0 + 1003})
-			s.tell(2000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, Wall: t0 + 2700})
-			s.tell(3000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, Wall: t0 + 3701})
+			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 1})
+			s.tell(1000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 1003})
+			s.tell(2000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 2700})
+			s.tell(3000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 3701})
 		}, []string{"clock a"}},
 		"killed and started again, its clock behind": {func(s *story) {
 			s.ask(5000, 1, 1, false, "s-1", decide.OK, 10, none)
--- a/internal/testkit/incident/model.go
+++ b/internal/testkit/incident/model.go
@@ -287,22 +287,22 @@
 		m.forgetClients(r.Pooler)
 		x.pooler.Lost += e.Lost
 		cause := "the writer did not keep up"
-		if e.Cause == record.CauseWrite {
+		if e.LossCause == record.CauseWrite {
 			cause = "writing failed"
 		}
-		m.find(Finding{At: e.From, To: e.To, Kind: "records lost", Pooler: r.Pooler, Grave: true,
+		m.find(Finding{At: e.LostFrom, To: e.LostTo, Kind: "records lost", Pooler: r.Pooler, Grave: true,
 			Text: fmt.Sprintf("%d events were not recorded: %s", e.Lost, cause)})
 	}
 }
 
 func (m *Model) onGauge(x *run, e *record.Event) {
 	p := x.pooler
-	p.Memory, p.Files = max(p.Memory, e.Memory), max(p.Files, e.Descriptors)
+	p.Memory, p.Files = max(p.Memory, e.MemoryBytes), max(p.Files, e.Descriptors)
 	p.Sessions, p.Conns = max(p.Sessions, e.Sessions), max(p.Conns, e.Connections)
-	if e.Wall == 0 {
+	if e.WallClockMs == 0 {
 		return
 	}
-	drift := e.Wall - e.At
+	drift := e.WallClockMs - e.At
 	if x.drifted && math.Abs(drift-x.drift) > stepMs {
 		m.find(Finding{At: e.At, Kind: "clock", Pooler: p.Name, Grave: true,
 			Text: fmt.Sprintf("its machine's clock stepped by %s; the pooler's own times go on as before", signed(drift-x.drift))})
--- a/internal/testkit/incident/pools.go
+++ b/internal/testkit/incident/pools.go
@@ -189,7 +189,7 @@
 
 func (m *Model) onHand(e *record.Event) {
 	p := m.pool(e.Pool)
-	switch e.How {
+	switch e.Assignment {
 	case record.AssignmentRejected:
 		p.Refused++
 		m.turned(p, p.refused.add(e.At, stormMs))
@@ -203,13 +203,13 @@
 	if e.DurationMs > p.WaitMost {
 		p.WaitMost, p.WaitMostAt = e.DurationMs, e.At
 	}
-	if e.Other {
+	if e.FromOtherClient {
 		p.Changed++
 	}
-	if e.Carried {
+	if e.SettingsRestored {
 		p.Carried++
 	}
-	if e.Moved {
+	if e.ServerChanged {
 		p.Moved++
 		p.cell(m, e.At).moved++
 	}
@@ -227,12 +227,12 @@
 	now := p.now(x)
 	p.setClients(now, int64(h.Clients))
 	p.MostUsed, p.MostWaiting = max(p.MostUsed, int64(h.Used)), max(p.MostWaiting, int64(h.Waiting))
-	p.Connections = int64(h.Most)
+	p.Connections = int64(h.MaxConnections)
 	if now.at > 0 && e.At-now.at > gaugeGapMs {
 		p.uncramp(m, x, now, now.at)
 	}
 	now.at, now.waiting, now.used = e.At, uint32(max(0, h.Waiting)), uint32(max(0, h.Used))
-	switch cramped := h.Waiting > 0 && h.Used >= h.Most; {
+	switch cramped := h.Waiting > 0 && h.Used >= h.MaxConnections; {
 	case cramped && now.crampedFrom == 0:
 		now.crampedFrom = e.At
 	case !cramped:
--- a/internal/testkit/incident/pools_test.go
+++ b/internal/testkit/incident/pools_test.go
@@ -21,21 +21,21 @@
 		s.tell(at, e)
 	}
 	gauge := func(at float64, used, waiting int32) {
-		s.tell(at, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: name, PoolState: record.PoolState{Clients: 40, Used: used, Waiting: waiting, Most: 2}})
+		s.tell(at, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: name, PoolState: record.PoolState{Clients: 40, Used: used, Waiting: waiting, MaxConnections: 2}})
 	}
 	for i := range 40 {
 		s.tell(float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: name, Session: uint64(i + 1)})
 	}
 	gauge(100, 1, 0)
-	hand(200, record.Event{How: record.AssignmentGranted, Server: "s-1", Session: 1, DurationMs: 3})
-	hand(300, record.Event{How: record.AssignmentGranted, Server: "s-2", Session: 1, DurationMs: 70, Other: true, Moved: true, Carried: true})
+	hand(200, record.Event{Assignment: record.AssignmentGranted, Server: "s-1", Session: 1, DurationMs: 3})
+	hand(300, record.Event{Assignment: record.AssignmentGranted, Server: "s-2", Session: 1, DurationMs: 70, FromOtherClient: true, ServerChanged: true, SettingsRestored: true})
 	for at := 1000.0; at <= 4000; at += 1000 { // all in use, and somebody waits
 		gauge(at, 2, 7)
 	}
 	gauge(5000, 2, 0)
-	hand(5100, record.Event{How: record.AssignmentRestarted, Session: 2})
+	hand(5100, record.Event{Assignment: record.AssignmentRestarted, Session: 2})
 	for i := range 3 {
-		hand(5200+float64(i), record.Event{How: record.AssignmentRejected, Session: 3})
+		hand(5200+float64(i), record.Event{Assignment: record.AssignmentRejected, Session: 3})
 	}
 	for i := range 25 {
 		s.tell(6000+float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: uint64(i + 1), Text: "57P01"})
@@ -98,7 +98,7 @@
 		}, 3},
 		"ends were lost": {func(s *story) {
 			begin(s, 5)
-			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 5, From: t0, To: t0})
+			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 5, LostFrom: t0, LostTo: t0})
 			begin(s, 4)
 		}, 5},
 		"segments are missing": {func(s *story) {
@@ -113,7 +113,7 @@
 		}, 9},
 		"a gauge after a loss": {func(s *story) {
 			begin(s, 5)
-			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 1, From: t0, To: t0})
+			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 1, LostFrom: t0, LostTo: t0})
 			gauge(s, 4)
 			begin(s, 3)
 		}, 7},
--- a/internal/testkit/records/stream.go
+++ b/internal/testkit/records/stream.go
@@ -79,7 +79,7 @@
 				st.shut()
 				continue
 			}
-			st.whole = st.frames.At()
+			st.whole = st.frames.Offset()
 			if len(st.events) == 0 {
 				continue
 			}
@@ -128,7 +128,7 @@
 		sink.Fault(fault)
 		st.batches = 0 // what is missing has been said
 	}
-	st.number, st.file, st.frames, st.names, st.closed, st.whole = seg.number, f, frames, nil, false, frames.At()
+	st.number, st.file, st.frames, st.names, st.closed, st.whole = seg.number, f, frames, nil, false, frames.Offset()
 	return true
 }
 
@@ -149,7 +149,7 @@
 
 // fault tells that the segment cannot be read further. What is missing ends with the next one's start.
 func (st *stream) fault(sink Sink, err error) {
-	f := Fault{Kind: kindOf(err), Pooler: st.run.Pooler, File: st.run.segments[st.seg].path, Offset: st.frames.At(), From: st.at, Text: err.Error()}
+	f := Fault{Kind: kindOf(err), Pooler: st.run.Pooler, File: st.run.segments[st.seg].path, Offset: st.frames.Offset(), From: st.at, Text: err.Error()}
 	if errors.Is(err, io.EOF) {
 		f.Kind, f.Text = Unclosed, "ends without its closing frame"
 	}
@@ -198,7 +198,7 @@
 		return fmt.Errorf("%w: %w", record.ErrCorrupt, err)
 	}
 	if st.batches != 0 && st.batch.Number != st.batches+1 {
-		sink.Fault(Fault{Kind: Missing, Pooler: st.run.Pooler, File: st.run.segments[st.seg].path, Offset: st.frames.At(),
+		sink.Fault(Fault{Kind: Missing, Pooler: st.run.Pooler, File: st.run.segments[st.seg].path, Offset: st.frames.Offset(),
 			From: st.at, To: ms(st.batch.BaseUs), Text: fmt.Sprintf("batch %d follows batch %d", st.batch.Number, st.batches)})
 	}
 	st.batches = st.batch.Number
@@ -237,11 +237,11 @@
 		}
 	}
 	if h := x.Hand; h != nil {
-		e.How, e.Other, e.Moved, e.Carried = uint8(h.How), h.Other, h.Moved, h.Carried
+		e.Assignment, e.FromOtherClient, e.ServerChanged, e.SettingsRestored = uint8(h.How), h.Other, h.Moved, h.Carried
 	}
 	if h := x.Held; h != nil {
 		e.PoolState = record.PoolState{Clients: int32(h.Clients), Idle: int32(h.Idle), Used: int32(h.Used), Connecting: int32(h.Connecting),
-			Waiting: int32(h.Waiting), LongestMs: ms(int64(h.LongestUs)), Most: int32(h.Most)}
+			Waiting: int32(h.Waiting), LongestWaitMs: ms(int64(h.LongestUs)), MaxConnections: int32(h.Most)}
 	}
 	if x.Positioned {
 		e.Position = ms(at - x.BehindUs)
@@ -250,11 +250,11 @@
 		e.State, e.Primary, e.Number, e.Text, e.Restated = uint8(n.State), n.Primary, n.StartedUs/1000, n.Address, n.Held
 	}
 	if g := x.Gauge; g != nil {
-		e.Sessions, e.Connections, e.Number, e.Memory, e.Descriptors = int64(g.Sessions), int64(g.Connections), int64(g.Open), int64(g.Memory), int64(g.Descriptors)
-		e.Wall = ms(g.WallUs)
+		e.Sessions, e.Connections, e.Number, e.MemoryBytes, e.Descriptors = int64(g.Sessions), int64(g.Connections), int64(g.Open), int64(g.Memory), int64(g.Descriptors)
+		e.WallClockMs = ms(g.WallUs)
 	}
 	if l := x.Lost; l != nil {
-		e.Lost, e.From, e.To, e.Cause = l.Events, ms(l.FromUs), ms(l.ToUs), uint8(l.Cause)
+		e.Lost, e.LostFrom, e.LostTo, e.LossCause = l.Events, ms(l.FromUs), ms(l.ToUs), uint8(l.Cause)
 	}
 	if r := x.Recovered; r != nil {
 		e.Recovery = &record.StoreRecovery{Store: r.Store, Records: int64(r.Records), Segments: int64(r.Segments), Dropped: int64(r.Dropped)}
--- a/internal/testkit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -97,7 +97,7 @@
 		f.kind[id] = map[recordpb.Final]clients.Kind{recordpb.Final_FINAL_SERVED: clients.Served, recordpb.Final_FINAL_REFUSED: clients.Refused,
 			recordpb.Final_FINAL_FAILED: clients.Failed, recordpb.Final_FINAL_GONE: "gone"}[e.Final]
 	case recordpb.Kind_KIND_LOST:
-		f.dark = append(f.dark, darkness{r.Pooler, e.From, e.To})
+		f.dark = append(f.dark, darkness{r.Pooler, e.LostFrom, e.LostTo})
 	}
 }
 
