--- a/internal/backend/answers.go
+++ b/internal/backend/answers.go
@@ -135,10 +135,10 @@
 		conn.server.dialing--
 		conn.ready()
 	case conn.state == streaming && conn.stream != nil:
-		stream, answer, whole := conn.stream, conn.answer, conn.result() == decide.OK
+		stream, answer, complete := conn.stream, conn.answer, conn.result() == decide.OK
 		conn.stream, conn.answer = nil, nil
 		conn.ready()
-		stream.Ended(answer, whole)
+		stream.Ended(answer, complete)
 	case conn.state == busy && conn.attempt != nil:
 		conn.answerComplete()
 	}
--- a/internal/backend/api.go
+++ b/internal/backend/api.go
@@ -77,8 +77,8 @@
 	Chunk(b []byte)
 	// HasCapacity reports whether another chunk can be taken.
 	HasCapacity() bool
-	// Ended receives what follows the last chunk. whole is false if the rest of the answer will not arrive.
-	Ended(b []byte, whole bool)
+	// Ended receives what follows the last chunk. complete is false if the rest of the answer will not arrive.
+	Ended(b []byte, complete bool)
 }
 
 // Options are the settings and limits of a Pool.
--- a/internal/backend/write.go
+++ b/internal/backend/write.go
@@ -8,6 +8,9 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
+// decimalBase is the base of the numbers in messages.
+const decimalBase = 10
+
 // healthQuery is answered with a row that holds a load report.
 const healthQuery = "SHOW load"
 
@@ -24,7 +27,7 @@
 	conn.idleFor = conn.writtenAt - conn.since
 	conn.fullyWritten = false // set after the write, as a failed write closes the connection before it returns
 	if conn.unwritten != nil {
-		conn.writeRest()
+		conn.writeRemaining()
 		return
 	}
 	if conn.socket.Write(pool.scratch) == nil {
@@ -71,14 +74,14 @@
 func largestNumber(digits int) int {
 	number := 0
 	for range digits {
-		number = 10*number + 9
+		number = decimalBase*number + decimalBase - 1
 	}
 	return number
 }
 
-// writeRest writes as much of a long query as the server accepts. The part that holds the remaining time, and those after it, are
+// writeRemaining writes as much of a long query as the server accepts. The part that holds the remaining time, and those after it, are
 // written only when all earlier parts have been transmitted, so that the number is still right when the server reads it.
-func (conn *conn) writeRest() {
+func (conn *conn) writeRemaining() {
 	for len(conn.unwritten) > 0 && conn.socket.Unsent() < maxUnsent {
 		holdsWait := len(conn.unwritten) == conn.partsFromWait
 		if holdsWait && conn.socket.Untransmitted() > 0 {
@@ -100,7 +103,7 @@
 		if now-conn.writtenAt < capacityCheckMs {
 			pause = soonCheckMs
 		}
-		conn.writeTimer = conn.pool.loop.At(now+pause, conn.writeRest)
+		conn.writeTimer = conn.pool.loop.At(now+pause, conn.writeRemaining)
 		return
 	}
 	conn.unwritten = nil
--- /dev/null
+++ b/internal/frontend/platform/answer.go
@@ -0,0 +1,142 @@
+package platform
+
+import (
+	"math"
+	"strconv"
+
+	"beechgrade/internal/eventloop/slotmap"
+	"beechgrade/internal/protocol/pgwire"
+)
+
+// answer is the place of a command in its session's queue: answers are sent in the order of the commands. It is the Client of its
+// request.
+type answer struct {
+	session          *session
+	requestRef       slotmap.Ref // valid while open
+	open             bool        // its request is open
+	done             bool
+	size             int    // bytes of its statement while open, then of waiting
+	waiting          []byte // output that waits for earlier answers
+	closesConnection bool   // the connection ends after it
+	streaming        bool
+	partlySent       bool
+	reservedBytes    int // its part of postgres.reservedBytes
+}
+
+// queueAnswer queues a command whose statement has size bytes.
+func (session *session) queueAnswer(size int) *answer {
+	answer := &answer{session: session, size: size}
+	session.queue = append(session.queue, answer)
+	return answer
+}
+
+// finish sends the answer to a command, or keeps it until the earlier ones have been sent. The message is valid during the call.
+func (answer *answer) finish(message []byte) {
+	session := answer.session
+	if answer.done || session.closed || session.closing {
+		return
+	}
+	answer.done = true
+	answer.open = false
+	session.endStream(answer)
+	defer session.postgres.releaseReserved(answer.reservedBytes)
+	answer.reservedBytes = 0
+	if session.queue[0] != answer {
+		answer.wait(message)
+		return
+	}
+	wasFull := len(session.queue) >= maxPipelined
+	session.queue = session.queue[1:]
+	session.send(message)
+	if answer.closesConnection && !session.closed {
+		session.close()
+		return
+	}
+	if session.sendFinished() {
+		session.afterAnswers(wasFull)
+	}
+}
+
+// wait keeps output until the earlier answers have been sent.
+func (answer *answer) wait(message []byte) {
+	answer.waiting = append(answer.waiting, message...)
+	answer.size = len(answer.waiting)
+	answer.session.countBuffered()
+}
+
+// sendFinished sends the answers that are finished, up to the first that is not, and what that one has so far. It reports whether the
+// connection goes on.
+func (session *session) sendFinished() bool {
+	for !session.closed && len(session.queue) > 0 && session.queue[0].done {
+		next := session.queue[0]
+		session.queue = session.queue[1:]
+		session.send(next.waiting)
+		if next.closesConnection && !session.closed {
+			session.close()
+			return false
+		}
+	}
+	session.flushWaiting()
+	return !session.closed
+}
+
+// afterAnswers goes on with the next commands after answers have been sent; wasFull tells that commands had to wait for them.
+func (session *session) afterAnswers(wasFull bool) {
+	session.stateSince = session.postgres.eventLoop.Now()
+	if len(session.queue) == 0 {
+		session.queue = nil
+	}
+	if wasFull && session.input.Pending() > 0 || session.postgres.stage >= CloseIdle {
+		session.proceedIn(0) // by a timer, so that the caller's work is done first
+	}
+	session.updateClass()
+	session.postgres.byClass[session.class].MoveToBack(session.classElement)
+	session.postgres.evictIdle()
+}
+
+// Served implements Client.
+func (answer *answer) Served(row []byte) {
+	answer.finish(pgwire.AppendReady(append(answer.session.output[:0], row...)))
+}
+
+// Rejected implements Client.
+func (answer *answer) Rejected(retryMs float64) {
+	answer.reject("no server can take this now", retryMs)
+}
+
+// RejectedUnfunded implements PrepaidClient. In the platform's protocol it differs from Rejected only by its text.
+func (answer *answer) RejectedUnfunded(slowed bool, retryMs float64) {
+	answer.reject(NoCreditMessage(slowed), retryMs)
+}
+
+// reject answers that the request did not run. The error's detail holds retryMs, rounded up, unless that is 0.
+func (answer *answer) reject(text string, retryMs float64) {
+	detail := ""
+	if retryMs > 0 {
+		detail = strconv.Itoa(int(math.Ceil(retryMs)))
+	}
+	answer.finish(pgwire.AppendReady(pgwire.AppendError(answer.session.output[:0], "ERROR", codeRejected, text, detail)))
+}
+
+// NoCreditMessage returns the text for clients whose tenant has used its prepaid credit.
+func NoCreditMessage(slowed bool) string {
+	if slowed {
+		return "the tenant's prepaid funds run low, this request is among the least"
+	}
+	return "the tenant's prepaid funds are spent"
+}
+
+// Failed implements Client.
+func (answer *answer) Failed() {
+	answer.finish(appendFailure(answer.session.output[:0]))
+}
+
+// appendFailure appends the answer to a request that may have run.
+func appendFailure(dst []byte) []byte {
+	return pgwire.AppendReady(pgwire.AppendError(dst, "ERROR", codeFailed, "the request failed; it may have had an effect", ""))
+}
+
+// Disconnected implements Disconnectable.
+func (answer *answer) Disconnected() bool {
+	return answer.session.closed || answer.session.conn.PeerClosed()
+}
--- a/internal/frontend/platform/queue_test.go
+++ b/internal/frontend/platform/arrivals_test.go
@@ -6,9 +6,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestArrivals: the time of a request must count from when its last byte arrived, not from when it was handled after earlier
+// TestArrivalTimesFollowLastByte: the time of a request must count from when its last byte arrived, not from when it was handled after earlier
 // ones.
-func TestArrivals(t *testing.T) {
+func TestArrivalTimesFollowLastByte(t *testing.T) {
 	for name, c := range map[string]struct {
 		fed  [][2]int // bytes, time
 		take []int
@@ -19,7 +19,7 @@
 		"last byte comes late": {[][2]int{{15, 1}, {5, 2}, {4, 3}}, []int{10, 10, 4}, []float64{1, 2, 3}},
 		"over several pieces":  {[][2]int{{3, 1}, {3, 2}, {4, 3}}, []int{10}, []float64{3}},
 	} {
-		var arrivals arrivals
+		var arrivals arrivalTimes
 		for _, f := range c.fed {
 			arrivals.add(f[0], float64(f[1]))
 		}
@@ -33,13 +33,13 @@
 	}
 }
 
-// TestArrivalsStayFew: a client that sends byte by byte must not cost more memory.
-func TestArrivalsStayFew(t *testing.T) {
-	var arrivals arrivals
+// TestArrivalTimesAreBounded: a client that sends byte by byte must not cost more memory.
+func TestArrivalTimesAreBounded(t *testing.T) {
+	var arrivals arrivalTimes
 	for i := range 1000 {
 		arrivals.add(1, float64(i))
 	}
 	if at := arrivals.take(1000); len(arrivals.marks) != 0 || at != maxArrivals-1 {
-		t.Errorf("%d marks left, the last byte came at %v", len(arrivals.marks), at)
+		t.Errorf("%d marks remain, the last byte arrived at %v", len(arrivals.marks), at)
 	}
 }
--- a/internal/frontend/platform/closing.go
+++ b/internal/frontend/platform/closing.go
@@ -6,139 +6,160 @@
 
 // This file holds the one procedure by which the pooler itself ends a client's connection:
 //
-//  1. no more commands are taken (ended), and each one that was read has its answer;
-//  2. no more answers follow (leaving), and those that are buffered are flushed;
-//  3. the write side is shut (shut), and what still comes is read and dropped, until the client closes or for lingerMs;
+//  1. no more commands are accepted (noMoreCommands), and each one that was read has its answer;
+//  2. no more answers follow (closing), and those that are buffered are flushed;
+//  3. the write side is shut (writeClosed), and what still comes is read and dropped, until the client closes or for lingerMs;
 //  4. the descriptor is closed.
 //
 // A close over unread bytes is a reset, which may overtake the last answers: hence step 3.
 
-// leaveIfIdle ends a connection on which nothing is owed and nothing is unread.
-func (session *session) leaveIfIdle() {
-	switch {
-	case session.closed, session.ended, session.conn == nil, len(session.queue) > 0:
-	case session.postgres.stage >= EndPartial && session.input.Pending() > 0 && (session.conn.OpenAndIdle() || session.conn.ReadingPaused()):
-		session.fatal(endedByDrain, codeClosed, errSentAway.Error())
-	case session.input.Pending() > 0, session.fresh(), !session.conn.OpenAndIdle():
-	case session.postgres.stage >= EndPartial, session.idle():
-		session.endFor(endedByDrain)
-		session.leave()
+// closeIfIdle ends a connection on which no answer is outstanding and nothing is unread.
+func (session *session) closeIfIdle() {
+	if session.closed || session.noMoreCommands {
+		return
+	}
+	if session.conn == nil || len(session.queue) > 0 {
+		return
+	}
+	endPartial := session.postgres.stage >= EndPartial
+	if session.input.Pending() > 0 {
+		if endPartial && session.nothingUnread() {
+			session.endWithError(endedByDrain, codeClosed, errDraining.Error())
+		}
+		return
+	}
+	if session.awaitsFirstRequest() || !session.conn.OpenAndIdle() {
+		return
+	}
+	if endPartial || session.isIdle() {
+		session.setEndReason(endedByDrain)
+		session.close()
 	}
 }
 
-// fresh reports whether the client has connected so recently that its first request is probably on its way; closing now would
-// leave that unanswered. This grace counts from the connection's startup and ends with its first request, also with one that is refused:
-// nothing that the client sends begins it anew.
-func (session *session) fresh() bool {
-	return !session.asked && session.postgres.stage < EndPartial && session.postgres.loop.Now() < session.graceEnds
+// nothingUnread reports whether the socket holds no bytes that the loop would read next.
+func (session *session) nothingUnread() bool {
+	return session.conn.OpenAndIdle() || session.conn.ReadingPaused()
+}
+
+// awaitsFirstRequest reports whether the client has connected so recently that its first request is probably on its way; closing now
+// would leave that unanswered. This grace counts from the connection's startup and ends with its first request, also with one that is
+// rejected: nothing that the client sends begins it anew.
+func (session *session) awaitsFirstRequest() bool {
+	if session.hasRequested || session.postgres.stage >= EndPartial {
+		return false
+	}
+	return session.postgres.eventLoop.Now() < session.graceEnds
 }
 
-// fatal ends the connection with an error message.
-func (session *session) fatal(reason endReason, code, text string) {
-	if !session.closed && !session.ended {
-		session.endFor(reason)
-		session.end(pgwire.AppendError(session.output[:0], "FATAL", code, text, ""))
+// endWithError ends the connection with an error message.
+func (session *session) endWithError(reason endReason, code, text string) {
+	if !session.closed && !session.noMoreCommands {
+		session.setEndReason(reason)
+		session.endAfterAnswers(pgwire.AppendError(session.output[:0], "FATAL", code, text, ""))
 	}
 }
 
-// end accepts no more commands, and ends the connection after the answers to those accepted and a last message.
-func (session *session) end(report []byte) {
-	session.ended = true
+// endAfterAnswers accepts no more commands, and ends the connection after the answers to those accepted and a last message.
+func (session *session) endAfterAnswers(lastMessage []byte) {
+	session.noMoreCommands = true
 	session.input.Reset()
-	session.postgres.freeLong(session.longBytes)
-	session.longBytes = 0
-	session.arrived = arrivals{}
-	answer := session.begin(0)
-	answer.last = true
-	answer.finish(report)
+	session.postgres.releaseReserved(session.reservedBytes)
+	session.reservedBytes = 0
+	session.arrivalTimes = arrivalTimes{}
+	answer := session.queueAnswer(0)
+	answer.closesConnection = true
+	answer.finish(lastMessage)
 }
 
-// leave ends a connection to which nothing more will be written.
-func (session *session) leave() {
-	if session.closed || session.leaving {
+// close ends a connection to which nothing more will be written.
+func (session *session) close() {
+	if session.closed || session.closing {
 		return
 	}
-	session.ended, session.leaving, session.since = true, true, session.postgres.loop.Now()
-	session.postgres.loop.StopTimer(session.recheckTimer)
+	session.noMoreCommands = true
+	session.closing = true
+	session.stateSince = session.postgres.eventLoop.Now()
+	session.postgres.eventLoop.StopTimer(session.recheckTimer)
 	session.input.Reset()
-	session.abandon()
-	session.shutOnceFlushed()
-	session.fileByUse()
+	session.abandonRequests()
+	session.closeWriteOnceFlushed()
+	session.updateClass()
 }
 
-// shutOnceFlushed shuts the write side once all output has been given to the socket, and closes the connection lingerMs later.
-func (session *session) shutOnceFlushed() {
-	eventLoop := session.postgres.loop
+// closeWriteOnceFlushed shuts the write side once all output has been given to the socket, and closes the connection lingerMs later.
+func (session *session) closeWriteOnceFlushed() {
+	loop := session.postgres.eventLoop
 	switch {
 	case session.closed:
-	case session.conn.ReadingPaused(): // the loop does not read from it; Close sends what is buffered
+	case session.conn.ReadingPaused(): // Close sends what is buffered
 		session.conn.Close()
 	case session.conn.Unsent() > 0: // sweep disconnects a client that reads nothing
-		session.recheckTimer = eventLoop.At(eventLoop.Now()+recheckMs, session.shutOnceFlushed)
+		session.recheckTimer = loop.At(loop.Now()+recheckMs, session.closeWriteOnceFlushed)
 	case session.conn.CloseWrite() != nil:
 		session.conn.Close()
 	default:
-		session.shut, session.since = true, eventLoop.Now()
-		session.recheckTimer = eventLoop.At(eventLoop.Now()+lingerMs, session.conn.Close)
-		session.fileByUse()
+		session.writeClosed = true
+		session.stateSince = loop.Now()
+		session.recheckTimer = loop.At(loop.Now()+lingerMs, session.conn.Close)
+		session.updateClass()
 	}
 }
 
-// lastAnswers returns the answers owed to a client whose connection ends, because it closed the connection, or only its write
-// side, which looks the same, or because the pooler can wait no longer. Its requests are called off, so these answers promise
-// nothing.
-func (session *session) lastAnswers() (out []byte) {
+// outstandingAnswers returns the answers that are outstanding when a connection ends, because its client closed it, or only its write
+// side, which looks the same, or because the pooler can wait no longer. The requests are abandoned, so these answers promise nothing.
+func (session *session) outstandingAnswers() (out []byte) {
 	for _, answer := range session.queue {
 		switch {
-		case answer.begun: // nothing can follow a partial answer
+		case answer.partlySent: // nothing can follow a partial answer
 			return nil
 		case answer.done:
 			out = append(out, answer.waiting...)
 		default:
-			out = appendFailed(out)
+			out = appendFailure(out)
 		}
 	}
-	if session.ended || !session.started {
+	if session.noMoreCommands || !session.started {
 		return out
 	}
 	for message, ok, err := session.input.Next(); ok && err == nil; message, ok, err = session.input.Next() {
-		if message.Type == 'Q' { // it was never handled
-			out = pgwire.AppendReady(pgwire.AppendError(out, "ERROR", codeRefused, "the connection ends", ""))
+		if message.Type == pgwire.Query { // it was never handled
+			out = pgwire.AppendReady(pgwire.AppendError(out, "ERROR", codeRejected, "the connection ends", ""))
 		}
 	}
 	return out
 }
 
-// abandon ends the open requests of a client that will not receive their answers.
-func (session *session) abandon() {
+// abandonRequests ends the open requests of a client that will not receive their answers.
+func (session *session) abandonRequests() {
 	queue := session.queue
 	session.queue = nil
 	for _, answer := range queue {
-		session.endFlow(answer)
-		session.postgres.freeLong(answer.longBytes)
-		answer.longBytes = 0
+		session.endStream(answer)
+		session.postgres.releaseReserved(answer.reservedBytes)
+		answer.reservedBytes = 0
 		if answer.open {
 			answer.open = false
-			session.postgres.desk.Abandon(answer.ref)
+			session.postgres.dispatcher.Abandon(answer.requestRef)
 		}
 	}
-	session.countHeld()
+	session.countBuffered()
 }
 
-// Closed implements loop.Handler. It is called before the descriptor is closed, so that last answers can still be sent.
+// Closed implements eventloop.Handler. It is called before the descriptor is closed, so that last answers can still be sent.
 func (session *session) Closed(error) {
 	if session.closed {
 		return
 	}
-	if out := session.lastAnswers(); len(out) > 0 {
-		_ = session.conn.Write(out) // the client may be gone
+	if out := session.outstandingAnswers(); len(out) > 0 {
+		_ = session.conn.Write(out) // the client may not read any more
 	}
 	session.closed = true
 	session.countEnd()
 	session.postgres.sessions.Remove(session.ref)
-	session.postgres.loop.StopTimer(session.recheckTimer)
-	session.fileByUse()
-	session.postgres.freeLong(session.longBytes)
-	session.longBytes = 0
-	session.abandon()
+	session.postgres.eventLoop.StopTimer(session.recheckTimer)
+	session.updateClass()
+	session.postgres.releaseReserved(session.reservedBytes)
+	session.reservedBytes = 0
+	session.abandonRequests()
 }
--- a/internal/frontend/platform/closing_test.go
+++ b/internal/frontend/platform/closing_test.go
@@ -12,16 +12,16 @@
 // TestLastMessageFollowsUnsentAnswers: a client that has not read all of its answers when its connection ends must receive the
 // rest first.
 func TestLastMessageFollowsUnsentAnswers(t *testing.T) {
-	world := newWorld(t, 100, 1<<28)
-	client := world.client()
+	fixture := newFixture(t, 100, 1<<28)
+	client := fixture.client()
 	client.send(append(queries(0, 15), 'X', 0, 0, 0, 4))
-	world.until("all is asked", func() bool { return len(world.desk.asked) == 15 })
-	world.do(func() {
+	fixture.until("all are submitted", func() bool { return len(fixture.dispatcher.clients) == 15 })
+	fixture.do(func() {
 		for n := range 15 {
-			if n == 14 && world.session().conn.Unsent() == 0 {
-				t.Error("all has gone out at once: the test shows nothing")
+			if n == 14 && fixture.session().conn.Unsent() == 0 {
+				t.Error("everything was sent at once: the test shows nothing")
 			}
-			world.serve(n, fmt.Sprint(n, strings.Repeat(" ", 1<<20)))
+			fixture.serve(n, fmt.Sprint(n, strings.Repeat(" ", 1<<20)))
 		}
 	})
 	for n := range 15 {
@@ -32,168 +32,168 @@
 	client.want("$")
 }
 
-// sendsAfterTheEnd sends late requests from a client whose connection the pooler has ended. The client is to send them again
+// sendAfterEnd sends late requests from a client whose connection the pooler has ended. The client is to send them again
 // elsewhere, and must not meet a reset.
-func sendsAfterTheEnd(t *testing.T, client *customer) {
+func sendAfterEnd(t *testing.T, client *testClient) {
 	t.Helper()
 	client.want("$")
 	for n := range 20 {
 		if _, err := client.Write(query(fmt.Sprint("late", n))); err != nil {
-			t.Fatalf("send %d behind the end: %v", n, err)
+			t.Fatalf("send %d after the end: %v", n, err)
 		}
 	}
 }
 
-// TestRestingClientIsNotReset: an idle connection must be ended by shutting its write side, whatever ends it, so that a request
-// sent at the same time meets no reset.
-func TestRestingClientIsNotReset(t *testing.T) {
+// TestIdleClientIsNotReset: an idle connection must be ended by shutting its write side, whatever ends it, so that a request
+// sent at the same time is not reset.
+func TestIdleClientIsNotReset(t *testing.T) {
 	for name, end := range map[string]func(postgres *Postgres){
 		"drain": func(postgres *Postgres) { postgres.SetDrainStage(CloseIdle) },
 		"sweep": func(postgres *Postgres) { postgres.sweep() },
-		"evict": func(postgres *Postgres) { postgres.evict(resting, 0) },
+		"evict": func(postgres *Postgres) { postgres.evict(idleUsed, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			world := newWorld(t, 100, 1<<28)
-			client := world.client()
+			fixture := newFixture(t, 100, 1<<28)
+			client := fixture.client()
 			client.send(query("1"))
-			world.until("it is asked", func() bool { return len(world.desk.asked) == 1 })
-			world.do(func() { world.serve(0, "v") })
+			fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
+			fixture.do(func() { fixture.serve(0, "v") })
 			client.want("TDCZ v")
-			world.do(func() {
-				world.session().since -= idleMs // it has rested for long
-				end(world.postgres)
+			fixture.do(func() {
+				fixture.session().stateSince -= maxIdleMs // it has been idle for long
+				end(fixture.postgres)
 			})
-			sendsAfterTheEnd(t, client)
-			world.do(func() {
-				if len(world.desk.asked) != 1 {
-					t.Error("what came behind the end is asked")
+			sendAfterEnd(t, client)
+			fixture.do(func() {
+				if len(fixture.dispatcher.clients) != 1 {
+					t.Error("a request after the end is submitted")
 				}
 			})
 		})
 	}
 }
 
-// TestManyRestingClientsAreNotReset: as above, with hundreds of clients sent away at once.
-func TestManyRestingClientsAreNotReset(t *testing.T) {
-	world := newWorld(t, 300, 1<<28)
-	var clients []*customer
+// TestManyIdleClientsAreNotReset: as above, with hundreds of clients disconnected at once.
+func TestManyIdleClientsAreNotReset(t *testing.T) {
+	fixture := newFixture(t, 300, 1<<28)
+	var clients []*testClient
 	var began float64
 	for range 200 {
-		clients = append(clients, world.client())
+		clients = append(clients, fixture.client())
 	}
-	world.do(func() {
-		world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.since -= freshMs })
-		began = world.loop.Now()
-		world.postgres.SetDrainStage(CloseIdle)
+	fixture.do(func() {
+		fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.stateSince -= firstRequestMs })
+		began = fixture.loop.Now()
+		fixture.postgres.SetDrainStage(CloseIdle)
 	})
 	for _, client := range clients {
 		client.want("$")
 	}
-	world.do(func() { // none is closed before it has had its time
-		world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
-			if !session.shut {
-				t.Error("a connection is not shut")
+	fixture.do(func() { // none is closed before it has had its time
+		fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
+			if !session.writeClosed {
+				t.Error("the write side of a connection is open")
 			}
 		})
-		if world.loop.Now()-began < lingerMs && world.postgres.Sessions() < 200 {
-			t.Errorf("%d of 200 connections are left", world.postgres.Sessions())
+		if fixture.loop.Now()-began < lingerMs && fixture.postgres.Sessions() < 200 {
+			t.Errorf("%d of 200 connections remain", fixture.postgres.Sessions())
 		}
 	})
 }
 
-// TestRefusedClientsAreTold: many clients that are refused at once for lack of descriptors must each receive the error, though
+// TestRejectedClientsReceiveTheError: many clients that are rejected at once for lack of descriptors must each receive the error, though
 // each has sent a request already.
-func TestRefusedClientsAreTold(t *testing.T) {
-	world := newWorld(t, 1, 1<<28)
-	world.client().send(query("1"))
-	world.until("it is asked", func() bool { return len(world.desk.asked) == 1 })
+func TestRejectedClientsReceiveTheError(t *testing.T) {
+	fixture := newFixture(t, 1, 1<<28)
+	fixture.client().send(query("1"))
+	fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
 	stands, more := make(chan bool), make(chan bool)
-	world.loop.Post(func() { close(stands); <-more })
+	fixture.loop.Post(func() { close(stands); <-more })
 	<-stands
-	var clients []*customer
-	for range maxClosing { // all are there, with a request each, before one is looked at
-		clients = append(clients, world.connect(append(pgwire.AppendStartup(nil, "u", "d"), query("x")...)...))
+	var clients []*testClient
+	for range maxClosing { // all are there, with a request each, before one is handled
+		clients = append(clients, fixture.connect(append(pgwire.AppendStartup(nil, "u", "d"), query("x")...)...))
 	}
 	close(more)
 	for _, client := range clients {
 		client.want("E$ 53300")
 	}
-	world.do(func() {
-		if n := world.postgres.Sessions(); world.loop.Now()-world.session().since < lingerMs && n != 1+maxClosing {
-			t.Errorf("%d connections are left", n)
+	fixture.do(func() {
+		if n := fixture.postgres.Sessions(); fixture.loop.Now()-fixture.session().stateSince < lingerMs && n != 1+maxClosing {
+			t.Errorf("%d connections remain", n)
 		}
 	})
 }
 
-// TestLastByteWaits: if the last byte of a message is unread in the socket when its time is up, or when a connection must be
+// TestUnreadLastByteCountsAsReceived: if the last byte of a message is unread in the socket when its time is up, or when a connection must be
 // closed, it must count as received: the client has its answer.
-func TestLastByteWaits(t *testing.T) {
+func TestUnreadLastByteCountsAsReceived(t *testing.T) {
 	startup := pgwire.AppendStartup(nil, "backend", "store")
-	for name, end := range map[string]func(postgres *Postgres, of use){
-		"sweep": func(postgres *Postgres, _ use) { postgres.sweep() },
-		"evict": func(postgres *Postgres, of use) { postgres.evict(of, 0) },
+	for name, end := range map[string]func(postgres *Postgres, of evictionClass){
+		"sweep": func(postgres *Postgres, _ evictionClass) { postgres.sweep() },
+		"evict": func(postgres *Postgres, of evictionClass) { postgres.evict(of, 0) },
 	} {
 		t.Run(name+" of a startup that has not begun", func(t *testing.T) {
-			world := newWorld(t, 100, 1<<28)
-			client := world.connect()
-			world.until("it is there", func() bool { return world.postgres.Sessions() == 1 })
-			world.unread(func() { client.send(append(startup[:len(startup):len(startup)], query("1")...)) }, func() {
-				world.session().since -= startupMs
-				end(world.postgres, silent)
+			fixture := newFixture(t, 100, 1<<28)
+			client := fixture.connect()
+			fixture.until("it is there", func() bool { return fixture.postgres.Sessions() == 1 })
+			fixture.unread(func() { client.send(append(startup[:len(startup):len(startup)], query("1")...)) }, func() {
+				fixture.session().stateSince -= startupMs
+				end(fixture.postgres, startingUp)
 			})
 			client.want("RSSSSZ")
 		})
-		t.Run(name+" of a startup in its midst", func(t *testing.T) {
-			world := newWorld(t, 100, 1<<28)
-			client := world.connect(startup[:9]...)
-			world.until("it is read", func() bool { return world.session() != nil && world.session().input.Pending() == 9 })
-			world.unread(func() { client.send(startup[9:]) }, func() {
-				world.session().since -= startupMs
-				end(world.postgres, silent)
+		t.Run(name+" of a startup in its middle", func(t *testing.T) {
+			fixture := newFixture(t, 100, 1<<28)
+			client := fixture.connect(startup[:9]...)
+			fixture.until("it is read", func() bool { return fixture.session() != nil && fixture.session().input.Pending() == 9 })
+			fixture.unread(func() { client.send(startup[9:]) }, func() {
+				fixture.session().stateSince -= startupMs
+				end(fixture.postgres, startingUp)
 			})
 			client.want("RSSSSZ")
 		})
-		t.Run(name+" of a request in its midst", func(t *testing.T) {
-			world := newWorld(t, 100, 1<<28)
-			client, ask := world.client(), query("1")
+		t.Run(name+" of a request in its middle", func(t *testing.T) {
+			fixture := newFixture(t, 100, 1<<28)
+			client, ask := fixture.client(), query("1")
 			client.send(ask[:9])
-			world.until("it is read", func() bool { return world.session().input.Pending() == 9 })
-			world.unread(func() { client.send(ask[9:]) }, func() {
-				world.session().since -= messageMs
-				end(world.postgres, halfway)
+			fixture.until("it is read", func() bool { return fixture.session().input.Pending() == 9 })
+			fixture.unread(func() { client.send(ask[9:]) }, func() {
+				fixture.session().stateSince -= messageMs
+				end(fixture.postgres, midMessage)
 			})
-			world.until("it is asked", func() bool { return len(world.desk.asked) == 1 })
-			world.do(func() { world.serve(0, "v") })
+			fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
+			fixture.do(func() { fixture.serve(0, "v") })
 			client.want("TDCZ v")
 		})
 	}
 }
 
-// TestEvictedClientIsTold: a client whose connection is closed in the middle of a request, to free a descriptor, must be told
-// that its request is refused.
-func TestEvictedClientIsTold(t *testing.T) {
-	world := newWorld(t, 100, 1<<28)
-	client := world.client()
+// TestEvictedClientReceivesRejection: a client whose connection is closed in the middle of a request, to free a descriptor, must receive
+// an error.
+func TestEvictedClientReceivesRejection(t *testing.T) {
+	fixture := newFixture(t, 100, 1<<28)
+	client := fixture.client()
 	client.send(query("1")[:9])
-	world.until("it is read", func() bool { return world.session().input.Pending() == 9 })
-	world.do(func() { world.postgres.evict(halfway, 0) })
+	fixture.until("it is read", func() bool { return fixture.session().input.Pending() == 9 })
+	fixture.do(func() { fixture.postgres.evict(midMessage, 0) })
 	client.want("E$ 53300")
 }
 
-// TestCutShortBehindUnsentAnswers: when a streamed answer breaks off, the client must receive the complete answers before it, and
+// TestBrokenStreamFollowsUnsentAnswers: when a streamed answer breaks off, the client must receive the complete answers before it, and
 // be able to tell that this one is incomplete.
-func TestCutShortBehindUnsentAnswers(t *testing.T) {
-	world := newWorld(t, 100, 1<<28)
-	client := world.client()
+func TestBrokenStreamFollowsUnsentAnswers(t *testing.T) {
+	fixture := newFixture(t, 100, 1<<28)
+	client := fixture.client()
 	client.send(queries(0, 3))
-	world.until("all is asked", func() bool { return len(world.desk.asked) == 3 })
+	fixture.until("all are submitted", func() bool { return len(fixture.dispatcher.clients) == 3 })
 	value := valueAnswer(strings.Repeat("v", 16<<20))
-	world.do(func() {
-		world.serve(0, "first "+strings.Repeat(" ", 16<<20))
-		if world.session().conn.Unsent() == 0 {
-			t.Error("all has gone out at once: the test shows nothing")
+	fixture.do(func() {
+		fixture.serve(0, "first "+strings.Repeat(" ", 16<<20))
+		if fixture.session().conn.Unsent() == 0 {
+			t.Error("everything was sent at once: the test shows nothing")
 		}
-		flow := world.desk.asked[1].(StreamReceiver).ReceiveStream()
+		flow := fixture.dispatcher.clients[1].(StreamReceiver).ReceiveStream()
 		flow.Chunk(value[:1<<20])
 		flow.Ended(nil, false)
 	})
--- /dev/null
+++ b/internal/frontend/platform/commands.go
@@ -0,0 +1,195 @@
+package platform
+
+import (
+	"fmt"
+	"strings"
+
+	"beechgrade/internal/eventloop/clock"
+	"beechgrade/internal/protocol/pgwire"
+)
+
+// whitespace separates the words of a statement.
+const whitespace = " \t\r\n"
+
+// frontendTypes are the types of the messages that clients send after the startup.
+const frontendTypes = "QXSPBDECHF"
+
+// step handles the next message; more reports whether there may be another.
+func (session *session) step() (more bool, err error) {
+	if !session.started {
+		return session.startup()
+	}
+	// Checked by the first byte, as the rest of something that is no message may take long to arrive.
+	if typ, ok := session.input.Type(); ok && !strings.ContainsRune(frontendTypes, rune(typ)) {
+		return false, fmt.Errorf("%w: type %q", pgwire.ErrMalformed, typ)
+	}
+	message, ok, err := session.input.Next()
+	if err != nil || !ok {
+		return false, err
+	}
+	session.commands++
+	arrivedAt := session.arrivalTimes.take(len(message.Raw))
+	reserved := session.reservedBytes
+	session.reservedBytes = 0
+	if message.Type == pgwire.Query {
+		sql, err := pgwire.OwnedText(message)
+		if err != nil {
+			session.postgres.releaseReserved(reserved)
+			return false, err
+		}
+		session.query(sql, arrivedAt, reserved)
+		return true, nil
+	}
+	session.otherMessage(message.Type)
+	session.postgres.releaseReserved(reserved)
+	return true, nil
+}
+
+// otherMessage handles a message that is no simple query. Those of the extended protocol are answered with an error.
+func (session *session) otherMessage(messageType byte) {
+	switch messageType {
+	case pgwire.Terminate:
+		session.endAfterAnswers(nil)
+	case pgwire.Sync:
+		session.skipToSync = false
+		session.answer(pgwire.AppendReady(session.output[:0]))
+	default:
+		if session.skipToSync {
+			return
+		}
+		isFunctionCall := messageType == pgwire.FunctionCall // which has no Sync
+		session.skipToSync = !isFunctionCall
+		session.output = pgwire.AppendError(session.output[:0], "ERROR", codeUnsupported, "only simple queries are taken", "")
+		if isFunctionCall {
+			session.output = pgwire.AppendReady(session.output)
+		}
+		session.answer(session.output)
+	}
+}
+
+// startup handles the next message of the startup.
+func (session *session) startup() (more bool, err error) {
+	before := session.input.Pending()
+	kind, ok, err := session.input.Startup()
+	if err != nil || !ok {
+		return false, err
+	}
+	session.arrivalTimes.take(before - session.input.Pending())
+	switch kind {
+	case pgwire.StartupEncrypt:
+		session.send([]byte{pgwire.EncryptionRefused})
+	case pgwire.StartupCancel:
+		session.close()
+	default:
+		session.started = true
+		session.stateSince = session.postgres.eventLoop.Now()
+		session.graceEnds = session.stateSince + firstRequestMs
+		session.send(pgwire.AppendWelcome(session.output[:0]))
+	}
+	return true, nil
+}
+
+// query handles a statement whose last byte arrived at the given time; reserved is the memory that it holds as a long message.
+func (session *session) query(sql string, arrivedAt float64, reserved int) {
+	postgres := session.postgres
+	if session.answerWithoutServer(sql) {
+		postgres.releaseReserved(reserved)
+		return
+	}
+	statement, err := pgwire.ParseStatement(sql)
+	if err != nil {
+		session.answerError(codeSyntax, err)
+		postgres.releaseReserved(reserved)
+		return
+	}
+	size := len(sql) - min(len(sql), reserved)
+	if postgres.bufferedBytes+size > postgres.statementLimit() {
+		session.answerError(codeRejected, errMemory)
+		postgres.releaseReserved(reserved)
+		return
+	}
+	answer := session.queueAnswer(size)
+	answer.reservedBytes = reserved
+	session.submit(answer, newRequest(&statement, arrivedAt))
+}
+
+// answerWithoutServer answers the statements that need no server, and those that are rejected whatever they ask for. It reports
+// whether this was one.
+func (session *session) answerWithoutServer(sql string) bool {
+	command, _, _ := strings.Cut(strings.TrimLeft(strings.TrimRight(sql, ";"+whitespace), whitespace), " ")
+	command = strings.ToUpper(command)
+	switch command {
+	case "":
+		session.answerHealthCheck()
+		return true
+	case "SET", "RESET", "DISCARD": // accepted without effect, as by the servers
+		session.answer(pgwire.AppendReady(pgwire.AppendComplete(session.output[:0], command)))
+		return true
+	}
+	switch {
+	case session.postgres.stage >= RefuseCommands:
+		session.postgres.rejectedForDrain++
+		session.rejectedForDrain++
+		session.hasRequested = true
+		session.answerError(codeClosed, errDraining)
+		return true
+	case session.rejectNext:
+		session.answerError(codeRejected, errPipelined)
+		return true
+	}
+	return false
+}
+
+// answerHealthCheck answers the empty query, by which clients learn whether the pooler is ready.
+func (session *session) answerHealthCheck() {
+	if session.postgres.notReady {
+		session.answerError(codeClosed, errDraining)
+		return
+	}
+	session.answer(pgwire.AppendReady(pgwire.AppendEmpty(session.output[:0])))
+}
+
+// newRequest returns the request that a statement makes. Its time counts from the arrival of its last byte.
+func newRequest(statement *pgwire.Statement, arrivedAt float64) Request {
+	request := Request{
+		ID:               statement.RequestID,
+		Class:            statement.Class,
+		Tenant:           statement.Tenant,
+		IdempotencyKey:   statement.IdempotencyKey,
+		PlatformProtocol: true,
+		Writes:           statement.Writes,
+		Group:            statement.Group,
+		Session:          statement.SessionKey,
+		Deadline:         arrivedAt + statement.WaitMs,
+		IsRetry:          statement.IsRetry,
+		Query:            statement,
+	}
+	if statement.AfterCommitMs > 0 {
+		request.MinPosition = clock.FromUnix(statement.AfterCommitMs)
+	}
+	return request
+}
+
+// submit hands a request to the dispatcher, which may answer it before Submit returns.
+func (session *session) submit(answer *answer, request Request) {
+	answer.open = true
+	ref, err := session.postgres.dispatcher.Submit(request, answer)
+	switch {
+	case err != nil:
+		answer.open = false
+		answer.finish(pgwire.AppendReady(pgwire.AppendError(session.output[:0], "ERROR", codeSyntax, err.Error(), "")))
+	case answer.open && session.closed:
+		session.postgres.dispatcher.Abandon(ref)
+	case answer.open:
+		answer.requestRef = ref
+	}
+	session.hasRequested = session.hasRequested || err == nil
+}
+
+// answer answers a command that is not a request.
+func (session *session) answer(message []byte) { session.queueAnswer(0).finish(message) }
+
+// answerError answers a command that is not a request with an error.
+func (session *session) answerError(code string, err error) {
+	session.answer(pgwire.AppendReady(pgwire.AppendError(session.output[:0], "ERROR", code, err.Error(), "")))
+}
--- /dev/null
+++ b/internal/frontend/platform/disconnect_test.go
@@ -0,0 +1,78 @@
+package platform
+
+import (
+	"strings"
+	"testing"
+
+	"beechgrade/internal/protocol/pgwire"
+)
+
+// TestHalfClosedClientGetsAllAnswers: a client that closes only its write side counts as disconnected: its requests must be abandoned at once. It must still
+// have an answer to each command.
+func TestHalfClosedClientGetsAllAnswers(t *testing.T) {
+	fixture := newFixture(t, 100, 1<<28)
+	client := fixture.client()
+	client.send(queries(0, maxPipelined+3))
+	fixture.until("as many as allowed are submitted", func() bool { return len(fixture.dispatcher.clients) == maxPipelined })
+	fixture.do(func() { fixture.serve(1, "v") }) // out of order
+	_ = client.CloseWrite()
+	client.want("EZ 58000", "TDCZ v")
+	client.want(repeat("EZ 58000", maxPipelined-2)...)
+	client.want(repeat("EZ 53300", 3)...)
+	client.want("$")
+	fixture.do(func() {
+		if len(fixture.dispatcher.abandoned) != maxPipelined-1 {
+			t.Errorf("%d requests are abandoned", len(fixture.dispatcher.abandoned))
+		}
+	})
+}
+
+// TestPausedClientIsNotReset: a client that waits for memory, with a part of its long message unread, must receive the last
+// message when its connection ends, and no reset.
+func TestPausedClientIsNotReset(t *testing.T) {
+	fixture := newFixture(t, 100, 16<<20)
+	long := pgwire.AppendQuery(nil, strings.Repeat(" ", 4<<20))
+	first, client := fixture.client(), fixture.client()
+	first.send(long[:1<<18])
+	fixture.until("the first has its memory", func() bool { return fixture.postgres.reservedBytes > 0 })
+	client.send(long[:1<<10])
+	fixture.until("the second waits", func() bool {
+		return len(fixture.postgres.memoryQueue) == 1 && fixture.postgres.memoryQueue[0].conn.ReadingPaused()
+	})
+	client.send(long[1<<10 : 1<<16]) // it stays unread
+	fixture.do(func() { fixture.postgres.memoryQueue[0].endWithError(endedByMemory, codeClosed, "the test ends it") })
+	client.want("E$ 57P03")
+}
+
+// pausedClient returns a client with an open request, followed by a long message that waits for memory reserved for another client.
+func pausedClient(fixture *frontendFixture) *testClient {
+	long := pgwire.AppendQuery(nil, strings.Repeat(" ", 4<<20))
+	first, client := fixture.client(), fixture.client()
+	first.send(long[:1<<18])
+	fixture.until("the first has its memory", func() bool { return fixture.postgres.reservedBytes > 0 })
+	client.send(append(query("1"), long[:1<<10]...))
+	fixture.until("the second waits", func() bool {
+		return len(fixture.postgres.memoryQueue) == 1 && fixture.postgres.memoryQueue[0].conn.ReadingPaused()
+	})
+	return client
+}
+
+// TestAnswerReachesPausedClient: a client that waits for memory must receive the answer to its earlier request at once.
+func TestAnswerReachesPausedClient(t *testing.T) {
+	fixture := newFixture(t, 100, 16<<20)
+	client := pausedClient(fixture)
+	fixture.do(func() { fixture.serve(0, "v") })
+	client.want("TDCZ v")
+	fixture.do(func() {
+		if len(fixture.postgres.memoryQueue) != 1 || !fixture.postgres.memoryQueue[0].conn.ReadingPaused() {
+			t.Error("it does not wait: the test shows nothing")
+		}
+	})
+}
+
+// TestRequestOfDisconnectedPausedClientIsAbandoned: when a client disconnects while it waits for memory, its earlier request must be abandoned.
+func TestRequestOfDisconnectedPausedClientIsAbandoned(t *testing.T) {
+	fixture := newFixture(t, 100, 16<<20)
+	_ = pausedClient(fixture).Close()
+	fixture.until("its request is abandoned", func() bool { return len(fixture.dispatcher.abandoned) == 1 })
+}
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -5,26 +5,26 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// This file decides how clients are sent away, whether the process drains, stops or hands over. There is one sequence of stages, each of
-// which includes those before it. The owner of the frontend sets the stages by its clock; nothing that a client does begins one anew.
-// Every connection ends by the last of them, and each command that was read has its answer before.
+// This file decides how clients are disconnected, whether the process drains, stops or hands over. There is one sequence of stages,
+// each of which includes those before it. The owner of the frontend sets the stages by its clock; nothing that a client does begins
+// one anew. Every connection ends by the last of them, and each command that was read has its answer before.
 
-// DrainStage says how far clients are being sent away.
+// DrainStage is how far clients are being disconnected.
 type DrainStage uint8
 
 const (
-	// Serving is the stage in which nobody is sent away.
+	// Serving is the stage in which nobody is disconnected.
 	Serving DrainStage = iota
-	// CloseIdle has connections closed as they become idle. A new connection may still send its first request.
+	// CloseIdle closes connections as they become idle. A new connection may still send its first request.
 	CloseIdle
-	// RefuseCommands has all further commands refused, and new connections told so as they open.
+	// RefuseCommands rejects all further commands, and new connections as they open.
 	RefuseCommands
-	// EndPartial has messages refused of which only a part has come, and requests answered at once whose client has sent more since
-	// RefuseCommands. Other requests keep their time.
+	// EndPartial rejects messages of which only a part has arrived, and answers at once the requests whose client has sent more
+	// since RefuseCommands. Other requests keep their time.
 	EndPartial
-	// CloseActive has connections ended that have nothing under way, or whose clients have sent more since RefuseCommands.
+	// CloseActive ends connections on which no answer is outstanding, or whose clients have sent more since RefuseCommands.
 	CloseActive
-	// CloseAll has all connections ended that were open at RefuseCommands.
+	// CloseAll ends all connections that were open at RefuseCommands.
 	CloseAll
 )
 
@@ -33,101 +33,91 @@
 	return [...]string{"serve", "close idle", "refuse commands", "end partial", "close active", "close all"}[stage]
 }
 
-// leaveMs is the time, in milliseconds, that a client whose connection must end may take to read its last answers.
-const leaveMs = 250
-
-// SetDrainStage brings the sending away of clients to a stage. A stage that has been passed is not gone back to.
+// SetDrainStage advances the drain to a stage. It does nothing if that has been passed already.
 func (postgres *Postgres) SetDrainStage(stage DrainStage) {
 	if stage <= postgres.stage {
 		return
 	}
-	now := postgres.loop.Now()
+	now := postgres.eventLoop.Now()
 	if postgres.stage < RefuseCommands && stage >= RefuseCommands {
-		postgres.refusingSince = now
+		postgres.rejectingSince = now
 	}
-	postgres.stage, postgres.stageSince = stage, now
-	postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.sendAway() })
+	postgres.stage = stage
+	postgres.stageSince = now
+	postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.applyDrainStage() })
 }
 
-// Resume ends the sending away. Connections that are being closed already are closed.
+// Resume ends the drain. Connections that are being closed already are closed.
 func (postgres *Postgres) Resume() { postgres.stage = Serving }
 
-// sendAway does what the stage demands of the connection.
-func (session *session) sendAway() {
+// applyDrainStage does what the stage demands of the connection.
+func (session *session) applyDrainStage() {
 	stage := session.postgres.stage
 	switch {
 	case session.closed || session.conn == nil || stage == Serving:
-	case stage >= CloseActive && session.mustEnd():
-		session.giveUp()
-	case stage >= EndPartial && session.sendsOn() && !session.ended:
-		session.hasten()
-		session.leaveIfIdle()
+	case stage >= CloseActive && session.outOfTime():
+		session.endNow()
+	case stage >= EndPartial && session.hasSentSinceRejecting() && !session.noMoreCommands:
+		session.answerNow()
+		session.closeIfIdle()
 	default:
-		session.leaveIfIdle()
+		session.closeIfIdle()
 	}
 }
 
-// mustEnd reports whether the connection has no time left, from CloseActive on.
-func (session *session) mustEnd() bool {
+// outOfTime reports whether the connection must end now, from CloseActive on.
+func (session *session) outOfTime() bool {
 	switch {
-	case session.shut: // it is closed lingerMs after that
+	case session.writeClosed: // it is closed lingerMs after that
 		return false
-	case session.postgres.stage >= CloseAll && session.opened <= session.postgres.refusingSince:
+	case session.postgres.stage >= CloseAll && session.openedAt <= session.postgres.rejectingSince:
 		return true
-	case session.hasFlow():
+	case session.isStreaming():
 		return false
 	case len(session.queue) > 0 || session.conn.Unsent() > 0:
-		return session.sendsOn()
+		return session.hasSentSinceRejecting()
 	}
 	return true
 }
 
-// sendsOn reports whether the client has sent something since commands are refused, or something that is not handled yet.
-func (session *session) sendsOn() bool {
-	return session.lastData > session.postgres.refusingSince || session.input.Pending() > 0
-}
-
-// hasFlow reports whether an answer is being streamed to the client.
-func (session *session) hasFlow() bool {
-	for _, answer := range session.queue {
-		if answer.flow {
-			return true
-		}
-	}
-	return false
+// hasSentSinceRejecting reports whether the client has sent something since commands are rejected, or something that is not handled
+// yet.
+func (session *session) hasSentSinceRejecting() bool {
+	return session.lastDataAt > session.postgres.rejectingSince || session.input.Pending() > 0
 }
 
-// hasten has the open requests answered now.
-func (session *session) hasten() {
-	now := session.postgres.loop.Now()
+// answerNow has the open requests answered now.
+func (session *session) answerNow() {
+	now := session.postgres.eventLoop.Now()
 	for _, answer := range session.queue {
 		if answer.open {
-			session.postgres.desk.AnswerBy(answer.ref, now)
+			session.postgres.dispatcher.AnswerBy(answer.requestRef, now)
 		}
 	}
 }
 
-// giveUp answers whatever was read and has no answer, and ends the connection. A client that does not read its last answers within leaveMs
-// is disconnected.
-func (session *session) giveUp() {
-	session.endFor(endedByDrain)
-	if session.leaving {
-		if session.postgres.loop.Now()-session.since >= leaveMs {
+// endNow answers whatever was read and has no answer, and ends the connection. A client that does not read its last answers within
+// finalReadMs is disconnected.
+func (session *session) endNow() {
+	session.setEndReason(endedByDrain)
+	if session.closing {
+		if session.postgres.eventLoop.Now()-session.stateSince >= finalReadMs {
 			session.conn.Close()
 		}
 		return
 	}
-	if begun := len(session.queue) > 0 && session.queue[0].begun; !begun { // nothing can follow a part of an answer
-		session.send(session.lastWords())
+	partlySent := len(session.queue) > 0 && session.queue[0].partlySent
+	if !partlySent { // nothing can follow a part of an answer
+		session.send(session.finalAnswers())
 	}
-	session.leave()
+	session.close()
 }
 
-// lastWords returns the answers to all commands that were read, and an error for a message of which only a part was.
-func (session *session) lastWords() []byte {
-	words := session.lastAnswers()
+// finalAnswers returns the answers to all commands that were read, and an error for a message of which only a part was.
+func (session *session) finalAnswers() []byte {
+	answers := session.outstandingAnswers()
 	if session.input.Pending() > 0 {
-		words = pgwire.AppendError(words, "FATAL", codeClosed, errSentAway.Error(), "")
+		answers = pgwire.AppendError(answers, "FATAL", codeClosed, errDraining.Error(), "")
 	}
-	return words
+	return answers
 }
--- a/internal/frontend/platform/drain_test.go
+++ b/internal/frontend/platform/drain_test.go
@@ -7,103 +7,103 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestRefusedFirstRequestEndsTheConnection: a client that connects just before a drain refuses all commands, and whose first request is
-// refused, is sent away with that refusal. The refusal must not begin the grace of a connection without a request anew.
-func TestRefusedFirstRequestEndsTheConnection(t *testing.T) {
-	world := newWorld(t, 100, 1<<28)
-	client := world.client()
-	world.do(func() {
-		world.session().graceEnds = world.loop.Now() + 1e6 // its first request is on its way
-		world.postgres.SetDrainStage(RefuseCommands)
+// TestRejectedFirstRequestEndsTheConnection: a client that connects just before a drain rejects all commands, and whose first request
+// is rejected, must be disconnected after that. The rejection must not restart the grace of a connection without a request.
+func TestRejectedFirstRequestEndsTheConnection(t *testing.T) {
+	fixture := newFixture(t, 100, 1<<28)
+	client := fixture.client()
+	fixture.do(func() {
+		fixture.session().graceEnds = fixture.loop.Now() + 1e6 // its first request is on its way
+		fixture.postgres.SetDrainStage(RefuseCommands)
 	})
 	client.send(query("1"))
 	client.want("EZ 57P03")
-	client.want("$") // without the client's sending more, and before its grace would end
-	world.do(func() {
-		if len(world.desk.asked) > 0 {
-			t.Error("a request is asked in the drain")
+	client.want("$") // without more input, and before its grace would end
+	fixture.do(func() {
+		if len(fixture.dispatcher.clients) > 0 {
+			t.Error("a request is submitted during the drain")
 		}
 	})
 }
 
-// TestEndsOfADrain: clients that do not go by themselves have their last answers by the stage that ends them, and no other client does.
-func TestEndsOfADrain(t *testing.T) {
-	world := newWorld(t, 100, 1<<28)
-	waits, sends, half := world.client(), world.client(), world.client()
+// TestDrainStagesEndConnections: clients that do not disconnect must have their last answers by the stage that ends them, and not before.
+func TestDrainStagesEndConnections(t *testing.T) {
+	fixture := newFixture(t, 100, 1<<28)
+	waits, sends, half := fixture.client(), fixture.client(), fixture.client()
 	waits.send(query("1"))
 	sends.send(query("2"))
-	world.until("both are asked", func() bool { return len(world.desk.asked) == 2 })
+	fixture.until("both are submitted", func() bool { return len(fixture.dispatcher.clients) == 2 })
 	half.send(query("3")[:9])
-	world.until("a part is read", func() bool { return world.postgres.PartialMessages() == 1 })
-	world.do(func() { world.postgres.SetDrainStage(RefuseCommands) })
+	fixture.until("a part is read", func() bool { return fixture.postgres.PartialMessages() == 1 })
+	fixture.do(func() { fixture.postgres.SetDrainStage(RefuseCommands) })
 	sends.send(query("4"))
-	world.until("it is read", func() bool { return world.postgres.refusedForDrain == 1 })
-	world.do(func() { world.postgres.SetDrainStage(EndPartial) })
+	fixture.until("it is read", func() bool { return fixture.postgres.rejectedForDrain == 1 })
+	fixture.do(func() { fixture.postgres.SetDrainStage(EndPartial) })
 	half.want("E$ 57P03")
-	world.do(func() {
-		if len(world.desk.hastened) != 1 {
-			t.Errorf("%d requests are to be answered at once, want that of the client that sends on", len(world.desk.hastened))
+	fixture.do(func() {
+		if len(fixture.dispatcher.answeredNow) != 1 {
+			t.Errorf("%d requests are to be answered at once, want only that of the client that sent more", len(fixture.dispatcher.answeredNow))
 		}
-		world.postgres.SetDrainStage(CloseActive)
+		fixture.postgres.SetDrainStage(CloseActive)
 	})
 	sends.want("EZ 58000", "EZ 57P03", "$")
-	world.do(func() {
-		if len(world.desk.gone) != 1 {
-			t.Errorf("%d requests are called off", len(world.desk.gone))
+	fixture.do(func() {
+		if len(fixture.dispatcher.abandoned) != 1 {
+			t.Errorf("%d requests are abandoned", len(fixture.dispatcher.abandoned))
 		}
-		world.serve(0, "v")
-		world.serve(1, "v")
+		fixture.serve(0, "v")
+		fixture.serve(1, "v")
 	})
 	waits.want("TDCZ v", "$")
 }
 
-// TestCloseAllEndsWhoWaits: at last, a client whose request has no answer has one, and goes. A connection of after the refusals' begin is told
-// so as it opens.
-func TestCloseAllEndsWhoWaits(t *testing.T) {
-	world := newWorld(t, 100, 1<<28)
-	waits := world.client()
+// TestCloseAllEndsWaitingClients: the last stage must answer a request that has no answer, and end its connection. A connection that is opened
+// after commands are rejected must receive the error as it opens.
+func TestCloseAllEndsWaitingClients(t *testing.T) {
+	fixture := newFixture(t, 100, 1<<28)
+	waits := fixture.client()
 	waits.send(query("1"))
-	world.until("it is asked", func() bool { return len(world.desk.asked) == 1 })
-	world.do(func() { world.postgres.SetDrainStage(CloseActive) })
-	world.connect().want("E$ 57P03")
-	world.do(func() { world.postgres.SetDrainStage(CloseAll) })
+	fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 1 })
+	fixture.do(func() { fixture.postgres.SetDrainStage(CloseActive) })
+	fixture.connect().want("E$ 57P03")
+	fixture.do(func() { fixture.postgres.SetDrainStage(CloseAll) })
 	waits.want("EZ 58000", "$")
-	world.do(world.postgres.Resume)
-	again := world.client()
+	fixture.do(fixture.postgres.Resume)
+	again := fixture.client()
 	again.send(query("2"))
-	world.until("it is asked", func() bool { return len(world.desk.asked) == 2 })
-	world.do(func() { world.serve(1, "v") })
+	fixture.until("it is submitted", func() bool { return len(fixture.dispatcher.clients) == 2 })
+	fixture.do(func() { fixture.serve(1, "v") })
 	again.want("TDCZ v")
 }
 
-// TestInvariantOfADrain: a connection that outlives its bound is found, in each of the ways in which one may.
-func TestInvariantOfADrain(t *testing.T) {
+// TestDrainInvariantFindsLateConnections: a connection that outlives its bound must be found, however it does.
+func TestDrainInvariantFindsLateConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		stage  DrainStage
-		spoil  func(session *session)
+		mutate func(session *session)
 		broken bool
 	}{
-		"rests":                              {CloseActive, func(session *session) {}, true},
-		"waits for an answer":                {CloseActive, func(session *session) { session.begin(0) }, false},
-		"waits for an answer, at last":       {CloseAll, func(session *session) { session.begin(0) }, true},
-		"rests, but clients are not yet cut": {EndPartial, func(session *session) {}, false},
+		"is idle":                                    {CloseActive, func(session *session) {}, true},
+		"waits for an answer":                        {CloseActive, func(session *session) { session.queueAnswer(0) }, false},
+		"waits for an answer, at last":               {CloseAll, func(session *session) { session.queueAnswer(0) }, true},
+		"is idle, but connections are not ended yet": {EndPartial, func(session *session) {}, false},
 	} {
-		world := newWorld(t, 100, 1<<28)
-		world.client()
-		world.do(func() {
-			now := world.loop.Now()
-			world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
-				session.opened = now - 10*graceMs
-				c.spoil(session)
+		fixture := newFixture(t, 100, 1<<28)
+		fixture.client()
+		fixture.do(func() {
+			now := fixture.loop.Now()
+			fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
+				session.openedAt = now - 10*drainSlackMs
+				c.mutate(session)
 			})
-			world.postgres.stage, world.postgres.stageSince, world.postgres.refusingSince = c.stage, now-2*graceMs, now-3*graceMs
+			fixture.postgres.stage, fixture.postgres.stageSince, fixture.postgres.rejectingSince = c.stage, now-2*drainSlackMs, now-3*drainSlackMs
 			breaches := 0
-			world.postgres.walk(invariant.New(func(invariant.Breach) { breaches++ }))
+			fixture.postgres.checkAll(invariant.New(func(invariant.Breach) { breaches++ }))
 			if (breaches > 0) != c.broken {
 				t.Errorf("%s: %d breaches", name, breaches)
 			}
-			world.postgres.Resume()
-			world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.queue = nil })
+			fixture.postgres.Resume()
+			fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.queue = nil })
 		})
 	}
 }
--- /dev/null
+++ b/internal/frontend/platform/end_reason.go
@@ -0,0 +1,67 @@
+package platform
+
+import (
+	"beechgrade/internal/metrics/exposition"
+)
+
+// endReason is why a client's connection ended.
+type endReason uint8
+
+const (
+	endedByClient       endReason = iota // it closed the connection, or its network did
+	endedByDrain                         // clients are being disconnected
+	endedByIdleness                      // it sent no request for long
+	endedByStartup                       // its startup message was not complete in time
+	endedByMessage                       // a message that it had begun was not complete in time
+	endedByNotReading                    // it read none of its answers
+	endedByNoDescriptor                  // its descriptor was needed, or none was left for it
+	endedByMemory                        // it took too much memory, or sent too much ahead
+	endedByProtocol                      // it sent something that is no message
+	endedByBrokenStream                  // an answer that was being streamed broke off
+	endReasonCount
+)
+
+// endReasonNames are the reasons as metrics and the log name them.
+var endReasonNames = [endReasonCount]string{
+	endedByClient:       "client",
+	endedByDrain:        "drain",
+	endedByIdleness:     "idle",
+	endedByStartup:      "startup",
+	endedByMessage:      "message",
+	endedByNotReading:   "not_reading",
+	endedByNoDescriptor: "room",
+	endedByMemory:       "memory",
+	endedByProtocol:     "protocol",
+	endedByBrokenStream: "broken_flow",
+}
+
+// String returns the reason as metrics and the log name it.
+func (reason endReason) String() string { return endReasonNames[reason] }
+
+// setEndReason records why the connection ends; the first reason counts.
+func (session *session) setEndReason(reason endReason) {
+	if session.reason == endedByClient {
+		session.reason = reason
+	}
+}
+
+// countEnd counts and logs the end of the connection.
+func (session *session) countEnd() {
+	postgres := session.postgres
+	postgres.endedByReason[session.reason]++
+	postgres.log.Debug("client connection ended", "session", session.ref.Index, "generation", session.ref.Gen, "reason", session.reason.String(),
+		"ms", postgres.eventLoop.Now()-session.openedAt, "commands", session.commands, "rejected_for_drain", session.rejectedForDrain,
+		"unanswered", len(session.queue), "unsent_bytes", session.unsent())
+}
+
+// WriteFigures writes the number of connections, of those that ended by the reason, and of commands rejected in drains.
+func (postgres *Postgres) WriteFigures(snapshot *exposition.Snapshot) {
+	clients := snapshot.Scope("clients")
+	clients.IntGauge("connected", int64(postgres.sessions.Len()))
+	clients.IntGauge("halfway", int64(postgres.byClass[midMessage].Len()))
+	clients.IntGauge("leaving", int64(postgres.byClass[closing].Len()))
+	clients.Counter("refused_for_drain", postgres.rejectedForDrain)
+	for reason, count := range postgres.endedByReason {
+		clients.Label("reason", endReason(reason).String()).Counter("ended", count)
+	}
+}
--- /dev/null
+++ b/internal/frontend/platform/eviction.go
@@ -0,0 +1,121 @@
+package platform
+
+// evictionClass orders sessions by the cost of closing their connections.
+type evictionClass int
+
+const (
+	closing    evictionClass = iota // being closed
+	startingUp                      // the startup message is not complete
+	idleUnused                      // idle, without a request so far
+	idleUsed                        // idle, after a request
+	midMessage                      // in the middle of a message
+	busy                            // never closed to free a descriptor
+	evictionClasses
+)
+
+// currentClass returns the class of the session as of now.
+func (session *session) currentClass() evictionClass {
+	switch {
+	case session.writeClosed:
+		return closing
+	case session.closing:
+		return busy
+	case !session.started:
+		return startingUp
+	case session.isIdle() && !session.hasRequested:
+		return idleUnused
+	case session.isIdle():
+		return idleUsed
+	case len(session.queue) == 0 && session.input.Pending() > 0:
+		return midMessage
+	}
+	return busy
+}
+
+// updateClass moves the session to the list of its current class.
+func (session *session) updateClass() {
+	session.countBuffered()
+	postgres, now := session.postgres, session.currentClass()
+	if session.classElement != nil && (session.closed || now != session.class) {
+		postgres.byClass[session.class].Remove(session.classElement)
+		session.classElement = nil
+	}
+	if session.classElement == nil && !session.closed {
+		session.class = now
+		session.classElement = postgres.byClass[now].PushBack(session)
+	}
+}
+
+// admitClient reports whether there is a descriptor for a new client, and frees one if necessary: first of connections that nobody
+// waits on, then of connections to servers, then of idle clients, which may reconnect, and of those that have been in the middle
+// of a message for long.
+func (postgres *Postgres) admitClient() bool {
+	for postgres.budget.SpareDescriptors() < 0 {
+		if !postgres.freeDescriptorForClient() {
+			postgres.rejectedClients++
+			return false
+		}
+	}
+	halfUsed := postgres.budget.SpareDescriptors() < postgres.sessions.Len()
+	if halfUsed && !postgres.evict(idleUnused, crowdedIdleMs) {
+		postgres.evict(idleUsed, crowdedIdleMs)
+	}
+	postgres.evictIdle()
+	return true
+}
+
+// freeDescriptorForClient frees one descriptor, in the order that admitClient states.
+func (postgres *Postgres) freeDescriptorForClient() bool {
+	if postgres.evict(closing, 0) || postgres.evict(startingUp, 0) || postgres.evict(idleUnused, 0) {
+		return true
+	}
+	return postgres.budget.ReleaseDescriptor() || postgres.evict(idleUsed, 0) || postgres.evict(midMessage, sweepMs)
+}
+
+// FreeDescriptor closes a client's connection that nobody waits on, and reports whether there was one.
+func (postgres *Postgres) FreeDescriptor() bool {
+	if postgres.evict(closing, 0) || postgres.evict(startingUp, firstRequestMs) {
+		return true
+	}
+	return postgres.evict(idleUnused, firstRequestMs) || postgres.evict(idleUsed, minIdleMs)
+}
+
+// evictIdle closes idle connections when many clients are active: some clients may open only so many connections, and keep
+// each for a while after a single request.
+func (postgres *Postgres) evictIdle() {
+	for postgres.activeClients() > postgres.budget.EvictionThreshold() && postgres.evict(idleUsed, minIdleMs) {
+	}
+}
+
+// activeClients returns the number of clients that have sent a request and are not being disconnected.
+func (postgres *Postgres) activeClients() int {
+	return postgres.byClass[idleUsed].Len() + postgres.byClass[midMessage].Len() + postgres.byClass[busy].Len()
+}
+
+// evict closes the connection that has been in a class for longest, and for at least minMs. It skips connections with unread
+// input. A connection that is being closed already is closed at once if there are more than maxClosing.
+func (postgres *Postgres) evict(class evictionClass, minMs float64) bool {
+	for element := postgres.byClass[class].Front(); element != nil; element = element.Next() {
+		session := element.Value.(*session)
+		switch {
+		case postgres.eventLoop.Now()-session.stateSince < minMs:
+			return false
+		case class == closing && postgres.byClass[closing].Len() <= maxClosing:
+			return false
+		case session.currentClass() != class: // it has changed since the session was filed
+			continue
+		case class == closing:
+			session.conn.Close()
+			return true
+		case !session.conn.OpenAndIdle() && !session.conn.ReadingPaused():
+			continue
+		case class == midMessage:
+			session.endWithError(endedByNoDescriptor, codeRejected, "too many clients")
+			return true
+		}
+		session.setEndReason(endedByNoDescriptor)
+		session.close()
+		return true
+	}
+	return false
+}
--- a/internal/frontend/platform/world_test.go
+++ b/internal/frontend/platform/fixture_test.go
@@ -22,151 +22,155 @@
 const patience = 20 * time.Second
 
 // fixture is a frontend on its own event loop, with a scripted Dispatcher.
-type world struct {
-	t        testing.TB
-	loop     *eventloop.Loop
-	postgres *Postgres
-	desk     *scriptedDesk
-	addr     string
+type frontendFixture struct {
+	t          testing.TB
+	loop       *eventloop.Loop
+	postgres   *Postgres
+	dispatcher *scriptedDispatcher
+	addr       string
 }
 
 // scriptedDispatcher stores the clients of the requests it receives, for the test to answer.
-type scriptedDesk struct {
-	asked     []Client
-	ids       []string
-	deadlines []float64
-	gone      []slotmap.Ref
-	hastened  []slotmap.Ref
-	number    uint32
+type scriptedDispatcher struct {
+	clients     []Client
+	ids         []string
+	deadlines   []float64
+	abandoned   []slotmap.Ref
+	answeredNow []slotmap.Ref
+	number      uint32
 }
 
 // Submit implements Dispatcher.
-func (desk *scriptedDesk) Submit(request Request, client Client) (slotmap.Ref, error) {
-	desk.number++
-	desk.asked, desk.ids, desk.deadlines = append(desk.asked, client), append(desk.ids, request.ID), append(desk.deadlines, request.Deadline)
-	return slotmap.Ref{Index: desk.number, Gen: 1}, nil
+func (dispatcher *scriptedDispatcher) Submit(request Request, client Client) (slotmap.Ref, error) {
+	dispatcher.number++
+	dispatcher.clients, dispatcher.ids, dispatcher.deadlines = append(dispatcher.clients, client), append(dispatcher.ids, request.ID), append(dispatcher.deadlines, request.Deadline)
+	return slotmap.Ref{Index: dispatcher.number, Gen: 1}, nil
 }
 
 // Abandon implements Dispatcher.
-func (desk *scriptedDesk) Abandon(ref slotmap.Ref) { desk.gone = append(desk.gone, ref) }
+func (dispatcher *scriptedDispatcher) Abandon(ref slotmap.Ref) {
+	dispatcher.abandoned = append(dispatcher.abandoned, ref)
+}
 
 // AnswerBy implements Dispatcher.
-func (desk *scriptedDesk) AnswerBy(ref slotmap.Ref, _ float64) {
-	desk.hastened = append(desk.hastened, ref)
+func (dispatcher *scriptedDispatcher) AnswerBy(ref slotmap.Ref, _ float64) {
+	dispatcher.answeredNow = append(dispatcher.answeredNow, ref)
 }
 
-// newWorld runs a frontend with these limits of clients and of memory in bytes.
-func newWorld(t testing.TB, clients, memory int) *world {
-	world := &world{t: t, desk: &scriptedDesk{}}
+// newFixture runs a frontend with these limits of clients and of memory in bytes.
+func newFixture(t testing.TB, clients, memory int) *frontendFixture {
+	fixture := &frontendFixture{t: t, dispatcher: &scriptedDispatcher{}}
 	ready, ended := make(chan bool), make(chan error, 1)
-	world.loop = eventloop.New(clock.System(), slog.New(slog.DiscardHandler), func() eventloop.Handler { return world.postgres.Accept() }, func() { world.postgres.Start() })
-	world.loop.Ready = func() { close(ready) }
-	world.postgres = NewPostgres(world.loop, slog.New(slog.DiscardHandler), world.desk, Budget{
-		SpareDescriptors:  func() int { return clients - world.postgres.Occupied() },
+	fixture.loop = eventloop.New(clock.System(), slog.New(slog.DiscardHandler), func() eventloop.Handler { return fixture.postgres.Accept() }, func() { fixture.postgres.Start() })
+	fixture.loop.Ready = func() { close(ready) }
+	fixture.postgres = NewPostgres(fixture.loop, slog.New(slog.DiscardHandler), fixture.dispatcher, Budget{
+		SpareDescriptors:  func() int { return clients - fixture.postgres.Occupied() },
 		EvictionThreshold: func() int { return clients },
 		ReleaseDescriptor: func() bool { return false },
 		Memory:            func() int { return memory },
 	})
-	go func() { ended <- world.loop.Run("127.0.0.1:0") }()
+	go func() { ended <- fixture.loop.Run("127.0.0.1:0") }()
 	select {
 	case <-ready:
 	case err := <-ended:
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		world.loop.End()
+		fixture.loop.End()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	})
-	world.addr = world.loop.Addr()
-	world.until("the loop's connection to itself is closed", func() bool { return world.postgres.Sessions() == 0 })
-	return world
+	fixture.addr = fixture.loop.Addr()
+	fixture.until("the loop's connection to itself is closed", func() bool { return fixture.postgres.Sessions() == 0 })
+	return fixture
 }
 
 // do runs f on the loop and waits for its end.
-func (world *world) do(f func()) {
-	world.t.Helper()
+func (fixture *frontendFixture) do(f func()) {
+	fixture.t.Helper()
 	done := make(chan bool)
-	world.loop.Post(func() { defer close(done); f() })
+	fixture.loop.Post(func() { defer close(done); f() })
 	select {
 	case <-done:
 	case <-time.After(patience):
-		world.t.Fatal("the loop does not run it")
+		fixture.t.Fatal("the loop does not run it")
 	}
 }
 
 // until waits until a condition holds on the loop.
-func (world *world) until(what string, ok func() bool) {
-	world.t.Helper()
+func (fixture *frontendFixture) until(what string, ok func() bool) {
+	fixture.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		holds := false
-		world.do(func() { holds = ok() })
+		fixture.do(func() { holds = ok() })
 		if holds {
 			return
 		}
 		if time.Now().After(end) {
-			world.t.Fatal("never: " + what)
+			fixture.t.Fatal("never: " + what)
 		}
 	}
 }
 
 // unread runs f on the loop when the bytes that send writes have reached the socket but have not been read.
-func (world *world) unread(send, f func()) {
-	world.t.Helper()
+func (fixture *frontendFixture) unread(send, f func()) {
+	fixture.t.Helper()
 	stands, sent := make(chan bool), make(chan bool)
-	world.loop.Post(func() { close(stands); <-sent })
+	fixture.loop.Post(func() { close(stands); <-sent })
 	<-stands
 	send()
 	done := make(chan bool)
-	world.loop.Post(func() { defer close(done); f() })
+	fixture.loop.Post(func() { defer close(done); f() })
 	close(sent)
 	<-done
 }
 
 // session returns the only session, or the newest.
-func (world *world) session() (newest *session) {
-	world.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { newest = session })
+func (fixture *frontendFixture) session() (newest *session) {
+	fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) { newest = session })
 	return newest
 }
 
 // serve answers the request with this number, counted from 0. It must run on the loop.
-func (world *world) serve(n int, value string) { world.desk.asked[n].Served(valueAnswer(value)) }
+func (fixture *frontendFixture) serve(n int, value string) {
+	fixture.dispatcher.clients[n].Served(valueAnswer(value))
+}
 
 func valueAnswer(value string) []byte {
 	return pgwire.AppendComplete(pgwire.AppendRow(nil, "content", []byte(value)), "SELECT 1")
 }
 
 // testClient is the client's end of a connection.
-type customer struct {
+type testClient struct {
 	t testing.TB
 	*net.TCPConn
 	in *bufio.Reader
 }
 
 // connect opens a connection and sends the given bytes.
-func (world *world) connect(first ...byte) *customer {
-	world.t.Helper()
-	c, err := net.Dial("tcp", world.addr)
+func (fixture *frontendFixture) connect(first ...byte) *testClient {
+	fixture.t.Helper()
+	c, err := net.Dial("tcp", fixture.addr)
 	if err != nil {
-		world.t.Fatal(err)
+		fixture.t.Fatal(err)
 	}
-	world.t.Cleanup(func() { _ = c.Close() })
+	fixture.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(patience))
-	k := &customer{world.t, c.(*net.TCPConn), bufio.NewReader(c)}
+	k := &testClient{fixture.t, c.(*net.TCPConn), bufio.NewReader(c)}
 	k.send(first)
 	return k
 }
 
 // client connects and starts up.
-func (world *world) client() *customer {
-	world.t.Helper()
-	client := world.connect(pgwire.AppendStartup(nil, "backend", "store")...)
+func (fixture *frontendFixture) client() *testClient {
+	fixture.t.Helper()
+	client := fixture.connect(pgwire.AppendStartup(nil, "backend", "store")...)
 	client.want("RSSSSZ")
 	return client
 }
 
-func (client *customer) send(b []byte) {
+func (client *testClient) send(b []byte) {
 	client.t.Helper()
 	if _, err := client.Write(b); err != nil {
 		client.t.Fatal(err)
@@ -175,7 +179,7 @@
 
 // answer reads up to ReadyForQuery or the end of the connection, and returns a summary: the types of the messages, the value of a
 // row or the code of an error, "$" for an end and "!" for a reset.
-func (client *customer) answer() string {
+func (client *testClient) answer() string {
 	var types, reported string
 	for {
 		var head [5]byte
@@ -204,7 +208,7 @@
 	}
 }
 
-func (client *customer) want(answers ...string) {
+func (client *testClient) want(answers ...string) {
 	client.t.Helper()
 	for n, want := range answers {
 		if got := client.answer(); got != want {
--- a/internal/frontend/platform/invariants.go
+++ b/internal/frontend/platform/invariants.go
@@ -7,27 +7,32 @@
 	"beechgrade/internal/invariant"
 )
 
-// graceMs is how long a connection may outlive its bound: a sweep, leaveMs and lingerMs, and a process that is held up meanwhile.
-const graceMs = sweepMs + leaveMs + lingerMs + 500
+// drainSlackMs is how long a connection may outlive its bound: a sweep, finalReadMs and lingerMs, and a pause of the process.
+const drainSlackMs = sweepMs + finalReadMs + lingerMs + 500
 
 // Check checks the invariants of the frontend, once in every calls. It must be called between the callbacks of the loop.
 func (postgres *Postgres) Check(checks *invariant.Checks, every int) {
-	checks.Walk(&postgres.walks, every, "platform: the walk", postgres.walk)
+	checks.Walk(&postgres.checkCalls, every, "platform: all", postgres.checkAll)
 }
 
-// walk checks that no connection outlives its bound while clients are sent away.
-func (postgres *Postgres) walk(checks *invariant.Checks) {
-	past := postgres.loop.Now() - graceMs
+// checkAll checks that no connection outlives its bound during a drain.
+func (postgres *Postgres) checkAll(checks *invariant.Checks) {
+	past := postgres.eventLoop.Now() - drainSlackMs
+	lateStage := postgres.stageSince < past
 	postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
-		state := func() string {
-			return fmt.Sprintf("session %v in stage %v since %.0f, now %.0f: opened %.0f, started %v, %d unanswered, %d bytes unhandled, leaving %v, shut %v",
-				session.ref, postgres.stage, postgres.stageSince, past+graceMs, session.opened, session.started, len(session.queue), session.input.Pending(),
-				session.leaving, session.shut)
-		}
-		before := session.opened <= postgres.refusingSince
-		checks.That(!(postgres.stage >= CloseAll && postgres.stageSince < past && before), "platform: no connection outlives a drain", state)
-		rests := len(session.queue) == 0 && session.conn != nil && session.conn.Unsent() == 0
-		late := postgres.stageSince < past && session.opened < past
-		checks.That(!(postgres.stage >= CloseActive && late && rests), "platform: no connection rests behind a drain's end", state)
+		state := func() string { return session.describe(past + drainSlackMs) }
+		outlives := postgres.stage >= CloseAll && lateStage && session.openedAt <= postgres.rejectingSince
+		checks.That(!outlives, "platform: no connection outlives a drain", state)
+		unused := len(session.queue) == 0 && session.conn != nil && session.conn.Unsent() == 0
+		idles := postgres.stage >= CloseActive && lateStage && session.openedAt < past && unused
+		checks.That(!idles, "platform: no connection stays idle after a drain", state)
 	})
 }
+
+// describe returns the state of the session for a report of a broken invariant.
+func (session *session) describe(now float64) string {
+	postgres := session.postgres
+	return fmt.Sprintf("session %v in stage %v since %.0f, now %.0f: opened %.0f, started %v, %d unanswered, %d bytes unhandled, closing %v, write side closed %v",
+		session.ref, postgres.stage, postgres.stageSince, now, session.openedAt, session.started, len(session.queue), session.input.Pending(),
+		session.closing, session.writeClosed)
+}
--- /dev/null
+++ b/internal/frontend/platform/limits.go
@@ -0,0 +1,47 @@
+package platform
+
+// Limits of messages and of one client, in bytes unless stated otherwise.
+const (
+	maxMessage        = 1 << 18       // twice a value of 64 KiB in hex; a larger message is long...
+	maxLongMessage    = 8<<20 + 1<<16 // ...and may have up to a value of 4 MiB in hex
+	maxPipelinedBytes = 1 << 19       // that a client may send before they are handled; beyond that, commands are rejected
+	maxPipelined      = 16            // unanswered commands of one client; further ones wait
+	maxUnanswered     = 1 << 12       // unanswered commands of one client, including rejected ones
+	maxUnsent         = 1 << 16       // of answers that a client has not read; beyond that, its next command waits
+	maxIdleBuffer     = 1 << 14       // of a buffer kept from one answer to the next
+)
+
+// Limits of memory and descriptors of all clients together.
+const (
+	maxClosing           = 8 // connections being closed that may stay beside the clients' limit
+	memoryPart           = 4 // waiting input and output may take one part in memoryPart of the memory
+	statementNumerator   = 3 // ...of which statements may take this part...
+	statementDenominator = 4
+	longMessagePart      = 8       // ...long messages together one part in longMessagePart, but always one message
+	streamPart           = 16      // ...and streamed answers together one part in streamPart
+	minStreamWindow      = 1 << 14 // bytes of each streamed answer that may wait for its client, at least...
+	maxStreamWindow      = 1 << 18 // ...and at most
+)
+
+// Limits of the time, in milliseconds, that a client may hold a connection without a request.
+const (
+	sweepMs        = 250
+	startupMs      = 3000  // until its startup message is complete
+	messageMs      = 3000  // until a message that has begun is complete
+	notReadingMs   = 5000  // until it continues to read its answers
+	lingerMs       = 250   // after the last output, until it closes
+	firstRequestMs = 250   // without a request, before its connection is closed during a drain
+	minIdleMs      = 20    // idle, before its connection may be closed if many clients are active...
+	crowdedIdleMs  = 2000  // ...if there are many clients
+	maxIdleMs      = 60000 // ...and if there are few
+	finalReadMs    = 250   // to read its last answers if its connection must end
+	recheckMs      = 20    // between checks of whether it has read its answers, and between samples of its unread input
+)
+
+// Budget holds the limits that the machine and the settings impose.
+type Budget struct {
+	SpareDescriptors  func() int  // descriptors left for clients, negative if there are too many clients
+	EvictionThreshold func() int  // number of clients beyond which idle ones are disconnected
+	ReleaseDescriptor func() bool // frees a descriptor used for something else, and reports whether there was one
+	Memory            func() int  // in bytes
+}
--- /dev/null
+++ b/internal/frontend/platform/pipeline_test.go
@@ -0,0 +1,153 @@
+package platform
+
+import (
+	"strings"
+	"testing"
+
+	"beechgrade/internal/eventloop/slotmap"
+	"beechgrade/internal/protocol/pgwire"
+)
+
+// TestDrainAnswersEachCommand: if a drain begins while a client has sent many commands ahead, each command must have its own
+// answer.
+func TestDrainAnswersEachCommand(t *testing.T) {
+	fixture := newFixture(t, 100, 1<<28)
+	client := fixture.client()
+	client.send(queries(0, maxPipelined+20))
+	fixture.until("as many as allowed are submitted", func() bool { return len(fixture.dispatcher.clients) == maxPipelined })
+	fixture.do(func() { fixture.postgres.SetDrainStage(RefuseCommands) })
+	client.send(queries(100, 103)) // and some more after that
+	fixture.until("all is read", func() bool {
+		return fixture.session().input.Pending() == len(queries(maxPipelined, maxPipelined+20))+len(queries(100, 103))
+	})
+	fixture.do(func() {
+		for n := range maxPipelined {
+			fixture.serve(n, "v")
+		}
+	})
+	client.want(repeat("TDCZ v", maxPipelined)...)
+	client.want(repeat("EZ 57P03", 23)...)
+	client.want("$")
+}
+
+// TestCommandsBeyondLimitAreRejectedInTurn: commands beyond the limit must be rejected one by one, each in its turn, and later ones
+// must be served again.
+func TestCommandsBeyondLimitAreRejectedInTurn(t *testing.T) {
+	fixture := newFixture(t, 100, 1<<28)
+	client := fixture.client()
+	client.send(queries(0, maxPipelined))
+	fixture.until("as many as allowed are submitted", func() bool { return len(fixture.dispatcher.clients) == maxPipelined })
+	ask := pgwire.AppendQuery(nil, "SELECT content FROM kv WHERE name = 'k' /* id=x,c=read,d=9000,cluster=0 */", strings.Repeat(" ", 60_000))
+	const more = 20 // over a MiB
+	for range more {
+		client.send(ask)
+	}
+	fixture.until("all is read", func() bool {
+		return fixture.postgres.Sessions() == 0 || fixture.session().input.Pending() > maxPipelinedBytes-len(ask) && fixture.session().conn.OpenAndIdle()
+	})
+	fixture.do(func() {
+		for n := range maxPipelined {
+			fixture.serve(n, "v")
+		}
+	})
+	client.want(repeat("TDCZ v", maxPipelined)...)
+	refused, requested := 0, 0
+	for ; refused < more; refused++ {
+		fixture.do(func() { requested = len(fixture.dispatcher.clients) })
+		if refused+requested-maxPipelined == more {
+			break
+		}
+		client.want("EZ 53300")
+	}
+	if refused == 0 || requested == maxPipelined {
+		t.Fatalf("%d are rejected, %d submitted", refused, requested)
+	}
+}
+
+// TestStatementsBeyondMemoryAreRejected: clients that wait for slow servers with large statements exceed the limit of memory together.
+// Each request must still have one answer: those beyond the limit are rejected.
+func TestStatementsBeyondMemoryAreRejected(t *testing.T) {
+	const memory = 16 << 20 // a quarter of it may wait
+	fixture := newFixture(t, 100, memory)
+	ask := func(n int) []byte {
+		return pgwire.AppendQuery(nil, "SELECT content FROM kv WHERE name = 'k' /* id=x,c=read,d=9000,cluster=0 */", strings.Repeat(" ", 100_000+n))
+	}
+	var clients []*testClient
+	const each = 8
+	for n := range 10 {
+		client := fixture.client()
+		for range each {
+			client.send(ask(n))
+		}
+		clients = append(clients, client)
+	}
+	fixture.until("all is read", func() bool { // it is all in the sockets
+		all := true
+		fixture.postgres.sessions.Each(func(_ slotmap.Ref, session *session) {
+			all = all && session.input.Pending() == 0 && session.conn.OpenAndIdle()
+		})
+		return all
+	})
+	fixture.do(func() {
+		for n := range fixture.dispatcher.clients {
+			fixture.serve(n, "v")
+		}
+	})
+	served := 0
+	for n, client := range clients {
+		for range each {
+			switch got := client.answer(); got {
+			case "TDCZ v":
+				served++
+			case "EZ 53300":
+			default:
+				t.Fatalf("client %d: got %q", n, got)
+			}
+		}
+	}
+	if most := memory / memoryPart * 3 / 4 / 100_000; served < most/2 || served > most {
+		t.Errorf("%d are served", served)
+	}
+}
+
+// TestWaitingAnswersBeyondMemoryFail: answers that wait for earlier ones, at many clients, exceed the limit of memory. Each command must
+// still have an answer: those that do not fit have failed.
+func TestWaitingAnswersBeyondMemoryFail(t *testing.T) {
+	fixture := newFixture(t, 100, 4<<20) // of which 1 MiB
+	var clients []*testClient
+	for range 5 {
+		client := fixture.client()
+		client.send(queries(0, 8))
+		clients = append(clients, client)
+	}
+	fixture.until("all are submitted", func() bool { return len(fixture.dispatcher.clients) == 40 })
+	fixture.do(func() {
+		for n := range 40 {
+			if n%8 > 0 {
+				fixture.serve(n, strings.Repeat("v", 60_000))
+			}
+		}
+		fixture.postgres.enforceMemoryLimit()
+		for n := range 40 {
+			if n%8 == 0 {
+				fixture.serve(n, "first")
+			}
+		}
+	})
+	failed := 0
+	for _, client := range clients {
+		client.want("TDCZ first")
+		for range 7 {
+			switch got := client.answer(); got {
+			case "EZ 58000":
+				failed++
+			case "TDCZ vvvvvvvvvvvvvvvvvvvv":
+			default:
+				t.Fatalf("got %q", got)
+			}
+		}
+	}
+	if failed < 15 || failed > 25 { // 2.1 MB are 35 answers
+		t.Errorf("%d have failed", failed)
+	}
+}
--- /dev/null
+++ b/internal/frontend/platform/sweep.go
@@ -0,0 +1,103 @@
+package platform
+
+import "beechgrade/internal/eventloop/slotmap"
+
+// Start starts the periodic sweeps. It must be called on the event loop.
+func (postgres *Postgres) Start() {
+	postgres.eventLoop.At(postgres.eventLoop.Now()+sweepMs, postgres.sweep)
+}
+
+// sweep closes the connections of clients that have held something for too long.
+func (postgres *Postgres) sweep() {
+	now := postgres.eventLoop.Now()
+	postgres.sessions.Each(func(_ slotmap.Ref, session *session) { session.sweep(now) })
+	if postgres.sessions.Len() > postgres.budget.EvictionThreshold() {
+		for postgres.evict(idleUnused, crowdedIdleMs) {
+		}
+	}
+	if postgres.rejectedClients > 0 {
+		postgres.log.Warn("too many clients", "rejected", postgres.rejectedClients, "sessions", postgres.sessions.Len())
+		postgres.rejectedClients = 0
+	}
+	postgres.Start()
+}
+
+// sweep closes the connection if its client has held something for too long.
+func (session *session) sweep(now float64) {
+	if session.conn == nil {
+		return
+	}
+	session.updateClass() // the client may have read its answers meanwhile
+	session.applyDrainStage()
+	if session.closed {
+		return
+	}
+	session.noteReading(now)
+	switch {
+	case session.notReadingSince != 0 && now-session.notReadingSince >= notReadingMs:
+		session.setEndReason(endedByNotReading)
+		session.conn.Close()
+	case session.closing:
+	case session.waitsForMemory:
+		if session.conn.PeerState().EndOfStream { // the loop does not notice that while reading is paused
+			session.conn.Close()
+		}
+	default:
+		session.expire(now)
+	}
+}
+
+// noteReading records since when the client has read nothing of its output.
+func (session *session) noteReading(now float64) {
+	unsent := session.conn.Unsent()
+	flushed := session.writtenBytes - unsent
+	if unsent == 0 {
+		session.notReadingSince = 0
+	} else if session.notReadingSince == 0 || flushed != session.flushedBytes {
+		session.notReadingSince = now
+		session.flushedBytes = flushed
+	}
+}
+
+// expiry is the end of a connection whose client has not done its next step in time.
+type expiry struct {
+	due    bool
+	reason endReason
+	text   string // of the error that the client gets, empty for none
+}
+
+// expire ends a connection whose client has not done its next step in time, unless the bytes have arrived and are only unread.
+func (session *session) expire(now float64) {
+	expiry := session.expiry(now)
+	switch {
+	case !expiry.due, !session.conn.OpenAndIdle():
+	case expiry.text != "":
+		session.endWithError(expiry.reason, codeProtocol, expiry.text)
+	default:
+		session.setEndReason(expiry.reason)
+		session.close()
+	}
+}
+
+// expiry returns whether and how the connection must end for the time that its client takes.
+func (session *session) expiry(now float64) expiry {
+	age := now - session.stateSince
+	switch session.class {
+	case startingUp:
+		text := ""
+		if session.input.Pending() > 0 {
+			text = "the startup message is not whole in time"
+		}
+		return expiry{due: age >= startupMs, reason: endedByStartup, text: text}
+	case midMessage:
+		arriving := session.reservedBytes > 0 && now-session.lastDataAt < notReadingMs
+		if arriving && age < maxIdleMs { // a long message may take longer, as long as some of it arrives
+			return expiry{}
+		}
+		late := session.notReadingSince == 0 && age >= messageMs
+		return expiry{due: late, reason: endedByMessage, text: "the message is not whole in time"}
+	case idleUnused, idleUsed:
+		return expiry{due: age >= maxIdleMs, reason: endedByIdleness}
+	}
+	return expiry{}
+}
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -76,7 +76,7 @@
 
 func (g *stage) Abandon(ref slotmap.Ref) { g.close(g.requests[ref.Index]) }
 
-// AnswerBy is platform.Desk's.
+// AnswerBy implements platform.Dispatcher.
 func (g *stage) AnswerBy(slotmap.Ref, float64) {}
 
 func (g *stage) close(x *asking) {
