--- a/internal/cluster/outlier/adapter/liar.go
+++ b/internal/cluster/outlier/adapter/byzantine.go
@@ -9,10 +9,12 @@
 	"beechgrade/internal/testkit/byzantine"
 )
 
-// A program with the tag liar lies of servers as LIE in its environment has it; rehearsals build it.
+// outgoingObservations and outgoingAssessments falsify what is sent to other poolers as the variable LIE of the
+// environment says: a byzantine pooler for rehearsals.
 func outgoingObservations(t *outlier.Observations) *outlier.Observations {
 	return byzantine.Said(t, byzantine.OfServers[os.Getenv("LIE")])
 }
+
 func outgoingAssessments(w *outlier.Assessments) *outlier.Assessments {
 	return byzantine.Said(w, byzantine.OfServers[os.Getenv("LIE")])
 }
--- a/internal/cluster/outlier/adapter/honest.go
+++ b/internal/cluster/outlier/adapter/correct.go
@@ -4,6 +4,7 @@
 
 import "beechgrade/internal/cluster/outlier"
 
-// outgoingObservations and said are what is told in truth; rehearsals build a program that lies with the tag liar.
+// outgoingObservations and outgoingAssessments return what is sent to other poolers: here unchanged. Rehearsals
+// build a byzantine pooler with the tag liar.
 func outgoingObservations(t *outlier.Observations) *outlier.Observations { return t }
 func outgoingAssessments(w *outlier.Assessments) *outlier.Assessments    { return w }
