--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -109,7 +109,7 @@
 				w.wait("the server sees it", func() bool { r := w.runs("q"); return len(r) == 1 && r[0].Cancelled })
 			} else if c.phase == "held for room" {
 				sent := uint64(0) // what was on its way when the client went must not come to a server that has room
-				w.onLoop(func() { sent = w.p.core.Figures().Attempts })
+				w.onLoop(func() { sent = w.p.core.Metrics().Attempts })
 				w.wait("all that was sent was turned away", func() bool { return uint64(w.servers[0].Turned()) == sent })
 				w.servers[0].Full(false)
 				if s, _, _, err := w.query("GET", "SELECT 1", "", id("next")); s != 200 || err != nil {
--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -115,7 +115,7 @@
 // allow is told what this pooler may use of a limit.
 func (l *fleetLimits) allow(name string, amount, burst float64) {
 	l.pooler.log.Debug("fleet limit", "limit", name, "amount", amount, "burst", burst)
-	l.pooler.core.Note(recordpb.Kind_KIND_LIMIT, fmt.Sprintf("%s: %g", name, amount))
+	l.pooler.core.RecordEvent(recordpb.Kind_KIND_LIMIT, fmt.Sprintf("%s: %g", name, amount))
 	if l.pooler.core.Allow(name, amount, burst) {
 		return
 	}
--- a/cmd/beechgrade/lifecycle.go
+++ b/cmd/beechgrade/lifecycle.go
@@ -57,12 +57,12 @@
 	}
 	switch now {
 	case lifecycle.Draining:
-		p.core.Note(recordpb.Kind_KIND_DRAIN, "")
+		p.core.RecordEvent(recordpb.Kind_KIND_DRAIN, "")
 		p.sendAway()
 	case lifecycle.Ready:
 		p.resume()
 	case lifecycle.HandingOver, lifecycle.Stopping:
-		p.core.Note(recordpb.Kind_KIND_DRAIN, "")
+		p.core.RecordEvent(recordpb.Kind_KIND_DRAIN, "")
 		p.end(before == lifecycle.Draining)
 	}
 	return accepted
--- a/cmd/beechgrade/metrics_test.go
+++ b/cmd/beechgrade/metrics_test.go
@@ -262,7 +262,7 @@
 	hup <- syscall.SIGHUP
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		done := make(chan uint64)
-		p.loop.Post(func() { done <- p.core.Figures().ReloadsAccepted })
+		p.loop.Post(func() { done <- p.core.Metrics().ReloadsAccepted })
 		if <-done == 1 || time.Now().After(end) {
 			break
 		}
--- a/cmd/beechgrade/outlier.go
+++ b/cmd/beechgrade/outlier.go
@@ -21,7 +21,7 @@
 	}
 	p.outlier = adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
 	p.outlier.OnEjection(func(s outlier.Ejection, begins bool) {
-		p.core.Note(recordpb.Kind_KIND_AVOIDED, ejectionText(s, begins))
+		p.core.RecordEvent(recordpb.Kind_KIND_AVOIDED, ejectionText(s, begins))
 	})
 	p.core.SetServerObserver(p.outlier)
 	p.peers.Register(p.outlier)
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -62,10 +62,10 @@
 // MemberChanged is peers.Events'.
 func (f fleetEvents) MemberChanged(r view.Record, was view.State, isNew bool) {
 	if isNew {
-		f.pooler.core.Note(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s", r.Name, uint64(r.ID), r.Zone, r.State))
+		f.pooler.core.RecordEvent(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s", r.Name, uint64(r.ID), r.Zone, r.State))
 		return
 	}
-	f.pooler.core.Note(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s, was %s", r.Name, uint64(r.ID), r.Zone, r.State, was))
+	f.pooler.core.RecordEvent(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s, was %s", r.Name, uint64(r.ID), r.Zone, r.State, was))
 }
 
 // writePeersMetrics tells the fleet's figures, where there is one.
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -184,7 +184,7 @@
 // startCore starts the request table with its servers, the list and what earlier processes knew, and the platform's frontend.
 func (p *pooler) startCore() {
 	directory := p.startDiscovery()
-	p.core.Note(recordpb.Kind_KIND_START, "")
+	p.core.RecordEvent(recordpb.Kind_KIND_START, "")
 	p.recordRecovered()
 	servers := p.servers()
 	if p.journal != nil {
--- a/cmd/beechgrade/recorder.go
+++ b/cmd/beechgrade/recorder.go
@@ -31,7 +31,7 @@
 	}
 	p.recordsGauges = true
 	return func() {
-		p.core.Note(recordpb.Kind_KIND_STOP, "") // the loop has ended
+		p.core.RecordEvent(recordpb.Kind_KIND_STOP, "") // the loop has ended
 		end()
 	}
 }
@@ -48,6 +48,6 @@
 	if p.clickhouse != nil {
 		sessions, conns = sessions+p.clickhouse.Sessions(), conns+p.clickhouse.Conns()
 	}
-	p.core.Gauge(sessions, conns)
+	p.core.RecordGauge(sessions, conns)
 	p.loop.At(p.loop.Now()+gaugeIntervalMs, p.gauge)
 }
--- a/cmd/beechgrade/reload.go
+++ b/cmd/beechgrade/reload.go
@@ -83,7 +83,7 @@
 // rejectConfig logs and counts a configuration that cannot be used.
 func (p *pooler) rejectConfig(err error) {
 	p.log.Error("configuration not taken; the old one stays", "err", err)
-	p.core.Figures().ReloadsRejected++
+	p.core.Metrics().ReloadsRejected++
 }
 
 // apply puts a new configuration in force, but for what needs a restart, which the log names.
@@ -94,11 +94,11 @@
 	}
 	p.saveConfig(next, os.Getenv("EDGE_CONFIG"))
 	changed, kept := p.cfg.Apply(next)
-	if p.core.Figures().ReloadsAccepted++; slices.Contains(changed, "settings") {
+	if p.core.Metrics().ReloadsAccepted++; slices.Contains(changed, "settings") {
 		p.core.Reload()
 	}
 	p.log.Info("configuration read again", "changed", changed)
-	p.core.Note(recordpb.Kind_KIND_RELOAD, strings.Join(changed, ", "))
+	p.core.RecordEvent(recordpb.Kind_KIND_RELOAD, strings.Join(changed, ", "))
 	if len(kept) > 0 {
 		p.log.Warn("cannot change while serving, needs a restart", "kept", kept)
 	}
--- a/cmd/beechgrade/shutdown.go
+++ b/cmd/beechgrade/shutdown.go
@@ -36,7 +36,7 @@
 // end begins the shutdown. drained says that clients have been sent away already.
 func (p *pooler) end(drained bool) {
 	s := &shutdown{pooler: p, began: p.loop.Now(), longest: min(p.longestDeadline(), longestDeadlineMs), leastMs: acceptAfterTermMs}
-	p.core.EndAt(s.deadline() + endPartialAfterMs)
+	p.core.SetAnswerDeadline(s.deadline() + endPartialAfterMs)
 	closeIdleAt := s.deadline() + closeIdleAfterMs
 	if p.lifecycle.State() == lifecycle.HandingOver {
 		s.handOver()
--- a/cmd/beechgrade/undelivered_test.go
+++ b/cmd/beechgrade/undelivered_test.go
@@ -71,7 +71,7 @@
 			if story.size > 1<<14 {
 				whole = 0
 			}
-			until(t, p, "it waits in the socket", func() bool { return unsentTo(t, l.Addr()) > 0 && p.core.Figures().Attempts == whole })
+			until(t, p, "it waits in the socket", func() bool { return unsentTo(t, l.Addr()) > 0 && p.core.Metrics().Attempts == whole })
 			story.end(c)
 			until(t, p, "its request has ended", func() bool { return p.core.OpenRequests() == 0 })
 			time.Sleep(lateBy)
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -155,7 +155,7 @@
 	if z.lastNote == nil || n.Sent != nil || !n.SameDecision(z.lastNote) {
 		copy(z.sentAtNote, z.adapter.Sent())
 		z.lastNote = n
-		z.pooler.core.Note(recordpb.Kind_KIND_ZONES, n.Text())
+		z.pooler.core.RecordEvent(recordpb.Kind_KIND_ZONES, n.Text())
 	}
 	z.pooler.loop.At(z.pooler.loop.Now()+noteIntervalMs, z.recordNote)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -182,15 +182,15 @@
 	c.router.Merge(clock.ToDuration(c.loop.Now()), snapshot)
 }
 
-// Figures returns the process's metrics.
-func (c *Core) Figures() *metrics.Metrics { return &c.metrics }
+// Metrics returns the process's metrics.
+func (c *Core) Metrics() *metrics.Metrics { return &c.metrics }
 
 // OpenRequests returns the number of requests that await an answer or have attempts in flight.
 func (c *Core) OpenRequests() int { return c.requests.Len() }
 
-// EndAt sets the time by which requests of the platform's clients, open ones and new ones, have their answer. Sessions of the
+// SetAnswerDeadline sets the time by which requests of the platform's clients, open ones and new ones, have their answer. Sessions of the
 // other frontends have no deadline and are ended by their frontends.
-func (c *Core) EndAt(ms float64) {
+func (c *Core) SetAnswerDeadline(ms float64) {
 	c.answersBy = ms
 	var open []slotmap.Ref
 	c.requests.Each(func(ref slotmap.Ref, _ *request) { open = append(open, ref) })
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -18,26 +18,26 @@
 	"beechgrade/internal/invariant"
 )
 
-// payer lets in as it is told to, and notes what it is told.
-type payer struct {
-	say  lease.Decision
-	tag  uint64
-	told []string
-	at   func(tag uint64) // is done before Hold returns, where it is set
+// fakeCredit lets in as it is told to, and notes what it is told.
+type fakeCredit struct {
+	decision lease.Decision
+	tag      uint64
+	settled  []string
+	onHold   func(tag uint64) // is done before Hold returns, where it is set
 }
 
-func (p *payer) Hold(_, _, _ string, tag uint64) (lease.Reservation, lease.Decision) {
+func (p *fakeCredit) Hold(_, _, _ string, tag uint64) (lease.Reservation, lease.Decision) {
 	p.tag = tag
-	if p.at != nil {
-		p.at(tag)
+	if p.onHold != nil {
+		p.onHold(tag)
 	}
-	if p.say == lease.Admitted {
+	if p.decision == lease.Admitted {
 		return lease.Reservation{Amount: 5}, lease.Admitted
 	}
-	return lease.Reservation{}, p.say
+	return lease.Reservation{}, p.decision
 }
 
-func (p *payer) Settle(h *lease.Reservation, d lease.Usage) {
+func (p *fakeCredit) Settle(h *lease.Reservation, d lease.Usage) {
 	word := "free"
 	switch {
 	case h.Amount == 0:
@@ -48,30 +48,30 @@
 		word = "failed"
 	}
 	h.Amount = 0
-	p.told = append(p.told, word)
+	p.settled = append(p.settled, word)
 }
-func (p *payer) Cancel(string, uint64) { p.told = append(p.told, "cancelled") }
+func (p *fakeCredit) Cancel(string, uint64) { p.settled = append(p.settled, "cancelled") }
 
-// asker is a client that hears why.
-type asker struct {
-	still
-	heard []string
+// recordingClient is a client that hears why.
+type recordingClient struct {
+	stub
+	answers []string
 }
 
-func (a *asker) RejectedUnfunded(bool, float64) { a.heard = append(a.heard, "broke") }
-func (a *asker) Served([]byte)                  { a.heard = append(a.heard, "served") }
-func (a *asker) Failed()                        { a.heard = append(a.heard, "failed") }
+func (a *recordingClient) RejectedUnfunded(bool, float64) { a.answers = append(a.answers, "broke") }
+func (a *recordingClient) Served([]byte)                  { a.answers = append(a.answers, "served") }
+func (a *recordingClient) Failed()                        { a.answers = append(a.answers, "failed") }
 
 // TestRequestIsPaidForAndSettledOnce has a request be told to the module once it is paid for, and be settled once, whatever becomes of it.
 func TestRequestIsPaidForAndSettledOnce(t *testing.T) {
-	begin := func(say lease.Decision) (*Core, *payer, *asker, *counting, slotmap.Ref) {
+	begin := func(say lease.Decision) (*Core, *fakeCredit, *recordingClient, *countingServers, slotmap.Ref) {
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 			Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 			InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
-		c, servers, p, a := New(still{}, slog.New(slog.DiscardHandler), cfg), &counting{}, &payer{say: say}, &asker{}
-		c.Start(servers, still{})
+		c, servers, p, a := New(stub{}, slog.New(slog.DiscardHandler), cfg), &countingServers{}, &fakeCredit{decision: say}, &recordingClient{}
+		c.Start(servers, stub{})
 		c.SetCredit(p)
-		ref, err := c.Submit(platform.Request{ID: "1", Class: "read", Deadline: 1e6 + 9000, Query: still{}}, a)
+		ref, err := c.Submit(platform.Request{ID: "1", Class: "read", Deadline: 1e6 + 9000, Query: stub{}}, a)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,24 +84,24 @@
 	for _, x := range []struct {
 		name  string
 		say   lease.Decision
-		do    func(c *Core, p *payer, ref slotmap.Ref)
+		do    func(c *Core, p *fakeCredit, ref slotmap.Ref)
 		sends int
 		told  []string
 		heard []string
 	}{
-		{"served", lease.Admitted, func(c *Core, _ *payer, ref slotmap.Ref) { served(c, ref) }, 1, []string{"served"}, []string{"served"}},
-		{"no funds", lease.Exhausted, func(*Core, *payer, slotmap.Ref) {}, 0, nil, []string{"broke"}},
-		{"waits, is let in and served", lease.Queued, func(c *Core, p *payer, ref slotmap.Ref) {
+		{"served", lease.Admitted, func(c *Core, _ *fakeCredit, ref slotmap.Ref) { served(c, ref) }, 1, []string{"served"}, []string{"served"}},
+		{"no funds", lease.Exhausted, func(*Core, *fakeCredit, slotmap.Ref) {}, 0, nil, []string{"broke"}},
+		{"waits, is let in and served", lease.Queued, func(c *Core, p *fakeCredit, ref slotmap.Ref) {
 			c.Funded(p.tag, lease.Reservation{Amount: 5})
 			served(c, ref)
 		}, 1, []string{"served"}, []string{"served"}},
-		{"waits and is turned away", lease.Queued, func(c *Core, p *payer, _ slotmap.Ref) { c.Unfunded(p.tag) }, 0, nil, []string{"broke"}},
-		{"its client goes while it waits", lease.Queued, func(c *Core, p *payer, ref slotmap.Ref) {
+		{"waits and is turned away", lease.Queued, func(c *Core, p *fakeCredit, _ slotmap.Ref) { c.Unfunded(p.tag) }, 0, nil, []string{"broke"}},
+		{"its client goes while it waits", lease.Queued, func(c *Core, p *fakeCredit, ref slotmap.Ref) {
 			c.Abandon(ref)
 			c.Funded(p.tag, lease.Reservation{Amount: 5})
 		}, 0, []string{"cancelled", "free"}, nil},
-		{"its client goes before anything was sent", lease.Admitted, func(c *Core, _ *payer, ref slotmap.Ref) { c.Abandon(ref) }, 1, []string{"free"}, nil},
-		{"its client goes after", lease.Admitted, func(c *Core, _ *payer, ref slotmap.Ref) {
+		{"its client goes before anything was sent", lease.Admitted, func(c *Core, _ *fakeCredit, ref slotmap.Ref) { c.Abandon(ref) }, 1, []string{"free"}, nil},
+		{"its client goes after", lease.Admitted, func(c *Core, _ *fakeCredit, ref slotmap.Ref) {
 			c.AttemptWritten(backend.AttemptID{Request: ref})
 			c.Abandon(ref)
 		}, 1, []string{"failed"}, nil},
@@ -113,10 +113,10 @@
 		if servers.n != x.sends {
 			t.Errorf("%s: sent %d times, want %d", x.name, servers.n, x.sends)
 		}
-		if d := cmp.Diff(x.told, p.told); d != "" {
+		if d := cmp.Diff(x.told, p.settled); d != "" {
 			t.Errorf("%s: settled: %s", x.name, d)
 		}
-		if d := cmp.Diff(x.heard, a.heard); d != "" {
+		if d := cmp.Diff(x.heard, a.answers); d != "" {
 			t.Errorf("%s: heard: %s", x.name, d)
 		}
 	}
@@ -128,32 +128,32 @@
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
-	servers, p := &counting{}, &payer{say: lease.Queued}
-	c := New(still{}, slog.New(slog.DiscardHandler), cfg)
-	c.Start(servers, still{})
+	servers, p := &countingServers{}, &fakeCredit{decision: lease.Queued}
+	c := New(stub{}, slog.New(slog.DiscardHandler), cfg)
+	c.Start(servers, stub{})
 	c.SetCredit(p)
 	ask := func(id string, client platform.Client) slotmap.Ref {
-		ref, err := c.Submit(platform.Request{ID: id, Class: "read", Deadline: 1e6 + 9000, Query: still{}}, client)
+		ref, err := c.Submit(platform.Request{ID: id, Class: "read", Deadline: 1e6 + 9000, Query: stub{}}, client)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return ref
 	}
-	p.at = func(tag uint64) { c.Funded(tag, lease.Reservation{Amount: 5}) }
-	if ask("1", &asker{}); servers.n != 1 {
+	p.onHold = func(tag uint64) { c.Funded(tag, lease.Reservation{Amount: 5}) }
+	if ask("1", &recordingClient{}); servers.n != 1 {
 		t.Errorf("let in at once: sent %d times", servers.n)
 	}
-	p.at = func(tag uint64) { c.Unfunded(tag) }
-	if a := (&asker{}); ask("2", a) != (slotmap.Ref{}) || len(a.heard) != 1 {
-		t.Errorf("turned away at once: heard %v", a.heard)
+	p.onHold = func(tag uint64) { c.Unfunded(tag) }
+	if a := (&recordingClient{}); ask("2", a) != (slotmap.Ref{}) || len(a.answers) != 1 {
+		t.Errorf("turned away at once: heard %v", a.answers)
 	}
-	p.at = nil
-	other := ask("3", &asker{})
+	p.onHold = nil
+	other := ask("3", &recordingClient{})
 	tag := p.tag
-	p.say = lease.Admitted
-	mine, left := ask("4", &asker{}), false
+	p.decision = lease.Admitted
+	mine, left := ask("4", &recordingClient{}), false
 	req, _ := c.requests.Get(other)
-	req.client = leaver{func() {
+	req.client = abandoningClient{func() {
 		c.Abandon(mine)
 		c.walk(invariant.Test(t))
 		left = true
@@ -163,56 +163,56 @@
 	}
 }
 
-// leaver is a client that gives something up as it is turned away.
-type leaver struct{ leave func() }
+// abandoningClient is a client that gives something up as it is turned away.
+type abandoningClient struct{ leave func() }
 
-func (l leaver) RejectedUnfunded(bool, float64) { l.leave() }
-func (l leaver) Served([]byte)                  {}
-func (l leaver) Rejected(float64)               {}
-func (l leaver) Failed()                        {}
+func (l abandoningClient) RejectedUnfunded(bool, float64) { l.leave() }
+func (l abandoningClient) Served([]byte)                  {}
+func (l abandoningClient) Rejected(float64)               {}
+func (l abandoningClient) Failed()                        {}
 
-// hung is a loop that keeps what is hung up, and from when on.
-type hung struct {
-	still
+// lastTimerLoop is a loop that keeps what is hung up, and from when on.
+type lastTimerLoop struct {
+	stub
 	at float64
 	do func()
 }
 
-func (h *hung) At(ms float64, do func()) *timers.Timer {
+func (h *lastTimerLoop) At(ms float64, do func()) *timers.Timer {
 	h.at, h.do = ms, do
 	return nil
 }
 
-// TestUnfundedRequestIsRefusedInItsTime: what waits for funds is refused by its client's own time, and one whose time is past already at once.
-func TestUnfundedRequestIsRefusedInItsTime(t *testing.T) {
+// TestRequestWithoutCreditIsRejectedInTime: what waits for funds is refused by its client's own time, and one whose time is past already at once.
+func TestRequestWithoutCreditIsRejectedInTime(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8,
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}}}
-	loop, p, a := &hung{}, &payer{say: lease.Queued}, &asker{}
+	loop, p, a := &lastTimerLoop{}, &fakeCredit{decision: lease.Queued}, &recordingClient{}
 	c := New(loop, slog.New(slog.DiscardHandler), cfg)
-	c.Start(&counting{}, still{})
+	c.Start(&countingServers{}, stub{})
 	c.SetCredit(p)
 	for i, x := range []struct{ due, at float64 }{{1e6 + 80, 1e6 + 80 - creditDeadlineMarginMs}, {1e6 - 300, 1e6}} {
-		if _, err := c.Submit(platform.Request{ID: "1", Class: "read", Deadline: x.due, Query: still{}}, a); err != nil {
+		if _, err := c.Submit(platform.Request{ID: "1", Class: "read", Deadline: x.due, Query: stub{}}, a); err != nil {
 			t.Fatal(err)
 		}
 		if loop.at != x.at || loop.do == nil {
 			t.Errorf("due %.0f: it ends at %.0f, want %.0f", x.due, loop.at, x.at)
 			continue
 		}
-		if loop.do(); len(a.heard) != i+1 || len(p.told) != i+1 || c.OpenRequests() != 0 {
-			t.Errorf("heard %v, the purse %v, %d open", a.heard, p.told, c.OpenRequests())
+		if loop.do(); len(a.answers) != i+1 || len(p.settled) != i+1 || c.OpenRequests() != 0 {
+			t.Errorf("heard %v, the purse %v, %d open", a.answers, p.settled, c.OpenRequests())
 		}
 	}
 }
 
-// TestRequestGivenUpAmongActionsIsSkipped: a request that is given up while the router's actions are carried out, and that one of them is to send, is told to the
+// TestRequestAbandonedDuringActionsIsNotSent: a request that is given up while the router's actions are carried out, and that one of them is to send, is told to the
 // router as skipped: else it would count an attempt as out for ever.
-func TestRequestGivenUpAmongActionsIsSkipped(t *testing.T) {
+func TestRequestAbandonedDuringActionsIsNotSent(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8,
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}}}
-	c := New(still{}, slog.New(slog.DiscardHandler), cfg)
-	c.Start(&counting{}, still{})
-	ref := c.requests.Put(&request{id: "1", client: still{}, deadline: 1e6 + 9000, classMetrics: c.classMetrics[0]})
+	c := New(stub{}, slog.New(slog.DiscardHandler), cfg)
+	c.Start(&countingServers{}, stub{})
+	ref := c.requests.Put(&request{id: "1", client: stub{}, deadline: 1e6 + 9000, classMetrics: c.classMetrics[0]})
 	c.metrics.OpenRequests++
 	c.carryingOut = true
 	c.Abandon(ref)
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -13,7 +13,7 @@
 // TestDecisionsAreLoggedAndCounted: of a request that is repeated and then given up, the log tells which it was, why, and where it had been sent; the figures
 // count both.
 func TestDecisionsAreLoggedAndCounted(t *testing.T) {
-	c, d, l, _ := dialling(t)
+	c, d, l, _ := newWaitingCore(t)
 	var log bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	d.skip(0)     // the connection was not to be had: it is sent again
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -20,51 +20,54 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// drawn is a core whose servers, clients and clock do whatever is drawn, but keep what they promise: each attempt ends once.
-type drawn struct {
-	counting
-	now    float64
-	heap   timers.Heap
-	core   *Core
-	out    []backend.AttemptID
-	probes []string
-	flows  []backend.AnswerStream
-	refs   []slotmap.Ref
-	ends   map[int]int // answers by client
-	asked  int
+// randomRun is a core whose servers, clients and clock do whatever is drawn, but keep what they promise: each attempt ends once.
+type randomRun struct {
+	countingServers
+	now          float64
+	heap         timers.Heap
+	core         *Core
+	openAttempts []backend.AttemptID
+	healthChecks []string
+	streams      []backend.AnswerStream
+	refs         []slotmap.Ref
+	answers      map[int]int // answers by client
+	submitted    int
 }
 
-func (d *drawn) Now() float64                          { return d.now }
-func (d *drawn) At(ms float64, f func()) *timers.Timer { return d.heap.Add(ms, f) }
-func (d *drawn) CheckHealth(id string)                 { d.probes = append(d.probes, id) }
-func (d *drawn) Start(_ string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
+func (d *randomRun) Now() float64                          { return d.now }
+func (d *randomRun) At(ms float64, f func()) *timers.Timer { return d.heap.Add(ms, f) }
+func (d *randomRun) CheckHealth(id string)                 { d.healthChecks = append(d.healthChecks, id) }
+func (d *randomRun) Start(_ string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
 	if d.core.MaySend(tag) { // it has a connection; of one that waits sends_test.go tells
-		d.out = append(d.out, tag)
+		d.openAttempts = append(d.openAttempts, tag)
 	} else {
 		d.core.AttemptEnded(tag, backend.Outcome{Result: decide.NotSent})
 	}
 	return slotmap.Ref{Index: uint32(tag.Number) + 1, Gen: 1}
 }
 
-// drawnAsker is a client that counts its answers, and takes one that is passed on as it comes.
-type drawnAsker struct {
-	d  *drawn
+// randomClient is a client that counts its answers, and takes one that is passed on as it comes.
+type randomClient struct {
+	d  *randomRun
 	no int
 }
 
-func (a drawnAsker) Served([]byte)                       { a.d.ends[a.no]++ }
-func (a drawnAsker) Rejected(float64)                    { a.d.ends[a.no]++ }
-func (a drawnAsker) Failed()                             { a.d.ends[a.no]++ }
-func (a drawnAsker) ReceiveStream() backend.AnswerStream { a.d.ends[a.no]++; return nothing{} }
+func (a randomClient) Served([]byte)    { a.d.answers[a.no]++ }
+func (a randomClient) Rejected(float64) { a.d.answers[a.no]++ }
+func (a randomClient) Failed()          { a.d.answers[a.no]++ }
+func (a randomClient) ReceiveStream() backend.AnswerStream {
+	a.d.answers[a.no]++
+	return discardStream{}
+}
 
-type nothing struct{}
+type discardStream struct{}
 
-func (nothing) Chunk([]byte)       {}
-func (nothing) HasCapacity() bool  { return true }
-func (nothing) Ended([]byte, bool) {}
+func (discardStream) Chunk([]byte)       {}
+func (discardStream) HasCapacity() bool  { return true }
+func (discardStream) Ended([]byte, bool) {}
 
-func newDrawn(c *invariant.Checks) *drawn {
-	d := &drawn{now: 1e6, ends: map[int]int{}}
+func newRandomRun(c *invariant.Checks) *randomRun {
+	d := &randomRun{now: 1e6, answers: map[int]int{}}
 	var list []discovery.Instance
 	for i := range 3 {
 		list = append(list, discovery.Instance{ID: fmt.Sprint("s", i), HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1})
@@ -74,13 +77,13 @@
 		InitialList: discovery.List{Reset: true, Instances: list}}
 	d.core = New(d, slog.New(slog.DiscardHandler), cfg)
 	d.core.SetChecks(c, 1)
-	d.core.Start(d, still{})
+	d.core.Start(d, stub{})
 	return d
 }
 
-func (d *drawn) ask(class string, due float64) {
-	d.asked++
-	ref, err := d.core.Submit(platform.Request{ID: fmt.Sprint(d.asked), Class: class, Deadline: d.now + due, Query: still{}}, drawnAsker{d, d.asked})
+func (d *randomRun) submit(class string, due float64) {
+	d.submitted++
+	ref, err := d.core.Submit(platform.Request{ID: fmt.Sprint(d.submitted), Class: class, Deadline: d.now + due, Query: stub{}}, randomClient{d, d.submitted})
 	if err == nil {
 		d.refs = append(d.refs, ref)
 	}
@@ -90,19 +93,19 @@
 // stays of what is over.
 func TestInvariants(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		d := newDrawn(invariant.Test(t))
+		d := newRandomRun(invariant.Test(t))
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") }
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				for range rapid.IntRange(1, 6).Draw(t, "times") {
-					d.ask(rapid.SampledFrom([]string{"read", "write", "none"}).Draw(t, "class"), rapid.Float64Range(0, 3000).Draw(t, "due"))
+					d.submit(rapid.SampledFrom([]string{"read", "write", "none"}).Draw(t, "class"), rapid.Float64Range(0, 3000).Draw(t, "due"))
 				}
 			},
 			"end": func(t *rapid.T) {
-				if n := len(d.out); n > 0 {
+				if n := len(d.openAttempts); n > 0 {
 					i := pick(n)
-					tag := d.out[i]
-					d.out = slices.Delete(d.out, i, i+1)
+					tag := d.openAttempts[i]
+					d.openAttempts = slices.Delete(d.openAttempts, i, i+1)
 					outcome := backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Misdirected)).Draw(t, "result"))}
 					if rapid.Bool().Draw(t, "says") {
 						outcome.Report = backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: d.now, HasPos: true}
@@ -111,26 +114,26 @@
 				}
 			},
 			"begin": func(t *rapid.T) {
-				if n := len(d.out); n > 0 {
+				if n := len(d.openAttempts); n > 0 {
 					i := pick(n)
-					tag := d.out[i]
-					d.out = slices.Delete(d.out, i, i+1)
+					tag := d.openAttempts[i]
+					d.openAttempts = slices.Delete(d.openAttempts, i, i+1)
 					if f := d.core.AnswerStreams(tag, func() {}); f != nil {
-						d.flows = append(d.flows, f)
+						d.streams = append(d.streams, f)
 					}
 				}
 			},
 			"flow ends": func(t *rapid.T) {
-				if len(d.flows) > 0 {
-					d.flows[0].Ended(nil, rapid.Bool().Draw(t, "whole"))
-					d.flows = d.flows[1:]
+				if len(d.streams) > 0 {
+					d.streams[0].Ended(nil, rapid.Bool().Draw(t, "whole"))
+					d.streams = d.streams[1:]
 				}
 			},
 			"probed": func(t *rapid.T) {
-				if len(d.probes) > 0 {
-					d.core.HealthCheckEnded(d.probes[0], backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Reset)).Draw(t, "result")),
+				if len(d.healthChecks) > 0 {
+					d.core.HealthCheckEnded(d.healthChecks[0], backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Reset)).Draw(t, "result")),
 						Report: backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: d.now, HasPos: true}})
-					d.probes = d.probes[1:]
+					d.healthChecks = d.healthChecks[1:]
 				}
 			},
 			"gone": func(*rapid.T) {
@@ -147,7 +150,7 @@
 					Lifecycle: rapid.SampledFrom([]string{"up", "draining", "gone"}).Draw(t, "state"), Weight: 1}}})
 			},
 			"": func(t *rapid.T) {
-				for no, n := range d.ends {
+				for no, n := range d.answers {
 					if n > 1 {
 						t.Errorf("%d had %d answers", no, n)
 					}
@@ -157,8 +160,8 @@
 	})
 }
 
-// TestInvariantMutants: each statement is seen to break by one line of state.
-func TestInvariantMutants(t *testing.T) {
+// TestInvariantsFailWhenBroken: each statement is seen to break by one line of state.
+func TestInvariantsFailWhenBroken(t *testing.T) {
 	for _, m := range []struct {
 		name string
 		poke func(c *Core, req *request)
@@ -172,8 +175,8 @@
 		{"core: an answer that waits is the request's last", func(_ *Core, req *request) { req.delayedAnswer = &delayedAnswer{} }},
 		{"core: the metric is of those in progress", func(c *Core, _ *request) { c.metrics.OpenRequests++ }},
 	} {
-		d, c := newDrawn(nil), invariant.New(nil)
-		d.ask("read", 3000)
+		d, c := newRandomRun(nil), invariant.New(nil)
+		d.submit("read", 3000)
 		if d.core.walk(c); len(c.Breaches()) > 0 {
 			t.Errorf("without: %v", c.Breaches())
 		}
--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestKeysAreKeptForTheSettings: what may have run is remembered for as long as its client may wait and its servers know its key, where
+// TestKeysAreRememberedAsLongAsTheSettingsNeed: what may have run is remembered for as long as its client may wait and its servers know its key, where
 // that is longer than a minute, and not for ever.
-func TestKeysAreKeptForTheSettings(t *testing.T) {
+func TestKeysAreRememberedAsLongAsTheSettingsNeed(t *testing.T) {
 	k := recentKeys{lifetimeMs: keyLifetimeMs([]decide.Class{{Deadline: time.Second}, {Deadline: time.Minute, KeyWindow: 4 * time.Minute}})}
 	k.recordSend("key", 1, 1)
 	if at, ok := k.firstSent("key", 1+5*minKeyLifetimeMs); !ok || at != 1 {
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -13,35 +13,35 @@
 	"beechgrade/internal/frontend/platform"
 )
 
-// hand is a loop whose time tests set.
-type hand struct {
-	still
-	now float64
-	at  []func()
+// manualLoop is a loop whose time tests set.
+type manualLoop struct {
+	stub
+	now    float64
+	timers []func()
 }
 
-func (h *hand) Now() float64 { return h.now }
-func (h *hand) At(_ float64, do func()) *timers.Timer {
-	h.at = append(h.at, do)
+func (h *manualLoop) Now() float64 { return h.now }
+func (h *manualLoop) At(_ float64, do func()) *timers.Timer {
+	h.timers = append(h.timers, do)
 	return nil
 }
 
-// ends counts how requests end.
-type ends struct {
-	still
-	refused []float64
+// rejectedClient counts how requests end.
+type rejectedClient struct {
+	stub
+	waits []float64
 }
 
-func (e *ends) Rejected(wait float64) { e.refused = append(e.refused, wait) }
+func (e *rejectedClient) Rejected(wait float64) { e.waits = append(e.waits, wait) }
 
-// leases end at a time, and are taken back by a function.
-type leases struct {
+// fakeLeases end at a time, and are taken back by a function.
+type fakeLeases struct {
 	due float64
 	end func()
 }
 
-func (l *leases) Due() float64 { return l.due }
-func (l *leases) Expire()      { l.due = 1e12; l.end() }
+func (l *fakeLeases) Due() float64 { return l.due }
+func (l *fakeLeases) Expire()      { l.due = 1e12; l.end() }
 
 // TestLimitAllowsOnlyWhatWasAssigned: of a limit that holds for the whole fleet a pooler may use nothing until it is told, then what it is told, and a lease
 // that is over is so before a request that comes then is looked at. What is beyond is refused at once, and told when to come again.
@@ -50,21 +50,21 @@
 		MaxRetryAfter: 2 * time.Second, Tenants: make([]decide.Tenant, 2),
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
-	l, servers, client, lease := &hand{now: 1e6}, &counting{}, &ends{}, &leases{due: 1e12}
+	l, servers, client, lease := &manualLoop{now: 1e6}, &countingServers{}, &rejectedClient{}, &fakeLeases{due: 1e12}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
 	c.Start(servers, l)
 	c.SetLimits([]Limit{{Name: "x", Kind: LimitTenantRequests, Tenant: "a", Amount: 100, Hard: true}}, lease)
 	n := 0
 	ask := func(tenant string, times int) (let int) {
 		t.Helper()
-		before := len(client.refused)
+		before := len(client.waits)
 		for range times {
 			n++
-			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(n), Class: "read", Tenant: tenant, Deadline: l.now + 9000, Query: still{}}, client); err != nil {
+			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(n), Class: "read", Tenant: tenant, Deadline: l.now + 9000, Query: stub{}}, client); err != nil {
 				t.Fatal(err)
 			}
 		}
-		return times - (len(client.refused) - before)
+		return times - (len(client.waits) - before)
 	}
 	if got := ask("a", 3); got != 0 {
 		t.Errorf("%d were let in before anything was told", got)
@@ -76,7 +76,7 @@
 	if got := ask("a", 3); got != 0 {
 		t.Errorf("%d were let in by a bucket that is to begin empty", got)
 	}
-	if w := client.refused[len(client.refused)-1]; w < 99 || w > 101 { // one in 100 ms
+	if w := client.waits[len(client.waits)-1]; w < 99 || w > 101 { // one in 100 ms
 		t.Errorf("advice %v", w)
 	}
 	l.now += 1000
@@ -102,11 +102,11 @@
 	}
 }
 
-// TestLimitedProbesWaitForTheirTurn: probes wait for their turn where they are limited, and go at once where they are no more.
-func TestLimitedProbesWaitForTheirTurn(t *testing.T) {
-	l := &hand{now: 1e6}
+// TestLimitedHealthChecksWaitForTheirTurn: probes wait for their turn where they are limited, and go at once where they are no more.
+func TestLimitedHealthChecksWaitForTheirTurn(t *testing.T) {
+	l := &manualLoop{now: 1e6}
 	c := New(l, slog.New(slog.DiscardHandler), &config.Config{})
-	c.Start(&counting{}, l)
+	c.Start(&countingServers{}, l)
 	c.SetLimits([]Limit{{Name: "p", Kind: LimitHealthChecks}}, nil)
 	done := 0
 	probe := func() { c.limits.use(LimitHealthChecks, "").run(func() { done++ }) }
@@ -118,8 +118,8 @@
 	}
 	c.Allow("p", 10, 2)
 	l.now += 100
-	timers := l.at
-	l.at = nil
+	timers := l.timers
+	l.timers = nil
 	for _, f := range timers {
 		f()
 	}
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -22,7 +22,7 @@
 
 // ListFailed implements discovery.Events.
 func (c *Core) ListFailed() {
-	c.Note(recordpb.Kind_KIND_LIST_FAILED, "")
+	c.RecordEvent(recordpb.Kind_KIND_LIST_FAILED, "")
 	c.handleEvent(&decide.EndpointList{Kind: decide.ListFailed})
 }
 
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -15,57 +15,57 @@
 	"beechgrade/internal/frontend/platform"
 )
 
-type still struct{}
+type stub struct{}
 
-func (still) Now() float64                       { return 1e6 }
-func (still) At(float64, func()) *timers.Timer   { return nil }
-func (still) Watch()                             {}
-func (still) Fetch()                             {}
-func (still) Served([]byte)                      {}
-func (still) Rejected(float64)                   {}
-func (still) Failed()                            {}
-func (still) AppendQuery(b []byte, _ int) []byte { return b }
+func (stub) Now() float64                       { return 1e6 }
+func (stub) At(float64, func()) *timers.Timer   { return nil }
+func (stub) Watch()                             {}
+func (stub) Fetch()                             {}
+func (stub) Served([]byte)                      {}
+func (stub) Rejected(float64)                   {}
+func (stub) Failed()                            {}
+func (stub) AppendQuery(b []byte, _ int) []byte { return b }
 
-// moving is a loop whose clock is set by hand.
-type moving struct {
-	still
+// manualClock is a loop whose clock is set by hand.
+type manualClock struct {
+	stub
 	now float64
 }
 
-func (m *moving) Now() float64 { return m.now }
+func (m *manualClock) Now() float64 { return m.now }
 
-// counting are servers that count what they are asked.
-type counting struct{ n int }
+// countingServers are servers that count what they are asked.
+type countingServers struct{ n int }
 
-func (*counting) SetAddress(string, string)                   {}
-func (*counting) CloseIdle(string)                            {}
-func (*counting) Forget(string)                               {}
-func (*counting) Retain(map[string]bool)                      {}
-func (*counting) Recall(string, func(backend.AttemptID) bool) {}
-func (*counting) CheckHealth(string)                          {}
-func (*counting) Cancel(slotmap.Ref)                          {}
-func (c *counting) Start(string, backend.Query, float64, backend.SendConditions, backend.AttemptID) slotmap.Ref {
+func (*countingServers) SetAddress(string, string)                   {}
+func (*countingServers) CloseIdle(string)                            {}
+func (*countingServers) Forget(string)                               {}
+func (*countingServers) Retain(map[string]bool)                      {}
+func (*countingServers) Recall(string, func(backend.AttemptID) bool) {}
+func (*countingServers) CheckHealth(string)                          {}
+func (*countingServers) Cancel(slotmap.Ref)                          {}
+func (c *countingServers) Start(string, backend.Query, float64, backend.SendConditions, backend.AttemptID) slotmap.Ref {
 	c.n++
 	return slotmap.Ref{}
 }
 
-// TestPeersShareTheColdBudget: what a cold server may get is shared out among as many poolers as may be sending, where that is told, and as the
+// TestPeersShareTheSlowStartBudget: what a cold server may get is shared out among as many poolers as may be sending, where that is told, and as the
 // settings say where it is not any more.
-func TestPeersShareTheColdBudget(t *testing.T) {
+func TestPeersShareTheSlowStartBudget(t *testing.T) {
 	sent := func(siblings ...int) int {
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 			SlowStartMultiple: 3, SlowStartSpan: 1500 * time.Millisecond, SlowStartFrom: 0.5, SlowStartTime: 18 * time.Second,
 			Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 			InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", StartedAtMs: 998000, Weight: 1}}}}
-		loop := &moving{now: 1e6 - 1500} // a process that has just started sends a cold server nothing in the first span
-		c, servers := New(loop, slog.New(slog.DiscardHandler), cfg), &counting{}
-		c.Start(servers, still{})
+		loop := &manualClock{now: 1e6 - 1500} // a process that has just started sends a cold server nothing in the first span
+		c, servers := New(loop, slog.New(slog.DiscardHandler), cfg), &countingServers{}
+		c.Start(servers, stub{})
 		for _, n := range siblings {
 			c.SetPeers(n)
 		}
 		loop.now = 1e6
 		for i := range 40 {
-			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: 1e6 + 9000, Query: still{}}, still{}); err != nil {
+			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: 1e6 + 9000, Query: stub{}}, stub{}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/core/recorder.go
+++ b/internal/core/recorder.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// Gauge records the numbers of sessions, connections and requests, once a second.
-func (c *Core) Gauge(sessions, conns int) {
+// RecordGauge records the numbers of sessions, connections and requests, once a second.
+func (c *Core) RecordGauge(sessions, conns int) {
 	if c.recorder.on() {
 		c.recorder.records.Put(&record.Event{
 			At:          c.loop.Now(),
@@ -188,15 +188,15 @@
 	}
 }
 
-// Note records an event of the pooler itself.
-func (c *Core) Note(kind record.Kind, text string) {
+// RecordEvent records an event of the pooler itself.
+func (c *Core) RecordEvent(kind record.Kind, text string) {
 	if c.recorder.on() {
 		c.recorder.records.Put(&record.Event{At: c.loop.Now(), Kind: kind, Text: text})
 	}
 }
 
-// Recovered records what the opening of a durable store found, how many ms it took, and what was wrong with the store's end.
-func (c *Core) Recovered(found record.StoreRecovery, took float64, why string) {
+// RecordRecovery records what the opening of a durable store found, how many ms it took, and what was wrong with the store's end.
+func (c *Core) RecordRecovery(found record.StoreRecovery, took float64, why string) {
 	if c.recorder.on() {
 		c.recorder.records.Put(&record.Event{
 			At: c.loop.Now(), Kind: recordpb.Kind_KIND_RECOVERED, DurationMs: took, Text: why, Recovery: &found,
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -226,8 +226,8 @@
 	return event
 }
 
-// Known returns the id that a request's client uses for it.
-func (c *Core) Known(ref slotmap.Ref) string {
+// ClientID returns the id that a request's client uses for it.
+func (c *Core) ClientID(ref slotmap.Ref) string {
 	if req, ok := c.requests.Get(ref); ok {
 		return req.clientID
 	}
--- a/internal/core/sends_test.go
+++ b/internal/core/sends_test.go
@@ -17,29 +17,29 @@
 	"beechgrade/internal/invariant"
 )
 
-// dials are servers to which no connection is up yet: what is sent waits, in its order.
-type dials struct {
-	counting
-	core  *Core
-	waits []dialled
-	sent  []string // what has gone out, where
-	begun int
+// waitingServers are servers to which no connection is up yet: what is sent waits, in its order.
+type waitingServers struct {
+	countingServers
+	core    *Core
+	waits   []waitingAttempt
+	sent    []string // what has gone out, where
+	started int
 }
 
-type dialled struct {
-	to  string
-	tag backend.AttemptID
+type waitingAttempt struct {
+	server string
+	tag    backend.AttemptID
 }
 
-func (d *dials) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
-	d.begun++
-	d.waits = append(d.waits, dialled{id, tag})
+func (d *waitingServers) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
+	d.started++
+	d.waits = append(d.waits, waitingAttempt{id, tag})
 	return slotmap.Ref{}
 }
 
-func (d *dials) Recall(id string, which func(backend.AttemptID) bool) {
+func (d *waitingServers) Recall(id string, which func(backend.AttemptID) bool) {
 	for i := 0; i < len(d.waits); {
-		if x := d.waits[i]; x.to == id && which(x.tag) {
+		if x := d.waits[i]; x.server == id && which(x.tag) {
 			d.skip(i)
 			i = 0
 			continue
@@ -48,16 +48,16 @@
 	}
 }
 
-func (d *dials) skip(i int) {
+func (d *waitingServers) skip(i int) {
 	x := d.waits[i]
 	d.waits = slices.Delete(d.waits, i, i+1)
 	d.core.AttemptEnded(x.tag, backend.Outcome{Result: decide.NotSent})
 }
 
-// up has a connection to a server come up, which carries what waits longest.
-func (d *dials) up(id string) {
+// connect has a connection to a server come up, which carries what waits longest.
+func (d *waitingServers) connect(id string) {
 	for {
-		i := slices.IndexFunc(d.waits, func(x dialled) bool { return x.to == id })
+		i := slices.IndexFunc(d.waits, func(x waitingAttempt) bool { return x.server == id })
 		if i < 0 {
 			return
 		}
@@ -73,8 +73,8 @@
 	}
 }
 
-// dialling is a core of which two writes and a read wait for a connection to a, which leads.
-func dialling(t *testing.T) (*Core, *dials, *hand, *witness) {
+// newWaitingCore is a core of which two writes and a read wait for a connection to a, which leads.
+func newWaitingCore(t *testing.T) (*Core, *waitingServers, *manualLoop, *recordingObserver) {
 	t.Helper()
 	entry := func(id string) discovery.Instance {
 		return discovery.Instance{ID: id, HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}
@@ -82,123 +82,129 @@
 	cfg := &config.Config{Classes: []string{"write", "read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 4, MayCheckHealth: true, MayCancel: true,
 		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.Write, Idempotency: decide.NotIdempotent}, {LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
-	l, d, w := &hand{now: 1e6}, &dials{}, &witness{}
+	l, d, w := &manualLoop{now: 1e6}, &waitingServers{}, &recordingObserver{}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
 	c.SetChecks(invariant.Test(t), 1)
 	d.core = c
 	c.Start(d, l)
 	c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: l.now - 500, HasPos: true}, 0)
 	for _, id := range []string{"1", "2"} {
-		ask(t, c, l, id, "write")
+		submit(t, c, l, id, "write")
 	}
-	if fmt.Sprint(d.waits) != fmt.Sprint([]dialled{{"a", backend.AttemptID{Request: d.waits[0].tag.Request}}, {"a", backend.AttemptID{Request: d.waits[1].tag.Request}}}) {
+	if fmt.Sprint(d.waits) != fmt.Sprint([]waitingAttempt{{"a", backend.AttemptID{Request: d.waits[0].tag.Request}}, {"a", backend.AttemptID{Request: d.waits[1].tag.Request}}}) {
 		t.Fatalf("%v wait", d.waits)
 	}
 	return c, d, l, w
 }
 
-func ask(t *testing.T, c *Core, l *hand, id, class string) {
+func submit(t *testing.T, c *Core, l *manualLoop, id, class string) {
 	t.Helper()
-	if _, err := c.Submit(platform.Request{ID: id, Class: class, Deadline: l.now + 2000, Query: still{}}, still{}); err != nil {
+	if _, err := c.Submit(platform.Request{ID: id, Class: class, Deadline: l.now + 2000, Query: stub{}}, stub{}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// prober makes probes, and tells the module of none: they were others' to know.
-type prober struct{}
+// delegatingSharer makes probes, and tells the module of none: they were others' to know.
+type delegatingSharer struct{}
 
-func (prober) Delegates(string) bool                            { return true }
-func (prober) Ended(string, decide.Result, backend.Report) bool { return true }
+func (delegatingSharer) Delegates(string) bool                            { return true }
+func (delegatingSharer) Ended(string, decide.Result, backend.Report) bool { return true }
 
 // TestWaitingWritesFollowTheNewPrimary: writes wait for a connection to their primary when this pooler hears, from whomever, that it is a replica now. None goes there when
 // the connection is up; each goes to the new primary, with one try more.
 func TestWaitingWritesFollowTheNewPrimary(t *testing.T) {
-	said := func(l *hand, r decide.Role, before float64) backend.Report {
+	said := func(l *manualLoop, r decide.Role, before float64) backend.Report {
 		return backend.Report{Role: r, Position: l.now - before, HasPos: true}
 	}
-	for by, tells := range map[string]func(c *Core, l *hand, w *witness){
-		"another's probe": func(c *Core, l *hand, _ *witness) {
+	for by, tells := range map[string]func(c *Core, l *manualLoop, w *recordingObserver){
+		"another's probe": func(c *Core, l *manualLoop, _ *recordingObserver) {
 			c.HealthCheckReported("a", decide.OK, said(l, decide.RoleReplica, 10), 30)
 		},
-		"another's probe of what is avoided": func(c *Core, l *hand, w *witness) {
-			w.withholds = "a"
+		"another's probe of what is avoided": func(c *Core, l *manualLoop, w *recordingObserver) {
+			w.ejected = "a"
 			c.SetServerObserver(w)
 			c.HealthCheckReported("a", decide.OK, said(l, decide.RoleReplica, 10), 30)
 		},
-		"a look": func(c *Core, l *hand, w *witness) {
+		"a look": func(c *Core, l *manualLoop, w *recordingObserver) {
 			c.SetServerObserver(w)
 			c.CheckHealthForObserver("a")
 			c.HealthCheckEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
 		},
-		"its own probe for another": func(c *Core, l *hand, _ *witness) {
-			c.SetHealthCheckSharer(prober{})
+		"its own probe for another": func(c *Core, l *manualLoop, _ *recordingObserver) {
+			c.SetHealthCheckSharer(delegatingSharer{})
 			c.HealthCheckEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
 		},
-		"its own probe": func(c *Core, l *hand, _ *witness) { c.ServerReportsReplica("a", said(l, decide.RoleReplica, 10), true) },
-		"an answer": func(c *Core, l *hand, _ *witness) {
+		"its own probe": func(c *Core, l *manualLoop, _ *recordingObserver) {
+			c.ServerReportsReplica("a", said(l, decide.RoleReplica, 10), true)
+		},
+		"an answer": func(c *Core, l *manualLoop, _ *recordingObserver) {
 			c.ServerReportsReplica("a", backend.Report{Role: decide.RoleReplica}, false)
 		},
-		"a verdict":                         func(c *Core, l *hand, _ *witness) { c.ServerReported("a", said(l, decide.RoleReplica, 10), 20) },
-		"a verdict on another, at the send": func(c *Core, l *hand, _ *witness) { c.ServerReported("b", said(l, decide.RolePrimary, 5), 5) },
-		"another's memory, at the send": func(c *Core, l *hand, _ *witness) {
+		"a verdict": func(c *Core, l *manualLoop, _ *recordingObserver) {
+			c.ServerReported("a", said(l, decide.RoleReplica, 10), 20)
+		},
+		"a verdict on another, at the send": func(c *Core, l *manualLoop, _ *recordingObserver) {
+			c.ServerReported("b", said(l, decide.RolePrimary, 5), 5)
+		},
+		"another's memory, at the send": func(c *Core, l *manualLoop, _ *recordingObserver) {
 			known, _ := c.router.SnapshotOf("a")
 			known.Role, known.RoleAt = decide.RoleReplica, known.RoleAt+1
 			c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
 		},
 	} {
 		t.Run(by, func(t *testing.T) {
-			c, d, l, w := dialling(t)
+			c, d, l, w := newWaitingCore(t)
 			tells(c, l, w)
 			if early := !strings.HasSuffix(by, "at the send"); early != (len(d.waits) == 0) {
 				t.Errorf("%v wait still", d.waits)
 			}
 			for range 3 {
-				d.up("a")
+				d.connect("a")
 			}
-			if len(d.sent) > 0 || d.begun > 4 {
-				t.Errorf("sent to %v, %d attempts begun", d.sent, d.begun)
+			if len(d.sent) > 0 || d.started > 4 {
+				t.Errorf("sent to %v, %d attempts begun", d.sent, d.started)
 			}
 			c.HealthCheckReported("b", decide.OK, said(l, decide.RolePrimary, 1), 0)
 			for range 3 {
-				d.up("b")
+				d.connect("b")
 			}
-			if fmt.Sprint(d.sent) != "[b b]" || d.begun != 4 {
-				t.Errorf("with a new primary: sent to %v, %d attempts begun", d.sent, d.begun)
+			if fmt.Sprint(d.sent) != "[b b]" || d.started != 4 {
+				t.Errorf("with a new primary: sent to %v, %d attempts begun", d.sent, d.started)
 			}
 		})
 	}
 }
 
-// TestOldRoleReportCallsNothingOff: that a server was a replica before it led calls nothing off.
-func TestOldRoleReportCallsNothingOff(t *testing.T) {
-	c, d, l, _ := dialling(t)
+// TestOldRoleReportRecallsNothing: that a server was a replica before it led calls nothing off.
+func TestOldRoleReportRecallsNothing(t *testing.T) {
+	c, d, l, _ := newWaitingCore(t)
 	old := backend.Report{Role: decide.RoleReplica, Position: l.now - 900, HasPos: true}
 	c.HealthCheckReported("a", decide.OK, old, 30)
 	c.ServerReportsReplica("a", old, true)
-	d.up("a")
-	d.up("a")
-	if fmt.Sprint(d.sent) != "[a a]" || d.begun != 2 {
-		t.Errorf("sent to %v, %d attempts begun", d.sent, d.begun)
+	d.connect("a")
+	d.connect("a")
+	if fmt.Sprint(d.sent) != "[a a]" || d.started != 2 {
+		t.Errorf("sent to %v, %d attempts begun", d.sent, d.started)
 	}
 }
 
-// TestDrainCallsOffWhatWaits: what waits for a connection to a server that begins to drain is called off, reads too: its connection may come up after the grace.
-func TestDrainCallsOffWhatWaits(t *testing.T) {
-	c, d, l, _ := dialling(t)
-	ask(t, c, l, "3", "read")
+// TestDrainingRecallsUnwrittenAttempts: what waits for a connection to a server that begins to drain is called off, reads too: its connection may come up after the grace.
+func TestDrainingRecallsUnwrittenAttempts(t *testing.T) {
+	c, d, l, _ := newWaitingCore(t)
+	submit(t, c, l, "3", "read")
 	for i := range d.waits {
-		d.waits[i].to = "a"
+		d.waits[i].server = "a"
 	}
-	begun := d.begun
+	begun := d.started
 	c.Listed(&discovery.List{Generation: 2, Instances: []discovery.Instance{{ID: "a", HostPort: "1.2.3.4:5", Lifecycle: "draining", Weight: 1}}})
-	if d.up("a"); len(d.sent) > 0 || begun != 3 {
+	if d.connect("a"); len(d.sent) > 0 || begun != 3 {
 		t.Errorf("sent to %v; %d were begun before", d.sent, begun)
 	}
 }
 
 // TestInvariantCatchesAWriteToAReplica: who sends a write after such a word without having looked breaks the statement.
 func TestInvariantCatchesAWriteToAReplica(t *testing.T) {
-	c, d, l, _ := dialling(t)
+	c, d, l, _ := newWaitingCore(t)
 	var broken []string
 	c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
 	kept := slices.Clone(d.waits)
@@ -214,9 +220,9 @@
 	}
 }
 
-// TestInvariantCatchesAnAnswerToWhatWasNotSent: an attempt that was never let go ends. Where it ends as one that its server had, the statement breaks, and so it does where its
+// TestInvariantCatchesAnAnswerToAnUnsentAttempt: an attempt that was never let go ends. Where it ends as one that its server had, the statement breaks, and so it does where its
 // answer is passed on; where it ends as one that never was there, nothing breaks and it is counted as no send.
-func TestInvariantCatchesAnAnswerToWhatWasNotSent(t *testing.T) {
+func TestInvariantCatchesAnAnswerToAnUnsentAttempt(t *testing.T) {
 	const broke = "[core: what goes out was let go]"
 	for _, x := range []struct {
 		r    decide.Result
@@ -226,7 +232,7 @@
 		{decide.Overloaded, "[]"}, {decide.TimedOut, "[]"}, {decide.Unreachable, "[]"}, {decide.Cancelled, "[]"}, {decide.NotSent, "[]"},
 	} {
 		for _, goes := range []bool{false, true} {
-			c, d, _, _ := dialling(t)
+			c, d, _, _ := newWaitingCore(t)
 			var broken []string
 			c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
 			tag, want, tries := d.waits[0].tag, x.want, c.metrics.Attempts
@@ -243,11 +249,11 @@
 			}
 		}
 	}
-	c, d, l, _ := dialling(t)
+	c, d, l, _ := newWaitingCore(t)
 	var broken []string
 	c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
-	taker := drawnAsker{&drawn{ends: map[int]int{}}, 1}
-	if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: still{}}, taker); err != nil {
+	taker := randomClient{&randomRun{answers: map[int]int{}}, 1}
+	if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: stub{}}, taker); err != nil {
 		t.Fatal(err)
 	}
 	c.AnswerStreams(d.waits[len(d.waits)-1].tag, func() {})
@@ -256,42 +262,42 @@
 	}
 }
 
-// leaves is a client that may close its connection.
-type leaves struct {
-	still
-	gone *bool
+// closingClient is a client that may close its connection.
+type closingClient struct {
+	stub
+	closed *bool
 }
 
-func (l leaves) Disconnected() bool { return *l.gone }
+func (l closingClient) Disconnected() bool { return *l.closed }
 
-// TestAttemptIsHeldBackOnceItMayNotGo: an attempt waits for a connection until its time is up, its server drains, or its client has gone, and nobody has
+// TestAttemptIsNotWrittenOnceItMayNotBe: an attempt waits for a connection until its time is up, its server drains, or its client has gone, and nobody has
 // called it off: it does not go out then, and its request has its end.
-func TestAttemptIsHeldBackOnceItMayNotGo(t *testing.T) {
+func TestAttemptIsNotWrittenOnceItMayNotBe(t *testing.T) {
 	for name, story := range map[string]struct {
-		then func(c *Core, l *hand, gone *bool)
+		then func(c *Core, l *manualLoop, gone *bool)
 		goes bool
 	}{
-		"nothing happens":       {func(*Core, *hand, *bool) {}, true},
-		"its time is nearly up": {func(_ *Core, l *hand, _ *bool) { l.now += 1999 }, true},
-		"its time is up":        {func(_ *Core, l *hand, _ *bool) { l.now += 2000 }, false},
-		"the client closes":     {func(_ *Core, _ *hand, gone *bool) { *gone = true }, false},
-		"its server begins to drain": {func(c *Core, l *hand, _ *bool) {
+		"nothing happens":       {func(*Core, *manualLoop, *bool) {}, true},
+		"its time is nearly up": {func(_ *Core, l *manualLoop, _ *bool) { l.now += 1999 }, true},
+		"its time is up":        {func(_ *Core, l *manualLoop, _ *bool) { l.now += 2000 }, false},
+		"the client closes":     {func(_ *Core, _ *manualLoop, gone *bool) { *gone = true }, false},
+		"its server begins to drain": {func(c *Core, l *manualLoop, _ *bool) {
 			list := &decide.EndpointList{Kind: decide.ListChanges, Endpoints: []decide.Endpoint{{Server: "a", State: decide.Draining, Capacity: 1}}}
 			c.handleEvent(list) // the module knows; the connections are yet to hear it
 		}, false},
-		"its server is removed": {func(c *Core, l *hand, _ *bool) {
+		"its server is removed": {func(c *Core, l *manualLoop, _ *bool) {
 			c.handleEvent(&decide.EndpointList{Kind: decide.ListChanges, Endpoints: []decide.Endpoint{{Server: "a", State: decide.Removed, Capacity: 1}}})
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, d, l, _ := dialling(t)
+			c, d, l, _ := newWaitingCore(t)
 			gone := false
-			if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: still{}}, leaves{gone: &gone}); err != nil {
+			if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: stub{}}, closingClient{closed: &gone}); err != nil {
 				t.Fatal(err)
 			}
 			tag := d.waits[len(d.waits)-1].tag
 			d.waits = d.waits[len(d.waits)-1:]
-			server := decide.ServerID(d.waits[0].to)
+			server := decide.ServerID(d.waits[0].server)
 			if server != "a" {
 				c.requests.Each(func(_ slotmap.Ref, req *request) {
 					if req.id == "3" {
--- a/internal/core/witness_test.go
+++ b/internal/core/witness_test.go
@@ -14,90 +14,92 @@
 	"beechgrade/internal/frontend/platform"
 )
 
-// probing are servers that keep what they are asked.
-type probing struct {
-	counting
-	probes []string
-	sent   []string
+// recordingServers are servers that keep what they are asked.
+type recordingServers struct {
+	countingServers
+	healthChecks []string
+	sent         []string
 }
 
-func (p *probing) CheckHealth(id string) { p.probes = append(p.probes, id) }
-func (p *probing) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, _ backend.AttemptID) slotmap.Ref {
+func (p *recordingServers) CheckHealth(id string) { p.healthChecks = append(p.healthChecks, id) }
+func (p *recordingServers) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, _ backend.AttemptID) slotmap.Ref {
 	p.sent = append(p.sent, id)
 	return slotmap.Ref{}
 }
 
-// witness keeps what it is told.
-type witness struct {
-	told      []string
-	withholds string
-	then      func(server string) // at what is told of a server
+// recordingObserver keeps what it is told.
+type recordingObserver struct {
+	events  []string
+	ejected string
+	then    func(server string) // at what is told of a server
 }
 
-func (w *witness) Listed(list *discovery.List, _ bool) { w.note("listed", len(list.Instances)) }
-func (w *witness) Sent(server string, _ backend.AttemptID, class int) {
+func (w *recordingObserver) Listed(list *discovery.List, _ bool) {
+	w.note("listed", len(list.Instances))
+}
+func (w *recordingObserver) Sent(server string, _ backend.AttemptID, class int) {
 	w.note("sent", server, class)
 }
-func (w *witness) Ended(server string, _ backend.AttemptID, r decide.Result, _ backend.Report) {
+func (w *recordingObserver) Ended(server string, _ backend.AttemptID, r decide.Result, _ backend.Report) {
 	w.note("ended", server, r)
 	w.do(server)
 }
-func (w *witness) HealthChecked(server string, r decide.Result, _ backend.Report) {
+func (w *recordingObserver) HealthChecked(server string, r decide.Result, _ backend.Report) {
 	w.note("probed", server, r)
 	w.do(server)
 }
-func (w *witness) do(server string) {
+func (w *recordingObserver) do(server string) {
 	if w.then != nil {
 		w.then(server)
 	}
 }
-func (w *witness) Ejects(server string) bool { return server == w.withholds }
-func (w *witness) note(x ...any)             { w.told = append(w.told, fmt.Sprint(x...)) }
+func (w *recordingObserver) Ejects(server string) bool { return server == w.ejected }
+func (w *recordingObserver) note(x ...any)             { w.events = append(w.events, fmt.Sprint(x...)) }
 
-// TestWitnessSeesAndSteersServers: a witness hears what is seen; it has servers avoided and tried, and looks at one without the module's own probes being mixed
+// TestObserverReceivesEventsAndEjectsServers: a witness hears what is seen; it has servers avoided and tried, and looks at one without the module's own probes being mixed
 // up with its. What a server said counts as of then; what is of the time to come counts for nothing.
-func TestWitnessSeesAndSteersServers(t *testing.T) {
+func TestObserverReceivesEventsAndEjectsServers(t *testing.T) {
 	entry := func(id string) discovery.Instance {
 		return discovery.Instance{ID: id, HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}
 	}
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCheckHealth: true,
 		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
-	l, servers, w := &hand{now: 1e6}, &probing{}, &witness{}
+	l, servers, w := &manualLoop{now: 1e6}, &recordingServers{}, &recordingObserver{}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
 	c.SetServerObserver(w)
 	c.Start(servers, l)
 	c.Eject("a")
 	for i := range 3 {
-		if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: l.now + 2000, Query: still{}}, still{}); err != nil {
+		if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: l.now + 2000, Query: stub{}}, stub{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if fmt.Sprint(servers.sent) != "[b b b]" || fmt.Sprint(w.told) != "[listed2 listed2 sentb0 sentb0 sentb0]" {
-		t.Errorf("sent to %v; told %v", servers.sent, w.told)
+	if fmt.Sprint(servers.sent) != "[b b b]" || fmt.Sprint(w.events) != "[listed2 listed2 sentb0 sentb0 sentb0]" {
+		t.Errorf("sent to %v; told %v", servers.sent, w.events)
 	}
 	down := func(id string) bool { known, _ := c.router.SnapshotOf(decide.ServerID(id)); return known.Ejected }
-	servers.probes = nil
-	if w.withholds = "a"; !down("a") {
+	servers.healthChecks = nil
+	if w.ejected = "a"; !down("a") {
 		t.Fatal("it is not avoided")
 	}
 	if c.HealthCheckReported("a", decide.OK, backend.Report{}, 0); !down("a") {
 		t.Error("a probe's answer has it back that tells nothing")
 	}
-	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.probes) != 0 || len(l.at) == 0 {
-		t.Errorf("%v are probed for nothing, and %d wait", servers.probes, len(l.at))
+	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.healthChecks) != 0 || len(l.timers) == 0 {
+		t.Errorf("%v are probed for nothing, and %d wait", servers.healthChecks, len(l.timers))
 	}
-	w.withholds = ""
+	w.ejected = ""
 	c.CheckHealthForObserver("a")
-	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.probes) != 1 {
-		t.Errorf("%v: the module's probe goes out while a look does", servers.probes)
+	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.healthChecks) != 1 {
+		t.Errorf("%v: the module's probe goes out while a look does", servers.healthChecks)
 	}
 	c.HealthCheckEnded("a", backend.Outcome{Report: backend.Report{Role: decide.RolePrimary, Position: l.now - 30, HasPos: true}})
 	if known, _ := c.router.SnapshotOf("a"); !known.Ejected || known.Role != decide.RolePrimary || known.RoleAt != 999970*1e6 {
 		t.Errorf("a look is taken for a probe, or not told: %+v", known)
 	}
-	if len(servers.probes) != 2 {
-		t.Errorf("%v: the module's probe is forgotten", servers.probes)
+	if len(servers.healthChecks) != 2 {
+		t.Errorf("%v: the module's probe is forgotten", servers.healthChecks)
 	}
 	c.ServerReported("b", backend.Report{Position: l.now + 500, HasPos: true}, 0)
 	c.ServerReported("a", backend.Report{Position: l.now - 10, HasPos: true}, 20)
@@ -112,22 +114,22 @@
 	}
 }
 
-// TestRouterKnowsTheRoleBeforeTheWitness: a primary was avoided, and a write waits for it. What it says next, to a look, to a probe or to a request, has the witness try it:
+// TestRouterKnowsTheRoleBeforeTheObserver: a primary was avoided, and a write waits for it. What it says next, to a look, to a probe or to a request, has the witness try it:
 // the write goes there if it still leads, and not if it is a replica now.
-func TestRouterKnowsTheRoleBeforeTheWitness(t *testing.T) {
+func TestRouterKnowsTheRoleBeforeTheObserver(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"write"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCheckHealth: true,
 		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.Write}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{
 			{ID: "a", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}, {ID: "b", HostPort: "1.2.3.4:6", Lifecycle: "up", Weight: 1}}}}
 	for _, role := range []decide.Role{decide.RolePrimary, decide.RoleReplica} {
 		for _, by := range []string{"look", "probe", "request"} {
-			l, servers, w := &hand{now: 1e6}, &probing{}, &witness{}
+			l, servers, w := &manualLoop{now: 1e6}, &recordingServers{}, &recordingObserver{}
 			c := New(l, slog.New(slog.DiscardHandler), cfg)
 			c.SetServerObserver(w)
 			c.Start(servers, l)
 			c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: l.now - 200, HasPos: true}, 0)
 			ask := func(id string) slotmap.Ref {
-				ref, err := c.Submit(platform.Request{ID: id, Class: "write", Deadline: l.now + 2000, Query: still{}}, still{})
+				ref, err := c.Submit(platform.Request{ID: id, Class: "write", Deadline: l.now + 2000, Query: stub{}}, stub{})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -37,7 +37,7 @@
 
 // Core is the request table as the journal needs it.
 type Core interface {
-	Known(request slotmap.Ref) string // by what its client knows a request
+	ClientID(request slotmap.Ref) string // by what its client knows a request
 	AttemptEnded(t backend.AttemptID, o backend.Outcome)
 }
 
@@ -117,7 +117,7 @@
 	}
 	j.n++
 	h := &held{key: fmt.Sprintf("%s%013x-%08x", attemptPrefix, int64(j.began), j.n), tag: t,
-		attempt: Attempt{ID: j.core.Known(t.Request), Server: id, StartedAt: j.loop.Now(), Number: t.Number}}
+		attempt: Attempt{ID: j.core.ClientID(t.Request), Server: id, StartedAt: j.loop.Now(), Number: t.Number}}
 	j.keys[t] = h
 	entry := []store.Entry{{Key: h.key, Value: h.attempt.encode()}}
 	if j.mode == Alongside {
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -32,7 +32,7 @@
 func (r *rig) Now() float64                                { return r.now }
 func (r *rig) At(ms float64, do func()) *timers.Timer      { return r.heap.Add(ms, do) }
 func (r *rig) StopTimer(t *timers.Timer)                   { r.heap.Stop(t) }
-func (r *rig) Known(ref slotmap.Ref) string                { return fmt.Sprint("id-", ref.Index) }
+func (r *rig) ClientID(ref slotmap.Ref) string             { return fmt.Sprint("id-", ref.Index) }
 func (r *rig) note(format string, args ...any)             { r.out = append(r.out, fmt.Sprintf(format, args...)) }
 func (r *rig) SetAddress(id, addr string)                  {}
 func (r *rig) CloseIdle(id string)                         { r.note("idle %s", id) }
