--- a/cmd/beechgrade/journal.go
+++ b/cmd/beechgrade/journal.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"beechgrade/internal/backend/journaled"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/store"
@@ -24,7 +25,7 @@
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	p.noteRecovery("journal", rec)
-	p.journal = journal.New(p.loop, p.log, p.core, s, o.Mode)
+	p.journal = journaled.New(p.loop, p.log, p.core, s, o.Mode)
 	p.core.SetJournal(p.journal)
 	if n := len(journal.Pending(s)); n > 0 {
 		p.log.Warn("journal: attempts of earlier processes may have run", "attempts", n)
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -7,6 +7,7 @@
 
 	"beechgrade/internal/admin"
 	"beechgrade/internal/backend"
+	"beechgrade/internal/backend/journaled"
 	"beechgrade/internal/cluster"
 	outlieradapter "beechgrade/internal/cluster/outlier/adapter"
 	"beechgrade/internal/cluster/overload/adapter"
@@ -25,7 +26,6 @@
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
 	"beechgrade/internal/settings"
-	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/snapshots"
 )
@@ -79,7 +79,7 @@
 	zones           *zoneFailover
 
 	// Storage.
-	journal       *journal.Journal
+	journal       *journaled.Servers
 	commits       *sessiontoken.Keeper // of sessions
 	otherSessions *upgradeSessions     // those of the other process on an inherited socket
 	recovered     []recovered          // found by opening stores, until it is recorded
--- a/internal/storage/journal/journal_test.go
+++ b/internal/backend/journaled/journaled_test.go
@@ -1,4 +1,4 @@
-package journal
+package journaled
 
 import (
 	"fmt"
@@ -13,6 +13,7 @@
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
+	"beechgrade/internal/storage/journal"
 	"beechgrade/internal/storage/store"
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
@@ -22,7 +23,7 @@
 	t      *testing.T
 	disk   *faultyfs.Disk
 	store  *store.Store
-	j      *Journal
+	j      *Servers
 	heap   timers.Heap
 	now    float64
 	posted chan func()
@@ -50,7 +51,7 @@
 	return slotmap.Ref{Index: 100 + t.Request.Index, Gen: 1}
 }
 
-func newRig(t *testing.T, d *faultyfs.Disk, mode Mode) *rig {
+func newRig(t *testing.T, d *faultyfs.Disk, mode journal.Mode) *rig {
 	r := &rig{t: t, disk: d, now: 1e6, posted: make(chan func(), 100)}
 	s, _, err := store.Open(store.Options{FS: d, Post: func(f func()) { r.posted <- f }})
 	if err != nil {
@@ -82,18 +83,18 @@
 }
 
 func (r *rig) pending() (out []string) {
-	for _, a := range Pending(r.store) {
+	for _, a := range journal.Pending(r.store) {
 		out = append(out, fmt.Sprintf("%s %s %s", a.Server, a.ID, a.OutcomeText()))
 	}
 	return out
 }
 
-var _ core.Servers = (*Journal)(nil)
+var _ core.Servers = (*Servers)(nil)
 
 // TestBefore: a write goes out once its entry is durable, and not at all where it was called off, its time ended, or its server
 // drains before; a read goes out at once. What ended without a word stays, also for the next process.
 func TestBefore(t *testing.T) {
-	r := newRig(t, faultyfs.New(), BeforeSend)
+	r := newRig(t, faultyfs.New(), journal.BeforeSend)
 	r.j.Start("a", nil, 2e6, backend.SendConditions{}, tag(1))
 	r.want("start a 1 false")
 	ref := r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2))
@@ -131,9 +132,9 @@
 		t.Error(diff)
 	}
 	_ = r.store.Close()
-	next := newRig(t, r.disk, BeforeSend)
+	next := newRig(t, r.disk, journal.BeforeSend)
 	if !next.j.Ran("id-2") || !next.j.Ran("id-7") || next.j.Ran("id-6") || next.j.Ran("id-3") {
-		t.Errorf("%v", next.j.ran)
+		t.Errorf("%v", next.pending())
 	}
 	next.j.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2)) // the clock stands where it stood before, and nothing is written over
 	next.pass(1)
@@ -141,7 +142,7 @@
 		t.Errorf("%q", got)
 	}
 	done := make(chan error, 1)
-	Clear(next.store, func(err error) { done <- err })
+	journal.Clear(next.store, func(err error) { done <- err })
 	next.pass(1)
 	if err := <-done; err != nil || len(next.pending()) != 0 {
 		t.Error(err, next.pending())
@@ -151,7 +152,7 @@
 
 // TestDiskFails: what cannot be written down is not sent; alongside, it is.
 func TestDiskFails(t *testing.T) {
-	for mode, want := range map[Mode][]string{BeforeSend: {"ended 1 7"}, Alongside: {"start a 1 true"}} {
+	for mode, want := range map[journal.Mode][]string{journal.BeforeSend: {"ended 1 7"}, journal.Alongside: {"start a 1 true"}} {
 		d := faultyfs.New()
 		r := newRig(t, d, mode)
 		ops, _ := d.Ops()
@@ -167,9 +168,9 @@
 func TestClockBack(t *testing.T) {
 	d := faultyfs.New()
 	for i, now := range []float64{1e6, 5e5, 5e5, 10, 0} {
-		r := newRig(t, d, BeforeSend)
+		r := newRig(t, d, journal.BeforeSend)
 		r.now = now
-		r.j = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, r.store, BeforeSend)
+		r.j = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, r.store, journal.BeforeSend)
 		r.j.Wrap(r)
 		for k := range uint32(i) {
 			if !r.j.Ran(fmt.Sprint("id-", k+1)) {
@@ -178,7 +179,7 @@
 		}
 		r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, backend.AttemptID{Request: slotmap.Ref{Index: uint32(i + 1)}})
 		r.pass(1)
-		if n := len(Pending(r.store)); n != i+1 {
+		if n := len(journal.Pending(r.store)); n != i+1 {
 			t.Errorf("start %d at %v: %d are listed", i, now, n)
 		}
 		if err := r.store.Close(); err != nil {
--- a/internal/storage/journal/attempt.go
+++ b/internal/storage/journal/attempt.go
@@ -4,22 +4,32 @@
 	"fmt"
 	"math"
 
+	"google.golang.org/protobuf/encoding/protowire"
+
 	"beechgrade/internal/decide"
 	"beechgrade/internal/encoding"
 )
 
-// Attempt is one that may have run. It is kept as a protobuf message:
+// Attempt is one that may have run. It is stored as a protobuf message, in which no means Number and end Outcome:
 //
 //	message Attempt { string id = 1; string server = 2; double at_ms = 3; uint64 no = 4; uint64 end = 5; }
 type Attempt struct {
 	ID        string  // by which its client knows the request
-	Server    string  // as the list has it
-	StartedAt float64 // when it was to go out, Unix ms
+	Server    string  // by its id in the endpoint list
+	StartedAt float64 // when it was to be sent, Unix ms
 	Number    int     // of the request's attempts
-	Outcome   uint64  // how it ended, decide.Result and 1; 0 where no end is known
+	Outcome   uint64  // decide.Result plus 1; 0 where none is known
 }
 
-// OutcomeText is how it ended, in words.
+const (
+	fieldID        protowire.Number = 1
+	fieldServer    protowire.Number = 2
+	fieldStartedAt protowire.Number = 3
+	fieldNumber    protowire.Number = 4
+	fieldOutcome   protowire.Number = 5
+)
+
+// OutcomeText returns in words how the attempt ended.
 func (a *Attempt) OutcomeText() string {
 	switch decide.Result(a.Outcome - 1) {
 	case decide.Failed:
@@ -35,28 +45,31 @@
 }
 
 func (a *Attempt) encode() []byte {
-	b := encoding.AppendBytesField(nil, 1, a.ID)
-	b = encoding.AppendBytesField(b, 2, a.Server)
-	b = encoding.AppendFixedField(b, 3, math.Float64bits(a.StartedAt))
-	b = encoding.AppendUintField(b, 4, uint64(a.Number))
-	return encoding.AppendUintField(b, 5, a.Outcome)
+	b := encoding.AppendBytesField(nil, fieldID, a.ID)
+	b = encoding.AppendBytesField(b, fieldServer, a.Server)
+	b = encoding.AppendFixedField(b, fieldStartedAt, math.Float64bits(a.StartedAt))
+	b = encoding.AppendUintField(b, fieldNumber, uint64(a.Number))
+	return encoding.AppendUintField(b, fieldOutcome, a.Outcome)
 }
 
-func decode(b []byte) (a Attempt, err error) {
-	err = encoding.Fields(b, func(why error) error { return fmt.Errorf("journal: %w", why) }, func(f encoding.Field) error {
-		switch f.Number {
-		case 1:
-			a.ID = string(f.Bytes)
-		case 2:
-			a.Server = string(f.Bytes)
-		case 3:
-			a.StartedAt = math.Float64frombits(f.Value)
-		case 4:
-			a.Number = int(f.Value)
-		case 5:
-			a.Outcome = f.Value
+func malformed(reason error) error { return fmt.Errorf("journal: %w", reason) }
+
+func decode(b []byte) (Attempt, error) {
+	var attempt Attempt
+	err := encoding.Fields(b, malformed, func(field encoding.Field) error {
+		switch field.Number {
+		case fieldID:
+			attempt.ID = string(field.Bytes)
+		case fieldServer:
+			attempt.Server = string(field.Bytes)
+		case fieldStartedAt:
+			attempt.StartedAt = math.Float64frombits(field.Value)
+		case fieldNumber:
+			attempt.Number = int(field.Value)
+		case fieldOutcome:
+			attempt.Outcome = field.Value
 		}
 		return nil
 	})
-	return a, err
+	return attempt, err
 }
--- a/internal/testkit/simulation/disk.go
+++ b/internal/testkit/simulation/disk.go
@@ -5,9 +5,9 @@
 	"maps"
 	"slices"
 
+	"beechgrade/internal/backend/journaled"
 	"beechgrade/internal/core"
 	"beechgrade/internal/eventloop/timers"
-	"beechgrade/internal/storage/journal"
 	durable "beechgrade/internal/storage/store"
 	"beechgrade/internal/testkit/model"
 )
@@ -85,10 +85,10 @@
 	}
 }
 
-// journalLoop is journal.Loop's.
+// journalLoop is journaled.Loop's.
 type journalLoop struct{ lifeLoop }
 
-// StopTimer is journal.Loop's: what comes of a timer that was stopped finds its attempt ended.
+// StopTimer is journaled.Loop's: what comes of a timer that was stopped finds its attempt ended.
 func (journalLoop) StopTimer(*timers.Timer) {}
 
 // journaled are the pooler's servers, behind its journal where it keeps one.
@@ -96,7 +96,7 @@
 	if p.disk == nil {
 		return p
 	}
-	j := journal.New(journalLoop{lifeLoop{p, p.life}}, slog.New(slog.DiscardHandler), p.core, p.disk, p.e.script.Journal.Mode)
+	j := journaled.New(journalLoop{lifeLoop{p, p.life}}, slog.New(slog.DiscardHandler), p.core, p.disk, p.e.script.Journal.Mode)
 	p.core.SetJournal(j)
 	return j.Wrap(p)
 }
--- a/internal/testkit/simulation/journal_test.go
+++ b/internal/testkit/simulation/journal_test.go
@@ -17,7 +17,7 @@
 
 const journalFaults = `(at 4s (die primary 0) (for 3s)) (at 1s (kill-pooler 0) (for 60ms) (every 200ms))`
 
-type journaled struct {
+type journalPlay struct {
 	*Result
 	ran, unheard, missing, twice int
 	listed                       int
@@ -26,13 +26,13 @@
 }
 
 // playJournal plays writes while poolers are killed, and holds what ran against what was heard and what is listed.
-func playJournal(t *testing.T, seed uint64, seconds int, mode, faults string) *journaled {
+func playJournal(t *testing.T, seed uint64, seconds int, mode, faults string) *journalPlay {
 	t.Helper()
 	s, err := scenario.Parse("journal", []byte(fmt.Sprintf(journalScript, seconds, mode, faults)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &journaled{times: hdrhistogram.New(1, 60_000_000, 3)}
+	x := &journalPlay{times: hdrhistogram.New(1, 60_000_000, 3)}
 	ran, heard := map[string]int{}, map[string]bool{}
 	x.Result, err = Run(context.Background(), s, Options{Seed: seed, ran: func(id string) { ran[id]++ }, AttemptEnded: func(y *clients.Try) {
 		heard[y.ID] = y.Kind == clients.Served
@@ -98,7 +98,7 @@
 func TestJournalCost(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
-		var off *journaled
+		var off *journalPlay
 		for _, x := range []struct {
 			mode string
 			most float64 // ms that the median may be later
