--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -17,6 +17,8 @@
 	// minCreditRetryAfterMs is the least wait that a client is advised for lack of credit, and twice that the longest: a payment
 	// usually arrives sooner, and clients must not return together.
 	minCreditRetryAfterMs = 1000
+	// creditIndexShift is where a slot's index begins in a request's name for Credit; its generation is below.
+	creditIndexShift = 32
 )
 
 // Credit decides whether a tenant's prepaid credit admits a request. The router gets a request once it is admitted.
@@ -38,11 +40,11 @@
 }
 
 // creditTag names a request to Credit by its slot.
-func creditTag(ref slotmap.Ref) uint64 { return uint64(ref.Index)<<32 | uint64(ref.Gen) }
+func creditTag(ref slotmap.Ref) uint64 { return uint64(ref.Index)<<creditIndexShift | uint64(ref.Gen) }
 
 // creditRef returns the slot of a request by its name for Credit.
 func creditRef(tag uint64) slotmap.Ref {
-	return slotmap.Ref{Index: uint32(tag >> 32), Gen: uint32(tag)}
+	return slotmap.Ref{Index: uint32(tag >> creditIndexShift), Gen: uint32(tag)}
 }
 
 // holdCredit reserves a tenant's credit for a request, and reports whether the request may go on now. Otherwise it waits, or
--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -18,12 +18,12 @@
 	"beechgrade/internal/invariant"
 )
 
-// fakeCredit lets in as it is told to, and notes what it is told.
+// fakeCredit admits as it is set to, and records settlements.
 type fakeCredit struct {
 	decision lease.Decision
 	tag      uint64
 	settled  []string
-	onHold   func(tag uint64) // is done before Hold returns, where it is set
+	onHold   func(tag uint64) // runs before Hold returns, where it is set
 }
 
 func (p *fakeCredit) Hold(_, _, _ string, tag uint64) (lease.Reservation, lease.Decision) {
@@ -52,17 +52,18 @@
 }
 func (p *fakeCredit) Cancel(string, uint64) { p.settled = append(p.settled, "cancelled") }
 
-// recordingClient is a client that hears why.
+// recordingClient records its answers.
 type recordingClient struct {
 	stub
 	answers []string
 }
 
-func (a *recordingClient) RejectedUnfunded(bool, float64) { a.answers = append(a.answers, "broke") }
+func (a *recordingClient) RejectedUnfunded(bool, float64) { a.answers = append(a.answers, "unfunded") }
 func (a *recordingClient) Served([]byte)                  { a.answers = append(a.answers, "served") }
 func (a *recordingClient) Failed()                        { a.answers = append(a.answers, "failed") }
 
-// TestRequestIsPaidForAndSettledOnce has a request be told to the module once it is paid for, and be settled once, whatever becomes of it.
+// TestRequestIsPaidForAndSettledOnce: a request is passed to the router once it is paid for, and is settled once,
+// however it ends.
 func TestRequestIsPaidForAndSettledOnce(t *testing.T) {
 	begin := func(say lease.Decision) (*Core, *fakeCredit, *recordingClient, *countingServers, slotmap.Ref) {
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
@@ -90,17 +91,18 @@
 		heard []string
 	}{
 		{"served", lease.Admitted, func(c *Core, _ *fakeCredit, ref slotmap.Ref) { served(c, ref) }, 1, []string{"served"}, []string{"served"}},
-		{"no funds", lease.Exhausted, func(*Core, *fakeCredit, slotmap.Ref) {}, 0, nil, []string{"broke"}},
-		{"waits, is let in and served", lease.Queued, func(c *Core, p *fakeCredit, ref slotmap.Ref) {
+		{"no credit", lease.Exhausted, func(*Core, *fakeCredit, slotmap.Ref) {}, 0, nil, []string{"unfunded"}},
+		{"waits, is admitted and served", lease.Queued, func(c *Core, p *fakeCredit, ref slotmap.Ref) {
 			c.Funded(p.tag, lease.Reservation{Amount: 5})
 			served(c, ref)
 		}, 1, []string{"served"}, []string{"served"}},
-		{"waits and is turned away", lease.Queued, func(c *Core, p *fakeCredit, _ slotmap.Ref) { c.Unfunded(p.tag) }, 0, nil, []string{"broke"}},
+		{"waits and is rejected", lease.Queued, func(c *Core, p *fakeCredit, _ slotmap.Ref) { c.Unfunded(p.tag) }, 0, nil, []string{"unfunded"}},
 		{"its client goes while it waits", lease.Queued, func(c *Core, p *fakeCredit, ref slotmap.Ref) {
 			c.Abandon(ref)
 			c.Funded(p.tag, lease.Reservation{Amount: 5})
 		}, 0, []string{"cancelled", "free"}, nil},
-		{"its client goes before anything was sent", lease.Admitted, func(c *Core, _ *fakeCredit, ref slotmap.Ref) { c.Abandon(ref) }, 1, []string{"free"}, nil},
+		{"its client goes before anything was sent", lease.Admitted,
+			func(c *Core, _ *fakeCredit, ref slotmap.Ref) { c.Abandon(ref) }, 1, []string{"free"}, nil},
 		{"its client goes after", lease.Admitted, func(c *Core, _ *fakeCredit, ref slotmap.Ref) {
 			c.AttemptWritten(backend.AttemptID{Request: ref})
 			c.Abandon(ref)
@@ -117,13 +119,14 @@
 			t.Errorf("%s: settled: %s", x.name, d)
 		}
 		if d := cmp.Diff(x.heard, a.answers); d != "" {
-			t.Errorf("%s: heard: %s", x.name, d)
+			t.Errorf("%s: answers: %s", x.name, d)
 		}
 	}
 }
 
-// TestCreditMayDecideBeforeHoldReturns: what waits may be let in, or turned away, before Hold returns; and a client that is turned away may give up another
-// request of its own at that moment, as a scattered read does.
+// TestCreditMayDecideBeforeHoldReturns: a request that waits for credit may be admitted or rejected before Hold
+// returns; and a client that is rejected may abandon another request of its own at that moment, as a scattered read
+// does.
 func TestCreditMayDecideBeforeHoldReturns(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
@@ -141,11 +144,11 @@
 	}
 	p.onHold = func(tag uint64) { c.Funded(tag, lease.Reservation{Amount: 5}) }
 	if ask("1", &recordingClient{}); servers.n != 1 {
-		t.Errorf("let in at once: sent %d times", servers.n)
+		t.Errorf("admitted at once: sent %d times", servers.n)
 	}
 	p.onHold = func(tag uint64) { c.Unfunded(tag) }
 	if a := (&recordingClient{}); ask("2", a) != (slotmap.Ref{}) || len(a.answers) != 1 {
-		t.Errorf("turned away at once: heard %v", a.answers)
+		t.Errorf("rejected at once: answers %v", a.answers)
 	}
 	p.onHold = nil
 	other := ask("3", &recordingClient{})
@@ -159,11 +162,11 @@
 		left = true
 	}}
 	if c.Unfunded(tag); !left {
-		t.Error("its client did not hear of it")
+		t.Error("its client got no answer")
 	}
 }
 
-// abandoningClient is a client that gives something up as it is turned away.
+// abandoningClient abandons something as it is rejected.
 type abandoningClient struct{ leave func() }
 
 func (l abandoningClient) RejectedUnfunded(bool, float64) { l.leave() }
@@ -171,7 +174,7 @@
 func (l abandoningClient) Rejected(float64)               {}
 func (l abandoningClient) Failed()                        {}
 
-// lastTimerLoop is a loop that keeps what is hung up, and from when on.
+// lastTimerLoop records the timer that was set last.
 type lastTimerLoop struct {
 	stub
 	at float64
@@ -183,7 +186,8 @@
 	return nil
 }
 
-// TestRequestWithoutCreditIsRejectedInTime: what waits for funds is refused by its client's own time, and one whose time is past already at once.
+// TestRequestWithoutCreditIsRejectedInTime: a request that waits for credit is rejected before its client's deadline,
+// and one whose deadline is past already at once.
 func TestRequestWithoutCreditIsRejectedInTime(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8,
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}}}
@@ -200,13 +204,14 @@
 			continue
 		}
 		if loop.do(); len(a.answers) != i+1 || len(p.settled) != i+1 || c.OpenRequests() != 0 {
-			t.Errorf("heard %v, the purse %v, %d open", a.answers, p.settled, c.OpenRequests())
+			t.Errorf("answers %v, settled %v, %d open", a.answers, p.settled, c.OpenRequests())
 		}
 	}
 }
 
-// TestRequestAbandonedDuringActionsIsNotSent: a request that is given up while the router's actions are carried out, and that one of them is to send, is told to the
-// router as skipped: else it would count an attempt as out for ever.
+// TestRequestAbandonedDuringActionsIsNotSent: a request that is abandoned while the router's actions are carried out,
+// one of which is to send it, is reported to the router as not sent: otherwise the router would count an attempt as in
+// flight for ever.
 func TestRequestAbandonedDuringActionsIsNotSent(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8,
 		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}}}
@@ -223,10 +228,10 @@
 		skipped = skipped || ok && o.Result == decide.NotSent && o.Final && o.ID == requestID(ref)
 	}
 	if !skipped {
-		t.Error("the router does not hear that it was not sent")
+		t.Error("the router is not informed that it was not sent")
 	}
 	c.events, c.carryingOut = nil, false
 	if c.handleEvent(&decide.Timer{}); c.OpenRequests() != 0 {
-		t.Errorf("%d requests are kept", c.OpenRequests())
+		t.Errorf("%d requests remain", c.OpenRequests())
 	}
 }
--- a/internal/core/decisions.go
+++ b/internal/core/decisions.go
@@ -19,9 +19,9 @@
 	return decisionCounts{rejected: make([]uint64, n), failed: make([]uint64, n), retried: make([]uint64, n)}
 }
 
-// writeMetrics writes the numbers to a sheet.
-func (counts *decisionCounts) writeMetrics(sheet *exposition.Snapshot) {
-	decisions := sheet.Scope("decisions")
+// writeMetrics writes the numbers to a snapshot of the metrics.
+func (counts *decisionCounts) writeMetrics(snapshot *exposition.Snapshot) {
+	decisions := snapshot.Scope("decisions")
 	for _, reason := range decide.Reasons()[1:] { // there is none without a reason
 		of := decisions.Label("reason", reason.String())
 		of.Counter("refused", counts.rejected[reason])
@@ -31,10 +31,10 @@
 }
 
 // WriteMetrics writes the process's metrics, with those of its list.
-func (c *Core) WriteMetrics(sheet *exposition.Snapshot) {
+func (c *Core) WriteMetrics(snapshot *exposition.Snapshot) {
 	listed, avoided := c.router.CountServers()
-	c.metrics.AppendTo(sheet, listed, avoided)
-	c.decisions.writeMetrics(sheet)
+	c.metrics.AppendTo(snapshot, listed, avoided)
+	c.decisions.writeMetrics(snapshot)
 }
 
 // logDecision logs what the router decided about a request and why.
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -10,13 +10,13 @@
 	"beechgrade/internal/metrics/exposition"
 )
 
-// TestDecisionsAreLoggedAndCounted: of a request that is repeated and then given up, the log tells which it was, why, and where it had been sent; the figures
-// count both.
+// TestDecisionsAreLoggedAndCounted: of a request that is sent again and then rejected, the log has the request, the
+// reason, and where it had been sent; the metrics count both.
 func TestDecisionsAreLoggedAndCounted(t *testing.T) {
 	c, d, l, _ := newWaitingCore(t)
 	var log bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	d.skip(0)     // the connection was not to be had: it is sent again
+	d.skip(0)     // there was no connection: it is sent again
 	l.now += 3000 // beyond its deadline
 	c.handleEvent(&decide.Timer{})
 	for _, line := range []string{`msg=decision what=repeat reason=unanswered request=1 class=write attempts=1`, `msg=decision what=refuse reason=`} {
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -135,11 +135,11 @@
 		return
 	}
 	a := &req.attempts[number]
-	c.checks.That(a.allowed || c.mayServe(req, a.server), "core: what the primary alone may take goes to no other server", func() string {
+	c.checks.That(a.allowed || c.mayServe(req, a.server), "core: what only the primary may serve goes to no other server", func() string {
 		known, _ := c.router.SnapshotOf(a.server)
 		return fmt.Sprintf("%s, attempt %d, to %s: %+v", req.id, number, a.server, known)
 	})
-	c.checks.That(a.allowed, "core: what goes out was let go", func() string {
+	c.checks.That(a.allowed, "core: what is written was allowed", func() string {
 		return fmt.Sprintf("%s, attempt %d, to %s", req.id, number, a.server)
 	})
 }
--- a/internal/core/sends_test.go
+++ b/internal/core/dispatch_test.go
@@ -17,15 +17,16 @@
 	"beechgrade/internal/invariant"
 )
 
-// waitingServers are servers to which no connection is up yet: what is sent waits, in its order.
+// waitingServers are servers without open connections: attempts wait, in their order.
 type waitingServers struct {
 	countingServers
 	core    *Core
 	waits   []waitingAttempt
-	sent    []string // what has gone out, where
+	sent    []string // the servers of what was written
 	started int
 }
 
+// waitingAttempt is an attempt that waits for a connection to a server.
 type waitingAttempt struct {
 	server string
 	tag    backend.AttemptID
@@ -54,7 +55,7 @@
 	d.core.AttemptEnded(x.tag, backend.Outcome{Result: decide.NotSent})
 }
 
-// connect has a connection to a server come up, which carries what waits longest.
+// connect opens a connection to a server, which carries the attempt that has waited longest.
 func (d *waitingServers) connect(id string) {
 	for {
 		i := slices.IndexFunc(d.waits, func(x waitingAttempt) bool { return x.server == id })
@@ -73,14 +74,17 @@
 	}
 }
 
-// newWaitingCore is a core of which two writes and a read wait for a connection to a, which leads.
+// newWaitingCore returns a core of which two writes wait for a connection to a, the primary.
 func newWaitingCore(t *testing.T) (*Core, *waitingServers, *manualLoop, *recordingObserver) {
 	t.Helper()
 	entry := func(id string) discovery.Instance {
 		return discovery.Instance{ID: id, HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}
 	}
-	cfg := &config.Config{Classes: []string{"write", "read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 4, MayCheckHealth: true, MayCancel: true,
-		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.Write, Idempotency: decide.NotIdempotent}, {LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
+	cfg := &config.Config{Classes: []string{"write", "read"},
+		Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 4, MayCheckHealth: true, MayCancel: true,
+			Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1,
+				Read: decide.Write, Idempotency: decide.NotIdempotent},
+				{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
 	l, d, w := &manualLoop{now: 1e6}, &waitingServers{}, &recordingObserver{}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
@@ -91,7 +95,8 @@
 	for _, id := range []string{"1", "2"} {
 		submit(t, c, l, id, "write")
 	}
-	if fmt.Sprint(d.waits) != fmt.Sprint([]waitingAttempt{{"a", backend.AttemptID{Request: d.waits[0].tag.Request}}, {"a", backend.AttemptID{Request: d.waits[1].tag.Request}}}) {
+	if fmt.Sprint(d.waits) != fmt.Sprint([]waitingAttempt{{"a", backend.AttemptID{Request: d.waits[0].tag.Request}},
+		{"a", backend.AttemptID{Request: d.waits[1].tag.Request}}}) {
 		t.Fatalf("%v wait", d.waits)
 	}
 	return c, d, l, w
@@ -104,49 +109,50 @@
 	}
 }
 
-// delegatingSharer makes probes, and tells the module of none: they were others' to know.
+// delegatingSharer makes health checks, and passes no results to the router: they were for others.
 type delegatingSharer struct{}
 
 func (delegatingSharer) Delegates(string) bool                            { return true }
 func (delegatingSharer) Ended(string, decide.Result, backend.Report) bool { return true }
 
-// TestWaitingWritesFollowTheNewPrimary: writes wait for a connection to their primary when this pooler hears, from whomever, that it is a replica now. None goes there when
-// the connection is up; each goes to the new primary, with one try more.
+// TestWaitingWritesFollowTheNewPrimary: writes wait for a connection to their primary when this pooler learns, from any
+// source, that it is a replica now. None is written there when the connection is open; each goes to the new primary,
+// with one more attempt.
 func TestWaitingWritesFollowTheNewPrimary(t *testing.T) {
-	said := func(l *manualLoop, r decide.Role, before float64) backend.Report {
+	report := func(l *manualLoop, r decide.Role, before float64) backend.Report {
 		return backend.Report{Role: r, Position: l.now - before, HasPos: true}
 	}
-	for by, tells := range map[string]func(c *Core, l *manualLoop, w *recordingObserver){
-		"another's probe": func(c *Core, l *manualLoop, _ *recordingObserver) {
-			c.HealthCheckReported("a", decide.OK, said(l, decide.RoleReplica, 10), 30)
+	for by, reportTo := range map[string]func(c *Core, l *manualLoop, w *recordingObserver){
+		"another's health check": func(c *Core, l *manualLoop, _ *recordingObserver) {
+			c.HealthCheckReported("a", decide.OK, report(l, decide.RoleReplica, 10), 30)
 		},
-		"another's probe of what is avoided": func(c *Core, l *manualLoop, w *recordingObserver) {
+		"another's health check of an ejected server": func(c *Core, l *manualLoop, w *recordingObserver) {
 			w.ejected = "a"
 			c.SetServerObserver(w)
-			c.HealthCheckReported("a", decide.OK, said(l, decide.RoleReplica, 10), 30)
+			c.HealthCheckReported("a", decide.OK, report(l, decide.RoleReplica, 10), 30)
 		},
-		"a look": func(c *Core, l *manualLoop, w *recordingObserver) {
+		"the observer's health check": func(c *Core, l *manualLoop, w *recordingObserver) {
 			c.SetServerObserver(w)
 			c.CheckHealthForObserver("a")
-			c.HealthCheckEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
+			c.HealthCheckEnded("a", backend.Outcome{Report: report(l, decide.RoleReplica, 10)})
 		},
-		"its own probe for another": func(c *Core, l *manualLoop, _ *recordingObserver) {
+		"its own health check for another": func(c *Core, l *manualLoop, _ *recordingObserver) {
 			c.SetHealthCheckSharer(delegatingSharer{})
-			c.HealthCheckEnded("a", backend.Outcome{Report: said(l, decide.RoleReplica, 10)})
+			c.HealthCheckEnded("a", backend.Outcome{Report: report(l, decide.RoleReplica, 10)})
 		},
-		"its own probe": func(c *Core, l *manualLoop, _ *recordingObserver) {
-			c.ServerReportsReplica("a", said(l, decide.RoleReplica, 10), true)
+		"its own health check": func(c *Core, l *manualLoop, _ *recordingObserver) {
+			c.ServerReportsReplica("a", report(l, decide.RoleReplica, 10), true)
 		},
 		"an answer": func(c *Core, l *manualLoop, _ *recordingObserver) {
 			c.ServerReportsReplica("a", backend.Report{Role: decide.RoleReplica}, false)
 		},
-		"a verdict": func(c *Core, l *manualLoop, _ *recordingObserver) {
-			c.ServerReported("a", said(l, decide.RoleReplica, 10), 20)
+		"a peer's report": func(c *Core, l *manualLoop, _ *recordingObserver) {
+			c.ServerReported("a", report(l, decide.RoleReplica, 10), 20)
 		},
-		"a verdict on another, at the send": func(c *Core, l *manualLoop, _ *recordingObserver) {
-			c.ServerReported("b", said(l, decide.RolePrimary, 5), 5)
+		"a peer's report on another, at the send": func(c *Core, l *manualLoop, _ *recordingObserver) {
+			c.ServerReported("b", report(l, decide.RolePrimary, 5), 5)
 		},
-		"another's memory, at the send": func(c *Core, l *manualLoop, _ *recordingObserver) {
+		"another's snapshot, at the send": func(c *Core, l *manualLoop, _ *recordingObserver) {
 			known, _ := c.router.SnapshotOf("a")
 			known.Role, known.RoleAt = decide.RoleReplica, known.RoleAt+1
 			c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
@@ -154,28 +160,28 @@
 	} {
 		t.Run(by, func(t *testing.T) {
 			c, d, l, w := newWaitingCore(t)
-			tells(c, l, w)
+			reportTo(c, l, w)
 			if early := !strings.HasSuffix(by, "at the send"); early != (len(d.waits) == 0) {
-				t.Errorf("%v wait still", d.waits)
+				t.Errorf("%v still wait", d.waits)
 			}
 			for range 3 {
 				d.connect("a")
 			}
 			if len(d.sent) > 0 || d.started > 4 {
-				t.Errorf("sent to %v, %d attempts begun", d.sent, d.started)
+				t.Errorf("sent to %v, %d attempts started", d.sent, d.started)
 			}
-			c.HealthCheckReported("b", decide.OK, said(l, decide.RolePrimary, 1), 0)
+			c.HealthCheckReported("b", decide.OK, report(l, decide.RolePrimary, 1), 0)
 			for range 3 {
 				d.connect("b")
 			}
 			if fmt.Sprint(d.sent) != "[b b]" || d.started != 4 {
-				t.Errorf("with a new primary: sent to %v, %d attempts begun", d.sent, d.started)
+				t.Errorf("with a new primary: sent to %v, %d attempts started", d.sent, d.started)
 			}
 		})
 	}
 }
 
-// TestOldRoleReportRecallsNothing: that a server was a replica before it led calls nothing off.
+// TestOldRoleReportRecallsNothing: a report that a server was a replica before it became the primary recalls nothing.
 func TestOldRoleReportRecallsNothing(t *testing.T) {
 	c, d, l, _ := newWaitingCore(t)
 	old := backend.Report{Role: decide.RoleReplica, Position: l.now - 900, HasPos: true}
@@ -184,11 +190,12 @@
 	d.connect("a")
 	d.connect("a")
 	if fmt.Sprint(d.sent) != "[a a]" || d.started != 2 {
-		t.Errorf("sent to %v, %d attempts begun", d.sent, d.started)
+		t.Errorf("sent to %v, %d attempts started", d.sent, d.started)
 	}
 }
 
-// TestDrainingRecallsUnwrittenAttempts: what waits for a connection to a server that begins to drain is called off, reads too: its connection may come up after the grace.
+// TestDrainingRecallsUnwrittenAttempts: attempts that wait for a connection to a server that begins to drain are
+// recalled, reads too: the connection may be open only after the grace.
 func TestDrainingRecallsUnwrittenAttempts(t *testing.T) {
 	c, d, l, _ := newWaitingCore(t)
 	submit(t, c, l, "3", "read")
@@ -198,11 +205,12 @@
 	begun := d.started
 	c.Listed(&discovery.List{Generation: 2, Instances: []discovery.Instance{{ID: "a", HostPort: "1.2.3.4:5", Lifecycle: "draining", Weight: 1}}})
 	if d.connect("a"); len(d.sent) > 0 || begun != 3 {
-		t.Errorf("sent to %v; %d were begun before", d.sent, begun)
+		t.Errorf("sent to %v; %d were started before", d.sent, begun)
 	}
 }
 
-// TestInvariantCatchesAWriteToAReplica: who sends a write after such a word without having looked breaks the statement.
+// TestInvariantCatchesAWriteToAReplica: an attempt that is written after such a report without MaySend breaks the
+// statements.
 func TestInvariantCatchesAWriteToAReplica(t *testing.T) {
 	c, d, l, _ := newWaitingCore(t)
 	var broken []string
@@ -211,24 +219,25 @@
 	c.MaySend(kept[0].tag)
 	c.AttemptWritten(kept[0].tag)
 	if len(broken) > 0 {
-		t.Fatalf("%v, while it leads", broken)
+		t.Fatalf("%v, while it is the primary", broken)
 	}
 	c.ServerReported("b", backend.Report{Role: decide.RolePrimary, Position: l.now - 5, HasPos: true}, 5)
 	c.AttemptWritten(kept[1].tag)
-	if fmt.Sprint(broken) != "[core: what the primary alone may take goes to no other server core: what goes out was let go]" {
+	if fmt.Sprint(broken) != "[core: what only the primary may serve goes to no other server core: what is written was allowed]" {
 		t.Errorf("%v", broken)
 	}
 }
 
-// TestInvariantCatchesAnAnswerToAnUnsentAttempt: an attempt that was never let go ends. Where it ends as one that its server had, the statement breaks, and so it does where its
-// answer is passed on; where it ends as one that never was there, nothing breaks and it is counted as no send.
+// TestInvariantCatchesAnAnswerToAnUnsentAttempt: an attempt that MaySend did not allow ends. Where it ends as one that
+// its server received, the statement breaks, and so it does where its answer is streamed; where it ends as one that was
+// never there, nothing breaks and it does not count as sent.
 func TestInvariantCatchesAnAnswerToAnUnsentAttempt(t *testing.T) {
-	const broke = "[core: what goes out was let go]"
+	const unsentBreach = "[core: what is written was allowed]"
 	for _, x := range []struct {
 		r    decide.Result
 		want string
 	}{
-		{decide.OK, broke}, {decide.Misdirected, broke}, {decide.Failed, broke}, {decide.Reset, broke},
+		{decide.OK, unsentBreach}, {decide.Misdirected, unsentBreach}, {decide.Failed, unsentBreach}, {decide.Reset, unsentBreach},
 		{decide.Overloaded, "[]"}, {decide.TimedOut, "[]"}, {decide.Unreachable, "[]"}, {decide.Cancelled, "[]"}, {decide.NotSent, "[]"},
 	} {
 		for _, goes := range []bool{false, true} {
@@ -242,10 +251,10 @@
 			}
 			c.AttemptEnded(tag, backend.Outcome{Result: x.r})
 			if fmt.Sprint(broken) != want {
-				t.Errorf("result %d, let go %v: %v, not %s", x.r, goes, broken, want)
+				t.Errorf("result %d, allowed %v: %v, not %s", x.r, goes, broken, want)
 			}
-			if counted := c.metrics.Attempts > tries; counted != (x.want == broke) {
-				t.Errorf("result %d, let go %v: it counts as a send: %v", x.r, goes, counted)
+			if counted := c.metrics.Attempts > tries; counted != (x.want == unsentBreach) {
+				t.Errorf("result %d, allowed %v: it counts as a send: %v", x.r, goes, counted)
 			}
 		}
 	}
@@ -257,8 +266,8 @@
 		t.Fatal(err)
 	}
 	c.AnswerStreams(d.waits[len(d.waits)-1].tag, func() {})
-	if fmt.Sprint(broken) != broke {
-		t.Errorf("an answer is passed on: %v", broken)
+	if fmt.Sprint(broken) != unsentBreach {
+		t.Errorf("an answer is streamed: %v", broken)
 	}
 }
 
@@ -270,29 +279,31 @@
 
 func (l closingClient) Disconnected() bool { return *l.closed }
 
-// TestAttemptIsNotWrittenOnceItMayNotBe: an attempt waits for a connection until its time is up, its server drains, or its client has gone, and nobody has
-// called it off: it does not go out then, and its request has its end.
+// TestAttemptIsNotWrittenOnceItMayNotBe: an attempt waits for a connection until its time is up, its server drains, or
+// its client has closed, and nobody has recalled it: it is not written then, and its request ends.
 func TestAttemptIsNotWrittenOnceItMayNotBe(t *testing.T) {
-	for name, story := range map[string]struct {
-		then func(c *Core, l *manualLoop, gone *bool)
+	for name, scenario := range map[string]struct {
+		then func(c *Core, l *manualLoop, closed *bool)
 		goes bool
 	}{
 		"nothing happens":       {func(*Core, *manualLoop, *bool) {}, true},
 		"its time is nearly up": {func(_ *Core, l *manualLoop, _ *bool) { l.now += 1999 }, true},
 		"its time is up":        {func(_ *Core, l *manualLoop, _ *bool) { l.now += 2000 }, false},
-		"the client closes":     {func(_ *Core, _ *manualLoop, gone *bool) { *gone = true }, false},
+		"the client closes":     {func(_ *Core, _ *manualLoop, closed *bool) { *closed = true }, false},
 		"its server begins to drain": {func(c *Core, l *manualLoop, _ *bool) {
 			list := &decide.EndpointList{Kind: decide.ListChanges, Endpoints: []decide.Endpoint{{Server: "a", State: decide.Draining, Capacity: 1}}}
-			c.handleEvent(list) // the module knows; the connections are yet to hear it
+			c.handleEvent(list) // the router knows; the connections do not yet
 		}, false},
 		"its server is removed": {func(c *Core, l *manualLoop, _ *bool) {
-			c.handleEvent(&decide.EndpointList{Kind: decide.ListChanges, Endpoints: []decide.Endpoint{{Server: "a", State: decide.Removed, Capacity: 1}}})
+			c.handleEvent(&decide.EndpointList{Kind: decide.ListChanges,
+				Endpoints: []decide.Endpoint{{Server: "a", State: decide.Removed, Capacity: 1}}})
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, d, l, _ := newWaitingCore(t)
-			gone := false
-			if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: stub{}}, closingClient{closed: &gone}); err != nil {
+			closed := false
+			if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: stub{}},
+				closingClient{closed: &closed}); err != nil {
 				t.Fatal(err)
 			}
 			tag := d.waits[len(d.waits)-1].tag
@@ -301,13 +312,13 @@
 			if server != "a" {
 				c.requests.Each(func(_ slotmap.Ref, req *request) {
 					if req.id == "3" {
-						req.attempts[0].server = "a" // whichever it chose, the story is of this one
+						req.attempts[0].server = "a" // whichever it chose, the scenario is of this one
 					}
 				})
 			}
-			story.then(c, l, &gone)
-			if goes := c.MaySend(tag); goes != story.goes {
-				t.Errorf("it goes out: %v", goes)
+			scenario.then(c, l, &closed)
+			if goes := c.MaySend(tag); goes != scenario.goes {
+				t.Errorf("it is written: %v", goes)
 			}
 		})
 	}
--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -11,8 +11,8 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestKeysRememberTheFirstSend holds what is remembered of keys to a model: the first send of each that may have run, for as long as is promised,
-// and no more of them than is allowed.
+// TestKeysRememberTheFirstSend: the memory of keys agrees with a model: the first send of each that may have run, for
+// as long as is promised, and no more of them than is allowed.
 func TestKeysRememberTheFirstSend(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		var k recentKeys
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestKeysAreRememberedAsLongAsTheSettingsNeed: what may have run is remembered for as long as its client may wait and its servers know its key, where
-// that is longer than a minute, and not for ever.
+// TestKeysAreRememberedAsLongAsTheSettingsNeed: a request that may have run is remembered for as long as its client may
+// wait and its servers know its key, where that is longer than a minute, and not for ever.
 func TestKeysAreRememberedAsLongAsTheSettingsNeed(t *testing.T) {
 	k := recentKeys{lifetimeMs: keyLifetimeMs([]decide.Class{{Deadline: time.Second}, {Deadline: time.Minute, KeyWindow: 4 * time.Minute}})}
 	k.recordSend("key", 1, 1)
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -33,13 +33,13 @@
 	return l.Kind == kind && (kind != LimitTenantRequests || l.Tenant == tenant)
 }
 
-// Leases hold the assigned parts. They expire without notice.
+// Leases are the terms of the assigned parts. They expire without notice.
 type Leases interface {
 	Due() float64 // Due is the time of the next expiry
 	Expire()
 }
 
-// limitGate holds this pooler's parts of the fleet's limits, and measures its demand.
+// limitGate has this pooler's parts of the fleet's limits, and measures its demand.
 type limitGate struct {
 	loop   Loop
 	limits []*limit
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// rejectedClient counts how requests end.
+// rejectedClient records the waits that it is advised.
 type rejectedClient struct {
 	stub
 	waits []float64
@@ -34,7 +34,7 @@
 
 func (e *rejectedClient) Rejected(wait float64) { e.waits = append(e.waits, wait) }
 
-// fakeLeases end at a time, and are taken back by a function.
+// fakeLeases expire at a time, by a function.
 type fakeLeases struct {
 	due float64
 	end func()
@@ -43,12 +43,14 @@
 func (l *fakeLeases) Due() float64 { return l.due }
 func (l *fakeLeases) Expire()      { l.due = 1e12; l.end() }
 
-// TestLimitAllowsOnlyWhatWasAssigned: of a limit that holds for the whole fleet a pooler may use nothing until it is told, then what it is told, and a lease
-// that is over is so before a request that comes then is looked at. What is beyond is refused at once, and told when to come again.
+// TestLimitAllowsOnlyWhatWasAssigned: of a limit of the whole fleet a pooler may use nothing until a part is assigned,
+// then that part, and a lease that is over ends before the request that comes then. Requests beyond it are rejected at
+// once, with the time to wait.
 func TestLimitAllowsOnlyWhatWasAssigned(t *testing.T) {
-	cfg := &config.Config{Classes: []string{"read"}, Tenants: []string{"a", "b"}, Settings: decide.Settings{Peers: 4, Tick: time.Millisecond, MaxAttempts: 8,
-		MaxRetryAfter: 2 * time.Second, Tenants: make([]decide.Tenant, 2),
-		Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
+	cfg := &config.Config{Classes: []string{"read"}, Tenants: []string{"a", "b"},
+		Settings: decide.Settings{Peers: 4, Tick: time.Millisecond, MaxAttempts: 8,
+			MaxRetryAfter: 2 * time.Second, Tenants: make([]decide.Tenant, 2),
+			Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}}}}
 	l, servers, client, lease := &manualLoop{now: 1e6}, &countingServers{}, &rejectedClient{}, &fakeLeases{due: 1e12}
 	c := New(l, slog.New(slog.DiscardHandler), cfg)
@@ -60,21 +62,22 @@
 		before := len(client.waits)
 		for range times {
 			n++
-			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(n), Class: "read", Tenant: tenant, Deadline: l.now + 9000, Query: stub{}}, client); err != nil {
+			if _, err := c.Submit(platform.Request{ID: fmt.Sprint(n), Class: "read", Tenant: tenant, Deadline: l.now + 9000,
+				Query: stub{}}, client); err != nil {
 				t.Fatal(err)
 			}
 		}
 		return times - (len(client.waits) - before)
 	}
 	if got := ask("a", 3); got != 0 {
-		t.Errorf("%d were let in before anything was told", got)
+		t.Errorf("%d were admitted before a part was assigned", got)
 	}
 	if got := ask("b", 3); got != 3 {
 		t.Errorf("%d of another tenant", got)
 	}
 	c.Allow("x", 10, 4)
 	if got := ask("a", 3); got != 0 {
-		t.Errorf("%d were let in by a bucket that is to begin empty", got)
+		t.Errorf("%d were admitted by a bucket that begins empty", got)
 	}
 	if w := client.waits[len(client.waits)-1]; w < 99 || w > 101 { // one in 100 ms
 		t.Errorf("advice %v", w)
@@ -86,7 +89,7 @@
 	c.Allow("x", 1000, 400)
 	l.now += 5
 	if got := ask("a", 9); got != 5 {
-		t.Errorf("%d in the 5 ms after it was told of a thousand a second", got)
+		t.Errorf("%d in the 5 ms after a thousand a second were assigned", got)
 	}
 	l.now += 1000
 	lease.due, lease.end = l.now, func() { c.Allow("x", 0, 0) }
@@ -98,23 +101,24 @@
 		t.Errorf("%d of 9 without the limit", got)
 	}
 	if d, ok := c.Demand("x"); ok {
-		t.Errorf("a demand of %v of what is no limit", d)
+		t.Errorf("a demand of %v for no limit", d)
 	}
 }
 
-// TestLimitedHealthChecksWaitForTheirTurn: probes wait for their turn where they are limited, and go at once where they are no more.
+// TestLimitedHealthChecksWaitForTheirTurn: health checks wait for their turn while they are limited, and run at once
+// when the limit is lifted.
 func TestLimitedHealthChecksWaitForTheirTurn(t *testing.T) {
 	l := &manualLoop{now: 1e6}
 	c := New(l, slog.New(slog.DiscardHandler), &config.Config{})
 	c.Start(&countingServers{}, l)
 	c.SetLimits([]Limit{{Name: "p", Kind: LimitHealthChecks}}, nil)
 	done := 0
-	probe := func() { c.limits.use(LimitHealthChecks, "").run(func() { done++ }) }
+	check := func() { c.limits.use(LimitHealthChecks, "").run(func() { done++ }) }
 	for range 5 {
-		probe()
+		check()
 	}
 	if done != 0 {
-		t.Fatalf("%d before anything was told", done)
+		t.Fatalf("%d before a part was assigned", done)
 	}
 	c.Allow("p", 10, 2)
 	l.now += 100
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -101,7 +101,8 @@
 	c.forwardReport(server, &outcome)
 	c.answerClient(tag.Request, req, &outcome)
 	c.reportEnd(req, tag, &outcome, req.finished)
-	if observer := c.observation.observer; observer != nil { // it may start a trial of the server, for which the router must know the report first
+	if observer := c.observation.observer; observer != nil {
+		// It may have the server tried, for which the router must have the report.
 		observer.Ended(server, tag, outcome.Result, outcome.Report)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -96,14 +96,14 @@
 	if err != nil {
 		return slotmap.Ref{}, err
 	}
-	if c.couldRunTwice(&incoming, admitted.contract) {
+	if c.mayRunAgain(&incoming, admitted.contract) {
 		c.classMetrics[admitted.class].Count(metrics.Failed)
 		client.Failed()
 		return slotmap.Ref{}, nil
 	}
 	c.limits.use(LimitTenantRequests, incoming.Tenant)
 	c.Expire()
-	due := incoming.Deadline
+	clientDeadline := incoming.Deadline
 	if c.answersBy > 0 {
 		incoming.Deadline = min(incoming.Deadline, c.answersBy)
 	}
@@ -120,12 +120,12 @@
 		return ref, nil
 	}
 	c.countDemand(req, now, event)
-	if incoming.Deadline == due {
+	if incoming.Deadline == clientDeadline {
 		c.handleEventAt(now, event)
 		return ref, nil
 	}
 	// The process's end cuts its time short. It is given up then, but not at once because of the estimated work of its class.
-	event.Deadline = clock.ToDuration(due)
+	event.Deadline = clock.ToDuration(clientDeadline)
 	c.handleEventAt(now, event)
 	c.handleEvent(&decide.ShortenDeadline{ID: event.ID, By: clock.ToDuration(incoming.Deadline)})
 	return ref, nil
@@ -161,9 +161,9 @@
 // noTenant is the number of a tenant that the settings do not have.
 const noTenant = -1
 
-// couldRunTwice reports whether a request must not run twice and may have run before: in an earlier process, or by an earlier
+// mayRunAgain reports whether a request must not run twice and may have run before: in an earlier process, or by an earlier
 // request of its id whose client is gone.
-func (c *Core) couldRunTwice(incoming *platform.Request, contract *decide.Class) bool {
+func (c *Core) mayRunAgain(incoming *platform.Request, contract *decide.Class) bool {
 	if contract.Idempotency == decide.Idempotent {
 		return false
 	}
@@ -291,7 +291,7 @@
 func (c *Core) abandon(ref slotmap.Ref, req *request) {
 	c.finish(req, metrics.ClientGone)
 	c.recorder.answer(req, recordpb.Final_FINAL_GONE, 0)
-	if c.carryingOut { // a client that hears of one request may give up another, for which the router's actions are yet to be carried out
+	if c.carryingOut { // a client may abandon another request at an answer, while actions on it are yet to be carried out
 		c.abandoned = append(c.abandoned, ref)
 	} else {
 		c.releaseIfDone(ref, req)
--- a/internal/core/requesttable.go
+++ b/internal/core/requesttable.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/eventloop/slotmap"
 )
 
-// requestTable holds the requests that are open or have attempts in flight, and remembers for some minutes which ones may have
+// requestTable has the requests that are open or have attempts in flight, and remembers for some minutes which ones may have
 // run.
 type requestTable struct {
 	slotmap.Table[*request]
@@ -47,7 +47,8 @@
 // rememberIfRun remembers the id of a request that may have run, where it must not run twice and its client did not get its
 // server's answer.
 func (table *requestTable) rememberIfRun(req *request, now float64) {
-	if req.once && req.key == "" && !req.answerDelivered && req.mayHaveRun() {
+	clientMayRetry := req.once && !req.answerDelivered
+	if clientMayRetry && req.key == "" && req.mayHaveRun() {
 		table.sentOnce.recordSend(req.id, now, now)
 	}
 }
@@ -58,14 +59,17 @@
 	return known
 }
 
-// requestIDBytes is the length of a request's name for the router.
-const requestIDBytes = 8
+// A request's name for the router is its slot's index, then its slot's generation.
+const (
+	refIndexBytes  = 4
+	requestIDBytes = 8
+)
 
 // requestID names a request to the router by its slot, as the ids of different clients may be equal.
 func requestID(ref slotmap.Ref) decide.RequestID {
 	var id [requestIDBytes]byte
-	binary.BigEndian.PutUint32(id[:4], ref.Index)
-	binary.BigEndian.PutUint32(id[4:], ref.Gen)
+	binary.BigEndian.PutUint32(id[:refIndexBytes], ref.Index)
+	binary.BigEndian.PutUint32(id[refIndexBytes:], ref.Gen)
 	return decide.RequestID(id[:])
 }
 
@@ -75,5 +79,5 @@
 		return slotmap.Ref{}
 	}
 	b := []byte(id)
-	return slotmap.Ref{Index: binary.BigEndian.Uint32(b[:4]), Gen: binary.BigEndian.Uint32(b[4:])}
+	return slotmap.Ref{Index: binary.BigEndian.Uint32(b[:refIndexBytes]), Gen: binary.BigEndian.Uint32(b[refIndexBytes:])}
 }
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -60,7 +60,7 @@
 type delayedAnswer struct{ answer []byte }
 
 // delayAnswer has a write's commit stored, and reports whether the answer waits for that, until its client's deadline at most.
-// A write whose commit is not stored by then is answered as failed: a session that has not heard of its write need not see it.
+// A write whose commit is not stored by then is answered as failed: a session without an answer to its write need not see it.
 func (c *Core) delayAnswer(ref slotmap.Ref, req *request, outcome *backend.Outcome) bool {
 	if req.wroteSession == "" {
 		return false
--- a/internal/core/peers_test.go
+++ b/internal/core/slowstart_test.go
@@ -15,6 +15,7 @@
 	"beechgrade/internal/frontend/platform"
 )
 
+// stub is a loop, directory, client and query that do nothing.
 type stub struct{}
 
 func (stub) Now() float64                       { return 1e6 }
@@ -26,7 +27,7 @@
 func (stub) Failed()                            {}
 func (stub) AppendQuery(b []byte, _ int) []byte { return b }
 
-// manualClock is a loop whose clock is set by hand.
+// manualClock is a loop whose clock tests set.
 type manualClock struct {
 	stub
 	now float64
@@ -34,7 +35,7 @@
 
 func (m *manualClock) Now() float64 { return m.now }
 
-// countingServers are servers that count what they are asked.
+// countingServers count the attempts that they get.
 type countingServers struct{ n int }
 
 func (*countingServers) SetAddress(string, string)                   {}
@@ -49,14 +50,15 @@
 	return slotmap.Ref{}
 }
 
-// TestPeersShareTheSlowStartBudget: what a cold server may get is shared out among as many poolers as may be sending, where that is told, and as the
-// settings say where it is not any more.
+// TestPeersShareTheSlowStartBudget: the slow-start budget is divided by the number of poolers that may be sending,
+// where that is known, and by the settings' number where it is not any more.
 func TestPeersShareTheSlowStartBudget(t *testing.T) {
 	sent := func(siblings ...int) int {
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 			SlowStartMultiple: 3, SlowStartSpan: 1500 * time.Millisecond, SlowStartFrom: 0.5, SlowStartTime: 18 * time.Second,
 			Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
-			InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5", Lifecycle: "up", StartedAtMs: 998000, Weight: 1}}}}
+			InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5",
+				Lifecycle: "up", StartedAtMs: 998000, Weight: 1}}}}
 		loop := &manualClock{now: 1e6 - 1500} // a process that has just started sends a cold server nothing in the first span
 		c, servers := New(loop, slog.New(slog.DiscardHandler), cfg), &countingServers{}
 		c.Start(servers, stub{})
