--- a/internal/frontend/pooling/records.go
+++ b/internal/frontend/pooling/records.go
@@ -34,11 +34,11 @@
 }
 
 // recordHand records how a wait for a server connection ended. It comes before the settings are sent ahead.
-func (c *client) recordHand(how uint8, l *link, waited float64, other bool) {
+func (c *client) recordHand(assignment record.Assignment, l *link, waited float64, other bool) {
 	if !c.f.rec.Enabled() {
 		return
 	}
-	e := record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_HAND, Pool: c.pool.name, Session: c.session, Assignment: how, DurationMs: waited, FromOtherClient: other,
+	e := record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_HAND, Pool: c.pool.name, Session: c.session, Assignment: assignment, DurationMs: waited, FromOtherClient: other,
 		Group: int64(c.pool.opt.Group)}
 	if l != nil {
 		e.Server, e.ServerChanged, e.SettingsRestored = l.store, c.last != "" && c.last != l.store, c.carry.Sync(l.server) != ""
--- a/internal/record/files.go
+++ b/internal/record/files.go
@@ -11,17 +11,17 @@
 	"strings"
 )
 
-// Files is where segments are kept.
+// Files stores segments.
 type Files interface {
 	Create(name string) (io.WriteCloser, error)
 	Remove(name string) error
 	List() (map[string]int64, error) // names and sizes in bytes
 }
 
-// Dir keeps segments in a folder, which it makes.
+// Dir stores segments in the folder of that path.
 type Dir string
 
-// Create is Files'.
+// Create creates a segment, and the folder where it does not exist.
 func (d Dir) Create(name string) (io.WriteCloser, error) {
 	if err := os.MkdirAll(string(d), 0o750); err != nil {
 		return nil, err
@@ -29,10 +29,10 @@
 	return os.OpenFile(filepath.Join(string(d), name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o640)
 }
 
-// Remove is Files'.
+// Remove removes a segment.
 func (d Dir) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// List is Files'.
+// List returns the names and sizes of the folder's files, none where it does not exist.
 func (d Dir) List() (map[string]int64, error) {
 	entries, err := os.ReadDir(string(d))
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -11,23 +11,26 @@
 // A segment is Magic, then frames: the payload's length (4 bytes, little-endian), its type, a CRC-32C over length,
 // type and payload (4 bytes), the payload. The first frame is the Header.
 const (
-	Magic          = "BGREC01\n"
-	frameHeadBytes = 9
-	// MaxFrame bounds a frame's payload in bytes, packed or not.
+	Magic = "BGREC01\n"
+	// MaxFrame bounds a frame's payload in bytes, compressed or not.
 	MaxFrame = 4 << 20
+
+	frameTypeOffset     = 4
+	frameChecksumOffset = 5
+	frameHeadBytes      = 9
 )
 
 // Types of frames.
 const (
 	FrameHeader = 'H'
 	FrameBatch  = 'B'
-	FrameZstd   = 'Z' // a Batch, packed with zstd
-	FrameEnd    = 'E' // the segment was closed in order; behind it comes nothing
+	FrameZstd   = 'Z' // a Batch, compressed with zstd
+	FrameEnd    = 'E' // the segment was closed in order; nothing follows
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Faults of a segment.
+// Errors of a segment.
 var (
 	ErrTorn    = errors.New("ends in the midst of a frame")
 	ErrCorrupt = errors.New("is damaged")
@@ -38,11 +41,11 @@
 	return append(dst, 0, 0, 0, 0, typ, 0, 0, 0, 0)
 }
 
-func endFrame(dst []byte, at int) []byte {
-	h := dst[at : at+frameHeadBytes]
-	payload := dst[at+frameHeadBytes:]
-	binary.LittleEndian.PutUint32(h, uint32(len(payload)))
-	binary.LittleEndian.PutUint32(h[5:], checksum(h[:5], payload))
+func endFrame(dst []byte, start int) []byte {
+	head := dst[start : start+frameHeadBytes]
+	payload := dst[start+frameHeadBytes:]
+	binary.LittleEndian.PutUint32(head, uint32(len(payload)))
+	binary.LittleEndian.PutUint32(head[frameChecksumOffset:], checksum(head[:frameChecksumOffset], payload))
 	return dst
 }
 
@@ -75,11 +78,11 @@
 	return f, nil
 }
 
-// Offset is the offset behind the last whole frame.
+// Offset is the offset of the end of the last complete frame.
 func (f *Frames) Offset() int64 { return f.offset }
 
-// Next returns the next frame; the payload is valid until the call after. At the file's end the error is io.EOF, in
-// the midst of a frame it wraps ErrTorn, where the bytes are not as they were written ErrCorrupt.
+// Next returns the next frame. The payload is valid until the next call. The error is io.EOF at the end of the file, wraps ErrTorn
+// inside a frame, and ErrCorrupt where the bytes are not those that were written.
 func (f *Frames) Next() (typ byte, payload []byte, err error) {
 	b, err := f.read(frameHeadBytes)
 	switch {
@@ -103,11 +106,11 @@
 	case err != nil:
 		return 0, nil, err
 	}
-	if checksum(head[:5], payload) != binary.LittleEndian.Uint32(head[5:]) {
+	if checksum(head[:frameChecksumOffset], payload) != binary.LittleEndian.Uint32(head[frameChecksumOffset:]) {
 		return 0, nil, fmt.Errorf("%w: checksum of a frame", ErrCorrupt)
 	}
 	f.offset += frameHeadBytes + int64(n)
-	return head[4], payload, nil
+	return head[frameTypeOffset], payload, nil
 }
 
 func (f *Frames) read(n int) ([]byte, error) {
@@ -122,5 +125,5 @@
 	return b, err
 }
 
-// ResumeFrames goes on in a segment behind a whole frame.
+// ResumeFrames reads a segment on from the end of a frame.
 func ResumeFrames(r io.Reader, at int64) *Frames { return &Frames{reader: r, offset: at} }
--- a/internal/record/segment.go
+++ b/internal/record/segment.go
@@ -7,35 +7,55 @@
 	"strings"
 	"time"
 
-	"beechgrade/internal/record/recordpb"
 	"github.com/klauspost/compress/zstd"
 	"google.golang.org/protobuf/proto"
+
+	"beechgrade/internal/record/recordpb"
 )
 
-// write appends the batch as a frame.
-func (w *writer) write() error {
+// Settings of the compressor, for little memory.
+const (
+	compressionLevel  = 1
+	compressionWindow = 1 << 17 // bytes
+)
+
+// writeBatch appends the batch to the segment as a frame.
+func (w *writer) writeBatch() error {
 	w.batch.Number = w.batches + 1
 	var err error
 	if w.payload, err = (proto.MarshalOptions{}).MarshalAppend(w.payload[:0], &w.batch); err != nil {
 		return fmt.Errorf("encode: %w", err)
 	}
-	w.out = beginFrame(w.out[:0], FrameBatch)
-	if w.options.Compress {
-		if w.compressor == nil {
-			if w.compressor, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.EncoderLevel(compressionLevel)), zstd.WithEncoderConcurrency(1),
-				zstd.WithWindowSize(1<<17), zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false)); err != nil {
-				return fmt.Errorf("zstd: %w", err)
-			}
-		}
-		w.out[4] = FrameZstd
-		w.out = w.compressor.EncodeAll(w.payload, w.out)
-	} else {
-		w.out = append(w.out, w.payload...)
+	if err := w.frameBatch(); err != nil {
+		return err
 	}
-	if err = w.writeBytes(endFrame(w.out, 0)); err == nil {
-		w.batches++
+	if err := w.writeBytes(endFrame(w.out, 0)); err != nil {
+		return err
 	}
-	return err
+	w.batches++
+	return nil
+}
+
+// frameBatch begins a frame with the payload, compressed where that is set.
+func (w *writer) frameBatch() error {
+	if !w.options.Compress {
+		w.out = append(beginFrame(w.out[:0], FrameBatch), w.payload...)
+		return nil
+	}
+	if w.compressor == nil {
+		compressor, err := zstd.NewWriter(nil,
+			zstd.WithEncoderLevel(zstd.EncoderLevel(compressionLevel)),
+			zstd.WithEncoderConcurrency(1),
+			zstd.WithWindowSize(compressionWindow),
+			zstd.WithLowerEncoderMem(true),
+			zstd.WithEncoderCRC(false))
+		if err != nil {
+			return fmt.Errorf("zstd: %w", err)
+		}
+		w.compressor = compressor
+	}
+	w.out = w.compressor.EncodeAll(w.payload, beginFrame(w.out[:0], FrameZstd))
+	return nil
 }
 
 func (w *writer) writeBytes(b []byte) error {
@@ -47,7 +67,7 @@
 	return err
 }
 
-// ensureSegment has a segment open, unless the last failure was just now.
+// ensureSegment has a segment open, unless it is too early to retry after a failure. It reports whether there is one.
 func (w *writer) ensureSegment(at float64) bool {
 	if w.file != nil {
 		return true
@@ -59,81 +79,100 @@
 		w.failSegment(err)
 		return false
 	}
-	w.retryMs, w.failureLogged = 0, false
+	w.retryMs = 0
+	w.failureLogged = false
 	return true
 }
 
+// open opens a segment, and writes its header and the endpoint list, so that it can be read without those before it.
 func (w *writer) open(at float64) error {
 	if err := w.prune(); err != nil {
 		return err
 	}
 	w.segment++
 	w.name = SegmentName(w.options.Pooler, w.options.RunStartMs, w.segment)
-	f, err := w.options.Files.Create(w.name)
+	file, err := w.options.Files.Create(w.name)
 	if err != nil {
 		return err
 	}
-	w.file, w.size, w.nameNumbers = f, 0, map[string]uint32{}
-	head, err := proto.Marshal(&recordpb.Header{Pooler: w.options.Pooler, Program: w.options.Program, RunUs: microseconds(w.options.RunStartMs),
-		Segment: w.segment, OpenedUs: microseconds(at), Schema: Schema, Classes: w.options.Classes, LostBefore: w.lost,
-		ColdFrom: w.options.WarmupStartShare, ColdUs: unsignedMicroseconds(w.options.WarmupMs), GraceUs: unsignedMicroseconds(w.options.DrainGraceMs)})
-	if err != nil {
+	w.file, w.size = file, 0
+	w.nameNumbers = map[string]uint32{}
+	if err := w.writeHeader(at); err != nil {
 		return err
 	}
-	b := append([]byte(Magic), endFrame(append(beginFrame(nil, FrameHeader), head...), 0)...)
-	if err := w.writeBytes(b); err != nil || len(w.listed) == 0 {
+	return w.writeList(at)
+}
+
+func (w *writer) writeHeader(at float64) error {
+	header, err := proto.Marshal(&recordpb.Header{
+		Pooler:     w.options.Pooler,
+		Program:    w.options.Program,
+		RunUs:      microseconds(w.options.RunStartMs),
+		Segment:    w.segment,
+		OpenedUs:   microseconds(at),
+		Schema:     Schema,
+		Classes:    w.options.Classes,
+		LostBefore: w.lost,
+		ColdFrom:   w.options.WarmupStartShare,
+		ColdUs:     unsignedMicroseconds(w.options.WarmupMs),
+		GraceUs:    unsignedMicroseconds(w.options.DrainGraceMs),
+	})
+	if err != nil {
 		return err
 	}
-	// The list as it stands: a segment must be readable with those before it gone.
-	w.batch.Reset()
-	w.batch.Events, w.batch.Names = w.batch.Events[:0], nil
-	w.previousUs = microseconds(at)
-	w.batch.BaseUs = w.previousUs
+	frame := endFrame(append(beginFrame(nil, FrameHeader), header...), 0)
+	return w.writeBytes(append([]byte(Magic), frame...))
+}
+
+// writeList writes the entries of the endpoint list, as restated.
+func (w *writer) writeList(at float64) error {
+	w.startBatch(at)
 	for _, id := range sortedKeys(w.listed) {
-		e := w.listed[id]
-		e.At, e.Restated = at, true
-		w.encode(&e)
+		entry := w.listed[id]
+		entry.At = at
+		entry.Restated = true
+		w.encode(&entry)
 		if len(w.batch.Events) == batchEvents {
-			if err := w.write(); err != nil {
+			if err := w.writeBatch(); err != nil {
 				return err
 			}
-			w.batch.Events, w.batch.Names = w.batch.Events[:0], nil
-			w.previousUs = microseconds(at)
+			w.startBatch(at)
 		}
 	}
 	if len(w.batch.Events) == 0 {
 		return nil
 	}
-	return w.write()
+	return w.writeBatch()
 }
 
-// prune removes the oldest segments until another has room.
+// prune removes the oldest segments of this pooler until another has room.
 func (w *writer) prune() error {
-	all, err := w.options.Files.List()
+	sizes, err := w.options.Files.List()
 	if err != nil {
 		return err
 	}
-	mine, total := []string{}, w.options.SegmentBytes
-	for name, size := range all {
+	var segments []string
+	total := w.options.SegmentBytes
+	for name, size := range sizes {
 		if strings.HasPrefix(name, namePrefix(w.options.Pooler)) && strings.HasSuffix(name, Suffix) {
-			mine = append(mine, name)
+			segments = append(segments, name)
 			total += size
 		}
 	}
-	slices.Sort(mine)
-	for _, name := range mine {
+	slices.Sort(segments)
+	for _, name := range segments {
 		if total <= w.options.TotalBytes {
 			break
 		}
 		if err := w.options.Files.Remove(name); err != nil {
 			return err
 		}
-		total -= all[name]
+		total -= sizes[name]
 	}
 	return nil
 }
 
-// close ends the segment, in order unless writing failed.
+// close closes the segment, with a frame that says so unless writing failed.
 func (w *writer) close(ordered bool) {
 	if w.file == nil {
 		return
@@ -149,7 +188,7 @@
 	w.file = nil
 }
 
-// failSegment gives the segment and the batch up; what it held is counted.
+// failSegment gives up the segment and the batch after a failure, and counts the events of the batch as lost.
 func (w *writer) failSegment(err error) {
 	if !w.failureLogged {
 		w.failureLogged = true
@@ -157,17 +196,18 @@
 	}
 	w.close(false)
 	at := w.batch.BaseUs
-	for i, x := range w.batch.Events {
-		at += x.AfterUs
+	for i, event := range w.batch.Events {
+		at += event.AfterUs
 		switch {
-		case x.Lost != nil && i == 0 && x.Lost.Events == w.pendingLost.Lost && x.Lost.Cause == CauseWrite:
-			w.lost -= x.Lost.Events // it is still to be told
-		case x.Lost != nil:
-			w.lost -= x.Lost.Events
-			w.countLost(float64(x.Lost.FromUs)/1000, x.Lost.Events)
-			w.countLost(float64(x.Lost.ToUs)/1000, 0)
-		case x.Entry == nil || !x.Entry.Held:
-			w.countLost(float64(at)/1000, 1)
+		case event.Lost != nil:
+			w.lost -= event.Lost.Events
+			isPending := i == 0 && event.Lost.Events == w.pendingLost.Lost && LossCause(event.Lost.Cause) == CauseWrite
+			if !isPending { // what is pending is counted already
+				w.countLost(milliseconds(event.Lost.FromUs), event.Lost.Events)
+				w.countLost(milliseconds(event.Lost.ToUs), 0)
+			}
+		case event.Entry == nil || !event.Entry.Held:
+			w.countLost(milliseconds(at), 1)
 		}
 	}
 	w.batch.Events = w.batch.Events[:0]
@@ -175,24 +215,29 @@
 	w.retryAt = time.Now().Add(time.Duration(w.retryMs * float64(time.Millisecond)))
 }
 
-// discardQueued counts all that waits as lost.
+func milliseconds(us int64) float64 { return float64(us) / usPerMs }
+
+// discardQueued counts all events that wait as lost.
 func (w *writer) discardQueued() {
-	for e := w.recorder.ring.next(); e != nil; e = w.recorder.ring.next() {
-		w.trackList(e)
-		if e.Kind == recordpb.Kind_KIND_LOST {
-			w.countLost(e.LostFrom, e.Lost)
+	queue := &w.recorder.ring
+	for event := queue.next(); event != nil; event = queue.next() {
+		w.trackList(event)
+		if event.Kind == recordpb.Kind_KIND_LOST {
+			w.countLost(event.LostFrom, event.Lost)
 		} else {
-			w.countLost(e.At, 1)
+			w.countLost(event.At, 1)
 		}
-		w.recorder.ring.drop()
+		queue.drop()
 	}
 }
 
+// countLost counts events as lost by a failure.
 func (w *writer) countLost(at float64, events uint64) {
-	l := &w.pendingLost
-	if l.Lost == 0 {
-		*l = Event{Kind: recordpb.Kind_KIND_LOST, LostFrom: at, LostTo: at, LossCause: CauseWrite}
+	lost := &w.pendingLost
+	if lost.Lost == 0 {
+		*lost = Event{Kind: recordpb.Kind_KIND_LOST, LostFrom: at, LostTo: at, LossCause: CauseWrite}
 	}
-	l.Lost += events
-	l.LostFrom, l.LostTo = min(l.LostFrom, at), max(l.LostTo, at)
+	lost.Lost += events
+	lost.LostFrom = min(lost.LostFrom, at)
+	lost.LostTo = max(lost.LostTo, at)
 }
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -7,101 +7,108 @@
 	"slices"
 	"time"
 
-	"beechgrade/internal/record/recordpb"
 	"github.com/klauspost/compress/zstd"
+
+	"beechgrade/internal/record/recordpb"
 )
 
-// Schema is the number of the form that this program writes.
+// Schema is the number of the schema that this program writes.
 const Schema = 1
 
 // Suffix ends the names of segments.
 const Suffix = ".bgr"
 
 const (
-	batchEvents      = 1024
-	compressionLevel = 1
-	minRetryMs       = 100  // between tries at writing while it fails, doubled...
-	maxRetryMs       = 5000 // ...up to this
-	closeTimeout     = 2 * time.Second
+	batchEvents  = 1024
+	minRetryMs   = 100 // between attempts to write while writing fails; doubled up to maxRetryMs
+	maxRetryMs   = 5000
+	closeTimeout = 2 * time.Second
+	usPerMs      = 1000
 )
 
-// Options say what is recorded where.
+// Options configure recording.
 type Options struct {
 	Pooler           string
 	Program          string
 	RunStartMs       float64 // when the process started, Unix ms
 	Classes          []*recordpb.Class
-	WarmupStartShare float64 // part of its capacity that a server starts with
-	WarmupMs         float64 // from its start until it is warm
-	DrainGraceMs     float64 // for sends, from hearing that a server drains
+	WarmupStartShare float64 // share of its capacity that a server starts with
+	WarmupMs         float64 // from a server's start until its full capacity
+	DrainGraceMs     float64 // for which requests may be sent to a server that is reported as draining
 	Files            Files
-	SegmentBytes     int64 // a segment is closed when it has this many
-	TotalBytes       int64 // of all segments of this pooler; the oldest go first
-	QueueLength      int   // that wait for the writer at most
+	SegmentBytes     int64 // at which a segment is closed
+	TotalBytes       int64 // of all segments of this pooler; the oldest are removed
+	QueueLength      int   // events that wait for the writer at most
 	FlushIntervalMs  float64
 	Compress         bool // with zstd
 	Log              *slog.Logger
 }
 
-// writer runs on a goroutine of its own; what is here belongs to it.
+// writer writes segments, on a goroutine of its own.
 type writer struct {
 	options  Options
 	recorder *Recorder
 	stop     chan struct{}
 	done     chan struct{}
 
-	file        io.WriteCloser
+	file        io.WriteCloser // nil while no segment is open
 	name        string
-	size        int64
+	size        int64 // of the segment
 	segment     uint32
 	batches     uint64
-	lost        uint64
-	nameNumbers map[string]uint32
-	listed      map[string]Event // the list, by server
+	lost        uint64            // events, recorded as lost so far
+	nameNumbers map[string]uint32 // in this segment
+	listed      map[string]Event  // the endpoint list, by server
 	compressor  *zstd.Encoder
 
 	batch      recordpb.Batch
-	events     []*recordpb.Event
+	events     []*recordpb.Event // reused by batches
 	payload    []byte
 	out        []byte
-	previousUs int64 // µs of the event before
-	baseUs     int64
+	previousUs int64 // time of the event before
 
-	pendingLost   Event // what writing failed for, not yet told
+	pendingLost   Event // events lost by failures, not written yet
 	retryAt       time.Time
 	retryMs       float64
-	failureLogged bool // of the failure, in the log
+	failureLogged bool
+}
+
+func newWriter(options Options) *writer {
+	recorder := &Recorder{ring: newRing(options.QueueLength), wake: make(chan struct{}, 1)}
+	return &writer{
+		options:  options,
+		recorder: recorder,
+		stop:     make(chan struct{}),
+		done:     make(chan struct{}),
+		listed:   map[string]Event{},
+	}
 }
 
-// Start begins recording. stop ends it once all that was put is written, or after 2 s.
-func Start(opt Options) (rec *Recorder, stop func()) {
-	rec = &Recorder{ring: newRing(opt.QueueLength), wake: make(chan struct{}, 1)}
-	w := &writer{options: opt, recorder: rec, stop: make(chan struct{}), done: make(chan struct{}), listed: map[string]Event{}}
+// Start starts recording. stop ends it once all events are written, or after 2 s.
+func Start(options Options) (recorder *Recorder, stop func()) {
+	w := newWriter(options)
 	go w.run()
-	return rec, func() {
+	return w.recorder, func() {
 		close(w.stop)
 		select {
 		case <-w.done:
 		case <-time.After(closeTimeout):
-			opt.Log.Error("records: the last events were not written in time")
+			options.Log.Error("records: the last events were not written in time")
 		}
 	}
 }
 
-// Write records what f puts, without a goroutine: for tools and tests.
-func Write(opt Options, f func(put func(*Event))) {
-	rec := &Recorder{ring: newRing(opt.QueueLength), wake: make(chan struct{}, 1)}
-	w := &writer{options: opt, recorder: rec, listed: map[string]Event{}}
-	f(func(e *Event) {
-		rec.Put(e)
-		for len(rec.wake) > 0 {
-			<-rec.wake
-			for w.flush() {
-			}
+// Write records the events that produce puts, without a goroutine: for tools and tests.
+func Write(options Options, produce func(put func(*Event))) {
+	w := newWriter(options)
+	produce(func(event *Event) {
+		w.recorder.Put(event)
+		for len(w.recorder.wake) > 0 {
+			<-w.recorder.wake
+			w.flushAll()
 		}
 	})
-	for w.flush() {
-	}
+	w.flushAll()
 	w.close(true)
 }
 
@@ -117,8 +124,7 @@
 		case <-w.stop:
 			stopping = true
 		}
-		for w.flush() {
-		}
+		w.flushAll()
 		if stopping {
 			w.close(true)
 			return
@@ -126,49 +132,61 @@
 	}
 }
 
-// flush writes a batch of what waits, and tells whether more may wait.
+// flushAll writes all events that wait.
+func (w *writer) flushAll() {
+	for w.flush() {
+	}
+}
+
+// flush writes a batch of the events that wait, and reports whether more wait.
 func (w *writer) flush() bool {
-	e := w.recorder.ring.next()
-	if e == nil {
+	queue := &w.recorder.ring
+	event := queue.next()
+	if event == nil {
 		return false
 	}
-	if !w.ensureSegment(e.At) {
+	if !w.ensureSegment(event.At) {
 		w.discardQueued()
-		return w.recorder.ring.next() != nil
+		return queue.next() != nil
 	}
-	w.batch.Reset()
-	w.batch.Events, w.batch.Names = w.batch.Events[:0], nil
-	w.baseUs = microseconds(e.At)
-	w.previousUs = w.baseUs
-	w.batch.BaseUs = w.baseUs
+	w.startBatch(event.At)
 	if w.pendingLost.Lost > 0 {
-		w.pendingLost.At = e.At
+		w.pendingLost.At = event.At
 		w.encode(&w.pendingLost)
 	}
-	for ; e != nil && len(w.batch.Events) < batchEvents; e = w.recorder.ring.next() {
-		w.trackList(e)
-		w.encode(e)
-		w.recorder.ring.drop()
+	for ; event != nil && len(w.batch.Events) < batchEvents; event = queue.next() {
+		w.trackList(event)
+		w.encode(event)
+		queue.drop()
 	}
-	if err := w.write(); err != nil {
+	if err := w.writeBatch(); err != nil {
 		w.failSegment(err)
-		return w.recorder.ring.next() != nil
+		return queue.next() != nil
 	}
-	w.pendingLost, w.batch.Events = Event{}, w.batch.Events[:0]
+	w.pendingLost = Event{}
+	w.batch.Events = w.batch.Events[:0]
 	if w.size >= w.options.SegmentBytes {
 		w.close(true)
 	}
-	return w.recorder.ring.next() != nil
+	return queue.next() != nil
+}
+
+// startBatch empties the batch. Times in it count from at.
+func (w *writer) startBatch(at float64) {
+	w.batch.Reset()
+	w.batch.Events, w.batch.Names = w.batch.Events[:0], nil
+	w.previousUs = microseconds(at)
+	w.batch.BaseUs = w.previousUs
 }
 
-func microseconds(ms float64) int64 { return int64(math.Round(ms * 1000)) }
+func microseconds(ms float64) int64 { return int64(math.Round(ms * usPerMs)) }
 
 func unsignedMicroseconds(ms float64) uint64 { return uint64(max(0, microseconds(ms))) }
 
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
+func sortedKeys[V any](values map[string]V) []string {
+	keys := make([]string, 0, len(values))
+	for key := range values {
+		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	return keys
--- a/internal/testkit/records/stream.go
+++ b/internal/testkit/records/stream.go
@@ -237,7 +237,7 @@
 		}
 	}
 	if h := x.Hand; h != nil {
-		e.Assignment, e.FromOtherClient, e.ServerChanged, e.SettingsRestored = uint8(h.How), h.Other, h.Moved, h.Carried
+		e.Assignment, e.FromOtherClient, e.ServerChanged, e.SettingsRestored = record.Assignment(h.How), h.Other, h.Moved, h.Carried
 	}
 	if h := x.Held; h != nil {
 		e.PoolState = record.PoolState{Clients: int32(h.Clients), Idle: int32(h.Idle), Used: int32(h.Used), Connecting: int32(h.Connecting),
@@ -254,7 +254,7 @@
 		e.WallClockMs = ms(g.WallUs)
 	}
 	if l := x.Lost; l != nil {
-		e.Lost, e.LostFrom, e.LostTo, e.LossCause = l.Events, ms(l.FromUs), ms(l.ToUs), uint8(l.Cause)
+		e.Lost, e.LostFrom, e.LostTo, e.LossCause = l.Events, ms(l.FromUs), ms(l.ToUs), record.LossCause(l.Cause)
 	}
 	if r := x.Recovered; r != nil {
 		e.Recovery = &record.StoreRecovery{Store: r.Store, Records: int64(r.Records), Segments: int64(r.Segments), Dropped: int64(r.Dropped)}
