--- a/internal/backend/journaled/journaled_test.go
+++ b/internal/backend/journaled/journaled_test.go
@@ -91,9 +91,9 @@
 
 var _ core.Servers = (*Servers)(nil)
 
-// TestBefore: a write goes out once its entry is durable, and not at all where it was called off, its time ended, or its server
-// drains before; a read goes out at once. What ended without a word stays, also for the next process.
-func TestBefore(t *testing.T) {
+// TestAttemptIsSentOnceItIsDurable checks that a write is sent once the journal has it, and not at all where it was cancelled, its time ended,
+// or its server drains before; a read is sent at once. Attempts without a known outcome stay, also for the next process.
+func TestAttemptIsSentOnceItIsDurable(t *testing.T) {
 	r := newRig(t, faultyfs.New(), journal.BeforeSend)
 	r.j.Start("a", nil, 2e6, backend.SendConditions{}, tag(1))
 	r.want("start a 1 false")
@@ -150,8 +150,8 @@
 	_ = next.store.Close()
 }
 
-// TestDiskFails: what cannot be written down is not sent; alongside, it is.
-func TestDiskFails(t *testing.T) {
+// TestAttemptIsNotSentIfTheDiskFails checks that in mode BeforeSend an attempt that cannot be recorded is not sent; in mode Alongside it is.
+func TestAttemptIsNotSentIfTheDiskFails(t *testing.T) {
 	for mode, want := range map[journal.Mode][]string{journal.BeforeSend: {"ended 1 7"}, journal.Alongside: {"start a 1 true"}} {
 		d := faultyfs.New()
 		r := newRig(t, d, mode)
@@ -164,8 +164,9 @@
 	}
 }
 
-// TestClockBack: each start's clock stands further back than the one before: no entry is written over, each is listed, and each id is refused.
-func TestClockBack(t *testing.T) {
+// TestClockSetBackOverwritesNoAttempt sets the clock further back at each start: no attempt is overwritten, each is pending, and each id may
+// have run.
+func TestClockSetBackOverwritesNoAttempt(t *testing.T) {
 	d := faultyfs.New()
 	for i, now := range []float64{1e6, 5e5, 5e5, 10, 0} {
 		r := newRig(t, d, journal.BeforeSend)
--- a/internal/cluster/credit/bytes_test.go
+++ b/internal/cluster/credit/bytes_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/cluster/credit/message"
 )
 
-// TestBytes: a message's bytes are what poolers of other versions read.
-func TestBytes(t *testing.T) {
+// TestMessageBytesStay checks that the bytes of a message stay as poolers of other versions read and write them.
+func TestMessageBytesStay(t *testing.T) {
 	k := ledger.Key{Tenant: "t", Overdraft: 300, Holder: 3, Generation: 4}
 	m := &Message{Holder: 1, Reply: true, Leader: "l", PaymentDigest: 6, Payments: []lessor.Payment{{Tenant: "p", Number: 2, Amount: 3}},
 		Requests:  []message.Request{{Key: k, Sequence: 5, Spent: 6, Returned: 7, Requested: 8, Queued: 9, SpendRate: 10, Final: true, Recovered: true, MarksRead: true}, {Key: k}},
--- a/internal/cluster/credit/codec_test.go
+++ b/internal/cluster/credit/codec_test.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/cluster/credit/message"
 )
 
-// FuzzRead: whatever comes is read or turned down; what is read says the same when it is sent on.
+// FuzzRead decodes any bytes: they are a message or an error, and what was decoded stays the same when it is encoded again.
 func FuzzRead(f *testing.F) {
 	k := ledger.Key{Tenant: "t", Overdraft: 5, Holder: 1 << 63, Generation: 7}
 	f.Add((&Message{Holder: 9, Requests: []message.Request{{Key: k, Sequence: 1, Spent: 2, Returned: 3, Requested: 4, Queued: 5, SpendRate: 6, Final: true, Recovered: true, MarksRead: true}}}).Append(nil))
--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestUsedBeforeRefusal measures how much of the funds is used before anybody is refused.
-func TestUsedBeforeRefusal(t *testing.T) {
+// TestNearlyAllFundsAreUsedBeforeARejection measures how much of the funds is used before any request is rejected, which must be 98 percent.
+func TestNearlyAllFundsAreUsedBeforeARejection(t *testing.T) {
 	t.Parallel()
 	for _, poolers := range []int{8, 100, 300} {
 		for name, weight := range map[string]func(int) float64{"even": even, "skewed": skewed} {
@@ -273,8 +273,8 @@
 	}
 }
 
-// TestTenRequests has 300 poolers want the funds for ten.
-func TestTenRequests(t *testing.T) {
+// TestFundsForTenRequestsServeTen has 300 poolers that all need funds, which suffice for ten requests: ten are served.
+func TestFundsForTenRequestsServeTen(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 300, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: 10}))
 	f.run(2000)
@@ -286,8 +286,8 @@
 	}
 }
 
-// TestPaymentOpens measures how long after one pooler has read of a payment all that are asked let the tenant in again.
-func TestPaymentOpens(t *testing.T) {
+// TestPaymentReadByOnePoolerOpensAll measures how long after one pooler has read a payment all poolers with demand admit the tenant again.
+func TestPaymentReadByOnePoolerOpensAll(t *testing.T) {
 	t.Parallel()
 	for _, poolers := range []int{8, 100, 300} {
 		f := newFleet(t, poolers, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: 500}))
@@ -342,9 +342,9 @@
 }
 func (d *disk) Erase(h ledger.Holder) { delete(d.kept, h) }
 
-// TestFilesFound has processes crash with what they hold, and others find their files: nothing stays stranded, and what was in flight alone is
-// charged without having been done, beside what the marks were ahead.
-func TestFilesFound(t *testing.T) {
+// TestFilesOfCrashedPoolersReleaseTheirFunds crashes processes that hold funds, and lets others find their files: nothing stays stranded, and
+// charged without having been served is only what was in flight and the distance of the high-water marks.
+func TestFilesOfCrashedPoolersReleaseTheirFunds(t *testing.T) {
 	t.Parallel()
 	kept := map[ledger.Holder][]lease.HighWaterMark{}
 	f := newFleet(t, 8, func(s *Settings) {
@@ -380,8 +380,9 @@
 	}
 }
 
-// TestManyTenants has 10,000 tenants that paid, a hundred of which ask: books and words grow with those that ask, not with those that paid.
-func TestManyTenants(t *testing.T) {
+// TestLoadGrowsWithActiveTenantsOnly has 10,000 tenants that paid, a hundred of which send requests: accounts and messages grow with those
+// that send.
+func TestLoadGrowsWithActiveTenantsOnly(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 30, func(s *Settings) {
 		s.Lease.PrepaidTenants, s.Lease.Checks = nil, nil
@@ -410,9 +411,9 @@
 	}
 }
 
-// TestOverspent draws fleets in which words are lost, the ways part, leaders change and poolers crash and stand still: never is more charged than
-// was paid.
-func TestOverspent(t *testing.T) {
+// TestNeverChargedMoreThanPaid draws fleets with lost messages, partitions, changes of leader, crashes and suspended poolers: never is more
+// charged than was paid.
+func TestNeverChargedMoreThanPaid(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -437,9 +438,9 @@
 	}
 }
 
-// TestLastOfFundsIsUsed: with funds for ten requests and more than that asked for, at poolers in any order, all ten are served. Seen: loans of parts of
-// what was left had scattered the last price over poolers, each with less than one price. All of them refused, and asked for more without anything
-// that waited, for which nobody is called; so the state lasted as long as clients kept asking.
+// TestLastOfFundsIsUsed checks that with funds for ten requests, and demand for more at poolers in any order, all ten are served. Grants of
+// shares had scattered the last price over the poolers, each with less than one price: all rejected, and requested more without a queue, for
+// which nothing is recalled, as long as clients kept sending.
 func TestLastOfFundsIsUsed(t *testing.T) {
 	const price, funds, poolers = 10, 100, 8
 	for seed := range uint64(200) {
--- a/internal/cluster/credit/lease/manager_test.go
+++ b/internal/cluster/credit/lease/manager_test.go
@@ -31,8 +31,8 @@
 	return 0, 0
 }
 
-// TestWaitsOnce has a tenant's first request wait for one answer, and the next for nobody.
-func TestWaitsOnce(t *testing.T) {
+// TestOnlyTheFirstRequestWaitsForTheLeader checks that a tenant's first request waits for one response, and the next for none.
+func TestOnlyTheFirstRequestWaitsForTheLeader(t *testing.T) {
 	p := New(settings(t), 7, 0)
 	if _, v := p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 11}); v != Queued {
 		t.Fatal(v)
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestPastItsEnd has a process that was stopped wake past its account's end and spend nothing of it, by whatever comes first.
-func TestPastItsEnd(t *testing.T) {
+// TestSuspendedProcessSpendsNothingExpired suspends a process past its account's expiry: it spends nothing of it, whatever event comes first.
+func TestSuspendedProcessSpendsNothingExpired(t *testing.T) {
 	for _, late := range []float64{999, 10001} {
 		p := New(settings(t), 7, 0)
 		p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
@@ -67,8 +67,9 @@
 	}
 }
 
-// TestChargedOnce holds prices at the admission and takes what it came to at the end, by the price as it was.
-func TestChargedOnce(t *testing.T) {
+// TestChargeIsByThePriceAtAdmission checks that a price is reserved at admission, that the charge is by that price and never more, and that a
+// second Settle charges nothing.
+func TestChargeIsByThePriceAtAdmission(t *testing.T) {
 	set := settings(t)
 	p := New(set, 7, 0)
 	p.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 1, Session: 1, Parts: 1, Tag: 1})
@@ -100,8 +101,9 @@
 	}
 }
 
-// TestLeastFirst slows a tenant that runs low: its most worth goes on, its least does not, and a session meets the same verdict.
-func TestLeastFirst(t *testing.T) {
+// TestThrottlingSparesThePriorityClasses checks that of a tenant whose funds run low the class with the highest priority weight goes on and
+// the lowest is throttled, and that an overdraft class is not.
+func TestThrottlingSparesThePriorityClasses(t *testing.T) {
 	set := settings(t)
 	set.ThrottleBelow, set.Classes[1] = 0.5, Class{Price: Price{PerRequest: 10}, PriorityWeight: 1}
 	p := New(set, 7, 0)
@@ -126,8 +128,8 @@
 	}
 }
 
-// TestOverdraft has only its own class go on beyond the funds, by what it holds for that.
-func TestOverdraft(t *testing.T) {
+// TestOverdraftIsForItsClassOnly checks that only the class with an overdraft goes on beyond the tenant's funds.
+func TestOverdraftIsForItsClassOnly(t *testing.T) {
 	p := New(settings(t), 7, 0)
 	p.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 1})
 	for _, a := range p.Handle(1000, Tick{}, nil) {
@@ -145,8 +147,9 @@
 	}
 }
 
-// TestMarks has nothing be spent that is not written, and a process's files be read only after the ends of its accounts.
-func TestMarks(t *testing.T) {
+// TestNothingIsSpentBeyondADurableMark checks that nothing is spent before its mark is durable, and that the marks of another process are read
+// only after its accounts have expired.
+func TestNothingIsSpentBeyondADurableMark(t *testing.T) {
 	set := settings(t)
 	set.PersistMarks = true
 	p := New(set, 7, 0)
@@ -175,8 +178,8 @@
 	}
 }
 
-// TestInvariantsSeen has each statement about a purse be found broken.
-func TestInvariantsSeen(t *testing.T) {
+// TestBrokenInvariantsAreReported breaks the state for each invariant of a manager.
+func TestBrokenInvariantsAreReported(t *testing.T) {
 	seen := map[string]bool{}
 	set := settings(t)
 	set.PersistMarks, set.Checks = true, invariant.New(func(b invariant.Breach) { seen[b.Name] = true })
@@ -190,8 +193,8 @@
 	}
 }
 
-// BenchmarkHold is what credit costs a request.
-func BenchmarkHold(b *testing.B) {
+// BenchmarkReserve measures what credit costs a request.
+func BenchmarkReserve(b *testing.B) {
 	s := Defaults()
 	s.PrepaidTenants, s.Classes = []string{"t"}, []Class{{Price: Price{PerRequest: 1}, PriorityWeight: 1}}
 	p := New(s, 7, 0)
--- a/internal/cluster/credit/ledger/bytes_test.go
+++ b/internal/cluster/credit/ledger/bytes_test.go
@@ -11,8 +11,8 @@
 		expired: true, granted: 13, paid: 14, balance: -15, lent: 16, stranded: 17, availableAtPayment: 18, appliedPayments: []byte{1, 2}}
 }
 
-// TestBytes: an entry's and a snapshot's bytes are what poolers of other versions read.
-func TestBytes(t *testing.T) {
+// TestEntryAndSnapshotBytesStay checks that the bytes of entries and snapshots stay as voters of other versions read and write them.
+func TestEntryAndSnapshotBytesStay(t *testing.T) {
 	l := New()
 	l.Apply(1, Encode([]Op{{Kind: Payment, Key: Key{Tenant: "t"}, Number: 1, Amount: 100}}))
 	l.Apply(2, Encode([]Op{{Kind: Grant, Key: Key{Tenant: "t", Overdraft: 3, Holder: 1, Generation: 1}, Sequence: 1, Amount: 5}, {Kind: Fence, Key: Key{Holder: 9, Generation: 2}}}))
--- a/internal/cluster/credit/ledger/ledger_test.go
+++ b/internal/cluster/credit/ledger/ledger_test.go
@@ -10,8 +10,8 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestOnceInAnyOrder has payments read in any order, as often as anybody reads them.
-func TestOnceInAnyOrder(t *testing.T) {
+// TestPaymentsCountOnceInAnyOrder applies payments in any order and as often as drawn: each counts once.
+func TestPaymentsCountOnceInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		l, sum, seen := New(), int64(0), map[uint64]bool{}
 		l.Checks = invariant.Test(r)
@@ -30,8 +30,9 @@
 	})
 }
 
-// TestBooksHold applies drawn entries, some of them twice and out of order, and has a copy by snapshot go the same way.
-func TestBooksHold(t *testing.T) {
+// TestInvariantsHoldForDrawnEntries applies drawn entries, some of them twice and out of order; a second ledger that is restored from
+// snapshots now and then stays equal.
+func TestInvariantsHoldForDrawnEntries(t *testing.T) {
 	tenants := []string{"a", "b"}
 	rapid.Check(t, func(r *rapid.T) {
 		l, other := New(), New()
@@ -76,9 +77,9 @@
 	})
 }
 
-// TestRestoreInDebt: a tenant within its depth has spent more than it paid, and a payment leaves less than nothing. A voter that takes the
-// ledger from a snapshot has the same.
-func TestRestoreInDebt(t *testing.T) {
+// TestSnapshotKeepsATenantInDebt checks a tenant that has spent more than it paid, within its overdraft, so that less than nothing is
+// available after a payment: a ledger that is restored from a snapshot has the same.
+func TestSnapshotKeepsATenantInDebt(t *testing.T) {
 	l, other := New(), New()
 	key := Key{Tenant: "a", Overdraft: 20, Holder: 1, Generation: 1}
 	for i, op := range []Op{
@@ -100,8 +101,8 @@
 	}
 }
 
-// TestInvariantSeen has what is always so be found broken.
-func TestInvariantSeen(t *testing.T) {
+// TestBrokenInvariantsAreReported breaks the state for each invariant of the ledger.
+func TestBrokenInvariantsAreReported(t *testing.T) {
 	var seen []string
 	l := New()
 	l.Checks = invariant.New(func(b invariant.Breach) { seen = append(seen, b.Name) })
@@ -116,8 +117,9 @@
 	}
 }
 
-// TestLate has a loan that comes after its account's last word open nothing.
-func TestLate(t *testing.T) {
+// TestLateGrantOpensNothing checks that a grant that comes after its account's final report opens nothing, and that of two grants or expiries
+// the older changes nothing.
+func TestLateGrantOpensNothing(t *testing.T) {
 	l := New()
 	k := Key{Tenant: "t", Holder: 7, Generation: 1}
 	do := func(op Op) Result {
--- a/internal/cluster/raftlog/invariants_test.go
+++ b/internal/cluster/raftlog/invariants_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestInvariants: each is seen to fail, told what cannot be.
-func TestInvariants(t *testing.T) {
+// TestBrokenInvariantsAreReported breaks the state for each invariant of the log.
+func TestBrokenInvariantsAreReported(t *testing.T) {
 	all := []Member{{"a", 1}, {"b", 2}, {"c", 3}}
 	set := Defaults()
 	set.Voters, set.Self, set.Checks = []string{"a", "b", "c"}, "a", invariant.New(nil)
--- a/internal/cluster/raftlog/log_test.go
+++ b/internal/cluster/raftlog/log_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestParts: what is too large for a datagram arrives whole, and nothing of it where a part is missing, comes twice or is another's.
-func TestParts(t *testing.T) {
+// TestSnapshotArrivesInChunksOrNotAtAll checks that what is too large for a datagram arrives complete, and nothing of it where a chunk is
+// missing, repeated or of another transfer.
+func TestSnapshotArrivesInChunksOrNotAtAll(t *testing.T) {
 	set := Defaults()
 	set.Voters = []string{"a", "b", "c"}
 	set.Self = "a"
@@ -56,8 +57,9 @@
 	}
 }
 
-// TestForward: who does not vote goes by hints to who leads, tries the next where nothing is heard, and tells what is lost.
-func TestForward(t *testing.T) {
+// TestProposalsFollowHintsToTheLeader checks that a pooler that does not vote follows the voters' hints, tries the next voter where none
+// answers, and reports what is dropped.
+func TestProposalsFollowHintsToTheLeader(t *testing.T) {
 	set := Defaults()
 	set.Voters, set.Self, set.MaxForwards = []string{"a", "b", "c"}, "x", 2
 	l := New(set, 0)
@@ -104,8 +106,9 @@
 	}
 }
 
-// TestForm: what is written is read; other bytes are errors or something, never a panic, here and in a voter.
-func TestForm(t *testing.T) {
+// TestCorruptMessagesAreHarmless checks that a message that was encoded is decoded, and that corrupt bytes are an error or a message, never a
+// panic, also in a voter.
+func TestCorruptMessagesAreHarmless(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &message{kind: messageKind(rapid.IntRange(1, 6).Draw(t, "verb")), group: rapid.Uint64().Draw(t, "group"), from: rapid.Uint64().Draw(t, "from"), name: "n",
 			ref: rapid.Uint64().Draw(t, "ref"), flag: rapid.Bool().Draw(t, "flag"), members: []Member{{"a", rapid.Uint64().Draw(t, "disk")}}, data: []byte("d")}
@@ -127,8 +130,9 @@
 	})
 }
 
-// TestDisk: another's disk, one that lacks something and one that cannot be read take the vote, with one line.
-func TestDisk(t *testing.T) {
+// TestVoterStopsOnAForeignOrIncompleteDisk checks that a disk of another voter, or one that lacks something, ends the voter's part with one
+// reason.
+func TestVoterStopsOnAForeignOrIncompleteDisk(t *testing.T) {
 	all := []Member{{"a", 1}, {"b", 2}, {"c", 3}}
 	set := Defaults()
 	set.Voters, set.Self = []string{"a", "b", "c"}, "a"
@@ -149,9 +153,9 @@
 	}
 }
 
-// TestFollowerBehindAChangeAnswersItsLeader: a follower that has not applied the change by which its leader's new disk became a voter must answer it all the
-// same, or it never learns of the change. Seen: the leader's messages came, the answers went to a name that the follower's table did not have, so nowhere; the
-// leader took it for silent, and as it had a leader it asked nobody either: it stayed behind for good.
+// TestFollowerBehindAChangeAnswersItsLeader checks that a follower that has not applied the change by which its leader's new disk became a
+// voter answers it all the same: otherwise it never learns of the change. Its answers had gone to a name that was not among its members, so
+// nowhere; the leader took it for unresponsive, and as it had a leader it asked nobody either.
 func TestFollowerBehindAChangeAnswersItsLeader(t *testing.T) {
 	all := []Member{{"a", 1}, {"b", 2}, {"c", 3}}
 	fresh := Member{"b", 99} // b lost its disk and was admitted with a new one
--- a/internal/encoding/encoding_test.go
+++ b/internal/encoding/encoding_test.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// TestFields: each field comes once, in order; what is cut comes as far as it is whole, with a fault unless it was cut between two.
-func TestFields(t *testing.T) {
+// TestFieldsComeOnceInOrder checks that each field is visited once, in order; of a message that was cut those that are complete, with an error
+// unless the cut is between two.
+func TestFieldsComeOnceInOrder(t *testing.T) {
 	b, want := whole()
 	got, err := all(b)
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
@@ -66,8 +67,8 @@
 	}
 }
 
-// TestFieldsEnd: an error of who takes is handed on as it is, and nothing is taken after it.
-func TestFieldsEnd(t *testing.T) {
+// TestFieldsReturnsTheVisitorsError checks that a visitor's error is returned as it is, and that nothing is visited after it.
+func TestFieldsReturnsTheVisitorsError(t *testing.T) {
 	b, _ := whole()
 	own, n := errors.New("too many"), 0
 	err := Fields(b, func(error) error { return errTest }, func(Field) error {
@@ -81,8 +82,8 @@
 	}
 }
 
-// TestHostile: what is no message is a fault, whatever lengths it names.
-func TestHostile(t *testing.T) {
+// TestHostileBytesAreMalformed checks that bytes that are no message are malformed, whatever lengths they name.
+func TestHostileBytesAreMalformed(t *testing.T) {
 	for name, b := range map[string][]byte{
 		"a number of 0":              {0x00, 1},
 		"a number above all":         {0x80, 0x80, 0x80, 0x80, 0x80, 0x01, 1},
@@ -104,8 +105,8 @@
 	}
 }
 
-// TestAppend: a field is left out where it is zero, and else as Put writes it.
-func TestAppend(t *testing.T) {
+// TestZeroFieldsAreLeftOut checks that the functions for non-zero values leave out a zero, and else append what the others do.
+func TestZeroFieldsAreLeftOut(t *testing.T) {
 	if b := AppendNonEmptyBytes(AppendNonEmptyBytes(AppendNonZeroFixed(AppendNonZeroUint(nil, 1, 0), 2, 0), 3, ""), 4, []byte(nil)); len(b) > 0 {
 		t.Errorf("%x of nothing", b)
 	}
@@ -135,8 +136,8 @@
 	{"Take", func(r *Reader) uint64 { return uint64(len(r.Take(3))) }, 3, []byte{0, 0, 0}},
 }
 
-// TestReader: numbers come in their order; where the bytes end within one it is 0, and the Reader is spoilt for good.
-func TestReader(t *testing.T) {
+// TestReaderFailsAtTheEnd checks that numbers come in their order; one that is cut is 0, and the Reader has failed for good.
+func TestReaderFailsAtTheEnd(t *testing.T) {
 	var b []byte
 	for _, x := range numbers {
 		b = append(b, x.from...)
@@ -168,8 +169,9 @@
 	}
 }
 
-// TestReaderBounds: what is above its bound is 0 and spoils; so do a varint of too many bytes, and a length that is none.
-func TestReaderBounds(t *testing.T) {
+// TestReaderFailsBeyondABound checks that a value above its bound is 0 and makes the Reader fail; so do a varint of too many bytes, and a
+// negative length.
+func TestReaderFailsBeyondABound(t *testing.T) {
 	for name, c := range map[string]struct {
 		b    []byte
 		read func(r *Reader) int
@@ -187,15 +189,15 @@
 	}
 }
 
-// TestReaderOwn: who appends to what was taken doesn't write into what is still to be read.
-func TestReaderOwn(t *testing.T) {
+// TestAppendToTakenBytesLeavesTheRest checks that appending to bytes that were taken does not overwrite what is still to be read.
+func TestAppendToTakenBytesLeavesTheRest(t *testing.T) {
 	r := NewReader([]byte{1, 2, 3})
 	if _ = append(r.Take(1), 9); r.Byte() != 2 {
 		t.Error("what follows was written over")
 	}
 }
 
-// FuzzFields: of whatever bytes, what is read is within them, and the same when it is written again.
+// FuzzFields reads any bytes: what is read is within them, and the same when it is written again.
 func FuzzFields(f *testing.F) {
 	b, _ := whole()
 	f.Add(b)
@@ -231,7 +233,7 @@
 	})
 }
 
-// FuzzReader: whatever is asked of whatever bytes, no more is taken than there is, and what is spoilt stays so.
+// FuzzReader reads anything of any bytes: no more is taken than there is, and a Reader that has failed stays so.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte{0xfe, 1, 2, 1, 2, 3, 4}, []byte{0, 1, 2, 3})
 	f.Add(bytes.Repeat([]byte{0xff}, 30), []byte{4, 5, 6, 7})
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -20,8 +20,8 @@
 			Servers: []decide.ServerSnapshot{{ID: "s-1", Role: decide.RolePrimary, RoleAt: 3 * time.Second, Position: time.Second}}}}
 }
 
-// TestWholeOrNot: a file that is cut short anywhere, or has any byte changed, is as good as none.
-func TestWholeOrNot(t *testing.T) {
+// TestDamagedStateIsNotRead checks that a file that is cut anywhere, or has any byte changed, is as good as none.
+func TestDamagedStateIsNotRead(t *testing.T) {
 	b, err := Encode(nil, state(5))
 	if err != nil {
 		t.Fatal(err)
@@ -62,9 +62,9 @@
 // pass has time pass on both clocks.
 func (m *testMachine) pass(ms float64) { m.wall, m.monotonic = m.wall+ms, m.monotonic+ms }
 
-// TestFolder: a process hears the others, the newest first, and not itself; what is old is not heard, what is broken does not keep
-// the rest from being heard, and what is long dead is removed.
-func TestFolder(t *testing.T) {
+// TestOthersAreReadNewestFirst checks that a process reads the others' states, the newest first, and not its own; old ones are left out,
+// unreadable ones do not keep the rest from being read, and abandoned ones are removed.
+func TestOthersAreReadNewestFirst(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
 	in := func() *Directory { return OpenDirectoryOn(machine.clocks(), dir) }
 	me, a, b, old := in(), in(), in(), in()
@@ -116,7 +116,7 @@
 	}
 }
 
-// FuzzParse: whatever a file holds, it is a whole state or none.
+// FuzzParse decodes any bytes: they are a complete state or an error.
 func FuzzParse(f *testing.F) {
 	b, _ := Encode(nil, state(5))
 	f.Add(b)
@@ -129,9 +129,9 @@
 	})
 }
 
-// TestSteppedWallClock: a wall clock that steps, at any time and by any amount, hides no live process, removes no file of one, and does not
-// have one live on that has ended.
-func TestSteppedWallClock(t *testing.T) {
+// TestWallClockStepsHideNoProcess steps the wall clock at any time and by any amount: no live process is hidden, no file of one is removed,
+// and none that has ended counts as live.
+func TestWallClockStepsHideNoProcess(t *testing.T) {
 	for _, step := range []float64{-3600e3, -3e3, 3e3, 3600e3} {
 		dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
 		writer, reader := OpenDirectoryOn(machine.clocks(), dir), OpenDirectoryOn(machine.clocks(), dir)
@@ -154,8 +154,8 @@
 	}
 }
 
-// TestOlderVersion: a process of a version that tells only its wall time is heard by that.
-func TestOlderVersion(t *testing.T) {
+// TestStateOfAnOlderVersionIsAgedByWallTime checks that the state of a version that writes only its wall time is read by that.
+func TestStateOfAnOlderVersionIsAgedByWallTime(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
 	for at, heard := range map[float64]int{1e12 - 100: 1, 1e12 - LiveMs - 1: 0, 1e12 + LiveMs + 1: 0} {
 		text, err := Encode(nil, state(at))
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestAnotherBoot: what was told before the machine was started anew is not heard.
-func TestAnotherBoot(t *testing.T) {
+// TestStateOfAnotherBootIsNotRead checks that a state from before the machine's last start is not read.
+func TestStateOfAnotherBootIsNotRead(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
 	if err := OpenDirectoryOn(machine.clocks(), dir).Write(machine.saved()); err != nil {
 		t.Fatal(err)
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestLife: whatever happens in whatever order, an end is an end, a drain holds until it is taken back, and what follows from a
-// state never contradicts itself.
-func TestLife(t *testing.T) {
+// TestDrawnEventsLeadToConsistentStates draws events in any order: an end is final, a drain holds until it is taken back, and what follows
+// from a state never contradicts itself.
+func TestDrawnEventsLeadToConsistentStates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Machine{Shared: rapid.Bool().Draw(t, "shared")}
 		began, drained, ended := false, false, false
@@ -46,9 +46,9 @@
 	})
 }
 
-// TestDrainedProcessNeverWelcomes: a process that was drained, and is told to end before the drain was taken back, or drained while it ends,
-// must not tell clients that they may come.
-func TestDrainedProcessNeverWelcomes(t *testing.T) {
+// TestDrainedProcessIsNeverReadyForClients checks that a process that was drained, and is told to end before the drain was taken back, or that
+// is drained while it ends, is not ready for clients.
+func TestDrainedProcessIsNeverReadyForClients(t *testing.T) {
 	for name, events := range map[string][]Event{
 		"end within the drain":               {Started, Drain, Terminate},
 		"end before a drain that was wished": {Drain, Terminate},
--- a/internal/storage/atomicfile/atomicfile_test.go
+++ b/internal/storage/atomicfile/atomicfile_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestReplaceIsWhole: whoever reads while a file is replaced finds the old one or the new, and no other file is left.
-func TestReplaceIsWhole(t *testing.T) {
+// TestReplacedFileIsTheOldOrTheNew reads while a file is replaced: it is the old one or the new one, and no other file is left.
+func TestReplacedFileIsTheOldOrTheNew(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "x.state")
 	values := [][]byte{bytes.Repeat([]byte("a"), 9000), bytes.Repeat([]byte("b"), 5000)}
--- a/internal/storage/journal/bytes_test.go
+++ b/internal/storage/journal/bytes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestBytes: an attempt's bytes are what stands on disks.
-func TestBytes(t *testing.T) {
+// TestAttemptBytesStay checks that the bytes of an attempt stay as they are on disks.
+func TestAttemptBytesStay(t *testing.T) {
 	for _, c := range []struct {
 		a    Attempt
 		want string
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -41,10 +41,9 @@
 	return m.ForgottenCommit
 }
 
-// TestCrashes: sessions write, generations of them are dropped, the power goes out at any time, the disk fails, the clock goes back: after
-// each start no session is held to less than the last commit that was answered, in either mode, and a process that ended in order leaves
-// each session just its own.
-func TestCrashes(t *testing.T) {
+// TestSessionsNeverGoBackAfterACrash has sessions write, forgets them, loses power, fails the disk and sets the clock back at any time: after
+// each start no session counts for less than its last answered commit, in either mode, and a clean shutdown leaves each session its own.
+func TestSessionsNeverGoBackAfterACrash(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		d := faultyfs.New()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
@@ -92,9 +91,10 @@
 	})
 }
 
-// TestOrdered: after an end in order, in either mode, each session is held to its own commit and others to none; after one without, that
-// holds where answers wait, and else everybody counts as written until the start; where the clock has gone back, until the latest kept.
-func TestOrdered(t *testing.T) {
+// TestCleanShutdownKeepsEachSessionsOwnCommit checks that after a clean shutdown each session counts for its own commit and others for none;
+// after another, that holds where answers wait, and else all count as written until the start, or until the latest stored commit where the
+// clock was set back.
+func TestCleanShutdownKeepsEachSessionsOwnCommit(t *testing.T) {
 	for _, mode := range []Mode{BeforeAnswer, Alongside} {
 		for _, ordered := range []bool{true, false} {
 			for _, back := range []bool{false, true} {
@@ -138,10 +138,10 @@
 	}
 }
 
-// TestMerge: two processes serve sessions' writes at once, each on its own disk; one ends, in order or not, or the power goes out, and the
-// other takes over what it held, from there or after a start of its own. No session is held to less than its last commit that was answered
-// by either, and what was taken over may be taken over again.
-func TestMerge(t *testing.T) {
+// TestMergedSessionsNeverGoBack has two processes take sessions' writes at once, each on its own disk; one ends, cleanly or not, or loses
+// power, and the other takes over what it held, then or after a start of its own. No session counts for less than its last commit that either
+// answered, and a merge may be repeated.
+func TestMergedSessionsNeverGoBack(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		disks := [2]*faultyfs.Disk{faultyfs.New(), faultyfs.New()}
@@ -245,8 +245,8 @@
 	})
 }
 
-// TestChecksFail: each statement is seen to be false once what it is about is broken, and none is while nothing is.
-func TestChecksFail(t *testing.T) {
+// TestBrokenInvariantsAreReported breaks the state for each invariant of the keeper; without a break none is reported.
+func TestBrokenInvariantsAreReported(t *testing.T) {
 	for want, breaks := range map[string]func(k *Keeper){
 		"":                                   func(k *Keeper) { k.checkInvariants(); k.checkStep("a", 5, true); k.checkStored("a", 5) },
 		"commits: sessions are bounded":      func(k *Keeper) { k.maxSessions = 0; k.checkInvariants() },
--- a/internal/storage/snapshots/bytes_test.go
+++ b/internal/storage/snapshots/bytes_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestBytes: a record's bytes are what stands on disks.
-func TestBytes(t *testing.T) {
+// TestRecordBytesStay checks that the bytes of a record stay as they are on disks.
+func TestRecordBytesStay(t *testing.T) {
 	const want = "09000000000000f83f120466726f6d1a04626f6479"
 	r := &Record{SavedMs: 1.5, Source: "from", Body: []byte("body")}
 	b := r.encode()
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -27,9 +27,9 @@
 // wall is a machine of an unknown boot whose wall clock stands at a time.
 func wall(ms float64) clock.Machine { return clock.Machine{Wall: func() float64 { return ms }} }
 
-// TestFoundBehindASteppedClock: within a boot, the age of what is kept is a span of real time, however the wall clock steps; it is judged by the
-// wall clock after another start of the machine.
-func TestFoundBehindASteppedClock(t *testing.T) {
+// TestAgeIsIndependentOfWallClockSteps checks that within a boot a record's age is by the monotonic clock, however the wall clock steps, and
+// by the wall clock after another start of the machine.
+func TestAgeIsIndependentOfWallClockSteps(t *testing.T) {
 	for _, step := range []float64{-3600e3, -3e3, 0, 3e3, 3600e3} {
 		d, now, monotonic := faultyfs.New(), 1e12, 5000.0
 		machine := clock.Machine{Wall: func() float64 { return now }, Monotonic: func() float64 { return monotonic }, Boot: "b"}
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestFound: what was kept last is found by the next start, within its age, by a clock that went back a little too; not by one that
-// went back far, whose word on the age is worth nothing.
-func TestFound(t *testing.T) {
+// TestNextStartGetsTheLastValue checks that the value that was stored last is there at the next start, within its maximum age, also where the
+// clock was set back a little; not where it was set back far.
+func TestNextStartGetsTheLastValue(t *testing.T) {
 	d := faultyfs.New()
 	opt := Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
 	k, err := Start(opt)
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestDisk: each operation of the disk fails once, and the power goes out at each: the next start finds a value that was kept, whole,
-// or none; somebody is told of a failure.
-func TestDisk(t *testing.T) {
+// TestDiskFailuresAreReportedAndLeaveACompleteValue fails each operation of the disk once, and loses power at each: the next start gets a
+// value that was stored, complete, or none, and a failure is logged.
+func TestDiskFailuresAreReportedAndLeaveACompleteValue(t *testing.T) {
 	play := func(d *faultyfs.Disk) string {
 		var log bytes.Buffer
 		k, err := Start(Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.NewTextHandler(&log, nil)), Checks: strict(), Store: strict(), BatchesPerWalk: 1})
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestChecksFail: each statement is seen to be false once what it is about is broken, and none is while nothing is.
-func TestChecksFail(t *testing.T) {
+// TestBrokenInvariantsAreReported breaks the state for each invariant of the keeper; without a break none is reported.
+func TestBrokenInvariantsAreReported(t *testing.T) {
 	for want, breaks := range map[string]func(k *Keeper, r *Record){
 		"":                                      func(*Keeper, *Record) {},
 		"kept: a value is there as it was kept": func(_ *Keeper, r *Record) { r.SavedMs++ },
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestRandom: values of all kinds come at any time while the disk fails or the power goes out: a start finds of each the last that was kept, or
-// one that came after it, whole, and every statement holds.
-func TestRandom(t *testing.T) {
+// TestRandomFailuresLoseNoStoredValue puts values of all kinds while the disk fails or the power is lost: each start gets the last that was
+// stored or a later one, complete, and every invariant holds.
+func TestRandomFailuresLoseNoStoredValue(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		d := faultyfs.New()
--- a/internal/storage/store/compaction_test.go
+++ b/internal/storage/store/compaction_test.go
@@ -108,10 +108,9 @@
 	return out
 }
 
-// TestBeside: entries come, and are read, at each step of a compaction. The power goes out, or something fails, at each operation of
-// either: what was acknowledged is there, nothing that was not asked for is, and what failed before the snapshot had its name costs the
-// compaction alone.
-func TestBeside(t *testing.T) {
+// TestAppendsGoOnDuringACompaction appends and reads at each step of a compaction, with a loss of power or a failure at each operation of
+// either: what was acknowledged is there, nothing else is, and what fails before the snapshot has its name fails the compaction alone.
+func TestAppendsGoOnDuringACompaction(t *testing.T) {
 	acts := puts(60)
 	all := models(acts)
 	whole := faultyfs.New()
@@ -162,8 +161,9 @@
 func (readOnly) Remove(string) error               { return syscall.EROFS }
 func (readOnly) Sync() error                       { return syscall.EROFS }
 
-// TestReadOnly: a store on a disk that takes nothing is refused, for that reason and not as damaged, and can be looked into.
-func TestReadOnly(t *testing.T) {
+// TestReadOnlyDiskIsNoDamage checks that a store on a disk that takes nothing cannot be opened for that reason, not as damaged, and can be
+// inspected.
+func TestReadOnlyDiskIsNoDamage(t *testing.T) {
 	d := faultyfs.New()
 	acts := history()
 	play(d, acts)
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestBounds: with a bound on its size a store never takes more than that on its disk, a snapshot that is being written among it; what
-// is dead makes room, what is not is refused aloud and stays; a compaction keeps to its pace, and a close does not wait for that.
-func TestBounds(t *testing.T) {
+// TestStoreStaysWithinItsBound checks that a store with a bound never takes more on its disk, a snapshot that is being written included; dead
+// records free space, live ones are never given up; a compaction keeps to its rate, and Close does not wait for that.
+func TestStoreStaysWithinItsBound(t *testing.T) {
 	const most = 30000
 	d := faultyfs.New()
 	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 2000, MaxBytes: most, Checks: strict(), BatchesPerWalk: 1})
--- a/internal/storage/store/invariants_test.go
+++ b/internal/storage/store/invariants_test.go
@@ -18,8 +18,8 @@
 	return <-done
 }
 
-// TestChecksFail: each statement is seen to be false once what it is about is broken, and none is while nothing is.
-func TestChecksFail(t *testing.T) {
+// TestBrokenInvariantsAreReported breaks the state for each invariant of the store; without a break none is reported.
+func TestBrokenInvariantsAreReported(t *testing.T) {
 	t.Parallel()
 	for want, breaks := range map[string]func(s *Store){
 		"": func(*Store) {},
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestMemory: beyond the bound on memory nothing is taken that takes more; what gives room back is, and then there is room again. What was
-// kept by then stays, also when it is opened with less.
-func TestMemory(t *testing.T) {
+// TestMemoryBoundRejectsWhatTakesMore checks that beyond the bound on memory nothing is taken that takes more, that deletions are and free
+// memory, and that a store opened with a lower bound keeps what it has.
+func TestMemoryBoundRejectsWhatTakesMore(t *testing.T) {
 	t.Parallel()
 	dir := Dir(t.TempDir())
 	most := MemoryUse(10, 10*102)
--- a/internal/storage/store/linear_test.go
+++ b/internal/storage/store/linear_test.go
@@ -137,9 +137,9 @@
 	return history, len(unsure)
 }
 
-// TestLinear: what clients at once wrote and read, some keys at a time, beside compactions and over a loss of power, is what one after
-// the other could have; and that is a test: with one value read that was written over before, it is not.
-func TestLinear(t *testing.T) {
+// TestConcurrentHistoriesAreLinearizable checks that what concurrent clients wrote and read, beside compactions and over a loss of power, is
+// linearizable, and that a history with one stale read is not.
+func TestConcurrentHistoriesAreLinearizable(t *testing.T) {
 	t.Parallel()
 	reads, maybes, broken := 0, 0, 0
 	for seed := range uint64(25) {
--- a/internal/storage/store/replace_test.go
+++ b/internal/storage/store/replace_test.go
@@ -10,9 +10,9 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// TestReplace: the power goes out at every operation of a replacement, or the operation fails; the file is the old one or the new, whole, and the
-// new one once it was said so. Who fails leaves no part behind.
-func TestReplace(t *testing.T) {
+// TestReplacedFileIsTheOldOrTheNew loses power at every operation of a replacement, or fails it: the file is the old one or the new one,
+// complete, and the new one after success; a failure leaves no partial file.
+func TestReplacedFileIsTheOldOrTheNew(t *testing.T) {
 	t.Parallel()
 	old, new := strings.Repeat("old ", 400), strings.Repeat("newer ", 500)
 	whole := faultyfs.New()
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -103,10 +103,10 @@
 	return -1
 }
 
-// TestPowerLost: the power goes out at every operation of a history, within compactions too; whatever of the bytes and names
-// that were not synced is there afterwards, the store has all that was acknowledged, and nothing that was not asked for; and it
-// goes on from there. The same where only the process ends.
-func TestPowerLost(t *testing.T) {
+// TestAcknowledgedRecordsSurviveALossOfPower loses power at every operation of a history with compactions, whatever of the unsynced bytes and
+// names stays: the store has all that was acknowledged and nothing that was not appended, and goes on from there. The same where only the
+// process ends.
+func TestAcknowledgedRecordsSurviveALossOfPower(t *testing.T) {
 	acts := history()
 	all := models(acts)
 	whole := faultyfs.New()
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestEveryCut and flip: each file is cut at every offset, and each of its bytes flipped: the store opens with a prefix of what it
-// held, or refuses aloud. Only the end of the newest segment may be missing without a word of damage.
-func TestEveryCut(t *testing.T) {
+// TestDamageIsFoundAtEveryByte cuts each file at every offset and flips each of its bytes: the store opens with a prefix of what it held, or
+// fails with ErrCorrupt. Only the end of the newest segment may be missing without that.
+func TestDamageIsFoundAtEveryByte(t *testing.T) {
 	acts := history()
 	all := models(acts)
 	d := faultyfs.New()
@@ -229,9 +229,9 @@
 	}
 }
 
-// TestRepair: what can be read of a damaged store is in a copy, with a word on each part that was left out; the store itself is as
-// it was, for a look into it too.
-func TestRepair(t *testing.T) {
+// TestRepairKeepsWhatCanBeRead checks that a repair copies what can be read of a damaged store and reports each part that was left out, and
+// that the store itself stays as it was.
+func TestRepairKeepsWhatCanBeRead(t *testing.T) {
 	acts := history()
 	d := faultyfs.New()
 	if acked, _ := play(d, acts); acked != len(acts) {
@@ -286,9 +286,9 @@
 	}
 }
 
-// TestFailures: each operation fails once: nothing that is told to be kept is lost, nothing is told to be kept after a sync has
-// failed, and the next start holds all that was.
-func TestFailures(t *testing.T) {
+// TestFailedOperationsLoseNothingAcknowledged fails each operation once: nothing acknowledged is lost, nothing is acknowledged after a failed
+// sync, and the next start has all that was.
+func TestFailedOperationsLoseNothingAcknowledged(t *testing.T) {
 	acts := history()
 	all := models(acts)
 	whole := faultyfs.New()
@@ -315,9 +315,9 @@
 	}
 }
 
-// TestDiskFull: with room for less and less, what was acknowledged is there; a bound on its own size is told before anything is
-// lost, and what is dead makes room.
-func TestDiskFull(t *testing.T) {
+// TestFullDiskLosesNothingAcknowledged checks that with less and less space what was acknowledged is there, and that with a bound on its own
+// size a store says that it is full before anything is lost, and dead records free space.
+func TestFullDiskLosesNothingAcknowledged(t *testing.T) {
 	acts := history()
 	all := models(acts)
 	for room := 20; room < 4000; room += 37 {
@@ -361,7 +361,7 @@
 	}
 }
 
-// TestStateMachine: random histories with crashes, compactions and failures against a map.
+// TestStateMachine compares random histories with crashes, compactions and failures with a map.
 func TestStateMachine(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		d := faultyfs.New()
@@ -421,9 +421,9 @@
 	})
 }
 
-// TestTogether: many that append at once share syncs; each is told once, after what it wrote can be read; a second process is
-// refused; a range sees the store as it was.
-func TestTogether(t *testing.T) {
+// TestConcurrentAppendsShareSyncs checks that concurrent appends share syncs, that each is called back once, when what it wrote can be read,
+// that a second process gets ErrLocked, and that a Range sees the store as it was.
+func TestConcurrentAppendsShareSyncs(t *testing.T) {
 	d := faultyfs.New()
 	s, _, err := store.Open(store.Options{FS: d})
 	if err != nil {
