--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -76,7 +76,7 @@
 		}
 	case settings.ResourcePool:
 		if l.pooler.pooling != nil {
-			l.pooler.pooling.Tell(x.Subject, int(amount+1e-9))
+			l.pooler.pooling.AssignLimit(x.Subject, int(amount+1e-9))
 		}
 	case settings.ResourceShards:
 		if l.pooler.scatter != nil {
@@ -103,7 +103,7 @@
 		}
 	case settings.ResourcePool:
 		if l.pooler.pooling != nil {
-			l.pooler.pooling.Untell(x.Subject)
+			l.pooler.pooling.RestoreLimits(x.Subject)
 		}
 	case settings.ResourceShards:
 		if l.pooler.scatter != nil {
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -59,7 +59,7 @@
 	reloaders []reloader                     // of the operators' settings
 
 	// The optional frontends, with the addresses at which they listen.
-	pooling         *pooling.Front
+	pooling         *pooling.Frontend
 	poolingAddr     string
 	stopPooling     func()
 	scatter         *scatter.Front
--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -64,7 +64,7 @@
 // frontends gives each front's attempts to its own connections; pooled and house are nil where they are off.
 type frontends struct {
 	*backend.Pool
-	pooled            *pooling.Front
+	pooled            *pooling.Frontend
 	scatter           *scatter.Front // with pooled only
 	clickhouse        *clickhouse.Front
 	clickhouseServers map[string]bool // servers that are ClickHouse's
@@ -95,7 +95,7 @@
 func (s frontends) CloseIdle(id string) {
 	s.Pool.CloseIdle(id)
 	if s.pooled != nil {
-		s.pooled.Bar(id)
+		s.pooled.DrainServer(id)
 	}
 	if s.scatter != nil {
 		s.scatter.Bar(id)
@@ -146,8 +146,8 @@
 	switch {
 	case s.clickhouse != nil && clickhouse.Ours(q):
 		return s.clickhouse.Try(id, q, until, t)
-	case s.pooled != nil && pooling.Ours(q):
-		return s.pooled.Try(id, q, until, t)
+	case s.pooled != nil && pooling.IsTransaction(q):
+		return s.pooled.StartAttempt(id, q, until, t)
 	case s.scatter != nil && scatter.Ours(q):
 		return s.scatter.Try(id, q, until, t)
 	}
@@ -166,7 +166,7 @@
 	switch {
 	case s.clickhouse != nil && clickhouse.OursRef(ref):
 		s.clickhouse.Cancel(ref)
-	case s.pooled != nil && pooling.OursRef(ref):
+	case s.pooled != nil && pooling.IsAttemptRef(ref):
 		s.pooled.Cancel(ref)
 	case s.scatter != nil && scatter.OursRef(ref):
 		s.scatter.Cancel(ref)
--- a/internal/frontend/pooling/begun.go
+++ b/internal/frontend/pooling/begun.go
@@ -36,82 +36,82 @@
 	}
 }
 
-// movable tells whether what this client holds can go on at another server.
-func (c *client) movable() bool { return c.pool.opt.Mode == Transaction && c.carry.Pins == 0 }
+// canMigrate tells whether what this client holds can go on at another server.
+func (c *client) canMigrate() bool { return c.pool.options.Mode == Transaction && c.state.Sticky == 0 }
 
 // settledAt takes note of a ReadyForQuery: whether the transaction that is open there has only begun.
-func (c *client) settledAt(t *txn, status byte) {
-	c.hurry = false
+func (c *client) settledAt(t *transaction, status byte) {
+	c.flushRequested = false
 	switch {
-	case status != 'T' || !c.movable():
-		c.opened, c.opening, c.leg = nil, nil, nil
-	case t != nil && !t.spoke:
-		first, rest, _ := cutFirst(t.held)
-		c.opened, c.opening, c.leg = t, slices.Clone(first), slices.Clone(rest)
-	case c.opened != nil: // what came since was no statement that ran: it is done with
-		_, rest, _ := cutFirst(c.leg)
-		c.leg = slices.Clone(rest)
+	case status != 'T' || !c.canMigrate():
+		c.begunTransaction, c.beginMessages, c.unansweredMessages = nil, nil, nil
+	case t != nil && !t.answered:
+		first, rest, _ := cutFirst(t.replay)
+		c.begunTransaction, c.beginMessages, c.unansweredMessages = t, slices.Clone(first), slices.Clone(rest)
+	case c.begunTransaction != nil: // what came since was no statement that ran: it is done with
+		_, rest, _ := cutFirst(c.unansweredMessages)
+		c.unansweredMessages = slices.Clone(rest)
 	}
-	if len(c.leg) == 0 {
-		c.leg = nil
+	if len(c.unansweredMessages) == 0 {
+		c.unansweredMessages = nil
 	}
-	c.tell()
+	c.flushDeferred()
 }
 
-// tell has the client hear what was held back.
-func (c *client) tell() {
-	c.out = append(c.out, c.pre...)
-	c.pre = nil
+// flushDeferred has the client hear what was held back.
+func (c *client) flushDeferred() {
+	c.output = append(c.output, c.deferredAnswers...)
+	c.deferredAnswers = nil
 }
 
-// speaks takes note that a server has answered with more than a beginning: nothing can be asked again.
-func (c *client) speaks() {
-	if t := c.txn; t != nil {
-		t.spoke, t.held = true, nil
+// noteAnswered takes note that a server has answered with more than a beginning: nothing can be asked again.
+func (c *client) noteAnswered() {
+	if t := c.transaction; t != nil {
+		t.answered, t.replay = true, nil
 	}
-	c.opened, c.opening, c.leg = nil, nil, nil
-	c.tell()
+	c.begunTransaction, c.beginMessages, c.unansweredMessages = nil, nil, nil
+	c.flushDeferred()
 }
 
-// mayTell tells whether what only prepares or begins may be held back: it may yet be asked of another server.
-func (c *client) mayTell() bool {
-	if c.hurry || len(c.pre) > littleLeft {
+// mayDefer tells whether what only prepares or begins may be held back: it may yet be asked of another server.
+func (c *client) mayDefer() bool {
+	if c.flushRequested || len(c.deferredAnswers) > resumeUnsent {
 		return false
 	}
-	if t := c.txn; t != nil {
-		return !t.spoke
+	if t := c.transaction; t != nil {
+		return !t.answered
 	}
-	return c.opened != nil
+	return c.begunTransaction != nil
 }
 
-// keep keeps a message that goes out, for another server.
-func (c *client) keep(m pgwire.Message) {
-	switch t := c.txn; {
-	case c.again:
+// keepForReplay keeps a message that goes out, for another server.
+func (c *client) keepForReplay(m pgwire.Message) {
+	switch t := c.transaction; {
+	case c.replaying:
 	case m.More || m.Part:
-		c.speaks()
-	case t != nil && !t.spoke:
-		if t.held = append(t.held, m.Raw...); len(t.held) > maxHeld {
-			c.speaks() // too long to be asked again
+		c.noteAnswered()
+	case t != nil && !t.answered:
+		if t.replay = append(t.replay, m.Raw...); len(t.replay) > maxReplayBytes {
+			c.noteAnswered() // too long to be asked again
 		}
-	case t == nil && c.opened != nil:
-		if c.leg = append(c.leg, m.Raw...); len(c.leg) > maxHeld {
-			c.speaks()
+	case t == nil && c.begunTransaction != nil:
+		if c.unansweredMessages = append(c.unansweredMessages, m.Raw...); len(c.unansweredMessages) > maxReplayBytes {
+			c.noteAnswered()
 		}
 	}
 	if m.Type == 'H' {
-		c.hurry = true
-		if len(c.pre) > 0 {
-			c.speaks()
+		c.flushRequested = true
+		if len(c.deferredAnswers) > 0 {
+			c.noteAnswered()
 		}
 	}
 }
 
-// part gives up the connection of a transaction that has only begun, and tells whether it could. It begins again with
+// leaveConnection gives up the connection of a transaction that has only begun, and tells whether it could. It begins again with
 // the client's next message.
-func (c *client) part() bool {
+func (c *client) leaveConnection() bool {
 	l := c.link
-	if c.opened == nil || c.leg != nil || l == nil || len(l.queue) > 0 || c.txn != nil || !c.movable() {
+	if c.begunTransaction == nil || c.unansweredMessages != nil || l == nil || len(l.expected) > 0 || c.transaction != nil || !c.canMigrate() {
 		return false
 	}
 	c.link, l.owner = nil, nil
@@ -119,57 +119,57 @@
 	return true
 }
 
-// beginAgain has a transaction that has only begun do so elsewhere, and go on with what the client sent since. sent
+// restart has a transaction that has only begun do so elsewhere, and go on with what the client sent since. sent
 // says that this went to a server before.
-func (c *client) beginAgain(leg []byte, sent bool) error {
-	o := c.opened
-	t := &txn{c: c, held: slices.Concat(c.opening, leg), does: o.does, sql: o.sql, again: len(c.opening)}
+func (c *client) restart(leg []byte, sent bool) error {
+	o := c.begunTransaction
+	t := &transaction{client: c, replay: slices.Concat(c.beginMessages, leg), effects: o.effects, sql: o.sql, restartBytes: len(c.beginMessages)}
 	if sent {
 		t.sends = 1
 	}
-	c.opened, c.opening, c.leg, c.pre = nil, nil, nil, nil
-	c.f.Counts.Again++
+	c.begunTransaction, c.beginMessages, c.unansweredMessages, c.deferredAnswers = nil, nil, nil, nil
+	c.frontend.Counts.Restarts++
 	c.recordHand(record.AssignmentRestarted, nil, 0, false)
-	began := c.began
-	err := c.put(t)
-	c.began = began
+	began := c.transactionStart
+	err := c.submit(t)
+	c.transactionStart = began
 	return err
 }
 
 // sendHeld sends what a transaction has so far. One that begins again is sent its beginning alone at first.
-func (c *client) sendHeld(t *txn) error {
+func (c *client) sendHeld(t *transaction) error {
 	l := c.link
 	t.sends++
-	held := t.held
-	if t.again > 0 {
-		t.mute = true
-		held = held[:t.again]
+	held := t.replay
+	if t.restartBytes > 0 {
+		t.restarting = true
+		held = held[:t.restartBytes]
 	}
-	return c.sendAll(l, held, t.sends > 1 || t.again > 0)
+	return c.sendAll(l, held, t.sends > 1 || t.restartBytes > 0)
 }
 
-// unmute goes on with a transaction that has begun again.
-func (c *client) unmute(l *link, status byte) {
-	t := c.txn
-	t.mute = false
+// continueRestarted goes on with a transaction that has begun again.
+func (c *client) continueRestarted(l *link, status byte) {
+	t := c.transaction
+	t.restarting = false
 	if status != 'T' {
-		c.fatal("08006", "the transaction could not begin again at another server; nothing of it was committed")
+		c.endWithError("08006", "the transaction could not begin again at another server; nothing of it was committed")
 		return
 	}
-	if err := c.sendAll(l, t.held[t.again:], t.sends > 1); err != nil {
-		c.fatal("08P01", err.Error())
+	if err := c.sendAll(l, t.replay[t.restartBytes:], t.sends > 1); err != nil {
+		c.endWithError("08P01", err.Error())
 		return
 	}
-	c.soon()
+	c.proceedSoon()
 }
 
 // sendAll sends messages that are held, which stay so until the server has said something. redo says that they were sent
 // before.
 func (c *client) sendAll(l *link, raw []byte, redo bool) error {
-	r := pgwire.NewReader(max(c.f.opt.MaxMessage, len(raw)+1))
+	r := pgwire.NewReader(max(c.frontend.options.MaxMessage, len(raw)+1))
 	r.Feed(raw)
-	c.again, c.redo = true, redo
-	defer func() { c.again, c.redo = false, false }()
+	c.replaying, c.resending = true, redo
+	defer func() { c.replaying, c.resending = false, false }()
 	for !c.closed && c.link == l {
 		m, ok, err := r.Next()
 		if err != nil || !ok {
@@ -182,23 +182,23 @@
 	return nil
 }
 
-// soon goes on with what the client sent meanwhile, off this call.
-func (c *client) soon() {
+// proceedSoon goes on with what the client sent meanwhile, off this call.
+func (c *client) proceedSoon() {
 	if !c.closed && c.conn != nil {
-		c.f.loop.At(c.f.loop.Now(), c.proceed)
+		c.frontend.eventLoop.At(c.frontend.eventLoop.Now(), c.proceed)
 	}
 }
 
 // harmless tells whether all that went to the server was a beginning: whether it ran does not matter.
-func (t *txn) harmless() bool {
-	if t.spoke || !onlyBegins(t.does) {
+func (t *transaction) harmless() bool {
+	if t.answered || !onlyBegins(t.effects) {
 		return false
 	}
-	if t.again > 0 {
-		return t.mute
+	if t.restartBytes > 0 {
+		return t.restarting
 	}
-	_, rest, _ := cutFirst(t.held)
-	return len(rest) == 0 && beginsAlone(t.held)
+	_, rest, _ := cutFirst(t.replay)
+	return len(rest) == 0 && beginsAlone(t.replay)
 }
 
 // beginsAlone tells whether the messages up to the first answer run one statement at most. The first of them, which
@@ -218,23 +218,23 @@
 	}
 }
 
-// unrun tells whether an error says that a transaction's first statement did not run, and it may be asked elsewhere.
-func (l *link) unrun(c *client, m pgwire.Message) (decide.Result, bool) {
-	if !c.movable() {
+// mayRunElsewhere tells whether an error says that a transaction's first statement did not run, and it may be asked elsewhere.
+func (l *link) mayRunElsewhere(c *client, m pgwire.Message) (decide.Result, bool) {
+	if !c.canMigrate() {
 		return 0, false
 	}
-	t, does := c.txn, []sqltext.Statement(nil)
+	t, does := c.transaction, []sqltext.Statement(nil)
 	switch {
-	case t != nil && !t.spoke && t.attempt != nil && (c.status == 'I' || t.again > 0):
-		does = t.does
-	case t == nil && c.opened != nil && c.leg != nil:
-		does = c.opened.does
+	case t != nil && !t.answered && t.attempt != nil && (c.sessionState == 'I' || t.restartBytes > 0):
+		does = t.effects
+	case t == nil && c.begunTransaction != nil && c.unansweredMessages != nil:
+		does = c.begunTransaction.effects
 	default:
 		return 0, false
 	}
 	switch pgwire.ErrorCode(m.Body) {
 	case "25006":
-		wanted := c.carry.Setting("default_transaction_read_only") != "" || c.carry.Setting("transaction_read_only") != ""
+		wanted := c.state.Setting("default_transaction_read_only") != "" || c.state.Setting("transaction_read_only") != ""
 		for _, s := range does {
 			wanted = wanted || s.ReadOnly
 		}
@@ -247,21 +247,21 @@
 	return 0, false
 }
 
-// elsewhere asks a transaction again whose first statement did not run.
-func (l *link) elsewhere(c *client, r decide.Result) {
-	c.link, l.owner, l.broken = nil, nil, true // what the server still says belongs to nobody
-	c.failed, c.pre = false, nil
-	t := c.txn
+// retryElsewhere asks a transaction again whose first statement did not run.
+func (l *link) retryElsewhere(c *client, r decide.Result) {
+	c.link, l.owner, l.unusable = nil, nil, true // what the server still says belongs to nobody
+	c.failed, c.deferredAnswers = false, nil
+	t := c.transaction
 	if t == nil {
 		l.close()
-		if err := c.beginAgain(c.leg, true); err != nil {
-			c.fatal("08P01", err.Error())
+		if err := c.restart(c.unansweredMessages, true); err != nil {
+			c.endWithError("08P01", err.Error())
 		}
 		return
 	}
-	t.on, t.mute = false, false
+	t.hasConnection, t.restarting = false, false
 	a := t.attempt
 	a.link = nil
 	l.close()
-	l.f.endCancelled(a, r, l)
+	l.frontend.endCancelled(a, r, l)
 }
--- a/internal/frontend/pooling/cancel.go
+++ b/internal/frontend/pooling/cancel.go
@@ -7,51 +7,51 @@
 )
 
 // cancel passes a cancel request on to the server where the client's query runs now.
-func (f *Front) cancel(pid, secret uint32) {
+func (f *Frontend) cancel(pid, secret uint32) {
 	c := f.keys[pid]
 	if c != nil && c.secret == secret && c.page != nil {
 		c.scatterCancel()
 		return
 	}
-	if c != nil && c.secret == secret && c.queued() {
+	if c != nil && c.secret == secret && c.waitsForConnection() {
 		c.cancelQueued()
 		return
 	}
-	if c != nil && c.secret == secret && c.txn != nil {
-		c.txn.cancelled = true
+	if c != nil && c.secret == secret && c.transaction != nil {
+		c.transaction.cancelled = true
 	}
-	if c == nil || c.secret != secret || c.link == nil || len(c.link.queue) == 0 || c.link.pid == 0 || f.cancels >= maxCancels {
+	if c == nil || c.secret != secret || c.link == nil || len(c.link.expected) == 0 || c.link.pid == 0 || f.cancels >= maxCancels {
 		return
 	}
 	l := c.link
 	f.Counts.Cancels++
 	f.cancels++
 	l.cancels++
-	l.sullied = true
+	l.lateCancelPossible = true
 	done := func() {
 		f.cancels--
-		if l.cancels--; l.cancels == 0 && l.waiting && !l.closed {
-			l.waiting = false
+		if l.cancels--; l.cancels == 0 && l.freeWhenSettled && !l.closed {
+			l.freeWhenSettled = false
 			l.free()
 		}
 	}
-	f.loop.Dial(f.addrs[l.store], f.opt.ConnectMs, &canceller{link: l, done: done}, func(error) { done() })
+	f.eventLoop.Dial(f.addresses[l.serverID], f.options.ConnectMs, &canceller{link: l, done: done}, func(error) { done() })
 }
 
-// queued tells whether a client's transaction waits for a connection: nothing of it is out.
-func (c *client) queued() bool {
-	return c.outside != nil || c.txn != nil && !c.txn.on
+// waitsForConnection tells whether a client's transaction waits for a connection: nothing of it is out.
+func (c *client) waitsForConnection() bool {
+	return c.queued != nil || c.transaction != nil && !c.transaction.hasConnection
 }
 
 // cancelQueued ends a transaction that waits for a connection, as its client wants it no more.
 func (c *client) cancelQueued() {
-	t := c.txn
-	if x := c.outside; x != nil {
-		c.leave()
-		t = &txn{c: c, held: x.raw}
-		c.txn = t
+	t := c.transaction
+	if x := c.queued; x != nil {
+		c.leavePool()
+		t = &transaction{client: c, replay: x.raw}
+		c.transaction = t
 	}
-	c.f.Counts.Cancels++
+	c.frontend.Counts.Cancels++
 	c.cancelled(t, codeCancelled, cancelledText)
 }
 
@@ -61,27 +61,27 @@
 )
 
 // cancelled answers a transaction that its client has cancelled: it is not sent again.
-func (c *client) cancelled(t *txn, code, text string) {
+func (c *client) cancelled(t *transaction, code, text string) {
 	if t.open {
 		t.open = false
-		c.f.desk.Abandon(t.ref)
+		c.frontend.dispatcher.Abandon(t.ref)
 	}
-	c.concluded(t, code, text, "")
+	c.endTransaction(t, code, text, "")
 }
 
 // endCancelled ends an attempt that came to nothing. Where its client has cancelled the transaction meanwhile, that has its answer now.
-func (f *Front) endCancelled(a *attempt, r decide.Result, l *link) {
-	t := a.t
-	c := t.c
-	if !t.cancelled || t.spoke || c.closed || c.txn != t {
-		f.end(a, r, l)
+func (f *Frontend) endCancelled(a *attempt, r decide.Result, l *link) {
+	t := a.transaction
+	c := t.client
+	if !t.cancelled || t.answered || c.closed || c.transaction != t {
+		f.endAttempt(a, r, l)
 		return
 	}
 	if t.open { // before the attempt ends, as another would begin then
 		t.open = false
-		f.desk.Abandon(t.ref)
+		f.dispatcher.Abandon(t.ref)
 	}
-	f.end(a, r, l)
+	f.endAttempt(a, r, l)
 	if r == decide.Reset && c.wrote {
 		c.cancelled(t, "08007", "the connection to the server broke; whether the transaction was committed is unknown")
 		return
@@ -100,8 +100,8 @@
 // Opened is loop's.
 func (k *canceller) Opened(lc *eventloop.Conn) {
 	if err := lc.Write(pgwire.AppendCancel(nil, k.link.pid, k.link.secret)); err == nil {
-		f := k.link.f
-		f.loop.At(f.loop.Now()+f.opt.ConnectMs, lc.Close)
+		f := k.link.frontend
+		f.eventLoop.At(f.eventLoop.Now()+f.options.ConnectMs, lc.Close)
 	}
 }
 
--- a/internal/frontend/pooling/close.go
+++ b/internal/frontend/pooling/close.go
@@ -15,19 +15,19 @@
 	cutMs        = 1500 // after a drain has begun, commands that are sent ahead are not waited for any more
 )
 
-// end takes nothing more from the client, and closes its connection behind what was written.
-func (c *client) end() {
+// close takes nothing more from the client, and closes its connection behind what was written.
+func (c *client) close() {
 	c.flush()
 	if c.closed || c.conn == nil {
 		return
 	}
 	c.detach()
-	c.lingers = true
-	c.f.lingering++
+	c.lingering = true
+	c.frontend.lingering++
 	if c.conn.ReadingPaused() {
 		c.conn.ResumeReading()
 	}
-	(&lingering{client: c, conn: c.conn, unsent: c.conn.Unsent(), since: c.f.loop.Now()}).look()
+	(&lingering{client: c, conn: c.conn, unsent: c.conn.Unsent(), since: c.frontend.eventLoop.Now()}).look()
 }
 
 // lingering is a connection on its way to be closed.
@@ -41,9 +41,9 @@
 
 // look goes on with the close.
 func (g *lingering) look() {
-	f := g.client.f
-	now := f.loop.Now()
-	if !g.client.lingers {
+	f := g.client.frontend
+	now := f.eventLoop.Now()
+	if !g.client.lingering {
 		return
 	}
 	if unsent := g.conn.Unsent(); unsent != g.unsent {
@@ -60,15 +60,15 @@
 		g.conn.Close()
 		return
 	}
-	f.loop.At(now+lingerLookMs, g.look)
+	f.eventLoop.At(now+lingerLookMs, g.look)
 }
 
 // Closed is loop's.
 func (c *client) Closed(error) {
 	c.detach()
-	if c.lingers {
-		c.lingers = false
-		c.f.lingering--
+	if c.lingering {
+		c.lingering = false
+		c.frontend.lingering--
 	}
 }
 
@@ -78,30 +78,30 @@
 		return
 	}
 	c.closed = true
-	f := c.f
+	f := c.frontend
 	f.clients.Remove(c.ref)
 	delete(f.keys, c.pid)
-	f.loop.StopTimer(c.idle)
-	f.loop.StopTimer(c.limit)
-	if c.paused != nil {
-		c.paused.unpark()
-		c.paused = nil
+	f.eventLoop.StopTimer(c.idleTimer)
+	f.eventLoop.StopTimer(c.limitTimer)
+	if c.pausedLink != nil {
+		c.pausedLink.resumeReading()
+		c.pausedLink = nil
 	}
 	if c.pool != nil {
 		c.pool.clients--
 	}
 	c.recordEnd()
 	c.scatterGone()
-	defer c.leave()
-	t := c.txn
-	c.txn = nil
+	defer c.leavePool()
+	t := c.transaction
+	c.transaction = nil
 	if l := c.link; l != nil {
 		c.link, l.owner = nil, nil
 		switch {
-		case len(l.queue) > 0 || c.open || c.carry.Pins != 0 || t != nil:
+		case len(l.expected) > 0 || c.extendedOpen || c.state.Sticky != 0 || t != nil:
 			l.close() // in the midst of something, or with what must not be left to another
-		case c.status != 'I':
-			l.own("ROLLBACK", nil)
+		case c.sessionState != 'I':
+			l.sendOwn("ROLLBACK", nil)
 			l.free()
 		default:
 			l.free()
@@ -109,37 +109,37 @@
 	}
 	if t != nil && t.open && t.ref != (slotmap.Ref{}) { // else it is being put to the core, which hears of it then
 		t.open = false
-		f.desk.Abandon(t.ref)
+		f.dispatcher.Abandon(t.ref)
 	}
-	if c.carry != nil {
-		c.carry.Close()
+	if c.state != nil {
+		c.state.Close()
 	}
 }
 
-// left tells whether a client that is not read has gone: it reads no more, or sends no more while its transaction waits for a connection.
-func (c *client) left() bool {
+// hasDisconnected tells whether a client that is not read has gone: it reads no more, or sends no more while its transaction waits for a connection.
+func (c *client) hasDisconnected() bool {
 	peer := c.conn.PeerState()
-	return peer.Closed || peer.EndOfStream && c.queued()
+	return peer.Closed || peer.EndOfStream && c.waitsForConnection()
 }
 
-// shed closes the connection of a client that has nothing under way, while the front drains. What the client has sent is answered first, but not for
+// closeIfDraining closes the connection of a client that has nothing under way, while the front drains. What the client has sent is answered first, but not for
 // longer than a drain may take.
-func (c *client) shed() {
-	f := c.f
+func (c *client) closeIfDraining() {
+	f := c.frontend
 	if !f.draining || c.closed || c.conn == nil || c.busy() {
 		return
 	}
-	if ahead := c.in.Pending() > 0 || !c.conn.OpenAndIdle(); ahead && f.loop.Now() < f.drainedAt+cutMs {
+	if ahead := c.input.Pending() > 0 || !c.conn.OpenAndIdle(); ahead && f.eventLoop.Now() < f.drainStartedAt+cutMs {
 		return
 	}
-	c.fatal("57P01", "the pooler is shutting down")
+	c.endWithError("57P01", "the pooler is shutting down")
 }
 
 // endNow ends the connection with the last word on what is under way: the process ends.
 func (c *client) endNow() {
-	if l := c.link; l != nil && (l.committing() || c.status == 'I' && c.wrote && len(l.queue) > 0) {
-		c.fatal("08007", "the pooler has to end; whether the transaction was committed is unknown")
+	if l := c.link; l != nil && (l.committing() || c.sessionState == 'I' && c.wrote && len(l.expected) > 0) {
+		c.endWithError("08007", "the pooler has to end; whether the transaction was committed is unknown")
 		return
 	}
-	c.fatal("57P01", "the pooler has to end; nothing of an open transaction was committed")
+	c.endWithError("57P01", "the pooler has to end; nothing of an open transaction was committed")
 }
--- a/internal/frontend/pooling/connpool/door.go
+++ b/internal/frontend/pooling/connpool/door.go
@@ -1,66 +1,66 @@
 package connpool
 
-// door lets as many transactions of one kind in as there may be connections. The others wait before it, so that nobody
+// admissionQueue lets as many transactions of one kind in as there may be connections. The others wait before it, so that nobody
 // takes their wait for a server's own time.
-type door struct {
-	line
-	in int
+type admissionQueue struct {
+	waitQueue
+	admitted int
 }
 
-// Enter asks to be let in with a transaction of some kind: those that came before go first. Exit ends it, in either
+// Admit asks to be let in with a transaction of some kind: those that came before go first. Exit ends it, in either
 // state.
-func (p *Pool) Enter(w ID, kind string, now float64) []Action {
-	d := p.doors[kind]
-	if d == nil {
-		d = &door{}
-		p.doors[kind] = d
+func (p *Pool) Admit(w ID, kind string, now float64) []Action {
+	admission := p.admissions[kind]
+	if admission == nil {
+		admission = &admissionQueue{}
+		p.admissions[kind] = admission
 	}
-	if p.inside[w] != nil || p.outside[w] != nil {
+	if p.admitted[w] != nil || p.queued[w] != nil {
 		return nil
 	}
-	p.seq++
-	x := &waiter{id: w, server: kind, since: now, seq: p.seq}
-	d.list = append(d.list, x)
-	d.n++
-	p.outside[w] = x
-	p.admit(d)
-	if p.outside[w] != nil && len(p.outside) > p.lim.Queue {
-		p.turnAway(x)
+	p.sequence++
+	x := &waiter{id: w, server: kind, since: now, sequence: p.sequence}
+	admission.waiters = append(admission.waiters, x)
+	admission.length++
+	p.queued[w] = x
+	p.admitQueued(admission)
+	if p.queued[w] != nil && len(p.queued) > p.limits.MaxWaiting {
+		p.rejectQueued(x)
 	}
-	return p.done()
+	return p.takeActions()
 }
 
-// Exit tells that a transaction is over, or that its client wants it no more.
-func (p *Pool) Exit(w ID) []Action {
-	if d := p.inside[w]; d != nil {
-		delete(p.inside, w)
-		d.in--
-		p.admit(d)
-	} else if x := p.outside[w]; x != nil {
-		x.gone = true
-		p.doors[x.server].n--
-		delete(p.outside, w)
+// Leave tells that a transaction is over, or that its client wants it no more.
+func (p *Pool) Leave(w ID) []Action {
+	if admission := p.admitted[w]; admission != nil {
+		delete(p.admitted, w)
+		admission.admitted--
+		p.admitQueued(admission)
+	} else if x := p.queued[w]; x != nil {
+		x.removed = true
+		p.admissions[x.server].length--
+		delete(p.queued, w)
 	}
-	return p.done()
+	return p.takeActions()
 }
 
-func (p *Pool) admit(d *door) {
-	for w := d.first(); w != nil && d.in < p.lim.Most+p.lim.Reserve; w = d.first() {
-		w.gone = true
-		d.n--
-		d.in++
-		delete(p.outside, w.id)
-		p.inside[w.id] = d
-		p.act(Action{Do: Admit, Waiter: w.id})
+func (p *Pool) admitQueued(admission *admissionQueue) {
+	for w := admission.first(); w != nil && admission.admitted < p.limits.MaxConns+p.limits.Reserve; w = admission.first() {
+		w.removed = true
+		admission.length--
+		admission.admitted++
+		delete(p.queued, w.id)
+		p.admitted[w.id] = admission
+		p.emit(Action{Kind: Admit, Waiter: w.id})
 	}
 }
 
-func (p *Pool) turnAway(w *waiter) {
-	w.gone = true
-	p.doors[w.server].n--
-	delete(p.outside, w.id)
-	p.act(Action{Do: Refuse, Waiter: w.id})
+func (p *Pool) rejectQueued(w *waiter) {
+	w.removed = true
+	p.admissions[w.server].length--
+	delete(p.queued, w.id)
+	p.emit(Action{Kind: Reject, Waiter: w.id})
 }
 
-// Outside is how many wait to be let in.
-func (p *Pool) Outside() int { return len(p.outside) }
+// QueuedTransactions is how many wait to be let in.
+func (p *Pool) QueuedTransactions() int { return len(p.queued) }
--- a/internal/frontend/pooling/connpool/invariants.go
+++ b/internal/frontend/pooling/connpool/invariants.go
@@ -28,36 +28,38 @@
 			return fmt.Sprintf("%s: %+v; %d connections, %d idle", name, *s, conns[name], len(p.idle[name]))
 		}
 		x.That(s.conns == conns[name] && s.dialing >= 0, "pools: connections by server agree", state)
-		x.That(!s.barred || len(p.idle[name]) == 0 && p.lines[name] == nil, "pools: nothing idles or waits at a server that is barred", state)
+		x.That(!s.barred || len(p.idle[name]) == 0 && p.queues[name] == nil, "pools: nothing idles or waits at a server that is barred", state)
 		delete(conns, name)
 	}
 	x.That(len(conns) == 0 && dialing == p.dialing, "pools: connections by server agree", func() string { return fmt.Sprintf("%v more; %d coming up, counted %d", conns, dialing, p.dialing) })
-	x.That(p.told || len(p.conns)+p.dialing <= p.lim.Most+p.lim.Reserve, "pools: no more connections than may be", func() string {
-		return fmt.Sprintf("%d and %d coming up of %+v", len(p.conns), p.dialing, p.lim)
+	x.That(p.assigned || len(p.conns)+p.dialing <= p.limits.MaxConns+p.limits.Reserve, "pools: no more connections than may be", func() string {
+		return fmt.Sprintf("%d and %d coming up of %+v", len(p.conns), p.dialing, p.limits)
 	})
 	waits := 0
-	for name, l := range p.lines {
-		waits += l.n
-		x.That(l.n > 0 && l.n == l.there(p.waits), "pools: who waits is in line", func() string { return fmt.Sprintf("%s: %d in line, counted %d", name, l.there(p.waits), l.n) })
+	for name, queue := range p.queues {
+		waits += queue.length
+		x.That(queue.length > 0 && queue.length == queue.countWaiting(p.waiting), "pools: who waits is in line", func() string {
+			return fmt.Sprintf("%s: %d in line, counted %d", name, queue.countWaiting(p.waiting), queue.length)
+		})
 	}
-	x.That(waits == len(p.waits), "pools: who waits is in line", func() string { return fmt.Sprintf("%d in lines, %d wait", waits, len(p.waits)) })
-	in, out := map[*door]int{}, 0
-	for _, d := range p.inside {
-		in[d]++
+	x.That(waits == len(p.waiting), "pools: who waits is in line", func() string { return fmt.Sprintf("%d in lines, %d wait", waits, len(p.waiting)) })
+	in, out := map[*admissionQueue]int{}, 0
+	for _, admission := range p.admitted {
+		in[admission]++
 	}
-	for kind, d := range p.doors {
-		out += d.n
-		x.That(d.in == in[d] && d.n == d.there(p.outside), "pools: who is let in is counted", func() string {
-			return fmt.Sprintf("%s: %d in, counted %d; %d before it, counted %d", kind, in[d], d.in, d.there(p.outside), d.n)
+	for kind, admission := range p.admissions {
+		out += admission.length
+		x.That(admission.admitted == in[admission] && admission.length == admission.countWaiting(p.queued), "pools: who is let in is counted", func() string {
+			return fmt.Sprintf("%s: %d in, counted %d; %d before it, counted %d", kind, in[admission], admission.admitted, admission.countWaiting(p.queued), admission.length)
 		})
 	}
-	x.That(out == len(p.outside), "pools: who is let in is counted", func() string { return fmt.Sprintf("%d before doors, %d wait", out, len(p.outside)) })
+	x.That(out == len(p.queued), "pools: who is let in is counted", func() string { return fmt.Sprintf("%d before doors, %d wait", out, len(p.queued)) })
 }
 
-// there is how many of a line have not left it.
-func (l *line) there(waits map[ID]*waiter) (n int) {
-	for _, w := range l.list[l.head:] {
-		if w != nil && !w.gone && waits[w.id] == w {
+// countWaiting is how many of a line have not left it.
+func (queue *waitQueue) countWaiting(waits map[ID]*waiter) (n int) {
+	for _, w := range queue.waiters[queue.head:] {
+		if w != nil && !w.removed && waits[w.id] == w {
 			n++
 		}
 	}
--- a/internal/frontend/pooling/connpool/line.go
+++ b/internal/frontend/pooling/connpool/line.go
@@ -1,70 +1,70 @@
 package connpool
 
 type waiter struct {
-	id     ID
-	server string
-	since  float64
-	seq    uint64
-	gone   bool // it has left the line and is only not taken out yet
+	id       ID
+	server   string
+	since    float64
+	sequence uint64
+	removed  bool // it has left the line and is only not taken out yet
 }
 
-// line is those who wait for one server, in the order of their coming.
-type line struct {
-	list []*waiter
-	head int
-	n    int // that have not gone
+// waitQueue is those who wait for one server, in the order of their coming.
+type waitQueue struct {
+	waiters []*waiter
+	head    int
+	length  int // that have not gone
 }
 
-func (l *line) first() *waiter {
-	for l.head < len(l.list) && l.list[l.head].gone {
-		l.list[l.head] = nil
-		l.head++
+func (queue *waitQueue) first() *waiter {
+	for queue.head < len(queue.waiters) && queue.waiters[queue.head].removed {
+		queue.waiters[queue.head] = nil
+		queue.head++
 	}
-	if l.head == len(l.list) {
-		l.list, l.head = l.list[:0], 0
+	if queue.head == len(queue.waiters) {
+		queue.waiters, queue.head = queue.waiters[:0], 0
 		return nil
 	}
-	if l.head > 256 && l.head > len(l.list)/2 {
-		l.list = l.list[:copy(l.list, l.list[l.head:])]
-		l.head = 0
+	if queue.head > 256 && queue.head > len(queue.waiters)/2 {
+		queue.waiters = queue.waiters[:copy(queue.waiters, queue.waiters[queue.head:])]
+		queue.head = 0
 	}
-	return l.list[l.head]
+	return queue.waiters[queue.head]
 }
 
-// shareMs is by how much longer those for another server must have waited, for a connection that comes free to make
+// fairnessMs is by how much longer those for another server must have waited, for a connection that comes free to make
 // room for one of theirs.
-const shareMs = 100
+const fairnessMs = 100
 
-// Oldest is since when the one that waits longest does, 0 for nobody.
-func (p *Pool) Oldest() float64 {
-	if w := p.longest(""); w != nil {
+// OldestWait is since when the one that waits longest does, 0 for nobody.
+func (p *Pool) OldestWait() float64 {
+	if w := p.longestWaiting(""); w != nil {
 		return w.since
 	}
 	return 0
 }
 
-// longest is who waits longest, for another server than the given one.
-func (p *Pool) longest(but string) (found *waiter) {
-	for name, l := range p.lines {
-		if w := l.first(); w != nil && name != but && (found == nil || w.seq < found.seq) {
+// longestWaiting is who waits longest, for another server than the given one.
+func (p *Pool) longestWaiting(but string) (found *waiter) {
+	for name, queue := range p.queues {
+		if w := queue.first(); w != nil && name != but && (found == nil || w.sequence < found.sequence) {
 			found = w
 		}
 	}
 	return found
 }
 
-// depart takes a waiter out.
-func (p *Pool) depart(w *waiter) {
-	w.gone = true
-	delete(p.waits, w.id)
-	if l := p.lines[w.server]; l != nil {
-		if l.n--; l.n == 0 {
-			delete(p.lines, w.server)
+// dequeue takes a waiter out.
+func (p *Pool) dequeue(w *waiter) {
+	w.removed = true
+	delete(p.waiting, w.id)
+	if queue := p.queues[w.server]; queue != nil {
+		if queue.length--; queue.length == 0 {
+			delete(p.queues, w.server)
 		}
 	}
 }
 
-func (p *Pool) refuse(w *waiter) {
-	p.depart(w)
-	p.act(Action{Do: Refuse, Server: w.server, Waiter: w.id})
+func (p *Pool) rejectWaiter(w *waiter) {
+	p.dequeue(w)
+	p.emit(Action{Kind: Reject, Server: w.server, Waiter: w.id})
 }
--- a/internal/frontend/pooling/connpool/share.go
+++ b/internal/frontend/pooling/connpool/share.go
@@ -6,16 +6,16 @@
 
 // Limits are a pool's. Times are in milliseconds; 0 stands for no limit.
 type Limits struct {
-	Most      int // connections to all servers together
-	PerServer int // connections to one server, 0 for Most
-	Reserve   int // more of them, for those that have waited ReserveMs
-	ReserveMs float64
-	Queue     int     // that wait at most
-	WaitMs    float64 // longest wait
-	LifeMs    float64 // a connection older than that is closed once it is free
-	IdleMs    float64 // a connection idle for longer is closed
-	Dials     int     // connections to one server that come up at once: a cold one is not pushed over by them
-	AgainMs   float64 // after a dial that failed, before the next one to that server
+	MaxConns     int // connections to all servers together
+	MaxPerServer int // connections to one server, 0 for Most
+	Reserve      int // more of them, for those that have waited ReserveMs
+	ReserveMs    float64
+	MaxWaiting   int     // that wait at most
+	MaxWaitMs    float64 // longest wait
+	MaxAgeMs     float64 // a connection older than that is closed once it is free
+	MaxIdleMs    float64 // a connection idle for longer is closed
+	MaxDials     int     // connections to one server that come up at once: a cold one is not pushed over by them
+	RedialMs     float64 // after a dial that failed, before the next one to that server
 }
 
 // ID names a connection or a waiter; the caller gives it.
@@ -23,22 +23,22 @@
 
 // Action is what is to be done.
 type Action struct {
-	Do     Do
+	Kind   ActionKind
 	Server string
 	Conn   ID
 	Waiter ID
 }
 
-// Do says what.
-type Do uint8
+// ActionKind says what.
+type ActionKind uint8
 
 // What may be to be done.
 const (
-	Dial   Do = iota // open a connection to Server; answered by Up or Down
-	Give             // Conn is Waiter's now
-	Refuse           // Waiter is turned away: the queue is full or it has waited too long
-	Close            // Conn is to be closed; nobody has it
-	Admit            // Waiter may ask for a connection now
+	Dial   ActionKind = iota // open a connection to Server; answered by Up or Down
+	Assign                   // Conn is Waiter's now
+	Reject                   // Waiter is turned away: the queue is full or it has waited too long
+	Close                    // Conn is to be closed; nobody has it
+	Admit                    // Waiter may ask for a connection now
 )
 
 type state uint8
@@ -49,46 +49,46 @@
 )
 
 type conn struct {
-	id     ID
-	server string
-	state  state
-	born   float64
-	since  float64 // idle since
-	doomed bool    // closed once it is free
+	id            ID
+	server        string
+	state         state
+	openedAt      float64
+	since         float64 // idle since
+	closeWhenFree bool    // closed once it is free
 }
 
 type server struct {
-	dialing int
-	conns   int
-	until   float64 // no dial before
-	barred  bool    // it drains or is gone
+	dialing      int
+	conns        int
+	noDialBefore float64 // no dial before
+	barred       bool    // it drains or is gone
 }
 
 // Pool is one pool: a database and a user.
 type Pool struct {
-	lim     Limits
-	conns   map[ID]*conn
-	idle    map[string][]*conn // by server, the one used last at the end
-	waits   map[ID]*waiter
-	lines   map[string]*line // of the servers that somebody waits for
-	doors   map[string]*door // by kind of transaction
-	inside  map[ID]*door     // those that were let in
-	outside map[ID]*waiter   // those that wait to be
-	servers map[string]*server
-	dialing int
-	seq     uint64
-	out     []Action
-	told    bool // Most is told, and may fall
-	own     Limits
+	limits     Limits
+	conns      map[ID]*conn
+	idle       map[string][]*conn // by server, the one used last at the end
+	waiting    map[ID]*waiter
+	queues     map[string]*waitQueue      // of the servers that somebody waits for
+	admissions map[string]*admissionQueue // by kind of transaction
+	admitted   map[ID]*admissionQueue     // those that were let in
+	queued     map[ID]*waiter             // those that wait to be
+	servers    map[string]*server
+	dialing    int
+	sequence   uint64
+	actions    []Action
+	assigned   bool // Most is told, and may fall
+	configured Limits
 }
 
 // New makes a pool.
-func New(lim Limits) *Pool {
-	if lim.PerServer <= 0 {
-		lim.PerServer = lim.Most + lim.Reserve
+func New(limits Limits) *Pool {
+	if limits.MaxPerServer <= 0 {
+		limits.MaxPerServer = limits.MaxConns + limits.Reserve
 	}
-	lim.Dials = max(1, lim.Dials)
-	return &Pool{lim: lim, own: lim, doors: map[string]*door{}, inside: map[ID]*door{}, outside: map[ID]*waiter{}, waits: map[ID]*waiter{}, lines: map[string]*line{}, conns: map[ID]*conn{}, idle: map[string][]*conn{}, servers: map[string]*server{}}
+	limits.MaxDials = max(1, limits.MaxDials)
+	return &Pool{limits: limits, configured: limits, admissions: map[string]*admissionQueue{}, admitted: map[ID]*admissionQueue{}, queued: map[ID]*waiter{}, waiting: map[ID]*waiter{}, queues: map[string]*waitQueue{}, conns: map[ID]*conn{}, idle: map[string][]*conn{}, servers: map[string]*server{}}
 }
 
 // Counts is how many connections are idle, in use and coming up, and how many clients wait.
@@ -96,7 +96,7 @@
 	for _, l := range p.idle {
 		idle += len(l)
 	}
-	return idle, len(p.conns) - idle, p.dialing, len(p.waits)
+	return idle, len(p.conns) - idle, p.dialing, len(p.waiting)
 }
 
 func (p *Pool) server(name string) *server {
@@ -108,95 +108,95 @@
 	return s
 }
 
-func (p *Pool) act(a Action) { p.out = append(p.out, a) }
+func (p *Pool) emit(a Action) { p.actions = append(p.actions, a) }
 
-func (p *Pool) done() []Action {
-	out := p.out
-	p.out = nil
+func (p *Pool) takeActions() []Action {
+	out := p.actions
+	p.actions = nil
 	return out
 }
 
-// Want asks for a connection to a server. Those that came before for the same server go first.
-func (p *Pool) Want(w ID, to string, now float64) []Action {
+// Request asks for a connection to a server. Those that came before for the same server go first.
+func (p *Pool) Request(w ID, to string, now float64) []Action {
 	if p.server(to).barred {
-		p.act(Action{Do: Refuse, Server: to, Waiter: w})
-		return p.done()
+		p.emit(Action{Kind: Reject, Server: to, Waiter: w})
+		return p.takeActions()
 	}
-	p.seq++
-	x := &waiter{id: w, server: to, since: now, seq: p.seq}
-	l := p.lines[to]
-	if l == nil {
-		l = &line{}
-		p.lines[to] = l
+	p.sequence++
+	x := &waiter{id: w, server: to, since: now, sequence: p.sequence}
+	queue := p.queues[to]
+	if queue == nil {
+		queue = &waitQueue{}
+		p.queues[to] = queue
 	}
-	l.list = append(l.list, x)
-	l.n++
-	p.waits[w] = x
+	queue.waiters = append(queue.waiters, x)
+	queue.length++
+	p.waiting[w] = x
 	p.serve(to, now)
 	// It may only wait where there is room to: a place in the queue counts for those that found nothing.
-	if len(p.waits) > p.lim.Queue && !x.gone {
-		p.refuse(x)
+	if len(p.waiting) > p.limits.MaxWaiting && !x.removed {
+		p.rejectWaiter(x)
 	}
-	return p.done()
+	return p.takeActions()
 }
 
-// Leave takes a waiter out that wants nothing any more.
-func (p *Pool) Leave(w ID, now float64) []Action {
-	if x := p.waits[w]; x != nil {
-		p.depart(x)
+// Withdraw takes a waiter out that wants nothing any more.
+func (p *Pool) Withdraw(w ID, now float64) []Action {
+	if x := p.waiting[w]; x != nil {
+		p.dequeue(x)
 	}
-	return p.done()
+	return p.takeActions()
 }
 
-// Up tells that a dial has become a connection.
-func (p *Pool) Up(c ID, to string, now float64) []Action {
+// Opened tells that a dial has become a connection.
+func (p *Pool) Opened(c ID, to string, now float64) []Action {
 	s := p.server(to)
 	s.dialing--
 	p.dialing--
 	s.conns++
-	x := &conn{id: c, server: to, born: now}
+	x := &conn{id: c, server: to, openedAt: now}
 	p.conns[c] = x
 	p.free(x, now)
 	p.serve(to, now)
-	return p.done()
+	return p.takeActions()
 }
 
-// Down tells that a dial has failed. Those who wait for that server are told, in their order, one for each dial: it is
+// DialFailed tells that a dial has failed. Those who wait for that server are told, in their order, one for each dial: it is
 // for the router to say where they go next.
-func (p *Pool) Down(to string, now float64) []Action {
+func (p *Pool) DialFailed(to string, now float64) []Action {
 	s := p.server(to)
 	s.dialing--
 	p.dialing--
-	s.until = now + p.lim.AgainMs
-	if l := p.lines[to]; l != nil {
-		p.refuse(l.first())
+	s.noDialBefore = now + p.limits.RedialMs
+	if queue := p.queues[to]; queue != nil {
+		p.rejectWaiter(queue.first())
 	}
 	p.serve(to, now)
-	return p.done()
+	return p.takeActions()
 }
 
-// Free tells that whoever had a connection is done with it.
-func (p *Pool) Free(c ID, now float64) []Action {
+// Release tells that whoever had a connection is done with it.
+func (p *Pool) Release(c ID, now float64) []Action {
 	if x := p.conns[c]; x != nil && x.state == used {
-		if w := p.longest(x.server); w != nil && len(p.conns)+p.dialing >= p.lim.Most && p.behind(w, x.server) && p.room(w.server, now) {
-			x.doomed = true // those for another server have waited far longer than any for this one
+		if w := p.longestWaiting(x.server); w != nil && len(p.conns)+p.dialing >= p.limits.MaxConns && p.waitedLonger(w, x.server) && p.mayDial(w.server, now) {
+			x.closeWhenFree = true // those for another server have waited far longer than any for this one
 		}
 		p.free(x, now)
 		p.serve(x.server, now)
 	}
-	return p.done()
+	return p.takeActions()
 }
 
-// behind tells whether a waiter has waited much longer than any for a server.
-func (p *Pool) behind(w *waiter, server string) bool {
-	l := p.lines[server]
-	return l != nil && l.first().since-w.since >= shareMs
+// waitedLonger tells whether a waiter has waited much longer than any for a server.
+func (p *Pool) waitedLonger(w *waiter, server string) bool {
+	queue := p.queues[server]
+	return queue != nil && queue.first().since-w.since >= fairnessMs
 }
 
-// Tell has this pool's connections be so many at most, in place of what the settings say and its reserve; Untell ends it. Idle ones that
+// AssignLimit has this pool's connections be so many at most, in place of what the settings say and its reserve; Untell ends it. Idle ones that
 // are beyond are closed, those in use once they are free.
-func (p *Pool) Tell(most int, now float64) []Action {
-	p.told, p.lim.Most, p.lim.Reserve = true, most, 0
+func (p *Pool) AssignLimit(most int, now float64) []Action {
+	p.assigned, p.limits.MaxConns, p.limits.Reserve = true, most, 0
 	for len(p.conns)+p.dialing > most {
 		var oldest *conn
 		for _, l := range p.idle {
@@ -208,29 +208,29 @@
 			break
 		}
 		p.drop(oldest)
-		p.act(Action{Do: Close, Server: oldest.server, Conn: oldest.id})
+		p.emit(Action{Kind: Close, Server: oldest.server, Conn: oldest.id})
 	}
-	for _, d := range p.doors {
-		p.admit(d)
+	for _, admission := range p.admissions {
+		p.admitQueued(admission)
 	}
-	p.open(now)
-	return p.done()
+	p.dialForWaiting(now)
+	return p.takeActions()
 }
 
-// Untell has the pool's limits be those of the settings again.
-func (p *Pool) Untell(now float64) []Action {
-	p.told, p.lim.Most, p.lim.Reserve = false, p.own.Most, p.own.Reserve
-	for _, d := range p.doors {
-		p.admit(d)
+// RestoreLimits has the pool's limits be those of the settings again.
+func (p *Pool) RestoreLimits(now float64) []Action {
+	p.assigned, p.limits.MaxConns, p.limits.Reserve = false, p.configured.MaxConns, p.configured.Reserve
+	for _, admission := range p.admissions {
+		p.admitQueued(admission)
 	}
-	p.open(now)
-	return p.done()
+	p.dialForWaiting(now)
+	return p.takeActions()
 }
 
 func (p *Pool) free(x *conn, now float64) {
-	if x.doomed || p.told && len(p.conns)+p.dialing > p.lim.Most || p.server(x.server).barred || p.lim.LifeMs > 0 && now-x.born >= p.lim.LifeMs {
+	if x.closeWhenFree || p.assigned && len(p.conns)+p.dialing > p.limits.MaxConns || p.server(x.server).barred || p.limits.MaxAgeMs > 0 && now-x.openedAt >= p.limits.MaxAgeMs {
 		p.drop(x)
-		p.act(Action{Do: Close, Server: x.server, Conn: x.id})
+		p.emit(Action{Kind: Close, Server: x.server, Conn: x.id})
 		return
 	}
 	x.state, x.since = idle, now
@@ -243,7 +243,7 @@
 		p.drop(x)
 		p.serve(x.server, now)
 	}
-	return p.done()
+	return p.takeActions()
 }
 
 func (p *Pool) drop(x *conn) {
--- a/internal/frontend/pooling/connpool/share_test.go
+++ b/internal/frontend/pooling/connpool/share_test.go
@@ -10,15 +10,15 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// world is a simple model that a pool is held against.
-type world struct {
+// model is a simple model that a pool is held against.
+type model struct {
 	t       *rapid.T
-	p       *Pool
-	lim     Limits
+	pool    *Pool
+	limits  Limits
 	now     float64
 	conns   map[ID]string // to which server
 	owner   map[ID]ID     // connection to whom it was given
-	waits   map[ID]string
+	waiting map[ID]string
 	since   map[ID]float64
 	order   []ID
 	dialing map[string]int
@@ -26,42 +26,42 @@
 	last    ID
 }
 
-// take checks what the pool decided, and does it.
-func (w *world) take(actions []Action) {
+// apply checks what the pool decided, and does it.
+func (w *model) apply(actions []Action) {
 	for _, a := range actions {
-		switch a.Do {
+		switch a.Kind {
 		case Dial:
 			w.dialing[a.Server]++
 			all := len(w.conns)
 			for _, n := range w.dialing {
 				all += n
 			}
-			if all > w.lim.Most+w.lim.Reserve || w.dialing[a.Server] > w.lim.Dials {
+			if all > w.limits.MaxConns+w.limits.Reserve || w.dialing[a.Server] > w.limits.MaxDials {
 				w.t.Fatalf("%d connections with those that come up, %d to %s", all, w.dialing[a.Server], a.Server)
 			}
 			if w.barred[a.Server] {
 				w.t.Fatalf("a connection is opened to %s, which drains", a.Server)
 			}
-		case Give:
+		case Assign:
 			server, up := w.conns[a.Conn]
-			if _, used := w.owner[a.Conn]; !up || used || w.waits[a.Waiter] != server {
-				w.t.Fatalf("connection %d to %q was given to %d, who waits for %q; used: %v", a.Conn, server, a.Waiter, w.waits[a.Waiter], used)
+			if _, used := w.owner[a.Conn]; !up || used || w.waiting[a.Waiter] != server {
+				w.t.Fatalf("connection %d to %q was given to %d, who waits for %q; used: %v", a.Conn, server, a.Waiter, w.waiting[a.Waiter], used)
 			}
 			for _, id := range w.order {
 				if id == a.Waiter {
 					break
 				}
-				if w.waits[id] == server {
+				if w.waiting[id] == server {
 					w.t.Fatalf("%d was passed over by %d", id, a.Waiter)
 				}
 			}
 			w.owner[a.Conn] = a.Waiter
-			w.leave(a.Waiter)
-		case Refuse:
-			if _, ok := w.waits[a.Waiter]; !ok {
+			w.removeWaiter(a.Waiter)
+		case Reject:
+			if _, ok := w.waiting[a.Waiter]; !ok {
 				w.t.Fatalf("%d is refused and does not wait", a.Waiter)
 			}
-			w.leave(a.Waiter)
+			w.removeWaiter(a.Waiter)
 		case Close:
 			if _, used := w.owner[a.Conn]; used {
 				w.t.Fatalf("connection %d is closed while it is in use", a.Conn)
@@ -72,8 +72,8 @@
 			delete(w.conns, a.Conn)
 		}
 	}
-	w.p.Check(invariant.Test(w.t))
-	idle, used, dialing, waiting := w.p.Counts()
+	w.pool.Check(invariant.Test(w.t))
+	idle, used, dialing, waiting := w.pool.Counts()
 	sum := 0
 	for _, n := range w.dialing {
 		sum += n
@@ -82,13 +82,13 @@
 		w.t.Fatalf("the pool counts %d idle, %d used, %d coming up, %d waiting; there are %d of which %d are used, %d, %d", idle, used, dialing, waiting,
 			len(w.conns), len(w.owner), sum, len(w.order))
 	}
-	if waiting > w.lim.Queue {
-		w.t.Fatalf("%d wait, %d may", waiting, w.lim.Queue)
+	if waiting > w.limits.MaxWaiting {
+		w.t.Fatalf("%d wait, %d may", waiting, w.limits.MaxWaiting)
 	}
 }
 
-func (w *world) leave(id ID) {
-	delete(w.waits, id)
+func (w *model) removeWaiter(id ID) {
+	delete(w.waiting, id)
 	for i, x := range w.order {
 		if x == id {
 			w.order = append(w.order[:i:i], w.order[i+1:]...)
@@ -96,13 +96,13 @@
 	}
 }
 
-// TestPool holds a pool to a simple model: whatever happens, no connection is given twice, nobody is passed over, the
+// TestPoolAgreesWithModel holds a pool to a simple model: whatever happens, no connection is given twice, nobody is passed over, the
 // bounds hold, and all who wait have an end.
-func TestPool(t *testing.T) {
+func TestPoolAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		lim := Limits{Most: rapid.IntRange(1, 5).Draw(t, "most"), Reserve: rapid.IntRange(0, 2).Draw(t, "reserve"), ReserveMs: 50, Queue: rapid.IntRange(0, 8).Draw(t, "queue"),
-			WaitMs: 1000, LifeMs: 5000, IdleMs: 500, Dials: rapid.IntRange(1, 3).Draw(t, "dials"), AgainMs: 20}
-		w := &world{t: t, p: New(lim), lim: lim, conns: map[ID]string{}, owner: map[ID]ID{}, waits: map[ID]string{}, since: map[ID]float64{},
+		limits := Limits{MaxConns: rapid.IntRange(1, 5).Draw(t, "most"), Reserve: rapid.IntRange(0, 2).Draw(t, "reserve"), ReserveMs: 50, MaxWaiting: rapid.IntRange(0, 8).Draw(t, "queue"),
+			MaxWaitMs: 1000, MaxAgeMs: 5000, MaxIdleMs: 500, MaxDials: rapid.IntRange(1, 3).Draw(t, "dials"), RedialMs: 20}
+		w := &model{t: t, pool: New(limits), limits: limits, conns: map[ID]string{}, owner: map[ID]ID{}, waiting: map[ID]string{}, since: map[ID]float64{},
 			dialing: map[string]int{}, barred: map[string]bool{}}
 		servers := []string{"a", "b"}
 		pick := func(m map[ID]ID) (ID, bool) {
@@ -122,41 +122,41 @@
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
 				w.last++
-				w.waits[w.last], w.since[w.last] = server, w.now
+				w.waiting[w.last], w.since[w.last] = server, w.now
 				w.order = append(w.order, w.last)
-				w.take(w.p.Want(w.last, server, w.now))
+				w.apply(w.pool.Request(w.last, server, w.now))
 			case 3, 4:
 				if w.dialing[server] > 0 {
 					w.dialing[server]--
 					w.last++
 					w.conns[w.last] = server
-					w.take(w.p.Up(w.last, server, w.now))
+					w.apply(w.pool.Opened(w.last, server, w.now))
 				}
 			case 5:
 				if w.dialing[server] > 0 {
 					w.dialing[server]--
-					w.take(w.p.Down(server, w.now))
+					w.apply(w.pool.DialFailed(server, w.now))
 				}
 			case 6, 7:
 				if c, ok := pick(w.owner); ok {
 					delete(w.owner, c)
 					if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
 						delete(w.conns, c)
-						w.take(w.p.Lost(c, w.now))
+						w.apply(w.pool.Lost(c, w.now))
 					} else {
-						w.take(w.p.Free(c, w.now))
+						w.apply(w.pool.Release(c, w.now))
 					}
 				}
 			case 8:
 				w.now += rapid.Float64Range(0, 400).Draw(t, "time")
-				w.take(w.p.Beat(w.now))
+				w.apply(w.pool.Tick(w.now))
 			case 9:
 				if w.barred[server] {
 					w.barred[server] = false
-					w.p.Unbar(server)
+					w.pool.Unbar(server)
 				} else {
 					w.barred[server] = true
-					w.take(w.p.Bar(server, w.now))
+					w.apply(w.pool.Bar(server, w.now))
 				}
 			}
 		}
@@ -164,43 +164,43 @@
 		for c := ID(1); c <= w.last; c++ {
 			if _, ok := w.owner[c]; ok {
 				delete(w.owner, c)
-				w.take(w.p.Free(c, w.now))
+				w.apply(w.pool.Release(c, w.now))
 			}
 		}
 		w.now += 2000
-		w.take(w.p.Beat(w.now))
+		w.apply(w.pool.Tick(w.now))
 		if len(w.order) > 0 {
 			t.Fatalf("%v wait for ever", w.order)
 		}
 	})
 }
 
-// TestRoom: with all connections idle at one server, a waiter for another has one closed for it; a reserve is opened only
+// TestIdleConnectionMakesWayForOtherServer: with all connections idle at one server, a waiter for another has one closed for it; a reserve is opened only
 // behind its time.
-func TestRoom(t *testing.T) {
-	p := New(Limits{Most: 1, Reserve: 1, ReserveMs: 100, Queue: 9})
+func TestIdleConnectionMakesWayForOtherServer(t *testing.T) {
+	p := New(Limits{MaxConns: 1, Reserve: 1, ReserveMs: 100, MaxWaiting: 9})
 	check := func(want, got []Action) {
 		t.Helper()
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
 	}
-	check([]Action{{Do: Dial, Server: "a"}}, p.Want(1, "a", 0))
-	check([]Action{{Do: Give, Server: "a", Conn: 9, Waiter: 1}}, p.Up(9, "a", 1))
-	check(nil, p.Free(9, 2))
-	check([]Action{{Do: Close, Server: "a", Conn: 9}, {Do: Dial, Server: "b"}}, p.Want(2, "b", 3))
-	check([]Action{{Do: Give, Server: "b", Conn: 10, Waiter: 2}}, p.Up(10, "b", 4))
-	check(nil, p.Want(3, "b", 5))
-	check(nil, p.Beat(50))
-	check([]Action{{Do: Dial, Server: "b"}}, p.Beat(105))
+	check([]Action{{Kind: Dial, Server: "a"}}, p.Request(1, "a", 0))
+	check([]Action{{Kind: Assign, Server: "a", Conn: 9, Waiter: 1}}, p.Opened(9, "a", 1))
+	check(nil, p.Release(9, 2))
+	check([]Action{{Kind: Close, Server: "a", Conn: 9}, {Kind: Dial, Server: "b"}}, p.Request(2, "b", 3))
+	check([]Action{{Kind: Assign, Server: "b", Conn: 10, Waiter: 2}}, p.Opened(10, "b", 4))
+	check(nil, p.Request(3, "b", 5))
+	check(nil, p.Tick(50))
+	check([]Action{{Kind: Dial, Server: "b"}}, p.Tick(105))
 }
 
-// TestDoor: no more are let in than there may be connections, the first come first, each kind by itself; whoever waits
+// TestAdmissionAgreesWithModel: no more are let in than there may be connections, the first come first, each kind by itself; whoever waits
 // too long or finds no place is turned away, and whoever leaves makes room.
-func TestDoor(t *testing.T) {
+func TestAdmissionAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		lim := Limits{Most: rapid.IntRange(1, 3).Draw(t, "most"), Queue: rapid.IntRange(0, 4).Draw(t, "queue"), WaitMs: 1000}
-		p, now, last := New(lim), 0.0, ID(0)
+		limits := Limits{MaxConns: rapid.IntRange(1, 3).Draw(t, "most"), MaxWaiting: rapid.IntRange(0, 4).Draw(t, "queue"), MaxWaitMs: 1000}
+		p, now, last := New(limits), 0.0, ID(0)
 		in, out := map[ID]string{}, map[ID]string{}
 		take := func(actions []Action) {
 			for _, a := range actions {
@@ -209,7 +209,7 @@
 					t.Fatalf("%+v: it does not wait", a)
 				}
 				delete(out, a.Waiter)
-				if a.Do != Admit {
+				if a.Kind != Admit {
 					continue
 				}
 				n := 0
@@ -223,12 +223,12 @@
 						t.Fatalf("%d was let in before %d", a.Waiter, id)
 					}
 				}
-				if in[a.Waiter] = kind; n >= lim.Most {
-					t.Fatalf("%d of a kind are in, %d may be", n+1, lim.Most)
+				if in[a.Waiter] = kind; n >= limits.MaxConns {
+					t.Fatalf("%d of a kind are in, %d may be", n+1, limits.MaxConns)
 				}
 			}
-			if len(out) != p.Outside() || len(out) > lim.Queue {
-				t.Fatalf("%d wait, it counts %d, %d may", len(out), p.Outside(), lim.Queue)
+			if len(out) != p.QueuedTransactions() || len(out) > limits.MaxWaiting {
+				t.Fatalf("%d wait, it counts %d, %d may", len(out), p.QueuedTransactions(), limits.MaxWaiting)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -237,53 +237,53 @@
 				last++
 				kind := rapid.SampledFrom([]string{"reads", "writes"}).Draw(t, "kind")
 				out[last] = kind
-				take(p.Enter(last, kind, now))
+				take(p.Admit(last, kind, now))
 			case 3:
 				if last > 0 {
 					id := ID(rapid.Uint64Range(1, uint64(last)).Draw(t, "which"))
 					delete(in, id)
 					delete(out, id)
-					take(p.Exit(id))
+					take(p.Leave(id))
 				}
 			case 4:
 				now += rapid.Float64Range(0, 800).Draw(t, "time")
-				take(p.Beat(now))
+				take(p.Tick(now))
 			}
 		}
 		now += 2000
-		take(p.Beat(now))
+		take(p.Tick(now))
 		if len(out) > 0 {
 			t.Fatalf("%v wait for ever", out)
 		}
 	})
 }
 
-// TestTold: a pool that is told to have fewer connections closes those that rest, and those in use once they are free; told more, it
+// TestAssignedLimitIsApplied: a pool that is told to have fewer connections closes those that rest, and those in use once they are free; told more, it
 // opens for who waits; untold, it has what its settings say.
-func TestTold(t *testing.T) {
-	p := New(Limits{Most: 3, Reserve: 2, Queue: 9, Dials: 9})
-	p.Want(1, "s", 0)
-	p.Want(2, "s", 0)
-	p.Up(11, "s", 0)
-	p.Up(12, "s", 0)
-	p.Free(11, 1)
-	if got := p.Tell(1, 2); len(got) != 1 || got[0].Do != Close || got[0].Conn != 11 {
+func TestAssignedLimitIsApplied(t *testing.T) {
+	p := New(Limits{MaxConns: 3, Reserve: 2, MaxWaiting: 9, MaxDials: 9})
+	p.Request(1, "s", 0)
+	p.Request(2, "s", 0)
+	p.Opened(11, "s", 0)
+	p.Opened(12, "s", 0)
+	p.Release(11, 1)
+	if got := p.AssignLimit(1, 2); len(got) != 1 || got[0].Kind != Close || got[0].Conn != 11 {
 		t.Errorf("told one: %+v", got)
 	}
-	if got := p.Tell(0, 3); got != nil {
+	if got := p.AssignLimit(0, 3); got != nil {
 		t.Errorf("told none: %+v", got)
 	}
-	if got := p.Free(12, 4); len(got) != 1 || got[0].Do != Close {
+	if got := p.Release(12, 4); len(got) != 1 || got[0].Kind != Close {
 		t.Errorf("one that is free with none allowed: %+v", got)
 	}
-	if got := p.Want(3, "s", 5); got != nil {
+	if got := p.Request(3, "s", 5); got != nil {
 		t.Errorf("with none allowed: %+v", got)
 	}
-	if got := p.Tell(1, 6); len(got) != 1 || got[0].Do != Dial {
+	if got := p.AssignLimit(1, 6); len(got) != 1 || got[0].Kind != Dial {
 		t.Errorf("told one again: %+v", got)
 	}
-	p.Want(4, "s", 7)
-	if got := p.Untell(8); len(got) != 1 || got[0].Do != Dial {
+	p.Request(4, "s", 7)
+	if got := p.RestoreLimits(8); len(got) != 1 || got[0].Kind != Dial {
 		t.Errorf("by the settings: %+v", got)
 	}
 }
--- a/internal/frontend/pooling/dial.go
+++ b/internal/frontend/pooling/dial.go
@@ -8,22 +8,22 @@
 )
 
 // dial opens a connection for a pool.
-func (f *Front) dial(p *pool, store string) {
-	addr := f.addrs[store]
-	l := &link{f: f, pool: p, store: store, in: pgwire.NewReader(f.opt.MaxAnswer), params: map[string]string{},
-		server: sessionstate.NewServer(max(1, p.opt.Statements), max(1, p.opt.StatementBytes))}
-	l.in.Stream(inParts)
+func (f *Frontend) dial(p *pool, store string) {
+	addr := f.addresses[store]
+	l := &link{frontend: f, pool: p, serverID: store, input: pgwire.NewReader(f.options.MaxAnswer), params: map[string]string{},
+		state: sessionstate.NewServer(max(1, p.options.Statements), max(1, p.options.StatementBytes))}
+	l.input.Stream(streamThreshold)
 	l.ref = f.links.Put(l)
 	if addr == "" {
-		f.loop.At(f.loop.Now(), func() { l.failed() })
+		f.eventLoop.At(f.eventLoop.Now(), func() { l.failed() })
 		return
 	}
-	l.timer = f.loop.At(f.loop.Now()+f.opt.ConnectMs, func() {
-		if !l.up {
+	l.timer = f.eventLoop.At(f.eventLoop.Now()+f.options.ConnectMs, func() {
+		if !l.ready {
 			l.failed()
 		}
 	})
-	f.loop.Dial(addr, f.opt.ConnectMs, l, func(err error) {
+	f.eventLoop.Dial(addr, f.options.ConnectMs, l, func(err error) {
 		f.log.Debug("pooling: connect", "store", store, "err", err)
 		l.failed()
 	})
@@ -31,17 +31,17 @@
 
 // failed takes a connection out that never came up.
 func (l *link) failed() {
-	if l.closed || l.up {
+	if l.closed || l.ready {
 		return
 	}
 	l.closed = true
-	l.f.loop.StopTimer(l.timer)
-	l.f.links.Remove(l.ref)
-	l.pool.failed[l.store] = true
+	l.frontend.eventLoop.StopTimer(l.timer)
+	l.frontend.links.Remove(l.ref)
+	l.pool.failed[l.serverID] = true
 	if l.conn != nil {
 		l.conn.Close()
 	}
-	l.f.do(l.pool, l.pool.share.Down(l.store, l.f.loop.Now()))
+	l.frontend.execute(l.pool, l.pool.conns.DialFailed(l.serverID, l.frontend.eventLoop.Now()))
 }
 
 // Opened is loop's.
@@ -56,18 +56,18 @@
 
 // Data is loop's.
 func (l *link) Data(b []byte) {
-	l.in.Feed(b)
+	l.input.Feed(b)
 	for !l.closed {
-		m, ok, err := l.in.Next()
+		m, ok, err := l.input.Next()
 		if err != nil {
-			l.f.log.Warn("pooling: server broke the protocol", "store", l.store, "err", err)
+			l.frontend.log.Warn("pooling: server broke the protocol", "store", l.serverID, "err", err)
 			l.close()
 			return
 		}
 		if !ok {
 			break
 		}
-		if !l.up {
+		if !l.ready {
 			l.welcome(m)
 		} else {
 			l.message(m)
@@ -83,14 +83,14 @@
 	switch m.Type {
 	case 'R':
 		if len(m.Body) < 4 || number(m.Body) != 0 {
-			l.f.log.Warn("pooling: the server wants a password, which this pooler has not", "store", l.store)
+			l.frontend.log.Warn("pooling: the server wants a password, which this pooler has not", "store", l.serverID)
 			l.failed()
 		}
 	case 'S':
 		if name, val, err := pgwire.Parameter(m.Body); err == nil {
 			l.params[name] = val
-			if !perAnswer(l.f, name) {
-				l.f.params[name] = val
+			if !perAnswer(l.frontend, name) {
+				l.frontend.params[name] = val
 			}
 		}
 	case 'K':
@@ -98,17 +98,19 @@
 			l.pid, l.secret = number(m.Body), number(m.Body[4:])
 		}
 	case 'Z':
-		l.up = true
-		l.f.loop.StopTimer(l.timer)
-		delete(l.pool.failed, l.store)
-		l.f.do(l.pool, l.pool.share.Up(l.id(), l.store, l.f.loop.Now()))
+		l.ready = true
+		l.frontend.eventLoop.StopTimer(l.timer)
+		delete(l.pool.failed, l.serverID)
+		l.frontend.execute(l.pool, l.pool.conns.Opened(l.id(), l.serverID, l.frontend.eventLoop.Now()))
 	case 'E':
-		l.f.log.Debug("pooling: server turned a connection away", "store", l.store, "code", pgwire.ErrorCode(m.Body))
+		l.frontend.log.Debug("pooling: server turned a connection away", "store", l.serverID, "code", pgwire.ErrorCode(m.Body))
 		l.failed()
 	}
 }
 
 // perAnswer tells whether a parameter is told with each answer, and is no state of the session.
-func perAnswer(f *Front, name string) bool { return name == "role" || name == f.opt.PositionName }
+func perAnswer(f *Frontend, name string) bool {
+	return name == "role" || name == f.options.PositionName
+}
 
 func (l *link) id() connpool.ID { return connpool.ID(refNumber(l.ref)) }
--- a/internal/frontend/pooling/forward.go
+++ b/internal/frontend/pooling/forward.go
@@ -13,20 +13,20 @@
 // forward sends a message to the client's server, with statements under their names there.
 func (c *client) forward(m pgwire.Message) error {
 	l := c.link
-	c.f.loop.StopTimer(c.idle)
-	c.idle = nil
-	if l.over() && c.part() {
-		return c.beginAgain(m.Raw, false)
+	c.frontend.eventLoop.StopTimer(c.idleTimer)
+	c.idleTimer = nil
+	if l.pastGrace() && c.leaveConnection() {
+		return c.restart(m.Raw, false)
 	}
-	c.keep(m)
+	c.keepForReplay(m)
 	if l.skipping {
 		if m.Type != 'S' { // as the server does after an error in a pipeline
 			return nil
 		}
 		l.skipping = false
 	}
-	if l.over() { // the grace has passed: nothing more is sent there
-		c.fatal("57P01", "the server of this transaction is being taken out; nothing of it was committed")
+	if l.pastGrace() { // the grace has passed: nothing more is sent there
+		c.endWithError("57P01", "the server of this transaction is being taken out; nothing of it was committed")
 		return nil
 	}
 	switch m.Type {
@@ -39,11 +39,11 @@
 		if s, ok := sqltext.SetConfig(sql); ok {
 			does = []sqltext.Statement{s}
 		}
-		c.note(does)
-		l.bound = l.parses > 0
-		l.expect(expected{kind: xQuery, does: does})
+		c.noteEffects(does)
+		l.awaitsParses = l.pendingParses > 0
+		l.expect(expectedAnswer{kind: answersQuery, effects: does})
 		l.write(m.Raw)
-		c.f.Counts.Executed++
+		c.frontend.Counts.Executed++
 	case 'P':
 		return c.forwardParse(m)
 	case 'B':
@@ -52,75 +52,75 @@
 		if len(m.Body) < 2 {
 			return fmt.Errorf("%w: Describe", pgwire.ErrMalformed)
 		}
-		c.open = true
+		c.extendedOpen = true
 		if m.Body[0] == 'S' {
 			name, _, _ := bytes.Cut(m.Body[1:], []byte{0})
-			l.expect(expected{kind: xDescribe, statement: true})
-			if t := c.carry.Statement(string(name)); t != nil {
-				l.queue = l.queue[:len(l.queue)-1]
+			l.expect(expectedAnswer{kind: answersDescribe, describesStatement: true})
+			if t := c.state.Statement(string(name)); t != nil {
+				l.expected = l.expected[:len(l.expected)-1]
 				l.ensure(t)
-				l.expect(expected{kind: xDescribe, statement: true})
+				l.expect(expectedAnswer{kind: answersDescribe, describesStatement: true})
 				l.write(pgwire.AppendDescribeStatement(nil, t.Name()))
 				return nil
 			}
 		} else {
-			l.expect(expected{kind: xDescribe})
+			l.expect(expectedAnswer{kind: answersDescribe})
 		}
 		l.write(m.Raw)
 	case 'E':
 		name, _, _ := bytes.Cut(m.Body, []byte{0})
 		var does []sqltext.Statement
 		if t := c.portals[string(name)]; t != nil {
-			does = t.Does
-			c.note(does)
+			does = t.Effects
+			c.noteEffects(does)
 		} else {
 			c.wrote = true
 		}
-		c.open = true
-		l.expect(expected{kind: xExecute, does: does})
+		c.extendedOpen = true
+		l.expect(expectedAnswer{kind: answersExecute, effects: does})
 		l.write(m.Raw)
-		c.f.Counts.Executed++
+		c.frontend.Counts.Executed++
 	case 'C':
 		if len(m.Body) < 2 {
 			return fmt.Errorf("%w: Close", pgwire.ErrMalformed)
 		}
-		c.open = true
+		c.extendedOpen = true
 		name, _, _ := bytes.Cut(m.Body[1:], []byte{0})
 		if m.Body[0] == 'S' { // it stays at the server, for whoever prepares the same again
-			l.expect(expected{kind: xSay, say: []byte{'3', 0, 0, 0, 4}, name: string(name), closed: c.carry.Lift(string(name))})
-			l.speak()
+			l.expect(expectedAnswer{kind: answersInPlace, answer: []byte{'3', 0, 0, 0, 4}, name: string(name), closed: c.state.Detach(string(name))})
+			l.answerInPlace()
 			return nil
 		}
 		delete(c.portals, string(name))
-		l.expect(expected{kind: xClose})
+		l.expect(expectedAnswer{kind: answersClose})
 		l.write(m.Raw)
 	case 'S':
-		c.open = false
-		l.bound = l.parses > 0
-		l.expect(expected{kind: xReady})
+		c.extendedOpen = false
+		l.awaitsParses = l.pendingParses > 0
+		l.expect(expectedAnswer{kind: answersSync})
 		l.write(m.Raw)
 	default: // Flush, and the data of a copy
 		l.write(m.Raw)
-		l.partial = m.More
+		l.inPartialMessage = m.More
 	}
 	return nil
 }
 
-// lower ends the closing of a statement: it is gone, or still there where the pipeline failed before.
-func (c *client) lower(x *expected, back bool) {
+// reattach ends the closing of a statement: it is gone, or still there where the pipeline failed before.
+func (c *client) reattach(x *expectedAnswer, back bool) {
 	if x.closed == nil {
 		return
 	}
 	if c == nil {
-		x.closed.Leave()
+		x.closed.Release()
 	} else {
-		c.carry.Lower(x.name, x.closed, back && !c.closed)
+		c.state.Reattach(x.name, x.closed, back && !c.closed)
 	}
 	x.closed = nil
 }
 
-// note takes in what statements do before they run.
-func (c *client) note(does []sqltext.Statement) {
+// noteEffects takes in what statements do before they run.
+func (c *client) noteEffects(does []sqltext.Statement) {
 	if len(does) == 0 {
 		c.wrote = true
 	}
@@ -139,34 +139,34 @@
 		return err
 	}
 	l := c.link
-	c.open = true
-	if c.redo && name != "" {
-		c.carry.Unprepare(name)
+	c.extendedOpen = true
+	if c.resending && name != "" {
+		c.state.Unprepare(name)
 	}
-	var old *sessionstate.Text // that the unnamed one replaces, unless the pipeline fails before
+	var old *sessionstate.Statement // that the unnamed one replaces, unless the pipeline fails before
 	if name == "" {
-		old = c.carry.Lift(name)
+		old = c.state.Detach(name)
 	}
-	t, twice, err := c.carry.Prepare(name, sql, types)
+	t, twice, err := c.state.Prepare(name, sql, types)
 	switch {
 	case err != nil:
-		c.lower(&expected{closed: old}, false)
-		c.fatal("54000", err.Error())
+		c.reattach(&expectedAnswer{closed: old}, false)
+		c.endWithError("54000", err.Error())
 		return nil
 	case twice: // the server itself says so, in its place among the answers
-		old := c.carry.Statement(name)
+		old := c.state.Statement(name)
 		l.ensure(old)
-		l.expect(expected{kind: xParse})
+		l.expect(expectedAnswer{kind: answersParse})
 		l.write(pgwire.AppendParse(nil, old.Name(), sql, types))
 		return nil
-	case l.server.Has(t):
-		l.expect(expected{kind: xSay, say: []byte{'1', 0, 0, 0, 4}, name: name, client: true, closed: old})
-		l.speak()
+	case l.state.Has(t):
+		l.expect(expectedAnswer{kind: answersInPlace, answer: []byte{'1', 0, 0, 0, 4}, name: name, client: true, closed: old})
+		l.answerInPlace()
 		return nil
 	}
-	l.evict(l.server.Add(t))
-	c.f.Counts.Prepared++
-	l.expect(expected{kind: xParse, text: t, name: name, client: true, closed: old})
+	l.evict(l.state.Add(t))
+	c.frontend.Counts.Prepared++
+	l.expect(expectedAnswer{kind: answersParse, statement: t, name: name, client: true, closed: old})
 	l.write(pgwire.AppendParse(nil, t.Name(), sql, types))
 	return nil
 }
@@ -177,10 +177,10 @@
 		return err
 	}
 	l := c.link
-	c.open = true
-	t := c.carry.Statement(name)
+	c.extendedOpen = true
+	t := c.state.Statement(name)
 	if t == nil { // the server says that there is none, under the client's name for it
-		l.expect(expected{kind: xBind})
+		l.expect(expectedAnswer{kind: answersBind})
 		l.write(m.Raw)
 		return nil
 	}
@@ -188,33 +188,33 @@
 	if len(c.portals) < sessionstate.MaxStatements {
 		c.portals[portal] = t
 	}
-	l.expect(expected{kind: xBind})
+	l.expect(expectedAnswer{kind: answersBind})
 	l.write(pgwire.AppendBind(nil, portal, t.Name(), rest))
 	return nil
 }
 
-// did takes note of a statement that a server has completed.
-func (c *client) did(s *sqltext.Statement, tag string) {
+// completed takes note of a statement that a server has completed.
+func (c *client) completed(s *sqltext.Statement, tag string) {
 	switch s.Kind {
 	case sqltext.Commit:
 		if strings.HasPrefix(tag, "ROLLBACK") {
-			c.carry.Abort()
+			c.state.Abort()
 		} else {
-			c.carry.Commit(c.link.server)
+			c.state.Commit(c.link.state)
 		}
 	case sqltext.Rollback:
-		c.carry.Abort()
+		c.state.Abort()
 	case sqltext.DiscardAll:
-		c.carry.Reset()
-		c.link.server.Wiped()
+		c.state.Reset()
+		c.link.state.DiscardedAll()
 	case sqltext.Deallocate:
 		if s.Name == "" {
-			c.carry.UnprepareAll()
-			c.link.server.Forgot()
+			c.state.UnprepareAll()
+			c.link.state.DeallocatedAll()
 		} else {
-			c.carry.Unprepare(s.Name)
+			c.state.Unprepare(s.Name)
 		}
 	default:
-		c.carry.Did(s)
+		c.state.Completed(s)
 	}
 }
--- a/internal/frontend/pooling/message.go
+++ b/internal/frontend/pooling/message.go
@@ -12,27 +12,27 @@
 // message takes one message of a client that has started.
 func (c *client) message(m pgwire.Message) error {
 	if m.Part { // more of a copy's data
-		if l := c.link; l != nil && l.partial {
-			if l.over() {
-				c.fatal("57P01", "the server of this transaction is being taken out; nothing of it was committed")
+		if l := c.link; l != nil && l.inPartialMessage {
+			if l.pastGrace() {
+				c.endWithError("57P01", "the server of this transaction is being taken out; nothing of it was committed")
 				return nil
 			}
 			l.write(m.Raw)
-			l.partial = m.More
+			l.inPartialMessage = m.More
 		}
 		return nil
 	}
-	if c.skip && m.Type != 'S' && m.Type != 'X' {
+	if c.skipToSync && m.Type != 'S' && m.Type != 'X' {
 		return nil
 	}
 	switch m.Type {
 	case 'X':
-		if c.leaving = c.owed(); !c.leaving {
-			c.end()
+		if c.terminating = c.answersOutstanding(); !c.terminating {
+			c.close()
 		}
 		return nil
 	case 'Q':
-		c.skip = false
+		c.skipToSync = false
 		sql, err := pgwire.Text(m.Body)
 		if err != nil {
 			return err
@@ -41,21 +41,21 @@
 			c.adminQuery(sql)
 			return nil
 		}
-		if c.f.opt.Scatter != nil && plan.Is(sql) {
+		if c.frontend.options.Scatter != nil && plan.Is(sql) {
 			if took := c.scatterQuery(sql); took {
 				return nil
 			}
 		}
 		return c.query(sql, m)
 	case 'S':
-		if c.bound != nil && !c.skip {
+		if c.boundRead != nil && !c.skipToSync {
 			c.scatterSync()
 			return nil
 		}
-		c.bound = nil
-		if c.skip || c.link == nil {
-			c.skip, c.open = false, false
-			c.out = pgwire.AppendReadyInState(c.out, c.status)
+		c.boundRead = nil
+		if c.skipToSync || c.link == nil {
+			c.skipToSync, c.extendedOpen = false, false
+			c.output = pgwire.AppendReadyInState(c.output, c.sessionState)
 			return nil
 		}
 	case 'H', 'd', 'c', 'f':
@@ -63,39 +63,39 @@
 			return nil // to nobody: as a server does with what comes outside a copy
 		}
 	case 'F':
-		c.complain("0A000", "function calls are not taken; use a query")
+		c.fail("0A000", "function calls are not taken; use a query")
 		return nil
 	case 'C':
 		if c.link == nil && len(m.Body) > 0 {
 			if m.Body[0] == 'S' {
 				name, _, _ := bytes.Cut(m.Body[1:], []byte{0})
-				c.carry.Unprepare(string(name))
+				c.state.Unprepare(string(name))
 			}
-			c.out = append(c.out, '3', 0, 0, 0, 4)
+			c.output = append(c.output, '3', 0, 0, 0, 4)
 			return nil
 		}
 	}
 	if c.admin {
-		c.complain("0A000", "only simple queries are taken here")
+		c.fail("0A000", "only simple queries are taken here")
 		return nil
 	}
-	if c.f.opt.Scatter != nil && !c.admin {
+	if c.frontend.options.Scatter != nil && !c.admin {
 		if took, err := c.scatterMessage(m); took || err != nil {
 			return err
 		}
 	}
-	if c.fresh() && !strings.ContainsRune("SHdcf", rune(m.Type)) {
-		does, err := c.means(m)
+	if c.atTransactionStart() && !strings.ContainsRune("SHdcf", rune(m.Type)) {
+		does, err := c.effectsOf(m)
 		if err != nil {
 			return err
 		}
-		return c.ask(m, does, "")
+		return c.beginTransaction(m, does, "")
 	}
 	return c.forward(m)
 }
 
-// means is what a message of the extended protocol leads to.
-func (c *client) means(m pgwire.Message) ([]sqltext.Statement, error) {
+// effectsOf is what a message of the extended protocol leads to.
+func (c *client) effectsOf(m pgwire.Message) ([]sqltext.Statement, error) {
 	switch m.Type {
 	case 'P':
 		_, sql, _, err := pgwire.ParseMessage(m.Body)
@@ -108,14 +108,14 @@
 		if err != nil {
 			return nil, err
 		}
-		if t := c.carry.Statement(name); t != nil {
-			return t.Does, nil
+		if t := c.state.Statement(name); t != nil {
+			return t.Effects, nil
 		}
 	case 'D':
 		if len(m.Body) > 1 && m.Body[0] == 'S' {
 			name, _, _ := bytes.Cut(m.Body[1:], []byte{0})
-			if t := c.carry.Statement(string(name)); t != nil {
-				return t.Does, nil
+			if t := c.state.Statement(string(name)); t != nil {
+				return t.Effects, nil
 			}
 		}
 	}
@@ -128,36 +128,36 @@
 	if s, ok := sqltext.SetConfig(sql); ok {
 		does = []sqltext.Statement{s}
 	}
-	if len(does) == 1 && c.link == nil && c.status == 'I' {
+	if len(does) == 1 && c.link == nil && c.sessionState == 'I' {
 		switch s := does[0]; s.Kind {
 		case sqltext.Empty:
-			c.out = pgwire.AppendReady(pgwire.AppendEmpty(c.out))
+			c.output = pgwire.AppendReady(pgwire.AppendEmpty(c.output))
 			return nil
 		case sqltext.Deallocate:
 			if s.Name == "" {
-				c.carry.UnprepareAll()
-				c.out = pgwire.AppendReady(pgwire.AppendComplete(c.out, "DEALLOCATE ALL"))
+				c.state.UnprepareAll()
+				c.output = pgwire.AppendReady(pgwire.AppendComplete(c.output, "DEALLOCATE ALL"))
 				return nil
 			}
-			if c.carry.Unprepare(s.Name) {
-				c.out = pgwire.AppendReady(pgwire.AppendComplete(c.out, "DEALLOCATE"))
+			if c.state.Unprepare(s.Name) {
+				c.output = pgwire.AppendReady(pgwire.AppendComplete(c.output, "DEALLOCATE"))
 				return nil
 			}
 		case sqltext.DiscardAll:
-			c.carry.Reset()
-			c.out = pgwire.AppendReady(pgwire.AppendComplete(c.out, "DISCARD ALL"))
+			c.state.Reset()
+			c.output = pgwire.AppendReady(pgwire.AppendComplete(c.output, "DISCARD ALL"))
 			return nil
 		}
 	}
-	if c.fresh() {
-		return c.ask(m, does, sql)
+	if c.atTransactionStart() {
+		return c.beginTransaction(m, does, sql)
 	}
 	return c.forward(m)
 }
 
-// fresh tells whether what comes next begins a transaction.
-func (c *client) fresh() bool {
-	return c.link == nil || c.status == 'I' && len(c.link.queue) == 0 && c.txn == nil && !c.open
+// atTransactionStart tells whether what comes next begins a transaction.
+func (c *client) atTransactionStart() bool {
+	return c.link == nil || c.sessionState == 'I' && len(c.link.expected) == 0 && c.transaction == nil && !c.extendedOpen
 }
 
 // reading tells whether a transaction that begins so is known to change nothing.
@@ -176,52 +176,52 @@
 	return true
 }
 
-// complain answers with an error; what follows is skipped up to Sync.
-func (c *client) complain(code, text string) {
-	c.skip = true
-	c.out = pgwire.AppendError(c.out, "ERROR", code, text, "")
+// fail answers with an error; what follows is skipped up to Sync.
+func (c *client) fail(code, text string) {
+	c.skipToSync = true
+	c.output = pgwire.AppendError(c.output, "ERROR", code, text, "")
 }
 
 // ready takes a ReadyForQuery that is the client's.
 func (c *client) ready(l *link, status byte) {
-	if t := c.txn; t != nil && t.mute {
-		c.unmute(l, status)
+	if t := c.transaction; t != nil && t.restarting {
+		c.continueRestarted(l, status)
 		return
 	}
-	c.settledAt(c.txn, status)
-	c.status = status
+	c.settledAt(c.transaction, status)
+	c.sessionState = status
 	if status == 'I' {
 		if c.failed {
-			c.carry.Abort()
+			c.state.Abort()
 		} else {
-			c.carry.Commit(l.server)
+			c.state.Commit(l.state)
 		}
 		clear(c.portals)
 		if c.wrote && !c.failed {
-			c.after = max(c.after, l.written())
+			c.lastCommitMs = max(c.lastCommitMs, l.commitPosition())
 		}
 	}
 	c.failed = false
-	c.out = pgwire.AppendReadyInState(c.out, status)
-	if t := c.txn; t != nil && (status != 'I' || len(l.queue) == 0) {
-		c.txn = nil
-		t.spoke = true
+	c.output = pgwire.AppendReadyInState(c.output, status)
+	if t := c.transaction; t != nil && (status != 'I' || len(l.expected) == 0) {
+		c.transaction = nil
+		t.answered = true
 		if a := t.attempt; a != nil {
-			c.f.end(a, 0, l) // OK
+			c.frontend.endAttempt(a, 0, l) // OK
 		}
 	}
 	switch {
 	case status != 'I':
-		if c.pool.opt.IdleTxnMs > 0 && len(l.queue) == 0 {
-			c.f.loop.StopTimer(c.idle)
-			c.idle = c.f.loop.At(c.f.loop.Now()+c.pool.opt.IdleTxnMs, func() {
-				if c.status != 'I' && c.txn == nil && (c.link == nil || len(c.link.queue) == 0) {
-					c.fatal("25P03", "the transaction was idle for longer than this pool allows")
+		if c.pool.options.IdleTxnMs > 0 && len(l.expected) == 0 {
+			c.frontend.eventLoop.StopTimer(c.idleTimer)
+			c.idleTimer = c.frontend.eventLoop.At(c.frontend.eventLoop.Now()+c.pool.options.IdleTxnMs, func() {
+				if c.sessionState != 'I' && c.transaction == nil && (c.link == nil || len(c.link.expected) == 0) {
+					c.endWithError("25P03", "the transaction was idle for longer than this pool allows")
 				}
 			})
 		}
-	case len(l.queue) == 0 && !c.open:
-		c.f.loop.StopTimer(c.limit)
+	case len(l.expected) == 0 && !c.extendedOpen:
+		c.frontend.eventLoop.StopTimer(c.limitTimer)
 		c.wrote = false
 		c.release()
 	}
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -47,10 +47,10 @@
 	Class, Reads        string // of transactions; of those known to read only, empty for Class
 	Group               int
 	Limits              connpool.Limits
-	Clients             int // at most
+	MaxClients          int // at most
 	TxnMs               float64
 	IdleTxnMs           float64
-	RefusePins          bool // what can't be carried is refused, in transaction mode, instead of keeping the connection
+	RejectSticky        bool // what can't be carried is refused, in transaction mode, instead of keeping the connection
 	Statements          int  // prepared on one connection at most
 	StatementBytes      int
 }
@@ -70,49 +70,49 @@
 }
 
 const (
-	firstRef    = 1 << 31 // attempts' refs have this bit, so that they differ from the other front's
-	beatMs      = 20
-	graceMargin = 40 // ms before the grace's end at which nothing more is sent
-	maxHeld     = 256 << 10
-	muchUnsent  = 256 << 10 // to a client that reads slowly: its server is not read any further
-	littleLeft  = 64 << 10
-	inParts     = 64 << 10 // rows and copies' data of more bytes pass through as they come
-	startupMs   = 5000
-	maxCancels  = 64
+	attemptRefBit   = 1 << 31 // attempts' refs have this bit, so that they differ from the other front's
+	tickMs          = 20
+	graceMargin     = 40 // ms before the grace's end at which nothing more is sent
+	maxReplayBytes  = 256 << 10
+	pauseUnsent     = 256 << 10 // to a client that reads slowly: its server is not read any further
+	resumeUnsent    = 64 << 10
+	streamThreshold = 64 << 10 // rows and copies' data of more bytes pass through as they come
+	startupMs       = 5000
+	maxCancels      = 64
 )
 
-// Front is the second front. It is for the loop alone.
-type Front struct {
-	loop   *eventloop.Loop
-	log    *slog.Logger
-	desk   platform.Dispatcher
-	events backend.Events
-	opt    Options
-
-	texts     *sessionstate.Texts
-	pools     []*pool
-	clients   slotmap.Table[*client]
-	links     slotmap.Table[*link]
-	attempts  slotmap.Table[*attempt]
-	keys      map[uint32]*client
-	told      map[string]int // connections of the pools of a name, where that is told
-	lastKey   uint32
-	addrs     map[string]string
-	params    map[string]string // that servers reported, for clients that start
-	cancels   int
-	draining  bool
-	drainedAt float64          // the drain began then
-	lingering int              // connections of clients that are on their way to be closed
-	rec       *record.Recorder // nil where nothing is recorded
-	gaugeAt   float64
-	walks     int // of invariants
+// Frontend is the second front. It is for the loop alone.
+type Frontend struct {
+	eventLoop  *eventloop.Loop
+	log        *slog.Logger
+	dispatcher platform.Dispatcher
+	events     backend.Events
+	options    Options
+
+	statements     *sessionstate.Statements
+	pools          []*pool
+	clients        slotmap.Table[*client]
+	links          slotmap.Table[*link]
+	attempts       slotmap.Table[*attempt]
+	keys           map[uint32]*client
+	assignedLimits map[string]int // connections of the pools of a name, where that is told
+	lastKey        uint32
+	addresses      map[string]string
+	params         map[string]string // that servers reported, for clients that start
+	cancels        int
+	draining       bool
+	drainStartedAt float64          // the drain began then
+	lingering      int              // connections of clients that are on their way to be closed
+	recorder       *record.Recorder // nil where nothing is recorded
+	nextGaugeAt    float64
+	checkCalls     int // of invariants
 
 	Counts Counts
 }
 
 // Counts are figures since the start.
 type Counts struct {
-	Transactions, Prepared, Executed, Syncs, Moves, Cancels, Refused, Again uint64
+	Transactions, Prepared, Executed, SettingsSynced, Moves, Cancels, Refused, Restarts uint64
 }
 
 // poolKey names a pool: what was asked for, under which of the settings.
@@ -125,41 +125,41 @@
 type pool struct {
 	key     poolKey
 	name    string // in records
-	opt     *PoolOptions
-	share   *connpool.Pool
+	options *PoolOptions
+	conns   *connpool.Pool
 	clients int
 	failed  map[string]bool // servers whose last dial failed
 }
 
 // New makes a front; events is told of attempts' ends.
-func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Dispatcher, events backend.Events) *Front {
-	return &Front{loop: l, log: log, desk: desk, events: events, opt: opt, texts: sessionstate.NewTexts(), keys: map[uint32]*client{}, told: map[string]int{},
-		addrs: map[string]string{}, params: map[string]string{"server_version": "15.0", "server_encoding": "UTF8", "client_encoding": "UTF8",
+func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Dispatcher, events backend.Events) *Frontend {
+	return &Frontend{eventLoop: l, log: log, dispatcher: desk, events: events, options: opt, statements: sessionstate.NewStatements(), keys: map[uint32]*client{}, assignedLimits: map[string]int{},
+		addresses: map[string]string{}, params: map[string]string{"server_version": "15.0", "server_encoding": "UTF8", "client_encoding": "UTF8",
 			"DateStyle": "ISO, MDY", "TimeZone": "UTC", "integer_datetimes": "on", "standard_conforming_strings": "on"}}
 }
 
 // Start begins the beats that let time pass in the pools; it is for the loop.
-func (f *Front) Start() {
-	f.loop.At(f.loop.Now()+beatMs, func() {
+func (f *Frontend) Start() {
+	f.eventLoop.At(f.eventLoop.Now()+tickMs, func() {
 		for _, p := range f.pools {
-			f.do(p, p.share.Beat(f.loop.Now()))
+			f.execute(p, p.conns.Tick(f.eventLoop.Now()))
 		}
-		f.clients.Each(func(_ slotmap.Ref, c *client) { c.beat() })
+		f.clients.Each(func(_ slotmap.Ref, c *client) { c.tick() })
 		f.gauge()
 		f.Start()
 	})
 }
 
 // Sessions is the number of clients connected.
-func (f *Front) Sessions() int { return f.clients.Len() + f.lingering }
+func (f *Frontend) Sessions() int { return f.clients.Len() + f.lingering }
 
 // Conns is the number of connections to servers.
-func (f *Front) Conns() int { return f.links.Len() }
+func (f *Frontend) Conns() int { return f.links.Len() }
 
 // Parked is how many clients are not read, as what they sent ahead waits.
-func (f *Front) Parked() (n int) {
+func (f *Frontend) Parked() (n int) {
 	f.clients.Each(func(_ slotmap.Ref, c *client) {
-		if c.parked {
+		if c.readingPaused {
 			n++
 		}
 	})
@@ -167,7 +167,7 @@
 }
 
 // Unsent is how many bytes clients have not read yet.
-func (f *Front) Unsent() (n int) {
+func (f *Frontend) Unsent() (n int) {
 	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		if c.conn != nil {
 			n += c.conn.Unsent()
@@ -177,38 +177,38 @@
 }
 
 // HasOutstanding tells whether a client is in the midst of a transaction, waits for an answer or has yet to take its last one.
-func (f *Front) HasOutstanding() bool {
+func (f *Frontend) HasOutstanding() bool {
 	owes := f.lingering > 0
 	f.clients.Each(func(_ slotmap.Ref, c *client) { owes = owes || c.busy() || c.conn != nil && c.conn.Unsent() > 0 })
 	return owes
 }
 
 // Resume ends Drain.
-func (f *Front) Resume() { f.draining = false }
+func (f *Frontend) Resume() { f.draining = false }
 
 // Drain ends clients' connections as they fall idle, from now on.
-func (f *Front) Drain() {
+func (f *Frontend) Drain() {
 	if !f.draining {
-		f.draining, f.drainedAt = true, f.loop.Now()
+		f.draining, f.drainStartedAt = true, f.eventLoop.Now()
 	}
-	f.clients.Each(func(_ slotmap.Ref, c *client) { c.shed() })
+	f.clients.Each(func(_ slotmap.Ref, c *client) { c.closeIfDraining() })
 }
 
 // End ends clients' connections with a last word, whatever they have under way.
-func (f *Front) End() {
+func (f *Frontend) End() {
 	f.draining = true
 	f.clients.Each(func(_ slotmap.Ref, c *client) { c.endNow() })
 }
 
 // Accept makes the handler of a new connection.
-func (f *Front) Accept() eventloop.Handler {
+func (f *Frontend) Accept() eventloop.Handler {
 	c := newClient(f)
 	c.ref = f.clients.Put(c)
 	return c
 }
 
 // newKey makes a cancel key.
-func (f *Front) newKey(c *client) {
+func (f *Frontend) newKey(c *client) {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	for {
@@ -222,9 +222,9 @@
 }
 
 // poolOf finds a client's pool, by the first of the settings that fits.
-func (f *Front) poolOf(database, user, app string) *pool {
+func (f *Frontend) poolOf(database, user, app string) *pool {
 	fits := func(want, have string) bool { return want == "*" || want == "" || want == have }
-	i := slices.IndexFunc(f.opt.Pools, func(o PoolOptions) bool { return fits(o.Database, database) && fits(o.User, user) && fits(o.App, app) })
+	i := slices.IndexFunc(f.options.Pools, func(o PoolOptions) bool { return fits(o.Database, database) && fits(o.User, user) && fits(o.App, app) })
 	if i < 0 {
 		return nil
 	}
@@ -234,48 +234,48 @@
 			return p
 		}
 	}
-	p := &pool{key: key, name: database + "/" + user, opt: &f.opt.Pools[i], share: connpool.New(f.opt.Pools[i].Limits), failed: map[string]bool{}}
+	p := &pool{key: key, name: database + "/" + user, options: &f.options.Pools[i], conns: connpool.New(f.options.Pools[i].Limits), failed: map[string]bool{}}
 	f.pools = append(f.pools, p)
-	if most, ok := f.told[p.name]; ok {
-		f.Tell(p.name, most)
+	if most, ok := f.assignedLimits[p.name]; ok {
+		f.AssignLimit(p.name, most)
 	}
 	return p
 }
 
-func (f *Front) expire() {
-	if f.opt.Expire != nil {
-		f.opt.Expire()
+func (f *Frontend) expireLeases() {
+	if f.options.Expire != nil {
+		f.options.Expire()
 	}
 }
 
-// Tell has the pools of a database and a user, named DATABASE/USER, have so many connections at most together.
-func (f *Front) Tell(name string, most int) {
-	f.told[name] = most
+// AssignLimit has the pools of a database and a user, named DATABASE/USER, have so many connections at most together.
+func (f *Frontend) AssignLimit(name string, most int) {
+	f.assignedLimits[name] = most
 	mine := f.named(name)
 	for i, p := range mine {
-		f.do(p, p.share.Tell((most+len(mine)-1-i)/len(mine), f.loop.Now()))
+		f.execute(p, p.conns.AssignLimit((most+len(mine)-1-i)/len(mine), f.eventLoop.Now()))
 	}
 }
 
-// Untell has these pools' limits be those of the settings again.
-func (f *Front) Untell(name string) {
-	delete(f.told, name)
+// RestoreLimits has these pools' limits be those of the settings again.
+func (f *Frontend) RestoreLimits(name string) {
+	delete(f.assignedLimits, name)
 	for _, p := range f.named(name) {
-		f.do(p, p.share.Untell(f.loop.Now()))
+		f.execute(p, p.conns.RestoreLimits(f.eventLoop.Now()))
 	}
 }
 
 // Demand is how many connections the pools of a database and a user have, and how many they would.
-func (f *Front) Demand(name string) (has, want int) {
+func (f *Frontend) Demand(name string) (has, want int) {
 	for _, p := range f.named(name) {
-		idle, used, dialing, waiting := p.share.Counts()
+		idle, used, dialing, waiting := p.conns.Counts()
 		has += idle + used + dialing
-		want += used + waiting + p.share.Outside()
+		want += used + waiting + p.conns.QueuedTransactions()
 	}
 	return has, want
 }
 
-func (f *Front) named(name string) (out []*pool) {
+func (f *Frontend) named(name string) (out []*pool) {
 	for _, p := range f.pools {
 		if p.name == name {
 			out = append(out, p)
@@ -284,55 +284,55 @@
 	return out
 }
 
-// Ours tells whether a query is one of this front's transactions.
-func Ours(q backend.Query) bool {
-	_, ok := q.(*txn)
+// IsTransaction tells whether a query is one of this front's transactions.
+func IsTransaction(q backend.Query) bool {
+	_, ok := q.(*transaction)
 	return ok
 }
 
-// OursRef tells whether an attempt is one of this front's.
-func OursRef(r slotmap.Ref) bool { return r.Index >= firstRef }
+// IsAttemptRef tells whether an attempt is one of this front's.
+func IsAttemptRef(r slotmap.Ref) bool { return r.Index >= attemptRefBit }
 
 // attempt is a transaction's try at one server.
 type attempt struct {
-	ref   slotmap.Ref
-	tag   backend.AttemptID
-	store string
-	t     *txn
-	link  *link
-	ended bool
-	timer *timers.Timer
+	ref         slotmap.Ref
+	tag         backend.AttemptID
+	server      string
+	transaction *transaction
+	link        *link
+	ended       bool
+	timer       *timers.Timer
 }
 
 // SetAddress tells where a server listens.
-func (f *Front) SetAddress(store, addr string) {
-	if old, ok := f.addrs[store]; ok && old != addr {
-		f.Bar(store)
+func (f *Frontend) SetAddress(store, addr string) {
+	if old, ok := f.addresses[store]; ok && old != addr {
+		f.DrainServer(store)
 	}
-	f.addrs[store] = addr
+	f.addresses[store] = addr
 	for _, p := range f.pools {
-		p.share.Unbar(store)
+		p.conns.Unbar(store)
 	}
 }
 
-// Bar tells that a server drains or is gone: nobody gets a connection to it any more, and what is open there has the
+// DrainServer tells that a server drains or is gone: nobody gets a connection to it any more, and what is open there has the
 // grace to end.
-func (f *Front) Bar(store string) {
-	now := f.loop.Now()
+func (f *Frontend) DrainServer(store string) {
+	now := f.eventLoop.Now()
 	for _, p := range f.pools {
-		f.do(p, p.share.Bar(store, now))
+		f.execute(p, p.conns.Bar(store, now))
 	}
 	f.links.Each(func(_ slotmap.Ref, l *link) {
-		if l.store == store && l.ends == 0 {
-			l.ends = now + max(0, f.opt.GraceMs-graceMargin)
-			f.loop.At(l.ends, l.graceOver)
+		if l.serverID == store && l.closesAt == 0 {
+			l.closesAt = now + max(0, f.options.GraceMs-graceMargin)
+			f.eventLoop.At(l.closesAt, l.graceOver)
 		}
 	})
 }
 
 // Retain bars all servers but those.
-func (f *Front) Retain(ids map[string]bool) {
-	for id := range f.addrs {
+func (f *Frontend) Retain(ids map[string]bool) {
+	for id := range f.addresses {
 		if !ids[id] {
 			f.Forget(id)
 		}
@@ -340,62 +340,62 @@
 }
 
 // Forget bars a server that has left the list.
-func (f *Front) Forget(store string) {
-	delete(f.addrs, store)
-	f.Bar(store)
+func (f *Frontend) Forget(store string) {
+	delete(f.addresses, store)
+	f.DrainServer(store)
 }
 
-// Try is core.Servers' Start for this front's transactions: it gives one a connection to a server.
-func (f *Front) Try(store string, q backend.Query, until float64, t backend.AttemptID) slotmap.Ref {
-	a := &attempt{tag: t, store: store, t: q.(*txn)}
+// StartAttempt is core.Servers' Start for this front's transactions: it gives one a connection to a server.
+func (f *Frontend) StartAttempt(store string, q backend.Query, until float64, t backend.AttemptID) slotmap.Ref {
+	a := &attempt{tag: t, server: store, transaction: q.(*transaction)}
 	a.ref = f.attempts.Put(a)
-	a.timer = f.loop.At(until, func() { f.end(a, decide.TimedOut, nil) })
-	a.t.attempt = a
-	if f.addrs[store] == "" {
-		f.end(a, decide.Unreachable, nil)
+	a.timer = f.eventLoop.At(until, func() { f.endAttempt(a, decide.TimedOut, nil) })
+	a.transaction.attempt = a
+	if f.addresses[store] == "" {
+		f.endAttempt(a, decide.Unreachable, nil)
 	} else if !f.events.MaySend(a.tag) {
-		f.end(a, decide.Cancelled, nil)
-	} else if c := a.t.c; !c.stay(a) {
-		f.expire()
-		f.do(c.pool, c.pool.share.Want(connpool.ID(refNumber(a.ref)), store, f.loop.Now()))
+		f.endAttempt(a, decide.Cancelled, nil)
+	} else if c := a.transaction.client; !c.keepConnection(a) {
+		f.expireLeases()
+		f.execute(c.pool, c.pool.conns.Request(connpool.ID(refNumber(a.ref)), store, f.eventLoop.Now()))
 	}
-	return slotmap.Ref{Index: a.ref.Index | firstRef, Gen: a.ref.Gen}
+	return slotmap.Ref{Index: a.ref.Index | attemptRefBit, Gen: a.ref.Gen}
 }
 
 // Recall is core.Servers': what has no connection yet and may not go to that server any more is given up.
-func (f *Front) Recall(store string, which func(backend.AttemptID) bool) {
+func (f *Frontend) Recall(store string, which func(backend.AttemptID) bool) {
 	var out []*attempt
 	f.attempts.Each(func(_ slotmap.Ref, a *attempt) {
-		if a.store == store && a.link == nil && which(a.tag) {
+		if a.server == store && a.link == nil && which(a.tag) {
 			out = append(out, a)
 		}
 	})
 	for _, a := range out {
-		f.end(a, decide.Cancelled, nil)
+		f.endAttempt(a, decide.Cancelled, nil)
 	}
 }
 
 // Cancel is core.Servers': it gives an attempt up. What was sent may have run.
-func (f *Front) Cancel(ref slotmap.Ref) {
-	if a, ok := f.attempts.Get(slotmap.Ref{Index: ref.Index &^ firstRef, Gen: ref.Gen}); ok {
-		f.end(a, decide.Cancelled, nil)
+func (f *Frontend) Cancel(ref slotmap.Ref) {
+	if a, ok := f.attempts.Get(slotmap.Ref{Index: ref.Index &^ attemptRefBit, Gen: ref.Gen}); ok {
+		f.endAttempt(a, decide.Cancelled, nil)
 	}
 }
 
-// end ends an attempt, once. With a link still in use, that is given up too unless the attempt was good.
-func (f *Front) end(a *attempt, r decide.Result, l *link) {
+// endAttempt ends an attempt, once. With a link still in use, that is given up too unless the attempt was good.
+func (f *Frontend) endAttempt(a *attempt, r decide.Result, l *link) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	f.attempts.Remove(a.ref)
-	f.loop.StopTimer(a.timer)
+	f.eventLoop.StopTimer(a.timer)
 	o := backend.Outcome{Result: r}
 	if l != nil {
-		o.Role, o.Position, o.HasPos = l.told()
+		o.Role, o.Position, o.HasPos = l.reported()
 	}
-	if a.t.attempt == a {
-		a.t.attempt = nil
+	if a.transaction.attempt == a {
+		a.transaction.attempt = nil
 	}
 	if r != decide.OK {
 		if a.link != nil {
@@ -404,7 +404,7 @@
 			if r == decide.TimedOut || r == decide.Cancelled {
 				o.Result = decide.NotSent // it never got a connection
 			}
-			f.do(a.t.c.pool, a.t.c.pool.share.Leave(connpool.ID(refNumber(a.ref)), f.loop.Now()))
+			f.execute(a.transaction.client.pool, a.transaction.client.pool.conns.Withdraw(connpool.ID(refNumber(a.ref)), f.eventLoop.Now()))
 		}
 	}
 	f.events.AttemptEnded(a.tag, o)
@@ -414,17 +414,17 @@
 
 func refFrom(n uint64) slotmap.Ref { return slotmap.Ref{Index: uint32(n), Gen: uint32(n >> 32)} }
 
-// do carries out what a pool has decided.
-func (f *Front) do(p *pool, actions []connpool.Action) {
+// execute carries out what a pool has decided.
+func (f *Frontend) execute(p *pool, actions []connpool.Action) {
 	for _, x := range actions {
-		switch x.Do {
+		switch x.Kind {
 		case connpool.Dial:
 			f.dial(p, x.Server)
 		case connpool.Close:
 			if l, ok := f.links.Get(refFrom(uint64(x.Conn))); ok {
 				l.close()
 			}
-		case connpool.Give:
+		case connpool.Assign:
 			a, ok := f.attempts.Get(refFrom(uint64(x.Waiter)))
 			l, up := f.links.Get(refFrom(uint64(x.Conn)))
 			switch {
@@ -433,65 +433,67 @@
 				l.free()
 			case !f.events.MaySend(a.tag):
 				l.free()
-				f.end(a, decide.Cancelled, nil)
+				f.endAttempt(a, decide.Cancelled, nil)
 			case l.serverClosed():
 				l.close()
-				f.do(p, p.share.Want(x.Waiter, a.store, f.loop.Now()))
+				f.execute(p, p.conns.Request(x.Waiter, a.server, f.eventLoop.Now()))
 			default:
-				a.t.c.assign(a, l)
+				a.transaction.client.assign(a, l)
 			}
 		case connpool.Admit:
 			if c, ok := f.clients.Get(refFrom(uint64(x.Waiter))); ok {
-				f.loop.At(f.loop.Now(), c.admitted) // off this call: one leads to the next
+				f.eventLoop.At(f.eventLoop.Now(), c.onAdmitted) // off this call: one leads to the next
 			}
-		case connpool.Refuse:
+		case connpool.Reject:
 			if x.Server == "" {
 				if c, ok := f.clients.Get(refFrom(uint64(x.Waiter))); ok {
 					f.Counts.Refused++
-					f.loop.At(f.loop.Now(), c.turnedAway)
+					f.eventLoop.At(f.eventLoop.Now(), c.onRejected)
 				}
 				continue
 			}
 			if a, ok := f.attempts.Get(refFrom(uint64(x.Waiter))); ok {
-				f.refused(a, p)
+				f.rejectAttempt(a, p)
 			}
 		}
 	}
 }
 
-// refused ends an attempt that got no connection: its server could not be reached, or the pool had none for it.
-func (f *Front) refused(a *attempt, p *pool) {
+// rejectAttempt ends an attempt that got no connection: its server could not be reached, or the pool had none for it.
+func (f *Frontend) rejectAttempt(a *attempt, p *pool) {
 	f.Counts.Refused++
 	switch {
-	case p.share.Barred(a.store):
-		f.end(a, decide.Overloaded, nil)
-	case p.opt.Limits.WaitMs > 0 && f.loop.Now()-a.t.asked >= p.opt.Limits.WaitMs:
-		a.t.waited = true
-		f.end(a, decide.Overloaded, nil)
-	case f.downAt(p, a.store):
-		f.end(a, decide.Unreachable, nil)
+	case p.conns.Barred(a.server):
+		f.endAttempt(a, decide.Overloaded, nil)
+	case p.options.Limits.MaxWaitMs > 0 && f.eventLoop.Now()-a.transaction.submittedAt >= p.options.Limits.MaxWaitMs:
+		a.transaction.noConnection = true
+		f.endAttempt(a, decide.Overloaded, nil)
+	case f.isUnreachable(p, a.server):
+		f.endAttempt(a, decide.Unreachable, nil)
 	default:
-		a.t.waited = true // no place in the queue
-		f.end(a, decide.Overloaded, nil)
+		a.transaction.noConnection = true // no place in the queue
+		f.endAttempt(a, decide.Overloaded, nil)
 	}
 }
 
-func (f *Front) downAt(p *pool, store string) bool { return f.addrs[store] == "" || p.failed[store] }
+func (f *Frontend) isUnreachable(p *pool, store string) bool {
+	return f.addresses[store] == "" || p.failed[store]
+}
 
-func (f *Front) role(val string) decide.Role {
+func (f *Frontend) role(val string) decide.Role {
 	switch val {
-	case f.opt.Roles[0]:
+	case f.options.Roles[0]:
 		return decide.RolePrimary
-	case f.opt.Roles[1]:
+	case f.options.Roles[1]:
 		return decide.RoleReplica
 	}
 	return decide.RoleUnknown
 }
 
 // position reads a position that a server told, 0 for none.
-func (f *Front) position(val string) float64 {
+func (f *Frontend) position(val string) float64 {
 	ms, err := strconv.ParseInt(val, 10, 64)
-	if err != nil || !clock.Plausible(float64(ms), f.loop.Now()) {
+	if err != nil || !clock.Plausible(float64(ms), f.eventLoop.Now()) {
 		return 0
 	}
 	return float64(ms)
--- a/internal/frontend/pooling/records.go
+++ b/internal/frontend/pooling/records.go
@@ -12,54 +12,54 @@
 const gaugeMs = 1000
 
 // Record has the front record sessions, hands and pools.
-func (f *Front) Record(r *record.Recorder) { f.rec = r }
+func (f *Frontend) Record(r *record.Recorder) { f.recorder = r }
 
 // sessionKey names a client's session to the decision module, and by its hash in records.
 func sessionKey(pid uint32) string { return strconv.FormatUint(uint64(pid), 10) }
 
 func (c *client) recordBegin() {
-	if c.pool == nil || !c.f.rec.Enabled() {
+	if c.pool == nil || !c.frontend.recorder.Enabled() {
 		return
 	}
 	c.session = xxhash.Sum64String(sessionKey(c.pid))
-	c.f.rec.Put(&record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: c.pool.name, Session: c.session})
+	c.frontend.recorder.Put(&record.Event{At: c.frontend.eventLoop.Now(), Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: c.pool.name, Session: c.session})
 }
 
 func (c *client) recordEnd() {
-	if c.pool == nil || c.session == 0 || !c.f.rec.Enabled() {
+	if c.pool == nil || c.session == 0 || !c.frontend.recorder.Enabled() {
 		return
 	}
-	c.f.rec.Put(&record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_SESSION_END, Pool: c.pool.name, Session: c.session, Text: c.ended,
-		DurationMs: c.f.loop.Now() - c.since})
+	c.frontend.recorder.Put(&record.Event{At: c.frontend.eventLoop.Now(), Kind: recordpb.Kind_KIND_SESSION_END, Pool: c.pool.name, Session: c.session, Text: c.endCode,
+		DurationMs: c.frontend.eventLoop.Now() - c.since})
 }
 
 // recordHand records how a wait for a server connection ended. It comes before the settings are sent ahead.
 func (c *client) recordHand(assignment record.Assignment, l *link, waited float64, other bool) {
-	if !c.f.rec.Enabled() {
+	if !c.frontend.recorder.Enabled() {
 		return
 	}
-	e := record.Event{At: c.f.loop.Now(), Kind: recordpb.Kind_KIND_HAND, Pool: c.pool.name, Session: c.session, Assignment: assignment, DurationMs: waited, FromOtherClient: other,
-		Group: int64(c.pool.opt.Group)}
+	e := record.Event{At: c.frontend.eventLoop.Now(), Kind: recordpb.Kind_KIND_HAND, Pool: c.pool.name, Session: c.session, Assignment: assignment, DurationMs: waited, FromOtherClient: other,
+		Group: int64(c.pool.options.Group)}
 	if l != nil {
-		e.Server, e.ServerChanged, e.SettingsRestored = l.store, c.last != "" && c.last != l.store, c.carry.Sync(l.server) != ""
+		e.Server, e.ServerChanged, e.SettingsRestored = l.serverID, c.lastServer != "" && c.lastServer != l.serverID, c.state.SyncQuery(l.state) != ""
 	}
-	c.f.rec.Put(&e)
+	c.frontend.recorder.Put(&e)
 }
 
 // gauge records once a second what the pools hold.
-func (f *Front) gauge() {
-	now := f.loop.Now()
-	if !f.rec.Enabled() || now < f.gaugeAt {
+func (f *Frontend) gauge() {
+	now := f.eventLoop.Now()
+	if !f.recorder.Enabled() || now < f.nextGaugeAt {
 		return
 	}
-	f.gaugeAt = now + gaugeMs
+	f.nextGaugeAt = now + gaugeMs
 	for _, p := range f.pools {
-		idle, used, dialing, waiting := p.share.Counts()
+		idle, used, dialing, waiting := p.conns.Counts()
 		e := record.Event{At: now, Kind: recordpb.Kind_KIND_POOL, Pool: p.name, PoolState: record.PoolState{Clients: int32(p.clients), Idle: int32(idle),
-			Used: int32(used), Connecting: int32(dialing), Waiting: int32(waiting + p.share.Outside()), MaxConnections: int32(p.opt.Limits.Most)}}
-		if at := p.share.Oldest(); at > 0 {
+			Used: int32(used), Connecting: int32(dialing), Waiting: int32(waiting + p.conns.QueuedTransactions()), MaxConnections: int32(p.options.Limits.MaxConns)}}
+		if at := p.conns.OldestWait(); at > 0 {
 			e.PoolState.LongestWaitMs = now - at
 		}
-		f.rec.Put(&e)
+		f.recorder.Put(&e)
 	}
 }
--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -20,9 +20,9 @@
 
 // What a client reads over many groups goes to scatter; here is how it asks, by a simple query or by Bind to Sync, and how it hears.
 
-// bound is a scattered read on its way from Bind to Sync.
-type bound struct {
-	text     *sessionstate.Text
+// boundRead is a scattered read on its way from Bind to Sync.
+type boundRead struct {
+	text     *sessionstate.Statement
 	rest     []byte
 	describe bool
 	execute  bool
@@ -43,7 +43,7 @@
 	if !ok {
 		return false
 	}
-	c.skip = false
+	c.skipToSync = false
 	if err == nil && a.CursorParam > 0 {
 		err = fmt.Errorf("%w: a simple query has no parameters", plan.ErrComment)
 	}
@@ -56,25 +56,25 @@
 	switch m.Type {
 	case 'P':
 		name, sql, types, err := pgwire.ParseMessage(m.Body)
-		if err != nil || !plan.Is(sql) || !c.fresh() {
+		if err != nil || !plan.Is(sql) || !c.atTransactionStart() {
 			return false, err
 		}
 		if _, ok, _ := plan.Read(sql); !ok {
 			return false, nil
 		}
-		var old *sessionstate.Text // that the unnamed one replaces
+		var old *sessionstate.Statement // that the unnamed one replaces
 		if name == "" {
-			old = c.carry.Lift(name)
+			old = c.state.Detach(name)
 		}
-		_, twice, err := c.carry.Prepare(name, sql, types) // a server has it prepared when the client wants it described
-		c.lower(&expected{closed: old}, err != nil)
+		_, twice, err := c.state.Prepare(name, sql, types) // a server has it prepared when the client wants it described
+		c.reattach(&expectedAnswer{closed: old}, err != nil)
 		switch {
 		case err != nil:
-			c.fatal("54000", err.Error())
+			c.endWithError("54000", err.Error())
 		case twice:
-			c.complain("42P05", fmt.Sprintf("prepared statement %q already exists", name))
+			c.fail("42P05", fmt.Sprintf("prepared statement %q already exists", name))
 		default:
-			c.out = append(c.out, '1', 0, 0, 0, 4)
+			c.output = append(c.output, '1', 0, 0, 0, 4)
 		}
 		return true, nil
 	case 'B':
@@ -82,43 +82,43 @@
 		if err != nil {
 			return false, err
 		}
-		t := c.carry.Statement(name)
+		t := c.state.Statement(name)
 		if t == nil || !plan.Is(t.SQL) {
 			return false, nil
 		}
 		if _, ok, _ := plan.Read(t.SQL); !ok {
 			return false, nil
 		}
-		if !c.fresh() || c.bound != nil {
-			c.complain("25001", "a scattered read is a transaction of its own, one at a time")
+		if !c.atTransactionStart() || c.boundRead != nil {
+			c.fail("25001", "a scattered read is a transaction of its own, one at a time")
 			return true, nil
 		}
-		c.bound = &bound{text: t, rest: bytes.Clone(rest)}
-		c.out = append(c.out, '2', 0, 0, 0, 4)
+		c.boundRead = &boundRead{text: t, rest: bytes.Clone(rest)}
+		c.output = append(c.output, '2', 0, 0, 0, 4)
 		return true, nil
 	}
-	if c.bound == nil {
+	if c.boundRead == nil {
 		return false, nil
 	}
 	switch {
 	case m.Type == 'D' && len(m.Body) > 1 && m.Body[0] == 'P':
-		c.bound.describe = true
-	case m.Type == 'E' && !c.bound.execute:
-		c.bound.execute = true
+		c.boundRead.describe = true
+	case m.Type == 'E' && !c.boundRead.execute:
+		c.boundRead.execute = true
 	case m.Type == 'H':
 	default:
-		c.bound = nil
-		c.complain("0A000", "behind the Bind of a scattered read come Describe, Execute once and Sync")
+		c.boundRead = nil
+		c.fail("0A000", "behind the Bind of a scattered read come Describe, Execute once and Sync")
 	}
 	return true, nil
 }
 
 // scatterSync begins what was bound.
 func (c *client) scatterSync() {
-	b := c.bound
-	c.bound, c.open = nil, false
+	b := c.boundRead
+	c.boundRead, c.extendedOpen = nil, false
 	if !b.execute {
-		c.out = pgwire.AppendReadyInState(c.out, c.status)
+		c.output = pgwire.AppendReadyInState(c.output, c.sessionState)
 		return
 	}
 	a, _, err := plan.Read(b.text.SQL)
@@ -127,7 +127,7 @@
 
 // scatter begins a page, or says why not.
 func (c *client) scatter(a plan.Asked, err error, types, params []byte, describe bool) {
-	if err == nil && (!c.fresh() || c.status != 'I' || c.opened != nil) {
+	if err == nil && (!c.atTransactionStart() || c.sessionState != 'I' || c.begunTransaction != nil) {
 		c.scatterFail("25001", "a scattered read is a transaction of its own", "")
 		return
 	}
@@ -137,9 +137,9 @@
 	if err == nil {
 		p := &page{c: c, describe: describe}
 		c.page = p
-		who := scatter.Who{Database: c.pool.key.database, User: c.pool.key.user, Settings: c.carry, Session: sessionKey(c.pid), After: c.after}
+		who := scatter.Who{Database: c.pool.key.database, User: c.pool.key.user, Settings: c.state, Session: sessionKey(c.pid), After: c.lastCommitMs}
 		var s *scatter.Scatter
-		if s, err = c.f.opt.Scatter.Begin(a, who, types, params, p); err == nil {
+		if s, err = c.frontend.options.Scatter.Begin(a, who, types, params, p); err == nil {
 			p.s = s
 			return
 		}
@@ -171,16 +171,16 @@
 // scatterFail ends a scattered read with an error.
 func (c *client) scatterFail(code, text, detail string) {
 	c.page = nil
-	c.out = pgwire.AppendReadyInState(pgwire.AppendError(c.out, "ERROR", code, text, detail), c.status)
+	c.output = pgwire.AppendReadyInState(pgwire.AppendError(c.output, "ERROR", code, text, detail), c.sessionState)
 	c.scatterEnd()
 }
 
 // scatterEnd goes on with what the client sent meanwhile.
 func (c *client) scatterEnd() {
 	c.flush()
-	c.soon()
-	if c.f.draining && !c.busy() {
-		c.fatal("57P01", "the pooler is shutting down")
+	c.proceedSoon()
+	if c.frontend.draining && !c.busy() {
+		c.endWithError("57P01", "the pooler is shutting down")
 	}
 }
 
@@ -204,14 +204,14 @@
 // Describe is scatter.Reader's.
 func (p *page) Describe(row []byte) {
 	if p.describe {
-		p.c.out = append(p.c.out, row...)
+		p.c.output = append(p.c.output, row...)
 	}
 }
 
 // Row is scatter.Reader's.
 func (p *page) Row(row []byte) {
 	c := p.c
-	if c.out = append(c.out, row...); len(c.out) > littleLeft {
+	if c.output = append(c.output, row...); len(c.output) > resumeUnsent {
 		c.flush()
 	}
 }
@@ -228,7 +228,7 @@
 	if p.c.closed || p.c.conn == nil {
 		return 0
 	}
-	return p.c.conn.Unsent() + len(p.c.out)
+	return p.c.conn.Unsent() + len(p.c.output)
 }
 
 // Page is scatter.Reader's.
@@ -238,12 +238,12 @@
 		return
 	}
 	c.page = nil
-	c.out = pgwire.AppendParameter(c.out, cursorName, x.Cursor)
+	c.output = pgwire.AppendParameter(c.output, cursorName, x.Cursor)
 	if len(x.Missing) > 0 {
-		c.out = pgwire.AppendNotice(c.out, "01000", "shards are missing in this page: "+strings.Join(x.Missing, ", "), "")
+		c.output = pgwire.AppendNotice(c.output, "01000", "shards are missing in this page: "+strings.Join(x.Missing, ", "), "")
 	}
-	c.out = pgwire.AppendComplete(c.out, "SELECT "+strconv.Itoa(x.Rows))
-	c.out = pgwire.AppendReadyInState(c.out, c.status)
+	c.output = pgwire.AppendComplete(c.output, "SELECT "+strconv.Itoa(x.Rows))
+	c.output = pgwire.AppendReadyInState(c.output, c.sessionState)
 	c.scatterEnd()
 }
 
--- a/internal/frontend/pooling/sessionstate/carry.go
+++ b/internal/frontend/pooling/sessionstate/carry.go
@@ -19,47 +19,49 @@
 	maxPending    = 1000    // changes within one transaction
 )
 
-// Texts keeps prepared statements once for each distinct text and list of types, over all clients.
-type Texts struct {
-	byText map[string]*Text
-	byID   map[uint64]*Text
+// Statements keeps prepared statements once for each distinct text and list of types, over all clients.
+type Statements struct {
+	byText map[string]*Statement
+	byID   map[uint64]*Statement
 	last   uint64
 	bytes  int
 }
 
-// Text is a statement that clients have prepared.
-type Text struct {
-	ID    uint64
-	SQL   string
-	Types []byte // the types as Parse has them: their number and each
-	Does  []sqltext.Statement
-	users int // clients that have it by a name, and server connections that have it prepared
-	texts *Texts
+// Statement is a statement that clients have prepared.
+type Statement struct {
+	ID       uint64
+	SQL      string
+	Types    []byte // the types as Parse has them: their number and each
+	Effects  []sqltext.Statement
+	users    int // clients that have it by a name, and server connections that have it prepared
+	registry *Statements
 }
 
 // Name is what the statement is called at servers.
-func (t *Text) Name() string { return fmt.Sprintf("bg_%d", t.ID) }
+func (t *Statement) Name() string { return fmt.Sprintf("bg_%d", t.ID) }
 
 // Size is what it takes, about, in bytes.
-func (t *Text) Size() int { return len(t.SQL) + len(t.Types) + 64 }
+func (t *Statement) Size() int { return len(t.SQL) + len(t.Types) + 64 }
 
-// NewTexts makes an empty collection.
-func NewTexts() *Texts { return &Texts{byText: map[string]*Text{}, byID: map[uint64]*Text{}} }
+// NewStatements makes an empty collection.
+func NewStatements() *Statements {
+	return &Statements{byText: map[string]*Statement{}, byID: map[uint64]*Statement{}}
+}
 
 // Len is the number of distinct statements.
-func (x *Texts) Len() int { return len(x.byText) }
+func (x *Statements) Len() int { return len(x.byText) }
 
 // Bytes is what all statements take, about.
-func (x *Texts) Bytes() int { return x.bytes }
+func (x *Statements) Bytes() int { return x.bytes }
 
-func (x *Texts) take(sql string, types []byte) *Text {
+func (x *Statements) acquire(sql string, types []byte) *Statement {
 	key := string(types) + sql
 	t := x.byText[key]
 	if t == nil {
 		x.last++
-		t = &Text{texts: x, ID: x.last, SQL: strings.Clone(sql), Types: slices.Clone(types), Does: sqltext.Split(sql)}
+		t = &Statement{registry: x, ID: x.last, SQL: strings.Clone(sql), Types: slices.Clone(types), Effects: sqltext.Split(sql)}
 		if s, ok := sqltext.SetConfig(sql); ok {
-			t.Does = []sqltext.Statement{s}
+			t.Effects = []sqltext.Statement{s}
 		}
 		x.byText[key], x.byID[t.ID] = t, t
 		x.bytes += t.Size()
@@ -68,7 +70,7 @@
 	return t
 }
 
-func (x *Texts) leave(t *Text) {
+func (x *Statements) release(t *Statement) {
 	if t.users--; t.users == 0 {
 		delete(x.byText, string(t.Types)+t.SQL)
 		delete(x.byID, t.ID)
@@ -85,18 +87,18 @@
 
 // Client is what one client's session carries.
 type Client struct {
-	texts    *Texts
-	settings map[string]string // as SQL; what is not there is the server's default
-	startup  map[string]string
-	stmts    map[string]*Text
-	pending  []change
-	Pins     sqltext.StickyReason
-	pinsOpen sqltext.StickyReason // set within the transaction that is open
+	statements    *Statements
+	settings      map[string]string // as SQL; what is not there is the server's default
+	startup       map[string]string
+	prepared      map[string]*Statement
+	pending       []change
+	Sticky        sqltext.StickyReason
+	stickyPending sqltext.StickyReason // set within the transaction that is open
 }
 
 // NewClient makes a client whose startup message had these settings.
-func NewClient(texts *Texts, startup map[string]string) *Client {
-	c := &Client{texts: texts, settings: map[string]string{}, startup: map[string]string{}, stmts: map[string]*Text{}}
+func NewClient(texts *Statements, startup map[string]string) *Client {
+	c := &Client{statements: texts, settings: map[string]string{}, startup: map[string]string{}, prepared: map[string]*Statement{}}
 	for n, v := range startup {
 		n = strings.ToLower(n)
 		c.startup[n], c.settings[n] = sqltext.Quote(v), sqltext.Quote(v)
@@ -105,12 +107,12 @@
 }
 
 // Close gives up what the client holds.
-func (c *Client) Close() { c.forget() }
+func (c *Client) Close() { c.releaseAll() }
 
-func (c *Client) forget() {
-	for n, t := range c.stmts {
-		c.texts.leave(t)
-		delete(c.stmts, n)
+func (c *Client) releaseAll() {
+	for n, t := range c.prepared {
+		c.statements.release(t)
+		delete(c.prepared, n)
 	}
 }
 
@@ -120,63 +122,63 @@
 func (e ErrTooMany) Error() string { return "too many " + string(e) }
 
 // Prepare keeps a statement under a client's name for it. The empty name may be taken again, another not.
-func (c *Client) Prepare(name, sql string, types []byte) (t *Text, twice bool, err error) {
-	old := c.stmts[name]
+func (c *Client) Prepare(name, sql string, types []byte) (t *Statement, twice bool, err error) {
+	old := c.prepared[name]
 	if old != nil && name != "" {
 		return nil, true, nil
 	}
-	if old == nil && len(c.stmts) >= MaxStatements {
+	if old == nil && len(c.prepared) >= MaxStatements {
 		return nil, false, ErrTooMany("prepared statements")
 	}
-	t = c.texts.take(sql, types)
+	t = c.statements.acquire(sql, types)
 	if old != nil {
-		c.texts.leave(old)
+		c.statements.release(old)
 	}
-	c.stmts[strings.Clone(name)] = t
+	c.prepared[strings.Clone(name)] = t
 	return t, false, nil
 }
 
 // Statement is what a client has prepared under a name, or nil.
-func (c *Client) Statement(name string) *Text { return c.stmts[name] }
+func (c *Client) Statement(name string) *Statement { return c.prepared[name] }
 
 // Unprepare gives a statement up.
 func (c *Client) Unprepare(name string) bool {
-	t := c.stmts[name]
+	t := c.prepared[name]
 	if t != nil {
-		c.texts.leave(t)
-		delete(c.stmts, name)
+		c.statements.release(t)
+		delete(c.prepared, name)
 	}
 	return t != nil
 }
 
-// Lift takes a statement from its name, nil where there is none; Lower ends that, by giving it up or back.
-func (c *Client) Lift(name string) *Text {
-	t := c.stmts[name]
-	delete(c.stmts, name)
+// Detach takes a statement from its name, nil where there is none; Lower ends that, by giving it up or back.
+func (c *Client) Detach(name string) *Statement {
+	t := c.prepared[name]
+	delete(c.prepared, name)
 	return t
 }
 
-// Lower gives up a statement that was lifted, or gives it back to its name where nothing else has that by now.
-func (c *Client) Lower(name string, t *Text, back bool) {
-	if back && c.stmts[name] == nil {
-		c.stmts[name] = t
+// Reattach gives up a statement that was lifted, or gives it back to its name where nothing else has that by now.
+func (c *Client) Reattach(name string, t *Statement, back bool) {
+	if back && c.prepared[name] == nil {
+		c.prepared[name] = t
 		return
 	}
-	t.Leave()
+	t.Release()
 }
 
-// Leave gives up a statement that was lifted.
-func (t *Text) Leave() { t.texts.leave(t) }
+// Release gives up a statement that was lifted.
+func (t *Statement) Release() { t.registry.release(t) }
 
 // UnprepareAll gives all statements up.
-func (c *Client) UnprepareAll() { c.forget() }
+func (c *Client) UnprepareAll() { c.releaseAll() }
 
-// Did takes note of a statement that a server has completed.
-func (c *Client) Did(s *sqltext.Statement) {
-	c.pinsOpen |= s.Sticky
+// Completed takes note of a statement that a server has completed.
+func (c *Client) Completed(s *sqltext.Statement) {
+	c.stickyPending |= s.Sticky
 	add := func(x change) {
 		if len(c.pending) >= maxPending || len(x.value) > MaxValue {
-			c.pinsOpen |= sqltext.StickyUnknownSetting // it can't be carried
+			c.stickyPending |= sqltext.StickyUnknownSetting // it can't be carried
 			return
 		}
 		c.pending = append(c.pending, x)
@@ -204,8 +206,8 @@
 
 // Reset is what DISCARD ALL does: the session is as it began.
 func (c *Client) Reset() {
-	c.pending, c.Pins, c.pinsOpen = nil, 0, 0
-	c.forget()
+	c.pending, c.Sticky, c.stickyPending = nil, 0, 0
+	c.releaseAll()
 	c.settings = map[string]string{}
 	for n, v := range c.startup {
 		c.settings[n] = v
@@ -235,21 +237,21 @@
 			delete(s.settings, x.name)
 		default:
 			if _, ok := c.settings[x.name]; !ok && len(c.settings) >= MaxSettings {
-				c.pinsOpen |= sqltext.StickyUnknownSetting
+				c.stickyPending |= sqltext.StickyUnknownSetting
 				continue
 			}
 			c.settings[x.name], s.settings[x.name] = x.value, x.value
 		}
 	}
-	c.Pins |= c.pinsOpen
-	c.pending, c.pinsOpen = nil, 0
+	c.Sticky |= c.stickyPending
+	c.pending, c.stickyPending = nil, 0
 }
 
 // Abort drops the transaction's changes. Locks of the session, cursors that are held and what can't be read may have
 // stayed all the same.
 func (c *Client) Abort() {
-	c.Pins |= c.pinsOpen & (sqltext.StickyAdvisoryLock | sqltext.StickyPrepare | sqltext.StickyUnknownSetting)
-	c.pending, c.pinsOpen = nil, 0
+	c.Sticky |= c.stickyPending & (sqltext.StickyAdvisoryLock | sqltext.StickyPrepare | sqltext.StickyUnknownSetting)
+	c.pending, c.stickyPending = nil, 0
 }
 
 // Setting is a client's setting as SQL, empty for the server's default.
@@ -270,15 +272,15 @@
 	return &Server{settings: map[string]string{}, prepared: map[uint64]*list.Element{}, order: list.New(), MaxCount: maxCount, MaxBytes: maxBytes}
 }
 
-// Wiped takes note of DISCARD ALL.
-func (s *Server) Wiped() {
+// DiscardedAll takes note of DISCARD ALL.
+func (s *Server) DiscardedAll() {
 	s.settings = map[string]string{}
-	s.Forgot()
+	s.DeallocatedAll()
 }
 
-// Sync is the text that gives the connection the client's settings, empty where it has them. Only what differs is said.
+// SyncQuery is the text that gives the connection the client's settings, empty where it has them. Only what differs is said.
 // The server's side is as asked only once the text was answered: Synced says so.
-func (c *Client) Sync(s *Server) string {
+func (c *Client) SyncQuery(s *Server) string {
 	var names []string
 	for n := range s.settings {
 		if _, ok := c.settings[n]; !ok {
@@ -290,7 +292,7 @@
 			names = append(names, n)
 		}
 	}
-	slices.SortFunc(names, order)
+	slices.SortFunc(names, compareSettings)
 	var b strings.Builder
 	for _, n := range names {
 		if b.Len() > 0 {
@@ -314,8 +316,8 @@
 	return b.String()
 }
 
-// order puts who one is before what one may set, and a role behind its session's authorization.
-func order(a, b string) int {
+// compareSettings puts who one is before what one may set, and a role behind its session's authorization.
+func compareSettings(a, b string) int {
 	rank := func(n string) int {
 		switch n {
 		case "session_authorization":
@@ -348,7 +350,7 @@
 }
 
 // Has tells whether a statement is prepared on the connection, and counts as its use.
-func (s *Server) Has(t *Text) bool {
+func (s *Server) Has(t *Statement) bool {
 	e := s.prepared[t.ID]
 	if e != nil {
 		s.order.MoveToFront(e)
@@ -357,7 +359,7 @@
 }
 
 // Add takes note of a statement that is prepared now, and returns those that must be closed to keep within the bounds.
-func (s *Server) Add(t *Text) (evict []*Text) {
+func (s *Server) Add(t *Statement) (evict []*Statement) {
 	if s.Has(t) {
 		return nil
 	}
@@ -365,7 +367,7 @@
 	s.prepared[t.ID] = s.order.PushFront(t)
 	s.bytes += t.Size()
 	for (s.order.Len() > s.MaxCount || s.bytes > s.MaxBytes) && s.order.Len() > 1 {
-		old := s.order.Back().Value.(*Text)
+		old := s.order.Back().Value.(*Statement)
 		s.Drop(old)
 		evict = append(evict, old)
 	}
@@ -373,23 +375,23 @@
 }
 
 // Drop takes note of a statement that is not prepared there any more.
-func (s *Server) Drop(t *Text) {
+func (s *Server) Drop(t *Statement) {
 	if e := s.prepared[t.ID]; e != nil {
 		s.order.Remove(e)
 		delete(s.prepared, t.ID)
 		s.bytes -= t.Size()
-		t.texts.leave(t)
+		t.registry.release(t)
 	}
 }
 
 // Prepared is the number of statements that are prepared there.
 func (s *Server) Prepared() int { return s.order.Len() }
 
-// Forgot takes note of DEALLOCATE ALL, or of the connection's end.
-func (s *Server) Forgot() {
+// DeallocatedAll takes note of DEALLOCATE ALL, or of the connection's end.
+func (s *Server) DeallocatedAll() {
 	for e := s.order.Front(); e != nil; e = e.Next() {
-		t := e.Value.(*Text)
-		t.texts.leave(t)
+		t := e.Value.(*Statement)
+		t.registry.release(t)
 	}
 	s.prepared, s.bytes = map[uint64]*list.Element{}, 0
 	s.order.Init()
--- a/internal/frontend/pooling/sessionstate/carry_test.go
+++ b/internal/frontend/pooling/sessionstate/carry_test.go
@@ -12,15 +12,15 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// real is a server as it is: what it has set, and what its transaction may undo.
-type real struct {
+// modelServer is a server as it is: what it has set, and what its transaction may undo.
+type modelServer struct {
 	settings map[string]string
 	saved    map[string]string
-	marks    []mark
+	marks    []savepoint
 	local    map[string]bool
 }
 
-type mark struct {
+type savepoint struct {
 	name     string
 	settings map[string]string
 }
@@ -34,7 +34,7 @@
 }
 
 // run runs a text at the real server.
-func (r *real) run(sql string) {
+func (r *modelServer) run(sql string) {
 	for _, s := range sqltext.Split(sql) {
 		switch s.Kind {
 		case sqltext.Set:
@@ -47,7 +47,7 @@
 		case sqltext.ResetAll:
 			r.settings = map[string]string{}
 		case sqltext.Savepoint:
-			r.marks = append(r.marks, mark{s.Name, clone(r.settings)})
+			r.marks = append(r.marks, savepoint{s.Name, clone(r.settings)})
 		case sqltext.RollbackTo:
 			for i := len(r.marks) - 1; i >= 0; i-- {
 				if r.marks[i].name == s.Name {
@@ -59,9 +59,9 @@
 	}
 }
 
-func (r *real) begin() { r.saved, r.marks, r.local = clone(r.settings), nil, map[string]bool{} }
+func (r *modelServer) begin() { r.saved, r.marks, r.local = clone(r.settings), nil, map[string]bool{} }
 
-func (r *real) end(commit bool) {
+func (r *modelServer) end(commit bool) {
 	if !commit {
 		r.settings = r.saved
 		return
@@ -77,11 +77,11 @@
 	}
 }
 
-// TestCarried moves clients over servers at random, with settings that are set, reset, local, rolled back and undone to
+// TestSettingsAgreeWithModel moves clients over servers at random, with settings that are set, reset, local, rolled back and undone to
 // savepoints. Before each transaction, the server must have what that client's session has, and nothing of another's.
-func TestCarried(t *testing.T) {
+func TestSettingsAgreeWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		texts := NewTexts()
+		texts := NewStatements()
 		var clients []*Client
 		var want []map[string]string // what each session has
 		for i := range 3 {
@@ -96,14 +96,14 @@
 			}
 			want = append(want, w)
 		}
-		servers, reals := []*Server{}, []*real{}
+		servers, reals := []*Server{}, []*modelServer{}
 		for range 2 {
-			servers, reals = append(servers, NewServer(10, 1000)), append(reals, &real{settings: map[string]string{}, local: map[string]bool{}})
+			servers, reals = append(servers, NewServer(10, 1000)), append(reals, &modelServer{settings: map[string]string{}, local: map[string]bool{}})
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "transactions") {
 			k, s := rapid.IntRange(0, 2).Draw(t, "client"), rapid.IntRange(0, 1).Draw(t, "server")
 			c, srv, r := clients[k], servers[s], reals[s]
-			if sql := c.Sync(srv); sql != "" {
+			if sql := c.SyncQuery(srv); sql != "" {
 				r.begin()
 				r.run(sql)
 				r.end(true)
@@ -121,7 +121,7 @@
 					continue // its default is the startup's, which the stand-in here does not know
 				}
 				r.run(sql)
-				c.Did(&sqltext.Split(sql)[0])
+				c.Completed(&sqltext.Split(sql)[0])
 			}
 			if commit := rapid.Bool().Draw(t, "commit"); commit {
 				r.end(true)
@@ -135,9 +135,9 @@
 	})
 }
 
-// TestStatements guards against statements that are kept or prepared more often than they must be, or never given up.
-func TestStatements(t *testing.T) {
-	texts := NewTexts()
+// TestPreparedStatementsAreShared guards against statements that are kept or prepared more often than they must be, or never given up.
+func TestPreparedStatementsAreShared(t *testing.T) {
+	texts := NewStatements()
 	a, b := NewClient(texts, nil), NewClient(texts, nil)
 	x, _, _ := a.Prepare("one", "SELECT 1", []byte{0, 0})
 	y, _, _ := b.Prepare("other", "SELECT 1", []byte{0, 0})
@@ -166,7 +166,7 @@
 	if texts.Len() != 2 { // the server still has them, and whoever prepares them again is to find them
 		t.Errorf("%d texts are known while a server has two prepared", texts.Len())
 	}
-	s.Forgot()
+	s.DeallocatedAll()
 	if texts.Len() != 0 || texts.Bytes() != 0 {
 		t.Errorf("%d texts with %d bytes are left", texts.Len(), texts.Bytes())
 	}
--- a/internal/frontend/pooling/startup.go
+++ b/internal/frontend/pooling/startup.go
@@ -9,7 +9,7 @@
 )
 
 func (c *client) startup() (bool, error) {
-	s, ok, err := c.in.StartupMessage()
+	s, ok, err := c.input.StartupMessage()
 	if err != nil || !ok {
 		return false, err
 	}
@@ -18,47 +18,47 @@
 		c.send([]byte{'N'})
 		return true, nil
 	case pgwire.StartupCancel:
-		c.f.cancel(s.PID, s.Secret)
-		c.end()
+		c.frontend.cancel(s.PID, s.Secret)
+		c.close()
 		return false, nil
 	}
-	return true, c.begin(s)
+	return true, c.start(s)
 }
 
 // startupOnly are parameters of the startup message that are no settings.
 var startupOnly = map[string]bool{"user": true, "database": true, "options": true, "replication": true}
 
-func (c *client) begin(s pgwire.StartupPacket) error {
+func (c *client) start(s pgwire.StartupPacket) error {
 	c.started = true
-	f, p := c.f, s.Params
+	f, p := c.frontend, s.Params
 	user, database := p["user"], p["database"]
 	if database == "" {
 		database = user
 	}
 	if len(s.Unknown) > 0 || s.Minor > 0 {
-		c.out = pgwire.AppendNegotiate(c.out, s.Unknown)
+		c.output = pgwire.AppendNegotiate(c.output, s.Unknown)
 	}
 	switch {
 	case user == "":
-		c.fatal("28000", "no user name in the startup message")
+		c.endWithError("28000", "no user name in the startup message")
 		return nil
 	case p["replication"] != "" && p["replication"] != "false" && p["replication"] != "off" && p["replication"] != "0":
-		c.fatal("0A000", "replication is not taken by a pooler")
+		c.endWithError("0A000", "replication is not taken by a pooler")
 		return nil
 	case f.draining:
-		c.fatal("57P03", "the pooler is shutting down")
+		c.endWithError("57P03", "the pooler is shutting down")
 		return nil
 	case database == "beechgrade":
 		c.admin = true
 	default:
 		c.pool = f.poolOf(database, user, p["application_name"])
 		if c.pool == nil {
-			c.fatal("3D000", fmt.Sprintf("no pool for database %q and user %q", database, user))
+			c.endWithError("3D000", fmt.Sprintf("no pool for database %q and user %q", database, user))
 			return nil
 		}
-		if c.pool.opt.Clients > 0 && c.pool.clients >= c.pool.opt.Clients {
+		if c.pool.options.MaxClients > 0 && c.pool.clients >= c.pool.options.MaxClients {
 			c.pool = nil
-			c.fatal("53300", "too many clients in this pool")
+			c.endWithError("53300", "too many clients in this pool")
 			return nil
 		}
 		c.pool.clients++
@@ -73,14 +73,14 @@
 		settings[n] = v
 	}
 	if len(settings) > sessionstate.MaxSettings {
-		c.fatal("08P01", "too many settings in the startup message")
+		c.endWithError("08P01", "too many settings in the startup message")
 		return nil
 	}
-	c.carry = sessionstate.NewClient(f.texts, settings)
+	c.state = sessionstate.NewClient(f.statements, settings)
 	f.newKey(c)
 	c.recordBegin()
 	c.params = map[string]string{}
-	c.out = append(c.out, 'R', 0, 0, 0, 8, 0, 0, 0, 0)
+	c.output = append(c.output, 'R', 0, 0, 0, 8, 0, 0, 0, 0)
 	for _, n := range sortedKeys(f.params) {
 		c.params[n] = f.params[n]
 	}
@@ -91,10 +91,10 @@
 		c.params["client_encoding"] = v
 	}
 	for _, n := range sortedKeys(c.params) {
-		c.out = pgwire.AppendParameter(c.out, n, c.params[n])
+		c.output = pgwire.AppendParameter(c.output, n, c.params[n])
 	}
-	c.out = pgwire.AppendKey(c.out, c.pid, c.secret)
-	c.out = pgwire.AppendReady(c.out)
+	c.output = pgwire.AppendKey(c.output, c.pid, c.secret)
+	c.output = pgwire.AppendReady(c.output)
 	return nil
 }
 
--- a/internal/frontend/pooling/txn.go
+++ b/internal/frontend/pooling/txn.go
@@ -9,27 +9,27 @@
 	"beechgrade/internal/protocol/sqltext"
 )
 
-// txn is a transaction on its way to a server; it is core's request. It is platform.Client's and backend.Query's.
-type txn struct {
-	c         *client
-	ref       slotmap.Ref
-	open      bool // with core
-	attempt   *attempt
-	asked     float64
-	does      []sqltext.Statement // what its first message does
-	sql       string
-	held      []byte // the client's messages so far, for another server where the first did not run them
-	spoke     bool   // the client has had something of its answer: nothing is asked again
-	waited    bool   // the pool gave it no connection
-	on        bool   // it has a connection
-	sends     int    // how often what is held was sent
-	again     int    // bytes of held with which it began before, 0 for a new one
-	cancelled bool   // its client wants it no more: it is not sent again
-	mute      bool   // it begins again: the client has heard that before
+// transaction is a transaction on its way to a server; it is core's request. It is platform.Client's and backend.Query's.
+type transaction struct {
+	client        *client
+	ref           slotmap.Ref
+	open          bool // with core
+	attempt       *attempt
+	submittedAt   float64
+	effects       []sqltext.Statement // what its first message does
+	sql           string
+	replay        []byte // the client's messages so far, for another server where the first did not run them
+	answered      bool   // the client has had something of its answer: nothing is asked again
+	noConnection  bool   // the pool gave it no connection
+	hasConnection bool   // it has a connection
+	sends         int    // how often what is held was sent
+	restartBytes  int    // bytes of held with which it began before, 0 for a new one
+	cancelled     bool   // its client wants it no more: it is not sent again
+	restarting    bool   // it begins again: the client has heard that before
 }
 
-// outside is a transaction that waits to be let in.
-type outside struct {
+// queuedTransaction is a transaction that waits to be let in.
+type queuedTransaction struct {
 	raw   []byte
 	does  []sqltext.Statement
 	sql   string
@@ -37,47 +37,47 @@
 }
 
 // AppendQuery is backend.Query's; a transaction is sent by its own front.
-func (t *txn) AppendQuery(dst []byte, _ int) []byte { return dst }
+func (t *transaction) AppendQuery(dst []byte, _ int) []byte { return dst }
 
 // Served is platform.Client's. The answer has gone out by itself.
-func (t *txn) Served([]byte) { t.open = false }
+func (t *transaction) Served([]byte) { t.open = false }
 
 // Disconnected is platform.Departing's.
-func (t *txn) Disconnected() bool { return t.c.closed || t.c.conn.PeerClosed() }
+func (t *transaction) Disconnected() bool { return t.client.closed || t.client.conn.PeerClosed() }
 
 // Rejected is platform.Client's.
-func (t *txn) Rejected(retryMs float64) {
+func (t *transaction) Rejected(retryMs float64) {
 	t.open = false
 	text := "no server can take this now"
-	if t.waited {
+	if t.noConnection {
 		text = "no connection came free in time"
 	}
 	detail := ""
 	if retryMs > 0 {
 		detail = strconv.Itoa(int(math.Ceil(retryMs)))
 	}
-	t.c.concluded(t, "53300", text, detail)
+	t.client.endTransaction(t, "53300", text, detail)
 }
 
 // CodeUnfunded is the SQLSTATE of what is refused as its tenant's prepaid funds are spent, or run low.
 const CodeUnfunded = "PP001"
 
 // RejectedUnfunded is platform.PrepaidClient's.
-func (t *txn) RejectedUnfunded(slowed bool, retryMs float64) {
+func (t *transaction) RejectedUnfunded(slowed bool, retryMs float64) {
 	t.open = false
 	detail := ""
 	if retryMs > 0 {
 		detail = strconv.Itoa(int(math.Ceil(retryMs)))
 	}
-	t.c.concluded(t, CodeUnfunded, platform.NoCreditMessage(slowed), detail)
+	t.client.endTransaction(t, CodeUnfunded, platform.NoCreditMessage(slowed), detail)
 }
 
 // Failed is platform.Client's.
-func (t *txn) Failed() {
+func (t *transaction) Failed() {
 	t.open = false
-	if t.waited {
-		t.c.concluded(t, "53300", "no connection came free in time", "")
+	if t.noConnection {
+		t.client.endTransaction(t, "53300", "no connection came free in time", "")
 		return
 	}
-	t.c.concluded(t, "08007", "the transaction's outcome is unknown: its server gave no answer in time or broke off", "")
+	t.client.endTransaction(t, "08007", "the transaction's outcome is unknown: its server gave no answer in time or broke off", "")
 }
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -150,7 +150,7 @@
 	}
 	g.do(func() {
 		a := plan.Asked{Scatter: "visits", Body: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
-		if _, err := g.f.Begin(a, Who{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewTexts(), nil)}, []byte{0, 0}, nil, g); err != nil {
+		if _, err := g.f.Begin(a, Who{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}, []byte{0, 0}, nil, g); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -114,7 +114,7 @@
 	var out []byte
 	l.firstAt = 0
 	l.asked, l.ready, l.rows, l.first, l.ended, l.ending = true, 1, 0, false, false, false
-	if set := s.who.Settings.Sync(l.server); set != "" {
+	if set := s.who.Settings.SyncQuery(l.server); set != "" {
 		out = pgwire.AppendQuery(out, set)
 		l.ready++
 		l.syncs = func() { s.who.Settings.Synced(l.server) }
--- a/internal/frontend/scatter/reused_test.go
+++ b/internal/frontend/scatter/reused_test.go
@@ -43,7 +43,7 @@
 				g.f.SetAddress("c", mute.Addr().String())
 				g.first = "a"
 				asked := plan.Asked{Scatter: "visits", Body: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
-				if s, err = g.f.Begin(asked, Who{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewTexts(), nil)}, []byte{0, 0}, nil, g); err != nil {
+				if s, err = g.f.Begin(asked, Who{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}, []byte{0, 0}, nil, g); err != nil {
 					t.Error(err)
 					return
 				}
