--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -44,7 +44,7 @@
 			for _, m := range fieldOf.FindAllStringSubmatch(in.Text(), -1) {
 				l.fields[m[1]] = strings.Trim(m[2], `"`)
 			}
-			if l.fields["msg"] == "peers" {
+			if l.fields["msg"] == "peers" || l.fields["msg"] == "cluster: listening" {
 				life++
 			}
 			if l.at, err = time.Parse(time.RFC3339, l.fields["time"]); err != nil || !strings.HasPrefix(l.fields["msg"], "agreed: ") {
--- a/internal/cluster/bytes_test.go
+++ b/internal/cluster/bytes_test.go
@@ -13,7 +13,7 @@
 
 func (w rawMessage) Append(b []byte) []byte { return append(b, w...) }
 
-// fullEnvelope has something in each field.
+// fullEnvelope returns an envelope with a value in every field.
 func fullEnvelope() *envelope {
 	return &envelope{
 		Message: view.Message{Kind: view.Gossip, From: 2, Sequence: 300, Target: 4, Records: []view.Record{
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestBytes: an envelope's bytes are what poolers of other versions read.
+// TestBytes: the bytes of an envelope stay what poolers of other versions read.
 func TestBytes(t *testing.T) {
 	for _, c := range []struct {
 		b    []byte
--- a/internal/cluster/codec_test.go
+++ b/internal/cluster/codec_test.go
@@ -17,8 +17,8 @@
 
 var testKey = Key("a key of a fleet, for tests")
 
-// TestForm: whatever a pooler can say comes out as it went in, and not where a byte of it was changed, or the key is another.
-func TestForm(t *testing.T) {
+// TestEnvelopeRoundTrip: every message decodes as it was encoded, and is rejected where a byte was changed or the key is another.
+func TestEnvelopeRoundTrip(t *testing.T) {
 	text := rapid.StringN(0, 20, view.MaxNameBytes)
 	deterministic.Check(t, func(t *rapid.T) {
 		in := &envelope{Message: view.Message{Kind: view.Kind(rapid.IntRange(0, 20).Draw(t, "kind")), From: view.ID(rapid.Uint64Min(1).Draw(t, "from")),
@@ -51,8 +51,8 @@
 	})
 }
 
-// TestFieldsToCome: a later version's fields are skipped.
-func TestFieldsToCome(t *testing.T) {
+// TestUnknownFieldsAreSkipped: the fields of a later version are ignored.
+func TestUnknownFieldsAreSkipped(t *testing.T) {
 	in := &envelope{Message: view.Message{Kind: view.Gossip, From: 7, Records: []view.Record{{ID: 9, Name: "n", Addr: "a"}}}}
 	body := appendText(appendUint(appendEnvelope(nil, in), 99, 5), 77, "news of a later version")
 	out, err := decodeEnvelope(body)
@@ -61,7 +61,7 @@
 	}
 }
 
-// FuzzOpen: what strangers send, and what one who has the key may send wrongly, is turned down or taken, and no more.
+// FuzzOpen: any bytes, with or without a valid seal, are decoded or rejected without a panic.
 func FuzzOpen(f *testing.F) {
 	f.Add([]byte("bgp1"), true)
 	f.Add(appendEnvelope(nil, &envelope{Message: view.Message{Kind: view.Ping, From: 1, Records: []view.Record{{ID: 9, Name: "n", Addr: "a"}}}}), true)
@@ -86,15 +86,15 @@
 	})
 }
 
-// TestFrame: a stream's message is read whole or not at all, and no length has memory set aside for what does not come.
-func TestFrame(t *testing.T) {
+// TestFrameIsReadCompletelyOrRejected: a truncated frame is an error, and so is one longer than MaxStreamBytes.
+func TestFrameIsReadCompletelyOrRejected(t *testing.T) {
 	b := appendFrame(nil, testKey.seal(nil, &envelope{Message: view.Message{Kind: kindStatusQuery}}))
 	if message, err := readFrame(bytes.NewReader(b), testKey); err != nil || message.Kind != kindStatusQuery {
 		t.Fatalf("%+v, %v", message, err)
 	}
 	for cut := range b {
 		if _, err := readFrame(bytes.NewReader(b[:cut]), testKey); err == nil {
-			t.Errorf("cut at %d it was taken", cut)
+			t.Errorf("cut at %d it was accepted", cut)
 		}
 	}
 	if _, err := readFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}), testKey); !errors.Is(err, ErrMalformed) {
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestLimitsForm: what is said of limits reads as it was written, in one datagram for as many as go into a message.
-func TestLimitsForm(t *testing.T) {
+// TestQuotaMessageRoundTrip: a quota message of MaxItems decodes as it was encoded, from one datagram; one of more items is rejected.
+func TestQuotaMessageRoundTrip(t *testing.T) {
 	key := Key("0123456789abcdef")
 	m := &quota.Message{Kind: quota.LeaseAnswer, From: 7, To: 9}
 	for i := range quota.MaxItems {
@@ -122,6 +122,6 @@
 	}
 	m.Items = append(m.Items, quota.Item{})
 	if _, err := key.open(key.seal(nil, &envelope{Message: view.Message{Kind: kindQuota, From: 1}, quota: m})); err == nil {
-		t.Error("too many were read")
+		t.Error("too many items were accepted")
 	}
 }
--- a/internal/cluster/datagrams.go
+++ b/internal/cluster/datagrams.go
@@ -10,13 +10,13 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// datagram is one that goes out; the view's message is not changed any more.
+// datagram is one to be sent. Its message does not change any more.
 type datagram struct {
 	to       netip.AddrPort
 	envelope envelope
 }
 
-// enqueueDatagram has a datagram go out, unless too many wait.
+// enqueueDatagram queues a message for an address, unless the queue is full.
 func (node *Node) enqueueDatagram(addr string, message envelope) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -30,6 +30,7 @@
 	}
 }
 
+// writeLoop sends what is queued, until the queue is closed.
 func (node *Node) writeLoop() {
 	defer node.workers.Done()
 	defer close(node.writerDone)
@@ -42,52 +43,64 @@
 	}
 }
 
+// readLoop receives datagrams until the socket is closed.
 func (node *Node) readLoop() {
 	defer node.workers.Done()
 	b := make([]byte, MaxDatagramBytes+1)
 	for {
 		n, _, err := node.udp.ReadFromUDPAddrPort(b)
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			continue // a refusal of what was sent to one who has gone
-		}
-		if n > MaxDatagramBytes {
-			node.dropped.Add(1)
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return
+		case err != nil: // a datagram that was sent to a process that has ended was refused
 			continue
-		}
-		message, err := node.options.Key.open(b[:n])
-		ofPart := err == nil && message.Kind >= module.FirstKind && message.Kind <= module.LastKind
-		if ofPart {
-			err = node.decodeModuleMessage(message)
-		}
-		if err != nil || !ofPart && message.Kind > view.Gossip && (message.Kind != kindQuota || message.quota == nil) {
+		case n > MaxDatagramBytes:
 			node.dropped.Add(1)
 			continue
 		}
-		node.received.Add(1)
-		if ofPart {
-			node.postToLoop(func() { node.deliverToModule(message) })
-			continue
-		}
-		if message.Kind == kindQuota {
-			node.postToLoop(func() { node.handleQuota(quota.Received{Message: message.quota}) })
-			continue
-		}
+		node.receiveDatagram(b[:n])
+	}
+}
+
+// receiveDatagram decodes a datagram and posts it to the event loop. b is reused afterwards.
+func (node *Node) receiveDatagram(b []byte) {
+	message, err := node.options.Key.open(b)
+	if err == nil && message.isForModule() {
+		err = node.decodeModuleMessage(message)
+	}
+	if err != nil || !message.isDatagram() {
+		node.dropped.Add(1)
+		return
+	}
+	node.received.Add(1)
+	switch {
+	case message.isForModule():
+		node.postToLoop(func() { node.deliverToModule(message) })
+	case message.Kind == kindQuota:
+		node.postToLoop(func() { node.handleQuota(quota.Received{Message: message.quota}) })
+	default:
 		node.postToLoop(func() { node.handleView(view.Received{Message: &message.Message}) })
 	}
 }
 
-// postToLoop tells the view from a goroutine, unless too much waits for the loop.
-func (node *Node) postToLoop(do func()) {
+func (e *envelope) isForModule() bool { return e.Kind >= module.FirstKind && e.Kind <= module.LastKind }
+
+// isDatagram reports whether the message is of a kind that is sent in datagrams.
+func (e *envelope) isDatagram() bool {
+	isQuota := e.Kind == kindQuota && e.quota != nil
+	return e.isForModule() || isQuota || e.Kind <= view.Gossip
+}
+
+// postToLoop runs a function on the event loop. It reports false, and does nothing, where too many wait there.
+func (node *Node) postToLoop(do func()) bool {
 	if node.pendingEvents.Add(1) > maxPendingEvents {
 		node.pendingEvents.Add(-1)
 		node.overflowed.Add(1)
-		return
+		return false
 	}
 	node.loop.Post(func() {
 		node.pendingEvents.Add(-1)
 		do()
 	})
+	return true
 }
--- a/internal/cluster/module/module.go
+++ b/internal/cluster/module/module.go
@@ -1,12 +1,14 @@
-// Package module is what a part of the fleet is to those that carry its words: a decision module of its own that lives beside the view, on the
-// same loop, and speaks over the same sockets. One adapter of a part serves the daemon (package peers) and virtual time (package emulate).
+// Package module is the interface between a cluster subsystem and what carries its messages. A module is a state machine of its own that
+// lives beside the membership view, on the same event loop, and communicates over the same sockets. One adapter of a module serves both
+// the daemon (package cluster) and virtual time (package testkit/simulation).
 //
-// Words may be lost, doubled, late and overtaken; whoever they are from had the fleet's key. Nothing is heard before Members was called once.
+// Messages may be lost, duplicated, delayed and reordered; their senders hold the cluster's key. Nothing is received before the first
+// call of UpdateMembers.
 package module
 
 import "beechgrade/internal/cluster/view"
 
-// FirstKind and Last are the kinds that parts may have; each has one of its own.
+// Message kinds. Each module has one of its own, from FirstKind to LastKind; the numbers are fixed on the wire.
 const (
 	FirstKind view.Kind = 32
 	LastKind  view.Kind = 63
@@ -17,41 +19,53 @@
 	KindScatter  view.Kind = 35
 	KindOutlier  view.Kind = 36
 	KindZones    view.Kind = 37
+)
 
-	// MaxBodyBytes and MaxStreamBytes bound what one message may take, in bytes.
-	MaxBodyBytes   = 1200
+// Bounds of one message, in bytes.
+const (
+	MaxBodyBytes   = 1200 // in a datagram
 	MaxStreamBytes = 1 << 19
 )
 
-// Module is one. All calls but Read come on the loop.
+// Module is a cluster subsystem. All calls except Decode come on the event loop.
 type Module interface {
+	// Kind returns the kind of the module's messages.
 	Kind() view.Kind
-	Decode(body []byte) (any, error) // what others sent; off the loop, so it looks at nothing but body, which it may keep
+	// Decode reads a message of another process. It is called off the event loop, so it reads nothing but body, which it may keep.
+	Decode(body []byte) (any, error)
+	// UpdateMembers reports this process's ID, all known processes and the view's counts, whenever these may have changed.
 	UpdateMembers(self view.ID, all []view.Record, c view.Counts)
-	Receive(from view.ID, m any)
-	Tick()  // with each step of the view
-	Leave() // the process ends: last words
+	// Receive handles a message that Decode returned.
+	Receive(from view.ID, message any)
+	// Tick is called with each step of the view.
+	Tick()
+	// Leave is called once, when the process ends. Messages that it sends still go out.
+	Leave()
 }
 
-// Message are a message on its way. They are not changed once they were given.
+// Message is a message to be sent. It must not change after it was handed to a Transport.
 type Message interface {
-	Append(b []byte) []byte // off the loop
+	// Append appends the encoded message to b. It is called off the event loop.
+	Append(b []byte) []byte
 }
 
-// AvoidedServer is a server that a pooler avoids by others' word: why, by whose, and until when.
+// AvoidedServer is a server that a pooler avoids on the evidence of others.
 type AvoidedServer struct {
 	Server     string    `json:"server"`
 	Reason     string    `json:"why"`
 	ReportedBy []view.ID `json:"by"`
-	UntilMs    float64   `json:"until_ms"`
+	UntilMs    float64   `json:"until_ms"` // on the pooler's clock
 }
 
-// AvoidedReporter is a part that tells, for those who look, what is avoided; on the loop.
+// AvoidedReporter is a module that can list the servers that it avoids. It is called on the event loop.
 type AvoidedReporter interface{ Avoided() []AvoidedServer }
 
-// Transport carries words. An address is that of a view.Record.
+// Transport sends messages to other processes. Addresses are those of view.Record.
 type Transport interface {
+	// Now returns the time of the event loop, in ms.
 	Now() float64
-	Send(addr string, to view.ID, kind view.Kind, w Message)                           // a datagram, of MaxBodyBytes at most
-	SendStream(addr string, to view.ID, kind view.Kind, w Message, done func(ok bool)) // of MaxStreamBytes at most; ok: it was written whole and taken
+	// Send sends a datagram of at most MaxBodyBytes. It may be lost.
+	Send(addr string, to view.ID, kind view.Kind, message Message)
+	// SendStream sends at most MaxStreamBytes over a connection. done reports whether the receiver took the whole message.
+	SendStream(addr string, to view.ID, kind view.Kind, message Message, done func(ok bool))
 }
--- a/internal/cluster/modules.go
+++ b/internal/cluster/modules.go
@@ -4,70 +4,74 @@
 	"fmt"
 	"net"
 	"slices"
-	"time"
 
 	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/encoding"
 )
 
-// moduleBody is a part's message: words on their way out, or what was read of those that came.
+// moduleBody is a module's message: the message to be sent, or the bytes that were received and what they were decoded to.
 type moduleBody struct {
 	message module.Message
 	raw     []byte
 	decoded any
 }
 
-func appendModuleBody(b []byte, payload module.Message) []byte {
-	if payload == nil {
+func appendModuleBody(b []byte, message module.Message) []byte {
+	if message == nil {
 		return b
 	}
-	return encoding.AppendBytesField(b, 9, payload.Append(nil))
+	return encoding.AppendBytesField(b, fieldModuleBody, message.Append(nil))
 }
 
-// Register has a part live beside the view; before Start.
+// Register adds a module. It is called before Start, once for each kind, and panics for a kind that is taken or not a module's.
 func (node *Node) Register(mod module.Module) {
-	if k := mod.Kind(); k < module.FirstKind || k > module.LastKind || node.moduleOfKind(k) != nil {
-		panic(fmt.Sprintf("peers: kind %d of a part", k))
+	kind := mod.Kind()
+	if kind < module.FirstKind || kind > module.LastKind || node.moduleOfKind(kind) != nil {
+		panic(fmt.Sprintf("cluster: module of kind %d", kind))
 	}
 	node.modules = append(node.modules, mod)
 }
 
-func (node *Node) moduleOfKind(k view.Kind) module.Module {
-	if i := slices.IndexFunc(node.modules, func(mod module.Module) bool { return mod.Kind() == k }); i >= 0 {
-		return node.modules[i]
+func (node *Node) moduleOfKind(kind view.Kind) module.Module {
+	i := slices.IndexFunc(node.modules, func(mod module.Module) bool { return mod.Kind() == kind })
+	if i < 0 {
+		return nil
 	}
-	return nil
+	return node.modules[i]
 }
 
-// Now is part.Net's.
+// Now implements module.Transport.
 func (node *Node) Now() float64 { return node.loop.Now() }
 
-// Send is part.Net's.
-func (node *Node) Send(addr string, to view.ID, kind view.Kind, payload module.Message) {
+// Send implements module.Transport. Before the view is started, and after Leave, it does nothing.
+func (node *Node) Send(addr string, to view.ID, kind view.Kind, message module.Message) {
 	if node.stopped || node.view == nil {
 		return
 	}
-	node.enqueueDatagram(addr, envelope{Message: view.Message{Kind: kind, From: node.view.Self().ID, Target: to}, body: moduleBody{message: payload}})
+	node.enqueueDatagram(addr, node.moduleEnvelope(to, kind, message))
+}
+
+func (node *Node) moduleEnvelope(to view.ID, kind view.Kind, message module.Message) envelope {
+	header := view.Message{Kind: kind, From: node.view.Self().ID, Target: to}
+	return envelope{Message: header, body: moduleBody{message: message}}
 }
 
-// SendStream is part.Net's.
-func (node *Node) SendStream(addr string, to view.ID, kind view.Kind, payload module.Message, done func(ok bool)) {
+// SendStream implements module.Transport.
+func (node *Node) SendStream(addr string, to view.ID, kind view.Kind, message module.Message, done func(ok bool)) {
 	if node.stopped || node.view == nil {
 		return
 	}
-	if node.openExchanges.Add(1) > maxConcurrentStreams {
-		node.openExchanges.Add(-1)
-		node.overflowed.Add(1)
+	if !node.reserveStream() {
 		done(false)
 		return
 	}
-	message := &envelope{Message: view.Message{Kind: kind, From: node.view.Self().ID, Target: to}, body: moduleBody{message: payload}}
+	request := node.moduleEnvelope(to, kind, message)
 	go func() {
 		defer node.openExchanges.Add(-1)
-		_, err := node.exchange(addr, message) // the answer is one side of a full exchange, and says that it was taken
+		_, err := node.exchange(addr, &request) // the content of the reply is not used
 		if err != nil {
-			node.log.Debug("peers: stream", "addr", addr, "kind", kind, "err", err)
+			node.log.Debug("cluster: stream failed", "addr", addr, "kind", kind, "err", err)
 		}
 		node.loop.Post(func() {
 			if !node.stopped {
@@ -77,59 +81,56 @@
 	}()
 }
 
-// decodeModuleMessage has a part read its message, off the loop.
+// decodeModuleMessage makes the module decode its message. It is called off the event loop.
 func (node *Node) decodeModuleMessage(message *envelope) error {
 	mod := node.moduleOfKind(message.Kind)
 	if mod == nil {
-		return fmt.Errorf("%w: kind %d", ErrMalformed, message.Kind)
+		return fmt.Errorf("%w: no module of kind %d", ErrMalformed, message.Kind)
 	}
-	m, err := mod.Decode(message.body.raw)
+	decoded, err := mod.Decode(message.body.raw)
 	if err != nil {
 		return fmt.Errorf("%w: kind %d: %w", ErrMalformed, message.Kind, err)
 	}
-	message.body.decoded = m
+	message.body.decoded = decoded
 	return nil
 }
 
-// deliverToModule passes on what a part was told; what was for another process is not for this one.
+// deliverToModule passes a decoded message to its module, unless it is for another process.
 func (node *Node) deliverToModule(message *envelope) {
-	if node.stopped || node.view == nil || message.Target != node.view.Self().ID && message.Target != 0 {
+	if node.stopped || node.view == nil {
+		return
+	}
+	if message.Target != 0 && message.Target != node.view.Self().ID {
 		return
 	}
 	node.moduleOfKind(message.Kind).Receive(message.From, message.body.decoded)
 }
 
-// serveModuleStream takes a part's message that came over a stream.
+// serveModuleStream handles a module's message that arrived over a stream. The reply says that it was taken.
 func (node *Node) serveModuleStream(conn net.Conn, message *envelope) {
 	if err := node.decodeModuleMessage(message); err != nil {
 		node.dropped.Add(1)
 		return
 	}
-	got := make(chan *envelope, 1)
+	replies := make(chan *envelope, 1)
 	node.postToLoop(func() {
 		if node.stopped {
-			close(got)
+			close(replies)
 			return
 		}
 		node.deliverToModule(message)
-		got <- &envelope{Message: view.Message{Kind: kindExchange, From: node.view.Self().ID}}
+		replies <- &envelope{Message: view.Message{Kind: kindExchange, From: node.view.Self().ID}}
 	})
-	select {
-	case mine := <-got:
-		if mine != nil {
-			_, _ = conn.Write(appendFrame(nil, node.options.Key.seal(nil, mine)))
-		}
-	case <-time.After(streamTimeoutMs * time.Millisecond):
-	}
+	node.writeReply(conn, replies)
 }
 
-// updateModules tells all parts who is there.
+// updateModules reports the members and counts of the view to all modules.
 func (node *Node) updateModules() {
 	if len(node.modules) == 0 || node.view == nil || node.stopped {
 		return
 	}
-	self, all := node.view.Self().ID, node.view.Members()
+	self, members := node.view.Self().ID, node.view.Members()
 	for _, mod := range node.modules {
-		mod.UpdateMembers(self, all, node.counts)
+		mod.UpdateMembers(self, members, node.counts)
 	}
 }
--- a/internal/cluster/modules_test.go
+++ b/internal/cluster/modules_test.go
@@ -12,8 +12,9 @@
 
 func (s text) Append(b []byte) []byte { return append(b, s...) }
 
-// TestPartForm: a part's words read as they were written, for whom and from whom they are; a full body goes into one datagram.
-func TestPartForm(t *testing.T) {
+// TestModuleMessageRoundTrip: a module's message decodes as it was encoded, with its sender and receiver; a body of MaxBodyBytes fits a
+// datagram; without the module it is rejected.
+func TestModuleMessageRoundTrip(t *testing.T) {
 	w := text(make([]byte, module.MaxBodyBytes))
 	b := testKey.seal(nil, &envelope{Message: view.Message{Kind: module.KindCredit, From: 7, Target: 9}, body: moduleBody{message: w}})
 	if len(b) > MaxDatagramBytes {
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -1,6 +1,10 @@
-// Package cluster joins the fleet's view (package view) to sockets: datagrams for what is small, a stream for a full exchange, on one
-// address. Reading, writing, hashing and coding are done on goroutines off the loop, which post what they make; the view itself is
-// for the loop alone. Without (peers ...) in the operators' settings there is no socket and no goroutine of all this.
+// Package cluster runs a pooler as a member of the cluster: it connects the membership view (package view), the fleet-wide limits
+// (package quota) and the modules (package module) to sockets. Small messages go in datagrams, full exchanges and large messages over
+// streams, both on one address. Goroutines read, write, authenticate and encode, and post what they received to the event loop; the
+// state machines run on the loop alone. What other processes can make it queue is bounded: what exceeds a bound is dropped and counted.
+// A node that receives nothing keeps running; each state machine documents what it does then.
+//
+// Without (peers ...) in the operators' settings there is no Node, no socket and no goroutine.
 package cluster
 
 import (
@@ -20,50 +24,52 @@
 	"beechgrade/internal/invariant"
 )
 
-// Options say how a pooler is a peer.
+// Options configure a Node.
 type Options struct {
-	Listen    string // host:port, both of them numbers
-	Advertise string // what others are told, Listen where empty
+	Listen    string // host:port, both numeric
+	Advertise string // the address that others are given; Listen where empty
 	Key       Key
-	Record    view.Record // but for the address
+	Record    view.Record // this process; its address is filled in
 	View      view.Settings
-	Quota     *quota.Settings // that hold for the whole fleet, nil for none
-	RetryBind bool            // the address may still be held by this pooler's last process: it is asked for until it is free
+	Quota     *quota.Settings // fleet-wide limits, nil for none
+	RetryBind bool            // this pooler's previous process may still use the address: bind again until it is free
 }
 
-// Loop is where the view lives.
+// Loop is the event loop that the state machines run on. Post may be called from any goroutine, the other methods on the loop.
 type Loop interface {
 	Now() float64
 	At(ms float64, do func()) *timers.Timer
 	Post(f func())
 }
 
-// Events is told what the view comes to, on the loop.
+// Events receives what the state machines decide, on the event loop.
 type Events interface {
-	CountsChanged(c view.Counts)                             // whenever it differs from before
-	MemberChanged(r view.Record, was view.State, isNew bool) // news of a process
-	AllowanceChanged(limit string, amount, burst float64)    // what this pooler may use of a limit from now on
+	// CountsChanged reports counts that differ from the previous ones.
+	CountsChanged(c view.Counts)
+	// MemberChanged reports a process that is new, or whose record changed.
+	MemberChanged(r view.Record, was view.State, isNew bool)
+	// AllowanceChanged reports what this pooler may use of a limit from now on.
+	AllowanceChanged(limit string, amount, burst float64)
 }
 
-// Bounds of what is done at a time for others.
 const (
-	maxPendingEvents     = 256 // events that wait for the loop
-	maxQueuedDatagrams   = 512 // datagrams that wait for the socket
-	maxConcurrentStreams = 8   // full exchanges of each side at a time
+	maxPendingEvents     = 256 // posted to the loop and not handled yet
+	maxQueuedDatagrams   = 512 // waiting for the socket
+	maxConcurrentStreams = 8   // opened by this process, and as many accepted
 	streamTimeoutMs      = 1500
 	retryPauseMs         = 50
-	leaveTimeoutMs       = 200 // that the last words may take
+	leaveTimeoutMs       = 200 // for sending the last datagrams
 )
 
-// Stats are counts since the start.
+// Stats are counters since the start.
 type Stats struct {
-	DatagramsIn, DatagramsOut  uint64 // datagrams
-	Dropped                    uint64 // what came without the key, or could not be read
-	Overflowed                 uint64 // what came or went when too much waited
-	Exchanges, ExchangesFailed uint64 // full exchanges that this pooler began, and those of them that failed
+	DatagramsIn, DatagramsOut  uint64
+	Dropped                    uint64 // received messages that are not authentic or malformed, and sends to malformed addresses
+	Overflowed                 uint64 // messages dropped because a queue was full
+	Exchanges, ExchangesFailed uint64 // full exchanges that this process started, and those of them that failed
 }
 
-// Node is a pooler as one of a fleet.
+// Node is this process as a member of the cluster. Its methods are called on the event loop.
 type Node struct {
 	options     Options
 	loop        Loop
@@ -74,21 +80,21 @@
 	viewActions []view.Action
 	localIP     netip.Addr
 
-	quota        *quota.Quota // nil where there is none
-	quotaSelf    view.ID      // whom the quota goes by
+	quota        *quota.Quota // nil without limits
+	quotaSelf    view.ID      // the ID that quota was made with
 	quotaActions []quota.Action
 	quotaDue     float64
 
 	modules []module.Module
 
-	checks        *invariant.Checks // nil where nothing is checked
+	checks        *invariant.Checks // nil if invariants are not checked
 	checkInterval int
 
 	udp        *net.UDPConn
 	tcp        *net.TCPListener
 	workers    sync.WaitGroup
 	sendQueue  chan datagram
-	writerDone chan struct{} // closed once all that was to be sent has been
+	writerDone chan struct{} // closed once the queue was sent
 
 	pendingEvents   atomic.Int64
 	openExchanges   atomic.Int64
@@ -97,27 +103,30 @@
 	overflowed      atomic.Uint64
 	exchanges       atomic.Uint64
 	exchangesFailed atomic.Uint64
-	stopped         bool // on the loop: nothing is told to the view any more
+	stopped         bool // used on the loop only
 }
 
-// New makes a peer; Start begins it.
-func New(l Loop, log *slog.Logger, opt Options, events Events) *Node {
-	if opt.Advertise == "" {
-		opt.Advertise = opt.Listen
+// New returns a Node that is not started yet.
+func New(loop Loop, log *slog.Logger, options Options, events Events) *Node {
+	if options.Advertise == "" {
+		options.Advertise = options.Listen
+	}
+	return &Node{
+		options: options, loop: loop, log: log, events: events,
+		sendQueue: make(chan datagram, maxQueuedDatagrams), writerDone: make(chan struct{}),
 	}
-	return &Node{options: opt, loop: l, log: log, events: events, sendQueue: make(chan datagram, maxQueuedDatagrams), writerDone: make(chan struct{})}
 }
 
-// CheckInvariants has the invariants of the view and of the limits checked, from the beginning on.
-func (node *Node) CheckInvariants(c *invariant.Checks, every int) {
-	node.checks, node.checkInterval = c, every
+// CheckInvariants makes the view and the quota check their invariants, once in interval events. It is called before Start.
+func (node *Node) CheckInvariants(checks *invariant.Checks, interval int) {
+	node.checks, node.checkInterval = checks, interval
 }
 
-// Start opens the sockets and begins the view; it runs on the loop.
+// Start opens the sockets and starts the view. With Options.RetryBind it returns nil and keeps trying where the address is in use.
 func (node *Node) Start() error {
 	at, err := netip.ParseAddrPort(node.options.Listen)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("cluster: listen on %s: %w", node.options.Listen, err)
 	}
 	node.localIP = at.Addr()
 	err = node.bind()
@@ -131,7 +140,7 @@
 	return err
 }
 
-// retryBind asks for the address again.
+// retryBind tries to open the sockets again.
 func (node *Node) retryBind() {
 	if node.stopped {
 		return
@@ -146,15 +155,15 @@
 func (node *Node) bind() error {
 	addr, err := net.ResolveUDPAddr("udp", node.options.Listen)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("cluster: listen on %s: %w", node.options.Listen, err)
 	}
 	packet, err := net.ListenUDP("udp", addr)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("cluster: listen on %s: %w", node.options.Listen, err)
 	}
 	listen, err := net.ListenTCP("tcp", &net.TCPAddr{IP: addr.IP, Port: addr.Port})
 	if err != nil {
-		return errors.Join(fmt.Errorf("peers: %w", err), packet.Close())
+		return errors.Join(fmt.Errorf("cluster: listen on %s: %w", node.options.Listen, err), packet.Close())
 	}
 	node.udp, node.tcp = packet, listen
 	return nil
@@ -165,12 +174,12 @@
 	me.Addr = node.options.Advertise
 	node.view = view.New(node.options.View, me, node.loop.Now())
 	node.view.CheckInvariants(node.checks, node.checkInterval)
-	node.workers.Add(3)
-	go node.readLoop()
-	go node.writeLoop()
-	go node.acceptLoop()
+	for _, run := range []func(){node.readLoop, node.writeLoop, node.acceptLoop} {
+		node.workers.Add(1)
+		go run()
+	}
 	node.updateModules()
-	node.log.Info("peers", "listen", node.options.Listen, "id", fmt.Sprintf("%x", uint64(me.ID)), "seeds", node.options.View.SeedAddresses)
+	node.log.Info("cluster: listening", "listen", node.options.Listen, "id", hexID(me.ID), "seeds", node.options.View.SeedAddresses)
 	node.tick()
 }
 
@@ -186,46 +195,58 @@
 	node.loop.At(node.view.NextTick(), node.tick)
 }
 
-// handleView tells the view and carries out what it asks for.
-func (node *Node) handleView(e view.Event) {
+// handleView passes an event to the view and carries out the actions.
+func (node *Node) handleView(event view.Event) {
 	if node.stopped || node.view == nil {
 		return
 	}
-	node.viewActions = node.view.Handle(node.loop.Now(), e, node.viewActions[:0])
-	news := node.view.Self().ID != node.quotaSelf
+	node.viewActions = node.view.Handle(node.loop.Now(), event, node.viewActions[:0])
+	membersChanged := node.view.Self().ID != node.quotaSelf
 	for i := range node.viewActions {
-		a := &node.viewActions[i]
-		switch a.Kind {
-		case view.Send:
-			node.enqueueDatagram(a.Addr, envelope{Message: *a.Message})
-		case view.StartExchange:
-			node.startExchange(a.Addr)
-		case view.RecordChanged:
-			node.log.Info("fleet", "pooler", a.Record.Name, "id", fmt.Sprintf("%x", uint64(a.Record.ID)), "addr", a.Record.Addr, "state", a.Record.State.String(), "inc", a.Record.Incarnation)
-			node.events.MemberChanged(a.Record, a.Previous, a.IsNew)
-			news = true
-		case view.NameConflict:
-			node.log.Error("fleet", "err", a.Text)
+		if node.applyViewAction(&node.viewActions[i]) {
+			membersChanged = true
 		}
 	}
 	clear(node.viewActions)
-	if c := node.view.Counts(); c != node.counts {
-		node.counts, news = c, true
-		node.events.CountsChanged(c)
+	if counts := node.view.Counts(); counts != node.counts {
+		node.counts = counts
+		membersChanged = true
+		node.events.CountsChanged(counts)
 	}
-	if news {
+	if membersChanged {
 		node.updateQuotaMembers()
 		node.updateModules()
 	}
 }
 
-// Drain tells the others that this pooler takes no more clients, or does again.
-func (node *Node) Drain(on bool) { node.handleView(view.SetDraining{Draining: on}) }
+// applyViewAction carries out an action and reports whether a member changed.
+func (node *Node) applyViewAction(action *view.Action) (memberChanged bool) {
+	switch action.Kind {
+	case view.Send:
+		node.enqueueDatagram(action.Addr, envelope{Message: *action.Message})
+	case view.StartExchange:
+		node.startExchange(action.Addr)
+	case view.RecordChanged:
+		record := &action.Record
+		node.log.Info("cluster: member changed", "pooler", record.Name, "id", hexID(record.ID), "addr", record.Addr,
+			"state", record.State.String(), "incarnation", record.Incarnation)
+		node.events.MemberChanged(*record, action.Previous, action.IsNew)
+		return true
+	case view.NameConflict:
+		node.log.Error("cluster: name conflict", "err", action.Text)
+	}
+	return false
+}
+
+func hexID(id view.ID) string { return fmt.Sprintf("%x", uint64(id)) }
+
+// Drain announces that this pooler accepts no more clients, or does again.
+func (node *Node) Drain(draining bool) { node.handleView(view.SetDraining{Draining: draining}) }
 
-// Counts are the view's.
+// Counts returns the view's counts.
 func (node *Node) Counts() view.Counts { return node.counts }
 
-// Members are all processes that are known; nil before the start.
+// Members returns all known processes; nil before the view is started.
 func (node *Node) Members() []view.Record {
 	if node.view == nil {
 		return nil
@@ -233,7 +254,7 @@
 	return node.view.Members()
 }
 
-// Name is what this process goes by; the settings' name, unless another has that.
+// Name returns the name that this process uses: that of the settings, unless another process has it.
 func (node *Node) Name() string {
 	if node.view == nil {
 		return node.options.Record.Name
@@ -241,13 +262,13 @@
 	return node.view.Self().Name
 }
 
-// Stats are the counts so far.
+// Stats returns the counters.
 func (node *Node) Stats() Stats {
 	return Stats{DatagramsIn: node.received.Load(), DatagramsOut: node.sent.Load(), Dropped: node.dropped.Load(), Overflowed: node.overflowed.Load(), Exchanges: node.exchanges.Load(), ExchangesFailed: node.exchangesFailed.Load()}
 }
 
-// Leave tells the others that this process ends, and gives the address up; quietly where another of this pooler's processes goes
-// on in its place. It runs on the loop, and nothing comes of the view afterwards.
+// Leave announces that this process ends, unless quietly, which is for a process that another one of this pooler replaces. It stops the
+// state machines, sends what is queued for up to leaveTimeoutMs, closes the sockets and waits for the goroutines.
 func (node *Node) Leave(quietly bool) {
 	if node.stopped {
 		return
@@ -265,7 +286,7 @@
 	if node.view == nil {
 		return
 	}
-	close(node.sendQueue) // the writer sends what waits, then ends
+	close(node.sendQueue) // the writer sends what is queued, then ends
 	select {
 	case <-node.writerDone:
 	case <-time.After(leaveTimeoutMs * time.Millisecond):
--- a/internal/cluster/quota.go
+++ b/internal/cluster/quota.go
@@ -7,63 +7,69 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// updateQuotaMembers tells the quota who is there. A process that has taken another ID begins anew: what it had was lent to the old one.
+// updateQuotaMembers reports the members to the quota. A process that takes another ID starts a new quota: its leases belong to the old ID.
 func (node *Node) updateQuotaMembers() {
 	if node.options.Quota == nil || node.stopped {
 		return
 	}
 	if self := node.view.Self().ID; node.quota == nil || self != node.quotaSelf {
-		node.quotaSelf, node.quota = self, quota.New(*node.options.Quota, self, node.loop.Now())
+		node.quotaSelf = self
+		node.quota = quota.New(*node.options.Quota, self, node.loop.Now())
 		node.quota.CheckInvariants(node.checks, node.checkInterval)
 	}
-	e := quota.MembersChanged{SendingPoolers: node.counts.Sending}
+	event := quota.MembersChanged{SendingPoolers: node.counts.Sending}
 	for _, record := range node.view.Members() {
 		if record.State <= view.Suspect {
-			e.Peers = append(e.Peers, quota.Peer{ID: record.ID, Addr: record.Addr, Draining: record.Draining})
+			event.Peers = append(event.Peers, quota.Peer{ID: record.ID, Addr: record.Addr, Draining: record.Draining})
 		}
 	}
-	node.handleQuota(e)
+	node.handleQuota(event)
 }
 
-// handleQuota tells the quota and carries out what it asks for.
-func (node *Node) handleQuota(e quota.Event) {
+// handleQuota passes an event to the quota and carries out the actions. Events may call it again meanwhile.
+func (node *Node) handleQuota(event quota.Event) {
 	if node.stopped || node.quota == nil {
 		return
 	}
-	acts := node.quota.Handle(node.loop.Now(), e, node.quotaActions[:0])
-	node.quotaActions = nil // who is told may tell again
+	actions := node.quota.Handle(node.loop.Now(), event, node.quotaActions[:0])
+	node.quotaActions = nil // a nested call must not reuse the slice
 	node.quotaDue = node.quota.Due()
-	for i := range acts {
-		switch a := &acts[i]; a.Kind {
-		case quota.Send:
-			node.enqueueDatagram(a.Addr, envelope{Message: view.Message{Kind: kindQuota, From: a.Message.From, Target: a.Message.To}, quota: a.Message})
-		case quota.SetAllowance:
-			node.events.AllowanceChanged(a.Limit, a.Amount, a.Burst)
-		}
+	for i := range actions {
+		node.applyQuotaAction(&actions[i])
+	}
+	clear(actions)
+	node.quotaActions = actions
+}
+
+func (node *Node) applyQuotaAction(action *quota.Action) {
+	switch action.Kind {
+	case quota.Send:
+		header := view.Message{Kind: kindQuota, From: action.Message.From, Target: action.Message.To}
+		node.enqueueDatagram(action.Addr, envelope{Message: header, quota: action.Message})
+	case quota.SetAllowance:
+		node.events.AllowanceChanged(action.Limit, action.Amount, action.Burst)
 	}
-	clear(acts)
-	node.quotaActions = acts
 }
 
-// ReportDemand tells what this pooler would use of a limit, and uses.
-func (node *Node) ReportDemand(limit string, want, used float64) {
-	node.handleQuota(quota.Demand{Limit: limit, Wanted: want, Used: used})
+// ReportDemand reports what this pooler would use of a limit, and what it uses, in the limit's own unit.
+func (node *Node) ReportDemand(limit string, wanted, used float64) {
+	node.handleQuota(quota.Demand{Limit: limit, Wanted: wanted, Used: used})
 }
 
-// SetLimits has the limits be these from now on. How they are shared stays as it was, where there were some before.
-func (node *Node) SetLimits(set quota.Settings) {
+// SetLimits replaces the limits. The other settings of the quota are taken the first time only.
+func (node *Node) SetLimits(settings quota.Settings) {
 	if node.options.Quota == nil {
-		node.options.Quota = &set
+		node.options.Quota = &settings
 		if node.view != nil {
 			node.updateQuotaMembers()
 		}
 		return
 	}
-	node.options.Quota.Limits = set.Limits
-	node.handleQuota(quota.LimitsChanged{Limits: set.Limits})
+	node.options.Quota.Limits = settings.Limits
+	node.handleQuota(quota.LimitsChanged{Limits: settings.Limits})
 }
 
-// Due is when what is allowed may fall without another word; never where nothing may.
+// Due returns when an allowance may fall without another message, in ms of the event loop; +Inf if none may.
 func (node *Node) Due() float64 {
 	if node.quota == nil {
 		return math.Inf(1)
@@ -71,10 +77,10 @@
 	return node.quotaDue
 }
 
-// Expire has leases that are over be so.
+// Expire ends the leases whose time is over.
 func (node *Node) Expire() { node.handleQuota(quota.Tick{}) }
 
-// QuotaStatuses tell how limits stand here.
+// QuotaStatuses returns the state of each limit at this process.
 func (node *Node) QuotaStatuses() []quota.Status {
 	if node.quota == nil {
 		return nil
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -1,74 +1,85 @@
 package cluster
 
 import (
+	"fmt"
 	"math"
 	"net"
-	"time"
 
 	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/view"
 	"beechgrade/internal/encoding"
 )
 
-// Status is what a pooler says to those who look.
+// Status is a pooler's answer to a status query.
 type Status struct {
 	Records []view.Record
 	Counts  view.Counts
-	Avoided []module.AvoidedServer // by others' word
+	Avoided []module.AvoidedServer // on the evidence of others
 }
 
-// QueryStatus asks a pooler for all that it knows.
+// QueryStatus asks a pooler for all that it knows of the cluster.
 func QueryStatus(addr string, key Key) (Status, error) {
-	conn, err := net.DialTimeout("tcp", addr, streamTimeoutMs*time.Millisecond)
+	conn, err := net.DialTimeout("tcp", addr, streamTimeout)
 	if err != nil {
 		return Status{}, err
 	}
 	defer func() { _ = conn.Close() }()
-	message, err := Exchange(conn, key, &envelope{Message: view.Message{Kind: kindStatusQuery}})
+	reply, err := Exchange(conn, key, &envelope{Message: view.Message{Kind: kindStatusQuery}})
 	if err != nil {
 		return Status{}, err
 	}
-	return Status{message.Records, message.counts, message.avoided}, nil
+	return Status{Records: reply.Records, Counts: reply.counts, Avoided: reply.avoided}, nil
 }
 
-// maxAvoidedServers and maxAvoidedReporters bound what is told, and read, of what a pooler avoids: servers, and of each those by whose word.
+// Bounds of the avoided servers in a status, and of the reporters of each.
 const (
 	maxAvoidedServers   = 1000
 	maxAvoidedReporters = 16
+	maxAvoidedUntil     = 1e15 // ms
 )
 
-// avoidedServers is what this pooler's parts avoid by others' word, as far as it is told.
+// Field numbers of an avoided server.
+const (
+	fieldAvoidedServer   = 1
+	fieldAvoidedReason   = 2
+	fieldAvoidedReporter = 3
+	fieldAvoidedUntil    = 4
+)
+
+// avoidedServers returns the servers that this pooler's modules avoid, up to maxAvoidedServers.
 func (node *Node) avoidedServers() (all []module.AvoidedServer) {
 	for _, mod := range node.modules {
-		if a, ok := mod.(module.AvoidedReporter); ok {
-			all = append(all, a.Avoided()...)
+		if reporter, ok := mod.(module.AvoidedReporter); ok {
+			all = append(all, reporter.Avoided()...)
 		}
 	}
 	return all[:min(len(all), maxAvoidedServers)]
 }
 
 func appendAvoided(b []byte, server *module.AvoidedServer) []byte {
-	b = appendText(appendText(b, 1, server.Server), 2, server.Reason)
+	b = appendText(b, fieldAvoidedServer, server.Server)
+	b = appendText(b, fieldAvoidedReason, server.Reason)
 	for _, id := range server.ReportedBy[:min(len(server.ReportedBy), maxAvoidedReporters)] {
-		b = appendFixed(b, 3, uint64(id))
+		b = appendFixed(b, fieldAvoidedReporter, uint64(id))
 	}
-	return appendFixed(b, 4, math.Float64bits(server.UntilMs))
+	return appendFixed(b, fieldAvoidedUntil, math.Float64bits(server.UntilMs))
 }
 
 func decodeAvoided(b []byte) (server module.AvoidedServer, err error) {
 	err = encoding.Fields(b, malformed, func(field encoding.Field) error {
 		switch field.Number {
-		case 1:
+		case fieldAvoidedServer:
 			server.Server = string(field.Bytes)
-		case 2:
+		case fieldAvoidedReason:
 			server.Reason = string(field.Bytes)
-		case 3:
+		case fieldAvoidedReporter:
 			if len(server.ReportedBy) < maxAvoidedReporters {
 				server.ReportedBy = append(server.ReportedBy, view.ID(field.Value))
 			}
-		case 4:
-			if server.UntilMs = math.Float64frombits(field.Value); !(math.Abs(server.UntilMs) < 1e15) {
-				return ErrMalformed
+		case fieldAvoidedUntil:
+			server.UntilMs = math.Float64frombits(field.Value)
+			if math.IsNaN(server.UntilMs) || math.Abs(server.UntilMs) >= maxAvoidedUntil {
+				return fmt.Errorf("%w: an avoided server until %g", ErrMalformed, server.UntilMs)
 			}
 		}
 		return nil
