--- a/internal/endpoints/consul/consul_test.go
+++ b/internal/endpoints/consul/consul_test.go
@@ -146,7 +146,7 @@
 		x := instance(1)
 		x.Maintenance, x.Meta["role"], x.Meta["started"], x.Weight = true, "primary", "1700000000", 3
 		w.catalog.Change("db", []consulserver.Instance{x})
-		want := reconcile.Observation{ID: "db-1", Address: "10.0.0.1:5432", Zone: "dc1", Weight: 3, Started: 1.7e12, Health: reconcile.Maintenance, Role: reconcile.Primary}
+		want := reconcile.Observation{ID: "db-1", Address: "10.0.0.1:5432", Zone: "dc1", Weight: 3, StartedAtMs: 1.7e12, Health: reconcile.Maintenance, Role: reconcile.Primary}
 		if catalog {
 			want.Health = reconcile.Passing
 		}
@@ -366,7 +366,7 @@
 	m := DefaultMapping()
 	m.Group, m.Role, m.Zone, m.Kind, m.Weight, m.Started = FieldSource{"tag", "cell="}, FieldSource{Kind: "tag"}, FieldSource{"node-meta", "rack"}, FieldSource{"const", "k"}, FieldSource{"meta", "w"}, FieldSource{"meta", "up"}
 	c, err := m.Observation(&x)
-	if diff := cmp.Diff(reconcile.Observation{ID: "i", Address: "10.1.1.1:5432", Group: 4, Zone: "r2", Kind: "k", Weight: 2.5, Started: 1.7e12, Role: reconcile.Primary}, c); err != nil || diff != "" {
+	if diff := cmp.Diff(reconcile.Observation{ID: "i", Address: "10.1.1.1:5432", Group: 4, Zone: "r2", Kind: "k", Weight: 2.5, StartedAtMs: 1.7e12, Role: reconcile.Primary}, c); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 	m = DefaultMapping()
--- a/internal/endpoints/consul/mapping.go
+++ b/internal/endpoints/consul/mapping.go
@@ -131,7 +131,7 @@
 	observation.Role = m.role(instance)
 	observation.Weight = m.weight(instance)
 	if text, ok := m.Started.value(instance); ok {
-		observation.Started = parseStart(text)
+		observation.StartedAtMs = parseStart(text)
 	}
 	return observation, nil
 }
--- a/internal/endpoints/consul/watcher.go
+++ b/internal/endpoints/consul/watcher.go
@@ -100,7 +100,7 @@
 		}
 	}
 	slices.SortFunc(report.Observations, func(a, b reconcile.Observation) int {
-		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(b.Started, a.Started))
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(b.StartedAtMs, a.StartedAtMs))
 	})
 	for id := range w.lastObservations {
 		if _, ok := current[id]; !ok {
@@ -139,8 +139,8 @@
 
 // precedes reports whether an observation counts rather than a later one in the response with the same id.
 func (w *watcher) precedes(observation, later reconcile.Observation) bool {
-	if observation.Started != later.Started {
-		return observation.Started > later.Started
+	if observation.StartedAtMs != later.StartedAtMs {
+		return observation.StartedAtMs > later.StartedAtMs
 	}
 	return w.lastObservations[later.ID].Address == observation.Address
 }
--- a/internal/endpoints/convert.go
+++ b/internal/endpoints/convert.go
@@ -31,13 +31,13 @@
 // observationFromInstance returns what an instance in the platform's form stands for; false where it is no usable server.
 func observationFromInstance(instance *discovery.Instance) (reconcile.Observation, bool) {
 	observation := reconcile.Observation{
-		ID:      instance.ID,
-		Address: instance.HostPort,
-		Group:   instance.Cell,
-		Zone:    instance.Zone,
-		Kind:    instance.MachineType,
-		Weight:  instance.Weight,
-		Started: float64(instance.StartedAtMs),
+		ID:          instance.ID,
+		Address:     instance.HostPort,
+		Group:       instance.Cell,
+		Zone:        instance.Zone,
+		Kind:        instance.MachineType,
+		Weight:      instance.Weight,
+		StartedAtMs: float64(instance.StartedAtMs),
 	}
 	switch instance.Role {
 	case rolePrimary:
@@ -54,13 +54,13 @@
 
 func observationFromEntry(entry *reconcile.Entry) reconcile.Observation {
 	observation := reconcile.Observation{
-		ID:      entry.ID,
-		Address: entry.Address,
-		Group:   entry.Group,
-		Zone:    entry.Zone,
-		Kind:    entry.Kind,
-		Weight:  entry.Weight,
-		Started: entry.Started,
+		ID:          entry.ID,
+		Address:     entry.Address,
+		Group:       entry.Group,
+		Zone:        entry.Zone,
+		Kind:        entry.Kind,
+		Weight:      entry.Weight,
+		StartedAtMs: entry.StartedAtMs,
 	}
 	if entry.State == reconcile.StateDraining {
 		observation.Health = reconcile.Maintenance
@@ -80,7 +80,7 @@
 		MachineType: entry.Kind,
 		Cell:        entry.Group,
 		Weight:      entry.Weight,
-		StartedAtMs: int64(entry.Started),
+		StartedAtMs: int64(entry.StartedAtMs),
 		Lifecycle:   [...]string{lifecycleUp, lifecycleDraining, lifecycleRemoved}[entry.State],
 	}
 	if instance.Weight <= 0 {
--- a/internal/endpoints/manager.go
+++ b/internal/endpoints/manager.go
@@ -290,7 +290,7 @@
 			Health:  uint8(observation.Health),
 			Role:    uint8(observation.Role),
 			Primary: observation.Role == reconcile.Primary,
-			Number:  int64(observation.Started),
+			Number:  int64(observation.StartedAtMs),
 			Text:    observation.Address,
 		})
 	}
--- a/internal/endpoints/reconcile/api.go
+++ b/internal/endpoints/reconcile/api.go
@@ -29,15 +29,15 @@
 
 // Observation is what one source reports of one server.
 type Observation struct {
-	ID      string
-	Address string
-	Group   int
-	Zone    string
-	Kind    string
-	Weight  float64
-	Started float64 // when its process last started, in ms; 0 for long ago or unknown
-	Health  Health
-	Role    Role
+	ID          string
+	Address     string
+	Group       int
+	Zone        string
+	Kind        string
+	Weight      float64
+	StartedAtMs float64 // when its process last started, in ms; 0 for long ago or unknown
+	Health      Health
+	Role        Role
 }
 
 // Report is one message of a source.
@@ -64,15 +64,15 @@
 
 // Entry is one server of the endpoint list. Snapshots store it, hence the tags.
 type Entry struct {
-	ID      string  `json:"ID"`
-	Address string  `json:"Address"`
-	Group   int     `json:"Group"`
-	Zone    string  `json:"Zone"`
-	Kind    string  `json:"Kind"`
-	Weight  float64 `json:"Weight"`
-	Started float64 `json:"Started"`
-	State   State   `json:"State"`
-	Primary bool    `json:"Primary"`
+	ID          string  `json:"ID"`
+	Address     string  `json:"Address"`
+	Group       int     `json:"Group"`
+	Zone        string  `json:"Zone"`
+	Kind        string  `json:"Kind"`
+	Weight      float64 `json:"Weight"`
+	StartedAtMs float64 `json:"Started"`
+	State       State   `json:"State"`
+	Primary     bool    `json:"Primary"`
 }
 
 // SelfReport is what a server reports of itself, in a response to a request or to a health check.
@@ -109,7 +109,7 @@
 
 // Decision is a decision with its reason, for logs and records.
 type Decision struct {
-	At     float64 // ms
+	AtMs   float64 // ms
 	Kind   DecisionKind
 	Server string // id in the list; empty where the decision is about a source
 	Group  int
--- a/internal/endpoints/reconcile/entries.go
+++ b/internal/endpoints/reconcile/entries.go
@@ -98,8 +98,8 @@
 		if proposed.Address != previous.Address {
 			r.addDecision(Moved, server, decidedBy, "from %s to %s", previous.Address, proposed.Address)
 		}
-		if proposed.Started > previous.Started && previous.Started > 0 {
-			r.addDecision(Restarted, server, decidedBy, "%.1f s ago", (r.now-proposed.Started)/msPerSecond)
+		if proposed.StartedAtMs > previous.StartedAtMs && previous.StartedAtMs > 0 {
+			r.addDecision(Restarted, server, decidedBy, "%.1f s ago", (r.now-proposed.StartedAtMs)/msPerSecond)
 		}
 	}
 	server.entry = previous
@@ -122,8 +122,8 @@
 			delete(group.members, server.id)
 		}
 	}
-	if report := r.selfReports[entry.Address]; report != nil && entry.Started > report.processStarted {
-		*report = selfReportState{processStarted: entry.Started} // another process, which has reported nothing yet
+	if report := r.selfReports[entry.Address]; report != nil && entry.StartedAtMs > report.processStartedAtMs {
+		*report = selfReportState{processStartedAtMs: entry.StartedAtMs} // another process, which has reported nothing yet
 	}
 	server.listed, server.entry = entry.State != StateRemoved, *entry
 	if !server.listed {
@@ -197,7 +197,7 @@
 		return false
 	}
 	samePlace := observation.Address == entry.Address && observation.Group == entry.Group
-	return samePlace && observation.Started <= entry.Started
+	return samePlace && observation.StartedAtMs <= entry.StartedAtMs
 }
 
 // availableID is the id for a server that is new in the list: its own, or one derived from it where that is taken.
@@ -216,7 +216,7 @@
 		if other == server || entry.Address == "" {
 			continue
 		}
-		if entry.Started <= other.entry.Started {
+		if entry.StartedAtMs <= other.entry.StartedAtMs {
 			if !slices.Contains(r.duplicates[entry.Address], server.id) { // decided once
 				r.duplicates[entry.Address] = append(r.duplicates[entry.Address], server.id)
 				r.addDecision(DuplicateAddress, server, "", "%s has it as %s, since before", entry.Address, other.id)
--- a/internal/endpoints/reconcile/observe.go
+++ b/internal/endpoints/reconcile/observe.go
@@ -84,7 +84,7 @@
 	if previous != nil {
 		r.keepLatestStart(source, previous, updated)
 		if !previous.removed && previous.Observation == updated.Observation {
-			previous.rejectedStart = updated.rejectedStart
+			previous.rejectedStartMs = updated.rejectedStartMs
 			return
 		}
 	}
@@ -106,7 +106,7 @@
 		if server := r.servers[first.ID]; server != nil {
 			listedAddress = server.entry.Address
 		}
-		if other.Started > best.Started || other.Started == best.Started && other.Address == listedAddress {
+		if other.StartedAtMs > best.StartedAtMs || other.StartedAtMs == best.StartedAtMs && other.Address == listedAddress {
 			best = other
 		}
 		if server := r.markDirty(first.ID); server.lastConflict != first.Address+other.Address {
@@ -119,16 +119,16 @@
 
 // keepLatestStart keeps the later start where a source reports an earlier one: a process does not start again in the past.
 func (r *Reconciler) keepLatestStart(source *sourceState, previous, updated *storedObservation) {
-	updated.rejectedStart = previous.rejectedStart
-	if updated.Started >= previous.Started {
+	updated.rejectedStartMs = previous.rejectedStartMs
+	if updated.StartedAtMs >= previous.StartedAtMs {
 		return
 	}
-	if updated.Started != previous.rejectedStart {
+	if updated.StartedAtMs != previous.rejectedStartMs {
 		r.addDecision(Regressed, r.servers[updated.ID], source.name, "its start went from %.0f to %.0f; the later one stands",
-			previous.Started, updated.Started)
+			previous.StartedAtMs, updated.StartedAtMs)
 	}
-	updated.rejectedStart = updated.Started
-	updated.Started = previous.Started
+	updated.rejectedStartMs = updated.StartedAtMs
+	updated.StartedAtMs = previous.StartedAtMs
 }
 
 // Note adds a decision about a source that was made elsewhere, such as that its message could not be read.
@@ -161,7 +161,7 @@
 	}
 	stored := r.selfReports[server.entry.Address]
 	if stored == nil {
-		stored = &selfReportState{processStarted: server.entry.Started}
+		stored = &selfReportState{processStartedAtMs: server.entry.StartedAtMs}
 		r.selfReports[server.entry.Address] = stored
 	}
 	stored.respondedAt = r.now
--- a/internal/endpoints/reconcile/primary.go
+++ b/internal/endpoints/reconcile/primary.go
@@ -60,7 +60,7 @@
 		reason = "nobody says that it is, and no source names one that has not denied it"
 	}
 	if problem != "" && problem != group.lastProblem {
-		r.decisions = append(r.decisions, Decision{At: r.now, Kind: problem, Group: group.id, Reason: reason})
+		r.decisions = append(r.decisions, Decision{AtMs: r.now, Kind: problem, Group: group.id, Reason: reason})
 	}
 	group.lastProblem = problem
 }
--- a/internal/endpoints/reconcile/reconciler.go
+++ b/internal/endpoints/reconcile/reconciler.go
@@ -63,16 +63,16 @@
 // storedObservation is the last observation of a source on a server.
 type storedObservation struct {
 	Observation
-	removed       bool    // the source has removed the server since
-	rejectedStart float64 // an earlier start that was reported since and rejected
+	removed         bool    // the source has removed the server since
+	rejectedStartMs float64 // an earlier start that was reported since and rejected
 }
 
 type selfReportState struct {
-	role           Role
-	roleReportedAt float64
-	position       float64
-	respondedAt    float64
-	processStarted float64 // start of the process that reported
+	role               Role
+	roleReportedAt     float64
+	position           float64
+	respondedAt        float64
+	processStartedAtMs float64 // start of the process that reported
 }
 
 type serverState struct {
@@ -119,7 +119,7 @@
 
 // addDecision adds a decision about a server, or about a source where server is nil.
 func (r *Reconciler) addDecision(kind DecisionKind, server *serverState, sourceName, format string, args ...any) {
-	decision := Decision{At: r.now, Kind: kind, Source: sourceName, Reason: fmt.Sprintf(format, args...)}
+	decision := Decision{AtMs: r.now, Kind: kind, Source: sourceName, Reason: fmt.Sprintf(format, args...)}
 	if server != nil {
 		decision.Server, decision.Group = server.listedID, server.entry.Group
 		for _, observation := range server.observations {
--- a/internal/endpoints/reconcile/state.go
+++ b/internal/endpoints/reconcile/state.go
@@ -142,8 +142,8 @@
 		if observation == nil || observation.removed {
 			continue
 		}
-		if observation.Started > entry.Started && observation.Started <= r.now+maxFutureStartMs {
-			entry.Started = observation.Started
+		if observation.StartedAtMs > entry.StartedAtMs && observation.StartedAtMs <= r.now+maxFutureStartMs {
+			entry.StartedAtMs = observation.StartedAtMs
 		}
 		if !conflicts(best, observation) {
 			continue
--- a/internal/testkit/simulation/members.go
+++ b/internal/testkit/simulation/members.go
@@ -177,7 +177,7 @@
 		for i := range list {
 			x := &list[i]
 			m.alias[x.ID] = x.Server
-			c := reconcile.Observation{ID: x.ID, Address: x.Address, Group: x.Server.Group.ID, Zone: "room", Kind: "padrao-4", Weight: 1, Started: x.Started}
+			c := reconcile.Observation{ID: x.ID, Address: x.Address, Group: x.Server.Group.ID, Zone: "room", Kind: "padrao-4", Weight: 1, StartedAtMs: x.Started}
 			if x.Critical {
 				c.Health = reconcile.Critical
 			}
