--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -18,101 +18,101 @@
 
 // fleet is so many poolers in one test's time, with a log that takes logMs for an entry and loses none, and requests that take serveMs.
 type fleet struct {
-	t      *testing.T
-	now    float64
-	rng    *rand.Rand
-	todo   todo
-	n      int
-	nodes  []*node
-	log    [][]byte
-	leader int
-	lossy  float64
-	parted func(a, b int) bool
-	cut    func(a int) bool // from the log
-
-	entries, bytes, words, wordBytes int
-	served, refused, waited, asked   int
-	charged                          int64
-	ample                            int64 // funds of which none are short
-	early                            int   // waited while no more was charged
-	firstRefusal                     int64 // charged by then, -1 for none
-	passedAt                         []float64
+	t           *testing.T
+	now         float64
+	rng         *rand.Rand
+	events      eventQueue
+	n           int
+	nodes       []*node
+	log         [][]byte
+	leader      int
+	lossRate    float64
+	partitioned func(a, b int) bool
+	cutFromLog  func(a int) bool // from the log
+
+	entries, bytes, messages, messageBytes int
+	served, rejected, queued, requests     int
+	charged                                int64
+	ample                                  int64 // funds of which none are short
+	queuedEarly                            int   // waited while no more was charged
+	chargedAtFirstRejection                int64 // charged by then, -1 for none
+	admittedAt                             []float64
 }
 
 type node struct {
-	f    *fleet
-	no   int
-	c    *Credit
-	has  int
-	wait map[uint64]bool
-	dead bool
-	late float64
+	fleet          *fleet
+	number         int
+	credit         *Credit
+	applied        int
+	queued         map[uint64]bool
+	dead           bool
+	suspendedUntil float64
 }
 
-type due struct {
+type scheduledEvent struct {
 	at float64
 	no int
 	do func()
 }
-type todo []due
+type eventQueue []scheduledEvent
 
-func (q todo) Len() int { return len(q) }
-func (q todo) Less(i, k int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, k int) bool {
 	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].no < q[k].no
 }
-func (q todo) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
-func (q *todo) Push(x any)   { *q = append(*q, x.(due)) }
-func (q *todo) Pop() any {
+func (q eventQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
 	x := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return x
 }
 
 const (
-	wayMs, logMs, serveMs, stepMs = 1, 4, 20, 50
+	linkMs, logMs, serveMs, tickMs = 1, 4, 20, 50
 )
 
 func (f *fleet) at(ms float64, do func()) {
 	f.n++
-	heap.Push(&f.todo, due{f.now + ms, f.n, do})
+	heap.Push(&f.events, scheduledEvent{f.now + ms, f.n, do})
 }
 
 func (f *fleet) run(until float64) {
-	for len(f.todo) > 0 && f.todo[0].at <= until {
-		x := heap.Pop(&f.todo).(due)
+	for len(f.events) > 0 && f.events[0].at <= until {
+		x := heap.Pop(&f.events).(scheduledEvent)
 		f.now = x.at
 		x.do()
 	}
 	f.now = until
 }
 
-func (n *node) Now() float64 { return n.f.now }
+func (n *node) Now() float64 { return n.fleet.now }
 func (n *node) Send(addr string, to view.ID, _ view.Kind, w module.Message) {
-	f := n.f
+	f := n.fleet
 	b := w.Append(nil)
 	if len(b) > module.MaxBodyBytes {
 		f.t.Errorf("a datagram of %d bytes", len(b))
 	}
-	f.words++
-	f.wordBytes += len(b)
+	f.messages++
+	f.messageBytes += len(b)
 	y := f.nodes[int(to)-1]
-	if f.lossy > 0 && f.rng.Float64() < f.lossy || f.parted != nil && f.parted(n.no, y.no) {
+	if f.lossRate > 0 && f.rng.Float64() < f.lossRate || f.partitioned != nil && f.partitioned(n.number, y.number) {
 		return
 	}
-	f.at(wayMs+f.rng.Float64(), func() {
+	f.at(linkMs+f.rng.Float64(), func() {
 		m, err := DecodeMessage(b)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		if !y.dead {
-			y.c.Receive(view.ID(n.no+1), m)
+			y.credit.Receive(view.ID(n.number+1), m)
 		}
 	})
 }
 func (n *node) SendStream(string, view.ID, view.Kind, module.Message, func(bool)) {}
 func (n *node) Propose(entry []byte) {
-	f := n.f
-	if f.cut != nil && f.cut(n.no) || n.no != f.leader {
+	f := n.fleet
+	if f.cutFromLog != nil && f.cutFromLog(n.number) || n.number != f.leader {
 		return
 	}
 	f.entries++
@@ -120,60 +120,60 @@
 	f.at(logMs, func() {
 		f.log = append(f.log, entry)
 		for _, y := range f.nodes {
-			f.at(f.rng.Float64(), y.catch)
+			f.at(f.rng.Float64(), y.catchUp)
 		}
 	})
 }
 
-func (n *node) catch() {
-	for n.c.ledger != nil && !n.dead && n.has < len(n.f.log) && (n.f.cut == nil || !n.f.cut(n.no)) {
-		n.has++
-		n.c.Apply(uint64(n.has), n.f.log[n.has-1])
+func (n *node) catchUp() {
+	for n.credit.ledger != nil && !n.dead && n.applied < len(n.fleet.log) && (n.fleet.cutFromLog == nil || !n.fleet.cutFromLog(n.number)) {
+		n.applied++
+		n.credit.Apply(uint64(n.applied), n.fleet.log[n.applied-1])
 	}
 }
 
 func (n *node) Admit(tag uint64, h lease.Reservation) {
-	delete(n.wait, tag)
-	n.f.serve(n, h)
+	delete(n.queued, tag)
+	n.fleet.serve(n, h)
 }
 
 func (n *node) Reject(tag uint64) {
-	delete(n.wait, tag)
-	n.f.refuse()
+	delete(n.queued, tag)
+	n.fleet.reject()
 }
 
-func (f *fleet) refuse() {
-	if f.refused++; f.firstRefusal < 0 {
-		f.firstRefusal = f.charged
+func (f *fleet) reject() {
+	if f.rejected++; f.chargedAtFirstRejection < 0 {
+		f.chargedAtFirstRejection = f.charged
 	}
 }
 
 func (f *fleet) serve(n *node, h lease.Reservation) {
 	f.served++
-	f.passedAt[n.no] = f.now
+	f.admittedAt[n.number] = f.now
 	f.charged += h.Amount
-	f.at(serveMs, func() { n.c.Settle(&h, lease.Usage{Served: 1}) })
+	f.at(serveMs, func() { n.credit.Settle(&h, lease.Usage{Served: 1}) })
 }
 
-// ask has a client ask a pooler.
-func (f *fleet) ask(n *node, tenant string, class int) {
-	f.asked++
-	switch h, v := n.c.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: class, Session: uint64(f.asked), Parts: 1, Tag: uint64(f.asked)}); v {
+// request has a client ask a pooler.
+func (f *fleet) request(n *node, tenant string, class int) {
+	f.requests++
+	switch h, v := n.credit.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: class, Session: uint64(f.requests), Parts: 1, Tag: uint64(f.requests)}); v {
 	case lease.Admitted:
 		f.serve(n, h)
 	case lease.Queued:
-		if f.waited++; f.firstRefusal < 0 && f.charged < f.ample {
-			f.early++
+		if f.queued++; f.chargedAtFirstRejection < 0 && f.charged < f.ample {
+			f.queuedEarly++
 		}
-		n.wait[uint64(f.asked)] = true
+		n.queued[uint64(f.requests)] = true
 	default:
-		f.refuse()
+		f.reject()
 	}
 }
 
 // newFleet begins so many poolers, three of which vote.
 func newFleet(t *testing.T, poolers int, change func(s *Settings)) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(uint64(poolers), 7)), firstRefusal: -1, passedAt: make([]float64, poolers)}
+	f := &fleet{t: t, rng: rand.New(rand.NewPCG(uint64(poolers), 7)), chargedAtFirstRejection: -1, admittedAt: make([]float64, poolers)}
 	var all []view.Record
 	for i := range poolers {
 		all = append(all, view.Record{ID: view.ID(i + 1), Name: fmt.Sprintf("p%d", i), Addr: fmt.Sprint(i)})
@@ -187,18 +187,18 @@
 		if change != nil {
 			change(&s)
 		}
-		n := &node{f: f, no: i, wait: map[uint64]bool{}}
+		n := &node{fleet: f, number: i, queued: map[uint64]bool{}}
 		f.nodes = append(f.nodes, n)
-		n.c = New(s, n, n, nil, n)
-		n.c.UpdateMembers(all[i].ID, all, view.Counts{})
+		n.credit = New(s, n, n, nil, n)
+		n.credit.UpdateMembers(all[i].ID, all, view.Counts{})
 		var tick func()
 		tick = func() {
 			if !n.dead {
-				n.c.Tick()
+				n.credit.Tick()
 			}
-			f.at(stepMs, tick)
+			f.at(tickMs, tick)
 		}
-		f.at(f.rng.Float64()*stepMs, tick)
+		f.at(f.rng.Float64()*tickMs, tick)
 	}
 	f.lead(0)
 	return f
@@ -207,7 +207,7 @@
 func (f *fleet) lead(i int) {
 	f.leader = i
 	for _, n := range f.nodes[:3] {
-		n.c.SetLeader(fmt.Sprintf("p%d", i))
+		n.credit.SetLeader(fmt.Sprintf("p%d", i))
 	}
 }
 
@@ -225,7 +225,7 @@
 				return
 			}
 			if !n.dead && (alive == nil || alive(i)) {
-				f.ask(n, "t", 0)
+				f.request(n, "t", 0)
 			}
 			f.at(f.rng.ExpFloat64()*1000/r, next)
 		}
@@ -234,7 +234,7 @@
 }
 
 func even(int) float64     { return 1 }
-func skewed(i int) float64 { return 1 / float64(1+i) }
+func byRank(i int) float64 { return 1 / float64(1+i) }
 
 func pay(list ...lessor.Payment) func(s *Settings) { return func(s *Settings) { s.Payments = list } }
 
@@ -245,7 +245,7 @@
 		f.t.Errorf("%d are charged, of %d paid", f.charged, paid)
 	}
 	for _, n := range f.nodes[:3] {
-		if err := n.c.Ledger().Check(); err != nil {
+		if err := n.credit.Ledger().Check(); err != nil {
 			f.t.Error(err)
 		}
 	}
@@ -255,7 +255,7 @@
 func TestNearlyAllFundsAreUsedBeforeARejection(t *testing.T) {
 	t.Parallel()
 	for _, poolers := range []int{8, 100, 300} {
-		for name, weight := range map[string]func(int) float64{"even": even, "skewed": skewed} {
+		for name, weight := range map[string]func(int) float64{"even": even, "skewed": byRank} {
 			const funds, rate = 20000, 1000
 			f := newFleet(t, poolers, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: funds}))
 			f.ample = funds * 9 / 10
@@ -263,9 +263,9 @@
 			f.load(rate, 30000, weight, nil)
 			f.run(32000)
 			f.check(funds)
-			part := float64(f.firstRefusal) / funds
+			part := float64(f.chargedAtFirstRejection) / funds
 			t.Logf("%d poolers, %s: %.4f of the funds used before the first refusal, %.4f in all; %.4f of requests waited, %.4f of those of the first nine tenths; %d entries of %d bytes, %d words of %d bytes", poolers, name, part,
-				float64(f.charged)/funds, float64(f.waited)/float64(f.asked), float64(f.early)/(0.9*funds), f.entries, f.bytes/max(1, f.entries), f.words, f.wordBytes/max(1, f.words))
+				float64(f.charged)/funds, float64(f.queued)/float64(f.requests), float64(f.queuedEarly)/(0.9*funds), f.entries, f.bytes/max(1, f.entries), f.messages, f.messageBytes/max(1, f.messages))
 			if part < 0.98 {
 				t.Errorf("%d poolers, %s: %.4f of the funds used before the first refusal", poolers, name, part)
 			}
@@ -296,15 +296,15 @@
 		f.run(10000)
 		f.check(500)
 		reads := f.nodes[poolers-1] // one that does not vote, where there are others
-		s := reads.c.settings
+		s := reads.credit.settings
 		s.Payments = append(slices.Clone(s.Payments), lessor.Payment{Tenant: "t", Number: 2, Amount: 1_000_000})
 		first := map[int]float64{}
 		at := f.now
-		clear(f.passedAt)
-		reads.c.UpdateSettings(s)
+		clear(f.admittedAt)
+		reads.credit.UpdateSettings(s)
 		for len(first) < poolers && f.now < at+8000 {
 			f.run(f.now + 10)
-			for i, x := range f.passedAt {
+			for i, x := range f.admittedAt {
 				if _, ok := first[i]; !ok && x > 0 {
 					first[i] = x - at
 				}
@@ -328,19 +328,19 @@
 
 // disk keeps marks of all processes, as files do.
 type disk struct {
-	f    *fleet
-	of   ledger.Holder
-	to   func(no uint64)
-	kept map[ledger.Holder][]lease.HighWaterMark
+	fleet     *fleet
+	holder    ledger.Holder
+	persisted func(no uint64)
+	files     map[ledger.Holder][]lease.HighWaterMark
 }
 
 func (d *disk) Write(no uint64, m []lease.HighWaterMark) {
-	d.f.at(2, func() { d.kept[d.of] = m; d.to(no) })
+	d.fleet.at(2, func() { d.files[d.holder] = m; d.persisted(no) })
 }
 func (d *disk) Read(h ledger.Holder, do func([]lease.HighWaterMark)) {
-	d.f.at(2, func() { do(d.kept[h]) })
+	d.fleet.at(2, func() { do(d.files[h]) })
 }
-func (d *disk) Erase(h ledger.Holder) { delete(d.kept, h) }
+func (d *disk) Erase(h ledger.Holder) { delete(d.files, h) }
 
 // TestFilesOfCrashedPoolersReleaseTheirFunds crashes processes that hold funds, and lets others find their files: nothing stays stranded, and
 // charged without having been served is only what was in flight and the distance of the high-water marks.
@@ -352,9 +352,9 @@
 		s.Lease.PersistMarks = true
 	})
 	for _, n := range f.nodes {
-		n.c.files = &disk{f, n.c.settings.Holder, func(no uint64) {
+		n.credit.files = &disk{f, n.credit.settings.Holder, func(no uint64) {
 			if !n.dead {
-				n.c.MarksPersisted(no)
+				n.credit.MarksPersisted(no)
 			}
 		}, kept}
 	}
@@ -368,9 +368,9 @@
 		most += int64(len(kept[h])) * 500
 	}
 	f.run(9000)
-	f.nodes[5].c.Recover(crash)
+	f.nodes[5].credit.Recover(crash)
 	f.run(40000)
-	b := f.nodes[0].c.Ledger().Tenant("t")
+	b := f.nodes[0].credit.Ledger().Tenant("t")
 	t.Logf("served %d, %+v", f.charged, b)
 	if b.Stranded != 0 || kept[1003] != nil || kept[1004] != nil {
 		t.Errorf("stranded %d, files %v", b.Stranded, kept)
@@ -397,17 +397,17 @@
 	for i, n := range f.nodes {
 		var next func()
 		next = func() {
-			f.ask(n, fmt.Sprintf("t%d", f.rng.IntN(100)*97), 0)
+			f.request(n, fmt.Sprintf("t%d", f.rng.IntN(100)*97), 0)
 			f.at(f.rng.ExpFloat64()*30, next)
 		}
 		f.at(float64(i), next)
 	}
 	f.run(16000)
-	tenants, accounts := f.nodes[0].c.Ledger().Size()
-	t.Logf("%d requests, %d waited, %d refused; %d tenants, %d accounts; %.1f entries and %.0f bytes a second, snapshot of %d bytes", f.asked, f.waited, f.refused, tenants, accounts,
-		float64(f.entries-entries)/10, float64(f.bytes-bytes)/10, len(f.nodes[0].c.Snapshot()))
-	if tenants != 10000 || accounts > 100*30*2 || f.refused > 0 {
-		t.Errorf("%d tenants, %d accounts, %d refused", tenants, accounts, f.refused)
+	tenants, accounts := f.nodes[0].credit.Ledger().Size()
+	t.Logf("%d requests, %d waited, %d refused; %d tenants, %d accounts; %.1f entries and %.0f bytes a second, snapshot of %d bytes", f.requests, f.queued, f.rejected, tenants, accounts,
+		float64(f.entries-entries)/10, float64(f.bytes-bytes)/10, len(f.nodes[0].credit.Snapshot()))
+	if tenants != 10000 || accounts > 100*30*2 || f.rejected > 0 {
+		t.Errorf("%d tenants, %d accounts, %d refused", tenants, accounts, f.rejected)
 	}
 }
 
@@ -421,18 +421,18 @@
 		f := newFleet(t, 12, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: funds}))
 		f.rng = rand.New(rand.NewPCG(seed, 4))
 		f.run(1000)
-		f.load(600, 14000, even, func(i int) bool { return f.now > f.nodes[i].late })
-		f.at(2000, func() { f.lossy = 0.2 })
-		f.at(5000, func() { f.lossy = 0; f.parted = func(a, b int) bool { return (a < 6) != (b < 6) } })
-		f.at(9000, func() { f.parted = nil })
+		f.load(600, 14000, even, func(i int) bool { return f.now > f.nodes[i].suspendedUntil })
+		f.at(2000, func() { f.lossRate = 0.2 })
+		f.at(5000, func() { f.lossRate = 0; f.partitioned = func(a, b int) bool { return (a < 6) != (b < 6) } })
+		f.at(9000, func() { f.partitioned = nil })
 		for range 4 {
 			f.at(1000+rng.Float64()*9000, func() { f.lead(rng.IntN(3)) })
 			x := f.nodes[3+rng.IntN(9)]
-			f.at(1000+rng.Float64()*9000, func() { x.dead = x.no%3 == 0 })
+			f.at(1000+rng.Float64()*9000, func() { x.dead = x.number%3 == 0 })
 		}
 		f.run(40000)
 		f.check(funds)
-		if b := f.nodes[f.leader].c.Ledger().Tenant("t"); b.Spent+b.Stranded+b.Lent < f.charged || b.Paid != funds {
+		if b := f.nodes[f.leader].credit.Ledger().Tenant("t"); b.Spent+b.Stranded+b.Lent < f.charged || b.Paid != funds {
 			t.Errorf("seed %d: charged %d, books %+v", seed, f.charged, b)
 		}
 	}
--- a/internal/cluster/credit/ledger/bytes_test.go
+++ b/internal/cluster/credit/ledger/bytes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// wholeLine has something in each field.
-func wholeLine() *record {
+// fullRecord has something in each field.
+func fullRecord() *record {
 	return &record{Op: Op{Kind: kindTenant, Key: Key{Tenant: "t", Overdraft: 300, Holder: 4, Generation: 5}, Number: 6, Amount: 7, Spent: 8, Returned: 9, Sequence: 10, Recovered: true},
 		expired: true, granted: 13, paid: 14, balance: -15, lent: 16, stranded: 17, availableAtPayment: 18, appliedPayments: []byte{1, 2}}
 }
@@ -20,7 +20,7 @@
 		b    []byte
 		want string
 	}{
-		{appendRecord(nil, wholeLine()), "0a35081112017418ac0221040000000000000028053006380740084809500a58016001680d700e781d8001108801119001129a01020102"},
+		{appendRecord(nil, fullRecord()), "0a35081112017418ac0221040000000000000028053006380740084809500a58016001680d700e781d8001108801119001129a01020102"},
 		{appendRecord([]byte{1}, &record{}), "010a00"},
 		{Encode([]Op{{Kind: Grant, Key: Key{Tenant: "t", Holder: 1, Generation: 1}, Sequence: 1, Amount: 5}, {Kind: CloseRemaining, Key: Key{Holder: 1}}}), "0a1408021201742101000000000000002801380550010a0b0807210100000000000000"},
 		{l.Snapshot(), "0a04081330020a150811120174706478be018001059001649a010201010a16081012017418032101000000000000002801500168050a0d081221010000000000000028010a11081221090000000000000028ffffffff0f"},
@@ -29,7 +29,7 @@
 			t.Errorf("%s, want %s", got, c.want)
 		}
 	}
-	b := appendRecord(nil, wholeLine())
+	b := appendRecord(nil, fullRecord())
 	var again []byte
 	if err := eachRecord(b, func(l *record) error { again = appendRecord(again, l); return nil }); err != nil || hex.EncodeToString(again) != hex.EncodeToString(b) {
 		t.Errorf("read as %x, %v", again, err)
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -59,8 +59,8 @@
 	return s
 }
 
-// pass has time pass on both clocks.
-func (m *testMachine) pass(ms float64) { m.wall, m.monotonic = m.wall+ms, m.monotonic+ms }
+// advance has time pass on both clocks.
+func (m *testMachine) advance(ms float64) { m.wall, m.monotonic = m.wall+ms, m.monotonic+ms }
 
 // TestOthersAreReadNewestFirst checks that a process reads the others' states, the newest first, and not its own; old ones are left out,
 // unreadable ones do not keep the rest from being read, and abandoned ones are removed.
@@ -75,7 +75,7 @@
 		if err := write.folder.Write(machine.saved()); err != nil {
 			t.Fatal(err)
 		}
-		machine.pass(write.then)
+		machine.advance(write.then)
 	}
 	broken := filepath.Join(dir, "handover-x.state")
 	if err := os.WriteFile(broken, []byte("noise"), 0o600); err != nil {
@@ -104,7 +104,7 @@
 	if diff := cmp.Diff([]float64{900, 9000}, ages(9500, true)); diff != "" {
 		t.Error(diff)
 	}
-	machine.pass(RemoveAfterMs + 1)
+	machine.advance(RemoveAfterMs + 1)
 	if got := ages(1e9, false); len(got) > 0 {
 		t.Errorf("heard though long dead: %v", got)
 	}
