--- a/internal/decide/admission.go
+++ b/internal/decide/admission.go
@@ -25,16 +25,16 @@
 
 // hasCapacity reports whether a server can take one more attempt. If no server can, the request waits for
 // any.
-func (r *Router) hasCapacity(s *server, request *request) bool {
-	if r.now < s.overloadedUntil || s.trialIsFull() || !r.admits(s, request) {
+func (r *Router) hasCapacity(server *server, request *request) bool {
+	if r.now < server.overloadedUntil || server.trialIsFull() || !r.admits(server, request) {
 		return false
 	}
-	after := r.loadOf(s).evident + 1
-	if after <= fullRateConcurrency*r.warmUpFactor(s) {
+	after := r.loadOf(server).evident + 1
+	if after <= fullRateConcurrency*r.warmUpFactor(server) {
 		return true
 	}
-	perRequest := r.serviceRate(s) * rateShare(after)
-	if len(s.openAttempts) == 0 && r.idleServerHasCapacity(request, perRequest) {
+	perRequest := r.serviceRate(server) * rateShare(after)
+	if len(server.openAttempts) == 0 && r.idleServerHasCapacity(request, perRequest) {
 		return true
 	}
 	return r.averageWork/perRequest <= capacityFraction*r.shortestObjective.Seconds()
--- a/internal/decide/attempts.go
+++ b/internal/decide/attempts.go
@@ -24,83 +24,83 @@
 	if r.attemptsExhausted(request) {
 		return false
 	}
-	s := r.chooseServer(request)
-	if s == nil || request.outsideKeyScope(s) {
+	server := r.chooseServer(request)
+	if server == nil || request.outsideKeyScope(server) {
 		return false
 	}
-	share := r.cost(s, request).share
-	r.addAttempt(s, &attempt{
+	share := r.cost(server, request).share
+	r.addAttempt(server, &attempt{
 		request:       request,
-		server:        s,
+		server:        server,
 		number:        len(request.attempts),
 		sentAt:        r.now,
-		serviceAtSend: s.virtualService,
+		serviceAtSend: server.virtualService,
 	})
-	s.frozenShare = share
-	s.frozenUntil = r.now + freezeTime
-	r.useSlowStart(s, request)
-	s.countPick()
+	server.frozenShare = share
+	server.frozenUntil = r.now + freezeTime
+	r.useSlowStart(server, request)
+	server.countPick()
 	r.emit(Action{
 		Kind:        Send,
 		ID:          request.id,
-		Server:      s.id,
-		WriteBefore: r.writeBefore(s, request),
+		Server:      server.id,
+		WriteBefore: r.writeBefore(server, request),
 		Reason:      request.retryReason(),
 	})
 	return true
 }
 
 // writeBefore returns the time from which an attempt must not be written any more.
-func (r *Router) writeBefore(s *server, request *request) Time {
+func (r *Router) writeBefore(server *server, request *request) Time {
 	before := request.sendBy - r.settings.Tick
 	if request.class.Read == ReadBounded && r.settings.StaleReads == StaleReadsAnswered {
 		// While the attempt waits for a connection, the server's proven position ages.
-		proven := request.group.localTime(r.provenPosition(s, request))
+		proven := request.group.localTime(r.provenPosition(server, request))
 		before = min(before, proven+request.class.MaxStaleness+1)
 	}
 	return before
 }
 
 // addAttempt records an attempt that is sent.
-func (r *Router) addAttempt(s *server, attempt *attempt) {
+func (r *Router) addAttempt(server *server, attempt *attempt) {
 	request := attempt.request
 	r.retryBudgets.CountAttempt(r.now, request.group.id, len(request.attempts) == 0, request.duplicates())
 	request.awaitsRetryBudget = false
-	s.openAttempts = append(s.openAttempts, attempt)
+	server.openAttempts = append(server.openAttempts, attempt)
 	request.attempts = append(request.attempts, attempt)
 	request.openAttempts++
 	r.openAttempts++
-	s.group.openAttempts++
-	s.recoveryRamp.ObserveConnections(len(s.openAttempts))
+	server.group.openAttempts++
+	server.recoveryRamp.ObserveConnections(len(server.openAttempts))
 }
 
 // removeAttempt removes an attempt that ended and returns it with the number of older ones still in flight
 // there; nil if it is not known.
-func (r *Router) removeAttempt(s *server, id RequestID, number int) (ended *attempt, older int) {
-	index := slices.IndexFunc(s.openAttempts, func(attempt *attempt) bool {
+func (r *Router) removeAttempt(server *server, id RequestID, number int) (ended *attempt, older int) {
+	index := slices.IndexFunc(server.openAttempts, func(attempt *attempt) bool {
 		return attempt.request.id == id && attempt.number == number
 	})
 	if index < 0 {
 		return nil, 0
 	}
-	ended = s.openAttempts[index]
-	s.openAttempts = slices.Delete(s.openAttempts, index, index+1)
+	ended = server.openAttempts[index]
+	server.openAttempts = slices.Delete(server.openAttempts, index, index+1)
 	if ended.presumedLost {
-		s.lostAttempts--
+		server.lostAttempts--
 	}
 	ended.ended = true
 	ended.request.openAttempts--
 	r.openAttempts--
-	s.group.openAttempts--
+	server.group.openAttempts--
 	return ended, index
 }
 
 // excludeOpenAttempts excludes all attempts in flight from measurement, and takes all servers as having
 // just answered: after a pause of this router.
 func (r *Router) excludeOpenAttempts() {
-	for _, s := range r.serversByID {
-		s.answeredAt = r.now
-		for _, attempt := range s.openAttempts {
+	for _, server := range r.serversByID {
+		server.answeredAt = r.now
+		for _, attempt := range server.openAttempts {
 			attempt.unmeasured = true
 		}
 	}
@@ -108,25 +108,25 @@
 
 // onOutcome handles the end of an attempt. A request without a final answer and without attempts waits again.
 func (r *Router) onOutcome(event *Outcome) {
-	s := r.servers[event.Server]
-	if s == nil {
+	server := r.servers[event.Server]
+	if server == nil {
 		return
 	}
-	r.advanceService(s)
-	attempt, older := r.removeAttempt(s, event.ID, event.Attempt)
+	r.advanceService(server)
+	attempt, older := r.removeAttempt(server, event.ID, event.Attempt)
 	if attempt == nil {
 		return
 	}
 	request := attempt.request
-	r.recordLoss(s, attempt, event.Result)
+	r.recordLoss(server, attempt, event.Result)
 	if event.Result != Unreachable && event.Result != NotSent {
 		request.reachedServer = true
 	}
-	r.applyOutcomeReports(s, attempt, event)
-	r.applyResult(s, attempt, older, event)
+	r.applyOutcomeReports(server, attempt, event)
+	r.applyResult(server, attempt, older, event)
 	request.healthChecks = 0
 	if mayHaveRun(event.Result) {
-		request.markMayHaveRun(attempt, s)
+		request.markMayHaveRun(attempt, server)
 	}
 	if event.Final {
 		r.dropRequest(request)
@@ -134,7 +134,7 @@
 	if event.Result != OK && request.idle() && !slices.Contains(request.group.waiting, request) {
 		request.group.waiting = append(request.group.waiting, request)
 	}
-	r.sendWaiting(s.group)
+	r.sendWaiting(server.group)
 }
 
 // idle reports whether a request has no final answer and no attempt in flight.
@@ -151,74 +151,75 @@
 
 // applyOutcomeReports takes the reports of an outcome. That a server is a replica counts at once; that it
 // is the primary, as of its report.
-func (r *Router) applyOutcomeReports(s *server, attempt *attempt, event *Outcome) {
-	r.observeClock(s, event.Reported, attempt.sentAt)
+func (r *Router) applyOutcomeReports(server *server, attempt *attempt, event *Outcome) {
+	r.observeClock(server, event.Reported, attempt.sentAt)
 	at := r.now
 	if event.Reported.Role == RolePrimary {
-		at = min(r.now, max(attempt.sentAt, s.group.localTime(event.Reported.Position)))
+		at = min(r.now, max(attempt.sentAt, server.group.localTime(event.Reported.Position)))
 	}
-	r.applyReport(s, event.Reported, at)
-	r.observeClock(s, event.Load, never) // a load report is some time old
-	r.applyReport(s, event.Load, s.group.localTime(event.Load.Position))
+	r.applyReport(server, event.Reported, at)
+	r.observeClock(server, event.Load, never) // a load report is some time old
+	r.applyReport(server, event.Load, server.group.localTime(event.Load.Position))
 }
 
 // applyResult takes the result of an attempt as evidence of its server; older attempts are still in flight
 // there.
-func (r *Router) applyResult(s *server, attempt *attempt, older int, event *Outcome) {
+func (r *Router) applyResult(server *server, attempt *attempt, older int, event *Outcome) {
 	switch event.Result {
 	case OK:
-		r.onSuccess(s, attempt, older, event)
+		r.onSuccess(server, attempt, older, event)
 	case Misdirected:
-		r.onMisdirected(s, attempt, event)
+		r.onMisdirected(server, attempt, event)
 	case Overloaded, Unreachable, Failed, Reset:
-		r.onFailure(s, attempt, event.Result)
+		r.onFailure(server, attempt, event.Result)
 	}
 }
 
 // onSuccess handles a request's answer.
-func (r *Router) onSuccess(s *server, attempt *attempt, older int, event *Outcome) {
+func (r *Router) onSuccess(server *server, attempt *attempt, older int, event *Outcome) {
 	request := attempt.request
 	if !attempt.unmeasured {
-		r.measure(s, attempt)
+		r.measure(server, attempt)
 	}
-	r.observeSuccess(s)
-	for _, overtaken := range s.openAttempts[:older] {
+	r.observeSuccess(server)
+	for _, overtaken := range server.openAttempts[:older] {
 		overtaken.overtakenBy++
 	}
-	r.recordAnswer(s, attempt)
+	r.recordAnswer(server, attempt)
 	if request.class.Read == Write && r.settings.TrackCommits {
 		// Without a reported position, it is committed by now.
-		r.rememberCommit(request.session, event.Reported.positionOr(r.serverClockNow(s.group)))
+		r.rememberCommit(request.session, event.Reported.positionOr(r.serverClockNow(server.group)))
 	}
 }
 
 // measure takes an answer's time as evidence of the server's load and rate, and of the work of the
 // request's class.
-func (r *Router) measure(s *server, attempt *attempt) {
+func (r *Router) measure(server *server, attempt *attempt) {
 	request := attempt.request
 	took := (r.now - attempt.sentAt).Seconds()
-	received := s.virtualService - attempt.serviceAtSend
-	onLink := min(r.linkDelay(s), took/2)
+	received := server.virtualService - attempt.serviceAtSend
+	onLink := min(r.linkDelay(server), took/2)
 	received *= 1 - onLink/max(took, minMeasuredTime)
 	took -= onLink
-	if r.observeLoad(s, fullRateConcurrency*(took*r.serviceRate(s)/request.expectedWork()-slowAnswerFactor)) {
-		load := r.loadOf(s).likely
-		received = min(received, took*rateShare(load)*r.warmUpFactor(s))
+	met := fullRateConcurrency * (took*r.serviceRate(server)/request.expectedWork() - slowAnswerFactor)
+	if r.observeLoad(server, met) {
+		load := r.loadOf(server).likely
+		received = min(received, took*rateShare(load)*r.warmUpFactor(server))
 	}
-	s.expectedWork += request.expectedWork()
-	s.receivedService += received
-	if r.warmUpFactor(s) == 1 { // a cold server's rate is known roughly
-		r.observeWait(s, took-request.expectedWork()/r.warmRate(s))
-		r.learnWork(s, request, received)
+	server.expectedWork += request.expectedWork()
+	server.receivedService += received
+	if r.warmUpFactor(server) == 1 { // a cold server's rate is known roughly
+		r.observeWait(server, took-request.expectedWork()/r.warmRate(server))
+		r.learnWork(server, request, received)
 	}
 }
 
 // learnWork updates the average work of a class, and of all requests, by the service that an answer received.
-func (r *Router) learnWork(s *server, request *request, received float64) {
+func (r *Router) learnWork(server *server, request *request, received float64) {
 	class := request.class
 	class.answerCount++
 	// The work that the service shows, scaled from the request to its class.
-	observed := received * r.warmRate(s) * class.averageWork / request.expectedWork()
+	observed := received * r.warmRate(server) * class.averageWork / request.expectedWork()
 	learned := class.averageWork + averageGain(class.answerCount)*(observed-class.averageWork)
 	class.averageWork = max(minClassWork, learned)
 	r.averageWork += averageGain(r.answerCount) * (class.averageWork - r.averageWork)
@@ -229,42 +230,43 @@
 func averageGain(answers float64) float64 { return max(minAverageGain, 1/(answers+earlyAnswers)) }
 
 // onMisdirected handles a refusal by a server that is not the primary, or too far behind.
-func (r *Router) onMisdirected(s *server, attempt *attempt, event *Outcome) {
-	r.recordAnswer(s, attempt)
+func (r *Router) onMisdirected(server *server, attempt *attempt, event *Outcome) {
+	r.recordAnswer(server, attempt)
 	if attempt.request.primaryOnly() && event.Reported.Role != RolePrimary {
-		s.role = RoleReplica
-		s.roleAt = r.now
+		server.role = RoleReplica
+		server.roleAt = r.now
 		return
 	}
-	s.positionRate /= 2 // it is further behind than estimated
+	server.positionRate /= 2 // it is further behind than estimated
 }
 
 // onFailure handles an attempt that was not answered, or refused by an overloaded server. It does not prove
 // that the server is down: the server's cost rises for a while, and it gets nothing for a turn.
-func (r *Router) onFailure(s *server, attempt *attempt, result Result) {
+func (r *Router) onFailure(server *server, attempt *attempt, result Result) {
 	switch result {
 	case Unreachable:
-		r.onUnreachable(s, r.now-attempt.sentAt)
+		r.onUnreachable(server, r.now-attempt.sentAt)
 	case Overloaded:
-		r.recordAnswer(s, attempt)
+		r.recordAnswer(server, attempt)
 		request := attempt.request
 		objective := request.class.LatencyObjective.Seconds()
-		met := overloadedFactor * fullRateConcurrency * objective * r.serviceRate(s) / request.expectedWork()
-		r.observeLoad(s, met)
+		rate := r.serviceRate(server)
+		met := overloadedFactor * fullRateConcurrency * objective * rate / request.expectedWork()
+		r.observeLoad(server, met)
 	}
-	r.observeFailure(s)
-	if result == Overloaded || result == Failed && s.failureAtLast > likelyFailure {
-		s.overloadedUntil = r.now + toDuration(r.averageWork/r.serviceRate(s))
+	r.observeFailure(server)
+	if result == Overloaded || result == Failed && server.failureAtLast > likelyFailure {
+		server.overloadedUntil = r.now + toDuration(r.averageWork/r.serviceRate(server))
 	}
 }
 
 // onUnreachable handles a connection that failed after so long. One that was not refused at once may have
 // failed by the link: a health check shows whether the server lives.
-func (r *Router) onUnreachable(s *server, took Time) {
-	linkMayExplain := r.observeLink(s, took)
+func (r *Router) onUnreachable(server *server, took Time) {
+	linkMayExplain := r.observeLink(server, took)
 	if !linkMayExplain && took < longDelay {
-		r.recordRefusal(s)
+		r.recordRefusal(server)
 		return
 	}
-	r.checkHealth(s, ejectedCheckInterval)
+	r.checkHealth(server, ejectedCheckInterval)
 }
--- a/internal/decide/backlog.go
+++ b/internal/decide/backlog.go
@@ -32,19 +32,19 @@
 
 // backlogsOf returns the two to which a server belongs: its group's and that of all groups. Primaries are
 // apart, as writes and reads wait differently.
-func (r *Router) backlogsOf(s *server) [2]*backlog {
+func (r *Router) backlogsOf(server *server) [2]*backlog {
 	index := 1
-	if s == r.primary(s.group) {
+	if server == r.primary(server.group) {
 		index = 0
 	}
-	return [2]*backlog{&s.group.backlogs[index], &r.memberBacklogs[index]}
+	return [2]*backlog{&server.group.backlogs[index], &r.memberBacklogs[index]}
 }
 
 // observeWait updates the throttles by how many seconds an answer had waited behind others.
-func (r *Router) observeWait(s *server, wait float64) {
-	turns := longWaitMinTurns * r.averageWork / r.serviceRate(s)
+func (r *Router) observeWait(server *server, wait float64) {
+	turns := longWaitMinTurns * r.averageWork / r.serviceRate(server)
 	long := max(longWaitFraction*r.shortestObjective.Seconds(), turns)
-	for _, backlog := range r.backlogsOf(s) {
+	for _, backlog := range r.backlogsOf(server) {
 		age := (r.now - backlog.updatedAt).Seconds()
 		excess := min(maxWaitMultiple, max(-1, wait/long-1))
 		throttle := r.throttle(backlog) + throttleGain*excess*min(1, age)
@@ -63,9 +63,9 @@
 // urgent enough for the backlog there. One group's answers are few and vary by chance, so those of all
 // groups count as much. With few other routers the load of this one says more, and the throttle counts for
 // less.
-func (r *Router) admits(s *server, request *request) bool {
-	allowed := r.retryBudgetAllows(request) && r.recoveryRampAllows(s)
-	backlogs := r.backlogsOf(s)
+func (r *Router) admits(server *server, request *request) bool {
+	allowed := r.retryBudgetAllows(request) && r.recoveryRampAllows(server)
+	backlogs := r.backlogsOf(server)
 	if !allowed || backlogs[0].throttle+backlogs[1].throttle <= 0 {
 		return allowed
 	}
--- a/internal/decide/candidates.go
+++ b/internal/decide/candidates.go
@@ -23,42 +23,44 @@
 }
 
 // freshness returns whether a server's data is known to be new enough, and whether it probably is by now.
-func (r *Router) freshness(s *server, request *request) freshness {
+func (r *Router) freshness(server *server, request *request) freshness {
 	required := r.requiredPosition(request)
-	if required == never || r.provenPosition(s, request) >= required {
+	if required == never || r.provenPosition(server, request) >= required {
 		return freshness{known: true, likely: true}
 	}
-	if s == r.primary(request.group) && request.group.clock.inDoubt() { // it is up to date, by another clock
+	if server == r.primary(request.group) && request.group.clock.inDoubt() { // up to date, by another clock
 		return freshness{likely: true}
 	}
-	return freshness{likely: r.likelyReached(s, required)}
+	return freshness{likely: r.likelyReached(server, required)}
 }
 
 // likelyReached reports whether a server has probably reached a position by now, or has not reported its
 // position lately.
-func (r *Router) likelyReached(s *server, required Time) bool {
-	if s.position == never || r.now-s.positionReportedAt > max(r.primarySearchPause, s.lag()) {
+func (r *Router) likelyReached(server *server, required Time) bool {
+	if server.position == never || r.now-server.positionReportedAt > max(r.primarySearchPause, server.lag()) {
 		return true
 	}
-	return s.position+time.Duration(float64(r.now-s.positionAt)*s.positionRate) >= required
+	return server.position+time.Duration(float64(r.now-server.positionAt)*server.positionRate) >= required
 }
 
 // lag returns how far behind the server's data was when its position was last reported.
-func (s *server) lag() time.Duration { return s.positionReportedAt - s.group.localTime(s.position) }
+func (server *server) lag() time.Duration {
+	return server.positionReportedAt - server.group.localTime(server.position)
+}
 
 // provenPosition returns as of when a server's data is complete, on the servers' clock: a primary's as of
 // its report, or of a health check since the request arrived.
-func (r *Router) provenPosition(s *server, request *request) Time {
-	if s != r.primary(request.group) {
-		return s.position
+func (r *Router) provenPosition(server *server, request *request) Time {
+	if server != r.primary(request.group) {
+		return server.position
 	}
 	if !r.settings.MayCheckHealth {
 		return farFuture
 	}
 	ahead := request.group.clock.ahead
-	proven := max(s.position, s.roleAt+ahead)
-	if s.primaryConfirmedAt >= request.arrivedAt {
-		proven = max(proven, s.primaryConfirmedAt+ahead)
+	proven := max(server.position, server.roleAt+ahead)
+	if server.primaryConfirmedAt >= request.arrivedAt {
+		proven = max(proven, server.primaryConfirmedAt+ahead)
 	}
 	return proven
 }
@@ -73,21 +75,21 @@
 
 // freshnessChance returns how likely a health check finds a server fresh: one that was far behind stays so
 // for a while.
-func (r *Router) freshnessChance(s *server, request *request) float64 {
-	lag := s.lag()
+func (r *Router) freshnessChance(server *server, request *request) float64 {
+	lag := server.lag()
 	allowed := r.serverClockNow(request.group) - r.requiredPosition(request)
-	if s.position == never || lag <= allowed {
+	if server.position == never || lag <= allowed {
 		return 1
 	}
-	return 1 - (1-allowed.Seconds()/lag.Seconds())*r.fading(s.positionReportedAt, linkDelayMemory)
+	return 1 - (1-allowed.Seconds()/lag.Seconds())*r.fading(server.positionReportedAt, linkDelayMemory)
 }
 
 // excludes reports whether a request cannot go to a server: it needs another one, or has yet to try others.
-func (request *request) excludes(s *server) bool {
+func (request *request) excludes(server *server) bool {
 	if request.onlyServer != "" {
-		return request.onlyServer != s.id
+		return request.onlyServer != server.id
 	}
-	return len(request.attempts) < len(request.group.members) && request.wasSentTo(s)
+	return len(request.attempts) < len(request.group.members) && request.wasSentTo(server)
 }
 
 // chooseServer returns the server for a request, or nil if the request has to wait.
@@ -121,44 +123,45 @@
 // correctly, and among all that may.
 func (r *Router) cheapestCandidates(request *request) (certain, cheapest *server) {
 	leastCertain, least := math.Inf(1), math.Inf(1)
-	for _, s := range request.group.members {
-		if !s.usable() || request.excludes(s) || !r.hasCapacity(s, request) {
+	for _, server := range request.group.members {
+		if !server.usable() || request.excludes(server) || !r.hasCapacity(server, request) {
 			continue
 		}
-		fresh := r.freshness(s, request)
-		if !fresh.known && !r.isPossible(s, request, fresh) {
+		fresh := r.freshness(server, request)
+		if !fresh.known && !r.mayTryUnproven(server, request, fresh) {
 			continue
 		}
-		cost := r.cost(s, request).seconds
+		cost := r.cost(server, request).seconds
 		if !fresh.known {
-			cost += r.costOfMiss(s, request)
+			cost += r.costOfMiss(server, request)
 		}
 		isCertain := fresh.known || r.settings.StaleReads != StaleReadsAnswered
 		costsTooMuch := isCertain && cost >= leastCertain || !isCertain && cost >= least
-		if costsTooMuch || !r.slowStartAllows(s, request) { // slowStartAllows last, as it draws
+		if costsTooMuch || !r.slowStartAllows(server, request) { // slowStartAllows last, as it draws
 			continue
 		}
 		if isCertain {
-			certain, leastCertain = s, cost
+			certain, leastCertain = server, cost
 		}
 		if cost < least {
-			cheapest, least = s, cost
+			cheapest, least = server, cost
 		}
 	}
 	return certain, cheapest
 }
 
-// isPossible reports whether a server that is not known to be fresh may be used: it refuses reads if it is
-// stale, or its health may be checked first.
-func (r *Router) isPossible(s *server, request *request, fresh freshness) bool {
-	return fresh.likely && (r.settings.StaleReads != StaleReadsAnswered || r.mayAwaitHealthCheck(s, request))
+// mayTryUnproven reports whether a server that is not known to be fresh may be used: it refuses reads if it
+// is stale, or its health may be checked first.
+func (r *Router) mayTryUnproven(server *server, request *request, fresh freshness) bool {
+	refusesStale := r.settings.StaleReads != StaleReadsAnswered
+	return fresh.likely && (refusesStale || r.mayAwaitHealthCheck(server, request))
 }
 
 // costOfMiss returns the expected seconds that a server costs which turns out to be stale: a turn there,
 // and a health check. Where servers do not refuse stale reads, they are checked one by one.
-func (r *Router) costOfMiss(s *server, request *request) float64 {
+func (r *Router) costOfMiss(server *server, request *request) float64 {
 	turn := (2 * r.settings.Tick).Seconds()
-	return (turn + r.healthCheckCost(request)) / (r.freshnessChance(s, request) + minFreshnessChance)
+	return (turn + r.healthCheckCost(request)) / (r.freshnessChance(server, request) + minFreshnessChance)
 }
 
 // checkPrimaryOnce checks the health of the primary for a session read whose cheaper members are behind.
@@ -179,45 +182,45 @@
 
 // mayAwaitHealthCheck reports whether a request may wait for a server's health check: the server refused
 // none lately, and has none in flight for longer than another server's check would cost.
-func (r *Router) mayAwaitHealthCheck(s *server, request *request) bool {
-	if r.now-s.healthCheckRefusedAt < ejectedCheckInterval {
+func (r *Router) mayAwaitHealthCheck(server *server, request *request) bool {
+	if r.now-server.healthCheckRefusedAt < ejectedCheckInterval {
 		return false
 	}
 	longest := healthCheckWaitTicks*r.settings.Tick + toDuration(r.healthCheckCost(request))
-	return !s.healthCheckPending || r.now-s.healthCheckSentAt <= longest
+	return !server.healthCheckPending || r.now-server.healthCheckSentAt <= longest
 }
 
 // awaitsHealthCheck checks the health of a server whose position or load a request needs, if that pays, and
 // reports whether the request has to wait for the result.
-func (r *Router) awaitsHealthCheck(request *request, s *server) bool {
-	if !r.needsHealthCheck(request, s) {
+func (r *Router) awaitsHealthCheck(request *request, server *server) bool {
+	if !r.needsHealthCheck(request, server) {
 		return false
 	}
-	if !s.healthCheckPending {
+	if !server.healthCheckPending {
 		if request.healthChecks >= maxHealthChecksPerRequest {
-			if s == r.primary(request.group) { // the results did not help, and no other member may serve it
-				r.checkHealth(s, r.primarySearchPause)
+			if server == r.primary(request.group) { // the results did not help, and no other may serve it
+				r.checkHealth(server, r.primarySearchPause)
 			}
 			return false
 		}
 		request.healthChecks++
-		r.checkHealth(s, 0)
+		r.checkHealth(server, 0)
 	}
-	return r.now < s.healthCheckSentAt+healthCheckWaitTicks*r.settings.Tick
+	return r.now < server.healthCheckSentAt+healthCheckWaitTicks*r.settings.Tick
 }
 
 // needsHealthCheck reports whether a request needs a server's position, or its load where that costs more
 // than the check.
-func (r *Router) needsHealthCheck(request *request, s *server) bool {
+func (r *Router) needsHealthCheck(request *request, server *server) bool {
 	if !r.settings.MayCheckHealth {
 		return false
 	}
-	if !r.freshness(s, request).known && r.settings.StaleReads == StaleReadsAnswered {
+	if !r.freshness(server, request).known && r.settings.StaleReads == StaleReadsAnswered {
 		return true
 	}
-	if !r.loadReported || r.now-s.loadReportedAt <= r.shortestObjective/loadReportLifetimes {
+	if !r.loadReported || r.now-server.loadReportedAt <= r.shortestObjective/loadReportLifetimes {
 		return false
 	}
-	slowdown := request.expectedWork() / r.serviceRate(s) * (1/rateShare(r.loadOf(s).likely) - 1)
+	slowdown := request.expectedWork() / r.serviceRate(server) * (1/rateShare(r.loadOf(server).likely) - 1)
 	return slowdown > r.healthCheckCost(request)
 }
--- a/internal/decide/clockoffset.go
+++ b/internal/decide/clockoffset.go
@@ -85,24 +85,24 @@
 }
 
 // observeClock takes a report for the offset of its group's clock.
-func (r *Router) observeClock(s *server, report Report, sentAt Time) {
+func (r *Router) observeClock(server *server, report Report, sentAt Time) {
 	if report.Role != RolePrimary || !report.HasPosition {
 		return
 	}
-	clock := &s.group.clock
+	clock := &server.group.clock
 	before := clock.ahead
 	clock.observe(r.now, sentAt, report.Position)
 	if clock.ahead < before {
-		r.correctStarts(s.group)
+		r.correctStarts(server.group)
 	}
 }
 
 // correctStarts dates the starts of a group's servers by the servers' clock, which is behind where it was
 // assumed to be: one that seemed to have started long ago may just have done so.
 func (r *Router) correctStarts(group *group) {
-	for _, s := range group.members {
-		if s.endpoint.Started != 0 {
-			s.startedAt = max(s.startedAt, min(r.now, group.localTime(s.endpoint.Started)))
+	for _, server := range group.members {
+		if server.endpoint.Started != 0 {
+			server.startedAt = max(server.startedAt, min(r.now, group.localTime(server.endpoint.Started)))
 		}
 	}
 }
@@ -115,8 +115,8 @@
 
 // ToLocalTime returns the time on this router's clock at which a server's clock showed a time.
 func (r *Router) ToLocalTime(id ServerID, servers Time) Time {
-	if s := r.servers[id]; s != nil {
-		return s.group.localTime(servers)
+	if server := r.servers[id]; server != nil {
+		return server.group.localTime(servers)
 	}
 	return servers
 }
--- a/internal/decide/cost.go
+++ b/internal/decide/cost.go
@@ -35,30 +35,30 @@
 // requests in flight there of the increase r_f/b'_f - r_f/b_f of theirs. Each increase counts by the
 // request's weight against that of the new one, so that a primary full of writes is spared. To this it adds
 // the chance of failure, the zone and the delay of the link.
-func (r *Router) cost(s *server, request *request) serverCost {
-	r.advanceService(s)
-	rate := r.serviceRate(s)
-	n := r.loadOf(s).likely
+func (r *Router) cost(server *server, request *request) serverCost {
+	r.advanceService(server)
+	rate := r.serviceRate(server)
+	n := r.loadOf(server).likely
 	shareNow := rate * rateShare(n)     // b_f
 	shareAfter := rate * rateShare(n+1) // b'_f and b_j
-	if r.now < s.frozenUntil {
-		shareNow = min(rate, s.frozenShare)
-		shareAfter = min(shareAfter, rate, s.frozenShare)
+	if r.now < server.frozenUntil {
+		shareNow = min(rate, server.frozenShare)
+		shareAfter = min(shareAfter, rate, server.frozenShare)
 	}
 	cost := request.expectedWork() / shareAfter
-	for _, attempt := range s.openAttempts {
-		remaining := attempt.remainingWork(s, rate) // r_f
+	for _, attempt := range server.openAttempts {
+		remaining := attempt.remainingWork(server, rate) // r_f
 		cost += (remaining/shareAfter - remaining/shareNow) * attempt.request.weight / request.weight
 	}
-	cost /= 1 - r.failureChance(s)
-	if s.endpoint.Zone != r.settings.Zone {
+	cost /= 1 - r.failureChance(server)
+	if server.endpoint.Zone != r.settings.Zone {
 		cost += r.settings.CrossZoneCost * request.class.LatencyObjective.Seconds()
 	}
-	return serverCost{seconds: cost + r.linkDelay(s), share: shareAfter}
+	return serverCost{seconds: cost + r.linkDelay(server), share: shareAfter}
 }
 
 // remainingWork estimates what is left of an attempt's work at a server of that rate.
-func (attempt *attempt) remainingWork(s *server, rate serviceRate) workSeconds {
+func (attempt *attempt) remainingWork(server *server, rate serviceRate) workSeconds {
 	work := attempt.request.expectedWork()
-	return max(work-(s.virtualService-attempt.serviceAtSend)*rate, minRemainingFraction*work)
+	return max(work-(server.virtualService-attempt.serviceAtSend)*rate, minRemainingFraction*work)
 }
--- a/internal/decide/endpointlist.go
+++ b/internal/decide/endpointlist.go
@@ -49,50 +49,50 @@
 
 // applyEndpoint takes one entry of a list.
 func (r *Router) applyEndpoint(endpoint *Endpoint, kind ListKind) {
-	s := r.servers[endpoint.Server]
-	if s == nil {
+	server := r.servers[endpoint.Server]
+	if server == nil {
 		if endpoint.State == Removed {
 			return
 		}
-		s = r.addListedServer(endpoint, kind)
+		server = r.addListedServer(endpoint, kind)
 	}
-	r.updateStart(s, endpoint, kind)
-	if r.settings.ListShowsRole && endpoint.Primary && s.role == RoleUnknown {
-		s.role = RolePrimary
-		s.roleAt = never + 1 // any report is newer
+	r.updateStart(server, endpoint, kind)
+	if r.settings.ListShowsRole && endpoint.Primary && server.role == RoleUnknown {
+		server.role = RolePrimary
+		server.roleAt = never + 1 // any report is newer
 	}
 	if endpoint.State == Removed { // one seen draining stays excluded
-		s.markRemoved(r.now)
+		server.markRemoved(r.now)
 		return
 	}
-	s.endpoint = *endpoint
-	s.removedAt = 0
-	s.draining = endpoint.State == Draining
+	server.endpoint = *endpoint
+	server.removedAt = 0
+	server.draining = endpoint.State == Draining
 	r.kindRates[endpoint.Kind] = cmp.Or(r.kindRates[endpoint.Kind], initialKindRate)
 }
 
 // addListedServer adds a server that the list has for the first time.
 func (r *Router) addListedServer(endpoint *Endpoint, kind ListKind) *server {
-	s := r.addServer(endpoint.Server, r.groupFor(endpoint.Group))
-	s.requestShare = r.rng.Float64() // each router begins at another member
+	server := r.addServer(endpoint.Server, r.groupFor(endpoint.Group))
+	server.requestShare = r.rng.Float64() // each router begins at another member
 	if !r.hasList {
-		return s
+		return server
 	}
-	s.requestShare = 0
+	server.requestShare = 0
 	if r.settings.MayCheckHealth {
-		s.health = ejected // it may not exist: a health check comes before any request
+		server.health = ejected // it may not exist: a health check comes before any request
 	}
 	if kind == ListChanges {
-		s.startedAt = max(s.startedAt, r.now) // a new machine starts cold, whatever its entry says
+		server.startedAt = max(server.startedAt, r.now) // a new machine starts cold, whatever its entry says
 	}
-	return s
+	return server
 }
 
 // removeUnlisted marks the servers that a whole list does not have.
 func (r *Router) removeUnlisted(named map[ServerID]bool) {
-	for _, s := range r.serversByID {
-		if !named[s.id] && s.removedAt == 0 {
-			s.markRemoved(r.now)
+	for _, server := range r.serversByID {
+		if !named[server.id] && server.removedAt == 0 {
+			server.markRemoved(r.now)
 		}
 	}
 }
@@ -100,16 +100,16 @@
 // updateStart takes the start that an entry reports. It is a time of the server's clock, which may differ
 // from this one's by any amount. So a start in a change of the list counts from now, as it has just
 // happened; only where nothing was known before is it taken as reported, and none lies ahead.
-func (r *Router) updateStart(s *server, endpoint *Endpoint, kind ListKind) {
-	if endpoint.Started == s.endpoint.Started {
+func (r *Router) updateStart(server *server, endpoint *Endpoint, kind ListKind) {
+	if endpoint.Started == server.endpoint.Started {
 		return
 	}
-	known := s.endpoint.Server != ""
+	known := server.endpoint.Server != ""
 	if known && r.hasList && kind == ListChanges {
-		s.startedAt = max(s.startedAt, r.now)
+		server.startedAt = max(server.startedAt, r.now)
 		return
 	}
-	s.startedAt = max(s.startedAt, min(r.now, cmp.Or(endpoint.Started, never)))
+	server.startedAt = max(server.startedAt, min(r.now, cmp.Or(endpoint.Started, never)))
 }
 
 // onListFailed schedules a new subscription, after a pause that grows with failures in a row.
--- a/internal/decide/healthcheck.go
+++ b/internal/decide/healthcheck.go
@@ -17,29 +17,29 @@
 
 // onHealthCheckResult handles the result of a health check.
 func (r *Router) onHealthCheckResult(event *HealthCheckResult) {
-	s := r.servers[event.Server]
-	if s == nil {
+	server := r.servers[event.Server]
+	if server == nil {
 		return
 	}
 	sentAt, linkMayExplain := never, false
-	if s.healthCheckPending {
-		sentAt = s.healthCheckSentAt
-		linkMayExplain = r.observeLink(s, r.now-s.healthCheckSentAt)
+	if server.healthCheckPending {
+		sentAt = server.healthCheckSentAt
+		linkMayExplain = r.observeLink(server, r.now-server.healthCheckSentAt)
 	}
-	s.healthCheckPending = false
+	server.healthCheckPending = false
 	if provesNothing(event.Result, linkMayExplain) {
-		s.healthCheckRefusedAt = r.now
+		server.healthCheckRefusedAt = r.now
 		return
 	}
 	switch event.Result {
 	case OK:
-		r.onHealthCheckPassed(s, event, sentAt)
+		r.onHealthCheckPassed(server, event, sentAt)
 	case Unreachable, Reset:
-		s.healthCheckFailures++
-		r.recordRefusal(s)
+		server.healthCheckFailures++
+		r.recordRefusal(server)
 	default:
-		s.healthCheckFailures++
-		r.eject(s)
+		server.healthCheckFailures++
+		r.eject(server)
 	}
 }
 
@@ -50,41 +50,41 @@
 }
 
 // onHealthCheckPassed handles the report of a server that answered a health check.
-func (r *Router) onHealthCheckPassed(s *server, event *HealthCheckResult, sentAt Time) {
-	s.healthCheckFailures = 0
+func (r *Router) onHealthCheckPassed(server *server, event *HealthCheckResult, sentAt Time) {
+	server.healthCheckFailures = 0
 	if event.Load.Role == RolePrimary { // no other answer confirms that it is the primary
-		s.primaryConfirmedAt = s.healthCheckSentAt
+		server.primaryConfirmedAt = server.healthCheckSentAt
 	}
-	r.observeClock(s, event.Load, sentAt)
+	r.observeClock(server, event.Load, sentAt)
 	// A primary's position is the time of its report.
-	r.applyReport(s, event.Load, s.group.localTime(event.Load.Position))
-	if s.health == ejected {
+	r.applyReport(server, event.Load, server.group.localTime(event.Load.Position))
+	if server.health == ejected {
 		// A health check bypasses its queue, so that requests have to prove it. What it had in flight may
 		// be lost.
-		r.markHealthy(s)
-		s.health = halfOpen
-		s.presumeAllLost()
+		r.markHealthy(server)
+		server.health = halfOpen
+		server.presumeAllLost()
 	}
-	s.refusingSince = 0
-	r.sendWaiting(s.group)
+	server.refusingSince = 0
+	r.sendWaiting(server.group)
 }
 
 // checkHealth sends a health check to a server, unless one is in flight or was sent within pause.
-func (r *Router) checkHealth(s *server, pause time.Duration) {
-	if !r.settings.MayCheckHealth || s.healthCheckPending || !s.available() {
+func (r *Router) checkHealth(server *server, pause time.Duration) {
+	if !r.settings.MayCheckHealth || server.healthCheckPending || !server.available() {
 		return
 	}
-	if s.healthCheckSentAt != never && r.now-s.healthCheckSentAt < pause {
+	if server.healthCheckSentAt != never && r.now-server.healthCheckSentAt < pause {
 		return
 	}
-	s.healthCheckPending = true
-	s.healthCheckSentAt = r.now
-	r.emit(Action{Kind: HealthCheck, Server: s.id})
+	server.healthCheckPending = true
+	server.healthCheckSentAt = r.now
+	r.emit(Action{Kind: HealthCheck, Server: server.id})
 }
 
 // healthCheckBackoff returns the pause between health checks of an ejected server. It grows as they fail.
-func (s *server) healthCheckBackoff() time.Duration {
-	doublings := max(0, s.healthCheckFailures-checksBeforeBackoff)
+func (server *server) healthCheckBackoff() time.Duration {
+	doublings := max(0, server.healthCheckFailures-checksBeforeBackoff)
 	return ejectedCheckInterval << min(doublings, maxCheckBackoffDoublings)
 }
 
@@ -93,23 +93,23 @@
 func (r *Router) checkServers(group *group) {
 	primary := r.primary(group)
 	search := r.primarySearch(group, primary)
-	for _, s := range group.members {
-		r.advanceService(s)
-		if s.health != ejected && r.unresponsive(s) {
-			r.eject(s)
+	for _, server := range group.members {
+		r.advanceService(server)
+		if server.health != ejected && r.unresponsive(server) {
+			r.eject(server)
 		}
-		if s == primary && group.clock.agreeingReports > 0 {
-			r.checkHealth(s, offsetCheckInterval)
+		if server == primary && group.clock.agreeingReports > 0 {
+			r.checkHealth(server, offsetCheckInterval)
 		}
 		switch {
-		case s.health == ejected && r.settings.MayCheckHealth:
-			r.checkHealth(s, s.healthCheckBackoff())
-		case s.health == ejected:
-			r.startTrial(s)
-		case s.refusingSince != 0:
-			r.checkHealth(s, tickInterval)
+		case server.health == ejected && r.settings.MayCheckHealth:
+			r.checkHealth(server, server.healthCheckBackoff())
+		case server.health == ejected:
+			r.startTrial(server)
+		case server.refusingSince != 0:
+			r.checkHealth(server, tickInterval)
 		case search.active:
-			r.checkHealth(s, search.pause)
+			r.checkHealth(server, search.pause)
 		}
 	}
 }
--- a/internal/decide/hedging.go
+++ b/internal/decide/hedging.go
@@ -22,14 +22,14 @@
 // or is at an ejected server. Where duplicates are not allowed, the attempt is cancelled, so that the
 // request can be retried.
 func (r *Router) hedgeStuckRequests(group *group) {
-	for _, s := range group.members {
-		for _, attempt := range slices.Clone(s.openAttempts) {
+	for _, server := range group.members {
+		for _, attempt := range slices.Clone(server.openAttempts) {
 			if !attempt.request.finished && r.mustAnswerNow(attempt.request) {
 				r.giveFinalAnswer(attempt.request, ReasonDeadline)
 			}
-			r.presumeLost(group, s, attempt)
-			if r.needsHedge(s, attempt) {
-				r.hedge(s, attempt)
+			r.presumeLost(group, server, attempt)
+			if r.needsHedge(server, attempt) {
+				r.hedge(server, attempt)
 			}
 		}
 	}
@@ -37,21 +37,21 @@
 
 // presumeLost marks an attempt as lost that later ones overtook, and that had more service than it is
 // likely to need.
-func (r *Router) presumeLost(group *group, s *server, attempt *attempt) {
+func (r *Router) presumeLost(group *group, server *server, attempt *attempt) {
 	if attempt.presumedLost || attempt.overtakenBy < overtakingForLoss {
 		return
 	}
-	if r.serviceMultiple(s, attempt) > r.patience(group) {
+	if r.serviceMultiple(server, attempt) > r.patience(group) {
 		attempt.presumedLost = true
-		s.lostAttempts++
+		server.lostAttempts++
 	}
 }
 
 // needsHedge reports whether a request is stuck at a server, may be sent again, and can still be answered
 // in time.
-func (r *Router) needsHedge(s *server, attempt *attempt) bool {
+func (r *Router) needsHedge(server *server, attempt *attempt) bool {
 	request := attempt.request
-	stuck := s.health == ejected || attempt.presumedLost
+	stuck := server.health == ejected || attempt.presumedLost
 	if !stuck || attempt.hedged || request.finished {
 		return false
 	}
@@ -62,9 +62,9 @@
 }
 
 // hedge sends a stuck request again, or cancels its attempt where duplicates are not allowed.
-func (r *Router) hedge(s *server, attempt *attempt) {
+func (r *Router) hedge(server *server, attempt *attempt) {
 	request := attempt.request
-	request.markMayHaveRun(attempt, s)
+	request.markMayHaveRun(attempt, server)
 	if r.settings.MayDuplicate {
 		attempt.hedged = r.trySend(request)
 		return
@@ -86,7 +86,7 @@
 
 // recordLoss counts an attempt's end towards the part that is lost. One that was cancelled early may just
 // be slow.
-func (r *Router) recordLoss(s *server, attempt *attempt, result Result) {
+func (r *Router) recordLoss(server *server, attempt *attempt, result Result) {
 	gaveUp := result == Cancelled || result == TimedOut
 	wasStuck := attempt.overtakenBy >= overtakingForLoss && attempt.presumedLost
 	if neverServed(result) || gaveUp && !wasStuck {
@@ -95,7 +95,7 @@
 	lost := 0.0
 	if gaveUp {
 		lost = uncertainLoss
-		if r.serviceMultiple(s, attempt) > maxPatience {
+		if r.serviceMultiple(server, attempt) > maxPatience {
 			lost = 1
 		}
 	}
--- a/internal/decide/inspect.go
+++ b/internal/decide/inspect.go
@@ -4,10 +4,10 @@
 
 // CountServers returns the number of listed servers, and how many of them are out of use now.
 func (r *Router) CountServers() (listed, avoided int) {
-	for _, s := range r.serversByID {
-		if s.removedAt == 0 {
+	for _, server := range r.serversByID {
+		if server.removedAt == 0 {
 			listed++
-			if !s.usable() {
+			if !server.usable() {
 				avoided++
 			}
 		}
@@ -25,22 +25,22 @@
 
 // RelativeRate returns a server's rate relative to others of its kind; 1 where nothing is known.
 func (r *Router) RelativeRate(id ServerID) float64 {
-	if s := r.servers[id]; s != nil {
-		return s.relativeRate
+	if server := r.servers[id]; server != nil {
+		return server.relativeRate
 	}
 	return 1
 }
 
 // Available reports whether the list allows sends to a server: it is listed, and not draining.
 func (r *Router) Available(id ServerID) bool {
-	s := r.servers[id]
-	return s != nil && s.available()
+	server := r.servers[id]
+	return server != nil && server.available()
 }
 
 // IsPrimary reports whether a server is the primary of its group by the latest evidence.
 func (r *Router) IsPrimary(id ServerID) bool {
-	s := r.servers[id]
-	return s != nil && r.primary(s.group) == s
+	server := r.servers[id]
+	return server != nil && r.primary(server.group) == server
 }
 
 // InFlight returns the number of requests without a final answer, and of attempts in flight.
--- a/internal/decide/invariants_actions.go
+++ b/internal/decide/invariants_actions.go
@@ -91,8 +91,8 @@
 
 // requestOf returns the request of a Send, which may be over by the end of the event.
 func (r *Router) requestOf(action *Action) *request {
-	if s := r.servers[action.Server]; s != nil {
-		for _, attempt := range s.openAttempts {
+	if server := r.servers[action.Server]; server != nil {
+		for _, attempt := range server.openAttempts {
 			if attempt.request.id == action.ID {
 				return attempt.request
 			}
@@ -111,28 +111,28 @@
 	if request.primaryOnly() || required == never || mayBeStale {
 		return
 	}
-	s := r.servers[action.Server]
+	server := r.servers[action.Server]
 	ahead := request.group.clock.ahead
 	covered := view.position >= required || view.primaryAt+ahead >= required
 	checkedInTime := view.primaryNotDeniedAt >= max(required-ahead, request.arrivedAt)
-	c.checks.That(covered || checkedInTime && s.role == RolePrimary, "decide: a read goes where its position is covered", func() string {
+	c.checks.That(covered || checkedInTime && server.role == RolePrimary, "decide: a read goes where its position is covered", func() string {
 		ago := func(t Time) time.Duration { return r.now - t }
 		return fmt.Sprintf("%s for %x, which came %v ago and needs %v ago (bound %v): it reported to be at %v ago and to be the primary %v ago, "+
 			"when asked %v ago; the router has position %v ago, role %d as of %v ago, last position report %v ago",
 			action.Server, request.id, ago(request.arrivedAt), ago(required), request.class.MaxStaleness, ago(view.position),
-			ago(view.primaryAt), ago(view.primaryNotDeniedAt), ago(s.position), s.role, ago(s.roleAt), ago(s.positionReportedAt))
+			ago(view.primaryAt), ago(view.primaryNotDeniedAt), ago(server.position), server.role, ago(server.roleAt), ago(server.positionReportedAt))
 	})
 }
 
 // checkSlowStart states that a cold server gets no more from this router in a span than the router's part
 // of the budget. Where that is less than one request, a draw decides, which has a mean and no bound.
 func (c *checker) checkSlowStart(r *Router, action *Action, view *serverView, request *request) {
-	s, span := r.servers[action.Server], r.settings.SlowStartSpan
-	if r.settings.SlowStartMultiple <= 0 || span <= 0 || r.warmUpFactor(s) == 1 {
+	server, span := r.servers[action.Server], r.settings.SlowStartSpan
+	if r.settings.SlowStartMultiple <= 0 || span <= 0 || r.warmUpFactor(server) == 1 {
 		view.slowStartSends = view.slowStartSends[:0]
 		return
 	}
-	rate := min(r.warmRate(s), r.typicalRate(s)) * r.warmUpFactor(s)
+	rate := min(r.warmRate(server), r.typicalRate(server)) * r.warmUpFactor(server)
 	part := r.settings.SlowStartPart / float64(r.settings.Processes)
 	budget := r.settings.SlowStartMultiple * fullRateConcurrency * rate * part * span.Seconds()
 	if slowStartMargin/2*budget < max(request.expectedWork(), r.averageWork) {
--- a/internal/decide/invariants_state.go
+++ b/internal/decide/invariants_state.go
@@ -25,9 +25,9 @@
 // walkServers checks all servers, and the numbers of attempts in flight.
 func (c *checker) walkServers(r *Router) {
 	open, byClass, byTenant := 0, map[int]int{}, map[int]int{}
-	for _, s := range r.serversByID {
-		c.walkServer(r, s, byClass, byTenant)
-		open += len(s.openAttempts)
+	for _, server := range r.serversByID {
+		c.walkServer(r, server, byClass, byTenant)
+		open += len(server.openAttempts)
 	}
 	inOrder := slices.IsSortedFunc(r.serversByID, func(a, b *server) int { return strings.Compare(string(a.id), string(b.id)) })
 	c.checks.That(len(r.serversByID) == len(r.servers) && inOrder, "decide: servers are in order", func() string {
@@ -53,44 +53,44 @@
 }
 
 // walkServer checks one server, and counts its attempts by class and tenant.
-func (c *checker) walkServer(r *Router, s *server, byClass, byTenant map[int]int) {
-	view := c.servers[s.id]
-	filed := r.servers[s.id] == s && slices.Contains(s.group.members, s)
+func (c *checker) walkServer(r *Router, server *server, byClass, byTenant map[int]int) {
+	view := c.servers[server.id]
+	filed := r.servers[server.id] == server && slices.Contains(server.group.members, server)
 	c.checks.That(view != nil && filed, "decide: a server is a member of its group", func() string {
-		return fmt.Sprintf("%s: listed %v, group %d", s.id, view != nil, s.group.id)
+		return fmt.Sprintf("%s: listed %v, group %d", server.id, view != nil, server.group.id)
 	})
 	if view == nil {
 		return
 	}
-	c.checks.That(len(s.openAttempts) == view.openAttempts, "decide: attempts in flight agree by server", func() string {
-		return fmt.Sprintf("%s: %d in its list, %d sent and not ended", s.id, len(s.openAttempts), view.openAttempts)
+	c.checks.That(len(server.openAttempts) == view.openAttempts, "decide: attempts in flight agree by server", func() string {
+		return fmt.Sprintf("%s: %d in its list, %d sent and not ended", server.id, len(server.openAttempts), view.openAttempts)
 	})
 	lost := 0
-	for _, attempt := range s.openAttempts {
+	for _, attempt := range server.openAttempts {
 		if attempt.presumedLost {
 			lost++
 		}
 		request := c.requests[attempt.request.id]
-		sentHere := request != nil && request.openAttempts[attempt.number].server == s.id
-		if !sentHere || attempt.server != s || attempt.ended {
+		sentHere := request != nil && request.openAttempts[attempt.number].server == server.id
+		if !sentHere || attempt.server != server || attempt.ended {
 			c.checks.That(false, "decide: an attempt in flight at a server was sent there", func() string {
-				return fmt.Sprintf("%s: %x, attempt %d", s.id, attempt.request.id, attempt.number)
+				return fmt.Sprintf("%s: %x, attempt %d", server.id, attempt.request.id, attempt.number)
 			})
 			continue
 		}
 		byClass[request.class]++
 		byTenant[request.tenant]++
 	}
-	c.checks.That(lost == s.lostAttempts, "decide: lost attempts are counted", func() string {
-		return fmt.Sprintf("%s: %d, counted %d", s.id, lost, s.lostAttempts)
+	c.checks.That(lost == server.lostAttempts, "decide: lost attempts are counted", func() string {
+		return fmt.Sprintf("%s: %d, counted %d", server.id, lost, server.lostAttempts)
 	})
-	c.checks.That(s.position <= view.position, "decide: a position is one that was reported", func() string {
-		return fmt.Sprintf("%s: at %v, reported %v", s.id, s.position, view.position)
+	c.checks.That(server.position <= view.position, "decide: a position is one that was reported", func() string {
+		return fmt.Sprintf("%s: at %v, reported %v", server.id, server.position, view.position)
 	})
-	inRange := s.slowStartUsed >= 0 && s.slowStartDraw >= 0 && s.othersLoad >= 0 && s.relativeRate > 0
+	inRange := server.slowStartUsed >= 0 && server.slowStartDraw >= 0 && server.othersLoad >= 0 && server.relativeRate > 0
 	c.checks.That(inRange, "decide: a server's values are in range", func() string {
 		return fmt.Sprintf("%s: slow start used %v, drawn %v, load of others %v, rate %v",
-			s.id, s.slowStartUsed, s.slowStartDraw, s.othersLoad, s.relativeRate)
+			server.id, server.slowStartUsed, server.slowStartDraw, server.othersLoad, server.relativeRate)
 	})
 }
 
--- a/internal/decide/load.go
+++ b/internal/decide/load.go
@@ -31,33 +31,33 @@
 
 // loadOf returns a server's load: our attempts except for lost ones, and those of others as reported, which
 // fades to an estimate.
-func (r *Router) loadOf(s *server) serverLoad {
-	own := float64(s.countedAttempts())
-	fresh := r.fading(s.loadReportedAt, loadReportMemory)
-	estimate := (1 - fresh) * r.estimateOthersLoad(s)
-	own += s.othersLoad * fresh
-	mostEvident := othersEvidenceFraction * float64(s.countedAttempts()*(r.settings.Peers-1))
+func (r *Router) loadOf(server *server) serverLoad {
+	own := float64(server.countedAttempts())
+	fresh := r.fading(server.loadReportedAt, loadReportMemory)
+	estimate := (1 - fresh) * r.estimateOthersLoad(server)
+	own += server.othersLoad * fresh
+	mostEvident := othersEvidenceFraction * float64(server.countedAttempts()*(r.settings.Peers-1))
 	return serverLoad{likely: own + estimate, evident: own + min(estimate, mostEvident)}
 }
 
 // estimateOthersLoad estimates the load of other routers at a server: each sends as much as this one,
 // spread alike.
-func (r *Router) estimateOthersLoad(s *server) concurrency {
+func (r *Router) estimateOthersLoad(server *server) concurrency {
 	perGroup := float64(r.settings.Peers-1) * r.requestRate / float64(max(1, len(r.groupsByNumber)))
-	n := perGroup * s.requestShare * r.averageWork / r.serviceRate(s)
+	n := perGroup * server.requestShare * r.averageWork / r.serviceRate(server)
 	utilization := min(maxUtilization, n/fullRateConcurrency)
 	return n / (1 - utilization*utilization) // with what waits there, which grows with utilization
 }
 
 // observeLoad takes an answer as evidence of the load that it met, unless our own attempts explain it, and
 // reports whether it did.
-func (r *Router) observeLoad(s *server, met concurrency) bool {
-	known := r.loadOf(s).likely
-	if fewRouters*(len(s.openAttempts)+1) >= r.settings.Peers || met <= known {
+func (r *Router) observeLoad(server *server, met concurrency) bool {
+	known := r.loadOf(server).likely
+	if fewRouters*(len(server.openAttempts)+1) >= r.settings.Peers || met <= known {
 		return false
 	}
-	s.othersLoad = (known + met) / 2
-	s.loadReportedAt = r.now
+	server.othersLoad = (known + met) / 2
+	server.loadReportedAt = r.now
 	return true
 }
 
@@ -72,12 +72,12 @@
 }
 
 // countPick updates the shares of a group's members after a request was sent to one of them.
-func (s *server) countPick() {
-	weight := requestShareMemory * float64(len(s.group.members))
-	for _, member := range s.group.members {
+func (server *server) countPick() {
+	weight := requestShareMemory * float64(len(server.group.members))
+	for _, member := range server.group.members {
 		member.requestShare -= member.requestShare / weight
 	}
-	s.requestShare += 1 / weight
+	server.requestShare += 1 / weight
 }
 
 // zoneLink is the delay to a zone, as last observed.
@@ -88,30 +88,31 @@
 
 // linkDelay returns the recent delay, in seconds, of health checks into the server's zone, so that a server
 // behind a slow link does not count as dead.
-func (r *Router) linkDelay(s *server) float64 {
-	link := r.zoneLinks[s.endpoint.Zone]
+func (r *Router) linkDelay(server *server) float64 {
+	link := r.zoneLinks[server.endpoint.Zone]
 	return link.delay * r.fading(link.observedAt, linkDelayMemory)
 }
 
 // observeLink takes the time of a health check or of a failed connection, and reports whether the link may
 // explain a failure.
-func (r *Router) observeLink(s *server, took time.Duration) bool {
-	r.zoneLinks[s.endpoint.Zone] = zoneLink{delay: (r.linkDelay(s) + took.Seconds()) / 2, observedAt: r.now}
-	return s.endpoint.Zone != r.settings.Zone && took >= longDelay
+func (r *Router) observeLink(server *server, took time.Duration) bool {
+	delay := (r.linkDelay(server) + took.Seconds()) / 2
+	r.zoneLinks[server.endpoint.Zone] = zoneLink{delay: delay, observedAt: r.now}
+	return server.endpoint.Zone != r.settings.Zone && took >= longDelay
 }
 
 // failureChance returns the chance that a server fails a request: from its last answers, fading.
-func (r *Router) failureChance(s *server) float64 {
-	return s.failureAtLast * r.fading(s.failureAt, failureMemory)
+func (r *Router) failureChance(server *server) float64 {
+	return server.failureAtLast * r.fading(server.failureAt, failureMemory)
 }
 
 // observeSuccess and observeFailure update the chance of failure by half.
-func (r *Router) observeSuccess(s *server) {
-	s.failureAtLast = r.failureChance(s) / 2
-	s.failureAt = r.now
+func (r *Router) observeSuccess(server *server) {
+	server.failureAtLast = r.failureChance(server) / 2
+	server.failureAt = r.now
 }
 
-func (r *Router) observeFailure(s *server) {
-	s.failureAtLast = (r.failureChance(s) + 1) / 2
-	s.failureAt = r.now
+func (r *Router) observeFailure(server *server) {
+	server.failureAtLast = (r.failureChance(server) + 1) / 2
+	server.failureAt = r.now
 }
--- a/internal/decide/outlier.go
+++ b/internal/decide/outlier.go
@@ -19,80 +19,80 @@
 
 // recordAnswer takes an answer. To an attempt from before the server was ejected, it shows only that the
 // server lived.
-func (r *Router) recordAnswer(s *server, attempt *attempt) {
-	s.answeredAt = r.now
-	if attempt.sentAt >= s.ejectedAt || s.refusingSince == 0 {
-		r.markHealthy(s)
+func (r *Router) recordAnswer(server *server, attempt *attempt) {
+	server.answeredAt = r.now
+	if attempt.sentAt >= server.ejectedAt || server.refusingSince == 0 {
+		r.markHealthy(server)
 	} else {
-		s.refusingSince = r.now
+		server.refusingSince = r.now
 	}
 }
 
 // markHealthy returns a server to use.
-func (r *Router) markHealthy(s *server) {
-	if s.health == ejected {
-		r.restartSlowStart(s)
+func (r *Router) markHealthy(server *server) {
+	if server.health == ejected {
+		r.restartSlowStart(server)
 	}
-	s.refusingSince = 0
-	s.healthCheckFailures = 0
-	s.health = healthy
+	server.refusingSince = 0
+	server.healthCheckFailures = 0
+	server.health = healthy
 }
 
 // restartSlowStart takes a server for cold that refused connections for a while: it has probably restarted.
-func (r *Router) restartSlowStart(s *server) {
-	if s.refusingSince != 0 && r.now-s.refusingSince >= restartOutage {
-		s.startedAt = max(s.startedAt, r.now)
+func (r *Router) restartSlowStart(server *server) {
+	if server.refusingSince != 0 && r.now-server.refusingSince >= restartOutage {
+		server.startedAt = max(server.startedAt, r.now)
 	}
 }
 
 // eject takes a server out of use.
-func (r *Router) eject(s *server) {
-	if s.health != ejected {
-		r.emit(Action{Kind: Log, Text: "server " + string(s.id) + " ejected"})
+func (r *Router) eject(server *server) {
+	if server.health != ejected {
+		r.emit(Action{Kind: Log, Text: "server " + string(server.id) + " ejected"})
 	}
-	s.health = ejected
-	s.ejectedAt = r.now
+	server.health = ejected
+	server.ejectedAt = r.now
 }
 
 // recordRefusal takes a refused or broken connection. A second one without an answer between ejects the
 // server.
-func (r *Router) recordRefusal(s *server) {
-	if s.refusingSince != 0 || s.health != healthy {
-		r.eject(s)
+func (r *Router) recordRefusal(server *server) {
+	if server.refusingSince != 0 || server.health != healthy {
+		r.eject(server)
 	}
-	s.refusingSince = cmp.Or(s.refusingSince, r.now)
+	server.refusingSince = cmp.Or(server.refusingSince, r.now)
 }
 
 // unresponsive reports whether a server left requests unanswered for longer than chance explains. Health
 // checks do not count, and neither do attempts that were overtaken: they show something of themselves, not
 // of the server.
-func (r *Router) unresponsive(s *server) bool {
+func (r *Router) unresponsive(server *server) bool {
 	first, count, longest := r.now, 0.0, r.averageWork
-	for _, attempt := range s.openAttempts {
+	for _, attempt := range server.openAttempts {
 		if attempt.showsServer() {
 			first = min(first, attempt.sentAt)
 			count++
 			longest = max(longest, attempt.request.expectedWork())
 		}
 	}
-	turn := longest / (r.serviceRate(s) * rateShare(r.loadOf(s).likely))
-	limit := turn*(unresponsiveTurns+unresponsiveGaps/min(fullRateConcurrency, count)) + r.linkDelay(s)
-	return count > 0 && (r.now-max(s.answeredAt, first)).Seconds() > limit
+	turn := longest / (r.serviceRate(server) * rateShare(r.loadOf(server).likely))
+	limit := turn*(unresponsiveTurns+unresponsiveGaps/min(fullRateConcurrency, count)) + r.linkDelay(server)
+	return count > 0 && (r.now-max(server.answeredAt, first)).Seconds() > limit
 }
 
 // startTrial makes an ejected server half-open after a pause, where it answers no health checks: a request
 // alone can show that it is back.
-func (r *Router) startTrial(s *server) {
-	if !s.available() || r.now-s.ejectedAt < s.healthCheckBackoff() {
+func (r *Router) startTrial(server *server) {
+	if !server.available() || r.now-server.ejectedAt < server.healthCheckBackoff() {
 		return
 	}
-	r.restartSlowStart(s)
-	s.healthCheckFailures++
-	s.health = halfOpen
-	s.presumeAllLost()
+	r.restartSlowStart(server)
+	server.healthCheckFailures++
+	server.health = halfOpen
+	server.presumeAllLost()
 }
 
 // trialIsFull reports whether a half-open server has all the attempts that it may have at once.
-func (s *server) trialIsFull() bool {
-	return s.health == halfOpen && s.countedAttempts() >= halfOpenAttempts
+func (server *server) trialIsFull() bool {
+	return server.health == halfOpen && server.countedAttempts() >= halfOpenAttempts
 }
--- a/internal/decide/rates.go
+++ b/internal/decide/rates.go
@@ -21,34 +21,37 @@
 
 // warmRate returns a server's rate once it is warm: its kind's, learned from all answers, times its own
 // relative rate.
-func (r *Router) warmRate(s *server) serviceRate {
-	return r.kindRates[s.endpoint.Kind] * s.relativeRate
+func (r *Router) warmRate(server *server) serviceRate {
+	return r.kindRates[server.endpoint.Kind] * server.relativeRate
 }
 
 // serviceRate returns the rate for one request alone now. With its warm rate a cold server would win every
 // pick.
-func (r *Router) serviceRate(s *server) serviceRate { return r.warmRate(s) * r.warmUpFactor(s) }
+func (r *Router) serviceRate(server *server) serviceRate {
+	return r.warmRate(server) * r.warmUpFactor(server)
+}
 
 // typicalRate returns the rate of a usual server of the same kind. A server's own estimate is too high
 // where the peers' load there is estimated too high, which shows first at one that most requests go to: its
 // answers seem fast for such a load.
-func (r *Router) typicalRate(s *server) serviceRate {
-	return cmp.Or(r.typicalRates[s.endpoint.Kind], maxRate)
+func (r *Router) typicalRate(server *server) serviceRate {
+	return cmp.Or(r.typicalRates[server.endpoint.Kind], maxRate)
 }
 
 // advanceService brings a server's virtual service up to now. It must be called before the server's load
 // changes.
-func (r *Router) advanceService(s *server) {
-	if elapsed := (r.now - s.virtualServiceAt).Seconds(); elapsed > 0 {
-		load := r.loadOf(s).likely
-		s.virtualService += elapsed * rateShare(load) * r.warmUpFactor(s)
+func (r *Router) advanceService(server *server) {
+	if elapsed := (r.now - server.virtualServiceAt).Seconds(); elapsed > 0 {
+		load := r.loadOf(server).likely
+		server.virtualService += elapsed * rateShare(load) * r.warmUpFactor(server)
 	}
-	s.virtualServiceAt = r.now
+	server.virtualServiceAt = r.now
 }
 
 // serviceMultiple returns the service that an attempt has had, as a multiple of its expected work.
-func (r *Router) serviceMultiple(s *server, attempt *attempt) float64 {
-	return (s.virtualService - attempt.serviceAtSend) * r.warmRate(s) / attempt.request.expectedWork()
+func (r *Router) serviceMultiple(server *server, attempt *attempt) float64 {
+	received := server.virtualService - attempt.serviceAtSend
+	return received * r.warmRate(server) / attempt.request.expectedWork()
 }
 
 // kindEvidence is what one refresh of the rates learns from the warm servers of a kind.
@@ -59,10 +62,10 @@
 }
 
 // with adds a server whose rate was such so far.
-func (evidence kindEvidence) with(s *server, rate serviceRate) kindEvidence {
-	evidence.expectedWork += s.expectedWork
-	evidence.receivedService += s.receivedService
-	if s.relativeRate != 1 {
+func (evidence kindEvidence) with(server *server, rate serviceRate) kindEvidence {
+	evidence.expectedWork += server.expectedWork
+	evidence.receivedService += server.receivedService
+	if server.relativeRate != 1 {
 		evidence.rates = append(evidence.rates, rate)
 	}
 	return evidence
@@ -73,25 +76,25 @@
 	r.rateRefreshAt = r.now + rateRefreshInterval
 	r.countRequests(0)
 	kinds := map[int]kindEvidence{} // of warm servers
-	for _, s := range r.serversByID {
-		r.advanceService(s)
-		rate := r.warmRate(s)
-		r.countLateAttempts(s, rate)
-		s.receivedService *= rate // from here on work at its present rate
-		if r.warmUpFactor(s) == 1 {
-			kinds[s.endpoint.Kind] = kinds[s.endpoint.Kind].with(s, rate)
+	for _, server := range r.serversByID {
+		r.advanceService(server)
+		rate := r.warmRate(server)
+		r.countLateAttempts(server, rate)
+		server.receivedService *= rate // from here on work at its present rate
+		if r.warmUpFactor(server) == 1 {
+			kinds[server.endpoint.Kind] = kinds[server.endpoint.Kind].with(server, rate)
 		}
 	}
-	for _, s := range r.serversByID {
-		kind := kinds[s.endpoint.Kind]
+	for _, server := range r.serversByID {
+		kind := kinds[server.endpoint.Kind]
 		kindStep := r.rateStep(kind.expectedWork, kind.receivedService)
-		step := r.rateStep(s.expectedWork, s.receivedService*kindStep)
-		if r.warmUpFactor(s) < 1 { // one that started earlier than is known seems fast
+		step := r.rateStep(server.expectedWork, server.receivedService*kindStep)
+		if r.warmUpFactor(server) < 1 { // one that started earlier than is known seems fast
 			step = min(1, step)
 		}
-		s.relativeRate = boundedRate(s.relativeRate * step)
-		s.expectedWork = 0
-		s.receivedService = 0
+		server.relativeRate = boundedRate(server.relativeRate * step)
+		server.expectedWork = 0
+		server.receivedService = 0
 	}
 	for kind, evidence := range kinds { // each on its own: the order does not matter
 		step := r.rateStep(evidence.expectedWork, evidence.receivedService)
@@ -102,11 +105,11 @@
 }
 
 // countLateAttempts adds the service of attempts beyond their work, as if they had been answered now.
-func (r *Router) countLateAttempts(s *server, rate serviceRate) {
-	for _, attempt := range s.openAttempts {
-		excess := s.virtualService - attempt.serviceAtSend - attempt.request.expectedWork()/rate
+func (r *Router) countLateAttempts(server *server, rate serviceRate) {
+	for _, attempt := range server.openAttempts {
+		excess := server.virtualService - attempt.serviceAtSend - attempt.request.expectedWork()/rate
 		if excess > 0 && attempt.showsServer() && !attempt.unmeasured {
-			s.receivedService += excess
+			server.receivedService += excess
 		}
 	}
 }
--- a/internal/decide/reports.go
+++ b/internal/decide/reports.go
@@ -12,32 +12,32 @@
 }
 
 // applyReport takes a report's role, position and load; at is the time of the evidence for the role.
-func (r *Router) applyReport(s *server, report Report, at Time) {
+func (r *Router) applyReport(server *server, report Report, at Time) {
 	if report.HasPosition {
-		r.applyPosition(s, report)
+		r.applyPosition(server, report)
 	}
-	if report.Role != RoleUnknown && at >= s.roleAt {
-		s.role = report.Role
-		s.roleAt = min(at, r.now)
+	if report.Role != RoleUnknown && at >= server.roleAt {
+		server.role = report.Role
+		server.roleAt = min(at, r.now)
 	}
 	if report.HasInFlight {
-		r.advanceService(s)
-		s.othersLoad = max(0, report.InFlight-float64(len(s.openAttempts)))
-		s.loadReportedAt = r.now
+		r.advanceService(server)
+		server.othersLoad = max(0, report.InFlight-float64(len(server.openAttempts)))
+		server.loadReportedAt = r.now
 		r.loadReported = true
 	}
 }
 
 // applyPosition takes a reported position, unless it goes back or lies ahead of the servers' clock.
-func (r *Router) applyPosition(s *server, report Report) {
-	s.positionReportedAt = max(s.positionReportedAt, r.now-report.Age)
-	if report.Position <= s.position || report.Position > r.serverClockNow(s.group) {
+func (r *Router) applyPosition(server *server, report Report) {
+	server.positionReportedAt = max(server.positionReportedAt, r.now-report.Age)
+	if report.Position <= server.position || report.Position > r.serverClockNow(server.group) {
 		return
 	}
-	if s.position != never && r.now-s.positionAt > 0 {
-		advanced := float64(report.Position-s.position) / float64(r.now-s.positionAt)
-		s.positionRate += positionGain * (min(1, advanced) - s.positionRate)
+	if server.position != never && r.now-server.positionAt > 0 {
+		advanced := float64(report.Position-server.position) / float64(r.now-server.positionAt)
+		server.positionRate += positionGain * (min(1, advanced) - server.positionRate)
 	}
-	s.position = report.Position
-	s.positionAt = r.now
+	server.position = report.Position
+	server.positionAt = r.now
 }
--- a/internal/decide/request.go
+++ b/internal/decide/request.go
@@ -202,8 +202,10 @@
 }
 
 // wasSentTo reports whether the request was sent to a server before.
-func (request *request) wasSentTo(s *server) bool {
-	return slices.ContainsFunc(request.attempts, func(attempt *attempt) bool { return attempt.server == s })
+func (request *request) wasSentTo(server *server) bool {
+	return slices.ContainsFunc(request.attempts, func(attempt *attempt) bool {
+		return attempt.server == server
+	})
 }
 
 // duplicates reports whether the request's next attempt would be a hedged one, or repeat one that may have
@@ -213,13 +215,13 @@
 }
 
 // markMayHaveRun records that an attempt may have run.
-func (request *request) markMayHaveRun(attempt *attempt, s *server) {
+func (request *request) markMayHaveRun(attempt *attempt, server *server) {
 	if request.mayHaveRun && attempt.sentAt >= request.mayHaveRunSince {
 		return
 	}
 	request.mayHaveRun = true
 	request.mayHaveRunSince = attempt.sentAt
-	request.mayHaveRunZone = s.endpoint.Zone
+	request.mayHaveRunZone = server.endpoint.Zone
 	request.sendBy = attempt.sentAt + request.class.KeyWindow
 }
 
--- a/internal/decide/retries.go
+++ b/internal/decide/retries.go
@@ -19,10 +19,10 @@
 
 // outsideKeyScope reports whether a server would not drop a repeat of a request that may have run: it is in
 // another zone than the first attempt.
-func (request *request) outsideKeyScope(s *server) bool {
+func (request *request) outsideKeyScope(server *server) bool {
 	class := request.class
 	dropsInZone := class.Idempotency == IdempotentWithKey && class.KeyScope == ScopeZone
-	return request.mayHaveRun && dropsInZone && s.endpoint.Zone != request.mayHaveRunZone
+	return request.mayHaveRun && dropsInZone && server.endpoint.Zone != request.mayHaveRunZone
 }
 
 // retryBudgetAllows reports whether a request's next attempt is a first one, or its group may send a
--- a/internal/decide/server.go
+++ b/internal/decide/server.go
@@ -92,7 +92,7 @@
 
 // addServer adds a server of which nothing is known.
 func (r *Router) addServer(id ServerID, group *group) *server {
-	s := &server{
+	added := &server{
 		id:                   id,
 		group:                group,
 		settings:             &r.settings,
@@ -119,24 +119,24 @@
 		slowStartDrawAt:      r.now,
 	}
 	if r.hasList { // ...unless the server is new itself
-		s.firstListedAt = r.now
-		s.slowStartUsed = 0
-		s.slowStartDrawAt = r.now - r.settings.SlowStartSpan
+		added.firstListedAt = r.now
+		added.slowStartUsed = 0
+		added.slowStartDrawAt = r.now - r.settings.SlowStartSpan
 	}
-	r.servers[id] = s
+	r.servers[id] = added
 	at, _ := slices.BinarySearchFunc(r.serversByID, id, func(other *server, id ServerID) int {
 		return cmp.Compare(other.id, id)
 	})
-	r.serversByID = slices.Insert(r.serversByID, at, s)
-	group.members = append(group.members, s)
-	return s
+	r.serversByID = slices.Insert(r.serversByID, at, added)
+	group.members = append(group.members, added)
+	return added
 }
 
 // dropServer removes a server, and its group if that is empty then. The caller removes it from serversByID.
-func (r *Router) dropServer(s *server) {
-	group := s.group
-	group.members = slices.DeleteFunc(group.members, func(member *server) bool { return member == s })
-	delete(r.servers, s.id)
+func (r *Router) dropServer(dropped *server) {
+	group := dropped.group
+	group.members = slices.DeleteFunc(group.members, func(member *server) bool { return member == dropped })
+	delete(r.servers, dropped.id)
 	if len(group.members) == 0 && len(group.waiting) == 0 {
 		r.dropGroup(group)
 	}
@@ -145,37 +145,37 @@
 // dropRemovedServers drops servers that left the list, have not answered for a while, and have no attempt
 // in flight.
 func (r *Router) dropRemovedServers() {
-	r.serversByID = slices.DeleteFunc(r.serversByID, func(s *server) bool {
-		if s.removedAt == 0 || len(s.openAttempts) > 0 {
+	r.serversByID = slices.DeleteFunc(r.serversByID, func(server *server) bool {
+		if server.removedAt == 0 || len(server.openAttempts) > 0 {
 			return false
 		}
-		if r.now-max(s.removedAt, s.answeredAt) < removedServerMemory {
+		if r.now-max(server.removedAt, server.answeredAt) < removedServerMemory {
 			return false
 		}
-		r.dropServer(s)
+		r.dropServer(server)
 		return true
 	})
 }
 
 // markRemoved records that a server is not in the list any more.
-func (s *server) markRemoved(now Time) { s.removedAt = max(now, 1) }
+func (server *server) markRemoved(now Time) { server.removedAt = max(now, 1) }
 
 // available reports whether the list allows sends to the server. With DrainOnly a server that left the list
 // may be used.
-func (s *server) available() bool {
-	return !s.draining && (s.removedAt == 0 || s.settings.DrainOnly)
+func (server *server) available() bool {
+	return !server.draining && (server.removedAt == 0 || server.settings.DrainOnly)
 }
 
 // usable reports whether requests may go to the server.
-func (s *server) usable() bool { return s.available() && s.health != ejected }
+func (server *server) usable() bool { return server.available() && server.health != ejected }
 
 // countedAttempts returns the number of attempts in flight there that count as load.
-func (s *server) countedAttempts() int { return len(s.openAttempts) - s.lostAttempts }
+func (server *server) countedAttempts() int { return len(server.openAttempts) - server.lostAttempts }
 
 // presumeAllLost marks all attempts in flight at the server as presumed lost.
-func (s *server) presumeAllLost() {
-	s.lostAttempts = len(s.openAttempts)
-	for _, attempt := range s.openAttempts {
+func (server *server) presumeAllLost() {
+	server.lostAttempts = len(server.openAttempts)
+	for _, attempt := range server.openAttempts {
 		attempt.presumedLost = true
 	}
 }
--- a/internal/decide/slowstart.go
+++ b/internal/decide/slowstart.go
@@ -11,8 +11,8 @@
 )
 
 // warmUpFactor returns the part of its capacity that a server has, by the time since its start.
-func (r *Router) warmUpFactor(s *server) float64 {
-	age := r.now - s.startedAt
+func (r *Router) warmUpFactor(server *server) float64 {
+	age := r.now - server.startedAt
 	if r.settings.SlowStartTime <= 0 || age >= r.settings.SlowStartTime {
 		return 1
 	}
@@ -22,24 +22,25 @@
 
 // slowStartAllows reports whether a cold server may get a request: by an account of this process's part of
 // the budget, or by draws where that is less than one request.
-func (r *Router) slowStartAllows(s *server, request *request) bool {
-	if r.settings.SlowStartMultiple <= 0 || r.settings.SlowStartSpan <= 0 || r.warmUpFactor(s) == 1 {
+func (r *Router) slowStartAllows(server *server, request *request) bool {
+	if r.settings.SlowStartMultiple <= 0 || r.settings.SlowStartSpan <= 0 || r.warmUpFactor(server) == 1 {
 		return true
 	}
-	budget := r.slowStartBudget(s)
-	r.updateSlowStartAccount(s, budget)
+	budget := r.slowStartBudget(server)
+	r.updateSlowStartAccount(server, budget)
 	part := r.settings.SlowStartPart
 	if budget*part >= r.averageWork {
-		return s.slowStartUsed <= budget*part-min(budget*part, request.expectedWork())
+		return server.slowStartUsed <= budget*part-min(budget*part, request.expectedWork())
 	}
-	return r.slowStartDrawAllows(s, request, budget*part)
+	return r.slowStartDrawAllows(server, request, budget*part)
 }
 
 // slowStartBudget returns the work that the processes of all routers with this one's number may send to a
 // cold server in a span.
-func (r *Router) slowStartBudget(s *server) workSeconds {
+func (r *Router) slowStartBudget(server *server) workSeconds {
 	span := r.settings.SlowStartSpan.Seconds()
-	rate := min(r.warmRate(s), r.typicalRate(s)) * r.warmUpFactor(s) // its own may be far too high
+	// The server's own rate may be far too high.
+	rate := min(r.warmRate(server), r.typicalRate(server)) * r.warmUpFactor(server)
 	multiple := slowStartMargin / 2 * r.settings.SlowStartMultiple
 	return multiple * rate * fullRateConcurrency / float64(r.settings.Processes) * span
 }
@@ -47,43 +48,44 @@
 // updateSlowStartAccount brings the account of work sent up to now: it leaks a whole budget in each span. A
 // part of the budget is handed over with what was used of it, so that what remains is unchanged when the
 // part changes.
-func (r *Router) updateSlowStartAccount(s *server, budget workSeconds) {
+func (r *Router) updateSlowStartAccount(server *server, budget workSeconds) {
 	part := r.settings.SlowStartPart
-	elapsed := (r.now - s.slowStartUsedAt).Seconds()
-	leaked := budget * min(part, s.slowStartPart) * elapsed / r.settings.SlowStartSpan.Seconds()
-	handedOver := budget * (part - s.slowStartPart)
-	s.slowStartUsed = max(0, min(s.slowStartUsed, budget*s.slowStartPart)-leaked+handedOver)
-	s.slowStartUsedAt = r.now
-	s.slowStartPart = part
+	elapsed := (r.now - server.slowStartUsedAt).Seconds()
+	leaked := budget * min(part, server.slowStartPart) * elapsed / r.settings.SlowStartSpan.Seconds()
+	handedOver := budget * (part - server.slowStartPart)
+	server.slowStartUsed = max(0, min(server.slowStartUsed, budget*server.slowStartPart)-leaked+handedOver)
+	server.slowStartUsedAt = r.now
+	server.slowStartPart = part
 }
 
 // slowStartDrawAllows decides by a draw whose chance grows with the time since the last one, up to a span,
 // so that a burst of requests has no better chance.
-func (r *Router) slowStartDrawAllows(s *server, request *request, budget workSeconds) bool {
+func (r *Router) slowStartDrawAllows(server *server, request *request, budget workSeconds) bool {
 	span := r.settings.SlowStartSpan
-	gap := min(r.now-max(s.slowStartDrawAt, s.startedAt), span)
+	gap := min(r.now-max(server.slowStartDrawAt, server.startedAt), span)
 	if gap >= span/slowStartDrawsPerSpan {
-		s.slowStartDraw = r.rng.Float64() / gap.Seconds()
-		s.slowStartDrawAt = r.now
+		server.slowStartDraw = r.rng.Float64() / gap.Seconds()
+		server.slowStartDrawAt = r.now
 	}
-	return s.slowStartDraw*max(request.expectedWork(), r.averageWork)*span.Seconds() < budget
+	return server.slowStartDraw*max(request.expectedWork(), r.averageWork)*span.Seconds() < budget
 }
 
 // useSlowStart counts a request that is sent, and uses up the draw.
-func (r *Router) useSlowStart(s *server, request *request) {
-	s.slowStartUsed += request.expectedWork()
-	s.slowStartUsedAt = r.now
-	s.slowStartDraw = math.Inf(1)
+func (r *Router) useSlowStart(server *server, request *request) {
+	server.slowStartUsed += request.expectedWork()
+	server.slowStartUsedAt = r.now
+	server.slowStartDraw = math.Inf(1)
 }
 
 // recoveryRampAllows reports whether a server may have one more attempt of this router: routers return
 // slowly to a server that has come back.
-func (r *Router) recoveryRampAllows(s *server) bool {
+func (r *Router) recoveryRampAllows(server *server) bool {
 	rate := r.settings.RecoveryRampRate / float64(r.settings.Peers*r.settings.Processes)
-	returnedAt := max(s.ejectedAt, s.startedAt, s.firstListedAt)
-	inUseSince := s.health == healthy && s.ejectedAt != returnedAt
+	returnedAt := max(server.ejectedAt, server.startedAt, server.firstListedAt)
+	inUseSince := server.health == healthy && server.ejectedAt != returnedAt
 	if rate <= 0 {
 		return true
 	}
-	return s.recoveryRamp.AllowsConnection(r.now, returnedAt, inUseSince, len(s.openAttempts), rate, r.rng.Float64)
+	open := len(server.openAttempts)
+	return server.recoveryRamp.AllowsConnection(r.now, returnedAt, inUseSince, open, rate, r.rng.Float64)
 }
--- a/internal/decide/snapshot.go
+++ b/internal/decide/snapshot.go
@@ -43,10 +43,10 @@
 // Positions are on the servers' clock and stay.
 func (snapshot *Snapshot) Shift(by Time) {
 	for i := range snapshot.Servers {
-		s := &snapshot.Servers[i]
+		server := &snapshot.Servers[i]
 		times := []*Time{
-			&s.RoleAt, &s.PositionAt, &s.PositionReportedAt,
-			&s.StartedAt, &s.SlowStartUsedAt, &s.EjectedAt,
+			&server.RoleAt, &server.PositionAt, &server.PositionReportedAt,
+			&server.StartedAt, &server.SlowStartUsedAt, &server.EjectedAt,
 		}
 		for _, at := range times {
 			if *at > 0 { // else it has never happened
@@ -59,9 +59,9 @@
 // Snapshot returns what the router knows of the servers that are listed.
 func (r *Router) Snapshot() *Snapshot {
 	snapshot := &Snapshot{KindRates: map[int]float64{}, AverageWork: r.averageWork}
-	for _, s := range r.serversByID {
-		if s.removedAt == 0 {
-			snapshot.Servers = append(snapshot.Servers, s.snapshot())
+	for _, server := range r.serversByID {
+		if server.removedAt == 0 {
+			snapshot.Servers = append(snapshot.Servers, server.snapshot())
 		}
 	}
 	for i := range r.classes {
@@ -75,28 +75,28 @@
 
 // SnapshotOf returns what the router knows of one server, and false for one that is not listed.
 func (r *Router) SnapshotOf(id ServerID) (ServerSnapshot, bool) {
-	if s := r.servers[id]; s != nil && s.removedAt == 0 {
-		return s.snapshot(), true
+	if server := r.servers[id]; server != nil && server.removedAt == 0 {
+		return server.snapshot(), true
 	}
 	return ServerSnapshot{}, false
 }
 
 // snapshot returns what the router knows of the server.
-func (s *server) snapshot() ServerSnapshot {
+func (server *server) snapshot() ServerSnapshot {
 	return ServerSnapshot{
-		ID:                 s.id,
-		Role:               s.role,
-		RoleAt:             s.roleAt,
-		Position:           s.position,
-		PositionAt:         s.positionAt,
-		PositionReportedAt: s.positionReportedAt,
-		PositionRate:       s.positionRate,
-		RelativeRate:       s.relativeRate,
-		StartedAt:          s.startedAt,
-		SlowStartUsed:      s.slowStartUsed,
-		SlowStartUsedAt:    s.slowStartUsedAt,
-		Ejected:            s.health == ejected,
-		EjectedAt:          s.ejectedAt,
+		ID:                 server.id,
+		Role:               server.role,
+		RoleAt:             server.roleAt,
+		Position:           server.position,
+		PositionAt:         server.positionAt,
+		PositionReportedAt: server.positionReportedAt,
+		PositionRate:       server.positionRate,
+		RelativeRate:       server.relativeRate,
+		StartedAt:          server.startedAt,
+		SlowStartUsed:      server.slowStartUsed,
+		SlowStartUsedAt:    server.slowStartUsedAt,
+		Ejected:            server.health == ejected,
+		EjectedAt:          server.ejectedAt,
 	}
 }
 
@@ -120,8 +120,8 @@
 		}
 	}
 	for i := range snapshot.Servers {
-		if s := r.servers[snapshot.Servers[i].ID]; s != nil {
-			r.mergeServer(now, s, &snapshot.Servers[i])
+		if server := r.servers[snapshot.Servers[i].ID]; server != nil {
+			r.mergeServer(now, server, &snapshot.Servers[i])
 		}
 	}
 }
@@ -140,30 +140,30 @@
 }
 
 // mergeServer takes what another router knows of a server.
-func (r *Router) mergeServer(now Time, s *server, other *ServerSnapshot) {
-	if other.RoleAt > s.roleAt && other.RoleAt <= now && other.Role <= RoleReplica {
-		s.role = other.Role
-		s.roleAt = other.RoleAt
+func (r *Router) mergeServer(now Time, server *server, other *ServerSnapshot) {
+	if other.RoleAt > server.roleAt && other.RoleAt <= now && other.Role <= RoleReplica {
+		server.role = other.Role
+		server.roleAt = other.RoleAt
 	}
-	if other.Position > s.position && other.positionIsPast(now, s.group) {
-		s.position = other.Position
-		s.positionAt = other.PositionAt
-		s.positionReportedAt = other.PositionReportedAt
-		s.positionRate = min(1, max(0, other.PositionRate))
+	if other.Position > server.position && other.positionIsPast(now, server.group) {
+		server.position = other.Position
+		server.positionAt = other.PositionAt
+		server.positionReportedAt = other.PositionReportedAt
+		server.positionRate = min(1, max(0, other.PositionRate))
 	}
 	if withinRateBounds(other.RelativeRate) {
-		s.relativeRate = other.RelativeRate
+		server.relativeRate = other.RelativeRate
 	}
-	if other.StartedAt > s.startedAt && other.StartedAt <= now {
-		s.startedAt = other.StartedAt
+	if other.StartedAt > server.startedAt && other.StartedAt <= now {
+		server.startedAt = other.StartedAt
 	}
 	if other.SlowStartUsed >= 0 && other.SlowStartUsed <= maxRate && other.SlowStartUsedAt <= now {
-		s.slowStartUsed = other.SlowStartUsed
-		s.slowStartUsedAt = other.SlowStartUsedAt
+		server.slowStartUsed = other.SlowStartUsed
+		server.slowStartUsedAt = other.SlowStartUsedAt
 	}
 	if other.Ejected && other.EjectedAt <= now && r.settings.MayCheckHealth {
-		s.health = ejected
-		s.ejectedAt = other.EjectedAt
+		server.health = ejected
+		server.ejectedAt = other.EjectedAt
 	}
 }
 
