--- a/internal/protocol/pgwire/answer.go
+++ b/internal/protocol/pgwire/answer.go
@@ -19,9 +19,10 @@
 // Bytes of messages up to where they show whether they can be valid.
 const (
 	checkedRowBytes    = headBytes + rowHeadBytes
-	authenticationSize = 8 // of AuthenticationOk, without its type
-	readySize          = 5 // of ReadyForQuery, without its type
-	columnTailBytes    = 18
+	authenticationSize = 8  // of AuthenticationOk, without its type
+	readySize          = 5  // of ReadyForQuery, without its type
+	columnTailBytes    = 18 // of a column in RowDescription, after its name
+	keyBytes           = 8  // of BackendKeyData
 )
 
 // answerState is how much of an answer has been received.
@@ -177,13 +178,13 @@
 	valid := true
 	switch m.Type {
 	case Authentication:
-		valid = len(m.Body) == 4 && binary.BigEndian.Uint32(m.Body) == 0
+		valid = len(m.Body) == authenticationSize-lengthBytes && binary.BigEndian.Uint32(m.Body) == 0
 		a.state = awaitsStartupEnd
 	case ParameterStatus:
 		_, _, err := Parameter(m.Body)
 		valid = err == nil
 	case BackendKeyData:
-		valid = len(m.Body) >= 8
+		valid = len(m.Body) >= keyBytes
 	case NoticeResponse:
 		valid = validFields(m.Body)
 	case ErrorResponse:
--- a/internal/protocol/pgwire/bodies.go
+++ b/internal/protocol/pgwire/bodies.go
@@ -37,6 +37,13 @@
 	return string(n), string(v), nil
 }
 
+// Sizes of parts of bodies, in bytes.
+const (
+	countBytes    = 2
+	oidBytes      = 4
+	minBindCounts = 3 * countBytes // of the parameters' formats, the parameters and the results' formats
+)
+
 // rowHeadBytes are the bytes of a DataRow's body before the value of its only column: the number of columns and the value's length.
 const rowHeadBytes = 6
 
@@ -75,17 +82,22 @@
 func ParseMessage(body []byte) (name, sql string, types []byte, err error) {
 	n, rest, nameOK := bytes.Cut(body, []byte{0})
 	q, rest, sqlOK := bytes.Cut(rest, []byte{0})
-	if !nameOK || !sqlOK || len(rest) < 2 || len(rest) != 2+4*int(binary.BigEndian.Uint16(rest)) {
+	if !nameOK || !sqlOK || !isTypeList(rest) {
 		return "", "", nil, fmt.Errorf("%w: Parse", ErrMalformed)
 	}
 	return string(n), string(q), rest, nil
 }
 
+// isTypeList reports whether b is a number of types and as many types.
+func isTypeList(b []byte) bool {
+	return len(b) >= countBytes && len(b) == countBytes+oidBytes*int(binary.BigEndian.Uint16(b))
+}
+
 // BindMessage reads the names in the body of Bind. rest is what follows them.
 func BindMessage(body []byte) (portal, name string, rest []byte, err error) {
 	p, rest, portalOK := bytes.Cut(body, []byte{0})
 	n, rest, nameOK := bytes.Cut(rest, []byte{0})
-	if !portalOK || !nameOK || len(rest) < 6 {
+	if !portalOK || !nameOK || len(rest) < minBindCounts {
 		return "", "", nil, fmt.Errorf("%w: Bind", ErrMalformed)
 	}
 	return string(p), string(n), rest, nil
--- a/internal/protocol/pgwire/build.go
+++ b/internal/protocol/pgwire/build.go
@@ -5,6 +5,9 @@
 // unknownSizes are the size and the modifier of a column's type in a RowDescription: both unknown.
 var unknownSizes = []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff}
 
+// nullLength is the length of a value that is NULL: -1.
+var nullLength = []byte{0xff, 0xff, 0xff, 0xff}
+
 // noTable is the table and the column number of a RowDescription's column that belongs to no table.
 var noTable = []byte{0, 0, 0, 0, 0, 0}
 
@@ -135,7 +138,7 @@
 	dst, lengthAt = beginMessage(endMessage(dst, lengthAt), DataRow)
 	dst = append(dst, 0, 1)
 	if value == nil {
-		return endMessage(append(dst, 0xff, 0xff, 0xff, 0xff), lengthAt)
+		return endMessage(append(dst, nullLength...), lengthAt)
 	}
 	dst = binary.BigEndian.AppendUint32(dst, uint32(len(value)))
 	return endMessage(append(dst, value...), lengthAt)
--- a/internal/protocol/sqltext/settings.go
+++ b/internal/protocol/sqltext/settings.go
@@ -124,7 +124,15 @@
 	return unknownSetting
 }
 
-// SetConfig reads a query that is nothing but one call of set_config with literals, and false for any other.
+// Places of the tokens of SELECT set_config('name', 'value', is_local).
+const (
+	setConfigName  = 3
+	setConfigValue = 5
+	setConfigLocal = 7
+	setConfigEnd   = 8
+)
+
+// SetConfig reads a query that is nothing but one call of set_config with literals, and returns false for any other.
 func SetConfig(sql string) (Statement, bool) {
 	scanned, ok := scan(sql)
 	if !ok {
@@ -139,22 +147,24 @@
 	}
 	return Statement{
 		Kind:  Set,
-		Name:  strings.ToLower(tokens[3].text),
-		Value: Quote(tokens[5].text),
-		Local: tokens[7].isWord("true"),
+		Name:  strings.ToLower(tokens[setConfigName].text),
+		Value: Quote(tokens[setConfigValue].text),
+		Local: tokens[setConfigLocal].isWord("true"),
 		From:  tokens[0].from,
-		To:    tokens[8].to,
+		To:    tokens[setConfigEnd].to,
 	}, true
 }
 
-// isSetConfig reports whether the tokens are SELECT set_config('name', 'value', true or false).
+// isSetConfig reports whether the tokens are a call of set_config with two texts and true or false.
 func (tokens statementTokens) isSetConfig() bool {
-	if len(tokens) != 9 {
+	if len(tokens) != setConfigEnd+1 || !tokens[0].isWord("SELECT") || !tokens[1].isWord("set_config") {
+		return false
+	}
+	if !tokens[2].isSign("(") || !tokens[4].isSign(",") || !tokens[6].isSign(",") || !tokens[setConfigEnd].isSign(")") {
 		return false
 	}
-	call := tokens[0].isWord("SELECT") && tokens[1].isWord("set_config") && tokens[2].isSign("(") && tokens[8].isSign(")")
-	arguments := tokens[3].kind == literal && tokens[5].kind == literal && tokens[7].isWord("true", "false")
-	return call && arguments && tokens[4].isSign(",") && tokens[6].isSign(",")
+	texts := tokens[setConfigName].kind == literal && tokens[setConfigValue].kind == literal
+	return texts && tokens[setConfigLocal].isWord("true", "false")
 }
 
 // Quote returns a text as a literal of SQL.
