--- a/internal/frontend/pooling/connpool/invariants.go
+++ b/internal/frontend/pooling/connpool/invariants.go
@@ -7,59 +7,97 @@
 	"beechgrade/internal/invariant"
 )
 
-// Check makes the statements about a pool: connections counted by server agree with the lists, as do those who wait.
-func (p *Pool) Check(x *invariant.Checks) {
-	conns, idles := map[string]int{}, 0
+// Check checks the invariants of a pool: connections counted by server agree with the lists, as do those that wait.
+func (p *Pool) Check(checks *invariant.Checks) {
+	p.checkConns(checks)
+	p.checkServers(checks)
+	p.checkQueues(checks)
+	p.checkAdmissions(checks)
+}
+
+// checkConns checks each connection, and each list of idle ones.
+func (p *Pool) checkConns(checks *invariant.Checks) {
 	for id, c := range p.conns {
-		conns[c.server]++
-		in := slices.Contains(p.idle[c.server], c)
-		x.That(c.id == id && in == (c.state == idle), "pools: what idles is listed at its server", func() string { return fmt.Sprintf("%+v, listed %v", *c, in) })
+		listed := slices.Contains(p.idle[c.server], c)
+		checks.That(c.id == id && listed == (c.state == idle), "pools: idle connections are listed at their server", func() string {
+			return fmt.Sprintf("%+v, listed %v", *c, listed)
+		})
 	}
-	for name, l := range p.idle {
-		idles += len(l)
-		for i, c := range l {
-			x.That(p.conns[c.id] == c && c.server == name && !slices.Contains(l[:i], c), "pools: a connection is given to one at a time", func() string { return fmt.Sprintf("%s: %+v", name, *c) })
+	for name, conns := range p.idle {
+		for i, c := range conns {
+			once := !slices.Contains(conns[:i], c)
+			checks.That(p.conns[c.id] == c && c.server == name && once, "pools: an idle connection is listed once", func() string {
+				return fmt.Sprintf("%s: %+v", name, *c)
+			})
 		}
 	}
+}
+
+// checkServers checks the counts by server, and the limit of all connections.
+func (p *Pool) checkServers(checks *invariant.Checks) {
+	conns := map[string]int{}
+	for _, c := range p.conns {
+		conns[c.server]++
+	}
 	dialing := 0
 	for name, s := range p.servers {
 		dialing += s.dialing
 		state := func() string {
 			return fmt.Sprintf("%s: %+v; %d connections, %d idle", name, *s, conns[name], len(p.idle[name]))
 		}
-		x.That(s.conns == conns[name] && s.dialing >= 0, "pools: connections by server agree", state)
-		x.That(!s.barred || len(p.idle[name]) == 0 && p.queues[name] == nil, "pools: nothing idles or waits at a server that is barred", state)
+		checks.That(s.conns == conns[name] && s.dialing >= 0, "pools: connections are counted by server", state)
+		unused := len(p.idle[name]) == 0 && p.queues[name] == nil
+		checks.That(!s.draining || unused, "pools: a draining server has no idle connections and no waiters", state)
 		delete(conns, name)
 	}
-	x.That(len(conns) == 0 && dialing == p.dialing, "pools: connections by server agree", func() string { return fmt.Sprintf("%v more; %d coming up, counted %d", conns, dialing, p.dialing) })
-	x.That(p.assigned || len(p.conns)+p.dialing <= p.limits.MaxConns+p.limits.Reserve, "pools: no more connections than may be", func() string {
-		return fmt.Sprintf("%d and %d coming up of %+v", len(p.conns), p.dialing, p.limits)
+	checks.That(len(conns) == 0 && dialing == p.dialing, "pools: connections are counted by server", func() string {
+		return fmt.Sprintf("%v at unknown servers; %d being opened, counted %d", conns, dialing, p.dialing)
 	})
-	waits := 0
-	for name, queue := range p.queues {
-		waits += queue.length
-		x.That(queue.length > 0 && queue.length == queue.countWaiting(p.waiting), "pools: who waits is in line", func() string {
-			return fmt.Sprintf("%s: %d in line, counted %d", name, queue.countWaiting(p.waiting), queue.length)
+	withinLimit := p.total() <= p.limits.MaxConns+p.limits.Reserve
+	checks.That(p.assigned || withinLimit, "pools: there are no more connections than allowed", func() string {
+		return fmt.Sprintf("%d, and %d being opened, of %+v", len(p.conns), p.dialing, p.limits)
+	})
+}
+
+// checkQueues checks that each waiter is in a queue.
+func (p *Pool) checkQueues(checks *invariant.Checks) {
+	const name = "pools: each waiter is in a queue"
+	waiting := 0
+	for server, queue := range p.queues {
+		waiting += queue.length
+		checks.That(queue.length > 0 && queue.length == queue.countWaiting(p.waiting), name, func() string {
+			return fmt.Sprintf("%s: %d in the queue, counted %d", server, queue.countWaiting(p.waiting), queue.length)
 		})
 	}
-	x.That(waits == len(p.waiting), "pools: who waits is in line", func() string { return fmt.Sprintf("%d in lines, %d wait", waits, len(p.waiting)) })
-	in, out := map[*admissionQueue]int{}, 0
+	checks.That(waiting == len(p.waiting), name, func() string {
+		return fmt.Sprintf("%d in queues, %d wait", waiting, len(p.waiting))
+	})
+}
+
+// checkAdmissions checks the counts of transactions by kind.
+func (p *Pool) checkAdmissions(checks *invariant.Checks) {
+	const name = "pools: admitted transactions are counted"
+	admitted, queued := map[*admissionQueue]int{}, 0
 	for _, admission := range p.admitted {
-		in[admission]++
+		admitted[admission]++
 	}
 	for kind, admission := range p.admissions {
-		out += admission.length
-		x.That(admission.admitted == in[admission] && admission.length == admission.countWaiting(p.queued), "pools: who is let in is counted", func() string {
-			return fmt.Sprintf("%s: %d in, counted %d; %d before it, counted %d", kind, in[admission], admission.admitted, admission.countWaiting(p.queued), admission.length)
+		queued += admission.length
+		agree := admission.admitted == admitted[admission] && admission.length == admission.countWaiting(p.queued)
+		checks.That(agree, name, func() string {
+			return fmt.Sprintf("%s: %d admitted, counted %d; %d queued, counted %d", kind, admitted[admission], admission.admitted,
+				admission.countWaiting(p.queued), admission.length)
 		})
 	}
-	x.That(out == len(p.queued), "pools: who is let in is counted", func() string { return fmt.Sprintf("%d before doors, %d wait", out, len(p.queued)) })
+	checks.That(queued == len(p.queued), name, func() string {
+		return fmt.Sprintf("%d in queues, %d wait", queued, len(p.queued))
+	})
 }
 
-// countWaiting is how many of a line have not left it.
-func (queue *waitQueue) countWaiting(waits map[ID]*waiter) (n int) {
+// countWaiting returns how many of the queue's waiters were not removed and are among those that wait.
+func (queue *waitQueue) countWaiting(waiting map[ID]*waiter) (n int) {
 	for _, w := range queue.waiters[queue.head:] {
-		if w != nil && !w.removed && waits[w.id] == w {
+		if w != nil && !w.removed && waiting[w.id] == w {
 			n++
 		}
 	}
--- a/internal/frontend/pooling/connpool/invariants_test.go
+++ b/internal/frontend/pooling/connpool/invariants_test.go
@@ -7,21 +7,21 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestBrokenInvariantsAreReported: each statement about a pool is seen to break by one line of state. Two connections are up, one of them in use;
-// one comes up, for whom one waits.
+// TestBrokenInvariantsAreReported: each invariant of a pool must be found broken after one change of its state. Two connections are open,
+// one of them in use; one is being opened, for a waiter.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	for _, m := range []struct {
 		name string
 		poke func(p *Pool)
 	}{
-		{"pools: what idles is listed at its server", func(p *Pool) { p.idle["b"][0].state = used }},
-		{"pools: a connection is given to one at a time", func(p *Pool) { p.idle["b"] = append(p.idle["b"], p.idle["b"][0]) }},
-		{"pools: connections by server agree", func(p *Pool) { p.servers["a"].conns++ }},
-		{"pools: connections by server agree", func(p *Pool) { p.dialing++ }},
-		{"pools: nothing idles or waits at a server that is barred", func(p *Pool) { p.servers["b"].barred = true }},
-		{"pools: no more connections than may be", func(p *Pool) { p.limits.MaxConns = 1 }},
-		{"pools: who waits is in line", func(p *Pool) { delete(p.waiting, 9) }},
-		{"pools: who is let in is counted", func(p *Pool) { p.admissions["k"].admitted++ }},
+		{"pools: idle connections are listed at their server", func(p *Pool) { p.idle["b"][0].state = used }},
+		{"pools: an idle connection is listed once", func(p *Pool) { p.idle["b"] = append(p.idle["b"], p.idle["b"][0]) }},
+		{"pools: connections are counted by server", func(p *Pool) { p.servers["a"].conns++ }},
+		{"pools: connections are counted by server", func(p *Pool) { p.dialing++ }},
+		{"pools: a draining server has no idle connections and no waiters", func(p *Pool) { p.servers["b"].draining = true }},
+		{"pools: there are no more connections than allowed", func(p *Pool) { p.limits.MaxConns = 1 }},
+		{"pools: each waiter is in a queue", func(p *Pool) { delete(p.waiting, 9) }},
+		{"pools: admitted transactions are counted", func(p *Pool) { p.admissions["k"].admitted++ }},
 	} {
 		p := New(Limits{MaxConns: 3, MaxWaiting: 9})
 		p.Admit(7, "k", 0)
--- a/internal/frontend/pooling/connpool/share_test.go
+++ b/internal/frontend/pooling/connpool/pool_test.go
@@ -10,23 +10,23 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// model is a simple model that a pool is held against.
+// model is a simple model that a pool is compared with.
 type model struct {
-	t       *rapid.T
-	pool    *Pool
-	limits  Limits
-	now     float64
-	conns   map[ID]string // to which server
-	owner   map[ID]ID     // connection to whom it was given
-	waiting map[ID]string
-	since   map[ID]float64
-	order   []ID
-	dialing map[string]int
-	barred  map[string]bool
-	last    ID
+	t        *rapid.T
+	pool     *Pool
+	limits   Limits
+	now      float64
+	conns    map[ID]string // the server of each connection
+	owner    map[ID]ID     // the waiter that each used connection was given to
+	waiting  map[ID]string
+	since    map[ID]float64
+	order    []ID
+	dialing  map[string]int
+	draining map[string]bool
+	last     ID
 }
 
-// apply checks what the pool decided, and does it.
+// apply checks the pool's actions, and carries them out.
 func (w *model) apply(actions []Action) {
 	for _, a := range actions {
 		switch a.Kind {
@@ -37,10 +37,10 @@
 				all += n
 			}
 			if all > w.limits.MaxConns+w.limits.Reserve || w.dialing[a.Server] > w.limits.MaxDials {
-				w.t.Fatalf("%d connections with those that come up, %d to %s", all, w.dialing[a.Server], a.Server)
+				w.t.Fatalf("%d connections with those being opened, %d to %s", all, w.dialing[a.Server], a.Server)
 			}
-			if w.barred[a.Server] {
-				w.t.Fatalf("a connection is opened to %s, which drains", a.Server)
+			if w.draining[a.Server] {
+				w.t.Fatalf("a connection is opened to %s, which is draining", a.Server)
 			}
 		case Assign:
 			server, up := w.conns[a.Conn]
@@ -59,7 +59,7 @@
 			w.removeWaiter(a.Waiter)
 		case Reject:
 			if _, ok := w.waiting[a.Waiter]; !ok {
-				w.t.Fatalf("%d is refused and does not wait", a.Waiter)
+				w.t.Fatalf("%d is rejected and does not wait", a.Waiter)
 			}
 			w.removeWaiter(a.Waiter)
 		case Close:
@@ -79,11 +79,11 @@
 		sum += n
 	}
 	if idle+used != len(w.conns) || used != len(w.owner) || dialing != sum || waiting != len(w.order) {
-		w.t.Fatalf("the pool counts %d idle, %d used, %d coming up, %d waiting; there are %d of which %d are used, %d, %d", idle, used, dialing, waiting,
+		w.t.Fatalf("the pool counts %d idle, %d used, %d being opened, %d waiting; there are %d of which %d are used, %d, %d", idle, used, dialing, waiting,
 			len(w.conns), len(w.owner), sum, len(w.order))
 	}
 	if waiting > w.limits.MaxWaiting {
-		w.t.Fatalf("%d wait, %d may", waiting, w.limits.MaxWaiting)
+		w.t.Fatalf("%d wait, at most %d may", waiting, w.limits.MaxWaiting)
 	}
 }
 
@@ -96,14 +96,14 @@
 	}
 }
 
-// TestPoolAgreesWithModel holds a pool to a simple model: whatever happens, no connection is given twice, nobody is passed over, the
-// bounds hold, and all who wait have an end.
+// TestPoolAgreesWithModel: whatever happens, no connection is given to two waiters, no waiter is passed over, the limits are
+// kept, and each wait ends.
 func TestPoolAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxConns: rapid.IntRange(1, 5).Draw(t, "most"), Reserve: rapid.IntRange(0, 2).Draw(t, "reserve"), ReserveMs: 50, MaxWaiting: rapid.IntRange(0, 8).Draw(t, "queue"),
 			MaxWaitMs: 1000, MaxAgeMs: 5000, MaxIdleMs: 500, MaxDials: rapid.IntRange(1, 3).Draw(t, "dials"), RedialMs: 20}
 		w := &model{t: t, pool: New(limits), limits: limits, conns: map[ID]string{}, owner: map[ID]ID{}, waiting: map[ID]string{}, since: map[ID]float64{},
-			dialing: map[string]int{}, barred: map[string]bool{}}
+			dialing: map[string]int{}, draining: map[string]bool{}}
 		servers := []string{"a", "b"}
 		pick := func(m map[ID]ID) (ID, bool) {
 			ids := []ID{}
@@ -151,16 +151,16 @@
 				w.now += rapid.Float64Range(0, 400).Draw(t, "time")
 				w.apply(w.pool.Tick(w.now))
 			case 9:
-				if w.barred[server] {
-					w.barred[server] = false
-					w.pool.Unbar(server)
+				if w.draining[server] {
+					w.draining[server] = false
+					w.pool.RestoreServer(server)
 				} else {
-					w.barred[server] = true
-					w.apply(w.pool.Bar(server, w.now))
+					w.draining[server] = true
+					w.apply(w.pool.DrainServer(server, w.now))
 				}
 			}
 		}
-		// At the end all that is in use comes free, and all who still wait have their end.
+		// At the end all connections are released, and all waits end.
 		for c := ID(1); c <= w.last; c++ {
 			if _, ok := w.owner[c]; ok {
 				delete(w.owner, c)
@@ -170,13 +170,13 @@
 		w.now += 2000
 		w.apply(w.pool.Tick(w.now))
 		if len(w.order) > 0 {
-			t.Fatalf("%v wait for ever", w.order)
+			t.Fatalf("%v wait forever", w.order)
 		}
 	})
 }
 
-// TestIdleConnectionMakesWayForOtherServer: with all connections idle at one server, a waiter for another has one closed for it; a reserve is opened only
-// behind its time.
+// TestIdleConnectionMakesWayForOtherServer: if all connections are idle ones to one server, one of them is closed for a waiter for
+// another; the reserve is used only after its time.
 func TestIdleConnectionMakesWayForOtherServer(t *testing.T) {
 	p := New(Limits{MaxConns: 1, Reserve: 1, ReserveMs: 100, MaxWaiting: 9})
 	check := func(want, got []Action) {
@@ -195,8 +195,8 @@
 	check([]Action{{Kind: Dial, Server: "b"}}, p.Tick(105))
 }
 
-// TestAdmissionAgreesWithModel: no more are let in than there may be connections, the first come first, each kind by itself; whoever waits
-// too long or finds no place is turned away, and whoever leaves makes room.
+// TestAdmissionAgreesWithModel: no more transactions of one kind are admitted than there may be connections, in their order; those
+// that wait too long or exceed the limit of waiters are rejected, and the end of one admits another.
 func TestAdmissionAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxConns: rapid.IntRange(1, 3).Draw(t, "most"), MaxWaiting: rapid.IntRange(0, 4).Draw(t, "queue"), MaxWaitMs: 1000}
@@ -220,15 +220,15 @@
 				}
 				for id, k := range out {
 					if k == kind && id < a.Waiter {
-						t.Fatalf("%d was let in before %d", a.Waiter, id)
+						t.Fatalf("%d was admitted before %d", a.Waiter, id)
 					}
 				}
 				if in[a.Waiter] = kind; n >= limits.MaxConns {
-					t.Fatalf("%d of a kind are in, %d may be", n+1, limits.MaxConns)
+					t.Fatalf("%d of a kind are admitted, at most %d may be", n+1, limits.MaxConns)
 				}
 			}
 			if len(out) != p.QueuedTransactions() || len(out) > limits.MaxWaiting {
-				t.Fatalf("%d wait, it counts %d, %d may", len(out), p.QueuedTransactions(), limits.MaxWaiting)
+				t.Fatalf("%d wait, it counts %d, at most %d may", len(out), p.QueuedTransactions(), limits.MaxWaiting)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -253,13 +253,13 @@
 		now += 2000
 		take(p.Tick(now))
 		if len(out) > 0 {
-			t.Fatalf("%v wait for ever", out)
+			t.Fatalf("%v wait forever", out)
 		}
 	})
 }
 
-// TestAssignedLimitIsApplied: a pool that is told to have fewer connections closes those that rest, and those in use once they are free; told more, it
-// opens for who waits; untold, it has what its settings say.
+// TestAssignedLimitIsApplied: a pool that is assigned fewer connections closes idle ones, and those in use once they are free; with more, it
+// opens connections for waiters; without an assigned limit, the configured one is used.
 func TestAssignedLimitIsApplied(t *testing.T) {
 	p := New(Limits{MaxConns: 3, Reserve: 2, MaxWaiting: 9, MaxDials: 9})
 	p.Request(1, "s", 0)
@@ -268,19 +268,19 @@
 	p.Opened(12, "s", 0)
 	p.Release(11, 1)
 	if got := p.AssignLimit(1, 2); len(got) != 1 || got[0].Kind != Close || got[0].Conn != 11 {
-		t.Errorf("told one: %+v", got)
+		t.Errorf("limit 1: %+v", got)
 	}
 	if got := p.AssignLimit(0, 3); got != nil {
-		t.Errorf("told none: %+v", got)
+		t.Errorf("limit 0: %+v", got)
 	}
 	if got := p.Release(12, 4); len(got) != 1 || got[0].Kind != Close {
-		t.Errorf("one that is free with none allowed: %+v", got)
+		t.Errorf("a connection is released with limit 0: %+v", got)
 	}
 	if got := p.Request(3, "s", 5); got != nil {
-		t.Errorf("with none allowed: %+v", got)
+		t.Errorf("a request with limit 0: %+v", got)
 	}
 	if got := p.AssignLimit(1, 6); len(got) != 1 || got[0].Kind != Dial {
-		t.Errorf("told one again: %+v", got)
+		t.Errorf("limit 1 again: %+v", got)
 	}
 	p.Request(4, "s", 7)
 	if got := p.RestoreLimits(8); len(got) != 1 || got[0].Kind != Dial {
--- a/internal/frontend/pooling/pooling.go
+++ b/internal/frontend/pooling/pooling.go
@@ -311,7 +311,7 @@
 	}
 	f.addresses[store] = addr
 	for _, p := range f.pools {
-		p.conns.Unbar(store)
+		p.conns.RestoreServer(store)
 	}
 }
 
@@ -320,7 +320,7 @@
 func (f *Frontend) DrainServer(store string) {
 	now := f.eventLoop.Now()
 	for _, p := range f.pools {
-		f.execute(p, p.conns.Bar(store, now))
+		f.execute(p, p.conns.DrainServer(store, now))
 	}
 	f.links.Each(func(_ slotmap.Ref, l *link) {
 		if l.serverID == store && l.closesAt == 0 {
@@ -463,7 +463,7 @@
 func (f *Frontend) rejectAttempt(a *attempt, p *pool) {
 	f.Counts.Refused++
 	switch {
-	case p.conns.Barred(a.server):
+	case p.conns.IsDraining(a.server):
 		f.endAttempt(a, decide.Overloaded, nil)
 	case p.options.Limits.MaxWaitMs > 0 && f.eventLoop.Now()-a.transaction.submittedAt >= p.options.Limits.MaxWaitMs:
 		a.transaction.noConnection = true
