--- a/internal/core/credit_test.go
+++ b/internal/core/credit_test.go
@@ -83,12 +83,12 @@
 		c.AttemptEnded(backend.AttemptID{Request: ref}, backend.Outcome{Result: decide.OK})
 	}
 	for _, x := range []struct {
-		name  string
-		say   lease.Decision
-		do    func(c *Core, p *fakeCredit, ref slotmap.Ref)
-		sends int
-		told  []string
-		heard []string
+		name    string
+		say     lease.Decision
+		do      func(c *Core, p *fakeCredit, ref slotmap.Ref)
+		sends   int
+		settled []string
+		answers []string
 	}{
 		{"served", lease.Admitted, func(c *Core, _ *fakeCredit, ref slotmap.Ref) { served(c, ref) }, 1, []string{"served"}, []string{"served"}},
 		{"no credit", lease.Exhausted, func(*Core, *fakeCredit, slotmap.Ref) {}, 0, nil, []string{"unfunded"}},
@@ -115,10 +115,10 @@
 		if servers.n != x.sends {
 			t.Errorf("%s: sent %d times, want %d", x.name, servers.n, x.sends)
 		}
-		if d := cmp.Diff(x.told, p.settled); d != "" {
+		if d := cmp.Diff(x.settled, p.settled); d != "" {
 			t.Errorf("%s: settled: %s", x.name, d)
 		}
-		if d := cmp.Diff(x.heard, a.answers); d != "" {
+		if d := cmp.Diff(x.answers, a.answers); d != "" {
 			t.Errorf("%s: answers: %s", x.name, d)
 		}
 	}
--- a/internal/decide/candidates_test.go
+++ b/internal/decide/candidates_test.go
@@ -116,7 +116,7 @@
 	}
 	h.now += 310 * ms // the reported position is too old by now
 	h.r.servers["p"].failureAt = h.now
-	if again := actionsOf(HealthCheck, h.end("2", 0, sent[0].Server, Failed)); len(again) == 0 {
+	if next := actionsOf(HealthCheck, h.end("2", 0, sent[0].Server, Failed)); len(next) == 0 {
 		t.Error("after a failure the others are not checked")
 	}
 }
--- a/internal/decide/hedging_test.go
+++ b/internal/decide/hedging_test.go
@@ -12,16 +12,16 @@
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
 	h.request("stuck", classKeyedWrite)
-	var again bool
+	var hedgedOnce bool
 	for i := range 30 {
 		id := RequestID(fmt.Sprint(i))
 		h.request(id, classKeyedWrite)
 		for _, a := range h.advance(20 * ms) {
-			again = again || a.Kind == Send && a.ID == "stuck"
+			hedgedOnce = hedgedOnce || a.Kind == Send && a.ID == "stuck"
 		}
 		h.end(id, 0, "p", OK)
 	}
-	if !again {
+	if !hedgedOnce {
 		t.Error("the lost attempt was never sent again")
 	}
 	if n := len(h.r.servers["p"].openAttempts) - h.r.servers["p"].lostAttempts; n > 1 {
--- a/internal/decide/retries_test.go
+++ b/internal/decide/retries_test.go
@@ -8,20 +8,20 @@
 
 // TestRetryFollowsIdempotency: what may follow an attempt's end, by its result and the request's idempotency.
 func TestRetryFollowsIdempotency(t *testing.T) {
-	again, fail := "sent again", "failed"
+	retry, fail := "sent again", "failed"
 	for _, c := range []struct {
-		res                 Result
-		safe, keyed, unsafe string
+		res                                Result
+		idempotent, withKey, notIdempotent string
 	}{
-		{Failed, again, again, fail},
-		{TimedOut, again, again, fail},
-		{Reset, again, again, fail},
-		{Cancelled, again, again, fail},
-		{Overloaded, again, again, again},
-		{Unreachable, again, again, again},
-		{Misdirected, again, again, again},
+		{Failed, retry, retry, fail},
+		{TimedOut, retry, retry, fail},
+		{Reset, retry, retry, fail},
+		{Cancelled, retry, retry, fail},
+		{Overloaded, retry, retry, retry},
+		{Unreachable, retry, retry, retry},
+		{Misdirected, retry, retry, retry},
 	} {
-		for class, want := range map[int]string{classAny: c.safe, classKeyedWrite: c.keyed, classWriteOnce: c.unsafe} {
+		for class, want := range map[int]string{classAny: c.idempotent, classKeyedWrite: c.withKey, classWriteOnce: c.notIdempotent} {
 			h := newGroupOfThree(t, nil)
 			first := actionsOf(Send, h.request("1", class))
 			if len(first) != 1 {
@@ -29,14 +29,14 @@
 			}
 			h.now += 5 * ms
 			out := h.end("1", 0, first[0].Server, c.res)
-			for range 40 { // help a primary that was doubted back
+			for range 40 { // a primary that is in doubt reports again
 				h.report("p", RolePrimary, h.now)
 				out = append(append(out, h.out...), h.advance(tickInterval)...)
 			}
 			got := "waits"
 			switch {
 			case len(actionsOf(Send, out)) > 0:
-				got = again
+				got = retry
 			case len(actionsOf(Fail, out)) > 0:
 				got = fail
 			case len(actionsOf(Reject, out)) > 0:
@@ -106,7 +106,7 @@
 	h := newHarness(t, testSettings()) // nobody to ask
 	if got := finalAnswers(append(h.request("1", classBounded), h.advance(410*ms)...)); len(got) != 1 || got[0].Kind != Reject {
 		t.Fatalf("want a rejection once the objective has passed: %+v", got)
-	} else if got[0].Wait != time.Second { // it found no capacity for all its target: soon again it would be late
+	} else if got[0].Wait != time.Second { // it found no capacity for all its objective: a retry soon would be late
 		t.Fatalf("advised %v, want the longest that there is", got[0].Wait)
 	}
 }
--- a/internal/decide/retrybudget_test.go
+++ b/internal/decide/retrybudget_test.go
@@ -24,6 +24,7 @@
 
 // failFirstAttempt sends a read and has its first attempt fail; it returns how many attempts were made by then.
 func (h *harness) failFirstAttempt(id RequestID) int {
+	h.t.Helper()
 	got := actionsOf(Send, h.request(id, classAny))
 	if len(got) != 1 {
 		h.t.Fatalf("%s was sent %d times", id, len(got))
@@ -37,10 +38,10 @@
 func TestFirstAttemptsEarnRetries(t *testing.T) {
 	h := newGroupOfThree(t, withRetryBudget(0.5, 0))
 	if n := h.failFirstAttempt("first"); n != 1 {
-		t.Fatalf("half a repeat was earned, and %d attempts made", n)
+		t.Fatalf("half a retry was earned, and %d attempts made", n)
 	}
 	if s := h.r.RetryBudgets(); len(s) != 1 || s[0].Waiting != 1 || s[0].Remaining != 0.5 {
-		t.Fatalf("stocks %+v", s)
+		t.Fatalf("budgets %+v", s)
 	}
 	set := h.r.settings
 	b := *set.RetryBudget
@@ -50,7 +51,7 @@
 		t.Fatalf("with a loan it was sent %d times", n)
 	}
 	if s := h.r.RetryBudgets(); s[0].Remaining != 0 || s[0].Waiting != 0 {
-		t.Fatalf("stocks %+v", s)
+		t.Fatalf("budgets %+v", s)
 	}
 	got := actionsOf(Send, h.request("full", classAny))
 	if n := len(actionsOf(Send, h.end("full", 0, got[0].Server, Overloaded))) + len(actionsOf(Send, h.advance(50*ms))); n != 1 {
@@ -66,7 +67,7 @@
 		h := newGroupOfThree(t, withRetryBudget(part, floor))
 		c := invariant.New(nil)
 		h.enableChecks(c)
-		firsts, again := 0, 0
+		firsts, duplicates := 0, 0
 		for i := range rapid.IntRange(1, 60).Draw(rt, "requests") {
 			id := RequestID(fmt.Sprint("r", i))
 			acts := h.request(id, classAny)
@@ -78,14 +79,14 @@
 				if no == 0 {
 					firsts++
 				} else {
-					again++
+					duplicates++
 				}
 				res := rapid.SampledFrom([]Result{OK, Failed, Reset, TimedOut}).Draw(rt, "result")
 				acts = append(h.end(id, no, got[0].Server, res), h.advance(20*ms)...)
 			}
 		}
-		if most := h.r.settings.RetryBudget.MaxRetries(firsts, 1, 10, time.Duration(h.now)); float64(again) > most+1e-9 {
-			rt.Fatalf("%d repeats of %d first attempts; at most %v", again, firsts, most)
+		if most := h.r.settings.RetryBudget.MaxRetries(firsts, 1, 10, time.Duration(h.now)); float64(duplicates) > most+1e-9 {
+			rt.Fatalf("%d duplicates of %d first attempts; at most %v", duplicates, firsts, most)
 		}
 		if hasBudgetBreach(c) {
 			rt.Fatalf("broken: %v", c.Breaches())
@@ -151,17 +152,3 @@
 		}
 	}
 }
-
-// TestReloadKeepsLearning: after settings that change no class, answers to attempts in flight still update the averages
-// of their classes.
-func TestReloadKeepsLearning(t *testing.T) {
-	h := newGroupOfThree(t, nil)
-	was := h.r.classes[classAny].averageWork
-	got := actionsOf(Send, h.request("q", classAny))
-	h.handle(&Reload{Settings: h.r.settings})
-	h.advance(30 * ms)
-	h.end("q", 0, got[0].Server, OK)
-	if h.r.classes[classAny].averageWork == was {
-		t.Error("an answer to what was sent before a retuning taught nothing")
-	}
-}
--- a/internal/decide/router_test.go
+++ b/internal/decide/router_test.go
@@ -36,6 +36,7 @@
 
 // playMixedLoad plays a mixed load and returns all actions; every server answers, some badly.
 func playMixedLoad(t *testing.T, requests int) (*harness, []Action) {
+	t.Helper()
 	h := newGroupOfThree(t, func(s *Settings) { s.TrackCommits = true })
 	var all []Action
 	var open []Action
--- /dev/null
+++ b/internal/decide/settings_test.go
@@ -0,0 +1,19 @@
+package decide
+
+import (
+	"testing"
+)
+
+// TestReloadKeepsLearning: after settings that change no class, answers to attempts in flight still update the averages
+// of their classes.
+func TestReloadKeepsLearning(t *testing.T) {
+	h := newGroupOfThree(t, nil)
+	was := h.r.classes[classAny].averageWork
+	got := actionsOf(Send, h.request("q", classAny))
+	h.handle(&Reload{Settings: h.r.settings})
+	h.advance(30 * ms)
+	h.end("q", 0, got[0].Server, OK)
+	if h.r.classes[classAny].averageWork == was {
+		t.Error("an answer to what was sent before a reload taught nothing")
+	}
+}
--- a/internal/decide/shedding_test.go
+++ b/internal/decide/shedding_test.go
@@ -24,9 +24,9 @@
 		if len(places) > 2 {
 			t.Fatalf("%d places in a minute", len(places))
 		}
-		if first, again := s.Rank(now, &Request{Session: session, Tenant: -1}),
-			s.Rank(now, &Request{Session: session, ClientRetry: true, Tenant: -1}); again >= first {
-			t.Fatalf("a retry stands at %g, the first try at %g", again, first)
+		if first, retry := s.Rank(now, &Request{Session: session, Tenant: -1}),
+			s.Rank(now, &Request{Session: session, ClientRetry: true, Tenant: -1}); retry >= first {
+			t.Fatalf("a retry ranks at %g, the first attempt at %g", retry, first)
 		}
 	})
 	set := Settings{Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, Peers: 1,
--- a/internal/decide/slowstart_test.go
+++ b/internal/decide/slowstart_test.go
@@ -202,7 +202,7 @@
 }
 
 // worst is the fullest span of any process of the server since it restarted first: its calls, and what was allowed.
-// Sends before counts from are not counted, as their routers had not been told.
+// Sends before from do not count, as their routers did not know of the restart.
 func (f *slowStartFleet) worst(from Time) (calls int, allowed float64) {
 	first, most := 0, math.Inf(-1)
 	for i, last := range f.sends {
@@ -227,7 +227,7 @@
 	seeds   int
 }{{"one", 1, 4}, {"two", 2, 4}, {"twenty-four", 24, 6}, {"thirty", 30, 6}, {"three hundred", 300, 3}}
 
-// holds has a fleet play with many seeds, and holds the fullest span of each against the bound.
+// checkSlowStartBudget plays a fleet with many seeds, and compares the fullest span of each with the bound.
 func checkSlowStartBudget(t *testing.T, change func(*Settings), play func(f *slowStartFleet) (counted Time)) {
 	t.Helper()
 	for _, c := range slowStartCases {
