--- a/internal/endpoints/manager_test.go
+++ b/internal/endpoints/manager_test.go
@@ -13,7 +13,7 @@
 	"beechgrade/internal/eventloop/timers"
 )
 
-// harness is members on a loop that a test drives; it is discovery.Events too.
+// harness is a manager on an event loop that the test drives, and the list as its changes add up to it.
 type harness struct {
 	*Manager
 	now       float64
@@ -29,36 +29,40 @@
 }
 func (h *harness) Post(f func()) { f() }
 
-type events struct{ r *harness }
+// events takes the changes.
+type events struct{ harness *harness }
 
-func (e events) Listed(l *discovery.List) {
-	if l.Reset {
-		clear(e.r.list)
+func (e events) Listed(list *discovery.List) {
+	if list.Reset {
+		clear(e.harness.list)
 	}
-	for _, n := range l.Instances {
-		if n.Lifecycle == "removed" {
-			delete(e.r.list, n.ID)
+	for _, instance := range list.Instances {
+		if instance.Lifecycle == "removed" {
+			delete(e.harness.list, instance.ID)
 		} else {
-			e.r.list[n.ID] = n
+			e.harness.list[instance.ID] = instance
 		}
 	}
 }
-func (e events) ListFailed() { e.r.failed++ }
 
+func (e events) ListFailed() { e.harness.failed++ }
+
+// listed is the list as a text: the lifecycle and role of each server.
 func (h *harness) listed() string {
-	var out []string
-	for id, n := range h.list {
-		out = append(out, strings.TrimSpace(id+" "+n.Lifecycle+" "+n.Role))
+	var parts []string
+	for id, instance := range h.list {
+		parts = append(parts, strings.TrimSpace(id+" "+instance.Lifecycle+" "+instance.Role))
 	}
-	slices.Sort(out)
-	return strings.Join(out, ", ")
+	slices.Sort(parts)
+	return strings.Join(parts, ", ")
 }
 
 func newHarness(known []discovery.Instance, sources ...string) *harness {
 	h := &harness{now: 1e6, list: map[string]discovery.Instance{}}
-	h.Manager = New(h, slog.New(slog.DiscardHandler), Options{Reconcile: reconcile.Defaults(sources...), Platform: slices.Contains(sources, SourcePlatform)}, events{h}, &discovery.List{Instances: known})
-	for _, n := range h.InitialList().Instances {
-		h.list[n.ID] = n
+	options := Options{Reconcile: reconcile.Defaults(sources...), Platform: slices.Contains(sources, SourcePlatform)}
+	h.Manager = New(h, slog.New(slog.DiscardHandler), options, events{h}, &discovery.List{Instances: known})
+	for _, instance := range h.InitialList().Instances {
+		h.list[instance.ID] = instance
 	}
 	return h
 }
--- a/internal/endpoints/reconcile/api.go
+++ b/internal/endpoints/reconcile/api.go
@@ -155,15 +155,15 @@
 func Defaults(sources ...string) Settings {
 	return Settings{
 		Sources:             sources,
-		StaleAgeMs:          10000,
+		StaleAgeMs:          10 * msPerSecond,
 		MassRemovalFraction: 0.5,
 		MassRemovalMinimum:  3,
-		MassRemovalWindowMs: 30000,
-		MassRemovalHoldMs:   600000,
+		MassRemovalWindowMs: 30 * msPerSecond,
+		MassRemovalHoldMs:   600 * msPerSecond,
 		FlapThreshold:       6,
-		FlapWindowMs:        60000,
-		FlapHoldMs:          20000,
-		SelfReportTTLMs:     30000,
+		FlapWindowMs:        60 * msPerSecond,
+		FlapHoldMs:          20 * msPerSecond,
+		SelfReportTTLMs:     30 * msPerSecond,
 	}
 }
 
--- /dev/null
+++ b/internal/endpoints/reconcile/entries_test.go
@@ -0,0 +1,95 @@
+package reconcile
+
+import (
+	"testing"
+)
+
+// TestConflictsMovesAndRegressions checks two addresses of one id, two ids of one address, moves between groups, and starts and
+// generations that go back.
+func TestConflictsMovesAndRegressions(t *testing.T) {
+	h := newHarness(t, nil)
+	a, b := observation("1", 0), observation("1", 0)
+	b.Address, b.StartedAtMs = "10.7.7.7:5432", 5e5
+	h.observe("consul", true, a, b, observation("2", 0))
+	if entry := h.list["1"]; entry.Address != b.Address || entry.StartedAtMs != b.StartedAtMs {
+		t.Errorf("%+v", entry)
+	}
+	h.wantDecisions(h.observe("consul", true, a, b, observation("2", 0)))
+	h.wantDecisions(h.observe("consul", true, withStart(b, 4e5), observation("2", 0)), Regressed)
+	h.wantDecisions(h.observe("consul", true, withStart(b, 4e5), observation("2", 0)))
+	h.wantDecisions(h.observe("consul", true, withStart(b, 9e5), observation("2", 0)), Restarted)
+	moved := observation("2", 7)
+	h.observe("consul", true, withStart(b, 9e5), moved, observation("3", 7))
+	if entry := h.list["2"]; entry.Group != 7 {
+		t.Errorf("%+v", entry)
+	}
+	twin := observation("9", 7)
+	twin.Address = moved.Address
+	h.wantDecisions(h.observe("consul", false, twin), DuplicateAddress)
+	if _, ok := h.list["9"]; ok {
+		t.Error("one process is listed twice")
+	}
+	h.observe("consul", false, withStart(twin, 9.5e5))
+	if _, ok := h.list["2"]; ok || h.list["9"].Address != twin.Address {
+		t.Errorf("%s", h.summary())
+	}
+	if h.reconciler.Observe(h.now, "static", &Report{Full: true, Generation: 7}) || !h.reconciler.Observe(h.now, "static", &Report{Generation: 3, Observations: []Observation{observation("5", 0)}}) {
+		t.Error("changes that go back are not asked about")
+	}
+	if h.takeChanges(); h.list["5"].ID != "" {
+		t.Error("changes that go back were taken")
+	}
+	if h.reconciler.Observe(h.now, "static", &Report{Full: true, Generation: 3, Observations: []Observation{observation("5", 0)}}); h.reconciler.Observe(h.now, "nobody", &Report{}) {
+		t.Error("a source that nobody named is asked")
+	}
+	if h.takeChanges(); h.list["5"].ID == "" {
+		t.Error("a source that began anew is not heard")
+	}
+}
+
+// TestFlappingServerDrainsUntilStable checks that a server that flaps is not used until it has been stable.
+func TestFlappingServerDrainsUntilStable(t *testing.T) {
+	h := newHarness(t, nil)
+	h.observe("consul", true, observation("1", 0), observation("2", 0))
+	for i := range 8 {
+		h.now += 1000
+		h.observe("consul", false, withHealth(observation("1", 0), []Health{Maintenance, Passing}[i%2]))
+	}
+	h.wantList("1 draining, 2 serving")
+	if said := h.advance(30000); len(said) == 0 || said[0].Kind != Stabilized {
+		t.Errorf("%+v", said)
+	}
+	h.wantList("1 serving, 2 serving")
+	h = newHarness(t, func(s *Settings) { s.MassRemovalFraction = 0 })
+	h.observe("consul", true, observation("1", 0), observation("2", 0))
+	for range 4 {
+		h.reconciler.Observe(h.now, "consul", &Report{Removed: []string{"1"}})
+		h.observe("consul", false, observation("1", 0))
+		h.now += 1000
+	}
+	h.wantList("1 draining, 2 serving")
+	h.reconciler.Observe(h.now, "consul", &Report{Removed: []string{"1"}})
+	h.takeChanges()
+	h.advance(200000)
+	if h.wantList("2 serving"); len(h.reconciler.servers) != 1 || len(h.reconciler.selfReports) != 0 {
+		t.Errorf("%d servers and %d words are kept", len(h.reconciler.servers), len(h.reconciler.selfReports))
+	}
+}
+
+// TestEntryIsNotTransferredToAnotherAddress checks that a server that moves with its address to another group does not keep its
+// old entry by way of another id that moves too.
+func TestEntryIsNotTransferredToAnotherAddress(t *testing.T) {
+	h := newHarness(t, nil)
+	moved := func(id string, group int) Observation {
+		c := observation(id, group)
+		c.Address = observation("0", 0).Address
+		return c
+	}
+	h.observe("static", true, withStart(moved("2", 0), 1000), moved("0", 0))
+	h.wantList("2 serving")
+	h.observe("consul", true, moved("0", 1), withHealth(moved("2", 1), Maintenance))
+	h.wantList("2 draining")
+	if entry := h.list["2"]; entry.Group != 1 {
+		t.Errorf("%+v", entry)
+	}
+}
--- /dev/null
+++ b/internal/endpoints/reconcile/state_test.go
@@ -0,0 +1,135 @@
+package reconcile
+
+import (
+	"strings"
+	"testing"
+)
+
+// TestSelfReportsDecideOnThePrimary checks that a source's primary counts only while no server's self-report contradicts it.
+func TestSelfReportsDecideOnThePrimary(t *testing.T) {
+	h := newHarness(t, nil)
+	three := []Observation{withRole(observation("1", 0), Primary), withRole(observation("2", 0), Replica), withRole(observation("3", 0), Replica)}
+	h.wantDecisions(h.observe("consul", true, three...), Added, Added, Added)
+	h.wantList("1 serving*, 2 serving, 3 serving")
+	h.wantDecisions(h.selfReport("1", Replica), Rejected, NoPrimary) // it was replaced; the catalogue does not know yet
+	h.wantList("1 serving, 2 serving, 3 serving")
+	h.selfReport("2", Primary)
+	h.wantList("1 serving, 2 serving*, 3 serving")
+	h.observe("consul", true, three...)
+	h.wantList("1 serving, 2 serving*, 3 serving")
+	h.wantDecisions(h.selfReport("3", Primary), MultiplePrimaries)
+	h.wantList("1 serving, 2 serving, 3 serving")
+	h.selfReport("2", Replica)
+	h.wantList("1 serving, 2 serving, 3 serving*")
+	// The same server under another id, and called the primary: it keeps its name, and its word.
+	h.reconciler.Observe(h.now, "consul", &Report{Observations: []Observation{withRole(Observation{ID: "1b", Address: observation("1", 0).Address}, Primary)}, Removed: []string{"1"}})
+	h.takeChanges()
+	h.wantList("1 serving, 2 serving, 3 serving*")
+	if entry, ok := h.reconciler.Entry("1"); !ok || entry.Address != observation("1", 0).Address || h.reconciler.Len() != 3 {
+		t.Errorf("%+v %v", entry, ok)
+	}
+	h.selfReport("1", Replica)
+	// A later process under the first id is another server; the list has both by names of their own.
+	later := withStart(withRole(observation("1", 0), Replica), 9e5)
+	later.Address = "10.3.3.3:5432"
+	h.observe("consul", false, later)
+	h.wantList("1 serving, 1#2 serving, 2 serving, 3 serving*")
+
+	// Its word is too old to count, and then it says the same again.
+	expired := newHarness(t, nil)
+	expired.observe("consul", true, withRole(observation("1", 0), Primary))
+	expired.selfReport("1", Replica)
+	expired.advance(31000)
+	expired.observe("consul", false, observation("2", 0))
+	expired.wantList("1 serving*, 2 serving")
+	expired.selfReport("1", Replica)
+	expired.wantList("1 serving, 2 serving")
+
+	trusting := newHarness(t, func(s *Settings) { s.TrustSourceRoles = true })
+	trusting.observe("consul", true, three...)
+	trusting.selfReport("1", Replica)
+	trusting.wantList("1 serving*, 2 serving, 3 serving")
+}
+
+// TestMaintenanceDrainsAndCriticalNeedsResponses checks that maintenance drains a server whichever source reports it, and that
+// a critical server is used only while it responds.
+func TestMaintenanceDrainsAndCriticalNeedsResponses(t *testing.T) {
+	h := newHarness(t, nil)
+	h.observe("consul", true, observation("1", 0), withHealth(observation("2", 0), Warning), withHealth(observation("3", 0), Critical))
+	h.wantList("1 serving, 2 serving, 3 draining")
+	h.selfReport("3", Replica)
+	h.wantList("1 serving, 2 serving, 3 serving")
+	h.advance(25000)
+	h.wantList("1 serving, 2 serving, 3 serving")
+	h.advance(10000) // it does not answer any more
+	h.wantList("1 serving, 2 serving, 3 draining")
+	h.observe("static", true, observation("1", 0))
+	h.wantDecisions(h.observe("static", false, withHealth(observation("1", 0), Maintenance)), Drained)
+	h.wantList("1 draining, 2 serving, 3 draining")
+	h.observe("static", false, observation("1", 0))
+	h.wantList("1 serving, 2 serving, 3 draining")
+
+	strict := newHarness(t, func(s *Settings) { s.Critical = CriticalDrain })
+	strict.observe("consul", true, observation("1", 0), observation("2", 0), withHealth(observation("3", 0), Critical))
+	strict.selfReport("3", Replica)
+	strict.wantList("1 serving, 2 serving, 3 draining")
+	strict.observe("consul", false, withHealth(observation("2", 0), Critical), withHealth(observation("1", 0), Critical))
+	strict.reconciler.markDirty("3")
+	strict.observe("consul", false, withHealth(observation("1", 0), Critical))
+	if n := strings.Count(strict.summary(), "serving"); n == 0 {
+		t.Errorf("all are critical, and none is used: %s", strict.summary())
+	}
+	loose := newHarness(t, func(s *Settings) { s.Critical = CriticalIgnore })
+	loose.observe("consul", true, withHealth(observation("1", 0), Critical))
+	loose.wantList("1 serving")
+}
+
+// TestSourcesCountByRankAgeAndRetention checks that the first source by rank wins unless its report is stale, and that a lost
+// source counts for its retention, or while its servers respond.
+func TestSourcesCountByRankAgeAndRetention(t *testing.T) {
+	h := newHarness(t, func(s *Settings) { s.SourceRetentionMs = 60000 })
+	other := observation("1", 0)
+	other.Address, other.Zone = "10.9.9.9:5432", "b"
+	h.observe("static", true, other, observation("2", 0))
+	h.wantDecisions(h.observe("consul", true, observation("1", 0)), ConflictingAddresses, Moved)
+	if a := h.list["1"].Address; a != observation("1", 0).Address {
+		t.Errorf("at %s", a)
+	}
+	h.reconciler.Observe(h.now, "consul", &Report{Full: true, Observations: []Observation{observation("1", 0)}, AgeMs: 3600000})
+	h.takeChanges()
+	if a := h.list["1"].Address; a != other.Address {
+		t.Errorf("an hour old, it still has it at %s", a)
+	}
+	h.reconciler.Observe(h.now, "consul", &Report{Full: true, Observations: []Observation{observation("1", 0), observation("3", 1), observation("4", 1)}})
+	h.takeChanges()
+	h.wantList("1 serving, 2 serving, 3 serving, 4 serving")
+	h.reconciler.SourceLost(h.now, "consul", "refused")
+	h.reconciler.SourceLost(h.now, "consul", "refused")
+	h.wantDecisions(h.takeChanges(), SourceLost)
+	h.advance(45000)
+	h.selfReport("3", Primary)
+	h.advance(20000)
+	if said := h.decisions[len(h.decisions)-1]; said.Kind != Removed || said.Server != "4" {
+		t.Errorf("%+v", said)
+	}
+	h.wantList("1 serving, 2 serving, 3 serving*")
+	h.advance(60000)
+	h.wantList("1 serving, 2 serving")
+	h.wantDecisions(h.observe("consul", false), SourceRecovered, ConflictingAddresses, Moved, Added, Added, NoPrimary)
+	h.wantList("1 serving, 2 serving, 3 serving, 4 serving")
+}
+
+// TestRemovalsBeforeALossAreForgotten checks that what a source removed before a long loss does not remove what another has
+// reported since.
+func TestRemovalsBeforeALossAreForgotten(t *testing.T) {
+	h := newHarness(t, func(s *Settings) { s.SourceRetentionMs, s.MassRemovalFraction = 5000, 0 })
+	h.observe("consul", true, observation("1", 0), observation("2", 0))
+	h.observe("consul", true, observation("2", 0))
+	h.observe("static", true, observation("1", 0))
+	h.wantList("2 serving") // the first by rank has dropped it
+	h.reconciler.SourceLost(h.now, "consul", "gone")
+	h.advance(6000)
+	h.wantList("1 serving")
+	h.observe("consul", true, observation("2", 0))
+	h.wantList("1 serving, 2 serving")
+}
