--- a/internal/frontend/pooling/sessionstate/carry_test.go
+++ b/internal/frontend/pooling/sessionstate/sessionstate_test.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-// run runs a text at the real server.
+// run runs a text at the modelled server.
 func (r *modelServer) run(sql string) {
 	for _, s := range sqltext.Split(sql) {
 		switch s.Kind {
@@ -81,7 +81,7 @@
 // savepoints. Before each transaction, the server must have what that client's session has, and nothing of another's.
 func TestSettingsAgreeWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		texts := NewStatements()
+		statements := NewStatements()
 		var clients []*Client
 		var want []map[string]string // what each session has
 		for i := range 3 {
@@ -89,7 +89,7 @@
 			if i > 0 {
 				start["app"] = fmt.Sprint("client", i)
 			}
-			clients = append(clients, NewClient(texts, start))
+			clients = append(clients, NewClient(statements, start))
 			w := map[string]string{}
 			for n, v := range start {
 				w[n] = "'" + v + "'"
@@ -118,7 +118,7 @@
 				sql := rapid.SampledFrom([]string{"SET %s TO 'x'", "SET %s TO 'y'", "RESET %s", "SAVEPOINT %s", "ROLLBACK TO %s"}).Draw(t, "sql")
 				sql = fmt.Sprintf(sql, name)
 				if strings.HasPrefix(sql, "RESET app") {
-					continue // its default is the startup's, which the stand-in here does not know
+					continue // its default is the startup's, which the model does not know
 				}
 				r.run(sql)
 				c.Completed(&sqltext.Split(sql)[0])
@@ -135,24 +135,24 @@
 	})
 }
 
-// TestPreparedStatementsAreShared guards against statements that are kept or prepared more often than they must be, or never given up.
+// TestPreparedStatementsAreShared: statements of equal text and types must be one, prepared once on a connection, and released without users.
 func TestPreparedStatementsAreShared(t *testing.T) {
-	texts := NewStatements()
-	a, b := NewClient(texts, nil), NewClient(texts, nil)
+	statements := NewStatements()
+	a, b := NewClient(statements, nil), NewClient(statements, nil)
 	x, _, _ := a.Prepare("one", "SELECT 1", []byte{0, 0})
 	y, _, _ := b.Prepare("other", "SELECT 1", []byte{0, 0})
 	z, _, _ := b.Prepare("typed", "SELECT 1", []byte{0, 1, 0, 0, 0, 25})
-	if x != y || x == z || texts.Len() != 2 {
-		t.Errorf("%d texts: %v %v %v", texts.Len(), x, y, z)
+	if x != y || x == z || statements.Len() != 2 {
+		t.Errorf("%d statements: %v %v %v", statements.Len(), x, y, z)
 	}
-	if _, twice, _ := a.Prepare("one", "SELECT 2", nil); !twice || a.Statement("one") != x {
-		t.Error("a name was taken twice")
+	if _, exists, _ := a.Prepare("one", "SELECT 2", nil); !exists || a.Statement("one") != x {
+		t.Error("a name was reused")
 	}
-	if _, twice, _ := a.Prepare("", "SELECT 3", nil); twice {
-		t.Error("the empty name can't be taken")
+	if _, exists, _ := a.Prepare("", "SELECT 3", nil); exists {
+		t.Error("the empty name cannot be used")
 	}
-	if _, twice, _ := a.Prepare("", "SELECT 4", nil); twice || a.Statement("").SQL != "SELECT 4" || texts.Len() != 3 {
-		t.Errorf("the empty name can't be taken again: %d texts", texts.Len())
+	if _, exists, _ := a.Prepare("", "SELECT 4", nil); exists || a.Statement("").SQL != "SELECT 4" || statements.Len() != 3 {
+		t.Errorf("the empty name cannot be reused: %d statements", statements.Len())
 	}
 	s := NewServer(2, 1<<20)
 	s.Add(x)
@@ -163,12 +163,12 @@
 	}
 	a.Close()
 	b.Reset()
-	if texts.Len() != 2 { // the server still has them, and whoever prepares them again is to find them
-		t.Errorf("%d texts are known while a server has two prepared", texts.Len())
+	if statements.Len() != 2 { // the server still has them, so preparing them again must find them
+		t.Errorf("%d statements remain while a server has two prepared", statements.Len())
 	}
 	s.DeallocatedAll()
-	if texts.Len() != 0 || texts.Bytes() != 0 {
-		t.Errorf("%d texts with %d bytes are left", texts.Len(), texts.Bytes())
+	if statements.Len() != 0 || statements.Bytes() != 0 {
+		t.Errorf("%d statements with %d bytes remain", statements.Len(), statements.Bytes())
 	}
 	for i := range MaxStatements {
 		if _, _, err := a.Prepare(fmt.Sprint(i), "SELECT 1", nil); err != nil {
@@ -176,6 +176,6 @@
 		}
 	}
 	if _, _, err := a.Prepare("more", "SELECT 1", nil); err == nil {
-		t.Error("a client may prepare without end")
+		t.Error("a client may prepare without a bound")
 	}
 }
--- /dev/null
+++ b/internal/frontend/pooling/sessionstate/sync.go
@@ -0,0 +1,96 @@
+package sessionstate
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+
+	"beechgrade/internal/protocol/sqltext"
+)
+
+// Settings that have a syntax of their own.
+const (
+	settingSessionAuthorization = "session_authorization"
+	settingRole                 = "role"
+	settingTimeZone             = "timezone"
+)
+
+// SyncQuery returns the query that gives the connection the client's settings, empty if it has them. The query has only what differs.
+// Synced must be called once it was answered.
+func (c *Client) SyncQuery(s *Server) string {
+	var names []string
+	for name := range s.settings {
+		if _, ok := c.settings[name]; !ok {
+			names = append(names, name)
+		}
+	}
+	for name, value := range c.settings {
+		if s.settings[name] != value {
+			names = append(names, name)
+		}
+	}
+	slices.SortFunc(names, compareSettings)
+	var query strings.Builder
+	for i, name := range names {
+		if i > 0 {
+			query.WriteString("; ")
+		}
+		if value, ok := c.settings[name]; ok {
+			query.WriteString(setStatement(name, value))
+		} else {
+			query.WriteString(resetStatement(name))
+		}
+	}
+	return query.String()
+}
+
+func setStatement(name, value string) string {
+	switch name {
+	case settingSessionAuthorization:
+		return "SET SESSION AUTHORIZATION " + value
+	case settingTimeZone:
+		return "SET TIME ZONE " + value
+	case settingRole:
+		return "SET ROLE " + value
+	}
+	return "SET " + quoteName(name) + " TO " + value
+}
+
+func resetStatement(name string) string {
+	if name == settingSessionAuthorization {
+		return "RESET SESSION AUTHORIZATION"
+	}
+	return "RESET " + quoteName(name)
+}
+
+// compareSettings orders settings: the session's authorization comes before what it permits, and the role, which it resets, after all.
+func compareSettings(a, b string) int {
+	return cmp.Or(cmp.Compare(settingRank(a), settingRank(b)), strings.Compare(a, b))
+}
+
+func settingRank(name string) int {
+	switch name {
+	case settingSessionAuthorization:
+		return 0
+	case settingRole:
+		return 2
+	}
+	return 1
+}
+
+// Synced records that the connection has the client's settings now.
+func (c *Client) Synced(s *Server) {
+	s.settings = make(map[string]string, len(c.settings))
+	for name, value := range c.settings {
+		s.settings[name] = value
+	}
+}
+
+// quoteName quotes each part of a setting's name.
+func quoteName(name string) string {
+	parts := strings.Split(name, ".")
+	for i, part := range parts {
+		parts[i] = sqltext.Ident(part)
+	}
+	return strings.Join(parts, ".")
+}
