--- a/internal/cluster/credit/bytes_test.go
+++ b/internal/cluster/credit/bytes_test.go
@@ -13,8 +13,12 @@
 func TestMessageBytesStay(t *testing.T) {
 	k := ledger.Key{Tenant: "t", Overdraft: 300, Holder: 3, Generation: 4}
 	m := &Message{Holder: 1, Reply: true, Leader: "l", PaymentDigest: 6, Payments: []lessor.Payment{{Tenant: "p", Number: 2, Amount: 3}},
-		Requests:  []message.Request{{Key: k, Sequence: 5, Spent: 6, Returned: 7, Requested: 8, Queued: 9, SpendRate: 10, Final: true, Recovered: true, MarksRead: true}, {Key: k}},
-		Responses: []message.Response{{Key: k, Sequence: 5, Granted: 12, Available: -13, AvailableAtPayment: 14, Retain: 15, Closed: true, Expired: true, Recall: true}, {Key: k}}}
+		Requests: []message.Request{{
+			Key: k, Sequence: 5, Spent: 6, Returned: 7, Requested: 8, Queued: 9, SpendRate: 10, Final: true, Recovered: true, MarksRead: true,
+		}, {Key: k}},
+		Responses: []message.Response{{
+			Key: k, Sequence: 5, Granted: 12, Available: -13, AvailableAtPayment: 14, Retain: 15, Closed: true, Expired: true, Recall: true,
+		}, {Key: k}}}
 	for _, c := range []struct {
 		b    []byte
 		want string
--- a/internal/cluster/credit/codec_test.go
+++ b/internal/cluster/credit/codec_test.go
@@ -13,8 +13,12 @@
 // FuzzRead decodes any bytes: they are a message or an error, and what was decoded stays the same when it is encoded again.
 func FuzzRead(f *testing.F) {
 	k := ledger.Key{Tenant: "t", Overdraft: 5, Holder: 1 << 63, Generation: 7}
-	f.Add((&Message{Holder: 9, Requests: []message.Request{{Key: k, Sequence: 1, Spent: 2, Returned: 3, Requested: 4, Queued: 5, SpendRate: 6, Final: true, Recovered: true, MarksRead: true}}}).Append(nil))
-	f.Add((&Message{Holder: 9, Reply: true, Leader: "p", Responses: []message.Response{{Key: k, Sequence: 1, Granted: 2, Closed: true, Expired: true, Available: -3, AvailableAtPayment: 4, Recall: true, Retain: 5}}}).Append(nil))
+	f.Add((&Message{Holder: 9, Requests: []message.Request{{
+		Key: k, Sequence: 1, Spent: 2, Returned: 3, Requested: 4, Queued: 5, SpendRate: 6, Final: true, Recovered: true, MarksRead: true,
+	}}}).Append(nil))
+	f.Add((&Message{Holder: 9, Reply: true, Leader: "p", Responses: []message.Response{{
+		Key: k, Sequence: 1, Granted: 2, Closed: true, Expired: true, Available: -3, AvailableAtPayment: 4, Recall: true, Retain: 5,
+	}}}).Append(nil))
 	f.Add((&Message{PaymentDigest: 77, Payments: []lessor.Payment{{Tenant: "t", Number: 1 << 60, Amount: 5}}}).Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := DecodeMessage(b)
--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -16,7 +16,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// fleet is so many poolers in one test's time, with a log that takes logMs for an entry and loses none, and requests that take serveMs.
+// fleet is the poolers of a test in virtual time, with a log that takes logMs for an entry and loses none, and requests that take serveMs.
 type fleet struct {
 	t           *testing.T
 	now         float64
@@ -28,14 +28,14 @@
 	leader      int
 	lossRate    float64
 	partitioned func(a, b int) bool
-	cutFromLog  func(a int) bool // from the log
+	cutFromLog  func(a int) bool
 
 	entries, bytes, messages, messageBytes int
 	served, rejected, queued, requests     int
 	charged                                int64
-	ample                                  int64 // funds of which none are short
-	queuedEarly                            int   // waited while no more was charged
-	chargedAtFirstRejection                int64 // charged by then, -1 for none
+	ample                                  int64 // while less is charged, the funds are not short
+	queuedEarly                            int   // queued while the funds were not short
+	chargedAtFirstRejection                int64 // -1 before one
 	admittedAt                             []float64
 }
 
@@ -155,23 +155,25 @@
 	f.at(serveMs, func() { n.credit.Settle(&h, lease.Usage{Served: 1}) })
 }
 
-// request has a client ask a pooler.
+// request sends a client's request to a pooler.
 func (f *fleet) request(n *node, tenant string, class int) {
 	f.requests++
-	switch h, v := n.credit.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: class, Session: uint64(f.requests), Parts: 1, Tag: uint64(f.requests)}); v {
+	tag := uint64(f.requests)
+	reservation, decision := n.credit.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: class, Session: tag, Parts: 1, Tag: tag})
+	switch decision {
 	case lease.Admitted:
-		f.serve(n, h)
+		f.serve(n, reservation)
 	case lease.Queued:
 		if f.queued++; f.chargedAtFirstRejection < 0 && f.charged < f.ample {
 			f.queuedEarly++
 		}
-		n.queued[uint64(f.requests)] = true
+		n.queued[tag] = true
 	default:
 		f.reject()
 	}
 }
 
-// newFleet begins so many poolers, three of which vote.
+// newFleet starts poolers, the first three of which vote.
 func newFleet(t *testing.T, poolers int, change func(s *Settings)) *fleet {
 	f := &fleet{t: t, rng: rand.New(rand.NewPCG(uint64(poolers), 7)), chargedAtFirstRejection: -1, admittedAt: make([]float64, poolers)}
 	var all []view.Record
@@ -179,7 +181,10 @@
 		all = append(all, view.Record{ID: view.ID(i + 1), Name: fmt.Sprintf("p%d", i), Addr: fmt.Sprint(i)})
 	}
 	for i := range poolers {
-		s := Settings{Lease: lease.Defaults(), Lessor: lessor.Defaults(), Voters: []string{"p0", "p1", "p2"}, Name: all[i].Name, Holder: ledger.Holder(1000 + i)}
+		s := Settings{
+			Lease: lease.Defaults(), Lessor: lessor.Defaults(),
+			Voters: []string{"p0", "p1", "p2"}, Name: all[i].Name, Holder: ledger.Holder(1000 + i),
+		}
 		s.Lease.Classes = []lease.Class{{Price: lease.Price{PerRequest: 1}, PriorityWeight: 1}}
 		s.Lease.PrepaidTenants = []string{"t"}
 		s.Lease.Checks = invariant.Test(t)
@@ -211,7 +216,7 @@
 	}
 }
 
-// load has requests come, so many a second in all, to poolers by their weights, until a time.
+// load sends so many requests a second in all, spread over the poolers by weight, until a time.
 func (f *fleet) load(rate, until float64, weight func(i int) float64, alive func(i int) bool) {
 	sum := 0.0
 	for i := range f.nodes {
@@ -238,7 +243,7 @@
 
 func pay(list ...lessor.Payment) func(s *Settings) { return func(s *Settings) { s.Payments = list } }
 
-// check holds what was charged to what was paid.
+// check verifies the ledgers, and that no more was charged than was paid.
 func (f *fleet) check(paid int64) {
 	f.t.Helper()
 	if f.charged > paid {
@@ -264,8 +269,11 @@
 			f.run(32000)
 			f.check(funds)
 			part := float64(f.chargedAtFirstRejection) / funds
-			t.Logf("%d poolers, %s: %.4f of the funds used before the first refusal, %.4f in all; %.4f of requests waited, %.4f of those of the first nine tenths; %d entries of %d bytes, %d words of %d bytes", poolers, name, part,
-				float64(f.charged)/funds, float64(f.queued)/float64(f.requests), float64(f.queuedEarly)/(0.9*funds), f.entries, f.bytes/max(1, f.entries), f.messages, f.messageBytes/max(1, f.messages))
+			t.Logf("%d poolers, %s: %.4f of the funds used before the first rejection, %.4f in all", poolers, name, part, float64(f.charged)/funds)
+			t.Logf("%.4f of requests were queued, %.4f of those of the first nine tenths of the funds",
+				float64(f.queued)/float64(f.requests), float64(f.queuedEarly)/(0.9*funds))
+			t.Logf("%d entries of %d bytes, %d messages of %d bytes",
+				f.entries, f.bytes/max(1, f.entries), f.messages, f.messageBytes/max(1, f.messages))
 			if part < 0.98 {
 				t.Errorf("%d poolers, %s: %.4f of the funds used before the first refusal", poolers, name, part)
 			}
@@ -404,7 +412,8 @@
 	}
 	f.run(16000)
 	tenants, accounts := f.nodes[0].credit.Ledger().Size()
-	t.Logf("%d requests, %d waited, %d refused; %d tenants, %d accounts; %.1f entries and %.0f bytes a second, snapshot of %d bytes", f.requests, f.queued, f.rejected, tenants, accounts,
+	t.Logf("%d requests, %d queued, %d rejected; %d tenants, %d accounts", f.requests, f.queued, f.rejected, tenants, accounts)
+	t.Logf("%.1f entries and %.0f bytes a second, snapshot of %d bytes",
 		float64(f.entries-entries)/10, float64(f.bytes-bytes)/10, len(f.nodes[0].credit.Snapshot()))
 	if tenants != 10000 || accounts > 100*30*2 || f.rejected > 0 {
 		t.Errorf("%d tenants, %d accounts, %d refused", tenants, accounts, f.rejected)
--- a/internal/cluster/credit/lease/manager_test.go
+++ b/internal/cluster/credit/lease/manager_test.go
@@ -11,18 +11,29 @@
 func settings(t *testing.T) Settings {
 	s := Defaults()
 	s.PrepaidTenants = []string{"t"}
-	s.Classes = []Class{{Price: Price{PerRequest: 10}, PriorityWeight: 5}, {Price: Price{PerRequest: 10, PerRow: 2, Max: 50}, PriorityWeight: 1}, {Price: Price{PerRequest: 10}, PriorityWeight: 1, Overdraft: 40}}
+	s.Classes = []Class{
+		{Price: Price{PerRequest: 10}, PriorityWeight: 5},
+		{Price: Price{PerRequest: 10, PerRow: 2, Max: 50}, PriorityWeight: 1},
+		{Price: Price{PerRequest: 10}, PriorityWeight: 1, Overdraft: 40},
+	}
 	s.Checks = invariant.Test(t)
 	return s
 }
 
-// fill has the purse ask, and be granted so much by the answer.
+// granting is the leader's response to a request: so much is granted in all, of so much that is available now and after the last payment.
+func granting(request *message.Request, granted, available, atPayment int64) ResponsesReceived {
+	return ResponsesReceived{[]message.Response{{
+		Key: request.Key, Sequence: request.Sequence, Granted: granted, Available: available, AvailableAtPayment: atPayment,
+	}}}
+}
+
+// fill lets a manager request funds, and grants so much of its own funds.
 func fill(t *testing.T, p *Manager, at float64, granted, left, full int64) (seq uint32, gen uint32) {
 	t.Helper()
 	for _, a := range p.Handle(at, Tick{}, nil) {
 		for _, x := range a.Requests {
 			if !x.Final && x.Key.Overdraft == 0 {
-				p.Handle(at, ResponsesReceived{[]message.Response{{Key: x.Key, Sequence: x.Sequence, Granted: granted, Available: left, AvailableAtPayment: full}}}, nil)
+				p.Handle(at, granting(&x, granted, left, full), nil)
 				return x.Sequence, x.Key.Generation
 			}
 		}
@@ -42,7 +53,7 @@
 		t.Fatalf("%+v", acts)
 	}
 	k := acts[0].Requests[0]
-	acts = p.Handle(1005, ResponsesReceived{[]message.Response{{Key: k.Key, Sequence: k.Sequence, Granted: 100, Available: 1000, AvailableAtPayment: 1000}}}, nil)
+	acts = p.Handle(1005, granting(&k, 100, 1000, 1000), nil)
 	if len(acts) == 0 || acts[0].Kind != Admit || acts[0].Tag != 11 || acts[0].Reservation.Amount != 10 {
 		t.Fatalf("%+v", acts)
 	}
@@ -135,7 +146,7 @@
 	for _, a := range p.Handle(1000, Tick{}, nil) {
 		for _, x := range a.Requests {
 			if x.Key.Overdraft == 40 {
-				p.Handle(1001, ResponsesReceived{[]message.Response{{Key: x.Key, Sequence: x.Sequence, Granted: 30, Available: 0, AvailableAtPayment: 100}}}, nil)
+				p.Handle(1001, granting(&x, 30, 0, 100), nil)
 			}
 		}
 	}
@@ -156,7 +167,7 @@
 	p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
 	acts := p.Handle(1000, Tick{}, nil)
 	k := acts[0].Requests[0]
-	acts = p.Handle(1001, ResponsesReceived{[]message.Response{{Key: k.Key, Sequence: k.Sequence, Granted: 100, Available: 1000, AvailableAtPayment: 1000}}}, nil)
+	acts = p.Handle(1001, granting(&k, 100, 1000, 1000), nil)
 	if len(acts) == 0 || acts[0].Kind != PersistMarks {
 		t.Fatalf("%+v", acts)
 	}
--- a/internal/cluster/credit/ledger/bytes_test.go
+++ b/internal/cluster/credit/ledger/bytes_test.go
@@ -7,7 +7,9 @@
 
 // fullRecord has something in each field.
 func fullRecord() *record {
-	return &record{Op: Op{Kind: kindTenant, Key: Key{Tenant: "t", Overdraft: 300, Holder: 4, Generation: 5}, Number: 6, Amount: 7, Spent: 8, Returned: 9, Sequence: 10, Recovered: true},
+	key := Key{Tenant: "t", Overdraft: 300, Holder: 4, Generation: 5}
+	op := Op{Kind: kindTenant, Key: key, Number: 6, Amount: 7, Spent: 8, Returned: 9, Sequence: 10, Recovered: true}
+	return &record{Op: op,
 		expired: true, granted: 13, paid: 14, balance: -15, lent: 16, stranded: 17, availableAtPayment: 18, appliedPayments: []byte{1, 2}}
 }
 
@@ -15,7 +17,10 @@
 func TestEntryAndSnapshotBytesStay(t *testing.T) {
 	l := New()
 	l.Apply(1, Encode([]Op{{Kind: Payment, Key: Key{Tenant: "t"}, Number: 1, Amount: 100}}))
-	l.Apply(2, Encode([]Op{{Kind: Grant, Key: Key{Tenant: "t", Overdraft: 3, Holder: 1, Generation: 1}, Sequence: 1, Amount: 5}, {Kind: Fence, Key: Key{Holder: 9, Generation: 2}}}))
+	l.Apply(2, Encode([]Op{
+		{Kind: Grant, Key: Key{Tenant: "t", Overdraft: 3, Holder: 1, Generation: 1}, Sequence: 1, Amount: 5},
+		{Kind: Fence, Key: Key{Holder: 9, Generation: 2}},
+	}))
 	for _, c := range []struct {
 		b    []byte
 		want string
--- a/internal/cluster/credit/ledger/ledger_test.go
+++ b/internal/cluster/credit/ledger/ledger_test.go
@@ -42,7 +42,8 @@
 			var ops []Op
 			for range rapid.IntRange(1, 4).Draw(r, "ops") {
 				op := Op{Kind: Kind(rapid.IntRange(int(Payment), int(CloseRemaining)).Draw(r, "kind")), Number: rapid.Uint64Range(0, 5).Draw(r, "no"),
-					Amount: rapid.Int64Range(1, 50).Draw(r, "amount"), Spent: rapid.Int64Range(0, 60).Draw(r, "spent"), Returned: rapid.Int64Range(0, 60).Draw(r, "returned"),
+					Amount: rapid.Int64Range(1, 50).Draw(r, "amount"),
+					Spent:  rapid.Int64Range(0, 60).Draw(r, "spent"), Returned: rapid.Int64Range(0, 60).Draw(r, "returned"),
 					Sequence: uint32(rapid.IntRange(1, 5).Draw(r, "seq")), Recovered: rapid.Bool().Draw(r, "heir")}
 				op.Key = Key{Tenant: rapid.SampledFrom(tenants).Draw(r, "tenant"), Overdraft: rapid.SampledFrom([]int64{0, 0, 20}).Draw(r, "depth"),
 					Holder: rapid.Uint64Range(1, 3).Draw(r, "holder"), Generation: uint32(rapid.IntRange(1, 4).Draw(r, "gen"))}
--- a/internal/cluster/raftlog/bytes_test.go
+++ b/internal/cluster/raftlog/bytes_test.go
@@ -7,7 +7,8 @@
 
 // TestMessageBytesStay checks that the bytes of a message stay as poolers of other versions read and write them.
 func TestMessageBytesStay(t *testing.T) {
-	m := &message{kind: kindForwardResult, group: 2, from: 3, to: 4, name: "pooler", disk: 6, askerDisk: 7, ref: 300, index: 9, count: 10, chunk: 11, flag: true,
+	m := &message{kind: kindForwardResult, group: 2, from: 3, to: 4, name: "pooler", disk: 6, askerDisk: 7,
+		ref: 300, index: 9, count: 10, chunk: 11, flag: true,
 		members: []Member{{"a", 1}, {"b", 0}}, data: []byte("data")}
 	for _, c := range []struct {
 		b    []byte
--- a/internal/cluster/raftlog/log_test.go
+++ b/internal/cluster/raftlog/log_test.go
@@ -85,7 +85,8 @@
 	if to != "C" {
 		t.Error("the hint was not taken:", to)
 	}
-	if out = l.Handle(3, MessageReceived{From: "C", Message: (&message{kind: kindForwardResult, ref: m.ref, flag: true}).encode(nil)}, nil); len(out) != 0 {
+	accepted := (&message{kind: kindForwardResult, ref: m.ref, flag: true}).encode(nil)
+	if out = l.Handle(3, MessageReceived{From: "C", Message: accepted}, nil); len(out) != 0 {
 		t.Errorf("%+v", out)
 	}
 	propose(4, 3)
@@ -110,8 +111,11 @@
 // panic, also in a voter.
 func TestCorruptMessagesAreHarmless(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &message{kind: messageKind(rapid.IntRange(1, 6).Draw(t, "verb")), group: rapid.Uint64().Draw(t, "group"), from: rapid.Uint64().Draw(t, "from"), name: "n",
-			ref: rapid.Uint64().Draw(t, "ref"), flag: rapid.Bool().Draw(t, "flag"), members: []Member{{"a", rapid.Uint64().Draw(t, "disk")}}, data: []byte("d")}
+		m := &message{
+			kind: messageKind(rapid.IntRange(1, 6).Draw(t, "kind")), group: rapid.Uint64().Draw(t, "group"), from: rapid.Uint64().Draw(t, "from"),
+			name: "n", ref: rapid.Uint64().Draw(t, "ref"), flag: rapid.Bool().Draw(t, "flag"),
+			members: []Member{{"a", rapid.Uint64().Draw(t, "disk")}}, data: []byte("d"),
+		}
 		b := m.encode(nil)
 		got, err := decodeMessage(b)
 		if err != nil || !bytes.Equal(got.encode(nil), b) {
--- a/internal/encoding/encoding_test.go
+++ b/internal/encoding/encoding_test.go
@@ -111,7 +111,11 @@
 		t.Errorf("%x of nothing", b)
 	}
 	b := AppendNonEmptyBytes(AppendNonEmptyBytes(AppendNonZeroFixed(AppendNonZeroUint([]byte{1}, 1, 300), 2, 2), 3, "s"), 4, []byte("b"))
-	if want := AppendBytesField(AppendBytesField(AppendFixedField(AppendUintField([]byte{1}, 1, 300), 2, 2), 3, "s"), 4, []byte("b")); !bytes.Equal(b, want) {
+	want := AppendUintField([]byte{1}, 1, 300)
+	want = AppendFixedField(want, 2, 2)
+	want = AppendBytesField(want, 3, "s")
+	want = AppendBytesField(want, 4, []byte("b"))
+	if !bytes.Equal(b, want) {
 		t.Errorf("%x, want %x", b, want)
 	}
 	if want := []byte("\x01\x08\xac\x02\x11\x02\x00\x00\x00\x00\x00\x00\x00\x1a\x01s\x22\x01b"); !bytes.Equal(b, want) {
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -39,8 +39,16 @@
 			if m.State() != want {
 				t.Fatalf("after event %d: %v, want %v", e, m.State(), want)
 			}
-			if m.IsServing() != (began && !ended) || m.ClosesIdleClients() && m.IsReadyForClients() || m.State() == HandingOver && m.AcceptsConnections() || m.IsServing() && !m.AcceptsConnections() {
-				t.Fatalf("%v: serves %v, sheds %v, welcomes %v, accepts %v", m.State(), m.IsServing(), m.ClosesIdleClients(), m.IsReadyForClients(), m.AcceptsConnections())
+			contradictions := map[string]bool{
+				"it serves, or not, against its events":           m.IsServing() != (began && !ended),
+				"it is ready for clients and closes idle ones":    m.ClosesIdleClients() && m.IsReadyForClients(),
+				"it accepts connections while it hands them over": m.State() == HandingOver && m.AcceptsConnections(),
+				"it serves and accepts no connections":            m.IsServing() && !m.AcceptsConnections(),
+			}
+			for what, found := range contradictions {
+				if found {
+					t.Fatalf("%v: %s", m.State(), what)
+				}
 			}
 		}
 	})
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -86,7 +86,13 @@
 		t.Fatal(err)
 	}
 	defer k.Stop()
-	for now, want := range map[float64]error{1e6: nil, 1e6 + 1000: nil, 1e6 + 1001: ErrTooOld, 1e6 - maxClockSkewMs: nil, 1e6 - maxClockSkewMs - 1: ErrFromFuture} {
+	for now, want := range map[float64]error{
+		1e6:                      nil,
+		1e6 + 1000:               nil,
+		1e6 + 1001:               ErrTooOld,
+		1e6 - maxClockSkewMs:     nil,
+		1e6 - maxClockSkewMs - 1: ErrFromFuture,
+	} {
 		if r, err := k.Get(List, wall(now)); !errors.Is(err, want) || (r != nil) != (want == nil) || r != nil && string(r.Body) != "a" {
 			t.Errorf("at %v: %+v, %v", now, r, err)
 		}
@@ -101,7 +107,10 @@
 func TestDiskFailuresAreReportedAndLeaveACompleteValue(t *testing.T) {
 	play := func(d *faultyfs.Disk) string {
 		var log bytes.Buffer
-		k, err := Start(Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.NewTextHandler(&log, nil)), Checks: strict(), Store: strict(), BatchesPerWalk: 1})
+		k, err := Start(Options{
+			FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.NewTextHandler(&log, nil)),
+			Checks: strict(), Store: strict(), BatchesPerWalk: 1,
+		})
 		if err != nil {
 			return err.Error()
 		}
@@ -123,7 +132,8 @@
 			if said := play(d); said == "" {
 				t.Errorf("operation %d failed, and nobody was told", at)
 			}
-			k, err := Start(Options{FS: d.Restart(rand.New(rand.NewPCG(uint64(at), 1)), true), MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler)})
+			restarted := d.Restart(rand.New(rand.NewPCG(uint64(at), 1)), true)
+			k, err := Start(Options{FS: restarted, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatalf("operation %d: %v", at, err)
 			}
@@ -180,7 +190,9 @@
 		n := 0.0
 		for range rapid.IntRange(1, 4).Draw(rt, "lives") {
 			checks, inner := invariant.New(nil), invariant.New(nil)
-			k, err := Start(Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler), Checks: checks, Store: inner, BatchesPerWalk: 1})
+			k, err := Start(Options{
+				FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler), Checks: checks, Store: inner, BatchesPerWalk: 1,
+			})
 			if err != nil {
 				rt.Fatal(err)
 			}
--- a/internal/storage/store/invariants_test.go
+++ b/internal/storage/store/invariants_test.go
@@ -23,8 +23,10 @@
 	t.Parallel()
 	for want, breaks := range map[string]func(s *Store){
 		"": func(*Store) {},
-		"store: what was acknowledged is what is durable":                      func(s *Store) { s.sequence++ },
-		"store: the segment that is written is replaced by nothing":            func(s *Store) { s.replaceable = append(s.replaceable, segmentName(s.segmentNumber)) },
+		"store: what was acknowledged is what is durable": func(s *Store) { s.sequence++ },
+		"store: the segment that is written is replaced by nothing": func(s *Store) {
+			s.replaceable = append(s.replaceable, segmentName(s.segmentNumber))
+		},
 		"store: it stays within its bound":                                     func(s *Store) { s.totalBytes += 2 << 20 },
 		"store: what is live is counted":                                       func(s *Store) { s.liveBytes++ },
 		"store: its files' sizes are counted":                                  func(s *Store) { s.segmentBytes++ },
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -380,7 +380,11 @@
 			"append": func(rt *rapid.T) {
 				var e []store.Entry
 				for range rapid.IntRange(1, 3).Draw(rt, "entries") {
-					e = append(e, store.Entry{Key: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(rt, "key"), Value: []byte(rapid.StringN(0, 90, -1).Draw(rt, "value")), Deleted: rapid.IntRange(0, 3).Draw(rt, "gone") == 0})
+					e = append(e, store.Entry{
+						Key:     rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(rt, "key"),
+						Value:   []byte(rapid.StringN(0, 90, -1).Draw(rt, "value")),
+						Deleted: rapid.IntRange(0, 3).Draw(rt, "deleted") == 0,
+					})
 				}
 				done := make(chan error, 1)
 				s.Append(e, func(err error) { done <- err })
