--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -25,7 +25,7 @@
 		return
 	}
 	j := adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
-	if set.SetShedding {
+	if set.Shed {
 		p.core.SetDemandObserver(j)
 	}
 	if set.Share {
--- a/internal/cluster/overload/adapter/adapter.go
+++ b/internal/cluster/overload/adapter/adapter.go
@@ -35,10 +35,10 @@
 
 // Options say what is shared, and how.
 type Options struct {
-	SetShedding bool // overload is handled together
-	Set         overload.Settings
-	Share       bool // probes are shared
-	Probes      overload.ProbeSettings
+	Shed   bool // overload is handled together
+	Set    overload.Settings
+	Share  bool // probes are shared
+	Probes overload.ProbeSettings
 	RetryBounds
 }
 
@@ -120,7 +120,7 @@
 		}
 	}
 	now := adapter.host.Now()
-	if adapter.controller == nil && adapter.options.SetShedding {
+	if adapter.controller == nil && adapter.options.Shed {
 		adapter.controller = overload.New(adapter.contracts(), self, now)
 		adapter.controller.CheckInvariants(adapter.checks, adapter.checkInterval)
 	}
--- a/internal/decide/clockoffset_test.go
+++ b/internal/decide/clockoffset_test.go
@@ -9,9 +9,9 @@
 // hour is what an operator's mistake steps a clock by.
 const hour = time.Hour
 
-// answerAt plays a probe's answer: the server's clock is ahead of the router's by so much, and the way takes 2 ms either way.
-func (c *clockOffset) answerAt(now Time, ahead time.Duration) {
-	c.observe(now, now-4*ms, now-2*ms+ahead)
+// observeAnswer plays a probe's answer: the server's clock is ahead of the router's by so much, and the way takes 2 ms either way.
+func (clock *clockOffset) observeAnswer(now Time, ahead time.Duration) {
+	clock.observe(now, now-4*ms, now-2*ms+ahead)
 }
 
 // TestClockOffset: reports of the primary show how far its clock is ahead. The estimate is raised at once, as reads
@@ -27,12 +27,12 @@
 		t.Run(ahead.String(), func(t *testing.T) {
 			c, now := &clockOffset{}, start
 			for range 12 {
-				c.answerAt(now, ahead)
+				c.observeAnswer(now, ahead)
 				now += 100 * ms
 			}
 			near(t, c, ahead)
 			for range 12 {
-				c.answerAt(now, 0) // another server is the primary now
+				c.observeAnswer(now, 0) // another server is the primary now
 				now += 100 * ms
 			}
 			near(t, c, 0)
@@ -41,7 +41,7 @@
 	t.Run("differences that delays explain", func(t *testing.T) {
 		c := &clockOffset{}
 		for n := range 100 {
-			c.answerAt(start+Time(n)*100*ms, time.Duration(n%5-2)*100*ms)
+			c.observeAnswer(start+Time(n)*100*ms, time.Duration(n%5-2)*100*ms)
 			c.observe(start, start-3*time.Second, start-3*time.Second) // an answer that was long on its way
 			c.observe(start, never, start-20*time.Second)              // a report that came along, of any age
 		}
@@ -62,7 +62,7 @@
 	t.Run("two that say they lead", func(t *testing.T) {
 		c := &clockOffset{}
 		for n := range 100 {
-			c.answerAt(start+Time(n)*100*ms, time.Duration(n%2)*-hour)
+			c.observeAnswer(start+Time(n)*100*ms, time.Duration(n%2)*-hour)
 		}
 		if c.ahead != 0 {
 			t.Errorf("estimate %v", c.ahead)
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -57,7 +57,7 @@
 	}
 	s := &o.Set
 	err := sexp.Schema{
-		"shed":       flag(&o.SetShedding),
+		"shed":       flag(&o.Shed),
 		"period":     duration(&s.ReportInterval, overloadPeriods),
 		"memory":     duration(&s.RateMemory, overloadMemories),
 		"stale":      duration(&s.StaleAfter, overloadStaleness),
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -51,7 +51,7 @@
 		c.Tenants[t.Name] = s.Clients.AllowanceOf(&t)
 		set.Tenants = append(set.Tenants, overload.Tenant{Name: t.Name})
 	}
-	if s.Overload.SetShedding {
+	if s.Overload.Shed {
 		c.Talk = set.TrafficBound(2 * len(s.Fleet.Groups)) // each is told of as two
 	}
 	one := float64(s.Fleet.Cores) * 1000
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -38,7 +38,7 @@
 		}
 		j := adapter.New(opt, told, h)
 		j.CheckInvariants(h.x.p.e.checks, partsEach)
-		if opt.SetShedding {
+		if opt.Shed {
 			c.SetDemandObserver(j)
 		}
 		if opt.Share {
@@ -56,8 +56,8 @@
 	p *pooler
 }
 
-// ProbeReported is joined's core's.
-func (c probed) ProbeReported(store string, result decide.Result, said backend.Report, ageMs float64) {
+// HealthCheckReported is joined's core's.
+func (c probed) HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64) {
 	if s := c.p.e.world.Server(store); s != nil && said.Role != decide.RoleUnknown && said.HasPos {
 		c.p.e.check.Word(c.p.e.s.now, said.Position, c.p.no, s.No, said.Role == decide.RolePrimary)
 	}
