--- a/internal/cluster/view/clone.go
+++ b/internal/cluster/view/clone.go
@@ -2,70 +2,77 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"strings"
 )
 
-// Clone is a copy that goes its own way, for explorers.
+// maxKeyTimeMs bounds the times in a StateKey.
+const maxKeyTimeMs = 1e6
+
+// Clone returns an independent copy, for model checking.
 func (v *View) Clone() *View {
-	c := *v
+	clone := *v
 	pcg := *v.pcg
-	c.pcg, c.rng, c.actions = &pcg, rand.New(&pcg), nil
-	same := map[*member]*member{}
-	c.members, c.byAddress, c.probes, c.lastExchange = map[ID]*member{}, map[string]*member{}, map[uint32]*probe{}, map[ID]float64{}
-	for id, peer := range v.members {
-		n := *peer
-		same[peer], c.members[id] = &n, &n
+	clone.pcg, clone.rng, clone.actions = &pcg, rand.New(&pcg), nil
+	copies := map[*member]*member{}
+	clone.members = map[ID]*member{}
+	for id, original := range v.members {
+		peer := *original
+		copies[original] = &peer
+		clone.members[id] = &peer
 	}
-	c.self = same[v.self]
-	list := func(ms []*member) []*member {
-		out := make([]*member, len(ms))
-		for i, peer := range ms {
-			out[i] = same[peer]
+	copyList := func(peers []*member) []*member {
+		out := make([]*member, len(peers))
+		for i, peer := range peers {
+			out[i] = copies[peer]
 		}
 		return out
 	}
-	c.ring, c.failed, c.probeOrder = list(v.ring), list(v.failed), slices.Clone(v.probeOrder)
-	for a, peer := range v.byAddress {
-		c.byAddress[a] = same[peer]
-	}
-	for no, t := range v.probes {
-		n := *t
-		n.member = same[t.member]
-		c.probes[no] = &n
+	clone.self = copies[v.self]
+	clone.ring, clone.failed = copyList(v.ring), copyList(v.failed)
+	clone.byAddress = map[string]*member{}
+	for addr, peer := range v.byAddress {
+		clone.byAddress[addr] = copies[peer]
 	}
-	for id, at := range v.lastExchange {
-		c.lastExchange[id] = at
+	clone.probes, clone.probeOrder = map[uint32]*probe{}, slices.Clone(v.probeOrder)
+	for sequence, original := range v.probes {
+		pending := *original
+		pending.member = copies[original.member]
+		clone.probes[sequence] = &pending
 	}
-	c.updates = make([]*update, len(v.updates))
-	for i, n := range v.updates {
-		x := *n
-		x.member = same[n.member]
-		c.updates[i] = &x
+	clone.updates = make([]*update, len(v.updates))
+	for i, original := range v.updates {
+		u := *original
+		u.member = copies[original.member]
+		clone.updates[i] = &u
 	}
-	return &c
+	clone.lastExchange = maps.Clone(v.lastExchange)
+	return &clone
 }
 
-// StateKey is all of a view that what it does follows from, but for its random numbers, times as seen from now.
+// StateKey returns a text that is equal for two views which act alike from now on, except for their random numbers. Times are relative
+// to now.
 func (v *View) StateKey() string {
 	var b strings.Builder
-	ago := func(at float64) float64 { return max(-1, min(v.now-at, 1e6)) }
+	ago := func(at float64) float64 { return max(-1, min(v.now-at, maxKeyTimeMs)) }
 	fmt.Fprintf(&b, "%d %v %v %v %v|", v.self.Incarnation, v.hasLeft, ago(v.nextProbe), ago(v.nextGossip), ago(v.nextReconnect))
 	fmt.Fprintf(&b, "%v %v %d|", ago(v.lastAck), ago(v.lastAckFromOther), v.lastAckFrom)
 	for _, peer := range v.sortedMembers() {
-		fmt.Fprintf(&b, "%d:%d.%d.%v.%d.%v ", peer.ID, peer.Incarnation, peer.State, peer.Draining, peer.missedProbes, peer.State == Suspect && v.now < peer.suspicionEnds)
+		suspected := peer.State == Suspect && v.now < peer.suspicionEnds
+		fmt.Fprintf(&b, "%d:%d.%d.%v.%d.%v ", peer.ID, peer.Incarnation, peer.State, peer.Draining, peer.missedProbes, suspected)
 		if peer.State == Suspect {
 			fmt.Fprintf(&b, "d%v ", ago(peer.suspicionEnds))
 		}
 	}
-	for _, no := range v.probeOrder {
-		if t := v.probes[no]; t != nil {
-			fmt.Fprintf(&b, "t%d %v %v %v %d ", t.member.ID, ago(t.sentAt), t.indirect, t.reconnect, t.onBehalfOf)
+	for _, sequence := range v.probeOrder {
+		if pending := v.probes[sequence]; pending != nil {
+			fmt.Fprintf(&b, "t%d %v %v %v %d ", pending.member.ID, ago(pending.sentAt), pending.indirect, pending.reconnect, pending.onBehalfOf)
 		}
 	}
-	for _, n := range v.updates {
-		fmt.Fprintf(&b, "n%d %d ", n.member.ID, n.timesSent)
+	for _, u := range v.updates {
+		fmt.Fprintf(&b, "n%d %d ", u.member.ID, u.timesSent)
 	}
 	return b.String()
 }
--- a/internal/cluster/view/invariants.go
+++ b/internal/cluster/view/invariants.go
@@ -1,68 +1,82 @@
 package view
 
 import (
-	"cmp"
 	"fmt"
 	"slices"
 
 	"beechgrade/internal/invariant"
 )
 
-// CheckInvariants has statements about the view checked, once in so many events.
-func (v *View) CheckInvariants(c *invariant.Checks, every int) { v.checks, v.checkInterval = c, every }
+// CheckInvariants makes the view check its invariants, once in interval events.
+func (v *View) CheckInvariants(checks *invariant.Checks, interval int) {
+	v.checks, v.checkInterval = checks, interval
+}
+
+func describe(peer *member) func() string { return func() string { return fmt.Sprintf("%+v", *peer) } }
 
-// checkState makes the statements about all state.
-func (v *View) checkState(c *invariant.Checks) {
-	who := func(peer *member) func() string { return func() string { return fmt.Sprintf("%+v", *peer) } }
-	c.That(v.members[v.self.ID] == v.self && v.self.State == Alive && slices.Contains(v.ring, v.self), "view: it is in its own view, and there", who(v.self))
-	c.That(len(v.members) <= MaxRecords, "view: no more than may be are known", func() string { return fmt.Sprint(len(v.members)) })
-	runs, lost, suspects := 0, 0, 0
+// checkState checks the invariants of the whole state.
+func (v *View) checkState(checks *invariant.Checks) {
+	ownRecord := v.members[v.self.ID] == v.self && v.self.State == Alive && slices.Contains(v.ring, v.self)
+	checks.That(ownRecord, "view: this process is alive in its own view", describe(v.self))
+	checks.That(len(v.members) <= MaxRecords, "view: the number of members is bounded", func() string { return fmt.Sprint(len(v.members)) })
 	for id, peer := range v.members {
-		c.That(peer.ID == id && peer.ringPosition == ringPosition(id), "view: each is filed by its ID", who(peer))
-		switch peer.State {
-		case Suspect:
-			suspects++
-			runs++
-			c.That(peer.suspicionEnds > 0, "view: a suspicion has an end", who(peer))
-		case Alive:
-			runs++
-		case Failed:
-			lost++
+		filed := peer.ID == id && peer.ringPosition == ringPosition(id)
+		checks.That(filed, "view: each member is filed by its ID", describe(peer))
+		if peer.State == Suspect {
+			checks.That(peer.suspicionEnds > 0, "view: a suspicion has an end", describe(peer))
 		}
-		c.That((peer.State >= Failed) == (peer.unavailableSince > 0), "view: those that are gone are so since then", who(peer))
+		unavailable := peer.State >= Failed
+		checks.That(unavailable == (peer.unavailableSince > 0), "view: members that failed or left have the time of it", describe(peer))
 	}
-	c.That(suspects == v.suspectCount, "view: suspects are counted", func() string { return fmt.Sprintf("%d, counted %d", suspects, v.suspectCount) })
-	sorted := slices.IsSortedFunc(v.ring, func(a, b *member) int {
-		return cmp.Or(cmp.Compare(a.ringPosition, b.ringPosition), cmp.Compare(a.ID, b.ID))
+	v.checkLists(checks)
+	v.checkReferences(checks)
+}
+
+// checkLists checks that the ring, the failed members and the count of suspects agree with the members' states.
+func (v *View) checkLists(checks *invariant.Checks) {
+	var byState [Left + 1]int
+	for _, peer := range v.members {
+		byState[peer.State]++
+	}
+	suspects, running, failed := byState[Suspect], byState[Alive]+byState[Suspect], byState[Failed]
+	checks.That(suspects == v.suspectCount, "view: suspects are counted", func() string { return fmt.Sprintf("%d, counted %d", suspects, v.suspectCount) })
+
+	const ringOrder = "view: the ring has each running member once, in order"
+	sorted := slices.IsSortedFunc(v.ring, comparePositions)
+	checks.That(sorted && len(v.ring) == running, ringOrder, func() string {
+		return fmt.Sprintf("%d on it, %d run, in order: %v", len(v.ring), running, sorted)
 	})
-	c.That(sorted && len(v.ring) == runs, "view: the ring holds those that run, in order, once", func() string { return fmt.Sprintf("%d in it, %d run, in order: %v", len(v.ring), runs, sorted) })
 	for i, peer := range v.ring {
-		c.That(v.members[peer.ID] == peer && peer.State <= Suspect && (i == 0 || v.ring[i-1] != peer), "view: the ring holds those that run, in order, once", who(peer))
+		repeated := i > 0 && v.ring[i-1] == peer
+		checks.That(v.members[peer.ID] == peer && peer.State <= Suspect && !repeated, ringOrder, describe(peer))
 	}
 	for _, peer := range v.failed {
-		c.That(v.members[peer.ID] == peer && peer.State == Failed, "view: those that are sought have failed", who(peer))
+		checks.That(v.members[peer.ID] == peer && peer.State == Failed, "view: members to reconnect to have failed", describe(peer))
 	}
-	c.That(len(v.failed) == lost, "view: all that have failed are sought", func() string { return fmt.Sprintf("%d sought, %d failed", len(v.failed), lost) })
-	v.checkReferences(c, who)
+	checks.That(len(v.failed) == failed, "view: all failed members are to be reconnected to", func() string {
+		return fmt.Sprintf("%d listed, %d failed", len(v.failed), failed)
+	})
 }
 
-// checkReferences states that nothing is kept for those that are gone.
-func (v *View) checkReferences(c *invariant.Checks, who func(*member) func() string) {
-	const kept = "view: nothing is kept of those that are forgotten"
+// checkReferences checks that nothing refers to members that were removed.
+func (v *View) checkReferences(checks *invariant.Checks) {
+	const noReferences = "view: nothing refers to removed members"
 	for _, peer := range v.byAddress {
-		c.That(v.members[peer.ID] == peer, kept, who(peer))
+		checks.That(v.members[peer.ID] == peer, noReferences, describe(peer))
 	}
-	for _, n := range v.updates {
-		c.That(v.members[n.member.ID] == n.member, kept, who(n.member))
+	for _, u := range v.updates {
+		checks.That(v.members[u.member.ID] == u.member, noReferences, describe(u.member))
 	}
 	for id := range v.lastExchange {
-		c.That(v.members[id] != nil || v.members[^id] != nil, kept, func() string { return fmt.Sprintf("traded with %x", uint64(id)) })
+		checks.That(v.members[id] != nil, noReferences, func() string { return fmt.Sprintf("exchange with %x", uint64(id)) })
 	}
-	in := map[uint32]bool{}
-	for _, no := range v.probeOrder {
-		in[no] = true
+	ordered := map[uint32]bool{}
+	for _, sequence := range v.probeOrder {
+		ordered[sequence] = true
 	}
-	for no, t := range v.probes {
-		c.That(in[no], "view: each probe that is out has its end", func() string { return fmt.Sprintf("%d of %x", no, uint64(t.member.ID)) })
+	for sequence, pending := range v.probes {
+		checks.That(ordered[sequence], "view: each pending probe has an end", func() string {
+			return fmt.Sprintf("%d of %x", sequence, uint64(pending.member.ID))
+		})
 	}
 }
--- a/internal/cluster/view/invariants_test.go
+++ b/internal/cluster/view/invariants_test.go
@@ -11,9 +11,9 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestInvariants: processes that come, go, are cut off, take each other's names and addresses, stand still and hear old and false
-// words, in any order.
-func TestInvariants(t *testing.T) {
+// TestInvariantsHold: the invariants hold while processes start, end, are cut off, take each other's names and addresses, are paused and
+// receive old and false records, in any order.
+func TestInvariantsHold(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		f, c := &testCluster{now: 1e6, cut: map[int]bool{}, dead: map[int]bool{}}, invariant.Test(t)
 		join := func(name, addr string) {
@@ -52,20 +52,20 @@
 	})
 }
 
-// TestMutants: each statement is seen to break by one line of state.
-func TestMutants(t *testing.T) {
+// TestInvariantsDetectBrokenState: each invariant fails for a state in which one line was broken.
+func TestInvariantsDetectBrokenState(t *testing.T) {
 	for name, poke := range map[string]func(v *View, other *member){
-		"view: it is in its own view, and there":              func(v *View, _ *member) { delete(v.members, v.self.ID) },
-		"view: each is filed by its ID":                       func(_ *View, peer *member) { peer.ID++ },
-		"view: a suspicion has an end":                        func(_ *View, peer *member) { peer.State, peer.suspicionEnds = Suspect, 0 },
-		"view: those that are gone are so since then":         func(_ *View, peer *member) { peer.unavailableSince = 1 },
-		"view: suspects are counted":                          func(v *View, _ *member) { v.suspectCount++ },
-		"view: the ring holds those that run, in order, once": func(v *View, _ *member) { slices.Reverse(v.ring) },
-		"view: those that are sought have failed":             func(v *View, peer *member) { v.failed = append(v.failed, peer) },
-		"view: all that have failed are sought":               func(_ *View, peer *member) { peer.State = Failed },
-		"view: nothing is kept of those that are forgotten":   func(v *View, peer *member) { delete(v.members, peer.ID) },
-		"view: each probe that is out has its end":            func(v *View, peer *member) { v.probes[1<<31] = &probe{member: peer} },
-		"view: no more than may be are known": func(v *View, peer *member) {
+		"view: this process is alive in its own view":           func(v *View, _ *member) { delete(v.members, v.self.ID) },
+		"view: each member is filed by its ID":                  func(_ *View, peer *member) { peer.ID++ },
+		"view: a suspicion has an end":                          func(_ *View, peer *member) { peer.State, peer.suspicionEnds = Suspect, 0 },
+		"view: members that failed or left have the time of it": func(_ *View, peer *member) { peer.unavailableSince = 1 },
+		"view: suspects are counted":                            func(v *View, _ *member) { v.suspectCount++ },
+		"view: the ring has each running member once, in order": func(v *View, _ *member) { slices.Reverse(v.ring) },
+		"view: members to reconnect to have failed":             func(v *View, peer *member) { v.failed = append(v.failed, peer) },
+		"view: all failed members are to be reconnected to":     func(_ *View, peer *member) { peer.State = Failed },
+		"view: nothing refers to removed members":               func(v *View, peer *member) { delete(v.members, peer.ID) },
+		"view: each pending probe has an end":                   func(v *View, peer *member) { v.probes[1<<31] = &probe{member: peer} },
+		"view: the number of members is bounded": func(v *View, peer *member) {
 			for i := range ID(MaxRecords) {
 				v.members[1<<40+i] = peer
 			}
--- a/internal/cluster/view/probes.go
+++ b/internal/cluster/view/probes.go
@@ -2,17 +2,25 @@
 
 import "slices"
 
-// probe is a probe that is out.
+const (
+	isolatedProbes     = 16 // peers that an isolated process probes in a round
+	maxReconnects      = 4  // failed peers that are probed in a round
+	isolationIntervals = 3  // probe intervals without any answer after which a process is isolated
+	maxWatchFactor     = 8  // times WatchedPeers: peers that are probed where many do not answer
+	drawsPerPeer       = 4  // random draws for each peer that is wanted
+)
+
+// probe is one that waits for its answer.
 type probe struct {
 	member          *member
 	sentAt          float64
-	indirect        bool // others have been asked
-	reconnect       bool // of one that has failed
-	onBehalfOf      ID   // on whose behalf
-	requestSequence uint32
+	indirect        bool   // other processes were asked to probe too
+	reconnect       bool   // its member has failed
+	onBehalfOf      ID     // the process that asked for it, 0 for none
+	requestSequence uint32 // of that process's PingRequest
 }
 
-// resumeAfterPause takes back what this process thought while it did not run: nobody could answer it.
+// resumeAfterPause drops what this process concluded while it did not run, late ms after its tick: nobody could answer it.
 func (v *View) resumeAfterPause(late float64) {
 	v.probes, v.probeOrder = map[uint32]*probe{}, nil
 	v.noAccusationsUntil = v.now + v.settings.PauseGrace
@@ -24,178 +32,208 @@
 	}
 }
 
-// confirmedByOthers tells whether somebody other than m has answered since then: it is not this process's own links that are silent.
+// confirmedByOthers reports whether a process other than peer has answered since a time, so that this process's own links work.
 func (v *View) confirmedByOthers(peer *member, since float64) bool {
+	if v.now < v.noAccusationsUntil {
+		return false
+	}
 	at := v.lastAck
 	if v.lastAckFrom == peer.ID {
 		at = v.lastAckFromOther
 	}
-	return v.now >= v.noAccusationsUntil && (v.settings.Confirmations == 0 || at > since)
+	return v.settings.Confirmations == 0 || at > since
 }
 
-// isolated tells whether nobody has answered for a while.
+// isolated reports whether nobody has answered for a while.
 func (v *View) isolated() bool {
-	return v.now-max(v.lastAck, v.lastAckFromOther, v.startedAt) > 3*v.settings.ProbeInterval
+	return v.now-max(v.lastAck, v.lastAckFromOther, v.startedAt) > isolationIntervals*v.settings.ProbeInterval
 }
 
-// probeWatchedPeers probes those that this process watches.
+// probeWatchedPeers probes the peers that this process watches. An isolated process goes round the whole ring instead.
 func (v *View) probeWatchedPeers() {
-	i := slices.Index(v.ring, v.self)
+	own := slices.Index(v.ring, v.self)
 	n := len(v.ring)
-	if v.isolated() { // it goes round the whole ring for anybody who answers
-		for range min(isolatedProbes, n-1) {
-			if v.nextOnRing++; v.nextOnRing%n == 0 {
-				v.nextOnRing++
-			}
-			v.sendProbe(v.ring[(i+v.nextOnRing)%n], false, 0, 0)
-		}
+	if v.isolated() {
+		v.probeAroundRing(own)
 		return
 	}
 	watched := 0
-	for k := 1; k < n && watched < v.settings.WatchedPeers && k <= 8*v.settings.WatchedPeers; k++ {
-		peer := v.ring[(i+k)%n]
-		if v.sendProbe(peer, false, 0, 0); peer.State == Alive && peer.missedProbes < 2 {
+	limit := maxWatchFactor * v.settings.WatchedPeers
+	for k := 1; k < n && watched < v.settings.WatchedPeers && k <= limit; k++ {
+		peer := v.ring[(own+k)%n]
+		v.sendProbe(probe{member: peer})
+		if peer.reachable() {
 			watched++
 		}
 	}
 }
 
-// sendProbe asks a process whether it is there.
-func (v *View) sendProbe(peer *member, seek bool, helped ID, seq uint32) {
-	v.sequence++
-	v.probes[v.sequence] = &probe{member: peer, sentAt: v.now, reconnect: seek, onBehalfOf: helped, requestSequence: seq}
-	v.probeOrder = append(v.probeOrder, v.sequence)
-	v.send(peer, &Message{Kind: Ping, Sequence: v.sequence, Target: peer.ID})
+func (v *View) probeAroundRing(own int) {
+	n := len(v.ring)
+	for range min(isolatedProbes, n-1) {
+		v.nextOnRing++
+		if v.nextOnRing%n == 0 { // this process itself
+			v.nextOnRing++
+		}
+		v.sendProbe(probe{member: v.ring[(own+v.nextOnRing)%n]})
+	}
 }
 
-func (v *View) moveToFront(n *update) {
-	i := slices.Index(v.updates, n)
-	copy(v.updates[1:i+1], v.updates[:i])
-	v.updates[0] = n
+// sendProbe pings the member of a probe.
+func (v *View) sendProbe(p probe) {
+	v.sequence++
+	p.sentAt = v.now
+	v.probes[v.sequence] = &p
+	v.probeOrder = append(v.probeOrder, v.sequence)
+	v.send(p.member, &Message{Kind: Ping, Sequence: v.sequence, Target: p.member.ID})
 }
 
-// randomPeers draws processes that are taken for running, other than this one and one more.
-func (v *View) randomPeers(n int, not *member) (out []*member) {
-	for range 4 * n {
-		if len(out) == n || len(v.ring) < 2 {
+// randomPeers draws up to n peers of the ring, other than this process and one more.
+func (v *View) randomPeers(n int, except *member) (peers []*member) {
+	for range drawsPerPeer * n {
+		if len(peers) == n || len(v.ring) < 2 {
 			break
 		}
 		peer := v.ring[v.rng.IntN(len(v.ring))]
-		if peer != v.self && peer != not && !slices.Contains(out, peer) {
-			out = append(out, peer)
+		if peer != v.self && peer != except && !slices.Contains(peers, peer) {
+			peers = append(peers, peer)
 		}
 	}
-	return out
+	return peers
 }
 
-// reconnect seeks one that has failed, and a seed where nobody is known.
+// reconnect probes failed peers in turn, and contacts a seed where this process knows nobody or is isolated.
 func (v *View) reconnect() {
 	if n := len(v.failed); n > 0 {
 		for range min(maxReconnects, 1+n/max(1, len(v.ring)), n) {
 			v.nextFailed = (v.nextFailed + 1) % n
-			v.sendProbe(v.failed[v.nextFailed], true, 0, 0)
+			v.sendProbe(probe{member: v.failed[v.nextFailed], reconnect: true})
 		}
 	}
-	if n := len(v.settings.SeedAddresses); n > 0 && (!v.contacted || v.isolated()) {
-		for range n {
-			v.nextSeed = (v.nextSeed + 1) % n
-			if a := v.settings.SeedAddresses[v.nextSeed]; a != v.self.Addr {
-				v.emit(Action{Kind: StartExchange, Addr: a})
-				break
-			}
+	if !v.contacted || v.isolated() {
+		v.contactSeed()
+	}
+}
+
+// contactSeed starts an exchange with the next seed that is not this process.
+func (v *View) contactSeed() {
+	seeds := v.settings.SeedAddresses
+	for range seeds {
+		v.nextSeed = (v.nextSeed + 1) % len(seeds)
+		if addr := seeds[v.nextSeed]; addr != v.self.Addr {
+			v.emit(Action{Kind: StartExchange, Addr: addr})
+			return
 		}
 	}
 }
 
-// handleProbeTimeouts goes on with probes that have no answer.
+// handleProbeTimeouts escalates or ends the probes that have no answer.
 func (v *View) handleProbeTimeouts() {
 	remaining := v.probeOrder[:0]
 	for _, sequence := range v.probeOrder {
 		pending := v.probes[sequence]
-		if pending == nil {
-			continue
+		if pending != nil && v.continueProbe(sequence, pending) {
+			remaining = append(remaining, sequence)
 		}
-		switch age := v.now - pending.sentAt; {
-		case pending.onBehalfOf != 0 || pending.reconnect:
-			if age >= 2*v.settings.ProbeTimeout {
-				delete(v.probes, sequence)
-				continue
-			}
-		case age >= 2*v.settings.ProbeTimeout:
-			delete(v.probes, sequence)
+	}
+	v.probeOrder = remaining
+}
+
+// continueProbe ends a probe after two timeouts, and tries indirect probes after the first. It reports whether the probe still waits.
+func (v *View) continueProbe(sequence uint32, pending *probe) bool {
+	age := v.now - pending.sentAt
+	forOthers := pending.onBehalfOf != 0 || pending.reconnect
+	switch {
+	case age >= 2*v.settings.ProbeTimeout:
+		delete(v.probes, sequence)
+		if !forOthers {
 			v.probeFailed(pending)
-			continue
-		case age >= v.settings.ProbeTimeout && !pending.indirect:
-			pending.indirect = true
-			for _, h := range v.randomPeers(v.settings.IndirectProbes, pending.member) {
-				v.send(h, &Message{Kind: PingRequest, Sequence: sequence, Target: pending.member.ID})
-			}
-			v.send(pending.member, &Message{Kind: Ping, Sequence: sequence, Target: pending.member.ID})
 		}
-		remaining = append(remaining, sequence)
+		return false
+	case age >= v.settings.ProbeTimeout && !forOthers && !pending.indirect:
+		pending.indirect = true
+		for _, helper := range v.randomPeers(v.settings.IndirectProbes, pending.member) {
+			v.send(helper, &Message{Kind: PingRequest, Sequence: sequence, Target: pending.member.ID})
+		}
+		v.send(pending.member, &Message{Kind: Ping, Sequence: sequence, Target: pending.member.ID})
 	}
-	v.probeOrder = remaining
+	return true
 }
 
-// probeFailed notes that a process answered neither directly nor by way of others.
+// probeFailed records that a peer answered neither directly nor through others.
 func (v *View) probeFailed(pending *probe) {
 	peer := pending.member
 	peer.missedProbes++
 	v.countsStale = true
 	if peer.State == Alive && v.confirmedByOthers(peer, pending.sentAt) {
-		record := peer.Record
-		record.State = Suspect
-		v.applyRecord(&record)
+		v.setState(peer, Suspect)
 	}
 }
 
-// expireSuspicions have those fail that did not refute theirs in time.
+// expireSuspicions marks the suspects failed that did not refute the suspicion in time.
 func (v *View) expireSuspicions() {
 	if v.suspectCount == 0 {
 		return
 	}
-	lately := v.now - v.settings.ProbeInterval - 2*v.settings.ProbeTimeout - 2*v.settings.TickInterval
+	recently := v.now - v.settings.ProbeInterval - 2*v.settings.ProbeTimeout - 2*v.settings.TickInterval
 	for _, peer := range slices.Clone(v.ring) {
-		if peer.State == Suspect && v.now >= peer.suspicionEnds && v.confirmedByOthers(peer, lately) {
-			record := peer.Record
-			record.State = Failed
-			v.applyRecord(&record)
+		if peer.State == Suspect && v.now >= peer.suspicionEnds && v.confirmedByOthers(peer, recently) {
+			v.setState(peer, Failed)
 		}
 	}
 }
 
+// setState applies a record of the peer's current incarnation with another state.
+func (v *View) setState(peer *member, state State) {
+	record := peer.Record
+	record.State = state
+	v.applyRecord(&record)
+}
+
 func (v *View) handleMessage(message *Message) {
 	if message.From == v.self.ID {
 		return
 	}
-	from := v.members[message.From]
-	if from != nil {
-		v.noteContact(from)
+	if sender := v.members[message.From]; sender != nil {
+		v.noteContact(sender)
 	}
 	for i := range message.Records {
 		v.applyRecord(&message.Records[i])
 	}
-	from = v.members[message.From]
+	sender := v.members[message.From]
 	switch message.Kind {
 	case Ping:
-		if from != nil && message.Target == v.self.ID {
-			v.send(from, &Message{Kind: Ack, Sequence: message.Sequence, Target: v.self.ID})
-		} else if from != nil { // one that was here before is looked for
-			v.requestExchange(from, v.settings.ReconnectInterval)
-		}
+		v.handlePing(sender, message)
 	case PingRequest:
-		if peer := v.members[message.Target]; from != nil && peer != nil && peer != v.self {
-			v.send(from, &Message{Kind: Ack, Sequence: message.Sequence, Target: v.self.ID}) // it is here, and asks
-			v.sendProbe(peer, false, from.ID, message.Sequence)
-		}
+		v.handlePingRequest(sender, message)
 	case Ack:
 		v.handleAck(message)
 	}
-	if from != nil && from.State == Failed { // it runs, and knows others that may have been given up too
-		v.requestExchange(from, v.settings.ReconnectInterval)
+	if sender != nil && sender.State == Failed { // it runs, and may know other processes that were given up too
+		v.requestExchange(sender, v.settings.ReconnectInterval)
 	}
 }
 
+func (v *View) handlePing(sender *member, message *Message) {
+	switch {
+	case sender == nil:
+	case message.Target == v.self.ID:
+		v.send(sender, &Message{Kind: Ack, Sequence: message.Sequence, Target: v.self.ID})
+	default: // the sender looks for a previous process at this address
+		v.requestExchange(sender, v.settings.ReconnectInterval)
+	}
+}
+
+// handlePingRequest acknowledges the request, so that its sender knows that this process runs, and probes the target.
+func (v *View) handlePingRequest(sender *member, message *Message) {
+	target := v.members[message.Target]
+	if sender == nil || target == nil || target == v.self {
+		return
+	}
+	v.send(sender, &Message{Kind: Ack, Sequence: message.Sequence, Target: v.self.ID})
+	v.sendProbe(probe{member: target, onBehalfOf: sender.ID, requestSequence: message.Sequence})
+}
+
 func (v *View) handleAck(message *Message) {
 	pending := v.probes[message.Sequence]
 	if pending == nil || pending.member.ID != message.Target && message.Target != message.From {
@@ -204,16 +242,16 @@
 	if v.lastAckFrom != message.From {
 		v.lastAckFromOther, v.lastAckFrom = v.lastAck, message.From
 	}
-	if v.lastAck = v.now; pending.member.ID != message.Target { // a helper's word that it asks
+	v.lastAck = v.now
+	if pending.member.ID != message.Target { // a helper acknowledged the request, the target has not answered
 		return
 	}
 	delete(v.probes, message.Sequence)
 	if pending.member.missedProbes > 0 {
-		pending.member.missedProbes, v.countsStale = 0, true
+		pending.member.missedProbes = 0
+		v.countsStale = true
 	}
-	if pending.onBehalfOf != 0 {
-		if h := v.members[pending.onBehalfOf]; h != nil {
-			v.send(h, &Message{Kind: Ack, Sequence: pending.requestSequence, Target: pending.member.ID})
-		}
+	if requester := v.members[pending.onBehalfOf]; pending.onBehalfOf != 0 && requester != nil {
+		v.send(requester, &Message{Kind: Ack, Sequence: pending.requestSequence, Target: pending.member.ID})
 	}
 }
--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -9,90 +9,103 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const (
-	updateRepeats  = 3  // news goes out so many times the logarithm of the fleet's size
-	isolatedProbes = 16 // processes that one which nobody answers looks at in a round
-	maxReconnects  = 4  // of the failed that are sought in a round, where there are many
-)
+// maxCountsAgeMs is the age at which counts are made again though no record changed: time alone can change them.
+const maxCountsAgeMs = 250
 
-// View is one process's. It is not safe for concurrent use.
-type View struct {
-	settings   Settings
-	pcg        *rand.PCG
-	rng        *rand.Rand
-	now        float64
-	actions    []Action
-	self       *member
-	members    map[ID]*member
-	byAddress  map[string]*member // by address: the youngest that was heard of there
-	ring       []*member          // alive and suspect ones, this process included, by their place
-	failed     []*member          // failed ones, to be sought in turn
-	updates    []*update
-	probes     map[uint32]*probe
-	probeOrder []uint32 // of tries, the oldest first
-	sequence   uint32
-	nextFailed int // next of lost
-	nextOnRing int // next of the ring for one that nobody answers
-	nextSeed   int // next of the seeds
+// unreachableProbes is how many probes in a row a peer may miss before it counts as unreachable.
+const unreachableProbes = 2
 
+// View is one process's view of the fleet. It is not safe for concurrent use.
+type View struct {
+	settings  Settings
+	pcg       *rand.PCG
+	rng       *rand.Rand
+	now       float64
+	actions   []Action
+	self      *member
+	members   map[ID]*member
+	byAddress map[string]*member // the youngest known process at each address
+	ring      []*member          // those that are alive or suspect, this process included, by ringPosition
+	failed    []*member
+
+	updates      []*update
+	probes       map[uint32]*probe // by sequence number
+	probeOrder   []uint32          // the numbers of probes, the oldest first
+	sequence     uint32
+	nextFailed   int // index in failed
+	nextOnRing   int // offset on the ring, while isolated
+	nextSeed     int // index in SeedAddresses
+	suspectCount int
+
+	// Times, in ms.
 	startedAt          float64
 	lastTick           float64
 	nextProbe          float64
 	nextGossip         float64
 	nextExchange       float64
 	nextReconnect      float64
-	noAccusationsUntil float64 // it stood still: until then it accuses nobody
-	lastAck            float64 // somebody answered then last
+	nextCleanup        float64
+	noAccusationsUntil float64 // after a pause of this process
+	lastAck            float64
 	lastAckFrom        ID
-	lastAckFromOther   float64 // ...and somebody other than that one
+	lastAckFromOther   float64 // the last Ack of a process other than lastAckFrom
 	lastExchange       map[ID]float64
-	suspectCount       int
-	nextCleanup        float64
-	counts             Counts
-	countedAt          float64
-	countsStale        bool // counts have to be made anew
-	contacted          bool // somebody has been heard
-	hasLeft            bool
-	rejectedRecords    int // records that could not be taken
-
-	checks        *invariant.Checks // nil where nothing is checked
-	checkInterval int
+
+	counts          Counts
+	countedAt       float64
+	countsStale     bool
+	contacted       bool // a message of another process arrived
+	hasLeft         bool
+	rejectedRecords int
+
+	checks        *invariant.Checks // nil if invariants are not checked
+	checkInterval int               // in events
 	checkCounter  int
 }
 
-// member is one process.
+// member is what this process knows of one process.
 type member struct {
 	Record
 	ringPosition     uint64
-	suspicionEnds    float64 // of its suspicion
-	unavailableSince float64 // it could not be reached, or failed, or left, since then; 0 where it is well
+	suspicionEnds    float64
+	unavailableSince float64 // it failed or left then; 0 while it is alive or suspect
 	missedProbes     int     // probes of this process that it did not answer, in a row
-	lastContact      float64 // told directly by it last
+	lastContact      float64 // its last message to this process
+	conflictReported bool    // that it uses this process's name
 }
 
-// New makes the view of a process that knows nobody.
-func New(set Settings, me Record, now float64) *View {
-	pcg := rand.NewPCG(set.RandomSeed, uint64(me.ID))
-	v := &View{settings: set, pcg: pcg, rng: rand.New(pcg), now: now, members: map[ID]*member{}, byAddress: map[string]*member{}, probes: map[uint32]*probe{}, lastExchange: map[ID]float64{}}
-	me.State = Alive
-	v.self = &member{Record: me, ringPosition: ringPosition(me.ID)}
-	v.members[me.ID], v.byAddress[me.Addr] = v.self, v.self
+// reachable reports whether a peer answers this process.
+func (m *member) reachable() bool { return m.State == Alive && m.missedProbes < unreachableProbes }
+
+// New returns the view of a process that knows nobody else, at time now in ms.
+func New(settings Settings, self Record, now float64) *View {
+	pcg := rand.NewPCG(settings.RandomSeed, uint64(self.ID))
+	v := &View{
+		settings: settings, pcg: pcg, rng: rand.New(pcg), now: now,
+		members: map[ID]*member{}, byAddress: map[string]*member{}, probes: map[uint32]*probe{}, lastExchange: map[ID]float64{},
+	}
+	self.State = Alive
+	v.self = &member{Record: self, ringPosition: ringPosition(self.ID)}
+	v.members[self.ID] = v.self
+	v.byAddress[self.Addr] = v.self
 	v.ring = []*member{v.self}
 	v.startedAt, v.lastTick = now, now
-	v.nextProbe = now + set.ProbeInterval*v.rng.Float64()
-	v.nextGossip = now + set.GossipInterval*v.rng.Float64()
-	v.nextExchange = now + set.ExchangeInterval*(0.5+v.rng.Float64())
-	v.nextReconnect, v.lastAck, v.lastAckFromOther = now, math.Inf(-1), math.Inf(-1)
+	v.nextProbe = now + settings.ProbeInterval*v.rng.Float64()
+	v.nextGossip = now + settings.GossipInterval*v.rng.Float64()
+	v.nextExchange = now + settings.ExchangeInterval*(0.5+v.rng.Float64())
+	v.nextReconnect = now
+	v.lastAck, v.lastAckFromOther = math.Inf(-1), math.Inf(-1)
 	return v
 }
 
+// ringPosition returns the place of an ID on the ring.
 func ringPosition(id ID) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(id))
 	return xxhash.Sum64(b[:])
 }
 
-// Handle takes one event and appends what is to be done to out.
+// Handle processes one event at time now, in ms, and appends the actions that it causes to out. After Leave it does nothing.
 func (v *View) Handle(now float64, event Event, out []Action) []Action {
 	v.now, v.actions = max(now, v.now), out
 	if v.hasLeft {
@@ -114,19 +127,20 @@
 		v.leave()
 	}
 	if v.checks.Enabled() && !v.hasLeft {
-		v.checks.Walk(&v.checkCounter, v.checkInterval, "view: the walk", v.checkState)
+		v.checks.Walk(&v.checkCounter, v.checkInterval, "view: the state", v.checkState)
 	}
 	return v.actions
 }
 
-// NextTick is when a Tick is due.
+// NextTick returns when the next Tick is due, in ms.
 func (v *View) NextTick() float64 { return v.lastTick + v.settings.TickInterval }
 
-func (v *View) emit(a Action) { v.actions = append(v.actions, a) }
+func (v *View) emit(action Action) { v.actions = append(v.actions, action) }
 
 func (v *View) tick() {
 	late := v.now - v.lastTick - v.settings.TickInterval
-	if v.lastTick = v.now; late > v.settings.ProbeTimeout {
+	v.lastTick = v.now
+	if late > v.settings.ProbeTimeout {
 		v.resumeAfterPause(late)
 	}
 	v.handleProbeTimeouts()
@@ -144,31 +158,15 @@
 	}
 	if v.now >= v.nextExchange {
 		v.nextExchange = v.now + v.settings.ExchangeInterval*(0.5+v.rng.Float64())
-		if m := v.randomPeers(1, nil); len(m) > 0 {
-			v.requestExchange(m[0], 0)
+		for _, peer := range v.randomPeers(1, nil) {
+			v.requestExchange(peer, 0)
 		}
 	}
 	v.expireSuspicions()
 	v.removeExpired()
 }
 
-// send sends a message with what is new; what is said against the process that it goes to comes first.
-func (v *View) send(peer *member, message *Message) {
-	message.From = v.self.ID
-	capacity := v.settings.MaxRecordBytes
-	if peer.lastContact == 0 || peer.missedProbes > 0 || peer.State == Failed { // whoever is there may not know who asks, and could not answer
-		message.Records = append(message.Records, v.self.Record)
-		capacity -= v.self.Size()
-	}
-	if peer.State == Suspect || peer.State == Failed {
-		message.Records = append(message.Records, peer.Record)
-		capacity -= peer.Size()
-	}
-	v.attachUpdates(message, peer, capacity)
-	v.emit(Action{Kind: Send, Addr: peer.Addr, Message: message})
-}
-
-// noteContact notes that a process was heard directly.
+// noteContact records that a message of a peer itself arrived.
 func (v *View) noteContact(peer *member) {
 	peer.lastContact = v.now
 	v.contacted = true
@@ -177,50 +175,48 @@
 	}
 }
 
-// leave tells everybody that this process ends.
+// leave announces to all that this process ends.
 func (v *View) leave() {
 	v.self.State = Left
 	for _, peer := range v.ring {
 		if peer != v.self {
-			v.emit(Action{Kind: Send, Addr: peer.Addr, Message: &Message{Kind: Gossip, From: v.self.ID, Records: []Record{v.self.Record}}})
+			message := &Message{Kind: Gossip, From: v.self.ID, Records: []Record{v.self.Record}}
+			v.emit(Action{Kind: Send, Addr: peer.Addr, Message: message})
 		}
 	}
 	v.hasLeft = true
 }
 
-// maxCountsAgeMs is how old counts may be that only time can have changed, in ms.
-const maxCountsAgeMs = 250
-
-// Counts are what the view comes to now.
+// Counts returns the view's counts, at most maxCountsAgeMs old.
 func (v *View) Counts() Counts {
 	if !v.countsStale && v.now-v.countedAt < maxCountsAgeMs {
 		return v.counts
 	}
-	c := Counts{Reachable: 1, Sending: 1, Isolated: v.isolated() && len(v.members) > 1}
+	counts := Counts{Reachable: 1, Sending: 1, Isolated: v.isolated() && len(v.members) > 1}
 	for _, peer := range v.members {
 		switch {
 		case peer == v.self || peer.State == Left:
 		case peer.State == Failed:
 			if v.now-peer.unavailableSince < v.settings.SendingTimeout {
-				c.Sending++
+				counts.Sending++
 			}
 		default:
-			c.Sending++
-			if peer.State == Alive && peer.missedProbes < 2 && !c.Isolated {
-				c.Reachable++
+			counts.Sending++
+			if peer.reachable() && !counts.Isolated {
+				counts.Reachable++
 			}
 		}
 	}
-	there := max(v.settings.ExpectedPoolers, c.Sending)
-	c.Majority = 2*c.Reachable > there
-	if !c.Majority || v.now-v.startedAt < v.settings.SendingTimeout {
-		c.Sending = there
+	expected := max(v.settings.ExpectedPoolers, counts.Sending)
+	counts.Majority = 2*counts.Reachable > expected
+	if !counts.Majority || v.now-v.startedAt < v.settings.SendingTimeout {
+		counts.Sending = expected
 	}
-	v.counts, v.countedAt, v.countsStale = c, v.now, false
-	return c
+	v.counts, v.countedAt, v.countsStale = counts, v.now, false
+	return counts
 }
 
-// Members are all that are known, this process included, by ID.
+// Members returns the records of all known processes, this one included, by ID.
 func (v *View) Members() []Record {
 	out := make([]Record, 0, len(v.members))
 	for _, peer := range v.sortedMembers() {
@@ -229,8 +225,8 @@
 	return out
 }
 
-// Self is this process's record.
+// Self returns this process's record.
 func (v *View) Self() Record { return v.self.Record }
 
-// RejectedRecords is how many records could not be taken.
+// RejectedRecords returns how many received records were invalid, or did not fit in the view.
 func (v *View) RejectedRecords() int { return v.rejectedRecords }
--- a/internal/cluster/view/view_test.go
+++ b/internal/cluster/view/view_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testCluster is a handful of views whose messages arrive at once, unless they are cut off.
+// testCluster is some views whose messages arrive at once, unless they are cut off.
 type testCluster struct {
 	t         *testing.T
 	now       float64
@@ -26,7 +26,7 @@
 	return f
 }
 
-// join has one more process begin, at an address of its own; its seed is the first.
+// join starts another process, at an address of its own; its seed is the first process.
 func (f *testCluster) join(name string) *View {
 	i := len(f.views)
 	s := Defaults()
@@ -66,7 +66,7 @@
 	}
 }
 
-// advance lets time go by.
+// advance lets time pass.
 func (f *testCluster) advance(ms float64) {
 	for end := f.now + ms; f.now < end; f.now += 50 {
 		for i := range f.views {
@@ -80,7 +80,7 @@
 	}
 }
 
-// membersSeenBy is what one says of all, by name.
+// membersSeenBy lists the members of one view and their states, by name.
 func (f *testCluster) membersSeenBy(i int) string {
 	var out []string
 	for _, record := range f.views[i].Members() {
@@ -90,16 +90,16 @@
 	return strings.Join(out, ", ")
 }
 
-func (f *testCluster) expectMembers(i int, sees string) {
+func (f *testCluster) expectMembers(i int, members string) {
 	f.t.Helper()
-	if got := f.membersSeenBy(i); got != sees {
-		f.t.Errorf("%d sees %s; want %s", i, got, sees)
+	if got := f.membersSeenBy(i); got != members {
+		f.t.Errorf("%d has members %s; want %s", i, got, members)
 	}
 }
 
-// TestRestartTakesItsPlace: a process that returns at the same name and address within the suspicion's time is the pooler from then
-// on; the old one is not waited for, and its old word does not bring it back.
-func TestRestartTakesItsPlace(t *testing.T) {
+// TestRestartedProcessReplacesItsPredecessor: a process that starts with the same name and address within the suspicion timeout replaces
+// the old one at once, and an old record does not bring the old one back.
+func TestRestartedProcessReplacesItsPredecessor(t *testing.T) {
 	f := newTestCluster(t, "a", "b", "c", "d")
 	f.advance(4000)
 	f.expectMembers(0, "a alive, b alive, c alive, d alive")
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestTwoWithOneName: of two processes that run under one name at different addresses the younger one gives way, by taking a name of
-// its own, loudly at both; both go on being counted.
-func TestTwoWithOneName(t *testing.T) {
+// TestYoungerProcessChangesItsName: of two running processes with one name at different addresses the younger one takes another name,
+// both report the conflict, and both are still counted.
+func TestYoungerProcessChangesItsName(t *testing.T) {
 	f := newTestCluster(t, "a", "b", "c")
 	f.advance(4000)
 	f.join("b")
@@ -132,16 +132,16 @@
 	}
 	f.expectMembers(0, fmt.Sprintf("a alive, b alive, %s alive, c alive", name))
 	if all := strings.Join(f.conflicts, "\n"); !strings.Contains(all, "3: an older process at at-1") || !strings.Contains(all, "1: a younger process at at-3") {
-		t.Errorf("said: %s", all)
+		t.Errorf("conflicts: %s", all)
 	}
 	if c := f.views[0].Counts(); c.Sending != 4 {
 		t.Errorf("counts %+v", c)
 	}
 }
 
-// TestHearsNobody: one that is cut off accuses nobody, however long it lasts, counts all for as long as is stated, and is taken back
-// without a seed, which has gone meanwhile.
-func TestHearsNobody(t *testing.T) {
+// TestIsolatedProcessSuspectsNobody: a process that is cut off suspects nobody, counts all as sending for SendingTimeout, and rejoins
+// without its seed, which has ended meanwhile.
+func TestIsolatedProcessSuspectsNobody(t *testing.T) {
 	f := newTestCluster(t, "a", "b", "c", "d")
 	f.advance(4000)
 	f.cut[3] = true
@@ -160,21 +160,21 @@
 	for _, i := range []int{1, 2, 3} {
 		f.expectMembers(i, "a failed, b alive, c alive, d alive")
 	}
-	f.advance(60000) // what was dead for longer than Hold sends no more
+	f.advance(60000) // a process that failed longer ago than SendingTimeout does not count as sending
 	if c := f.views[1].Counts(); c.Sending != 3 {
 		t.Errorf("counts %+v", c)
 	}
 }
 
-// TestLeaves: who says that it leaves is suspected by nobody, and never comes back; what drains is counted until then.
-func TestLeaves(t *testing.T) {
+// TestProcessThatLeavesNeverReturns: a process that announces its end is not suspected and never returns; while draining it is counted.
+func TestProcessThatLeavesNeverReturns(t *testing.T) {
 	f := newTestCluster(t, "a", "b", "c")
 	f.advance(4000)
 	was := f.views[1].Self()
 	f.handle(1, SetDraining{true})
 	f.advance(1000)
 	if i := slices.IndexFunc(f.views[0].Members(), func(record Record) bool { return record.Name == "b" && record.Draining }); i < 0 {
-		t.Error("its draining was not heard")
+		t.Error("its draining was not announced")
 	}
 	if c := f.views[0].Counts(); c.Sending != 3 {
 		t.Errorf("counts %+v", c)
@@ -190,25 +190,25 @@
 	f.expectMembers(2, "a alive, b left, c alive")
 }
 
-// TestBounded: records that nobody can have, and more of them than there may be, are counted and not taken.
-func TestBounded(t *testing.T) {
+// TestInvalidAndExcessRecordsAreRejected: invalid records, and those beyond MaxRecords, are counted and rejected.
+func TestInvalidAndExcessRecordsAreRejected(t *testing.T) {
 	f := newTestCluster(t, "a")
 	f.handle(0, ExchangeCompleted{[]Record{{ID: 9}, {ID: 9, Name: "x"}, {ID: 9, Name: strings.Repeat("x", 65), Addr: "y"}, {ID: 9, Name: "x", Addr: "y", State: 7}}})
 	for i := range 3 * MaxRecords {
 		f.handle(0, ExchangeCompleted{[]Record{{ID: ID(100 + i), Name: fmt.Sprint(i), Addr: fmt.Sprint("nowhere-", i)}}})
 	}
 	if n := len(f.views[0].Members()); n != MaxRecords {
-		t.Errorf("%d records are kept", n)
+		t.Errorf("%d records are known", n)
 	}
 	if n := f.views[0].RejectedRecords(); n != 4+2*MaxRecords+1 {
-		t.Errorf("%d were turned down", n)
+		t.Errorf("%d were rejected", n)
 	}
 	f.advance(500)
 }
 
-// TestSeedsRestart: all seeds come back with an empty memory, at once. They know one another only; the others, which look for the
-// processes that were there before, find them.
-func TestSeedsRestart(t *testing.T) {
+// TestRestartedSeedsAreFoundByTheOthers: all seeds restart at once and know only one another; the others find them by probing the
+// failed processes at their addresses.
+func TestRestartedSeedsAreFoundByTheOthers(t *testing.T) {
 	f := newTestCluster(t, "a", "b", "c", "d")
 	f.advance(4000)
 	f.dead[0] = true
@@ -221,8 +221,8 @@
 	}
 }
 
-// TestClockGoesBack: a process that returns by a clock that is behind the last one's is the pooler all the same.
-func TestClockGoesBack(t *testing.T) {
+// TestRestartWithAnEarlierClock: a restarted process replaces its predecessor though its clock is behind the predecessor's.
+func TestRestartWithAnEarlierClock(t *testing.T) {
 	f := newTestCluster(t, "a", "b", "c", "d")
 	f.advance(4000)
 	f.dead[1] = true
@@ -236,9 +236,9 @@
 	}
 }
 
-// TestOneLeft: all but one are gone, and come back empty while their seed stays away: the one that is left, which hears nobody and
-// accuses nobody, finds them by looking for those that were there.
-func TestOneLeft(t *testing.T) {
+// TestLastProcessFindsRestartedOnes: all but one process end, and restart while their seed stays down: the remaining one, isolated and
+// suspecting nobody, finds them by probing the ring.
+func TestLastProcessFindsRestartedOnes(t *testing.T) {
 	f := newTestCluster(t, "a", "b", "c", "d")
 	f.advance(4000)
 	for i := range 3 {
