--- a/internal/backend/journaled/journaled_test.go
+++ b/internal/backend/journaled/journaled_test.go
@@ -18,71 +18,73 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// rig is a journal between a core and servers that only take notes. The store's words come when pass is called.
-type rig struct {
-	t      *testing.T
-	disk   *faultyfs.Disk
-	store  *store.Store
-	j      *Servers
-	heap   timers.Heap
-	now    float64
-	posted chan func()
-	out    []string
+// fixture is a journal between a core and servers that only take notes. The store's words come when pass is called.
+type fixture struct {
+	t       *testing.T
+	disk    *faultyfs.Disk
+	store   *store.Store
+	servers *Servers
+	heap    timers.Heap
+	now     float64
+	posted  chan func()
+	notes   []string
 }
 
-func (r *rig) Now() float64                                { return r.now }
-func (r *rig) At(ms float64, do func()) *timers.Timer      { return r.heap.Add(ms, do) }
-func (r *rig) StopTimer(t *timers.Timer)                   { r.heap.Stop(t) }
-func (r *rig) ClientID(ref slotmap.Ref) string             { return fmt.Sprint("id-", ref.Index) }
-func (r *rig) note(format string, args ...any)             { r.out = append(r.out, fmt.Sprintf(format, args...)) }
-func (r *rig) SetAddress(id, addr string)                  {}
-func (r *rig) CloseIdle(id string)                         { r.note("idle %s", id) }
-func (r *rig) Forget(id string)                            { r.note("forget %s", id) }
-func (r *rig) Retain(map[string]bool)                      {}
-func (r *rig) Recall(string, func(backend.AttemptID) bool) {}
-func (r *rig) CheckHealth(id string)                       {}
-func (r *rig) Cancel(ref slotmap.Ref)                      { r.note("cancel %d", ref.Index) }
-func (r *rig) AttemptEnded(t backend.AttemptID, o backend.Outcome) {
+func (r *fixture) Now() float64                           { return r.now }
+func (r *fixture) At(ms float64, do func()) *timers.Timer { return r.heap.Add(ms, do) }
+func (r *fixture) StopTimer(t *timers.Timer)              { r.heap.Stop(t) }
+func (r *fixture) ClientID(ref slotmap.Ref) string        { return fmt.Sprint("id-", ref.Index) }
+func (r *fixture) note(format string, args ...any) {
+	r.notes = append(r.notes, fmt.Sprintf(format, args...))
+}
+func (r *fixture) SetAddress(id, addr string)                  {}
+func (r *fixture) CloseIdle(id string)                         { r.note("idle %s", id) }
+func (r *fixture) Forget(id string)                            { r.note("forget %s", id) }
+func (r *fixture) Retain(map[string]bool)                      {}
+func (r *fixture) Recall(string, func(backend.AttemptID) bool) {}
+func (r *fixture) CheckHealth(id string)                       {}
+func (r *fixture) Cancel(ref slotmap.Ref)                      { r.note("cancel %d", ref.Index) }
+func (r *fixture) AttemptEnded(t backend.AttemptID, o backend.Outcome) {
 	r.note("ended %d %d", t.Request.Index, o.Result)
-	r.j.Ended(t, o.Result)
+	r.servers.Ended(t, o.Result)
 }
-func (r *rig) Start(id string, _ backend.Query, _ float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
+func (r *fixture) Start(id string, _ backend.Query, _ float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
 	r.note("start %s %d %v", id, t.Request.Index, on.AtMostOnce)
 	return slotmap.Ref{Index: 100 + t.Request.Index, Gen: 1}
 }
 
-func newRig(t *testing.T, d *faultyfs.Disk, mode journal.Mode) *rig {
-	r := &rig{t: t, disk: d, now: 1e6, posted: make(chan func(), 100)}
+func newFixture(t *testing.T, d *faultyfs.Disk, mode journal.Mode) *fixture {
+	r := &fixture{t: t, disk: d, now: 1e6, posted: make(chan func(), 100)}
 	s, _, err := store.Open(store.Options{FS: d, Post: func(f func()) { r.posted <- f }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.store = s
-	r.j = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, s, mode)
-	r.j.Wrap(r)
+	r.servers = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, s, mode)
+	r.servers.Wrap(r)
 	return r
 }
 
-// pass carries out so many words of the store.
-func (r *rig) pass(n int) {
+// runCallbacks carries out so many words of the store.
+func (r *fixture) runCallbacks(n int) {
 	for range n {
 		(<-r.posted)()
 	}
 }
 
-func (r *rig) want(out ...string) {
+func (r *fixture) expect(out ...string) {
 	r.t.Helper()
-	if diff := cmp.Diff(out, r.out); diff != "" {
+	if diff := cmp.Diff(out, r.notes); diff != "" {
 		r.t.Fatal(diff)
 	}
-	r.out = nil
+	r.notes = nil
 }
 
 func tag(n uint32) backend.AttemptID {
 	return backend.AttemptID{Request: slotmap.Ref{Index: n, Gen: 1}}
 }
 
-func (r *rig) pending() (out []string) {
+func (r *fixture) pending() (out []string) {
 	for _, a := range journal.Pending(r.store) {
 		out = append(out, fmt.Sprintf("%s %s %s", a.Server, a.ID, a.OutcomeText()))
 	}
@@ -94,56 +96,56 @@
 // TestAttemptIsSentOnceItIsDurable checks that a write is sent once the journal has it, and not at all where it was cancelled, its time ended,
 // or its server drains before; a read is sent at once. Attempts without a known outcome stay, also for the next process.
 func TestAttemptIsSentOnceItIsDurable(t *testing.T) {
-	r := newRig(t, faultyfs.New(), journal.BeforeSend)
-	r.j.Start("a", nil, 2e6, backend.SendConditions{}, tag(1))
-	r.want("start a 1 false")
-	ref := r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2))
-	r.want()
+	r := newFixture(t, faultyfs.New(), journal.BeforeSend)
+	r.servers.Start("a", nil, 2e6, backend.SendConditions{}, tag(1))
+	r.expect("start a 1 false")
+	ref := r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2))
+	r.expect()
 	if got := r.pending(); len(got) > 1 {
 		t.Error(got)
 	}
-	r.pass(1)
-	r.want("start a 2 true")
-	r.j.Cancel(ref)
-	r.want("cancel 102")
+	r.runCallbacks(1)
+	r.expect("start a 2 true")
+	r.servers.Cancel(ref)
+	r.expect("cancel 102")
 	r.AttemptEnded(tag(2), backend.Outcome{Result: decide.Reset})
-	r.pass(1)
-	r.out = nil
-	called := r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(3))
-	r.j.Cancel(called)
-	r.pass(2)
-	r.want("ended 3 7")
-	r.j.Start("b", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(4))
-	r.j.CloseIdle("b")
-	r.pass(2)
-	r.want("ended 4 7", "idle b")
-	r.j.Start("b", nil, 1.5e6, backend.SendConditions{AtMostOnce: true}, tag(5))
+	r.runCallbacks(1)
+	r.notes = nil
+	called := r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(3))
+	r.servers.Cancel(called)
+	r.runCallbacks(2)
+	r.expect("ended 3 7")
+	r.servers.Start("b", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(4))
+	r.servers.CloseIdle("b")
+	r.runCallbacks(2)
+	r.expect("ended 4 7", "idle b")
+	r.servers.Start("b", nil, 1.5e6, backend.SendConditions{AtMostOnce: true}, tag(5))
 	r.now = 1.6e6
 	r.heap.Run(r.now)
-	r.pass(2)
-	r.want("ended 5 7")
-	r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(6))
-	r.pass(1)
+	r.runCallbacks(2)
+	r.expect("ended 5 7")
+	r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(6))
+	r.runCallbacks(1)
 	r.AttemptEnded(tag(6), backend.Outcome{Result: decide.OK})
-	r.pass(1)
-	r.j.Start("c", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(7))
-	r.pass(1)
+	r.runCallbacks(1)
+	r.servers.Start("c", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(7))
+	r.runCallbacks(1)
 	if diff := cmp.Diff([]string{"a id-2 its connection broke", "c id-7 the pooler ended"}, r.pending()); diff != "" {
 		t.Error(diff)
 	}
 	_ = r.store.Close()
-	next := newRig(t, r.disk, journal.BeforeSend)
-	if !next.j.Ran("id-2") || !next.j.Ran("id-7") || next.j.Ran("id-6") || next.j.Ran("id-3") {
+	next := newFixture(t, r.disk, journal.BeforeSend)
+	if !next.servers.Ran("id-2") || !next.servers.Ran("id-7") || next.servers.Ran("id-6") || next.servers.Ran("id-3") {
 		t.Errorf("%v", next.pending())
 	}
-	next.j.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2)) // the clock stands where it stood before, and nothing is written over
-	next.pass(1)
+	next.servers.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2)) // the clock stands where it stood before, and nothing is written over
+	next.runCallbacks(1)
 	if got := next.pending(); len(got) != 3 {
 		t.Errorf("%q", got)
 	}
 	done := make(chan error, 1)
 	journal.Clear(next.store, func(err error) { done <- err })
-	next.pass(1)
+	next.runCallbacks(1)
 	if err := <-done; err != nil || len(next.pending()) != 0 {
 		t.Error(err, next.pending())
 	}
@@ -154,12 +156,12 @@
 func TestAttemptIsNotSentIfTheDiskFails(t *testing.T) {
 	for mode, want := range map[journal.Mode][]string{journal.BeforeSend: {"ended 1 7"}, journal.Alongside: {"start a 1 true"}} {
 		d := faultyfs.New()
-		r := newRig(t, d, mode)
+		r := newFixture(t, d, mode)
 		ops, _ := d.Ops()
 		d.FailAt, d.Err = ops+2, fmt.Errorf("input/output error")
-		r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(1))
-		r.pass(1)
-		r.want(want...)
+		r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(1))
+		r.runCallbacks(1)
+		r.expect(want...)
 		_ = r.store.Close()
 	}
 }
@@ -169,17 +171,17 @@
 func TestClockSetBackOverwritesNoAttempt(t *testing.T) {
 	d := faultyfs.New()
 	for i, now := range []float64{1e6, 5e5, 5e5, 10, 0} {
-		r := newRig(t, d, journal.BeforeSend)
+		r := newFixture(t, d, journal.BeforeSend)
 		r.now = now
-		r.j = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, r.store, journal.BeforeSend)
-		r.j.Wrap(r)
+		r.servers = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, r.store, journal.BeforeSend)
+		r.servers.Wrap(r)
 		for k := range uint32(i) {
-			if !r.j.Ran(fmt.Sprint("id-", k+1)) {
+			if !r.servers.Ran(fmt.Sprint("id-", k+1)) {
 				t.Errorf("start %d at %v: id-%d may have run, and is not known", i, now, k+1)
 			}
 		}
-		r.j.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, backend.AttemptID{Request: slotmap.Ref{Index: uint32(i + 1)}})
-		r.pass(1)
+		r.servers.Start("a", nil, 2e6, backend.SendConditions{AtMostOnce: true}, backend.AttemptID{Request: slotmap.Ref{Index: uint32(i + 1)}})
+		r.runCallbacks(1)
 		if n := len(journal.Pending(r.store)); n != i+1 {
 			t.Errorf("start %d at %v: %d are listed", i, now, n)
 		}
--- a/internal/cluster/credit/lease/manager_test.go
+++ b/internal/cluster/credit/lease/manager_test.go
@@ -27,13 +27,13 @@
 	}}}
 }
 
-// fill lets a manager request funds, and grants so much of its own funds.
-func fill(t *testing.T, p *Manager, at float64, granted, left, full int64) (seq uint32, gen uint32) {
+// requestAndGrant lets a manager request funds, and grants so much of its own funds.
+func requestAndGrant(t *testing.T, manager *Manager, at float64, granted, left, full int64) (seq uint32, gen uint32) {
 	t.Helper()
-	for _, a := range p.Handle(at, Tick{}, nil) {
+	for _, a := range manager.Handle(at, Tick{}, nil) {
 		for _, x := range a.Requests {
 			if !x.Final && x.Key.Overdraft == 0 {
-				p.Handle(at, granting(&x, granted, left, full), nil)
+				manager.Handle(at, granting(&x, granted, left, full), nil)
 				return x.Sequence, x.Key.Generation
 			}
 		}
@@ -44,23 +44,23 @@
 
 // TestOnlyTheFirstRequestWaitsForTheLeader checks that a tenant's first request waits for one response, and the next for none.
 func TestOnlyTheFirstRequestWaitsForTheLeader(t *testing.T) {
-	p := New(settings(t), 7, 0)
-	if _, v := p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 11}); v != Queued {
+	manager := New(settings(t), 7, 0)
+	if _, v := manager.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 11}); v != Queued {
 		t.Fatal(v)
 	}
-	acts := p.Handle(1000, Tick{}, nil)
-	if len(acts) != 1 || acts[0].Requests[0].Queued != 10 {
-		t.Fatalf("%+v", acts)
+	actions := manager.Handle(1000, Tick{}, nil)
+	if len(actions) != 1 || actions[0].Requests[0].Queued != 10 {
+		t.Fatalf("%+v", actions)
 	}
-	k := acts[0].Requests[0]
-	acts = p.Handle(1005, granting(&k, 100, 1000, 1000), nil)
-	if len(acts) == 0 || acts[0].Kind != Admit || acts[0].Tag != 11 || acts[0].Reservation.Amount != 10 {
-		t.Fatalf("%+v", acts)
+	k := actions[0].Requests[0]
+	actions = manager.Handle(1005, granting(&k, 100, 1000, 1000), nil)
+	if len(actions) == 0 || actions[0].Kind != Admit || actions[0].Tag != 11 || actions[0].Reservation.Amount != 10 {
+		t.Fatalf("%+v", actions)
 	}
-	if _, v := p.Reserve(1006, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 12}); v != Admitted {
+	if _, v := manager.Reserve(1006, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 12}); v != Admitted {
 		t.Error(v)
 	}
-	if _, v := p.Reserve(1006, AdmissionRequest{Tenant: "other", Session: 1, Parts: 1, Tag: 13}); v != Admitted {
+	if _, v := manager.Reserve(1006, AdmissionRequest{Tenant: "other", Session: 1, Parts: 1, Tag: 13}); v != Admitted {
 		t.Error("one who does not pay ahead was stopped")
 	}
 }
@@ -68,10 +68,10 @@
 // TestSuspendedProcessSpendsNothingExpired suspends a process past its account's expiry: it spends nothing of it, whatever event comes first.
 func TestSuspendedProcessSpendsNothingExpired(t *testing.T) {
 	for _, late := range []float64{999, 10001} {
-		p := New(settings(t), 7, 0)
-		p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
-		fill(t, p, 1000, 100, 1000, 1000)
-		_, v := p.Reserve(1000+late, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2})
+		manager := New(settings(t), 7, 0)
+		manager.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
+		requestAndGrant(t, manager, 1000, 100, 1000, 1000)
+		_, v := manager.Reserve(1000+late, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2})
 		if want := map[bool]Decision{true: Admitted, false: Queued}[late < 10000]; v != want {
 			t.Errorf("after %g ms: %v, want %v", late, v, want)
 		}
@@ -82,16 +82,16 @@
 // second Settle charges nothing.
 func TestChargeIsByThePriceAtAdmission(t *testing.T) {
 	set := settings(t)
-	p := New(set, 7, 0)
-	p.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 1, Session: 1, Parts: 1, Tag: 1})
-	fill(t, p, 1000, 200, 1000, 1000)
-	h, v := p.Reserve(1001, AdmissionRequest{Tenant: "t", Class: 1, Session: 1, Parts: 1, Tag: 2})
+	manager := New(set, 7, 0)
+	manager.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 1, Session: 1, Parts: 1, Tag: 1})
+	requestAndGrant(t, manager, 1000, 200, 1000, 1000)
+	h, v := manager.Reserve(1001, AdmissionRequest{Tenant: "t", Class: 1, Session: 1, Parts: 1, Tag: 2})
 	if v != Admitted || h.Amount != 50 {
 		t.Fatal(h, v)
 	}
 	dear := set
 	dear.Classes = []Class{{Price: Price{PerRequest: 1000}}, {Price: Price{PerRequest: 1000}}, {}}
-	p.Handle(1002, SettingsChanged{dear}, nil)
+	manager.Handle(1002, SettingsChanged{dear}, nil)
 	for _, c := range []struct {
 		d    Usage
 		want int64
@@ -100,10 +100,10 @@
 			t.Errorf("%+v costs %d, want %d", c.d, got, c.want)
 		}
 	}
-	if got := p.Settle(&h, Usage{Served: 1, Rows: 3}); got != 16 {
+	if got := manager.Settle(&h, Usage{Served: 1, Rows: 3}); got != 16 {
 		t.Error(got)
 	}
-	if got := p.Settle(&h, Usage{Served: 1, Rows: 3}); got != 0 {
+	if got := manager.Settle(&h, Usage{Served: 1, Rows: 3}); got != 0 {
 		t.Error("a repeat was charged", got)
 	}
 	scattered := Reservation{Amount: 40, Price: Price{PerRequest: 10, ChargeFailed: true}}
@@ -117,43 +117,43 @@
 func TestThrottlingSparesThePriorityClasses(t *testing.T) {
 	set := settings(t)
 	set.ThrottleBelow, set.Classes[1] = 0.5, Class{Price: Price{PerRequest: 10}, PriorityWeight: 1}
-	p := New(set, 7, 0)
-	p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
-	fill(t, p, 1000, 100000, 250, 1000) // half of what is slowed below
+	manager := New(set, 7, 0)
+	manager.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
+	requestAndGrant(t, manager, 1000, 100000, 250, 1000) // half of what is slowed below
 	n := map[int]int{}
 	for i := range 2000 {
 		now := 1001 + float64(i)
 		for class := range 2 {
-			h, v := p.Reserve(now, AdmissionRequest{Tenant: "t", Class: class, Session: SessionNumber(string(rune(i % 100))), Parts: 1, Tag: 9})
+			h, v := manager.Reserve(now, AdmissionRequest{Tenant: "t", Class: class, Session: SessionNumber(string(rune(i % 100))), Parts: 1, Tag: 9})
 			if v == Admitted {
 				n[class]++
-				p.Settle(&h, Usage{})
+				manager.Settle(&h, Usage{})
 			}
 		}
 	}
 	if n[0] < 1980 || n[1] > 100 {
 		t.Errorf("of the most worth %d were let in, of the least %d; want nearly 2000 and few", n[0], n[1])
 	}
-	if _, v := p.Reserve(3001, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 1}); v != Admitted {
+	if _, v := manager.Reserve(3001, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 1}); v != Admitted {
 		t.Error("work that must not stop was slowed:", v)
 	}
 }
 
 // TestOverdraftIsForItsClassOnly checks that only the class with an overdraft goes on beyond the tenant's funds.
 func TestOverdraftIsForItsClassOnly(t *testing.T) {
-	p := New(settings(t), 7, 0)
-	p.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 1})
-	for _, a := range p.Handle(1000, Tick{}, nil) {
+	manager := New(settings(t), 7, 0)
+	manager.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 1})
+	for _, a := range manager.Handle(1000, Tick{}, nil) {
 		for _, x := range a.Requests {
 			if x.Key.Overdraft == 40 {
-				p.Handle(1001, granting(&x, 30, 0, 100), nil)
+				manager.Handle(1001, granting(&x, 30, 0, 100), nil)
 			}
 		}
 	}
-	if _, v := p.Reserve(1002, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2}); v == Admitted {
+	if _, v := manager.Reserve(1002, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2}); v == Admitted {
 		t.Error("another class spent of the overdraft")
 	}
-	if _, v := p.Reserve(1002, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 3}); v != Admitted {
+	if _, v := manager.Reserve(1002, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 3}); v != Admitted {
 		t.Error(v)
 	}
 }
@@ -163,29 +163,29 @@
 func TestNothingIsSpentBeyondADurableMark(t *testing.T) {
 	set := settings(t)
 	set.PersistMarks = true
-	p := New(set, 7, 0)
-	p.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
-	acts := p.Handle(1000, Tick{}, nil)
-	k := acts[0].Requests[0]
-	acts = p.Handle(1001, granting(&k, 100, 1000, 1000), nil)
-	if len(acts) == 0 || acts[0].Kind != PersistMarks {
-		t.Fatalf("%+v", acts)
+	manager := New(set, 7, 0)
+	manager.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
+	actions := manager.Handle(1000, Tick{}, nil)
+	k := actions[0].Requests[0]
+	actions = manager.Handle(1001, granting(&k, 100, 1000, 1000), nil)
+	if len(actions) == 0 || actions[0].Kind != PersistMarks {
+		t.Fatalf("%+v", actions)
 	}
-	if acts = p.Handle(1002, MarksPersisted{acts[0].Write}, nil); len(acts) == 0 || acts[0].Kind != Admit {
-		t.Fatalf("after the mark: %+v", acts)
+	if actions = manager.Handle(1002, MarksPersisted{actions[0].Write}, nil); len(actions) == 0 || actions[0].Kind != Admit {
+		t.Fatalf("after the mark: %+v", actions)
 	}
 	heir := New(set, 8, 0)
 	heir.Handle(0, Recover{[]ledger.Holder{7}}, nil)
-	acts = heir.Handle(50, Tick{}, nil)
-	bar := acts[0].Requests[0]
+	actions = heir.Handle(50, Tick{}, nil)
+	bar := actions[0].Requests[0]
 	if !bar.Recovered || bar.MarksRead || bar.Key.Holder != 7 {
 		t.Fatalf("%+v", bar)
 	}
-	if acts = heir.Handle(60, ResponsesReceived{[]message.Response{{Key: bar.Key}}}, nil); len(acts) != 0 {
-		t.Fatalf("read before the ends: %+v", acts)
+	if actions = heir.Handle(60, ResponsesReceived{[]message.Response{{Key: bar.Key}}}, nil); len(actions) != 0 {
+		t.Fatalf("read before the ends: %+v", actions)
 	}
-	if acts = heir.Handle(70, ResponsesReceived{[]message.Response{{Key: bar.Key, Expired: true}}}, nil); len(acts) != 1 || acts[0].Kind != ReadMarks {
-		t.Fatalf("%+v", acts)
+	if actions = heir.Handle(70, ResponsesReceived{[]message.Response{{Key: bar.Key, Expired: true}}}, nil); len(actions) != 1 || actions[0].Kind != ReadMarks {
+		t.Fatalf("%+v", actions)
 	}
 }
 
@@ -194,9 +194,9 @@
 	seen := map[string]bool{}
 	set := settings(t)
 	set.PersistMarks, set.Checks = true, invariant.New(func(b invariant.Breach) { seen[b.Name] = true })
-	p := New(set, 7, 0)
-	p.tenantFor("t").lease(0).current = account{generation: 1, granted: 10, reserved: 20, expiresAt: 1e6}
-	p.Handle(1, ResponsesReceived{}, nil)
+	manager := New(set, 7, 0)
+	manager.tenantFor("t").lease(0).current = account{generation: 1, granted: 10, reserved: 20, expiresAt: 1e6}
+	manager.Handle(1, ResponsesReceived{}, nil)
 	for _, name := range []string{"credit: no more is held and spent than was granted", "credit: no more is spent than is marked"} {
 		if !seen[name] {
 			t.Errorf("%q was not found broken", name)
@@ -208,14 +208,14 @@
 func BenchmarkReserve(b *testing.B) {
 	s := Defaults()
 	s.PrepaidTenants, s.Classes = []string{"t"}, []Class{{Price: Price{PerRequest: 1}, PriorityWeight: 1}}
-	p := New(s, 7, 0)
-	p.tenantFor("t").lease(0).current = account{generation: 1, granted: 1 << 50, expiresAt: 1e6}
+	manager := New(s, 7, 0)
+	manager.tenantFor("t").lease(0).current = account{generation: 1, granted: 1 << 50, expiresAt: 1e6}
 	b.ReportAllocs()
 	for b.Loop() {
-		h, v := p.Reserve(1002, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2})
+		h, v := manager.Reserve(1002, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2})
 		if v != Admitted {
 			b.Fatal(v)
 		}
-		p.Settle(&h, Usage{Served: 1})
+		manager.Settle(&h, Usage{Served: 1})
 	}
 }
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -22,16 +22,16 @@
 	if s, _, err = store.Open(store.Options{FS: d, SegmentBytes: 600}); err != nil {
 		return nil, nil, nil, err
 	}
-	told := make(chan func(), 1000)
-	if k, err = New(s, mode, now, func(f func()) { told <- f }, slog.New(slog.DiscardHandler)); err != nil {
+	callbacks := make(chan func(), 1000)
+	if k, err = New(s, mode, now, func(f func()) { callbacks <- f }, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, nil, nil, errors.Join(err, s.Close())
 	}
 	k.UseChecks(invariant.New(func(b invariant.Breach) { panic(b.String()) }), 1)
-	return k, s, func() { (<-told)() }, nil
+	return k, s, func() { (<-callbacks)() }, nil
 }
 
-// need is what a router that was given a keeper's memory holds a session's read to.
-func need(k *Keeper, session string) decide.Time {
+// commitSeenBy is what a router that was given a keeper's memory holds a session's read to.
+func commitSeenBy(k *Keeper, session string) decide.Time {
 	m := k.Snapshot()
 	for _, c := range m.Commits {
 		if c.Session == session {
@@ -57,7 +57,7 @@
 			}
 			k.maxSessions = 5
 			for name, at := range answered {
-				if got := need(k, name); got < at {
+				if got := commitSeenBy(k, name); got < at {
 					rt.Fatalf("%s is held to %d, and heard of %d", name, got, at)
 				}
 			}
@@ -69,11 +69,11 @@
 			for range rapid.IntRange(0, 20).Draw(rt, "writes") {
 				now += decide.Time(rapid.IntRange(1, 20).Draw(rt, "later"))
 				name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", "g", strings.Repeat("long", 60)}).Draw(rt, "session")
-				at, heard := now, true
-				if k.Keep(name, at, func(kept bool) { heard = kept }) {
+				at, isAnswered := now, true
+				if k.Keep(name, at, func(kept bool) { isAnswered = kept }) {
 					wait()
 				}
-				if heard {
+				if isAnswered {
 					answered[name] = max(answered[name], at)
 				}
 			}
@@ -123,7 +123,7 @@
 				if k, s, _, err = open(d, mode, now); err != nil {
 					t.Fatal(err)
 				}
-				got := fmt.Sprint(need(k, "a"), need(k, "b"), need(k, "new"))
+				got := fmt.Sprint(commitSeenBy(k, "a"), commitSeenBy(k, "b"), commitSeenBy(k, "new"))
 				want := fmt.Sprint(decide.Time(200), decide.Time(900), decide.Time(0))
 				if !ordered && mode == Alongside {
 					x := max(900, now)
@@ -163,11 +163,11 @@
 		for range rapid.IntRange(0, 30).Draw(rt, "writes") {
 			i := rapid.IntRange(0, 1).Draw(rt, "by")
 			now += decide.Time(rapid.IntRange(1, 20).Draw(rt, "later"))
-			name, at, heard := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", strings.Repeat("long", 60)}).Draw(rt, "session"), now, true
-			if keepers[i].Keep(name, at, func(kept bool) { heard = kept }) {
+			name, at, isAnswered := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", strings.Repeat("long", 60)}).Draw(rt, "session"), now, true
+			if keepers[i].Keep(name, at, func(kept bool) { isAnswered = kept }) {
 				waits[i]()
 			}
-			if heard {
+			if isAnswered {
 				answered[name] = at
 			}
 			if i == 1 {
@@ -204,9 +204,9 @@
 			if err != nil {
 				rt.Fatal(err)
 			}
-			told := make(chan error, 1)
-			m := keepers[1].Merge(Read(s, now, slog.New(slog.DiscardHandler)), func(err error) { told <- err })
-			if err := <-told; err != nil {
+			callbacks := make(chan error, 1)
+			m := keepers[1].Merge(Read(s, now, slog.New(slog.DiscardHandler)), func(err error) { callbacks <- err })
+			if err := <-callbacks; err != nil {
 				rt.Fatal(err)
 			}
 			forgotten = max(forgotten, m.ForgottenCommit)
@@ -237,7 +237,7 @@
 			rt.Fatal(err)
 		}
 		for name, at := range answered {
-			if got := need(last, name); got < at {
+			if got := commitSeenBy(last, name); got < at {
 				rt.Fatalf("after a start %.10s is held to %d, and it heard of %d", name, got, at)
 			}
 		}
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -22,10 +22,12 @@
 	return func() (*Record, error) { return &Record{SavedMs: at, Source: "f", Body: []byte(body)}, nil }
 }
 
-func strict() *invariant.Checks { return invariant.New(func(b invariant.Breach) { panic(b.String()) }) }
+func panicOnBreach() *invariant.Checks {
+	return invariant.New(func(b invariant.Breach) { panic(b.String()) })
+}
 
-// wall is a machine of an unknown boot whose wall clock stands at a time.
-func wall(ms float64) clock.Machine { return clock.Machine{Wall: func() float64 { return ms }} }
+// machineAt is a machine of an unknown boot whose wall clock stands at a time.
+func machineAt(ms float64) clock.Machine { return clock.Machine{Wall: func() float64 { return ms }} }
 
 // TestAgeIsIndependentOfWallClockSteps checks that within a boot a record's age is by the monotonic clock, however the wall clock steps, and
 // by the wall clock after another start of the machine.
@@ -79,7 +81,7 @@
 	k.Put(Config, value(1e6, "b"))
 	k.Stop()
 	second.Stop()
-	if r, err := second.Get(List, wall(1e6)); r != nil || err != nil {
+	if r, err := second.Get(List, machineAt(1e6)); r != nil || err != nil {
 		t.Errorf("the second process read %+v, %v", r, err)
 	}
 	if k, err = Start(opt); err != nil {
@@ -93,11 +95,11 @@
 		1e6 - maxClockSkewMs:     nil,
 		1e6 - maxClockSkewMs - 1: ErrFromFuture,
 	} {
-		if r, err := k.Get(List, wall(now)); !errors.Is(err, want) || (r != nil) != (want == nil) || r != nil && string(r.Body) != "a" {
+		if r, err := k.Get(List, machineAt(now)); !errors.Is(err, want) || (r != nil) != (want == nil) || r != nil && string(r.Body) != "a" {
 			t.Errorf("at %v: %+v, %v", now, r, err)
 		}
 	}
-	if r, err := k.Get(EndpointList, wall(1e6)); r != nil || err != nil {
+	if r, err := k.Get(EndpointList, machineAt(1e6)); r != nil || err != nil {
 		t.Errorf("never kept: %+v, %v", r, err)
 	}
 }
@@ -109,7 +111,7 @@
 		var log bytes.Buffer
 		k, err := Start(Options{
 			FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.NewTextHandler(&log, nil)),
-			Checks: strict(), Store: strict(), BatchesPerWalk: 1,
+			Checks: panicOnBreach(), Store: panicOnBreach(), BatchesPerWalk: 1,
 		})
 		if err != nil {
 			return err.Error()
@@ -120,9 +122,9 @@
 		k.Stop()
 		return log.String()
 	}
-	whole := faultyfs.New()
-	play(whole)
-	ops, _ := whole.Ops()
+	undisturbed := faultyfs.New()
+	play(undisturbed)
+	ops, _ := undisturbed.Ops()
 	for at := 1; at <= ops; at++ {
 		for _, power := range []bool{false, true} {
 			d := faultyfs.New()
@@ -137,7 +139,7 @@
 			if err != nil {
 				t.Fatalf("operation %d: %v", at, err)
 			}
-			if r, err := k.Get(Config, wall(0)); err != nil || r != nil && string(r.Body) != strings.Repeat(fmt.Sprint(r.SavedMs), 300) {
+			if r, err := k.Get(Config, machineAt(0)); err != nil || r != nil && string(r.Body) != strings.Repeat(fmt.Sprint(r.SavedMs), 300) {
 				t.Errorf("operation %d: %+v %v", at, r, err)
 			}
 			k.Stop()
@@ -197,7 +199,7 @@
 				rt.Fatal(err)
 			}
 			for _, what := range []string{Config, List, EndpointList} {
-				r, err := k.Get(what, wall(n))
+				r, err := k.Get(what, machineAt(n))
 				if err != nil {
 					rt.Fatal(err)
 				}
--- a/internal/storage/store/compaction_test.go
+++ b/internal/storage/store/compaction_test.go
@@ -23,7 +23,7 @@
 
 type hookedFile struct {
 	store.File
-	d *hooked
+	disk *hooked
 }
 
 func (h *hooked) Create(name string) (store.File, error) {
@@ -35,8 +35,8 @@
 	return hookedFile{f, h}, err
 }
 
-func (f hookedFile) Write(p []byte) (int, error) { f.d.hook(); return f.File.Write(p) }
-func (f hookedFile) Sync() error                 { f.d.hook(); return f.File.Sync() }
+func (f hookedFile) Write(p []byte) (int, error) { f.disk.hook(); return f.File.Write(p) }
+func (f hookedFile) Sync() error                 { f.disk.hook(); return f.File.Sync() }
 
 func (h *hooked) Rename(from, to string) error {
 	h.hook()
@@ -49,30 +49,30 @@
 	return h.Disk.Remove(name)
 }
 
-// playBeside has a store take a history's entries, the last of them one by one before each operation of two compactions, and read what
+// runDuringCompaction has a store take a history's entries, the last of them one by one before each operation of two compactions, and read what
 // there is each time. It tells how many were acknowledged and asked for, and how the compactions ended.
-func playBeside(t *testing.T, d *faultyfs.Disk, acts []act, all []map[string]string) (acked, asked int, compacted error) {
+func runDuringCompaction(t *testing.T, d *faultyfs.Disk, steps []step, all []map[string]string) (acknowledged, requested int, compacted error) {
 	h := &hooked{Disk: d}
-	s, _, err := store.Open(store.Options{FS: h, SegmentBytes: 700, Checks: strict(), BatchesPerWalk: 1})
+	s, _, err := store.Open(store.Options{FS: h, SegmentBytes: 700, Checks: panicOnBreach(), BatchesPerWalk: 1})
 	if err != nil {
 		return 0, 0, err
 	}
 	defer func() { _ = s.Close() }()
 	broken := false
 	next := func() {
-		if broken || asked == len(acts) {
+		if broken || requested == len(steps) {
 			return
 		}
 		done := make(chan error, 1)
-		s.Append(acts[asked].entries, func(err error) { done <- err })
-		asked++
+		s.Append(steps[requested].entries, func(err error) { done <- err })
+		requested++
 		if err := <-done; err != nil {
 			broken = true
 			return
 		}
-		acked = asked
-		if diff := cmp.Diff(all[acked], held(s)); diff != "" {
-			t.Errorf("after %d: %s", acked, diff)
+		acknowledged = requested
+		if diff := cmp.Diff(all[acknowledged], recordsOf(s)); diff != "" {
+			t.Errorf("after %d: %s", acknowledged, diff)
 		}
 	}
 	h.hook = next
@@ -84,7 +84,7 @@
 		s.Compact(func(err error) { done <- err })
 		compacted = errors.Join(compacted, <-done)
 	}
-	for asked < len(acts) && !broken {
+	for requested < len(steps) && !broken {
 		next()
 	}
 	done := make(chan error, 1)
@@ -94,16 +94,16 @@
 	} else {
 		compacted = errors.Join(compacted, err)
 	}
-	return acked, asked, compacted
+	return acknowledged, requested, compacted
 }
 
-func puts(n int) (out []act) {
+func puts(n int) (out []step) {
 	for i := range n {
 		e := []store.Entry{{Key: fmt.Sprint("k", i%7), Value: []byte(fmt.Sprint("v", i, strings.Repeat("x", i*5)))}}
 		if i%5 == 4 {
 			e = append(e, store.Entry{Key: fmt.Sprint("k", (i+3)%7), Deleted: true})
 		}
-		out = append(out, act{entries: e})
+		out = append(out, step{entries: e})
 	}
 	return out
 }
@@ -111,13 +111,13 @@
 // TestAppendsGoOnDuringACompaction appends and reads at each step of a compaction, with a loss of power or a failure at each operation of
 // either: what was acknowledged is there, nothing else is, and what fails before the snapshot has its name fails the compaction alone.
 func TestAppendsGoOnDuringACompaction(t *testing.T) {
-	acts := puts(60)
-	all := models(acts)
-	whole := faultyfs.New()
-	if acked, _, err := playBeside(t, whole, acts, all); acked != len(acts) || err != nil {
-		t.Fatal(acked, err)
+	steps := puts(60)
+	all := statesAfter(steps)
+	undisturbed := faultyfs.New()
+	if acknowledged, _, err := runDuringCompaction(t, undisturbed, steps, all); acknowledged != len(steps) || err != nil {
+		t.Fatal(acknowledged, err)
 	}
-	ops, _ := whole.Ops()
+	ops, _ := undisturbed.Ops()
 	goesOn, crashes := 0, 0
 	for at := 1; at <= ops; at++ {
 		for variant := range 6 {
@@ -128,19 +128,19 @@
 			} else {
 				d.FailAt, d.Err, d.Short = at, []error{syscall.EIO, syscall.ENOSPC, syscall.EROFS}[variant-3], variant == 4
 			}
-			acked, asked, err := playBeside(t, d, acts, all)
-			if variant >= 3 && err != nil && acked == len(acts) {
+			acknowledged, requested, err := runDuringCompaction(t, d, steps, all)
+			if variant >= 3 && err != nil && acknowledged == len(steps) {
 				goesOn++
 			}
-			if variant >= 3 && err == nil && acked == len(acts) {
+			if variant >= 3 && err == nil && acknowledged == len(steps) {
 				t.Errorf("operation %d failed, and nobody heard", at)
 			}
 			s, _, err := store.Open(store.Options{FS: d.Restart(rand.New(rand.NewPCG(uint64(at), uint64(variant))), variant != 1), SegmentBytes: 700})
 			if err != nil {
 				t.Fatalf("operation %d, variant %d: %v", at, variant, err)
 			}
-			if prefix(held(s), all, acked, asked) < 0 {
-				t.Fatalf("operation %d, variant %d: %d acknowledged of %d, and it holds %v", at, variant, acked, asked, held(s))
+			if matchingPrefix(recordsOf(s), all, acknowledged, requested) < 0 {
+				t.Fatalf("operation %d, variant %d: %d acknowledged of %d, and it holds %v", at, variant, acknowledged, requested, recordsOf(s))
 			}
 			_ = s.Close()
 		}
@@ -165,8 +165,8 @@
 // inspected.
 func TestReadOnlyDiskIsNoDamage(t *testing.T) {
 	d := faultyfs.New()
-	acts := history()
-	play(d, acts)
+	steps := scriptedHistory()
+	runHistory(d, steps)
 	before := d.Files()
 	if _, _, err := store.Open(store.Options{FS: readOnly{d}}); !errors.Is(err, syscall.EROFS) || errors.Is(err, store.ErrCorrupt) {
 		t.Errorf("%v", err)
@@ -175,7 +175,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(models(acts)[len(acts)], held(s)); diff != "" {
+	if diff := cmp.Diff(statesAfter(steps)[len(steps)], recordsOf(s)); diff != "" {
 		t.Error(diff)
 	}
 	_ = s.Close()
@@ -189,7 +189,7 @@
 func TestStoreStaysWithinItsBound(t *testing.T) {
 	const most = 30000
 	d := faultyfs.New()
-	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 2000, MaxBytes: most, Checks: strict(), BatchesPerWalk: 1})
+	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 2000, MaxBytes: most, Checks: panicOnBreach(), BatchesPerWalk: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,14 +219,14 @@
 			break
 		}
 	}
-	asked := make(chan error, 1)
-	s.Compact(func(err error) { asked <- err })
-	if err := <-asked; !errors.Is(err, store.ErrFull) { // its snapshot has no room beside what there is
+	requested := make(chan error, 1)
+	s.Compact(func(err error) { requested <- err })
+	if err := <-requested; !errors.Is(err, store.ErrFull) { // its snapshot has no room beside what there is
 		t.Errorf("a compaction that was asked for: %v", err)
 	}
 	t.Logf("at most %d bytes of %d; refused with %d records", largest, most, kept)
-	if largest > most || kept == 1000 || len(held(s)) != kept || kept*(100+40) < most/3 {
-		t.Errorf("%d bytes of %d, %d records of %d", largest, most, len(held(s)), kept)
+	if largest > most || kept == 1000 || len(recordsOf(s)) != kept || kept*(100+40) < most/3 {
+		t.Errorf("%d bytes of %d, %d records of %d", largest, most, len(recordsOf(s)), kept)
 	}
 	_ = s.Close()
 
--- a/internal/storage/store/invariants_test.go
+++ b/internal/storage/store/invariants_test.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/invariant"
 )
 
-func kept(t *testing.T, s *Store, e ...Entry) error {
+func appendAndWait(t *testing.T, s *Store, e ...Entry) error {
 	t.Helper()
 	done := make(chan error, 1)
 	s.Append(e, func(err error) { done <- err })
@@ -44,7 +44,7 @@
 			t.Fatal(err)
 		}
 		for i := range 40 {
-			if err := kept(t, s, Entry{Key: fmt.Sprint("k", i%9), Value: []byte(strings.Repeat("v", i))}); err != nil {
+			if err := appendAndWait(t, s, Entry{Key: fmt.Sprint("k", i%9), Value: []byte(strings.Repeat("v", i))}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -73,7 +73,7 @@
 	}
 	put := func(i int) Entry { return Entry{Key: fmt.Sprintf("%02d", i), Value: make([]byte, 100)} }
 	for i := range 10 {
-		if err := kept(t, s, put(i)); err != nil {
+		if err := appendAndWait(t, s, put(i)); err != nil {
 			t.Fatal(i, err)
 		}
 	}
@@ -89,12 +89,12 @@
 		{[]Entry{{Key: "05", Deleted: true}}, nil},
 		{[]Entry{put(12)}, nil},
 	} {
-		if err := kept(t, s, x.entries...); !errors.Is(err, x.want) {
+		if err := appendAndWait(t, s, x.entries...); !errors.Is(err, x.want) {
 			t.Errorf("%v: %v", x.entries[0].Key, err)
 		}
 	}
 	var errs [4]error // in one batch, room is promised once
-	_ = kept(t, s, Entry{Key: "00", Deleted: true})
+	_ = appendAndWait(t, s, Entry{Key: "00", Deleted: true})
 	done := make(chan int, len(errs))
 	for i := range errs {
 		s.Append([]Entry{put(20 + i)}, func(err error) { errs[i] = err; done <- i })
@@ -115,10 +115,10 @@
 	if err != nil || rec.Records != 10 || rec.DurationMs <= 0 {
 		t.Fatal(rec, err)
 	}
-	if err := kept(t, s, put(30)); !errors.Is(err, ErrFull) {
+	if err := appendAndWait(t, s, put(30)); !errors.Is(err, ErrFull) {
 		t.Error(err)
 	}
-	if err := errors.Join(kept(t, s, Entry{Key: "01", Deleted: true}), s.Close()); err != nil {
+	if err := errors.Join(appendAndWait(t, s, Entry{Key: "01", Deleted: true}), s.Close()); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/storage/store/linear_test.go
+++ b/internal/storage/store/linear_test.go
@@ -14,10 +14,10 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// deed is what a client did: it wrote some keys at once, or read all.
-type deed struct {
-	writes map[int]string
-	maybe  bool // nobody has told whether it is kept
+// operation is what a client did: it wrote some keys at once, or read all.
+type operation struct {
+	writes    map[int]string
+	uncertain bool // nobody has told whether it is kept
 }
 
 const linearKeys = 3
@@ -29,7 +29,7 @@
 var linear = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{contents{}} },
 	Step: func(state, input, output any) []any {
-		s, in := state.(contents), input.(deed)
+		s, in := state.(contents), input.(operation)
 		if in.writes == nil {
 			if output.(contents) == s {
 				return []any{s}
@@ -40,7 +40,7 @@
 		for k, v := range in.writes {
 			next[k] = v
 		}
-		if in.maybe {
+		if in.uncertain {
 			return []any{s, next}
 		}
 		return []any{next}
@@ -69,7 +69,7 @@
 	now := func() int64 { return time.Since(began).Nanoseconds() }
 	var unsure []int
 	for life := range 2 {
-		s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 200, Checks: strict(), BatchesPerWalk: 1})
+		s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 200, Checks: panicOnBreach(), BatchesPerWalk: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,14 +83,14 @@
 					op := porcupine.Operation{ClientId: client, Call: now()}
 					switch mine.IntN(5) {
 					case 0, 1:
-						op.Input, op.Output = deed{}, readAll(s)
+						op.Input, op.Output = operation{}, readAll(s)
 					case 2:
 						if client == 0 {
 							s.Compact(nil)
 						}
 						continue
 					default:
-						in := deed{writes: map[int]string{}}
+						in := operation{writes: map[int]string{}}
 						var e []store.Entry
 						for range 1 + mine.IntN(2) {
 							k := mine.IntN(linearKeys)
@@ -101,17 +101,17 @@
 						}
 						done := make(chan error, 1)
 						s.Append(e, func(err error) { done <- err })
-						in.maybe = <-done != nil
+						in.uncertain = <-done != nil
 						op.Input = in
 					}
 					op.Return = now()
 					mu.Lock()
-					if in := op.Input.(deed); in.maybe {
+					if in := op.Input.(operation); in.uncertain {
 						unsure = append(unsure, len(history))
 					}
 					history = append(history, op)
 					mu.Unlock()
-					if in := op.Input.(deed); in.maybe { // this client has gone
+					if in := op.Input.(operation); in.uncertain { // this client has gone
 						return
 					}
 				}
@@ -124,7 +124,7 @@
 			if s, _, err = store.Open(store.Options{FS: d, SegmentBytes: 200}); err != nil {
 				t.Fatal(err)
 			}
-			op := porcupine.Operation{ClientId: 9, Call: now(), Input: deed{}, Output: readAll(s)}
+			op := porcupine.Operation{ClientId: 9, Call: now(), Input: operation{}, Output: readAll(s)}
 			for _, i := range unsure { // one that was not told of its end may be kept up to the restart
 				history[i].Return = now()
 			}
--- a/internal/storage/store/replace_test.go
+++ b/internal/storage/store/replace_test.go
@@ -15,11 +15,11 @@
 func TestReplacedFileIsTheOldOrTheNew(t *testing.T) {
 	t.Parallel()
 	old, new := strings.Repeat("old ", 400), strings.Repeat("newer ", 500)
-	whole := faultyfs.New()
-	if err := store.Replace(whole, "a", []byte(new)); err != nil {
+	undisturbed := faultyfs.New()
+	if err := store.Replace(undisturbed, "a", []byte(new)); err != nil {
 		t.Fatal(err)
 	}
-	ops, _ := whole.Ops()
+	ops, _ := undisturbed.Ops()
 	if ops < 5 { // create, write, sync, rename, sync of the folder
 		t.Errorf("%d operations", ops)
 	}
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -18,29 +18,29 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// act is a step of a history: entries kept together, or a compaction.
-type act struct {
+// step is a step of a history: entries kept together, or a compaction.
+type step struct {
 	entries []store.Entry
 	compact bool
 }
 
-// history is a scripted one, with keys that are written again and removed, compactions, and segments that fill up.
-func history() (out []act) {
+// scriptedHistory is a scripted one, with keys that are written again and removed, compactions, and segments that fill up.
+func scriptedHistory() (out []step) {
 	for i := range 30 {
 		e := []store.Entry{{Key: fmt.Sprint("k", i%7), Value: []byte(fmt.Sprint("v", i, strings.Repeat("x", i*5)))}}
 		if i%5 == 4 {
 			e = append(e, store.Entry{Key: fmt.Sprint("k", (i+3)%7), Deleted: true})
 		}
-		out = append(out, act{entries: e})
+		out = append(out, step{entries: e})
 		if i%11 == 10 {
-			out = append(out, act{compact: true})
+			out = append(out, step{compact: true})
 		}
 	}
 	return out
 }
 
-// models are what a store holds after each prefix of a history.
-func models(acts []act) (out []map[string]string) {
+// statesAfter are what a store holds after each prefix of a history.
+func statesAfter(steps []step) (out []map[string]string) {
 	m := map[string]string{}
 	snap := func() {
 		c := map[string]string{}
@@ -50,7 +50,7 @@
 		out = append(out, c)
 	}
 	snap()
-	for _, a := range acts {
+	for _, a := range steps {
 		for _, e := range a.entries {
 			if delete(m, e.Key); !e.Deleted {
 				m[e.Key] = string(e.Value)
@@ -61,18 +61,20 @@
 	return out
 }
 
-// strict are checks that end everything where one fails: the writer goes on, and what a test holds is not its own.
-func strict() *invariant.Checks { return invariant.New(func(b invariant.Breach) { panic(b.String()) }) }
+// panicOnBreach are checks that end everything where one fails: the writer goes on, and what a test holds is not its own.
+func panicOnBreach() *invariant.Checks {
+	return invariant.New(func(b invariant.Breach) { panic(b.String()) })
+}
 
-// play has a store go through a history, one act after the other, and tells how many were acknowledged, and how many asked for.
-func play(d *faultyfs.Disk, acts []act) (acked, asked int) {
-	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 700, Checks: strict(), BatchesPerWalk: 1})
+// runHistory has a store go through a history, one act after the other, and tells how many were acknowledged, and how many asked for.
+func runHistory(d *faultyfs.Disk, steps []step) (acknowledged, requested int) {
+	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 700, Checks: panicOnBreach(), BatchesPerWalk: 1})
 	if err != nil {
 		return 0, 0
 	}
 	defer func() { _ = s.Close() }()
-	for _, a := range acts {
-		asked++
+	for _, a := range steps {
+		requested++
 		done := make(chan error, 1)
 		if a.compact {
 			s.Compact(func(err error) { done <- err })
@@ -80,21 +82,21 @@
 			s.Append(a.entries, func(err error) { done <- err })
 		}
 		if err := <-done; err != nil {
-			return acked, asked
+			return acknowledged, requested
 		}
-		acked = asked
+		acknowledged = requested
 	}
-	return acked, asked
+	return acknowledged, requested
 }
 
-func held(s *store.Store) map[string]string {
+func recordsOf(s *store.Store) map[string]string {
 	out := map[string]string{}
 	s.Range("", "", func(k string, v []byte) bool { out[k] = string(v); return true })
 	return out
 }
 
-// prefix tells which prefix of a history a store holds, between two, -1 for none.
-func prefix(got map[string]string, all []map[string]string, from, to int) int {
+// matchingPrefix tells which prefix of a history a store holds, between two, -1 for none.
+func matchingPrefix(got map[string]string, all []map[string]string, from, to int) int {
 	for n := to; n >= from; n-- {
 		if cmp.Equal(got, all[n]) {
 			return n
@@ -107,20 +109,20 @@
 // names stays: the store has all that was acknowledged and nothing that was not appended, and goes on from there. The same where only the
 // process ends.
 func TestAcknowledgedRecordsSurviveALossOfPower(t *testing.T) {
-	acts := history()
-	all := models(acts)
-	whole := faultyfs.New()
-	if acked, _ := play(whole, acts); acked != len(acts) {
-		t.Fatalf("%d of %d", acked, len(acts))
+	steps := scriptedHistory()
+	all := statesAfter(steps)
+	undisturbed := faultyfs.New()
+	if acknowledged, _ := runHistory(undisturbed, steps); acknowledged != len(steps) {
+		t.Fatalf("%d of %d", acknowledged, len(steps))
 	}
-	ops, _ := whole.Ops()
+	ops, _ := undisturbed.Ops()
 	where := map[string]int{}
 	for at := 1; at <= ops; at++ {
 		for variant := range 12 {
 			rng := rand.New(rand.NewPCG(uint64(at), uint64(variant)))
 			d := faultyfs.New()
 			d.CrashAt = at
-			acked, asked := play(d, acts)
+			acknowledged, requested := runHistory(d, steps)
 			if variant == 0 {
 				_, what := d.Ops()
 				where[what]++
@@ -130,10 +132,10 @@
 			if err != nil {
 				t.Fatalf("operation %d, variant %d: %v", at, variant, err)
 			}
-			got := held(s)
-			n := prefix(got, all, acked, asked)
+			got := recordsOf(s)
+			n := matchingPrefix(got, all, acknowledged, requested)
 			if n < 0 {
-				t.Fatalf("operation %d, variant %d: %d acknowledged of %d asked, and it holds %v", at, variant, acked, asked, got)
+				t.Fatalf("operation %d, variant %d: %d acknowledged of %d asked, and it holds %v", at, variant, acknowledged, requested, got)
 			}
 			done := make(chan error, 1)
 			s.Append([]store.Entry{{Key: "after", Value: []byte("all")}}, func(err error) { done <- err })
@@ -145,7 +147,7 @@
 				t.Fatalf("operation %d, variant %d, the second time: %v", at, variant, err)
 			}
 			got["after"] = "all"
-			if diff := cmp.Diff(got, held(last)); diff != "" {
+			if diff := cmp.Diff(got, recordsOf(last)); diff != "" {
 				t.Fatalf("operation %d, variant %d, the second time: %s", at, variant, diff)
 			}
 			_ = last.Close()
@@ -162,11 +164,11 @@
 // TestDamageIsFoundAtEveryByte cuts each file at every offset and flips each of its bytes: the store opens with a prefix of what it held, or
 // fails with ErrCorrupt. Only the end of the newest segment may be missing without that.
 func TestDamageIsFoundAtEveryByte(t *testing.T) {
-	acts := history()
-	all := models(acts)
+	steps := scriptedHistory()
+	all := statesAfter(steps)
 	d := faultyfs.New()
-	if acked, _ := play(d, acts); acked != len(acts) {
-		t.Fatal(acked)
+	if acknowledged, _ := runHistory(d, steps); acknowledged != len(steps) {
+		t.Fatal(acknowledged)
 	}
 	files := d.Files()
 	names := slices.Sorted(func(yield func(string) bool) {
@@ -191,12 +193,12 @@
 			return
 		}
 		opened++
-		n := prefix(held(s), all, 0, len(acts))
-		if n < 0 || n < len(acts) && rec.DroppedBytes == 0 && !strings.HasPrefix(what, "cut") { // a cut between frames looks like an end
+		n := matchingPrefix(recordsOf(s), all, 0, len(steps))
+		if n < 0 || n < len(steps) && rec.DroppedBytes == 0 && !strings.HasPrefix(what, "cut") { // a cut between frames looks like an end
 			t.Fatalf("%s %s: it holds %d acts, %+v", name, what, n, rec)
 		}
-		if name != names[len(names)-1] && n < len(acts) {
-			t.Fatalf("%s %s: an older file is damaged, and %d of %d are there without a word", name, what, n, len(acts))
+		if name != names[len(names)-1] && n < len(steps) {
+			t.Fatalf("%s %s: an older file is damaged, and %d of %d are there without a word", name, what, n, len(steps))
 		}
 		_ = s.Close()
 	}
@@ -221,7 +223,7 @@
 			}
 		}
 		if s, _, err := store.Open(store.Options{FS: c}); err == nil {
-			if n := prefix(held(s), all, 0, len(acts)); n < len(acts) && name != names[len(names)-1] {
+			if n := matchingPrefix(recordsOf(s), all, 0, len(steps)); n < len(steps) && name != names[len(names)-1] {
 				t.Errorf("without %s it holds the first %d acts, without a word", name, n)
 			}
 			_ = s.Close()
@@ -232,12 +234,12 @@
 // TestRepairKeepsWhatCanBeRead checks that a repair copies what can be read of a damaged store and reports each part that was left out, and
 // that the store itself stays as it was.
 func TestRepairKeepsWhatCanBeRead(t *testing.T) {
-	acts := history()
+	steps := scriptedHistory()
 	d := faultyfs.New()
-	if acked, _ := play(d, acts); acked != len(acts) {
-		t.Fatal(acked)
+	if acknowledged, _ := runHistory(d, steps); acknowledged != len(steps) {
+		t.Fatal(acknowledged)
 	}
-	last := models(acts)[len(acts)]
+	last := statesAfter(steps)[len(steps)]
 	for name, b := range d.Files() {
 		for at := 16; at < len(b); at += 41 {
 			c := faultyfs.New()
@@ -264,7 +266,7 @@
 				t.Fatal(err)
 			}
 			same := 0
-			for k, v := range held(s) {
+			for k, v := range recordsOf(s) {
 				if last[k] == v {
 					same++
 				}
@@ -289,17 +291,17 @@
 // TestFailedOperationsLoseNothingAcknowledged fails each operation once: nothing acknowledged is lost, nothing is acknowledged after a failed
 // sync, and the next start has all that was.
 func TestFailedOperationsLoseNothingAcknowledged(t *testing.T) {
-	acts := history()
-	all := models(acts)
-	whole := faultyfs.New()
-	play(whole, acts)
-	ops, _ := whole.Ops()
+	steps := scriptedHistory()
+	all := statesAfter(steps)
+	undisturbed := faultyfs.New()
+	runHistory(undisturbed, steps)
+	ops, _ := undisturbed.Ops()
 	for at := 1; at <= ops; at++ {
 		for _, short := range []bool{false, true} {
 			d := faultyfs.New()
 			d.FailAt, d.Err, d.Short = at, errors.New("input/output error"), short
-			acked, asked := play(d, acts)
-			if acked == len(acts) {
+			acknowledged, requested := runHistory(d, steps)
+			if acknowledged == len(steps) {
 				t.Errorf("operation %d failed, and nobody heard", at)
 			}
 			next := d.Restart(rand.New(rand.NewPCG(uint64(at), 1)), true)
@@ -307,8 +309,8 @@
 			if err != nil {
 				t.Fatalf("operation %d: %v", at, err)
 			}
-			if prefix(held(s), all, acked, asked) < 0 {
-				t.Fatalf("operation %d: %d acknowledged of %d, and it holds %v", at, acked, asked, held(s))
+			if matchingPrefix(recordsOf(s), all, acknowledged, requested) < 0 {
+				t.Fatalf("operation %d: %d acknowledged of %d, and it holds %v", at, acknowledged, requested, recordsOf(s))
 			}
 			_ = s.Close()
 		}
@@ -318,19 +320,19 @@
 // TestFullDiskLosesNothingAcknowledged checks that with less and less space what was acknowledged is there, and that with a bound on its own
 // size a store says that it is full before anything is lost, and dead records free space.
 func TestFullDiskLosesNothingAcknowledged(t *testing.T) {
-	acts := history()
-	all := models(acts)
+	steps := scriptedHistory()
+	all := statesAfter(steps)
 	for room := 20; room < 4000; room += 37 {
 		d := faultyfs.New()
 		d.Room = room
-		acked, asked := play(d, acts)
+		acknowledged, requested := runHistory(d, steps)
 		next := d.Restart(rand.New(rand.NewPCG(uint64(room), 1)), true)
 		s, _, err := store.Open(store.Options{FS: next})
 		if err != nil {
 			t.Fatalf("room for %d: %v", room, err)
 		}
-		if prefix(held(s), all, acked, asked) < 0 {
-			t.Fatalf("room for %d: %d acknowledged of %d", room, acked, asked)
+		if matchingPrefix(recordsOf(s), all, acknowledged, requested) < 0 {
+			t.Fatalf("room for %d: %d acknowledged of %d", room, acknowledged, requested)
 		}
 		_ = s.Close()
 	}
@@ -413,7 +415,7 @@
 				s = open()
 			},
 			"": func(rt *rapid.T) {
-				if diff := cmp.Diff(model, held(s)); diff != "" {
+				if diff := cmp.Diff(model, recordsOf(s)); diff != "" {
 					rt.Fatal(diff)
 				}
 			},
