--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -152,7 +152,7 @@
 			p.Refused, p.Failed, p.Broken, p.Again)
 	}
 	for _, f := range r.Funds {
-		fmt.Fprintf(w, "tenant %s: paid %d, served for %d (%d tries, %d refused); in the books balance %d, lent %d, spent %d, stranded %d\n", f.Tenant, f.Paid, f.Served, f.Received, f.Turned,
+		fmt.Fprintf(w, "tenant %s: paid %d, served for %d (%d tries, %d refused); in the books balance %d, lent %d, spent %d, stranded %d\n", f.Tenant, f.Paid, f.Served, f.Attempts, f.Turned,
 			f.Balance, f.Lent, f.Spent, f.Stranded)
 	}
 	if v := r.Views; v != nil {
--- a/internal/cluster/overload/adapter/retrybudget.go
+++ b/internal/cluster/overload/adapter/retrybudget.go
@@ -15,14 +15,14 @@
 	Part           float64
 	Floor          float64
 	SpanMs         float64
-	AddRetryBudget bool
+	LendingEnabled bool
 	Lending        budgetlease.Settings
 	Returns        float64 // connections a second of the fleet to one server, 0 for any number
 }
 
 // DefaultRetryBounds is of (repeats) without more.
 func DefaultRetryBounds() RetryBounds {
-	return RetryBounds{Part: 0.1, Floor: 10, SpanMs: 10000, AddRetryBudget: true, Lending: budgetlease.Defaults()}
+	return RetryBounds{Part: 0.1, Floor: 10, SpanMs: 10000, LendingEnabled: true, Lending: budgetlease.Defaults()}
 }
 
 // Begin has the module told what it needs no other pooler for.
@@ -39,7 +39,7 @@
 
 // updateLenders tells who can be reached. A process that takes another ID begins anew.
 func (adapter *Adapter) updateLenders(self view.ID, peers []overload.Peer) {
-	if !adapter.options.Repeats || !adapter.options.AddRetryBudget {
+	if !adapter.options.Repeats || !adapter.options.LendingEnabled {
 		return
 	}
 	if adapter.budget == nil {
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -87,7 +87,7 @@
 		"part":  number(&b.Part, retryParts),
 		"floor": number(&b.Floor, retryFloors),
 		"span":  duration(&b.SpanMs, retrySpans),
-		"lend":  flag(&b.AddRetryBudget),
+		"lend":  flag(&b.LendingEnabled),
 		"keep":  number(&b.Lending.OwnReserve, lendingReserves),
 		"vault": number(&b.Lending.MaxBankBalance, lendingVaults),
 	}.Read(node.Args())
--- a/internal/testkit/simulation/credit_test.go
+++ b/internal/testkit/simulation/credit_test.go
@@ -27,7 +27,7 @@
 	x := &Prepaid{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: set.Credit, Marks: [2]float64{0.1, 2}}
 	c.Pays(0, "a", funds)
 	c.Pays(0, "b", 100000000)
-	r := play(t, s, Options{Seed: seed, Parts: []Joined{x.Join}, AttemptEnded: func(y *clients.Try) {
+	r := play(t, s, Options{Seed: seed, Parts: []Joined{x.Join}, OnAttemptEnded: func(y *clients.Try) {
 		c.Tried(y.Ended, y.Tenant, y.Class.Name, y.Kind == clients.Served, y.Kind == clients.Refused)
 	}})
 	if c.End(); len(c.Found) > 0 {
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -23,13 +23,13 @@
 
 // Options say how a scenario is played.
 type Options struct {
-	Seed         uint64
-	Mutant       *Mutant // a pooler that is broken on purpose, to prove the checker
-	Meter        bool    // take the decision module's time apart; it costs some itself
-	Progress     func(virtualMs, endMs float64)
-	Broken       func(invariant.Breach) // is told of each invariant that breaks first, at that moment; may be nil
-	Parts        []Joined               // that live in each pooler, beside those that the scenario has
-	AttemptEnded func(t *clients.Try)   // is told how each try ended for its client; may be nil
+	Seed           uint64
+	Mutant         *Mutant // a pooler that is broken on purpose, to prove the checker
+	Meter          bool    // take the decision module's time apart; it costs some itself
+	Progress       func(virtualMs, endMs float64)
+	Broken         func(invariant.Breach) // is told of each invariant that breaks first, at that moment; may be nil
+	Parts          []Joined               // that live in each pooler, beside those that the scenario has
+	OnAttemptEnded func(t *clients.Try)   // is told how each try ended for its client; may be nil
 
 	ran  func(id string)                                                            // is told of each write that must never run twice, as it runs; for tests
 	Read func(at float64, class *clients.Class, pooler int, work float64, far bool) // is told of each attempt of a read that any member may serve; may be nil
--- a/internal/testkit/simulation/funds.go
+++ b/internal/testkit/simulation/funds.go
@@ -24,7 +24,7 @@
 	Tenant   string `json:"tenant"`
 	Paid     int64  `json:"paid"`
 	Served   int64  `json:"served_for"`
-	Received int    `json:"tries"`
+	Attempts int    `json:"tries"`
 	Turned   int    `json:"refused"`
 	Balance  int64  `json:"balance"`
 	Lent     int64  `json:"lent"`
@@ -111,7 +111,7 @@
 		name := f.e.script.Clients.Tenants[i].Name
 		x := Funds{Tenant: name, Paid: f.paid[name]}
 		x.Served, _ = f.check.Served(name, f.e.s.now)
-		x.Received, x.Turned = f.check.Counts(name)
+		x.Attempts, x.Turned = f.check.Counts(name)
 		if books != nil {
 			b := books.c.Ledger().Tenant(name)
 			x.Balance, x.Lent, x.Spent, x.Stranded = b.Balance, b.Lent, b.Spent, b.Stranded
--- a/internal/testkit/simulation/visit.go
+++ b/internal/testkit/simulation/visit.go
@@ -266,9 +266,9 @@
 	if e.funds != nil {
 		e.funds.tried(t)
 	}
-	if e.opt.AttemptEnded != nil {
+	if e.opt.OnAttemptEnded != nil {
 		t.Tenant = e.script.Clients.TenantOf(&a.Ask)
-		e.opt.AttemptEnded(t)
+		e.opt.OnAttemptEnded(t)
 	}
 	if kind == clients.Served || v.no == len(a.Waits) {
 		if kind != clients.Served {
