--- a/internal/backend/journaled/journaled_test.go
+++ b/internal/backend/journaled/journaled_test.go
@@ -18,7 +18,7 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// fixture is a journal between a core and servers that only take notes. The store's words come when pass is called.
+// fixture is a journal between a core and connections that take notes. The store's callbacks run when runCallbacks is called.
 type fixture struct {
 	t       *testing.T
 	disk    *faultyfs.Disk
@@ -65,7 +65,7 @@
 	return r
 }
 
-// runCallbacks carries out so many words of the store.
+// runCallbacks runs so many callbacks of the store.
 func (r *fixture) runCallbacks(n int) {
 	for range n {
 		(<-r.posted)()
@@ -138,7 +138,7 @@
 	if !next.servers.Ran("id-2") || !next.servers.Ran("id-7") || next.servers.Ran("id-6") || next.servers.Ran("id-3") {
 		t.Errorf("%v", next.pending())
 	}
-	next.servers.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2)) // the clock stands where it stood before, and nothing is written over
+	next.servers.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2)) // with the same clock as before, no key is used again
 	next.runCallbacks(1)
 	if got := next.pending(); len(got) != 3 {
 		t.Errorf("%q", got)
--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -3,9 +3,7 @@
 import (
 	"container/heap"
 	"fmt"
-	"math"
 	"math/rand/v2"
-	"slices"
 	"testing"
 
 	"beechgrade/internal/cluster/credit/lease"
@@ -68,8 +66,13 @@
 	return x
 }
 
+// How long things take, in ms; a link takes up to 1 ms more.
 const (
-	linkMs, logMs, serveMs, tickMs = 1, 4, 20, 50
+	linkMs  = 1
+	diskMs  = 2
+	logMs   = 4
+	serveMs = 20
+	tickMs  = 50
 )
 
 func (f *fleet) at(ms float64, do func()) {
@@ -256,214 +259,23 @@
 	}
 }
 
-// TestNearlyAllFundsAreUsedBeforeARejection measures how much of the funds is used before any request is rejected, which must be 98 percent.
-func TestNearlyAllFundsAreUsedBeforeARejection(t *testing.T) {
-	t.Parallel()
-	for _, poolers := range []int{8, 100, 300} {
-		for name, weight := range map[string]func(int) float64{"even": even, "skewed": byRank} {
-			const funds, rate = 20000, 1000
-			f := newFleet(t, poolers, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: funds}))
-			f.ample = funds * 9 / 10
-			f.run(2000)
-			f.load(rate, 30000, weight, nil)
-			f.run(32000)
-			f.check(funds)
-			part := float64(f.chargedAtFirstRejection) / funds
-			t.Logf("%d poolers, %s: %.4f of the funds used before the first rejection, %.4f in all", poolers, name, part, float64(f.charged)/funds)
-			t.Logf("%.4f of requests were queued, %.4f of those of the first nine tenths of the funds",
-				float64(f.queued)/float64(f.requests), float64(f.queuedEarly)/(0.9*funds))
-			t.Logf("%d entries of %d bytes, %d messages of %d bytes",
-				f.entries, f.bytes/max(1, f.entries), f.messages, f.messageBytes/max(1, f.messages))
-			if part < 0.98 {
-				t.Errorf("%d poolers, %s: %.4f of the funds used before the first refusal", poolers, name, part)
-			}
-		}
-	}
-}
-
-// TestFundsForTenRequestsServeTen has 300 poolers that all need funds, which suffice for ten requests: ten are served.
-func TestFundsForTenRequestsServeTen(t *testing.T) {
-	t.Parallel()
-	f := newFleet(t, 300, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: 10}))
-	f.run(2000)
-	f.load(300, 8000, even, nil)
-	f.run(9000)
-	f.check(10)
-	if f.charged != 10 {
-		t.Errorf("%d of the funds for ten requests were used", f.charged)
-	}
-}
-
-// TestPaymentReadByOnePoolerOpensAll measures how long after one pooler has read a payment all poolers with demand admit the tenant again.
-func TestPaymentReadByOnePoolerOpensAll(t *testing.T) {
-	t.Parallel()
-	for _, poolers := range []int{8, 100, 300} {
-		f := newFleet(t, poolers, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: 500}))
-		f.run(2000)
-		f.load(float64(10*poolers), 20000, even, nil)
-		f.run(10000)
-		f.check(500)
-		reads := f.nodes[poolers-1] // one that does not vote, where there are others
-		s := reads.credit.settings
-		s.Payments = append(slices.Clone(s.Payments), lessor.Payment{Tenant: "t", Number: 2, Amount: 1_000_000})
-		first := map[int]float64{}
-		at := f.now
-		clear(f.admittedAt)
-		reads.credit.UpdateSettings(s)
-		for len(first) < poolers && f.now < at+8000 {
-			f.run(f.now + 10)
-			for i, x := range f.admittedAt {
-				if _, ok := first[i]; !ok && x > 0 {
-					first[i] = x - at
-				}
-			}
-		}
-		var all []float64
-		for _, x := range first {
-			all = append(all, x)
-		}
-		slices.Sort(all)
-		if len(all) < poolers {
-			t.Fatalf("%d of %d poolers let the tenant in", len(all), poolers)
-		}
-		p99 := all[int(math.Ceil(0.99*float64(len(all))))-1]
-		t.Logf("%d poolers: median %.0f ms, p99 %.0f ms, last %.0f ms from one pooler's reading", poolers, all[len(all)/2], p99, all[len(all)-1])
-		if p99 > 2000 {
-			t.Errorf("%d poolers: p99 %.0f ms", poolers, p99)
-		}
-	}
-}
-
-// disk keeps marks of all processes, as files do.
+// disk is a process's credit.Files. files are those of all processes.
 type disk struct {
 	fleet     *fleet
 	holder    ledger.Holder
-	persisted func(no uint64)
+	persisted func(write uint64)
 	files     map[ledger.Holder][]lease.HighWaterMark
 }
 
-func (d *disk) Write(no uint64, m []lease.HighWaterMark) {
-	d.fleet.at(2, func() { d.files[d.holder] = m; d.persisted(no) })
-}
-func (d *disk) Read(h ledger.Holder, do func([]lease.HighWaterMark)) {
-	d.fleet.at(2, func() { do(d.files[h]) })
-}
-func (d *disk) Erase(h ledger.Holder) { delete(d.files, h) }
-
-// TestFilesOfCrashedPoolersReleaseTheirFunds crashes processes that hold funds, and lets others find their files: nothing stays stranded, and
-// charged without having been served is only what was in flight and the distance of the high-water marks.
-func TestFilesOfCrashedPoolersReleaseTheirFunds(t *testing.T) {
-	t.Parallel()
-	kept := map[ledger.Holder][]lease.HighWaterMark{}
-	f := newFleet(t, 8, func(s *Settings) {
-		s.Payments = []lessor.Payment{{Tenant: "t", Number: 1, Amount: 100000}}
-		s.Lease.PersistMarks = true
+func (d *disk) Write(write uint64, marks []lease.HighWaterMark) {
+	d.fleet.at(diskMs, func() {
+		d.files[d.holder] = marks
+		d.persisted(write)
 	})
-	for _, n := range f.nodes {
-		n.credit.files = &disk{f, n.credit.settings.Holder, func(no uint64) {
-			if !n.dead {
-				n.credit.MarksPersisted(no)
-			}
-		}, kept}
-	}
-	f.run(2000)
-	f.load(500, 12000, even, nil)
-	f.run(8000)
-	crash := []ledger.Holder{1003, 1004}
-	most := int64(0)
-	for i, h := range crash {
-		f.nodes[3+i].dead = true
-		most += int64(len(kept[h])) * 500
-	}
-	f.run(9000)
-	f.nodes[5].credit.Recover(crash)
-	f.run(40000)
-	b := f.nodes[0].credit.Ledger().Tenant("t")
-	t.Logf("served %d, %+v", f.charged, b)
-	if b.Stranded != 0 || kept[1003] != nil || kept[1004] != nil {
-		t.Errorf("stranded %d, files %v", b.Stranded, kept)
-	}
-	if over := b.Spent + b.Lent - f.charged; over < 0 || over > most {
-		t.Errorf("%d are charged that were not served", over)
-	}
-}
-
-// TestLoadGrowsWithActiveTenantsOnly has 10,000 tenants that paid, a hundred of which send requests: accounts and messages grow with those
-// that send.
-func TestLoadGrowsWithActiveTenantsOnly(t *testing.T) {
-	t.Parallel()
-	f := newFleet(t, 30, func(s *Settings) {
-		s.Lease.PrepaidTenants, s.Lease.Checks = nil, nil
-		for i := range 10000 {
-			name := fmt.Sprintf("t%d", i)
-			s.Lease.PrepaidTenants = append(s.Lease.PrepaidTenants, name)
-			s.Payments = append(s.Payments, lessor.Payment{Tenant: name, Number: 1, Amount: 1000})
-		}
-	})
-	f.run(6000)
-	entries, bytes := f.entries, f.bytes
-	for i, n := range f.nodes {
-		var next func()
-		next = func() {
-			f.request(n, fmt.Sprintf("t%d", f.rng.IntN(100)*97), 0)
-			f.at(f.rng.ExpFloat64()*30, next)
-		}
-		f.at(float64(i), next)
-	}
-	f.run(16000)
-	tenants, accounts := f.nodes[0].credit.Ledger().Size()
-	t.Logf("%d requests, %d queued, %d rejected; %d tenants, %d accounts", f.requests, f.queued, f.rejected, tenants, accounts)
-	t.Logf("%.1f entries and %.0f bytes a second, snapshot of %d bytes",
-		float64(f.entries-entries)/10, float64(f.bytes-bytes)/10, len(f.nodes[0].credit.Snapshot()))
-	if tenants != 10000 || accounts > 100*30*2 || f.rejected > 0 {
-		t.Errorf("%d tenants, %d accounts, %d refused", tenants, accounts, f.rejected)
-	}
 }
 
-// TestNeverChargedMoreThanPaid draws fleets with lost messages, partitions, changes of leader, crashes and suspended poolers: never is more
-// charged than was paid.
-func TestNeverChargedMoreThanPaid(t *testing.T) {
-	t.Parallel()
-	for seed := range uint64(20) {
-		rng := rand.New(rand.NewPCG(seed, 3))
-		funds := int64(2000 + rng.IntN(4000))
-		f := newFleet(t, 12, pay(lessor.Payment{Tenant: "t", Number: 1, Amount: funds}))
-		f.rng = rand.New(rand.NewPCG(seed, 4))
-		f.run(1000)
-		f.load(600, 14000, even, func(i int) bool { return f.now > f.nodes[i].suspendedUntil })
-		f.at(2000, func() { f.lossRate = 0.2 })
-		f.at(5000, func() { f.lossRate = 0; f.partitioned = func(a, b int) bool { return (a < 6) != (b < 6) } })
-		f.at(9000, func() { f.partitioned = nil })
-		for range 4 {
-			f.at(1000+rng.Float64()*9000, func() { f.lead(rng.IntN(3)) })
-			x := f.nodes[3+rng.IntN(9)]
-			f.at(1000+rng.Float64()*9000, func() { x.dead = x.number%3 == 0 })
-		}
-		f.run(40000)
-		f.check(funds)
-		if b := f.nodes[f.leader].credit.Ledger().Tenant("t"); b.Spent+b.Stranded+b.Lent < f.charged || b.Paid != funds {
-			t.Errorf("seed %d: charged %d, books %+v", seed, f.charged, b)
-		}
-	}
+func (d *disk) Read(holder ledger.Holder, done func([]lease.HighWaterMark)) {
+	d.fleet.at(diskMs, func() { done(d.files[holder]) })
 }
 
-// TestLastOfFundsIsUsed checks that with funds for ten requests, and demand for more at poolers in any order, all ten are served. Grants of
-// shares had scattered the last price over the poolers, each with less than one price: all rejected, and requested more without a queue, for
-// which nothing is recalled, as long as clients kept sending.
-func TestLastOfFundsIsUsed(t *testing.T) {
-	const price, funds, poolers = 10, 100, 8
-	for seed := range uint64(200) {
-		f := newFleet(t, poolers, func(s *Settings) {
-			s.Lease.Classes = []lease.Class{{Price: lease.Price{PerRequest: price}, PriorityWeight: 1}}
-			s.Payments = []lessor.Payment{{Tenant: "t", Number: 1, Amount: funds}}
-		})
-		f.rng = rand.New(rand.NewPCG(seed, 11))
-		f.run(2000)
-		f.load(54, 8000, even, nil)
-		f.run(9000)
-		f.check(funds)
-		if f.charged != funds {
-			t.Errorf("seed %d: %d of %d are used", seed, f.charged, funds)
-		}
-	}
-}
+func (d *disk) Erase(holder ledger.Holder) { delete(d.files, holder) }
--- a/internal/cluster/credit/lease/manager_test.go
+++ b/internal/cluster/credit/lease/manager_test.go
@@ -8,16 +8,31 @@
 	"beechgrade/internal/invariant"
 )
 
-func settings(t *testing.T) Settings {
-	s := Defaults()
-	s.PrepaidTenants = []string{"t"}
-	s.Classes = []Class{
-		{Price: Price{PerRequest: 10}, PriorityWeight: 5},
-		{Price: Price{PerRequest: 10, PerRow: 2, Max: 50}, PriorityWeight: 1},
-		{Price: Price{PerRequest: 10}, PriorityWeight: 1, Overdraft: 40},
-	}
-	s.Checks = invariant.Test(t)
-	return s
+// The classes of testSettings.
+const (
+	classHigh      = 0 // the highest priority weight for its price
+	classLow       = 1
+	classOverdraft = 2
+)
+
+const testOverdraft = 40
+
+func testSettings(t *testing.T) Settings {
+	t.Helper()
+	settings := Defaults()
+	settings.PrepaidTenants = []string{"t"}
+	settings.Classes = []Class{
+		classHigh:      {Price: Price{PerRequest: 10}, PriorityWeight: 5},
+		classLow:       {Price: Price{PerRequest: 10, PerRow: 2, Max: 50}, PriorityWeight: 1},
+		classOverdraft: {Price: Price{PerRequest: 10}, PriorityWeight: 1, Overdraft: testOverdraft},
+	}
+	settings.Checks = invariant.Test(t)
+	return settings
+}
+
+// reserve asks for admission of the tenant's request.
+func reserve(manager *Manager, now float64, class int, tag uint64) (Reservation, Decision) {
+	return manager.Reserve(now, AdmissionRequest{Tenant: "t", Class: class, Session: 1, Parts: 1, Tag: tag})
 }
 
 // granting is the leader's response to a request: so much is granted in all, of so much that is available now and after the last payment.
@@ -27,53 +42,61 @@
 	}}}
 }
 
-// requestAndGrant lets a manager request funds, and grants so much of its own funds.
-func requestAndGrant(t *testing.T, manager *Manager, at float64, granted, left, full int64) (seq uint32, gen uint32) {
+// requestOf returns the first request at an overdraft that a manager sends at its next tick.
+func requestOf(t *testing.T, manager *Manager, now float64, overdraft int64) *message.Request {
 	t.Helper()
-	for _, a := range manager.Handle(at, Tick{}, nil) {
-		for _, x := range a.Requests {
-			if !x.Final && x.Key.Overdraft == 0 {
-				manager.Handle(at, granting(&x, granted, left, full), nil)
-				return x.Sequence, x.Key.Generation
+	for _, action := range manager.Handle(now, Tick{}, nil) {
+		for i := range action.Requests {
+			request := &action.Requests[i]
+			if !request.Final && request.Key.Overdraft == overdraft {
+				return request
 			}
 		}
 	}
-	t.Fatal("it asked for nothing")
-	return 0, 0
+	t.Fatalf("nothing was requested at an overdraft of %d", overdraft)
+	return nil
+}
+
+// requestAndGrant lets a manager request funds, and grants so much of the tenant's own.
+func requestAndGrant(t *testing.T, manager *Manager, now float64, granted, available, atPayment int64) {
+	t.Helper()
+	request := requestOf(t, manager, now, 0)
+	manager.Handle(now, granting(request, granted, available, atPayment), nil)
 }
 
 // TestOnlyTheFirstRequestWaitsForTheLeader checks that a tenant's first request waits for one response, and the next for none.
 func TestOnlyTheFirstRequestWaitsForTheLeader(t *testing.T) {
-	manager := New(settings(t), 7, 0)
-	if _, v := manager.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 11}); v != Queued {
-		t.Fatal(v)
+	manager := New(testSettings(t), 7, 0)
+	if _, decision := reserve(manager, 1000, classHigh, 11); decision != Queued {
+		t.Fatal(decision)
 	}
 	actions := manager.Handle(1000, Tick{}, nil)
 	if len(actions) != 1 || actions[0].Requests[0].Queued != 10 {
 		t.Fatalf("%+v", actions)
 	}
-	k := actions[0].Requests[0]
-	actions = manager.Handle(1005, granting(&k, 100, 1000, 1000), nil)
-	if len(actions) == 0 || actions[0].Kind != Admit || actions[0].Tag != 11 || actions[0].Reservation.Amount != 10 {
-		t.Fatalf("%+v", actions)
+	actions = manager.Handle(1005, granting(&actions[0].Requests[0], 100, 1000, 1000), nil)
+	if len(actions) == 0 {
+		t.Fatal("nothing follows from the grant")
+	}
+	if first := actions[0]; first.Kind != Admit || first.Tag != 11 || first.Reservation.Amount != 10 {
+		t.Fatalf("%+v", first)
 	}
-	if _, v := manager.Reserve(1006, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 12}); v != Admitted {
-		t.Error(v)
+	if _, decision := reserve(manager, 1006, classHigh, 12); decision != Admitted {
+		t.Error(decision)
 	}
-	if _, v := manager.Reserve(1006, AdmissionRequest{Tenant: "other", Session: 1, Parts: 1, Tag: 13}); v != Admitted {
-		t.Error("one who does not pay ahead was stopped")
+	if _, decision := manager.Reserve(1006, AdmissionRequest{Tenant: "other", Session: 1, Parts: 1, Tag: 13}); decision != Admitted {
+		t.Errorf("a tenant that does not pay in advance: %v", decision)
 	}
 }
 
 // TestSuspendedProcessSpendsNothingExpired suspends a process past its account's expiry: it spends nothing of it, whatever event comes first.
 func TestSuspendedProcessSpendsNothingExpired(t *testing.T) {
-	for _, late := range []float64{999, 10001} {
-		manager := New(settings(t), 7, 0)
-		manager.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
+	for suspendedMs, want := range map[float64]Decision{999: Admitted, 10001: Queued} {
+		manager := New(testSettings(t), 7, 0)
+		reserve(manager, 1000, classHigh, 1)
 		requestAndGrant(t, manager, 1000, 100, 1000, 1000)
-		_, v := manager.Reserve(1000+late, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2})
-		if want := map[bool]Decision{true: Admitted, false: Queued}[late < 10000]; v != want {
-			t.Errorf("after %g ms: %v, want %v", late, v, want)
+		if _, decision := reserve(manager, 1000+suspendedMs, classHigh, 2); decision != want {
+			t.Errorf("after %g ms: %v, want %v", suspendedMs, decision, want)
 		}
 	}
 }
@@ -81,110 +104,123 @@
 // TestChargeIsByThePriceAtAdmission checks that a price is reserved at admission, that the charge is by that price and never more, and that a
 // second Settle charges nothing.
 func TestChargeIsByThePriceAtAdmission(t *testing.T) {
-	set := settings(t)
-	manager := New(set, 7, 0)
-	manager.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 1, Session: 1, Parts: 1, Tag: 1})
+	settings := testSettings(t)
+	manager := New(settings, 7, 0)
+	reserve(manager, 1000, classLow, 1)
 	requestAndGrant(t, manager, 1000, 200, 1000, 1000)
-	h, v := manager.Reserve(1001, AdmissionRequest{Tenant: "t", Class: 1, Session: 1, Parts: 1, Tag: 2})
-	if v != Admitted || h.Amount != 50 {
-		t.Fatal(h, v)
+	reservation, decision := reserve(manager, 1001, classLow, 2)
+	if decision != Admitted || reservation.Amount != 50 {
+		t.Fatal(reservation, decision)
 	}
-	dear := set
-	dear.Classes = []Class{{Price: Price{PerRequest: 1000}}, {Price: Price{PerRequest: 1000}}, {}}
-	manager.Handle(1002, SettingsChanged{dear}, nil)
+	expensive := settings
+	expensive.Classes = []Class{{Price: Price{PerRequest: 1000}}, {Price: Price{PerRequest: 1000}}, {}}
+	manager.Handle(1002, SettingsChanged{expensive}, nil)
 	for _, c := range []struct {
-		d    Usage
-		want int64
-	}{{Usage{Served: 1, Rows: 3}, 16}, {Usage{Served: 1, Rows: 1000}, 50}, {Usage{}, 0}, {Usage{Failed: 1}, 0}} {
-		if got := h.Charge(c.d); got != c.want {
-			t.Errorf("%+v costs %d, want %d", c.d, got, c.want)
+		usage Usage
+		want  int64
+	}{
+		{Usage{Served: 1, Rows: 3}, 16},
+		{Usage{Served: 1, Rows: 1000}, 50},
+		{Usage{}, 0},
+		{Usage{Failed: 1}, 0},
+	} {
+		if got := reservation.Charge(c.usage); got != c.want {
+			t.Errorf("%+v is charged %d, want %d", c.usage, got, c.want)
 		}
 	}
-	if got := manager.Settle(&h, Usage{Served: 1, Rows: 3}); got != 16 {
-		t.Error(got)
+	if got := manager.Settle(&reservation, Usage{Served: 1, Rows: 3}); got != 16 {
+		t.Errorf("charged %d, want 16", got)
 	}
-	if got := manager.Settle(&h, Usage{Served: 1, Rows: 3}); got != 0 {
-		t.Error("a repeat was charged", got)
+	if got := manager.Settle(&reservation, Usage{Served: 1, Rows: 3}); got != 0 {
+		t.Errorf("charged %d the second time", got)
 	}
+}
+
+// TestScatteredRequestIsChargedByItsParts checks that served parts, and failed ones where the price says so, are charged.
+func TestScatteredRequestIsChargedByItsParts(t *testing.T) {
 	scattered := Reservation{Amount: 40, Price: Price{PerRequest: 10, ChargeFailed: true}}
 	if got := scattered.Charge(Usage{Served: 2, Failed: 1}); got != 30 {
-		t.Error("a scatter of two served parts and a failed one costs", got)
+		t.Errorf("two served parts and a failed one are charged %d, want 30", got)
 	}
 }
 
 // TestThrottlingSparesThePriorityClasses checks that of a tenant whose funds run low the class with the highest priority weight goes on and
 // the lowest is throttled, and that an overdraft class is not.
 func TestThrottlingSparesThePriorityClasses(t *testing.T) {
-	set := settings(t)
-	set.ThrottleBelow, set.Classes[1] = 0.5, Class{Price: Price{PerRequest: 10}, PriorityWeight: 1}
-	manager := New(set, 7, 0)
-	manager.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
-	requestAndGrant(t, manager, 1000, 100000, 250, 1000) // half of what is slowed below
-	n := map[int]int{}
+	settings := testSettings(t)
+	settings.ThrottleBelow = 0.5
+	settings.Classes[classLow] = Class{Price: Price{PerRequest: 10}, PriorityWeight: 1}
+	manager := New(settings, 7, 0)
+	reserve(manager, 1000, classHigh, 1)
+	requestAndGrant(t, manager, 1000, 100000, 250, 1000) // half of the threshold is available
+	admitted := map[int]int{}
 	for i := range 2000 {
 		now := 1001 + float64(i)
-		for class := range 2 {
-			h, v := manager.Reserve(now, AdmissionRequest{Tenant: "t", Class: class, Session: SessionNumber(string(rune(i % 100))), Parts: 1, Tag: 9})
-			if v == Admitted {
-				n[class]++
-				manager.Settle(&h, Usage{})
+		session := SessionNumber(string(rune(i % 100)))
+		for _, class := range []int{classHigh, classLow} {
+			reservation, decision := manager.Reserve(now, AdmissionRequest{Tenant: "t", Class: class, Session: session, Parts: 1, Tag: 9})
+			if decision == Admitted {
+				admitted[class]++
+				manager.Settle(&reservation, Usage{})
 			}
 		}
 	}
-	if n[0] < 1980 || n[1] > 100 {
-		t.Errorf("of the most worth %d were let in, of the least %d; want nearly 2000 and few", n[0], n[1])
+	if admitted[classHigh] < 1980 || admitted[classLow] > 100 {
+		t.Errorf("of the high class %d were admitted, of the low %d; want nearly 2000 and few", admitted[classHigh], admitted[classLow])
 	}
-	if _, v := manager.Reserve(3001, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 1}); v != Admitted {
-		t.Error("work that must not stop was slowed:", v)
+	if _, decision := reserve(manager, 3001, classOverdraft, 1); decision != Admitted {
+		t.Errorf("the class with an overdraft: %v", decision)
 	}
 }
 
 // TestOverdraftIsForItsClassOnly checks that only the class with an overdraft goes on beyond the tenant's funds.
 func TestOverdraftIsForItsClassOnly(t *testing.T) {
-	manager := New(settings(t), 7, 0)
-	manager.Reserve(1000, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 1})
-	for _, a := range manager.Handle(1000, Tick{}, nil) {
-		for _, x := range a.Requests {
-			if x.Key.Overdraft == 40 {
-				manager.Handle(1001, granting(&x, 30, 0, 100), nil)
-			}
-		}
-	}
-	if _, v := manager.Reserve(1002, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2}); v == Admitted {
+	manager := New(testSettings(t), 7, 0)
+	reserve(manager, 1000, classOverdraft, 1)
+	request := requestOf(t, manager, 1000, testOverdraft)
+	manager.Handle(1001, granting(request, 30, 0, 100), nil)
+	if _, decision := reserve(manager, 1002, classHigh, 2); decision == Admitted {
 		t.Error("another class spent of the overdraft")
 	}
-	if _, v := manager.Reserve(1002, AdmissionRequest{Tenant: "t", Class: 2, Session: 1, Parts: 1, Tag: 3}); v != Admitted {
-		t.Error(v)
+	if _, decision := reserve(manager, 1002, classOverdraft, 3); decision != Admitted {
+		t.Error(decision)
 	}
 }
 
-// TestNothingIsSpentBeyondADurableMark checks that nothing is spent before its mark is durable, and that the marks of another process are read
-// only after its accounts have expired.
+// TestNothingIsSpentBeyondADurableMark checks that a request waits until its mark is durable.
 func TestNothingIsSpentBeyondADurableMark(t *testing.T) {
-	set := settings(t)
-	set.PersistMarks = true
-	manager := New(set, 7, 0)
-	manager.Reserve(1000, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 1})
+	settings := testSettings(t)
+	settings.PersistMarks = true
+	manager := New(settings, 7, 0)
+	reserve(manager, 1000, classHigh, 1)
 	actions := manager.Handle(1000, Tick{}, nil)
-	k := actions[0].Requests[0]
-	actions = manager.Handle(1001, granting(&k, 100, 1000, 1000), nil)
+	actions = manager.Handle(1001, granting(&actions[0].Requests[0], 100, 1000, 1000), nil)
 	if len(actions) == 0 || actions[0].Kind != PersistMarks {
 		t.Fatalf("%+v", actions)
 	}
-	if actions = manager.Handle(1002, MarksPersisted{actions[0].Write}, nil); len(actions) == 0 || actions[0].Kind != Admit {
+	actions = manager.Handle(1002, MarksPersisted{actions[0].Write}, nil)
+	if len(actions) == 0 || actions[0].Kind != Admit {
 		t.Fatalf("after the mark: %+v", actions)
 	}
-	heir := New(set, 8, 0)
-	heir.Handle(0, Recover{[]ledger.Holder{7}}, nil)
-	actions = heir.Handle(50, Tick{}, nil)
-	bar := actions[0].Requests[0]
-	if !bar.Recovered || bar.MarksRead || bar.Key.Holder != 7 {
-		t.Fatalf("%+v", bar)
+}
+
+// TestMarksOfAnotherAreReadOnceItsAccountsHaveExpired checks that a process that has ended is fenced first, and its marks are read only once
+// the log has expired all its accounts.
+func TestMarksOfAnotherAreReadOnceItsAccountsHaveExpired(t *testing.T) {
+	settings := testSettings(t)
+	settings.PersistMarks = true
+	manager := New(settings, 8, 0)
+	manager.Handle(0, Recover{[]ledger.Holder{7}}, nil)
+	fence := manager.Handle(50, Tick{}, nil)[0].Requests[0]
+	if !fence.Recovered || fence.MarksRead || fence.Key.Holder != 7 {
+		t.Fatalf("%+v", fence)
 	}
-	if actions = heir.Handle(60, ResponsesReceived{[]message.Response{{Key: bar.Key}}}, nil); len(actions) != 0 {
-		t.Fatalf("read before the ends: %+v", actions)
+	fenced := ResponsesReceived{[]message.Response{{Key: fence.Key}}}
+	if actions := manager.Handle(60, fenced, nil); len(actions) != 0 {
+		t.Fatalf("read before the accounts have expired: %+v", actions)
 	}
-	if actions = heir.Handle(70, ResponsesReceived{[]message.Response{{Key: bar.Key, Expired: true}}}, nil); len(actions) != 1 || actions[0].Kind != ReadMarks {
+	expired := ResponsesReceived{[]message.Response{{Key: fence.Key, Expired: true}}}
+	if actions := manager.Handle(70, expired, nil); len(actions) != 1 || actions[0].Kind != ReadMarks {
 		t.Fatalf("%+v", actions)
 	}
 }
@@ -192,30 +228,32 @@
 // TestBrokenInvariantsAreReported breaks the state for each invariant of a manager.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	seen := map[string]bool{}
-	set := settings(t)
-	set.PersistMarks, set.Checks = true, invariant.New(func(b invariant.Breach) { seen[b.Name] = true })
-	manager := New(set, 7, 0)
+	settings := testSettings(t)
+	settings.PersistMarks = true
+	settings.Checks = invariant.New(func(breach invariant.Breach) { seen[breach.Name] = true })
+	manager := New(settings, 7, 0)
 	manager.tenantFor("t").lease(0).current = account{generation: 1, granted: 10, reserved: 20, expiresAt: 1e6}
 	manager.Handle(1, ResponsesReceived{}, nil)
 	for _, name := range []string{"credit: no more is held and spent than was granted", "credit: no more is spent than is marked"} {
 		if !seen[name] {
-			t.Errorf("%q was not found broken", name)
+			t.Errorf("%q was not reported", name)
 		}
 	}
 }
 
 // BenchmarkReserve measures what credit costs a request.
 func BenchmarkReserve(b *testing.B) {
-	s := Defaults()
-	s.PrepaidTenants, s.Classes = []string{"t"}, []Class{{Price: Price{PerRequest: 1}, PriorityWeight: 1}}
-	manager := New(s, 7, 0)
+	settings := Defaults()
+	settings.PrepaidTenants = []string{"t"}
+	settings.Classes = []Class{{Price: Price{PerRequest: 1}, PriorityWeight: 1}}
+	manager := New(settings, 7, 0)
 	manager.tenantFor("t").lease(0).current = account{generation: 1, granted: 1 << 50, expiresAt: 1e6}
 	b.ReportAllocs()
 	for b.Loop() {
-		h, v := manager.Reserve(1002, AdmissionRequest{Tenant: "t", Session: 1, Parts: 1, Tag: 2})
-		if v != Admitted {
-			b.Fatal(v)
+		reservation, decision := reserve(manager, 1002, 0, 2)
+		if decision != Admitted {
+			b.Fatal(decision)
 		}
-		manager.Settle(&h, Usage{Served: 1})
+		manager.Settle(&reservation, Usage{Served: 1})
 	}
 }
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// open starts a keeper whose word comes on calls of the function that it returns, once.
+// open makes a keeper. wait runs the next callback of its store.
 func open(d *faultyfs.Disk, mode Mode, now decide.Time) (k *Keeper, s *store.Store, wait func(), err error) {
 	if s, _, err = store.Open(store.Options{FS: d, SegmentBytes: 600}); err != nil {
 		return nil, nil, nil, err
@@ -30,7 +30,7 @@
 	return k, s, func() { (<-callbacks)() }, nil
 }
 
-// commitSeenBy is what a router that was given a keeper's memory holds a session's read to.
+// commitSeenBy returns the commit that a router which was given a keeper's snapshot requires for a session's read.
 func commitSeenBy(k *Keeper, session string) decide.Time {
 	m := k.Snapshot()
 	for _, c := range m.Commits {
@@ -58,7 +58,7 @@
 			k.maxSessions = 5
 			for name, at := range answered {
 				if got := commitSeenBy(k, name); got < at {
-					rt.Fatalf("%s is held to %d, and heard of %d", name, got, at)
+					rt.Fatalf("%s counts for %d, and was answered %d", name, got, at)
 				}
 			}
 			ops, _ := d.Ops()
@@ -82,7 +82,7 @@
 					rt.Fatal(err)
 				}
 			} else {
-				_ = s.Close() // as much as a crash leaves: what was asked for and not synced may be gone, below
+				_ = s.Close() // a crash: what was not synced may be lost, below
 				d = d.Restart(rng, true)
 				continue
 			}
@@ -228,7 +228,7 @@
 				got = forgotten
 			}
 			if got < at {
-				rt.Fatalf("the router holds %.10s to %d, and it heard of %d", name, got, at)
+				rt.Fatalf("%.10s counts for %d at the router, and was answered %d", name, got, at)
 			}
 		}
 		_ = stores[1].Close()
@@ -238,7 +238,7 @@
 		}
 		for name, at := range answered {
 			if got := commitSeenBy(last, name); got < at {
-				rt.Fatalf("after a start %.10s is held to %d, and it heard of %d", name, got, at)
+				rt.Fatalf("after a start %.10s counts for %d, and was answered %d", name, got, at)
 			}
 		}
 		_ = s.Close()
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -26,7 +26,7 @@
 	return invariant.New(func(b invariant.Breach) { panic(b.String()) })
 }
 
-// machineAt is a machine of an unknown boot whose wall clock stands at a time.
+// machineAt returns a machine of an unknown boot whose wall clock stands at a time.
 func machineAt(ms float64) clock.Machine { return clock.Machine{Wall: func() float64 { return ms }} }
 
 // TestAgeIsIndependentOfWallClockSteps checks that within a boot a record's age is by the monotonic clock, however the wall clock steps, and
--- a/internal/storage/store/compaction_test.go
+++ b/internal/storage/store/compaction_test.go
@@ -15,7 +15,7 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// hooked is a disk that has something done before each operation of a compaction.
+// hooked is a disk that calls hook before each operation of a compaction.
 type hooked struct {
 	*faultyfs.Disk
 	hook func()
@@ -49,8 +49,8 @@
 	return h.Disk.Remove(name)
 }
 
-// runDuringCompaction has a store take a history's entries, the last of them one by one before each operation of two compactions, and read what
-// there is each time. It tells how many were acknowledged and asked for, and how the compactions ended.
+// runDuringCompaction appends the entries of a history, the last of them one by one before each operation of two compactions, and reads all
+// records each time. It returns how many were acknowledged and requested, and the errors of the compactions.
 func runDuringCompaction(t *testing.T, d *faultyfs.Disk, steps []step, all []map[string]string) (acknowledged, requested int, compacted error) {
 	h := &hooked{Disk: d}
 	s, _, err := store.Open(store.Options{FS: h, SegmentBytes: 700, Checks: panicOnBreach(), BatchesPerWalk: 1})
@@ -97,6 +97,7 @@
 	return acknowledged, requested, compacted
 }
 
+// puts returns a history of appends.
 func puts(n int) (out []step) {
 	for i := range n {
 		e := []store.Entry{{Key: fmt.Sprint("k", i%7), Value: []byte(fmt.Sprint("v", i, strings.Repeat("x", i*5)))}}
@@ -133,7 +134,7 @@
 				goesOn++
 			}
 			if variant >= 3 && err == nil && acknowledged == len(steps) {
-				t.Errorf("operation %d failed, and nobody heard", at)
+				t.Errorf("operation %d failed, and no error was returned", at)
 			}
 			s, _, err := store.Open(store.Options{FS: d.Restart(rand.New(rand.NewPCG(uint64(at), uint64(variant))), variant != 1), SegmentBytes: 700})
 			if err != nil {
@@ -145,9 +146,9 @@
 			_ = s.Close()
 		}
 	}
-	t.Logf("%d operations, %d crashes; %d failures cost a compaction alone", ops, crashes, goesOn)
+	t.Logf("%d operations, %d crashes; %d failures failed a compaction alone", ops, crashes, goesOn)
 	if goesOn < 6 {
-		t.Errorf("%d failures cost a compaction alone", goesOn)
+		t.Errorf("%d failures failed a compaction alone", goesOn)
 	}
 }
 
@@ -185,7 +186,7 @@
 }
 
 // TestStoreStaysWithinItsBound checks that a store with a bound never takes more on its disk, a snapshot that is being written included; dead
-// records free space, live ones are never given up; a compaction keeps to its rate, and Close does not wait for that.
+// records free space, and live ones are never given up.
 func TestStoreStaysWithinItsBound(t *testing.T) {
 	const most = 30000
 	d := faultyfs.New()
@@ -221,16 +222,21 @@
 	}
 	requested := make(chan error, 1)
 	s.Compact(func(err error) { requested <- err })
-	if err := <-requested; !errors.Is(err, store.ErrFull) { // its snapshot has no room beside what there is
-		t.Errorf("a compaction that was asked for: %v", err)
+	if err := <-requested; !errors.Is(err, store.ErrFull) { // its snapshot has no space beside what there is
+		t.Errorf("a compaction that was requested: %v", err)
 	}
-	t.Logf("at most %d bytes of %d; refused with %d records", largest, most, kept)
+	t.Logf("at most %d bytes of %d; full with %d records", largest, most, kept)
 	if largest > most || kept == 1000 || len(recordsOf(s)) != kept || kept*(100+40) < most/3 {
 		t.Errorf("%d bytes of %d, %d records of %d", largest, most, len(recordsOf(s)), kept)
 	}
 	_ = s.Close()
+}
 
-	if s, _, err = store.Open(store.Options{FS: faultyfs.New(), CompactionRate: 200 << 10}); err != nil {
+// TestCompactionKeepsToItsRate checks that a compaction with a bound on its rate spares the disk, that appends go on meanwhile, and that
+// Close does not wait for the rate.
+func TestCompactionKeepsToItsRate(t *testing.T) {
+	s, _, err := store.Open(store.Options{FS: faultyfs.New(), CompactionRate: 200 << 10})
+	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 40 {
@@ -239,7 +245,7 @@
 	done := make(chan error, 1)
 	began := time.Now()
 	s.Compact(func(err error) { done <- err })
-	for i := range 100 { // which go on meanwhile
+	for i := range 100 {
 		ok := make(chan error, 1)
 		s.Append([]store.Entry{{Key: fmt.Sprint("m", i)}}, func(err error) { ok <- err })
 		if err := <-ok; err != nil {
--- a/internal/storage/store/invariants_test.go
+++ b/internal/storage/store/invariants_test.go
@@ -48,7 +48,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := s.Close(); err != nil { // the writer has ended: what was its own is this test's
+		if err := s.Close(); err != nil { // the writer has ended, and the test may change its state
 			t.Fatal(err)
 		}
 		s.options.Checks, s.options.BatchesPerWalk = invariant.New(nil), 1
@@ -106,7 +106,7 @@
 		}
 	}
 	if full != 3 {
-		t.Errorf("%d of 4 were refused; there was room for one", full)
+		t.Errorf("%d of 4 were rejected; there was space for one", full)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/storage/store/linear_test.go
+++ b/internal/storage/store/linear_test.go
@@ -14,10 +14,10 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// operation is what a client did: it wrote some keys at once, or read all.
+// operation is what a client did: it wrote some keys at once, or read all (writes is nil).
 type operation struct {
 	writes    map[int]string
-	uncertain bool // nobody has told whether it is kept
+	uncertain bool // whether it was kept is not known
 }
 
 const linearKeys = 3
@@ -25,7 +25,7 @@
 // contents is a state: the keys' values.
 type contents [linearKeys]string
 
-// linear is a store as one that does one thing after the other.
+// linear is the model of a store that does one operation after another.
 var linear = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{contents{}} },
 	Step: func(state, input, output any) []any {
@@ -59,7 +59,8 @@
 	return out
 }
 
-// concurrent has clients write and read at once, beside compactions, until the power goes out, and again after that; it is what they did and saw.
+// concurrent runs clients that write and read at once, beside compactions, until power is lost, and again after that. It returns their history,
+// and the number of writes whose outcome is not known.
 func concurrent(t *testing.T, seed uint64) (history []porcupine.Operation, maybes int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	d := faultyfs.New()
@@ -111,7 +112,7 @@
 					}
 					history = append(history, op)
 					mu.Unlock()
-					if in := op.Input.(operation); in.uncertain { // this client has gone
+					if in := op.Input.(operation); in.uncertain { // the client ends
 						return
 					}
 				}
@@ -125,7 +126,7 @@
 				t.Fatal(err)
 			}
 			op := porcupine.Operation{ClientId: 9, Call: now(), Input: operation{}, Output: readAll(s)}
-			for _, i := range unsure { // one that was not told of its end may be kept up to the restart
+			for _, i := range unsure { // these may have been kept at any time up to the restart
 				history[i].Return = now()
 			}
 			op.Call = now()
@@ -164,7 +165,7 @@
 			}
 		}
 	}
-	t.Logf("%d reads, %d writes of which nobody was told; %d of 25 broken histories were found", reads, maybes, broken)
+	t.Logf("%d reads, %d writes with unknown outcome; %d of 25 histories with a stale read were found", reads, maybes, broken)
 	if reads < 200 || maybes == 0 || broken < 20 {
 		t.Errorf("%d reads, %d unsure writes, %d broken histories found", reads, maybes, broken)
 	}
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -18,13 +18,13 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// step is a step of a history: entries kept together, or a compaction.
+// step is a step of a history: entries that are appended together, or a compaction.
 type step struct {
 	entries []store.Entry
 	compact bool
 }
 
-// scriptedHistory is a scripted one, with keys that are written again and removed, compactions, and segments that fill up.
+// scriptedHistory overwrites and deletes keys, fills segments and compacts.
 func scriptedHistory() (out []step) {
 	for i := range 30 {
 		e := []store.Entry{{Key: fmt.Sprint("k", i%7), Value: []byte(fmt.Sprint("v", i, strings.Repeat("x", i*5)))}}
@@ -39,7 +39,7 @@
 	return out
 }
 
-// statesAfter are what a store holds after each prefix of a history.
+// statesAfter returns the records of a store after each prefix of a history.
 func statesAfter(steps []step) (out []map[string]string) {
 	m := map[string]string{}
 	snap := func() {
@@ -61,12 +61,12 @@
 	return out
 }
 
-// panicOnBreach are checks that end everything where one fails: the writer goes on, and what a test holds is not its own.
+// panicOnBreach returns checks that panic at a breach, for the writer's goroutine.
 func panicOnBreach() *invariant.Checks {
 	return invariant.New(func(b invariant.Breach) { panic(b.String()) })
 }
 
-// runHistory has a store go through a history, one act after the other, and tells how many were acknowledged, and how many asked for.
+// runHistory takes the steps of a history one after another, up to an error, and returns how many were acknowledged, and how many requested.
 func runHistory(d *faultyfs.Disk, steps []step) (acknowledged, requested int) {
 	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 700, Checks: panicOnBreach(), BatchesPerWalk: 1})
 	if err != nil {
@@ -95,7 +95,7 @@
 	return out
 }
 
-// matchingPrefix tells which prefix of a history a store holds, between two, -1 for none.
+// matchingPrefix returns how many steps of a history lead to these records, between two numbers, -1 for none.
 func matchingPrefix(got map[string]string, all []map[string]string, from, to int) int {
 	for n := to; n >= from; n-- {
 		if cmp.Equal(got, all[n]) {
@@ -135,7 +135,7 @@
 			got := recordsOf(s)
 			n := matchingPrefix(got, all, acknowledged, requested)
 			if n < 0 {
-				t.Fatalf("operation %d, variant %d: %d acknowledged of %d asked, and it holds %v", at, variant, acknowledged, requested, got)
+				t.Fatalf("operation %d, variant %d: %d acknowledged of %d requested, and it holds %v", at, variant, acknowledged, requested, got)
 			}
 			done := make(chan error, 1)
 			s.Append([]store.Entry{{Key: "after", Value: []byte("all")}}, func(err error) { done <- err })
@@ -156,7 +156,7 @@
 	t.Logf("%d operations: %v", ops, where)
 	for _, what := range []string{"create", "write", "sync", "rename", "remove", "sync folder"} {
 		if where[what] == 0 {
-			t.Errorf("the power never went out at %q", what)
+			t.Errorf("power was never lost at %q", what)
 		}
 	}
 }
@@ -195,10 +195,10 @@
 		opened++
 		n := matchingPrefix(recordsOf(s), all, 0, len(steps))
 		if n < 0 || n < len(steps) && rec.DroppedBytes == 0 && !strings.HasPrefix(what, "cut") { // a cut between frames looks like an end
-			t.Fatalf("%s %s: it holds %d acts, %+v", name, what, n, rec)
+			t.Fatalf("%s %s: it holds %d steps, %+v", name, what, n, rec)
 		}
 		if name != names[len(names)-1] && n < len(steps) {
-			t.Fatalf("%s %s: an older file is damaged, and %d of %d are there without a word", name, what, n, len(steps))
+			t.Fatalf("%s %s: an older file is damaged, and %d of %d steps are there without an error", name, what, n, len(steps))
 		}
 		_ = s.Close()
 	}
@@ -211,11 +211,11 @@
 			try(name, flipped, fmt.Sprintf("flipped at %d", at))
 		}
 	}
-	t.Logf("%d files; opened %d, refused %d", len(files), opened, refused)
+	t.Logf("%d files; opened %d, rejected %d", len(files), opened, refused)
 	if opened == 0 || refused == 0 {
 		t.Errorf("opened %d, refused %d", opened, refused)
 	}
-	for _, name := range names { // a file that is gone
+	for _, name := range names { // without one file
 		c := faultyfs.New()
 		for n, x := range files {
 			if n != name {
@@ -224,7 +224,7 @@
 		}
 		if s, _, err := store.Open(store.Options{FS: c}); err == nil {
 			if n := matchingPrefix(recordsOf(s), all, 0, len(steps)); n < len(steps) && name != names[len(names)-1] {
-				t.Errorf("without %s it holds the first %d acts, without a word", name, n)
+				t.Errorf("without %s it holds the first %d steps, without an error", name, n)
 			}
 			_ = s.Close()
 		}
@@ -302,7 +302,7 @@
 			d.FailAt, d.Err, d.Short = at, errors.New("input/output error"), short
 			acknowledged, requested := runHistory(d, steps)
 			if acknowledged == len(steps) {
-				t.Errorf("operation %d failed, and nobody heard", at)
+				t.Errorf("operation %d failed, and no error was returned", at)
 			}
 			next := d.Restart(rand.New(rand.NewPCG(uint64(at), 1)), true)
 			s, _, err := store.Open(store.Options{FS: next})
@@ -346,7 +346,7 @@
 		s.Append([]store.Entry{{Key: key, Value: make([]byte, 100)}}, func(err error) { done <- err })
 		return <-done
 	}
-	for i := range 300 { // dead ones make room
+	for i := range 300 { // dead records free space
 		if err := one("same"); err != nil {
 			t.Fatalf("write %d: %v", i, err)
 		}
@@ -359,7 +359,7 @@
 		t.Errorf("%v", full)
 	}
 	if _, ok := s.Get("other0"); !ok {
-		t.Error("what was kept has gone")
+		t.Error("an acknowledged record is missing")
 	}
 }
 
@@ -457,7 +457,7 @@
 	wg.Wait()
 	after, _ := d.Ops()
 	if len(told) != 400 || after-before > 2*400 {
-		t.Errorf("%d were told, with %d operations", len(told), after-before)
+		t.Errorf("%d were called back, with %d operations", len(told), after-before)
 	}
 	n := 0
 	s.Range("k1", "k2", func(k string, _ []byte) bool {
