--- a/internal/decide/api.go
+++ b/internal/decide/api.go
@@ -133,6 +133,21 @@
 	ListFailed                   // a call failed; the list stays as it is
 )
 
+// String returns the kind's name for logs.
+func (kind ListKind) String() string {
+	switch kind {
+	case ListChanges:
+		return "changes"
+	case ListFull:
+		return "full"
+	case ListRestored:
+		return "restored"
+	case ListFailed:
+		return "failed"
+	}
+	return "unknown"
+}
+
 // ServerState is a server's state in the endpoint list.
 type ServerState uint8
 
@@ -189,10 +204,30 @@
 	HealthCheck                   // check the health of Server
 	SetTimer                      // send a Timer with Tag at At
 	Subscribe                     // subscribe to the endpoint list
-	FetchList                     // request the whole list once
+	FetchList                     // request the whole list once; the router does not use it
 	Log                           // a line for the log
 )
 
+var actionNames = [...]string{
+	Send:        "send",
+	Cancel:      "cancel",
+	Reject:      "reject",
+	Fail:        "fail",
+	HealthCheck: "health check",
+	SetTimer:    "set timer",
+	Subscribe:   "subscribe",
+	FetchList:   "fetch list",
+	Log:         "log",
+}
+
+// String returns the kind's name for the texts of invariants and tests.
+func (kind ActionKind) String() string {
+	if int(kind) < len(actionNames) {
+		return actionNames[kind]
+	}
+	return "unknown"
+}
+
 // Reason says why a request is rejected, failed or sent again, for logs and metrics.
 type Reason uint8
 
--- a/internal/decide/harness_test.go
+++ b/internal/decide/harness_test.go
@@ -120,7 +120,7 @@
 func (h *harness) wantNone(kind ActionKind, actions []Action) {
 	h.t.Helper()
 	if got := actionsOf(kind, actions); len(got) != 0 {
-		h.t.Fatalf("want none of kind %d, got %+v", kind, got)
+		h.t.Fatalf("want none of kind %v, got %+v", kind, got)
 	}
 }
 
--- a/internal/decide/reason_test.go
+++ b/internal/decide/reason_test.go
@@ -11,7 +11,7 @@
 		t.Helper()
 		got := actionsOf(kind, actions)
 		if len(got) != 1 || got[0].Reason != reason {
-			t.Fatalf("want kind %d for %v, got %+v", kind, reason, got)
+			t.Fatalf("want kind %v for %v, got %+v", kind, reason, got)
 		}
 	}
 	t.Run("late", func(t *testing.T) {
--- a/internal/decide/settings.go
+++ b/internal/decide/settings.go
@@ -73,7 +73,9 @@
 	RejectOverLimit bool    // requests beyond the limit are rejected, in place of having a lower weight
 }
 
-// Settings configure a router. Reload replaces them.
+// Settings configure a router. Reload replaces them. DrainGrace, StaleReadWait, ListRoleLive,
+// CapacityTracksLoad and ReportsOnSend describe the servers and their list for the embedder; no decision
+// depends on them.
 type Settings struct {
 	Peers           int // routers in this tier, this one included
 	Processes       int // processes that share this router's place, this one included; 0 for one
