--- a/internal/cluster/quota/clone.go
+++ b/internal/cluster/quota/clone.go
@@ -7,56 +7,85 @@
 	"strings"
 )
 
-// Clone is a copy that goes its own way, for explorers.
+// maxKeyTimeMs bounds the times in a StateKey.
+const maxKeyTimeMs = 1e6
+
+// Clone returns an independent copy, for model checking.
 func (q *Quota) Clone() *Quota {
-	c := *q
-	c.actions, c.outbox = nil, nil
-	c.addresses = maps.Clone(q.addresses)
-	c.limits, c.byHash = make([]*limitState, len(q.limits)), map[uint64]*limitState{}
+	clone := *q
+	clone.actions, clone.outbox = nil, nil
+	clone.addresses = maps.Clone(q.addresses)
+	clone.limits = make([]*limitState, len(q.limits))
+	clone.byHash = map[uint64]*limitState{}
 	for i, limit := range q.limits {
-		n := *limit
-		n.requests = slices.Clone(limit.requests)
-		n.ownership.holders, n.ownership.holderByID = make([]*holder, len(limit.ownership.holders)), map[ID]*holder{}
-		for k, peer := range limit.ownership.holders {
-			x := *peer
-			x.grants = slices.Clone(peer.grants)
-			n.ownership.holders[k], n.ownership.holderByID[peer.id] = &x, &x
-		}
-		c.limits[i], c.byHash[n.key] = &n, &n
+		copied := limit.clone()
+		clone.limits[i] = copied
+		clone.byHash[copied.key] = copied
+	}
+	return &clone
+}
+
+func (limit *limitState) clone() *limitState {
+	clone := *limit
+	clone.requests = slices.Clone(limit.requests)
+	clone.ownership.holders = make([]*holder, len(limit.ownership.holders))
+	clone.ownership.holderByID = map[ID]*holder{}
+	for i, original := range limit.ownership.holders {
+		peer := *original
+		peer.grants = slices.Clone(original.grants)
+		clone.ownership.holders[i] = &peer
+		clone.ownership.holderByID[peer.id] = &peer
 	}
-	return &c
+	return &clone
 }
 
-// StateKey is all of a quota that what it does follows from, with times as seen from now, and the numbers of asks as seen from each
-// process's last, for explorers.
+// StateKey returns a text that is equal for two Quotas which act alike from now on. Times are relative to now, and the numbers of requests
+// to the last one of their sender, which last returns.
 func (q *Quota) StateKey(last func(ID) uint32) string {
 	var w strings.Builder
-	ago := func(at float64) float64 { return max(-1e6, min(q.now-at, 1e6)) }
-	till := func(at float64) float64 { return max(0, min(at-q.now, 1e6)) }
 	fmt.Fprint(&w, q.hasLeft, q.peers)
 	for _, limit := range q.limits {
-		fmt.Fprintf(&w, "|%v %d %v %d %d %d %v %d %v %d %v ", limit.partition, limit.reserved, till(limit.startedAt+q.voteDelay(limit.Kind)), limit.currentOwner, limit.votedFor, limit.votedEpoch, till(limit.voteEnds), limit.ownerTimeFrom, ago(limit.ownerTime), limit.ownerEpoch, min(ago(limit.ownerTimeAt), q.settings.VoteDuration))
-		fmt.Fprintf(&w, "%d %d %d %v %v %v %v %v ", limit.sequence-limit.lastTaken, limit.leasedUnits, limit.unitsInUse, till(limit.leaseEnds), limit.demand, limit.reportedDemand, till(limit.nextRequest), limit.urgent)
-		for _, a := range limit.requests {
-			if a.sequence > limit.lastTaken && q.now-a.sentAt < q.settings.LeaseDuration {
-				fmt.Fprintf(&w, "a%d %v %v ", limit.sequence-a.sequence, ago(a.sentAt), a.vote)
-			}
+		q.writeHolderKey(&w, limit)
+		q.writeOwnerKey(&w, limit, last)
+	}
+	return w.String()
+}
+
+func (q *Quota) ago(at float64) float64   { return max(-maxKeyTimeMs, min(q.now-at, maxKeyTimeMs)) }
+func (q *Quota) until(at float64) float64 { return max(0, min(at-q.now, maxKeyTimeMs)) }
+
+func (q *Quota) writeHolderKey(w *strings.Builder, limit *limitState) {
+	fmt.Fprintf(w, "|%v %d %v ", limit.partition, limit.reserved, q.until(limit.startedAt+q.voteDelay(limit.Kind)))
+	fmt.Fprintf(w, "%d %d %d %v ", limit.currentOwner, limit.votedFor, limit.votedEpoch, q.until(limit.voteEnds))
+	ownerTimeAge := min(q.ago(limit.ownerTimeAt), q.settings.VoteDuration)
+	fmt.Fprintf(w, "%d %v %d %v ", limit.ownerTimeFrom, q.ago(limit.ownerTime), limit.ownerEpoch, ownerTimeAge)
+	fmt.Fprintf(w, "%d %d %d %v ", limit.sequence-limit.lastTaken, limit.leasedUnits, limit.unitsInUse, q.until(limit.leaseEnds))
+	fmt.Fprintf(w, "%v %v %v %v ", limit.demand, limit.reportedDemand, q.until(limit.nextRequest), limit.urgent)
+	for _, r := range limit.requests {
+		if r.sequence > limit.lastTaken && q.now-r.sentAt < q.settings.LeaseDuration {
+			fmt.Fprintf(w, "a%d %v %v ", limit.sequence-r.sequence, q.ago(r.sentAt), r.vote)
 		}
-		state := &limit.ownership
-		fmt.Fprintf(&w, "o%d %v %v %d %v %v %v %v ", state.epoch, till(state.ends), state.active, state.unaccounted, till(state.unaccountedUntil), state.planNeeded, till(state.plannedAt), till(state.nextElection))
-		for _, peer := range state.holders {
-			n := last(peer.id)
-			fmt.Fprintf(&w, "b%d %d %v %v %v %d %v %d %v %d %d %.3f %v ", peer.id, n-peer.sequence, till(peer.voteEnds), peer.demand, peer.adopted, peer.claimedUnits, till(peer.claimEnds), peer.confirmedUnits, till(peer.confirmedEnds), n-peer.confirmedSequence, peer.target,
-				peer.deficit, min(q.settings.UrgentInterval, ago(peer.recalledAt)))
-			for _, p := range peer.grants {
-				fmt.Fprintf(&w, "p%d %d %v ", n-p.sequence, p.units, till(p.ends))
-			}
+	}
+}
+
+func (q *Quota) writeOwnerKey(w *strings.Builder, limit *limitState, last func(ID) uint32) {
+	state := &limit.ownership
+	fmt.Fprintf(w, "o%d %v %v ", state.epoch, q.until(state.ends), state.active)
+	fmt.Fprintf(w, "%d %v ", state.unaccounted, q.until(state.unaccountedUntil))
+	fmt.Fprintf(w, "%v %v %v ", state.planNeeded, q.until(state.nextPlan), q.until(state.nextElection))
+	for _, peer := range state.holders {
+		n := last(peer.id)
+		fmt.Fprintf(w, "b%d %d %v %v ", peer.id, n-peer.sequence, q.until(peer.voteEnds), peer.demand)
+		fmt.Fprintf(w, "%v %d %v ", peer.adopted, peer.claimedUnits, q.until(peer.claimEnds))
+		fmt.Fprintf(w, "%d %v %d ", peer.confirmedUnits, q.until(peer.confirmedEnds), n-peer.confirmedSequence)
+		fmt.Fprintf(w, "%d %.3f %v ", peer.target, peer.deficit, min(q.settings.UrgentInterval, q.ago(peer.recalledAt)))
+		for _, g := range peer.grants {
+			fmt.Fprintf(w, "p%d %d %v ", n-g.sequence, g.units, q.until(g.ends))
 		}
 	}
-	return w.String()
 }
 
-// LastSequence is the number of the last ask about a limit.
+// LastSequence returns the number of the last request about a limit.
 func (q *Quota) LastSequence(name string) uint32 {
 	if limit := q.limitByName(name); limit != nil {
 		return limit.sequence
@@ -64,30 +93,32 @@
 	return 0
 }
 
-// Usable is how much of a limit may be used, had nothing come since.
+// Usable returns how much of a limit may be used at a time, if no event comes until then.
 func (q *Quota) Usable(name string, now float64) float64 {
 	limit := q.limitByName(name)
 	if limit == nil || q.hasLeft {
 		return 0
 	}
-	n := limit.reserved
+	units := limit.reserved
 	if limit.Kind == Concurrency && now < limit.startedAt+q.voteDelay(limit.Kind) {
-		n = 0
+		units = 0
 	}
 	if now < limit.leaseEnds {
-		n += limit.leasedUnits
+		units += limit.leasedUnits
 	}
-	amount, _ := limit.unitsAllowance(&limit.partition, n)
+	amount, _ := limit.unitsAllowance(&limit.partition, units)
 	return amount
 }
 
-// RestartLease has the lease by the answer to an ask count from now: for a checker's mutant.
-func (q *Quota) RestartLease(hash uint64, seq uint32) {
-	if limit := q.byHash[hash]; limit != nil {
-		for i := range limit.requests {
-			if limit.requests[i].sequence == seq {
-				limit.requests[i].sentAt = q.now
-			}
+// RestartLease makes the lease by the answer to a request count from now: a fault by which a model checker is tested.
+func (q *Quota) RestartLease(hash uint64, sequence uint32) {
+	limit := q.byHash[hash]
+	if limit == nil {
+		return
+	}
+	for i := range limit.requests {
+		if limit.requests[i].sequence == sequence {
+			limit.requests[i].sentAt = q.now
 		}
 	}
 }
--- a/internal/cluster/quota/invariants.go
+++ b/internal/cluster/quota/invariants.go
@@ -1,76 +1,98 @@
 package quota
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 
 	"beechgrade/internal/invariant"
 )
 
-// CheckInvariants has statements about the quota checked, once in so many events.
-func (q *Quota) CheckInvariants(c *invariant.Checks, every int) { q.checks, q.checkInterval = c, every }
+// expiredTicks is after how many ticks the account of an expired holder must be closed.
+const expiredTicks = 4
 
-// checkState makes the statements about all state.
-func (q *Quota) checkState(c *invariant.Checks) {
-	c.That(len(q.outbox) == 0, "quota: what was put has gone out", func() string { return fmt.Sprintf("%d messages", len(q.outbox)) })
+// CheckInvariants makes the Quota check its invariants, once in interval events.
+func (q *Quota) CheckInvariants(checks *invariant.Checks, interval int) {
+	q.checks, q.checkInterval = checks, interval
+}
+
+// checkState checks the invariants of the whole state.
+func (q *Quota) checkState(checks *invariant.Checks) {
+	checks.That(len(q.outbox) == 0, "quota: all enqueued messages were sent", func() string { return fmt.Sprintf("%d messages", len(q.outbox)) })
 	for _, limit := range q.limits {
-		c.That(q.byHash[limit.key] == limit && len(q.byHash) == len(q.limits), "quota: limits are filed", func() string { return limit.Name })
+		filed := q.byHash[limit.key] == limit && len(q.byHash) == len(q.limits)
+		checks.That(filed, "quota: limits are filed", func() string { return limit.Name })
 		switch limit.Guarantee {
 		case NeverOver:
-			q.checkLease(c, limit)
-			q.checkOwnership(c, limit)
+			q.checkLease(checks, limit)
+			q.checkOwnership(checks, limit)
 		case SoonEven:
-			c.That(limit.share >= 0 && limit.share <= 1 && limit.higherShare <= 1, "quota: a share is a part", func() string {
+			inRange := limit.share >= 0 && limit.share <= 1 && limit.higherShare <= 1
+			checks.That(inRange, "quota: a share is a part of the limit", func() string {
 				return fmt.Sprintf("%s: %v, to be %v at %v", limit.Name, limit.share, limit.higherShare, limit.higherShareAt)
 			})
 		}
 	}
 }
 
-// checkLease is a holder's side: no more than there is, and none of it beyond its time.
-func (q *Quota) checkLease(c *invariant.Checks, limit *limitState) {
-	state := func() string {
-		return fmt.Sprintf("%s: %+v; holds %d until %v, floor %d, in use %d; votes until %v; now %v", limit.Name, limit.partition, limit.leasedUnits, limit.leaseEnds, limit.reserved, limit.unitsInUse, limit.voteEnds, q.now)
+// checkLease checks the state of a holder.
+func (q *Quota) checkLease(checks *invariant.Checks, limit *limitState) {
+	describe := func() string {
+		return fmt.Sprintf("%s: %+v; holds %d until %v, reserved %d, in use %d; votes until %v; now %v",
+			limit.Name, limit.partition, limit.leasedUnits, limit.leaseEnds, limit.reserved, limit.unitsInUse, limit.voteEnds, q.now)
 	}
-	c.That(limit.leasedUnits >= 0 && limit.leasedUnits <= limit.partition.Pool && limit.reserved >= 0 && limit.reserved <= limit.partition.Reserved, "quota: nobody holds more than there is", state)
-	c.That(limit.leasedUnits == 0 || q.now < limit.leaseEnds, "quota: no lease outlives its end", state)
-	c.That(limit.leasedUnits == 0 || limit.leaseEnds <= q.now+q.settings.LeaseDuration, "quota: a lease counts from its ask", state)
-	c.That(limit.unitsInUse >= limit.leasedUnits, "quota: what may be in use is what is held at least", state)
-	c.That(limit.voteEnds <= q.now+q.settings.VoteDuration, "quota: a promise counts from its vote", state)
+	leaseInPool := limit.leasedUnits >= 0 && limit.leasedUnits <= limit.partition.Pool
+	reservedInPartition := limit.reserved >= 0 && limit.reserved <= limit.partition.Reserved
+	checks.That(leaseInPool && reservedInPartition, "quota: a lease is within the pool", describe)
+	none := limit.leasedUnits == 0
+	checks.That(none || q.now < limit.leaseEnds, "quota: no lease outlives its end", describe)
+	checks.That(none || limit.leaseEnds <= q.now+q.settings.LeaseDuration, "quota: a lease counts from its request", describe)
+	checks.That(limit.unitsInUse >= limit.leasedUnits, "quota: leased units count as in use", describe)
+	checks.That(limit.voteEnds <= q.now+q.settings.VoteDuration, "quota: a vote counts from its request", describe)
 	amount, _ := q.allowance(limit)
-	c.That(amount <= limit.Amount*(1+1e-9), "quota: nobody may use more than the limit", state)
-	for i, a := range limit.requests {
-		c.That(a.sequence <= limit.sequence && (i == 0 || limit.requests[i-1].sequence < a.sequence), "quota: asks are in order", func() string { return fmt.Sprintf("%s: %+v", limit.Name, limit.requests) })
+	checks.That(amount <= limit.Amount*(1+roundingSlack), "quota: an allowance is within the limit", describe)
+	for i, r := range limit.requests {
+		inOrder := r.sequence <= limit.sequence && (i == 0 || limit.requests[i-1].sequence < r.sequence)
+		checks.That(inOrder, "quota: requests are in order", func() string { return fmt.Sprintf("%s: %+v", limit.Name, limit.requests) })
 	}
 }
 
-// checkOwnership is an owner's side: what is lent is within the pool, by books that are kept of those alone that may hold something.
-func (q *Quota) checkOwnership(c *invariant.Checks, limit *limitState) {
+// checkOwnership checks the state of an owner.
+func (q *Quota) checkOwnership(checks *invariant.Checks, limit *limitState) {
 	state := &limit.ownership
-	describe := func() string {
-		s := fmt.Sprintf("%s: pool %d, epoch %d, owns %v until %v, unknown %d until %v, now %v, lent %d:", limit.Name, limit.partition.Pool, state.epoch, state.active, state.ends, state.unaccounted, state.unaccountedUntil, q.now, q.lentUnits(limit))
-		for _, peer := range state.holders {
-			s += fmt.Sprintf(" %x: %+v", uint64(peer.id), *peer)
-		}
-		return s
-	}
+	describe := func() string { return q.describeOwnership(limit) }
 	if state.active && q.now < state.ends {
-		c.That(q.lentUnits(limit) <= limit.partition.Pool, "quota: no more is lent than the pool", describe)
+		checks.That(q.leasedUnits(limit) <= limit.partition.Pool, "quota: no more is leased than the pool", describe)
 	}
-	c.That(state.unaccounted >= 0 && state.unaccounted <= limit.partition.Pool, "quota: what is not known is within the pool", describe)
-	c.That(!state.active || state.ends <= q.now+q.settings.VoteDuration, "quota: nobody owns beyond what was promised", describe)
-	c.That(len(state.holders) == len(state.holderByID) && slices.IsSortedFunc(state.holders, func(a, peer *holder) int {
-		if a.id < peer.id {
-			return -1
-		}
-		return 1
-	}), "quota: books are in order, each filed once", describe)
+	inPool := state.unaccounted >= 0 && state.unaccounted <= limit.partition.Pool
+	checks.That(inPool, "quota: unaccounted units are within the pool", describe)
+	checks.That(!state.active || state.ends <= q.now+q.settings.VoteDuration, "quota: an ownership ends with its votes", describe)
+
+	const holdersFiled = "quota: holders are in order, each filed once"
+	inOrder := slices.IsSortedFunc(state.holders, func(a, b *holder) int { return cmp.Compare(a.id, b.id) })
+	checks.That(inOrder && len(state.holders) == len(state.holderByID), holdersFiled, describe)
 	for _, peer := range state.holders {
-		c.That(state.holderByID[peer.id] == peer, "quota: books are in order, each filed once", describe)
-		c.That(len(peer.grants) <= maxGrants && peer.confirmedUnits >= 0 && peer.voteEnds <= q.now+q.settings.VoteDuration, "quota: a book's figures are ones that can be", describe)
-		for _, p := range peer.grants {
-			c.That(p.units >= 0 && p.ends <= q.now+q.settings.leaseRetention(limit.Kind), "quota: a book's figures are ones that can be", describe)
-		}
-		c.That(!q.isExpired(limit, peer, 4*q.settings.TickInterval), "quota: no book is kept of one that has gone", describe)
+		checks.That(state.holderByID[peer.id] == peer, holdersFiled, describe)
+		checks.That(q.inRange(limit, peer), "quota: a holder's numbers are in their ranges", describe)
+		checks.That(!q.isExpired(limit, peer, expiredTicks*q.settings.TickInterval), "quota: no account is kept of an expired holder", describe)
+	}
+}
+
+func (q *Quota) inRange(limit *limitState, peer *holder) bool {
+	retention := q.settings.leaseRetention(limit.Kind)
+	badGrant := func(g grant) bool { return g.units < 0 || g.ends > q.now+retention }
+	if len(peer.grants) > maxGrants || slices.ContainsFunc(peer.grants, badGrant) {
+		return false
+	}
+	return peer.confirmedUnits >= 0 && peer.voteEnds <= q.now+q.settings.VoteDuration
+}
+
+func (q *Quota) describeOwnership(limit *limitState) string {
+	state := &limit.ownership
+	text := fmt.Sprintf("%s: pool %d, epoch %d, owns %v until %v, unaccounted %d until %v, now %v, leased %d:", limit.Name,
+		limit.partition.Pool, state.epoch, state.active, state.ends, state.unaccounted, state.unaccountedUntil, q.now, q.leasedUnits(limit))
+	for _, peer := range state.holders {
+		text += fmt.Sprintf(" %x: %+v", uint64(peer.id), *peer)
 	}
+	return text
 }
--- a/internal/cluster/quota/invariants_test.go
+++ b/internal/cluster/quota/invariants_test.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// testCluster is a few quotas whose messages come in any order, twice, or never.
+// testCluster is a few quotas whose messages arrive in any order, twice, or never.
 type testCluster struct {
 	now   float64
 	c     *invariant.Checks
@@ -66,8 +66,8 @@
 	d.ids = slices.DeleteFunc(slices.Clone(d.ids), func(x ID) bool { return x == id })
 }
 
-// TestInvariants: whatever comes in whatever order, the statements hold, and no more than a limit may be used by all together.
-func TestInvariants(t *testing.T) {
+// TestInvariantsHold: whatever arrives in whatever order, the invariants hold, and all poolers together may use no more than a limit.
+func TestInvariantsHold(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		d := newTestCluster(invariant.Test(t), rapid.Float64Range(1, 40).Draw(t, "burst"), rapid.Float64Range(1, 50).Draw(t, "amount"))
 		who := func(t *rapid.T) ID { return rapid.SampledFrom(d.ids).Draw(t, "who") }
@@ -143,7 +143,7 @@
 	})
 }
 
-// clusterWithLeases is a fleet in which something is lent, and its owner.
+// clusterWithLeases returns a cluster in which units are leased, with the owner and its limit.
 func clusterWithLeases(t *testing.T) (*testCluster, *Quota, *limitState) {
 	t.Helper()
 	d := newTestCluster(invariant.Test(t), 20, 20)
@@ -168,31 +168,31 @@
 	return nil, nil, nil
 }
 
-// TestMutants: each statement is seen to break by one line of state.
-func TestMutants(t *testing.T) {
+// TestInvariantsDetectBrokenState: each invariant fails for a state in which one line was broken.
+func TestInvariantsDetectBrokenState(t *testing.T) {
 	for name, poke := range map[string]func(*Quota, *limitState){
-		"quota: what was put has gone out": func(q *Quota, _ *limitState) { q.outbox = append(q.outbox, &Message{}) },
-		"quota: limits are filed":          func(q *Quota, limit *limitState) { delete(q.byHash, limit.key) },
-		"quota: a share is a part":         func(q *Quota, _ *limitState) { q.limitByName("even").share = 1.5 },
-		"quota: nobody holds more than there is": func(_ *Quota, limit *limitState) {
+		"quota: all enqueued messages were sent": func(q *Quota, _ *limitState) { q.outbox = append(q.outbox, &Message{}) },
+		"quota: limits are filed":                func(q *Quota, limit *limitState) { delete(q.byHash, limit.key) },
+		"quota: a share is a part of the limit":  func(q *Quota, _ *limitState) { q.limitByName("even").share = 1.5 },
+		"quota: a lease is within the pool": func(_ *Quota, limit *limitState) {
 			limit.leasedUnits, limit.unitsInUse = limit.partition.Pool+1, limit.partition.Pool+1
 		},
-		"quota: no lease outlives its end":                   func(q *Quota, limit *limitState) { limit.leaseEnds = q.now },
-		"quota: a lease counts from its ask":                 func(q *Quota, limit *limitState) { limit.leaseEnds = q.now + q.settings.LeaseDuration + 1 },
-		"quota: what may be in use is what is held at least": func(_ *Quota, limit *limitState) { limit.unitsInUse = limit.leasedUnits - 1 },
-		"quota: a promise counts from its vote":              func(q *Quota, limit *limitState) { limit.voteEnds = q.now + q.settings.VoteDuration + 1 },
-		"quota: nobody may use more than the limit":          func(_ *Quota, limit *limitState) { limit.Amount = -1 },
-		"quota: asks are in order":                           func(_ *Quota, limit *limitState) { slices.Reverse(limit.requests) },
-		"quota: no more is lent than the pool": func(q *Quota, limit *limitState) {
+		"quota: no lease outlives its end":        func(q *Quota, limit *limitState) { limit.leaseEnds = q.now },
+		"quota: a lease counts from its request":  func(q *Quota, limit *limitState) { limit.leaseEnds = q.now + q.settings.LeaseDuration + 1 },
+		"quota: leased units count as in use":     func(_ *Quota, limit *limitState) { limit.unitsInUse = limit.leasedUnits - 1 },
+		"quota: a vote counts from its request":   func(q *Quota, limit *limitState) { limit.voteEnds = q.now + q.settings.VoteDuration + 1 },
+		"quota: an allowance is within the limit": func(_ *Quota, limit *limitState) { limit.Amount = -1 },
+		"quota: requests are in order":            func(_ *Quota, limit *limitState) { slices.Reverse(limit.requests) },
+		"quota: no more is leased than the pool": func(q *Quota, limit *limitState) {
 			limit.ownership.holders[0].confirmedUnits, limit.ownership.holders[0].confirmedEnds = limit.partition.Pool+1, q.now+1
 		},
-		"quota: what is not known is within the pool": func(_ *Quota, limit *limitState) { limit.ownership.unaccounted = -1 },
-		"quota: nobody owns beyond what was promised": func(q *Quota, limit *limitState) { limit.ownership.ends = q.now + q.settings.VoteDuration + 1 },
-		"quota: books are in order, each filed once":  func(_ *Quota, limit *limitState) { slices.Reverse(limit.ownership.holders) },
-		"quota: a book's figures are ones that can be": func(q *Quota, limit *limitState) {
+		"quota: unaccounted units are within the pool": func(_ *Quota, limit *limitState) { limit.ownership.unaccounted = -1 },
+		"quota: an ownership ends with its votes":      func(q *Quota, limit *limitState) { limit.ownership.ends = q.now + q.settings.VoteDuration + 1 },
+		"quota: holders are in order, each filed once": func(_ *Quota, limit *limitState) { slices.Reverse(limit.ownership.holders) },
+		"quota: a holder's numbers are in their ranges": func(q *Quota, limit *limitState) {
 			limit.ownership.holders[0].voteEnds = q.now + q.settings.VoteDuration + 1
 		},
-		"quota: no book is kept of one that has gone": func(q *Quota, limit *limitState) {
+		"quota: no account is kept of an expired holder": func(q *Quota, limit *limitState) {
 			peer := &holder{id: 999}
 			limit.ownership.holders, limit.ownership.holderByID[999] = append(limit.ownership.holders, peer), peer
 		},
@@ -210,8 +210,8 @@
 	}
 }
 
-// TestBooksOfTheGone: processes that begin again and again, each time as another, leave no books behind: an owner's books would be full.
-func TestBooksOfTheGone(t *testing.T) {
+// TestExpiredHoldersAreRemoved: the owner closes the accounts of processes that restart again and again, each time with another ID.
+func TestExpiredHoldersAreRemoved(t *testing.T) {
 	d, q, limit := clusterWithLeases(t)
 	for range 10 {
 		for _, id := range d.ids {
@@ -233,7 +233,7 @@
 			}
 		}
 		if n := len(limit.ownership.holders); n > 4 {
-			t.Fatalf("%d books of %d processes", n, len(d.ids))
+			t.Fatalf("%d accounts of %d processes", n, len(d.ids))
 		}
 	}
 }
--- a/internal/cluster/quota/quota.go
+++ b/internal/cluster/quota/quota.go
@@ -7,16 +7,9 @@
 	"beechgrade/internal/invariant"
 )
 
-const (
-	maxRequests   = 64   // asks whose answers are still taken
-	maxGrants     = 8    // answers of each process that are kept apart
-	demandChange  = 0.1  // a demand that differs by so much, or a unit, from the one told last is told soon
-	smallDemand   = 0.01 // ...if that is not a small part of the limit
-	idleWeight    = 0.02 // part of the limit that all together count as wanting beside their demand: newcomers have a share
-	voteFreshness = 0.5  // part of Promise that an answer may be old for the owner to be voted for again
-)
+const maxGrants = 8 // grants of each holder that are accounted for separately
 
-// Quota is one process's side of the fleet's limits.
+// Quota is one process's side of the fleet's limits. It is not safe for concurrent use.
 type Quota struct {
 	settings       Settings
 	self           ID
@@ -27,75 +20,75 @@
 	limits         []*limitState
 	byHash         map[uint64]*limitState
 	actions        []Action
-	outbox         []*Message // that go out at the end
+	outbox         []*Message // sent at the end of an event
 	hasLeft        bool
 
-	checks        *invariant.Checks // nil where nothing is checked
-	checkInterval int
+	checks        *invariant.Checks // nil if invariants are not checked
+	checkInterval int               // in events
 	checkCounter  int
 }
 
+// limitState is the state of a limit at this process. Times are in ms.
 type limitState struct {
 	Limit
-	key           uint64
+	key           uint64 // hash of the name
 	partition     Partition
-	reserved      int // floor that is in effect: a higher one waits until no more is lent than the new pool
+	reserved      int // units in effect: more of them only once no more is leased than the new pool
 	startedAt     float64
-	allowedAmount float64 // amount that was allowed last
+	allowedAmount float64 // last reported as an action, as allowedBurst
 	allowedBurst  float64
 
-	// as a holder
-	currentOwner        ID
-	votedFor            ID // whom it voted for
-	votedEpoch          uint32
-	voteEnds            float64 // its promise
-	ownerTimeFrom       ID      // whom the stamp is from
-	ownerTime           float64
-	ownerEpoch          uint32
-	ownerTimeAt         float64
-	sequence, lastTaken uint32
-	requests            []request
-	leasedUnits         int
-	unitsInUse          int // that may be in use
-	leaseEnds           float64
-	demand              float64 // as a part of the limit
-	reportedDemand      float64
-	nextRequest         float64
-	urgent              bool
-
-	// soon even
-	share, higherShare float64
-	higherShareAt      float64
-	shareAnsweredAt    float64
-
-	// as an owner
-	ownership ownership
-}
+	// As a holder.
+	currentOwner   ID
+	votedFor       ID
+	votedEpoch     uint32
+	voteEnds       float64
+	ownerTimeFrom  ID // the owner that ownerTime and ownerEpoch are from
+	ownerTime      float64
+	ownerEpoch     uint32
+	ownerTimeAt    float64 // when the request that ownerTime answers was sent
+	sequence       uint32  // of the last request
+	lastTaken      uint32  // of the request whose answer was taken last
+	requests       []request
+	leasedUnits    int
+	unitsInUse     int // that are or may be in use
+	leaseEnds      float64
+	demand         float64 // as a part of the limit
+	reportedDemand float64
+	nextRequest    float64
+	urgent         bool // a request is due after UrgentInterval
+
+	// With the guarantee SoonEven.
+	share           float64
+	higherShare     float64 // taken at higherShareAt
+	higherShareAt   float64 // 0 for none
+	shareAnsweredAt float64
 
-type request struct {
-	sequence uint32
-	sentAt   float64
-	vote     bool
+	// As an owner.
+	ownership ownership
 }
 
-// New makes a process's quota.
-func New(set Settings, self ID, now float64) *Quota {
-	q := &Quota{settings: set, self: self, now: now, sendingPoolers: max(1, set.ExpectedPoolers), byHash: map[uint64]*limitState{}, addresses: map[ID]string{}}
-	q.settings.ExpectedPoolers = max(1, set.ExpectedPoolers)
-	q.updateLimits(set.Limits)
+// New returns the Quota of a process that holds nothing, at time now in ms.
+func New(settings Settings, self ID, now float64) *Quota {
+	settings.ExpectedPoolers = max(1, settings.ExpectedPoolers)
+	q := &Quota{
+		settings: settings, self: self, now: now, sendingPoolers: settings.ExpectedPoolers,
+		byHash: map[uint64]*limitState{}, addresses: map[ID]string{},
+	}
+	q.updateLimits(settings.Limits)
 	return q
 }
 
-// NextTick is when it wants a Tick.
+// NextTick returns when the next Tick is due, in ms.
 func (q *Quota) NextTick() float64 { return q.now + q.settings.TickInterval }
 
-// Handle takes one event and appends what is to be done.
+// Handle processes one event at time now, in ms, and appends the actions that it causes to out. After Leave it does nothing.
 func (q *Quota) Handle(now float64, event Event, out []Action) []Action {
 	q.now, q.actions = max(now, q.now), out
 	if q.hasLeft {
 		return q.actions
 	}
-	for _, limit := range q.limits { // whatever has come, one that was stopped finds its leases over first
+	for _, limit := range q.limits { // a process that was paused ends its leases before anything else
 		if limit.leasedUnits > 0 && q.now >= limit.leaseEnds {
 			limit.reduceTo(0)
 		}
@@ -118,12 +111,27 @@
 		q.reportAllowance(limit)
 	}
 	if q.checks.Enabled() {
-		q.checks.Walk(&q.checkCounter, q.checkInterval, "quota: the walk", q.checkState)
+		q.checks.Walk(&q.checkCounter, q.checkInterval, "quota: the state", q.checkState)
 	}
 	return q.actions
 }
 
-// Due is when what is allowed may fall without another word, so that who was stopped can ask first; +Inf for never.
+// advance sends requests and renews ownerships that are due.
+func (q *Quota) advance() {
+	for _, limit := range q.limits {
+		if limit.Guarantee == SoonEven {
+			q.advanceShare(limit)
+		}
+		if limit.Guarantee != FixedShare && q.requestDue(limit) {
+			q.sendRequest(limit)
+		}
+		if limit.Guarantee == NeverOver {
+			q.updateOwnership(limit)
+		}
+	}
+}
+
+// Due returns when an allowance may fall without another event, in ms; +Inf for never. A caller that was paused calls Handle first.
 func (q *Quota) Due() float64 {
 	due := math.Inf(1)
 	for _, limit := range q.limits {
@@ -143,54 +151,68 @@
 	return nil
 }
 
-// updateLimits takes the limits as they are now. What was lent is cut in proportion where the pool has become smaller.
+// updateLimits takes the limits as they are now, and keeps the state of those that remain.
 func (q *Quota) updateLimits(limits []Limit) {
-	old := q.limits
+	previous := q.limits
 	q.limits, q.byHash = nil, map[uint64]*limitState{}
-	for _, n := range limits {
-		i := slices.IndexFunc(old, func(limit *limitState) bool {
-			return limit.Name == n.Name && limit.Kind == n.Kind && limit.Guarantee == n.Guarantee
+	for _, l := range limits {
+		i := slices.IndexFunc(previous, func(limit *limitState) bool {
+			return limit.Name == l.Name && limit.Kind == l.Kind && limit.Guarantee == l.Guarantee
 		})
+		var limit *limitState
 		if i < 0 {
-			limit := &limitState{Limit: n, key: n.hash(), startedAt: q.now, allowedAmount: -1, shareAnsweredAt: q.now}
-			limit.partition = n.Partition(q.settings.ExpectedPoolers)
-			limit.reserved, limit.share = limit.partition.Reserved, 1/float64(max(1, q.sendingPoolers))
-			limit.ownership = ownership{epoch: 1, holderByID: map[ID]*holder{}}
-			q.limits, q.byHash[limit.key] = append(q.limits, limit), limit
-			limit.currentOwner = q.ownerOf(limit)
-			continue
-		}
-		limit := old[i]
-		if limit.Limit != n {
-			was, amount := limit.partition, limit.Amount
-			limit.Limit, limit.partition = n, n.Partition(q.settings.ExpectedPoolers)
-			// No more than before of the limit, and a floor of no more than it was, until the owner knows the limit as it is.
-			low, _ := (&Limit{Amount: amount}).unitsAllowance(&was, limit.reserved)
-			limit.reserved = min(limit.partition.Reserved, int(low/n.Amount*float64(limit.partition.Units)+1e-9))
-			limit.leasedUnits = limit.leasedUnits * limit.partition.Pool / max(1, was.Pool)
-			if limit.Kind != Concurrency { // the measure of what is kept in units has changed
-				limit.unitsInUse = limit.leasedUnits
-			}
-			limit.allowedAmount = -1
-			limit.urgent = true
-			limit.ownership.planNeeded = true
-			if was.Pool != limit.partition.Pool { // books in the old measure: what is not known to be free is waited out
-				q.restartOwnership(limit)
-			}
+			limit = q.newLimit(l)
+		} else {
+			limit = previous[i]
+			q.changeLimit(limit, l)
 		}
-		q.limits, q.byHash[limit.key] = append(q.limits, limit), limit
+		q.limits = append(q.limits, limit)
+		q.byHash[limit.key] = limit
+	}
+}
+
+func (q *Quota) newLimit(l Limit) *limitState {
+	limit := &limitState{
+		Limit: l, key: l.hash(), partition: l.Partition(q.settings.ExpectedPoolers), startedAt: q.now,
+		allowedAmount: -1, shareAnsweredAt: q.now, share: 1 / float64(max(1, q.sendingPoolers)),
+		ownership: ownership{epoch: 1, holderByID: map[ID]*holder{}},
+	}
+	limit.reserved = limit.partition.Reserved
+	limit.currentOwner = q.ownerOf(limit)
+	return limit
+}
+
+// changeLimit gives a limit another amount, burst or reserve. Until the owner knows the limit as it is, this process uses no more of it
+// than before; what it holds is reduced in proportion where the pool has become smaller.
+func (q *Quota) changeLimit(limit *limitState, changed Limit) {
+	if limit.Limit == changed {
+		return
+	}
+	previous, amount := limit.partition, limit.Amount
+	limit.Limit, limit.partition = changed, changed.Partition(q.settings.ExpectedPoolers)
+	reservedAmount, _ := (&Limit{Amount: amount}).unitsAllowance(&previous, limit.reserved)
+	limit.reserved = min(limit.partition.Reserved, int(reservedAmount/changed.Amount*float64(limit.partition.Units)+roundingSlack))
+	limit.leasedUnits = limit.leasedUnits * limit.partition.Pool / max(1, previous.Pool)
+	if limit.Kind != Concurrency { // the size of a unit has changed
+		limit.unitsInUse = limit.leasedUnits
+	}
+	limit.allowedAmount = -1
+	limit.urgent = true
+	limit.ownership.planNeeded = true
+	if previous.Pool != limit.partition.Pool { // the accounts are in units of another size: leases are waited out
+		q.restartOwnership(limit)
 	}
 }
 
-// reduceTo has the holder use less from now on.
-func (limit *limitState) reduceTo(to int) {
-	limit.leasedUnits = min(limit.leasedUnits, to)
+// reduceTo gives back the units of a lease beyond a number.
+func (limit *limitState) reduceTo(units int) {
+	limit.leasedUnits = min(limit.leasedUnits, units)
 	if limit.Kind != Concurrency {
 		limit.unitsInUse = limit.leasedUnits
 	}
 }
 
-// leave gives back what this process holds.
+// leave gives back all that this process holds.
 func (q *Quota) leave() {
 	for _, limit := range q.limits {
 		limit.reduceTo(0)
@@ -203,7 +225,7 @@
 	q.hasLeft = true
 }
 
-// reportAllowance tells the embedder of what has changed.
+// reportAllowance emits an action where the allowance has changed.
 func (q *Quota) reportAllowance(limit *limitState) {
 	amount, burst := q.allowance(limit)
 	if amount != limit.allowedAmount || burst != limit.allowedBurst {
@@ -212,43 +234,43 @@
 	}
 }
 
-// allowance is what this process may use now.
+// allowance returns what this process may use of a limit now.
 func (q *Quota) allowance(limit *limitState) (amount, burst float64) {
 	switch limit.Guarantee {
 	case NeverOver:
-		n := limit.leasedUnits
-		if limit.Kind != Concurrency || q.now >= limit.startedAt+q.voteDelay(limit.Kind) { // what a last life let in may still go on
-			n += limit.reserved
+		units := limit.leasedUnits
+		if limit.Kind != Concurrency || q.now >= limit.startedAt+q.voteDelay(limit.Kind) {
+			units += limit.reserved // a previous incarnation uses none of them any more
 		}
-		return limit.unitsAllowance(&limit.partition, n)
+		return limit.unitsAllowance(&limit.partition, units)
 	case SoonEven:
 		amount, burst = limit.Amount*limit.share, limit.Burst*limit.share
 	default:
 		amount, burst = limit.Amount/float64(q.sendingPoolers), limit.Burst/float64(q.sendingPoolers)
 	}
 	if limit.Kind == Concurrency {
-		amount = max(1, math.Floor(amount+1e-9))
+		amount = max(1, math.Floor(amount+roundingSlack))
 	}
 	return amount, max(1, burst)
 }
 
-// Statuses tell how limits stand here.
+// Statuses returns the state of each limit at this process.
 func (q *Quota) Statuses() (out []Status) {
 	for _, limit := range q.limits {
 		amount, _ := q.allowance(limit)
-		s := Status{Limit: limit.Limit, Amount: amount, LeaseEnds: limit.leaseEnds, Owner: limit.currentOwner, Epoch: limit.votedEpoch}
-		s.Reserved, _ = limit.unitsAllowance(&limit.partition, limit.reserved)
+		status := Status{Limit: limit.Limit, Amount: amount, LeaseEnds: limit.leaseEnds, Owner: limit.currentOwner, Epoch: limit.votedEpoch}
+		status.Reserved, _ = limit.unitsAllowance(&limit.partition, limit.reserved)
 		if limit.ownership.active && q.now < limit.ownership.ends {
-			s.IsOwner = true
-			s.Epoch = limit.ownership.epoch
-			s.Lent, _ = limit.unitsAllowance(&limit.partition, q.lentUnits(limit))
+			status.IsOwner = true
+			status.Epoch = limit.ownership.epoch
+			status.Lent, _ = limit.unitsAllowance(&limit.partition, q.leasedUnits(limit))
 		}
 		for _, peer := range limit.ownership.holders {
 			if peer.voteEnds > q.now {
-				s.Voters++
+				status.Voters++
 			}
 		}
-		out = append(out, s)
+		out = append(out, status)
 	}
 	return out
 }
--- a/internal/cluster/quota/requests.go
+++ b/internal/cluster/quota/requests.go
@@ -2,54 +2,72 @@
 
 import "math"
 
-func (q *Quota) updateDemand(e Demand) {
-	limit := q.limitByName(e.Limit)
-	if limit == nil || !finite(e.Wanted) || !finite(e.Used) {
+const (
+	maxRequests   = 64   // whose answers are still accepted
+	demandChange  = 0.1  // a demand that differs by this part from the reported one, and by a unit, is reported soon...
+	smallDemand   = 0.01 // ...if the difference is more than this part of the limit
+	maxDemand     = 1e3  // as a part of the limit
+	minAmount     = 1e-9
+	voteFreshness = 0.5 // the part of VoteDuration that the owner's answer may be old for another vote
+)
+
+// request is one whose answer may still arrive.
+type request struct {
+	sequence uint32
+	sentAt   float64
+	vote     bool
+}
+
+// updateDemand takes this pooler's demand of a limit, and its use.
+func (q *Quota) updateDemand(event Demand) {
+	limit := q.limitByName(event.Limit)
+	if limit == nil || !finite(event.Wanted) || !finite(event.Used) {
 		return
 	}
-	limit.demand = min(1e3, e.Wanted/max(1e-9, limit.Amount))
+	limit.demand = min(maxDemand, event.Wanted/max(minAmount, limit.Amount))
 	if limit.Kind == Concurrency {
-		limit.unitsInUse = max(limit.leasedUnits, int(e.Used)-limit.reserved)
+		limit.unitsInUse = max(limit.leasedUnits, int(event.Used)-limit.reserved)
 	}
-	if d := math.Abs(limit.demand - limit.reportedDemand); d > demandChange*limit.reportedDemand && d*float64(limit.partition.Units) >= 1 && (d > smallDemand || limit.Kind == Concurrency) {
+	if limit.demandChanged() {
 		limit.urgent = true
 	}
 }
 
-// advance does what time brings.
-func (q *Quota) advance() {
-	for _, limit := range q.limits {
-		if limit.Guarantee == SoonEven {
-			q.advanceShare(limit)
-		}
-		if limit.Guarantee == FixedShare {
-			continue
-		}
-		if q.now >= limit.nextRequest || limit.urgent && q.now >= limit.nextRequest-q.settings.RenewInterval+q.settings.UrgentInterval {
-			q.sendRequest(limit)
-		}
-		if limit.Guarantee == NeverOver {
-			q.updateOwnership(limit)
-		}
+// demandChanged reports whether the demand differs enough from the reported one to be reported soon.
+func (limit *limitState) demandChanged() bool {
+	change := math.Abs(limit.demand - limit.reportedDemand)
+	if change <= demandChange*limit.reportedDemand || change*float64(limit.partition.Units) < 1 {
+		return false
+	}
+	return change > smallDemand || limit.Kind == Concurrency
+}
+
+// requestDue reports whether a request is to be sent now.
+func (q *Quota) requestDue(limit *limitState) bool {
+	if q.now >= limit.nextRequest {
+		return true
 	}
+	return limit.urgent && q.now >= limit.nextRequest-q.settings.RenewInterval+q.settings.UrgentInterval
 }
 
-// sendRequest tells the owner of this process's demand, votes for it where that may be, and says what it holds.
+// sendRequest reports this process's demand to the owner and votes for it where that is allowed, with what this process holds.
 func (q *Quota) sendRequest(limit *limitState) {
-	limit.nextRequest, limit.urgent, limit.reportedDemand = q.now+q.settings.RenewInterval, false, limit.demand
+	limit.nextRequest = q.now + q.settings.RenewInterval
+	limit.urgent = false
+	limit.reportedDemand = limit.demand
 	limit.sequence++
-	item := Item{LimitHash: limit.key, Sequence: limit.sequence, Demand: limit.demand, LastTaken: limit.lastTaken, Pool: limit.partition.Pool, SoonEven: limit.Guarantee == SoonEven}
-	if limit.Guarantee == NeverOver {
-		fresh := limit.ownerTimeFrom == limit.currentOwner && q.now-limit.ownerTimeAt <= voteFreshness*q.settings.VoteDuration
-		free := limit.votedFor == limit.currentOwner || q.now >= limit.voteEnds
-		if fresh && free && q.now >= limit.startedAt+q.voteDelay(limit.Kind) {
-			if limit.votedFor != limit.currentOwner || limit.votedEpoch != limit.ownerEpoch {
-				limit.votedFor, limit.votedEpoch = limit.currentOwner, limit.ownerEpoch
-			}
-			limit.voteEnds = q.now + q.settings.VoteDuration
-			item.Vote, item.Epoch, item.OwnerTime, item.UnitsInUse = true, limit.votedEpoch, limit.ownerTime, limit.unitsInUse
-			item.RemainingMs = max(0, limit.leaseEnds-q.now)
-		}
+	item := Item{
+		LimitHash: limit.key, Sequence: limit.sequence, Demand: limit.demand, LastTaken: limit.lastTaken,
+		Pool: limit.partition.Pool, SoonEven: limit.Guarantee == SoonEven,
+	}
+	if limit.Guarantee == NeverOver && q.mayVote(limit) {
+		limit.votedFor, limit.votedEpoch = limit.currentOwner, limit.ownerEpoch
+		limit.voteEnds = q.now + q.settings.VoteDuration
+		item.Vote = true
+		item.Epoch = limit.votedEpoch
+		item.OwnerTime = limit.ownerTime
+		item.UnitsInUse = limit.unitsInUse
+		item.RemainingMs = max(0, limit.leaseEnds-q.now)
 	}
 	limit.requests = append(limit.requests, request{limit.sequence, q.now, item.Vote})
 	if len(limit.requests) > maxRequests {
@@ -58,105 +76,70 @@
 	q.enqueue(limit.currentOwner, LeaseRequest, item)
 }
 
-// voteDelay is how long a process that has begun does not vote: its last life may have promised, and what it let in may go on.
-func (q *Quota) voteDelay(k Kind) float64 {
-	if k == Concurrency {
-		return q.settings.LocalWait(max(q.settings.VoteDuration, q.settings.UseTimeout))
-	}
-	return q.settings.LocalWait(q.settings.VoteDuration)
+// mayVote reports whether this process may vote for the current owner: its answer is fresh, no other vote binds this process, and votes
+// of a previous incarnation have expired.
+func (q *Quota) mayVote(limit *limitState) bool {
+	fresh := limit.ownerTimeFrom == limit.currentOwner && q.now-limit.ownerTimeAt <= voteFreshness*q.settings.VoteDuration
+	unbound := limit.votedFor == limit.currentOwner || q.now >= limit.voteEnds
+	return fresh && unbound && q.now >= limit.startedAt+q.voteDelay(limit.Kind)
 }
 
-// enqueue has an item go to a process, with others that go there.
-func (q *Quota) enqueue(to ID, v MessageKind, item Item) {
-	for _, message := range q.outbox {
-		if message.To == to && message.Kind == v && len(message.Items) < MaxItems {
-			message.Items = append(message.Items, item)
-			return
-		}
+// voteDelay returns how long a process that has started does not vote: its previous incarnation may have voted, and the uses that it
+// admitted may go on.
+func (q *Quota) voteDelay(kind Kind) float64 {
+	if kind == Concurrency {
+		return q.settings.LocalWait(max(q.settings.VoteDuration, q.settings.UseTimeout))
 	}
-	q.outbox = append(q.outbox, &Message{Kind: v, From: q.self, To: to, Items: []Item{item}})
+	return q.settings.LocalWait(q.settings.VoteDuration)
 }
 
-// flush sends what was put. What is for this process itself is told at once.
-func (q *Quota) flush() {
-	for len(q.outbox) > 0 {
-		message := q.outbox[0]
-		q.outbox = q.outbox[1:]
-		if message.To == q.self {
-			q.handleMessage(message)
-		} else if a := q.addresses[message.To]; a != "" {
-			q.actions = append(q.actions, Action{Kind: Send, Addr: a, Message: message})
+// pendingRequest returns the request that an answer is to. An answer that is older than the last taken one is to none.
+func (limit *limitState) pendingRequest(sequence uint32) (pending request, ok bool) {
+	for _, r := range limit.requests {
+		if r.sequence == sequence && sequence > limit.lastTaken {
+			return r, true
 		}
 	}
-	q.outbox = nil
+	return request{}, false
 }
 
-func (q *Quota) handleMessage(message *Message) {
-	if message.To != q.self || message.Kind > LeaseRecall || len(message.Items) > MaxItems {
+// handleLeaseAnswer takes the owner's time over, and the lease if the answer has one.
+func (q *Quota) handleLeaseAnswer(limit *limitState, from ID, item *Item) {
+	pending, ok := limit.pendingRequest(item.Sequence)
+	if !ok || from != limit.currentOwner && from != limit.votedFor {
 		return
 	}
-	for i := range message.Items {
-		item := &message.Items[i]
-		limit := q.byHash[item.LimitHash]
-		if limit == nil || item.SoonEven != (limit.Guarantee == SoonEven) || limit.Guarantee == FixedShare || !item.valid() {
-			continue
-		}
-		switch message.Kind {
-		case LeaseRequest:
-			if item.SoonEven {
-				q.handleShareRequest(limit, message.From, item)
-			} else {
-				q.handleLeaseRequest(limit, message.From, item)
-			}
-		case LeaseAnswer:
-			if item.SoonEven {
-				q.handleShareAnswer(limit, message.From, item)
-			} else {
-				q.handleLeaseAnswer(limit, message.From, item)
-			}
-		case LeaseRecall:
-			if !item.SoonEven && message.From == limit.votedFor && item.Epoch == limit.votedEpoch {
-				limit.reduceTo(item.Units)
-				limit.urgent = true
-			}
-		}
+	if from == limit.currentOwner {
+		limit.takeOwnerTime(from, item, pending.sentAt)
 	}
-}
-
-func (item *Item) valid() bool {
-	return finite(item.OwnerTime) && finite(item.RemainingMs) && finite(item.Demand) && finite(item.Share) && min(item.UnitsInUse, item.Units, item.Pool) >= 0 &&
-		max(item.UnitsInUse, item.Units, item.Pool) <= MaxUnits*256
-}
-
-// pendingRequest finds the ask that an answer is to; each is answered once.
-func (limit *limitState) pendingRequest(seq uint32) (request, bool) {
-	for _, a := range limit.requests {
-		if a.sequence == seq && seq > limit.lastTaken {
-			return a, true
-		}
+	boundToSender := from == limit.votedFor && item.Epoch == limit.votedEpoch
+	if item.Vote && pending.vote && boundToSender && item.Pool == limit.partition.Pool {
+		q.takeLease(limit, item, pending.sentAt)
 	}
-	return request{}, false
 }
 
-// handleLeaseAnswer takes what an owner lends.
-func (q *Quota) handleLeaseAnswer(limit *limitState, from ID, item *Item) {
-	a, ok := limit.pendingRequest(item.Sequence)
-	if !ok || from != limit.currentOwner && from != limit.votedFor {
+// takeOwnerTime takes over the epoch and the time of the owner's clock, by which this process can vote for it.
+func (limit *limitState) takeOwnerTime(from ID, item *Item, askedAt float64) {
+	if limit.ownerTimeFrom == from && item.OwnerTime <= limit.ownerTime {
 		return
 	}
-	if from == limit.currentOwner && (limit.ownerTimeFrom != from || item.OwnerTime > limit.ownerTime) {
-		if limit.ownerTimeFrom != from || limit.ownerEpoch != item.Epoch {
-			limit.urgent = true // it can be voted for now
-		}
-		limit.ownerTimeFrom, limit.ownerTime, limit.ownerEpoch, limit.ownerTimeAt = from, item.OwnerTime, item.Epoch, a.sentAt
-	}
-	if !item.Vote || !a.vote || from != limit.votedFor || item.Epoch != limit.votedEpoch || item.Pool != limit.partition.Pool {
-		return
+	if limit.ownerTimeFrom != from || limit.ownerEpoch != item.Epoch {
+		limit.urgent = true // there is a new epoch to vote for
 	}
-	if limit.lastTaken = item.Sequence; item.AllAccounted {
+	limit.ownerTimeFrom = from
+	limit.ownerTime = item.OwnerTime
+	limit.ownerEpoch = item.Epoch
+	limit.ownerTimeAt = askedAt
+}
+
+// takeLease takes a lease, which counts from its request.
+func (q *Quota) takeLease(limit *limitState, item *Item, askedAt float64) {
+	limit.lastTaken = item.Sequence
+	if item.AllAccounted {
 		limit.reserved = limit.partition.Reserved
 	}
-	limit.leasedUnits, limit.leaseEnds = item.Units, a.sentAt+q.settings.LeaseDuration
+	limit.leasedUnits = item.Units
+	limit.leaseEnds = askedAt + q.settings.LeaseDuration
 	if q.now >= limit.leaseEnds {
 		limit.leasedUnits = 0
 	}
--- a/internal/cluster/quota/shares.go
+++ b/internal/cluster/quota/shares.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// handleShareRequest is the owner's side of an ask about a limit that is soon even.
+// handleShareRequest answers a request about a SoonEven limit as the owner, with the sender's part of all reported demand.
 func (q *Quota) handleShareRequest(limit *limitState, from ID, item *Item) {
 	state := &limit.ownership
 	peer := state.holderByID[from]
@@ -12,36 +12,45 @@
 		}
 		peer = &holder{id: from}
 		state.holderByID[from] = peer
-		state.holders = append(state.holders, peer)
+		state.holders = append(state.holders, peer) // in the order of their first requests
 	}
 	if item.Sequence <= peer.sequence {
 		return
 	}
-	peer.sequence, peer.demand, peer.lastRequest = item.Sequence, item.Demand, q.now
-	state.holders = slices.DeleteFunc(state.holders, func(x *holder) bool {
-		if q.now-x.lastRequest < q.settings.StaleAfter() {
-			return false
-		}
-		delete(state.holderByID, x.id)
-		return true
-	})
-	n := float64(len(state.holders))
+	peer.sequence = item.Sequence
+	peer.demand = item.Demand
+	peer.lastRequest = q.now
+	q.removeStaleDemands(state)
+	poolers := len(state.holders)
 	total := 0.0
-	for _, x := range state.holders {
-		total += x.weight(len(state.holders))
+	for _, h := range state.holders {
+		total += h.weight(poolers)
 	}
-	q.enqueue(from, LeaseAnswer, Item{LimitHash: limit.key, Sequence: item.Sequence, SoonEven: true, Share: n / max(n, float64(q.sendingPoolers)) * peer.weight(len(state.holders)) / total})
+	reporting := float64(poolers) / max(float64(poolers), float64(q.sendingPoolers))
+	share := reporting * peer.weight(poolers) / total
+	q.enqueue(from, LeaseAnswer, Item{LimitHash: limit.key, Sequence: item.Sequence, SoonEven: true, Share: share})
+}
+
+func (q *Quota) removeStaleDemands(state *ownership) {
+	state.holders = slices.DeleteFunc(state.holders, func(peer *holder) bool {
+		stale := q.now-peer.lastRequest >= q.settings.StaleAfter()
+		if stale {
+			delete(state.holderByID, peer.id)
+		}
+		return stale
+	})
 }
 
-// handleShareAnswer takes a share: less at once, more once others have made room.
+// handleShareAnswer takes a share: a smaller one at once, a larger one after others have had the time to reduce theirs.
 func (q *Quota) handleShareAnswer(limit *limitState, from ID, item *Item) {
-	a, ok := limit.pendingRequest(item.Sequence)
+	pending, ok := limit.pendingRequest(item.Sequence)
 	if !ok || from != limit.currentOwner || item.Share > 1 {
 		return
 	}
-	limit.lastTaken, limit.shareAnsweredAt = item.Sequence, a.sentAt
+	limit.lastTaken = item.Sequence
+	limit.shareAnsweredAt = pending.sentAt
 	if item.Share <= limit.share {
-		limit.share, limit.higherShareAt = item.Share, 0
+		limit.setShare(item.Share)
 		return
 	}
 	if limit.higherShareAt == 0 {
@@ -50,12 +59,17 @@
 	limit.higherShare = item.Share
 }
 
-// advanceShare lets a share grow, and gives it up where nobody has answered.
+// advanceShare takes a larger share whose time has come. Without an answer for StaleAfter the share is an equal one.
 func (q *Quota) advanceShare(limit *limitState) {
 	if limit.higherShareAt > 0 && q.now >= limit.higherShareAt {
-		limit.share, limit.higherShareAt = limit.higherShare, 0
+		limit.setShare(limit.higherShare)
 	}
 	if q.now-limit.shareAnsweredAt >= q.settings.StaleAfter() {
-		limit.share, limit.higherShareAt = 1/float64(q.sendingPoolers), 0
+		limit.setShare(1 / float64(q.sendingPoolers))
 	}
 }
+
+func (limit *limitState) setShare(share float64) {
+	limit.share = share
+	limit.higherShareAt = 0
+}
