--- a/internal/endpoints/discovery/response.go
+++ b/internal/endpoints/discovery/response.go
@@ -155,21 +155,26 @@
 // empty line within an object is an error, so that an object that broke off does not swallow the next one.
 func (r *response) scanBody(b []byte, onObject func([]byte) error) error {
 	start := 0 // of the current object in b
-	for i, c := range b {
+	for i := 0; i < len(b); {
 		if r.inString {
-			if isPlain(c) && !r.escaped {
-				continue
-			}
-			if err := r.scanString(c); err != nil {
+			n, err := r.scanString(b[i:])
+			if err != nil {
 				return err
 			}
+			i += n
 			continue
 		}
+		c := b[i]
+		i++
 		if r.depth == 0 && isSpace(c) {
 			if c == '\n' {
 				r.lineBreaks++
 			}
-			start = i + 1
+			start = i
+			continue
+		}
+		if r.depth > 0 && !significant[c] {
+			r.lineBlank = false
 			continue
 		}
 		complete, err := r.scanByte(c)
@@ -179,8 +184,8 @@
 		if !complete {
 			continue
 		}
-		r.object = append(r.object, b[start:i+1]...)
-		start = i + 1
+		r.object = append(r.object, b[start:i]...)
+		start = i
 		r.progressSteps++
 		if err := onObject(r.takeObject()); err != nil {
 			return err
@@ -193,24 +198,29 @@
 	return nil
 }
 
-func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
+// significant are the bytes that scanByte tells apart within an object. Most bytes outside strings are others.
+var significant = [256]bool{'"': true, '{': true, '}': true, '[': true, ']': true, ' ': true, '\t': true, '\r': true, '\n': true}
 
-// isPlain reports whether a byte of a string stands for itself and does not end the string.
-func isPlain(c byte) bool { return c >= ' ' && c != '\\' && c != '"' }
+func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
 
-// scanString scans a byte of a string.
-func (r *response) scanString(c byte) error {
-	switch {
-	case c < ' ':
-		return fmt.Errorf("list: %w", errMalformed)
-	case r.escaped:
-		r.escaped = false
-	case c == '\\':
-		r.escaped = true
-	case c == '"':
-		r.inString = false
+// scanString scans up to the end of a string, and returns how many bytes of b are of it.
+func (r *response) scanString(b []byte) (n int, err error) {
+	escaped := r.escaped
+	for i, c := range b {
+		switch {
+		case c < ' ':
+			return 0, fmt.Errorf("list: %w", errMalformed)
+		case escaped:
+			escaped = false
+		case c == '\\':
+			escaped = true
+		case c == '"':
+			r.inString, r.escaped = false, false
+			return i + 1, nil
+		}
 	}
-	return nil
+	r.escaped = escaped
+	return len(b), nil
 }
 
 // scanByte scans a byte of an object outside its strings, and reports whether it completes the object.
@@ -218,18 +228,15 @@
 	if r.depth == 0 && c != '{' {
 		return false, fmt.Errorf("list: %w", errMalformed)
 	}
-	if c == '\n' {
+	switch c {
+	case '\n':
 		if r.lineBlank {
 			return false, fmt.Errorf("list: %w", errMalformed)
 		}
 		r.lineBlank = true
 		return false, nil
-	}
-	if isSpace(c) {
+	case ' ', '\t', '\r':
 		return false, nil
-	}
-	r.lineBlank = false
-	switch c {
 	case '"':
 		r.inString = true
 	case '{', '[':
@@ -240,6 +247,7 @@
 	case '}', ']':
 		r.depth--
 	}
+	r.lineBlank = false
 	return r.depth == 0, nil
 }
 
