--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,10 +26,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := []any{c.ListenAddress, c.Seed, c.Limits.Sockets, c.InitialList.Generation, c.Classes, c.MachineTypes, c.ConnectTimeoutMs, c.ServerIdleTimeoutMs,
-		c.Settings.Classes[0].MaxStaleness, c.Settings.Classes[0].LatencyObjective, c.Settings.MayCheckHealth}
-	want := []any{"127.0.0.2:1", uint64(0x8c1f30d27a5be964), 1024, int64(41), []string{"a", "b"}, []string{"k1", "k2"}, 120.0,
-		30000.0, 200 * time.Millisecond, 200 * time.Millisecond, true}
+	got := []any{
+		c.ListenAddress, c.Seed, c.Limits.Sockets, c.InitialList.Generation, c.Classes, c.MachineTypes,
+		c.ConnectTimeoutMs, c.ServerIdleTimeoutMs,
+		c.Settings.Classes[0].MaxStaleness, c.Settings.Classes[0].LatencyObjective, c.Settings.MayCheckHealth,
+	}
+	want := []any{
+		"127.0.0.2:1", uint64(0x8c1f30d27a5be964), 1024, int64(41), []string{"a", "b"}, []string{"k1", "k2"},
+		120.0, 30000.0,
+		200 * time.Millisecond, 200 * time.Millisecond, true,
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -177,7 +183,12 @@
 		}
 		got = append(got, s)
 	}
-	if diff := cmp.Diff([]string{"a 2s false b 800ms false ", "a 0s true b 2s false c 800ms false ", "a 800ms false b 2s false c 0s true "}, got); diff != "" {
+	want := []string{
+		"a 2s false b 800ms false ",
+		"a 0s true b 2s false c 800ms false ",
+		"a 800ms false b 2s false c 0s true ",
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -194,7 +205,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := decide.Class{LatencyObjective: 1, Deadline: 2, PriorityWeight: 3, LateWeight: 0.5, Idempotency: decide.IdempotentWithKey, KeyScope: decide.ScopeGroup, KeyWindow: 4, Read: decide.Write, MaxStaleness: 5}
+	was := decide.Class{
+		LatencyObjective: 1,
+		Deadline:         2,
+		PriorityWeight:   3,
+		LateWeight:       0.5,
+		Idempotency:      decide.IdempotentWithKey,
+		KeyScope:         decide.ScopeGroup,
+		KeyWindow:        4,
+		Read:             decide.Write,
+		MaxStaleness:     5,
+	}
 	c.Settings.Classes[1] = was
 	next.Classes, next.Settings.Classes = next.Classes[:1], next.Settings.Classes[:1]
 	c.Apply(next)
--- a/internal/endpoints/consul/mapping_test.go
+++ b/internal/endpoints/consul/mapping_test.go
@@ -11,12 +11,36 @@
 
 // TestMappingOfInstances checks the places that fields may come from, and which instances cannot be used.
 func TestMappingOfInstances(t *testing.T) {
-	x := Instance{Node: "n", NodeAddress: "10.1.1.1", Datacenter: "recife", NodeMeta: map[string]string{"rack": "r2"}, ID: "i", Service: "obra-2", Port: 5432,
-		Tags: []string{"Master", "cell=4", "v1"}, Meta: map[string]string{"w": "2.5", "up": "2023-11-14T22:13:20Z"}, Weights: Weights{Passing: 7, Warning: 2}}
+	x := Instance{
+		Node:        "n",
+		NodeAddress: "10.1.1.1",
+		Datacenter:  "recife",
+		NodeMeta:    map[string]string{"rack": "r2"},
+		ID:          "i",
+		Service:     "obra-2",
+		Port:        5432,
+		Tags:        []string{"Master", "cell=4", "v1"},
+		Meta:        map[string]string{"w": "2.5", "up": "2023-11-14T22:13:20Z"},
+		Weights:     Weights{Passing: 7, Warning: 2},
+	}
 	m := DefaultMapping()
-	m.Group, m.Role, m.Zone, m.Kind, m.Weight, m.Started = FieldSource{"tag", "cell="}, FieldSource{Kind: "tag"}, FieldSource{"node-meta", "rack"}, FieldSource{"const", "k"}, FieldSource{"meta", "w"}, FieldSource{"meta", "up"}
+	m.Group = FieldSource{FieldTag, "cell="}
+	m.Role = FieldSource{Kind: FieldTag}
+	m.Zone = FieldSource{FieldNodeMeta, "rack"}
+	m.Kind = FieldSource{FieldConst, "k"}
+	m.Weight = FieldSource{FieldMeta, "w"}
+	m.Started = FieldSource{FieldMeta, "up"}
 	c, err := m.Observation(&x)
-	if diff := cmp.Diff(reconcile.Observation{ID: "i", Address: "10.1.1.1:5432", Group: 4, Zone: "r2", Kind: "k", Weight: 2.5, StartedAtMs: 1.7e12, Role: reconcile.Primary}, c); err != nil || diff != "" {
+	if diff := cmp.Diff(reconcile.Observation{
+		ID:          "i",
+		Address:     "10.1.1.1:5432",
+		Group:       4,
+		Zone:        "r2",
+		Kind:        "k",
+		Weight:      2.5,
+		StartedAtMs: 1.7e12,
+		Role:        reconcile.Primary,
+	}, c); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 	m = DefaultMapping()
--- a/internal/endpoints/consul/source_test.go
+++ b/internal/endpoints/consul/source_test.go
@@ -29,7 +29,15 @@
 		x := instance(1)
 		x.Maintenance, x.Meta["role"], x.Meta["started"], x.Weight = true, "primary", "1700000000", 3
 		w.catalog.Change("db", []consulserver.Instance{x})
-		want := reconcile.Observation{ID: "db-1", Address: "10.0.0.1:5432", Zone: "dc1", Weight: 3, StartedAtMs: 1.7e12, Health: reconcile.Maintenance, Role: reconcile.Primary}
+		want := reconcile.Observation{
+			ID:          "db-1",
+			Address:     "10.0.0.1:5432",
+			Zone:        "dc1",
+			Weight:      3,
+			StartedAtMs: 1.7e12,
+			Health:      reconcile.Maintenance,
+			Role:        reconcile.Primary,
+		}
 		if catalog {
 			want.Health = reconcile.Passing
 		}
--- a/internal/endpoints/manager_test.go
+++ b/internal/endpoints/manager_test.go
@@ -96,7 +96,14 @@
 		step()
 		got = append(got, h.listed())
 	}
-	if diff := cmp.Diff([]string{"a up, b up, old up", "a up, b up, old up", "a up, b up, c up, old up", "a up, b up, c up", "a up, c up"}, got); diff != "" {
+	want := []string{
+		"a up, b up, old up",
+		"a up, b up, old up",
+		"a up, b up, c up, old up",
+		"a up, b up, c up",
+		"a up, c up",
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -118,12 +125,12 @@
 	if diff := cmp.Diff("a up, b draining", h.listed()); diff != "" {
 		t.Error(diff)
 	}
-	asked := &countingDiscovery{}
-	h.SetDiscovery(asked)
+	counting := &countingDiscovery{}
+	h.SetDiscovery(counting)
 	b.Lifecycle = "up"
 	h.Listed(&discovery.List{Generation: 2, Instances: []discovery.Instance{b}}) // changes that go back
-	if h.ListFailed(); h.failed != 1 || asked.n != 1 || h.listed() != "a up, b draining" {
-		t.Errorf("%d failures, %d asked for the whole list; %s", h.failed, asked.n, h.listed())
+	if h.ListFailed(); h.failed != 1 || counting.fetches != 1 || h.listed() != "a up, b draining" {
+		t.Errorf("%d failures, %d fetches of the full list; %s", h.failed, counting.fetches, h.listed())
 	}
 	h.Listed(&discovery.List{Generation: 2, Reset: true, Instances: []discovery.Instance{b}})
 	if h.Summary() != "1 servers, 0 removals held back" || h.listed() != "b up primary" {
@@ -131,7 +138,7 @@
 	}
 }
 
-type countingDiscovery struct{ n int }
+type countingDiscovery struct{ fetches int }
 
 func (f *countingDiscovery) Watch() {}
-func (f *countingDiscovery) Fetch() { f.n++ }
+func (f *countingDiscovery) Fetch() { f.fetches++ }
--- a/internal/endpoints/reconcile/entries_test.go
+++ b/internal/endpoints/reconcile/entries_test.go
@@ -33,13 +33,20 @@
 	if _, ok := h.list["2"]; ok || h.list["9"].Address != twin.Address {
 		t.Errorf("%s", h.summary())
 	}
-	if h.reconciler.Observe(h.now, "static", &Report{Full: true, Generation: 7}) || !h.reconciler.Observe(h.now, "static", &Report{Generation: 3, Observations: []Observation{observation("5", 0)}}) {
+	if h.reconciler.Observe(h.now, "static", &Report{Full: true, Generation: 7}) || !h.reconciler.Observe(h.now, "static", &Report{
+		Generation:   3,
+		Observations: []Observation{observation("5", 0)},
+	}) {
 		t.Error("changes that go back are not asked about")
 	}
 	if h.takeChanges(); h.list["5"].ID != "" {
 		t.Error("changes that go back were taken")
 	}
-	if h.reconciler.Observe(h.now, "static", &Report{Full: true, Generation: 3, Observations: []Observation{observation("5", 0)}}); h.reconciler.Observe(h.now, "nobody", &Report{}) {
+	if h.reconciler.Observe(h.now, "static", &Report{
+		Full:         true,
+		Generation:   3,
+		Observations: []Observation{observation("5", 0)},
+	}); h.reconciler.Observe(h.now, "nobody", &Report{}) {
 		t.Error("a source that nobody named is asked")
 	}
 	if h.takeChanges(); h.list["5"].ID == "" {
--- a/internal/endpoints/reconcile/state_test.go
+++ b/internal/endpoints/reconcile/state_test.go
@@ -22,7 +22,10 @@
 	h.selfReport("2", Replica)
 	h.wantList("1 serving, 2 serving, 3 serving*")
 	// The same server under another id, and called the primary: it keeps its name, and its word.
-	h.reconciler.Observe(h.now, "consul", &Report{Observations: []Observation{withRole(Observation{ID: "1b", Address: observation("1", 0).Address}, Primary)}, Removed: []string{"1"}})
+	h.reconciler.Observe(h.now, "consul", &Report{
+		Observations: []Observation{withRole(Observation{ID: "1b", Address: observation("1", 0).Address}, Primary)},
+		Removed:      []string{"1"},
+	})
 	h.takeChanges()
 	h.wantList("1 serving, 2 serving, 3 serving*")
 	if entry, ok := h.reconciler.Entry("1"); !ok || entry.Address != observation("1", 0).Address || h.reconciler.Len() != 3 {
@@ -100,7 +103,10 @@
 	if a := h.list["1"].Address; a != other.Address {
 		t.Errorf("an hour old, it still has it at %s", a)
 	}
-	h.reconciler.Observe(h.now, "consul", &Report{Full: true, Observations: []Observation{observation("1", 0), observation("3", 1), observation("4", 1)}})
+	h.reconciler.Observe(h.now, "consul", &Report{
+		Full:         true,
+		Observations: []Observation{observation("1", 0), observation("3", 1), observation("4", 1)},
+	})
 	h.takeChanges()
 	h.wantList("1 serving, 2 serving, 3 serving, 4 serving")
 	h.reconciler.SourceLost(h.now, "consul", "refused")
--- a/internal/endpoints/snapshot/snapshot_test.go
+++ b/internal/endpoints/snapshot/snapshot_test.go
@@ -12,7 +12,13 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-var file = &File{SavedAtMs: 1.7e12, Entries: []reconcile.Entry{{ID: "a", Address: "10.0.0.1:5432", Group: 3, Zone: "z", Weight: 2, StartedAtMs: 1e12, Primary: true}, {ID: "b\n", Address: "10.0.0.2:5432", State: reconcile.StateDraining}}}
+var file = &File{
+	SavedAtMs: 1.7e12,
+	Entries: []reconcile.Entry{
+		{ID: "a", Address: "10.0.0.1:5432", Group: 3, Zone: "z", Weight: 2, StartedAtMs: 1e12, Primary: true},
+		{ID: "b\n", Address: "10.0.0.2:5432", State: reconcile.StateDraining},
+	},
+}
 
 // TestSnapshotCutAnywhereIsRejected checks that a file that ends too soon or has a changed byte is rejected, and that a
 // complete one is read.
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -8,8 +8,8 @@
 
 // TestBreachIsReportedOnce checks that a breach is reported once for each name, and counted.
 func TestBreachIsReportedOnce(t *testing.T) {
-	var told []string
-	c := New(func(b Breach) { told = append(told, b.String()) })
+	var reported []string
+	c := New(func(breach Breach) { reported = append(reported, breach.String()) })
 	for i := range 3 {
 		c.That(i == 0, "small", func() string { return fmt.Sprint("i is ", i) })
 	}
@@ -18,17 +18,21 @@
 	for range 4 {
 		c.Walk(&n, 2, "walk", func(c *Checks) { var s []int; c.That(s[1] == 0, "not reached", nil) })
 	}
-	want := []string{"invariant broken: small: i is 1", "invariant broken: other: state that cannot be told", "invariant broken: walk: the walk broke off"}
+	want := []string{
+		"invariant broken: small: i is 1",
+		"invariant broken: other: state that cannot be told",
+		"invariant broken: walk: the walk broke off",
+	}
 	for i, w := range want {
-		if i >= len(told) || !strings.HasPrefix(told[i], w) {
-			t.Fatalf("told %q, not %q at %d", told, w, i)
+		if i >= len(reported) || !strings.HasPrefix(reported[i], w) {
+			t.Fatalf("reported %q, not %q at %d", reported, w, i)
 		}
 	}
-	if len(told) != len(want) {
-		t.Errorf("told %q", told)
+	if len(reported) != len(want) {
+		t.Errorf("reported %q", reported)
 	}
-	if made, broken := c.Counts(); made != 4 || broken != 5 || c.Breaches()[0].Times != 2 {
-		t.Errorf("%d made, %d broken: %v", made, broken, c.Breaches())
+	if checked, failed := c.Counts(); checked != 4 || failed != 5 || c.Breaches()[0].Times != 2 {
+		t.Errorf("%d checked, %d failed: %v", checked, failed, c.Breaches())
 	}
 }
 
--- a/internal/settings/clickhouse_test.go
+++ b/internal/settings/clickhouse_test.go
@@ -15,25 +15,50 @@
 // TestClickHouseSettings checks the values of (clickhouse ...), the place of each error, and that only classes of reads may be
 // retried.
 func TestClickHouseSettings(t *testing.T) {
-	settings, err := Parse("o", []byte(`(clickhouse (listen "127.0.0.1:8123") (group 9) (aim 1s) (deadline 5s) (most-body 2m) (hold 64k) (bound 10s) (sessions 5)
+	settings, err := Parse("o", []byte(`(clickhouse (listen "127.0.0.1:8123") (group 9) (aim 1s) (deadline 5s)
+		(most-body 2m) (hold 64k) (bound 10s) (sessions 5)
 		(upload 1m) (quiet 2m) (stall 3s) (deadline-header "X-Wait")
 		(user "a" (queries 2) (queue 3) (wait 1s) (rate 5) (burst 9)) (user "*" (queries 4)))`), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := ClickHouse{Listen: "127.0.0.1:8123", Group: 9, LatencyObjectiveMs: 1000, DeadlineMs: 5000, PriorityWeight: 1, MaxBodyBytes: 2 << 20, MaxBufferedBytes: 64 << 10, MaxStalenessMs: 10000,
-		MaxSessions: 5, UploadTimeoutMs: 60000, ServerIdleTimeoutMs: 120000, ClientStallTimeoutMs: 3000, DeadlineHeader: "X-Wait", ConnectionIdleMs: 3000, ClientIdleMs: 60000, HeadTimeoutMs: 10000,
-		Users: map[string]limits.Limits{"a": {Queries: 2, Queue: 3, Wait: 1000, PerSecond: 5, Burst: 9}}, DefaultLimits: limits.Limits{Queries: 4, Wait: 5000}}
+	want := ClickHouse{
+		Listen:               "127.0.0.1:8123",
+		Group:                9,
+		LatencyObjectiveMs:   1000,
+		DeadlineMs:           5000,
+		PriorityWeight:       1,
+		MaxBodyBytes:         2 << 20,
+		MaxBufferedBytes:     64 << 10,
+		MaxStalenessMs:       10000,
+		MaxSessions:          5,
+		UploadTimeoutMs:      60000,
+		ServerIdleTimeoutMs:  120000,
+		ClientStallTimeoutMs: 3000,
+		DeadlineHeader:       "X-Wait",
+		ConnectionIdleMs:     3000,
+		ClientIdleMs:         60000,
+		HeadTimeoutMs:        10000,
+		Users:                map[string]limits.Limits{"a": {Queries: 2, Queue: 3, Wait: 1000, PerSecond: 5, Burst: 9}},
+		DefaultLimits:        limits.Limits{Queries: 4, Wait: 5000},
+	}
 	if diff := cmp.Diff(want, settings.ClickHouse); diff != "" {
 		t.Error(diff)
 	}
 	cfg := &config.Config{}
 	settings.ClickHouse.AddClasses(cfg)
 	got := map[string]decide.Class{}
-	for i, n := range cfg.Classes {
-		got[n] = cfg.Settings.Classes[i]
+	for i, name := range cfg.Classes {
+		got[name] = cfg.Settings.Classes[i]
+	}
+	reads := decide.Class{
+		LatencyObjective: time.Second,
+		Deadline:         5 * time.Second,
+		PriorityWeight:   1,
+		LateWeight:       0.5,
+		Read:             decide.ReadAny,
+		Idempotency:      decide.Idempotent,
 	}
-	reads := decide.Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1, LateWeight: 0.5, Read: decide.ReadAny, Idempotency: decide.Idempotent}
 	writes := reads
 	reads.Read, reads.MaxStaleness = decide.ReadBounded, 10*time.Second
 	writes.Idempotency = decide.NotIdempotent
--- a/internal/settings/credit_test.go
+++ b/internal/settings/credit_test.go
@@ -14,17 +14,27 @@
 
 // TestCreditSettings checks the values of (credit ...).
 func TestCreditSettings(t *testing.T) {
-	settings, err := Parse("x", []byte(beforeCredit+`(credit (unit "cent") (slow-below 0.1) (price "read" (request 2)) (price "report" (request 5) (row 1) (most 100) (failed charged))
+	settings, err := Parse("x", []byte(beforeCredit+`(credit (unit "cent") (slow-below 0.1)
+		(price "read" (request 2)) (price "report" (request 5) (row 1) (most 100) (failed charged))
 		(overdraft "write" 500) (payment "m" 2 70) (payment "m" 1 30) (payment "a" 1 10) (prepaid "z"))`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := settings.Credit.SettingsFor([]string{"write", "read", "report"}, func(i int) float64 { return float64(i) })
-	want := []lease.Class{{PriorityWeight: 0, Overdraft: 500}, {PriorityWeight: 1, Price: lease.Price{PerRequest: 2}}, {PriorityWeight: 2, Price: lease.Price{PerRequest: 5, PerRow: 1, Max: 100, ChargeFailed: true}}}
-	if d := cmp.Diff(want, got.Lease.Classes); d != "" {
+	wantClasses := []lease.Class{
+		{PriorityWeight: 0, Overdraft: 500},
+		{PriorityWeight: 1, Price: lease.Price{PerRequest: 2}},
+		{PriorityWeight: 2, Price: lease.Price{PerRequest: 5, PerRow: 1, Max: 100, ChargeFailed: true}},
+	}
+	wantPayments := []lessor.Payment{
+		{Tenant: "a", Number: 1, Amount: 10},
+		{Tenant: "m", Number: 1, Amount: 30},
+		{Tenant: "m", Number: 2, Amount: 70},
+	}
+	if d := cmp.Diff(wantClasses, got.Lease.Classes); d != "" {
 		t.Error(d)
 	}
-	if d := cmp.Diff([]lessor.Payment{{Tenant: "a", Number: 1, Amount: 10}, {Tenant: "m", Number: 1, Amount: 30}, {Tenant: "m", Number: 2, Amount: 70}}, got.Payments); d != "" {
+	if d := cmp.Diff(wantPayments, got.Payments); d != "" {
 		t.Error(d)
 	}
 	if d := cmp.Diff([]string{"a", "m", "z"}, got.Lease.PrepaidTenants); d != "" {
--- a/internal/settings/durable_test.go
+++ b/internal/settings/durable_test.go
@@ -51,7 +51,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(Journal{Dir: "/d/j", Mode: journal.Alongside, MaxBytes: 5 << 20, CompactionBytesPerSecond: 2 << 20}, settings.Journal); diff != "" {
+	if diff := cmp.Diff(Journal{
+		Dir:                      "/d/j",
+		Mode:                     journal.Alongside,
+		MaxBytes:                 5 << 20,
+		CompactionBytesPerSecond: 2 << 20,
+	}, settings.Journal); diff != "" {
 		t.Error(diff)
 	}
 	for in, want := range map[string]string{
@@ -69,7 +74,12 @@
 // TestSessionsSettings checks the values and errors of (sessions ...).
 func TestSessionsSettings(t *testing.T) {
 	for in, want := range map[string]any{
-		`(sessions (dir "/s") (mode alongside) (most 2m) (pace 64k))`: Sessions{Dir: "/s", Mode: sessiontoken.Alongside, MaxBytes: 2 << 20, CompactionBytesPerSecond: 64 << 10},
+		`(sessions (dir "/s") (mode alongside) (most 2m) (pace 64k))`: Sessions{
+			Dir:                      "/s",
+			Mode:                     sessiontoken.Alongside,
+			MaxBytes:                 2 << 20,
+			CompactionBytesPerSecond: 64 << 10,
+		},
 		`(sessions (dir "$NO"))`:             `o:1:1: sessions: (dir "FOLDER") is due, on a disk that survives`,
 		`(sessions (dir "/s") (mode never))`: "o:1:28: before or alongside is due here",
 	} {
--- a/internal/settings/endpoints_test.go
+++ b/internal/settings/endpoints_test.go
@@ -19,23 +19,51 @@
 		(consul (agents "127.0.0.1:8500" "[::1]:8500") (services "a" "b") (token-file "$T/token") (dc "recife") (ns "obra") (filter "Service.Port > 1")
 			(consistency stale) (max-stale 3s) (wait 9s) (most 1m)
 			(map (group (tag "cell=")) (role (tag)) (zone (node-meta "rack")) (started none) (primary "lider") (group-number "obra" 3)))
-		(static "/s") (rank static consul) (keep 1h) (old 5s) (mass 0.25 2 10s 1m) (flaps no) (word 9s) (critical drains) (snapshot "$T/s") (override "/o"))`), env)
+		(static "/s") (rank static consul) (keep 1h) (old 5s) (mass 0.25 2 10s 1m) (flaps no) (word 9s) (critical drains)
+		(snapshot "$T/s") (override "/o"))`), env)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := &settings.Endpoints
-	want := reconcile.Settings{Sources: []string{"static", "consul"}, SourceRetentionMs: 3600000, StaleAgeMs: 5000, MassRemovalFraction: 0.25, MassRemovalMinimum: 2, MassRemovalWindowMs: 10000, MassRemovalHoldMs: 60000, FlapWindowMs: 60000, FlapHoldMs: 20000,
-		SelfReportTTLMs: 9000, Critical: reconcile.CriticalDrain}
+	want := reconcile.Settings{
+		Sources:             []string{"static", "consul"},
+		SourceRetentionMs:   3600000,
+		StaleAgeMs:          5000,
+		MassRemovalFraction: 0.25,
+		MassRemovalMinimum:  2,
+		MassRemovalWindowMs: 10000,
+		MassRemovalHoldMs:   60000,
+		FlapWindowMs:        60000,
+		FlapHoldMs:          20000,
+		SelfReportTTLMs:     9000,
+		Critical:            reconcile.CriticalDrain,
+	}
 	if diff := cmp.Diff(want, m.Options.Reconcile); diff != "" {
 		t.Error(diff)
 	}
-	c := m.Consul
-	c.Mapping.ReplicaWords = nil
 	mapping := consul.DefaultMapping()
-	mapping.Group, mapping.Role, mapping.Zone, mapping.Started = consul.FieldSource{Kind: "tag", Key: "cell="}, consul.FieldSource{Kind: "tag"}, consul.FieldSource{Kind: "node-meta", Key: "rack"}, consul.FieldSource{Kind: "none"}
-	mapping.PrimaryWords, mapping.ReplicaWords, mapping.GroupNumbers = []string{"lider"}, nil, map[string]string{"obra": "3"}
-	if diff := cmp.Diff(&consul.Options{Name: "consul", Agents: []string{"127.0.0.1:8500", "[::1]:8500"}, Services: []string{"a", "b"}, Datacenter: "recife", Namespace: "obra",
-		Filter: "Service.Port > 1", Consistency: "stale", MaxStaleMs: 3000, WaitMs: 9000, MaxResponseBytes: 1 << 20, Mapping: mapping}, c); diff != "" {
+	mapping.Group = consul.FieldSource{Kind: consul.FieldTag, Key: "cell="}
+	mapping.Role = consul.FieldSource{Kind: consul.FieldTag}
+	mapping.Zone = consul.FieldSource{Kind: consul.FieldNodeMeta, Key: "rack"}
+	mapping.Started = consul.FieldSource{Kind: consul.FieldNone}
+	mapping.PrimaryWords = []string{"lider"}
+	mapping.ReplicaWords = nil
+	mapping.GroupNumbers = map[string]string{"obra": "3"}
+	wantConsul := &consul.Options{
+		Name:             "consul",
+		Agents:           []string{"127.0.0.1:8500", "[::1]:8500"},
+		Services:         []string{"a", "b"},
+		Datacenter:       "recife",
+		Namespace:        "obra",
+		Filter:           "Service.Port > 1",
+		Consistency:      "stale",
+		MaxStaleMs:       3000,
+		WaitMs:           9000,
+		MaxResponseBytes: 1 << 20,
+		Mapping:          mapping,
+	}
+	m.Consul.Mapping.ReplicaWords = nil // of the default
+	if diff := cmp.Diff(wantConsul, m.Consul); diff != "" {
 		t.Error(diff)
 	}
 	if !m.Enabled || m.TokenFile != "/e/token" || m.Options.SnapshotPath != "/e/s" || m.StaticPath != "/s" || m.OverridePath != "/o" {
@@ -83,12 +111,14 @@
 	file := filepath.Join(t.TempDir(), "o")
 	m := &Endpoints{OverridePath: file}
 	for text, want := range map[string]any{
-		"":                                 reconcile.Override{},
-		`(accept-removals)`:                reconcile.Override{AcceptHeldRemovals: true},
-		`(pin "a" gone) (pin "b" serving)`: reconcile.Override{Pins: []reconcile.Pin{{ID: "a", State: reconcile.StateRemoved}, {ID: "b", State: reconcile.StateServing}}},
-		`(pin "a")`:                        ":1:1: (pin \"ID\" serving), draining or gone",
-		`(pin "a" up)`:                     ":1:10: serving, draining or gone",
-		`(unpin "a")`:                      `:1:1: "unpin" is not known here; known are: accept-removals, pin`,
+		"":                  reconcile.Override{},
+		`(accept-removals)`: reconcile.Override{AcceptHeldRemovals: true},
+		`(pin "a" gone) (pin "b" serving)`: reconcile.Override{
+			Pins: []reconcile.Pin{{ID: "a", State: reconcile.StateRemoved}, {ID: "b", State: reconcile.StateServing}},
+		},
+		`(pin "a")`:    ":1:1: (pin \"ID\" serving), draining or gone",
+		`(pin "a" up)`: ":1:10: serving, draining or gone",
+		`(unpin "a")`:  `:1:1: "unpin" is not known here; known are: accept-removals, pin`,
 	} {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/settings/outlier_test.go
+++ b/internal/settings/outlier_test.go
@@ -21,8 +21,15 @@
 		if !strings.HasPrefix(got, want) || (want == "") != (got == "") {
 			t.Errorf("%s: %q, want %q", in, got, want)
 		}
-		if v := settings.OutlierDetection; want == "" && (!v.Enabled || v.Settings.SharePositions || !v.Settings.ShareHealth || v.Settings.MaxEjectedShare != 0.25 || v.Settings.EjectionTime != 5000) {
-			t.Errorf("read as %+v", v)
+		if want != "" {
+			continue
+		}
+		detection := settings.OutlierDetection
+		if !detection.Enabled || detection.Settings.SharePositions || !detection.Settings.ShareHealth {
+			t.Errorf("read as %+v", detection)
+		}
+		if detection.Settings.MaxEjectedShare != 0.25 || detection.Settings.EjectionTime != 5000 {
+			t.Errorf("read as %+v", detection)
 		}
 	}
 }
--- a/internal/settings/overload_test.go
+++ b/internal/settings/overload_test.go
@@ -23,8 +23,12 @@
 		if !strings.HasPrefix(got, want) || (want == "") != (got == "") {
 			t.Errorf("%s: %q, want %q", in, got, want)
 		}
-		if want == "" && (!settings.Overload.Enabled || settings.Overload.Shed || settings.Overload.Share || settings.Overload.Repeats || settings.Overload.Returns != 0) {
-			t.Errorf("read as %+v", settings.Overload)
+		if want != "" {
+			continue
+		}
+		overload := settings.Overload
+		if !overload.Enabled || overload.Shed || overload.Share || overload.Repeats || overload.Returns != 0 {
+			t.Errorf("read as %+v", overload)
 		}
 	}
 }
--- a/internal/settings/raftlog_test.go
+++ b/internal/settings/raftlog_test.go
@@ -12,8 +12,12 @@
 		return Parse("f", []byte(peers+s), func(string) string { return "/disk" })
 	}
 	settings, err := read(`(agreed (voters "a" "b" "c") (dir "$D/agreed") (tick 100ms) (election 10) (heartbeat 1) (witness 5))`)
-	if err != nil || !settings.RaftLog.Enabled || settings.RaftLog.Dir != "/disk/agreed" || settings.RaftLog.Settings.TickInterval != 100 || len(settings.RaftLog.Settings.Voters) != 3 {
-		t.Fatalf("%v %+v", err, settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := settings.RaftLog
+	if !log.Enabled || log.Dir != "/disk/agreed" || log.Settings.TickInterval != 100 || len(log.Settings.Voters) != 3 {
+		t.Fatalf("%+v", log)
 	}
 	for text, word := range map[string]string{
 		`(agreed (voters "a" "b") (dir "d"))`:                                 "three names or five",
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,9 @@
 			Dir: "/t/r", SegmentBytes: 1 << 20, TotalBytes: 8 << 20, QueueLength: 128, FlushIntervalMs: 1000, Compress: true}},
 		`(record (on no))`: Settings{Record: Record{SegmentBytes: defaultSegmentBytes, TotalBytes: defaultTotalBytes,
 			QueueLength: defaultQueueLength, FlushIntervalMs: defaultFlushIntervalMs}},
-		`(kept (dir "$T/k") (age 1h) (pace 1m))`:   Settings{Snapshots: Snapshots{Dir: "/t/k", MaxAgeMs: 3600e3, MaxBytes: defaultSnapshotBytes, CompactionBytesPerSecond: 1 << 20}},
+		`(kept (dir "$T/k") (age 1h) (pace 1m))`: Settings{
+			Snapshots: Snapshots{Dir: "/t/k", MaxAgeMs: 3600e3, MaxBytes: defaultSnapshotBytes, CompactionBytesPerSecond: 1 << 20},
+		},
 		`(kept (dir "$NO"))`:                       `o:1:1: kept: (dir "FOLDER") is due, on a disk that survives`,
 		"(record)\n(records)":                      `o:2:1: "records" is not known here; known are: agreed, clickhouse, credit, fleet-limits, invariants, journal, kept, membership, overload, peers, pooling, record, scatter, sessions, verdicts, zones`,
 		"(record (on))":                            "o:1:1: record: it is on, but no (dir ...) says where",
--- a/internal/settings/zones_test.go
+++ b/internal/settings/zones_test.go
@@ -4,6 +4,9 @@
 	"strings"
 	"testing"
 
+	"github.com/google/go-cmp/cmp"
+
+	"beechgrade/internal/cluster/zones"
 	"beechgrade/internal/cluster/zones/health"
 )
 
@@ -11,14 +14,19 @@
 
 // TestZonesSettings checks the values and errors of (zones ...).
 func TestZonesSettings(t *testing.T) {
-	settings, err := Parse("x", []byte(zonesNeed+` (zones (names "a" "b") (delay "a" "b" 3ms) (spare 0.3) (order 7 "b" evacuated (until "2026-01-31T12:00:00Z")))`), func(string) string { return "" })
+	text := zonesNeed + ` (zones (names "a" "b") (delay "a" "b" 3ms) (spare 0.3) (order 7 "b" evacuated (until "2026-01-31T12:00:00Z")))`
+	settings, err := Parse("x", []byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	z := &settings.Zones
-	if o := z.Orders[0]; !z.Enabled || z.Planner.Plan.Delay[1][0] != 3 || z.Planner.Plan.SpareShare != 0.3 || o.Number != 7 || o.State != health.Evacuated || o.Until != 1769860800000 {
+	if !z.Enabled || z.Planner.Plan.Delay[1][0] != 3 || z.Planner.Plan.SpareShare != 0.3 {
 		t.Errorf("%+v", z)
 	}
+	order := zones.Order{Number: 7, Zone: "b", State: health.Evacuated, Until: 1769860800000}
+	if diff := cmp.Diff([]zones.Order{order}, z.Orders); diff != "" {
+		t.Error(diff)
+	}
 	for text, want := range map[string]string{
 		`(zones (names "a" "b"))`:                                          "needs (peers ...) and (agreed ...)",
 		zonesNeed + `(zones (names "a"))`:                                  "from 2 to",
