--- a/internal/cluster/quota/invariants.go
+++ b/internal/cluster/quota/invariants.go
@@ -68,25 +68,23 @@
 	checks.That(inPool, "quota: unaccounted units are within the pool", describe)
 	checks.That(!state.active || state.ends <= q.now+q.settings.VoteDuration, "quota: an ownership ends with its votes", describe)
 
-	const holdersFiled = "quota: holders are in order, each filed once"
+	const (
+		holdersFiled   = "quota: holders are in order, each filed once"
+		numbersInRange = "quota: a holder's numbers are in their ranges"
+	)
 	inOrder := slices.IsSortedFunc(state.holders, func(a, b *holder) int { return cmp.Compare(a.id, b.id) })
 	checks.That(inOrder && len(state.holders) == len(state.holderByID), holdersFiled, describe)
 	for _, peer := range state.holders {
 		checks.That(state.holderByID[peer.id] == peer, holdersFiled, describe)
-		checks.That(q.inRange(limit, peer), "quota: a holder's numbers are in their ranges", describe)
+		inRange := len(peer.grants) <= maxGrants && peer.confirmedUnits >= 0 && peer.voteEnds <= q.now+q.settings.VoteDuration
+		checks.That(inRange, numbersInRange, describe)
+		for _, g := range peer.grants {
+			checks.That(g.units >= 0 && g.ends <= q.now+q.settings.leaseRetention(limit.Kind), numbersInRange, describe)
+		}
 		checks.That(!q.isExpired(limit, peer, expiredTicks*q.settings.TickInterval), "quota: no account is kept of an expired holder", describe)
 	}
 }
 
-func (q *Quota) inRange(limit *limitState, peer *holder) bool {
-	retention := q.settings.leaseRetention(limit.Kind)
-	badGrant := func(g grant) bool { return g.units < 0 || g.ends > q.now+retention }
-	if len(peer.grants) > maxGrants || slices.ContainsFunc(peer.grants, badGrant) {
-		return false
-	}
-	return peer.confirmedUnits >= 0 && peer.voteEnds <= q.now+q.settings.VoteDuration
-}
-
 func (q *Quota) describeOwnership(limit *limitState) string {
 	state := &limit.ownership
 	text := fmt.Sprintf("%s: pool %d, epoch %d, owns %v until %v, unaccounted %d until %v, now %v, leased %d:", limit.Name,
