--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -138,110 +138,154 @@
 	}
 }
 
+// process is one of two that take sessions' writes at once, with its own disk.
+type process struct {
+	disk   *faultyfs.Disk
+	store  *store.Store
+	keeper *Keeper
+	mode   Mode
+	wait   func()
+}
+
+func startProcess(rt *rapid.T, disk *faultyfs.Disk, mode Mode, now decide.Time) *process {
+	keeper, s, wait, err := open(disk, mode, now)
+	if err != nil {
+		rt.Fatal(err)
+	}
+	return &process{disk: disk, store: s, keeper: keeper, mode: mode, wait: wait}
+}
+
+// mergePlay is two processes, one of which ends and is merged into the other.
+type mergePlay struct {
+	rt        *rapid.T
+	rng       *rand.Rand
+	now       decide.Time
+	answered  map[string]decide.Time // the last commit of each session that either answered
+	router    map[string]decide.Time // what the remaining process's router knows
+	forgotten decide.Time            // ...and of any other session
+	ending    *process
+	remaining *process
+}
+
+func newMergePlay(rt *rapid.T) *mergePlay {
+	p := &mergePlay{
+		rt: rt, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1)), now: 1000,
+		answered: map[string]decide.Time{}, router: map[string]decide.Time{},
+	}
+	for _, process := range []**process{&p.ending, &p.remaining} {
+		mode := rapid.SampledFrom([]Mode{BeforeAnswer, Alongside}).Draw(rt, "mode")
+		*process = startProcess(rt, faultyfs.New(), mode, p.now)
+		(*process).keeper.maxSessions = 4
+	}
+	return p
+}
+
+// write has one of the processes take a write of a session.
+func (p *mergePlay) write() {
+	process := []*process{p.ending, p.remaining}[rapid.IntRange(0, 1).Draw(p.rt, "by")]
+	p.now += decide.Time(rapid.IntRange(1, 20).Draw(p.rt, "later"))
+	name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", strings.Repeat("long", 60)}).Draw(p.rt, "session")
+	isAnswered := true
+	if process.keeper.Keep(name, p.now, func(kept bool) { isAnswered = kept }) {
+		process.wait()
+	}
+	if isAnswered {
+		p.answered[name] = p.now
+	}
+	if process == p.remaining {
+		p.router[name] = p.now
+	}
+}
+
+// end ends one process, cleanly or with a loss of power.
+func (p *mergePlay) end() {
+	clean := rapid.Bool().Draw(p.rt, "clean")
+	if !clean {
+		_ = p.ending.store.Close()
+	} else if err := Close(p.ending.store, p.ending.mode); err != nil {
+		p.rt.Fatal(err)
+	}
+	p.ending.disk = p.ending.disk.Restart(p.rng, !clean)
+}
+
+// restart has the remaining process start anew.
+func (p *mergePlay) restart() {
+	if err := Close(p.remaining.store, p.remaining.mode); err != nil {
+		p.rt.Fatal(err)
+	}
+	p.remaining = startProcess(p.rt, p.remaining.disk.Restart(p.rng, true), p.remaining.mode, p.now)
+	p.router = map[string]decide.Time{}
+	snapshot := p.remaining.keeper.Snapshot()
+	p.forgotten = snapshot.ForgottenCommit
+	for _, commit := range snapshot.Commits {
+		p.router[commit.Session] = commit.At
+	}
+}
+
+// merge has the remaining process take over what the other's disk holds, and erases that sometimes.
+func (p *mergePlay) merge() {
+	s, _, err := store.Open(store.Options{FS: p.ending.disk})
+	if err != nil {
+		p.rt.Fatal(err)
+	}
+	done := make(chan error, 1)
+	stored := Read(s, p.now, slog.New(slog.DiscardHandler))
+	snapshot := p.remaining.keeper.Merge(stored, func(err error) { done <- err })
+	if err := <-done; err != nil {
+		p.rt.Fatal(err)
+	}
+	p.forgotten = max(p.forgotten, snapshot.ForgottenCommit)
+	for _, commit := range snapshot.Commits {
+		p.router[commit.Session] = max(p.router[commit.Session], commit.At)
+	}
+	if rapid.Bool().Draw(p.rt, "erased") {
+		if err := Erase(s); err != nil {
+			p.rt.Fatal(err)
+		}
+	}
+	if err := s.Close(); err != nil {
+		p.rt.Fatal(err)
+	}
+}
+
+// check verifies that no session counts for less than what was answered, at the router and after another start.
+func (p *mergePlay) check() {
+	for name, at := range p.answered {
+		got, known := p.router[name]
+		if !known {
+			got = p.forgotten
+		}
+		if got < at {
+			p.rt.Fatalf("%.10s counts for %d at the router, and was answered %d", name, got, at)
+		}
+	}
+	_ = p.remaining.store.Close()
+	last := startProcess(p.rt, p.remaining.disk.Restart(p.rng, true), p.remaining.mode, p.now)
+	for name, at := range p.answered {
+		if got := commitSeenBy(last.keeper, name); got < at {
+			p.rt.Fatalf("after a start %.10s counts for %d, and was answered %d", name, got, at)
+		}
+	}
+	_ = last.store.Close()
+}
+
 // TestMergedSessionsNeverGoBack has two processes take sessions' writes at once, each on its own disk; one ends, cleanly or not, or loses
 // power, and the other takes over what it held, then or after a start of its own. No session counts for less than its last commit that either
 // answered, and a merge may be repeated.
 func TestMergedSessionsNeverGoBack(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
-		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
-		disks := [2]*faultyfs.Disk{faultyfs.New(), faultyfs.New()}
-		var keepers [2]*Keeper
-		var stores [2]*store.Store
-		var waits [2]func()
-		var modes [2]Mode
-		now, answered := decide.Time(1000), map[string]decide.Time{}
-		for i := range keepers {
-			modes[i] = rapid.SampledFrom([]Mode{BeforeAnswer, Alongside}).Draw(rt, "mode")
-			var err error
-			if keepers[i], stores[i], waits[i], err = open(disks[i], modes[i], now); err != nil {
-				rt.Fatal(err)
-			}
-			keepers[i].maxSessions = 4
-		}
-		router := map[string]decide.Time{} // what the living one's router knows, and of any other
-		forgotten := decide.Time(0)
+		p := newMergePlay(rt)
 		for range rapid.IntRange(0, 30).Draw(rt, "writes") {
-			i := rapid.IntRange(0, 1).Draw(rt, "by")
-			now += decide.Time(rapid.IntRange(1, 20).Draw(rt, "later"))
-			name, at, isAnswered := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", strings.Repeat("long", 60)}).Draw(rt, "session"), now, true
-			if keepers[i].Keep(name, at, func(kept bool) { isAnswered = kept }) {
-				waits[i]()
-			}
-			if isAnswered {
-				answered[name] = at
-			}
-			if i == 1 {
-				router[name] = at
-			}
+			p.write()
 		}
-		ordered := rapid.Bool().Draw(rt, "in order")
-		if ordered {
-			if err := Close(stores[0], modes[0]); err != nil {
-				rt.Fatal(err)
-			}
-		} else {
-			_ = stores[0].Close()
-		}
-		disks[0] = disks[0].Restart(rng, !ordered)
+		p.end()
 		if rapid.Bool().Draw(rt, "the other starts anew") {
-			if err := Close(stores[1], modes[1]); err != nil {
-				rt.Fatal(err)
-			}
-			var err error
-			disks[1] = disks[1].Restart(rng, true)
-			if keepers[1], stores[1], _, err = open(disks[1], modes[1], now); err != nil {
-				rt.Fatal(err)
-			}
-			router = map[string]decide.Time{}
-			m := keepers[1].Snapshot()
-			forgotten = m.ForgottenCommit
-			for _, c := range m.Commits {
-				router[c.Session] = c.At
-			}
+			p.restart()
 		}
 		for range rapid.IntRange(1, 2).Draw(rt, "times") {
-			s, _, err := store.Open(store.Options{FS: disks[0]})
-			if err != nil {
-				rt.Fatal(err)
-			}
-			callbacks := make(chan error, 1)
-			m := keepers[1].Merge(Read(s, now, slog.New(slog.DiscardHandler)), func(err error) { callbacks <- err })
-			if err := <-callbacks; err != nil {
-				rt.Fatal(err)
-			}
-			forgotten = max(forgotten, m.ForgottenCommit)
-			for _, c := range m.Commits {
-				router[c.Session] = max(router[c.Session], c.At)
-			}
-			if rapid.Bool().Draw(rt, "emptied") {
-				if err := Erase(s); err != nil {
-					rt.Fatal(err)
-				}
-			}
-			if err := s.Close(); err != nil {
-				rt.Fatal(err)
-			}
+			p.merge()
 		}
-		for name, at := range answered {
-			got, ok := router[name]
-			if !ok {
-				got = forgotten
-			}
-			if got < at {
-				rt.Fatalf("%.10s counts for %d at the router, and was answered %d", name, got, at)
-			}
-		}
-		_ = stores[1].Close()
-		last, s, _, err := open(disks[1].Restart(rng, true), modes[1], now)
-		if err != nil {
-			rt.Fatal(err)
-		}
-		for name, at := range answered {
-			if got := commitSeenBy(last, name); got < at {
-				rt.Fatalf("after a start %.10s counts for %d, and was answered %d", name, got, at)
-			}
-		}
-		_ = s.Close()
+		p.check()
 	})
 }
 
