--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -4,7 +4,7 @@
 // Its inputs are requests of the frontends, ends of attempts and health checks, endpoint lists, settings and what peers assign.
 // Its outputs are attempts and health checks at the servers, answers to clients, and records. It has a slot for each request
 // until that is over and its attempts have ended, and keys of requests for some minutes (see recentKeys). Without peers, a
-// journal or credit their fields are nil, and the settings alone apply: a pooler that hears nobody goes on by itself.
+// journal or credit their fields are nil, and the settings alone apply: without messages of peers a pooler goes on by itself.
 //
 // One file holds one concern:
 //
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -125,7 +125,7 @@
 	return false
 }
 
-// answerClient gives the client of an open request the answer that has come, and ends a request whose client is gone.
+// answerClient gives the client of an open request the answer that has come, and ends a request whose client has closed its connection.
 func (c *Core) answerClient(ref slotmap.Ref, req *request, outcome *backend.Outcome) {
 	switch {
 	case req.finished:
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -162,7 +162,7 @@
 const noTenant = -1
 
 // mayRunAgain reports whether a request must not run twice and may have run before: in an earlier process, or by an earlier
-// request of its id whose client is gone.
+// request of its id whose client has closed its connection.
 func (c *Core) mayRunAgain(incoming *platform.Request, contract *decide.Class) bool {
 	if contract.Idempotency == decide.Idempotent {
 		return false
