--- a/internal/backend/journaled/journaled.go
+++ b/internal/backend/journaled/journaled.go
@@ -132,7 +132,7 @@
 // logFailure logs an error of the store, unless it is closed.
 func (s *Servers) logFailure(err error) {
 	if err != nil && !errors.Is(err, store.ErrClosed) {
-		s.log.Error("journal", "err", err)
+		s.log.Error("journal: an attempt could not be recorded", "err", err)
 	}
 }
 
--- a/internal/storage/sessiontoken/merge.go
+++ b/internal/storage/sessiontoken/merge.go
@@ -28,7 +28,7 @@
 		at, err := decode(value)
 		switch {
 		case err != nil:
-			log.Warn("sessions: a value is not used", "key", key, "err", err)
+			log.Warn("sessions: a stored value is malformed and not used", "key", key, "err", err)
 			latest = max(latest, now)
 			stored.forgottenUntil = max(stored.forgottenUntil, now)
 		case key == forgottenKey:
@@ -100,7 +100,7 @@
 
 // mergeUnclean takes it that every session may have written at the other process until its end.
 func (k *Keeper) mergeUnclean(m *merge, other *StoredTokens) {
-	k.log.Warn("sessions: another process did not end in order: every session counts as written until its end")
+	k.log.Warn("sessions: another process did not shut down cleanly; every session counts as written until its end")
 	for _, sessions := range k.knownSessions() {
 		for name, at := range sessions {
 			m.commit(name, max(at, other.latestCommit))
--- a/internal/storage/sessiontoken/sessiontoken.go
+++ b/internal/storage/sessiontoken/sessiontoken.go
@@ -81,7 +81,7 @@
 	}
 	var entries []store.Entry
 	if stored.uncleanShutdown {
-		log.Warn("sessions: the process before did not end in order: every session counts as written until now")
+		log.Warn("sessions: the previous process did not shut down cleanly; every session counts as written until now")
 		entries = k.forgetAll(stored.latestCommit)
 	}
 	if mode == Alongside {
@@ -190,7 +190,7 @@
 func (k *Keeper) logFailure(err error) {
 	if err != nil && !k.diskFailureLogged {
 		k.diskFailureLogged = true
-		k.log.Error("sessions: commits are not kept", "mode", k.mode.String(), "err", err)
+		k.log.Error("sessions: the store failed, commits are not kept", "mode", k.mode.String(), "err", err)
 	}
 }
 
--- a/internal/storage/snapshots/snapshots.go
+++ b/internal/storage/snapshots/snapshots.go
@@ -104,7 +104,7 @@
 		}
 		record, err := decode(value)
 		if err != nil {
-			k.options.Log.Warn("kept: a value is not used", "what", kind, "err", err)
+			k.options.Log.Warn("kept: a stored value is malformed and not used", "kind", kind, "err", err)
 			continue
 		}
 		k.loaded[kind] = record
@@ -189,7 +189,7 @@
 		case <-k.quit:
 			k.saveWaiting()
 			if err := k.store.Close(); err != nil {
-				k.options.Log.Warn("kept", "err", err)
+				k.options.Log.Warn("kept: closing the store failed", "err", err)
 			}
 			return
 		case <-k.wake:
@@ -206,7 +206,7 @@
 		case <-time.After(lockRetryInterval):
 		}
 		if _, err := k.open(); err != nil && !errors.Is(err, store.ErrLocked) {
-			k.options.Log.Error("kept: nothing is kept", "err", err)
+			k.options.Log.Error("kept: the store cannot be opened, nothing is stored", "err", err)
 			<-k.quit
 			return false
 		}
@@ -238,7 +238,7 @@
 	}
 	if k.lastErrors[kind] != err.Error() {
 		k.lastErrors[kind] = err.Error()
-		k.options.Log.Error("kept: it could not be kept", "what", kind, "err", err)
+		k.options.Log.Error("kept: a value could not be stored", "kind", kind, "err", err)
 	}
 }
 
