--- a/internal/frontend/pooling/admin.go
+++ b/internal/frontend/pooling/admin.go
@@ -9,68 +9,116 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// adminQuery answers in the database "beechgrade": what the pools hold.
+// adminTable is the answer to a query in the admin database.
+type adminTable struct {
+	columns []string
+	rows    [][]string
+}
+
+// adminTables are the queries of the admin database that get a table.
+var adminTables = map[string]func(*Frontend) adminTable{
+	"SHOW POOLS":   (*Frontend).showPools,
+	"SHOW SERVERS": (*Frontend).showServers,
+	"SHOW CLIENTS": (*Frontend).showClients,
+	"SHOW STATS":   (*Frontend).showStats,
+	"SHOW HELP":    (*Frontend).showHelp,
+	"HELP":         (*Frontend).showHelp,
+}
+
+// adminQuery answers a query in the admin database, which shows the state of the pools.
 func (c *client) adminQuery(sql string) {
-	f := c.frontend
 	words := strings.Fields(strings.ToUpper(strings.TrimRight(strings.TrimSpace(sql), "; ")))
-	var names []string
-	var rows [][]string
-	switch strings.Join(words, " ") {
-	case "":
+	query := strings.Join(words, " ")
+	if query == "" {
 		c.output = pgwire.AppendReady(pgwire.AppendEmpty(c.output))
 		return
-	case "SHOW POOLS":
-		names = []string{"database", "user", "mode", "clients", "idle", "used", "connecting", "waiting", "longest_wait_ms", "most"}
-		for _, p := range f.pools {
-			idle, used, dialing, waiting := p.conns.Counts()
-			oldest := 0.0
-			if at := p.conns.OldestWait(); at > 0 {
-				oldest = f.eventLoop.Now() - at
-			}
-			rows = append(rows, []string{p.key.database, p.key.user, p.options.Mode.String(), strconv.Itoa(p.clients), strconv.Itoa(idle), strconv.Itoa(used),
-				strconv.Itoa(dialing), strconv.Itoa(waiting + p.conns.QueuedTransactions()), fmt.Sprintf("%.0f", oldest), strconv.Itoa(p.options.Limits.MaxConns)})
-		}
-	case "SHOW SERVERS":
-		names = []string{"server", "address", "database", "user", "state", "prepared"}
-		f.links.Each(func(_ slotmap.Ref, l *link) {
-			state := "idle"
-			switch {
-			case !l.ready:
-				state = "connecting"
-			case l.closesAt != 0:
-				state = "ending"
-			case l.owner != nil:
-				state = "used"
-			}
-			rows = append(rows, []string{l.serverID, f.addresses[l.serverID], l.pool.key.database, l.pool.key.user, state, strconv.Itoa(l.state.Prepared())})
-		})
-	case "SHOW CLIENTS":
-		names = []string{"database", "user", "state", "server", "pinned_by"}
-		f.clients.Each(func(_ slotmap.Ref, x *client) {
-			if x.pool == nil {
-				return
-			}
-			state, server := "idle", ""
-			if x.link != nil {
-				state, server = "active", x.link.serverID
-			} else if x.transaction != nil {
-				state = "waiting"
-			}
-			rows = append(rows, []string{x.pool.key.database, x.pool.key.user, state, server, x.state.Sticky.String()})
-		})
-	case "SHOW STATS":
-		names = []string{"transactions", "executed", "prepared", "settings_carried", "moves", "cancels", "refused", "begun_again", "distinct_statements", "statement_bytes"}
-		n := func(x uint64) string { return strconv.FormatUint(x, 10) }
-		x := f.Counts
-		rows = [][]string{{n(x.Transactions), n(x.Executed), n(x.Prepared), n(x.SettingsSynced), n(x.Moves), n(x.Cancels), n(x.Refused), n(x.Restarts),
-			strconv.Itoa(f.statements.Len()), strconv.Itoa(f.statements.Bytes())}}
-	case "SHOW HELP", "HELP":
-		names = []string{"command"}
-		rows = [][]string{{"SHOW POOLS"}, {"SHOW SERVERS"}, {"SHOW CLIENTS"}, {"SHOW STATS"}}
-	default:
-		c.output = pgwire.AppendReady(pgwire.AppendError(c.output, "ERROR", "42601", "not known here; SHOW HELP lists what is", ""))
+	}
+	show, ok := adminTables[query]
+	if !ok {
+		c.output = pgwire.AppendReady(pgwire.AppendError(c.output, "ERROR", codeSyntax, "not known here; SHOW HELP lists what is", ""))
 		return
 	}
-	c.output = pgwire.AppendTable(c.output, names, rows)
+	table := show(c.frontend)
+	c.output = pgwire.AppendTable(c.output, table.columns, table.rows)
 	c.output = pgwire.AppendReady(pgwire.AppendComplete(c.output, "SHOW"))
 }
+
+func (f *Frontend) showPools() adminTable {
+	table := adminTable{columns: []string{"database", "user", "mode", "clients", "idle", "used", "connecting", "waiting", "longest_wait_ms", "most"}}
+	for _, p := range f.pools {
+		idle, used, dialing, waiting := p.conns.Counts()
+		table.rows = append(table.rows, []string{
+			p.key.database,
+			p.key.user,
+			p.options.Mode.String(),
+			strconv.Itoa(p.clients),
+			strconv.Itoa(idle),
+			strconv.Itoa(used),
+			strconv.Itoa(dialing),
+			strconv.Itoa(waiting + p.conns.QueuedTransactions()),
+			fmt.Sprintf("%.0f", p.longestWaitMs(f.now())),
+			strconv.Itoa(p.options.Limits.MaxConns),
+		})
+	}
+	return table
+}
+
+func (f *Frontend) showServers() adminTable {
+	table := adminTable{columns: []string{"server", "address", "database", "user", "state", "prepared"}}
+	f.links.Each(func(_ slotmap.Ref, l *link) {
+		table.rows = append(table.rows, []string{
+			l.serverID, f.addresses[l.serverID], l.pool.key.database, l.pool.key.user, l.adminState(), strconv.Itoa(l.state.Prepared()),
+		})
+	})
+	return table
+}
+
+// adminState returns the state of the connection as the admin database names it.
+func (l *link) adminState() string {
+	switch {
+	case !l.ready:
+		return "connecting"
+	case l.closesAt != 0:
+		return "ending"
+	case l.owner != nil:
+		return "used"
+	}
+	return "idle"
+}
+
+func (f *Frontend) showClients() adminTable {
+	table := adminTable{columns: []string{"database", "user", "state", "server", "pinned_by"}}
+	f.clients.Each(func(_ slotmap.Ref, c *client) {
+		if c.pool == nil {
+			return
+		}
+		state, server := "idle", ""
+		if c.link != nil {
+			state, server = "active", c.link.serverID
+		} else if c.transaction != nil {
+			state = "waiting"
+		}
+		table.rows = append(table.rows, []string{c.pool.key.database, c.pool.key.user, state, server, c.state.Sticky.String()})
+	})
+	return table
+}
+
+func (f *Frontend) showStats() adminTable {
+	table := adminTable{columns: []string{"transactions", "executed", "prepared", "settings_carried", "moves", "cancels", "refused",
+		"begun_again", "distinct_statements", "statement_bytes"}}
+	counts := &f.Counts
+	var row []string
+	for _, count := range []uint64{counts.Transactions, counts.Executed, counts.Prepared, counts.SettingsSynced, counts.Moves, counts.Cancels,
+		counts.Refused, counts.Restarts, uint64(f.statements.Len()), uint64(f.statements.Bytes())} {
+		row = append(row, strconv.FormatUint(count, 10))
+	}
+	table.rows = [][]string{row}
+	return table
+}
+
+func (f *Frontend) showHelp() adminTable {
+	return adminTable{
+		columns: []string{"command"},
+		rows:    [][]string{{"SHOW POOLS"}, {"SHOW SERVERS"}, {"SHOW CLIENTS"}, {"SHOW STATS"}},
+	}
+}
--- a/internal/frontend/pooling/cancel.go
+++ b/internal/frontend/pooling/cancel.go
@@ -6,31 +6,38 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// cancel passes a cancel request on to the server where the client's query runs now.
+// cancel handles a cancel request: it is forwarded to the server where the client's query runs, or ends the transaction that waits.
 func (f *Frontend) cancel(pid, secret uint32) {
 	c := f.keys[pid]
-	if c != nil && c.secret == secret && c.page != nil {
-		c.scatterCancel()
+	if c == nil || c.secret != secret {
 		return
 	}
-	if c != nil && c.secret == secret && c.waitsForConnection() {
+	switch {
+	case c.page != nil:
+		c.scatterCancel()
+		return
+	case c.waitsForConnection():
 		c.cancelQueued()
 		return
 	}
-	if c != nil && c.secret == secret && c.transaction != nil {
+	if c.transaction != nil {
 		c.transaction.cancelled = true
 	}
-	if c == nil || c.secret != secret || c.link == nil || len(c.link.expected) == 0 || c.link.pid == 0 || f.cancels >= maxCancels {
-		return
+	if c.linkBusy() && c.link.pid != 0 && f.cancels < maxCancels {
+		f.forwardCancel(c.link)
 	}
-	l := c.link
+}
+
+// forwardCancel sends a cancel request to a server. Until it is handled, the connection is not given to another client.
+func (f *Frontend) forwardCancel(l *link) {
 	f.Counts.Cancels++
 	f.cancels++
 	l.cancels++
 	l.lateCancelPossible = true
 	done := func() {
 		f.cancels--
-		if l.cancels--; l.cancels == 0 && l.freeWhenSettled && !l.closed {
+		l.cancels--
+		if l.cancels == 0 && l.freeWhenSettled && !l.closed {
 			l.freeWhenSettled = false
 			l.free()
 		}
@@ -38,77 +45,73 @@
 	f.eventLoop.Dial(f.addresses[l.serverID], f.options.ConnectMs, &canceller{link: l, done: done}, func(error) { done() })
 }
 
-// waitsForConnection tells whether a client's transaction waits for a connection: nothing of it is out.
+// waitsForConnection reports whether a client's transaction waits for a connection, so that nothing of it was sent.
 func (c *client) waitsForConnection() bool {
 	return c.queued != nil || c.transaction != nil && !c.transaction.hasConnection
 }
 
-// cancelQueued ends a transaction that waits for a connection, as its client wants it no more.
+// cancelQueued ends a transaction that waits for a connection, because its client has cancelled it.
 func (c *client) cancelQueued() {
 	t := c.transaction
-	if x := c.queued; x != nil {
+	if queued := c.queued; queued != nil {
 		c.leavePool()
-		t = &transaction{client: c, replay: x.raw}
+		t = &transaction{client: c, replay: queued.raw}
 		c.transaction = t
 	}
 	c.frontend.Counts.Cancels++
-	c.cancelled(t, codeCancelled, cancelledText)
+	c.cancelled(t, codeCancelled, textCancelled)
 }
 
-const (
-	codeCancelled = "57014"
-	cancelledText = "canceling statement due to user request"
-)
-
-// cancelled answers a transaction that its client has cancelled: it is not sent again.
+// cancelled answers a transaction that its client has cancelled. It is not sent again.
 func (c *client) cancelled(t *transaction, code, text string) {
+	c.abandonRequest(t)
+	c.endTransaction(t, code, text, "")
+}
+
+// abandonRequest abandons the request of a transaction at the core.
+func (c *client) abandonRequest(t *transaction) {
 	if t.open {
 		t.open = false
 		c.frontend.dispatcher.Abandon(t.ref)
 	}
-	c.endTransaction(t, code, text, "")
 }
 
-// endCancelled ends an attempt that came to nothing. Where its client has cancelled the transaction meanwhile, that has its answer now.
-func (f *Frontend) endCancelled(a *attempt, r decide.Result, l *link) {
+// endCancelled ends an attempt that was not served. If its client has cancelled the transaction meanwhile, the transaction is answered.
+func (f *Frontend) endCancelled(a *attempt, result decide.Result, l *link) {
 	t := a.transaction
 	c := t.client
 	if !t.cancelled || t.answered || c.closed || c.transaction != t {
-		f.endAttempt(a, r, l)
+		f.endAttempt(a, result, l)
 		return
 	}
-	if t.open { // before the attempt ends, as another would begin then
-		t.open = false
-		f.dispatcher.Abandon(t.ref)
-	}
-	f.endAttempt(a, r, l)
-	if r == decide.Reset && c.wrote {
-		c.cancelled(t, "08007", "the connection to the server broke; whether the transaction was committed is unknown")
+	c.abandonRequest(t) // before the attempt ends, as the core would start another one
+	f.endAttempt(a, result, l)
+	if result == decide.Reset && c.wrote {
+		c.cancelled(t, codeOutcomeUnknown, textOutcomeUnknown)
 		return
 	}
-	c.cancelled(t, codeCancelled, cancelledText)
+	c.cancelled(t, codeCancelled, textCancelled)
 }
 
-// canceller is the connection that carries a cancel request; the server closes it when the request is worked on. The
-// link is not given to another client before.
+// canceller is the connection that carries a cancel request. The server closes it once the request is handled.
 type canceller struct {
 	link *link
 	done func()
-	over bool
+	over bool // done was called
 }
 
-// Opened is loop's.
-func (k *canceller) Opened(lc *eventloop.Conn) {
-	if err := lc.Write(pgwire.AppendCancel(nil, k.link.pid, k.link.secret)); err == nil {
+// Opened implements eventloop.Handler.
+func (k *canceller) Opened(conn *eventloop.Conn) {
+	if err := conn.Write(pgwire.AppendCancel(nil, k.link.pid, k.link.secret)); err == nil {
 		f := k.link.frontend
-		f.eventLoop.At(f.eventLoop.Now()+f.options.ConnectMs, lc.Close)
+		f.eventLoop.At(f.now()+f.options.ConnectMs, conn.Close)
 	}
 }
 
-// Data is loop's.
+// Data implements eventloop.Handler.
 func (k *canceller) Data([]byte) {}
 
-// Closed is loop's.
+// Closed implements eventloop.Handler.
 func (k *canceller) Closed(error) {
 	if !k.over {
 		k.over = true
--- a/internal/frontend/pooling/client.go
+++ b/internal/frontend/pooling/client.go
@@ -1,7 +1,6 @@
 package pooling
 
 import (
-	"encoding/binary"
 	"fmt"
 	"slices"
 	"strings"
@@ -13,87 +12,110 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// client is a client's connection; it is the loop's Handler.
+// frontendTypes are the types of the messages that clients send after the startup.
+const frontendTypes = "QXSPBDECHFdcf"
+
+// client is a client's connection. It implements eventloop.Handler.
 type client struct {
 	frontend *Frontend
 	ref      slotmap.Ref
-	conn     *eventloop.Conn
-	input    pgwire.Reader
-	output   []byte
-	pool     *pool
+	conn     *eventloop.Conn // nil until it is open
+	pool     *pool           // nil until the startup is complete, and in the admin database
 	state    *sessionstate.Client
-	params   map[string]string // as the client was told
-	pid      uint32
-	secret   uint32
-	since    float64
-	started  bool
-	closed   bool
-	admin    bool
-
-	transaction        *transaction // that is asked for, or whose first answer is due
-	link               *link        // that is the client's now
-	sessionState       byte         // as the client was told: I, T or E
-	skipToSync         bool         // messages are dropped up to the next Sync
-	extendedOpen       bool         // messages of the extended protocol went out since the last Sync
-	failed             bool         // a statement failed since the last ReadyForQuery
-	replaying          bool         // what is held is being sent
-	wrote              bool         // the transaction did more than is known to be reading
-	transactionStart   float64
-	lastCommitMs       float64 // position of the session's last write, Unix ms
-	portals            map[string]*sessionstate.Statement
-	idleTimer          *timers.Timer      // in a transaction
-	limitTimer         *timers.Timer      // of the transaction
-	queued             *queuedTransaction // its transaction has not been let in yet
-	admitted           bool               // it has been
-	admissionMs        float64            // it waited for that
-	session            uint64             // in records
-	lastServer         string             // server of its transaction before
-	endCode            string             // SQLSTATE with which the pooler ended it
-	pausedLink         *link              // its server is not read, as this client does not read
-	begunTransaction   *transaction       // the transaction that is open, where it has only begun
-	beginMessages      []byte             // of it: what the client sent to begin
-	unansweredMessages []byte             // of it: what the client sent since that is not answered yet
-	deferredAnswers    []byte             // answers that only prepare or begin, held back while all may be asked elsewhere
-	flushRequested     bool               // the client wants all answers at once
-	resending          bool               // what is sent was sent to another server before
-	inPartialMessage   bool               // the client has a message in part
-	terminating        bool               // the client has taken its leave, with answers due
-	readingPaused      bool               // the client is not read, as its server does not read
-	boundRead          *boundRead         // a scattered read that is bound, and begins at the Sync
-	page               *page              // ...that runs
-	lingering          bool               // its connection is on its way to be closed
+	params   map[string]string // as reported to the client
+	pid      uint32            // of its cancel key
+	secret   uint32            // of its cancel key
+	since    float64           // when it connected
+	started  bool              // the startup is complete
+	admin    bool              // it uses the admin database
+
+	// Input and output.
+	input            pgwire.Reader
+	output           []byte // not written yet
+	inPartialMessage bool   // the client has received a part of a message
+	readingPaused    bool   // the client is not read, as it has sent too much ahead
+	pausedLink       *link  // a server that is not read, as this client does not read
+	skipToSync       bool   // messages are skipped up to the next Sync
+
+	// The present transaction.
+	sessionState     byte               // as reported to the client
+	queued           *queuedTransaction // waits for admission
+	admitted         bool               // a transaction was admitted
+	admissionMs      float64            // it waited for that
+	transaction      *transaction       // that was submitted, and whose first answer is not complete
+	link             *link              // the client's server connection
+	transactionStart float64
+	extendedOpen     bool // messages of the extended protocol were sent since the last Sync
+	wrote            bool // the transaction did more than is known to be reading
+	failed           bool // a statement failed since the last ReadyForQuery
+	portals          map[string]*sessionstate.Statement
+	idleTimer        *timers.Timer // bounds the time that the client is idle in a transaction
+	limitTimer       *timers.Timer // bounds the transaction
+
+	// A transaction that has only begun, and can restart at another server; restart.go has the rules.
+	begunTransaction   *transaction
+	beginMessages      []byte // the messages that began it
+	unansweredMessages []byte // those sent since, which are not answered yet
+	deferredAnswers    []byte // answers that only prepare or begin, held back while all may be sent to another server
+	flushRequested     bool   // the client has asked for all answers
+	replaying          bool   // kept messages are being sent
+	resending          bool   // they were sent to another server before
+
+	// A scattered read; scatter.go has the rules.
+	boundRead *boundRead // is bound, and begins at the Sync
+	page      *page      // runs
+
+	lastCommitMs float64 // position of the session's last write, Unix milliseconds
+	session      uint64  // in records
+	lastServer   string  // of its transaction before
+
+	// Its end.
+	terminating bool   // the client has sent Terminate, with answers outstanding
+	closed      bool   // it is removed from the frontend
+	lingering   bool   // its connection is being closed
+	endCode     string // SQLSTATE with which the pooler ended it
 }
 
 func newClient(f *Frontend) *client {
-	c := &client{frontend: f, input: pgwire.NewReader(f.options.MaxMessage), sessionState: 'I', since: f.eventLoop.Now(), portals: map[string]*sessionstate.Statement{}}
+	c := &client{
+		frontend:     f,
+		input:        pgwire.NewReader(f.options.MaxMessage),
+		sessionState: pgwire.StateIdle,
+		since:        f.now(),
+		portals:      map[string]*sessionstate.Statement{},
+	}
 	c.input.Stream(streamThreshold)
 	return c
 }
 
-// Opened is loop's.
-func (c *client) Opened(lc *eventloop.Conn) {
-	c.conn = lc
+// Opened implements eventloop.Handler.
+func (c *client) Opened(conn *eventloop.Conn) {
+	c.conn = conn
 	if c.frontend.options.Spare() < 0 {
-		c.endWithError("53300", "too many clients")
+		c.endWithError(codeTooManyClients, "too many clients")
 	}
 }
 
-// Data is loop's.
+// Data implements eventloop.Handler.
 func (c *client) Data(b []byte) {
 	if c.closed {
 		return
 	}
 	c.input.Feed(b)
 	c.proceed()
-	if !c.closed && c.input.Pending() > c.frontend.options.MaxMessage && c.started && c.mustWait() && c.conn.PauseReading() {
+	maxMessage := c.frontend.options.MaxMessage
+	if c.closed || c.input.Pending() <= maxMessage {
+		return
+	}
+	if c.started && c.mustWait() && c.conn.PauseReading() {
 		c.readingPaused = true // what it sends ahead stays with it
 	}
-	if !c.closed && c.input.Pending() > 4*c.frontend.options.MaxMessage {
-		c.endWithError("08P01", "too much sent ahead of the answers")
+	if c.input.Pending() > maxPipelinedParts*maxMessage {
+		c.endWithError(codeProtocol, "too much sent ahead of the answers")
 	}
 }
 
-// proceed takes the messages that are there, as far as it may.
+// proceed handles the messages that have been received, as far as it may.
 func (c *client) proceed() {
 	for !c.closed {
 		if c.started && c.mustWait() {
@@ -101,7 +123,7 @@
 		}
 		more, err := c.step()
 		if err != nil {
-			c.endWithError("08P01", err.Error())
+			c.endWithError(codeProtocol, err.Error())
 			return
 		}
 		if !more {
@@ -112,33 +134,47 @@
 	c.closeIfDraining()
 }
 
-// mustWait tells whether the client's next message has to wait: for a connection, or for a server that does not read.
+// mustWait reports whether the client's next message must wait: for a connection, or for a server that does not read.
 func (c *client) mustWait() bool {
-	return c.terminating || c.page != nil || c.queued != nil || c.transaction != nil && (!c.transaction.hasConnection || c.transaction.restarting) || c.link != nil && (c.link.ownQueries > 0 || c.link.awaitsParses || c.link.serverNotReading())
+	switch {
+	case c.terminating, c.page != nil, c.queued != nil:
+		return true
+	case c.transaction != nil && (!c.transaction.hasConnection || c.transaction.restarting):
+		return true
+	}
+	return c.link != nil && c.link.mustWait()
 }
 
-// answersOutstanding tells whether an answer is due to what the client sent.
+// answersOutstanding reports whether the client has sent something that is not answered.
 func (c *client) answersOutstanding() bool {
-	return c.page != nil || c.queued != nil || c.transaction != nil || c.link != nil && len(c.link.expected) > 0
+	if c.page != nil || c.queued != nil || c.transaction != nil {
+		return true
+	}
+	return c.linkBusy()
 }
 
-// busy tells whether the client is in the midst of something.
+// busy reports whether the client is in a transaction, or waits for an answer.
 func (c *client) busy() bool {
-	return c.page != nil || c.boundRead != nil || c.queued != nil || c.transaction != nil || c.sessionState != 'I' || c.link != nil && len(c.link.expected) > 0 || c.extendedOpen
+	return c.answersOutstanding() || c.boundRead != nil || c.sessionState != pgwire.StateIdle || c.extendedOpen
 }
 
-func (c *client) step() (bool, error) {
+// linkBusy reports whether answers are expected on the client's server connection.
+func (c *client) linkBusy() bool { return c.link != nil && len(c.link.expected) > 0 }
+
+// step handles the next message; more reports whether there may be another.
+func (c *client) step() (more bool, err error) {
 	if !c.started {
 		return c.startup()
 	}
-	if typ, ok := c.input.Type(); ok && !c.input.InPartialMessage() && !strings.ContainsRune("QXSPBDECHFdcf", rune(typ)) {
+	typ, ok := c.input.Type()
+	if ok && !c.input.InPartialMessage() && !strings.ContainsRune(frontendTypes, rune(typ)) {
 		return false, fmt.Errorf("%w: type %q", pgwire.ErrMalformed, typ)
 	}
-	m, ok, err := c.input.Next()
+	message, ok, err := c.input.Next()
 	if err != nil || !ok {
 		return false, err
 	}
-	return true, c.message(m)
+	return true, c.message(message)
 }
 
 func (c *client) send(b []byte) {
@@ -147,19 +183,48 @@
 	}
 }
 
-// flush writes what has gathered.
+// unsent returns the number of bytes written that the client has not accepted.
+func (c *client) unsent() int {
+	if c.conn == nil {
+		return 0
+	}
+	return c.conn.Unsent()
+}
+
+// flush writes the output, and stops reading from the server while the client does not read.
 func (c *client) flush() {
-	b := c.output
+	output := c.output
 	c.output = c.output[:0]
-	c.send(b)
-	if cap(b) > resumeUnsent {
+	c.send(output)
+	if cap(output) > resumeUnsent {
 		c.output = nil
 	}
-	if !c.closed && c.link != nil && c.pausedLink == nil && c.conn.Unsent() > pauseUnsent && c.link.pauseReading() {
+	if c.closed || c.link == nil || c.pausedLink != nil {
+		return
+	}
+	if c.conn.Unsent() > pauseUnsent && c.link.pauseReading() {
 		c.pausedLink = c.link
 	}
 }
 
+// fail answers with an error; what follows is skipped up to Sync.
+func (c *client) fail(code, text string) {
+	c.skipToSync = true
+	c.output = pgwire.AppendError(c.output, "ERROR", code, text, "")
+}
+
+// failCommand answers a message with an error. A simple query has no Sync, so nothing is skipped after it.
+func (c *client) failCommand(messageType byte, code, text string) {
+	c.fail(code, text)
+	if messageType == pgwire.Query {
+		c.skipToSync = false
+		c.appendReady()
+	}
+}
+
+// appendReady answers ReadyForQuery, in the present state of the session.
+func (c *client) appendReady() { c.output = pgwire.AppendReadyInState(c.output, c.sessionState) }
+
 func sortedKeys(m map[string]string) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
@@ -168,6 +233,3 @@
 	slices.Sort(keys)
 	return keys
 }
-
-// number reads a big-endian number.
-func number(b []byte) uint32 { return binary.BigEndian.Uint32(b) }
--- a/internal/frontend/pooling/dial.go
+++ b/internal/frontend/pooling/dial.go
@@ -1,35 +1,47 @@
 package pooling
 
 import (
+	"encoding/binary"
+
 	"beechgrade/internal/eventloop"
-	"beechgrade/internal/frontend/pooling/connpool"
 	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// dial opens a connection for a pool.
-func (f *Frontend) dial(p *pool, store string) {
-	addr := f.addresses[store]
-	l := &link{frontend: f, pool: p, serverID: store, input: pgwire.NewReader(f.options.MaxAnswer), params: map[string]string{},
-		state: sessionstate.NewServer(max(1, p.options.Statements), max(1, p.options.StatementBytes))}
+// roleParameter is the parameter with which a server reports its role.
+const roleParameter = "role"
+
+// Sizes of parts of a server's startup messages, in bytes.
+const (
+	wordBytes       = 4
+	backendKeyBytes = 8
+)
+
+// dial opens a connection to a server for a pool.
+func (f *Frontend) dial(p *pool, server string) {
+	l := &link{
+		frontend: f,
+		pool:     p,
+		serverID: server,
+		input:    pgwire.NewReader(f.options.MaxAnswer),
+		params:   map[string]string{},
+		state:    sessionstate.NewServer(max(1, p.options.Statements), max(1, p.options.StatementBytes)),
+	}
 	l.input.Stream(streamThreshold)
 	l.ref = f.links.Put(l)
+	addr := f.addresses[server]
 	if addr == "" {
-		f.eventLoop.At(f.eventLoop.Now(), func() { l.failed() })
+		f.eventLoop.At(f.now(), l.failed)
 		return
 	}
-	l.timer = f.eventLoop.At(f.eventLoop.Now()+f.options.ConnectMs, func() {
-		if !l.ready {
-			l.failed()
-		}
-	})
+	l.timer = f.eventLoop.At(f.now()+f.options.ConnectMs, l.failed)
 	f.eventLoop.Dial(addr, f.options.ConnectMs, l, func(err error) {
-		f.log.Debug("pooling: connect", "store", store, "err", err)
+		f.log.Debug("pooling: connect failed", "server", server, "err", err)
 		l.failed()
 	})
 }
 
-// failed takes a connection out that never came up.
+// failed removes a connection that could not be established. It does nothing for one that is ready or closed.
 func (l *link) failed() {
 	if l.closed || l.ready {
 		return
@@ -41,76 +53,81 @@
 	if l.conn != nil {
 		l.conn.Close()
 	}
-	l.frontend.execute(l.pool, l.pool.conns.DialFailed(l.serverID, l.frontend.eventLoop.Now()))
+	l.frontend.execute(l.pool, l.pool.conns.DialFailed(l.serverID, l.frontend.now()))
 }
 
-// Opened is loop's.
-func (l *link) Opened(lc *eventloop.Conn) {
-	l.conn = lc
+// Opened implements eventloop.Handler.
+func (l *link) Opened(conn *eventloop.Conn) {
+	l.conn = conn
 	if l.closed {
-		lc.Close()
+		conn.Close()
 		return
 	}
-	_ = lc.Write(pgwire.AppendStartup(nil, l.pool.key.user, l.pool.key.database))
+	_ = conn.Write(pgwire.AppendStartup(nil, l.pool.key.user, l.pool.key.database))
 }
 
-// Data is loop's.
+// Data implements eventloop.Handler.
 func (l *link) Data(b []byte) {
 	l.input.Feed(b)
 	for !l.closed {
 		m, ok, err := l.input.Next()
 		if err != nil {
-			l.frontend.log.Warn("pooling: server broke the protocol", "store", l.serverID, "err", err)
+			l.frontend.log.Warn("pooling: server violated the protocol", "server", l.serverID, "err", err)
 			l.close()
 			return
 		}
 		if !ok {
 			break
 		}
-		if !l.ready {
-			l.welcome(m)
-		} else {
+		if l.ready {
 			l.message(m)
+		} else {
+			l.startupMessage(m)
 		}
 	}
-	if c := l.owner; c != nil {
-		c.flush()
+	if l.owner != nil {
+		l.owner.flush()
 	}
 }
 
-// welcome takes what comes before a connection is up.
-func (l *link) welcome(m pgwire.Message) {
+// startupMessage handles a message before the connection is ready.
+func (l *link) startupMessage(m pgwire.Message) {
 	switch m.Type {
-	case 'R':
-		if len(m.Body) < 4 || number(m.Body) != 0 {
-			l.frontend.log.Warn("pooling: the server wants a password, which this pooler has not", "store", l.serverID)
+	case pgwire.Authentication:
+		if len(m.Body) < wordBytes || binary.BigEndian.Uint32(m.Body) != 0 {
+			l.frontend.log.Warn("pooling: server requires a password, which this pooler does not have", "server", l.serverID)
 			l.failed()
 		}
-	case 'S':
-		if name, val, err := pgwire.Parameter(m.Body); err == nil {
-			l.params[name] = val
-			if !perAnswer(l.frontend, name) {
-				l.frontend.params[name] = val
-			}
+	case pgwire.ParameterStatus:
+		l.startupParameter(m)
+	case pgwire.BackendKeyData:
+		if len(m.Body) >= backendKeyBytes {
+			l.pid = binary.BigEndian.Uint32(m.Body)
+			l.secret = binary.BigEndian.Uint32(m.Body[wordBytes:])
 		}
-	case 'K':
-		if len(m.Body) >= 8 {
-			l.pid, l.secret = number(m.Body), number(m.Body[4:])
-		}
-	case 'Z':
+	case pgwire.ReadyForQuery:
 		l.ready = true
 		l.frontend.eventLoop.StopTimer(l.timer)
 		delete(l.pool.failed, l.serverID)
-		l.frontend.execute(l.pool, l.pool.conns.Opened(l.id(), l.serverID, l.frontend.eventLoop.Now()))
-	case 'E':
-		l.frontend.log.Debug("pooling: server turned a connection away", "store", l.serverID, "code", pgwire.ErrorCode(m.Body))
+		l.frontend.execute(l.pool, l.pool.conns.Opened(l.id(), l.serverID, l.frontend.now()))
+	case pgwire.ErrorResponse:
+		l.frontend.log.Debug("pooling: server rejected a connection", "server", l.serverID, "code", pgwire.ErrorCode(m.Body))
 		l.failed()
 	}
 }
 
-// perAnswer tells whether a parameter is told with each answer, and is no state of the session.
-func perAnswer(f *Frontend, name string) bool {
-	return name == "role" || name == f.options.PositionName
+func (l *link) startupParameter(m pgwire.Message) {
+	name, value, err := pgwire.Parameter(m.Body)
+	if err != nil {
+		return
+	}
+	l.params[name] = value
+	if !l.frontend.isPerAnswer(name) {
+		l.frontend.params[name] = value
+	}
 }
 
-func (l *link) id() connpool.ID { return connpool.ID(refNumber(l.ref)) }
+// isPerAnswer reports whether a parameter is reported with each answer, and is no state of the session.
+func (f *Frontend) isPerAnswer(name string) bool {
+	return name == roleParameter || name == f.options.PositionName
+}
--- a/internal/frontend/pooling/forward.go
+++ b/internal/frontend/pooling/forward.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/protocol/sqltext"
 )
 
-// forward sends a message to the client's server, with statements under their names there.
+// forward sends a message to the client's server. Prepared statements get the names that they have there.
 func (c *client) forward(m pgwire.Message) error {
 	l := c.link
 	c.frontend.eventLoop.StopTimer(c.idleTimer)
@@ -20,117 +20,52 @@
 	}
 	c.keepForReplay(m)
 	if l.skipping {
-		if m.Type != 'S' { // as the server does after an error in a pipeline
+		if m.Type != pgwire.Sync { // skipped, as by the server after an error in a pipeline
 			return nil
 		}
 		l.skipping = false
 	}
-	if l.pastGrace() { // the grace has passed: nothing more is sent there
-		c.endWithError("57P01", "the server of this transaction is being taken out; nothing of it was committed")
+	if l.pastGrace() {
+		c.endWithError(codeShutdown, textServerDraining)
 		return nil
 	}
 	switch m.Type {
-	case 'Q':
-		sql, err := pgwire.Text(m.Body)
-		if err != nil {
-			return err
-		}
-		does := sqltext.Split(sql)
-		if s, ok := sqltext.SetConfig(sql); ok {
-			does = []sqltext.Statement{s}
-		}
-		c.noteEffects(does)
-		l.awaitsParses = l.pendingParses > 0
-		l.expect(expectedAnswer{kind: answersQuery, effects: does})
-		l.write(m.Raw)
-		c.frontend.Counts.Executed++
-	case 'P':
+	case pgwire.Query:
+		return c.forwardQuery(m)
+	case pgwire.Parse:
 		return c.forwardParse(m)
-	case 'B':
+	case pgwire.Bind:
 		return c.forwardBind(m)
-	case 'D':
-		if len(m.Body) < 2 {
-			return fmt.Errorf("%w: Describe", pgwire.ErrMalformed)
-		}
-		c.extendedOpen = true
-		if m.Body[0] == 'S' {
-			name, _, _ := bytes.Cut(m.Body[1:], []byte{0})
-			l.expect(expectedAnswer{kind: answersDescribe, describesStatement: true})
-			if t := c.state.Statement(string(name)); t != nil {
-				l.expected = l.expected[:len(l.expected)-1]
-				l.ensure(t)
-				l.expect(expectedAnswer{kind: answersDescribe, describesStatement: true})
-				l.write(pgwire.AppendDescribeStatement(nil, t.Name()))
-				return nil
-			}
-		} else {
-			l.expect(expectedAnswer{kind: answersDescribe})
-		}
-		l.write(m.Raw)
-	case 'E':
-		name, _, _ := bytes.Cut(m.Body, []byte{0})
-		var does []sqltext.Statement
-		if t := c.portals[string(name)]; t != nil {
-			does = t.Effects
-			c.noteEffects(does)
-		} else {
-			c.wrote = true
-		}
-		c.extendedOpen = true
-		l.expect(expectedAnswer{kind: answersExecute, effects: does})
-		l.write(m.Raw)
-		c.frontend.Counts.Executed++
-	case 'C':
-		if len(m.Body) < 2 {
-			return fmt.Errorf("%w: Close", pgwire.ErrMalformed)
-		}
-		c.extendedOpen = true
-		name, _, _ := bytes.Cut(m.Body[1:], []byte{0})
-		if m.Body[0] == 'S' { // it stays at the server, for whoever prepares the same again
-			l.expect(expectedAnswer{kind: answersInPlace, answer: []byte{'3', 0, 0, 0, 4}, name: string(name), closed: c.state.Detach(string(name))})
-			l.answerInPlace()
-			return nil
-		}
-		delete(c.portals, string(name))
-		l.expect(expectedAnswer{kind: answersClose})
-		l.write(m.Raw)
-	case 'S':
+	case pgwire.Describe:
+		return c.forwardDescribe(m)
+	case pgwire.Execute:
+		c.forwardExecute(m)
+	case pgwire.Close:
+		return c.forwardClose(m)
+	case pgwire.Sync:
 		c.extendedOpen = false
 		l.awaitsParses = l.pendingParses > 0
 		l.expect(expectedAnswer{kind: answersSync})
 		l.write(m.Raw)
-	default: // Flush, and the data of a copy
+	default: // Flush, and the messages of COPY
 		l.write(m.Raw)
 		l.inPartialMessage = m.More
 	}
 	return nil
 }
 
-// reattach ends the closing of a statement: it is gone, or still there where the pipeline failed before.
-func (c *client) reattach(x *expectedAnswer, back bool) {
-	if x.closed == nil {
-		return
-	}
-	if c == nil {
-		x.closed.Release()
-	} else {
-		c.state.Reattach(x.name, x.closed, back && !c.closed)
-	}
-	x.closed = nil
-}
-
-// noteEffects takes in what statements do before they run.
-func (c *client) noteEffects(does []sqltext.Statement) {
-	if len(does) == 0 {
-		c.wrote = true
-	}
-	for _, s := range does {
-		switch s.Kind {
-		case sqltext.Read, sqltext.Show, sqltext.Begin, sqltext.Commit, sqltext.Rollback, sqltext.Empty, sqltext.Savepoint, sqltext.Set:
-		default:
-			c.wrote = true
-		}
+func (c *client) forwardQuery(m pgwire.Message) error {
+	sql, err := pgwire.Text(m.Body)
+	if err != nil {
+		return err
 	}
+	l, effects := c.link, effectsOfText(sql)
+	c.noteEffects(effects)
+	l.awaitsParses = l.pendingParses > 0
+	l.expect(expectedAnswer{kind: answersQuery, effects: effects})
+	l.write(m.Raw)
+	c.frontend.Counts.Executed++
+	return nil
 }
 
 func (c *client) forwardParse(m pgwire.Message) error {
@@ -143,31 +78,32 @@
 	if c.resending && name != "" {
 		c.state.Unprepare(name)
 	}
-	var old *sessionstate.Statement // that the unnamed one replaces, unless the pipeline fails before
+	var replaced *sessionstate.Statement // that has no name so far; it is restored if the pipeline failed before
 	if name == "" {
-		old = c.state.Detach(name)
+		replaced = c.state.Detach(name)
 	}
-	t, twice, err := c.state.Prepare(name, sql, types)
+	statement, exists, err := c.state.Prepare(name, sql, types)
 	switch {
 	case err != nil:
-		c.reattach(&expectedAnswer{closed: old}, false)
-		c.endWithError("54000", err.Error())
+		c.reattach(&expectedAnswer{closed: replaced}, false)
+		c.endWithError(codeLimitExceeded, err.Error())
 		return nil
-	case twice: // the server itself says so, in its place among the answers
-		old := c.state.Statement(name)
-		l.ensure(old)
+	case exists: // the server itself sends the error, in its turn
+		existing := c.state.Statement(name)
+		l.ensurePrepared(existing)
 		l.expect(expectedAnswer{kind: answersParse})
-		l.write(pgwire.AppendParse(nil, old.Name(), sql, types))
+		l.write(pgwire.AppendParse(nil, existing.Name(), sql, types))
 		return nil
-	case l.state.Has(t):
-		l.expect(expectedAnswer{kind: answersInPlace, answer: []byte{'1', 0, 0, 0, 4}, name: name, client: true, closed: old})
+	case l.state.Has(statement):
+		complete := pgwire.AppendBare(nil, pgwire.ParseComplete)
+		l.expect(expectedAnswer{kind: answersInPlace, answer: complete, name: name, client: true, closed: replaced})
 		l.answerInPlace()
 		return nil
 	}
-	l.evict(l.state.Add(t))
+	l.closeEvicted(l.state.Add(statement))
 	c.frontend.Counts.Prepared++
-	l.expect(expectedAnswer{kind: answersParse, statement: t, name: name, client: true, closed: old})
-	l.write(pgwire.AppendParse(nil, t.Name(), sql, types))
+	l.expect(expectedAnswer{kind: answersParse, statement: statement, name: name, client: true, closed: replaced})
+	l.write(pgwire.AppendParse(nil, statement.Name(), sql, types))
 	return nil
 }
 
@@ -178,22 +114,107 @@
 	}
 	l := c.link
 	c.extendedOpen = true
-	t := c.state.Statement(name)
-	if t == nil { // the server says that there is none, under the client's name for it
+	statement := c.state.Statement(name)
+	if statement == nil { // the server sends the error, with the client's name
 		l.expect(expectedAnswer{kind: answersBind})
 		l.write(m.Raw)
 		return nil
 	}
-	l.ensure(t)
+	l.ensurePrepared(statement)
 	if len(c.portals) < sessionstate.MaxStatements {
-		c.portals[portal] = t
+		c.portals[portal] = statement
 	}
 	l.expect(expectedAnswer{kind: answersBind})
-	l.write(pgwire.AppendBind(nil, portal, t.Name(), rest))
+	l.write(pgwire.AppendBind(nil, portal, statement.Name(), rest))
+	return nil
+}
+
+func (c *client) forwardDescribe(m pgwire.Message) error {
+	if len(m.Body) <= 1 {
+		return fmt.Errorf("%w: Describe", pgwire.ErrMalformed)
+	}
+	l := c.link
+	c.extendedOpen = true
+	if m.Body[0] != pgwire.StatementTarget {
+		l.expect(expectedAnswer{kind: answersDescribe})
+		l.write(m.Raw)
+		return nil
+	}
+	message := m.Raw
+	if statement := c.state.Statement(targetName(m)); statement != nil {
+		l.ensurePrepared(statement)
+		message = pgwire.AppendDescribeStatement(nil, statement.Name())
+	}
+	l.expect(expectedAnswer{kind: answersDescribe, describesStatement: true})
+	l.write(message)
+	return nil
+}
+
+func (c *client) forwardExecute(m pgwire.Message) {
+	l := c.link
+	portal, _, _ := bytes.Cut(m.Body, []byte{0})
+	var effects []sqltext.Statement
+	if statement := c.portals[string(portal)]; statement != nil {
+		effects = statement.Effects
+		c.noteEffects(effects)
+	} else {
+		c.wrote = true
+	}
+	c.extendedOpen = true
+	l.expect(expectedAnswer{kind: answersExecute, effects: effects})
+	l.write(m.Raw)
+	c.frontend.Counts.Executed++
+}
+
+func (c *client) forwardClose(m pgwire.Message) error {
+	if len(m.Body) <= 1 {
+		return fmt.Errorf("%w: Close", pgwire.ErrMalformed)
+	}
+	l := c.link
+	c.extendedOpen = true
+	name := targetName(m)
+	if m.Body[0] == pgwire.StatementTarget { // it stays at the server, for the next client that prepares the same
+		complete := pgwire.AppendBare(nil, pgwire.CloseComplete)
+		l.expect(expectedAnswer{kind: answersInPlace, answer: complete, name: name, closed: c.state.Detach(name)})
+		l.answerInPlace()
+		return nil
+	}
+	delete(c.portals, name)
+	l.expect(expectedAnswer{kind: answersClose})
+	l.write(m.Raw)
 	return nil
 }
 
-// completed takes note of a statement that a server has completed.
+// reattach ends the removal of a statement from its name: the statement is released, or gets its name back if the pipeline failed
+// before. The client is nil if it has disconnected.
+func (c *client) reattach(x *expectedAnswer, back bool) {
+	if x.closed == nil {
+		return
+	}
+	if c == nil {
+		x.closed.Release()
+	} else {
+		c.state.Reattach(x.name, x.closed, back && !c.closed)
+	}
+	x.closed = nil
+}
+
+// noteEffects records what statements do before they run.
+func (c *client) noteEffects(effects []sqltext.Statement) {
+	if len(effects) == 0 {
+		c.wrote = true
+	}
+	for _, s := range effects {
+		switch s.Kind {
+		case sqltext.Read, sqltext.Show, sqltext.Empty, sqltext.Set:
+		case sqltext.Begin, sqltext.Commit, sqltext.Rollback, sqltext.Savepoint:
+		default:
+			c.wrote = true
+		}
+	}
+}
+
+// completed records a statement that the server has completed.
 func (c *client) completed(s *sqltext.Statement, tag string) {
 	switch s.Kind {
 	case sqltext.Commit:
--- a/internal/frontend/pooling/invariants_test.go
+++ b/internal/frontend/pooling/invariants_test.go
@@ -8,16 +8,17 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestBrokenInvariantsAreReported: each statement about the front is seen to break by one line of state. Its pool has one connection, in use.
+// TestBrokenInvariantsAreReported: each invariant of the frontend must be found broken after one change of its state. Its pool has one
+// connection, in use.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	for _, m := range []struct {
 		name string
 		poke func(f *Frontend, l *link, a *attempt)
 	}{
-		{"pooling: nothing is kept of what is closed", func(_ *Frontend, l *link, _ *attempt) { l.closed = true }},
-		{"pooling: a pool has the connections that there are", func(f *Frontend, l *link, _ *attempt) { f.links.Remove(l.ref) }},
-		{"pooling: a pool has the connections that there are", func(_ *Frontend, l *link, _ *attempt) { l.ready = false }},
-		{"pooling: nothing is kept of an attempt that has ended", func(_ *Frontend, _ *link, a *attempt) { a.ended = true }},
+		{"pooling: closed connections are removed", func(_ *Frontend, l *link, _ *attempt) { l.closed = true }},
+		{"pooling: a pool counts the connections that there are", func(f *Frontend, l *link, _ *attempt) { f.links.Remove(l.ref) }},
+		{"pooling: a pool counts the connections that there are", func(_ *Frontend, l *link, _ *attempt) { l.ready = false }},
+		{"pooling: ended attempts are removed", func(_ *Frontend, _ *link, a *attempt) { a.ended = true }},
 	} {
 		p := &pool{conns: connpool.New(connpool.Limits{MaxConns: 2, MaxWaiting: 2})}
 		f, l, a := &Frontend{pools: []*pool{p}}, &link{pool: p, serverID: "s", ready: true}, &attempt{}
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -3,85 +3,92 @@
 import (
 	"math"
 
+	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
+	"beechgrade/internal/frontend/pooling/connpool"
 	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/protocol/sqltext"
 )
 
-// link is a connection to a server; it is the loop's Handler.
+// link is a connection to a server. It implements eventloop.Handler.
 type link struct {
-	frontend           *Frontend
-	ref                slotmap.Ref
-	pool               *pool
-	serverID           string
-	conn               *eventloop.Conn
-	input              pgwire.Reader
-	state              *sessionstate.Server
-	expected           []expectedAnswer // answers that are due, in order
-	owner              *client
-	params             map[string]string
-	pid                uint32
-	secret             uint32
-	ready              bool // its welcome is over
-	closed             bool
-	unusable           bool    // its state is not known: it is not used again
-	skipping           bool    // after an error, up to the ReadyForQuery of the next Sync
-	ownQueries         int     // own texts that are out
-	cancels            int     // cancel requests on their way to its server
-	lateCancelPossible bool    // one went out since the last answer of its own
-	freeWhenSettled    bool    // it is to be freed once nothing of its own is out
-	closesAt           float64 // after this nothing more is sent there, 0 for no end
-	readingPaused      bool
-	inPartialMessage   bool   // the server has a message in part
-	pendingParses      int    // statements that are on their way to be prepared
-	awaitsParses       bool   // ...and a Sync is behind them: whether they are prepared is to be known before more is sent
-	lastSession        uint64 // session of the client that had it last
-	timer              *timers.Timer
+	frontend *Frontend
+	ref      slotmap.Ref
+	pool     *pool
+	serverID string
+	conn     *eventloop.Conn // nil until it is open
+	input    pgwire.Reader
+	timer    *timers.Timer // bounds the opening
+	ready    bool          // the startup is complete
+	closed   bool
+	closesAt float64 // from then on nothing more is sent, as the server is draining; 0 for never
+
+	owner       *client              // nil while it is free
+	lastSession uint64               // of the client that had it last
+	state       *sessionstate.Server // settings and prepared statements
+	params      map[string]string    // as the server reported them
+	pid, secret uint32               // the server's cancel key
+
+	expected         []expectedAnswer // in order
+	ownQueries       int              // queries of the pooler's own that are not answered
+	pendingParses    int              // statements that are being prepared
+	awaitsParses     bool             // nothing may be sent until it is known whether they are prepared, as a Sync follows them
+	skipping         bool             // after an error, up to the ReadyForQuery of the next Sync
+	inPartialMessage bool             // the server has received a part of a message
+	readingPaused    bool             // the server is not read, as the client does not read
+
+	unusable           bool // its state is not known, so it is not used again
+	cancels            int  // cancel requests on their way to its server
+	lateCancelPossible bool // a cancel request was sent since the last query of the pooler's own
+	freeWhenSettled    bool // it is to be released once all own queries and cancel requests are complete
 }
 
-// answerKind is what an answer is due to.
+// answerKind is what an expected answer answers.
 type answerKind uint8
 
 const (
 	answersQuery    answerKind = iota // a simple query: all up to ReadyForQuery
-	answersOwnQuery                   // a simple query of the pooler's own: nothing of it is the client's
+	answersOwnQuery                   // a simple query of the pooler's own: nothing of it is for the client
 	answersParse                      // ParseComplete
 	answersBind                       // BindComplete
 	answersDescribe                   // ParameterDescription, RowDescription or NoData
 	answersExecute                    // rows, up to their completion
 	answersClose                      // CloseComplete
 	answersSync                       // ReadyForQuery of a Sync
-	answersInPlace                    // nothing: what is said in its place
+	answersInPlace                    // a message that was not sent: the pooler answers in its turn
 )
 
+// expectedAnswer is an answer that a server, or the pooler in its place, has yet to give.
 type expectedAnswer struct {
 	kind               answerKind
-	effects            []sqltext.Statement
-	next               int                     // of does, the one that completes next
-	statement          *sessionstate.Statement // answersParse, answersClose: the statement
-	client             bool                    // answersParse: the client asked for it, so it hears of it
-	own                bool                    // answersClose, answersParse: the client does not hear of it
-	name               string                  // the client's for the statement
+	effects            []sqltext.Statement     // answersQuery, answersExecute
+	next               int                     // of effects, the one that completes next
+	statement          *sessionstate.Statement // answersParse, answersClose
+	client             bool                    // answersParse: the client gets the answer
+	own                bool                    // answersClose, answersParse: the client does not get the answer
+	name               string                  // of the statement at the client
 	describesStatement bool                    // answersDescribe: of a statement, which has two answers
-	answer             []byte
-	closed             *sessionstate.Statement // answersInPlace: the statement that the client closed, by its name
-	then               func()                  // answersOwnQuery: when it has gone well
+	answer             []byte                  // answersInPlace
+	closed             *sessionstate.Statement // answersInPlace, answersParse: the statement that loses its name by this
+	then               func()                  // answersOwnQuery: runs if it succeeded
 }
 
 const maxExpected = 20000
 
-// expect files an answer that is due.
+func (l *link) id() connpool.ID { return connpool.ID(refNumber(l.ref)) }
+
+// expect adds an expected answer.
 func (l *link) expect(x expectedAnswer) {
 	l.expected = append(l.expected, x)
 	if x.prepares() {
 		l.pendingParses++
 	}
 	if len(l.expected) > maxExpected && l.owner != nil {
-		l.owner.endWithError("54000", "too many messages ahead of their answers")
+		l.owner.endWithError(codeLimitExceeded, "too many messages ahead of their answers")
 	}
 }
 
@@ -91,62 +98,60 @@
 	}
 }
 
-// sendOwn sends a text of the pooler's own.
+// sendOwn sends a query of the pooler's own; then runs if it succeeded.
 func (l *link) sendOwn(sql string, then func()) {
 	l.ownQueries++
 	l.expect(expectedAnswer{kind: answersOwnQuery, then: then})
 	l.write(pgwire.AppendQuery(nil, sql))
 }
 
-// ensure has a statement prepared here.
-func (l *link) ensure(t *sessionstate.Statement) {
-	if l.state.Has(t) {
+// ensurePrepared prepares a statement unless the connection has it.
+func (l *link) ensurePrepared(statement *sessionstate.Statement) {
+	if l.state.Has(statement) {
 		return
 	}
-	l.evict(l.state.Add(t))
+	l.closeEvicted(l.state.Add(statement))
 	l.frontend.Counts.Prepared++
-	l.expect(expectedAnswer{kind: answersParse, statement: t, own: true})
-	l.write(pgwire.AppendParse(nil, t.Name(), t.SQL, t.Types))
+	l.expect(expectedAnswer{kind: answersParse, statement: statement, own: true})
+	l.write(pgwire.AppendParse(nil, statement.Name(), statement.SQL, statement.Types))
 }
 
-// evict closes statements beyond what a connection may have prepared.
-func (l *link) evict(old []*sessionstate.Statement) {
-	for _, t := range old {
-		l.expect(expectedAnswer{kind: answersClose, statement: t, own: true})
-		l.write(pgwire.AppendCloseStatement(nil, t.Name()))
+// closeEvicted closes statements beyond what the connection may have prepared.
+func (l *link) closeEvicted(evicted []*sessionstate.Statement) {
+	for _, statement := range evicted {
+		l.expect(expectedAnswer{kind: answersClose, statement: statement, own: true})
+		l.write(pgwire.AppendCloseStatement(nil, statement.Name()))
 	}
 }
 
-// serverNotReading tells whether the server does not take what it is sent.
+// mustWait reports whether nothing of the client may be sent at present.
+func (l *link) mustWait() bool { return l.ownQueries > 0 || l.awaitsParses || l.serverNotReading() }
+
+// serverNotReading reports whether the server does not accept what it is sent.
 func (l *link) serverNotReading() bool { return l.conn != nil && l.conn.Unsent() > pauseUnsent }
 
-// serverClosed tells whether the server has closed a connection that rested here, which the loop may not have come to yet.
-func (l *link) serverClosed() bool {
-	return l.conn.PeerState().EndOfStream
-}
+// serverClosed reports whether the server has closed the connection, also if the loop has not read that yet.
+func (l *link) serverClosed() bool { return l.conn.PeerState().EndOfStream }
 
-// pastGrace tells whether nothing more may be sent here.
-func (l *link) pastGrace() bool { return l.closesAt != 0 && l.frontend.eventLoop.Now() >= l.closesAt }
+// pastGrace reports whether nothing more may be sent here, as the server is draining.
+func (l *link) pastGrace() bool { return l.closesAt != 0 && l.frontend.now() >= l.closesAt }
 
-// graceOver ends what is still open on a server that drains or is gone. An answer that is due may still come.
+// graceOver ends what is still open at a server that is draining. An expected answer may still arrive.
 func (l *link) graceOver() {
 	c := l.owner
-	if l.closed || c == nil {
+	if l.closed || c == nil || c.leaveConnection() || len(l.expected) > 0 {
 		return
 	}
-	if c.leaveConnection() {
+	if c.sessionState != pgwire.StateIdle {
+		c.endWithError(codeShutdown, textServerDraining)
 		return
 	}
-	if c.sessionState != 'I' && len(l.expected) == 0 {
-		c.endWithError("57P01", "the server of this transaction is being taken out; nothing of it was committed")
-		return
-	}
-	if c.sessionState == 'I' && len(l.expected) == 0 && c.transaction == nil { // a session between its transactions moves with its next one
+	if c.transaction == nil { // a session between its transactions migrates with its next one
 		c.release()
 	}
 }
 
-// committing tells whether a COMMIT, or a statement outside a transaction, waits for its answer.
+// committing reports whether a COMMIT is not answered.
 func (l *link) committing() bool {
 	for _, x := range l.expected {
 		for _, s := range x.effects {
@@ -158,21 +163,25 @@
 	return false
 }
 
-// reported is what the last answer said of the server's role and position.
-func (l *link) reported() (role decide.Role, position float64, ok bool) {
-	at := l.frontend.position(l.params[l.frontend.options.PositionName])
-	return l.frontend.role(l.params["role"]), at, at > 0
+// report returns what the last answer reported of the server.
+func (l *link) report() backend.Report {
+	position := l.reportedPosition()
+	return backend.Report{Role: l.frontend.role(l.params[roleParameter]), Position: position, HasPos: position > 0}
+}
+
+func (l *link) reportedPosition() float64 {
+	return l.frontend.position(l.params[l.frontend.options.PositionName])
 }
 
-// commitPosition is the position of a write that was just committed here: as told, or else the present, which is no earlier.
+// commitPosition returns the position of a write that was just committed here: as reported, or the present, which is not earlier.
 func (l *link) commitPosition() float64 {
-	if at := l.frontend.position(l.params[l.frontend.options.PositionName]); at > 0 {
-		return at
+	if position := l.reportedPosition(); position > 0 {
+		return position
 	}
-	return math.Ceil(l.frontend.eventLoop.Now())
+	return math.Ceil(l.frontend.now())
 }
 
-// free gives the connection back to its pool, once nothing of the pooler's own is out there.
+// free releases the connection to its pool, once all own queries and cancel requests are complete.
 func (l *link) free() {
 	switch {
 	case l.closed:
@@ -180,18 +189,26 @@
 		l.close()
 	case l.cancels > 0:
 		l.freeWhenSettled = true
-	case l.lateCancelPossible: // a late cancel must hit nobody's query: it is outrun by one of the pooler's own
+	case l.lateCancelPossible: // a query of the pooler's own, so that a late cancel request meets that one and no client's
 		l.lateCancelPossible = false
 		l.sendOwn("", nil)
 		l.freeWhenSettled = true
 	case l.ownQueries > 0:
 		l.freeWhenSettled = true
 	default:
-		l.frontend.execute(l.pool, l.pool.conns.Release(l.id(), l.frontend.eventLoop.Now()))
+		l.frontend.execute(l.pool, l.pool.conns.Release(l.id(), l.frontend.now()))
+	}
+}
+
+// freeIfSettled releases a connection that waited for its own queries and cancel requests.
+func (l *link) freeIfSettled() {
+	if l.freeWhenSettled && l.ownQueries == 0 && l.cancels == 0 {
+		l.freeWhenSettled = false
+		l.free()
 	}
 }
 
-// abandon gives up what runs here: the connection is closed and not used again.
+// abandon closes the connection, with what runs there.
 func (l *link) abandon() {
 	if c := l.owner; c != nil {
 		l.owner = nil
@@ -211,6 +228,7 @@
 	l.conn.Close()
 }
 
+// pauseReading stops reading from the server, and reports whether it could.
 func (l *link) pauseReading() bool {
 	if !l.closed && !l.readingPaused {
 		l.readingPaused = l.conn.PauseReading()
@@ -225,7 +243,7 @@
 	}
 }
 
-// Closed is loop's.
+// Closed implements eventloop.Handler.
 func (l *link) Closed(error) {
 	if l.closed {
 		return
@@ -242,29 +260,35 @@
 	}
 	l.frontend.eventLoop.StopTimer(l.timer)
 	l.frontend.links.Remove(l.ref)
-	c := l.owner
-	l.owner = nil
-	if c != nil {
-		a := (*attempt)(nil)
-		if c.transaction != nil {
-			a = c.transaction.attempt
-		}
-		c.connectionLost(l)
-		if a != nil && !a.ended {
-			again := !a.transaction.answered
-			a.link = nil
-			r := decide.Reset
-			if again && (unsent > 0 || a.transaction.harmless()) { // it never left whole, or whether it ran does not matter
-				r = decide.Unreachable
-			}
-			if again && c.transaction != nil {
-				c.transaction.hasConnection, c.transaction.restarting, c.deferredAnswers = false, false, nil
-			}
-			l.frontend.endCancelled(a, r, l)
+	if c := l.owner; c != nil {
+		l.owner = nil
+		l.ownerLost(c, unsent)
+	}
+	l.frontend.execute(l.pool, l.pool.conns.Lost(l.id(), l.frontend.now()))
+}
+
+// ownerLost ends the attempt of the client whose connection ended with that many bytes unsent.
+func (l *link) ownerLost(c *client, unsent int) {
+	var a *attempt
+	if c.transaction != nil {
+		a = c.transaction.attempt
+	}
+	c.connectionLost(l)
+	if a != nil && !a.ended {
+		retryable := !a.transaction.answered
+		a.link = nil
+		result := decide.Reset
+		if retryable && (unsent > 0 || a.transaction.sentOnlyBeginning()) { // it was not sent completely, or it does not matter whether it ran
+			result = decide.Unreachable
 		}
-		if !c.closed {
-			c.flush()
+		if retryable && c.transaction != nil {
+			c.transaction.hasConnection = false
+			c.transaction.restarting = false
+			c.deferredAnswers = nil
 		}
+		l.frontend.endCancelled(a, result, l)
+	}
+	if !c.closed {
+		c.flush()
 	}
-	l.frontend.execute(l.pool, l.pool.conns.Lost(l.id(), l.frontend.eventLoop.Now()))
 }
--- /dev/null
+++ b/internal/frontend/pooling/release.go
@@ -0,0 +1,87 @@
+package pooling
+
+import (
+	"fmt"
+
+	"beechgrade/internal/protocol/pgwire"
+)
+
+// release releases the connection between transactions, unless the client keeps it.
+func (c *client) release() {
+	l := c.link
+	if l == nil {
+		return
+	}
+	sticky := c.state.Sticky != 0
+	if l.closesAt == 0 && (c.pool.options.Mode == Session || sticky) {
+		return
+	}
+	if sticky {
+		c.endWithError(codeShutdown, fmt.Sprintf("the server is being taken out, and %s can't be carried to another", c.state.Sticky))
+		return
+	}
+	c.unlink().free()
+	c.leavePool()
+}
+
+// connectionLost handles the end of the client's server connection.
+func (c *client) connectionLost(l *link) {
+	c.link = nil
+	if c.closed || c.survivesLoss(l) {
+		return
+	}
+	sticky := c.state.Sticky != 0
+	busy := len(l.expected) > 0 || c.sessionState != pgwire.StateIdle || c.extendedOpen
+	switch {
+	case !busy && !sticky: // a session between its transactions: the next one gets another connection
+		c.leavePool()
+	case !busy:
+		c.endWithError(codeShutdown, fmt.Sprintf("the server connection ended, and with it %s", c.state.Sticky))
+	case l.committing() || c.sessionState == pgwire.StateIdle && c.wrote:
+		c.endWithError(codeOutcomeUnknown, textOutcomeUnknown)
+	default:
+		c.endWithError(codeConnectionFailure, "the connection to the server broke; nothing of the transaction was committed")
+	}
+}
+
+// survivesLoss reports whether the client's transaction can continue on another connection after the loss of this one.
+func (c *client) survivesLoss(l *link) bool {
+	t := c.transaction
+	if t != nil {
+		return t.attempt != nil && !t.answered && c.state.Sticky == 0 // the decision module chooses what follows
+	}
+	return c.begunTransaction != nil && c.unansweredMessages == nil && len(l.expected) == 0 && c.canMigrate()
+}
+
+// tick ends waits and timeouts of the client, and resumes reading.
+func (c *client) tick() {
+	switch {
+	case c.closed || c.conn == nil:
+	case c.terminating && !c.answersOutstanding():
+		c.close()
+	case !c.started && c.frontend.now()-c.since > startupMs:
+		c.endWithError(codeProtocol, "the startup message is not whole in time")
+	case c.readingPaused && c.hasDisconnected():
+		c.conn.Close()
+	case c.pausedLink != nil && c.conn.Unsent() < resumeUnsent:
+		c.resumeServer()
+	}
+	if c.started && !c.closed {
+		c.resumeClient()
+	}
+	c.closeIfDraining()
+}
+
+// resumeClient reads again from the client, and handles what it has sent ahead.
+func (c *client) resumeClient() {
+	if c.mustWait() && !(c.readingPaused && c.conn.Unsent() > 0) {
+		return
+	}
+	if c.readingPaused {
+		c.readingPaused = false
+		c.conn.ResumeReading()
+	}
+	if c.input.Pending() > 0 && !c.mustWait() {
+		c.proceed()
+	}
+}
--- /dev/null
+++ b/internal/frontend/pooling/restart.go
@@ -0,0 +1,300 @@
+package pooling
+
+import (
+	"slices"
+
+	"beechgrade/internal/decide"
+	"beechgrade/internal/protocol/pgwire"
+	"beechgrade/internal/protocol/sqltext"
+	"beechgrade/internal/record"
+)
+
+// A transaction that has only begun has read nothing and changed nothing. If its server is draining or lost, or reports at the first
+// statement that it is not the primary any more, the transaction restarts at another server: by a request of its own to the core, and
+// without the client's noticing. Its messages are kept for that until a server has answered more than its beginning.
+
+// onlyBegins reports whether statements do nothing but begin a transaction.
+func onlyBegins(effects []sqltext.Statement) bool {
+	return len(effects) == 1 && effects[0].Kind == sqltext.Begin
+}
+
+// cutFirst splits messages after the first one that gets a ReadyForQuery. Without such a message, it returns all as the first part.
+func cutFirst(raw []byte) (first, rest []byte) {
+	reader := pgwire.NewReader(len(raw) + 1)
+	reader.Feed(raw)
+	at := 0
+	for {
+		m, ok, err := reader.Next()
+		if err != nil || !ok {
+			return raw, nil
+		}
+		at += len(m.Raw)
+		if m.Type == pgwire.Query || m.Type == pgwire.Sync {
+			return raw[:at], raw[at:]
+		}
+	}
+}
+
+// canMigrate reports whether the session can continue on another connection.
+func (c *client) canMigrate() bool { return c.pool.options.Mode == Transaction && c.state.Sticky == 0 }
+
+// noteReady records a ReadyForQuery for a transaction, nil if its first answer was complete before: the open transaction may have only
+// begun.
+func (c *client) noteReady(t *transaction, state byte) {
+	c.flushRequested = false
+	switch {
+	case state != pgwire.StateTransaction || !c.canMigrate():
+		c.forgetBeginning()
+	case t != nil && !t.answered:
+		first, rest := cutFirst(t.replay)
+		c.begunTransaction = t
+		c.beginMessages = slices.Clone(first)
+		c.unansweredMessages = slices.Clone(rest)
+	case c.begunTransaction != nil: // the messages since ran no statement, and are answered
+		_, rest := cutFirst(c.unansweredMessages)
+		c.unansweredMessages = slices.Clone(rest)
+	}
+	if len(c.unansweredMessages) == 0 {
+		c.unansweredMessages = nil
+	}
+	c.flushDeferred()
+}
+
+// forgetBeginning gives up the possibility to restart the open transaction.
+func (c *client) forgetBeginning() {
+	c.begunTransaction = nil
+	c.beginMessages = nil
+	c.unansweredMessages = nil
+}
+
+// flushDeferred outputs the deferred answers.
+func (c *client) flushDeferred() {
+	c.output = append(c.output, c.deferredAnswers...)
+	c.deferredAnswers = nil
+}
+
+// noteAnswered records that a server has answered more than a beginning: nothing can be sent to another server.
+func (c *client) noteAnswered() {
+	if t := c.transaction; t != nil {
+		t.answered = true
+		t.replay = nil
+	}
+	c.forgetBeginning()
+	c.flushDeferred()
+}
+
+// mayDefer reports whether answers that only prepare or begin may be deferred, because the messages may be sent to another server.
+func (c *client) mayDefer() bool {
+	if c.flushRequested || len(c.deferredAnswers) > resumeUnsent {
+		return false
+	}
+	if t := c.transaction; t != nil {
+		return !t.answered
+	}
+	return c.begunTransaction != nil
+}
+
+// keepForReplay keeps a message that is being sent, for another server. Messages that are too long together are not kept.
+func (c *client) keepForReplay(m pgwire.Message) {
+	switch t := c.transaction; {
+	case c.replaying:
+	case m.More || m.Part:
+		c.noteAnswered()
+	case t != nil && !t.answered:
+		t.replay = append(t.replay, m.Raw...)
+		if len(t.replay) > maxReplayBytes {
+			c.noteAnswered()
+		}
+	case t == nil && c.begunTransaction != nil:
+		c.unansweredMessages = append(c.unansweredMessages, m.Raw...)
+		if len(c.unansweredMessages) > maxReplayBytes {
+			c.noteAnswered()
+		}
+	}
+	if m.Type == pgwire.Flush {
+		c.flushRequested = true
+		if len(c.deferredAnswers) > 0 {
+			c.noteAnswered()
+		}
+	}
+}
+
+// leaveConnection closes the connection of a transaction that has only begun, and reports whether it could. The transaction restarts
+// with the client's next message.
+func (c *client) leaveConnection() bool {
+	onlyBegun := c.begunTransaction != nil && c.unansweredMessages == nil && c.transaction == nil
+	if !onlyBegun || c.link == nil || c.linkBusy() || !c.canMigrate() {
+		return false
+	}
+	c.unlink().close()
+	return true
+}
+
+// restart restarts a transaction that has only begun, and continues with the messages that the client sent since. sent tells that they
+// were sent to a server before.
+func (c *client) restart(messages []byte, sent bool) error {
+	begun := c.begunTransaction
+	t := &transaction{
+		client:       c,
+		replay:       slices.Concat(c.beginMessages, messages),
+		effects:      begun.effects,
+		sql:          begun.sql,
+		restartBytes: len(c.beginMessages),
+	}
+	if sent {
+		t.sends = 1
+	}
+	c.forgetBeginning()
+	c.deferredAnswers = nil
+	c.frontend.Counts.Restarts++
+	c.recordAssignment(record.AssignmentRestarted, nil, 0, false)
+	start := c.transactionStart
+	err := c.submit(t)
+	c.transactionStart = start
+	return err
+}
+
+// sendReplay sends what a transaction has so far. Of one that restarts, it sends only the beginning at first.
+func (c *client) sendReplay(t *transaction) error {
+	t.sends++
+	messages := t.replay
+	if t.restartBytes > 0 {
+		t.restarting = true
+		messages = messages[:t.restartBytes]
+	}
+	return c.sendAll(c.link, messages, t.sends > 1 || t.restartBytes > 0)
+}
+
+// continueRestarted continues a transaction whose beginning was answered again.
+func (c *client) continueRestarted(l *link, state byte) {
+	t := c.transaction
+	t.restarting = false
+	if state != pgwire.StateTransaction {
+		c.endWithError(codeConnectionFailure, "the transaction could not begin again at another server; nothing of it was committed")
+		return
+	}
+	if err := c.sendAll(l, t.replay[t.restartBytes:], t.sends > 1); err != nil {
+		c.endWithError(codeProtocol, err.Error())
+		return
+	}
+	c.proceedSoon()
+}
+
+// sendAll sends kept messages, which stay until the server has answered. resending tells that they were sent before.
+func (c *client) sendAll(l *link, raw []byte, resending bool) error {
+	reader := pgwire.NewReader(max(c.frontend.options.MaxMessage, len(raw)+1))
+	reader.Feed(raw)
+	c.replaying = true
+	c.resending = resending
+	defer func() {
+		c.replaying = false
+		c.resending = false
+	}()
+	for !c.closed && c.link == l {
+		m, ok, err := reader.Next()
+		if err != nil || !ok {
+			return nil
+		}
+		if err := c.forward(m); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// proceedSoon handles what the client has sent meanwhile, after the present callback.
+func (c *client) proceedSoon() {
+	if !c.closed && c.conn != nil {
+		c.frontend.eventLoop.At(c.frontend.now(), c.proceed)
+	}
+}
+
+// sentOnlyBeginning reports whether only the beginning of the transaction was sent, so that it does not matter whether it ran.
+func (t *transaction) sentOnlyBeginning() bool {
+	if t.answered || !onlyBegins(t.effects) {
+		return false
+	}
+	if t.restartBytes > 0 {
+		return t.restarting
+	}
+	_, rest := cutFirst(t.replay)
+	return len(rest) == 0 && runsOneStatement(t.replay)
+}
+
+// runsOneStatement reports whether messages run one statement at most.
+func runsOneStatement(raw []byte) bool {
+	reader := pgwire.NewReader(len(raw) + 1)
+	reader.Feed(raw)
+	runs := 0
+	for {
+		m, ok, err := reader.Next()
+		if err != nil || !ok {
+			return runs <= 1
+		}
+		if m.Type == pgwire.Query || m.Type == pgwire.Execute {
+			runs++
+		}
+	}
+}
+
+// mayRunElsewhere reports whether an error shows that a transaction's first statement did not run and may be sent to another server,
+// and the result of the attempt.
+func (l *link) mayRunElsewhere(c *client, m pgwire.Message) (decide.Result, bool) {
+	if !c.canMigrate() || !c.firstStatementOpen() {
+		return 0, false
+	}
+	switch pgwire.ErrorCode(m.Body) {
+	case codeReadOnly: // a transaction that was declared read-only gets the error that it asked for
+		return decide.Misdirected, !c.wantsReadOnly()
+	case codeTooFarBehind:
+		return decide.Misdirected, true
+	case codeTooManyClients, codeCannotConnectNow:
+		return decide.Overloaded, true
+	}
+	return 0, false
+}
+
+// firstStatementOpen reports whether no statement of the transaction but its beginning was answered.
+func (c *client) firstStatementOpen() bool {
+	t := c.transaction
+	if t == nil {
+		return c.begunTransaction != nil && c.unansweredMessages != nil
+	}
+	atStart := c.sessionState == pgwire.StateIdle || t.restartBytes > 0
+	return !t.answered && t.attempt != nil && atStart
+}
+
+// wantsReadOnly reports whether the client has declared the transaction, or its session, read-only.
+func (c *client) wantsReadOnly() bool {
+	if c.state.Setting("default_transaction_read_only") != "" || c.state.Setting("transaction_read_only") != "" {
+		return true
+	}
+	t := c.transaction
+	if t == nil {
+		t = c.begunTransaction
+	}
+	return slices.ContainsFunc(t.effects, func(s sqltext.Statement) bool { return s.ReadOnly })
+}
+
+// retryElsewhere sends a transaction to another server whose first statement did not run.
+func (l *link) retryElsewhere(c *client, result decide.Result) {
+	c.link = nil
+	l.owner = nil
+	l.unusable = true // what the server still sends is for nobody
+	c.failed = false
+	c.deferredAnswers = nil
+	t := c.transaction
+	if t == nil {
+		l.close()
+		if err := c.restart(c.unansweredMessages, true); err != nil {
+			c.endWithError(codeProtocol, err.Error())
+		}
+		return
+	}
+	t.hasConnection = false
+	t.restarting = false
+	a := t.attempt
+	a.link = nil
+	l.close()
+	l.frontend.endCancelled(a, result, l)
+}
--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"math"
 	"strconv"
 	"strings"
 
@@ -18,252 +17,291 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// What a client reads over many groups goes to scatter; here is how it asks, by a simple query or by Bind to Sync, and how it hears.
+// This file connects clients with package scatter, which reads over many groups. A client begins such a read by a simple query, or by
+// the messages from Bind to Sync.
 
-// boundRead is a scattered read on its way from Bind to Sync.
+// boundRead is a scattered read between its Bind and its Sync.
 type boundRead struct {
-	text     *sessionstate.Statement
-	rest     []byte
-	describe bool
-	execute  bool
+	statement *sessionstate.Statement
+	rest      []byte // of the Bind, after the names
+	describe  bool
+	execute   bool
 }
 
-// page is one that runs. It is scatter.Reader.
+// page is a scattered read that runs. It implements scatter.Reader.
 type page struct {
-	c        *client
-	s        *scatter.Scatter
-	describe bool // the client wants its rows described
+	client   *client
+	read     *scatter.Scatter // nil until it has begun
+	describe bool             // the client gets the description of the rows
 }
 
-const cursorName = "scatter_cursor"
+// cursorParameter is the parameter with which the cursor of the next page is reported.
+const cursorParameter = "scatter_cursor"
 
-// scatterQuery takes a simple query, where it is of a scattered read.
+// scatterQuery begins a scattered read by a simple query, and reports whether the query is one.
 func (c *client) scatterQuery(sql string) bool {
-	a, ok, err := plan.Read(sql)
+	asked, ok, err := plan.Read(sql)
 	if !ok {
 		return false
 	}
 	c.skipToSync = false
-	if err == nil && a.CursorParam > 0 {
+	if err == nil && asked.CursorParam > 0 {
 		err = fmt.Errorf("%w: a simple query has no parameters", plan.ErrComment)
 	}
-	c.scatter(a, err, nil, nil, true)
+	c.scatter(asked, err, nil, nil, true)
 	return true
 }
 
-// scatterMessage takes a message of the extended protocol, where it is of a scattered read.
-func (c *client) scatterMessage(m pgwire.Message) (bool, error) {
+// scatterMessage handles a message of the extended protocol if it is for a scattered read, and reports whether it is.
+func (c *client) scatterMessage(m pgwire.Message) (done bool, err error) {
 	switch m.Type {
-	case 'P':
-		name, sql, types, err := pgwire.ParseMessage(m.Body)
-		if err != nil || !plan.Is(sql) || !c.atTransactionStart() {
-			return false, err
-		}
-		if _, ok, _ := plan.Read(sql); !ok {
-			return false, nil
-		}
-		var old *sessionstate.Statement // that the unnamed one replaces
-		if name == "" {
-			old = c.state.Detach(name)
-		}
-		_, twice, err := c.state.Prepare(name, sql, types) // a server has it prepared when the client wants it described
-		c.reattach(&expectedAnswer{closed: old}, err != nil)
-		switch {
-		case err != nil:
-			c.endWithError("54000", err.Error())
-		case twice:
-			c.fail("42P05", fmt.Sprintf("prepared statement %q already exists", name))
-		default:
-			c.output = append(c.output, '1', 0, 0, 0, 4)
-		}
-		return true, nil
-	case 'B':
-		_, name, rest, err := pgwire.BindMessage(m.Body)
-		if err != nil {
-			return false, err
-		}
-		t := c.state.Statement(name)
-		if t == nil || !plan.Is(t.SQL) {
-			return false, nil
-		}
-		if _, ok, _ := plan.Read(t.SQL); !ok {
-			return false, nil
-		}
-		if !c.atTransactionStart() || c.boundRead != nil {
-			c.fail("25001", "a scattered read is a transaction of its own, one at a time")
-			return true, nil
-		}
-		c.boundRead = &boundRead{text: t, rest: bytes.Clone(rest)}
-		c.output = append(c.output, '2', 0, 0, 0, 4)
-		return true, nil
+	case pgwire.Parse:
+		return c.scatterParse(m)
+	case pgwire.Bind:
+		return c.scatterBind(m)
 	}
-	if c.boundRead == nil {
+	read := c.boundRead
+	if read == nil {
 		return false, nil
 	}
 	switch {
-	case m.Type == 'D' && len(m.Body) > 1 && m.Body[0] == 'P':
-		c.boundRead.describe = true
-	case m.Type == 'E' && !c.boundRead.execute:
-		c.boundRead.execute = true
-	case m.Type == 'H':
+	case m.Type == pgwire.Describe && len(m.Body) > 1 && m.Body[0] == pgwire.PortalTarget:
+		read.describe = true
+	case m.Type == pgwire.Execute && !read.execute:
+		read.execute = true
+	case m.Type == pgwire.Flush:
 	default:
 		c.boundRead = nil
-		c.fail("0A000", "behind the Bind of a scattered read come Describe, Execute once and Sync")
+		c.fail(codeUnsupported, "behind the Bind of a scattered read come Describe, Execute once and Sync")
+	}
+	return true, nil
+}
+
+// isScattered reports whether a statement is a scattered read.
+func isScattered(sql string) bool {
+	if !plan.Is(sql) {
+		return false
+	}
+	_, ok, _ := plan.Read(sql)
+	return ok
+}
+
+// scatterParse prepares a scattered read here. A server prepares it only when the client has it described.
+func (c *client) scatterParse(m pgwire.Message) (done bool, err error) {
+	name, sql, types, err := pgwire.ParseMessage(m.Body)
+	if err != nil || !c.atTransactionStart() || !isScattered(sql) {
+		return false, err
+	}
+	var replaced *sessionstate.Statement // that has no name so far
+	if name == "" {
+		replaced = c.state.Detach(name)
+	}
+	_, exists, err := c.state.Prepare(name, sql, types)
+	c.reattach(&expectedAnswer{closed: replaced}, err != nil)
+	switch {
+	case err != nil:
+		c.endWithError(codeLimitExceeded, err.Error())
+	case exists:
+		c.fail(codeDuplicateStatement, fmt.Sprintf("prepared statement %q already exists", name))
+	default:
+		c.output = pgwire.AppendBare(c.output, pgwire.ParseComplete)
+	}
+	return true, nil
+}
+
+// scatterBind binds a scattered read.
+func (c *client) scatterBind(m pgwire.Message) (done bool, err error) {
+	_, name, rest, err := pgwire.BindMessage(m.Body)
+	if err != nil {
+		return false, err
+	}
+	statement := c.state.Statement(name)
+	if statement == nil || !isScattered(statement.SQL) {
+		return false, nil
 	}
+	if !c.atTransactionStart() || c.boundRead != nil {
+		c.fail(codeActiveTransaction, "a scattered read is a transaction of its own, one at a time")
+		return true, nil
+	}
+	c.boundRead = &boundRead{statement: statement, rest: bytes.Clone(rest)}
+	c.output = pgwire.AppendBare(c.output, pgwire.BindComplete)
 	return true, nil
 }
 
-// scatterSync begins what was bound.
+// scatterSync begins the read that was bound.
 func (c *client) scatterSync() {
-	b := c.boundRead
-	c.boundRead, c.extendedOpen = nil, false
-	if !b.execute {
-		c.output = pgwire.AppendReadyInState(c.output, c.sessionState)
+	read := c.boundRead
+	c.boundRead = nil
+	c.extendedOpen = false
+	if !read.execute {
+		c.appendReady()
 		return
 	}
-	a, _, err := plan.Read(b.text.SQL)
-	c.scatter(a, err, b.text.Types, b.rest, b.describe)
+	asked, _, err := plan.Read(read.statement.SQL)
+	c.scatter(asked, err, read.statement.Types, read.rest, read.describe)
 }
 
-// scatter begins a page, or says why not.
-func (c *client) scatter(a plan.Asked, err error, types, params []byte, describe bool) {
-	if err == nil && (!c.atTransactionStart() || c.sessionState != 'I' || c.begunTransaction != nil) {
-		c.scatterFail("25001", "a scattered read is a transaction of its own", "")
+// noTypes is the part of a Parse that states no types of parameters.
+var noTypes = []byte{0, 0}
+
+// scatter begins a page, or answers with the error that prevents it.
+func (c *client) scatter(asked plan.Asked, err error, types, params []byte, describe bool) {
+	if err == nil && (!c.atTransactionStart() || c.sessionState != pgwire.StateIdle || c.begunTransaction != nil) {
+		c.scatterFail(codeActiveTransaction, "a scattered read is a transaction of its own", "")
 		return
 	}
+	if err == nil {
+		err = c.beginPage(asked, types, params, describe)
+	}
+	if err != nil {
+		c.scatterFail(scatterCode(err), err.Error(), "")
+	}
+}
+
+func (c *client) beginPage(asked plan.Asked, types, params []byte, describe bool) error {
 	if types == nil {
-		types = []byte{0, 0}
+		types = noTypes
 	}
-	if err == nil {
-		p := &page{c: c, describe: describe}
-		c.page = p
-		who := scatter.Who{Database: c.pool.key.database, User: c.pool.key.user, Settings: c.state, Session: sessionKey(c.pid), After: c.lastCommitMs}
-		var s *scatter.Scatter
-		if s, err = c.frontend.options.Scatter.Begin(a, who, types, params, p); err == nil {
-			p.s = s
-			return
-		}
+	p := &page{client: c, describe: describe}
+	c.page = p
+	who := scatter.Who{
+		Database: c.pool.key.database,
+		User:     c.pool.key.user,
+		Settings: c.state,
+		Session:  sessionKey(c.pid),
+		After:    c.lastCommitMs,
+	}
+	read, err := c.frontend.options.Scatter.Begin(asked, who, types, params, p)
+	if err != nil {
 		c.page = nil
+		return err
 	}
-	c.scatterFail(codeOf(err), err.Error(), "")
+	p.read = read
+	return nil
+}
+
+// scatterCodes are the SQLSTATE codes of errors that prevent a scattered read.
+var scatterCodes = map[string][]error{
+	codeTooManyClients:  {scatter.ErrBusy},
+	codeUndefinedObject: {scatter.ErrSpec, core.ErrUnknownClass, core.ErrUnknownTenant},
+	codeSyntax:          {plan.ErrComment, plan.ErrMarks},
+	codeInvalidParameter: {scatter.ErrPage, scatter.ErrEncoding, cursor.ErrCut, cursor.ErrKey, cursor.ErrForged, cursor.ErrOld, cursor.ErrStatement,
+		cursor.ErrReader, cursor.ErrOrder, cursor.ErrShards},
+	codeLimitExceeded:    {cursor.ErrLong},
+	codeDatatypeMismatch: {scatter.ErrColumns, merge.ErrValue},
 }
 
-// codeOf is the SQLSTATE of what kept a scattered read from beginning.
-func codeOf(err error) string {
-	for code, list := range map[string][]error{
-		"53300": {scatter.ErrBusy},
-		"42704": {scatter.ErrSpec, core.ErrUnknownClass, core.ErrUnknownTenant},
-		"42601": {plan.ErrComment, plan.ErrMarks},
-		"22023": {scatter.ErrPage, scatter.ErrEncoding, cursor.ErrCut, cursor.ErrKey, cursor.ErrForged, cursor.ErrOld, cursor.ErrStatement, cursor.ErrReader, cursor.ErrOrder,
-			cursor.ErrShards},
-		"54000": {cursor.ErrLong},
-		"42804": {scatter.ErrColumns, merge.ErrValue},
-	} {
+// scatterCode returns the SQLSTATE of an error that prevents a scattered read.
+func scatterCode(err error) string {
+	for code, list := range scatterCodes {
 		for _, e := range list {
 			if errors.Is(err, e) {
 				return code
 			}
 		}
 	}
-	return "58000"
+	return codeInternal
 }
 
 // scatterFail ends a scattered read with an error.
 func (c *client) scatterFail(code, text, detail string) {
 	c.page = nil
-	c.output = pgwire.AppendReadyInState(pgwire.AppendError(c.output, "ERROR", code, text, detail), c.sessionState)
+	c.output = pgwire.AppendError(c.output, "ERROR", code, text, detail)
+	c.appendReady()
 	c.scatterEnd()
 }
 
-// scatterEnd goes on with what the client sent meanwhile.
+// scatterEnd handles what the client has sent meanwhile.
 func (c *client) scatterEnd() {
 	c.flush()
 	c.proceedSoon()
 	if c.frontend.draining && !c.busy() {
-		c.endWithError("57P01", "the pooler is shutting down")
+		c.endWithError(codeShutdown, textShuttingDown)
 	}
 }
 
-func (c *client) scatterGone() {
-	if p := c.page; p != nil {
-		c.page = nil
-		if p.s != nil {
-			p.s.Leave()
-		}
+// abandonPage ends the page of a client that disconnects.
+func (c *client) abandonPage() {
+	p := c.page
+	if p == nil {
+		return
+	}
+	c.page = nil
+	if p.read != nil {
+		p.read.Leave()
 	}
 }
 
-// scatterCancel ends a page at the client's wish.
+// scatterCancel ends the page because its client has cancelled it.
 func (c *client) scatterCancel() {
-	if p := c.page; p.s != nil {
-		p.s.Leave()
-		c.scatterFail("57014", "canceling statement due to user request", "")
+	if c.page.read == nil {
+		return
 	}
+	c.page.read.Leave()
+	c.scatterFail(codeCancelled, textCancelled, "")
 }
 
-// Describe is scatter.Reader's.
+// Describe implements scatter.Reader.
 func (p *page) Describe(row []byte) {
 	if p.describe {
-		p.c.output = append(p.c.output, row...)
+		p.client.output = append(p.client.output, row...)
 	}
 }
 
-// Row is scatter.Reader's.
+// Row implements scatter.Reader.
 func (p *page) Row(row []byte) {
-	c := p.c
-	if c.output = append(c.output, row...); len(c.output) > resumeUnsent {
+	c := p.client
+	c.output = append(c.output, row...)
+	if len(c.output) > resumeUnsent {
 		c.flush()
 	}
 }
 
-// Flush is scatter.Reader's.
+// Flush implements scatter.Reader.
 func (p *page) Flush() {
-	if !p.c.closed {
-		p.c.flush()
+	if !p.client.closed {
+		p.client.flush()
 	}
 }
 
-// Unsent is scatter.Reader's.
+// Unsent implements scatter.Reader.
 func (p *page) Unsent() int {
-	if p.c.closed || p.c.conn == nil {
+	c := p.client
+	if c.closed || c.conn == nil {
 		return 0
 	}
-	return p.c.conn.Unsent() + len(p.c.output)
+	return c.conn.Unsent() + len(c.output)
 }
 
-// Page is scatter.Reader's.
-func (p *page) Page(x *scatter.Page) {
-	c := p.c
+// Page implements scatter.Reader.
+func (p *page) Page(result *scatter.Page) {
+	c := p.client
 	if c.page != p {
 		return
 	}
 	c.page = nil
-	c.output = pgwire.AppendParameter(c.output, cursorName, x.Cursor)
-	if len(x.Missing) > 0 {
-		c.output = pgwire.AppendNotice(c.output, "01000", "shards are missing in this page: "+strings.Join(x.Missing, ", "), "")
+	c.output = pgwire.AppendParameter(c.output, cursorParameter, result.Cursor)
+	if len(result.Missing) > 0 {
+		c.output = pgwire.AppendNotice(c.output, codeMissingPart, "shards are missing in this page: "+strings.Join(result.Missing, ", "), "")
 	}
-	c.output = pgwire.AppendComplete(c.output, "SELECT "+strconv.Itoa(x.Rows))
-	c.output = pgwire.AppendReadyInState(c.output, c.sessionState)
+	c.output = pgwire.AppendComplete(c.output, "SELECT "+strconv.Itoa(result.Rows))
+	c.appendReady()
 	c.scatterEnd()
 }
 
-// Fail is scatter.Reader's.
-func (p *page) Fail(r *execution.Run, err error) {
-	c := p.c
+// Fail implements scatter.Reader.
+func (p *page) Fail(run *execution.Run, err error) {
+	c := p.client
 	if c.page != p {
 		return
 	}
-	if r.Verdict == execution.Refused {
-		detail := ""
-		if r.RetryMs > 0 {
-			detail = strconv.Itoa(int(math.Ceil(r.RetryMs)))
-		}
-		code := codeOf(err)
-		if code == "58000" {
-			code = "53300"
-		}
-		c.scatterFail(code, err.Error(), detail)
+	code := scatterCode(err)
+	if run.Verdict != execution.Refused {
+		c.scatterFail(code, err.Error(), "")
 		return
 	}
-	c.scatterFail(codeOf(err), err.Error(), "")
+	if code == codeInternal {
+		code = codeTooManyClients
+	}
+	c.scatterFail(code, err.Error(), retryDetail(run.RetryMs))
 }
--- a/internal/frontend/pooling/startup.go
+++ b/internal/frontend/pooling/startup.go
@@ -8,114 +8,155 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-func (c *client) startup() (bool, error) {
-	s, ok, err := c.input.StartupMessage()
+// adminDatabase is the database in which clients query the state of the pools.
+const adminDatabase = "beechgrade"
+
+// Parameters of the startup message that are more than settings.
+const (
+	parameterUser            = "user"
+	parameterDatabase        = "database"
+	parameterOptions         = "options"
+	parameterReplication     = "replication"
+	parameterApplicationName = "application_name"
+	parameterClientEncoding  = "client_encoding"
+	protocolOptionPrefix     = "_pq_."
+)
+
+// startupOnly are the parameters of the startup message that are no settings.
+var startupOnly = map[string]bool{parameterUser: true, parameterDatabase: true, parameterOptions: true, parameterReplication: true}
+
+// startup handles the next message of the startup.
+func (c *client) startup() (more bool, err error) {
+	packet, ok, err := c.input.StartupMessage()
 	if err != nil || !ok {
 		return false, err
 	}
-	switch s.Kind {
+	switch packet.Kind {
 	case pgwire.StartupEncrypt:
-		c.send([]byte{'N'})
+		c.send([]byte{pgwire.EncryptionRefused})
 		return true, nil
 	case pgwire.StartupCancel:
-		c.frontend.cancel(s.PID, s.Secret)
+		c.frontend.cancel(packet.PID, packet.Secret)
 		c.close()
 		return false, nil
 	}
-	return true, c.start(s)
+	c.start(packet)
+	return true, nil
 }
 
-// startupOnly are parameters of the startup message that are no settings.
-var startupOnly = map[string]bool{"user": true, "database": true, "options": true, "replication": true}
-
-func (c *client) start(s pgwire.StartupPacket) error {
+// start handles the startup message: the client is rejected, or welcomed.
+func (c *client) start(packet pgwire.StartupPacket) {
 	c.started = true
-	f, p := c.frontend, s.Params
-	user, database := p["user"], p["database"]
+	if len(packet.Unknown) > 0 || packet.Minor > 0 {
+		c.output = pgwire.AppendNegotiate(c.output, packet.Unknown)
+	}
+	if !c.joinPool(packet.Params) {
+		return
+	}
+	settings := startupSettings(packet.Params)
+	if len(settings) > sessionstate.MaxSettings {
+		c.endWithError(codeProtocol, "too many settings in the startup message")
+		return
+	}
+	c.state = sessionstate.NewClient(c.frontend.statements, settings)
+	c.frontend.newKey(c)
+	c.recordBegin()
+	c.welcome(settings)
+}
+
+// joinPool adds the client to its pool, or lets it use the admin database. It returns false if the client is rejected.
+func (c *client) joinPool(params map[string]string) bool {
+	user, database := params[parameterUser], params[parameterDatabase]
 	if database == "" {
 		database = user
 	}
-	if len(s.Unknown) > 0 || s.Minor > 0 {
-		c.output = pgwire.AppendNegotiate(c.output, s.Unknown)
-	}
 	switch {
 	case user == "":
-		c.endWithError("28000", "no user name in the startup message")
-		return nil
-	case p["replication"] != "" && p["replication"] != "false" && p["replication"] != "off" && p["replication"] != "0":
-		c.endWithError("0A000", "replication is not taken by a pooler")
-		return nil
-	case f.draining:
-		c.endWithError("57P03", "the pooler is shutting down")
-		return nil
-	case database == "beechgrade":
+		c.endWithError(codeInvalidUser, "no user name in the startup message")
+		return false
+	case wantsReplication(params[parameterReplication]):
+		c.endWithError(codeUnsupported, "replication is not taken by a pooler")
+		return false
+	case c.frontend.draining:
+		c.endWithError(codeCannotConnectNow, textShuttingDown)
+		return false
+	case database == adminDatabase:
 		c.admin = true
-	default:
-		c.pool = f.poolOf(database, user, p["application_name"])
-		if c.pool == nil {
-			c.endWithError("3D000", fmt.Sprintf("no pool for database %q and user %q", database, user))
-			return nil
-		}
-		if c.pool.options.MaxClients > 0 && c.pool.clients >= c.pool.options.MaxClients {
-			c.pool = nil
-			c.endWithError("53300", "too many clients in this pool")
-			return nil
-		}
-		c.pool.clients++
+		return true
 	}
+	p := c.frontend.poolOf(database, user, params[parameterApplicationName])
+	if p == nil {
+		c.endWithError(codeUnknownDatabase, fmt.Sprintf("no pool for database %q and user %q", database, user))
+		return false
+	}
+	if p.options.MaxClients > 0 && p.clients >= p.options.MaxClients {
+		c.endWithError(codeTooManyClients, "too many clients in this pool")
+		return false
+	}
+	c.pool = p
+	p.clients++
+	return true
+}
+
+func wantsReplication(value string) bool {
+	switch value {
+	case "", "false", "off", "0":
+		return false
+	}
+	return true
+}
+
+// startupSettings returns the settings in a startup message.
+func startupSettings(params map[string]string) map[string]string {
 	settings := map[string]string{}
-	for n, v := range p {
-		if !startupOnly[n] && !strings.HasPrefix(n, "_pq_.") {
-			settings[n] = v
+	for name, value := range params {
+		if !startupOnly[name] && !strings.HasPrefix(name, protocolOptionPrefix) {
+			settings[name] = value
 		}
 	}
-	for n, v := range startupOptions(p["options"]) {
-		settings[n] = v
+	for name, value := range startupOptions(params[parameterOptions]) {
+		settings[name] = value
 	}
-	if len(settings) > sessionstate.MaxSettings {
-		c.endWithError("08P01", "too many settings in the startup message")
-		return nil
-	}
-	c.state = sessionstate.NewClient(f.statements, settings)
-	f.newKey(c)
-	c.recordBegin()
+	return settings
+}
+
+// welcome answers the startup message of a client with these settings.
+func (c *client) welcome(settings map[string]string) {
 	c.params = map[string]string{}
-	c.output = append(c.output, 'R', 0, 0, 0, 8, 0, 0, 0, 0)
-	for _, n := range sortedKeys(f.params) {
-		c.params[n] = f.params[n]
+	for name, value := range c.frontend.params {
+		c.params[name] = value
 	}
-	if v, ok := settings["application_name"]; ok {
-		c.params["application_name"] = v
-	}
-	if v, ok := settings["client_encoding"]; ok {
-		c.params["client_encoding"] = v
+	for _, name := range []string{parameterApplicationName, parameterClientEncoding} {
+		if value, ok := settings[name]; ok {
+			c.params[name] = value
+		}
 	}
-	for _, n := range sortedKeys(c.params) {
-		c.output = pgwire.AppendParameter(c.output, n, c.params[n])
+	c.output = pgwire.AppendAuthenticationOK(c.output)
+	for _, name := range sortedKeys(c.params) {
+		c.output = pgwire.AppendParameter(c.output, name, c.params[name])
 	}
 	c.output = pgwire.AppendKey(c.output, c.pid, c.secret)
 	c.output = pgwire.AppendReady(c.output)
-	return nil
 }
 
-// startupOptions reads settings out of the option "-c name=value".
-func startupOptions(s string) map[string]string {
-	out := map[string]string{}
-	words := strings.Fields(s)
-	for i, w := range words {
+// startupOptions reads the settings in the parameter options: "-c name=value", "-cname=value" and "--name=value".
+func startupOptions(text string) map[string]string {
+	settings := map[string]string{}
+	words := strings.Fields(text)
+	for i, word := range words {
 		switch {
-		case w == "-c" && i+1 < len(words):
-			w = words[i+1]
-		case strings.HasPrefix(w, "--"):
-			w = strings.ReplaceAll(w[2:], "-", "_")
-		case strings.HasPrefix(w, "-c"):
-			w = w[2:]
+		case word == "-c" && i+1 < len(words):
+			word = words[i+1]
+		case strings.HasPrefix(word, "--"):
+			word = strings.ReplaceAll(word[2:], "-", "_")
+		case strings.HasPrefix(word, "-c"):
+			word = word[2:]
 		default:
 			continue
 		}
-		if n, v, ok := strings.Cut(w, "="); ok {
-			out[n] = v
+		if name, value, ok := strings.Cut(word, "="); ok {
+			settings[name] = value
 		}
 	}
-	return out
+	return settings
 }
--- a/internal/protocol/pgwire/build.go
+++ b/internal/protocol/pgwire/build.go
@@ -64,25 +64,21 @@
 	return endMessage(append(appendString(appendString(dst, portal), name), rest...), lengthAt)
 }
 
-// statementTarget tells Describe and Close that they name a prepared statement.
-const statementTarget = 'S'
-
 // AppendDescribeStatement appends Describe of a prepared statement.
 func AppendDescribeStatement(dst []byte, name string) []byte {
 	dst, lengthAt := beginMessage(dst, Describe)
-	return endMessage(appendString(append(dst, statementTarget), name), lengthAt)
+	return endMessage(appendString(append(dst, StatementTarget), name), lengthAt)
 }
 
 // AppendCloseStatement appends Close of a prepared statement.
 func AppendCloseStatement(dst []byte, name string) []byte {
 	dst, lengthAt := beginMessage(dst, Close)
-	return endMessage(appendString(append(dst, statementTarget), name), lengthAt)
+	return endMessage(appendString(append(dst, StatementTarget), name), lengthAt)
 }
 
 // AppendWelcome appends a server's answer to a startup message, up to its ReadyForQuery.
 func AppendWelcome(dst []byte) []byte {
-	dst, lengthAt := beginMessage(dst, Authentication)
-	dst = endMessage(append(dst, 0, 0, 0, 0), lengthAt)
+	dst = AppendAuthenticationOK(dst)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"}, {"standard_conforming_strings", "on"}} {
 		dst = AppendParameter(dst, p[0], p[1])
@@ -90,6 +86,15 @@
 	return AppendReady(dst)
 }
 
+// AppendAuthenticationOK appends AuthenticationOk.
+func AppendAuthenticationOK(dst []byte) []byte {
+	dst, lengthAt := beginMessage(dst, Authentication)
+	return endMessage(append(dst, 0, 0, 0, 0), lengthAt)
+}
+
+// AppendBare appends a message without a body, such as ParseComplete.
+func AppendBare(dst []byte, typ byte) []byte { return append(dst, typ, 0, 0, 0, lengthBytes) }
+
 // AppendParameter appends ParameterStatus.
 func AppendParameter(dst []byte, name, value string) []byte {
 	dst, lengthAt := beginMessage(dst, ParameterStatus)
@@ -121,7 +126,7 @@
 }
 
 // AppendEmpty appends EmptyQueryResponse.
-func AppendEmpty(dst []byte) []byte { return append(dst, EmptyQueryResponse, 0, 0, 0, lengthBytes) }
+func AppendEmpty(dst []byte) []byte { return AppendBare(dst, EmptyQueryResponse) }
 
 // AppendComplete appends CommandComplete.
 func AppendComplete(dst []byte, tag string) []byte {
--- a/internal/protocol/pgwire/types.go
+++ b/internal/protocol/pgwire/types.go
@@ -39,8 +39,32 @@
 	RowDescription           byte = 'T'
 )
 
-// CopyData is the type of messages with the data of a COPY, from clients and servers.
-const CopyData byte = 'd'
+// Types of messages from servers in the extended protocol, and of notifications.
+const (
+	BindComplete         byte = '2'
+	CloseComplete        byte = '3'
+	NoData               byte = 'n'
+	NotificationResponse byte = 'A'
+	ParameterDescription byte = 't'
+	ParseComplete        byte = '1'
+	PortalSuspended      byte = 's'
+)
+
+// Types of messages of COPY, from clients and servers.
+const (
+	CopyBothResponse byte = 'W'
+	CopyData         byte = 'd'
+	CopyDone         byte = 'c'
+	CopyFail         byte = 'f'
+	CopyInResponse   byte = 'G'
+	CopyOutResponse  byte = 'H'
+)
+
+// Targets of Describe and Close.
+const (
+	StatementTarget byte = 'S'
+	PortalTarget    byte = 'P'
+)
 
 // EncryptionRefused is the one byte that refuses a request for encryption.
 const EncryptionRefused byte = 'N'
