--- a/internal/cluster/raftlog/log_test.go
+++ b/internal/cluster/raftlog/log_test.go
@@ -9,50 +9,73 @@
 	"pgregory.net/rapid"
 )
 
+// testMembers are the voters of the tests' group.
+func testMembers() []Member {
+	return []Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
+}
+
+// testSettings are those of a pooler in a group of the voters a, b and c.
+func testSettings(self string) Settings {
+	settings := Defaults()
+	settings.Voters = []string{"a", "b", "c"}
+	settings.Self = self
+	return settings
+}
+
+// testAddresses are those of all three voters.
+func testAddresses() AddressesChanged {
+	return AddressesChanged{Voters: []Address{{Name: "a", Addr: "A"}, {Name: "b", Addr: "B"}, {Name: "c", Addr: "C"}}}
+}
+
 // TestSnapshotArrivesInChunksOrNotAtAll checks that what is too large for a datagram arrives complete, and nothing of it where a chunk is
 // missing, repeated or of another transfer.
 func TestSnapshotArrivesInChunksOrNotAtAll(t *testing.T) {
-	set := Defaults()
-	set.Voters = []string{"a", "b", "c"}
-	set.Self = "a"
-	a := New(set, 0)
-	b := New(set, 0)
-	a.addresses["b"], a.members = "b", []Member{{"b", 2}}
+	sender := New(testSettings("a"), 0)
+	receiver := New(testSettings("a"), 0)
+	sender.addresses["b"] = "b"
+	sender.members = []Member{{Name: "b", Disk: 2}}
 	data := bytes.Repeat([]byte("0123456789"), 130000)
-	parts := func() (all [][]byte) {
-		a.actions = nil
-		a.startTransfer(&message{group: 1, from: 1, to: a.members[0].raftID(), data: data})
-		for len(a.actions) > 0 {
-			x := a.actions[0]
-			a.actions = nil
-			all = append(all, x.Message)
-			a.chunkSent(StreamCompleted{Ref: x.Ref, OK: true})
+	send := func() (chunks [][]byte) {
+		sender.actions = nil
+		sender.startTransfer(&message{group: 1, from: 1, to: sender.members[0].raftID(), data: data})
+		for len(sender.actions) > 0 {
+			sent := sender.actions[0]
+			sender.actions = nil
+			chunks = append(chunks, sent.Message)
+			sender.chunkSent(StreamCompleted{Ref: sent.Ref, OK: true})
 		}
-		return all
-	}
-	take := func(all ...[]byte) (got []byte) {
-		for _, x := range all {
-			m, err := decodeMessage(x)
-			if err != nil || len(x) > MaxChunkBytes+200 {
-				t.Fatal(err, len(x))
+		return chunks
+	}
+	receive := func(chunks ...[]byte) (received []byte) {
+		t.Helper()
+		for _, chunk := range chunks {
+			m, err := decodeMessage(chunk)
+			if err != nil || len(chunk) > MaxChunkBytes+200 {
+				t.Fatal(err, len(chunk))
 			}
-			if d := b.receiveChunk(m); d != nil {
-				got = d
+			if complete := receiver.receiveChunk(m); complete != nil {
+				received = complete
 			}
 		}
-		return got
+		return received
 	}
-	one, two := parts(), parts()
-	if len(one) != 4 {
-		t.Fatalf("%d parts", len(one))
+	first, second := send(), send()
+	if len(first) != 4 {
+		t.Fatalf("%d chunks", len(first))
 	}
-	if !bytes.Equal(take(one...), data) {
+	if !bytes.Equal(receive(first...), data) {
 		t.Error("it did not arrive")
 	}
-	if take(one[0], one[1], one[3]) != nil || take(one[0], one[1], one[1], one[3]) != nil || take(one[0], two[1], one[2], one[3]) != nil {
-		t.Error("half of it was taken")
+	for name, chunks := range map[string][][]byte{
+		"one is missing":             {first[0], first[1], first[3]},
+		"one is repeated":            {first[0], first[1], first[1], first[3]},
+		"one is of another transfer": {first[0], second[1], first[2], first[3]},
+	} {
+		if receive(chunks...) != nil {
+			t.Errorf("where %s, a part of it was taken", name)
+		}
 	}
-	if !bytes.Equal(take(two...), data) || len(a.outgoing) != 0 {
+	if !bytes.Equal(receive(second...), data) || len(sender.outgoing) != 0 {
 		t.Error("it did not arrive after that")
 	}
 }
@@ -60,10 +83,10 @@
 // TestProposalsFollowHintsToTheLeader checks that a pooler that does not vote follows the voters' hints, tries the next voter where none
 // answers, and reports what is dropped.
 func TestProposalsFollowHintsToTheLeader(t *testing.T) {
-	set := Defaults()
-	set.Voters, set.Self, set.MaxForwards = []string{"a", "b", "c"}, "x", 2
-	l := New(set, 0)
-	l.Handle(0, AddressesChanged{Voters: []Address{{"a", "A"}, {"b", "B"}, {"c", "C"}}}, nil)
+	settings := testSettings("x")
+	settings.MaxForwards = 2
+	l := New(settings, 0)
+	l.Handle(0, testAddresses(), nil)
 	propose := func(now float64, ref uint64) (to string, m *message) {
 		for _, a := range l.Handle(now, Propose{Ref: ref, Entry: []byte("e")}, nil) {
 			if a.Kind == Send {
@@ -83,7 +106,7 @@
 	}
 	to, m = propose(2, 2)
 	if to != "C" {
-		t.Error("the hint was not taken:", to)
+		t.Errorf("the proposal went to %q and not by the hint", to)
 	}
 	accepted := (&message{kind: kindForwardResult, ref: m.ref, flag: true}).encode(nil)
 	if out = l.Handle(3, MessageReceived{From: "C", Message: accepted}, nil); len(out) != 0 {
@@ -92,10 +115,10 @@
 	propose(4, 3)
 	propose(4, 4)
 	if to, _ = propose(4, 5); to != "dropped" {
-		t.Error("more wait than may:", to)
+		t.Errorf("one more than MaxForwards went to %q", to)
 	}
 	lost := 0
-	for now := 4.0; now < 4+set.ForwardTimeout()+2*set.TickInterval; now += set.TickInterval {
+	for now := 4.0; now < 4+settings.ForwardTimeout()+2*settings.TickInterval; now += settings.TickInterval {
 		for _, a := range l.Handle(now, Tick{}, nil) {
 			if a.Kind == ProposalDropped {
 				lost++
@@ -103,7 +126,7 @@
 		}
 	}
 	if to, _ = propose(3000, 6); lost != 2 || to != "A" {
-		t.Error("after silence:", lost, to)
+		t.Errorf("without answers %d were dropped, and the next went to %q", lost, to)
 	}
 }
 
@@ -122,10 +145,8 @@
 			t.Fatal(err, got)
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
-		all := []Member{{"a", 1}, {"b", 2}, {"c", 3}}
-		set := Defaults()
-		set.Voters, set.Self = []string{"a", "b", "c"}, "a"
-		l := New(set, 0)
+		all := testMembers()
+		l := New(testSettings("a"), 0)
 		l.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
 		l.Handle(1, MessageReceived{From: "B", Message: b}, nil)
 		if l.stopReason != "" {
@@ -137,16 +158,14 @@
 // TestVoterStopsOnAForeignOrIncompleteDisk checks that a disk of another voter, or one that lacks something, ends the voter's part with one
 // reason.
 func TestVoterStopsOnAForeignOrIncompleteDisk(t *testing.T) {
-	all := []Member{{"a", 1}, {"b", 2}, {"c", 3}}
-	set := Defaults()
-	set.Voters, set.Self = []string{"a", "b", "c"}, "a"
+	all := testMembers()
 	ninth, _ := proto.Marshal(&pb.Entry{Index: proto.Uint64(9), Term: proto.Uint64(1)})
 	for name, records := range map[string][]Record{
-		"another's":         BootstrapRecords(all[1], all),
+		"of another voter":  BootstrapRecords(all[1], all),
 		"without its owner": BootstrapRecords(all[0], all)[1:],
 		"without entries":   append(BootstrapRecords(all[0], all), Record{Key: entryKey(9), Value: ninth}),
 	} {
-		l := New(set, 0)
+		l := New(testSettings("a"), 0)
 		out := l.Handle(0, StorageLoaded{Records: records}, nil)
 		if len(out) != 1 || out[0].Kind != Stopped || l.Status().Participates {
 			t.Errorf("%s: %+v", name, out)
@@ -161,19 +180,20 @@
 // voter answers it all the same: otherwise it never learns of the change. Its answers had gone to a name that was not among its members, so
 // nowhere; the leader took it for unresponsive, and as it had a leader it asked nobody either.
 func TestFollowerBehindAChangeAnswersItsLeader(t *testing.T) {
-	all := []Member{{"a", 1}, {"b", 2}, {"c", 3}}
-	fresh := Member{"b", 99} // b lost its disk and was admitted with a new one
-	set := Defaults()
-	set.Voters, set.Self = []string{"a", "b", "c"}, "a"
-	follower := New(set, 0)
-	follower.Handle(0, AddressesChanged{Voters: []Address{{"a", "A"}, {"b", "B"}, {"c", "C"}}}, nil)
+	all := testMembers()
+	replaced := Member{Name: "b", Disk: 99} // b lost its disk and was admitted with a new one
+	follower := New(testSettings("a"), 0)
+	follower.Handle(0, testAddresses(), nil)
 	follower.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
-	set.Self = "b"
-	leader := New(set, 0)
-	leader.self, leader.group = fresh, groupID(all)
-	leader.members, leader.addresses["a"] = all, "A"
+	leader := New(testSettings("b"), 0)
+	leader.self = replaced
+	leader.group = groupID(all)
+	leader.members = all
+	leader.addresses["a"] = "A"
 	kind := pb.MsgHeartbeat
-	leader.send(&pb.Message{Type: &kind, From: proto.Uint64(fresh.raftID()), To: proto.Uint64(all[0].raftID()), Term: proto.Uint64(5)})
+	leader.send(&pb.Message{
+		Type: &kind, From: proto.Uint64(replaced.raftID()), To: proto.Uint64(all[0].raftID()), Term: proto.Uint64(5),
+	})
 	if len(leader.actions) != 1 {
 		t.Fatalf("%+v", leader.actions)
 	}
--- a/internal/encoding/encoding_test.go
+++ b/internal/encoding/encoding_test.go
@@ -11,15 +11,20 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-var errTest = errors.New("no message of the test's")
+var errTest = errors.New("malformed")
 
-func all(b []byte) (fields []Field, err error) {
-	err = Fields(b, func(why error) error { return errors.Join(errTest, why) }, func(f Field) error { fields = append(fields, f); return nil })
+// readAll returns a message's fields, and errTest with the reason where it is malformed.
+func readAll(b []byte) (fields []Field, err error) {
+	malformed := func(reason error) error { return errors.Join(errTest, reason) }
+	err = Fields(b, malformed, func(field Field) error {
+		fields = append(fields, field)
+		return nil
+	})
 	return fields, err
 }
 
-// whole has a field of each type: one with a value is a Field with it.
-func whole() ([]byte, []Field) {
+// testMessage is a message with a field of each type, and those fields.
+func testMessage() ([]byte, []Field) {
 	b := AppendUintField(nil, 1, 300)
 	b = AppendFixedField(b, 2, 1<<63)
 	b = AppendBytesField(b, 3, "text")
@@ -40,19 +45,19 @@
 // TestFieldsComeOnceInOrder checks that each field is visited once, in order; of a message that was cut those that are complete, with an error
 // unless the cut is between two.
 func TestFieldsComeOnceInOrder(t *testing.T) {
-	b, want := whole()
-	got, err := all(b)
+	b, want := testMessage()
+	got, err := readAll(b)
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Fatal(err, diff)
 	}
 	for _, f := range got {
 		if none := f.Number == 5 || f.Number == 6; f.HasValue() == none {
-			t.Errorf("%+v: valued %v", f, f.HasValue())
+			t.Errorf("%+v: has a value: %v", f, f.HasValue())
 		}
 	}
 	ends := 0
 	for cut := range b {
-		got, err := all(b[:cut])
+		got, err := readAll(b[:cut])
 		if len(got) > len(want) || !cmp.Equal(got, want[:len(got)]) && len(got) > 0 {
 			t.Fatalf("cut at %d: %+v", cut, got)
 		}
@@ -63,13 +68,13 @@
 		}
 	}
 	if ends != len(want) {
-		t.Errorf("%d cuts leave a message, of %d fields", ends, len(want))
+		t.Errorf("%d cuts are a message, of %d fields", ends, len(want))
 	}
 }
 
 // TestFieldsReturnsTheVisitorsError checks that a visitor's error is returned as it is, and that nothing is visited after it.
 func TestFieldsReturnsTheVisitorsError(t *testing.T) {
-	b, _ := whole()
+	b, _ := testMessage()
 	own, n := errors.New("too many"), 0
 	err := Fields(b, func(error) error { return errTest }, func(Field) error {
 		if n++; n == 2 {
@@ -99,7 +104,7 @@
 		"a tag without an end":       {0x88},
 		"groups within groups, open": bytes.Repeat([]byte{0x0b}, 1<<16),
 	} {
-		if got, err := all(b); !errors.Is(err, errTest) || len(got) > 0 {
+		if got, err := readAll(b); !errors.Is(err, errTest) || len(got) > 0 {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
 	}
@@ -135,8 +140,8 @@
 	{"Uint32", func(r *Reader) uint64 { return uint64(r.Uint32()) }, 0x01020304, []byte{1, 2, 3, 4}},
 	{"Uint64", func(r *Reader) uint64 { return r.Uint64() }, 0x0102030405060708, []byte{1, 2, 3, 4, 5, 6, 7, 8}},
 	{"Uvarint", func(r *Reader) uint64 { return r.Uvarint() }, math.MaxUint64, binary.AppendUvarint(nil, math.MaxUint64)},
-	{"UvarintTo", func(r *Reader) uint64 { return r.UvarintMax(300) }, 300, []byte{0xac, 2}},
-	{"ByteTo", func(r *Reader) uint64 { return uint64(r.ByteMax(5)) }, 5, []byte{5}},
+	{"UvarintMax", func(r *Reader) uint64 { return r.UvarintMax(300) }, 300, []byte{0xac, 2}},
+	{"ByteMax", func(r *Reader) uint64 { return uint64(r.ByteMax(5)) }, 5, []byte{5}},
 	{"Take", func(r *Reader) uint64 { return uint64(len(r.Take(3))) }, 3, []byte{0, 0, 0}},
 }
 
@@ -165,10 +170,10 @@
 		r := NewReader(x.from)
 		r.Require(true)
 		if r.Require(false); x.read(&r) != 0 || r.OK() || r.More() || r.AtEnd() {
-			t.Errorf("%s of one that is spoilt: %+v", x.name, r)
+			t.Errorf("%s of a Reader that has failed: %+v", x.name, r)
 		}
 		if r.Require(true); r.OK() {
-			t.Errorf("%+v is good again", r)
+			t.Errorf("%+v has not failed any more", r)
 		}
 	}
 }
@@ -180,8 +185,8 @@
 		b    []byte
 		read func(r *Reader) int
 	}{
-		"UvarintTo":         {[]byte{0xad, 2}, func(r *Reader) int { return int(r.UvarintMax(300)) }},
-		"ByteTo":            {[]byte{6}, func(r *Reader) int { return r.ByteMax(5) }},
+		"UvarintMax":        {[]byte{0xad, 2}, func(r *Reader) int { return int(r.UvarintMax(300)) }},
+		"ByteMax":           {[]byte{6}, func(r *Reader) int { return r.ByteMax(5) }},
 		"a varint too long": {bytes.Repeat([]byte{0xff}, 11), func(r *Reader) int { return int(r.Uvarint()) }},
 		"a length below 0":  {[]byte{1, 2}, func(r *Reader) int { return len(r.Take(-1)) }},
 		"a length like all": {[]byte{1, 2}, func(r *Reader) int { return len(r.Take(math.MaxInt)) }},
@@ -197,19 +202,19 @@
 func TestAppendToTakenBytesLeavesTheRest(t *testing.T) {
 	r := NewReader([]byte{1, 2, 3})
 	if _ = append(r.Take(1), 9); r.Byte() != 2 {
-		t.Error("what follows was written over")
+		t.Error("what follows was overwritten")
 	}
 }
 
 // FuzzFields reads any bytes: what is read is within them, and the same when it is written again.
 func FuzzFields(f *testing.F) {
-	b, _ := whole()
+	b, _ := testMessage()
 	f.Add(b)
 	f.Add(b[:7])
 	f.Add([]byte{0x0a, 0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Add(bytes.Repeat([]byte{0x0b}, 20))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		got, err := all(b)
+		got, err := readAll(b)
 		if err != nil && !errors.Is(err, errTest) {
 			t.Fatal(err)
 		}
@@ -231,8 +236,8 @@
 			}
 			kept = append(kept, x)
 		}
-		if back, err := all(again); err != nil || !cmp.Equal(kept, back) || len(again) > len(b) {
-			t.Fatalf("%+v came back as %+v, %v", kept, back, err)
+		if back, err := readAll(again); err != nil || !cmp.Equal(kept, back) || len(again) > len(b) {
+			t.Fatalf("%+v was read again as %+v, %v", kept, back, err)
 		}
 	})
 }
@@ -244,9 +249,10 @@
 	f.Fuzz(func(t *testing.T, b, calls []byte) {
 		r := NewReader(b)
 		for _, c := range calls {
-			bad, left := !r.OK(), len(r.b)
+			failed, before := !r.OK(), len(r.b)
 			x := numbers[int(c)%len(numbers)].read(&r)
-			if bad && (x != 0 || r.OK()) || len(r.b) > left || r.More() && r.AtEnd() {
+			revived := failed && (x != 0 || r.OK())
+			if revived || len(r.b) > before || r.More() && r.AtEnd() {
 				t.Fatalf("%s yields %d: %+v", numbers[int(c)%len(numbers)].name, x, r)
 			}
 		}
