--- a/cmd/beechgrade/clickhouse.go
+++ b/cmd/beechgrade/clickhouse.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/settings"
 )
 
-// openClickHouse adds the front for the ClickHouse HTTP interface, where the settings have it on.
+// openClickHouse adds the frontend for the ClickHouse HTTP interface, where the settings enable it.
 func (p *pooler) openClickHouse(o settings.ClickHouse) {
 	if o.Listen == "" {
 		return
@@ -24,7 +24,7 @@
 		Spare: p.spareConns}, p.core, p.core)
 }
 
-// listenClickHouse opens its address.
+// listenClickHouse opens the address of the ClickHouse frontend.
 func (p *pooler) listenClickHouse() {
 	at, stop, err := p.loop.Listen(p.clickhouseAddr, p.clickhouse.Accept)
 	if err != nil {
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -21,7 +21,8 @@
 	"beechgrade/internal/storage/store"
 )
 
-// creditGate is what tenants pay ahead for, as this pooler has it. It is core's Credit, and credit's Log, Files and Events.
+// creditGate joins prepaid credit to the core, the replicated log and the lease files. It implements core.CreditGate, and the interfaces that
+// package credit needs of a log, of files and of an observer.
 type creditGate struct {
 	pooler   *pooler
 	set      settings.Credit
@@ -30,7 +31,7 @@
 	holder   ledger.Holder
 	writes   chan leaseMarks
 	done     chan struct{}
-	locks    map[ledger.Holder]*os.File // of this process's marks, and of those that it has taken over
+	locks    map[ledger.Holder]*os.File // of this process's lease marks, and of those inherited from ended processes
 	consumed int64
 	refused  uint64
 	waited   uint64
@@ -41,7 +42,7 @@
 	list   []lease.HighWaterMark
 }
 
-// openCredit has tenants pay ahead, where the settings have it on; the function ends it.
+// openCredit opens prepaid credit, where the settings enable it. The returned function closes it.
 func (p *pooler) openCredit(set settings.Credit) (stop func(), err error) {
 	if !set.Enabled {
 		return func() {}, nil
@@ -96,7 +97,7 @@
 	return s
 }
 
-// reload takes prices and payments as they are now.
+// reload applies new prices and payments.
 func (x *creditGate) reload(set settings.Credit) {
 	if !set.Enabled || set.Dir != x.set.Dir {
 		x.pooler.log.Warn("cannot change while serving, needs a restart", "kept", []string{"credit"})
@@ -110,7 +111,7 @@
 	x.pooler.log.Info("credit read again", "prices", len(set.Prices), "payments", len(set.Payments))
 }
 
-// Hold is core.Credit's.
+// Hold reserves credit for a request, or returns why it has to wait or is rejected.
 func (x *creditGate) Hold(tenant, class, session string, tag uint64) (lease.Reservation, lease.Decision) {
 	i, ok := x.classes[class]
 	if !ok {
@@ -126,27 +127,27 @@
 	return h, v
 }
 
-// Settle is core.Credit's.
+// Settle charges a request that has ended.
 func (x *creditGate) Settle(h *lease.Reservation, d lease.Usage) { x.consumed += x.credit.Settle(h, d) }
 
-// Cancel is core.Credit's.
+// Cancel ends the wait of a request for credit.
 func (x *creditGate) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
 
-// Admit is credit.Events'.
+// Admit lets in a request that waited for credit.
 func (x *creditGate) Admit(tag uint64, h lease.Reservation) { x.pooler.core.Funded(tag, h) }
 
-// Reject is credit.Events'.
+// Reject rejects a request that waited for credit.
 func (x *creditGate) Reject(tag uint64) {
 	x.refused++
 	x.pooler.core.Unfunded(tag)
 }
 
-// Propose is credit.Log's. What is dropped the poolers ask for again.
+// Propose proposes an entry to the replicated log. A proposal may be lost: poolers repeat their requests.
 func (x *creditGate) Propose(entry []byte) {
 	x.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.CreditEntries}, entry...))
 }
 
-// Write is credit.Files': the newest marks are all that there are.
+// Write saves the lease marks. Marks that wait to be saved are replaced: the newest are complete.
 func (x *creditGate) Write(no uint64, list []lease.HighWaterMark) {
 	select {
 	case <-x.writes:
@@ -156,8 +157,8 @@
 }
 
 const (
-	marksRetry       = time.Second // after marks could not be written
-	endedProcessesMs = 3000        // between two looks for files of processes that are no more
+	marksRetry       = time.Second // after a failed write of marks
+	endedProcessesMs = 3000        // between two searches for files of ended processes
 	marksSuffix      = ".marks"
 	lockSuffix       = ".lock"
 	newLockSuffix    = ".new" // of a lock file before it is locked
@@ -167,7 +168,7 @@
 	return filepath.Join(x.set.Dir, fmt.Sprintf("credit-%016x%s", h, end))
 }
 
-// saveMarks writes marks, off the loop: whole, and durable before anything is spent by them.
+// saveMarks writes marks, off the loop. They are durable before credit is used by them.
 func (x *creditGate) saveMarks() {
 	defer close(x.done)
 	for m := range x.writes {
@@ -192,7 +193,7 @@
 	}
 }
 
-// lockFiles takes this process's place among the files, and finds those whose processes are no more: nobody has their locks.
+// lockFiles locks this process's file, and returns the holders whose processes have ended: their files are not locked.
 func (x *creditGate) lockFiles() (gone []ledger.Holder, err error) {
 	if err := os.MkdirAll(x.set.Dir, 0o700); err != nil {
 		return nil, err
@@ -211,8 +212,8 @@
 	if x.locks[x.holder] != nil {
 		return gone, nil
 	}
-	// The file is locked before it has the name by which others look for the files of processes that are no more: one that is there
-	// and not locked would be taken for such a file, and the lock be theirs.
+	// The file is locked before it is renamed to the name by which others search: a file of that name without a lock would count as
+	// that of an ended process, and the other process would take the lock.
 	unnamed := x.file(x.holder, newLockSuffix)
 	if err := x.lockFile(x.holder, unnamed); err != nil {
 		return nil, err
@@ -223,7 +224,7 @@
 	return gone, nil
 }
 
-// lockFile locks a holder's file at a path, where no other process has it.
+// lockFile locks a holder's file; it fails where another process holds the lock.
 func (x *creditGate) lockFile(h ledger.Holder, path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -244,7 +245,7 @@
 	}
 }
 
-// findEndedProcesses finds the files of processes that have ended since.
+// findEndedProcesses inherits the leases of processes that have ended since the last search.
 func (x *creditGate) findEndedProcesses() {
 	if gone, err := x.lockFiles(); err != nil {
 		x.pooler.log.Warn("credit: files", "err", err)
@@ -254,7 +255,7 @@
 	x.pooler.loop.At(x.pooler.loop.Now()+endedProcessesMs, x.findEndedProcesses)
 }
 
-// Read is credit.Files'.
+// Read reads the marks of an ended process, and passes them to do on the loop.
 func (x *creditGate) Read(h ledger.Holder, do func([]lease.HighWaterMark)) {
 	path := x.file(h, marksSuffix)
 	go func() {
@@ -263,7 +264,7 @@
 		if err == nil {
 			err = jsoniter.Unmarshal(b, &list)
 		}
-		if err != nil && !os.IsNotExist(err) { // what is not known to be unspent stays spent
+		if err != nil && !os.IsNotExist(err) { // credit that is not known to be unused counts as used
 			x.pooler.log.Error("credit: marks of a process that is no more cannot be read; what it held counts as spent", "err", err)
 			return
 		}
@@ -271,7 +272,7 @@
 	}()
 }
 
-// Erase is credit.Files'.
+// Erase removes the files of an ended process, once its leases are settled.
 func (x *creditGate) Erase(h ledger.Holder) {
 	x.pooler.log.Info("credit: settled what a process that is no more left", "process", fmt.Sprintf("%016x", h))
 	f := x.locks[h]
@@ -285,7 +286,7 @@
 	}()
 }
 
-// close tells last words, and how things stood.
+// close sends the last settlement claims, and logs the state of the ledger.
 func (x *creditGate) close() {
 	x.credit.Close()
 	if b := x.credit.Ledger(); b != nil {
@@ -297,7 +298,7 @@
 	x.pooler.log.Info("credit: ends", "spent", x.consumed, "refused", x.refused, "waited", x.waited)
 }
 
-// writeCreditMetrics tells how credit stands, where there is any.
+// writeCreditMetrics writes the metrics of prepaid credit, where it is enabled.
 func (p *pooler) writeCreditMetrics(s *exposition.Snapshot) {
 	if p.credit == nil {
 		return
--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -10,10 +10,10 @@
 	"beechgrade/internal/settings"
 )
 
-// demandIntervalMs is between two looks at what this pooler would use of the fleet's limits.
+// demandIntervalMs is the time between two reports of this pooler's demand for the fleet's limits.
 const demandIntervalMs = 100
 
-// fleetLimits joins limits that hold for the whole fleet to what they are of.
+// fleetLimits joins the limits that hold for the whole fleet to the subsystems that apply them.
 type fleetLimits struct {
 	pooler   *pooler
 	set      settings.FleetLimits
@@ -21,7 +21,7 @@
 	ticking  bool
 }
 
-// quotas are the limits as the poolers share them; nil where there are none.
+// quotas returns the settings of package quota for the limits; nil where there are none.
 func quotas(set *settings.FleetLimits, expect int) *quota.Settings {
 	if !set.Enabled {
 		return nil
@@ -31,12 +31,12 @@
 	return &s
 }
 
-// apply has the parts keep to nothing of each limit until they are told; it runs on the loop.
+// apply puts limits in force, with an allowance of nothing until one is assigned. It runs on the loop.
 func (l *fleetLimits) apply(set settings.FleetLimits) {
 	old := l.set.Limits
 	l.set = set
 	for i := range set.Limits {
-		if x := &set.Limits[i]; !containsLimit(old, x) { // what the core has is nothing by itself
+		if x := &set.Limits[i]; !containsLimit(old, x) { // the core's own limits begin with nothing
 			l.assign(x, 0, 0)
 		}
 	}
@@ -61,7 +61,7 @@
 	return false
 }
 
-// assign tells a part what it may use.
+// assign sets the allowance of a limit where it is applied.
 func (l *fleetLimits) assign(x *settings.FleetLimit, amount, burst float64) {
 	switch x.Resource {
 	case settings.ResourceQueries:
@@ -85,7 +85,7 @@
 	}
 }
 
-// release has a part go by its own settings again.
+// release removes a limit where it was applied, which goes by its own settings again.
 func (l *fleetLimits) release(x *settings.FleetLimit) {
 	switch x.Resource {
 	case settings.ResourceQueries:
@@ -112,7 +112,7 @@
 	}
 }
 
-// allow is told what this pooler may use of a limit.
+// allow sets what this pooler may use of a limit.
 func (l *fleetLimits) allow(name string, amount, burst float64) {
 	l.pooler.log.Debug("fleet limit", "limit", name, "amount", amount, "burst", burst)
 	l.pooler.core.RecordEvent(recordpb.Kind_KIND_LIMIT, fmt.Sprintf("%s: %g", name, amount))
@@ -122,17 +122,17 @@
 	for i := range l.set.Limits {
 		if x := &l.set.Limits[i]; x.Name == name {
 			l.assign(x, amount, burst)
-			if x.Kind == quota.Concurrency { // what is in use beyond it must be known before it is lent to others
+			if x.Kind == quota.Concurrency { // what is in use beyond it must be known before it is leased to others
 				l.reportDemand(x)
 			}
 		}
 	}
 }
 
-// reportDemand tells what this pooler would use of a limit, and uses.
+// reportDemand reports what this pooler would use of a limit, and what it uses.
 func (l *fleetLimits) reportDemand(x *settings.FleetLimit) {
 	if want, ok := l.pooler.core.Demand(x.Name); ok {
-		if x.Resource == settings.ResourceColdServers { // as a part of what a fleet may ask for
+		if x.Resource == settings.ResourceColdServers { // as a part of the fleet's slow-start budget
 			want /= slowStartScale
 		}
 		l.pooler.peers.ReportDemand(x.Name, want, 0)
@@ -155,7 +155,7 @@
 	}
 }
 
-// slowStartScale is a flow, a second, that stands for the whole of the fall budget: parts of it follow how flows compare.
+// slowStartScale is the flow of requests a second that counts as the whole slow-start budget. Only ratios of flows matter.
 const slowStartScale = 1e5
 
 func (l *fleetLimits) tick() {
@@ -165,7 +165,7 @@
 	l.pooler.loop.At(l.pooler.loop.Now()+demandIntervalMs, l.tick)
 }
 
-// reloadLimits takes limits that have changed.
+// reloadLimits applies new limits.
 func (p *pooler) reloadLimits(set settings.FleetLimits) {
 	if p.peers == nil {
 		if set.Enabled {
@@ -191,7 +191,7 @@
 	return &quota.Settings{ExpectedPoolers: expect}
 }
 
-// writeLimitsMetrics tells how the fleet's limits stand here.
+// writeLimitsMetrics writes the metrics of the fleet's limits, where there are any.
 func (p *pooler) writeLimitsMetrics(s *exposition.Snapshot) {
 	if p.peers == nil || p.limits == nil {
 		return
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -6,8 +6,8 @@
 	"beechgrade/internal/settings"
 )
 
-// openInvariants has the parts check statements about their state, where the settings have it so. A breach is logged once for each
-// name and counted; it stops nothing.
+// openInvariants has the subsystems check statements about their own state, where the settings enable it. A breach is logged once for
+// each name and counted; it stops nothing.
 func (p *pooler) openInvariants(set settings.Invariants) {
 	if set.Enabled {
 		p.countsChecks = true
@@ -15,7 +15,7 @@
 	}
 }
 
-// check hands the checks to the parts; it is for the time before they begin, once all are there.
+// check passes the checks to the subsystems. It is called once all are open, before any begins.
 func (p *pooler) check(c *invariant.Checks, every int) {
 	p.checks = c
 	p.core.SetChecks(c, every)
@@ -44,7 +44,7 @@
 	}
 }
 
-// logInvariants tells at the end how many statements held.
+// logInvariants logs at the end how many statements were checked, and how many were false.
 func (p *pooler) logInvariants() {
 	if p.countsChecks {
 		made, broken := p.checks.Counts()
@@ -52,7 +52,7 @@
 	}
 }
 
-// writeInvariantsMetrics tells the figures of statements, where any are checked.
+// writeInvariantsMetrics writes the metrics of checked statements, where any are checked.
 func (p *pooler) writeInvariantsMetrics(s *exposition.Snapshot) {
 	if !p.countsChecks {
 		return
--- a/cmd/beechgrade/journal.go
+++ b/cmd/beechgrade/journal.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/storage/store"
 )
 
-// openJournal opens the journal of what may have run, where the settings have it on; the function ends it.
+// openJournal opens the journal of attempts that may have run, where the settings enable it. The returned function closes it.
 func (p *pooler) openJournal(o settings.Journal) (stop func(), err error) {
 	if o.Dir == "" {
 		return func() {}, nil
--- a/cmd/beechgrade/outlier.go
+++ b/cmd/beechgrade/outlier.go
@@ -14,7 +14,7 @@
 	"beechgrade/internal/settings"
 )
 
-// openOutlier has the fleet share what it knows of servers, where the settings have it so; after openPeers.
+// openOutlier opens the shared outlier detection, where the settings enable it. It comes after openPeers.
 func (p *pooler) openOutlier(set settings.OutlierDetection) {
 	if !set.Enabled || p.peers == nil {
 		return
@@ -27,7 +27,7 @@
 	p.peers.Register(p.outlier)
 }
 
-// ejectionText is what the records have of a server that is avoided from now on by others' word, or no more.
+// ejectionText returns the text of the record of a server's ejection, or of its end.
 func ejectionText(s outlier.Ejection, begins bool) string {
 	if !begins {
 		return s.Server + ": no more"
@@ -43,7 +43,7 @@
 	return strings.Join(all, ",")
 }
 
-// writeOutlierMetrics tells why servers are avoided, by whose word, and until when.
+// writeOutlierMetrics writes why servers are ejected, by whose observations, and until when.
 func (p *pooler) writeOutlierMetrics(s *exposition.Snapshot) {
 	if p.outlier == nil {
 		return
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -10,16 +10,16 @@
 	"beechgrade/internal/settings"
 )
 
-// clusterHost is what a part lives on: the peers' words and the loop's time.
+// clusterHost gives a module of the cluster its transport and the loop's timers.
 type clusterHost struct {
 	*cluster.Node
 	loop *eventloop.Loop
 }
 
-// At is joined.Host's.
+// At calls do at a time of the loop's clock, in milliseconds.
 func (h clusterHost) At(ms float64, do func()) { h.loop.At(ms, do) }
 
-// openOverload has the fleet handle overload as one, where the settings have it so; after openPeers.
+// openOverload opens the shared handling of overload, where the settings enable it. It comes after openPeers.
 func (p *pooler) openOverload(set settings.Overload) {
 	if !set.Enabled || p.peers == nil {
 		return
@@ -36,7 +36,7 @@
 	p.overload = j
 }
 
-// writeOverloadMetrics tells how groups stand, where overload is handled together.
+// writeOverloadMetrics writes the shedding levels of groups, where the fleet handles overload together.
 func (p *pooler) writeOverloadMetrics(s *exposition.Snapshot) {
 	if p.overload == nil {
 		return
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -14,7 +14,7 @@
 	"beechgrade/internal/settings"
 )
 
-// openPeers has the pooler be one of a fleet, where the settings have it so.
+// openPeers makes the pooler a member of a fleet, where the settings enable it.
 func (p *pooler) openPeers(set settings.Cluster, own settings.FleetLimits) error {
 	if !set.Enabled {
 		return nil
@@ -30,7 +30,7 @@
 	v := set.View
 	v.ExpectedPoolers = cmp.Or(v.ExpectedPoolers, p.cfg.Settings.Peers)
 	p.expectedPoolers = v.ExpectedPoolers
-	drawn := rand.Uint64() // not of the configuration's seed, which two processes may have
+	drawn := rand.Uint64() // two processes may have the same seed in their configuration
 	v.RandomSeed = drawn
 	p.peers = cluster.New(p.loop, p.log, cluster.Options{Listen: set.Listen, Advertise: set.Advertise, Key: key, View: v, Quota: quotas(&own, p.expectedPoolers), RetryBind: p.inheritedListener != nil,
 		Record: view.Record{ID: view.NewID(clock.Wall(), drawn), Name: p.cfg.Name, Zone: zone, Region: set.Region, Version: short(version())}}, fleetEvents{p})
@@ -42,24 +42,24 @@
 
 func short(s string) string { return s[:min(len(s), view.MaxNameBytes)] }
 
-// fleetEvents carries on what the view comes to.
+// fleetEvents passes changes of the cluster's view on to the pooler.
 type fleetEvents struct{ pooler *pooler }
 
-// CountsChanged is peers.Events'.
+// CountsChanged applies how many poolers there are.
 func (f fleetEvents) CountsChanged(c view.Counts) {
 	p := f.pooler
 	p.log.Info("fleet", "reachable", c.Reachable, "sending", c.Sending, "majority", c.Majority, "alone", c.Isolated)
 	p.core.SetPeers(c.Sending)
 }
 
-// AllowanceChanged is peers.Events'.
+// AllowanceChanged applies what this pooler may use of a limit.
 func (f fleetEvents) AllowanceChanged(limit string, amount, burst float64) {
 	if f.pooler.limits != nil {
 		f.pooler.limits.allow(limit, amount, burst)
 	}
 }
 
-// MemberChanged is peers.Events'.
+// MemberChanged records a change of a member.
 func (f fleetEvents) MemberChanged(r view.Record, was view.State, isNew bool) {
 	if isNew {
 		f.pooler.core.RecordEvent(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s", r.Name, uint64(r.ID), r.Zone, r.State))
@@ -68,7 +68,7 @@
 	f.pooler.core.RecordEvent(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s, was %s", r.Name, uint64(r.ID), r.Zone, r.State, was))
 }
 
-// writePeersMetrics tells the fleet's figures, where there is one.
+// writePeersMetrics writes the metrics of the fleet, where the pooler is in one.
 func (p *pooler) writePeersMetrics(s *exposition.Snapshot) {
 	if p.peers == nil {
 		return
--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/settings"
 )
 
-// openPooling adds the second front, where the settings have it on.
+// openPooling adds the pooling frontend, where the settings enable it.
 func (p *pooler) openPooling(o settings.Pooling) {
 	if o.Listen == "" {
 		return
@@ -38,22 +38,22 @@
 	p.log.Info("pooling", "listen", at)
 }
 
-// lastAnswersMs is how long before the process ends, whatever is owed, clients are told what becomes of what they have under way.
+// lastAnswersMs is how long before stopTimeoutMs clients get an error for requests that are still in progress.
 const lastAnswersMs = 1200
 
-// stopListening ends accepting at a front's address once clients have noticed that this process ends: what they send on connections that wait to be
-// accepted has an answer, too. end is called shortly before the process ends in any case.
+// stopListening closes the listener of a frontend after acceptAfterTermMs, so that connections that wait to be accepted get an answer. end is
+// called lastAnswersMs before the process ends at the latest.
 func (p *pooler) stopListening(stop, end func()) {
 	now := p.loop.Now()
 	p.loop.At(now+stopTimeoutMs-lastAnswersMs, end)
-	if p.lifecycle.State() == lifecycle.HandingOver { // the address may be the next process's
+	if p.lifecycle.State() == lifecycle.HandingOver { // the next process may need the address
 		stop()
 		return
 	}
 	p.loop.At(now+acceptAfterTermMs, stop)
 }
 
-// servers are what carries out attempts: the platform's connections, and those of the other fronts.
+// servers returns what carries out attempts: the platform's connections, and those of the optional frontends.
 func (p *pooler) servers() core.Servers {
 	if p.pooling == nil && p.clickhouse == nil {
 		return p.backend
@@ -61,17 +61,17 @@
 	return frontends{Pool: p.backend, pooled: p.pooling, scatter: p.scatter, clickhouse: p.clickhouse, clickhouseServers: map[string]bool{}, group: p.clickhouseGroup}
 }
 
-// frontends gives each front's attempts to its own connections; pooled and house are nil where they are off.
+// frontends passes each attempt to the connections of its frontend. Optional frontends are nil where they are off.
 type frontends struct {
 	*backend.Pool
 	pooled            *pooling.Frontend
-	scatter           *scatter.Front // with pooled only
+	scatter           *scatter.Front // only where pooling is on
 	clickhouse        *clickhouse.Front
-	clickhouseServers map[string]bool // servers that are ClickHouse's
-	group             int             // ...which are those of this group
+	clickhouseServers map[string]bool // by ID
+	group             int             // whose servers speak ClickHouse's protocol
 }
 
-// SetGroup is core.Grouped's.
+// SetGroup notes the group of a server.
 func (s frontends) SetGroup(id string, group int) {
 	if s.clickhouse != nil && group == s.group {
 		s.clickhouseServers[id] = true
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	lockRetryMs       = 200 // between looks at whether this pooler's last process has let the disk go
+	lockRetryMs       = 200 // between attempts to open a disk that this pooler's last process has locked
 	witnessIntervalMs = 20
-	logIntervalMs     = 250 // between lines of the log about the entries that try the voters
+	logIntervalMs     = 250 // between log lines about witness entries
 )
 
-// raftLog is the log that the poolers have in common; its users add their Machines before the start.
+// raftLog joins the replicated log to the cluster and to its disk. Its users add their state machines before the start.
 type raftLog struct {
 	pooler    *pooler
 	set       settings.RaftLog
 	adapter   *adapter.Adapter
 	users     *raftlog.MachineMux
-	observers []func(a *raftlog.Action) // users who want to know what happens
+	observers []func(a *raftlog.Action) // called for each action of the log
 	store     *store.Store
 	ended     chan struct{}
 	opened    chan struct{}
 	begun     bool
 
 	mu      sync.Mutex
-	pending []func() // words of the disk, on their way to the loop
+	pending []func() // completions of the disk, to run on the loop
 
 	counter      counter.Counter
 	proposalsDue float64
 	logAt        float64
-	next         uint64 // number of the next entry that is proposed to try the voters
+	next         uint64 // number of the next witness entry
 	waiting      []proposal
-	latencies    []float64 // of own entries, ms from the proposal until they were agreed
-	process      string    // of this process, as its entries have it
+	latencies    []float64 // of own witness entries, ms from the proposal to the commit
+	process      string    // this process's name in its entries
 }
 
 type proposal struct {
@@ -52,7 +52,7 @@
 	first, at float64
 }
 
-// openRaftLog joins the log in common, where the settings have it on; the function ends it.
+// openRaftLog opens the replicated log, where the settings enable it. The returned function closes it.
 func (p *pooler) openRaftLog(set settings.RaftLog) (stop func()) {
 	if !set.Enabled {
 		return func() {}
@@ -67,7 +67,7 @@
 	p.raftLog = l
 	return func() {
 		close(l.ended)
-		if !l.begun { // the pooler's address could not be had
+		if !l.begun { // the pooler could not listen
 			return
 		}
 		<-l.opened
@@ -77,7 +77,7 @@
 	}
 }
 
-// begin opens a voter's disk, off the loop: another process of this pooler may have it still.
+// begin opens a voter's disk, off the loop: another process of this pooler may still hold its lock.
 func (l *raftLog) begin() {
 	l.begun = true
 	if l.set.WitnessPerSecond > 0 {
@@ -120,7 +120,7 @@
 	}()
 }
 
-// postInOrder has something done on the loop, in the order of the calls: what is posted to the loop while much waits there may be overtaken.
+// postInOrder runs functions on the loop in the order of the calls, which the loop itself does not promise while its queue is full.
 func (l *raftLog) postInOrder(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// Append is joined.Disk's.
+// Append makes records durable.
 func (l *raftLog) Append(records []raftlog.Record, done func(error)) {
 	entries := make([]store.Entry, len(records))
 	for i, r := range records {
@@ -148,7 +148,7 @@
 	l.store.Append(entries, done)
 }
 
-// observe tells of what happens to the log.
+// observe logs leadership and passes actions on.
 func (l *raftLog) observe(a *raftlog.Action) {
 	switch a.Kind {
 	case raftlog.Apply:
@@ -169,7 +169,7 @@
 	}
 }
 
-// proposeWitnesses proposes numbered entries at the settings' rate, and those again of which nothing was heard.
+// proposeWitnesses proposes numbered entries at the settings' rate, and repeats those that were not committed in time.
 func (l *raftLog) proposeWitnesses() {
 	now := l.pooler.loop.Now()
 	const mostTries = counter.Window / 2
@@ -181,7 +181,7 @@
 		if now >= w.at+l.set.Settings.ForwardTimeout() {
 			w.at = now
 			l.propose(w.number)
-			if !l.adapter.Status().IsVoter { // it hears nothing of what came of it: twice will do
+			if !l.adapter.Status().IsVoter { // it does not learn whether the entry was committed
 				continue
 			}
 		}
@@ -209,7 +209,7 @@
 	l.pooler.loop.At(now+witnessIntervalMs, l.proposeWitnesses)
 }
 
-// recordLatency takes how long one of this process's own entries took.
+// recordLatency records how long the commit of one of this process's entries took.
 func (l *raftLog) recordLatency(entry []byte) {
 	name, number, _ := counter.DecodeEntry(entry)
 	if i, ok := slices.BinarySearchFunc(l.waiting, number, func(w proposal, n uint64) int { return cmp.Compare(w.number, n) }); ok && name == l.process {
@@ -221,7 +221,7 @@
 	l.adapter.Propose(number, append([]byte{raftlog.CounterEntries}, counter.EncodeEntry(l.process, number, 0)...))
 }
 
-// writeRaftLogMetrics tells the log's figures, where there is one.
+// writeRaftLogMetrics writes the metrics of the replicated log, where it is on.
 func (p *pooler) writeRaftLogMetrics(s *exposition.Snapshot) {
 	if p.raftLog == nil {
 		return
--- a/cmd/beechgrade/recovered.go
+++ b/cmd/beechgrade/recovered.go
@@ -9,13 +9,13 @@
 	"beechgrade/internal/storage/store"
 )
 
-// recovered is what the opening of a durable store found.
+// recovered is what recovery found when a durable store was opened.
 type recovered struct {
 	name string
 	*store.Recovery
 }
 
-// noteRecovery notes what was found, for the log now and for the records once there are any.
+// noteRecovery logs a recovery that dropped data, and keeps it to be recorded.
 func (p *pooler) noteRecovery(name string, rec *store.Recovery) {
 	if rec == nil {
 		return
@@ -26,7 +26,7 @@
 	p.recovered = append(p.recovered, recovered{name, rec})
 }
 
-// recordRecovered records what was found, on the loop.
+// recordRecovered records the recoveries so far. It runs on the loop.
 func (p *pooler) recordRecovered() {
 	for _, r := range p.recovered {
 		if r.Records > 0 || r.DroppedBytes > 0 {
@@ -36,16 +36,16 @@
 	p.recovered = nil
 }
 
-// stores is how many there may be at once, and storesPart the part of the memory that their records may take together.
+// stores is the largest number of durable stores, which share one part in storesPart of the memory.
 const (
 	stores     = 4
-	storesPart = 4 // one in so many
+	storesPart = 4
 )
 
-// storeMemory is how much one store's records may take.
+// storeMemory is the memory, in bytes, that one store's records may take.
 func storeMemory(memoryMB int) int64 { return int64(memoryMB) << 20 / storesPart / stores }
 
-// storeChecks are the checks of one store, which are its writer's own; a breach is counted and told on the loop, with all others.
+// storeChecks returns the checks for one store, which belong to its writer's goroutine. A breach is counted on the loop, with all others.
 func (p *pooler) storeChecks() (c *invariant.Checks, every int) {
 	if p.settings == nil || !p.settings.Invariants.Enabled {
 		return nil, 0
@@ -55,7 +55,7 @@
 	}), p.settings.Invariants.WalkInterval
 }
 
-// loggedChecks are checks of what is no loop's: a breach is told in the log.
+// loggedChecks returns checks for state that does not belong to the loop. A breach is logged.
 func loggedChecks(set settings.Invariants, log *slog.Logger) *invariant.Checks {
 	if !set.Enabled {
 		return nil
--- a/cmd/beechgrade/scatter.go
+++ b/cmd/beechgrade/scatter.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/settings"
 )
 
-// openScatter adds reads over many groups to the second front, where the settings have them. It comes before openPooling.
+// openScatter opens reads over many groups, where the settings enable them. It comes before openPooling, which serves their clients.
 func (p *pooler) openScatter(o settings.Scatter, peers settings.Cluster) error {
 	if !o.Enabled {
 		return nil
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// writeScatterMetrics tells the scattered reads' figures, where there are any.
+// writeScatterMetrics writes the metrics of reads over many groups, where they are on.
 func (p *pooler) writeScatterMetrics(s *exposition.Snapshot) {
 	if p.scatter != nil {
 		p.scatter.Figures(s)
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -12,8 +12,8 @@
 	"beechgrade/internal/storage/store"
 )
 
-// openSessionTokens has sessions' commits kept, where the settings have it on and the platform's have them remembered here; the function
-// ends it, once the loop has ended.
+// openSessionTokens opens the store of sessions' last commits, where the settings enable it and sessions do not carry their commits
+// themselves. The returned function closes it, after the loop has ended.
 func (p *pooler) openSessionTokens(o settings.Sessions) (stop func(), err error) {
 	if o.Dir == "" {
 		return func() {}, nil
@@ -25,12 +25,12 @@
 	return p.sessionsIn([2]store.FS{store.Dir(o.Dir), store.Dir(filepath.Join(o.Dir, upgradeDir))}, o)
 }
 
-// sessionsOn keeps them in one place.
+// sessionsOn opens the store in one place.
 func (p *pooler) sessionsOn(fs store.FS, o settings.Sessions) (stop func(), err error) {
 	return p.sessionsIn([2]store.FS{fs, nil}, o)
 }
 
-// sessionsIn keeps them in the first of two places that no other process has; the second is for processes on a given socket alone.
+// sessionsIn opens the store in the first of two places that no other process holds. The second is for processes on an inherited socket.
 func (p *pooler) sessionsIn(places [2]store.FS, o settings.Sessions) (stop func(), err error) {
 	checks, every := p.storeChecks()
 	opt := store.Options{MaxBytes: o.MaxBytes, SegmentBytes: o.MaxBytes / 16, CompactionRate: o.CompactionBytesPerSecond, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB), Checks: checks, BatchesPerWalk: every}
@@ -69,12 +69,12 @@
 }
 
 const (
-	openRetry   = 20 * time.Millisecond // another process looks whether a place is free, and has it for that moment
-	openTimeout = 8 * time.Second       // one that takes a place over holds it for as long as the disk takes; a process is to be ready within 10 s
+	openRetry   = 20 * time.Millisecond // another process may hold a place for a moment, to see whether it is free
+	openTimeout = 8 * time.Second       // a takeover lasts as long as the disk needs; a process has to be ready within 10 s
 	openSlowLog = 250 * time.Millisecond
 )
 
-// openSessions opens a place that no process has.
+// openSessions opens a place that no process holds.
 func (p *pooler) openSessions(places [2]store.FS, opt store.Options) (s *store.Store, rec *store.Recovery, at int, err error) {
 	began := time.Now()
 	defer func() {
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	snapshotRenewMs    = 60000 // ms between words that what is kept is still good
-	listSaveIntervalMs = 1000  // ms between lists that are kept
+	snapshotRenewMs    = 60000 // between two notes that what was saved is still good
+	listSaveIntervalMs = 1000  // between two saved lists
 )
 
-// startSnapshots opens what is kept, where the settings have it on. Without a disk that can be used the start goes on, as if it were off.
+// startSnapshots opens the snapshots, where the settings enable them. Where the disk cannot be used, the start goes on without them.
 func startSnapshots(o settings.Snapshots, checked settings.Invariants, log *slog.Logger) *snapshots.Keeper {
 	if o.Dir == "" {
 		return nil
@@ -36,8 +36,8 @@
 	return k
 }
 
-// snapshotConfig is the configuration that was kept, for a start whose file cannot be read whole. Any other fault of the file is
-// somebody's to mend, and so is one of the variables.
+// snapshotConfig returns the saved configuration, for a start whose file cannot be read completely. Other errors of the file, and errors of the
+// environment, are for the operator to fix.
 func snapshotConfig(k *snapshots.Keeper, cause error, env func(string) string, log *slog.Logger) (*config.Config, error) {
 	if k == nil || !errors.Is(cause, config.ErrIncomplete) {
 		return nil, cause
@@ -61,13 +61,13 @@
 	return c, nil
 }
 
-// openSnapshots has the start know the list that was kept, and what is good from now on kept.
+// openSnapshots starts with the saved list, and saves the configuration and the list from now on.
 func (p *pooler) openSnapshots(k *snapshots.Keeper) {
 	if k == nil {
 		return
 	}
 	p.snapshots = k
-	if rec := k.Recovery(); rec != nil { // the keeper has logged it
+	if rec := k.Recovery(); rec != nil { // logged by the keeper
 		p.recovered = append(p.recovered, recovered{"kept", rec})
 	}
 	if p.sources == nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// restore takes the list that was kept where it is newer than the configuration's, of the same discovery.
+// restore applies the saved list where it is newer than the configuration's, and from the same discovery.
 func (p *pooler) restore() {
 	r, err := p.snapshots.Get(snapshots.List, p.machine)
 	var l discovery.List
@@ -99,7 +99,7 @@
 	}
 }
 
-// saveConfig has the configuration kept that is in force, where it was read from its file.
+// saveConfig saves the configuration in force, where it was read from its file.
 func (p *pooler) saveConfig(c *config.Config, path string) {
 	if p.snapshots == nil || c.FromSnapshot {
 		return
@@ -112,8 +112,7 @@
 	p.renewConfig()
 }
 
-// saveSnapshots keeps the platform's list soon after it has changed, and says once a minute that what is kept is still good: the list where a
-// watch on it is open.
+// saveSnapshots notes each snapshotRenewMs that the saved configuration is still good, and the list too while a watch on it is open.
 func (p *pooler) saveSnapshots() {
 	if p.snapshots == nil {
 		return
@@ -131,7 +130,7 @@
 	p.loop.At(p.loop.Now()+snapshotRenewMs, beat)
 }
 
-// saveList has the list kept as it is a moment from now.
+// saveList saves the list, listSaveIntervalMs after the last time at the earliest.
 func (p *pooler) saveList() {
 	if p.snapshots == nil || p.sources != nil || p.savingList {
 		return
@@ -142,7 +141,7 @@
 	p.loop.At(p.listSavedAt, func() {
 		p.savingList = false
 		l, record := p.list.complete(), snapshots.NewRecord(p.machine, p.cfg.DiscoveryAddress, nil)
-		if len(l.Instances) == 0 || l.Generation == 0 { // it serves nobody, or is another discovery's still
+		if len(l.Instances) == 0 || l.Generation == 0 { // of no use, or from another discovery
 			return
 		}
 		p.snapshots.Put(snapshots.List, func() (*snapshots.Record, error) {
@@ -153,10 +152,10 @@
 	})
 }
 
-// savedEndpoints keeps the list that membership makes, where it names no file for that.
+// savedEndpoints stores the list of endpoints among the snapshots, where the settings name no file for it.
 type savedEndpoints struct{ k *snapshots.Keeper }
 
-// Load is snapshot.Saver's.
+// Load returns the saved list; nil for none.
 func (s savedEndpoints) Load() (*snapshot.File, error) {
 	r, err := s.k.Get(snapshots.EndpointList, clock.ThisMachine())
 	if err != nil || r == nil {
@@ -165,7 +164,7 @@
 	return snapshot.Parse(r.Body)
 }
 
-// Save is snapshot.Saver's.
+// Save saves a list.
 func (s savedEndpoints) Save(f *snapshot.File) error {
 	b, err := snapshot.Append(nil, f)
 	if err == nil {
--- a/cmd/beechgrade/sources.go
+++ b/cmd/beechgrade/sources.go
@@ -16,22 +16,21 @@
 	"beechgrade/internal/settings"
 )
 
-// sources are where the list of servers comes from, where the operators' settings have it come from more than the
-// platform's discovery.
+// sources are the sources of the list of servers, where the operators' settings name others than the platform's discovery.
 type sources struct {
 	set     settings.Endpoints
 	members *endpoints.Manager
-	consul  *consul.Source // nil for none
+	consul  *consul.Source // nil where Consul is no source
 }
 
-// sourceFiles is what the sources' files hold.
+// sourceFiles are the contents of the sources' files.
 type sourceFiles struct {
 	token    string
 	override reconcile.Override
-	static   *reconcile.Report // nil where it could not be read, or there is none
+	static   *reconcile.Report // nil where there is none, or it cannot be read
 }
 
-// openSources has the list made of several sources, where the settings have it so.
+// openSources makes the list from several sources, where the settings name them.
 func (p *pooler) openSources(set settings.Endpoints) {
 	if !set.Enabled {
 		return
@@ -47,7 +46,7 @@
 	p.core.SetReportSink(s.members)
 }
 
-// begin starts the sources; it runs on the loop before the core starts.
+// begin starts the sources. It runs on the loop before the core starts.
 func (s *sources) begin(p *pooler) {
 	p.cfg.InitialList = s.members.InitialList()
 	if s.set.Options.Platform {
@@ -64,7 +63,7 @@
 	p.loop.Post(func() { s.take(n) }) // once the core has started
 }
 
-// read reads the sources' files. What cannot be read leaves the rest as it is.
+// read reads the sources' files. A file that cannot be read does not affect the others.
 func (s *sources) read() (n sourceFiles, err error) {
 	var errs []error
 	note := func(err error) {
@@ -83,7 +82,7 @@
 	return n, errors.Join(errs...)
 }
 
-// take takes what the files held; it runs on the loop.
+// take applies the contents of the files. It runs on the loop.
 func (s *sources) take(n sourceFiles) {
 	if s.consul != nil && n.token != "" {
 		s.consul.SetToken(n.token)
@@ -96,7 +95,7 @@
 
 const maxStatic = 16 << 20
 
-// readStatic reads a list in the platform's form, whole.
+// readStatic reads a list in the platform's format.
 func readStatic(path string) (*reconcile.Report, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -13,18 +13,18 @@
 
 const (
 	stateInterval        = 500 * time.Millisecond
-	uncountedDescriptors = 16 // descriptors of a process that nobody counts
+	uncountedDescriptors = 16 // of a process, beside those that it counts
 )
 
-// list keeps the platform's list as a whole.
+// list is the platform's complete list of servers.
 type list struct {
 	gen      int64
-	restarts int  // so often discovery has begun its generations anew, as far as the processes on this socket know
-	received bool // from discovery, by this process or another: a configuration's list may be of any age
+	restarts int  // of discovery's generations, as far as the processes on this socket know
+	received bool // from discovery, by this process or another; a list from the configuration may be of any age
 	entries  map[string]discovery.Instance
 }
 
-// take brings the list up to date.
+// take applies an update, or replaces the list.
 func (l *list) take(n *discovery.List) {
 	if n.Reset || l.entries == nil {
 		l.entries = map[string]discovery.Instance{}
@@ -39,7 +39,7 @@
 	l.gen = n.Generation
 }
 
-// receive takes a list from discovery.
+// receive applies a list from discovery.
 func (l *list) receive(n *discovery.List) {
 	if n.Restarted && l.received && n.Generation < l.gen {
 		l.restarts++
@@ -48,13 +48,13 @@
 	l.take(n)
 }
 
-// newer tells whether another process's list is newer: discovery has begun anew more often, or its generation is higher.
+// newer reports whether another process's list is newer: discovery has restarted more often, or its generation is higher.
 func (l *list) newer(s *handover.State) bool {
 	return s.ListRestarts > l.restarts || s.ListRestarts == l.restarts && s.List.Generation > l.gen
 }
 
-// adopt takes another process's list. What drains in the one that is held goes on draining until discovery itself says otherwise: the
-// other process may not have been told of it.
+// adopt applies another process's list. Servers that drain in this list go on draining until discovery itself reports otherwise: the other
+// process may not have been notified.
 func (l *list) adopt(s *handover.State) {
 	n := s.List
 	n.Instances = slices.Clone(n.Instances)
@@ -67,7 +67,7 @@
 	l.restarts, l.received = s.ListRestarts, true
 }
 
-// complete is all of it.
+// complete returns the complete list.
 func (l *list) complete() discovery.List {
 	out := discovery.List{Generation: l.gen, Reset: true}
 	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
@@ -76,7 +76,7 @@
 	return out
 }
 
-// inheritKnown has the process begin with what another one on the same socket knows; dir is where that is told.
+// inheritKnown starts with what another process on the same socket knows. The processes exchange their states in dir.
 func (p *pooler) inheritKnown(dir string) {
 	if p.inheritedListener == nil || dir == "" {
 		return
@@ -90,7 +90,7 @@
 		return
 	}
 	p.previousState = others[0]
-	if then := p.previousState.ClockMs; then > 0 { // its clock and this one's may have started on either side of a step of the wall clock
+	if then := p.previousState.ClockMs; then > 0 { // the wall clock may have stepped between the starts of the two clocks
 		p.previousState.Snapshot.Shift(clock.ToDuration(p.loop.Now() - p.previousState.AgeMs - then))
 	}
 	if l := &p.previousState.List; p.sources == nil && p.previousState.ListSource == p.cfg.DiscoveryAddress && l.Generation > p.cfg.InitialList.Generation {
@@ -100,7 +100,7 @@
 	p.countProcesses(others)
 }
 
-// applyPreviousState gives the module what another process knew. Its classes and kinds have to be the same ones.
+// applyPreviousState passes on to the decision module what another process knew, but for what depends on other classes or kinds of servers.
 func (p *pooler) applyPreviousState() {
 	if b := p.previousState; b != nil {
 		if !slices.Equal(b.Classes, p.cfg.Classes) {
@@ -116,7 +116,7 @@
 	p.updateProcesses()
 }
 
-// countProcesses notes how many processes there are on the socket, and what the others hold.
+// countProcesses counts the other processes on the socket, and their descriptors.
 func (p *pooler) countProcesses(others []*handover.State) {
 	p.otherProcesses, p.othersDescriptors = 0, 0
 	for _, s := range others {
@@ -127,7 +127,7 @@
 	}
 }
 
-// updateProcesses shares limits out among the processes on the socket.
+// updateProcesses divides limits among the processes on the socket.
 func (p *pooler) updateProcesses() {
 	if p.core.SetProcesses(1 + p.otherProcesses) {
 		p.log.Info("processes on the socket", "others", p.otherProcesses, "they_hold", p.othersDescriptors)
@@ -135,7 +135,7 @@
 	}
 }
 
-// state is what this process tells the others.
+// state returns what this process reports to the others.
 func (p *pooler) state() *handover.State {
 	held := uncountedDescriptors + p.platform.Sessions() + p.backend.Conns() + p.frontendDescriptors()
 	if p.admin != nil {
@@ -156,8 +156,8 @@
 	Remove()
 }
 
-// exchangeStates tells the others what there is here and hears them, until the function is called. Reading does not wait for writing: where others
-// keep the disk busy, a write may take seconds.
+// exchangeStates reports the state to the other processes and reads theirs, until the returned function is called. Reading does not wait for
+// writing, which takes seconds on a busy disk.
 func (p *pooler) exchangeStates() (stop func()) {
 	if p.folder == nil {
 		return func() {}
@@ -214,7 +214,7 @@
 	}
 }
 
-// applyStates takes what others tell. A list is news by its generation, also where its process took too long to write it to count as one that runs.
+// applyStates applies the other processes' states. A newer list counts even where its process was too slow to count as running.
 func (p *pooler) applyStates(others []*handover.State) {
 	p.countProcesses(others)
 	p.updateProcesses()
@@ -228,7 +228,7 @@
 	}
 }
 
-// adopt takes another process's list, which is newer, and has discovery asked for its own.
+// adopt applies another process's newer list, and has discovery's own requested.
 func (p *pooler) adopt(s *handover.State) {
 	p.log.Info("another process has heard more", "generation", s.List.Generation, "own", p.list.gen)
 	anew := s.ListRestarts > p.list.restarts
--- a/cmd/beechgrade/upgrade_sessions.go
+++ b/cmd/beechgrade/upgrade_sessions.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	upgradeDir         = "beside"               // the second place's folder, in the first
-	otherPlaceInterval = 100 * time.Millisecond // between looks at whether another process has the other place
-	trustMs            = 300                    // after a look began that found none, sessions' reads go by what is known here
-	slowTakeoverMs     = 250                    // in which the other place is held
-	settleMs           = 500                    // after the start, until a write is answered: by then the other process has looked, or trusts itself no more
+	upgradeDir         = "beside"               // folder of the second place, in the first
+	otherPlaceInterval = 100 * time.Millisecond // between checks whether another process holds the other place
+	trustMs            = 300                    // for which a check that found no other process holds for sessions' reads
+	slowTakeoverMs     = 250                    // a longer takeover is logged
+	settleMs           = 500                    // after the start, before which no write is answered: by then the other process has noticed this one, or no longer trusts its checks
 )
 
-// upgradeSessions is the place of the other process on this socket, where an upgrade has two. While that one lives, either may serve a
-// session's writes, and both hold sessions' reads to the present; once it has ended, its commits are taken from there.
+// upgradeSessions is the store of the other process on this socket, while an upgrade has two processes. While both run, either may serve a
+// session's writes, and both require sessions' reads to see the present. Once the other process has ended, its commits are merged from there.
 type upgradeSessions struct {
 	pooler       *pooler
 	opt          store.Options
-	owns         bool // the first place is this process's own: the other need not be there
-	locked       bool // at the start
-	mergePending bool // ...and its commits have not been taken since; the goroutine's
+	owns         bool // this process holds the first place; the other need not exist
+	locked       bool // when this process started
+	mergePending bool // its commits have not been merged since; owned by the goroutine
 
-	trusted float64 // until then nobody else serves sessions' writes
-	settle  float64 // no write is answered before
+	trusted float64 // until this time no other process serves sessions' writes
+	settle  float64 // before this time no write is answered
 	began   bool
 	quit    chan struct{}
 	done    chan struct{}
 }
 
 func newUpgradeSessions(p *pooler, fs store.FS, opt store.Options, own bool) *upgradeSessions {
-	opt.FS, opt.Checks = fs, nil // these are its own store's
+	opt.FS, opt.Checks = fs, nil // each store has checks of its own
 	return &upgradeSessions{pooler: p, opt: opt, owns: own, quit: make(chan struct{}), done: make(chan struct{})}
 }
 
-// first takes what a process that has ended left there, before the loop begins; or notes that one is there.
+// first merges the commits of a process that has ended, before the loop begins, or notes that one runs.
 func (b *upgradeSessions) first() error {
 	if d, ok := b.opt.FS.(store.Dir); ok && b.owns && b.pooler.inheritedListener == nil {
 		if _, err := os.Stat(string(d)); errors.Is(err, os.ErrNotExist) {
@@ -64,7 +64,7 @@
 	return errors.Join(err, s.Close())
 }
 
-// begin goes on with the loop.
+// begin starts watching the other place. It runs on the loop.
 func (b *upgradeSessions) begin() {
 	if b == nil {
 		return
@@ -76,10 +76,10 @@
 	go b.watch()
 }
 
-// doubts tells whether a session's last write may have been served by another process.
+// doubts reports whether another process may have served a session's last write.
 func (b *upgradeSessions) doubts() bool { return b.pooler.loop.Now() > b.trusted }
 
-// Keep is core.SessionTokens'.
+// Keep saves a session's commit; its answer waits for settle too.
 func (b *upgradeSessions) Keep(session string, at decide.Time, done func(kept bool)) (waits bool) {
 	if done == nil || b.pooler.loop.Now() >= b.settle {
 		return b.pooler.commits.Keep(session, at, done)
@@ -93,13 +93,13 @@
 	return true
 }
 
-// watch looks again and again whether another process has the other place. It runs beside the loop.
+// watch checks periodically whether another process holds the other place. It runs beside the loop.
 func (b *upgradeSessions) watch() {
 	defer close(b.done)
 	said, began := "", b.pooler.loop.Now()
 	for {
 		last := began
-		if began = b.pooler.loop.Now(); began-last > trustMs { // one may have come and gone meanwhile
+		if began = b.pooler.loop.Now(); began-last > trustMs { // a process may have started and ended meanwhile
 			b.mergePending = true
 		}
 		err := b.checkOtherPlace()
@@ -109,7 +109,7 @@
 			b.pooler.loop.Post(func() { b.trusted = max(b.trusted, until) })
 		case errors.Is(err, store.ErrLocked):
 			b.mergePending = true
-		case err.Error() != said: // reads stay held to the present
+		case err.Error() != said: // reads still have to see the present
 			said = err.Error()
 			b.pooler.log.Error("sessions: what the other process had is not known", "err", err)
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-// checkOtherPlace takes over what a process that has ended had; nil means that there is none, and that nothing of it is missing here.
+// checkOtherPlace merges the commits of a process that has ended. nil means that no other process runs, and that all commits are known here.
 func (b *upgradeSessions) checkOtherPlace() error {
 	if !b.mergePending {
 		unlock, err := b.opt.FS.Lock()
@@ -145,7 +145,7 @@
 	})
 	select {
 	case err = <-told:
-	case <-b.quit: // what is there stays there, for the next start
+	case <-b.quit: // the commits stay for the next start
 		return errors.Join(store.ErrClosed, s.Close())
 	}
 	merged := b.pooler.loop.Now()
@@ -156,13 +156,13 @@
 	if err = errors.Join(err, s.Close()); err == nil {
 		b.mergePending = false
 	}
-	if ended := b.pooler.loop.Now(); ended-began > slowTakeoverMs { // a process that starts meanwhile finds no free place
+	if ended := b.pooler.loop.Now(); ended-began > slowTakeoverMs { // a process that starts meanwhile has to wait for a place
 		b.pooler.log.Warn("sessions: taking over was slow", "open_ms", opened-began, "merge_ms", merged-opened, "erase_ms", erased-merged, "close_ms", ended-erased)
 	}
 	return err
 }
 
-// stop ends the looks, once the loop has ended.
+// stop ends watching, after the loop has ended.
 func (b *upgradeSessions) stop() {
 	close(b.quit)
 	if b.began {
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -16,15 +16,16 @@
 	"beechgrade/internal/storage/store"
 )
 
-// zoneFailover is which zone serves what, as the fleet decides it. It is zones' Log, and joined's Keeper.
+// zoneFailover joins the fleet's decision on which zone serves which reads to the core, the replicated log and the file with the plan's
+// number.
 type zoneFailover struct {
 	pooler     *pooler
 	set        settings.Zones
 	adapter    *adapter.Adapter
 	toSave     chan planNumber
 	done       chan struct{}
-	lastNote   *zonesadmin.Note // that was recorded
-	sentAtNote []uint64         // counts as of it
+	lastNote   *zonesadmin.Note // as recorded
+	sentAtNote []uint64         // counts at that time
 }
 
 type planNumber struct {
@@ -32,7 +33,7 @@
 	saved  func()
 }
 
-// openZones has the fleet decide, where the settings have it so; after openRaftLog. The function ends it.
+// openZones opens failover between zones, where the settings enable it. It comes after openRaftLog. The returned function closes it.
 func (p *pooler) openZones(set settings.Zones) (stop func(), err error) {
 	if !set.Enabled {
 		return func() {}, nil
@@ -69,7 +70,7 @@
 
 func (z *zoneFailover) file() string { return filepath.Join(z.set.Dir, "zones-"+z.pooler.cfg.Name) }
 
-// lastNumber is the number that the last process followed.
+// lastNumber returns the number of the plan that the last process followed.
 func (z *zoneFailover) lastNumber() (uint64, error) {
 	if err := os.MkdirAll(z.set.Dir, 0o700); err != nil {
 		return 0, err
@@ -77,7 +78,7 @@
 	return z.savedNumber()
 }
 
-// savedNumber is the number in the file, 0 for none.
+// savedNumber returns the number in the file, 0 for none.
 func (z *zoneFailover) savedNumber() (uint64, error) {
 	b, err := os.ReadFile(z.file())
 	if os.IsNotExist(err) {
@@ -89,15 +90,16 @@
 	return strconv.ParseUint(strings.TrimSpace(string(b)), 10, 64)
 }
 
-// saveRetryMs is after what a number that could not be kept is tried again.
+// saveRetryMs is the time until a failed save of a number is tried again.
 const saveRetryMs = 1000
 
-// saveNumbers keeps numbers, off the loop: whole, and durable before a plan is followed. An older one after a newer is as good as kept.
+// saveNumbers saves the numbers of plans, off the loop. A number is durable before its plan is followed. An older number than the saved one
+// counts as saved.
 func (z *zoneFailover) saveNumbers() {
 	defer close(z.done)
 	last := uint64(0)
 	for k := range z.toSave {
-		if has, err := z.savedNumber(); err == nil { // another process of this pooler, which takes over, may have kept a newer one
+		if has, err := z.savedNumber(); err == nil { // the process that takes over may have saved a newer one
 			last = max(last, has)
 		}
 		if k.number > last {
@@ -112,7 +114,7 @@
 	}
 }
 
-// StorePlanNumber is joined.Keeper's. A renewal does not ask again, so what fails or finds no room is tried until it is kept.
+// StorePlanNumber saves a plan's number, and then calls done. It is not called again for a renewed plan, so a save is retried until it succeeds.
 func (z *zoneFailover) StorePlanNumber(no uint64, done func()) {
 	k := planNumber{no, func() {
 		done()
@@ -137,7 +139,7 @@
 	z.pooler.loop.At(z.pooler.loop.Now()+saveRetryMs, func() { z.enqueueSave(k) })
 }
 
-// logPlan tells the log what this pooler does now.
+// logPlan logs the plan that this pooler follows.
 func (z *zoneFailover) logPlan() {
 	s, p := z.adapter.Status()
 	if p != nil {
@@ -145,10 +147,10 @@
 	}
 }
 
-// noteIntervalMs is between two notes for the records.
+// noteIntervalMs is the time between two records.
 const noteIntervalMs = 1000
 
-// recordNote records what this pooler goes by and where reads went, where there is anything to say.
+// recordNote records the plan that this pooler follows and where its reads went, where either has changed.
 func (z *zoneFailover) recordNote() {
 	s, p := z.adapter.Status()
 	n := zonesadmin.NewNote(z.adapter.Settings(), s, p, z.adapter.Sent(), z.sentAtNote)
@@ -160,12 +162,12 @@
 	z.pooler.loop.At(z.pooler.loop.Now()+noteIntervalMs, z.recordNote)
 }
 
-// Propose is zones.Log's.
+// Propose proposes an entry to the replicated log. A proposal may be lost.
 func (z *zoneFailover) Propose(entry []byte) {
 	z.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.ZoneEntries}, entry...))
 }
 
-// reload takes orders as they are now.
+// reload applies new orders.
 func (z *zoneFailover) reload(set settings.Zones) {
 	if !set.Enabled {
 		z.pooler.log.Warn("cannot change while serving, needs a restart", "kept", []string{"zones"})
@@ -175,7 +177,7 @@
 	z.pooler.log.Info("zones: orders read again", "orders", len(set.Orders))
 }
 
-// writeZonesMetrics tells how zones stand, where they are decided together.
+// writeZonesMetrics writes the metrics of failover between zones, where it is on.
 func (p *pooler) writeZonesMetrics(s *exposition.Snapshot) {
 	if p.zones == nil {
 		return
--- a/cmd/beechgrade/zones_admin.go
+++ b/cmd/beechgrade/zones_admin.go
@@ -11,10 +11,10 @@
 	zonesadmin "beechgrade/internal/cluster/zones/admin"
 )
 
-// zonesPath is where the operators' door shows zones and takes orders, where they are decided together.
+// zonesPath is the admin endpoint's path for failover between zones, where it is on.
 const zonesPath = "/-/zones"
 
-// handleAdminCall carries an operators' call out: GET shows how zones stand, POST proposes an order. Whether it comes to stand the next GETs show.
+// handleAdminCall answers an operator's call: GET shows the state of the zones, POST proposes an order, whose outcome later GETs show.
 func (z *zoneFailover) handleAdminCall(method string, query url.Values) admin.Response {
 	status := http.StatusOK
 	switch method {
