--- a/cmd/beechgrade/admin.go
+++ b/cmd/beechgrade/admin.go
@@ -87,7 +87,7 @@
 func (p *pooler) metrics() *exposition.Snapshot {
 	sheet := &exposition.Snapshot{}
 	p.core.WriteMetrics(sheet)
-	p.platform.WriteFigures(sheet)
+	p.platform.WriteMetrics(sheet)
 	p.writePeersMetrics(sheet)
 	p.writeLimitsMetrics(sheet)
 	p.writeInvariantsMetrics(sheet)
--- a/cmd/beechgrade/pooling_ends_test.go
+++ b/cmd/beechgrade/pooling_ends_test.go
@@ -288,7 +288,7 @@
 			c.send(simple("INSERT 2"))
 			c.send(simple("SELECT '" + strings.Repeat("x", 60<<10) + "'"))
 			c.send(simple("SELECT '" + strings.Repeat("x", 60<<10) + "'"))
-			s.until("it is not read any more", func() bool { return s.p.pooling.Parked() == 1 })
+			s.until("it is not read any more", func() bool { return s.p.pooling.PausedClients() == 1 })
 			leave(c)
 			s.until("it is forgotten", func() bool { return s.p.pooling.Sessions() == 1 })
 			first.send(row("1"))
--- a/internal/frontend/platform/end_reason.go
+++ b/internal/frontend/platform/end_reason.go
@@ -54,8 +54,8 @@
 		"unanswered", len(session.queue), "unsent_bytes", session.unsent())
 }
 
-// WriteFigures writes the number of connections, of those that ended by the reason, and of commands rejected in drains.
-func (postgres *Postgres) WriteFigures(snapshot *exposition.Snapshot) {
+// WriteMetrics writes the number of connections, of those that ended by the reason, and of commands rejected in drains.
+func (postgres *Postgres) WriteMetrics(snapshot *exposition.Snapshot) {
 	clients := snapshot.Scope("clients")
 	clients.IntGauge("connected", int64(postgres.sessions.Len()))
 	clients.IntGauge("halfway", int64(postgres.byClass[midMessage].Len()))
--- a/internal/frontend/pooling/frontend.go
+++ b/internal/frontend/pooling/frontend.go
@@ -174,8 +174,8 @@
 // Conns returns the number of connections to servers.
 func (f *Frontend) Conns() int { return f.links.Len() }
 
-// Parked returns the number of clients whose reading is paused because they have sent too much ahead.
-func (f *Frontend) Parked() (n int) {
+// PausedClients returns the number of clients whose reading is paused because they have sent too much ahead.
+func (f *Frontend) PausedClients() (n int) {
 	f.clients.Each(func(_ slotmap.Ref, c *client) {
 		if c.readingPaused {
 			n++
