--- a/cmd/beechgrade/check.go
+++ b/cmd/beechgrade/check.go
@@ -16,21 +16,36 @@
 			fmt.Fprintln(w, line)
 		}
 	}
-	write(describeConfig(cfg), describeRecords(set.Record), describePooling(set.Pooling), describeScatter(set.Scatter), describeClickHouse(set.ClickHouse),
-		describeJournal(set.Journal), describeSessions(set.Sessions), describeSnapshots(set.Snapshots))
+	write(
+		describeConfig(cfg),
+		describeRecords(set.Record),
+		describePooling(set.Pooling),
+		describeScatter(set.Scatter),
+		describeClickHouse(set.ClickHouse),
+		describeJournal(set.Journal),
+		describeSessions(set.Sessions),
+		describeSnapshots(set.Snapshots),
+	)
 	if set.Cluster.Enabled {
 		if _, err := set.Cluster.Key(); err != nil {
 			return badInput{err}
 		}
 	}
-	write(describePeers(set.Cluster), describeFleetLimits(set.FleetLimits), describeRaftLog(set.RaftLog), describeZones(set.Zones), describeCredit(set.Credit),
-		describeEndpoints(set.Endpoints), describeInvariants(set.Invariants))
+	write(
+		describePeers(set.Cluster),
+		describeFleetLimits(set.FleetLimits),
+		describeRaftLog(set.RaftLog),
+		describeZones(set.Zones),
+		describeCredit(set.Credit),
+		describeEndpoints(set.Endpoints),
+		describeInvariants(set.Invariants),
+	)
 	return nil
 }
 
 func describeConfig(cfg *config.Config) string {
-	return fmt.Sprintf("%s: listens on %s, asks %s; %d classes, %d servers known, %d sockets, %d MB", cfg.Name, cfg.ListenAddress, cfg.DiscoveryAddress, len(cfg.Classes),
-		len(cfg.InitialList.Instances), cfg.Limits.Sockets, cfg.Limits.MemoryMB)
+	return fmt.Sprintf("%s: listens on %s, asks %s; %d classes, %d servers known, %d sockets, %d MB",
+		cfg.Name, cfg.ListenAddress, cfg.DiscoveryAddress, len(cfg.Classes), len(cfg.InitialList.Instances), cfg.Limits.Sockets, cfg.Limits.MemoryMB)
 }
 
 func describeRecords(set settings.Record) string {
--- a/cmd/beechgrade/clickhouse.go
+++ b/cmd/beechgrade/clickhouse.go
@@ -17,11 +17,32 @@
 	for i := range o.Rules {
 		rules = append(rules, o.Rules[i].Rule)
 	}
-	p.clickhouse = clickhouse.New(p.loop, p.log, clickhouse.Options{Group: o.Group, Hold: o.MaxBufferedBytes, MostBody: o.MaxBodyBytes, Bound: o.MaxStalenessMs, UploadMs: o.UploadTimeoutMs,
-		QuietMs: o.ServerIdleTimeoutMs, StallMs: o.ClientStallTimeoutMs, Header: o.DeadlineHeader, Sessions: o.MaxSessions, Check: p.cfg.Settings.StaleReads != decide.StaleReadsAnswered,
-		Deadline: o.DeadlineMs, ConnectMs: p.cfg.ConnectTimeoutMs,
-		IdleMs: o.ConnectionIdleMs * closeIdlePart, ClientMs: o.ClientIdleMs, HeadMs: o.HeadTimeoutMs, Kill: o.KillQueries, GraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace), Name: p.cfg.Name, Rules: rules, Users: o.Users, Others: o.DefaultLimits, Expire: p.core.Expire, Memory: func() int { return p.cfg.Limits.MemoryMB << 20 },
-		Spare: p.spareConns}, p.core, p.core)
+	p.clickhouse = clickhouse.New(p.loop, p.log, clickhouse.Options{
+		Group:     o.Group,
+		Hold:      o.MaxBufferedBytes,
+		MostBody:  o.MaxBodyBytes,
+		Bound:     o.MaxStalenessMs,
+		UploadMs:  o.UploadTimeoutMs,
+		QuietMs:   o.ServerIdleTimeoutMs,
+		StallMs:   o.ClientStallTimeoutMs,
+		Header:    o.DeadlineHeader,
+		Sessions:  o.MaxSessions,
+		Check:     p.cfg.Settings.StaleReads != decide.StaleReadsAnswered,
+		Deadline:  o.DeadlineMs,
+		ConnectMs: p.cfg.ConnectTimeoutMs,
+		IdleMs:    o.ConnectionIdleMs * closeIdlePart,
+		ClientMs:  o.ClientIdleMs,
+		HeadMs:    o.HeadTimeoutMs,
+		Kill:      o.KillQueries,
+		GraceMs:   clock.ToMillis(p.cfg.Settings.DrainGrace),
+		Name:      p.cfg.Name,
+		Rules:     rules,
+		Users:     o.Users,
+		Others:    o.DefaultLimits,
+		Expire:    p.core.Expire,
+		Memory:    func() int { return p.cfg.Limits.MemoryMB << 20 },
+		Spare:     p.spareConns,
+	}, p.core, p.core)
 }
 
 // listenClickHouse opens the address of the ClickHouse frontend.
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -47,7 +47,14 @@
 	if !set.Enabled {
 		return func() {}, nil
 	}
-	x := &creditGate{pooler: p, set: set, holder: rand.Uint64() | 1, writes: make(chan leaseMarks, 1), done: make(chan struct{}), locks: map[ledger.Holder]*os.File{}}
+	x := &creditGate{
+		pooler: p,
+		set:    set,
+		holder: rand.Uint64() | 1,
+		writes: make(chan leaseMarks, 1),
+		done:   make(chan struct{}),
+		locks:  map[ledger.Holder]*os.File{},
+	}
 	var gone []ledger.Holder
 	if set.Dir != "" {
 		if gone, err = x.lockFiles(); err != nil {
@@ -292,7 +299,13 @@
 	if b := x.credit.Ledger(); b != nil {
 		for _, n := range b.Tenants() {
 			t := b.Tenant(n)
-			x.pooler.log.Info("credit: books", "tenant", n, "paid", t.Paid, "balance", t.Balance, "lent", t.Lent, "stranded", t.Stranded, "spent", t.Spent)
+			x.pooler.log.Info("credit: books",
+				"tenant", n,
+				"paid", t.Paid,
+				"balance", t.Balance,
+				"lent", t.Lent,
+				"stranded", t.Stranded,
+				"spent", t.Spent)
 		}
 	}
 	x.pooler.log.Info("credit: ends", "spent", x.consumed, "refused", x.refused, "waited", x.waited)
--- a/cmd/beechgrade/drain.go
+++ b/cmd/beechgrade/drain.go
@@ -49,7 +49,12 @@
 
 // enterStage brings a drain that began at the given time to a stage.
 func (p *pooler) enterStage(stage platform.DrainStage, from float64) {
-	p.log.Info("drain", "stage", stage.String(), "ms", p.loop.Now()-from, "sessions", p.platform.Sessions(), "halfway", p.platform.PartialMessages(), "open", p.core.OpenRequests())
+	p.log.Info("drain",
+		"stage", stage.String(),
+		"ms", p.loop.Now()-from,
+		"sessions", p.platform.Sessions(),
+		"halfway", p.platform.PartialMessages(),
+		"open", p.core.OpenRequests())
 	p.platform.SetDrainStage(stage)
 	if stage < platform.CloseAll {
 		return
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -11,7 +11,11 @@
 func (p *pooler) openInvariants(set settings.Invariants) {
 	if set.Enabled {
 		p.countsChecks = true
-		p.check(invariant.New(func(b invariant.Breach) { p.log.Error("invariant broken", "name", b.Name, "state", b.State) }), set.WalkInterval)
+		p.check(invariant.New(func(b invariant.Breach) {
+			p.log.Error("invariant broken",
+				"name", b.Name,
+				"state", b.State)
+		}), set.WalkInterval)
 	}
 }
 
--- a/cmd/beechgrade/journal.go
+++ b/cmd/beechgrade/journal.go
@@ -19,8 +19,16 @@
 
 func (p *pooler) journalOn(fs store.FS, o settings.Journal) (stop func(), err error) {
 	checks, every := p.storeChecks()
-	s, rec, err := store.Open(store.Options{FS: fs, MaxBytes: o.MaxBytes, SegmentBytes: o.MaxBytes / 16, CompactionRate: o.CompactionBytesPerSecond, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB),
-		Post: p.loop.Post, Checks: checks, BatchesPerWalk: every})
+	s, rec, err := store.Open(store.Options{
+		FS:             fs,
+		MaxBytes:       o.MaxBytes,
+		SegmentBytes:   o.MaxBytes / 16,
+		CompactionRate: o.CompactionBytesPerSecond,
+		MaxMemory:      storeMemory(p.cfg.Limits.MemoryMB),
+		Post:           p.loop.Post,
+		Checks:         checks,
+		BatchesPerWalk: every,
+	})
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -35,7 +35,11 @@
 // command returns the command line's commands and flags.
 func command() *cli.Command {
 	verbose := &cli.BoolFlag{Name: "verbose", Aliases: []string{"v"}, Usage: "log what is of use only when looking for a fault"}
-	settingsFlag := &cli.StringFlag{Name: "settings", Sources: cli.EnvVars("EDGE_SETTINGS"), Usage: "the operators' settings, a `FILE` of S-expressions"}
+	settingsFlag := &cli.StringFlag{
+		Name:    "settings",
+		Sources: cli.EnvVars("EDGE_SETTINGS"),
+		Usage:   "the operators' settings, a `FILE` of S-expressions",
+	}
 	return &cli.Command{
 		Name:           "beechgrade",
 		Usage:          "a pooler before groups of PostgreSQL-speaking servers",
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -32,8 +32,21 @@
 	p.expectedPoolers = v.ExpectedPoolers
 	drawn := rand.Uint64() // two processes may have the same seed in their configuration
 	v.RandomSeed = drawn
-	p.peers = cluster.New(p.loop, p.log, cluster.Options{Listen: set.Listen, Advertise: set.Advertise, Key: key, View: v, Quota: quotas(&own, p.expectedPoolers), RetryBind: p.inheritedListener != nil,
-		Record: view.Record{ID: view.NewID(clock.Wall(), drawn), Name: p.cfg.Name, Zone: zone, Region: set.Region, Version: short(version())}}, fleetEvents{p})
+	p.peers = cluster.New(p.loop, p.log, cluster.Options{
+		Listen:    set.Listen,
+		Advertise: set.Advertise,
+		Key:       key,
+		View:      v,
+		Quota:     quotas(&own, p.expectedPoolers),
+		RetryBind: p.inheritedListener != nil,
+		Record: view.Record{
+			ID:      view.NewID(clock.Wall(), drawn),
+			Name:    p.cfg.Name,
+			Zone:    zone,
+			Region:  set.Region,
+			Version: short(version()),
+		},
+	}, fleetEvents{p})
 	if own.Enabled {
 		p.limits = &fleetLimits{pooler: p, set: own, assigned: map[string]limits.Told{}}
 	}
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -116,7 +116,14 @@
 
 // newPooler returns a pooler with the platform's frontend. Optional subsystems are opened before it runs.
 func newPooler(cfg *config.Config, log *slog.Logger) *pooler {
-	p := &pooler{cfg: cfg, log: log, adminAddr: cfg.AdminAddress, machine: clock.ThisMachine(), stopAccepting: func() {}, descriptorLimit: systemLimit()}
+	p := &pooler{
+		cfg:             cfg,
+		log:             log,
+		adminAddr:       cfg.AdminAddress,
+		machine:         clock.ThisMachine(),
+		stopAccepting:   func() {},
+		descriptorLimit: systemLimit(),
+	}
 	if p.descriptorLimit < cfg.Limits.Sockets {
 		log.Warn("the system allows fewer descriptors than the settings", "system", p.descriptorLimit, "settings", cfg.Limits.Sockets)
 	}
--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -18,9 +18,18 @@
 		return
 	}
 	p.poolingAddr = o.Listen
-	p.pooling = pooling.New(p.loop, p.log, pooling.Options{Pools: o.Pools, ConnectMs: p.cfg.ConnectTimeoutMs, GraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace),
-		Roles: serverRoles, PositionName: positionParameter, MaxMessage: o.MaxMessageBytes, MaxAnswer: o.MaxResponseBytes, Expire: p.core.Expire,
-		Spare: p.spareConns, Scatter: p.scatter}, p.core, p.core)
+	p.pooling = pooling.New(p.loop, p.log, pooling.Options{
+		Pools:        o.Pools,
+		ConnectMs:    p.cfg.ConnectTimeoutMs,
+		GraceMs:      clock.ToMillis(p.cfg.Settings.DrainGrace),
+		Roles:        serverRoles,
+		PositionName: positionParameter,
+		MaxMessage:   o.MaxMessageBytes,
+		MaxAnswer:    o.MaxResponseBytes,
+		Expire:       p.core.Expire,
+		Spare:        p.spareConns,
+		Scatter:      p.scatter,
+	}, p.core, p.core)
 }
 
 // listenPooling opens the address of the pooling frontend.
@@ -58,7 +67,14 @@
 	if p.pooling == nil && p.clickhouse == nil {
 		return p.backend
 	}
-	return frontends{Pool: p.backend, pooled: p.pooling, scatter: p.scatter, clickhouse: p.clickhouse, clickhouseServers: map[string]bool{}, group: p.clickhouseGroup}
+	return frontends{
+		Pool:              p.backend,
+		pooled:            p.pooling,
+		scatter:           p.scatter,
+		clickhouse:        p.clickhouse,
+		clickhouseServers: map[string]bool{},
+		group:             p.clickhouseGroup,
+	}
 }
 
 // frontends passes each attempt to the connections of its frontend. Optional frontends are nil where they are off.
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -91,7 +91,13 @@
 	go func() {
 		defer close(l.opened)
 		for {
-			s, rec, err := store.Open(store.Options{FS: store.Dir(l.set.Dir), MaxBytes: l.set.MaxBytes, SegmentBytes: l.set.MaxBytes / 16, CompactionRate: l.set.CompactionBytesPerSecond, Post: l.postInOrder})
+			s, rec, err := store.Open(store.Options{
+				FS:             store.Dir(l.set.Dir),
+				MaxBytes:       l.set.MaxBytes,
+				SegmentBytes:   l.set.MaxBytes / 16,
+				CompactionRate: l.set.CompactionBytesPerSecond,
+				Post:           l.postInOrder,
+			})
 			if errors.Is(err, store.ErrLocked) {
 				select {
 				case <-l.ended:
@@ -203,8 +209,19 @@
 			half, most = l.latencies[n/2], l.latencies[n*99/100]
 		}
 		l.latencies = l.latencies[:0]
-		l.pooler.log.Info("agreed: tally", "taken", l.counter.Counted, "sum", l.counter.Checksum, "again", l.counter.Duplicates, "term", s.Term, "applied", s.AppliedIndex, "first", s.FirstIndex, "leads", s.IsLeader,
-			"part", s.Participates, "tried", l.next-1, "unheard", len(l.waiting), "p50", half, "p99", most)
+		l.pooler.log.Info("agreed: tally",
+			"taken", l.counter.Counted,
+			"sum", l.counter.Checksum,
+			"again", l.counter.Duplicates,
+			"term", s.Term,
+			"applied", s.AppliedIndex,
+			"first", s.FirstIndex,
+			"leads", s.IsLeader,
+			"part", s.Participates,
+			"tried", l.next-1,
+			"unheard", len(l.waiting),
+			"p50", half,
+			"p99", most)
 	}
 	l.pooler.loop.At(now+witnessIntervalMs, l.proposeWitnesses)
 }
--- a/cmd/beechgrade/recorder.go
+++ b/cmd/beechgrade/recorder.go
@@ -18,10 +18,22 @@
 	if !o.Enabled {
 		return func() {}
 	}
-	rec, end := record.Start(record.Options{Pooler: p.cfg.Name, Program: version(), RunStartMs: p.loop.Now(),
-		Classes: core.RecordClasses(p.cfg.Classes, p.cfg.Settings.Classes), Files: cmp.Or(p.files, record.Files(record.Dir(o.Dir))),
-		SegmentBytes: o.SegmentBytes, TotalBytes: o.TotalBytes, QueueLength: o.QueueLength, FlushIntervalMs: o.FlushIntervalMs, Compress: o.Compress, Log: p.log,
-		WarmupStartShare: p.cfg.Settings.SlowStartFrom, WarmupMs: clock.ToMillis(p.cfg.Settings.SlowStartTime), DrainGraceMs: clock.ToMillis(p.cfg.Settings.DrainGrace)})
+	rec, end := record.Start(record.Options{
+		Pooler:           p.cfg.Name,
+		Program:          version(),
+		RunStartMs:       p.loop.Now(),
+		Classes:          core.RecordClasses(p.cfg.Classes, p.cfg.Settings.Classes),
+		Files:            cmp.Or(p.files, record.Files(record.Dir(o.Dir))),
+		SegmentBytes:     o.SegmentBytes,
+		TotalBytes:       o.TotalBytes,
+		QueueLength:      o.QueueLength,
+		FlushIntervalMs:  o.FlushIntervalMs,
+		Compress:         o.Compress,
+		Log:              p.log,
+		WarmupStartShare: p.cfg.Settings.SlowStartFrom,
+		WarmupMs:         clock.ToMillis(p.cfg.Settings.SlowStartTime),
+		DrainGraceMs:     clock.ToMillis(p.cfg.Settings.DrainGrace),
+	})
 	p.core.SetRecorder(rec)
 	if p.pooling != nil {
 		p.pooling.Record(rec)
--- a/cmd/beechgrade/recovered.go
+++ b/cmd/beechgrade/recovered.go
@@ -30,7 +30,12 @@
 func (p *pooler) recordRecovered() {
 	for _, r := range p.recovered {
 		if r.Records > 0 || r.DroppedBytes > 0 {
-			p.core.RecordRecovery(record.StoreRecovery{Store: r.name, Records: int64(r.Records), Segments: int64(r.SegmentsRead), Dropped: int64(r.DroppedBytes)}, r.DurationMs, r.Reason)
+			p.core.RecordRecovery(record.StoreRecovery{
+				Store:    r.name,
+				Records:  int64(r.Records),
+				Segments: int64(r.SegmentsRead),
+				Dropped:  int64(r.DroppedBytes),
+			}, r.DurationMs, r.Reason)
 		}
 	}
 	p.recovered = nil
--- a/cmd/beechgrade/scatter.go
+++ b/cmd/beechgrade/scatter.go
@@ -16,8 +16,14 @@
 	if err != nil {
 		return badInput{err}
 	}
-	p.scatter = scatter.New(p.loop, p.log, scatter.Options{Specs: o.Specs, Ring: cursor.NewRing(o.RotateMs, o.MaxCursorAgeMs, secrets...), ConnectMs: p.cfg.ConnectTimeoutMs,
-		Roles: serverRoles, PositionName: positionParameter, Spare: p.spareConns}, p.core, p.core)
+	p.scatter = scatter.New(p.loop, p.log, scatter.Options{
+		Specs:        o.Specs,
+		Ring:         cursor.NewRing(o.RotateMs, o.MaxCursorAgeMs, secrets...),
+		ConnectMs:    p.cfg.ConnectTimeoutMs,
+		Roles:        serverRoles,
+		PositionName: positionParameter,
+		Spare:        p.spareConns,
+	}, p.core, p.core)
 	return nil
 }
 
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -33,7 +33,14 @@
 // sessionsIn opens the store in the first of two places that no other process holds. The second is for processes on an inherited socket.
 func (p *pooler) sessionsIn(places [2]store.FS, o settings.Sessions) (stop func(), err error) {
 	checks, every := p.storeChecks()
-	opt := store.Options{MaxBytes: o.MaxBytes, SegmentBytes: o.MaxBytes / 16, CompactionRate: o.CompactionBytesPerSecond, MaxMemory: storeMemory(p.cfg.Limits.MemoryMB), Checks: checks, BatchesPerWalk: every}
+	opt := store.Options{
+		MaxBytes:       o.MaxBytes,
+		SegmentBytes:   o.MaxBytes / 16,
+		CompactionRate: o.CompactionBytesPerSecond,
+		MaxMemory:      storeMemory(p.cfg.Limits.MemoryMB),
+		Checks:         checks,
+		BatchesPerWalk: every,
+	}
 	s, rec, at, err := p.openSessions(places, opt)
 	if err != nil {
 		return nil, fmt.Errorf("sessions: %w", err)
@@ -64,7 +71,10 @@
 			end = func() { b.stop(); endKeeper() }
 		}
 	}
-	p.log.Info("sessions: kept", "mode", o.Mode.String(), "sessions", len(p.commits.Snapshot().Commits), "beside", p.otherSessions != nil && p.otherSessions.locked)
+	p.log.Info("sessions: kept",
+		"mode", o.Mode.String(),
+		"sessions", len(p.commits.Snapshot().Commits),
+		"beside", p.otherSessions != nil && p.otherSessions.locked)
 	return end, nil
 }
 
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -27,8 +27,16 @@
 	if o.Dir == "" {
 		return nil
 	}
-	k, err := snapshots.Start(snapshots.Options{FS: store.Dir(o.Dir), MaxBytes: o.MaxBytes, MaxAgeMs: o.MaxAgeMs, CompactionRate: o.CompactionBytesPerSecond, Log: log,
-		Checks: loggedChecks(checked, log), Store: loggedChecks(checked, log), BatchesPerWalk: checked.WalkInterval})
+	k, err := snapshots.Start(snapshots.Options{
+		FS:             store.Dir(o.Dir),
+		MaxBytes:       o.MaxBytes,
+		MaxAgeMs:       o.MaxAgeMs,
+		CompactionRate: o.CompactionBytesPerSecond,
+		Log:            log,
+		Checks:         loggedChecks(checked, log),
+		Store:          loggedChecks(checked, log),
+		BatchesPerWalk: checked.WalkInterval,
+	})
 	if err != nil {
 		log.Error("kept: starting without it, and nothing is kept", "dir", o.Dir, "err", err)
 		return nil
@@ -57,7 +65,9 @@
 		return nil, fmt.Errorf("%w; what was kept is not used: %w", cause, err)
 	}
 	c.FromSnapshot = true
-	log.Warn("kept: starting with the configuration that was kept", "saved_s_ago", math.Round(r.Age(clock.ThisMachine())/1000), "why", cause)
+	log.Warn("kept: starting with the configuration that was kept",
+		"saved_s_ago", math.Round(r.Age(clock.ThisMachine())/1000),
+		"why", cause)
 	return c, nil
 }
 
@@ -95,7 +105,10 @@
 		p.log.Info("kept: the configuration's list is newer", "generation", known.Generation, "kept", l.Generation)
 	default:
 		p.cfg.InitialList = l
-		p.log.Info("kept: starting with the list that was kept", "servers", len(l.Instances), "generation", l.Generation, "saved_s_ago", math.Round(r.Age(p.machine)/1000))
+		p.log.Info("kept: starting with the list that was kept",
+			"servers", len(l.Instances),
+			"generation", l.Generation,
+			"saved_s_ago", math.Round(r.Age(p.machine)/1000))
 	}
 }
 
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -93,13 +93,19 @@
 	if then := p.previousState.ClockMs; then > 0 { // the wall clock may have stepped between the starts of the two clocks
 		p.previousState.Snapshot.Shift(clock.ToDuration(p.loop.Now() - p.previousState.AgeMs - then))
 	}
-	if l := &p.previousState.List; p.sources == nil && p.previousState.ListSource == p.cfg.DiscoveryAddress && l.Generation > p.cfg.InitialList.Generation {
-		p.cfg.InitialList = *l
+	if p.sources == nil && p.previousListIsNewer() {
+		p.cfg.InitialList = p.previousState.List
 		p.list.restarts, p.list.received = p.previousState.ListRestarts, true
 	}
 	p.countProcesses(others)
 }
 
+// previousListIsNewer reports whether the other process's list is of the same discovery, and newer than the configuration's.
+func (p *pooler) previousListIsNewer() bool {
+	state := p.previousState
+	return state.ListSource == p.cfg.DiscoveryAddress && state.List.Generation > p.cfg.InitialList.Generation
+}
+
 // applyPreviousState passes on to the decision module what another process knew, but for what depends on other classes or kinds of servers.
 func (p *pooler) applyPreviousState() {
 	if b := p.previousState; b != nil {
@@ -145,8 +151,19 @@
 	if p.list.received {
 		known = p.list.complete()
 	}
-	return &handover.State{SavedMs: p.machine.Wall(), Saved: p.machine.Now(), ClockMs: p.loop.Now(), Descriptors: held, Ending: !p.lifecycle.IsServing(), ListSource: p.cfg.DiscoveryAddress, List: known, ListRestarts: p.list.restarts,
-		Classes: slices.Clone(p.cfg.Classes), Kinds: slices.Clone(p.cfg.MachineTypes), Snapshot: p.core.Snapshot()}
+	return &handover.State{
+		SavedMs:      p.machine.Wall(),
+		Saved:        p.machine.Now(),
+		ClockMs:      p.loop.Now(),
+		Descriptors:  held,
+		Ending:       !p.lifecycle.IsServing(),
+		ListSource:   p.cfg.DiscoveryAddress,
+		List:         known,
+		ListRestarts: p.list.restarts,
+		Classes:      slices.Clone(p.cfg.Classes),
+		Kinds:        slices.Clone(p.cfg.MachineTypes),
+		Snapshot:     p.core.Snapshot(),
+	}
 }
 
 // stateFolder is where the processes on a socket report to each other.
--- a/cmd/beechgrade/upgrade_sessions.go
+++ b/cmd/beechgrade/upgrade_sessions.go
@@ -16,7 +16,9 @@
 	otherPlaceInterval = 100 * time.Millisecond // between checks whether another process holds the other place
 	trustMs            = 300                    // for which a check that found no other process holds for sessions' reads
 	slowTakeoverMs     = 250                    // a longer takeover is logged
-	settleMs           = 500                    // after the start, before which no write is answered: by then the other process has noticed this one, or no longer trusts its checks
+	// settleMs is the time from the start until the first write is answered. By then the other process has noticed this one, or no longer trusts its
+	// checks.
+	settleMs = 500
 )
 
 // upgradeSessions is the store of the other process on this socket, while an upgrade has two processes. While both run, either may serve a
@@ -157,7 +159,11 @@
 		b.mergePending = false
 	}
 	if ended := b.pooler.loop.Now(); ended-began > slowTakeoverMs { // a process that starts meanwhile has to wait for a place
-		b.pooler.log.Warn("sessions: taking over was slow", "open_ms", opened-began, "merge_ms", merged-opened, "erase_ms", erased-merged, "close_ms", ended-erased)
+		b.pooler.log.Warn("sessions: taking over was slow",
+			"open_ms", opened-began,
+			"merge_ms", merged-opened,
+			"erase_ms", erased-merged,
+			"close_ms", ended-erased)
 	}
 	return err
 }
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -38,7 +38,13 @@
 	if !set.Enabled {
 		return func() {}, nil
 	}
-	z := &zoneFailover{pooler: p, set: set, toSave: make(chan planNumber, 64), done: make(chan struct{}), sentAtNote: make([]uint64, len(set.Zones))}
+	z := &zoneFailover{
+		pooler:     p,
+		set:        set,
+		toSave:     make(chan planNumber, 64),
+		done:       make(chan struct{}),
+		sentAtNote: make([]uint64, len(set.Zones)),
+	}
 	s := set.Settings
 	if i := p.cfg.Settings.Zone; i >= 0 && i < len(p.cfg.Zones) {
 		s.Zone = p.cfg.Zones[i]
@@ -143,7 +149,14 @@
 func (z *zoneFailover) logPlan() {
 	s, p := z.adapter.Status()
 	if p != nil {
-		z.pooler.log.Info("zones: follows", "plan", p.Number, "by", p.Author, "zones", fmt.Sprint(p.Zones), "shares", fmt.Sprint(p.Matrix), "near", z.set.Zones[s.Zone], "why", s.Reason.String(), "short", p.Unserved)
+		z.pooler.log.Info("zones: follows",
+			"plan", p.Number,
+			"by", p.Author,
+			"zones", fmt.Sprint(p.Zones),
+			"shares", fmt.Sprint(p.Matrix),
+			"near", z.set.Zones[s.Zone],
+			"why", s.Reason.String(),
+			"short", p.Unserved)
 	}
 }
 
--- a/cmd/beechgrade/zones_admin.go
+++ b/cmd/beechgrade/zones_admin.go
@@ -30,14 +30,19 @@
 			return admin.Response{Status: http.StatusConflict, Body: []byte(err.Error() + "\n")}
 		case !stands:
 			z.adapter.ProposeOrder(o)
-			z.pooler.log.Info("zones: ordered at the door", "zone", o.Zone, "state", query.Get("state"), "number", o.Number, "for", query.Get("for"))
+			z.pooler.log.Info("zones: ordered at the door",
+				"zone", o.Zone,
+				"state", query.Get("state"),
+				"number", o.Number,
+				"for", query.Get("for"))
 			status = http.StatusAccepted
 		}
 	default:
 		return admin.Response{Status: http.StatusMethodNotAllowed, AllowedMethod: "GET, POST"}
 	}
 	s, p := z.adapter.Status()
-	b, err := jsoniter.Marshal(zonesadmin.NewStatus(z.adapter.Settings(), s, p, z.adapter.State(), z.adapter.Planner() != nil && z.adapter.Planner().IsLeading()))
+	leads := z.adapter.Planner() != nil && z.adapter.Planner().IsLeading()
+	b, err := jsoniter.Marshal(zonesadmin.NewStatus(z.adapter.Settings(), s, p, z.adapter.State(), leads))
 	if err != nil {
 		return admin.Response{Status: http.StatusInternalServerError, Body: []byte(err.Error() + "\n")}
 	}
