--- a/internal/cluster/outlier/adapter/adapter.go
+++ b/internal/cluster/outlier/adapter/adapter.go
@@ -1,4 +1,6 @@
-// Package adapter joins package verdicts to a pooler's core and to the ways between poolers: one adapter for sockets and for virtual time.
+// Package adapter connects shared outlier detection (package outlier) to a pooler's core and to the cluster: attempts, health checks and
+// the endpoint list go in, ejections and learned reports come out. It serves sockets and virtual time alike. Without other poolers it does
+// nothing.
 package adapter
 
 import (
@@ -13,7 +15,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// Core is what it needs of a pooler's core.
+// Core is the part of a pooler's core that the adapter uses.
 type Core interface {
 	Snapshot() *decide.Snapshot
 	CheckHealthForObserver(store string)
@@ -22,59 +24,60 @@
 	StartTrial(store string)
 }
 
-// Host is what carries words, and time.
+// Host sends messages and runs timers.
 type Host interface {
 	module.Transport
 	At(ms float64, do func())
 }
 
-// Options say what is shared, and how.
+// Options configure an Adapter.
 type Options struct{ Settings outlier.Settings }
 
-// EjectionObserver hears of each server that this pooler begins or ends to avoid by others' word.
-type EjectionObserver func(s outlier.Ejection, begins bool)
+// EjectionObserver is called for each ejection on shared evidence that starts or ends.
+type EjectionObserver func(ejection outlier.Ejection, started bool)
 
-// Adapter is a pooler's side. It is part.Part and core.Witness.
+// Adapter is a pooler's side. It implements module.Module and the core's observer of servers. Its methods are called on the event loop.
 type Adapter struct {
 	options       Options
 	core          Core
 	host          Host
-	detector      *outlier.Detector // nil until somebody is known
+	detector      *outlier.Detector // nil until the first UpdateMembers
 	actions       []outlier.Action
 	listed        map[string]outlier.Server
-	serverRates   map[string]float64 // rates of the servers, as learned
-	classWork     []float64
+	serverRates   map[string]float64 // by server: work done a second, relative to the slowest kind
+	classWork     []float64          // seconds
 	learnedAt     float64
 	onEjection    EjectionObserver // may be nil
 	checks        *invariant.Checks
 	checkInterval int
 }
 
-// New makes one; it is to be joined to the peers and to the core.
-func New(opt Options, c Core, h Host) *Adapter {
-	return &Adapter{options: opt, core: c, host: h, listed: map[string]outlier.Server{}, serverRates: map[string]float64{}}
+// New returns an Adapter that is to be registered with the cluster node and the core.
+func New(options Options, core Core, host Host) *Adapter {
+	return &Adapter{options: options, core: core, host: host, listed: map[string]outlier.Server{}, serverRates: map[string]float64{}}
 }
 
-// OnEjection has somebody hear of what is avoided.
-func (adapter *Adapter) OnEjection(to EjectionObserver) { adapter.onEjection = to }
+// OnEjection sets the observer of ejections.
+func (adapter *Adapter) OnEjection(observer EjectionObserver) { adapter.onEjection = observer }
 
-// CheckInvariants has its invariants checked.
-func (adapter *Adapter) CheckInvariants(c *invariant.Checks, every int) {
-	if adapter.checks, adapter.checkInterval = c, every; adapter.detector != nil {
-		adapter.detector.CheckInvariants(c, every)
+// CheckInvariants makes the detector check its invariants, once in interval events.
+func (adapter *Adapter) CheckInvariants(checks *invariant.Checks, interval int) {
+	adapter.checks, adapter.checkInterval = checks, interval
+	if adapter.detector != nil {
+		adapter.detector.CheckInvariants(checks, interval)
 	}
 }
 
-// learnIntervalMs is between two looks at what requests cost.
+// learnIntervalMs is the time between two samples of the decision module's estimates.
 const learnIntervalMs = 1000
 
-// Kind is part.Part's.
+// Kind implements module.Module.
 func (adapter *Adapter) Kind() view.Kind { return module.KindOutlier }
 
-// Decode is part.Part's.
+// Decode implements module.Module.
 func (adapter *Adapter) Decode(b []byte) (any, error) { return outlier.Decode(b) }
 
-// UpdateMembers is part.Part's.
+// UpdateMembers implements module.Module.
 func (adapter *Adapter) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	var peers []outlier.Peer
 	for i := range all {
@@ -82,23 +85,23 @@
 			peers = append(peers, outlier.Peer{ID: r.ID, Addr: r.Addr, Zone: r.Zone})
 		}
 	}
-	began := adapter.detector == nil
-	if began {
+	first := adapter.detector == nil
+	if first {
 		adapter.detector = outlier.New(adapter.options.Settings, self, adapter.host.Now())
 		adapter.detector.CheckInvariants(adapter.checks, adapter.checkInterval)
 	}
 	adapter.handle(outlier.MembersChanged{Self: self, Peers: peers})
-	if began {
+	if first {
 		adapter.updateServers()
 	}
 }
 
-// Receive is part.Part's.
+// Receive implements module.Module.
 func (adapter *Adapter) Receive(from view.ID, m any) {
 	adapter.handle(outlier.Received{From: from, Message: m})
 }
 
-// Tick is part.Part's.
+// Tick implements module.Module.
 func (adapter *Adapter) Tick() {
 	if now := adapter.host.Now(); now-adapter.learnedAt >= learnIntervalMs || len(adapter.classWork) == 0 {
 		adapter.learnedAt = now
@@ -107,11 +110,11 @@
 	adapter.handle(outlier.Tick{})
 }
 
-// learn takes what requests cost, and which servers the module takes for down.
-func (adapter *Adapter) learn(m *decide.Snapshot) {
-	adapter.classWork = m.ClassWork
+// learn takes the decision module's estimates of work and rates, and the servers that it has marked down.
+func (adapter *Adapter) learn(snapshot *decide.Snapshot) {
+	adapter.classWork = snapshot.ClassWork
 	rate := 0.0
-	for _, x := range m.KindRates { // the least
+	for _, x := range snapshot.KindRates { // the lowest
 		if rate == 0 || x < rate {
 			rate = x
 		}
@@ -120,9 +123,10 @@
 		rate = 1
 	}
 	var down []string
-	for i := range m.Servers {
-		s := &m.Servers[i]
-		if adapter.serverRates[string(s.ID)] = s.RelativeRate * rate; s.Ejected {
+	for i := range snapshot.Servers {
+		s := &snapshot.Servers[i]
+		adapter.serverRates[string(s.ID)] = s.RelativeRate * rate
+		if s.Ejected {
 			down = append(down, string(s.ID))
 		}
 	}
@@ -130,122 +134,147 @@
 	adapter.handle(outlier.ServersDown{Servers: down})
 }
 
-// Leave is part.Part's: what it told fades by itself.
+// Leave implements module.Module. What this process reported expires by itself.
 func (adapter *Adapter) Leave() {}
 
-// Listed is core.Witness's.
-func (adapter *Adapter) Listed(l *discovery.List, whole bool) {
-	if whole {
+// Listed takes an endpoint list, or a part of one that changed.
+func (adapter *Adapter) Listed(list *discovery.List, complete bool) {
+	if complete {
 		clear(adapter.listed)
 	}
-	for i := range l.Instances {
-		n := &l.Instances[i]
-		if n.ID == "" {
+	for i := range list.Instances {
+		instance := &list.Instances[i]
+		if instance.ID == "" {
 			continue
 		}
-		if n.Lifecycle == "removed" {
-			delete(adapter.listed, n.ID)
+		if instance.Lifecycle == "removed" {
+			delete(adapter.listed, instance.ID)
 			continue
 		}
-		adapter.listed[n.ID] = outlier.Server{Name: n.ID, Group: n.Cell, Start: float64(n.StartedAtMs)}
+		adapter.listed[instance.ID] = outlier.Server{Name: instance.ID, Group: instance.Cell, Start: float64(instance.StartedAtMs)}
 	}
 	adapter.updateServers()
 }
 
 func (adapter *Adapter) updateServers() {
 	var all []outlier.Server
-	for _, x := range adapter.listed { // the module sorts them
+	for _, x := range adapter.listed { // the detector sorts them
 		all = append(all, x)
 	}
 	adapter.handle(outlier.ServersListed{Servers: all})
 }
 
-func attemptRef(t backend.AttemptID) uint64 {
-	return uint64(t.Request.Index)<<40 | uint64(t.Request.Gen&0xffffff)<<16 | uint64(t.Number&0xffff)
+// attemptRef packs an attempt's ID: the index of its request, 24 bits of the generation and 16 of the attempt's number.
+func attemptRef(id backend.AttemptID) uint64 {
+	const generationMask, numberMask = 1<<24 - 1, 1<<16 - 1
+	return uint64(id.Request.Index)<<40 | uint64(id.Request.Gen&generationMask)<<16 | uint64(id.Number&numberMask)
 }
 
-// defaultWorkMs is what a request takes whose class nothing is known of.
+// defaultWorkMs is the work of a request of an unknown class.
 const defaultWorkMs = 100
 
-// Sent is core.Witness's.
-func (adapter *Adapter) Sent(store string, t backend.AttemptID, class int) {
+const (
+	minWorkMs   = 1
+	msPerSecond = 1000
+)
+
+// Sent reports an attempt that was sent to a server.
+func (adapter *Adapter) Sent(server string, attempt backend.AttemptID, class int) {
 	work := float64(defaultWorkMs)
 	if class >= 0 && class < len(adapter.classWork) {
-		if work = adapter.classWork[class] * 1000; adapter.serverRates[store] > 0 {
-			work /= adapter.serverRates[store]
+		work = adapter.classWork[class] * msPerSecond
+		if rate := adapter.serverRates[server]; rate > 0 {
+			work /= rate
 		}
 	}
-	adapter.handle(outlier.AttemptSent{Server: store, Ref: attemptRef(t), Work: max(1, work)})
+	adapter.handle(outlier.AttemptSent{Server: server, Ref: attemptRef(attempt), Work: max(minWorkMs, work)})
 }
 
-// Ended is core.Witness's.
-func (adapter *Adapter) Ended(store string, t backend.AttemptID, result decide.Result, said backend.Report) {
-	end := outlier.Answered
+// Ended reports the end of an attempt, and what the server reported with it.
+func (adapter *Adapter) Ended(server string, attempt backend.AttemptID, result decide.Result, report backend.Report) {
+	outcome := outlier.Answered
 	switch result {
 	case decide.TimedOut, decide.Cancelled, decide.NotSent:
-		end = outlier.Inconclusive
+		outcome = outlier.Inconclusive
 	case decide.Unreachable, decide.Reset:
-		end = outlier.Unanswered
+		outcome = outlier.Unanswered
 	}
-	adapter.handle(outlier.AttemptEnded{Server: store, Ref: attemptRef(t), Outcome: end, Report: reportOf(said)})
+	adapter.handle(outlier.AttemptEnded{Server: server, Ref: attemptRef(attempt), Outcome: outcome, Report: reportOf(report)})
 }
 
-// HealthChecked is core.Witness's.
-func (adapter *Adapter) HealthChecked(store string, result decide.Result, said backend.Report) {
-	adapter.handle(outlier.HealthChecked{Server: store, OK: result == decide.OK, Report: reportOf(said)})
+// HealthChecked reports the result of a health check.
+func (adapter *Adapter) HealthChecked(server string, result decide.Result, report backend.Report) {
+	adapter.handle(outlier.HealthChecked{Server: server, OK: result == decide.OK, Report: reportOf(report)})
 }
 
-// Ejects is core.Witness's.
-func (adapter *Adapter) Ejects(store string) bool {
-	return adapter.detector != nil && adapter.detector.Withholds(store)
+// Ejects reports whether a server gets no requests though its health check succeeds.
+func (adapter *Adapter) Ejects(server string) bool {
+	return adapter.detector != nil && adapter.detector.Withholds(server)
 }
 
-func reportOf(s backend.Report) (out outlier.ServerReport) {
-	if s.HasPos {
-		out.Position = s.Position
-		out.Role = map[decide.Role]outlier.Role{decide.RolePrimary: outlier.RolePrimary, decide.RoleReplica: outlier.RoleReplica}[s.Role]
+func reportOf(report backend.Report) (out outlier.ServerReport) {
+	if !report.HasPos {
+		return out
+	}
+	out.Position = report.Position
+	switch report.Role {
+	case decide.RolePrimary:
+		out.Role = outlier.RolePrimary
+	case decide.RoleReplica:
+		out.Role = outlier.RoleReplica
 	}
 	return out
 }
 
-func (adapter *Adapter) handle(e outlier.Event) {
+// handle passes an event to the detector and carries out the actions. The core may call the adapter again meanwhile.
+func (adapter *Adapter) handle(event outlier.Event) {
 	if adapter.detector == nil {
 		return
 	}
-	acts := adapter.detector.Handle(adapter.host.Now(), e, adapter.actions[:0])
-	adapter.actions = nil
-	for i := range acts {
-		switch a := &acts[i]; a.Kind {
-		case outlier.Send:
-			if a.Observations != nil {
-				adapter.host.Send(a.Addr, a.To, module.KindOutlier, outgoingObservations(a.Observations))
-			} else {
-				adapter.host.Send(a.Addr, a.To, module.KindOutlier, outgoingAssessments(a.Assessments))
-			}
-		case outlier.Eject:
-			adapter.core.Eject(a.Server)
-		case outlier.Restore:
-			adapter.core.StartTrial(a.Server)
-		case outlier.EjectionStarted, outlier.EjectionEnded:
-			if adapter.onEjection != nil {
-				a.Ejection.Server = a.Server
-				adapter.onEjection(a.Ejection, a.Kind == outlier.EjectionStarted)
-			}
-		case outlier.CheckHealth:
-			adapter.core.CheckHealthForObserver(a.Server)
-		case outlier.LearnReport:
-			s := backend.Report{Position: a.Report.Position, HasPos: true}
-			if a.Report.Role == outlier.RolePrimary {
-				s.Role = decide.RolePrimary
-			}
-			adapter.core.ServerReported(a.Server, s, max(0, a.Age))
+	actions := adapter.detector.Handle(adapter.host.Now(), event, adapter.actions[:0])
+	adapter.actions = nil // a nested call must not reuse the slice
+	for i := range actions {
+		adapter.apply(&actions[i])
+	}
+	clear(actions)
+	adapter.actions = actions
+}
+
+func (adapter *Adapter) apply(action *outlier.Action) {
+	switch action.Kind {
+	case outlier.Send:
+		adapter.send(action)
+	case outlier.Eject:
+		adapter.core.Eject(action.Server)
+	case outlier.Restore:
+		adapter.core.StartTrial(action.Server)
+	case outlier.EjectionStarted, outlier.EjectionEnded:
+		if adapter.onEjection != nil {
+			action.Ejection.Server = action.Server
+			adapter.onEjection(action.Ejection, action.Kind == outlier.EjectionStarted)
+		}
+	case outlier.CheckHealth:
+		adapter.core.CheckHealthForObserver(action.Server)
+	case outlier.LearnReport:
+		report := backend.Report{Position: action.Report.Position, HasPos: true}
+		if action.Report.Role == outlier.RolePrimary {
+			report.Role = decide.RolePrimary
 		}
+		adapter.core.ServerReported(action.Server, report, max(0, action.Age))
+	}
+}
+
+func (adapter *Adapter) send(action *outlier.Action) {
+	var message module.Message
+	if action.Observations != nil {
+		message = outgoingObservations(action.Observations)
+	} else {
+		message = outgoingAssessments(action.Assessments)
 	}
-	clear(acts)
-	adapter.actions = acts
+	adapter.host.Send(action.Addr, action.To, module.KindOutlier, message)
 }
 
-// Avoided is part.Avoiding's: the servers that this pooler avoids by others' word.
+// Avoided implements module.AvoidedReporter.
 func (adapter *Adapter) Avoided() []outlier.Ejection {
 	if adapter.detector == nil {
 		return nil
@@ -253,7 +282,7 @@
 	return adapter.detector.Ejections()
 }
 
-// LocallyUnreachable counts the servers that others get answers from and this pooler does not.
+// LocallyUnreachable counts the servers that answer others and not this pooler.
 func (adapter *Adapter) LocallyUnreachable() int {
 	if adapter.detector == nil {
 		return 0
--- a/internal/cluster/outlier/assessments.go
+++ b/internal/cluster/outlier/assessments.go
@@ -8,258 +8,149 @@
 )
 
 const (
-	silentWorks            = 3.0     // a server is silent for this many times the work of a request, and...
-	silentSharedWorks      = 8.0     // ...this many shared among those that wait, up to...
-	maxWaiting             = 4       // ...so many
-	contradictingObservers = 3       // so many others contradict one
-	maxReorderedMessages   = 1 << 20 // messages: so far back one that was overtaken may lie
-	healthCheckIntervalMs  = 200     // ms between probes for one that is said to lead
+	maxReorderedMessages  = 1 << 20 // how far back a message that was overtaken may lie
+	healthCheckIntervalMs = 200     // between health checks of a server that is reported to be primary
 )
 
-// observer finds what one told, and where it stands.
-func (server *serverState) observer(id ID) (int, bool) {
-	return slices.BinarySearchFunc(server.observers, id, func(x *observer, id ID) int { return cmp.Compare(x.id, id) })
+// observerIndex returns the index of an observer's evidence, or where it belongs.
+func (server *serverState) observerIndex(id ID) (int, bool) {
+	return slices.BinarySearchFunc(server.observers, id, func(o *observer, id ID) int { return cmp.Compare(o.id, id) })
 }
 
-// recordObservation takes an observer's word of a server, where this process collects it.
-func (detector *Detector) recordObservation(server *serverState, from ID, seq uint32, m *Observation, delay float64) {
-	if !slices.Contains(detector.collectors(server), detector.self) {
-		return
-	}
-	i, ok := server.observer(from)
-	if !ok {
-		if len(server.observers) >= MaxPeers {
-			return
-		}
-		server.observers = slices.Insert(server.observers, i, &observer{id: from, sequence: seq - maxReorderedMessages, answeredSequence: seq - maxReorderedMessages, reportSequence: seq - maxReorderedMessages, answeredAt: -inf, soleAnswersSince: -inf, reportedAt: -inf})
-	}
-	x := server.observers[i]
-	x.zone, server.changed = detector.peerByID[from].Zone, true
-	at := func(age float64) float64 {
-		if detector.settings.Fault == AgeFromReceipt {
-			return detector.now
-		}
-		return detector.now - age
+// addObserver returns an observer's evidence, which is empty for a new one; nil where there are too many. sequence is that of its message.
+func (server *serverState) addObserver(id ID, sequence uint32) *observer {
+	i, ok := server.observerIndex(id)
+	if ok {
+		return server.observers[i]
 	}
-	newer := func(had *uint32) bool { // each kind's newest stands, in whatever order they come, and however often
-		if int32(seq-*had) <= 0 {
-			return false
-		}
-		*had = seq
-		return true
-	}
-	if m.Answered >= 0 && newer(&x.answeredSequence) {
-		x.answeredAt = at(m.Answered)
-	}
-	if newer(&x.sequence) {
-		x.receivedAt, x.unanswered, x.firstUnanswered, x.lastUnanswered, x.work = detector.now, m.Unanswered, at(m.FirstUnanswered), at(m.LastUnanswered), m.Work
+	if len(server.observers) >= MaxPeers {
+		return nil
 	}
-	leads := false
-	if age := m.ReportAge + delay; (m.Report.Role != RoleUnknown || m.Report.Position > 0) && age <= detector.settings.StaleAfter && newer(&x.reportSequence) {
-		x.report, x.reportedAt = m.Report, detector.now-age
-		if leads = m.Report.Role == RolePrimary && server.published.Report.Role != RolePrimary; leads {
-			detector.verifyPrimary(server, x)
-		}
-	}
-	if leads || server.published.Unhealthy && x.answeredAt > server.published.LastUnanswered { // else it has time until the next tick
-		detector.publishChange(server)
+	before := sequence - maxReorderedMessages
+	o := &observer{
+		id: id, sequence: before, answeredSequence: before, reportSequence: before,
+		answeredAt: -inf, soleAnswersSince: -inf, reportedAt: -inf,
 	}
+	server.observers = slices.Insert(server.observers, i, o)
+	return o
 }
 
-// silenceLimit is how long a server may be silent with n waiting whose work is that.
-func silenceLimit(work float64, n int) float64 {
-	return work * (silentWorks + silentSharedWorks/float64(min(maxWaiting, max(1, n))))
-}
-
-func (detector *Detector) isTrusted(x *observer) bool {
-	return len(detector.distrustedUntil) == 0 || detector.now >= detector.distrustedUntil[x.id]
+// advance stores a message's sequence number in place of an earlier one. It reports false for a message that is not newer.
+func advance(last *uint32, sequence uint32) bool {
+	if int32(sequence-*last) <= 0 {
+		return false
+	}
+	*last = sequence
+	return true
 }
 
-// updateDistrust has those count for nothing for a while whose words others' evidence contradicts: one alone gets answers, or one alone gets none.
-func (detector *Detector) updateDistrust(server *serverState) {
-	first, second, by, silent := -inf, -inf, ID(0), 0 // the last answers of two
-	for _, x := range server.observers {
-		if x.unanswered > 0 {
-			silent++
-		}
-		switch {
-		case !detector.isTrusted(x):
-		case x.answeredAt > first:
-			first, second, by = x.answeredAt, first, x.id
-		case x.answeredAt > second:
-			second = x.answeredAt
-		}
+// recordObservation takes an observation over, where this process collects those of the server. The newest of each kind of evidence
+// stands, in whatever order messages arrive, and however often. delay is added to ages where older is safer.
+func (detector *Detector) recordObservation(server *serverState, from ID, sequence uint32, item *Observation, delay float64) {
+	if !slices.Contains(detector.collectors(server), detector.self) {
+		return
 	}
-	var liars []ID
-	for _, x := range server.observers {
-		others := first
-		if by == x.id {
-			others = second
-		}
-		if x.answeredAt > x.soleAnswersSince && others > x.soleAnswersSince {
-			x.soleAnswersSince = x.answeredAt
-		}
-		if silent > 0 && (x.unanswered >= maxWaiting || x.answeredAt > x.soleAnswersSince && silent >= contradictingObservers) && detector.isTrusted(x) && detector.contradicted(server, x) {
-			liars = append(liars, x.id)
-		}
+	o := server.addObserver(from, sequence)
+	if o == nil {
+		return
 	}
-	for _, id := range liars {
-		detector.distrustedUntil[id] = detector.now + detector.settings.DistrustTime
+	o.zone = detector.peerByID[from].Zone
+	server.changed = true
+	if item.Answered >= 0 && advance(&o.answeredSequence, sequence) {
+		o.answeredAt = detector.receivedTime(item.Answered)
 	}
-}
-
-func (detector *Detector) contradicted(server *serverState, x *observer) bool {
-	fails, gets := 0, 0
-	for _, y := range server.observers {
-		if y == x || !detector.isTrusted(y) || y.zone != x.zone {
-			continue
-		}
-		if y.unanswered > 0 && y.lastUnanswered > x.soleAnswersSince && y.answeredAt < x.soleAnswersSince && detector.now-max(y.firstUnanswered, x.soleAnswersSince) > silenceLimit(y.work, 1) {
-			fails++
-		}
-		if y.answeredAt > x.firstUnanswered+silenceLimit(x.work, 1) {
-			gets++
-		}
+	if advance(&o.sequence, sequence) {
+		o.receivedAt = detector.now
+		o.unanswered = item.Unanswered
+		o.firstUnanswered = detector.receivedTime(item.FirstUnanswered)
+		o.lastUnanswered = detector.receivedTime(item.LastUnanswered)
+		o.work = item.Work
+	}
+	newPrimary := detector.recordObservedReport(server, o, sequence, item, delay)
+	if newPrimary || server.published.Unhealthy && o.answeredAt > server.published.LastUnanswered {
+		detector.publishChange(server)
 	}
-	return x.answeredAt > x.soleAnswersSince && fails >= contradictingObservers || x.unanswered >= maxWaiting && x.lastUnanswered-x.firstUnanswered > silenceLimit(x.work, 1) && gets >= contradictingObservers
 }
 
-// silence is what observers in a zone (or all) say of a server since a moment.
-type silence struct {
-	observers, attempts int
-	first, last         float64
-	works               []float64
-	zones               map[string]bool
-	witnesses           []ID
+// recordObservedReport takes over what an observer says that a server reported. It reports whether the server is a new primary.
+func (detector *Detector) recordObservedReport(server *serverState, o *observer, sequence uint32, item *Observation, delay float64) bool {
+	age := item.ReportAge + delay
+	if item.Report.isEmpty() || age > detector.settings.StaleAfter || !advance(&o.reportSequence, sequence) {
+		return false
+	}
+	o.report = item.Report
+	o.reportedAt = detector.now - age
+	if item.Report.Role != RolePrimary || server.published.Report.Role == RolePrimary {
+		return false
+	}
+	detector.verifyPrimary(server, o)
+	return true
 }
 
-func (detector *Detector) silenceOf(server *serverState, zone *string) (silence, bool) {
-	a := -inf
-	for _, x := range server.observers {
-		if (zone == nil || x.zone == *zone) && detector.isTrusted(x) {
-			a = max(a, x.answeredAt)
-		}
+// verifyPrimary makes this collector check a server itself where one observer alone says that it is the newest primary.
+func (detector *Detector) verifyPrimary(server *serverState, o *observer) {
+	if !detector.settings.ShareRoles || detector.now-server.healthCheckedAt < healthCheckIntervalMs {
+		return
 	}
-	q := silence{first: inf, last: -inf, zones: map[string]bool{}}
-	for _, x := range server.observers {
-		if x.unanswered == 0 || zone != nil && x.zone != *zone || x.lastUnanswered <= a || detector.now-x.lastUnanswered > detector.settings.EjectionTime || !detector.isTrusted(x) {
-			continue
-		}
-		first, n := x.firstUnanswered, min(x.unanswered, maxWaiting)
-		if first <= a {
-			first, n = x.lastUnanswered, 1
-		}
-		q.observers, q.attempts, q.first, q.last, q.zones[x.zone] = q.observers+1, q.attempts+n, min(q.first, first), max(q.last, x.lastUnanswered), true
-		q.works = append(q.works, x.work)
-		if len(q.witnesses) < 2 {
-			q.witnesses = append(q.witnesses, x.id)
-		}
+	newest := 0.0
+	for _, member := range detector.groups[server.Group] {
+		newest = max(newest, member.published.primaryPosition())
 	}
-	if q.observers < detector.settings.minObservers() {
-		return q, false
+	if o.report.Position > newest {
+		server.healthCheckedAt = detector.now
+		detector.actions = append(detector.actions, Action{Kind: CheckHealth, Server: server.Name})
 	}
-	slices.Sort(q.works)
-	return q, detector.now-q.first > silenceLimit(q.works[len(q.works)/2], q.attempts)
 }
 
-// assess is what this collector makes of a server: of the evidence alone, whatever the order that it came in.
+// assess returns what this collector concludes about a server, from the evidence alone, whatever the order of its arrival. Its ages are
+// times yet.
 func (detector *Detector) assess(server *serverState) Assessment {
 	out := Assessment{Key: server.key, Answered: -1}
 	if detector.settings.ShareHealth {
-		var zones []string
-		any := false
-		for _, x := range server.observers {
-			if !detector.isTrusted(x) {
-				continue
-			}
-			if x.answeredAt > -inf {
-				out.Answered = max(out.Answered, x.answeredAt)
-			}
-			if any = any || x.unanswered > 0; x.unanswered > 0 && !slices.Contains(zones, x.zone) && len(zones) < maxZones {
-				zones = append(zones, x.zone)
-			}
-		}
-		if any {
-			detector.assessHealth(server, zones, &out)
-		}
+		detector.assessHealth(server, &out)
 	}
 	out.Report, out.ReportAge = detector.vouchedReport(server)
-	return out // its times are moments yet
-}
-
-func (detector *Detector) assessHealth(server *serverState, zones []string, out *Assessment) {
-	q, bad := detector.silenceOf(server, nil)
-	out.AllZones = bad && (detector.zoneCount < 2 || len(q.zones) >= 2 || detector.settings.Fault == SingleObserver)
-	if out.Unhealthy = out.AllZones; !out.AllZones {
-		for _, z := range zones {
-			if qz, bad := detector.silenceOf(server, &z); bad {
-				out.Unhealthy, q = true, qz
-				out.Zones = append(out.Zones, zoneKey(z))
-			}
-		}
-	}
-	if out.Unhealthy {
-		out.FirstUnanswered, out.LastUnanswered, out.Observers = q.first, q.last, q.witnesses
-	}
-}
-
-func zoneKey(z string) uint32 { return uint32(xxhash.Sum64String(z)) }
-
-// newestPositions are the newest few that were told, the newest first.
-type newestPositions struct {
-	positions, reportedAt [16]float64
-	count                 int
-}
-
-func (w *newestPositions) add(at, told float64, most int) {
-	i := w.count
-	for i > 0 && at > w.positions[i-1] {
-		i--
-	}
-	if i >= most {
-		return
-	}
-	w.count = min(w.count+1, most)
-	copy(w.positions[i+1:w.count], w.positions[i:])
-	copy(w.reportedAt[i+1:w.count], w.reportedAt[i:])
-	w.positions[i], w.reportedAt[i] = at, told
+	return out
 }
 
-// vouchedReport is the newest that enough observers say of a server, and when the last of them was told.
-func (detector *Detector) vouchedReport(server *serverState) (ServerReport, float64) {
-	k := min(16, max(1, detector.settings.MinVouchers))
-	if detector.settings.Fault == SingleObserver {
-		k = 1
-	}
-	var by [3]newestPositions // of whatever role, as the primary, as a replica
-	for _, x := range server.observers {
-		if x.report.Position <= 0 || detector.now-x.reportedAt > detector.settings.StaleAfter || !detector.isTrusted(x) {
+func (detector *Detector) assessHealth(server *serverState, out *Assessment) {
+	var zones []string // whose observers have unanswered attempts
+	for _, o := range server.observers {
+		if !detector.isTrusted(o) {
 			continue
 		}
-		by[RoleUnknown].add(x.report.Position, x.reportedAt, k)
-		if x.report.Role != RoleUnknown {
-			by[x.report.Role].add(x.report.Position, x.reportedAt, k)
+		if o.answeredAt > -inf {
+			out.Answered = max(out.Answered, o.answeredAt)
+		}
+		if o.unanswered > 0 && !slices.Contains(zones, o.zone) && len(zones) < maxZones {
+			zones = append(zones, o.zone)
 		}
 	}
-	said := func(r Role) float64 {
-		if by[r].count < k {
-			return 0
+	if len(zones) == 0 {
+		return
+	}
+	evidence, unhealthy := detector.silenceOf(server, nil)
+	enoughZones := detector.zoneCount < minZones || len(evidence.zones) >= minZones || detector.settings.Fault == SingleObserver
+	out.AllZones = unhealthy && enoughZones
+	out.Unhealthy = out.AllZones
+	if !out.AllZones {
+		for _, zone := range zones {
+			if inZone, unhealthy := detector.silenceOf(server, &zone); unhealthy {
+				evidence = inZone
+				out.Unhealthy = true
+				out.Zones = append(out.Zones, zoneKey(zone))
+			}
 		}
-		return by[r].positions[k-1]
 	}
-	role := RoleUnknown
-	switch {
-	case detector.settings.ShareRoles && said(RolePrimary) > said(RoleReplica):
-		role = RolePrimary
-	case !detector.settings.SharePositions || said(RoleUnknown) == 0:
-		return ServerReport{}, 0
-	case said(RoleReplica) > 0:
-		role = RoleReplica
+	if out.Unhealthy {
+		out.FirstUnanswered, out.LastUnanswered, out.Observers = evidence.first, evidence.last, evidence.witnesses
 	}
-	return ServerReport{role, by[role].positions[k-1]}, by[role].reportedAt[k-1]
 }
 
-// Assessments is what this process makes of all servers as a collector, for those who look.
+// zoneKey returns the hash by which messages name a zone.
+func zoneKey(zone string) uint32 { return uint32(xxhash.Sum64String(zone)) }
+
+// Assessments returns what this process concludes about all servers as a collector.
 func (detector *Detector) Assessments() (out []Assessment) {
 	for _, server := range detector.servers {
 		out = append(out, detector.assess(server))
@@ -267,89 +158,88 @@
 	return out
 }
 
-// verifyPrimary has this collector look itself where one says that another than the known one leads.
-func (detector *Detector) verifyPrimary(server *serverState, x *observer) {
-	if !detector.settings.ShareRoles || detector.now-server.healthCheckedAt < healthCheckIntervalMs {
-		return
-	}
-	newest := 0.0
-	for _, o := range detector.groups[server.Group] {
-		newest = max(newest, o.published.primaryPosition())
-	}
-	if x.report.Position > newest {
-		server.healthCheckedAt = detector.now
-		detector.actions = append(detector.actions, Action{Kind: CheckHealth, Server: server.Name})
-	}
-}
-
-func (m *Assessment) primaryPosition() float64 {
-	if m.Report.Role == RolePrimary {
-		return m.Report.Position
+// primaryPosition returns the position of a primary, 0 for another server.
+func (a *Assessment) primaryPosition() float64 {
+	if a.Report.Role == RolePrimary {
+		return a.Report.Position
 	}
 	return 0
 }
 
-func (m *Assessment) sameConclusion(o *Assessment) bool {
-	return m.Unhealthy == o.Unhealthy && m.AllZones == o.AllZones && slices.Equal(m.Zones, o.Zones) && (m.Report.Role == RolePrimary) == (o.Report.Role == RolePrimary)
+// sameConclusion reports whether two assessments differ in evidence only.
+func (a *Assessment) sameConclusion(b *Assessment) bool {
+	sameHealth := a.Unhealthy == b.Unhealthy && a.AllZones == b.AllZones && slices.Equal(a.Zones, b.Zones)
+	return sameHealth && (a.Report.Role == RolePrimary) == (b.Report.Role == RolePrimary)
 }
 
-// publishChange has all hear at once of a verdict or a leader that changed.
+// publishChange sends the assessment of a server at once if its conclusion changed.
 func (detector *Detector) publishChange(server *serverState) {
-	if x := detector.assess(server); !x.sameConclusion(&server.published) {
-		server.published = x
+	if a := detector.assess(server); !a.sameConclusion(&server.published) {
+		server.published = a
 		detector.sendAssessments([]*serverState{server})
 	}
 }
 
-// publish tells all what is new, or what stands.
-func (detector *Detector) publish(full bool) {
-	var list []*serverState
+// publish sends the assessments that changed, and with all those that are current.
+func (detector *Detector) publish(all bool) {
+	var changed []*serverState
 	for _, server := range detector.servers {
 		if len(server.observers) == 0 || !slices.Contains(detector.collectors(server), detector.self) {
 			continue
 		}
-		if full {
+		if all {
 			detector.updateDistrust(server)
 		}
-		if !server.changed && !server.published.Unhealthy && !full {
+		if !server.changed && !server.published.Unhealthy && !all {
 			continue
 		}
-		x, was := detector.assess(server), server.published
-		server.changed = slices.ContainsFunc(server.observers, func(x *observer) bool { return x.unanswered > 0 }) // time may make it a verdict
-		if server.published = x; !x.sameConclusion(&was) || detector.settings.SharePositions && x.Report.Position > was.Report.Position || full && (x.Unhealthy || x.Report.Role == RolePrimary) {
-			list = append(list, server)
+		a, previous := detector.assess(server), server.published
+		server.published = a
+		// Time alone may make a server with unanswered attempts unhealthy.
+		server.changed = slices.ContainsFunc(server.observers, func(o *observer) bool { return o.unanswered > 0 })
+		newer := detector.settings.SharePositions && a.Report.Position > previous.Report.Position
+		current := all && (a.Unhealthy || a.Report.Role == RolePrimary)
+		if newer || current || !a.sameConclusion(&previous) {
+			changed = append(changed, server)
 		}
 	}
-	detector.sendAssessments(list)
+	detector.sendAssessments(changed)
 }
 
-// sendAssessments tells everybody, this process included, what it made of servers.
-func (detector *Detector) sendAssessments(list []*serverState) {
-	if len(list) == 0 {
+// sendAssessments sends what was published about servers to all poolers, this one included.
+func (detector *Detector) sendAssessments(servers []*serverState) {
+	if len(servers) == 0 {
 		return
 	}
 	detector.sequence++
-	age := func(at float64) float64 {
-		if at <= 0 {
-			return -1
-		}
-		return detector.now - at
-	}
-	var items []Assessment
-	for _, server := range list {
-		x := server.published
-		x.FirstUnanswered, x.LastUnanswered, x.Answered, x.ReportAge = age(x.FirstUnanswered), age(x.LastUnanswered), age(x.Answered), max(0, age(x.ReportAge))
-		items = append(items, x)
+	items := make([]Assessment, len(servers))
+	for i, server := range servers {
+		items[i] = detector.withAges(server.published)
 	}
 	split(items, (*Assessment).wireBytes, func(part []Assessment) {
-		w := &Assessments{Sequence: detector.sequence, Items: part}
+		message := &Assessments{Sequence: detector.sequence, Items: part}
 		for i := range detector.peers {
-			if p := &detector.peers[i]; p.ID != detector.self {
-				detector.actions = append(detector.actions, Action{Kind: Send, To: p.ID, Addr: p.Addr, Assessments: w})
+			if peer := &detector.peers[i]; peer.ID != detector.self {
+				detector.actions = append(detector.actions, Action{Kind: Send, To: peer.ID, Addr: peer.Addr, Assessments: message})
 			}
 		}
 	})
-	for i, server := range list {
+	for i, server := range servers {
 		detector.recordAssessment(server, detector.self, detector.sequence, &items[i])
 	}
 }
+
+// withAges returns an assessment with ages in place of times.
+func (detector *Detector) withAges(a Assessment) Assessment {
+	age := func(at float64) float64 {
+		if at <= 0 {
+			return -1
+		}
+		return detector.now - at
+	}
+	a.FirstUnanswered = age(a.FirstUnanswered)
+	a.LastUnanswered = age(a.LastUnanswered)
+	a.Answered = age(a.Answered)
+	a.ReportAge = max(0, age(a.ReportAge))
+	return a
+}
--- a/internal/cluster/outlier/codec.go
+++ b/internal/cluster/outlier/codec.go
@@ -3,32 +3,31 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"math"
 
 	"beechgrade/internal/encoding"
 )
 
-// The form of a message: a byte for what it is, then numbers as varints; ages are in tenths of a ms, one too long ago is the longest.
+// A message is a byte for its kind, its sequence number, the newest position in it, and its items. Numbers are varints. Ages are in tenths
+// of a ms; one that is too long is the longest. Positions are encoded as so far behind the newest one, rounded so that none gets newer.
 
-// ErrMalformed is of a message that cannot be read.
-var ErrMalformed = errors.New("verdicts: not of the form")
+// ErrMalformed is the error of a message that cannot be decoded.
+var ErrMalformed = errors.New("outlier: malformed message")
 
+// Kinds of messages.
 const (
 	kindObservations = iota + 1
 	kindAssessments
 )
 
 const (
-	agesPerMs   = 10
+	unitsPerMs  = 10
 	maxAgeMs    = 1e7
 	maxPosition = 1e13
-	maxZones    = 8
 )
 
-func appendAge(b []byte, x float64) []byte {
-	return binary.AppendUvarint(b, uint64(math.Round(min(max(0, x), maxAgeMs)*agesPerMs)))
-}
-
+// Flags of an item.
 const (
 	flagRole     = 3 // the bits of a role
 	flagPosition = 4 << iota
@@ -37,9 +36,13 @@
 	flagAllZones
 )
 
-func flags(s ServerReport, answered float64) byte {
-	f := byte(s.Role)
-	if s.Position > 0 {
+func appendAge(b []byte, ms float64) []byte {
+	return binary.AppendUvarint(b, uint64(math.Round(min(max(0, ms), maxAgeMs)*unitsPerMs)))
+}
+
+func flags(report ServerReport, answered float64) byte {
+	f := byte(report.Role)
+	if report.Position > 0 {
 		f |= flagPosition
 	}
 	if answered >= 0 {
@@ -48,19 +51,18 @@
 	return f
 }
 
-// base is the newest position of a message; each is told as so far behind it, rounded: never newer than it was.
-func appendBase[T any](b []byte, items []T, said func(*T) ServerReport) ([]byte, float64) {
-	base := 0.0
-	for i := range items {
-		base = max(base, said(&items[i]).Position)
-	}
-	base = math.Ceil(min(base, maxPosition))
+// appendHeader appends what stands before the items, and returns the newest position.
+func appendHeader(b []byte, kind byte, sequence uint32, newest float64) ([]byte, float64) {
+	base := math.Ceil(min(newest, maxPosition))
+	b = binary.BigEndian.AppendUint32(append(b, kind), sequence)
 	return binary.AppendUvarint(b, uint64(base)), base
 }
 
-func appendReport(b []byte, base float64, s ServerReport, age, answered float64) []byte {
-	if s.Position > 0 {
-		b = appendAge(binary.AppendUvarint(b, uint64(math.Ceil(min(max(0, base-s.Position), maxPosition)*agesPerMs))), age)
+func appendReport(b []byte, base float64, report ServerReport, age, answered float64) []byte {
+	if report.Position > 0 {
+		behind := min(max(0, base-report.Position), maxPosition)
+		b = binary.AppendUvarint(b, uint64(math.Ceil(behind*unitsPerMs)))
+		b = appendAge(b, age)
 	}
 	if answered >= 0 {
 		b = appendAge(b, answered)
@@ -68,117 +70,148 @@
 	return b
 }
 
-// Append is part.Words'.
-func (t *Observations) Append(b []byte) []byte {
-	b, base := appendBase(binary.BigEndian.AppendUint32(append(b, kindObservations), t.Sequence), t.Items, func(x *Observation) ServerReport { return x.Report })
-	for i := range t.Items {
-		x := &t.Items[i]
-		b = append(binary.BigEndian.AppendUint32(b, x.Key), flags(x.Report, x.Answered), byte(min(x.Unanswered, maxUnanswered)))
-		if x.Unanswered > 0 {
-			b = appendAge(appendAge(appendAge(b, x.FirstUnanswered), x.LastUnanswered), x.Work)
+// Append implements module.Message.
+func (m *Observations) Append(b []byte) []byte {
+	newest := 0.0
+	for i := range m.Items {
+		newest = max(newest, m.Items[i].Report.Position)
+	}
+	b, base := appendHeader(b, kindObservations, m.Sequence, newest)
+	for i := range m.Items {
+		item := &m.Items[i]
+		b = binary.BigEndian.AppendUint32(b, item.Key)
+		b = append(b, flags(item.Report, item.Answered), byte(min(item.Unanswered, maxUnanswered)))
+		if item.Unanswered > 0 {
+			b = appendAge(b, item.FirstUnanswered)
+			b = appendAge(b, item.LastUnanswered)
+			b = appendAge(b, item.Work)
 		}
-		b = appendReport(b, base, x.Report, x.ReportAge, x.Answered)
+		b = appendReport(b, base, item.Report, item.ReportAge, item.Answered)
 	}
 	return b
 }
 
-// Append is part.Words'.
-func (w *Assessments) Append(b []byte) []byte {
-	b, base := appendBase(binary.BigEndian.AppendUint32(append(b, kindAssessments), w.Sequence), w.Items, func(x *Assessment) ServerReport { return x.Report })
-	for i := range w.Items {
-		x := &w.Items[i]
-		f := flags(x.Report, x.Answered)
-		if x.Unhealthy {
+// Append implements module.Message.
+func (m *Assessments) Append(b []byte) []byte {
+	newest := 0.0
+	for i := range m.Items {
+		newest = max(newest, m.Items[i].Report.Position)
+	}
+	b, base := appendHeader(b, kindAssessments, m.Sequence, newest)
+	for i := range m.Items {
+		item := &m.Items[i]
+		f := flags(item.Report, item.Answered)
+		if item.Unhealthy {
 			f |= flagUnhealthy
 		}
-		if x.AllZones {
+		if item.AllZones {
 			f |= flagAllZones
 		}
-		b = append(binary.BigEndian.AppendUint32(b, x.Key), f)
-		if x.Unhealthy {
-			zones, by := x.Zones[:min(len(x.Zones), maxZones)], x.Observers[:min(len(x.Observers), 2)]
-			b = append(b, byte(len(zones)), byte(len(by)))
-			for _, z := range zones {
-				b = binary.BigEndian.AppendUint32(b, z)
-			}
-			for _, id := range by {
-				b = binary.BigEndian.AppendUint64(b, uint64(id))
-			}
-			b = appendAge(appendAge(b, x.FirstUnanswered), x.LastUnanswered)
+		b = append(binary.BigEndian.AppendUint32(b, item.Key), f)
+		if item.Unhealthy {
+			b = appendUnhealthy(b, item)
 		}
-		b = appendReport(b, base, x.Report, x.ReportAge, x.Answered)
+		b = appendReport(b, base, item.Report, item.ReportAge, item.Answered)
 	}
 	return b
 }
 
-// reader takes a message apart; after a fault it yields zeros.
+func appendUnhealthy(b []byte, item *Assessment) []byte {
+	zones := item.Zones[:min(len(item.Zones), maxZones)]
+	observers := item.Observers[:min(len(item.Observers), maxWitnesses)]
+	b = append(b, byte(len(zones)), byte(len(observers)))
+	for _, zone := range zones {
+		b = binary.BigEndian.AppendUint32(b, zone)
+	}
+	for _, id := range observers {
+		b = binary.BigEndian.AppendUint64(b, uint64(id))
+	}
+	b = appendAge(b, item.FirstUnanswered)
+	return appendAge(b, item.LastUnanswered)
+}
+
+// reader decodes a message; after a fault it returns zeros.
 type reader struct{ encoding.Reader }
 
-func (r *reader) number(grain, most float64) float64 {
-	x := float64(r.Uvarint()) / grain
-	r.Require(x <= most)
+func (r *reader) number(unit, limit float64) float64 {
+	x := float64(r.Uvarint()) / unit
+	r.Require(x <= limit)
 	return x
 }
 
-func (r *reader) age() float64 { return r.number(agesPerMs, maxAgeMs) }
+func (r *reader) age() float64 { return r.number(unitsPerMs, maxAgeMs) }
 
 // report reads what flags say that there is.
-func (r *reader) report(f byte, base float64) (s ServerReport, age, answered float64) {
-	s.Role, answered = Role(f&flagRole), -1
-	r.Require(s.Role <= RoleReplica)
+func (r *reader) report(f byte, base float64) (report ServerReport, age, answered float64) {
+	report.Role, answered = Role(f&flagRole), -1
+	r.Require(report.Role <= RoleReplica)
 	if f&flagPosition != 0 {
-		s.Position = base - r.number(agesPerMs, maxPosition)
+		report.Position = base - r.number(unitsPerMs, maxPosition)
 		age = r.age()
-		r.Require(s.Position > 0)
+		r.Require(report.Position > 0)
 	}
 	if f&flagAnswered != 0 {
 		answered = r.age()
 	}
-	return s, age, answered
+	return report, age, answered
+}
+
+func (r *reader) observation(base float64) Observation {
+	item := Observation{Key: r.Uint32()}
+	f := r.Byte()
+	item.Unanswered = int(r.Byte())
+	if item.Unanswered > 0 {
+		item.FirstUnanswered = r.age()
+		item.LastUnanswered = r.age()
+		item.Work = r.age()
+		r.Require(item.LastUnanswered <= item.FirstUnanswered)
+	}
+	item.Report, item.ReportAge, item.Answered = r.report(f, base)
+	return item
+}
+
+func (r *reader) assessment(base float64) Assessment {
+	item := Assessment{Key: r.Uint32()}
+	f := r.Byte()
+	item.Unhealthy = f&flagUnhealthy != 0
+	item.AllZones = f&flagAllZones != 0
+	if item.Unhealthy {
+		zones, observers := r.ByteMax(maxZones), r.ByteMax(maxWitnesses)
+		for i := 0; i < zones && r.OK(); i++ {
+			item.Zones = append(item.Zones, r.Uint32())
+		}
+		for i := 0; i < observers && r.OK(); i++ {
+			item.Observers = append(item.Observers, ID(r.Uint64()))
+		}
+		item.FirstUnanswered = r.age()
+		item.LastUnanswered = r.age()
+		r.Require(item.LastUnanswered <= item.FirstUnanswered)
+	}
+	item.Report, item.ReportAge, item.Answered = r.report(f, base)
+	return item
 }
 
-// Decode reads a message.
+// Decode decodes a message: *Observations or *Assessments.
 func Decode(b []byte) (any, error) {
 	r := &reader{encoding.NewReader(b)}
-	verb, seq, base := r.Byte(), r.Uint32(), r.number(1, maxPosition)
-	switch verb {
+	kind, sequence, base := r.Byte(), r.Uint32(), r.number(1, maxPosition)
+	switch kind {
 	case kindObservations:
-		t := &Observations{Sequence: seq}
+		m := &Observations{Sequence: sequence}
 		for r.More() {
-			x := Observation{Key: r.Uint32()}
-			f := r.Byte()
-			if x.Unanswered = int(r.Byte()); x.Unanswered > 0 {
-				x.FirstUnanswered, x.LastUnanswered, x.Work = r.age(), r.age(), r.age()
-				r.Require(x.LastUnanswered <= x.FirstUnanswered)
-			}
-			x.Report, x.ReportAge, x.Answered = r.report(f, base)
-			t.Items = append(t.Items, x)
+			m.Items = append(m.Items, r.observation(base))
 		}
 		if r.OK() {
-			return t, nil
+			return m, nil
 		}
 	case kindAssessments:
-		w := &Assessments{Sequence: seq}
+		m := &Assessments{Sequence: sequence}
 		for r.More() {
-			x := Assessment{Key: r.Uint32()}
-			f := r.Byte()
-			if x.Unhealthy, x.AllZones = f&flagUnhealthy != 0, f&flagAllZones != 0; x.Unhealthy {
-				zones, by := r.ByteMax(maxZones), r.ByteMax(2)
-				for i := 0; i < zones && r.OK(); i++ {
-					x.Zones = append(x.Zones, r.Uint32())
-				}
-				for i := 0; i < by && r.OK(); i++ {
-					x.Observers = append(x.Observers, ID(r.Uint64()))
-				}
-				x.FirstUnanswered, x.LastUnanswered = r.age(), r.age()
-				r.Require(x.LastUnanswered <= x.FirstUnanswered)
-			}
-			x.Report, x.ReportAge, x.Answered = r.report(f, base)
-			w.Items = append(w.Items, x)
+			m.Items = append(m.Items, r.assessment(base))
 		}
 		if r.OK() {
-			return w, nil
+			return m, nil
 		}
 	}
-	return nil, ErrMalformed
+	return nil, fmt.Errorf("%w: kind %d, %d bytes", ErrMalformed, kind, len(b))
 }
--- a/internal/cluster/outlier/detector.go
+++ b/internal/cluster/outlier/detector.go
@@ -2,16 +2,17 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 
-	"github.com/cespare/xxhash/v2"
-
 	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/invariant"
 )
 
-// Detector is a process's side: as an observer, as a collector, and as one that heeds what collectors say.
+// maxPauseMs is how long after its last tick a process counts as paused.
+const maxPauseMs = 500
+
+// Detector is one process's side: an observer, a collector, and a pooler that applies what collectors conclude. It is not safe for
+// concurrent use.
 type Detector struct {
 	settings          Settings
 	self              ID
@@ -19,63 +20,78 @@
 	peers             []Peer
 	hashPeers         []overload.Peer // the same, for hashing
 	peerByID          map[ID]*Peer
-	zoneCount         int // in which poolers stand
+	zoneCount         int // zones with poolers
 	byKey             map[uint32]*serverState
 	byName            map[string]*serverState
 	servers           []*serverState // by key
 	groups            map[int][]*serverState
-	collectorsByBlock map[int][]ID // collectors, by block
+	collectorsByBlock map[int][]ID
 	distrustedUntil   map[ID]float64
-	sequence          uint32
+	sequence          uint32 // of the last message
 	lastTick          float64
 	nextReport        float64
 	nextRefresh       float64
 	actions           []Action
 
-	checks        *invariant.Checks // nil where nothing is checked
-	checkInterval int
+	checks        *invariant.Checks // nil if invariants are not checked
+	checkInterval int               // in events
 	checkCounter  int
 }
 
-// serverState is what is known of one.
+// serverState is what is known of one process of a server. Times are in ms, on this process's clock.
 type serverState struct {
 	Server
-	key              uint32
-	own              localEvidence
-	reported         Observation // as last told, by what changes it: see news
-	observers        []*observer // by observer
-	changed          bool        // something was filed since it was judged
-	assessments      map[ID]*assessment
-	published        Assessment // as last published
-	healthCheckedAt  float64
-	ejection         ejection
-	learnedPositions [2]float64 // positions that the module was told: of whatever role, and as the primary
-	reportedAt       float64
-	down             bool // in this pooler's module
+	key  uint32 // hash of the name and the start
+	down bool   // by this pooler's decision module
+
+	// As an observer.
+	own        localEvidence
+	reported   Observation // as last sent
+	reportedAt float64     // when it was last sent out of turn
+
+	// As a collector.
+	observers       []*observer // by ID
+	changed         bool        // evidence arrived since the last assessment
+	published       Assessment  // the last one, with times in place of ages
+	healthCheckedAt float64
+
+	// As a pooler that applies assessments.
+	assessments     map[ID]*assessment // by collector
+	ejection        ejection
+	learnedPosition float64 // the newest that the decision module was given, of whatever role
+	primaryPosition float64 // the same, as the primary
 }
 
-// observer is what an observer told of a server, in this process's time.
+// observer is the evidence of one observer about a server. Times are on this process's clock.
 type observer struct {
-	id                                         ID
-	sequence, answeredSequence, reportSequence uint32
-	receivedAt                                 float64
-	answeredAt, soleAnswersSince               float64 // since: its answers since then are all that there were
-	unanswered                                 int
-	firstUnanswered, lastUnanswered, work      float64
-	report                                     ServerReport
-	reportedAt                                 float64
-	zone                                       string
+	id               ID
+	zone             string
+	sequence         uint32 // of the message with the unanswered attempts
+	answeredSequence uint32 // of the message with the answer
+	reportSequence   uint32 // of the message with the server's report
+	receivedAt       float64
+	answeredAt       float64
+	soleAnswersSince float64 // answers since then are the only ones that anybody received
+	unanswered       int
+	firstUnanswered  float64
+	lastUnanswered   float64
+	work             float64 // ms that one of the unanswered attempts should have taken
+	report           ServerReport
+	reportedAt       float64
 }
 
-// New makes a process's side.
-func New(set Settings, self ID, now float64) *Detector {
-	return &Detector{settings: set, self: self, now: now, peerByID: map[ID]*Peer{}, byKey: map[uint32]*serverState{}, byName: map[string]*serverState{}, groups: map[int][]*serverState{}, collectorsByBlock: map[int][]ID{},
-		distrustedUntil: map[ID]float64{}, nextReport: now, nextRefresh: now}
+// New returns the Detector of a process that knows nothing, at time now in ms.
+func New(settings Settings, self ID, now float64) *Detector {
+	return &Detector{
+		settings: settings, self: self, now: now, nextReport: now, nextRefresh: now,
+		peerByID: map[ID]*Peer{}, byKey: map[uint32]*serverState{}, byName: map[string]*serverState{},
+		groups: map[int][]*serverState{}, collectorsByBlock: map[int][]ID{}, distrustedUntil: map[ID]float64{},
+	}
 }
 
-// Handle takes one event at time now and appends what is to be done to out.
+// Handle processes one event at time now, in ms, and appends the actions that it causes to out.
 func (detector *Detector) Handle(now float64, e Event, out []Action) []Action {
-	if detector.lastTick > 0 && now-detector.lastTick > maxPauseMs { // it stood still: what was out may have its answer in a socket
+	if detector.lastTick > 0 && now-detector.lastTick > maxPauseMs {
 		detector.discardOpenAttempts()
 	}
 	detector.now, detector.actions = max(now, detector.now), out
@@ -103,16 +119,13 @@
 		detector.handleMessage(e.From, e.Message)
 	}
 	if detector.checks.Enabled() {
-		detector.checks.Walk(&detector.checkCounter, detector.checkInterval, "verdicts: the walk", detector.checkState)
+		detector.checks.Walk(&detector.checkCounter, detector.checkInterval, "outlier: the state", detector.checkState)
 	}
 	out, detector.actions = detector.actions, nil
 	return out
 }
 
-// maxPauseMs is how long after its last tick a process stood still.
-const maxPauseMs = 500
-
-// discardOpenAttempts has nothing count that was out while this process stood still, and what it heard before be as old as it is.
+// discardOpenAttempts drops the attempts that were open while this process was paused: their answers may still be in a socket.
 func (detector *Detector) discardOpenAttempts() {
 	for _, server := range detector.servers {
 		server.own.openAttempts = server.own.openAttempts[:0]
@@ -134,73 +147,20 @@
 		zones[p.Zone] = true
 	}
 	detector.zoneCount = len(zones)
-	detector.nextRefresh = min(detector.nextRefresh, detector.now+detector.settings.TickInterval) // somebody may be new
+	detector.nextRefresh = min(detector.nextRefresh, detector.now+detector.settings.TickInterval) // for new members
 }
 
-// collectors are those of a server's block.
+// collectors returns the collectors of a server: those of its block of groups.
 func (detector *Detector) collectors(server *serverState) []ID {
 	block := server.Group / GroupsPerBlock
 	ids, ok := detector.collectorsByBlock[block]
 	if !ok {
-		ids = overload.RendezvousPeers(uint64(block)*0x9e3779b97f4a7c15+1, detector.settings.Collectors, detector.hashPeers)
+		ids = overload.RendezvousPeers(uint64(block)*blockHashFactor+1, detector.settings.Collectors, detector.hashPeers)
 		detector.collectorsByBlock[block] = ids
 	}
 	return ids
 }
 
-func (detector *Detector) updateServers(all []Server) {
-	named := map[string]bool{}
-	for _, x := range all {
-		if named[x.Name] || len(named) >= MaxServers {
-			continue
-		}
-		if o := detector.byKey[detector.keyOf(x)]; o != nil && o.Name != x.Name { // it shares its key: it goes without
-			continue
-		}
-		named[x.Name] = true
-		server := detector.byName[x.Name]
-		if server == nil || server.Start != x.Start && detector.settings.Fault != KeepsOldEvidence || server.Group != x.Group {
-			if server != nil && server.ejection.active {
-				detector.endEjection(server, false)
-			}
-			down := server != nil && server.down
-			if server != nil {
-				delete(detector.byKey, server.key)
-			}
-			server = &serverState{Server: x, key: detector.keyOf(x), assessments: map[ID]*assessment{}, down: down}
-			server.own.clear()
-			detector.byName[x.Name], detector.byKey[server.key] = server, server
-		}
-		server.Start = x.Start
-	}
-	detector.servers, detector.groups = detector.servers[:0], map[int][]*serverState{}
-	for name, server := range detector.byName { // sorted below
-		if !named[name] {
-			delete(detector.byName, name)
-			delete(detector.byKey, server.key)
-			continue
-		}
-		detector.servers = append(detector.servers, server)
-	}
-	slices.SortFunc(detector.servers, func(a, b *serverState) int { return cmp.Compare(a.key, b.key) })
-	for _, server := range detector.servers {
-		detector.groups[server.Group] = append(detector.groups[server.Group], server)
-	}
-	for _, server := range detector.servers { // a group that has lost a member spares fewer
-		if server.ejection.active {
-			detector.updateEjection(server)
-		}
-	}
-}
-
-// keyOf names a server's process.
-func (detector *Detector) keyOf(x Server) uint32 {
-	if detector.settings.Fault == KeepsOldEvidence {
-		x.Start = 0
-	}
-	return uint32(xxhash.Sum64String(fmt.Sprintf("%s %.0f", x.Name, x.Start)))
-}
-
 func (detector *Detector) tick() {
 	for _, server := range detector.servers {
 		detector.updateEjection(server)
@@ -218,31 +178,32 @@
 	detector.publish(full)
 }
 
-// removeStale forgets what counts for nothing any more.
+// removeStale forgets evidence and assessments that do not count any more, and those of processes that have ended.
 func (detector *Detector) removeStale() {
-	for id, until := range detector.distrustedUntil { // each on its own
+	for id, until := range detector.distrustedUntil {
 		if detector.now >= until {
 			delete(detector.distrustedUntil, id)
 		}
 	}
 	for _, server := range detector.servers {
-		server.observers = slices.DeleteFunc(server.observers, func(x *observer) bool {
-			return detector.now-x.receivedAt > 2*detector.settings.EjectionTime || detector.peerByID[x.id] == nil
+		server.observers = slices.DeleteFunc(server.observers, func(o *observer) bool {
+			return detector.now-o.receivedAt > 2*detector.settings.EjectionTime || detector.peerByID[o.id] == nil
 		})
 		server.changed = true
-		for id, word := range server.assessments {
-			if detector.now-word.receivedAt > detector.settings.EjectionTime || detector.peerByID[id] == nil {
+		for id, a := range server.assessments {
+			if detector.now-a.receivedAt > detector.settings.EjectionTime || detector.peerByID[id] == nil {
 				delete(server.assessments, id)
 			}
 		}
 	}
 }
 
-func (detector *Detector) handleMessage(from ID, m any) {
+// handleMessage takes over the items about servers that this process knows. Its own messages do not pass here.
+func (detector *Detector) handleMessage(from ID, message any) {
 	if detector.peerByID[from] == nil || from == detector.self {
 		return
 	}
-	switch m := m.(type) {
+	switch m := message.(type) {
 	case *Observations:
 		for i := range m.Items {
 			if server := detector.byKey[m.Items[i].Key]; server != nil {
@@ -258,7 +219,15 @@
 	}
 }
 
-// split sends items in as many messages as it takes.
+// receivedTime returns the time of an event whose age arrived now.
+func (detector *Detector) receivedTime(age float64) float64 {
+	if detector.settings.Fault == AgeFromReceipt {
+		return detector.now
+	}
+	return detector.now - age
+}
+
+// split passes the items to send in parts that fit a packet each.
 func split[T any](items []T, size func(*T) int, send func([]T)) {
 	for len(items) > 0 {
 		n, all := 0, 0
@@ -271,18 +240,20 @@
 	}
 }
 
-// Withholds tells whether a probe's success at a server is no reason to send requests there: others find that it takes none, and it is not this
-// pooler's turn to try.
+// Withholds reports whether a server gets no requests though its health check succeeds: others find that it answers none, and it is not
+// this pooler's turn to test it.
 func (detector *Detector) Withholds(name string) bool {
 	server := detector.byName[name]
 	return server != nil && server.ejection.active && !server.ejection.testing
 }
 
+// publicEjection returns the ejection as it is reported to operators.
 func (server *serverState) publicEjection() Ejection {
-	return Ejection{Server: server.Name, Reason: server.ejection.reason, ReportedBy: server.ejection.observers, UntilMs: server.ejection.until}
+	e := &server.ejection
+	return Ejection{Server: server.Name, Reason: e.reason, ReportedBy: e.observers, UntilMs: e.until}
 }
 
-// Ejections tell what is avoided by others' word.
+// Ejections returns the servers that are ejected on shared evidence, by name.
 func (detector *Detector) Ejections() (out []Ejection) {
 	for _, server := range detector.servers {
 		if server.ejection.active {
@@ -293,17 +264,22 @@
 	return out
 }
 
-// LocallyUnreachable counts the servers that this pooler gets no answer from and others do: where there are many, it is its own links.
+// LocallyUnreachable counts the servers that answer others and not this pooler. Where there are many, its own links fail.
 func (detector *Detector) LocallyUnreachable() (n int) {
 	for _, server := range detector.servers {
-		if server.own.unanswered > 0 && server.down && !server.ejection.active {
-			for _, word := range server.assessments {
-				if !word.unhealthy && word.answeredAt > server.own.lastUnanswered {
-					n++
-					break
-				}
-			}
+		if server.own.unanswered > 0 && server.down && !server.ejection.active && server.answersOthers() {
+			n++
 		}
 	}
 	return n
 }
+
+// answersOthers reports whether a collector knows of an answer after this pooler's last unanswered attempt.
+func (server *serverState) answersOthers() bool {
+	for _, a := range server.assessments {
+		if !a.unhealthy && a.answeredAt > server.own.lastUnanswered {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/cluster/outlier/distrust.go
@@ -0,0 +1,83 @@
+package outlier
+
+// contradictingObservers is how many observers of a zone must contradict one.
+const contradictingObservers = 3
+
+// isTrusted reports whether an observer's evidence counts.
+func (detector *Detector) isTrusted(o *observer) bool {
+	return len(detector.distrustedUntil) == 0 || detector.now >= detector.distrustedUntil[o.id]
+}
+
+// updateDistrust distrusts, for DistrustTime, the observers of a server that the evidence of others contradicts: one that alone receives
+// answers, or one that alone receives none.
+func (detector *Detector) updateDistrust(server *serverState) {
+	unresponsive := 0 // observers with unanswered attempts
+	for _, o := range server.observers {
+		if o.unanswered > 0 {
+			unresponsive++
+		}
+	}
+	detector.updateSoleAnswers(server)
+	if unresponsive == 0 {
+		return
+	}
+	var contradicted []ID
+	for _, o := range server.observers {
+		soleAnswers := o.answeredAt > o.soleAnswersSince && unresponsive >= contradictingObservers
+		soleSilence := o.unanswered >= maxWaiting
+		if (soleAnswers || soleSilence) && detector.isTrusted(o) && detector.contradicted(server, o) {
+			contradicted = append(contradicted, o.id)
+		}
+	}
+	for _, id := range contradicted {
+		detector.distrustedUntil[id] = detector.now + detector.settings.DistrustTime
+	}
+}
+
+// updateSoleAnswers ends the time since which an observer alone received answers, where another one received one too.
+func (detector *Detector) updateSoleAnswers(server *serverState) {
+	newest, second, newestFrom := -inf, -inf, ID(0) // the last answers of two trusted observers
+	for _, o := range server.observers {
+		switch {
+		case !detector.isTrusted(o):
+		case o.answeredAt > newest:
+			newest, second, newestFrom = o.answeredAt, newest, o.id
+		case o.answeredAt > second:
+			second = o.answeredAt
+		}
+	}
+	for _, o := range server.observers {
+		others := newest
+		if newestFrom == o.id {
+			others = second
+		}
+		if o.answeredAt > o.soleAnswersSince && others > o.soleAnswersSince {
+			o.soleAnswersSince = o.answeredAt
+		}
+	}
+}
+
+// contradicted reports whether enough observers of the same zone have evidence against that of one.
+func (detector *Detector) contradicted(server *serverState, o *observer) bool {
+	withoutAnswer, withAnswer := 0, 0
+	for _, other := range server.observers {
+		if other == o || !detector.isTrusted(other) || other.zone != o.zone {
+			continue
+		}
+		if detector.receivesNone(other, o.soleAnswersSince) {
+			withoutAnswer++
+		}
+		if other.answeredAt > o.firstUnanswered+silenceLimit(o.work, 1) {
+			withAnswer++
+		}
+	}
+	soleAnswers := o.answeredAt > o.soleAnswersSince && withoutAnswer >= contradictingObservers
+	longSilence := o.unanswered >= maxWaiting && o.lastUnanswered-o.firstUnanswered > silenceLimit(o.work, 1)
+	return soleAnswers || longSilence && withAnswer >= contradictingObservers
+}
+
+// receivesNone reports whether an observer has received no answer since a time, for as long as an assessment takes.
+func (detector *Detector) receivesNone(o *observer, since float64) bool {
+	unansweredSince := o.unanswered > 0 && o.lastUnanswered > since && o.answeredAt < since
+	return unansweredSince && detector.now-max(o.firstUnanswered, since) > silenceLimit(o.work, 1)
+}
--- a/internal/cluster/outlier/ejections.go
+++ b/internal/cluster/outlier/ejections.go
@@ -5,173 +5,206 @@
 	"slices"
 )
 
-// assessment is what a collector said of a server, in this process's time.
+// unresponsiveReason is why a server is ejected, in logs and answers.
+const unresponsiveReason = "silent"
+
+// assessment is the last one of a collector about a server. Times are on this process's clock.
 type assessment struct {
-	sequence                        uint32
-	receivedAt                      float64
-	unhealthy                       bool // for this process's zone
-	firstUnanswered, lastUnanswered float64
-	answeredAt                      float64
-	observers                       []ID
-	report                          ServerReport
-	reportedAt                      float64
+	sequence        uint32
+	receivedAt      float64
+	unhealthy       bool // for this process's zone
+	firstUnanswered float64
+	lastUnanswered  float64
+	answeredAt      float64
+	observers       []ID
+	report          ServerReport
+	reportedAt      float64
 }
 
-// ejection is how a server stands here by others' word.
+// ejection is the state of a server by shared evidence.
 type ejection struct {
 	active    bool
-	testing   bool // it is this process's turn to try
+	testing   bool // it is this process's turn to test the server
 	since     float64
 	until     float64
 	reason    string
 	observers []ID
 }
 
-// recordAssessment takes a collector's word.
-func (detector *Detector) recordAssessment(server *serverState, from ID, seq uint32, m *Assessment) {
+// recordAssessment takes a collector's assessment of a server over.
+func (detector *Detector) recordAssessment(server *serverState, from ID, sequence uint32, item *Assessment) {
 	if !slices.Contains(detector.collectors(server), from) {
 		return
 	}
-	word := server.assessments[from]
-	if word == nil {
-		word = &assessment{sequence: seq - 1}
-		server.assessments[from] = word
+	a := server.assessments[from]
+	if a == nil {
+		a = &assessment{sequence: sequence - 1}
+		server.assessments[from] = a
 	}
-	if int32(seq-word.sequence) <= 0 {
+	if !advance(&a.sequence, sequence) {
 		return
 	}
-	delay := detector.settings.MaxDelay
-	if from == detector.self {
-		delay = 0
-	}
 	at := func(age float64) float64 {
 		if age < 0 {
 			return -inf
 		}
-		if detector.settings.Fault == AgeFromReceipt {
-			return detector.now
-		}
-		return detector.now - age
+		return detector.receivedTime(age)
+	}
+	a.receivedAt = detector.now
+	a.firstUnanswered = at(item.FirstUnanswered)
+	a.lastUnanswered = at(item.LastUnanswered)
+	a.answeredAt = at(item.Answered)
+	a.observers = item.Observers
+	ownZone := item.AllZones || slices.Contains(item.Zones, zoneKey(detector.peerByID[detector.self].Zone))
+	a.unhealthy = item.Unhealthy && detector.settings.ShareHealth && ownZone
+	delay := detector.settings.MaxDelay
+	if from == detector.self {
+		delay = 0
 	}
-	word.sequence, word.receivedAt, word.firstUnanswered, word.lastUnanswered, word.answeredAt, word.observers = seq, detector.now, at(m.FirstUnanswered), at(m.LastUnanswered), at(m.Answered), m.Observers
-	word.unhealthy = m.Unhealthy && detector.settings.ShareHealth && (m.AllZones || slices.Contains(m.Zones, zoneKey(detector.peerByID[detector.self].Zone)))
-	if m.Report != (ServerReport{}) && m.ReportAge+delay <= detector.settings.StaleAfter {
-		word.report, word.reportedAt = m.Report, detector.now-m.ReportAge-delay
+	if item.Report != (ServerReport{}) && item.ReportAge+delay <= detector.settings.StaleAfter {
+		a.report = item.Report
+		a.reportedAt = detector.now - item.ReportAge - delay
 	}
 	detector.shareReports(server)
 	detector.updateEjection(server)
 }
 
-// shareReports has the module take the newest that enough collectors say.
+// shareReports passes the newest position that a quorum of collectors reports to the decision module: as the primary, and of any role.
 func (detector *Detector) shareReports(server *serverState) {
-	nth := func(ok func(ServerReport) bool) (p, at float64) {
-		var have []*assessment
-		for _, word := range server.assessments { // sorted below
-			if ok(word.report) && detector.now-word.reportedAt <= detector.settings.StaleAfter {
-				have = append(have, word)
-			}
-		}
-		if n := detector.settings.collectorQuorum(len(detector.peers)); len(have) >= n {
-			slices.SortFunc(have, func(a, b *assessment) int {
-				return cmp.Or(cmp.Compare(b.report.Position, a.report.Position), cmp.Compare(b.reportedAt, a.reportedAt))
-			})
-			return have[n-1].report.Position, have[n-1].reportedAt
+	if detector.settings.ShareRoles {
+		position, at := detector.quorumPosition(server, func(r ServerReport) bool { return r.Role == RolePrimary && r.Position > 0 })
+		detector.learn(server, &server.primaryPosition, ServerReport{RolePrimary, position}, at)
+	}
+	if detector.settings.SharePositions {
+		position, at := detector.quorumPosition(server, func(r ServerReport) bool { return r.Position > 0 })
+		detector.learn(server, &server.learnedPosition, ServerReport{RoleUnknown, position}, at)
+	}
+}
+
+// quorumPosition returns the newest position that a quorum of collectors reports, or a later one, and the time of that report; 0 for none.
+func (detector *Detector) quorumPosition(server *serverState, counts func(ServerReport) bool) (position, at float64) {
+	var fresh []*assessment
+	for _, a := range server.assessments {
+		if counts(a.report) && detector.now-a.reportedAt <= detector.settings.StaleAfter {
+			fresh = append(fresh, a)
 		}
+	}
+	quorum := detector.settings.collectorQuorum(len(detector.peers))
+	if len(fresh) < quorum {
 		return 0, 0
 	}
-	tell := func(k int, role Role, p, at float64) {
-		if detector.settings.Fault == PositionsNotAged {
-			p = detector.now
-		}
-		if p > server.learnedPositions[k] {
-			server.learnedPositions[k] = p
-			detector.actions = append(detector.actions, Action{Kind: LearnReport, Server: server.Name, Report: ServerReport{role, p}, Age: detector.now - at})
-		}
+	slices.SortFunc(fresh, func(a, b *assessment) int {
+		return cmp.Or(cmp.Compare(b.report.Position, a.report.Position), cmp.Compare(b.reportedAt, a.reportedAt))
+	})
+	last := fresh[quorum-1]
+	return last.report.Position, last.reportedAt
+}
+
+// learn passes a report to the decision module where its position is newer than the learned one.
+func (detector *Detector) learn(server *serverState, learned *float64, report ServerReport, at float64) {
+	if report.Position <= 0 {
+		return
 	}
-	if p, at := nth(func(x ServerReport) bool { return x.Role == RolePrimary && x.Position > 0 }); p > 0 && detector.settings.ShareRoles {
-		tell(1, RolePrimary, p, at)
+	if detector.settings.Fault == PositionsNotAged {
+		report.Position = detector.now
 	}
-	if p, at := nth(func(x ServerReport) bool { return x.Position > 0 }); p > 0 && detector.settings.SharePositions {
-		tell(0, RoleUnknown, p, at)
+	if report.Position > *learned {
+		*learned = report.Position
+		detector.actions = append(detector.actions, Action{Kind: LearnReport, Server: server.Name, Report: report, Age: detector.now - at})
 	}
 }
 
-// isCalledUnhealthy tells whether enough collectors call a server bad, and what the newest says.
 func (detector *Detector) isCalledUnhealthy(server *serverState) bool {
-	n, _ := detector.newestVerdict(server)
-	return n
+	unhealthy, _ := detector.quorumVerdict(server)
+	return unhealthy
 }
 
-func (detector *Detector) newestVerdict(server *serverState) (bool, *assessment) {
-	var newest *assessment
+// quorumVerdict reports whether a quorum of collectors calls a server unhealthy, and returns the assessment with the newest evidence.
+func (detector *Detector) quorumVerdict(server *serverState) (unhealthy bool, newest *assessment) {
 	n := 0
 	for _, id := range detector.collectors(server) {
-		if word := server.assessments[id]; word != nil && word.unhealthy && detector.now-word.receivedAt <= detector.settings.assessmentLifetime() && detector.now-word.lastUnanswered <= detector.settings.EjectionTime {
-			if n++; newest == nil || word.lastUnanswered > newest.lastUnanswered {
-				newest = word
-			}
+		a := server.assessments[id]
+		if a == nil || !detector.callsUnhealthy(a) {
+			continue
+		}
+		n++
+		if newest == nil || a.lastUnanswered > newest.lastUnanswered {
+			newest = a
 		}
 	}
 	return n >= detector.settings.collectorQuorum(len(detector.peers)), newest
 }
 
-// updateEjection holds what collectors say of a server against what this process saw, and against what they take away already.
+// callsUnhealthy reports whether an assessment, and its evidence, is recent enough to call a server unhealthy.
+func (detector *Detector) callsUnhealthy(a *assessment) bool {
+	recent := detector.now-a.receivedAt <= detector.settings.assessmentLifetime()
+	return a.unhealthy && recent && detector.now-a.lastUnanswered <= detector.settings.EjectionTime
+}
+
+// updateEjection starts, renews or ends a server's ejection: the collectors' conclusion must not contradict what this process observed,
+// and the group must be able to do without the server.
 func (detector *Detector) updateEjection(server *serverState) {
-	bad, word := detector.newestVerdict(server)
-	if bad && server.own.answeredSentAt >= word.firstUnanswered && detector.settings.Fault != IgnoresOwnEvidence { // it answered what this process sent after all that they have against it began
-		bad = false
+	unhealthy, verdict := detector.quorumVerdict(server)
+	if unhealthy && server.own.answeredSentAt >= verdict.firstUnanswered && detector.settings.Fault != IgnoresOwnEvidence {
+		unhealthy = false
 	}
-	if bad && !detector.canEject(server) {
-		bad = false
-	}
-	if !bad {
+	if !unhealthy || !detector.canEject(server) {
 		if server.ejection.active {
 			detector.endEjection(server, true)
 		}
 		return
 	}
-	begins := !server.ejection.active
-	if begins {
-		server.ejection = ejection{active: true, since: detector.now}
+	e := &server.ejection
+	starts := !e.active
+	if starts {
+		*e = ejection{active: true, since: detector.now}
 		detector.actions = append(detector.actions, Action{Kind: Eject, Server: server.Name})
 	}
-	server.ejection.reason, server.ejection.observers, server.ejection.until = "silent", word.observers, min(word.lastUnanswered+detector.settings.EjectionTime, word.receivedAt+detector.settings.assessmentLifetime())
-	if begins {
+	e.reason = unresponsiveReason
+	e.observers = verdict.observers
+	e.until = min(verdict.lastUnanswered+detector.settings.EjectionTime, verdict.receivedAt+detector.settings.assessmentLifetime())
+	if starts {
 		detector.actions = append(detector.actions, Action{Kind: EjectionStarted, Server: server.Name, Ejection: server.publicEjection()})
 	}
-	turn := detector.isTester(server)
+	detector.updateTesting(server)
+}
+
+// updateTesting starts or ends this process's turn to test an ejected server.
+func (detector *Detector) updateTesting(server *serverState) {
+	testing := detector.isTester(server)
 	switch {
-	case turn && !server.ejection.testing:
+	case testing && !server.ejection.testing:
 		detector.actions = append(detector.actions, Action{Kind: CheckHealth, Server: server.Name})
-	case !turn && server.ejection.testing:
+	case !testing && server.ejection.testing:
 		detector.actions = append(detector.actions, Action{Kind: Eject, Server: server.Name})
 	}
-	server.ejection.testing = turn
+	server.ejection.testing = testing
 }
 
-// canEject tells whether a group can do without a server by others' word: not too many are so, and another is left.
+// canEject reports whether a group can do without a server: not too many are ejected, and another one is up.
 func (detector *Detector) canEject(server *serverState) bool {
 	members := detector.groups[server.Group]
-	taken, left := 0, 0
-	for _, o := range members {
+	ejected, up := 0, 0
+	for _, member := range members {
 		switch {
-		case o == server:
-		case o.ejection.active:
-			taken++
-		case !o.down:
-			left++
+		case member == server:
+		case member.ejection.active:
+			ejected++
+		case !member.down:
+			up++
 		}
 	}
-	return left > 0 && taken < detector.settings.MaxEjected(len(members))
+	return up > 0 && ejected < detector.settings.MaxEjected(len(members))
 }
 
-// isTester tells whether it is this process's turn to try a server: some of all do at any time, each for a while, the ones with the least hashes.
+// isTester reports whether it is this process's turn to test a server: TesterCount of all poolers do at any time, those with the lowest
+// hashes, each for TesterTurn.
 func (detector *Detector) isTester(server *serverState) bool {
-	round := uint64((detector.now - server.ejection.since) / max(1, detector.settings.TesterTurn))
-	if round == 0 {
+	turn := uint64((detector.now - server.ejection.since) / max(1, detector.settings.TesterTurn))
+	if turn == 0 {
 		return false
 	}
-	draw := func(id ID) uint64 { return mixHash(uint64(server.key)<<32^uint64(id), round+1) }
+	draw := func(id ID) uint64 { return mixHash(uint64(server.key)<<32^uint64(id), turn+1) }
 	own, before := draw(detector.self), 0
 	for i := range detector.peers {
 		if id := detector.peers[i].ID; id != detector.self && draw(id) < own {
@@ -181,22 +214,32 @@
 	return before < detector.settings.TesterCount(len(detector.peers))
 }
 
+// Factors of hashes: odd numbers with about as many ones as zeros.
+const (
+	blockHashFactor = 0x9e3779b97f4a7c15
+	firstMixFactor  = 0xff51afd7ed558ccd
+	secondMixFactor = 0xc4ceb9fe1a85ec53
+	firstMixShift   = 32
+	secondMixShift  = 29
+	saltFactor      = blockHashFactor
+)
+
 func mixHash(h, salt uint64) uint64 {
-	h = (h ^ salt*0x9e3779b97f4a7c15) * 0xff51afd7ed558ccd
-	h = (h ^ h>>32) * 0xc4ceb9fe1a85ec53
-	return h ^ h>>29
+	h = (h ^ salt*saltFactor) * firstMixFactor
+	h = (h ^ h>>firstMixShift) * secondMixFactor
+	return h ^ h>>secondMixShift
 }
 
-// endEjection ends a verdict here.
-func (detector *Detector) endEjection(server *serverState, try bool) {
+// endEjection ends an ejection. With restore the decision module learns that the server answers, where a collector knows of an answer.
+func (detector *Detector) endEjection(server *serverState, restore bool) {
 	last := server.ejection
 	server.ejection = ejection{}
 	detector.actions = append(detector.actions, Action{Kind: EjectionEnded, Server: server.Name})
-	if !try {
+	if !restore {
 		return
 	}
-	for _, word := range server.assessments { // any
-		if !word.unhealthy && word.answeredAt > last.since {
+	for _, a := range server.assessments {
+		if !a.unhealthy && a.answeredAt > last.since {
 			detector.actions = append(detector.actions, Action{Kind: Restore, Server: server.Name})
 			return
 		}
--- a/internal/cluster/outlier/merge_test.go
+++ b/internal/cluster/outlier/merge_test.go
@@ -121,22 +121,22 @@
 // TestInvariantsFail: each statement is seen to fail where the state is broken.
 func TestInvariantsFail(t *testing.T) {
 	for name, spoil := range map[string]func(detector *Detector, server *serverState){
-		"verdicts: servers are filed":      func(detector *Detector, server *serverState) { detector.byName["z"] = server },
-		"verdicts: a server is filed once": func(detector *Detector, server *serverState) { detector.byKey[server.key] = &serverState{} },
-		"verdicts: words take no more of a group than they may": func(detector *Detector, server *serverState) {
+		"outlier: servers are filed":      func(detector *Detector, server *serverState) { detector.byName["z"] = server },
+		"outlier: a server is filed once": func(detector *Detector, server *serverState) { detector.byKey[server.key] = &serverState{} },
+		"outlier: no more of a group is ejected than MaxEjected": func(detector *Detector, server *serverState) {
 			detector.servers[0].ejection.active, detector.servers[1].ejection.active = true, true
 		},
-		"verdicts: what is followed is bounded": func(detector *Detector, server *serverState) {
+		"outlier: open attempts are bounded": func(detector *Detector, server *serverState) {
 			server.own.openAttempts = make([]openAttempt, maxOpenAttempts+1)
 		},
-		"verdicts: what counts as silence was sent after all that was answered": func(detector *Detector, server *serverState) {
+		"outlier: unanswered attempts were sent after any answered one": func(detector *Detector, server *serverState) {
 			server.own.unanswered, server.own.lastUnanswered, server.own.answeredSentAt = 1, 5, 9
 		},
-		"verdicts: a verdict has an end": func(detector *Detector, server *serverState) { server.ejection = ejection{active: true, until: inf} },
-		"verdicts: silence begins before it ends": func(detector *Detector, server *serverState) {
+		"outlier: an ejection has an end": func(detector *Detector, server *serverState) { server.ejection = ejection{active: true, until: inf} },
+		"outlier: the first unanswered attempt precedes the last": func(detector *Detector, server *serverState) {
 			server.observers = []*observer{{unanswered: 1, firstUnanswered: 9, lastUnanswered: 5}}
 		},
-		"verdicts: no evidence is of the time to come": func(detector *Detector, server *serverState) { server.observers = []*observer{{answeredAt: 2e6}} },
+		"outlier: no evidence is from the future": func(detector *Detector, server *serverState) { server.observers = []*observer{{answeredAt: 2e6}} },
 	} {
 		detector := collector(t, 3)
 		var got []string
--- a/internal/cluster/outlier/observations.go
+++ b/internal/cluster/outlier/observations.go
@@ -1,26 +1,30 @@
 package outlier
 
-import (
-	"slices"
-)
+import "slices"
 
-// reportAfterWorks is how many times its work an attempt may take before it is told as unanswered.
-const reportAfterWorks = 2.0
+const (
+	reportAfterWorks = 2.0 // times its work that an attempt may take before it is reported as unanswered
+	answerMemory     = 2.0 // times EjectionTime for which an answer is reported
+)
 
-// localEvidence is what this process saw of a server.
+// localEvidence is what this process observed of a server itself. Times are in ms.
 type localEvidence struct {
-	openAttempts                          []openAttempt
-	answeredAt, answeredSentAt            float64 // the last answer's coming; the send of the latest attempt that was answered
-	unanswered                            int     // that ended without an answer, sent after that
-	firstUnanswered, lastUnanswered, work float64
-	report                                ServerReport
-	reportedAt                            float64
-	changed                               bool // something is new since it was told
+	openAttempts    []openAttempt
+	answeredAt      float64 // the arrival of the last answer
+	answeredSentAt  float64 // the sending of the latest attempt that was answered
+	unanswered      int     // attempts that ended without an answer, sent after answeredSentAt
+	firstUnanswered float64 // the sending of the first and the last of them
+	lastUnanswered  float64
+	work            float64 // ms that one of them should have taken, at most
+	report          ServerReport
+	reportedAt      float64
+	changed         bool // since the last observation was sent
 }
 
 type openAttempt struct {
-	ref          uint64
-	sentAt, work float64
+	ref    uint64
+	sentAt float64
+	work   float64 // ms
 }
 
 func (o *localEvidence) clear() {
@@ -33,77 +37,99 @@
 	}
 }
 
-func (o *localEvidence) recordReport(now float64, s ServerReport) {
-	if s.Role != RoleUnknown || s.Position > 0 {
-		o.report, o.reportedAt, o.changed = s, now, true
+func (o *localEvidence) attemptAnswered(now float64, attempt openAttempt) {
+	o.answeredAt = now
+	o.answeredSentAt = max(o.answeredSentAt, attempt.sentAt)
+	o.changed = true
+	switch {
+	case o.lastUnanswered <= o.answeredSentAt:
+		o.unanswered = 0
+	case o.unanswered > 0: // at least the last one was sent later
+		o.unanswered = 1
+		o.firstUnanswered = o.lastUnanswered
+	}
+}
+
+func (o *localEvidence) attemptUnanswered(attempt openAttempt) {
+	if attempt.sentAt <= o.answeredSentAt {
+		return
+	}
+	if o.unanswered == 0 {
+		o.firstUnanswered, o.lastUnanswered, o.work = attempt.sentAt, attempt.sentAt, attempt.work
+	}
+	o.firstUnanswered = min(o.firstUnanswered, attempt.sentAt)
+	o.lastUnanswered = max(o.lastUnanswered, attempt.sentAt)
+	o.work = max(o.work, attempt.work)
+	o.unanswered = min(o.unanswered+1, maxUnanswered)
+	o.changed = true
+}
+
+func (o *localEvidence) recordReport(now float64, report ServerReport) {
+	if report.isEmpty() {
+		return
 	}
+	o.report = report
+	o.reportedAt = now
+	o.changed = true
 }
 
-func (detector *Detector) attemptEnded(e *AttemptEnded) {
-	server := detector.byName[e.Server]
+func (detector *Detector) attemptEnded(event *AttemptEnded) {
+	server := detector.byName[event.Server]
 	if server == nil {
 		return
 	}
-	o := &server.own
-	i := slices.IndexFunc(o.openAttempts, func(x openAttempt) bool { return x.ref == e.Ref })
+	own := &server.own
+	i := slices.IndexFunc(own.openAttempts, func(attempt openAttempt) bool { return attempt.ref == event.Ref })
 	if i < 0 {
 		return
 	}
-	x := o.openAttempts[i]
-	o.openAttempts = slices.Delete(o.openAttempts, i, i+1)
-	switch end := e.Outcome; {
-	case end == Answered:
-		o.answeredAt, o.answeredSentAt, o.changed = detector.now, max(o.answeredSentAt, x.sentAt), true
-		if o.lastUnanswered <= o.answeredSentAt {
-			o.unanswered = 0
-		} else if o.unanswered > 0 {
-			o.unanswered, o.firstUnanswered = 1, o.lastUnanswered
-		}
-		if server.ejection.active && !server.ejection.testing || detector.isCalledUnhealthy(server) { // it is not what they say
+	attempt := own.openAttempts[i]
+	own.openAttempts = slices.Delete(own.openAttempts, i, i+1)
+	switch {
+	case event.Outcome == Answered:
+		own.attemptAnswered(detector.now, attempt)
+		ejected := server.ejection.active && !server.ejection.testing
+		if ejected || detector.isCalledUnhealthy(server) { // this answer contradicts the collectors
 			detector.updateEjection(server)
 			detector.reportAtOnce(server)
 		}
-	case end == Unanswered || detector.now-x.sentAt >= reportAfterWorks*x.work:
-		if x.sentAt > o.answeredSentAt {
-			if o.unanswered == 0 {
-				o.firstUnanswered, o.lastUnanswered, o.work = x.sentAt, x.sentAt, x.work
-			}
-			o.firstUnanswered, o.lastUnanswered, o.work, o.unanswered, o.changed = min(o.firstUnanswered, x.sentAt), max(o.lastUnanswered, x.sentAt), max(o.work, x.work), min(o.unanswered+1, maxUnanswered), true
-		}
+	case event.Outcome == Unanswered || detector.now-attempt.sentAt >= reportAfterWorks*attempt.work:
+		own.attemptUnanswered(attempt)
 	}
-	detector.recordReport(server, e.Report)
+	detector.recordReport(server, event.Report)
 }
 
-func (detector *Detector) healthChecked(e *HealthChecked) {
-	server := detector.byName[e.Server]
+func (detector *Detector) healthChecked(event *HealthChecked) {
+	server := detector.byName[event.Server]
 	if server == nil {
 		return
 	}
-	detector.recordReport(server, e.Report)
-	if e.OK && server.ejection.active && server.ejection.testing {
+	detector.recordReport(server, event.Report)
+	if event.OK && server.ejection.active && server.ejection.testing {
 		detector.actions = append(detector.actions, Action{Kind: Restore, Server: server.Name})
 	}
 }
 
-// recordReport takes what a server said of itself. That another than the known one leads is told at once.
-func (detector *Detector) recordReport(server *serverState, said ServerReport) {
-	if server.own.recordReport(detector.now, said); said.Role == RolePrimary && detector.settings.ShareRoles && detector.primaryOf(server.Group) != server {
+// recordReport takes what a server reported of itself. Another primary than the known one is reported to the collectors at once.
+func (detector *Detector) recordReport(server *serverState, report ServerReport) {
+	server.own.recordReport(detector.now, report)
+	if report.Role == RolePrimary && detector.settings.ShareRoles && detector.primaryOf(server.Group) != server {
 		detector.reportAtOnce(server)
 	}
 }
 
-// primaryOf is who leads a group by what the module was told, or by what this process heard itself.
-func (detector *Detector) primaryOf(group int) (best *serverState) {
-	at := 0.0
+// primaryOf returns the server of a group with the newest position as the primary; nil where none is known.
+func (detector *Detector) primaryOf(group int) (primary *serverState) {
+	newest := 0.0
 	for _, server := range detector.groups[group] {
-		if x := server.learnedPositions[1]; x > at {
-			best, at = server, x
+		if server.primaryPosition > newest {
+			primary, newest = server, server.primaryPosition
 		}
 	}
-	return best
+	return primary
 }
 
-// reportAtOnce tells the collectors of a server at once, but not twice within a step.
+// reportAtOnce sends the observation of a server to its collectors, but not twice within a tick.
 func (detector *Detector) reportAtOnce(server *serverState) {
 	if detector.now-server.reportedAt < detector.settings.TickInterval {
 		return
@@ -112,71 +138,106 @@
 	detector.sendObservations([]*serverState{server})
 }
 
-// observationOf is what there is to tell of a server.
+// observationOf returns what this process has observed of a server.
 func (detector *Detector) observationOf(server *serverState) Observation {
-	o := &server.own
-	x := Observation{Key: server.key, Answered: -1}
+	own := &server.own
+	out := Observation{Key: server.key, Answered: -1}
 	if detector.settings.ShareHealth {
-		if detector.now-o.answeredAt <= 2*detector.settings.EjectionTime {
-			x.Answered = detector.now - o.answeredAt
+		if detector.now-own.answeredAt <= answerMemory*detector.settings.EjectionTime {
+			out.Answered = detector.now - own.answeredAt
 		}
-		n, first, last, work := o.unanswered, o.firstUnanswered, o.lastUnanswered, o.work
-		for _, a := range o.openAttempts {
-			if a.sentAt <= o.answeredSentAt || detector.now-a.sentAt < reportAfterWorks*a.work {
-				continue
-			}
-			if n == 0 {
-				first, last = a.sentAt, a.sentAt
-			}
-			n, first, last, work = n+1, min(first, a.sentAt), max(last, a.sentAt), max(work, a.work)
-		}
-		if n > 0 && detector.now-last <= detector.settings.EjectionTime {
-			x.Unanswered, x.FirstUnanswered, x.LastUnanswered, x.Work = min(n, maxUnanswered), detector.now-first, detector.now-last, work
+		waiting := own.withOpenAttempts(detector.now)
+		if waiting.unanswered > 0 && detector.now-waiting.lastUnanswered <= detector.settings.EjectionTime {
+			out.Unanswered = min(waiting.unanswered, maxUnanswered)
+			out.FirstUnanswered = detector.now - waiting.firstUnanswered
+			out.LastUnanswered = detector.now - waiting.lastUnanswered
+			out.Work = waiting.work
 		}
 	}
-	if age := detector.now - o.reportedAt; age <= detector.settings.StaleAfter && (detector.settings.SharePositions || detector.settings.ShareRoles && o.report.Role == RolePrimary) {
-		x.Report, x.ReportAge = o.report, age
+	shared := detector.settings.SharePositions || detector.settings.ShareRoles && own.report.Role == RolePrimary
+	if age := detector.now - own.reportedAt; age <= detector.settings.StaleAfter && shared {
+		out.Report, out.ReportAge = own.report, age
+	}
+	return out
+}
+
+// unansweredAttempts are attempts without an answer: how many, the sending of the first and the last, and the work of one.
+type unansweredAttempts struct {
+	unanswered      int
+	firstUnanswered float64
+	lastUnanswered  float64
+	work            float64
+}
+
+// withOpenAttempts returns the unanswered attempts, and those open attempts that have taken too long.
+func (o *localEvidence) withOpenAttempts(now float64) unansweredAttempts {
+	sum := unansweredAttempts{o.unanswered, o.firstUnanswered, o.lastUnanswered, o.work}
+	for _, attempt := range o.openAttempts {
+		if attempt.sentAt <= o.answeredSentAt || now-attempt.sentAt < reportAfterWorks*attempt.work {
+			continue
+		}
+		if sum.unanswered == 0 {
+			sum.firstUnanswered, sum.lastUnanswered = attempt.sentAt, attempt.sentAt
+		}
+		sum.unanswered++
+		sum.firstUnanswered = min(sum.firstUnanswered, attempt.sentAt)
+		sum.lastUnanswered = max(sum.lastUnanswered, attempt.sentAt)
+		sum.work = max(sum.work, attempt.work)
 	}
-	return x
+	return sum
 }
 
-// reportChanges tells what is new, or all that stands.
-func (detector *Detector) reportChanges(full bool) {
-	var list []*serverState
+// reportChanges sends the observations that changed, and with all those that are current.
+func (detector *Detector) reportChanges(all bool) {
+	var changed []*serverState
 	for _, server := range detector.servers {
-		if x := detector.observationOf(server); server.own.changed || x.Unanswered != server.reported.Unanswered || full && (x.Unanswered > 0 || x.Answered >= 0 && x.Answered <= detector.settings.EjectionTime || x.Report.Role == RolePrimary) {
-			list = append(list, server)
+		observation := detector.observationOf(server)
+		if server.own.changed || observation.Unanswered != server.reported.Unanswered || all && detector.isCurrent(&observation) {
+			changed = append(changed, server)
 		}
 	}
-	detector.sendObservations(list)
+	detector.sendObservations(changed)
 }
 
-// sendObservations tells the servers' collectors.
-func (detector *Detector) sendObservations(list []*serverState) {
+// isCurrent reports whether an observation is worth a refresh.
+func (detector *Detector) isCurrent(o *Observation) bool {
+	answered := o.Answered >= 0 && o.Answered <= detector.settings.EjectionTime
+	return o.Unanswered > 0 || answered || o.Report.Role == RolePrimary
+}
+
+// sendObservations sends the observations of servers to their collectors, those of a block together.
+func (detector *Detector) sendObservations(servers []*serverState) {
 	detector.sequence++
-	slices.SortStableFunc(list, func(a, b *serverState) int { return a.Group/GroupsPerBlock - b.Group/GroupsPerBlock })
-	for len(list) > 0 {
+	blockOf := func(server *serverState) int { return server.Group / GroupsPerBlock }
+	slices.SortStableFunc(servers, func(a, b *serverState) int { return blockOf(a) - blockOf(b) })
+	for len(servers) > 0 {
 		n := 1
-		for n < len(list) && list[n].Group/GroupsPerBlock == list[0].Group/GroupsPerBlock {
+		for n < len(servers) && blockOf(servers[n]) == blockOf(servers[0]) {
 			n++
 		}
-		var items []Observation
-		for _, server := range list[:n] {
-			x := detector.observationOf(server)
-			server.reported, server.own.changed = x, false
-			items = append(items, x)
-		}
-		for _, id := range detector.collectors(list[0]) {
-			if id == detector.self {
-				for i, server := range list[:n] {
-					detector.recordObservation(server, id, detector.sequence, &items[i], 0)
-				}
-				continue
+		detector.sendBlock(servers[:n])
+		servers = servers[n:]
+	}
+}
+
+// sendBlock sends the observations of servers of one block to the collectors of it.
+func (detector *Detector) sendBlock(servers []*serverState) {
+	items := make([]Observation, len(servers))
+	for i, server := range servers {
+		items[i] = detector.observationOf(server)
+		server.reported = items[i]
+		server.own.changed = false
+	}
+	for _, id := range detector.collectors(servers[0]) {
+		if id == detector.self {
+			for i, server := range servers {
+				detector.recordObservation(server, id, detector.sequence, &items[i], 0)
 			}
-			split(items, (*Observation).wireBytes, func(part []Observation) {
-				detector.actions = append(detector.actions, Action{Kind: Send, To: id, Addr: detector.peerByID[id].Addr, Observations: &Observations{Sequence: detector.sequence, Items: part}})
-			})
+			continue
 		}
-		list = list[n:]
+		split(items, (*Observation).wireBytes, func(part []Observation) {
+			message := &Observations{Sequence: detector.sequence, Items: part}
+			detector.actions = append(detector.actions, Action{Kind: Send, To: id, Addr: detector.peerByID[id].Addr, Observations: message})
+		})
 	}
 }
--- /dev/null
+++ b/internal/cluster/outlier/servers.go
@@ -0,0 +1,81 @@
+package outlier
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// updateServers takes the list of servers. Of two servers with one key the second is left out.
+func (detector *Detector) updateServers(all []Server) {
+	named := map[string]bool{}
+	for _, listed := range all {
+		if named[listed.Name] || len(named) >= MaxServers {
+			continue
+		}
+		if other := detector.byKey[detector.keyOf(listed)]; other != nil && other.Name != listed.Name {
+			continue
+		}
+		named[listed.Name] = true
+		server := detector.byName[listed.Name]
+		if server == nil || detector.replaces(listed, server) {
+			server = detector.addServer(listed, server)
+		}
+		server.Start = listed.Start
+	}
+	detector.sortServers(named)
+	for _, server := range detector.servers { // a group that has lost a member can do without fewer
+		if server.ejection.active {
+			detector.updateEjection(server)
+		}
+	}
+}
+
+// replaces reports whether a listed server is another process than the known one, or in another group.
+func (detector *Detector) replaces(listed Server, server *serverState) bool {
+	restarted := server.Start != listed.Start && detector.settings.Fault != KeepsOldEvidence
+	return restarted || server.Group != listed.Group
+}
+
+// addServer starts without evidence about a server, which may replace a previous one.
+func (detector *Detector) addServer(listed Server, previous *serverState) *serverState {
+	server := &serverState{Server: listed, key: detector.keyOf(listed), assessments: map[ID]*assessment{}}
+	server.own.clear()
+	if previous != nil {
+		if previous.ejection.active {
+			detector.endEjection(previous, false)
+		}
+		server.down = previous.down
+		delete(detector.byKey, previous.key)
+	}
+	detector.byName[listed.Name] = server
+	detector.byKey[server.key] = server
+	return server
+}
+
+// sortServers removes the servers that are not named, and sorts the others by key and into their groups.
+func (detector *Detector) sortServers(named map[string]bool) {
+	detector.servers, detector.groups = detector.servers[:0], map[int][]*serverState{}
+	for name, server := range detector.byName {
+		if !named[name] {
+			delete(detector.byName, name)
+			delete(detector.byKey, server.key)
+			continue
+		}
+		detector.servers = append(detector.servers, server)
+	}
+	slices.SortFunc(detector.servers, func(a, b *serverState) int { return cmp.Compare(a.key, b.key) })
+	for _, server := range detector.servers {
+		detector.groups[server.Group] = append(detector.groups[server.Group], server)
+	}
+}
+
+// keyOf returns the hash by which messages identify a server's process.
+func (detector *Detector) keyOf(server Server) uint32 {
+	if detector.settings.Fault == KeepsOldEvidence {
+		server.Start = 0
+	}
+	return uint32(xxhash.Sum64String(fmt.Sprintf("%s %.0f", server.Name, server.Start)))
+}
