--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -20,7 +20,7 @@
 			Servers: []decide.ServerSnapshot{{ID: "s-1", Role: decide.RolePrimary, RoleAt: 3 * time.Second, Position: time.Second}}}}
 }
 
-// TestDamagedStateIsNotRead checks that a file that is cut anywhere, or has any byte changed, is as good as none.
+// TestDamagedStateIsNotRead checks that a file that is cut anywhere, or has any byte changed, is not read.
 func TestDamagedStateIsNotRead(t *testing.T) {
 	b, err := Encode(nil, state(5))
 	if err != nil {
@@ -106,13 +106,13 @@
 	}
 	machine.advance(RemoveAfterMs + 1)
 	if got := ages(1e9, false); len(got) > 0 {
-		t.Errorf("heard though long dead: %v", got)
+		t.Errorf("read though abandoned: %v", got)
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, filePrefix+"*")); len(left) != 1 || left[0] != filepath.Join(dir, me.ownName) {
-		t.Errorf("files are left: %v", left)
+	if remaining, _ := filepath.Glob(filepath.Join(dir, filePrefix+"*")); len(remaining) != 1 || remaining[0] != filepath.Join(dir, me.ownName) {
+		t.Errorf("files remain: %v", remaining)
 	}
 	if _, err := OpenDirectory(filepath.Join(dir, "none")).Others(LiveMs); err == nil {
-		t.Error("a folder that is not there is read")
+		t.Error("a directory that is not there is read")
 	}
 }
 
@@ -124,7 +124,7 @@
 	f.Add([]byte(fileKind + " 00000000 2\n{}"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := Decode(b); err == nil && s.Snapshot == nil {
-			t.Error("a state without a memory")
+			t.Error("a state without a snapshot")
 		}
 	})
 }
@@ -141,7 +141,7 @@
 		for range 3 {
 			machine.wall += step
 			if others, err := reader.Others(LiveMs); err != nil || len(others) != 1 || others[0].AgeMs != 0 {
-				t.Errorf("step of %v ms: %d processes are heard, %v", step, len(others), err)
+				t.Errorf("step of %v ms: %d processes are read, %v", step, len(others), err)
 			}
 		}
 		if _, err := os.Stat(filepath.Join(dir, writer.ownName)); err != nil {
@@ -149,7 +149,7 @@
 		}
 		machine.monotonic += LiveMs + 1
 		if others, _ := reader.Others(LiveMs); len(others) > 0 {
-			t.Errorf("step of %v ms: a process that has ended is heard", step)
+			t.Errorf("step of %v ms: the state of a process that has ended is read", step)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 // TestStateOfAnOlderVersionIsAgedByWallTime checks that the state of a version that writes only its wall time is read by that.
 func TestStateOfAnOlderVersionIsAgedByWallTime(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
-	for at, heard := range map[float64]int{1e12 - 100: 1, 1e12 - LiveMs - 1: 0, 1e12 + LiveMs + 1: 0} {
+	for at, count := range map[float64]int{1e12 - 100: 1, 1e12 - LiveMs - 1: 0, 1e12 + LiveMs + 1: 0} {
 		text, err := Encode(nil, state(at))
 		if err != nil {
 			t.Fatal(err)
@@ -165,8 +165,8 @@
 		if err := os.WriteFile(filepath.Join(dir, filePrefix+"older"+fileSuffix), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if others, err := OpenDirectoryOn(machine.clocks(), dir).Others(LiveMs); err != nil || len(others) != heard {
-			t.Errorf("saved at %.0f: %d are heard, %v", at, len(others), err)
+		if others, err := OpenDirectoryOn(machine.clocks(), dir).Others(LiveMs); err != nil || len(others) != count {
+			t.Errorf("saved at %.0f: %d are read, %v", at, len(others), err)
 		}
 	}
 }
@@ -180,6 +180,6 @@
 	clocks := machine.clocks()
 	clocks.Boot = "c"
 	if others, err := OpenDirectoryOn(clocks, dir).Others(UsefulMs); err != nil || len(others) > 0 {
-		t.Errorf("%d are heard, %v", len(others), err)
+		t.Errorf("%d are read, %v", len(others), err)
 	}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -23,7 +23,7 @@
 				drained = false
 			}
 			if want := e != Resume || !ended; ok != want {
-				t.Fatalf("event %d in %v: %v", e, m.State(), ok)
+				t.Fatalf("event %v in %v: %v", e, m.State(), ok)
 			}
 			want := Starting
 			switch {
@@ -37,7 +37,7 @@
 				want = Ready
 			}
 			if m.State() != want {
-				t.Fatalf("after event %d: %v, want %v", e, m.State(), want)
+				t.Fatalf("after event %v: %v, want %v", e, m.State(), want)
 			}
 			contradictions := map[string]bool{
 				"it serves, or not, against its events":           m.IsServing() != (began && !ended),
@@ -58,18 +58,18 @@
 // is drained while it ends, is not ready for clients.
 func TestDrainedProcessIsNeverReadyForClients(t *testing.T) {
 	for name, events := range map[string][]Event{
-		"end within the drain":               {Started, Drain, Terminate},
-		"end before a drain that was wished": {Drain, Terminate},
-		"drain while it ends":                {Started, Terminate, Drain},
-		"drained anew":                       {Started, Drain, Resume, Drain, Terminate},
-		"resume while it ends":               {Started, Drain, Terminate, Resume},
+		"end within the drain":          {Started, Drain, Terminate},
+		"end before the start, drained": {Drain, Terminate},
+		"drain while it ends":           {Started, Terminate, Drain},
+		"drained again":                 {Started, Drain, Resume, Drain, Terminate},
+		"resume while it ends":          {Started, Drain, Terminate, Resume},
 	} {
 		machine := Machine{}
 		for _, event := range events {
 			machine.Handle(event)
 		}
 		if machine.IsReadyForClients() {
-			t.Errorf("%s: welcomes in state %v", name, machine.State())
+			t.Errorf("%s: ready for clients in state %v", name, machine.State())
 		}
 	}
 	for name, events := range map[string][]Event{"never drained": {Started, Terminate}, "drain taken back": {Started, Drain, Resume, Terminate}} {
@@ -78,7 +78,7 @@
 			machine.Handle(event)
 		}
 		if !machine.IsReadyForClients() {
-			t.Errorf("%s: does not welcome", name)
+			t.Errorf("%s: not ready for clients", name)
 		}
 	}
 }
