--- a/cmd/beechgrade/clickhouse_hard_test.go
+++ b/cmd/beechgrade/clickhouse_hard_test.go
@@ -375,7 +375,7 @@
 		}
 	}
 	w.onLoop(func() {
-		if n := w.p.clickhouse.Held() + w.p.clickhouse.Unsent(); n > 4<<20 {
+		if n := w.p.clickhouse.Buffered() + w.p.clickhouse.Unsent(); n > 4<<20 {
 			t.Errorf("%d bytes are held", n)
 		}
 	})
--- a/cmd/beechgrade/clickhouse_stop_test.go
+++ b/cmd/beechgrade/clickhouse_stop_test.go
@@ -66,7 +66,7 @@
 	half.send([]byte("POST /?query_id=d HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nSELE"))
 	w.wait("the first runs", func() bool { return len(w.runs("a")) == 1 })
 	w.wait("the head has come", func() (is bool) {
-		w.onLoop(func() { is = w.p.clickhouse.Begun() == 1 })
+		w.onLoop(func() { is = w.p.clickhouse.PartialRequests() == 1 })
 		return is
 	})
 	w.stopping()
@@ -104,7 +104,7 @@
 	head.send([]byte("GET /?query=SELECT+1 HT"))
 	body.send([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\nSELE"))
 	w.wait("both have begun", func() (is bool) {
-		w.onLoop(func() { is = w.p.clickhouse.Begun() == 2 })
+		w.onLoop(func() { is = w.p.clickhouse.PartialRequests() == 2 })
 		return is
 	})
 	w.stopping()
--- a/cmd/beechgrade/clickhouse_uploads_test.go
+++ b/cmd/beechgrade/clickhouse_uploads_test.go
@@ -86,7 +86,7 @@
 			case <-stop:
 				return
 			case <-time.After(time.Millisecond):
-				w.onLoop(func() { most.Store(max(most.Load(), int64(w.p.clickhouse.Unsent()+w.p.clickhouse.Held()))) })
+				w.onLoop(func() { most.Store(max(most.Load(), int64(w.p.clickhouse.Unsent()+w.p.clickhouse.Buffered()))) })
 			}
 		}
 	}()
--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -17,7 +17,7 @@
 type fleetLimits struct {
 	pooler   *pooler
 	set      settings.FleetLimits
-	assigned map[string]limits.Told // by user
+	assigned map[string]limits.Allowance // by user
 	ticking  bool
 }
 
@@ -67,12 +67,12 @@
 	case settings.ResourceQueries:
 		t := l.assigned[x.Subject]
 		if x.Kind == quota.Concurrency {
-			t.Queries, t.Most = true, int(amount+1e-9)
+			t.BoundsRunning, t.MaxRunning = true, int(amount+1e-9)
 		} else {
-			t.Rate, t.PerSecond, t.Burst = true, amount, burst
+			t.BoundsRate, t.PerSecond, t.Burst = true, amount, burst
 		}
 		if l.assigned[x.Subject] = t; l.pooler.clickhouse != nil {
-			l.pooler.clickhouse.Tell(x.Subject, t)
+			l.pooler.clickhouse.AssignLimit(x.Subject, t)
 		}
 	case settings.ResourcePool:
 		if l.pooler.pooling != nil {
@@ -91,15 +91,15 @@
 	case settings.ResourceQueries:
 		t := l.assigned[x.Subject]
 		if x.Kind == quota.Concurrency {
-			t.Queries = false
+			t.BoundsRunning = false
 		} else {
-			t.Rate = false
+			t.BoundsRate = false
 		}
 		if l.assigned[x.Subject] = t; l.pooler.clickhouse == nil {
 			return
 		}
-		if l.pooler.clickhouse.Tell(x.Subject, t); t == (limits.Told{}) {
-			l.pooler.clickhouse.Untell(x.Subject)
+		if l.pooler.clickhouse.AssignLimit(x.Subject, t); t == (limits.Allowance{}) {
+			l.pooler.clickhouse.RestoreLimits(x.Subject)
 		}
 	case settings.ResourcePool:
 		if l.pooler.pooling != nil {
@@ -177,7 +177,7 @@
 		if !set.Enabled {
 			return
 		}
-		p.limits = &fleetLimits{pooler: p, assigned: map[string]limits.Told{}}
+		p.limits = &fleetLimits{pooler: p, assigned: map[string]limits.Allowance{}}
 	}
 	p.limits.apply(set)
 	p.peers.SetLimits(*quotasOrNone(&set, p.expectedPoolers))
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -48,7 +48,7 @@
 		},
 	}, fleetEvents{p})
 	if own.Enabled {
-		p.limits = &fleetLimits{pooler: p, set: own, assigned: map[string]limits.Told{}}
+		p.limits = &fleetLimits{pooler: p, set: own, assigned: map[string]limits.Allowance{}}
 	}
 	return nil
 }
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -63,7 +63,7 @@
 	poolingAddr     string
 	stopPooling     func()
 	scatter         *scatter.Front
-	clickhouse      *clickhouse.Front
+	clickhouse      *clickhouse.Frontend
 	clickhouseAddr  string
 	clickhouseGroup int // the group of servers that speak ClickHouse's protocol
 	stopClickHouse  func()
--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -82,7 +82,7 @@
 	*backend.Pool
 	pooled            *pooling.Frontend
 	scatter           *scatter.Front // only where pooling is on
-	clickhouse        *clickhouse.Front
+	clickhouse        *clickhouse.Frontend
 	clickhouseServers map[string]bool // by ID
 	group             int             // whose servers speak ClickHouse's protocol
 }
@@ -160,8 +160,8 @@
 
 func (s frontends) Start(id string, q backend.Query, until float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
 	switch {
-	case s.clickhouse != nil && clickhouse.Ours(q):
-		return s.clickhouse.Try(id, q, until, t)
+	case s.clickhouse != nil && clickhouse.IsRequest(q):
+		return s.clickhouse.StartAttempt(id, q, until, t)
 	case s.pooled != nil && pooling.IsTransaction(q):
 		return s.pooled.StartAttempt(id, q, until, t)
 	case s.scatter != nil && scatter.Ours(q):
@@ -180,7 +180,7 @@
 
 func (s frontends) Cancel(ref slotmap.Ref) {
 	switch {
-	case s.clickhouse != nil && clickhouse.OursRef(ref):
+	case s.clickhouse != nil && clickhouse.IsAttemptRef(ref):
 		s.clickhouse.Cancel(ref)
 	case s.pooled != nil && pooling.IsAttemptRef(ref):
 		s.pooled.Cancel(ref)
--- a/internal/frontend/clickhouse/answers.go
+++ b/internal/frontend/clickhouse/answers.go
@@ -8,141 +8,141 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// begin reads the answer's head, and decides what it is.
-func (l *link) begin() {
+// readAnswerHead reads the answer's head, and decides what it is.
+func (l *link) readAnswerHead() {
 	a := l.attempt
-	if a.r != nil && !l.lags && a.r.params.Get("send_progress_in_http_headers") == "1" && l.early() {
+	if a.request != nil && !l.asksStaleness && a.request.params.Get("send_progress_in_http_headers") == "1" && l.beginProgress() {
 		return
 	}
-	h, n, err := httpwire.Parse(l.in, false)
+	h, n, err := httpwire.Parse(l.input, false)
 	switch {
 	case err != nil:
-		l.f.log.Warn("clickhouse: an answer that cannot be read", "store", l.store.id, "err", err)
-		l.f.drop(a, decide.Failed)
+		l.frontend.log.Warn("clickhouse: an answer that cannot be read", "store", l.server.id, "err", err)
+		l.frontend.abort(a, decide.Failed)
 		return
 	case n == 0:
 		return
 	case h.Status < 200: // 100 Continue
-		l.in = l.in[:copy(l.in, l.in[n:])]
-		l.begin()
+		l.input = l.input[:copy(l.input, l.input[n:])]
+		l.readAnswerHead()
 		return
 	}
-	rest := l.in[n:]
-	l.in = nil
+	rest := l.input[n:]
+	l.input = nil
 	l.head, l.body = h, httpwire.AnswerBody(h, l.method)
-	if l.lags {
-		l.state, l.text = reporting, nil
-		l.report(rest)
+	if l.asksStaleness {
+		l.state, l.report = readingReport, nil
+		l.readReport(rest)
 		return
 	}
 	// What a body that has passed on met is its answer, whatever that is: there is no other to be had.
-	if res := resultOf(h); res != decide.OK && (a.r == nil || !a.r.passing) {
-		l.f.drop(a, res)
+	if res := resultOf(h); res != decide.OK && (a.request == nil || !a.request.bodyPassed) {
+		l.frontend.abort(a, res)
 		return
 	}
-	if l.serve(a, streaming) && l.reader != nil {
-		l.reader.answer(l)
+	if l.answerBegun(a, streaming) && l.client != nil {
+		l.client.writeAnswerHead(l)
 	}
 	if l.state == streaming {
-		l.pass(rest)
+		l.passBody(rest)
 	}
 }
 
-// serve has the core know that an attempt's answer is there. It tells whether the connection still stands: another's answer
+// answerBegun has the core know that an attempt's answer is there. It tells whether the connection still stands: another's answer
 // may have come first, or nobody waits any more.
-func (l *link) serve(a *attempt, next linkState) bool {
+func (l *link) answerBegun(a *attempt, next linkState) bool {
 	l.state, l.attempt, a.link = next, nil, nil
-	was := l.f.serving
-	l.f.serving = l
-	l.f.done(a, decide.OK)
-	l.f.serving = was
-	if a.r == nil {
+	was := l.frontend.serving
+	l.frontend.serving = l
+	l.frontend.finishAttempt(a, decide.OK)
+	l.frontend.serving = was
+	if a.request == nil {
 		return true
 	}
-	if l.reader == nil {
-		a.leave(l)
+	if l.client == nil {
+		a.detachRequest(l)
 		l.close()
 		return false
 	}
-	if l.head.Get("X-ClickHouse-Exception-Code") == noSession {
-		l.f.sessions.Unbind(a.r.session)
+	if l.head.Get("X-ClickHouse-Exception-Code") == noSessionCode {
+		l.frontend.sessions.Unbind(a.request.session)
 	}
 	return true
 }
 
-const noSession = "372"
+const noSessionCode = "372"
 
-// report takes a server's word on how far behind it is, and has what waits for it go on.
-func (l *link) report(b []byte) {
+// readReport takes a server's word on how far behind it is, and has what waits for it go on.
+func (l *link) readReport(b []byte) {
 	a := l.attempt
-	n, err := l.body.Next(b, func(p []byte) { l.text = append(l.text, p...) })
+	n, err := l.body.Next(b, func(p []byte) { l.report = append(l.report, p...) })
 	switch {
-	case err != nil || len(l.text) > maxReport:
-		l.f.drop(a, decide.Failed)
+	case err != nil || len(l.report) > maxReportBytes:
+		l.frontend.abort(a, decide.Failed)
 		return
 	case !l.body.Done():
 		return
 	}
-	l.in = append(l.in, b[n:]...)
-	s := l.store
-	lag, told := lagOf(l.head.Status, string(l.text))
-	l.text = nil
+	l.input = append(l.input, b[n:]...)
+	s := l.server
+	lag, told := parseLag(l.head.Status, string(l.report))
+	l.report = nil
 	if told {
-		s.position, s.toldAt = max(s.position, l.askedAt-lag), l.f.loop.Now()
+		s.positionMs, s.reportedAt = max(s.positionMs, l.sentAt-lag), l.frontend.loop.Now()
 	}
 	ends := l.head.Close
 	l.attempt, a.link = nil, nil
 	switch {
-	case a.r == nil && told:
-		l.f.done(a, decide.OK)
-	case a.r == nil:
-		l.f.done(a, resultOf(l.head))
-	case !told || s.position < l.f.loop.Now()-a.r.bound():
-		l.f.done(a, decide.Misdirected)
+	case a.request == nil && told:
+		l.frontend.finishAttempt(a, decide.OK)
+	case a.request == nil:
+		l.frontend.finishAttempt(a, resultOf(l.head))
+	case !told || s.positionMs < l.frontend.loop.Now()-a.request.maxStalenessMs():
+		l.frontend.finishAttempt(a, decide.Misdirected)
 	case ends: // it goes out on another
-		a.checked = true
+		a.staleChecked = true
 		l.close()
-		l.f.loop.StopTimer(a.timer)
-		l.f.begin(a)
+		l.frontend.loop.StopTimer(a.timer)
+		l.frontend.dispatch(a)
 		return
-	case !l.f.goes(a): // it was let go to ask for the report; the query is what must not go out now
-		l.f.done(a, decide.NotSent)
+	case !l.frontend.maySend(a): // it was let go to ask for the report; the query is what must not go out now
+		l.frontend.finishAttempt(a, decide.NotSent)
 	default:
-		a.checked = true
+		a.staleChecked = true
 		l.head = nil
-		l.ask(a)
+		l.send(a)
 		return
 	}
-	if ends || l.state == shut {
+	if ends || l.state == closed {
 		l.close()
 	} else {
-		l.free()
+		l.release()
 	}
 }
 
-// early looks for the start of an answer whose head tells of the query's progress, field by field for as long as that takes.
+// beginProgress looks for the start of an answer whose head tells of the query's progress, field by field for as long as that takes.
 // With the first such field it has begun, and goes on to the client as it comes. It tells whether that is so.
-func (l *link) early() bool {
-	h, at, err := httpwire.ParseStatusLine(l.in)
+func (l *link) beginProgress() bool {
+	h, at, err := httpwire.ParseStatusLine(l.input)
 	if err != nil || at == 0 || h.Status != 200 {
 		return false
 	}
 	for {
-		f, n, end, err := h.ParseLine(l.in[at:], isProgress)
+		f, n, end, err := h.ParseLine(l.input[at:], isProgress)
 		if err != nil || n == 0 || end {
 			return false
 		}
 		if at += n; isProgress(f) {
-			l.in = l.in[:copy(l.in, l.in[at:])]
+			l.input = l.input[:copy(l.input, l.input[at:])]
 			l.head = h
-			if !l.serve(l.attempt, heading) {
+			if !l.answerBegun(l.attempt, passingHead) {
 				return true
 			}
-			c := l.reader
+			c := l.client
 			out := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n", h.Status, h.Reason)
-			out = h.AppendFields(out, c.unfit()...)
+			out = h.AppendFields(out, c.droppedFields()...)
 			_ = c.conn.Write((&httpwire.Head{Headers: []httpwire.Header{f}}).AppendFields(out))
-			l.fields()
+			l.passProgress()
 			return true
 		}
 	}
@@ -150,38 +150,38 @@
 
 func isProgress(f httpwire.Header) bool { return strings.EqualFold(f.Name, "X-ClickHouse-Progress") }
 
-// fields passes on what is there of a head that comes in pieces, and then its body.
-func (l *link) fields() {
-	for at := 0; l.state == heading; {
-		c := l.reader
-		f, n, end, err := l.head.ParseLine(l.in[at:], isProgress)
+// passProgress passes on what is there of a head that comes in pieces, and then its body.
+func (l *link) passProgress() {
+	for at := 0; l.state == passingHead; {
+		c := l.client
+		f, n, end, err := l.head.ParseLine(l.input[at:], isProgress)
 		switch {
 		case err != nil:
-			l.f.log.Warn("clickhouse: an answer that cannot be read", "store", l.store.id, "err", err)
-			l.cut()
+			l.frontend.log.Warn("clickhouse: an answer that cannot be read", "store", l.server.id, "err", err)
+			l.abortAnswer()
 			return
 		case n == 0:
-			l.in = l.in[:copy(l.in, l.in[at:])]
+			l.input = l.input[:copy(l.input, l.input[at:])]
 			return
 		}
 		at += n
 		if !end {
-			_ = c.conn.Write((&httpwire.Head{Headers: []httpwire.Header{f}}).AppendFields(nil, c.unfit()...))
+			_ = c.conn.Write((&httpwire.Head{Headers: []httpwire.Header{f}}).AppendFields(nil, c.droppedFields()...))
 			continue
 		}
 		l.body = httpwire.AnswerBody(l.head, l.method)
-		rest := l.in[at:]
-		l.in, l.state = nil, streaming
-		c.leaves = c.leaves || l.body.EndsWithConnection() || len(c.unfit()) > 0 && l.head.Chunked
-		if c.conn.Write([]byte(c.connection())) == nil {
-			l.pass(rest)
+		rest := l.input[at:]
+		l.input, l.state = nil, streaming
+		c.closeAfterAnswer = c.closeAfterAnswer || l.body.EndsWithConnection() || len(c.droppedFields()) > 0 && l.head.Chunked
+		if c.conn.Write([]byte(c.connectionField())) == nil {
+			l.passBody(rest)
 		}
 	}
 }
 
-// unfit are the fields that a client of HTTP/1.0 does not know.
-func (c *client) unfit() []string {
-	if c.req.head.Minor == 0 {
+// droppedFields are the fields that a client of HTTP/1.0 does not know.
+func (c *client) droppedFields() []string {
+	if c.request.head.Minor == 0 {
 		return []string{"transfer-encoding", "trailer"}
 	}
 	return nil
@@ -203,21 +203,21 @@
 	return decide.OK
 }
 
-// answer writes the head of a server's answer to the client.
-func (c *client) answer(l *link) {
-	if l.body.EndsWithConnection() || c.req.head.Minor == 0 && l.head.Chunked {
-		c.leaves = true
+// writeAnswerHead writes the head of a server's answer to the client.
+func (c *client) writeAnswerHead(l *link) {
+	if l.body.EndsWithConnection() || c.request.head.Minor == 0 && l.head.Chunked {
+		c.closeAfterAnswer = true
 	}
 	out := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n", l.head.Status, l.head.Reason)
-	out = l.head.AppendFields(out, c.unfit()...)
-	_ = c.conn.Write(append(out, c.connection()...))
+	out = l.head.AppendFields(out, c.droppedFields()...)
+	_ = c.conn.Write(append(out, c.connectionField()...))
 }
 
-// pass passes a part of the answer's body on.
-func (l *link) pass(b []byte) {
-	c := l.reader
+// passBody passes a part of the answer's body on.
+func (l *link) passBody(b []byte) {
+	c := l.client
 	var write func([]byte)
-	if c != nil && !c.closed && c.req.head.Minor == 0 && l.head.Chunked {
+	if c != nil && !c.closed && c.request.head.Minor == 0 && l.head.Chunked {
 		write = func(p []byte) { _ = c.conn.Write(p) }
 	}
 	n, err := l.body.Next(b, write)
@@ -226,36 +226,36 @@
 	}
 	switch {
 	case err != nil:
-		l.f.log.Warn("clickhouse: a body that cannot be read", "store", l.store.id, "err", err)
-		l.cut()
+		l.frontend.log.Warn("clickhouse: a body that cannot be read", "store", l.server.id, "err", err)
+		l.abortAnswer()
 	case l.state != streaming: // its client has gone meanwhile
 	case l.body.Done():
-		l.in = append(l.in, b[n:]...)
-		l.end()
-	case c != nil && c.conn.Unsent() > muchUnsent && !l.parked && l.conn.PauseReading():
-		l.parked, l.unsent, l.takenAt = true, c.conn.Unsent(), l.f.loop.Now()
-		l.look()
+		l.input = append(l.input, b[n:]...)
+		l.answerComplete()
+	case c != nil && c.conn.Unsent() > highWaterBytes && !l.parked && l.conn.PauseReading():
+		l.parked, l.clientUnsent, l.clientReadAt = true, c.conn.Unsent(), l.frontend.loop.Now()
+		l.pollClient()
 	}
 }
 
-// end ends an answer that has passed whole.
-func (l *link) end() {
-	c, h := l.reader, l.head
-	l.reader = nil
-	if h.Close || c != nil && c.uploads() { // the server may still wait for the rest of a body
+// answerComplete ends an answer that has passed whole.
+func (l *link) answerComplete() {
+	c, h := l.client, l.head
+	l.client = nil
+	if h.Close || c != nil && c.uploading() { // the server may still wait for the rest of a body
 		l.close()
 	} else {
-		l.free()
+		l.release()
 	}
 	if c != nil {
-		c.finish()
+		c.answered()
 	}
 }
 
-// cut ends an answer that broke off: the client sees that by its connection's end.
-func (l *link) cut() {
-	c := l.reader
-	l.reader = nil
+// abortAnswer ends an answer that broke off: the client sees that by its connection's end.
+func (l *link) abortAnswer() {
+	c := l.client
+	l.client = nil
 	l.close()
 	if c != nil && !c.closed {
 		c.conn.Abort()
--- a/internal/frontend/clickhouse/fresh.go
+++ b/internal/frontend/clickhouse/fresh.go
@@ -11,11 +11,11 @@
 // statusPath is where a server tells how far its tables lag behind, each in whole seconds.
 const statusPath = "/replicas_status?verbose=1"
 
-const maxReport = 256 << 10 // bytes of such a word: a line for each table
+const maxReportBytes = 256 << 10 // bytes of such a word: a line for each table
 
-// lagOf reads the longest delay that a server tells of its tables, in ms, rounded up; false where it tells none, as one whose
+// parseLag reads the longest delay that a server tells of its tables, in ms, rounded up; false where it tells none, as one whose
 // tables are not replicated, or that can only be read since it lost its keeper.
-func lagOf(status int, text string) (ms float64, ok bool) {
+func parseLag(status int, text string) (ms float64, ok bool) {
 	if status != 200 && status != 503 {
 		return 0, false
 	}
@@ -36,32 +36,32 @@
 	return ms, ok
 }
 
-// bound is how old the data may be that a query sees, 0 for any age.
-func (r *request) bound() float64 {
+// maxStalenessMs is how old the data may be that a query sees, 0 for any age.
+func (r *request) maxStalenessMs() float64 {
 	switch {
-	case !r.reads:
+	case !r.readOnly:
 		return 0
 	case r.rule != nil:
-		return r.rule.Bound
+		return r.rule.MaxStalenessMs
 	}
-	return r.c.f.opt.Bound
+	return r.client.frontend.options.MaxStalenessMs
 }
 
-// replicas answers /replicas_status by what is known of the servers: whether one of them may be asked now.
-func (f *Front) replicas(verbose bool) (status int, text string) {
+// replicasStatus answers /replicas_status by what is known of the servers: whether one of them may be asked now.
+func (f *Frontend) replicasStatus(verbose bool) (status int, text string) {
 	status, now := 503, f.loop.Now()
 	var b strings.Builder
-	for _, id := range slices.Sorted(maps.Keys(f.stores)) {
-		s := f.stores[id]
-		if s.addr == "" || s.barredAt != 0 {
+	for _, id := range slices.Sorted(maps.Keys(f.servers)) {
+		s := f.servers[id]
+		if s.address == "" || s.drainedAt != 0 {
 			fmt.Fprintf(&b, "%s:\tdrains.\n", id)
 			continue
 		}
 		status = 200
-		if s.toldAt == 0 {
+		if s.reportedAt == 0 {
 			fmt.Fprintf(&b, "%s:\tserves.\n", id)
 		} else {
-			fmt.Fprintf(&b, "%s:\tAbsolute delay: %.0f. Told %.1f s ago.\n", id, max(0, s.toldAt-s.position)/1000, (now-s.toldAt)/1000)
+			fmt.Fprintf(&b, "%s:\tAbsolute delay: %.0f. Told %.1f s ago.\n", id, max(0, s.reportedAt-s.positionMs)/1000, (now-s.reportedAt)/1000)
 		}
 	}
 	switch {
--- a/internal/frontend/clickhouse/limits/limits_test.go
+++ b/internal/frontend/clickhouse/limits/limits_test.go
@@ -10,28 +10,28 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestRate: a burst, then the rate; another user is not held to it.
-func TestRate(t *testing.T) {
+// TestRateAndBurstAreApplied: a burst, then the rate; another user is not held to it.
+func TestRateAndBurstAreApplied(t *testing.T) {
 	g := New(map[string]Limits{"slow": {PerSecond: 2, Burst: 3}}, Limits{})
 	var got []Verdict
 	for i, at := range []float64{0, 0, 0, 0, 400, 500, 500, 10000, 10000, 10000, 10000} {
-		got = append(got, g.Enter(ID(i+1), "slow", at))
+		got = append(got, g.Admit(ID(i+1), "slow", at))
 	}
-	if diff := cmp.Diff([]Verdict{In, In, In, TooFast, TooFast, In, TooFast, In, In, In, TooFast}, got); diff != "" {
+	if diff := cmp.Diff([]Verdict{Admitted, Admitted, Admitted, RateExceeded, RateExceeded, Admitted, RateExceeded, Admitted, Admitted, Admitted, RateExceeded}, got); diff != "" {
 		t.Error(diff)
 	}
 	for i := range 50 {
-		if v := g.Enter(ID(100+i), "other", 0); v != In {
+		if v := g.Admit(ID(100+i), "other", 0); v != Admitted {
 			t.Errorf("another: %v", v)
 		}
 	}
 }
 
-// TestStateMachine holds the gate to its limits: never more run or wait than may, what waits is let in in its order as others
+// TestLimiterAgreesWithModel holds the gate to its limits: never more run or wait than may, what waits is let in in its order as others
 // leave, nobody waits beyond the time, and no place is lost.
-func TestStateMachine(t *testing.T) {
+func TestLimiterAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
-		l := Limits{Queries: rapid.IntRange(1, 3).Draw(rt, "queries"), Queue: rapid.IntRange(0, 3).Draw(rt, "queue"), Wait: 100}
+		l := Limits{MaxRunning: rapid.IntRange(1, 3).Draw(rt, "queries"), MaxQueued: rapid.IntRange(0, 3).Draw(rt, "queue"), MaxWaitMs: 100}
 		g := New(map[string]Limits{"a": l}, l)
 		now, last := 0.0, ID(0)
 		running, queued, since := map[string][]ID{}, map[string][]ID{}, map[ID]float64{}
@@ -50,14 +50,14 @@
 				last++
 				want := TooMany
 				switch {
-				case len(running[u]) < l.Queries && len(queued[u]) == 0:
-					want = In
+				case len(running[u]) < l.MaxRunning && len(queued[u]) == 0:
+					want = Admitted
 					running[u] = append(running[u], last)
-				case len(queued[u]) < l.Queue:
-					want = Waits
+				case len(queued[u]) < l.MaxQueued:
+					want = Queued
 					queued[u], since[last] = append(queued[u], last), now
 				}
-				if got := g.Enter(last, u, now); got != want {
+				if got := g.Admit(last, u, now); got != want {
 					rt.Fatalf("%d, want %d", got, want)
 				}
 			},
@@ -73,7 +73,7 @@
 					want = queued[u][:1:1]
 					running[u], queued[u] = append(running[u], want...), queued[u][1:]
 				}
-				if diff := cmp.Diff(want, g.Leave(id)); diff != "" {
+				if diff := cmp.Diff(want, g.Release(id)); diff != "" {
 					rt.Fatal(diff)
 				}
 			},
@@ -82,7 +82,7 @@
 				if len(queued[u]) > 0 {
 					id := rapid.SampledFrom(queued[u]).Draw(rt, "id")
 					queued[u] = drop(queued[u], id)
-					if in := g.Leave(id); in != nil {
+					if in := g.Release(id); in != nil {
 						rt.Fatalf("%v came in", in)
 					}
 				}
@@ -90,7 +90,7 @@
 			"time": func(rt *rapid.T) {
 				now += float64(rapid.IntRange(1, 80).Draw(rt, "ms"))
 				late := map[ID]bool{}
-				for _, id := range g.Beat(now) {
+				for _, id := range g.Expire(now) {
 					late[id] = true
 				}
 				for u, list := range queued {
@@ -114,49 +114,49 @@
 	})
 }
 
-// TestManyUsers: those of which nothing runs are forgotten.
-func TestManyUsers(t *testing.T) {
-	g := New(nil, Limits{Queries: 1})
+// TestIdleUsersAreForgotten: those of which nothing runs are forgotten.
+func TestIdleUsersAreForgotten(t *testing.T) {
+	g := New(nil, Limits{MaxRunning: 1})
 	for i := range 3 * maxUsers {
 		id := ID(i + 1)
-		if g.Enter(id, fmt.Sprint("u", i), 0) != In {
+		if g.Admit(id, fmt.Sprint("u", i), 0) != Admitted {
 			t.Fatal(i)
 		}
-		g.Leave(id)
+		g.Release(id)
 	}
 	if len(g.users) > maxUsers {
 		t.Errorf("%d users are kept", len(g.users))
 	}
 }
 
-// TestTold: what a pooler is told of a user's limits for the whole fleet goes before the settings: nothing until it is more, those that
+// TestAllowanceReplacesSettings: what a pooler is told of a user's limits for the whole fleet goes before the settings: nothing until it is more, those that
 // wait are let in as it grows, those that run are left to end as it falls.
-func TestTold(t *testing.T) {
-	g := New(map[string]Limits{"a": {Queries: 9, Queue: 2, Wait: 100}}, Limits{})
-	g.Tell("a", Told{Queries: true}, 0)
-	if g.Enter(1, "a", 0) != Waits || g.Enter(2, "a", 0) != Waits || g.Enter(3, "a", 0) != TooMany {
+func TestAllowanceReplacesSettings(t *testing.T) {
+	g := New(map[string]Limits{"a": {MaxRunning: 9, MaxQueued: 2, MaxWaitMs: 100}}, Limits{})
+	g.Assign("a", Allowance{BoundsRunning: true}, 0)
+	if g.Admit(1, "a", 0) != Queued || g.Admit(2, "a", 0) != Queued || g.Admit(3, "a", 0) != TooMany {
 		t.Error("some were let in")
 	}
 	if running, more, asked := g.Demand("a", 0); running != 0 || more != 3 || asked != 3 {
 		t.Errorf("demand %d, %v, %v", running, more, asked)
 	}
-	if in := g.Tell("a", Told{Queries: true, Most: 2}, 10); len(in) != 2 {
+	if in := g.Assign("a", Allowance{BoundsRunning: true, MaxRunning: 2}, 10); len(in) != 2 {
 		t.Errorf("%v came in", in)
 	}
-	if in := g.Tell("a", Told{Queries: true, Most: 1, Rate: true, PerSecond: 100, Burst: 2}, 10); in != nil {
+	if in := g.Assign("a", Allowance{BoundsRunning: true, MaxRunning: 1, BoundsRate: true, PerSecond: 100, Burst: 2}, 10); in != nil {
 		t.Errorf("%v came in", in)
 	}
-	g.Leave(1)
-	if v := g.Enter(4, "a", 10); v != TooFast {
+	g.Release(1)
+	if v := g.Admit(4, "a", 10); v != RateExceeded {
 		t.Errorf("%d by a rate that begins empty", v)
 	}
-	if v := g.Enter(5, "a", 21); v != Waits {
+	if v := g.Admit(5, "a", 21); v != Queued {
 		t.Errorf("%d beside one that runs", v)
 	}
-	if in := g.Untell("a"); len(in) != 1 || in[0] != 5 {
+	if in := g.Restore("a"); len(in) != 1 || in[0] != 5 {
 		t.Errorf("%v came in by the settings", in)
 	}
-	if v := g.Enter(6, "a", 21); v != In {
+	if v := g.Admit(6, "a", 21); v != Admitted {
 		t.Errorf("%d by the settings", v)
 	}
 }
--- a/internal/frontend/clickhouse/request.go
+++ b/internal/frontend/clickhouse/request.go
@@ -28,28 +28,28 @@
 
 // request is one query of a client. It is platform.Client and its attempts' backend.Query.
 type request struct {
-	c       *client
-	ref     slotmap.Ref // the core's
-	head    *httpwire.Head
-	raw     []byte // the body as it came, framing and all, or what is held of it
-	reads   bool
-	due     float64
-	span    float64 // from the end of its body to due
-	stream  bool    // its body passes through
-	passing bool    // ...and more of it than is held has gone on: it can go nowhere else
-	taker   *link   // that it is out on
-	only    string  // the server that has its session
-	session sessions.Key
-	rule    *Rule // nil for none
-	asked   bool  // the core has it
-	over    bool  // it has its answer, or its client has gone
-	reached bool  // an attempt got to a server
-	link    *link
-	number  uint64
-	query   string // its query_id, given or made
-	params  url.Values
-	class   string
-	gated   limits.ID // its place among its user's, 0 for none
+	client     *client
+	ref        slotmap.Ref // the core's
+	head       *httpwire.Head
+	rawBody    []byte // the body as it came, framing and all, or what is held of it
+	readOnly   bool
+	deadline   float64
+	timeoutMs  float64 // from the end of its body to due
+	uploads    bool    // its body passes through
+	bodyPassed bool    // ...and more of it than is held has gone on: it can go nowhere else
+	uploadLink *link   // that it is out on
+	onlyServer string  // the server that has its session
+	session    sessions.Key
+	rule       *Rule // nil for none
+	submitted  bool  // the core has it
+	answered   bool  // it has its answer, or its client has gone
+	reached    bool  // an attempt got to a server
+	answerLink *link
+	number     uint64
+	queryID    string // its query_id, given or made
+	params     url.Values
+	class      string
+	limitID    limits.ID // its place among its user's, 0 for none
 }
 
 // User is the user that a query comes as: by the URL, the header or Basic, as the server takes them.
@@ -69,12 +69,12 @@
 	return "default"
 }
 
-// release gives up what is held of a body: from here on it can go nowhere else.
-func (r *request) release() {
-	if !r.passing {
-		r.passing = true
-		r.c.hold(-len(r.raw))
-		r.raw = nil
+// dropBody gives up what is held of a body: from here on it can go nowhere else.
+func (r *request) dropBody() {
+	if !r.bodyPassed {
+		r.bodyPassed = true
+		r.client.countBuffered(-len(r.rawBody))
+		r.rawBody = nil
 	}
 }
 
@@ -85,28 +85,30 @@
 	if r.head.Get("Host") == "" {
 		dst = append(dst, "Host: clickhouse\r\n"...)
 	}
-	return append(append(dst, "\r\n"...), r.raw...)
+	return append(append(dst, "\r\n"...), r.rawBody...)
 }
 
 // Served is platform.Client's: the server's answer has begun to come.
 func (r *request) Served([]byte) {
-	if l := r.c.f.serving; l != nil && !r.over {
-		r.over, r.link = true, l
-		if !r.stream {
-			r.raw = nil
+	if l := r.client.frontend.serving; l != nil && !r.answered {
+		r.answered, r.answerLink = true, l
+		if !r.uploads {
+			r.rawBody = nil
 		}
-		l.reader = r.c
-		if r.c.conn.ReadingPaused() {
-			r.c.conn.ResumeReading()
+		l.client = r.client
+		if r.client.conn.ReadingPaused() {
+			r.client.conn.ResumeReading()
 		}
 		if r.session != (sessions.Key{}) {
-			r.c.f.sessions.Served(r.session, l.store.id)
+			r.client.frontend.sessions.Bind(r.session, l.server.id)
 		}
 	}
 }
 
 // Disconnected is platform.Departing's. A client whose body passes through may end its sending behind it; client.look decides on that.
-func (r *request) Disconnected() bool { return r.c.closed || !r.stream && r.c.conn.PeerClosed() }
+func (r *request) Disconnected() bool {
+	return r.client.closed || !r.uploads && r.client.conn.PeerClosed()
+}
 
 // Rejected is platform.Client's.
 func (r *request) Rejected(retryMs float64) {
@@ -114,26 +116,26 @@
 	if !r.reached {
 		code, name = codeNoServer, "ALL_CONNECTION_TRIES_FAILED"
 	}
-	r.c.complain(r, 503, code, name, "the query has not run; it may be sent again", max(1, int(retryMs/1000+0.5)))
+	r.client.answerException(r, 503, code, name, "the query has not run; it may be sent again", max(1, int(retryMs/1000+0.5)))
 }
 
 // RejectedUnfunded is platform.PrepaidClient's.
 func (r *request) RejectedUnfunded(slowed bool, retryMs float64) {
-	r.c.complain(r, 402, codeQuota, "QUOTA_EXCEEDED", platform.NoCreditMessage(slowed), max(1, int(retryMs/1000+0.5)))
+	r.client.answerException(r, 402, codeQuota, "QUOTA_EXCEEDED", platform.NoCreditMessage(slowed), max(1, int(retryMs/1000+0.5)))
 }
 
 // Failed is platform.Client's.
 func (r *request) Failed() {
-	if r.c.f.loop.Now() >= r.due-50 {
-		r.c.complain(r, 504, codeTimeout, "TIMEOUT_EXCEEDED", "no answer in time; the query may have run", 0)
+	if r.client.frontend.loop.Now() >= r.deadline-50 {
+		r.client.answerException(r, 504, codeTimeout, "TIMEOUT_EXCEEDED", "no answer in time; the query may have run", 0)
 		return
 	}
-	r.c.complain(r, 502, codeNetwork, "NETWORK_ERROR", "the answer was lost; the query may have run", 0)
+	r.client.answerException(r, 502, codeNetwork, "NETWORK_ERROR", "the answer was lost; the query may have run", 0)
 }
 
-// Reads tells whether a query is known to change nothing: ClickHouse holds GET and readonly to that by itself, and a
+// IsReadOnly tells whether a query is known to change nothing: ClickHouse holds GET and readonly to that by itself, and a
 // statement that begins so cannot write.
-func Reads(method string, params url.Values, body []byte, known bool) bool {
+func IsReadOnly(method string, params url.Values, body []byte, known bool) bool {
 	if method == "GET" || method == "HEAD" {
 		return true
 	}
@@ -146,11 +148,11 @@
 	} else if strings.TrimSpace(sql) == "" {
 		return false // it cannot be read
 	}
-	return readsText(sql)
+	return statementReads(sql)
 }
 
-// readsText tells whether a statement begins as one that reads. Whatever might hide more is taken for a write.
-func readsText(sql string) bool {
+// statementReads tells whether a statement begins as one that reads. Whatever might hide more is taken for a write.
+func statementReads(sql string) bool {
 	sql = skipBlank(sql)
 	end := strings.IndexFunc(sql, func(r rune) bool { return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z') })
 	if end < 0 {
@@ -184,8 +186,8 @@
 	}
 }
 
-// limit is the time that a query's own settings leave it, 0 for none.
-func limit(params url.Values) float64 {
+// executionLimitMs is the time that a query's own settings leave it, 0 for none.
+func executionLimitMs(params url.Values) float64 {
 	x, err := strconv.ParseFloat(params.Get("max_execution_time"), 64)
 	if err != nil || !(x > 0) || x > 1e6 {
 		return 0
--- a/internal/frontend/clickhouse/request_test.go
+++ b/internal/frontend/clickhouse/request_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestReads: what is known to change nothing, and all else.
-func TestReads(t *testing.T) {
+// TestReadOnlyQueriesAreRecognised: what is known to change nothing, and all else.
+func TestReadOnlyQueriesAreRecognised(t *testing.T) {
 	for _, c := range []struct {
 		method, query, body string
 		known, want         bool
@@ -27,11 +27,11 @@
 		{"POST", "", "", true, false},
 		{"PUT", "OPTIMIZE TABLE t", "", true, false},
 	} {
-		if got := Reads(c.method, url.Values{"query": {c.query}}, []byte(c.body), c.known); got != c.want {
+		if got := IsReadOnly(c.method, url.Values{"query": {c.query}}, []byte(c.body), c.known); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
-	if !Reads("POST", url.Values{"query": {"INSERT"}, "readonly": {"1"}}, nil, true) {
+	if !IsReadOnly("POST", url.Values{"query": {"INSERT"}, "readonly": {"1"}}, nil, true) {
 		t.Error("readonly=1 is not taken for reading")
 	}
 }
--- a/internal/frontend/clickhouse/requests.go
+++ b/internal/frontend/clickhouse/requests.go
@@ -13,183 +13,183 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// begin takes a head; it tells whether there was one.
-func (c *client) begin() bool {
-	h, n, err := httpwire.Parse(c.in, true)
+// readHead takes a head; it tells whether there was one.
+func (c *client) readHead() bool {
+	h, n, err := httpwire.Parse(c.input, true)
 	switch {
 	case errors.Is(err, httpwire.ErrTooLong):
-		c.give(nil, 431, codeBadRequest, "BAD_ARGUMENTS", err.Error())
+		c.failConnection(nil, 431, codeBadRequest, "BAD_ARGUMENTS", err.Error())
 		return false
 	case errors.Is(err, httpwire.ErrUnsupported):
-		c.give(nil, 501, codeUnsupported, "UNSUPPORTED_METHOD", err.Error())
+		c.failConnection(nil, 501, codeUnsupported, "UNSUPPORTED_METHOD", err.Error())
 		return false
 	case err != nil:
-		c.give(nil, 400, codeBadRequest, "BAD_ARGUMENTS", err.Error())
+		c.failConnection(nil, 400, codeBadRequest, "BAD_ARGUMENTS", err.Error())
 		return false
 	case n == 0:
 		return false
-	case c.f.opt.MostBody > 0 && h.Length > c.f.opt.MostBody:
-		c.give(nil, 413, codeBadRequest, "BAD_ARGUMENTS", fmt.Sprintf("a body of %d bytes; at most %d are taken", h.Length, c.f.opt.MostBody))
+	case c.frontend.options.MaxBodyBytes > 0 && h.Length > c.frontend.options.MaxBodyBytes:
+		c.failConnection(nil, 413, codeBadRequest, "BAD_ARGUMENTS", fmt.Sprintf("a body of %d bytes; at most %d are taken", h.Length, c.frontend.options.MaxBodyBytes))
 		return false
 	}
-	c.take(n)
-	c.head, c.body, c.raw, c.data, c.passed = h, httpwire.RequestBody(h), nil, nil, 0
-	if h.Has("Expect", "100-continue") && !c.body.Done() && len(c.in) == 0 {
+	c.consume(n)
+	c.head, c.body, c.rawBody, c.decodedBody, c.bodyBytes = h, httpwire.RequestBody(h), nil, nil, 0
+	if h.Has("Expect", "100-continue") && !c.body.Done() && len(c.input) == 0 {
 		_ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	return !c.closed
 }
 
-// collect takes what is there of a body that is held, and puts the request once that is whole, or is more than is held. It
+// readBody takes what is there of a body that is held, and puts the request once that is whole, or is more than is held. It
 // tells whether there may be another one behind it.
-func (c *client) collect() bool {
-	n, err := c.body.Next(c.in, func(p []byte) { c.data = append(c.data, p...) })
-	c.raw = append(c.raw, c.in[:n]...)
-	c.take(n)
-	c.passed += int64(n)
+func (c *client) readBody() bool {
+	n, err := c.body.Next(c.input, func(p []byte) { c.decodedBody = append(c.decodedBody, p...) })
+	c.rawBody = append(c.rawBody, c.input[:n]...)
+	c.consume(n)
+	c.bodyBytes += int64(n)
 	if err != nil {
-		c.give(nil, 400, codeBadRequest, "BAD_ARGUMENTS", err.Error())
+		c.failConnection(nil, 400, codeBadRequest, "BAD_ARGUMENTS", err.Error())
 		return false
 	}
-	if c.tooLong(nil) || !c.body.Done() && len(c.raw) < c.f.opt.Hold {
+	if c.rejectLongBody(nil) || !c.body.Done() && len(c.rawBody) < c.frontend.options.MaxBufferedBytes {
 		return false
 	}
 	h := c.head
 	c.head = nil
-	c.put(h)
+	c.handleRequest(h)
 	return true
 }
 
-// tooLong ends a request whose body turns out to be longer than any may be.
-func (c *client) tooLong(r *request) bool {
-	if c.f.opt.MostBody <= 0 || c.passed <= c.f.opt.MostBody {
+// rejectLongBody ends a request whose body turns out to be longer than any may be.
+func (c *client) rejectLongBody(r *request) bool {
+	if c.frontend.options.MaxBodyBytes <= 0 || c.bodyBytes <= c.frontend.options.MaxBodyBytes {
 		return false
 	}
-	c.give(r, 413, codeBadRequest, "BAD_ARGUMENTS", fmt.Sprintf("the body is too long; at most %d bytes are taken", c.f.opt.MostBody))
+	c.failConnection(r, 413, codeBadRequest, "BAD_ARGUMENTS", fmt.Sprintf("the body is too long; at most %d bytes are taken", c.frontend.options.MaxBodyBytes))
 	return true
 }
 
-// feed passes on what is there of a body that is not held, to the server that takes it. It tells whether the body has ended.
-func (c *client) feed() bool {
-	r := c.req
-	l := r.taker
+// passUpload passes on what is there of a body that is not held, to the server that takes it. It tells whether the body has ended.
+func (c *client) passUpload() bool {
+	r := c.request
+	l := r.uploadLink
 	if l == nil {
-		if len(c.in) > 0 {
+		if len(c.input) > 0 {
 			c.park()
 		}
 		return false
 	}
-	if len(c.in) == 0 && !c.body.Done() {
+	if len(c.input) == 0 && !c.body.Done() {
 		return false
 	}
-	n, err := c.body.Next(c.in, nil)
-	c.passed += int64(n)
+	n, err := c.body.Next(c.input, nil)
+	c.bodyBytes += int64(n)
 	if err != nil {
-		c.give(r, 400, codeBadRequest, "BAD_ARGUMENTS", err.Error())
+		c.failConnection(r, 400, codeBadRequest, "BAD_ARGUMENTS", err.Error())
 		return false
 	}
-	if c.tooLong(r) {
+	if c.rejectLongBody(r) {
 		return false
 	}
 	if n > 0 {
-		r.release()
-		if l.conn.Write(c.in[:n]) != nil || c.closed || c.req != r { // the server has gone, and the request ended by that
+		r.dropBody()
+		if l.conn.Write(c.input[:n]) != nil || c.closed || c.request != r { // the server has gone, and the request ended by that
 			return false
 		}
-		c.take(n)
-		c.hold(-n)
+		c.consume(n)
+		c.countBuffered(-n)
 	}
 	if !c.body.Done() {
-		if l.conn.Unsent() > muchUnsent {
+		if l.conn.Unsent() > highWaterBytes {
 			c.park()
 		}
 		return false
 	}
-	if r.link == nil { // from here on its time counts as any other's
-		c.end = c.f.loop.At(min(r.due, c.f.loop.Now()+r.span), func() {
-			if c.req == r && r.link == nil && r.taker != nil && r.taker.attempt != nil {
-				c.f.drop(r.taker.attempt, timedOut)
+	if r.answerLink == nil { // from here on its time counts as any other's
+		c.uploadTimer = c.frontend.loop.At(min(r.deadline, c.frontend.loop.Now()+r.timeoutMs), func() {
+			if c.request == r && r.answerLink == nil && r.uploadLink != nil && r.uploadLink.attempt != nil {
+				c.frontend.abort(r.uploadLink.attempt, timedOut)
 			}
 		})
 	}
 	return true
 }
 
-// put takes a request: whole, or with as much of its body as is held.
-func (c *client) put(h *httpwire.Head) {
-	c.leaves, c.asked = h.Close, true
+// handleRequest takes a request: whole, or with as much of its body as is held.
+func (c *client) handleRequest(h *httpwire.Head) {
+	c.closeAfterAnswer, c.everRequested = h.Close, true
 	path, rawQuery, _ := strings.Cut(h.Target, "?")
 	params, err := url.ParseQuery(rawQuery)
-	r := &request{c: c, head: h, raw: c.raw, stream: !c.body.Done()}
-	c.raw = nil
-	c.req = r
+	r := &request{client: c, head: h, rawBody: c.rawBody, uploads: !c.body.Done()}
+	c.rawBody = nil
+	c.request = r
 	switch {
-	case c.late:
-		c.leaves = true
-		c.complain(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", endingText, 1)
+	case c.cameWhileDraining:
+		c.closeAfterAnswer = true
+		c.answerException(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", shutdownText, 1)
 		return
 	case err != nil || !strings.HasPrefix(path, "/"):
-		c.leaves = true
-		c.complain(r, 400, codeBadRequest, "BAD_ARGUMENTS", "the URL cannot be read", 0)
+		c.closeAfterAnswer = true
+		c.answerException(r, 400, codeBadRequest, "BAD_ARGUMENTS", "the URL cannot be read", 0)
 		return
-	case path == "/ping", path == "/" && (h.Method == "GET" || h.Method == "HEAD") && params.Get("query") == "" && len(c.data) == 0:
-		c.plain(r, 200, "Ok.\n")
+	case path == "/ping", path == "/" && (h.Method == "GET" || h.Method == "HEAD") && params.Get("query") == "" && len(c.decodedBody) == 0:
+		c.answerText(r, 200, "Ok.\n")
 		return
 	case path == "/replicas_status":
-		status, text := c.f.replicas(params.Get("verbose") == "1")
-		c.plain(r, status, text)
+		status, text := c.frontend.replicasStatus(params.Get("verbose") == "1")
+		c.answerText(r, status, text)
 		return
 	case h.Method != "GET" && h.Method != "HEAD" && h.Method != "POST" && h.Method != "PUT":
-		c.leaves = true
-		c.complain(r, 501, codeUnsupported, "UNSUPPORTED_METHOD", "GET, HEAD, POST and PUT are taken", 0)
+		c.closeAfterAnswer = true
+		c.answerException(r, 501, codeUnsupported, "UNSUPPORTED_METHOD", "GET, HEAD, POST and PUT are taken", 0)
 		return
 	}
 	known := params.Get("decompress") == "" && h.Get("Content-Encoding") == ""
 	inSession := params.Get("session_id") != ""
 	// What cannot be sent again as it was, or depends on what its session has done, never is.
-	r.reads = !r.stream && !inSession && Reads(h.Method, params, c.data, known)
-	r.rule, r.class, r.span, h.Target = c.f.class(h, path, rawQuery, params, r.reads)
-	c.data = nil
-	now := c.f.loop.Now()
-	for _, ms := range []float64{limit(params), c.f.wanted(h)} {
+	r.readOnly = !r.uploads && !inSession && IsReadOnly(h.Method, params, c.decodedBody, known)
+	r.rule, r.class, r.timeoutMs, h.Target = c.frontend.classify(h, path, rawQuery, params, r.readOnly)
+	c.decodedBody = nil
+	now := c.frontend.loop.Now()
+	for _, ms := range []float64{executionLimitMs(params), c.frontend.clientTimeoutMs(h)} {
 		if ms > 0 {
-			r.span = min(r.span, ms)
+			r.timeoutMs = min(r.timeoutMs, ms)
 		}
 	}
-	if r.due = now + r.span; r.stream {
-		r.due += c.f.opt.UploadMs
+	if r.deadline = now + r.timeoutMs; r.uploads {
+		r.deadline += c.frontend.options.UploadTimeoutMs
 	}
-	c.f.number++
-	r.number, r.params = c.f.number, params
-	if r.query = params.Get("query_id"); r.query == "" { // one is made, so that it can be found at the server
-		r.query = fmt.Sprintf("%s-%x-%d", c.f.opt.Name, uint64(c.f.began), r.number)
-		h.Target = with(h.Target, "query_id", r.query)
+	c.frontend.lastNumber++
+	r.number, r.params = c.frontend.lastNumber, params
+	if r.queryID = params.Get("query_id"); r.queryID == "" { // one is made, so that it can be found at the server
+		r.queryID = fmt.Sprintf("%s-%x-%d", c.frontend.options.Name, uint64(c.frontend.startedAt), r.number)
+		h.Target = withParameter(h.Target, "query_id", r.queryID)
 	}
 	user := User(h, params)
-	if inSession && !c.enter(r, user) {
+	if inSession && !c.beginSessionQuery(r, user) {
 		return
 	}
 	id := limits.ID(r.number)
-	if c.f.opt.Expire != nil {
-		c.f.opt.Expire()
-	}
-	switch c.f.gate.Enter(id, user, now) {
-	case limits.In:
-		r.gated = id
-		c.ask(r)
-	case limits.Waits:
-		r.gated = id
-		c.f.waiting[id] = r
-		c.f.loop.At(now+c.f.gate.Wait(user)+1, c.f.beat)
+	if c.frontend.options.ExpireLeases != nil {
+		c.frontend.options.ExpireLeases()
+	}
+	switch c.frontend.limiter.Admit(id, user, now) {
+	case limits.Admitted:
+		r.limitID = id
+		c.submit(r)
+	case limits.Queued:
+		r.limitID = id
+		c.frontend.waiting[id] = r
+		c.frontend.loop.At(now+c.frontend.limiter.MaxWaitMs(user)+1, c.frontend.rejectExpired)
 	case limits.TooMany:
-		c.complain(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", "too many queries of this user run and wait; it has not run", 1)
+		c.answerException(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", "too many queries of this user run and wait; it has not run", 1)
 	default:
-		c.complain(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", "queries of this user come too fast; it has not run", 1)
+		c.answerException(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", "queries of this user come too fast; it has not run", 1)
 	}
 }
 
-// with adds a parameter to a target.
-func with(target, name, value string) string {
+// withParameter adds a parameter to a target.
+func withParameter(target, name, value string) string {
 	sep := "?"
 	if strings.Contains(target, "?") {
 		sep = "&"
@@ -197,38 +197,38 @@
 	return target + sep + name + "=" + url.QueryEscape(value)
 }
 
-// enter finds the place of a query that names a session, and tells whether it goes on.
-func (c *client) enter(r *request, user string) bool {
+// beginSessionQuery finds the place of a query that names a session, and tells whether it goes on.
+func (c *client) beginSessionQuery(r *request, user string) bool {
 	key := sessions.Key{User: user, ID: r.params.Get("session_id")}
 	keep, _ := strconv.ParseFloat(r.params.Get("session_timeout"), 64)
 	check := r.params.Get("session_check") == "1"
-	verdict, server := c.f.sessions.Enter(c.f.loop.Now(), key, keep*1000, check)
+	verdict, server := c.frontend.sessions.Begin(c.frontend.loop.Now(), key, keep*1000, check)
 	switch verdict {
-	case sessions.Anywhere, sessions.There:
-		r.session, r.only, c.f.inSession[key] = key, server, r
-		if r.only != "" && !check { // a server that has restarted since must not begin it anew
-			r.head.Target = with(r.head.Target, "session_check", "1")
+	case sessions.AnyServer, sessions.BoundServer:
+		r.session, r.onlyServer, c.frontend.inSession[key] = key, server, r
+		if r.onlyServer != "" && !check { // a server that has restarted since must not begin it anew
+			r.head.Target = withParameter(r.head.Target, "session_check", "1")
 		}
 		return true
 	case sessions.Locked:
-		c.complain(r, 500, codeLocked, "SESSION_IS_LOCKED", "another query of this session is under way; it has not run", 0)
+		c.answerException(r, 500, codeLocked, "SESSION_IS_LOCKED", "another query of this session is under way; it has not run", 0)
 	case sessions.Lost:
-		c.complain(r, 404, codeNoSession, "SESSION_NOT_FOUND", lostText, 0)
+		c.answerException(r, 404, codeNoSession, "SESSION_NOT_FOUND", sessionLostText, 0)
 	case sessions.Unknown:
-		c.complain(r, 404, codeNoSession, "SESSION_NOT_FOUND", "this pooler knows of no such session; it has not run", 0)
+		c.answerException(r, 404, codeNoSession, "SESSION_NOT_FOUND", "this pooler knows of no such session; it has not run", 0)
 	default:
-		c.complain(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", "too many sessions; it has not run", 1)
+		c.answerException(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", "too many sessions; it has not run", 1)
 	}
 	return false
 }
 
-// ask puts a request to the decision module.
-func (c *client) ask(r *request) {
-	ref, err := c.f.desk.Submit(platform.Request{ID: "ch-" + strconv.FormatUint(r.number, 36), ClientID: r.query, Class: r.class, Group: c.f.opt.Group, Deadline: r.due, OnlyServer: r.only, Query: r}, r)
+// submit puts a request to the decision module.
+func (c *client) submit(r *request) {
+	ref, err := c.frontend.dispatcher.Submit(platform.Request{ID: "ch-" + strconv.FormatUint(r.number, 36), ClientID: r.queryID, Class: r.class, Group: c.frontend.options.Group, Deadline: r.deadline, OnlyServer: r.onlyServer, Query: r}, r)
 	if err != nil {
-		c.f.log.Error("clickhouse", "err", err)
-		c.complain(r, 500, codeNetwork, "NETWORK_ERROR", "the pooler could not take the query", 0)
+		c.frontend.log.Error("clickhouse", "err", err)
+		c.answerException(r, 500, codeNetwork, "NETWORK_ERROR", "the pooler could not take the query", 0)
 		return
 	}
-	r.ref, r.asked = ref, true
+	r.ref, r.submitted = ref, true
 }
--- a/internal/frontend/clickhouse/rules.go
+++ b/internal/frontend/clickhouse/rules.go
@@ -10,14 +10,14 @@
 
 // Rule says which queries are of a class of their own. What is empty matches all.
 type Rule struct {
-	Name     string // of the class
-	User     string
-	Database string
-	Path     string // the path of the URL, whole; the server is asked at "/"
-	Header   string // a field of the head...
-	Value    string // ...and its value
-	Deadline float64
-	Bound    float64 // its reads see data no older than that, 0 for any
+	Name           string // of the class
+	User           string
+	Database       string
+	Path           string // the path of the URL, whole; the server is asked at "/"
+	Header         string // a field of the head...
+	Value          string // ...and its value
+	DeadlineMs     float64
+	MaxStalenessMs float64 // its reads see data no older than that, 0 for any
 }
 
 // Matches tells whether a query is of a rule.
@@ -38,12 +38,12 @@
 	return "clickhouse-" + rule + "-reads", "clickhouse-" + rule + "-writes"
 }
 
-// class finds the rule of a query, its class, its deadline, and its target at the server.
-func (f *Front) class(h *httpwire.Head, path, query string, params url.Values, reads bool) (rule *Rule, class string, deadline float64, target string) {
-	name, deadline, target := "", f.opt.Deadline, h.Target
-	for i := range f.opt.Rules {
-		if r := &f.opt.Rules[i]; r.Matches(h, path, params) {
-			rule, name, deadline = r, r.Name, r.Deadline
+// classify finds the rule of a query, its class, its deadline, and its target at the server.
+func (f *Frontend) classify(h *httpwire.Head, path, query string, params url.Values, reads bool) (rule *Rule, class string, deadline float64, target string) {
+	name, deadline, target := "", f.options.DeadlineMs, h.Target
+	for i := range f.options.Rules {
+		if r := &f.options.Rules[i]; r.Matches(h, path, params) {
+			rule, name, deadline = r, r.Name, r.DeadlineMs
 			if r.Path != "" {
 				target = "/" + strings.TrimSuffix("?"+query, "?")
 			}
@@ -57,12 +57,12 @@
 	return rule, class, deadline, target
 }
 
-// wanted is how many milliseconds a client says in its head that it waits, 0 where it does not.
-func (f *Front) wanted(h *httpwire.Head) float64 {
-	if f.opt.Header == "" {
+// clientTimeoutMs is how many milliseconds a client says in its head that it waits, 0 where it does not.
+func (f *Frontend) clientTimeoutMs(h *httpwire.Head) float64 {
+	if f.options.DeadlineHeader == "" {
 		return 0
 	}
-	x, err := strconv.ParseFloat(h.Get(f.opt.Header), 64)
+	x, err := strconv.ParseFloat(h.Get(f.options.DeadlineHeader), 64)
 	if err != nil || !(x > 0) || x > 1e9 {
 		return 0
 	}
--- a/internal/settings/clickhouse.go
+++ b/internal/settings/clickhouse.go
@@ -122,11 +122,11 @@
 	if !ok {
 		return node.Errorf("a user's name is due first, or \"*\"")
 	}
-	user := limits.Limits{Wait: defaultUserWaitMs}
+	user := limits.Limits{MaxWaitMs: defaultUserWaitMs}
 	err := sexp.Schema{
-		"queries": count(&user.Queries, queryCounts),
-		"queue":   count(&user.Queue, queryQueues),
-		"wait":    duration(&user.Wait, positiveDuration),
+		"queries": count(&user.MaxRunning, queryCounts),
+		"queue":   count(&user.MaxQueued, queryQueues),
+		"wait":    duration(&user.MaxWaitMs, positiveDuration),
 		"rate":    number(&user.PerSecond, queryRates),
 		"burst":   number(&user.Burst, queryBursts),
 	}.Read(arguments[1:])
@@ -158,7 +158,7 @@
 		return arguments[0].Errorf("this class stands here twice")
 	}
 	rule := ClickHouseRule{
-		Rule:               clickhouse.Rule{Name: name, Deadline: defaultDeadlineMs},
+		Rule:               clickhouse.Rule{Name: name, DeadlineMs: defaultDeadlineMs},
 		LatencyObjectiveMs: defaultLatencyObjectiveMs,
 		PriorityWeight:     defaultPriorityWeight,
 	}
@@ -174,9 +174,9 @@
 			rule.Header, rule.Value = arguments[0].Text, arguments[1].Text
 			return nil
 		},
-		"bound":    duration(&rule.Bound, stalenessBounds),
+		"bound":    duration(&rule.MaxStalenessMs, stalenessBounds),
 		"aim":      duration(&rule.LatencyObjectiveMs, positiveDuration),
-		"deadline": duration(&rule.Deadline, positiveDuration),
+		"deadline": duration(&rule.DeadlineMs, positiveDuration),
 		"worth":    number(&rule.PriorityWeight, priorityWeights),
 	}.Read(arguments[1:])
 	if err != nil {
@@ -197,7 +197,7 @@
 		return node.Errorf("class %q: whose queries are of it? (user ...), (database ...), (path ...) or (header ...)", r.Name)
 	case r.Path != "" && r.Path[0] != '/':
 		return node.Errorf("class %q: a path begins with /", r.Name)
-	case r.Deadline < r.LatencyObjectiveMs:
+	case r.DeadlineMs < r.LatencyObjectiveMs:
 		return node.Errorf("class %q: the deadline comes before the aim", r.Name)
 	}
 	return nil
@@ -210,7 +210,7 @@
 		return
 	}
 	defaults := ClickHouseRule{
-		Rule:               clickhouse.Rule{Deadline: c.DeadlineMs, Bound: c.MaxStalenessMs},
+		Rule:               clickhouse.Rule{DeadlineMs: c.DeadlineMs, MaxStalenessMs: c.MaxStalenessMs},
 		LatencyObjectiveMs: c.LatencyObjectiveMs,
 		PriorityWeight:     c.PriorityWeight,
 	}
@@ -223,15 +223,15 @@
 func (r *ClickHouseRule) addClasses(cfg *config.Config) {
 	read := decide.Class{
 		LatencyObjective: milliseconds(r.LatencyObjectiveMs),
-		Deadline:         milliseconds(r.Deadline),
+		Deadline:         milliseconds(r.DeadlineMs),
 		PriorityWeight:   r.PriorityWeight,
 		LateWeight:       lateWeight,
 		Read:             decide.ReadAny,
 	}
 	write := read
 	write.Idempotency = decide.NotIdempotent
-	if r.Bound > 0 {
-		read.Read, read.MaxStaleness = decide.ReadBounded, milliseconds(r.Bound)
+	if r.MaxStalenessMs > 0 {
+		read.Read, read.MaxStaleness = decide.ReadBounded, milliseconds(r.MaxStalenessMs)
 	}
 	reads, writes := clickhouse.Classes(r.Name)
 	cfg.Classes = append(cfg.Classes, reads, writes)
--- a/internal/settings/clickhouse_test.go
+++ b/internal/settings/clickhouse_test.go
@@ -39,8 +39,8 @@
 		ConnectionIdleMs:     3000,
 		ClientIdleMs:         60000,
 		HeadTimeoutMs:        10000,
-		Users:                map[string]limits.Limits{"a": {Queries: 2, Queue: 3, Wait: 1000, PerSecond: 5, Burst: 9}},
-		DefaultLimits:        limits.Limits{Queries: 4, Wait: 5000},
+		Users:                map[string]limits.Limits{"a": {MaxRunning: 2, MaxQueued: 3, MaxWaitMs: 1000, PerSecond: 5, Burst: 9}},
+		DefaultLimits:        limits.Limits{MaxRunning: 4, MaxWaitMs: 5000},
 	}
 	if diff := cmp.Diff(want, settings.ClickHouse); diff != "" {
 		t.Error(diff)
