--- a/internal/eventloop/accept_test.go
+++ b/internal/eventloop/accept_test.go
@@ -89,8 +89,10 @@
 // TestAcceptSurvivesTemporaryErrors: the same holds if the machine lacks files, buffers or memory, and for errors of connections that were
 // closed before they are accepted.
 func TestAcceptSurvivesTemporaryErrors(t *testing.T) {
-	for _, failure := range []error{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, errors.New("any other"), unix.ECONNABORTED, unix.EPROTO, unix.EPERM,
-		unix.EINTR, unix.ENETDOWN, unix.EHOSTUNREACH} {
+	for _, failure := range []error{
+		unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, errors.New("any other"), unix.ECONNABORTED, unix.EPROTO, unix.EPERM,
+		unix.EINTR, unix.ENETDOWN, unix.EHOSTUNREACH,
+	} {
 		t.Run(failure.Error(), func(t *testing.T) {
 			var left atomic.Int32
 			left.Store(3)
--- a/internal/eventloop/calls_test.go
+++ b/internal/eventloop/calls_test.go
@@ -14,6 +14,9 @@
 	"golang.org/x/sys/unix"
 )
 
+// wakeupBytes is the length of reads and writes of the wake-up; no socket's has it in these tests.
+const wakeupBytes = 8
+
 // faults makes calls fail: of each call, fails attempts fail with the error, and the next one is made.
 type faults struct {
 	mu    sync.Mutex
@@ -37,7 +40,7 @@
 		if err := failing["read"]; err != nil && f.fail("read") {
 			return -1, err
 		}
-		if len(b) > 8 { // of a socket, not the wake-up's
+		if len(b) > wakeupBytes { // of a socket
 			b = cut(b)
 		}
 		return unix.Read(fd, b)
@@ -46,7 +49,7 @@
 		if err := failing["write"]; err != nil && f.fail("write") {
 			return -1, err
 		}
-		if len(b) > 8 {
+		if len(b) > wakeupBytes {
 			b = cut(b)
 		}
 		return unix.Write(fd, b)
@@ -76,156 +79,138 @@
 func (e *echo) Data(b []byte)    { _ = e.conn.Write(b) }
 func (e *echo) Closed(err error) { e.closed <- err }
 
-// TestTemporaryErrorsLoseNothing: calls that fail for a temporary reason, or that read and write little at once, lose no byte, no connection and no
-// posted function.
+// runCalls runs a loop with these system calls until the test ends. Its connections echo, and report their ends to closed.
+func runCalls(t *testing.T, change func(calls *systemCalls)) (l *Loop, closed chan error) {
+	t.Helper()
+	closed = make(chan error, 9)
+	l = New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return &echo{closed: closed} }, func() {})
+	change(&l.calls)
+	ready, ended := make(chan bool), make(chan error, 1)
+	l.Ready = func() { close(ready) }
+	go func() { ended <- l.Run("127.0.0.1:0") }()
+	<-ready
+	t.Cleanup(func() {
+		l.End()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return l, closed
+}
+
+// dialLoop connects to a loop.
+func dialLoop(t *testing.T, l *Loop) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", l.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(patience))
+	return conn
+}
+
+// expectEcho sends bytes and wants them back.
+func expectEcho(t *testing.T, conn net.Conn, sent []byte) {
+	t.Helper()
+	go func() { _, _ = conn.Write(sent) }()
+	got := make([]byte, len(sent))
+	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, sent) {
+		t.Errorf("the echo differs from what was sent: %v", err)
+	}
+}
+
+// expectPosted posts functions one after another, and wants each to run.
+func expectPosted(t *testing.T, l *Loop, count int) {
+	t.Helper()
+	for range count {
+		ran := make(chan bool)
+		l.Post(func() { close(ran) })
+		select {
+		case <-ran:
+		case <-time.After(patience):
+			t.Fatal("a function that was posted does not run")
+		}
+	}
+}
+
+// TestTemporaryErrorsLoseNothing: calls that fail for a temporary reason, or that read and write little at once, lose no byte, no
+// connection and no posted function.
 func TestTemporaryErrorsLoseNothing(t *testing.T) {
+	const unlimited = 1 << 20
 	for name, c := range map[string]struct {
 		failing map[string]error
 		most    int
 	}{
-		"read EINTR":       {map[string]error{"read": unix.EINTR}, 1 << 20},
-		"read EAGAIN":      {map[string]error{"read": unix.EAGAIN}, 1 << 20},
-		"read ENOMEM":      {map[string]error{"read": unix.ENOMEM}, 1 << 20},
-		"write EINTR":      {map[string]error{"write": unix.EINTR}, 1 << 20},
-		"write EAGAIN":     {map[string]error{"write": unix.EAGAIN}, 1 << 20},
-		"write ENOBUFS":    {map[string]error{"write": unix.ENOBUFS}, 1 << 20},
-		"write ENOMEM":     {map[string]error{"write": unix.ENOMEM}, 1 << 20},
-		"epoll_ctl ENOMEM": {map[string]error{"epoll_ctl": unix.ENOMEM}, 1 << 20},
-		"epoll_wait EINTR": {map[string]error{"epoll_wait": unix.EINTR}, 1 << 20},
+		"read EINTR":       {map[string]error{"read": unix.EINTR}, unlimited},
+		"read EAGAIN":      {map[string]error{"read": unix.EAGAIN}, unlimited},
+		"read ENOMEM":      {map[string]error{"read": unix.ENOMEM}, unlimited},
+		"write EINTR":      {map[string]error{"write": unix.EINTR}, unlimited},
+		"write EAGAIN":     {map[string]error{"write": unix.EAGAIN}, unlimited},
+		"write ENOBUFS":    {map[string]error{"write": unix.ENOBUFS}, unlimited},
+		"write ENOMEM":     {map[string]error{"write": unix.ENOMEM}, unlimited},
+		"epoll_ctl ENOMEM": {map[string]error{"epoll_ctl": unix.ENOMEM}, unlimited},
+		"epoll_wait EINTR": {map[string]error{"epoll_wait": unix.EINTR}, unlimited},
 		"single bytes":     {nil, 1},
 		"all of them": {map[string]error{"read": unix.EINTR, "write": unix.ENOBUFS, "epoll_ctl": unix.ENOMEM, "epoll_wait": unix.EINTR},
 			100},
 	} {
 		t.Run(name, func(t *testing.T) {
-			closed := make(chan error, 9)
-			l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return &echo{closed: closed} }, func() {})
-			l.calls = failingCalls(&faults{fails: 2, tries: map[string]int{}}, c.failing, c.most)
-			ready, ended := make(chan bool), make(chan error, 1)
-			l.Ready = func() { close(ready) }
-			go func() { ended <- l.Run("127.0.0.1:0") }()
-			<-ready
-			conn, err := net.Dial("tcp", l.Addr())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer func() { _ = conn.Close() }()
-			_ = conn.SetDeadline(time.Now().Add(patience))
-			sent := bytes.Repeat([]byte("0123456789abcdef"), 2000)
-			go func() { _, _ = conn.Write(sent) }()
-			got := make([]byte, len(sent))
-			if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, sent) {
-				t.Errorf("the echo differs from what was sent: %v", err)
-			}
-			for range 20 {
-				ran := make(chan bool)
-				l.Post(func() { close(ran) })
-				select {
-				case <-ran:
-				case <-time.After(patience):
-					t.Fatal("a function that was posted does not run")
-				}
-			}
+			l, closed := runCalls(t, func(calls *systemCalls) {
+				*calls = failingCalls(&faults{fails: 2, tries: map[string]int{}}, c.failing, c.most)
+			})
+			expectEcho(t, dialLoop(t, l), bytes.Repeat([]byte("0123456789abcdef"), 2000))
+			expectPosted(t, l, 20)
 			if len(closed) > 0 {
 				t.Errorf("the connection was closed: %v", <-closed)
 			}
-			l.End()
-			if err := <-ended; err != nil {
-				t.Error(err)
-			}
 		})
 	}
 }
 
+// exceptWakeup has a call made for the wake-up, and another for all else.
+func exceptWakeup(wakeup, other func(fd int, b []byte) (int, error)) func(fd int, b []byte) (int, error) {
+	return func(fd int, b []byte) (int, error) {
+		if len(b) == wakeupBytes {
+			return wakeup(fd, b)
+		}
+		return other(fd, b)
+	}
+}
+
 // TestPermanentErrorEndsOnlyItsConnection: an error that is not temporary ends its connection, with that error, and no other.
 func TestPermanentErrorEndsOnlyItsConnection(t *testing.T) {
 	for _, failing := range []struct {
 		call  string
 		error unix.Errno
 	}{{"read", unix.ETIMEDOUT}, {"read", unix.EHOSTUNREACH}, {"read", unix.ECONNRESET}, {"write", unix.ETIMEDOUT}, {"write", unix.EPIPE}} {
-		closed := make(chan error, 9)
-		l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return &echo{closed: closed} }, func() {})
-		f := &faults{fails: 1, tries: map[string]int{failing.call: -1}}
-		calls := failingCalls(f, map[string]error{failing.call: failing.error}, 1<<20)
-		l.calls.read = func(fd int, b []byte) (int, error) {
-			if len(b) == 8 { // the wake-up's
-				return unix.Read(fd, b)
-			}
-			return calls.read(fd, b)
-		}
-		l.calls.write = func(fd int, b []byte) (int, error) {
-			if len(b) == 8 {
-				return unix.Write(fd, b)
-			}
-			return calls.write(fd, b)
-		}
-		ready, ended := make(chan bool), make(chan error, 1)
-		l.Ready = func() { close(ready) }
-		go func() { ended <- l.Run("127.0.0.1:0") }()
-		<-ready
-		whole, err := net.Dial("tcp", l.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer func() { _ = whole.Close() }()
-		_ = whole.SetDeadline(time.Now().Add(patience))
-		one := make([]byte, 1)
-		if _, err := whole.Write(one); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.ReadFull(whole, one); err != nil { // the first read is made
-			t.Fatal(err)
-		}
-		broken, err := net.Dial("tcp", l.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer func() { _ = broken.Close() }()
-		_, _ = broken.Write(one) // the second one fails
-		select {
-		case err := <-closed:
-			if err == nil || err.Error() != failing.call+": "+failing.error.Error() {
-				t.Errorf("closed with %v", err)
+		t.Run(failing.call+" "+failing.error.Error(), func(t *testing.T) {
+			faults := &faults{fails: 1, tries: map[string]int{failing.call: -1}}
+			l, closed := runCalls(t, func(calls *systemCalls) {
+				failed := failingCalls(faults, map[string]error{failing.call: failing.error}, 1<<20)
+				calls.read = exceptWakeup(unix.Read, failed.read)
+				calls.write = exceptWakeup(unix.Write, failed.write)
+			})
+			other := dialLoop(t, l)
+			expectEcho(t, other, make([]byte, 1))        // the first call is made
+			_, _ = dialLoop(t, l).Write(make([]byte, 1)) // the second one fails
+			select {
+			case err := <-closed:
+				if err == nil || err.Error() != failing.call+": "+failing.error.Error() {
+					t.Errorf("closed with %v", err)
+				}
+			case <-time.After(patience):
+				t.Error("it is not closed")
 			}
-		case <-time.After(patience):
-			t.Error("it is not closed")
-		}
-		if _, err := whole.Write(one); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.ReadFull(whole, one); err != nil {
-			t.Errorf("another connection has ended: %v", err)
-		}
-		l.End()
-		<-ended
+			expectEcho(t, other, make([]byte, 1))
+		})
 	}
 }
 
-// discardHandler ignores the events of its connection.
-type discardHandler struct{}
-
-func (discardHandler) Opened(*Conn) {}
-func (discardHandler) Data([]byte)  {}
-func (discardHandler) Closed(error) {}
-
 // TestPostedFunctionsRunWithoutWakeup: posted functions run even if the eventfd of the poller cannot be written.
 func TestPostedFunctionsRunWithoutWakeup(t *testing.T) {
-	l := New(clock.System(), slog.New(slog.DiscardHandler), func() Handler { return discardHandler{} }, func() {})
-	l.calls.write = func(fd int, b []byte) (int, error) { return -1, unix.EIO }
-	ready, ended := make(chan bool), make(chan error, 1)
-	l.Ready = func() { close(ready) }
-	go func() { ended <- l.Run("127.0.0.1:0") }()
-	<-ready
-	for range 5 {
-		ran := make(chan bool)
-		l.Post(func() { close(ran) })
-		select {
-		case <-ran:
-		case <-time.After(patience):
-			t.Fatal("it does not run")
-		}
-	}
-	l.End()
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
+	l, _ := runCalls(t, func(calls *systemCalls) {
+		calls.write = func(int, []byte) (int, error) { return -1, unix.EIO }
+	})
+	expectPosted(t, l, 5)
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -87,7 +87,7 @@
 
 // Run listens on addr and serves until End.
 func (l *Loop) Run(addr string) error {
-	config := net.ListenConfig{KeepAlive: -1} // a client that sends nothing is not necessarily gone
+	config := net.ListenConfig{KeepAlive: -1} // a client that sends nothing may still be connected
 	listener, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
--- a/internal/eventloop/pause.go
+++ b/internal/eventloop/pause.go
@@ -9,7 +9,7 @@
 // The process may be stopped or get no processor for a while, and a callback may take long. Input that arrives meanwhile waits in the
 // sockets, and is read long after it was sent. The loop detects such a pause by its own wake-up, which then fires late: input read
 // right after a pause counts as arrived when the loop was last on time. The sum of tickMs and maxLatenessMs is below 150 ms, the
-// tolerance of the deadline that a server is told.
+// tolerance of the waiting time that a query states to its server.
 const (
 	tickMs        = 75 // the longest time until the next wake-up, so that a pause of an idle process is detected too
 	maxLatenessMs = 25 // a wake-up that fires later than that shows a pause
--- a/internal/frontend/platform/closing.go
+++ b/internal/frontend/platform/closing.go
@@ -44,7 +44,7 @@
 
 // awaitsFirstRequest reports whether the client has connected so recently that its first request is probably on its way; closing now
 // would leave that unanswered. This grace counts from the connection's startup and ends with its first request, also with one that is
-// rejected: nothing that the client sends begins it anew.
+// rejected: nothing that the client sends restarts it.
 func (session *session) awaitsFirstRequest() bool {
 	if session.hasRequested || session.postgres.stage >= EndPartial {
 		return false
--- a/internal/frontend/platform/disconnect_test.go
+++ b/internal/frontend/platform/disconnect_test.go
@@ -7,8 +7,8 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// TestHalfClosedClientGetsAllAnswers: a client that closes only its write side counts as disconnected: its requests must be abandoned at once. It must still
-// have an answer to each command.
+// TestHalfClosedClientGetsAllAnswers: a client that closes only its write side counts as disconnected: its requests must be
+// abandoned at once. It must still have an answer to each command.
 func TestHalfClosedClientGetsAllAnswers(t *testing.T) {
 	fixture := newFixture(t, 100, 1<<28)
 	client := fixture.client()
--- a/internal/frontend/platform/drain.go
+++ b/internal/frontend/platform/drain.go
@@ -7,7 +7,7 @@
 
 // This file decides how clients are disconnected, whether the process drains, stops or hands over. There is one sequence of stages,
 // each of which includes those before it. The owner of the frontend sets the stages by its clock; nothing that a client does begins
-// one anew. Every connection ends by the last of them, and each command that was read has its answer before.
+// one again. Every connection ends by the last of them, and each command that was read has its answer before.
 
 // DrainStage is how far clients are being disconnected.
 type DrainStage uint8
--- a/internal/frontend/platform/fixture_test.go
+++ b/internal/frontend/platform/fixture_test.go
@@ -43,7 +43,9 @@
 // Submit implements Dispatcher.
 func (dispatcher *scriptedDispatcher) Submit(request Request, client Client) (slotmap.Ref, error) {
 	dispatcher.number++
-	dispatcher.clients, dispatcher.ids, dispatcher.deadlines = append(dispatcher.clients, client), append(dispatcher.ids, request.ID), append(dispatcher.deadlines, request.Deadline)
+	dispatcher.clients = append(dispatcher.clients, client)
+	dispatcher.ids = append(dispatcher.ids, request.ID)
+	dispatcher.deadlines = append(dispatcher.deadlines, request.Deadline)
 	return slotmap.Ref{Index: dispatcher.number, Gen: 1}, nil
 }
 
@@ -61,7 +63,9 @@
 func newFixture(t testing.TB, clients, memory int) *frontendFixture {
 	fixture := &frontendFixture{t: t, dispatcher: &scriptedDispatcher{}}
 	ready, ended := make(chan bool), make(chan error, 1)
-	fixture.loop = eventloop.New(clock.System(), slog.New(slog.DiscardHandler), func() eventloop.Handler { return fixture.postgres.Accept() }, func() { fixture.postgres.Start() })
+	accept := func() eventloop.Handler { return fixture.postgres.Accept() }
+	start := func() { fixture.postgres.Start() }
+	fixture.loop = eventloop.New(clock.System(), slog.New(slog.DiscardHandler), accept, start)
 	fixture.loop.Ready = func() { close(ready) }
 	fixture.postgres = NewPostgres(fixture.loop, slog.New(slog.DiscardHandler), fixture.dispatcher, Budget{
 		SpareDescriptors:  func() int { return clients - fixture.postgres.Occupied() },
--- a/internal/frontend/platform/invariants.go
+++ b/internal/frontend/platform/invariants.go
@@ -32,7 +32,8 @@
 // describe returns the state of the session for a report of a broken invariant.
 func (session *session) describe(now float64) string {
 	postgres := session.postgres
-	return fmt.Sprintf("session %v in stage %v since %.0f, now %.0f: opened %.0f, started %v, %d unanswered, %d bytes unhandled, closing %v, write side closed %v",
+	return fmt.Sprintf("session %v in stage %v since %.0f, now %.0f: opened %.0f, started %v, %d unanswered, %d bytes unhandled, "+
+		"closing %v, write side closed %v",
 		session.ref, postgres.stage, postgres.stageSince, now, session.openedAt, session.started, len(session.queue), session.input.Pending(),
 		session.closing, session.writeClosed)
 }
--- a/internal/frontend/platform/unread_test.go
+++ b/internal/frontend/platform/unread_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestUnreadInputEstimatesArrivals: bytes must count as arrived at the sample before the one that saw them; further bytes that follow at once, with the
-// last that were seen.
+// TestUnreadInputEstimatesArrivals: bytes must count as arrived at the sample before the one that saw them; further bytes
+// that follow at once, with the last that were seen.
 func TestUnreadInputEstimatesArrivals(t *testing.T) {
 	unread := unreadInput{sampledAt: 100}
 	unread.sample(10, 120)
--- a/internal/frontend/pooling/connpool/pool_test.go
+++ b/internal/frontend/pooling/connpool/pool_test.go
@@ -96,79 +96,123 @@
 	}
 }
 
+// newModel draws the limits of a pool, and returns a model of it.
+func newModel(t *rapid.T) *model {
+	limits := Limits{
+		MaxConns:   rapid.IntRange(1, 5).Draw(t, "most"),
+		Reserve:    rapid.IntRange(0, 2).Draw(t, "reserve"),
+		ReserveMs:  50,
+		MaxWaiting: rapid.IntRange(0, 8).Draw(t, "queue"),
+		MaxWaitMs:  1000,
+		MaxAgeMs:   5000,
+		MaxIdleMs:  500,
+		MaxDials:   rapid.IntRange(1, 3).Draw(t, "dials"),
+		RedialMs:   20,
+	}
+	return &model{
+		t: t, pool: New(limits), limits: limits,
+		conns: map[ID]string{}, owner: map[ID]ID{}, waiting: map[ID]string{}, since: map[ID]float64{},
+		dialing: map[string]int{}, draining: map[string]bool{},
+	}
+}
+
+// pickUsed draws a used connection, and false if there is none.
+func (w *model) pickUsed() (ID, bool) {
+	ids := []ID{}
+	for i := ID(1); i <= w.last; i++ {
+		if _, ok := w.owner[i]; ok {
+			ids = append(ids, i)
+		}
+	}
+	if len(ids) == 0 {
+		return 0, false
+	}
+	return rapid.SampledFrom(ids).Draw(w.t, "which"), true
+}
+
+// step draws an event at a server, and applies what the pool does.
+func (w *model) step(server string) {
+	switch rapid.IntRange(0, 9).Draw(w.t, "what") {
+	case 0, 1, 2:
+		w.request(server)
+	case 3, 4:
+		w.dialEnds(server, true)
+	case 5:
+		w.dialEnds(server, false)
+	case 6, 7:
+		w.endUse()
+	case 8:
+		w.now += rapid.Float64Range(0, 400).Draw(w.t, "time")
+		w.apply(w.pool.Tick(w.now))
+	case 9:
+		w.draining[server] = !w.draining[server]
+		if w.draining[server] {
+			w.apply(w.pool.DrainServer(server, w.now))
+		} else {
+			w.pool.RestoreServer(server)
+		}
+	}
+}
+
+func (w *model) request(server string) {
+	w.last++
+	w.waiting[w.last] = server
+	w.since[w.last] = w.now
+	w.order = append(w.order, w.last)
+	w.apply(w.pool.Request(w.last, server, w.now))
+}
+
+// dialEnds ends a dial to a server, if there is one.
+func (w *model) dialEnds(server string, opened bool) {
+	if w.dialing[server] == 0 {
+		return
+	}
+	w.dialing[server]--
+	if !opened {
+		w.apply(w.pool.DialFailed(server, w.now))
+		return
+	}
+	w.last++
+	w.conns[w.last] = server
+	w.apply(w.pool.Opened(w.last, server, w.now))
+}
+
+// endUse releases or loses a used connection, if there is one.
+func (w *model) endUse() {
+	id, ok := w.pickUsed()
+	if !ok {
+		return
+	}
+	delete(w.owner, id)
+	if rapid.IntRange(0, 4).Draw(w.t, "lost") == 0 {
+		delete(w.conns, id)
+		w.apply(w.pool.Lost(id, w.now))
+		return
+	}
+	w.apply(w.pool.Release(id, w.now))
+}
+
+// finish releases all connections, and lets the longest wait pass.
+func (w *model) finish() {
+	for id := ID(1); id <= w.last; id++ {
+		if _, ok := w.owner[id]; ok {
+			delete(w.owner, id)
+			w.apply(w.pool.Release(id, w.now))
+		}
+	}
+	w.now += 2 * w.limits.MaxWaitMs
+	w.apply(w.pool.Tick(w.now))
+}
+
 // TestPoolAgreesWithModel: whatever happens, no connection is given to two waiters, no waiter is passed over, the limits are
 // kept, and each wait ends.
 func TestPoolAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		limits := Limits{MaxConns: rapid.IntRange(1, 5).Draw(t, "most"), Reserve: rapid.IntRange(0, 2).Draw(t, "reserve"), ReserveMs: 50, MaxWaiting: rapid.IntRange(0, 8).Draw(t, "queue"),
-			MaxWaitMs: 1000, MaxAgeMs: 5000, MaxIdleMs: 500, MaxDials: rapid.IntRange(1, 3).Draw(t, "dials"), RedialMs: 20}
-		w := &model{t: t, pool: New(limits), limits: limits, conns: map[ID]string{}, owner: map[ID]ID{}, waiting: map[ID]string{}, since: map[ID]float64{},
-			dialing: map[string]int{}, draining: map[string]bool{}}
-		servers := []string{"a", "b"}
-		pick := func(m map[ID]ID) (ID, bool) {
-			ids := []ID{}
-			for i := ID(1); i <= w.last; i++ {
-				if _, ok := m[i]; ok {
-					ids = append(ids, i)
-				}
-			}
-			if len(ids) == 0 {
-				return 0, false
-			}
-			return rapid.SampledFrom(ids).Draw(t, "which"), true
-		}
+		w := newModel(t)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			server := rapid.SampledFrom(servers).Draw(t, "server")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0, 1, 2:
-				w.last++
-				w.waiting[w.last], w.since[w.last] = server, w.now
-				w.order = append(w.order, w.last)
-				w.apply(w.pool.Request(w.last, server, w.now))
-			case 3, 4:
-				if w.dialing[server] > 0 {
-					w.dialing[server]--
-					w.last++
-					w.conns[w.last] = server
-					w.apply(w.pool.Opened(w.last, server, w.now))
-				}
-			case 5:
-				if w.dialing[server] > 0 {
-					w.dialing[server]--
-					w.apply(w.pool.DialFailed(server, w.now))
-				}
-			case 6, 7:
-				if c, ok := pick(w.owner); ok {
-					delete(w.owner, c)
-					if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
-						delete(w.conns, c)
-						w.apply(w.pool.Lost(c, w.now))
-					} else {
-						w.apply(w.pool.Release(c, w.now))
-					}
-				}
-			case 8:
-				w.now += rapid.Float64Range(0, 400).Draw(t, "time")
-				w.apply(w.pool.Tick(w.now))
-			case 9:
-				if w.draining[server] {
-					w.draining[server] = false
-					w.pool.RestoreServer(server)
-				} else {
-					w.draining[server] = true
-					w.apply(w.pool.DrainServer(server, w.now))
-				}
-			}
+			w.step(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server"))
 		}
-		// At the end all connections are released, and all waits end.
-		for c := ID(1); c <= w.last; c++ {
-			if _, ok := w.owner[c]; ok {
-				delete(w.owner, c)
-				w.apply(w.pool.Release(c, w.now))
-			}
-		}
-		w.now += 2000
-		w.apply(w.pool.Tick(w.now))
+		w.finish()
 		if len(w.order) > 0 {
 			t.Fatalf("%v wait forever", w.order)
 		}
--- a/internal/frontend/pooling/sessionstate/client.go
+++ b/internal/frontend/pooling/sessionstate/client.go
@@ -66,6 +66,7 @@
 // ErrTooMany reports that a client would exceed one of its bounds; it names what there are too many of.
 type ErrTooMany string
 
+// Error implements error.
 func (e ErrTooMany) Error() string { return "too many " + string(e) }
 
 // Prepare adds a statement under a client's name. exists is true if another statement has that name already; only the empty name can
--- a/internal/frontend/pooling/sessionstate/sync.go
+++ b/internal/frontend/pooling/sessionstate/sync.go
@@ -63,7 +63,8 @@
 	return "RESET " + quoteName(name)
 }
 
-// compareSettings orders settings: the session's authorization comes before what it permits, and the role, which it resets, after all.
+// compareSettings orders settings: the session's authorization comes first, because others may need it, and the role last, because setting
+// the authorization resets it.
 func compareSettings(a, b string) int {
 	return cmp.Or(cmp.Compare(settingRank(a), settingRank(b)), strings.Compare(a, b))
 }
--- a/internal/protocol/httpwire/httpwire_test.go
+++ b/internal/protocol/httpwire/httpwire_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestParseHeadsStrictly: what is read of a head, and what is refused.
+// TestParseHeadsStrictly: valid heads must be read completely, and doubtful ones rejected.
 func TestParseHeadsStrictly(t *testing.T) {
 	for in, want := range map[string]any{
 		"GET /?query=1 HTTP/1.1\r\nHost: h\r\n\r\n": Head{Method: "GET", Target: "/?query=1", Minor: 1, Headers: []Header{{"Host", "h"}}, Length: -1},
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestBodyEndsWhereFramingSays: where bodies end, in pieces of any size, with what follows left alone.
+// TestBodyEndsWhereFramingSays: a body must end where its framing states, in pieces of any size, and what follows must not be consumed.
 func TestBodyEndsWhereFramingSays(t *testing.T) {
 	for name, c := range map[string]struct {
 		head, body, data string
@@ -104,10 +104,15 @@
 	}
 }
 
-// FuzzRequest holds the reading against net/http's: what is taken here, that takes too, and sees the same message in it.
+// FuzzRequest compares with net/http: what is accepted here must be accepted there, as the same message.
 func FuzzRequest(f *testing.F) {
-	for _, s := range []string{"GET / HTTP/1.1\r\nHost: h\r\n\r\n", "POST /?a=b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET", "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
-		"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1;a=b\r\nx\r\n0\r\nT: u\r\n\r\nmore", "GET / HTTP/1.0\r\n\r\n"} {
+	for _, s := range []string{
+		"GET / HTTP/1.1\r\nHost: h\r\n\r\n",
+		"POST /?a=b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET",
+		"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+		"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1;a=b\r\nx\r\n0\r\nT: u\r\n\r\nmore",
+		"GET / HTTP/1.0\r\n\r\n",
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -122,10 +127,11 @@
 		}
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
 		if err != nil {
-			if strings.Contains(h.Target, "%") || !strings.HasPrefix(h.Target, "/") || strings.Contains(err.Error(), "Host") || strings.Contains(err.Error(), "malformed") {
-				return // it reads targets and hosts more closely; the front reads the target by itself
+			unusualTarget := strings.Contains(h.Target, "%") || !strings.HasPrefix(h.Target, "/")
+			if unusualTarget || strings.Contains(err.Error(), "Host") || strings.Contains(err.Error(), "malformed") {
+				return // net/http checks targets and hosts more closely; the frontend checks the target itself
 			}
-			t.Fatalf("taken here, and there: %v\n%q", err, in)
+			t.Fatalf("accepted here, and there: %v\n%q", err, in)
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Equal(body, got) || r.Method != h.Method {
--- a/internal/protocol/pgwire/answer_test.go
+++ b/internal/protocol/pgwire/answer_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestAnswerReaderAcceptsOnlyValidAnswers guards against passing on, or learning from, what only looks like an answer: noise, messages out of their
-// order, lengths that do not fit. What cannot become good must be known by its first bytes, as the rest may never come.
+// TestAnswerReaderAcceptsOnlyValidAnswers: noise, messages out of order and wrong lengths must not be accepted as an answer. What cannot
+// become valid must be rejected by its first bytes, as the rest may never arrive.
 func TestAnswerReaderAcceptsOnlyValidAnswers(t *testing.T) {
 	row, done := string(AppendRow(nil, "content", []byte("v"))), string(AppendComplete(nil, "SELECT 1"))
 	desc, data := row[:len(row)-12], row[len(row)-12:]
--- a/internal/protocol/pgwire/fuzz_test.go
+++ b/internal/protocol/pgwire/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzClient guards against bytes of a client that crash the reading of its startup or of its messages, or that come out
-// as names which do not go back into the same message.
+// FuzzClient: no bytes of a client may crash the reader of its startup or of its messages, and the names read from Parse and Bind must
+// build the same message again.
 func FuzzClient(f *testing.F) {
 	start := AppendStartup(nil, "u", "d")
 	f.Add(start)
@@ -37,14 +37,14 @@
 	})
 }
 
-// FuzzAnswerInParts: an answer whose row comes in parts is the same answer, byte for byte, and as good or as bad, however it is cut.
+// FuzzAnswerInParts: an answer whose row is returned in parts must be the same, byte for byte, and as valid, however it is cut.
 func FuzzAnswerInParts(f *testing.F) {
 	good := AppendReady(AppendParameter(AppendComplete(AppendRow(nil, "content", make([]byte, 300)), "SELECT 1"), "role", "replica"))
 	f.Add(good, uint8(7))
 	f.Add(good[:100], uint8(1))
 	f.Add(append(AppendRow(nil, "content", make([]byte, 200)), "E\x00\x00\x00\x0bCXX000\x00\x00Z\x00\x00\x00\x05I"...), uint8(50))
 	f.Add(AppendReady(AppendRow(nil, "content", nil)), uint8(3))
-	read := func(b []byte, piece int, over int) (raw string, served, bad bool) {
+	read := func(b []byte, piece int, over int) (raw string, served, invalid bool) {
 		r, a := NewReader(MaxMessage), ExpectAnswer()
 		r.Stream(over)
 		for {
@@ -67,10 +67,10 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, b []byte, piece uint8) {
-		raw, served, bad := read(b, len(b)+1, 0)
-		raw2, served2, bad2 := read(b, int(piece)+1, 64)
-		if served != served2 || bad != bad2 || served && raw != raw2 || len(raw2) < len(raw) && !bad {
-			t.Fatalf("whole: %v, %v, %q; in parts: %v, %v, %q", served, bad, raw, served2, bad2, raw2)
+		raw, served, invalid := read(b, len(b)+1, 0)
+		raw2, served2, invalid2 := read(b, int(piece)+1, 64)
+		if served != served2 || invalid != invalid2 || served && raw != raw2 || len(raw2) < len(raw) && !invalid {
+			t.Fatalf("whole: %v, %v, %q; in parts: %v, %v, %q", served, invalid, raw, served2, invalid2, raw2)
 		}
 	})
 }
--- a/internal/protocol/pgwire/pgwire_test.go
+++ b/internal/protocol/pgwire/pgwire_test.go
@@ -12,6 +12,7 @@
 
 const read = "SELECT content FROM kv WHERE name = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */"
 
+// TestParseStatement: a statement must give its request, and the query to a server with another wait, or an error.
 func TestParseStatement(t *testing.T) {
 	for name, c := range map[string]struct {
 		sql  string
@@ -61,7 +62,7 @@
 	}
 }
 
-// TestReaderAcceptsAnyPieces guards against taking a message for whole, or losing one, by how the bytes happen to come in.
+// TestReaderAcceptsAnyPieces: the messages must be the same, in whatever pieces their bytes arrive.
 func TestReaderAcceptsAnyPieces(t *testing.T) {
 	ssl := []byte{0, 0, 0, 8, 4, 210, 22, 47}
 	stream := append(ssl, AppendStartup(nil, "u", "d")...)
@@ -99,6 +100,7 @@
 	}
 }
 
+// TestReaderRejectsLengthsOutOfBounds: messages with invalid lengths, and startups of other versions, must be rejected at once.
 func TestReaderRejectsLengthsOutOfBounds(t *testing.T) {
 	for name, b := range map[string][]byte{
 		"message longer than the bound": {'Q', 0, 0, 8, 0},
@@ -123,6 +125,7 @@
 	}
 }
 
+// TestBodiesAreReadStrictly: bodies that are cut off, or have other columns, must not be read as valid.
 func TestBodiesAreReadStrictly(t *testing.T) {
 	e := AppendError(nil, "ERROR", "53300", "full", "250")
 	if got := ErrorCode(e[5:]); got != "53300" {
--- a/internal/protocol/simulator/simulator_test.go
+++ b/internal/protocol/simulator/simulator_test.go
@@ -12,6 +12,7 @@
 	"beechgrade/internal/decide"
 )
 
+// exampleBatch has a line of each kind, and unknown lines and fields.
 const exampleBatch = "SYNC\twall_ns=1000000000\n" +
 	"PROVISION\tfront=3\tprng=17446744073709551615\tallowed.may_cancel=true\tfamily_info.class_read=lag_bound,mutate\t" +
 	"family_info.position_zero_ns=500\tfamily_info.staleness_bound_ns=300,0\tfamily_info.when_behind=await\t" +
@@ -32,6 +33,7 @@
 	"ECHO\tfront=3\tstore=h:1\tdisposition=econnrefused\twait_time_ns=3\n" +
 	"EXPIRED\tfront=3\trequest_id=ab\nTIMEOUT_FIRED\tfront=3\ttag=-77\nNOVEL\tfront=3\tx\nCRASH_NOW\tfront=3\nCOMMIT\n"
 
+// TestDecodeBatch: each line must become its event, and what is unknown must be skipped.
 func TestDecodeBatch(t *testing.T) {
 	d := NewDecoder(strings.NewReader("\n" + exampleBatch))
 	b, err := d.Next()
@@ -81,11 +83,12 @@
 	}
 }
 
+// TestResultsAreDecoded: each result must be mapped, and an unknown one to an error that may have run.
 func TestResultsAreDecoded(t *testing.T) {
 	for word, want := range map[string]decide.Result{
 		"done": decide.OK, "err": decide.Failed, "busy": decide.Overloaded, "etimedout": decide.TimedOut,
 		"econnrefused": decide.Unreachable, "econnreset": decide.Reset, "ecanceled": decide.Cancelled,
-		"skipped": decide.NotSent, "enoent": decide.Misdirected, "unheard of": decide.Failed,
+		"skipped": decide.NotSent, "enoent": decide.Misdirected, "unknown": decide.Failed,
 	} {
 		if got := decodeResult([]byte(word)); got != want {
 			t.Errorf("%s: %d, want %d", word, got, want)
@@ -93,6 +96,7 @@
 	}
 }
 
+// TestMalformedInputIsRejected: the error must name the line and what is wrong.
 func TestMalformedInputIsRejected(t *testing.T) {
 	for in, want := range map[string]string{
 		"READY\n":                                  "line 1: want SYNC",
@@ -119,6 +123,7 @@
 	}
 }
 
+// TestLineBeyondBufferIsDecoded: a line that is longer than the buffer must be read completely.
 func TestLineBeyondBufferIsDecoded(t *testing.T) {
 	long := strings.Repeat("k", 3<<20)
 	b, err := NewDecoder(strings.NewReader("SYNC\twall_ns=1\nASK\tfront=1\trequest_id=" + long + "\nCOMMIT\n")).Next()
@@ -127,6 +132,7 @@
 	}
 }
 
+// TestEncodeActions: each action must become its line, and an unknown one none.
 func TestEncodeActions(t *testing.T) {
 	var r Reply
 	for _, a := range []decide.Action{
@@ -152,7 +158,7 @@
 	}
 }
 
-// FuzzDecode demands that any input ends in batches or a plain error, never a panic.
+// FuzzDecode: any input must end in batches or an error that names its line, never a panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(exampleBatch)
 	f.Add("SYNC\twall_ns=1\nCOMMIT\n")
--- a/internal/protocol/sqltext/sqltext_test.go
+++ b/internal/protocol/sqltext/sqltext_test.go
@@ -9,7 +9,7 @@
 
 var ignorePlaces = cmpopts.IgnoreFields(Statement{}, "From", "To")
 
-// TestSplitClassifiesStatements guards against a statement that is taken for less than it does: a write for a read, a setting that is missed.
+// TestSplitClassifiesStatements: a statement must not be classified as doing less than it does, such as a write as a read.
 func TestSplitClassifiesStatements(t *testing.T) {
 	for sql, want := range map[string][]Statement{
 		"":                                       {{Kind: Empty}},
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestSetConfigReadsLiteralsOnly guards against a call that is carried with another value than it set.
+// TestSetConfigReadsLiteralsOnly: a call must be read with exactly the value that it sets, or not at all.
 func TestSetConfigReadsLiteralsOnly(t *testing.T) {
 	for sql, want := range map[string]Statement{
 		"SELECT set_config('Search_Path', 'it''s', false)": {Kind: Set, Name: "search_path", Value: "'it''s'"},
