--- a/internal/cluster/outlier/bytes_test.go
+++ b/internal/cluster/outlier/bytes_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// TestBytes: a message's bytes are what poolers of other versions read.
+// TestBytes: the bytes of a message stay what poolers of other versions read.
 func TestBytes(t *testing.T) {
 	want := []string{
 		"010000012c80a094a58d1d8000000019025a5046001e0f000000020000",
--- a/internal/cluster/outlier/detector_test.go
+++ b/internal/cluster/outlier/detector_test.go
@@ -13,9 +13,9 @@
 	return out
 }
 
-// TestDeaf: a server takes requests and answers none, while its probes pass. All avoid it soon after the evidence suffices, within the stated
-// time of one another; one that answers again is back soon.
-func TestDeaf(t *testing.T) {
+// TestUnresponsiveServerIsEjectedByAll: a server takes requests and answers none, while its health checks succeed. All poolers eject it
+// within SpreadBound of when the evidence suffices, and restore it once it answers.
+func TestUnresponsiveServerIsEjectedByAll(t *testing.T) {
 	f := newFleet(t, zones("a", 8)...)
 	f.advance(2000, 400)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestTesters: one in four poolers goes on trying a server that is bad by word, two at least and Testers at most; and it is not always the same.
-func TestTesters(t *testing.T) {
+// TestTesterCountSendsToEjectedServer: one in four poolers, at least two and at most MaxTesters, still sends to an ejected server, and
+// not always the same ones.
+func TestTesterCountSendsToEjectedServer(t *testing.T) {
 	set := Defaults()
 	for poolers, want := range map[int]int{2: 2, 8: 2, 11: 2, 12: 3, 30: 7, 32: 8, 300: 8} {
 		if n := set.TesterCount(poolers); n != want {
@@ -82,8 +83,8 @@
 	}
 }
 
-// TestLapses: without new evidence a verdict ends.
-func TestLapses(t *testing.T) {
+// TestEjectionEndsWithoutNewEvidence: an ejection ends EjectionTime after the last evidence.
+func TestEjectionEndsWithoutNewEvidence(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 	f.advance(2000, 300)
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestZoneCut: a server cannot be reached from one zone. That zone goes elsewhere, the other goes on.
-func TestZoneCut(t *testing.T) {
+// TestServerUnreachableFromOneZone: a server that cannot be reached from one zone is ejected there, and used in the other zone.
+func TestServerUnreachableFromOneZone(t *testing.T) {
 	f := newFleet(t, "a", "a", "a", "b", "b", "b")
 	f.advance(1000, 300)
 	f.answers = func(p *pooler, s string) bool { return p.zone == "b" || s != "s1" }
@@ -108,8 +109,9 @@
 	}
 }
 
-// TestOwnLinks: one reaches no server. Nobody is led by that; it can tell that it is itself.
-func TestOwnLinks(t *testing.T) {
+// TestPoolerWithoutLinksEjectsForNobodyElse: a pooler that reaches no server ejects none for others, and can tell that its own links
+// fail.
+func TestPoolerWithoutLinksEjectsForNobodyElse(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.advance(1000, 300)
 	f.answers = func(p *pooler, _ string) bool { return p.id != 2 }
@@ -126,9 +128,9 @@
 	}
 }
 
-// TestLiar: one says that all servers are silent, that a replica leads, and positions from the time to come, as an observer and as a
-// collector. Nobody heeds it; what it says counts for nothing for a while.
-func TestLiar(t *testing.T) {
+// TestByzantinePoolerIsOutvoted: a pooler that reports, as observer and collector, that all servers are unresponsive, that a replica is
+// primary, and positions from the future changes nothing for the others.
+func TestByzantinePoolerIsOutvoted(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
 	f.advance(1000, 300)
 	liar := f.poolers[0]
@@ -162,8 +164,9 @@
 	}
 }
 
-// TestSoleAnswer: one says again and again that a deaf server answers it. The others are not kept from avoiding it for long.
-func TestSoleAnswer(t *testing.T) {
+// TestFalseAnswersDelayEjectionBriefly: a pooler that keeps reporting answers of an unresponsive server is distrusted, and the others
+// eject the server soon.
+func TestFalseAnswersDelayEjectionBriefly(t *testing.T) {
 	f := newFleet(t, zones("a", 7)...)
 	f.advance(1000, 300)
 	f.answers = func(p *pooler, s string) bool { return p.id == 1 || s != "s1" }
@@ -176,8 +179,9 @@
 	}
 }
 
-// TestPartition: while poolers are parted a server falls silent for one side alone. After the heal all come to what is so, without a flood.
-func TestPartition(t *testing.T) {
+// TestPartitionedSidesConvergeAfterHealing: during a partition a server is unresponsive for one side alone. After it all poolers agree,
+// without a flood of messages.
+func TestPartitionedSidesConvergeAfterHealing(t *testing.T) {
 	f := newFleet(t, zones("a", 8)...)
 	f.advance(1000, 300)
 	side := func(p *pooler) bool { return p.id <= 4 }
@@ -202,9 +206,9 @@
 	}
 }
 
-// TestPartitionNews: while poolers are parted a server is found deaf on one side, and the other has no work for it. After the heal all avoid it within
-// the stated time: the sound words of the other side are old by then.
-func TestPartitionNews(t *testing.T) {
+// TestEjectionSpreadsAfterPartition: during a partition one side ejects a server, and the other has no requests for it. After it all
+// poolers eject the server within CatchUpBound.
+func TestEjectionSpreadsAfterPartition(t *testing.T) {
 	f := newFleet(t, zones("a", 8)...)
 	f.advance(1000, 300)
 	side := func(p *pooler) bool { return p.id <= 4 }
@@ -220,8 +224,9 @@
 	}
 }
 
-// TestRestart: a server begins again under its name: what was said of its old process counts for nothing, even if it comes later.
-func TestRestart(t *testing.T) {
+// TestEvidenceOfOldServerProcessIsIgnored: evidence about a server's old process does not count for its new one, even if it arrives
+// later.
+func TestEvidenceOfOldServerProcessIsIgnored(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 	f.advance(2000, 300)
@@ -244,8 +249,9 @@
 	}
 }
 
-// TestTakeover: one pooler sees first that another server leads. All know within two ways and a probe, and as of when it said so.
-func TestTakeover(t *testing.T) {
+// TestNewPrimaryIsLearnedByAll: one pooler observes a new primary first. All learn it within two transit times and a health check, as of
+// when the server reported it.
+func TestNewPrimaryIsLearnedByAll(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
 	f.advance(2000, 300)
 	f.leads = map[string]bool{"s2": true, "s4": true}
@@ -260,8 +266,8 @@
 	}
 }
 
-// TestPositionsAge: positions count from when servers told them, wherever they were heard, and old ones are not told.
-func TestPositionsAge(t *testing.T) {
+// TestPositionsCountFromServerReport: positions count from when servers reported them, wherever they arrive, and stale ones are not sent.
+func TestPositionsCountFromServerReport(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.poolers[0].deaf = true
 	f.advance(2000, 300)
@@ -278,8 +284,8 @@
 	}
 }
 
-// TestWakes: one stands still for 5 s with requests out. What it tells then leads nobody, and it forgets what it heard before.
-func TestWakes(t *testing.T) {
+// TestPausedPoolerDropsOpenAttempts: a pooler that was paused for 5 s with open attempts misleads nobody, and drops old assessments.
+func TestPausedPoolerDropsOpenAttempts(t *testing.T) {
 	f := newFleet(t, zones("a", 4)...)
 	f.advance(1000, 300)
 	a, b := f.poolers[0], f.poolers[1]
@@ -297,9 +303,9 @@
 	}
 }
 
-// TestWakesToNews: one avoids a server by others' word and stands still for 5 s. Meanwhile that server answers again, and another falls silent. Within
-// the stated time it heeds what the others heed: not what it heard before.
-func TestWakesToNews(t *testing.T) {
+// TestPausedPoolerCatchesUp: a pooler that ejects a server is paused for 5 s, while that server recovers and another becomes
+// unresponsive. It applies what the others apply within CatchUpBound.
+func TestPausedPoolerCatchesUp(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
 	bad := "s1"
 	f.answers = func(_ *pooler, s string) bool { return s != bad }
@@ -318,9 +324,9 @@
 	}
 }
 
-// TestSeedsDeaf: all begin anew but one that had no answer of a deaf server. Its evidence counts: all avoid that server within the stated time of the
-// first request that another sends there. Where that one begins anew too, it takes them as long as it did at first.
-func TestSeedsDeaf(t *testing.T) {
+// TestEvidenceSurvivesRestartOfOthers: all poolers restart except one that has evidence against an unresponsive server. Its evidence
+// counts: all eject the server within the stated time of the first request of another pooler.
+func TestEvidenceSurvivesRestartOfOthers(t *testing.T) {
 	took := func(seeded bool) float64 {
 		f := newFleet(t, zones("a", 6)...)
 		f.advance(1000, 300)
@@ -365,8 +371,9 @@
 	}
 }
 
-// TestSeeds: all begin anew but one. Who leads is known to all by it, and a server that is deaf is found by two of them, not by all.
-func TestSeeds(t *testing.T) {
+// TestStateSurvivesRestartOfOthers: all poolers restart except one. All learn the primary from it, and two observers suffice for an
+// unresponsive server.
+func TestStateSurvivesRestartOfOthers(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
 	f.advance(2000, 300)
 	for _, p := range f.poolers[1:] {
@@ -392,8 +399,9 @@
 	}
 }
 
-// TestGroupLooksBad: all members of a group are silent. Words take no more than they may, and never the last.
-func TestGroupLooksBad(t *testing.T) {
+// TestNeverEjectsMoreThanMaxEjected: where all members of a group are unresponsive, shared evidence ejects no more than MaxEjected, and
+// never the last one.
+func TestNeverEjectsMoreThanMaxEjected(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
 	f.answers = func(_ *pooler, s string) bool { return s >= "s4" }
 	f.advance(6000, 300)
@@ -409,8 +417,9 @@
 	}
 }
 
-// TestGroupShrinks: words take two of a group of four. The list drops one of the others: words take one of three from then on.
-func TestGroupShrinks(t *testing.T) {
+// TestEjectionsShrinkWithTheGroup: two of a group of four are ejected. When the list drops one of the others, only one of three stays
+// ejected.
+func TestEjectionsShrinkWithTheGroup(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" && s != "s2" }
 	f.advance(3000, 300)
@@ -424,8 +433,8 @@
 	}
 }
 
-// TestAlone: one that hears nobody goes by what it heard for no longer than is stated.
-func TestAlone(t *testing.T) {
+// TestIsolatedPoolerForgetsAssessments: a pooler that receives nothing applies what it received for IsolationBound at most.
+func TestIsolatedPoolerForgetsAssessments(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 	f.advance(2000, 300)
--- a/internal/cluster/outlier/merge_test.go
+++ b/internal/cluster/outlier/merge_test.go
@@ -39,8 +39,8 @@
 	return x
 }
 
-// TestAnyOrder: the same evidence, in any order and any number of times, ends in the same judgement.
-func TestAnyOrder(t *testing.T) {
+// TestAssessmentIsIndependentOfOrder: the same evidence, in any order and any number of times, leads to the same assessment.
+func TestAssessmentIsIndependentOfOrder(t *testing.T) {
 	bad, vouched := 0, 0
 	deterministic.Check(t, func(t *rapid.T) {
 		type told struct {
@@ -85,8 +85,9 @@
 	}
 }
 
-// TestForm: what is written is read as it was, to the grain; a position never as a newer one. What is not of the form is an error.
-func TestForm(t *testing.T) {
+// TestMessagesRoundTrip: messages decode as they were encoded, up to rounding; a position never as a newer one. Malformed messages are
+// errors.
+func TestMessagesRoundTrip(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		detector := collector(t, 3)
 		tell := &Observations{Sequence: rapid.Uint32().Draw(t, "seq"), Items: []Observation{drawItem(t, detector), drawItem(t, detector)}}
@@ -118,8 +119,8 @@
 	}
 }
 
-// TestInvariantsFail: each statement is seen to fail where the state is broken.
-func TestInvariantsFail(t *testing.T) {
+// TestInvariantsDetectBrokenState: each invariant fails for a state that was broken.
+func TestInvariantsDetectBrokenState(t *testing.T) {
 	for name, spoil := range map[string]func(detector *Detector, server *serverState){
 		"outlier: servers are filed":      func(detector *Detector, server *serverState) { detector.byName["z"] = server },
 		"outlier: a server is filed once": func(detector *Detector, server *serverState) { detector.byKey[server.key] = &serverState{} },
@@ -153,8 +154,8 @@
 	}
 }
 
-// TestSize: what is told lies within what is stated, and no message is too long.
-func TestSize(t *testing.T) {
+// TestMessageSizesAreBounded: messages stay within the stated sizes, and none is longer than a datagram.
+func TestMessageSizesAreBounded(t *testing.T) {
 	item := Observation{Key: 1 << 31, Answered: 1e6, Unanswered: 200, FirstUnanswered: 1e6, LastUnanswered: 1e6, Work: 1e6, Report: ServerReport{RolePrimary, 1.7e12}, ReportAge: 1e6}
 	sum := Assessment{Key: 1 << 31, Unhealthy: true, Zones: []uint32{1}, FirstUnanswered: 1e6, LastUnanswered: 1e6, Observers: []ID{1, 2}, Answered: 1e6, Report: ServerReport{RolePrimary, 1.7e12}, ReportAge: 1e6}
 	one, two := len((&Observations{Items: []Observation{item, item}}).Append(nil))-len((&Observations{Items: []Observation{item}}).Append(nil)),
