--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -80,7 +80,7 @@
 		}
 	case settings.ResourceShards:
 		if l.pooler.scatter != nil {
-			l.pooler.scatter.Tell(int(amount + 1e-9))
+			l.pooler.scatter.AssignLimit(int(amount + 1e-9))
 		}
 	}
 }
@@ -107,7 +107,7 @@
 		}
 	case settings.ResourceShards:
 		if l.pooler.scatter != nil {
-			l.pooler.scatter.Untell()
+			l.pooler.scatter.RestoreLimits()
 		}
 	}
 }
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -62,7 +62,7 @@
 	pooling         *pooling.Frontend
 	poolingAddr     string
 	stopPooling     func()
-	scatter         *scatter.Front
+	scatter         *scatter.Frontend
 	clickhouse      *clickhouse.Frontend
 	clickhouseAddr  string
 	clickhouseGroup int // the group of servers that speak ClickHouse's protocol
--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -81,7 +81,7 @@
 type frontends struct {
 	*backend.Pool
 	pooled            *pooling.Frontend
-	scatter           *scatter.Front // only where pooling is on
+	scatter           *scatter.Frontend // only where pooling is on
 	clickhouse        *clickhouse.Frontend
 	clickhouseServers map[string]bool // by ID
 	group             int             // whose servers speak ClickHouse's protocol
@@ -114,7 +114,7 @@
 		s.pooled.DrainServer(id)
 	}
 	if s.scatter != nil {
-		s.scatter.Bar(id)
+		s.scatter.DrainServer(id)
 	}
 	if s.clickhouse != nil {
 		s.clickhouse.CloseIdle(id)
@@ -164,8 +164,8 @@
 		return s.clickhouse.StartAttempt(id, q, until, t)
 	case s.pooled != nil && pooling.IsTransaction(q):
 		return s.pooled.StartAttempt(id, q, until, t)
-	case s.scatter != nil && scatter.Ours(q):
-		return s.scatter.Try(id, q, until, t)
+	case s.scatter != nil && scatter.IsShardRead(q):
+		return s.scatter.StartAttempt(id, q, until, t)
 	}
 	return s.Pool.Start(id, q, until, on, t)
 }
@@ -184,7 +184,7 @@
 		s.clickhouse.Cancel(ref)
 	case s.pooled != nil && pooling.IsAttemptRef(ref):
 		s.pooled.Cancel(ref)
-	case s.scatter != nil && scatter.OursRef(ref):
+	case s.scatter != nil && scatter.IsAttemptRef(ref):
 		s.scatter.Cancel(ref)
 	default:
 		s.Pool.Cancel(ref)
--- a/cmd/beechgrade/scatter.go
+++ b/cmd/beechgrade/scatter.go
@@ -17,12 +17,12 @@
 		return badInput{err}
 	}
 	p.scatter = scatter.New(p.loop, p.log, scatter.Options{
-		Specs:        o.Specs,
-		Ring:         cursor.NewRing(o.RotateMs, o.MaxCursorAgeMs, secrets...),
-		ConnectMs:    p.cfg.ConnectTimeoutMs,
-		Roles:        serverRoles,
-		PositionName: positionParameter,
-		Spare:        p.spareConns,
+		Specs:            o.Specs,
+		Ring:             cursor.NewRing(o.RotateMs, o.MaxCursorAgeMs, secrets...),
+		ConnectTimeoutMs: p.cfg.ConnectTimeoutMs,
+		RoleNames:        serverRoles,
+		PositionName:     positionParameter,
+		SpareDescriptors: p.spareConns,
 	}, p.core, p.core)
 	return nil
 }
@@ -30,6 +30,6 @@
 // writeScatterMetrics writes the metrics of reads over many groups, where they are on.
 func (p *pooler) writeScatterMetrics(s *exposition.Snapshot) {
 	if p.scatter != nil {
-		p.scatter.Figures(s)
+		p.scatter.AppendMetrics(s)
 	}
 }
--- a/cmd/beechgrade/scatter_bench_test.go
+++ b/cmd/beechgrade/scatter_bench_test.go
@@ -79,7 +79,7 @@
 						}
 						if got++; k == rows/2 {
 							ask := make(chan int, 1)
-							p.loop.Post(func() { ask <- p.scatter.Held() })
+							p.loop.Post(func() { ask <- p.scatter.HeldBytes() })
 							held = max(held, <-ask)
 						}
 					}
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -429,7 +429,7 @@
 		}
 		within(t, "nothing runs", func() bool {
 			_, running, _, _ := w.fleet.Reads()
-			return running == 0 && w.on(func() int { return w.pool.scatter.Running() + w.pool.scatter.Held() }) == 0
+			return running == 0 && w.on(func() int { return w.pool.scatter.Running() + w.pool.scatter.HeldBytes() }) == 0
 		})
 	}
 	if reads, _, _, hits := w.fleet.Reads(); hits < 20 {
@@ -461,14 +461,14 @@
 		if rest++; rest == 100 {
 			for range 30 {
 				time.Sleep(10 * time.Millisecond)
-				most = max(most, w.on(w.pool.scatter.Held))
+				most = max(most, w.on(w.pool.scatter.HeldBytes))
 			}
 		}
 	}
 	if _, err := rows.Close(); err != nil || rest != 4*n {
 		t.Errorf("%d rows: %v", rest, err)
 	}
-	bound := w.pool.scatter.Bound("visits")
+	bound := w.pool.scatter.MaxHeldBytes("visits")
 	if most == 0 || most > bound {
 		t.Errorf("%d bytes held, %d may be", most, bound)
 	}
--- a/internal/frontend/pooling/commands.go
+++ b/internal/frontend/pooling/commands.go
@@ -166,7 +166,7 @@
 		c.adminQuery(sql)
 		return nil
 	}
-	if c.frontend.options.Scatter != nil && plan.Is(sql) && c.scatterQuery(sql) {
+	if c.frontend.options.Scatter != nil && plan.MayScatter(sql) && c.scatterQuery(sql) {
 		return nil
 	}
 	effects := effectsOfText(sql)
--- a/internal/frontend/pooling/frontend.go
+++ b/internal/frontend/pooling/frontend.go
@@ -64,11 +64,11 @@
 	GraceMs      float64 // from when a server is draining, for transactions that are open there
 	Roles        [2]string
 	PositionName string
-	MaxMessage   int            // bytes, from clients
-	MaxAnswer    int            // bytes, of one message from servers
-	Spare        func() int     // descriptors left, negative if there are too many clients
-	Expire       func()         // ends leases of limits that have expired; nil for none
-	Scatter      *scatter.Front // reads over many groups, nil if there are none
+	MaxMessage   int               // bytes, from clients
+	MaxAnswer    int               // bytes, of one message from servers
+	Spare        func() int        // descriptors left, negative if there are too many clients
+	Expire       func()            // ends leases of limits that have expired; nil for none
+	Scatter      *scatter.Frontend // reads over many groups, nil if there are none
 }
 
 const (
--- a/internal/frontend/pooling/scatter.go
+++ b/internal/frontend/pooling/scatter.go
@@ -40,7 +40,7 @@
 
 // scatterQuery begins a scattered read by a simple query, and reports whether the query is one.
 func (c *client) scatterQuery(sql string) bool {
-	asked, ok, err := plan.Read(sql)
+	asked, ok, err := plan.Parse(sql)
 	if !ok {
 		return false
 	}
@@ -79,10 +79,10 @@
 
 // isScattered reports whether a statement is a scattered read.
 func isScattered(sql string) bool {
-	if !plan.Is(sql) {
+	if !plan.MayScatter(sql) {
 		return false
 	}
-	_, ok, _ := plan.Read(sql)
+	_, ok, _ := plan.Parse(sql)
 	return ok
 }
 
@@ -137,7 +137,7 @@
 		c.appendReady()
 		return
 	}
-	asked, _, err := plan.Read(read.statement.SQL)
+	asked, _, err := plan.Parse(read.statement.SQL)
 	c.scatter(asked, err, read.statement.Types, read.rest, read.describe)
 }
 
@@ -145,7 +145,7 @@
 var noTypes = []byte{0, 0}
 
 // scatter begins a page, or answers with the error that prevents it.
-func (c *client) scatter(asked plan.Asked, err error, types, params []byte, describe bool) {
+func (c *client) scatter(asked plan.Query, err error, types, params []byte, describe bool) {
 	if err == nil && (!c.atTransactionStart() || c.sessionState != pgwire.StateIdle || c.begunTransaction != nil) {
 		c.scatterFail(codeActiveTransaction, "a scattered read is a transaction of its own", "")
 		return
@@ -158,18 +158,18 @@
 	}
 }
 
-func (c *client) beginPage(asked plan.Asked, types, params []byte, describe bool) error {
+func (c *client) beginPage(asked plan.Query, types, params []byte, describe bool) error {
 	if types == nil {
 		types = noTypes
 	}
 	p := &page{client: c, describe: describe}
 	c.page = p
-	who := scatter.Who{
-		Database: c.pool.key.database,
-		User:     c.pool.key.user,
-		Settings: c.state,
-		Session:  sessionKey(c.pid),
-		After:    c.lastCommitMs,
+	who := scatter.Caller{
+		Database:      c.pool.key.database,
+		User:          c.pool.key.user,
+		Settings:      c.state,
+		Session:       sessionKey(c.pid),
+		MinPositionMs: c.lastCommitMs,
 	}
 	read, err := c.frontend.options.Scatter.Begin(asked, who, types, params, p)
 	if err != nil {
@@ -183,11 +183,11 @@
 // scatterCodes are the SQLSTATE codes of errors that prevent a scattered read.
 var scatterCodes = map[string][]error{
 	codeTooManyClients:  {scatter.ErrBusy},
-	codeUndefinedObject: {scatter.ErrSpec, core.ErrUnknownClass, core.ErrUnknownTenant},
-	codeSyntax:          {plan.ErrComment, plan.ErrMarks},
-	codeInvalidParameter: {scatter.ErrPage, scatter.ErrEncoding, cursor.ErrCut, cursor.ErrKey, cursor.ErrForged, cursor.ErrOld, cursor.ErrStatement,
+	codeUndefinedObject: {scatter.ErrUnknownScatter, core.ErrUnknownClass, core.ErrUnknownTenant},
+	codeSyntax:          {plan.ErrComment, plan.ErrPlaceholders},
+	codeInvalidParameter: {scatter.ErrPageTooLong, scatter.ErrEncoding, cursor.ErrTruncated, cursor.ErrUnknownKey, cursor.ErrForged, cursor.ErrExpired, cursor.ErrStatement,
 		cursor.ErrReader, cursor.ErrOrder, cursor.ErrShards},
-	codeLimitExceeded:    {cursor.ErrLong},
+	codeLimitExceeded:    {cursor.ErrKeyTooLong},
 	codeDatatypeMismatch: {scatter.ErrColumns, merge.ErrValue},
 }
 
@@ -228,7 +228,7 @@
 	}
 	c.page = nil
 	if p.read != nil {
-		p.read.Leave()
+		p.read.Abandon()
 	}
 }
 
@@ -237,7 +237,7 @@
 	if c.page.read == nil {
 		return
 	}
-	c.page.read.Leave()
+	c.page.read.Abandon()
 	c.scatterFail(codeCancelled, textCancelled, "")
 }
 
@@ -296,7 +296,7 @@
 		return
 	}
 	code := scatterCode(err)
-	if run.Verdict != execution.Refused {
+	if run.Verdict != execution.Rejected {
 		c.scatterFail(code, err.Error(), "")
 		return
 	}
--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -30,7 +30,7 @@
 type stage struct {
 	t        *testing.T
 	loop     *eventloop.Loop
-	f        *Front
+	f        *Frontend
 	asked    chan *statement
 	requests []*asking
 	outcomes []string
@@ -71,7 +71,7 @@
 func (g *stage) try(n int, server string) {
 	x := g.requests[n]
 	x.last = server
-	x.open = append(x.open, g.f.Try(server, x.q.Query, g.loop.Now()+10000, backend.AttemptID{Request: slotmap.Ref{Index: uint32(n)}}))
+	x.open = append(x.open, g.f.StartAttempt(server, x.q.Query, g.loop.Now()+10000, backend.AttemptID{Request: slotmap.Ref{Index: uint32(n)}}))
 }
 
 func (g *stage) Abandon(ref slotmap.Ref) { g.close(g.requests[ref.Index]) }
@@ -130,10 +130,10 @@
 		}
 	})
 	spec := Spec{Name: "visits", Class: "reports", Shards: []Shard{{"one", 0}, {"two", 1}},
-		Order: merge.Order{Columns: []merge.Column{{Name: "id", Expr: "id", Type: merge.Int}}},
-		Page:  50, MostPage: 50, Memory: 1 << 20, MostRow: 1 << 10, AtOnce: 4, WaitMs: 10000, SilentMs: 9000, Again: 1, SettleMs: 20}
+		Order:       merge.Order{Columns: []merge.Column{{Name: "id", Expr: "id", Type: merge.Int}}},
+		DefaultRows: 50, MaxRows: 50, PageBytes: 1 << 20, MaxRowBytes: 1 << 10, MaxConcurrent: 4, TimeoutMs: 10000, UnresponsiveMs: 9000, MaxRetries: 1, PositionWaitMs: 20}
 	checks := invariant.New(func(b invariant.Breach) { t.Errorf("%v", b) })
-	g.f = New(g.loop, slog.New(slog.DiscardHandler), Options{Specs: []Spec{spec}, Ring: cursor.NewRing(3600e3, 3600e3, []byte("a secret")), ConnectMs: 5000,
+	g.f = New(g.loop, slog.New(slog.DiscardHandler), Options{Specs: []Spec{spec}, Ring: cursor.NewRing(3600e3, 3600e3, []byte("a secret")), ConnectTimeoutMs: 5000,
 		PositionName: "position", Checks: checks}, g, g)
 	for _, name := range []string{"a", "b", "c"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -149,8 +149,8 @@
 		}()
 	}
 	g.do(func() {
-		a := plan.Asked{Scatter: "visits", Body: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
-		if _, err := g.f.Begin(a, Who{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}, []byte{0, 0}, nil, g); err != nil {
+		a := plan.Query{Scatter: "visits", Statement: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
+		if _, err := g.f.Begin(a, Caller{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}, []byte{0, 0}, nil, g); err != nil {
 			t.Error(err)
 		}
 	})
@@ -257,7 +257,7 @@
 	g.t.Fatalf("not seen: %s", what)
 }
 
-func (g *stage) firstRow() bool { return g.f.Held() > 0 }
+func (g *stage) firstRow() bool { return g.f.HeldBytes() > 0 }
 
 func (g *stage) want(page string, outcomes ...string) {
 	g.t.Helper()
@@ -280,9 +280,9 @@
 	})
 }
 
-// TestResetWithinTheFirstRows: a server breaks off at once behind two rows. The module, which takes the whole for the answer, would ask again from the start;
+// TestResetWithinFirstRowsIsRetriedFromThem: a server breaks off at once behind two rows. The module, which takes the whole for the answer, would ask again from the start;
 // the run asks behind the last row, and the module still hears of the reset.
-func TestResetWithinTheFirstRows(t *testing.T) {
+func TestResetWithinFirstRowsIsRetriedFromThem(t *testing.T) {
 	g := newStage(t)
 	a, c := g.both()
 	a.begins().gives(1, 2)
@@ -298,13 +298,13 @@
 	g.want("[1 2 3 4 5]", fmt.Sprint("0 ", decide.Reset))
 }
 
-// TestBreakBehindTheEnd: all rows are here and the end, and then the connection breaks: nobody is asked again, since another server would tell where *it*
+// TestResetAfterLastRowIsNotRetried: all rows are here and the end, and then the connection breaks: nobody is asked again, since another server would tell where *it*
 // stands.
-func TestBreakBehindTheEnd(t *testing.T) {
+func TestResetAfterLastRowIsNotRetried(t *testing.T) {
 	g := newStage(t)
 	a, c := g.both()
 	a.begins().gives(1, 2).ends(false)
-	g.sees("the end", func() bool { l := g.part().link; return l != nil && l.ended })
+	g.sees("the end", func() bool { l := g.part().link; return l != nil && l.completed })
 	_ = a.conn.Close()
 	g.sees("the break", func() bool { return g.part().link == nil })
 	c.begins().gives(3).ends(true)
@@ -318,9 +318,9 @@
 	return &part{}
 }
 
-// TestCopy: two servers have the same part's statement, and both answer. The rows are those of the first to begin, whichever that is; the other's rows, its end
+// TestHedgedAttemptIsCancelledOnceAnswerBegins: two servers have the same part's statement, and both answer. The rows are those of the first to begin, whichever that is; the other's rows, its end
 // and its break are nobody's.
-func TestCopy(t *testing.T) {
+func TestHedgedAttemptIsCancelledOnceAnswerBegins(t *testing.T) {
 	for _, first := range []string{"a", "b"} {
 		for how, loses := range map[string]func(*statement){
 			"rows":  func(s *statement) { s.begins().gives(1, 2, 3) },
@@ -352,8 +352,8 @@
 	}
 }
 
-// TestLateCopy: a copy of a part whose answer has begun is not sent at all.
-func TestLateCopy(t *testing.T) {
+// TestLateHedgedAttemptIsNotSent: a copy of a part whose answer has begun is not sent at all.
+func TestLateHedgedAttemptIsNotSent(t *testing.T) {
 	g := newStage(t)
 	a, c := g.both()
 	a.begins().gives(1)
--- a/internal/frontend/scatter/bindmessage/bind.go
+++ b/internal/frontend/scatter/bindmessage/bind.go
@@ -14,17 +14,17 @@
 
 // Values is what a Bind has behind its names.
 type Values struct {
-	Params  [][]byte // nil for NULL
-	forms   []uint16
-	results []byte // the forms that are wished for, as they came
+	Params        [][]byte // nil for NULL
+	formats       []uint16
+	resultFormats []byte // the forms that are wished for, as they came
 }
 
-const mostParams = 1000
+const maxParams = 1000
 
-// Read takes a Bind's rest; none, of a simple query, is one without values.
-func Read(b []byte) (x Values, err error) {
+// Parse takes a Bind's rest; none, of a simple query, is one without values.
+func Parse(b []byte) (x Values, err error) {
 	if b == nil { // a simple query's
-		return Values{results: []byte{0, 0}}, nil
+		return Values{resultFormats: []byte{0, 0}}, nil
 	}
 	bad := fmt.Errorf("%w: Bind", pgwire.ErrMalformed)
 	number := func() int {
@@ -37,14 +37,14 @@
 		return n
 	}
 	n := number()
-	if n > mostParams || len(b) < 2*n {
+	if n > maxParams || len(b) < 2*n {
 		return x, bad
 	}
 	for range n {
-		x.forms = append(x.forms, uint16(number()))
+		x.formats = append(x.formats, uint16(number()))
 	}
 	n = number()
-	if n > mostParams {
+	if n > maxParams {
 		return x, bad
 	}
 	for range n {
@@ -61,25 +61,25 @@
 		}
 		x.Params, b = append(x.Params, slices.Clone(b[:size])), b[size:]
 	}
-	if len(b) < 2 || len(b) != 2+2*int(binary.BigEndian.Uint16(b)) || len(x.forms) > 1 && len(x.forms) != len(x.Params) {
+	if len(b) < 2 || len(b) != 2+2*int(binary.BigEndian.Uint16(b)) || len(x.formats) > 1 && len(x.formats) != len(x.Params) {
 		return x, bad
 	}
-	x.results = slices.Clone(b)
+	x.resultFormats = slices.Clone(b)
 	return x, err
 }
 
-// With is the same with more values behind its own, as text.
-func (x *Values) With(vals [][]byte) []byte {
+// EncodeWith is the same with more values behind its own, as text.
+func (x *Values) EncodeWith(vals [][]byte) []byte {
 	n := len(x.Params) + len(vals)
 	dst := binary.BigEndian.AppendUint16(nil, uint16(n))
 	for i := range n {
 		form := uint16(0)
 		switch {
-		case i >= len(x.Params) || len(x.forms) == 0:
-		case len(x.forms) == 1:
-			form = x.forms[0]
+		case i >= len(x.Params) || len(x.formats) == 0:
+		case len(x.formats) == 1:
+			form = x.formats[0]
 		default:
-			form = x.forms[i]
+			form = x.formats[i]
 		}
 		dst = binary.BigEndian.AppendUint16(dst, form)
 	}
@@ -91,5 +91,5 @@
 		}
 		dst = append(binary.BigEndian.AppendUint32(dst, uint32(len(v))), v...)
 	}
-	return append(dst, x.results...)
+	return append(dst, x.resultFormats...)
 }
--- a/internal/frontend/scatter/bindmessage/bind_test.go
+++ b/internal/frontend/scatter/bindmessage/bind_test.go
@@ -32,9 +32,9 @@
 	return list(b, results)
 }
 
-// TestWith: the client's values keep their forms, however those were stated (none, one for all, one each); what is put behind them
+// TestValuesAreAppended: the client's values keep their forms, however those were stated (none, one for all, one each); what is put behind them
 // is text, NULL stays NULL, and a message that is cut or goes on is an error.
-func TestWith(t *testing.T) {
+func TestValuesAreAppended(t *testing.T) {
 	t.Parallel()
 	deterministic.Check(t, func(rt *rapid.T) {
 		value := rapid.OneOf(rapid.Just[[]byte](nil), rapid.SliceOfN(rapid.Byte(), 0, 5))
@@ -54,7 +54,7 @@
 			}
 		}
 		b := whole(stated, vals, results)
-		x, err := Read(b)
+		x, err := Parse(b)
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -62,28 +62,28 @@
 			rt.Fatal(diff)
 		}
 		all := append(append([][]byte{}, vals...), more...)
-		if diff := cmp.Diff(whole(append(each, make([]uint16, len(more))...), all, results), x.With(more)); diff != "" {
+		if diff := cmp.Diff(whole(append(each, make([]uint16, len(more))...), all, results), x.EncodeWith(more)); diff != "" {
 			rt.Fatal(diff)
 		}
-		if _, err := Read(b[:rapid.IntRange(0, len(b)-1).Draw(rt, "cut")]); err == nil {
+		if _, err := Parse(b[:rapid.IntRange(0, len(b)-1).Draw(rt, "cut")]); err == nil {
 			rt.Fatal("a part of it was read")
 		}
-		if _, err := Read(append(b, 0)); err == nil {
+		if _, err := Parse(append(b, 0)); err == nil {
 			rt.Fatal("something behind it was read over")
 		}
 	})
 }
 
-// TestBounds: many values are refused before they are kept, and a simple query has none.
-func TestBounds(t *testing.T) {
+// TestMalformedMessagesAreRejected: many values are refused before they are kept, and a simple query has none.
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	t.Parallel()
-	if _, err := Read(whole(nil, make([][]byte, mostParams), nil)); err != nil {
+	if _, err := Parse(whole(nil, make([][]byte, maxParams), nil)); err != nil {
 		t.Error(err)
 	}
-	if _, err := Read(whole(nil, make([][]byte, mostParams+1), nil)); err == nil {
+	if _, err := Parse(whole(nil, make([][]byte, maxParams+1), nil)); err == nil {
 		t.Error("one too many is taken")
 	}
-	if x, err := Read(nil); err != nil || len(x.Params) != 0 || cmp.Diff(whole(nil, nil, nil), x.With(nil)) != "" {
+	if x, err := Parse(nil); err != nil || len(x.Params) != 0 || cmp.Diff(whole(nil, nil, nil), x.EncodeWith(nil)) != "" {
 		t.Error(x, err)
 	}
 }
--- a/internal/frontend/scatter/cancel.go
+++ b/internal/frontend/scatter/cancel.go
@@ -7,36 +7,36 @@
 
 // cancel passes a cancel request to the server.
 func (l *link) cancel() {
-	f := l.f
-	if l.pid == 0 || f.cancels >= mostCancels {
+	f := l.frontend
+	if l.pid == 0 || f.openCancels >= maxCancels {
 		l.close()
 		return
 	}
 	f.Counts.Cancels++
-	f.cancels++
-	l.hits++
-	l.wasHit = true
+	f.openCancels++
+	l.openCancels++
+	l.wasCancelled = true
 	done := func() {
-		f.cancels--
-		if l.hits--; l.hits == 0 && !l.asked && !l.closed && l.part == nil {
-			l.rest()
+		f.openCancels--
+		if l.openCancels--; l.openCancels == 0 && !l.sent && !l.closed && l.part == nil {
+			l.release()
 		}
 	}
-	f.loop.Dial(f.addrs[l.key.store], f.opt.ConnectMs, &canceller{l: l, done: done}, func(error) { done() })
+	f.loop.Dial(f.addresses[l.key.server], f.options.ConnectTimeoutMs, &canceller{link: l, done: done}, func(error) { done() })
 }
 
 // canceller is the connection that carries a cancel request.
 type canceller struct {
-	l    *link
-	done func()
-	over bool
+	link   *link
+	done   func()
+	closed bool
 }
 
 // Opened is loop's.
 func (k *canceller) Opened(c *eventloop.Conn) {
-	if err := c.Write(pgwire.AppendCancel(nil, k.l.pid, k.l.secret)); err == nil {
-		f := k.l.f
-		f.loop.At(f.loop.Now()+f.opt.ConnectMs, c.Close)
+	if err := c.Write(pgwire.AppendCancel(nil, k.link.pid, k.link.secret)); err == nil {
+		f := k.link.frontend
+		f.loop.At(f.loop.Now()+f.options.ConnectTimeoutMs, c.Close)
 	}
 }
 
@@ -45,8 +45,8 @@
 
 // Closed is loop's.
 func (k *canceller) Closed(error) {
-	if !k.over {
-		k.over = true
+	if !k.closed {
+		k.closed = true
 		k.done()
 	}
 }
--- a/internal/frontend/scatter/cursor/cursor.go
+++ b/internal/frontend/scatter/cursor/cursor.go
@@ -27,28 +27,28 @@
 
 // Errors of a cursor that is not taken.
 var (
-	ErrCut       = errors.New("the cursor is not whole")
-	ErrKey       = errors.New("the cursor's key is not taken, or not any more: begin again")
-	ErrForged    = errors.New("the cursor was not given by this fleet, or was changed")
-	ErrOld       = errors.New("the cursor is too old: begin again")
-	ErrStatement = errors.New("the cursor is of another statement or of other parameters")
-	ErrReader    = errors.New("the cursor is another's: of another tenant, class, user or database")
-	ErrOrder     = errors.New("the cursor is of another order")
-	ErrShards    = errors.New("the cursor is of other shards than there are now: begin again")
-	ErrLong      = errors.New("the row at which the page ends has too long a key for a cursor")
+	ErrTruncated  = errors.New("the cursor is not whole")
+	ErrUnknownKey = errors.New("the cursor's key is not taken, or not any more: begin again")
+	ErrForged     = errors.New("the cursor was not given by this fleet, or was changed")
+	ErrExpired    = errors.New("the cursor is too old: begin again")
+	ErrStatement  = errors.New("the cursor is of another statement or of other parameters")
+	ErrReader     = errors.New("the cursor is another's: of another tenant, class, user or database")
+	ErrOrder      = errors.New("the cursor is of another order")
+	ErrShards     = errors.New("the cursor is of other shards than there are now: begin again")
+	ErrKeyTooLong = errors.New("the row at which the page ends has too long a key for a cursor")
 )
 
-// Mark is what stands for a text that a cursor is bound to.
-type Mark [6]byte
+// Digest is what stands for a text that a cursor is bound to.
+type Digest [6]byte
 
-// Bound is what a cursor is of.
-type Bound struct{ Statement, Reader, Order, Shards Mark }
+// Binding is what a cursor is of.
+type Binding struct{ Statement, Reader, Order, Shards Digest }
 
 // Place is where a shard stands: behind the row that went out last, which may be of another shard. The zero Place is before all rows.
 type Place struct {
-	Key   []byte // of the row, in the order asked for
-	Own   int    // where the shard's own part of it begins
-	Shard int
+	Key       []byte // of the row, in the order asked for
+	OwnOffset int    // where the shard's own part of it begins
+	Shard     int
 }
 
 // Compare compares places by how far they are.
@@ -56,65 +56,65 @@
 	if p.Key == nil || o.Key == nil {
 		return cmp.Compare(len(p.Key), len(o.Key))
 	}
-	return cmp.Or(bytes.Compare(p.Key[:p.Own], o.Key[:o.Own]), cmp.Compare(p.Shard, o.Shard), bytes.Compare(p.Key[p.Own:], o.Key[o.Own:]))
+	return cmp.Or(bytes.Compare(p.Key[:p.OwnOffset], o.Key[:o.OwnOffset]), cmp.Compare(p.Shard, o.Shard), bytes.Compare(p.Key[p.OwnOffset:], o.Key[o.OwnOffset:]))
 }
 
 // Cursor is what one holds.
 type Cursor struct {
-	Issued float64 // Unix ms
-	Bound  Bound
-	Places []Place // by shard
-	Needs  []int64 // by shard: the position, in Unix ms, that its rows must be read at or behind; 0 for none
+	IssuedMs     float64 // Unix ms
+	Binding      Binding
+	Places       []Place // by shard
+	MinPositions []int64 // by shard: the position, in Unix ms, that its rows must be read at or behind; 0 for none
 }
 
 // Bounds of what is taken.
 const (
-	MostShards = 1024
-	MostKey    = 2048 // bytes of a row's key
-	MostText   = 8192 // bytes of a cursor as the client has it
-	version    = 1
-	headBytes  = 1 + 2 + idBytes // version, length, the key's name
-	nonceBytes = 12
+	MaxShards    = 1024
+	MaxKeyBytes  = 2048 // bytes of a row's key
+	MaxTextBytes = 8192 // bytes of a cursor as the client has it
+	version      = 1
+	headBytes    = 1 + 2 + idBytes // version, length, the key's name
+	nonceBytes   = 12
 )
 
 // Nonce is what no two cursors may be sealed with.
 type Nonce [nonceBytes]byte
 
-var coding = base64.RawURLEncoding.Strict()
+var encoding = base64.RawURLEncoding.Strict()
 
 // Seal makes a cursor's text; now is in Unix milliseconds.
 func (r *Ring) Seal(c *Cursor, n Nonce) (string, error) {
-	r.turn(c.Issued)
+	r.rotate(c.IssuedMs)
 	plain, err := c.append(nil)
 	if err != nil {
 		return "", err
 	}
-	b := append([]byte{version, 0, 0}, r.sealsID[:]...)
-	binary.BigEndian.PutUint16(b[1:], uint16(headBytes+nonceBytes+len(plain)+r.seals.Overhead()))
+	b := append([]byte{version, 0, 0}, r.sealingID[:]...)
+	binary.BigEndian.PutUint16(b[1:], uint16(headBytes+nonceBytes+len(plain)+r.sealingKey.Overhead()))
 	b = append(b, n[:]...)
-	b = r.seals.Seal(b, n[:], plain, b[:headBytes])
-	if coding.EncodedLen(len(b)) > MostText {
-		return "", ErrLong
+	b = r.sealingKey.Seal(b, n[:], plain, b[:headBytes])
+	if encoding.EncodedLen(len(b)) > MaxTextBytes {
+		return "", ErrKeyTooLong
 	}
-	return coding.EncodeToString(b), nil
+	return encoding.EncodeToString(b), nil
 }
 
 // Open reads a cursor's text and holds it to what it must be of.
-func (r *Ring) Open(text string, now float64, want *Bound) (*Cursor, error) {
-	if len(text) > MostText {
+func (r *Ring) Open(text string, now float64, want *Binding) (*Cursor, error) {
+	if len(text) > MaxTextBytes {
 		return nil, ErrForged
 	}
-	b, err := coding.DecodeString(text)
+	b, err := encoding.DecodeString(text)
 	switch {
 	case len(b) == 0 || b[0] != version:
 		return nil, ErrForged
 	case err != nil || len(b) < headBytes+nonceBytes || int(binary.BigEndian.Uint16(b[1:])) != len(b):
-		return nil, ErrCut
+		return nil, ErrTruncated
 	}
-	r.turn(now)
+	r.rotate(now)
 	key := r.byID[[idBytes]byte(b[3:headBytes])]
 	if key == nil {
-		return nil, ErrKey
+		return nil, ErrUnknownKey
 	}
 	plain, err := key.Open(nil, b[headBytes:headBytes+nonceBytes], b[headBytes+nonceBytes:], b[:headBytes])
 	if err != nil {
@@ -125,15 +125,15 @@
 		return nil, err
 	}
 	switch {
-	case now-c.Issued > r.age:
-		return nil, ErrOld
-	case c.Bound.Statement != want.Statement:
+	case now-c.IssuedMs > r.maxAgeMs:
+		return nil, ErrExpired
+	case c.Binding.Statement != want.Statement:
 		return nil, ErrStatement
-	case c.Bound.Reader != want.Reader:
+	case c.Binding.Reader != want.Reader:
 		return nil, ErrReader
-	case c.Bound.Order != want.Order:
+	case c.Binding.Order != want.Order:
 		return nil, ErrOrder
-	case c.Bound.Shards != want.Shards:
+	case c.Binding.Shards != want.Shards:
 		return nil, ErrShards
 	}
 	return c, nil
@@ -141,19 +141,19 @@
 
 // append appends what is sealed.
 func (c *Cursor) append(dst []byte) ([]byte, error) {
-	dst = binary.AppendUvarint(dst, uint64(max(0, c.Issued)))
-	for _, m := range []Mark{c.Bound.Statement, c.Bound.Reader, c.Bound.Order, c.Bound.Shards} {
+	dst = binary.AppendUvarint(dst, uint64(max(0, c.IssuedMs)))
+	for _, m := range []Digest{c.Binding.Statement, c.Binding.Reader, c.Binding.Order, c.Binding.Shards} {
 		dst = append(dst, m[:]...)
 	}
 	dst = binary.AppendUvarint(dst, uint64(len(c.Places)))
 	base := int64(0)
-	for _, n := range c.Needs {
+	for _, n := range c.MinPositions {
 		if n > 0 && (base == 0 || n < base) {
 			base = n
 		}
 	}
 	dst = binary.AppendUvarint(dst, uint64(base))
-	for _, n := range c.Needs {
+	for _, n := range c.MinPositions {
 		if n > 0 {
 			n = n - base + 1
 		}
@@ -179,11 +179,11 @@
 	}
 	dst = binary.AppendUvarint(dst, uint64(len(points)))
 	for _, p := range points {
-		if len(p.Key) > MostKey {
-			return nil, ErrLong
+		if len(p.Key) > MaxKeyBytes {
+			return nil, ErrKeyTooLong
 		}
 		dst = binary.AppendUvarint(dst, uint64(len(p.Key)))
-		dst = binary.AppendUvarint(dst, uint64(p.Own))
+		dst = binary.AppendUvarint(dst, uint64(p.OwnOffset))
 		dst = binary.AppendUvarint(dst, uint64(p.Shard))
 		dst = append(dst, p.Key...)
 	}
@@ -211,26 +211,26 @@
 		return int(n)
 	}
 	const longTime = 1 << 52
-	c.Issued = float64(number(longTime))
-	for _, m := range []*Mark{&c.Bound.Statement, &c.Bound.Reader, &c.Bound.Order, &c.Bound.Shards} {
+	c.IssuedMs = float64(number(longTime))
+	for _, m := range []*Digest{&c.Binding.Statement, &c.Binding.Reader, &c.Binding.Order, &c.Binding.Shards} {
 		if len(b) < len(m) {
 			return ErrForged
 		}
 		b = b[copy(m[:], b):]
 	}
-	c.Places = make([]Place, number(MostShards))
-	c.Needs = make([]int64, len(c.Places))
+	c.Places = make([]Place, number(MaxShards))
+	c.MinPositions = make([]int64, len(c.Places))
 	base := number(longTime)
-	for i := range c.Needs {
+	for i := range c.MinPositions {
 		if n := number(longTime); n > 0 {
-			c.Needs[i] = int64(base + n - 1)
+			c.MinPositions[i] = int64(base + n - 1)
 		}
 	}
 	points := make([]Place, number(len(c.Places)))
 	for i := range points {
 		p := &points[i]
-		n := number(MostKey)
-		p.Own, p.Shard = number(n), number(max(0, len(c.Places)-1))
+		n := number(MaxKeyBytes)
+		p.OwnOffset, p.Shard = number(n), number(max(0, len(c.Places)-1))
 		if n > len(b) {
 			return ErrForged
 		}
--- a/internal/frontend/scatter/cursor/ring.go
+++ b/internal/frontend/scatter/cursor/ring.go
@@ -12,48 +12,48 @@
 // Ring is the keys of cursors: one for each secret and span of Rotate, derived from them alone, so that all who have the
 // secret have the keys. The first secret seals; the others are taken, for as long as cursors may be old.
 type Ring struct {
-	secrets     [][]byte
-	rotate, age float64
-	newest      int64 // generation of which the keys are here, and all before it that are taken
-	byID        map[[idBytes]byte]cipher.AEAD
-	seals       cipher.AEAD
-	sealsID     [idBytes]byte
-	some        bool
+	secrets              [][]byte
+	rotationMs, maxAgeMs float64
+	newest               int64 // generation of which the keys are here, and all before it that are taken
+	byID                 map[[idBytes]byte]cipher.AEAD
+	sealingKey           cipher.AEAD
+	sealingID            [idBytes]byte
+	derived              bool
 }
 
 const (
 	idBytes = 3
-	// aheadOf is how many generations ahead of the clock here a key is taken: other poolers' clocks differ.
-	aheadOf = 1
-	// MostKept bounds the generations of one secret that are taken at a time.
-	MostKept = 64
+	// generationsAhead is how many generations ahead of the clock here a key is taken: other poolers' clocks differ.
+	generationsAhead = 1
+	// MaxGenerations bounds the generations of one secret that are taken at a time.
+	MaxGenerations = 64
 )
 
 // NewRing makes a ring. Times are in milliseconds: keys change each rotate, cursors are taken for age.
 func NewRing(rotate, age float64, secrets ...[]byte) *Ring {
-	return &Ring{secrets: secrets, rotate: rotate, age: age}
+	return &Ring{secrets: secrets, rotationMs: rotate, maxAgeMs: age}
 }
 
-// Kept is how many generations of a secret are taken at a time.
-func Kept(rotate, age float64) int { return int(math.Ceil(age/rotate)) + 1 + aheadOf }
+// Generations is how many generations of a secret are taken at a time.
+func Generations(rotate, age float64) int { return int(math.Ceil(age/rotate)) + 1 + generationsAhead }
 
-// turn has the keys be those of the present, in Unix milliseconds.
-func (r *Ring) turn(now float64) {
-	g := int64(math.Floor(now / r.rotate))
-	if r.some && g == r.newest {
+// rotate has the keys be those of the present, in Unix milliseconds.
+func (r *Ring) rotate(now float64) {
+	g := int64(math.Floor(now / r.rotationMs))
+	if r.derived && g == r.newest {
 		return
 	}
-	r.newest, r.some, r.byID = g, true, map[[idBytes]byte]cipher.AEAD{}
-	first := int64(math.Floor((now - r.age) / r.rotate))
+	r.newest, r.derived, r.byID = g, true, map[[idBytes]byte]cipher.AEAD{}
+	first := int64(math.Floor((now - r.maxAgeMs) / r.rotationMs))
 	for i := len(r.secrets) - 1; i >= 0; i-- { // where two ids are the same the newest key has it
-		for k := first; k <= g+aheadOf; k++ {
+		for k := first; k <= g+generationsAhead; k++ {
 			id, key := derive(r.secrets[i], k)
 			if r.byID[id] = key; i == 0 && k == g {
-				r.seals, r.sealsID = key, id
+				r.sealingKey, r.sealingID = key, id
 			}
 		}
 	}
-	r.byID[r.sealsID] = r.seals
+	r.byID[r.sealingID] = r.sealingKey
 }
 
 // derive makes the key of a secret and a generation, and what names it.
--- a/internal/frontend/scatter/dial.go
+++ b/internal/frontend/scatter/dial.go
@@ -10,49 +10,49 @@
 )
 
 // connect gives an attempt a connection.
-func (f *Front) connect(a *attempt) {
-	s := a.p.s
-	k := serverKey{a.store, s.who.Database, s.who.User}
+func (f *Frontend) connect(a *attempt) {
+	s := a.part.scatter
+	k := connKey{a.server, s.caller.Database, s.caller.User}
 	for list := f.idle[k]; len(list) > 0; list = f.idle[k] {
 		l := list[len(list)-1]
 		f.idle[k] = list[:len(list)-1]
 		f.loop.StopTimer(l.timer)
 		if !l.closed {
-			l.attempt, l.part = a, a.p
-			a.p.granted(l)
+			l.attempt, l.part = a, a.part
+			a.part.connected(l)
 			return
 		}
 	}
-	if f.opt.Spare != nil && f.opt.Spare() < 1 {
-		f.end(a, decide.Overloaded, nil)
+	if f.options.SpareDescriptors != nil && f.options.SpareDescriptors() < 1 {
+		f.endAttempt(a, decide.Overloaded, nil)
 		return
 	}
-	l := &link{f: f, key: k, in: pgwire.NewReader(s.spec.longest()), params: map[string]string{}, server: sessionstate.NewServer(1, 1024), attempt: a, part: a.p}
+	l := &link{frontend: f, key: k, input: pgwire.NewReader(s.spec.maxMessageBytes()), params: map[string]string{}, settings: sessionstate.NewServer(1, 1024), attempt: a, part: a.part}
 	f.conns++
-	l.timer = f.loop.At(f.loop.Now()+f.opt.ConnectMs, func() { l.failed(decide.Unreachable) })
-	f.loop.Dial(f.addrs[k.store], f.opt.ConnectMs, l, func(err error) {
-		f.log.Debug("scatter: connect", "store", k.store, "err", err)
+	l.timer = f.loop.At(f.loop.Now()+f.options.ConnectTimeoutMs, func() { l.dialFailed(decide.Unreachable) })
+	f.loop.Dial(f.addresses[k.server], f.options.ConnectTimeoutMs, l, func(err error) {
+		f.log.Debug("scatter: connect", "store", k.server, "err", err)
 		if eventloop.IsLocalError(err) { // it says nothing about the server
-			l.failed(decide.NotSent)
+			l.dialFailed(decide.NotSent)
 			return
 		}
-		l.failed(decide.Unreachable)
+		l.dialFailed(decide.Unreachable)
 	})
 }
 
-// failed takes a connection out that never came up.
-func (l *link) failed(result decide.Result) {
-	if l.up || l.closed {
+// dialFailed takes a connection out that never came up.
+func (l *link) dialFailed(result decide.Result) {
+	if l.ready || l.closed {
 		return
 	}
 	l.closed = true
-	l.f.conns--
-	l.f.loop.StopTimer(l.timer)
+	l.frontend.conns--
+	l.frontend.loop.StopTimer(l.timer)
 	if l.conn != nil {
 		l.conn.Close()
 	}
 	if a := l.attempt; a != nil {
-		l.f.end(a, result, nil)
+		l.frontend.endAttempt(a, result, nil)
 	}
 }
 
@@ -66,12 +66,12 @@
 	_ = c.Write(pgwire.AppendStartup(nil, l.key.user, l.key.database))
 }
 
-func (l *link) welcome(m pgwire.Message) {
+func (l *link) startupMessage(m pgwire.Message) {
 	switch m.Type {
 	case 'R':
 		if len(m.Body) < 4 || binary.BigEndian.Uint32(m.Body) != 0 {
-			l.f.log.Warn("scatter: the server wants a password, which this pooler has not", "store", l.key.store)
-			l.failed(decide.Unreachable)
+			l.frontend.log.Warn("scatter: the server wants a password, which this pooler has not", "store", l.key.server)
+			l.dialFailed(decide.Unreachable)
 		}
 	case 'S':
 		l.parameter(m)
@@ -80,16 +80,16 @@
 			l.pid, l.secret = binary.BigEndian.Uint32(m.Body), binary.BigEndian.Uint32(m.Body[4:])
 		}
 	case 'E':
-		l.failed(decide.Unreachable)
+		l.dialFailed(decide.Unreachable)
 	case 'Z':
-		l.up = true
-		l.f.loop.StopTimer(l.timer)
+		l.ready = true
+		l.frontend.loop.StopTimer(l.timer)
 		if a := l.attempt; a == nil || a.ended {
 			l.attempt, l.part = nil, nil
-			l.rest()
+			l.release()
 			return
 		}
-		l.part.granted(l)
+		l.part.connected(l)
 	}
 }
 
--- a/internal/frontend/scatter/end.go
+++ b/internal/frontend/scatter/end.go
@@ -11,16 +11,16 @@
 	"beechgrade/internal/frontend/scatter/execution"
 )
 
-// final gives the client its answer.
-func (s *Scatter) final() {
-	f := s.f
-	s.over = true
+// finish gives the client its answer.
+func (s *Scatter) finish() {
+	f := s.frontend
+	s.ended = true
 	delete(f.running, s)
-	f.perSpec[s.no]--
-	f.inFlight -= len(s.spec.Shards)
+	f.perSpec[s.specIndex]--
+	f.shardsInFlight -= len(s.spec.Shards)
 	for _, p := range s.parts {
 		if p != nil {
-			p.giveUp()
+			p.abandon()
 		}
 	}
 	f.Counts.Missing += uint64(len(s.run.Missing()))
@@ -32,20 +32,20 @@
 			page.Missing = append(page.Missing, s.spec.Shards[i].Name)
 		}
 		if s.run.More {
-			c := &cursor.Cursor{Issued: math.Floor(f.loop.Now()), Bound: s.bound}
-			c.Places, c.Needs = s.run.Places()
+			c := &cursor.Cursor{IssuedMs: math.Floor(f.loop.Now()), Binding: s.binding}
+			c.Places, c.MinPositions = s.run.Places()
 			var err error
-			if page.Cursor, err = f.opt.Ring.Seal(c, f.nonce()); err != nil {
+			if page.Cursor, err = f.options.Ring.Seal(c, f.nonce()); err != nil {
 				s.reader.Fail(s.run, err)
 				return
 			}
 		}
 		s.reader.Page(page)
-	case execution.Refused:
-		f.Counts.Refused++
+	case execution.Rejected:
+		f.Counts.Rejected++
 		s.reader.Fail(s.run, s.cause())
-	case execution.Gone:
-		f.Counts.Abandon++
+	case execution.Abandoned:
+		f.Counts.Abandoned++
 	default:
 		f.Counts.Failed++
 		s.reader.Fail(s.run, s.cause())
@@ -57,7 +57,7 @@
 	if s.err != nil {
 		return s.err
 	}
-	why := s.run.Why
+	why := s.run.Cause
 	if n, rest, ok := strings.Cut(strings.TrimPrefix(why, "shard "), ": "); ok {
 		if i, err := strconv.Atoi(n); err == nil && i < len(s.spec.Shards) {
 			why = fmt.Sprintf("shard %q: %s", s.spec.Shards[i].Name, rest)
@@ -66,12 +66,12 @@
 	return errors.New(why)
 }
 
-// nobody reads for a client that has gone.
-type nobody struct{}
+// discardReader reads for a client that has gone.
+type discardReader struct{}
 
-func (nobody) Describe([]byte)            {}
-func (nobody) Row([]byte)                 {}
-func (nobody) Flush()                     {}
-func (nobody) Unsent() int                { return 0 }
-func (nobody) Page(*Page)                 {}
-func (nobody) Fail(*execution.Run, error) {}
+func (discardReader) Describe([]byte)            {}
+func (discardReader) Row([]byte)                 {}
+func (discardReader) Flush()                     {}
+func (discardReader) Unsent() int                { return 0 }
+func (discardReader) Page(*Page)                 {}
+func (discardReader) Fail(*execution.Run, error) {}
--- a/internal/frontend/scatter/execution/run.go
+++ b/internal/frontend/scatter/execution/run.go
@@ -42,42 +42,44 @@
 
 // Settings are a scatter's. Times are in milliseconds.
 type Settings struct {
-	Shards  int
-	Missing int     // that may be left out at most; 0 for none
-	Window  int     // bytes held of each shard, beyond which it is read no further
-	MostRow int     // bytes of a row, with its key
-	Silent  float64 // of a shard that owes a row
-	Again   int     // times that a shard is asked again
-	Settle  float64 // for positions, once the page is full
-	Spare   float64 // before the deadline: for the answer, where shards are left out
+	Shards          int
+	MaxMissing      int     // that may be left out at most; 0 for none
+	WindowBytes     int     // bytes held of each shard, beyond which it is read no further
+	MaxRowBytes     int     // bytes of a row, with its key
+	UnresponsiveMs  float64 // of a shard that owes a row
+	MaxRetries      int     // times that a shard is asked again
+	PositionWaitMs  float64 // for positions, once the page is full
+	AnswerReserveMs float64 // before the deadline: for the answer, where shards are left out
 }
 
-// Held is how many bytes are held at most.
-func (s *Settings) Held() int { return merge.Most(s.Shards, s.Window, s.MostRow) }
+// MaxHeldBytes is how many bytes are held at most.
+func (s *Settings) MaxHeldBytes() int {
+	return merge.MaxHeldBytes(s.Shards, s.WindowBytes, s.MaxRowBytes)
+}
 
-// Do is what is to be done.
-type Do uint8
+// ActionKind is what is to be done.
+type ActionKind uint8
 
 // What may be to be done.
 const (
-	Ask    Do = iota // put the shard's read to the decision module
-	Send             // its statement goes out
-	Stop             // read it no further for now
-	Go               // read it again
-	Cancel           // give it up, whether it was asked, waits or runs
-	Give             // Row goes to the client
-	Final            // the one final answer
+	Submit        ActionKind = iota // put the shard's read to the decision module
+	Send                            // its statement goes out
+	StopReading                     // read it no further for now
+	ResumeReading                   // read it again
+	Cancel                          // give it up, whether it was asked, waits or runs
+	Deliver                         // Row goes to the client
+	Finish                          // the one final answer
 )
 
 // Action is one.
 type Action struct {
-	Do    Do
-	Shard int
-	Try   int          // Ask: its number, with which what comes of it is told
-	Place cursor.Place // Ask: behind it
-	Need  int64        // Ask: the position in Unix ms, 0 for none
-	Limit int          // Ask: rows
-	Row   []byte       // valid until the next event
+	Kind        ActionKind
+	Shard       int
+	Attempt     int          // Ask: its number, with which what comes of it is told
+	Place       cursor.Place // Ask: behind it
+	MinPosition int64        // Ask: the position in Unix ms, 0 for none
+	MaxRows     int          // Ask: rows
+	Row         []byte       // valid until the next event
 }
 
 // Verdict is how a scatter ended.
@@ -87,82 +89,82 @@
 const (
 	Running Verdict = iota
 	Served
-	Refused // nothing was sent
-	Failed  // nothing is promised; rows may have gone out
-	Gone    // its client went
+	Rejected  // nothing was sent
+	Failed    // nothing is promised; rows may have gone out
+	Abandoned // its client went
 )
 
 // phase is a shard's.
 type phase uint8
 
 const (
-	resting phase = iota // it is asked again soon
-	asking               // the decision module has it
-	granted              // it has a server, and nothing is sent
+	backingOff phase = iota // it is asked again soon
+	submitted               // the decision module has it
+	connected               // it has a server, and nothing is sent
 	sent
-	ended   // all its rows are here
-	settled // ...and it has told its position
-	missing // it is left out
+	ended         // all its rows are here
+	positionKnown // ...and it has told its position
+	excluded      // it is left out
 )
 
 type shard struct {
-	phase   phase
-	try     int
-	place   cursor.Place // as the client's cursor had it
-	last    []byte       // key of its row that went out last, nil for none
-	own     int          // where its own part begins
-	came    int          // ...and that of the row that came last
-	need    int64        // as the client's cursor had it
-	asked   int64        // of the present try
-	seen    int64        // no server that rows were read at had seen more
-	told    int64        // position that it told at its end
-	rows    int          // that came
-	moved   float64
-	rests   float64 // until then
-	stopped bool
-	why     string
+	phase             phase
+	attempt           int
+	place             cursor.Place // as the client's cursor had it
+	last              []byte       // key of its row that went out last, nil for none
+	lastOwn           int          // where its own part begins
+	readOwn           int          // ...and that of the row that came last
+	minPosition       int64        // as the client's cursor had it
+	submittedPosition int64        // of the present try
+	observedPosition  int64        // no server that rows were read at had seen more
+	reportedPosition  int64        // position that it told at its end
+	rows              int          // that came
+	progressAt        float64
+	retryAt           float64 // until then
+	readingStopped    bool
+	why               string
 }
 
 // Run is one scatter.
 type Run struct {
-	set    *Settings
-	page   int
-	due    float64
-	merge  *merge.Merge
-	shards []shard
-	begun  bool // statements have gone out
-	room   bool
-	given  int
-	lastOf cursor.Place // the row that went out last
-	full   bool         // the page is, or nothing is left: positions are waited for
-	until  float64      // ...so long
-	checks *invariant.Checks
-	out    []Action
+	settings     *Settings
+	pageRows     int
+	deadline     float64
+	merge        *merge.Merge
+	shards       []shard
+	sending      bool // statements have gone out
+	clientReady  bool
+	delivered    int
+	lastPlace    cursor.Place // the row that went out last
+	pageFull     bool         // the page is, or nothing is left: positions are waited for
+	positionsDue float64      // ...so long
+	checks       *invariant.Checks
+	actions      []Action
 
 	Verdict Verdict
-	Why     string
+	Cause   string
 	RetryMs float64
 	More    bool // there may be more rows
 }
 
 // New makes a run for a page of so many rows. places and needs are the cursor's, nil for a first page; due is when the client gives up.
 func New(set *Settings, page int, places []cursor.Place, needs []int64, due float64, checks *invariant.Checks) *Run {
-	r := &Run{set: set, page: page, due: due, merge: merge.New(set.Shards, set.Window), shards: make([]shard, set.Shards), room: true, checks: checks}
+	r := &Run{settings: set, pageRows: page, deadline: due, merge: merge.New(set.Shards, set.WindowBytes), shards: make([]shard, set.Shards), clientReady: true, checks: checks}
 	for i := range r.shards {
 		if places != nil {
-			r.shards[i].place, r.shards[i].need = places[i], needs[i]
+			r.shards[i].place, r.shards[i].minPosition = places[i], needs[i]
 		}
 	}
 	return r
 }
 
-// Held is how many bytes are held now.
-func (r *Run) Held() int { return r.merge.Held() }
+// HeldBytes is how many bytes are held now.
+func (r *Run) HeldBytes() int { return r.merge.HeldBytes() }
 
 // Missing are the shards that are left out.
 func (r *Run) Missing() (out []int) {
 	for i := range r.shards {
-		if r.shards[i].phase == missing {
+		if r.shards[i].phase == excluded {
 			out = append(out, i)
 		}
 	}
@@ -171,134 +173,134 @@
 
 // Begin asks for all shards.
 func (r *Run) Begin(now float64) []Action {
-	r.out = r.out[:0]
+	r.actions = r.actions[:0]
 	for i := range r.shards {
-		r.ask(i, now)
+		r.submit(i, now)
 	}
-	return r.out
+	return r.actions
 }
 
-// restMs is how long a shard that failed more than once is left alone.
-const restMs = 100
+// backoffMs is how long a shard that failed more than once is left alone.
+const backoffMs = 100
 
-// ask puts a shard's read to the decision module, from behind what came of it.
-func (r *Run) ask(i int, now float64) {
+// submit puts a shard's read to the decision module, from behind what came of it.
+func (r *Run) submit(i int, now float64) {
 	s := &r.shards[i]
-	if s.phase != resting || s.try == 0 {
-		s.try++
-	}
-	s.phase, s.moved, s.stopped = asking, now, false
-	a := Action{Do: Ask, Shard: i, Try: s.try, Place: s.place, Need: max(s.need, s.seen), Limit: r.page - s.rows}
-	if k := r.merge.Last(i); k != nil {
-		a.Place = cursor.Place{Key: append([]byte(nil), k...), Own: s.came, Shard: i}
-	}
-	s.asked = a.Need
-	r.checks.That(a.Need >= s.need && a.Place.Compare(&s.place) >= 0, "scatter: a shard is asked no earlier than its cursor says",
-		func() string { return fmt.Sprintf("shard %d: need %d of %d", i, a.Need, s.need) })
-	r.out = append(r.out, a)
+	if s.phase != backingOff || s.attempt == 0 {
+		s.attempt++
+	}
+	s.phase, s.progressAt, s.readingStopped = submitted, now, false
+	a := Action{Kind: Submit, Shard: i, Attempt: s.attempt, Place: s.place, MinPosition: max(s.minPosition, s.observedPosition), MaxRows: r.pageRows - s.rows}
+	if k := r.merge.LastKey(i); k != nil {
+		a.Place = cursor.Place{Key: append([]byte(nil), k...), OwnOffset: s.readOwn, Shard: i}
+	}
+	s.submittedPosition = a.MinPosition
+	r.checks.That(a.MinPosition >= s.minPosition && a.Place.Compare(&s.place) >= 0, "scatter: a shard is asked no earlier than its cursor says",
+		func() string { return fmt.Sprintf("shard %d: need %d of %d", i, a.MinPosition, s.minPosition) })
+	r.actions = append(r.actions, a)
 }
 
-// mine tells whether an event is of a shard's present try, and clears the actions.
-func (r *Run) mine(i, try int) bool {
-	r.out = r.out[:0]
-	return r.Verdict == Running && i >= 0 && i < len(r.shards) && r.shards[i].try == try
+// isCurrent tells whether an event is of a shard's present try, and clears the actions.
+func (r *Run) isCurrent(i, try int) bool {
+	r.actions = r.actions[:0]
+	return r.Verdict == Running && i >= 0 && i < len(r.shards) && r.shards[i].attempt == try
 }
 
-// Granted tells that a shard's read has a server and a connection to it.
-func (r *Run) Granted(i, try int, now float64) []Action {
-	if r.mine(i, try) && r.shards[i].phase == asking {
-		r.shards[i].phase = granted
-		if r.begun {
+// Connected tells that a shard's read has a server and a connection to it.
+func (r *Run) Connected(i, try int, now float64) []Action {
+	if r.isCurrent(i, try) && r.shards[i].phase == submitted {
+		r.shards[i].phase = connected
+		if r.sending {
 			r.send(i, now)
 		} else {
-			r.gather(now)
+			r.sendOnceAllConnected(now)
 		}
 	}
-	return r.out
+	return r.actions
 }
 
-// gather sends all statements once no shard waits for its server.
-func (r *Run) gather(now float64) {
+// sendOnceAllConnected sends all statements once no shard waits for its server.
+func (r *Run) sendOnceAllConnected(now float64) {
 	for i := range r.shards {
-		if r.shards[i].phase <= asking {
+		if r.shards[i].phase <= submitted {
 			return
 		}
 	}
-	r.begun = true
+	r.sending = true
 	for i := range r.shards {
-		if r.shards[i].phase == granted {
+		if r.shards[i].phase == connected {
 			r.send(i, now)
 		}
 	}
 }
 
 func (r *Run) send(i int, now float64) {
-	r.shards[i].phase, r.shards[i].moved = sent, now
-	r.out = append(r.out, Action{Do: Send, Shard: i})
+	r.shards[i].phase, r.shards[i].progressAt = sent, now
+	r.actions = append(r.actions, Action{Kind: Send, Shard: i})
 }
 
-// Refused tells that the decision module has no server for a shard's read; nothing of it was sent.
-func (r *Run) Refused(i, try int, retryMs, now float64) []Action {
-	if r.mine(i, try) {
+// Rejected tells that the decision module has no server for a shard's read; nothing of it was sent.
+func (r *Run) Rejected(i, try int, retryMs, now float64) []Action {
+	if r.isCurrent(i, try) {
 		r.RetryMs = max(r.RetryMs, retryMs)
-		r.broke(i, "no server can take it now", r.begun && r.shards[i].phase < ended, now)
+		r.retryOrExclude(i, "no server can take it now", r.sending && r.shards[i].phase < ended, now)
 	}
-	return r.out
+	return r.actions
 }
 
-// Broke tells that a shard's read came to nothing, or broke off. again says that another server may do better.
-func (r *Run) Broke(i, try int, why string, again bool, now float64) []Action {
-	if r.mine(i, try) && r.shards[i].phase < ended {
-		r.broke(i, why, again, now)
+// Failed tells that a shard's read came to nothing, or broke off. again says that another server may do better.
+func (r *Run) Failed(i, try int, why string, again bool, now float64) []Action {
+	if r.isCurrent(i, try) && r.shards[i].phase < ended {
+		r.retryOrExclude(i, why, again, now)
 	}
-	return r.out
+	return r.actions
 }
 
-func (r *Run) broke(i int, why string, again bool, now float64) {
+func (r *Run) retryOrExclude(i int, why string, again bool, now float64) {
 	s := &r.shards[i]
-	if again && s.try <= r.set.Again && now < r.due-r.set.Spare {
-		r.out = append(r.out, Action{Do: Cancel, Shard: i})
-		if s.try == 1 {
-			r.ask(i, now)
+	if again && s.attempt <= r.settings.MaxRetries && now < r.deadline-r.settings.AnswerReserveMs {
+		r.actions = append(r.actions, Action{Kind: Cancel, Shard: i})
+		if s.attempt == 1 {
+			r.submit(i, now)
 			return
 		}
-		s.phase, s.rests, s.why = resting, now+restMs, why
-		s.try++
+		s.phase, s.retryAt, s.why = backingOff, now+backoffMs, why
+		s.attempt++
 		return
 	}
-	r.lose(i, why, now)
+	r.exclude(i, why, now)
 }
 
-// lose leaves a shard out, or ends it all where it may not be.
-func (r *Run) lose(i int, why string, now float64) {
+// exclude leaves a shard out, or ends it all where it may not be.
+func (r *Run) exclude(i int, why string, now float64) {
 	s := &r.shards[i]
-	if s.phase == missing {
+	if s.phase == excluded {
 		return
 	}
-	r.out = append(r.out, Action{Do: Cancel, Shard: i})
-	s.phase, s.why = missing, why
-	s.try++ // what still comes of it is nobody's
+	r.actions = append(r.actions, Action{Kind: Cancel, Shard: i})
+	s.phase, s.why = excluded, why
+	s.attempt++ // what still comes of it is nobody's
 	n := len(r.Missing())
-	if n > r.set.Missing || n == len(r.shards) {
+	if n > r.settings.MaxMissing || n == len(r.shards) {
 		verdict := Failed
-		if !r.begun {
-			verdict = Refused
+		if !r.sending {
+			verdict = Rejected
 		}
-		r.end(verdict, fmt.Sprintf("shard %d: %s", i, why))
-		r.checks.That(verdict != Refused || !r.sentAny(), "scatter: refused as a whole, before anything is sent", nil)
+		r.finish(verdict, fmt.Sprintf("shard %d: %s", i, why))
+		r.checks.That(verdict != Rejected || !r.anySent(), "scatter: refused as a whole, before anything is sent", nil)
 		return
 	}
 	r.merge.End(i)
-	if !r.begun {
-		r.gather(now)
+	if !r.sending {
+		r.sendOnceAllConnected(now)
 	} else {
-		r.pump(now)
+		r.deliverRows(now)
 	}
 }
 
-func (r *Run) sentAny() bool {
+func (r *Run) anySent() bool {
 	for i := range r.shards {
-		if p := r.shards[i].phase; p == sent || p == ended || p == settled {
+		if p := r.shards[i].phase; p == sent || p == ended || p == positionKnown {
 			return true
 		}
 	}
@@ -307,182 +309,182 @@
 
 // Row takes a shard's next row; own is where its own part of the key begins.
 func (r *Run) Row(i, try int, key []byte, own int, row []byte, now float64) []Action {
-	if !r.mine(i, try) || r.shards[i].phase != sent {
-		return r.out
+	if !r.isCurrent(i, try) || r.shards[i].phase != sent {
+		return r.actions
 	}
 	s := &r.shards[i]
-	if len(key)+len(row) > r.set.MostRow {
-		r.broke(i, "a row is longer than is taken", false, now)
-		return r.out
+	if len(key)+len(row) > r.settings.MaxRowBytes {
+		r.retryOrExclude(i, "a row is longer than is taken", false, now)
+		return r.actions
 	}
 	if err := r.merge.Add(i, key, own, row); err != nil {
-		r.broke(i, "its rows are not in the order asked for", false, now)
-		return r.out
+		r.retryOrExclude(i, "its rows are not in the order asked for", false, now)
+		return r.actions
 	}
-	s.came, s.moved, s.seen = own, now, max(s.seen, int64(math.Ceil(now)))
-	r.checks.That(r.merge.Held() <= r.set.Held(), "scatter: bytes held are within their bound",
-		func() string { return fmt.Sprintf("%d of %d", r.merge.Held(), r.set.Held()) })
-	if s.rows++; s.rows >= r.page { // as many as were asked for: whatever it sends behind them is not read
+	s.readOwn, s.progressAt, s.observedPosition = own, now, max(s.observedPosition, int64(math.Ceil(now)))
+	r.checks.That(r.merge.HeldBytes() <= r.settings.MaxHeldBytes(), "scatter: bytes held are within their bound",
+		func() string { return fmt.Sprintf("%d of %d", r.merge.HeldBytes(), r.settings.MaxHeldBytes()) })
+	if s.rows++; s.rows >= r.pageRows { // as many as were asked for: whatever it sends behind them is not read
 		s.phase = ended
 		r.merge.End(i)
 	}
-	r.pump(now)
-	if s.phase == sent && !s.stopped && r.merge.Full(i) {
-		s.stopped = true
-		r.out = append(r.out, Action{Do: Stop, Shard: i})
+	r.deliverRows(now)
+	if s.phase == sent && !s.readingStopped && r.merge.Full(i) {
+		s.readingStopped = true
+		r.actions = append(r.actions, Action{Kind: StopReading, Shard: i})
 	}
-	return r.out
+	return r.actions
 }
 
-// Ended tells that a shard has no more rows.
-func (r *Run) Ended(i, try int, now float64) []Action {
-	if r.mine(i, try) && r.shards[i].phase == sent {
+// RowsEnded tells that a shard has no more rows.
+func (r *Run) RowsEnded(i, try int, now float64) []Action {
+	if r.isCurrent(i, try) && r.shards[i].phase == sent {
 		s := &r.shards[i]
-		s.phase, s.seen = ended, max(s.seen, int64(math.Ceil(now))) // that it has no more rows was read, too
+		s.phase, s.observedPosition = ended, max(s.observedPosition, int64(math.Ceil(now))) // that it has no more rows was read, too
 		r.merge.End(i)
-		r.pump(now)
+		r.deliverRows(now)
 	}
-	return r.out
+	return r.actions
 }
 
-// Settled tells that a shard has said its last, with its position in Unix ms, 0 for none.
-func (r *Run) Settled(i, try int, position int64, now float64) []Action {
-	if r.mine(i, try) {
+// PositionReported tells that a shard has said its last, with its position in Unix ms, 0 for none.
+func (r *Run) PositionReported(i, try int, position int64, now float64) []Action {
+	if r.isCurrent(i, try) {
 		s := &r.shards[i]
 		if s.phase == ended {
-			s.phase, s.told = settled, position
+			s.phase, s.reportedPosition = positionKnown, position
 		}
-		r.settle(now)
+		r.finishIfSettled(now)
 	}
-	return r.out
+	return r.actions
 }
 
-// Room tells whether the client takes more rows.
-func (r *Run) Room(ok bool, now float64) []Action {
-	r.out = r.out[:0]
-	if r.room = ok; r.Verdict == Running {
-		r.pump(now)
+// SetClientReady tells whether the client takes more rows.
+func (r *Run) SetClientReady(ok bool, now float64) []Action {
+	r.actions = r.actions[:0]
+	if r.clientReady = ok; r.Verdict == Running {
+		r.deliverRows(now)
 	}
-	return r.out
+	return r.actions
 }
 
-// Leave tells that the client has gone.
-func (r *Run) Leave() []Action {
-	if r.out = r.out[:0]; r.Verdict == Running {
-		r.end(Gone, "")
+// Abandon tells that the client has gone.
+func (r *Run) Abandon() []Action {
+	if r.actions = r.actions[:0]; r.Verdict == Running {
+		r.finish(Abandoned, "")
 	}
-	return r.out
+	return r.actions
 }
 
 // Tick lets time pass.
 func (r *Run) Tick(now float64) []Action {
-	if r.out = r.out[:0]; r.Verdict != Running {
+	if r.actions = r.actions[:0]; r.Verdict != Running {
 		return nil
 	}
-	if r.full {
-		r.settle(now)
-		return r.out
+	if r.pageFull {
+		r.finishIfSettled(now)
+		return r.actions
 	}
-	late := now >= r.due || r.set.Missing > 0 && now >= r.due-r.set.Spare
+	late := now >= r.deadline || r.settings.MaxMissing > 0 && now >= r.deadline-r.settings.AnswerReserveMs
 	for i := range r.shards {
 		s := &r.shards[i]
-		owes := s.phase <= asking || s.phase == sent && r.merge.Lacks(i)
+		owes := s.phase <= submitted || s.phase == sent && r.merge.LacksRow(i)
 		switch {
 		case r.Verdict != Running:
 		case late && owes:
-			r.lose(i, "it gave no rows in time", now)
-		case s.phase == sent && owes && r.set.Silent > 0 && now-s.moved >= r.set.Silent:
-			r.broke(i, "it was silent for too long", true, now)
-		case s.phase == resting && now >= s.rests:
-			r.ask(i, now)
+			r.exclude(i, "it gave no rows in time", now)
+		case s.phase == sent && owes && r.settings.UnresponsiveMs > 0 && now-s.progressAt >= r.settings.UnresponsiveMs:
+			r.retryOrExclude(i, "it was silent for too long", true, now)
+		case s.phase == backingOff && now >= s.retryAt:
+			r.submit(i, now)
 		}
 	}
-	if r.Verdict == Running && now >= r.due {
-		r.end(Failed, "the page was not whole in time")
+	if r.Verdict == Running && now >= r.deadline {
+		r.finish(Failed, "the page was not whole in time")
 	}
-	return r.out
+	return r.actions
 }
 
-// pump hands out what is next, as far as the client takes it.
-func (r *Run) pump(now float64) {
-	if r.Verdict != Running || r.full {
+// deliverRows hands out what is next, as far as the client takes it.
+func (r *Run) deliverRows(now float64) {
+	if r.Verdict != Running || r.pageFull {
 		return
 	}
-	for r.room && r.given < r.page {
+	for r.clientReady && r.delivered < r.pageRows {
 		i, key, own, row, ok := r.merge.Next()
 		if !ok {
 			break
 		}
 		s := &r.shards[i]
-		r.given++
-		s.last, s.own = append(s.last[:0], key...), own
-		r.lastOf = cursor.Place{Key: s.last, Own: own, Shard: i}
-		r.out = append(r.out, Action{Do: Give, Shard: i, Row: row})
-		if s.stopped && r.merge.Low(i) {
-			s.stopped, s.moved = false, now
-			r.out = append(r.out, Action{Do: Go, Shard: i})
+		r.delivered++
+		s.last, s.lastOwn = append(s.last[:0], key...), own
+		r.lastPlace = cursor.Place{Key: s.last, OwnOffset: own, Shard: i}
+		r.actions = append(r.actions, Action{Kind: Deliver, Shard: i, Row: row})
+		if s.readingStopped && r.merge.Low(i) {
+			s.readingStopped, s.progressAt = false, now
+			r.actions = append(r.actions, Action{Kind: ResumeReading, Shard: i})
 		}
 	}
-	if r.given < r.page && !r.merge.Done() {
+	if r.delivered < r.pageRows && !r.merge.Done() {
 		return
 	}
-	r.full, r.until = true, now+r.set.Settle
-	r.More = r.given == r.page || len(r.Missing()) > 0
+	r.pageFull, r.positionsDue = true, now+r.settings.PositionWaitMs
+	r.More = r.delivered == r.pageRows || len(r.Missing()) > 0
 	for i := range r.shards {
-		if s := &r.shards[i]; s.phase < ended || s.phase == ended && s.rows >= r.page {
-			r.out = append(r.out, Action{Do: Cancel, Shard: i})
+		if s := &r.shards[i]; s.phase < ended || s.phase == ended && s.rows >= r.pageRows {
+			r.actions = append(r.actions, Action{Kind: Cancel, Shard: i})
 			s.phase = ended
 		}
 	}
-	r.settle(now)
+	r.finishIfSettled(now)
 }
 
-// settle ends a page that is full once all positions are told, or have been waited for.
-func (r *Run) settle(now float64) {
-	if !r.full || r.Verdict != Running {
+// finishIfSettled ends a page that is full once all positions are told, or have been waited for.
+func (r *Run) finishIfSettled(now float64) {
+	if !r.pageFull || r.Verdict != Running {
 		return
 	}
-	if now < r.until && r.More {
+	if now < r.positionsDue && r.More {
 		for i := range r.shards {
 			if r.shards[i].phase == ended {
 				return
 			}
 		}
 	}
-	r.end(Served, "")
+	r.finish(Served, "")
 }
 
-// end gives the one final answer.
-func (r *Run) end(v Verdict, why string) {
+// finish gives the one final answer.
+func (r *Run) finish(v Verdict, why string) {
 	r.checks.That(r.Verdict == Running, "scatter: one final answer", func() string { return fmt.Sprint(r.Verdict, v) })
-	r.Verdict, r.Why = v, why
+	r.Verdict, r.Cause = v, why
 	for i := range r.shards {
 		if p := r.shards[i].phase; v != Served && p < ended {
-			r.out = append(r.out, Action{Do: Cancel, Shard: i})
+			r.actions = append(r.actions, Action{Kind: Cancel, Shard: i})
 		}
 	}
-	r.out = append(r.out, Action{Do: Final})
+	r.actions = append(r.actions, Action{Kind: Finish})
 }
 
 // Places are where the shards stand once the run was served, and the positions at which their next rows must be read.
 func (r *Run) Places() (places []cursor.Place, needs []int64) {
 	for i := range r.shards {
 		s := &r.shards[i]
-		p, upTo := s.place, r.lastOf
-		if s.phase == missing {
+		p, upTo := s.place, r.lastPlace
+		if s.phase == excluded {
 			upTo = cursor.Place{}
 			if s.last != nil {
-				upTo = cursor.Place{Key: s.last, Own: s.own, Shard: i}
+				upTo = cursor.Place{Key: s.last, OwnOffset: s.lastOwn, Shard: i}
 			}
 		}
 		if upTo.Compare(&p) > 0 {
 			p = upTo
 		}
-		need := s.told
+		need := s.reportedPosition
 		if need == 0 {
-			need = s.seen
+			need = s.observedPosition
 		}
-		places, needs = append(places, p), append(needs, max(s.need, s.asked, need))
+		places, needs = append(places, p), append(needs, max(s.minPosition, s.submittedPosition, need))
 	}
 	return places, needs
 }
--- a/internal/frontend/scatter/execution/run_test.go
+++ b/internal/frontend/scatter/execution/run_test.go
@@ -73,9 +73,9 @@
 	rng := rand.New(rand.NewPCG(seed, 7))
 	h := &history{t: t, rng: rng, now: 1e6, still: rng.IntN(3) == 0, faulty: rng.IntN(3) > 0}
 	n := 1 + rng.IntN(6)
-	h.set = Settings{Shards: n, Window: 1 + rng.IntN(400), MostRow: 200, Silent: 50, Again: 2 + rng.IntN(3), Settle: 5, Spare: 20}
+	h.set = Settings{Shards: n, WindowBytes: 1 + rng.IntN(400), MaxRowBytes: 200, UnresponsiveMs: 50, MaxRetries: 2 + rng.IntN(3), PositionWaitMs: 5, AnswerReserveMs: 20}
 	if rng.IntN(3) == 0 {
-		h.set.Missing = rng.IntN(n + 1)
+		h.set.MaxMissing = rng.IntN(n + 1)
 	}
 	cols := []merge.Column{{Name: "place", Type: merge.Int}, {Name: "x", Type: merge.Float}, {Name: "name", Type: merge.Text}}
 	rng.Shuffle(len(cols), func(i, k int) { cols[i], cols[k] = cols[k], cols[i] })
@@ -131,24 +131,24 @@
 func (h *history) do(actions []Action) {
 	for k := range actions {
 		a := actions[k]
-		switch x := h.tries[a.Shard]; a.Do {
-		case Ask:
-			if h.needs != nil && a.Need < h.needs[a.Shard] {
-				h.t.Fatalf("shard %d is asked at %d, before its cursor's %d", a.Shard, a.Need, h.needs[a.Shard])
+		switch x := h.tries[a.Shard]; a.Kind {
+		case Submit:
+			if h.needs != nil && a.MinPosition < h.needs[a.Shard] {
+				h.t.Fatalf("shard %d is asked at %d, before its cursor's %d", a.Shard, a.MinPosition, h.needs[a.Shard])
 			}
-			if at := max(h.read[a.Shard], h.now1[a.Shard]); float64(a.Need) < at {
-				h.t.Fatalf("shard %d is asked at %d, and was read at %f", a.Shard, a.Need, at)
+			if at := max(h.read[a.Shard], h.now1[a.Shard]); float64(a.MinPosition) < at {
+				h.t.Fatalf("shard %d is asked at %d, and was read at %f", a.Shard, a.MinPosition, at)
 			}
-			h.tries[a.Shard] = &try{shard: a.Shard, no: a.Try, dies: -1, need: a.Need, place: a.Place, limit: a.Limit}
+			h.tries[a.Shard] = &try{shard: a.Shard, no: a.Attempt, dies: -1, need: a.MinPosition, place: a.Place, limit: a.MaxRows}
 		case Send:
 			h.sendTo(x)
-		case Stop:
+		case StopReading:
 			x.stopped = true
-		case Go:
+		case ResumeReading:
 			x.stopped = false
 		case Cancel:
 			x.done = true
-		case Give:
+		case Deliver:
 			last := &h.pages[len(h.pages)-1]
 			var g given
 			if _, err := fmt.Sscan(string(a.Row), &g.shard, &g.id); err != nil {
@@ -167,11 +167,11 @@
 // sendTo has a server work on a try's statement: one that is behind by up to a while, but never behind its need.
 func (h *history) sendTo(x *try) {
 	x.sent, x.at = true, max(float64(x.need), h.now-h.rng.Float64()*30)
-	asked, ok, err := plan.Read(word)
+	asked, ok, err := plan.Parse(word)
 	if err != nil || !ok {
 		h.t.Fatal(err)
 	}
-	sql, vals, err := asked.Word(&h.order, &x.place, x.shard, x.limit, 0)
+	sql, vals, err := asked.ShardStatement(&h.order, &x.place, x.shard, x.limit, 0)
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -203,7 +203,7 @@
 	}
 	h.now += h.rng.Float64()
 	if h.rng.IntN(10) == 0 {
-		h.do(h.run.Room(h.rng.IntN(3) > 0, h.now))
+		h.do(h.run.SetClientReady(h.rng.IntN(3) > 0, h.now))
 	}
 	if h.rng.IntN(5) == 0 {
 		h.now += 5
@@ -215,23 +215,23 @@
 	x := h.tries[h.rng.IntN(len(h.tries))]
 	if x != nil && h.rng.IntN(8) == 0 { // of a try that was given up
 		h.do(h.run.Row(x.shard, x.no-1, []byte{255}, 1, []byte("0 0"), h.now))
-		h.do(h.run.Ended(x.shard, x.no-1, h.now))
-		h.do(h.run.Broke(x.shard, x.no-1, "late", true, h.now))
+		h.do(h.run.RowsEnded(x.shard, x.no-1, h.now))
+		h.do(h.run.Failed(x.shard, x.no-1, "late", true, h.now))
 	}
 	switch {
 	case x == nil || x.done || x.stopped:
-	case !x.sent && h.run.shards[x.shard].phase == asking:
+	case !x.sent && h.run.shards[x.shard].phase == submitted:
 		if h.faulty && h.rng.IntN(60) == 0 {
 			x.done = true
-			h.do(h.run.Refused(x.shard, x.no, 5, h.now))
+			h.do(h.run.Rejected(x.shard, x.no, 5, h.now))
 			return
 		}
-		h.do(h.run.Granted(x.shard, x.no, h.now))
+		h.do(h.run.Connected(x.shard, x.no, h.now))
 	case !x.sent || x.silent:
 	case x.dies == 0:
 		x.done = true
 		h.broke++
-		h.do(h.run.Broke(x.shard, x.no, "it died", true, h.now))
+		h.do(h.run.Failed(x.shard, x.no, "it died", true, h.now))
 	case len(x.rows) > 0:
 		r := x.rows[0]
 		x.rows, x.dies = x.rows[1:], x.dies-1
@@ -249,12 +249,12 @@
 	default:
 		x.done = true
 		h.now1[x.shard] = max(h.now1[x.shard], x.at)
-		h.do(h.run.Ended(x.shard, x.no, h.now))
+		h.do(h.run.RowsEnded(x.shard, x.no, h.now))
 		if pos := int64(math.Ceil(x.at)); h.rng.IntN(4) > 0 && h.run.Verdict == Running {
-			h.do(h.run.Settled(x.shard, x.no, pos, h.now))
+			h.do(h.run.PositionReported(x.shard, x.no, pos, h.now))
 		}
 	}
-	h.held = max(h.held, h.run.Held())
+	h.held = max(h.held, h.run.HeldBytes())
 }
 
 // page plays one page with a cursor's text and returns the next one.
@@ -262,11 +262,11 @@
 	var places []cursor.Place
 	h.needs = nil
 	if text != "" {
-		c, err := ring.Open(text, h.now, &cursor.Bound{})
+		c, err := ring.Open(text, h.now, &cursor.Binding{})
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		places, h.needs = c.Places, c.Needs
+		places, h.needs = c.Places, c.MinPositions
 	}
 	h.run = New(&h.set, 1+h.rng.IntN(9), places, h.needs, h.now+300, checks)
 	h.pages, h.now1 = append(h.pages, nil), make([]float64, h.set.Shards)
@@ -274,8 +274,8 @@
 	for h.run.Verdict == Running {
 		h.step()
 	}
-	if h.held > h.set.Held() {
-		h.t.Fatalf("%d bytes held, over %d", h.held, h.set.Held())
+	if h.held > h.set.MaxHeldBytes() {
+		h.t.Fatalf("%d bytes held, over %d", h.held, h.set.MaxHeldBytes())
 	}
 	if h.run.Verdict != Served {
 		h.pages = h.pages[:len(h.pages)-1] // the client asks again with the cursor it has
@@ -287,8 +287,8 @@
 	if !h.run.More {
 		return "", false, true
 	}
-	c := &cursor.Cursor{Issued: h.now}
-	c.Places, c.Needs = h.run.Places()
+	c := &cursor.Cursor{IssuedMs: h.now}
+	c.Places, c.MinPositions = h.run.Places()
 	next, err := ring.Seal(c, cursor.Nonce{byte(h.rng.IntN(256))})
 	if err != nil {
 		h.t.Fatal(err)
@@ -322,9 +322,9 @@
 	return 0
 }
 
-// TestHistories: over 1,000 drawn histories, the pages' union is the model's sorted list: each row that was there throughout exactly once, no
+// TestPagesOfFaultyShardsAreComplete: over 1,000 drawn histories, the pages' union is the model's sorted list: each row that was there throughout exactly once, no
 // row twice, none that never was; in order, and where nothing was written and nothing left out, the very list.
-func TestHistories(t *testing.T) {
+func TestPagesOfFaultyShardsAreComplete(t *testing.T) {
 	t.Parallel()
 	pages, again, broke, exact := 0, 0, 0, 0
 	for seed := range uint64(1000) {
@@ -391,26 +391,26 @@
 	}
 }
 
-// TestAgain: a shard that dies midway is asked again from behind its last row, for what is left, at no earlier position; and one whose rows are not
+// TestRetryContinuesBehindLastRow: a shard that dies midway is asked again from behind its last row, for what is left, at no earlier position; and one whose rows are not
 // in order, or too long, is not asked again.
-func TestAgain(t *testing.T) {
-	set := Settings{Shards: 2, Window: 1000, MostRow: 100, Again: 1, Settle: 5, Spare: 10}
+func TestRetryContinuesBehindLastRow(t *testing.T) {
+	set := Settings{Shards: 2, WindowBytes: 1000, MaxRowBytes: 100, MaxRetries: 1, PositionWaitMs: 5, AnswerReserveMs: 10}
 	begin := func() *Run {
 		r := New(&set, 5, nil, nil, 1000, invariant.Test(t))
 		r.Begin(0)
-		r.Granted(0, 1, 1)
-		r.Granted(1, 1, 1)
+		r.Connected(0, 1, 1)
+		r.Connected(1, 1, 1)
 		r.Row(0, 1, []byte{2, 1, 1}, 2, []byte("one"), 2)
 		r.Row(0, 1, []byte{2, 2, 2}, 2, []byte("two"), 3.5)
 		return r
 	}
-	want := []Action{{Do: Cancel}, {Do: Ask, Try: 2, Place: cursor.Place{Key: []byte{2, 2, 2}, Own: 2}, Need: 4, Limit: 3}}
+	want := []Action{{Kind: Cancel}, {Kind: Submit, Attempt: 2, Place: cursor.Place{Key: []byte{2, 2, 2}, OwnOffset: 2}, MinPosition: 4, MaxRows: 3}}
 	r := begin()
-	if diff := cmp.Diff(want, r.Broke(0, 1, "it died", true, 4)); diff != "" {
+	if diff := cmp.Diff(want, r.Failed(0, 1, "it died", true, 4)); diff != "" {
 		t.Error(diff)
 	}
-	r.Granted(0, 2, 5)
-	if r.Broke(0, 2, "it died", true, 6); r.Verdict != Failed {
+	r.Connected(0, 2, 5)
+	if r.Failed(0, 2, "it died", true, 6); r.Verdict != Failed {
 		t.Errorf("dead twice: %v", r.Verdict)
 	}
 	for what, key := range map[string][]byte{"out of order": {2, 1, 9}, "too long": make([]byte, 101)} {
@@ -420,20 +420,20 @@
 	}
 }
 
-// TestShedWhole: where one shard is refused, nothing is sent to any, and who was granted is given up.
-func TestShedWhole(t *testing.T) {
-	set := Settings{Shards: 3, Window: 1000, MostRow: 100, Again: 3}
+// TestRejectedBeforeAnythingIsSent: where one shard is refused, nothing is sent to any, and who was granted is given up.
+func TestRejectedBeforeAnythingIsSent(t *testing.T) {
+	set := Settings{Shards: 3, WindowBytes: 1000, MaxRowBytes: 100, MaxRetries: 3}
 	r := New(&set, 5, nil, nil, 1000, invariant.Test(t))
 	r.Begin(0)
 	var all []Action
-	all = append(all, r.Granted(0, 1, 1)...)
-	all = append(all, r.Granted(2, 1, 1)...)
-	all = append(all, r.Refused(1, 1, 40, 2)...)
-	want := []Action{{Do: Cancel, Shard: 1}, {Do: Cancel}, {Do: Cancel, Shard: 2}, {Do: Final}}
-	if diff := cmp.Diff(want, all); diff != "" || r.Verdict != Refused || r.RetryMs != 40 {
+	all = append(all, r.Connected(0, 1, 1)...)
+	all = append(all, r.Connected(2, 1, 1)...)
+	all = append(all, r.Rejected(1, 1, 40, 2)...)
+	want := []Action{{Kind: Cancel, Shard: 1}, {Kind: Cancel}, {Kind: Cancel, Shard: 2}, {Kind: Finish}}
+	if diff := cmp.Diff(want, all); diff != "" || r.Verdict != Rejected || r.RetryMs != 40 {
 		t.Errorf("%v, %g: %s", r.Verdict, r.RetryMs, diff)
 	}
-	if late := r.Granted(1, 1, 3); len(late) > 0 {
+	if late := r.Connected(1, 1, 3); len(late) > 0 {
 		t.Errorf("behind the final answer: %v", late)
 	}
 }
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -10,117 +10,117 @@
 
 // link is a connection to a server; it is the loop's Handler.
 type link struct {
-	f       *Front
-	key     serverKey
-	conn    *eventloop.Conn
-	in      pgwire.Reader
-	server  *sessionstate.Server // what settings it has
-	params  map[string]string
-	pid     uint32
-	secret  uint32
-	up      bool
-	closed  bool
-	attempt *attempt
-	part    *part // whose answer is due
-	asked   bool  // its statement is out
-	ready   int   // ReadyForQuery that are due: of settings, and of the statement
-	syncs   func()
-	first   bool // a row has come, or the end
-	firstAt float64
-	ended   bool // CommandComplete has come
-	ending  bool // what still comes is dropped, up to ReadyForQuery
-	broken  bool
-	wasHit  bool // a cancel request went out
-	hits    int  // ...and is not worked on yet
-	rows    int  // of its answer
-	stopped bool
-	parked  bool
-	busy    bool // in Data
-	cols    columns
-	timer   *timers.Timer
+	frontend        *Frontend
+	key             connKey
+	conn            *eventloop.Conn
+	input           pgwire.Reader
+	settings        *sessionstate.Server // what settings it has
+	params          map[string]string
+	pid             uint32
+	secret          uint32
+	ready           bool
+	closed          bool
+	attempt         *attempt
+	part            *part // whose answer is due
+	sent            bool  // its statement is out
+	pendingReady    int   // ReadyForQuery that are due: of settings, and of the statement
+	onSettingsReady func()
+	answerBegun     bool // a row has come, or the end
+	answerBegunAt   float64
+	completed       bool // CommandComplete has come
+	discarding      bool // what still comes is dropped, up to ReadyForQuery
+	broken          bool
+	wasCancelled    bool // a cancel request went out
+	openCancels     int  // ...and is not worked on yet
+	rows            int  // of its answer
+	mergeFull       bool
+	readingPaused   bool
+	reading         bool // in Data
+	columns         orderColumns
+	timer           *timers.Timer
 }
 
 // Data is loop's.
 func (l *link) Data(b []byte) {
-	l.in.Feed(b)
-	if l.stopped { // the merge has enough: what came with the last read stays here
-		l.parked = l.conn.PauseReading() // it may have been on its way back when it was stopped
+	l.input.Feed(b)
+	if l.mergeFull { // the merge has enough: what came with the last read stays here
+		l.readingPaused = l.conn.PauseReading() // it may have been on its way back when it was stopped
 		return
 	}
-	l.work()
+	l.readMessages()
 }
 
-// work takes the messages that are there, as far as the merge takes rows.
-func (l *link) work() {
-	l.busy = true
-	for !l.closed && !l.stopped {
-		m, ok, err := l.in.Next()
+// readMessages takes the messages that are there, as far as the merge takes rows.
+func (l *link) readMessages() {
+	l.reading = true
+	for !l.closed && !l.mergeFull {
+		m, ok, err := l.input.Next()
 		if err != nil {
-			l.f.log.Warn("scatter: server broke the protocol, or sent more than is taken", "store", l.key.store, "err", err)
-			l.broke("it sent a longer row than is taken, or broke the protocol", false)
+			l.frontend.log.Warn("scatter: server broke the protocol, or sent more than is taken", "store", l.key.server, "err", err)
+			l.partFailed("it sent a longer row than is taken, or broke the protocol", false)
 			l.close()
 			break
 		}
 		if !ok {
 			break
 		}
-		if !l.up {
-			l.welcome(m)
+		if !l.ready {
+			l.startupMessage(m)
 		} else {
 			l.message(m)
 		}
 	}
-	l.busy = false
+	l.reading = false
 	if l.closed {
 		return
 	}
-	l.early()
-	if s := l.of(); s != nil {
+	l.endLongAttempt()
+	if s := l.scatter(); s != nil {
 		s.reader.Flush()
 	}
 }
 
-// earlyMs is how long an answer that has begun may take to tell the decision module of its server, at its end.
-const earlyMs = 20
+// longAnswerMs is how long an answer that has begun may take to tell the decision module of its server, at its end.
+const longAnswerMs = 20
 
-// early ends an attempt whose answer has begun and goes on for long: its rest is the run's.
-func (l *link) early() {
+// endLongAttempt ends an attempt whose answer has begun and goes on for long: its rest is the run's.
+func (l *link) endLongAttempt() {
 	a := l.attempt
-	if a == nil || !l.first || a.ended {
+	if a == nil || !l.answerBegun || a.ended {
 		return
 	}
-	if now := l.f.loop.Now(); l.firstAt == 0 {
-		l.firstAt = now
-	} else if now-l.firstAt > earlyMs || l.stopped {
-		l.f.end(a, decide.OK, nil)
+	if now := l.frontend.loop.Now(); l.answerBegunAt == 0 {
+		l.answerBegunAt = now
+	} else if now-l.answerBegunAt > longAnswerMs || l.mergeFull {
+		l.frontend.endAttempt(a, decide.OK, nil)
 	}
 }
 
-// of is the scatter whose answer comes here, nil where nobody waits for it.
-func (l *link) of() *Scatter {
-	if l.part == nil || l.part.s.over {
+// scatter is the scatter whose answer comes here, nil where nobody waits for it.
+func (l *link) scatter() *Scatter {
+	if l.part == nil || l.part.scatter.ended {
 		return nil
 	}
-	return l.part.s
+	return l.part.scatter
 }
 
-// ask sends a part's statement, behind what brings the client's settings over.
-func (l *link) ask(p *part) error {
-	s := p.s
-	sql, vals, err := s.asked.Word(&s.spec.Order, &p.a.Place, p.a.Shard, p.a.Limit, len(s.bind.Params))
+// send sends a part's statement, behind what brings the client's settings over.
+func (l *link) send(p *part) error {
+	s := p.scatter
+	sql, vals, err := s.query.ShardStatement(&s.spec.Order, &p.action.Place, p.action.Shard, p.action.MaxRows, len(s.values.Params))
 	if err != nil {
 		return err
 	}
 	var out []byte
-	l.firstAt = 0
-	l.asked, l.ready, l.rows, l.first, l.ended, l.ending = true, 1, 0, false, false, false
-	if set := s.who.Settings.SyncQuery(l.server); set != "" {
+	l.answerBegunAt = 0
+	l.sent, l.pendingReady, l.rows, l.answerBegun, l.completed, l.discarding = true, 1, 0, false, false, false
+	if set := s.caller.Settings.SyncQuery(l.settings); set != "" {
 		out = pgwire.AppendQuery(out, set)
-		l.ready++
-		l.syncs = func() { s.who.Settings.Synced(l.server) }
+		l.pendingReady++
+		l.onSettingsReady = func() { s.caller.Settings.Synced(l.settings) }
 	}
-	out = pgwire.AppendParse(out, "", sql, s.types)
-	out = pgwire.AppendBind(out, "", "", s.bind.With(vals))
+	out = pgwire.AppendParse(out, "", sql, s.paramTypes)
+	out = pgwire.AppendBind(out, "", "", s.values.EncodeWith(vals))
 	out = append(out, 'D', 0, 0, 0, 6, 'P', 0)
 	out = append(out, 'E', 0, 0, 0, 9, 0, 0, 0, 0, 0)
 	out = append(out, 'S', 0, 0, 0, 4)
@@ -128,67 +128,67 @@
 	return nil
 }
 
-// drop gives up a connection: one that works on something is closed.
-func (l *link) drop() {
+// detach gives up a connection: one that works on something is closed.
+func (l *link) detach() {
 	l.attempt = nil
-	if l.ending && l.asked { // it was told to end
+	if l.discarding && l.sent { // it was told to end
 		return
 	}
-	if l.asked && l.up && !l.broken { // the server is told
-		l.finish()
+	if l.sent && l.ready && !l.broken { // the server is told
+		l.endAnswer()
 		return
 	}
-	if l.part = nil; l.asked || !l.up {
+	if l.part = nil; l.sent || !l.ready {
 		l.close()
 		return
 	}
-	l.rest()
+	l.release()
 }
 
 func (l *link) close() {
 	switch {
 	case l.closed:
-	case l.conn == nil || !l.up:
-		l.failed(decide.Unreachable)
+	case l.conn == nil || !l.ready:
+		l.dialFailed(decide.Unreachable)
 	default:
 		l.conn.Close()
 	}
 }
 
-// park has nothing more be read here.
-func (l *link) park() {
-	if !l.parked && !l.closed && l.conn != nil {
-		l.parked = l.conn.PauseReading()
+// pauseReading has nothing more be read here.
+func (l *link) pauseReading() {
+	if !l.readingPaused && !l.closed && l.conn != nil {
+		l.readingPaused = l.conn.PauseReading()
 	}
 }
 
-// readOn ends park, once what has been read is worked off: what is read before that adds to what is held.
-func (l *link) readOn() {
-	if l.parked && !l.stopped && !l.closed {
-		l.parked = false
+// resumeReading ends park, once what has been read is worked off: what is read before that adds to what is held.
+func (l *link) resumeReading() {
+	if l.readingPaused && !l.mergeFull && !l.closed {
+		l.readingPaused = false
 		l.conn.ResumeReading()
 	}
 }
 
-// stop has the merge take no more rows from here.
-func (l *link) stop() {
-	if !l.stopped && !l.ending {
-		l.stopped = true
-		l.park()
+// stopRows has the merge take no more rows from here.
+func (l *link) stopRows() {
+	if !l.mergeFull && !l.discarding {
+		l.mergeFull = true
+		l.pauseReading()
 	}
 }
 
-// resume ends stop.
-func (l *link) resume() {
-	if !l.stopped {
+// resumeRows ends stop.
+func (l *link) resumeRows() {
+	if !l.mergeFull {
 		return
 	}
-	l.stopped = false
-	l.f.loop.At(l.f.loop.Now(), func() {
-		if !l.closed && !l.stopped && !l.busy {
-			l.work()
+	l.mergeFull = false
+	l.frontend.loop.At(l.frontend.loop.Now(), func() {
+		if !l.closed && !l.mergeFull && !l.reading {
+			l.readMessages()
 		}
-		l.readOn()
+		l.resumeReading()
 	})
 }
 
@@ -197,12 +197,12 @@
 	if l.closed {
 		return
 	}
-	if !l.up {
-		l.failed(decide.Unreachable)
+	if !l.ready {
+		l.dialFailed(decide.Unreachable)
 		return
 	}
 	l.closed = true
-	f := l.f
+	f := l.frontend
 	f.conns--
 	f.loop.StopTimer(l.timer)
 	for i, x := range f.idle[l.key] {
@@ -221,28 +221,28 @@
 		a.link = nil
 	}
 	switch {
-	case ours && l.ended: // all its rows are here: asked again it would only tell where another server stands
+	case ours && l.completed: // all its rows are here: asked again it would only tell where another server stands
 		if out {
-			f.end(a, decide.OK, nil)
+			f.endAttempt(a, decide.OK, nil)
 		}
 	case ours: // rows of it are with the merge: the run asks anew, from behind them, and the module must not ask this one again
 		if out {
-			a.lost = true
+			a.resetInAnswer = true
 		}
-		p.broke("its server's connection broke", true)
+		p.reportFailure("its server's connection broke", true)
 		if out {
-			f.end(a, decide.Reset, nil)
+			f.endAttempt(a, decide.Reset, nil)
 		}
-	case out && !l.asked:
-		f.end(a, decide.Unreachable, nil)
+	case out && !l.sent:
+		f.endAttempt(a, decide.Unreachable, nil)
 	case out:
-		f.end(a, decide.Reset, nil)
+		f.endAttempt(a, decide.Reset, nil)
 	}
 }
 
-// broke tells of an answer that came to nothing, unless the part's is another attempt's.
-func (l *link) broke(why string, again bool) {
-	if p := l.part; p != nil && !p.over && (!p.begun || p.link == l) {
-		p.broke(why, again)
+// partFailed tells of an answer that came to nothing, unless the part's is another attempt's.
+func (l *link) partFailed(why string, again bool) {
+	if p := l.part; p != nil && !p.ended && (!p.answerBegun || p.link == l) {
+		p.reportFailure(why, again)
 	}
 }
--- a/internal/frontend/scatter/merge/merge_test.go
+++ b/internal/frontend/scatter/merge/merge_test.go
@@ -135,8 +135,8 @@
 	return o
 }
 
-// TestKeys: keys compare as values do at the servers, in both forms of the wire, and a key gives its values back.
-func TestKeys(t *testing.T) {
+// TestKeysCompareAsValuesDo: keys compare as values do at the servers, in both forms of the wire, and a key gives its values back.
+func TestKeysCompareAsValuesDo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawnOrder(t).Columns[0]
 		a, b := drawn(t, &c), drawn(t, &c)
@@ -170,8 +170,8 @@
 	text  string
 }
 
-// TestMerge: what comes out is what a plain sort makes of all rows, however they come in, and what is held stays within its bound.
-func TestMerge(t *testing.T) {
+// TestMergeAgreesWithModel: what comes out is what a plain sort makes of all rows, however they come in, and what is held stays within its bound.
+func TestMergeAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := drawnOrder(t)
 		n, window := rapid.IntRange(1, 6).Draw(t, "shards"), rapid.IntRange(1, 300).Draw(t, "window")
@@ -235,8 +235,8 @@
 			if err := m.Add(i, key, own, []byte(r.text)); err != nil {
 				t.Fatal(err)
 			}
-			if most = max(most, len(key)+len(r.text)); m.Held() > Most(n, window, most) {
-				t.Fatalf("%d bytes are held of %d", m.Held(), Most(n, window, most))
+			if most = max(most, len(key)+len(r.text)); m.HeldBytes() > MaxHeldBytes(n, window, most) {
+				t.Fatalf("%d bytes are held of %d", m.HeldBytes(), MaxHeldBytes(n, window, most))
 			}
 			if rapid.Bool().Draw(t, "take") {
 				take()
@@ -247,14 +247,14 @@
 		for _, r := range all {
 			want = append(want, r.text)
 		}
-		if diff := gocmp.Diff(want, got); diff != "" || !m.Done() || m.Held() != 0 {
-			t.Fatalf("done %v, %d held %s", m.Done(), m.Held(), diff)
+		if diff := gocmp.Diff(want, got); diff != "" || !m.Done() || m.HeldBytes() != 0 {
+			t.Fatalf("done %v, %d held %s", m.Done(), m.HeldBytes(), diff)
 		}
 	})
 }
 
-// TestDisorder: a shard whose row is not behind the one before is caught, whether that row is still here or not.
-func TestDisorder(t *testing.T) {
+// TestUnorderedRowsAreRejected: a shard whose row is not behind the one before is caught, whether that row is still here or not.
+func TestUnorderedRowsAreRejected(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		m := New(1, 100)
 		if err := m.Add(0, []byte{5, 1}, 1, nil); err != nil {
@@ -275,8 +275,8 @@
 	}
 }
 
-// TestNoValue: what is not of its type is an error, in both forms.
-func TestNoValue(t *testing.T) {
+// TestInvalidValuesAreRejected: what is not of its type is an error, in both forms.
+func TestInvalidValuesAreRejected(t *testing.T) {
 	for typ, list := range map[Type][]string{Int: {"", "-", "1.5", "9223372036854775808", "+1", "99999999999999999999"}, Float: {"", "x", "0x1p4", "1_0", "inf"},
 		Bytea: {"", "abc", `\x1`, `\xgg`}, Timestamp: {"", "2026-13-01 00:00:00", "01/02/2026 00:00:00", "2026-01-01", "2026-01-01 00:00:00+00", "2026-01-01 00:00:00 AD"},
 		Instant: {"2026-01-01 00:00:00", "2026-01-01 00:00:00 CET"}, UUID: {"", "0", "6ba7b810-9dad-11d1-80b4-00c04fd430c", "6ba7b810-9dad-11d1-80b4-00c04fd430c8ff"}} {
@@ -346,8 +346,8 @@
 	}
 }
 
-// TestNoAllocation: a row costs no allocation once buffers have their size.
-func TestNoAllocation(t *testing.T) {
+// TestMergeDoesNotAllocate: a row costs no allocation once buffers have their size.
+func TestMergeDoesNotAllocate(t *testing.T) {
 	m, key, text := New(2, 1<<16), make([]byte, 8), make([]byte, 100)
 	count := uint64(0)
 	step := func() {
--- a/internal/frontend/scatter/merge/moment.go
+++ b/internal/frontend/scatter/merge/moment.go
@@ -10,8 +10,8 @@
 // epoch is PostgreSQL's: moments are microseconds since 2000.
 var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
 
-// moment reads a time. As text it is in the ISO form, which sessions have unless they ask for another.
-func moment(val []byte, binaryForm, zoned bool) (int64, error) {
+// parseTimestamp reads a time. As text it is in the ISO form, which sessions have unless they ask for another.
+func parseTimestamp(val []byte, binaryForm, zoned bool) (int64, error) {
 	if binaryForm {
 		if len(val) != 8 {
 			return 0, ErrValue
@@ -24,55 +24,55 @@
 	case "-infinity":
 		return math.MinInt64, nil
 	}
-	s := scan{b: val}
+	s := scanner{input: val}
 	year := s.number(4, 6)
-	s.take('-')
+	s.expect('-')
 	month := s.number(2, 2)
-	s.take('-')
+	s.expect('-')
 	day := s.number(2, 2)
-	s.take(' ')
+	s.expect(' ')
 	hour := s.number(2, 2)
-	s.take(':')
+	s.expect(':')
 	minute := s.number(2, 2)
-	s.take(':')
+	s.expect(':')
 	second := s.number(2, 2)
 	micros := 0
-	if s.next('.') {
-		at := len(s.b)
+	if s.accept('.') {
+		at := len(s.input)
 		micros = s.number(1, 6)
-		for n := at - len(s.b); n < 6; n++ {
+		for n := at - len(s.input); n < 6; n++ {
 			micros *= 10
 		}
 	}
 	offset := 0
 	if zoned {
 		sign := 1
-		if s.next('-') {
+		if s.accept('-') {
 			sign = -1
 		} else {
-			s.take('+')
+			s.expect('+')
 		}
 		offset = 3600 * s.number(2, 2)
-		if s.next(':') {
+		if s.accept(':') {
 			offset += 60 * s.number(2, 2)
-			if s.next(':') {
+			if s.accept(':') {
 				offset += s.number(2, 2)
 			}
 		}
 		offset *= sign
 	}
-	if len(s.b) == 3 && string(s.b) == " BC" {
-		s.b, year = nil, 1-year
+	if len(s.input) == 3 && string(s.input) == " BC" {
+		s.input, year = nil, 1-year
 	}
-	if s.bad || len(s.b) > 0 || month < 1 || month > 12 || day < 1 || day > 31 || hour > 24 || minute > 59 || second > 60 {
+	if s.invalid || len(s.input) > 0 || month < 1 || month > 12 || day < 1 || day > 31 || hour > 24 || minute > 59 || second > 60 {
 		return 0, ErrValue
 	}
 	at := time.Date(year, time.Month(month), day, hour, minute, second, 0, time.UTC).Unix() - epoch - int64(offset)
 	return at*1e6 + int64(micros), nil
 }
 
-// momentText is a moment as a server takes it.
-func momentText(n int64, zoned bool) []byte {
+// formatTimestamp is a moment as a server takes it.
+func formatTimestamp(n int64, zoned bool) []byte {
 	switch n {
 	case math.MaxInt64:
 		return []byte("infinity")
@@ -98,28 +98,28 @@
 	return append(out, end...)
 }
 
-// scan reads a text from its front.
-type scan struct {
-	b   []byte
-	bad bool
+// scanner reads a text from its front.
+type scanner struct {
+	input   []byte
+	invalid bool
 }
 
-func (s *scan) next(c byte) bool {
-	if len(s.b) > 0 && s.b[0] == c {
-		s.b = s.b[1:]
+func (s *scanner) accept(c byte) bool {
+	if len(s.input) > 0 && s.input[0] == c {
+		s.input = s.input[1:]
 		return true
 	}
 	return false
 }
 
-func (s *scan) take(c byte) { s.bad = !s.next(c) || s.bad }
+func (s *scanner) expect(c byte) { s.invalid = !s.accept(c) || s.invalid }
 
-func (s *scan) number(least, most int) (n int) {
+func (s *scanner) number(least, most int) (n int) {
 	i := 0
-	for i < len(s.b) && i < most && s.b[i] >= '0' && s.b[i] <= '9' {
-		n = n*10 + int(s.b[i]-'0')
+	for i < len(s.input) && i < most && s.input[i] >= '0' && s.input[i] <= '9' {
+		n = n*10 + int(s.input[i]-'0')
 		i++
 	}
-	s.b, s.bad = s.b[i:], s.bad || i < least
+	s.input, s.invalid = s.input[i:], s.invalid || i < least
 	return n
 }
--- a/internal/frontend/scatter/merge/order.go
+++ b/internal/frontend/scatter/merge/order.go
@@ -58,12 +58,12 @@
 	return 0, false
 }
 
-// oids are what a RowDescription may call a column of a type.
-var oids = [types][]uint32{{20, 21, 23}, {701}, {25, 1043}, {17}, {1114}, {1184}, {2950}}
+// objectIDs are what a RowDescription may call a column of a type.
+var objectIDs = [types][]uint32{{20, 21, 23}, {701}, {25, 1043}, {17}, {1114}, {1184}, {2950}}
 
 // Is tells whether a column of that object id is of the type.
 func (t Type) Is(oid uint32) bool {
-	for _, o := range oids[t] {
+	for _, o := range objectIDs[t] {
 		if o == oid {
 			return true
 		}
@@ -91,18 +91,18 @@
 
 // Marks before a value; those of nulls are below or above those of values.
 const (
-	nullLow  = 1
-	present  = 2
-	nullHigh = 3
+	nullFirst = 1
+	present   = 2
+	nullLast  = 3
 )
 
 // Append appends a value's part of a key. val is as on the wire, nil for null.
 func (c *Column) Append(dst, val []byte, binaryForm bool) ([]byte, error) {
 	if val == nil {
 		if c.NullsFirst {
-			return append(dst, nullLow), nil
+			return append(dst, nullFirst), nil
 		}
-		return append(dst, nullHigh), nil
+		return append(dst, nullLast), nil
 	}
 	dst = append(dst, present)
 	at := len(dst)
@@ -110,15 +110,15 @@
 	switch c.Type {
 	case Int:
 		var n int64
-		n, err = integer(val, binaryForm)
+		n, err = parseInteger(val, binaryForm)
 		dst = binary.BigEndian.AppendUint64(dst, uint64(n)^1<<63)
 	case Float:
 		var x float64
-		x, err = float(val, binaryForm)
-		dst = binary.BigEndian.AppendUint64(dst, floatBits(x))
+		x, err = parseFloat(val, binaryForm)
+		dst = binary.BigEndian.AppendUint64(dst, sortableFloat(x))
 	case Timestamp, Instant:
 		var n int64
-		n, err = moment(val, binaryForm, c.Type == Instant)
+		n, err = parseTimestamp(val, binaryForm, c.Type == Instant)
 		dst = binary.BigEndian.AppendUint64(dst, uint64(n)^1<<63)
 	case UUID:
 		dst, err = appendUUID(dst, val, binaryForm)
@@ -142,8 +142,8 @@
 	return dst, nil
 }
 
-// floatBits are bits that compare as the numbers do at the servers.
-func floatBits(x float64) uint64 {
+// sortableFloat are bits that compare as the numbers do at the servers.
+func sortableFloat(x float64) uint64 {
 	switch {
 	case math.IsNaN(x):
 		return math.MaxUint64
@@ -173,7 +173,7 @@
 		return dst, ErrValue
 	}
 	for i := 2; i < len(val); i += 2 {
-		a, b := nibble(val[i]), nibble(val[i+1])
+		a, b := hexDigit(val[i]), hexDigit(val[i+1])
 		if a > 15 || b > 15 {
 			return dst, ErrValue
 		}
@@ -185,7 +185,7 @@
 	return append(dst, 0, 1), nil
 }
 
-func nibble(c byte) byte {
+func hexDigit(c byte) byte {
 	switch {
 	case c >= '0' && c <= '9':
 		return c - '0'
@@ -206,7 +206,7 @@
 	}
 	at, half := len(dst), byte(255)
 	for _, c := range val {
-		x := nibble(c)
+		x := hexDigit(c)
 		switch {
 		case c == '-' && half == 255:
 		case x > 15:
@@ -223,7 +223,7 @@
 	return dst, nil
 }
 
-func integer(val []byte, binaryForm bool) (int64, error) {
+func parseInteger(val []byte, binaryForm bool) (int64, error) {
 	if binaryForm {
 		switch len(val) {
 		case 2:
@@ -257,7 +257,7 @@
 	return 0, ErrValue
 }
 
-func float(val []byte, binaryForm bool) (float64, error) {
+func parseFloat(val []byte, binaryForm bool) (float64, error) {
 	if binaryForm {
 		if len(val) != 8 {
 			return 0, ErrValue
@@ -315,7 +315,7 @@
 	}
 	mark, rest := key[0], key[1:]
 	switch {
-	case mark == nullLow && c.NullsFirst, mark == nullHigh && !c.NullsFirst:
+	case mark == nullFirst && c.NullsFirst, mark == nullLast && !c.NullsFirst:
 		return Value{Null: true}, rest, nil
 	case mark != present:
 		return Value{}, nil, ErrValue
@@ -366,15 +366,15 @@
 	case Int:
 		return Value{Text: strconv.AppendInt(nil, int64(bits^1<<63), 10)}, rest, nil
 	case Float:
-		return Value{Text: floatText(bits)}, rest, nil
+		return Value{Text: formatFloat(bits)}, rest, nil
 	case UUID:
 		h := hex.EncodeToString(raw)
 		return Value{Text: []byte(h[:8] + "-" + h[8:12] + "-" + h[12:16] + "-" + h[16:20] + "-" + h[20:])}, rest, nil
 	}
-	return Value{Text: momentText(int64(bits^1<<63), c.Type == Instant)}, rest, nil
+	return Value{Text: formatTimestamp(int64(bits^1<<63), c.Type == Instant)}, rest, nil
 }
 
-func floatText(bits uint64) []byte {
+func formatFloat(bits uint64) []byte {
 	if bits == math.MaxUint64 {
 		return []byte("NaN")
 	}
--- a/internal/frontend/scatter/plan/plan.go
+++ b/internal/frontend/scatter/plan/plan.go
@@ -22,40 +22,40 @@
 
 // The marks.
 const (
-	MarkAfter = "/*after*/"
-	MarkOrder = "/*order*/"
+	PlaceholderAfter = "/*after*/"
+	PlaceholderOrder = "/*order*/"
 )
 
 // Errors of a statement that can't be scattered.
 var (
-	ErrMarks   = errors.New("a scattered statement has " + MarkAfter + " and " + MarkOrder + " once each")
-	ErrComment = errors.New("the comment of a scattered statement can't be read")
+	ErrPlaceholders = errors.New("a scattered statement has " + PlaceholderAfter + " and " + PlaceholderOrder + " once each")
+	ErrComment      = errors.New("the comment of a scattered statement can't be read")
 )
 
-// Asked is what a client asks.
-type Asked struct {
+// Query is what a client asks.
+type Query struct {
 	Scatter     string
-	Page        int     // rows, 0 where it is not said
-	WaitMs      float64 // 0 where it is not said
+	Rows        int     // rows, 0 where it is not said
+	TimeoutMs   float64 // 0 where it is not said
 	Tenant      string
 	Cursor      string
 	CursorParam int // the parameter that is the cursor, from 1 on; 0 for none
 
-	Body string // the statement without its comment
+	Statement string // the statement without its comment
 }
 
 const (
-	mostWaitMs = 24 * 3600e3
-	mostName   = 64
+	maxTimeoutMs = 24 * 3600e3
+	maxNameBytes = 64
 )
 
-// Is tells at little cost whether a statement may be one to scatter.
-func Is(sql string) bool {
-	return strings.Contains(sql, "scatter=") && strings.Contains(sql, MarkOrder)
+// MayScatter tells at little cost whether a statement may be one to scatter.
+func MayScatter(sql string) bool {
+	return strings.Contains(sql, "scatter=") && strings.Contains(sql, PlaceholderOrder)
 }
 
-// Read reads a statement; ok is false where its comment names no scatter.
-func Read(sql string) (a Asked, ok bool, err error) {
+// Parse reads a statement; ok is false where its comment names no scatter.
+func Parse(sql string) (a Query, ok bool, err error) {
 	body := strings.TrimRight(sql, "; \t\r\n")
 	from := strings.LastIndex(body, "/*")
 	if from < 0 || !strings.HasSuffix(body, "*/") || len(body) < from+4 {
@@ -77,11 +77,11 @@
 		case "t":
 			a.Tenant = val
 		case "page":
-			if a.Page, e = strconv.Atoi(val); e != nil || a.Page < 1 {
+			if a.Rows, e = strconv.Atoi(val); e != nil || a.Rows < 1 {
 				err = errors.Join(err, bad("page: a number of rows is due"))
 			}
 		case "d":
-			if a.WaitMs, e = strconv.ParseFloat(val, 64); e != nil || !(a.WaitMs > 0 && a.WaitMs <= mostWaitMs) {
+			if a.TimeoutMs, e = strconv.ParseFloat(val, 64); e != nil || !(a.TimeoutMs > 0 && a.TimeoutMs <= maxTimeoutMs) {
 				err = errors.Join(err, bad("d: milliseconds are due"))
 			}
 		case "cursor":
@@ -96,25 +96,25 @@
 	if a.Scatter == "" {
 		return a, false, nil
 	}
-	a.Body = body[:from]
+	a.Statement = body[:from]
 	switch {
 	case err != nil:
-	case max(len(a.Scatter), len(a.Tenant)) > mostName:
-		err = bad(fmt.Sprintf("a name of over %d bytes", mostName))
-	case strings.Count(a.Body, MarkAfter) != 1 || strings.Count(a.Body, MarkOrder) != 1 || strings.Index(a.Body, MarkAfter) > strings.Index(a.Body, MarkOrder):
-		err = ErrMarks
+	case max(len(a.Scatter), len(a.Tenant)) > maxNameBytes:
+		err = bad(fmt.Sprintf("a name of over %d bytes", maxNameBytes))
+	case strings.Count(a.Statement, PlaceholderAfter) != 1 || strings.Count(a.Statement, PlaceholderOrder) != 1 || strings.Index(a.Statement, PlaceholderAfter) > strings.Index(a.Statement, PlaceholderOrder):
+		err = ErrPlaceholders
 	}
 	return a, true, err
 }
 
-// Word words what a shard is asked: limit rows behind a place, as the shard of that number sees it. params is how many parameters the client's
+// ShardStatement words what a shard is asked: limit rows behind a place, as the shard of that number sees it. params is how many parameters the client's
 // statement has; vals are those that come behind them, as text.
-func (a *Asked) Word(o *merge.Order, p *cursor.Place, shard, limit, params int) (sql string, vals [][]byte, err error) {
+func (a *Query) ShardStatement(o *merge.Order, p *cursor.Place, shard, limit, params int) (sql string, vals [][]byte, err error) {
 	after := ""
 	if p.Key != nil {
 		key, n := p.Key, len(o.Columns)
 		if shard != p.Shard {
-			key, n = p.Key[:p.Own], o.Own
+			key, n = p.Key[:p.OwnOffset], o.Own
 		}
 		values, err := o.Values(key)
 		if err != nil || len(values) != n {
@@ -123,15 +123,15 @@
 		var ways []string
 		same := ""
 		for i := range n {
-			c, v, param := (*column)(&o.Columns[i]), values[i], ""
+			c, v, param := (*sqlColumn)(&o.Columns[i]), values[i], ""
 			if !v.Null {
 				vals = append(vals, v.Text)
 				param = fmt.Sprintf("$%d::%s", params+len(vals), c.Type)
 			}
-			if behind := c.behind(v.Null, param); behind != "" {
+			if behind := c.after(v.Null, param); behind != "" {
 				ways = append(ways, same+behind)
 			}
-			same += c.same(v.Null, param) + " AND "
+			same += c.equals(v.Null, param) + " AND "
 		}
 		if shard > p.Shard {
 			ways = append(ways, strings.TrimSuffix(same, " AND "))
@@ -144,7 +144,7 @@
 	var order []string
 	for i := range o.Columns {
 		c := &o.Columns[i]
-		s := (*column)(c).expr()
+		s := (*sqlColumn)(c).expression()
 		if c.Desc {
 			s += " DESC"
 		}
@@ -155,13 +155,13 @@
 		}
 		order = append(order, s)
 	}
-	r := strings.NewReplacer(MarkAfter, after, MarkOrder, fmt.Sprintf(" ORDER BY %s LIMIT %d", strings.Join(order, ", "), limit))
-	return r.Replace(a.Body), vals, nil
+	r := strings.NewReplacer(PlaceholderAfter, after, PlaceholderOrder, fmt.Sprintf(" ORDER BY %s LIMIT %d", strings.Join(order, ", "), limit))
+	return r.Replace(a.Statement), vals, nil
 }
 
-type column merge.Column
+type sqlColumn merge.Column
 
-func (c *column) expr() string {
+func (c *sqlColumn) expression() string {
 	s := c.Expr
 	if s == "" {
 		s = `"` + strings.ReplaceAll(c.Name, `"`, `""`) + `"`
@@ -172,19 +172,19 @@
 	return s
 }
 
-// same holds for a row whose column has the value.
-func (c *column) same(null bool, param string) string {
+// equals holds for a row whose column has the value.
+func (c *sqlColumn) equals(null bool, param string) string {
 	if null {
-		return c.expr() + " IS NULL"
+		return c.expression() + " IS NULL"
 	}
-	return c.expr() + " = " + param
+	return c.expression() + " = " + param
 }
 
-// behind holds for a row whose column is behind the value; it is empty where none is.
-func (c *column) behind(null bool, param string) string {
+// after holds for a row whose column is behind the value; it is empty where none is.
+func (c *sqlColumn) after(null bool, param string) string {
 	switch {
 	case null && c.NullsFirst:
-		return c.expr() + " IS NOT NULL"
+		return c.expression() + " IS NOT NULL"
 	case null:
 		return ""
 	}
@@ -193,7 +193,7 @@
 		op = " < "
 	}
 	if c.NullsFirst {
-		return c.expr() + op + param
+		return c.expression() + op + param
 	}
-	return "(" + c.expr() + op + param + " OR " + c.expr() + " IS NULL)"
+	return "(" + c.expression() + op + param + " OR " + c.expression() + " IS NULL)"
 }
--- a/internal/frontend/scatter/plan/plan_test.go
+++ b/internal/frontend/scatter/plan/plan_test.go
@@ -14,28 +14,28 @@
 
 const body = "SELECT id, at FROM orders WHERE site = $1 /*after*/ /*order*/ "
 
-// TestRead reads what a comment says, and has one line for each fault.
-func TestRead(t *testing.T) {
+// TestParse reads what a comment says, and has one line for each fault.
+func TestParse(t *testing.T) {
 	for name, c := range map[string]struct {
 		sql  string
-		want Asked
+		want Query
 		ok   bool
 		err  error
 	}{
-		"all of it":         {body + "/* scatter=orders, page=50,d=2000.5,t=acme,cursor=AbC_-1 */;", Asked{Scatter: "orders", Page: 50, WaitMs: 2000.5, Tenant: "acme", Cursor: "AbC_-1", Body: body}, true, nil},
-		"a parameter":       {body + "/* scatter=orders,cursor=$2 */", Asked{Scatter: "orders", Cursor: "$2", CursorParam: 2, Body: body}, true, nil},
-		"none":              {"SELECT 1", Asked{}, false, nil},
-		"another's comment": {"SELECT 1 /* id=1,c=a,d=3,cluster=0 */", Asked{}, false, nil},
-		"no marks":          {"SELECT 1 /* scatter=orders */", Asked{}, true, ErrMarks},
-		"a mark twice":      {body + "/*order*/ /* scatter=orders */", Asked{}, true, ErrMarks},
-		"turned round":      {"SELECT 1 /*order*/ /*after*/ /* scatter=orders */", Asked{}, true, ErrMarks},
-		"page of none":      {body + "/* scatter=orders,page=0 */", Asked{}, true, ErrComment},
-		"no wait":           {body + "/* scatter=orders,d=NaN */", Asked{}, true, ErrComment},
-		"no parameter":      {body + "/* scatter=orders,cursor=$x */", Asked{}, true, ErrComment},
-		"twice":             {body + "/* scatter=orders,page=1,page=2 */", Asked{}, true, ErrComment},
-		"an endless name":   {body + "/* scatter=" + strings.Repeat("x", 65) + " */", Asked{}, true, ErrComment},
+		"all of it":         {body + "/* scatter=orders, page=50,d=2000.5,t=acme,cursor=AbC_-1 */;", Query{Scatter: "orders", Rows: 50, TimeoutMs: 2000.5, Tenant: "acme", Cursor: "AbC_-1", Statement: body}, true, nil},
+		"a parameter":       {body + "/* scatter=orders,cursor=$2 */", Query{Scatter: "orders", Cursor: "$2", CursorParam: 2, Statement: body}, true, nil},
+		"none":              {"SELECT 1", Query{}, false, nil},
+		"another's comment": {"SELECT 1 /* id=1,c=a,d=3,cluster=0 */", Query{}, false, nil},
+		"no marks":          {"SELECT 1 /* scatter=orders */", Query{}, true, ErrPlaceholders},
+		"a mark twice":      {body + "/*order*/ /* scatter=orders */", Query{}, true, ErrPlaceholders},
+		"turned round":      {"SELECT 1 /*order*/ /*after*/ /* scatter=orders */", Query{}, true, ErrPlaceholders},
+		"page of none":      {body + "/* scatter=orders,page=0 */", Query{}, true, ErrComment},
+		"no wait":           {body + "/* scatter=orders,d=NaN */", Query{}, true, ErrComment},
+		"no parameter":      {body + "/* scatter=orders,cursor=$x */", Query{}, true, ErrComment},
+		"twice":             {body + "/* scatter=orders,page=1,page=2 */", Query{}, true, ErrComment},
+		"an endless name":   {body + "/* scatter=" + strings.Repeat("x", 65) + " */", Query{}, true, ErrComment},
 	} {
-		got, ok, err := Read(c.sql)
+		got, ok, err := Parse(c.sql)
 		if ok != c.ok || !errors.Is(err, c.err) {
 			t.Errorf("%s: %v, %v", name, ok, err)
 		}
@@ -45,14 +45,14 @@
 	}
 }
 
-// TestWord: the three ways in which a shard stands to a row, and what NULLs make of them.
-func TestWord(t *testing.T) {
+// TestShardStatement: the three ways in which a shard stands to a row, and what NULLs make of them.
+func TestShardStatement(t *testing.T) {
 	o := merge.Order{Columns: []merge.Column{{Name: "at", Type: merge.Int, Desc: true, NullsFirst: true}, {Name: `a"b`, Expr: "o.name", Type: merge.Text}, {Name: "id", Type: merge.Int}}, Own: 2}
 	key := func(vals ...[]byte) cursor.Place {
 		p := cursor.Place{Shard: 1}
 		for i, v := range vals {
 			if i == o.Own {
-				p.Own = len(p.Key)
+				p.OwnOffset = len(p.Key)
 			}
 			p.Key, _ = o.Columns[i].Append(p.Key, v, false)
 		}
@@ -74,8 +74,8 @@
 		"nulls":                    {null, 0, ` AND ("at" IS NOT NULL)`, ""},
 		"nulls, behind":            {null, 2, ` AND ("at" IS NOT NULL OR "at" IS NULL AND o.name COLLATE "C" IS NULL)`, ""},
 	} {
-		a := Asked{Body: "SELECT 1 /*after*/ /*order*/"}
-		sql, vals, err := a.Word(&o, &c.place, c.shard, 7, 1)
+		a := Query{Statement: "SELECT 1 /*after*/ /*order*/"}
+		sql, vals, err := a.ShardStatement(&o, &c.place, c.shard, 7, 1)
 		if want := "SELECT 1 " + c.after + " " + by; sql != want || err != nil {
 			t.Errorf("%s: %v\n got %s\nwant %s", name, err, sql, want)
 		}
--- a/internal/frontend/scatter/reused_test.go
+++ b/internal/frontend/scatter/reused_test.go
@@ -13,16 +13,16 @@
 	"beechgrade/internal/frontend/scatter/plan"
 )
 
-// TestReusedUnsent: a part has a connection that another page was read over, and waits for the other shard's server, which never takes it; nothing
+// TestReusedConnectionBreaksBeforeSend: a part has a connection that another page was read over, and waits for the other shard's server, which never takes it; nothing
 // is sent. What that other page left on the connection is no answer to this one: whether a word comes there or the client goes, the attempt ends as
 // one that was never sent, and the connection is free for others.
-func TestReusedUnsent(t *testing.T) {
+func TestReusedConnectionBreaksBeforeSend(t *testing.T) {
 	for how, then := range map[string]func(g *stage, s *Scatter, a *statement){
-		"its client goes": func(g *stage, s *Scatter, _ *statement) { g.do(s.Leave) },
+		"its client goes": func(g *stage, s *Scatter, _ *statement) { g.do(s.Abandon) },
 		"a word comes, and its client goes": func(g *stage, s *Scatter, a *statement) {
 			a.sets("application_name", "x")
-			g.sees("the word", func() bool { return s.parts[0].tries[0].link.params["application_name"] == "x" })
-			g.do(s.Leave)
+			g.sees("the word", func() bool { return s.parts[0].attempts[0].link.params["application_name"] == "x" })
+			g.do(s.Abandon)
 		},
 	} {
 		t.Run(how, func(t *testing.T) {
@@ -42,12 +42,12 @@
 			g.do(func() {
 				g.f.SetAddress("c", mute.Addr().String())
 				g.first = "a"
-				asked := plan.Asked{Scatter: "visits", Body: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
-				if s, err = g.f.Begin(asked, Who{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}, []byte{0, 0}, nil, g); err != nil {
+				asked := plan.Query{Scatter: "visits", Statement: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
+				if s, err = g.f.Begin(asked, Caller{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}, []byte{0, 0}, nil, g); err != nil {
 					t.Error(err)
 					return
 				}
-				if p := s.parts[0]; len(p.tries) != 1 || p.tries[0].link == nil || p.tries[0].link.asked {
+				if p := s.parts[0]; len(p.attempts) != 1 || p.attempts[0].link == nil || p.attempts[0].link.sent {
 					t.Error("the part has not the connection of the page before, or was sent")
 				}
 			})
@@ -59,7 +59,7 @@
 				if !slices.Contains(g.outcomes, fmt.Sprint("2 ", decide.NotSent)) {
 					t.Errorf("what was not sent did not end so: %q", g.outcomes)
 				}
-				if n := len(g.f.idle[serverKey{"a", "d", "u"}]); n != 1 {
+				if n := len(g.f.idle[connKey{"a", "d", "u"}]); n != 1 {
 					t.Errorf("%d connections to its server are free, not 1", n)
 				}
 			})
--- a/internal/frontend/scatter/scatter.go
+++ b/internal/frontend/scatter/scatter.go
@@ -31,67 +31,67 @@
 	Missing []string // shards that were left out
 }
 
-// Who asks.
-type Who struct {
+// Caller asks.
+type Caller struct {
 	Database, User string
 	Settings       *sessionstate.Client
 	Session        string
-	After          float64 // the session's last write, Unix ms
+	MinPositionMs  float64 // the session's last write, Unix ms
 }
 
 // Errors of what can't be begun.
 var (
-	ErrSpec     = errors.New("there is no scatter of this name")
-	ErrPage     = errors.New("the page has more rows than the settings allow")
-	ErrEncoding = errors.New("a scattered read takes clients with client_encoding UTF8 and DateStyle ISO only")
-	ErrBusy     = errors.New("too many scattered reads at a time")
-	ErrColumns  = errors.New("the rows do not have the columns that the settings say")
+	ErrUnknownScatter = errors.New("there is no scatter of this name")
+	ErrPageTooLong    = errors.New("the page has more rows than the settings allow")
+	ErrEncoding       = errors.New("a scattered read takes clients with client_encoding UTF8 and DateStyle ISO only")
+	ErrBusy           = errors.New("too many scattered reads at a time")
+	ErrColumns        = errors.New("the rows do not have the columns that the settings say")
 )
 
 // Scatter is one page that is made.
 type Scatter struct {
-	f      *Front
-	spec   *Spec
-	no     int
-	id     uint64
-	set    execution.Settings
-	asked  plan.Asked
-	who    Who
-	types  []byte
-	bind   bindmessage.Values
-	bound  cursor.Bound
-	due    float64
-	reader Reader
-	run    *execution.Run
-	parts  []*part
-	events []func(now float64) []execution.Action
-	busy   bool
-	over   bool
-	heard  []byte // the first shard's description
-	rows   int
-	full   bool // the client takes no more for now
-	key    []byte
-	err    error // that ends it, with the run's verdict
+	frontend      *Frontend
+	spec          *Spec
+	specIndex     int
+	id            uint64
+	settings      execution.Settings
+	query         plan.Query
+	caller        Caller
+	paramTypes    []byte
+	values        bindmessage.Values
+	binding       cursor.Binding
+	deadline      float64
+	reader        Reader
+	run           *execution.Run
+	parts         []*part
+	pendingEvents []func(now float64) []execution.Action
+	handling      bool
+	ended         bool
+	description   []byte // the first shard's description
+	rows          int
+	clientFull    bool // the client takes no more for now
+	key           []byte
+	err           error // that ends it, with the run's verdict
 }
 
 // Begin begins a page. types is as in Parse, params as in Bind behind its names; an error means that nothing was begun.
-func (f *Front) Begin(a plan.Asked, who Who, types, params []byte, r Reader) (*Scatter, error) {
-	no := f.spec(a.Scatter)
+func (f *Frontend) Begin(a plan.Query, who Caller, types, params []byte, r Reader) (*Scatter, error) {
+	no := f.specIndex(a.Scatter)
 	if no < 0 {
-		return nil, fmt.Errorf("%w: %q", ErrSpec, a.Scatter)
+		return nil, fmt.Errorf("%w: %q", ErrUnknownScatter, a.Scatter)
 	}
-	now, spec := f.loop.Now(), &f.opt.Specs[no]
-	s := &Scatter{f: f, spec: spec, no: no, set: spec.Run(), asked: a, who: who, types: types, reader: r}
+	now, spec := f.loop.Now(), &f.options.Specs[no]
+	s := &Scatter{frontend: f, spec: spec, specIndex: no, settings: spec.ExecutionSettings(), query: a, caller: who, paramTypes: types, reader: r}
 	var err error
-	if s.bind, err = bindmessage.Read(params); err != nil {
+	if s.values, err = bindmessage.Parse(params); err != nil {
 		return nil, err
 	}
-	page := a.Page
+	page := a.Rows
 	if page == 0 {
-		page = spec.Page
+		page = spec.DefaultRows
 	}
-	if page > spec.MostPage {
-		return nil, fmt.Errorf("%w: %d, %d may be", ErrPage, page, spec.MostPage)
+	if page > spec.MaxRows {
+		return nil, fmt.Errorf("%w: %d, %d may be", ErrPageTooLong, page, spec.MaxRows)
 	}
 	if e := who.Settings.Setting("client_encoding"); e != "" && !strings.EqualFold(strings.Trim(e, "'"), "utf8") && !strings.EqualFold(strings.Trim(e, "'"), "utf-8") {
 		return nil, ErrEncoding
@@ -99,50 +99,50 @@
 	if d := who.Settings.Setting("datestyle"); d != "" && !strings.Contains(strings.ToLower(d), "iso") {
 		return nil, ErrEncoding
 	}
-	text, list := a.Cursor, []string{a.Body, string(types)}
-	for i, p := range s.bind.Params {
+	text, list := a.Cursor, []string{a.Statement, string(types)}
+	for i, p := range s.values.Params {
 		if i+1 == a.CursorParam {
 			text = string(p)
 			continue
 		}
 		list = append(list, strconv.Itoa(i), string(p), strconv.FormatBool(p == nil))
 	}
-	if a.CursorParam > len(s.bind.Params) {
+	if a.CursorParam > len(s.values.Params) {
 		return nil, fmt.Errorf("%w: there is no parameter $%d", plan.ErrComment, a.CursorParam)
 	}
-	s.bound = cursor.Bound{Statement: Mark(list...), Reader: Mark(a.Tenant, spec.Class, who.User, who.Database), Order: spec.orderMark, Shards: spec.shardMark}
+	s.binding = cursor.Binding{Statement: DigestOf(list...), Reader: DigestOf(a.Tenant, spec.Class, who.User, who.Database), Order: spec.orderDigest, Shards: spec.shardsDigest}
 	var places []cursor.Place
 	var needs []int64
 	if text != "" {
-		c, err := f.opt.Ring.Open(text, now, &s.bound)
+		c, err := f.options.Ring.Open(text, now, &s.binding)
 		if err == nil && len(c.Places) != len(spec.Shards) {
 			err = cursor.ErrShards
 		}
 		if err != nil {
-			f.Counts.Cursors++
+			f.Counts.RejectedCursors++
 			return nil, err
 		}
-		places, needs = c.Places, c.Needs
+		places, needs = c.Places, c.MinPositions
 	}
-	if n := len(spec.Shards); f.perSpec[no] >= spec.AtOnce || f.told >= 0 && f.inFlight+n > f.told {
-		f.turned.n = f.turned.now(now) + float64(n)
-		f.Counts.Refused++
+	if n := len(spec.Shards); f.perSpec[no] >= spec.MaxConcurrent || f.maxShards >= 0 && f.shardsInFlight+n > f.maxShards {
+		f.rejectedShards.count = f.rejectedShards.decayTo(now) + float64(n)
+		f.Counts.Rejected++
 		return nil, ErrBusy
 	}
-	wait := spec.WaitMs
-	if a.WaitMs > 0 {
-		wait = min(wait, a.WaitMs)
+	wait := spec.TimeoutMs
+	if a.TimeoutMs > 0 {
+		wait = min(wait, a.TimeoutMs)
 	}
-	s.due = now + wait
-	f.seq++
-	s.id = f.seq
+	s.deadline = now + wait
+	f.lastID++
+	s.id = f.lastID
 	s.parts = make([]*part, len(spec.Shards))
-	s.run = execution.New(&s.set, page, places, needs, s.due, f.opt.Checks)
+	s.run = execution.New(&s.settings, page, places, needs, s.deadline, f.options.Checks)
 	f.running[s] = true
 	f.perSpec[no]++
-	f.inFlight += len(spec.Shards)
+	f.shardsInFlight += len(spec.Shards)
 	f.Counts.Pages++
-	s.event(s.run.Begin)
+	s.handle(s.run.Begin)
 	if !f.ticking {
 		f.ticking = true
 		f.loop.At(now+tickMs, f.tick)
@@ -150,106 +150,106 @@
 	return s, nil
 }
 
-// Leave ends a page whose client has gone.
-func (s *Scatter) Leave() {
-	s.reader = nobody{}
-	s.event(func(float64) []execution.Action { return s.run.Leave() })
+// Abandon ends a page whose client has gone.
+func (s *Scatter) Abandon() {
+	s.reader = discardReader{}
+	s.handle(func(float64) []execution.Action { return s.run.Abandon() })
 }
 
-// Over tells whether the page has its end.
-func (s *Scatter) Over() bool { return s.over }
+// Ended tells whether the page has its end.
+func (s *Scatter) Ended() bool { return s.ended }
 
-// event has the run told of something, behind what it is being told.
-func (s *Scatter) event(e func(now float64) []execution.Action) {
-	if s.over {
+// handle has the run told of something, behind what it is being told.
+func (s *Scatter) handle(e func(now float64) []execution.Action) {
+	if s.ended {
 		return
 	}
-	if s.events = append(s.events, e); s.busy {
+	if s.pendingEvents = append(s.pendingEvents, e); s.handling {
 		return
 	}
-	s.busy = true
-	s.drain()
-	s.busy = false
+	s.handling = true
+	s.handlePending()
+	s.handling = false
 }
 
-func (s *Scatter) drain() {
-	for i := 0; i < len(s.events); i++ {
-		s.do(s.events[i](s.f.loop.Now()))
+func (s *Scatter) handlePending() {
+	for i := 0; i < len(s.pendingEvents); i++ {
+		s.perform(s.pendingEvents[i](s.frontend.loop.Now()))
 	}
-	clear(s.events)
-	s.events = s.events[:0]
+	clear(s.pendingEvents)
+	s.pendingEvents = s.pendingEvents[:0]
 }
 
-func (s *Scatter) do(actions []execution.Action) {
+func (s *Scatter) perform(actions []execution.Action) {
 	for k := range actions {
 		a := &actions[k]
 		p := s.parts[a.Shard]
-		switch a.Do {
-		case execution.Ask:
-			if a.Try > 1 {
-				s.f.Counts.Again++
+		switch a.Kind {
+		case execution.Submit:
+			if a.Attempt > 1 {
+				s.frontend.Counts.Retried++
 			}
-			s.ask(*a)
+			s.submit(*a)
 		case execution.Send:
 			p.sendAll()
-		case execution.Stop:
+		case execution.StopReading:
 			if p.link != nil {
-				p.link.stop()
+				p.link.stopRows()
 			}
-		case execution.Go:
+		case execution.ResumeReading:
 			if p.link != nil {
-				p.link.resume()
+				p.link.resumeRows()
 			}
 		case execution.Cancel:
 			if p != nil {
-				p.giveUp()
+				p.abandon()
 			}
-		case execution.Give:
+		case execution.Deliver:
 			s.rows++
-			s.f.Counts.Rows++
+			s.frontend.Counts.Rows++
 			s.reader.Row(a.Row)
-			if !s.full && s.reader.Unsent() > muchUnsent {
-				s.full = true
-				s.event(func(now float64) []execution.Action { return s.run.Room(false, now) })
+			if !s.clientFull && s.reader.Unsent() > highWaterBytes {
+				s.clientFull = true
+				s.handle(func(now float64) []execution.Action { return s.run.SetClientReady(false, now) })
 			}
-		case execution.Final:
-			s.final()
+		case execution.Finish:
+			s.finish()
 		}
 	}
 }
 
-// ask puts a shard's read to the decision module.
-func (s *Scatter) ask(a execution.Action) {
-	p := &part{s: s, a: a, open: true}
+// submit puts a shard's read to the decision module.
+func (s *Scatter) submit(a execution.Action) {
+	p := &part{scatter: s, action: a, submitted: true}
 	s.parts[a.Shard] = p
-	q := platform.Request{ID: fmt.Sprintf("scatter-%d-%d-%d", s.id, a.Shard, a.Try), Class: s.spec.Class, Tenant: s.asked.Tenant, PlatformProtocol: s.asked.Tenant != "",
-		Group: s.spec.Shards[a.Shard].Group, Session: s.who.Session, MinPosition: max(float64(a.Need), s.who.After), Deadline: s.due, Query: p}
-	ref, err := s.f.desk.Submit(q, p)
+	q := platform.Request{ID: fmt.Sprintf("scatter-%d-%d-%d", s.id, a.Shard, a.Attempt), Class: s.spec.Class, Tenant: s.query.Tenant, PlatformProtocol: s.query.Tenant != "",
+		Group: s.spec.Shards[a.Shard].Group, Session: s.caller.Session, MinPosition: max(float64(a.MinPosition), s.caller.MinPositionMs), Deadline: s.deadline, Query: p}
+	ref, err := s.frontend.dispatcher.Submit(q, p)
 	switch {
 	case err != nil:
-		p.open = false
+		p.submitted = false
 		s.err = err
-		p.broke(err.Error(), false)
-	case p.open && p.over:
-		p.open = false
-		s.f.desk.Abandon(ref)
-	case p.open:
+		p.reportFailure(err.Error(), false)
+	case p.submitted && p.ended:
+		p.submitted = false
+		s.frontend.dispatcher.Abandon(ref)
+	case p.submitted:
 		p.ref = ref
 	}
 }
 
 func (s *Scatter) tick() {
-	if s.full && s.reader.Unsent() < littleLeft {
-		s.full = false
-		s.event(func(now float64) []execution.Action { return s.run.Room(true, now) })
+	if s.clientFull && s.reader.Unsent() < lowWaterBytes {
+		s.clientFull = false
+		s.handle(func(now float64) []execution.Action { return s.run.SetClientReady(true, now) })
 	}
-	s.event(s.run.Tick)
+	s.handle(s.run.Tick)
 	for _, p := range s.parts {
 		if p != nil && p.link != nil {
-			p.link.early()
+			p.link.endLongAttempt()
 		}
 	}
-	if !s.over {
+	if !s.ended {
 		s.reader.Flush()
 	}
 }
--- a/internal/settings/scatter.go
+++ b/internal/settings/scatter.go
@@ -41,7 +41,7 @@
 var (
 	cursorTimes    = durationRange{second, year}
 	pageRows       = countRange{1, 100000}
-	missingShards  = countRange{1, cursor.MostShards}
+	missingShards  = countRange{1, cursor.MaxShards}
 	scatterMemory  = sizeRange{64 * kilobyte, gigabyte}
 	rowBytes       = sizeRange{kilobyte, 16 * megabyte}
 	shardsAtOnce   = countRange{1, 10000}
@@ -53,16 +53,16 @@
 // defaultSpec is a read whose settings name no more than what they must.
 func defaultSpec(name string) scatter.Spec {
 	return scatter.Spec{
-		Name:     name,
-		Page:     50,
-		MostPage: 1000,
-		Memory:   8 * megabyte,
-		MostRow:  64 * kilobyte,
-		AtOnce:   16,
-		WaitMs:   10 * second,
-		SilentMs: second,
-		Again:    3,
-		SettleMs: 20,
+		Name:           name,
+		DefaultRows:    50,
+		MaxRows:        1000,
+		PageBytes:      8 * megabyte,
+		MaxRowBytes:    64 * kilobyte,
+		MaxConcurrent:  16,
+		TimeoutMs:      10 * second,
+		UnresponsiveMs: second,
+		MaxRetries:     3,
+		PositionWaitMs: 20,
 	}
 }
 
@@ -79,8 +79,8 @@
 		return err
 	case len(s.Specs) == 0:
 		return node.Errorf("(scatter ...) needs a (read ...)")
-	case cursor.Kept(s.RotateMs, s.MaxCursorAgeMs) > cursor.MostKept:
-		return node.Errorf("cursors of %g ms take over %d keys that change each %g ms", s.MaxCursorAgeMs, cursor.MostKept, s.RotateMs)
+	case cursor.Generations(s.RotateMs, s.MaxCursorAgeMs) > cursor.MaxGenerations:
+		return node.Errorf("cursors of %g ms take over %d keys that change each %g ms", s.MaxCursorAgeMs, cursor.MaxGenerations, s.RotateMs)
 	}
 	return nil
 }
@@ -129,8 +129,8 @@
 		"shards":    func(node *sexp.Node) (err error) { spec.Shards, err = readShards(node); return err },
 		"order":     func(node *sexp.Node) (err error) { spec.Order.Columns, err = readColumns(node); return err },
 		"own":       func(node *sexp.Node) (err error) { r.own, err = readColumns(node); return err },
-		"page":      count(&spec.Page, pageRows),
-		"most-page": count(&spec.MostPage, pageRows),
+		"page":      count(&spec.DefaultRows, pageRows),
+		"most-page": count(&spec.MaxRows, pageRows),
 		"whole": func(node *sexp.Node) error {
 			if r.completeness != nil || len(node.Args()) > 0 {
 				return node.Errorf("(whole) or (partial NUMBER), once")
@@ -144,15 +144,15 @@
 			}
 			r.completeness = node
 			r.partial = true
-			return count(&spec.Missing, missingShards)(node)
+			return count(&spec.MaxMissing, missingShards)(node)
 		},
-		"memory":   size(&spec.Memory, scatterMemory),
-		"most-row": size(&spec.MostRow, rowBytes),
-		"at-once":  count(&spec.AtOnce, shardsAtOnce),
-		"wait":     duration(&spec.WaitMs, scatterWaits),
-		"silent":   duration(&spec.SilentMs, shardSilences),
-		"again":    count(&spec.Again, scatterRetries),
-		"settle":   duration(&spec.SettleMs, anyDuration),
+		"memory":   size(&spec.PageBytes, scatterMemory),
+		"most-row": size(&spec.MaxRowBytes, rowBytes),
+		"at-once":  count(&spec.MaxConcurrent, shardsAtOnce),
+		"wait":     duration(&spec.TimeoutMs, scatterWaits),
+		"silent":   duration(&spec.UnresponsiveMs, shardSilences),
+		"again":    count(&spec.MaxRetries, scatterRetries),
+		"settle":   duration(&spec.PositionWaitMs, anyDuration),
 	}
 }
 
@@ -161,7 +161,7 @@
 	spec := &r.spec
 	spec.Order.Own = len(spec.Order.Columns)
 	spec.Order.Columns = append(spec.Order.Columns, r.own...)
-	spec.SpareMs = min(maxSpareMs, spec.WaitMs/sparePart)
+	spec.AnswerReserveMs = min(maxSpareMs, spec.TimeoutMs/sparePart)
 	isDescribed := spec.Class != "" && len(spec.Shards) > 0
 	isOrdered := spec.Order.Own > 0 && len(r.own) > 0
 	switch {
@@ -169,10 +169,10 @@
 		return node.Errorf("read %q: (class ...), (shards ...), (order ...) and (own ...) are due", spec.Name)
 	case r.completeness == nil:
 		return node.Errorf("read %q: is a page (whole), or may so many shards be missing: (partial NUMBER)?", spec.Name)
-	case r.partial && spec.Missing >= len(spec.Shards):
-		return r.completeness.Errorf("of %d shards %d cannot be missing", len(spec.Shards), spec.Missing)
-	case spec.Page > spec.MostPage:
-		return node.Errorf("read %q: a page of %d rows is over its most, %d", spec.Name, spec.Page, spec.MostPage)
+	case r.partial && spec.MaxMissing >= len(spec.Shards):
+		return r.completeness.Errorf("of %d shards %d cannot be missing", len(spec.Shards), spec.MaxMissing)
+	case spec.DefaultRows > spec.MaxRows:
+		return node.Errorf("read %q: a page of %d rows is over its most, %d", spec.Name, spec.DefaultRows, spec.MaxRows)
 	}
 	for i, column := range spec.Order.Columns {
 		sameName := func(other merge.Column) bool { return other.Name == column.Name }
@@ -196,8 +196,8 @@
 		}
 		shards = append(shards, shard)
 	}
-	if len(shards) == 0 || len(shards) > cursor.MostShards {
-		return nil, node.Errorf("from 1 to %d shards", cursor.MostShards)
+	if len(shards) == 0 || len(shards) > cursor.MaxShards {
+		return nil, node.Errorf("from 1 to %d shards", cursor.MaxShards)
 	}
 	slices.SortFunc(shards, func(a, b scatter.Shard) int { return cmp.Compare(a.Name, b.Name) })
 	return shards, nil
--- a/internal/settings/scatter_test.go
+++ b/internal/settings/scatter_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	x := settings.Scatter.Specs[0]
-	if x.Shards[0].Name != "a" || !x.Order.Columns[0].NullsFirst || x.Order.Columns[1].NullsFirst || x.Order.Own != 1 || x.Missing != 0 {
+	if x.Shards[0].Name != "a" || !x.Order.Columns[0].NullsFirst || x.Order.Columns[1].NullsFirst || x.Order.Own != 1 || x.MaxMissing != 0 {
 		t.Errorf("%+v", x)
 	}
 	if keys, err := settings.Scatter.Secrets(&settings.Cluster); err != nil || len(keys) != 2 || string(keys[0]) != "a key of cursors" {
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -23,7 +23,7 @@
 	rng   *rand.Rand
 	check *checker.Pages
 	order merge.Order
-	word  plan.Asked
+	word  plan.Query
 	ring  *cursor.Ring
 	rows  [][]*kept // by group
 	last  int64
@@ -56,7 +56,7 @@
 	g.no = slices.IndexFunc(e.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
 	g.class = &e.script.Clients.Classes[g.no]
 	g.order = merge.Order{Columns: []merge.Column{{Name: "place", Type: merge.Int, Desc: s.Desc, NullsFirst: s.Desc}, {Name: "id", Type: merge.Int}}, Own: 1}
-	g.word, _, _ = plan.Read(pageSQL) // it is whole
+	g.word, _, _ = plan.Parse(pageSQL) // it is whole
 	for i := range g.rows {
 		for range s.Rows {
 			g.write(i, 0)
@@ -222,7 +222,7 @@
 func PageMutants() []Mutant {
 	return []Mutant{
 		{Name: "forgets a cursor's positions", Breaks: checker.PagesAhead, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
-			clear(c.Needs)
+			clear(c.MinPositions)
 			return rows
 		}},
 		{Name: "leaves a page's last row out", Breaks: checker.PagesOnce, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
--- a/internal/testkit/simulation/pages_made.go
+++ b/internal/testkit/simulation/pages_made.go
@@ -54,17 +54,17 @@
 		return
 	}
 	n := len(g.rows)
-	s.set = execution.Settings{Shards: n, Window: max(4<<10, pageMemory/n), MostRow: pageMostRow, Silent: pageSilent, Again: pageAgain, Settle: pageSettle, Spare: min(500, g.set.Wait/10)}
+	s.set = execution.Settings{Shards: n, WindowBytes: max(4<<10, pageMemory/n), MaxRowBytes: pageMostRow, UnresponsiveMs: pageSilent, MaxRetries: pageAgain, PositionWaitMs: pageSettle, AnswerReserveMs: min(500, g.set.Wait/10)}
 	var places []cursor.Place
 	var needs []int64
 	if s.r.cursor != "" {
-		c, err := g.ring.Open(s.r.cursor, e.s.now, &cursor.Bound{})
+		c, err := g.ring.Open(s.r.cursor, e.s.now, &cursor.Binding{})
 		if err != nil {
 			g.check.Came(e.s.now, 0, s.r.no) // the fleet's own cursor: it is taken anywhere
 			s.end(pageEnd{})
 			return
 		}
-		places, needs = c.Places, c.Needs
+		places, needs = c.Places, c.MinPositions
 	} else {
 		g.check.Began(s.r.no)
 	}
@@ -84,7 +84,7 @@
 // leave ends a page whose client has gone.
 func (s *paged) leave() {
 	if s.run != nil && !s.over {
-		s.event(func(float64) []execution.Action { return s.run.Leave() })
+		s.event(func(float64) []execution.Action { return s.run.Abandon() })
 	}
 	s.gone()
 }
@@ -107,17 +107,17 @@
 func (s *paged) do(actions []execution.Action) {
 	for _, a := range slices.Clone(actions) {
 		x := s.parts[a.Shard]
-		switch a.Do {
-		case execution.Ask:
-			if a.Try > 1 {
+		switch a.Kind {
+		case execution.Submit:
+			if a.Attempt > 1 {
 				s.g.Counts.Again++
 			}
 			s.ask(a)
 		case execution.Send:
 			x.send()
-		case execution.Stop:
+		case execution.StopReading:
 			x.stopped = true
-		case execution.Go:
+		case execution.ResumeReading:
 			if x.stopped = false; x.out != nil {
 				s.g.e.s.After(0, x.out, atRows)
 			}
@@ -125,9 +125,9 @@
 			if x != nil {
 				x.giveUp()
 			}
-		case execution.Give:
+		case execution.Deliver:
 			s.rows = append(s.rows, int64(binary.BigEndian.Uint64(a.Row)))
-		case execution.Final:
+		case execution.Finish:
 			s.final()
 		}
 	}
@@ -145,8 +145,8 @@
 	switch s.run.Verdict {
 	case execution.Served:
 		x := pageEnd{rows: slices.Clone(s.rows)}
-		c := &cursor.Cursor{Issued: math.Floor(e.s.now)}
-		c.Places, c.Needs = s.run.Places()
+		c := &cursor.Cursor{IssuedMs: math.Floor(e.s.now)}
+		c.Places, c.MinPositions = s.run.Places()
 		if m := e.opt.Mutant; m != nil && m.Pages != nil && s.run.More {
 			x.rows = m.Pages(x.rows, c)
 		}
@@ -159,9 +159,9 @@
 			x.cursor, _ = g.ring.Seal(c, n) // its keys are short
 		}
 		s.end(x)
-	case execution.Refused:
+	case execution.Rejected:
 		s.end(pageEnd{refused: true, wait: s.run.RetryMs})
-	case execution.Gone:
+	case execution.Abandoned:
 		s.gone()
 	default:
 		s.end(pageEnd{})
@@ -211,12 +211,12 @@
 	session := "report-" + strconv.Itoa(s.r.no)
 	x.v = &visit{e: e, ask: &ask{e: e, Ask: clients.Ask{Class: g.no, Group: a.Shard, Key: session}}, class: g.class, p: s.p, life: s.life, id: id, name: strconv.FormatUint(id, 16), shard: x}
 	s.parts[a.Shard] = x
-	e.check.Asked(e.s.now, id, g.no, s.p.no, s.due, float64(a.Need))
+	e.check.Asked(e.s.now, id, g.no, s.p.no, s.due, float64(a.MinPosition))
 	if e.script.Limits != nil {
 		e.check.Tenant(e.s.now, id, g.set.Tenant)
 	}
 	ref, err := s.p.core.Submit(platform.Request{ID: x.v.name, Class: g.class.Name, Tenant: g.set.Tenant, PlatformProtocol: g.set.Tenant != "", Group: a.Shard, Session: session,
-		MinPosition: float64(a.Need), Deadline: s.due, Query: x.v}, x)
+		MinPosition: float64(a.MinPosition), Deadline: s.due, Query: x.v}, x)
 	switch {
 	case err != nil:
 		x.open = false
@@ -235,7 +235,7 @@
 // Rejected is platform.Client's.
 func (x *shardRead) Rejected(retryMs float64) {
 	x.answered("refused", false)
-	x.s.event(func(now float64) []execution.Action { return x.s.run.Refused(x.a.Shard, x.a.Try, retryMs, now) })
+	x.s.event(func(now float64) []execution.Action { return x.s.run.Rejected(x.a.Shard, x.a.Attempt, retryMs, now) })
 }
 
 // Failed is platform.Client's.
@@ -250,7 +250,7 @@
 }
 
 func (x *shardRead) broke(why string, again bool) {
-	x.s.event(func(now float64) []execution.Action { return x.s.run.Broke(x.a.Shard, x.a.Try, why, again, now) })
+	x.s.event(func(now float64) []execution.Action { return x.s.run.Failed(x.a.Shard, x.a.Attempt, why, again, now) })
 }
 
 // holds keeps an attempt that has a connection until the word to send; false where it has come.
@@ -261,7 +261,7 @@
 	a.held, a.slife = true, a.st.life
 	a.st.busy[a] = true
 	x.held = a
-	x.s.event(func(now float64) []execution.Action { return x.s.run.Granted(x.a.Shard, x.a.Try, now) })
+	x.s.event(func(now float64) []execution.Action { return x.s.run.Connected(x.a.Shard, x.a.Attempt, now) })
 	return true
 }
 
@@ -304,7 +304,7 @@
 	}
 	g := x.s.g
 	a.rows = &rowsOf{}
-	sql, vals, err := g.word.Word(&g.order, &x.a.Place, x.a.Shard, x.a.Limit, 0)
+	sql, vals, err := g.word.ShardStatement(&g.order, &x.a.Place, x.a.Shard, x.a.MaxRows, 0)
 	if err != nil {
 		return
 	}
@@ -349,9 +349,9 @@
 	a.p.wear.Record(e.s.now, a.rest, false)
 	st.free()
 	a.end(a.rows.o)
-	s.event(func(now float64) []execution.Action { return s.run.Ended(x.a.Shard, x.a.Try, now) })
+	s.event(func(now float64) []execution.Action { return s.run.RowsEnded(x.a.Shard, x.a.Attempt, now) })
 	s.event(func(now float64) []execution.Action {
-		return s.run.Settled(x.a.Shard, x.a.Try, int64(a.rows.o.Position), now)
+		return s.run.PositionReported(x.a.Shard, x.a.Attempt, int64(a.rows.o.Position), now)
 	})
 }
 
@@ -381,7 +381,7 @@
 		key, _ = o.Columns[i].Append(key, sortedtable.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // whole numbers
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(row[0].(int64)))
-	s.event(func(now float64) []execution.Action { return s.run.Row(x.a.Shard, x.a.Try, key, own, body, now) })
+	s.event(func(now float64) []execution.Action { return s.run.Row(x.a.Shard, x.a.Attempt, key, own, body, now) })
 }
 
 // giveUp ends a part for the run. An answer that has begun was served, as far as it was wanted.
