--- a/cmd/beechgrade/sources_test.go
+++ b/cmd/beechgrade/sources_test.go
@@ -56,7 +56,7 @@
 	t.Cleanup(a.Stop)
 	w.agent = a
 	register(w.catalog)
-	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(membership %s (consul (agents %q) (services %q) (wait 1s) (map (role tag)) %s))`, more, a.Addr, database.Service, consulForms)), os.Getenv)
+	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(membership %s (consul (agents %q) (services %q) (wait 1s) (map (role tag)) %s))`, more, a.Address, database.Service, consulForms)), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,7 +238,7 @@
 		t.Fatal(err)
 	}
 	w, a, b := pair(t, "", fmt.Sprintf("(token-file %q)", file))
-	w.agent.Need("two")
+	w.agent.RequireToken("two")
 	e := w.entry("b")
 	x := at("b", e.Address, "replica")
 	x.Maintenance = true
--- a/internal/endpoints/consul/harness_test.go
+++ b/internal/endpoints/consul/harness_test.go
@@ -121,7 +121,7 @@
 		}
 		t.Cleanup(agent.Stop)
 		w.agents = append(w.agents, agent)
-		options.Agents = append(options.Agents, agent.Addr)
+		options.Agents = append(options.Agents, agent.Address)
 	}
 	w.catalog.Change("db", []consulserver.Instance{instance(0), instance(1), instance(2)})
 	if change != nil {
@@ -133,9 +133,9 @@
 	return w
 }
 
-func (w *testSetup) setAllFaults(fault consulserver.Lie) {
+func (w *testSetup) setAllFaults(fault consulserver.Fault) {
 	for _, agent := range w.agents {
-		agent.Tell(fault)
+		agent.SetFault(fault)
 	}
 }
 
--- a/internal/endpoints/consul/parse_test.go
+++ b/internal/endpoints/consul/parse_test.go
@@ -49,7 +49,7 @@
 		b.Fatal(err)
 	}
 	defer a.Stop()
-	src := New(Options{Agents: []string{a.Addr}, MaxResponseBytes: 16 << 20}, nil, nil, nil, slog.New(slog.DiscardHandler))
+	src := New(Options{Agents: []string{a.Address}, MaxResponseBytes: 16 << 20}, nil, nil, nil, slog.New(slog.DiscardHandler))
 	res, err := src.client.Get(src.url("db", Query{}))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/endpoints/consul/source_test.go
+++ b/internal/endpoints/consul/source_test.go
@@ -54,15 +54,15 @@
 // correct one is reported.
 func TestFaultyAgentsChangeNothing(t *testing.T) {
 	for name, c := range map[string]struct {
-		lie consulserver.Lie
+		lie consulserver.Fault
 		why string
 	}{
-		"a storm of 500s":     {consulserver.Lie{Status: 500}, "status 500"},
-		"slow down":           {consulserver.Lie{Status: 429, RetryAfter: 1}, "status 429"},
-		"cut off in mid-JSON": {consulserver.Lie{Cut: true}, "not whole"},
-		"no JSON":             {consulserver.Lie{Garbage: true}, "not whole"},
-		"100 MB":              {consulserver.Lie{Huge: 100 << 20}, "too long"},
-		"elsewhere":           {consulserver.Lie{Status: 301}, "status 301"},
+		"a storm of 500s":     {consulserver.Fault{Status: 500}, "status 500"},
+		"slow down":           {consulserver.Fault{Status: 429, RetryAfter: 1}, "status 429"},
+		"cut off in mid-JSON": {consulserver.Fault{Truncated: true}, "not whole"},
+		"no JSON":             {consulserver.Fault{Garbage: true}, "not whole"},
+		"100 MB":              {consulserver.Fault{OversizeBytes: 100 << 20}, "too long"},
+		"elsewhere":           {consulserver.Fault{Status: 301}, "status 301"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := startWatch(t, 2, nil)
@@ -71,7 +71,7 @@
 			w.catalog.Change("db", []consulserver.Instance{instance(3)})
 			w.waitUntil(t, "its reason", w.hasNote(c.why))
 			w.waitUntil(t, "that nobody answers", func() bool { return len(w.lost) == 1 && len(w.list) == 3 })
-			w.setAllFaults(consulserver.Lie{})
+			w.setAllFaults(consulserver.Fault{})
 			w.waitUntil(t, "the truth", w.hasSize(4))
 			if read := w.src.BytesRead(); read > 20<<20 {
 				t.Errorf("%d bytes were read", read)
@@ -84,18 +84,18 @@
 func TestEmptyListIsReported(t *testing.T) {
 	w := startWatch(t, 1, func(o *Options) { o.WaitMs = 200 })
 	w.waitUntil(t, "three", w.hasSize(3))
-	w.setAllFaults(consulserver.Lie{Empty: true})
+	w.setAllFaults(consulserver.Fault{Empty: true})
 	w.waitUntil(t, "none", w.hasSize(0))
-	w.setAllFaults(consulserver.Lie{})
+	w.setAllFaults(consulserver.Fault{})
 	w.waitUntil(t, "three again", w.hasSize(3))
 }
 
 // TestOneFaultyAgentOfTwoHidesNothing checks that changes are reported while one of two agents is down, an hour behind, or
 // knows no leader.
 func TestOneFaultyAgentOfTwoHidesNothing(t *testing.T) {
-	for name, lie := range map[string]consulserver.Lie{
+	for name, fault := range map[string]consulserver.Fault{
 		"down":               {Status: 500},
-		"an hour behind":     {Frozen: true, Contact: time.Hour},
+		"an hour behind":     {Frozen: true, LastContact: time.Hour},
 		"knows no leader":    {Leaderless: true, Frozen: true},
 		"an old index alone": {Frozen: true},
 	} {
@@ -107,10 +107,10 @@
 			if len(asked) > 0 {
 				first = w.agents[0] // the one that is asked now
 			}
-			first.Tell(lie)
+			first.SetFault(fault)
 			w.catalog.Change("db", []consulserver.Instance{instance(3)})
 			if name == "an old index alone" {
-				first.Tell(consulserver.Lie{}) // it lags, no more
+				first.SetFault(consulserver.Fault{}) // it lags, no more
 			}
 			w.waitUntil(t, "what changed", w.hasSize(4))
 		})
@@ -121,7 +121,7 @@
 func TestHangingAgentIsReplaced(t *testing.T) {
 	w := startWatch(t, 2, func(o *Options) { o.WaitMs = 200 })
 	w.waitUntil(t, "three", w.hasSize(3))
-	w.agents[0].Tell(consulserver.Lie{Hang: true})
+	w.agents[0].SetFault(consulserver.Fault{Hang: true})
 	w.catalog.Change("db", []consulserver.Instance{instance(3)})
 	w.waitUntil(t, "what changed", w.hasSize(4))
 }
@@ -134,7 +134,7 @@
 		w.catalog.Change("db", []consulserver.Instance{instance(3 + i%2)})
 	}
 	w.waitUntil(t, "five", w.hasSize(5))
-	w.catalog.Reset()
+	w.catalog.ResetIndex()
 	w.waitUntil(t, "that it was noticed", w.hasNote("index"))
 	w.catalog.Change("db", nil, "db-4")
 	w.waitUntil(t, "what changed since", w.hasSize(4))
@@ -143,7 +143,7 @@
 // TestAgentWithoutIndexIsPolledSlowly checks that an agent that sends no index is queried with pauses.
 func TestAgentWithoutIndexIsPolledSlowly(t *testing.T) {
 	w := startWatch(t, 1, nil)
-	w.setAllFaults(consulserver.Lie{NoIndex: true})
+	w.setAllFaults(consulserver.Fault{NoIndex: true})
 	w.waitUntil(t, "three", w.hasSize(3))
 	w.catalog.Change("db", nil, "db-1")
 	w.waitUntil(t, "two", w.hasSize(2))
@@ -156,7 +156,7 @@
 func TestNewTokenRetriesAtOnce(t *testing.T) {
 	w := startWatch(t, 1, nil)
 	w.waitUntil(t, "three", w.hasSize(3))
-	w.agents[0].Need("new")
+	w.agents[0].RequireToken("new")
 	w.src.SetToken("old\n")
 	w.catalog.Change("db", []consulserver.Instance{instance(3)})
 	w.waitUntil(t, "that it is denied", w.hasNote("its token"))
@@ -227,8 +227,8 @@
 func TestFakeServerSpeaksConsulsProtocol(t *testing.T) {
 	w := startWatch(t, 1, nil)
 	cfg := api.DefaultConfig()
-	cfg.Address, cfg.Token = w.agents[0].Addr, "t"
-	w.agents[0].Need("t")
+	cfg.Address, cfg.Token = w.agents[0].Address, "t"
+	w.agents[0].RequireToken("t")
 	client, err := api.NewClient(cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/endpointreport/propagation/pace.go
+++ b/internal/testkit/endpointreport/propagation/pace.go
@@ -167,7 +167,7 @@
 	was, goroutines := heap(), runtime.NumGoroutine()
 	m := endpoints.New(l, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: reconcile.Defaults(endpoints.SourceConsul)}, k, &discovery.List{})
 	m.InitialList()
-	opt := consul.Options{Name: endpoints.SourceConsul, Agents: []string{a.Addr}, WaitMs: 20000, MaxStaleMs: 10000, MaxResponseBytes: 64 << 20, Mapping: consul.DefaultMapping(), Seed: 1}
+	opt := consul.Options{Name: endpoints.SourceConsul, Agents: []string{a.Address}, WaitMs: 20000, MaxStaleMs: 10000, MaxResponseBytes: 64 << 20, Mapping: consul.DefaultMapping(), Seed: 1}
 	for i := range services {
 		opt.Services = append(opt.Services, name(i))
 	}
--- a/internal/testkit/rehearse/consul.go
+++ b/internal/testkit/rehearse/consul.go
@@ -22,7 +22,7 @@
 			return err
 		}
 		r.agents = append(r.agents, a)
-		addrs = append(addrs, fmt.Sprintf("%q", a.Addr))
+		addrs = append(addrs, fmt.Sprintf("%q", a.Address))
 	}
 	r.operators += fmt.Sprintf(`(membership (consul (agents %s) (services %q) (wait 5s) (map (role tag))))
 `, strings.Join(addrs, " "), database.Service)
@@ -44,11 +44,11 @@
 	case "wrong-roles":
 		_ = r.fleet.Act(func(w *model.World) error { w.Swap(on); return nil })
 	default:
-		l := consulserver.Lie{}
+		l := consulserver.Fault{}
 		if on {
-			l = map[string]consulserver.Lie{"down": {Status: 500}, "hang": {Hang: true}, "frozen": {Frozen: true, Contact: time.Hour},
-				"leaderless": {Frozen: true, Leaderless: true, Contact: time.Hour}, "cut": {Cut: true}, "empty": {Empty: true}}[f.Target.Word]
+			l = map[string]consulserver.Fault{"down": {Status: 500}, "hang": {Hang: true}, "frozen": {Frozen: true, LastContact: time.Hour},
+				"leaderless": {Frozen: true, Leaderless: true, LastContact: time.Hour}, "cut": {Truncated: true}, "empty": {Empty: true}}[f.Target.Word]
 		}
-		r.agents[f.Target.Group].Tell(l)
+		r.agents[f.Target.Group].SetFault(l)
 	}
 }
--- a/internal/testkit/rehearse/strike.go
+++ b/internal/testkit/rehearse/strike.go
@@ -101,7 +101,7 @@
 
 func (r *Run) listGone(gone bool) {
 	for _, a := range r.agents {
-		a.Tell(consulserver.Lie{Status: map[bool]int{true: 500}[gone]})
+		a.SetFault(consulserver.Fault{Status: map[bool]int{true: 500}[gone]})
 	}
 	_ = r.fleet.Act(func(w *model.World) error { w.ListGone(gone); return nil })
 }
