--- a/cmd/beechgrade-sim/main.go
+++ b/cmd/beechgrade-sim/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -28,7 +29,7 @@
 	var actions []decide.Action
 	for {
 		batch, err := dec.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/internal/protocol/simulator/simulator.go
+++ b/internal/protocol/simulator/simulator.go
@@ -76,7 +76,7 @@
 	for err == nil && len(first) == 0 {
 		first, err = d.readLine()
 	}
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	}
 	if err != nil {
--- a/internal/testkit/checker/limits.go
+++ b/internal/testkit/checker/limits.go
@@ -13,9 +13,6 @@
 	FleetShare Rule = "who asks for as much of it gets as much, while all is calm"
 )
 
-// LimitRules are those of limits that hold for the whole fleet.
-func LimitRules() []Rule { return []Rule{FleetLimit, FleetShare} }
-
 // Limit is one of a tenant's requests a second, as the operators set it. It is counted at clients and servers: a request of which any
 // attempt was sent is a use of it, at the time that it came to its pooler, or that the pooler's machine went on after standing still.
 type Limit struct {
--- a/internal/testkit/clients/clients.go
+++ b/internal/testkit/clients/clients.go
@@ -6,6 +6,7 @@
 	"context"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"io"
@@ -204,10 +205,10 @@
 	}
 	said, err := answer()
 	t.Ended = p.clk.Now()
-	if ne, ok := err.(net.Error); ok && ne.Timeout() { // its client has given up; does an answer come all the same?
+	if isTimeout(err) { // its client has given up; does an answer come all the same?
 		_ = l.SetDeadline(time.Now().Add(time.Duration(p.cfg.LateAfter * float64(time.Millisecond))))
 		said, err = answer()
-		if ne, ok := err.(net.Error); ok && ne.Timeout() {
+		if isTimeout(err) {
 			t.Kind = Silent
 			_ = l.Close()
 			return 0
@@ -335,9 +336,15 @@
 func (l *link) alive() bool {
 	_ = l.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
 	_, err := l.in.Peek(1)
-	ne, ok := err.(net.Error)
+	timedOut := isTimeout(err)
 	_ = l.SetReadDeadline(time.Time{})
-	return ok && ne.Timeout()
+	return timedOut
+}
+
+// isTimeout reports whether an error is that of a deadline.
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
 func newLink(nc net.Conn) *link { return &link{Conn: nc, in: bufio.NewReaderSize(nc, 2*maxAnswer)} }
--- a/internal/testkit/fake/clickhouseserver/house.go
+++ b/internal/testkit/fake/clickhouseserver/house.go
@@ -173,13 +173,6 @@
 	return out
 }
 
-// Asked is how often it was asked for its lag, and how often whether it is there.
-func (s *Server) Asked() (lag, pings int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.asked, s.pings
-}
-
 const rowBytes = 1 << 10
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
--- a/internal/testkit/fake/database/session.go
+++ b/internal/testkit/fake/database/session.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -224,7 +225,7 @@
 
 func (x *full) complain(err error) {
 	code, text := "XX000", err.Error()
-	if e, ok := err.(*sqlError); ok {
+	if e := (*sqlError)(nil); errors.As(err, &e) {
 		code, text = e.code, e.text
 	}
 	x.be.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: code, Message: text})
@@ -299,7 +300,7 @@
 		return x.scattered(t, sql, args, x.forms, simple)
 	}
 	tag, rows, err := x.work(d, sql, args, simple)
-	if err == errGone {
+	if errors.Is(err, errGone) {
 		return false, nil
 	}
 	if err != nil {
--- a/internal/testkit/rehearse/processes.go
+++ b/internal/testkit/rehearse/processes.go
@@ -88,9 +88,6 @@
 // Log is the file that a process logs to.
 func (x *Processes) Log(i int) string { return x.run.poolers[i].file("log.txt") }
 
-// Memory is a process's resident memory, in bytes.
-func (x *Processes) Memory(i int) float64 { return residentOf(x.run.poolers[i].pid()) }
-
 // Close ends everything.
 func (x *Processes) Close() {
 	x.run.kill()
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -1,3 +1,5 @@
+// Package rehearse runs the daemon as processes against stand-in servers, clients and faults on loopback, as a scenario has them, and compares what
+// the processes recorded with what the clients saw.
 package rehearse
 
 import (
