--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -61,7 +61,7 @@
 
 // agreedPlay plays a script on so many voters and one pooler that does not vote, which all propose, and holds what they say to the
 // checker. Those of quiet are not held to have taken all in the end.
-func agreedPlay(t testing.TB, voters int, script string, killed func(disk string, pooler string), quiet ...int) (*checker.Agreed, []agreedLine) {
+func agreedPlay(t testing.TB, voters int, script string, killed func(disk string, pooler string), quiet ...int) (*checker.LogAgreement, []agreedLine) {
 	t.Helper()
 	dir := t.TempDir()
 	names := ""
@@ -86,7 +86,7 @@
 	}
 	breached(t, res)
 	lines := agreedLines(t, dir, voters+1)
-	a := &checker.Agreed{}
+	a := &checker.LogAgreement{}
 	last := map[string]string{}
 	for _, l := range lines {
 		num := func(k string) uint64 {
@@ -95,10 +95,10 @@
 		}
 		switch l.fields["msg"] {
 		case "agreed: this pooler leads":
-			a.Leader(l.process, num("term"))
+			a.ReportLeader(l.process, num("term"))
 		case "agreed: tally":
 			if pooler, _, _ := strings.Cut(l.process, "/"); pooler != fmt.Sprintf("pooler-%d", voters) {
-				a.Says(l.at, l.process, checker.Tally{Taken: num("taken"), Applied: num("applied"), Term: num("term"), Sum: l.fields["sum"], Part: l.fields["part"] == "true"})
+				a.ReportTally(l.at, l.process, checker.Tally{Taken: num("taken"), Applied: num("applied"), Term: num("term"), Sum: l.fields["sum"], Participates: l.fields["part"] == "true"})
 				last[pooler] = l.process
 			}
 		}
@@ -109,15 +109,15 @@
 			ends = append(ends, last[fmt.Sprintf("pooler-%d", i)])
 		}
 	}
-	for _, f := range a.Found {
+	for _, f := range a.Violations {
 		t.Error(f)
 	}
-	found := len(a.Found)
-	a.End(ends, 3*time.Second)
-	for _, f := range a.Found[found:] {
+	found := len(a.Violations)
+	a.CheckFinal(ends, 3*time.Second)
+	for _, f := range a.Violations[found:] {
 		t.Errorf("%s, 3 s after others took these", f)
 	}
-	t.Logf("%d entries taken, %d terms with a leader, %.1f s at most in which nobody took any", a.Most, a.Leads, a.Gap.Seconds())
+	t.Logf("%d entries taken, %d terms with a leader, %.1f s at most in which nobody took any", a.MostTaken, a.TermsWithLeader, a.LongestPause.Seconds())
 	if t.Failed() {
 		for _, l := range lines {
 			if l.fields["msg"] != "agreed: tally" {
@@ -138,11 +138,11 @@
 	t.Parallel()
 	a, _ := agreedPlay(t, 3, `(seconds 19) (at 3s (kill-pooler 0) (for 2s)) (at 7s (kill-pooler 1) (for 2s)) (at 11s (kill-pooler 2) (for 2s))
 		(at 14s (kill-pooler 0) (for 300ms)) (at 14s (kill-pooler 1) (for 300ms)) (at 14s (kill-pooler 2) (for 300ms))`, nil)
-	if a.Leads < 2 {
-		t.Errorf("%d terms", a.Leads)
+	if a.TermsWithLeader < 2 {
+		t.Errorf("%d terms", a.TermsWithLeader)
 	}
-	if a.Most < 1000 || a.Gap > 8*time.Second {
-		t.Errorf("%d entries, a gap of %v", a.Most, a.Gap)
+	if a.MostTaken < 1000 || a.LongestPause > 8*time.Second {
+		t.Errorf("%d entries, a gap of %v", a.MostTaken, a.LongestPause)
 	}
 }
 
@@ -150,11 +150,11 @@
 func TestFleetAgreedStopped(t *testing.T) {
 	t.Parallel()
 	a, _ := agreedPlay(t, 3, `(seconds 22) (at 2s (stall-pooler 0) (for 5s)) (at 8500ms (stall-pooler 1) (for 5s)) (at 15s (stall-pooler 2) (for 5s))`, nil)
-	if a.Leads < 2 {
-		t.Errorf("%d terms", a.Leads)
+	if a.TermsWithLeader < 2 {
+		t.Errorf("%d terms", a.TermsWithLeader)
 	}
-	if a.Most < 1000 || a.Gap > 5*time.Second {
-		t.Errorf("%d entries, a gap of %v", a.Most, a.Gap)
+	if a.MostTaken < 1000 || a.LongestPause > 5*time.Second {
+		t.Errorf("%d entries, a gap of %v", a.MostTaken, a.LongestPause)
 	}
 }
 
@@ -164,8 +164,8 @@
 	t.Parallel()
 	a, _ := agreedPlay(t, 5, `(seconds 22) (at 2s (between (0 1) (2 3 4) cut) (for 5s)) (at 8s (between (2 3) (0 1 4 5) cut) (for 4s))
 		(at 12500ms (between all all (lose 0.3) (duplicate 0.2) (reorder 0.3)) (for 5s))`, nil)
-	if a.Most < 1500 || a.Gap > 9*time.Second {
-		t.Errorf("%d entries, a gap of %v", a.Most, a.Gap)
+	if a.MostTaken < 1500 || a.LongestPause > 9*time.Second {
+		t.Errorf("%d entries, a gap of %v", a.MostTaken, a.LongestPause)
 	}
 }
 
@@ -195,8 +195,8 @@
 	if said(lines, "agreed: this pooler votes no more", "pooler-0") != 1 {
 		t.Error("a rotten disk was taken")
 	}
-	if a.Most < 800 {
-		t.Errorf("%d entries", a.Most)
+	if a.MostTaken < 800 {
+		t.Errorf("%d entries", a.MostTaken)
 	}
 }
 
@@ -223,7 +223,7 @@
 func TestFleetAgreedRolled(t *testing.T) {
 	t.Parallel()
 	a, _ := agreedPlay(t, 3, `(seconds 20) (at 2s (restart-pooler 0)) (at 7s (restart-pooler 1)) (at 12s (restart-pooler 2))`, nil)
-	if a.Most < 1500 || a.Gap > 3*time.Second {
-		t.Errorf("%d entries, a gap of %v", a.Most, a.Gap)
+	if a.MostTaken < 1500 || a.LongestPause > 3*time.Second {
+		t.Errorf("%d entries, a gap of %v", a.MostTaken, a.LongestPause)
 	}
 }
--- a/cmd/beechgrade-kit/breached_rules_test.go
+++ b/cmd/beechgrade-kit/breached_rules_test.go
@@ -27,7 +27,7 @@
 // only it fails the test in its first run.
 func TestBreachesByKind(t *testing.T) {
 	late := checker.Breach{Rule: checker.OneAnswer, Late: true, Text: "late"}
-	back := checker.Breach{Rule: checker.ServiceBack, Text: "late"}
+	back := checker.Breach{Rule: checker.ServiceRecovered, Text: "late"}
 	twice := checker.Breach{Rule: checker.NotTwice, Text: "wrong"}
 	second := checker.Breach{Rule: checker.OneAnswer, Text: "wrong"}
 	for name, x := range map[string]struct {
--- a/cmd/beechgrade-kit/breached_test.go
+++ b/cmd/beechgrade-kit/breached_test.go
@@ -12,7 +12,7 @@
 
 // timeLimits are the rules that say nothing but by when something is to have happened. Single breaches of other rules that are
 // limits of time say so themselves (check.Breach.Late). TenantKept counts what was served within its time, as shares of worth do.
-var timeLimits = []checker.Rule{checker.ServiceBack, checker.ViewComplete, checker.ViewAccurate, checker.ViewSettled, checker.PagesEnd, checker.TenantKept}
+var timeLimits = []checker.Rule{checker.ServiceRecovered, checker.ViewComplete, checker.ViewAccurate, checker.ViewSettled, checker.PagesEnd, checker.TenantServed}
 
 // breached fails a story by the first rule that its play broke; by a limit of time only where no other rule was broken.
 func breached(t testing.TB, res *rehearse.Result) {
--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -44,7 +44,7 @@
 var creditClasses = []string{"quadro-obra", "conferir-ponto", "relatorio-mes", "registrar-ponto"}
 
 // play plays it, and holds what clients saw to what was paid.
-func (p creditPlay) play(t testing.TB) (*checker.Credit, *rehearse.Result) {
+func (p creditPlay) play(t testing.TB) (*checker.CreditChecker, *rehearse.Result) {
 	t.Helper()
 	dir := t.TempDir()
 	names := ""
@@ -77,7 +77,7 @@
 		return text + ")\n"
 	}
 	opt := rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Operators: settings()}
-	c := &checker.Credit{Prices: map[string]int64{}}
+	c := &checker.CreditChecker{Prices: map[string]int64{}}
 	for _, x := range creditClasses {
 		c.Prices[x] = creditPrice
 	}
@@ -98,15 +98,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Pays(0, "a", p.funds)
+	c.Paid(0, "a", p.funds)
 	once := map[int]bool{}
 	for _, x := range p.pays {
 		if !once[x.no] {
 			once[x.no] = true
-			c.Pays(res.FromMs+x.at, "a", x.amount)
+			c.Paid(res.FromMs+x.at, "a", x.amount)
 		}
 	}
-	c.Pays(0, "b", 1_000_000)
+	c.Paid(0, "b", 1_000_000)
 	breached(t, res)
 	f, err := os.Open(filepath.Join(dir, rehearse.TriesFile))
 	if err != nil {
@@ -118,10 +118,10 @@
 		if err := jsoniter.Unmarshal(in.Bytes(), &l); err != nil {
 			t.Fatal(err)
 		}
-		c.Tried(l.Ended, l.Tenant, l.Class, l.Kind == clients.Served, l.Kind == clients.Refused)
+		c.AttemptEnded(l.Ended, l.Tenant, l.Class, l.Kind == clients.Served, l.Kind == clients.Refused)
 	}
-	if c.End(); len(c.Found) > 0 {
-		t.Error(c.Found[0])
+	if c.CheckFinal(); len(c.Violations) > 0 {
+		t.Error(c.Violations[0])
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "pooler-*", "log.txt"))
 	if err != nil || len(logs) != 8 {
@@ -139,8 +139,8 @@
 		}
 	}
 	for _, tenant := range []string{"a", "b"} {
-		n, _ := c.Served(tenant, res.ToMs+60000)
-		asked, turned := c.Counts(tenant)
+		n, _ := c.ServedCost(tenant, res.ToMs+60000)
+		asked, turned := c.AttemptCounts(tenant)
 		t.Logf("tenant %s: %d asked, %d refused, served for %d", tenant, asked, turned, n)
 	}
 	return c, res
@@ -153,7 +153,7 @@
 	const paidAt = 14000
 	c, res := creditPlay{voters: 3, funds: 4000, script: `(seconds 20) (at 2s (kill-pooler 0) (for 1s)) (at 4500ms (kill-pooler 1) (for 1s)) (at 7s (kill-pooler 2) (for 1s)) (at 8s (kill-pooler 6) (for 1s))`,
 		pays: []creditPay{{paidAt, 2, 1000, []int{7}}, {paidAt + 500, 2, 1000, []int{7, 3}}, {paidAt + 1000, 2, 1000, []int{0, 1, 2, 4, 5, 6}}}}.play(t)
-	before, next := c.Served("a", res.FromMs+paidAt)
+	before, next := c.ServedCost("a", res.FromMs+paidAt)
 	if before < 3600 {
 		t.Errorf("%d of 4000 were used before the second payment", before)
 	}
@@ -172,7 +172,7 @@
 	t.Parallel()
 	c, res := creditPlay{voters: 5, funds: 3500, script: `(seconds 24) (at 4s (between (0 1 5) (2 3 4 6 7) cut) (for 9s)) (at 15s (between all all (lose 0.2) (duplicate 0.2) (reorder 0.2)) (for 5s))`,
 		pays: []creditPay{{11000, 2, 1500, []int{5}}}}.play(t)
-	if used, _ := c.Served("a", res.FromMs+22000); used < 4000 {
+	if used, _ := c.ServedCost("a", res.FromMs+22000); used < 4000 {
 		t.Errorf("%d of 5000 were used", used)
 	}
 }
@@ -181,7 +181,7 @@
 func TestFleetCreditStopped(t *testing.T) {
 	t.Parallel()
 	c, res := creditPlay{voters: 3, funds: 4500, script: `(seconds 22) (at 3s (stall-pooler 5) (for 6s)) (at 4s (stall-pooler 0) (for 6s)) (at 11s (stall-pooler 1) (for 5s)) (at 11s (stall-pooler 6) (for 5s))`}.play(t)
-	if used, _ := c.Served("a", res.ToMs); used < 4000 {
+	if used, _ := c.ServedCost("a", res.ToMs); used < 4000 {
 		t.Errorf("%d of 4500 were used", used)
 	}
 }
@@ -203,7 +203,7 @@
 				damage(t, disk, func(b []byte) []byte { return append(b, 40, 0, 0, 0, 1, 2, 3) })
 			}
 		}}.play(t)
-	if used, _ := c.Served("a", res.ToMs); used < 3000 {
+	if used, _ := c.ServedCost("a", res.ToMs); used < 3000 {
 		t.Errorf("%d of 4000 were used", used)
 	}
 }
@@ -212,7 +212,7 @@
 func TestFleetCreditTen(t *testing.T) {
 	t.Parallel()
 	c, res := creditPlay{voters: 3, funds: 10 * creditPrice, script: `(seconds 8)`}.play(t)
-	if used, _ := c.Served("a", res.ToMs); used != 10*creditPrice {
+	if used, _ := c.ServedCost("a", res.ToMs); used != 10*creditPrice {
 		t.Errorf("%d of %d were used", used, 10*creditPrice)
 	}
 }
@@ -224,8 +224,8 @@
 	const funds, cheaper = 6000, 9000
 	c, res := creditPlay{voters: 3, funds: funds, cheaper: cheaper,
 		script: `(seconds 20) (at 3s (restart-pooler 0)) (at 7s (restart-pooler 1)) (at 11s (restart-pooler 2)) (at 14s (restart-pooler 5))`}.play(t)
-	before, _ := c.Served("a", res.FromMs+cheaper)
-	all, _ := c.Served("a", res.ToMs)
+	before, _ := c.ServedCost("a", res.FromMs+cheaper)
+	all, _ := c.ServedCost("a", res.ToMs)
 	const midst = 20 * creditPrice // that were under way, or read the new prices later
 	if used := before + all; used < funds*9/10 || used > funds+midst {
 		t.Errorf("%d of %d were used, %d of them at the old price", used, funds, 2*before)
--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -142,7 +142,7 @@
 		}
 	}
 	if r.Funds != nil {
-		fmt.Fprintf(t, "%s\t%d\t%d\n", checker.CreditKept, r.Verdict.Checked[checker.CreditKept], r.Verdict.Broken[checker.CreditKept])
+		fmt.Fprintf(t, "%s\t%d\t%d\n", checker.WithinCredit, r.Verdict.Checked[checker.WithinCredit], r.Verdict.Broken[checker.WithinCredit])
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/cmd/beechgrade-kit/month_test.go
+++ b/cmd/beechgrade-kit/month_test.go
@@ -28,7 +28,7 @@
 	}
 	breached(t, res)
 	clientsSaw(t, res)
-	for _, rule := range append(checker.PageRules(), checker.CreditKept, checker.Invariant, checker.OneAnswer, checker.ViewAccurate, checker.NotStale, checker.NotTwice) {
+	for _, rule := range append(checker.PageRules(), checker.WithinCredit, checker.Invariant, checker.OneAnswer, checker.ViewAccurate, checker.NotStale, checker.NotTwice) {
 		if res.Rules.Checked[rule] == 0 {
 			t.Errorf("%q was never put to the test", rule)
 		}
--- a/cmd/beechgrade-kit/overload_test.go
+++ b/cmd/beechgrade-kit/overload_test.go
@@ -89,7 +89,7 @@
 	if res.Score.Total.Ratio < 0.7 {
 		t.Errorf("%.3f of the worth was earned", res.Score.Total.Ratio)
 	}
-	tested(t, res, checker.ServiceBack, checker.ProbesShared)
+	tested(t, res, checker.ServiceRecovered, checker.HealthChecksShared)
 }
 
 // TestFleetOverloadParted: a partition five to three under much load, a pooler that stands still for 5 s, two that restart with nothing, and
@@ -110,7 +110,7 @@
 	out := t.TempDir()
 	res := overload(t, 500, `(seconds 16) (skew 0.45) (allowance 300) (tenant "quiet" (share 0.5) (usage 0.8)) (tenant "storm" (share 0.5) (usage 4))
 		(at 7s (links (3 4) all (slow 3s) (duplicate 0.3) (reorder 0.3)) (for 4s))`, lies(t, rehearse.Options{Out: out}, 6, "none"))
-	tested(t, res, checker.TenantKept)
+	tested(t, res, checker.TenantServed)
 	at := servedAt(t, out)
 	one, others := at["pooler-0"], [2]float64{}
 	for name, x := range at {
@@ -139,7 +139,7 @@
 				came = append(came, at)
 			}
 		}}, 2, "all"))
-	tested(t, res, checker.QuietSpared)
+	tested(t, res, checker.IdleGroupServed)
 	before, during := 0.0, 0.0
 	for _, at := range came {
 		switch at -= res.FromMs; {
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	z := &zonesPlay{zoneWatch: &zoneWatch{rules: checker.NewZones(0, 0, 1)}, dir: t.TempDir()}
+	z := &zonesPlay{zoneWatch: &zoneWatch{rules: checker.NewZoneChecker(0, 0, 1)}, dir: t.TempDir()}
 	operators := zonesOf(filepath.Join(z.dir, "disks"), voters)
 	set, err := settings.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k"))`+operators), func(string) string { return "p" })
 	if err != nil {
@@ -115,7 +115,7 @@
 		t.Fatal(err)
 	}
 	wg.Wait()
-	for _, b := range append(z.rules.Found, z.Rules.Breaches...) {
+	for _, b := range append(z.rules.Breaches, z.Rules.Breaches...) {
 		t.Errorf("%s: at %.1f s: %s", b.Rule, (b.At-z.FromMs)/1000, b.Text)
 	}
 	zoneFollows(t, z.dir)
@@ -184,14 +184,14 @@
 // settled after the changes.
 func (z *zonesPlay) full(settled float64, changes []float64, cores func(at float64) []float64) (looked int, found []checker.Breach) {
 	const spanMs = 2500
-	rules := checker.NewZones(1, settled, 1)
+	rules := checker.NewZoneChecker(1, settled, 1)
 	type event struct {
 		at float64
 		do func()
 	}
 	var events []event
 	for _, at := range changes {
-		events = append(events, event{at, func() { rules.Changed(at) }})
+		events = append(events, event{at, func() { rules.FaultChanged(at) }})
 	}
 	movable := map[string]bool{"quadro-obra": true, "conferir-ponto": true, "relatorio-mes": true}
 	for p := range 8 {
@@ -213,7 +213,7 @@
 					}
 				}
 				looked++
-				rules.Planned(at, l.plan, z.shares[p][i].shares, asked, cores(at))
+				rules.CheckPlan(at, l.plan, z.shares[p][i].shares, asked, cores(at))
 			}})
 		}
 	}
@@ -221,20 +221,20 @@
 	for _, e := range events {
 		e.do()
 	}
-	return looked, rules.Found
+	return looked, rules.Breaches
 }
 
 // calm is which part of the reads crossed that most members may serve, in a time without faults; more than far breaks the rule.
 func (z *zonesPlay) calm(from, to, far float64) (part, reads float64, found []checker.Breach) {
-	rules := checker.NewZones(1, 0, far)
+	rules := checker.NewZoneChecker(1, 0, far)
 	for _, r := range z.reads {
 		if at := r.at - z.FromMs; at >= from && at < to {
-			rules.Read(at, r.from != r.to)
+			rules.ReadSent(at, r.from != r.to)
 			reads++
 		}
 	}
 	part = rules.Finish(to)
-	return part, reads, rules.Found
+	return part, reads, rules.Breaches
 }
 
 // shifts are how often a zone's row of the plans that a pooler followed came to have another zone as the one that most is sent to.
--- a/cmd/beechgrade-kit/zones_test.go
+++ b/cmd/beechgrade-kit/zones_test.go
@@ -55,7 +55,7 @@
 // zoneWatch takes what doors show, as the play goes.
 type zoneWatch struct {
 	mu    sync.Mutex
-	rules *checker.Zones
+	rules *checker.ZoneChecker
 	looks [8][]zoneLook
 }
 
@@ -73,7 +73,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l.plan > 0 {
-		w.rules.Follows(at, pooler, l.plan, xxhash.Sum64String(sum.String()))
+		w.rules.PlanFollowed(at, pooler, l.plan, xxhash.Sum64String(sum.String()))
 	}
 	w.looks[pooler] = append(w.looks[pooler], l)
 }
@@ -118,7 +118,7 @@
 // zoneFollows holds what poolers logged of plans that ask for something else, all of it, to the rules.
 func zoneFollows(t testing.TB, dir string) (follows int) {
 	t.Helper()
-	rules := checker.NewZones(0, 0, 1)
+	rules := checker.NewZoneChecker(0, 0, 1)
 	for p := range 8 {
 		f, err := os.Open(filepath.Join(dir, fmt.Sprintf("pooler-%d", p), "log.txt"))
 		if err != nil {
@@ -140,12 +140,12 @@
 			if err != nil || err2 != nil {
 				t.Error(in.Text())
 			}
-			rules.Follows(float64(at.UnixMilli()), p, no, xxhash.Sum64String(l["by"]+l["zones"]+l["shares"]+l["short"]))
+			rules.PlanFollowed(float64(at.UnixMilli()), p, no, xxhash.Sum64String(l["by"]+l["zones"]+l["shares"]+l["short"]))
 			follows++
 		}
 		_ = f.Close()
 	}
-	for _, b := range rules.Found {
+	for _, b := range rules.Breaches {
 		t.Errorf("by the logs: %s: %s", b.Rule, b.Text)
 	}
 	return follows
@@ -192,7 +192,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir, w, killed := t.TempDir(), &zoneWatch{rules: checker.NewZones(0, 0, 1)}, -1
+	dir, w, killed := t.TempDir(), &zoneWatch{rules: checker.NewZoneChecker(0, 0, 1)}, -1
 	came := &arrivals{}
 	res, err := rehearse.Play(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Figures: w.take,
 		Operators: fmt.Sprintf(zonesOperators, filepath.Join(dir, "disks"), zoneLife),
@@ -205,7 +205,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range append(w.rules.Found, res.Rules.Breaches...) {
+	for _, b := range append(w.rules.Breaches, res.Rules.Breaches...) {
 		t.Errorf("%s: at %.1f s: %s", b.Rule, (b.At-res.FromMs)/1000, b.Text)
 	}
 	follows := zoneFollows(t, dir)
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -34,11 +34,11 @@
 	in   *bufio.Reader
 }
 
-func (c *stormClient) ask(a *queries.Ask, path, sql string, body []byte, chunked bool) {
+func (c *stormClient) ask(a *queries.ClientQuery, path, sql string, body []byte, chunked bool) {
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.addr)
 		if err != nil {
-			a.Broken = true
+			a.ConnectionBroke = true
 			return
 		}
 		c.conn, c.in = conn, bufio.NewReader(conn)
@@ -60,27 +60,27 @@
 	} else {
 		fmt.Fprintf(req, "Content-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	a.Sum = xxhash.Sum64(body)
+	a.BodyHash = xxhash.Sum64(body)
 	_, err := c.conn.Write(req.Bytes())
-	a.WroteAll = err == nil
+	a.BodySent = err == nil
 	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		a.Broken = true
+		a.ConnectionBroke = true
 		c.drop()
 		return
 	}
 	a.Status, a.Code = res.StatusCode, res.Header.Get("X-ClickHouse-Exception-Code")
 	b, err := io.ReadAll(res.Body)
-	a.Body, a.Pooler = string(b), strings.Contains(string(b), "(beechgrade)")
+	a.Body, a.FromPooler = string(b), strings.Contains(string(b), "(beechgrade)")
 	if err != nil {
-		a.Broken = true
+		a.ConnectionBroke = true
 		c.drop()
 		return
 	}
 	a.Answers = 1
 	_ = c.conn.SetReadDeadline(time.Now().Add(time.Microsecond))
 	if _, err := c.in.Peek(1); err == nil {
-		a.Extra = c.in.Buffered()
+		a.ExtraBytes = c.in.Buffered()
 	} else if !errors.Is(err, io.EOF) && !res.Close {
 		return
 	}
@@ -102,7 +102,7 @@
 	w := startClickHouseAs(t, 4, `(deadline 600ms) (aim 300ms) (hold 4k) (class "mes" (path "/mes") (bound 8s) (aim 500ms) (deadline 1500ms))`, func(s []*clickhouseserver.Server) { s[2].Lag(30); s[3].Lag(12) },
 		func(c *config.Config) { c.Settings.MayCheckHealth = true })
 	rng := rand.New(rand.NewPCG(11, 11))
-	all := make([]queries.Ask, asks)
+	all := make([]queries.ClientQuery, asks)
 	var runs []queries.Run
 	var drains []queries.Drain
 	keep := func(s *clickhouseserver.Server) {
@@ -194,7 +194,7 @@
 					case kind < 35:
 						sql, a.Echo = "SELECT /* ECHO */", true
 					case kind < 50:
-						path, sql, a.Echo, a.BoundS = "/mes", "SELECT /* ECHO */", true, 8
+						path, sql, a.Echo, a.MaxStalenessS = "/mes", "SELECT /* ECHO */", true, 8
 					case kind < 75:
 						sql, a.Echo, a.Writes, body = "INSERT INTO t /* ECHO */", true, true, bytes.Repeat([]byte("r"), own.IntN(2000))
 					case kind < 85: // it passes through
@@ -232,14 +232,14 @@
 			t.Errorf("%s: %s %s %+v", b.Rule, b.ID, b.Text, b.Proof)
 		}
 	}
-	for _, rule := range []queries.Rule{queries.OneAnswer, queries.NotTwice, queries.DrainsKept, queries.NotStale, queries.NoInvented, queries.OnePlace} {
+	for _, rule := range []queries.Rule{queries.OneAnswer, queries.NotTwice, queries.DrainsKept, queries.NotStale, queries.NoInvented, queries.OneServer} {
 		if v.Checked[rule] == 0 {
 			t.Errorf("%q was put to no test", rule)
 		}
 	}
 	ends := map[string]int{}
 	for i := range all {
-		ends[fmt.Sprintf("%d %s broken %v", all[i].Status, all[i].Code, all[i].Broken)]++
+		ends[fmt.Sprintf("%d %s broken %v", all[i].Status, all[i].Code, all[i].ConnectionBroke)]++
 	}
 	t.Logf("%v; %v", ends, v.Checked)
 	if ends["200  broken false"] < asks/2 {
--- a/internal/testkit/checker/blackout.go
+++ b/internal/testkit/checker/blackout.go
@@ -16,256 +16,258 @@
 
 // BlackoutConfig says what the rules' figures are. Times are in ms.
 type BlackoutConfig struct {
-	Groups   [][]int // servers by their numbers
-	Poolers  int
-	WindowMs float64 // a server is avoided for long that is for so long...
-	AfterMs  float64 // ...after it has been sound for so long
-	OwnMs    float64 // so long a pooler may go by what it saw of a server itself
-	FreshMs  float64 // what was seen of a server's last process, and said, may count for so long after the start of one with which nothing is wrong; 0 for as ever
-	Part     float64 // of the poolers that may avoid it
-	Least    int     // reads that poolers send to the others of its group meanwhile, so that it is said that they avoid it
-	Wanted   int     // requests that a group is asked for meanwhile, so that it is said to be given up
+	Groups           [][]int // servers by their numbers
+	Poolers          int
+	WindowMs         float64 // a server is avoided for long that is for so long...
+	HealthyMs        float64 // ...after it has been sound for so long
+	OwnEvidenceMs    float64 // so long a pooler may go by what it saw of a server itself
+	RestartGraceMs   float64 // what was seen of a server's last process, and said, may count for so long after the start of one with which nothing is wrong; 0 for as ever
+	MaxAvoidingShare float64 // of the poolers that may avoid it
+	MinReads         int     // reads that poolers send to the others of its group meanwhile, so that it is said that they avoid it
+	MinRequests      int     // requests that a group is asked for meanwhile, so that it is said to be given up
 }
 
-// Sight is what befalls servers, ways and poolers now.
-type Sight interface {
-	Sound(server int) bool       // nothing befalls it
-	Born(server int) float64     // when its process began, by what the list tells all soon; 0 for long ago, or where the list does not
-	Runs(server int) bool        // its process runs, and can be reached by somebody
-	Primary(server int) bool     // it leads its group
-	Way(pooler, server int) bool // nothing befalls the way
-	Pooler(no int) bool          // its process runs, and is no newcomer
+// GroundTruth is what befalls servers, ways and poolers now.
+type GroundTruth interface {
+	ServerHealthy(server int) bool       // nothing befalls it
+	ServerStartedAt(server int) float64  // when its process began, by what the list tells all soon; 0 for long ago, or where the list does not
+	ServerReachable(server int) bool     // its process runs, and can be reached by somebody
+	IsPrimary(server int) bool           // it leads its group
+	LinkHealthy(pooler, server int) bool // nothing befalls the way
+	PoolerRunning(no int) bool           // its process runs, and is no newcomer
 }
 
-// Blackouts holds who is asked to the rules. It is told of each send, and looks at what is true now and then; of what poolers think it
+// BlackoutChecker holds who is asked to the rules. It is told of each send, and looks at what is true now and then; of what poolers think it
 // knows nothing.
-type Blackouts struct {
-	cfg     BlackoutConfig
-	group   map[int]int
-	from    float64     // of the window
-	well    [][]float64 // by pooler and server: nothing is wrong with it for this pooler since then; never is in the future
-	burnt   [][]float64 // likewise: it had no answer of it last then, by its own asking
-	reads   [][]int     // sends in the window
-	lead    []int       // by group: who led it last, -1 for nobody
-	asked   []int       // by group: requests for it in the window
-	sent    []int       // by group: sends in the window
-	replica []int       // likewise, reads that went to others than its primary
-	rested  []bool      // by group: in the window there was a time without any member running
-	born    []float64   // by server: when its process began
-	sick    []float64   // by server: the last time that something was wrong with it while its process ran
-	trial   []Trial     // by server: the last time that something was wrong with it while its process ran
-	past    []Trial
-	verdict Verdict
+type BlackoutChecker struct {
+	cfg            BlackoutConfig
+	groupOf        map[int]int
+	windowStart    float64      // of the window
+	healthySince   [][]float64  // by pooler and server: nothing is wrong with it for this pooler since then; never is in the future
+	lastUnanswered [][]float64  // likewise: it had no answer of it last then, by its own asking
+	reads          [][]int      // sends in the window
+	primary        []int        // by group: who led it last, -1 for nobody
+	received       []int        // by group: requests for it in the window
+	sent           []int        // by group: sends in the window
+	replicaReads   []int        // likewise, reads that went to others than its primary
+	hadNoMember    []bool       // by group: in the window there was a time without any member running
+	startedAt      []float64    // by server: when its process began
+	lastImpaired   []float64    // by server: the last time that something was wrong with it while its process ran
+	current        []Impairment // by server: the last time that something was wrong with it while its process ran
+	finished       []Impairment
+	verdict        Verdict
 }
 
-// Trial is what came to a server with which something was wrong while its process ran.
-type Trial struct {
-	Server int
-	From   float64
-	Until  float64 // 0 while it lasts
-	Knew   float64 // a pooler first had no answer of it in time, 0 for not yet
-	Before int     // sends in the window before
-	Sends  []float64
+// Impairment is what came to a server with which something was wrong while its process ran.
+type Impairment struct {
+	Server            int
+	From              float64
+	Until             float64 // 0 while it lasts
+	FirstUnansweredAt float64 // a pooler first had no answer of it in time, 0 for not yet
+	SendsBefore       int     // sends in the window before
+	Sends             []float64
 }
 
 const (
-	never     = 1e300
-	maxTrials = 1000
-	leastAsks = 6 // poolers, or clumps, that ask elsewhere; fewer may do so by chance
-	maxSends  = 100000
+	never          = 1e300
+	maxImpairments = 1000
+	minSenders     = 6 // poolers, or clumps, that ask elsewhere; fewer may do so by chance
+	maxSends       = 100000
 )
 
-// NewBlackouts makes the checker.
-func NewBlackouts(at float64, cfg BlackoutConfig) *Blackouts {
-	b := &Blackouts{cfg: cfg, group: map[int]int{}, from: at, verdict: Verdict{Checked: map[Rule]uint64{}, Broken: map[Rule]int{}}}
+// NewBlackoutChecker makes the checker.
+func NewBlackoutChecker(at float64, cfg BlackoutConfig) *BlackoutChecker {
+	b := &BlackoutChecker{cfg: cfg, groupOf: map[int]int{}, windowStart: at, verdict: Verdict{Checked: map[Rule]uint64{}, Broken: map[Rule]int{}}}
 	servers := 0
 	for g, members := range cfg.Groups {
 		for _, s := range members {
-			b.group[s] = g
+			b.groupOf[s] = g
 			servers = max(servers, s+1)
 		}
 	}
 	for range cfg.Poolers {
-		b.burnt = append(b.burnt, slices.Repeat([]float64{-never}, servers))
-		b.well, b.reads = append(b.well, slices.Repeat([]float64{at}, servers)), append(b.reads, make([]int, servers))
+		b.lastUnanswered = append(b.lastUnanswered, slices.Repeat([]float64{-never}, servers))
+		b.healthySince, b.reads = append(b.healthySince, slices.Repeat([]float64{at}, servers)), append(b.reads, make([]int, servers))
 	}
 	n := len(cfg.Groups)
-	b.lead, b.asked, b.sent, b.replica, b.rested = slices.Repeat([]int{-1}, n), make([]int, n), make([]int, n), make([]int, n), make([]bool, n)
-	b.trial, b.born, b.sick = make([]Trial, servers), make([]float64, servers), slices.Repeat([]float64{-never}, servers)
+	b.primary, b.received, b.sent, b.replicaReads, b.hadNoMember = slices.Repeat([]int{-1}, n), make([]int, n), make([]int, n), make([]int, n), make([]bool, n)
+	b.current, b.startedAt, b.lastImpaired = make([]Impairment, servers), make([]float64, servers), slices.Repeat([]float64{-never}, servers)
 	return b
 }
 
-// Wanted tells that a client's request for a group has come to a pooler.
-func (b *Blackouts) Wanted(group int) {
-	if group >= 0 && group < len(b.asked) {
-		b.asked[group]++
+// RequestReceived tells that a client's request for a group has come to a pooler.
+func (b *BlackoutChecker) RequestReceived(group int) {
+	if group >= 0 && group < len(b.received) {
+		b.received[group]++
 	}
 }
 
-// Sent tells of a request's send.
-func (b *Blackouts) Sent(at float64, pooler, server int, writes bool) {
-	g, ok := b.group[server]
+// AttemptSent tells of a request's send.
+func (b *BlackoutChecker) AttemptSent(at float64, pooler, server int, writes bool) {
+	g, ok := b.groupOf[server]
 	if !ok || pooler < 0 || pooler >= len(b.reads) {
 		return
 	}
 	b.sent[g]++
-	if t := &b.trial[server]; t.From > 0 && len(t.Sends) < maxSends {
+	if t := &b.current[server]; t.From > 0 && len(t.Sends) < maxSends {
 		t.Sends = append(t.Sends, at)
 	}
 	if writes {
 		return
 	}
 	b.reads[pooler][server]++
-	if server != b.lead[g] {
-		b.replica[g]++
+	if server != b.primary[g] {
+		b.replicaReads[g]++
 	}
 }
 
 // Unanswered tells that a pooler asked a server, by a request or a probe, and came to no answer: what it makes of that is its own evidence.
-func (b *Blackouts) Unanswered(at float64, pooler, server int) {
-	if pooler >= 0 && pooler < len(b.burnt) {
-		b.burnt[pooler][server] = at
+func (b *BlackoutChecker) Unanswered(at float64, pooler, server int) {
+	if pooler >= 0 && pooler < len(b.lastUnanswered) {
+		b.lastUnanswered[pooler][server] = at
 	}
-	if t := &b.trial[server]; t.From > 0 && t.Knew == 0 {
-		t.Knew = at
+	if t := &b.current[server]; t.From > 0 && t.FirstUnansweredAt == 0 {
+		t.FirstUnansweredAt = at
 	}
 }
 
-// Look takes what is true now, and holds a window that is over to the rules.
-func (b *Blackouts) Look(at float64, see Sight) {
+// Sample takes what is true now, and holds a window that is over to the rules.
+func (b *BlackoutChecker) Sample(at float64, truth GroundTruth) {
 	for g, members := range b.cfg.Groups {
-		lead, runs := -1, false
+		primary, reachable := -1, false
 		for _, s := range members {
-			if see.Primary(s) {
-				lead = s
+			if truth.IsPrimary(s) {
+				primary = s
 			}
-			runs = runs || see.Runs(s)
-			if b.born[s] = see.Born(s); see.Runs(s) && !see.Sound(s) {
-				b.sick[s] = at
+			reachable = reachable || truth.ServerReachable(s)
+			if b.startedAt[s] = truth.ServerStartedAt(s); truth.ServerReachable(s) && !truth.ServerHealthy(s) {
+				b.lastImpaired[s] = at
 			}
-			b.try(at, s, see)
+			b.trackImpairment(at, s, truth)
 		}
-		changed := lead != b.lead[g]
-		b.lead[g], b.rested[g] = lead, b.rested[g] || !runs
-		for p, well := range b.well {
-			up := see.Pooler(p)
+		changed := primary != b.primary[g]
+		b.primary[g], b.hadNoMember[g] = primary, b.hadNoMember[g] || !reachable
+		for p, healthySince := range b.healthySince {
+			running := truth.PoolerRunning(p)
 			for _, s := range members {
-				switch bad := !up || !see.Sound(s) || !see.Way(p, s); {
+				switch bad := !running || !truth.ServerHealthy(s) || !truth.LinkHealthy(p, s); {
 				case bad:
-					well[s] = never
-				case changed || well[s] == never:
-					well[s] = at
+					healthySince[s] = never
+				case changed || healthySince[s] == never:
+					healthySince[s] = at
 				}
 			}
 		}
 	}
-	if at < b.from+b.cfg.WindowMs {
+	if at < b.windowStart+b.cfg.WindowMs {
 		return
 	}
 	for g := range b.cfg.Groups {
-		b.hold(at, g)
+		b.checkWindow(at, g)
 	}
-	b.from = at
+	b.windowStart = at
 	for p := range b.reads {
 		clear(b.reads[p])
 	}
-	clear(b.asked)
+	clear(b.received)
 	clear(b.sent)
-	clear(b.replica)
-	clear(b.rested)
+	clear(b.replicaReads)
+	clear(b.hadNoMember)
 }
 
-// try begins and ends a time in which something is wrong with a server that runs.
-func (b *Blackouts) try(at float64, s int, see Sight) {
-	t := &b.trial[s]
-	switch sound := see.Sound(s); {
-	case t.From == 0 && !sound && see.Runs(s):
-		*t = Trial{Server: s, From: at}
+// trackImpairment begins and ends a time in which something is wrong with a server that runs.
+func (b *BlackoutChecker) trackImpairment(at float64, server int, truth GroundTruth) {
+	current := &b.current[server]
+	switch healthy := truth.ServerHealthy(server); {
+	case current.From == 0 && !healthy && truth.ServerReachable(server):
+		*current = Impairment{Server: server, From: at}
 		for _, reads := range b.reads {
-			t.Before += reads[s]
+			current.SendsBefore += reads[server]
 		}
-	case t.From > 0 && (sound || !see.Runs(s)):
-		if t.Until = at; len(b.past) < maxTrials {
-			b.past = append(b.past, *t)
+	case current.From > 0 && (healthy || !truth.ServerReachable(server)):
+		if current.Until = at; len(b.finished) < maxImpairments {
+			b.finished = append(b.finished, *current)
 		}
-		*t = Trial{}
+		*current = Impairment{}
 	}
 }
 
-// Trials are the times in which something was wrong with a server that ran, in the order of their ends.
-func (b *Blackouts) Trials() []Trial { return b.past }
+// Impairments are the times in which something was wrong with a server that ran, in the order of their ends.
+func (b *BlackoutChecker) Impairments() []Impairment { return b.finished }
 
-// Knew is when a pooler first had no answer of a server with which something is wrong; 0 for not yet, or where nothing is.
-func (b *Blackouts) Knew(server int) float64 { return b.trial[server].Knew }
+// FirstUnansweredAt is when a pooler first had no answer of a server with which something is wrong; 0 for not yet, or where nothing is.
+func (b *BlackoutChecker) FirstUnansweredAt(server int) float64 {
+	return b.current[server].FirstUnansweredAt
+}
 
-// hold holds a window to the rules.
-func (b *Blackouts) hold(at float64, g int) {
-	members, lead := b.cfg.Groups[g], b.lead[g]
-	if b.asked[g] >= b.cfg.Wanted && !b.rested[g] {
+// checkWindow holds a window to the rules.
+func (b *BlackoutChecker) checkWindow(at float64, group int) {
+	members, primary := b.cfg.Groups[group], b.primary[group]
+	if b.received[group] >= b.cfg.MinRequests && !b.hadNoMember[group] {
 		b.verdict.Checked[LastAsked]++
-		if b.sent[g] == 0 {
-			b.breach(LastAsked, at, lead, fmt.Sprintf("group %d was asked for %d times in %.0f ms, and none of its servers was sent anything", g, b.asked[g], at-b.from), nil)
+		if b.sent[group] == 0 {
+			b.breach(LastAsked, at, primary, fmt.Sprintf("group %d was asked for %d times in %.0f ms, and none of its servers was sent anything", group, b.received[group], at-b.windowStart), nil)
 		}
 	}
-	for _, s := range members {
-		if s == lead {
+	for _, server := range members {
+		if server == primary {
 			continue
 		}
-		asks, avoids, for_, free := 0, 0, 0, 0
+		senders, avoiding, judged, unbiased := 0, 0, 0, 0
 		var proof []Event
-		others, mine := 0, 0 // of a clump of poolers that send little
-		for p := range b.reads {
-			anew := b.anew(p, s)
-			if anew && b.from < b.born[s]+b.cfg.FreshMs || !anew && b.well[p][s] > b.from-b.cfg.AfterMs {
+		readsToOthers, readsToServer := 0, 0 // of a clump of poolers that send little
+		for pooler := range b.reads {
+			replaced := b.replacedCleanly(pooler, server)
+			if replaced && b.windowStart < b.startedAt[server]+b.cfg.RestartGraceMs || !replaced && b.healthySince[pooler][server] > b.windowStart-b.cfg.HealthyMs {
 				continue
 			}
-			if for_++; b.burnt[p][s] > b.from-b.cfg.OwnMs && !(anew && b.burnt[p][s] <= b.born[s]+b.cfg.FreshMs) {
+			if judged++; b.lastUnanswered[pooler][server] > b.windowStart-b.cfg.OwnEvidenceMs && !(replaced && b.lastUnanswered[pooler][server] <= b.startedAt[server]+b.cfg.RestartGraceMs) {
 				continue // it goes by what it saw itself
 			}
-			free++
-			for _, o := range members {
-				if o != lead && o != s {
-					others += b.reads[p][o]
+			unbiased++
+			for _, other := range members {
+				if other != primary && other != server {
+					readsToOthers += b.reads[pooler][other]
 				}
 			}
-			mine += b.reads[p][s]
-			if others+mine < b.cfg.Least {
+			readsToServer += b.reads[pooler][server]
+			if readsToOthers+readsToServer < b.cfg.MinReads {
 				continue
 			}
-			if asks++; mine == 0 {
-				avoids++
+			if senders++; readsToServer == 0 {
+				avoiding++
 				if len(proof) < maxProof {
-					proof = append(proof, Event{At: at, What: "sends to others only", Pooler: p, Server: s, Text: fmt.Sprintf("%d reads to others of the group", others)})
+					proof = append(proof, Event{At: at, What: "sends to others only", Pooler: pooler, Server: server, Text: fmt.Sprintf("%d reads to others of the group", readsToOthers)})
 				}
 			}
-			others, mine = 0, 0
+			readsToOthers, readsToServer = 0, 0
 		}
-		if 2*for_ <= len(b.reads) || 2*free <= for_ || asks < leastAsks {
+		if 2*judged <= len(b.reads) || 2*unbiased <= judged || senders < minSenders {
 			continue // it does not answer most, or most go by what they saw themselves, or next to nothing is asked
 		}
 		b.verdict.Checked[NoBlackout]++
-		if float64(avoids) > b.cfg.Part*float64(asks) {
-			b.breach(NoBlackout, at, s, fmt.Sprintf("server %d answers, and of %d poolers, or clumps of these, %d sent it nothing for %.0f ms", s, asks, avoids, at-b.from), proof)
+		if float64(avoiding) > b.cfg.MaxAvoidingShare*float64(senders) {
+			b.breach(NoBlackout, at, server, fmt.Sprintf("server %d answers, and of %d poolers, or clumps of these, %d sent it nothing for %.0f ms", server, senders, avoiding, at-b.windowStart), proof)
 		}
 	}
 }
 
-// anew tells whether a server is another process than before, and nothing was wrong with that for a pooler since it began: what befell the old one
+// replacedCleanly tells whether a server is another process than before, and nothing was wrong with that for a pooler since it began: what befell the old one
 // says nothing of it.
-func (b *Blackouts) anew(p, s int) bool {
-	return b.cfg.FreshMs > 0 && b.born[s] > 0 && b.sick[s] < b.born[s] && b.well[p][s] <= b.born[s]+b.cfg.FreshMs
+func (b *BlackoutChecker) replacedCleanly(pooler, server int) bool {
+	return b.cfg.RestartGraceMs > 0 && b.startedAt[server] > 0 && b.lastImpaired[server] < b.startedAt[server] && b.healthySince[pooler][server] <= b.startedAt[server]+b.cfg.RestartGraceMs
 }
 
-func (b *Blackouts) breach(r Rule, at float64, server int, text string, proof []Event) {
+func (b *BlackoutChecker) breach(r Rule, at float64, server int, text string, proof []Event) {
 	b.verdict.Broken[r]++
 	if len(b.verdict.Breaches) < maxBreaches {
-		proof = append([]Event{{At: b.from, What: "from here on", Pooler: -1, Server: server}}, proof...)
+		proof = append([]Event{{At: b.windowStart, What: "from here on", Pooler: -1, Server: server}}, proof...)
 		b.verdict.Breaches = append(b.verdict.Breaches, Breach{Rule: r, At: at, Text: text, Proof: proof, Server: server})
 	}
 }
 
 // Verdict adds what was checked and found.
-func (b *Blackouts) Verdict(v *Verdict) {
+func (b *BlackoutChecker) Verdict(v *Verdict) {
 	for r, n := range b.verdict.Checked {
 		v.Checked[r] += n
 	}
--- a/internal/testkit/checker/blackout_test.go
+++ b/internal/testkit/checker/blackout_test.go
@@ -9,19 +9,19 @@
 	born    float64 // server 3's process began then
 }
 
-func (c calm) Sound(s int) bool { return s != c.unsound }
-func (c calm) Born(s int) float64 {
+func (c calm) ServerHealthy(s int) bool { return s != c.unsound }
+func (c calm) ServerStartedAt(s int) float64 {
 	if s == 3 {
 		return c.born
 	}
 	return 0
 }
-func (calm) Runs(int) bool       { return true }
-func (calm) Primary(s int) bool  { return s == 0 }
-func (calm) Pooler(int) bool     { return true }
-func (c calm) Way(p, s int) bool { return c.cut == nil || !c.cut(p, s) }
-func nobody(int, int) bool       { return false }
-func half(pooler, _ int) bool    { return pooler < 6 }
+func (calm) ServerReachable(int) bool    { return true }
+func (calm) IsPrimary(s int) bool        { return s == 0 }
+func (calm) PoolerRunning(int) bool      { return true }
+func (c calm) LinkHealthy(p, s int) bool { return c.cut == nil || !c.cut(p, s) }
+func nobody(int, int) bool               { return false }
+func half(pooler, _ int) bool            { return pooler < 6 }
 
 // TestBlackouts: that all poolers, or nearly all, leave out a server that answers is a breach; not where it does not answer most, where they saw
 // that themselves, of the process that runs now, or where some still ask it. A group that nobody asks any more is one too.
@@ -45,20 +45,20 @@
 		{"they saw its new process themselves", calm{-1, nobody, 2000}, func(int) bool { return true }, 5000, false, ""},
 		{"nobody asks anybody", calm{-1, nobody, 0}, func(int) bool { return true }, -1, true, LastAsked},
 	} {
-		b := NewBlackouts(0, BlackoutConfig{Groups: [][]int{{0, 1, 2, 3}}, Poolers: 12, WindowMs: 1000, AfterMs: 1000, FreshMs: 500, OwnMs: 60000, Part: 0.8, Least: 12, Wanted: 20})
+		b := NewBlackoutChecker(0, BlackoutConfig{Groups: [][]int{{0, 1, 2, 3}}, Poolers: 12, WindowMs: 1000, HealthyMs: 1000, RestartGraceMs: 500, OwnEvidenceMs: 60000, MaxAvoidingShare: 0.8, MinReads: 12, MinRequests: 20})
 		for at := 0.0; at <= 5000; at += 50 {
 			for p := range 12 {
-				b.Wanted(0)
+				b.RequestReceived(0)
 				for s := 1; s < 4 && !c.silent; s++ {
 					if s != 3 || !c.avoid(p) {
-						b.Sent(at, p, s, false)
+						b.AttemptSent(at, p, s, false)
 					}
 				}
 				if at <= c.own {
 					b.Unanswered(at, p, 3)
 				}
 			}
-			b.Look(at, c.see)
+			b.Sample(at, c.see)
 		}
 		v := Verdict{Checked: map[Rule]uint64{}, Broken: map[Rule]int{}}
 		b.Verdict(&v)
--- a/internal/testkit/checker/limits.go
+++ b/internal/testkit/checker/limits.go
@@ -16,62 +16,62 @@
 // Limit is one of a tenant's requests a second, as the operators set it. It is counted at clients and servers: a request of which any
 // attempt was sent is a use of it, at the time that it came to its pooler, or that the pooler's machine went on after standing still.
 type Limit struct {
-	Name      string
-	Tenant    string
-	PerSecond float64
-	Burst     float64
-	Even      bool    // it may be over for a while after a fault:
-	OverMs    float64 // up to twice the amount, for so long
-	AtOnce    int     // a number at once of all queries, in place of a rate
-	CalmMs    float64 // so long after a fault shares follow demand again; 0 where that is not checked
+	Name          string
+	Tenant        string
+	PerSecond     float64
+	Burst         float64
+	FaultTolerant bool    // it may be over for a while after a fault:
+	OvershootMs   float64 // up to twice the amount, for so long
+	MaxConcurrent int     // a number at once of all queries, in place of a rate
+	CalmMs        float64 // so long after a fault shares follow demand again; 0 where that is not checked
 }
 
-// limitUse is a limit with what came of it. What is used is held to a bucket that leaks at the limit's rate and holds its burst, which is
+// limitState is a limit with what came of it. What is used is held to a bucket that leaks at the limit's rate and holds its burst, which is
 // the same as to hold every span of time to rate times span and burst.
-type limitUse struct {
+type limitState struct {
 	Limit
-	next     []limitChange
-	faults   []float64
-	uses     []useAt
-	told     int             // uses that were held to the limit already
-	amounts  map[int]float64 // by pooler, as each read it last
-	perBurst float64
-	level    float64
-	at       float64
-	first    float64
-	fault    float64
-	faulty   bool    // one is in force
-	credit   float64 // uses that a fault allows beyond
-	until    float64
-	most     float64 // that the level was over the burst
-	used     uint64
-	asked    uint64
-	poolers  map[int]*poolerUse
-	runs     map[run]float64   // since when each runs
-	over     float64           // since when too many do, 0 where that is not so
-	area     float64           // of how many ran, by time
-	seconds  map[int64]float64 // uses by the second
-	wanted   map[int64]float64
+	changes        []limitChange
+	faults         []float64
+	uses           []limitUse
+	checkedUses    int             // uses that were held to the limit already
+	amounts        map[int]float64 // by pooler, as each read it last
+	burstPerRate   float64
+	level          float64
+	at             float64
+	firstRequest   float64
+	lastFault      float64
+	faultActive    bool    // one is in force
+	faultAllowance float64 // uses that a fault allows beyond
+	allowanceUntil float64
+	mostOver       float64 // that the level was over the burst
+	used           uint64
+	received       uint64
+	poolers        map[int]*poolerUsage
+	running        map[runningQuery]float64 // since when each runs
+	exceededSince  float64                  // since when too many do, 0 where that is not so
+	runningArea    float64                  // of how many ran, by time
+	usesBySecond   map[int64]float64        // uses by the second
+	demandBySecond map[int64]float64
 }
 
 type limitChange struct{ at, rate, burst float64 }
 
-// run is a query at a server.
-type run struct {
+// runningQuery is a query at a server.
+type runningQuery struct {
 	id     uint64
 	server int
 }
 
-type useAt struct {
+type limitUse struct {
 	at     float64
 	id     uint64
 	server int
 }
 
-type poolerUse struct{ asked, used float64 } // while all is calm
+type poolerUsage struct{ received, used float64 } // while all is calm
 
-// Use is what came of a limit.
-type Use struct {
+// LimitUsage is what came of a limit.
+type LimitUsage struct {
 	Name     string  `json:"name"`
 	Asked    uint64  `json:"asked"`
 	Used     uint64  `json:"used"`
@@ -80,9 +80,9 @@
 	HeldTo   float64 `json:"burst_it_is_held_to"`
 }
 
-func (c *Checker) limitOf(tenant string) *limitUse {
+func (c *Checker) rateLimitOf(tenant string) *limitState {
 	for _, u := range c.limits {
-		if u.Tenant == tenant && u.AtOnce == 0 {
+		if u.Tenant == tenant && u.MaxConcurrent == 0 {
 			return u
 		}
 	}
@@ -91,47 +91,47 @@
 
 // Tenant tells whose an open request is.
 func (c *Checker) Tenant(at float64, id uint64, tenant string) {
-	q, u := c.open[id], c.limitOf(tenant)
-	if q == nil || u == nil {
+	request, u := c.requests[id], c.rateLimitOf(tenant)
+	if request == nil || u == nil {
 		return
 	}
-	if u.first == 0 {
-		u.first = at
+	if u.firstRequest == 0 {
+		u.firstRequest = at
 	}
-	q.limit = u
-	u.asked++
-	u.wanted[int64(at/1000)]++
-	if p := u.calm(at, q.pooler); p != nil {
-		p.asked++
+	request.limit = u
+	u.received++
+	u.demandBySecond[int64(at/1000)]++
+	if p := u.calmUsage(at, request.pooler); p != nil {
+		p.received++
 	}
 }
 
-// calm is what a pooler has of a limit while all is calm, nil where it is not.
-func (u *limitUse) calm(at float64, pooler int) *poolerUse {
-	if u.CalmMs == 0 || u.faulty || at < max(u.fault, u.first)+u.CalmMs {
+// calmUsage is what a pooler has of a limit while all is calm, nil where it is not.
+func (u *limitState) calmUsage(at float64, pooler int) *poolerUsage {
+	if u.CalmMs == 0 || u.faultActive || at < max(u.lastFault, u.firstRequest)+u.CalmMs {
 		return nil
 	}
 	p := u.poolers[pooler]
 	if p == nil {
-		p = &poolerUse{}
+		p = &poolerUsage{}
 		u.poolers[pooler] = p
 	}
 	return p
 }
 
-// Fault tells that one has struck or ended, for limits that may be over for a while after one; begins is 1 for one that is in force until
+// FaultChanged tells that one has struck or ended, for limits that may be over for a while after one; begins is 1 for one that is in force until
 // it ends, by -1, and 0 for what happens at once.
-func (c *Checker) Fault(at float64, begins int) {
-	c.inForce += begins
+func (c *Checker) FaultChanged(at float64, begins int) {
+	c.activeFaults += begins
 	for _, u := range c.limits {
-		u.fault, u.faulty = max(u.fault, at), c.inForce > 0
+		u.lastFault, u.faultActive = max(u.lastFault, at), c.activeFaults > 0
 		u.faults = append(u.faults, at)
 	}
 }
 
-// Changed tells that some of so many poolers have read of a limit of another amount, with a burst that changes as much; a lower one binds so long
+// LimitChanged tells that some of so many poolers have read of a limit of another amount, with a burst that changes as much; a lower one binds so long
 // after the last of them has.
-func (c *Checker) Changed(at float64, name string, struck []int, poolers int, perSecond, lateMs float64) {
+func (c *Checker) LimitChanged(at float64, name string, changedPoolers []int, poolers int, perSecond, lateMs float64) {
 	for _, u := range c.limits {
 		if u.Name != name {
 			continue
@@ -141,103 +141,107 @@
 			for i := range poolers {
 				u.amounts[i] = u.PerSecond
 			}
-			u.perBurst = u.Burst / u.PerSecond
+			u.burstPerRate = u.Burst / u.PerSecond
 		}
 		most := perSecond
-		for _, i := range struck {
+		for _, i := range changedPoolers {
 			u.amounts[i] = perSecond
 		}
 		for _, x := range u.amounts {
 			most = max(most, x)
 		}
-		if was := u.last(); most < was {
+		if was := u.finalRate(); most < was {
 			at += lateMs
 		}
-		u.next = append(u.next, limitChange{at, most, max(1, most*u.perBurst)})
+		u.changes = append(u.changes, limitChange{at, most, max(1, most*u.burstPerRate)})
 	}
 }
 
-// last is the amount that it will have.
-func (u *limitUse) last() float64 {
-	if n := len(u.next); n > 0 {
-		return u.next[n-1].rate
+// finalRate is the amount that it will have.
+func (u *limitState) finalRate() float64 {
+	if n := len(u.changes); n > 0 {
+		return u.changes[n-1].rate
 	}
 	return u.PerSecond
 }
 
-// use counts a request whose first attempt is sent.
-func (c *Checker) use(q *request, server int) {
-	u, at := q.limit, q.asked
-	if x := c.still[q.pooler]; at >= x.from && at < x.until {
+// recordUse counts a request whose first attempt is sent.
+func (c *Checker) recordUse(request *clientRequest, server int) {
+	u, at := request.limit, request.received
+	if x := c.pauses[request.pooler]; at >= x.from && at < x.until {
 		at = x.until
 	}
 	u.used++
-	u.seconds[int64(at/1000)]++
-	if p := u.calm(at, q.pooler); p != nil {
+	u.usesBySecond[int64(at/1000)]++
+	if p := u.calmUsage(at, request.pooler); p != nil {
 		p.used++
 	}
-	u.uses = append(u.uses, useAt{at, q.id, server})
+	u.uses = append(u.uses, limitUse{at, request.id, server})
 }
 
-// Runs tells that a server works on a query now.
-func (c *Checker) Runs(at float64, id uint64, server int) { c.runs(at, run{id, server}, true) }
+// QueryStarted tells that a server works on a query now.
+func (c *Checker) QueryStarted(at float64, id uint64, server int) {
+	c.recordRunning(at, runningQuery{id, server}, true)
+}
 
-// Over tells that a server does not work on a query any more.
-func (c *Checker) Over(at float64, id uint64, server int) { c.runs(at, run{id, server}, false) }
+// QueryEnded tells that a server does not work on a query any more.
+func (c *Checker) QueryEnded(at float64, id uint64, server int) {
+	c.recordRunning(at, runningQuery{id, server}, false)
+}
 
-func (c *Checker) runs(at float64, r run, on bool) {
+func (c *Checker) recordRunning(at float64, r runningQuery, on bool) {
 	for _, u := range c.limits {
-		if u.AtOnce == 0 {
+		if u.MaxConcurrent == 0 {
 			continue
 		}
-		if u.first == 0 {
-			u.first, u.at = at, at
+		if u.firstRequest == 0 {
+			u.firstRequest, u.at = at, at
 		}
-		u.area += float64(len(u.runs)) * max(0, at-u.at)
+		u.runningArea += float64(len(u.running)) * max(0, at-u.at)
 		u.at = max(u.at, at)
-		if u.over > 0 && at-u.over > c.cfg.CountMs {
-			c.breach(Breach{Rule: FleetLimit, At: at, ID: r.id, Server: r.server, Late: true, Text: fmt.Sprintf("limit %q, %d at once: %d ran for %.0f ms", u.Name, u.AtOnce, len(u.runs), at-u.over)}, nil)
-			u.over = at
+		if u.exceededSince > 0 && at-u.exceededSince > c.cfg.CountMs {
+			c.breach(Breach{Rule: FleetLimit, At: at, ID: r.id, Server: r.server, Late: true, Text: fmt.Sprintf("limit %q, %d at once: %d ran for %.0f ms", u.Name, u.MaxConcurrent, len(u.running), at-u.exceededSince)}, nil)
+			u.exceededSince = at
 		}
 		if c.checked[FleetLimit]++; on {
-			u.runs[r] = at
+			u.running[r] = at
 			u.used++
 		} else {
-			delete(u.runs, r)
+			delete(u.running, r)
 		}
-		if u.most = max(u.most, float64(len(u.runs)-u.AtOnce)); len(u.runs) <= u.AtOnce {
-			u.over = 0
-		} else if u.over == 0 {
-			u.over = at
+		if u.mostOver = max(u.mostOver, float64(len(u.running)-u.MaxConcurrent)); len(u.running) <= u.MaxConcurrent {
+			u.exceededSince = 0
+		} else if u.exceededSince == 0 {
+			u.exceededSince = at
 		}
 	}
 }
 
-// hold holds what was used to the limits, in the order of time.
-func (c *Checker) hold() {
+// checkLimits holds what was used to the limits, in the order of time.
+func (c *Checker) checkLimits() {
 	for _, u := range c.limits {
-		fresh := u.uses[u.told:]
-		slices.SortStableFunc(fresh, func(a, b useAt) int { return cmp.Compare(a.at, b.at) })
-		u.told = len(u.uses)
+		fresh := u.uses[u.checkedUses:]
+		slices.SortStableFunc(fresh, func(a, b limitUse) int { return cmp.Compare(a.at, b.at) })
+		u.checkedUses = len(u.uses)
 		slices.Sort(u.faults)
 		for _, x := range fresh {
 			c.checked[FleetLimit]++
-			for len(u.next) > 0 && x.at >= u.next[0].at {
-				u.leak(u.next[0].at)
-				u.PerSecond, u.Burst = u.next[0].rate, u.next[0].burst
-				u.next = u.next[1:]
+			for len(u.changes) > 0 && x.at >= u.changes[0].at {
+				u.leak(u.changes[0].at)
+				u.PerSecond, u.Burst = u.changes[0].rate, u.changes[0].burst
+				u.changes = u.changes[1:]
 			}
-			for u.Even && len(u.faults) > 0 && x.at >= u.faults[0] {
-				u.credit, u.until = u.PerSecond*u.OverMs/1000, u.faults[0]+u.OverMs
+			for u.FaultTolerant && len(u.faults) > 0 && x.at >= u.faults[0] {
+				u.faultAllowance, u.allowanceUntil = u.PerSecond*u.OvershootMs/1000, u.faults[0]+u.OvershootMs
 				u.faults = u.faults[1:]
 			}
 			u.leak(x.at)
 			u.level++
 			over := u.level - u.Burst - u.PerSecond*c.cfg.CountMs/1000 - 1
-			if x.at < u.until {
-				over -= u.credit
+			if x.at < u.allowanceUntil {
+				over -= u.faultAllowance
 			}
-			u.most = max(u.most, u.level-u.Burst)
+			u.mostOver = max(u.mostOver, u.level-u.Burst)
 			if over > 1e-6 {
 				c.breach(Breach{Rule: FleetLimit, At: x.at, ID: x.id, Server: x.server, Text: fmt.Sprintf("limit %q, %g a second with a burst of %g: %.1f uses beyond it", u.Name, u.PerSecond, u.Burst, over)}, nil)
 				u.level-- // each is told once
@@ -246,46 +250,46 @@
 	}
 }
 
-func (u *limitUse) leak(at float64) {
+func (u *limitState) leak(at float64) {
 	u.level = max(0, u.level-max(0, at-u.at)*u.PerSecond/1000)
 	u.at = max(u.at, at)
 }
 
-// shares holds what poolers that were asked for about as much got of a limit to one another.
-func (c *Checker) shares() {
+// checkShares holds what poolers that were asked for about as much got of a limit to one another.
+func (c *Checker) checkShares() {
 	const enough, alike, apart = 200, 1.25, 1.5
 	for _, u := range c.limits {
 		for no, p := range u.poolers {
 			for other, o := range u.poolers {
-				if p.asked < enough || o.asked > p.asked || p.asked > alike*o.asked || no == other {
+				if p.received < enough || o.received > p.received || p.received > alike*o.received || no == other {
 					continue
 				}
 				c.checked[FleetShare]++
 				if p.used > apart*o.used+math.Sqrt(p.used) || o.used > apart*p.used+math.Sqrt(o.used) {
 					c.breach(Breach{Rule: FleetShare, At: u.at, Server: -1, Text: fmt.Sprintf("limit %q: pooler %d used %.0f of the %.0f that it was asked for, pooler %d used %.0f of %.0f", u.Name,
-						no, p.used, p.asked, other, o.used, o.asked)}, nil)
+						no, p.used, p.received, other, o.used, o.received)}, nil)
 				}
 			}
 		}
 	}
 }
 
-// Uses tell what came of limits, from so long after the first request on.
-func (c *Checker) Uses(afterMs float64) (out []Use) {
-	c.hold()
+// LimitUsages tell what came of limits, from so long after the first request on.
+func (c *Checker) LimitUsages(afterMs float64) (out []LimitUsage) {
+	c.checkLimits()
 	for _, u := range c.limits {
-		if u.AtOnce > 0 {
-			out = append(out, Use{Name: u.Name, Used: u.used, Part: u.area / max(1, u.at-u.first) / float64(u.AtOnce), MostOver: u.most, HeldTo: float64(u.AtOnce)})
+		if u.MaxConcurrent > 0 {
+			out = append(out, LimitUsage{Name: u.Name, Used: u.used, Part: u.runningArea / max(1, u.at-u.firstRequest) / float64(u.MaxConcurrent), MostOver: u.mostOver, HeldTo: float64(u.MaxConcurrent)})
 			continue
 		}
 		part, of := 0.0, 0.0
 		last := int64(u.at / 1000)
-		for s := int64(math.Ceil((u.first + afterMs) / 1000)); s < last; s++ {
-			want := min(u.wanted[s], u.PerSecond)
-			part += min(u.seconds[s], want)
+		for s := int64(math.Ceil((u.firstRequest + afterMs) / 1000)); s < last; s++ {
+			want := min(u.demandBySecond[s], u.PerSecond)
+			part += min(u.usesBySecond[s], want)
 			of += want
 		}
-		x := Use{Name: u.Name, Asked: u.asked, Used: u.used, MostOver: u.most, HeldTo: u.Burst}
+		x := LimitUsage{Name: u.Name, Asked: u.received, Used: u.used, MostOver: u.mostOver, HeldTo: u.Burst}
 		if of > 0 {
 			x.Part = part / of
 		}
--- a/internal/testkit/checker/lists.go
+++ b/internal/testkit/checker/lists.go
@@ -1,14 +1,14 @@
 package checker
 
-type where struct{ pooler, server int }
+type poolerServer struct{ pooler, server int }
 
-type word struct {
+type roleReport struct {
 	at      float64
 	asOf    float64
 	primary bool
 }
 
-const wordMs = 30000 // a server's word on its role counts for so long
+const roleReportMs = 30000 // a server's word on its role counts for so long
 
 type listing struct {
 	state string
@@ -17,7 +17,7 @@
 
 // Listed tells that a pooler has been told a server's state: up, draining or removed.
 func (c *Checker) Listed(at float64, pooler, server int, state string) {
-	w := where{pooler, server}
+	w := poolerServer{pooler, server}
 	if old, ok := c.listed[w]; ok && old.state != "up" && state != "up" {
 		return // it heard the first already
 	}
@@ -28,31 +28,31 @@
 	c.listed[w] = listing{state, at}
 }
 
-// Word tells that a server's word on its role has come to a pooler. A report is some time old: its word is as of the position
+// RoleReported tells that a server's word on its role has come to a pooler. A report is some time old: its word is as of the position
 // that it tells, and does not take back a later one.
-func (c *Checker) Word(at, asOf float64, pooler, server int, primary bool) {
-	w := where{pooler, server}
+func (c *Checker) RoleReported(at, asOf float64, pooler, server int, primary bool) {
+	w := poolerServer{pooler, server}
 	if primary {
-		c.leads[server] = max(c.leads[server], asOf)
+		c.leaderAsOf[server] = max(c.leaderAsOf[server], asOf)
 	}
-	if old, ok := c.words[w]; !ok || asOf >= old.asOf {
-		c.words[w] = word{at, asOf, primary}
+	if old, ok := c.roleReports[w]; !ok || asOf >= old.asOf {
+		c.roleReports[w] = roleReport{at, asOf, primary}
 	}
 }
 
-// Forgot tells that a pooler's process has ended, and knows nothing any more.
-func (c *Checker) Forgot(pooler int) {
-	if c.over != nil {
-		c.over.twice.began++
+// PoolerRestarted tells that a pooler's process has ended, and knows nothing any more.
+func (c *Checker) PoolerRestarted(pooler int) {
+	if c.overload != nil {
+		c.overload.repeats.processesStarted++
 	}
 	for w := range c.listed {
 		if w.pooler == pooler {
 			delete(c.listed, w)
 		}
 	}
-	for w := range c.words {
+	for w := range c.roleReports {
 		if w.pooler == pooler {
-			delete(c.words, w)
+			delete(c.roleReports, w)
 		}
 	}
 	for k := range c.keyed {
--- a/internal/testkit/checker/pages.go
+++ b/internal/testkit/checker/pages.go
@@ -17,25 +17,25 @@
 // PageRules are all of them.
 func PageRules() []Rule { return []Rule{PagesOnce, PagesAhead, PagesEnd} }
 
-// Pages holds reports to the rows that the servers' groups had. It knows which rows there were and from which position of their group's log to
+// PageChecker holds reports to the rows that the servers' groups had. It knows which rows there were and from which position of their group's log to
 // which, what clients were given, and at which positions servers read; nothing of cursors.
-type Pages struct {
-	Desc    bool // the place comes down
-	rows    map[int64]*pageRow
-	reports map[int]*report
-	checked map[Rule]uint64
-	found   []Breach
-	counts  map[Rule]int
+type PageChecker struct {
+	Descending bool // the place comes down
+	rows       map[int64]*pageRow
+	reports    map[int]*report
+	checked    map[Rule]uint64
+	breaches   []Breach
+	counts     map[Rule]int
 
 	Served, Ended, Rows int // pages, reports that came to their end, rows
-	Refused, Failed     int
+	Rejected, Failed    int
 }
 
 // pageRow is a row, there from one position to another, 0 for ever.
 type pageRow struct {
-	id, place int64
-	group     int
-	from, end float64
+	id, place        int64
+	group            int
+	written, deleted float64
 }
 
 // PageRead says that a server of a group worked on a shard's part of a page; those of a page come in the order of time.
@@ -46,66 +46,66 @@
 
 // report is one that is under way.
 type report struct {
-	first map[int]float64 // by group: the least position at which its first page was read
-	last  map[int]float64 // ...and the greatest at which the last read of any was
-	given []*pageRow
-	began float64
+	firstRead map[int]float64 // by group: the least position at which its first page was read
+	lastRead  map[int]float64 // ...and the greatest at which the last read of any was
+	given     []*pageRow
+	started   float64
 }
 
-// NewPages makes a checker.
-func NewPages(desc bool) *Pages {
-	return &Pages{Desc: desc, rows: map[int64]*pageRow{}, reports: map[int]*report{}, checked: map[Rule]uint64{}, counts: map[Rule]int{}}
+// NewPageChecker makes a checker.
+func NewPageChecker(desc bool) *PageChecker {
+	return &PageChecker{Descending: desc, rows: map[int64]*pageRow{}, reports: map[int]*report{}, checked: map[Rule]uint64{}, counts: map[Rule]int{}}
 }
 
-func (p *Pages) breach(rule Rule, at float64, format string, args ...any) {
-	if p.counts[rule]++; len(p.found) < maxBreaches {
-		p.found = append(p.found, Breach{Rule: rule, At: at, Server: -1, Text: fmt.Sprintf(format, args...)})
+func (p *PageChecker) breach(rule Rule, at float64, format string, args ...any) {
+	if p.counts[rule]++; len(p.breaches) < maxBreaches {
+		p.breaches = append(p.breaches, Breach{Rule: rule, At: at, Server: -1, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
-// Row tells of a row that is written, as of a position of its group's log; 0 for one that was there from the beginning.
-func (p *Pages) Row(id, place int64, group int, from float64) {
-	p.rows[id] = &pageRow{id: id, place: place, group: group, from: from}
+// RowWritten tells of a row that is written, as of a position of its group's log; 0 for one that was there from the beginning.
+func (p *PageChecker) RowWritten(id, place int64, group int, from float64) {
+	p.rows[id] = &pageRow{id: id, place: place, group: group, written: from}
 }
 
-// Gone tells that a row is deleted as of a position.
-func (p *Pages) Gone(id int64, at float64) {
+// RowDeleted tells that a row is deleted as of a position.
+func (p *PageChecker) RowDeleted(id int64, at float64) {
 	if r := p.rows[id]; r != nil {
-		r.end = at
+		r.deleted = at
 	}
 }
 
 // compare is the order of a report: by place, then by group, as shards are named in that order, then by the row's own number.
-func (p *Pages) compare(a, b *pageRow) int {
-	c := cmp.Compare(a.place, b.place)
-	if p.Desc {
+func (p *PageChecker) compare(left, right *pageRow) int {
+	c := cmp.Compare(left.place, right.place)
+	if p.Descending {
 		c = -c
 	}
-	return cmp.Or(c, cmp.Compare(a.group, b.group), cmp.Compare(a.id, b.id))
+	return cmp.Or(c, cmp.Compare(left.group, right.group), cmp.Compare(left.id, right.id))
 }
 
-// Page tells of a page that a reader was given whole, with what servers read for it, and whether it is its report's last.
-func (p *Pages) Page(at float64, reader int, ids []int64, reads []PageRead, last bool) {
+// PageServed tells of a page that a reader was given whole, with what servers read for it, and whether it is its report's last.
+func (p *PageChecker) PageServed(at float64, reader int, ids []int64, reads []PageRead, last bool) {
 	p.Served++
 	p.Rows += len(ids)
 	r := p.reports[reader]
 	if r == nil {
-		r = &report{first: map[int]float64{}, last: map[int]float64{}, began: at}
+		r = &report{firstRead: map[int]float64{}, lastRead: map[int]float64{}, started: at}
 		p.reports[reader] = r
 	}
 	p.checked[PagesAhead]++
-	now, fresh := map[int]float64{}, len(r.last) == 0
+	now, fresh := map[int]float64{}, len(r.lastRead) == 0
 	for _, x := range reads {
-		if before, ok := r.last[x.Group]; ok && x.Position < before {
+		if before, ok := r.lastRead[x.Group]; ok && x.Position < before {
 			p.breach(PagesAhead, at, "report of reader %d: group %d is read as of %.0f, for the page before it was as of %.0f", reader, x.Group, x.Position, before)
 		}
-		if least, ok := r.first[x.Group]; fresh && (!ok || x.Position < least) {
-			r.first[x.Group] = x.Position
+		if least, ok := r.firstRead[x.Group]; fresh && (!ok || x.Position < least) {
+			r.firstRead[x.Group] = x.Position
 		}
 		now[x.Group] = x.Position // that of the last one: those before it broke
 	}
 	for g, x := range now {
-		r.last[g] = max(r.last[g], x)
+		r.lastRead[g] = max(r.lastRead[g], x)
 	}
 	for _, id := range ids {
 		p.checked[PagesOnce]++
@@ -118,21 +118,21 @@
 			p.breach(PagesOnce, at, "report of reader %d: row %d of place %d, group %d comes behind row %d of place %d, group %d", reader, x.id, x.place, x.group,
 				r.given[n-1].id, r.given[n-1].place, r.given[n-1].group)
 		}
-		if x.from > r.last[x.group] || x.end > 0 && x.end <= r.first[x.group] {
-			p.breach(PagesOnce, at, "report of reader %d: row %d was there from %.0f to %.0f, and group %d was read as of %.0f to %.0f", reader, id, x.from, x.end, x.group,
-				r.first[x.group], r.last[x.group])
+		if x.written > r.lastRead[x.group] || x.deleted > 0 && x.deleted <= r.firstRead[x.group] {
+			p.breach(PagesOnce, at, "report of reader %d: row %d was there from %.0f to %.0f, and group %d was read as of %.0f to %.0f", reader, id, x.written, x.deleted, x.group,
+				r.firstRead[x.group], r.lastRead[x.group])
 		}
 		r.given = append(r.given, x)
 	}
 	if last {
 		p.Ended++
-		p.hold(at, reader, r, nil)
+		p.checkMissingRows(at, reader, r, nil)
 		delete(p.reports, reader)
 	}
 }
 
-// hold looks for rows that a report should have been given, up to one.
-func (p *Pages) hold(at float64, reader int, r *report, upTo *pageRow) {
+// checkMissingRows looks for rows that a report should have been given, up to one.
+func (p *PageChecker) checkMissingRows(at float64, reader int, r *report, upTo *pageRow) {
 	given := map[int64]bool{}
 	for _, x := range r.given {
 		given[x.id] = true
@@ -142,37 +142,37 @@
 		if upTo != nil && p.compare(x, upTo) > 0 {
 			continue
 		}
-		from, read := r.first[x.group]
-		if throughout := read && x.from <= from && (x.end == 0 || x.end > r.last[x.group]); throughout && !given[id] {
+		from, read := r.firstRead[x.group]
+		if throughout := read && x.written <= from && (x.deleted == 0 || x.deleted > r.lastRead[x.group]); throughout && !given[id] {
 			p.breach(PagesOnce, at, "report of reader %d: row %d of place %d, group %d, there throughout (%.0f to %.0f, read as of %.0f to %.0f), was not given", reader, id, x.place, x.group,
-				x.from, x.end, from, r.last[x.group])
+				x.written, x.deleted, from, r.lastRead[x.group])
 		}
 	}
 }
 
-// Began has a reader begin a new report, whatever it had.
-func (p *Pages) Began(reader int) { delete(p.reports, reader) }
+// ReportStarted has a reader begin a new report, whatever it had.
+func (p *PageChecker) ReportStarted(reader int) { delete(p.reports, reader) }
 
-// Came tells that a page came to an end of some kind, and by when one was due.
-func (p *Pages) Came(at, due float64, reader int) {
+// PageEnded tells that a page came to an end of some kind, and by when one was due.
+func (p *PageChecker) PageEnded(at, due float64, reader int) {
 	if p.checked[PagesEnd]++; at > due {
 		p.breach(PagesEnd, at, "report of reader %d: a page's end came %.0f ms late", reader, at-due)
 	}
 }
 
-// Tried counts pages that came to nothing.
-func (p *Pages) Tried(refused bool) {
-	if p.Failed++; refused {
+// PageFailed counts pages that came to nothing.
+func (p *PageChecker) PageFailed(rejected bool) {
+	if p.Failed++; rejected {
 		p.Failed--
-		p.Refused++
+		p.Rejected++
 	}
 }
 
 // Verdict adds what was checked and found; reports that are under way are held to what they have come to.
-func (p *Pages) Verdict(at float64, v *Verdict) {
+func (p *PageChecker) Verdict(at float64, v *Verdict) {
 	for _, reader := range slices.Sorted(maps.Keys(p.reports)) {
 		if r := p.reports[reader]; len(r.given) > 0 {
-			p.hold(at, reader, r, r.given[len(r.given)-1])
+			p.checkMissingRows(at, reader, r, r.given[len(r.given)-1])
 		}
 	}
 	for rule, n := range p.checked {
@@ -181,5 +181,5 @@
 	for rule, n := range p.counts {
 		v.Broken[rule] += n
 	}
-	v.Breaches = append(v.Breaches, p.found...)
+	v.Breaches = append(v.Breaches, p.breaches...)
 }
--- a/internal/testkit/checker/queries/queries.go
+++ b/internal/testkit/checker/queries/queries.go
@@ -14,31 +14,31 @@
 
 // The rules.
 const (
-	OneAnswer  Rule = "exactly one final answer, or a broken one that can be told from a whole"
-	NotTwice   Rule = "no write sent again that may have run"
-	Harmless   Rule = "nothing refused as harmless that came to a server"
-	DrainsKept Rule = "nothing new to a server after the grace of its drain"
-	NotStale   Rule = "no read staler than its class allows"
-	NoInvented Rule = "no answer that no server made for the query"
-	OnePlace   Rule = "no session at two servers"
+	OneAnswer         Rule = "exactly one final answer, or a broken one that can be told from a whole"
+	NotTwice          Rule = "no write sent again that may have run"
+	RejectedUntouched Rule = "nothing refused as harmless that came to a server"
+	DrainsKept        Rule = "nothing new to a server after the grace of its drain"
+	NotStale          Rule = "no read staler than its class allows"
+	NoInvented        Rule = "no answer that no server made for the query"
+	OneServer         Rule = "no session at two servers"
 )
 
-// Ask is a query as its client saw it. Times are in milliseconds on one clock with the servers'.
-type Ask struct {
-	ID       string
-	Writes   bool
-	Session  string
-	BoundS   float64 // how old its data may be, 0 for any age
-	Sum      uint64  // of its body
-	Echo     bool    // what serves it tells its server, its id and the body's sum
-	Answers  int     // whole answers that came...
-	Extra    int     // ...and bytes that nobody had asked for
-	Broken   bool    // its connection ended before an answer, or within one
-	Status   int
-	Code     string // of ClickHouse's exception
-	Pooler   bool   // the answer was the pooler's own
-	Body     string
-	WroteAll bool // its body went out whole
+// ClientQuery is a query as its client saw it. Times are in milliseconds on one clock with the servers'.
+type ClientQuery struct {
+	ID              string
+	Writes          bool
+	Session         string
+	MaxStalenessS   float64 // how old its data may be, 0 for any age
+	BodyHash        uint64  // of its body
+	Echo            bool    // what serves it tells its server, its id and the body's sum
+	Answers         int     // whole answers that came...
+	ExtraBytes      int     // ...and bytes that nobody had asked for
+	ConnectionBroke bool    // its connection ended before an answer, or within one
+	Status          int
+	Code            string // of ClickHouse's exception
+	FromPooler      bool   // the answer was the pooler's own
+	Body            string
+	BodySent        bool // its body went out whole
 }
 
 // Run is a query as a server saw it.
@@ -80,17 +80,17 @@
 }
 
 // Check holds asks against runs.
-func Check(cfg Config, asks []Ask, runs []Run, drains []Drain) *Verdict {
+func Check(cfg Config, queries []ClientQuery, runs []Run, drains []Drain) *Verdict {
 	v := &Verdict{Checked: map[Rule]int{}}
 	byID := map[string][]Run{}
 	for _, r := range runs {
 		byID[r.ID] = append(byID[r.ID], r)
-		v.drained(cfg, r, drains)
+		v.checkDrain(cfg, r, drains)
 	}
-	for i := range asks {
-		v.ask(cfg, &asks[i], byID[asks[i].ID])
+	for i := range queries {
+		v.checkQuery(cfg, &queries[i], byID[queries[i].ID])
 	}
-	v.places(asks, byID)
+	v.checkSessions(queries, byID)
 	return v
 }
 
@@ -98,7 +98,7 @@
 	v.Breaches = append(v.Breaches, Breach{rule, id, fmt.Sprintf(format, args...), slices.Clone(proof)})
 }
 
-func (v *Verdict) drained(cfg Config, r Run, drains []Drain) {
+func (v *Verdict) checkDrain(cfg Config, r Run, drains []Drain) {
 	for _, d := range drains {
 		if d.Server != r.Server {
 			continue
@@ -110,65 +110,65 @@
 	}
 }
 
-func (v *Verdict) ask(cfg Config, a *Ask, runs []Run) {
+func (v *Verdict) checkQuery(cfg Config, query *ClientQuery, runs []Run) {
 	v.Checked[OneAnswer]++
-	switch ends := a.Answers; {
-	case a.Broken && ends > 0, ends > 1, a.Extra > 0:
-		v.breach(OneAnswer, a.ID, runs, "%d answers, broken off: %v, %d bytes behind them", ends, a.Broken, a.Extra)
-	case !a.Broken && ends == 0:
-		v.breach(OneAnswer, a.ID, runs, "no answer, and its connection stands")
+	switch ends := query.Answers; {
+	case query.ConnectionBroke && ends > 0, ends > 1, query.ExtraBytes > 0:
+		v.breach(OneAnswer, query.ID, runs, "%d answers, broken off: %v, %d bytes behind them", ends, query.ConnectionBroke, query.ExtraBytes)
+	case !query.ConnectionBroke && ends == 0:
+		v.breach(OneAnswer, query.ID, runs, "no answer, and its connection stands")
 	}
-	if a.Writes {
+	if query.Writes {
 		if v.Checked[NotTwice]++; len(runs) > 1 {
-			v.breach(NotTwice, a.ID, runs, "it came to servers %d times", len(runs))
+			v.breach(NotTwice, query.ID, runs, "it came to servers %d times", len(runs))
 		}
 	}
-	if a.Answers == 1 && a.Status == 503 && a.Pooler && a.Writes {
-		if v.Checked[Harmless]++; len(runs) > 0 {
-			v.breach(Harmless, a.ID, runs, "refused with %s, and it came to a server", a.Code)
+	if query.Answers == 1 && query.Status == 503 && query.FromPooler && query.Writes {
+		if v.Checked[RejectedUntouched]++; len(runs) > 0 {
+			v.breach(RejectedUntouched, query.ID, runs, "refused with %s, and it came to a server", query.Code)
 		}
 	}
-	if a.Answers == 1 && a.Status == 200 && a.Echo {
-		v.served(a, runs)
+	if query.Answers == 1 && query.Status == 200 && query.Echo {
+		v.checkServed(query, runs)
 	}
-	if a.BoundS > 0 {
+	if query.MaxStalenessS > 0 {
 		for _, r := range runs {
-			if v.Checked[NotStale]++; r.LagS > a.BoundS+cfg.RoundS {
-				v.breach(NotStale, a.ID, []Run{r}, "%s was %.1f s behind, with a bound of %.1f s", r.Server, r.LagS, a.BoundS)
+			if v.Checked[NotStale]++; r.LagS > query.MaxStalenessS+cfg.RoundS {
+				v.breach(NotStale, query.ID, []Run{r}, "%s was %.1f s behind, with a bound of %.1f s", r.Server, r.LagS, query.MaxStalenessS)
 			}
 		}
 	}
 }
 
-// served holds an answer to the run that made it.
-func (v *Verdict) served(a *Ask, runs []Run) {
+// checkServed holds an answer to the run that made it.
+func (v *Verdict) checkServed(query *ClientQuery, runs []Run) {
 	v.Checked[NoInvented]++
-	part := strings.Fields(a.Body)
-	if len(part) == 3 && part[1] == a.ID {
+	part := strings.Fields(query.Body)
+	if len(part) == 3 && part[1] == query.ID {
 		sum, err := strconv.ParseUint(part[2], 10, 64)
 		for _, r := range runs {
-			if err == nil && r.Server == part[0] && r.Sum == sum && r.Whole && (!a.WroteAll || a.Sum == sum) {
+			if err == nil && r.Server == part[0] && r.Sum == sum && r.Whole && (!query.BodySent || query.BodyHash == sum) {
 				return
 			}
 		}
 	}
-	v.breach(NoInvented, a.ID, runs, "no server answered %.80q to it", a.Body)
+	v.breach(NoInvented, query.ID, runs, "no server answered %.80q to it", query.Body)
 }
 
-// places holds each session to one server. A session that was lost is another from then on; its clients name it anew.
-func (v *Verdict) places(asks []Ask, byID map[string][]Run) {
-	home := map[string]Run{}
-	for i := range asks {
-		a := &asks[i]
-		if a.Session == "" {
+// checkSessions holds each session to one server. A session that was lost is another from then on; its clients name it anew.
+func (v *Verdict) checkSessions(queries []ClientQuery, byID map[string][]Run) {
+	serverOf := map[string]Run{}
+	for i := range queries {
+		query := &queries[i]
+		if query.Session == "" {
 			continue
 		}
-		for _, r := range byID[a.ID] {
-			v.Checked[OnePlace]++
-			if was, ok := home[a.Session]; ok && was.Server != r.Server {
-				v.breach(OnePlace, a.ID, []Run{was, r}, "session %s was at %s, and is at %s", a.Session, was.Server, r.Server)
-			} else if a.Answers == 1 && a.Status == 200 {
-				home[a.Session] = r
+		for _, r := range byID[query.ID] {
+			v.Checked[OneServer]++
+			if was, ok := serverOf[query.Session]; ok && was.Server != r.Server {
+				v.breach(OneServer, query.ID, []Run{was, r}, "session %s was at %s, and is at %s", query.Session, was.Server, r.Server)
+			} else if query.Answers == 1 && query.Status == 200 {
+				serverOf[query.Session] = r
 			}
 		}
 	}
--- a/internal/testkit/checker/queries/queries_test.go
+++ b/internal/testkit/checker/queries/queries_test.go
@@ -9,36 +9,36 @@
 // TestRules: each rule is broken by what breaks it alone, and by nothing that is as it should be.
 func TestRules(t *testing.T) {
 	cfg := Config{GraceMs: 250, RoundS: 1}
-	ok := func(id string) Ask {
-		return Ask{ID: id, Answers: 1, Status: 200, Echo: true, Body: "a " + id + " 7\n", Sum: 7, WroteAll: true}
+	ok := func(id string) ClientQuery {
+		return ClientQuery{ID: id, Answers: 1, Status: 200, Echo: true, Body: "a " + id + " 7\n", BodyHash: 7, BodySent: true}
 	}
 	ran := func(id string) Run { return Run{Server: "a", ID: id, At: 100, Sum: 7, Whole: true} }
-	with := func(a Ask, f func(*Ask)) Ask { f(&a); return a }
+	with := func(a ClientQuery, f func(*ClientQuery)) ClientQuery { f(&a); return a }
 	other := func(r Run, f func(*Run)) Run { f(&r); return r }
 	for name, c := range map[string]struct {
-		asks   []Ask
+		asks   []ClientQuery
 		runs   []Run
 		drains []Drain
 		want   []Rule
 	}{
-		"all is well":                 {[]Ask{ok("1"), ok("2")}, []Run{ran("1"), ran("2")}, []Drain{{"a", 50, 0}, {"b", 0, 0}}, nil},
-		"no answer":                   {[]Ask{with(ok("1"), func(a *Ask) { a.Answers = 0 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
-		"broken, and no answer":       {[]Ask{with(ok("1"), func(a *Ask) { a.Answers, a.Broken = 0, true })}, []Run{ran("1")}, nil, nil},
-		"two answers":                 {[]Ask{with(ok("1"), func(a *Ask) { a.Answers = 2 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
-		"more behind the answer":      {[]Ask{with(ok("1"), func(a *Ask) { a.Extra = 3 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
-		"a read that ran twice":       {[]Ask{ok("1")}, []Run{ran("1"), ran("1")}, nil, nil},
-		"a write that ran twice":      {[]Ask{with(ok("1"), func(a *Ask) { a.Writes = true })}, []Run{ran("1"), ran("1")}, nil, []Rule{NotTwice}},
-		"refused, and it ran":         {[]Ask{{ID: "1", Writes: true, Answers: 1, Status: 503, Pooler: true}}, []Run{ran("1")}, nil, []Rule{Harmless}},
-		"refused by its server":       {[]Ask{{ID: "1", Writes: true, Answers: 1, Status: 503}}, []Run{ran("1")}, nil, nil},
-		"another's answer":            {[]Ask{with(ok("1"), func(a *Ask) { a.Body = "a 2 7" })}, []Run{ran("1"), ran("2")}, nil, []Rule{NoInvented}},
-		"of a body that came in half": {[]Ask{ok("1")}, []Run{other(ran("1"), func(r *Run) { r.Whole = false })}, nil, []Rule{NoInvented}},
-		"of another body":             {[]Ask{with(ok("1"), func(a *Ask) { a.Sum = 8 })}, []Run{ran("1")}, nil, []Rule{NoInvented}},
-		"after a drain":               {[]Ask{ok("1")}, []Run{other(ran("1"), func(r *Run) { r.At = 301 })}, []Drain{{"a", 50, 0}}, []Rule{DrainsKept}},
-		"after a drain that is over":  {[]Ask{ok("1")}, []Run{other(ran("1"), func(r *Run) { r.At = 900 })}, []Drain{{"a", 50, 800}}, nil},
-		"stale":                       {[]Ask{with(ok("1"), func(a *Ask) { a.BoundS = 5 })}, []Run{other(ran("1"), func(r *Run) { r.LagS = 6.5 })}, nil, []Rule{NotStale}},
-		"stale by rounding alone":     {[]Ask{with(ok("1"), func(a *Ask) { a.BoundS = 5 })}, []Run{other(ran("1"), func(r *Run) { r.LagS = 6 })}, nil, nil},
-		"a session at two servers": {[]Ask{with(ok("1"), func(a *Ask) { a.Session = "s" }), with(ok("2"), func(a *Ask) { a.Session, a.Body = "s", "b 2 7" })},
-			[]Run{ran("1"), other(ran("2"), func(r *Run) { r.Server = "b" })}, nil, []Rule{OnePlace}},
+		"all is well":                 {[]ClientQuery{ok("1"), ok("2")}, []Run{ran("1"), ran("2")}, []Drain{{"a", 50, 0}, {"b", 0, 0}}, nil},
+		"no answer":                   {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Answers = 0 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
+		"broken, and no answer":       {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Answers, a.ConnectionBroke = 0, true })}, []Run{ran("1")}, nil, nil},
+		"two answers":                 {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Answers = 2 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
+		"more behind the answer":      {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.ExtraBytes = 3 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
+		"a read that ran twice":       {[]ClientQuery{ok("1")}, []Run{ran("1"), ran("1")}, nil, nil},
+		"a write that ran twice":      {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Writes = true })}, []Run{ran("1"), ran("1")}, nil, []Rule{NotTwice}},
+		"refused, and it ran":         {[]ClientQuery{{ID: "1", Writes: true, Answers: 1, Status: 503, FromPooler: true}}, []Run{ran("1")}, nil, []Rule{RejectedUntouched}},
+		"refused by its server":       {[]ClientQuery{{ID: "1", Writes: true, Answers: 1, Status: 503}}, []Run{ran("1")}, nil, nil},
+		"another's answer":            {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Body = "a 2 7" })}, []Run{ran("1"), ran("2")}, nil, []Rule{NoInvented}},
+		"of a body that came in half": {[]ClientQuery{ok("1")}, []Run{other(ran("1"), func(r *Run) { r.Whole = false })}, nil, []Rule{NoInvented}},
+		"of another body":             {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.BodyHash = 8 })}, []Run{ran("1")}, nil, []Rule{NoInvented}},
+		"after a drain":               {[]ClientQuery{ok("1")}, []Run{other(ran("1"), func(r *Run) { r.At = 301 })}, []Drain{{"a", 50, 0}}, []Rule{DrainsKept}},
+		"after a drain that is over":  {[]ClientQuery{ok("1")}, []Run{other(ran("1"), func(r *Run) { r.At = 900 })}, []Drain{{"a", 50, 800}}, nil},
+		"stale":                       {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.MaxStalenessS = 5 })}, []Run{other(ran("1"), func(r *Run) { r.LagS = 6.5 })}, nil, []Rule{NotStale}},
+		"stale by rounding alone":     {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.MaxStalenessS = 5 })}, []Run{other(ran("1"), func(r *Run) { r.LagS = 6 })}, nil, nil},
+		"a session at two servers": {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Session = "s" }), with(ok("2"), func(a *ClientQuery) { a.Session, a.Body = "s", "b 2 7" })},
+			[]Run{ran("1"), other(ran("2"), func(r *Run) { r.Server = "b" })}, nil, []Rule{OneServer}},
 	} {
 		var got []Rule
 		v := Check(cfg, c.asks, c.runs, c.drains)
--- a/internal/testkit/checker/views.go
+++ b/internal/testkit/checker/views.go
@@ -22,58 +22,58 @@
 
 // ViewConfig has the bounds, in ms, by the formulas of the view's page for this fleet.
 type ViewConfig struct {
-	Detect   func(f int) float64 // where f cannot be reached
-	SettleMs float64
-	JoinMs   float64
-	SpreadMs float64
-	HoldMs   float64
-	SelfMs   float64 // within it one that is cut off knows that it may be itself
+	DetectMs     func(f int) float64 // where f cannot be reached
+	SettleMs     float64
+	JoinMs       float64
+	SpreadMs     float64
+	CountHoldMs  float64
+	SelfDetectMs float64 // within it one that is cut off knows that it may be itself
 }
 
-// Views holds what poolers think of one another to what is true. It knows which processes run and which ways are cut, as whoever
+// ViewChecker holds what poolers think of one another to what is true. It knows which processes run and which ways are cut, as whoever
 // causes the faults does, and is told what each process says of each; nothing of how it came to that.
-type Views struct {
-	cfg      ViewConfig
-	n        int
-	procs    []*proc // by pooler, the one that runs, nil where none does
-	byID     map[uint64]*proc
-	cut      func(from, to int) bool
-	changed  float64 // a fault struck or ended last
-	parts    []int   // by pooler: of those that can reach one another, -1 where none runs
-	partAt   []float64
-	stood    []float64
-	lossy    int // faults in force by which messages are lost
-	counts   map[Rule]int
-	checked  map[Rule]uint64
-	breaches []Breach
-	said     map[string]bool
+type ViewChecker struct {
+	cfg           ViewConfig
+	poolers       int
+	processes     []*process // by pooler, the one that runs, nil where none does
+	byID          map[uint64]*process
+	cut           func(from, to int) bool
+	lastFault     float64 // a fault struck or ended last
+	partitions    []int   // by pooler: of those that can reach one another, -1 where none runs
+	partitionedAt []float64
+	pausedUntil   []float64
+	lossyFaults   int // faults in force by which messages are lost
+	counts        map[Rule]int
+	checked       map[Rule]uint64
+	breaches      []Breach
+	reported      map[string]bool
 
-	Exact bool      // Says is told at once: what is said first can be told from what is passed on
-	woke  []float64 // when it last went on after standing still
+	Exact     bool      // Says is told at once: what is said first can be told from what is passed on
+	resumedAt []float64 // when it last went on after standing still
 
-	Detected []float64 // ms from a crash until an observer called it failed
-	Settled  []float64 // ms from a change until all views were equal and true
-	Wrong    int       // failures told of processes that ran
-	Accused  int       // accusations of such
-	unequal  bool
+	DetectionTimes   []float64 // ms from a crash until an observer called it failed
+	SettleTimes      []float64 // ms from a change until all views were equal and true
+	FalseFailures    int       // failures told of processes that ran
+	FalseAccusations int       // accusations of such
+	diverged         bool
 }
 
-type proc struct {
-	id     uint64
-	pooler int
-	up     bool
-	began  float64
-	ended  float64
-	left   bool
-	says   map[uint64]opinion // of others, by ID
-	told   map[uint64]bool    // against whom it is being told
-	count  int                // of those that may be sending
+type process struct {
+	id             uint64
+	pooler         int
+	running        bool
+	started        float64
+	ended          float64
+	leftGracefully bool
+	opinions       map[uint64]opinion // of others, by ID
+	accusations    map[uint64]bool    // against whom it is being told
+	sendingCount   int                // of those that may be sending
 }
 
 type opinion struct {
-	state int // as view.State
-	inc   uint32
-	at    float64
+	state       int // as view.State
+	incarnation uint32
+	at          float64
 }
 
 // The states, as the view has them.
@@ -84,65 +84,65 @@
 	viewLeft
 )
 
-// NewViews makes the checker of so many poolers; cut tells whether nothing gets from one to another.
-func NewViews(cfg ViewConfig, n int, cut func(from, to int) bool) *Views {
-	return &Views{cfg: cfg, n: n, cut: cut, procs: make([]*proc, n), byID: map[uint64]*proc{}, parts: make([]int, n), partAt: make([]float64, n), stood: make([]float64, n), woke: make([]float64, n),
-		counts: map[Rule]int{}, checked: map[Rule]uint64{}, said: map[string]bool{}}
+// NewViewChecker makes the checker of so many poolers; cut tells whether nothing gets from one to another.
+func NewViewChecker(cfg ViewConfig, n int, cut func(from, to int) bool) *ViewChecker {
+	return &ViewChecker{cfg: cfg, poolers: n, cut: cut, processes: make([]*process, n), byID: map[uint64]*process{}, partitions: make([]int, n), partitionedAt: make([]float64, n), pausedUntil: make([]float64, n), resumedAt: make([]float64, n),
+		counts: map[Rule]int{}, checked: map[Rule]uint64{}, reported: map[string]bool{}}
 }
 
-func (c *Views) breach(rule Rule, at float64, observer, subject *proc, text string) {
+func (c *ViewChecker) breach(rule Rule, at float64, observer, subject *process, text string) {
 	c.counts[rule]++
-	if key := fmt.Sprint(rule, observer.id, subject.id); !c.said[key] && len(c.breaches) < maxBreaches {
-		c.said[key] = true
+	if key := fmt.Sprint(rule, observer.id, subject.id); !c.reported[key] && len(c.breaches) < maxBreaches {
+		c.reported[key] = true
 		c.breaches = append(c.breaches, Breach{Rule: rule, At: at, ID: subject.id, Server: subject.pooler, Text: text, Proof: []Event{
-			{At: subject.began, What: "began", Pooler: subject.pooler, Server: -1}, {At: subject.ended, What: "ended", Pooler: subject.pooler, Server: -1},
-			{At: c.changed, What: "last fault", Pooler: -1, Server: -1}, {At: at, What: text, Pooler: observer.pooler, Server: subject.pooler}}})
+			{At: subject.started, What: "began", Pooler: subject.pooler, Server: -1}, {At: subject.ended, What: "ended", Pooler: subject.pooler, Server: -1},
+			{At: c.lastFault, What: "last fault", Pooler: -1, Server: -1}, {At: at, What: text, Pooler: observer.pooler, Server: subject.pooler}}})
 	}
 }
 
-// Began tells that a pooler's process has started.
-func (c *Views) Began(at float64, pooler int, id uint64) {
-	p := &proc{id: id, pooler: pooler, up: true, began: at, says: map[uint64]opinion{}, told: map[uint64]bool{}}
-	c.procs[pooler], c.byID[id], c.woke[pooler] = p, p, 0
-	c.Fault(at)
+// ProcessStarted tells that a pooler's process has started.
+func (c *ViewChecker) ProcessStarted(at float64, pooler int, id uint64) {
+	p := &process{id: id, pooler: pooler, running: true, started: at, opinions: map[uint64]opinion{}, accusations: map[uint64]bool{}}
+	c.processes[pooler], c.byID[id], c.resumedAt[pooler] = p, p, 0
+	c.FaultChanged(at)
 }
 
-// Ended tells that it has ended, in order where it could say so.
-func (c *Views) Ended(at float64, pooler int, inOrder bool) {
-	if p := c.procs[pooler]; p != nil {
-		p.up, p.ended, p.left = false, at, inOrder
-		c.procs[pooler] = nil
-		c.Fault(at)
+// ProcessEnded tells that it has ended, in order where it could say so.
+func (c *ViewChecker) ProcessEnded(at float64, pooler int, inOrder bool) {
+	if p := c.processes[pooler]; p != nil {
+		p.running, p.ended, p.leftGracefully = false, at, inOrder
+		c.processes[pooler] = nil
+		c.FaultChanged(at)
 	}
 }
 
-// Lossy tells that some ways lose messages from now on, or no longer do. While they do there is no bound on what is found out, only
+// SetLossy tells that some ways lose messages from now on, or no longer do. While they do there is no bound on what is found out, only
 // on what is found out wrongly.
-func (c *Views) Lossy(on bool) {
-	if c.lossy--; on {
-		c.lossy += 2
+func (c *ViewChecker) SetLossy(on bool) {
+	if c.lossyFaults--; on {
+		c.lossyFaults += 2
 	}
 }
 
-// Stood tells that a pooler's process stands still from now until then.
-func (c *Views) Stood(at float64, pooler int, until float64) {
-	c.stood[pooler], c.woke[pooler] = until, until
-	c.Fault(at)
+// Paused tells that a pooler's process stands still from now until then.
+func (c *ViewChecker) Paused(at float64, pooler int, until float64) {
+	c.pausedUntil[pooler], c.resumedAt[pooler] = until, until
+	c.FaultChanged(at)
 }
 
-// Fault tells that something struck or ended: a way between two poolers, or a process.
-func (c *Views) Fault(at float64) {
-	c.changed, c.unequal = at, true
-	old := slices.Clone(c.parts)
-	c.part(at)
-	for i := range c.parts {
-		if !slices.Equal(members(old, i), members(c.parts, i)) {
-			c.partAt[i] = at
+// FaultChanged tells that something struck or ended: a way between two poolers, or a process.
+func (c *ViewChecker) FaultChanged(at float64) {
+	c.lastFault, c.diverged = at, true
+	old := slices.Clone(c.partitions)
+	c.updatePartitions(at)
+	for i := range c.partitions {
+		if !slices.Equal(partitionMembers(old, i), partitionMembers(c.partitions, i)) {
+			c.partitionedAt[i] = at
 		}
 	}
 }
 
-func members(parts []int, i int) (out []int) {
+func partitionMembers(parts []int, i int) (out []int) {
 	for k, p := range parts {
 		if p == parts[i] && p >= 0 {
 			out = append(out, k)
@@ -151,22 +151,22 @@
 	return out
 }
 
-// part finds who can reach whom, directly or by way of others; a way that is cut in one direction is none.
-func (c *Views) part(at float64) {
-	for i := range c.parts {
-		c.parts[i] = -1
+// updatePartitions finds who can reach whom, directly or by way of others; a way that is cut in one direction is none.
+func (c *ViewChecker) updatePartitions(at float64) {
+	for i := range c.partitions {
+		c.partitions[i] = -1
 	}
-	runs := func(i int) bool { return c.procs[i] != nil && at >= c.stood[i] }
+	runs := func(i int) bool { return c.processes[i] != nil && at >= c.pausedUntil[i] }
 	next := 0
-	for i := range c.parts {
-		if c.parts[i] >= 0 || !runs(i) {
+	for i := range c.partitions {
+		if c.partitions[i] >= 0 || !runs(i) {
 			continue
 		}
-		c.parts[i] = next
+		c.partitions[i] = next
 		for queue := []int{i}; len(queue) > 0; queue = queue[1:] {
-			for k := range c.parts {
-				if c.parts[k] < 0 && runs(k) && !c.cut(queue[0], k) && !c.cut(k, queue[0]) {
-					c.parts[k] = next
+			for k := range c.partitions {
+				if c.partitions[k] < 0 && runs(k) && !c.cut(queue[0], k) && !c.cut(k, queue[0]) {
+					c.partitions[k] = next
 					queue = append(queue, k)
 				}
 			}
@@ -175,45 +175,45 @@
 	}
 }
 
-// Says tells that a process has changed its mind on another.
-func (c *Views) Says(at float64, observer int, subject uint64, state int, inc uint32) {
-	c.wake(at)
-	o, s := c.procs[observer], c.byID[subject]
-	if o == nil || subject == o.id {
+// ReportState tells that a process has changed its mind on another.
+func (c *ViewChecker) ReportState(at float64, observer int, subject uint64, state int, incarnation uint32) {
+	c.resumePaused(at)
+	from, about := c.processes[observer], c.byID[subject]
+	if from == nil || subject == from.id {
 		return
 	}
-	was, known := o.says[subject]
-	o.says[subject] = opinion{state: state, inc: inc, at: at}
-	if s == nil { // it was heard of before it was seen
+	previous, known := from.opinions[subject]
+	from.opinions[subject] = opinion{state: state, incarnation: incarnation, at: at}
+	if about == nil { // it was heard of before it was seen
 		return
 	}
 	switch {
-	case state == viewFailed && !s.up && (!known || was.state < viewFailed):
-		c.Detected = append(c.Detected, at-max(s.ended, o.began))
-	case state == viewFailed && s.up && at >= c.stood[s.pooler] && c.parts[s.pooler] == c.parts[o.pooler]:
-		c.Wrong++
-	case state == viewSuspect && !o.told[s.id] && s.up && at >= c.stood[s.pooler] && c.parts[s.pooler] == c.parts[o.pooler]:
-		c.Accused++
+	case state == viewFailed && !about.running && (!known || previous.state < viewFailed):
+		c.DetectionTimes = append(c.DetectionTimes, at-max(about.ended, from.started))
+	case state == viewFailed && about.running && at >= c.pausedUntil[about.pooler] && c.partitions[about.pooler] == c.partitions[from.pooler]:
+		c.FalseFailures++
+	case state == viewSuspect && !from.accusations[about.id] && about.running && at >= c.pausedUntil[about.pooler] && c.partitions[about.pooler] == c.partitions[from.pooler]:
+		c.FalseAccusations++
 	}
-	if c.Exact && (state == viewSuspect || state == viewFailed) && s.up && at >= c.stood[s.pooler] && !o.told[s.id] {
+	if c.Exact && (state == viewSuspect || state == viewFailed) && about.running && at >= c.pausedUntil[about.pooler] && !from.accusations[about.id] {
 		c.checked[ViewRash]++
-		lone := c.deaf(observer)
-		if lone && at-c.partAt[observer] > c.cfg.SelfMs || c.woke[observer] > 0 && at-c.woke[observer] < rashMs && c.parts[observer] == c.parts[s.pooler] {
-			c.breach(ViewRash, at, o, s, fmt.Sprintf("pooler %d accuses pooler %d, which runs, though it %s itself", observer, s.pooler, map[bool]string{true: "hears nobody", false: "stood still"}[lone]))
+		cutOff := c.isolated(observer)
+		if cutOff && at-c.partitionedAt[observer] > c.cfg.SelfDetectMs || c.resumedAt[observer] > 0 && at-c.resumedAt[observer] < noAccusationMs && c.partitions[observer] == c.partitions[about.pooler] {
+			c.breach(ViewRash, at, from, about, fmt.Sprintf("pooler %d accuses pooler %d, which runs, though it %s itself", observer, about.pooler, map[bool]string{true: "hears nobody", false: "stood still"}[cutOff]))
 		}
 	}
 	c.checked[ViewNoReturn]++
-	if known && was.state >= viewFailed && state < viewFailed && !s.up && (inc <= was.inc || at-s.ended > c.cfg.SettleMs && at-c.changed > c.cfg.SettleMs) {
-		c.breach(ViewNoReturn, at, o, s, fmt.Sprintf("pooler %d's process, which ended %.0f ms ago, is taken for running again", s.pooler, at-s.ended))
+	if known && previous.state >= viewFailed && state < viewFailed && !about.running && (incarnation <= previous.incarnation || at-about.ended > c.cfg.SettleMs && at-c.lastFault > c.cfg.SettleMs) {
+		c.breach(ViewNoReturn, at, from, about, fmt.Sprintf("pooler %d's process, which ended %.0f ms ago, is taken for running again", about.pooler, at-about.ended))
 	}
 }
 
-// rashMs is how long one that stood still is to accuse nobody, at least.
-const rashMs = 1000
+// noAccusationMs is how long one that stood still is to accuse nobody, at least.
+const noAccusationMs = 1000
 
-// deaf tells whether nothing gets to a pooler from any that runs.
-func (c *Views) deaf(i int) bool {
-	for k, p := range c.procs {
+// isolated tells whether nothing gets to a pooler from any that runs.
+func (c *ViewChecker) isolated(i int) bool {
+	for k, p := range c.processes {
 		if k != i && p != nil && !c.cut(k, i) {
 			return false
 		}
@@ -221,113 +221,113 @@
 	return true
 }
 
-// Told tells that a process is told something against another, by a message: what it then says is not its own finding.
-func (c *Views) Told(observer int, subject uint64) {
-	if o := c.procs[observer]; o != nil {
-		o.told[subject] = true
+// AccusationReceived tells that a process is told something against another, by a message: what it then says is not its own finding.
+func (c *ViewChecker) AccusationReceived(observer int, subject uint64) {
+	if o := c.processes[observer]; o != nil {
+		o.accusations[subject] = true
 	}
 }
 
-// Took ends what a process was told by one message.
-func (c *Views) Took(observer int) {
-	if o := c.procs[observer]; o != nil {
-		clear(o.told)
+// MessageProcessed ends what a process was told by one message.
+func (c *ViewChecker) MessageProcessed(observer int) {
+	if o := c.processes[observer]; o != nil {
+		clear(o.accusations)
 	}
 }
 
-// Counts tells how many a pooler takes for those that may be sending.
-func (c *Views) Counts(at float64, observer, sending int) {
-	if o := c.procs[observer]; o != nil {
-		o.count = sending
+// ReportCount tells how many a pooler takes for those that may be sending.
+func (c *ViewChecker) ReportCount(at float64, observer, sending int) {
+	if o := c.processes[observer]; o != nil {
+		o.sendingCount = sending
 	}
 }
 
-// wake has those go on whose time of standing still is over.
-func (c *Views) wake(at float64) {
-	for i, until := range c.stood {
+// resumePaused has those go on whose time of standing still is over.
+func (c *ViewChecker) resumePaused(at float64) {
+	for i, until := range c.pausedUntil {
 		if until > 0 && at >= until {
-			c.stood[i] = 0
-			c.Fault(at)
+			c.pausedUntil[i] = 0
+			c.FaultChanged(at)
 		}
 	}
 }
 
-// Look holds all views to what is true now. It is called now and then.
-func (c *Views) Look(at float64) {
-	c.wake(at)
+// Sample holds all views to what is true now. It is called now and then.
+func (c *ViewChecker) Sample(at float64) {
+	c.resumePaused(at)
 	sizes := map[int]int{}
-	truly, up := 0, 0
-	for i, p := range c.procs {
+	senders, running := 0, 0
+	for i, p := range c.processes {
 		if p != nil {
-			up++
-			sizes[c.parts[i]]++
-			if at-p.began > c.cfg.JoinMs {
-				truly++
+			running++
+			sizes[c.partitions[i]]++
+			if at-p.started > c.cfg.JoinMs {
+				senders++
 			}
 		}
 	}
 	equal := true
-	for i, o := range c.procs {
-		if o == nil || c.parts[i] < 0 {
+	for i, o := range c.processes {
+		if o == nil || c.partitions[i] < 0 {
 			continue
 		}
-		if at-o.began > c.cfg.JoinMs {
+		if at-o.started > c.cfg.JoinMs {
 			c.checked[ViewSending]++
-			if o.count < truly && at-c.changed < c.cfg.HoldMs {
-				c.breach(ViewSending, at, o, o, fmt.Sprintf("pooler %d counts %d that may be sending, and %d send", i, o.count, truly))
+			if o.sendingCount < senders && at-c.lastFault < c.cfg.CountHoldMs {
+				c.breach(ViewSending, at, o, o, fmt.Sprintf("pooler %d counts %d that may be sending, and %d send", i, o.sendingCount, senders))
 			}
 		}
 		for _, s := range c.byID {
 			if s != o {
-				equal = c.pair(at, o, s, sizes, up) && equal
+				equal = c.checkPair(at, o, s, sizes, running) && equal
 			}
 		}
 	}
-	calm := at - c.changed
-	if equal && c.unequal {
-		c.unequal = false
-		c.Settled = append(c.Settled, calm)
+	calm := at - c.lastFault
+	if equal && c.diverged {
+		c.diverged = false
+		c.SettleTimes = append(c.SettleTimes, calm)
 	}
 }
 
 // Equal tells whether all views were equal and true when they were last looked at.
-func (c *Views) Equal() bool { return !c.unequal }
+func (c *ViewChecker) Equal() bool { return !c.diverged }
 
-// pair holds one process's word on another to what is true, and tells whether it is.
-func (c *Views) pair(at float64, o, s *proc, sizes map[int]int, up int) bool {
-	said, known := o.says[s.id]
-	gone := known && said.state >= viewFailed
-	with := s.up && c.procs[s.pooler] == s && c.parts[s.pooler] == c.parts[o.pooler]
-	since := max(c.partAt[o.pooler], o.began)
-	if with {
-		since = max(since, s.began, c.partAt[s.pooler])
-		if most := 2*sizes[c.parts[o.pooler]] > up; most {
+// checkPair holds one process's word on another to what is true, and tells whether it is.
+func (c *ViewChecker) checkPair(at float64, observer, subject *process, sizes map[int]int, running int) bool {
+	reported, known := observer.opinions[subject.id]
+	callsFailed := known && reported.state >= viewFailed
+	samePartition := subject.running && c.processes[subject.pooler] == subject && c.partitions[subject.pooler] == c.partitions[observer.pooler]
+	since := max(c.partitionedAt[observer.pooler], observer.started)
+	if samePartition {
+		since = max(since, subject.started, c.partitionedAt[subject.pooler])
+		if most := 2*sizes[c.partitions[observer.pooler]] > running; most {
 			c.checked[ViewAccurate]++
-			if gone && at-max(since, said.at) > c.cfg.SettleMs {
-				c.breach(ViewAccurate, at, o, s, fmt.Sprintf("pooler %d calls pooler %d failed, which runs and can be reached", o.pooler, s.pooler))
+			if callsFailed && at-max(since, reported.at) > c.cfg.SettleMs {
+				c.breach(ViewAccurate, at, observer, subject, fmt.Sprintf("pooler %d calls pooler %d failed, which runs and can be reached", observer.pooler, subject.pooler))
 			}
 		}
-		right := known && said.state == viewAlive
-		if c.lossy == 0 && at-max(since, c.changed) > c.cfg.SettleMs {
+		right := known && reported.state == viewAlive
+		if c.lossyFaults == 0 && at-max(since, c.lastFault) > c.cfg.SettleMs {
 			c.checked[ViewSettled]++
 			if !right {
-				c.breach(ViewSettled, at, o, s, fmt.Sprintf("pooler %d does not take pooler %d for running, %.0f ms after the last fault", o.pooler, s.pooler, at-c.changed))
+				c.breach(ViewSettled, at, observer, subject, fmt.Sprintf("pooler %d does not take pooler %d for running, %.0f ms after the last fault", observer.pooler, subject.pooler, at-c.lastFault))
 			}
 		}
 		return right
 	}
-	if !known || gone {
+	if !known || callsFailed {
 		return true
 	}
-	since = max(since, s.ended)
-	since = max(since, c.changed)
-	if c.lossy > 0 {
+	since = max(since, subject.ended)
+	since = max(since, c.lastFault)
+	if c.lossyFaults > 0 {
 		return false
 	}
-	if sizes[c.parts[o.pooler]] >= 2 {
+	if sizes[c.partitions[observer.pooler]] >= 2 {
 		c.checked[ViewComplete]++
-		if at-since > c.cfg.Detect(max(1, c.n-sizes[c.parts[o.pooler]])) {
-			c.breach(ViewComplete, at, o, s, fmt.Sprintf("pooler %d has not called pooler %d failed %.0f ms after it could not be reached any more", o.pooler, s.pooler, at-since))
+		if at-since > c.cfg.DetectMs(max(1, c.poolers-sizes[c.partitions[observer.pooler]])) {
+			c.breach(ViewComplete, at, observer, subject, fmt.Sprintf("pooler %d has not called pooler %d failed %.0f ms after it could not be reached any more", observer.pooler, subject.pooler, at-since))
 		}
 		return false
 	}
@@ -335,7 +335,7 @@
 }
 
 // Verdict adds what was checked and found.
-func (c *Views) Verdict(v *Verdict) {
+func (c *ViewChecker) Verdict(v *Verdict) {
 	for r, n := range c.checked {
 		v.Checked[r] += n
 	}
--- a/internal/testkit/checker/zones_test.go
+++ b/internal/testkit/checker/zones_test.go
@@ -7,30 +7,32 @@
 	near := [][]float64{{1, 0}, {0, 1}}
 	for _, x := range []struct {
 		rule Rule
-		play func(c *Zones)
+		play func(c *ZoneChecker)
 	}{
-		{"", func(c *Zones) {
-			c.Follows(0, 1, 4, 11)
-			c.Follows(0, 2, 4, 11)
-			c.Planned(20000, 4, [][]float64{{0.5, 0.5}, {0, 1}}, []float64{2, 2}, []float64{4, 4})
-			c.Planned(20000, 4, near, []float64{9, 9}, []float64{4, 4}) // nothing is received
-			c.Changed(20000)
-			c.Planned(21000, 5, [][]float64{{0, 1}, {0, 1}}, []float64{4, 4}, []float64{0, 4}) // it may not know yet
+		{"", func(c *ZoneChecker) {
+			c.PlanFollowed(0, 1, 4, 11)
+			c.PlanFollowed(0, 2, 4, 11)
+			c.CheckPlan(20000, 4, [][]float64{{0.5, 0.5}, {0, 1}}, []float64{2, 2}, []float64{4, 4})
+			c.CheckPlan(20000, 4, near, []float64{9, 9}, []float64{4, 4}) // nothing is received
+			c.FaultChanged(20000)
+			c.CheckPlan(21000, 5, [][]float64{{0, 1}, {0, 1}}, []float64{4, 4}, []float64{0, 4}) // it may not know yet
 			for range 1000 {
-				c.Read(50000, false)
+				c.ReadSent(50000, false)
 			}
-			c.Read(50000, true)
+			c.ReadSent(50000, true)
 		}},
-		{OnePlan, func(c *Zones) { c.Follows(0, 1, 4, 11); c.Follows(0, 2, 4, 12) }},
-		{OldPlan, func(c *Zones) { c.Follows(0, 1, 4, 11); c.Follows(9, 1, 3, 10) }},
-		{FullZone, func(c *Zones) { c.Planned(20000, 4, [][]float64{{0, 1}, {0, 1}}, []float64{2, 2}, []float64{4, 4}) }},
-		{NearCalm, func(c *Zones) { c.Read(20000, true); c.Read(20000, false) }},
+		{OnePlan, func(c *ZoneChecker) { c.PlanFollowed(0, 1, 4, 11); c.PlanFollowed(0, 2, 4, 12) }},
+		{OldPlan, func(c *ZoneChecker) { c.PlanFollowed(0, 1, 4, 11); c.PlanFollowed(9, 1, 3, 10) }},
+		{FullZone, func(c *ZoneChecker) {
+			c.CheckPlan(20000, 4, [][]float64{{0, 1}, {0, 1}}, []float64{2, 2}, []float64{4, 4})
+		}},
+		{NearCalm, func(c *ZoneChecker) { c.ReadSent(20000, true); c.ReadSent(20000, false) }},
 	} {
-		c := NewZones(0.8, 10000, 0.02)
+		c := NewZoneChecker(0.8, 10000, 0.02)
 		x.play(c)
 		c.Finish(60000)
-		if x.rule == "" && len(c.Found) > 0 || x.rule != "" && (len(c.Found) != 1 || c.Found[0].Rule != x.rule) {
-			t.Errorf("%q: found %+v", x.rule, c.Found)
+		if x.rule == "" && len(c.Breaches) > 0 || x.rule != "" && (len(c.Breaches) != 1 || c.Breaches[0].Rule != x.rule) {
+			t.Errorf("%q: found %+v", x.rule, c.Breaches)
 		}
 	}
 }
--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -16,8 +16,8 @@
 type shared struct {
 	run   *Run
 	mu    sync.Mutex
-	funds *checker.Credit
-	pages *checker.Pages
+	funds *checker.CreditChecker
+	pages *checker.PageChecker
 	once  map[string]bool // payments that some pooler has read of
 	upTo  map[string]int64
 	Pages PageCounts
@@ -32,19 +32,19 @@
 	s := r.script
 	x := &shared{run: r, once: map[string]bool{}, upTo: map[string]int64{}}
 	if s.Credit != nil {
-		x.funds = &checker.Credit{Prices: map[string]int64{}}
+		x.funds = &checker.CreditChecker{Prices: map[string]int64{}}
 		for _, p := range s.Credit.Prices {
 			x.funds.Prices[p.Class] = p.PerRequest
 		}
 		for _, d := range s.Credit.Overdrafts {
-			x.funds.Beyond += d.Amount
+			x.funds.Overdraft += d.Amount
 		}
 		for _, p := range s.Credit.Payments {
-			x.funds.Pays(0, p.Tenant, p.Amount)
+			x.funds.Paid(0, p.Tenant, p.Amount)
 		}
 	}
 	if s.Pages != nil {
-		x.pages = checker.NewPages(s.Pages.Desc)
+		x.pages = checker.NewPageChecker(s.Pages.Desc)
 	}
 	return x
 }
@@ -76,8 +76,8 @@
 	r.shared.mu.Lock()
 	if !r.shared.once[key] {
 		r.shared.once[key] = true
-		r.shared.upTo[f.Target.Word], _ = r.shared.funds.Served(f.Target.Word, r.clk.Now())
-		r.shared.funds.Pays(r.clk.Now(), f.Target.Word, int64(f.Value))
+		r.shared.upTo[f.Target.Word], _ = r.shared.funds.ServedCost(f.Target.Word, r.clk.Now())
+		r.shared.funds.Paid(r.clk.Now(), f.Target.Word, int64(f.Value))
 	}
 	r.shared.mu.Unlock()
 	for _, no := range f.Struck(r.script) {
@@ -103,7 +103,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.funds.Tried(t.Ended, t.Tenant, t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
+	x.funds.AttemptEnded(t.Ended, t.Tenant, t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
 // verdict adds what was checked and found.
@@ -111,7 +111,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.funds != nil {
-		x.funds.End()
+		x.funds.CheckFinal()
 		x.funds.Verdict(x.run.clk.Now(), v)
 	}
 	if x.pages != nil {
@@ -127,7 +127,7 @@
 	out := map[string]int64{}
 	for i := range x.run.script.Clients.Tenants {
 		name := x.run.script.Clients.Tenants[i].Name
-		out[name], _ = x.funds.Served(name, x.run.clk.Now())
+		out[name], _ = x.funds.ServedCost(name, x.run.clk.Now())
 	}
 	return out
 }
--- a/internal/testkit/rehearse/month_pages.go
+++ b/internal/testkit/rehearse/month_pages.go
@@ -51,7 +51,7 @@
 	r.last++
 	place := int64(r.rng.IntN(r.run.script.Pages.Places))
 	from := r.run.fleet.Put("visits", group, sortedtable.Row{r.last, place}, initial)
-	r.pages.Row(r.last, place, group, from)
+	r.pages.RowWritten(r.last, place, group, from)
 	r.live[group] = append(r.live[group], r.last)
 }
 
@@ -66,7 +66,7 @@
 	k := r.rng.IntN(n)
 	id := r.live[group][k]
 	r.live[group] = slices.Delete(r.live[group], k, k+1)
-	r.pages.Gone(id, r.run.fleet.Remove("visits", group, func(row sortedtable.Row) bool { return row[0] == id }))
+	r.pages.RowDeleted(id, r.run.fleet.Remove("visits", group, func(row sortedtable.Row) bool { return row[0] == id }))
 }
 
 // play has rows come and go and reports be read until the context ends.
@@ -103,7 +103,7 @@
 		sent := r.run.clk.Now()
 		if cursor == "" {
 			r.mu.Lock()
-			r.pages.Began(no)
+			r.pages.ReportStarted(no)
 			r.mu.Unlock()
 		}
 		ids, next, err := r.page(no, p, cursor)
@@ -129,16 +129,16 @@
 		if next == "" {
 			r.Pages.Reports++
 		}
-		r.pages.Came(now, sent+s.Wait+pageLateMs, no)
-		r.pages.Page(now, no, ids, r.reads(no, sent, now), next == "")
+		r.pages.PageEnded(now, sent+s.Wait+pageLateMs, no)
+		r.pages.PageServed(now, no, ids, r.reads(no, sent, now), next == "")
 		if r.funds != nil {
 			for range r.live {
-				r.funds.Tried(now, s.Tenant, s.Class, true, false)
+				r.funds.AttemptEnded(now, s.Tenant, s.Class, true, false)
 			}
 		}
 		return true
 	case errors.As(err, &pe) && pe.Code == cursorState: // the fleet's own cursor: it is taken anywhere
-		r.pages.Came(now, 0, no)
+		r.pages.PageEnded(now, 0, no)
 		r.Pages.Failed++
 	case errors.As(err, &pe) && strings.HasPrefix(pe.Code, "53"):
 		r.Pages.Refused++
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -29,7 +29,7 @@
 	file   string // that holds it
 
 	mu    sync.Mutex
-	check *checker.Views
+	check *checker.ViewChecker
 	ids   []view.ID                // of the processes that run, by pooler; 0 for none that was heard
 	says  []map[view.ID]view.State // what each said last
 	calls int
@@ -61,10 +61,10 @@
 	}
 	bounds := simulation.Bounds(s, max(1, s.Poolers/2))
 	late := sockDelay + askedMs + lookOverMs // what a busy machine and asking may add
-	detect := bounds.Detect
-	bounds.Detect = func(f int) float64 { return detect(f) + float64(late) }
+	detect := bounds.DetectMs
+	bounds.DetectMs = func(f int) float64 { return detect(f) + float64(late) }
 	bounds.SettleMs, bounds.JoinMs, bounds.SpreadMs = bounds.SettleMs+float64(late), bounds.JoinMs+float64(late), bounds.SpreadMs+float64(late)
-	f.check = checker.NewViews(bounds, s.Poolers, relays.Cut)
+	f.check = checker.NewViewChecker(bounds, s.Poolers, relays.Cut)
 	r.peers = f
 	return nil
 }
@@ -130,7 +130,7 @@
 	wg.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.check.Look(f.run.clk.Now())
+	f.check.Sample(f.run.clk.Now())
 }
 
 // take tells the checker what a pooler said that it had not said before.
@@ -138,15 +138,15 @@
 	now := f.run.clk.Now()
 	if id := records[0].ID; f.ids[i] != id {
 		f.ids[i], f.says[i] = id, map[view.ID]view.State{}
-		f.check.Began(now, i, uint64(id))
+		f.check.ProcessStarted(now, i, uint64(id))
 	}
 	for _, r := range records[1:] {
 		if was, known := f.says[i][r.ID]; !known || was != r.State {
 			f.says[i][r.ID] = r.State
-			f.check.Says(now, i, uint64(r.ID), int(r.State), r.Incarnation)
+			f.check.ReportState(now, i, uint64(r.ID), int(r.State), r.Incarnation)
 		}
 	}
-	f.check.Counts(now, i, counts.Sending)
+	f.check.ReportCount(now, i, counts.Sending)
 }
 
 // lender is the pooler that lends a limit, of those that were heard of last.
@@ -187,7 +187,7 @@
 	}
 	r.wires.mu.Lock()
 	defer r.wires.mu.Unlock()
-	r.wires.check.Changed(r.clk.Now()+countMs, f.Target.Word, f.Struck(r.script), len(r.poolers), f.Value, r.script.Lowered(&f))
+	r.wires.check.LimitChanged(r.clk.Now()+countMs, f.Target.Word, f.Struck(r.script), len(r.poolers), f.Value, r.script.Lowered(&f))
 	return nil
 }
 
@@ -196,7 +196,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ids[i] = 0
-	f.check.Ended(f.run.clk.Now(), i, inOrder)
+	f.check.ProcessEnded(f.run.clk.Now(), i, inOrder)
 }
 
 // strike has a fault of links strike and end.
@@ -204,10 +204,10 @@
 	do := func(on bool) {
 		f.relays.Strike(func(n *netfault.Net) { x.Strike(n, on) })
 		f.mu.Lock()
-		f.check.Fault(f.run.clk.Now())
+		f.check.FaultChanged(f.run.clk.Now())
 		f.run.wires.fault(f.run.clk.Now(), map[bool]int{true: 1, false: -1}[on])
 		if x.Link.Lose > 0 {
-			f.check.Lossy(on)
+			f.check.SetLossy(on)
 		}
 		f.mu.Unlock()
 	}
@@ -230,7 +230,7 @@
 	p.run.wires.still(now, p.no, now+ms)
 	if f := p.run.peers; f != nil {
 		f.mu.Lock()
-		f.check.Stood(now, p.no, now+ms)
+		f.check.Paused(now, p.no, now+ms)
 		f.mu.Unlock()
 	}
 	_ = cmd.Process.Signal(syscall.SIGSTOP)
@@ -250,11 +250,11 @@
 
 // Fleet is what came of the poolers as peers.
 type Fleet struct {
-	Views   simulation.Views `json:"views"`
-	Carried uint64           `json:"datagrams_carried"`
-	Lost    uint64           `json:"datagrams_lost_on_purpose"`
-	Looks   int              `json:"poolers_asked"`
-	Uses    []checker.Use    `json:"limits,omitempty"`
+	Views   simulation.Views     `json:"views"`
+	Carried uint64               `json:"datagrams_carried"`
+	Lost    uint64               `json:"datagrams_lost_on_purpose"`
+	Looks   int                  `json:"poolers_asked"`
+	Uses    []checker.LimitUsage `json:"limits,omitempty"`
 
 	Avoided map[string]int `json:"avoided_by_poolers,omitempty"` // by server: how many poolers said, when they were asked, that they avoid it by others' word
 }
@@ -263,7 +263,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.check.Verdict(v)
-	out := &Fleet{Looks: f.calls, Views: simulation.Views{Detected: f.check.Detected, Settled: f.check.Settled, Accused: f.check.Accused, Wrong: f.check.Wrong}}
+	out := &Fleet{Looks: f.calls, Views: simulation.Views{Detected: f.check.DetectionTimes, Settled: f.check.SettleTimes, Accused: f.check.FalseAccusations, Wrong: f.check.FalseFailures}}
 	out.Carried, out.Lost = f.relays.Counts()
 	for server, by := range f.avoid { // each on its own
 		if out.Avoided == nil {
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -71,7 +71,7 @@
 func rules(s *scenario.Script) checker.Config {
 	c := simulation.Rules(s)
 	if c.CountMs = countMs; c.Overload != nil {
-		c.Overload.Slack, c.Overload.Loose = c.Overload.Probes, loosePart // a word that comes later than Patience has its asker probe
+		c.Overload.ProbeSlack, c.Overload.Tolerance = c.Overload.Probes, loosePart // a word that comes later than Patience has its asker probe
 	}
 	return c
 }
@@ -80,14 +80,14 @@
 func (w *wires) fault(at float64, begins int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.check.Fault(at, begins)
+	w.check.FaultChanged(at, begins)
 }
 
 // uses are what came of limits of the whole fleet.
-func (w *wires) uses(warmMs float64) []checker.Use {
+func (w *wires) uses(warmMs float64) []checker.LimitUsage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.check.Uses(warmMs)
+	return w.check.LimitUsages(warmMs)
 }
 
 // Trying is clients.Watcher's.
@@ -95,11 +95,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.from[t.ID] = asker{t.Pooler, t.Class.Read == clients.Write, t.Class}
-	w.check.Asked(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Pooler, untilMs, afterMs)
+	w.check.Received(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Pooler, untilMs, afterMs)
 	if t.Class.KeyMs > 0 {
 		w.check.Keyed(idOf(t.ID), idOf(t.Ask.Idem()))
 	}
-	w.check.Load(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Ask.Group, t.Tenant, t.No > 0)
+	w.check.LoadReceived(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Ask.Group, t.Tenant, t.No > 0)
 	w.check.Tenant(t.Sent, idOf(t.ID), t.Tenant)
 }
 
@@ -107,7 +107,7 @@
 func (w *wires) Probed(server int, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.check.Probed(at, server)
+	w.check.HealthCheckSent(at, server)
 }
 
 // struck tells the checker of a fault.
@@ -115,7 +115,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	groups, poolers := f.Where(s)
-	w.check.Struck(at, f.Until(at), groups, poolers)
+	w.check.FaultInjected(at, f.Until(at), groups, poolers)
 }
 
 // tried takes a try's end.
@@ -133,7 +133,7 @@
 			w.check.Answered(at, idOf(t.ID), "more behind it", false, 0)
 		}
 	case clients.Broken, clients.Silent:
-		w.check.Gone(t.Ended, idOf(t.ID), string(t.Kind))
+		w.check.Abandoned(t.Ended, idOf(t.ID), string(t.Kind))
 	}
 	delete(w.tries, t.ID)
 	delete(w.taken, t.ID)
@@ -153,7 +153,7 @@
 	if a, ok := w.from[id]; ok && w.read != nil && !a.writes {
 		w.read(at, a.class, a.pooler, server)
 	}
-	w.check.Sent(at, idOf(id), no, -1, server)
+	w.check.AttemptSent(at, idOf(id), no, -1, server)
 	return no
 }
 
@@ -161,15 +161,15 @@
 func (w *wires) Turned(id string, no int, how string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.check.Ended(at, idOf(id), no, how, true)
+	w.check.AttemptEnded(at, idOf(id), no, how, true)
 }
 
 // Took is fleet.Watcher's.
 func (w *wires) Took(server int, started float64, id string, work, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.check.Took(at, server, started, idOf(id), work)
-	w.check.Runs(at, idOf(id), server)
+	w.check.ServerReceived(at, server, started, idOf(id), work)
+	w.check.QueryStarted(at, idOf(id), server)
 	x := w.twice[w.groups[server]]
 	if x.Taken++; w.taken[id] {
 		x.Again++
@@ -181,7 +181,7 @@
 func (w *wires) Over(server int, id string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.check.Over(at, idOf(id), server)
+	w.check.QueryEnded(at, idOf(id), server)
 }
 
 // Ran is fleet.Watcher's.
@@ -189,17 +189,17 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r.Dropped {
-		w.check.Repeated(r.At, server, idOf(j.ID), valueOf(value), r.Position)
+		w.check.RepeatDropped(r.At, server, idOf(j.ID), valueOf(value), r.Position)
 		return
 	}
-	w.check.Ran(r.At, server, idOf(j.ID), j.Writes, r.Primary, valueOf(value), r.Position)
+	w.check.Executed(r.At, server, idOf(j.ID), j.Writes, r.Primary, valueOf(value), r.Position)
 }
 
 // still tells that a pooler's process stands still for a while.
 func (w *wires) still(at float64, pooler int, until float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.check.Still(at, pooler, until)
+	w.check.Paused(at, pooler, until)
 	w.stood[pooler] = [2]float64{at, until}
 }
 
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -97,14 +97,14 @@
 	q := s.Quotas()
 	for _, l := range s.Limits.Limits {
 		if l.Resource == settings.ResourceQueries && l.Kind == quota.Concurrency && s.Clients.House {
-			out = append(out, checker.Limit{Name: l.Name, AtOnce: int(l.Amount)})
+			out = append(out, checker.Limit{Name: l.Name, MaxConcurrent: int(l.Amount)})
 		}
 		if l.Resource == settings.ResourceTenant && l.Hard {
 			delay := s.Way[1]
 			for i := range s.Faults {
 				delay = max(delay, s.Way[1]+s.Faults[i].Link.Slow)
 			}
-			out = append(out, checker.Limit{Name: l.Name, Tenant: l.Subject, PerSecond: l.Amount, Burst: l.Burst, Even: l.Guarantee != quota.NeverOver, OverMs: q.OvershootBound(delay), CalmMs: calmMs})
+			out = append(out, checker.Limit{Name: l.Name, Tenant: l.Subject, PerSecond: l.Amount, Burst: l.Burst, FaultTolerant: l.Guarantee != quota.NeverOver, OvershootMs: q.OvershootBound(delay), CalmMs: calmMs})
 		}
 	}
 	return out
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -30,7 +30,7 @@
 	if s.Overload == nil {
 		return nil
 	}
-	c := &checker.Overload{Poolers: s.Poolers, BackMs: s.BackMs, Tenants: map[string]float64{}}
+	c := &checker.Overload{Poolers: s.Poolers, RecoveryMs: s.BackMs, Tenants: map[string]float64{}}
 	if p := &s.Overload.Probes; s.Overload.Share {
 		v := &s.Peers.View
 		c.Probes = p.MaxRate(s.Poolers) + float64(p.Probers)
@@ -38,13 +38,13 @@
 	}
 	if b := &s.Overload.RetryBounds; b.Repeats {
 		r := retrybudget.Settings{AttemptShare: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
-		c.Repeats = func(firsts, n int, ms float64) float64 {
+		c.MaxRepeats = func(firsts, n int, ms float64) float64 {
 			return r.MaxRetries(firsts, n, s.Poolers, time.Duration(ms*float64(time.Millisecond)))
 		}
 	}
 	set := s.Overload.Set
 	for _, x := range s.Clients.Classes {
-		c.Work = append(c.Work, (x.Work[0]+x.Work[1])/2)
+		c.MeanWorkMs = append(c.MeanWorkMs, (x.Work[0]+x.Work[1])/2)
 		set.Classes = append(set.Classes, overload.Class{Name: x.Name})
 	}
 	for _, t := range s.Clients.Tenants {
@@ -52,7 +52,7 @@
 		set.Tenants = append(set.Tenants, overload.Tenant{Name: t.Name})
 	}
 	if s.Overload.Shed {
-		c.Talk = set.TrafficBound(2 * len(s.Fleet.Groups)) // each is told of as two
+		c.MaxDatagrams = set.TrafficBound(2 * len(s.Fleet.Groups)) // each is told of as two
 	}
 	one := float64(s.Fleet.Cores) * 1000
 	for _, n := range s.Fleet.Groups {
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -64,7 +64,7 @@
 func (p *pooler) CheckHealth(id string) {
 	p.e.probes++
 	if st := p.store(id); st != nil {
-		p.e.check.Probed(p.e.s.now, st.s.No)
+		p.e.check.HealthCheckSent(p.e.s.now, st.s.No)
 	}
 	a := &attempt{p: p, life: p.life, until: p.e.s.now + scenario.ConnectMs}
 	a.ref = p.tries.Put(a)
@@ -153,9 +153,9 @@
 			}
 		}
 		e.agains.first(a.v, st.s)
-		e.check.Sent(e.s.now, a.v.id, a.no, a.p.no, st.s.No)
+		e.check.AttemptSent(e.s.now, a.v.id, a.no, a.p.no, st.s.No)
 		if e.black != nil {
-			e.black.Sent(e.s.now, a.p.no, st.s.No, a.v.class.Read == clients.Write)
+			e.black.AttemptSent(e.s.now, a.p.no, st.s.No, a.v.class.Read == clients.Write)
 		}
 		a.p.core.AttemptWritten(a.tag)
 	}
@@ -215,7 +215,7 @@
 	}
 	if s.Takes(&a.job) {
 		e.agains.took(v, s)
-		e.check.Took(e.s.now, s.No, s.Started, v.id, a.job.Work)
+		e.check.ServerReceived(e.s.now, s.No, s.Started, v.id, a.job.Work)
 	}
 	s.Take(&a.job)
 }
@@ -353,7 +353,7 @@
 	}
 	if a.sent {
 		never := o.Result == decide.Misdirected || o.Result == decide.Overloaded
-		e.check.Ended(e.s.now, a.v.id, a.no, resultNames[o.Result], never)
+		e.check.AttemptEnded(e.s.now, a.v.id, a.no, resultNames[o.Result], never)
 	}
 	e.word(a, &o)
 	e.results[o.Result]++
@@ -386,7 +386,7 @@
 		if a.v == nil {
 			asOf = o.Position
 		}
-		e.check.Word(e.s.now, asOf, a.p.no, a.st.s.No, o.Role == decide.RolePrimary)
+		e.check.RoleReported(e.s.now, asOf, a.p.no, a.st.s.No, o.Role == decide.RolePrimary)
 	}
 }
 
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -11,10 +11,10 @@
 
 // Blackouts are what the rules of who is asked go by.
 func Blackouts(s *scenario.Script) checker.BlackoutConfig {
-	c := checker.BlackoutConfig{Poolers: s.Poolers, WindowMs: 10000, AfterMs: 10000, OwnMs: 120000, Part: 0.8, Least: 12, Wanted: 20}
+	c := checker.BlackoutConfig{Poolers: s.Poolers, WindowMs: 10000, HealthyMs: 10000, OwnEvidenceMs: 120000, MaxAvoidingShare: 0.8, MinReads: 12, MinRequests: 20}
 	if v := s.Verdicts; v != nil {
-		c.FreshMs = freshMs
-		c.AfterMs, c.Part = v.Settings.EjectionTime+2000, max(c.Part, v.Settings.MaxEjectedShare)
+		c.RestartGraceMs = freshMs
+		c.HealthyMs, c.MaxAvoidingShare = v.Settings.EjectionTime+2000, max(c.MaxAvoidingShare, v.Settings.MaxEjectedShare)
 	}
 	next := 0
 	for _, n := range s.Fleet.Groups {
@@ -28,22 +28,25 @@
 	return c
 }
 
-// sight is what befalls servers, ways and poolers now: check.Sight.
-type sight struct{ e *Emulation }
+// groundTruth is what befalls servers, ways and poolers now: check.Sight.
+type groundTruth struct{ e *Emulation }
 
-func (x sight) Sound(s int) bool { return x.e.world.Servers[s].Sound(x.e.s.now) }
-func (x sight) Born(s int) float64 {
+func (x groundTruth) ServerHealthy(s int) bool { return x.e.world.Servers[s].Sound(x.e.s.now) }
+func (x groundTruth) ServerStartedAt(s int) float64 {
 	if x.e.world.List.Extra > 0 || x.e.world.List.Gone { // it may be long until all have its entry
 		return 0
 	}
 	return x.e.world.Servers[s].Started
 }
-func (x sight) Primary(s int) bool { w := x.e.world.Servers[s]; return w.Group.Primary == w }
-func (x sight) Way(p, s int) bool {
+func (x groundTruth) IsPrimary(s int) bool { w := x.e.world.Servers[s]; return w.Group.Primary == w }
+func (x groundTruth) LinkHealthy(p, s int) bool {
 	return x.e.ways.good(p, s) && !x.e.apart(x.e.poolers[p], x.e.world.Servers[s]) && !x.e.world.List.Gone && x.e.ways.held[p] == 0
 }
-func (x sight) Pooler(no int) bool { p := x.e.poolers[no]; return p.up && x.e.s.now >= p.still }
-func (x sight) Runs(server int) bool {
+func (x groundTruth) PoolerRunning(no int) bool {
+	p := x.e.poolers[no]
+	return p.up && x.e.s.now >= p.still
+}
+func (x groundTruth) ServerReachable(server int) bool {
 	w := x.e.world.Servers[server]
 	if !w.Up || w.Hung || w.Draining {
 		return false
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -59,32 +59,32 @@
 	Verdict  *checker.Verdict  `json:"rules"`
 	Facts    []model.Fact      `json:"facts,omitempty"`
 
-	Events    uint64             `json:"events"`
-	Received  uint64             `json:"asked"`
-	Tries     uint64             `json:"tries"`
-	Attempts  uint64             `json:"attempts"`
-	Crossed   uint64             `json:"attempts_across_sites,omitempty"`
-	Reads     uint64             `json:"attempts_of_reads_that_any_member_may_serve,omitempty"`
-	Far       uint64             `json:"of_these_across_sites,omitempty"`
-	Probes    uint64             `json:"probes"`
-	Lists     uint64             `json:"list_calls"`
-	Ends      map[string]uint64  `json:"attempts_by_end"`
-	Conns     int                `json:"most_connections_of_a_pooler"`
-	Again     Again              `json:"again"`
-	Spent     Spent              `json:"spent"`
-	Lost      map[string]float64 `json:"worth_lost_by_last_answer"`
-	VirtualMs float64            `json:"virtual_ms"`
-	WallMs    float64            `json:"wall_ms"`
-	ModuleMs  float64            `json:"module_ms,omitempty"`
-	HeapMB    float64            `json:"heap_mb"`
-	Views     *Views             `json:"views,omitempty"`
-	Limits    *Limits            `json:"limits,omitempty"`
-	Trials    []checker.Trial    `json:"-"`
-	Heeds     []Heed             `json:"verdicts_heeded,omitempty"`
-	Pages     *PageCounts        `json:"pages,omitempty"`
-	Funds     []Funds            `json:"funds,omitempty"`
-	P50       float64            `json:"served_p50_ms"`
-	P99       float64            `json:"served_p99_ms"`
+	Events    uint64               `json:"events"`
+	Received  uint64               `json:"asked"`
+	Tries     uint64               `json:"tries"`
+	Attempts  uint64               `json:"attempts"`
+	Crossed   uint64               `json:"attempts_across_sites,omitempty"`
+	Reads     uint64               `json:"attempts_of_reads_that_any_member_may_serve,omitempty"`
+	Far       uint64               `json:"of_these_across_sites,omitempty"`
+	Probes    uint64               `json:"probes"`
+	Lists     uint64               `json:"list_calls"`
+	Ends      map[string]uint64    `json:"attempts_by_end"`
+	Conns     int                  `json:"most_connections_of_a_pooler"`
+	Again     Again                `json:"again"`
+	Spent     Spent                `json:"spent"`
+	Lost      map[string]float64   `json:"worth_lost_by_last_answer"`
+	VirtualMs float64              `json:"virtual_ms"`
+	WallMs    float64              `json:"wall_ms"`
+	ModuleMs  float64              `json:"module_ms,omitempty"`
+	HeapMB    float64              `json:"heap_mb"`
+	Views     *Views               `json:"views,omitempty"`
+	Limits    *Limits              `json:"limits,omitempty"`
+	Trials    []checker.Impairment `json:"-"`
+	Heeds     []Heed               `json:"verdicts_heeded,omitempty"`
+	Pages     *PageCounts          `json:"pages,omitempty"`
+	Funds     []Funds              `json:"funds,omitempty"`
+	P50       float64              `json:"served_p50_ms"`
+	P99       float64              `json:"served_p99_ms"`
 }
 
 // Emulation is a run that is under way.
@@ -95,14 +95,14 @@
 	world    *model.World
 	rng      *rand.Rand // of the network and the clients, apart from the model's
 	poolers  []*pooler
-	black    *checker.Blackouts // nil where poolers are no peers
-	heeds    []Heed             // how verdicts went round
-	fleet    *fleetOf           // the poolers as peers, nil where they are none
-	paging   *paging            // reports that are read in pages, nil for none
-	funds    *funds             // that tenants pay ahead, nil for none
-	ways     *ways              // from poolers to servers, and to the list
-	routes   *netfault.Net      // what befalls the ways between sites, nil for one room
-	agents   *agents            // of Consul, nil where the list is the platform's
+	black    *checker.BlackoutChecker // nil where poolers are no peers
+	heeds    []Heed                   // how verdicts went round
+	fleet    *fleetOf                 // the poolers as peers, nil where they are none
+	paging   *paging                  // reports that are read in pages, nil for none
+	funds    *funds                   // that tenants pay ahead, nil for none
+	ways     *ways                    // from poolers to servers, and to the list
+	routes   *netfault.Net            // what befalls the ways between sites, nil for one room
+	agents   *agents                  // of Consul, nil where the list is the platform's
 	plan     *clients.Planner
 	sessions clients.Sessions
 	keeper   *score.Keeper
@@ -127,12 +127,12 @@
 
 // Rules are what a scenario's rules go by.
 func Rules(s *scenario.Script) checker.Config {
-	c := checker.Config{GraceMs: s.Fleet.GraceMs, SlackMs: 50, MaxAttempts: scenario.MaxAttempts, ColdMs: s.Fleet.ColdMs, ColdBy: s.Fleet.ColdBy,
-		Cores: s.Fleet.Cores, Falls: s.Fleet.Falls, FallsMs: s.Fleet.FallsMs, Limits: s.CheckedLimits(), CountMs: 5, Overload: s.CheckedOverload()}
+	c := checker.Config{GraceMs: s.Fleet.GraceMs, SlackMs: 50, MaxAttempts: scenario.MaxAttempts, ColdMs: s.Fleet.ColdMs, ColdShare: s.Fleet.ColdBy,
+		Cores: s.Fleet.Cores, OverloadFactor: s.Fleet.Falls, OverloadWindowMs: s.Fleet.FallsMs, Limits: s.CheckedLimits(), CountMs: 5, Overload: s.CheckedOverload()}
 	for _, x := range s.Clients.Classes {
-		k := checker.Class{Name: x.Name, Writes: x.Read == clients.Write, Once: x.Read == clients.Write && x.KeyMs == 0, KeyMs: x.KeyMs, Session: x.Read == clients.ReadSession}
+		k := checker.Class{Name: x.Name, Writes: x.Read == clients.Write, NoRepeat: x.Read == clients.Write && x.KeyMs == 0, KeyMs: x.KeyMs, Session: x.Read == clients.ReadSession}
 		if x.Read == clients.ReadBounded {
-			k.BoundMs = x.Bound
+			k.MaxStalenessMs = x.Bound
 		}
 		c.Classes = append(c.Classes, k)
 	}
@@ -163,7 +163,7 @@
 	c := s.Clients
 	c.Seed = opt.Seed
 	e.plan, e.keeper, e.check = clients.NewPlanner(c), score.New(opt.Seed, c.Classes), checker.New(Rules(s))
-	e.check.Share = s.Verdicts != nil || s.Overload != nil && s.Overload.Share
+	e.check.RolesAreShared = s.Verdicts != nil || s.Overload != nil && s.Overload.Share
 	e.keeper.Tenants(c.Tenants, c.Over)
 	e.bad = make([]float64, s.Poolers)
 	e.ways = newWays(s.Poolers, len(e.world.Servers))
@@ -172,7 +172,7 @@
 	}
 	if s.Peers != nil {
 		e.fleet = e.newFleet()
-		e.black = checker.NewBlackouts(startMs, Blackouts(s))
+		e.black = checker.NewBlackoutChecker(startMs, Blackouts(s))
 	}
 	if s.Credit != nil {
 		e.funds = e.newFunds()
@@ -247,7 +247,7 @@
 		}
 		e.fleet.check.Verdict(r.Verdict)
 		e.black.Verdict(r.Verdict)
-		r.Trials, r.Heeds = e.black.Trials(), e.heeds
+		r.Trials, r.Heeds = e.black.Impairments(), e.heeds
 	}
 	if e.paging != nil {
 		e.paging.check.Verdict(e.s.now, r.Verdict)
@@ -385,13 +385,13 @@
 	}
 	value, position := j.Value, r.Position
 	if r.Dropped {
-		e.check.Repeated(e.s.now, s.No, a.v.id, hashOf(value), position)
+		e.check.RepeatDropped(e.s.now, s.No, a.v.id, hashOf(value), position)
 		return
 	}
 	if !j.Writes {
 		value = s.Read(j.Key)
 	}
-	e.check.Ran(e.s.now, s.No, a.v.id, j.Writes, r.Primary, hashOf(value), position)
+	e.check.Executed(e.s.now, s.No, a.v.id, j.Writes, r.Primary, hashOf(value), position)
 }
 
 func hashOf(b []byte) uint64 {
--- a/internal/testkit/simulation/funds.go
+++ b/internal/testkit/simulation/funds.go
@@ -13,7 +13,7 @@
 type funds struct {
 	*Prepaid
 	e     *Emulation
-	check *checker.Credit
+	check *checker.CreditChecker
 	paid  map[string]int64
 	pays  map[int][]lessor.Payment // by pooler: the payments that it has read of since the start
 	once  map[lessor.Payment]bool
@@ -37,14 +37,14 @@
 func (e *Emulation) newFunds() *funds {
 	s := e.script
 	log := &CommonLog{Settings: s.Agreed.Settings, Voters: s.Agreed.Voters, Seed: e.opt.Seed, DiskMs: s.Agreed.Disk}
-	f := &funds{e: e, Prepaid: &Prepaid{Log: log, Set: s.Credit.Credit, Marks: [2]float64{0.1, marksMost}}, check: &checker.Credit{Prices: map[string]int64{}}, paid: map[string]int64{},
+	f := &funds{e: e, Prepaid: &Prepaid{Log: log, Set: s.Credit.Credit, Marks: [2]float64{0.1, marksMost}}, check: &checker.CreditChecker{Prices: map[string]int64{}}, paid: map[string]int64{},
 		pays: map[int][]lessor.Payment{}, once: map[lessor.Payment]bool{}}
 	f.Set.Dir = "marks" // they are kept
 	for _, p := range s.Credit.Prices {
 		f.check.Prices[p.Class] = p.PerRequest
 	}
 	for _, d := range s.Credit.Overdrafts {
-		f.check.Beyond += d.Amount
+		f.check.Overdraft += d.Amount
 	}
 	for _, p := range s.Credit.Payments {
 		f.took(startMs, p)
@@ -58,7 +58,7 @@
 	if !f.once[p] {
 		f.once[p] = true
 		f.paid[p.Tenant] += p.Amount
-		f.check.Pays(at, p.Tenant, p.Amount)
+		f.check.Paid(at, p.Tenant, p.Amount)
 	}
 }
 
@@ -79,19 +79,19 @@
 
 // tried tells how a client's try ended.
 func (f *funds) tried(t *clients.Try) {
-	f.check.Tried(t.Ended, f.e.script.Clients.TenantOf(t.Ask), t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
+	f.check.AttemptEnded(t.Ended, f.e.script.Clients.TenantOf(t.Ask), t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
 // paged tells of a page that was served: each shard's read costs what one of its class does.
 func (f *funds) paged(at float64, shards int) {
 	for range shards {
-		f.check.Tried(at, f.e.script.Pages.Tenant, f.e.script.Pages.Class, true, false)
+		f.check.AttemptEnded(at, f.e.script.Pages.Tenant, f.e.script.Pages.Class, true, false)
 	}
 }
 
 // result is what became of each tenant's funds, and what was found.
 func (f *funds) result(v *checker.Verdict) (out []Funds) {
-	f.check.End()
+	f.check.CheckFinal()
 	f.check.Verdict(f.e.s.now, v)
 	var books *payer // of the voter that knows most
 	most := int64(-1)
@@ -110,8 +110,8 @@
 	for i := range f.e.script.Clients.Tenants {
 		name := f.e.script.Clients.Tenants[i].Name
 		x := Funds{Tenant: name, Paid: f.paid[name]}
-		x.Served, _ = f.check.Served(name, f.e.s.now)
-		x.Attempts, x.Turned = f.check.Counts(name)
+		x.Served, _ = f.check.ServedCost(name, f.e.s.now)
+		x.Attempts, x.Turned = f.check.AttemptCounts(name)
 		if books != nil {
 			b := books.c.Ledger().Tenant(name)
 			x.Balance, x.Lent, x.Spent, x.Stranded = b.Balance, b.Lent, b.Spent, b.Stranded
--- a/internal/testkit/simulation/heeds.go
+++ b/internal/testkit/simulation/heeds.go
@@ -34,7 +34,7 @@
 	}
 	h := Heed{Server: s.Server, First: now, Last: now, Poolers: 1}
 	if x := e.world.Server(s.Server); x != nil {
-		if at := e.black.Knew(x.No); at > 0 {
+		if at := e.black.FirstUnansweredAt(x.No); at > 0 {
 			h.Knew = at - startMs
 		}
 	}
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -13,9 +13,9 @@
 
 // Limits is what came of limits that hold for the whole fleet.
 type Limits struct {
-	Messages float64       `json:"messages_a_second_of_a_pooler"`
-	Bytes    float64       `json:"bytes_a_second_of_a_pooler"`
-	Uses     []checker.Use `json:"uses"`
+	Messages float64              `json:"messages_a_second_of_a_pooler"`
+	Bytes    float64              `json:"bytes_a_second_of_a_pooler"`
+	Uses     []checker.LimitUsage `json:"uses"`
 }
 
 const (
@@ -177,10 +177,10 @@
 		p := e.poolers[no]
 		p.reload(scenario.Changed(*p.limits, f.Target.Word, f.Value))
 	}
-	e.check.Changed(e.s.now, f.Target.Word, f.Struck(e.script), len(e.poolers), f.Value, e.script.Lowered(f))
+	e.check.LimitChanged(e.s.now, f.Target.Word, f.Struck(e.script), len(e.poolers), f.Value, e.script.Lowered(f))
 }
 
 func (f *fleetOf) lentResult() *Limits {
 	seconds := (f.e.s.now - f.from) / 1000 * float64(len(f.e.poolers))
-	return &Limits{Messages: float64(f.lent) / seconds, Bytes: float64(f.lentBytes) / seconds, Uses: f.e.check.Uses(f.e.script.WarmMs())}
+	return &Limits{Messages: float64(f.lent) / seconds, Bytes: float64(f.lentBytes) / seconds, Uses: f.e.check.LimitUsages(f.e.script.WarmMs())}
 }
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -188,12 +188,12 @@
 // OverloadMutants are poolers that handle overload together in a way that is broken on purpose.
 func OverloadMutants() []Mutant {
 	return []Mutant{
-		{Name: "makes each probe itself", Breaks: checker.ProbesShared, Over: func(no int, o *adapter.Options) { o.Share = false }},
-		{Name: "probes once for each who asks", Breaks: checker.ProbesShared, Over: func(no int, o *adapter.Options) { o.Probes.MinInterval, o.Probes.MaxResultAge = 0, -1 }},
-		{Name: "tells at every turn", Breaks: checker.TalkBounded, Over: func(no int, o *adapter.Options) { o.Set.ReportInterval = o.Set.TickInterval }},
-		{Name: "sheds in all groups what one cannot do", Breaks: checker.QuietSpared, Core: func(no int, c adapter.Core) adapter.Core { return everywhere{c} }},
-		{Name: "knows of no tenants", Breaks: checker.TenantKept, Module: func(c *config.Config) { c.Settings.Tenants = nil }},
-		{Name: "does not let in again", Breaks: checker.ServiceBack, Over: func(no int, o *adapter.Options) { o.Set.GrowthRate, o.Set.HoldTime = 1e-4, 1e6 }},
+		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, Over: func(no int, o *adapter.Options) { o.Share = false }},
+		{Name: "probes once for each who asks", Breaks: checker.HealthChecksShared, Over: func(no int, o *adapter.Options) { o.Probes.MinInterval, o.Probes.MaxResultAge = 0, -1 }},
+		{Name: "tells at every turn", Breaks: checker.DatagramsBounded, Over: func(no int, o *adapter.Options) { o.Set.ReportInterval = o.Set.TickInterval }},
+		{Name: "sheds in all groups what one cannot do", Breaks: checker.IdleGroupServed, Core: func(no int, c adapter.Core) adapter.Core { return everywhere{c} }},
+		{Name: "knows of no tenants", Breaks: checker.TenantServed, Module: func(c *config.Config) { c.Settings.Tenants = nil }},
+		{Name: "does not let in again", Breaks: checker.ServiceRecovered, Over: func(no int, o *adapter.Options) { o.Set.GrowthRate, o.Set.HoldTime = 1e-4, 1e6 }},
 		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Repeats = false }},
 		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Part = 1 }},
 	}
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -59,7 +59,7 @@
 // HealthCheckReported is joined's core's.
 func (c probed) HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64) {
 	if s := c.p.e.world.Server(store); s != nil && said.Role != decide.RoleUnknown && said.HasPos {
-		c.p.e.check.Word(c.p.e.s.now, said.Position, c.p.no, s.No, said.Role == decide.RolePrimary)
+		c.p.e.check.RoleReported(c.p.e.s.now, said.Position, c.p.no, s.No, said.Role == decide.RolePrimary)
 	}
 	c.Core.HealthCheckReported(store, result, said, ageMs)
 }
--- a/internal/testkit/simulation/overload_test.go
+++ b/internal/testkit/simulation/overload_test.go
@@ -65,7 +65,7 @@
 				}
 				return byzantine.Of(w, times)
 			}})
-			if len(r.Verdict.Broken) > 0 || r.Verdict.Checked[checker.QuietSpared] < 10 || r.Score.Ratio < honest-0.03 {
+			if len(r.Verdict.Broken) > 0 || r.Verdict.Checked[checker.IdleGroupServed] < 10 || r.Score.Ratio < honest-0.03 {
 				t.Errorf("service %.3f, %.3f without the liar; %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
 			}
 		})
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -21,7 +21,7 @@
 	class *clients.Class
 	no    int // the class's
 	rng   *rand.Rand
-	check *checker.Pages
+	check *checker.PageChecker
 	order merge.Order
 	word  plan.Query
 	ring  *cursor.Ring
@@ -51,7 +51,7 @@
 
 func (e *Emulation) newPaging() *paging {
 	s := e.script.Pages
-	g := &paging{e: e, set: s, rng: rand.New(rand.NewPCG(e.opt.Seed, 41)), check: checker.NewPages(s.Desc), ring: cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
+	g := &paging{e: e, set: s, rng: rand.New(rand.NewPCG(e.opt.Seed, 41)), check: checker.NewPageChecker(s.Desc), ring: cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
 		rows: make([][]*kept, len(e.world.Groups)), open: map[*pooler][]*paged{}}
 	g.no = slices.IndexFunc(e.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
 	g.class = &e.script.Clients.Classes[g.no]
@@ -81,7 +81,7 @@
 	g.last++
 	place := int64(g.rng.IntN(g.set.Places))
 	g.rows[group] = append(g.rows[group], &kept{vals: sortedtable.Row{g.last, place}, from: from})
-	g.check.Row(g.last, place, group, from)
+	g.check.RowWritten(g.last, place, group, from)
 }
 
 // change writes a row or deletes one, in a group that takes writes, and goes on.
@@ -91,7 +91,7 @@
 		at := e.world.Groups[i].Write(e.s.now, "visits", nil)
 		if k := g.rows[i][g.rng.IntN(len(g.rows[i]))]; g.rng.IntN(2) == 0 && k.end == 0 {
 			k.end = at
-			g.check.Gone(k.vals[0].(int64), at)
+			g.check.RowDeleted(k.vals[0].(int64), at)
 		} else {
 			g.write(i, at)
 		}
@@ -151,7 +151,7 @@
 		if p.still > s.sent { // its machine stands still, or did
 			due = e.s.now
 		}
-		g.check.Came(e.s.now, due, r.no)
+		g.check.PageEnded(e.s.now, due, r.no)
 		s.leave()
 		s.tell(pageEnd{broken: true})
 	})
@@ -186,8 +186,8 @@
 	case x.rows == nil:
 		g.Counts.Failed++
 	default:
-		g.check.Came(e.s.now, s.due+pageSlackMs, r.no)
-		g.check.Page(e.s.now, r.no, x.rows, s.reads, x.cursor == "")
+		g.check.PageEnded(e.s.now, s.due+pageSlackMs, r.no)
+		g.check.PageServed(e.s.now, r.no, x.rows, s.reads, x.cursor == "")
 		if g.e.funds != nil {
 			g.e.funds.paged(e.s.now, len(g.rows))
 		}
@@ -207,7 +207,7 @@
 		for _, x := range s.parts {
 			if x != nil {
 				x.over = true
-				g.e.check.Gone(g.e.s.now, x.v.id, "its pooler ended")
+				g.e.check.Abandoned(g.e.s.now, x.v.id, "its pooler ended")
 			}
 		}
 		g.e.s.after(g.e.way(), func() { s.r.hear(s, pageEnd{broken: true}) })
--- a/internal/testkit/simulation/pages_made.go
+++ b/internal/testkit/simulation/pages_made.go
@@ -60,13 +60,13 @@
 	if s.r.cursor != "" {
 		c, err := g.ring.Open(s.r.cursor, e.s.now, &cursor.Binding{})
 		if err != nil {
-			g.check.Came(e.s.now, 0, s.r.no) // the fleet's own cursor: it is taken anywhere
+			g.check.PageEnded(e.s.now, 0, s.r.no) // the fleet's own cursor: it is taken anywhere
 			s.end(pageEnd{})
 			return
 		}
 		places, needs = c.Places, c.MinPositions
 	} else {
-		g.check.Began(s.r.no)
+		g.check.ReportStarted(s.r.no)
 	}
 	s.parts = make([]*shardRead, n)
 	s.run = execution.New(&s.set, g.set.Page, places, needs, s.due, e.checks)
@@ -211,7 +211,7 @@
 	session := "report-" + strconv.Itoa(s.r.no)
 	x.v = &visit{e: e, ask: &ask{e: e, Ask: clients.Ask{Class: g.no, Group: a.Shard, Key: session}}, class: g.class, p: s.p, life: s.life, id: id, name: strconv.FormatUint(id, 16), shard: x}
 	s.parts[a.Shard] = x
-	e.check.Asked(e.s.now, id, g.no, s.p.no, s.due, float64(a.MinPosition))
+	e.check.Received(e.s.now, id, g.no, s.p.no, s.due, float64(a.MinPosition))
 	if e.script.Limits != nil {
 		e.check.Tenant(e.s.now, id, g.set.Tenant)
 	}
@@ -363,7 +363,7 @@
 	}
 	if x.open {
 		x.open = false
-		x.s.g.e.check.Gone(x.s.g.e.s.now, x.v.id, "its answer broke off")
+		x.s.g.e.check.Abandoned(x.s.g.e.s.now, x.v.id, "its answer broke off")
 		x.s.p.core.Abandon(x.ref)
 	}
 	x.broke("its answer broke off", true)
@@ -400,7 +400,7 @@
 	}
 	if x.open {
 		x.open = false
-		x.s.g.e.check.Gone(x.s.g.e.s.now, x.v.id, "the page has no need of it any more")
+		x.s.g.e.check.Abandoned(x.s.g.e.s.now, x.v.id, "the page has no need of it any more")
 		x.s.p.core.Abandon(x.ref)
 	}
 }
--- a/internal/testkit/simulation/parts.go
+++ b/internal/testkit/simulation/parts.go
@@ -35,7 +35,7 @@
 		return
 	}
 	if kind == module.KindOverload && (b[0] == tellVerb || b[0] == answerVerb) {
-		e.check.Talked(e.s.now)
+		e.check.DatagramSent(e.s.now)
 	}
 	f.told++
 	f.toldBytes += headBytes + uint64(len(b))
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -20,7 +20,7 @@
 	e     *Emulation
 	net   *netfault.Net
 	rng   *rand.Rand
-	check *checker.Views
+	check *checker.ViewChecker
 
 	packets, bytes  uint64
 	lent, lentBytes uint64 // about limits
@@ -63,20 +63,20 @@
 		}
 	}
 	n := s.Poolers
-	return checker.ViewConfig{Detect: func(f int) float64 { return v.DetectionBound(n, f, delay) }, SettleMs: v.ConvergenceBound(n, f, delay, lossy), JoinMs: v.JoinBound(n, delay), SpreadMs: v.PropagationBound(n, delay), HoldMs: v.SendingTimeout,
-		SelfMs: v.IsolationBound(delay)}
+	return checker.ViewConfig{DetectMs: func(f int) float64 { return v.DetectionBound(n, f, delay) }, SettleMs: v.ConvergenceBound(n, f, delay, lossy), JoinMs: v.JoinBound(n, delay), SpreadMs: v.PropagationBound(n, delay), CountHoldMs: v.SendingTimeout,
+		SelfDetectMs: v.IsolationBound(delay)}
 }
 
 func (e *Emulation) newFleet() *fleetOf {
 	s := e.script
 	f := &fleetOf{e: e, net: netfault.New(s.Poolers), rng: rand.New(rand.NewPCG(e.opt.Seed, 5))}
-	f.check = checker.NewViews(Bounds(s, max(1, s.Poolers/2)), s.Poolers, f.net.Cut)
+	f.check = checker.NewViewChecker(Bounds(s, max(1, s.Poolers/2)), s.Poolers, f.net.Cut)
 	f.check.Exact = true
 	var look func()
 	look = func() {
-		f.check.Look(e.s.now)
+		f.check.Sample(e.s.now)
 		if e.s.now <= startMs+s.Clients.Seconds*1000 {
-			e.black.Look(e.s.now, sight{e})
+			e.black.Sample(e.s.now, groundTruth{e})
 		}
 		e.s.After(lookMs, model.Func(look), 0)
 	}
@@ -92,8 +92,8 @@
 
 func (f *fleetOf) result() *Views {
 	seconds := (f.e.s.now - f.from) / 1000 * float64(len(f.e.poolers))
-	return &Views{Packets: float64(f.packets) / seconds, Bytes: float64(f.bytes) / seconds, Streamed: float64(f.streamed) / seconds, Trades: f.trades, Detected: f.check.Detected, Settled: f.check.Settled,
-		Accused: f.check.Accused, Wrong: f.check.Wrong,
+	return &Views{Packets: float64(f.packets) / seconds, Bytes: float64(f.bytes) / seconds, Streamed: float64(f.streamed) / seconds, Trades: f.trades, Detected: f.check.DetectionTimes, Settled: f.check.SettleTimes,
+		Accused: f.check.FalseAccusations, Wrong: f.check.FalseFailures,
 		Told: float64(f.told) / seconds, ToldSize: float64(f.toldBytes) / seconds}
 }
 
@@ -138,7 +138,7 @@
 	x.view = view.New(set, view.Record{ID: id, Name: p.name, Addr: p.name, Zone: site}, p.e.s.now)
 	x.view.CheckInvariants(p.e.checks, walkEach)
 	p.peer = x
-	f.check.Began(p.e.s.now, p.no, uint64(id))
+	f.check.ProcessStarted(p.e.s.now, p.no, uint64(id))
 	x.lend()
 	for _, join := range p.e.joins() {
 		x.parts = append(x.parts, join(Host{x})...)
@@ -164,7 +164,7 @@
 func (x *peer) do(ev view.Event) {
 	e := x.p.e
 	x.told(ev)
-	defer x.f.check.Took(x.p.no)
+	defer x.f.check.MessageProcessed(x.p.no)
 	if m := e.opt.Mutant; m != nil && m.Peer != nil && !m.Peer(x, ev) {
 		return
 	}
@@ -183,7 +183,7 @@
 	}
 	for i := range records {
 		if r := &records[i]; r.State == view.Suspect || r.State == view.Failed {
-			x.f.check.Told(x.p.no, uint64(r.ID))
+			x.f.check.AccusationReceived(x.p.no, uint64(r.ID))
 		}
 	}
 }
@@ -202,7 +202,7 @@
 		case view.StartExchange:
 			x.trade(a.Addr)
 		case view.RecordChanged:
-			x.f.check.Says(e.s.now, x.p.no, uint64(a.Record.ID), int(a.Record.State), a.Record.Incarnation)
+			x.f.check.ReportState(e.s.now, x.p.no, uint64(a.Record.ID), int(a.Record.State), a.Record.Incarnation)
 			e.s.mix(uint64(a.Record.ID), uint64(x.p.no)<<8|uint64(a.Record.State))
 			news = true
 		}
@@ -210,7 +210,7 @@
 	if n := x.view.Counts().Sending; n != x.sent {
 		x.sent = n
 		x.p.core.SetPeers(n)
-		x.f.check.Counts(e.s.now, x.p.no, n)
+		x.f.check.ReportCount(e.s.now, x.p.no, n)
 		news = true
 	}
 	if news && x.limits != nil {
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -110,7 +110,7 @@
 	e := p.e
 	p.disk.killed()
 	if p.peer != nil {
-		e.fleet.check.Ended(e.s.now, p.no, p.peer.view.Self().State == view.Left)
+		e.fleet.check.ProcessEnded(e.s.now, p.no, p.peer.view.Self().State == view.Left)
 		p.peer = nil
 	}
 	var open []*attempt
@@ -124,13 +124,13 @@
 	}
 	for _, v := range e.sorted(p.visits) {
 		e.s.After(e.way(), v, visitBroken)
-		e.check.Gone(e.s.now, v.id, "its pooler ended")
+		e.check.Abandoned(e.s.now, v.id, "its pooler ended")
 	}
 	clear(p.visits)
 	if e.paging != nil {
 		e.paging.killed(p)
 	}
-	e.check.Forgot(p.no)
+	e.check.PoolerRestarted(p.no)
 }
 
 // lifeLoop is core.Loop's for one life of a pooler: what an earlier one hung up comes to nothing.
--- a/internal/testkit/simulation/stood_test.go
+++ b/internal/testkit/simulation/stood_test.go
@@ -12,8 +12,8 @@
 	for seed := uint64(1); seed < 4; seed++ {
 		r := play(t, parse(t, `(rehearsal "stood" (seconds 20) (poolers 8) (groups 3 3) (rate 60) (peers (probe 500ms) (timeout 150ms) (suspicion 1500ms)) (overload)
 			(at 9s (stall-pooler 5) (for 5s)))`), Options{Seed: seed})
-		if r.Verdict.Checked[checker.QuietSpared] == 0 || r.Verdict.Broken[checker.QuietSpared] > 0 {
-			t.Errorf("seed %d: put to the test %d times: %+v", seed, r.Verdict.Checked[checker.QuietSpared], r.Verdict.Breaches)
+		if r.Verdict.Checked[checker.IdleGroupServed] == 0 || r.Verdict.Broken[checker.IdleGroupServed] > 0 {
+			t.Errorf("seed %d: put to the test %d times: %+v", seed, r.Verdict.Checked[checker.IdleGroupServed], r.Verdict.Breaches)
 		}
 	}
 }
--- a/internal/testkit/simulation/strike.go
+++ b/internal/testkit/simulation/strike.go
@@ -15,7 +15,7 @@
 	}
 	f = f.Resolved(e.lender)
 	groups, poolers := f.Where(e.script)
-	e.check.Struck(e.s.now, f.Until(e.s.now), groups, poolers)
+	e.check.FaultInjected(e.s.now, f.Until(e.s.now), groups, poolers)
 	switch f.What {
 	case "load": // the plan has it
 	case "route", "routes":
@@ -26,19 +26,19 @@
 			}
 			if e.fleet != nil {
 				f.Strike(e.fleet.net, on)
-				e.fleet.check.Fault(e.s.now)
+				e.fleet.check.FaultChanged(e.s.now)
 			}
-			e.check.Fault(e.s.now, map[bool]int{true: 1, false: -1}[on])
+			e.check.FaultChanged(e.s.now, map[bool]int{true: 1, false: -1}[on])
 		}
 		strike(true)
 		later(func() { strike(false) })
 	case "links", "between":
 		strike := func(on bool) {
 			f.Strike(e.fleet.net, on)
-			e.fleet.check.Fault(e.s.now)
-			e.check.Fault(e.s.now, map[bool]int{true: 1, false: -1}[on])
+			e.fleet.check.FaultChanged(e.s.now)
+			e.check.FaultChanged(e.s.now, map[bool]int{true: 1, false: -1}[on])
 			if f.Link.Lose > 0 {
-				e.fleet.check.Lossy(on)
+				e.fleet.check.SetLossy(on)
 			}
 		}
 		strike(true)
@@ -66,18 +66,18 @@
 	case "kill-pooler":
 		p := e.poolers[f.Target.Group]
 		p.kill()
-		e.check.Fault(e.s.now, 0)
-		later(func() { p.revive(); e.check.Fault(e.s.now, 0) })
+		e.check.FaultChanged(e.s.now, 0)
+		later(func() { p.revive(); e.check.FaultChanged(e.s.now, 0) })
 	case "restart-pooler":
 		e.poolers[f.Target.Group].restart()
-		e.check.Fault(e.s.now, 0)
+		e.check.FaultChanged(e.s.now, 0)
 	case "stall-pooler":
-		e.check.Fault(e.s.now+f.For, 0)
+		e.check.FaultChanged(e.s.now+f.For, 0)
 		p := e.poolers[f.Target.Group]
 		p.still = max(p.still, e.s.now+max(1, f.For))
-		e.check.Still(e.s.now, p.no, p.still)
+		e.check.Paused(e.s.now, p.no, p.still)
 		if e.fleet != nil {
-			e.fleet.check.Stood(e.s.now, p.no, p.still)
+			e.fleet.check.Paused(e.s.now, p.no, p.still)
 		}
 	case "cut", "thin":
 		servers := f.Target.Of(e.world)
--- a/internal/testkit/simulation/visit.go
+++ b/internal/testkit/simulation/visit.go
@@ -162,14 +162,14 @@
 		v.p.visits[v] = true
 		left := max(1, math.Floor(v.sent+v.ask.Patience-e.s.now))
 		due := e.s.now + left
-		e.check.Asked(e.s.now, v.id, v.ask.Class, v.p.no, due, v.after)
+		e.check.Received(e.s.now, v.id, v.ask.Class, v.p.no, due, v.after)
 		if e.black != nil {
-			e.black.Wanted(v.ask.Group)
+			e.black.RequestReceived(v.ask.Group)
 		}
 		if v.class.KeyMs > 0 {
 			e.check.Keyed(v.id, v.ask.Tag)
 		}
-		e.check.Load(e.s.now, v.id, v.ask.Class, v.ask.Group, e.script.Clients.TenantOf(&v.ask.Ask), v.no > 0)
+		e.check.LoadReceived(e.s.now, v.id, v.ask.Class, v.ask.Group, e.script.Clients.TenantOf(&v.ask.Ask), v.no > 0)
 		if e.script.Limits != nil {
 			e.check.Tenant(e.s.now, v.id, e.script.Clients.TenantOf(&v.ask.Ask))
 		}
@@ -192,7 +192,7 @@
 		}
 	case visitSilent:
 		if !v.over {
-			e.check.Gone(e.s.now, v.id, "its client closed its connection, long after its time")
+			e.check.Abandoned(e.s.now, v.id, "its client closed its connection, long after its time")
 			if v.asked && v.p.life == v.life && !v.done {
 				v.done = true
 				v.p.core.Abandon(v.ref)
--- a/internal/testkit/simulation/zones_seeds_test.go
+++ b/internal/testkit/simulation/zones_seeds_test.go
@@ -134,7 +134,7 @@
 			if plans == 0 {
 				t.Error("nobody followed a plan")
 			}
-			t.Logf("%q: service %.3f, %d plans followed, %d fell back, %d plans and %.0f reads held, %.3f crossed", kinds, z.Score.Ratio, plans, backs, z.rules.Plans, z.rules.Calm(), z.far)
+			t.Logf("%q: service %.3f, %d plans followed, %d fell back, %d plans and %.0f reads held, %.3f crossed", kinds, z.Score.Ratio, plans, backs, z.rules.PlansChecked, z.rules.CalmReads(), z.far)
 		})
 	}
 }
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -21,7 +21,7 @@
 type zonedPlay struct {
 	*Zoned
 	*Result
-	rules *checker.Zones
+	rules *checker.ZoneChecker
 	far   float64 // of the reads that any member may serve at any age, in calm
 	steps []step  // what pooler 1 followed
 }
@@ -38,10 +38,10 @@
 	t.Helper()
 	s := parse(t, fmt.Sprintf(`(rehearsal "zones" (peers) (near yes) (pushed yes) (cross-price 0.01) (cold 10s) (retries 1) %s)`, script))
 	z := &zonedPlay{Zoned: &Zoned{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: zones.Defaults(), KeepMs: 1}}
-	z.rules = checker.NewZones(0.9, 15000, 0.02)
-	z.rules.Changed(0)
+	z.rules = checker.NewZoneChecker(0.9, 15000, 0.02)
+	z.rules.FaultChanged(0)
 	for i := 0; i+1 < len(changes); i += 2 {
-		z.rules.Struck(changes[i], changes[i+1])
+		z.rules.FaultInjected(changes[i], changes[i+1])
 	}
 	opt := Options{Seed: seed}
 	if mutate != nil {
@@ -59,7 +59,7 @@
 	}
 	opt.Read = func(at float64, c *clients.Class, _ int, _ float64, far bool) {
 		if c.Read == clients.ReadAny {
-			z.rules.Read(at-startMs, far)
+			z.rules.ReadSent(at-startMs, far)
 		}
 		if !on || at < lookAt {
 			return
@@ -78,14 +78,14 @@
 				continue
 			}
 			if _, plan := x.Status(); plan != nil {
-				z.rules.Follows(at-startMs, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
+				z.rules.PlanFollowed(at-startMs, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
 			}
 		}
 		if z.Of(1) == nil {
 			return
 		}
 		if p, plan := z.Of(1).Status(); p.Reason == follower.Planned {
-			z.rules.Planned(at-startMs, plan.Number, plan.Matrix, loads, z.Cores(1))
+			z.rules.CheckPlan(at-startMs, plan.Number, plan.Matrix, loads, z.Cores(1))
 		}
 	}
 	z.Told = func(p int, _ uint64) {
@@ -94,7 +94,7 @@
 			return // a newer one was heard meanwhile
 		}
 		at := z.Now(p) - startMs
-		z.rules.Follows(at, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
+		z.rules.PlanFollowed(at, p, plan.Number, xxhash.Sum64(plan.Append(nil)))
 		if p == 1 {
 			z.steps = append(z.steps, step{at, plan.Matrix[0][0], plan.Zones[0].State, plan.Unserved})
 		}
@@ -111,7 +111,7 @@
 
 func (z *zonedPlay) hold(t *testing.T) {
 	t.Helper()
-	for _, b := range z.rules.Found {
+	for _, b := range z.rules.Breaches {
 		t.Errorf("%s at %.0f: %s", b.Rule, b.At, b.Text)
 	}
 	for _, b := range z.Verdict.Breaches {
@@ -239,12 +239,12 @@
 					}
 				}
 			}
-			if z := zoned(t, 1, true, script, x.changes, mutant(false)); len(z.rules.Found) > 0 {
-				t.Errorf("without: %+v", z.rules.Found[0])
+			if z := zoned(t, 1, true, script, x.changes, mutant(false)); len(z.rules.Breaches) > 0 {
+				t.Errorf("without: %+v", z.rules.Breaches[0])
 			}
 			z := zoned(t, 1, true, script, x.changes, mutant(true))
-			if !slices.ContainsFunc(z.rules.Found, func(b checker.Breach) bool { return b.Rule == x.rule }) {
-				t.Errorf("it is not found: %+v; %+v, %d plans held", z.rules.Found, z.steps, z.rules.Plans)
+			if !slices.ContainsFunc(z.rules.Breaches, func(b checker.Breach) bool { return b.Rule == x.rule }) {
+				t.Errorf("it is not found: %+v; %+v, %d plans held", z.rules.Breaches, z.steps, z.rules.PlansChecked)
 			}
 		})
 	}
