--- a/internal/cluster/zones/codec.go
+++ b/internal/cluster/zones/codec.go
@@ -3,137 +3,170 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"math"
 
 	"beechgrade/internal/cluster/zones/planner"
 	"beechgrade/internal/cluster/zones/statemachine"
+	"beechgrade/internal/encoding"
 )
 
-// ErrMalformed is of bytes that are no word about zones.
-var ErrMalformed = errors.New("no word about zones")
+// ErrMalformed is the error of a message that cannot be decoded.
+var ErrMalformed = errors.New("zones: malformed message")
 
-// Report is a pooler's word to a voter: the newest plan that it has, and what it saw.
+// Report is a pooler's message to a voter: the number of the newest plan that it has, and what it observed.
 type Report struct {
 	PlanNumber uint64
 	planner.Report
 }
 
-// PlanUpdate is a voter's: the newest plan that it applied, whole where Plan is there, and how long ago.
+// PlanUpdate is a voter's message: the number of the newest plan that it applied, how long ago that was, and the plan where the receiver
+// does not have it.
 type PlanUpdate struct {
 	PlanNumber uint64
 	AgeMs      float64
 	Plan       *statemachine.Plan
 }
 
+// Kinds of messages.
 const (
 	kindReport     = 1
 	kindPlanUpdate = 2
+)
 
+// Bounds of a report, so that each part of it goes in one datagram.
+const (
 	maxParts          = 64
-	maxCellsPerPart   = 32 // of a part, so that it goes in one datagram
+	maxCellsPerPart   = 32
 	maxDemandsPerPart = 60
-	rateScale         = 100
 )
 
-// splitReport makes parts that each fit a datagram.
-func splitReport(t *planner.Report) (out []planner.Report) {
-	cells, asks := t.Cells, t.Demands
-	for len(out) < maxParts && (len(out) == 0 || len(cells)+len(asks) > 0) {
-		p := planner.Report{Zone: t.Zone, Part: len(out)}
+// Scales and bounds of encoded numbers.
+const (
+	rateScale = 100 // rates and cores are in hundredths
+	loadScale = 10  // loads are in thousandths: so many times finer
+	maxNumber = 1e12
+	maxClass  = 1 << 16
+)
+
+// splitReport splits a report into parts that fit a datagram each. A part has mostly cells or mostly demands.
+func splitReport(report *planner.Report) (parts []planner.Report) {
+	cells, demands := report.Cells, report.Demands
+	for len(parts) < maxParts && (len(parts) == 0 || len(cells)+len(demands) > 0) {
+		part := planner.Report{Zone: report.Zone, Part: len(parts)}
 		n := min(len(cells), maxCellsPerPart)
-		p.Cells, cells = cells[:n], cells[n:]
-		if n = min(len(asks), maxDemandsPerPart); len(p.Cells) < maxCellsPerPart/2 { // one or the other, mostly
-			p.Demands, asks = asks[:n], asks[n:]
+		part.Cells, cells = cells[:n], cells[n:]
+		if len(part.Cells) < maxCellsPerPart/2 {
+			n = min(len(demands), maxDemandsPerPart)
+			part.Demands, demands = demands[:n], demands[n:]
 		}
-		out = append(out, p)
+		parts = append(parts, part)
 	}
-	return out
+	return parts
 }
 
 func appendNumber(b []byte, x float64) []byte {
-	return binary.AppendUvarint(b, uint64(min(1e12, max(0, math.Round(x)))))
+	return binary.AppendUvarint(b, uint64(min(maxNumber, max(0, math.Round(x)))))
 }
 
-// Append is part.Words'.
-func (t *Report) Append(b []byte) []byte {
-	b = binary.AppendUvarint(append(b, kindReport), t.PlanNumber)
-	b = appendNumber(appendNumber(appendNumber(b, float64(t.Zone)), float64(t.Part)), float64(len(t.Cells)))
-	for i := range t.Cells {
-		c := &t.Cells[i]
-		b = appendNumber(appendNumber(b, float64(c.Group)), float64(c.Zone))
-		for _, x := range []float64{c.Attempts, c.Lost, c.Cores, c.FullCores, c.FixedCores} {
+// Append implements module.Message.
+func (m *Report) Append(b []byte) []byte {
+	b = binary.AppendUvarint(append(b, kindReport), m.PlanNumber)
+	b = appendNumber(b, float64(m.Zone))
+	b = appendNumber(b, float64(m.Part))
+	b = appendNumber(b, float64(len(m.Cells)))
+	for i := range m.Cells {
+		cell := &m.Cells[i]
+		b = appendNumber(b, float64(cell.Group))
+		b = appendNumber(b, float64(cell.Zone))
+		for _, x := range []float64{cell.Attempts, cell.Lost, cell.Cores, cell.FullCores, cell.FixedCores} {
 			b = appendNumber(b, x*rateScale)
 		}
-		b = appendNumber(b, c.AgeMs)
+		b = appendNumber(b, cell.AgeMs)
 	}
-	b = appendNumber(b, float64(len(t.Demands)))
-	for _, a := range t.Demands {
-		b = appendNumber(appendNumber(appendNumber(b, float64(a.Group)), float64(a.Class)), a.Load*10*rateScale)
+	b = appendNumber(b, float64(len(m.Demands)))
+	for _, demand := range m.Demands {
+		b = appendNumber(b, float64(demand.Group))
+		b = appendNumber(b, float64(demand.Class))
+		b = appendNumber(b, demand.Load*loadScale*rateScale)
 	}
 	return b
 }
 
-// Append is part.Words'.
-func (w *PlanUpdate) Append(b []byte) []byte {
-	b = appendNumber(binary.AppendUvarint(append(b, kindPlanUpdate), w.PlanNumber), w.AgeMs)
-	if w.Plan != nil {
-		b = w.Plan.Append(b)
+// Append implements module.Message.
+func (m *PlanUpdate) Append(b []byte) []byte {
+	b = binary.AppendUvarint(append(b, kindPlanUpdate), m.PlanNumber)
+	b = appendNumber(b, m.AgeMs)
+	if m.Plan != nil {
+		b = m.Plan.Append(b)
 	}
 	return b
 }
 
-// Decode reads either, all or nothing.
+// Decode decodes a message that takes up all bytes: *Report or *PlanUpdate.
 func Decode(b []byte) (any, error) {
 	if len(b) == 0 {
-		return nil, ErrMalformed
+		return nil, fmt.Errorf("%w: empty", ErrMalformed)
 	}
-	verb, bad := b[0], false
-	b = b[1:]
-	next := func(most float64) float64 {
-		x, n := binary.Uvarint(b)
-		if n <= 0 || float64(x) > most {
-			bad, b = true, nil
-			return 0
-		}
-		b = b[n:]
-		return float64(x)
+	switch b[0] {
+	case kindReport:
+		return decodeReport(b[1:])
+	case kindPlanUpdate:
+		return decodePlanUpdate(b[1:])
+	}
+	return nil, fmt.Errorf("%w: kind %d", ErrMalformed, b[0])
+}
+
+// reader decodes a report; after a fault it returns zeros.
+type reader struct{ encoding.Reader }
+
+func (r *reader) int(limit uint64) int         { return int(r.UvarintMax(limit)) }
+func (r *reader) scaled(scale float64) float64 { return float64(r.UvarintMax(maxNumber)) / scale }
+
+func decodeReport(b []byte) (any, error) {
+	r := reader{encoding.NewReader(b)}
+	m := &Report{PlanNumber: r.Uvarint()}
+	m.Zone = r.int(statemachine.MaxZones - 1)
+	m.Part = r.int(maxParts - 1)
+	for range r.int(maxCellsPerPart) {
+		m.Cells = append(m.Cells, r.cell())
+	}
+	for range r.int(maxDemandsPerPart) {
+		m.Demands = append(m.Demands, planner.Demand{Group: r.int(math.MaxInt32), Class: r.int(maxClass), Load: r.scaled(loadScale * rateScale)})
 	}
-	no, n := binary.Uvarint(b)
+	if !r.AtEnd() {
+		return nil, fmt.Errorf("%w: a report of %d bytes", ErrMalformed, len(b))
+	}
+	return m, nil
+}
+
+func (r *reader) cell() planner.Cell {
+	cell := planner.Cell{Group: r.int(math.MaxInt32), Zone: r.int(statemachine.MaxZones - 1)}
+	for _, x := range []*float64{&cell.Attempts, &cell.Lost, &cell.Cores, &cell.FullCores, &cell.FixedCores} {
+		*x = r.scaled(rateScale)
+	}
+	cell.AgeMs = r.scaled(1)
+	return cell
+}
+
+func decodePlanUpdate(b []byte) (any, error) {
+	malformed := fmt.Errorf("%w: a plan update of %d bytes", ErrMalformed, len(b))
+	number, n := binary.Uvarint(b)
 	if n <= 0 {
-		return nil, ErrMalformed
+		return nil, malformed
 	}
 	b = b[n:]
-	switch verb {
-	case kindReport:
-		t := &Report{PlanNumber: no}
-		t.Zone, t.Part = int(next(statemachine.MaxZones-1)), int(next(maxParts-1))
-		for range int(next(maxCellsPerPart)) {
-			c := planner.Cell{Group: int(next(math.MaxInt32)), Zone: int(next(statemachine.MaxZones - 1))}
-			for _, x := range []*float64{&c.Attempts, &c.Lost, &c.Cores, &c.FullCores, &c.FixedCores} {
-				*x = next(1e12) / rateScale
-			}
-			c.AgeMs = next(1e12)
-			t.Cells = append(t.Cells, c)
-		}
-		for range int(next(maxDemandsPerPart)) {
-			t.Demands = append(t.Demands, planner.Demand{Group: int(next(math.MaxInt32)), Class: int(next(1 << 16)), Load: next(1e12) / (10 * rateScale)})
-		}
-		if bad || len(b) > 0 {
-			return nil, ErrMalformed
-		}
-		return t, nil
-	case kindPlanUpdate:
-		w := &PlanUpdate{PlanNumber: no, AgeMs: next(1e12)}
-		if bad {
-			return nil, ErrMalformed
-		}
-		if len(b) > 0 {
-			var err error
-			if w.Plan, err = statemachine.DecodePlan(b); err != nil {
-				return nil, err
-			}
+	age, n := binary.Uvarint(b)
+	if n <= 0 || age > maxNumber {
+		return nil, malformed
+	}
+	b = b[n:]
+	m := &PlanUpdate{PlanNumber: number, AgeMs: float64(age)}
+	if len(b) > 0 {
+		var err error
+		if m.Plan, err = statemachine.DecodePlan(b); err != nil {
+			return nil, err
 		}
-		return w, nil
 	}
-	return nil, ErrMalformed
+	return m, nil
 }
--- a/internal/cluster/zones/doc.go
+++ b/internal/cluster/zones/doc.go
@@ -1,43 +1,48 @@
-// Package zones has the poolers decide together which zone's reads are served where: one plan for the whole fleet, near as long as near can
-// carry it. Every pooler has one of these, as a part of the fleet (package part). Decisions are the packages' below; here is what goes between.
+// Package zones lets the poolers decide together which zone's reads are served where: one plan for the whole fleet, local as long as the
+// local zone has the capacity. Every pooler runs a Coordinator, as a cluster module (package module). The decisions are made in the
+// packages below; this one exchanges the messages between them.
 //
-//   - plan: what part of each zone's reads goes where, from room, load, delay and price
-//   - state: a zone, or a way between two, from serving to evacuated and back
-//   - chief: the voter that leads makes plans of what all poolers see
-//   - book: which plan is the one, and operators' orders; a machine on the log in common
-//   - follow: what a pooler makes of a plan, and what it does without one
+//   - plan: which part of each zone's reads goes where, from capacity, load, delay and price
+//   - health: the state of a zone, or of the link between two, from serving to evacuated and back
+//   - planner: the leading voter makes plans from what all poolers observe
+//   - statemachine: which plan is in force, and the operators' orders; the state machine of the replicated log
+//   - follower: what a pooler does with a plan, and without one
+//   - admin: what operators see, and how their orders are parsed
 //
-// # What it decides, and what not
+// # Scope
 //
-// For each zone, the part of its reads that stays near and the parts that go to others; who of its poolers takes another zone for near; how
-// dear it is to cross meanwhile. The decision module still picks the server of each request, by that price, load and health; writes and
-// fresh reads go to the primary wherever it is, which is the database servers' own affair. No server is closed to anybody: what a plan
-// leaves out is the last resort, not forbidden.
+// It decides, for each zone, the part of its reads that stays local and the parts that go to others; which of its poolers take another
+// zone for local; and the price of crossing zones meanwhile. The decision module still picks the server of each request, by that price,
+// load and health. Writes and fresh reads go to the primary wherever it is, which is a matter of the database servers. No server is
+// closed to anybody: what a plan leaves out is the last resort, not forbidden.
 //
-// # What it is told, and tells
+// # Inputs and outputs
 //
-// Every Period a pooler tells each voter what it saw: of each group's servers in each zone how many attempts ended and were lost, how many
-// cores serve, and what its clients ask. A voter answers with the newest plan that it applied and how long ago that was. The log's leader
-// proposes plans, renews the one in force every Renew, and tells all at once of one that is different. It does not know who leads
-// for sure: what two propose, the log puts in an order, and the book voids one.
+// Every ReportInterval a pooler reports to each voter what it observed: for each group's servers in each zone how many attempts ended and
+// were lost, how many cores serve, and what its clients demand. A voter answers with the newest plan that it applied and the age of that.
+// The log's leader proposes plans, renews the one in force every RenewInterval, and sends a different one to all at once. It cannot be
+// sure that it still leads: the log orders what two leaders propose, and the state machine rejects one of them.
 //
-// # Who hears nobody
+// # A pooler that receives nothing
 //
-// A plan ends Life after a voter applied its last renewal. Voters without a majority apply none, so whoever hears only them, or nobody, falls back
-// within Fallback: near first; crossing dear; where near fails by its own evidence, to where the last plan had sent it, and nowhere else. That is
-// safe for who receives: no more comes than the last plan allowed, for which room was kept. Who never heard a plan does as if there were no zones.
+// A plan expires PlanLifetime after a voter applied its last renewal. Voters without a majority apply none, so a pooler that reaches
+// only those, or nobody, falls back within FallbackBound: local first; crossing is expensive; and where its own attempts in the local
+// zone fail, to where the last plan had sent it, and nowhere else. That is safe for the receiving zone: no more arrives than the last
+// plan allowed, for which capacity was kept. A pooler that never received a plan acts as if there were no zones.
 //
 // # Bounds
 //
-// With d the longest delay of a message, w of a durable write, k messages lost in a row, and a leader that stands:
-//
-//	from a failure until the plan has it        Decide(d, w, k)  = Fail + Window + 2*Period + Step + (2*d + Propose(d, w, 0)) + w + k*Period: losses
-//	    must last; they are told, looked at, agreed, told back and kept; where no leader stands, Elect and Settle more;
-//	from then until a dead zone is left         one step; one that fails by half in 1/Out steps of Step, Empty at most;
-//	who is cut off falls back within            Fallback(d)      = Life + d of the last renewal that a voter applied;
-//	    who stood still finds words that are older than they say: for it d counts until it goes on;
-//	a zone is left or taken back in a minute    Shifts           times at most (state.Settings.Shifts);
-//	an older plan after a newer one             Fence            = 0: by numbers in the process, by Floor over restarts. Who has no file for that
-//	    may follow, when it was restarted, what a voter that lags applied less than Life ago;
-//	a zone that receives is sent, by the plan, at most 1 - Spare of what its servers can do, in each group, at each step.
+// With d the longest delay of a message, w of a durable write, k messages lost in a row, and a stable leader:
+//
+//	from a failure until the plan reflects it     DecisionBound(d, w, k) = FailureTime + Window + 2*ReportInterval + StepInterval +
+//	    (2*d + Propose(d, w, 0)) + w + k*ReportInterval: losses must last; they are reported, assessed, agreed, sent back and stored;
+//	    without a leader, ElectionBound and SettleTime more;
+//	from then until a dead zone is abandoned      one step; one that fails by half in 1/OutwardShare steps of StepInterval, EvacuationTime
+//	    at most;
+//	a pooler that is cut off falls back within    FallbackBound(d) = PlanLifetime + d of the last renewal that a voter applied;
+//	    a process that was paused finds messages that are older than they state: for it d counts until it runs again;
+//	a zone is abandoned or restored in a minute   MaxShiftsPerMinute times at most (health.Settings.MaxShifts);
+//	an older plan after a newer one               FenceBound = 0: by numbers in the process, by MinPlan over restarts. A pooler that has no
+//	    file for that may follow, after a restart, what a lagging voter applied less than PlanLifetime ago;
+//	a zone that receives is sent, by the plan, at most 1 - SpareShare of what its servers can do, in each group, at each step.
 package zones
--- a/internal/cluster/zones/statemachine/codec.go
+++ b/internal/cluster/zones/statemachine/codec.go
@@ -12,20 +12,40 @@
 
 // All numbers are varints; a plan is
 //
-//	no since version of by-length by zones {state rest}... ways {from to state rest}... short most {cells {to part}...}...
+//	number since version zones-hash author-length author zones {state rest}... links {from to state rest}... unserved max-fill
+//	{shares {to share}...}...
 //
-// with parts in thousandths, and rows without the cells that are nothing.
+// with shares in thousandths, and rows without the shares that are 0. Rests are in seconds.
+const (
+	shareScale   = 1000
+	msPerSecond  = 1000
+	maxRestS     = 1e6
+	maxFraction  = 1e12 // of unserved and max-fill, in thousandths
+	maxUntilMs   = 1 << 50
+	shareEpsilon = 1e-6
+)
 
-const shareScale = 1000
+// Marks of an order in a snapshot; the list of orders ends with noMoreOrders.
+const (
+	noMoreOrders = 0
+	pastOrder    = 1
+	activeOrder  = 2
+)
 
 func describe(a, b *Plan) string { return fmt.Sprintf("%+v, then %+v", a, b) }
 
-func (m *ZoneStatus) append(b []byte) []byte {
-	b = binary.AppendUvarint(b, uint64(m.State))
-	return binary.AppendUvarint(b, uint64(max(0, math.Round(m.RestMs/1000))))
+func (s *ZoneStatus) append(b []byte) []byte {
+	b = binary.AppendUvarint(b, uint64(s.State))
+	return binary.AppendUvarint(b, uint64(max(0, math.Round(s.RestMs/msPerSecond))))
+}
+
+// thousandths rounds up.
+func thousandths(x float64) uint64 {
+	return uint64(min(maxFraction, max(0, math.Ceil(x*shareScale-shareEpsilon))))
 }
 
-func thousandths(x float64) uint64 { return uint64(min(1e12, max(0, math.Ceil(x*shareScale-1e-6)))) }
+// Append appends the encoded plan.
+func (p *Plan) Append(b []byte) []byte { return p.append(b) }
 
 func (p *Plan) append(b []byte) []byte {
 	for _, x := range []uint64{p.Number, p.Since, p.Version, uint64(p.ZonesHash), uint64(len(p.Author))} {
@@ -38,39 +58,40 @@
 	}
 	b = binary.AppendUvarint(b, uint64(len(p.Links)))
 	for i := range p.Links {
-		w := &p.Links[i]
-		b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(w.From)), uint64(w.To))
-		b = w.append(b)
+		link := &p.Links[i]
+		b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(link.From)), uint64(link.To))
+		b = link.append(b)
 	}
-	b = binary.AppendUvarint(binary.AppendUvarint(b, thousandths(p.Unserved)), thousandths(p.MaxFill))
-	for z, row := range p.Matrix {
-		b = appendRow(b, z, row)
+	b = binary.AppendUvarint(b, thousandths(p.Unserved))
+	b = binary.AppendUvarint(b, thousandths(p.MaxFill))
+	for zone, row := range p.Matrix {
+		b = appendRow(b, zone, row)
 	}
 	return b
 }
 
-// appendRow rounds what goes elsewhere down, and has what stays make up for it, where anything stays.
-func appendRow(b []byte, z int, row []float64) []byte {
-	var cells []uint64
-	lost := 0.0
-	for to, p := range row {
-		n := math.Floor(p*shareScale + 1e-6)
-		if to != z {
-			lost += p*shareScale - n
+// appendRow rounds the shares that leave a zone down, and adds what that leaves to the share that stays, if there is one.
+func appendRow(b []byte, zone int, row []float64) []byte {
+	shares := make([]uint64, len(row))
+	rounded := 0.0
+	for to, share := range row {
+		n := math.Floor(share*shareScale + shareEpsilon)
+		if to != zone {
+			rounded += share*shareScale - n
 		}
-		cells = append(cells, uint64(min(shareScale, max(0, n))))
+		shares[to] = uint64(min(shareScale, max(0, n)))
 	}
-	if cells[z] > 0 {
-		cells[z] = min(shareScale, uint64(row[z]*shareScale+lost+0.5))
+	if shares[zone] > 0 {
+		shares[zone] = min(shareScale, uint64(row[zone]*shareScale+rounded+0.5))
 	}
 	count := 0
-	for _, n := range cells {
+	for _, n := range shares {
 		if n > 0 {
 			count++
 		}
 	}
 	b = binary.AppendUvarint(b, uint64(count))
-	for to, n := range cells {
+	for to, n := range shares {
 		if n > 0 {
 			b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(to)), n)
 		}
@@ -89,47 +110,64 @@
 	return b
 }
 
-// reader reads numbers; what is none, or above its bound, spoils it.
+// reader decodes entries. A number that is missing or above its bound makes it fail.
 type reader struct{ encoding.Reader }
 
-func (r *reader) mark() ZoneStatus {
-	return ZoneStatus{State: health.State(r.UvarintMax(uint64(health.Returning))), RestMs: float64(r.UvarintMax(1e6)) * 1000}
+func (r *reader) status() ZoneStatus {
+	state := health.State(r.UvarintMax(uint64(health.Returning)))
+	return ZoneStatus{State: state, RestMs: float64(r.UvarintMax(maxRestS)) * msPerSecond}
 }
 
-func (r *reader) text(most uint64) string { return string(r.Take(int(r.UvarintMax(most)))) }
+func (r *reader) text(limit uint64) string { return string(r.Take(int(r.UvarintMax(limit)))) }
 
 func (r *reader) plan() *Plan {
-	p := &Plan{Number: r.Uvarint(), Since: r.Uvarint(), Version: r.Uvarint(), ZonesHash: uint32(r.UvarintMax(math.MaxUint32)), Author: r.text(MaxNameBytes)}
+	p := &Plan{Number: r.Uvarint(), Since: r.Uvarint(), Version: r.Uvarint()}
+	p.ZonesHash = uint32(r.UvarintMax(math.MaxUint32))
+	p.Author = r.text(MaxNameBytes)
 	zones := r.UvarintMax(MaxZones)
 	for range zones {
-		p.Zones = append(p.Zones, r.mark())
+		p.Zones = append(p.Zones, r.status())
 	}
 	for range r.UvarintMax(MaxLinks) {
 		if zones == 0 {
 			r.Require(false)
 			return p
 		}
-		p.Links = append(p.Links, LinkStatus{From: int(r.UvarintMax(zones - 1)), To: int(r.UvarintMax(zones - 1)), ZoneStatus: r.mark()})
+		from, to := int(r.UvarintMax(zones-1)), int(r.UvarintMax(zones-1))
+		p.Links = append(p.Links, LinkStatus{From: from, To: to, ZoneStatus: r.status()})
 	}
-	p.Unserved, p.MaxFill = float64(r.UvarintMax(1e12))/shareScale, float64(r.UvarintMax(1e12))/shareScale
+	p.Unserved = float64(r.UvarintMax(maxFraction)) / shareScale
+	p.MaxFill = float64(r.UvarintMax(maxFraction)) / shareScale
 	for range zones {
-		row, sum := make([]float64, zones), uint64(0)
-		for range r.UvarintMax(zones) {
-			to := r.UvarintMax(zones - 1)
-			n := r.UvarintMax(shareScale)
-			row[to], sum = float64(n)/shareScale, sum+n
-		}
-		r.Require(sum <= shareScale)
-		p.Matrix = append(p.Matrix, row)
+		p.Matrix = append(p.Matrix, r.row(zones))
 	}
 	return p
 }
 
+func (r *reader) row(zones uint64) []float64 {
+	row := make([]float64, zones)
+	sum := uint64(0)
+	for range r.UvarintMax(zones) {
+		to := r.UvarintMax(zones - 1)
+		share := r.UvarintMax(shareScale)
+		row[to] = float64(share) / shareScale
+		sum += share
+	}
+	r.Require(sum <= shareScale)
+	return row
+}
+
 func (r *reader) order() Order {
-	return Order{Number: r.Uvarint(), Zone: int(r.UvarintMax(MaxZones - 1)), Lifts: r.UvarintMax(1) == 1, State: health.State(r.UvarintMax(uint64(health.Returning))), Until: float64(r.UvarintMax(1 << 50))}
+	return Order{
+		Number: r.Uvarint(),
+		Zone:   int(r.UvarintMax(MaxZones - 1)),
+		Lifts:  r.UvarintMax(1) == 1,
+		State:  health.State(r.UvarintMax(uint64(health.Returning))),
+		Until:  float64(r.UvarintMax(maxUntilMs)),
+	}
 }
 
-// DecodePlan reads a plan's bytes, all or nothing.
+// DecodePlan decodes a plan that takes up all bytes.
 func DecodePlan(b []byte) (*Plan, error) {
 	r := reader{encoding.NewReader(b)}
 	if p := r.plan(); r.AtEnd() {
@@ -138,60 +176,61 @@
 	return nil, ErrMalformed
 }
 
-// Append makes a plan's bytes.
-func (p *Plan) Append(b []byte) []byte { return p.append(b) }
-
-// Rounded is a plan as others read it.
+// Rounded returns the plan as others decode it.
 func (p *Plan) Rounded() *Plan {
-	q, err := DecodePlan(p.append(nil))
+	rounded, err := DecodePlan(p.append(nil))
 	if err != nil {
 		return &Plan{Matrix: plan.IdentityMatrix(len(p.Zones))}
 	}
-	return q
+	return rounded
 }
 
-// Snapshot is the book as bytes: the same book, the same bytes.
+// Snapshot returns the encoded state. Equal states have equal snapshots.
 func (machine *StateMachine) Snapshot() []byte {
 	out := binary.AppendUvarint(binary.AppendUvarint(nil, machine.Index), machine.Version)
-	for z := range machine.orders {
-		if machine.orders[z].Number > 0 {
-			out = append(out, 1)
-			if machine.active[z] {
-				out[len(out)-1] = 2
-			}
-			out = machine.orders[z].append(out)
+	for zone := range machine.orders {
+		order := &machine.orders[zone]
+		switch {
+		case order.Number == 0:
+			continue
+		case machine.active[zone]:
+			out = append(out, activeOrder)
+		default:
+			out = append(out, pastOrder)
 		}
+		out = order.append(out)
 	}
-	out = append(out, 0)
+	out = append(out, noMoreOrders)
 	if machine.Plan != nil {
 		out = machine.Plan.append(append(out, 1))
 	}
 	return out
 }
 
-// Restore takes the book from bytes, or leaves it as it is.
-func (machine *StateMachine) Restore(data []byte) error {
-	n := StateMachine{Checks: machine.Checks, AcceptsAnyPlan: machine.AcceptsAnyPlan}
-	if len(data) > 0 {
-		r := reader{encoding.NewReader(data)}
-		n.Index, n.Version = r.Uvarint(), r.Uvarint()
-		for k := r.UvarintMax(2); k > 0 && r.OK(); k = r.UvarintMax(2) {
-			o := r.order()
-			n.orders[o.Zone], n.active[o.Zone] = o, k == 2
+// Restore replaces the state by that of a snapshot. After an error the state is as it was.
+func (machine *StateMachine) Restore(snapshot []byte) error {
+	restored := StateMachine{Checks: machine.Checks, AcceptsAnyPlan: machine.AcceptsAnyPlan}
+	if len(snapshot) > 0 {
+		r := reader{encoding.NewReader(snapshot)}
+		restored.Index, restored.Version = r.Uvarint(), r.Uvarint()
+		for mark := r.UvarintMax(activeOrder); mark != noMoreOrders && r.OK(); mark = r.UvarintMax(activeOrder) {
+			order := r.order()
+			restored.orders[order.Zone] = order
+			restored.active[order.Zone] = mark == activeOrder
 		}
 		if r.More() && r.UvarintMax(1) == 1 {
-			n.Plan = r.plan()
+			restored.Plan = r.plan()
 		}
 		if !r.AtEnd() {
 			return ErrMalformed
 		}
 	}
-	*machine = n
+	*machine = restored
 	return nil
 }
 
-// Clone makes another like it.
+// Clone returns an independent copy.
 func (machine *StateMachine) Clone() *StateMachine {
-	c := *machine
-	return &c
+	clone := *machine
+	return &clone
 }
--- a/internal/cluster/zones/statemachine/statemachine.go
+++ b/internal/cluster/zones/statemachine/statemachine.go
@@ -1,11 +1,12 @@
-// Package statemachine keeps the plan in force and the operators' orders. It is a machine on the log that the poolers agree on: each voter applies
-// the same entries in the same order and comes to the same book. It has no clock: an order's end is an entry too, which who leads proposes.
+// Package statemachine holds the plan in force and the operators' orders. It is a state machine of the replicated log: each voter applies
+// the same entries in the same order and comes to the same state. It does no I/O and has no clock: the end of an order is an entry too,
+// which the leader proposes. Without new entries the state stays as it is.
 //
-// # What is always so
+// # Guarantees
 //
-// A plan's number is the one before and one; it names the version of the orders that it was made with. An entry that is neither is void, so
-// of two who lead at once, or one who was asleep, one is too late: there is one plan for each number, and none made without an order that
-// stands. An order has a number too, by which it is taken once, and none after a newer one of its zone.
+// A plan's number is the previous one plus one, and the plan names the version of the orders that it was made with. An entry for which
+// either does not hold is rejected, so of two leaders at once, or one that was paused, one is too late: there is one plan for each number,
+// and none that ignores an active order. Orders are numbered for each zone: each is applied once, and none after a newer one.
 package statemachine
 
 import (
@@ -17,97 +18,107 @@
 	"beechgrade/internal/invariant"
 )
 
-// Bounds of what is taken.
+// Bounds of entries.
 const (
 	MaxZones     = 27
 	MaxNameBytes = 64
-	MaxLinks     = 64 // ways between zones that are not as usual
+	MaxLinks     = 64 // between zones, that are not serving
 )
 
-// ErrMalformed is of an entry that cannot be read.
-var ErrMalformed = errors.New("no entry about zones")
+// ErrMalformed is the error of an entry, a plan or a snapshot that cannot be decoded.
+var ErrMalformed = errors.New("zones: malformed entry")
 
-// ZoneStatus is how a zone, or a way, stands by a plan.
+// ZoneStatus is the state of a zone or a link by a plan.
 type ZoneStatus struct {
 	State  health.State
-	RestMs float64 // ms, the next one's, in whole seconds
+	RestMs float64 // the next rest, in whole seconds
 }
 
-// LinkStatus is one between two zones that does not stand as usual.
+// LinkStatus is the state of a link between two zones that is not serving.
 type LinkStatus struct {
 	From, To int
 	ZoneStatus
 }
 
-// Plan is what the fleet does. Shares are in thousandths, rounded so that nothing more than was meant goes anywhere else.
+// Plan says where the fleet sends the reads of each zone. Shares are in thousandths, rounded so that no zone receives more than was meant.
 type Plan struct {
 	Number    uint64
-	Since     uint64 // the number from which on plans asked for the same; the log's order says it
+	Since     uint64 // the number of the first plan with the same target; set when the plan is applied
 	Version   uint64 // of the orders that it was made with
-	ZonesHash uint32 // a sum of the zones' names: a pooler that has others does not follow
+	ZonesHash uint32 // of the zones' names: a pooler with other zones does not follow the plan
 	Author    string // the voter that made it
 	Zones     []ZoneStatus
 	Links     []LinkStatus
 	Matrix    plan.Matrix
-	Unserved  float64 // cores of work without safe room, in thousandths
-	MaxFill   float64 // the largest part of its safe room that a zone gets which receives, in thousandths
+	Unserved  float64 // cores of work without safe capacity, in thousandths
+	MaxFill   float64 // the largest part of its safe capacity that a receiving zone is sent, in thousandths
 }
 
-// SameTarget tells whether two plans ask for the same.
-func (p *Plan) SameTarget(o *Plan) bool {
-	a, b := *p, *o
-	a.Number, b.Number, a.Since, b.Since, a.Author, b.Author, a.Unserved, b.Unserved, a.MaxFill, b.MaxFill = 0, 0, 0, 0, "", "", 0, 0, 0, 0
-	return string(a.append(nil)) == string(b.append(nil))
+// SameTarget reports whether two plans send the same reads to the same zones.
+func (p *Plan) SameTarget(other *Plan) bool {
+	return string(p.target()) == string(other.target())
 }
 
-// Order is an operators' word on a zone.
+// target returns the encoded plan without what differs between plans of one target.
+func (p *Plan) target() []byte {
+	same := *p
+	same.Number, same.Since, same.Author = 0, 0, ""
+	same.Unserved, same.MaxFill = 0, 0
+	return same.append(nil)
+}
+
+// Order is an operators' order of a zone's state.
 type Order struct {
 	Number uint64
 	Zone   int
-	Lifts  bool // none holds from here on
+	Lifts  bool // it ends the previous one, and orders nothing
 	State  health.State
-	Until  float64 // Unix ms, whole; 0 for until it is taken back
+	Until  float64 // Unix ms, whole; 0 for until it is lifted
 }
 
-// StateMachine is what was agreed.
+// StateMachine is the agreed state.
 type StateMachine struct {
 	Index          uint64
 	Plan           *Plan // nil before the first
 	Version        uint64
 	Checks         *invariant.Checks
-	AcceptsAnyPlan bool // a mutant: any plan is taken
+	AcceptsAnyPlan bool // a fault by which tests are tested
 
-	orders [MaxZones]Order // by zone: the newest
+	orders [MaxZones]Order // the newest of each zone
 	active [MaxZones]bool
 }
 
-// New makes an empty book.
+// New returns an empty StateMachine.
 func New() *StateMachine { return &StateMachine{} }
 
-// Order is the one that stands for a zone.
-func (machine *StateMachine) Order(zone int) (o Order, ok bool) {
+// Order returns the active order of a zone.
+func (machine *StateMachine) Order(zone int) (order Order, ok bool) {
 	if zone < 0 || zone >= MaxZones || !machine.active[zone] {
 		return Order{}, false
 	}
 	return machine.orders[zone], true
 }
 
-// NewestOrder is the number of a zone's newest order.
+// NewestOrder returns the number of a zone's newest order, active or not.
 func (machine *StateMachine) NewestOrder(zone int) uint64 { return machine.orders[zone].Number }
 
-// What an entry is.
+// Kinds of entries.
 const (
 	entryPlan     = 1
 	entryOrder    = 2
 	entryOrderEnd = 3
 )
 
-// EncodePlan, EncodeOrder and EncodeOrderEnd make entries. An order's end is that of its number.
-func EncodePlan(p *Plan) []byte      { return p.append([]byte{entryPlan}) }
-func EncodeOrder(o *Order) []byte    { return o.append([]byte{entryOrder}) }
+// EncodePlan returns the entry that proposes a plan.
+func EncodePlan(p *Plan) []byte { return p.append([]byte{entryPlan}) }
+
+// EncodeOrder returns the entry of an order.
+func EncodeOrder(o *Order) []byte { return o.append([]byte{entryOrder}) }
+
+// EncodeOrderEnd returns the entry that ends the order with the same number.
 func EncodeOrderEnd(o *Order) []byte { return o.append([]byte{entryOrderEnd}) }
 
-// Apply takes an entry, once, and tells whether it changed anything. One that cannot be read does not.
+// Apply applies the entry with an index, once, and reports whether it changed anything. A malformed entry does not.
 func (machine *StateMachine) Apply(index uint64, entry []byte) bool {
 	if index <= machine.Index {
 		return false
@@ -125,11 +136,14 @@
 		}
 		return machine.applyPlan(p)
 	case entryOrder, entryOrderEnd:
-		o := r.order()
-		if !r.AtEnd() {
+		order := r.order()
+		switch {
+		case !r.AtEnd():
 			return false
+		case entry[0] == entryOrderEnd:
+			return machine.endOrder(order)
 		}
-		return machine.applyOrder(o, entry[0] == entryOrderEnd)
+		return machine.applyOrder(order)
 	}
 	return false
 }
@@ -139,29 +153,36 @@
 	if machine.Plan != nil {
 		last = machine.Plan.Number
 	}
-	if (p.Number != last+1 || p.Version != machine.Version) && !machine.AcceptsAnyPlan {
+	isNext := p.Number == last+1 && p.Version == machine.Version
+	if !isNext && !machine.AcceptsAnyPlan {
 		return false
 	}
 	if machine.Checks.Enabled() {
 		machine.Checks.That(p.Number > last, "zones: no old plan after a new one", func() string { return describe(machine.Plan, p) })
 	}
-	if p.Since = p.Number; machine.Plan != nil && machine.Plan.SameTarget(p) {
+	p.Since = p.Number
+	if machine.Plan != nil && machine.Plan.SameTarget(p) {
 		p.Since = machine.Plan.Since
 	}
 	machine.Plan = p
 	return true
 }
 
-func (machine *StateMachine) applyOrder(o Order, end bool) bool {
-	at := &machine.orders[o.Zone]
-	switch {
-	case end && (o.Number != at.Number || !machine.active[o.Zone]), !end && o.Number <= at.Number:
+func (machine *StateMachine) applyOrder(order Order) bool {
+	if order.Number <= machine.orders[order.Zone].Number {
+		return false
+	}
+	machine.orders[order.Zone] = order
+	machine.active[order.Zone] = !order.Lifts
+	machine.Version++
+	return true
+}
+
+func (machine *StateMachine) endOrder(order Order) bool {
+	if !machine.active[order.Zone] || order.Number != machine.orders[order.Zone].Number {
 		return false
-	case end:
-		machine.active[o.Zone] = false
-	default:
-		*at, machine.active[o.Zone] = o, !o.Lifts
 	}
+	machine.active[order.Zone] = false
 	machine.Version++
 	return true
 }
