--- a/internal/endpoints/consul/source_test.go
+++ b/internal/endpoints/consul/source_test.go
@@ -54,8 +54,8 @@
 // correct one is reported.
 func TestFaultyAgentsChangeNothing(t *testing.T) {
 	for name, c := range map[string]struct {
-		lie consulserver.Fault
-		why string
+		fault  consulserver.Fault
+		reason string
 	}{
 		"a storm of 500s":     {consulserver.Fault{Status: 500}, "status 500"},
 		"slow down":           {consulserver.Fault{Status: 429, RetryAfter: 1}, "status 429"},
@@ -67,9 +67,9 @@
 		t.Run(name, func(t *testing.T) {
 			w := startWatch(t, 2, nil)
 			w.waitUntil(t, "three", w.hasSize(3))
-			w.setAllFaults(c.lie)
+			w.setAllFaults(c.fault)
 			w.catalog.Change("db", []consulserver.Instance{instance(3)})
-			w.waitUntil(t, "its reason", w.hasNote(c.why))
+			w.waitUntil(t, "its reason", w.hasNote(c.reason))
 			w.waitUntil(t, "that nobody answers", func() bool { return len(w.lost) == 1 && len(w.list) == 3 })
 			w.setAllFaults(consulserver.Fault{})
 			w.waitUntil(t, "the truth", w.hasSize(4))
--- a/internal/settings/cluster_test.go
+++ b/internal/settings/cluster_test.go
@@ -19,6 +19,7 @@
 	}
 	env := func(string) string { return "" }
 	for in, want := range map[string]string{
+		`(peers)`:                                                                           `o:1:1: (peers ...) needs (listen ...)`,
 		`(peers (listen "1.2.3.4:5"))`:                                                      `o:1:1: (peers ...) needs (key ...)`,
 		`(peers (key "k"))`:                                                                 `o:1:1: (peers ...) needs (listen ...)`,
 		`(peers (listen "host:5") (key "k"))`:                                               `o:1:16: "host:5" is no address and port in numbers`,
--- a/internal/testkit/fake/consulserver/agent.go
+++ b/internal/testkit/fake/consulserver/agent.go
@@ -1,5 +1,5 @@
-// Package consulserver is a stand-in for Consul agents on loopback: a catalogue of services that changes, and agents that answer
-// the catalogue and health API from it with blocking queries, or lie about it as they are told to.
+// Package consulserver fakes Consul agents on loopback: a catalogue of services that changes, and agents that answer the
+// catalogue and health API from it with blocking queries. A Fault has an agent answer wrongly.
 package consulserver
 
 import (
@@ -17,94 +17,22 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// Instance is a service's instance as it is registered.
-type Instance struct {
-	ID, Service string
-	Node        string
-	Address     string
-	Port        int
-	Tags        []string
-	Meta        map[string]string
-	Status      string // passing, warning or critical; passing where empty
-	Maintenance bool   // of the service
-	NodeDown    bool   // maintenance of its node
-	Weight      int
-}
-
-// Catalog is what the servers behind the agents agree on.
-type Catalog struct {
-	mu        sync.Mutex
-	services  map[string]map[string]Instance
-	indexes   map[string]uint64
-	lastIndex uint64
-	changed   chan struct{} // closed at each change
-}
-
-// NewCatalog makes an empty catalogue.
-func NewCatalog() *Catalog {
-	return &Catalog{services: map[string]map[string]Instance{}, indexes: map[string]uint64{}, lastIndex: 10, changed: make(chan struct{})}
-}
-
-// Change has the catalogue changed: instances are registered, anew where they were, and ids deregistered.
-func (c *Catalog) Change(service string, put []Instance, removed ...string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	instances := c.services[service]
-	if instances == nil {
-		instances = map[string]Instance{}
-		c.services[service] = instances
-	}
-	for _, instance := range put {
-		instance.Service = service
-		instances[instance.ID] = instance
-	}
-	for _, id := range removed {
-		delete(instances, id)
-	}
-	c.lastIndex++
-	c.indexes[service] = c.lastIndex
-	close(c.changed)
-	c.changed = make(chan struct{})
-}
-
-// ResetIndex has the index begin anew, as after a restore.
-func (c *Catalog) ResetIndex() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lastIndex = 1
-	for service := range c.indexes {
-		c.lastIndex++
-		c.indexes[service] = c.lastIndex
-	}
-	close(c.changed)
-	c.changed = make(chan struct{})
-}
-
-func (c *Catalog) read(service string) (list []Instance, index uint64, changed chan struct{}) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, id := range slices.Sorted(maps.Keys(c.services[service])) {
-		list = append(list, c.services[service][id])
-	}
-	return list, max(1, c.indexes[service]), c.changed
-}
-
-// Fault is how an agent answers otherwise than it should. The zero value is the truth.
+// Fault says how an agent answers wrongly. The zero value is no fault.
 type Fault struct {
 	Status        int           // in place of 200
 	RetryAfter    int           // seconds, with Status
-	Hang          bool          // it takes queries and answers none
-	Truncated     bool          // it ends in the midst of its list
+	Hang          bool          // queries are never answered
+	Truncated     bool          // the answer ends in the middle of its list
 	Empty         bool          // an empty list, with 200
-	OversizeBytes int64         // so many bytes of list
+	OversizeBytes int64         // of a list that is too long
 	Garbage       bool          // no JSON
-	Leaderless    bool          // it says that it knows no leader
-	LastContact   time.Duration // since its server heard of its leader
-	Frozen        bool          // what it knew when this began
+	Leaderless    bool          // the agent knows no leader
+	LastContact   time.Duration // since its server last heard from the leader
+	Frozen        bool          // it answers with what it knew when the fault was set
 	NoIndex       bool
 }
 
-// Agent is one agent.
+// Agent is one agent. It is safe for concurrent use.
 type Agent struct {
 	Address string
 
@@ -140,7 +68,7 @@
 // Stop ends the agent and its connections.
 func (a *Agent) Stop() { _ = a.server.Close() }
 
-// SetFault has the agent lie from now on; queries that wait are answered.
+// SetFault sets the fault from now on; queries that wait are answered.
 func (a *Agent) SetFault(fault Fault) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -165,102 +93,138 @@
 	a.requiredToken = token
 }
 
-// Queries is how many it was asked, and what the last ones were.
+// Queries returns the number of queries so far, and the paths of the last ones.
 func (a *Agent) Queries() (int, []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queries, slices.Clone(a.paths)
 }
 
-const maxPaths = 50
+const (
+	maxPaths    = 50
+	defaultWait = 5 * time.Minute // of a blocking query
+	maxWait     = 10 * time.Minute
+	fillerBytes = 1 << 16
+)
 
-func (a *Agent) handle(w http.ResponseWriter, r *http.Request, encode func(*Instance) any) {
-	parameters := r.URL.Query()
-	name := r.PathValue("name")
-	knownIndex, _ := strconv.ParseUint(parameters.Get("index"), 10, 64)
-	wait, err := time.ParseDuration(parameters.Get("wait"))
-	if err != nil || wait <= 0 || wait > 10*time.Minute {
-		wait = 5 * time.Minute
+// answerState is what an answer is made of, and what changes it.
+type answerState struct {
+	fault          Fault
+	token          string
+	instances      []Instance
+	index          uint64
+	faultChanged   <-chan struct{}
+	catalogChanged <-chan struct{} // nil for never
+}
+
+func (a *Agent) state(service string) answerState {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	state := answerState{fault: a.fault, token: a.requiredToken, faultChanged: a.changed}
+	state.instances, state.index, state.catalogChanged = a.catalog.read(service)
+	if a.fault.Frozen {
+		state.instances, state.index, state.catalogChanged = a.frozen[service], max(1, a.frozenIndexes[service]), nil
 	}
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	return state
+}
+
+// isBlocking reports whether a query of an index is held back until there is a change.
+func (s *answerState) isBlocking(knownIndex uint64) bool {
+	hasList := !s.fault.Empty && !s.fault.Truncated && !s.fault.Garbage && s.fault.OversizeBytes == 0
+	return hasList && knownIndex > 0 && s.index == knownIndex
+}
+
+func (a *Agent) countQuery(r *http.Request) {
 	a.mu.Lock()
+	defer a.mu.Unlock()
 	a.queries++
 	a.paths = append(a.paths[max(0, len(a.paths)-maxPaths+1):], r.URL.RequestURI())
-	a.mu.Unlock()
+}
+
+// queryWait is the time for which a query may be held back.
+func queryWait(r *http.Request) time.Duration {
+	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
+	if err != nil || wait <= 0 || wait > maxWait {
+		return defaultWait
+	}
+	return wait
+}
+
+// handle answers a query, at once or at the next change.
+func (a *Agent) handle(w http.ResponseWriter, r *http.Request, encode func(*Instance) any) {
+	knownIndex, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64) // 0 where there is none
+	end := time.NewTimer(queryWait(r))
+	defer end.Stop()
+	a.countQuery(r)
 	for {
-		a.mu.Lock()
-		fault, token, changed := a.fault, a.requiredToken, a.changed
-		list, index, wake := a.catalog.read(name)
-		if fault.Frozen {
-			list, index, wake = a.frozen[name], max(1, a.frozenIndexes[name]), nil
-		}
-		a.mu.Unlock()
-		switch {
-		case fault.Hang:
+		state := a.state(r.PathValue("name"))
+		if state.fault.Hang {
 			select {
-			case <-changed:
+			case <-state.faultChanged:
 				continue
 			case <-r.Context().Done():
 				return
 			}
-		case token != "" && r.Header.Get("X-Consul-Token") != token:
-			http.Error(w, "Permission denied: token lacks permission 'service:read'", http.StatusForbidden)
-			return
-		case fault.Status != 0:
-			if fault.RetryAfter > 0 {
-				w.Header().Set("Retry-After", strconv.Itoa(fault.RetryAfter))
-			}
-			http.Error(w, "No cluster leader", fault.Status)
+		}
+		if state.reject(w, r) {
 			return
 		}
-		plain := !fault.Empty && !fault.Truncated && !fault.Garbage && fault.OversizeBytes == 0
-		if knownIndex > 0 && index == knownIndex && plain {
+		if state.isBlocking(knownIndex) {
 			select {
-			case <-wake:
+			case <-state.catalogChanged:
 				continue
-			case <-changed:
+			case <-state.faultChanged:
 				continue
 			case <-end.C:
 			case <-r.Context().Done():
 				return
 			}
 		}
-		a.respond(w, list, index, fault, encode)
+		state.respond(w, encode)
 		return
 	}
 }
 
-func (a *Agent) respond(w http.ResponseWriter, list []Instance, index uint64, fault Fault, encode func(*Instance) any) {
-	header := w.Header()
-	header.Set("Content-Type", "application/json")
-	if !fault.NoIndex {
-		header.Set("X-Consul-Index", strconv.FormatUint(index, 10))
+// reject answers a query with an error where its token or the fault asks for one, and reports whether it did.
+func (s *answerState) reject(w http.ResponseWriter, r *http.Request) bool {
+	if s.token != "" && r.Header.Get("X-Consul-Token") != s.token {
+		http.Error(w, "Permission denied: token lacks permission 'service:read'", http.StatusForbidden)
+		return true
 	}
-	header.Set("X-Consul-KnownLeader", strconv.FormatBool(!fault.Leaderless))
-	header.Set("X-Consul-LastContact", strconv.FormatInt(fault.LastContact.Milliseconds(), 10))
-	if fault.Empty {
-		list = nil
+	if s.fault.Status == 0 {
+		return false
 	}
-	out := make([]any, 0, len(list))
-	for i := range list {
-		out = append(out, encode(&list[i]))
+	if s.fault.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(s.fault.RetryAfter))
 	}
-	body, err := jsoniter.Marshal(out)
+	http.Error(w, "No cluster leader", s.fault.Status)
+	return true
+}
+
+// respond writes the list, or what the fault has in its place.
+func (s *answerState) respond(w http.ResponseWriter, encode func(*Instance) any) {
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	if !s.fault.NoIndex {
+		header.Set("X-Consul-Index", strconv.FormatUint(s.index, 10))
+	}
+	header.Set("X-Consul-KnownLeader", strconv.FormatBool(!s.fault.Leaderless))
+	header.Set("X-Consul-LastContact", strconv.FormatInt(s.fault.LastContact.Milliseconds(), 10))
+	encoded := make([]any, 0, len(s.instances))
+	if !s.fault.Empty {
+		for i := range s.instances {
+			encoded = append(encoded, encode(&s.instances[i]))
+		}
+	}
+	body, err := jsoniter.Marshal(encoded)
 	switch {
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusInternalServerError)
-	case fault.Garbage:
+	case s.fault.Garbage:
 		_, _ = io.WriteString(w, "<html>gateway</html>")
-	case fault.OversizeBytes > 0:
-		_, _ = io.WriteString(w, "[")
-		filler := []byte(`{"Node":{"Node":"` + strings.Repeat("x", 1<<16) + `"}},`)
-		for n := int64(0); n < fault.OversizeBytes; n += int64(len(filler)) {
-			if _, err := w.Write(filler); err != nil {
-				return
-			}
-		}
-	case fault.Truncated:
+	case s.fault.OversizeBytes > 0:
+		writeOversize(w, s.fault.OversizeBytes)
+	case s.fault.Truncated:
 		header.Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
@@ -270,28 +234,13 @@
 	}
 }
 
-type object = map[string]any
-
-func encodeHealth(instance *Instance) any {
-	status := instance.Status
-	if status == "" {
-		status = "passing"
-	}
-	checks := []object{{"Node": instance.Node, "CheckID": "serfHealth", "Status": "passing"},
-		{"Node": instance.Node, "CheckID": "service:" + instance.ID, "Status": status, "ServiceID": instance.ID, "ServiceName": instance.Service}}
-	if instance.Maintenance {
-		checks = append(checks, object{"Node": instance.Node, "CheckID": "_service_maintenance:" + instance.ID, "Status": "critical", "ServiceID": instance.ID})
-	}
-	if instance.NodeDown {
-		checks = append(checks, object{"Node": instance.Node, "CheckID": "_node_maintenance", "Status": "critical"})
+// writeOversize writes the beginning of a list of so many bytes.
+func writeOversize(w io.Writer, size int64) {
+	_, _ = io.WriteString(w, "[")
+	filler := []byte(`{"Node":{"Node":"` + strings.Repeat("x", fillerBytes) + `"}},`)
+	for written := int64(0); written < size; written += int64(len(filler)) {
+		if _, err := w.Write(filler); err != nil {
+			return
+		}
 	}
-	return object{
-		"Node":    object{"ID": "", "Node": instance.Node, "Address": instance.Address, "Datacenter": "dc1", "Meta": object{}},
-		"Service": object{"ID": instance.ID, "Service": instance.Service, "Tags": instance.Tags, "Address": instance.Address, "Port": instance.Port, "Meta": instance.Meta, "Weights": object{"Passing": max(1, instance.Weight), "Warning": 1}},
-		"Checks":  checks}
-}
-
-func encodeCatalog(instance *Instance) any {
-	return object{"Node": instance.Node, "Address": instance.Address, "Datacenter": "dc1", "NodeMeta": object{}, "ServiceID": instance.ID, "ServiceName": instance.Service, "ServiceAddress": instance.Address,
-		"ServicePort": instance.Port, "ServiceTags": instance.Tags, "ServiceMeta": instance.Meta, "ServiceWeights": object{"Passing": max(1, instance.Weight), "Warning": 1}}
 }
