--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -140,11 +140,12 @@
 	}
 	switch {
 	case x.Resource == settings.ResourceQueries && l.pooler.clickhouse != nil:
-		running, more, asked := l.pooler.clickhouse.Demand(x.Subject)
+		demand := l.pooler.clickhouse.Demand(x.Subject)
 		if x.Kind == quota.Concurrency {
-			l.pooler.peers.ReportDemand(x.Name, float64(running)+more, float64(running))
+			running := float64(demand.Running)
+			l.pooler.peers.ReportDemand(x.Name, running+demand.Unserved, running)
 		} else {
-			l.pooler.peers.ReportDemand(x.Name, asked, 0)
+			l.pooler.peers.ReportDemand(x.Name, demand.PerSecond, 0)
 		}
 	case x.Resource == settings.ResourcePool && l.pooler.pooling != nil:
 		has, want := l.pooler.pooling.Demand(x.Subject)
--- a/internal/frontend/clickhouse/frontend.go
+++ b/internal/frontend/clickhouse/frontend.go
@@ -123,10 +123,8 @@
 // RestoreLimits has a user's limits be those of the settings again.
 func (f *Frontend) RestoreLimits(user string) { f.admit(f.limiter.Restore(user)) }
 
-// Demand is how many of a user's queries run, how many more would, and how many come a second.
-func (f *Frontend) Demand(user string) (running int, more, asked float64) {
-	return f.limiter.Demand(user, f.loop.Now())
-}
+// Demand returns what a user would use.
+func (f *Frontend) Demand(user string) limits.Demand { return f.limiter.Demand(user, f.loop.Now()) }
 
 func (f *Frontend) admit(in []limits.ID) {
 	for _, next := range in {
--- a/internal/frontend/clickhouse/sessions/sessions.go
+++ b/internal/frontend/clickhouse/sessions/sessions.go
@@ -1,56 +1,74 @@
-// Package sessions decides which server each session of the ClickHouse interface stays with, and when it is over. It holds
-// decisions only: no I/O, no clock, no goroutines. Times are in milliseconds on the pooler's clock.
+// Package sessions decides which server the sessions of the ClickHouse interface are bound to, and when they end.
+//
+// A session is state at one server (temporary tables, settings), so all its queries go to the server that answered the first one, one
+// query at a time. Its inputs are queries that begin and end, servers that are lost, and the time; its outputs are Verdicts. The number
+// of sessions is bounded.
+//
+// It does no I/O, has no clock and no goroutines. Times are in milliseconds on the caller's clock.
 package sessions
 
-import "slices"
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+// Time-outs of sessions without queries, as ClickHouse defines them.
+const (
+	DefaultTimeoutMs = 60e3
+	MaxTimeoutMs     = 3600e3
+)
 
-// Key names a session: ClickHouse keeps each user's apart.
+// Key identifies a session. The sessions of different users are distinct, as at the servers.
 type Key struct{ User, ID string }
 
-// Verdict is what is made of a query that names a session.
+// Verdict is the decision on a query of a session.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts. By all but the first two, the query is rejected.
 const (
-	AnyServer   Verdict = iota // it is new: whichever server serves its first query has it
-	BoundServer                // its server alone has what it holds
-	Locked                     // another query of it is under way; a server says the same
-	Lost                       // its server has gone, and what it held; a later query begins anew
-	Unknown                    // it should be there already, and is not
-	TooMany                    // there are too many
+	AnyServer   Verdict = iota // a new session, which is bound to the server that answers
+	BoundServer                // the session's server must answer
+	Locked                     // another query of the session runs; a server would answer the same
+	Lost                       // the session's server is lost, and with it the session; the next query begins a new one
+	Unknown                    // the client requires that the session exists, and it does not
+	TooMany                    // there are too many sessions
 )
 
-// Session bounds that ClickHouse has: its default time-out, and the longest that one may ask for.
-const (
-	DefaultTimeoutMs = 60e3
-	MaxTimeoutMs     = 3600e3
-)
+var verdictNames = [...]string{"any server", "bound server", "locked", "lost", "unknown", "too many"}
+
+// String returns the verdict's name.
+func (v Verdict) String() string {
+	if int(v) >= len(verdictNames) {
+		return fmt.Sprintf("verdict %d", uint8(v))
+	}
+	return verdictNames[v]
+}
 
-// Table holds the sessions. It is not safe for concurrent use.
+// Table has the sessions of a pooler. It is not safe for concurrent use.
 type Table struct {
 	maxSessions int
 	byKey       map[Key]*session
 }
 
 type session struct {
-	server    string // empty until its first query has been served
-	busy      bool
-	lost      bool
+	server    string // empty until its first query is answered
+	busy      bool   // a query runs
+	lost      bool   // its server is lost
 	timeoutMs float64
-	expiresAt float64 // once it is not busy
+	expiresAt float64 // unless it is busy
 }
 
-// New makes a table of at most so many sessions.
-func New(most int) *Table { return &Table{maxSessions: most, byKey: map[Key]*session{}} }
+// New makes a table of at most maxSessions sessions.
+func New(maxSessions int) *Table {
+	return &Table{maxSessions: maxSessions, byKey: map[Key]*session{}}
+}
 
-// Begin takes a query that names a session, which stays with its server until timeoutMs after its last query; 0 is the
-// default. must is set where the client says that the session is there. Anywhere and There are left by Leave.
+// Begin decides on a query of a session, and returns the server that must answer it by BoundServer. The session expires timeoutMs
+// after its last query; 0 stands for the default. mustExist is set where the client requires that the session exists. After AnyServer
+// and BoundServer the caller must call End.
 func (t *Table) Begin(now float64, key Key, timeoutMs float64, mustExist bool) (verdict Verdict, server string) {
-	s := t.byKey[key]
-	if s != nil && !s.busy && now >= s.expiresAt {
-		delete(t.byKey, key)
-		s = nil
-	}
+	s := t.unexpired(key, now)
 	switch {
 	case s == nil && mustExist:
 		return Unknown, ""
@@ -59,83 +77,90 @@
 	case s == nil:
 		s = &session{}
 		t.byKey[key] = s
-	case s.lost && !s.busy:
-		delete(t.byKey, key)
-		return Lost, ""
 	case s.busy:
 		return Locked, ""
+	case s.lost:
+		delete(t.byKey, key)
+		return Lost, ""
 	}
 	if timeoutMs <= 0 {
 		timeoutMs = DefaultTimeoutMs
 	}
-	s.busy, s.timeoutMs = true, min(timeoutMs, MaxTimeoutMs)
+	s.busy = true
+	s.timeoutMs = min(timeoutMs, MaxTimeoutMs)
 	if s.server == "" {
 		return AnyServer, ""
 	}
 	return BoundServer, s.server
 }
 
-// Bind tells which server has answered a session's query.
+// Bind binds a session to the server that answered its first query.
 func (t *Table) Bind(key Key, server string) {
 	if s := t.byKey[key]; s != nil && s.server == "" && !s.lost {
 		s.server = server
 	}
 }
 
-// Unbind forgets where a session is: its server has said that it does not know it.
+// Unbind removes a session's server, which has answered that it does not know the session.
 func (t *Table) Unbind(key Key) {
 	if s := t.byKey[key]; s != nil {
 		s.server = ""
 	}
 }
 
-// End ends a session's query. One that was never served leaves nothing.
+// End ends a session's query. A session that was never bound is removed.
 func (t *Table) End(now float64, key Key) {
 	s := t.byKey[key]
 	if s == nil {
 		return
 	}
-	s.busy, s.expiresAt = false, now+s.timeoutMs
+	s.busy = false
+	s.expiresAt = now + s.timeoutMs
 	if s.server == "" && !s.lost {
 		delete(t.byKey, key)
 	}
 }
 
-// LoseServer tells that a server has gone, or may be asked nothing new: its sessions are lost. It returns those that have a
-// query under way, in order.
+// LoseServer marks the sessions of a server as lost: it has gone, or receives no new queries. It returns the sessions with a query that
+// runs, in the order of their keys.
 func (t *Table) LoseServer(server string) (busy []Key) {
-	for k, s := range t.byKey {
-		if s.server != server || server == "" {
+	if server == "" {
+		return nil
+	}
+	for key, s := range t.byKey {
+		if s.server != server {
 			continue
 		}
-		s.lost, s.server = true, ""
+		s.lost = true
+		s.server = ""
 		if s.busy {
-			busy = append(busy, k)
+			busy = append(busy, key)
 		}
 	}
-	slices.SortFunc(busy, func(a, b Key) int {
-		if a.User != b.User {
-			if a.User < b.User {
-				return -1
-			}
-			return 1
-		}
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(busy, func(a, b Key) int { return cmp.Or(cmp.Compare(a.User, b.User), cmp.Compare(a.ID, b.ID)) })
 	return busy
 }
 
-// Expire drops the sessions whose time is over.
+// Expire removes the sessions that have had no query for longer than their time-outs.
 func (t *Table) Expire(now float64) {
-	for k, s := range t.byKey {
-		if !s.busy && now >= s.expiresAt {
-			delete(t.byKey, k)
+	for key, s := range t.byKey {
+		if s.isExpired(now) {
+			delete(t.byKey, key)
 		}
 	}
 }
 
-// Len is how many sessions there are.
+// Len returns the number of sessions.
 func (t *Table) Len() int { return len(t.byKey) }
+
+// unexpired returns a session, or nil. A session that has expired is removed.
+func (t *Table) unexpired(key Key, now float64) *session {
+	s := t.byKey[key]
+	if s != nil && s.isExpired(now) {
+		delete(t.byKey, key)
+		return nil
+	}
+	return s
+}
+
+func (s *session) isExpired(now float64) bool { return !s.busy && now >= s.expiresAt }
--- a/internal/frontend/clickhouse/sessions/sessions_test.go
+++ b/internal/frontend/clickhouse/sessions/sessions_test.go
@@ -10,65 +10,70 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestSessionStaysWithItsServer: a session stays with who served it first, takes one query at a time, and ends by time, or with its server.
+// TestSessionStaysWithItsServer: a session is bound to the server that answered first, has one query at a time, and ends by its
+// time-out or with its server.
 func TestSessionStaysWithItsServer(t *testing.T) {
-	k, o := Key{"u", "s"}, Key{"v", "s"}
-	tab := New(2)
+	session, other, third := Key{"u", "s"}, Key{"v", "s"}, Key{"w", "s"}
+	table := New(2)
 	var got []string
-	enter := func(now float64, k Key, keep float64, must bool) {
-		v, server := tab.Begin(now, k, keep, must)
-		got = append(got, fmt.Sprint(v, server))
+	begin := func(now float64, key Key, timeoutMs float64, mustExist bool) {
+		verdict, server := table.Begin(now, key, timeoutMs, mustExist)
+		got = append(got, fmt.Sprint(verdict, " ", server))
 	}
-	enter(0, k, 0, true)
-	enter(0, k, 0, false)
-	enter(1, k, 0, false)
-	tab.Bind(k, "a")
-	tab.Bind(k, "b") // a copy's answer that came too late
-	tab.End(2, k)
-	enter(3, k, 5000, true)
-	tab.End(4, k)
-	enter(5, o, 0, false)
-	enter(5, Key{"w", "s"}, 0, false)
-	tab.End(6, o) // it was not served
-	enter(6000, k, 0, true)
-	enter(6001, k, 0, false)
-	tab.Bind(k, "c")
-	if diff := cmp.Diff([]Key{k}, tab.LoseServer("c")); diff != "" {
+	begin(0, session, 0, true)
+	begin(0, session, 0, false)
+	begin(1, session, 0, false)
+	table.Bind(session, "a")
+	table.Bind(session, "b") // the late answer of a hedged attempt
+	table.End(2, session)
+	begin(3, session, 5000, true)
+	table.End(4, session)
+	begin(5, other, 0, false)
+	begin(5, third, 0, false)
+	table.End(6, other) // without an answer
+	begin(6000, session, 0, true)
+	begin(6001, session, 0, false)
+	table.Bind(session, "c")
+	if diff := cmp.Diff([]Key{session}, table.LoseServer("c")); diff != "" {
 		t.Error(diff)
 	}
-	enter(6002, k, 0, false)
-	tab.End(6003, k)
-	enter(6004, k, 0, false)
-	enter(6005, k, 0, false)
-	want := []string{"4", "0", "2", "1a", "0", "5", "4", "0", "2", "3", "0"}
+	begin(6002, session, 0, false)
+	table.End(6003, session)
+	begin(6004, session, 0, false)
+	begin(6005, session, 0, false)
+	want := []string{
+		"unknown ", "any server ", "locked ", "bound server a", "any server ", "too many ",
+		"unknown ", "any server ", "locked ", "lost ", "any server ",
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	tab.End(6006, k)
-	if tab.Expire(1e9); tab.Len() != 0 {
-		t.Errorf("%d are left", tab.Len())
+	table.End(6006, session)
+	table.Expire(1e9)
+	if table.Len() != 0 {
+		t.Errorf("%d sessions remain", table.Len())
 	}
 }
 
-// TestTableAgreesWithModel: whatever happens, no session has two queries under way, none is told a server that has gone or another
-// than the one that served it, and there are never more than there may be.
+// TestTableAgreesWithModel: no session has two queries at a time, or is bound to a server that is lost or did not answer first, and
+// the number of sessions is bounded.
 func TestTableAgreesWithModel(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
-		tab, now := New(3), 0.0
+		table, now := New(3), 0.0
 		server, busy := map[Key]string{}, map[Key]bool{}
 		key := rapid.Custom(func(rt *rapid.T) Key {
 			return Key{rapid.SampledFrom([]string{"u", "v"}).Draw(rt, "user"), rapid.SampledFrom([]string{"1", "2", "3"}).Draw(rt, "id")}
 		})
 		name := rapid.SampledFrom([]string{"a", "b", "c"})
 		rt.Repeat(map[string]func(*rapid.T){
-			"enter": func(rt *rapid.T) {
+			"begin": func(rt *rapid.T) {
 				k := key.Draw(rt, "key")
-				v, at := tab.Begin(now, k, rapid.Float64Range(0, 5000).Draw(rt, "keep"), rapid.Bool().Draw(rt, "must"))
+				v, at := table.Begin(now, k, rapid.Float64Range(0, 5000).Draw(rt, "timeout"), rapid.Bool().Draw(rt, "must exist"))
 				switch {
 				case (v == AnyServer || v == BoundServer) && busy[k]:
-					rt.Fatalf("%v has two queries under way", k)
+					rt.Fatalf("%v has two queries at a time", k)
 				case v == BoundServer && at != server[k]:
-					rt.Fatalf("%v goes to %q, and %q served it", k, at, server[k])
+					rt.Fatalf("%v is bound to %q, and %q answered first", k, at, server[k])
 				case v == AnyServer:
 					delete(server, k)
 				}
@@ -76,38 +81,38 @@
 					busy[k] = true
 				}
 			},
-			"served": func(rt *rapid.T) {
+			"bind": func(rt *rapid.T) {
 				if k, s := key.Draw(rt, "key"), name.Draw(rt, "server"); busy[k] && server[k] == "" {
-					tab.Bind(k, s)
+					table.Bind(k, s)
 					server[k] = s
 				}
 			},
-			"leave": func(rt *rapid.T) {
+			"end": func(rt *rapid.T) {
 				if k := key.Draw(rt, "key"); busy[k] {
-					tab.End(now, k)
+					table.End(now, k)
 					delete(busy, k)
 				}
 			},
-			"gone": func(rt *rapid.T) {
+			"lose server": func(rt *rapid.T) {
 				s := name.Draw(rt, "server")
-				for _, k := range tab.LoseServer(s) {
+				for _, k := range table.LoseServer(s) {
 					if !busy[k] || server[k] != s {
-						rt.Fatalf("%v is told to be lost with %s", k, s)
+						rt.Fatalf("%v was reported as lost with %s", k, s)
 					}
 				}
 				for k := range server {
 					if server[k] == s {
-						server[k] = "gone" // nothing may go there until it begins anew
+						server[k] = "lost" // no query may go there until the session begins anew
 					}
 				}
 			},
 			"time": func(rt *rapid.T) {
 				now += rapid.Float64Range(0, 4000).Draw(rt, "ms")
-				tab.Expire(now)
+				table.Expire(now)
 			},
 			"": func(rt *rapid.T) {
-				if tab.Len() > 3 {
-					rt.Fatalf("%d sessions", tab.Len())
+				if table.Len() > 3 {
+					rt.Fatalf("%d sessions", table.Len())
 				}
 			},
 		})
