--- a/cmd/beechgrade-kit/alone_test.go
+++ b/cmd/beechgrade-kit/alone_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Fleet.Seed, s.Fleet.Conns = 5, 2000
+	s.Fleet.Seed, s.Fleet.MaxConnections = 5, 2000
 	a := &alone{t: t, dir: t.TempDir(), fleet: database.New(s.Fleet, clock.System(), slog.New(slog.DiscardHandler))}
 	if err := a.fleet.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -67,7 +67,7 @@
 
 	// Discovery answers nobody; the file ends too soon.
 	gone := func(on bool) {
-		if err := a.fleet.Act(func(w *model.World) error { w.ListGone(on); return nil }); err != nil {
+		if err := a.fleet.Act(func(w *model.World) error { w.SetListUnavailable(on); return nil }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/beechgrade-kit/sessions_test.go
+++ b/cmd/beechgrade-kit/sessions_test.go
@@ -36,7 +36,7 @@
 	a.configure()
 	if err := a.fleet.Act(func(w *model.World) error {
 		for _, s := range w.Servers {
-			if err := w.Lag(s.Name, 60); err != nil {
+			if err := w.SlowReplication(s.Name, 60); err != nil {
 				return err
 			}
 		}
--- a/cmd/beechgrade-kit/sessions_upgrade_test.go
+++ b/cmd/beechgrade-kit/sessions_upgrade_test.go
@@ -89,7 +89,7 @@
 	a.configure()
 	if err := a.fleet.Act(func(w *model.World) error {
 		for _, s := range w.Servers {
-			if err := w.Lag(s.Name, lag); err != nil {
+			if err := w.SlowReplication(s.Name, lag); err != nil {
 				return err
 			}
 		}
--- a/cmd/beechgrade/pooling_takeover_test.go
+++ b/cmd/beechgrade/pooling_takeover_test.go
@@ -219,7 +219,7 @@
 func TestPooledWaiting(t *testing.T) {
 	t.Parallel()
 	w := pooled(t, fmt.Sprintf(usual, "(connections 50) (dials 16) (wait 60s) (queue 100000)"), func(c *database.Config) {
-		c.Detect, c.Elect, c.ColdMs = database.Range{400, 500}, database.Range{400, 500}, 1000
+		c.DetectionDelay, c.ElectionDelay, c.ColdMs = database.Range{400, 500}, database.Range{400, 500}, 1000
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
--- a/cmd/beechgrade/pooling_test.go
+++ b/cmd/beechgrade/pooling_test.go
@@ -36,7 +36,7 @@
 // TestPooledOwnWrites: replicas are far behind, and each session's reads see its last write all the same.
 func TestPooledOwnWrites(t *testing.T) {
 	t.Parallel()
-	w := pooled(t, fmt.Sprintf(usual, "(connections 8)"), func(c *database.Config) { c.Apply = 2 })
+	w := pooled(t, fmt.Sprintf(usual, "(connections 8)"), func(c *database.Config) { c.ApplyMs = 2 })
 	_ = w.fleet.Lag("s-0-1", 5)
 	_ = w.fleet.Lag("s-0-2", 2)
 	var elsewhere atomic.Int64 // reads that were not the primary's
--- a/cmd/beechgrade/pooling_world_test.go
+++ b/cmd/beechgrade/pooling_world_test.go
@@ -39,8 +39,8 @@
 func pooled(t testing.TB, poolForms string, change ...func(*database.Config)) *pooledWorld {
 	t.Helper()
 	fc := database.Defaults(3)
-	fc.Detect, fc.Elect, fc.List, fc.Roles = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{100, 200}
-	fc.Report, fc.Conns = database.Range{20, 40}, 2000
+	fc.DetectionDelay, fc.ElectionDelay, fc.ListDelay, fc.RoleDelay = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{100, 200}
+	fc.ReportInterval, fc.MaxConnections = database.Range{20, 40}, 2000
 	for _, f := range change {
 		f(&fc)
 	}
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -65,8 +65,8 @@
 func scatterPoolerOf(t testing.TB, more string, module func(*config.Config), change ...func(*database.Config)) *scatterWorld {
 	t.Helper()
 	fc := database.Defaults(3, 3, 3, 3)
-	fc.Detect, fc.Elect, fc.List, fc.Roles = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{100, 200}
-	fc.Report, fc.Conns = database.Range{20, 40}, 2000
+	fc.DetectionDelay, fc.ElectionDelay, fc.ListDelay, fc.RoleDelay = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{100, 200}
+	fc.ReportInterval, fc.MaxConnections = database.Range{20, 40}, 2000
 	for _, f := range change {
 		f(&fc)
 	}
--- a/cmd/beechgrade/sources_test.go
+++ b/cmd/beechgrade/sources_test.go
@@ -320,8 +320,8 @@
 func TestOldPrimaryInCatalogue(t *testing.T) {
 	t.Parallel()
 	fc := database.Defaults(3)
-	fc.Detect, fc.Elect, fc.List, fc.Roles = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{1e6, 1e6}
-	fc.Report, fc.Seed = database.Range{20, 40}, 3
+	fc.DetectionDelay, fc.ElectionDelay, fc.ListDelay, fc.RoleDelay = database.Range{100, 150}, database.Range{100, 150}, database.Range{30, 60}, database.Range{1e6, 1e6}
+	fc.ReportInterval, fc.Seed = database.Range{20, 40}, 3
 	f := database.New(fc, clock.System(), slog.New(slog.DiscardHandler))
 	w := startSources(t, "", "", func(c *consulserver.Catalog) {
 		f.Register(c)
--- a/internal/testkit/fake/database/directory.go
+++ b/internal/testkit/fake/database/directory.go
@@ -92,13 +92,13 @@
 		return
 	}
 	fell := f.dir.fellAt
-	if f.world.List.Gone {
+	if f.world.List.Unavailable {
 		f.mu.Unlock()
 		http.Error(w, "discovery is down", http.StatusServiceUnavailable)
 		return
 	}
 	if !watch {
-		l := f.world.List.Whole()
+		l := f.world.List.Snapshot()
 		f.mu.Unlock()
 		d.say(w, f.at(door, &l))
 		return
@@ -137,7 +137,7 @@
 			}
 		case <-wake:
 			f.mu.Lock()
-			gone, silent, next := f.world.List.Gone, f.dir.fellAt != fell, f.world.List.Since(gen)
+			gone, silent, next := f.world.List.Unavailable, f.dir.fellAt != fell, f.world.List.Since(gen)
 			if f.doors.held(door) {
 				next.Generation = gen
 			}
--- a/internal/testkit/fake/database/fleet.go
+++ b/internal/testkit/fake/database/fleet.go
@@ -180,14 +180,14 @@
 	resets.Wait()
 }
 
-// Said is world.Watcher's.
-func (f *Fleet) Said(x Fact) { f.log.Info("fleet", "server", x.Server, "what", x.What) }
+// FactRecorded is world.Watcher's.
+func (f *Fleet) FactRecorded(x Fact) { f.log.Info("fleet", "server", x.Server, "what", x.What) }
 
 // Listed is world.Watcher's.
 func (f *Fleet) Listed(e *model.Entry, at float64) {
 	s := f.servers[e.Server.No]
 	// That a drain is over counts as soon as the list has it: whoever comes back to a list that nobody could be told of is told.
-	heard := !f.world.List.Gone && len(f.dir.watchers) > 0 && !f.doors.holding()
+	heard := !f.world.List.Unavailable && len(f.dir.watchers) > 0 && !f.doors.holding()
 	switch {
 	case e.Lifecycle == "up":
 		s.drainTold = 0
@@ -225,7 +225,7 @@
 func (f *Fleet) List() discovery.List {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.world.List.Whole()
+	return f.world.List.Snapshot()
 }
 
 // Servers are the servers' names, group by group.
@@ -241,7 +241,7 @@
 func (f *Fleet) Ran() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.world.Ran()
+	return f.world.ExecutedWrites()
 }
 
 // Primary is the name of a group's present primary, empty where there is none.
@@ -265,14 +265,14 @@
 func (f *Fleet) RanTwice() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.world.Twice()
+	return f.world.RepeatedWrites()
 }
 
 // Fallen are the cold servers that were pushed over.
 func (f *Fleet) Fallen() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.world.Fallen()
+	return f.world.PushedOver()
 }
 
 // Late are the requests that came to a server after discovery had told all who watch that it drains, and the
@@ -302,7 +302,7 @@
 
 // Lag has a replica's apply thread take so many times as long.
 func (f *Fleet) Lag(name string, times float64) error {
-	return f.Act(func(w *model.World) error { return w.Lag(name, times) })
+	return f.Act(func(w *model.World) error { return w.SlowReplication(name, times) })
 }
 
 // Drain has a server finish what it has and want nothing new; a primary hands over.
@@ -317,5 +317,5 @@
 
 // ListLate has the list run later by so many milliseconds.
 func (f *Fleet) ListLate(ms float64) {
-	_ = f.Act(func(w *model.World) error { w.ListLate(ms); return nil })
+	_ = f.Act(func(w *model.World) error { w.DelayList(ms); return nil })
 }
--- a/internal/testkit/fake/database/fleet_test.go
+++ b/internal/testkit/fake/database/fleet_test.go
@@ -16,7 +16,7 @@
 // TestWire speaks to a fleet over its sockets as a pooler does.
 func TestWire(t *testing.T) {
 	cfg := Defaults(2)
-	cfg.Report = Range{0, 0}
+	cfg.ReportInterval = Range{0, 0}
 	f := New(cfg, clock.System(), slog.New(slog.DiscardHandler))
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/testkit/fake/database/house.go
+++ b/internal/testkit/fake/database/house.go
@@ -81,7 +81,7 @@
 		f.mu.Lock()
 		now := f.clk.Now()
 		lag := int(max(0, now-s.Position(now)) / 1000)
-		mute := s.Mute
+		mute := s.DropsAnswers
 		f.mu.Unlock()
 		if mute {
 			return nil, c.starve()
@@ -107,9 +107,9 @@
 		return nil, false
 	}
 	switch x.Verdict {
-	case model.Fallen:
+	case model.PushedOver:
 		return nil, false
-	case model.Drains, model.QueueFull:
+	case model.Draining, model.QueueFull:
 		return response(500, "202", "Code: 202. DB::Exception: Too many simultaneous queries."), true
 	case model.NotPrimary, model.HandedOver:
 		return response(500, "242", "Code: 242. DB::Exception: Table is in readonly mode."), true
--- a/internal/testkit/fake/database/listed_test.go
+++ b/internal/testkit/fake/database/listed_test.go
@@ -27,7 +27,7 @@
 // what is sent then is no breach.
 func TestDrainOverWhileTheListIsGone(t *testing.T) {
 	cfg := Defaults(2)
-	cfg.List, cfg.Roles = Range{0, 0}, Range{0, 0}
+	cfg.ListDelay, cfg.RoleDelay = Range{0, 0}, Range{0, 0}
 	f := New(cfg, clock.System(), slog.New(slog.DiscardHandler))
 	says := make(told, 9)
 	f.Watch(says)
@@ -62,7 +62,7 @@
 	if line, err := bufio.NewReader(res.Body).ReadString('\n'); err != nil || !strings.Contains(line, `"draining"`) {
 		t.Fatalf("the watch says %q, %v", line, err)
 	}
-	gone := func(on bool) { _ = f.Act(func(w *model.World) error { w.ListGone(on); return nil }) }
+	gone := func(on bool) { _ = f.Act(func(w *model.World) error { w.SetListUnavailable(on); return nil }) }
 	gone(true)
 	act((*model.World).Undrain)
 	next("up")
--- a/internal/testkit/fake/database/server.go
+++ b/internal/testkit/fake/database/server.go
@@ -48,7 +48,7 @@
 			s.f.mu.Unlock()
 			c.reset()
 			continue
-		case len(s.conns) >= s.f.cfg.Conns:
+		case len(s.conns) >= s.f.cfg.MaxConnections:
 			s.f.mu.Unlock()
 			_, _ = nc.Write(pgwire.AppendError(nil, "FATAL", "53300", "too many connections", ""))
 			_ = nc.Close()
@@ -235,7 +235,7 @@
 }
 
 // turned are the verdicts that leave a request untouched.
-var turned = map[model.Verdict]string{model.NotPrimary: "missed", model.Drains: "turned away", model.QueueFull: "turned away"}
+var turned = map[model.Verdict]string{model.NotPrimary: "missed", model.Draining: "turned away", model.QueueFull: "turned away"}
 
 // reply waits for a job's answer; it is world.Owner.
 type reply chan model.Reply
@@ -256,9 +256,9 @@
 func (c *conn) work(st *work) (x model.Reply, ok bool) {
 	s, f := c.s, c.s.f
 	answer := make(reply, 1)
-	j := &model.Job{ID: st.id, Writes: st.writes, Key: st.key, Value: st.value, Owner: answer, Idem: st.idem, KeyMs: f.cfg.Keys[st.class]}
-	if j.KeyMs == 0 {
-		j.Idem = ""
+	j := &model.Job{ID: st.id, Writes: st.writes, Key: st.key, Value: st.value, Owner: answer, IdempotencyKey: st.idem, IdempotencyMs: f.cfg.Keys[st.class]}
+	if j.IdempotencyMs == 0 {
+		j.IdempotencyKey = ""
 	}
 	f.mu.Lock()
 	if c.dead {
@@ -273,7 +273,7 @@
 	no := 0
 	if f.watcher != nil {
 		no = f.watcher.Arrived(s.No, st.id, now)
-		if s.Takes(j) {
+		if s.Accepts(j) {
 			f.watcher.Took(s.No, s.Started, st.id, j.Work, now)
 			defer func() {
 				f.mu.Lock()
@@ -282,7 +282,7 @@
 			}()
 		}
 	}
-	s.Take(j)
+	s.Submit(j)
 	f.mu.Unlock()
 	select {
 	case x = <-answer:
@@ -311,11 +311,11 @@
 		return nil, false
 	}
 	switch x.Verdict {
-	case model.Fallen:
+	case model.PushedOver:
 		return nil, false
 	case model.NotPrimary:
 		return s.told(pgwire.AppendError(nil, "ERROR", "25006", "this is no primary", ""), x), true
-	case model.Drains:
+	case model.Draining:
 		return s.told(pgwire.AppendError(nil, "ERROR", "53300", "draining", ""), x), true
 	case model.QueueFull:
 		return s.told(pgwire.AppendError(nil, "ERROR", "53300", "queue full", ""), x), true
--- a/internal/testkit/model/catalog.go
+++ b/internal/testkit/model/catalog.go
@@ -8,7 +8,7 @@
 	Swapped bool // it names the wrong member of each group as its primary
 	Index   uint64
 
-	w        *World
+	world    *World
 	names    map[*Server]int // how often a server was registered under a new id
 	critical map[*Server]bool
 }
@@ -26,7 +26,7 @@
 
 func (c *Catalog) changed() {
 	c.Index++
-	c.w.watch.Registered()
+	c.world.watcher.Registered()
 }
 
 // All is what is registered, in the order of the servers.
@@ -34,8 +34,8 @@
 	if c.Emptied {
 		return nil
 	}
-	for _, s := range c.w.Servers {
-		e := c.w.List.entries[s.Name]
+	for _, s := range c.world.Servers {
+		e := c.world.List.entries[s.Name]
 		if e.Lifecycle == "removed" {
 			continue
 		}
@@ -45,8 +45,8 @@
 		}
 		if c.Swapped {
 			r.Role = "replica"
-			if g := s.Group; c.w.List.entries[g.Members[len(g.Members)-1].Name].Role == "primary" && s == g.Members[0] ||
-				c.w.List.entries[g.Members[len(g.Members)-1].Name].Role != "primary" && s == g.Members[len(g.Members)-1] {
+			if g := s.Group; c.world.List.entries[g.Members[len(g.Members)-1].Name].Role == "primary" && s == g.Members[0] ||
+				c.world.List.entries[g.Members[len(g.Members)-1].Name].Role != "primary" && s == g.Members[len(g.Members)-1] {
 				r.Role = "primary"
 			}
 		}
@@ -55,23 +55,23 @@
 	return out
 }
 
-// Empty has everything deregistered, or registered again.
-func (w *World) Empty(on bool) { w.Catalog.Emptied = on; w.Catalog.changed() }
+// DeregisterAll has everything deregistered, or registered again.
+func (w *World) DeregisterAll(on bool) { w.Catalog.Emptied = on; w.Catalog.changed() }
 
-// Swap has the catalogue name wrong primaries, or right ones again.
-func (w *World) Swap(on bool) { w.Catalog.Swapped = on; w.Catalog.changed() }
+// SwapRoles has the catalogue name wrong primaries, or right ones again.
+func (w *World) SwapRoles(on bool) { w.Catalog.Swapped = on; w.Catalog.changed() }
 
-// Reissue has a server registered under a new id, with what is registered of it.
-func (w *World) Reissue(name string) error {
-	return w.with(name, func(s *Server, _ float64) {
+// Reregister has a server registered under a new id, with what is registered of it.
+func (w *World) Reregister(name string) error {
+	return w.withServer(name, func(s *Server, _ float64) {
 		w.Catalog.names[s]++
 		w.Catalog.changed()
 	})
 }
 
-// Fail has a server's check fail, though nothing is wrong with it; or pass again.
-func (w *World) Fail(name string, on bool) error {
-	return w.with(name, func(s *Server, _ float64) {
+// FailCheck has a server's check fail, though nothing is wrong with it; or pass again.
+func (w *World) FailCheck(name string, on bool) error {
+	return w.withServer(name, func(s *Server, _ float64) {
 		w.Catalog.critical[s] = on
 		w.Catalog.changed()
 	})
--- a/internal/testkit/model/directory.go
+++ b/internal/testkit/model/directory.go
@@ -2,15 +2,15 @@
 
 import "beechgrade/internal/endpoints/discovery"
 
-const keepHistory = 4096
+const maxHistory = 4096
 
 // Directory is the list of servers, as late as it is. It never says more than discovery does.
 type Directory struct {
-	Gen   int64
-	Extra float64 // ms by which it is later than usual
-	Gone  bool    // it answers nobody
+	Gen          int64
+	ExtraDelayMs float64 // ms by which it is later than usual
+	Unavailable  bool    // it answers nobody
 
-	w       *World
+	world   *World
 	entries map[string]*Entry
 	history []change
 }
@@ -29,7 +29,7 @@
 
 func (d *Directory) start() {
 	d.Gen = 1
-	for _, s := range d.w.Servers {
+	for _, s := range d.world.Servers {
 		d.entries[s.Name] = &Entry{Server: s, Instance: discovery.Instance{ID: s.Name, Zone: s.Site(), MachineType: "padrao-4", Cell: s.Group.ID, Lifecycle: "up",
 			Weight: 1, Role: s.Role()}}
 	}
@@ -37,8 +37,8 @@
 
 // Site is where a server stands: those of a group in all sites, in turn.
 func (s *Server) Site() string {
-	if n := len(s.w.Cfg.Sites); n > 0 {
-		return s.w.Cfg.Sites[s.SiteNo()]
+	if n := len(s.world.Cfg.Sites); n > 0 {
+		return s.world.Cfg.Sites[s.SiteNo()]
 	}
 	return "room"
 }
@@ -47,7 +47,7 @@
 func (s *Server) SiteNo() int {
 	for k, m := range s.Group.Members {
 		if m == s {
-			return (s.Group.ID + k) % max(1, len(s.w.Cfg.Sites))
+			return (s.Group.ID + k) % max(1, len(s.world.Cfg.Sites))
 		}
 	}
 	return 0
@@ -60,10 +60,10 @@
 	}
 }
 
-// change has the list say something new of a server, late: its lifecycle, or its role where that is empty.
-func (d *Directory) change(s *Server, lifecycle string, roleLate float64) {
+// update has the list say something new of a server, late: its lifecycle, or its role where that is empty.
+func (d *Directory) update(s *Server, lifecycle string, roleLate float64) {
 	role, started := s.Role(), s.Started
-	d.w.later(d.w.Cfg.List.Draw(s.Group.rng)+roleLate+d.Extra, func(now float64) {
+	d.world.after(d.world.Cfg.ListDelay.Draw(s.Group.rng)+roleLate+d.ExtraDelayMs, func(now float64) {
 		e := d.entries[s.Name]
 		was := e.Instance
 		if lifecycle == "" {
@@ -76,16 +76,16 @@
 		}
 		d.Gen++
 		d.history = append(d.history, change{d.Gen, e.Instance})
-		d.history = d.history[max(0, len(d.history)-keepHistory):]
-		d.w.watch.Listed(e, now)
-		d.w.Catalog.changed()
+		d.history = d.history[max(0, len(d.history)-maxHistory):]
+		d.world.watcher.Listed(e, now)
+		d.world.Catalog.changed()
 	})
 }
 
-// Whole is the list as it is now.
-func (d *Directory) Whole() discovery.List {
+// Snapshot is the list as it is now.
+func (d *Directory) Snapshot() discovery.List {
 	l := discovery.List{Generation: d.Gen, Reset: true}
-	for _, s := range d.w.Servers {
+	for _, s := range d.world.Servers {
 		if e := d.entries[s.Name]; e.Lifecycle != "removed" {
 			l.Instances = append(l.Instances, e.Instance)
 		}
@@ -96,7 +96,7 @@
 // Since is what has changed after a generation, or the whole list where that is not known.
 func (d *Directory) Since(gen int64) discovery.List {
 	if gen <= 0 || gen > d.Gen || len(d.history) > 0 && gen < d.history[0].gen-1 || len(d.history) == 0 && gen < d.Gen {
-		return d.Whole()
+		return d.Snapshot()
 	}
 	l := discovery.List{Generation: d.Gen}
 	for _, c := range d.history {
--- a/internal/testkit/model/world_test.go
+++ b/internal/testkit/model/world_test.go
@@ -16,7 +16,7 @@
 type deaf struct{}
 
 func (deaf) Down(*Server)                {}
-func (deaf) Said(Fact)                   {}
+func (deaf) FactRecorded(Fact)           {}
 func (deaf) Listed(*Entry, float64)      {}
 func (deaf) ListDown(bool)               {}
 func (deaf) Registered()                 {}
@@ -26,7 +26,7 @@
 func still(groups ...int) (*World, *standing) {
 	clk := &standing{1.7e12}
 	cfg := Defaults(groups...)
-	cfg.Ship, cfg.Apply = Range{10, 10}, 20
+	cfg.ShipDelay, cfg.ApplyMs = Range{10, 10}, 20
 	return New(cfg, clk, deaf{}), clk
 }
 
@@ -84,7 +84,7 @@
 	if diff := cmp.Diff(seen{2030, "d"}, look(p, 2040)); diff != "" {
 		t.Errorf("it catches up: %s", diff)
 	}
-	if w := p.Warmth(2000 + 1.7e12); w != f.Cfg.ColdBy {
+	if w := p.Warmth(2000 + 1.7e12); w != f.Cfg.ColdShare {
 		t.Errorf("it starts with %v of its capacity", w)
 	}
 }
@@ -96,14 +96,14 @@
 	s.Started = clk.ms
 	sum, fell := 0.0, false
 	for !fell && sum < 1e5 {
-		fell = s.push(clk.ms, 10)
+		fell = s.recordColdWork(clk.ms, 10)
 		sum += 10
 	}
 	if want := 2.5 * 0.15 * 4 * 1500; !fell || sum < want || sum > want+20 {
 		t.Errorf("fell: %v after %v ms of work; its bound is %v", fell, sum, want)
 	}
 	clk.ms += 60000
-	if s.push(clk.ms, 1e6) {
+	if s.recordColdWork(clk.ms, 1e6) {
 		t.Error("a warm server was pushed over")
 	}
 }
--- a/internal/testkit/rehearse/consul.go
+++ b/internal/testkit/rehearse/consul.go
@@ -40,9 +40,9 @@
 func (r *Run) lie(f scenario.Fault, on bool) {
 	switch f.What {
 	case "deregister-all":
-		_ = r.fleet.Act(func(w *model.World) error { w.Empty(on); return nil })
+		_ = r.fleet.Act(func(w *model.World) error { w.DeregisterAll(on); return nil })
 	case "wrong-roles":
-		_ = r.fleet.Act(func(w *model.World) error { w.Swap(on); return nil })
+		_ = r.fleet.Act(func(w *model.World) error { w.SwapRoles(on); return nil })
 	default:
 		l := consulserver.Fault{}
 		if on {
--- a/internal/testkit/rehearse/pooling.go
+++ b/internal/testkit/rehearse/pooling.go
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	cfg := s.Fleet
-	cfg.Seed, cfg.Conns = 1, 20000
+	cfg.Seed, cfg.MaxConnections = 1, 20000
 	if err := os.MkdirAll(o.Out, 0o750); err != nil {
 		return nil, err
 	}
--- a/internal/testkit/rehearse/processes.go
+++ b/internal/testkit/rehearse/processes.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Fleet.Seed, s.Fleet.Conns = 5, 2000
+	s.Fleet.Seed, s.Fleet.MaxConnections = 5, 2000
 	log := slog.New(slog.DiscardHandler)
 	r := &Run{script: s, opt: Options{Seed: 5, Out: out, Daemon: daemon, Log: log}, clk: clock.System(), sockets: 4096}
 	r.wires = newWires(s)
--- a/internal/testkit/rehearse/strike.go
+++ b/internal/testkit/rehearse/strike.go
@@ -103,7 +103,7 @@
 	for _, a := range r.agents {
 		a.SetFault(consulserver.Fault{Status: map[bool]int{true: 500}[gone]})
 	}
-	_ = r.fleet.Act(func(w *model.World) error { w.ListGone(gone); return nil })
+	_ = r.fleet.Act(func(w *model.World) error { w.SetListUnavailable(gone); return nil })
 }
 
 // acts are what a fault does to a server, and what ends it.
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -188,7 +188,7 @@
 func (w *wires) Ran(server int, j *model.Job, value []byte, r model.Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if r.Dropped {
+	if r.RepeatDropped {
 		w.check.RepeatDropped(r.At, server, idOf(j.ID), valueOf(value), r.Position)
 		return
 	}
--- a/internal/testkit/scenario/acts.go
+++ b/internal/testkit/scenario/acts.go
@@ -14,21 +14,21 @@
 	case "drain":
 		return (*model.World).Drain, (*model.World).Undrain
 	case "reissue":
-		return (*model.World).Reissue, func(*model.World, string) error { return nil }
+		return (*model.World).Reregister, func(*model.World, string) error { return nil }
 	case "fail-check":
-		return switched((*model.World).Fail)
+		return switched((*model.World).FailCheck)
 	case "deaf":
-		return switched((*model.World).Deafen)
+		return switched((*model.World).DropRequests)
 	case "mute":
-		return switched((*model.World).Silence)
+		return switched((*model.World).DropAnswers)
 	case "lose":
-		return figure((*model.World).Lose, f.Value, 0)
+		return figure((*model.World).LoseRequests, f.Value, 0)
 	case "disk":
-		return figure((*model.World).Disk, f.Value, 1)
+		return figure((*model.World).SlowWrites, f.Value, 1)
 	case "crowd":
-		return figure((*model.World).Crowd, f.Value, 1)
+		return figure((*model.World).LimitMachine, f.Value, 1)
 	}
-	return figure((*model.World).Lag, f.Value, 1)
+	return figure((*model.World).SlowReplication, f.Value, 1)
 }
 
 type act = func(w *model.World, name string) error
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -211,8 +211,8 @@
 		"forgets":      span(&s.Forgets),
 		"idle":         func(n *sexp.Node) (err error) { s.IdleMs, err = n.Millis(10, maxSeconds*1000); return err },
 		"descriptors":  whole(&s.Sockets, 128, 1<<20),
-		"crowds":       float(&f.Crowds, 0, 100),
-		"connections":  whole(&f.Conns, 1, 1e6),
+		"crowds":       float(&f.QueueSlowdown, 0, 100),
+		"connections":  whole(&f.MaxConnections, 1, 1e6),
 		"rate":         float(&c.Rate, 0.1, maxRate),
 		"sessions":     whole(&c.Sessions, 1, 1e6),
 		"follows":      float(&c.Follows, 0, 1),
@@ -244,19 +244,19 @@
 		"near":         func(n *sexp.Node) (err error) { s.Near, err = n.Bool(); return err },
 		"cross-price":  float(&s.CrossPrice, 0, 1),
 		"cores":        whole(&f.Cores, 1, 256),
-		"queue":        whole(&f.Queue, 0, 1e5),
-		"tail":         func(n *sexp.Node) (err error) { f.Tail, err = n.Bool(); return err },
-		"ship":         both(&f.Ship),
-		"apply":        span(&f.Apply),
-		"detect":       both(&f.Detect),
-		"elect":        both(&f.Elect),
-		"switch":       both(&f.Switch),
-		"list":         both(&f.List),
-		"roles":        both(&f.Roles),
+		"queue":        whole(&f.QueueLimit, 0, 1e5),
+		"tail":         func(n *sexp.Node) (err error) { f.ExponentialWork, err = n.Bool(); return err },
+		"ship":         both(&f.ShipDelay),
+		"apply":        span(&f.ApplyMs),
+		"detect":       both(&f.DetectionDelay),
+		"elect":        both(&f.ElectionDelay),
+		"switch":       both(&f.SwitchoverDelay),
+		"list":         both(&f.ListDelay),
+		"roles":        both(&f.RoleDelay),
 		"cold":         span(&f.ColdMs),
-		"cold-by":      float(&f.ColdBy, 0.01, 1),
-		"falls":        float(&f.Falls, 0, 1000),
-		"falls-in":     span(&f.FallsMs),
+		"cold-by":      float(&f.ColdShare, 0.01, 1),
+		"falls":        float(&f.OverloadFactor, 0, 1000),
+		"falls-in":     span(&f.OverloadWindowMs),
 		"pack":         func(n *sexp.Node) (err error) { s.Pack, err = n.Bool(); return err },
 		"record-queue": whole(&s.Queue, 64, 1<<20),
 		"at":           s.at,
@@ -267,7 +267,7 @@
 // clickhouse has clients speak the ClickHouse interface, with classes of its own, to one group of peers.
 func (s *Script) clickhouse(n *sexp.Node) (err error) {
 	if s.Clients.House, err = n.Bool(); err == nil && s.Clients.House {
-		s.Fleet.Peers, s.Clients.Classes = true, clients.HouseClasses()
+		s.Fleet.MultiPrimary, s.Clients.Classes = true, clients.HouseClasses()
 	}
 	return err
 }
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -194,7 +194,7 @@
 		return // its connection is broken, and its pooler hears of that
 	}
 	if a.v == nil { // a probe
-		if s.Hung || s.Mute {
+		if s.Hung || s.DropsAnswers {
 			return
 		}
 		r := s.Report(e.s.now)
@@ -211,18 +211,18 @@
 	a.job.ID, a.job.Writes, a.job.Key, a.job.Value, a.job.Owner = v.name, v.class.Read == "mutate", v.ask.Key, v.value, a
 	a.job.Work = e.world.Work(v.class.Name)
 	if v.class.KeyMs > 0 {
-		a.job.Idem, a.job.KeyMs = v.ask.Idem(), v.class.KeyMs
+		a.job.IdempotencyKey, a.job.IdempotencyMs = v.ask.Idem(), v.class.KeyMs
 	}
-	if s.Takes(&a.job) {
+	if s.Accepts(&a.job) {
 		e.agains.took(v, s)
 		e.check.ServerReceived(e.s.now, s.No, s.Started, v.id, a.job.Work)
 	}
-	s.Take(&a.job)
+	s.Submit(&a.job)
 }
 
 // Answered is world.Owner's.
 func (a *attempt) Answered(_ *model.Job, r model.Reply) {
-	if r.Verdict == model.Fallen {
+	if r.Verdict == model.PushedOver {
 		return // its connection breaks
 	}
 	if r.Verdict == model.QueueFull {
@@ -240,7 +240,7 @@
 	}
 }
 
-var results = map[model.Verdict]decide.Result{model.Served: decide.OK, model.NotPrimary: decide.Misdirected, model.Drains: decide.Overloaded,
+var results = map[model.Verdict]decide.Result{model.Served: decide.OK, model.NotPrimary: decide.Misdirected, model.Draining: decide.Overloaded,
 	model.QueueFull: decide.Overloaded, model.HandedOver: decide.Failed}
 
 func (a *attempt) atPooler(what uint64) {
--- a/internal/testkit/simulation/bench_test.go
+++ b/internal/testkit/simulation/bench_test.go
@@ -44,7 +44,7 @@
 
 func (o *owner) Fire(uint64) {
 	o.job = model.Job{Key: "k", Work: 40, Owner: o}
-	o.s.Take(&o.job)
+	o.s.Submit(&o.job)
 }
 
 func (o *owner) Answered(*model.Job, model.Reply) { o.e.s.After(1, o, 0) }
@@ -52,7 +52,7 @@
 type quiet struct{}
 
 func (quiet) Down(*model.Server)                            {}
-func (quiet) Said(model.Fact)                               {}
+func (quiet) FactRecorded(model.Fact)                       {}
 func (quiet) Listed(*model.Entry, float64)                  {}
 func (quiet) ListDown(bool)                                 {}
 func (quiet) Registered()                                   {}
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -31,16 +31,16 @@
 // groundTruth is what befalls servers, ways and poolers now: check.Sight.
 type groundTruth struct{ e *Emulation }
 
-func (x groundTruth) ServerHealthy(s int) bool { return x.e.world.Servers[s].Sound(x.e.s.now) }
+func (x groundTruth) ServerHealthy(s int) bool { return x.e.world.Servers[s].Healthy(x.e.s.now) }
 func (x groundTruth) ServerStartedAt(s int) float64 {
-	if x.e.world.List.Extra > 0 || x.e.world.List.Gone { // it may be long until all have its entry
+	if x.e.world.List.ExtraDelayMs > 0 || x.e.world.List.Unavailable { // it may be long until all have its entry
 		return 0
 	}
 	return x.e.world.Servers[s].Started
 }
 func (x groundTruth) IsPrimary(s int) bool { w := x.e.world.Servers[s]; return w.Group.Primary == w }
 func (x groundTruth) LinkHealthy(p, s int) bool {
-	return x.e.ways.good(p, s) && !x.e.apart(x.e.poolers[p], x.e.world.Servers[s]) && !x.e.world.List.Gone && x.e.ways.held[p] == 0
+	return x.e.ways.good(p, s) && !x.e.apart(x.e.poolers[p], x.e.world.Servers[s]) && !x.e.world.List.Unavailable && x.e.ways.held[p] == 0
 }
 func (x groundTruth) PoolerRunning(no int) bool {
 	p := x.e.poolers[no]
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -140,7 +140,7 @@
 		e.s.After(scenario.ConnectMs, d, atDown) // nothing comes back
 	case !s.Up:
 		e.s.After(there+e.way(), d, atDown)
-	case e.conns(s) >= e.script.Fleet.Conns:
+	case e.conns(s) >= e.script.Fleet.MaxConnections:
 		e.s.After(there+e.way(), d, atRefused)
 	default:
 		e.s.After(there+e.way()+e.draw(e.script.Handshake), d, atUp)
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -127,8 +127,8 @@
 
 // Rules are what a scenario's rules go by.
 func Rules(s *scenario.Script) checker.Config {
-	c := checker.Config{GraceMs: s.Fleet.GraceMs, SlackMs: 50, MaxAttempts: scenario.MaxAttempts, ColdMs: s.Fleet.ColdMs, ColdShare: s.Fleet.ColdBy,
-		Cores: s.Fleet.Cores, OverloadFactor: s.Fleet.Falls, OverloadWindowMs: s.Fleet.FallsMs, Limits: s.CheckedLimits(), CountMs: 5, Overload: s.CheckedOverload()}
+	c := checker.Config{GraceMs: s.Fleet.GraceMs, SlackMs: 50, MaxAttempts: scenario.MaxAttempts, ColdMs: s.Fleet.ColdMs, ColdShare: s.Fleet.ColdShare,
+		Cores: s.Fleet.Cores, OverloadFactor: s.Fleet.OverloadFactor, OverloadWindowMs: s.Fleet.OverloadWindowMs, Limits: s.CheckedLimits(), CountMs: 5, Overload: s.CheckedOverload()}
 	for _, x := range s.Clients.Classes {
 		k := checker.Class{Name: x.Name, Writes: x.Read == clients.Write, NoRepeat: x.Read == clients.Write && x.KeyMs == 0, KeyMs: x.KeyMs, Session: x.Read == clients.ReadSession}
 		if x.Read == clients.ReadBounded {
@@ -340,8 +340,8 @@
 	}
 }
 
-// Said is world.Watcher's.
-func (e *Emulation) Said(f model.Fact) { e.s.mix(uint64(f.Group), uint64(len(f.What))) }
+// FactRecorded is world.Watcher's.
+func (e *Emulation) FactRecorded(f model.Fact) { e.s.mix(uint64(f.Group), uint64(len(f.What))) }
 
 // Listed is world.Watcher's.
 func (e *Emulation) Listed(x *model.Entry, _ float64) {
@@ -384,7 +384,7 @@
 		e.opt.ran(a.v.name)
 	}
 	value, position := j.Value, r.Position
-	if r.Dropped {
+	if r.RepeatDropped {
 		e.check.RepeatDropped(e.s.now, s.No, a.v.id, hashOf(value), position)
 		return
 	}
--- a/internal/testkit/simulation/members.go
+++ b/internal/testkit/simulation/members.go
@@ -84,7 +84,7 @@
 	switch {
 	case s.what == "hang":
 		return // its poolers give up by themselves
-	case s.what == "down" || a.e.world.List.Gone:
+	case s.what == "down" || a.e.world.List.Unavailable:
 		ans = consul.Response{Status: 500}
 	case s.what == "cut":
 		ans = consul.Response{Status: 200, Err: errors.New("the answer is not whole")}
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -41,7 +41,7 @@
 
 func (e *Emulation) newPooler(no int) *pooler {
 	p := &pooler{e: e, no: no, name: fmt.Sprintf("pooler-%d", no), visits: map[*visit]bool{}}
-	p.known, p.limits = e.world.List.Whole(), e.script.Limits
+	p.known, p.limits = e.world.List.Snapshot(), e.script.Limits
 	if e.script.Journal != nil {
 		p.disk = &disk{p: p, took: e.script.Journal.Disk, kept: map[string][]byte{}}
 	}
--- a/internal/testkit/simulation/spent.go
+++ b/internal/testkit/simulation/spent.go
@@ -22,7 +22,7 @@
 
 // worked counts the work on an attempt that a server has answered.
 func (x *spends) worked(a *attempt) {
-	waited, worked := a.job.Spent(a.p.e.s.now)
+	waited, worked := a.job.Times(a.p.e.s.now)
 	if worked <= 0 || a.v == nil || a.p.e.drawn {
 		return
 	}
@@ -33,10 +33,10 @@
 
 // calledOff counts an attempt that its pooler wants no more.
 func (x *spends) calledOff(a *attempt) {
-	if a.v == nil || !a.job.Open() || a.p.e.drawn {
+	if a.v == nil || !a.job.InProgress() || a.p.e.drawn {
 		return
 	}
-	_, worked := a.job.Spent(a.p.e.s.now)
+	_, worked := a.job.Times(a.p.e.s.now)
 	if worked <= 0 {
 		x.Unrun++
 		return
--- a/internal/testkit/simulation/strike.go
+++ b/internal/testkit/simulation/strike.go
@@ -44,21 +44,21 @@
 		strike(true)
 		later(func() { strike(false) })
 	case "list-late":
-		e.world.ListLate(f.Value)
-		later(func() { e.world.ListLate(0) })
+		e.world.DelayList(f.Value)
+		later(func() { e.world.DelayList(0) })
 	case "list-gone":
-		e.world.ListGone(true)
-		later(func() { e.world.ListGone(false) })
+		e.world.SetListUnavailable(true)
+		later(func() { e.world.SetListUnavailable(false) })
 	case "agent":
 		n, what := f.Target.Group, f.Target.Word
 		e.agents.strike(n, what)
 		later(func() { e.agents.strike(n, "") })
 	case "deregister-all":
-		e.world.Empty(true)
-		later(func() { e.world.Empty(false) })
+		e.world.DeregisterAll(true)
+		later(func() { e.world.DeregisterAll(false) })
 	case "wrong-roles":
-		e.world.Swap(true)
-		later(func() { e.world.Swap(false) })
+		e.world.SwapRoles(true)
+		later(func() { e.world.SwapRoles(false) })
 	case "limit":
 		e.change(f)
 	case "pay":
@@ -99,7 +99,7 @@
 // revive starts a killed pooler again.
 func (p *pooler) revive() {
 	if !p.up {
-		p.known = p.e.world.List.Whole()
+		p.known = p.e.world.List.Snapshot()
 		_ = p.start() // it was started from the same settings before
 	}
 }
--- a/internal/testkit/simulation/watch.go
+++ b/internal/testkit/simulation/watch.go
@@ -15,11 +15,11 @@
 	e, life := p.e, p.life
 	e.lists++
 	e.s.After(e.way(), model.Func(func() {
-		if e.world.List.Gone {
+		if e.world.List.Unavailable {
 			e.s.After(e.way(), model.Func(func() { p.whenRunning(life, p.listFailed) }), 0)
 			return
 		}
-		l := e.world.List.Whole()
+		l := e.world.List.Snapshot()
 		if watch {
 			l = e.world.List.Since(p.known.Generation)
 			e.watches++
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -98,7 +98,7 @@
 		members, lossy := make([]float64, sites), make([]float64, sites)
 		for _, s := range g.Members {
 			z := s.SiteNo()
-			part, loses := s.Truth(e.s.now)
+			part, loses := s.EffectiveCapacity(e.s.now)
 			x.Capacities[z].Cores += part * float64(e.script.Fleet.Cores)
 			if members[z]++; loses > o.Lossy {
 				lossy[z]++
