--- a/internal/cluster/zones/planner/observations.go
+++ b/internal/cluster/zones/planner/observations.go
@@ -8,126 +8,161 @@
 
 	"beechgrade/internal/cluster/zones/health"
 	"beechgrade/internal/cluster/zones/plan"
-	"beechgrade/internal/cluster/zones/statemachine"
 )
 
 const (
-	emptyZoneShare         = 0.05 // a zone with less of its servers than this is left at once
-	returningCapacityShare = 0.25 // of a zone's room is there when it begins to return
+	samplesPerStep         = 4
+	returningCapacityShare = 0.25 // of a zone's capacity that is there when it begins to return
 	fullCapacityShare      = 1.0
+	loadIncreaseShare      = 0.15 // of an increase of a load that a sample takes over
 	minAttempts            = 1e-9
+	msPerSecond            = 1000
 )
 
-// sample makes a picture of what was told, and has the zones and ways take it.
-func (planner *Planner) sample(now float64, b *statemachine.StateMachine) {
+// outcomes are attempts a second, smoothed.
+type outcomes struct {
+	ended float64
+	lost  float64
+}
+
+func (o *outcomes) add(other outcomes) {
+	o.ended += other.ended
+	o.lost += other.lost
+}
+
+// cellReports are what all poolers report of a cell.
+type cellReports struct {
+	cell
+	reports []reportedCell
+}
+
+// reportedCell is what a pooler of a zone reports of a cell.
+type reportedCell struct {
+	zone int
+	Cell
+}
+
+// sample makes a snapshot of the reports, and steps the health of zones and links.
+func (planner *Planner) sample(now float64) {
 	planner.snapshot = Snapshot{Observations: make([]health.Observation, planner.settings.Zones)}
 	groups, cells := planner.collectCells()
-	planner.smoothLoads(now, groups)
+	planner.smoothLoads(groups)
 	planner.countOutcomes(now, cells)
-	for z := range planner.zones {
-		planner.snapshot.Observations[z] = planner.observeZone(z, cells)
+	for zone := range planner.zones {
+		planner.snapshot.Observations[zone] = planner.observeZone(zone, cells)
 	}
 	planner.planSettings = planner.settings.Plan
 	planner.planSettings.Delay = make([][]float64, planner.settings.Zones)
-	for z := range planner.planSettings.Delay {
-		planner.planSettings.Delay[z] = slices.Clone(planner.settings.Plan.Delay[z])
+	for zone := range planner.planSettings.Delay {
+		planner.planSettings.Delay[zone] = slices.Clone(planner.settings.Plan.Delay[zone])
 	}
 	planner.fillGroups(groups, cells, now)
-	for z := range planner.zones {
-		planner.snapshot.Observations[z].Load = planner.nearLoad(z)
-		planner.zones[z].Step(&planner.settings.Health, now, &planner.snapshot.Observations[z])
+	for zone := range planner.zones {
+		observation := &planner.snapshot.Observations[zone]
+		observation.Load = planner.nearLoad(zone)
+		planner.zones[zone].Step(&planner.settings.Health, now, observation)
 	}
-	for a := range planner.links {
-		for b := range planner.links[a] {
-			if a == b {
+	planner.stepLinks(now)
+	planner.fillGroups(groups, cells, now) // by the new states
+	planner.solve()
+}
+
+// stepLinks steps the health of the links. Nothing is planned over an abandoned one.
+func (planner *Planner) stepLinks(now float64) {
+	for from := range planner.links {
+		for to := range planner.links[from] {
+			if from == to {
 				continue
 			}
-			w := &planner.links[a][b]
-			e := planner.observeLink(a, b)
-			if w.Step(&planner.settings.Health, now, &e); w.State.Abandoned() {
-				planner.planSettings.Delay[a][b] = math.Inf(1)
+			link := &planner.links[from][to]
+			observation := planner.observeLink(from, to)
+			link.Step(&planner.settings.Health, now, &observation)
+			if link.State.Abandoned() {
+				planner.planSettings.Delay[from][to] = math.Inf(1)
 			}
 		}
 	}
-	planner.fillGroups(groups, cells, now)
-	var answers []plan.Solution
-	for i := range planner.snapshot.Groups {
-		answers = append(answers, planner.planSettings.Solve(&planner.snapshot.Groups[i]))
+}
+
+// solve solves each group and folds the solutions into the target.
+func (planner *Planner) solve() {
+	snapshot := &planner.snapshot
+	var solutions []plan.Solution
+	for i := range snapshot.Groups {
+		solutions = append(solutions, planner.planSettings.Solve(&snapshot.Groups[i]))
 	}
-	planner.snapshot.Target, planner.snapshot.Unserved = planner.planSettings.Fold(planner.snapshot.Groups, answers)
-	planner.snapshot.Crossing = planner.snapshot.Target.CrossingShare(planner.snapshot.Groups)
+	snapshot.Target, snapshot.Unserved = planner.planSettings.Fold(snapshot.Groups, solutions)
+	snapshot.Crossing = snapshot.Target.CrossingShare(snapshot.Groups)
+}
+
+// sortedReports returns the keys of the reports, by pooler and part.
+func (planner *Planner) sortedReports() []reportKey {
+	return slices.SortedFunc(maps.Keys(planner.reports), func(a, b reportKey) int {
+		return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.part, b.part))
+	})
 }
 
-// collectCells sorts what was told: which groups there are, and what each zone's poolers say of each cell.
-func (planner *Planner) collectCells() (groups []int, sorted []cellReports) {
-	by := map[cell][]reportedCell{}
-	for _, k := range slices.SortedFunc(maps.Keys(planner.reports), func(a, b reportKey) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.part, b.part)) }) {
-		t := planner.reports[k]
-		for _, x := range t.report.Cells {
-			if x.Zone < 0 || x.Zone >= planner.settings.Zones {
+// collectCells returns the reported groups, and the reports of each cell, sorted.
+func (planner *Planner) collectCells() (groups []int, cells []cellReports) {
+	byCell := map[cell][]reportedCell{}
+	for _, key := range planner.sortedReports() {
+		report := planner.reports[key].report
+		for _, reported := range report.Cells {
+			if reported.Zone < 0 || reported.Zone >= planner.settings.Zones {
 				continue
 			}
-			at := cell{x.Group, x.Zone}
-			by[at] = append(by[at], reportedCell{t.report.Zone, x})
-			if !slices.Contains(groups, x.Group) {
-				groups = append(groups, x.Group)
+			at := cell{reported.Group, reported.Zone}
+			byCell[at] = append(byCell[at], reportedCell{report.Zone, reported})
+			if !slices.Contains(groups, reported.Group) {
+				groups = append(groups, reported.Group)
 			}
 		}
 	}
 	slices.Sort(groups)
-	for _, at := range slices.SortedFunc(maps.Keys(by), func(a, b cell) int { return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.zone, b.zone)) }) {
-		sorted = append(sorted, cellReports{at, by[at]})
+	sorted := slices.SortedFunc(maps.Keys(byCell), func(a, b cell) int {
+		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.zone, b.zone))
+	})
+	for _, at := range sorted {
+		cells = append(cells, cellReports{at, byCell[at]})
 	}
-	return groups, sorted
+	return groups, cells
 }
 
-// cellReports are what all say of a cell.
-type cellReports struct {
-	cell
-	reports []reportedCell
-}
-
-type reportedCell struct {
-	zone int
-	Cell
-}
-
-// smoothLoads follows what is asked. A load that grows is taken at once, as plans must be safe; one that falls fades.
-func (planner *Planner) smoothLoads(now float64, groups []int) {
+// smoothLoads follows the reported demands. A load that grows is taken over quickly, as plans must be safe; one that falls fades.
+func (planner *Planner) smoothLoads(groups []int) {
 	sums := map[flow]float64{}
-	for _, k := range slices.SortedFunc(maps.Keys(planner.reports), func(a, b reportKey) int { return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.part, b.part)) }) {
-		t := planner.reports[k]
-		for _, a := range t.report.Demands {
-			if a.Class >= 0 && a.Class < len(planner.settings.Plan.Classes) && slices.Contains(groups, a.Group) {
-				sums[flow{a.Group, a.Class, t.report.Zone}] += max(0, a.Load)
+	for _, key := range planner.sortedReports() {
+		report := planner.reports[key].report
+		for _, demand := range report.Demands {
+			known := demand.Class >= 0 && demand.Class < len(planner.settings.Plan.Classes) && slices.Contains(groups, demand.Group)
+			if known {
+				sums[flow{demand.Group, demand.Class, report.Zone}] += max(0, demand.Load)
 			}
 		}
 	}
 	fade := math.Exp(-1 / max(1, planner.settings.LoadMemory/planner.settings.sampleInterval()))
-	for k, was := range planner.loads {
-		planner.loads[k] = was * fade
-		if sums[k] == 0 && planner.loads[k] < plan.Unit {
-			delete(planner.loads, k)
+	for key, previous := range planner.loads {
+		planner.loads[key] = previous * fade
+		if sums[key] == 0 && planner.loads[key] < plan.Unit {
+			delete(planner.loads, key)
 		}
 	}
-	for k, x := range sums {
-		planner.loads[k] += x * (1 - fade)
-		if x > planner.loads[k]*(1+smallDifference) {
-			planner.loads[k] += (x - planner.loads[k]) * loadIncreaseShare
+	for key, load := range sums {
+		planner.loads[key] += load * (1 - fade)
+		if load > planner.loads[key]*(1+smallDifference) {
+			planner.loads[key] += (load - planner.loads[key]) * loadIncreaseShare
 		}
 	}
 }
 
-const loadIncreaseShare = 0.15 // of what a load has grown is taken in a look
-
-func (s *Settings) sampleInterval() float64 { return max(1, s.StepInterval/4) }
+func (s *Settings) sampleInterval() float64 { return max(1, s.StepInterval/samplesPerStep) }
 
-// relevantReports are the words on a cell that count: of the zone's own poolers, else of all.
+// relevantReports returns the reports of a cell by the zone's own poolers; those of all where there are none.
 func relevantReports(all []reportedCell, zone int) []reportedCell {
 	own := make([]reportedCell, 0, len(all))
-	for _, x := range all {
-		if x.zone == zone {
-			own = append(own, x)
+	for _, reported := range all {
+		if reported.zone == zone {
+			own = append(own, reported)
 		}
 	}
 	if len(own) > 0 {
@@ -136,136 +171,161 @@
 	return all
 }
 
-// countOutcomes follows how attempts end, over a window: one word of a pooler has few.
-func (planner *Planner) countOutcomes(now float64, by []cellReports) {
-	n := planner.settings.Zones
-	if len(planner.outcomes) != n*n {
-		planner.outcomes, planner.lastSample = make([][2]float64, n*n), now
+// countOutcomes follows the ends of attempts on each link over a window: one report has few.
+func (planner *Planner) countOutcomes(now float64, cells []cellReports) {
+	zones := planner.settings.Zones
+	if len(planner.outcomes) != zones*zones {
+		planner.outcomes = make([]outcomes, zones*zones)
+		planner.lastSample = now
 	}
 	fade := math.Exp(-(now - planner.lastSample) / max(1, planner.settings.Window))
 	planner.lastSample = now
-	sums := make([][2]float64, n*n)
-	for _, w := range by {
-		for _, x := range w.reports {
-			sums[x.zone*n+w.zone][0] += x.Attempts
-			sums[x.zone*n+w.zone][1] += x.Lost
+	sums := make([]outcomes, zones*zones)
+	for _, c := range cells {
+		for _, reported := range c.reports {
+			sums[reported.zone*zones+c.zone].add(outcomes{reported.Attempts, reported.Lost})
 		}
 	}
-	for i := range sums {
-		for k := range 2 {
-			planner.outcomes[i][k] = planner.outcomes[i][k]*fade + sums[i][k]*planner.settings.Window/1000*(1-fade)
-		}
+	smooth := func(value, rate float64) float64 {
+		return value*fade + rate*planner.settings.Window/msPerSecond*(1-fade)
+	}
+	for i, sum := range sums {
+		o := &planner.outcomes[i]
+		o.ended = smooth(o.ended, sum.ended)
+		o.lost = smooth(o.lost, sum.lost)
 	}
 }
 
-// observeZone is what there is to say of a zone: what its own poolers see, where they ask enough.
-func (planner *Planner) observeZone(z int, by []cellReports) (e health.Observation) {
-	var far health.Observation
-	up, whole := 0.0, 0.0
-	e.Unobserved = true
-	for _, w := range by {
-		if w.zone == z {
-			e.Unobserved = false
-			cores, most := medianCores(relevantReports(w.reports, z))
-			up, whole = up+cores, whole+most
+// outcomesOf returns the outcomes of the poolers of a zone at the servers of a zone.
+func (planner *Planner) outcomesOf(from, to int) outcomes {
+	return planner.outcomes[from*planner.settings.Zones+to]
+}
+
+// observeZone returns what its own poolers observe of a zone, where they make enough attempts; otherwise what others do.
+func (planner *Planner) observeZone(zone int, cells []cellReports) (observation health.Observation) {
+	serving, full := 0.0, 0.0
+	observation.Unobserved = true
+	for _, c := range cells {
+		if c.zone == zone {
+			observation.Unobserved = false
+			cores, fullCores := medianCores(relevantReports(c.reports, zone))
+			serving += cores
+			full += fullCores
 		}
 	}
-	for a := range planner.settings.Zones {
-		if x := planner.outcomes[a*planner.settings.Zones+z]; a == z {
-			e.Attempts, e.Lost = x[0], x[1]
-		} else {
-			far.Attempts, far.Lost = far.Attempts+x[0], far.Lost+x[1]
+	own := planner.outcomesOf(zone, zone)
+	var remote outcomes
+	for from := range planner.settings.Zones {
+		if from != zone {
+			remote.add(planner.outcomesOf(from, zone))
 		}
 	}
-	if e.Attempts < planner.settings.Health.MinAttempts && (len(planner.poolers(z)) == 0 || far.Lost < planner.settings.Health.FailingLossShare*far.Attempts) {
-		e.Attempts, e.Lost = far.Attempts, far.Lost
+	set := &planner.settings.Health
+	remoteFails := remote.lost >= set.FailingLossShare*remote.ended
+	if own.ended < set.MinAttempts && (len(planner.poolers(zone)) == 0 || !remoteFails) {
+		own = remote
 	}
-	if e.ServingShare = 1; whole > 0 {
-		e.ServingShare = up / whole
+	observation.Attempts, observation.Lost = own.ended, own.lost
+	observation.ServingShare = 1
+	if full > 0 {
+		observation.ServingShare = serving / full
 	}
-	return e
+	return observation
 }
 
-// poolers are those of a zone that have told something lately.
-func (planner *Planner) poolers(z int) (out []uint64) {
-	for k, t := range planner.reports {
-		if t.report.Zone == z && !slices.Contains(out, k.from) {
-			out = append(out, k.from)
+// poolers returns the poolers of a zone that have reported lately.
+func (planner *Planner) poolers(zone int) (out []uint64) {
+	for key, entry := range planner.reports {
+		if entry.report.Zone == zone && !slices.Contains(out, key.from) {
+			out = append(out, key.from)
 		}
 	}
 	return out
 }
 
-// poolerCounts are how many poolers of each zone have told something lately.
+// poolerCounts returns the number of poolers of each zone that have reported lately.
 func (planner *Planner) poolerCounts() []int {
-	n := make([]int, planner.settings.Zones)
-	for z := range n {
-		n[z] = len(planner.poolers(z))
+	counts := make([]int, planner.settings.Zones)
+	for zone := range counts {
+		counts[zone] = len(planner.poolers(zone))
 	}
-	return n
+	return counts
 }
 
-// medianCores is the median of what is said of a cell's cores.
-func medianCores(all []reportedCell) (cores, whole float64) {
-	var a, b []float64
-	for _, x := range all {
-		a, b = append(a, x.Cores), append(b, x.FullCores)
+// medianCores returns the medians of what is reported of a cell's cores.
+func medianCores(reports []reportedCell) (cores, fullCores float64) {
+	var serving, full []float64
+	for _, reported := range reports {
+		serving = append(serving, reported.Cores)
+		full = append(full, reported.FullCores)
 	}
-	slices.Sort(a)
-	slices.Sort(b)
-	return a[len(a)/2], b[len(b)/2]
+	slices.Sort(serving)
+	slices.Sort(full)
+	return serving[len(serving)/2], full[len(full)/2]
 }
 
-// observeLink is what there is to say of one: what one zone's poolers see of another that is well by its own.
-func (planner *Planner) observeLink(a, b int) (e health.Observation) {
-	x := planner.outcomes[a*planner.settings.Zones+b]
-	e.ServingShare, e.Attempts, e.Lost = 1, x[0], x[1]
-	z := &planner.snapshot.Observations[b]
-	e.Unobserved = planner.settings.Health.IsFailure(z) || z.Attempts < minAttempts && e.Attempts < minAttempts
-	return e
+// observeLink returns what the poolers of one zone observe of another one that is healthy by its own.
+func (planner *Planner) observeLink(from, to int) health.Observation {
+	ends := planner.outcomesOf(from, to)
+	target := &planner.snapshot.Observations[to]
+	unused := target.Attempts < minAttempts && ends.ended < minAttempts
+	return health.Observation{
+		ServingShare: 1,
+		Attempts:     ends.ended,
+		Lost:         ends.lost,
+		Unobserved:   planner.settings.Health.IsFailure(target) || unused,
+	}
 }
 
 // fillGroups makes the groups that are to be solved.
-func (planner *Planner) fillGroups(groups []int, by []cellReports, now float64) {
+func (planner *Planner) fillGroups(groups []int, cells []cellReports, now float64) {
 	planner.snapshot.Groups = planner.snapshot.Groups[:0]
 	for _, id := range groups {
-		g := plan.Group{}
-		for z := range planner.zones {
+		group := plan.Group{}
+		for zone := range planner.zones {
 			for class := range planner.settings.Plan.Classes {
-				if x := planner.loads[flow{id, class, z}]; x > 0 {
-					g.Flows = append(g.Flows, plan.Flow{Class: class, Zone: z, Load: x})
+				if load := planner.loads[flow{id, class, zone}]; load > 0 {
+					group.Flows = append(group.Flows, plan.Flow{Class: class, Zone: zone, Load: load})
 				}
 			}
-			r := plan.Capacity{}
-			if i := slices.IndexFunc(by, func(w cellReports) bool { return w.cell == cell{id, z} }); i >= 0 {
-				all := by[i].reports
-				r.Cores, _ = medianCores(relevantReports(all, z))
-				for _, x := range all {
-					r.FixedCores += x.FixedCores
-				}
-				r.Age = relevantReports(all, z)[0].AgeMs
-			}
-			s := &planner.zones[z]
-			r.ServesNear, r.ServesRemote = !s.State.Abandoned(), s.State == health.Serving
-			r.Cores *= returningCapacityShare + (fullCapacityShare-returningCapacityShare)*s.RecoveredShare(&planner.settings.Health, now)
-			g.Capacities = append(g.Capacities, r)
+			group.Capacities = append(group.Capacities, planner.capacity(cell{id, zone}, cells, now))
+		}
+		planner.snapshot.Groups = append(planner.snapshot.Groups, group)
+	}
+}
+
+// capacity returns what a group's servers in a zone can do, by the reports and the zone's state.
+func (planner *Planner) capacity(at cell, cells []cellReports, now float64) (capacity plan.Capacity) {
+	if i := slices.IndexFunc(cells, func(c cellReports) bool { return c.cell == at }); i >= 0 {
+		relevant := relevantReports(cells[i].reports, at.zone)
+		capacity.Cores, _ = medianCores(relevant)
+		for _, reported := range cells[i].reports {
+			capacity.FixedCores += reported.FixedCores
 		}
-		planner.snapshot.Groups = append(planner.snapshot.Groups, g)
+		capacity.Age = relevant[0].AgeMs
 	}
+	zone := &planner.zones[at.zone]
+	capacity.ServesNear = !zone.State.Abandoned()
+	capacity.ServesRemote = zone.State == health.Serving
+	recovered := zone.RecoveredShare(&planner.settings.Health, now)
+	capacity.Cores *= returningCapacityShare + (fullCapacityShare-returningCapacityShare)*recovered
+	return capacity
 }
 
-// nearLoad is the largest part of its safe room that a group's near reads fill in a zone.
-func (planner *Planner) nearLoad(z int) (most float64) {
+// nearLoad returns the largest part of its safe capacity in a zone that a group's local reads fill.
+func (planner *Planner) nearLoad(zone int) (largest float64) {
 	for i := range planner.snapshot.Groups {
-		g, near := &planner.snapshot.Groups[i], 0.0
-		for _, f := range g.Flows {
-			if f.Zone == z {
+		group := &planner.snapshot.Groups[i]
+		near := 0.0
+		for _, f := range group.Flows {
+			if f.Zone == zone {
 				near += f.Load
 			}
 		}
 		if near > 0 {
-			most = max(most, near/max(planner.settings.Plan.SafeCapacity(&g.Capacities[z]), plan.Unit))
+			safe := planner.planSettings.SafeCapacity(&group.Capacities[zone])
+			largest = max(largest, near/max(safe, plan.Unit))
 		}
 	}
-	return most
+	return largest
 }
--- a/internal/cluster/zones/planner/planner.go
+++ b/internal/cluster/zones/planner/planner.go
@@ -1,60 +1,64 @@
-// Package planner makes the fleet's plans, at the voter that leads: what all poolers saw goes in, entries for the log come out. Pure.
+// Package planner makes the fleet's plans at the voter that leads: reports of all poolers go in, entries for the replicated log come out. It
+// is a pure state machine.
 //
-// # What it decides, and what not
+// # What it decides
 //
-// It follows each zone and each way between two (package state) on what is seen of them: of a zone what its own poolers see, where enough is
-// asked there, else what others do; of a way what the poolers of the one zone see of a zone that is well by its own. Then it solves each
-// group (package plan), folds that into one matrix, and goes a step towards it. An entry is proposed where the plan changes, and every
-// Renew where it does not, so that a plan in force is never older than that at a voter that the majority reaches.
+// It follows the health of each zone, and of each link between two, by what was observed of them: of a zone by its own poolers, where they
+// make enough attempts there, otherwise by others; of a link by the poolers of one zone towards a zone that is healthy by its own. Then it
+// solves each group (package plan), folds the solutions into one matrix, and goes a step towards it. It proposes an entry where the plan
+// changes, and every RenewInterval where it does not, so a plan in force is never older than that at a voter that the majority reaches.
 //
-// Whether its plan is the one, the log's order says (package book). It does not know whether it still leads: what it proposes too late is void.
-// A chief that has just begun to lead takes the plan in force as it is for Settle, until poolers have told it what they see.
+// The order of the log decides which plan is in force (package statemachine). The planner does not know whether it still leads: what it
+// proposes too late is rejected. A planner that has just become the leader's keeps the plan in force for SettleTime, until poolers have
+// reported to it. Without reports it keeps the plan, and renews it.
 package planner
 
 import (
 	"maps"
-	"math"
 
 	"beechgrade/internal/cluster/zones/health"
 	"beechgrade/internal/cluster/zones/plan"
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// Settings say how. Times are in ms.
+// Settings configure a Planner. Times are in ms.
 type Settings struct {
 	Name            string
-	ZonesHash       uint32 // a sum of the zones' names
+	ZonesHash       uint32 // of the zones' names
 	Zones           int
 	Plan            plan.Settings
 	Health          health.Settings
-	ReportLifetime  float64 // what a pooler told is forgotten
+	ReportLifetime  float64 // after which a report is forgotten
 	Window          float64 // over which attempts are counted
 	LoadMemory      float64 // over which loads are smoothed
 	StepInterval    float64 // between two steps of a plan
-	OutwardShare    float64 // part of a zone's reads that leave in a step
-	ReturnShare     float64 // ...and that come back
-	RenewInterval   float64 // between two entries of a plan that does not change
-	SettleTime      float64 // that a new chief listens before it changes anything
-	ProposalTimeout float64 // after which an entry that was proposed is given up
+	OutwardShare    float64 // the part of a zone's reads that leaves in a step
+	ReturnShare     float64 // the part that returns in a step
+	RenewInterval   float64 // between two entries of the same plan
+	SettleTime      float64 // that a new leader waits for reports before it changes the plan
+	ProposalTimeout float64 // after which a proposed entry is given up
 }
 
-// Cell is what a pooler saw of a group's servers in a zone, over the last window.
+// Cell is what a pooler observed of a group's servers in a zone since its last report.
 type Cell struct {
-	Group, Zone    int
-	Attempts, Lost float64 // attempts a second; lost are those without an answer
-	Cores          float64 // of servers that serve, as far as this pooler knows
-	FullCores      float64 // of those that there are when all is well
-	FixedCores     float64 // cores that it used there for what only they can do
-	AgeMs          float64 // ms that their data is old
+	Group      int
+	Zone       int
+	Attempts   float64 // a second
+	Lost       float64 // of them, without an answer
+	Cores      float64 // of the servers that serve, as far as the pooler knows
+	FullCores  float64 // of those in normal operation
+	FixedCores float64 // that the pooler used there for what cannot go elsewhere
+	AgeMs      float64 // of the servers' data
 }
 
-// Demand is what a pooler's clients ask of a group's reads, in cores.
+// Demand is the load of a class of reads that a pooler's clients send to a group.
 type Demand struct {
-	Group, Class int
-	Load         float64
+	Group int
+	Class int
+	Load  float64 // cores
 }
 
-// Report is a pooler's word; a long one comes in parts.
+// Report is what a pooler of a zone observed; a long one is sent in parts.
 type Report struct {
 	Zone    int
 	Part    int
@@ -62,6 +66,7 @@
 	Demands []Demand
 }
 
+// reportEntry is the last report of a pooler, or a part of it.
 type reportEntry struct {
 	receivedAt float64
 	report     Report
@@ -76,193 +81,131 @@
 
 type flow struct{ group, class, zone int }
 
-// Planner is a voter's.
+// Planner is one voter's. It is not safe for concurrent use.
 type Planner struct {
 	settings       Settings
 	reports        map[reportKey]reportEntry
 	leading        bool
-	leadingSince   float64 // it leads since
+	leadingSince   float64
 	zones          []health.Zone
-	links          [][]health.Zone
+	links          [][]health.Zone  // by the zones of the poolers and of the servers
 	loads          map[flow]float64 // smoothed
-	outcomes       [][2]float64     // by zone of the poolers and of the servers: attempts that ended and were lost, about over Window
+	outcomes       []outcomes       // of each link, over about a Window
 	lastSample     float64
-	exactMatrix    plan.Matrix // of which the plan is what whole poolers can follow
-	exactPlan      uint64      // ...as of this plan
+	exactMatrix    plan.Matrix // that the plan is rounded from
+	exactPlan      uint64      // the number of the plan that exactMatrix belongs to
 	lastStep       float64
 	lastProposal   float64
-	proposedNumber uint64 // number of the plan that was proposed
+	proposedNumber uint64 // of the plan that was proposed last
 	proposedAt     float64
 	snapshot       Snapshot
-	planSettings   plan.Settings // with the ways as they are
+	planSettings   plan.Settings // with the links as they are
 }
 
-// Snapshot is what a chief made of the last windows, for those who look.
+// Snapshot is what a planner concluded from the last windows.
 type Snapshot struct {
 	Groups       []plan.Group
 	Observations []health.Observation
 	Target       plan.Matrix
-	Unserved     float64
-	Crossing     float64
+	Unserved     float64 // cores of work without safe capacity
+	Crossing     float64 // the part of all reads that crosses zones
 }
 
-// New makes one.
-func New(set Settings) *Planner {
-	planner := &Planner{settings: set, reports: map[reportKey]reportEntry{}, loads: map[flow]float64{}}
+// New returns a Planner that does not lead.
+func New(settings Settings) *Planner {
+	planner := &Planner{settings: settings, reports: map[reportKey]reportEntry{}, loads: map[flow]float64{}}
 	planner.restoreHealth(nil, 0)
 	return planner
 }
 
-// Snapshot is what it sees.
+// Snapshot returns the planner's last conclusions. It must not be changed.
 func (planner *Planner) Snapshot() *Snapshot { return &planner.snapshot }
 
-// Zone is how one stands.
-func (planner *Planner) Zone(z int) health.Zone { return planner.zones[z] }
+// Zone returns the health of a zone.
+func (planner *Planner) Zone(zone int) health.Zone { return planner.zones[zone] }
 
-// IsLeading tells whether it takes itself for the one who leads.
+// IsLeading reports whether this voter leads, as far as it knows.
 func (planner *Planner) IsLeading() bool { return planner.leading }
 
-// restoreHealth takes the states that the plan in force has.
+// restoreHealth takes over the states of a plan, nil for none.
 func (planner *Planner) restoreHealth(p *statemachine.Plan, now float64) {
-	planner.zones, planner.links = make([]health.Zone, planner.settings.Zones), make([][]health.Zone, planner.settings.Zones)
-	for z := range planner.zones {
-		planner.zones[z] = health.New(&planner.settings.Health)
-		planner.links[z] = make([]health.Zone, planner.settings.Zones)
-		for y := range planner.links[z] {
-			planner.links[z][y] = health.New(&planner.settings.Health)
-		}
+	zones := planner.settings.Zones
+	planner.zones = newZones(zones, &planner.settings.Health)
+	planner.links = make([][]health.Zone, zones)
+	for zone := range planner.links {
+		planner.links[zone] = newZones(zones, &planner.settings.Health)
 	}
-	if p == nil || len(p.Zones) != planner.settings.Zones {
+	if p == nil || len(p.Zones) != zones {
 		return
 	}
-	for z, m := range p.Zones {
-		if m.State != health.Serving || m.RestMs > planner.settings.Health.MinRest {
-			planner.zones[z] = health.Resume(m.State, m.RestMs, now)
+	for zone, status := range p.Zones {
+		if status.State != health.Serving || status.RestMs > planner.settings.Health.MinRest {
+			planner.zones[zone] = health.Resume(status.State, status.RestMs, now)
 		}
 	}
-	for _, w := range p.Links {
-		planner.links[w.From][w.To] = health.Resume(w.State, w.RestMs, now)
+	for _, link := range p.Links {
+		planner.links[link.From][link.To] = health.Resume(link.State, link.RestMs, now)
+	}
+}
+
+func newZones(n int, settings *health.Settings) []health.Zone {
+	zones := make([]health.Zone, n)
+	for i := range zones {
+		zones[i] = health.New(settings)
 	}
+	return zones
 }
 
-// SetLeading tells whether this voter leads, and the plan in force by its book.
-func (planner *Planner) SetLeading(now float64, leads bool, p *statemachine.Plan) {
-	if leads && !planner.leading {
-		planner.leadingSince, planner.proposedNumber = now, 0
+// SetLeading sets whether this voter leads. A new leader starts from the plan in force, nil for none.
+func (planner *Planner) SetLeading(now float64, leading bool, p *statemachine.Plan) {
+	if leading && !planner.leading {
+		planner.leadingSince = now
+		planner.proposedNumber = 0
 		clear(planner.loads)
 		planner.outcomes = nil
 		planner.restoreHealth(p, now)
 	}
-	planner.leading = leads
+	planner.leading = leading
 }
 
-// Receive takes a pooler's word.
-func (planner *Planner) Receive(now float64, from uint64, t *Report) {
-	if t.Zone < planner.settings.Zones {
-		planner.reports[reportKey{from, t.Part}] = reportEntry{now, *t}
+// Receive takes a pooler's report.
+func (planner *Planner) Receive(now float64, from uint64, report *Report) {
+	if report.Zone < planner.settings.Zones {
+		planner.reports[reportKey{from, report.Part}] = reportEntry{now, *report}
 	}
 }
 
-// Step looks at everything, and tells what to propose. now is Unix ms, by which orders end.
-func (planner *Planner) Step(now float64, b *statemachine.StateMachine) (entries [][]byte) {
-	maps.DeleteFunc(planner.reports, func(_ reportKey, t reportEntry) bool { return now-t.receivedAt > planner.settings.ReportLifetime })
+// Step samples the reports and returns the entries to propose. now is Unix ms, by which orders end.
+func (planner *Planner) Step(now float64, machine *statemachine.StateMachine) (entries [][]byte) {
+	maps.DeleteFunc(planner.reports, func(_ reportKey, entry reportEntry) bool {
+		return now-entry.receivedAt > planner.settings.ReportLifetime
+	})
 	if !planner.leading {
 		return nil
 	}
-	for z := range planner.zones {
-		if o, ok := b.Order(z); ok && o.Until > 0 && now >= o.Until {
-			entries = append(entries, statemachine.EncodeOrderEnd(&o))
-		} else if ok {
-			planner.zones[z].Order(now, o.State)
-		} else {
-			planner.zones[z].ClearOrder(now)
-		}
-	}
+	entries = planner.applyOrders(now, machine)
 	if now-planner.leadingSince >= planner.settings.SettleTime {
-		planner.sample(now, b)
+		planner.sample(now)
 	}
-	if p := planner.nextPlan(now, b); p != nil {
+	if p := planner.nextPlan(now, machine); p != nil {
 		planner.proposedNumber, planner.proposedAt = p.Number, now
 		entries = append(entries, statemachine.EncodePlan(p))
 	}
 	return entries
 }
 
-// nextPlan is the plan to propose, nil for none.
-func (planner *Planner) nextPlan(now float64, b *statemachine.StateMachine) *statemachine.Plan {
-	last := b.Plan
-	no := uint64(0)
-	if last != nil {
-		no = last.Number
-	}
-	if planner.proposedNumber > no && now-planner.proposedAt < planner.settings.ProposalTimeout {
-		return nil // it is on its way
-	}
-	p := &statemachine.Plan{Number: no + 1, Version: b.Version, ZonesHash: planner.settings.ZonesHash, Author: planner.settings.Name}
-	for z := range planner.zones {
-		p.Zones = append(p.Zones, statemachine.ZoneStatus{State: planner.zones[z].State, RestMs: planner.zones[z].RestMs})
-	}
-	for a := range planner.links {
-		for b := range planner.links[a] {
-			if w := &planner.links[a][b]; w.State != health.Serving && len(p.Links) < statemachine.MaxLinks {
-				p.Links = append(p.Links, statemachine.LinkStatus{From: a, To: b, ZoneStatus: statemachine.ZoneStatus{State: w.State, RestMs: w.RestMs}})
-			}
-		}
-	}
-	p.Matrix = plan.IdentityMatrix(planner.settings.Zones)
-	fits := last != nil && len(last.Matrix) == planner.settings.Zones
-	if fits {
-		p.Matrix = last.Matrix
-	}
-	if planner.snapshot.Target != nil && planner.leadingSince+planner.settings.SettleTime <= now {
-		if planner.exactMatrix == nil || !fits || last.Author != planner.settings.Name || last.Number != planner.exactPlan {
-			planner.exactMatrix = p.Matrix
-		}
-		planner.exactMatrix = planner.stepTowardsTarget(now, planner.exactMatrix, last)
-		if planner.exactPlan = p.Number; len(planner.snapshot.Groups) > 0 {
-			p.Matrix = planner.planSettings.Round(planner.exactMatrix, planner.snapshot.Groups, planner.poolerCounts())
-		} else {
-			p.Matrix = planner.exactMatrix
+// applyOrders sets the states that operators ordered, and returns entries that end the orders whose time is over.
+func (planner *Planner) applyOrders(now float64, machine *statemachine.StateMachine) (entries [][]byte) {
+	for zone := range planner.zones {
+		order, active := machine.Order(zone)
+		switch {
+		case !active:
+			planner.zones[zone].ClearOrder(now)
+		case order.Until > 0 && now >= order.Until:
+			entries = append(entries, statemachine.EncodeOrderEnd(&order))
+		default:
+			planner.zones[zone].Order(now, order.State)
 		}
-		p.Unserved, p.MaxFill = planner.snapshot.Unserved, planner.planSettings.MaxFill(p.Matrix, planner.snapshot.Groups)
-	} else if fits {
-		p.Zones, p.Links, p.Unserved, p.MaxFill = last.Zones, last.Links, last.Unserved, last.MaxFill
 	}
-	if fits && last.SameTarget(p) && now-planner.lastProposal < planner.settings.RenewInterval {
-		planner.exactPlan = last.Number
-		return nil
-	}
-	planner.lastProposal = now
-	return p
-}
-
-// smallDifference is a difference that no plan is made for.
-const smallDifference = 0.03
-
-// stepTowardsTarget goes from the matrix in force towards the one that is wanted.
-func (planner *Planner) stepTowardsTarget(now float64, m plan.Matrix, last *statemachine.Plan) plan.Matrix {
-	safe := planner.planSettings.Allowed(m, planner.snapshot.Groups) && planner.planSettings.MaxFill(m, planner.snapshot.Groups) <= 1
-	far := 0.0
-	for z := range m {
-		for y := range m[z] {
-			far = max(far, math.Abs(m[z][y]-planner.snapshot.Target[z][y]))
-		}
-	}
-	edge := false // a share that comes to its end is gone there whole
-	for z := range m {
-		w := planner.snapshot.Target[z][z]
-		edge = edge || (w == 1 || w == 0) && m[z][z] != w
-	}
-	if safe && (far <= smallDifference && !edge || now-planner.lastStep < planner.settings.StepInterval && last != nil) {
-		return m
-	}
-	planner.lastStep = now
-	paces := make([]plan.StepLimit, len(m))
-	for z := range paces {
-		paces[z] = plan.StepLimit{Out: planner.settings.OutwardShare, Return: planner.settings.ReturnShare}
-		if s := &planner.snapshot.Observations[z]; planner.zones[z].State == health.Evacuated && !planner.zones[z].Ordered || planner.zones[z].State.Abandoned() && s.ServingShare < emptyZoneShare {
-			paces[z].Out = 1
-		}
-	}
-	return planner.planSettings.Step(m, planner.snapshot.Target, planner.snapshot.Groups, paces)
+	return entries
 }
