--- a/cmd/beechgrade-kit/verdicts_test.go
+++ b/cmd/beechgrade-kit/verdicts_test.go
@@ -153,7 +153,7 @@
 			by[a.Server] = map[string]bool{}
 		}
 		by[a.Server][a.By], first, last = true, min(first, a.From), max(last, a.From)
-		if a.Why != "silent" || len(a.Word) != 2 || !strings.HasPrefix(a.Word[0], "pooler-") || a.To == 0 {
+		if a.Why != "silent" || len(a.Reporters) != 2 || !strings.HasPrefix(a.Reporters[0], "pooler-") || a.To == 0 {
 			t.Errorf("the records have %+v", a)
 		}
 	}
--- a/internal/testkit/console/console.go
+++ b/internal/testkit/console/console.go
@@ -18,15 +18,15 @@
 type Next func() (*incident.View, error)
 
 const (
-	refresh   = time.Second
-	leastW    = 40
-	leastH    = 10
-	defaultW  = 80
-	defaultH  = 24
-	labelW    = 14 // columns for names before a lane
-	rightW    = 9  // columns behind it
-	headLines = 4
-	footLines = 2
+	refresh       = time.Second
+	minWidth      = 40
+	minHeight     = 10
+	defaultWidth  = 80
+	defaultHeight = 24
+	labelWidth    = 14 // columns for names before a lane
+	lagWidth      = 9  // columns behind it
+	headerLines   = 4
+	footerLines   = 2
 )
 
 // tab is one of the panes.
@@ -46,23 +46,23 @@
 
 // Model is the console; it is Bubble Tea's.
 type Model struct {
-	view     *incident.View
-	next     Next
-	err      error
-	w, h     int
-	tab      tab
-	from, to float64 // the stretch of time that is shown
-	cursor   float64
-	follow   bool // the cursor stays at the end
-	scroll   [tabs]int
-	chosen   int  // finding
-	grave    bool // only grave findings
-	help     bool
+	view               *incident.View
+	nextView           Next
+	err                error
+	width, height      int
+	tab                tab
+	shownFrom, shownTo float64 // the stretch of time that is shown
+	cursor             float64
+	follow             bool // the cursor stays at the end
+	scroll             [tabs]int
+	selected           int  // finding
+	grave              bool // only grave findings
+	help               bool
 }
 
 // New makes a console. next may be nil.
 func New(v *incident.View, next Next) *Model {
-	m := &Model{view: v, next: next, w: defaultW, h: defaultH, from: v.From, to: v.To, cursor: v.From, follow: next != nil}
+	m := &Model{view: v, nextView: next, width: defaultWidth, height: defaultHeight, shownFrom: v.From, shownTo: v.To, cursor: v.From, follow: next != nil}
 	if m.follow {
 		m.cursor = v.To
 	}
@@ -84,14 +84,14 @@
 }
 
 // Init is Bubble Tea's.
-func (m *Model) Init() tea.Cmd { return m.later() }
+func (m *Model) Init() tea.Cmd { return m.scheduleRefresh() }
 
-func (m *Model) later() tea.Cmd {
-	if m.next == nil {
+func (m *Model) scheduleRefresh() tea.Cmd {
+	if m.nextView == nil {
 		return nil
 	}
 	return tea.Tick(refresh, func(time.Time) tea.Msg {
-		v, err := m.next()
+		v, err := m.nextView()
 		return refreshed{v, err}
 	})
 }
@@ -100,34 +100,34 @@
 func (m *Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
-		m.w, m.h = max(leastW, msg.Width), max(leastH, msg.Height)
+		m.width, m.height = max(minWidth, msg.Width), max(minHeight, msg.Height)
 	case refreshed:
 		if m.err = msg.err; m.err != nil {
 			return m, tea.Quit
 		}
-		m.take(msg.view)
-		return m, m.later()
+		m.replaceView(msg.view)
+		return m, m.scheduleRefresh()
 	case tea.KeyPressMsg:
 		return m, m.key(msg.String())
 	}
 	return m, nil
 }
 
-// take goes on with a newer view. What was shown whole is shown whole again.
-func (m *Model) take(v *incident.View) {
+// replaceView goes on with a newer view. What was shown whole is shown whole again.
+func (m *Model) replaceView(v *incident.View) {
 	old := m.view
 	m.view = v
-	whole := m.from <= old.From && m.to >= old.To
+	whole := m.shownFrom <= old.From && m.shownTo >= old.To
 	if whole {
-		m.from, m.to = v.From, v.To
+		m.shownFrom, m.shownTo = v.From, v.To
 	}
 	if m.follow {
 		m.cursor = v.To
 		if !whole {
-			m.from, m.to = m.from+v.To-old.To, v.To
+			m.shownFrom, m.shownTo = m.shownFrom+v.To-old.To, v.To
 		}
 	}
-	m.hold()
+	m.keepCursorShown()
 }
 
 func (m *Model) findings() []incident.Finding {
@@ -143,9 +143,9 @@
 	return out
 }
 
-func (m *Model) body() int { return max(1, m.h-headLines-footLines) }
+func (m *Model) body() int { return max(1, m.height-headerLines-footerLines) }
 
-func (m *Model) lane() int { return max(8, m.w-labelW-rightW) }
+func (m *Model) lane() int { return max(8, m.width-labelWidth-lagWidth) }
 
 // View is Bubble Tea's.
 func (m *Model) View() tea.View {
@@ -184,7 +184,7 @@
 		}
 		names = append(names, n)
 	}
-	lines := []string{bold.Render(cut(title, m.w)), m.spark(), m.axis(), strings.Join(names, " ")}
+	lines := []string{bold.Render(cut(title, m.width)), m.spark(), m.axis(), strings.Join(names, " ")}
 	rows := m.rows()
 	at := max(0, min(m.scroll[m.tab], len(rows)-1))
 	rows = rows[min(at, len(rows)):]
@@ -195,14 +195,14 @@
 			lines = append(lines, "")
 		}
 	}
-	lines = append(lines, m.status(), faint.Render(cut("←→ [] time  +- 0 zoom  tab 1-5 pane  ↑↓ rows  n p grave  enter go  ? help  q quit", m.w)))
+	lines = append(lines, m.status(), faint.Render(cut("←→ [] time  +- 0 zoom  tab 1-5 pane  ↑↓ rows  n p grave  enter go  ? help  q quit", m.width)))
 	return m.fit(lines)
 }
 
 func (m *Model) fit(lines []string) string {
-	lines = lines[:min(len(lines), m.h)]
+	lines = lines[:min(len(lines), m.height)]
 	for i, l := range lines {
-		lines[i] = lipgloss.NewStyle().MaxWidth(m.w).Render(l)
+		lines[i] = lipgloss.NewStyle().MaxWidth(m.width).Render(l)
 	}
 	return strings.Join(lines, "\n")
 }
@@ -242,5 +242,5 @@
 		s += fmt.Sprintf("  service %.0f%%", 100*got/asked)
 	}
 	s += fmt.Sprintf("  served %d refused %d failed %d within %s", served, refused, failed, incident.Span(v.Series.WidthMs))
-	return cut(s, m.w)
+	return cut(s, m.width)
 }
--- a/internal/testkit/console/console_test.go
+++ b/internal/testkit/console/console_test.go
@@ -36,14 +36,14 @@
 	}
 }
 
-// TestSizes guards against a screen that runs over its terminal, in any pane and any size.
-func TestSizes(t *testing.T) {
+// TestScreenFitsTerminalInEveryPane guards against a screen that runs over its terminal, in any pane and any size.
+func TestScreenFitsTerminalInEveryPane(t *testing.T) {
 	v := day(t)
 	v.Servers[0].Name += "\x1b[2J"
 	for _, size := range [][2]int{{80, 24}, {40, 10}, {200, 60}, {3, 2}} {
 		m := New(v, nil)
 		m.Update(tea.WindowSizeMsg{Width: size[0], Height: size[1]})
-		w, h := max(leastW, size[0]), max(leastH, size[1])
+		w, h := max(minWidth, size[0]), max(minHeight, size[1])
 		for _, keys := range [][]string{{}, {"1", "down", "pgdown"}, {"2"}, {"3", "down", "g"}, {"4"}, {"5"}, {"?"}, {"x", "+", "+", "right", "]", "-", "0", "end", "home", "p"}} {
 			press(m, keys...)
 			lines := strings.Split(m.Render(), "\n")
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestJump guards against a console that shows another moment than the one chosen.
-func TestJump(t *testing.T) {
+// TestJumpShowsChosenMoment guards against a console that shows another moment than the one chosen.
+func TestJumpShowsChosenMoment(t *testing.T) {
 	v := day(t)
 	m := New(v, nil)
 	press(m, "n")
@@ -80,27 +80,27 @@
 	for range 8 {
 		press(m, "+")
 	}
-	if m.from > m.cursor || m.to < m.cursor || m.to-m.from > 1000 {
-		t.Errorf("zoomed in, %v to %v is shown; the cursor is at %v", m.from, m.to, m.cursor)
+	if m.shownFrom > m.cursor || m.shownTo < m.cursor || m.shownTo-m.shownFrom > 1000 {
+		t.Errorf("zoomed in, %v to %v is shown; the cursor is at %v", m.shownFrom, m.shownTo, m.cursor)
 	}
 	plain := ansi.Strip(m.Render())
 	if !strings.Contains(plain, "P") || !strings.Contains(plain, "r") || !strings.Contains(plain, "group 1") {
 		t.Errorf("no states are shown without colour:\n%s", plain)
 	}
 	press(m, "0", "end")
-	if m.from != v.From || m.to != v.To || m.cursor != v.To {
-		t.Errorf("the whole is %v to %v, shown is %v to %v at %v", v.From, v.To, m.from, m.to, m.cursor)
+	if m.shownFrom != v.From || m.shownTo != v.To || m.cursor != v.To {
+		t.Errorf("the whole is %v to %v, shown is %v to %v at %v", v.From, v.To, m.shownFrom, m.shownTo, m.cursor)
 	}
 }
 
-// TestFollow guards against a console that stays behind records that grow, or that runs off with one's place.
-func TestFollow(t *testing.T) {
+// TestFollowKeepsCursorUnlessMoved guards against a console that stays behind records that grow, or that runs off with one's place.
+func TestFollowKeepsCursorUnlessMoved(t *testing.T) {
 	v := day(t)
 	m := New(v, func() (*incident.View, error) { return v, nil })
 	longer := *v
 	longer.To += 5000
 	m.Update(refreshed{view: &longer})
-	if m.cursor != longer.To || m.to != longer.To {
+	if m.cursor != longer.To || m.shownTo != longer.To {
 		t.Errorf("at %v of %v", m.cursor, longer.To)
 	}
 	press(m, "home")
--- a/internal/testkit/console/keys.go
+++ b/internal/testkit/console/keys.go
@@ -8,7 +8,7 @@
 		m.help = false
 		return nil
 	}
-	step := (m.to - m.from) / float64(m.lane())
+	step := (m.shownTo - m.shownFrom) / float64(m.lane())
 	switch k {
 	case "q", "ctrl+c":
 		return tea.Quit
@@ -32,13 +32,13 @@
 		m.move(m.view.From - m.cursor)
 	case "end":
 		m.move(m.view.To - m.cursor)
-		m.follow = m.next != nil
+		m.follow = m.nextView != nil
 	case "+", "=":
 		m.zoom(0.5)
 	case "-":
 		m.zoom(2)
 	case "0":
-		m.from, m.to = m.view.From, m.view.To
+		m.shownFrom, m.shownTo = m.view.From, m.view.To
 	case "up", "k":
 		m.step(-1)
 	case "down", "j":
@@ -48,14 +48,14 @@
 	case "pgdown":
 		m.step(m.body())
 	case "g":
-		m.grave, m.chosen, m.scroll[tabFindings] = !m.grave, 0, 0
+		m.grave, m.selected, m.scroll[tabFindings] = !m.grave, 0, 0
 	case "n":
 		m.seek(1)
 	case "p":
 		m.seek(-1)
 	case "enter":
-		if f := m.findings(); m.tab == tabFindings && m.chosen < len(f) {
-			m.jump(f[m.chosen].At)
+		if f := m.findings(); m.tab == tabFindings && m.selected < len(f) {
+			m.jump(f[m.selected].At)
 			m.tab = tabServers
 		}
 	}
@@ -66,40 +66,40 @@
 func (m *Model) move(ms float64) {
 	m.follow = false
 	m.cursor = min(m.view.To, max(m.view.From, m.cursor+ms))
-	m.hold()
+	m.keepCursorShown()
 }
 
-// hold keeps the cursor within what is shown.
-func (m *Model) hold() {
+// keepCursorShown keeps the cursor within what is shown.
+func (m *Model) keepCursorShown() {
 	m.cursor = min(m.view.To, max(m.view.From, m.cursor))
-	if span := m.to - m.from; m.cursor < m.from {
-		m.from, m.to = m.cursor, m.cursor+span
-	} else if m.cursor > m.to {
-		m.from, m.to = m.cursor-span, m.cursor
+	if span := m.shownTo - m.shownFrom; m.cursor < m.shownFrom {
+		m.shownFrom, m.shownTo = m.cursor, m.cursor+span
+	} else if m.cursor > m.shownTo {
+		m.shownFrom, m.shownTo = m.cursor-span, m.cursor
 	}
 }
 
 func (m *Model) jump(at float64) { m.move(at - m.cursor) }
 
 // zoom shows a shorter or longer stretch round the cursor.
-func (m *Model) zoom(by float64) {
-	span := min(m.view.To-m.view.From, max(m.view.Series.WidthMs*4, (m.to-m.from)*by))
-	left := m.cursor - m.from
-	if m.to > m.from {
-		left *= span / (m.to - m.from)
+func (m *Model) zoom(factor float64) {
+	span := min(m.view.To-m.view.From, max(m.view.Series.WidthMs*4, (m.shownTo-m.shownFrom)*factor))
+	before := m.cursor - m.shownFrom
+	if m.shownTo > m.shownFrom {
+		before *= span / (m.shownTo - m.shownFrom)
 	}
-	m.from = min(max(m.view.From, m.cursor-left), m.view.To-span)
-	m.to = m.from + span
+	m.shownFrom = min(max(m.view.From, m.cursor-before), m.view.To-span)
+	m.shownTo = m.shownFrom + span
 }
 
 // seek goes to the next or the previous grave finding.
-func (m *Model) seek(way int) {
+func (m *Model) seek(direction int) {
 	f := m.view.Findings
 	for i := range f {
-		if way < 0 {
+		if direction < 0 {
 			i = len(f) - 1 - i
 		}
-		if d := (f[i].At - m.cursor) * float64(way); f[i].Grave && d > 0.5 {
+		if d := (f[i].At - m.cursor) * float64(direction); f[i].Grave && d > 0.5 {
 			m.jump(f[i].At)
 			return
 		}
@@ -108,8 +108,8 @@
 
 func (m *Model) step(n int) {
 	if m.tab == tabFindings {
-		m.chosen = min(max(0, m.chosen+n), max(0, len(m.findings())-1))
-		m.scroll[tabFindings] = min(m.chosen, max(m.scroll[tabFindings], m.chosen-m.body()+1))
+		m.selected = min(max(0, m.selected+n), max(0, len(m.findings())-1))
+		m.scroll[tabFindings] = min(m.selected, max(m.scroll[tabFindings], m.selected-m.body()+1))
 		return
 	}
 	m.scroll[m.tab] = max(0, min(m.scroll[m.tab]+n, len(m.rows())-m.body()))
--- a/internal/testkit/console/tables.go
+++ b/internal/testkit/console/tables.go
@@ -13,24 +13,24 @@
 func (m *Model) rows() []string {
 	switch m.tab {
 	case tabServers:
-		return m.servers()
+		return m.serverRows()
 	case tabClasses:
-		return m.classes()
+		return m.classRows()
 	case tabFindings:
-		return m.found()
+		return m.findingRows()
 	case tabTakeovers:
-		return m.takeovers()
+		return m.takeoverRows()
 	case tabPools:
-		return m.pools()
+		return m.poolRows()
 	}
-	return m.poolers()
+	return m.poolerRows()
 }
 
 var letters = []struct {
 	flag   uint8
 	letter rune
-}{{incident.FlagGone, '-'}, {incident.FlagBroken, 'x'}, {incident.FlagSilent, '?'}, {incident.FlagDraining, 'd'},
-	{incident.FlagPrimary, 'P'}, {incident.FlagCold, 'c'}, {incident.FlagReplica, 'r'}}
+}{{incident.FlagRemoved, '-'}, {incident.FlagBroken, 'x'}, {incident.FlagUnresponsive, '?'}, {incident.FlagDraining, 'd'},
+	{incident.FlagPrimary, 'P'}, {incident.FlagWarmingUp, 'c'}, {incident.FlagReplica, 'r'}}
 
 func letter(flags uint8) rune {
 	for _, l := range letters {
@@ -41,7 +41,7 @@
 	return '.'
 }
 
-func (m *Model) servers() (rows []string) {
+func (m *Model) serverRows() (rows []string) {
 	for _, g := range m.view.Groups {
 		rows = append(rows, faint.Render(fmt.Sprintf("group %d", g.Group)))
 		for _, name := range g.Servers {
@@ -59,7 +59,7 @@
 			if i := m.cell(m.cursor); i < len(s.Lag) && s.Lag[i] > 0 {
 				behind = incident.Span(float64(s.Lag[i]))
 			}
-			rows = append(rows, m.label(name)+paint(lane, m.column())+" "+cut(behind, rightW-1))
+			rows = append(rows, m.label(name)+paint(lane, m.column())+" "+cut(behind, lagWidth-1))
 		}
 	}
 	return rows
@@ -91,7 +91,7 @@
 	return b.String()
 }
 
-func (m *Model) classes() (rows []string) {
+func (m *Model) classRows() (rows []string) {
 	rows = append(rows, bold.Render(fmt.Sprintf("%-18s %8s %8s %7s %7s %7s %6s %7s", "class", "service", "worst10s", "served", "refused", "failed", "late", "p99 ms")))
 	for _, c := range append(m.view.Classes[:len(m.view.Classes):len(m.view.Classes)], m.view.Total) {
 		rows = append(rows, fmt.Sprintf("%-18s %7.2f%% %7.2f%% %7d %7d %7d %6d %7.1f", cut(report.Safe(c.Name), 18), 100*c.Ratio, 100*c.Worst, c.Served, c.Refused, c.Failed, c.Late, c.P99))
@@ -103,15 +103,15 @@
 	return rows
 }
 
-func (m *Model) found() (rows []string) {
+func (m *Model) findingRows() (rows []string) {
 	for i, f := range m.findings() {
 		mark := " "
 		if f.Grave {
 			mark = "!"
 		}
-		line := cut(fmt.Sprintf("%s %s %-12s %s: %s", mark, report.Clock(f.At), f.Kind, report.Safe(report.Who(f)), report.Safe(f.Text)), m.w)
+		line := cut(fmt.Sprintf("%s %s %-12s %s: %s", mark, report.Clock(f.At), f.Kind, report.Safe(report.Who(f)), report.Safe(f.Text)), m.width)
 		switch {
-		case i == m.chosen:
+		case i == m.selected:
 			line = rev.Render(line)
 		case f.Grave:
 			line = red.Render(line)
@@ -124,15 +124,15 @@
 	return rows
 }
 
-func (m *Model) takeovers() (rows []string) {
+func (m *Model) takeoverRows() (rows []string) {
 	for _, g := range m.view.Groups {
 		for _, x := range g.Gaps {
 			wrong := "not known"
 			if x.ListWrongMs >= 0 {
 				wrong = incident.Span(x.ListWrongMs)
 			}
-			rows = append(rows, cut(fmt.Sprintf("group %d  %s  no writes for %s  %s > %s", x.Group, report.Clock(x.From), incident.Span(x.To-x.From), report.Safe(x.Old), report.Safe(x.New)), m.w),
-				cut(fmt.Sprintf("         list wrong for %s, %d writes not served, worth lost %.1f", wrong, x.Unserved, x.Lost), m.w))
+			rows = append(rows, cut(fmt.Sprintf("group %d  %s  no writes for %s  %s > %s", x.Group, report.Clock(x.From), incident.Span(x.To-x.From), report.Safe(x.Old), report.Safe(x.New)), m.width),
+				cut(fmt.Sprintf("         list wrong for %s, %d writes not served, worth lost %.1f", wrong, x.Unserved, x.Lost), m.width))
 		}
 	}
 	if len(rows) == 0 {
@@ -141,7 +141,7 @@
 	return rows
 }
 
-func (m *Model) poolers() (rows []string) {
+func (m *Model) poolerRows() (rows []string) {
 	rows = append(rows, bold.Render(fmt.Sprintf("%-16s %6s %10s %8s %8s %9s %7s", "pooler", "starts", "events", "lost", "clients", "memory", "clock")))
 	for _, p := range m.view.Poolers {
 		rows = append(rows, fmt.Sprintf("%-16s %6d %10d %8d %8d %6.1f MB %+4.0f ms", cut(report.Safe(p.Name), 16), p.Runs, p.Events, p.Lost, p.Sessions,
@@ -150,14 +150,14 @@
 	return rows
 }
 
-func (m *Model) pools() (rows []string) {
+func (m *Model) poolRows() (rows []string) {
 	rows = append(rows, bold.Render(fmt.Sprintf("%-20s %8s %8s %8s %7s %7s %7s %9s %9s %11s %7s", "pool", "sessions", "given", "changed", "moved", "again", "refused",
 		"p50 ms", "p99 ms", "in use", "waiting")))
 	for _, p := range m.view.Pools {
 		rows = append(rows, fmt.Sprintf("%-20s %8d %8d %8d %7d %7d %7d %9.1f %9.1f %5d of %-3d %6d", cut(report.Safe(p.Name), 20), p.Sessions, p.Hands, p.Changed,
 			p.Moved, p.Again, p.Refused, p.WaitP50, p.WaitP99, p.MostUsed, p.Connections, p.MostWaiting))
 		for _, s := range p.Cramped {
-			rows = append(rows, cut(fmt.Sprintf("    cramped from %s for %s", report.Clock(s.From), incident.Span(s.To-s.From)), m.w))
+			rows = append(rows, cut(fmt.Sprintf("    cramped from %s for %s", report.Clock(s.From), incident.Span(s.To-s.From)), m.width))
 		}
 	}
 	if len(rows) == 1 {
--- a/internal/testkit/console/timeline.go
+++ b/internal/testkit/console/timeline.go
@@ -16,9 +16,9 @@
 
 // span are the cells that a column of the lane stands for.
 func (m *Model) span(col int) (from, to int) {
-	w := (m.to - m.from) / float64(m.lane())
-	from = m.cell(m.from + float64(col)*w)
-	return from, max(from+1, m.cell(m.from+float64(col+1)*w))
+	w := (m.shownTo - m.shownFrom) / float64(m.lane())
+	from = m.cell(m.shownFrom + float64(col)*w)
+	return from, max(from+1, m.cell(m.shownFrom+float64(col+1)*w))
 }
 
 var bars = []rune("▁▂▃▄▅▆▇█")
@@ -52,21 +52,21 @@
 			}
 		}
 	}
-	put(0, report.Clock(m.from)[:min(8, len(report.Clock(m.from)))])
-	end := report.Clock(m.to)
+	put(0, report.Clock(m.shownFrom)[:min(8, len(report.Clock(m.shownFrom)))])
+	end := report.Clock(m.shownTo)
 	put(len(out)-8, end[:min(8, len(end))])
 	put(m.column(), "|")
 	return m.label("") + string(out)
 }
 
 func (m *Model) column() int {
-	if m.to <= m.from {
+	if m.shownTo <= m.shownFrom {
 		return 0
 	}
-	return min(m.lane()-1, max(0, int((m.cursor-m.from)/(m.to-m.from)*float64(m.lane()))))
+	return min(m.lane()-1, max(0, int((m.cursor-m.shownFrom)/(m.shownTo-m.shownFrom)*float64(m.lane()))))
 }
 
 func (m *Model) label(s string) string {
-	s = cut(report.Safe(s), labelW-1)
-	return s + strings.Repeat(" ", max(0, labelW-lipgloss.Width(s)))
+	s = cut(report.Safe(s), labelWidth-1)
+	return s + strings.Repeat(" ", max(0, labelWidth-lipgloss.Width(s)))
 }
--- a/internal/testkit/incident/avoided.go
+++ b/internal/testkit/incident/avoided.go
@@ -10,16 +10,16 @@
 
 // Avoided is for how long one pooler avoided a server by others' word, why, and by whose.
 type Avoided struct {
-	Server string   `json:"server"`
-	By     string   `json:"by"` // the pooler
-	Why    string   `json:"why"`
-	Word   []string `json:"word"` // of these, by name where the records have it
-	From   float64  `json:"from_ms"`
-	To     float64  `json:"to_ms"` // 0 for the records' end
+	Server    string   `json:"server"`
+	By        string   `json:"by"` // the pooler
+	Why       string   `json:"why"`
+	Reporters []string `json:"word"` // of these, by name where the records have it
+	From      float64  `json:"from_ms"`
+	To        float64  `json:"to_ms"` // 0 for the records' end
 }
 
-// mostAvoided bounds how many are kept; what comes after them is left out.
-const mostAvoided = 20000
+// maxAvoided bounds how many are kept; what comes after them is left out.
+const maxAvoided = 20000
 
 // avoided is who avoided what when.
 type avoided struct {
@@ -28,30 +28,30 @@
 }
 
 // event takes 'server: why by id,id until ms', or 'server: no more'.
-func (a *avoided) event(by string, e *record.Event) {
+func (a *avoided) event(pooler string, e *record.Event) {
 	i := strings.LastIndex(e.Text, ": ")
 	if i <= 0 {
 		return
 	}
-	k, what := [2]string{by, e.Text[:i]}, strings.Fields(e.Text[i+2:])
+	k, what := [2]string{pooler, e.Text[:i]}, strings.Fields(e.Text[i+2:])
 	if n := a.last[k]; n > 0 {
 		a.all[n-1].To = e.At
 		delete(a.last, k)
 	}
-	if len(what) != 5 || what[1] != "by" || what[3] != "until" || len(a.all) >= mostAvoided {
+	if len(what) != 5 || what[1] != "by" || what[3] != "until" || len(a.all) >= maxAvoided {
 		return
 	}
 	if a.last == nil {
 		a.last = map[[2]string]int{}
 	}
-	a.all = append(a.all, Avoided{Server: k[1], By: by, Why: what[0], Word: strings.Split(what[2], ","), From: e.At})
+	a.all = append(a.all, Avoided{Server: k[1], By: pooler, Why: what[0], Reporters: strings.Split(what[2], ","), From: e.At})
 	a.last[k] = len(a.all)
 }
 
 // ended has a pooler's process end: it avoids nothing any more.
-func (a *avoided) ended(by string, at float64) {
+func (a *avoided) ended(pooler string, at float64) {
 	for k, n := range a.last { // each on its own
-		if k[0] == by {
+		if k[0] == pooler {
 			a.all[n-1].To = at
 			delete(a.last, k)
 		}
@@ -68,9 +68,9 @@
 	}
 	out := slices.Clone(a.all)
 	for i := range out {
-		out[i].Word = slices.Clone(out[i].Word)
-		for j, id := range out[i].Word {
-			out[i].Word[j] = cmp.Or(names[id], id)
+		out[i].Reporters = slices.Clone(out[i].Reporters)
+		for j, id := range out[i].Reporters {
+			out[i].Reporters[j] = cmp.Or(names[id], id)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Avoided) int {
--- a/internal/testkit/incident/chains.go
+++ b/internal/testkit/incident/chains.go
@@ -15,30 +15,30 @@
 	session uint64
 }
 
-// chain is what a client asked once, with the tries that followed.
-type chain struct {
-	key    chainKey
-	class  *class
-	group  *group
-	first  float64
-	last   float64 // its last try's end
-	open   int     // tries without an answer
-	mask   uint16
-	final  recordpb.Final
-	reason record.Reason
-	lost   bool // a try's answer is unknown
-	done   bool
-	queued bool
-	tries  int
+// retryChain is what a client asked once, with the tries that followed.
+type retryChain struct {
+	key          chainKey
+	class        *class
+	group        *group
+	firstAt      float64
+	lastAt       float64 // its last try's end
+	openRequests int     // tries without an answer
+	resultBits   uint16
+	final        recordpb.Final
+	reason       record.Reason
+	answerLost   bool // a try's answer is unknown
+	done         bool
+	queued       bool
+	requests     int
 }
 
-// earlier finds the chain that a client's repeat belongs to: the oldest that has no answer it could live with.
-func (m *Model) earlier(key chainKey, at float64) *chain {
-	var other *chain
+// chainOfRetry finds the chain that a client's repeat belongs to: the oldest that has no answer it could live with.
+func (m *Model) chainOfRetry(key chainKey, at float64) *retryChain {
+	var other *retryChain
 	for _, c := range m.chains[key] {
 		switch {
-		case c.done || at-c.last > retryMs && c.open == 0:
-		case c.open == 0:
+		case c.done || at-c.lastAt > retryWindowMs && c.openRequests == 0:
+		case c.openRequests == 0:
 			return c
 		case other == nil:
 			other = c
@@ -47,22 +47,22 @@
 	return other
 }
 
-func (m *Model) file(c *chain) {
-	if m.nChains >= maxChains {
+func (m *Model) addChain(c *retryChain) {
+	if m.chainCount >= maxChains {
 		m.retryLost++
 		return
 	}
-	m.nChains++
+	m.chainCount++
 	m.chains[c.key] = append(m.chains[c.key], c)
 }
 
-func (m *Model) unfile(c *chain) {
+func (m *Model) removeChain(c *retryChain) {
 	list := m.chains[c.key]
 	i := slices.Index(list, c)
 	if i < 0 {
 		return
 	}
-	m.nChains--
+	m.chainCount--
 	if len(list) == 1 {
 		delete(m.chains, c.key)
 		return
@@ -70,96 +70,96 @@
 	m.chains[c.key] = slices.Delete(list, i, i+1)
 }
 
-// served books the worth of an answer.
-func (m *Model) served(ch *chain, at float64) {
-	if ch.done {
+// recordServed books the worth of an answer.
+func (m *Model) recordServed(chain *retryChain, at float64) {
+	if chain.done {
 		return
 	}
-	ch.done = true
-	c, took := ch.class, at-ch.first
-	got := c.Worth
-	if took > c.AimMs {
-		got = c.Worth * c.LateWorth
-		c.Late++
+	chain.done = true
+	class, took := chain.class, at-chain.firstAt
+	got := class.Worth
+	if took > class.AimMs {
+		got = class.Worth * class.LateWorth
+		class.Late++
 	} else {
-		c.InTime++
-		c.WorthInTime += got
-	}
-	c.WorthGot += got
-	if math.Abs(took-c.AimMs) <= borderMs {
-		c.Border++
-		c.WorthBorder += c.Worth * (1 - c.LateWorth)
-	}
-	m.cell(c, ch.first).got += float32(got)
-	c.window.Add(ch.first, 0, got)
-	m.service.Add(ch.first, 0, got)
-	if got < c.Worth {
-		ch.final = recordpb.Final_FINAL_SERVED
-		m.blame(ch, c.Worth-got, at)
-	}
-	m.unfile(ch)
+		class.InTime++
+		class.WorthInTime += got
+	}
+	class.WorthGot += got
+	if math.Abs(took-class.AimMs) <= borderMs {
+		class.Border++
+		class.WorthBorder += class.Worth * (1 - class.LateWorth)
+	}
+	m.cell(class, chain.firstAt).got += float32(got)
+	class.window.Add(chain.firstAt, 0, got)
+	m.service.Add(chain.firstAt, 0, got)
+	if got < class.Worth {
+		chain.final = recordpb.Final_FINAL_SERVED
+		m.attributeLoss(chain, class.Worth-got, at)
+	}
+	m.removeChain(chain)
 }
 
-// wait keeps a chain whose try was not served until its client has had the time to ask again.
-func (m *Model) wait(ch *chain) {
-	if !ch.done && !ch.queued {
-		ch.queued = true
-		m.waiting.push(ch)
+// awaitRetry keeps a chain whose try was not served until its client has had the time to ask again.
+func (m *Model) awaitRetry(chain *retryChain) {
+	if !chain.done && !chain.queued {
+		chain.queued = true
+		m.awaitingRetry.push(chain)
 	}
 }
 
-// giveUp books a request whose answer is not in the records.
-func (m *Model) giveUp(x *run, q *request, at float64) {
+// markUnknown books a request whose answer is not in the records.
+func (m *Model) markUnknown(x *run, q *request, at float64) {
 	q.class.Unknown++
-	m.cell(q.class, q.at).unknown++
+	m.cell(q.class, q.receivedAt).unknown++
 	m.unknowns++
 	if len(m.unknown) < maxUnknown {
-		m.unknown = append(m.unknown, Unknown{At: q.at, Pooler: x.Pooler, Class: q.class.Name, Group: q.group.id, ID: fmt.Sprintf("%016x", q.id)})
+		m.unknown = append(m.unknown, Unknown{At: q.receivedAt, Pooler: x.Pooler, Class: q.class.Name, Group: q.group.id, ID: fmt.Sprintf("%016x", q.id)})
 	}
-	q.chain.open--
-	q.chain.mask |= q.mask
-	q.chain.lost = true
-	q.chain.last = max(q.chain.last, at)
-	m.wait(q.chain)
+	q.chain.openRequests--
+	q.chain.resultBits |= q.resultBits
+	q.chain.answerLost = true
+	q.chain.lastAt = max(q.chain.lastAt, at)
+	m.awaitRetry(q.chain)
 }
 
-// sweep closes what nothing more can come of.
-func (m *Model) sweep() {
-	m.sweptAt = m.to
-	for ch := m.waiting.first(); ch != nil && (ch.done || m.to-ch.last > retryMs); ch = m.waiting.first() {
-		m.waiting.pop()
-		ch.queued = false
-		if ch.done || ch.open > 0 {
+// expire closes what nothing more can come of.
+func (m *Model) expire() {
+	m.expiredAt = m.to
+	for chain := m.awaitingRetry.first(); chain != nil && (chain.done || m.to-chain.lastAt > retryWindowMs); chain = m.awaitingRetry.first() {
+		m.awaitingRetry.pop()
+		chain.queued = false
+		if chain.done || chain.openRequests > 0 {
 			continue
 		}
-		m.abandon(ch)
+		m.abandon(chain)
 	}
 	for _, x := range m.runs {
 		for n, q := range x.open {
-			if m.to-q.until > forgetMs {
+			if m.to-q.deadlineAt > unknownAfterMs {
 				delete(x.open, n)
-				m.giveUp(x, q, m.to)
+				m.markUnknown(x, q, m.to)
 			}
 		}
 	}
 	for _, s := range m.servers {
-		s.settle(m)
+		s.extendToPresent(m)
 	}
 }
 
 // abandon books a chain that was never served.
-func (m *Model) abandon(ch *chain) {
-	if ch.done {
+func (m *Model) abandon(chain *retryChain) {
+	if chain.done {
 		return
 	}
-	ch.done = true
-	m.unfile(ch)
-	m.blame(ch, ch.class.Worth, ch.last)
+	chain.done = true
+	m.removeChain(chain)
+	m.attributeLoss(chain, chain.class.Worth, chain.lastAt)
 }
 
-// blame books lost worth under the cause that the records show.
-func (m *Model) blame(ch *chain, worth float64, end float64) {
-	name := ch.group.cause(ch, end)
+// attributeLoss books lost worth under the cause that the records show.
+func (m *Model) attributeLoss(chain *retryChain, worth float64, end float64) {
+	name := chain.group.cause(chain, end)
 	c := m.causes[name]
 	if c == nil {
 		c = &Cause{Name: name, ByClass: map[string]float64{}}
@@ -167,19 +167,19 @@
 	}
 	c.Requests++
 	c.Worth += worth
-	c.ByClass[ch.class.Name] += worth
-	ch.group.lose(ch.first, end, worth)
+	c.ByClass[chain.class.Name] += worth
+	chain.group.addLoss(chain.firstAt, end, worth)
 }
 
 // queue holds chains in the order of their ends, about.
 type queue struct {
-	list []*chain
+	list []*retryChain
 	head int
 }
 
-func (q *queue) push(c *chain) { q.list = append(q.list, c) }
+func (q *queue) push(c *retryChain) { q.list = append(q.list, c) }
 
-func (q *queue) first() *chain {
+func (q *queue) first() *retryChain {
 	if q.head == len(q.list) {
 		return nil
 	}
--- a/internal/testkit/incident/fleet.go
+++ b/internal/testkit/incident/fleet.go
@@ -17,8 +17,8 @@
 	To    float64 `json:"to_ms"` // 0 for the records' end
 }
 
-// mostSeen bounds how many are kept; what comes after them is left out.
-const mostSeen = 20000
+// maxSeen bounds how many are kept; what comes after them is left out.
+const maxSeen = 20000
 
 // fleet is who saw whom, in the records of poolers that are peers.
 type fleet struct {
@@ -27,31 +27,31 @@
 }
 
 // event takes what a pooler made of a process: 'name id zone: state', with ', was state' behind it where that is known.
-func (f *fleet) event(by string, e *record.Event) {
+func (f *fleet) event(pooler string, e *record.Event) {
 	who, what, ok := strings.Cut(e.Text, ": ")
 	name, id, _ := strings.Cut(who, " ")
-	if id, _, _ = strings.Cut(id, " "); !ok || name == "" || id == "" || len(f.seen) >= mostSeen {
+	if id, _, _ = strings.Cut(id, " "); !ok || name == "" || id == "" || len(f.seen) >= maxSeen {
 		return
 	}
 	state, _, _ := strings.Cut(what, ",")
 	if f.last == nil {
 		f.last = map[[2]string]int{}
 	}
-	k := [2]string{by, id}
+	k := [2]string{pooler, id}
 	if i := f.last[k]; i > 0 {
 		if f.seen[i-1].State == state {
 			return
 		}
 		f.seen[i-1].To = e.At
 	}
-	f.seen = append(f.seen, Seen{By: by, Of: name + " " + id, State: state, From: e.At})
+	f.seen = append(f.seen, Seen{By: pooler, Of: name + " " + id, State: state, From: e.At})
 	f.last[k] = len(f.seen)
 }
 
 // ended has a pooler's process end: what it thought is nothing any more.
-func (f *fleet) ended(by string, at float64) {
+func (f *fleet) ended(pooler string, at float64) {
 	for k, i := range f.last {
-		if k[0] == by {
+		if k[0] == pooler {
 			f.seen[i-1].To = at
 			delete(f.last, k)
 		}
--- a/internal/testkit/incident/groups.go
+++ b/internal/testkit/incident/groups.go
@@ -10,21 +10,21 @@
 
 // group is what the records tell of a primary and its replicas.
 type group struct {
-	id      int64
-	servers []*server
-	asked   uint64 // writes
-	last    string // server that served the last write...
-	lastAt  float64
-	bad     int     // writes since then that were not served
-	badAt   float64 // the first of them
-	gaps    []*gap
-	more    int // gaps beyond the bound
+	id              int64
+	servers         []*server
+	writes          uint64 // writes
+	lastWriter      string // server that served the last write...
+	lastWriteAt     float64
+	unservedWrites  int     // writes since then that were not served
+	firstUnservedAt float64 // the first of them
+	gaps            []*gap
+	more            int // gaps beyond the bound
 }
 
 // gap is a time in which a group served no write.
 type gap struct {
 	Gap
-	right map[string]float64 // by pooler: when its list named the new primary
+	listedAt map[string]float64 // by pooler: when its list named the new primary
 }
 
 func (m *Model) group(id int64) *group {
@@ -40,35 +40,35 @@
 func (g *group) onWrite(m *Model, s *server, e *record.Event) {
 	if e.Result != uint8(decide.OK) {
 		if e.Result != uint8(decide.NotSent) && e.Result != uint8(decide.Cancelled) {
-			g.refused(e.At)
+			g.onUnservedWrite(e.At)
 		}
 		return
 	}
-	if e.At < g.lastAt {
+	if e.At < g.lastWriteAt {
 		return // another pooler's clock, or a part that overlaps
 	}
-	long := e.At - g.lastAt
-	switch other := s.Name != g.last; {
-	case g.last == "" || g.bad == 0:
-	case other && long >= gapMs, long >= stillMs:
-		g.close(m, s, e.At)
+	long := e.At - g.lastWriteAt
+	switch other := s.Name != g.lastWriter; {
+	case g.lastWriter == "" || g.unservedWrites == 0:
+	case other && long >= takeoverMs, long >= interruptionMs:
+		g.closeGap(m, s, e.At)
 	}
-	g.last, g.lastAt, g.bad = s.Name, e.At, 0
+	g.lastWriter, g.lastWriteAt, g.unservedWrites = s.Name, e.At, 0
 }
 
-// refused counts a write that was not served.
-func (g *group) refused(at float64) {
-	if g.bad++; g.bad == 1 {
-		g.badAt = at
+// onUnservedWrite counts a write that was not served.
+func (g *group) onUnservedWrite(at float64) {
+	if g.unservedWrites++; g.unservedWrites == 1 {
+		g.firstUnservedAt = at
 	}
 }
 
-func (g *group) close(m *Model, s *server, at float64) {
-	x := &gap{Gap: Gap{Group: g.id, From: g.lastAt, To: at, FirstFailed: g.badAt, Old: g.last, New: s.Name, Unserved: g.bad, ListWrongMs: -1},
-		right: map[string]float64{}}
+func (g *group) closeGap(m *Model, s *server, at float64) {
+	x := &gap{Gap: Gap{Group: g.id, From: g.lastWriteAt, To: at, FirstFailed: g.firstUnservedAt, Old: g.lastWriter, New: s.Name, Unserved: g.unservedWrites, ListWrongMs: -1},
+		listedAt: map[string]float64{}}
 	for _, r := range m.runs {
 		if l := r.entries[s.Name]; l != nil && l.primary {
-			x.right[r.Pooler] = l.primaryAt
+			x.listedAt[r.Pooler] = l.primaryAt
 		}
 	}
 	if len(g.gaps) == maxSpans {
@@ -80,30 +80,30 @@
 	if x.Old == x.New {
 		kind, text = "interruption", fmt.Sprintf("no write was served for %s, then by %s as before", Span(at-x.From), x.New)
 	}
-	m.find(Finding{At: x.From, To: at, Kind: kind, Group: g.id, Server: x.New, Grave: true, Text: text})
+	m.addFinding(Finding{At: x.From, To: at, Kind: kind, Group: g.id, Server: x.New, Grave: true, Text: text})
 }
 
-// named notes that a pooler's list has a primary of this name.
-func (g *group) named(x *run, s *server, at float64) {
+// onPrimaryListed notes that a pooler's list has a primary of this name.
+func (g *group) onPrimaryListed(x *run, s *server, at float64) {
 	for _, p := range g.gaps {
-		if _, ok := p.right[x.Pooler]; !ok && p.New == s.Name && at >= p.From {
-			p.right[x.Pooler] = at
+		if _, ok := p.listedAt[x.Pooler]; !ok && p.New == s.Name && at >= p.From {
+			p.listedAt[x.Pooler] = at
 		}
 	}
 }
 
-// during tells whether a stretch meets a time in which the group served no write, one that goes on included.
-func (g *group) during(from, to float64) bool {
+// inWriteGap tells whether a stretch meets a time in which the group served no write, one that goes on included.
+func (g *group) inWriteGap(from, to float64) bool {
 	for _, p := range g.gaps {
 		if from <= p.To && to >= p.From {
 			return true
 		}
 	}
-	return g.bad > 0 && to-g.lastAt >= gapMs && to >= g.badAt && g.last != ""
+	return g.unservedWrites > 0 && to-g.lastWriteAt >= takeoverMs && to >= g.firstUnservedAt && g.lastWriter != ""
 }
 
-// lose books lost worth to the gaps that it falls into.
-func (g *group) lose(from, to, worth float64) {
+// addLoss books lost worth to the gaps that it falls into.
+func (g *group) addLoss(from, to, worth float64) {
 	for _, p := range g.gaps {
 		if from <= p.To && to >= p.From {
 			p.Lost += worth
@@ -113,42 +113,42 @@
 }
 
 // cause says why a chain was not served, or not in time, as far as the records show it.
-func (g *group) cause(ch *chain, end float64) string {
-	primary := ch.class.Read == "write" || ch.class.Read == "fresh"
-	cold, silent := false, false
+func (g *group) cause(chain *retryChain, end float64) string {
+	primary := chain.class.Read == "write" || chain.class.Read == "fresh"
+	warmingUp, unresponsive := false, false
 	for _, s := range g.servers {
-		cold = cold || s.cold > ch.first && s.started < end
-		silent = silent || s.silent && s.muteFrom < end
+		warmingUp = warmingUp || s.warmingUntil > chain.firstAt && s.started < end
+		unresponsive = unresponsive || s.unresponsive && s.firstTimeoutFrom < end
 		for _, p := range s.Silent {
-			silent = silent || p.From < end && p.To > ch.first
+			unresponsive = unresponsive || p.From < end && p.To > chain.firstAt
 		}
 	}
 	switch {
-	case ch.lost:
+	case chain.answerLost:
 		return CausePooler
-	case primary && g.during(ch.first, end):
+	case primary && g.inWriteGap(chain.firstAt, end):
 		return CauseNoPrimary
-	case ch.final == recordpb.Final_FINAL_GONE && ch.mask == 0:
+	case chain.final == recordpb.Final_FINAL_GONE && chain.resultBits == 0:
 		return CauseClient
-	case ch.mask&bitTimedOut != 0 || ch.mask&bitCalled != 0 && silent:
-		return CauseSilent
-	case ch.mask&(bitReset|bitUnreach) != 0:
+	case chain.resultBits&bitTimedOut != 0 || chain.resultBits&bitCancelled != 0 && unresponsive:
+		return CauseUnresponsive
+	case chain.resultBits&(bitReset|bitUnreachable) != 0:
 		return CauseLostConn
-	case ch.mask&bitFailed != 0:
+	case chain.resultBits&bitFailed != 0:
 		return CauseError
-	case ch.mask&bitFull != 0:
-		return CauseFull
-	case ch.final == recordpb.Final_FINAL_REFUSED && ch.mask == 0 && !primary && g.during(ch.first, end):
-		return CauseFewer // its reads crowd what is left of the group
-	case cold && (ch.final == recordpb.Final_FINAL_REFUSED || ch.final == recordpb.Final_FINAL_SERVED):
-		return CauseCold
-	case ch.final == recordpb.Final_FINAL_REFUSED && ch.mask == 0:
-		return CauseRefused
-	case ch.mask&bitMissed != 0:
+	case chain.resultBits&bitOverloaded != 0:
+		return CauseServerRejected
+	case chain.final == recordpb.Final_FINAL_REFUSED && chain.resultBits == 0 && !primary && g.inWriteGap(chain.firstAt, end):
+		return CauseReducedCapacity // its reads crowd what is left of the group
+	case warmingUp && (chain.final == recordpb.Final_FINAL_REFUSED || chain.final == recordpb.Final_FINAL_SERVED):
+		return CauseWarmingUp
+	case chain.final == recordpb.Final_FINAL_REFUSED && chain.resultBits == 0:
+		return CausePoolerRejected
+	case chain.resultBits&bitMisdirected != 0:
 		return CauseMissed
-	case ch.final == recordpb.Final_FINAL_SERVED:
+	case chain.final == recordpb.Final_FINAL_SERVED:
 		return CauseLate
-	case ch.final == recordpb.Final_FINAL_GONE:
+	case chain.final == recordpb.Final_FINAL_GONE:
 		return CauseClient
 	}
 	return CauseUnknown
@@ -156,17 +156,17 @@
 
 // Causes of lost worth.
 const (
-	CausePooler    = "the pooler ended with the request open"
-	CauseNoPrimary = "no primary: a takeover or an interruption"
-	CauseSilent    = "a server gave no answer"
-	CauseLostConn  = "a connection was refused or broke"
-	CauseError     = "a server answered with an error"
-	CauseFull      = "servers turned it away"
-	CauseFewer     = "reads refused while the group changed its primary"
-	CauseCold      = "servers were cold"
-	CauseRefused   = "the pooler refused it: no room in time"
-	CauseMissed    = "no server was fit: not the primary, or too far behind"
-	CauseLate      = "answered late"
-	CauseClient    = "the client left"
-	CauseUnknown   = "unknown"
+	CausePooler          = "the pooler ended with the request open"
+	CauseNoPrimary       = "no primary: a takeover or an interruption"
+	CauseUnresponsive    = "a server gave no answer"
+	CauseLostConn        = "a connection was refused or broke"
+	CauseError           = "a server answered with an error"
+	CauseServerRejected  = "servers turned it away"
+	CauseReducedCapacity = "reads refused while the group changed its primary"
+	CauseWarmingUp       = "servers were cold"
+	CausePoolerRejected  = "the pooler refused it: no room in time"
+	CauseMissed          = "no server was fit: not the primary, or too far behind"
+	CauseLate            = "answered late"
+	CauseClient          = "the client left"
+	CauseUnknown         = "unknown"
 )
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -237,8 +237,8 @@
 		if x.Served+x.Refused+x.Failed+x.Gone+x.Unknown != x.Requests || x.Unknown != v.Unknowns {
 			t.Fatalf("answers do not add up: %+v", x)
 		}
-		if len(s.open()) > 0 || s.nChains > 0 {
-			t.Fatalf("%d requests and %d chains are left", len(s.open()), s.nChains)
+		if len(s.open()) > 0 || s.chainCount > 0 {
+			t.Fatalf("%d requests and %d chains are left", len(s.open()), s.chainCount)
 		}
 		var asked, got float64
 		for _, c := range v.Series.Classes {
--- a/internal/testkit/incident/limits.go
+++ b/internal/testkit/incident/limits.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/record"
 )
 
-// Held is how much of a limit of the whole fleet a pooler might use, for how long.
-type Held struct {
+// LimitShare is how much of a limit of the whole fleet a pooler might use, for how long.
+type LimitShare struct {
 	Limit  string  `json:"limit"`
 	By     string  `json:"by"`
 	Amount float64 `json:"amount"`
@@ -18,19 +18,19 @@
 	To     float64 `json:"to_ms"` // 0 for the records' end
 }
 
-// mostHeld bounds how many are kept; what comes after them is left out.
-const mostHeld = 20000
+// maxLimitShares bounds how many are kept; what comes after them is left out.
+const maxLimitShares = 20000
 
 // limits is who held how much when.
 type limits struct {
-	held []Held
-	last map[[2]string]int // by pooler and limit: the last of them, numbered from 1
+	shares []LimitShare
+	last   map[[2]string]int // by pooler and limit: the last of them, numbered from 1
 }
 
 // event takes what a pooler was told that it may use: 'limit: amount'.
-func (l *limits) event(by string, e *record.Event) {
+func (l *limits) event(pooler string, e *record.Event) {
 	i := strings.LastIndex(e.Text, ": ")
-	if i <= 0 || len(l.held) >= mostHeld {
+	if i <= 0 || len(l.shares) >= maxLimitShares {
 		return
 	}
 	name := e.Text[:i]
@@ -41,30 +41,30 @@
 	if l.last == nil {
 		l.last = map[[2]string]int{}
 	}
-	k := [2]string{by, name}
+	k := [2]string{pooler, name}
 	if n := l.last[k]; n > 0 {
-		if l.held[n-1].Amount == amount {
+		if l.shares[n-1].Amount == amount {
 			return
 		}
-		l.held[n-1].To = e.At
+		l.shares[n-1].To = e.At
 	}
-	l.held = append(l.held, Held{Limit: name, By: by, Amount: amount, From: e.At})
-	l.last[k] = len(l.held)
+	l.shares = append(l.shares, LimitShare{Limit: name, By: pooler, Amount: amount, From: e.At})
+	l.last[k] = len(l.shares)
 }
 
 // ended has a pooler's process end: it uses nothing any more.
-func (l *limits) ended(by string, at float64) {
+func (l *limits) ended(pooler string, at float64) {
 	for k, n := range l.last {
-		if k[0] == by {
-			l.held[n-1].To = at
+		if k[0] == pooler {
+			l.shares[n-1].To = at
 			delete(l.last, k)
 		}
 	}
 }
 
-func (l *limits) view() []Held {
-	out := slices.Clone(l.held)
-	slices.SortStableFunc(out, func(a, b Held) int {
+func (l *limits) view() []LimitShare {
+	out := slices.Clone(l.shares)
+	slices.SortStableFunc(out, func(a, b LimitShare) int {
 		return cmp.Or(cmp.Compare(a.Limit, b.Limit), cmp.Compare(a.By, b.By), cmp.Compare(a.From, b.From))
 	})
 	return out
--- a/internal/testkit/incident/limits_test.go
+++ b/internal/testkit/incident/limits_test.go
@@ -19,7 +19,7 @@
 		l.event(e.by, &record.Event{At: e.at, Text: e.text})
 	}
 	l.ended("a", 9)
-	want := []Held{{"x", "a", 0, 1, 2}, {"x", "a", 12.5, 2, 4}, {"x", "a", 0, 4, 9}, {"x: y", "b", 3, 2, 0}}
+	want := []LimitShare{{"x", "a", 0, 1, 2}, {"x", "a", 12.5, 2, 4}, {"x", "a", 0, 4, 9}, {"x: y", "b", 3, 2, 0}}
 	if diff := cmp.Diff(want, l.view()); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/testkit/incident/model.go
+++ b/internal/testkit/incident/model.go
@@ -19,47 +19,47 @@
 
 // Bounds on what is kept, whatever the length of the records. Times are in milliseconds.
 const (
-	maxCells     = 2400 // of time; when there are more, neighbours are joined
-	firstCellMs  = 100  // a cell's width at first
-	maxFindings  = 1000 // of each kind a share; what is beyond is counted
-	maxOfKind    = 200  // findings of one kind
-	maxUnknown   = 2000 // unknown requests that are listed
-	maxChains    = 1 << 17
-	maxSpans     = 64    // of each sort kept for one server or group
-	retryMs      = 15000 // a try that was not served may be followed by the client's next for so long
-	forgetMs     = 10000 // beyond its client's time, a request without an answer counts as unknown
-	sweepMs      = 1000
-	borderMs     = 50   // an answer so near to its aim may count otherwise at its client
-	gapMs        = 300  // without a write served, where some failed, and another server then: a takeover
-	stillMs      = 1000 // ...or as long as this with the same server: an interruption
-	silentTries  = 3    // attempts in a row that a server let run out...
-	silentMs     = 300  // ...over at least so long: it was silent
-	stepMs       = 50   // that a machine's clock moved against the pooler's
-	skewMs       = 20   // that a pooler's clock differs from the others
-	reportMs     = 300  // a probe's report may be this old
-	staleAheadMs = 1000 // positions further behind than this are worth a word when a server returns
-	openMost     = 1 << 20
+	maxCells             = 2400 // of time; when there are more, neighbours are joined
+	firstCellMs          = 100  // a cell's width at first
+	maxFindings          = 1000 // of each kind a share; what is beyond is counted
+	maxOfKind            = 200  // findings of one kind
+	maxUnknown           = 2000 // unknown requests that are listed
+	maxChains            = 1 << 17
+	maxSpans             = 64    // of each sort kept for one server or group
+	retryWindowMs        = 15000 // a try that was not served may be followed by the client's next for so long
+	unknownAfterMs       = 10000 // beyond its client's time, a request without an answer counts as unknown
+	expireEveryMs        = 1000
+	borderMs             = 50   // an answer so near to its aim may count otherwise at its client
+	takeoverMs           = 300  // without a write served, where some failed, and another server then: a takeover
+	interruptionMs       = 1000 // ...or as long as this with the same server: an interruption
+	unresponsiveAttempts = 3    // attempts in a row that a server let run out...
+	unresponsiveMs       = 300  // ...over at least so long: it was silent
+	stepMs               = 50   // that a machine's clock moved against the pooler's
+	skewMs               = 20   // that a pooler's clock differs from the others
+	reportMs             = 300  // a probe's report may be this old
+	staleAheadMs         = 1000 // positions further behind than this are worth a word when a server returns
+	maxOpenRequests      = 1 << 20
 )
 
 // Model takes events in and keeps the view of them.
 type Model struct {
-	members *endpointreport.Model // nil while no source of the list was recorded
-	runs    map[*records.Run]*run
-	poolers map[string]*pooler
-	classes []*class
-	byName  map[string]*class
-	groups  map[int64]*group
-	servers map[string]*server
-	pools   map[string]*pool
-	chains  map[chainKey][]*chain
-	waiting queue // chains that wait for a retry, oldest first
-	nChains int
+	members       *endpointreport.Model // nil while no source of the list was recorded
+	runs          map[*records.Run]*run
+	poolers       map[string]*pooler
+	classes       []*class
+	byName        map[string]*class
+	groups        map[int64]*group
+	servers       map[string]*server
+	pools         map[string]*pool
+	chains        map[chainKey][]*retryChain
+	awaitingRetry queue // chains that wait for a retry, oldest first
+	chainCount    int
 
 	from, to  float64
 	width     float64
 	cells     [][]cell // by class, then time
 	service   serviceratio.Window
-	sweptAt   float64
+	expiredAt float64
 	events    uint64
 	lost      uint64
 	early     uint64 // events before the first cell
@@ -89,19 +89,19 @@
 	last    float64
 	drift   float64 // wall less own clock at the last gauge
 	drifted bool
-	entries map[string]*listed
+	entries map[string]*listEntry
 }
 
-type listed struct {
-	primaryAt float64
-	primary   bool
-	draining  float64 // heard at, 0 for not so
+type listEntry struct {
+	primaryAt       float64
+	primary         bool
+	drainingSinceMs float64 // heard at, 0 for not so
 }
 
 type pooler struct {
 	PoolerView
-	least float64 // of primaries' positions behind the pooler's clock
-	told  bool
+	leastLagMs  float64 // of primaries' positions behind the pooler's clock
+	hasPosition bool
 }
 
 type class struct {
@@ -113,39 +113,39 @@
 
 // request is one that is not answered yet.
 type request struct {
-	id        uint64
-	class     *class
-	group     *group
-	at, until float64
-	repeat    bool
-	chain     *chain
-	mask      uint16 // of its attempts' results
+	id                     uint64
+	class                  *class
+	group                  *group
+	receivedAt, deadlineAt float64
+	repeat                 bool
+	chain                  *retryChain
+	resultBits             uint16 // of its attempts' results
 }
 
 // New makes an empty model.
 func New() *Model {
 	return &Model{runs: map[*records.Run]*run{}, poolers: map[string]*pooler{}, byName: map[string]*class{}, groups: map[int64]*group{},
-		servers: map[string]*server{}, pools: map[string]*pool{}, chains: map[chainKey][]*chain{}, width: firstCellMs, byKind: map[string]int{}, causes: map[string]*Cause{}}
+		servers: map[string]*server{}, pools: map[string]*pool{}, chains: map[chainKey][]*retryChain{}, width: firstCellMs, byKind: map[string]int{}, causes: map[string]*Cause{}}
 }
 
 // Begin is records.Sink's.
 func (m *Model) Begin(r *records.Run) {
 	p := m.poolers[r.Pooler]
 	if p == nil {
-		p = &pooler{PoolerView: PoolerView{Name: r.Pooler, From: r.StartMs}, least: math.Inf(1)}
+		p = &pooler{PoolerView: PoolerView{Name: r.Pooler, From: r.StartMs}, leastLagMs: math.Inf(1)}
 		m.poolers[r.Pooler] = p
 	}
-	x := &run{Run: r, pooler: p, open: map[uint64]*request{}, entries: map[string]*listed{}, last: r.StartMs}
+	x := &run{Run: r, pooler: p, open: map[uint64]*request{}, entries: map[string]*listEntry{}, last: r.StartMs}
 	for _, c := range r.Header.Classes {
 		x.classes = append(x.classes, m.class(c))
 	}
 	m.runs[r] = x
 	if p.Runs++; p.Runs > 1 {
 		if r.StartMs < p.To-stepMs {
-			m.find(Finding{At: r.StartMs, Kind: "clock", Pooler: p.Name, Grave: true,
+			m.addFinding(Finding{At: r.StartMs, Kind: "clock", Pooler: p.Name, Grave: true,
 				Text: fmt.Sprintf("started %s before its last record: its machine's clock stepped back", Span(p.To-r.StartMs))})
 		}
-		m.find(Finding{At: p.To, To: r.StartMs, Kind: "restart", Pooler: p.Name, Grave: !p.ordered,
+		m.addFinding(Finding{At: p.To, To: r.StartMs, Kind: "restart", Pooler: p.Name, Grave: !p.ordered,
 			Text: fmt.Sprintf("was not there for %s, then started again", Span(max(0, r.StartMs-p.To)))})
 		p.Away = append(p.Away, Stretch{From: p.To, To: r.StartMs})
 	}
@@ -176,7 +176,7 @@
 	if f.Offset > 0 {
 		text += fmt.Sprintf(" (offset %d)", f.Offset)
 	}
-	m.find(Finding{At: f.From, To: f.To, Kind: "records " + string(f.Kind), Pooler: f.Pooler, File: f.File, Text: text, Grave: grave})
+	m.addFinding(Finding{At: f.From, To: f.To, Kind: "records " + string(f.Kind), Pooler: f.Pooler, File: f.File, Text: text, Grave: grave})
 }
 
 // End is records.Sink's. Requests of the run that have no answer are unknown.
@@ -191,7 +191,7 @@
 	}
 	slices.Sort(left)
 	for _, n := range left {
-		m.giveUp(x, x.open[n], x.last)
+		m.markUnknown(x, x.open[n], x.last)
 	}
 	x.pooler.ordered = ordered
 	m.fleet.ended(r.Pooler, x.last)
@@ -200,7 +200,7 @@
 	m.zones.ended(r.Pooler, x.last)
 	m.endPools(x)
 	if !ordered {
-		m.find(Finding{At: x.last, Kind: "killed", Pooler: r.Pooler, Grave: true,
+		m.addFinding(Finding{At: x.last, Kind: "killed", Pooler: r.Pooler, Grave: true,
 			Text: fmt.Sprintf("its records end without a stop; %d requests had no answer by then", len(left))})
 	}
 	delete(m.runs, r)
@@ -208,22 +208,22 @@
 
 // Event is records.Sink's.
 func (m *Model) Event(r *records.Run, e *record.Event) {
-	x := m.runs[r]
-	if x == nil {
+	run := m.runs[r]
+	if run == nil {
 		return
 	}
 	if !e.Restated {
 		m.events++
-		x.pooler.Events++
+		run.pooler.Events++
 	}
-	x.last = e.At
-	x.pooler.To = max(x.pooler.To, e.At)
+	run.last = e.At
+	run.pooler.To = max(run.pooler.To, e.At)
 	if m.from == 0 {
 		m.from = e.At
 	}
 	m.to = max(m.to, e.At)
-	if m.to-m.sweptAt >= sweepMs {
-		m.sweep()
+	if m.to-m.expiredAt >= expireEveryMs {
+		m.expire()
 	}
 	if m.members == nil && (e.Kind == recordpb.Kind_KIND_SAID || e.Kind == recordpb.Kind_KIND_JUDGED) {
 		m.members = endpointreport.New("")
@@ -233,41 +233,41 @@
 	}
 	switch e.Kind {
 	case recordpb.Kind_KIND_REQUEST:
-		m.onRequest(x, e)
+		m.onRequest(run, e)
 	case recordpb.Kind_KIND_ATTEMPT:
-		m.onAttempt(x, e)
+		m.onAttempt(run, e)
 	case recordpb.Kind_KIND_ANSWER:
-		m.onAnswer(x, e)
+		m.onAnswer(run, e)
 	case recordpb.Kind_KIND_PROBE:
 		s := m.server(e.Server)
 		s.probes++
-		m.heard(x, s, e)
+		m.observeServer(run, s, e)
 	case recordpb.Kind_KIND_LIST:
-		x.pooler.Lists++
+		run.pooler.Lists++
 		if e.Full {
-			for name := range x.entries {
-				if l := x.entries[name]; l.draining == 0 {
-					delete(x.entries, name) // what is still there is named next
+			for name := range run.entries {
+				if l := run.entries[name]; l.drainingSinceMs == 0 {
+					delete(run.entries, name) // what is still there is named next
 				}
 			}
 		}
 	case recordpb.Kind_KIND_ENTRY:
-		m.onEntry(x, e)
+		m.onEntry(run, e)
 	case recordpb.Kind_KIND_LIST_FAILED:
-		x.pooler.ListFailures++
-		m.find(Finding{At: e.At, Kind: "list failed", Pooler: r.Pooler, Text: "a call for the list failed, or its watch ended"})
+		run.pooler.ListFailures++
+		m.addFinding(Finding{At: e.At, Kind: "list failed", Pooler: r.Pooler, Text: "a call for the list failed, or its watch ended"})
 	case recordpb.Kind_KIND_GAUGE:
-		m.onGauge(x, e)
+		m.onGauge(run, e)
 	case recordpb.Kind_KIND_START:
-		m.find(Finding{At: e.At, Kind: "start", Pooler: r.Pooler, Text: "started"})
+		m.addFinding(Finding{At: e.At, Kind: "start", Pooler: r.Pooler, Text: "started"})
 	case recordpb.Kind_KIND_DRAIN:
-		m.find(Finding{At: e.At, Kind: "pooler drain", Pooler: r.Pooler, Text: "was told to end"})
+		m.addFinding(Finding{At: e.At, Kind: "pooler drain", Pooler: r.Pooler, Text: "was told to end"})
 	case recordpb.Kind_KIND_STOP:
-		m.find(Finding{At: e.At, Kind: "stop", Pooler: r.Pooler, Text: "stopped in order"})
+		m.addFinding(Finding{At: e.At, Kind: "stop", Pooler: r.Pooler, Text: "stopped in order"})
 	case recordpb.Kind_KIND_RELOAD:
-		m.find(Finding{At: e.At, Kind: "reload", Pooler: r.Pooler, Text: "read its configuration again; changed: " + cmp.Or(e.Text, "nothing")})
+		m.addFinding(Finding{At: e.At, Kind: "reload", Pooler: r.Pooler, Text: "read its configuration again; changed: " + cmp.Or(e.Text, "nothing")})
 	case recordpb.Kind_KIND_RECOVERED:
-		m.recovered(r.Pooler, e)
+		m.onStoreRecovery(r.Pooler, e)
 	case recordpb.Kind_KIND_PEER:
 		m.fleet.event(r.Pooler, e)
 	case recordpb.Kind_KIND_AVOIDED:
@@ -277,20 +277,20 @@
 	case recordpb.Kind_KIND_ZONES:
 		m.zones.event(r.Pooler, e)
 	case recordpb.Kind_KIND_SESSION_BEGIN, recordpb.Kind_KIND_SESSION_END:
-		m.onSession(x, e, e.Kind == recordpb.Kind_KIND_SESSION_END)
+		m.onSession(run, e, e.Kind == recordpb.Kind_KIND_SESSION_END)
 	case recordpb.Kind_KIND_HAND:
-		m.onHand(e)
+		m.onAssignment(e)
 	case recordpb.Kind_KIND_POOL:
-		m.onPool(x, e)
+		m.onPool(run, e)
 	case recordpb.Kind_KIND_LOST:
 		m.lost += e.Lost
 		m.forgetClients(r.Pooler)
-		x.pooler.Lost += e.Lost
+		run.pooler.Lost += e.Lost
 		cause := "the writer did not keep up"
 		if e.LossCause == record.CauseWrite {
 			cause = "writing failed"
 		}
-		m.find(Finding{At: e.LostFrom, To: e.LostTo, Kind: "records lost", Pooler: r.Pooler, Grave: true,
+		m.addFinding(Finding{At: e.LostFrom, To: e.LostTo, Kind: "records lost", Pooler: r.Pooler, Grave: true,
 			Text: fmt.Sprintf("%d events were not recorded: %s", e.Lost, cause)})
 	}
 }
@@ -304,58 +304,58 @@
 	}
 	drift := e.WallClockMs - e.At
 	if x.drifted && math.Abs(drift-x.drift) > stepMs {
-		m.find(Finding{At: e.At, Kind: "clock", Pooler: p.Name, Grave: true,
+		m.addFinding(Finding{At: e.At, Kind: "clock", Pooler: p.Name, Grave: true,
 			Text: fmt.Sprintf("its machine's clock stepped by %s; the pooler's own times go on as before", signed(drift-x.drift))})
 	}
 	x.drift, x.drifted = drift, true
 }
 
 func (m *Model) onRequest(x *run, e *record.Event) {
-	if int(e.Class) >= len(x.classes) || len(x.open) >= openMost {
+	if int(e.Class) >= len(x.classes) || len(x.open) >= maxOpenRequests {
 		return
 	}
-	c, g := x.classes[e.Class], m.group(e.Group)
-	q := &request{id: e.ID, class: c, group: g, at: e.At, until: e.At + e.RemainingMs, repeat: e.Repeat}
+	class, group := x.classes[e.Class], m.group(e.Group)
+	q := &request{id: e.ID, class: class, group: group, receivedAt: e.At, deadlineAt: e.At + e.RemainingMs, repeat: e.Repeat}
 	x.open[e.Request] = q
-	c.Requests++
-	cl := m.cell(c, e.At)
-	cl.requests++
-	key := chainKey{c.index, e.Group, e.Session}
+	class.Requests++
+	cell := m.cell(class, e.At)
+	cell.requests++
+	key := chainKey{class.index, e.Group, e.Session}
 	if e.Repeat {
-		c.Repeats++
-		cl.repeats++
-		if q.chain = m.earlier(key, e.At); q.chain == nil {
+		class.Repeats++
+		cell.repeats++
+		if q.chain = m.chainOfRetry(key, e.At); q.chain == nil {
 			m.orphans++
-			c.Orphans++
+			class.Orphans++
 		}
 	}
 	if q.chain == nil {
-		q.chain = &chain{key: key, class: c, group: g, first: e.At}
-		m.file(q.chain)
-		c.Asked++
-		c.WorthAsked += c.Worth
-		cl.asked += float32(c.Worth)
-		c.window.Add(e.At, c.Worth, 0)
-		m.service.Add(e.At, c.Worth, 0)
+		q.chain = &retryChain{key: key, class: class, group: group, firstAt: e.At}
+		m.addChain(q.chain)
+		class.Asked++
+		class.WorthAsked += class.Worth
+		cell.asked += float32(class.Worth)
+		class.window.Add(e.At, class.Worth, 0)
+		m.service.Add(e.At, class.Worth, 0)
 	}
-	q.chain.open++
-	q.chain.tries++
-	if c.writes {
-		g.asked++
+	q.chain.openRequests++
+	q.chain.requests++
+	if class.writes {
+		group.writes++
 	}
 }
 
 func (m *Model) onAttempt(x *run, e *record.Event) {
-	s := m.server(e.Server)
-	m.heard(x, s, e)
+	server := m.server(e.Server)
+	m.observeServer(x, server, e)
 	q := x.open[e.Request]
 	if q != nil {
-		q.mask |= 1 << e.Result
+		q.resultBits |= 1 << e.Result
 		q.class.Attempts++
 	}
-	m.checkDrain(x, s, e)
+	m.checkDrain(x, server, e)
 	if int(e.Class) < len(x.classes) && x.classes[e.Class].writes {
-		m.group(e.Group).onWrite(m, s, e)
+		m.group(e.Group).onWrite(m, server, e)
 	}
 }
 
@@ -365,49 +365,49 @@
 		return // its request is in a part that is missing
 	}
 	delete(x.open, e.Request)
-	c, ch := q.class, q.chain
-	cl := m.cell(c, e.At)
-	ch.open--
-	ch.mask |= q.mask
-	ch.last = max(ch.last, e.At)
+	class, chain := q.class, q.chain
+	cell := m.cell(class, e.At)
+	chain.openRequests--
+	chain.resultBits |= q.resultBits
+	chain.lastAt = max(chain.lastAt, e.At)
 	switch e.Final {
 	case recordpb.Final_FINAL_SERVED:
-		c.Served++
-		cl.served++
-		c.Times.add(e.DurationMs)
-		m.served(ch, e.At)
+		class.Served++
+		cell.served++
+		class.Times.add(e.DurationMs)
+		m.recordServed(chain, e.At)
 		return
 	case recordpb.Final_FINAL_REFUSED:
-		c.Refused++
-		cl.refused++
+		class.Refused++
+		cell.refused++
 	case recordpb.Final_FINAL_FAILED:
-		c.Failed++
-		cl.failed++
+		class.Failed++
+		cell.failed++
 	default:
-		c.Gone++
-		cl.failed++
+		class.Gone++
+		cell.failed++
 	}
-	c.Reasons[e.Final.String()[len("FINAL_"):]+": "+e.Reason.String()]++
-	ch.final, ch.reason = e.Final, e.Reason
-	if c.writes {
-		q.group.refused(e.At)
+	class.Reasons[e.Final.String()[len("FINAL_"):]+": "+e.Reason.String()]++
+	chain.final, chain.reason = e.Final, e.Reason
+	if class.writes {
+		q.group.onUnservedWrite(e.At)
 	}
-	m.wait(ch)
+	m.awaitRetry(chain)
 }
 
 // Results as bits of a mask.
 const (
-	bitFailed   = 1 << decide.Failed
-	bitFull     = 1 << decide.Overloaded
-	bitTimedOut = 1 << decide.TimedOut
-	bitUnreach  = 1 << decide.Unreachable
-	bitReset    = 1 << decide.Reset
-	bitCalled   = 1 << decide.Cancelled
-	bitMissed   = 1 << decide.Misdirected
+	bitFailed      = 1 << decide.Failed
+	bitOverloaded  = 1 << decide.Overloaded
+	bitTimedOut    = 1 << decide.TimedOut
+	bitUnreachable = 1 << decide.Unreachable
+	bitReset       = 1 << decide.Reset
+	bitCancelled   = 1 << decide.Cancelled
+	bitMisdirected = 1 << decide.Misdirected
 )
 
-// find keeps a finding, within the bounds.
-func (m *Model) find(f Finding) {
+// addFinding keeps a finding, within the bounds.
+func (m *Model) addFinding(f Finding) {
 	if m.byKind[f.Kind]++; m.byKind[f.Kind] > maxOfKind || len(m.findings) >= maxFindings {
 		m.unlisted++
 		return
--- a/internal/testkit/incident/pools.go
+++ b/internal/testkit/incident/pools.go
@@ -11,13 +11,13 @@
 // Bounds on what is told of pools.
 const (
 	maxPools    = 500
-	crampedMs   = 1000 // gauges in a row with all connections in use and clients waiting: the pool is cramped
+	saturatedMs = 1000 // gauges in a row with all connections in use and clients waiting: the pool is cramped
 	gaugeGapMs  = 3000 // between two gauges: what lay between is not known
 	maxEnds     = 40   // codes with which sessions ended
 	stormPart   = 0.5  // of a pool's sessions that end within stormMs: a storm
 	stormMs     = 1000
 	stormLeast  = 20
-	restOfPools = "(other pools)"
+	otherPools  = "(other pools)"
 )
 
 // PoolView is a pool of server connections for ordinary clients, over all poolers.
@@ -53,19 +53,19 @@
 // pool is what the model keeps of one.
 type pool struct {
 	PoolView
-	waits   times
-	at      map[*run]*poolNow
+	waits   latencies
+	byRun   map[*run]*poolGauge
 	cells   []poolCell
 	ended   burst
 	refused burst
 }
 
-// poolNow is a pool of one pooler as its last gauge reported.
-type poolNow struct {
+// poolGauge is a pool of one pooler as its last gauge reported.
+type poolGauge struct {
 	at            float64 // 0 before the first
 	waiting, used uint32
 	clients       int64   // as the sessions that have begun and ended since also report; never more than there are
-	crampedFrom   float64 // 0 where it is not
+	saturatedFrom float64 // 0 where it is not
 }
 
 type poolCell struct{ waiting, used, moved uint32 }
@@ -73,18 +73,18 @@
 // burst counts what comes close together.
 type burst struct {
 	from, last float64
-	n          int
+	count      int
 }
 
 // add counts one more, and returns the burst that ended before it.
 func (b *burst) add(at, gap float64) (ended burst) {
-	if b.n > 0 && at-b.last > gap {
+	if b.count > 0 && at-b.last > gap {
 		ended, *b = *b, burst{}
 	}
-	if b.n == 0 {
+	if b.count == 0 {
 		b.from = at
 	}
-	b.n++
+	b.count++
 	b.last = at
 	return ended
 }
@@ -92,10 +92,10 @@
 func (m *Model) pool(name string) *pool {
 	p := m.pools[name]
 	if p == nil {
-		if len(m.pools) >= maxPools && name != restOfPools {
-			return m.pool(restOfPools)
+		if len(m.pools) >= maxPools && name != otherPools {
+			return m.pool(otherPools)
 		}
-		p = &pool{PoolView: PoolView{Name: name, Ends: map[string]uint64{}}, at: map[*run]*poolNow{}}
+		p = &pool{PoolView: PoolView{Name: name, Ends: map[string]uint64{}}, byRun: map[*run]*poolGauge{}}
 		m.pools[name] = p
 	}
 	return p
@@ -122,18 +122,18 @@
 	p.cells = p.cells[:n]
 }
 
-// now is the pool at one pooler.
-func (p *pool) now(x *run) *poolNow {
-	now := p.at[x]
+// gaugeOf is the pool at one pooler.
+func (p *pool) gaugeOf(x *run) *poolGauge {
+	now := p.byRun[x]
 	if now == nil {
-		now = &poolNow{}
-		p.at[x] = now
+		now = &poolGauge{}
+		p.byRun[x] = now
 	}
 	return now
 }
 
 // setClients sets how many clients the pool has at one pooler, and keeps the most.
-func (p *pool) setClients(now *poolNow, clients int64) {
+func (p *pool) setClients(now *poolGauge, clients int64) {
 	now.clients = max(0, clients)
 	p.MostClients = max(p.MostClients, now.clients)
 }
@@ -141,10 +141,10 @@
 // countClients counts the clients of a pool at one pooler between its gauges, which clients may come and go without.
 // What stands for many pools is left to the gauges.
 func (p *pool) countClients(x *run, change int64) {
-	if p.Name == restOfPools {
+	if p.Name == otherPools {
 		return
 	}
-	now := p.now(x)
+	now := p.gaugeOf(x)
 	p.setClients(now, now.clients+change)
 }
 
@@ -152,7 +152,7 @@
 // sessions, and no more clients may be reported than there were.
 func (m *Model) forgetClients(pooler string) {
 	for _, p := range m.pools {
-		for x, now := range p.at {
+		for x, now := range p.byRun {
 			if x.Pooler == pooler {
 				now.clients = 0
 			}
@@ -176,23 +176,23 @@
 		e.Text = "other"
 	}
 	p.Ends[e.Text]++
-	m.storm(p, p.ended.add(e.At, stormMs))
+	m.reportSessionStorm(p, p.ended.add(e.At, stormMs))
 }
 
-// storm tells of many sessions that the pooler ended within a short time.
-func (m *Model) storm(p *pool, b burst) {
-	if b.n >= stormLeast && float64(b.n) >= stormPart*float64(p.MostClients) {
-		m.find(Finding{At: b.from, To: b.last, Kind: "sessions ended", Grave: true,
-			Text: fmt.Sprintf("pool %s: the pooler ended %d sessions within %s", p.Name, b.n, Span(max(1, b.last-b.from)))})
+// reportSessionStorm tells of many sessions that the pooler ended within a short time.
+func (m *Model) reportSessionStorm(p *pool, b burst) {
+	if b.count >= stormLeast && float64(b.count) >= stormPart*float64(p.MostClients) {
+		m.addFinding(Finding{At: b.from, To: b.last, Kind: "sessions ended", Grave: true,
+			Text: fmt.Sprintf("pool %s: the pooler ended %d sessions within %s", p.Name, b.count, Span(max(1, b.last-b.from)))})
 	}
 }
 
-func (m *Model) onHand(e *record.Event) {
+func (m *Model) onAssignment(e *record.Event) {
 	p := m.pool(e.Pool)
 	switch e.Assignment {
 	case record.AssignmentRejected:
 		p.Refused++
-		m.turned(p, p.refused.add(e.At, stormMs))
+		m.reportRejected(p, p.refused.add(e.At, stormMs))
 		return
 	case record.AssignmentRestarted:
 		p.Again++
@@ -215,57 +215,57 @@
 	}
 }
 
-func (m *Model) turned(p *pool, b burst) {
-	if b.n > 0 {
-		m.find(Finding{At: b.from, To: b.last, Kind: "no connection", Grave: true,
-			Text: fmt.Sprintf("pool %s: %d transactions found no connection in time", p.Name, b.n)})
+func (m *Model) reportRejected(p *pool, b burst) {
+	if b.count > 0 {
+		m.addFinding(Finding{At: b.from, To: b.last, Kind: "no connection", Grave: true,
+			Text: fmt.Sprintf("pool %s: %d transactions found no connection in time", p.Name, b.count)})
 	}
 }
 
 func (m *Model) onPool(x *run, e *record.Event) {
 	p, h := m.pool(e.Pool), &e.PoolState
-	now := p.now(x)
+	now := p.gaugeOf(x)
 	p.setClients(now, int64(h.Clients))
 	p.MostUsed, p.MostWaiting = max(p.MostUsed, int64(h.Used)), max(p.MostWaiting, int64(h.Waiting))
 	p.Connections = int64(h.MaxConnections)
 	if now.at > 0 && e.At-now.at > gaugeGapMs {
-		p.uncramp(m, x, now, now.at)
+		p.endSaturation(m, x, now, now.at)
 	}
 	now.at, now.waiting, now.used = e.At, uint32(max(0, h.Waiting)), uint32(max(0, h.Used))
 	switch cramped := h.Waiting > 0 && h.Used >= h.MaxConnections; {
-	case cramped && now.crampedFrom == 0:
-		now.crampedFrom = e.At
+	case cramped && now.saturatedFrom == 0:
+		now.saturatedFrom = e.At
 	case !cramped:
-		p.uncramp(m, x, now, e.At)
+		p.endSaturation(m, x, now, e.At)
 	}
 	c := p.cell(m, e.At)
 	var waiting, used uint32
-	for _, o := range p.at {
+	for _, o := range p.byRun {
 		waiting, used = waiting+o.waiting, used+o.used
 	}
 	c.waiting, c.used = max(c.waiting, waiting), max(c.used, used)
 }
 
-// uncramp ends a time in which all connections of a pool were in use while clients waited.
-func (p *pool) uncramp(m *Model, x *run, now *poolNow, at float64) {
-	from := now.crampedFrom
-	now.crampedFrom = 0
-	if from == 0 || at-from < crampedMs {
+// endSaturation ends a time in which all connections of a pool were in use while clients waited.
+func (p *pool) endSaturation(m *Model, x *run, now *poolGauge, at float64) {
+	from := now.saturatedFrom
+	now.saturatedFrom = 0
+	if from == 0 || at-from < saturatedMs {
 		return
 	}
 	if len(p.Cramped) < maxSpans {
 		p.Cramped = append(p.Cramped, Stretch{From: from, To: at})
 	}
-	m.find(Finding{At: from, To: at, Kind: "pool cramped", Pooler: x.Pooler,
+	m.addFinding(Finding{At: from, To: at, Kind: "pool cramped", Pooler: x.Pooler,
 		Text: fmt.Sprintf("pool %s: all %d connections in use and clients waiting for %s", p.Name, p.Connections, Span(at-from))})
 }
 
 // endPools ends what a run's pools were in.
 func (m *Model) endPools(x *run) {
 	for _, p := range m.sortedPools() {
-		if now := p.at[x]; now != nil {
-			p.uncramp(m, x, now, now.at)
-			delete(p.at, x)
+		if now := p.byRun[x]; now != nil {
+			p.endSaturation(m, x, now, now.at)
+			delete(p.byRun, x)
 		}
 	}
 }
@@ -282,8 +282,8 @@
 // finishPools tells of what was still going on.
 func (m *Model) finishPools() {
 	for _, p := range m.sortedPools() {
-		m.turned(p, p.refused)
-		m.storm(p, p.ended)
+		m.reportRejected(p, p.refused)
+		m.reportSessionStorm(p, p.ended)
 		p.refused, p.ended = burst{}, burst{}
 	}
 }
--- a/internal/testkit/incident/recovered.go
+++ b/internal/testkit/incident/recovered.go
@@ -19,10 +19,10 @@
 	Why      string  `json:"why,omitempty"` // what was wrong with what was dropped
 }
 
-// mostRecoveries bounds how many are kept; what comes after them is left out.
-const mostRecoveries = 20000
+// maxRecoveries bounds how many are kept; what comes after them is left out.
+const maxRecoveries = 20000
 
-func (m *Model) recovered(by string, e *record.Event) {
+func (m *Model) onStoreRecovery(pooler string, e *record.Event) {
 	f := e.Recovery
 	if f == nil {
 		return
@@ -31,8 +31,8 @@
 	if f.Dropped > 0 {
 		text += fmt.Sprintf("; %d bytes of its end were never whole, and were dropped: %s", f.Dropped, e.Text)
 	}
-	m.find(Finding{At: e.At, Kind: "recovered", Pooler: by, Text: text})
-	if len(m.recoveries) < mostRecoveries {
-		m.recoveries = append(m.recoveries, Recovery{At: e.At, Pooler: by, Store: f.Store, Records: f.Records, Segments: f.Segments, Dropped: f.Dropped, TookMs: e.DurationMs, Why: e.Text})
+	m.addFinding(Finding{At: e.At, Kind: "recovered", Pooler: pooler, Text: text})
+	if len(m.recoveries) < maxRecoveries {
+		m.recoveries = append(m.recoveries, Recovery{At: e.At, Pooler: pooler, Store: f.Store, Records: f.Records, Segments: f.Segments, Dropped: f.Dropped, TookMs: e.DurationMs, Why: e.Text})
 	}
 }
--- a/internal/testkit/incident/servers.go
+++ b/internal/testkit/incident/servers.go
@@ -14,39 +14,39 @@
 	FlagPrimary = 1 << iota
 	FlagReplica
 	FlagDraining
-	FlagBroken // connections were refused or broke
-	FlagSilent // requests ran out without an answer
-	FlagCold
-	FlagGone
+	FlagBroken       // connections were refused or broke
+	FlagUnresponsive // requests ran out without an answer
+	FlagWarmingUp
+	FlagRemoved
 )
 
 // server is what the records tell of one.
 type server struct {
 	ServerView
-	group    *group
-	role     decide.Role
-	roleAt   float64
-	probes   uint64
-	started  float64 // as the list has it
-	draining bool
-	gone     bool
-	cold     float64 // until then
+	group        *group
+	role         decide.Role
+	roleAt       float64
+	probes       uint64
+	started      float64 // as the list has it
+	draining     bool
+	removed      bool
+	warmingUntil float64 // until then
 
-	brokeAt  float64 // first of an unbroken run of refused or broken connections, 0 for none
-	broke    int
-	mute     int     // attempts in a row that ran out
-	muteFrom float64 // start of the earliest
-	muteTo   float64 // end of the latest
-	silent   bool
-	back     *Return // of which its position is still to be told
+	firstConnectFailureAt float64 // first of an unbroken run of refused or broken connections, 0 for none
+	connectFailures       int
+	timeoutsInRow         int     // attempts in a row that ran out
+	firstTimeoutFrom      float64 // start of the earliest
+	lastTimeoutAt         float64 // end of the latest
+	unresponsive          bool
+	pendingReturn         *Return // of which its position is still to be told
 
 	cells []serverCell
 }
 
 type serverCell struct {
-	ok, bad uint32
-	lag     float32 // largest told, ms
-	flags   uint8
+	ok, failed uint32
+	lag        float32 // largest told, ms
+	flags      uint8
 }
 
 func (m *Model) server(name string) *server {
@@ -58,8 +58,8 @@
 	return s
 }
 
-// at is the server's cell of a time, with its present state in it.
-func (s *server) at(m *Model, at float64) *serverCell {
+// cellAt is the server's cell of a time, with its present state in it.
+func (s *server) cellAt(m *Model, at float64) *serverCell {
 	i := m.index(at)
 	for len(s.cells) <= i {
 		s.cells = append(s.cells, serverCell{flags: s.flags(m.from + float64(len(s.cells))*m.width)})
@@ -82,15 +82,15 @@
 		}
 	}
 	set(s.draining, FlagDraining)
-	set(s.broke >= silentTries, FlagBroken)
-	set(s.silent, FlagSilent)
-	set(at < s.cold, FlagCold)
-	set(s.gone, FlagGone)
+	set(s.connectFailures >= unresponsiveAttempts, FlagBroken)
+	set(s.unresponsive, FlagUnresponsive)
+	set(at < s.warmingUntil, FlagWarmingUp)
+	set(s.removed, FlagRemoved)
 	return f
 }
 
-// settle carries the server's state on to the present.
-func (s *server) settle(m *Model) { s.at(m, m.to) }
+// extendToPresent carries the server's state on to the present.
+func (s *server) extendToPresent(m *Model) { s.cellAt(m, m.to) }
 
 func (s *server) widen() {
 	n := (len(s.cells) + 1) / 2
@@ -98,15 +98,15 @@
 		a := s.cells[2*i]
 		if 2*i+1 < len(s.cells) {
 			b := s.cells[2*i+1]
-			a.ok, a.bad, a.flags, a.lag = a.ok+b.ok, a.bad+b.bad, a.flags|b.flags, max(a.lag, b.lag)
+			a.ok, a.failed, a.flags, a.lag = a.ok+b.ok, a.failed+b.failed, a.flags|b.flags, max(a.lag, b.lag)
 		}
 		s.cells[i] = a
 	}
 	s.cells = s.cells[:n]
 }
 
-// heard takes what an attempt or a probe told of a server.
-func (m *Model) heard(x *run, s *server, e *record.Event) {
+// observeServer takes what an attempt or a probe told of a server.
+func (m *Model) observeServer(x *run, s *server, e *record.Event) {
 	if e.Result == uint8(decide.NotSent) {
 		return
 	}
@@ -115,31 +115,31 @@
 		s.group.servers = append(s.group.servers, s)
 	}
 	s.Results[record.ResultName(uint32(e.Result))]++
-	cell := s.at(m, e.At)
+	cell := s.cellAt(m, e.At)
 	from := e.At - e.DurationMs
 	switch decide.Result(e.Result) {
 	case decide.Unreachable, decide.Reset:
-		cell.bad++
-		if s.broke++; s.brokeAt == 0 {
-			s.brokeAt = e.At
+		cell.failed++
+		if s.connectFailures++; s.firstConnectFailureAt == 0 {
+			s.firstConnectFailureAt = e.At
 		}
 	case decide.TimedOut, decide.Cancelled:
-		cell.bad++
-		s.ran(m, from, e.At)
+		cell.failed++
+		s.onTimeout(m, from, e.At)
 	default:
 		cell.ok++
-		s.answered(m, x, e, from)
+		s.onAnswer(m, x, e, from)
 	}
 	if e.Position != 0 {
-		s.placed(m, x, e, cell)
+		s.onPosition(m, x, e, cell)
 	}
-	told := e.At
+	reportedAt := e.At
 	if e.Kind == recordpb.Kind_KIND_PROBE {
-		told -= reportMs
+		reportedAt -= reportMs
 	}
-	if r := decide.Role(e.Role); r != decide.RoleUnknown && told >= s.roleAt {
+	if r := decide.Role(e.Role); r != decide.RoleUnknown && reportedAt >= s.roleAt {
 		if r != s.role && s.role != decide.RoleUnknown {
-			m.find(Finding{At: e.At, Kind: "role", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Text: "answers as " + roleName(r) + " now"})
+			m.addFinding(Finding{At: e.At, Kind: "role", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Text: "answers as " + roleName(r) + " now"})
 		}
 		if r == decide.RolePrimary && s.role != r {
 			s.Primary = append(s.Primary, Stretch{From: e.At})
@@ -148,69 +148,69 @@
 		if r != decide.RolePrimary && s.role == decide.RolePrimary && len(s.Primary) > 0 {
 			s.Primary[len(s.Primary)-1].To = e.At
 		}
-		s.role, s.roleAt = r, told
+		s.role, s.roleAt = r, reportedAt
 		s.Role = roleName(r)
 		cell.flags |= s.flags(e.At)
 	}
 }
 
-// ran counts an attempt that a server let run out.
-func (s *server) ran(m *Model, from, at float64) {
-	if s.mute++; s.mute == 1 {
-		s.muteFrom = from
+// onTimeout counts an attempt that a server let run out.
+func (s *server) onTimeout(m *Model, from, at float64) {
+	if s.timeoutsInRow++; s.timeoutsInRow == 1 {
+		s.firstTimeoutFrom = from
 	}
-	s.muteFrom, s.muteTo = min(s.muteFrom, from), max(s.muteTo, at)
-	if s.mute >= silentTries && s.muteTo-s.muteFrom >= silentMs && !s.silent {
-		s.silent = true
-		for i := m.index(s.muteFrom); i < len(s.cells); i++ {
-			s.cells[i].flags |= FlagSilent
+	s.firstTimeoutFrom, s.lastTimeoutAt = min(s.firstTimeoutFrom, from), max(s.lastTimeoutAt, at)
+	if s.timeoutsInRow >= unresponsiveAttempts && s.lastTimeoutAt-s.firstTimeoutFrom >= unresponsiveMs && !s.unresponsive {
+		s.unresponsive = true
+		for i := m.index(s.firstTimeoutFrom); i < len(s.cells); i++ {
+			s.cells[i].flags |= FlagUnresponsive
 		}
 	}
 }
 
-// answered ends what was thought of a server that gave no answers.
-func (s *server) answered(m *Model, x *run, e *record.Event, from float64) {
-	if s.silent && from > s.muteFrom {
-		span := Stretch{From: s.muteFrom, To: e.At}
+// onAnswer ends what was thought of a server that gave no answers.
+func (s *server) onAnswer(m *Model, x *run, e *record.Event, from float64) {
+	if s.unresponsive && from > s.firstTimeoutFrom {
+		span := Stretch{From: s.firstTimeoutFrom, To: e.At}
 		if len(s.Silent) < maxSpans {
 			s.Silent = append(s.Silent, span)
 		}
-		m.find(Finding{At: span.From, To: span.To, Kind: "silent", Server: s.Name, Group: s.Group, Grave: true,
-			Text: fmt.Sprintf("took requests and answered none for %s (%d ran out)", Span(span.To-span.From), s.mute)})
+		m.addFinding(Finding{At: span.From, To: span.To, Kind: "silent", Server: s.Name, Group: s.Group, Grave: true,
+			Text: fmt.Sprintf("took requests and answered none for %s (%d ran out)", Span(span.To-span.From), s.timeoutsInRow)})
 	}
-	if from >= s.muteFrom {
-		s.mute, s.silent = 0, false
+	if from >= s.firstTimeoutFrom {
+		s.timeoutsInRow, s.unresponsive = 0, false
 	}
-	if s.brokeAt == 0 || from < s.brokeAt {
+	if s.firstConnectFailureAt == 0 || from < s.firstConnectFailureAt {
 		return
 	}
-	if span := (Stretch{From: s.brokeAt, To: e.At}); s.broke >= silentTries && span.To-span.From >= silentMs {
+	if span := (Stretch{From: s.firstConnectFailureAt, To: e.At}); s.connectFailures >= unresponsiveAttempts && span.To-span.From >= unresponsiveMs {
 		r := Return{Stretch: span, Server: s.Name, BehindMs: -1}
-		if s.started > s.brokeAt-firstCellMs {
+		if s.started > s.firstConnectFailureAt-firstCellMs {
 			r.StartedMs = s.started
-			s.warm(x, s.started)
+			s.markWarmingUp(x, s.started)
 		}
 		s.Returns = append(s.Returns, r)
 		s.Returns = s.Returns[max(0, len(s.Returns)-maxSpans):]
-		s.back = &s.Returns[len(s.Returns)-1]
-		m.find(Finding{At: span.From, To: span.To, Kind: "down", Server: s.Name, Group: s.Group, Grave: true,
-			Text: fmt.Sprintf("could not be reached for %s (%d tries)", Span(span.To-span.From), s.broke)})
+		s.pendingReturn = &s.Returns[len(s.Returns)-1]
+		m.addFinding(Finding{At: span.From, To: span.To, Kind: "down", Server: s.Name, Group: s.Group, Grave: true,
+			Text: fmt.Sprintf("could not be reached for %s (%d tries)", Span(span.To-span.From), s.connectFailures)})
 	}
-	s.brokeAt, s.broke = 0, 0
+	s.firstConnectFailureAt, s.connectFailures = 0, 0
 }
 
-// warm has the server count as cold from its start on.
-func (s *server) warm(x *run, started float64) {
+// markWarmingUp has the server count as cold from its start on.
+func (s *server) markWarmingUp(x *run, started float64) {
 	s.started = started
-	s.cold = max(s.cold, started+float64(x.Header.ColdUs)/1000)
+	s.warmingUntil = max(s.warmingUntil, started+float64(x.Header.ColdUs)/1000)
 }
 
-// placed takes a position that was told.
-func (s *server) placed(m *Model, x *run, e *record.Event, cell *serverCell) {
+// onPosition takes a position that was told.
+func (s *server) onPosition(m *Model, x *run, e *record.Event, cell *serverCell) {
 	behind := e.At - e.Position
 	if decide.Role(e.Role) == decide.RolePrimary {
 		p := x.pooler
-		p.least, p.told = min(p.least, behind), true
+		p.leastLagMs, p.hasPosition = min(p.leastLagMs, behind), true
 		behind = max(0, behind)
 	}
 	cell.lag = max(cell.lag, float32(behind))
@@ -218,13 +218,13 @@
 		s.MostBehindMs, s.MostBehindAt = behind, e.At
 	}
 	s.Position, s.PositionAt = max(s.Position, e.Position), e.At
-	if b := s.back; b != nil {
-		b.BehindMs, s.back = math.Max(0, behind), nil
+	if b := s.pendingReturn; b != nil {
+		b.BehindMs, s.pendingReturn = math.Max(0, behind), nil
 		text := fmt.Sprintf("was back after %s, %s behind", Span(b.To-b.From), Span(b.BehindMs))
 		if b.StartedMs != 0 {
 			text += ", started anew and cold"
 		}
-		m.find(Finding{At: b.To, Kind: "return", Server: s.Name, Group: s.Group, Text: text, Grave: b.BehindMs > staleAheadMs})
+		m.addFinding(Finding{At: b.To, Kind: "return", Server: s.Name, Group: s.Group, Text: text, Grave: b.BehindMs > staleAheadMs})
 	}
 }
 
@@ -240,66 +240,66 @@
 
 // onEntry takes an entry of a pooler's list.
 func (m *Model) onEntry(x *run, e *record.Event) {
-	s := m.server(e.Server)
-	if s.group == nil {
-		s.group, s.Group = m.group(e.Group), e.Group
-		s.group.servers = append(s.group.servers, s)
+	server := m.server(e.Server)
+	if server.group == nil {
+		server.group, server.Group = m.group(e.Group), e.Group
+		server.group.servers = append(server.group.servers, server)
 	}
 	if e.Text != "" {
-		s.Address = e.Text
+		server.Address = e.Text
 	}
-	l := x.entries[e.Server]
-	if l == nil {
-		l = &listed{}
-		x.entries[e.Server] = l
+	entry := x.entries[e.Server]
+	if entry == nil {
+		entry = &listEntry{}
+		x.entries[e.Server] = entry
 	}
-	was := *l
-	if l.primary = e.Primary; l.primary && !was.primary {
-		l.primaryAt = e.At
-		s.group.named(x, s, e.At)
+	was := *entry
+	if entry.primary = e.Primary; entry.primary && !was.primary {
+		entry.primaryAt = e.At
+		server.group.onPrimaryListed(x, server, e.At)
 	}
 	started := float64(e.Number)
-	if !e.Restated && started > s.started {
-		if s.started != 0 || started > m.from-firstCellMs {
-			m.find(Finding{At: started, Kind: "start of server", Server: s.Name, Group: s.Group, Pooler: x.Pooler,
+	if !e.Restated && started > server.started {
+		if server.started != 0 || started > m.from-firstCellMs {
+			m.addFinding(Finding{At: started, Kind: "start of server", Server: server.Name, Group: server.Group, Pooler: x.Pooler,
 				Text: fmt.Sprintf("started anew, heard of %s later", Span(max(0, e.At-started)))})
 		}
-		s.warm(x, started)
-		if n := len(s.Returns); n > 0 && s.Returns[n-1].From <= started+firstCellMs {
-			s.Returns[n-1].StartedMs = started
+		server.markWarmingUp(x, started)
+		if n := len(server.Returns); n > 0 && server.Returns[n-1].From <= started+firstCellMs {
+			server.Returns[n-1].StartedMs = started
 		}
 	}
-	s.started = max(s.started, started)
+	server.started = max(server.started, started)
 	switch decide.ServerState(e.State) {
 	case decide.Draining:
-		if l.draining == 0 {
-			l.draining = e.At
+		if entry.drainingSinceMs == 0 {
+			entry.drainingSinceMs = e.At
 			if e.Restated {
-				l.draining = math.Inf(1) // heard before what is here: from when on is not known
+				entry.drainingSinceMs = math.Inf(1) // heard before what is here: from when on is not known
 			}
 		}
-		if !s.draining {
-			s.draining = true
-			s.Drains = append(s.Drains, Stretch{From: e.At})
-			s.Drains = s.Drains[max(0, len(s.Drains)-maxSpans):]
-			m.find(Finding{At: e.At, Kind: "drain", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Text: "drains, as the list has it"})
+		if !server.draining {
+			server.draining = true
+			server.Drains = append(server.Drains, Stretch{From: e.At})
+			server.Drains = server.Drains[max(0, len(server.Drains)-maxSpans):]
+			m.addFinding(Finding{At: e.At, Kind: "drain", Server: server.Name, Group: server.Group, Pooler: x.Pooler, Text: "drains, as the list has it"})
 		}
 	case decide.Removed:
 		delete(x.entries, e.Server)
-		if !s.gone {
-			m.find(Finding{At: e.At, Kind: "gone", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Text: "has left the list"})
+		if !server.removed {
+			m.addFinding(Finding{At: e.At, Kind: "gone", Server: server.Name, Group: server.Group, Pooler: x.Pooler, Text: "has left the list"})
 		}
-		s.gone = true
-		s.undrain(e.At)
+		server.removed = true
+		server.endDraining(e.At)
 	default:
-		l.draining = 0
-		s.gone = false
-		s.undrain(e.At)
+		entry.drainingSinceMs = 0
+		server.removed = false
+		server.endDraining(e.At)
 	}
-	s.at(m, e.At)
+	server.cellAt(m, e.At)
 }
 
-func (s *server) undrain(at float64) {
+func (s *server) endDraining(at float64) {
 	if s.draining {
 		s.draining = false
 		s.Drains[len(s.Drains)-1].To = at
@@ -308,16 +308,16 @@
 
 // checkDrain holds a send to the grace that was left when the pooler had heard of a drain.
 func (m *Model) checkDrain(x *run, s *server, e *record.Event) {
-	l := x.entries[s.Name]
-	if l == nil || l.draining == 0 || x.Header.GraceUs == 0 {
+	entry := x.entries[s.Name]
+	if entry == nil || entry.drainingSinceMs == 0 || x.Header.GraceUs == 0 {
 		return
 	}
 	switch decide.Result(e.Result) {
 	case decide.NotSent, decide.Unreachable:
 		return
 	}
-	if over := e.At - e.DurationMs - l.draining - float64(x.Header.GraceUs)/1000; over > 0 {
-		m.find(Finding{At: e.At - e.DurationMs, Kind: "sent after drain", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Grave: true,
+	if over := e.At - e.DurationMs - entry.drainingSinceMs - float64(x.Header.GraceUs)/1000; over > 0 {
+		m.addFinding(Finding{At: e.At - e.DurationMs, Kind: "sent after drain", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Grave: true,
 			Text: fmt.Sprintf("an attempt began %s after the grace had passed", Span(over))})
 	}
 }
--- a/internal/testkit/incident/view.go
+++ b/internal/testkit/incident/view.go
@@ -35,7 +35,7 @@
 	Unknowns uint64               `json:"unknown_total"`
 	Series   Series               `json:"series"`
 	Members  *endpointreport.View `json:"members,omitempty"` // where the list was made of several sources
-	Limits   []Held               `json:"limits,omitempty"`  // where limits held for the whole fleet: who might use how much
+	Limits   []LimitShare         `json:"limits,omitempty"`  // where limits held for the whole fleet: who might use how much
 	Fleet    []Seen               `json:"fleet,omitempty"`   // where poolers were peers: who saw whom
 	Zones    *ZonesView           `json:"zones,omitempty"`   // where the fleet decided them together
 	Avoided  []Avoided            `json:"avoided,omitempty"` // where poolers share what they know of servers: which, by whose word
@@ -77,7 +77,7 @@
 	P99         float64           `json:"p99_ms"`
 	Reasons     map[string]uint64 `json:"reasons,omitempty"`
 
-	Times times `json:"-"`
+	Times latencies `json:"-"`
 }
 
 // PoolerView is a pooler.
@@ -211,21 +211,21 @@
 	Flags []uint8   `json:"flags"`
 }
 
-// times holds how long answers took.
-type times struct{ h *hdrhistogram.Histogram }
+// latencies holds how long answers took.
+type latencies struct{ histogram *hdrhistogram.Histogram }
 
-func (t *times) add(ms float64) {
-	if t.h == nil {
-		t.h = hdrhistogram.New(1, 3_600_000_000, 2) // microseconds, up to an hour
+func (t *latencies) add(ms float64) {
+	if t.histogram == nil {
+		t.histogram = hdrhistogram.New(1, 3_600_000_000, 2) // microseconds, up to an hour
 	}
-	_ = t.h.RecordValue(int64(min(max(1, ms*1000), 3_600_000_000)))
+	_ = t.histogram.RecordValue(int64(min(max(1, ms*1000), 3_600_000_000)))
 }
 
-func (t *times) quantile(q float64) float64 {
-	if t.h == nil {
+func (t *latencies) quantile(q float64) float64 {
+	if t.histogram == nil {
 		return 0
 	}
-	return float64(t.h.ValueAtQuantile(q)) / 1000
+	return float64(t.histogram.ValueAtQuantile(q)) / 1000
 }
 
 // Finish ends the model: what is still open has no answer, and what waits for a retry gets none.
@@ -234,29 +234,29 @@
 		m.End(r, true)
 	}
 	m.finishPools()
-	for ch := m.waiting.first(); ch != nil; ch = m.waiting.first() {
-		m.waiting.pop()
-		ch.queued = false
-		if !ch.done {
-			m.abandon(ch)
+	for chain := m.awaitingRetry.first(); chain != nil; chain = m.awaitingRetry.first() {
+		m.awaitingRetry.pop()
+		chain.queued = false
+		if !chain.done {
+			m.abandon(chain)
 		}
 	}
 	for _, s := range m.servers {
-		s.settle(m)
+		s.extendToPresent(m)
 		switch {
-		case s.silent:
-			s.Silent = append(s.Silent, Stretch{From: s.muteFrom})
-			m.find(Finding{At: s.muteFrom, Kind: "silent", Server: s.Name, Group: s.Group, Grave: true,
+		case s.unresponsive:
+			s.Silent = append(s.Silent, Stretch{From: s.firstTimeoutFrom})
+			m.addFinding(Finding{At: s.firstTimeoutFrom, Kind: "silent", Server: s.Name, Group: s.Group, Grave: true,
 				Text: "took requests and answered none until the records end"})
-		case s.broke >= silentTries:
-			m.find(Finding{At: s.brokeAt, Kind: "down", Server: s.Name, Group: s.Group, Grave: true,
+		case s.connectFailures >= unresponsiveAttempts:
+			m.addFinding(Finding{At: s.firstConnectFailureAt, Kind: "down", Server: s.Name, Group: s.Group, Grave: true,
 				Text: "could not be reached until the records end"})
 		}
 	}
 	for _, g := range m.groups {
-		if g.bad > 0 && g.last != "" && m.to-g.lastAt >= stillMs {
-			m.find(Finding{At: g.lastAt, Kind: "interruption", Group: g.id, Grave: true,
-				Text: "no write was served until the records end; " + g.last + " served the last"})
+		if g.unservedWrites > 0 && g.lastWriter != "" && m.to-g.lastWriteAt >= interruptionMs {
+			m.addFinding(Finding{At: g.lastWriteAt, Kind: "interruption", Group: g.id, Grave: true,
+				Text: "no write was served until the records end; " + g.lastWriter + " served the last"})
 		}
 	}
 }
@@ -286,12 +286,12 @@
 		x.Ratio = ratio(x.WorthGot, x.WorthAsked)
 		v.Classes = append(v.Classes, x)
 		v.Total.add(&x)
-		if c.Times.h != nil {
-			if v.Total.Times.h == nil {
+		if c.Times.histogram != nil {
+			if v.Total.Times.histogram == nil {
 				v.Total.Times.add(0)
-				v.Total.Times.h.Reset()
+				v.Total.Times.histogram.Reset()
 			}
-			v.Total.Times.h.Merge(c.Times.h)
+			v.Total.Times.histogram.Merge(c.Times.histogram)
 		}
 	}
 	t := &v.Total
@@ -338,16 +338,16 @@
 func (v *View) poolers(m *Model) {
 	var least []float64
 	for _, p := range m.poolers {
-		if p.told {
-			least = append(least, p.least)
+		if p.hasPosition {
+			least = append(least, p.leastLagMs)
 		}
 	}
 	slices.Sort(least)
 	for _, p := range m.poolers {
 		x := p.PoolerView
 		x.Away = slices.Clone(p.Away)
-		if p.told && len(least) > 1 {
-			x.AheadMs = p.least - least[len(least)/2]
+		if p.hasPosition && len(least) > 1 {
+			x.AheadMs = p.leastLagMs - least[len(least)/2]
 			if math.Abs(x.AheadMs) >= skewMs {
 				v.Findings = append(v.Findings, Finding{At: x.From, To: x.To, Kind: "clock", Pooler: x.Name,
 					Text: "its clock differs from the others' by " + signed(x.AheadMs) + "; its times stand here as it told them"})
@@ -371,7 +371,7 @@
 		for _, p := range g.gaps {
 			y := p.Gap
 			wrong := -1.0
-			for _, at := range p.right {
+			for _, at := range p.listedAt {
 				wrong = max(wrong, at-p.FirstFailed, 0)
 			}
 			y.ListWrongMs = wrong
@@ -410,10 +410,10 @@
 		v.Series.Classes = append(v.Series.Classes, x)
 	}
 	for _, s := range m.servers {
-		s.settle(m)
+		s.extendToPresent(m)
 		x := ServerSeries{OK: make([]uint32, n), Bad: make([]uint32, n), Lag: make([]float32, n), Flags: make([]uint8, n)}
 		for i, k := range s.cells {
-			x.OK[i], x.Bad[i], x.Lag[i], x.Flags[i] = k.ok, k.bad, k.lag, k.flags
+			x.OK[i], x.Bad[i], x.Lag[i], x.Flags[i] = k.ok, k.failed, k.lag, k.flags
 		}
 		v.Series.Servers[s.Name] = x
 	}
--- a/internal/testkit/incident/zones.go
+++ b/internal/testkit/incident/zones.go
@@ -55,8 +55,8 @@
 	Sent uint64 `json:"sent"`
 }
 
-// mostZones bounds how many are kept of each; what comes after them is left out, and counted.
-const mostZones = 20000
+// maxZoneSpans bounds how many are kept of each; what comes after them is left out, and counted.
+const maxZoneSpans = 20000
 
 // zones is who went by which plan when, in the records of poolers that decide zones together.
 type zones struct {
@@ -73,7 +73,7 @@
 }
 
 // event takes a pooler's note.
-func (z *zones) event(by string, e *record.Event) {
+func (z *zones) event(pooler string, e *record.Event) {
 	n, ok := admin.ParseNote(e.Text)
 	if !ok {
 		return
@@ -87,22 +87,22 @@
 			z.becomes(n.Zones[i], state, n.Plan, e.At)
 		}
 	}
-	if i := z.going[by]; i == 0 || z.goes[i-1].Why != n.Why || z.goes[i-1].Near != n.Near {
+	if i := z.going[pooler]; i == 0 || z.goes[i-1].Why != n.Why || z.goes[i-1].Near != n.Near {
 		if i > 0 {
 			z.goes[i-1].To = e.At
 		}
-		if delete(z.going, by); len(z.goes) < mostZones {
-			z.goes = append(z.goes, ZoneGoes{By: by, Zone: n.Zone, Near: n.Near, Why: n.Why, Plan: n.Plan, From: e.At})
-			z.going[by] = len(z.goes)
+		if delete(z.going, pooler); len(z.goes) < maxZoneSpans {
+			z.goes = append(z.goes, ZoneGoes{By: pooler, Zone: n.Zone, Near: n.Near, Why: n.Why, Plan: n.Plan, From: e.At})
+			z.going[pooler] = len(z.goes)
 		} else {
 			z.more++
 		}
 	}
-	x := Crossed{By: by, From: e.At, To: e.At}
-	if was, ok := z.noted[by]; ok {
+	x := Crossed{By: pooler, From: e.At, To: e.At}
+	if was, ok := z.noted[pooler]; ok {
 		x.From = was
 	}
-	z.noted[by] = e.At
+	z.noted[pooler] = e.At
 	for i, sent := range n.Sent {
 		if sent > 0 {
 			z.sent[[2]string{n.Zone, n.Zones[i]}] += sent
@@ -113,7 +113,7 @@
 	}
 	switch {
 	case x.Sent == 0:
-	case len(z.crossed) < mostZones:
+	case len(z.crossed) < maxZoneSpans:
 		z.crossed = append(z.crossed, x)
 	default:
 		z.more++
@@ -127,7 +127,7 @@
 		}
 		z.states[i-1].To = at
 	}
-	if delete(z.state, zone); len(z.states) == mostZones {
+	if delete(z.state, zone); len(z.states) == maxZoneSpans {
 		z.more++
 		return
 	}
@@ -136,12 +136,12 @@
 }
 
 // ended has a pooler's process end: it goes by nothing any more.
-func (z *zones) ended(by string, at float64) {
-	if i := z.going[by]; i > 0 {
+func (z *zones) ended(pooler string, at float64) {
+	if i := z.going[pooler]; i > 0 {
 		z.goes[i-1].To = at
 	}
-	delete(z.going, by)
-	delete(z.noted, by)
+	delete(z.going, pooler)
+	delete(z.noted, pooler)
 }
 
 func (z *zones) view() *ZonesView {
--- a/internal/testkit/records/records.go
+++ b/internal/testkit/records/records.go
@@ -38,7 +38,7 @@
 	Damaged    FaultKind = "damaged"    // bytes are not as they were written
 	Missing    FaultKind = "missing"    // segments or batches are not there
 	Rotated    FaultKind = "rotated"    // the oldest segments went, as the settings have it
-	Twice      FaultKind = "twice"      // a segment is there a second time
+	Duplicate  FaultKind = "twice"      // a segment is there a second time
 	Unreadable FaultKind = "unreadable" // a file can't be read at all
 )
 
@@ -65,9 +65,9 @@
 }
 
 type segment struct {
-	path   string
-	number uint32
-	opened float64
+	path     string
+	number   uint32
+	openedMs float64
 }
 
 // Sink takes what is read.
@@ -80,15 +80,15 @@
 
 // Set is the records of some folders.
 type Set struct {
-	Runs   []*Run
-	paths  []string
-	known  map[string]bool
-	byKey  map[string]*Run
-	faults []Fault
-	queue  streams
-	dec    *zstd.Decoder
-	follow bool
-	ended  []*stream // in follow mode: those that wait for more
+	Runs    []*Run
+	paths   []string
+	known   map[string]bool
+	byKey   map[string]*Run
+	faults  []Fault
+	queue   streams
+	decoder *zstd.Decoder
+	follow  bool
+	paused  []*stream // in follow mode: those that wait for more
 }
 
 // Open finds the segments below the given folders, or takes files themselves. With follow, segments that are not
@@ -138,7 +138,7 @@
 			if s.follow { // it may just have been begun
 				continue
 			}
-			s.faults = append(s.faults, Fault{Kind: kindOf(err), File: path, Text: err.Error()})
+			s.faults = append(s.faults, Fault{Kind: faultKind(err), File: path, Text: err.Error()})
 			s.known[path] = true
 			continue
 		}
@@ -146,11 +146,11 @@
 		key := fmt.Sprintf("%d %s", h.RunUs, h.Pooler)
 		r := s.byKey[key]
 		if r == nil {
-			r = &Run{Pooler: h.Pooler, Program: h.Program, StartMs: ms(h.RunUs), Header: h}
+			r = &Run{Pooler: h.Pooler, Program: h.Program, StartMs: milliseconds(h.RunUs), Header: h}
 			s.byKey[key] = r
 			fresh[r] = true
 		}
-		r.segments = append(r.segments, segment{path, h.Segment, ms(h.OpenedUs)})
+		r.segments = append(r.segments, segment{path, h.Segment, milliseconds(h.OpenedUs)})
 		if h.Segment < r.Header.Segment {
 			r.Header = h
 		}
@@ -165,7 +165,7 @@
 	for _, r := range order {
 		r.Index = len(s.Runs)
 		s.Runs = append(s.Runs, r)
-		heap.Push(&s.queue, &stream{set: s, run: r, at: r.StartMs})
+		heap.Push(&s.queue, &stream{set: s, run: r, nextAt: r.StartMs})
 	}
 	for _, r := range s.Runs {
 		slices.SortStableFunc(r.segments, func(a, b segment) int { return cmp.Compare(a.number, b.number) })
@@ -207,7 +207,7 @@
 	return h, nil
 }
 
-func kindOf(err error) FaultKind {
+func faultKind(err error) FaultKind {
 	switch {
 	case errors.Is(err, record.ErrTorn):
 		return Torn
@@ -224,10 +224,10 @@
 		if err := s.scan(); err != nil {
 			return err
 		}
-		for _, st := range s.ended {
+		for _, st := range s.paused {
 			heap.Push(&s.queue, st)
 		}
-		s.ended = nil
+		s.paused = nil
 	}
 	for _, f := range s.faults {
 		sink.Fault(f)
@@ -243,7 +243,7 @@
 			if !more {
 				heap.Pop(&s.queue)
 				if s.follow && !st.ended {
-					s.ended = append(s.ended, st)
+					s.paused = append(s.paused, st)
 				}
 				continue
 			}
@@ -253,13 +253,13 @@
 		// As long as this stream is the earliest, its events go out without touching the heap.
 		limit := math.Inf(1)
 		for i := 1; i < min(3, s.queue.Len()); i++ {
-			limit = min(limit, s.queue[i].at)
+			limit = min(limit, s.queue[i].nextAt)
 		}
-		for st.next < len(st.events) && st.at <= limit {
+		for st.next < len(st.events) && st.nextAt <= limit {
 			sink.Event(st.run, &st.events[st.next])
 			st.next++
 			if st.next < len(st.events) {
-				st.at = st.events[st.next].At
+				st.nextAt = st.events[st.next].At
 			}
 		}
 		heap.Fix(&s.queue, 0)
--- a/internal/testkit/records/records_test.go
+++ b/internal/testkit/records/records_test.go
@@ -15,30 +15,30 @@
 	"beechgrade/internal/testkit/fake"
 )
 
-// heard collects what a reading yields.
-type heard struct {
+// collector collects what a reading yields.
+type collector struct {
 	events []record.Event
 	faults []Fault
 	ends   []bool
 }
 
-func (h *heard) Begin(*Run)                    {}
-func (h *heard) Event(_ *Run, e *record.Event) { h.events = append(h.events, *e) }
-func (h *heard) Fault(f Fault)                 { h.faults = append(h.faults, f) }
-func (h *heard) End(_ *Run, ordered bool)      { h.ends = append(h.ends, ordered) }
+func (h *collector) Begin(*Run)                    {}
+func (h *collector) Event(_ *Run, e *record.Event) { h.events = append(h.events, *e) }
+func (h *collector) Fault(f Fault)                 { h.faults = append(h.faults, f) }
+func (h *collector) End(_ *Run, ordered bool)      { h.ends = append(h.ends, ordered) }
 
-func read(t testing.TB, paths ...string) (*heard, error) {
+func read(t testing.TB, paths ...string) (*collector, error) {
 	t.Helper()
 	set, err := Open(false, paths...)
 	if err != nil {
 		return nil, err
 	}
-	h := &heard{}
+	h := &collector{}
 	return h, set.Read(h)
 }
 
-// small writes a small segment and returns its path and text.
-func small(t testing.TB, pack bool) (path string, b []byte) {
+// writeSmallSegment writes a small segment and returns its path and text.
+func writeSmallSegment(t testing.TB, pack bool) (path string, b []byte) {
 	t.Helper()
 	dir := t.TempDir()
 	opt := record.Options{Pooler: "n1", Program: "t", RunStartMs: 1.7e12, Classes: fake.Classes(), Files: record.Dir(dir), SegmentBytes: 1 << 20,
@@ -61,16 +61,16 @@
 	return path, b
 }
 
-// prefix tells whether got is how want begins.
-func prefix(got, want []record.Event) bool {
+// isPrefix tells whether got is how want begins.
+func isPrefix(got, want []record.Event) bool {
 	return len(got) <= len(want) && cmp.Equal(append([]record.Event{}, got...), append([]record.Event{}, want[:len(got)]...))
 }
 
-// TestEveryCut cuts a segment at every byte. What is read must be how the whole begins, and a reading that is short
+// TestTruncatedSegmentYieldsPrefixAndFault cuts a segment at every byte. What is read must be how the whole begins, and a reading that is short
 // must say so: nothing is invented, nothing is missing in silence.
-func TestEveryCut(t *testing.T) {
+func TestTruncatedSegmentYieldsPrefixAndFault(t *testing.T) {
 	for _, pack := range []bool{false, true} {
-		path, b := small(t, pack)
+		path, b := writeSmallSegment(t, pack)
 		whole, err := read(t, path)
 		if err != nil || len(whole.faults) > 0 || !whole.ends[0] || len(whole.events) != 51 {
 			t.Fatalf("whole: %v, %d events, faults %v", err, len(whole.events), whole.faults)
@@ -90,7 +90,7 @@
 				}
 				continue
 			}
-			if !prefix(h.events, whole.events) || len(h.events) < most {
+			if !isPrefix(h.events, whole.events) || len(h.events) < most {
 				t.Fatalf("cut at %d: %d events that are not how the whole begins", n, len(h.events))
 			}
 			if len(h.faults) != 1 || h.ends[0] {
@@ -104,10 +104,10 @@
 	}
 }
 
-// TestEveryFlip changes each byte of a segment in turn.
-func TestEveryFlip(t *testing.T) {
+// TestCorruptedByteYieldsPrefixAndFault changes each byte of a segment in turn.
+func TestCorruptedByteYieldsPrefixAndFault(t *testing.T) {
 	for _, pack := range []bool{false, true} {
-		path, b := small(t, pack)
+		path, b := writeSmallSegment(t, pack)
 		whole, err := read(t, path)
 		if err != nil {
 			t.Fatal(err)
@@ -123,7 +123,7 @@
 				if err != nil {
 					continue // refused, and said
 				}
-				if !prefix(h.events, whole.events) {
+				if !isPrefix(h.events, whole.events) {
 					t.Fatalf("byte %d with %#x: events that are not how the whole begins", i, bits)
 				}
 				if len(h.faults) == 0 || h.ends[0] {
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestMissing guards against a hole between segments that is passed over in silence, and a copy that counts twice.
-func TestMissing(t *testing.T) {
+// TestMissingAndDuplicateSegmentsAreReported guards against a hole between segments that is passed over in silence, and a copy that counts twice.
+func TestMissingAndDuplicateSegmentsAreReported(t *testing.T) {
 	dir := t.TempDir()
 	fake.Day{From: 1.7e12, Poolers: 1, Groups: 2, Members: 3, Requests: 6000, EveryMs: 5}.Write(dir)
 	names, _ := filepath.Glob(filepath.Join(dir, "p0", "*"))
@@ -146,10 +146,10 @@
 	if err != nil || len(whole.faults) > 0 {
 		t.Fatal(err, whole.faults)
 	}
-	kinds := func(h *heard) (out []FaultKind) {
+	kinds := func(h *collector) (out []FaultKind) {
 		for _, f := range h.faults {
 			out = append(out, f.Kind)
-			if f.Kind != Twice && !(f.From > 0 && f.To >= f.From) {
+			if f.Kind != Duplicate && !(f.From > 0 && f.To >= f.From) {
 				t.Errorf("%s: no span: %+v", f.Kind, f)
 			}
 		}
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	h, _ := read(t, dir)
-	if diff := cmp.Diff([]FaultKind{Twice}, kinds(h)); diff != "" || len(h.events) != len(whole.events) {
+	if diff := cmp.Diff([]FaultKind{Duplicate}, kinds(h)); diff != "" || len(h.events) != len(whole.events) {
 		t.Errorf("a copy: %d events, want %d; %s", len(h.events), len(whole.events), diff)
 	}
 	_ = os.Remove(filepath.Join(dir, "copy"+record.Suffix))
@@ -182,16 +182,16 @@
 	}
 }
 
-// TestFollow guards against a reading that stops, or reads twice, where a pooler still writes.
-func TestFollow(t *testing.T) {
-	path, b := small(t, false)
+// TestFollowReadsGrowingSegmentOnce guards against a reading that stops, or reads twice, where a pooler still writes.
+func TestFollowReadsGrowingSegmentOnce(t *testing.T) {
+	path, b := writeSmallSegment(t, false)
 	whole, _ := read(t, path)
 	_ = os.Remove(path)
 	set, err := Open(true, filepath.Dir(path))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &heard{}
+	h := &collector{}
 	for n := 0; n <= len(b); n += 7 {
 		if err := os.WriteFile(path, b[:n], 0o600); err != nil {
 			t.Fatal(err)
@@ -199,7 +199,7 @@
 		if err := set.Read(h); err != nil {
 			t.Fatal(err)
 		}
-		if !prefix(h.events, whole.events) {
+		if !isPrefix(h.events, whole.events) {
 			t.Fatalf("at %d bytes: %d events that are not how the whole begins", n, len(h.events))
 		}
 	}
@@ -212,7 +212,7 @@
 // FuzzSegment guards against bytes that crash the reader.
 func FuzzSegment(f *testing.F) {
 	for _, pack := range []bool{false, true} {
-		_, b := small(f, pack)
+		_, b := writeSmallSegment(f, pack)
 		f.Add(b)
 		f.Add(b[:len(b)/2])
 		f.Add(append(b[:100:100], b[200:]...))
--- a/internal/testkit/report/avoided.go
+++ b/internal/testkit/report/avoided.go
@@ -47,7 +47,7 @@
 		if !strings.Contains(r.Why, a.Why) {
 			r.Why += ", " + a.Why
 		}
-		for _, w := range a.Word {
+		for _, w := range a.Reporters {
 			if !slices.Contains(words, w) {
 				words = append(words, w)
 			}
--- a/internal/testkit/report/avoided_test.go
+++ b/internal/testkit/report/avoided_test.go
@@ -12,7 +12,7 @@
 // TestAvoidedRows: a row for each server, over all poolers that avoided it; text and page have it.
 func TestAvoidedRows(t *testing.T) {
 	spell := func(server, by string, word []string, from, to float64) incident.Avoided {
-		return incident.Avoided{Server: server, By: by, Why: "silent", Word: word, From: from, To: to}
+		return incident.Avoided{Server: server, By: by, Why: "silent", Reporters: word, From: from, To: to}
 	}
 	v := &incident.View{From: 1000, To: 9000, Events: 1, Avoided: []incident.Avoided{spell("db-7", "a", []string{"c", "d"}, 1000, 2000), spell("db-7", "a", []string{"e"}, 3000, 4000),
 		spell("db-7", "b", []string{"c"}, 1100, 5000), spell("db-9", "b", []string{"c"}, 1500, 0)}}
--- a/internal/testkit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -332,12 +332,12 @@
 	flag        uint8
 	class, name string
 }{
-	{incident.FlagGone, "gone", "left the list"},
+	{incident.FlagRemoved, "gone", "left the list"},
 	{incident.FlagBroken, "broken", "could not be reached"},
-	{incident.FlagSilent, "silent", "took requests and answered none"},
+	{incident.FlagUnresponsive, "silent", "took requests and answered none"},
 	{incident.FlagDraining, "drain", "drains"},
 	{incident.FlagPrimary, "primary", "primary"},
-	{incident.FlagCold, "cold", "cold"},
+	{incident.FlagWarmingUp, "cold", "cold"},
 	{incident.FlagReplica, "replica", "replica"},
 }
 
