--- a/cmd/beechgrade-kit/agree.go
+++ b/cmd/beechgrade-kit/agree.go
@@ -118,7 +118,7 @@
 			fmt.Fprintf(t, "\nviews of %s\tvirtual\tsockets\n", r.Scenario)
 			fmt.Fprintf(t, "a crash told, p50 and most, ms\t%.0f, %.0f\t%.0f, %.0f\n", a[0], a[2], b[0], b[2])
 			fmt.Fprintf(t, "views equal, most, ms\t%.0f\t%.0f\n", c[2], d[2])
-			fmt.Fprintf(t, "called failed that ran\t%d\t%d\n", v.Wrong, s.Views.Wrong)
+			fmt.Fprintf(t, "called failed that ran\t%d\t%d\n", v.FalseFailures, s.Views.FalseFailures)
 		}
 	}
 	return t.Flush()
--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -124,8 +124,8 @@
 	for _, c := range s.Tenants {
 		fmt.Fprintf(t, "%s, in its share\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Ratio, c.Asked, c.Tries, c.Served, c.Late, c.Refused, c.Failed, c.Silent, c.Broken, c.Unmade)
 	}
-	if r.Crossed > 0 {
-		fmt.Fprintf(t, "\nattempts across sites\t%d of %d\n", r.Crossed, r.Attempts)
+	if r.CrossSite > 0 {
+		fmt.Fprintf(t, "\nattempts across sites\t%d of %d\n", r.CrossSite, r.Attempts)
 	}
 	fmt.Fprintf(t, "\nrule\tput to the test\tbroken\n")
 	for _, rule := range checker.Rules() {
@@ -156,14 +156,14 @@
 			f.Balance, f.Lent, f.Spent, f.Stranded)
 	}
 	if v := r.Views; v != nil {
-		fmt.Fprintf(w, "\nviews: %.1f datagrams and %.0f bytes a second of each pooler; %d accused wrongly, %d called failed that ran\n", v.Packets, v.Bytes, v.Accused, v.Wrong)
-		if v.Told > 0 {
-			fmt.Fprintf(w, "parts: %.1f datagrams and %.0f bytes a second of each pooler\n", v.Told, v.ToldSize)
+		fmt.Fprintf(w, "\nviews: %.1f datagrams and %.0f bytes a second of each pooler; %d accused wrongly, %d called failed that ran\n", v.Packets, v.Bytes, v.FalseAccusations, v.FalseFailures)
+		if v.ModuleMessages > 0 {
+			fmt.Fprintf(w, "parts: %.1f datagrams and %.0f bytes a second of each pooler\n", v.ModuleMessages, v.ModuleBytes)
 		}
 	}
 	heedsText(w, r)
 	if r.ModuleMs > 0 {
-		fmt.Fprintf(w, "\ndecision module: %.1f us a try, %.0f%% of the run\n", 1000*r.ModuleMs/float64(max(1, r.Tries)), 100*r.ModuleMs/r.WallMs)
+		fmt.Fprintf(w, "\ndecision module: %.1f us a try, %.0f%% of the run\n", 1000*r.ModuleMs/float64(max(1, r.ClientAttempts)), 100*r.ModuleMs/r.WallMs)
 	}
 	for i, b := range r.Verdict.Breaches {
 		if i == 5 {
@@ -180,17 +180,17 @@
 
 // heedsText tells how verdicts went round.
 func heedsText(w io.Writer, r *simulation.Result) {
-	if len(r.Heeds) == 0 {
+	if len(r.Ejections) == 0 {
 		return
 	}
 	sum, longest, most := 0.0, 0.0, 0
-	for _, h := range r.Heeds {
+	for _, h := range r.Ejections {
 		sum, longest = sum+h.Last-h.First, max(longest, h.Last-h.First)
 		if 2*h.Poolers >= r.Poolers {
 			most++
 		}
 	}
-	fmt.Fprintf(w, "\nverdicts: %d, of them %d heeded by half of all poolers at least; from the first who heeded to the last %.1f ms, at most %.1f\n", len(r.Heeds), most, sum/float64(len(r.Heeds)), longest)
+	fmt.Fprintf(w, "\nverdicts: %d, of them %d heeded by half of all poolers at least; from the first who heeded to the last %.1f ms, at most %.1f\n", len(r.Ejections), most, sum/float64(len(r.Ejections)), longest)
 }
 
 func labRun(ctx context.Context, c *cli.Command) error {
--- a/cmd/beechgrade-kit/peers_measure.go
+++ b/cmd/beechgrade-kit/peers_measure.go
@@ -114,8 +114,8 @@
 				row.Breaches += r.Verdict.Broken[rule]
 			}
 			if quiet {
-				row.Wrong = float64(r.Views.Accused) / float64(n) * 3600 / (r.VirtualMs / 1000)
-				row.Failed += r.Views.Wrong
+				row.Wrong = float64(r.Views.FalseAccusations) / float64(n) * 3600 / (r.VirtualMs / 1000)
+				row.Failed += r.Views.FalseFailures
 				row.Packets, row.Bytes, row.Streamed = r.Views.Packets, r.Views.Bytes, r.Views.Streamed
 				continue
 			}
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -263,7 +263,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.check.Verdict(v)
-	out := &Fleet{Looks: f.calls, Views: simulation.Views{Detected: f.check.DetectionTimes, Settled: f.check.SettleTimes, Accused: f.check.FalseAccusations, Wrong: f.check.FalseFailures}}
+	out := &Fleet{Looks: f.calls, Views: simulation.Views{Detected: f.check.DetectionTimes, Settled: f.check.SettleTimes, FalseAccusations: f.check.FalseAccusations, FalseFailures: f.check.FalseFailures}}
 	out.Carried, out.Lost = f.relays.Counts()
 	for server, by := range f.avoid { // each on its own
 		if out.Avoided == nil {
--- a/internal/testkit/simulation/again.go
+++ b/internal/testkit/simulation/again.go
@@ -7,8 +7,8 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Again counts what poolers do twice, as the servers see it, and how they come back to one that returns.
-type Again struct {
+// Repeats counts what poolers do twice, as the servers see it, and how they come back to one that returns.
+type Repeats struct {
 	Firsts uint64  `json:"first_attempts"`
 	Taken  uint64  `json:"taken_again"`          // attempts of a request of which a server had taken another
 	Part   float64 `json:"taken_again_at_worst"` // of the first attempts of a group
@@ -20,49 +20,49 @@
 	binMs      = 100
 )
 
-// agains keeps the counts.
-type agains struct {
+// repeatCounts keeps the counts.
+type repeatCounts struct {
 	firsts, taken map[int]uint64 // by group
 	opened        map[opening]int
 }
 
 type opening struct{ server, bin int }
 
-func newAgains() *agains {
-	return &agains{firsts: map[int]uint64{}, taken: map[int]uint64{}, opened: map[opening]int{}}
+func newRepeatCounts() *repeatCounts {
+	return &repeatCounts{firsts: map[int]uint64{}, taken: map[int]uint64{}, opened: map[opening]int{}}
 }
 
-// first counts an attempt that is sent, if it is its request's first.
-func (x *agains) first(v *visit, s *model.Server) {
+// firstAttempt counts an attempt that is sent, if it is its request's first.
+func (x *repeatCounts) firstAttempt(v *clientAttempt, s *model.Server) {
 	if !v.sentOnce {
 		v.sentOnce = true
 		x.firsts[s.Group.ID]++
 	}
 }
 
-// took counts one that a server takes.
-func (x *agains) took(v *visit, s *model.Server) {
-	if v.taken > 0 {
+// accepted counts one that a server takes.
+func (x *repeatCounts) accepted(v *clientAttempt, s *model.Server) {
+	if v.acceptedAttempts > 0 {
 		x.taken[s.Group.ID]++
 	}
-	v.taken++
+	v.acceptedAttempts++
 }
 
-// full takes one back that found no place there.
-func (x *agains) full(v *visit, s *model.Server) {
-	if v.taken--; v.taken > 0 {
+// rejected takes one back that found no place there.
+func (x *repeatCounts) rejected(v *clientAttempt, s *model.Server) {
+	if v.acceptedAttempts--; v.acceptedAttempts > 0 {
 		x.taken[s.Group.ID]--
 	}
 }
 
-// opens counts a connection that is opened.
-func (x *agains) opens(now float64, s *model.Server) {
+// connectionOpened counts a connection that is opened.
+func (x *repeatCounts) connectionOpened(now float64, s *model.Server) {
 	if s.Started > 0 && now-s.Started <= returnedMs {
 		x.opened[opening{s.No, int(now / binMs)}]++
 	}
 }
 
-func (x *agains) result() (r Again) {
+func (x *repeatCounts) result() (r Repeats) {
 	for _, g := range slices.Sorted(maps.Keys(x.firsts)) {
 		r.Firsts += x.firsts[g]
 		r.Taken += x.taken[g]
--- a/internal/testkit/simulation/agreed.go
+++ b/internal/testkit/simulation/agreed.go
@@ -9,31 +9,31 @@
 	"beechgrade/internal/cluster/raftlog/adapter"
 )
 
-// CommonLog is the log that poolers have in common, in virtual time: the first ones vote, each with a disk that outlives its processes.
-type CommonLog struct {
+// SharedLog is the log that poolers have in common, in virtual time: the first ones vote, each with a disk that outlives its processes.
+type SharedLog struct {
 	Settings raftlog.Settings // but for names and seeds
 	Voters   int
 	Seed     uint64
 	DiskMs   [2]float64 // that a durable write takes, from and to
 
-	disks map[int]*platter
+	disks map[int]*voterDisk
 	rng   *rand.Rand
 }
 
-// platter is a voter's disk: what a process that ended had not been told of is not on it.
-type platter struct {
-	log     *CommonLog
+// voterDisk is a voter's disk: what a process that ended had not been told of is not on it.
+type voterDisk struct {
+	log     *SharedLog
 	records map[string][]byte
 	free    float64 // when the writes before are done
 }
 
-type written struct {
-	d *platter
+type diskWriter struct {
+	d *voterDisk
 	h Host
 }
 
 // Append is joined.Disk's.
-func (w written) Append(records []raftlog.Record, done func(error)) {
+func (w diskWriter) Append(records []raftlog.Record, done func(error)) {
 	d, c := w.d, w.d.log
 	d.free = max(d.free, w.h.Now()+c.DiskMs[0]+(c.DiskMs[1]-c.DiskMs[0])*c.rng.Float64())
 	w.h.At(d.free, func() {
@@ -49,23 +49,23 @@
 }
 
 // Join makes a process's part in the log.
-func (c *CommonLog) Join(h Host, m raftlog.Machine, told func(a *raftlog.Action)) *adapter.Adapter {
+func (c *SharedLog) Join(h Host, m raftlog.Machine, observe func(a *raftlog.Action)) *adapter.Adapter {
 	if c.disks == nil {
-		c.disks, c.rng = map[int]*platter{}, rand.New(rand.NewPCG(c.Seed, 33))
+		c.disks, c.rng = map[int]*voterDisk{}, rand.New(rand.NewPCG(c.Seed, 33))
 	}
 	set := c.Settings
 	set.Voters = nil
 	for i := range c.Voters {
-		set.Voters = append(set.Voters, h.x.p.e.poolerName(i))
+		set.Voters = append(set.Voters, h.x.p.sim.poolerName(i))
 	}
-	set.Self, set.Seed, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Life()), h.x.p.e.checks
-	p := adapter.New(h, adapter.Options{Settings: set, Machine: m, Observe: told})
+	set.Self, set.Seed, set.Checks = h.x.p.name, c.Seed<<32|uint64(h.No())<<16|uint64(h.Life()), h.x.p.sim.checks
+	logAdapter := adapter.New(h, adapter.Options{Settings: set, Machine: m, Observe: observe})
 	if h.No() >= c.Voters {
-		return p
+		return logAdapter
 	}
 	d := c.disks[h.No()]
 	if d == nil {
-		d = &platter{log: c, records: map[string][]byte{}}
+		d = &voterDisk{log: c, records: map[string][]byte{}}
 		c.disks[h.No()] = d
 	}
 	d.free = 0
@@ -73,9 +73,9 @@
 	for _, k := range slices.Sorted(maps.Keys(d.records)) {
 		records = append(records, raftlog.Record{Key: k, Value: d.records[k]})
 	}
-	h.At(h.Now(), func() { p.Start(written{d, h}, records, nil) })
-	return p
+	h.At(h.Now(), func() { logAdapter.Start(diskWriter{d, h}, records, nil) })
+	return logAdapter
 }
 
 // Wipe has a voter's disk be empty from its next process on.
-func (c *CommonLog) Wipe(no int) { delete(c.disks, no) }
+func (c *SharedLog) Wipe(no int) { delete(c.disks, no) }
--- a/internal/testkit/simulation/agreed_test.go
+++ b/internal/testkit/simulation/agreed_test.go
@@ -14,7 +14,7 @@
 // tries is what came of entries that poolers proposed in virtual time.
 type tries struct {
 	t       *testing.T
-	log     *CommonLog
+	log     *SharedLog
 	each    float64 // ms between two of a pooler's
 	sums    map[uint64]uint64
 	leaders map[uint64]int
@@ -92,10 +92,10 @@
 }
 
 func play5(t *testing.T, seed uint64, voters, poolers int, each float64, script string) (*tries, string) {
-	x := &tries{t: t, log: &CommonLog{Settings: raftlog.Defaults(), Voters: voters, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: each,
+	x := &tries{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: voters, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: each,
 		sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Adapter{}, tallies: map[int]*counter.Counter{}}
 	x.log.Settings.SnapshotEntries, x.log.Settings.KeepEntries = 1000, 100
-	r := play(t, parse(t, `(rehearsal "agreed" (groups 3) (rate 20) (peers) (poolers `+strconv.Itoa(poolers)+`) `+script+`)`), Options{Seed: seed, Parts: []Joined{x.join}})
+	r := play(t, parse(t, `(rehearsal "agreed" (groups 3) (rate 20) (peers) (poolers `+strconv.Itoa(poolers)+`) `+script+`)`), Options{Seed: seed, Modules: []ModuleMaker{x.join}})
 	least := x.most
 	for i := range voters {
 		least = min(least, x.tallies[i].Counted)
@@ -129,11 +129,11 @@
 	var all []float64
 	bound := 0.0
 	for seed := range uint64(4) {
-		x := &tries{t: t, log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: 20,
+		x := &tries{t: t, log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, each: 20,
 			sums: map[uint64]uint64{}, leaders: map[uint64]int{}, parts: map[int]*adapter.Adapter{}, tallies: map[int]*counter.Counter{}}
 		s := parse(t, `(rehearsal "agreed" (groups 3) (rate 5) (seconds 40) (peers) (poolers 3) (at 12s (kill-pooler 0) (for 4s)) (at 22s (kill-pooler 1) (for 4s)) (at 32s (kill-pooler 2) (for 4s)))`)
 		bound = x.log.Settings.ElectionBound(s.Way[1], 2)
-		play(t, s, Options{Seed: seed, Parts: []Joined{func(h Host) []module.Module {
+		play(t, s, Options{Seed: seed, Modules: []ModuleMaker{func(h Host) []module.Module {
 			if h.Life() == 0 && h.No() < 3 { // looks at the next one just before that is killed
 				h.At(h.Now()+11999, func() { x.looks(h, 0, 1) })
 				h.At(h.Now()+21999, func() { x.looks(h, 1, 2) })
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -13,25 +13,25 @@
 
 // attempt is a request's attempt, or a probe where query is nil. It is the model's job while it is at the server.
 type attempt struct {
-	job   model.Job
-	p     *pooler
-	life  uint32
-	ref   slotmap.Ref
-	tag   backend.AttemptID
-	st    *store
-	slife uint32
-	v     *visit // nil for a probe
-	no    int
-	until float64
-	id    string // of the server, as the list has it
-	sent  bool
-	ended bool
-	at    float64 // sent then, on a connection that had rested so long
-	rest  float64
-	asOf  float64 // a server tells its lag as of then
-	reply model.Reply
-	held  bool    // it has a connection, and waits until all of its page have one
-	rows  *rowsOf // of a page's shard, nil where it is none
+	job             model.Job
+	pooler          *pooler
+	incarnation     uint32
+	ref             slotmap.Ref
+	tag             backend.AttemptID
+	pool            *serverPool
+	poolIncarnation uint32
+	client          *clientAttempt // nil for a probe
+	number          int
+	deadline        float64
+	id              string // of the server, as the list has it
+	sent            bool
+	ended           bool
+	sentAt          float64 // sent then, on a connection that had rested so long
+	idleMs          float64
+	asOf            float64 // a server tells its lag as of then
+	reply           model.Reply
+	waitsForPage    bool       // it has a connection, and waits until all of its page have one
+	rows            *shardRows // of a page's shard, nil where it is none
 	backend.SendConditions
 }
 
@@ -53,58 +53,58 @@
 
 // Start is core.Servers'.
 func (p *pooler) Start(id string, q backend.Query, until float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
-	v := q.(*visit)
-	a := &attempt{p: p, life: p.life, tag: t, v: v, no: t.Number, until: until, SendConditions: on}
-	a.ref = p.tries.Put(a)
+	v := q.(*clientAttempt)
+	a := &attempt{pooler: p, incarnation: p.incarnation, tag: t, client: v, number: t.Number, deadline: until, SendConditions: on}
+	a.ref = p.attempts.Put(a)
 	p.begin(a, id)
 	return a.ref
 }
 
 // CheckHealth is core.Servers'.
 func (p *pooler) CheckHealth(id string) {
-	p.e.probes++
-	if st := p.store(id); st != nil {
-		p.e.check.HealthCheckSent(p.e.s.now, st.s.No)
+	p.sim.healthChecks++
+	if st := p.poolOf(id); st != nil {
+		p.sim.check.HealthCheckSent(p.sim.sched.now, st.server.No)
 	}
-	a := &attempt{p: p, life: p.life, until: p.e.s.now + scenario.ConnectMs}
-	a.ref = p.tries.Put(a)
+	a := &attempt{pooler: p, incarnation: p.incarnation, deadline: p.sim.sched.now + scenario.ConnectMs}
+	a.ref = p.attempts.Put(a)
 	p.begin(a, id)
 }
 
 // Cancel is core.Servers'.
 func (p *pooler) Cancel(ref slotmap.Ref) {
-	if a, ok := p.tries.Get(ref); ok {
-		a.drop(decide.Cancelled)
+	if a, ok := p.attempts.Get(ref); ok {
+		a.abort(decide.Cancelled)
 	}
 }
 
 func (p *pooler) begin(a *attempt, id string) {
-	e := p.e
-	a.id, a.st = id, p.store(id)
-	if a.st == nil || !a.st.listed {
+	sim := p.sim
+	a.id, a.pool = id, p.poolOf(id)
+	if a.pool == nil || !a.pool.listed {
 		a.end(backend.Outcome{Result: decide.Unreachable}) // as the sockets' side does, before Start returns
 		return
 	}
-	st := a.st
-	if a.TooLate(e.s.now) {
+	st := a.pool
+	if a.TooLate(sim.sched.now) {
 		a.end(backend.Outcome{Result: decide.NotSent})
 		return
 	}
-	e.s.at(a.until, a, atEnd)
+	sim.sched.at(a.deadline, a, atEnd)
 	st.expire()
 	if n := len(st.idle); n > 0 {
-		if rest := e.s.now - st.idle[n-1]; !a.AtMostOnce || rest < p.wear.Limit() {
-			if !a.goes() {
-				a.drop(decide.NotSent)
+		if rest := sim.sched.now - st.idle[n-1]; !a.AtMostOnce || rest < p.idleTimeout.Limit() {
+			if !a.maySend() {
+				a.abort(decide.NotSent)
 				return
 			}
 			st.idle = st.idle[:n-1]
-			a.rest = rest
+			a.idleMs = rest
 			a.send()
 			return
 		}
 	}
-	e.s.After(scenario.ConnectMs, a, atConnect)
+	sim.sched.After(scenario.ConnectMs, a, atConnect)
 	st.waiting = append(st.waiting, a)
 	if st.dialing < len(st.waiting) {
 		st.dial()
@@ -113,13 +113,13 @@
 
 // Recall is core.Servers'.
 func (p *pooler) Recall(id string, which func(backend.AttemptID) bool) {
-	st := p.store(id)
+	st := p.poolOf(id)
 	if st == nil {
 		return
 	}
 	for i := 0; i < len(st.waiting); {
-		if a := st.waiting[i]; a.v != nil && which(a.tag) {
-			a.drop(decide.NotSent)
+		if a := st.waiting[i]; a.client != nil && which(a.tag) {
+			a.abort(decide.NotSent)
 			i = 0
 			continue
 		}
@@ -127,45 +127,45 @@
 	}
 }
 
-// goes asks whether an attempt may still go out, as the daemon does. A probe always may.
-func (a *attempt) goes() bool { return a.v == nil || a.p.core.MaySend(a.tag) }
+// maySend asks whether an attempt may still go out, as the daemon does. A probe always may.
+func (a *attempt) maySend() bool { return a.client == nil || a.pooler.core.MaySend(a.tag) }
 
 // send puts an attempt on a connection.
 func (a *attempt) send() {
-	e, st := a.p.e, a.st
-	if a.v != nil && a.v.shard != nil && a.v.shard.holds(a) {
+	sim, st := a.pooler.sim, a.pool
+	if a.client != nil && a.client.shard != nil && a.client.shard.holdUntilSend(a) {
 		return
 	}
-	a.sent, a.slife, a.at = true, st.life, e.s.now
+	a.sent, a.poolIncarnation, a.sentAt = true, st.incarnation, sim.sched.now
 	st.busy[a] = true
-	if a.v != nil {
-		e.attempts++
-		old := a.v.class.Read != clients.Write // it may be
-		if n := len(e.script.Sites); old && e.opt.Read != nil {
-			e.opt.Read(e.s.now, a.v.class, a.p.no, (a.v.class.Work[0]+a.v.class.Work[1])/2, n > 0 && a.p.no%n != st.s.SiteNo())
+	if a.client != nil {
+		sim.attempts++
+		old := a.client.class.Read != clients.Write // it may be
+		if n := len(sim.script.Sites); old && sim.options.OnRead != nil {
+			sim.options.OnRead(sim.sched.now, a.client.class, a.pooler.no, (a.client.class.Work[0]+a.client.class.Work[1])/2, n > 0 && a.pooler.no%n != st.server.SiteNo())
 		}
 		if old {
-			e.reads++
+			sim.anyMemberReads++
 		}
-		if n := len(e.script.Sites); n > 0 && a.p.no%n != st.s.SiteNo() {
-			if e.crossed++; old {
-				e.far++
+		if n := len(sim.script.Sites); n > 0 && a.pooler.no%n != st.server.SiteNo() {
+			if sim.crossSiteAttempts++; old {
+				sim.remoteReads++
 			}
 		}
-		e.agains.first(a.v, st.s)
-		e.check.AttemptSent(e.s.now, a.v.id, a.no, a.p.no, st.s.No)
-		if e.black != nil {
-			e.black.AttemptSent(e.s.now, a.p.no, st.s.No, a.v.class.Read == clients.Write)
+		sim.repeats.firstAttempt(a.client, st.server)
+		sim.check.AttemptSent(sim.sched.now, a.client.id, a.number, a.pooler.no, st.server.No)
+		if sim.blackouts != nil {
+			sim.blackouts.AttemptSent(sim.sched.now, a.pooler.no, st.server.No, a.client.class.Read == clients.Write)
 		}
-		a.p.core.AttemptWritten(a.tag)
+		a.pooler.core.AttemptWritten(a.tag)
 	}
-	switch forgets := e.script.Forgets; {
-	case a.p.cut(st.s) || a.p.loses(st.s):
-	case forgets > 0 && a.rest >= forgets: // what lies between knows nothing of this connection any more
-		e.s.After(e.wayTo(a.p, st.s), a, atReset)
+	switch forgets := sim.script.Forgets; {
+	case a.pooler.cut(st.server) || a.pooler.dropsRequest(st.server):
+	case forgets > 0 && a.idleMs >= forgets: // what lies between knows nothing of this connection any more
+		sim.sched.After(sim.linkDelayTo(a.pooler, st.server), a, atReset)
 	default:
-		if ms := e.carried(a.p, st.s, false); ms >= 0 {
-			e.s.After(ms, a, atServer)
+		if ms := sim.deliveryDelay(a.pooler, st.server, false); ms >= 0 {
+			sim.sched.After(ms, a, atServer)
 		}
 	}
 }
@@ -176,11 +176,11 @@
 	case atServer:
 		a.arrive()
 	case atCancel:
-		a.p.e.spends.calledOff(a)
+		a.pooler.sim.coreTime.cancelled(a)
 		a.job.Cancel()
 	default:
-		if !a.ended && a.p.life == a.life && a.p.e.s.now < a.p.still {
-			a.p.e.s.at(a.p.still, a, what)
+		if !a.ended && a.pooler.incarnation == a.incarnation && a.pooler.sim.sched.now < a.pooler.pausedUntil {
+			a.pooler.sim.sched.at(a.pooler.pausedUntil, a, what)
 			return
 		}
 		a.atPooler(what)
@@ -189,33 +189,33 @@
 
 // arrive is at the server.
 func (a *attempt) arrive() {
-	e, s := a.p.e, a.st.s
-	if !s.Up || a.slife != a.st.life {
+	sim, s := a.pooler.sim, a.pool.server
+	if !s.Up || a.poolIncarnation != a.pool.incarnation {
 		return // its connection is broken, and its pooler hears of that
 	}
-	if a.v == nil { // a probe
+	if a.client == nil { // a probe
 		if s.Hung || s.DropsAnswers {
 			return
 		}
-		r := s.Report(e.s.now)
-		if e.script.Clients.House {
-			r, a.asOf = model.Report{Position: s.Position(e.s.now)}, e.s.now
+		r := s.Report(sim.sched.now)
+		if sim.script.Clients.House {
+			r, a.asOf = model.Report{Position: s.Position(sim.sched.now)}, sim.sched.now
 		}
 		a.reply = model.Reply{Position: r.Position, Primary: r.Primary}
-		if ms := e.carried(a.p, s, true); ms >= 0 {
-			e.s.After(e.script.ProbeCost+ms, a, atProbed)
+		if ms := sim.deliveryDelay(a.pooler, s, true); ms >= 0 {
+			sim.sched.After(sim.script.ProbeCost+ms, a, atProbed)
 		}
 		return
 	}
-	v := a.v
-	a.job.ID, a.job.Writes, a.job.Key, a.job.Value, a.job.Owner = v.name, v.class.Read == "mutate", v.ask.Key, v.value, a
-	a.job.Work = e.world.Work(v.class.Name)
+	v := a.client
+	a.job.ID, a.job.Writes, a.job.Key, a.job.Value, a.job.Owner = v.name, v.class.Read == "mutate", v.request.Key, v.value, a
+	a.job.Work = sim.world.Work(v.class.Name)
 	if v.class.KeyMs > 0 {
-		a.job.IdempotencyKey, a.job.IdempotencyMs = v.ask.Idem(), v.class.KeyMs
+		a.job.IdempotencyKey, a.job.IdempotencyMs = v.request.Idem(), v.class.KeyMs
 	}
 	if s.Accepts(&a.job) {
-		e.agains.took(v, s)
-		e.check.ServerReceived(e.s.now, s.No, s.Started, v.id, a.job.Work)
+		sim.repeats.accepted(v, s)
+		sim.check.ServerReceived(sim.sched.now, s.No, s.Started, v.id, a.job.Work)
 	}
 	s.Submit(&a.job)
 }
@@ -226,17 +226,17 @@
 		return // its connection breaks
 	}
 	if r.Verdict == model.QueueFull {
-		a.p.e.agains.full(a.v, a.st.s)
+		a.pooler.sim.repeats.rejected(a.client, a.pool.server)
 	}
-	a.p.e.spends.worked(a)
-	if a.reply = r; a.p.cut(a.st.s) {
+	a.pooler.sim.coreTime.worked(a)
+	if a.reply = r; a.pooler.cut(a.pool.server) {
 		return
 	}
-	if a.v != nil && a.v.shard != nil {
-		a.v.shard.read(a, r)
+	if a.client != nil && a.client.shard != nil {
+		a.client.shard.read(a, r)
 	}
-	if ms := a.p.e.carried(a.p, a.st.s, true); ms >= 0 {
-		a.p.e.s.After(ms, a, atPooler)
+	if ms := a.pooler.sim.deliveryDelay(a.pooler, a.pool.server, true); ms >= 0 {
+		a.pooler.sim.sched.After(ms, a, atPooler)
 	}
 }
 
@@ -244,13 +244,13 @@
 	model.QueueFull: decide.Overloaded, model.HandedOver: decide.Failed}
 
 func (a *attempt) atPooler(what uint64) {
-	if a.ended || a.p.life != a.life {
+	if a.ended || a.pooler.incarnation != a.incarnation {
 		return
 	}
-	st := a.st
+	st := a.pool
 	switch what {
 	case atPooler, atProbed:
-		if a.slife != st.life {
+		if a.poolIncarnation != st.incarnation {
 			return // the connection broke before the answer was whole
 		}
 		o := backend.Outcome{Result: results[a.reply.Verdict], Report: backend.Report{Role: decide.RoleReplica, Position: a.reply.Position, HasPos: a.reply.Position > 0}}
@@ -260,75 +260,75 @@
 		if o.Result == decide.OK {
 			o.Answer = a.reply.Value
 		}
-		if a.p.e.script.Clients.House {
-			a.house(&o)
+		if a.pooler.sim.script.Clients.House {
+			a.useClickHouseReport(&o)
 		}
 		if a.rows != nil {
 			a.rows.o = o
-			a.v.shard.come(a)
+			a.client.shard.deliverRows(a)
 			return
 		}
 		delete(st.busy, a)
-		a.p.wear.Record(a.p.e.s.now, a.rest, false)
+		a.pooler.idleTimeout.Record(a.pooler.sim.sched.now, a.idleMs, false)
 		if o.Role == decide.RoleReplica && len(st.waiting) > 0 {
-			a.p.core.ServerReportsReplica(a.id, o.Report, a.v == nil)
+			a.pooler.core.ServerReportsReplica(a.id, o.Report, a.client == nil)
 		}
-		st.free() // before the end is told: what that leads to may use it
+		st.release() // before the end is told: what that leads to may use it
 		a.end(o)
 	case atReset:
 		delete(st.busy, a)
-		if now := a.p.e.s.now; now-a.at <= brokeMs {
-			a.p.wear.Record(now, a.rest, true)
+		if now := a.pooler.sim.sched.now; now-a.sentAt <= brokeMs {
+			a.pooler.idleTimeout.Record(now, a.idleMs, true)
 		}
-		st.add(-1)
+		st.countConnections(-1)
 		a.end(backend.Outcome{Result: decide.Reset})
 		st.refill()
 	case atRows:
-		a.v.shard.come(a)
+		a.client.shard.deliverRows(a)
 	case atConnect:
-		if !a.sent && !a.held {
+		if !a.sent && !a.waitsForPage {
 			r := decide.Unreachable
 			if st.dialing == 0 {
 				r = decide.NotSent
 			}
-			a.drop(r)
+			a.abort(r)
 		}
 	case atEnd:
-		a.drop(decide.TimedOut)
+		a.abort(decide.TimedOut)
 	}
 }
 
-// house has an answer tell what one of the ClickHouse interface does: nothing of a role, and how far behind its server is
+// useClickHouseReport has an answer tell what one of the ClickHouse interface does: nothing of a role, and how far behind its server is
 // only where a probe asks for that, in whole seconds.
-func (a *attempt) house(o *backend.Outcome) {
+func (a *attempt) useClickHouseReport(o *backend.Outcome) {
 	o.Role, o.HasPos = decide.RoleUnknown, false
-	if a.v == nil {
+	if a.client == nil {
 		lag := math.Floor(max(0, a.asOf-o.Position)/1000) * 1000
-		o.Position, o.HasPos = a.at-lag-1000, true
+		o.Position, o.HasPos = a.sentAt-lag-1000, true
 	}
 }
 
-// drop ends an attempt from the pooler's side.
-func (a *attempt) drop(r decide.Result) {
+// abort ends an attempt from the pooler's side.
+func (a *attempt) abort(r decide.Result) {
 	if a.ended {
 		return
 	}
-	st := a.st
+	st := a.pool
 	if !a.sent {
-		if a.v != nil && r != decide.Unreachable && r != decide.Overloaded {
+		if a.client != nil && r != decide.Unreachable && r != decide.Overloaded {
 			r = decide.NotSent
 		}
-		if a.held {
-			a.unhold()
+		if a.waitsForPage {
+			a.releaseHeld()
 		}
-		st.unqueue(a)
+		st.dequeue(a)
 		a.end(backend.Outcome{Result: r})
 		return
 	}
 	delete(st.busy, a)
-	st.add(-1) // where the server broke it, its reset is yet to come, and finds nobody
-	if !a.p.cut(st.s) {
-		a.p.e.s.After(a.p.e.way(), a, atCancel)
+	st.countConnections(-1) // where the server broke it, its reset is yet to come, and finds nobody
+	if !a.pooler.cut(st.server) {
+		a.pooler.sim.sched.After(a.pooler.sim.linkDelay(), a, atCancel)
 	}
 	a.end(backend.Outcome{Result: r})
 	st.refill()
@@ -340,53 +340,53 @@
 		return
 	}
 	a.ended = true
-	p, e := a.p, a.p.e
-	p.tries.Remove(a.ref)
-	if e.black != nil && a.st != nil && o.Result != decide.OK && o.Result != decide.Misdirected && o.Result != decide.NotSent {
-		e.black.Unanswered(e.s.now, p.no, a.st.s.No)
-	}
-	if a.v == nil {
-		e.word(a, &o)
-		p.trust(a.id, &o)
+	p, sim := a.pooler, a.pooler.sim
+	p.attempts.Remove(a.ref)
+	if sim.blackouts != nil && a.pool != nil && o.Result != decide.OK && o.Result != decide.Misdirected && o.Result != decide.NotSent {
+		sim.blackouts.Unanswered(sim.sched.now, p.no, a.pool.server.No)
+	}
+	if a.client == nil {
+		sim.reportRole(a, &o)
+		p.applyListRole(a.id, &o)
 		p.core.HealthCheckEnded(a.id, o)
 		return
 	}
 	if a.sent {
 		never := o.Result == decide.Misdirected || o.Result == decide.Overloaded
-		e.check.AttemptEnded(e.s.now, a.v.id, a.no, resultNames[o.Result], never)
+		sim.check.AttemptEnded(sim.sched.now, a.client.id, a.number, resultNames[o.Result], never)
 	}
-	e.word(a, &o)
-	e.results[o.Result]++
-	if m := e.opt.Mutant; m != nil && m.Outcome != nil {
+	sim.reportRole(a, &o)
+	sim.results[o.Result]++
+	if m := sim.options.Mutant; m != nil && m.Outcome != nil {
 		m.Outcome(&o)
 	}
-	p.trust(a.id, &o)
-	if x := a.v.shard; x != nil {
-		x.tried(a, &o)
+	p.applyListRole(a.id, &o)
+	if x := a.client.shard; x != nil {
+		x.attemptEnded(a, &o)
 	}
 	p.core.AttemptEnded(a.tag, o)
 }
 
-// trust has a mutant take the list's word on a server's role for the server's own.
-func (p *pooler) trust(id string, o *backend.Outcome) {
-	if m := p.e.opt.Mutant; m == nil || !m.Lists || p.member == nil || o.Role == decide.RoleUnknown {
+// applyListRole has a mutant take the list's word on a server's role for the server's own.
+func (p *pooler) applyListRole(id string, o *backend.Outcome) {
+	if m := p.sim.options.Mutant; m == nil || !m.TrustsListRoles || p.member == nil || o.Role == decide.RoleUnknown {
 		return
 	}
-	if x, ok := p.member.join.Entry(id); ok {
+	if x, ok := p.member.manager.Entry(id); ok {
 		if o.Role = decide.RoleReplica; x.Primary {
 			o.Role = decide.RolePrimary
 		}
 	}
 }
 
-// word tells the checker what a server said of itself.
-func (e *Emulation) word(a *attempt, o *backend.Outcome) {
-	if a.st != nil && o.Role != decide.RoleUnknown {
-		asOf := e.s.now
-		if a.v == nil {
+// reportRole tells the checker what a server said of itself.
+func (sim *Simulation) reportRole(a *attempt, o *backend.Outcome) {
+	if a.pool != nil && o.Role != decide.RoleUnknown {
+		asOf := sim.sched.now
+		if a.client == nil {
 			asOf = o.Position
 		}
-		e.check.RoleReported(e.s.now, asOf, a.p.no, a.st.s.No, o.Role == decide.RolePrimary)
+		sim.check.RoleReported(sim.sched.now, asOf, a.pooler.no, a.pool.server.No, o.Role == decide.RolePrimary)
 	}
 }
 
--- a/internal/testkit/simulation/bench_test.go
+++ b/internal/testkit/simulation/bench_test.go
@@ -10,34 +10,34 @@
 
 // BenchmarkWorld is the world's own pace: servers that take, work and answer, without poolers.
 func BenchmarkWorld(b *testing.B) {
-	e := &Emulation{}
-	e.s.now = startMs
+	sim := &Simulation{}
+	sim.sched.now = startMs
 	groups := make([]int, 250)
 	for i := range groups {
 		groups[i] = 4
 	}
 	cfg := model.Defaults(groups...)
 	cfg.Cores = 64
-	e.world = model.New(cfg, &e.s, quiet{})
+	sim.world = model.New(cfg, &sim.sched, quiet{})
 	const open = 20000
 	asks := make([]owner, open)
 	for i := range asks {
-		asks[i] = owner{e: e, s: e.world.Servers[i%len(e.world.Servers)]}
+		asks[i] = owner{e: sim, s: sim.world.Servers[i%len(sim.world.Servers)]}
 		asks[i].Fire(0)
 	}
 	b.ResetTimer()
-	for e.s.events < uint64(b.N) {
-		x := e.s.pop()
-		e.s.now = x.at
-		e.s.events++
-		x.e.Fire(x.arg)
+	for sim.sched.events < uint64(b.N) {
+		x := sim.sched.pop()
+		sim.sched.now = x.at
+		sim.sched.events++
+		x.event.Fire(x.arg)
 	}
-	b.ReportMetric(float64(e.s.events)/b.Elapsed().Seconds(), "events/s")
+	b.ReportMetric(float64(sim.sched.events)/b.Elapsed().Seconds(), "events/s")
 }
 
 // owner asks a server again and again.
 type owner struct {
-	e   *Emulation
+	e   *Simulation
 	s   *model.Server
 	job model.Job
 }
@@ -47,7 +47,7 @@
 	o.s.Submit(&o.job)
 }
 
-func (o *owner) Answered(*model.Job, model.Reply) { o.e.s.After(1, o, 0) }
+func (o *owner) Answered(*model.Job, model.Reply) { o.e.sched.After(1, o, 0) }
 
 type quiet struct{}
 
@@ -70,7 +70,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		events, tries, module, wall, virtual = events+r.Events, tries+r.Tries, module+r.ModuleMs, wall+r.WallMs, virtual+r.VirtualMs
+		events, tries, module, wall, virtual = events+r.Events, tries+r.ClientAttempts, module+r.ModuleMs, wall+r.WallMs, virtual+r.VirtualMs
 	}
 	b.ReportMetric(float64(events)/wall*1000, "events/s")
 	b.ReportMetric(1000*module/float64(tries), "module-us/try")
--- a/internal/testkit/simulation/conns_test.go
+++ b/internal/testkit/simulation/conns_test.go
@@ -29,24 +29,24 @@
 	t.Parallel()
 	left := 0
 	join := func(h Host) []module.Module {
-		e := h.x.p.e
+		sim := h.x.p.sim
 		if h.x.p.no > 0 {
 			return nil
 		}
 		var look func()
 		look = func() {
-			for _, p := range e.poolers {
-				for _, s := range slices.Clone(e.paging.open[p]) {
+			for _, p := range sim.poolers {
+				for _, s := range slices.Clone(sim.paging.open[p]) {
 					for _, x := range s.parts {
-						if x != nil && x.out != nil && !x.out.ended && x.open && x.out.slife != x.out.st.life {
+						if x != nil && x.source != nil && !x.source.ended && x.open && x.source.poolIncarnation != x.source.pool.incarnation {
 							left++
-							s.leave()
+							s.abandon()
 							break
 						}
 					}
 				}
 			}
-			e.s.After(1, model.Func(look), 0)
+			sim.sched.After(1, model.Func(look), 0)
 		}
 		look()
 		return nil
@@ -54,7 +54,7 @@
 	for seed := uint64(1); seed < 5; seed++ { // how often it happens is chance
 		r := play(t, parse(t, `(rehearsal "left" (seconds 8) (poolers 3) (groups 3 3) (rate 60) (way 10ms 40ms) (detect 100ms 200ms) (elect 100ms 200ms) (peers)
 		(pages (class "conferir-ponto") (rows 900) (page 800) (readers 20) (think 5ms) (changes 60))
-		(at 1s (die everyone) (for 100ms) (every 400ms)))`), Options{Seed: seed, Parts: []Joined{join}})
+		(at 1s (die everyone) (for 100ms) (every 400ms)))`), Options{Seed: seed, Modules: []ModuleMaker{join}})
 		if r.Verdict.Broken[checker.Invariant] > 0 || r.Verdict.Checked[checker.Invariant] == 0 {
 			t.Errorf("seed %d: %v", seed, r.Verdict.Broken)
 		}
--- a/internal/testkit/simulation/credit_test.go
+++ b/internal/testkit/simulation/credit_test.go
@@ -24,10 +24,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &Prepaid{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: set.Credit, Marks: [2]float64{0.1, 2}}
+	x := &Prepaid{Log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Settings: set.Credit, MarkWriteMs: [2]float64{0.1, 2}}
 	c.Paid(0, "a", funds)
 	c.Paid(0, "b", 100000000)
-	r := play(t, s, Options{Seed: seed, Parts: []Joined{x.Join}, OnAttemptEnded: func(y *clients.Try) {
+	r := play(t, s, Options{Seed: seed, Modules: []ModuleMaker{x.Join}, OnAttemptEnded: func(y *clients.Try) {
 		c.AttemptEnded(y.Ended, y.Tenant, y.Class.Name, y.Kind == clients.Served, y.Kind == clients.Refused)
 	}})
 	if c.CheckFinal(); len(c.Violations) > 0 {
@@ -45,7 +45,7 @@
 		(at 24s (kill-pooler 1) (for 2s))`
 	c, x, hash := prepaid(t, 1, 30, funds, script)
 	used, _ := c.ServedCost("a", 1e15)
-	b := x.Books(2).Tenant("a")
+	b := x.Ledger(2).Tenant("a")
 	asked, turned := c.AttemptCounts("b")
 	t.Logf("a was served for %d of %d, books %+v; b asked %d times and was refused %d times", used, funds, b, asked, turned)
 	if used < funds*9/10 || b.Spent+b.Stranded+b.Lent < used || b.Paid != funds {
--- a/internal/testkit/simulation/emulate_test.go
+++ b/internal/testkit/simulation/emulate_test.go
@@ -118,9 +118,9 @@
 		t.Run(m.Name, func(t *testing.T) {
 			s := parse(t, everything)
 			switch {
-			case m.Judge != nil:
+			case m.Reconcile != nil:
 				s = parse(t, lies)
-			case m.Keyed:
+			case m.NeedsKeys:
 				s = load(t, "keyed-window")
 			}
 			r := play(t, s, Options{Seed: 1, Mutant: &m})
--- a/internal/testkit/simulation/funds.go
+++ b/internal/testkit/simulation/funds.go
@@ -9,14 +9,14 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// funds are what tenants of a scenario pay ahead, and what they are served for it.
-type funds struct {
+// prepaidFunds are what tenants of a scenario pay ahead, and what they are served for it.
+type prepaidFunds struct {
 	*Prepaid
-	e     *Emulation
-	check *checker.CreditChecker
-	paid  map[string]int64
-	pays  map[int][]lessor.Payment // by pooler: the payments that it has read of since the start
-	once  map[lessor.Payment]bool
+	sim          *Simulation
+	check        *checker.CreditChecker
+	paid         map[string]int64
+	paymentsRead map[int][]lessor.Payment // by pooler: the payments that it has read of since the start
+	seen         map[lessor.Payment]bool
 }
 
 // Funds is what became of a tenant's: as clients saw it, and as the books of the log have it in the end.
@@ -32,14 +32,14 @@
 	Stranded int64  `json:"stranded"`
 }
 
-const marksMost = 2 // ms that a durable write of marks takes
+const maxMarkWriteMs = 2 // ms that a durable write of marks takes
 
-func (e *Emulation) newFunds() *funds {
-	s := e.script
-	log := &CommonLog{Settings: s.Agreed.Settings, Voters: s.Agreed.Voters, Seed: e.opt.Seed, DiskMs: s.Agreed.Disk}
-	f := &funds{e: e, Prepaid: &Prepaid{Log: log, Set: s.Credit.Credit, Marks: [2]float64{0.1, marksMost}}, check: &checker.CreditChecker{Prices: map[string]int64{}}, paid: map[string]int64{},
-		pays: map[int][]lessor.Payment{}, once: map[lessor.Payment]bool{}}
-	f.Set.Dir = "marks" // they are kept
+func (sim *Simulation) newFunds() *prepaidFunds {
+	s := sim.script
+	log := &SharedLog{Settings: s.Agreed.Settings, Voters: s.Agreed.Voters, Seed: sim.options.Seed, DiskMs: s.Agreed.Disk}
+	f := &prepaidFunds{sim: sim, Prepaid: &Prepaid{Log: log, Settings: s.Credit.Credit, MarkWriteMs: [2]float64{0.1, maxMarkWriteMs}}, check: &checker.CreditChecker{Prices: map[string]int64{}}, paid: map[string]int64{},
+		paymentsRead: map[int][]lessor.Payment{}, seen: map[lessor.Payment]bool{}}
+	f.Settings.Dir = "marks" // they are kept
 	for _, p := range s.Credit.Prices {
 		f.check.Prices[p.Class] = p.PerRequest
 	}
@@ -47,73 +47,73 @@
 		f.check.Overdraft += d.Amount
 	}
 	for _, p := range s.Credit.Payments {
-		f.took(startMs, p)
+		f.paymentRead(startMs, p)
 	}
-	f.Later = func(no int) []lessor.Payment { return f.pays[no] }
+	f.LaterPayments = func(no int) []lessor.Payment { return f.paymentsRead[no] }
 	return f
 }
 
-// took tells the checker of a payment, as of when the first pooler reads of it.
-func (f *funds) took(at float64, p lessor.Payment) {
-	if !f.once[p] {
-		f.once[p] = true
+// paymentRead tells the checker of a payment, as of when the first pooler reads of it.
+func (f *prepaidFunds) paymentRead(at float64, p lessor.Payment) {
+	if !f.seen[p] {
+		f.seen[p] = true
 		f.paid[p.Tenant] += p.Amount
 		f.check.Paid(at, p.Tenant, p.Amount)
 	}
 }
 
 // pay has poolers read of a payment.
-func (f *funds) pay(x *scenario.Fault) {
+func (f *prepaidFunds) pay(x *scenario.Fault) {
 	p := lessor.Payment{Tenant: x.Target.Word, Number: uint64(x.Number), Amount: int64(x.Value)}
-	f.took(f.e.s.now, p)
-	for _, no := range x.Struck(f.e.script) {
-		if slices.Contains(f.pays[no], p) {
+	f.paymentRead(f.sim.sched.now, p)
+	for _, no := range x.Struck(f.sim.script) {
+		if slices.Contains(f.paymentsRead[no], p) {
 			continue
 		}
-		f.pays[no] = append(f.pays[no], p)
-		if y := f.now[no]; y != nil && f.e.poolers[no].up {
-			f.e.poolers[no].whenRunning(f.e.poolers[no].life, y.reread)
+		f.paymentsRead[no] = append(f.paymentsRead[no], p)
+		if y := f.now[no]; y != nil && f.sim.poolers[no].up {
+			f.sim.poolers[no].whenRunning(f.sim.poolers[no].incarnation, y.reload)
 		}
 	}
 }
 
-// tried tells how a client's try ended.
-func (f *funds) tried(t *clients.Try) {
-	f.check.AttemptEnded(t.Ended, f.e.script.Clients.TenantOf(t.Ask), t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
+// attemptEnded tells how a client's try ended.
+func (f *prepaidFunds) attemptEnded(t *clients.Try) {
+	f.check.AttemptEnded(t.Ended, f.sim.script.Clients.TenantOf(t.Ask), t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
-// paged tells of a page that was served: each shard's read costs what one of its class does.
-func (f *funds) paged(at float64, shards int) {
+// pageServed tells of a page that was served: each shard's read costs what one of its class does.
+func (f *prepaidFunds) pageServed(at float64, shards int) {
 	for range shards {
-		f.check.AttemptEnded(at, f.e.script.Pages.Tenant, f.e.script.Pages.Class, true, false)
+		f.check.AttemptEnded(at, f.sim.script.Pages.Tenant, f.sim.script.Pages.Class, true, false)
 	}
 }
 
 // result is what became of each tenant's funds, and what was found.
-func (f *funds) result(v *checker.Verdict) (out []Funds) {
+func (f *prepaidFunds) result(v *checker.Verdict) (out []Funds) {
 	f.check.CheckFinal()
-	f.check.Verdict(f.e.s.now, v)
-	var books *payer // of the voter that knows most
+	f.check.Verdict(f.sim.sched.now, v)
+	var best *creditClient // of the voter that knows most
 	most := int64(-1)
 	for no := range f.Log.Voters {
-		y, spent := f.now[no], int64(0)
-		if y == nil || !f.e.poolers[no].up {
+		y, consumed := f.now[no], int64(0)
+		if y == nil || !f.sim.poolers[no].up {
 			continue
 		}
-		for _, name := range y.c.Ledger().Tenants() {
-			spent += y.c.Ledger().Tenant(name).Spent
+		for _, name := range y.credit.Ledger().Tenants() {
+			consumed += y.credit.Ledger().Tenant(name).Spent
 		}
-		if spent > most {
-			books, most = y, spent
+		if consumed > most {
+			best, most = y, consumed
 		}
 	}
-	for i := range f.e.script.Clients.Tenants {
-		name := f.e.script.Clients.Tenants[i].Name
+	for i := range f.sim.script.Clients.Tenants {
+		name := f.sim.script.Clients.Tenants[i].Name
 		x := Funds{Tenant: name, Paid: f.paid[name]}
-		x.Served, _ = f.check.ServedCost(name, f.e.s.now)
+		x.Served, _ = f.check.ServedCost(name, f.sim.sched.now)
 		x.Attempts, x.Turned = f.check.AttemptCounts(name)
-		if books != nil {
-			b := books.c.Ledger().Tenant(name)
+		if best != nil {
+			b := best.credit.Ledger().Tenant(name)
 			x.Balance, x.Lent, x.Spent, x.Stranded = b.Balance, b.Lent, b.Spent, b.Stranded
 		}
 		out = append(out, x)
--- a/internal/testkit/simulation/journal_test.go
+++ b/internal/testkit/simulation/journal_test.go
@@ -34,7 +34,7 @@
 	}
 	x := &journalPlay{times: hdrhistogram.New(1, 60_000_000, 3)}
 	ran, heard := map[string]int{}, map[string]bool{}
-	x.Result, err = Run(context.Background(), s, Options{Seed: seed, ran: func(id string) { ran[id]++ }, OnAttemptEnded: func(y *clients.Try) {
+	x.Result, err = Run(context.Background(), s, Options{Seed: seed, onWrite: func(id string) { ran[id]++ }, OnAttemptEnded: func(y *clients.Try) {
 		heard[y.ID] = y.Kind == clients.Served
 		if y.Class.Name != "registrar-ponto" {
 			return
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -23,134 +23,134 @@
 	itemBytes = 70  // of a message's part about one limit
 )
 
-// lender is a pooler's side of the fleet's limits.
-type lender struct {
-	x    *peer
-	q    *quota.Quota
-	id   view.ID
-	set  settings.FleetLimits
-	due  float64
-	acts []quota.Action
+// limitsClient is a pooler's side of the fleet's limits.
+type limitsClient struct {
+	peer    *peer
+	quota   *quota.Quota
+	id      view.ID
+	set     settings.FleetLimits
+	due     float64
+	actions []quota.Action
 }
 
-// lend begins a process's limits.
-func (x *peer) lend() {
-	e := x.p.e
-	if e.script.Limits == nil {
+// startLimits begins a process's limits.
+func (x *peer) startLimits() {
+	sim := x.p.sim
+	if sim.script.Limits == nil {
 		return
 	}
-	x.limits = &lender{x: x, set: *x.p.limits, due: math.Inf(1)}
-	x.limits.bind()
-	x.limits.members()
-	x.limits.beat()
+	x.limits = &limitsClient{peer: x, set: *x.p.limits, due: math.Inf(1)}
+	x.limits.setLimits()
+	x.limits.updateMembers()
+	x.limits.reportDemand()
 }
 
-// bind tells the core which limits are its own.
-func (l *lender) bind() {
-	l.x.p.core.SetLimits(l.set.CoreLimits(), l)
+// setLimits tells the core which limits are its own.
+func (l *limitsClient) setLimits() {
+	l.peer.p.core.SetLimits(l.set.CoreLimits(), l)
 }
 
-func (l *lender) members() {
-	self, e := l.x.view.Self().ID, l.x.p.e
-	if l.q == nil || self != l.id {
-		set := e.script.Quotas()
+func (l *limitsClient) updateMembers() {
+	self, sim := l.peer.view.Self().ID, l.peer.p.sim
+	if l.quota == nil || self != l.id {
+		set := sim.script.Quotas()
 		set.Limits = l.set.Quotas()
-		from := e.s.now
-		if m := e.opt.Mutant; m != nil {
+		from := sim.sched.now
+		if m := sim.options.Mutant; m != nil {
 			if m.Quota != nil {
-				m.Quota(l.x.p.no, &set)
+				m.Quota(l.peer.p.no, &set)
 			}
-			if m.Rash && l.x.life > 0 {
+			if m.ForgetsEpoch && l.peer.incarnation > 0 {
 				from -= 1e9
 			}
 		}
-		l.id, l.q = self, quota.New(set, self, from)
-		l.q.CheckInvariants(e.checks, 8)
+		l.id, l.quota = self, quota.New(set, self, from)
+		l.quota.CheckInvariants(sim.checks, 8)
 	}
-	m := quota.MembersChanged{SendingPoolers: l.x.view.Counts().Sending}
-	for _, r := range l.x.view.Members() {
+	m := quota.MembersChanged{SendingPoolers: l.peer.view.Counts().Sending}
+	for _, r := range l.peer.view.Members() {
 		if r.State <= view.Suspect {
 			m.Peers = append(m.Peers, quota.Peer{ID: r.ID, Addr: r.Addr, Draining: r.Draining})
 		}
 	}
-	l.share(m)
+	l.handle(m)
 }
 
-func (l *lender) share(ev quota.Event) {
-	e := l.x.p.e
-	acts := l.q.Handle(e.s.now, ev, l.acts[:0])
-	l.acts, l.due = nil, l.q.Due()
+func (l *limitsClient) handle(ev quota.Event) {
+	sim := l.peer.p.sim
+	acts := l.quota.Handle(sim.sched.now, ev, l.actions[:0])
+	l.actions, l.due = nil, l.quota.Due()
 	for i := range acts {
 		switch a := &acts[i]; a.Kind {
 		case quota.Send:
 			l.send(a.Addr, a.Message)
 		case quota.SetAllowance:
-			l.x.p.core.Allow(a.Limit, a.Amount, a.Burst)
-			e.s.mix(uint64(l.x.p.no)<<32|uint64(a.Amount*1000), uint64(e.s.now))
+			l.peer.p.core.Allow(a.Limit, a.Amount, a.Burst)
+			sim.sched.mix(uint64(l.peer.p.no)<<32|uint64(a.Amount*1000), uint64(sim.sched.now))
 		}
 	}
 	clear(acts)
-	l.acts = acts
+	l.actions = acts
 }
 
 // send has a message about limits arrive, as often and as late as the way has it.
-func (l *lender) send(addr string, m *quota.Message) {
-	x := l.x
-	f, e := x.f, x.p.e
-	to := f.at(addr)
+func (l *limitsClient) send(addr string, m *quota.Message) {
+	x := l.peer
+	f, sim := x.fleet, x.p.sim
+	to := f.poolerAt(addr)
 	if to == nil || to == x.p {
 		return
 	}
-	f.lent++
-	f.lentBytes += headBytes + itemBytes*uint64(len(m.Items))
+	f.limitMessages++
+	f.limitBytes += headBytes + itemBytes*uint64(len(m.Items))
 	for _, late := range f.net.Fate(x.p.no, to.no, f.rng) {
-		e.s.After(e.wayBetween(x.p, to)+late, model.Func(func() {
+		sim.sched.After(sim.poolerLinkDelay(x.p, to)+late, model.Func(func() {
 			if y := to.peer; y != nil && to.up && y.limits != nil {
-				to.whenRunning(y.life, func() { y.limits.hear(m) })
+				to.whenRunning(y.incarnation, func() { y.limits.receive(m) })
 			}
 		}), 0)
 	}
 }
 
-func (l *lender) hear(m *quota.Message) {
-	if k := l.x.p.e.opt.Mutant; k != nil && k.Limits != nil {
+func (l *limitsClient) receive(m *quota.Message) {
+	if k := l.peer.p.sim.options.Mutant; k != nil && k.Limits != nil {
 		c := *m
 		c.Items = append([]quota.Item(nil), m.Items...)
-		k.Limits(l.x.p.no, l.q, &c)
+		k.Limits(l.peer.p.no, l.quota, &c)
 		m = &c
 	}
-	l.share(quota.Received{Message: m})
+	l.handle(quota.Received{Message: m})
 }
 
 // Due is core.Leases'.
-func (l *lender) Due() float64 { return l.due }
+func (l *limitsClient) Due() float64 { return l.due }
 
 // Expire is core.Leases'.
-func (l *lender) Expire() { l.share(quota.Tick{}) }
+func (l *limitsClient) Expire() { l.handle(quota.Tick{}) }
 
 const coldFlow = 1e5 // as the daemon has it
 
-func (l *lender) beat() {
+func (l *limitsClient) reportDemand() {
 	for i := range l.set.Limits {
 		x := &l.set.Limits[i]
-		if want, ok := l.x.p.core.Demand(x.Name); ok {
+		if want, ok := l.peer.p.core.Demand(x.Name); ok {
 			if x.Resource == settings.ResourceColdServers {
 				want /= coldFlow
 			}
-			if m := l.x.p.e.opt.Mutant; m != nil && m.Demand != nil {
-				want = m.Demand(l.x.p.no, want)
+			if m := l.peer.p.sim.options.Mutant; m != nil && m.Demand != nil {
+				want = m.Demand(l.peer.p.no, want)
 			}
-			l.share(quota.Demand{Limit: x.Name, Wanted: want})
+			l.handle(quota.Demand{Limit: x.Name, Wanted: want})
 		}
 	}
-	lifeLoop{l.x.p, l.x.life}.At(l.x.p.e.s.now+demandMs, l.beat)
+	processLoop{l.peer.p, l.peer.incarnation}.At(l.peer.p.sim.sched.now+demandMs, l.reportDemand)
 }
 
-// lender is the pooler that lends a limit, where all that run can reach one another.
-func (e *Emulation) lender(limit string) int {
+// limitOwner is the pooler that lends a limit, where all that run can reach one another.
+func (sim *Simulation) limitOwner(limit string) int {
 	var all []quota.Peer
 	by := map[view.ID]int{}
-	for _, p := range e.poolers {
+	for _, p := range sim.poolers {
 		if p.up && p.peer != nil {
 			id := p.peer.view.Self().ID
 			all, by[id] = append(all, quota.Peer{ID: id}), p.no
@@ -163,24 +163,24 @@
 func (p *pooler) reload(set settings.FleetLimits) {
 	p.limits = &set
 	if x := p.peer; x != nil && x.limits != nil {
-		p.whenRunning(x.life, func() {
+		p.whenRunning(x.incarnation, func() {
 			x.limits.set = set
-			x.limits.bind()
-			x.limits.share(quota.LimitsChanged{Limits: set.Quotas()})
+			x.limits.setLimits()
+			x.limits.handle(quota.LimitsChanged{Limits: set.Quotas()})
 		})
 	}
 }
 
-// change has a limit be another at some poolers.
-func (e *Emulation) change(f *scenario.Fault) {
-	for _, no := range f.Struck(e.script) {
-		p := e.poolers[no]
+// changeLimit has a limit be another at some poolers.
+func (sim *Simulation) changeLimit(f *scenario.Fault) {
+	for _, no := range f.Struck(sim.script) {
+		p := sim.poolers[no]
 		p.reload(scenario.Changed(*p.limits, f.Target.Word, f.Value))
 	}
-	e.check.LimitChanged(e.s.now, f.Target.Word, f.Struck(e.script), len(e.poolers), f.Value, e.script.Lowered(f))
+	sim.check.LimitChanged(sim.sched.now, f.Target.Word, f.Struck(sim.script), len(sim.poolers), f.Value, sim.script.Lowered(f))
 }
 
-func (f *fleetOf) lentResult() *Limits {
-	seconds := (f.e.s.now - f.from) / 1000 * float64(len(f.e.poolers))
-	return &Limits{Messages: float64(f.lent) / seconds, Bytes: float64(f.lentBytes) / seconds, Uses: f.e.check.LimitUsages(f.e.script.WarmMs())}
+func (f *peerFleet) limitsResult() *Limits {
+	seconds := (f.sim.sched.now - f.ratesFrom) / 1000 * float64(len(f.sim.poolers))
+	return &Limits{Messages: float64(f.limitMessages) / seconds, Bytes: float64(f.limitBytes) / seconds, Uses: f.sim.check.LimitUsages(f.sim.script.WarmMs())}
 }
--- a/internal/testkit/simulation/month_test.go
+++ b/internal/testkit/simulation/month_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	r := play(t, s, opt)
 	norte := r.Funds[0]
-	t.Logf("seed %d: service %.3f, %.2f probes a try; %s paid %d, served for %d, stranded %d; %+v", opt.Seed, r.Score.Ratio, float64(r.Probes)/float64(r.Tries), norte.Tenant, norte.Paid, norte.Served,
+	t.Logf("seed %d: service %.3f, %.2f probes a try; %s paid %d, served for %d, stranded %d; %+v", opt.Seed, r.Score.Ratio, float64(r.HealthChecks)/float64(r.ClientAttempts), norte.Tenant, norte.Paid, norte.Served,
 		norte.Stranded, *r.Pages)
 	return r
 }
@@ -36,8 +36,8 @@
 // TestMonthEndUnshared: without shared probes the short month-end is beyond their bound.
 func TestMonthEndUnshared(t *testing.T) {
 	t.Parallel()
-	if r := monthEnd(t, short(t, "(probes (share no))"), Options{Seed: 1}); float64(r.Probes) < mostProbes*float64(r.Tries) {
-		t.Errorf("%d probes for %d tries", r.Probes, r.Tries)
+	if r := monthEnd(t, short(t, "(probes (share no))"), Options{Seed: 1}); float64(r.HealthChecks) < mostProbes*float64(r.ClientAttempts) {
+		t.Errorf("%d probes for %d tries", r.HealthChecks, r.ClientAttempts)
 	}
 }
 
@@ -55,8 +55,8 @@
 		if p := r.Pages; p.Pages < 40 || p.Reports < 3 || p.ByPoolers < 20 {
 			t.Errorf("seed %d: %+v", seed, *p)
 		}
-		if r.Score.Ratio < 0.55 || float64(r.Probes) > mostProbes*float64(r.Tries) {
-			t.Errorf("seed %d: service %.3f, %d probes for %d tries", seed, r.Score.Ratio, r.Probes, r.Tries)
+		if r.Score.Ratio < 0.55 || float64(r.HealthChecks) > mostProbes*float64(r.ClientAttempts) {
+			t.Errorf("seed %d: service %.3f, %d probes for %d tries", seed, r.Score.Ratio, r.HealthChecks, r.ClientAttempts)
 		}
 	}
 	more, _ := strconv.ParseUint(os.Getenv("BEECHGRADE_MONTH_END"), 10, 64)
@@ -118,8 +118,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a, b := play(t, s, Options{Seed: seed}), play(t, parse(t, s.Text()), Options{Seed: seed}); a.Hash != b.Hash || a.Tries == 0 {
-			t.Errorf("seed %d: %d and %d tries, another play of\n%s", seed, a.Tries, b.Tries, s.Text())
+		if a, b := play(t, s, Options{Seed: seed}), play(t, parse(t, s.Text()), Options{Seed: seed}); a.Hash != b.Hash || a.ClientAttempts == 0 {
+			t.Errorf("seed %d: %d and %d tries, another play of\n%s", seed, a.ClientAttempts, b.ClientAttempts, s.Text())
 		}
 	}
 }
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -20,46 +20,46 @@
 
 // Mutant is a pooler, or a server, that is broken on purpose: what the checker must catch.
 type Mutant struct {
-	Name     string
-	Breaks   checker.Rule
-	Module   func(c *config.Config)                               // what its module is told at its start
-	Outcome  func(o *backend.Outcome)                             // what it is told of an attempt's end
-	List     func(l *discovery.List)                              // what it is told of the list
-	Answer   func(e *Emulation, v *visit, kind clients.Kind) bool // in place of an answer, where it returns false
-	World    func(w *model.World)
-	Judge    func(s *reconcile.Settings)                    // what its judge of the server list goes by
-	View     func(s *view.Settings)                         // how its view of the fleet is kept
-	Peer     func(x *peer, ev view.Event) bool              // what its view is told; nothing where it returns false
-	Quota    func(no int, s *quota.Settings)                // how it shares limits of the whole fleet
-	Limits   func(no int, q *quota.Quota, m *quota.Message) // before a message about them is told
-	Demand   func(no int, want float64) float64             // what it says that it would use
-	Pages    PageMutant                                     // what becomes of a page
-	Verdicts func(no int, s *outlier.Settings)              // how it shares what it knows of servers
-	Rash     bool                                           // a process that begins again votes at once
-	SameID   bool                                           // its processes all have one ID
-	Keyed    bool                                           // it shows where writes have keys
-	Lists    bool                                           // it goes by its list's role in place of what servers say
-	Over     func(no int, o *adapter.Options)               // how it handles overload with others
-	Core     func(no int, c adapter.Core) adapter.Core      // whom that tells
-	Says     func(no int, w module.Message) module.Message  // what a part of it says in place of its words
+	Name            string
+	Breaks          checker.Rule
+	Module          func(c *config.Config)                                        // what its module is told at its start
+	Outcome         func(o *backend.Outcome)                                      // what it is told of an attempt's end
+	List            func(l *discovery.List)                                       // what it is told of the list
+	Answer          func(e *Simulation, v *clientAttempt, kind clients.Kind) bool // in place of an answer, where it returns false
+	World           func(w *model.World)
+	Reconcile       func(s *reconcile.Settings)                    // what its judge of the server list goes by
+	View            func(s *view.Settings)                         // how its view of the fleet is kept
+	Peer            func(x *peer, ev view.Event) bool              // what its view is told; nothing where it returns false
+	Quota           func(no int, s *quota.Settings)                // how it shares limits of the whole fleet
+	Limits          func(no int, q *quota.Quota, m *quota.Message) // before a message about them is told
+	Demand          func(no int, want float64) float64             // what it says that it would use
+	Pages           PageMutant                                     // what becomes of a page
+	Outlier         func(no int, s *outlier.Settings)              // how it shares what it knows of servers
+	ForgetsEpoch    bool                                           // a process that begins again votes at once
+	SameID          bool                                           // its processes all have one ID
+	NeedsKeys       bool                                           // it shows where writes have keys
+	TrustsListRoles bool                                           // it goes by its list's role in place of what servers say
+	Overload        func(no int, o *adapter.Options)               // how it handles overload with others
+	Core            func(no int, c adapter.Core) adapter.Core      // whom that tells
+	Send            func(no int, w module.Message) module.Message  // what a part of it says in place of its words
 }
 
 // Mutants are all of them.
 func Mutants() []Mutant {
 	return []Mutant{
-		{Name: "forgets answers", Breaks: checker.OneAnswer, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
+		{Name: "forgets answers", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
 			return kind != clients.Refused
 		}},
-		{Name: "answers twice", Breaks: checker.OneAnswer, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
+		{Name: "answers twice", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
 			if kind == clients.Served && v.id%64 == 0 {
-				e.s.After(0.01, again{v}, 0)
+				sim.sched.After(0.01, answerTwice{v}, 0)
 			}
 			return true
 		}},
-		{Name: "answers late", Breaks: checker.OneAnswer, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
+		{Name: "answers late", Breaks: checker.OneAnswer, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
 			if kind == clients.Failed && !v.late {
 				v.extra = false
-				e.s.at(v.sent+v.ask.Patience+500, late{v}, 0)
+				sim.sched.at(v.sentAt+v.request.Patience+500, answerLate{v}, 0)
 				return false
 			}
 			return true
@@ -78,7 +78,7 @@
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].KeyWindow = time.Hour
 			}
-		}, Keyed: true},
+		}, NeedsKeys: true},
 		{Name: "hears of no drains", Breaks: checker.DrainsKept, List: func(l *discovery.List) {
 			for i := range l.Instances {
 				if l.Instances[i].Lifecycle == "draining" {
@@ -105,8 +105,8 @@
 			}
 		}},
 		{Name: "a server that takes writes after it was replaced", Breaks: checker.PrimaryRan, World: func(w *model.World) { w.SplitBrain = true }},
-		{Name: "trusts the catalogue's word on roles", Breaks: checker.NotDenied, Judge: func(s *reconcile.Settings) { s.TrustSourceRoles = true }, Lists: true},
-		{Name: "serves what no server made", Breaks: checker.NoInvented, Answer: func(e *Emulation, v *visit, kind clients.Kind) bool {
+		{Name: "trusts the catalogue's word on roles", Breaks: checker.NotDenied, Reconcile: func(s *reconcile.Settings) { s.TrustSourceRoles = true }, TrustsListRoles: true},
+		{Name: "serves what no server made", Breaks: checker.NoInvented, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
 			if kind == clients.Served && v.id%64 == 0 {
 				v.answer = []byte("cached")
 			}
@@ -131,12 +131,12 @@
 			case view.Received:
 				m := *ev.Message
 				m.Records = drop(m.Records)
-				x.out = x.view.Handle(x.p.e.s.now, view.Received{Message: &m}, x.out[:0])
-				x.carry()
+				x.out = x.view.Handle(x.p.sim.sched.now, view.Received{Message: &m}, x.out[:0])
+				x.perform()
 				return false
 			case view.ExchangeCompleted:
-				x.out = x.view.Handle(x.p.e.s.now, view.ExchangeCompleted{Records: drop(ev.Records)}, x.out[:0])
-				x.carry()
+				x.out = x.view.Handle(x.p.sim.sched.now, view.ExchangeCompleted{Records: drop(ev.Records)}, x.out[:0])
+				x.perform()
 				return false
 			}
 			return true
@@ -144,9 +144,9 @@
 		{Name: "forgets its incarnation on a restart", Breaks: checker.ViewAccurate, SameID: true},
 		{Name: "does not look for those it lost", Breaks: checker.ViewSettled, View: func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] }},
 		{Name: "accuses while it stands still", Breaks: checker.ViewRash, View: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, Peer: func(x *peer, ev view.Event) bool {
-			for now := x.p.e.s.now; x.view.NextTick() < now; { // it makes up for the time as if it had run
+			for now := x.p.sim.sched.now; x.view.NextTick() < now; { // it makes up for the time as if it had run
 				x.out = x.view.Handle(x.view.NextTick(), view.Tick{}, x.out[:0])
-				x.carry()
+				x.perform()
 			}
 			return true
 		}},
@@ -175,7 +175,7 @@
 				}
 			}
 		}},
-		{Name: "forgets its promises and its epoch on a restart", Breaks: checker.FleetLimit, Rash: true},
+		{Name: "forgets its promises and its epoch on a restart", Breaks: checker.FleetLimit, ForgetsEpoch: true},
 		{Name: "counts demand twice", Breaks: checker.FleetShare, Demand: func(no int, want float64) float64 {
 			if no == 0 {
 				return 2 * want
@@ -188,50 +188,50 @@
 // OverloadMutants are poolers that handle overload together in a way that is broken on purpose.
 func OverloadMutants() []Mutant {
 	return []Mutant{
-		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, Over: func(no int, o *adapter.Options) { o.Share = false }},
-		{Name: "probes once for each who asks", Breaks: checker.HealthChecksShared, Over: func(no int, o *adapter.Options) { o.Probes.MinInterval, o.Probes.MaxResultAge = 0, -1 }},
-		{Name: "tells at every turn", Breaks: checker.DatagramsBounded, Over: func(no int, o *adapter.Options) { o.Set.ReportInterval = o.Set.TickInterval }},
-		{Name: "sheds in all groups what one cannot do", Breaks: checker.IdleGroupServed, Core: func(no int, c adapter.Core) adapter.Core { return everywhere{c} }},
+		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, Overload: func(no int, o *adapter.Options) { o.Share = false }},
+		{Name: "probes once for each who asks", Breaks: checker.HealthChecksShared, Overload: func(no int, o *adapter.Options) { o.Probes.MinInterval, o.Probes.MaxResultAge = 0, -1 }},
+		{Name: "tells at every turn", Breaks: checker.DatagramsBounded, Overload: func(no int, o *adapter.Options) { o.Set.ReportInterval = o.Set.TickInterval }},
+		{Name: "sheds in all groups what one cannot do", Breaks: checker.IdleGroupServed, Core: func(no int, c adapter.Core) adapter.Core { return shedsAllGroups{c} }},
 		{Name: "knows of no tenants", Breaks: checker.TenantServed, Module: func(c *config.Config) { c.Settings.Tenants = nil }},
-		{Name: "does not let in again", Breaks: checker.ServiceRecovered, Over: func(no int, o *adapter.Options) { o.Set.GrowthRate, o.Set.HoldTime = 1e-4, 1e6 }},
-		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Repeats = false }},
-		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, Over: func(no int, o *adapter.Options) { o.Part = 1 }},
+		{Name: "does not let in again", Breaks: checker.ServiceRecovered, Overload: func(no int, o *adapter.Options) { o.Set.GrowthRate, o.Set.HoldTime = 1e-4, 1e6 }},
+		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.Repeats = false }},
+		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.Part = 1 }},
 	}
 }
 
-// everywhere tells the module of each group what is for one.
-type everywhere struct{ adapter.Core }
+// shedsAllGroups tells the module of each group what is for one.
+type shedsAllGroups struct{ adapter.Core }
 
 // SetShedding implements adapter.Core.
-func (e everywhere) SetShedding(group int, s *decide.SheddingPolicy) {
-	for g := range mostSpoilt {
+func (e shedsAllGroups) SetShedding(group int, s *decide.SheddingPolicy) {
+	for g := range maxSpoiltGroups {
 		if g == group || s != nil {
 			e.Core.SetShedding(g, s)
 		}
 	}
 }
 
-const mostSpoilt = 16 // groups
+const maxSpoiltGroups = 16 // groups
 
-// again answers a second time.
-type again struct{ v *visit }
+// answerTwice answers a second time.
+type answerTwice struct{ v *clientAttempt }
 
 // Fire is world.Event's.
-func (a again) Fire(uint64) {
-	a.v.e.check.Answered(a.v.e.s.now, a.v.id, string(a.v.kind), false, 0)
+func (a answerTwice) Fire(uint64) {
+	a.v.sim.check.Answered(a.v.sim.sched.now, a.v.id, string(a.v.kind), false, 0)
 }
 
-// late answers what was held back.
-type late struct{ v *visit }
+// answerLate answers what was held back.
+type answerLate struct{ v *clientAttempt }
 
 // Fire is world.Event's.
-func (l late) Fire(uint64) {
+func (l answerLate) Fire(uint64) {
 	v := l.v
-	if v.over || v.p.life != v.life {
+	if v.ended || v.pooler.incarnation != v.incarnation {
 		return
 	}
-	v.done = true
-	delete(v.p.visits, v)
+	v.answered = true
+	delete(v.pooler.clientAttempts, v)
 	v.kind = clients.Failed
-	v.e.s.After(v.e.way(), v, visitAnswered)
+	v.sim.sched.After(v.sim.linkDelay(), v, answerArrives)
 }
--- a/internal/testkit/simulation/mutants_verdicts.go
+++ b/internal/testkit/simulation/mutants_verdicts.go
@@ -5,13 +5,13 @@
 	"beechgrade/internal/testkit/checker"
 )
 
-// VerdictMutants are poolers that share what they know of servers in a way that is broken on purpose.
-func VerdictMutants() []Mutant {
+// OutlierMutants are poolers that share what they know of servers in a way that is broken on purpose.
+func OutlierMutants() []Mutant {
 	return []Mutant{
-		{Name: "positions are not aged", Breaks: checker.NotStale, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.PositionsNotAged }},
-		{Name: "one word is enough", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver }},
-		{Name: "age is taken from when it was heard", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.AgeFromReceipt }},
-		{Name: "own evidence is overruled by others' older", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.IgnoresOwnEvidence }},
-		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, Verdicts: func(_ int, s *outlier.Settings) { s.Fault = outlier.KeepsOldEvidence }},
+		{Name: "positions are not aged", Breaks: checker.NotStale, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.PositionsNotAged }},
+		{Name: "one word is enough", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver }},
+		{Name: "age is taken from when it was heard", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.AgeFromReceipt }},
+		{Name: "own evidence is overruled by others' older", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.IgnoresOwnEvidence }},
+		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.KeepsOldEvidence }},
 	}
 }
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -14,9 +14,9 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// paging is reports over all groups that are read in pages throughout, and the table that they are of.
-type paging struct {
-	e     *Emulation
+// pagedReports is reports over all groups that are read in pages throughout, and the table that they are of.
+type pagedReports struct {
+	sim   *Simulation
 	set   *scenario.Pages
 	class *clients.Class
 	no    int // the class's
@@ -25,10 +25,10 @@
 	order merge.Order
 	word  plan.Query
 	ring  *cursor.Ring
-	rows  [][]*kept // by group
+	rows  [][]*tableRow // by group
 	last  int64
 	seq   uint64
-	open  map[*pooler][]*paged // pages that are made
+	open  map[*pooler][]*pageRequest // pages that are made
 
 	Counts PageCounts
 }
@@ -39,8 +39,8 @@
 	ByPoolers                                            int // poolers that gave one at least
 }
 
-// kept is a row, there from one position of its group's log to another, 0 for ever.
-type kept struct {
+// tableRow is a row, there from one position of its group's log to another, 0 for ever.
+type tableRow struct {
 	vals      sortedtable.Row
 	from, end float64
 }
@@ -49,12 +49,12 @@
 
 const pageSQL = "SELECT id, place FROM visits WHERE true /*after*/ /*order*/ /* scatter=visits */"
 
-func (e *Emulation) newPaging() *paging {
-	s := e.script.Pages
-	g := &paging{e: e, set: s, rng: rand.New(rand.NewPCG(e.opt.Seed, 41)), check: checker.NewPageChecker(s.Desc), ring: cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
-		rows: make([][]*kept, len(e.world.Groups)), open: map[*pooler][]*paged{}}
-	g.no = slices.IndexFunc(e.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
-	g.class = &e.script.Clients.Classes[g.no]
+func (sim *Simulation) newPaging() *pagedReports {
+	s := sim.script.Pages
+	g := &pagedReports{sim: sim, set: s, rng: rand.New(rand.NewPCG(sim.options.Seed, 41)), check: checker.NewPageChecker(s.Desc), ring: cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
+		rows: make([][]*tableRow, len(sim.world.Groups)), open: map[*pooler][]*pageRequest{}}
+	g.no = slices.IndexFunc(sim.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
+	g.class = &sim.script.Clients.Classes[g.no]
 	g.order = merge.Order{Columns: []merge.Column{{Name: "place", Type: merge.Int, Desc: s.Desc, NullsFirst: s.Desc}, {Name: "id", Type: merge.Int}}, Own: 1}
 	g.word, _, _ = plan.Parse(pageSQL) // it is whole
 	for i := range g.rows {
@@ -63,12 +63,12 @@
 		}
 	}
 	if s.Changes > 0 {
-		e.s.after(g.rng.ExpFloat64()*1000/s.Changes, g.change)
+		sim.sched.after(g.rng.ExpFloat64()*1000/s.Changes, g.change)
 	}
 	given := map[int]bool{}
 	for i := range s.Readers {
-		r := &reader{g: g, no: i, given: given}
-		e.s.after(g.rng.Float64()*s.Think, r.ask)
+		r := &reader{reports: g, no: i, given: given}
+		sim.sched.after(g.rng.Float64()*s.Think, r.requestPage)
 	}
 	return g
 }
@@ -77,18 +77,18 @@
 func (s *sched) after(ms float64, do func()) { s.After(ms, model.Func(do), 0) }
 
 // write puts a row into a group, as of a position of its log.
-func (g *paging) write(group int, from float64) {
+func (g *pagedReports) write(group int, from float64) {
 	g.last++
 	place := int64(g.rng.IntN(g.set.Places))
-	g.rows[group] = append(g.rows[group], &kept{vals: sortedtable.Row{g.last, place}, from: from})
+	g.rows[group] = append(g.rows[group], &tableRow{vals: sortedtable.Row{g.last, place}, from: from})
 	g.check.RowWritten(g.last, place, group, from)
 }
 
 // change writes a row or deletes one, in a group that takes writes, and goes on.
-func (g *paging) change() {
-	e := g.e
-	if i := g.rng.IntN(len(g.rows)); e.world.Groups[i].Writable() {
-		at := e.world.Groups[i].Write(e.s.now, "visits", nil)
+func (g *pagedReports) change() {
+	sim := g.sim
+	if i := g.rng.IntN(len(g.rows)); sim.world.Groups[i].Writable() {
+		at := sim.world.Groups[i].Write(sim.sched.now, "visits", nil)
 		if k := g.rows[i][g.rng.IntN(len(g.rows[i]))]; g.rng.IntN(2) == 0 && k.end == 0 {
 			k.end = at
 			g.check.RowDeleted(k.vals[0].(int64), at)
@@ -96,13 +96,13 @@
 			g.write(i, at)
 		}
 	}
-	if e.s.now < startMs+e.script.Clients.Seconds*1000 {
-		e.s.after(g.rng.ExpFloat64()*1000/g.set.Changes, g.change)
+	if sim.sched.now < startMs+sim.script.Clients.Seconds*1000 {
+		sim.sched.after(g.rng.ExpFloat64()*1000/g.set.Changes, g.change)
 	}
 }
 
 // visible are a group's rows as of a position.
-func (g *paging) visible(group int, at float64) (out []sortedtable.Row) {
+func (g *pagedReports) visible(group int, at float64) (out []sortedtable.Row) {
 	for _, k := range g.rows[group] {
 		if k.from <= at && (k.end == 0 || k.end > at) {
 			out = append(out, k.vals)
@@ -113,47 +113,47 @@
 
 // reader is a client that reads one report after another, each page at the next pooler.
 type reader struct {
-	g      *paging
-	no, n  int
-	cursor string
-	page   *paged // that it waits for
-	given  map[int]bool
+	reports *pagedReports
+	no, n   int
+	cursor  string
+	page    *pageRequest // that it waits for
+	given   map[int]bool
 }
 
-// ask asks for the next page.
-func (r *reader) ask() {
-	g, e := r.g, r.g.e
-	if e.s.now >= startMs+e.script.Clients.Seconds*1000 {
+// requestPage asks for the next page.
+func (r *reader) requestPage() {
+	g, sim := r.reports, r.reports.sim
+	if sim.sched.now >= startMs+sim.script.Clients.Seconds*1000 {
 		return
 	}
 	r.n++
-	p := e.poolers[(r.no*len(e.poolers)/g.set.Readers+r.n)%len(e.poolers)]
+	p := sim.poolers[(r.no*len(sim.poolers)/g.set.Readers+r.n)%len(sim.poolers)]
 	if !p.up { // refused at once
-		e.s.after(e.way()+e.way(), r.ask)
+		sim.sched.after(sim.linkDelay()+sim.linkDelay(), r.requestPage)
 		return
 	}
 	g.seq++
-	s := &paged{g: g, r: r, p: p, life: p.life, id: g.seq, sent: e.s.now, due: e.s.now + g.set.Wait}
+	s := &pageRequest{reports: g, reader: r, pooler: p, life: p.incarnation, id: g.seq, sent: sim.sched.now, due: sim.sched.now + g.set.Wait}
 	r.page = s
-	e.s.after(e.way(), func() {
-		if p.life != s.life || !p.up {
-			e.s.after(e.way(), func() { s.tell(pageEnd{broken: true}) })
+	sim.sched.after(sim.linkDelay(), func() {
+		if p.incarnation != s.life || !p.up {
+			sim.sched.after(sim.linkDelay(), func() { s.answer(pageEnd{broken: true}) })
 			return
 		}
 		g.open[p] = append(g.open[p], s)
 		p.whenRunning(s.life, s.begin)
 	})
-	e.s.after(g.set.Wait+pageSlackMs, func() {
+	sim.sched.after(g.set.Wait+pageSlackMs, func() {
 		if r.page != s {
 			return
 		}
-		due := s.due          // there was no end by then
-		if p.still > s.sent { // its machine stands still, or did
-			due = e.s.now
+		due := s.due                // there was no end by then
+		if p.pausedUntil > s.sent { // its machine stands still, or did
+			due = sim.sched.now
 		}
-		g.check.PageEnded(e.s.now, due, r.no)
-		s.leave()
-		s.tell(pageEnd{broken: true})
+		g.check.PageEnded(sim.sched.now, due, r.no)
+		s.abandon()
+		s.answer(pageEnd{broken: true})
 	})
 }
 
@@ -168,14 +168,14 @@
 	wait    float64
 }
 
-// hear takes a page's end.
-func (r *reader) hear(s *paged, x pageEnd) {
-	g, e := r.g, r.g.e
+// receive takes a page's end.
+func (r *reader) receive(s *pageRequest, x pageEnd) {
+	g, sim := r.reports, r.reports.sim
 	if r.page != s {
 		return
 	}
 	r.page = nil
-	e.s.mix(s.id, uint64(len(x.rows))<<1|uint64(s.p.no)<<32)
+	sim.sched.mix(s.id, uint64(len(x.rows))<<1|uint64(s.pooler.no)<<32)
 	wait := g.rng.ExpFloat64() * g.set.Think
 	switch {
 	case x.broken:
@@ -186,31 +186,31 @@
 	case x.rows == nil:
 		g.Counts.Failed++
 	default:
-		g.check.PageEnded(e.s.now, s.due+pageSlackMs, r.no)
-		g.check.PageServed(e.s.now, r.no, x.rows, s.reads, x.cursor == "")
-		if g.e.funds != nil {
-			g.e.funds.paged(e.s.now, len(g.rows))
+		g.check.PageEnded(sim.sched.now, s.due+pageSlackMs, r.no)
+		g.check.PageServed(sim.sched.now, r.no, x.rows, s.reads, x.cursor == "")
+		if g.sim.funds != nil {
+			g.sim.funds.pageServed(sim.sched.now, len(g.rows))
 		}
-		r.cursor, r.given[s.p.no] = x.cursor, true
+		r.cursor, r.given[s.pooler.no] = x.cursor, true
 		g.Counts.Pages, g.Counts.Rows, g.Counts.ByPoolers = g.Counts.Pages+1, g.Counts.Rows+len(x.rows), len(r.given)
 		if x.cursor == "" {
 			g.Counts.Reports++
 		}
 	}
-	e.s.after(wait, r.ask)
+	sim.sched.after(wait, r.requestPage)
 }
 
 // killed breaks the pages that a pooler made.
-func (g *paging) killed(p *pooler) {
+func (g *pagedReports) killed(p *pooler) {
 	for _, s := range g.open[p] {
 		s.over = true
 		for _, x := range s.parts {
 			if x != nil {
-				x.over = true
-				g.e.check.Abandoned(g.e.s.now, x.v.id, "its pooler ended")
+				x.ended = true
+				g.sim.check.Abandoned(g.sim.sched.now, x.client.id, "its pooler ended")
 			}
 		}
-		g.e.s.after(g.e.way(), func() { s.r.hear(s, pageEnd{broken: true}) })
+		g.sim.sched.after(g.sim.linkDelay(), func() { s.reader.receive(s, pageEnd{broken: true}) })
 	}
 	delete(g.open, p)
 }
@@ -241,8 +241,8 @@
 	}
 }
 
-// made is how many pages a pooler makes.
-func (g *paging) made(p *pooler) int {
+// openPages is how many pages a pooler makes.
+func (g *pagedReports) openPages(p *pooler) int {
 	if g == nil {
 		return 0
 	}
--- a/internal/testkit/simulation/pages_made.go
+++ b/internal/testkit/simulation/pages_made.go
@@ -18,11 +18,11 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// paged is one page that a pooler makes: the daemon's run, merge, cursor and plan before its core, as internal/frontend/scatter joins them to sockets.
-type paged struct {
-	g         *paging
-	r         *reader
-	p         *pooler
+// pageRequest is one page that a pooler makes: the daemon's run, merge, cursor and plan before its core, as internal/frontend/scatter joins them to sockets.
+type pageRequest struct {
+	reports   *pagedReports
+	reader    *reader
+	pooler    *pooler
 	life      uint32
 	id        uint64
 	sent, due float64
@@ -48,8 +48,8 @@
 )
 
 // begin begins it, at the pooler.
-func (s *paged) begin() {
-	g, e := s.g, s.g.e
+func (s *pageRequest) begin() {
+	g, sim := s.reports, s.reports.sim
 	if s.over {
 		return
 	}
@@ -57,40 +57,40 @@
 	s.set = execution.Settings{Shards: n, WindowBytes: max(4<<10, pageMemory/n), MaxRowBytes: pageMostRow, UnresponsiveMs: pageSilent, MaxRetries: pageAgain, PositionWaitMs: pageSettle, AnswerReserveMs: min(500, g.set.Wait/10)}
 	var places []cursor.Place
 	var needs []int64
-	if s.r.cursor != "" {
-		c, err := g.ring.Open(s.r.cursor, e.s.now, &cursor.Binding{})
+	if s.reader.cursor != "" {
+		c, err := g.ring.Open(s.reader.cursor, sim.sched.now, &cursor.Binding{})
 		if err != nil {
-			g.check.PageEnded(e.s.now, 0, s.r.no) // the fleet's own cursor: it is taken anywhere
+			g.check.PageEnded(sim.sched.now, 0, s.reader.no) // the fleet's own cursor: it is taken anywhere
 			s.end(pageEnd{})
 			return
 		}
 		places, needs = c.Places, c.MinPositions
 	} else {
-		g.check.ReportStarted(s.r.no)
+		g.check.ReportStarted(s.reader.no)
 	}
 	s.parts = make([]*shardRead, n)
-	s.run = execution.New(&s.set, g.set.Page, places, needs, s.due, e.checks)
+	s.run = execution.New(&s.set, g.set.Page, places, needs, s.due, sim.checks)
 	s.event(s.run.Begin)
 	s.tick()
 }
 
-func (s *paged) tick() {
+func (s *pageRequest) tick() {
 	if !s.over {
 		s.event(s.run.Tick)
-		lifeLoop{s.p, s.life}.At(s.g.e.s.now+pageTickMs, s.tick)
+		processLoop{s.pooler, s.life}.At(s.reports.sim.sched.now+pageTickMs, s.tick)
 	}
 }
 
-// leave ends a page whose client has gone.
-func (s *paged) leave() {
+// abandon ends a page whose client has gone.
+func (s *pageRequest) abandon() {
 	if s.run != nil && !s.over {
 		s.event(func(float64) []execution.Action { return s.run.Abandon() })
 	}
-	s.gone()
+	s.remove()
 }
 
 // event has the run told of something, behind what it is being told.
-func (s *paged) event(e func(now float64) []execution.Action) {
+func (s *pageRequest) event(e func(now float64) []execution.Action) {
 	if s.over {
 		return
 	}
@@ -99,18 +99,18 @@
 	}
 	s.busy = true
 	for i := 0; i < len(s.events) && !s.over; i++ {
-		s.do(s.events[i](s.g.e.s.now))
+		s.do(s.events[i](s.reports.sim.sched.now))
 	}
 	s.events, s.busy = s.events[:0], false
 }
 
-func (s *paged) do(actions []execution.Action) {
+func (s *pageRequest) do(actions []execution.Action) {
 	for _, a := range slices.Clone(actions) {
 		x := s.parts[a.Shard]
 		switch a.Kind {
 		case execution.Submit:
 			if a.Attempt > 1 {
-				s.g.Counts.Again++
+				s.reports.Counts.Again++
 			}
 			s.ask(a)
 		case execution.Send:
@@ -118,36 +118,36 @@
 		case execution.StopReading:
 			x.stopped = true
 		case execution.ResumeReading:
-			if x.stopped = false; x.out != nil {
-				s.g.e.s.After(0, x.out, atRows)
+			if x.stopped = false; x.source != nil {
+				s.reports.sim.sched.After(0, x.source, atRows)
 			}
 		case execution.Cancel:
 			if x != nil {
-				x.giveUp()
+				x.cancel()
 			}
 		case execution.Deliver:
 			s.rows = append(s.rows, int64(binary.BigEndian.Uint64(a.Row)))
 		case execution.Finish:
-			s.final()
+			s.finish()
 		}
 	}
 }
 
-// final gives the client its answer.
-func (s *paged) final() {
-	g, e := s.g, s.g.e
+// finish gives the client its answer.
+func (s *pageRequest) finish() {
+	g, sim := s.reports, s.reports.sim
 	s.over = true
 	for _, x := range s.parts {
 		if x != nil {
-			x.giveUp()
+			x.cancel()
 		}
 	}
 	switch s.run.Verdict {
 	case execution.Served:
 		x := pageEnd{rows: slices.Clone(s.rows)}
-		c := &cursor.Cursor{IssuedMs: math.Floor(e.s.now)}
+		c := &cursor.Cursor{IssuedMs: math.Floor(sim.sched.now)}
 		c.Places, c.MinPositions = s.run.Places()
-		if m := e.opt.Mutant; m != nil && m.Pages != nil && s.run.More {
+		if m := sim.options.Mutant; m != nil && m.Pages != nil && s.run.More {
 			x.rows = m.Pages(x.rows, c)
 		}
 		if x.rows == nil {
@@ -162,68 +162,70 @@
 	case execution.Rejected:
 		s.end(pageEnd{refused: true, wait: s.run.RetryMs})
 	case execution.Abandoned:
-		s.gone()
+		s.remove()
 	default:
 		s.end(pageEnd{})
 	}
 }
 
 // end has the client hear of it.
-func (s *paged) end(x pageEnd) {
+func (s *pageRequest) end(x pageEnd) {
 	s.over = true
-	s.gone()
-	s.tell(x)
+	s.remove()
+	s.answer(x)
 }
 
-func (s *paged) tell(x pageEnd) { s.g.e.s.after(s.g.e.way(), func() { s.r.hear(s, x) }) }
+func (s *pageRequest) answer(x pageEnd) {
+	s.reports.sim.sched.after(s.reports.sim.linkDelay(), func() { s.reader.receive(s, x) })
+}
 
-func (s *paged) gone() {
+func (s *pageRequest) remove() {
 	s.over = true
-	s.g.open[s.p] = slices.DeleteFunc(s.g.open[s.p], func(o *paged) bool { return o == s })
+	s.reports.open[s.pooler] = slices.DeleteFunc(s.reports.open[s.pooler], func(o *pageRequest) bool { return o == s })
 }
 
 // shardRead is a shard's read as the decision module has it: one try of the run. It is platform.Client.
 type shardRead struct {
-	s       *paged
-	a       execution.Action
-	v       *visit // backend.Query, for the attempts
-	ref     slotmap.Ref
-	open    bool // with core
-	over    bool // the run has given it up, or has its end
-	due     bool // it is to be sent as soon as it has a connection
-	stopped bool
-	held    *attempt // that has a connection, and waits for the word to send
-	out     *attempt // whose rows come
+	page              *pageRequest
+	action            execution.Action
+	client            *clientAttempt // backend.Query, for the attempts
+	ref               slotmap.Ref
+	open              bool // with core
+	ended             bool // the run has given it up, or has its end
+	sendWhenConnected bool // it is to be sent as soon as it has a connection
+	stopped           bool
+	held              *attempt // that has a connection, and waits for the word to send
+	source            *attempt // whose rows come
 }
 
-// rowsOf are what a server found for an attempt.
-type rowsOf struct {
+// shardRows are what a server found for an attempt.
+type shardRows struct {
 	list []sortedtable.Row
 	o    backend.Outcome
 }
 
 // ask puts a shard's read to the decision module.
-func (s *paged) ask(a execution.Action) {
-	g, e := s.g, s.g.e
+func (s *pageRequest) ask(a execution.Action) {
+	g, sim := s.reports, s.reports.sim
 	g.seq++
-	x := &shardRead{s: s, a: a, open: true}
+	x := &shardRead{page: s, action: a, open: true}
 	id := pageSealed | g.seq<<8
-	session := "report-" + strconv.Itoa(s.r.no)
-	x.v = &visit{e: e, ask: &ask{e: e, Ask: clients.Ask{Class: g.no, Group: a.Shard, Key: session}}, class: g.class, p: s.p, life: s.life, id: id, name: strconv.FormatUint(id, 16), shard: x}
+	session := "report-" + strconv.Itoa(s.reader.no)
+	x.client = &clientAttempt{sim: sim, request: &clientRequest{sim: sim, Ask: clients.Ask{Class: g.no, Group: a.Shard, Key: session}}, class: g.class, pooler: s.pooler, incarnation: s.life, id: id, name: strconv.FormatUint(id, 16), shard: x}
 	s.parts[a.Shard] = x
-	e.check.Received(e.s.now, id, g.no, s.p.no, s.due, float64(a.MinPosition))
-	if e.script.Limits != nil {
-		e.check.Tenant(e.s.now, id, g.set.Tenant)
+	sim.check.Received(sim.sched.now, id, g.no, s.pooler.no, s.due, float64(a.MinPosition))
+	if sim.script.Limits != nil {
+		sim.check.Tenant(sim.sched.now, id, g.set.Tenant)
 	}
-	ref, err := s.p.core.Submit(platform.Request{ID: x.v.name, Class: g.class.Name, Tenant: g.set.Tenant, PlatformProtocol: g.set.Tenant != "", Group: a.Shard, Session: session,
-		MinPosition: float64(a.MinPosition), Deadline: s.due, Query: x.v}, x)
+	ref, err := s.pooler.core.Submit(platform.Request{ID: x.client.name, Class: g.class.Name, Tenant: g.set.Tenant, PlatformProtocol: g.set.Tenant != "", Group: a.Shard, Session: session,
+		MinPosition: float64(a.MinPosition), Deadline: s.due, Query: x.client}, x)
 	switch {
 	case err != nil:
 		x.open = false
-		x.broke(err.Error(), false)
-	case x.open && x.over:
+		x.fail(err.Error(), false)
+	case x.open && x.ended:
 		x.open = false
-		s.p.core.Abandon(ref)
+		s.pooler.core.Abandon(ref)
 	case x.open:
 		x.ref = ref
 	}
@@ -235,65 +237,71 @@
 // Rejected is platform.Client's.
 func (x *shardRead) Rejected(retryMs float64) {
 	x.answered("refused", false)
-	x.s.event(func(now float64) []execution.Action { return x.s.run.Rejected(x.a.Shard, x.a.Attempt, retryMs, now) })
+	x.page.event(func(now float64) []execution.Action {
+		return x.page.run.Rejected(x.action.Shard, x.action.Attempt, retryMs, now)
+	})
 }
 
 // Failed is platform.Client's.
 func (x *shardRead) Failed() {
 	x.answered("failed", false)
-	x.broke("its server gave no answer in time or broke off", true)
+	x.fail("its server gave no answer in time or broke off", true)
 }
 
 func (x *shardRead) answered(kind string, served bool) {
 	x.open = false
-	x.s.g.e.check.Answered(x.s.g.e.s.now, x.v.id, kind, served, hashOf(nil))
+	x.page.reports.sim.check.Answered(x.page.reports.sim.sched.now, x.client.id, kind, served, hashOf(nil))
 }
 
-func (x *shardRead) broke(why string, again bool) {
-	x.s.event(func(now float64) []execution.Action { return x.s.run.Failed(x.a.Shard, x.a.Attempt, why, again, now) })
+func (x *shardRead) fail(why string, again bool) {
+	x.page.event(func(now float64) []execution.Action {
+		return x.page.run.Failed(x.action.Shard, x.action.Attempt, why, again, now)
+	})
 }
 
-// holds keeps an attempt that has a connection until the word to send; false where it has come.
-func (x *shardRead) holds(a *attempt) bool {
-	if x.due && !x.over {
+// holdUntilSend keeps an attempt that has a connection until the word to send; false where it has come.
+func (x *shardRead) holdUntilSend(a *attempt) bool {
+	if x.sendWhenConnected && !x.ended {
 		return false
 	}
-	a.held, a.slife = true, a.st.life
-	a.st.busy[a] = true
+	a.waitsForPage, a.poolIncarnation = true, a.pool.incarnation
+	a.pool.busy[a] = true
 	x.held = a
-	x.s.event(func(now float64) []execution.Action { return x.s.run.Connected(x.a.Shard, x.a.Attempt, now) })
+	x.page.event(func(now float64) []execution.Action {
+		return x.page.run.Connected(x.action.Shard, x.action.Attempt, now)
+	})
 	return true
 }
 
 // send has the statement go out, at once or when there is a connection.
 func (x *shardRead) send() {
-	x.due = true
+	x.sendWhenConnected = true
 	if a := x.held; a != nil && !a.ended {
 		x.held = nil
-		if !a.st.listed || a.slife != a.st.life { // it is gone since: the module knows another one
-			a.drop(decide.Overloaded)
+		if !a.pool.listed || a.poolIncarnation != a.pool.incarnation { // it is gone since: the module knows another one
+			a.abort(decide.Overloaded)
 			return
 		}
-		if !a.goes() {
-			a.drop(decide.NotSent)
+		if !a.maySend() {
+			a.abort(decide.NotSent)
 			return
 		}
-		a.held = false
+		a.waitsForPage = false
 		a.send()
 	}
 }
 
-// unhold gives back the connection of an attempt that waits.
-func (a *attempt) unhold() {
-	a.held = false
-	delete(a.st.busy, a)
-	if x := a.v.shard; x.held == a {
+// releaseHeld gives back the connection of an attempt that waits.
+func (a *attempt) releaseHeld() {
+	a.waitsForPage = false
+	delete(a.pool.busy, a)
+	if x := a.client.shard; x.held == a {
 		x.held = nil
 	}
-	if a.slife == a.st.life {
-		a.st.free()
+	if a.poolIncarnation == a.pool.incarnation {
+		a.pool.release()
 	} else { // the server broke it
-		a.st.add(-1)
+		a.pool.countConnections(-1)
 	}
 }
 
@@ -302,31 +310,31 @@
 	if r.Verdict != model.Served {
 		return
 	}
-	g := x.s.g
-	a.rows = &rowsOf{}
-	sql, vals, err := g.word.ShardStatement(&g.order, &x.a.Place, x.a.Shard, x.a.MaxRows, 0)
+	g := x.page.reports
+	a.rows = &shardRows{}
+	sql, vals, err := g.word.ShardStatement(&g.order, &x.action.Place, x.action.Shard, x.action.MaxRows, 0)
 	if err != nil {
 		return
 	}
 	if q, err := sortedtable.Read(sql); err == nil {
-		a.rows.list, _ = q.Run(pageTable, g.visible(x.a.Shard, r.Position), vals)
+		a.rows.list, _ = q.Run(pageTable, g.visible(x.action.Shard, r.Position), vals)
 	}
 }
 
 const rowsAtOnce, rowsMs = 8, 0.2 // rows come so many at a time
 
-// come hands on what comes of an answer; another attempt's rows than the first one's are not wanted.
-func (x *shardRead) come(a *attempt) {
-	s, e := x.s, x.s.g.e
-	if a.ended || a.p.life != a.life || a.slife != a.st.life {
+// deliverRows hands on what comes of an answer; another attempt's rows than the first one's are not wanted.
+func (x *shardRead) deliverRows(a *attempt) {
+	s, sim := x.page, x.page.reports.sim
+	if a.ended || a.pooler.incarnation != a.incarnation || a.poolIncarnation != a.pool.incarnation {
 		return
 	}
-	if x.out == nil && !x.over {
-		x.out = a
-		s.reads = append(s.reads, checker.PageRead{Group: x.a.Shard, Position: a.rows.o.Position})
+	if x.source == nil && !x.ended {
+		x.source = a
+		s.reads = append(s.reads, checker.PageRead{Group: x.action.Shard, Position: a.rows.o.Position})
 	}
-	if x.out != a {
-		a.drop(decide.Cancelled)
+	if x.source != a {
+		a.abort(decide.Cancelled)
 		return
 	}
 	for n := 0; n < rowsAtOnce && len(a.rows.list) > 0; n++ {
@@ -341,37 +349,37 @@
 		return
 	}
 	if len(a.rows.list) > 0 {
-		e.s.After(rowsMs, a, atRows)
+		sim.sched.After(rowsMs, a, atRows)
 		return
 	}
-	st := a.st
+	st := a.pool
 	delete(st.busy, a)
-	a.p.wear.Record(e.s.now, a.rest, false)
-	st.free()
+	a.pooler.idleTimeout.Record(sim.sched.now, a.idleMs, false)
+	st.release()
 	a.end(a.rows.o)
-	s.event(func(now float64) []execution.Action { return s.run.RowsEnded(x.a.Shard, x.a.Attempt, now) })
+	s.event(func(now float64) []execution.Action { return s.run.RowsEnded(x.action.Shard, x.action.Attempt, now) })
 	s.event(func(now float64) []execution.Action {
-		return s.run.PositionReported(x.a.Shard, x.a.Attempt, int64(a.rows.o.Position), now)
+		return s.run.PositionReported(x.action.Shard, x.action.Attempt, int64(a.rows.o.Position), now)
 	})
 }
 
-// tried tells that an attempt ended. Where rows of it went on and it broke, the module is not to ask again from the start: the run does, from behind
+// attemptEnded tells that an attempt ended. Where rows of it went on and it broke, the module is not to ask again from the start: the run does, from behind
 // them.
-func (x *shardRead) tried(a *attempt, o *backend.Outcome) {
-	if x.out != a || o.Result == decide.OK || x.over {
+func (x *shardRead) attemptEnded(a *attempt, o *backend.Outcome) {
+	if x.source != a || o.Result == decide.OK || x.ended {
 		return
 	}
 	if x.open {
 		x.open = false
-		x.s.g.e.check.Abandoned(x.s.g.e.s.now, x.v.id, "its answer broke off")
-		x.s.p.core.Abandon(x.ref)
+		x.page.reports.sim.check.Abandoned(x.page.reports.sim.sched.now, x.client.id, "its answer broke off")
+		x.page.pooler.core.Abandon(x.ref)
 	}
-	x.broke("its answer broke off", true)
+	x.fail("its answer broke off", true)
 }
 
 // row hands on one row.
 func (x *shardRead) row(row sortedtable.Row) {
-	o, s := &x.s.g.order, x.s
+	o, s := &x.page.reports.order, x.page
 	var key []byte
 	own := 0
 	for i := range o.Columns {
@@ -381,26 +389,28 @@
 		key, _ = o.Columns[i].Append(key, sortedtable.Text(row[slices.Index(pageTable, o.Columns[i].Name)]), false) // whole numbers
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(row[0].(int64)))
-	s.event(func(now float64) []execution.Action { return s.run.Row(x.a.Shard, x.a.Attempt, key, own, body, now) })
+	s.event(func(now float64) []execution.Action {
+		return s.run.Row(x.action.Shard, x.action.Attempt, key, own, body, now)
+	})
 }
 
-// giveUp ends a part for the run. An answer that has begun was served, as far as it was wanted.
-func (x *shardRead) giveUp() {
-	if x.over {
+// cancel ends a part for the run. An answer that has begun was served, as far as it was wanted.
+func (x *shardRead) cancel() {
+	if x.ended {
 		return
 	}
-	x.over = true
-	if a := x.out; x.open && a != nil && !a.ended {
-		st := a.st
+	x.ended = true
+	if a := x.source; x.open && a != nil && !a.ended {
+		st := a.pool
 		delete(st.busy, a)
-		st.add(-1)
-		x.s.g.e.s.After(a.p.e.way(), a, atCancel)
+		st.countConnections(-1)
+		x.page.reports.sim.sched.After(a.pooler.sim.linkDelay(), a, atCancel)
 		a.end(backend.Outcome{Result: decide.OK})
 		st.refill()
 	}
 	if x.open {
 		x.open = false
-		x.s.g.e.check.Abandoned(x.s.g.e.s.now, x.v.id, "the page has no need of it any more")
-		x.s.p.core.Abandon(x.ref)
+		x.page.reports.sim.check.Abandoned(x.page.reports.sim.sched.now, x.client.id, "the page has no need of it any more")
+		x.page.pooler.core.Abandon(x.ref)
 	}
 }
--- a/internal/testkit/simulation/parts.go
+++ b/internal/testkit/simulation/parts.go
@@ -6,75 +6,75 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Joined makes a pooler's parts as a process of it begins: what lives beside the view and is no quota. A Host is what they get to do with it.
-type Joined func(h Host) []module.Module
+// ModuleMaker makes a pooler's parts as a process of it begins: what lives beside the view and is no quota. A Host is what they get to do with it.
+type ModuleMaker func(h Host) []module.Module
 
 // Host is the process that a part lives in.
 type Host struct{ x *peer }
 
 // No is the pooler's number, Life which of its processes this is.
 func (h Host) No() int      { return h.x.p.no }
-func (h Host) Life() uint32 { return h.x.life }
+func (h Host) Life() uint32 { return h.x.incarnation }
 
 // At has something done at a time, unless the process has ended by then.
-func (h Host) At(ms float64, do func()) { lifeLoop{h.x.p, h.x.life}.At(ms, do) }
+func (h Host) At(ms float64, do func()) { processLoop{h.x.p, h.x.incarnation}.At(ms, do) }
 
 // Now is part.Net's.
-func (h Host) Now() float64 { return h.x.p.e.s.now }
+func (h Host) Now() float64 { return h.x.p.sim.sched.now }
 
 // Send is part.Net's: coded, it arrives as often and as late as the way has it, and is read there.
 func (h Host) Send(addr string, to view.ID, kind view.Kind, w module.Message) {
 	x := h.x
-	f, e := x.f, x.p.e
-	at := f.at(addr)
-	if m := e.opt.Mutant; m != nil && m.Says != nil {
-		w = m.Says(x.p.no, w)
+	f, sim := x.fleet, x.p.sim
+	at := f.poolerAt(addr)
+	if m := sim.options.Mutant; m != nil && m.Send != nil {
+		w = m.Send(x.p.no, w)
 	}
 	b := w.Append(nil)
 	if at == nil || at == x.p || len(b) > module.MaxBodyBytes {
 		return
 	}
-	if kind == module.KindOverload && (b[0] == tellVerb || b[0] == answerVerb) {
-		e.check.DatagramSent(e.s.now)
+	if kind == module.KindOverload && (b[0] == reportVerb || b[0] == answerVerb) {
+		sim.check.DatagramSent(sim.sched.now)
 	}
-	f.told++
-	f.toldBytes += headBytes + uint64(len(b))
+	f.moduleMessages++
+	f.moduleBytes += headBytes + uint64(len(b))
 	from := x.view.Self().ID
 	for _, late := range f.net.Fate(x.p.no, at.no, f.rng) {
-		e.s.After(e.wayBetween(x.p, at)+late, model.Func(func() { at.hearPart(from, to, kind, b) }), 0)
+		sim.sched.After(sim.poolerLinkDelay(x.p, at)+late, model.Func(func() { at.receiveModuleMessage(from, to, kind, b) }), 0)
 	}
 }
 
 // The first bytes of words on load and levels, as the form has them; the others are on probes.
-const tellVerb, answerVerb = 1, 2
+const reportVerb, answerVerb = 1, 2
 
 // SendStream is part.Net's: it loses nothing, but does not come up over a way that is cut.
 func (h Host) SendStream(addr string, to view.ID, kind view.Kind, w module.Message, done func(ok bool)) {
 	x := h.x
-	f, e := x.f, x.p.e
-	at := f.at(addr)
+	f, sim := x.fleet, x.p.sim
+	at := f.poolerAt(addr)
 	b := w.Append(nil)
 	if at == nil || at == x.p || len(b) > module.MaxStreamBytes || f.net.Cut(x.p.no, at.no) || f.net.Cut(at.no, x.p.no) {
-		h.At(e.s.now+streamFailsMs, func() { done(false) })
+		h.At(sim.sched.now+streamFailsMs, func() { done(false) })
 		return
 	}
 	f.streamed += uint64(len(b))
 	from := x.view.Self().ID
-	e.s.After(2*e.wayBetween(x.p, at)+2*f.net.Slow(x.p.no, at.no), model.Func(func() {
-		ok := !f.net.Cut(x.p.no, at.no) && at.hearPart(from, to, kind, b)
-		h.At(e.s.now+e.wayBetween(x.p, at), func() { done(ok) })
+	sim.sched.After(2*sim.poolerLinkDelay(x.p, at)+2*f.net.Slow(x.p.no, at.no), model.Func(func() {
+		ok := !f.net.Cut(x.p.no, at.no) && at.receiveModuleMessage(from, to, kind, b)
+		h.At(sim.sched.now+sim.poolerLinkDelay(x.p, at), func() { done(ok) })
 	}), 0)
 }
 
 const streamFailsMs = 1500 // as the daemon gives up
 
-// hearPart reads what came for a part, and has it heard once the process runs.
-func (p *pooler) hearPart(from, to view.ID, kind view.Kind, b []byte) bool {
+// receiveModuleMessage reads what came for a part, and has it heard once the process runs.
+func (p *pooler) receiveModuleMessage(from, to view.ID, kind view.Kind, b []byte) bool {
 	y := p.peer
 	if y == nil || !p.up {
 		return false
 	}
-	for _, s := range y.parts {
+	for _, s := range y.modules {
 		if s.Kind() != kind {
 			continue
 		}
@@ -82,7 +82,7 @@
 		if err != nil {
 			return false
 		}
-		p.whenRunning(y.life, func() {
+		p.whenRunning(y.incarnation, func() {
 			if to == 0 || to == y.view.Self().ID {
 				s.Receive(from, m)
 			}
@@ -92,23 +92,23 @@
 	return false
 }
 
-// joins are the parts of each pooler; those that a scenario's settings have come first.
-func (e *Emulation) joins() (all []Joined) {
-	if o := e.script.Overload; o != nil {
-		all = append(all, Overloaded(o.Options))
+// moduleMakers are the parts of each pooler; those that a scenario's settings have come first.
+func (sim *Simulation) moduleMakers() (all []ModuleMaker) {
+	if o := sim.script.Overload; o != nil {
+		all = append(all, WithOverload(o.Options))
 	}
-	if e.funds != nil {
-		all = append(all, e.funds.Join)
+	if sim.funds != nil {
+		all = append(all, sim.funds.Join)
 	}
-	if v := e.script.Verdicts; v != nil {
-		all = append(all, Judged(v.Options))
+	if v := sim.script.Verdicts; v != nil {
+		all = append(all, WithOutlierDetection(v.Options))
 	}
-	return append(all, e.opt.Parts...)
+	return append(all, sim.options.Modules...)
 }
 
-// tellParts tells all parts who is there.
-func (x *peer) tellParts() {
-	for _, s := range x.parts {
+// updateModules tells all parts who is there.
+func (x *peer) updateModules() {
+	for _, s := range x.modules {
 		s.UpdateMembers(x.view.Self().ID, x.view.Members(), x.view.Counts())
 	}
 }
--- a/internal/testkit/simulation/parts_test.go
+++ b/internal/testkit/simulation/parts_test.go
@@ -64,7 +64,7 @@
 	script := `(rehearsal "parts" (seconds 30) (poolers 4) (groups 3) (rate 20) (peers) (at 10s (between (0 1) (2 3) cut) (for 2s)) (at 20s (kill-pooler 3) (for 1s)))`
 	run := func() (string, []*partCounter) {
 		var made []*partCounter
-		r := play(t, parse(t, script), Options{Seed: 3, Parts: []Joined{func(h Host) []module.Module {
+		r := play(t, parse(t, script), Options{Seed: 3, Modules: []ModuleMaker{func(h Host) []module.Module {
 			c := &partCounter{h: h, heard: map[view.ID]int{}}
 			made = append(made, c)
 			return []module.Module{c}
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -15,38 +15,38 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// fleetOf is the poolers as peers: the ways between them, and the checker of their views.
-type fleetOf struct {
-	e     *Emulation
+// peerFleet is the poolers as peers: the ways between them, and the checker of their views.
+type peerFleet struct {
+	sim   *Simulation
 	net   *netfault.Net
 	rng   *rand.Rand
 	check *checker.ViewChecker
 
-	packets, bytes  uint64
-	lent, lentBytes uint64 // about limits
-	told, toldBytes uint64 // by parts
-	trades          uint64
-	streamed        uint64
-	from            float64 // rates count from then on
+	packets, bytes              uint64
+	limitMessages, limitBytes   uint64 // about limits
+	moduleMessages, moduleBytes uint64 // by parts
+	exchanges                   uint64
+	streamed                    uint64
+	ratesFrom                   float64 // rates count from then on
 }
 
 // settledMs is when a fleet that started at once is taken for settled, for rates.
 const settledMs = 40000
 
-const lookMs = 250 // between two looks of the checker
+const samplingMs = 250 // between two looks of the checker
 
 // Views is what came of the poolers' views.
 type Views struct {
-	Packets  float64   `json:"packets_a_second_of_a_pooler"`
-	Bytes    float64   `json:"bytes_a_second_of_a_pooler"`
-	Streamed float64   `json:"bytes_a_second_of_full_exchanges"`
-	Trades   uint64    `json:"full_exchanges"`
-	Detected []float64 `json:"detected_ms,omitempty"`
-	Settled  []float64 `json:"settled_ms,omitempty"`
-	Accused  int       `json:"accused_wrongly"`
-	Wrong    int       `json:"failed_wrongly"`
-	Told     float64   `json:"parts_datagrams_a_second_of_a_pooler,omitempty"`
-	ToldSize float64   `json:"parts_bytes_a_second_of_a_pooler,omitempty"`
+	Packets          float64   `json:"packets_a_second_of_a_pooler"`
+	Bytes            float64   `json:"bytes_a_second_of_a_pooler"`
+	Streamed         float64   `json:"bytes_a_second_of_full_exchanges"`
+	Exchanges        uint64    `json:"full_exchanges"`
+	Detected         []float64 `json:"detected_ms,omitempty"`
+	Settled          []float64 `json:"settled_ms,omitempty"`
+	FalseAccusations int       `json:"accused_wrongly"`
+	FalseFailures    int       `json:"failed_wrongly"`
+	ModuleMessages   float64   `json:"parts_datagrams_a_second_of_a_pooler,omitempty"`
+	ModuleBytes      float64   `json:"parts_bytes_a_second_of_a_pooler,omitempty"`
 }
 
 // Bounds are those of a scenario's views, by the formulas of the view's page; f is how many may be called failed at once.
@@ -67,62 +67,62 @@
 		SelfDetectMs: v.IsolationBound(delay)}
 }
 
-func (e *Emulation) newFleet() *fleetOf {
-	s := e.script
-	f := &fleetOf{e: e, net: netfault.New(s.Poolers), rng: rand.New(rand.NewPCG(e.opt.Seed, 5))}
+func (sim *Simulation) newFleet() *peerFleet {
+	s := sim.script
+	f := &peerFleet{sim: sim, net: netfault.New(s.Poolers), rng: rand.New(rand.NewPCG(sim.options.Seed, 5))}
 	f.check = checker.NewViewChecker(Bounds(s, max(1, s.Poolers/2)), s.Poolers, f.net.Cut)
 	f.check.Exact = true
 	var look func()
 	look = func() {
-		f.check.Sample(e.s.now)
-		if e.s.now <= startMs+s.Clients.Seconds*1000 {
-			e.black.Sample(e.s.now, groundTruth{e})
+		f.check.Sample(sim.sched.now)
+		if sim.sched.now <= startMs+s.Clients.Seconds*1000 {
+			sim.blackouts.Sample(sim.sched.now, groundTruth{sim})
 		}
-		e.s.After(lookMs, model.Func(look), 0)
+		sim.sched.After(samplingMs, model.Func(look), 0)
 	}
-	e.s.After(lookMs, model.Func(look), 0)
-	f.from = startMs
+	sim.sched.After(samplingMs, model.Func(look), 0)
+	f.ratesFrom = startMs
 	if s.Clients.Seconds*1000 > 2*settledMs {
-		e.s.After(settledMs, model.Func(func() {
-			f.packets, f.bytes, f.streamed, f.trades, f.lent, f.lentBytes, f.told, f.toldBytes, f.from = 0, 0, 0, 0, 0, 0, 0, 0, e.s.now
+		sim.sched.After(settledMs, model.Func(func() {
+			f.packets, f.bytes, f.streamed, f.exchanges, f.limitMessages, f.limitBytes, f.moduleMessages, f.moduleBytes, f.ratesFrom = 0, 0, 0, 0, 0, 0, 0, 0, sim.sched.now
 		}), 0)
 	}
 	return f
 }
 
-func (f *fleetOf) result() *Views {
-	seconds := (f.e.s.now - f.from) / 1000 * float64(len(f.e.poolers))
-	return &Views{Packets: float64(f.packets) / seconds, Bytes: float64(f.bytes) / seconds, Streamed: float64(f.streamed) / seconds, Trades: f.trades, Detected: f.check.DetectionTimes, Settled: f.check.SettleTimes,
-		Accused: f.check.FalseAccusations, Wrong: f.check.FalseFailures,
-		Told: float64(f.told) / seconds, ToldSize: float64(f.toldBytes) / seconds}
+func (f *peerFleet) result() *Views {
+	seconds := (f.sim.sched.now - f.ratesFrom) / 1000 * float64(len(f.sim.poolers))
+	return &Views{Packets: float64(f.packets) / seconds, Bytes: float64(f.bytes) / seconds, Streamed: float64(f.streamed) / seconds, Exchanges: f.exchanges, Detected: f.check.DetectionTimes, Settled: f.check.SettleTimes,
+		FalseAccusations: f.check.FalseAccusations, FalseFailures: f.check.FalseFailures,
+		ModuleMessages: float64(f.moduleMessages) / seconds, ModuleBytes: float64(f.moduleBytes) / seconds}
 }
 
 // peer is a pooler's side of it.
 type peer struct {
-	p    *pooler
-	f    *fleetOf
-	life uint32
-	view *view.View
-	out  []view.Action
-	sent int // its count of those that may be sending
-	was  view.ID
+	p            *pooler
+	fleet        *peerFleet
+	incarnation  uint32
+	view         *view.View
+	out          []view.Action
+	sendingCount int // its count of those that may be sending
+	lastID       view.ID
 
-	limits *lender // nil where none hold for the whole fleet
-	parts  []module.Module
-	over   *adapter.Adapter        // nil where each pooler handles overload alone
-	judged *outlieradapter.Adapter // nil where each learns alone
+	limits   *limitsClient // nil where none hold for the whole fleet
+	modules  []module.Module
+	overload *adapter.Adapter        // nil where each pooler handles overload alone
+	outliers *outlieradapter.Adapter // nil where each learns alone
 }
 
 // join begins a process's view.
 func (p *pooler) join() {
-	f := p.e.fleet
-	set := p.e.script.Peers.View
-	set.ExpectedPoolers, set.RandomSeed = p.e.script.Poolers, p.e.opt.Seed*31+uint64(p.no)
-	for i := range p.e.script.Peers.Seeds {
-		set.SeedAddresses = append(set.SeedAddresses, p.e.poolerName(i))
+	f := p.sim.fleet
+	set := p.sim.script.Peers.View
+	set.ExpectedPoolers, set.RandomSeed = p.sim.script.Poolers, p.sim.options.Seed*31+uint64(p.no)
+	for i := range p.sim.script.Peers.Seeds {
+		set.SeedAddresses = append(set.SeedAddresses, p.sim.poolerName(i))
 	}
-	id := view.NewID(p.e.s.now, uint64(p.no)*131+uint64(p.life))
-	if m := p.e.opt.Mutant; m != nil {
+	id := view.NewID(p.sim.sched.now, uint64(p.no)*131+uint64(p.incarnation))
+	if m := p.sim.options.Mutant; m != nil {
 		if m.View != nil {
 			m.View(&set)
 		}
@@ -131,49 +131,49 @@
 		}
 	}
 	site := "room"
-	if n := len(p.e.script.Sites); n > 0 {
-		site = p.e.script.Sites[p.no%n]
+	if n := len(p.sim.script.Sites); n > 0 {
+		site = p.sim.script.Sites[p.no%n]
 	}
-	x := &peer{p: p, f: f, life: p.life}
-	x.view = view.New(set, view.Record{ID: id, Name: p.name, Addr: p.name, Zone: site}, p.e.s.now)
-	x.view.CheckInvariants(p.e.checks, walkEach)
+	x := &peer{p: p, fleet: f, incarnation: p.incarnation}
+	x.view = view.New(set, view.Record{ID: id, Name: p.name, Addr: p.name, Zone: site}, p.sim.sched.now)
+	x.view.CheckInvariants(p.sim.checks, invariantInterval)
 	p.peer = x
-	f.check.ProcessStarted(p.e.s.now, p.no, uint64(id))
-	x.lend()
-	for _, join := range p.e.joins() {
-		x.parts = append(x.parts, join(Host{x})...)
+	f.check.ProcessStarted(p.sim.sched.now, p.no, uint64(id))
+	x.startLimits()
+	for _, join := range p.sim.moduleMakers() {
+		x.modules = append(x.modules, join(Host{x})...)
 	}
-	x.tellParts()
+	x.updateModules()
 	x.tick()
 }
 
-func (e *Emulation) poolerName(i int) string { return fmt.Sprintf("pooler-%d", i) }
+func (sim *Simulation) poolerName(i int) string { return fmt.Sprintf("pooler-%d", i) }
 
 func (x *peer) tick() {
-	x.do(view.Tick{})
+	x.handle(view.Tick{})
 	if x.limits != nil {
-		x.limits.share(quota.Tick{})
+		x.limits.handle(quota.Tick{})
 	}
-	for _, s := range x.parts {
+	for _, s := range x.modules {
 		s.Tick()
 	}
-	lifeLoop{x.p, x.life}.At(x.view.NextTick(), x.tick)
+	processLoop{x.p, x.incarnation}.At(x.view.NextTick(), x.tick)
 }
 
-// do tells the view of an event and carries out what it asks for.
-func (x *peer) do(ev view.Event) {
-	e := x.p.e
-	x.told(ev)
-	defer x.f.check.MessageProcessed(x.p.no)
-	if m := e.opt.Mutant; m != nil && m.Peer != nil && !m.Peer(x, ev) {
+// handle tells the view of an event and carries out what it asks for.
+func (x *peer) handle(ev view.Event) {
+	sim := x.p.sim
+	x.reportAccusations(ev)
+	defer x.fleet.check.MessageProcessed(x.p.no)
+	if m := sim.options.Mutant; m != nil && m.Peer != nil && !m.Peer(x, ev) {
 		return
 	}
-	x.out = x.view.Handle(e.s.now, ev, x.out[:0])
-	x.carry()
+	x.out = x.view.Handle(sim.sched.now, ev, x.out[:0])
+	x.perform()
 }
 
-// told tells the checker what a message says against whom.
-func (x *peer) told(ev view.Event) {
+// reportAccusations tells the checker what a message says against whom.
+func (x *peer) reportAccusations(ev view.Event) {
 	var records []view.Record
 	switch ev := ev.(type) {
 	case view.Received:
@@ -183,47 +183,47 @@
 	}
 	for i := range records {
 		if r := &records[i]; r.State == view.Suspect || r.State == view.Failed {
-			x.f.check.AccusationReceived(x.p.no, uint64(r.ID))
+			x.fleet.check.AccusationReceived(x.p.no, uint64(r.ID))
 		}
 	}
 }
 
-// carry carries out what the view asks for.
-func (x *peer) carry() {
-	e := x.p.e
+// perform carries out what the view asks for.
+func (x *peer) perform() {
+	sim := x.p.sim
 	news, self := x.limits != nil && x.limits.id != x.view.Self().ID, x.view.Self()
-	if self.ID != x.was {
-		x.was, news = self.ID, true
+	if self.ID != x.lastID {
+		x.lastID, news = self.ID, true
 	}
 	for i := range x.out {
 		switch a := &x.out[i]; a.Kind {
 		case view.Send:
 			x.send(a.Addr, a.Message)
 		case view.StartExchange:
-			x.trade(a.Addr)
+			x.exchange(a.Addr)
 		case view.RecordChanged:
-			x.f.check.ReportState(e.s.now, x.p.no, uint64(a.Record.ID), int(a.Record.State), a.Record.Incarnation)
-			e.s.mix(uint64(a.Record.ID), uint64(x.p.no)<<8|uint64(a.Record.State))
+			x.fleet.check.ReportState(sim.sched.now, x.p.no, uint64(a.Record.ID), int(a.Record.State), a.Record.Incarnation)
+			sim.sched.mix(uint64(a.Record.ID), uint64(x.p.no)<<8|uint64(a.Record.State))
 			news = true
 		}
 	}
-	if n := x.view.Counts().Sending; n != x.sent {
-		x.sent = n
+	if n := x.view.Counts().Sending; n != x.sendingCount {
+		x.sendingCount = n
 		x.p.core.SetPeers(n)
-		x.f.check.ReportCount(e.s.now, x.p.no, n)
+		x.fleet.check.ReportCount(sim.sched.now, x.p.no, n)
 		news = true
 	}
 	if news && x.limits != nil {
-		x.limits.members()
+		x.limits.updateMembers()
 	}
 	if news {
-		x.tellParts()
+		x.updateModules()
 	}
 }
 
-// at finds the pooler that listens at an address.
-func (f *fleetOf) at(addr string) *pooler {
-	for _, p := range f.e.poolers {
+// poolerAt finds the pooler that listens at an address.
+func (f *peerFleet) poolerAt(addr string) *pooler {
+	for _, p := range f.sim.poolers {
 		if p.name == addr {
 			return p
 		}
@@ -235,8 +235,8 @@
 
 // send has a datagram arrive, as often and as late as the way has it.
 func (x *peer) send(addr string, m *view.Message) {
-	f, e := x.f, x.p.e
-	to := f.at(addr)
+	f, sim := x.fleet, x.p.sim
+	to := f.poolerAt(addr)
 	if to == nil || to == x.p {
 		return
 	}
@@ -246,50 +246,50 @@
 		f.bytes += uint64(m.Records[i].Size())
 	}
 	for _, late := range f.net.Fate(x.p.no, to.no, f.rng) {
-		e.s.After(e.wayBetween(x.p, to)+late, model.Func(func() {
+		sim.sched.After(sim.poolerLinkDelay(x.p, to)+late, model.Func(func() {
 			if y := to.peer; y != nil && to.up {
-				to.whenRunning(y.life, func() { y.do(view.Received{Message: m}) })
+				to.whenRunning(y.incarnation, func() { y.handle(view.Received{Message: m}) })
 			}
 		}), 0)
 	}
 }
 
-// trade has a full exchange: a stream, which loses nothing, but does not come up over a way that is cut.
-func (x *peer) trade(addr string) {
-	f, e := x.f, x.p.e
-	to := f.at(addr)
+// exchange has a full exchange: a stream, which loses nothing, but does not come up over a way that is cut.
+func (x *peer) exchange(addr string) {
+	f, sim := x.fleet, x.p.sim
+	to := f.poolerAt(addr)
 	if to == nil || to == x.p || f.net.Cut(x.p.no, to.no) || f.net.Cut(to.no, x.p.no) {
 		return
 	}
-	f.trades++
+	f.exchanges++
 	mine := x.view.Records()
 	for i := range mine {
 		f.streamed += 2 * uint64(mine[i].Size()) // and as much comes back
 	}
-	e.s.After(2*e.wayBetween(x.p, to)+2*f.net.Slow(x.p.no, to.no), model.Func(func() {
+	sim.sched.After(2*sim.poolerLinkDelay(x.p, to)+2*f.net.Slow(x.p.no, to.no), model.Func(func() {
 		y := to.peer
 		if y == nil || !to.up || f.net.Cut(x.p.no, to.no) {
 			return
 		}
-		to.whenRunning(y.life, func() {
+		to.whenRunning(y.incarnation, func() {
 			theirs := y.view.Records()
-			y.do(view.ExchangeCompleted{Records: mine})
+			y.handle(view.ExchangeCompleted{Records: mine})
 			if f.net.Cut(to.no, x.p.no) {
 				return
 			}
-			e.s.After(e.wayBetween(x.p, to)+f.net.Slow(to.no, x.p.no), model.Func(func() {
+			sim.sched.After(sim.poolerLinkDelay(x.p, to)+f.net.Slow(to.no, x.p.no), model.Func(func() {
 				if x.p.up {
-					x.p.whenRunning(x.life, func() { x.do(view.ExchangeCompleted{Records: theirs}) })
+					x.p.whenRunning(x.incarnation, func() { x.handle(view.ExchangeCompleted{Records: theirs}) })
 				}
 			}), 0)
 		})
 	}), 0)
 }
 
-// wayBetween is how long a message takes between two poolers.
-func (e *Emulation) wayBetween(a, b *pooler) float64 {
-	if n := len(e.script.Sites); n > 0 {
-		return e.script.Between(a.no%n, b.no%n).Draw(e.fleet.rng)
+// poolerLinkDelay is how long a message takes between two poolers.
+func (sim *Simulation) poolerLinkDelay(a, b *pooler) float64 {
+	if n := len(sim.script.Sites); n > 0 {
+		return sim.script.Between(a.no%n, b.no%n).Draw(sim.fleet.rng)
 	}
-	return e.script.Way.Draw(e.fleet.rng)
+	return sim.script.Way.Draw(sim.fleet.rng)
 }
--- a/internal/testkit/simulation/peers_test.go
+++ b/internal/testkit/simulation/peers_test.go
@@ -33,10 +33,10 @@
 				t.Errorf("seed %d: %q was never put to the test", seed, rule)
 			}
 		}
-		if r.Views.Wrong > 30 { // of which the partition, the one cut off and the one stopped are 22 at least
-			t.Errorf("seed %d: %d failures of processes that ran, told by those who could reach them", seed, r.Views.Wrong)
+		if r.Views.FalseFailures > 30 { // of which the partition, the one cut off and the one stopped are 22 at least
+			t.Errorf("seed %d: %d failures of processes that ran, told by those who could reach them", seed, r.Views.FalseFailures)
 		}
-		t.Logf("seed %d: %.1f packets, %.0f bytes a second; accused %d, wrong %d; detected %v settled %v", seed, r.Views.Packets, r.Views.Bytes, r.Views.Accused, r.Views.Wrong, r.Views.Detected, r.Views.Settled)
+		t.Logf("seed %d: %.1f packets, %.0f bytes a second; accused %d, wrong %d; detected %v settled %v", seed, r.Views.Packets, r.Views.Bytes, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.Detected, r.Views.Settled)
 	}
 	a, b := play(t, parse(t, fleetFaults), Options{Seed: 7}), play(t, parse(t, fleetFaults), Options{Seed: 7})
 	if a.Hash != b.Hash {
@@ -66,8 +66,8 @@
 			t.Errorf("seed %d: %s: at %.1f s: %s\n%+v", seed, b.Rule, (b.At-startMs)/1000, b.Text, b.Proof)
 			break
 		}
-		if r.Views.Wrong > 0 {
-			t.Errorf("seed %d: %d called failed that run", seed, r.Views.Wrong)
+		if r.Views.FalseFailures > 0 {
+			t.Errorf("seed %d: %d called failed that run", seed, r.Views.FalseFailures)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 		if r.Verdict.Checked[checker.ViewSettled] == 0 {
 			t.Errorf("seed %d: never settled", seed)
 		}
-		t.Logf("seed %d: accused %d, wrong %d, settled %v", seed, r.Views.Accused, r.Views.Wrong, r.Views.Settled)
+		t.Logf("seed %d: accused %d, wrong %d, settled %v", seed, r.Views.FalseAccusations, r.Views.FalseFailures, r.Views.Settled)
 	}
 }
 
--- a/internal/testkit/simulation/sched.go
+++ b/internal/testkit/simulation/sched.go
@@ -19,10 +19,10 @@
 }
 
 type item struct {
-	at  float64
-	seq uint64
-	arg uint64
-	e   model.Event
+	at    float64
+	seq   uint64
+	arg   uint64
+	event model.Event
 }
 
 // Now is world.Clock's.
@@ -90,7 +90,7 @@
 		s.now = x.at
 		s.events++
 		s.mix(math.Float64bits(x.at), x.arg)
-		x.e.Fire(x.arg)
+		x.event.Fire(x.arg)
 		if s.events&0xfff == 0 && stop() {
 			return
 		}
--- a/internal/testkit/simulation/strike.go
+++ b/internal/testkit/simulation/strike.go
@@ -6,92 +6,92 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// strike carries out a fault, and has it end at its time.
-func (e *Emulation) strike(f *scenario.Fault) {
+// injectFault carries out a fault, and has it end at its time.
+func (sim *Simulation) injectFault(f *scenario.Fault) {
 	later := func(do func()) {
 		if f.For > 0 {
-			e.s.After(f.For, model.Func(do), 0)
+			sim.sched.After(f.For, model.Func(do), 0)
 		}
 	}
-	f = f.Resolved(e.lender)
-	groups, poolers := f.Where(e.script)
-	e.check.FaultInjected(e.s.now, f.Until(e.s.now), groups, poolers)
+	f = f.Resolved(sim.limitOwner)
+	groups, poolers := f.Where(sim.script)
+	sim.check.FaultInjected(sim.sched.now, f.Until(sim.sched.now), groups, poolers)
 	switch f.What {
 	case "load": // the plan has it
 	case "route", "routes":
 		strike := func(on bool) {
-			e.routes.Set(f.Sited[0], f.Sited[1], &f.Link, on)
+			sim.siteLinks.Set(f.Sited[0], f.Sited[1], &f.Link, on)
 			if f.Both {
-				e.routes.Set(f.Sited[1], f.Sited[0], &f.Link, on)
+				sim.siteLinks.Set(f.Sited[1], f.Sited[0], &f.Link, on)
 			}
-			if e.fleet != nil {
-				f.Strike(e.fleet.net, on)
-				e.fleet.check.FaultChanged(e.s.now)
+			if sim.fleet != nil {
+				f.Strike(sim.fleet.net, on)
+				sim.fleet.check.FaultChanged(sim.sched.now)
 			}
-			e.check.FaultChanged(e.s.now, map[bool]int{true: 1, false: -1}[on])
+			sim.check.FaultChanged(sim.sched.now, map[bool]int{true: 1, false: -1}[on])
 		}
 		strike(true)
 		later(func() { strike(false) })
 	case "links", "between":
 		strike := func(on bool) {
-			f.Strike(e.fleet.net, on)
-			e.fleet.check.FaultChanged(e.s.now)
-			e.check.FaultChanged(e.s.now, map[bool]int{true: 1, false: -1}[on])
+			f.Strike(sim.fleet.net, on)
+			sim.fleet.check.FaultChanged(sim.sched.now)
+			sim.check.FaultChanged(sim.sched.now, map[bool]int{true: 1, false: -1}[on])
 			if f.Link.Lose > 0 {
-				e.fleet.check.SetLossy(on)
+				sim.fleet.check.SetLossy(on)
 			}
 		}
 		strike(true)
 		later(func() { strike(false) })
 	case "list-late":
-		e.world.DelayList(f.Value)
-		later(func() { e.world.DelayList(0) })
+		sim.world.DelayList(f.Value)
+		later(func() { sim.world.DelayList(0) })
 	case "list-gone":
-		e.world.SetListUnavailable(true)
-		later(func() { e.world.SetListUnavailable(false) })
+		sim.world.SetListUnavailable(true)
+		later(func() { sim.world.SetListUnavailable(false) })
 	case "agent":
 		n, what := f.Target.Group, f.Target.Word
-		e.agents.strike(n, what)
-		later(func() { e.agents.strike(n, "") })
+		sim.agents.inject(n, what)
+		later(func() { sim.agents.inject(n, "") })
 	case "deregister-all":
-		e.world.DeregisterAll(true)
-		later(func() { e.world.DeregisterAll(false) })
+		sim.world.DeregisterAll(true)
+		later(func() { sim.world.DeregisterAll(false) })
 	case "wrong-roles":
-		e.world.SwapRoles(true)
-		later(func() { e.world.SwapRoles(false) })
+		sim.world.SwapRoles(true)
+		later(func() { sim.world.SwapRoles(false) })
 	case "limit":
-		e.change(f)
+		sim.changeLimit(f)
 	case "pay":
-		e.funds.pay(f)
+		sim.funds.pay(f)
 	case "kill-pooler":
-		p := e.poolers[f.Target.Group]
+		p := sim.poolers[f.Target.Group]
 		p.kill()
-		e.check.FaultChanged(e.s.now, 0)
-		later(func() { p.revive(); e.check.FaultChanged(e.s.now, 0) })
+		sim.check.FaultChanged(sim.sched.now, 0)
+		later(func() { p.revive(); sim.check.FaultChanged(sim.sched.now, 0) })
 	case "restart-pooler":
-		e.poolers[f.Target.Group].restart()
-		e.check.FaultChanged(e.s.now, 0)
+		sim.poolers[f.Target.Group].restart()
+		sim.check.FaultChanged(sim.sched.now, 0)
 	case "stall-pooler":
-		e.check.FaultChanged(e.s.now+f.For, 0)
-		p := e.poolers[f.Target.Group]
-		p.still = max(p.still, e.s.now+max(1, f.For))
-		e.check.Paused(e.s.now, p.no, p.still)
-		if e.fleet != nil {
-			e.fleet.check.Paused(e.s.now, p.no, p.still)
+		sim.check.FaultChanged(sim.sched.now+f.For, 0)
+		p := sim.poolers[f.Target.Group]
+		p.pausedUntil = max(p.pausedUntil, sim.sched.now+max(1, f.For))
+		sim.check.Paused(sim.sched.now, p.no, p.pausedUntil)
+		if sim.fleet != nil {
+			sim.fleet.check.Paused(sim.sched.now, p.no, p.pausedUntil)
 		}
 	case "cut", "thin":
-		servers := f.Target.Of(e.world)
-		f = f.AtProber(e.prober, servers)
-		e.ways.strike(f, servers, true)
-		later(func() { e.ways.strike(f, servers, false) })
+		servers := f.Target.Of(sim.world)
+		f = f.AtProber(sim.prober, servers)
+		sim.links.inject(f, servers, true)
+		later(func() { sim.links.inject(f, servers, false) })
 	case "list-held":
-		e.ways.holdAll(f.Poolers, true)
-		later(func() { e.ways.holdAll(f.Poolers, false) })
+		sim.links.holdLists(f.Poolers, true)
+		later(func() { sim.links.holdLists(f.Poolers, false) })
 	default:
 		begin, end := f.Acts()
-		for _, s := range f.Target.Of(e.world) {
-			_ = begin(e.world, s.Name) // the name is the model's own
-			later(func() { _ = end(e.world, s.Name) })
+		for _, s := range f.Target.Of(sim.world) {
+			_ = begin(sim.world, s.Name) // the name is the model's own
+			later(func() { _ = end(sim.world, s.Name) })
 		}
 	}
 }
@@ -99,36 +99,36 @@
 // revive starts a killed pooler again.
 func (p *pooler) revive() {
 	if !p.up {
-		p.known = p.e.world.List.Snapshot()
+		p.lastList = p.sim.world.List.Snapshot()
 		_ = p.start() // it was started from the same settings before
 	}
 }
 
 // restart has a pooler end in order and start again: it takes nothing new, and ends once nothing is open.
 func (p *pooler) restart() {
-	e, life := p.e, p.life
+	sim, life := p.sim, p.incarnation
 	if !p.up {
 		return
 	}
-	e.bad[p.no] = e.s.now + restartMost + restartAway
-	began := e.s.now
+	sim.avoidUntil[p.no] = sim.sched.now + maxRestartMs + restartDownMs
+	began := sim.sched.now
 	var look func()
 	if p.peer != nil {
-		p.whenRunning(p.life, func() { p.peer.do(view.SetDraining{Draining: true}) })
+		p.whenRunning(p.incarnation, func() { p.peer.handle(view.SetDraining{Draining: true}) })
 	}
 	look = func() {
-		if p.life != life {
+		if p.incarnation != life {
 			return
 		}
-		if len(p.visits)+e.paging.made(p) > 0 && e.s.now < began+restartMost || e.s.now < began+100 {
-			e.s.After(restartLook, model.Func(look), 0)
+		if len(p.clientAttempts)+sim.paging.openPages(p) > 0 && sim.sched.now < began+maxRestartMs || sim.sched.now < began+100 {
+			sim.sched.After(restartPollMs, model.Func(look), 0)
 			return
 		}
-		p.leave()
+		p.leaveFleet()
 		p.kill()
-		e.s.After(restartAway, model.Func(func() {
+		sim.sched.After(restartDownMs, model.Func(func() {
 			p.revive()
-			e.bad[p.no] = 0
+			sim.avoidUntil[p.no] = 0
 		}), 0)
 	}
 	look()
--- a/internal/testkit/simulation/verdicts.go
+++ b/internal/testkit/simulation/verdicts.go
@@ -5,22 +5,22 @@
 	"beechgrade/internal/cluster/outlier/adapter"
 )
 
-// Judged has poolers share what they know of servers.
-func Judged(opt adapter.Options) Joined {
+// WithOutlierDetection has poolers share what they know of servers.
+func WithOutlierDetection(opt adapter.Options) ModuleMaker {
 	return func(h Host) []module.Module {
 		c := h.x.p.core
-		if m := h.x.p.e.opt.Mutant; m != nil && m.Verdicts != nil {
-			m.Verdicts(h.x.p.no, &opt.Settings)
+		if m := h.x.p.sim.options.Mutant; m != nil && m.Outlier != nil {
+			m.Outlier(h.x.p.no, &opt.Settings)
 		}
 		j := adapter.New(opt, c, h)
-		j.CheckInvariants(h.x.p.e.checks, walkEach)
+		j.CheckInvariants(h.x.p.sim.checks, invariantInterval)
 		j.OnEjection(func(s module.AvoidedServer, begins bool) {
 			if begins {
-				h.x.p.e.heeded(s)
+				h.x.p.sim.recordEjection(s)
 			}
 		})
 		c.SetServerObserver(j)
-		h.x.judged = j
+		h.x.outliers = j
 		return []module.Module{j}
 	}
 }
--- a/internal/testkit/simulation/verdicts_test.go
+++ b/internal/testkit/simulation/verdicts_test.go
@@ -30,7 +30,7 @@
 // what they have of that one are caught.
 func TestVerdictMutants(t *testing.T) {
 	t.Parallel()
-	for i, m := range VerdictMutants() {
+	for i, m := range OutlierMutants() {
 		t.Run(m.Name, func(t *testing.T) {
 			text := []string{lateWords, toldOf, toldOf, seldomTold, another}[i]
 			says := func() func(int, module.Message) module.Message { // afresh for each play
@@ -38,10 +38,10 @@
 			}
 			caught := false
 			for seed := uint64(1); seed <= mutantSeeds && !caught; seed++ { // whether a server is asked at the moment that shows it is chance
-				if r := play(t, parse(t, text), Options{Seed: seed, Mutant: &Mutant{Says: says()}}); r.Verdict.Broken[m.Breaks] > 0 || r.Verdict.Checked[m.Breaks] < []uint64{3, 3, 3, 3, 1}[i] {
+				if r := play(t, parse(t, text), Options{Seed: seed, Mutant: &Mutant{Send: says()}}); r.Verdict.Broken[m.Breaks] > 0 || r.Verdict.Checked[m.Breaks] < []uint64{3, 3, 3, 3, 1}[i] {
 					t.Errorf("without, seed %d: %v of %v", seed, r.Verdict.Broken, r.Verdict.Checked)
 				}
-				m.Says = says()
+				m.Send = says()
 				caught = play(t, parse(t, text), Options{Seed: seed, Mutant: &m}).Verdict.Broken[m.Breaks] > 0
 			}
 			if !caught {
--- a/internal/testkit/simulation/visit.go
+++ b/internal/testkit/simulation/visit.go
@@ -11,127 +11,127 @@
 	"beechgrade/internal/testkit/clients"
 )
 
-// drawer draws the clients' asks, each at its time.
-type drawer struct{ e *Emulation }
+// requestSource draws the clients' asks, each at its time.
+type requestSource struct{ sim *Simulation }
 
 // Fire is world.Event's.
-func (d drawer) Fire(uint64) {
-	e := d.e
-	a, ok := e.plan.Next()
+func (d requestSource) Fire(uint64) {
+	sim := d.sim
+	a, ok := sim.plan.Next()
 	if !ok {
-		e.drawn = true
+		sim.allDrawn = true
 		return
 	}
-	e.open++
-	e.asked++
-	x := &ask{e: e, Ask: a}
-	e.s.at(max(e.s.now, startMs+a.At), x, 0)
-	e.s.at(startMs+e.plan.Drawn(), d, 0)
+	sim.openRequests++
+	sim.requests++
+	x := &clientRequest{sim: sim, Ask: a}
+	sim.sched.at(max(sim.sched.now, startMs+a.At), x, 0)
+	sim.sched.at(startMs+sim.plan.Drawn(), d, 0)
 }
 
-// ask is what a client asks, with its retries.
-type ask struct {
+// clientRequest is what a client asks, with its retries.
+type clientRequest struct {
 	clients.Ask
-	e     *Emulation
+	sim   *Simulation
 	no    int
 	first float64
 }
 
 // Fire makes the next try.
-func (a *ask) Fire(uint64) {
-	e := a.e
-	v := &visit{e: e, ask: a, class: &e.script.Clients.Classes[a.Class], no: a.no, id: uint64(a.No)<<8 | uint64(a.no), sent: e.s.now}
+func (a *clientRequest) Fire(uint64) {
+	sim := a.sim
+	v := &clientAttempt{sim: sim, request: a, class: &sim.script.Clients.Classes[a.Class], number: a.no, id: uint64(a.No)<<8 | uint64(a.no), sentAt: sim.sched.now}
 	v.name = strconv.FormatUint(v.id, 16)
-	e.tries++
+	sim.clientAttempts++
 	if a.first == 0 {
-		a.first = e.s.now
+		a.first = sim.sched.now
 	}
 	if v.class.Read == clients.Write {
-		v.wrote = e.sessions.Write(&a.Ask, v.class)
-		v.value = clients.Value(a.Key, v.wrote)
+		v.version = sim.sessions.Write(&a.Ask, v.class)
+		v.value = clients.Value(a.Key, v.version)
 	}
 	if v.class.Read == clients.ReadSession {
-		v.after = math.Ceil(e.sessions.Committed(a.Key))
+		v.minPosition = math.Ceil(sim.sessions.Committed(a.Key))
 	}
-	v.connect(e.home(a), 0)
+	v.connect(sim.homePooler(a), 0)
 }
 
-// home is the pooler that a session's requests go to, unless it roams.
-func (e *Emulation) home(a *ask) int {
-	return e.script.Clients.Home(&a.Ask, len(e.poolers))
+// homePooler is the pooler that a session's requests go to, unless it roams.
+func (sim *Simulation) homePooler(a *clientRequest) int {
+	return sim.script.Clients.Home(&a.Ask, len(sim.poolers))
 }
 
-// visit is one try of a client at a pooler. It is platform.Client and the attempts' backend.Query.
-type visit struct {
-	e      *Emulation
-	ask    *ask
-	class  *clients.Class
-	p      *pooler
-	life   uint32
-	ref    slotmap.Ref
-	no     int
-	id     uint64
-	name   string
-	value  []byte // that a write writes
-	wrote  uint64
-	after  float64
-	sent   float64
-	asked  bool // core has it
-	done   bool // its answer is on its way, or it is over
-	over   bool
-	kind   clients.Kind
-	wait   float64
-	answer []byte
-	extra  bool
-	late   bool
-	shard  *shardRead // of a page whose shard's read this is, nil for a client's try
+// clientAttempt is one try of a client at a pooler. It is platform.Client and the attempts' backend.Query.
+type clientAttempt struct {
+	sim         *Simulation
+	request     *clientRequest
+	class       *clients.Class
+	pooler      *pooler
+	incarnation uint32
+	ref         slotmap.Ref
+	number      int
+	id          uint64
+	name        string
+	value       []byte // that a write writes
+	version     uint64
+	minPosition float64
+	sentAt      float64
+	submitted   bool // core has it
+	answered    bool // its answer is on its way, or it is over
+	ended       bool
+	kind        clients.Kind
+	retryMs     float64
+	answer      []byte
+	extra       bool
+	late        bool
+	shard       *shardRead // of a page whose shard's read this is, nil for a client's try
 
-	sentOnce bool // an attempt of it was sent
-	taken    int  // attempts that servers took
+	sentOnce         bool // an attempt of it was sent
+	acceptedAttempts int  // attempts that servers took
 
-	worked float64 // ms that a core had for it
+	workedMs float64 // ms that a core had for it
 }
 
 // What a visit's event is.
 const (
-	visitArrives = iota + 1
-	visitAnswered
-	visitBroken
-	visitPatience // its client gives up, and listens on for a while
-	visitSilent   // ...and no longer
-	visitElsewhere
+	requestArrives = iota + 1
+	answerArrives
+	connectionBreaks
+	patienceEnds // its client gives up, and listens on for a while
+	clientLeaves // ...and no longer
+	clientRetriesElsewhere
 )
 
-const frontMs = 500 // the front notices so late that a pooler is gone
+const frontNoticesMs = 500 // the front notices so late that a pooler is gone
 
 // connect finds a pooler that is not known to be gone.
-func (v *visit) connect(home, tried int) {
-	e := v.e
-	for ; tried < len(e.poolers); tried++ {
-		n := (home + tried) % len(e.poolers)
-		if k := len(e.script.Sites); e.script.Near && k > 0 { // its own site's first
-			n = e.nearest(home, tried, k)
+func (v *clientAttempt) connect(home, tried int) {
+	sim := v.sim
+	for ; tried < len(sim.poolers); tried++ {
+		n := (home + tried) % len(sim.poolers)
+		if k := len(sim.script.Sites); sim.script.Near && k > 0 { // its own site's first
+			n = sim.nearest(home, tried, k)
 		}
-		if e.s.now < e.bad[n] {
+		if sim.sched.now < sim.avoidUntil[n] {
 			continue
 		}
-		p := e.poolers[n]
+		p := sim.poolers[n]
 		if !p.up { // refused at once
-			e.bad[n] = e.s.now + frontMs
-			e.s.After(e.way()+e.way(), v, uint64(visitElsewhere)|uint64(home)<<8|uint64(tried+1)<<32)
+			sim.avoidUntil[n] = sim.sched.now + frontNoticesMs
+			sim.sched.After(sim.linkDelay()+sim.linkDelay(), v, uint64(clientRetriesElsewhere)|uint64(home)<<8|uint64(tried+1)<<32)
 			return
 		}
-		v.p, v.life = p, p.life
-		e.s.After(e.way(), v, visitArrives)
-		e.s.at(v.sent+v.ask.Patience, v, visitPatience)
+		v.pooler, v.incarnation = p, p.incarnation
+		sim.sched.After(sim.linkDelay(), v, requestArrives)
+		sim.sched.at(v.sentAt+v.request.Patience, v, patienceEnds)
 		return
 	}
 	v.finish(clients.Unmade)
 }
 
 // nearest is the pooler that is tried as the tried-th: first those of the home's own site.
-func (e *Emulation) nearest(home, tried, sites int) int {
-	all := len(e.poolers)
+func (sim *Simulation) nearest(home, tried, sites int) int {
+	all := len(sim.poolers)
 	own := (all - home%sites + sites - 1) / sites
 	if tried < own {
 		return (home/sites+tried)%own*sites + home%sites
@@ -149,149 +149,149 @@
 }
 
 // Fire is world.Event's.
-func (v *visit) Fire(arg uint64) {
-	e := v.e
+func (v *clientAttempt) Fire(arg uint64) {
+	sim := v.sim
 	switch what := arg & 0xff; what {
-	case visitElsewhere:
+	case clientRetriesElsewhere:
 		v.connect(int(arg>>8&0xffffff), int(arg>>32))
-	case visitArrives:
-		if v.p.life != v.life || !v.p.up {
-			e.s.After(e.way(), v, visitBroken)
+	case requestArrives:
+		if v.pooler.incarnation != v.incarnation || !v.pooler.up {
+			sim.sched.After(sim.linkDelay(), v, connectionBreaks)
 			return
 		}
-		v.p.visits[v] = true
-		left := max(1, math.Floor(v.sent+v.ask.Patience-e.s.now))
-		due := e.s.now + left
-		e.check.Received(e.s.now, v.id, v.ask.Class, v.p.no, due, v.after)
-		if e.black != nil {
-			e.black.RequestReceived(v.ask.Group)
+		v.pooler.clientAttempts[v] = true
+		left := max(1, math.Floor(v.sentAt+v.request.Patience-sim.sched.now))
+		due := sim.sched.now + left
+		sim.check.Received(sim.sched.now, v.id, v.request.Class, v.pooler.no, due, v.minPosition)
+		if sim.blackouts != nil {
+			sim.blackouts.RequestReceived(v.request.Group)
 		}
 		if v.class.KeyMs > 0 {
-			e.check.Keyed(v.id, v.ask.Tag)
+			sim.check.Keyed(v.id, v.request.Tag)
 		}
-		e.check.LoadReceived(e.s.now, v.id, v.ask.Class, v.ask.Group, e.script.Clients.TenantOf(&v.ask.Ask), v.no > 0)
-		if e.script.Limits != nil {
-			e.check.Tenant(e.s.now, v.id, e.script.Clients.TenantOf(&v.ask.Ask))
+		sim.check.LoadReceived(sim.sched.now, v.id, v.request.Class, v.request.Group, sim.script.Clients.TenantOf(&v.request.Ask), v.number > 0)
+		if sim.script.Limits != nil {
+			sim.check.Tenant(sim.sched.now, v.id, sim.script.Clients.TenantOf(&v.request.Ask))
 		}
-		v.p.whenRunning(v.life, func() { v.file(due) })
-	case visitAnswered:
-		if v.over {
+		v.pooler.whenRunning(v.incarnation, func() { v.submit(due) })
+	case answerArrives:
+		if v.ended {
 			return
 		}
 		kind := string(v.kind)
-		e.check.Answered(e.s.now, v.id, kind, v.kind == clients.Served, hashOf(v.answer))
+		sim.check.Answered(sim.sched.now, v.id, kind, v.kind == clients.Served, hashOf(v.answer))
 		v.finish(v.kind)
-	case visitBroken:
-		if !v.over {
+	case connectionBreaks:
+		if !v.ended {
 			v.finish(clients.Broken)
 		}
-	case visitPatience:
-		if !v.over {
+	case patienceEnds:
+		if !v.ended {
 			v.late = true
-			e.s.After(e.script.Clients.LateAfter, v, visitSilent)
+			sim.sched.After(sim.script.Clients.LateAfter, v, clientLeaves)
 		}
-	case visitSilent:
-		if !v.over {
-			e.check.Abandoned(e.s.now, v.id, "its client closed its connection, long after its time")
-			if v.asked && v.p.life == v.life && !v.done {
-				v.done = true
-				v.p.core.Abandon(v.ref)
+	case clientLeaves:
+		if !v.ended {
+			sim.check.Abandoned(sim.sched.now, v.id, "its client closed its connection, long after its time")
+			if v.submitted && v.pooler.incarnation == v.incarnation && !v.answered {
+				v.answered = true
+				v.pooler.core.Abandon(v.ref)
 			}
 			v.finish(clients.Silent)
 		}
 	}
 }
 
-// file puts the request to the pooler's core.
-func (v *visit) file(due float64) {
-	a := v.ask
-	q := platform.Request{ID: v.name, Class: v.class.Name, Group: a.Group, Session: a.Key, Deadline: due, MinPosition: v.after, IsRetry: v.no > 0,
-		Writes: v.class.Read == clients.Write && !v.e.script.Clients.House, Query: v, Tenant: v.e.script.Clients.TenantOf(&a.Ask)}
+// submit puts the request to the pooler's core.
+func (v *clientAttempt) submit(due float64) {
+	a := v.request
+	q := platform.Request{ID: v.name, Class: v.class.Name, Group: a.Group, Session: a.Key, Deadline: due, MinPosition: v.minPosition, IsRetry: v.number > 0,
+		Writes: v.class.Read == clients.Write && !v.sim.script.Clients.House, Query: v, Tenant: v.sim.script.Clients.TenantOf(&a.Ask)}
 	if v.class.KeyMs > 0 {
 		q.IdempotencyKey = a.Idem()
 	}
-	ref, err := v.p.core.Submit(q, v)
+	ref, err := v.pooler.core.Submit(q, v)
 	if err != nil {
 		v.Failed()
 		return
 	}
-	v.ref, v.asked = ref, true
+	v.ref, v.submitted = ref, true
 }
 
 // AppendQuery is backend.Query's; the model takes no text.
-func (v *visit) AppendQuery(dst []byte, _ int) []byte { return dst }
+func (v *clientAttempt) AppendQuery(dst []byte, _ int) []byte { return dst }
 
 // Served is platform.Client's.
-func (v *visit) Served(answer []byte) {
+func (v *clientAttempt) Served(answer []byte) {
 	v.answer = append([]byte(nil), answer...)
-	v.say(clients.Served, 0)
+	v.finishWith(clients.Served, 0)
 }
 
 // Rejected is platform.Client's.
-func (v *visit) Rejected(retryMs float64) { v.say(clients.Refused, retryMs) }
+func (v *clientAttempt) Rejected(retryMs float64) { v.finishWith(clients.Refused, retryMs) }
 
 // Failed is platform.Client's.
-func (v *visit) Failed() { v.say(clients.Failed, 0) }
+func (v *clientAttempt) Failed() { v.finishWith(clients.Failed, 0) }
 
-func (v *visit) say(kind clients.Kind, wait float64) {
-	e := v.e
-	if m := e.opt.Mutant; m != nil && m.Answer != nil && !m.Answer(e, v, kind) {
+func (v *clientAttempt) finishWith(kind clients.Kind, wait float64) {
+	sim := v.sim
+	if m := sim.options.Mutant; m != nil && m.Answer != nil && !m.Answer(sim, v, kind) {
 		return
 	}
-	v.done = true
-	delete(v.p.visits, v)
-	v.kind, v.wait = kind, wait
-	e.s.After(e.way(), v, visitAnswered)
+	v.answered = true
+	delete(v.pooler.clientAttempts, v)
+	v.kind, v.retryMs = kind, wait
+	sim.sched.After(sim.linkDelay(), v, answerArrives)
 }
 
 // finish ends a try, and has the client try again where it would.
-func (v *visit) finish(kind clients.Kind) {
-	e, a := v.e, v.ask
-	v.over = true
-	if v.p != nil {
-		delete(v.p.visits, v)
+func (v *clientAttempt) finish(kind clients.Kind) {
+	sim, a := v.sim, v.request
+	v.ended = true
+	if v.pooler != nil {
+		delete(v.pooler.clientAttempts, v)
 	}
-	t := &clients.Try{Ask: &a.Ask, Class: v.class, No: v.no, ID: v.name, Pooler: -1, First: a.first, Sent: v.sent, Ended: e.s.now, Kind: kind, Late: v.late,
-		Extra: v.extra, Value: v.answer, Wrote: v.wrote, After: v.after}
-	if v.p != nil {
-		t.Pooler = v.p.no
+	t := &clients.Try{Ask: &a.Ask, Class: v.class, No: v.number, ID: v.name, Pooler: -1, First: a.first, Sent: v.sentAt, Ended: sim.sched.now, Kind: kind, Late: v.late,
+		Extra: v.extra, Value: v.answer, Wrote: v.version, After: v.minPosition}
+	if v.pooler != nil {
+		t.Pooler = v.pooler.no
 	}
 	if kind == clients.Served {
-		e.sessions.Served(t)
-		e.times.add(t.Ended - a.first)
+		sim.sessions.Served(t)
+		sim.times.add(t.Ended - a.first)
 	}
-	e.s.mix(v.id, uint64(len(kind))<<32|uint64(t.Pooler+1))
-	e.keeper.Tried(t)
-	e.spends.ended(v, t)
-	if e.funds != nil {
-		e.funds.tried(t)
+	sim.sched.mix(v.id, uint64(len(kind))<<32|uint64(t.Pooler+1))
+	sim.scores.Tried(t)
+	sim.coreTime.ended(v, t)
+	if sim.funds != nil {
+		sim.funds.attemptEnded(t)
 	}
-	if e.opt.OnAttemptEnded != nil {
-		t.Tenant = e.script.Clients.TenantOf(&a.Ask)
-		e.opt.OnAttemptEnded(t)
+	if sim.options.OnAttemptEnded != nil {
+		t.Tenant = sim.script.Clients.TenantOf(&a.Ask)
+		sim.options.OnAttemptEnded(t)
 	}
-	if kind == clients.Served || v.no == len(a.Waits) {
+	if kind == clients.Served || v.number == len(a.Waits) {
 		if kind != clients.Served {
-			e.lost[string(kind)] += v.class.Worth
+			sim.lostWeight[string(kind)] += v.class.Worth
 		} else if t.Ended-a.first > v.class.Aim {
-			e.lost["late"] += v.class.Worth * (1 - v.class.LateWorth)
+			sim.lostWeight["late"] += v.class.Worth * (1 - v.class.LateWorth)
 		}
-		e.open--
+		sim.openRequests--
 		return
 	}
 	a.no++
-	wait := v.wait
+	wait := v.retryMs
 	if kind != clients.Refused || wait <= 0 {
-		wait = a.Waits[v.no]
+		wait = a.Waits[v.number]
 	}
-	e.s.After(wait, a, 0)
+	sim.sched.After(wait, a, 0)
 }
 
-// timesOf holds how long answers took.
-type timesOf struct{ h *hdrhistogram.Histogram }
+// latencies holds how long answers took.
+type latencies struct{ h *hdrhistogram.Histogram }
 
-func newTimes() *timesOf { return &timesOf{hdrhistogram.New(1, 600_000_000, 2)} }
+func newLatencies() *latencies { return &latencies{hdrhistogram.New(1, 600_000_000, 2)} }
 
-func (t *timesOf) add(ms float64) { _ = t.h.RecordValue(int64(min(max(1, ms*1000), 600_000_000))) }
+func (t *latencies) add(ms float64) { _ = t.h.RecordValue(int64(min(max(1, ms*1000), 600_000_000))) }
 
-func (t *timesOf) quantile(q float64) float64 { return float64(t.h.ValueAtQuantile(q)) / 1000 }
+func (t *latencies) quantile(q float64) float64 { return float64(t.h.ValueAtQuantile(q)) / 1000 }
--- a/internal/testkit/simulation/ways.go
+++ b/internal/testkit/simulation/ways.go
@@ -7,21 +7,21 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// ways are what befalls those from poolers to servers, and from the list to poolers. They outlive processes.
-type ways struct {
-	servers int
-	cut     []int       // faults in force, by pooler*servers+server
-	thin    [][]float64 // parts that are lost, likewise
-	held    []int       // by pooler
-	waits   [][]func()  // lists that it is yet to be told
+// linkFaults are what befalls those from poolers to servers, and from the list to poolers. They outlive processes.
+type linkFaults struct {
+	servers      int
+	cut          []int       // faults in force, by pooler*servers+server
+	lossy        [][]float64 // parts that are lost, likewise
+	listsHeld    []int       // by pooler
+	pendingLists [][]func()  // lists that it is yet to be told
 }
 
-func newWays(poolers, servers int) *ways {
-	return &ways{servers: servers, cut: make([]int, poolers*servers), thin: make([][]float64, poolers*servers), held: make([]int, poolers), waits: make([][]func(), poolers)}
+func newLinkFaults(poolers, servers int) *linkFaults {
+	return &linkFaults{servers: servers, cut: make([]int, poolers*servers), lossy: make([][]float64, poolers*servers), listsHeld: make([]int, poolers), pendingLists: make([][]func(), poolers)}
 }
 
-// strike has a fault of ways strike, or end.
-func (w *ways) strike(f *scenario.Fault, servers []*model.Server, on bool) {
+// inject has a fault of ways strike, or end.
+func (w *linkFaults) inject(f *scenario.Fault, servers []*model.Server, on bool) {
 	for _, p := range f.Poolers {
 		for _, s := range servers {
 			k := p*w.servers + s.No
@@ -31,29 +31,32 @@
 			case f.What == "cut":
 				w.cut[k]--
 			case on:
-				w.thin[k] = append(w.thin[k], f.Value)
+				w.lossy[k] = append(w.lossy[k], f.Value)
 			default:
-				if i := slices.Index(w.thin[k], f.Value); i >= 0 {
-					w.thin[k] = slices.Delete(w.thin[k], i, i+1)
+				if i := slices.Index(w.lossy[k], f.Value); i >= 0 {
+					w.lossy[k] = slices.Delete(w.lossy[k], i, i+1)
 				}
 			}
 		}
 	}
 }
 
-// good tells whether nothing befalls the way from a pooler to a server.
-func (w *ways) good(p, s int) bool { k := p*w.servers + s; return w.cut[k] == 0 && len(w.thin[k]) == 0 }
+// healthy tells whether nothing befalls the way from a pooler to a server.
+func (w *linkFaults) healthy(p, s int) bool {
+	k := p*w.servers + s
+	return w.cut[k] == 0 && len(w.lossy[k]) == 0
+}
 
-// holdAll has the list tell some poolers nothing, or all that it has not told them.
-func (w *ways) holdAll(poolers []int, on bool) {
+// holdLists has the list tell some poolers nothing, or all that it has not told them.
+func (w *linkFaults) holdLists(poolers []int, on bool) {
 	for _, p := range poolers {
 		if on {
-			w.held[p]++
+			w.listsHeld[p]++
 			continue
 		}
-		if w.held[p]--; w.held[p] == 0 {
-			waits := w.waits[p]
-			w.waits[p] = nil
+		if w.listsHeld[p]--; w.listsHeld[p] == 0 {
+			waits := w.pendingLists[p]
+			w.pendingLists[p] = nil
 			for _, tell := range waits {
 				tell()
 			}
@@ -61,24 +64,24 @@
 	}
 }
 
-// hold keeps what the list would tell a pooler until it may.
-func (w *ways) hold(p int, tell func()) bool {
-	if w.held[p] == 0 {
+// holdList keeps what the list would tell a pooler until it may.
+func (w *linkFaults) holdList(p int, tell func()) bool {
+	if w.listsHeld[p] == 0 {
 		return false
 	}
-	w.waits[p] = append(w.waits[p], tell)
+	w.pendingLists[p] = append(w.pendingLists[p], tell)
 	return true
 }
 
 // cut tells whether nothing gets from this pooler to a server.
 func (p *pooler) cut(s *model.Server) bool {
-	return p.e.ways.cut[p.no*p.e.ways.servers+s.No] > 0 || p.e.apart(p, s)
+	return p.sim.links.cut[p.no*p.sim.links.servers+s.No] > 0 || p.sim.sitesCut(p, s)
 }
 
-// loses draws whether what it sends to a server is lost on a thin way.
-func (p *pooler) loses(s *model.Server) bool {
-	for _, part := range p.e.ways.thin[p.no*p.e.ways.servers+s.No] {
-		if p.e.rng.Float64() < part {
+// dropsRequest draws whether what it sends to a server is lost on a thin way.
+func (p *pooler) dropsRequest(s *model.Server) bool {
+	for _, part := range p.sim.links.lossy[p.no*p.sim.links.servers+s.No] {
+		if p.sim.rng.Float64() < part {
 			return true
 		}
 	}
--- a/internal/testkit/simulation/zones_figures_test.go
+++ b/internal/testkit/simulation/zones_figures_test.go
@@ -45,28 +45,28 @@
 					for _, how := range hows {
 						s := parse(t, fmt.Sprintf(`(rehearsal "zones" (peers) (near yes) (pushed yes) (cross-price 0.01) (cold 10s) (retries 1) %s (rate %s) (seconds 60) %s)`, fleet, rate, f.text))
 						opt := Options{Seed: seed + 1}
-						var z *Zoned
+						var z *ZonePlanning
 						switch how {
 						case "on", "on-cheap":
-							z = &Zoned{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: zones.Defaults(), KeepMs: 1}
+							z = &ZonePlanning{Log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Settings: zones.Defaults(), PersistMs: 1}
 							if how == "on-cheap" {
-								z.Set.CrossingPrice = 0.01
+								z.Settings.CrossingPrice = 0.01
 							}
-							opt.Parts = []Joined{z.Join}
+							opt.Modules = []ModuleMaker{z.Join}
 						case "oracle", "oracle-cheap":
-							o := &ZoneOracle{Plan: zones.Defaults().Planner.Plan, Price: zones.Defaults().CrossingPrice, EachMs: 250, Lossy: 0.05}
+							o := &ZoneOracle{Plan: zones.Defaults().Planner.Plan, CrossingPrice: zones.Defaults().CrossingPrice, IntervalMs: 250, MaxLossRate: 0.05}
 							if how == "oracle-cheap" {
-								o.Price = 0.01
+								o.CrossingPrice = 0.01
 							}
-							opt.Parts = []Joined{o.Join}
+							opt.Modules = []ModuleMaker{o.Join}
 						}
 						r := play(t, s, opt)
-						fmt.Printf("%s %s %d %s %.4f %.3f %.0f s\n", f.name, rate, seed+1, how, r.Score.Ratio, float64(r.Far)/float64(max(1, r.Reads)), r.WallMs/1000)
+						fmt.Printf("%s %s %d %s %.4f %.3f %.0f s\n", f.name, rate, seed+1, how, r.Score.Ratio, float64(r.RemoteReads)/float64(max(1, r.Reads)), r.WallMs/1000)
 						least := 1.0
 						for _, c := range r.Score.Classes {
 							least = min(least, c.Ratio)
 						}
-						fmt.Fprintf(&out, "\n%-10s %s seed %d %-12s service %.4f worst %.4f class %.4f goal %.4f cross %.3f", f.name, rate, seed+1, how, r.Score.Ratio, r.Score.Worst, least, r.Score.Goal, float64(r.Far)/float64(max(1, r.Reads)))
+						fmt.Fprintf(&out, "\n%-10s %s seed %d %-12s service %.4f worst %.4f class %.4f goal %.4f cross %.3f", f.name, rate, seed+1, how, r.Score.Ratio, r.Score.Worst, least, r.Score.Goal, float64(r.RemoteReads)/float64(max(1, r.Reads)))
 					}
 				}
 				t.Log(out.String())
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -16,74 +16,74 @@
 // ZoneOracle shares reads by the planner that poolers have, of what is truly so and at once: who is alive, what servers can do, what they lose and which
 // ways are cut. It is what plans are held against, and no pooler could be it.
 type ZoneOracle struct {
-	Plan   plan.Settings // but for classes and delays
-	Price  float64       // of crossing
-	EachMs float64
-	Lossy  float64 // a zone of which servers lose more than that is left
+	Plan          plan.Settings // but for classes and delays
+	CrossingPrice float64       // of crossing
+	IntervalMs    float64
+	MaxLossRate   float64 // a zone of which servers lose more than that is left
 
 	Shifts int
 
-	e      *Emulation
-	counts [][][]float64 // by group, class and zone: requests a second
-	asked  [][][]float64 // since the last step
-	stands map[int]int   // by pooler: the zone that it took for near
+	sim      *Simulation
+	counts   [][][]float64 // by group, class and zone: requests a second
+	received [][][]float64 // since the last step
+	zoneOf   map[int]int   // by pooler: the zone that it took for near
 }
 
-// loadMs is over how long the oracle's loads are smoothed: arrivals are drawn, and it knows no rate.
-const loadMs = 4000
+// loadSmoothingMs is over how long the oracle's loads are smoothed: arrivals are drawn, and it knows no rate.
+const loadSmoothingMs = 4000
 
 // Join is Options.Parts'.
 func (o *ZoneOracle) Join(h Host) []module.Module {
 	p := h.x.p
-	if o.e == nil {
-		o.e, o.stands = p.e, map[int]int{}
-		for range p.e.world.Groups {
-			o.counts, o.asked = append(o.counts, o.table()), append(o.asked, o.table())
+	if o.sim == nil {
+		o.sim, o.zoneOf = p.sim, map[int]int{}
+		for range p.sim.world.Groups {
+			o.counts, o.received = append(o.counts, o.table()), append(o.received, o.table())
 		}
-		p.e.s.After(o.EachMs, model.Func(o.step), 0)
+		p.sim.sched.After(o.IntervalMs, model.Func(o.step), 0)
 	}
-	delete(o.stands, p.no)
-	p.core.SetZoneObserver(oracleEar{o, p.no % len(p.e.script.Sites)})
+	delete(o.zoneOf, p.no)
+	p.core.SetZoneObserver(oracleObserver{o, p.no % len(p.sim.script.Sites)})
 	return nil
 }
 
 func (o *ZoneOracle) table() (t [][]float64) {
-	for range o.e.script.Clients.Classes {
-		t = append(t, make([]float64, len(o.e.script.Sites)))
+	for range o.sim.script.Clients.Classes {
+		t = append(t, make([]float64, len(o.sim.script.Sites)))
 	}
 	return t
 }
 
-// oracleEar is core.Geography's.
-type oracleEar struct {
+// oracleObserver is core.Geography's.
+type oracleObserver struct {
 	o    *ZoneOracle
 	zone int
 }
 
-func (x oracleEar) Listed(*discovery.List, bool)                           {}
-func (x oracleEar) AttemptEnded(string, int, decide.Result, float64, bool) {}
-func (x oracleEar) HealthChecked(string, bool)                             {}
-func (x oracleEar) Received(group, class int)                              { x.o.asked[group][class][x.zone]++ }
-func meanWork(c *clients.Class) float64                                    { return (c.Work[0] + c.Work[1]) / 2 }
-func movable(c *clients.Class) bool                                        { return c.Read != clients.Write }
+func (x oracleObserver) Listed(*discovery.List, bool)                           {}
+func (x oracleObserver) AttemptEnded(string, int, decide.Result, float64, bool) {}
+func (x oracleObserver) HealthChecked(string, bool)                             {}
+func (x oracleObserver) Received(group, class int)                              { x.o.received[group][class][x.zone]++ }
+func meanWork(c *clients.Class) float64                                         { return (c.Work[0] + c.Work[1]) / 2 }
+func movable(c *clients.Class) bool                                             { return c.Read != clients.Write }
 func (o *ZoneOracle) smooth(was, count float64) float64 {
-	fade := math.Exp(-o.EachMs / loadMs)
-	return was*fade + count*1000/o.EachMs*(1-fade)
+	fade := math.Exp(-o.IntervalMs / loadSmoothingMs)
+	return was*fade + count*1000/o.IntervalMs*(1-fade)
 }
 
 // step looks at the world and has each pooler stand where the plan has it.
 func (o *ZoneOracle) step() {
-	e, sites := o.e, len(o.e.script.Sites)
+	sim, sites := o.sim, len(o.sim.script.Sites)
 	set := o.Plan
-	set.Delay = e.script.Delays()
+	set.Delay = sim.script.Delays()
 	for a := range sites {
 		for b := range sites {
-			if a != b && e.routes != nil && (e.routes.Cut(a, b) || e.routes.Cut(b, a)) {
+			if a != b && sim.siteLinks != nil && (sim.siteLinks.Cut(a, b) || sim.siteLinks.Cut(b, a)) {
 				set.Delay[a][b] = math.Inf(1)
 			}
 		}
 	}
-	classes := e.script.Clients.Classes
+	classes := sim.script.Clients.Classes
 	for i := range classes {
 		c := plan.Class{Priority: classes[i].Worth, MaxRoundTrip: classes[i].Aim}
 		if classes[i].Read == clients.ReadBounded {
@@ -93,21 +93,21 @@
 	}
 	var groups []plan.Group
 	var answers []plan.Solution
-	for k, g := range e.world.Groups {
+	for k, g := range sim.world.Groups {
 		x := plan.Group{Capacities: make([]plan.Capacity, sites)}
 		members, lossy := make([]float64, sites), make([]float64, sites)
 		for _, s := range g.Members {
 			z := s.SiteNo()
-			part, loses := s.EffectiveCapacity(e.s.now)
-			x.Capacities[z].Cores += part * float64(e.script.Fleet.Cores)
-			if members[z]++; loses > o.Lossy {
+			part, lossRate := s.EffectiveCapacity(sim.sched.now)
+			x.Capacities[z].Cores += part * float64(sim.script.Fleet.Cores)
+			if members[z]++; lossRate > o.MaxLossRate {
 				lossy[z]++
 			}
 		}
 		for c := range classes {
 			for z := range sites {
-				o.counts[k][c][z] = o.smooth(o.counts[k][c][z], o.asked[k][c][z])
-				o.asked[k][c][z] = 0
+				o.counts[k][c][z] = o.smooth(o.counts[k][c][z], o.received[k][c][z])
+				o.received[k][c][z] = 0
 				load := o.counts[k][c][z] * meanWork(&classes[c]) / 1000
 				if movable(&classes[c]) {
 					x.Flows = append(x.Flows, plan.Flow{Class: c, Zone: z, Load: load})
@@ -117,15 +117,15 @@
 			}
 		}
 		for z := range x.Capacities {
-			well := members[z] > 0 && lossy[z]*2 < members[z]
-			x.Capacities[z].ServesNear, x.Capacities[z].ServesRemote = well, well
+			healthy := members[z] > 0 && lossy[z]*2 < members[z]
+			x.Capacities[z].ServesNear, x.Capacities[z].ServesRemote = healthy, healthy
 		}
 		groups = append(groups, x)
 		answers = append(answers, set.Solve(&x))
 	}
 	m, _ := set.Fold(groups, answers)
 	at := make([][]*pooler, sites)
-	for _, p := range e.poolers {
+	for _, p := range sim.poolers {
 		if p.up {
 			at[p.no%sites] = append(at[p.no%sites], p)
 		}
@@ -139,12 +139,12 @@
 		slices.SortFunc(at[z], func(a, b *pooler) int { return a.no - b.no })
 		for rank, p := range at[z] {
 			home := follower.TargetZone(m[z], z, rank, len(at[z]))
-			if was, stood := o.stands[p.no]; stood && was != home {
+			if was, stood := o.zoneOf[p.no]; stood && was != home {
 				o.Shifts++
 			}
-			o.stands[p.no] = home
-			p.core.SetZone(e.script.Sites[home], o.Price)
+			o.zoneOf[p.no] = home
+			p.core.SetZone(sim.script.Sites[home], o.CrossingPrice)
 		}
 	}
-	e.s.After(o.EachMs, model.Func(o.step), 0)
+	sim.sched.After(o.IntervalMs, model.Func(o.step), 0)
 }
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -19,7 +19,7 @@
 
 // zonedPlay is a play with zones decided together, and what is held against it.
 type zonedPlay struct {
-	*Zoned
+	*ZonePlanning
 	*Result
 	rules *checker.ZoneChecker
 	far   float64 // of the reads that any member may serve at any age, in calm
@@ -37,7 +37,7 @@
 func zoned(t *testing.T, seed uint64, on bool, script string, changes []float64, mutate func(*zones.Settings, *Options)) *zonedPlay {
 	t.Helper()
 	s := parse(t, fmt.Sprintf(`(rehearsal "zones" (peers) (near yes) (pushed yes) (cross-price 0.01) (cold 10s) (retries 1) %s)`, script))
-	z := &zonedPlay{Zoned: &Zoned{Log: &CommonLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Set: zones.Defaults(), KeepMs: 1}}
+	z := &zonedPlay{ZonePlanning: &ZonePlanning{Log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Settings: zones.Defaults(), PersistMs: 1}}
 	z.rules = checker.NewZoneChecker(0.9, 15000, 0.02)
 	z.rules.FaultChanged(0)
 	for i := 0; i+1 < len(changes); i += 2 {
@@ -45,7 +45,7 @@
 	}
 	opt := Options{Seed: seed}
 	if mutate != nil {
-		mutate(&z.Set, &opt)
+		mutate(&z.Settings, &opt)
 	}
 	type ask struct{ at, work float64 }
 	asked := make([][]ask, len(s.Sites)) // of the last seconds
@@ -57,7 +57,7 @@
 			asked[site] = append(asked[site], ask{x.Ended, (x.Class.Work[0] + x.Class.Work[1]) / 2})
 		}
 	}
-	opt.Read = func(at float64, c *clients.Class, _ int, _ float64, far bool) {
+	opt.OnRead = func(at float64, c *clients.Class, _ int, _ float64, far bool) {
 		if c.Read == clients.ReadAny {
 			z.rules.ReadSent(at-startMs, far)
 		}
@@ -88,7 +88,7 @@
 			z.rules.CheckPlan(at-startMs, plan.Number, plan.Matrix, loads, z.Cores(1))
 		}
 	}
-	z.Told = func(p int, _ uint64) {
+	z.OnPlanStored = func(p int, _ uint64) {
 		_, plan := z.Of(p).Status()
 		if plan == nil {
 			return // a newer one was heard meanwhile
@@ -100,7 +100,7 @@
 		}
 	}
 	if on {
-		opt.Parts = []Joined{z.Join}
+		opt.Modules = []ModuleMaker{z.Join}
 	}
 	z.Result = play(t, s, opt)
 	z.far = z.rules.Finish(s.Clients.Seconds * 1000)
@@ -138,12 +138,12 @@
 	t.Parallel()
 	z := zoned(t, 1, true, threeZones+`(seconds 90) (at 20s (power "a") (for 10s))`, []float64{20000, 65000}, nil)
 	z.hold(t)
-	bound := z.Set.DecisionBound(2, 2, 1)
+	bound := z.Settings.DecisionBound(2, 2, 1)
 	if out := z.until(20000, func(s *step) bool { return s.near == 0 }); out < 0 || out > bound+1500 { // and the list is late
 		t.Errorf("left after %.0f ms, bound %.0f", out, bound)
 	}
 	back := z.until(30000, func(s *step) bool { return s.near == 1 })
-	if last := z.steps[len(z.steps)-1]; back < z.Set.Planner.Health.MinRest-10000 || last.state != health.Serving {
+	if last := z.steps[len(z.steps)-1]; back < z.Settings.Planner.Health.MinRest-10000 || last.state != health.Serving {
 		t.Errorf("back after %.0f ms, %v at the end", back, last.state)
 	}
 	if p, _ := z.Of(5).Status(); p.Reason != follower.Planned {
@@ -222,8 +222,8 @@
 		mutate       func(*zones.Settings, *Options)
 	}{
 		{checker.NearCalm, "(rate 50)", `(seconds 40)`, nil, nil, func(s *zones.Settings, _ *Options) { s.CrossingPrice = 0 }},
-		{checker.OnePlan, "(rate 30)", `(seconds 20)`, nil, nil, func(_ *zones.Settings, o *Options) { o.Mutant = &Mutant{Says: otherPlan} }},
-		{checker.OldPlan, "(rate 30)", `(seconds 20)`, nil, func(o *Options) { o.Mutant = &Mutant{Says: olds()} }, func(s *zones.Settings, _ *Options) { s.FollowsAnyPlan = true }},
+		{checker.OnePlan, "(rate 30)", `(seconds 20)`, nil, nil, func(_ *zones.Settings, o *Options) { o.Mutant = &Mutant{Send: otherPlan} }},
+		{checker.OldPlan, "(rate 30)", `(seconds 20)`, nil, func(o *Options) { o.Mutant = &Mutant{Send: olds()} }, func(s *zones.Settings, _ *Options) { s.FollowsAnyPlan = true }},
 		{checker.FullZone, "(rate 300)", `(seconds 28) (at 4s (die site "a") (for 60s)) (at 4s (die site "b") (for 60s))`, []float64{4000, 64000}, nil, func(s *zones.Settings, _ *Options) { s.Planner.Plan.SpareShare = -4 }},
 	} {
 		t.Run(string(x.rule), func(t *testing.T) {
