--- a/internal/cluster/zones/adapter/adapter.go
+++ b/internal/cluster/zones/adapter/adapter.go
@@ -1,4 +1,5 @@
-// Package adapter joins package zones to a pooler's core and to the ways between poolers: one adapter for sockets and for virtual time.
+// Package adapter connects the coordination of zones (package zones) to a pooler's core, the cluster and the replicated log: the endpoint
+// list, attempts and health checks go in, the preferred zone and the price of crossing come out. It serves sockets and virtual time alike.
 package adapter
 
 import (
@@ -17,7 +18,7 @@
 	"beechgrade/internal/endpoints/discovery"
 )
 
-// Core is what it needs of a pooler's core.
+// Core is the part of a pooler's core that the adapter uses.
 type Core interface {
 	AverageWork() []float64 // a request's, by class, in seconds
 	DecisionSettings() *decide.Settings
@@ -26,10 +27,10 @@
 	RelativeRate(store string) float64
 }
 
-// PlanNumberStore has a number outlive the process; done comes on the loop.
+// PlanNumberStore stores the number of a plan durably, and calls done on the event loop.
 type PlanNumberStore interface{ StorePlanNumber(no uint64, done func()) }
 
-// Adapter is a pooler's side. It is core.Geography, and zones.Pooler.
+// Adapter is a pooler's side. It implements zones.Pooler and the core's observer of zones. Its methods are called on the event loop.
 type Adapter struct {
 	*zones.Coordinator
 	settings  zones.Settings
@@ -39,39 +40,39 @@
 	servers   map[string]*server // servers
 	cells     []*cell            // in their order
 	demands   map[[2]int]float64
-	sent      []uint64 // attempts of reads that any member may serve, by zone, since the start
+	sent      []uint64 // attempts of reads that any member may serve, by zone of the servers, since the start
 	planSeen  bool
 }
 
-// server is a server, as the list has it and as it was seen.
+// server is a server by the endpoint list, and by what was observed of it.
 type server struct {
 	cell    *cell
 	size    float64
 	serves  bool
 	started float64
 	primary bool
-	misses  int // in a row, without an answer
+	misses  int // attempts and health checks in a row without an answer
 }
 
 type cell struct {
 	planner.Cell
-	attempts, lost, fixedCores float64 // since the last look
+	attempts, lost, fixedCores float64 // since the last sample
 	servers                    map[string]*server
 }
 
-// maxMisses without an answer have a server not be counted on.
+// maxMisses is how many misses make a server count as not serving.
 const maxMisses = 3
 
-// A server that is crowded, or sick, does a part of what others of its kind do; what differs by less than chance is none.
+// A server that is overloaded or unhealthy does a part of the work of others of its kind. Differences within paceTolerance are chance.
 const (
 	paceTolerance = 1.25
 	minPace       = 0.02
 )
 
-// capacityMemoryMs is how long it is remembered how many servers a zone had.
+// capacityMemoryMs is the time over which the normal number of servers in a zone fades.
 const capacityMemoryMs = 600_000
 
-// New makes one. Classes, and how far each may cross, come from the core's contracts.
+// New returns an Adapter. The classes, and how far their reads may cross, come from the core's settings.
 func New(set zones.Settings, net module.Transport, log zones.Log, c Core, k PlanNumberStore) *Adapter {
 	j := &Adapter{settings: set, core: c, transport: net, store: k, servers: map[string]*server{}, demands: map[[2]int]float64{}, sent: make([]uint64, len(set.Zones))}
 	set.Planner.Plan.Classes = classes(c.DecisionSettings())
@@ -80,7 +81,7 @@
 	return j
 }
 
-// classes are what the plan knows of them; what only the primary may do crosses to wherever that is, and counts as none.
+// classes returns the classes for plans. What only the primary can do goes wherever that is, and is not part of a plan.
 func classes(set *decide.Settings) (out []plan.Class) {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	for _, c := range set.Classes {
@@ -93,13 +94,13 @@
 	return out
 }
 
-// Settings are those that it goes by.
+// Settings returns the settings in use.
 func (j *Adapter) Settings() *zones.Settings { return &j.settings }
 
-// Sent are the attempts of reads that any member may serve, by zone of the servers, since the start.
+// Sent returns the number of attempts since the start of reads that any member may serve, by zone of the servers.
 func (j *Adapter) Sent() []uint64 { return j.sent }
 
-// movable tells whether any member may serve a class.
+// movable reports whether any member of a group may serve a class.
 func (j *Adapter) movable(class int) bool {
 	set := j.core.DecisionSettings()
 	return class >= 0 && class < len(set.Classes) && set.Classes[class].Read != decide.Write && set.Classes[class].Read != decide.ReadFresh
@@ -112,7 +113,7 @@
 	return 0
 }
 
-// Listed is core.Geography's.
+// Listed takes an endpoint list, or a part of one that changed.
 func (j *Adapter) Listed(l *discovery.List, whole bool) {
 	seen := map[string]bool{}
 	for i := range l.Instances {
@@ -153,7 +154,7 @@
 	return j.cells[i]
 }
 
-// Received is core.Geography's.
+// Received counts a request that arrived for a group.
 func (j *Adapter) Received(group, class int) {
 	if j.movable(class) {
 		j.demands[[2]int{group, class}]++
@@ -163,7 +164,7 @@
 // cancelledLossShare of its class's aim is after what a copy that was called off counts as lost.
 const cancelledLossShare = 0.5
 
-// AttemptEnded is core.Geography's.
+// AttemptEnded takes the end of an attempt at a server, ms after it was sent.
 func (j *Adapter) AttemptEnded(store string, class int, r decide.Result, ms float64, _ bool) {
 	s := j.servers[store]
 	if s == nil {
@@ -196,7 +197,7 @@
 	}
 }
 
-// HealthChecked is core.Geography's.
+// HealthChecked takes the result of a health check.
 func (j *Adapter) HealthChecked(store string, ok bool) {
 	if s := j.servers[store]; s != nil {
 		if s.misses++; ok {
@@ -205,7 +206,7 @@
 	}
 }
 
-// Sample is zones.Pooler's.
+// Sample implements zones.Pooler.
 func (j *Adapter) Sample(ms float64) (cells []planner.Cell, asks []planner.Demand) {
 	seconds, usual := max(ms, 1)/1000, j.medianPace()
 	for _, c := range j.cells {
@@ -236,7 +237,7 @@
 	return cells, asks
 }
 
-// medianPace is the median of servers' paces.
+// medianPace returns the median of the serving servers' paces.
 func (j *Adapter) medianPace() float64 {
 	var all []float64
 	for id, s := range j.servers {
@@ -251,7 +252,7 @@
 	return max(all[len(all)/2], minPace)
 }
 
-// ApplyStatus is zones.Pooler's.
+// ApplyStatus implements zones.Pooler.
 func (j *Adapter) ApplyStatus(s follower.Status) {
 	if s.Reason == follower.NoPlan && !j.planSeen {
 		return
@@ -260,7 +261,7 @@
 	j.core.SetZone(j.settings.Zones[s.Zone], s.Price)
 }
 
-// StorePlanNumber is zones.Pooler's.
+// StorePlanNumber implements zones.Pooler.
 func (j *Adapter) StorePlanNumber(no uint64, done func()) {
 	if j.store == nil {
 		done()
@@ -269,7 +270,7 @@
 	j.store.StorePlanNumber(no, done)
 }
 
-// HandleLogAction passes on what happens to the log in common.
+// HandleLogAction follows the leader of the replicated log.
 func (j *Adapter) HandleLogAction(a *raftlog.Action) {
 	switch a.Kind {
 	case raftlog.BecameLeader:
--- a/internal/cluster/zones/admin/admin.go
+++ b/internal/cluster/zones/admin/admin.go
@@ -1,10 +1,10 @@
-// Package admin is what operators are shown of zones, and how their calls are read: for the door of a pooler, and for whoever asks there. Pure.
+// Package admin is the operators' view of zones: what the admin endpoint shows, and how orders are parsed. It is pure.
 //
-// It decides whether a call is an order that may be proposed: of a zone and a state that there are, with an end that is bounded, and with the
-// number after the newest of its zone. It is told the settings and the book; whether the order comes to stand the log says, so whoever
-// asked looks again. A number is named by the asker, so that a call that is made twice is one order.
+// It decides whether a request is an order that may be proposed: of a known zone and state, with a bounded time, and with the number after
+// the newest one of its zone. Inputs are the settings and the voter's state machine. Whether the order takes effect is decided by the
+// replicated log, so the caller queries the status again. The caller names the number, so a request that is repeated is one order.
 //
-// A pooler that does not vote has no book: it shows what it does itself, and takes no orders.
+// A pooler that is no voter has no state machine: it shows what it does itself, and takes no orders.
 package admin
 
 import (
@@ -22,58 +22,58 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// Status is how zones stand at a pooler, as its door shows it.
+// Status is the state of zones at a pooler, as its admin endpoint shows it. The JSON keys are fixed.
 type Status struct {
 	Pooler string   `json:"pooler"`
 	Zone   string   `json:"zone"`
-	Near   string   `json:"near"` // the zone that it takes for near
+	Near   string   `json:"near"` // the zone that it takes for local
 	Why    string   `json:"why"`  // none, plan, fallback or spilling
 	Votes  bool     `json:"votes"`
 	Leads  bool     `json:"leads"`
 	Voters []string `json:"voters"`
-	Plan   *Plan    `json:"plan,omitempty"` // the last that it followed; in force where Why is plan
+	Plan   *Plan    `json:"plan,omitempty"` // the last one that it followed; in force where Why is plan
 	Zones  []Zone   `json:"zones"`
 }
 
-// Plan is one.
+// Plan is a plan.
 type Plan struct {
 	No    uint64  `json:"no"`
-	Since uint64  `json:"since"` // the number from which on plans asked for the same
+	Since uint64  `json:"since"` // the number of the first plan with the same target
 	By    string  `json:"by"`
-	Short float64 `json:"short"` // cores without safe room
-	Most  float64 `json:"most"`  // the largest part of its safe room that a zone gets which receives
+	Short float64 `json:"short"` // cores of work without safe capacity
+	Most  float64 `json:"most"`  // the largest part of its safe capacity that a receiving zone is sent
 }
 
-// Zone is how one stands by the plan, and by the orders of a book.
+// Zone is the state of a zone by the plan and the orders.
 type Zone struct {
 	Name   string  `json:"name"`
 	State  string  `json:"state,omitempty"`
 	RestMs float64 `json:"rest_ms,omitempty"`
-	Shares []Share `json:"shares,omitempty"` // of its reads, what stays too
-	Newest uint64  `json:"newest_order"`     // 0 for none; at voters only, as Order is
-	Order  *Order  `json:"order,omitempty"`  // the one that stands
+	Shares []Share `json:"shares,omitempty"` // of its reads, including those that stay
+	Newest uint64  `json:"newest_order"`     // 0 for none; at voters only
+	Order  *Order  `json:"order,omitempty"`  // the active one, at voters only
 }
 
-// Share is what part of a zone's reads goes to a zone.
+// Share is the part of a zone's reads that goes to a zone.
 type Share struct {
 	Zone string  `json:"zone"`
 	Part float64 `json:"part"`
 }
 
-// Order is one that stands. UntilMs is Unix ms, 0 for until it is lifted.
+// Order is an active order. UntilMs is Unix ms, 0 for until it is lifted.
 type Order struct {
 	No      uint64  `json:"no"`
 	State   string  `json:"state"`
 	UntilMs float64 `json:"until_ms,omitempty"`
 }
 
-// LiftedState is what is said in place of a state, where no order is to stand any more.
+// LiftedState is given in place of a state, to end the active order.
 const LiftedState = "lifted"
 
-// MaxOrderTime bounds how long an order may hold that has an end.
+// MaxOrderTime bounds the time of an order that has an end.
 const MaxOrderTime = 30 * 24 * time.Hour
 
-// Errors of calls; ErrOutdated of one that came when there was a newer order.
+// Errors of ParseOrder. Their texts are part of the admin endpoint's answers.
 var (
 	ErrInvalidOrder = errors.New("no such order")
 	ErrOutdated     = errors.New("the zone's newest order is another one")
@@ -81,72 +81,120 @@
 	ErrBehind       = errors.New("this pooler has not heard of the order before this one yet")
 )
 
-// NewStatus is how things stand; b is nil at a pooler that does not vote.
-func NewStatus(set *zones.Settings, s follower.Status, p *statemachine.Plan, b *statemachine.StateMachine, leads bool) *Status {
-	out := &Status{Pooler: set.Name, Zone: set.Zone, Near: set.Zones[s.Zone], Why: s.Reason.String(), Votes: b != nil, Leads: leads, Voters: set.Voters}
-	if p != nil {
-		out.Plan = &Plan{No: p.Number, Since: p.Since, By: p.Author, Short: p.Unserved, Most: p.MaxFill}
+// NewStatus returns the state of zones at a pooler. machine is nil at a pooler that is no voter, plan where it never followed one.
+func NewStatus(settings *zones.Settings, status follower.Status, plan *statemachine.Plan, machine *statemachine.StateMachine, leads bool) *Status {
+	out := &Status{
+		Pooler: settings.Name,
+		Zone:   settings.Zone,
+		Near:   settings.Zones[status.Zone],
+		Why:    status.Reason.String(),
+		Votes:  machine != nil,
+		Leads:  leads,
+		Voters: settings.Voters,
 	}
-	for z, name := range set.Zones {
-		x := Zone{Name: name}
-		if p != nil && z < len(p.Zones) && z < len(p.Matrix) {
-			x.State, x.RestMs = p.Zones[z].State.String(), p.Zones[z].RestMs
-			for to, part := range p.Matrix[z] {
-				if part > 0 && to < len(set.Zones) {
-					x.Shares = append(x.Shares, Share{set.Zones[to], part})
-				}
-			}
+	if plan != nil {
+		out.Plan = &Plan{No: plan.Number, Since: plan.Since, By: plan.Author, Short: plan.Unserved, Most: plan.MaxFill}
+	}
+	for index, name := range settings.Zones {
+		zone := Zone{Name: name}
+		if plan != nil && index < len(plan.Zones) && index < len(plan.Matrix) {
+			zone.State = plan.Zones[index].State.String()
+			zone.RestMs = plan.Zones[index].RestMs
+			zone.Shares = sharesOf(plan.Matrix[index], settings.Zones)
 		}
-		if b != nil {
-			x.Newest = b.NewestOrder(z)
-			if o, ok := b.Order(z); ok {
-				x.Order = &Order{o.Number, o.State.String(), o.Until}
+		if machine != nil {
+			zone.Newest = machine.NewestOrder(index)
+			if order, ok := machine.Order(index); ok {
+				zone.Order = &Order{order.Number, order.State.String(), order.Until}
 			}
 		}
-		out.Zones = append(out.Zones, x)
+		out.Zones = append(out.Zones, zone)
 	}
 	return out
 }
 
-// ParseOrder reads a call's (zone, state, number, and for how long), at a time in Unix ms. Where stands is true the order came to stand before: it is
-// the same call again.
-func ParseOrder(q url.Values, set *zones.Settings, b *statemachine.StateMachine, now float64) (o zones.Order, stands bool, err error) {
-	for k := range q {
-		if !slices.Contains([]string{"zone", "state", "number", "for"}, k) {
-			return o, false, fmt.Errorf("%w: %q is not known; known are zone, state, number and for", ErrInvalidOrder, k)
+func sharesOf(row []float64, zones []string) (shares []Share) {
+	for to, part := range row {
+		if part > 0 && to < len(zones) {
+			shares = append(shares, Share{zones[to], part})
 		}
 	}
-	if b == nil {
-		return o, false, fmt.Errorf("%w; these do: %s", ErrNotVoter, strings.Join(set.Voters, " "))
+	return shares
+}
+
+// Parameters of an order.
+const (
+	paramZone   = "zone"
+	paramState  = "state"
+	paramNumber = "number"
+	paramFor    = "for"
+)
+
+// ParseOrder parses the parameters of an order that arrived at a time in Unix ms. applied is true where the order is in the log already:
+// the request is a repeated one. machine is nil at a pooler that is no voter.
+func ParseOrder(query url.Values, settings *zones.Settings, machine *statemachine.StateMachine, now float64) (order zones.Order, applied bool, err error) {
+	for name := range query {
+		if !slices.Contains([]string{paramZone, paramState, paramNumber, paramFor}, name) {
+			return order, false, fmt.Errorf("%w: %q is not known; known are zone, state, number and for", ErrInvalidOrder, name)
+		}
 	}
-	if o.Zone = q.Get("zone"); set.Index(o.Zone) < 0 {
-		return o, false, fmt.Errorf("%w: there is no zone %q; there are: %s", ErrInvalidOrder, o.Zone, strings.Join(set.Zones, " "))
+	if machine == nil {
+		return order, false, fmt.Errorf("%w; these do: %s", ErrNotVoter, strings.Join(settings.Voters, " "))
 	}
-	word := q.Get("state")
-	i := slices.Index(health.StateNames[:], word)
-	if o.Lifts = word == LiftedState; i < 0 && !o.Lifts {
-		return o, false, fmt.Errorf("%w: there is no state %q; there are: %s %s", ErrInvalidOrder, word, strings.Join(health.StateNames[:], " "), LiftedState)
+	order.Zone = query.Get(paramZone)
+	zone := settings.Index(order.Zone)
+	if zone < 0 {
+		return order, false, fmt.Errorf("%w: there is no zone %q; there are: %s", ErrInvalidOrder, order.Zone, strings.Join(settings.Zones, " "))
 	}
-	o.State = health.State(max(0, i))
-	if text := q.Get("for"); text != "" {
-		d, err := time.ParseDuration(text)
-		if err != nil || d <= 0 || d > MaxOrderTime || o.Lifts {
-			return o, false, fmt.Errorf("%w: for: a time above 0 and up to %s is due, as 10m, and none with %s", ErrInvalidOrder, MaxOrderTime, LiftedState)
+	if err := parseState(query.Get(paramState), &order); err != nil {
+		return order, false, err
+	}
+	if text := query.Get(paramFor); text != "" {
+		if err := parseTime(text, now, &order); err != nil {
+			return order, false, err
 		}
-		o.Until = now + float64(d.Milliseconds())
 	}
-	if o.Number, err = strconv.ParseUint(q.Get("number"), 10, 64); err != nil || o.Number == 0 {
-		return o, false, fmt.Errorf("%w: number: the one after the zone's newest order is due", ErrInvalidOrder)
+	order.Number, err = strconv.ParseUint(query.Get(paramNumber), 10, 64)
+	if err != nil || order.Number == 0 {
+		return order, false, fmt.Errorf("%w: number: the one after the zone's newest order is due", ErrInvalidOrder)
 	}
-	at := set.Index(o.Zone)
-	if newest := b.NewestOrder(at); o.Number > newest+1 {
-		return o, false, fmt.Errorf("%w: it knows %d", ErrBehind, newest)
-	} else if o.Number <= newest {
-		was, standing := b.Order(at)
-		if o.Number == newest && standing != o.Lifts && (o.Lifts || was.State == o.State) {
-			return o, true, nil
-		}
-		return o, false, fmt.Errorf("%w: it has number %d", ErrOutdated, newest)
+	applied, err = compareToNewest(&order, zone, machine)
+	return order, applied, err
+}
+
+func parseState(name string, order *zones.Order) error {
+	state := slices.Index(health.StateNames[:], name)
+	order.Lifts = name == LiftedState
+	if state < 0 && !order.Lifts {
+		return fmt.Errorf("%w: there is no state %q; there are: %s %s", ErrInvalidOrder, name, strings.Join(health.StateNames[:], " "), LiftedState)
+	}
+	order.State = health.State(max(0, state))
+	return nil
+}
+
+func parseTime(text string, now float64, order *zones.Order) error {
+	duration, err := time.ParseDuration(text)
+	if err != nil || duration <= 0 || duration > MaxOrderTime || order.Lifts {
+		return fmt.Errorf("%w: for: a time above 0 and up to %s is due, as 10m, and none with %s", ErrInvalidOrder, MaxOrderTime, LiftedState)
+	}
+	order.Until = now + float64(duration.Milliseconds())
+	return nil
+}
+
+// compareToNewest reports whether an order is the newest one of its zone, which is in the log already. An order with another number than
+// the next one is an error.
+func compareToNewest(order *zones.Order, zone int, machine *statemachine.StateMachine) (applied bool, err error) {
+	newest := machine.NewestOrder(zone)
+	switch {
+	case order.Number == newest+1:
+		return false, nil
+	case order.Number > newest:
+		return false, fmt.Errorf("%w: it knows %d", ErrBehind, newest)
+	}
+	current, active := machine.Order(zone)
+	same := active != order.Lifts && (order.Lifts || current.State == order.State)
+	if order.Number == newest && same {
+		return true, nil
 	}
-	return o, false, nil
+	return false, fmt.Errorf("%w: it has number %d", ErrOutdated, newest)
 }
--- a/internal/cluster/zones/admin/note.go
+++ b/internal/cluster/zones/admin/note.go
@@ -10,7 +10,8 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// Note is what a pooler records of zones: what it goes by, and where the reads went that any member may serve since the note before.
+// Note is a record of what a pooler does by zones, and where the reads that any member may serve went since the note before. The JSON keys
+// are fixed.
 type Note struct {
 	Plan   uint64   `json:"plan,omitempty"`
 	By     string   `json:"by,omitempty"`
@@ -22,7 +23,7 @@
 	Sent   []uint64 `json:"sent,omitempty"`   // attempts that ended, by Zones; nothing for none
 }
 
-// NewNote makes a note; sent are the counts since the start, and was those at the note before.
+// NewNote makes a note. sent are the counts of attempts by zone since the start, was those at the note before.
 func NewNote(set *zones.Settings, s follower.Status, p *statemachine.Plan, sent, was []uint64) *Note {
 	n := &Note{Why: s.Reason.String(), Zone: set.Zone, Near: set.Zones[s.Zone], Zones: set.Zones}
 	if p != nil {
@@ -42,12 +43,12 @@
 	return n
 }
 
-// SameDecision tells whether two notes say the same of what the pooler goes by, whatever the plan's number.
+// SameDecision reports whether two notes differ in the plan's number and the counts only.
 func (n *Note) SameDecision(o *Note) bool {
 	return n.Why == o.Why && n.Near == o.Near && slices.Equal(n.States, o.States)
 }
 
-// Text writes a note.
+// Text encodes a note; empty for one that cannot be encoded.
 func (n *Note) Text() string {
 	b, err := jsoniter.Marshal(n)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return string(b)
 }
 
-// ParseNote reads one; false for what is none.
+// ParseNote decodes a note. ok is false for a text that is none.
 func ParseNote(text string) (n Note, ok bool) {
 	if jsoniter.UnmarshalFromString(text, &n) != nil || len(n.Zones) == 0 || len(n.Zones) > statemachine.MaxZones || !slices.Contains(n.Zones, n.Zone) {
 		return n, false
--- a/internal/cluster/zones/plan/matrix.go
+++ b/internal/cluster/zones/plan/matrix.go
@@ -1,10 +1,10 @@
 package plan
 
-// Matrix is what the fleet agrees on: by zone, the part of its reads that goes to each. What a row lacks to 1 has no safe room
-// anywhere: it is left to the zone itself, where the least worth is shed first.
+// Matrix is what the fleet agrees on: for each zone, the share of its reads that goes to each zone. What a row lacks to 1 has no safe
+// capacity anywhere: it stays in the zone, where the lowest priority is shed first.
 type Matrix [][]float64
 
-// IdentityMatrix is the matrix by which everything stays.
+// IdentityMatrix returns the matrix by which all reads stay local.
 func IdentityMatrix(zones int) Matrix {
 	m := make(Matrix, zones)
 	for z := range m {
@@ -14,7 +14,7 @@
 	return m
 }
 
-// Clone makes another like it.
+// Clone returns an independent copy.
 func (m Matrix) Clone() Matrix {
 	c := make(Matrix, len(m))
 	for z := range m {
@@ -23,7 +23,7 @@
 	return c
 }
 
-// CrossingShare is the part of all reads that crosses, weighed by the groups' loads.
+// CrossingShare returns the part of all reads that crosses zones, weighted by the groups' loads.
 func (m Matrix) CrossingShare(groups []Group) float64 {
 	all, cross := 0.0, 0.0
 	for i := range groups {
@@ -36,40 +36,44 @@
 			}
 		}
 	}
-	return cross / max(all, 1e-9)
+	return cross / max(all, tinyLoad)
 }
 
-// loads are what a group's zones get by a matrix: from elsewhere, and in all.
-func (m Matrix) loads(g *Group) (came, all []float64) {
-	came, all = make([]float64, len(m)), make([]float64, len(m))
-	for _, f := range g.Flows {
-		for b, p := range m[f.Zone] {
-			if all[b] += p * f.Load; b != f.Zone {
-				came[b] += p * f.Load
+// loads returns the cores of work that a matrix sends each zone of a group: from other zones, and in all.
+func (m Matrix) loads(group *Group) (remote, all []float64) {
+	remote, all = make([]float64, len(m)), make([]float64, len(m))
+	for _, flow := range group.Flows {
+		for to, share := range m[flow.Zone] {
+			all[to] += share * flow.Load
+			if to != flow.Zone {
+				remote[to] += share * flow.Load
 			}
 		}
 	}
-	return came, all
+	return remote, all
 }
 
-// roundingSlack is what rounding may add to a load.
-const roundingSlack = 1e-6
+const (
+	roundingSlack = 1e-6 // that rounding may add to a load or a share
+	tinyLoad      = 1e-9 // in place of 0 as a divisor
+	tinyShare     = 1e-3 // a smaller share that is to end ends at once
+)
 
-// MaxFill is, over all groups, the largest part of its safe room that a zone gets which receives anything.
+// MaxFill returns, over all groups, the largest part of its safe capacity that a zone is sent which receives remote reads.
 func (s *Settings) MaxFill(m Matrix, groups []Group) (most float64) {
 	for i := range groups {
 		g := &groups[i]
 		came, all := m.loads(g)
 		for b := range m {
 			if came[b] > roundingSlack {
-				most = max(most, all[b]/max(s.SafeCapacity(&g.Capacities[b]), 1e-9))
+				most = max(most, all[b]/max(s.SafeCapacity(&g.Capacities[b]), tinyLoad))
 			}
 		}
 	}
 	return most
 }
 
-// Fold makes one matrix of the groups' plans, weighed by their loads, and tells the work for which there is no safe room.
+// Fold makes one matrix of the groups' solutions, weighted by their loads. It also returns the cores of work without safe capacity.
 func (s *Settings) Fold(groups []Group, answers []Solution) (m Matrix, left float64) {
 	zones := len(s.Delay)
 	m = make(Matrix, zones)
@@ -100,7 +104,7 @@
 	return m, left
 }
 
-// fillIdleRow is the row of a zone that asks nothing: near, or the nearest that takes in all groups.
+// fillIdleRow fills the row of a zone without load: local, or the nearest zone that serves remote reads in all groups.
 func (s *Settings) fillIdleRow(row []float64, z int, groups []Group) {
 	may := func(b int) bool {
 		if s.Unreachable(z, b) {
@@ -124,8 +128,8 @@
 	row[best] = 1
 }
 
-// trimToCapacity has less go to zones where a group would be above its safe room: groups differ, and a matrix is one for all. What does not go stays
-// near, where it may, so that zone can take less of others; in the end it takes nothing.
+// trimToCapacity reduces what goes to zones where a group would exceed its safe capacity: groups differ, and one matrix is for all. What
+// does not go stays local, where it may, so that zone can take less of others; in the last passes it takes nothing.
 func (s *Settings) trimToCapacity(m Matrix, groups []Group) {
 	for pass, last := 0, 2*len(m); pass <= last; pass++ {
 		done := true
@@ -154,7 +158,7 @@
 	}
 }
 
-// fittingShare is the part of what comes to a zone from others that it has safe room for, in all groups.
+// fittingShare returns the part of the remote reads of a zone that it has safe capacity for, in all groups.
 func (s *Settings) fittingShare(m Matrix, b int, groups []Group) float64 {
 	keep, part := 1.0, 0.0
 	for a := range m {
@@ -181,7 +185,7 @@
 	return keep
 }
 
-// mayStay tells whether a zone's own reads may stay, in all groups.
+// mayStay reports whether a zone's own reads may stay, in all groups.
 func (s *Settings) mayStay(z int, groups []Group) bool {
 	for i := range groups {
 		if !groups[i].Capacities[z].ServesNear {
@@ -191,11 +195,11 @@
 	return true
 }
 
-// StepLimit is how far a plan may go at once with a zone: the part of its reads that may move. Out is 1 where there is nothing left to stay at.
+// StepLimit is the share of a zone's reads that may move in one step, out of the zone and back to it.
 type StepLimit struct{ Out, Return float64 }
 
-// Step goes from one matrix towards another: out by Out at most, back near by Back. What the old one asks for that
-// is not safe any more, or not allowed, is left at once: then the new one is taken whole. A way between two safe ones is safe.
+// Step goes from one matrix towards another, within the limits of each zone. Where the result is not safe or not allowed, the target is
+// taken at once. What lies between two safe matrices is safe.
 func (s *Settings) Step(old, want Matrix, groups []Group, p []StepLimit) Matrix {
 	next := old.Clone()
 	for z := range want {
@@ -213,7 +217,7 @@
 		}
 		for b := range want[z] {
 			next[z][b] = old[z][b] + part*(want[z][b]-old[z][b])
-			if want[z][b] == 0 && next[z][b] < 1e-3 {
+			if want[z][b] == 0 && next[z][b] < tinyShare {
 				next[z][b] = 0
 			}
 		}
@@ -224,7 +228,7 @@
 	return next
 }
 
-// Allowed tells whether nothing goes to a zone that may not take it.
+// Allowed reports whether no reads go to a zone that does not serve remote ones, or that is unreachable.
 func (s *Settings) Allowed(m Matrix, groups []Group) bool {
 	for i := range groups {
 		for a := range m {
--- a/internal/cluster/zones/plan/plan.go
+++ b/internal/cluster/zones/plan/plan.go
@@ -1,222 +1,213 @@
-// Package plan says which part of each zone's reads stays near, and which goes where. Pure: what is known of the fleet in, a plan out, the
-// same for the same.
+// Package plan decides which part of each zone's reads stays local, and where the others go. It is a pure function of what is known of the
+// fleet: the same inputs give the same plan.
 //
-// Groups share no servers, so each is solved by itself (Solve): its flows, the reads of a class that clients of a zone ask, against the
-// room that its servers have in each zone. First as much worth as there is safe room for is served, the least worth first left out;
-// of all ways to do that the one that crosses for the least price and delay is taken. A room is safe up to what its servers can do, less
-// a spare part and what only they can do (writes, fresh reads); near reads alone may take some of the spare part before they cross.
+// Groups share no servers, so each one is solved by itself (Settings.Solve): its flows, which are the reads of a class that clients of a
+// zone send, against the capacity of its servers in each zone. As much priority as there is safe capacity for is served, and the lowest
+// priority is left out first; of all ways to do that it takes the one with the lowest price and delay of crossing. A capacity is safe up
+// to what the servers can do, less a spare share and what only they can do (writes, fresh reads); local reads alone may take some of the
+// spare share before they cross.
 //
-// Poolers have one near zone for all groups, so what the fleet agrees on is a Matrix: by zone, the part of its reads that goes to each
-// (Fold). No group of a zone that receives is above its safe room by it: where one would be, less goes there.
+// Poolers have one local zone for all groups, so what the fleet agrees on is a Matrix: for each zone, the share of its reads that goes to
+// each zone (Settings.Fold). It sends no zone more than its safe capacity in any group: where it would, less goes there.
 //
-// It does not know who is right about the load, nor what a pooler makes of a share.
+// The package does not know whether the loads are right, nor what a pooler makes of a share.
 package plan
 
 import "math"
 
-// Unit is what load is counted in, in cores: loads are rounded up to it, rooms down.
+// Unit is the unit of load and capacity, in cores: loads are rounded up to it, capacities down.
 const Unit = 0.001
 
-// Class is a class of reads that any server may answer whose data is new enough.
+// Class is a class of reads that any server with data new enough may answer.
 type Class struct {
 	Priority     float64 // of a core's work for it
-	MaxRoundTrip float64 // ms there and back that it may cross, 0 for any
-	MaxAge       float64 // ms that its data may be old, 0 for any
+	MaxRoundTrip float64 // ms that its reads may take to another zone and back, 0 for any
+	MaxAge       float64 // ms that the data may be old, 0 for any
 }
 
-// Settings are the same for all groups.
+// Settings are the inputs that all groups have in common.
 type Settings struct {
 	Classes        []Class
-	Delay          [][]float64 // ms one way, from the zone of a pooler to that of a server; endless where nothing may go
-	CrossingPrice  float64     // of crossing, as ms of delay
-	SpareShare     float64     // part of a zone's servers that is kept free of what comes from elsewhere
-	NearSpareShare float64     // ...and of near reads, before they go elsewhere
+	Delay          [][]float64 // ms one way, from a pooler's zone to a server's; +Inf where nothing may go
+	CrossingPrice  float64     // as ms of delay
+	SpareShare     float64     // the part of a zone's servers that is kept free of remote reads
+	NearSpareShare float64     // the part that is kept free of local reads, before they go elsewhere
 }
 
-// Flow is what is asked of a group: the work of a class from clients near a zone, in cores.
+// Flow is the load of a class on a group, from the clients near a zone.
 type Flow struct {
-	Class, Zone int
-	Load        float64
+	Class int
+	Zone  int
+	Load  float64 // cores
 }
 
 // Capacity is what a group's servers in a zone can do.
 type Capacity struct {
-	Cores        float64 // of servers that serve
-	FixedCores   float64 // of them taken by what cannot go elsewhere
+	Cores        float64 // of the servers that serve
+	FixedCores   float64 // of them, taken by what cannot go elsewhere
 	Age          float64 // ms that their data is old
-	ServesNear   bool    // near reads may go there
-	ServesRemote bool    // reads of other zones too
+	ServesNear   bool    // local reads may go there
+	ServesRemote bool    // reads of other zones may go there
 }
 
-// Group is one.
+// Group is a group of servers and the load on it.
 type Group struct {
 	Flows      []Flow
 	Capacities []Capacity // by zone
 }
 
-// SafeCapacity is what reads may take of a room that receives.
-func (s *Settings) SafeCapacity(r *Capacity) float64 {
-	return max(0, r.Cores*(1-s.SpareShare)-r.FixedCores)
+// SafeCapacity returns the cores that reads may take in a zone that receives remote ones.
+func (s *Settings) SafeCapacity(c *Capacity) float64 {
+	return max(0, c.Cores*(1-s.SpareShare)-c.FixedCores)
 }
 
-// NearExtraCapacity is what near reads alone may take above that.
-func (s *Settings) NearExtraCapacity(r *Capacity) float64 {
-	return max(0, r.Cores*(1-min(s.SpareShare, s.NearSpareShare))-r.FixedCores) - s.SafeCapacity(r)
+// NearExtraCapacity returns the cores that local reads alone may take beyond SafeCapacity.
+func (s *Settings) NearExtraCapacity(c *Capacity) float64 {
+	return max(0, c.Cores*(1-min(s.SpareShare, s.NearSpareShare))-c.FixedCores) - s.SafeCapacity(c)
 }
 
-// Solution is a group's plan.
+// Solution is the plan of one group.
 type Solution struct {
-	Shares   [][]float64 // by flow and zone: the part of it that goes there; what is missing to 1 is shed
-	Unserved float64     // cores of work for which there is no safe room
-	Crossing float64     // cores of work that cross
+	Shares   [][]float64 // by flow and zone: the part of the flow that goes there; the remainder to 1 is shed
+	Unserved float64     // cores of work without safe capacity
+	Crossing float64     // cores of work that cross zones
 }
 
-// Feasible tells whether all is served.
-func (a *Solution) Feasible() bool { return a.Unserved <= 0 }
+// Feasible reports whether all work is served.
+func (s *Solution) Feasible() bool { return s.Unserved <= 0 }
 
-// allowed tells whether a flow may go to a zone.
-func (s *Settings) allowed(f *Flow, g *Group, to int) bool {
-	r, c := &g.Capacities[to], &s.Classes[f.Class]
-	if f.Zone == to {
-		return r.ServesNear && (c.MaxAge <= 0 || r.Age <= c.MaxAge)
+// allowed reports whether a flow may go to a zone.
+func (s *Settings) allowed(flow *Flow, group *Group, to int) bool {
+	capacity, class := &group.Capacities[to], &s.Classes[flow.Class]
+	fresh := class.MaxAge <= 0 || capacity.Age <= class.MaxAge
+	if flow.Zone == to {
+		return capacity.ServesNear && fresh
 	}
-	return r.ServesRemote && !s.Unreachable(f.Zone, to) && (c.MaxAge <= 0 || r.Age <= c.MaxAge) && (c.MaxRoundTrip <= 0 || 2*s.Delay[f.Zone][to] <= c.MaxRoundTrip)
+	inReach := class.MaxRoundTrip <= 0 || 2*s.Delay[flow.Zone][to] <= class.MaxRoundTrip
+	return capacity.ServesRemote && !s.Unreachable(flow.Zone, to) && fresh && inReach
 }
 
-// Unreachable tells whether nothing may go from one zone to another.
+// Unreachable reports whether nothing may go from one zone to another.
 func (s *Settings) Unreachable(from, to int) bool { return math.IsInf(s.Delay[from][to], 1) }
 
-// crossingCost is the price of a unit from one zone to another, in whole microseconds.
+// Costs in the flow network.
+const (
+	nearExtraCost = 1    // of a unit beyond the safe capacity: less than any crossing
+	priorityScale = 1000 // a priority counts in so many parts of one
+	microsPerMs   = 1000
+)
+
+// crossingCost returns the cost of a unit from one zone to another, in microseconds of delay.
 func (s *Settings) crossingCost(from, to int) int64 {
 	if from == to || s.Unreachable(from, to) {
 		return 0
 	}
-	return 2*nearExtraCost + int64(math.Round(1000*(s.CrossingPrice+max(0, s.Delay[from][to]))))
+	return 2*nearExtraCost + int64(math.Round(microsPerMs*(s.CrossingPrice+max(0, s.Delay[from][to]))))
 }
 
-const nearExtraCost = 1 // the price of a unit that is served near above what is safe for one that receives: less than any crossing
+func priorityCost(class *Class) int64 {
+	return 1 + int64(math.Round(priorityScale*max(0, class.Priority)))
+}
 
-const priorityScale = 1000 // a worth counts in so many parts of one
+// unitSlack is the part of a unit that rounding may add.
+const unitSlack = 1e-6
 
-func priorityCost(c *Class) int64 { return 1 + int64(math.Round(priorityScale*max(0, c.Priority))) }
+func unitsUp(cores float64) int64   { return int64(math.Ceil(cores/Unit - unitSlack)) }
+func unitsDown(cores float64) int64 { return int64(cores/Unit + unitSlack) }
 
-// Solve makes a group's plan.
-func (s *Settings) Solve(g *Group) Solution {
-	n := &flowNetwork{}
-	src, flows, zones, own := n.node(), make([]int, len(g.Flows)), make([]int, len(g.Capacities)), make([]int, len(g.Capacities))
-	for i := range flows {
-		flows[i] = n.node()
-	}
-	for z := range zones {
-		zones[z], own[z] = n.node(), n.node()
-	}
-	sink := n.node()
-	most := int64(1)
-	for a := range g.Capacities {
-		for b := range g.Capacities {
-			most = max(most, s.crossingCost(a, b))
-		}
+// groupNetwork is the flow network of a group: a source, a node for each flow, two for each zone (its safe capacity, and what local reads
+// may take beyond), and a sink.
+type groupNetwork struct {
+	flowNetwork
+	loads     []int64 // units, by flow
+	remote    [][]int // edges by flow and zone, noEdge where a flow may not go
+	nearExtra []int   // edges by flow
+}
+
+const noEdge = -1
+
+// Solve makes the plan of a group.
+func (s *Settings) Solve(group *Group) Solution {
+	network := s.newGroupNetwork(group)
+	solution := Solution{Shares: make([][]float64, len(group.Flows))}
+	for i := range group.Flows {
+		network.collect(i, group.Flows[i].Zone, &solution)
 	}
-	weight := most*int64(2*len(g.Capacities)+2) + 1 // any worth outweighs every crossing that a way may have
-	loads := make([]int64, len(g.Flows))
-	at := make([][]int, len(g.Flows))
-	for i := range g.Flows {
-		f := &g.Flows[i]
-		loads[i] = int64(math.Ceil(f.Load/Unit - 1e-6))
-		n.edge(src, flows[i], loads[i], -priorityCost(&s.Classes[f.Class])*weight)
-		at[i] = make([]int, len(g.Capacities)+1)
-		at[i][len(g.Capacities)] = -1
-		if z := f.Zone; s.allowed(f, g, z) {
-			at[i][len(g.Capacities)] = n.edge(flows[i], own[z], math.MaxInt32, nearExtraCost)
+	return solution
+}
+
+// collect adds a flow of the solved network to a solution.
+func (n *groupNetwork) collect(flow, zone int, solution *Solution) {
+	shares := make([]float64, len(n.remote[flow]))
+	solution.Shares[flow] = shares
+	load := n.loads[flow]
+	remaining := load
+	take := func(edge, to int) {
+		if edge == noEdge || load == 0 {
+			return
 		}
-		for z := range g.Capacities {
-			at[i][z] = -1
-			if s.allowed(f, g, z) {
-				at[i][z] = n.edge(flows[i], zones[z], math.MaxInt32, s.crossingCost(f.Zone, z))
-			}
+		used := n.used(edge)
+		shares[to] += float64(used) / float64(load)
+		remaining -= used
+		if to != zone {
+			solution.Crossing += float64(used) * Unit
 		}
 	}
-	for z := range g.Capacities {
-		n.edge(zones[z], sink, int64(s.SafeCapacity(&g.Capacities[z])/Unit+1e-6), 0)
-		n.edge(own[z], sink, int64(s.NearExtraCapacity(&g.Capacities[z])/Unit+1e-6), 0)
+	for to, edge := range n.remote[flow] {
+		take(edge, to)
 	}
-	n.minimizeCost(src, sink)
-	a := Solution{Shares: make([][]float64, len(g.Flows))}
-	for i := range g.Flows {
-		a.Shares[i] = make([]float64, len(g.Capacities))
-		left := loads[i]
-		for z, e := range at[i] {
-			if e < 0 || loads[i] == 0 {
-				continue
-			}
-			used := n.edges[e^1].capacity
-			if z == len(g.Capacities) {
-				z = g.Flows[i].Zone
-			}
-			a.Shares[i][z] += float64(used) / float64(loads[i])
-			if left -= used; z != g.Flows[i].Zone {
-				a.Crossing += float64(used) * Unit
+	take(n.nearExtra[flow], zone)
+	solution.Unserved += float64(remaining) * Unit
+}
+
+// newGroupNetwork returns the solved network of a group.
+func (s *Settings) newGroupNetwork(group *Group) *groupNetwork {
+	n := &groupNetwork{}
+	source := n.addNode()
+	flows := n.addNodes(len(group.Flows))
+	zones := make([]int, len(group.Capacities))
+	near := make([]int, len(group.Capacities))
+	for zone := range zones {
+		zones[zone] = n.addNode()
+		near[zone] = n.addNode()
+	}
+	sink := n.addNode()
+	weight := s.priorityWeight(len(group.Capacities))
+	for i := range group.Flows {
+		flow := &group.Flows[i]
+		load := unitsUp(flow.Load)
+		n.loads = append(n.loads, load)
+		n.addEdge(source, flows[i], load, -priorityCost(&s.Classes[flow.Class])*weight)
+		extra := noEdge
+		if s.allowed(flow, group, flow.Zone) {
+			extra = n.addEdge(flows[i], near[flow.Zone], math.MaxInt32, nearExtraCost)
+		}
+		n.nearExtra = append(n.nearExtra, extra)
+		edges := make([]int, len(group.Capacities))
+		for zone := range edges {
+			edges[zone] = noEdge
+			if s.allowed(flow, group, zone) {
+				edges[zone] = n.addEdge(flows[i], zones[zone], math.MaxInt32, s.crossingCost(flow.Zone, zone))
 			}
 		}
-		a.Unserved += float64(left) * Unit
+		n.remote = append(n.remote, edges)
 	}
-	return a
-}
-
-// flowNetwork is a network in which flow is as cheap as can be: by shortest ways, one after another.
-type flowNetwork struct {
-	edges   []flowEdge // each one with its way back behind it
-	edgesOf [][]int
-}
-
-type flowEdge struct {
-	to             int
-	capacity, cost int64
-}
-
-func (n *flowNetwork) node() int {
-	n.edgesOf = append(n.edgesOf, nil)
-	return len(n.edgesOf) - 1
-}
-
-func (n *flowNetwork) edge(a, b int, room, cost int64) int {
-	e := len(n.edges)
-	n.edges = append(n.edges, flowEdge{b, room, cost}, flowEdge{a, 0, -cost})
-	n.edgesOf[a], n.edgesOf[b] = append(n.edgesOf[a], e), append(n.edgesOf[b], e+1)
-	return e
+	for zone := range group.Capacities {
+		capacity := &group.Capacities[zone]
+		n.addEdge(zones[zone], sink, unitsDown(s.SafeCapacity(capacity)), 0)
+		n.addEdge(near[zone], sink, unitsDown(s.NearExtraCapacity(capacity)), 0)
+	}
+	n.minimizeCost(source, sink)
+	return n
 }
 
-// minimizeCost sends as much as is worth it. A way never leaves the source twice, so what was served once stays served.
-func (n *flowNetwork) minimizeCost(src, sink int) {
-	dist, by := make([]int64, len(n.edgesOf)), make([]int, len(n.edgesOf))
-	for {
-		for i := range dist {
-			dist[i], by[i] = math.MaxInt64, -1
-		}
-		dist[src] = 0
-		for news := true; news; {
-			news = false
-			for a := range n.edgesOf {
-				if dist[a] == math.MaxInt64 {
-					continue
-				}
-				for _, e := range n.edgesOf[a] {
-					if x := &n.edges[e]; x.capacity > 0 && dist[a]+x.cost < dist[x.to] {
-						dist[x.to], by[x.to], news = dist[a]+x.cost, e, true
-					}
-				}
-			}
-		}
-		if by[sink] < 0 || dist[sink] >= 0 {
-			return
-		}
-		push := int64(math.MaxInt64)
-		for v := sink; v != src; v = n.edges[by[v]^1].to {
-			push = min(push, n.edges[by[v]].capacity)
-		}
-		for v := sink; v != src; v = n.edges[by[v]^1].to {
-			n.edges[by[v]].capacity -= push
-			n.edges[by[v]^1].capacity += push
+// priorityWeight returns the factor by which any priority outweighs all the crossings that a path may have.
+func (s *Settings) priorityWeight(zones int) int64 {
+	highest := int64(1)
+	for from := range zones {
+		for to := range zones {
+			highest = max(highest, s.crossingCost(from, to))
 		}
 	}
+	return highest*int64(2*zones+2) + 1
 }
--- a/internal/cluster/zones/plan/round.go
+++ b/internal/cluster/zones/plan/round.go
@@ -1,21 +1,22 @@
 package plan
 
 import (
+	"cmp"
 	"math"
 	"slices"
 )
 
-// Round makes a matrix that whole poolers can follow: a zone with n of them sends n-ths. What is lost by rounding down goes back out by
-// whole poolers, the largest remainder first, where that is safe in all groups; a zone that nothing is to stay in is left whole
-// where it can be. from are the poolers of each zone; where none is known, the row stays as it is.
+// Round makes a matrix that whole poolers can follow: a zone with n of them sends n-ths. Shares are rounded down; what that leaves is sent
+// by whole poolers, the largest remainder first, where that is safe in all groups. A zone in which nothing is to stay is left by all
+// poolers where that is safe. from is the number of poolers of each zone; where it is 0 the row stays as it is.
 func (s *Settings) Round(m Matrix, groups []Group, from []int) Matrix {
 	out := m.Clone()
-	type rest struct {
-		z, b int
-		part float64
+	type remainder struct {
+		zone, to int
+		share    float64 // of a pooler
 	}
-	var rests []rest
-	more := make([]int, len(m)) // poolers that should go besides
+	var remainders []remainder
+	more := make([]int, len(m)) // poolers that should leave beside those of the rounded shares
 	for z := range m {
 		n, sum := float64(from[z]), 0.0
 		if n == 0 {
@@ -29,40 +30,33 @@
 			whole := math.Floor(p*n + roundingSlack)
 			out[z][b], sum, total = whole/n, sum+p*n, total+whole
 			if p*n-whole > roundingSlack {
-				rests = append(rests, rest{z, b, p*n - whole})
+				remainders = append(remainders, remainder{z, b, p*n - whole})
 			}
 		}
-		if more[z] = int(math.Ceil(sum - total - 0.5 - roundingSlack)); m[z][z] < roundingSlack {
+		more[z] = int(math.Ceil(sum - total - 0.5 - roundingSlack))
+		if m[z][z] < roundingSlack {
 			more[z] = int(math.Ceil(sum - total - roundingSlack))
 		}
 		out[z][z] += (sum - total) / n
 	}
 	s.returnExcess(out, groups, from)
-	slices.SortStableFunc(rests, func(a, b rest) int {
-		switch {
-		case a.part > b.part:
-			return -1
-		case a.part < b.part:
-			return 1
-		}
-		return 0
-	})
-	for _, r := range rests {
-		if more[r.z] == 0 {
+	slices.SortStableFunc(remainders, func(a, b remainder) int { return cmp.Compare(b.share, a.share) })
+	for _, r := range remainders {
+		if more[r.zone] == 0 {
 			continue
 		}
-		next, one := out.Clone(), 1/float64(from[r.z])
-		next[r.z][r.b] += one
-		next[r.z][r.z] = max(0, next[r.z][r.z]-one)
+		next, one := out.Clone(), 1/float64(from[r.zone])
+		next[r.zone][r.to] += one
+		next[r.zone][r.zone] = max(0, next[r.zone][r.zone]-one)
 		if s.Allowed(next, groups) && s.MaxFill(next, groups) <= 1+roundingSlack {
 			out = next
-			more[r.z]--
+			more[r.zone]--
 		}
 	}
 	return out
 }
 
-// returnExcess takes poolers away from zones that would be above their safe room, as what others keep near has grown.
+// returnExcess takes poolers away from zones that would exceed their safe capacity, as rounding keeps more reads local.
 func (s *Settings) returnExcess(m Matrix, groups []Group, from []int) {
 	for b := range m {
 		for s.fittingShare(m, b, groups) < 1 {
