--- a/cmd/beechgrade-kit/agree.go
+++ b/cmd/beechgrade-kit/agree.go
@@ -67,7 +67,7 @@
 				return
 			}
 			name := strings.TrimSuffix(filepath.Base(path), ".sexp")
-			r, err := rehearse.Play(ctx, s, rehearse.Options{Seed: seed, Out: filepath.Join(out, name), Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
+			r, err := rehearse.Execute(ctx, s, rehearse.Options{Seed: seed, Out: filepath.Join(out, name), Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				errs[i] = fmt.Errorf("%s: %w", path, err)
 				return
--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -80,7 +80,7 @@
 	if killed != nil {
 		opt.Killed = func(pooler string) { killed(filepath.Join(disks, pooler), pooler) }
 	}
-	res, err := rehearse.Play(context.Background(), s, opt)
+	res, err := rehearse.Execute(context.Background(), s, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade-kit/credit_test.go
+++ b/cmd/beechgrade-kit/credit_test.go
@@ -94,7 +94,7 @@
 	if p.killed != nil {
 		opt.Killed = func(pooler string) { p.killed(filepath.Join(disks, pooler), pooler) }
 	}
-	res, err := rehearse.Play(context.Background(), s, opt)
+	res, err := rehearse.Execute(context.Background(), s, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,13 +108,13 @@
 	}
 	c.Paid(0, "b", 1_000_000)
 	breached(t, res)
-	f, err := os.Open(filepath.Join(dir, rehearse.TriesFile))
+	f, err := os.Open(filepath.Join(dir, rehearse.AttemptsFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
 	for in := bufio.NewScanner(f); in.Scan(); {
-		var l rehearse.TryLine
+		var l rehearse.AttemptLine
 		if err := jsoniter.Unmarshal(in.Bytes(), &l); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/beechgrade-kit/fleet_test.go
+++ b/cmd/beechgrade-kit/fleet_test.go
@@ -37,7 +37,7 @@
 	}
 	s.Clients.Rate = rate
 	out := t.TempDir()
-	res, err := rehearse.Play(context.Background(), s, rehearse.Options{Seed: 5, Out: out, Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
+	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: out, Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade-kit/house.go
+++ b/cmd/beechgrade-kit/house.go
@@ -13,8 +13,8 @@
 	"beechgrade/internal/testkit/rehearse"
 )
 
-// houseCommand measures the ClickHouse front.
-func houseCommand(asJSON func() cli.Flag) *cli.Command {
+// clickhouseCommand measures the ClickHouse front.
+func clickhouseCommand(asJSON func() cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name: "clickhouse", Usage: "measure the ClickHouse front beside a stand-in reached directly and through a reverse proxy",
 		Flags: []cli.Flag{
@@ -25,7 +25,7 @@
 			&cli.StringFlag{Name: "daemon", Usage: "the daemon's program `FILE`; else the one beside this program"},
 			asJSON(),
 		},
-		Action: measureHouse,
+		Action: measureClickHouse,
 		Commands: []*cli.Command{{Name: "reverse-proxy", Hidden: true, ArgsUsage: "ADDRESS", Action: func(_ context.Context, c *cli.Command) error {
 			to := c.Args().First()
 			if err := onThisMachine(to); err != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-func measureHouse(ctx context.Context, c *cli.Command) error {
+func measureClickHouse(ctx context.Context, c *cli.Command) error {
 	if s, g, n := c.Float("seconds"), c.Float("gigabytes"), c.Int("idle"); !(s > 0 && s <= 600 && g > 0 && g <= 100) || n < 0 || n > 20000 {
 		return errors.New("--seconds up to 600, --gigabytes up to 100 and --idle up to 20000")
 	}
@@ -48,19 +48,19 @@
 	if err != nil {
 		return err
 	}
-	ways, err := rehearse.MeasureHouse(ctx, rehearse.HouseOptions{Daemon: daemon, Kit: kit, Out: c.String("out"), Seconds: c.Float("seconds"), Gigabytes: c.Float("gigabytes"), Idle: c.Int("idle"),
+	paths, err := rehearse.MeasureClickHouse(ctx, rehearse.ClickHouseOptions{Daemon: daemon, Kit: kit, Out: c.String("out"), Seconds: c.Float("seconds"), Gigabytes: c.Float("gigabytes"), Idle: c.Int("idle"),
 		Log: slog.New(slog.DiscardHandler), Stage: func(name string) { fmt.Fprintf(os.Stderr, "\r\033[K%s ...", name) }})
 	fmt.Fprint(os.Stderr, "\r\033[K")
 	if err != nil {
 		return err
 	}
 	if c.Bool("json") {
-		return writeJSON(c.Root().Writer, ways)
+		return writeJSON(c.Root().Writer, paths)
 	}
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "way\tp50 ms\tp99 ms\tqueries/s\tCPU us a query\tqueries/s and core\tanswer MB/s\tCPU s/GB\tbody MB/s\tCPU s/GB\tpeak MB\tbytes an idle client\tnot as expected")
-	for _, x := range ways {
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.0f\t%.1f\t%.0f\t%.0f\t%.2f\t%.0f\t%.2f\t%.1f\t%.0f\t%d\n", x.Way, x.P50, x.P99, x.PerSecond, x.CPUMicros, x.PerCore, x.DownMB, x.DownCPU, x.UpMB, x.UpCPU, x.PeakMB, x.IdleBytes, x.Broken)
+	for _, x := range paths {
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.0f\t%.1f\t%.0f\t%.0f\t%.2f\t%.0f\t%.2f\t%.1f\t%.0f\t%d\n", x.Path, x.P50, x.P99, x.PerSecond, x.CPUMicros, x.PerCore, x.DownMB, x.DownCPU, x.UpMB, x.UpCPU, x.PeakMB, x.IdleBytes, x.Broken)
 	}
 	return w.Flush()
 }
--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if _, err := rehearse.Play(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler)}); err != nil {
+	if _, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler)}); err != nil {
 		t.Fatal(err)
 	}
 	m, v, res, err := rehearse.Compare(dir)
@@ -85,8 +85,8 @@
 func TestPrimariesDie(t *testing.T) {
 	t.Parallel()
 	m, v, res, dir := rehearsal(t, `(rehearsal "die" (seconds 9) (poolers 2) `+quick+` (at 1s (list-late 1s) (for 6s)) (at 2s (die primaries) (for 3s)))`)
-	if m.Tries < 400 || m.Equal != m.Tries {
-		t.Errorf("%d of %d tries are told alike", m.Equal, m.Tries)
+	if m.Attempts < 400 || m.Equal != m.Attempts {
+		t.Errorf("%d of %d tries are told alike", m.Equal, m.Attempts)
 	}
 	died, took, back := truth(res, "died"), truth(res, "is the primary"), truth(res, "came back cold")
 	if len(died) != 2 || len(took) != 2 || len(back) != 2 {
@@ -121,7 +121,7 @@
 		}
 	}
 	// One refused request, by the client's own id: its coming, what was tried, and its answer.
-	tries, err := os.ReadFile(filepath.Join(dir, rehearse.TriesFile))
+	tries, err := os.ReadFile(filepath.Join(dir, rehearse.AttemptsFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 func TestPoolerKilled(t *testing.T) {
 	t.Parallel()
 	m, v, res, _ := rehearsal(t, `(rehearsal "killed" (seconds 8) (poolers 2) `+quick+` (at 2s (die primaries) (for 3s)) (at 2500ms (kill-pooler 0) (for 1s)))`)
-	if m.Equal+m.Unknown+m.Dark+m.Untaken != m.Tries || m.Equal < m.Tries/2 {
+	if m.Equal+m.Unknown+m.InMissing+m.Untaken != m.Attempts || m.Equal < m.Attempts/2 {
 		t.Errorf("%+v", m)
 	}
 	if int(v.Unknowns) < m.Unknown {
@@ -244,18 +244,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := rehearse.Play(context.Background(), s, rehearse.Options{Seed: 3, Out: out, Daemon: daemon, Log: slog.New(slog.DiscardHandler),
+	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 3, Out: out, Daemon: daemon, Log: slog.New(slog.DiscardHandler),
 		Operators: fmt.Sprintf("(journal (dir %q))", filepath.Join(dir, "$POOLER"))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := os.ReadFile(filepath.Join(out, rehearse.TriesFile))
+	b, err := os.ReadFile(filepath.Join(out, rehearse.AttemptsFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	heard := map[string]bool{}
 	for line := range strings.Lines(string(b)) {
-		var x rehearse.TryLine
+		var x rehearse.AttemptLine
 		if err := json.Unmarshal([]byte(line), &x); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -30,7 +30,7 @@
 	return &cli.Command{
 		Name: "lab", Usage: "play scenarios in virtual time, at any size",
 		Commands: []*cli.Command{
-			{Name: "play", Usage: "play one scenario and judge it", ArgsUsage: "SCRIPT", Action: labPlay,
+			{Name: "play", Usage: "play one scenario and judge it", ArgsUsage: "SCRIPT", Action: runLab,
 				Flags: []cli.Flag{seed(), mutant(), asJSON(), &cli.BoolFlag{Name: "meter", Usage: "take the decision module's time apart"}}},
 			{Name: "run", Usage: "run an experiment; one that was broken off goes on", ArgsUsage: "EXPERIMENT", Action: labRun,
 				Flags: []cli.Flag{&cli.StringFlag{Name: "out", Value: "experiment", Usage: "the `DIR` for its table and report"}, asJSON()}},
@@ -74,7 +74,7 @@
 	return scenario.Load(c.Args().First())
 }
 
-func labPlay(ctx context.Context, c *cli.Command) error {
+func runLab(ctx context.Context, c *cli.Command) error {
 	m, err := mutantOf(c)
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 	if c.Bool("json") {
 		err = writeJSON(c.Root().Writer, r)
 	} else {
-		err = playText(c.Root().Writer, r)
+		err = runText(c.Root().Writer, r)
 	}
 	if err != nil {
 		return err
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// playText writes how a run in virtual time went.
-func playText(w io.Writer, r *simulation.Result) error {
+// runText writes how a run in virtual time went.
+func runText(w io.Writer, r *simulation.Result) error {
 	s := r.Score
 	fmt.Fprintf(w, "%s, seed %d: service %.4f, worst 10 s %.3f, worst class %s; goal %.4f\n", r.Scenario, r.Seed, s.Ratio, s.Worst, s.Least, s.Goal)
 	fmt.Fprintf(w, "%d poolers, %d servers in %d groups; %.1f s in %.1f s, %d events (%.0f a second), %.0f MB; %s\n\n", r.Poolers, r.Servers, r.Groups, r.VirtualMs/1000, r.WallMs/1000,
@@ -119,10 +119,10 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "class\tservice\tasked\ttries\tserved\tlate\trefused\tfailed\tno answer\tbroken\tunmade")
 	for _, c := range append(s.Classes[:len(s.Classes):len(s.Classes)], s.Total) {
-		fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Ratio, c.Asked, c.Tries, c.Served, c.Late, c.Refused, c.Failed, c.Silent, c.Broken, c.Unmade)
+		fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Ratio, c.Asked, c.Tries, c.Served, c.Late, c.Refused, c.Failed, c.Unanswered, c.Broken, c.Unmade)
 	}
 	for _, c := range s.Tenants {
-		fmt.Fprintf(t, "%s, in its share\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Ratio, c.Asked, c.Tries, c.Served, c.Late, c.Refused, c.Failed, c.Silent, c.Broken, c.Unmade)
+		fmt.Fprintf(t, "%s, in its share\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Ratio, c.Asked, c.Tries, c.Served, c.Late, c.Refused, c.Failed, c.Unanswered, c.Broken, c.Unmade)
 	}
 	if r.CrossSite > 0 {
 		fmt.Fprintf(t, "\nattempts across sites\t%d of %d\n", r.CrossSite, r.Attempts)
@@ -221,11 +221,11 @@
 	if err := errors.Join(lab.HTML(f, x, lines), f.Close()); err != nil {
 		return err
 	}
-	return tellTable(c, lines, nil, report)
+	return printTable(c, lines, nil, report)
 }
 
-// tellTable writes a table with its comparisons, and fails where a rule was broken.
-func tellTable(c *cli.Command, lines, second []lab.Line, report string) error {
+// printTable writes a table with its comparisons, and fails where a rule was broken.
+func printTable(c *cli.Command, lines, second []lab.Line, report string) error {
 	var compared []*lab.Comparison
 	var err error
 	switch {
@@ -268,7 +268,7 @@
 			return err
 		}
 	}
-	return tellTable(c, lines, second, "")
+	return printTable(c, lines, second, "")
 }
 
 func labShrink(ctx context.Context, c *cli.Command) error {
--- a/cmd/beechgrade-kit/load.go
+++ b/cmd/beechgrade-kit/load.go
@@ -51,7 +51,7 @@
 func fire(ctx context.Context, c *cli.Command) error {
 	classes := clients.Classes()
 	if c.String("clickhouse") != "" {
-		classes = clients.HouseClasses()
+		classes = clients.ClickHouseClasses()
 	}
 	p := load.Pattern{Shape: load.Shape(c.String("shape")), From: c.Float("rate"), To: c.Float("to"), Seconds: c.Float("seconds"), Groups: c.Int("groups"),
 		Sessions: c.Int("sessions"), Seed: c.Uint64("seed")}
--- a/cmd/beechgrade-kit/main.go
+++ b/cmd/beechgrade-kit/main.go
@@ -83,7 +83,7 @@
 				},
 				Action: measurePooling,
 			},
-			houseCommand(asJSON),
+			clickhouseCommand(asJSON),
 			journalCommand(asJSON),
 			storeCommand(asJSON),
 			membersCommand(asJSON),
@@ -101,7 +101,7 @@
 					&cli.BoolFlag{Name: "verbose", Aliases: []string{"v"}, Usage: "log what the stand-ins do"},
 					asJSON(),
 				},
-				Action: play,
+				Action: runRehearsal,
 				Commands: []*cli.Command{
 					{Name: "check", Usage: "read scripts and tell what is wrong with them", ArgsUsage: "SCRIPT...", Action: checkScripts},
 					{Name: "compare", Usage: "hold a rehearsal's records against what its clients saw", ArgsUsage: "DIR", Flags: []cli.Flag{asJSON()}, Action: compare},
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func play(ctx context.Context, c *cli.Command) error {
+func runRehearsal(ctx context.Context, c *cli.Command) error {
 	s, err := oneScript(c)
 	if err != nil {
 		return err
@@ -170,7 +170,7 @@
 	if c.Bool("verbose") {
 		log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
-	out, told := c.String("out"), -1
+	out, shownPart := c.String("out"), -1
 	more := ""
 	if path := c.String("settings"); path != "" {
 		b, err := os.ReadFile(path)
@@ -179,19 +179,19 @@
 		}
 		more = string(b)
 	}
-	_, err = rehearse.Play(ctx, s, rehearse.Options{Seed: c.Uint64("seed"), Out: out, Operators: more, Daemon: daemon, Log: log, Progress: func(done, all int) {
-		if part := 20 * done / max(1, all); part != told && !c.Bool("json") {
-			told = part
+	_, err = rehearse.Execute(ctx, s, rehearse.Options{Seed: c.Uint64("seed"), Out: out, Operators: more, Daemon: daemon, Log: log, Progress: func(done, all int) {
+		if part := 20 * done / max(1, all); part != shownPart && !c.Bool("json") {
+			shownPart = part
 			fmt.Fprintf(os.Stderr, "\r%s: %3d%%", s.Name, 5*part)
 		}
 	}})
-	if told >= 0 {
+	if shownPart >= 0 {
 		fmt.Fprint(os.Stderr, "\r\033[K")
 	}
 	if err != nil {
 		return err
 	}
-	return judge(c, out)
+	return reportRehearsal(c, out)
 }
 
 // daemonOf is the daemon's program: the one that was named, or the one beside this program.
@@ -232,11 +232,11 @@
 	if c.Args().Len() != 1 {
 		return errors.New("one folder of a rehearsal is due")
 	}
-	return judge(c, c.Args().First())
+	return reportRehearsal(c, c.Args().First())
 }
 
-// judge tells how a rehearsal went, and fails where a rule was broken or the records do not agree with the clients.
-func judge(c *cli.Command, dir string) error {
+// reportRehearsal tells how a rehearsal went, and fails where a rule was broken or the records do not agree with the clients.
+func reportRehearsal(c *cli.Command, dir string) error {
 	m, v, res, err := rehearse.Compare(dir)
 	if err != nil {
 		return err
--- a/cmd/beechgrade-kit/month_test.go
+++ b/cmd/beechgrade-kit/month_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	res, err := rehearse.Play(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
+	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade-kit/overload_test.go
+++ b/cmd/beechgrade-kit/overload_test.go
@@ -46,7 +46,7 @@
 	if opt.Out == "" {
 		opt.Out = t.TempDir()
 	}
-	res, err := rehearse.Play(context.Background(), s, opt)
+	res, err := rehearse.Execute(context.Background(), s, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 	var mu sync.Mutex
 	var came []float64
 	res := overload(t, 200, `(seconds 16) (groups 1 2 2 2 2 2 2 2 2 2) (at 4s (crowd primary 0 0.1) (for 11s)) (at 8s (cut prober replica 3) (for 6s))`,
-		lies(t, rehearse.Options{Came: func(server int, at float64) {
+		lies(t, rehearse.Options{Received: func(server int, at float64) {
 			if server == 6 { // group 3's replica: 1 + 2 + 2 + 1 before it
 				mu.Lock()
 				defer mu.Unlock()
@@ -162,26 +162,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	opt.Liar, opt.Lies = path, map[int]string{no: what}
+	opt.ByzantineDaemon, opt.ByzantineModes = path, map[int]string{no: what}
 	return opt
 }
 
 // servedAt are what was asked and what of it was served, by the pooler of the first try, as the clients saw it.
 func servedAt(t testing.TB, out string) map[string][2]float64 {
 	t.Helper()
-	f, err := os.Open(filepath.Join(out, rehearse.TriesFile))
+	f, err := os.Open(filepath.Join(out, rehearse.AttemptsFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
 	at := map[string][2]float64{}
 	for lines := bufio.NewScanner(f); lines.Scan(); {
-		var x rehearse.TryLine
+		var x rehearse.AttemptLine
 		if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
 			t.Fatal(err)
 		}
 		n := at[x.Pooler]
-		if x.No == 0 {
+		if x.Number == 0 {
 			n[0]++
 		}
 		if x.Kind == clients.Served {
--- a/cmd/beechgrade-kit/peers.go
+++ b/cmd/beechgrade-kit/peers.go
@@ -43,8 +43,8 @@
 	Avoided []module.AvoidedServer `json:"avoided,omitempty"` // servers, by others' word
 }
 
-// askPeers asks poolers side by side.
-func askPeers(addrs []string, key cluster.Key) []*asked {
+// queryPeers asks poolers side by side.
+func queryPeers(addrs []string, key cluster.Key) []*asked {
 	out := make([]*asked, len(addrs))
 	var wg sync.WaitGroup
 	for i, a := range addrs {
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	views := askPeers(addrs, key)
+	views := queryPeers(addrs, key)
 	if c.Bool("all") {
 		var more []string
 		for _, v := range views {
@@ -87,7 +87,7 @@
 				}
 			}
 		}
-		views = append(views, askPeers(more, key)...)
+		views = append(views, queryPeers(more, key)...)
 	}
 	if c.Bool("json") {
 		e := jsoniter.NewEncoder(c.Root().Writer)
--- a/cmd/beechgrade-kit/peers_limits.go
+++ b/cmd/beechgrade-kit/peers_limits.go
@@ -91,7 +91,7 @@
 							defer wg.Done()
 							room <- struct{}{}
 							defer func() { <-room }()
-							r, err := playLimit(ctx, limitScript(n, d.text, state, manner), uint64(seed+1))
+							r, err := runLimit(ctx, limitScript(n, d.text, state, manner), uint64(seed+1))
 							mu.Lock()
 							defer mu.Unlock()
 							if errs = errors.Join(errs, err); err != nil {
@@ -117,7 +117,7 @@
 	return printLimits(c.Root().Writer, rows)
 }
 
-func playLimit(ctx context.Context, text string, seed uint64) (*simulation.Result, error) {
+func runLimit(ctx context.Context, text string, seed uint64) (*simulation.Result, error) {
 	s, err := scenario.Parse("limits", []byte(text))
 	if err != nil {
 		return nil, err
--- a/cmd/beechgrade-kit/repeats_test.go
+++ b/cmd/beechgrade-kit/repeats_test.go
@@ -21,20 +21,20 @@
 	}
 	s.Clients.Rate = 150
 	const operators = "(overload (repeats (part 0.02) (floor 4) (span 10s)) (returns 50))\n"
-	res, err := rehearse.Play(context.Background(), s, rehearse.Options{Seed: 5, Out: t.TempDir(), Daemon: daemon, Operators: operators, Log: slog.New(slog.DiscardHandler)})
+	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: t.TempDir(), Daemon: daemon, Operators: operators, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	breached(t, res)
 	b := retrybudget.Settings{AttemptShare: 0.02, Floor: 4, Span: 10e9}
-	for g, x := range res.Twice {
-		most := b.MaxRetries(x.Taken-x.Again+int(res.Score.Total.Tries/20), 8, 5, 16e9) // those that were sent and lost, beside what was taken; a side counts five or three
-		t.Logf("group %d: %d taken, %d again, at most %.1f", g, x.Taken, x.Again, most)
-		if float64(x.Again) > most {
-			t.Errorf("group %d: servers took %d a second time, which is beyond %v", g, x.Again, most)
+	for g, x := range res.Duplicates {
+		most := b.MaxRetries(x.Taken-x.Repeated+int(res.Score.Total.Tries/20), 8, 5, 16e9) // those that were sent and lost, beside what was taken; a side counts five or three
+		t.Logf("group %d: %d taken, %d again, at most %.1f", g, x.Taken, x.Repeated, most)
+		if float64(x.Repeated) > most {
+			t.Errorf("group %d: servers took %d a second time, which is beyond %v", g, x.Repeated, most)
 		}
 	}
-	if x := res.Twice[0]; x.Again == 0 {
+	if x := res.Duplicates[0]; x.Repeated == 0 {
 		t.Error("nothing was ever repeated")
 	}
 	if res.Score.Total.Ratio < 0.8 {
--- a/cmd/beechgrade-kit/sizes.go
+++ b/cmd/beechgrade-kit/sizes.go
@@ -46,11 +46,11 @@
 	if c.Bool("json") {
 		return jsoniter.NewEncoder(c.Root().Writer).Encode(all)
 	}
-	return tellSizes(c, all)
+	return printSizes(c, all)
 }
 
-// tellSizes prints the table, and fails where a bound is not kept.
-func tellSizes(c *cli.Command, all []*sizes.Needs) error {
+// printSizes prints the table, and fails where a bound is not kept.
+func printSizes(c *cli.Command, all []*sizes.Needs) error {
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprint(w, "servers")
 	for _, needs := range all {
--- a/cmd/beechgrade-kit/slowstart_test.go
+++ b/cmd/beechgrade-kit/slowstart_test.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			res, err := rehearse.Play(context.Background(), s, rehearse.Options{Seed: 5, Out: t.TempDir(), Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
+			res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: t.TempDir(), Daemon: daemon, Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/beechgrade-kit/standing_test.go
+++ b/cmd/beechgrade-kit/standing_test.go
@@ -34,16 +34,16 @@
 		(at 2s (restart-pooler 0)) (at 2s (restart-pooler 1)) (at 6s (restart-pooler 2)) (at 6s (restart-pooler 3))
 		(at 10s (restart-pooler 4)) (at 10s (restart-pooler 5)) (at 14s (restart-pooler 6)) (at 14s (restart-pooler 7))`)
 	all := &res.Score.Total
-	t.Logf("%d tries: %d served, %d refused, %d failed, %d without an answer, %d broken, %d unmade", all.Tries, all.Served, all.Refused, all.Failed, all.Silent, all.Broken, all.Unmade)
-	if lost := all.Silent + all.Broken + all.Unmade; lost*200 > all.Tries || all.Silent > 0 {
+	t.Logf("%d tries: %d served, %d refused, %d failed, %d without an answer, %d broken, %d unmade", all.Tries, all.Served, all.Refused, all.Failed, all.Unanswered, all.Broken, all.Unmade)
+	if lost := all.Unanswered + all.Broken + all.Unmade; lost*200 > all.Tries || all.Unanswered > 0 {
 		t.Errorf("%d of %d had no answer", lost, all.Tries)
 	}
 	m, _, _, err := rehearse.Compare(out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if lost := all.Silent + all.Broken + all.Unmade; uint64(m.Untaken) != lost || m.Dark+m.Unknown > 0 {
-		t.Errorf("%d had no answer, %d of which nobody had taken; %d and %d are not known", lost, m.Untaken, m.Dark, m.Unknown)
+	if lost := all.Unanswered + all.Broken + all.Unmade; uint64(m.Untaken) != lost || m.InMissing+m.Unknown > 0 {
+		t.Errorf("%d had no answer, %d of which nobody had taken; %d and %d are not known", lost, m.Untaken, m.InMissing, m.Unknown)
 	}
 }
 
--- a/cmd/beechgrade-kit/store.go
+++ b/cmd/beechgrade-kit/store.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// lookInto opens a store so that nothing in it changes.
-func lookInto(c *cli.Command) (*store.Store, *store.Recovery, error) {
+// inspect opens a store so that nothing in it changes.
+func inspect(c *cli.Command) (*store.Store, *store.Recovery, error) {
 	if c.Args().Len() != 1 {
 		return nil, nil, errors.New("the store's DIR is due")
 	}
@@ -52,7 +52,7 @@
 }
 
 func checkStore(_ context.Context, c *cli.Command) error {
-	s, rec, err := lookInto(c)
+	s, rec, err := inspect(c)
 	if errors.Is(err, store.ErrCorrupt) {
 		return failed{err}
 	}
@@ -90,7 +90,7 @@
 }
 
 func dumpStore(_ context.Context, c *cli.Command) error {
-	s, _, err := lookInto(c)
+	s, _, err := inspect(c)
 	if err != nil {
 		return err
 	}
--- a/cmd/beechgrade-kit/verdicts_test.go
+++ b/cmd/beechgrade-kit/verdicts_test.go
@@ -55,7 +55,7 @@
 		defer came.mu.Unlock()
 		came.all = append(came.all, arrival{server, pooler, writes, at})
 	}
-	res, err := rehearse.Play(context.Background(), s, opt)
+	res, err := rehearse.Execute(context.Background(), s, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade-kit/zones.go
+++ b/cmd/beechgrade-kit/zones.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	zonesAnswer = 2 * time.Second // that a door may take
-	zonesMost   = 1 << 20         // bytes of its answer
-	zonesAgain  = 200 * time.Millisecond
+	zonesTimeout   = 2 * time.Second // that a door may take
+	maxZonesAnswer = 1 << 20         // bytes of its answer
+	zonesRetry     = 200 * time.Millisecond
 )
 
 // zonesCommand shows which plan for zones is in force and who follows it, and orders zones, at poolers' doors.
@@ -61,16 +61,16 @@
 	}
 }
 
-// zoneDoor is what a door showed, or why it did not.
-type zoneDoor struct {
-	Door string `json:"door"`
-	Err  string `json:"error,omitempty"`
+// zoneEndpoint is what a door showed, or why it did not.
+type zoneEndpoint struct {
+	Endpoint string `json:"door"`
+	Err      string `json:"error,omitempty"`
 	*admin.Status
 }
 
 // callZones makes a call at a door. A no of the door's is an error with its status.
 func callZones(ctx context.Context, door, method string, q url.Values) (*admin.Status, int, error) {
-	ctx, cancel := context.WithTimeout(ctx, zonesAnswer)
+	ctx, cancel := context.WithTimeout(ctx, zonesTimeout)
 	defer cancel()
 	u := url.URL{Scheme: "http", Host: door, Path: "/-/zones", RawQuery: q.Encode()}
 	r, err := http.NewRequestWithContext(ctx, method, u.String(), nil)
@@ -82,7 +82,7 @@
 		return nil, 0, err
 	}
 	defer func() { _ = a.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(a.Body, zonesMost))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxZonesAnswer))
 	switch {
 	case err != nil:
 		return nil, 0, err
@@ -98,13 +98,13 @@
 	return s, a.StatusCode, nil
 }
 
-// askZones asks doors side by side.
-func askZones(ctx context.Context, doors []string) []*zoneDoor {
-	out := make([]*zoneDoor, len(doors))
+// queryZones asks doors side by side.
+func queryZones(ctx context.Context, doors []string) []*zoneEndpoint {
+	out := make([]*zoneEndpoint, len(doors))
 	var wg sync.WaitGroup
 	for i, d := range doors {
 		wg.Go(func() {
-			out[i] = &zoneDoor{Door: d}
+			out[i] = &zoneEndpoint{Endpoint: d}
 			s, _, err := callZones(ctx, d, http.MethodGet, nil)
 			if out[i].Status = s; err != nil {
 				out[i].Err = err.Error()
@@ -115,7 +115,7 @@
 	return out
 }
 
-func doorsOf(c *cli.Command) ([]string, error) {
+func adminEndpoints(c *cli.Command) ([]string, error) {
 	doors := c.StringSlice("door")
 	if len(doors) == 0 {
 		return nil, errors.New("zones: at least one --door ADDRESS:PORT is due, of a pooler's control setting")
@@ -127,26 +127,26 @@
 	if c.Args().Present() {
 		return fmt.Errorf("zones: %q is not known here", c.Args().First())
 	}
-	doors, err := doorsOf(c)
+	doors, err := adminEndpoints(c)
 	if err != nil {
 		return err
 	}
-	all := askZones(ctx, doors)
+	all := queryZones(ctx, doors)
 	if c.Bool("json") {
 		return writeJSON(c.Root().Writer, all)
 	}
 	if err := zonesText(c.Root().Writer, all); err != nil {
 		return err
 	}
-	if !slices.ContainsFunc(all, func(d *zoneDoor) bool { return d.Status != nil }) {
+	if !slices.ContainsFunc(all, func(d *zoneEndpoint) bool { return d.Status != nil }) {
 		return failed{errors.New("no door answered")}
 	}
 	return nil
 }
 
 // zonesText shows the newest plan that anybody has in force, the zones by it, and what each pooler does.
-func zonesText(w io.Writer, all []*zoneDoor) error {
-	var newest, book *admin.Status
+func zonesText(w io.Writer, all []*zoneEndpoint) error {
+	var newest, voter *admin.Status
 	for _, d := range all {
 		s := d.Status
 		if s == nil {
@@ -155,8 +155,8 @@
 		if s.Plan != nil && s.Why == "plan" && (newest == nil || s.Plan.No > newest.Plan.No) {
 			newest = s
 		}
-		if s.Votes && (book == nil || s.Leads) {
-			book = s
+		if s.Votes && (voter == nil || s.Leads) {
+			voter = s
 		}
 	}
 	if newest == nil {
@@ -166,10 +166,10 @@
 		fmt.Fprintf(w, "plan %d by %s, the same since %d; %.2f cores short; a zone that receives has %.2f of its safe room at most\n", p.No, p.By, p.Since, p.Short, p.Most)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	if shown := cmp.Or(newest, book); shown != nil {
+	if shown := cmp.Or(newest, voter); shown != nil {
 		fmt.Fprintln(t, "zone\tstate\treads are served in\torder")
 		for i, z := range shown.Zones {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", z.Name, cmp.Or(z.State, "-"), sharesText(z.Shares), orderText(book, i))
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", z.Name, cmp.Or(z.State, "-"), sharesText(z.Shares), orderText(voter, i))
 		}
 	}
 	if err := t.Flush(); err != nil { // columns of the next table are its own
@@ -195,7 +195,7 @@
 	}
 	for _, d := range all {
 		if d.Err != "" {
-			fmt.Fprintf(w, "%s: %s\n", d.Door, d.Err)
+			fmt.Fprintf(w, "%s: %s\n", d.Endpoint, d.Err)
 		}
 	}
 	return nil
@@ -210,11 +210,11 @@
 }
 
 // orderText is the order of a zone by a voter's book; its number too, as a next one must have a higher one.
-func orderText(book *admin.Status, zone int) string {
-	if book == nil || zone >= len(book.Zones) {
+func orderText(voter *admin.Status, zone int) string {
+	if voter == nil || zone >= len(voter.Zones) {
 		return "no voter was asked"
 	}
-	z := book.Zones[zone]
+	z := voter.Zones[zone]
 	switch {
 	case z.Order == nil && z.Newest == 0:
 		return "none"
@@ -229,7 +229,7 @@
 // orderZone has an order be proposed at a voter until it stands there, which is when the fleet has agreed. It is one order, by its number,
 // however often it is proposed.
 func orderZone(ctx context.Context, c *cli.Command, zone, state string) error {
-	doors, err := doorsOf(c)
+	doors, err := adminEndpoints(c)
 	if err != nil {
 		return err
 	}
@@ -244,7 +244,7 @@
 	}
 	why := errors.New("nobody was asked")
 	for ctx.Err() == nil {
-		all := askZones(ctx, doors)
+		all := queryZones(ctx, doors)
 		if q.Get("number") == "" {
 			if n, ok := newestOrder(all, zone); ok {
 				q.Set("number", strconv.FormatUint(n+1, 10))
@@ -253,12 +253,12 @@
 		for _, d := range all {
 			switch {
 			case d.Err != "" && ctx.Err() == nil:
-				why = fmt.Errorf("%s: %s", d.Door, d.Err)
+				why = fmt.Errorf("%s: %s", d.Endpoint, d.Err)
 			case d.Status == nil:
 			case !d.Votes:
-				why = fmt.Errorf("%s: %s does not vote; these do: %s", d.Door, d.Pooler, strings.Join(d.Voters, " "))
+				why = fmt.Errorf("%s: %s does not vote; these do: %s", d.Endpoint, d.Pooler, strings.Join(d.Voters, " "))
 			default:
-				_, status, err := callZones(ctx, d.Door, http.MethodPost, q)
+				_, status, err := callZones(ctx, d.Endpoint, http.MethodPost, q)
 				switch {
 				case status == http.StatusBadRequest:
 					return err
@@ -268,15 +268,15 @@
 					fmt.Fprintf(c.Root().Writer, "order %s of zone %s is agreed: %s\n", q.Get("number"), zone, state)
 					return nil
 				case err != nil && ctx.Err() == nil:
-					why = fmt.Errorf("%s: %w", d.Door, err)
+					why = fmt.Errorf("%s: %w", d.Endpoint, err)
 				case err == nil:
-					why = fmt.Errorf("%s: it is proposed, and not agreed yet", d.Door)
+					why = fmt.Errorf("%s: it is proposed, and not agreed yet", d.Endpoint)
 				}
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(zonesAgain):
+		case <-time.After(zonesRetry):
 		}
 	}
 	if n := q.Get("number"); n != "" {
@@ -286,7 +286,7 @@
 }
 
 // newestOrder is the number of a zone's newest order at any voter that answered; 0 for a zone that nobody knows, too.
-func newestOrder(all []*zoneDoor, zone string) (newest uint64, ok bool) {
+func newestOrder(all []*zoneEndpoint, zone string) (newest uint64, ok bool) {
 	for _, d := range all {
 		if d.Status == nil || !d.Votes {
 			continue
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -57,7 +57,7 @@
 	set    zones.Settings
 	dir    string
 	shares [8][]planned // by pooler, by time
-	tries  []rehearse.TryLine
+	tries  []rehearse.AttemptLine
 
 	rmu   sync.Mutex
 	reads []zoneRead
@@ -92,8 +92,8 @@
 	}
 	z.set = set.Zones.Settings
 	var wg sync.WaitGroup
-	opt := rehearse.Options{Seed: 5, Out: z.dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Figures: z.take, Operators: operators,
-		Begins: func(at float64, doors []string) {
+	opt := rehearse.Options{Seed: 5, Out: z.dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Metrics: z.take, Operators: operators,
+		Started: func(at float64, doors []string) {
 			for ms, do := range does {
 				wg.Go(func() {
 					time.Sleep(time.Duration(ms * float64(time.Millisecond)))
@@ -109,9 +109,9 @@
 			}
 		}}
 	if instead != nil {
-		opt.Instead = func(int) int { return instead(z.zoneWatch) }
+		opt.ReplaceTarget = func(int) int { return instead(z.zoneWatch) }
 	}
-	if z.Result, err = rehearse.Play(context.Background(), s, opt); err != nil {
+	if z.Result, err = rehearse.Execute(context.Background(), s, opt); err != nil {
 		t.Fatal(err)
 	}
 	wg.Wait()
@@ -125,14 +125,14 @@
 }
 
 // triesIn are what clients tried.
-func triesIn(t testing.TB, dir string) (out []rehearse.TryLine) {
+func triesIn(t testing.TB, dir string) (out []rehearse.AttemptLine) {
 	t.Helper()
-	b, err := os.ReadFile(filepath.Join(dir, rehearse.TriesFile))
+	b, err := os.ReadFile(filepath.Join(dir, rehearse.AttemptsFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for line := range bytes.Lines(b) {
-		var l rehearse.TryLine
+		var l rehearse.AttemptLine
 		if err := jsoniter.Unmarshal(line, &l); err != nil {
 			t.Fatal(err)
 		}
@@ -281,7 +281,7 @@
 	t.Parallel()
 	z := &zonesPlay{zoneWatch: &zoneWatch{}, Result: &rehearse.Result{ToMs: 20000}}
 	for i := range 2000 { // 100 a second of zone a's, 8 cores
-		z.tries = append(z.tries, rehearse.TryLine{Class: "relatorio-mes", Pooler: "pooler-0", Sent: float64(i) * 10})
+		z.tries = append(z.tries, rehearse.AttemptLine{Class: "relatorio-mes", Pooler: "pooler-0", Sent: float64(i) * 10})
 		z.reads = append(z.reads, zoneRead{float64(i) * 10, 0, (9 - i%10) / 9})
 	}
 	z.shares[0] = []planned{{0, 1, [][]float64{{1, 0, 0}, {0, 1, 0}, {0, 0, 1}}}, {5000, 4, [][]float64{{0.2, 0.8, 0}, {0, 1, 0}, {0, 0, 1}}}, {8000, 6, [][]float64{{1, 0, 0}, {0, 1, 0}, {0, 0, 1}}}}
--- a/cmd/beechgrade-kit/zones_test.go
+++ b/cmd/beechgrade-kit/zones_test.go
@@ -152,7 +152,7 @@
 }
 
 // zoneInside holds that in a zone that is cut off reads which may be old are served, and the rest is given up soon.
-func zoneInside(t testing.TB, tries []rehearse.TryLine, from, to float64) {
+func zoneInside(t testing.TB, tries []rehearse.AttemptLine, from, to float64) {
 	t.Helper()
 	served, reads, waits, kinds := 0, 0, []float64{}, map[string]int{}
 	for _, x := range tries {
@@ -194,9 +194,9 @@
 	}
 	dir, w, killed := t.TempDir(), &zoneWatch{rules: checker.NewZoneChecker(0, 0, 1)}, -1
 	came := &arrivals{}
-	res, err := rehearse.Play(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Figures: w.take,
-		Operators: fmt.Sprintf(zonesOperators, filepath.Join(dir, "disks"), zoneLife),
-		Instead:   func(p int) int { killed = w.leader(p); return killed },
+	res, err := rehearse.Execute(context.Background(), s, rehearse.Options{Seed: 5, Out: dir, Daemon: daemon, Log: slog.New(slog.DiscardHandler), Metrics: w.take,
+		Operators:     fmt.Sprintf(zonesOperators, filepath.Join(dir, "disks"), zoneLife),
+		ReplaceTarget: func(p int) int { killed = w.leader(p); return killed },
 		Arrived: func(server, pooler int, writes bool, at float64) {
 			came.mu.Lock()
 			defer came.mu.Unlock()
--- a/internal/testkit/clients/clients.go
+++ b/internal/testkit/clients/clients.go
@@ -27,12 +27,12 @@
 
 // The kinds. Late marks the tries whose answer came after the client had given up.
 const (
-	Served  Kind = "served"
-	Refused Kind = "refused"
-	Failed  Kind = "failed"
-	Silent  Kind = "no answer" // by the time the client gave up, nor for a while after
-	Broken  Kind = "broken"    // the connection ended without an answer
-	Unmade  Kind = "unmade"    // no pooler took the connection
+	Served     Kind = "served"
+	Refused    Kind = "refused"
+	Failed     Kind = "failed"
+	Unanswered Kind = "no answer" // by the time the client gave up, nor for a while after
+	Broken     Kind = "broken"    // the connection ended without an answer
+	Unmade     Kind = "unmade"    // no pooler took the connection
 )
 
 // Try is one try of an ask, with what its client saw.
@@ -68,36 +68,36 @@
 	sink    Sink
 	poolers []string
 
-	mu       sync.Mutex
-	idle     [][]*link
-	sessions Sessions
-	bad      []float64 // until when a pooler is not tried, as the front has noticed
-	wg       sync.WaitGroup
+	mu               sync.Mutex
+	idle             [][]*link
+	sessions         Sessions
+	unreachableUntil []float64 // until when a pooler is not tried, as the front has noticed
+	wg               sync.WaitGroup
 }
 
 // link is a connection to a pooler.
 type link struct {
 	net.Conn
-	in    *bufio.Reader
-	since float64
-	said  said // of the answer that is coming in
-	rows  int
+	reader  *bufio.Reader
+	since   float64
+	partial answer // of the answer that is coming in
+	rows    int
 }
 
 const (
-	frontMs   = 500 // the front notices so late that a pooler is gone
-	dialMs    = 300
-	maxAnswer = 16 << 10
+	unreachableMs = 500 // the front notices so late that a pooler is gone
+	dialMs        = 300
+	maxAnswer     = 16 << 10
 )
 
 // NewPlayer makes a player before the given poolers.
 func NewPlayer(cfg Config, clk clock.Clock, poolers []string, sink Sink) *Player {
 	return &Player{cfg: cfg, clk: clk, sink: sink, poolers: poolers, idle: make([][]*link, len(poolers)),
-		sessions: Sessions{}, bad: make([]float64, len(poolers))}
+		sessions: Sessions{}, unreachableUntil: make([]float64, len(poolers))}
 }
 
-// Play asks all, each at its time, and returns when every ask has had its end. progress is told the number asked.
-func (p *Player) Play(ctx context.Context, plan []Ask, progress func(asked int)) {
+// Run asks all, each at its time, and returns when every ask has had its end. progress is told the number asked.
+func (p *Player) Run(ctx context.Context, plan []Ask, progress func(asked int)) {
 	order := make([]*Ask, len(plan))
 	for i := range plan {
 		order[i] = &plan[i]
@@ -118,7 +118,7 @@
 		p.wg.Add(1)
 		go func() {
 			defer p.wg.Done()
-			p.ask(ctx, a)
+			p.request(ctx, a)
 		}()
 		if progress != nil && i%64 == 0 {
 			progress(i + 1)
@@ -136,13 +136,13 @@
 	}
 }
 
-// ask makes the first try and those that follow.
-func (p *Player) ask(ctx context.Context, a *Ask) {
+// request makes the first try and those that follow.
+func (p *Player) request(ctx context.Context, a *Ask) {
 	c := &p.cfg.Classes[a.Class]
 	first := 0.0
 	for no := 0; no <= len(a.Waits); no++ {
 		t := &Try{Ask: a, Class: c, No: no, Pooler: -1, Tenant: p.cfg.TenantOf(a)}
-		wait := p.try(t, &first)
+		wait := p.attempt(t, &first)
 		p.mu.Lock()
 		p.sink.Tried(t)
 		p.mu.Unlock()
@@ -160,8 +160,8 @@
 	}
 }
 
-// try makes one try, and returns the wait that a refusal advised.
-func (p *Player) try(t *Try, first *float64) (wait float64) {
+// attempt makes one try, and returns the wait that a refusal advised.
+func (p *Player) attempt(t *Try, first *float64) (wait float64) {
 	a, c := t.Ask, t.Class
 	t.ID = fmt.Sprintf("%08x%02x%08x", p.cfg.Seed&0xffffffff, t.No, a.No)
 	if c.Read == Write {
@@ -191,8 +191,8 @@
 		return 0
 	}
 	ask, answer := pgwire.AppendQuery(nil, statement(a, c, t, t.After, giveUp-p.clk.Now())), l.answer
-	if p.cfg.House {
-		ask, answer = houseQuery(a, c, t, giveUp-p.clk.Now()), l.houseAnswer
+	if p.cfg.ClickHouse {
+		ask, answer = clickhouseQuery(a, c, t, giveUp-p.clk.Now()), l.clickhouseAnswer
 	}
 	_ = l.SetDeadline(time.Now().Add(time.Duration((giveUp - p.clk.Now()) * float64(time.Millisecond))))
 	if w, ok := p.sink.(Watcher); ok {
@@ -209,7 +209,7 @@
 		_ = l.SetDeadline(time.Now().Add(time.Duration(p.cfg.LateAfter * float64(time.Millisecond))))
 		said, err = answer()
 		if isTimeout(err) {
-			t.Kind = Silent
+			t.Kind = Unanswered
 			_ = l.Close()
 			return 0
 		}
@@ -234,9 +234,9 @@
 		p.sessions.Served(t)
 		p.mu.Unlock()
 	}
-	t.Extra = l.in.Buffered() > 0
+	t.Extra = l.reader.Buffered() > 0
 	if said.ready && !t.Late && !t.Extra {
-		p.keep(t.Pooler, l)
+		p.returnLink(t.Pooler, l)
 	} else {
 		_ = l.Close()
 	}
@@ -256,7 +256,7 @@
 		fmt.Fprintf(&b, ",after=%d", int64(math.Ceil(after)))
 	}
 	if c.KeyMs > 0 {
-		fmt.Fprintf(&b, ",k=%s", a.Idem())
+		fmt.Fprintf(&b, ",k=%s", a.IdempotencyKey())
 	}
 	if t.Tenant != "" {
 		fmt.Fprintf(&b, ",t=%s", t.Tenant)
@@ -291,7 +291,7 @@
 		n := (home + i) % len(p.poolers)
 		now := p.clk.Now()
 		p.mu.Lock()
-		skip := now < p.bad[n]
+		skip := now < p.unreachableUntil[n]
 		var l *link
 		for list := p.idle[n]; l == nil && len(list) > 0; list = p.idle[n] {
 			l = list[len(list)-1]
@@ -310,8 +310,8 @@
 			continue
 		}
 		connect := dial
-		if p.cfg.House {
-			connect = dialHouse
+		if p.cfg.ClickHouse {
+			connect = dialClickHouse
 		}
 		l, err := connect(p.poolers[n])
 		if err == nil {
@@ -319,13 +319,13 @@
 			return l
 		}
 		p.mu.Lock()
-		p.bad[n] = p.clk.Now() + frontMs
+		p.unreachableUntil[n] = p.clk.Now() + unreachableMs
 		p.mu.Unlock()
 	}
 	return nil
 }
 
-func (p *Player) keep(n int, l *link) {
+func (p *Player) returnLink(n int, l *link) {
 	l.since = p.clk.Now()
 	p.mu.Lock()
 	p.idle[n] = append(p.idle[n], l)
@@ -335,7 +335,7 @@
 // alive tells whether nothing has come on an idle connection, its end included.
 func (l *link) alive() bool {
 	_ = l.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
-	_, err := l.in.Peek(1)
+	_, err := l.reader.Peek(1)
 	timedOut := isTimeout(err)
 	_ = l.SetReadDeadline(time.Time{})
 	return timedOut
@@ -347,7 +347,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-func newLink(nc net.Conn) *link { return &link{Conn: nc, in: bufio.NewReaderSize(nc, 2*maxAnswer)} }
+func newLink(nc net.Conn) *link { return &link{Conn: nc, reader: bufio.NewReaderSize(nc, 2*maxAnswer)} }
 
 func dial(addr string) (*link, error) {
 	nc, err := net.DialTimeout("tcp", addr, dialMs*time.Millisecond)
@@ -367,8 +367,8 @@
 	return l, nil
 }
 
-// said is an answer.
-type said struct {
+// answer is an answer.
+type answer struct {
 	code  string
 	wait  float64
 	value []byte
@@ -377,43 +377,43 @@
 
 // answer reads up to ReadyForQuery, or to the connection's end behind an error. Where its time runs out it may be
 // called again and goes on.
-func (l *link) answer() (said, error) {
+func (l *link) answer() (answer, error) {
 	for {
-		head, err := l.in.Peek(5)
+		head, err := l.reader.Peek(5)
 		if err != nil {
-			if l.said.code != "" && err == io.EOF {
-				return l.said, nil // after a fatal error, no ReadyForQuery is needed
+			if l.partial.code != "" && err == io.EOF {
+				return l.partial, nil // after a fatal error, no ReadyForQuery is needed
 			}
-			return said{}, err
+			return answer{}, err
 		}
 		n := int(binary.BigEndian.Uint32(head[1:]))
 		if n < 4 || n > maxAnswer {
-			return said{}, fmt.Errorf("message of %d bytes", n)
+			return answer{}, fmt.Errorf("message of %d bytes", n)
 		}
-		whole, err := l.in.Peek(n + 1)
+		whole, err := l.reader.Peek(n + 1)
 		if err != nil {
-			return said{}, err
+			return answer{}, err
 		}
 		typ, body := whole[0], whole[5:]
 		switch typ {
 		case 'D':
 			v, err := pgwire.Column(body)
 			if l.rows++; err != nil || l.rows > 1 {
-				return said{}, fmt.Errorf("%d rows: %w", l.rows, cmp.Or(err, io.ErrUnexpectedEOF))
+				return answer{}, fmt.Errorf("%d rows: %w", l.rows, cmp.Or(err, io.ErrUnexpectedEOF))
 			}
-			l.said.value = slices.Clone(v)
+			l.partial.value = slices.Clone(v)
 		case 'E':
-			l.said.code = pgwire.ErrorCode(body)
+			l.partial.code = pgwire.ErrorCode(body)
 			if ms, err := strconv.ParseFloat(pgwire.ErrorDetail(body), 64); err == nil && ms > 0 {
-				l.said.wait = ms
+				l.partial.wait = ms
 			}
 		}
-		if _, err := l.in.Discard(n + 1); err != nil {
-			return said{}, err
+		if _, err := l.reader.Discard(n + 1); err != nil {
+			return answer{}, err
 		}
 		if typ == 'Z' {
-			a := l.said
-			a.ready, l.said, l.rows = true, said{}, 0
+			a := l.partial
+			a.ready, l.partial, l.rows = true, answer{}, 0
 			return a, nil
 		}
 	}
--- a/internal/testkit/clients/conn.go
+++ b/internal/testkit/clients/conn.go
@@ -10,10 +10,10 @@
 )
 
 // Conn is a client's connection to a pooler, in the platform's form.
-type Conn struct{ l *link }
+type Conn struct{ link *link }
 
-// Said is a pooler's answer.
-type Said struct {
+// Answer is a pooler's answer.
+type Answer struct {
 	Kind   Kind
 	Code   string  // of an error
 	WaitMs float64 // that a refusal advises
@@ -29,32 +29,32 @@
 	return &Conn{l}, nil
 }
 
-// Ask sends a statement and waits for its answer for so long at most. Behind an error the connection is of no use.
-func (c *Conn) Ask(sql string, wait time.Duration) (Said, error) {
-	_ = c.l.SetDeadline(time.Now().Add(wait))
-	if _, err := c.l.Write(pgwire.AppendQuery(nil, sql)); err != nil {
-		return Said{Kind: Broken}, err
+// Query sends a statement and waits for its answer for so long at most. Behind an error the connection is of no use.
+func (c *Conn) Query(sql string, wait time.Duration) (Answer, error) {
+	_ = c.link.SetDeadline(time.Now().Add(wait))
+	if _, err := c.link.Write(pgwire.AppendQuery(nil, sql)); err != nil {
+		return Answer{Kind: Broken}, err
 	}
-	a, err := c.l.answer()
+	a, err := c.link.answer()
 	var ne net.Error
 	switch {
 	case errors.As(err, &ne) && ne.Timeout():
-		return Said{Kind: Silent}, err
+		return Answer{Kind: Unanswered}, err
 	case err != nil:
-		return Said{Kind: Broken}, err
+		return Answer{Kind: Broken}, err
 	case a.code == "":
-		return Said{Kind: Served, Value: a.value}, nil
+		return Answer{Kind: Served, Value: a.value}, nil
 	case a.code == "53300" || a.code == "57P03":
-		return Said{Kind: Refused, Code: a.code, WaitMs: a.wait}, nil
+		return Answer{Kind: Refused, Code: a.code, WaitMs: a.wait}, nil
 	}
-	return Said{Kind: Failed, Code: a.code}, nil
+	return Answer{Kind: Failed, Code: a.code}, nil
 }
 
 // Close closes the connection.
-func (c *Conn) Close() error { return c.l.Close() }
+func (c *Conn) Close() error { return c.link.Close() }
 
-// Word words a statement of an ask for the platform's form.
-func Word(a *Ask, c *Class, id string, wrote uint64, after, patienceMs float64) string {
+// Statement words a statement of an ask for the platform's form.
+func Statement(a *Ask, c *Class, id string, wrote uint64, after, patienceMs float64) string {
 	return statement(a, c, &Try{ID: id, Wrote: wrote}, after, patienceMs)
 }
 
--- a/internal/testkit/clients/house.go
+++ b/internal/testkit/clients/house.go
@@ -19,8 +19,8 @@
 	WaitField  = "X-Wait-Ms"
 )
 
-// HouseClasses are the classes of clients of the ClickHouse interface, whose servers take writes and reads at any member.
-func HouseClasses() []Class {
+// ClickHouseClasses are the classes of clients of the ClickHouse interface, whose servers take writes and reads at any member.
+func ClickHouseClasses() []Class {
 	return []Class{
 		{Name: "painel", Share: 0.25, Read: ReadBounded, Bound: 5000, Aim: 300, Deadline: 1500, Worth: 1, LateWorth: 0.5, Work: [2]float64{26, 45}},
 		{Name: "relatorio-mes", Share: 0.45, Read: ReadAny, Aim: 500, Deadline: 2000, Worth: 1, LateWorth: 0.5, Work: [2]float64{65, 110}},
@@ -28,8 +28,8 @@
 	}
 }
 
-// houseQuery words a try for the ClickHouse interface.
-func houseQuery(a *Ask, c *Class, t *Try, patience float64) []byte {
+// clickhouseQuery words a try for the ClickHouse interface.
+func clickhouseQuery(a *Ask, c *Class, t *Try, patience float64) []byte {
 	sql := fmt.Sprintf("SELECT content FROM kv WHERE name = '%s'", a.Key)
 	if c.Read == Write {
 		sql = fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('%s', unhex('%s'))", a.Key, hex.EncodeToString(Value(a.Key, t.Wrote)))
@@ -38,21 +38,21 @@
 		url.Values{"query_id": {t.ID}}.Encode(), ClassField, c.Name, WaitField, max(1, int(math.Floor(patience))), len(sql), sql)
 }
 
-// houseAnswer reads an answer of the ClickHouse interface. Where its time runs out before its first byte it may be called
+// clickhouseAnswer reads an answer of the ClickHouse interface. Where its time runs out before its first byte it may be called
 // again.
-func (l *link) houseAnswer() (said, error) {
-	if _, err := l.in.Peek(1); err != nil {
-		return said{}, err
+func (l *link) clickhouseAnswer() (answer, error) {
+	if _, err := l.reader.Peek(1); err != nil {
+		return answer{}, err
 	}
-	res, err := http.ReadResponse(l.in, nil)
+	res, err := http.ReadResponse(l.reader, nil)
 	if err != nil {
-		return said{}, whole(err)
+		return answer{}, asBroken(err)
 	}
 	b, err := io.ReadAll(io.LimitReader(res.Body, 8*maxAnswer))
 	if err != nil {
-		return said{}, whole(err)
+		return answer{}, asBroken(err)
 	}
-	a := said{ready: !res.Close}
+	a := answer{ready: !res.Close}
 	switch res.StatusCode {
 	case 200:
 		a.value = b
@@ -70,8 +70,8 @@
 	return a, nil
 }
 
-// whole has an answer that stopped in its midst count as broken: it cannot be gone on with.
-func whole(err error) error {
+// asBroken has an answer that stopped in its midst count as broken: it cannot be gone on with.
+func asBroken(err error) error {
 	var ne net.Error
 	if errors.As(err, &ne) && ne.Timeout() {
 		return io.ErrUnexpectedEOF
@@ -79,8 +79,8 @@
 	return err
 }
 
-// dialHouse connects to a pooler's ClickHouse front.
-func dialHouse(addr string) (*link, error) {
+// dialClickHouse connects to a pooler's ClickHouse front.
+func dialClickHouse(addr string) (*link, error) {
 	nc, err := net.DialTimeout("tcp", addr, dialMs*time.Millisecond)
 	if err != nil {
 		return nil, err
--- a/internal/testkit/clients/plan.go
+++ b/internal/testkit/clients/plan.go
@@ -52,24 +52,24 @@
 
 // Config says how clients behave.
 type Config struct {
-	Seed      uint64
-	Classes   []Class
-	Groups    int
-	Rate      float64 // first tries a second
-	Seconds   float64
-	Sessions  int        // foremen, over all groups
-	Follows   float64    // part of the session reads that come soon after a write of theirs...
-	FollowMs  float64    // ...so long in the mean
-	Retries   int        // by the client itself
-	RetryMs   [2]float64 // wait before a retry, where the refusal advises none
-	Patience  [2]float64 // part of the class's deadline after which a try is given up
-	Jumps     []Jump
-	Skew      float64 // part of the asks of tenants that goes to one pooler, the first...
-	SwingMs   float64 // ...or to it and the second, for so long each in turn; 0 for the first alone
-	Roams     float64 // part of the tries that go to any pooler, not to their session's
-	IdleMs    float64 // after which a client closes its connection
-	House     bool    // they speak the ClickHouse interface
-	LateAfter float64 // for so long a late answer is still listened for
+	Seed       uint64
+	Classes    []Class
+	Groups     int
+	Rate       float64 // first tries a second
+	Seconds    float64
+	Sessions   int        // foremen, over all groups
+	Follows    float64    // part of the session reads that come soon after a write of theirs...
+	FollowMs   float64    // ...so long in the mean
+	Retries    int        // by the client itself
+	RetryMs    [2]float64 // wait before a retry, where the refusal advises none
+	Patience   [2]float64 // part of the class's deadline after which a try is given up
+	Jumps      []Jump
+	Skew       float64 // part of the asks of tenants that goes to one pooler, the first...
+	SwingMs    float64 // ...or to it and the second, for so long each in turn; 0 for the first alone
+	Roams      float64 // part of the tries that go to any pooler, not to their session's
+	IdleMs     float64 // after which a client closes its connection
+	ClickHouse bool    // they speak the ClickHouse interface
+	LateAfter  float64 // for so long a late answer is still listened for
 
 	Tenants   []Tenant
 	Allowance float64 // requests a second that the tenants share, 0 for as many as are asked for
--- a/internal/testkit/clients/sessions.go
+++ b/internal/testkit/clients/sessions.go
@@ -48,8 +48,8 @@
 	return a.Wrote
 }
 
-// Idem is the key of a keyed ask, the same at each of its tries.
-func (a *Ask) Idem() string { return strconv.FormatUint(a.Tag, 16) }
+// IdempotencyKey is the key of a keyed ask, the same at each of its tries.
+func (a *Ask) IdempotencyKey() string { return strconv.FormatUint(a.Tag, 16) }
 
 // TenantOf is whose an ask is, by name; empty for nobody's.
 func (c *Config) TenantOf(a *Ask) string {
--- a/internal/testkit/load/targets.go
+++ b/internal/testkit/load/targets.go
@@ -53,8 +53,8 @@
 		patience = class.Deadline
 	}
 	a := &clients.Ask{Key: fmt.Sprintf("load-%d-%d", s.Group, s.Session), Group: s.Group}
-	sql := clients.Word(a, class, fmt.Sprintf("%016x", p.Seed<<40^no), no, 0, patience)
-	said, err := c.Ask(sql, time.Duration(patience*float64(time.Millisecond)))
+	sql := clients.Statement(a, class, fmt.Sprintf("%016x", p.Seed<<40^no), no, 0, patience)
+	said, err := c.Query(sql, time.Duration(patience*float64(time.Millisecond)))
 	if err != nil {
 		_ = c.Close()
 	} else {
--- a/internal/testkit/rehearse/daemon.go
+++ b/internal/testkit/rehearse/daemon.go
@@ -22,14 +22,14 @@
 
 // pooler is a daemon's process.
 type pooler struct {
-	no   int
-	name string
-	addr string
-	near string // where its ClickHouse front listens
-	door string // where operators' calls come; empty for nowhere
+	index          int
+	name           string
+	addr           string
+	clickhouseAddr string // where its ClickHouse front listens
+	adminAddr      string // where operators' calls come; empty for nowhere
 
-	pooled string           // where it serves ordinary clients
-	pays   []scenario.Fault // payments that it has read of since the start
+	poolingAddr string           // where it serves ordinary clients
+	payments    []scenario.Fault // payments that it has read of since the start
 
 	record string               // its records' folder
 	limits settings.FleetLimits // of the whole fleet, as its settings have them
@@ -51,18 +51,18 @@
 	if err != nil {
 		return err
 	}
-	if p.run.script.Clients.House {
-		if p.near, err = freePort(); err != nil {
+	if p.run.script.Clients.ClickHouse {
+		if p.clickhouseAddr, err = freePort(); err != nil {
 			return err
 		}
 	}
 	if p.run.script.Pages != nil {
-		if p.pooled, err = freePort(); err != nil {
+		if p.poolingAddr, err = freePort(); err != nil {
 			return err
 		}
 	}
-	if p.run.opt.Figures != nil {
-		if p.door, err = freePort(); err != nil {
+	if p.run.opt.Metrics != nil {
+		if p.adminAddr, err = freePort(); err != nil {
 			return err
 		}
 	}
@@ -73,14 +73,14 @@
 	if err := p.settings(); err != nil {
 		return err
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		p.addr = l.Addr().String()
 		_ = l.Close()
-		if err = p.start(ctx); err == nil || try == portTries || ctx.Err() != nil {
+		if err = p.start(ctx); err == nil || attempt == portAttempts || ctx.Err() != nil {
 			return err
 		}
 	}
@@ -93,7 +93,7 @@
 		queue = fmt.Sprintf(" (queue %d)", p.run.script.Queue)
 	}
 	if f := p.run.peers; f != nil {
-		peers = f.settings(p.no)
+		peers = f.settings(p.index)
 		if p.limits.Enabled {
 			peers += p.limits.String()
 		}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	operators := withInvariants + shared + peers + fmt.Sprintf("(record (on) (dir %q) (pack %v)%s)\n", p.record, p.run.script.Pack, queue) + p.run.operators + p.run.script.Operators(p.near) + strings.ReplaceAll(more, "$POOLER", p.name)
+	operators := withInvariants + shared + peers + fmt.Sprintf("(record (on) (dir %q) (pack %v)%s)\n", p.record, p.run.script.Pack, queue) + p.run.operators + p.run.script.Operators(p.clickhouseAddr) + strings.ReplaceAll(more, "$POOLER", p.name)
 	return os.WriteFile(p.file("operators.sexp"), []byte(operators), 0o640)
 }
 
@@ -126,9 +126,9 @@
 		return err
 	}
 	defer func() { _ = out.Close() }()
-	daemon, lie := p.run.opt.Daemon, p.run.opt.Lies[p.no]
+	daemon, lie := p.run.opt.Daemon, p.run.opt.ByzantineModes[p.index]
 	if lie != "" {
-		daemon = p.run.opt.Liar
+		daemon = p.run.opt.ByzantineDaemon
 	}
 	cmd := exec.Command(daemon, "--settings", p.file("operators.sexp"), "serve")
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.file("config.json"), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "LIE="+lie)
@@ -170,11 +170,11 @@
 		return
 	}
 	_ = cmd.Process.Signal(sig)
-	p.run.wires.fault(p.run.clk.Now(), 0)
+	p.run.wires.faultChanged(p.run.clk.Now(), 0)
 	if f := p.run.peers; f != nil && sig == syscall.SIGKILL {
-		f.ended(p.no, false)
+		f.ended(p.index, false)
 	} else if f != nil { // it goes on until it has answered all
-		defer f.ended(p.no, true)
+		defer f.ended(p.index, true)
 	}
 	select {
 	case <-done:
@@ -187,13 +187,13 @@
 // config is what the platform would tell the pooler.
 func (p *pooler) config() map[string]any {
 	r := p.run
-	known := r.fleet.ListAt(p.no)
+	known := r.fleet.ListAt(p.index)
 	if len(r.agents) > 0 { // it starts knowing nothing
 		known = discovery.List{}
 	}
-	told := r.script.Told(p.no, p.name, p.addr, r.fleet.DiscoveryAt(p.no), r.opt.Seed^uint64(p.no+1)<<32, r.sockets, known)
-	if p.door != "" {
-		told["control"] = p.door
+	config := r.script.Told(p.index, p.name, p.addr, r.fleet.DiscoveryAt(p.index), r.opt.Seed^uint64(p.index+1)<<32, r.sockets, known)
+	if p.adminAddr != "" {
+		config["control"] = p.adminAddr
 	}
-	return told
+	return config
 }
--- a/internal/testkit/rehearse/doors.go
+++ b/internal/testkit/rehearse/doors.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// doorMs is between two looks at a pooler's door.
-const doorMs = 100
+// adminPollMs is between two looks at a pooler's door.
+const adminPollMs = 100
 
-// doors tell Options.Figures what poolers' doors show, until the function that it returns is called.
-func (r *Run) doors(ctx context.Context) (end func()) {
-	if r.opt.Figures == nil {
+// pollAdmin tell Options.Figures what poolers' doors show, until the function that it returns is called.
+func (r *Run) pollAdmin(ctx context.Context) (end func()) {
+	if r.opt.Metrics == nil {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -22,10 +22,10 @@
 	var wg sync.WaitGroup
 	for _, p := range r.poolers {
 		wg.Go(func() {
-			for pause(ctx, doorMs) {
+			for pause(ctx, adminPollMs) {
 				pid := p.pid()
-				if b := figures(ctx, c, p.door); b != nil && pid != 0 && p.pid() == pid {
-					r.opt.Figures(p.no, pid, r.clk.Now(), b)
+				if b := adminMetrics(ctx, c, p.adminAddr); b != nil && pid != 0 && p.pid() == pid {
+					r.opt.Metrics(p.index, pid, r.clk.Now(), b)
 				}
 			}
 		})
@@ -33,9 +33,9 @@
 	return func() { cancel(); wg.Wait(); c.CloseIdleConnections() }
 }
 
-// figures are those of a door; nil where nobody answers.
-func figures(ctx context.Context, c *http.Client, door string) map[string]string {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+door+"/-/metrics", nil)
+// adminMetrics are those of a door; nil where nobody answers.
+func adminMetrics(ctx context.Context, c *http.Client, address string) map[string]string {
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/-/metrics", nil)
 	if err != nil {
 		return nil
 	}
--- a/internal/testkit/rehearse/house.go
+++ b/internal/testkit/rehearse/house.go
@@ -28,8 +28,8 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// HouseOptions say how the ClickHouse front is measured.
-type HouseOptions struct {
+// ClickHouseOptions say how the ClickHouse front is measured.
+type ClickHouseOptions struct {
 	Daemon    string
 	Kit       string // this program, which plays the reverse proxy in a process of its own
 	Out       string
@@ -40,9 +40,9 @@
 	Stage     func(name string)
 }
 
-// HouseWay is what was measured of one way to a server. Times are in milliseconds, rates in a second.
-type HouseWay struct {
-	Way       string  `json:"way"`
+// ClickHouseResult is what was measured of one way to a server. Times are in milliseconds, rates in a second.
+type ClickHouseResult struct {
+	Path      string  `json:"way"`
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
 	PerSecond float64 `json:"queries_per_s"`           // of 16 clients
@@ -58,31 +58,31 @@
 }
 
 const (
-	houseClients = 16
-	warmUp       = 3 * time.Second
+	clickhouseClients = 16
+	warmUp            = 3 * time.Second
 )
 
-// way is a way to the stand-in, with the process between.
-type way struct {
-	HouseWay
+// measuredPath is a way to the stand-in, with the process between.
+type measuredPath struct {
+	ClickHouseResult
 	addr string
 	pid  int
 	hist *hdrhistogram.Histogram
 }
 
-// MeasureHouse measures the ClickHouse front side by side with the stand-in reached directly, and through the standard
+// MeasureClickHouse measures the ClickHouse front side by side with the stand-in reached directly, and through the standard
 // library's reverse proxy.
-func MeasureHouse(ctx context.Context, o HouseOptions) ([]HouseWay, error) {
+func MeasureClickHouse(ctx context.Context, options ClickHouseOptions) ([]ClickHouseResult, error) {
 	s, err := clickhouseserver.Start("h0")
 	if err != nil {
 		return nil, err
 	}
 	defer s.Stop()
 	s.Forget()
-	if err := os.MkdirAll(o.Out, 0o750); err != nil {
+	if err := os.MkdirAll(options.Out, 0o750); err != nil {
 		return nil, err
 	}
-	list, err := filepath.Abs(filepath.Join(o.Out, "list.json"))
+	list, err := filepath.Abs(filepath.Join(options.Out, "list.json"))
 	if err != nil {
 		return nil, err
 	}
@@ -97,43 +97,43 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Run{script: script, opt: Options{Seed: 1, Out: o.Out, Daemon: o.Daemon, Log: o.Log}, clk: clock.System(), sockets: 2*o.Idle + 4096,
+	r := &Run{script: script, opt: Options{Seed: 1, Out: options.Out, Daemon: options.Daemon, Log: options.Log}, clk: clock.System(), sockets: 2*options.Idle + 4096,
 		operators: fmt.Sprintf("(clickhouse (listen %q) (group 9) (deadline 600s) (upload 600s))\n(membership (static %q))\n", at, list)}
-	r.fleet = database.New(script.Fleet, r.clk, o.Log)
+	r.fleet = database.New(script.Fleet, r.clk, options.Log)
 	defer r.fleet.Close()
 	if err := r.fleet.Start(); err != nil {
 		return nil, err
 	}
 	defer r.kill()
-	p := &pooler{name: "pooler-0", dir: filepath.Join(o.Out, "pooler-0"), run: r}
+	p := &pooler{name: "pooler-0", dir: filepath.Join(options.Out, "pooler-0"), run: r}
 	r.poolers = append(r.poolers, p)
 	if err := p.launch(ctx); err != nil {
 		return nil, err
 	}
-	proxy, stop, err := startProxy(o.Kit, s.Addr)
+	proxy, stop, err := startProxy(options.Kit, s.Addr)
 	if err != nil {
 		return nil, err
 	}
 	defer stop()
-	ways := []*way{{HouseWay: HouseWay{Way: "direct"}, addr: s.Addr}, {HouseWay: HouseWay{Way: "pooler"}, addr: at, pid: p.cmd.Process.Pid}, proxy}
-	for began, c := time.Now(), houseClient(); time.Since(began) < warmUp; { // a server that is new in the list counts as cold
-		_ = small(c, at)
+	paths := []*measuredPath{{ClickHouseResult: ClickHouseResult{Path: "direct"}, addr: s.Addr}, {ClickHouseResult: ClickHouseResult{Path: "pooler"}, addr: at, pid: p.cmd.Process.Pid}, proxy}
+	for began, c := time.Now(), clickhouseClient(); time.Since(began) < warmUp; { // a server that is new in the list counts as cold
+		_ = smallQuery(c, at)
 	}
 	for _, stage := range []struct {
 		name string
-		run  func(context.Context, HouseOptions, []*way) error
-	}{{"latency", houseLatency}, {"throughput", houseThroughput}, {"idle clients", houseIdle}, {"long answers", houseDown}, {"long bodies", houseUp}} {
-		if o.Stage != nil {
-			o.Stage(stage.name)
+		run  func(context.Context, ClickHouseOptions, []*measuredPath) error
+	}{{"latency", measureLatency}, {"throughput", measureThroughput}, {"idle clients", measureIdleMemory}, {"long answers", measureDownload}, {"long bodies", measureUpload}} {
+		if options.Stage != nil {
+			options.Stage(stage.name)
 		}
-		if err := stage.run(ctx, o, ways); err != nil {
+		if err := stage.run(ctx, options, paths); err != nil {
 			return nil, fmt.Errorf("%s: %w", stage.name, err)
 		}
 	}
-	var out []HouseWay
-	for _, w := range ways {
-		w.PeakMB = peakOf(w.pid)
-		out = append(out, w.HouseWay)
+	var out []ClickHouseResult
+	for _, path := range paths {
+		path.PeakMB = peakOf(path.pid)
+		out = append(out, path.ClickHouseResult)
 	}
 	return out, nil
 }
@@ -150,7 +150,7 @@
 	return (&http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}).Serve(l)
 }
 
-func startProxy(kit, to string) (*way, func(), error) {
+func startProxy(kit, to string) (*measuredPath, func(), error) {
 	cmd := exec.Command(kit, "clickhouse", "reverse-proxy", to)
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -165,15 +165,15 @@
 		stop()
 		return nil, nil, fmt.Errorf("the reverse proxy did not start: %w", err)
 	}
-	return &way{HouseWay: HouseWay{Way: "reverse proxy"}, addr: strings.TrimSpace(addr), pid: cmd.Process.Pid}, stop, nil
+	return &measuredPath{ClickHouseResult: ClickHouseResult{Path: "reverse proxy"}, addr: strings.TrimSpace(addr), pid: cmd.Process.Pid}, stop, nil
 }
 
-func houseClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: houseClients}}
+func clickhouseClient() *http.Client {
+	return &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: clickhouseClients}}
 }
 
-// small asks one small query; it tells whether the answer was as it should be.
-func small(c *http.Client, addr string) bool {
+// smallQuery asks one small query; it tells whether the answer was as it should be.
+func smallQuery(c *http.Client, addr string) bool {
 	res, err := c.Get("http://" + addr + "/?query=SELECT+1")
 	if err != nil {
 		return false
@@ -183,42 +183,42 @@
 	return err == nil && res.StatusCode == 200 && string(b) == "1\n"
 }
 
-// houseLatency takes turns between the ways, so that all meet the same moments of the machine.
-func houseLatency(ctx context.Context, o HouseOptions, ways []*way) error {
-	c := houseClient()
+// measureLatency takes turns between the ways, so that all meet the same moments of the machine.
+func measureLatency(ctx context.Context, options ClickHouseOptions, paths []*measuredPath) error {
+	c := clickhouseClient()
 	defer c.CloseIdleConnections()
-	for _, w := range ways {
-		w.hist = newHist()
+	for _, path := range paths {
+		path.hist = newHist()
 	}
-	for i, until := 0, time.Now().Add(time.Duration(o.Seconds*float64(time.Second))); time.Now().Before(until) && ctx.Err() == nil; i++ {
-		w := ways[i%len(ways)]
+	for i, until := 0, time.Now().Add(time.Duration(options.Seconds*float64(time.Second))); time.Now().Before(until) && ctx.Err() == nil; i++ {
+		path := paths[i%len(paths)]
 		began := time.Now()
-		if !small(c, w.addr) {
-			w.Broken++
+		if !smallQuery(c, path.addr) {
+			path.Broken++
 			continue
 		}
-		_ = w.hist.RecordValue(max(1, time.Since(began).Microseconds()))
+		_ = path.hist.RecordValue(max(1, time.Since(began).Microseconds()))
 	}
-	for _, w := range ways {
-		w.P50, w.P99 = quantile(w.hist, 50), quantile(w.hist, 99)
+	for _, path := range paths {
+		path.P50, path.P99 = quantile(path.hist, 50), quantile(path.hist, 99)
 	}
 	return ctx.Err()
 }
 
-func houseThroughput(ctx context.Context, o HouseOptions, ways []*way) error {
-	for _, w := range ways {
-		before := cpuOf(w.pid)
+func measureThroughput(ctx context.Context, options ClickHouseOptions, paths []*measuredPath) error {
+	for _, path := range paths {
+		before := cpuOf(path.pid)
 		var n, broken atomic.Int64
 		var wg sync.WaitGroup
 		began := time.Now()
-		until := began.Add(time.Duration(o.Seconds * float64(time.Second)))
-		c := houseClient()
-		for range houseClients {
+		until := began.Add(time.Duration(options.Seconds * float64(time.Second)))
+		c := clickhouseClient()
+		for range clickhouseClients {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
 				for time.Now().Before(until) && ctx.Err() == nil {
-					if !small(c, w.addr) {
+					if !smallQuery(c, path.addr) {
 						broken.Add(1)
 					}
 					n.Add(1)
@@ -227,24 +227,24 @@
 		}
 		wg.Wait()
 		c.CloseIdleConnections()
-		w.PerSecond, w.Broken = float64(n.Load())/time.Since(began).Seconds(), w.Broken+broken.Load()
-		if w.pid != 0 {
-			w.CPUMicros = (cpuOf(w.pid) - before) * 1e6 / float64(max(1, n.Load()))
-			w.PerCore = 1e6 / max(w.CPUMicros, 1e-9)
+		path.PerSecond, path.Broken = float64(n.Load())/time.Since(began).Seconds(), path.Broken+broken.Load()
+		if path.pid != 0 {
+			path.CPUMicros = (cpuOf(path.pid) - before) * 1e6 / float64(max(1, n.Load()))
+			path.PerCore = 1e6 / max(path.CPUMicros, 1e-9)
 		}
 	}
 	return ctx.Err()
 }
 
-func houseIdle(_ context.Context, o HouseOptions, ways []*way) error {
-	for _, w := range ways {
-		if w.pid == 0 {
+func measureIdleMemory(_ context.Context, options ClickHouseOptions, paths []*measuredPath) error {
+	for _, path := range paths {
+		if path.pid == 0 {
 			continue
 		}
-		before := residentOf(w.pid)
+		before := residentOf(path.pid)
 		var conns []net.Conn
-		for range o.Idle {
-			c, err := net.Dial("tcp", w.addr)
+		for range options.Idle {
+			c, err := net.Dial("tcp", path.addr)
 			if err != nil {
 				return err
 			}
@@ -256,7 +256,7 @@
 				return err
 			}
 		}
-		w.IdleBytes = (residentOf(w.pid) - before) / float64(max(1, o.Idle))
+		path.IdleBytes = (residentOf(path.pid) - before) / float64(max(1, options.Idle))
 		for _, c := range conns {
 			_ = c.Close()
 		}
@@ -266,61 +266,61 @@
 
 const rowBytes = 1 << 10 // of the stand-in's rows
 
-func houseDown(ctx context.Context, o HouseOptions, ways []*way) error {
-	rows := int64(o.Gigabytes * (1 << 30) / rowBytes)
-	for _, w := range ways {
-		before, began := cpuOf(w.pid), time.Now()
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.addr+"/?"+url.Values{"query": {fmt.Sprintf("SELECT /* ROWS %d */", rows)}}.Encode(), nil)
+func measureDownload(ctx context.Context, options ClickHouseOptions, paths []*measuredPath) error {
+	rows := int64(options.Gigabytes * (1 << 30) / rowBytes)
+	for _, path := range paths {
+		before, began := cpuOf(path.pid), time.Now()
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+path.addr+"/?"+url.Values{"query": {fmt.Sprintf("SELECT /* ROWS %d */", rows)}}.Encode(), nil)
 		if err != nil {
 			return err
 		}
-		res, err := houseClient().Do(req)
+		res, err := clickhouseClient().Do(req)
 		if err != nil {
 			return err
 		}
 		n, err := io.Copy(io.Discard, res.Body)
 		_ = res.Body.Close()
 		if err != nil || n != rows*rowBytes {
-			return fmt.Errorf("%s: %d bytes of %d: %w", w.Way, n, rows*rowBytes, errors.Join(err))
+			return fmt.Errorf("%s: %d bytes of %d: %w", path.Path, n, rows*rowBytes, errors.Join(err))
 		}
-		w.DownMB = float64(n) / 1e6 / time.Since(began).Seconds()
-		w.DownCPU = (cpuOf(w.pid) - before) / (float64(n) / 1e9)
+		path.DownMB = float64(n) / 1e6 / time.Since(began).Seconds()
+		path.DownCPU = (cpuOf(path.pid) - before) / (float64(n) / 1e9)
 	}
 	return nil
 }
 
 // zeros is a body of so many bytes.
-type zeros struct{ left int64 }
+type zeros struct{ remaining int64 }
 
 func (z *zeros) Read(p []byte) (int, error) {
-	if z.left == 0 {
+	if z.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := int(min(z.left, int64(len(p))))
-	z.left -= int64(n)
+	n := int(min(z.remaining, int64(len(p))))
+	z.remaining -= int64(n)
 	return n, nil
 }
 
-func houseUp(ctx context.Context, o HouseOptions, ways []*way) error {
-	size := int64(o.Gigabytes * (1 << 30))
-	for _, w := range ways {
-		before, began := cpuOf(w.pid), time.Now()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.addr+"/?query=INSERT+INTO+t", &zeros{size})
+func measureUpload(ctx context.Context, options ClickHouseOptions, paths []*measuredPath) error {
+	size := int64(options.Gigabytes * (1 << 30))
+	for _, path := range paths {
+		before, began := cpuOf(path.pid), time.Now()
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+path.addr+"/?query=INSERT+INTO+t", &zeros{size})
 		if err != nil {
 			return err
 		}
 		req.ContentLength = size
-		res, err := houseClient().Do(req)
+		res, err := clickhouseClient().Do(req)
 		if err != nil {
 			return err
 		}
 		_, _ = io.Copy(io.Discard, res.Body)
 		_ = res.Body.Close()
 		if res.StatusCode != 200 {
-			return fmt.Errorf("%s: %s", w.Way, res.Status)
+			return fmt.Errorf("%s: %s", path.Path, res.Status)
 		}
-		w.UpMB = float64(size) / 1e6 / time.Since(began).Seconds()
-		w.UpCPU = (cpuOf(w.pid) - before) / (float64(size) / 1e9)
+		path.UpMB = float64(size) / 1e6 / time.Since(began).Seconds()
+		path.UpCPU = (cpuOf(path.pid) - before) / (float64(size) / 1e9)
 	}
 	return nil
 }
@@ -328,8 +328,8 @@
 // cpuOf is the processor time of a process so far in seconds, 0 for none.
 func cpuOf(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	_, rest, ok := strings.Cut(string(text), ") ")
-	f := strings.Fields(rest)
+	_, remaining, ok := strings.Cut(string(text), ") ")
+	f := strings.Fields(remaining)
 	if pid == 0 || err != nil || !ok || len(f) < 13 {
 		return 0
 	}
@@ -344,8 +344,8 @@
 	if pid == 0 || err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(text), name+":")
-	f := strings.Fields(rest)
+	_, remaining, _ := strings.Cut(string(text), name+":")
+	f := strings.Fields(remaining)
 	if len(f) == 0 {
 		return 0
 	}
--- a/internal/testkit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -21,15 +21,15 @@
 	"beechgrade/internal/testkit/score"
 )
 
-// maxTries bounds the clients' log that is matched.
-const maxTries = 1 << 22
+// maxAttempts bounds the clients' log that is matched.
+const maxAttempts = 1 << 22
 
 // Match is how what the poolers recorded and what the clients saw agree.
 type Match struct {
-	Tries     int          `json:"tries"`
+	Attempts  int          `json:"tries"`
 	Equal     int          `json:"equal"`      // tries of which both say the same
 	Unknown   int          `json:"unknown"`    // tries that the records themselves list as unknown
-	Dark      int          `json:"dark"`       // tries that fell into a time of which a pooler's records are missing
+	InMissing int          `json:"dark"`       // tries that fell into a time of which a pooler's records are missing
 	Untaken   int          `json:"untaken"`    // tries that no pooler took, as their clients saw too
 	Differ    []Difference `json:"differ"`     // tries of which they say different things, unexplained
 	Totals    []Difference `json:"totals"`     // figures of a class that differ
@@ -60,20 +60,20 @@
 // finals collects how each request ended, by the hash of its client's id.
 type finals struct {
 	*incident.Model
-	ids  map[string]map[uint64]uint64 // by run: request number to hash
-	kind map[uint64]clients.Kind
-	dark []darkness
-	last map[string]float64
+	ids     map[string]map[uint64]uint64 // by run: request number to hash
+	kind    map[uint64]clients.Kind
+	missing []missingSpan
+	last    map[string]float64
 
-	stood []Stood
+	pauses []Pause
 }
 
-// still tells whether a try's pooler stood still meanwhile: then it reckons the try's time from when it went on.
-func (f *finals) still(t *TryLine) bool {
-	return slices.ContainsFunc(f.stood, func(s Stood) bool { return s.Pooler == t.Pooler && t.Sent <= s.To && t.Ended >= s.From })
+// pausedDuring tells whether a try's pooler stood still meanwhile: then it reckons the try's time from when it went on.
+func (f *finals) pausedDuring(t *AttemptLine) bool {
+	return slices.ContainsFunc(f.pauses, func(s Pause) bool { return s.Pooler == t.Pooler && t.Sent <= s.To && t.Ended >= s.From })
 }
 
-type darkness struct {
+type missingSpan struct {
 	pooler   string
 	from, to float64
 }
@@ -97,7 +97,7 @@
 		f.kind[id] = map[recordpb.Final]clients.Kind{recordpb.Final_FINAL_SERVED: clients.Served, recordpb.Final_FINAL_REFUSED: clients.Refused,
 			recordpb.Final_FINAL_FAILED: clients.Failed, recordpb.Final_FINAL_GONE: "gone"}[e.Final]
 	case recordpb.Kind_KIND_LOST:
-		f.dark = append(f.dark, darkness{r.Pooler, e.LostFrom, e.LostTo})
+		f.missing = append(f.missing, missingSpan{r.Pooler, e.LostFrom, e.LostTo})
 	}
 }
 
@@ -107,7 +107,7 @@
 	if to == 0 {
 		to = math.Inf(1)
 	}
-	f.dark = append(f.dark, darkness{x.Pooler, x.From, to})
+	f.missing = append(f.missing, missingSpan{x.Pooler, x.From, to})
 }
 
 // Compare reads a rehearsal's folder and holds its records against its clients' log and score.
@@ -120,14 +120,14 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	f := &finals{Model: incident.New(), ids: map[string]map[uint64]uint64{}, kind: map[uint64]clients.Kind{}, last: map[string]float64{}, stood: res.Stood}
+	f := &finals{Model: incident.New(), ids: map[string]map[uint64]uint64{}, kind: map[uint64]clients.Kind{}, last: map[string]float64{}, pauses: res.Pauses}
 	if err := set.Read(f); err != nil {
 		return nil, nil, nil, err
 	}
 	f.Finish()
 	view := f.View()
 	m := &Match{}
-	unseen, err := f.tries(filepath.Join(dir, TriesFile), m)
+	unseen, err := f.matchAttempts(filepath.Join(dir, AttemptsFile), m)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -154,8 +154,8 @@
 
 // className is a class as clients call it: the ClickHouse front has two of each name, of which its clients use one.
 func className(recorded string) string {
-	name, house := strings.CutPrefix(recorded, "clickhouse-")
-	if !house {
+	name, isClickHouse := strings.CutPrefix(recorded, "clickhouse-")
+	if !isClickHouse {
 		return recorded
 	}
 	return strings.TrimSuffix(strings.TrimSuffix(name, "-reads"), "-writes")
@@ -167,8 +167,8 @@
 	asks                    uint64 // first tries whose own chain the records may have only in part
 }
 
-// tries holds the clients' log against the records, try by try.
-func (f *finals) tries(path string, m *Match) (map[string]*unseenClass, error) {
+// matchAttempts holds the clients' log against the records, try by try.
+func (f *finals) matchAttempts(path string, m *Match) (map[string]*unseenClass, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -177,19 +177,19 @@
 	unseen := map[string]*unseenClass{}
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
-		if m.Tries++; m.Tries > maxTries {
-			return nil, fmt.Errorf("%s: more than %d tries", path, maxTries)
+		if m.Attempts++; m.Attempts > maxAttempts {
+			return nil, fmt.Errorf("%s: more than %d tries", path, maxAttempts)
 		}
-		var t TryLine
+		var t AttemptLine
 		if err := jsoniter.Unmarshal(lines.Bytes(), &t); err != nil {
-			return nil, fmt.Errorf("%s: line %d: %w", path, m.Tries, err)
+			return nil, fmt.Errorf("%s: line %d: %w", path, m.Attempts, err)
 		}
 		u := unseen[t.Class]
 		if u == nil {
 			u = &unseenClass{}
 			unseen[t.Class] = u
 		}
-		f.try(&t, u, m)
+		f.matchAttempt(&t, u, m)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -197,7 +197,7 @@
 	return unseen, nil
 }
 
-func (f *finals) try(t *TryLine, u *unseenClass, m *Match) {
+func (f *finals) matchAttempt(t *AttemptLine, u *unseenClass, m *Match) {
 	kind, known := f.kind[xxhash.Sum64String(t.ID)]
 	miss := func(n *int) {
 		*n++
@@ -211,30 +211,30 @@
 			u.failed++
 		}
 	}
-	unanswered := t.Kind == clients.Broken || t.Kind == clients.Silent || t.Kind == clients.Unmade
+	unanswered := t.Kind == clients.Broken || t.Kind == clients.Unanswered || t.Kind == clients.Unmade
 	switch {
 	case known && kind == t.Kind, known && kind == "gone" && unanswered:
-		if m.Equal++; f.still(t) {
+		if m.Equal++; f.pausedDuring(t) {
 			u.asks++
 		}
-	case !known && unanswered && !f.isDark(t):
+	case !known && unanswered && !f.inMissingSpan(t):
 		m.Untaken++
 		u.asks++
 	case known && kind == "":
 		miss(&m.Unknown)
-	case f.isDark(t):
-		miss(&m.Dark)
+	case f.inMissingSpan(t):
+		miss(&m.InMissing)
 	default:
 		if !known {
 			kind = "not there"
 		}
-		m.Differ = append(m.Differ, Difference{What: fmt.Sprintf("%s try %d, id %s, %s, sent at %.0f", t.Class, t.No, t.ID, t.Pooler, t.Sent), Records: string(kind), Clients: string(t.Kind)})
+		m.Differ = append(m.Differ, Difference{What: fmt.Sprintf("%s try %d, id %s, %s, sent at %.0f", t.Class, t.Number, t.ID, t.Pooler, t.Sent), Records: string(kind), Clients: string(t.Kind)})
 	}
 }
 
-// isDark tells whether a pooler's records are missing while it had the try.
-func (f *finals) isDark(t *TryLine) bool {
-	return slices.ContainsFunc(f.dark, func(d darkness) bool {
+// inMissingSpan tells whether a pooler's records are missing while it had the try.
+func (f *finals) inMissingSpan(t *AttemptLine) bool {
+	return slices.ContainsFunc(f.missing, func(d missingSpan) bool {
 		return d.pooler == t.Pooler && t.Sent <= d.to && t.Ended >= d.from
 	})
 }
--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -61,7 +61,7 @@
 		price = fmt.Sprintf(" (price %q (request %d))", pagesClass, s.PriceOf(s.Pages.Class))
 	}
 	p.mu.Lock()
-	pays := append([]scenario.Fault(nil), p.pays...)
+	pays := append([]scenario.Fault(nil), p.payments...)
 	p.mu.Unlock()
 	text := s.Shared(filepath.Join(out, "disks", p.name), filepath.Join(out, "marks"), pays, price)
 	if s.Pages != nil {
@@ -83,7 +83,7 @@
 	for _, no := range f.Struck(r.script) {
 		p := r.poolers[no]
 		p.mu.Lock()
-		p.pays = append(p.pays, f)
+		p.payments = append(p.payments, f)
 		cmd := p.cmd
 		p.mu.Unlock()
 		if err := p.settings(); err != nil {
@@ -149,5 +149,5 @@
 	return fmt.Sprintf(`(pooling (listen %q) (class "office" (needs primary) (aim 5s) (deadline 60s)) (class %q (needs session) (aim 2s) (deadline 60s))
   (pool (class "office") (reads %q) (connections 8)))
 (scatter (read "visits" (class %q) (shards%s) (order ("place" %s)) (own ("id" int8)) (whole) (wait %gms)))
-`, p.pooled, pagesClass, pagesClass, pagesClass, shards.String(), order, x.Wait)
+`, p.poolingAddr, pagesClass, pagesClass, pagesClass, shards.String(), order, x.Wait)
 }
--- a/internal/testkit/rehearse/month_pages.go
+++ b/internal/testkit/rehearse/month_pages.go
@@ -169,7 +169,7 @@
 	s := r.run.script.Pages
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration((s.Wait+pageLateMs)*float64(time.Millisecond)))
 	defer cancel()
-	c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable&connect_timeout=%d", p.pooled, pageDialMs/1000))
+	c, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://office@%s/obra?sslmode=disable&connect_timeout=%d", p.poolingAddr, pageDialMs/1000))
 	if err != nil {
 		return nil, cursor, err
 	}
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -21,26 +21,26 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// fleetOf is the poolers as peers: relays between each two of them, and the checker of what they say of each other.
-type fleetOf struct {
+// peerFleet is the poolers as peers: relays between each two of them, and the checker of what they say of each other.
+type peerFleet struct {
 	run    *Run
 	relays *netfault.Relays
 	key    cluster.Key
 	file   string // that holds it
 
-	mu    sync.Mutex
-	check *checker.ViewChecker
-	ids   []view.ID                // of the processes that run, by pooler; 0 for none that was heard
-	says  []map[view.ID]view.State // what each said last
-	calls int
-	avoid map[string]map[int]bool // by server: the poolers that said that they avoid it by others' word
+	mu        sync.Mutex
+	check     *checker.ViewChecker
+	ids       []view.ID                // of the processes that run, by pooler; 0 for none that was heard
+	reported  []map[view.ID]view.State // what each said last
+	calls     int
+	avoidedBy map[string]map[int]bool // by server: the poolers that said that they avoid it by others' word
 }
 
 const (
-	lookMs     = 250
-	sockDelay  = 60   // ms that a message may take on a busy machine, beside what links do to it
-	askedMs    = 150  // until a pooler's word is here
-	lookOverMs = 2000 // that a machine with dozens of processes on few cores may add
+	sampleMs      = 250
+	socketDelayMs = 60   // ms that a message may take on a busy machine, beside what links do to it
+	queryMs       = 150  // until a pooler's word is here
+	busyMachineMs = 2000 // that a machine with dozens of processes on few cores may add
 )
 
 // startPeers opens the relays, and writes the key.
@@ -51,8 +51,8 @@
 		return err
 	}
 	sum := sha256.Sum256([]byte(fmt.Sprint("rehearsal", r.opt.Seed)))
-	f := &fleetOf{run: r, relays: relays, key: cluster.Key(hex.EncodeToString(sum[:])), ids: make([]view.ID, s.Poolers), says: make([]map[view.ID]view.State, s.Poolers),
-		avoid: map[string]map[int]bool{}}
+	f := &peerFleet{run: r, relays: relays, key: cluster.Key(hex.EncodeToString(sum[:])), ids: make([]view.ID, s.Poolers), reported: make([]map[view.ID]view.State, s.Poolers),
+		avoidedBy: map[string]map[int]bool{}}
 	if f.file, err = filepath.Abs(filepath.Join(r.opt.Out, "fleet.key")); err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 		return err
 	}
 	bounds := simulation.Bounds(s, max(1, s.Poolers/2))
-	late := sockDelay + askedMs + lookOverMs // what a busy machine and asking may add
+	late := socketDelayMs + queryMs + busyMachineMs // what a busy machine and asking may add
 	detect := bounds.DetectMs
 	bounds.DetectMs = func(f int) float64 { return detect(f) + float64(late) }
 	bounds.SettleMs, bounds.JoinMs, bounds.SpreadMs = bounds.SettleMs+float64(late), bounds.JoinMs+float64(late), bounds.SpreadMs+float64(late)
@@ -70,7 +70,7 @@
 }
 
 // settings are what a pooler is told of its being a peer.
-func (f *fleetOf) settings(no int) string {
+func (f *peerFleet) settings(no int) string {
 	p, v := f.run.script.Peers, &f.run.script.Peers.View
 	var b strings.Builder
 	fmt.Fprintf(&b, "(peers (listen %q) (advertise %q) (key %q) (expect %d)\n  (seeds", f.relays.Real(no), f.relays.Told(no), f.file, f.run.script.Poolers)
@@ -83,25 +83,25 @@
 }
 
 // begin looks until the function that it returns is called.
-func (f *fleetOf) begin(ctx context.Context) (end func()) {
+func (f *peerFleet) begin(ctx context.Context) (end func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.look(ctx)
+		f.sampleUntilDone(ctx)
 	}()
 	return func() { cancel(); <-done }
 }
 
-// look asks all poolers now and then what they think, until the context ends.
-func (f *fleetOf) look(ctx context.Context) {
+// sampleUntilDone asks all poolers now and then what they think, until the context ends.
+func (f *peerFleet) sampleUntilDone(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.once()
-		pause(ctx, lookMs)
+		f.sampleOnce()
+		pause(ctx, sampleMs)
 	}
 }
 
-func (f *fleetOf) once() {
+func (f *peerFleet) sampleOnce() {
 	var wg sync.WaitGroup
 	for i, p := range f.run.poolers {
 		wg.Add(1)
@@ -119,12 +119,12 @@
 			}
 			f.calls++
 			for _, a := range shown.Avoided {
-				if f.avoid[a.Server] == nil {
-					f.avoid[a.Server] = map[int]bool{}
+				if f.avoidedBy[a.Server] == nil {
+					f.avoidedBy[a.Server] = map[int]bool{}
 				}
-				f.avoid[a.Server][i] = true
+				f.avoidedBy[a.Server][i] = true
 			}
-			f.take(i, shown.Records, shown.Counts)
+			f.reportChanges(i, shown.Records, shown.Counts)
 		}()
 	}
 	wg.Wait()
@@ -133,24 +133,24 @@
 	f.check.Sample(f.run.clk.Now())
 }
 
-// take tells the checker what a pooler said that it had not said before.
-func (f *fleetOf) take(i int, records []view.Record, counts view.Counts) {
+// reportChanges tells the checker what a pooler said that it had not said before.
+func (f *peerFleet) reportChanges(i int, records []view.Record, counts view.Counts) {
 	now := f.run.clk.Now()
 	if id := records[0].ID; f.ids[i] != id {
-		f.ids[i], f.says[i] = id, map[view.ID]view.State{}
+		f.ids[i], f.reported[i] = id, map[view.ID]view.State{}
 		f.check.ProcessStarted(now, i, uint64(id))
 	}
 	for _, r := range records[1:] {
-		if was, known := f.says[i][r.ID]; !known || was != r.State {
-			f.says[i][r.ID] = r.State
+		if was, known := f.reported[i][r.ID]; !known || was != r.State {
+			f.reported[i][r.ID] = r.State
 			f.check.ReportState(now, i, uint64(r.ID), int(r.State), r.Incarnation)
 		}
 	}
 	f.check.ReportCount(now, i, counts.Sending)
 }
 
-// lender is the pooler that lends a limit, of those that were heard of last.
-func (f *fleetOf) lender(limit string) int {
+// limitOwner is the pooler that lends a limit, of those that were heard of last.
+func (f *peerFleet) limitOwner(limit string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var all []quota.Peer
@@ -164,7 +164,7 @@
 }
 
 // prober is the first prober of a server, of those that were heard of last.
-func (f *fleetOf) prober(server string) int {
+func (f *peerFleet) prober(server string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.run.script.Prober(server, f.ids)
@@ -187,25 +187,25 @@
 	}
 	r.wires.mu.Lock()
 	defer r.wires.mu.Unlock()
-	r.wires.check.LimitChanged(r.clk.Now()+countMs, f.Target.Word, f.Struck(r.script), len(r.poolers), f.Value, r.script.Lowered(&f))
+	r.wires.check.LimitChanged(r.clk.Now()+arrivalToleranceMs, f.Target.Word, f.Struck(r.script), len(r.poolers), f.Value, r.script.Lowered(&f))
 	return nil
 }
 
 // ended tells the checker that a pooler's process ends now.
-func (f *fleetOf) ended(i int, inOrder bool) {
+func (f *peerFleet) ended(i int, inOrder bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ids[i] = 0
 	f.check.ProcessEnded(f.run.clk.Now(), i, inOrder)
 }
 
-// strike has a fault of links strike and end.
-func (f *fleetOf) strike(ctx context.Context, x scenario.Fault) {
+// inject has a fault of links strike and end.
+func (f *peerFleet) inject(ctx context.Context, x scenario.Fault) {
 	do := func(on bool) {
 		f.relays.Strike(func(n *netfault.Net) { x.Strike(n, on) })
 		f.mu.Lock()
 		f.check.FaultChanged(f.run.clk.Now())
-		f.run.wires.fault(f.run.clk.Now(), map[bool]int{true: 1, false: -1}[on])
+		f.run.wires.faultChanged(f.run.clk.Now(), map[bool]int{true: 1, false: -1}[on])
 		if x.Link.Lose > 0 {
 			f.check.SetLossy(on)
 		}
@@ -218,8 +218,8 @@
 	}
 }
 
-// stand has a pooler's process stand still for a while.
-func (p *pooler) stand(ctx context.Context, ms float64) {
+// pauseProcess has a pooler's process stand still for a while.
+func (p *pooler) pauseProcess(ctx context.Context, ms float64) {
 	p.mu.Lock()
 	cmd := p.cmd
 	p.mu.Unlock()
@@ -227,10 +227,10 @@
 		return
 	}
 	now := p.run.clk.Now()
-	p.run.wires.still(now, p.no, now+ms)
+	p.run.wires.processPaused(now, p.index, now+ms)
 	if f := p.run.peers; f != nil {
 		f.mu.Lock()
-		f.check.Paused(now, p.no, now+ms)
+		f.check.Paused(now, p.index, now+ms)
 		f.mu.Unlock()
 	}
 	_ = cmd.Process.Signal(syscall.SIGSTOP)
@@ -259,13 +259,13 @@
 	Avoided map[string]int `json:"avoided_by_poolers,omitempty"` // by server: how many poolers said, when they were asked, that they avoid it by others' word
 }
 
-func (f *fleetOf) result(v *checker.Verdict) *Fleet {
+func (f *peerFleet) result(v *checker.Verdict) *Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.check.Verdict(v)
 	out := &Fleet{Looks: f.calls, Views: simulation.Views{Detected: f.check.DetectionTimes, Settled: f.check.SettleTimes, FalseAccusations: f.check.FalseAccusations, FalseFailures: f.check.FalseFailures}}
 	out.Carried, out.Lost = f.relays.Counts()
-	for server, by := range f.avoid { // each on its own
+	for server, by := range f.avoidedBy { // each on its own
 		if out.Avoided == nil {
 			out.Avoided = map[string]int{}
 		}
@@ -275,14 +275,14 @@
 }
 
 // settle waits until the last fault is behind so far that all views must be equal, but no longer than a bound.
-func (f *fleetOf) settle(ctx context.Context, most time.Duration) {
+func (f *peerFleet) settle(ctx context.Context, most time.Duration) {
 	until := time.Now().Add(most)
-	for time.Now().Before(until) && ctx.Err() == nil && !f.quiet() {
-		pause(ctx, lookMs)
+	for time.Now().Before(until) && ctx.Err() == nil && !f.viewsEqual() {
+		pause(ctx, sampleMs)
 	}
 }
 
-func (f *fleetOf) quiet() bool {
+func (f *peerFleet) viewsEqual() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.check.Equal()
--- a/internal/testkit/rehearse/processes.go
+++ b/internal/testkit/rehearse/processes.go
@@ -52,7 +52,7 @@
 			return x, err
 		}
 		r.operators = operators(i, at)
-		p := &pooler{no: i, name: fmt.Sprintf("pooler-%d", i), dir: filepath.Join(out, fmt.Sprintf("pooler-%d", i)), run: r}
+		p := &pooler{index: i, name: fmt.Sprintf("pooler-%d", i), dir: filepath.Join(out, fmt.Sprintf("pooler-%d", i)), run: r}
 		r.poolers, x.Addrs = append(r.poolers, p), append(x.Addrs, at)
 		if err := p.launch(ctx); err != nil {
 			said, _ := os.ReadFile(p.file("log.txt"))
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	readyWait = 15 * time.Second
-	stopWait  = 20 * time.Second
-	portTries = 5
+	readyWait    = 15 * time.Second
+	stopWait     = 20 * time.Second
+	portAttempts = 5
 
-	settleMost = 10 * time.Second
+	maxSettle = 10 * time.Second
 )
 
 // Options say how a rehearsal is run.
@@ -48,42 +48,42 @@
 
 	Killed func(pooler string) // is told once a pooler's process was killed, before it starts again
 
-	Figures func(pooler, pid int, at float64, figures map[string]string) // is told what poolers' doors show, now and then; nil for no doors
-	Instead func(pooler int) int                                         // whom a kill-pooler or stall-pooler strikes in place of the one that it names; may be nil
-	Begins  func(at float64, doors []string)                             // is told, as clients begin to ask, where poolers' doors are, if there are Figures; may be nil
+	Metrics       func(pooler, pid int, at float64, figures map[string]string) // is told what poolers' doors show, now and then; nil for no doors
+	ReplaceTarget func(pooler int) int                                         // whom a kill-pooler or stall-pooler strikes in place of the one that it names; may be nil
+	Started       func(at float64, doors []string)                             // is told, as clients begin to ask, where poolers' doors are, if there are Figures; may be nil
 
 	Read func(at float64, c *clients.Class, pooler, server int) // is told of each attempt of a read that came whole to a server; may be nil
 
-	Liar string                       // path of the daemon's program built with the tag liar...
-	Lies map[int]string               // ...and what some poolers, by number, lie about load ("none" or "all"), or of servers: see lies
-	Came func(server int, at float64) // is told of each request that came to a server
+	ByzantineDaemon string                       // path of the daemon's program built with the tag liar...
+	ByzantineModes  map[int]string               // ...and what some poolers, by number, lie about load ("none" or "all"), or of servers: see lies
+	Received        func(server int, at float64) // is told of each request that came to a server
 }
 
 // Result is a rehearsal's outcome; it is written to result.json in its folder.
 type Result struct {
-	Rehearsal string           `json:"rehearsal"`
-	Seed      uint64           `json:"seed"`
-	FromMs    float64          `json:"from_ms"`
-	ToMs      float64          `json:"to_ms"`
-	Score     *score.Score     `json:"score"`
-	Rules     *checker.Verdict `json:"rules"` // by what crossed the wires
-	Facts     []database.Fact  `json:"facts"`
-	Fleet     *Fleet           `json:"fleet,omitempty"`
-	Stood     []Stood          `json:"stood_still,omitempty"`
-	Machine   cpupressure.Busy `json:"machine"`
-	Ran       []string         `json:"-"` // ids of the writes that ran
-	Twice     map[int]Twice    `json:"-"` // by group
+	Rehearsal  string             `json:"rehearsal"`
+	Seed       uint64             `json:"seed"`
+	FromMs     float64            `json:"from_ms"`
+	ToMs       float64            `json:"to_ms"`
+	Score      *score.Score       `json:"score"`
+	Rules      *checker.Verdict   `json:"rules"` // by what crossed the wires
+	Facts      []database.Fact    `json:"facts"`
+	Fleet      *Fleet             `json:"fleet,omitempty"`
+	Pauses     []Pause            `json:"stood_still,omitempty"`
+	Machine    cpupressure.Busy   `json:"machine"`
+	Ran        []string           `json:"-"` // ids of the writes that ran
+	Duplicates map[int]Duplicates `json:"-"` // by group
 
 	Pages  *PageCounts      `json:"pages,omitempty"`
 	Served map[string]int64 `json:"served_for,omitempty"`   // by tenant, of what it paid...
 	UpTo   map[string]int64 `json:"served_up_to,omitempty"` // ...and up to its last payment in the midst
 }
 
-// Twice is what servers of a group took, or had no room for: attempts, and how many of these were of a request of which one had been taken.
-type Twice struct{ Taken, Again int }
+// Duplicates is what servers of a group took, or had no room for: attempts, and how many of these were of a request of which one had been taken.
+type Duplicates struct{ Taken, Repeated int }
 
-// Stood is when a pooler's process stood still: what came meanwhile it takes for newly come.
-type Stood struct {
+// Pause is when a pooler's process stood still: what came meanwhile it takes for newly come.
+type Pause struct {
 	Pooler string  `json:"pooler"`
 	From   float64 `json:"from_ms"`
 	To     float64 `json:"to_ms"`
@@ -91,9 +91,9 @@
 
 // Names within a rehearsal's folder.
 const (
-	RecordsDir = "records"
-	TriesFile  = "tries.jsonl"
-	ResultFile = "result.json"
+	RecordsDir   = "records"
+	AttemptsFile = "tries.jsonl"
+	ResultFile   = "result.json"
 )
 
 // Run is a rehearsal that is under way.
@@ -108,12 +108,12 @@
 	agents    []*consulserver.Agent // of Consul
 	wires     *wires
 	shared    *shared
-	peers     *fleetOf // nil where the poolers are no peers
-	sockets   int      // that a pooler may hold, where that is more than usual
+	peers     *peerFleet // nil where the poolers are no peers
+	sockets   int        // that a pooler may hold, where that is more than usual
 }
 
-// Play runs a rehearsal from its start to its end.
-func Play(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
+// Execute runs a rehearsal from its start to its end.
+func Execute(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
 	s, err := s.Smaller()
 	if err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 	cfg := s.Fleet
 	cfg.Seed = opt.Seed
 	r.wires, r.shared = newWires(s), r.newShared()
-	r.wires.came, r.wires.arrived, r.wires.read = opt.Came, opt.Arrived, opt.Read
+	r.wires.onReceived, r.wires.onArrived, r.wires.onRead = opt.Received, opt.Arrived, opt.Read
 	r.fleet = database.New(cfg, r.clk, opt.Log)
 	r.fleet.Watch(r.wires)
 	if s.Doors() {
@@ -164,14 +164,14 @@
 	}
 	defer r.kill()
 	for i := range s.Poolers {
-		p := &pooler{no: i, name: fmt.Sprintf("pooler-%d", i), run: r}
+		p := &pooler{index: i, name: fmt.Sprintf("pooler-%d", i), run: r}
 		p.dir = filepath.Join(opt.Out, p.name)
 		r.poolers = append(r.poolers, p)
 	}
 	if err := r.launchAll(ctx); err != nil {
 		return nil, err
 	}
-	return r.play(ctx)
+	return r.execute(ctx)
 }
 
 // launchAll starts all poolers, side by side.
@@ -189,11 +189,11 @@
 	return errors.Join(errs...)
 }
 
-func (r *Run) play(ctx context.Context) (*Result, error) {
+func (r *Run) execute(ctx context.Context) (*Result, error) {
 	var addrs []string
 	for _, p := range r.poolers {
-		if r.script.Clients.House {
-			addrs = append(addrs, p.near)
+		if r.script.Clients.ClickHouse {
+			addrs = append(addrs, p.clickhouseAddr)
 			continue
 		}
 		addrs = append(addrs, p.addr)
@@ -227,7 +227,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if err := r.strike(faulty, f); err != nil {
+			if err := r.inject(faulty, f); err != nil {
 				errs <- fmt.Errorf("%s: %w", f.Pos, err)
 			}
 		}()
@@ -236,19 +236,19 @@
 	if r.peers != nil {
 		looked = r.peers.begin(ctx)
 	}
-	shown := r.doors(ctx)
-	if r.opt.Begins != nil {
+	shown := r.pollAdmin(ctx)
+	if r.opt.Started != nil {
 		var doors []string
 		for _, p := range r.poolers {
-			doors = append(doors, p.door)
+			doors = append(doors, p.adminAddr)
 		}
-		r.opt.Begins(res.FromMs, doors)
+		r.opt.Started(res.FromMs, doors)
 	}
 	reported := func() {}
 	if r.script.Pages != nil {
 		reported = table.play(faulty)
 	}
-	clients.NewPlayer(cfg, r.clk, addrs, log).Play(ctx, plan, func(asked int) {
+	clients.NewPlayer(cfg, r.clk, addrs, log).Run(ctx, plan, func(asked int) {
 		if r.opt.Progress != nil {
 			r.opt.Progress(asked, len(plan))
 		}
@@ -257,7 +257,7 @@
 	wg.Wait()
 	reported()
 	if r.peers != nil && ctx.Err() == nil {
-		r.peers.settle(ctx, settleMost)
+		r.peers.settle(ctx, maxSettle)
 	}
 	shown()
 	looked()
@@ -284,7 +284,7 @@
 	}
 	res.Score, res.Facts = keeper.Score(), r.fleet.Facts()
 	res.Ran = r.fleet.Ran()
-	res.Twice = r.wires.twices()
+	res.Duplicates = r.wires.duplicateCounts()
 	res.Rules = r.wires.verdict(r.clk.Now())
 	if r.shared.verdict(res.Rules); r.script.Pages != nil {
 		res.Pages = &r.shared.Pages
@@ -293,13 +293,13 @@
 	if err := r.invariants(res.Rules); err != nil {
 		return nil, err
 	}
-	for i, s := range r.wires.stood {
-		res.Stood = append(res.Stood, Stood{r.poolers[i].name, s[0], s[1]})
+	for i, s := range r.wires.pauses {
+		res.Pauses = append(res.Pauses, Pause{r.poolers[i].name, s[0], s[1]})
 	}
 	if r.peers != nil {
 		res.Fleet = r.peers.result(res.Rules)
 		if r.script.Limits != nil {
-			res.Fleet.Uses = r.wires.uses(r.script.WarmMs())
+			res.Fleet.Uses = r.wires.limitUsages(r.script.WarmMs())
 		}
 	}
 	for _, b := range res.Rules.Breaches {
--- a/internal/testkit/rehearse/strike.go
+++ b/internal/testkit/rehearse/strike.go
@@ -9,19 +9,19 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// strike carries a fault out at its time, and ends it.
-func (r *Run) strike(ctx context.Context, f scenario.Fault) error {
+// inject carries a fault out at its time, and ends it.
+func (r *Run) inject(ctx context.Context, f scenario.Fault) error {
 	if !pause(ctx, f.At) {
 		return nil
 	}
-	if (f.What == "kill-pooler" || f.What == "stall-pooler") && r.opt.Instead != nil {
-		f.Target.Group = r.opt.Instead(f.Target.Group)
+	if (f.What == "kill-pooler" || f.What == "stall-pooler") && r.opt.ReplaceTarget != nil {
+		f.Target.Group = r.opt.ReplaceTarget(f.Target.Group)
 	}
-	if r.wires.struck(r.clk.Now(), r.script, &f); f.What == "load" {
+	if r.wires.faultInjected(r.clk.Now(), r.script, &f); f.What == "load" {
 		return nil
 	}
 	if f.Owner != "" {
-		f = *f.Resolved(r.peers.lender)
+		f = *f.Resolved(r.peers.limitOwner)
 	}
 	r.opt.Log.Info("fault", "what", f.What, "whom", f.Target.String(), "for_ms", f.For)
 	switch f.What {
@@ -32,9 +32,9 @@
 		}
 		return nil
 	case "list-gone":
-		r.listGone(true)
+		r.setListFailing(true)
 		if f.For > 0 && pause(ctx, f.For) {
-			r.listGone(false)
+			r.setListFailing(false)
 		}
 		return nil
 	case "list-silent":
@@ -50,21 +50,21 @@
 		}
 		return nil
 	case "links", "between":
-		r.peers.strike(ctx, f)
+		r.peers.inject(ctx, f)
 		return nil
 	case "limit":
 		return r.changeLimit(f)
 	case "pay":
 		return r.pay(f)
 	case "cut", "thin", "list-held":
-		do := r.ways(f)
+		do := r.pathFault(f)
 		do(true)
 		if f.For > 0 && pause(ctx, f.For) {
 			do(false)
 		}
 		return nil
 	case "stall-pooler":
-		r.poolers[f.Target.Group].stand(ctx, f.For)
+		r.poolers[f.Target.Group].pauseProcess(ctx, f.For)
 		return nil
 	case "kill-pooler":
 		p := r.poolers[f.Target.Group]
@@ -73,7 +73,7 @@
 			r.opt.Killed(p.name)
 		}
 		if f.For > 0 && pause(ctx, f.For) {
-			p.run.wires.fault(p.run.clk.Now(), 0)
+			p.run.wires.faultChanged(p.run.clk.Now(), 0)
 			return p.start(ctx)
 		}
 		return nil
@@ -83,7 +83,7 @@
 		return p.start(ctx)
 	}
 	names := r.targets(f.Target)
-	begin, end := r.acts(f)
+	begin, end := r.serverFault(f)
 	for _, n := range names {
 		if err := begin(n); err != nil {
 			return err
@@ -99,15 +99,15 @@
 	return nil
 }
 
-func (r *Run) listGone(gone bool) {
+func (r *Run) setListFailing(gone bool) {
 	for _, a := range r.agents {
 		a.SetFault(consulserver.Fault{Status: map[bool]int{true: 500}[gone]})
 	}
 	_ = r.fleet.Act(func(w *model.World) error { w.SetListUnavailable(gone); return nil })
 }
 
-// acts are what a fault does to a server, and what ends it.
-func (r *Run) acts(f scenario.Fault) (begin, end func(string) error) {
+// serverFault are what a fault does to a server, and what ends it.
+func (r *Run) serverFault(f scenario.Fault) (begin, end func(string) error) {
 	on := func(do func(w *model.World, name string) error) func(string) error {
 		return func(name string) error {
 			return r.fleet.Act(func(w *model.World) error { return do(w, name) })
--- a/internal/testkit/rehearse/tries.go
+++ b/internal/testkit/rehearse/tries.go
@@ -12,11 +12,11 @@
 	"beechgrade/internal/testkit/score"
 )
 
-// TryLine is a line of TriesFile.
-type TryLine struct {
+// AttemptLine is a line of AttemptsFile.
+type AttemptLine struct {
 	ID     string       `json:"id"`
 	Class  string       `json:"class"`
-	No     int          `json:"no"`
+	Number int          `json:"no"`
 	Pooler string       `json:"pooler,omitempty"`
 	First  float64      `json:"first_ms"`
 	Sent   float64      `json:"sent_ms"`
@@ -36,7 +36,7 @@
 }
 
 func (r *Run) keep(classes []clients.Class) (*score.Keeper, *log, error) {
-	f, err := os.Create(filepath.Join(r.opt.Out, TriesFile))
+	f, err := os.Create(filepath.Join(r.opt.Out, AttemptsFile))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -49,11 +49,11 @@
 func (l *log) Tried(t *clients.Try) {
 	l.run.wires.tried(t)
 	l.run.shared.tried(t)
-	if t.Stood = l.run.wires.excused(t); t.Stood && t.Kind == clients.Silent {
+	if t.Stood = l.run.wires.wasPaused(t); t.Stood && t.Kind == clients.Unanswered {
 		t.Kind = clients.Broken
 	}
 	l.Keeper.Tried(t)
-	line := TryLine{ID: t.ID, Class: t.Class.Name, No: t.No, First: t.First, Sent: t.Sent, Ended: t.Ended, Kind: t.Kind, Late: t.Late, Tenant: t.Tenant}
+	line := AttemptLine{ID: t.ID, Class: t.Class.Name, Number: t.No, First: t.First, Sent: t.Sent, Ended: t.Ended, Kind: t.Kind, Late: t.Late, Tenant: t.Tenant}
 	if t.Pooler >= 0 {
 		line.Pooler = l.run.poolers[t.Pooler].name
 	}
--- a/internal/testkit/rehearse/ways.go
+++ b/internal/testkit/rehearse/ways.go
@@ -5,8 +5,8 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// ways has a fault of the ways from poolers to servers, or of the list's to poolers, strike or end.
-func (r *Run) ways(f scenario.Fault) func(on bool) {
+// pathFault has a fault of the ways from poolers to servers, or of the list's to poolers, strike or end.
+func (r *Run) pathFault(f scenario.Fault) func(on bool) {
 	var servers []int
 	_ = r.fleet.Act(func(w *model.World) error {
 		all := f.Target.Of(w)
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -18,30 +18,30 @@
 // wires tells the checker of the rules what crosses the wires: clients' requests and answers, and what comes to the
 // stand-in servers and to discovery's watchers. It knows nothing of the poolers.
 type wires struct {
-	mu      sync.Mutex
-	check   *checker.Checker
-	classes map[string]int
-	poolers int
-	tries   map[string]int // attempts seen at servers, by request
-	stood   map[int][2]float64
-	taken   map[string]bool // requests that a server took
-	groups  []int           // of the servers
-	twice   map[int]Twice
-	came    func(server int, at float64) // may be nil
-	from    map[string]asker             // who asked, by request
-	arrived func(server, pooler int, writes bool, at float64)
-	read    func(at float64, c *clients.Class, pooler, server int)
-}
-
-// asker is who asked something.
-type asker struct {
+	mu         sync.Mutex
+	check      *checker.Checker
+	classes    map[string]int
+	poolers    int
+	attempts   map[string]int // attempts seen at servers, by request
+	pauses     map[int][2]float64
+	taken      map[string]bool // requests that a server took
+	groups     []int           // of the servers
+	duplicates map[int]Duplicates
+	onReceived func(server int, at float64) // may be nil
+	senders    map[string]sender            // who asked, by request
+	onArrived  func(server, pooler int, writes bool, at float64)
+	onRead     func(at float64, c *clients.Class, pooler, server int)
+}
+
+// sender is who asked something.
+type sender struct {
 	pooler int
 	writes bool
 	class  *clients.Class
 }
 
 func newWires(s *scenario.Script) *wires {
-	w := &wires{check: checker.New(rules(s)), classes: map[string]int{}, poolers: s.Poolers, tries: map[string]int{}, stood: map[int][2]float64{}, from: map[string]asker{}, taken: map[string]bool{}, twice: map[int]Twice{}}
+	w := &wires{check: checker.New(rules(s)), classes: map[string]int{}, poolers: s.Poolers, attempts: map[string]int{}, pauses: map[int][2]float64{}, senders: map[string]sender{}, taken: map[string]bool{}, duplicates: map[int]Duplicates{}}
 	for g, n := range s.Fleet.Groups {
 		w.groups = append(w.groups, slices.Repeat([]int{g}, n)...)
 	}
@@ -59,32 +59,32 @@
 	return h.Sum64()
 }
 
-// countMs is by how much a request may come to its pooler sooner or later than its client and the relays have it, on a busy machine.
-const countMs = 100
+// arrivalToleranceMs is by how much a request may come to its pooler sooner or later than its client and the relays have it, on a busy machine.
+const arrivalToleranceMs = 100
 
-// loosePart is by how much less good parts may be that are served, on a busy machine.
-const loosePart = 0.15
+// degradedTolerance is by how much less good parts may be that are served, on a busy machine.
+const degradedTolerance = 0.15
 
-// answerMs is how long after its time an answer only earns nothing.
-const answerMs = 500
+// lateAnswerMs is how long after its time an answer only earns nothing.
+const lateAnswerMs = 500
 
 func rules(s *scenario.Script) checker.Config {
 	c := simulation.Rules(s)
-	if c.CountMs = countMs; c.Overload != nil {
-		c.Overload.ProbeSlack, c.Overload.Tolerance = c.Overload.Probes, loosePart // a word that comes later than Patience has its asker probe
+	if c.CountMs = arrivalToleranceMs; c.Overload != nil {
+		c.Overload.ProbeSlack, c.Overload.Tolerance = c.Overload.Probes, degradedTolerance // a word that comes later than Patience has its asker probe
 	}
 	return c
 }
 
-// fault tells the checker that one struck or ended.
-func (w *wires) fault(at float64, begins int) {
+// faultChanged tells the checker that one struck or ended.
+func (w *wires) faultChanged(at float64, begins int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.FaultChanged(at, begins)
 }
 
-// uses are what came of limits of the whole fleet.
-func (w *wires) uses(warmMs float64) []checker.LimitUsage {
+// limitUsages are what came of limits of the whole fleet.
+func (w *wires) limitUsages(warmMs float64) []checker.LimitUsage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.check.LimitUsages(warmMs)
@@ -94,10 +94,10 @@
 func (w *wires) Trying(t *clients.Try, untilMs, afterMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.from[t.ID] = asker{t.Pooler, t.Class.Read == clients.Write, t.Class}
+	w.senders[t.ID] = sender{t.Pooler, t.Class.Read == clients.Write, t.Class}
 	w.check.Received(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Pooler, untilMs, afterMs)
 	if t.Class.KeyMs > 0 {
-		w.check.Keyed(idOf(t.ID), idOf(t.Ask.Idem()))
+		w.check.Keyed(idOf(t.ID), idOf(t.Ask.IdempotencyKey()))
 	}
 	w.check.LoadReceived(t.Sent, idOf(t.ID), w.classes[t.Class.Name], t.Ask.Group, t.Tenant, t.No > 0)
 	w.check.Tenant(t.Sent, idOf(t.ID), t.Tenant)
@@ -110,8 +110,8 @@
 	w.check.HealthCheckSent(at, server)
 }
 
-// struck tells the checker of a fault.
-func (w *wires) struck(at float64, s *scenario.Script, f *scenario.Fault) {
+// faultInjected tells the checker of a fault.
+func (w *wires) faultInjected(at float64, s *scenario.Script, f *scenario.Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	groups, poolers := f.Where(s)
@@ -125,17 +125,17 @@
 	switch t.Kind {
 	case clients.Served, clients.Refused, clients.Failed:
 		at := t.Ended
-		if t.Late && !w.stoodBy(t) && t.Came > t.Ended+answerMs {
+		if t.Late && !w.pausedDuring(t) && t.Came > t.Ended+lateAnswerMs {
 			at = t.Came
 		}
 		w.check.Answered(at, idOf(t.ID), string(t.Kind), t.Kind == clients.Served, valueOf(t.Value))
 		if t.Extra {
 			w.check.Answered(at, idOf(t.ID), "more behind it", false, 0)
 		}
-	case clients.Broken, clients.Silent:
+	case clients.Broken, clients.Unanswered:
 		w.check.Abandoned(t.Ended, idOf(t.ID), string(t.Kind))
 	}
-	delete(w.tries, t.ID)
+	delete(w.attempts, t.ID)
 	delete(w.taken, t.ID)
 }
 
@@ -143,15 +143,15 @@
 func (w *wires) Arrived(server int, id string, at float64) (no int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	no = w.tries[id]
-	if w.tries[id] = no + 1; w.came != nil {
-		w.came(server, at)
+	no = w.attempts[id]
+	if w.attempts[id] = no + 1; w.onReceived != nil {
+		w.onReceived(server, at)
 	}
-	if a, ok := w.from[id]; ok && w.arrived != nil {
-		w.arrived(server, a.pooler, a.writes, at)
+	if a, ok := w.senders[id]; ok && w.onArrived != nil {
+		w.onArrived(server, a.pooler, a.writes, at)
 	}
-	if a, ok := w.from[id]; ok && w.read != nil && !a.writes {
-		w.read(at, a.class, a.pooler, server)
+	if a, ok := w.senders[id]; ok && w.onRead != nil && !a.writes {
+		w.onRead(at, a.class, a.pooler, server)
 	}
 	w.check.AttemptSent(at, idOf(id), no, -1, server)
 	return no
@@ -170,11 +170,11 @@
 	defer w.mu.Unlock()
 	w.check.ServerReceived(at, server, started, idOf(id), work)
 	w.check.QueryStarted(at, idOf(id), server)
-	x := w.twice[w.groups[server]]
+	x := w.duplicates[w.groups[server]]
 	if x.Taken++; w.taken[id] {
-		x.Again++
+		x.Repeated++
 	}
-	w.taken[id], w.twice[w.groups[server]] = true, x
+	w.taken[id], w.duplicates[w.groups[server]] = true, x
 }
 
 // Over is fleet.Watcher's.
@@ -195,23 +195,23 @@
 	w.check.Executed(r.At, server, idOf(j.ID), j.Writes, r.Primary, valueOf(value), r.Position)
 }
 
-// still tells that a pooler's process stands still for a while.
-func (w *wires) still(at float64, pooler int, until float64) {
+// processPaused tells that a pooler's process stands still for a while.
+func (w *wires) processPaused(at float64, pooler int, until float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.Paused(at, pooler, until)
-	w.stood[pooler] = [2]float64{at, until}
+	w.pauses[pooler] = [2]float64{at, until}
 }
 
-// excused tells whether a try lay at a pooler whose process stood still meanwhile.
-func (w *wires) excused(t *clients.Try) bool {
+// wasPaused tells whether a try lay at a pooler whose process stood still meanwhile.
+func (w *wires) wasPaused(t *clients.Try) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.stoodBy(t)
+	return w.pausedDuring(t)
 }
 
-func (w *wires) stoodBy(t *clients.Try) bool {
-	s, ok := w.stood[t.Pooler]
+func (w *wires) pausedDuring(t *clients.Try) bool {
+	s, ok := w.pauses[t.Pooler]
 	return ok && t.Sent < s[1] && max(t.Ended, t.Came) > s[0]
 }
 
@@ -230,8 +230,8 @@
 	return w.check.Verdict()
 }
 
-func (w *wires) twices() map[int]Twice {
+func (w *wires) duplicateCounts() map[int]Duplicates {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.twice)
+	return maps.Clone(w.duplicates)
 }
--- a/internal/testkit/report/rehearsal.go
+++ b/internal/testkit/report/rehearsal.go
@@ -20,11 +20,11 @@
 		fmt.Fprintln(t, "class\tservice\tasked\ttries\tserved\tlate\trefused\tfailed\tno answer\tbroken\tunmade\tworth: clients\trecords\tat the border")
 		for i, c := range s.Classes {
 			fmt.Fprintf(t, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\n", c.Name, c.Ratio, c.Asked, c.Tries, c.Served, c.Late, c.Refused,
-				c.Failed, c.Silent, c.Broken, c.Unmade, c.WorthGot, m.Worth[i].Records, m.Worth[i].Border)
+				c.Failed, c.Unanswered, c.Broken, c.Unmade, c.WorthGot, m.Worth[i].Records, m.Worth[i].Border)
 		}
 	})
 	fmt.Fprintf(b, "\nrecords and clients: %d of %d tries equal, %d taken by no pooler, %d listed as unknown, %d in the dark, %d differ\n",
-		m.Equal, m.Tries, m.Untaken, m.Unknown, m.Dark, len(m.Differ))
+		m.Equal, m.Attempts, m.Untaken, m.Unknown, m.InMissing, len(m.Differ))
 	for i, d := range append(m.Totals[:len(m.Totals):len(m.Totals)], m.Differ...) {
 		if i == shown {
 			fmt.Fprintf(b, "  ... %d more\n", len(m.Totals)+len(m.Differ)-shown)
--- a/internal/testkit/scenario/faults.go
+++ b/internal/testkit/scenario/faults.go
@@ -255,7 +255,7 @@
 		return fail("(%s ...) goes with (peers)", f.What)
 	case f.OfProber() && (s.Overload == nil || !s.Overload.Share):
 		return fail("(%s prober ...) goes with (overload), where poolers share probes", f.What)
-	case f.OfWays() && (s.Agents > 0 || s.Clients.House):
+	case f.OfWays() && (s.Agents > 0 || s.Clients.ClickHouse):
 		return fail("(%s ...) goes with the platform's list and protocol: without (consul ...) and (clickhouse)", f.What)
 	case f.Target.Kind == "pooler" && f.Target.Group >= s.Poolers:
 		return fail("there is no pooler %d; they are numbered from 0 to %d", f.Target.Group, s.Poolers-1)
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -96,7 +96,7 @@
 	}
 	q := s.Quotas()
 	for _, l := range s.Limits.Limits {
-		if l.Resource == settings.ResourceQueries && l.Kind == quota.Concurrency && s.Clients.House {
+		if l.Resource == settings.ResourceQueries && l.Kind == quota.Concurrency && s.Clients.ClickHouse {
 			out = append(out, checker.Limit{Name: l.Name, MaxConcurrent: int(l.Amount)})
 		}
 		if l.Resource == settings.ResourceTenant && l.Hard {
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -148,7 +148,7 @@
 		return nil, err
 	}
 	s.Clients.Groups = len(s.Fleet.Groups)
-	if s.Clients.House && len(s.Fleet.Groups) != 1 {
+	if s.Clients.ClickHouse && len(s.Fleet.Groups) != 1 {
 		return nil, n.Errorf("(clickhouse) takes one group, of peers; here are %d", len(s.Fleet.Groups))
 	}
 	s.Fleet.Work = map[string]model.Range{}
@@ -266,8 +266,8 @@
 
 // clickhouse has clients speak the ClickHouse interface, with classes of its own, to one group of peers.
 func (s *Script) clickhouse(n *sexp.Node) (err error) {
-	if s.Clients.House, err = n.Bool(); err == nil && s.Clients.House {
-		s.Fleet.MultiPrimary, s.Clients.Classes = true, clients.HouseClasses()
+	if s.Clients.ClickHouse, err = n.Bool(); err == nil && s.Clients.ClickHouse {
+		s.Fleet.MultiPrimary, s.Clients.Classes = true, clients.ClickHouseClasses()
 	}
 	return err
 }
--- a/internal/testkit/scenario/settings.go
+++ b/internal/testkit/scenario/settings.go
@@ -38,7 +38,7 @@
 		classes = append(classes, map[string]any{"name": c.Name, "effect": effect, "group": "cell", "key_ttl_ns": ns(c.KeyMs), "slo_ns": ns(c.Aim), "deadline_ns": ns(c.Deadline),
 			"points": c.Worth, "late_worth": c.LateWorth})
 		read := c.Read
-		if s.Clients.House && read == clients.Write { // any member takes it, once
+		if s.Clients.ClickHouse && read == clients.Write { // any member takes it, once
 			read = clients.ReadAny
 		}
 		reads, bounds = append(reads, string(read)), append(bounds, ns(c.Bound))
@@ -95,7 +95,7 @@
 
 // Operators are the operators' settings that a scenario needs of a daemon, whose ClickHouse front listens at an address.
 func (s *Script) Operators(house string) string {
-	if !s.Clients.House {
+	if !s.Clients.ClickHouse {
 		return ""
 	}
 	var b strings.Builder
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -29,9 +29,9 @@
 		}
 		b.WriteString(")")
 	}
-	if c.House {
+	if c.ClickHouse {
 		b.WriteString("\n  (clickhouse)")
-		wc.Classes = clients.HouseClasses()
+		wc.Classes = clients.ClickHouseClasses()
 	}
 	number := func(name string, is, was float64, unit string) {
 		if is != was {
--- a/internal/testkit/scenario/ways.go
+++ b/internal/testkit/scenario/ways.go
@@ -36,5 +36,5 @@
 
 // Doors tells whether servers and the list are to know on sockets which pooler calls: each pooler then has addresses of its own for them.
 func (s *Script) Doors() bool {
-	return s.Agents == 0 && !s.Clients.House && (s.Verdicts != nil || slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.OfWays() }))
+	return s.Agents == 0 && !s.Clients.ClickHouse && (s.Verdicts != nil || slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.OfWays() }))
 }
--- a/internal/testkit/score/score.go
+++ b/internal/testkit/score/score.go
@@ -40,7 +40,7 @@
 	Served      uint64  `json:"served"`
 	Refused     uint64  `json:"refused"`
 	Failed      uint64  `json:"failed"`
-	Silent      uint64  `json:"no_answer"`
+	Unanswered  uint64  `json:"no_answer"`
 	Broken      uint64  `json:"broken"`
 	Unmade      uint64  `json:"unmade"`
 	InTime      uint64  `json:"in_time"`
@@ -61,52 +61,52 @@
 
 // Keeper scores tries as they end.
 type Keeper struct {
-	s      Score
-	index  map[string]int
-	window serviceratio.Window
-	over   float64 // what is beyond a tenant's share is worth this part
+	score      Score
+	index      map[string]int
+	window     serviceratio.Window
+	overWeight float64 // what is beyond a tenant's share is worth this part
 }
 
 // Tenants has the keeper score each tenant within its share; what is beyond that is worth a part.
 func (k *Keeper) Tenants(tenants []clients.Tenant, over float64) {
-	k.over = over
+	k.overWeight = over
 	for _, t := range tenants {
-		k.s.Tenants = append(k.s.Tenants, Class{Name: t.Name})
+		k.score.Tenants = append(k.score.Tenants, Class{Name: t.Name})
 	}
 }
 
-// books are what a try counts in: its class, and its tenant where it is within the share.
-func (k *Keeper) books(t *clients.Try) []*Class {
-	b := []*Class{&k.s.Classes[k.index[t.Class.Name]]}
-	if n := t.Ask.Tenant; n >= 0 && n < len(k.s.Tenants) && !t.Ask.Over {
-		b = append(b, &k.s.Tenants[n])
+// classesOf are what a try counts in: its class, and its tenant where it is within the share.
+func (k *Keeper) classesOf(t *clients.Try) []*Class {
+	b := []*Class{&k.score.Classes[k.index[t.Class.Name]]}
+	if n := t.Ask.Tenant; n >= 0 && n < len(k.score.Tenants) && !t.Ask.Over {
+		b = append(b, &k.score.Tenants[n])
 	}
 	return b
 }
 
 // New makes a keeper for classes.
 func New(seed uint64, classes []clients.Class) *Keeper {
-	k := &Keeper{s: Score{Seed: seed}, index: map[string]int{}}
+	k := &Keeper{score: Score{Seed: seed}, index: map[string]int{}}
 	for _, c := range classes {
-		k.index[c.Name] = len(k.s.Classes)
-		k.s.Classes = append(k.s.Classes, Class{Name: c.Name})
+		k.index[c.Name] = len(k.score.Classes)
+		k.score.Classes = append(k.score.Classes, Class{Name: c.Name})
 	}
 	return k
 }
 
 // Tried is clients.Sink's.
 func (k *Keeper) Tried(t *clients.Try) {
-	worth := t.Ask.Worth(t.Class, k.over)
+	worth := t.Ask.Worth(t.Class, k.overWeight)
 	if t.No == 0 {
 		k.window.Add(t.First, worth, 0)
 	}
-	for _, c := range k.books(t) {
+	for _, c := range k.classesOf(t) {
 		c.tried(t, worth)
 	}
 	switch t.Kind {
 	case clients.Served:
 		k.served(t, worth)
-	case clients.Silent:
+	case clients.Unanswered:
 		k.breach("one final answer", t, "no answer came")
 	}
 	if t.Extra {
@@ -135,8 +135,8 @@
 		c.Refused++
 	case clients.Failed:
 		c.Failed++
-	case clients.Silent:
-		c.Silent++
+	case clients.Unanswered:
+		c.Unanswered++
 	case clients.Broken:
 		c.Broken++
 	default:
@@ -157,7 +157,7 @@
 	if late {
 		got *= t.Class.LateWorth
 	}
-	for _, c := range k.books(t) {
+	for _, c := range k.classesOf(t) {
 		if late {
 			c.Late++
 		} else {
@@ -170,22 +170,22 @@
 }
 
 func (k *Keeper) breach(rule string, t *clients.Try, text string) {
-	k.s.Broken++
-	if len(k.s.Breaches) < maxBreaches {
-		k.s.Breaches = append(k.s.Breaches, Breach{Rule: rule, At: t.Ended, ID: t.ID, Text: t.Class.Name + ": " + text})
+	k.score.Broken++
+	if len(k.score.Breaches) < maxBreaches {
+		k.score.Breaches = append(k.score.Breaches, Breach{Rule: rule, At: t.Ended, ID: t.ID, Text: t.Class.Name + ": " + text})
 	}
 }
 
 // Add books a breach that was seen elsewhere.
 func (k *Keeper) Add(b Breach) {
-	k.s.Broken++
-	k.s.Breaches = append(k.s.Breaches, b)
+	k.score.Broken++
+	k.score.Breaches = append(k.score.Breaches, b)
 }
 
 // Score is the result so far.
 func (k *Keeper) Score() *Score {
-	s := k.s
-	s.Classes, s.Tenants, s.Breaches = slices.Clone(k.s.Classes), slices.Clone(k.s.Tenants), slices.Clone(k.s.Breaches)
+	s := k.score
+	s.Classes, s.Tenants, s.Breaches = slices.Clone(k.score.Classes), slices.Clone(k.score.Tenants), slices.Clone(k.score.Breaches)
 	for i := range s.Tenants {
 		if c := &s.Tenants[i]; c.WorthAsked > 0 {
 			c.Ratio = c.WorthGot / c.WorthAsked
@@ -204,7 +204,7 @@
 		}
 		t := &s.Total
 		t.Asked, t.Tries, t.Served, t.Refused, t.Failed = t.Asked+c.Asked, t.Tries+c.Tries, t.Served+c.Served, t.Refused+c.Refused, t.Failed+c.Failed
-		t.Silent, t.Broken, t.Unmade, t.InTime, t.Late = t.Silent+c.Silent, t.Broken+c.Broken, t.Unmade+c.Unmade, t.InTime+c.InTime, t.Late+c.Late
+		t.Unanswered, t.Broken, t.Unmade, t.InTime, t.Late = t.Unanswered+c.Unanswered, t.Broken+c.Broken, t.Unmade+c.Unmade, t.InTime+c.InTime, t.Late+c.Late
 		t.WorthAsked, t.WorthInTime, t.WorthGot = t.WorthAsked+c.WorthAsked, t.WorthInTime+c.WorthInTime, t.WorthGot+c.WorthGot
 	}
 	s.Total.Ratio = 1
--- a/internal/testkit/score/score_test.go
+++ b/internal/testkit/score/score_test.go
@@ -28,7 +28,7 @@
 	try(0, clients.Served, 0, 0, 600, func(x *clients.Try) { x.Late = true })
 	try(0, clients.Served, 0, 0, 500, func(x *clients.Try) { x.Late, x.Came = true, 1.7e12+1001 })
 	try(0, clients.Served, 0, 0, 500, func(x *clients.Try) { x.Late, x.Stood, x.Came = true, true, 1.7e12+1001 })
-	try(0, clients.Silent, 0, 0, 500)
+	try(0, clients.Unanswered, 0, 0, 500)
 	try(0, clients.Broken, 0, 0, 5)
 	s := k.Score()
 	var rules []string
@@ -38,7 +38,7 @@
 	if diff := cmp.Diff([]string{"no stale read", "no invented value", "one final answer", "in time", "one final answer", "in time"}, rules); diff != "" {
 		t.Error(diff)
 	}
-	want := Class{Name: "w", Asked: 10, Tries: 11, Served: 8, Refused: 1, Silent: 1, Broken: 1, InTime: 2, Late: 4, WorthAsked: 30, WorthInTime: 6, WorthGot: 9.6, Ratio: 0.32}
+	want := Class{Name: "w", Asked: 10, Tries: 11, Served: 8, Refused: 1, Unanswered: 1, Broken: 1, InTime: 2, Late: 4, WorthAsked: 30, WorthInTime: 6, WorthGot: 9.6, Ratio: 0.32}
 	got := s.Classes[0]
 	got.WorthGot, got.Ratio = float64(int(got.WorthGot*1000+0.5))/1000, float64(int(got.Ratio*1e6+0.5))/1e6
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -198,7 +198,7 @@
 			return
 		}
 		r := s.Report(sim.sched.now)
-		if sim.script.Clients.House {
+		if sim.script.Clients.ClickHouse {
 			r, a.asOf = model.Report{Position: s.Position(sim.sched.now)}, sim.sched.now
 		}
 		a.reply = model.Reply{Position: r.Position, Primary: r.Primary}
@@ -211,7 +211,7 @@
 	a.job.ID, a.job.Writes, a.job.Key, a.job.Value, a.job.Owner = v.name, v.class.Read == "mutate", v.request.Key, v.value, a
 	a.job.Work = sim.world.Work(v.class.Name)
 	if v.class.KeyMs > 0 {
-		a.job.IdempotencyKey, a.job.IdempotencyMs = v.request.Idem(), v.class.KeyMs
+		a.job.IdempotencyKey, a.job.IdempotencyMs = v.request.IdempotencyKey(), v.class.KeyMs
 	}
 	if s.Accepts(&a.job) {
 		sim.repeats.accepted(v, s)
@@ -260,7 +260,7 @@
 		if o.Result == decide.OK {
 			o.Answer = a.reply.Value
 		}
-		if a.pooler.sim.script.Clients.House {
+		if a.pooler.sim.script.Clients.ClickHouse {
 			a.useClickHouseReport(&o)
 		}
 		if a.rows != nil {
--- a/internal/testkit/simulation/visit.go
+++ b/internal/testkit/simulation/visit.go
@@ -197,7 +197,7 @@
 				v.answered = true
 				v.pooler.core.Abandon(v.ref)
 			}
-			v.finish(clients.Silent)
+			v.finish(clients.Unanswered)
 		}
 	}
 }
@@ -206,9 +206,9 @@
 func (v *clientAttempt) submit(due float64) {
 	a := v.request
 	q := platform.Request{ID: v.name, Class: v.class.Name, Group: a.Group, Session: a.Key, Deadline: due, MinPosition: v.minPosition, IsRetry: v.number > 0,
-		Writes: v.class.Read == clients.Write && !v.sim.script.Clients.House, Query: v, Tenant: v.sim.script.Clients.TenantOf(&a.Ask)}
+		Writes: v.class.Read == clients.Write && !v.sim.script.Clients.ClickHouse, Query: v, Tenant: v.sim.script.Clients.TenantOf(&a.Ask)}
 	if v.class.KeyMs > 0 {
-		q.IdempotencyKey = a.Idem()
+		q.IdempotencyKey = a.IdempotencyKey()
 	}
 	ref, err := v.pooler.core.Submit(q, v)
 	if err != nil {
--- a/internal/testkit/sizes/measure.go
+++ b/internal/testkit/sizes/measure.go
@@ -180,7 +180,7 @@
 				if conn == nil {
 					continue
 				}
-				said, err := conn.Ask(statement(random, groups), 3*time.Second)
+				said, err := conn.Query(statement(random, groups), 3*time.Second)
 				if err != nil {
 					_ = conn.Close()
 					conn = nil
--- a/internal/testkit/sizes/servers.go
+++ b/internal/testkit/sizes/servers.go
@@ -20,7 +20,7 @@
 
 const (
 	groupSize     = 3               // a primary and its replicas
-	watchBeat     = 2 * time.Second // how often a watch shows that it lives
+	watchInterval = 2 * time.Second // how often a watch shows that it lives
 	answerTime    = 2 * time.Millisecond
 	changesPart   = 0.05 // of all servers, whose entries change in a minute
 	usualServers  = 200  // at which the capacity of all servers is what a pooler's traffic wants
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	s.address = l.Addr().String()
-	s.http = &http.Server{Handler: http.HandlerFunc(s.endpoints), ReadHeaderTimeout: watchBeat}
+	s.http = &http.Server{Handler: http.HandlerFunc(s.endpoints), ReadHeaderTimeout: watchInterval}
 	go func() { _ = s.http.Serve(l) }()
 	return s, nil
 }
@@ -125,7 +125,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(watchBeat):
+		case <-time.After(watchInterval):
 			s.write(w, nil)
 		case <-changed:
 		}
