--- a/internal/testkit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -106,7 +106,7 @@
 	MoreZones    int
 	Avoided      []AvoidedRow
 	Judged       []string
-	Judgements   []endpointreport.Judgement
+	Judgements   []endpointreport.Decision
 }
 
 // HTML writes the report as one file that needs nothing else.
@@ -138,7 +138,7 @@
 	if v.Members != nil {
 		d.Members, d.Judged = MemberRows(v.Members), MemberCounts(v.Members)
 		d.MoreMembers = max(0, len(d.Members)-maxRows)
-		d.Members, d.Judgements = d.Members[:min(len(d.Members), maxRows)], v.Members.Judgements[:min(len(v.Members.Judgements), maxRows)]
+		d.Members, d.Judgements = d.Members[:min(len(d.Members), maxRows)], v.Members.Decisions[:min(len(v.Members.Decisions), maxRows)]
 	}
 	if err := t.Execute(w, d); err != nil {
 		return fmt.Errorf("report: %w", err)
--- a/internal/testkit/report/members.go
+++ b/internal/testkit/report/members.go
@@ -24,26 +24,26 @@
 func MemberRows(v *endpointreport.View) (out []MemberRow) {
 	for _, s := range v.Servers {
 		row := MemberRow{Pooler: s.Pooler, Server: s.Name, Group: s.Group}
-		for i, x := range s.Words {
-			row.Who, row.At, row.Role, row.Against = x.Source, x.At, x.Role, ""
-			if i == 0 && s.Denied > 0 {
-				row.Against = time.Duration(s.Denied * float64(time.Millisecond)).Round(100 * time.Millisecond).String()
+		for i, x := range s.Reports {
+			row.Who, row.At, row.Role, row.Against = x.Source, x.AtMs, x.Role, ""
+			if i == 0 && s.DeniedMs > 0 {
+				row.Against = time.Duration(s.DeniedMs * float64(time.Millisecond)).Round(100 * time.Millisecond).String()
 			}
-			if row.Says = x.Health + " at " + x.Address; x.Gone {
+			if row.Says = x.Health + " at " + x.Address; x.Removed {
 				row.Says, row.Role = "gone", ""
 			}
 			out = append(out, row)
 		}
 		row.Against = ""
-		if s.Own != nil {
-			row.Who, row.At, row.Role, row.Says = "itself", s.Own.At, s.Own.Role, "answers"
-			if s.Own.Position > 0 {
-				row.Says = fmt.Sprintf("stands %.0f ms behind", max(0, s.Own.At-s.Own.Position))
+		if s.SelfReport != nil {
+			row.Who, row.At, row.Role, row.Says = "itself", s.SelfReport.AtMs, s.SelfReport.Role, "answers"
+			if s.SelfReport.PositionMs > 0 {
+				row.Says = fmt.Sprintf("stands %.0f ms behind", max(0, s.SelfReport.AtMs-s.SelfReport.PositionMs))
 			}
 			out = append(out, row)
 		}
 		if s.Entry != nil {
-			row.Who, row.At, row.Role, row.Says = "the list", s.Entry.At, "", s.Entry.State+" at "+s.Entry.Address
+			row.Who, row.At, row.Role, row.Says = "the list", s.Entry.AtMs, "", s.Entry.State+" at "+s.Entry.Address
 			if s.Entry.Primary {
 				row.Role = "primary"
 			}
@@ -82,16 +82,16 @@
 		return nil
 	}
 	fmt.Fprintln(w)
-	for i := range v.Judgements {
-		g := &v.Judgements[i]
-		fmt.Fprintf(w, "%s  %s  %s  %s: %s", Clock(g.At), Safe(g.Pooler), Safe(g.Server), Safe(g.What), Safe(g.Why))
+	for i := range v.Decisions {
+		g := &v.Decisions[i]
+		fmt.Fprintf(w, "%s  %s  %s  %s: %s", Clock(g.At), Safe(g.Pooler), Safe(g.Server), Safe(g.Kind), Safe(g.Reason))
 		if g.Source != "" {
 			fmt.Fprintf(w, " (%s)", Safe(g.Source))
 		}
 		fmt.Fprintln(w)
 	}
-	if v.Left > 0 {
-		fmt.Fprintf(w, "...and %d more\n", v.Left)
+	if v.OmittedDecisions > 0 {
+		fmt.Fprintf(w, "...and %d more\n", v.OmittedDecisions)
 	}
 	return nil
 }
