--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -202,6 +202,6 @@
 		of.Gauge("allowed", l.Amount)
 		of.Gauge("floor", l.Reserved)
 		of.BoolGauge("owns", l.IsOwner)
-		of.Gauge("lent", l.Lent)
+		of.Gauge("lent", l.Leased)
 	}
 }
--- a/internal/cluster/quota/api.go
+++ b/internal/cluster/quota/api.go
@@ -133,7 +133,7 @@
 	Owner     ID      // that its requests go to
 	IsOwner   bool    // this process leases the limit
 	Epoch     uint32
-	Lent      float64 // leased, by this owner's accounts
+	Leased    float64 // leased, by this owner's accounts
 	Voters    int     // processes that are bound to this one by their votes
 }
 
--- a/internal/cluster/quota/quota.go
+++ b/internal/cluster/quota/quota.go
@@ -263,7 +263,7 @@
 		if limit.ownership.active && q.now < limit.ownership.ends {
 			status.IsOwner = true
 			status.Epoch = limit.ownership.epoch
-			status.Lent, _ = limit.unitsAllowance(&limit.partition, q.leasedUnits(limit))
+			status.Leased, _ = limit.unitsAllowance(&limit.partition, q.leasedUnits(limit))
 		}
 		for _, peer := range limit.ownership.holders {
 			if peer.voteEnds > q.now {
--- a/internal/cluster/zones/adapter/adapter.go
+++ b/internal/cluster/zones/adapter/adapter.go
@@ -37,15 +37,15 @@
 	core      Core
 	transport module.Transport
 	store     PlanNumberStore
-	servers   map[string]*server // servers
-	cells     []*cell            // in their order
+	servers   map[string]*zoneServer // servers
+	cells     []*cell                // in their order
 	demands   map[[2]int]float64
 	sent      []uint64 // attempts of reads that any member may serve, by zone of the servers, since the start
 	planSeen  bool
 }
 
-// server is a server by the endpoint list, and by what was observed of it.
-type server struct {
+// zoneServer is a server by the endpoint list, and by what was observed of it.
+type zoneServer struct {
 	cell    *cell
 	size    float64
 	serves  bool
@@ -57,7 +57,7 @@
 type cell struct {
 	planner.Cell
 	attempts, lost, fixedCores float64 // since the last sample
-	servers                    map[string]*server
+	servers                    map[string]*zoneServer
 }
 
 // maxMisses is how many misses make a server count as not serving.
@@ -74,11 +74,11 @@
 
 // New returns an Adapter. The classes, and how far their reads may cross, come from the core's settings.
 func New(set zones.Settings, net module.Transport, log zones.Log, c Core, k PlanNumberStore) *Adapter {
-	j := &Adapter{settings: set, core: c, transport: net, store: k, servers: map[string]*server{}, demands: map[[2]int]float64{}, sent: make([]uint64, len(set.Zones))}
+	adapter := &Adapter{settings: set, core: c, transport: net, store: k, servers: map[string]*zoneServer{}, demands: map[[2]int]float64{}, sent: make([]uint64, len(set.Zones))}
 	set.Planner.Plan.Classes = classes(c.DecisionSettings())
-	j.settings = set
-	j.Coordinator = zones.New(set, net, log, j)
-	return j
+	adapter.settings = set
+	adapter.Coordinator = zones.New(set, net, log, adapter)
+	return adapter
 }
 
 // classes returns the classes for plans. What only the primary can do goes wherever that is, and is not part of a plan.
@@ -95,69 +95,69 @@
 }
 
 // Settings returns the settings in use.
-func (j *Adapter) Settings() *zones.Settings { return &j.settings }
+func (adapter *Adapter) Settings() *zones.Settings { return &adapter.settings }
 
 // Sent returns the number of attempts since the start of reads that any member may serve, by zone of the servers.
-func (j *Adapter) Sent() []uint64 { return j.sent }
+func (adapter *Adapter) Sent() []uint64 { return adapter.sent }
 
 // movable reports whether any member of a group may serve a class.
-func (j *Adapter) movable(class int) bool {
-	set := j.core.DecisionSettings()
+func (adapter *Adapter) movable(class int) bool {
+	set := adapter.core.DecisionSettings()
 	return class >= 0 && class < len(set.Classes) && set.Classes[class].Read != decide.Write && set.Classes[class].Read != decide.ReadFresh
 }
 
-func (j *Adapter) work(class int) float64 {
-	if w := j.core.AverageWork(); class >= 0 && class < len(w) {
+func (adapter *Adapter) work(class int) float64 {
+	if w := adapter.core.AverageWork(); class >= 0 && class < len(w) {
 		return w[class]
 	}
 	return 0
 }
 
 // Listed takes an endpoint list, or a part of one that changed.
-func (j *Adapter) Listed(l *discovery.List, whole bool) {
+func (adapter *Adapter) Listed(l *discovery.List, whole bool) {
 	seen := map[string]bool{}
 	for i := range l.Instances {
 		n := &l.Instances[i]
-		zone := j.settings.Index(n.Zone)
+		zone := adapter.settings.Index(n.Zone)
 		if seen[n.ID] = true; zone < 0 || n.ID == "" {
 			continue
 		}
-		s := j.servers[n.ID]
-		if s == nil {
-			s = &server{}
-			j.servers[n.ID] = s
+		server := adapter.servers[n.ID]
+		if server == nil {
+			server = &zoneServer{}
+			adapter.servers[n.ID] = server
 		}
-		at := j.cell(n.Cell, zone)
-		if s.cell != at && s.cell != nil {
-			delete(s.cell.servers, n.ID)
+		at := adapter.cell(n.Cell, zone)
+		if server.cell != at && server.cell != nil {
+			delete(server.cell.servers, n.ID)
 		}
-		s.cell, at.servers[n.ID] = at, s
-		if started := float64(n.StartedAtMs); started != s.started {
-			s.started, s.misses = started, 0
+		server.cell, at.servers[n.ID] = at, server
+		if started := float64(n.StartedAtMs); started != server.started {
+			server.started, server.misses = started, 0
 		}
-		s.size, s.serves, s.primary = cmp.Or(n.Weight, 1), n.Lifecycle != "draining" && n.Lifecycle != "removed", n.Role == "primary"
+		server.size, server.serves, server.primary = cmp.Or(n.Weight, 1), n.Lifecycle != "draining" && n.Lifecycle != "removed", n.Role == "primary"
 	}
 	if whole {
-		for id, s := range j.servers {
-			s.serves = s.serves && seen[id]
+		for id, server := range adapter.servers {
+			server.serves = server.serves && seen[id]
 		}
 	}
 }
 
-func (j *Adapter) cell(group, zone int) *cell {
-	i, found := slices.BinarySearchFunc(j.cells, [2]int{group, zone}, func(c *cell, at [2]int) int {
+func (adapter *Adapter) cell(group, zone int) *cell {
+	i, found := slices.BinarySearchFunc(adapter.cells, [2]int{group, zone}, func(c *cell, at [2]int) int {
 		return cmp.Or(cmp.Compare(c.Group, at[0]), cmp.Compare(c.Zone, at[1]))
 	})
 	if !found {
-		j.cells = slices.Insert(j.cells, i, &cell{Cell: planner.Cell{Group: group, Zone: zone}, servers: map[string]*server{}})
+		adapter.cells = slices.Insert(adapter.cells, i, &cell{Cell: planner.Cell{Group: group, Zone: zone}, servers: map[string]*zoneServer{}})
 	}
-	return j.cells[i]
+	return adapter.cells[i]
 }
 
 // Received counts a request that arrived for a group.
-func (j *Adapter) Received(group, class int) {
-	if j.movable(class) {
-		j.demands[[2]int{group, class}]++
+func (adapter *Adapter) Received(group, class int) {
+	if adapter.movable(class) {
+		adapter.demands[[2]int{group, class}]++
 	}
 }
 
@@ -165,20 +165,20 @@
 const cancelledLossShare = 0.5
 
 // AttemptEnded takes the end of an attempt at a server, ms after it was sent.
-func (j *Adapter) AttemptEnded(store string, class int, r decide.Result, ms float64, _ bool) {
-	s := j.servers[store]
-	if s == nil {
+func (adapter *Adapter) AttemptEnded(store string, class int, r decide.Result, ms float64, _ bool) {
+	server := adapter.servers[store]
+	if server == nil {
 		return
 	}
 	lost := false
-	if r != decide.NotSent && j.movable(class) {
-		j.sent[s.cell.Zone]++
+	if r != decide.NotSent && adapter.movable(class) {
+		adapter.sent[server.cell.Zone]++
 	}
 	switch r {
 	case decide.NotSent:
 		return
 	case decide.Cancelled:
-		set := j.core.DecisionSettings()
+		set := adapter.core.DecisionSettings()
 		if class >= len(set.Classes) || ms < cancelledLossShare*float64(set.Classes[class].LatencyObjective)/float64(time.Millisecond) {
 			return
 		}
@@ -186,37 +186,37 @@
 	case decide.TimedOut, decide.Unreachable, decide.Reset:
 		lost = true
 	}
-	if s.cell.attempts++; lost {
-		s.cell.lost++
-		s.misses++
+	if server.cell.attempts++; lost {
+		server.cell.lost++
+		server.misses++
 		return
 	}
-	s.misses = 0
-	if r == decide.OK && !j.movable(class) {
-		s.cell.fixedCores += j.work(class)
+	server.misses = 0
+	if r == decide.OK && !adapter.movable(class) {
+		server.cell.fixedCores += adapter.work(class)
 	}
 }
 
 // HealthChecked takes the result of a health check.
-func (j *Adapter) HealthChecked(store string, ok bool) {
-	if s := j.servers[store]; s != nil {
-		if s.misses++; ok {
-			s.misses = 0
+func (adapter *Adapter) HealthChecked(store string, ok bool) {
+	if server := adapter.servers[store]; server != nil {
+		if server.misses++; ok {
+			server.misses = 0
 		}
 	}
 }
 
 // Sample implements zones.Pooler.
-func (j *Adapter) Sample(ms float64) (cells []planner.Cell, asks []planner.Demand) {
-	seconds, usual := max(ms, 1)/1000, j.medianPace()
-	for _, c := range j.cells {
+func (adapter *Adapter) Sample(ms float64) (cells []planner.Cell, asks []planner.Demand) {
+	seconds, usual := max(ms, 1)/1000, adapter.medianPace()
+	for _, c := range adapter.cells {
 		x := &c.Cell
 		x.Cores = 0
 		whole := 0.0
-		for id, s := range c.servers {
-			if s.serves && s.misses < maxMisses {
-				whole += s.size * j.settings.CoresPerSize
-				x.Cores += s.size * j.settings.CoresPerSize * j.core.WarmUpFactor(s.started) * max(minPace, min(1, paceTolerance*j.core.RelativeRate(id)/usual))
+		for id, server := range c.servers {
+			if server.serves && server.misses < maxMisses {
+				whole += server.size * adapter.settings.CoresPerSize
+				x.Cores += server.size * adapter.settings.CoresPerSize * adapter.core.WarmUpFactor(server.started) * max(minPace, min(1, paceTolerance*adapter.core.RelativeRate(id)/usual))
 			}
 		}
 		x.Cores = math.Round(x.Cores*1000) / 1000 // whatever order they were added in
@@ -225,10 +225,10 @@
 		c.attempts, c.lost, c.fixedCores = 0, 0, 0
 		cells = append(cells, *x)
 	}
-	for k, n := range j.demands {
-		asks = append(asks, planner.Demand{Group: k[0], Class: k[1], Load: n / seconds * j.work(k[1])})
-		if j.demands[k] = 0; n == 0 {
-			delete(j.demands, k)
+	for k, n := range adapter.demands {
+		asks = append(asks, planner.Demand{Group: k[0], Class: k[1], Load: n / seconds * adapter.work(k[1])})
+		if adapter.demands[k] = 0; n == 0 {
+			delete(adapter.demands, k)
 		}
 	}
 	slices.SortFunc(asks, func(a, b planner.Demand) int {
@@ -238,11 +238,11 @@
 }
 
 // medianPace returns the median of the serving servers' paces.
-func (j *Adapter) medianPace() float64 {
+func (adapter *Adapter) medianPace() float64 {
 	var all []float64
-	for id, s := range j.servers {
-		if s.serves && s.misses < maxMisses {
-			all = append(all, j.core.RelativeRate(id))
+	for id, server := range adapter.servers {
+		if server.serves && server.misses < maxMisses {
+			all = append(all, adapter.core.RelativeRate(id))
 		}
 	}
 	if len(all) == 0 {
@@ -253,31 +253,31 @@
 }
 
 // ApplyStatus implements zones.Pooler.
-func (j *Adapter) ApplyStatus(s follower.Status) {
-	if s.Reason == follower.NoPlan && !j.planSeen {
+func (adapter *Adapter) ApplyStatus(s follower.Status) {
+	if s.Reason == follower.NoPlan && !adapter.planSeen {
 		return
 	}
-	j.planSeen = true
-	j.core.SetZone(j.settings.Zones[s.Zone], s.Price)
+	adapter.planSeen = true
+	adapter.core.SetZone(adapter.settings.Zones[s.Zone], s.Price)
 }
 
 // StorePlanNumber implements zones.Pooler.
-func (j *Adapter) StorePlanNumber(no uint64, done func()) {
-	if j.store == nil {
+func (adapter *Adapter) StorePlanNumber(no uint64, done func()) {
+	if adapter.store == nil {
 		done()
 		return
 	}
-	j.store.StorePlanNumber(no, done)
+	adapter.store.StorePlanNumber(no, done)
 }
 
 // HandleLogAction follows the leader of the replicated log.
-func (j *Adapter) HandleLogAction(a *raftlog.Action) {
+func (adapter *Adapter) HandleLogAction(a *raftlog.Action) {
 	switch a.Kind {
 	case raftlog.BecameLeader:
-		j.SetLeader(j.settings.Name)
+		adapter.SetLeader(adapter.settings.Name)
 	case raftlog.LeaderChanged:
-		j.SetLeader(a.Leader)
+		adapter.SetLeader(a.Leader)
 	case raftlog.Stopped:
-		j.SetLeader("")
+		adapter.SetLeader("")
 	}
 }
