--- a/internal/frontend/clickhouse/attempts.go
+++ b/internal/frontend/clickhouse/attempts.go
@@ -7,65 +7,69 @@
 	"beechgrade/internal/eventloop/timers"
 )
 
-const timedOut = decide.TimedOut
+// The Index of an attempt's Ref has attemptRefBit and not otherRefBit, by which frontends tell their attempts apart.
+const (
+	attemptRefBit = 1 << 30
+	otherRefBit   = 1 << 31
+)
 
-// attempt is a query's attempt, or a probe where r is nil.
+// attempt is an attempt of a request at a server, or a health check.
 type attempt struct {
 	ref          slotmap.Ref
 	id           backend.AttemptID
 	server       *server
-	request      *request
+	request      *request // nil for a health check
+	startedAt    float64  // of a health check
 	deadline     float64
-	startedAt    float64 // of a probe
-	staleChecked bool    // its server has told that it is not too far behind
-	link         *link
-	timer        *timers.Timer
-	connectTimer *timers.Timer
+	staleChecked bool          // the server has reported that it is not too stale for the request
+	link         *link         // nil until it is sent
+	timer        *timers.Timer // of the deadline
+	connectTimer *timers.Timer // bounds the wait for a connection
 }
 
-// IsRequest tells whether a query is of this front.
-func IsRequest(q backend.Query) bool { _, ok := q.(*request); return ok }
+// IsRequest reports whether a query is a request of this frontend.
+func IsRequest(query backend.Query) bool {
+	_, ok := query.(*request)
+	return ok
+}
 
-// IsAttemptRef tells whether an attempt is of this front.
+// IsAttemptRef reports whether an attempt is one of this frontend.
 func IsAttemptRef(ref slotmap.Ref) bool {
-	return ref.Index&attemptRefBit != 0 && ref.Index&(1<<31) == 0
+	return ref.Index&attemptRefBit != 0 && ref.Index&otherRefBit == 0
 }
 
-// StartAttempt starts an attempt that ends by itself at until.
-func (f *Frontend) StartAttempt(id string, q backend.Query, until float64, t backend.AttemptID) slotmap.Ref {
-	a := &attempt{id: t, server: f.servers[id], request: q.(*request), deadline: until}
+// StartAttempt starts an attempt of a request, which times out at the deadline. Its outcome is reported to backend.Events.
+func (f *Frontend) StartAttempt(serverID string, query backend.Query, deadline float64, id backend.AttemptID) slotmap.Ref {
+	a := &attempt{id: id, server: f.servers[serverID], request: query.(*request), deadline: deadline}
 	a.ref = f.attempts.Put(a)
 	if a.server != nil {
-		a.server.drainedAt = 0 // the module sends there: it serves
+		a.server.drainedAt = 0 // an attempt is only started at a server that does not drain
 	}
 	f.dispatch(a)
 	return slotmap.Ref{Index: a.ref.Index | attemptRefBit, Gen: a.ref.Gen}
 }
 
-// Recall is core.Servers'.
-func (f *Frontend) Recall(id string, which func(backend.AttemptID) bool) {
-	s := f.servers[id]
+// Recall ends the chosen attempts that wait for a connection to a server, so that other servers can be chosen.
+func (f *Frontend) Recall(serverID string, choose func(backend.AttemptID) bool) {
+	s := f.servers[serverID]
 	if s == nil {
 		return
 	}
 	for i := 0; i < len(s.waiting); {
-		if a := s.waiting[i]; a.request != nil && which(a.id) {
+		if a := s.waiting[i]; a.request != nil && choose(a.id) {
 			f.abort(a, decide.NotSent)
-			i = 0 // what that led to may have changed the rest
+			i = 0 // the list may have changed
 			continue
 		}
 		i++
 	}
 }
 
-// maySend asks whether an attempt may still go out. A probe always may.
-func (f *Frontend) maySend(a *attempt) bool { return a.request == nil || f.events.MaySend(a.id) }
-
-// CheckHealth asks a server whether it is there.
-func (f *Frontend) CheckHealth(id string) {
-	s := f.servers[id]
+// CheckHealth sends a health check to a server. Its outcome is reported to backend.Events.
+func (f *Frontend) CheckHealth(serverID string) {
+	s := f.servers[serverID]
 	if s == nil {
-		f.events.HealthCheckEnded(id, backend.Outcome{Result: decide.Unreachable})
+		f.events.HealthCheckEnded(serverID, backend.Outcome{Result: decide.Unreachable})
 		return
 	}
 	a := &attempt{server: s, deadline: f.loop.Now() + f.options.ConnectTimeoutMs, startedAt: f.loop.Now()}
@@ -73,7 +77,7 @@
 	f.dispatch(a)
 }
 
-// Cancel gives an attempt up; a server whose connection goes ends its query.
+// Cancel ends an attempt. The server ends its query when it detects that the connection is closed, or by KILL QUERY.
 func (f *Frontend) Cancel(ref slotmap.Ref) {
 	ref.Index &^= attemptRefBit
 	if a, ok := f.attempts.Get(ref); ok {
@@ -81,6 +85,10 @@
 	}
 }
 
+// maySend reports whether an attempt may still be sent. The decision module may have changed its mind since it started.
+func (f *Frontend) maySend(a *attempt) bool { return a.request == nil || f.events.MaySend(a.id) }
+
+// dispatch sends an attempt on an idle connection, or has it wait for one.
 func (f *Frontend) dispatch(a *attempt) {
 	s := a.server
 	if s == nil || s.address == "" {
@@ -90,7 +98,7 @@
 	a.timer = f.loop.At(a.deadline, func() { f.abort(a, decide.TimedOut) })
 	for len(s.idle) > 0 {
 		l := s.idle[len(s.idle)-1]
-		if !l.conn.OpenAndIdle() { // the server has closed it, perhaps
+		if !l.conn.OpenAndIdle() { // the server may have closed it
 			l.close()
 			continue
 		}
@@ -102,78 +110,82 @@
 		l.send(a)
 		return
 	}
-	a.connectTimer = f.loop.At(f.loop.Now()+f.options.ConnectTimeoutMs, func() {
-		switch {
-		case a.link != nil:
-		case s.dialing == 0: // want of a descriptor tells nothing of the server
-			f.abort(a, decide.NotSent)
-		default:
-			f.abort(a, decide.Unreachable)
-		}
-	})
+	a.connectTimer = f.loop.At(f.loop.Now()+f.options.ConnectTimeoutMs, func() { f.connectTimedOut(a) })
 	s.waiting = append(s.waiting, a)
-	if s.dialing < len(s.waiting) && f.options.SpareDescriptors() > 0 {
-		f.dial(s)
+	f.dialForWaiting(s)
+}
+
+// connectTimedOut ends an attempt that has waited for a connection for too long.
+func (f *Frontend) connectTimedOut(a *attempt) {
+	switch {
+	case a.link != nil:
+	case a.server.dialing == 0: // none could be opened, for lack of descriptors: no fault of the server
+		f.abort(a, decide.NotSent)
+	default:
+		f.abort(a, decide.Unreachable)
 	}
 }
 
-// abort ends an attempt from this side.
-func (f *Frontend) abort(a *attempt, res decide.Result) {
+// abort ends an attempt that has not been answered.
+func (f *Frontend) abort(a *attempt, result decide.Result) {
 	if _, ok := f.attempts.Get(a.ref); !ok {
 		return
 	}
-	if l := a.link; l != nil {
-		l.attempt = nil
-		a.detachRequest(l)
-		f.finishAttempt(a, res)
-		l.close()
-		if (res == decide.Cancelled || res == decide.TimedOut) && !l.asksStaleness {
-			f.kill(a.server, a.request)
-		}
+	if a.link != nil {
+		f.abortSent(a, result)
 		return
 	}
-	w := a.server.waiting
-	for i := range w {
-		if w[i] == a {
-			a.server.waiting = append(w[:i:i], w[i+1:]...)
-			break
-		}
+	a.server.removeWaiting(a)
+	if a.request != nil && result != decide.Unreachable {
+		result = decide.NotSent
 	}
-	if a.request != nil && res != decide.Unreachable {
-		res = decide.NotSent // it was never written
+	f.finishAttempt(a, result)
+}
+
+// abortSent ends an attempt that was sent, by closing its connection.
+func (f *Frontend) abortSent(a *attempt, result decide.Result) {
+	l := a.link
+	l.attempt = nil
+	a.detachRequest(l)
+	f.finishAttempt(a, result)
+	l.close()
+	mayRunOn := result == decide.Cancelled || result == decide.TimedOut
+	if mayRunOn && !l.asksStaleness {
+		f.kill(a.server, a.request)
 	}
-	f.finishAttempt(a, res)
 }
 
-// finishAttempt reports an attempt's end, once.
-func (f *Frontend) finishAttempt(a *attempt, res decide.Result) {
+// finishAttempt reports the outcome of an attempt, once.
+func (f *Frontend) finishAttempt(a *attempt, result decide.Result) {
 	if _, ok := f.attempts.Get(a.ref); !ok {
 		return
 	}
 	f.attempts.Remove(a.ref)
 	f.loop.StopTimer(a.timer)
 	f.loop.StopTimer(a.connectTimer)
+	s := a.server
+	outcome := backend.Outcome{Result: result}
 	if a.request == nil {
-		o := backend.Outcome{Result: res}
-		if s := a.server; res == decide.OK && s.reportedAt >= a.startedAt && s.reportedAt != 0 {
-			o.Position, o.HasPos = s.positionMs, true
+		if result == decide.OK && s.reportedAt != 0 && s.reportedAt >= a.startedAt {
+			outcome.Position = s.positionMs
+			outcome.HasPos = true
 		}
-		f.events.HealthCheckEnded(a.server.id, o)
+		f.events.HealthCheckEnded(s.id, outcome)
 		return
 	}
-	if res != decide.Unreachable && res != decide.NotSent {
+	if result != decide.Unreachable && result != decide.NotSent {
 		a.request.reached = true
 	}
-	o := backend.Outcome{Result: res}
-	if res == decide.Misdirected {
-		o.Position, o.HasPos = a.server.positionMs, true
+	if result == decide.Misdirected {
+		outcome.Position = s.positionMs
+		outcome.HasPos = true
 	}
-	f.events.AttemptEnded(a.id, o)
+	f.events.AttemptEnded(a.id, outcome)
 }
 
-// detachRequest has an attempt's request know that it is not out on a connection any more.
+// detachRequest ends the use of a connection for an attempt's request.
 func (a *attempt) detachRequest(l *link) {
-	if a.request != nil && a.request.uploadLink == l {
-		a.request.uploadLink = nil
+	if a.request != nil && a.request.sentLink == l {
+		a.request.sentLink = nil
 	}
 }
--- a/internal/frontend/clickhouse/client.go
+++ b/internal/frontend/clickhouse/client.go
@@ -1,78 +1,155 @@
 package clickhouse
 
 import (
+	"net/http"
+
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// client is a client's connection; it is the loop's Handler.
+type clientState uint8
+
+const (
+	clientOpen      clientState = iota
+	clientLingering             // it has its last answer; what it still sends is discarded, and the connection closes
+	clientClosed
+)
+
+// client is a client's connection. It implements eventloop.Handler.
 type client struct {
-	frontend          *Frontend
-	ref               slotmap.Ref
-	conn              *eventloop.Conn
-	input             []byte
-	head              *httpwire.Head // of the request whose body is coming in and is held
-	body              httpwire.Body
-	rawBody           []byte
-	decodedBody       []byte
-	bodyBytes         int64         // bytes of the body that have come in
-	uploadTimer       *timers.Timer // of an answer that is due once the body has gone on whole
-	request           *request      // the one that waits for its answer, or whose answer comes
-	idleSince         float64       // idle, or in the midst of a request: since then
-	closeAfterAnswer  bool          // it is closed behind its answer
-	polling           bool          // somebody looks after it while it is parked
-	lingering         bool          // it has its last answer, and what it still sends is let go
-	everRequested     bool          // a request of it was read
-	cameWhileDraining bool          // it came while the front drains: it is told so in answer to its first request
-	closed            bool
-	abandoned         *request // whose answer it left in its midst
-	bufferedBytes     int      // bytes of it that are kept
-}
-
-// Opened is loop's.
-func (c *client) Opened(lc *eventloop.Conn) {
-	c.conn = lc
+	frontend *Frontend
+	ref      slotmap.Ref
+	conn     *eventloop.Conn // nil until it is open
+	state    clientState
+
+	input         []byte          // received, and not part of a request yet
+	incoming      incomingRequest // the request that is being received
+	bufferedBytes int             // of input and of the request's body, as counted in Frontend
+	idleSince     float64         // when the client became idle, or when the last part of a body that is passed on came
+	polling       bool            // poll is scheduled
+
+	request           *request      // waits for its answer, or its answer is being sent
+	uploadTimer       *timers.Timer // bounds the time for the answer after a body that was passed on
+	closeAfterAnswer  bool          // the connection ends with the present answer
+	everRequested     bool          // the client has sent a request
+	cameWhileDraining bool          // its first request is rejected, as the pooler was draining when it connected
+	abandoned         *request      // whose answer was being sent when the client disconnected
+}
+
+// incomingRequest is a request that is being received.
+type incomingRequest struct {
+	head    *httpwire.Head // nil unless its body is being buffered
+	body    httpwire.Body
+	raw     []byte // the body as it came, chunk headers included
+	decoded []byte // the body's content
+	bytes   int64  // of the body, received
+}
+
+// Opened implements eventloop.Handler.
+func (c *client) Opened(conn *eventloop.Conn) {
+	c.conn = conn
 	c.cameWhileDraining = c.frontend.draining
 	if c.frontend.options.SpareDescriptors() <= 0 {
 		c.closeAfterAnswer = true
-		c.writeException(503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", "too many clients", 1)
+		c.writeException(rejectedTooMany("too many clients"))
 		c.linger()
 	}
 }
 
-// Data is loop's.
+// Data implements eventloop.Handler.
 func (c *client) Data(b []byte) {
-	if c.closed || c.lingering {
+	if c.state != clientOpen {
 		return
 	}
-	if len(c.input) == 0 && c.request == nil && c.head == nil || c.uploading() {
+	if c.isIdle() || c.isUploading() {
 		c.idleSince = c.frontend.loop.Now()
 	}
 	c.input = append(c.input, b...)
 	c.countBuffered(len(b))
-	if f := c.frontend; f.bufferedBytes > f.options.MemoryBytes()/bufferShare {
-		if r := c.request; r == nil || !r.answered {
-			c.failConnection(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", "too much is waiting here already")
-			return
-		}
-		c.conn.Abort()
+	if c.frontend.bufferedBytes > c.frontend.options.MemoryBytes()/bufferShare {
+		c.failConnection(c.request, exception{
+			status: http.StatusServiceUnavailable, code: codeTooMany, text: "too much is waiting here already",
+		})
 		return
 	}
 	c.proceed()
 }
 
-// uploading tells whether a body passes through that has not ended yet.
-func (c *client) uploading() bool { return c.request != nil && c.request.uploads && !c.body.Done() }
+// Closed implements eventloop.Handler. It ends the client's request.
+func (c *client) Closed(error) {
+	if c.state == clientClosed {
+		return
+	}
+	c.state = clientClosed
+	c.countBuffered(-c.bufferedBytes)
+	c.frontend.clients.Remove(c.ref)
+	c.frontend.loop.StopTimer(c.uploadTimer)
+	r := c.request
+	if r == nil {
+		return
+	}
+	c.request = nil
+	switch {
+	case r.answerLink != nil:
+		c.abandoned = r
+		r.answerLink.abandon()
+	case !r.answered:
+		r.answered = true
+		if r.submitted {
+			c.frontend.dispatcher.Abandon(r.ref)
+		}
+	}
+	c.frontend.releaseRequest(r)
+}
+
+// isIdle reports whether no request runs or is being received.
+func (c *client) isIdle() bool { return c.request == nil && !c.hasPartialRequest() }
+
+// hasPartialRequest reports whether a part of a request was received.
+func (c *client) hasPartialRequest() bool { return len(c.input) > 0 || c.incoming.head != nil }
+
+// isUploading reports whether the request's body is passed on, and has not ended.
+func (c *client) isUploading() bool {
+	return c.request != nil && c.request.streamsBody && !c.incoming.body.Done()
+}
+
+// isOutstanding reports whether the client waits for an answer, has not read all of one, or has sent a part of a request.
+func (c *client) isOutstanding() bool {
+	if c.request != nil || c.hasPartialRequest() || c.state == clientLingering {
+		return true
+	}
+	return c.conn != nil && c.conn.Unsent() > 0
+}
+
+// isIdleTooLong reports whether the client is idle, or in the middle of a request that is buffered, for too long.
+func (c *client) isIdleTooLong(now float64) bool {
+	if c.request != nil || c.state != clientOpen {
+		return false
+	}
+	limit := c.frontend.options.ClientIdleMs
+	if c.hasPartialRequest() {
+		limit = c.frontend.options.RequestTimeoutMs
+	}
+	return now-c.idleSince > limit
+}
+
+// isUploadStalled reports whether the client sends no more of a body that is passed on, though it is read.
+func (c *client) isUploadStalled(now float64) bool {
+	if !c.isUploading() || c.request.answered || c.conn.ReadingPaused() {
+		return false
+	}
+	return now-c.idleSince > c.frontend.options.RequestTimeoutMs
+}
 
-// countBuffered counts bytes that are kept of a client, and gives back those that are not any more.
+// countBuffered adds to the bytes that are buffered of the client's requests.
 func (c *client) countBuffered(n int) {
 	c.bufferedBytes += n
 	c.frontend.bufferedBytes += n
 }
 
-// consume has so many bytes of what came taken.
+// consume removes the first n bytes of the input.
 func (c *client) consume(n int) {
 	c.input = c.input[:copy(c.input, c.input[n:])]
 	if len(c.input) == 0 {
@@ -80,26 +157,21 @@
 	}
 }
 
-// proceed takes the requests that are there, one after the other: answers keep their order.
+// proceed handles the input, one request at a time, so that the answers are in the order of the requests.
 func (c *client) proceed() {
-	for !c.closed && !c.lingering {
+	for c.state == clientOpen {
 		switch {
-		case c.uploading():
+		case c.isUploading():
 			if !c.passUpload() {
 				return
 			}
 			continue
 		case c.request != nil:
-			switch { // is it far ahead of its answers?
-			case c.request.answerLink == nil && len(c.input) > highWaterBytes:
-				c.park()
-			case len(c.input) > 2*highWaterBytes: // it cannot be parked, as that would keep its answer back too
-				c.conn.Abort()
-			}
+			c.boundPipelined()
 			return
 		case c.closeAfterAnswer:
 			return
-		case c.head == nil:
+		case c.incoming.head == nil:
 			if !c.readHead() {
 				return
 			}
@@ -110,33 +182,38 @@
 	}
 }
 
-// park has nothing more read of the client until what it sent can go on. It is seen all the same when it goes.
-func (c *client) park() {
-	if c.closed || c.lingering || c.conn.ReadingPaused() || !c.conn.PauseReading() || c.polling {
+// boundPipelined bounds what the client sends ahead of its answers.
+func (c *client) boundPipelined() {
+	switch {
+	case c.request.answerLink == nil && len(c.input) > highWaterBytes:
+		c.pauseReading()
+	case len(c.input) > 2*highWaterBytes: // reading cannot pause, as that would delay the answer that is being sent
+		c.conn.Abort()
+	}
+}
+
+// pauseReading stops reading from the client until its input can be handled. Meanwhile poll detects that it disconnects.
+func (c *client) pauseReading() {
+	if c.state != clientOpen || c.conn.ReadingPaused() || !c.conn.PauseReading() || c.polling {
 		return
 	}
 	c.polling = true
 	c.poll()
 }
 
+// poll checks on a client that is not read, until it is read again or closed.
 func (c *client) poll() {
 	c.frontend.loop.At(c.frontend.loop.Now()+pollMs, func() {
-		if c.closed || !c.conn.ReadingPaused() {
+		if c.state == clientClosed || !c.conn.ReadingPaused() {
 			c.polling = false
 			return
 		}
 		peer := c.conn.PeerState()
-		left, ended, gone := peer.Unread, peer.EndOfStream, peer.Closed
-		uploads := c.uploading()
-		if uploads && ended { // all that it wrote may be there still, and be whole
-			more := c.body.Remaining()
-			ended = gone || more > int64(left+len(c.input)) || more < 0 && left == 0 && len(c.input) == 0
-		}
 		switch {
-		case gone, ended:
+		case peer.Closed || c.endedEarly(peer):
 			c.polling = false
 			c.conn.Close()
-		case c.request == nil, !uploads && c.request.answerLink != nil, uploads && c.request.uploadLink != nil && c.request.uploadLink.conn.Unsent() <= lowWaterBytes:
+		case c.mayResume():
 			c.resume()
 		default:
 			c.poll()
@@ -144,10 +221,36 @@
 	})
 }
 
-// resume has the client read again, once it is back.
+// endedEarly reports whether the client sends no more, though a request of it is not answered. The end of a body that is passed on may
+// still be unread.
+func (c *client) endedEarly(peer eventloop.PeerState) bool {
+	if !peer.EndOfStream || !c.isUploading() {
+		return peer.EndOfStream
+	}
+	unread := peer.Unread + len(c.input)
+	remaining := c.incoming.body.Remaining()
+	if remaining < 0 { // of unknown length
+		return unread == 0
+	}
+	return remaining > int64(unread)
+}
+
+// mayResume reports whether the input of a client that is not read can be handled now.
+func (c *client) mayResume() bool {
+	r := c.request
+	if r == nil {
+		return true
+	}
+	if c.isUploading() {
+		return r.sentLink != nil && r.sentLink.conn.Unsent() <= lowWaterBytes
+	}
+	return r.answerLink != nil
+}
+
+// resume reads from the client again, and handles the input.
 func (c *client) resume() {
 	c.polling = false
-	if c.closed {
+	if c.state == clientClosed {
 		return
 	}
 	if c.conn.ReadingPaused() {
@@ -156,28 +259,3 @@
 	}
 	c.proceed()
 }
-
-// Closed is loop's: a client that goes ends its query, in whatever phase that is.
-func (c *client) Closed(error) {
-	if c.closed {
-		return
-	}
-	c.closed = true
-	c.countBuffered(-c.bufferedBytes)
-	c.frontend.clients.Remove(c.ref)
-	c.frontend.loop.StopTimer(c.uploadTimer)
-	if r := c.request; r != nil {
-		c.request = nil
-		switch {
-		case r.answerLink != nil:
-			c.abandoned = r
-			r.answerLink.abandon()
-		case !r.answered:
-			r.answered = true
-			if r.submitted {
-				c.frontend.dispatcher.Abandon(r.ref)
-			}
-		}
-		c.frontend.releaseRequest(r)
-	}
-}
--- a/internal/frontend/clickhouse/drain.go
+++ b/internal/frontend/clickhouse/drain.go
@@ -1,115 +1,113 @@
 package clickhouse
 
-import "beechgrade/internal/eventloop/slotmap"
+import (
+	"net/http"
 
-// While the front drains, each client's connection ends behind an answer that says so, or while it rests. What a client has sent by then is answered first,
-// for as long as a drain may take.
+	"beechgrade/internal/eventloop/slotmap"
+)
+
+// While the frontend drains, each client is disconnected when it is idle, or with an answer that has "Connection: close". Requests that
+// were received or are on their way are answered first, within the bounds below.
 
 const (
-	partialWaitMs  = 1500 // after a drain has begun, requests that were sent ahead or in part are not waited for any more
-	firstRequestMs = 1000 // the first request of a new client is waited for so long
+	partialWaitMs  = 1500 // after the drain has begun, for clients that have sent a part of a request
+	firstRequestMs = 1000 // after a client has connected, for its first request
 )
 
-const shutdownText = "the pooler is ending; the query has not run, and may be sent again"
-
-// Resume ends Drain.
-func (f *Frontend) Resume() { f.draining = false }
+// rejectedPartial is the exception of a request that has not arrived when the drain's time is over.
+var rejectedPartial = exception{status: http.StatusServiceUnavailable, code: codeTooMany, text: textShutdown}
 
-// Drain closes clients' connections as they fall idle, from now on.
+// Drain begins to disconnect clients.
 func (f *Frontend) Drain() {
 	if !f.draining {
-		f.draining, f.drainDeadline = true, f.loop.Now()+partialWaitMs
+		f.draining = true
+		f.drainDeadline = f.loop.Now() + partialWaitMs
 		f.loop.At(f.drainDeadline, f.closeIdleClients)
 	}
 	f.closeIdleClients()
 }
 
-// closeIdleClients closes what may be closed of a front that drains.
+// Resume ends Drain.
+func (f *Frontend) Resume() { f.draining = false }
+
+// End disconnects all clients. Requests are answered with an exception, and answers that are being sent are broken off.
+func (f *Frontend) End() {
+	f.draining = true
+	f.drainDeadline = f.loop.Now()
+	var all []*client
+	f.clients.Each(func(_ slotmap.Ref, c *client) { all = append(all, c) })
+	for _, c := range all {
+		c.end()
+	}
+}
+
+// closeIdleClients disconnects idle clients, while the frontend drains.
 func (f *Frontend) closeIdleClients() {
 	if f.draining {
 		f.clients.Each(func(_ slotmap.Ref, c *client) { c.closeIfIdle() })
 	}
 }
 
-// drainTimedOut tells whether a drain has taken so long that clients are not waited for any more.
+// drainTimedOut reports whether requests that have not arrived in full are not waited for any more.
 func (f *Frontend) drainTimedOut() bool { return f.draining && f.loop.Now() >= f.drainDeadline }
 
-// hasPartialRequest tells whether a part of a request has come.
-func (c *client) hasPartialRequest() bool { return len(c.input) > 0 || c.head != nil }
-
-// PartialRequests is how many clients have sent a part of a request.
-func (f *Frontend) PartialRequests() (n int) {
-	f.clients.Each(func(_ slotmap.Ref, c *client) {
-		if c.request == nil && c.hasPartialRequest() {
-			n++
-		}
-	})
-	return n
-}
-
-// mayHaveMore tells whether a client has sent something behind the request that is under way, which may not have been read yet.
+// mayHaveMore reports whether the client has sent more than the present request. It may not have been read yet.
 func (c *client) mayHaveMore() bool { return len(c.input) > 0 || !c.conn.OpenAndIdle() }
 
-// lastWhileDraining tells whether the answer that is given now is the client's last one, as the front drains.
-func (c *client) lastWhileDraining() bool {
+// isLastWhileDraining reports whether the client's next answer is its last one, as the frontend drains.
+func (c *client) isLastWhileDraining() bool {
 	return c.frontend.draining && (!c.mayHaveMore() || c.frontend.drainTimedOut())
 }
 
-// closeIfIdle closes the connection of a client that has nothing under way, while the front drains.
+// closeIfIdle disconnects the client if it is idle, while the frontend drains.
 func (c *client) closeIfIdle() {
 	f := c.frontend
-	if !f.draining || c.closed || c.lingering || c.conn == nil || c.request != nil {
+	connected := c.state == clientOpen && c.conn != nil
+	if !f.draining || !connected || c.request != nil {
 		return
 	}
-	switch fresh := !c.everRequested && f.loop.Now()-c.idleSince < firstRequestMs; {
-	case c.hasPartialRequest() && f.drainTimedOut():
-		c.failConnection(nil, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", shutdownText)
-	case c.hasPartialRequest() || c.mayHaveMore() && !f.drainTimedOut():
-	case !fresh:
+	timedOut := f.drainTimedOut()
+	awaitsFirst := !c.everRequested && f.loop.Now()-c.idleSince < firstRequestMs
+	switch {
+	case c.hasPartialRequest() && timedOut:
+		c.failConnection(nil, rejectedPartial)
+	case c.hasPartialRequest() || !timedOut && c.mayHaveMore():
+	case !awaitsFirst:
 		c.linger()
 	}
 }
 
-// expire closes the connection of a client that has rested for too long, or does not get on with a request that it has begun.
+// expire disconnects a client that is idle for too long, or does not send the rest of a request in time.
 func (c *client) expire() {
 	switch {
-	case c.head != nil:
-		c.failConnection(nil, 408, codeTimeout, "TIMEOUT_EXCEEDED", "the rest of the body does not come")
+	case c.incoming.head != nil:
+		c.failConnection(nil, requestTimedOut(textBodyStalled))
 	case c.hasPartialRequest():
-		c.failConnection(nil, 408, codeTimeout, "TIMEOUT_EXCEEDED", "the rest of the head does not come")
+		c.failConnection(nil, requestTimedOut(textHeadStalled))
 	case !c.mayHaveMore():
 		c.linger()
 	}
 }
 
-// End ends clients' connections with a last word, whatever they have under way.
-func (f *Frontend) End() {
-	f.draining, f.drainDeadline = true, f.loop.Now()
-	var all []*client
-	f.clients.Each(func(_ slotmap.Ref, c *client) { all = append(all, c) })
-	for _, c := range all {
-		c.end()
-	}
-}
-
-// end gives the client its answer, or breaks off the one that it is reading.
+// end disconnects the client, whatever it has outstanding.
 func (c *client) end() {
 	r := c.request
 	switch {
-	case c.closed || c.lingering:
+	case c.state != clientOpen:
 	case r == nil:
 		c.closeIfIdle()
-	case r.answered: // with an end that looks like a whole one it would be taken for whole
+	case r.answered: // a regular close could be taken for the end of the answer
 		c.conn.Abort()
 	default:
-		ran := r.reached || r.uploadLink != nil
-		if c.closeAfterAnswer = true; r.submitted {
+		mayHaveRun := r.reached || r.sentLink != nil
+		c.closeAfterAnswer = true
+		if r.submitted {
 			c.frontend.dispatcher.Abandon(r.ref)
 		}
-		if ran {
-			c.answerException(r, 502, codeNetwork, "NETWORK_ERROR", "the pooler is ending; the query may have run", 0)
+		if mayHaveRun {
+			c.answerException(r, outcomeUnknown("the pooler is ending; the query may have run"))
 			return
 		}
-		c.answerException(r, 503, codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES", shutdownText, 1)
+		c.answerException(r, rejectedTooMany(textShutdown))
 	}
 }
--- a/internal/frontend/clickhouse/kill.go
+++ b/internal/frontend/clickhouse/kill.go
@@ -9,69 +9,81 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// Bounds of KILL QUERY beside a connection that is closed.
 const (
-	maxKills      = 64 // on their way at once
+	maxKills      = 64 // KILL QUERYs on their way
 	killTimeoutMs = 2000
+	graceMarginMs = 40 // before the end of a draining server's grace, nothing more is sent to it
 )
 
-// killer is a connection that carries one KILL QUERY; it is the loop's Handler.
+// killer is a connection that sends one KILL QUERY. It implements eventloop.Handler.
 type killer struct {
 	frontend *Frontend
 	conn     *eventloop.Conn
-	request  []byte
+	message  []byte
 	timer    *timers.Timer
 	done     bool
 }
 
-// kill asks a server to end a query whose connection has been closed here: it may not see that until it writes. It counts as a
-// send: none goes to a server whose drain's grace is over.
+// kill has a server end a query whose connection was closed here: the server may not detect that until it writes.
 func (f *Frontend) kill(s *server, r *request) {
-	if !f.options.KillQueries || r == nil || s.address == "" || f.kills >= maxKills || f.options.SpareDescriptors() <= 0 {
+	if r == nil || !f.mayKill(s) {
 		return
 	}
+	k := &killer{frontend: f, message: appendKill(nil, r)}
+	f.kills++
+	f.conns++
+	k.timer = f.loop.At(f.loop.Now()+killTimeoutMs, k.end)
+	f.loop.Dial(s.address, f.options.ConnectTimeoutMs, k, func(error) { k.end() })
+}
+
+// mayKill reports whether a KILL QUERY may be sent to a server. A draining server may receive it within its grace, as any request.
+func (f *Frontend) mayKill(s *server) bool {
+	if !f.options.KillQueries || s.address == "" {
+		return false
+	}
 	if s.drainedAt != 0 && f.loop.Now() >= s.drainedAt+f.options.DrainGraceMs-graceMarginMs {
-		return
+		return false
 	}
-	quoted := strings.NewReplacer("\\", "\\\\", "'", "\\'").Replace(r.queryID)
-	v := url.Values{"query": {"KILL QUERY WHERE query_id = '" + quoted + "' ASYNC"}}
-	for _, name := range []string{"user", "password"} { // as it came itself
-		if x := r.params.Get(name); x != "" {
-			v.Set(name, x)
+	return f.kills < maxKills && f.options.SpareDescriptors() > 0
+}
+
+// appendKill appends the request of a KILL QUERY for a query, with the credentials of that.
+func appendKill(dst []byte, r *request) []byte {
+	queryID := strings.NewReplacer("\\", "\\\\", "'", "\\'").Replace(r.queryID)
+	params := url.Values{"query": {"KILL QUERY WHERE query_id = '" + queryID + "' ASYNC"}}
+	for _, name := range []string{"user", "password"} {
+		if value := r.params.Get(name); value != "" {
+			params.Set(name, value)
 		}
 	}
-	k := &killer{frontend: f, request: append([]byte("POST /?"), v.Encode()...)}
-	k.request = append(k.request, " HTTP/1.1\r\n"...)
-	h := httpwire.Head{}
-	for _, x := range r.head.Headers {
-		switch strings.ToLower(x.Name) {
+	dst = append(dst, "POST /?"...)
+	dst = append(dst, params.Encode()...)
+	dst = append(dst, " HTTP/1.1\r\n"...)
+	credentials := httpwire.Head{}
+	for _, field := range r.head.Headers {
+		switch strings.ToLower(field.Name) {
 		case "host", "authorization", "x-clickhouse-user", "x-clickhouse-key":
-			h.Headers = append(h.Headers, x)
+			credentials.Headers = append(credentials.Headers, field)
 		}
 	}
-	k.request = append(h.AppendFields(k.request), "Content-Length: 0\r\nConnection: close\r\n\r\n"...)
-	f.kills++
-	f.conns++
-	k.timer = f.loop.At(f.loop.Now()+killTimeoutMs, k.end)
-	f.loop.Dial(s.address, f.options.ConnectTimeoutMs, k, func(error) { k.end() })
+	dst = credentials.AppendFields(dst)
+	return append(dst, "Content-Length: 0\r\nConnection: close\r\n\r\n"...)
 }
 
-const graceMarginMs = 40 // ms before a grace's end at which nothing more is sent
-
-// Opened is loop's.
-func (k *killer) Opened(c *eventloop.Conn) {
-	k.conn = c
+// Opened implements eventloop.Handler.
+func (k *killer) Opened(conn *eventloop.Conn) {
+	k.conn = conn
 	if k.done {
-		c.Close()
+		conn.Close()
 		return
 	}
-	_ = c.Write(k.request)
+	_ = conn.Write(k.message) // a failed write closes the connection
 }
 
-// Data is loop's: whatever the answer is, nobody waits for it.
+// Data implements eventloop.Handler. The answer is of no interest.
 func (k *killer) Data([]byte) { k.end() }
 
-// Closed is loop's.
+// Closed implements eventloop.Handler.
 func (k *killer) Closed(error) { k.end() }
 
 func (k *killer) end() {
--- a/internal/frontend/clickhouse/limits/limits_test.go
+++ b/internal/frontend/clickhouse/limits/limits_test.go
@@ -17,7 +17,12 @@
 	for i, at := range []float64{0, 0, 0, 0, 400, 500, 500, 10000, 10000, 10000, 10000} {
 		got = append(got, limiter.Admit(ID(i+1), "slow", at))
 	}
-	if diff := cmp.Diff([]Verdict{Admitted, Admitted, Admitted, RateExceeded, RateExceeded, Admitted, RateExceeded, Admitted, Admitted, Admitted, RateExceeded}, got); diff != "" {
+	want := []Verdict{
+		Admitted, Admitted, Admitted, RateExceeded, // at 0
+		RateExceeded, Admitted, RateExceeded,
+		Admitted, Admitted, Admitted, RateExceeded, // at 10000
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 	for i := range 50 {
--- a/internal/frontend/clickhouse/link.go
+++ b/internal/frontend/clickhouse/link.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"io"
+	"net/http"
 	"syscall"
 
 	"beechgrade/internal/decide"
@@ -11,40 +12,47 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
+// linkState is the state of a connection to a server.
 type linkState uint8
 
 const (
-	dialing linkState = iota
-	idle
-	awaitingAnswer // an attempt's query is out
-	readingReport  // it tells how far behind it is, for a probe or before a query
-	passingHead    // the head of its answer comes in many pieces, and goes to a client
-	streaming      // its answer goes to a client
-	closed
+	linkDialing    linkState = iota
+	linkIdle                 // waits for an attempt
+	awaitingAnswer           // an attempt was sent
+	readingReport            // receives a report of the server's staleness, for a health check or before a request
+	passingHead              // receives the head of an answer in parts, which are passed on to the client
+	streaming                // receives the body of an answer, which is passed on to the client
+	linkClosed
 )
 
-// link is a connection to a server; it is the loop's Handler.
+// link is a connection to a server. It implements eventloop.Handler.
 type link struct {
-	frontend      *Frontend
-	server        *server
-	address       string
-	conn          *eventloop.Conn
-	state         linkState
+	frontend *Frontend
+	server   *server
+	address  string
+	conn     *eventloop.Conn // nil until it is open
+	state    linkState
+	timer    *timers.Timer // closes it when it is idle
+
+	// The attempt, until its answer begins.
 	attempt       *attempt
+	asksStaleness bool // the server was asked for its staleness, and not for the request
 	method        string
-	written       bool
-	sentAt        float64
-	lastReadAt    float64 // something came last
-	asksStaleness bool    // it was asked how far behind it is
-	report        []byte  // ...and says so
-	input         []byte
-	head          *httpwire.Head
-	body          httpwire.Body
-	client        *client // whom the answer goes to
-	parked        bool
-	clientUnsent  int     // of its reader, when it last took something of it...
-	clientReadAt  float64 // ...that is, then
-	timer         *timers.Timer
+	written       bool    // the write has succeeded; its end may not be sent yet
+	sentAt        float64 // when the write began
+	report        []byte  // of the server's staleness, as far as received
+
+	// The answer.
+	input      []byte // received, and not handled yet
+	lastReadAt float64
+	head       *httpwire.Head
+	body       httpwire.Body
+	client     *client // receives the answer
+
+	// While it is not read, as the client does not read.
+	readingPaused bool
+	clientUnsent  int     // bytes that the client had not read at the last check
+	clientReadAt  float64 // when clientUnsent last changed
 }
 
 func (f *Frontend) dial(s *server) {
@@ -52,45 +60,49 @@
 	s.dialing++
 	f.conns++
 	f.loop.Dial(s.address, f.options.ConnectTimeoutMs, l, func(err error) {
-		f.log.Debug("clickhouse: connect", "store", s.id, "err", err)
+		f.log.Debug("clickhouse: connect", "server", s.id, "err", err)
 		l.dialFailed(err)
 	})
 }
 
-// dialFailed takes a connection out that never came up, and with it the attempt that waited longest.
+// dialFailed removes a connection that could not be opened, and ends the attempt that has waited longest.
 func (l *link) dialFailed(err error) {
-	if l.state != dialing {
+	if l.state != linkDialing {
 		return
 	}
-	l.state = closed
+	f := l.frontend
+	l.state = linkClosed
 	l.server.dialing--
-	l.frontend.conns--
-	if errors.Is(err, syscall.ECONNREFUSED) { // no process is there, nor what it held
-		l.frontend.loseSessions(l.server.id)
+	f.conns--
+	if errors.Is(err, syscall.ECONNREFUSED) { // the process has ended, and with it the state of its sessions
+		f.loseSessions(l.server.id)
 	}
 	result := decide.Unreachable
-	if eventloop.IsLocalError(err) { // it says nothing about the server
+	if eventloop.IsLocalError(err) { // no fault of the server
 		result = decide.NotSent
 	}
-	if w := l.server.waiting; len(w) > l.server.dialing {
-		l.frontend.abort(w[0], result)
+	if waiting := l.server.waiting; len(waiting) > l.server.dialing {
+		f.abort(waiting[0], result)
 	}
 }
 
-// Opened is loop's.
-func (l *link) Opened(lc *eventloop.Conn) {
-	l.conn = lc
-	if l.state == closed {
-		lc.Close()
+// Opened implements eventloop.Handler.
+func (l *link) Opened(conn *eventloop.Conn) {
+	l.conn = conn
+	if l.state == linkClosed {
+		conn.Close()
 		return
 	}
 	l.server.dialing--
 	l.release()
 }
 
-// release has a connection carry the next attempt, or idle.
+// release makes the connection available: it sends the next attempt, or becomes idle.
 func (l *link) release() {
-	l.state, l.head, l.client, l.attempt = idle, nil, nil, nil
+	l.state = linkIdle
+	l.head = nil
+	l.client = nil
+	l.attempt = nil
 	s := l.server
 	if l.address != s.address || len(l.input) > 0 || !l.conn.OpenAndIdle() {
 		l.close()
@@ -107,39 +119,64 @@
 		return
 	}
 	s.idle = append(s.idle, l)
-	l.frontend.loop.StopTimer(l.timer)
-	l.timer = l.frontend.loop.At(l.frontend.loop.Now()+l.frontend.options.ConnectionIdleMs, l.close)
+	loop := l.frontend.loop
+	loop.StopTimer(l.timer)
+	l.timer = loop.At(loop.Now()+l.frontend.options.ConnectionIdleMs, l.close)
 }
 
-// send writes an attempt's query.
+// send sends an attempt: its request, or before that, or for a health check, a request for the server's staleness or presence.
 func (l *link) send(a *attempt) {
-	l.frontend.loop.StopTimer(l.timer)
-	l.frontend.loop.StopTimer(a.connectTimer)
-	l.state, l.attempt, a.link, l.method = awaitingAnswer, a, l, "GET"
-	l.asksStaleness = a.request == nil && l.frontend.probesStaleness || a.request != nil && a.request.maxStalenessMs() > 0 && l.frontend.options.CheckStaleness && !a.staleChecked
-	path := "/ping"
+	f := l.frontend
+	f.loop.StopTimer(l.timer)
+	f.loop.StopTimer(a.connectTimer)
+	l.state = awaitingAnswer
+	l.attempt = a
+	a.link = l
+	l.asksStaleness = f.needsReport(a)
+	r := a.request
 	if l.asksStaleness {
-		path = statusPath
-	}
-	out := []byte("GET " + path + " HTTP/1.1\r\nHost: clickhouse\r\n\r\n")
-	if a.request != nil && !l.asksStaleness {
-		out, l.method = a.request.AppendQuery(nil, 0), a.request.head.Method
-		a.request.uploadLink = l
-	}
-	l.written, l.sentAt = false, l.frontend.loop.Now()
-	if l.conn.Write(out) != nil {
+		r = nil
+	}
+	var message []byte
+	if r == nil {
+		l.method = http.MethodGet
+		message = l.appendStatusRequest(nil)
+	} else {
+		l.method = r.head.Method
+		message = r.AppendQuery(nil, 0)
+		r.sentLink = l
+	}
+	l.written = false
+	l.sentAt = f.loop.Now()
+	if l.conn.Write(message) != nil {
 		return
 	}
 	l.written = true
-	if a.request != nil && !l.asksStaleness && !a.request.uploads && l.conn.Unsent() == 0 {
-		l.frontend.events.AttemptWritten(a.id)
+	if r != nil && !r.streamsBody && l.conn.Unsent() == 0 {
+		f.events.AttemptWritten(a.id)
 	}
-	if a.request != nil && a.request.uploads && a.request.uploadLink == l {
+	if a.request != nil && a.request.streamsBody && a.request.sentLink == l {
 		a.request.client.resume()
 	}
 }
 
-// Data is loop's.
+// needsReport reports whether a server is asked for its staleness, for a health check or before a request is sent.
+func (f *Frontend) needsReport(a *attempt) bool {
+	if a.request == nil {
+		return f.probesStaleness
+	}
+	return f.options.CheckStaleness && !a.staleChecked && a.request.maxStalenessMs() > 0
+}
+
+func (l *link) appendStatusRequest(dst []byte) []byte {
+	path := "/ping"
+	if l.asksStaleness {
+		path = statusPath
+	}
+	return append(dst, "GET "+path+" HTTP/1.1\r\nHost: clickhouse\r\n\r\n"...)
+}
+
+// Data implements eventloop.Handler.
 func (l *link) Data(b []byte) {
 	l.lastReadAt = l.frontend.loop.Now()
 	switch l.state {
@@ -153,49 +190,19 @@
 		l.readAnswerHead()
 	case streaming:
 		l.passBody(b)
-	default: // nothing was asked
+	default: // nothing was sent
 		l.close()
 	}
 }
 
-// pollClient goes on with a parked connection once its client has read.
-func (l *link) pollClient() {
-	l.frontend.loop.At(l.frontend.loop.Now()+pollMs, func() {
-		c := l.client
-		if c != nil && !c.closed {
-			if n := c.conn.Unsent(); n != l.clientUnsent {
-				l.clientUnsent, l.clientReadAt = n, l.frontend.loop.Now()
-			}
-		}
-		switch {
-		case l.state != streaming || !l.parked:
-		case c != nil && !c.closed && l.frontend.loop.Now()-l.clientReadAt > l.frontend.options.ClientStallTimeoutMs: // it takes nothing
-			c.conn.Close()
-		case c == nil || c.closed || c.conn.Unsent() <= lowWaterBytes:
-			l.parked = false
-			l.conn.ResumeReading()
-		default:
-			l.pollClient()
-		}
-	})
-}
-
-// abandon ends an answer whose client has gone: the server sees its connection close, and ends the query.
-func (l *link) abandon() {
-	c := l.client
-	l.client = nil
-	if l.state == closed {
-		return
-	}
-	l.close()
-	if c != nil && c.abandoned != nil {
-		l.frontend.kill(l.server, c.abandoned)
-	}
+// isSilent reports whether the server pauses within an answer for too long, though it is read.
+func (l *link) isSilent(now float64) bool {
+	return !l.readingPaused && now-l.lastReadAt > l.frontend.options.ServerIdleTimeoutMs
 }
 
 // close closes the connection.
 func (l *link) close() {
-	if l.state == closed {
+	if l.state == linkClosed {
 		return
 	}
 	l.Closed(nil)
@@ -204,40 +211,45 @@
 	}
 }
 
-// Closed is loop's.
+// Closed implements eventloop.Handler. It ends the attempt, or the answer that is being sent.
 func (l *link) Closed(err error) {
-	was := l.state
-	if was == closed {
+	before := l.state
+	if before == linkClosed {
 		return
 	}
-	l.state = closed
-	l.frontend.conns--
-	l.frontend.loop.StopTimer(l.timer)
-	s := l.server
-	for i := range s.idle {
-		if s.idle[i] == l {
-			s.idle = append(s.idle[:i:i], s.idle[i+1:]...)
-			break
-		}
-	}
-	if a := l.attempt; a != nil {
-		l.attempt, a.link = nil, nil
-		a.detachRequest(l)
-		res := decide.Reset
-		if (!l.written || l.conn != nil && l.conn.Unsent() > 0) && (a.request == nil || !a.request.bodyPassed) {
-			res = decide.Unreachable // its last byte never left
-		}
-		l.frontend.finishAttempt(a, res)
+	f, s := l.frontend, l.server
+	l.state = linkClosed
+	f.conns--
+	f.loop.StopTimer(l.timer)
+	s.removeIdle(l)
+	if l.attempt != nil {
+		l.failAttempt()
 	}
-	if c := l.client; (was == streaming || was == passingHead) && c != nil {
+	if l.client != nil && (before == streaming || before == passingHead) {
+		c := l.client
 		l.client = nil
-		if was == streaming && l.body.EndsWithConnection() && (err == nil || errors.Is(err, io.EOF)) {
-			c.answered()
-		} else if !c.closed {
+		endsAnswer := before == streaming && l.body.EndsWithConnection()
+		if endsAnswer && (err == nil || errors.Is(err, io.EOF)) {
+			c.requestEnded()
+		} else if c.state != clientClosed {
 			c.conn.Abort()
 		}
 	}
-	if s.dialing < len(s.waiting) && s.address != "" && l.frontend.options.SpareDescriptors() > 0 {
-		l.frontend.dial(s)
+	if s.address != "" {
+		f.dialForWaiting(s)
 	}
 }
+
+// failAttempt ends the attempt of a connection that was closed before an answer began.
+func (l *link) failAttempt() {
+	a := l.attempt
+	l.attempt = nil
+	a.link = nil
+	a.detachRequest(l)
+	result := decide.Reset
+	fullySent := l.written && (l.conn == nil || l.conn.Unsent() == 0)
+	if !fullySent && (a.request == nil || !a.request.bodyPassed) { // the server cannot have run the query
+		result = decide.Unreachable
+	}
+	l.frontend.finishAttempt(a, result)
+}
--- a/internal/frontend/clickhouse/request_test.go
+++ b/internal/frontend/clickhouse/readonly_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// TestReadOnlyQueriesAreRecognised: what is known to change nothing, and all else.
+// TestReadOnlyQueriesAreRecognised: only a query that is known to change nothing is taken for read-only.
 func TestReadOnlyQueriesAreRecognised(t *testing.T) {
 	for _, c := range []struct {
 		method, query, body string
 		known, want         bool
 	}{
 		{"GET", "SELECT 1", "", true, true},
-		{"GET", "anything: the server holds it to reading", "", true, true},
+		{"GET", "anything: the server allows GET only to read", "", true, true},
 		{"POST", "SELECT 1", "", true, true},
 		{"POST", "", " -- a comment\n /* and */ (select 1)", true, true},
 		{"POST", "WITH x AS (SELECT 1) SELECT * FROM x", "", true, true},
@@ -20,18 +20,19 @@
 		{"POST", "SELECT 1 INTO OUTFILE 'x'", "", true, false},
 		{"POST", "INSERT INTO t FORMAT TSV", "SELECT", true, false},
 		{"POST", "", "INSERT INTO t SELECT 1", true, false},
-		{"POST", "", "SELECT 1", false, false}, // compressed, for all that is known
+		{"POST", "", "SELECT 1", false, false}, // it may be compressed
 		{"POST", "SELECT 1 FORMAT", "xx", false, true},
 		{"POST", "SELECTED", "", true, false},
 		{"POST", "/* SELECT */ DROP TABLE t", "", true, false},
 		{"POST", "", "", true, false},
 		{"PUT", "OPTIMIZE TABLE t", "", true, false},
 	} {
-		if got := IsReadOnly(c.method, url.Values{"query": {c.query}}, []byte(c.body), c.known); got != c.want {
+		got := IsReadOnly(c.method, url.Values{"query": {c.query}}, []byte(c.body), c.known)
+		if got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
 	if !IsReadOnly("POST", url.Values{"query": {"INSERT"}, "readonly": {"1"}}, nil, true) {
-		t.Error("readonly=1 is not taken for reading")
+		t.Error("a query with readonly=1 is not taken for read-only")
 	}
 }
--- /dev/null
+++ b/internal/frontend/clickhouse/receive.go
@@ -0,0 +1,136 @@
+package clickhouse
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+
+	"beechgrade/internal/decide"
+	"beechgrade/internal/protocol/httpwire"
+)
+
+// readHead reads the head of a request, and reports whether it is complete.
+func (c *client) readHead() bool {
+	head, n, err := httpwire.Parse(c.input, true)
+	switch {
+	case errors.Is(err, httpwire.ErrTooLong):
+		c.failConnection(nil, badRequest(http.StatusRequestHeaderFieldsTooLarge, err.Error()))
+		return false
+	case errors.Is(err, httpwire.ErrUnsupported):
+		c.failConnection(nil, unsupported(err.Error()))
+		return false
+	case err != nil:
+		c.failConnection(nil, badRequest(http.StatusBadRequest, err.Error()))
+		return false
+	case n == 0:
+		return false
+	}
+	if limit := c.frontend.options.MaxBodyBytes; limit > 0 && head.Length > limit {
+		text := fmt.Sprintf("a body of %d bytes; at most %d are taken", head.Length, limit)
+		c.failConnection(nil, badRequest(http.StatusRequestEntityTooLarge, text))
+		return false
+	}
+	c.consume(n)
+	c.incoming = incomingRequest{head: head, body: httpwire.RequestBody(head)}
+	if head.Has("Expect", "100-continue") && !c.incoming.body.Done() && len(c.input) == 0 {
+		_ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+	return c.state != clientClosed
+}
+
+// readBody buffers a request's body, and handles the request once the body is complete, or is longer than may be buffered. It reports
+// whether the request was handled.
+func (c *client) readBody() bool {
+	in := &c.incoming
+	n, err := in.body.Next(c.input, func(content []byte) { in.decoded = append(in.decoded, content...) })
+	in.raw = append(in.raw, c.input[:n]...)
+	in.bytes += int64(n)
+	c.consume(n)
+	if err != nil {
+		c.failConnection(nil, badRequest(http.StatusBadRequest, err.Error()))
+		return false
+	}
+	if c.rejectLongBody(nil) {
+		return false
+	}
+	if !in.body.Done() && len(in.raw) < c.frontend.options.MaxBufferedBytes {
+		return false
+	}
+	head := in.head
+	in.head = nil
+	c.handleRequest(head)
+	return true
+}
+
+// rejectLongBody rejects a request whose body has become longer than allowed, and reports whether it did. r is nil while the body is
+// being buffered.
+func (c *client) rejectLongBody(r *request) bool {
+	limit := c.frontend.options.MaxBodyBytes
+	if limit <= 0 || c.incoming.bytes <= limit {
+		return false
+	}
+	text := fmt.Sprintf("the body is too long; at most %d bytes are taken", limit)
+	c.failConnection(r, badRequest(http.StatusRequestEntityTooLarge, text))
+	return true
+}
+
+// passUpload passes the input on to the server, as a part of a body that is not buffered. It reports whether the body has ended.
+func (c *client) passUpload() bool {
+	r := c.request
+	l := r.sentLink
+	if l == nil {
+		if len(c.input) > 0 {
+			c.pauseReading()
+		}
+		return false
+	}
+	body := &c.incoming.body
+	if len(c.input) == 0 && !body.Done() {
+		return false
+	}
+	n, err := body.Next(c.input, nil)
+	c.incoming.bytes += int64(n)
+	if err != nil {
+		c.failConnection(r, badRequest(http.StatusBadRequest, err.Error()))
+		return false
+	}
+	if c.rejectLongBody(r) {
+		return false
+	}
+	if n > 0 && !c.writeUpload(r, l, n) {
+		return false
+	}
+	if !body.Done() {
+		if l.conn.Unsent() > highWaterBytes {
+			c.pauseReading()
+		}
+		return false
+	}
+	if r.answerLink == nil {
+		c.startAnswerTimer(r)
+	}
+	return true
+}
+
+// writeUpload writes the first n bytes of the input to the server, and reports whether the request continues. From then on it cannot be
+// sent to another server.
+func (c *client) writeUpload(r *request, l *link, n int) bool {
+	r.dropBody()
+	if l.conn.Write(c.input[:n]) != nil || c.state == clientClosed || c.request != r { // a failed write may end the request
+		return false
+	}
+	c.consume(n)
+	c.countBuffered(-n)
+	return true
+}
+
+// startAnswerTimer bounds the time for the answer, once all of a body was passed on, as for any other request.
+func (c *client) startAnswerTimer(r *request) {
+	f := c.frontend
+	c.uploadTimer = f.loop.At(min(r.deadline, f.loop.Now()+r.timeoutMs), func() {
+		waiting := c.request == r && r.answerLink == nil
+		if waiting && r.sentLink != nil && r.sentLink.attempt != nil {
+			f.abort(r.sentLink.attempt, decide.TimedOut)
+		}
+	})
+}
--- a/internal/frontend/clickhouse/request.go
+++ b/internal/frontend/clickhouse/request.go
@@ -1,7 +1,8 @@
 package clickhouse
 
 import (
-	"encoding/base64"
+	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
 	"strings"
@@ -13,186 +14,255 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// Exception codes, as ClickHouse numbers them, that the pooler gives by itself.
 const (
-	codeUnsupported = 1   // UNSUPPORTED_METHOD
-	codeTimeout     = 159 // TIMEOUT_EXCEEDED
-	codeQuota       = 201 // QUOTA_EXCEEDED
-	codeTooMany     = 202 // TOO_MANY_SIMULTANEOUS_QUERIES
-	codeNetwork     = 210 // NETWORK_ERROR
-	codeNoServer    = 279 // ALL_CONNECTION_TRIES_FAILED
-	codeBadRequest  = 36  // BAD_ARGUMENTS
-	codeNoSession   = 372 // SESSION_NOT_FOUND
-	codeLocked      = 373 // SESSION_IS_LOCKED
+	// deadlineMarginMs is how long before its deadline a request that fails is reported as timed out.
+	deadlineMarginMs = 50
+	// maxExecutionS is the longest max_execution_time of a query that shortens its deadline.
+	maxExecutionS = 1e6
 )
 
-// request is one query of a client. It is platform.Client and its attempts' backend.Query.
+// request is a query of a client. It implements platform.Client and backend.Query.
 type request struct {
-	client     *client
-	ref        slotmap.Ref // the core's
-	head       *httpwire.Head
-	rawBody    []byte // the body as it came, framing and all, or what is held of it
-	readOnly   bool
-	deadline   float64
-	timeoutMs  float64 // from the end of its body to due
-	uploads    bool    // its body passes through
-	bodyPassed bool    // ...and more of it than is held has gone on: it can go nowhere else
-	uploadLink *link   // that it is out on
-	onlyServer string  // the server that has its session
-	session    sessions.Key
-	rule       *Rule // nil for none
-	submitted  bool  // the core has it
-	answered   bool  // it has its answer, or its client has gone
-	reached    bool  // an attempt got to a server
-	answerLink *link
-	number     uint64
-	queryID    string // its query_id, given or made
-	params     url.Values
-	class      string
-	limitID    limits.ID // its place among its user's, 0 for none
-}
-
-// User is the user that a query comes as: by the URL, the header or Basic, as the server takes them.
-func User(h *httpwire.Head, params url.Values) string {
-	if u := params.Get("user"); u != "" {
-		return u
-	}
-	if u := h.Get("X-ClickHouse-User"); u != "" {
-		return u
-	}
-	if scheme, rest, _ := strings.Cut(h.Get("Authorization"), " "); strings.EqualFold(scheme, "Basic") {
-		if b, err := base64.StdEncoding.DecodeString(strings.TrimSpace(rest)); err == nil {
-			u, _, _ := strings.Cut(string(b), ":")
-			return u
-		}
-	}
-	return "default"
-}
+	client *client
+	number uint64 // unique in the frontend
+	head   *httpwire.Head
+	params url.Values // of the URL
 
-// dropBody gives up what is held of a body: from here on it can go nowhere else.
-func (r *request) dropBody() {
-	if !r.bodyPassed {
-		r.bodyPassed = true
-		r.client.countBuffered(-len(r.rawBody))
-		r.rawBody = nil
-	}
+	rawBody     []byte // the body as it came, chunk headers included; of a body that is passed on, its beginning
+	streamsBody bool   // the body is longer than may be buffered, and is passed on as it comes
+	bodyPassed  bool   // more than the beginning was passed on, so that the request cannot be sent to another server
+
+	rule      *Rule // that matches it, nil for none
+	class     string
+	readOnly  bool
+	queryID   string  // of the client, or made by the pooler
+	deadline  float64 // when the client gives up
+	timeoutMs float64 // from the end of the body to the deadline
+
+	session    sessions.Key // the zero Key for none
+	onlyServer string       // the server that has the session, empty for any
+	limitID    limits.ID    // in the limits of its user, 0 for none
+
+	submitted  bool        // to the dispatcher
+	ref        slotmap.Ref // of the dispatcher
+	reached    bool        // an attempt reached a server
+	sentLink   *link       // the connection of the present attempt
+	answerLink *link       // the connection whose answer is being sent
+	answered   bool        // the answer has begun, or the client has disconnected
 }
 
-// AppendQuery is backend.Query's: the request as it came, for a connection that is kept.
+// AppendQuery implements backend.Query: the request as it came, for a connection that stays open.
 func (r *request) AppendQuery(dst []byte, _ int) []byte {
-	dst = append(append(append(append(dst, r.head.Method...), ' '), r.head.Target...), " HTTP/1.1\r\n"...)
+	dst = append(dst, r.head.Method...)
+	dst = append(dst, ' ')
+	dst = append(dst, r.head.Target...)
+	dst = append(dst, " HTTP/1.1\r\n"...)
 	dst = r.head.AppendFields(dst, "expect")
 	if r.head.Get("Host") == "" {
 		dst = append(dst, "Host: clickhouse\r\n"...)
 	}
-	return append(append(dst, "\r\n"...), r.rawBody...)
+	dst = append(dst, "\r\n"...)
+	return append(dst, r.rawBody...)
 }
 
-// Served is platform.Client's: the server's answer has begun to come.
+// Served implements platform.Client: the answer of the server at Frontend.serving has begun.
 func (r *request) Served([]byte) {
-	if l := r.client.frontend.serving; l != nil && !r.answered {
-		r.answered, r.answerLink = true, l
-		if !r.uploads {
-			r.rawBody = nil
-		}
-		l.client = r.client
-		if r.client.conn.ReadingPaused() {
-			r.client.conn.ResumeReading()
-		}
-		if r.session != (sessions.Key{}) {
-			r.client.frontend.sessions.Bind(r.session, l.server.id)
-		}
+	l := r.client.frontend.serving
+	if l == nil || r.answered {
+		return
+	}
+	r.answered = true
+	r.answerLink = l
+	if !r.streamsBody {
+		r.rawBody = nil
+	}
+	l.client = r.client
+	if r.client.conn.ReadingPaused() {
+		r.client.conn.ResumeReading()
+	}
+	if r.session != (sessions.Key{}) {
+		r.client.frontend.sessions.Bind(r.session, l.server.id)
 	}
 }
 
-// Disconnected is platform.Departing's. A client whose body passes through may end its sending behind it; client.look decides on that.
+// Disconnected implements platform.Disconnectable. A client whose body is passed on may have sent the end of it before it closed its
+// side; client.poll decides on that.
 func (r *request) Disconnected() bool {
-	return r.client.closed || !r.uploads && r.client.conn.PeerClosed()
+	return r.client.state == clientClosed || !r.streamsBody && r.client.conn.PeerClosed()
 }
 
-// Rejected is platform.Client's.
+// Rejected implements platform.Client.
 func (r *request) Rejected(retryMs float64) {
-	code, name := codeTooMany, "TOO_MANY_SIMULTANEOUS_QUERIES"
+	code := codeTooMany
 	if !r.reached {
-		code, name = codeNoServer, "ALL_CONNECTION_TRIES_FAILED"
+		code = codeNoServer
 	}
-	r.client.answerException(r, 503, code, name, "the query has not run; it may be sent again", max(1, int(retryMs/1000+0.5)))
+	r.client.answerException(r, exception{
+		status:      http.StatusServiceUnavailable,
+		code:        code,
+		text:        "the query has not run; it may be sent again",
+		retryAfterS: retrySeconds(retryMs),
+	})
 }
 
-// RejectedUnfunded is platform.PrepaidClient's.
+// RejectedUnfunded implements platform.PrepaidClient.
 func (r *request) RejectedUnfunded(slowed bool, retryMs float64) {
-	r.client.answerException(r, 402, codeQuota, "QUOTA_EXCEEDED", platform.NoCreditMessage(slowed), max(1, int(retryMs/1000+0.5)))
+	r.client.answerException(r, exception{
+		status:      http.StatusPaymentRequired,
+		code:        codeQuota,
+		text:        platform.NoCreditMessage(slowed),
+		retryAfterS: retrySeconds(retryMs),
+	})
 }
 
-// Failed is platform.Client's.
+// Failed implements platform.Client.
 func (r *request) Failed() {
-	if r.client.frontend.loop.Now() >= r.deadline-50 {
-		r.client.answerException(r, 504, codeTimeout, "TIMEOUT_EXCEEDED", "no answer in time; the query may have run", 0)
+	if r.client.frontend.loop.Now() >= r.deadline-deadlineMarginMs {
+		r.client.answerException(r, exception{
+			status: http.StatusGatewayTimeout, code: codeTimeout, text: "no answer in time; the query may have run",
+		})
 		return
 	}
-	r.client.answerException(r, 502, codeNetwork, "NETWORK_ERROR", "the answer was lost; the query may have run", 0)
+	r.client.answerException(r, outcomeUnknown("the answer was lost; the query may have run"))
 }
 
-// IsReadOnly tells whether a query is known to change nothing: ClickHouse holds GET and readonly to that by itself, and a
-// statement that begins so cannot write.
-func IsReadOnly(method string, params url.Values, body []byte, known bool) bool {
-	if method == "GET" || method == "HEAD" {
-		return true
+// dropBody frees what is buffered of a body that is passed on.
+func (r *request) dropBody() {
+	if !r.bodyPassed {
+		r.bodyPassed = true
+		r.client.countBuffered(-len(r.rawBody))
+		r.rawBody = nil
 	}
-	if ro := params.Get("readonly"); ro == "1" || ro == "2" {
-		return true
+}
+
+// handleRequest handles a request whose body is complete, or has begun and will be passed on.
+func (c *client) handleRequest(head *httpwire.Head) {
+	c.closeAfterAnswer = head.Close
+	c.everRequested = true
+	path, rawQuery, _ := strings.Cut(head.Target, "?")
+	params, err := url.ParseQuery(rawQuery)
+	r := &request{client: c, head: head, params: params, rawBody: c.incoming.raw, streamsBody: !c.incoming.body.Done()}
+	c.incoming.raw = nil
+	c.request = r
+	if c.answerLocally(r, path, err) {
+		return
 	}
-	sql := params.Get("query")
-	if known {
-		sql += "\n" + string(body)
-	} else if strings.TrimSpace(sql) == "" {
-		return false // it cannot be read
+	now := c.frontend.loop.Now()
+	c.classify(r, path, rawQuery)
+	c.setDeadline(r, now)
+	c.identify(r)
+	user := User(head, params)
+	if params.Get("session_id") != "" && !c.beginSessionQuery(r, user) {
+		return
 	}
-	return statementReads(sql)
+	c.admit(r, user, now)
 }
 
-// statementReads tells whether a statement begins as one that reads. Whatever might hide more is taken for a write.
-func statementReads(sql string) bool {
-	sql = skipBlank(sql)
-	end := strings.IndexFunc(sql, func(r rune) bool { return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z') })
-	if end < 0 {
-		end = len(sql)
+// answerLocally answers a request that is not valid, or needs no server. It reports whether it did.
+func (c *client) answerLocally(r *request, path string, urlErr error) bool {
+	switch {
+	case c.cameWhileDraining:
+		c.closeAfterAnswer = true
+		c.answerException(r, rejectedTooMany(textShutdown))
+	case urlErr != nil || !strings.HasPrefix(path, "/"):
+		c.closeAfterAnswer = true
+		c.answerException(r, badRequest(http.StatusBadRequest, "the URL cannot be read"))
+	case path == "/ping" || c.isEmptyGet(r, path):
+		c.answerText(r, http.StatusOK, textOK)
+	case path == "/replicas_status":
+		status, text := c.frontend.replicasStatus(r.params.Get("verbose") == "1")
+		c.answerText(r, status, text)
+	case !isQueryMethod(r.head.Method):
+		c.closeAfterAnswer = true
+		c.answerException(r, unsupported("GET, HEAD, POST and PUT are taken"))
+	default:
+		return false
 	}
-	switch strings.ToUpper(sql[:end]) {
-	case "SELECT", "SHOW", "DESCRIBE", "DESC", "EXISTS":
-		return !strings.Contains(strings.ToUpper(sql), "OUTFILE")
-	case "EXPLAIN":
+	return true
+}
+
+// isEmptyGet reports whether a request asks for the root page, which tells that the server is there.
+func (c *client) isEmptyGet(r *request, path string) bool {
+	isGet := r.head.Method == http.MethodGet || r.head.Method == http.MethodHead
+	return path == "/" && isGet && r.params.Get("query") == "" && len(c.incoming.decoded) == 0
+}
+
+func isQueryMethod(method string) bool {
+	switch method {
+	case http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut:
 		return true
-	case "WITH":
-		return !strings.Contains(strings.ToUpper(sql), "INSERT")
 	}
 	return false
 }
 
-// skipBlank passes over blanks, comments and opening brackets at a statement's start.
-func skipBlank(s string) string {
-	for {
-		was := s
-		s = strings.TrimLeft(s, " \t\r\n\f\v(")
-		if strings.HasPrefix(s, "--") || strings.HasPrefix(s, "#!") {
-			_, s, _ = strings.Cut(s, "\n")
-		}
-		if strings.HasPrefix(s, "/*") {
-			_, s, _ = strings.Cut(s, "*/")
+// classify sets what a request's rule and text decide: its class, and whether it may be retried as read-only.
+func (c *client) classify(r *request, path, rawQuery string) {
+	known := r.params.Get("decompress") == "" && r.head.Get("Content-Encoding") == ""
+	// A query is not retried if its body is not buffered, or its result depends on its session.
+	retryable := !r.streamsBody && r.params.Get("session_id") == ""
+	r.readOnly = retryable && IsReadOnly(r.head.Method, r.params, c.incoming.decoded, known)
+	c.incoming.decoded = nil
+	r.timeoutMs = c.frontend.options.DeadlineMs
+	name := ""
+	if r.rule = c.frontend.matchRule(r.head, path, r.params); r.rule != nil {
+		name = r.rule.Name
+		r.timeoutMs = r.rule.DeadlineMs
+		if r.rule.Path != "" {
+			r.head.Target = "/" + strings.TrimSuffix("?"+rawQuery, "?")
 		}
-		if s == was {
-			return s
+	}
+	readClass, writeClass := Classes(name)
+	r.class = writeClass
+	if r.readOnly {
+		r.class = readClass
+	}
+}
+
+// setDeadline sets a request's deadline, which its own settings or its client may shorten.
+func (c *client) setDeadline(r *request, now float64) {
+	for _, ms := range []float64{executionLimitMs(r.params), c.frontend.clientTimeoutMs(r.head)} {
+		if ms > 0 {
+			r.timeoutMs = min(r.timeoutMs, ms)
 		}
 	}
+	r.deadline = now + r.timeoutMs
+	if r.streamsBody {
+		r.deadline += c.frontend.options.UploadTimeoutMs
+	}
+}
+
+// identify gives a request its number, and a query ID where it has none, so that the query can be found at the server.
+func (c *client) identify(r *request) {
+	f := c.frontend
+	f.lastNumber++
+	r.number = f.lastNumber
+	r.queryID = r.params.Get("query_id")
+	if r.queryID == "" {
+		r.queryID = fmt.Sprintf("%s-%x-%d", f.options.Name, uint64(f.startedAt), r.number)
+		r.head.Target = withParameter(r.head.Target, "query_id", r.queryID)
+	}
+}
+
+// withParameter adds a parameter to the target of a request.
+func withParameter(target, name, value string) string {
+	separator := "?"
+	if strings.Contains(target, "?") {
+		separator = "&"
+	}
+	return target + separator + name + "=" + url.QueryEscape(value)
 }
 
-// executionLimitMs is the time that a query's own settings leave it, 0 for none.
+// executionLimitMs returns the time that a query's own settings allow it, 0 for any.
 func executionLimitMs(params url.Values) float64 {
-	x, err := strconv.ParseFloat(params.Get("max_execution_time"), 64)
-	if err != nil || !(x > 0) || x > 1e6 {
+	seconds, err := strconv.ParseFloat(params.Get("max_execution_time"), 64)
+	if err != nil || !(seconds > 0) || seconds > maxExecutionS {
 		return 0
 	}
-	return x * 1000
+	return seconds * 1000
 }
 
-var _ platform.Client = (*request)(nil)
+var (
+	_ platform.Client         = (*request)(nil)
+	_ platform.PrepaidClient  = (*request)(nil)
+	_ platform.Disconnectable = (*request)(nil)
+)
--- a/internal/frontend/clickhouse/rules.go
+++ b/internal/frontend/clickhouse/rules.go
@@ -1,6 +1,7 @@
 package clickhouse
 
 import (
+	"encoding/base64"
 	"net/url"
 	"strconv"
 	"strings"
@@ -8,29 +9,61 @@
 	"beechgrade/internal/protocol/httpwire"
 )
 
-// Rule says which queries are of a class of their own. What is empty matches all.
+// Rule selects queries that have classes of their own. A condition that is empty matches all queries.
 type Rule struct {
-	Name           string // of the class
-	User           string
-	Database       string
-	Path           string // the path of the URL, whole; the server is asked at "/"
-	Header         string // a field of the head...
-	Value          string // ...and its value
+	Name     string // of the classes
+	User     string
+	Database string
+	Path     string // of the URL; the server receives "/" in its place
+	Header   string // the name of a field of the request
+	Value    string // of that field
+
 	DeadlineMs     float64
-	MaxStalenessMs float64 // its reads see data no older than that, 0 for any
+	MaxStalenessMs float64 // of the data that reads see, 0 for any
 }
 
-// Matches tells whether a query is of a rule.
-func (r *Rule) Matches(h *httpwire.Head, path string, params url.Values) bool {
+// maxClientTimeoutMs is the longest time of Options.DeadlineHeader that counts.
+const maxClientTimeoutMs = 1e9
+
+// defaultUser is the user of a query that names none.
+const defaultUser = "default"
+
+// Matches reports whether a query matches the rule.
+func (r *Rule) Matches(head *httpwire.Head, path string, params url.Values) bool {
 	database := params.Get("database")
 	if database == "" {
-		database = h.Get("X-ClickHouse-Database")
+		database = head.Get("X-ClickHouse-Database")
 	}
-	return (r.User == "" || r.User == User(h, params)) && (r.Database == "" || r.Database == database) && (r.Path == "" || r.Path == path) &&
-		(r.Header == "" || h.Get(r.Header) == r.Value)
+	switch {
+	case r.User != "" && r.User != User(head, params):
+		return false
+	case r.Database != "" && r.Database != database:
+		return false
+	case r.Path != "" && r.Path != path:
+		return false
+	}
+	return r.Header == "" || head.Get(r.Header) == r.Value
 }
 
-// Classes are the names of a rule's two classes, of what reads and of what may write; those of the front itself are of "".
+// User returns the user of a query, by the URL, the field of ClickHouse or basic authentication, in the order of the servers.
+func User(head *httpwire.Head, params url.Values) string {
+	if user := params.Get("user"); user != "" {
+		return user
+	}
+	if user := head.Get("X-ClickHouse-User"); user != "" {
+		return user
+	}
+	scheme, credentials, _ := strings.Cut(head.Get("Authorization"), " ")
+	if strings.EqualFold(scheme, "Basic") {
+		if decoded, err := base64.StdEncoding.DecodeString(strings.TrimSpace(credentials)); err == nil {
+			user, _, _ := strings.Cut(string(decoded), ":")
+			return user
+		}
+	}
+	return defaultUser
+}
+
+// Classes returns the names of a rule's two classes. The empty name stands for the queries that match no rule.
 func Classes(rule string) (reads, writes string) {
 	if rule == "" {
 		return ReadClass, WriteClass
@@ -38,33 +71,24 @@
 	return "clickhouse-" + rule + "-reads", "clickhouse-" + rule + "-writes"
 }
 
-// classify finds the rule of a query, its class, its deadline, and its target at the server.
-func (f *Frontend) classify(h *httpwire.Head, path, query string, params url.Values, reads bool) (rule *Rule, class string, deadline float64, target string) {
-	name, deadline, target := "", f.options.DeadlineMs, h.Target
+// matchRule returns the first rule that matches a query, or nil.
+func (f *Frontend) matchRule(head *httpwire.Head, path string, params url.Values) *Rule {
 	for i := range f.options.Rules {
-		if r := &f.options.Rules[i]; r.Matches(h, path, params) {
-			rule, name, deadline = r, r.Name, r.DeadlineMs
-			if r.Path != "" {
-				target = "/" + strings.TrimSuffix("?"+query, "?")
-			}
-			break
+		if rule := &f.options.Rules[i]; rule.Matches(head, path, params) {
+			return rule
 		}
 	}
-	class, writes := Classes(name)
-	if !reads {
-		class = writes
-	}
-	return rule, class, deadline, target
+	return nil
 }
 
-// clientTimeoutMs is how many milliseconds a client says in its head that it waits, 0 where it does not.
-func (f *Frontend) clientTimeoutMs(h *httpwire.Head) float64 {
+// clientTimeoutMs returns the time that a client waits by the field of Options.DeadlineHeader, 0 if it does not tell.
+func (f *Frontend) clientTimeoutMs(head *httpwire.Head) float64 {
 	if f.options.DeadlineHeader == "" {
 		return 0
 	}
-	x, err := strconv.ParseFloat(h.Get(f.options.DeadlineHeader), 64)
-	if err != nil || !(x > 0) || x > 1e9 {
+	ms, err := strconv.ParseFloat(head.Get(f.options.DeadlineHeader), 64)
+	if err != nil || !(ms > 0) || ms > maxClientTimeoutMs {
 		return 0
 	}
-	return x
+	return ms
 }
--- /dev/null
+++ b/internal/frontend/clickhouse/server_answers_test.go
@@ -0,0 +1,38 @@
+package clickhouse
+
+import (
+	"net/http"
+	"testing"
+
+	"beechgrade/internal/decide"
+	"beechgrade/internal/protocol/httpwire"
+)
+
+// TestOnlyRefusedQueriesAreRetried: an exception of the query is its answer; that the server accepts no queries, or fails without an
+// exception, is not.
+func TestOnlyRefusedQueriesAreRetried(t *testing.T) {
+	for _, c := range []struct {
+		status int
+		code   string
+		want   decide.Result
+	}{
+		{http.StatusOK, "", decide.OK},
+		{http.StatusNotFound, "60", decide.OK},
+		{http.StatusInternalServerError, "241", decide.OK},
+		{http.StatusInternalServerError, "202", decide.Overloaded},
+		{http.StatusServiceUnavailable, "439", decide.Overloaded},
+		{http.StatusInternalServerError, "0202", decide.OK},
+		{http.StatusInternalServerError, "x", decide.OK},
+		{http.StatusInternalServerError, "", decide.Failed},
+		{http.StatusTooManyRequests, "", decide.Overloaded},
+		{http.StatusServiceUnavailable, "", decide.Overloaded},
+	} {
+		head := &httpwire.Head{Status: c.status}
+		if c.code != "" {
+			head.Headers = []httpwire.Header{{Name: headerExceptionCode, Value: c.code}}
+		}
+		if got := resultOf(head); got != c.want {
+			t.Errorf("status %d, code %q: %v, want %v", c.status, c.code, got, c.want)
+		}
+	}
+}
--- a/internal/frontend/clickhouse/staleness.go
+++ b/internal/frontend/clickhouse/staleness.go
@@ -3,40 +3,47 @@
 import (
 	"fmt"
 	"maps"
+	"net/http"
 	"slices"
 	"strconv"
 	"strings"
 )
 
-// statusPath is where a server tells how far its tables lag behind, each in whole seconds.
+// statusPath is where a server reports the delays of its replicated tables, in whole seconds.
 const statusPath = "/replicas_status?verbose=1"
 
-const maxReportBytes = 256 << 10 // bytes of such a word: a line for each table
+// maxReportBytes bounds a report, which has a line for each table.
+const maxReportBytes = 256 << 10
 
-// parseLag reads the longest delay that a server tells of its tables, in ms, rounded up; false where it tells none, as one whose
-// tables are not replicated, or that can only be read since it lost its keeper.
-func parseLag(status int, text string) (ms float64, ok bool) {
-	if status != 200 && status != 503 {
+// delayPrefix precedes a table's delay in a report: "Absolute delay: 3. Relative delay: 0."
+const delayPrefix = "Absolute delay: "
+
+// parseLag returns the longest delay in a server's report, in ms, rounded up. ok is false where the report has none: no table is
+// replicated, or a table is read-only as its server has lost its coordination service.
+func parseLag(status int, report string) (ms float64, ok bool) {
+	if status != http.StatusOK && status != http.StatusServiceUnavailable {
 		return 0, false
 	}
-	for l := range strings.Lines(text) {
-		if strings.Contains(strings.ToLower(l), "readonly") {
+	for line := range strings.Lines(report) {
+		if strings.Contains(strings.ToLower(line), "readonly") {
 			return 0, false
 		}
-		_, rest, found := strings.Cut(l, "Absolute delay: ")
+		_, after, found := strings.Cut(line, delayPrefix)
 		if !found {
 			continue
 		}
-		n, err := strconv.ParseUint(rest[:max(0, strings.IndexByte(rest, '.'))], 10, 40)
+		digits := after[:max(0, strings.IndexByte(after, '.'))]
+		seconds, err := strconv.ParseUint(digits, 10, 40)
 		if err != nil {
 			return 0, false
 		}
-		ms, ok = max(ms, float64(n+1)*1000), true
+		ms = max(ms, float64(seconds+1)*1000)
+		ok = true
 	}
 	return ms, ok
 }
 
-// maxStalenessMs is how old the data may be that a query sees, 0 for any age.
+// maxStalenessMs returns the age that the data may have that a request sees, 0 for any.
 func (r *request) maxStalenessMs() float64 {
 	switch {
 	case !r.readOnly:
@@ -47,28 +54,30 @@
 	return r.client.frontend.options.MaxStalenessMs
 }
 
-// replicasStatus answers /replicas_status by what is known of the servers: whether one of them may be asked now.
+// replicasStatus answers /replicas_status by what is known of the servers. The status tells whether a server is available.
 func (f *Frontend) replicasStatus(verbose bool) (status int, text string) {
-	status, now := 503, f.loop.Now()
-	var b strings.Builder
+	status = http.StatusServiceUnavailable
+	now := f.loop.Now()
+	var lines strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(f.servers)) {
 		s := f.servers[id]
 		if s.address == "" || s.drainedAt != 0 {
-			fmt.Fprintf(&b, "%s:\tdrains.\n", id)
+			fmt.Fprintf(&lines, "%s:\tdrains.\n", id)
 			continue
 		}
-		status = 200
+		status = http.StatusOK
 		if s.reportedAt == 0 {
-			fmt.Fprintf(&b, "%s:\tserves.\n", id)
-		} else {
-			fmt.Fprintf(&b, "%s:\tAbsolute delay: %.0f. Told %.1f s ago.\n", id, max(0, s.reportedAt-s.positionMs)/1000, (now-s.reportedAt)/1000)
+			fmt.Fprintf(&lines, "%s:\tserves.\n", id)
+			continue
 		}
+		delayMs, ageMs := max(0, s.reportedAt-s.positionMs), now-s.reportedAt
+		fmt.Fprintf(&lines, "%s:\tAbsolute delay: %.0f. Told %.1f s ago.\n", id, delayMs/1000, ageMs/1000)
 	}
 	switch {
-	case status == 200 && !verbose:
-		return status, "Ok.\n"
-	case b.Len() == 0:
+	case status == http.StatusOK && !verbose:
+		return status, textOK
+	case lines.Len() == 0:
 		return status, "no server is known\n"
 	}
-	return status, b.String()
+	return status, lines.String()
 }
