--- a/internal/cluster/zones/admin/admin_test.go
+++ b/internal/cluster/zones/admin/admin_test.go
@@ -14,9 +14,9 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// TestRead: a call is an order where its number is the next one; the same one again is no new one; what has been overtaken, lags or is not
-// known is said so.
-func TestRead(t *testing.T) {
+// TestParseOrder: a request is an order if its number is the next one; a repeated one is recognized; one that is outdated, ahead or
+// unknown is an error.
+func TestParseOrder(t *testing.T) {
 	set := &zones.Settings{Zones: []string{"a", "b"}, Voters: []string{"p", "q"}}
 	b := statemachine.New()
 	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{Number: 4, Zone: 1, State: health.Evacuated}))
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestLook shows a plan, an order that stands and one that was taken back.
-func TestLook(t *testing.T) {
+// TestStatusShowsPlanAndOrders: the status shows a plan, an active order and one that was lifted.
+func TestStatusShowsPlanAndOrders(t *testing.T) {
 	set := &zones.Settings{Name: "p", Zone: "a", Zones: []string{"a", "b"}, Voters: []string{"p"}}
 	b := statemachine.New()
 	b.Apply(1, statemachine.EncodeOrder(&statemachine.Order{Number: 4, Zone: 1, State: health.Evacuated, Until: 5000}))
--- a/internal/cluster/zones/bytes_test.go
+++ b/internal/cluster/zones/bytes_test.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// TestBytes: a message's bytes are what poolers of other versions read.
+// TestBytes: the bytes of a message stay what poolers of other versions read.
 func TestBytes(t *testing.T) {
 	plan := &statemachine.Plan{Number: 1, Since: 2, Version: 3, ZonesHash: 4, Author: "voter", Zones: []statemachine.ZoneStatus{{State: health.Returning, RestMs: 5000}, {}}, Matrix: [][]float64{{0.5, 0.5}, {0, 1}}, Unserved: 1.5, MaxFill: 0.25}
 	for name, c := range map[string]struct {
--- a/internal/cluster/zones/follower/follower_test.go
+++ b/internal/cluster/zones/follower/follower_test.go
@@ -15,8 +15,8 @@
 	return &statemachine.Plan{Number: no, Since: no, ZonesHash: 9, Zones: make([]statemachine.ZoneStatus, 2), Matrix: plan.Matrix{{1 - away, away}, {0, 1}}}
 }
 
-// TestSharesAreDealt: never more poolers than a share has go, but where a zone is left whole.
-func TestSharesAreDealt(t *testing.T) {
+// TestNoMorePoolersLeaveThanTheShare: no more poolers take another zone for local than its share, except where all leave.
+func TestNoMorePoolersLeaveThanTheShare(t *testing.T) {
 	for _, c := range []struct {
 		row  []float64
 		of   int
@@ -49,8 +49,9 @@
 	}
 }
 
-// TestFallsBack: without news a plan ends, then near comes first; where near fails too, this pooler goes where it was sent, and no one else does.
-func TestFallsBack(t *testing.T) {
+// TestFallsBackWithoutRenewal: without a renewal a plan expires, and local comes first; where the local zone fails too, this pooler goes
+// where the plan had sent it.
+func TestFallsBackWithoutRenewal(t *testing.T) {
 	for _, x := range []struct {
 		away  float64
 		spill int
@@ -79,8 +80,9 @@
 	}
 }
 
-// TestNeverOlder: no old plan after a new one, whoever tells, not after a restart either; and none before its number is kept.
-func TestNeverOlder(t *testing.T) {
+// TestNeverFollowsAnOlderPlan: no older plan is followed after a newer one, whoever sends it, also after a restart; and none before its
+// number is stored.
+func TestNeverFollowsAnOlderPlan(t *testing.T) {
 	f := New(set())
 	f.NumberStored(f.HandlePlan(0, thePlan(7, 1), 0))
 	if f.HandlePlan(10, thePlan(6, 0), 0) != 0 || f.Status(10).PlanNumber != 7 {
@@ -112,9 +114,9 @@
 	}
 }
 
-// TestSlowDisk: plans come faster than the disk keeps their numbers. One after the other is kept, each that is followed is newer, and the newest is
-// followed in the end; renewals of what waits hold.
-func TestSlowDisk(t *testing.T) {
+// TestSlowDiskDelaysButDoesNotStopPlans: plans arrive faster than their numbers are stored. Each number that is stored is newer, and the
+// newest plan is followed in the end.
+func TestSlowDiskDelaysButDoesNotStopPlans(t *testing.T) {
 	f, keep, last := New(set()), uint64(0), uint64(0)
 	for no := uint64(1); no <= 40; no++ {
 		now := 100 * float64(no)
--- a/internal/cluster/zones/health/health_test.go
+++ b/internal/cluster/zones/health/health_test.go
@@ -10,9 +10,9 @@
 
 const tick = 500.0
 
-// TestHalfAlive: probes pass, a third of what is sent is lost. The zone fails, is evacuated, tried again with what comes back, found as
-// bad, and left alone for longer each time; once it is well it serves.
-func TestHalfAlive(t *testing.T) {
+// TestLossyZoneIsEvacuatedAndReturns: health checks succeed, and a third of the attempts is lost. The zone fails, is evacuated, returns,
+// fails again with a longer rest, and serves once it is healthy.
+func TestLossyZoneIsEvacuatedAndReturns(t *testing.T) {
 	set := Defaults()
 	z, now := New(&set), 0.0
 	var seen []State
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestOrders: an order holds whatever is seen, and its end brings the zone back slowly.
-func TestOrders(t *testing.T) {
+// TestOrderOverridesEvidence: an order holds whatever is observed, and its end brings the zone back slowly.
+func TestOrderOverridesEvidence(t *testing.T) {
 	set := Defaults()
 	z := New(&set)
 	z.Order(0, Evacuated)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestStrain has load hold before a zone is strained, and be lower before it is not.
-func TestStrain(t *testing.T) {
+// TestStrainNeedsLastingLoad: load must last for a zone to become strained, and be lower for a while for it to serve again.
+func TestStrainNeedsLastingLoad(t *testing.T) {
 	set := Defaults()
 	z, now := New(&set), 0.0
 	run := func(load, ms float64) State {
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestShiftsAreFew: whatever is seen, a zone is left and taken back no more often than stated.
-func TestShiftsAreFew(t *testing.T) {
+// TestShiftsAreBounded: whatever is observed, a zone is abandoned and restored no more often than MaxShifts.
+func TestShiftsAreBounded(t *testing.T) {
 	deterministic.Check(t, func(r *rapid.T) {
 		set := Defaults()
 		set.MinRest = rapid.Float64Range(2000, 20000).Draw(r, "rest")
@@ -128,8 +128,8 @@
 	})
 }
 
-// TestAnotherGoesOn: who takes a zone over from another begins its times anew.
-func TestAnotherGoesOn(t *testing.T) {
+// TestResumeStartsTimesAnew: a process that takes over a zone's state starts its times anew.
+func TestResumeStartsTimesAnew(t *testing.T) {
 	set := Defaults()
 	z := Resume(Evacuated, 60000, 1000)
 	for now := 1000.0; now < 61000; now += tick { // its rest is not over
--- a/internal/cluster/zones/plan/plan_test.go
+++ b/internal/cluster/zones/plan/plan_test.go
@@ -80,8 +80,9 @@
 	return s
 }
 
-// TestEverySmallFleet holds plans against every other one: all fleets of two zones with two classes, and of three with one.
-func TestEverySmallFleet(t *testing.T) {
+// TestSolveIsOptimalForSmallFleets: plans are compared with every other one: all fleets of two zones with two classes, and of three with
+// one.
+func TestSolveIsOptimalForSmallFleets(t *testing.T) {
 	count := 0
 	for zones := 2; zones <= 3; zones++ {
 		s, flows, most := small(zones), 4, 3 // loads and rooms are below it
@@ -138,8 +139,8 @@
 	return groups
 }
 
-// TestMatrixIsSafe: whatever groups there are, no zone that receives is above its safe room by the matrix, nor on any step of a way to it.
-func TestMatrixIsSafe(t *testing.T) {
+// TestMatrixNeverExceedsSafeCapacity: for any groups no receiving zone exceeds its safe capacity by the matrix, nor on any step to it.
+func TestMatrixNeverExceedsSafeCapacity(t *testing.T) {
 	deterministic.Check(t, func(r *rapid.T) {
 		zones := rapid.IntRange(2, 4).Draw(r, "zones")
 		s := small(zones)
@@ -193,8 +194,9 @@
 	})
 }
 
-// TestStepsBackAreSmall: out in big steps, back in small ones, and there in the end; what is dead is left at once.
-func TestStepsBackAreSmall(t *testing.T) {
+// TestStepsOutAreLargeAndBackSmall: reads leave in large steps and return in small ones, and arrive in the end; a dead zone is left at
+// once.
+func TestStepsOutAreLargeAndBackSmall(t *testing.T) {
 	s, far := small(2), Matrix{{0, 1}, {0, 1}}
 	well := []Group{{Flows: []Flow{{0, 0, 1}, {0, 1, 1}}, Capacities: []Capacity{{Cores: 9, ServesNear: true, ServesRemote: true}, {Cores: 9, ServesNear: true, ServesRemote: true}}}}
 	m, steps, slow := far, 0, []StepLimit{{0.5, 0.1}, {0.5, 0.1}}
@@ -216,8 +218,8 @@
 	}
 }
 
-// TestRounded: whole poolers go, as many as is safe; a zone that nothing stays in is left whole.
-func TestRounded(t *testing.T) {
+// TestRoundMovesWholePoolers: whole poolers move, as many as is safe; a zone in which nothing stays is left by all.
+func TestRoundMovesWholePoolers(t *testing.T) {
 	s := small(3)
 	s.SpareShare = 0
 	group := []Group{{Flows: []Flow{{0, 0, 2}}, Capacities: []Capacity{{Cores: 2, ServesNear: true}, {Cores: 0.5, ServesRemote: true}, {Cores: 9, ServesRemote: true}}}}
--- a/internal/cluster/zones/planner/planner_test.go
+++ b/internal/cluster/zones/planner/planner_test.go
@@ -141,8 +141,9 @@
 	return r.now - from
 }
 
-// TestCalm: near is safe, so everything stays near; a plan that does not change is renewed, and no more often than that.
-func TestCalm(t *testing.T) {
+// TestUnchangedPlanIsRenewed: while local capacity is safe all reads stay local, and the plan is renewed every RenewInterval and no more
+// often.
+func TestUnchangedPlanIsRenewed(t *testing.T) {
 	r := newRig(t, 3)
 	r.run(60000)
 	if n := len(r.plans); n < 20 || n > 32 {
@@ -153,8 +154,9 @@
 	}
 }
 
-// TestZoneLost: a zone goes dark with its servers; its reads are elsewhere within the bound. It comes back cold: in small steps.
-func TestZoneLost(t *testing.T) {
+// TestLostZoneIsLeftAndReturnsSlowly: a zone is lost with its servers; its reads are elsewhere within the bound, and return in small
+// steps.
+func TestLostZoneIsLeftAndReturnsSlowly(t *testing.T) {
 	r := newRig(t, 3)
 	r.run(10000)
 	r.cores[0] = 0
@@ -178,8 +180,9 @@
 	}
 }
 
-// TestHalfAliveZone: probes pass, a third of requests vanish: in steps it is left, and left for longer each time.
-func TestHalfAliveZone(t *testing.T) {
+// TestLossyZoneRestsLongerEachTime: health checks succeed, and a third of the requests is lost: the zone is left in steps, for longer
+// each time.
+func TestLossyZoneRestsLongerEachTime(t *testing.T) {
 	r := newRig(t, 2)
 	r.run(5000)
 	r.lost[1] = 0.33
@@ -192,8 +195,9 @@
 	r.until(400000, "back", func() bool { return r.matrix()[1][1] == 1 && r.chief.Zone(1).State == health.Serving })
 }
 
-// TestNoPlanIsFeasible: two zones strained at once, then the third lost: what has no safe room is told, and no zone that receives is overfull.
-func TestNoPlanIsFeasible(t *testing.T) {
+// TestUnservedWorkIsReported: two zones are strained at once, then the third is lost: work without safe capacity is reported, and no
+// receiving zone is overfull.
+func TestUnservedWorkIsReported(t *testing.T) {
 	r := newRig(t, 3)
 	r.load = []float64{9, 9, 3}
 	r.run(30000)
@@ -207,8 +211,8 @@
 	}
 }
 
-// TestIntoAZoneThatFails: the zone that took an evacuated one's reads fails too; all go to the third.
-func TestIntoAZoneThatFails(t *testing.T) {
+// TestReceivingZoneFailsToo: the zone that took an evacuated one's reads fails too; all reads go to the third zone.
+func TestReceivingZoneFailsToo(t *testing.T) {
 	r := newRig(t, 3)
 	r.load = []float64{2, 2, 2}
 	r.run(5000)
@@ -218,8 +222,8 @@
 	r.until(20000, "evacuated once more", func() bool { return r.matrix()[0][2] == 1 && r.matrix()[1][2] == 1 })
 }
 
-// TestFlappingWay: a way between two zones that is there and gone again moves traffic no more often than stated.
-func TestFlappingWay(t *testing.T) {
+// TestFlappingLinkShiftsRarely: a link between two zones that comes and goes moves reads no more often than MaxShifts.
+func TestFlappingLinkShiftsRarely(t *testing.T) {
 	r := newRig(t, 3)
 	r.load, r.cores[0] = []float64{2, 2, 2}, 0
 	r.run(30000)
@@ -242,9 +246,9 @@
 	}
 }
 
-// TestOrderAndLeaders: operators evacuate while an automatic plan is under way; leaders change in its midst, one of them late with a plan of
-// old; a book that was put back from its bytes has order and plan; the order's end brings the zone back.
-func TestOrderAndLeaders(t *testing.T) {
+// TestOrderSurvivesLeaderChanges: operators evacuate a zone while a plan is in progress; leaders change meanwhile, one of them late with
+// a plan of its own. The order holds.
+func TestOrderSurvivesLeaderChanges(t *testing.T) {
 	r := newRig(t, 3)
 	r.load = []float64{2, 2, 2}
 	r.run(5000)
@@ -283,8 +287,8 @@
 	r.until(60000, "back", func() bool { return r.matrix()[2][2] == 1 })
 }
 
-// TestLoadDoubles in the midst of the way back.
-func TestLoadDoubles(t *testing.T) {
+// TestLoadDoublesDuringReturn: the load doubles while a zone returns.
+func TestLoadDoublesDuringReturn(t *testing.T) {
 	r := newRig(t, 2)
 	r.load = []float64{3, 3}
 	r.run(5000)
--- a/internal/cluster/zones/statemachine/bytes_test.go
+++ b/internal/cluster/zones/statemachine/bytes_test.go
@@ -16,7 +16,7 @@
 	return machine
 }
 
-// TestBytes: a snapshot's bytes, with a plan and orders, are what poolers of other versions read.
+// TestBytes: the bytes of a snapshot with a plan and orders stay what poolers of other versions read.
 func TestBytes(t *testing.T) {
 	const want = "ac0202020701010480ea3001060300000000010102030405766f74657202040500000101000006dc0bfa010200f40301f4030101e807"
 	b := wholeBook().Snapshot()
--- a/internal/cluster/zones/statemachine/statemachine_test.go
+++ b/internal/cluster/zones/statemachine/statemachine_test.go
@@ -17,8 +17,8 @@
 		Matrix: plan.Matrix{{0, 0.75}, {0, 1}}, Unserved: 0.25, MaxFill: 0.5}
 }
 
-// TestOneWins: of plans made by two who both lead one for each number is taken, and none that does not know of an order.
-func TestOneWins(t *testing.T) {
+// TestOnePlanForEachNumber: of the plans of two leaders one is taken for each number, and none that ignores an order.
+func TestOnePlanForEachNumber(t *testing.T) {
 	machine := New()
 	if !machine.Apply(1, EncodePlan(somePlan(1, 0, "a"))) || machine.Apply(2, EncodePlan(somePlan(1, 0, "b"))) || machine.Plan.Author != "a" {
 		t.Fatal("two plans of a number")
@@ -43,9 +43,8 @@
 	}
 }
 
-// TestBooksAgree applies drawn entries at two books, one of which is put back from a snapshot now and then: they stay the same, and
-// numbers of plans go up by one.
-func TestBooksAgree(t *testing.T) {
+// TestReplicasAgree: two state machines that apply the same entries, one of them restored from a snapshot now and then, stay equal.
+func TestReplicasAgree(t *testing.T) {
 	deterministic.Check(t, func(r *rapid.T) {
 		a, machine := New(), New()
 		a.Checks = invariant.Test(r)
@@ -86,8 +85,9 @@
 	})
 }
 
-// TestForms: a plan comes back as it was, in one entry for the largest fleet; bits that flip spoil it or make another plan, never a panic.
-func TestForms(t *testing.T) {
+// TestPlansRoundTrip: a plan decodes as it was encoded, in one entry for the largest fleet; flipped bits make it malformed or another
+// plan, never a panic.
+func TestPlansRoundTrip(t *testing.T) {
 	p := somePlan(3, 1, "voter-one")
 	q, err := DecodePlan(p.Append(nil))
 	if err != nil || !q.SameTarget(p) || q.Number != 3 || q.Author != p.Author || q.Matrix[0][1] != 0.75 || q.MaxFill != 0.5 {
