--- a/internal/testkit/clients/clients_test.go
+++ b/internal/testkit/clients/clients_test.go
@@ -133,7 +133,11 @@
 			}()
 		}
 	}()
-	cfg := Config{Classes: []Class{{Name: "w", Read: Write, Aim: 100}, {Name: "r", Read: ReadBounded, Bound: 50, Aim: 1000}}, LateAfter: 3000, IdleMs: 1000}
+	cfg := Config{
+		Classes:   []Class{{Name: "w", Read: Write, Aim: 100}, {Name: "r", Read: ReadBounded, Bound: 50, Aim: 1000}},
+		LateAfter: 3000,
+		IdleMs:    1000,
+	}
 	var got sunk
 	NewPlayer(cfg, clock.System(), []string{l.Addr().String()}, &got).Run(context.Background(), []Ask{
 		{Key: "k", Patience: 100, Tenant: -1}, {No: 1, At: 250, Class: 1, Key: "k", Patience: 900, Tenant: -1}}, nil)
--- a/internal/testkit/clients/house.go
+++ b/internal/testkit/clients/house.go
@@ -22,7 +22,17 @@
 // ClickHouseClasses are the classes of clients of the ClickHouse interface, whose servers take writes and reads at any member.
 func ClickHouseClasses() []Class {
 	return []Class{
-		{Name: "painel", Share: 0.25, Read: ReadBounded, Bound: 5000, Aim: 300, Deadline: 1500, Worth: 1, LateWorth: 0.5, Work: [2]float64{26, 45}},
+		{
+			Name:      "painel",
+			Share:     0.25,
+			Read:      ReadBounded,
+			Bound:     5000,
+			Aim:       300,
+			Deadline:  1500,
+			Worth:     1,
+			LateWorth: 0.5,
+			Work:      [2]float64{26, 45},
+		},
 		{Name: "relatorio-mes", Share: 0.45, Read: ReadAny, Aim: 500, Deadline: 2000, Worth: 1, LateWorth: 0.5, Work: [2]float64{65, 110}},
 		{Name: "carga", Share: 0.30, Read: Write, Aim: 800, Deadline: 3000, Worth: 2, LateWorth: 0.5, Work: [2]float64{26, 45}},
 	}
--- a/internal/testkit/console/console.go
+++ b/internal/testkit/console/console.go
@@ -62,7 +62,16 @@
 
 // New makes a console. next may be nil.
 func New(v *incident.View, next Next) *Model {
-	m := &Model{view: v, nextView: next, width: defaultWidth, height: defaultHeight, shownFrom: v.From, shownTo: v.To, cursor: v.From, follow: next != nil}
+	m := &Model{
+		view:      v,
+		nextView:  next,
+		width:     defaultWidth,
+		height:    defaultHeight,
+		shownFrom: v.From,
+		shownTo:   v.To,
+		cursor:    v.From,
+		follow:    next != nil,
+	}
 	if m.follow {
 		m.cursor = v.To
 	}
--- a/internal/testkit/endpointreport/propagation/pace.go
+++ b/internal/testkit/endpointreport/propagation/pace.go
@@ -143,8 +143,14 @@
 	defer a.Stop()
 	name := func(i int) string { return fmt.Sprintf("obra-%d", i%services) }
 	instance := func(i, weight int) consulserver.Instance {
-		return consulserver.Instance{ID: fmt.Sprintf("s-%d", i), Node: fmt.Sprintf("n-%d", i), Address: fmt.Sprintf("10.0.%d.%d", i/250, i%250), Port: 5432, Weight: weight,
-			Meta: map[string]string{"group": fmt.Sprint(i / 4), "role": "replica", "kind": "padrao-4"}}
+		return consulserver.Instance{
+			ID:      fmt.Sprintf("s-%d", i),
+			Node:    fmt.Sprintf("n-%d", i),
+			Address: fmt.Sprintf("10.0.%d.%d", i/250, i%250),
+			Port:    5432,
+			Weight:  weight,
+			Meta:    map[string]string{"group": fmt.Sprint(i / 4), "role": "replica", "kind": "padrao-4"},
+		}
 	}
 	put := func(ids []int, weight int) {
 		by := map[string][]consulserver.Instance{}
@@ -167,7 +173,15 @@
 	was, goroutines := heap(), runtime.NumGoroutine()
 	m := endpoints.New(l, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: reconcile.Defaults(endpoints.SourceConsul)}, k, &discovery.List{})
 	m.InitialList()
-	opt := consul.Options{Name: endpoints.SourceConsul, Agents: []string{a.Address}, WaitMs: 20000, MaxStaleMs: 10000, MaxResponseBytes: 64 << 20, Mapping: consul.DefaultMapping(), Seed: 1}
+	opt := consul.Options{
+		Name:             endpoints.SourceConsul,
+		Agents:           []string{a.Address},
+		WaitMs:           20000,
+		MaxStaleMs:       10000,
+		MaxResponseBytes: 64 << 20,
+		Mapping:          consul.DefaultMapping(),
+		Seed:             1,
+	}
 	for i := range services {
 		opt.Services = append(opt.Services, name(i))
 	}
--- a/internal/testkit/incident/chains.go
+++ b/internal/testkit/incident/chains.go
@@ -114,7 +114,13 @@
 	m.cell(q.class, q.receivedAt).unknown++
 	m.unknowns++
 	if len(m.unknown) < maxUnknown {
-		m.unknown = append(m.unknown, Unknown{At: q.receivedAt, Pooler: x.Pooler, Class: q.class.Name, Group: q.group.id, ID: fmt.Sprintf("%016x", q.id)})
+		m.unknown = append(m.unknown, Unknown{
+			At:     q.receivedAt,
+			Pooler: x.Pooler,
+			Class:  q.class.Name,
+			Group:  q.group.id,
+			ID:     fmt.Sprintf("%016x", q.id),
+		})
 	}
 	q.chain.openRequests--
 	q.chain.resultBits |= q.resultBits
--- a/internal/testkit/incident/groups.go
+++ b/internal/testkit/incident/groups.go
@@ -64,7 +64,16 @@
 }
 
 func (g *group) closeGap(m *Model, s *server, at float64) {
-	x := &gap{Gap: Gap{Group: g.id, From: g.lastWriteAt, To: at, FirstFailed: g.firstUnservedAt, Old: g.lastWriter, New: s.Name, Unserved: g.unservedWrites, ListWrongMs: -1},
+	x := &gap{Gap: Gap{
+		Group:       g.id,
+		From:        g.lastWriteAt,
+		To:          at,
+		FirstFailed: g.firstUnservedAt,
+		Old:         g.lastWriter,
+		New:         s.Name,
+		Unserved:    g.unservedWrites,
+		ListWrongMs: -1,
+	},
 		listedAt: map[string]float64{}}
 	for _, r := range m.runs {
 		if l := r.entries[s.Name]; l != nil && l.primary {
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -46,21 +46,45 @@
 // ask tells of a request and, where final says so, of its one attempt and its answer.
 func (s *story) ask(at float64, class int32, key uint64, repeat bool, server string, res decide.Result, took float64, final recordpb.Final) uint64 {
 	s.no++
-	s.tell(at, record.Event{Kind: recordpb.Kind_KIND_REQUEST, Request: s.no, Class: class, Session: key, ID: s.no, RemainingMs: 2000, Repeat: repeat})
+	s.tell(at, record.Event{
+		Kind:        recordpb.Kind_KIND_REQUEST,
+		Request:     s.no,
+		Class:       class,
+		Session:     key,
+		ID:          s.no,
+		RemainingMs: 2000,
+		Repeat:      repeat,
+	})
 	reason := record.ReasonNotSent
 	if server != "" {
 		role := decide.RoleUnknown
 		if res == decide.OK && class == 1 {
 			role = decide.RolePrimary
 		}
-		s.tell(at+took, record.Event{Kind: recordpb.Kind_KIND_ATTEMPT, Request: s.no, Class: class, Server: server, Result: uint8(res), DurationMs: took, Role: uint8(role)})
+		s.tell(at+took, record.Event{
+			Kind:       recordpb.Kind_KIND_ATTEMPT,
+			Request:    s.no,
+			Class:      class,
+			Server:     server,
+			Result:     uint8(res),
+			DurationMs: took,
+			Role:       uint8(role),
+		})
 		reason = record.ReasonEnded + record.Reason(res)
 	}
 	if final != recordpb.Final_FINAL_NONE {
 		if final == recordpb.Final_FINAL_SERVED {
 			reason = record.ReasonNone
 		}
-		s.tell(at+took, record.Event{Kind: recordpb.Kind_KIND_ANSWER, Request: s.no, Class: class, Final: final, Reason: reason, DurationMs: took, Attempt: 1})
+		s.tell(at+took, record.Event{
+			Kind:       recordpb.Kind_KIND_ANSWER,
+			Request:    s.no,
+			Class:      class,
+			Final:      final,
+			Reason:     reason,
+			DurationMs: took,
+			Attempt:    1,
+		})
 	}
 	return s.no
 }
@@ -108,7 +132,13 @@
 func TestTakeover(t *testing.T) {
 	s := newStory("a")
 	entry := func(at float64, server string, primary bool, state decide.ServerState, started float64) {
-		s.tell(at, record.Event{Kind: recordpb.Kind_KIND_ENTRY, Server: server, Primary: primary, State: uint8(state), Number: int64(started)})
+		s.tell(at, record.Event{
+			Kind:    recordpb.Kind_KIND_ENTRY,
+			Server:  server,
+			Primary: primary,
+			State:   uint8(state),
+			Number:  int64(started),
+		})
 	}
 	entry(0, "s-1", true, decide.Serving, 0)
 	entry(0, "s-2", false, decide.Serving, 0)
--- a/internal/testkit/incident/model.go
+++ b/internal/testkit/incident/model.go
@@ -124,8 +124,18 @@
 
 // New makes an empty model.
 func New() *Model {
-	return &Model{runs: map[*records.Run]*run{}, poolers: map[string]*pooler{}, byName: map[string]*class{}, groups: map[int64]*group{},
-		servers: map[string]*server{}, pools: map[string]*pool{}, chains: map[chainKey][]*retryChain{}, width: firstCellMs, byKind: map[string]int{}, causes: map[string]*Cause{}}
+	return &Model{
+		runs:    map[*records.Run]*run{},
+		poolers: map[string]*pooler{},
+		byName:  map[string]*class{},
+		groups:  map[int64]*group{},
+		servers: map[string]*server{},
+		pools:   map[string]*pool{},
+		chains:  map[chainKey][]*retryChain{},
+		width:   firstCellMs,
+		byKind:  map[string]int{},
+		causes:  map[string]*Cause{},
+	}
 }
 
 // Begin is records.Sink's.
@@ -265,7 +275,12 @@
 	case recordpb.Kind_KIND_STOP:
 		m.addFinding(Finding{At: e.At, Kind: "stop", Pooler: r.Pooler, Text: "stopped in order"})
 	case recordpb.Kind_KIND_RELOAD:
-		m.addFinding(Finding{At: e.At, Kind: "reload", Pooler: r.Pooler, Text: "read its configuration again; changed: " + cmp.Or(e.Text, "nothing")})
+		m.addFinding(Finding{
+			At:     e.At,
+			Kind:   "reload",
+			Pooler: r.Pooler,
+			Text:   "read its configuration again; changed: " + cmp.Or(e.Text, "nothing"),
+		})
 	case recordpb.Kind_KIND_RECOVERED:
 		m.onStoreRecovery(r.Pooler, e)
 	case recordpb.Kind_KIND_PEER:
--- a/internal/testkit/incident/pools_test.go
+++ b/internal/testkit/incident/pools_test.go
@@ -21,14 +21,26 @@
 		s.tell(at, e)
 	}
 	gauge := func(at float64, used, waiting int32) {
-		s.tell(at, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: name, PoolState: record.PoolState{Clients: 40, Used: used, Waiting: waiting, MaxConnections: 2}})
+		s.tell(at, record.Event{
+			Kind:      recordpb.Kind_KIND_POOL,
+			Pool:      name,
+			PoolState: record.PoolState{Clients: 40, Used: used, Waiting: waiting, MaxConnections: 2},
+		})
 	}
 	for i := range 40 {
 		s.tell(float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: name, Session: uint64(i + 1)})
 	}
 	gauge(100, 1, 0)
 	hand(200, record.Event{Assignment: record.AssignmentGranted, Server: "s-1", Session: 1, DurationMs: 3})
-	hand(300, record.Event{Assignment: record.AssignmentGranted, Server: "s-2", Session: 1, DurationMs: 70, FromOtherClient: true, ServerChanged: true, SettingsRestored: true})
+	hand(300, record.Event{
+		Assignment:       record.AssignmentGranted,
+		Server:           "s-2",
+		Session:          1,
+		DurationMs:       70,
+		FromOtherClient:  true,
+		ServerChanged:    true,
+		SettingsRestored: true,
+	})
 	for at := 1000.0; at <= 4000; at += 1000 { // all in use, and somebody waits
 		gauge(at, 2, 7)
 	}
@@ -43,8 +55,25 @@
 	s.tell(9000, record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: 40}) // the client's own will
 	s.Finish()
 	v := s.View()
-	want := []PoolView{{Name: name, Sessions: 40, Ended: 26, Ends: map[string]uint64{"57P01": 25}, Hands: 2, Changed: 1, Moved: 1, Carried: 1, Refused: 3, Again: 1,
-		WaitMost: 70, WaitMostAt: t0 + 300, MostClients: 40, MostUsed: 2, MostWaiting: 7, Connections: 2, Cramped: []Stretch{{t0 + 1000, t0 + 5000}}}}
+	want := []PoolView{{
+		Name:        name,
+		Sessions:    40,
+		Ended:       26,
+		Ends:        map[string]uint64{"57P01": 25},
+		Hands:       2,
+		Changed:     1,
+		Moved:       1,
+		Carried:     1,
+		Refused:     3,
+		Again:       1,
+		WaitMost:    70,
+		WaitMostAt:  t0 + 300,
+		MostClients: 40,
+		MostUsed:    2,
+		MostWaiting: 7,
+		Connections: 2,
+		Cramped:     []Stretch{{t0 + 1000, t0 + 5000}},
+	}}
 	if diff := cmp.Diff(want, v.Pools, cmpopts.IgnoreFields(PoolView{}, "WaitP50", "WaitP99")); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/testkit/incident/recovered.go
+++ b/internal/testkit/incident/recovered.go
@@ -33,6 +33,15 @@
 	}
 	m.addFinding(Finding{At: e.At, Kind: "recovered", Pooler: pooler, Text: text})
 	if len(m.recoveries) < maxRecoveries {
-		m.recoveries = append(m.recoveries, Recovery{At: e.At, Pooler: pooler, Store: f.Store, Records: f.Records, Segments: f.Segments, Dropped: f.Dropped, TookMs: e.DurationMs, Why: e.Text})
+		m.recoveries = append(m.recoveries, Recovery{
+			At:       e.At,
+			Pooler:   pooler,
+			Store:    f.Store,
+			Records:  f.Records,
+			Segments: f.Segments,
+			Dropped:  f.Dropped,
+			TookMs:   e.DurationMs,
+			Why:      e.Text,
+		})
 	}
 }
--- a/internal/testkit/incident/servers.go
+++ b/internal/testkit/incident/servers.go
@@ -139,7 +139,14 @@
 	}
 	if r := decide.Role(e.Role); r != decide.RoleUnknown && reportedAt >= s.roleAt {
 		if r != s.role && s.role != decide.RoleUnknown {
-			m.addFinding(Finding{At: e.At, Kind: "role", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Text: "answers as " + roleName(r) + " now"})
+			m.addFinding(Finding{
+				At:     e.At,
+				Kind:   "role",
+				Server: s.Name,
+				Group:  s.Group,
+				Pooler: x.Pooler,
+				Text:   "answers as " + roleName(r) + " now",
+			})
 		}
 		if r == decide.RolePrimary && s.role != r {
 			s.Primary = append(s.Primary, Stretch{From: e.At})
@@ -282,12 +289,26 @@
 			server.draining = true
 			server.Drains = append(server.Drains, Stretch{From: e.At})
 			server.Drains = server.Drains[max(0, len(server.Drains)-maxSpans):]
-			m.addFinding(Finding{At: e.At, Kind: "drain", Server: server.Name, Group: server.Group, Pooler: x.Pooler, Text: "drains, as the list has it"})
+			m.addFinding(Finding{
+				At:     e.At,
+				Kind:   "drain",
+				Server: server.Name,
+				Group:  server.Group,
+				Pooler: x.Pooler,
+				Text:   "drains, as the list has it",
+			})
 		}
 	case decide.Removed:
 		delete(x.entries, e.Server)
 		if !server.removed {
-			m.addFinding(Finding{At: e.At, Kind: "gone", Server: server.Name, Group: server.Group, Pooler: x.Pooler, Text: "has left the list"})
+			m.addFinding(Finding{
+				At:     e.At,
+				Kind:   "gone",
+				Server: server.Name,
+				Group:  server.Group,
+				Pooler: x.Pooler,
+				Text:   "has left the list",
+			})
 		}
 		server.removed = true
 		server.endDraining(e.At)
@@ -317,7 +338,14 @@
 		return
 	}
 	if over := e.At - e.DurationMs - entry.drainingSinceMs - float64(x.Header.GraceUs)/1000; over > 0 {
-		m.addFinding(Finding{At: e.At - e.DurationMs, Kind: "sent after drain", Server: s.Name, Group: s.Group, Pooler: x.Pooler, Grave: true,
-			Text: fmt.Sprintf("an attempt began %s after the grace had passed", Span(over))})
+		m.addFinding(Finding{
+			At:     e.At - e.DurationMs,
+			Kind:   "sent after drain",
+			Server: s.Name,
+			Group:  s.Group,
+			Pooler: x.Pooler,
+			Grave:  true,
+			Text:   fmt.Sprintf("an attempt began %s after the grace had passed", Span(over)),
+		})
 	}
 }
--- a/internal/testkit/incident/view.go
+++ b/internal/testkit/incident/view.go
@@ -401,8 +401,16 @@
 	}
 	v.Series = Series{From: m.from, WidthMs: m.width, Servers: map[string]ServerSeries{}}
 	for _, c := range m.classes {
-		x := ClassSeries{Name: c.Name, Asked: make([]float32, n), Got: make([]float32, n), Served: make([]uint32, n), Refused: make([]uint32, n),
-			Failed: make([]uint32, n), Repeats: make([]uint32, n), Unknown: make([]uint32, n)}
+		x := ClassSeries{
+			Name:    c.Name,
+			Asked:   make([]float32, n),
+			Got:     make([]float32, n),
+			Served:  make([]uint32, n),
+			Refused: make([]uint32, n),
+			Failed:  make([]uint32, n),
+			Repeats: make([]uint32, n),
+			Unknown: make([]uint32, n),
+		}
 		for i, k := range m.cells[c.index] {
 			x.Asked[i], x.Got[i], x.Served[i], x.Refused[i] = k.asked, k.got, k.served, k.refused
 			x.Failed[i], x.Repeats[i], x.Unknown[i] = k.failed, k.repeats, k.unknown
--- a/internal/testkit/incident/zones.go
+++ b/internal/testkit/incident/zones.go
@@ -148,7 +148,13 @@
 	if !z.seen {
 		return nil
 	}
-	v := &ZonesView{Plans: z.newest, States: slices.Clone(z.states), Goes: slices.Clone(z.goes), Crossed: slices.Clone(z.crossed), More: z.more}
+	v := &ZonesView{
+		Plans:   z.newest,
+		States:  slices.Clone(z.states),
+		Goes:    slices.Clone(z.goes),
+		Crossed: slices.Clone(z.crossed),
+		More:    z.more,
+	}
 	slices.SortStableFunc(v.States, func(a, b ZoneState) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.From, b.From)) })
 	slices.SortStableFunc(v.Goes, func(a, b ZoneGoes) int { return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.From, b.From)) })
 	slices.SortStableFunc(v.Crossed, func(a, b Crossed) int { return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.From, b.From)) })
--- a/internal/testkit/incident/zones_test.go
+++ b/internal/testkit/incident/zones_test.go
@@ -24,8 +24,24 @@
 	}{
 		{"p", 1, admin.Note{Why: "none", Zone: "a", Near: "a", Zones: names, Sent: []uint64{3, 0}}},
 		{"p", 2, admin.Note{Plan: 7, Why: "plan", Zone: "a", Near: "a", Zones: names, States: []string{"serving", "serving"}}},
-		{"p", 3, admin.Note{Plan: 9, Why: "plan", Zone: "a", Near: "b", Zones: names, States: []string{"evacuated", "serving"}, Sent: []uint64{1, 4}}},
-		{"q", 4, admin.Note{Plan: 7, Why: "plan", Zone: "b", Near: "b", Zones: names, States: []string{"serving", "serving"}, Sent: []uint64{0, 2}}},
+		{"p", 3, admin.Note{
+			Plan:   9,
+			Why:    "plan",
+			Zone:   "a",
+			Near:   "b",
+			Zones:  names,
+			States: []string{"evacuated", "serving"},
+			Sent:   []uint64{1, 4},
+		}},
+		{"q", 4, admin.Note{
+			Plan:   7,
+			Why:    "plan",
+			Zone:   "b",
+			Near:   "b",
+			Zones:  names,
+			States: []string{"serving", "serving"},
+			Sent:   []uint64{0, 2},
+		}},
 		{"q", 5, admin.Note{Plan: 9, Why: "fallback", Zone: "b", Near: "b", Zones: names, States: []string{"evacuated", "serving"}}},
 	} {
 		z.event(e.by, &record.Event{At: e.at, Text: e.n.Text()})
--- a/internal/testkit/lab/compare.go
+++ b/internal/testkit/lab/compare.go
@@ -96,7 +96,14 @@
 		if len(diff) == 0 {
 			return nil, fmt.Errorf("%q and %q: %w", baseName, variantName, ErrPairs)
 		}
-		e := Effect{Metric: m.Name, Base: stat.Mean(a, nil), Variant: stat.Mean(b, nil), Mean: stat.Mean(diff, nil), Pairs: len(diff), Unpaired: unpaired}
+		e := Effect{
+			Metric:   m.Name,
+			Base:     stat.Mean(a, nil),
+			Variant:  stat.Mean(b, nil),
+			Mean:     stat.Mean(diff, nil),
+			Pairs:    len(diff),
+			Unpaired: unpaired,
+		}
 		if e.Verdict = "no difference seen"; len(diff) > 1 { // one pair shows nothing
 			e.Low, e.High = interval(diff)
 			e.Verdict = verdict(e, m.Less)
--- a/internal/testkit/lab/lab_test.go
+++ b/internal/testkit/lab/lab_test.go
@@ -151,7 +151,12 @@
 	for name, c := range map[string]struct {
 		variant []float64
 		want    string
-	}{"always a little more": {up, "better"}, "now more, now less": {both, "no difference seen"}, "the same": {noise, "no difference seen"}, "one pair": {up[:1], "no difference seen"}} {
+	}{
+		"always a little more": {up, "better"},
+		"now more, now less":   {both, "no difference seen"},
+		"the same":             {noise, "no difference seen"},
+		"one pair":             {up[:1], "no difference seen"},
+	} {
 		x, err := Compare("a", "b", lines("a", noise...), lines("b", c.variant...))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testkit/lab/report.go
+++ b/internal/testkit/lab/report.go
@@ -139,7 +139,13 @@
 	at := 0.0
 	for i, name := range []string{"refused", "failed", "late", "no answer", "broken", "unmade"} {
 		if sum[name] > 0 && asked > 0 {
-			row.Parts = append(row.Parts, lostPart{Name: name, Part: sum[name] / asked, X: at, W: 300 * sum[name] / asked, Color: colors[i%len(colors)]})
+			row.Parts = append(row.Parts, lostPart{
+				Name:  name,
+				Part:  sum[name] / asked,
+				X:     at,
+				W:     300 * sum[name] / asked,
+				Color: colors[i%len(colors)],
+			})
 			at += 300 * sum[name] / asked
 		}
 	}
--- a/internal/testkit/lab/run.go
+++ b/internal/testkit/lab/run.go
@@ -60,10 +60,30 @@
 
 // LineOf sums a run up.
 func LineOf(c *Cell, r *simulation.Result) Line {
-	l := Line{Cell: c.Key(), Labels: c.Labels, Seed: r.Seed, Hash: r.Hash, Goal: r.Score.Goal, Service: r.Score.Ratio, Worst: r.Score.Worst, Least: 1,
-		Broken: r.Verdict.Broken, Asked: r.Received, Tries: r.ClientAttempts, Attempts: r.Attempts, Probes: r.HealthChecks, Refused: r.Score.Total.Refused, Failed: r.Score.Total.Failed,
-		Events: r.Events, P50: r.P50, P99: r.P99, Lost: r.LostWeight, Worth: r.Score.Total.WorthAsked,
-		Pages: r.Pages, Funds: r.Funds}
+	l := Line{
+		Cell:     c.Key(),
+		Labels:   c.Labels,
+		Seed:     r.Seed,
+		Hash:     r.Hash,
+		Goal:     r.Score.Goal,
+		Service:  r.Score.Ratio,
+		Worst:    r.Score.Worst,
+		Least:    1,
+		Broken:   r.Verdict.Broken,
+		Asked:    r.Received,
+		Tries:    r.ClientAttempts,
+		Attempts: r.Attempts,
+		Probes:   r.HealthChecks,
+		Refused:  r.Score.Total.Refused,
+		Failed:   r.Score.Total.Failed,
+		Events:   r.Events,
+		P50:      r.P50,
+		P99:      r.P99,
+		Lost:     r.LostWeight,
+		Worth:    r.Score.Total.WorthAsked,
+		Pages:    r.Pages,
+		Funds:    r.Funds,
+	}
 	for _, x := range r.Score.Classes {
 		l.Least = min(l.Least, x.Ratio)
 	}
--- a/internal/testkit/load/load_test.go
+++ b/internal/testkit/load/load_test.go
@@ -27,7 +27,16 @@
 
 // TestPattern guards against shots that are not as their pattern says, or not the same again.
 func TestPattern(t *testing.T) {
-	p := Pattern{Shape: Poisson, From: 100, To: 300, Seconds: 20, Groups: 3, Sessions: 7, Seed: 5, Mix: []Mix{{"r", 0.75, false}, {"w", 0.25, true}}}
+	p := Pattern{
+		Shape:    Poisson,
+		From:     100,
+		To:       300,
+		Seconds:  20,
+		Groups:   3,
+		Sessions: 7,
+		Seed:     5,
+		Mix:      []Mix{{"r", 0.75, false}, {"w", 0.25, true}},
+	}
 	a := drain(p.Source())
 	if diff := cmp.Diff(a, drain(p.Source())); diff != "" {
 		t.Error(diff)
@@ -129,7 +138,11 @@
 		}
 	}))
 	h := &House{URL: s.URL, Read: "SELECT '?'", Write: "INSERT '?'", TimeoutMs: 20000}
-	got := []Ending{h.Fire(context.Background(), Shot{Class: "c", Session: 1}), h.Fire(context.Background(), Shot{Class: "c", Session: 3, Writes: true}), h.Fire(context.Background(), Shot{Class: "c", Session: 4, Writes: true})}
+	got := []Ending{h.Fire(context.Background(), Shot{Class: "c", Session: 1}), h.Fire(context.Background(), Shot{
+		Class:   "c",
+		Session: 3,
+		Writes:  true,
+	}), h.Fire(context.Background(), Shot{Class: "c", Session: 4, Writes: true})}
 	h.Close()
 	s.Close()
 	got = append(got, h.Fire(context.Background(), Shot{Class: "c"}))
--- a/internal/testkit/load/replay.go
+++ b/internal/testkit/load/replay.go
@@ -47,7 +47,13 @@
 		r.from = e.At
 	}
 	c := run.Header.Classes[e.Class]
-	r.shots = append(r.shots, Shot{AtMs: max(0, e.At-r.from) / r.speed, Class: c.Name, Group: int(e.Group), Session: e.Session, Writes: c.Read == "write"})
+	r.shots = append(r.shots, Shot{
+		AtMs:    max(0, e.At-r.from) / r.speed,
+		Class:   c.Name,
+		Group:   int(e.Group),
+		Session: e.Session,
+		Writes:  c.Read == "write",
+	})
 }
 
 // Replay is a source of what was asked on a recorded day, so many times as fast.
--- a/internal/testkit/records/records_test.go
+++ b/internal/testkit/records/records_test.go
@@ -41,15 +41,39 @@
 func writeSmallSegment(t testing.TB, pack bool) (path string, b []byte) {
 	t.Helper()
 	dir := t.TempDir()
-	opt := record.Options{Pooler: "n1", Program: "t", RunStartMs: 1.7e12, Classes: fake.Classes(), Files: record.Dir(dir), SegmentBytes: 1 << 20,
-		TotalBytes: 1 << 30, QueueLength: 8, Compress: pack, Log: slog.New(slog.DiscardHandler)}
+	opt := record.Options{
+		Pooler:       "n1",
+		Program:      "t",
+		RunStartMs:   1.7e12,
+		Classes:      fake.Classes(),
+		Files:        record.Dir(dir),
+		SegmentBytes: 1 << 20,
+		TotalBytes:   1 << 30,
+		QueueLength:  8,
+		Compress:     pack,
+		Log:          slog.New(slog.DiscardHandler),
+	}
 	record.Write(opt, func(put func(*record.Event)) {
 		put(&record.Event{At: 1.7e12, Kind: recordpb.Kind_KIND_START})
 		put(&record.Event{At: 1.7e12, Kind: recordpb.Kind_KIND_ENTRY, Server: "s-1", Primary: true, Text: "127.0.0.1:1"})
 		for i := range 24 { // in several frames
 			at := 1.7e12 + float64(i)
-			put(&record.Event{At: at, Kind: recordpb.Kind_KIND_REQUEST, Request: uint64(i + 1), Session: 1 << 60, ID: uint64(i) << 50, RemainingMs: 200})
-			put(&record.Event{At: at, Kind: recordpb.Kind_KIND_ATTEMPT, Request: uint64(i + 1), Server: "s-" + string(rune('1'+i%3)), Position: at - 3, DurationMs: 2})
+			put(&record.Event{
+				At:          at,
+				Kind:        recordpb.Kind_KIND_REQUEST,
+				Request:     uint64(i + 1),
+				Session:     1 << 60,
+				ID:          uint64(i) << 50,
+				RemainingMs: 200,
+			})
+			put(&record.Event{
+				At:         at,
+				Kind:       recordpb.Kind_KIND_ATTEMPT,
+				Request:    uint64(i + 1),
+				Server:     "s-" + string(rune('1'+i%3)),
+				Position:   at - 3,
+				DurationMs: 2,
+			})
 		}
 		put(&record.Event{At: 1.7e12 + 24, Kind: recordpb.Kind_KIND_STOP})
 	})
--- a/internal/testkit/records/stream.go
+++ b/internal/testkit/records/stream.go
@@ -103,7 +103,12 @@
 		return false
 	}
 	if seg.number == st.lastSegment {
-		sink.Fault(Fault{Kind: Duplicate, Pooler: st.run.Pooler, File: seg.path, Text: fmt.Sprintf("segment %d is here a second time; this copy is not read", seg.number)})
+		sink.Fault(Fault{
+			Kind:   Duplicate,
+			Pooler: st.run.Pooler,
+			File:   seg.path,
+			Text:   fmt.Sprintf("segment %d is here a second time; this copy is not read", seg.number),
+		})
 		st.segmentIndex++
 		return false
 	}
@@ -149,7 +154,14 @@
 
 // reportFault tells that the segment cannot be read further. What is missing ends with the next one's start.
 func (st *stream) reportFault(sink Sink, err error) {
-	f := Fault{Kind: faultKind(err), Pooler: st.run.Pooler, File: st.run.segments[st.segmentIndex].path, Offset: st.frames.Offset(), From: st.nextAt, Text: err.Error()}
+	f := Fault{
+		Kind:   faultKind(err),
+		Pooler: st.run.Pooler,
+		File:   st.run.segments[st.segmentIndex].path,
+		Offset: st.frames.Offset(),
+		From:   st.nextAt,
+		Text:   err.Error(),
+	}
 	if errors.Is(err, io.EOF) {
 		f.Kind, f.Text = Unclosed, "ends without its closing frame"
 	}
@@ -198,8 +210,15 @@
 		return fmt.Errorf("%w: %w", record.ErrCorrupt, err)
 	}
 	if st.lastBatch != 0 && st.batch.Number != st.lastBatch+1 {
-		sink.Fault(Fault{Kind: Missing, Pooler: st.run.Pooler, File: st.run.segments[st.segmentIndex].path, Offset: st.frames.Offset(),
-			From: st.nextAt, To: milliseconds(st.batch.BaseUs), Text: fmt.Sprintf("batch %d follows batch %d", st.batch.Number, st.lastBatch)})
+		sink.Fault(Fault{
+			Kind:   Missing,
+			Pooler: st.run.Pooler,
+			File:   st.run.segments[st.segmentIndex].path,
+			Offset: st.frames.Offset(),
+			From:   st.nextAt,
+			To:     milliseconds(st.batch.BaseUs),
+			Text:   fmt.Sprintf("batch %d follows batch %d", st.batch.Number, st.lastBatch),
+		})
 	}
 	st.lastBatch = st.batch.Number
 	st.names = append(st.names, st.batch.Names...)
@@ -220,10 +239,28 @@
 }
 
 func (st *stream) decodeEvent(e *record.Event, x *recordpb.Event, at int64) error {
-	*e = record.Event{At: milliseconds(at), Kind: x.Kind, Final: x.Final, Result: uint8(x.Result), Role: uint8(x.Role), Repeat: x.Repeat,
-		Full: x.Whole, Class: int32(x.Class), Attempt: int32(x.Attempt), Group: x.Group, Request: x.Request,
-		Session: x.Session, ID: x.Id, DurationMs: milliseconds(int64(x.TookUs)), RemainingMs: milliseconds(int64(x.LeftUs)), WaitMs: milliseconds(int64(x.WaitUs)),
-		Reason: record.Reason(x.Reason), Number: x.Number, Text: x.Text, Health: uint8(x.Health)}
+	*e = record.Event{
+		At:          milliseconds(at),
+		Kind:        x.Kind,
+		Final:       x.Final,
+		Result:      uint8(x.Result),
+		Role:        uint8(x.Role),
+		Repeat:      x.Repeat,
+		Full:        x.Whole,
+		Class:       int32(x.Class),
+		Attempt:     int32(x.Attempt),
+		Group:       x.Group,
+		Request:     x.Request,
+		Session:     x.Session,
+		ID:          x.Id,
+		DurationMs:  milliseconds(int64(x.TookUs)),
+		RemainingMs: milliseconds(int64(x.LeftUs)),
+		WaitMs:      milliseconds(int64(x.WaitUs)),
+		Reason:      record.Reason(x.Reason),
+		Number:      x.Number,
+		Text:        x.Text,
+		Health:      uint8(x.Health),
+	}
 	for _, n := range []struct {
 		to     *string
 		number uint32
--- a/internal/testkit/rehearse/consul.go
+++ b/internal/testkit/rehearse/consul.go
@@ -46,8 +46,14 @@
 	default:
 		l := consulserver.Fault{}
 		if on {
-			l = map[string]consulserver.Fault{"down": {Status: 500}, "hang": {Hang: true}, "frozen": {Frozen: true, LastContact: time.Hour},
-				"leaderless": {Frozen: true, Leaderless: true, LastContact: time.Hour}, "cut": {Truncated: true}, "empty": {Empty: true}}[f.Target.Word]
+			l = map[string]consulserver.Fault{
+				"down":       {Status: 500},
+				"hang":       {Hang: true},
+				"frozen":     {Frozen: true, LastContact: time.Hour},
+				"leaderless": {Frozen: true, Leaderless: true, LastContact: time.Hour},
+				"cut":        {Truncated: true},
+				"empty":      {Empty: true},
+			}[f.Target.Word]
 		}
 		r.agents[f.Target.Group].SetFault(l)
 	}
--- a/internal/testkit/rehearse/house.go
+++ b/internal/testkit/rehearse/house.go
@@ -97,8 +97,13 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Run{script: script, opt: Options{Seed: 1, Out: options.Out, Daemon: options.Daemon, Log: options.Log}, clk: clock.System(), sockets: 2*options.Idle + 4096,
-		operators: fmt.Sprintf("(clickhouse (listen %q) (group 9) (deadline 600s) (upload 600s))\n(membership (static %q))\n", at, list)}
+	r := &Run{
+		script:    script,
+		opt:       Options{Seed: 1, Out: options.Out, Daemon: options.Daemon, Log: options.Log},
+		clk:       clock.System(),
+		sockets:   2*options.Idle + 4096,
+		operators: fmt.Sprintf("(clickhouse (listen %q) (group 9) (deadline 600s) (upload 600s))\n(membership (static %q))\n", at, list),
+	}
 	r.fleet = database.New(script.Fleet, r.clk, options.Log)
 	defer r.fleet.Close()
 	if err := r.fleet.Start(); err != nil {
@@ -115,7 +120,11 @@
 		return nil, err
 	}
 	defer stop()
-	paths := []*measuredPath{{ClickHouseResult: ClickHouseResult{Path: "direct"}, addr: s.Addr}, {ClickHouseResult: ClickHouseResult{Path: "pooler"}, addr: at, pid: p.cmd.Process.Pid}, proxy}
+	paths := []*measuredPath{{ClickHouseResult: ClickHouseResult{Path: "direct"}, addr: s.Addr}, {
+		ClickHouseResult: ClickHouseResult{Path: "pooler"},
+		addr:             at,
+		pid:              p.cmd.Process.Pid,
+	}, proxy}
 	for began, c := time.Now(), clickhouseClient(); time.Since(began) < warmUp; { // a server that is new in the list counts as cold
 		_ = smallQuery(c, at)
 	}
@@ -165,7 +174,11 @@
 		stop()
 		return nil, nil, fmt.Errorf("the reverse proxy did not start: %w", err)
 	}
-	return &measuredPath{ClickHouseResult: ClickHouseResult{Path: "reverse proxy"}, addr: strings.TrimSpace(addr), pid: cmd.Process.Pid}, stop, nil
+	return &measuredPath{
+		ClickHouseResult: ClickHouseResult{Path: "reverse proxy"},
+		addr:             strings.TrimSpace(addr),
+		pid:              cmd.Process.Pid,
+	}, stop, nil
 }
 
 func clickhouseClient() *http.Client {
--- a/internal/testkit/rehearse/invariants.go
+++ b/internal/testkit/rehearse/invariants.go
@@ -39,7 +39,12 @@
 	for lines.Scan() {
 		if m := brokenLine.FindStringSubmatch(lines.Text()); m != nil {
 			v.Broken[checker.Invariant]++
-			v.Breaches = append(v.Breaches, checker.Breach{Rule: checker.Invariant, At: at, Server: -1, Text: p.name + ": " + m[1] + ": " + m[2]})
+			v.Breaches = append(v.Breaches, checker.Breach{
+				Rule:   checker.Invariant,
+				At:     at,
+				Server: -1,
+				Text:   p.name + ": " + m[1] + ": " + m[2],
+			})
 		}
 		if m := madeLine.FindStringSubmatch(lines.Text()); m != nil {
 			n, _ := strconv.ParseUint(m[1], 10, 64) // digits, as the expression has it
--- a/internal/testkit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -94,8 +94,12 @@
 		if !ok {
 			return
 		}
-		f.kind[id] = map[recordpb.Final]clients.Kind{recordpb.Final_FINAL_SERVED: clients.Served, recordpb.Final_FINAL_REFUSED: clients.Refused,
-			recordpb.Final_FINAL_FAILED: clients.Failed, recordpb.Final_FINAL_GONE: "gone"}[e.Final]
+		f.kind[id] = map[recordpb.Final]clients.Kind{
+			recordpb.Final_FINAL_SERVED:  clients.Served,
+			recordpb.Final_FINAL_REFUSED: clients.Refused,
+			recordpb.Final_FINAL_FAILED:  clients.Failed,
+			recordpb.Final_FINAL_GONE:    "gone",
+		}[e.Final]
 	case recordpb.Kind_KIND_LOST:
 		f.missing = append(f.missing, missingSpan{r.Pooler, e.LostFrom, e.LostTo})
 	}
@@ -120,7 +124,13 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	f := &finals{Model: incident.New(), ids: map[string]map[uint64]uint64{}, kind: map[uint64]clients.Kind{}, last: map[string]float64{}, pauses: res.Pauses}
+	f := &finals{
+		Model:  incident.New(),
+		ids:    map[string]map[uint64]uint64{},
+		kind:   map[uint64]clients.Kind{},
+		last:   map[string]float64{},
+		pauses: res.Pauses,
+	}
 	if err := set.Read(f); err != nil {
 		return nil, nil, nil, err
 	}
@@ -228,7 +238,11 @@
 		if !known {
 			kind = "not there"
 		}
-		m.Differ = append(m.Differ, Difference{What: fmt.Sprintf("%s try %d, id %s, %s, sent at %.0f", t.Class, t.Number, t.ID, t.Pooler, t.Sent), Records: string(kind), Clients: string(t.Kind)})
+		m.Differ = append(m.Differ, Difference{
+			What:    fmt.Sprintf("%s try %d, id %s, %s, sent at %.0f", t.Class, t.Number, t.ID, t.Pooler, t.Sent),
+			Records: string(kind),
+			Clients: string(t.Kind),
+		})
 	}
 }
 
@@ -265,7 +279,14 @@
 		if c.Asked > 0 {
 			worth = c.WorthAsked / float64(c.Asked)
 		}
-		w := WorthLine{Class: c.Name, Asked: c.WorthAsked, Records: x.WorthGot, Clients: c.WorthGot, Border: x.WorthBorder, Unseen: worth * (float64(u.asks) + again)}
+		w := WorthLine{
+			Class:   c.Name,
+			Asked:   c.WorthAsked,
+			Records: x.WorthGot,
+			Clients: c.WorthGot,
+			Border:  x.WorthBorder,
+			Unseen:  worth * (float64(u.asks) + again),
+		}
 		m.Worth = append(m.Worth, w)
 		over := math.Abs(w.Records-w.Clients) - w.Border - w.Unseen
 		m.WorthDiff = max(m.WorthDiff, over)
--- a/internal/testkit/rehearse/month_pages.go
+++ b/internal/testkit/rehearse/month_pages.go
@@ -36,7 +36,11 @@
 func (x *shared) pagesTable() *report {
 	s := x.run.script
 	r := &report{shared: x, rng: rand.New(rand.NewPCG(x.run.opt.Seed, 41)), live: make([][]int64, len(s.Fleet.Groups))}
-	x.run.fleet.Scatter(&database.Table{Name: "visits", Columns: sortedtable.Table{"id", "place"}, Types: sortedtable.Row{int64(0), int64(0)}})
+	x.run.fleet.Scatter(&database.Table{
+		Name:    "visits",
+		Columns: sortedtable.Table{"id", "place"},
+		Types:   sortedtable.Row{int64(0), int64(0)},
+	})
 	for g := range r.live {
 		for range s.Pages.Rows {
 			r.write(g, true)
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -51,8 +51,14 @@
 		return err
 	}
 	sum := sha256.Sum256([]byte(fmt.Sprint("rehearsal", r.opt.Seed)))
-	f := &peerFleet{run: r, relays: relays, key: cluster.Key(hex.EncodeToString(sum[:])), ids: make([]view.ID, s.Poolers), reported: make([]map[view.ID]view.State, s.Poolers),
-		avoidedBy: map[string]map[int]bool{}}
+	f := &peerFleet{
+		run:       r,
+		relays:    relays,
+		key:       cluster.Key(hex.EncodeToString(sum[:])),
+		ids:       make([]view.ID, s.Poolers),
+		reported:  make([]map[view.ID]view.State, s.Poolers),
+		avoidedBy: map[string]map[int]bool{},
+	}
 	if f.file, err = filepath.Abs(filepath.Join(r.opt.Out, "fleet.key")); err != nil {
 		return err
 	}
@@ -263,7 +269,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.check.Verdict(v)
-	out := &Fleet{Looks: f.calls, Views: simulation.Views{Detected: f.check.DetectionTimes, Settled: f.check.SettleTimes, FalseAccusations: f.check.FalseAccusations, FalseFailures: f.check.FalseFailures}}
+	out := &Fleet{Looks: f.calls, Views: simulation.Views{
+		Detected:         f.check.DetectionTimes,
+		Settled:          f.check.SettleTimes,
+		FalseAccusations: f.check.FalseAccusations,
+		FalseFailures:    f.check.FalseFailures,
+	}}
 	out.Carried, out.Lost = f.relays.Counts()
 	for server, by := range f.avoidedBy { // each on its own
 		if out.Avoided == nil {
--- a/internal/testkit/rehearse/tries.go
+++ b/internal/testkit/rehearse/tries.go
@@ -53,7 +53,17 @@
 		t.Kind = clients.Broken
 	}
 	l.Keeper.Tried(t)
-	line := AttemptLine{ID: t.ID, Class: t.Class.Name, Number: t.No, First: t.First, Sent: t.Sent, Ended: t.Ended, Kind: t.Kind, Late: t.Late, Tenant: t.Tenant}
+	line := AttemptLine{
+		ID:     t.ID,
+		Class:  t.Class.Name,
+		Number: t.No,
+		First:  t.First,
+		Sent:   t.Sent,
+		Ended:  t.Ended,
+		Kind:   t.Kind,
+		Late:   t.Late,
+		Tenant: t.Tenant,
+	}
 	if t.Pooler >= 0 {
 		line.Pooler = l.run.poolers[t.Pooler].name
 	}
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -41,7 +41,16 @@
 }
 
 func newWires(s *scenario.Script) *wires {
-	w := &wires{check: checker.New(rules(s)), classes: map[string]int{}, poolers: s.Poolers, attempts: map[string]int{}, pauses: map[int][2]float64{}, senders: map[string]sender{}, taken: map[string]bool{}, duplicates: map[int]Duplicates{}}
+	w := &wires{
+		check:      checker.New(rules(s)),
+		classes:    map[string]int{},
+		poolers:    s.Poolers,
+		attempts:   map[string]int{},
+		pauses:     map[int][2]float64{},
+		senders:    map[string]sender{},
+		taken:      map[string]bool{},
+		duplicates: map[int]Duplicates{},
+	}
 	for g, n := range s.Fleet.Groups {
 		w.groups = append(w.groups, slices.Repeat([]int{g}, n)...)
 	}
--- a/internal/testkit/report/avoided_test.go
+++ b/internal/testkit/report/avoided_test.go
@@ -14,8 +14,13 @@
 	spell := func(server, by string, word []string, from, to float64) incident.Avoided {
 		return incident.Avoided{Server: server, By: by, Why: "silent", Reporters: word, From: from, To: to}
 	}
-	v := &incident.View{From: 1000, To: 9000, Events: 1, Avoided: []incident.Avoided{spell("db-7", "a", []string{"c", "d"}, 1000, 2000), spell("db-7", "a", []string{"e"}, 3000, 4000),
-		spell("db-7", "b", []string{"c"}, 1100, 5000), spell("db-9", "b", []string{"c"}, 1500, 0)}}
+	v := &incident.View{
+		From:   1000,
+		To:     9000,
+		Events: 1,
+		Avoided: []incident.Avoided{spell("db-7", "a", []string{"c", "d"}, 1000, 2000), spell("db-7", "a", []string{"e"}, 3000, 4000),
+			spell("db-7", "b", []string{"c"}, 1100, 5000), spell("db-9", "b", []string{"c"}, 1500, 0)},
+	}
 	want := []AvoidedRow{{"db-7", "silent", "c, d, e", 2, 3, 1000, 5000}, {"db-9", "silent", "c", 1, 1, 1500, 0}}
 	if diff := cmp.Diff(want, AvoidedRows(v)); diff != "" {
 		t.Error(diff)
--- a/internal/testkit/report/fleet.go
+++ b/internal/testkit/report/fleet.go
@@ -32,8 +32,12 @@
 			to = v.To
 		}
 		l := &out[len(out)-1]
-		l.Bands = append(l.Bands, Band{Class: seenAs[s.State], X: max(0, (s.From-v.From)*scale), W: max(0.5, (to-s.From)*scale),
-			Title: fmt.Sprintf("%s takes %s for %s from %s for %s", Safe(s.By), Safe(s.Of), Safe(s.State), Clock(s.From), incident.Span(to-s.From))})
+		l.Bands = append(l.Bands, Band{
+			Class: seenAs[s.State],
+			X:     max(0, (s.From-v.From)*scale),
+			W:     max(0.5, (to-s.From)*scale),
+			Title: fmt.Sprintf("%s takes %s for %s from %s for %s", Safe(s.By), Safe(s.Of), Safe(s.State), Clock(s.From), incident.Span(to-s.From)),
+		})
 	}
 	return out, more
 }
--- a/internal/testkit/report/limits.go
+++ b/internal/testkit/report/limits.go
@@ -44,8 +44,13 @@
 		}
 		high := limitHigh * h.Amount / max(1e-9, most[h.Limit])
 		l := &out[len(out)-1]
-		l.Bands = append(l.Bands, LimitBand{X: max(0, (h.From-v.From)*scale), W: max(0.5, (to-h.From)*scale), Y: limitHigh - high, H: high,
-			Title: fmt.Sprintf("%s may use %g of %s from %s for %s", Safe(h.By), h.Amount, Safe(h.Limit), Clock(h.From), incident.Span(to-h.From))})
+		l.Bands = append(l.Bands, LimitBand{
+			X:     max(0, (h.From-v.From)*scale),
+			W:     max(0.5, (to-h.From)*scale),
+			Y:     limitHigh - high,
+			H:     high,
+			Title: fmt.Sprintf("%s may use %g of %s from %s for %s", Safe(h.By), h.Amount, Safe(h.Limit), Clock(h.From), incident.Span(to-h.From)),
+		})
 	}
 	return out, more
 }
--- a/internal/testkit/report/limits_test.go
+++ b/internal/testkit/report/limits_test.go
@@ -10,7 +10,17 @@
 
 // TestLimitLanes: a lane for each limit and pooler, as high as the part of the most that any had.
 func TestLimitLanes(t *testing.T) {
-	v := &incident.View{From: 1000, To: 2000, Limits: []incident.LimitShare{{Limit: "x", By: "a", Amount: 5, From: 1000, To: 1500}, {Limit: "x", By: "a", Amount: 10, From: 1500}, {Limit: "y", By: "a", Amount: 0, From: 1000}}}
+	v := &incident.View{
+		From: 1000,
+		To:   2000,
+		Limits: []incident.LimitShare{{
+			Limit:  "x",
+			By:     "a",
+			Amount: 5,
+			From:   1000,
+			To:     1500,
+		}, {Limit: "x", By: "a", Amount: 10, From: 1500}, {Limit: "y", By: "a", Amount: 0, From: 1000}},
+	}
 	lanes, more := LimitLanes(v, 100)
 	type box struct{ X, W, Y, H float64 }
 	var got [][]box
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -27,10 +27,36 @@
 		for i := range max(1, servers/50) {
 			no++
 			now, s := 1.7e12+at, (int(no)+i)%servers
-			m.Event(r, &record.Event{At: now, Kind: recordpb.Kind_KIND_REQUEST, Request: no, Class: 1, Group: int64(s / 4), Session: no, RemainingMs: 200})
-			m.Event(r, &record.Event{At: now, Kind: recordpb.Kind_KIND_ATTEMPT, Request: no, Class: 1, Group: int64(s / 4), Server: name(s), Result: uint8(no % 9),
-				Role: uint8(1 + no%2), Position: now - float64(no%1500), DurationMs: 3})
-			m.Event(r, &record.Event{At: now, Kind: recordpb.Kind_KIND_ANSWER, Request: no, Class: 1, Group: int64(s / 4), Final: recordpb.Final(1 + no%3), DurationMs: 5})
+			m.Event(r, &record.Event{
+				At:          now,
+				Kind:        recordpb.Kind_KIND_REQUEST,
+				Request:     no,
+				Class:       1,
+				Group:       int64(s / 4),
+				Session:     no,
+				RemainingMs: 200,
+			})
+			m.Event(r, &record.Event{
+				At:         now,
+				Kind:       recordpb.Kind_KIND_ATTEMPT,
+				Request:    no,
+				Class:      1,
+				Group:      int64(s / 4),
+				Server:     name(s),
+				Result:     uint8(no % 9),
+				Role:       uint8(1 + no%2),
+				Position:   now - float64(no%1500),
+				DurationMs: 3,
+			})
+			m.Event(r, &record.Event{
+				At:         now,
+				Kind:       recordpb.Kind_KIND_ANSWER,
+				Request:    no,
+				Class:      1,
+				Group:      int64(s / 4),
+				Final:      recordpb.Final(1 + no%3),
+				DurationMs: 5,
+			})
 		}
 	}
 	m.Fault(records.Fault{Kind: records.Torn, Pooler: name(1), File: name(1), Text: name(1)})
--- a/internal/testkit/report/zones.go
+++ b/internal/testkit/report/zones.go
@@ -39,8 +39,14 @@
 		if to == 0 {
 			to = v.To
 		}
-		return ZoneBand{Class: class, X: max(0, (from-v.From)*scale), W: max(0.5, (to-from)*scale), Y: zoneHigh * (1 - high), H: zoneHigh * high,
-			Title: fmt.Sprintf("%s from %s for %s", title, Clock(from), incident.Span(to-from))}
+		return ZoneBand{
+			Class: class,
+			X:     max(0, (from-v.From)*scale),
+			W:     max(0.5, (to-from)*scale),
+			Y:     zoneHigh * (1 - high),
+			H:     zoneHigh * high,
+			Title: fmt.Sprintf("%s from %s for %s", title, Clock(from), incident.Span(to-from)),
+		}
 	}
 	at := func(lanes *[]ZoneLane, name string) *ZoneLane {
 		for i := range *lanes {
--- a/internal/testkit/report/zones_test.go
+++ b/internal/testkit/report/zones_test.go
@@ -12,11 +12,25 @@
 // TestZoneLanes: a lane for each zone's states; one for each pooler, with what crossed as high as its part; the page and the text have them, and nothing
 // of zones where there are none.
 func TestZoneLanes(t *testing.T) {
-	v := &incident.View{From: 1000, To: 2000, Events: 1, Zones: &incident.ZonesView{Plans: 9, Far: 0.25,
-		States:  []incident.ZoneState{{Zone: "a", State: "serving", Plan: 7, From: 1000, To: 1500}, {Zone: "a", State: "evacuated", Plan: 9, From: 1500}, {Zone: "b", State: "serving", Plan: 7, From: 1000}},
-		Goes:    []incident.ZoneGoes{{By: "p", Zone: "a", Near: "b", Why: "plan", Plan: 9, From: 1500}},
-		Crossed: []incident.Crossed{{By: "p", From: 1500, To: 2000, Sent: 8, Far: 2}, {By: "p", From: 1000, To: 1500, Sent: 8}},
-		Sent:    []incident.ZoneSent{{From: "a", To: "b", Sent: 2}}}}
+	v := &incident.View{
+		From:   1000,
+		To:     2000,
+		Events: 1,
+		Zones: &incident.ZonesView{
+			Plans: 9,
+			Far:   0.25,
+			States: []incident.ZoneState{{
+				Zone:  "a",
+				State: "serving",
+				Plan:  7,
+				From:  1000,
+				To:    1500,
+			}, {Zone: "a", State: "evacuated", Plan: 9, From: 1500}, {Zone: "b", State: "serving", Plan: 7, From: 1000}},
+			Goes:    []incident.ZoneGoes{{By: "p", Zone: "a", Near: "b", Why: "plan", Plan: 9, From: 1500}},
+			Crossed: []incident.Crossed{{By: "p", From: 1500, To: 2000, Sent: 8, Far: 2}, {By: "p", From: 1000, To: 1500, Sent: 8}},
+			Sent:    []incident.ZoneSent{{From: "a", To: "b", Sent: 2}},
+		},
+	}
 	states, poolers, more := ZoneLanes(v, 100)
 	type box struct {
 		Class      string
--- a/internal/testkit/score/score_test.go
+++ b/internal/testkit/score/score_test.go
@@ -13,7 +13,15 @@
 	classes := []clients.Class{{Name: "w", Worth: 3, LateWorth: 0.3, Aim: 100}}
 	k := New(1, classes)
 	try := func(no int, kind clients.Kind, first, sent, ended float64, change ...func(*clients.Try)) {
-		x := &clients.Try{Ask: &clients.Ask{Patience: 500}, Class: &classes[0], No: no, First: 1.7e12 + first, Sent: 1.7e12 + sent, Ended: 1.7e12 + ended, Kind: kind}
+		x := &clients.Try{
+			Ask:   &clients.Ask{Patience: 500},
+			Class: &classes[0],
+			No:    no,
+			First: 1.7e12 + first,
+			Sent:  1.7e12 + sent,
+			Ended: 1.7e12 + ended,
+			Kind:  kind,
+		}
 		for _, f := range change {
 			f(x)
 		}
@@ -38,7 +46,21 @@
 	if diff := cmp.Diff([]string{"no stale read", "no invented value", "one final answer", "in time", "one final answer", "in time"}, rules); diff != "" {
 		t.Error(diff)
 	}
-	want := Class{Name: "w", Asked: 10, Tries: 11, Served: 8, Refused: 1, Unanswered: 1, Broken: 1, InTime: 2, Late: 4, WorthAsked: 30, WorthInTime: 6, WorthGot: 9.6, Ratio: 0.32}
+	want := Class{
+		Name:        "w",
+		Asked:       10,
+		Tries:       11,
+		Served:      8,
+		Refused:     1,
+		Unanswered:  1,
+		Broken:      1,
+		InTime:      2,
+		Late:        4,
+		WorthAsked:  30,
+		WorthInTime: 6,
+		WorthGot:    9.6,
+		Ratio:       0.32,
+	}
 	got := s.Classes[0]
 	got.WorthGot, got.Ratio = float64(int(got.WorthGot*1000+0.5))/1000, float64(int(got.Ratio*1e6+0.5))/1e6
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/testkit/sizes/servers.go
+++ b/internal/testkit/sizes/servers.go
@@ -56,8 +56,16 @@
 		if i%groupSize == 0 {
 			role = "primary"
 		}
-		s.list.Instances = append(s.list.Instances, discovery.Instance{ID: fmt.Sprintf("server-%d", i), HostPort: l.Addr().String(), Zone: "room",
-			MachineType: "padrao-4", Cell: i / groupSize, Lifecycle: "up", Weight: float64(usualServers) / float64(servers), Role: role})
+		s.list.Instances = append(s.list.Instances, discovery.Instance{
+			ID:          fmt.Sprintf("server-%d", i),
+			HostPort:    l.Addr().String(),
+			Zone:        "room",
+			MachineType: "padrao-4",
+			Cell:        i / groupSize,
+			Lifecycle:   "up",
+			Weight:      float64(usualServers) / float64(servers),
+			Role:        role,
+		})
 		go s.accept(l, role)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
