--- a/internal/endpoints/consul/parse_test.go
+++ b/internal/endpoints/consul/parse_test.go
@@ -27,7 +27,7 @@
 				t.Errorf("%+v", c)
 			}
 		}
-		if err == nil && len(b) > 1 { // what is cut off is not taken for whole
+		if err == nil && len(b) > 1 { // a list that is cut off is not read
 			text := bytes.TrimSpace(b)
 			if _, err := Parse(bytes.NewReader(text[:len(text)-1]), health); err == nil && text[len(text)-1] == ']' {
 				t.Errorf("cut off, it was taken: %q", text)
--- a/internal/endpoints/consul/silence_test.go
+++ b/internal/endpoints/consul/silence_test.go
@@ -28,13 +28,13 @@
 						if index > 0 {
 							deadline = queriedAt + query.WaitMs + 2000
 							if query.WaitMs > wait || query.TimeoutMs() < query.WaitMs+query.WaitMs/16+500 {
-								t.Fatalf("wait %v: asked for %v, given up after %v", wait, query.WaitMs, query.TimeoutMs())
+								t.Fatalf("wait %v: queried for %v, given up after %v", wait, query.WaitMs, query.TimeoutMs())
 							}
 						}
 						now = queriedAt + query.TimeoutMs()
 						w.HandleResponse(now, query, Response{Err: errors.New("no answer")})
 						if next, at := w.Next(now); at+500+timerDelay(query) > deadline || next.Index != index || agents > 1 && next.Agent == query.Agent {
-							t.Fatalf("%d agents, index %d, wait %v: %+v is asked %v ms before what was missed counts as told", agents, index, wait, next, deadline-at)
+							t.Fatalf("%d agents, index %d, wait %v: %+v is due %v ms before what was missed must be known", agents, index, wait, next, deadline-at)
 						}
 					}
 				}
@@ -57,7 +57,7 @@
 func TestSilentQueryOnTheWireIsReplaced(t *testing.T) {
 	t.Parallel()
 	type poll struct {
-		wait time.Duration // that it asked for; 0 for an answer at once
+		wait time.Duration // of the query; 0 for an answer at once
 		at   time.Time
 	}
 	polls := make(chan poll, 100)
@@ -81,9 +81,9 @@
 	const answer = 500 * time.Millisecond
 	select {
 	case next := <-polls:
-		t.Logf("asked to wait for %v, asked again after %v", silent.wait, next.at.Sub(silent.at))
+		t.Logf("queried with a wait of %v, again after %v", silent.wait, next.at.Sub(silent.at))
 	case <-time.After(time.Until(silent.at.Add(silent.wait + 2*time.Second - answer))):
-		t.Fatalf("not asked again within 1.5 s after a wait of %v", silent.wait)
+		t.Fatalf("not queried again within 1.5 s after a wait of %v", silent.wait)
 	}
 }
 
--- a/internal/endpoints/consul/source_test.go
+++ b/internal/endpoints/consul/source_test.go
@@ -102,15 +102,15 @@
 		t.Run(name, func(t *testing.T) {
 			w := startWatch(t, 2, func(o *Options) { o.WaitMs = 300 })
 			w.waitUntil(t, "three", w.hasSize(3))
-			_, asked := w.agents[0].Queries()
+			_, queries := w.agents[0].Queries()
 			first := w.agents[1]
-			if len(asked) > 0 {
-				first = w.agents[0] // the one that is asked now
+			if len(queries) > 0 {
+				first = w.agents[0] // the one that is queried now
 			}
 			first.SetFault(fault)
 			w.catalog.Change("db", []consulserver.Instance{instance(3)})
 			if name == "an old index alone" {
-				first.SetFault(consulserver.Fault{}) // it lags, no more
+				first.SetFault(consulserver.Fault{}) // it only lagged
 			}
 			w.waitUntil(t, "what changed", w.hasSize(4))
 		})
@@ -148,7 +148,7 @@
 	w.catalog.Change("db", nil, "db-1")
 	w.waitUntil(t, "two", w.hasSize(2))
 	if n, _ := w.agents[0].Queries(); n > 20 {
-		t.Errorf("it was asked %d times", n)
+		t.Errorf("it was queried %d times", n)
 	}
 }
 
@@ -163,7 +163,7 @@
 	w.src.SetToken("new\n")
 	w.waitUntil(t, "what changed", w.hasSize(4))
 	if text := strings.Join(w.notes, " "); strings.Contains(text, "old") || strings.Contains(text, "new\n") {
-		t.Errorf("a token was told: %s", text)
+		t.Errorf("a note holds a token: %s", text)
 	}
 }
 
@@ -204,7 +204,7 @@
 	w.catalog.Change("db", []consulserver.Instance{instance(4)})
 	w.waitUntil(t, "one more", w.hasSize(5))
 	if n := strings.Count(strings.Join(w.notes, "\n"), "cannot be used"); n > 2 {
-		t.Errorf("told %d times", n)
+		t.Errorf("noted %d times", n)
 	}
 }
 
--- a/internal/endpoints/discovery/calls_test.go
+++ b/internal/endpoints/discovery/calls_test.go
@@ -20,7 +20,7 @@
 	s.wantEvent("list 9, whole false")
 	moved.nextFetch().send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	s.wantEvent("failed")
-	s.onLoop(s.client.Watch) // as the module has it after a failure
+	s.onLoop(s.client.Watch) // as the core does after a failure
 	watch = moved.nextWatch(0)
 	watch.send(okHead)
 	watch.sendList(9, false)
@@ -144,11 +144,11 @@
 		}
 		s.client.SetAddress(moved.address)
 	})
-	asked := moved.next2()
-	if asked["/v1/endpoints"] == nil || asked["/v1/endpoints?watch=1&from=0"] == nil {
-		t.Fatalf("asked %v", asked)
+	reopened := moved.next2()
+	if reopened["/v1/endpoints"] == nil || reopened["/v1/endpoints?watch=1&from=0"] == nil {
+		t.Fatalf("requested %v", reopened)
 	}
-	watch = asked["/v1/endpoints?watch=1&from=0"]
+	watch = reopened["/v1/endpoints?watch=1&from=0"]
 	watch.send(okHead)
 	watch.sendList(3, true)
 	s.wantEvent("list 3, whole true")
--- a/internal/endpoints/discovery/harness_test.go
+++ b/internal/endpoints/discovery/harness_test.go
@@ -91,10 +91,10 @@
 	select {
 	case got := <-s.events:
 		if got != event {
-			s.t.Fatalf("told %q, want %q", got, event)
+			s.t.Fatalf("event %q, want %q", got, event)
 		}
 	case <-time.After(patience):
-		s.t.Fatalf("not told: %s", event)
+		s.t.Fatalf("no event: %s", event)
 	}
 }
 
@@ -127,14 +127,14 @@
 	_ = d.listener.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
 	conn, err := d.listener.Accept()
 	if err != nil {
-		d.t.Fatalf("not asked for %s: %v", path, err)
+		d.t.Fatalf("no request of %s: %v", path, err)
 	}
 	d.t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(patience))
 	c := &acceptedCall{t: d.t, conn: conn, reader: bufio.NewReader(conn)}
 	line, err := c.reader.ReadString('\n')
 	if err != nil || line != "GET "+path+" HTTP/1.1\r\n" {
-		d.t.Fatalf("asked %q, %v, want %s", line, err, path)
+		d.t.Fatalf("request %q, %v, want %s", line, err, path)
 	}
 	for line != "\r\n" {
 		if line, err = c.reader.ReadString('\n'); err != nil {
@@ -182,7 +182,7 @@
 // next2 accepts two calls, by their paths: connections may come up in either order.
 func (d *scriptedServer) next2() map[string]*acceptedCall {
 	d.t.Helper()
-	asked := map[string]*acceptedCall{}
+	calls := map[string]*acceptedCall{}
 	for range 2 {
 		conn, err := d.listener.Accept()
 		if err != nil {
@@ -195,9 +195,9 @@
 		if err != nil {
 			d.t.Fatal(err)
 		}
-		asked[strings.Fields(line)[1]] = c
+		calls[strings.Fields(line)[1]] = c
 	}
-	return asked
+	return calls
 }
 
 // fullListener listens with a backlog that is full: connections to it never come up, as the system drops what asks for them. The
@@ -256,6 +256,6 @@
 			return c
 		}
 	}
-	d.t.Fatalf("not asked for %s", path)
+	d.t.Fatalf("no request of %s", path)
 	return nil
 }
--- a/internal/endpoints/discovery/silence_test.go
+++ b/internal/endpoints/discovery/silence_test.go
@@ -51,17 +51,17 @@
 	advance := func(ms float64) {
 		done := make(chan struct{})
 		l.Post(func() { manual.Ms += ms; close(done) })
-		<-done // what is said after this comes after it
+		<-done // what is sent after this comes after it
 	}
 	wantEvent := func(want string) {
 		t.Helper()
 		select {
 		case got := <-events:
 			if got != want {
-				t.Fatalf("told %s, want %s", got, want)
+				t.Fatalf("event %s, want %s", got, want)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("not told: %s", want)
+			t.Fatalf("no event: %s", want)
 		}
 	}
 	const list = "11\r\n{\"generation\":5}\n\r\n"
@@ -73,30 +73,30 @@
 		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.Contains(line, "watch=1&from="+from+" ") {
-			t.Fatalf("asked %q, %v", line, err)
+			t.Fatalf("request %q, %v", line, err)
 		}
 	}
 	send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + list)
 	wantEvent("list")
-	advance(2400) // signs of life come every 2 s
+	advance(2400) // a watch sends something every 2 s
 	send(list)
 	wantEvent("list")
 	advance(2400)
 	send(list)
 	wantEvent("list")
-	send("b\r\n{\"generation\r\n") // and silent in the midst of a list
-	quiet := manual.Ms
+	send("b\r\n{\"generation\r\n") // silent inside a list
+	silentSince := manual.Ms
 	advance(2600)
-	wantReopened("5") // and silent from its start
+	wantReopened("5") // silent from its start
 	advance(2600)
 	wantReopened("5")
-	if took := manual.Ms - quiet; took >= 6000-2*connectTimeoutMs/5 {
-		t.Errorf("the third is asked for %v ms after the first fell silent", took)
+	if took := manual.Ms - silentSince; took >= 6000-2*connectTimeoutMs/5 {
+		t.Errorf("the third is opened %v ms after the first fell silent", took)
 	}
-	send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // and silent behind its head
+	send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // silent after its head
 	advance(2600)
 	wantReopened("5")
-	send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":\n") // a list that never ends, though signs of life come
+	send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":\n") // a list that never ends, though bytes come
 	time.Sleep(50 * time.Millisecond)
 	advance(2000)
 	send(" ")
--- a/internal/endpoints/discovery/timeouts_test.go
+++ b/internal/endpoints/discovery/timeouts_test.go
@@ -36,7 +36,7 @@
 			}
 			call.send(c.first)
 			s.waitUntilRead()
-			for _, b := range c.then[:2] { // within the time
+			for _, b := range c.then[:2] { // within the timeout
 				s.advance(1000)
 				call.send(string(b))
 				s.waitUntilRead()
@@ -81,7 +81,7 @@
 // TestUnansweredDialTimesOut checks that a connection that never comes up counts as silence: the watch is reopened at once,
 // without a failure, which would delay the next call.
 func TestUnansweredDialTimesOut(t *testing.T) {
-	for name, pushed := range map[string]bool{"asked": false, "pushed": true} {
+	for name, pushed := range map[string]bool{"requested": false, "pushed": true} {
 		t.Run(name, func(t *testing.T) {
 			at, empty := fullListener(t)
 			s := newTestClient(t, at)
@@ -101,7 +101,7 @@
 			s.waitUntil("the next is on its way", func() bool { return s.client.watch != nil })
 			select {
 			case got := <-s.events:
-				t.Fatalf("told %q", got)
+				t.Fatalf("event %q", got)
 			default:
 			}
 			empty()
--- a/internal/endpoints/reconcile/entries_test.go
+++ b/internal/endpoints/reconcile/entries_test.go
@@ -37,7 +37,7 @@
 		Generation:   3,
 		Observations: []Observation{observation("5", 0)},
 	}) {
-		t.Error("changes that go back are not asked about")
+		t.Error("no full report is requested after changes that go back")
 	}
 	if h.takeChanges(); h.list["5"].ID != "" {
 		t.Error("changes that go back were taken")
@@ -47,10 +47,10 @@
 		Generation:   3,
 		Observations: []Observation{observation("5", 0)},
 	}); h.reconciler.Observe(h.now, "nobody", &Report{}) {
-		t.Error("a source that nobody named is asked")
+		t.Error("a full report is requested of an unknown source")
 	}
 	if h.takeChanges(); h.list["5"].ID == "" {
-		t.Error("a source that began anew is not heard")
+		t.Error("a full report that goes back is ignored")
 	}
 }
 
--- a/internal/endpoints/reconcile/state_test.go
+++ b/internal/endpoints/reconcile/state_test.go
@@ -21,7 +21,7 @@
 	h.wantList("1 serving, 2 serving, 3 serving")
 	h.selfReport("2", Replica)
 	h.wantList("1 serving, 2 serving, 3 serving*")
-	// The same server under another id, and called the primary: it keeps its name, and its word.
+	// The same server under another id, reported as the primary: it keeps its id in the list, and its self-report.
 	h.reconciler.Observe(h.now, "consul", &Report{
 		Observations: []Observation{withRole(Observation{ID: "1b", Address: observation("1", 0).Address}, Primary)},
 		Removed:      []string{"1"},
@@ -32,13 +32,13 @@
 		t.Errorf("%+v %v", entry, ok)
 	}
 	h.selfReport("1", Replica)
-	// A later process under the first id is another server; the list has both by names of their own.
+	// A later process under the first id is another server; the list has both under ids of their own.
 	later := withStart(withRole(observation("1", 0), Replica), 9e5)
 	later.Address = "10.3.3.3:5432"
 	h.observe("consul", false, later)
 	h.wantList("1 serving, 1#2 serving, 2 serving, 3 serving*")
 
-	// Its word is too old to count, and then it says the same again.
+	// A self-report expires, and is then repeated.
 	expired := newHarness(t, nil)
 	expired.observe("consul", true, withRole(observation("1", 0), Primary))
 	expired.selfReport("1", Replica)
@@ -64,7 +64,7 @@
 	h.wantList("1 serving, 2 serving, 3 serving")
 	h.advance(25000)
 	h.wantList("1 serving, 2 serving, 3 serving")
-	h.advance(10000) // it does not answer any more
+	h.advance(10000) // it responds no more
 	h.wantList("1 serving, 2 serving, 3 draining")
 	h.observe("static", true, observation("1", 0))
 	h.wantDecisions(h.observe("static", false, withHealth(observation("1", 0), Maintenance)), Drained)
@@ -132,7 +132,7 @@
 	h.observe("consul", true, observation("1", 0), observation("2", 0))
 	h.observe("consul", true, observation("2", 0))
 	h.observe("static", true, observation("1", 0))
-	h.wantList("2 serving") // the first by rank has dropped it
+	h.wantList("2 serving") // the first by rank has removed it
 	h.reconciler.SourceLost(h.now, "consul", "gone")
 	h.advance(6000)
 	h.wantList("1 serving")
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -15,13 +15,13 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// disk keeps segments in memory. It fails, or blocks, as it is told to.
+// disk stores segments in memory. It fails when its capacity is used up, and blocks while a test has it blocked.
 type disk struct {
 	mu           sync.Mutex
 	files        map[string]*bytes.Buffer
 	capacity     int           // bytes left, -1 for no end
 	blocked      chan struct{} // writes wait for it to close, where it is set
-	writeStarted chan struct{} // told of each write that waits
+	writeStarted chan struct{} // receives for each write that waits
 }
 
 func newDisk() *disk { return &disk{files: map[string]*bytes.Buffer{}, capacity: -1} }
@@ -85,7 +85,7 @@
 
 func (f *diskFile) Close() error { return nil }
 
-// countEvents sums up what is on the disk: events that are there, and events that are told as lost.
+// countEvents counts the events on the disk, and those that are recorded as lost.
 func (d *disk) countEvents(t *testing.T) (kept int, lost uint64) {
 	t.Helper()
 	d.mu.Lock()
@@ -93,7 +93,7 @@
 	for name, b := range d.files {
 		f, err := NewFrames(bytes.NewReader(b.Bytes()))
 		if err != nil {
-			continue // its first bytes found no room
+			continue // there was no room for its first bytes
 		}
 		for {
 			typ, payload, err := f.Next()
@@ -147,7 +147,7 @@
 		t.Fatalf("%d events lost with a ring of 256; the ring is not bounded", rec.Lost())
 	}
 	close(d.blocked)
-	for { // until there is room, and so the loss is told
+	for { // until there is room, so that the loss is recorded
 		before := rec.Lost()
 		rec.Put(event(all))
 		if rec.Lost() == before {
@@ -158,7 +158,7 @@
 	stop()
 	kept, lost := d.countEvents(t)
 	if lost != lostInRing || kept+int(lost) < all {
-		t.Errorf("%d kept, %d told as lost; %d were lost of over %d", kept, lost, lostInRing, all)
+		t.Errorf("%d kept, %d recorded as lost; %d were lost of over %d", kept, lost, lostInRing, all)
 	}
 }
 
@@ -193,7 +193,7 @@
 		}
 		stop()
 		if kept, lost := d.countEvents(t); kept+int(lost) != put || lost == 0 {
-			t.Errorf("with %d bytes: %d events kept and %d told as lost, %d were put", room, kept, lost, put)
+			t.Errorf("with %d bytes: %d events kept and %d recorded as lost, %d were put", room, kept, lost, put)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 	if files["n_1-old"] == 0 || files["n_10-0001700000000000-000001.bgr"] == 0 {
 		t.Error("another's file was removed")
 	}
-	for name, b := range d.files { // each segment that is left knows the list by itself
+	for name, b := range d.files { // each segment that is left holds the list
 		if strings.HasPrefix(name, "n_1_.._x-") && !bytes.Contains(b.Bytes()[:400], []byte("s-1")) {
 			t.Errorf("%s does not begin with the list", name)
 		}
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// plain writes a node out on one line.
+// plain is a node on one line, without escapes.
 func plain(n *Node) string {
 	switch n.Kind {
 	case Atom:
@@ -23,7 +23,7 @@
 	return "(" + strings.Join(parts, " ") + ")"
 }
 
-// TestParse guards against a fault in a file that its error does not lead to.
+// TestParse checks what is parsed, and that each error names its place.
 func TestParse(t *testing.T) {
 	for in, want := range map[string]string{
 		"":                               "",
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestRead guards against a misspelt, doubled or senseless setting that is taken in silence.
+// TestRead checks that a misspelt, duplicate or invalid setting is an error with its place.
 func TestRead(t *testing.T) {
 	for in, want := range map[string]string{
 		"(n 3) (t 1m30s) (b) (s 8m) (x k)": "",
@@ -95,7 +95,7 @@
 	}
 }
 
-// FuzzParse guards against input that crashes the reader, or that it takes without its place in an error.
+// FuzzParse checks that any input is parsed, and reads back, or is an error with its place.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"(a 1)", "(a \"b\\n\" ;x\n)", ")", "((((", "\"", "\xff", "(a . b)"} {
 		f.Add([]byte(s))
@@ -115,6 +115,7 @@
 	})
 }
 
+// quoted is a node on one line, as it can be parsed again.
 func quoted(n *Node) string {
 	switch n.Kind {
 	case Atom:
