--- a/internal/cluster/overload/clone.go
+++ b/internal/cluster/overload/clone.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Clone makes another that shares nothing with this one, for explorers.
+// Clone returns an independent copy, for model checking.
 func (sharing *ProbeSharing) Clone() *ProbeSharing {
 	c := *sharing
 	c.peers, c.names = slices.Clone(sharing.peers), slices.Clone(sharing.names)
@@ -22,8 +22,8 @@
 	return &c
 }
 
-// StateKey is all that what it does follows from, with times as seen from now, and the numbers of wants as seen from each process's last, for
-// explorers.
+// StateKey returns a text that is equal for two ProbeSharings which act alike from now on. Times are relative to now, and the numbers of
+// requests to the last one of their sender, which last returns.
 func (sharing *ProbeSharing) StateKey(last func(ID) uint32) string {
 	var w strings.Builder
 	ago := func(at float64) float64 { return max(-1e6, min(sharing.now-at, 1e6)) }
@@ -56,10 +56,10 @@
 	return w.String()
 }
 
-// LastSequence is the number of its last want.
+// LastSequence returns the number of its last request.
 func (sharing *ProbeSharing) LastSequence() uint32 { return sharing.sequence }
 
-// Clone makes another that shares nothing with this one, for explorers.
+// Clone returns an independent copy, for model checking.
 func (controller *Controller) Clone() *Controller {
 	c := *controller
 	c.actions, c.selfMessages = nil, nil
@@ -76,7 +76,7 @@
 	return &c
 }
 
-// StateKey is all that what it turns away, and tells as a collector, follows from while it counts nothing of its own, for explorers.
+// StateKey returns a text that is equal for two Controllers which shed and answer alike, as long as they count no requests of their own.
 func (controller *Controller) StateKey() string {
 	var w strings.Builder
 	fmt.Fprint(&w, controller.now, controller.nextReport, controller.sequence, controller.collectorOrder)
@@ -95,5 +95,5 @@
 	return w.String()
 }
 
-// LastReport is the number of its last tell.
+// LastReport returns the number of its last report.
 func (controller *Controller) LastReport() uint32 { return controller.sequence }
--- a/internal/cluster/overload/codec.go
+++ b/internal/cluster/overload/codec.go
@@ -9,12 +9,12 @@
 	"beechgrade/internal/encoding"
 )
 
-// The form of a message: a byte for what it is, then numbers as varints. Rates are in 64ths, times in thousandths.
+// A message is a byte for its kind, then numbers as varints. Rates are in 64ths, times in thousandths of a ms.
 
-// ErrMalformed is of a message that cannot be read.
-var ErrMalformed = errors.New("overload: not of the form")
+// ErrMalformed is the error of a message that cannot be decoded.
+var ErrMalformed = errors.New("overload: malformed message")
 
-// Verbs of messages.
+// Kinds of messages.
 const (
 	kindReport = iota + 1
 	kindDecisions
@@ -35,7 +35,7 @@
 	return binary.AppendUvarint(b, uint64(math.Round(min(max(0, x), 1e15)*grain)))
 }
 
-// Append is part.Words'.
+// Append implements module.Message.
 func (t *LoadReport) Append(b []byte) []byte {
 	b = append(b, kindReport)
 	b = binary.AppendUvarint(b, uint64(t.Sequence))
@@ -66,7 +66,7 @@
 	return b
 }
 
-// Append is part.Words'.
+// Append implements module.Message.
 func (a *ShedDecisions) Append(b []byte) []byte {
 	b = append(b, kindDecisions)
 	b = binary.AppendUvarint(b, uint64(a.Sequence))
@@ -89,7 +89,7 @@
 	return b
 }
 
-// reader takes a message apart; after a fault it yields zeros.
+// reader decodes a message; after a fault it returns zeros.
 type reader struct{ encoding.Reader }
 
 func (r *reader) single() float64          { return r.finite(float64(math.Float32frombits(r.Uint32()))) }
@@ -103,7 +103,7 @@
 	return x
 }
 
-// Decode reads a message.
+// Decode decodes a message: *LoadReport, *ShedDecisions, *ProbeRequest or *ProbeResult.
 func Decode(b []byte) (any, error) {
 	r := &reader{encoding.NewReader(b)}
 	var m any
--- a/internal/cluster/overload/codec_probes.go
+++ b/internal/cluster/overload/codec_probes.go
@@ -9,12 +9,12 @@
 
 func (r *reader) text() string { return string(r.Take(int(r.Byte()))) }
 
-// Append is part.Words'.
+// Append implements module.Message.
 func (w *ProbeRequest) Append(b []byte) []byte {
 	return binary.AppendUvarint(appendText(append(b, kindProbeRequest), w.Server), uint64(w.Sequence))
 }
 
-// Append is part.Words'.
+// Append implements module.Message.
 func (f *ProbeResult) Append(b []byte) []byte {
 	b = binary.AppendUvarint(appendText(append(b, kindProbeResult), f.Server), uint64(f.Sequence))
 	b = append(appendScaled(b, f.StartedMsAgo, unitsPerMs), byte(f.Result), f.Kind, f.Role)
--- a/internal/cluster/overload/shedorder.go
+++ b/internal/cluster/overload/shedorder.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// cellOrder numbers the cells of the order: by class in the order of shedding, safe ones before those that must not run twice.
+// cellOrder numbers the cells of the order: by class in the order of shedding, idempotent ones first.
 type cellOrder struct {
 	byClass map[uint16][4]int
 	count   int
@@ -29,7 +29,8 @@
 	return c
 }
 
-// orderClasses sorts classes by worth for work, equals by worth and then the longest aim first, and leaves the order that there was where it is about right.
+// orderClasses sorts classes by priority for their work; equal ones by priority, and then the longest objective first. A previous order that
+// is about right stays.
 func orderClasses(old []uint16, worth, work, aim map[uint16]float64) []uint16 {
 	keys := make([]uint16, 0, len(worth))
 	dear := map[uint16]float64{}
@@ -56,7 +57,7 @@
 
 const toleranceFactor = 1.25
 
-// levelFor is the level at which as much as need stands below it.
+// levelFor returns the level below which as much demand stands as is to be shed.
 func levelFor(demand []float64, need float64) float64 {
 	for i, d := range demand {
 		if need <= 0 {
@@ -70,7 +71,7 @@
 	return float64(len(demand))
 }
 
-// admittedDemand is the demand that a level lets in.
+// admittedDemand returns the demand that a level admits.
 func admittedDemand(demand []float64, level float64) (sum float64) {
 	for i, d := range demand {
 		sum += d * max(0, min(1, float64(i+1)-level))
@@ -78,7 +79,7 @@
 	return sum
 }
 
-// beyondQuota is the part of each tenant's demand that is beyond its share of a budget; what some leave is the others'.
+// beyondQuota returns the part of each tenant's demand that is beyond its share of a budget. What some do not use is divided among the others.
 func beyondQuota(want, share []float64, budget float64) []float64 {
 	out := make([]float64, len(want))
 	left, shares, open := budget, 0.0, []int{}
@@ -87,7 +88,7 @@
 			open = append(open, i)
 			shares += share[i]
 		} else {
-			left -= want[i] // one without a share of its own is never beyond it
+			left -= want[i] // a tenant without a share is never beyond it
 		}
 	}
 	slices.SortStableFunc(open, func(a, b int) int { return cmp.Compare(want[a]/share[a], want[b]/share[b]) })
@@ -100,7 +101,7 @@
 	return out
 }
 
-// lowerMedian is the median, the lower of two; 0 of none.
+// lowerMedian returns the median, the lower of two; 0 of none. It sorts its argument.
 func lowerMedian(x []float64) float64 {
 	if len(x) == 0 {
 		return 0
@@ -109,7 +110,7 @@
 	return x[(len(x)-1)/2]
 }
 
-// medianBudget is the median of budgets, the upper of two where that of levels is the lower: both let in more. It is 0 of none.
+// medianBudget returns the median of budgets, the upper of two where that of levels is the lower: both admit more. It is 0 of none.
 func medianBudget(budgets []float64) float64 {
 	if len(budgets) == 0 {
 		return 0
@@ -118,7 +119,7 @@
 	return budgets[len(budgets)/2]
 }
 
-// effectiveBudget is how much a budget lets in: 0 is none, which lets in everything.
+// effectiveBudget returns how much a budget admits: 0 is none, which admits everything.
 func effectiveBudget(budget float64) float64 {
 	if budget == 0 {
 		return math.Inf(1)
@@ -126,7 +127,7 @@
 	return budget
 }
 
-// encodeWork rounds a guess of work to eighths of a doubling, so that it takes a byte and hardly ever changes.
+// encodeWork rounds an estimate of work to eighths of a doubling, so that it takes a byte and rarely changes.
 func encodeWork(x float64) uint8 {
 	if x <= 0 {
 		return 0
