--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -323,7 +323,7 @@
 	base := peerSettings(t)
 	joining := func(i int) settings.Cluster {
 		s := base
-		s.Listen, s.Advertise, s.View.SeedAddresses, s.View.ExpectedPoolers = relays.Real(i), relays.Told(i), []string{relays.Told(0), relays.Told(2)}, 3
+		s.Listen, s.Advertise, s.View.SeedAddresses, s.View.ExpectedPoolers = relays.ListenAddress(i), relays.AdvertisedAddress(i), []string{relays.AdvertisedAddress(0), relays.AdvertisedAddress(2)}, 3
 		return s
 	}
 	far, _ := peerOf(t, "far", srv, joining(0))
@@ -346,9 +346,9 @@
 		untilFleet(t, p, "all are there", all)
 	}
 	cut := &netfault.Fault{Cut: true}
-	relays.Strike(func(n *netfault.Net) {
-		n.Set([]int{0}, []int{1, 2}, cut, true)
-		n.Set([]int{1, 2}, []int{0}, cut, true)
+	relays.Update(func(n *netfault.Net) {
+		n.SetFault([]int{0}, []int{1, 2}, cut, true)
+		n.SetFault([]int{1, 2}, []int{0}, cut, true)
 	})
 	untilFleet(t, near, "the far one is lost", func(s string, _ view.Counts) bool { return strings.Contains(s, "far failed") })
 	next := process()
@@ -362,9 +362,9 @@
 	if s, c := fleetOf(far); c.Sending != 3 || !c.Isolated && c.Reachable > 1 {
 		t.Errorf("the far one sees %s%+v", s, c)
 	}
-	relays.Strike(func(n *netfault.Net) {
-		n.Set([]int{0}, []int{1, 2}, cut, false)
-		n.Set([]int{1, 2}, []int{0}, cut, false)
+	relays.Update(func(n *netfault.Net) {
+		n.SetFault([]int{0}, []int{1, 2}, cut, false)
+		n.SetFault([]int{1, 2}, []int{0}, cut, false)
 	})
 	for _, p := range []*pooler{far, near, next} {
 		untilFleet(t, p, "all are there again", func(s string, c view.Counts) bool {
--- a/internal/testkit/byzantine/servers.go
+++ b/internal/testkit/byzantine/servers.go
@@ -6,41 +6,41 @@
 	"beechgrade/internal/cluster/outlier"
 )
 
-// Servers is what a liar says of servers, as an observer and as a collector; times are in ms.
-type Servers struct {
-	Silent bool    // each has answered nothing...
-	Since  float64 // ...for so long
-	Lead   bool    // each leads its group
-	Ahead  float64 // each is so much further than it is
+// ServerFault is what a liar says of servers, as an observer and as a collector; times are in ms.
+type ServerFault struct {
+	Unresponsive  bool    // each has answered nothing...
+	SinceMs       float64 // ...for so long
+	ClaimsPrimary bool    // each leads its group
+	AheadMs       float64 // each is so much further than it is
 }
 
-// OfServers are the kinds of liar.
-var OfServers = map[string]Servers{"silent": {Silent: true}, "leads": {Lead: true}, "ahead": {Ahead: 5000}, "servers": {Silent: true, Lead: true, Ahead: 5000}}
+// ServerFaults are the kinds of liar.
+var ServerFaults = map[string]ServerFault{"silent": {Unresponsive: true}, "leads": {ClaimsPrimary: true}, "ahead": {AheadMs: 5000}, "servers": {Unresponsive: true, ClaimsPrimary: true, AheadMs: 5000}}
 
-// Said is what a liar makes of a word of servers.
-func Said[T any](word T, l Servers) T {
-	lie, _ := l.of(word).(T) // it is of the same kind
-	return lie
+// AlterServers is what a liar makes of a word of servers.
+func AlterServers[T any](message T, fault ServerFault) T {
+	altered, _ := fault.alter(message).(T) // it is of the same kind
+	return altered
 }
 
-func (l Servers) of(word any) any {
-	said := func(s outlier.ServerReport) outlier.ServerReport {
+func (fault ServerFault) alter(message any) any {
+	alterReport := func(s outlier.ServerReport) outlier.ServerReport {
 		if s.Position > 0 {
-			s.Position += l.Ahead
-			if l.Lead {
+			s.Position += fault.AheadMs
+			if fault.ClaimsPrimary {
 				s.Role = outlier.RolePrimary
 			}
 		}
 		return s
 	}
-	switch m := word.(type) {
+	switch m := message.(type) {
 	case *outlier.Observations:
 		c := *m
 		c.Items = slices.Clone(m.Items)
 		for i := range c.Items {
 			x := &c.Items[i]
-			if x.Report = said(x.Report); l.Silent {
-				x.Answered, x.Unanswered, x.FirstUnanswered, x.LastUnanswered, x.Work = -1, 100, l.Since, 0, 1
+			if x.Report = alterReport(x.Report); fault.Unresponsive {
+				x.Answered, x.Unanswered, x.FirstUnanswered, x.LastUnanswered, x.Work = -1, 100, fault.SinceMs, 0, 1
 			}
 		}
 		return &c
@@ -49,11 +49,11 @@
 		c.Items = slices.Clone(m.Items)
 		for i := range c.Items {
 			x := &c.Items[i]
-			if x.Report = said(x.Report); l.Silent {
-				x.Unhealthy, x.AllZones, x.FirstUnanswered, x.LastUnanswered, x.Observers, x.Answered = true, true, l.Since, 0, []outlier.ID{1, 2}, -1
+			if x.Report = alterReport(x.Report); fault.Unresponsive {
+				x.Unhealthy, x.AllZones, x.FirstUnanswered, x.LastUnanswered, x.Observers, x.Answered = true, true, fault.SinceMs, 0, []outlier.ID{1, 2}, -1
 			}
 		}
 		return &c
 	}
-	return word
+	return message
 }
--- a/internal/testkit/cpupressure/machine.go
+++ b/internal/testkit/cpupressure/machine.go
@@ -10,80 +10,80 @@
 	"time"
 )
 
-// Busy is how much there was too little of. Both are 0 where the system does not tell.
-type Busy struct {
+// Pressure is how much there was too little of. Both are 0 where the system does not tell.
+type Pressure struct {
 	Waited float64 `json:"waited"` // of the time that this process's threads ran or waited for a processor, the part that they waited
 	Stolen float64 `json:"stolen"` // of the time that the processors were to work, the part that the machine did not have them (another machine on the same metal)
 	Worst  float64 `json:"worst"`  // the two together in the worst second
 }
 
-const lookEvery = time.Second
+const sampleInterval = time.Second
 
-// Watch is one that is under way.
-type Watch struct {
-	stop chan struct{}
-	done sync.WaitGroup
-	seen []sight
+// Monitor is one that is under way.
+type Monitor struct {
+	stop    chan struct{}
+	done    sync.WaitGroup
+	samples []sample
 }
 
-// Begin begins to watch.
-func Begin() *Watch {
-	w := &Watch{stop: make(chan struct{}), seen: []sight{look()}}
+// Start begins to watch.
+func Start() *Monitor {
+	w := &Monitor{stop: make(chan struct{}), samples: []sample{takeSample()}}
 	w.done.Add(1)
 	go func() {
 		defer w.done.Done()
-		tick := time.NewTicker(lookEvery)
+		tick := time.NewTicker(sampleInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-w.stop:
 				return
 			case <-tick.C:
-				w.seen = append(w.seen, look())
+				w.samples = append(w.samples, takeSample())
 			}
 		}
 	}()
 	return w
 }
 
-// End stops the watch and tells what it saw.
-func (w *Watch) End() Busy {
+// Stop stops the watch and tells what it saw.
+func (w *Monitor) Stop() Pressure {
 	close(w.stop)
 	w.done.Wait()
-	w.seen = append(w.seen, look())
-	b := between(w.seen[0], w.seen[len(w.seen)-1])
-	for i := 1; i < len(w.seen); i++ {
-		x := between(w.seen[i-1], w.seen[i])
+	w.samples = append(w.samples, takeSample())
+	b := pressureBetween(w.samples[0], w.samples[len(w.samples)-1])
+	for i := 1; i < len(w.samples); i++ {
+		x := pressureBetween(w.samples[i-1], w.samples[i])
 		b.Worst = max(b.Worst, x.Waited+x.Stolen)
 	}
 	return b
 }
 
-// sight is what the system told at some time.
-type sight struct {
-	threads       map[string][2]float64 // what each thread ran and waited, in ns
-	works, stolen float64               // ticks of all processors
+// sample is what the system told at some time.
+type sample struct {
+	threads                map[string][2]float64 // what each thread ran and waited, in ns
+	busyTicks, stolenTicks float64               // ticks of all processors
 }
 
-func between(a, b sight) Busy {
+func pressureBetween(a, b sample) Pressure {
 	var ran, waited float64
 	for name, x := range b.threads {
 		was := a.threads[name] // none for one that is new; one that ended is missed
 		ran, waited = ran+max(0, x[0]-was[0]), waited+max(0, x[1]-was[1])
 	}
-	works, stolen := b.works-a.works, b.stolen-a.stolen
-	return Busy{Waited: part(waited, ran), Stolen: part(stolen, works)}
+	works, stolen := b.busyTicks-a.busyTicks, b.stolenTicks-a.stolenTicks
+	return Pressure{Waited: share(waited, ran), Stolen: share(stolen, works)}
 }
 
-func part(of, beside float64) float64 {
-	if of <= 0 {
+func share(value, other float64) float64 {
+	if value <= 0 {
 		return 0
 	}
-	return of / (of + beside)
+	return value / (value + other)
 }
 
-func look() sight {
-	s := sight{threads: map[string][2]float64{}}
+func takeSample() sample {
+	s := sample{threads: map[string][2]float64{}}
 	tasks, _ := filepath.Glob("/proc/self/task/*/schedstat")
 	for _, name := range tasks {
 		if x := numbers(name, "", 2); x != nil {
@@ -91,7 +91,7 @@
 		}
 	}
 	if x := numbers("/proc/stat", "cpu", 8); x != nil { // user, nice, system, idle, iowait, irq, softirq, steal
-		s.works, s.stolen = x[0]+x[1]+x[2]+x[5]+x[6], x[7]
+		s.busyTicks, s.stolenTicks = x[0]+x[1]+x[2]+x[5]+x[6], x[7]
 	}
 	return s
 }
--- a/internal/testkit/cpupressure/machine_test.go
+++ b/internal/testkit/cpupressure/machine_test.go
@@ -13,8 +13,8 @@
 	if _, err := os.Stat("/proc/self/schedstat"); err != nil {
 		t.Skip("the system does not tell how long threads wait")
 	}
-	look := func(threads int) (busy Busy, waited float64) {
-		w := Begin()
+	look := func(threads int) (busy Pressure, waited float64) {
+		w := Start()
 		stop := time.Now().Add(300 * time.Millisecond)
 		var wg sync.WaitGroup
 		for range threads {
@@ -29,9 +29,9 @@
 		}
 		wg.Wait()
 		time.Sleep(time.Until(stop))
-		busy = w.End()
-		for name, x := range w.seen[len(w.seen)-1].threads {
-			waited += max(0, x[1]-w.seen[0].threads[name][1])
+		busy = w.Stop()
+		for name, x := range w.samples[len(w.samples)-1].threads {
+			waited += max(0, x[1]-w.samples[0].threads[name][1])
 		}
 		return busy, waited
 	}
@@ -48,12 +48,12 @@
 
 // TestBetween: of two sights, what came since counts, also of a thread that is new.
 func TestBetween(t *testing.T) {
-	a := sight{threads: map[string][2]float64{"1": {100, 50}, "gone": {9, 9}}, works: 10, stolen: 1}
-	b := sight{threads: map[string][2]float64{"1": {150, 60}, "2": {30, 30}}, works: 40, stolen: 11}
-	if got := between(a, b); got.Waited != 40.0/120 || got.Stolen != 10.0/40 {
+	a := sample{threads: map[string][2]float64{"1": {100, 50}, "gone": {9, 9}}, busyTicks: 10, stolenTicks: 1}
+	b := sample{threads: map[string][2]float64{"1": {150, 60}, "2": {30, 30}}, busyTicks: 40, stolenTicks: 11}
+	if got := pressureBetween(a, b); got.Waited != 40.0/120 || got.Stolen != 10.0/40 {
 		t.Errorf("%+v", got)
 	}
-	if got := between(a, a); got != (Busy{}) {
+	if got := pressureBetween(a, a); got != (Pressure{}) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/testkit/modelcheck/agreed.go
+++ b/internal/testkit/modelcheck/agreed.go
@@ -17,67 +17,67 @@
 	"beechgrade/internal/invariant"
 )
 
-// Agreed are so many voters of a log in common, the messages between them and the writes that wait for their disks. Messages arrive
+// RaftVoters are so many voters of a log in common, the messages between them and the writes that wait for their disks. Messages arrive
 // in any order; of them some are lost or come twice. A voter may stand for election, be proposed to, and crash: of the writes that wait
 // the first so many are on its disk then, and it starts again from that. It knows of voters what is on their disks and what they
 // send and apply, nothing of how they come to it.
-type Agreed struct {
-	Lose, Double, Stand, Beat, Propose, Crash, Wipe int // that may still happen
-
-	set     raftlog.Settings
-	voters  []*voter
-	wires   []letter
-	truth   truth
-	number  uint64
-	Live    bool                          // voters are kept rather than made again from what they were told: no clone is taken
-	Early   func(w []raftlog.Record) bool // a mutant: which writes a voter takes for done before they are
-	Amnesia bool                          // a mutant: who has lost its disk goes by its old number
-	Sloppy  bool                          // a mutant: entries that come twice are taken twice
-	Checks  *invariant.Checks
+type RaftVoters struct {
+	Lose, Duplicate, Campaign, Heartbeat, Propose, Crash, Wipe int // that may still happen
+
+	settings         raftlog.Settings
+	voters           []*voter
+	messages         []raftMessage
+	observed         observedLog
+	number           uint64
+	KeepsReplicas    bool                          // voters are kept rather than made again from what they were told: no clone is taken
+	AcksEarly        func(w []raftlog.Record) bool // a mutant: which writes a voter takes for done before they are
+	KeepsOldNumber   bool                          // a mutant: who has lost its disk goes by its old number
+	CountsDuplicates bool                          // a mutant: entries that come twice are taken twice
+	Checks           *invariant.Checks
 }
 
 type voter struct {
-	name    string
-	rep     *raftlog.Replica // nil where it is to be made again
-	told    []told           // since its start
-	life    int
-	now     float64
-	disk    map[string][]byte
-	had     map[string]bool // entries that were on any of its disks
-	base    uint64          // the highest snapshot that was
-	pending []write
-	key     uint64 // of all it was told
-	broke   string
-	leads   bool
-	tally   *counter.Counter
+	name         string
+	replica      *raftlog.Replica // nil where it is to be made again
+	events       []timedEvent     // since its start
+	incarnation  int
+	now          float64
+	disk         map[string][]byte
+	everDurable  map[string]bool // entries that were on any of its disks
+	lastSnapshot uint64          // the highest snapshot that was
+	pending      []write
+	key          uint64 // of all it was told
+	failure      string
+	leader       bool
+	tally        *counter.Counter
 }
 
 type write struct {
 	raftlog.Action
-	told bool
+	acknowledged bool
 }
 
-type told struct {
-	now float64
-	e   raftlog.Event
+type timedEvent struct {
+	now   float64
+	event raftlog.Event
 }
 
-type letter struct {
+type raftMessage struct {
 	from, to int
 	text     string
 	stream   uint64 // its number, where its end is to be told
 }
 
-// truth is what has become known to be so.
-type truth struct {
+// observedLog is what has become known to be so.
+type observedLog struct {
 	entries []string          // by index, that were applied
 	leaders map[uint64]string // by term
 	votes   map[string]string // by voter, disk and term
 	sums    map[uint64]uint64 // by entries taken
 }
 
-// AgreedSettings are of a small log.
-func AgreedSettings(n int) raftlog.Settings {
+// RaftSettings are of a small log.
+func RaftSettings(n int) raftlog.Settings {
 	s := raftlog.Defaults()
 	s.TickInterval, s.ElectionTicks, s.HeartbeatTicks, s.SnapshotEntries, s.KeepEntries = 1, 3, 1, 4, 1
 	for i := range n {
@@ -86,15 +86,15 @@
 	return s
 }
 
-// NewAgreed makes a group that begins, or voters with empty disks.
-func NewAgreed(set raftlog.Settings, founded bool) *Agreed {
-	s := &Agreed{set: set, truth: truth{leaders: map[uint64]string{}, votes: map[string]string{}, sums: map[uint64]uint64{}}}
+// NewRaftVoters makes a group that begins, or voters with empty disks.
+func NewRaftVoters(set raftlog.Settings, founded bool) *RaftVoters {
+	s := &RaftVoters{settings: set, observed: observedLog{leaders: map[uint64]string{}, votes: map[string]string{}, sums: map[uint64]uint64{}}}
 	var all []raftlog.Member
 	for i, v := range set.Voters {
 		all = append(all, raftlog.Member{Name: v, Disk: uint64(i + 1)})
 	}
 	for i, v := range set.Voters {
-		x := &voter{name: v, disk: map[string][]byte{}, had: map[string]bool{}}
+		x := &voter{name: v, disk: map[string][]byte{}, everDurable: map[string]bool{}}
 		if founded {
 			for _, r := range raftlog.BootstrapRecords(all[i], all) {
 				x.disk[r.Key] = r.Value
@@ -108,20 +108,20 @@
 	return s
 }
 
-func (s *Agreed) made(x *voter) *raftlog.Replica {
-	set := s.set
-	set.Self, set.Seed, set.Checks = x.name, uint64(x.life), s.Checks
-	x.tally = &counter.Counter{CountDuplicates: s.Sloppy}
+func (s *RaftVoters) newReplica(x *voter) *raftlog.Replica {
+	set := s.settings
+	set.Self, set.Seed, set.Checks = x.name, uint64(x.incarnation), s.Checks
+	x.tally = &counter.Counter{CountDuplicates: s.CountsDuplicates}
 	return &raftlog.Replica{Log: raftlog.New(set, 0), Machine: x.tally}
 }
 
 // start has a voter begin with what its disk has.
-func (s *Agreed) start(i int) error {
+func (s *RaftVoters) start(i int) error {
 	x := s.voters[i]
-	x.life++
-	x.told, x.pending, x.leads, x.now, x.broke = nil, nil, false, 0, ""
-	x.rep = s.made(x)
-	x.key = xxhash.Sum64String(fmt.Sprint(x.key, i, x.life))
+	x.incarnation++
+	x.events, x.pending, x.leader, x.now, x.failure = nil, nil, false, 0, ""
+	x.replica = s.newReplica(x)
+	x.key = xxhash.Sum64String(fmt.Sprint(x.key, i, x.incarnation))
 	var m raftlog.AddressesChanged
 	for _, y := range s.voters {
 		m.Voters = append(m.Voters, raftlog.Address{Name: y.name, Addr: y.name})
@@ -130,35 +130,35 @@
 	for _, k := range slices.Sorted(maps.Keys(x.disk)) {
 		records = append(records, raftlog.Record{Key: k, Value: x.disk[k]})
 	}
-	if err := s.do(i, m); err != nil {
+	if err := s.handle(i, m); err != nil {
 		return err
 	}
-	return s.do(i, raftlog.StorageLoaded{Records: records})
+	return s.handle(i, raftlog.StorageLoaded{Records: records})
 }
 
-func (s *Agreed) clone() *Agreed {
+func (s *RaftVoters) clone() *RaftVoters {
 	c := *s
 	c.voters = make([]*voter, len(s.voters))
 	for i, x := range s.voters {
 		y := *x
-		y.rep, y.told, y.pending, y.disk = nil, slices.Clip(x.told), slices.Clone(x.pending), maps.Clone(x.disk)
-		y.had = maps.Clone(x.had)
+		y.replica, y.events, y.pending, y.disk = nil, slices.Clip(x.events), slices.Clone(x.pending), maps.Clone(x.disk)
+		y.everDurable = maps.Clone(x.everDurable)
 		c.voters[i] = &y
 	}
-	c.wires = slices.Clone(s.wires)
-	c.truth = truth{slices.Clip(s.truth.entries), maps.Clone(s.truth.leaders), maps.Clone(s.truth.votes), maps.Clone(s.truth.sums)}
+	c.messages = slices.Clone(s.messages)
+	c.observed = observedLog{slices.Clip(s.observed.entries), maps.Clone(s.observed.leaders), maps.Clone(s.observed.votes), maps.Clone(s.observed.sums)}
 	return &c
 }
 
 // Key is System's: the same was told to each voter, in its order, and the same is on the way.
-func (s *Agreed) Key() string {
+func (s *RaftVoters) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.Lose, s.Double, s.Stand, s.Beat, s.Propose, s.Crash, s.Wipe, s.number)
+	fmt.Fprint(&b, s.Lose, s.Duplicate, s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Wipe, s.number)
 	for _, x := range s.voters {
 		fmt.Fprint(&b, "|", x.key)
 	}
-	keys := make([]string, 0, len(s.wires))
-	for _, w := range s.wires {
+	keys := make([]string, 0, len(s.messages))
+	for _, w := range s.messages {
 		keys = append(keys, fmt.Sprint(w.from, w.to, w.stream, w.text))
 	}
 	slices.Sort(keys)
@@ -168,32 +168,32 @@
 	return b.String()
 }
 
-// do tells a voter of an event and takes what it asks for.
-func (s *Agreed) do(i int, e raftlog.Event) error {
+// handle tells a voter of an event and takes what it asks for.
+func (s *RaftVoters) handle(i int, e raftlog.Event) error {
 	x := s.voters[i]
-	if x.rep == nil {
-		x.rep = s.made(x)
-		for _, t := range x.told {
-			x.rep.Handle(t.now, t.e, nil)
+	if x.replica == nil {
+		x.replica = s.newReplica(x)
+		for _, t := range x.events {
+			x.replica.Handle(t.now, t.event, nil)
 		}
 	}
-	if !s.Live {
-		x.told = append(x.told, told{x.now, e})
+	if !s.KeepsReplicas {
+		x.events = append(x.events, timedEvent{x.now, e})
 	}
 	x.key = xxhash.Sum64String(fmt.Sprintf("%d %v %T %v", x.key, x.now, e, e))
 	before := *x.tally
-	for _, a := range x.rep.Handle(x.now, e, nil) {
-		if err := s.carry(i, &a); err != nil {
+	for _, a := range x.replica.Handle(x.now, e, nil) {
+		if err := s.perform(i, &a); err != nil {
 			return err
 		}
 	}
 	for k := range x.pending { // of a mutant
-		if s.Early == nil || !x.pending[k].told && !s.Early(x.pending[k].Records) {
+		if s.AcksEarly == nil || !x.pending[k].acknowledged && !s.AcksEarly(x.pending[k].Records) {
 			break
 		}
-		if !x.pending[k].told {
-			x.pending[k].told = true
-			return s.do(i, raftlog.StoreCompleted{Ref: x.pending[k].Ref})
+		if !x.pending[k].acknowledged {
+			x.pending[k].acknowledged = true
+			return s.handle(i, raftlog.StoreCompleted{Ref: x.pending[k].Ref})
 		}
 	}
 	if x.tally.Counted > uint64(len(x.tally.Numbers())) {
@@ -203,19 +203,19 @@
 		return fmt.Errorf("%s had taken %d entries up to %d, and %d up to %d", x.name, before.Counted, before.AppliedIndex, x.tally.Counted, x.tally.AppliedIndex)
 	}
 	if n, sum := x.tally.Counted, x.tally.Checksum; n > 0 {
-		if was, ok := s.truth.sums[n]; ok && was != sum {
+		if was, ok := s.observed.sums[n]; ok && was != sum {
 			return fmt.Errorf("%s has taken %d entries, others than another did", x.name, n)
 		}
-		s.truth.sums[n] = sum
+		s.observed.sums[n] = sum
 	}
 	return nil
 }
 
-func (s *Agreed) index(name string) int {
+func (s *RaftVoters) index(name string) int {
 	return slices.IndexFunc(s.voters, func(x *voter) bool { return x.name == name })
 }
 
-func (s *Agreed) carry(i int, a *raftlog.Action) error {
+func (s *RaftVoters) perform(i int, a *raftlog.Action) error {
 	x := s.voters[i]
 	switch a.Kind {
 	case raftlog.Send:
@@ -226,26 +226,26 @@
 		if to < 0 || to == i {
 			return nil
 		}
-		w := letter{from: i, to: to, text: string(a.Message)}
+		w := raftMessage{from: i, to: to, text: string(a.Message)}
 		if a.Stream {
 			w.stream = a.Ref
 		}
-		s.wires = append(s.wires, w)
-		return s.looked(x, a.Message)
+		s.messages = append(s.messages, w)
+		return s.checkVote(x, a.Message)
 	case raftlog.Store:
 		x.pending = append(x.pending, write{Action: *a})
 	case raftlog.Apply:
-		return s.applied(x, a)
+		return s.checkApplied(x, a)
 	case raftlog.BecameLeader:
-		if was := s.truth.leaders[a.Term]; was != "" && was != x.name {
+		if was := s.observed.leaders[a.Term]; was != "" && was != x.name {
 			return fmt.Errorf("%s and %s lead in term %d", was, x.name, a.Term)
 		}
-		s.truth.leaders[a.Term] = x.name
-		x.leads = true
+		s.observed.leaders[a.Term] = x.name
+		x.leader = true
 	case raftlog.LeaderChanged:
-		x.leads = false
+		x.leader = false
 	case raftlog.Stopped:
-		x.broke, x.leads, x.pending = a.Text, false, nil
+		x.failure, x.leader, x.pending = a.Text, false, nil
 	}
 	return nil
 }
@@ -272,8 +272,8 @@
 	return nil
 }
 
-// looked holds what a voter sends against its disk: a vote is there before it is told, and it is the only one of its term.
-func (s *Agreed) looked(x *voter, b []byte) error {
+// checkVote holds what a voter sends against its disk: a vote is there before it is told, and it is the only one of its term.
+func (s *RaftVoters) checkVote(x *voter, b []byte) error {
 	m := raftOf(b)
 	if m == nil || m.GetReject() || m.GetType() != pb.MsgVoteResp {
 		return nil
@@ -286,20 +286,20 @@
 		return fmt.Errorf("%s says that it votes for %x in term %d; its disk has %x in term %d", x.name, m.GetTo(), m.GetTerm(), h.GetVote(), h.GetTerm())
 	}
 	k, to := fmt.Sprint(m.GetFrom(), " ", m.GetTerm()), fmt.Sprint(m.GetTo())
-	if was, ok := s.truth.votes[k]; ok && was != to {
+	if was, ok := s.observed.votes[k]; ok && was != to {
 		return fmt.Errorf("%s votes for %s and %s in term %d", x.name, was, to, m.GetTerm())
 	}
-	s.truth.votes[k] = to
+	s.observed.votes[k] = to
 	return nil
 }
 
-// applied holds what a voter applies against what others did, and, the first time, against the disks: more than half have it, or had it on a disk that was lost since.
-func (s *Agreed) applied(x *voter, a *raftlog.Action) error {
+// checkApplied holds what a voter applies against what others did, and, the first time, against the disks: more than half have it, or had it on a disk that was lost since.
+func (s *RaftVoters) checkApplied(x *voter, a *raftlog.Action) error {
 	text := fmt.Sprint(a.Term, " ", string(a.Entry))
-	for uint64(len(s.truth.entries)) <= a.Index {
-		s.truth.entries = append(s.truth.entries, "")
+	for uint64(len(s.observed.entries)) <= a.Index {
+		s.observed.entries = append(s.observed.entries, "")
 	}
-	switch was := s.truth.entries[a.Index]; {
+	switch was := s.observed.entries[a.Index]; {
 	case was == text:
 		return nil
 	case was != "":
@@ -307,22 +307,22 @@
 	}
 	have := 0
 	for _, y := range s.voters {
-		if y.had[fmt.Sprint(a.Index, " ", text)] || y.base >= a.Index {
+		if y.everDurable[fmt.Sprint(a.Index, " ", text)] || y.lastSnapshot >= a.Index {
 			have++
 		}
 	}
 	if have <= len(s.voters)/2 {
 		return fmt.Errorf("%s applies entry %d, which %d of %d had on their disks", x.name, a.Index, have, len(s.voters))
 	}
-	s.truth.entries[a.Index] = text
+	s.observed.entries[a.Index] = text
 	return nil
 }
 
 // Check is System's: what is wrong was found in the step.
-func (s *Agreed) Check() error {
+func (s *RaftVoters) Check() error {
 	for _, x := range s.voters {
-		if x.broke != "" {
-			return fmt.Errorf("%s: %s", x.name, x.broke)
+		if x.failure != "" {
+			return fmt.Errorf("%s: %s", x.name, x.failure)
 		}
 	}
 	if b := s.Checks.Breaches(); len(b) > 0 {
@@ -331,8 +331,8 @@
 	return nil
 }
 
-// write puts a voter's oldest write on its disk, and tells it where it is to know.
-func (s *Agreed) write(i int, tell bool) error {
+// finishWrite puts a voter's oldest write on its disk, and tells it where it is to know.
+func (s *RaftVoters) finishWrite(i int, tell bool) error {
 	x := s.voters[i]
 	a := x.pending[0]
 	x.pending = x.pending[1:]
@@ -345,21 +345,21 @@
 		e, sn := &pb.Entry{}, &pb.Snapshot{}
 		switch {
 		case strings.HasPrefix(r.Key, "e/") && proto.Unmarshal(r.Value, e) == nil:
-			x.had[fmt.Sprint(e.GetIndex(), " ", e.GetTerm(), " ", string(e.GetData()))] = true
+			x.everDurable[fmt.Sprint(e.GetIndex(), " ", e.GetTerm(), " ", string(e.GetData()))] = true
 		case r.Key == "snapshot" && proto.Unmarshal(r.Value, sn) == nil:
-			x.base = max(x.base, sn.GetMetadata().GetIndex())
+			x.lastSnapshot = max(x.lastSnapshot, sn.GetMetadata().GetIndex())
 		}
 	}
-	if !tell || a.told {
+	if !tell || a.acknowledged {
 		return nil
 	}
-	return s.do(i, raftlog.StoreCompleted{Ref: a.Ref})
+	return s.handle(i, raftlog.StoreCompleted{Ref: a.Ref})
 }
 
 // crash has a voter end and start again; of its writes the first so many are on the disk.
-func (s *Agreed) crash(i, writes int) error {
+func (s *RaftVoters) crash(i, writes int) error {
 	for range writes {
-		if err := s.write(i, false); err != nil {
+		if err := s.finishWrite(i, false); err != nil {
 			return err
 		}
 	}
@@ -367,111 +367,111 @@
 }
 
 // wipe has a voter start with an empty disk.
-func (s *Agreed) wipe(i int) error {
+func (s *RaftVoters) wipe(i int) error {
 	x := s.voters[i]
 	old := x.disk
 	x.disk = map[string][]byte{}
-	if s.Amnesia {
+	if s.KeepsOldNumber {
 		x.disk["meta"] = old["meta"]
 		x.disk["snapshot"] = agreedFirst(s)
 	}
 	return s.start(i)
 }
 
-func agreedFirst(s *Agreed) []byte {
+func agreedFirst(s *RaftVoters) []byte {
 	var all []raftlog.Member
-	for i, v := range s.set.Voters {
+	for i, v := range s.settings.Voters {
 		all = append(all, raftlog.Member{Name: v, Disk: uint64(i + 1)})
 	}
 	return raftlog.BootstrapRecords(all[0], all)[2].Value
 }
 
 // stand lets time pass at a voter until it stands for election; at a leader, until it has told that it lives.
-func (s *Agreed) stand(i int) error {
+func (s *RaftVoters) stand(i int) error {
 	x := s.voters[i]
-	for range 2*s.set.ElectionTicks + 1 {
-		had := len(s.wires)
+	for range 2*s.settings.ElectionTicks + 1 {
+		had := len(s.messages)
 		x.now++
-		if err := s.do(i, raftlog.Tick{}); err != nil || len(s.wires) > had {
+		if err := s.handle(i, raftlog.Tick{}); err != nil || len(s.messages) > had {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Agreed) deliver(k int, keep bool) error {
-	w := s.wires[k]
+func (s *RaftVoters) deliver(k int, keep bool) error {
+	w := s.messages[k]
 	if !keep {
-		s.wires = slices.Delete(s.wires, k, k+1)
+		s.messages = slices.Delete(s.messages, k, k+1)
 	}
-	if err := s.do(w.to, raftlog.MessageReceived{From: s.voters[w.from].name, Message: []byte(w.text)}); err != nil || w.stream == 0 || keep {
+	if err := s.handle(w.to, raftlog.MessageReceived{From: s.voters[w.from].name, Message: []byte(w.text)}); err != nil || w.stream == 0 || keep {
 		return err
 	}
-	return s.do(w.from, raftlog.StreamCompleted{Ref: w.stream, OK: true})
+	return s.handle(w.from, raftlog.StreamCompleted{Ref: w.stream, OK: true})
 }
 
 // lose has a message not come.
-func (s *Agreed) lose(k int) error {
-	w := s.wires[k]
-	s.wires = slices.Delete(s.wires, k, k+1)
+func (s *RaftVoters) lose(k int) error {
+	w := s.messages[k]
+	s.messages = slices.Delete(s.messages, k, k+1)
 	if w.stream == 0 {
 		return nil
 	}
-	return s.do(w.from, raftlog.StreamCompleted{Ref: w.stream})
+	return s.handle(w.from, raftlog.StreamCompleted{Ref: w.stream})
 }
 
-func (s *Agreed) propose(i int) error {
+func (s *RaftVoters) propose(i int) error {
 	s.number++
 	return s.again(i, s.number)
 }
 
 // again proposes a number that may have been proposed before.
-func (s *Agreed) again(i int, number uint64) error {
-	return s.do(i, raftlog.Propose{Ref: number, Entry: counter.EncodeEntry("x", number, 0)})
+func (s *RaftVoters) again(i int, number uint64) error {
+	return s.handle(i, raftlog.Propose{Ref: number, Entry: counter.EncodeEntry("x", number, 0)})
 }
 
 // Moves are System's.
-func (s *Agreed) Moves() (moves []Move) {
-	add := func(name string, do func(c *Agreed) error) {
+func (s *RaftVoters) Moves() (moves []Move) {
+	add := func(name string, do func(c *RaftVoters) error) {
 		moves = append(moves, Move{name, func() (System, error) {
 			c := s.clone()
 			return c, do(c)
 		}})
 	}
-	spend := func(n *int, name string, field func(c *Agreed) *int, do func(c *Agreed) error) {
+	spend := func(n *int, name string, field func(c *RaftVoters) *int, do func(c *RaftVoters) error) {
 		if *n > 0 {
-			add(name, func(c *Agreed) error {
+			add(name, func(c *RaftVoters) error {
 				*field(c)--
 				return do(c)
 			})
 		}
 	}
-	seen := map[letter]bool{}
-	for k, w := range s.wires {
+	seen := map[raftMessage]bool{}
+	for k, w := range s.messages {
 		if seen[w] {
 			continue
 		}
 		seen[w] = true
 		name := fmt.Sprintf("%d to %d %s", w.from, w.to, kindOf(w.text))
-		add(name, func(c *Agreed) error { return c.deliver(k, false) })
-		spend(&s.Double, name+" twice", func(c *Agreed) *int { return &c.Double }, func(c *Agreed) error { return c.deliver(k, true) })
-		spend(&s.Lose, name+" lost", func(c *Agreed) *int { return &c.Lose }, func(c *Agreed) error { return c.lose(k) })
+		add(name, func(c *RaftVoters) error { return c.deliver(k, false) })
+		spend(&s.Duplicate, name+" twice", func(c *RaftVoters) *int { return &c.Duplicate }, func(c *RaftVoters) error { return c.deliver(k, true) })
+		spend(&s.Lose, name+" lost", func(c *RaftVoters) *int { return &c.Lose }, func(c *RaftVoters) error { return c.lose(k) })
 	}
 	for i, x := range s.voters {
 		if len(x.pending) > 0 {
-			add(fmt.Sprintf("%d has written", i), func(c *Agreed) error { return c.write(i, true) })
+			add(fmt.Sprintf("%d has written", i), func(c *RaftVoters) error { return c.finishWrite(i, true) })
 		}
-		if x.leads {
-			spend(&s.Beat, fmt.Sprintf("%d beats", i), func(c *Agreed) *int { return &c.Beat }, func(c *Agreed) error { return c.stand(i) })
-			spend(&s.Propose, fmt.Sprintf("%d is proposed to", i), func(c *Agreed) *int { return &c.Propose }, func(c *Agreed) error { return c.propose(i) })
+		if x.leader {
+			spend(&s.Heartbeat, fmt.Sprintf("%d beats", i), func(c *RaftVoters) *int { return &c.Heartbeat }, func(c *RaftVoters) error { return c.stand(i) })
+			spend(&s.Propose, fmt.Sprintf("%d is proposed to", i), func(c *RaftVoters) *int { return &c.Propose }, func(c *RaftVoters) error { return c.propose(i) })
 		} else {
-			spend(&s.Stand, fmt.Sprintf("%d stands", i), func(c *Agreed) *int { return &c.Stand }, func(c *Agreed) error { return c.stand(i) })
+			spend(&s.Campaign, fmt.Sprintf("%d stands", i), func(c *RaftVoters) *int { return &c.Campaign }, func(c *RaftVoters) error { return c.stand(i) })
 		}
 		for n := range len(x.pending) + 1 {
-			spend(&s.Crash, fmt.Sprintf("%d crashes with %d of %d writes done", i, n, len(x.pending)), func(c *Agreed) *int { return &c.Crash },
-				func(c *Agreed) error { return c.crash(i, n) })
+			spend(&s.Crash, fmt.Sprintf("%d crashes with %d of %d writes done", i, n, len(x.pending)), func(c *RaftVoters) *int { return &c.Crash },
+				func(c *RaftVoters) error { return c.crash(i, n) })
 		}
-		spend(&s.Wipe, fmt.Sprintf("%d loses its disk", i), func(c *Agreed) *int { return &c.Wipe }, func(c *Agreed) error { return c.wipe(i) })
+		spend(&s.Wipe, fmt.Sprintf("%d loses its disk", i), func(c *RaftVoters) *int { return &c.Wipe }, func(c *RaftVoters) error { return c.wipe(i) })
 	}
 	return moves
 }
--- a/internal/testkit/modelcheck/agreed_test.go
+++ b/internal/testkit/modelcheck/agreed_test.go
@@ -11,9 +11,9 @@
 	"beechgrade/internal/invariant"
 )
 
-func (s *Agreed) leader() int {
+func (s *RaftVoters) leader() int {
 	for i, x := range s.voters {
-		if x.rep != nil && x.rep.Status().IsLeader {
+		if x.replica != nil && x.replica.Status().IsLeader {
 			return i
 		}
 	}
@@ -24,8 +24,8 @@
 // back as another voter.
 func TestAgreedSmoke(t *testing.T) {
 	for _, n := range []int{3, 5} {
-		s := NewAgreed(AgreedSettings(n), false)
-		s.Live, s.Checks = true, invariant.Test(t)
+		s := NewRaftVoters(RaftSettings(n), false)
+		s.KeepsReplicas, s.Checks = true, invariant.Test(t)
 		do := func(err error) {
 			if err != nil {
 				t.Fatal(err)
@@ -34,7 +34,7 @@
 		do(s.Settle(40))
 		l := s.leader()
 		if l < 0 {
-			t.Fatalf("nobody leads: %+v", s.voters[0].rep.Status())
+			t.Fatalf("nobody leads: %+v", s.voters[0].replica.Status())
 		}
 		for range 10 {
 			do(s.propose((l + 1) % n))
@@ -43,13 +43,13 @@
 		do(s.Settle(5))
 		for _, x := range s.voters {
 			if x.tally.Counted != 10 {
-				t.Errorf("%s has taken %d: %+v", x.name, x.tally.Counted, x.rep.Status())
+				t.Errorf("%s has taken %d: %+v", x.name, x.tally.Counted, x.replica.Status())
 			}
 		}
 		do(s.wipe((l + 1) % n))
 		do(s.Settle(40))
 		x := s.voters[(l+1)%n]
-		if st := x.rep.Status(); !st.Participates || x.tally.Counted != 10 {
+		if st := x.replica.Status(); !st.Participates || x.tally.Counted != 10 {
 			t.Errorf("%+v, took %d", st, x.tally.Counted)
 		}
 		do(s.Check())
@@ -60,7 +60,7 @@
 func TestAgreedWander(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
-		s := NewAgreed(AgreedSettings(n), rapid.Bool().Draw(t, "founded"))
+		s := NewRaftVoters(RaftSettings(n), rapid.Bool().Draw(t, "founded"))
 		s.Checks = invariant.Test(t)
 		if err := s.Wander(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") }, 300); err != nil {
 			t.Fatal(err)
@@ -73,7 +73,7 @@
 		}
 		if least, most, part := s.Taken(); least != most || part != n {
 			for _, x := range s.voters {
-				t.Logf("%s %+v", x.name, x.rep.Status())
+				t.Logf("%s %+v", x.name, x.replica.Status())
 			}
 			t.Fatalf("taken %d to %d, %d of %d take part", least, most, part, n)
 		}
@@ -88,16 +88,16 @@
 
 // TestAgreedMutants: each of these is found by what crosses the wires and what the disks hold.
 func TestAgreedMutants(t *testing.T) {
-	mutants := map[string]func(s *Agreed){
-		"a vote is told before it is stored":            func(s *Agreed) { s.Early = hardOnly },
-		"an entry is told before it is stored":          func(s *Agreed) { s.Early = entries },
-		"a voter that lost its disk goes by its number": func(s *Agreed) { s.Amnesia = true },
-		"what is proposed twice is taken twice":         func(s *Agreed) { s.Sloppy = true },
+	mutants := map[string]func(s *RaftVoters){
+		"a vote is told before it is stored":            func(s *RaftVoters) { s.AcksEarly = hardOnly },
+		"an entry is told before it is stored":          func(s *RaftVoters) { s.AcksEarly = entries },
+		"a voter that lost its disk goes by its number": func(s *RaftVoters) { s.KeepsOldNumber = true },
+		"what is proposed twice is taken twice":         func(s *RaftVoters) { s.CountsDuplicates = true },
 	}
 	for name, mutate := range mutants {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(300) {
-				s := NewAgreed(AgreedSettings(3), true)
+				s := NewRaftVoters(RaftSettings(3), true)
 				mutate(s)
 				r := rand.New(rand.NewPCG(seed, 1))
 				if err := s.Wander(r.IntN, 400); err != nil {
@@ -124,7 +124,7 @@
 		{"an entry comes twice, its leader crashes", true, 1, 0, 2, 1, 0, 1, 4, 40000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := NewAgreed(AgreedSettings(3), true)
+			s := NewRaftVoters(RaftSettings(3), true)
 			if c.led {
 				if err := s.Settle(8); err != nil || s.leader() < 0 {
 					t.Fatal(err, s.leader())
@@ -133,11 +133,11 @@
 					t.Fatal(err)
 				}
 			}
-			s.Stand, s.Beat, s.Propose, s.Crash, s.Lose, s.Double = c.stand, c.beat, c.propose, c.crash, c.lose, c.double
+			s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Lose, s.Duplicate = c.stand, c.beat, c.propose, c.crash, c.lose, c.double
 			r := Run(s, Bounds{c.depth, c.states})
-			t.Logf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Whole)
-			if r.Err != nil || !r.Whole {
-				t.Fatalf("%v after %q; whole: %v", r.Err, r.Trace, r.Whole)
+			t.Logf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			if r.Err != nil || !r.Complete {
+				t.Fatalf("%v after %q; whole: %v", r.Err, r.Trace, r.Complete)
 			}
 		})
 	}
@@ -145,18 +145,18 @@
 
 // TestAgreedOtherVoters: a pooler takes the place of a voter that the settings name no more; then two more come to make five.
 func TestAgreedOtherVoters(t *testing.T) {
-	s := NewAgreed(AgreedSettings(3), true)
-	s.Live, s.Checks = true, invariant.Test(t)
+	s := NewRaftVoters(RaftSettings(3), true)
+	s.KeepsReplicas, s.Checks = true, invariant.Test(t)
 	do := func(err error) {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
 	change := func(voters ...string) {
-		s.set.Voters = voters
+		s.settings.Voters = voters
 		for _, v := range voters {
 			if s.index(v) < 0 {
-				s.voters = append(s.voters, &voter{name: v, disk: map[string][]byte{}, had: map[string]bool{}})
+				s.voters = append(s.voters, &voter{name: v, disk: map[string][]byte{}, everDurable: map[string]bool{}})
 			}
 		}
 		for i := range s.voters { // one after the other, the new ones last
@@ -170,14 +170,14 @@
 	change("p0", "p1", "p3")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
-	if st := s.voters[3].rep.Status(); !st.Participates || s.voters[3].tally.Counted != 2 {
+	if st := s.voters[3].replica.Status(); !st.Participates || s.voters[3].tally.Counted != 2 {
 		t.Errorf("the new voter: %+v, took %d", st, s.voters[3].tally.Counted)
 	}
 	change("p0", "p1", "p3", "p4", "p5")
 	do(s.propose(s.leader()))
 	do(s.Settle(10))
 	for i, x := range s.voters {
-		if st := x.rep.Status(); i != 2 && (!st.Participates || len(st.Members) != 5 || x.tally.Counted != 3) {
+		if st := x.replica.Status(); i != 2 && (!st.Participates || len(st.Members) != 5 || x.tally.Counted != 3) {
 			t.Errorf("%s: %+v, took %d", x.name, st, x.tally.Counted)
 		}
 	}
--- a/internal/testkit/modelcheck/agreed_ways.go
+++ b/internal/testkit/modelcheck/agreed_ways.go
@@ -8,9 +8,9 @@
 )
 
 // lost counts voters with a disk that was lost, and which are not of the group again; all, while a place goes over.
-func (s *Agreed) lost() (n int) {
+func (s *RaftVoters) lost() (n int) {
 	for _, x := range s.voters {
-		st := x.rep.Status()
+		st := x.replica.Status()
 		if !st.Participates {
 			n++
 		}
@@ -23,28 +23,28 @@
 
 // Wander goes one of all ways, as drawn: messages in any order, lost and twice, writes that wait, crashes, at most so many lost disks at
 // a time that more than half are whole.
-func (s *Agreed) Wander(pick func(n int) int, steps int) error {
-	s.Live = true
+func (s *RaftVoters) Wander(pick func(n int) int, steps int) error {
+	s.KeepsReplicas = true
 	for range steps {
 		i := pick(len(s.voters))
 		x := s.voters[i]
 		var err error
 		switch k := pick(100); {
-		case k < 38 && len(s.wires) > 0:
-			err = s.deliver(pick(min(len(s.wires), 12)), false)
+		case k < 38 && len(s.messages) > 0:
+			err = s.deliver(pick(min(len(s.messages), 12)), false)
 		case k < 58 && len(x.pending) > 0:
-			err = s.write(i, true)
+			err = s.finishWrite(i, true)
 		case k < 72:
 			x.now++
-			err = s.do(i, raftlog.Tick{})
+			err = s.handle(i, raftlog.Tick{})
 		case k < 79:
 			err = s.propose(i)
 		case k < 81 && s.number > 0:
 			err = s.again(i, 1+uint64(pick(int(s.number))))
-		case k < 84 && len(s.wires) > 0:
-			err = s.lose(pick(len(s.wires)))
-		case k < 87 && len(s.wires) > 0:
-			err = s.deliver(pick(len(s.wires)), true)
+		case k < 84 && len(s.messages) > 0:
+			err = s.lose(pick(len(s.messages)))
+		case k < 87 && len(s.messages) > 0:
+			err = s.deliver(pick(len(s.messages)), true)
 		case k < 89:
 			err = s.crash(i, pick(len(x.pending)+1))
 		case k == 89 && s.lost() < (len(s.voters)-1)/2:
@@ -56,7 +56,7 @@
 				err = s.propose(i)
 			}
 		}
-		for err == nil && len(s.wires) > 80 {
+		for err == nil && len(s.messages) > 80 {
 			err = s.lose(0)
 		}
 		if err == nil {
@@ -70,7 +70,7 @@
 }
 
 // Settle has all messages arrive and all writes be done, while time goes on for so many ticks.
-func (s *Agreed) Settle(ticks int) error {
+func (s *RaftVoters) Settle(ticks int) error {
 	for range ticks {
 		for n := 0; ; n++ {
 			var err error
@@ -79,20 +79,20 @@
 			case n > 100000:
 				return fmt.Errorf("there is no end to messages and writes")
 			case i >= 0:
-				err = s.write(i, true)
-			case len(s.wires) > 0:
+				err = s.finishWrite(i, true)
+			case len(s.messages) > 0:
 				err = s.deliver(0, false)
 			}
 			if err != nil {
 				return err
 			}
-			if i < 0 && len(s.wires) == 0 {
+			if i < 0 && len(s.messages) == 0 {
 				break
 			}
 		}
 		for i, x := range s.voters {
 			x.now++
-			if err := s.do(i, raftlog.Tick{}); err != nil {
+			if err := s.handle(i, raftlog.Tick{}); err != nil {
 				return err
 			}
 		}
@@ -101,11 +101,11 @@
 }
 
 // Taken is how many numbers each voter has taken, and how many were applied by anybody; part is of those that take part.
-func (s *Agreed) Taken() (least, most uint64, part int) {
+func (s *RaftVoters) Taken() (least, most uint64, part int) {
 	least = s.number
 	for _, x := range s.voters {
 		least, most = min(least, x.tally.Counted), max(most, x.tally.Counted)
-		if x.rep.Status().Participates {
+		if x.replica.Status().Participates {
 			part++
 		}
 	}
--- a/internal/testkit/modelcheck/credits_test.go
+++ b/internal/testkit/modelcheck/credits_test.go
@@ -17,23 +17,23 @@
 // TestCreditsRandom plays drawn histories of three voters and three poolers, and has each end with nothing lost but what a crash took.
 func TestCreditsRandom(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		s := NewCredits(3, 3, int64(rapid.IntRange(0, 40).Draw(r, "funds")))
-		s.Free = true
-		s.Set.Checks = invariant.Test(r)
-		s.Set.PersistMarks = rapid.Bool().Draw(r, "marks")
-		s.CreditFaults = CreditFaults{Ask: 60, Lose: 10, Double: 10, Depose: 4, Crash: 2, Stop: 2, Pay: 1}
+		s := NewCreditSystem(3, 3, int64(rapid.IntRange(0, 40).Draw(r, "funds")))
+		s.Unordered = true
+		s.Lease.Checks = invariant.Test(r)
+		s.Lease.PersistMarks = rapid.Bool().Draw(r, "marks")
+		s.CreditFaults = CreditFaults{NewRequests: 60, Lose: 10, Duplicate: 10, Depose: 4, Crash: 2, Pause: 2, Pay: 1}
 		s.Start()
 		for range rapid.IntRange(20, 150).Draw(r, "steps") {
 			moves := s.Moves()
 			k := rapid.IntRange(0, len(moves)).Draw(r, "move")
 			if k == len(moves) {
-				s.Time()
+				s.Advance()
 			} else {
 				next, err := moves[k].Do()
 				if err != nil {
 					r.Fatal(err)
 				}
-				s = next.(*Credits)
+				s = next.(*CreditSystem)
 			}
 			if err := s.Check(); err != nil {
 				r.Fatal(moves, err)
@@ -42,46 +42,46 @@
 		if err := s.Settle(40); err != nil {
 			r.Fatal(err)
 		}
-		s.Leave()
+		s.DrainAll()
 		if err := s.Settle(20); err != nil {
 			r.Fatal(err)
 		}
-		b := s.Books().Tenant(CreditTenant)
+		b := s.Ledger().Tenant(CreditTenant)
 		if b.Lent != 0 {
-			r.Fatalf("all have left, and %d are lent: %v", b.Lent, s.Books().AllAccounts())
+			r.Fatalf("all have left, and %d are lent: %v", b.Lent, s.Ledger().AllAccounts())
 		}
-		most := s.Crashed // and what was on its way to one when it crashed
-		for _, k := range s.Books().AllAccounts() {
-			a, _ := s.Books().Account(k)
-			if most += a.Outstanding(); !s.Gone(k.Holder) {
+		most := s.LostInCrashes // and what was on its way to one when it crashed
+		for _, k := range s.Ledger().AllAccounts() {
+			a, _ := s.Ledger().Account(k)
+			if most += a.Outstanding(); !s.PoolerEnded(k.Holder) {
 				r.Fatalf("account %v is open, and its process has left in order", k)
 			}
 		}
-		if over := b.Spent + b.Stranded - s.Served; over < 0 || over > most && s.Stop == 2 { // of one that was replaced asleep and woke its mark is charged
+		if over := b.Spent + b.Stranded - s.Served; over < 0 || over > most && s.Pause == 2 { // of one that was replaced asleep and woke its mark is charged
 			r.Fatalf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, most)
 		}
-		if s.Set.PersistMarks && b.Stranded != 0 {
+		if s.Lease.PersistMarks && b.Stranded != 0 {
 			r.Fatalf("files were found, and %d are stranded", b.Stranded)
 		}
 	})
 }
 
 // drive plays a mutant's history, drawn from a seed, until something is wrong.
-func drive(seed uint64, make func() *Credits) error {
+func drive(seed uint64, make func() *CreditSystem) error {
 	s := make()
-	stops := s.Stop // of one that was stopped, replaced and woke more than its mark may be charged
+	stops := s.Pause // of one that was stopped, replaced and woke more than its mark may be charged
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s.Start()
 	for range 150 {
 		moves := s.Moves()
 		if k := rng.IntN(len(moves) + 1); k == len(moves) {
-			s.Time()
+			s.Advance()
 		} else {
 			next, err := moves[k].Do()
 			if err != nil {
 				return err
 			}
-			s = next.(*Credits)
+			s = next.(*CreditSystem)
 		}
 		if err := s.Check(); err != nil {
 			return err
@@ -90,13 +90,13 @@
 	if err := s.Settle(40); err != nil {
 		return err
 	}
-	s.Leave()
+	s.DrainAll()
 	if err := s.Settle(20); err != nil {
 		return err
 	}
-	b := s.Books().Tenant(CreditTenant)
-	if b.Spent+b.Stranded < s.Served || s.Stop == stops && b.Spent > s.Served+s.Crashed {
-		return fmt.Errorf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, s.Crashed)
+	b := s.Ledger().Tenant(CreditTenant)
+	if b.Spent+b.Stranded < s.Served || s.Pause == stops && b.Spent > s.Served+s.LostInCrashes {
+		return fmt.Errorf("served for %d, %d are spent and %d stranded, crashed processes held %d", s.Served, b.Spent, b.Stranded, s.LostInCrashes)
 	}
 	if b.Lent != 0 {
 		return fmt.Errorf("%d are lent for ever", b.Lent)
@@ -107,40 +107,40 @@
 // TestCreditsMutants has each way to get it wrong found, and the right way hold in the same histories.
 func TestCreditsMutants(t *testing.T) {
 	t.Parallel()
-	base := func() *Credits {
-		s := NewCredits(3, 2, 12)
-		s.Free = true
-		s.CreditFaults = CreditFaults{Ask: 30, Lose: 5, Double: 8, Depose: 3, Crash: 1, Stop: 1, Pay: 2}
+	base := func() *CreditSystem {
+		s := NewCreditSystem(3, 2, 12)
+		s.Unordered = true
+		s.CreditFaults = CreditFaults{NewRequests: 30, Lose: 5, Duplicate: 8, Depose: 3, Crash: 1, Pause: 1, Pay: 2}
 		return s
 	}
-	answers := func(do func(s *Credits, a *message.Response)) func(*Credits, int, *CreditMail) bool {
-		return func(s *Credits, to int, m *CreditMail) bool {
-			m.Answers = slices.Clone(m.Answers)
-			for i := range m.Answers {
-				do(s, &m.Answers[i])
+	answers := func(do func(s *CreditSystem, a *message.Response)) func(*CreditSystem, int, *CreditMessage) bool {
+		return func(s *CreditSystem, to int, m *CreditMessage) bool {
+			m.Responses = slices.Clone(m.Responses)
+			for i := range m.Responses {
+				do(s, &m.Responses[i])
 			}
 			return false
 		}
 	}
-	mutants := map[string]func(s *Credits){
-		"none": func(*Credits) {},
-		"a slice is lent again after a leader's change": func(s *Credits) {
-			s.Break = answers(func(s *Credits, a *message.Response) {
+	mutants := map[string]func(s *CreditSystem){
+		"none": func(*CreditSystem) {},
+		"a slice is lent again after a leader's change": func(s *CreditSystem) {
+			s.Break = answers(func(s *CreditSystem, a *message.Response) {
 				if s.leader != 0 && a.Granted > 0 {
 					a.Granted++
 				}
 			})
 		},
-		"the end counts from the answer's arrival": func(s *Credits) { s.Set.ExpireFromResponse = true },
-		"a payment is taken each time": func(s *Credits) {
-			s.Trust = func(op *ledger.Op) {}
-			s.Again = true
+		"the end counts from the answer's arrival": func(s *CreditSystem) { s.Lease.ExpireFromResponse = true },
+		"a payment is taken each time": func(s *CreditSystem) {
+			s.AlterOp = func(op *ledger.Op) {}
+			s.RenumbersPayments = true
 		},
-		"what is spent is given back": func(s *Credits) {
-			s.Break = func(_ *Credits, _ int, m *CreditMail) bool {
-				m.Asks = slices.Clone(m.Asks)
-				for i := range m.Asks {
-					if a := &m.Asks[i]; a.Final {
+		"what is spent is given back": func(s *CreditSystem) {
+			s.Break = func(_ *CreditSystem, _ int, m *CreditMessage) bool {
+				m.Requests = slices.Clone(m.Requests)
+				for i := range m.Requests {
+					if a := &m.Requests[i]; a.Final {
 						a.Spent = 0
 					} else {
 						a.Returned, a.Spent = a.Returned+a.Spent, 0
@@ -149,15 +149,15 @@
 				return false
 			}
 		},
-		"a client's repeats are charged":  func(s *Credits) { s.Many, s.Set.Classes[0].Max, s.Stop = 2, 2, 0 },
-		"one that was stopped spends on":  func(s *Credits) { s.Set.Duration *= 4; s.Early = true },
-		"an heir reads the files at once": func(s *Credits) { s.Hasty, s.Stop, s.Crash, s.Ask = true, 3, 0, 60 },
+		"a client's repeats are charged":  func(s *CreditSystem) { s.SettlementsPerRequest, s.Lease.Classes[0].Max, s.Pause = 2, 2, 0 },
+		"one that was stopped spends on":  func(s *CreditSystem) { s.Lease.Duration *= 4; s.ShortVoterLeases = true },
+		"an heir reads the files at once": func(s *CreditSystem) { s.HeirDoesNotWait, s.Pause, s.Crash, s.NewRequests = true, 3, 0, 60 },
 	}
 	for name, change := range mutants {
 		found, tries := 0, 0
 		var first error
 		for seed := range uint64(400) {
-			err := drive(seed, func() *Credits { s := base(); change(s); return s })
+			err := drive(seed, func() *CreditSystem { s := base(); change(s); return s })
 			if err != nil {
 				found++
 				first = err
@@ -176,18 +176,18 @@
 func TestCreditsExplored(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]CreditFaults{
-		"three requests, one loss":               {Ask: 3, Lose: 1},
-		"a leader's change, one message doubled": {Ask: 2, Depose: 1, Double: 1},
-		"a crash, and a payment read again":      {Ask: 3, Crash: 1, Pay: 1},
-		"stopped and replaced":                   {Ask: 2, Stop: 1},
+		"three requests, one loss":               {NewRequests: 3, Lose: 1},
+		"a leader's change, one message doubled": {NewRequests: 2, Depose: 1, Duplicate: 1},
+		"a crash, and a payment read again":      {NewRequests: 3, Crash: 1, Pay: 1},
+		"stopped and replaced":                   {NewRequests: 2, Pause: 1},
 	} {
-		s := NewCredits(3, 2, 2)
+		s := NewCreditSystem(3, 2, 2)
 		s.CreditFaults = f
 		s.Start()
 		r := Run(s, Bounds{Depth: 16, States: 200_000})
 		if r.Err != nil {
 			t.Fatalf("%s: %v\n%s", name, r.Err, strings.Join(r.Trace, "\n"))
 		}
-		t.Logf("%s: %d states, %d steps, depth %d, whole %v", name, r.States, r.Steps, r.Depth, r.Whole)
+		t.Logf("%s: %d states, %d steps, depth %d, whole %v", name, r.States, r.Steps, r.Depth, r.Complete)
 	}
 }
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// DurableWays are ways in which the durable store's protocol could be wrong, each a step that is left out or comes too early.
-type DurableWays struct {
+// DurableMutants are ways in which the durable store's protocol could be wrong, each a step that is left out or comes too early.
+type DurableMutants struct {
 	AckUnsynced      bool // a commit is told of before its sync
 	HeadUnsynced     bool // a segment is written to before its head and its name are durable
 	SealUnsynced     bool // the next segment is made before the seal is durable
@@ -20,47 +20,47 @@
 // DurableBounds say how small the store is.
 type DurableBounds struct {
 	Records, Segments, Compactions, Crashes int
-	Ways                                    DurableWays
+	Mutants                                 DurableMutants
 }
 
 // durable is the protocol by which a store commits, goes on to another segment, compacts beside that, and recovers, on a disk that
 // may lose, of what was not synced, any bytes from the end of each file and any names. Records are numbers from 1, in the files as
 // letters; a file is its letters: H its head, S its seal, E a snapshot's end, ? what is there and cannot be read.
 type durable struct {
-	b DurableBounds
+	bounds DurableBounds
 
-	files map[string]*medium // by what they are called when they are made; a file keeps that, whatever its name becomes
-	names map[string]string  // as a process sees them
-	kept  map[string]string  // as the disk has them
+	files        map[string]*diskFile // by what they are called when they are made; a file keeps that, whatever its name becomes
+	names        map[string]string    // as a process sees them
+	durableNames map[string]string    // as the disk has them
 
-	asked, acked int
-	cur          int    // the segment that is written
-	pc           string // of the writer, empty for nothing to do
-	old          string // files that the next snapshot replaces, by commas
+	submitted, acked int
+	segment          int    // the segment that is written
+	writerStep       string // of the writer, empty for nothing to do
+	replaced         string // files that the next snapshot replaces, by commas
 
-	cpc     string // of the compaction, empty for none
-	upTo    int
-	holds   int    // records that its snapshot holds
-	removes string // files that it has yet to remove
+	compactionStep  string // of the compaction, empty for none
+	upTo            int
+	snapshotRecords int    // records that its snapshot holds
+	removes         string // files that it has yet to remove
 
 	compactions, crashes int
-	wrong                string
+	violation            string
 }
 
-type medium struct {
+type diskFile struct {
 	data   string
 	synced int
 }
 
 // NewDurable is a store that has just been made.
 func NewDurable(b DurableBounds) System {
-	s := &durable{b: b, files: map[string]*medium{"l1": {"H", 1}}, names: map[string]string{"l1": "l1"}, kept: map[string]string{"l1": "l1"}, cur: 1}
+	s := &durable{bounds: b, files: map[string]*diskFile{"l1": {"H", 1}}, names: map[string]string{"l1": "l1"}, durableNames: map[string]string{"l1": "l1"}, segment: 1}
 	return s
 }
 
-func (s *durable) copy() *durable {
+func (s *durable) clone() *durable {
 	c := *s
-	c.files, c.names, c.kept = map[string]*medium{}, map[string]string{}, map[string]string{}
+	c.files, c.names, c.durableNames = map[string]*diskFile{}, map[string]string{}, map[string]string{}
 	for k, v := range s.files {
 		m := *v
 		c.files[k] = &m
@@ -68,8 +68,8 @@
 	for k, v := range s.names {
 		c.names[k] = v
 	}
-	for k, v := range s.kept {
-		c.kept[k] = v
+	for k, v := range s.durableNames {
+		c.durableNames[k] = v
 	}
 	return &c
 }
@@ -77,8 +77,8 @@
 // Key is System's.
 func (s *durable) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.asked, " ", s.acked, " ", s.cur, " ", s.pc, " ", s.old, " ", s.cpc, " ", s.upTo, " ", s.holds, " ", s.removes, " ", s.compactions, " ", s.crashes, " ", s.wrong)
-	for _, m := range []map[string]string{s.names, s.kept} {
+	fmt.Fprint(&b, s.submitted, " ", s.acked, " ", s.segment, " ", s.writerStep, " ", s.replaced, " ", s.compactionStep, " ", s.upTo, " ", s.snapshotRecords, " ", s.removes, " ", s.compactions, " ", s.crashes, " ", s.violation)
+	for _, m := range []map[string]string{s.names, s.durableNames} {
 		b.WriteByte('|')
 		for _, k := range sortedKeys(m) {
 			fmt.Fprint(&b, k, "=", m[k], ",")
@@ -105,8 +105,8 @@
 
 // Check is System's.
 func (s *durable) Check() error {
-	if s.wrong != "" {
-		return fmt.Errorf("%s", s.wrong)
+	if s.violation != "" {
+		return fmt.Errorf("%s", s.violation)
 	}
 	return nil
 }
@@ -123,14 +123,14 @@
 }
 
 func (s *durable) syncNames() {
-	s.kept = map[string]string{}
+	s.durableNames = map[string]string{}
 	for k, v := range s.names {
-		s.kept[k] = v
+		s.durableNames[k] = v
 	}
 }
 
 func (s *durable) make(name, id, letters string) {
-	s.files[id] = &medium{data: letters}
+	s.files[id] = &diskFile{data: letters}
 	s.names[name] = id
 }
 
@@ -138,51 +138,51 @@
 func (s *durable) Moves() (out []Move) {
 	step := func(name string, do func(c *durable)) {
 		out = append(out, Move{name, func() (System, error) {
-			c := s.copy()
+			c := s.clone()
 			do(c)
 			return c, nil
 		}})
 	}
-	w, cur := s.b.Ways, segmentOf(s.cur)
-	switch s.pc {
+	w, cur := s.bounds.Mutants, segmentOf(s.segment)
+	switch s.writerStep {
 	case "":
-		if s.asked < s.b.Records {
-			step("write", func(c *durable) { c.asked++; c.add(cur, recordOf(c.asked)); c.pc = "written" })
+		if s.submitted < s.bounds.Records {
+			step("write", func(c *durable) { c.submitted++; c.add(cur, recordOf(c.submitted)); c.writerStep = "written" })
 		}
-		if f := s.files[s.names[cur]].data; len(f) > 1 && s.cur < s.b.Segments {
-			step("write the seal", func(c *durable) { c.add(cur, "S"); c.pc = "sealed" })
-		} else if s.cpc == "" && s.compactions < s.b.Compactions && len(f) == 1 && s.cur > 1 && s.old != "" && s.old != snapOf(s.cur-1) {
+		if f := s.files[s.names[cur]].data; len(f) > 1 && s.segment < s.bounds.Segments {
+			step("write the seal", func(c *durable) { c.add(cur, "S"); c.writerStep = "sealed" })
+		} else if s.compactionStep == "" && s.compactions < s.bounds.Compactions && len(f) == 1 && s.segment > 1 && s.replaced != "" && s.replaced != snapOf(s.segment-1) {
 			step("begin a compaction", func(c *durable) {
 				c.compactions++
-				c.cpc, c.upTo, c.holds, c.removes, c.old = "begun", c.cur-1, c.acked, c.old, ""
+				c.compactionStep, c.upTo, c.snapshotRecords, c.removes, c.replaced = "begun", c.segment-1, c.acked, c.replaced, ""
 			})
 		}
 	case "written":
 		if w.AckUnsynced {
-			step("tell", func(c *durable) { c.acked = c.asked; c.pc = "told" })
+			step("tell", func(c *durable) { c.acked = c.submitted; c.writerStep = "told" })
 		} else {
-			step("sync", func(c *durable) { c.sync(cur); c.pc = "synced" })
+			step("sync", func(c *durable) { c.sync(cur); c.writerStep = "synced" })
 		}
 	case "told":
-		step("sync", func(c *durable) { c.sync(cur); c.pc = "" })
+		step("sync", func(c *durable) { c.sync(cur); c.writerStep = "" })
 	case "synced":
-		step("tell", func(c *durable) { c.acked = c.asked; c.pc = "" })
+		step("tell", func(c *durable) { c.acked = c.submitted; c.writerStep = "" })
 	case "sealed":
 		step("sync the seal", func(c *durable) {
 			if !w.SealUnsynced {
 				c.sync(cur)
 			}
-			c.pc = "closed"
+			c.writerStep = "closed"
 		})
 	case "closed":
 		step("make the next", func(c *durable) {
-			if c.old != "" {
-				c.old += ","
+			if c.replaced != "" {
+				c.replaced += ","
 			}
-			c.old += cur
-			c.cur++
-			c.make(segmentOf(c.cur), segmentOf(c.cur)+fmt.Sprint("-", c.crashes), "H")
-			c.pc = "made"
+			c.replaced += cur
+			c.segment++
+			c.make(segmentOf(c.segment), segmentOf(c.segment)+fmt.Sprint("-", c.crashes), "H")
+			c.writerStep = "made"
 		})
 	case "made":
 		step("sync the head and its name", func(c *durable) {
@@ -190,58 +190,58 @@
 				c.sync(cur)
 				c.syncNames()
 			}
-			c.pc = ""
+			c.writerStep = ""
 		})
 	}
 	tmp := "t" + snapOf(s.upTo)
-	switch s.cpc {
+	switch s.compactionStep {
 	case "begun":
 		step("write the snapshot", func(c *durable) {
-			holds := c.holds
+			holds := c.snapshotRecords
 			if w.SnapLate {
-				holds = min(c.asked, holds+1)
+				holds = min(c.submitted, holds+1)
 			}
 			c.make(tmp, fmt.Sprint(snapOf(c.upTo), "-", c.crashes, "-", c.compactions), "H"+strings.Repeat("r", holds)+"E")
-			c.cpc = "there"
+			c.compactionStep = "there"
 		})
 	case "there":
 		step("sync the snapshot", func(c *durable) {
 			if !w.SnapUnsynced {
 				c.sync(tmp)
 			}
-			c.cpc = "whole"
+			c.compactionStep = "whole"
 		})
 	case "whole":
 		step("rename it", func(c *durable) {
 			c.names[snapOf(c.upTo)] = c.names[tmp]
 			delete(c.names, tmp)
-			c.cpc = "named"
+			c.compactionStep = "named"
 		})
 	case "named":
 		step("sync its name", func(c *durable) {
 			if !w.NameUnsynced {
 				c.syncNames()
 			}
-			c.cpc = "durable"
+			c.compactionStep = "durable"
 		})
 	case "durable":
 		step("remove one", func(c *durable) {
 			name, rest, _ := strings.Cut(c.removes, ",")
 			delete(c.names, name)
 			if c.removes = rest; rest == "" {
-				c.cpc = ""
-				if c.old != "" {
-					c.old = "," + c.old
+				c.compactionStep = ""
+				if c.replaced != "" {
+					c.replaced = "," + c.replaced
 				}
-				c.old = snapOf(c.upTo) + c.old
+				c.replaced = snapOf(c.upTo) + c.replaced
 			}
 		})
 	}
-	if s.crashes < s.b.Crashes {
+	if s.crashes < s.bounds.Crashes {
 		step("the process ends", func(c *durable) { c.recover() })
 		for i, after := range s.outcomes() {
 			step(fmt.Sprint("the power goes out, ", i), func(c *durable) {
-				*c = *after.copy()
+				*c = *after.clone()
 				c.recover()
 			})
 		}
@@ -251,7 +251,7 @@
 
 // outcomes are what the disk may have after a loss of power.
 func (s *durable) outcomes() []*durable {
-	all := []*durable{s.copy()}
+	all := []*durable{s.clone()}
 	each := func(more func(x *durable) []*durable) {
 		var next []*durable
 		for _, x := range all {
@@ -263,16 +263,16 @@
 	for k := range s.names {
 		union[k] = ""
 	}
-	for k := range s.kept {
+	for k := range s.durableNames {
 		union[k] = ""
 	}
 	for _, name := range sortedKeys(union) {
-		if s.names[name] == s.kept[name] {
+		if s.names[name] == s.durableNames[name] {
 			continue
 		}
 		each(func(x *durable) []*durable { // this change of names reached the disk by itself, or did not
-			y := x.copy()
-			if id := s.kept[name]; id != "" {
+			y := x.clone()
+			if id := s.durableNames[name]; id != "" {
 				y.names[name] = id
 			} else {
 				delete(y.names, name)
@@ -296,7 +296,7 @@
 					if torn == "?" && n == len(f.data) {
 						continue
 					}
-					y := x.copy()
+					y := x.clone()
 					y.files[id].data = f.data[:n] + torn
 					out = append(out, y)
 				}
@@ -316,8 +316,8 @@
 // recover is what a start makes of what it finds, and holds that to what was told.
 func (s *durable) recover() {
 	s.crashes++
-	s.pc, s.cpc, s.removes, s.old = "", "", "", ""
-	if !s.b.Ways.RecoveryUnsynced {
+	s.writerStep, s.compactionStep, s.removes, s.replaced = "", "", "", ""
+	if !s.bounds.Mutants.RecoveryUnsynced {
 		s.syncNames()
 	}
 	base, got := 0, 0
@@ -335,11 +335,11 @@
 	if base > 0 {
 		d := s.files[s.names[snapOf(base)]].data
 		if !strings.HasPrefix(d, "H") || !strings.HasSuffix(d, "E") {
-			s.wrong = fmt.Sprintf("refused: snapshot %d is %q", base, d)
+			s.violation = fmt.Sprintf("refused: snapshot %d is %q", base, d)
 			return
 		}
 		got = len(d) - 2
-		s.old = snapOf(base)
+		s.replaced = snapOf(base)
 	}
 	for _, name := range sortedKeys(s.names) {
 		n := 0
@@ -352,17 +352,17 @@
 		}
 	}
 	slices.Sort(logs)
-	s.cur = base
+	s.segment = base
 	for i, n := range logs {
 		last, f := i == len(logs)-1, s.files[s.names[segmentOf(n)]]
 		if n != base+1+i {
-			s.wrong = fmt.Sprintf("refused: segment %d is not there", base+1+i)
+			s.violation = fmt.Sprintf("refused: segment %d is not there", base+1+i)
 			return
 		}
-		s.cur = n
+		s.segment = n
 		if f.data == "" || f.data[0] != 'H' {
 			if !last {
-				s.wrong = fmt.Sprintf("refused: segment %d has no head", n)
+				s.violation = fmt.Sprintf("refused: segment %d has no head", n)
 				return
 			}
 			f.data = "H" // it was being made, and is made anew
@@ -381,33 +381,33 @@
 			case int(x-'a'+1) == got+1:
 				got++
 			default:
-				s.wrong = fmt.Sprintf("refused: record %c behind %d", x, got)
+				s.violation = fmt.Sprintf("refused: record %c behind %d", x, got)
 				return
 			}
 		}
 		if !last && !sealed {
-			s.wrong = fmt.Sprintf("refused: segment %d is not sealed, and another follows", n)
+			s.violation = fmt.Sprintf("refused: segment %d is not sealed, and another follows", n)
 			return
 		}
-		if !s.b.Ways.RecoveryUnsynced {
+		if !s.bounds.Mutants.RecoveryUnsynced {
 			f.synced = len(f.data)
 		}
 		if !last || sealed {
-			s.old = strings.TrimPrefix(s.old+","+segmentOf(n), ",")
+			s.replaced = strings.TrimPrefix(s.replaced+","+segmentOf(n), ",")
 		}
 		if last && sealed {
-			s.cur++
+			s.segment++
 		}
 	}
-	if got < s.acked || got > s.asked {
-		s.wrong = fmt.Sprintf("%d records are there; %d were told of, %d asked for", got, s.acked, s.asked)
+	if got < s.acked || got > s.submitted {
+		s.violation = fmt.Sprintf("%d records are there; %d were told of, %d asked for", got, s.acked, s.submitted)
 		return
 	}
-	s.asked, s.acked = got, got // what is there is told of from now on
-	if s.cur == base || s.names[segmentOf(s.cur)] == "" {
-		s.cur = max(s.cur, base+1)
-		s.make(segmentOf(s.cur), fmt.Sprint(segmentOf(s.cur), "-", s.crashes), "H")
-		s.sync(segmentOf(s.cur))
+	s.submitted, s.acked = got, got // what is there is told of from now on
+	if s.segment == base || s.names[segmentOf(s.segment)] == "" {
+		s.segment = max(s.segment, base+1)
+		s.make(segmentOf(s.segment), fmt.Sprint(segmentOf(s.segment), "-", s.crashes), "H")
+		s.sync(segmentOf(s.segment))
 		s.syncNames()
 	}
 	s.drop()
@@ -416,7 +416,7 @@
 // drop forgets files that no name leads to any more.
 func (s *durable) drop() {
 	used := map[string]bool{}
-	for _, m := range []map[string]string{s.names, s.kept} {
+	for _, m := range []map[string]string{s.names, s.durableNames} {
 		for _, id := range m {
 			used[id] = true
 		}
--- a/internal/testkit/modelcheck/durable_test.go
+++ b/internal/testkit/modelcheck/durable_test.go
@@ -18,14 +18,14 @@
 	}
 	began := time.Now()
 	r := Run(NewDurable(b), Bounds{Depth: 200, States: 20_000_000})
-	t.Logf("%+v: %d states, %d steps, depth %d, whole %v, %v", b, r.States, r.Steps, r.Depth, r.Whole, time.Since(began))
-	if r.Err != nil || !r.Whole || r.States < 1000 {
+	t.Logf("%+v: %d states, %d steps, depth %d, whole %v, %v", b, r.States, r.Steps, r.Depth, r.Complete, time.Since(began))
+	if r.Err != nil || !r.Complete || r.States < 1000 {
 		t.Fatalf("%v by %q", r.Err, r.Trace)
 	}
-	ways := reflect.TypeFor[DurableWays]()
+	ways := reflect.TypeFor[DurableMutants]()
 	for i := range ways.NumField() {
 		wrong := b
-		reflect.ValueOf(&wrong.Ways).Elem().Field(i).SetBool(true)
+		reflect.ValueOf(&wrong.Mutants).Elem().Field(i).SetBool(true)
 		r := Run(NewDurable(wrong), Bounds{Depth: 200, States: 5_000_000})
 		if r.Err == nil {
 			t.Errorf("%s: nothing was found in %d states", ways.Field(i).Name, r.States)
--- a/internal/testkit/modelcheck/explore.go
+++ b/internal/testkit/modelcheck/explore.go
@@ -25,16 +25,16 @@
 
 // Result is what was found.
 type Result struct {
-	States int
-	Steps  int
-	Depth  int  // the longest way that was gone
-	Whole  bool // every state within Depth was seen; else States was too few
-	Err    error
-	Trace  []string // the moves that lead to Err
+	States   int
+	Steps    int
+	Depth    int  // the longest way that was gone
+	Complete bool // every state within Depth was seen; else States was too few
+	Err      error
+	Trace    []string // the moves that lead to Err
 }
 
 type node struct {
-	sys    System
+	system System
 	depth  int
 	parent int
 	move   string
@@ -42,8 +42,8 @@
 
 // Run searches from a start.
 func Run(start System, b Bounds) *Result {
-	r := &Result{Whole: true}
-	nodes := []node{{sys: start, parent: -1}}
+	r := &Result{Complete: true}
+	nodes := []node{{system: start, parent: -1}}
 	seen := map[uint64]bool{xxhash.Sum64String(start.Key()): true}
 	trace := func(i int, last string) {
 		for ; i >= 0; i = nodes[i].parent {
@@ -55,10 +55,10 @@
 		n := nodes[i]
 		r.Depth = max(r.Depth, n.depth)
 		if n.depth == b.Depth {
-			nodes[i].sys = nil
+			nodes[i].system = nil
 			continue
 		}
-		for _, m := range n.sys.Moves() {
+		for _, m := range n.system.Moves() {
 			next, err := m.Do()
 			r.Steps++
 			if err == nil {
@@ -71,14 +71,14 @@
 			}
 			if h := xxhash.Sum64String(next.Key()); !seen[h] {
 				if len(nodes) >= b.States {
-					r.Whole = false
+					r.Complete = false
 					continue
 				}
 				seen[h] = true
 				nodes = append(nodes, node{next, n.depth + 1, i, m.Name})
 			}
 		}
-		nodes[i].sys = nil // its successors have all that is needed
+		nodes[i].system = nil // its successors have all that is needed
 	}
 	r.States = len(nodes)
 	return r
--- a/internal/testkit/modelcheck/explore_test.go
+++ b/internal/testkit/modelcheck/explore_test.go
@@ -10,13 +10,13 @@
 const steps = 110
 
 // search goes through three views that know one another, with what may go wrong.
-func search(t *testing.T, wrong Views, mutant func(i int, e view.Event) view.Event) *Result {
+func search(t *testing.T, wrong ViewSystem, mutant func(i int, e view.Event) view.Event) *Result {
 	t.Helper()
-	s := NewViews(3)
+	s := NewViewSystem(3)
 	if err := s.settle(25); err != nil {
 		t.Fatal(err)
 	}
-	s.Lose, s.Double, s.Late, s.Crash, s.Restart, s.Break = wrong.Lose, wrong.Double, wrong.Late, wrong.Crash, wrong.Restart, mutant
+	s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, s.Break = wrong.Lose, wrong.Duplicate, wrong.Delay, wrong.Crash, wrong.Restart, mutant
 	return Run(s, Bounds{Depth: steps, States: 400000})
 }
 
@@ -24,17 +24,17 @@
 // process takes itself for gone, none invents another's incarnation or takes one back, and none comes back from the dead without a
 // later word of its own.
 func TestViews(t *testing.T) {
-	for name, wrong := range map[string]Views{"lost, crash, restart": {Lose: 1, Crash: 1, Restart: 1}, "late, crash": {Late: 1, Crash: 1},
-		"lost, late, doubled": {Lose: 1, Late: 1, Double: 1}, "three lost": {Lose: 3}} {
+	for name, wrong := range map[string]ViewSystem{"lost, crash, restart": {Lose: 1, Crash: 1, Restart: 1}, "late, crash": {Delay: 1, Crash: 1},
+		"lost, late, doubled": {Lose: 1, Delay: 1, Duplicate: 1}, "three lost": {Lose: 3}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := search(t, wrong, nil)
 			if r.Err != nil {
 				t.Errorf("%v\n%v", r.Err, r.Trace)
 			}
-			t.Logf("%d states, %d steps, up to %d deep, whole %v", r.States, r.Steps, r.Depth, r.Whole)
-			if !r.Whole || r.States < 1000 {
-				t.Errorf("%d states, up to %d deep, whole %v", r.States, r.Depth, r.Whole)
+			t.Logf("%d states, %d steps, up to %d deep, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			if !r.Complete || r.States < 1000 {
+				t.Errorf("%d states, up to %d deep, whole %v", r.States, r.Depth, r.Complete)
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := search(t, Views{Lose: 1, Crash: 1}, m); r.Err == nil {
+			if r := search(t, ViewSystem{Lose: 1, Crash: 1}, m); r.Err == nil {
 				t.Errorf("not found in %d states, %d deep", r.States, r.Depth)
 			} else {
 				t.Logf("%v after %d states, %d deep", r.Err, r.States, r.Depth)
--- a/internal/testkit/modelcheck/levels_test.go
+++ b/internal/testkit/modelcheck/levels_test.go
@@ -15,24 +15,24 @@
 		wrong    LevelFaults
 	}{
 		"two, any order":              {2, 40, LevelFaults{}},
-		"two, lost, late and doubled": {2, 17, LevelFaults{Lose: 1, Late: 1, Double: 1}},
-		"two, late twice":             {2, 19, LevelFaults{Late: 2}},
+		"two, lost, late and doubled": {2, 17, LevelFaults{Lose: 1, Delay: 1, Duplicate: 1}},
+		"two, late twice":             {2, 19, LevelFaults{Delay: 2}},
 		"three, any order":            {3, 20, LevelFaults{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := NewLevels(x.n)
-			if h := s.Held(); h[0] <= 0 {
+			s := NewShedLevels(x.n)
+			if h := s.AppliedLevels(); h[0] <= 0 {
 				t.Fatalf("nothing is shed: %v", h)
 			}
-			s.LevelFaults, s.End = x.wrong, 2
+			s.LevelFaults, s.CompareAt = x.wrong, 2
 			r := Run(s, Bounds{Depth: x.depth, States: 200000})
 			if r.Err != nil {
 				t.Errorf("%v\n%v", r.Err, strings.Join(r.Trace, "\n"))
 			}
-			t.Logf("%d states, %d steps, %d deep, whole %v", r.States, r.Steps, r.Depth, r.Whole)
-			if !r.Whole || r.States < 30 {
-				t.Errorf("%d states, whole %v", r.States, r.Whole)
+			t.Logf("%d states, %d steps, %d deep, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			if !r.Complete || r.States < 30 {
+				t.Errorf("%d states, whole %v", r.States, r.Complete)
 			}
 		})
 	}
@@ -60,8 +60,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := NewLevels(2)
-			s.LevelFaults, s.Break = LevelFaults{Double: 1, Late: 1}, mutant
+			s := NewShedLevels(2)
+			s.LevelFaults, s.Break = LevelFaults{Duplicate: 1, Delay: 1}, mutant
 			if r := Run(s, Bounds{Depth: 20, States: 200000}); r.Err == nil || !strings.Contains(r.Err.Error(), "the same words") {
 				t.Errorf("not found in %d states, %d deep: %v", r.States, r.Depth, r.Err)
 			} else {
--- a/internal/testkit/modelcheck/probes.go
+++ b/internal/testkit/modelcheck/probes.go
@@ -11,37 +11,37 @@
 	"beechgrade/internal/invariant"
 )
 
-// Probers are so many poolers that share probes of one server, with the messages between them. Time goes on in steps, at each of which every
+// HealthCheckers are so many poolers that share probes of one server, with the messages between them. Time goes on in steps, at each of which every
 // process that runs has its tick. A probe ends at any step up to Probe. Processes want one, crash, start again with nothing, and are taken for
 // gone a while after; messages are lost, come twice or late, wherever that can be; some do not reach the server.
-type Probers struct {
+type HealthCheckers struct {
 	ProbeFaults
-	Set   overload.ProbeSettings
-	Blind map[int]bool                           // do not reach the server
-	Each  func(i int, s *overload.ProbeSettings) // a mutant: a process's settings
-	Break func(i int, seq uint32, m any) any     // a mutant: what it is told in place of a message, by the number of its last want
+	Set            overload.ProbeSettings
+	Unreachable    map[int]bool                           // do not reach the server
+	ChangeSettings func(i int, s *overload.ProbeSettings) // a mutant: a process's settings
+	Break          func(i int, seq uint32, m any) any     // a mutant: what it is told in place of a message, by the number of its last want
 
-	now   float64
-	nodes []*prober
-	words []word // sorted
-	wrong bool   // something went wrong by now
+	now           float64
+	nodes         []*healthChecker
+	messages      []nodeMessage // sorted
+	faultHappened bool          // something went wrong by now
 }
 
 // ProbeFaults are what may still happen.
-type ProbeFaults struct{ Want, Lose, Double, Late, Crash, Restart, Drop int }
+type ProbeFaults struct{ Want, Lose, Duplicate, Delay, Crash, Restart, Drop int }
 
-type prober struct {
-	p      *overload.ProbeSharing
-	life   int
-	dead   bool
-	wanted float64 // since when its module wants one, 0 for not so
-	began  float64 // of the probe that it makes, 0 for none
-	last   float64 // began of its last one
-	bad    map[int]bool
-	sees   []overload.Peer
+type healthChecker struct {
+	sharing     *overload.ProbeSharing
+	incarnation int
+	dead        bool
+	wantedSince float64 // since when its module wants one, 0 for not so
+	startedAt   float64 // of the probe that it makes, 0 for none
+	last        float64 // began of its last one
+	bad         map[int]bool
+	members     []overload.Peer
 }
 
-type word struct {
+type nodeMessage struct {
 	from, to int
 	age      int
 	m        any
@@ -56,48 +56,50 @@
 	return overload.ProbeSettings{Probers: 2, MinInterval: 2, MaxResultAge: 1, Patience: 3, SkipTime: 6, ProbeTimeout: 3, TickInterval: 1}
 }
 
-const badKind = 4 // a finding of a process that did not reach the server; its Role is who found it, its Position when that probe began
+const unreachableKind = 4 // a finding of a process that did not reach the server; its Role is who found it, its Position when that probe began
 
-// NewProbers makes a system of so many.
-func NewProbers(n int, set overload.ProbeSettings) *Probers {
-	s := &Probers{Set: set, now: 100, Blind: map[int]bool{}}
+// NewHealthCheckers makes a system of so many.
+func NewHealthCheckers(n int, set overload.ProbeSettings) *HealthCheckers {
+	s := &HealthCheckers{Set: set, now: 100, Unreachable: map[int]bool{}}
 	for range n {
-		s.nodes = append(s.nodes, &prober{})
+		s.nodes = append(s.nodes, &healthChecker{})
 	}
 	return s
 }
 
 // Start begins all processes.
-func (s *Probers) Start() {
+func (s *HealthCheckers) Start() {
 	for i := range s.nodes {
 		s.begin(i)
 	}
 	for i := range s.nodes {
-		s.look(i)
+		s.updateMembers(i)
 	}
 }
 
 // Probing are the processes that probe the server.
-func (s *Probers) Probing() (out []int) {
-	for _, id := range s.nodes[0].p.ProbersOf(Target) {
+func (s *HealthCheckers) Probing() (out []int) {
+	for _, id := range s.nodes[0].sharing.ProbersOf(Target) {
 		out = append(out, int(id-1)%100)
 	}
 	return out
 }
 
-func (s *Probers) id(i int) overload.ID { return overload.ID(100*s.nodes[i].life + i + 1) }
+func (s *HealthCheckers) id(i int) overload.ID {
+	return overload.ID(100*s.nodes[i].incarnation + i + 1)
+}
 
-func (s *Probers) begin(i int) {
+func (s *HealthCheckers) begin(i int) {
 	set := s.Set
-	if s.Each != nil {
-		s.Each(i, &set)
+	if s.ChangeSettings != nil {
+		s.ChangeSettings(i, &set)
 	}
 	x := s.nodes[i]
-	*x = prober{life: x.life, p: overload.NewProbes(set, s.id(i), s.now), last: -1e6}
+	*x = healthChecker{incarnation: x.incarnation, sharing: overload.NewProbes(set, s.id(i), s.now), last: -1e6}
 }
 
 // alive are those that run, as their view has them in the end.
-func (s *Probers) alive() (out []overload.Peer) {
+func (s *HealthCheckers) alive() (out []overload.Peer) {
 	for k, x := range s.nodes {
 		if !x.dead {
 			out = append(out, overload.Peer{ID: s.id(k), Addr: fmt.Sprint(k)})
@@ -106,80 +108,80 @@
 	return out
 }
 
-func (s *Probers) look(i int) {
+func (s *HealthCheckers) updateMembers(i int) {
 	x := s.nodes[i]
-	x.sees = s.alive()
-	x.p.UpdateMembers(s.id(i), x.sees)
+	x.members = s.alive()
+	x.sharing.UpdateMembers(s.id(i), x.members)
 }
 
-func (s *Probers) clone() *Probers {
+func (s *HealthCheckers) clone() *HealthCheckers {
 	c := *s
-	c.nodes = make([]*prober, len(s.nodes))
+	c.nodes = make([]*healthChecker, len(s.nodes))
 	for i, x := range s.nodes {
 		y := *x
-		y.p, y.bad = x.p.Clone(), maps.Clone(x.bad)
+		y.sharing, y.bad = x.sharing.Clone(), maps.Clone(x.bad)
 		c.nodes[i] = &y
 	}
-	c.words = slices.Clone(s.words)
+	c.messages = slices.Clone(s.messages)
 	return &c
 }
 
 // Key is System's.
-func (s *Probers) Key() string {
+func (s *HealthCheckers) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.ProbeFaults, s.wrong, "|")
+	fmt.Fprint(&b, s.ProbeFaults, s.faultHappened, "|")
 	ago := func(at float64) float64 { return min(s.now-at, 1e3) }
 	for i, x := range s.nodes {
-		fmt.Fprint(&b, x.dead, x.life, ago(x.wanted), ago(x.began), min(ago(x.last), s.Set.MinInterval), s.Blind[i], "b", len(x.bad), x.p.StateKey(s.last), "|")
+		fmt.Fprint(&b, x.dead, x.incarnation, ago(x.wantedSince), ago(x.startedAt), min(ago(x.last), s.Set.MinInterval), s.Unreachable[i], "b", len(x.bad), x.sharing.StateKey(s.last), "|")
 	}
-	for _, w := range s.words {
-		fmt.Fprint(&b, w.from, w.to, w.age, s.norm(w), "|")
+	for _, w := range s.messages {
+		fmt.Fprint(&b, w.from, w.to, w.age, s.normalized(w), "|")
 	}
 	return b.String()
 }
 
-func (s *Probers) last(id overload.ID) uint32 {
+func (s *HealthCheckers) last(id overload.ID) uint32 {
 	for i, x := range s.nodes {
 		if s.id(i) == id {
-			return x.p.LastSequence()
+			return x.sharing.LastSequence()
 		}
 	}
 	return 0
 }
 
-// norm is a message as seen from now.
-func (s *Probers) norm(w word) string {
+// normalized is a message as seen from now.
+func (s *HealthCheckers) normalized(w nodeMessage) string {
 	switch m := w.m.(type) {
 	case *overload.ProbeRequest:
-		return fmt.Sprint("want", s.nodes[w.from].p.LastSequence()-m.Sequence)
+		return fmt.Sprint("want", s.nodes[w.from].sharing.LastSequence()-m.Sequence)
 	case *overload.ProbeResult:
-		return fmt.Sprint("found", s.nodes[w.to].p.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
+		return fmt.Sprint("found", s.nodes[w.to].sharing.LastSequence()-m.Sequence, m.StartedMsAgo, m.Result, m.Kind, m.Role, s.now-m.Position)
 	}
 	return ""
 }
 
-// do carries out what a process asks for, and holds that to the rules.
-func (s *Probers) do(i int, acts []overload.ProbeAction) error {
+// perform carries out what a process asks for, and holds that to the rules.
+func (s *HealthCheckers) perform(i int, acts []overload.ProbeAction) error {
 	x := s.nodes[i]
 	for _, a := range acts {
 		switch {
 		case a.Probe != "":
-			if x.began > 0 {
+			if x.startedAt > 0 {
 				return fmt.Errorf("process %d makes two probes at once", i)
 			}
 			if s.now-x.last < s.Set.MinInterval {
 				return fmt.Errorf("process %d probes again after %g", i, s.now-x.last)
 			}
-			if !s.wrong && !slices.Contains(s.Probing(), i) {
+			if !s.faultHappened && !slices.Contains(s.Probing(), i) {
 				return fmt.Errorf("process %d probes, and is no prober, though nothing went wrong", i)
 			}
-			x.began, x.last = s.now, s.now
+			x.startedAt, x.last = s.now, s.now
 		case a.Request != nil:
-			s.put(word{from: i, to: int(a.To-1) % 100, m: a.Request})
+			s.enqueue(nodeMessage{from: i, to: int(a.To-1) % 100, m: a.Request})
 		case a.Response != nil:
-			s.put(word{from: i, to: int(a.To-1) % 100, m: a.Response})
+			s.enqueue(nodeMessage{from: i, to: int(a.To-1) % 100, m: a.Response})
 		case a.Report:
-			if err := s.told(i, &a); err != nil {
+			if err := s.checkResult(i, &a); err != nil {
 				return err
 			}
 		}
@@ -187,102 +189,102 @@
 	return nil
 }
 
-// told holds what the module is told to what is true.
-func (s *Probers) told(i int, a *overload.ProbeAction) error {
+// checkResult holds what the module is told to what is true.
+func (s *HealthCheckers) checkResult(i int, a *overload.ProbeAction) error {
 	x := s.nodes[i]
 	switch from := int(a.Role); {
-	case x.wanted == 0:
+	case x.wantedSince == 0:
 		return fmt.Errorf("process %d is told what it does not want", i)
 	case a.Age < s.now-a.Position-1e-9:
 		return fmt.Errorf("process %d is told of a probe that began %g ago as if it were %g", i, s.now-a.Position, a.Age)
-	case a.Kind == badKind && s.now-a.Position > s.now-x.wanted+s.Set.MaxResultAge+s.Set.ProbeTimeout:
-		return fmt.Errorf("process %d is told of a probe that ended %g before it wanted one", i, x.wanted-a.Position-s.Set.ProbeTimeout)
-	case a.Kind != badKind && a.Position < x.wanted-s.Set.MaxResultAge:
-		return fmt.Errorf("process %d is told of a probe that began %g before it wanted one", i, x.wanted-a.Position)
-	case a.Kind == badKind && from != i && len(x.bad) < min(2, len(x.p.ProbersOf(Target))):
+	case a.Kind == unreachableKind && s.now-a.Position > s.now-x.wantedSince+s.Set.MaxResultAge+s.Set.ProbeTimeout:
+		return fmt.Errorf("process %d is told of a probe that ended %g before it wanted one", i, x.wantedSince-a.Position-s.Set.ProbeTimeout)
+	case a.Kind != unreachableKind && a.Position < x.wantedSince-s.Set.MaxResultAge:
+		return fmt.Errorf("process %d is told of a probe that began %g before it wanted one", i, x.wantedSince-a.Position)
+	case a.Kind == unreachableKind && from != i && len(x.bad) < min(2, len(x.sharing.ProbersOf(Target))):
 		return fmt.Errorf("process %d takes bad news from %d alone", i, from)
-	case a.Kind != badKind && s.Blind[from]:
+	case a.Kind != unreachableKind && s.Unreachable[from]:
 		return fmt.Errorf("process %d is told that %d reached the server", i, from)
 	}
-	x.wanted, x.bad = 0, nil
+	x.wantedSince, x.bad = 0, nil
 	return nil
 }
 
-func (s *Probers) put(w word) {
+func (s *HealthCheckers) enqueue(w nodeMessage) {
 	w.text = fmt.Sprintf("%T%+v", w.m, w.m)
-	s.words = append(s.words, w)
-	sortWords(s.words)
+	s.messages = append(s.messages, w)
+	sortMessages(s.messages)
 }
 
-// sortWords has words in an order that does not depend on who sent first.
-func sortWords(words []word) {
-	slices.SortStableFunc(words, func(x, y word) int { return cmp.Or(cmp.Compare(x.to, y.to), cmp.Compare(x.text, y.text)) })
+// sortMessages has words in an order that does not depend on who sent first.
+func sortMessages(words []nodeMessage) {
+	slices.SortStableFunc(words, func(x, y nodeMessage) int { return cmp.Or(cmp.Compare(x.to, y.to), cmp.Compare(x.text, y.text)) })
 }
 
 // deliver has a message arrive.
-func (s *Probers) deliver(w word) error {
+func (s *HealthCheckers) deliver(w nodeMessage) error {
 	x := s.nodes[w.to]
 	if x.dead {
 		return nil
 	}
 	m := w.m
 	if s.Break != nil {
-		m = s.Break(w.to, x.p.LastSequence(), m)
+		m = s.Break(w.to, x.sharing.LastSequence(), m)
 	}
-	if f, ok := w.m.(*overload.ProbeResult); ok && f.Kind == badKind && f.Result != overload.InProgress {
+	if f, ok := w.m.(*overload.ProbeResult); ok && f.Kind == unreachableKind && f.Result != overload.InProgress {
 		if x.bad == nil {
 			x.bad = map[int]bool{}
 		}
 		x.bad[w.from] = true
 	}
-	return s.do(w.to, x.p.Receive(s.now, s.id(w.from), m, nil))
+	return s.perform(w.to, x.sharing.Receive(s.now, s.id(w.from), m, nil))
 }
 
 // end has a process's probe end.
-func (s *Probers) end(i int) error {
+func (s *HealthCheckers) end(i int) error {
 	x := s.nodes[i]
-	f := overload.Finding{Role: uint8(i), Position: x.began}
-	if s.Blind[i] {
-		f.Result, f.Kind = overload.Unhealthy, badKind
+	f := overload.Finding{Role: uint8(i), Position: x.startedAt}
+	if s.Unreachable[i] {
+		f.Result, f.Kind = overload.Unhealthy, unreachableKind
 	}
-	x.began = 0
-	return s.do(i, x.p.ProbeEnded(s.now, Target, f, nil))
+	x.startedAt = 0
+	return s.perform(i, x.sharing.ProbeEnded(s.now, Target, f, nil))
 }
 
-func (s *Probers) want(i int) error {
+func (s *HealthCheckers) want(i int) error {
 	x := s.nodes[i]
-	if x.wanted == 0 {
-		x.wanted, x.bad = s.now, nil
+	if x.wantedSince == 0 {
+		x.wantedSince, x.bad = s.now, nil
 	}
-	return s.do(i, x.p.RequestProbe(s.now, Target, nil))
+	return s.perform(i, x.sharing.RequestProbe(s.now, Target, nil))
 }
 
 // Moves is System's. Within a step messages arrive first, in any order; then probes end, processes want one, crash or begin; then time goes on.
-func (s *Probers) Moves() (out []Move) {
-	move := func(name string, wrong bool, do func(c *Probers) error) {
+func (s *HealthCheckers) Moves() (out []Move) {
+	move := func(name string, wrong bool, do func(c *HealthCheckers) error) {
 		out = append(out, Move{name, func() (System, error) {
 			c := s.clone()
-			c.wrong = c.wrong || wrong
+			c.faultHappened = c.faultHappened || wrong
 			return c, do(c)
 		}})
 	}
 	seen := map[string]bool{}
-	for k, w := range s.words {
+	for k, w := range s.messages {
 		if w.age != 0 || seen[fmt.Sprint(w.from, w.to, w.text)] {
 			continue
 		}
 		seen[fmt.Sprint(w.from, w.to, w.text)] = true
-		what := fmt.Sprintf("to %d from %d: %.60s", w.to, w.from, s.norm(w))
-		take := func(c *Probers) { c.words = slices.Delete(c.words, k, k+1) }
-		move("arrives "+what, false, func(c *Probers) error { take(c); return c.deliver(w) })
+		what := fmt.Sprintf("to %d from %d: %.60s", w.to, w.from, s.normalized(w))
+		take := func(c *HealthCheckers) { c.messages = slices.Delete(c.messages, k, k+1) }
+		move("arrives "+what, false, func(c *HealthCheckers) error { take(c); return c.deliver(w) })
 		if s.Lose > 0 {
-			move("lost "+what, true, func(c *Probers) error { take(c); c.Lose--; return nil })
+			move("lost "+what, true, func(c *HealthCheckers) error { take(c); c.Lose--; return nil })
 		}
-		if s.Double > 0 {
-			move("twice "+what, false, func(c *Probers) error { c.Double--; c.words[k].age = 1 - lateSteps; return c.deliver(w) })
+		if s.Duplicate > 0 {
+			move("twice "+what, false, func(c *HealthCheckers) error { c.Duplicate--; c.messages[k].age = 1 - lateSteps; return c.deliver(w) })
 		}
-		if s.Late > 0 {
-			move("late "+what, true, func(c *Probers) error { c.Late--; c.words[k].age = -lateSteps; return nil })
+		if s.Delay > 0 {
+			move("late "+what, true, func(c *HealthCheckers) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
 		}
 	}
 	if len(out) > 0 {
@@ -292,49 +294,49 @@
 	for i, x := range s.nodes {
 		if x.dead {
 			if s.Restart > 0 {
-				move(fmt.Sprint("restart ", i), true, func(c *Probers) error {
+				move(fmt.Sprint("restart ", i), true, func(c *HealthCheckers) error {
 					c.Restart--
-					c.nodes[i].life++
+					c.nodes[i].incarnation++
 					c.begin(i)
-					c.look(i)
+					c.updateMembers(i)
 					return nil
 				})
 			}
 			continue
 		}
-		if x.began > 0 {
-			must = must || s.now >= x.began+s.Set.ProbeTimeout
-			move(fmt.Sprint("probe ends ", i), false, func(c *Probers) error { return c.end(i) })
+		if x.startedAt > 0 {
+			must = must || s.now >= x.startedAt+s.Set.ProbeTimeout
+			move(fmt.Sprint("probe ends ", i), false, func(c *HealthCheckers) error { return c.end(i) })
 		}
-		if s.Want > 0 && x.wanted == 0 {
-			move(fmt.Sprint("want ", i), false, func(c *Probers) error { c.Want--; return c.want(i) })
+		if s.Want > 0 && x.wantedSince == 0 {
+			move(fmt.Sprint("want ", i), false, func(c *HealthCheckers) error { c.Want--; return c.want(i) })
 		}
 		if s.Crash > 0 {
-			move(fmt.Sprint("crash ", i), true, func(c *Probers) error { c.Crash--; c.nodes[i].dead = true; return nil })
+			move(fmt.Sprint("crash ", i), true, func(c *HealthCheckers) error { c.Crash--; c.nodes[i].dead = true; return nil })
 		}
-		if s.Drop > 0 && !slices.Equal(x.sees, s.alive()) {
-			move(fmt.Sprint("sees ", i), true, func(c *Probers) error { c.Drop--; c.look(i); return nil })
+		if s.Drop > 0 && !slices.Equal(x.members, s.alive()) {
+			move(fmt.Sprint("sees ", i), true, func(c *HealthCheckers) error { c.Drop--; c.updateMembers(i); return nil })
 		}
 	}
 	if !must {
-		move("time", false, (*Probers).time)
+		move("time", false, (*HealthCheckers).advance)
 	}
 	return out
 }
 
-// time has a step go by.
-func (s *Probers) time() error {
+// advance has a step go by.
+func (s *HealthCheckers) advance() error {
 	s.now++
-	for i := range s.words {
-		s.words[i].age = min(0, s.words[i].age+1)
+	for i := range s.messages {
+		s.messages[i].age = min(0, s.messages[i].age+1)
 	}
 	for i, x := range s.nodes {
 		if x.dead {
 			continue
 		}
 		c := invariant.New(nil)
-		x.p.CheckInvariants(c, 1)
-		if err := s.do(i, x.p.Tick(s.now, nil)); err != nil {
+		x.sharing.CheckInvariants(c, 1)
+		if err := s.perform(i, x.sharing.Tick(s.now, nil)); err != nil {
 			return err
 		}
 		if b := c.Breaches(); len(b) > 0 {
@@ -345,10 +347,10 @@
 }
 
 // Check is System's: each want has an end within Latest.
-func (s *Probers) Check() error {
+func (s *HealthCheckers) Check() error {
 	for i, x := range s.nodes {
-		if !x.dead && x.wanted > 0 && s.now > x.wanted+s.Set.LatencyBound() {
-			return fmt.Errorf("process %d wants a probe for %g, and was told nothing", i, s.now-x.wanted)
+		if !x.dead && x.wantedSince > 0 && s.now > x.wantedSince+s.Set.LatencyBound() {
+			return fmt.Errorf("process %d wants a probe for %g, and was told nothing", i, s.now-x.wantedSince)
 		}
 	}
 	return nil
--- a/internal/testkit/modelcheck/probes_test.go
+++ b/internal/testkit/modelcheck/probes_test.go
@@ -7,14 +7,14 @@
 )
 
 // prober searches so many processes that share probes, with what may go wrong.
-func probers(n, depth int, wrong ProbeFaults, blind []int, mutant func(s *Probers)) *Result {
-	s := NewProbers(n, SmallProbes())
+func probers(n, depth int, wrong ProbeFaults, blind []int, mutant func(s *HealthCheckers)) *Result {
+	s := NewHealthCheckers(n, SmallProbes())
 	if mutant != nil {
 		mutant(s)
 	}
 	s.Start()
 	for _, k := range blind {
-		s.Blind[s.Probing()[k]] = true
+		s.Unreachable[s.Probing()[k]] = true
 	}
 	s.ProbeFaults = wrong
 	return Run(s, Bounds{Depth: depth, States: 900000})
@@ -29,13 +29,13 @@
 		blind    []int
 	}{
 		"nothing wrong, three wants":     {3, 22, ProbeFaults{Want: 3}, nil},
-		"one lost, one late":             {3, 44, ProbeFaults{Want: 1, Lose: 1, Late: 1}, nil},
-		"doubled, late":                  {3, 14, ProbeFaults{Want: 2, Double: 1, Late: 1}, nil},
+		"one lost, one late":             {3, 44, ProbeFaults{Want: 1, Lose: 1, Delay: 1}, nil},
+		"doubled, late":                  {3, 14, ProbeFaults{Want: 2, Duplicate: 1, Delay: 1}, nil},
 		"a crash, a restart":             {3, 15, ProbeFaults{Want: 1, Crash: 1, Restart: 1, Drop: 2}, nil},
 		"the first is blind, one lost":   {3, 17, ProbeFaults{Want: 2, Lose: 1}, []int{0}},
 		"the second is blind, one crash": {3, 20, ProbeFaults{Want: 1, Crash: 1, Drop: 1}, []int{1}},
 		"both are blind":                 {3, 17, ProbeFaults{Want: 2, Lose: 1}, []int{0, 1}},
-		"two processes, all of it":       {2, 16, ProbeFaults{Want: 2, Lose: 1, Late: 1, Double: 1, Crash: 1, Restart: 1, Drop: 1}, []int{0}},
+		"two processes, all of it":       {2, 16, ProbeFaults{Want: 2, Lose: 1, Delay: 1, Duplicate: 1, Crash: 1, Restart: 1, Drop: 1}, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -43,9 +43,9 @@
 			if r.Err != nil {
 				t.Errorf("%v\n%v", r.Err, r.Trace)
 			}
-			t.Logf("%d states, %d steps, %d deep, whole %v", r.States, r.Steps, r.Depth, r.Whole)
-			if !r.Whole || r.States < 300 {
-				t.Errorf("%d states, whole %v", r.States, r.Whole)
+			t.Logf("%d states, %d steps, %d deep, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			if !r.Complete || r.States < 300 {
+				t.Errorf("%d states, whole %v", r.States, r.Complete)
 			}
 		})
 	}
@@ -53,8 +53,8 @@
 
 // TestProberMutants: the search finds each of these.
 func TestProberMutants(t *testing.T) {
-	found := func(do func(seq uint32, f *overload.ProbeResult)) func(*Probers) {
-		return func(s *Probers) {
+	found := func(do func(seq uint32, f *overload.ProbeResult)) func(*HealthCheckers) {
+		return func(s *HealthCheckers) {
 			s.Break = func(_ int, seq uint32, m any) any {
 				if f, ok := m.(*overload.ProbeResult); ok {
 					c := *f
@@ -65,15 +65,15 @@
 			}
 		}
 	}
-	set := func(do func(s *overload.ProbeSettings)) func(*Probers) {
-		return func(s *Probers) { s.Each = func(_ int, x *overload.ProbeSettings) { do(x) } }
+	set := func(do func(s *overload.ProbeSettings)) func(*HealthCheckers) {
+		return func(s *HealthCheckers) { s.ChangeSettings = func(_ int, x *overload.ProbeSettings) { do(x) } }
 	}
 	for name, x := range map[string]struct {
 		wrong  ProbeFaults
 		blind  []int
-		mutant func(*Probers)
+		mutant func(*HealthCheckers)
 	}{
-		"takes an old answer for its own": {ProbeFaults{Want: 2, Double: 1}, nil, found(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
+		"takes an old answer for its own": {ProbeFaults{Want: 2, Duplicate: 1}, nil, found(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
 		"tells no age":                    {ProbeFaults{Want: 2}, nil, found(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
 		"believes one prober":             {ProbeFaults{Want: 2}, []int{0}, found(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
 		"waits for ever":                  {ProbeFaults{Want: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.Patience = 1e6 })},
--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -16,16 +16,16 @@
 }
 
 // quotas is three poolers with a limit that is lent.
-func quotas(t *testing.T, limit int, reserve float64, set quota.Settings, change func(s *Quotas)) *Quotas {
+func quotas(t *testing.T, limit int, reserve float64, set quota.Settings, change func(s *QuotaSystem)) *QuotaSystem {
 	t.Helper()
-	s := NewQuotas(3, limit, reserve, set)
+	s := NewQuotaSystem(3, limit, reserve, set)
 	if change != nil {
 		change(s)
 	}
 	s.Start()
-	for k := 0; k < 25 || sumOf(s.Held()) < float64(limit)-0.1; k++ { // what takes turns is nobody's for a moment
+	for k := 0; k < 25 || sumOf(s.Allowances()) < float64(limit)-0.1; k++ { // what takes turns is nobody's for a moment
 		if err := s.Settle(1); err != nil || k > 60 {
-			t.Fatalf("%v; %v of %d are lent", err, s.Held(), limit)
+			t.Fatalf("%v; %v of %d are lent", err, s.Allowances(), limit)
 		}
 	}
 	return s
@@ -44,34 +44,34 @@
 		late    int
 	}{
 		"two lost":                 {f: QuotaFaults{Lose: 2}, limit: 2, depth: 70},
-		"late, doubled":            {f: QuotaFaults{Late: 1, Double: 1}, limit: 2, depth: 70},
+		"late, doubled":            {f: QuotaFaults{Delay: 1, Duplicate: 1}, limit: 2, depth: 70},
 		"crash, restart":           {f: QuotaFaults{Crash: 1, Restart: 1}, limit: 2, depth: 80},
 		"killed, lost":             {f: QuotaFaults{Bounce: 1, Lose: 1}, limit: 3, depth: 45},
-		"killed, late":             {f: QuotaFaults{Bounce: 1, Late: 1}, limit: 2, depth: 45},
+		"killed, late":             {f: QuotaFaults{Bounce: 1, Delay: 1}, limit: 2, depth: 45},
 		"two killed":               {f: QuotaFaults{Bounce: 2}, limit: 2, depth: 70},
-		"parted, healed, late":     {f: QuotaFaults{Split: 1, Heal: 1, Late: 1}, limit: 2, depth: 45, alone: 2},
-		"parted, late":             {f: QuotaFaults{Split: 1, Late: 1}, limit: 2, depth: 70, alone: 2, late: 5},
-		"owner parted, late":       {f: QuotaFaults{Split: 1, Late: 1}, limit: 2, depth: 70, alone: 1, late: 8},
+		"parted, healed, late":     {f: QuotaFaults{Split: 1, Heal: 1, Delay: 1}, limit: 2, depth: 45, alone: 2},
+		"parted, late":             {f: QuotaFaults{Split: 1, Delay: 1}, limit: 2, depth: 70, alone: 2, late: 5},
+		"owner parted, late":       {f: QuotaFaults{Split: 1, Delay: 1}, limit: 2, depth: 70, alone: 1, late: 8},
 		"owner parted, promises":   {f: QuotaFaults{Split: 1, Heal: 1, Lose: 1}, limit: 2, depth: 60, alone: 1, promise: 8},
 		"parted, healed, floors":   {f: QuotaFaults{Split: 1, Heal: 1, Lose: 1}, limit: 3, reserve: 1, depth: 45},
-		"stopped, lost":            {f: QuotaFaults{Stop: 1, Lose: 1}, limit: 2, depth: 40, alone: 1},
-		"swings, late, lost":       {f: QuotaFaults{Swing: 1, Late: 1, Lose: 1}, limit: 2, depth: 25},
-		"demand swings, parted":    {f: QuotaFaults{Swing: 1, Split: 1, Heal: 1}, limit: 3, depth: 50},
-		"halved, parted, one late": {f: QuotaFaults{Cut: 1, Split: 1, Late: 1}, limit: 2, depth: 45, alone: 1},
+		"stopped, lost":            {f: QuotaFaults{Pause: 1, Lose: 1}, limit: 2, depth: 40, alone: 1},
+		"swings, late, lost":       {f: QuotaFaults{ChangeDemand: 1, Delay: 1, Lose: 1}, limit: 2, depth: 25},
+		"demand swings, parted":    {f: QuotaFaults{ChangeDemand: 1, Split: 1, Heal: 1}, limit: 3, depth: 50},
+		"halved, parted, one late": {f: QuotaFaults{Cut: 1, Split: 1, Delay: 1}, limit: 2, depth: 45, alone: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			set := smallQuota()
 			set.VoteDuration = max(set.VoteDuration, x.promise)
-			s := quotas(t, x.limit, x.reserve, set, func(s *Quotas) { s.Alone, s.LateSteps = x.alone, max(s.LateSteps, x.late) })
-			s.Any, s.QuotaFaults = x.f.Stop == 0, x.f // what has come for one that stands still arrives in its order
+			s := quotas(t, x.limit, x.reserve, set, func(s *QuotaSystem) { s.Isolated, s.LateSteps = x.alone, max(s.LateSteps, x.late) })
+			s.Unordered, s.QuotaFaults = x.f.Pause == 0, x.f // what has come for one that stands still arrives in its order
 			r := Run(s, Bounds{Depth: x.depth, States: 100000})
 			if r.Err != nil {
 				t.Errorf("%v\n%v", r.Err, r.Trace)
 			}
-			t.Logf("%d states, %d steps, up to %d deep, whole %v", r.States, r.Steps, r.Depth, r.Whole)
-			if !r.Whole || r.States < 500 {
-				t.Errorf("%d states, up to %d deep, whole %v", r.States, r.Depth, r.Whole)
+			t.Logf("%d states, %d steps, up to %d deep, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			if !r.Complete || r.States < 500 {
+				t.Errorf("%d states, up to %d deep, whole %v", r.States, r.Depth, r.Complete)
 			}
 		})
 	}
@@ -82,23 +82,23 @@
 	for name, x := range map[string]struct {
 		f     QuotaFaults
 		alone int
-		mute  func(s *Quotas)
+		mute  func(s *QuotaSystem)
 	}{
-		"an owner that lends without waiting": {QuotaFaults{Split: 1}, 0, func(s *Quotas) {
-			s.Each = func(i, _ int, set *quota.Settings) {
+		"an owner that lends without waiting": {QuotaFaults{Split: 1}, 0, func(s *QuotaSystem) {
+			s.ChangeSettings = func(i, _ int, set *quota.Settings) {
 				if i != 0 {
 					set.LeaseDuration = 0.5
 				}
 			}
 		}},
-		"a lease without an end": {QuotaFaults{Split: 1}, 0, func(s *Quotas) {
-			s.Each = func(i, _ int, set *quota.Settings) {
+		"a lease without an end": {QuotaFaults{Split: 1}, 0, func(s *QuotaSystem) {
+			s.ChangeSettings = func(i, _ int, set *quota.Settings) {
 				if i == 0 {
 					set.LeaseDuration = 1e9
 				}
 			}
 		}},
-		"an end that counts from the answer": {QuotaFaults{Split: 1, Late: 1}, 2, func(s *Quotas) {
+		"an end that counts from the answer": {QuotaFaults{Split: 1, Delay: 1}, 2, func(s *QuotaSystem) {
 			s.Break = func(_ int, q *quota.Quota, m *quota.Message) bool {
 				if m.Kind == quota.LeaseAnswer {
 					for _, it := range m.Items {
@@ -112,8 +112,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, mutant := range []bool{false, true} {
-				s := quotas(t, 2, 0, smallQuota(), func(s *Quotas) {
-					if s.Alone = x.alone; mutant {
+				s := quotas(t, 2, 0, smallQuota(), func(s *QuotaSystem) {
+					if s.Isolated = x.alone; mutant {
 						x.mute(s)
 					}
 				})
@@ -134,13 +134,13 @@
 	for _, mutant := range []bool{false, true} {
 		set := smallQuota()
 		set.VoteDuration = 8
-		s := quotas(t, 2, 0, set, func(s *Quotas) { s.Rash, s.Alone = mutant, 2 })
-		s.parted = true
-		_ = s.look()
+		s := quotas(t, 2, 0, set, func(s *QuotaSystem) { s.ForgetsEpoch, s.Isolated = mutant, 2 })
+		s.partitioned = true
+		_ = s.updateMembers()
 		if err := s.Settle(30); err != nil {
 			t.Fatal(err)
 		}
-		s.Alone = 1 // the owner
+		s.Isolated = 1 // the owner
 		_ = s.restart(0)
 		_ = s.restart(2)
 		if err := s.Settle(30); (err != nil) != mutant {
@@ -153,22 +153,22 @@
 // from the new process; from a mutant that has its old name and epoch it does, and holds what the other was lent meanwhile.
 func TestForgottenEpoch(t *testing.T) {
 	for _, mutant := range []bool{false, true} {
-		s := quotas(t, 2, 0, smallQuota(), func(s *Quotas) { s.Same = mutant })
-		_ = s.swing(2)
-		if err := s.Settle(15); err != nil || s.Held()[2] != 2 {
-			t.Fatal(err, s.Held())
+		s := quotas(t, 2, 0, smallQuota(), func(s *QuotaSystem) { s.KeepsID = mutant })
+		_ = s.changeDemand(2)
+		if err := s.Settle(15); err != nil || s.Allowances()[2] != 2 {
+			t.Fatal(err, s.Allowances())
 		}
-		_ = s.swing(0)
-		var late *parcel
+		_ = s.changeDemand(0)
+		var late *quotaMessage
 		for k := 0; late == nil; k++ {
 			if k > 20 {
 				t.Fatal("0 was not lent all")
 			}
-			_ = s.time()
-			for len(s.wires) > 0 && late == nil {
-				w := s.wires[0]
-				s.wires = s.wires[1:]
-				if w.to == 0 && w.m.Kind == quota.LeaseAnswer && w.m.Items[0].Units == 2 {
+			_ = s.advance()
+			for len(s.messages) > 0 && late == nil {
+				w := s.messages[0]
+				s.messages = s.messages[1:]
+				if w.to == 0 && w.message.Kind == quota.LeaseAnswer && w.message.Items[0].Units == 2 {
 					late = &w
 					continue
 				}
@@ -176,23 +176,23 @@
 			}
 		}
 		_ = s.restart(1)
-		_ = s.swing(2)
+		_ = s.changeDemand(2)
 		for k := range 12 {
-			_ = s.time()
-			for len(s.wires) > 0 {
-				w := s.wires[0]
-				s.wires = s.wires[1:]
-				if w.to != 0 || w.m.Kind != quota.LeaseAnswer || !w.m.Items[0].Vote { // those to 0 that lend are lost
+			_ = s.advance()
+			for len(s.messages) > 0 {
+				w := s.messages[0]
+				s.messages = s.messages[1:]
+				if w.to != 0 || w.message.Kind != quota.LeaseAnswer || !w.message.Items[0].Vote { // those to 0 that lend are lost
 					_ = s.deliver(w)
 				}
 			}
-			if s.Held()[2] == 2 || k == 11 {
+			if s.Allowances()[2] == 2 || k == 11 {
 				_ = s.deliver(*late)
 				break
 			}
 		}
 		if err := s.Check(); (err != nil) != mutant {
-			t.Errorf("mutant %v: %v, %v", mutant, err, s.Held())
+			t.Errorf("mutant %v: %v, %v", mutant, err, s.Allowances())
 		}
 	}
 }
@@ -206,15 +206,15 @@
 		set.VoteDuration = rapid.SampledFrom([]float64{3, 5, 9}).Draw(rt, "promise")
 		set.UseTimeout = rapid.SampledFrom([]float64{1, 4}).Draw(rt, "linger")
 		n := rapid.SampledFrom([]int{2, 3, 5}).Draw(rt, "poolers")
-		s := NewQuotas(n, rapid.IntRange(1, 9).Draw(rt, "limit"), rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "reserve"), set)
-		s.Number, s.Any, s.LateSteps = rapid.Bool().Draw(rt, "number"), true, rapid.IntRange(2, 15).Draw(rt, "late")
+		s := NewQuotaSystem(n, rapid.IntRange(1, 9).Draw(rt, "limit"), rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "reserve"), set)
+		s.ConcurrencyLimit, s.Unordered, s.LateSteps = rapid.Bool().Draw(rt, "number"), true, rapid.IntRange(2, 15).Draw(rt, "late")
 		s.Start()
 		if rapid.Bool().Draw(rt, "settled") {
 			_ = s.Settle(25)
 		}
-		s.QuotaFaults = QuotaFaults{Lose: 1000, Double: 1000, Late: 1000, Crash: 1000, Restart: 1000, Bounce: 1000, Stop: 1000, Split: 1000, Heal: 1000, Swing: 1000}
+		s.QuotaFaults = QuotaFaults{Lose: 1000, Duplicate: 1000, Delay: 1000, Crash: 1000, Restart: 1000, Bounce: 1000, Pause: 1000, Split: 1000, Heal: 1000, ChangeDemand: 1000}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			for k := 0; len(s.wires) > 0 && k < 40; k++ {
+			for k := 0; len(s.messages) > 0 && k < 40; k++ {
 				moves := s.Moves()
 				if len(moves) == 0 || moves[0].Name == "time" {
 					break
@@ -225,29 +225,29 @@
 					i = rapid.IntRange(0, len(moves)-1).Draw(rt, "way")
 				}
 				next, _ := moves[i].Do()
-				*s = *next.(*Quotas)
+				*s = *next.(*QuotaSystem)
 				if err := s.Check(); err != nil {
 					rt.Fatal(err)
 				}
 			}
-			if s.Number {
+			if s.ConcurrencyLimit {
 				for range rapid.IntRange(0, 4).Draw(rt, "uses") {
 					s.use(rapid.IntRange(0, n-1).Draw(rt, "who"), rapid.SampledFrom([]int{1, 1, 1, -1}).Draw(rt, "use"))
 				}
 			}
-			if !s.parted {
-				s.Alone = rapid.IntRange(0, n-1).Draw(rt, "alone")
+			if !s.partitioned {
+				s.Isolated = rapid.IntRange(0, n-1).Draw(rt, "alone")
 			}
 			moves := s.Moves()
 			i := slices.IndexFunc(moves, func(m Move) bool { return m.Name == "time" })
 			if i < 0 { // the rest arrives in the next step
-				_ = s.time()
+				_ = s.advance()
 			} else {
 				if rapid.IntRange(0, 3).Draw(rt, "calm") == 0 {
 					i = rapid.IntRange(0, len(moves)-1).Draw(rt, "move")
 				}
 				next, _ := moves[i].Do()
-				*s = *next.(*Quotas)
+				*s = *next.(*QuotaSystem)
 			}
 			if err := s.Check(); err != nil {
 				rt.Fatal(err)
@@ -260,13 +260,13 @@
 const grain = 50
 
 // eight are poolers with the settings that the program has by default, in steps of grain.
-func eight(t *testing.T, limit int, reserve float64) (*Quotas, quota.Settings) {
+func eight(t *testing.T, limit int, reserve float64) (*QuotaSystem, quota.Settings) {
 	t.Helper()
 	set := quota.Defaults()
 	for _, x := range []*float64{&set.LeaseDuration, &set.VoteDuration, &set.RenewInterval, &set.UrgentInterval, &set.UseTimeout, &set.TickInterval} {
 		*x /= grain
 	}
-	s := NewQuotas(8, limit, reserve, set)
+	s := NewQuotaSystem(8, limit, reserve, set)
 	s.Start()
 	if err := s.Settle(int(set.TakeoverBound(quota.Rate, 0)) + 20); err != nil {
 		t.Fatal(err)
@@ -282,18 +282,18 @@
 }
 
 // floorOf is a pooler's floor.
-func floorOf(s *Quotas) float64 {
+func floorOf(s *QuotaSystem) float64 {
 	l := s.Set.Limits[0]
 	c := l.Partition(len(s.nodes))
 	return l.Amount * float64(c.Reserved) / float64(c.Units)
 }
 
 // within lets time pass until something is so, which must be by a bound.
-func within(t *testing.T, s *Quotas, bound float64, what string, is func() bool) {
+func within(t *testing.T, s *QuotaSystem, bound float64, what string, is func() bool) {
 	t.Helper()
 	for k := 0.0; !is(); k++ {
 		if k > bound {
-			t.Fatalf("%s: not within %.0f ms: %v", what, bound*grain, s.Held())
+			t.Fatalf("%s: not within %.0f ms: %v", what, bound*grain, s.Allowances())
 		}
 		if err := s.Settle(1); err != nil {
 			t.Fatal(err)
@@ -307,8 +307,8 @@
 	for k := range 60 {
 		who := (5*k + 3) % 8
 		_ = s.Settle(17 + k%13) // whenever it comes between asks and plans
-		_ = s.swing(who)
-		within(t, s, set.DemandBound(0), "demand at one", func() bool { return s.Held()[who] > 160*85/100 })
+		_ = s.changeDemand(who)
+		within(t, s, set.DemandBound(0), "demand at one", func() bool { return s.Allowances()[who] > 160*85/100 })
 	}
 }
 
@@ -316,23 +316,23 @@
 // lent to others within Free of that, and it has its share again once it is back.
 func TestLimitCutOff(t *testing.T) {
 	s, set := eight(t, 160, 0.1)
-	_ = s.swing(0)
+	_ = s.changeDemand(0)
 	_ = s.Settle(int(set.DemandBound(0)) + 1)
 	floor := floorOf(s)
-	s.Alone, s.parted = 0, true
-	_ = s.look()
-	_ = s.swing(1)
-	within(t, s, set.LeaseDuration, "the floor of one that is cut off", func() bool { return s.Held()[0] == floor })
-	within(t, s, set.ReclaimBound(quota.Rate)-set.LeaseDuration+set.ElectionBound(0), "others have what it had", func() bool { return s.Held()[1] > 160*8/10 })
+	s.Isolated, s.partitioned = 0, true
+	_ = s.updateMembers()
+	_ = s.changeDemand(1)
+	within(t, s, set.LeaseDuration, "the floor of one that is cut off", func() bool { return s.Allowances()[0] == floor })
+	within(t, s, set.ReclaimBound(quota.Rate)-set.LeaseDuration+set.ElectionBound(0), "others have what it had", func() bool { return s.Allowances()[1] > 160*8/10 })
 	for range 200 {
-		if err := s.Settle(1); err != nil || s.Held()[0] != floor {
-			t.Fatal(err, s.Held())
+		if err := s.Settle(1); err != nil || s.Allowances()[0] != floor {
+			t.Fatal(err, s.Allowances())
 		}
 	}
-	s.parted = false
-	_ = s.look()
-	_ = s.swing(0)
-	within(t, s, set.DemandBound(0)+1.5*set.VoteDuration, "its share once it is back", func() bool { return s.Held()[0] > 160*8/10 })
+	s.partitioned = false
+	_ = s.updateMembers()
+	_ = s.changeDemand(0)
+	within(t, s, set.DemandBound(0)+1.5*set.VoteDuration, "its share once it is back", func() bool { return s.Allowances()[0] > 160*8/10 })
 }
 
 // TestLimitOwnerCrashes: what the others hold of a crashed owner's goes on without a gap, and the whole is lent again within TakeOver.
@@ -340,22 +340,22 @@
 	s, set := eight(t, 160, 0.1)
 	owner := -1
 	for i, x := range s.nodes {
-		if x.q.Statuses()[0].IsOwner {
+		if x.quota.Statuses()[0].IsOwner {
 			owner = i
 		}
 	}
 	if owner < 0 {
 		t.Fatal("nobody owns the limit")
 	}
-	held := s.Held()
+	held := s.Allowances()
 	s.kill(owner)
-	_ = s.look()
+	_ = s.updateMembers()
 	had := sumOf(held) - held[owner]
 	within(t, s, set.TakeoverBound(quota.Rate, 0), "the whole is lent again", func() bool {
-		if now := sumOf(s.Held()); now < had*9/10 {
-			t.Fatalf("%g of %g are left: %v", now, had, s.Held())
+		if now := sumOf(s.Allowances()); now < had*9/10 {
+			t.Fatalf("%g of %g are left: %v", now, had, s.Allowances())
 		}
-		return sumOf(s.Held()) >= 160-floorOf(s)-1
+		return sumOf(s.Allowances()) >= 160-floorOf(s)-1
 	})
 }
 
@@ -363,12 +363,12 @@
 func TestLimitJoins(t *testing.T) {
 	s, set := eight(t, 160, 0.1)
 	who := 5
-	for s.nodes[who].q.Statuses()[0].IsOwner {
+	for s.nodes[who].quota.Statuses()[0].IsOwner {
 		who--
 	}
 	_ = s.restart(who)
 	// What its last life held is nobody's yet: the others make room.
-	within(t, s, set.LocalWait(set.VoteDuration)+set.DemandBound(0)+2*set.RenewInterval, "a newcomer's part", func() bool { return s.Held()[who] >= 160/8*8/10 && sumOf(s.Held()) <= 160 })
+	within(t, s, set.LocalWait(set.VoteDuration)+set.DemandBound(0)+2*set.RenewInterval, "a newcomer's part", func() bool { return s.Allowances()[who] >= 160/8*8/10 && sumOf(s.Allowances()) <= 160 })
 }
 
 // TestLimitChanges: a limit that is lowered at one pooler after the other binds within Free of the last, and never is more used than the
@@ -381,9 +381,9 @@
 		return l
 	}
 	for _, x := range []struct{ to, most float64 }{{16, 16}, {8, 16}, {15, 15}} {
-		s.most = int(x.most)
+		s.maxUsed = int(x.most)
 		for i := range s.nodes {
-			_ = s.do(i, quota.LimitsChanged{Limits: change(x.to)})
+			_ = s.handle(i, quota.LimitsChanged{Limits: change(x.to)})
 			if err := s.Settle(3); err != nil {
 				t.Fatalf("to %g at %d: %v", x.to, i, err)
 			}
@@ -391,10 +391,10 @@
 		if err := s.Settle(int(set.ReclaimBound(quota.Rate) + set.ElectionBound(0))); err != nil {
 			t.Fatal(err)
 		}
-		if got := sumOf(s.Held()); got < x.to*0.98 {
+		if got := sumOf(s.Allowances()); got < x.to*0.98 {
 			t.Errorf("%g of %g", got, x.to)
 		}
-		s.most = int(x.to)
+		s.maxUsed = int(x.to)
 	}
 }
 
@@ -402,48 +402,50 @@
 // once. Who gets the late answer does not take it any more.
 func TestOldOwnersAnswer(t *testing.T) {
 	s := quotas(t, 2, 0, smallQuota(), nil)
-	_ = s.swing(0)
-	if err := s.Settle(15); err != nil || s.Held()[0] != 2 {
-		t.Fatal(err, s.Held())
+	_ = s.changeDemand(0)
+	if err := s.Settle(15); err != nil || s.Allowances()[0] != 2 {
+		t.Fatal(err, s.Allowances())
 	}
-	_ = s.swing(2)
-	var late *parcel
-	step := func(keep func(w parcel) bool) {
-		_ = s.time()
-		for len(s.wires) > 0 {
-			w := s.wires[0]
-			s.wires = s.wires[1:]
+	_ = s.changeDemand(2)
+	var late *quotaMessage
+	step := func(keep func(w quotaMessage) bool) {
+		_ = s.advance()
+		for len(s.messages) > 0 {
+			w := s.messages[0]
+			s.messages = s.messages[1:]
 			if keep(w) {
 				_ = s.deliver(w)
 			}
 		}
 	}
-	lends := func(w parcel) bool { return w.to == 2 && w.m.Kind == quota.LeaseAnswer && w.m.Items[0].Vote }
+	lends := func(w quotaMessage) bool {
+		return w.to == 2 && w.message.Kind == quota.LeaseAnswer && w.message.Items[0].Vote
+	}
 	for k := 0; late == nil; k++ {
 		if k > 20 {
 			t.Fatal("2 was not lent all")
 		}
-		step(func(w parcel) bool {
-			if lends(w) && w.m.Items[0].Units == 2 {
+		step(func(w quotaMessage) bool {
+			if lends(w) && w.message.Items[0].Units == 2 {
 				late = &w
 			}
 			return late == nil
 		})
 	}
-	s.Ends = 2 // the owner drains: all turn to the next
-	_ = s.look()
-	_ = s.swing(0)
+	s.Draining = 2 // the owner drains: all turn to the next
+	_ = s.updateMembers()
+	_ = s.changeDemand(0)
 	took := false
 	for range 8 { // of a lease of 7 steps, by a clock that is slow
-		step(func(w parcel) bool { return !lends(w) }) // the new one's answers to 2 are lost
-		if s.Held()[0] == 2 {
+		step(func(w quotaMessage) bool { return !lends(w) }) // the new one's answers to 2 are lost
+		if s.Allowances()[0] == 2 {
 			took = true
 			_ = s.deliver(*late)
 			break
 		}
 	}
 	if err := s.Check(); err != nil || !took {
-		t.Error(err, took, s.Held())
+		t.Error(err, took, s.Allowances())
 	}
 }
 
@@ -452,23 +454,23 @@
 func TestUsesOutliveASmallerAnswer(t *testing.T) {
 	set := smallQuota()
 	set.UseTimeout, set.VoteDuration = 6, 12
-	s := quotas(t, 2, 0, set, func(s *Quotas) { s.Number, s.Alone = true, 2 })
-	_ = s.swing(2)
-	if err := s.Settle(20); err != nil || s.Held()[2] != 2 {
-		t.Fatal(err, s.Held())
+	s := quotas(t, 2, 0, set, func(s *QuotaSystem) { s.ConcurrencyLimit, s.Isolated = true, 2 })
+	_ = s.changeDemand(2)
+	if err := s.Settle(20); err != nil || s.Allowances()[2] != 2 {
+		t.Fatal(err, s.Allowances())
 	}
 	s.use(2, 1)
 	s.use(2, 1)
-	_ = s.swing(0)
+	_ = s.changeDemand(0)
 	for k := 0; ; k++ { // answers to 2 are lost for a while, until one comes that lends nothing
 		lent := false
-		_ = s.time()
-		for len(s.wires) > 0 && !lent {
-			w := s.wires[0]
-			s.wires = s.wires[1:]
-			if w.to != 2 || w.m.Kind != quota.LeaseAnswer {
+		_ = s.advance()
+		for len(s.messages) > 0 && !lent {
+			w := s.messages[0]
+			s.messages = s.messages[1:]
+			if w.to != 2 || w.message.Kind != quota.LeaseAnswer {
 				_ = s.deliver(w)
-			} else if lent = k > 4 && w.m.Items[0].Vote && w.m.Items[0].Units == 0; lent {
+			} else if lent = k > 4 && w.message.Items[0].Vote && w.message.Items[0].Units == 0; lent {
 				_ = s.deliver(w)
 			}
 		}
@@ -479,8 +481,8 @@
 			t.Fatal("2 was not lent less")
 		}
 	}
-	s.wires, s.parted = nil, true
-	_ = s.look()
+	s.messages, s.partitioned = nil, true
+	_ = s.updateMembers()
 	used := false
 	for range 40 {
 		if err := s.Settle(1); err != nil {
@@ -504,9 +506,9 @@
 	s, set := eight(t, 160, 0.1)
 	for _, limits := range [][]quota.Limit{nil, s.Set.Limits} {
 		for i, x := range s.nodes {
-			_ = s.do(i, quota.LimitsChanged{Limits: limits})
-			_ = s.do(i, s.demand(i))
-			if n := x.q.Usable(QuotaName, s.clock(i)); limits == nil && n != 0 {
+			_ = s.handle(i, quota.LimitsChanged{Limits: limits})
+			_ = s.handle(i, s.demand(i))
+			if n := x.quota.Usable(QuotaName, s.clock(i)); limits == nil && n != 0 {
 				t.Errorf("%g of a limit that is not there", n)
 			}
 			if err := s.Settle(7); err != nil {
@@ -514,5 +516,5 @@
 			}
 		}
 	}
-	within(t, s, set.TakeoverBound(quota.Rate, 0)+set.VoteDuration, "the limit is back", func() bool { return sumOf(s.Held()) > 159 })
+	within(t, s, set.TakeoverBound(quota.Rate, 0)+set.VoteDuration, "the limit is back", func() bool { return sumOf(s.Allowances()) > 159 })
 }
--- a/internal/testkit/modelcheck/verdicts.go
+++ b/internal/testkit/modelcheck/verdicts.go
@@ -8,15 +8,15 @@
 
 // Evidence is what one process hears of servers' state from others, in whatever order, each word once and as many of them twice as Twice says.
 type Evidence struct {
-	Set     outlier.Settings
-	Members outlier.MembersChanged
-	Servers []outlier.Server
-	Words   []outlier.Received
-	Twice   int
+	Set        outlier.Settings
+	Members    outlier.MembersChanged
+	Servers    []outlier.Server
+	Messages   []outlier.Received
+	Duplicates int
 
-	heard []int // in their order
-	v     *outlier.Detector
-	want  string // what is made of all of them, heard in their order
+	received []int // in their order
+	detector *outlier.Detector
+	want     string // what is made of all of them, heard in their order
 }
 
 // evidenceAt is when all that happens.
@@ -25,30 +25,32 @@
 // Start is the state before anything was heard.
 func (e *Evidence) Start() *Evidence {
 	var all []int
-	for i := range e.Words {
+	for i := range e.Messages {
 		all = append(all, i)
 	}
-	e.want = e.after(all).made()
+	e.want = e.after(all).outcome()
 	return e.after(nil)
 }
 
 func (e *Evidence) after(heard []int) *Evidence {
 	x := *e
-	x.heard, x.v = heard, outlier.New(e.Set, e.Members.Self, evidenceAt)
-	x.v.Handle(evidenceAt, e.Members, nil)
-	x.v.Handle(evidenceAt, outlier.ServersListed{Servers: e.Servers}, nil)
+	x.received, x.detector = heard, outlier.New(e.Set, e.Members.Self, evidenceAt)
+	x.detector.Handle(evidenceAt, e.Members, nil)
+	x.detector.Handle(evidenceAt, outlier.ServersListed{Servers: e.Servers}, nil)
 	for _, i := range heard {
-		x.v.Handle(evidenceAt, e.Words[i], nil)
+		x.detector.Handle(evidenceAt, e.Messages[i], nil)
 	}
 	return &x
 }
 
-// made is what it makes of what it heard: as a collector, and as one that heeds collectors.
-func (e *Evidence) made() string { return fmt.Sprintf("%+v %+v", e.v.Assessments(), e.v.Ejections()) }
+// outcome is what it makes of what it heard: as a collector, and as one that heeds collectors.
+func (e *Evidence) outcome() string {
+	return fmt.Sprintf("%+v %+v", e.detector.Assessments(), e.detector.Ejections())
+}
 
 func (e *Evidence) times() (n []int, twice int) {
-	n = make([]int, len(e.Words))
-	for _, i := range e.heard {
+	n = make([]int, len(e.Messages))
+	for _, i := range e.received {
 		if n[i]++; n[i] == 2 {
 			twice++
 		}
@@ -57,14 +59,14 @@
 }
 
 // Key is System's.
-func (e *Evidence) Key() string { n, _ := e.times(); return fmt.Sprint(n, e.made()) }
+func (e *Evidence) Key() string { n, _ := e.times(); return fmt.Sprint(n, e.outcome()) }
 
 // Moves is System's.
 func (e *Evidence) Moves() (out []Move) {
 	n, twice := e.times()
-	for i := range e.Words {
-		if n[i] == 0 || n[i] == 1 && twice < e.Twice {
-			out = append(out, Move{fmt.Sprintf("word %d", i), func() (System, error) { return e.after(append(append([]int(nil), e.heard...), i)), nil }})
+	for i := range e.Messages {
+		if n[i] == 0 || n[i] == 1 && twice < e.Duplicates {
+			out = append(out, Move{fmt.Sprintf("word %d", i), func() (System, error) { return e.after(append(append([]int(nil), e.received...), i)), nil }})
 		}
 	}
 	return out
@@ -75,15 +77,15 @@
 	n, _ := e.times()
 	all := true
 	by := map[outlier.ID]bool{}
-	for i := range e.Words {
+	for i := range e.Messages {
 		if all = all && n[i] > 0; n[i] > 0 {
-			by[e.Words[i].From] = true
+			by[e.Messages[i].From] = true
 		}
 	}
-	if len(by) < 2 && len(e.v.Ejections()) > 0 {
-		return fmt.Errorf("by one alone: %+v", e.v.Ejections())
+	if len(by) < 2 && len(e.detector.Ejections()) > 0 {
+		return fmt.Errorf("by one alone: %+v", e.detector.Ejections())
 	}
-	if got := e.made(); all && got != e.want {
+	if got := e.outcome(); all && got != e.want {
 		return fmt.Errorf("%s is made of it, and of the words in their order %s", got, e.want)
 	}
 	return nil
--- a/internal/testkit/modelcheck/verdicts_test.go
+++ b/internal/testkit/modelcheck/verdicts_test.go
@@ -10,7 +10,7 @@
 // evidence is of a group of four: three observers find a server silent, one of them has an answer later; two collectors' older and newer words.
 func evidence(t *testing.T, broken outlier.Fault, lastly bool) *Evidence {
 	t.Helper()
-	e := &Evidence{Set: outlier.Defaults(), Members: outlier.MembersChanged{Self: 1}, Twice: 1}
+	e := &Evidence{Set: outlier.Defaults(), Members: outlier.MembersChanged{Self: 1}, Duplicates: 1}
 	e.Set.Fault = broken
 	for i := range 5 {
 		e.Members.Peers = append(e.Members.Peers, outlier.Peer{ID: outlier.ID(i + 1), Addr: fmt.Sprint(i), Zone: "z"})
@@ -25,10 +25,10 @@
 	key := v.Assessments()[0].Key
 	tell := func(from outlier.ID, seq uint32, x outlier.Observation) {
 		x.Key = key
-		e.Words = append(e.Words, outlier.Received{From: from, Message: &outlier.Observations{Sequence: seq, Items: []outlier.Observation{x}}})
+		e.Messages = append(e.Messages, outlier.Received{From: from, Message: &outlier.Observations{Sequence: seq, Items: []outlier.Observation{x}}})
 	}
 	word := func(from outlier.ID, seq uint32, bad bool) {
-		e.Words = append(e.Words, outlier.Received{From: from, Message: &outlier.Assessments{Sequence: seq, Items: []outlier.Assessment{{Key: key, Unhealthy: bad, AllZones: bad, FirstUnanswered: 3000, LastUnanswered: 100, Answered: -1}}}})
+		e.Messages = append(e.Messages, outlier.Received{From: from, Message: &outlier.Assessments{Sequence: seq, Items: []outlier.Assessment{{Key: key, Unhealthy: bad, AllZones: bad, FirstUnanswered: 3000, LastUnanswered: 100, Answered: -1}}}})
 	}
 	said := outlier.ServerReport{Role: outlier.RoleReplica, Position: evidenceAt - 500}
 	tell(2, 1, outlier.Observation{Answered: 5000, Unanswered: 3, FirstUnanswered: 3000, LastUnanswered: 400, Work: 80, Report: said, ReportAge: 300})
@@ -47,11 +47,11 @@
 func TestEvidence(t *testing.T) {
 	for _, lastly := range []bool{false, true} {
 		e := evidence(t, outlier.NoFault, lastly)
-		r := Run(e, Bounds{Depth: 2 * len(e.Words), States: 1 << 16})
-		if r.Err != nil || !r.Whole {
-			t.Errorf("%v, %v; whole: %v, %d states", r.Err, r.Trace, r.Whole, r.States)
+		r := Run(e, Bounds{Depth: 2 * len(e.Messages), States: 1 << 16})
+		if r.Err != nil || !r.Complete {
+			t.Errorf("%v, %v; whole: %v, %d states", r.Err, r.Trace, r.Complete, r.States)
 		}
-		if stands := len(e.after([]int{3, 4, 5}).v.Ejections()); stands != 1 {
+		if stands := len(e.after([]int{3, 4, 5}).detector.Ejections()); stands != 1 {
 			t.Errorf("three collectors' word makes %d verdicts: it proves nothing", stands)
 		}
 	}
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -9,32 +9,32 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// Views are so many poolers whose views know one another, with the messages between them. Time goes on in steps, at each of which
+// ViewSystem are so many poolers whose views know one another, with the messages between them. Time goes on in steps, at each of which
 // every process that runs has its tick, and within which messages arrive. Of them some are lost, come twice, are overtaken by all that
 // comes in the next steps, or meet a process that has crashed or started again, wherever that can be.
-type Views struct {
-	Lose, Double, Late, Crash, Restart int // that may still happen
+type ViewSystem struct {
+	Lose, Duplicate, Delay, Crash, Restart int // that may still happen
 
-	now   float64
-	nodes []*one
-	wires []wire // sorted
-	inc   map[view.ID]uint32
-	Break func(i int, e view.Event) view.Event // a mutant: what a process is told in place of an event
+	now          float64
+	nodes        []*viewNode
+	messages     []viewMessage // sorted
+	incarnations map[view.ID]uint32
+	Break        func(i int, e view.Event) view.Event // a mutant: what a process is told in place of an event
 }
 
-type one struct {
-	v    *view.View
-	dead bool
-	life int
+type viewNode struct {
+	view        *view.View
+	dead        bool
+	incarnation int
 }
 
-type wire struct {
-	to   int
-	text string
-	age  int
-	m    *view.Message // nil for a side of a full exchange
-	recs []view.Record
-	back int // who is answered, -1 for nobody
+type viewMessage struct {
+	to      int
+	text    string
+	age     int
+	message *view.Message // nil for a side of a full exchange
+	records []view.Record
+	replyTo int // who is answered, -1 for nobody
 }
 
 func smallSettings(i int) view.Settings {
@@ -42,54 +42,54 @@
 		TickInterval: 1, MaxRecordBytes: 1000, ExpectedPoolers: 3, SeedAddresses: []string{"0"}, RandomSeed: uint64(i)}
 }
 
-func (s *Views) id(i, life int) view.ID { return view.NewID(float64(1000+life), uint64(i+1)) }
+func (s *ViewSystem) id(i, life int) view.ID { return view.NewID(float64(1000+life), uint64(i+1)) }
 
-// NewViews makes a system of so many that know one another.
-func NewViews(n int) *Views {
-	s := &Views{now: 10, inc: map[view.ID]uint32{}}
+// NewViewSystem makes a system of so many that know one another.
+func NewViewSystem(n int) *ViewSystem {
+	s := &ViewSystem{now: 10, incarnations: map[view.ID]uint32{}}
 	var all []view.Record
 	for i := range n {
 		r := view.Record{ID: s.id(i, 0), Name: fmt.Sprint("p", i), Addr: fmt.Sprint(i)}
-		s.nodes = append(s.nodes, &one{v: view.New(smallSettings(i), r, s.now)})
+		s.nodes = append(s.nodes, &viewNode{view: view.New(smallSettings(i), r, s.now)})
 		all = append(all, r)
 	}
 	for i, x := range s.nodes {
-		x.v.Handle(s.now, view.ExchangeCompleted{Records: slices.Concat(all[(i+1)%n:(i+1)%n+1], all)}, nil)
+		x.view.Handle(s.now, view.ExchangeCompleted{Records: slices.Concat(all[(i+1)%n:(i+1)%n+1], all)}, nil)
 	}
 	return s
 }
 
-func (s *Views) clone() *Views {
+func (s *ViewSystem) clone() *ViewSystem {
 	c := *s
-	c.nodes = make([]*one, len(s.nodes))
+	c.nodes = make([]*viewNode, len(s.nodes))
 	for i, x := range s.nodes {
 		y := *x
-		y.v = x.v.Clone()
+		y.view = x.view.Clone()
 		c.nodes[i] = &y
 	}
-	c.wires = slices.Clone(s.wires)
-	c.inc = map[view.ID]uint32{}
-	for k, v := range s.inc {
-		c.inc[k] = v
+	c.messages = slices.Clone(s.messages)
+	c.incarnations = map[view.ID]uint32{}
+	for k, v := range s.incarnations {
+		c.incarnations[k] = v
 	}
 	return &c
 }
 
 // Key is System's.
-func (s *Views) Key() string {
+func (s *ViewSystem) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.Lose, s.Double, s.Late, s.Crash, s.Restart, "|")
+	fmt.Fprint(&b, s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, "|")
 	for _, x := range s.nodes {
-		fmt.Fprint(&b, x.dead, x.life, x.v.StateKey(), "|")
+		fmt.Fprint(&b, x.dead, x.incarnation, x.view.StateKey(), "|")
 	}
-	for _, w := range s.wires {
-		fmt.Fprint(&b, w.to, w.age, w.back, w.text, "|")
+	for _, w := range s.messages {
+		fmt.Fprint(&b, w.to, w.age, w.replyTo, w.text, "|")
 	}
 	return b.String()
 }
 
-// do tells one process of an event, and puts on the wires what follows.
-func (s *Views) do(i int, e view.Event) error {
+// handle tells one process of an event, and puts on the wires what follows.
+func (s *ViewSystem) handle(i int, e view.Event) error {
 	x := s.nodes[i]
 	if s.Break != nil {
 		e = s.Break(i, e)
@@ -97,8 +97,8 @@
 	if e == nil {
 		return nil
 	}
-	before := x.v.Members()
-	for _, a := range x.v.Handle(s.now, e, nil) {
+	before := x.view.Members()
+	for _, a := range x.view.Handle(s.now, e, nil) {
 		to := -1
 		for k := range s.nodes {
 			if a.Addr == fmt.Sprint(k) {
@@ -108,18 +108,18 @@
 		switch {
 		case to < 0 || to == i:
 		case a.Kind == view.Send:
-			s.put(wire{to: to, m: a.Message, back: -1})
+			s.enqueue(viewMessage{to: to, message: a.Message, replyTo: -1})
 		case a.Kind == view.StartExchange:
-			s.put(wire{to: to, recs: x.v.Records(), back: i})
+			s.enqueue(viewMessage{to: to, records: x.view.Records(), replyTo: i})
 		}
 	}
-	self := x.v.Self()
+	self := x.view.Self()
 	if self.State != view.Alive {
 		return fmt.Errorf("process %d takes itself for %s", i, self.State)
 	}
-	s.inc[self.ID] = max(s.inc[self.ID], self.Incarnation)
+	s.incarnations[self.ID] = max(s.incarnations[self.ID], self.Incarnation)
 	after := map[view.ID]view.Record{}
-	for _, r := range x.v.Members() {
+	for _, r := range x.view.Members() {
 		after[r.ID] = r
 	}
 	for _, r := range before {
@@ -135,17 +135,17 @@
 	return nil
 }
 
-func (s *Views) put(w wire) {
-	if w.m != nil {
-		m := *w.m
+func (s *ViewSystem) enqueue(w viewMessage) {
+	if w.message != nil {
+		m := *w.message
 		m.Sequence &= 0xffff
 		w.text = fmt.Sprint(m.Kind, m.From, m.Sequence, m.Target, m.Records)
 	} else {
-		w.text = fmt.Sprint(w.recs)
+		w.text = fmt.Sprint(w.records)
 	}
-	s.wires = append(s.wires, w)
-	sort.SliceStable(s.wires, func(a, b int) bool {
-		x, y := &s.wires[a], &s.wires[b]
+	s.messages = append(s.messages, w)
+	sort.SliceStable(s.messages, func(a, b int) bool {
+		x, y := &s.messages[a], &s.messages[b]
 		if x.to != y.to {
 			return x.to < y.to
 		}
@@ -154,58 +154,58 @@
 }
 
 // deliver has a message arrive.
-func (s *Views) deliver(w wire) error {
+func (s *ViewSystem) deliver(w viewMessage) error {
 	x := s.nodes[w.to]
 	if x.dead {
 		return nil
 	}
-	if w.m != nil {
-		m := *w.m
+	if w.message != nil {
+		m := *w.message
 		m.Records = slices.Clone(m.Records)
-		return s.do(w.to, view.Received{Message: &m})
+		return s.handle(w.to, view.Received{Message: &m})
 	}
-	mine := x.v.Records()
-	err := s.do(w.to, view.ExchangeCompleted{Records: slices.Clone(w.recs)})
-	if w.back >= 0 {
-		s.put(wire{to: w.back, recs: mine, back: -1})
+	mine := x.view.Records()
+	err := s.handle(w.to, view.ExchangeCompleted{Records: slices.Clone(w.records)})
+	if w.replyTo >= 0 {
+		s.enqueue(viewMessage{to: w.replyTo, records: mine, replyTo: -1})
 	}
 	return err
 }
 
 // Moves is System's. Messages arrive in one order unless one is late: then others overtake it.
-func (s *Views) Moves() (out []Move) {
-	move := func(name string, do func(c *Views) error) {
+func (s *ViewSystem) Moves() (out []Move) {
+	move := func(name string, do func(c *ViewSystem) error) {
 		out = append(out, Move{name, func() (System, error) {
 			c := s.clone()
 			return c, do(c)
 		}})
 	}
-	if k := slices.IndexFunc(s.wires, func(w wire) bool { return w.age == 0 }); k >= 0 {
-		w := s.wires[k]
+	if k := slices.IndexFunc(s.messages, func(w viewMessage) bool { return w.age == 0 }); k >= 0 {
+		w := s.messages[k]
 		what := fmt.Sprintf("to %d: %.60s", w.to, w.text)
-		take := func(c *Views) { c.wires = slices.Delete(c.wires, k, k+1) }
-		move("arrives "+what, func(c *Views) error { take(c); return c.deliver(w) })
+		take := func(c *ViewSystem) { c.messages = slices.Delete(c.messages, k, k+1) }
+		move("arrives "+what, func(c *ViewSystem) error { take(c); return c.deliver(w) })
 		if s.Lose > 0 {
-			move("lost "+what, func(c *Views) error { take(c); c.Lose--; return nil })
+			move("lost "+what, func(c *ViewSystem) error { take(c); c.Lose--; return nil })
 		}
-		if s.Double > 0 {
-			move("twice "+what, func(c *Views) error { c.Double--; c.wires[k].age = -1; return c.deliver(w) })
+		if s.Duplicate > 0 {
+			move("twice "+what, func(c *ViewSystem) error { c.Duplicate--; c.messages[k].age = -1; return c.deliver(w) })
 		}
-		if s.Late > 0 {
-			move("late "+what, func(c *Views) error { c.Late--; c.wires[k].age = -lateSteps; return nil })
+		if s.Delay > 0 {
+			move("late "+what, func(c *ViewSystem) error { c.Delay--; c.messages[k].age = -lateSteps; return nil })
 		}
 		return out
 	}
-	move("time", (*Views).time)
+	move("time", (*ViewSystem).advance)
 	for i, x := range s.nodes {
 		if !x.dead && s.Crash > 0 {
-			move(fmt.Sprint("crash ", i), func(c *Views) error { c.Crash--; c.nodes[i].dead = true; return nil })
+			move(fmt.Sprint("crash ", i), func(c *ViewSystem) error { c.Crash--; c.nodes[i].dead = true; return nil })
 		}
 		if x.dead && s.Restart > 0 {
-			move(fmt.Sprint("restart ", i), func(c *Views) error {
+			move(fmt.Sprint("restart ", i), func(c *ViewSystem) error {
 				c.Restart--
-				life := x.life + 1
-				c.nodes[i] = &one{life: life, v: view.New(smallSettings(i), view.Record{ID: c.id(i, life), Name: fmt.Sprint("p", i), Addr: fmt.Sprint(i)}, c.now)}
+				life := x.incarnation + 1
+				c.nodes[i] = &viewNode{incarnation: life, view: view.New(smallSettings(i), view.Record{ID: c.id(i, life), Name: fmt.Sprint("p", i), Addr: fmt.Sprint(i)}, c.now)}
 				return nil
 			})
 		}
@@ -216,15 +216,15 @@
 // lateSteps is how late a message is that is late.
 const lateSteps = 3
 
-// time has a step go by.
-func (s *Views) time() error {
+// advance has a step go by.
+func (s *ViewSystem) advance() error {
 	s.now++
-	for i := range s.wires {
-		s.wires[i].age++
+	for i := range s.messages {
+		s.messages[i].age++
 	}
 	for i, x := range s.nodes {
 		if !x.dead {
-			if err := s.do(i, view.Tick{}); err != nil {
+			if err := s.handle(i, view.Tick{}); err != nil {
 				return err
 			}
 		}
@@ -233,14 +233,14 @@
 }
 
 // settle has time go by with nothing going wrong.
-func (s *Views) settle(steps int) error {
+func (s *ViewSystem) settle(steps int) error {
 	for range steps {
-		if err := s.time(); err != nil {
+		if err := s.advance(); err != nil {
 			return err
 		}
-		for len(s.wires) > 0 {
-			w := s.wires[0]
-			s.wires = s.wires[1:]
+		for len(s.messages) > 0 {
+			w := s.messages[0]
+			s.messages = s.messages[1:]
 			if err := s.deliver(w); err != nil {
 				return err
 			}
@@ -250,11 +250,11 @@
 }
 
 // Check is System's: nobody knows a later word of a process than its own last one.
-func (s *Views) Check() error {
+func (s *ViewSystem) Check() error {
 	for i, x := range s.nodes {
-		for _, r := range x.v.Members() {
-			if r.Incarnation > s.inc[r.ID] {
-				return fmt.Errorf("process %d knows incarnation %d of %x, which never had more than %d", i, r.Incarnation, r.ID, s.inc[r.ID])
+		for _, r := range x.view.Members() {
+			if r.Incarnation > s.incarnations[r.ID] {
+				return fmt.Errorf("process %d knows incarnation %d of %x, which never had more than %d", i, r.Incarnation, r.ID, s.incarnations[r.ID])
 			}
 		}
 	}
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -22,77 +22,77 @@
 // again: with what its disk had, applied before it knows of anybody or after. Time goes on in steps, at each of which those who run look about. It knows
 // what voters apply and follow, nothing of how they come to it.
 type ZoneVoters struct {
-	Pass, Sleep, Lead, Crash, Double, Twice int // that may still happen
-
-	Set      zones.Settings
-	GoneAt   float64 // from then on the last zone has no servers
-	Most     float64 // steps that a word is on its way at most
-	Amnesiac bool    // a mutant: what a process kept is not there for the next one
-	Hasty    bool    // a mutant: a process that starts takes itself for led before it reads its disk
-	Timeless bool    // a mutant: words come without their age
-	Sloppy   bool    // a mutant: books take any plan
-	Endless  bool    // a mutant: a plan has no end
-
-	now   float64
-	log   []string
-	waits []string // proposed, not agreed
-	wires []zoneWord
-	procs []*zoneProc
-	truth zoneTruth
+	Ticks, Pauses, Lead, Crash, Duplicate, Twice int // that may still happen
+
+	Set              zones.Settings
+	ZoneLostAt       float64 // from then on the last zone has no servers
+	MaxDelay         float64 // steps that a word is on its way at most
+	LosesFile        bool    // a mutant: what a process kept is not there for the next one
+	LeadsBeforeRead  bool    // a mutant: a process that starts takes itself for led before it reads its disk
+	DropsAges        bool    // a mutant: words come without their age
+	AcceptsAnyPlan   bool    // a mutant: books take any plan
+	PlansNeverExpire bool    // a mutant: a plan has no end
+
+	now       float64
+	log       []string
+	proposals []string // proposed, not agreed
+	messages  []zoneMessage
+	processes []*zoneProcess
+	truth     zoneObserved
 }
 
-type zoneWord struct {
+type zoneMessage struct {
 	from, to int
 	text     string
 	at       float64
 }
 
-// zoneTruth is what has become known to be so.
-type zoneTruth struct {
+// zoneObserved is what has become known to be so.
+type zoneObserved struct {
 	plans   map[uint64]string
 	applied map[uint64]float64 // by number: when a voter that ran had it applied last
 }
 
-type zoneProc struct {
-	z     *zones.Coordinator // nil where it is to be made again
-	told  []zoneEvent
-	key   uint64
-	life  int
-	done  int    // entries of the log
-	disk  int    // of them those that its process began with
-	file  uint64 // the number in its file
-	floor uint64 // ...as this process found it
-	began float64
-	woke  float64 // it looked about last
-	leads int     // who leads, as it was told; below 0 for nobody
-	keeps []zoneKeep
-	clock float64
-	tells []zoneWord // of the event under way
-	asks  []string
+type zoneProcess struct {
+	coordinator   *zones.Coordinator // nil where it is to be made again
+	events        []zoneEvent
+	key           uint64
+	incarnation   int
+	applied       int    // entries of the log
+	disk          int    // of them those that its process began with
+	file          uint64 // the number in its file
+	floor         uint64 // ...as this process found it
+	startedAt     float64
+	sampledAt     float64 // it looked about last
+	leader        int     // who leads, as it was told; below 0 for nobody
+	pendingStores []pendingStore
+	clock         float64
+	outgoing      []zoneMessage // of the event under way
+	proposals     []string
 
 	number, since uint64 // it followed last; since over all its processes
 }
 
-type zoneKeep struct {
-	no   uint64
-	done func()
+type pendingStore struct {
+	number uint64
+	done   func()
 }
 
 // What a process is told of.
 type zoneEvent struct {
 	now  float64
-	what zoneWhat
+	kind zoneEventKind
 	text string // a word, or an entry
 	n    uint64 // whom it is from, who leads, or the entry's place in the log
 }
 
-type zoneWhat uint8
+type zoneEventKind uint8
 
 const (
-	zoneTick zoneWhat = iota
-	zoneHeard
+	zoneTick zoneEventKind = iota
+	zoneReceived
 	zoneApply
-	zoneLead
+	zoneLeaderChanged
 	zoneKept
 )
 
@@ -117,40 +117,42 @@
 
 // NewZoneVoters makes voters that have just started, of whom nobody leads.
 func NewZoneVoters(set zones.Settings) *ZoneVoters {
-	s := &ZoneVoters{Set: set, GoneAt: 2, Most: 1, now: 1, truth: zoneTruth{map[uint64]string{}, map[uint64]float64{}}}
+	s := &ZoneVoters{Set: set, ZoneLostAt: 2, MaxDelay: 1, now: 1, truth: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
 	for range set.Zones {
-		s.procs = append(s.procs, &zoneProc{leads: -1, began: s.now, clock: s.now})
+		s.processes = append(s.processes, &zoneProcess{leader: -1, startedAt: s.now, clock: s.now})
 	}
 	return s
 }
 
 // zoneHost is a process's surroundings; what it says goes to its voter.
 type zoneHost struct {
-	s *ZoneVoters
-	i int
+	system *ZoneVoters
+	index  int
 }
 
-func (h zoneHost) x() *zoneProc { return h.s.procs[h.i] }
+func (h zoneHost) process() *zoneProcess { return h.system.processes[h.index] }
 
 // Now is part.Net's.
-func (h zoneHost) Now() float64 { return h.x().clock }
+func (h zoneHost) Now() float64 { return h.process().clock }
 
 // Send is part.Net's.
 func (h zoneHost) Send(addr string, _ view.ID, _ view.Kind, w module.Message) {
-	h.x().tells = append(h.x().tells, zoneWord{h.i, slices.Index(h.s.Set.Voters, addr), string(w.Append(nil)), h.x().clock})
+	h.process().outgoing = append(h.process().outgoing, zoneMessage{h.index, slices.Index(h.system.Set.Voters, addr), string(w.Append(nil)), h.process().clock})
 }
 
 // SendStream is part.Net's.
 func (h zoneHost) SendStream(string, view.ID, view.Kind, module.Message, func(bool)) {}
 
 // Propose is zones.Log's.
-func (h zoneHost) Propose(entry []byte) { h.x().asks = append(h.x().asks, string(entry)) }
+func (h zoneHost) Propose(entry []byte) {
+	h.process().proposals = append(h.process().proposals, string(entry))
+}
 
 // Sample is zones.Pooler's: a little is asked everywhere, and from a time on one zone has nothing that serves.
 func (h zoneHost) Sample(float64) (cells []planner.Cell, asks []planner.Demand) {
-	for z := range h.s.Set.Zones {
+	for z := range h.system.Set.Zones {
 		c := planner.Cell{Zone: z, Cores: 4, FullCores: 4, Attempts: 20}
-		if z == len(h.s.Set.Zones)-1 && h.x().clock >= h.s.GoneAt {
+		if z == len(h.system.Set.Zones)-1 && h.process().clock >= h.system.ZoneLostAt {
 			c.Cores, c.Lost = 0, 20
 		}
 		cells = append(cells, c)
@@ -163,110 +165,110 @@
 
 // StorePlanNumber is zones.Pooler's.
 func (h zoneHost) StorePlanNumber(no uint64, done func()) {
-	h.x().keeps = append(h.x().keeps, zoneKeep{no, done})
+	h.process().pendingStores = append(h.process().pendingStores, pendingStore{no, done})
 }
 
-// made makes a process, and has it hear again what it was told.
-func (s *ZoneVoters) made(i int) *zones.Coordinator {
-	x := s.procs[i]
+// newCoordinator makes a process, and has it hear again what it was told.
+func (s *ZoneVoters) newCoordinator(i int) *zones.Coordinator {
+	x := s.processes[i]
 	set := s.Set
 	set.Zone, set.Name, set.MinPlan = set.Zones[i], set.Voters[i], x.floor
-	if s.Amnesiac {
+	if s.LosesFile {
 		set.MinPlan = 0
 	}
-	if s.Endless {
+	if s.PlansNeverExpire {
 		set.PlanLifetime = 1e9
 	}
 	h := zoneHost{s, i}
 	clock := x.clock
-	x.clock, x.keeps = x.began, nil
+	x.clock, x.pendingStores = x.startedAt, nil
 	z := zones.New(set, h, h, h)
-	z.State().AcceptsAnyPlan = s.Sloppy
+	z.State().AcceptsAnyPlan = s.AcceptsAnyPlan
 	var all []view.Record
 	for k, name := range set.Voters {
 		all = append(all, view.Record{ID: view.ID(k + 1), Name: name, Addr: name, Zone: set.Zones[k], State: view.Alive})
 	}
 	z.UpdateMembers(view.ID(i+1), all, view.Counts{})
-	if s.Hasty && x.disk > 0 {
+	if s.LeadsBeforeRead && x.disk > 0 {
 		z.SetLeader(set.Voters[(i+1)%len(set.Voters)])
 	}
 	for k := range x.disk {
 		z.Apply(uint64(k+1), []byte(s.log[k]))
 	}
-	for _, e := range x.told {
+	for _, e := range x.events {
 		x.clock = e.now
-		x.tell(z, s, &e)
+		x.apply(z, s, &e)
 	}
-	x.clock, x.tells, x.asks = clock, nil, nil
+	x.clock, x.outgoing, x.proposals = clock, nil, nil
 	return z
 }
 
-// tell has a process have an event.
-func (x *zoneProc) tell(z *zones.Coordinator, s *ZoneVoters, e *zoneEvent) {
-	switch e.what {
+// apply has a process have an event.
+func (x *zoneProcess) apply(z *zones.Coordinator, s *ZoneVoters, e *zoneEvent) {
+	switch e.kind {
 	case zoneTick:
 		z.Tick()
-	case zoneHeard:
+	case zoneReceived:
 		m, err := z.Decode([]byte(e.text))
 		if err != nil {
 			panic(err)
 		}
-		if w, ok := m.(*zones.PlanUpdate); ok && s.Timeless {
+		if w, ok := m.(*zones.PlanUpdate); ok && s.DropsAges {
 			w.AgeMs = 0
 		}
 		z.Receive(view.ID(e.n), m)
 	case zoneApply:
 		z.Apply(e.n, []byte(e.text))
-	case zoneLead:
+	case zoneLeaderChanged:
 		z.SetLeader(e.text)
 	case zoneKept:
-		k := x.keeps[0]
-		x.keeps = slices.Delete(slices.Clone(x.keeps), 0, 1)
+		k := x.pendingStores[0]
+		x.pendingStores = slices.Delete(slices.Clone(x.pendingStores), 0, 1)
 		k.done()
 	}
 }
 
-// do tells a process of an event and takes what it says.
-func (s *ZoneVoters) do(i int, e zoneEvent) error {
-	s.hear(i, e)
-	return s.look(i)
+// handle tells a process of an event and takes what it says.
+func (s *ZoneVoters) handle(i int, e zoneEvent) error {
+	s.record(i, e)
+	return s.checkProcess(i)
 }
 
-func (s *ZoneVoters) hear(i int, e zoneEvent) {
-	x := s.procs[i]
-	if x.z == nil {
-		x.z = s.made(i)
+func (s *ZoneVoters) record(i int, e zoneEvent) {
+	x := s.processes[i]
+	if x.coordinator == nil {
+		x.coordinator = s.newCoordinator(i)
 	}
 	e.now, x.clock = s.now, s.now
-	if e.what == zoneTick {
-		x.woke = s.now
+	if e.kind == zoneTick {
+		x.sampledAt = s.now
 	}
-	x.tell(x.z, s, &e)
-	x.told = append(x.told, e)
+	x.apply(x.coordinator, s, &e)
+	x.events = append(x.events, e)
 	x.key = xxhash.Sum64String(fmt.Sprint(x.key, e))
-	for _, w := range x.tells {
-		if !slices.Contains(s.wires, w) && w.to >= 0 {
-			s.wires = append(s.wires, w)
+	for _, w := range x.outgoing {
+		if !slices.Contains(s.messages, w) && w.to >= 0 {
+			s.messages = append(s.messages, w)
 		}
 	}
-	for _, a := range x.asks {
-		if !slices.Contains(s.waits, a) {
-			s.waits = append(s.waits, a)
+	for _, a := range x.proposals {
+		if !slices.Contains(s.proposals, a) {
+			s.proposals = append(s.proposals, a)
 		}
 	}
-	x.tells, x.asks = nil, nil
+	x.outgoing, x.proposals = nil, nil
 }
 
-// look holds what a voter has and follows to the rules.
-func (s *ZoneVoters) look(i int) error {
-	x := s.procs[i]
-	stand, p := x.z.Status()
+// checkProcess holds what a voter has and follows to the rules.
+func (s *ZoneVoters) checkProcess(i int) error {
+	x := s.processes[i]
+	stand, p := x.coordinator.Status()
 	for _, q := range []struct {
 		what string
 		no   uint64
 		text string
 	}{{"has", 0, ""}, {"follows", 0, ""}} {
-		if b := x.z.State().Plan; q.what == "has" && b != nil {
+		if b := x.coordinator.State().Plan; q.what == "has" && b != nil {
 			q.no, q.text = b.Number, string(b.Append(nil))
 		} else if q.what == "follows" && p != nil {
 			q.no, q.text = p.Number, string(p.Append(nil))
@@ -288,7 +290,7 @@
 		return fmt.Errorf("voter %d follows plan %d, which asks for what plan %d did, after plan %d", i, p.Number, p.Since, x.since)
 	}
 	x.number, x.since = p.Number, p.Since
-	if at, known := s.truth.applied[stand.PlanNumber]; stand.Reason == follower.Planned && x.woke == s.now && (!known || s.now >= at+s.Set.PlanLifetime+s.Most) {
+	if at, known := s.truth.applied[stand.PlanNumber]; stand.Reason == follower.Planned && x.sampledAt == s.now && (!known || s.now >= at+s.Set.PlanLifetime+s.MaxDelay) {
 		return fmt.Errorf("voter %d goes by plan %d at %v; it was applied last at %v", i, stand.PlanNumber, s.now, at)
 	}
 	if stand.Zone != i && p.Matrix[i][stand.Zone] == 0 {
@@ -299,13 +301,13 @@
 
 func (s *ZoneVoters) clone() *ZoneVoters {
 	c := *s
-	c.log, c.waits, c.wires = slices.Clip(s.log), slices.Clone(s.waits), slices.Clone(s.wires)
-	c.truth = zoneTruth{maps.Clone(s.truth.plans), maps.Clone(s.truth.applied)}
-	c.procs = make([]*zoneProc, len(s.procs))
-	for i, x := range s.procs {
+	c.log, c.proposals, c.messages = slices.Clip(s.log), slices.Clone(s.proposals), slices.Clone(s.messages)
+	c.truth = zoneObserved{maps.Clone(s.truth.plans), maps.Clone(s.truth.applied)}
+	c.processes = make([]*zoneProcess, len(s.processes))
+	for i, x := range s.processes {
 		y := *x
-		y.z, y.told = nil, slices.Clip(x.told)
-		c.procs[i] = &y
+		y.coordinator, y.events = nil, slices.Clip(x.events)
+		c.processes[i] = &y
 	}
 	return &c
 }
@@ -313,12 +315,12 @@
 // Key is System's: the same was told to each voter, in its order, and the same is on the way.
 func (s *ZoneVoters) Key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, s.now, s.Pass, s.Sleep, s.Lead, s.Crash, s.Double, s.Twice, len(s.log))
-	for _, x := range s.procs {
-		fmt.Fprintf(&b, "|%x %d %d %d", x.key, x.done, x.disk, x.floor)
+	fmt.Fprint(&b, s.now, s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice, len(s.log))
+	for _, x := range s.processes {
+		fmt.Fprintf(&b, "|%x %d %d %d", x.key, x.applied, x.disk, x.floor)
 	}
-	rest := slices.Concat(s.waits, s.log)
-	for _, w := range s.wires {
+	rest := slices.Concat(s.proposals, s.log)
+	for _, w := range s.messages {
 		rest = append(rest, fmt.Sprint(w))
 	}
 	slices.Sort(rest)
@@ -329,15 +331,15 @@
 // Check is System's: what is wrong was found in the step.
 func (s *ZoneVoters) Check() error { return nil }
 
-// pass has time go on a step. Who sleeps does not see it; words that are too late never come.
-func (s *ZoneVoters) pass(sleeper int) error {
+// advance has time go on a step. Who sleeps does not see it; words that are too late never come.
+func (s *ZoneVoters) advance(sleeper int) error {
 	s.now++
-	s.wires = slices.DeleteFunc(s.wires, func(w zoneWord) bool { return s.now-w.at > s.Most })
-	for i := range s.procs {
+	s.messages = slices.DeleteFunc(s.messages, func(w zoneMessage) bool { return s.now-w.at > s.MaxDelay })
+	for i := range s.processes {
 		if i == sleeper {
 			continue
 		}
-		if err := s.do(i, zoneEvent{what: zoneTick}); err != nil {
+		if err := s.handle(i, zoneEvent{kind: zoneTick}); err != nil {
 			return err
 		}
 	}
@@ -346,52 +348,52 @@
 
 // apply has a voter have the next entry.
 func (s *ZoneVoters) apply(i int) error {
-	x := s.procs[i]
-	x.done++
-	s.hear(i, zoneEvent{what: zoneApply, text: s.log[x.done-1], n: uint64(x.done)})
-	if p := x.z.State().Plan; p != nil && x.leads >= 0 {
+	x := s.processes[i]
+	x.applied++
+	s.record(i, zoneEvent{kind: zoneApply, text: s.log[x.applied-1], n: uint64(x.applied)})
+	if p := x.coordinator.State().Plan; p != nil && x.leader >= 0 {
 		s.truth.applied[p.Number] = s.now
 	}
-	return s.look(i)
+	return s.checkProcess(i)
 }
 
-// lead has a voter learn who leads.
-func (s *ZoneVoters) lead(i, who int) error {
-	s.procs[i].leads = who
-	return s.do(i, zoneEvent{what: zoneLead, text: s.Set.Voters[who], n: uint64(who)})
+// setLeader has a voter learn who leads.
+func (s *ZoneVoters) setLeader(i, who int) error {
+	s.processes[i].leader = who
+	return s.handle(i, zoneEvent{kind: zoneLeaderChanged, text: s.Set.Voters[who], n: uint64(who)})
 }
 
-// kept has a number be in a voter's file.
-func (s *ZoneVoters) kept(i int) error {
-	x := s.procs[i]
-	if x.z == nil {
-		x.z = s.made(i)
+// numberStored has a number be in a voter's file.
+func (s *ZoneVoters) numberStored(i int) error {
+	x := s.processes[i]
+	if x.coordinator == nil {
+		x.coordinator = s.newCoordinator(i)
 	}
-	x.file = max(x.file, x.keeps[0].no)
-	return s.do(i, zoneEvent{what: zoneKept})
+	x.file = max(x.file, x.pendingStores[0].number)
+	return s.handle(i, zoneEvent{kind: zoneKept})
 }
 
 // crash has a voter end and start again; so many entries of its log it applies at once, the others as they come to it.
 func (s *ZoneVoters) crash(i, entries int) {
-	x := s.procs[i]
-	s.procs[i] = &zoneProc{life: x.life + 1, key: xxhash.Sum64String(fmt.Sprint(x.key, entries, s.now)), done: entries, disk: entries, file: x.file, floor: x.file, leads: -1,
-		began: s.now, clock: s.now, since: x.since}
+	x := s.processes[i]
+	s.processes[i] = &zoneProcess{incarnation: x.incarnation + 1, key: xxhash.Sum64String(fmt.Sprint(x.key, entries, s.now)), applied: entries, disk: entries, file: x.file, floor: x.file, leader: -1,
+		startedAt: s.now, clock: s.now, since: x.since}
 }
 
-// agree has what was proposed be in the log.
-func (s *ZoneVoters) agree(k int, stays bool) {
-	s.log = append(s.log, s.waits[k])
+// commitProposal has what was proposed be in the log.
+func (s *ZoneVoters) commitProposal(k int, stays bool) {
+	s.log = append(s.log, s.proposals[k])
 	if !stays {
-		s.waits = slices.Delete(s.waits, k, k+1)
+		s.proposals = slices.Delete(s.proposals, k, k+1)
 	}
 }
 
 func (s *ZoneVoters) deliver(k int, stays bool) error {
-	w := s.wires[k]
+	w := s.messages[k]
 	if !stays {
-		s.wires = slices.Delete(s.wires, k, k+1)
+		s.messages = slices.Delete(s.messages, k, k+1)
 	}
-	return s.do(w.to, zoneEvent{what: zoneHeard, text: w.text, n: uint64(w.from + 1)})
+	return s.handle(w.to, zoneEvent{kind: zoneReceived, text: w.text, n: uint64(w.from + 1)})
 }
 
 // Moves are System's.
@@ -402,48 +404,48 @@
 			return c, do(c)
 		}})
 	}
-	if s.Pass > 0 {
-		for i := -1; i < len(s.procs) && (i < 0 || s.Sleep > 0); i++ {
+	if s.Ticks > 0 {
+		for i := -1; i < len(s.processes) && (i < 0 || s.Pauses > 0); i++ {
 			add(fmt.Sprintf("time passes, %d sleeps", i), func(c *ZoneVoters) error {
-				if c.Pass--; i >= 0 {
-					c.Sleep--
+				if c.Ticks--; i >= 0 {
+					c.Pauses--
 				}
-				return c.pass(i)
+				return c.advance(i)
 			})
 		}
 	}
-	for k, w := range s.wires {
+	for k, w := range s.messages {
 		name := fmt.Sprintf("%d to %d, of %v, %x", w.from, w.to, w.at, w.text[0])
 		add(name, func(c *ZoneVoters) error { return c.deliver(k, false) })
-		if s.Double > 0 {
+		if s.Duplicate > 0 {
 			add(name+" twice", func(c *ZoneVoters) error {
-				c.Double--
+				c.Duplicate--
 				return c.deliver(k, true)
 			})
 		}
 	}
-	for k := range s.waits {
+	for k := range s.proposals {
 		add(fmt.Sprintf("proposal %d is agreed", k), func(c *ZoneVoters) error {
-			c.agree(k, false)
+			c.commitProposal(k, false)
 			return nil
 		})
 		if s.Twice > 0 {
 			add(fmt.Sprintf("proposal %d is agreed, and may be again", k), func(c *ZoneVoters) error {
 				c.Twice--
-				c.agree(k, true)
+				c.commitProposal(k, true)
 				return nil
 			})
 		}
 	}
-	for i, x := range s.procs {
-		if x.done < len(s.log) {
-			add(fmt.Sprintf("%d applies entry %d", i, x.done+1), func(c *ZoneVoters) error { return c.apply(i) })
+	for i, x := range s.processes {
+		if x.applied < len(s.log) {
+			add(fmt.Sprintf("%d applies entry %d", i, x.applied+1), func(c *ZoneVoters) error { return c.apply(i) })
 		}
-		if len(x.keeps) > 0 {
-			add(fmt.Sprintf("%d has kept %d", i, x.keeps[0].no), func(c *ZoneVoters) error { return c.kept(i) })
+		if len(x.pendingStores) > 0 {
+			add(fmt.Sprintf("%d has kept %d", i, x.pendingStores[0].number), func(c *ZoneVoters) error { return c.numberStored(i) })
 		}
 		if s.Crash > 0 {
-			for _, n := range slices.Compact([]int{0, x.done}) {
+			for _, n := range slices.Compact([]int{0, x.applied}) {
 				add(fmt.Sprintf("%d starts again with %d entries", i, n), func(c *ZoneVoters) error {
 					c.Crash--
 					c.crash(i, n)
@@ -451,11 +453,11 @@
 				})
 			}
 		}
-		for who := range s.procs {
-			if who != x.leads && s.Lead > 0 {
+		for who := range s.processes {
+			if who != x.leader && s.Lead > 0 {
 				add(fmt.Sprintf("%d learns that %d leads", i, who), func(c *ZoneVoters) error {
 					c.Lead--
-					return c.lead(i, who)
+					return c.setLeader(i, who)
 				})
 			}
 		}
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -19,16 +19,16 @@
 			t.Fatal(err)
 		}
 	}
-	for i := range s.procs {
-		do(s.lead(i, 0))
+	for i := range s.processes {
+		do(s.setLeader(i, 0))
 	}
-	s.GoneAt = 3
+	s.ZoneLostAt = 3
 	for s.now < 2 {
-		do(s.pass(-1))
+		do(s.advance(-1))
 		do(s.settle())
 	}
-	for i, x := range s.procs {
-		if stand, p := x.z.Status(); p == nil || stand.Zone != i {
+	for i, x := range s.processes {
+		if stand, p := x.coordinator.Status(); p == nil || stand.Zone != i {
 			t.Fatalf("voter %d: %+v, %+v", i, stand, p)
 		}
 	}
@@ -39,18 +39,18 @@
 func (s *ZoneVoters) settle() (err error) {
 	for more := true; more && err == nil; {
 		more = false
-		for len(s.waits) > 0 {
-			s.agree(0, false)
+		for len(s.proposals) > 0 {
+			s.commitProposal(0, false)
 		}
-		for i := range s.procs {
-			for err == nil && s.procs[i].done < len(s.log) {
+		for i := range s.processes {
+			for err == nil && s.processes[i].applied < len(s.log) {
 				more, err = true, s.apply(i)
 			}
-			for err == nil && len(s.procs[i].keeps) > 0 {
-				more, err = true, s.kept(i)
+			for err == nil && len(s.processes[i].pendingStores) > 0 {
+				more, err = true, s.numberStored(i)
 			}
 		}
-		for err == nil && len(s.wires) > 0 {
+		for err == nil && len(s.messages) > 0 {
 			more, err = true, s.deliver(0, false)
 		}
 	}
@@ -62,19 +62,19 @@
 	t.Parallel()
 	s := ledZones(t, nil)
 	for range 4 {
-		if err := s.pass(-1); err != nil {
+		if err := s.advance(-1); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.settle(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for i, x := range s.procs {
-		if stand, p := x.z.Status(); p == nil || p.Matrix[2][2] != 0 || i == 2 && stand.Zone == 2 {
+	for i, x := range s.processes {
+		if stand, p := x.coordinator.Status(); p == nil || p.Matrix[2][2] != 0 || i == 2 && stand.Zone == 2 {
 			t.Errorf("voter %d: %+v, %+v", i, stand, p)
 		}
 	}
-	t.Logf("%d entries, plan %d", len(s.log), s.procs[0].number)
+	t.Logf("%d entries, plan %d", len(s.log), s.processes[0].number)
 }
 
 // zoneWays are what may happen, and how far all of it is gone through.
@@ -103,18 +103,18 @@
 	}
 	if i == lastWay {
 		for range 2 {
-			if err := s.pass(-1); err != nil {
+			if err := s.advance(-1); err != nil {
 				t.Fatal(err)
 			}
 			if err := s.settle(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if _, p := s.procs[1].z.Status(); p.Matrix[2][2] != 0 {
+		if _, p := s.processes[1].coordinator.Status(); p.Matrix[2][2] != 0 {
 			t.Fatalf("%+v", p)
 		}
 	}
-	s.Pass, s.Sleep, s.Lead, s.Crash, s.Double, s.Twice = c.pass, c.sleep, c.lead, c.crash, c.double, c.twice
+	s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice = c.pass, c.sleep, c.lead, c.crash, c.double, c.twice
 	return s
 }
 
@@ -130,9 +130,9 @@
 				depth = c.long
 			}
 			r := Run(s, Bounds{depth, 1 << 20})
-			t.Logf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Whole)
-			if r.Err != nil || !r.Whole {
-				t.Fatalf("%v after %q; whole: %v", r.Err, r.Trace, r.Whole)
+			t.Logf("%d states, %d steps, depth %d, whole %v", r.States, r.Steps, r.Depth, r.Complete)
+			if r.Err != nil || !r.Complete {
+				t.Fatalf("%v after %q; whole: %v", r.Err, r.Trace, r.Complete)
 			}
 		})
 	}
@@ -143,7 +143,7 @@
 	t.Helper()
 	for seed := range uint64(ways) {
 		s := ledZones(t, mutate)
-		s.Pass, s.Sleep, s.Lead, s.Crash, s.Double, s.Twice = 12, 4, 6, 3, 3, 2
+		s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice = 12, 4, 6, 3, 3, 2
 		r := rand.New(rand.NewPCG(seed, 9))
 		if way, err = s.Wander(r.IntN, steps); err != nil {
 			return way, err
@@ -167,12 +167,12 @@
 		name, finds string
 		mutate      func(s *ZoneVoters)
 	}{
-		{"books take any plan", "another plan", func(s *ZoneVoters) { s.Sloppy = true }},
-		{"what was kept is not there after a start", "after plan", func(s *ZoneVoters) { s.Amnesiac = true }},
-		{"a start takes what its disk has for news", "applied last", func(s *ZoneVoters) { s.Hasty = true }},
-		{"words come without their age", "applied last", func(s *ZoneVoters) { s.Timeless = true }},
+		{"books take any plan", "another plan", func(s *ZoneVoters) { s.AcceptsAnyPlan = true }},
+		{"what was kept is not there after a start", "after plan", func(s *ZoneVoters) { s.LosesFile = true }},
+		{"a start takes what its disk has for news", "applied last", func(s *ZoneVoters) { s.LeadsBeforeRead = true }},
+		{"words come without their age", "applied last", func(s *ZoneVoters) { s.DropsAges = true }},
 		{"any plan is followed", "after", func(s *ZoneVoters) { s.Set.FollowsAnyPlan = true }},
-		{"a plan has no end", "applied last", func(s *ZoneVoters) { s.Endless = true }},
+		{"a plan has no end", "applied last", func(s *ZoneVoters) { s.PlansNeverExpire = true }},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/testkit/netfault/relay.go
+++ b/internal/testkit/netfault/relay.go
@@ -19,16 +19,16 @@
 	rng    *rand.Rand
 	relays []*relay
 
-	carried, lost uint64
+	forwarded, lost uint64
 }
 
 // relay is before one pooler.
 type relay struct {
-	of     *Relays
-	no     int
+	relays *Relays
+	pooler int
 	packet *net.UDPConn
 	listen *net.TCPListener
-	real   netip.AddrPort
+	target netip.AddrPort
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
@@ -36,8 +36,8 @@
 }
 
 const (
-	mostStreams = 256
-	mostHeld    = 4096 // datagrams that are on their way at a time
+	maxStreams          = 256
+	maxDelayedDatagrams = 4096 // datagrams that are on their way at a time
 )
 
 // NewRelays opens relays for so many poolers. Their addresses are of the loop's own range, one for each pooler.
@@ -45,26 +45,26 @@
 	if n > 200 {
 		return nil, fmt.Errorf("relays: %d poolers; 200 may be", n)
 	}
-	x := &Relays{net: New(n), rng: rand.New(rand.NewPCG(seed, 6))}
+	relays := &Relays{net: New(n), rng: rand.New(rand.NewPCG(seed, 6))}
 	for i := range n {
-		r := &relay{of: x, no: i, streams: map[net.Conn][2]int{}}
+		r := &relay{relays: relays, pooler: i, streams: map[net.Conn][2]int{}}
 		if err := r.open(); err != nil {
-			return nil, errors.Join(err, x.Close())
+			return nil, errors.Join(err, relays.Close())
 		}
-		x.relays = append(x.relays, r)
+		relays.relays = append(relays.relays, r)
 	}
-	for _, r := range x.relays {
+	for _, r := range relays.relays {
 		r.wg.Add(2)
 		go r.datagrams()
 		go r.accept()
 	}
-	return x, nil
+	return relays, nil
 }
 
-func home(kind, i int) string { return fmt.Sprintf("127.%d.0.%d", kind, i+1) }
+func loopbackHost(kind, i int) string { return fmt.Sprintf("127.%d.0.%d", kind, i+1) }
 
 func (r *relay) open() error {
-	host := home(78, r.no)
+	host := loopbackHost(78, r.pooler)
 	for range 20 {
 		p, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
 		if err != nil {
@@ -76,18 +76,18 @@
 			_ = p.Close()
 			continue
 		}
-		real, err := free(home(77, r.no))
+		real, err := freeAddress(loopbackHost(77, r.pooler))
 		if err != nil {
 			return errors.Join(err, p.Close(), l.Close())
 		}
-		r.packet, r.listen, r.real = p, l, real
+		r.packet, r.listen, r.target = p, l, real
 		return nil
 	}
 	return errors.New("relay: no port is free for both")
 }
 
-// free finds a port that is free for datagrams and streams.
-func free(host string) (netip.AddrPort, error) {
+// freeAddress finds a port that is free for datagrams and streams.
+func freeAddress(host string) (netip.AddrPort, error) {
 	for range 20 {
 		p, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
 		if err != nil {
@@ -104,21 +104,23 @@
 	return netip.AddrPort{}, errors.New("relay: no port is free for both")
 }
 
-// Real is where a pooler is to listen.
-func (x *Relays) Real(i int) string { return x.relays[i].real.String() }
+// ListenAddress is where a pooler is to listen.
+func (relays *Relays) ListenAddress(i int) string { return relays.relays[i].target.String() }
 
-// Told is what a pooler is to say of itself, and others of it.
-func (x *Relays) Told(i int) string { return x.relays[i].packet.LocalAddr().String() }
+// AdvertisedAddress is what a pooler is to say of itself, and others of it.
+func (relays *Relays) AdvertisedAddress(i int) string {
+	return relays.relays[i].packet.LocalAddr().String()
+}
 
-// Strike has something done to the ways; streams on those that are cut by it break.
-func (x *Relays) Strike(do func(n *Net)) {
-	x.mu.Lock()
-	do(x.net)
-	x.mu.Unlock()
-	for _, r := range x.relays {
+// Update has something done to the ways; streams on those that are cut by it break.
+func (relays *Relays) Update(do func(n *Net)) {
+	relays.mu.Lock()
+	do(relays.net)
+	relays.mu.Unlock()
+	for _, r := range relays.relays {
 		r.mu.Lock()
 		for c, ends := range r.streams {
-			if x.cut(ends[0], ends[1]) || x.cut(ends[1], ends[0]) {
+			if relays.cut(ends[0], ends[1]) || relays.cut(ends[1], ends[0]) {
 				_ = c.Close()
 			}
 		}
@@ -126,26 +128,26 @@
 	}
 }
 
-func (x *Relays) cut(from, to int) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.net.Cut(from, to)
+func (relays *Relays) cut(from, to int) bool {
+	relays.mu.Lock()
+	defer relays.mu.Unlock()
+	return relays.net.Cut(from, to)
 }
 
 // Cut tells whether nothing gets from one to the other.
-func (x *Relays) Cut(from, to int) bool { return x.cut(from, to) }
+func (relays *Relays) Cut(from, to int) bool { return relays.cut(from, to) }
 
 // Counts are the datagrams that were carried, and those that were lost on purpose.
-func (x *Relays) Counts() (carried, lost uint64) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.carried, x.lost
+func (relays *Relays) Counts() (carried, lost uint64) {
+	relays.mu.Lock()
+	defer relays.mu.Unlock()
+	return relays.forwarded, relays.lost
 }
 
-// from finds the pooler that sends from an address, -1 for none.
-func (x *Relays) from(a netip.Addr) int {
-	for i, r := range x.relays {
-		if r.real.Addr() == a.Unmap() {
+// senderOf finds the pooler that sends from an address, -1 for none.
+func (relays *Relays) senderOf(a netip.Addr) int {
+	for i, r := range relays.relays {
+		if r.target.Addr() == a.Unmap() {
 			return i
 		}
 	}
@@ -155,38 +157,38 @@
 func (r *relay) datagrams() {
 	defer r.wg.Done()
 	b := make([]byte, 1<<16)
-	held := make(chan struct{}, mostHeld)
+	delayed := make(chan struct{}, maxDelayedDatagrams)
 	for {
 		n, at, err := r.packet.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		from := r.of.from(at.Addr())
+		from := r.relays.senderOf(at.Addr())
 		if err != nil || from < 0 {
 			continue
 		}
-		r.of.mu.Lock()
-		copies := r.of.net.Fate(from, r.no, r.of.rng)
+		r.relays.mu.Lock()
+		copies := r.relays.net.CopyDelays(from, r.pooler, r.relays.rng)
 		if len(copies) == 0 {
-			r.of.lost++
+			r.relays.lost++
 		} else {
-			r.of.carried++
+			r.relays.forwarded++
 		}
-		r.of.mu.Unlock()
+		r.relays.mu.Unlock()
 		for _, late := range copies {
 			if late <= 0 {
-				_, _ = r.packet.WriteToUDPAddrPort(b[:n], r.real)
+				_, _ = r.packet.WriteToUDPAddrPort(b[:n], r.target)
 				continue
 			}
 			select {
-			case held <- struct{}{}:
+			case delayed <- struct{}{}:
 			default:
 				continue
 			}
 			m := append([]byte(nil), b[:n]...)
 			time.AfterFunc(time.Duration(late*float64(time.Millisecond)), func() {
-				<-held
-				_, _ = r.packet.WriteToUDPAddrPort(m, r.real)
+				<-delayed
+				_, _ = r.packet.WriteToUDPAddrPort(m, r.target)
 			})
 		}
 	}
@@ -202,15 +204,15 @@
 		at, err := netip.ParseAddrPort(c.RemoteAddr().String())
 		from := -1
 		if err == nil {
-			from = r.of.from(at.Addr())
+			from = r.relays.senderOf(at.Addr())
 		}
 		r.mu.Lock()
-		if from < 0 || len(r.streams) >= mostStreams || r.of.cut(from, r.no) || r.of.cut(r.no, from) {
+		if from < 0 || len(r.streams) >= maxStreams || r.relays.cut(from, r.pooler) || r.relays.cut(r.pooler, from) {
 			r.mu.Unlock()
 			_ = c.Close()
 			continue
 		}
-		r.streams[c] = [2]int{from, r.no}
+		r.streams[c] = [2]int{from, r.pooler}
 		r.mu.Unlock()
 		go r.stream(c, from)
 	}
@@ -223,7 +225,7 @@
 		delete(r.streams, c)
 		r.mu.Unlock()
 	}()
-	there, err := net.DialTimeout("tcp", r.real.String(), time.Second)
+	there, err := net.DialTimeout("tcp", r.target.String(), time.Second)
 	if err != nil {
 		return
 	}
@@ -234,9 +236,9 @@
 		for {
 			n, err := of.Read(buf)
 			if n > 0 {
-				r.of.mu.Lock()
-				late := r.of.net.Slow(a, b)
-				r.of.mu.Unlock()
+				r.relays.mu.Lock()
+				late := r.relays.net.ExtraDelayMs(a, b)
+				r.relays.mu.Unlock()
 				time.Sleep(time.Duration(late * float64(time.Millisecond)))
 				if _, err := to.Write(buf[:n]); err != nil {
 					break
@@ -251,15 +253,15 @@
 		}
 		done <- struct{}{}
 	}
-	go pass(there, c, from, r.no)
-	go pass(c, there, r.no, from)
+	go pass(there, c, from, r.pooler)
+	go pass(c, there, r.pooler, from)
 	<-done
 	<-done
 }
 
 // Close ends all relays.
-func (x *Relays) Close() error {
-	for _, r := range x.relays {
+func (relays *Relays) Close() error {
+	for _, r := range relays.relays {
 		_ = r.packet.Close()
 		_ = r.listen.Close()
 		r.mu.Lock()
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -79,9 +79,9 @@
 func (f *peerFleet) settings(no int) string {
 	p, v := f.run.script.Peers, &f.run.script.Peers.View
 	var b strings.Builder
-	fmt.Fprintf(&b, "(peers (listen %q) (advertise %q) (key %q) (expect %d)\n  (seeds", f.relays.Real(no), f.relays.Told(no), f.file, f.run.script.Poolers)
+	fmt.Fprintf(&b, "(peers (listen %q) (advertise %q) (key %q) (expect %d)\n  (seeds", f.relays.ListenAddress(no), f.relays.AdvertisedAddress(no), f.file, f.run.script.Poolers)
 	for i := range min(p.Seeds, f.run.script.Poolers) {
-		fmt.Fprintf(&b, " %q", f.relays.Told(i))
+		fmt.Fprintf(&b, " %q", f.relays.AdvertisedAddress(i))
 	}
 	fmt.Fprintf(&b, ")\n  (probe %.0fms) (timeout %.0fms) (suspicion %.0fms) (gossip %.0fms) (exchange %.0fms) (reconnect %.0fms) (hold %.0fms) (forget %.0fms))\n", v.ProbeInterval, v.ProbeTimeout,
 		v.SuspicionTimeout, v.GossipInterval, v.ExchangeInterval, v.ReconnectInterval, v.SendingTimeout, v.Retention)
@@ -117,7 +117,7 @@
 			if pid == 0 {
 				return
 			}
-			shown, err := cluster.QueryStatus(f.relays.Real(i), f.key)
+			shown, err := cluster.QueryStatus(f.relays.ListenAddress(i), f.key)
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if err != nil || len(shown.Records) == 0 || p.pid() != pid {
@@ -208,11 +208,11 @@
 // inject has a fault of links strike and end.
 func (f *peerFleet) inject(ctx context.Context, x scenario.Fault) {
 	do := func(on bool) {
-		f.relays.Strike(func(n *netfault.Net) { x.Strike(n, on) })
+		f.relays.Update(func(n *netfault.Net) { x.Strike(n, on) })
 		f.mu.Lock()
 		f.check.FaultChanged(f.run.clk.Now())
 		f.run.wires.faultChanged(f.run.clk.Now(), map[bool]int{true: 1, false: -1}[on])
-		if x.Link.Lose > 0 {
+		if x.Link.LossRate > 0 {
 			f.check.SetLossy(on)
 		}
 		f.mu.Unlock()
--- a/internal/testkit/rehearse/processes.go
+++ b/internal/testkit/rehearse/processes.go
@@ -79,9 +79,9 @@
 
 // Part cuts all links between two processes, both ways, or heals them.
 func (x *Processes) Part(a, b int, cut bool) {
-	x.relays.Strike(func(n *netfault.Net) {
-		n.Set([]int{a}, []int{b}, x.cut, cut)
-		n.Set([]int{b}, []int{a}, x.cut, cut)
+	x.relays.Update(func(n *netfault.Net) {
+		n.SetFault([]int{a}, []int{b}, x.cut, cut)
+		n.SetFault([]int{b}, []int{a}, x.cut, cut)
 	})
 }
 
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -61,18 +61,18 @@
 
 // Result is a rehearsal's outcome; it is written to result.json in its folder.
 type Result struct {
-	Rehearsal  string             `json:"rehearsal"`
-	Seed       uint64             `json:"seed"`
-	FromMs     float64            `json:"from_ms"`
-	ToMs       float64            `json:"to_ms"`
-	Score      *score.Score       `json:"score"`
-	Rules      *checker.Verdict   `json:"rules"` // by what crossed the wires
-	Facts      []database.Fact    `json:"facts"`
-	Fleet      *Fleet             `json:"fleet,omitempty"`
-	Pauses     []Pause            `json:"stood_still,omitempty"`
-	Machine    cpupressure.Busy   `json:"machine"`
-	Ran        []string           `json:"-"` // ids of the writes that ran
-	Duplicates map[int]Duplicates `json:"-"` // by group
+	Rehearsal  string               `json:"rehearsal"`
+	Seed       uint64               `json:"seed"`
+	FromMs     float64              `json:"from_ms"`
+	ToMs       float64              `json:"to_ms"`
+	Score      *score.Score         `json:"score"`
+	Rules      *checker.Verdict     `json:"rules"` // by what crossed the wires
+	Facts      []database.Fact      `json:"facts"`
+	Fleet      *Fleet               `json:"fleet,omitempty"`
+	Pauses     []Pause              `json:"stood_still,omitempty"`
+	Machine    cpupressure.Pressure `json:"machine"`
+	Ran        []string             `json:"-"` // ids of the writes that ran
+	Duplicates map[int]Duplicates   `json:"-"` // by group
 
 	Pages  *PageCounts      `json:"pages,omitempty"`
 	Served map[string]int64 `json:"served_for,omitempty"`   // by tenant, of what it paid...
@@ -210,7 +210,7 @@
 		return nil, err
 	}
 	res := &Result{Rehearsal: r.script.Name, Seed: r.opt.Seed, FromMs: r.clk.Now()}
-	watch := cpupressure.Begin()
+	watch := cpupressure.Start()
 	faulty, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	errs := make(chan error, len(r.script.Faults)+len(r.opt.Rereads))
@@ -261,7 +261,7 @@
 	}
 	shown()
 	looked()
-	res.ToMs, res.Machine = r.clk.Now(), watch.End()
+	res.ToMs, res.Machine = r.clk.Now(), watch.Stop()
 	if err := errors.Join(log.close(), r.stop()); err != nil {
 		return nil, err
 	}
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -107,9 +107,9 @@
 		f.Ends, f.Link.Cut = [2][]int{all[:1], all[1:min(2, n)]}, true
 	case "lossy":
 		f.What, f.Ends, f.Both = "links", [2][]int{all, all}, false
-		f.Link.Lose, f.Link.Duplicate, f.Link.Reorder = f.Value, 0.1, 0.2
+		f.Link.LossRate, f.Link.DuplicateRate, f.Link.ReorderRate = f.Value, 0.1, 0.2
 	case "slow":
-		f.Ends, f.Link.Slow = [2][]int{all[:some], all}, f.Value
+		f.Ends, f.Link.DelayMs = [2][]int{all[:some], all}, f.Value
 	}
 }
 
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -102,7 +102,7 @@
 		if l.Resource == settings.ResourceTenant && l.Hard {
 			delay := s.Way[1]
 			for i := range s.Faults {
-				delay = max(delay, s.Way[1]+s.Faults[i].Link.Slow)
+				delay = max(delay, s.Way[1]+s.Faults[i].Link.DelayMs)
 			}
 			out = append(out, checker.Limit{Name: l.Name, Tenant: l.Subject, PerSecond: l.Amount, Burst: l.Burst, FaultTolerant: l.Guarantee != quota.NeverOver, OvershootMs: q.OvershootBound(delay), CalmMs: calmMs})
 		}
--- a/internal/testkit/scenario/peers.go
+++ b/internal/testkit/scenario/peers.go
@@ -42,8 +42,8 @@
 	part := func(to *float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Float(0, 1); return err }
 	}
-	form := sexp.Schema{"lose": part(&f.Link.Lose), "duplicate": part(&f.Link.Duplicate), "reorder": part(&f.Link.Reorder),
-		"slow": func(n *sexp.Node) (err error) { f.Link.Slow, err = n.Millis(0, 60000); return err }}
+	form := sexp.Schema{"lose": part(&f.Link.LossRate), "duplicate": part(&f.Link.DuplicateRate), "reorder": part(&f.Link.ReorderRate),
+		"slow": func(n *sexp.Node) (err error) { f.Link.DelayMs, err = n.Millis(0, 60000); return err }}
 	rest := a[2:]
 	if rest[0].Kind != sexp.List && rest[0].Text == "cut" {
 		f.Link.Cut, rest = true, rest[1:]
@@ -126,9 +126,9 @@
 
 // Strike has a fault of links strike, or end.
 func (f *Fault) Strike(x *netfault.Net, on bool) {
-	x.Set(f.Ends[0], f.Ends[1], &f.Link, on)
+	x.SetFault(f.Ends[0], f.Ends[1], &f.Link, on)
 	if f.Both {
-		x.Set(f.Ends[1], f.Ends[0], &f.Link, on)
+		x.SetFault(f.Ends[1], f.Ends[0], &f.Link, on)
 	}
 }
 
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -227,7 +227,7 @@
 	for _, x := range []struct {
 		name, unit string
 		is         float64
-	}{{"lose", "", l.Lose}, {"duplicate", "", l.Duplicate}, {"reorder", "", l.Reorder}, {"slow", "ms", l.Slow}} {
+	}{{"lose", "", l.LossRate}, {"duplicate", "", l.DuplicateRate}, {"reorder", "", l.ReorderRate}, {"slow", "ms", l.DelayMs}} {
 		if x.is > 0 {
 			fmt.Fprintf(&b, " (%s %s%s)", x.name, num(x.is), x.unit)
 		}
--- a/internal/testkit/serviceratio/worth.go
+++ b/internal/testkit/serviceratio/worth.go
@@ -6,58 +6,58 @@
 const (
 	// Seconds is the length of the window whose worst place counts.
 	Seconds = 10
-	// settleS is how long after a request its worth may still change: deadlines and retries.
-	settleS = 60
+	// settleSeconds is how long after a request its worth may still change: deadlines and retries.
+	settleSeconds = 60
 )
 
 // Window finds the worst stretch of ten seconds. Worth counts at the time at which it was first asked for. It holds a
 // minute, whatever the length.
 type Window struct {
-	asked, got [settleS + Seconds]float64 // by second, as a ring
-	first      int64                      // the earliest second that is still held
-	newest     int64
-	begun      bool
-	sum        [2]float64 // of the last ten seconds settled
-	settled    [Seconds][2]float64
-	n          int64
-	worst      float64
-	worstAt    int64
-	late       uint64
+	requested, served [settleSeconds + Seconds]float64 // by second, as a ring
+	first             int64                            // the earliest second that is still held
+	newest            int64
+	started           bool
+	sum               [2]float64 // of the last ten seconds settled
+	settled           [Seconds][2]float64
+	settledSeconds    int64
+	worst             float64
+	worstAt           int64
+	late              uint64
 }
 
 // Add books worth of a request first asked for at the given Unix millisecond. What comes over a minute late is
 // counted in Late and left out.
-func (w *Window) Add(atMs, asked, got float64) {
-	s := int64(math.Floor(atMs / 1000))
-	if !w.begun {
-		w.begun, w.first, w.newest, w.worst = true, s, s, math.Inf(1)
+func (w *Window) Add(atMs, requested, served float64) {
+	second := int64(math.Floor(atMs / 1000))
+	if !w.started {
+		w.started, w.first, w.newest, w.worst = true, second, second, math.Inf(1)
 	}
-	if s < w.first {
-		if w.n > 0 || w.newest-s >= int64(len(w.asked)) {
+	if second < w.first {
+		if w.settledSeconds > 0 || w.newest-second >= int64(len(w.requested)) {
 			w.late++
 			return
 		}
-		w.first = s // nothing before is settled yet: clocks differ a little
+		w.first = second // nothing before is settled yet: clocks differ a little
 	}
-	for s-w.first >= int64(len(w.asked)) {
+	for second-w.first >= int64(len(w.requested)) {
 		w.settle()
 	}
-	w.newest = max(w.newest, s)
-	w.asked[s%int64(len(w.asked))] += asked
-	w.got[s%int64(len(w.got))] += got
+	w.newest = max(w.newest, second)
+	w.requested[second%int64(len(w.requested))] += requested
+	w.served[second%int64(len(w.served))] += served
 }
 
 // settle takes the earliest second out.
 func (w *Window) settle() {
-	i := w.first % int64(len(w.asked))
-	now := [2]float64{w.asked[i], w.got[i]}
-	w.asked[i], w.got[i] = 0, 0
-	old := &w.settled[w.n%Seconds]
+	i := w.first % int64(len(w.requested))
+	now := [2]float64{w.requested[i], w.served[i]}
+	w.requested[i], w.served[i] = 0, 0
+	old := &w.settled[w.settledSeconds%Seconds]
 	w.sum[0] += now[0] - old[0]
 	w.sum[1] += now[1] - old[1]
 	*old = now
-	w.n++
-	if w.n >= Seconds && w.sum[0] > 1e-9 {
+	w.settledSeconds++
+	if w.settledSeconds >= Seconds && w.sum[0] > 1e-9 {
 		if r := w.sum[1] / w.sum[0]; r < w.worst {
 			w.worst, w.worstAt = r, w.first-Seconds+1
 		}
@@ -69,14 +69,14 @@
 // seconds, it is the ratio of all. It is 1 where nothing was asked for.
 func (w *Window) Worst() (ratio, atMs float64) {
 	c := *w
-	if !c.begun {
+	if !c.started {
 		return 1, 0
 	}
 	from := c.first
 	for c.first <= c.newest {
 		c.settle()
 	}
-	if c.n < Seconds && c.sum[0] > 1e-9 {
+	if c.settledSeconds < Seconds && c.sum[0] > 1e-9 {
 		return c.sum[1] / c.sum[0], float64(from) * 1000
 	}
 	if math.IsInf(c.worst, 1) {
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -292,7 +292,7 @@
 	if back {
 		a, b = b, a
 	}
-	late := sim.siteLinks.Fate(a, b, sim.rng)
+	late := sim.siteLinks.CopyDelays(a, b, sim.rng)
 	if len(late) == 0 {
 		return -1
 	}
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -103,7 +103,7 @@
 	}
 	f.limitMessages++
 	f.limitBytes += headBytes + itemBytes*uint64(len(m.Items))
-	for _, late := range f.net.Fate(x.p.no, to.no, f.rng) {
+	for _, late := range f.net.CopyDelays(x.p.no, to.no, f.rng) {
 		sim.sched.After(sim.poolerLinkDelay(x.p, to)+late, model.Func(func() {
 			if y := to.peer; y != nil && to.up && y.limits != nil {
 				to.whenRunning(y.incarnation, func() { y.limits.receive(m) })
--- a/internal/testkit/simulation/overload_test.go
+++ b/internal/testkit/simulation/overload_test.go
@@ -56,14 +56,14 @@
 	t.Parallel()
 	const ten = `(groups 1 2 2 2 2 2 2 2 2 2) (rate 200) (seconds 18) (at 4s (crowd primary 0 0.1) (for 12s)) `
 	honest := playOver(t, ten, `(overload (shed yes))`, 5, nil).Score.Ratio
-	for name, times := range byzantine.Times {
+	for name, times := range byzantine.RateFactors {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := playOver(t, ten, `(overload (shed yes))`, 5, &Mutant{Name: "lies", Send: func(no int, w module.Message) module.Message {
 				if no != 2 {
 					return w
 				}
-				return byzantine.Of(w, times)
+				return byzantine.AlterLoad(w, times)
 			}})
 			if len(r.Verdict.Broken) > 0 || r.Verdict.Checked[checker.IdleGroupServed] < 10 || r.Score.Ratio < honest-0.03 {
 				t.Errorf("service %.3f, %.3f without the liar; %v %+v", r.Score.Ratio, honest, r.Verdict.Broken, r.Verdict.Breaches)
--- a/internal/testkit/simulation/parts.go
+++ b/internal/testkit/simulation/parts.go
@@ -40,7 +40,7 @@
 	f.moduleMessages++
 	f.moduleBytes += headBytes + uint64(len(b))
 	from := x.view.Self().ID
-	for _, late := range f.net.Fate(x.p.no, at.no, f.rng) {
+	for _, late := range f.net.CopyDelays(x.p.no, at.no, f.rng) {
 		sim.sched.After(sim.poolerLinkDelay(x.p, at)+late, model.Func(func() { at.receiveModuleMessage(from, to, kind, b) }), 0)
 	}
 }
@@ -60,7 +60,7 @@
 	}
 	f.streamed += uint64(len(b))
 	from := x.view.Self().ID
-	sim.sched.After(2*sim.poolerLinkDelay(x.p, at)+2*f.net.Slow(x.p.no, at.no), model.Func(func() {
+	sim.sched.After(2*sim.poolerLinkDelay(x.p, at)+2*f.net.ExtraDelayMs(x.p.no, at.no), model.Func(func() {
 		ok := !f.net.Cut(x.p.no, at.no) && at.receiveModuleMessage(from, to, kind, b)
 		h.At(sim.sched.now+sim.poolerLinkDelay(x.p, at), func() { done(ok) })
 	}), 0)
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -54,12 +54,12 @@
 	v, delay, lossy := s.Peers.View, max(s.Way[1], s.Cross[1]), false
 	for i := range s.Faults {
 		if x := &s.Faults[i]; x.OfLinks() {
-			lossy = lossy || x.Link.Lose > 0
+			lossy = lossy || x.Link.LossRate > 0
 			held := 0.0
-			if x.Link.Duplicate > 0 || x.Link.Reorder > 0 {
-				held = netfault.HeldMs
+			if x.Link.DuplicateRate > 0 || x.Link.ReorderRate > 0 {
+				held = netfault.MaxHoldMs
 			}
-			delay = max(delay, s.Way[1]+x.Link.Slow+held)
+			delay = max(delay, s.Way[1]+x.Link.DelayMs+held)
 		}
 	}
 	n := s.Poolers
@@ -245,7 +245,7 @@
 	for i := range m.Records {
 		f.bytes += uint64(m.Records[i].Size())
 	}
-	for _, late := range f.net.Fate(x.p.no, to.no, f.rng) {
+	for _, late := range f.net.CopyDelays(x.p.no, to.no, f.rng) {
 		sim.sched.After(sim.poolerLinkDelay(x.p, to)+late, model.Func(func() {
 			if y := to.peer; y != nil && to.up {
 				to.whenRunning(y.incarnation, func() { y.handle(view.Received{Message: m}) })
@@ -266,7 +266,7 @@
 	for i := range mine {
 		f.streamed += 2 * uint64(mine[i].Size()) // and as much comes back
 	}
-	sim.sched.After(2*sim.poolerLinkDelay(x.p, to)+2*f.net.Slow(x.p.no, to.no), model.Func(func() {
+	sim.sched.After(2*sim.poolerLinkDelay(x.p, to)+2*f.net.ExtraDelayMs(x.p.no, to.no), model.Func(func() {
 		y := to.peer
 		if y == nil || !to.up || f.net.Cut(x.p.no, to.no) {
 			return
@@ -277,7 +277,7 @@
 			if f.net.Cut(to.no, x.p.no) {
 				return
 			}
-			sim.sched.After(sim.poolerLinkDelay(x.p, to)+f.net.Slow(to.no, x.p.no), model.Func(func() {
+			sim.sched.After(sim.poolerLinkDelay(x.p, to)+f.net.ExtraDelayMs(to.no, x.p.no), model.Func(func() {
 				if x.p.up {
 					x.p.whenRunning(x.incarnation, func() { x.handle(view.ExchangeCompleted{Records: theirs}) })
 				}
--- a/internal/testkit/simulation/strike.go
+++ b/internal/testkit/simulation/strike.go
@@ -20,9 +20,9 @@
 	case "load": // the plan has it
 	case "route", "routes":
 		strike := func(on bool) {
-			sim.siteLinks.Set(f.Sited[0], f.Sited[1], &f.Link, on)
+			sim.siteLinks.SetFault(f.Sited[0], f.Sited[1], &f.Link, on)
 			if f.Both {
-				sim.siteLinks.Set(f.Sited[1], f.Sited[0], &f.Link, on)
+				sim.siteLinks.SetFault(f.Sited[1], f.Sited[0], &f.Link, on)
 			}
 			if sim.fleet != nil {
 				f.Strike(sim.fleet.net, on)
@@ -37,7 +37,7 @@
 			f.Strike(sim.fleet.net, on)
 			sim.fleet.check.FaultChanged(sim.sched.now)
 			sim.check.FaultChanged(sim.sched.now, map[bool]int{true: 1, false: -1}[on])
-			if f.Link.Lose > 0 {
+			if f.Link.LossRate > 0 {
 				sim.fleet.check.SetLossy(on)
 			}
 		}
--- a/internal/testkit/simulation/verdicts_liar_test.go
+++ b/internal/testkit/simulation/verdicts_liar_test.go
@@ -17,7 +17,7 @@
 const seldomTold = `(rehearsal "seldom told" (seconds 30.5) (poolers 16) ` + judgedFleet + ` (groups-of 1 4) (rate 60) (verdicts (testers 1) (turn 30s) (lapse 9s) (refresh 20s) (blind 0.75)))`
 
 // lying has some poolers lie of servers once they were heard for a while.
-func lying(l byzantine.Servers, who ...int) func(no int, w module.Message) module.Message {
+func lying(l byzantine.ServerFault, who ...int) func(no int, w module.Message) module.Message {
 	told := 0
 	return func(no int, w module.Message) module.Message {
 		if !slices.Contains(who, no) {
@@ -26,7 +26,7 @@
 		if told++; told < 500*len(who) {
 			return w
 		}
-		return byzantine.Said(w, l)
+		return byzantine.AlterServers(w, l)
 	}
 }
 
@@ -42,7 +42,7 @@
 	s := parse(t, liedTo)
 	honest := play(t, s, Options{Seed: 1}).Score.Ratio
 	believed := map[string]checker.Rule{"leads": checker.NotDenied, "ahead": checker.NotStale}
-	for name, lie := range byzantine.OfServers {
+	for name, lie := range byzantine.ServerFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, s, Options{Seed: 1, Mutant: &Mutant{Send: lying(lie, 1)}})
--- a/internal/testkit/simulation/verdicts_test.go
+++ b/internal/testkit/simulation/verdicts_test.go
@@ -34,7 +34,7 @@
 		t.Run(m.Name, func(t *testing.T) {
 			text := []string{lateWords, toldOf, toldOf, seldomTold, another}[i]
 			says := func() func(int, module.Message) module.Message { // afresh for each play
-				return lying(byzantine.Servers{Silent: true, Since: []float64{0, 0, 20000, 20000, 0}[i]}, [][]int{nil, {1}, {1, 7}, {1, 7}, nil}[i]...)
+				return lying(byzantine.ServerFault{Unresponsive: true, SinceMs: []float64{0, 0, 20000, 20000, 0}[i]}, [][]int{nil, {1}, {1, 7}, {1, 7}, nil}[i]...)
 			}
 			caught := false
 			for seed := uint64(1); seed <= mutantSeeds && !caught; seed++ { // whether a server is asked at the moment that shows it is chance
