--- a/internal/testkit/records/records.go
+++ b/internal/testkit/records/records.go
@@ -1,5 +1,8 @@
-// Package records reads what poolers recorded: segments of many poolers and runs, merged on Unix time. It yields a
-// correct prefix of each and names what is missing; it never changes a file.
+// Package records reads the event records of poolers: the segments of many poolers and process runs, merged in the order of
+// their Unix times. Of each run it yields a correct prefix, and it reports each gap, damaged segment and duplicate as a Fault.
+//
+// Open finds the segments, Read passes their events to a Sink. Records that are still being written can be followed: Read then
+// returns when there is no more for now, and continues when it is called again. No file is ever changed.
 package records
 
 import (
@@ -22,28 +25,28 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// maxSegments bounds how many files one reading takes.
+// maxSegments bounds how many files a Set reads.
 const maxSegments = 1 << 17
 
-// ErrNone says that no records were found.
+// ErrNone is returned by Open where the given folders hold no records.
 var ErrNone = errors.New("no records found")
 
-// FaultKind says what is wrong with records.
+// FaultKind is what is wrong with a part of the records.
 type FaultKind string
 
-// The kinds.
+// Kinds of faults.
 const (
-	Torn       FaultKind = "torn"       // ends in the midst of a frame: killed, or the disk was full
-	Unclosed   FaultKind = "unclosed"   // ends behind a whole frame without an end: killed, or still written
-	Damaged    FaultKind = "damaged"    // bytes are not as they were written
-	Missing    FaultKind = "missing"    // segments or batches are not there
-	Rotated    FaultKind = "rotated"    // the oldest segments went, as the settings have it
-	Duplicate  FaultKind = "twice"      // a segment is there a second time
-	Unreadable FaultKind = "unreadable" // a file can't be read at all
+	Torn       FaultKind = "torn"       // ends within a frame: the process was killed, or the disk was full
+	Unclosed   FaultKind = "unclosed"   // ends after a complete frame without an end frame: killed, or still being written
+	Damaged    FaultKind = "damaged"    // a checksum or a message does not match
+	Missing    FaultKind = "missing"    // segments or batches are missing
+	Rotated    FaultKind = "rotated"    // the oldest segments were removed, as the settings' size limit demands
+	Duplicate  FaultKind = "twice"      // a segment with the same number was read before
+	Unreadable FaultKind = "unreadable" // the file cannot be opened or read
 )
 
-// Fault is a place where records are not whole. From and To are the Unix milliseconds between which events may be
-// missing, 0 where that is not known.
+// Fault is a place where the records are incomplete. From and To are the Unix times in milliseconds between which events may
+// be missing, 0 where that is not known.
 type Fault struct {
 	Kind     FaultKind `json:"kind"`
 	Pooler   string    `json:"pooler,omitempty"`
@@ -53,32 +56,37 @@
 	Text     string `json:"text"`
 }
 
-// Run is one life of a pooler's process.
+// Run is one run of a pooler's process, from its start to its end.
 type Run struct {
 	Pooler  string
 	Program string
-	StartMs float64
-	Header  *recordpb.Header // of its first segment that is there
-	Index   int              // among the set's runs
+	StartMs float64          // Unix time in milliseconds
+	Header  *recordpb.Header // of its first segment that was found
+	Index   int              // in Set.Runs
 
 	segments []segment
 }
 
+// segment is one file of a run. Numbers start at 1 and have no gaps while no segment is lost.
 type segment struct {
 	path     string
 	number   uint32
-	openedMs float64
+	openedMs float64 // Unix time at which the pooler opened it
 }
 
-// Sink takes what is read.
+// Sink receives what Set.Read reads, in the order of Unix times.
 type Sink interface {
-	Begin(r *Run)                  // a run's first event comes next
-	Event(r *Run, e *record.Event) // e is valid during the call
+	// Begin announces a run, before its first event.
+	Begin(r *Run)
+	// Event passes an event of a run. It is valid during the call only.
+	Event(r *Run, e *record.Event)
+	// Fault reports a place where the records are incomplete.
 	Fault(f Fault)
-	End(r *Run, ordered bool) // no more of it comes; ordered where its last segment was closed and it had stopped
+	// End reports that a run has no more events. It is ordered where the process recorded its stop and closed its last segment.
+	End(r *Run, ordered bool)
 }
 
-// Set is the records of some folders.
+// Set is the records below some folders.
 type Set struct {
 	Runs    []*Run
 	paths   []string
@@ -88,11 +96,11 @@
 	queue   streams
 	decoder *zstd.Decoder
 	follow  bool
-	paused  []*stream // in follow mode: those that wait for more
+	paused  []*stream // in follow mode: streams that have read all that is written
 }
 
-// Open finds the segments below the given folders, or takes files themselves. With follow, segments that are not
-// closed are taken as still being written.
+// Open finds the segments below the given folders; a path may also be a segment itself. With follow, a last segment that has no
+// end frame counts as still being written. It fails with ErrNone where nothing is found.
 func Open(follow bool, paths ...string) (*Set, error) {
 	s := &Set{paths: paths, known: map[string]bool{}, byKey: map[string]*Run{}, follow: follow}
 	if err := s.scan(); err != nil {
@@ -107,56 +115,84 @@
 	return s, nil
 }
 
-// scan takes in the segments that are not known yet.
+// scan adds the segments that have appeared since the last scan.
 func (s *Set) scan() error {
 	var found []string
-	for _, p := range s.paths {
-		err := filepath.WalkDir(p, func(path string, d fs.DirEntry, err error) error {
-			if err != nil {
-				if path == p {
-					return err
-				}
-				return nil // a file that was rotated away just now
-			}
-			if !d.IsDir() && (strings.HasSuffix(path, record.Suffix) || path == p) && !s.known[path] {
-				found = append(found, path)
-			}
-			if len(found) > maxSegments {
-				return fmt.Errorf("%s: more than %d segments", p, maxSegments)
-			}
-			return nil
-		})
-		if err != nil {
+	for _, path := range s.paths {
+		var err error
+		if found, err = s.appendSegments(found, path); err != nil {
 			return err
 		}
 	}
 	slices.Sort(found)
-	fresh := map[*Run]bool{}
-	for _, path := range found {
-		h, err := readHeader(path)
+	s.addRuns(s.addSegments(found))
+	for _, r := range s.Runs {
+		slices.SortStableFunc(r.segments, func(a, b segment) int { return cmp.Compare(a.number, b.number) })
+	}
+	return nil
+}
+
+// appendSegments appends the paths of the unknown segments at or below root.
+func (s *Set) appendSegments(found []string, root string) ([]string, error) {
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
-			if s.follow { // it may just have been begun
-				continue
+			if path == root {
+				return err
 			}
-			s.faults = append(s.faults, Fault{Kind: faultKind(err), File: path, Text: err.Error()})
-			s.known[path] = true
+			return nil // the file was rotated away meanwhile
+		}
+		if s.isNewSegment(root, path, entry) {
+			found = append(found, path)
+		}
+		if len(found) > maxSegments {
+			return fmt.Errorf("%s: more than %d segments", root, maxSegments)
+		}
+		return nil
+	})
+	return found, err
+}
+
+// isNewSegment reports whether a file is a segment that is not known yet. The root counts as one whatever its name is.
+func (s *Set) isNewSegment(root, path string, entry fs.DirEntry) bool {
+	if entry.IsDir() || s.known[path] {
+		return false
+	}
+	return path == root || strings.HasSuffix(path, record.Suffix)
+}
+
+// addSegments adds segments to their runs by their headers, and returns the runs that are new. A header that cannot be read is
+// a fault, but in follow mode the file is tried again at the next scan, as its header may not be written yet.
+func (s *Set) addSegments(paths []string) map[*Run]bool {
+	newRuns := map[*Run]bool{}
+	for _, path := range paths {
+		h, err := readHeader(path)
+		if err != nil && s.follow {
 			continue
 		}
 		s.known[path] = true
+		if err != nil {
+			s.faults = append(s.faults, Fault{Kind: faultKind(err), File: path, Text: err.Error()})
+			continue
+		}
 		key := fmt.Sprintf("%d %s", h.RunUs, h.Pooler)
 		r := s.byKey[key]
 		if r == nil {
 			r = &Run{Pooler: h.Pooler, Program: h.Program, StartMs: milliseconds(h.RunUs), Header: h}
 			s.byKey[key] = r
-			fresh[r] = true
+			newRuns[r] = true
 		}
 		r.segments = append(r.segments, segment{path, h.Segment, milliseconds(h.OpenedUs)})
 		if h.Segment < r.Header.Segment {
 			r.Header = h
 		}
 	}
-	var order []*Run
-	for r := range fresh {
+	return newRuns
+}
+
+// addRuns numbers new runs by their start, and queues them for reading.
+func (s *Set) addRuns(runs map[*Run]bool) {
+	order := make([]*Run, 0, len(runs))
+	for r := range runs {
 		order = append(order, r)
 	}
 	slices.SortFunc(order, func(a, b *Run) int {
@@ -167,12 +203,9 @@
 		s.Runs = append(s.Runs, r)
 		heap.Push(&s.queue, &stream{set: s, run: r, nextAt: r.StartMs})
 	}
-	for _, r := range s.Runs {
-		slices.SortStableFunc(r.segments, func(a, b segment) int { return cmp.Compare(a.number, b.number) })
-	}
-	return nil
 }
 
+// readHeader reads the header of a segment.
 func readHeader(path string) (*recordpb.Header, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -186,6 +219,7 @@
 	return header(frames)
 }
 
+// header reads the first frame of a segment, which is its header.
 func header(frames *record.Frames) (*recordpb.Header, error) {
 	typ, b, err := frames.Next()
 	if errors.Is(err, io.EOF) {
@@ -207,6 +241,7 @@
 	return h, nil
 }
 
+// faultKind maps an error of the record package to the kind of the fault that it causes.
 func faultKind(err error) FaultKind {
 	switch {
 	case errors.Is(err, record.ErrTorn):
@@ -217,8 +252,8 @@
 	return Unreadable
 }
 
-// Read yields all events in the order of their times, and what is missing. In follow mode it returns when there is
-// nothing more for now, and goes on when it is called again.
+// Read passes all events to the sink in the order of their times, and reports what is missing. In follow mode it returns when
+// nothing more is written yet, and continues when it is called again.
 func (s *Set) Read(sink Sink) error {
 	if s.follow {
 		if err := s.scan(); err != nil {
@@ -235,34 +270,42 @@
 	s.faults = nil
 	for s.queue.Len() > 0 {
 		st := s.queue[0]
-		if st.next == len(st.events) {
-			more, err := st.fill(sink)
-			if err != nil {
-				return err
-			}
-			if !more {
-				heap.Pop(&s.queue)
-				if s.follow && !st.ended {
-					s.paused = append(s.paused, st)
-				}
-				continue
-			}
+		if st.next < len(st.events) {
+			s.drain(sink, st)
 			heap.Fix(&s.queue, 0)
 			continue
 		}
-		// As long as this stream is the earliest, its events go out without touching the heap.
-		limit := math.Inf(1)
-		for i := 1; i < min(3, s.queue.Len()); i++ {
-			limit = min(limit, s.queue[i].nextAt)
+		more, err := st.fill(sink)
+		if err != nil {
+			return err
 		}
-		for st.next < len(st.events) && st.nextAt <= limit {
-			sink.Event(st.run, &st.events[st.next])
-			st.next++
-			if st.next < len(st.events) {
-				st.nextAt = st.events[st.next].At
-			}
+		if more {
+			heap.Fix(&s.queue, 0)
+			continue
+		}
+		heap.Pop(&s.queue)
+		if s.follow && !st.ended {
+			s.paused = append(s.paused, st)
 		}
-		heap.Fix(&s.queue, 0)
 	}
 	return nil
 }
+
+// drain passes on the events of the earliest stream for as long as no other stream's next event is earlier. Up to there the heap
+// need not be touched.
+func (s *Set) drain(sink Sink, st *stream) {
+	limit := math.Inf(1)
+	for _, child := range s.queue[1:min(heapChildrenEnd, s.queue.Len())] {
+		limit = min(limit, child.nextAt)
+	}
+	for st.next < len(st.events) && st.nextAt <= limit {
+		sink.Event(st.run, &st.events[st.next])
+		st.next++
+		if st.next < len(st.events) {
+			st.nextAt = st.events[st.next].At
+		}
+	}
+}
+
+// heapChildrenEnd is the index behind the children of a heap's root.
+const heapChildrenEnd = 3
--- a/internal/testkit/records/records_test.go
+++ b/internal/testkit/records/records_test.go
@@ -15,7 +15,7 @@
 	"beechgrade/internal/testkit/fake"
 )
 
-// collector collects what a reading yields.
+// collector is a Sink that keeps what it receives.
 type collector struct {
 	events []record.Event
 	faults []Fault
@@ -37,7 +37,7 @@
 	return h, set.Read(h)
 }
 
-// writeSmallSegment writes a small segment and returns its path and text.
+// writeSmallSegment writes a segment of 51 events in several frames, and returns its path and bytes.
 func writeSmallSegment(t testing.TB, pack bool) (path string, b []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -85,13 +85,13 @@
 	return path, b
 }
 
-// isPrefix tells whether got is how want begins.
+// isPrefix reports whether got is a prefix of want.
 func isPrefix(got, want []record.Event) bool {
 	return len(got) <= len(want) && cmp.Equal(append([]record.Event{}, got...), append([]record.Event{}, want[:len(got)]...))
 }
 
-// TestTruncatedSegmentYieldsPrefixAndFault cuts a segment at every byte. What is read must be how the whole begins, and a reading that is short
-// must say so: nothing is invented, nothing is missing in silence.
+// TestTruncatedSegmentYieldsPrefixAndFault truncates a segment at every byte. What is read must be a prefix of the complete
+// events, never shorter than with fewer bytes, with one fault that reports the truncation.
 func TestTruncatedSegmentYieldsPrefixAndFault(t *testing.T) {
 	for _, pack := range []bool{false, true} {
 		path, b := writeSmallSegment(t, pack)
@@ -128,7 +128,8 @@
 	}
 }
 
-// TestCorruptedByteYieldsPrefixAndFault changes each byte of a segment in turn.
+// TestCorruptedByteYieldsPrefixAndFault flips bits of each byte of a segment in turn. Only a prefix of the events may be
+// read, and the corruption must be reported as an error or a fault.
 func TestCorruptedByteYieldsPrefixAndFault(t *testing.T) {
 	for _, pack := range []bool{false, true} {
 		path, b := writeSmallSegment(t, pack)
@@ -158,7 +159,8 @@
 	}
 }
 
-// TestMissingAndDuplicateSegmentsAreReported guards against a hole between segments that is passed over in silence, and a copy that counts twice.
+// TestMissingAndDuplicateSegmentsAreReported checks that missing segments are reported with their time span, that
+// a copy of a segment is not read again, and that a start without the first segments counts as rotated.
 func TestMissingAndDuplicateSegmentsAreReported(t *testing.T) {
 	dir := t.TempDir()
 	fake.Day{From: 1.7e12, Poolers: 1, Groups: 2, Members: 3, Requests: 6000, EveryMs: 5}.Write(dir)
@@ -206,7 +208,7 @@
 	}
 }
 
-// TestFollowReadsGrowingSegmentOnce guards against a reading that stops, or reads twice, where a pooler still writes.
+// TestFollowReadsGrowingSegmentOnce reads a segment that grows by 7 bytes at a time. Each event must be read once.
 func TestFollowReadsGrowingSegmentOnce(t *testing.T) {
 	path, b := writeSmallSegment(t, false)
 	whole, _ := read(t, path)
@@ -233,7 +235,7 @@
 	}
 }
 
-// FuzzSegment guards against bytes that crash the reader.
+// FuzzSegment checks that no bytes crash the reader, and that each run that began has one end.
 func FuzzSegment(f *testing.F) {
 	for _, pack := range []bool{false, true} {
 		_, b := writeSmallSegment(f, pack)
--- a/internal/testkit/records/stream.go
+++ b/internal/testkit/records/stream.go
@@ -14,87 +14,103 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// stream reads one run.
+// readBufferBytes is the size of a segment's read buffer.
+const readBufferBytes = 1 << 16
+
+// stream reads the segments of one run, batch by batch.
 type stream struct {
 	set            *Set
 	run            *Run
-	segmentIndex   int // of the run's segments, the one that is read
+	segmentIndex   int // in run.segments, of the segment that is read
 	file           *os.File
 	frames         *record.Frames
-	completeOffset int64 // offset behind the last whole frame, for a file that grows
-	names          []string
+	completeOffset int64    // behind the last complete frame, where reading resumes in a file that grows
+	names          []string // of the segment, which its events refer to by number
 	batch          recordpb.Batch
 	decompressed   []byte
-	events         []record.Event
-	next           int
-	nextAt         float64 // of the next event
-	lastBatch      uint64  // number of the last batch
-	lastSegment    uint32  // of the last segment
-	began          bool
-	ended          bool
-	stopped        bool // the last event was the pooler's own end
-	closed         bool // the segment had its end
+	events         []record.Event // of the last batch
+	next           int            // index of the next event
+	nextAt         float64        // Unix time in milliseconds of the next event
+	lastBatch      uint64         // number of the last batch, 0 for none
+	lastSegment    uint32         // number of the last segment, 0 for none
+	began          bool           // Sink.Begin was called
+	ended          bool           // Sink.End was called
+	stopped        bool           // the last event was the pooler's own stop
+	closed         bool           // the segment's end frame was read
 }
 
-// fill reads the next batch; false where the run has no more.
+// fill reads the next batch that has events. It returns false where the run has no more of them, for now or at all.
 func (st *stream) fill(sink Sink) (bool, error) {
-	for {
-		if st.ended {
-			return false, nil
-		}
+	for !st.ended {
 		if st.frames == nil {
 			if st.segmentIndex == len(st.run.segments) {
-				if st.set.follow && !st.stopped {
-					return false, nil
+				if !st.set.follow || st.stopped {
+					st.finish(sink)
 				}
-				st.finish(sink)
 				return false, nil
 			}
 			if !st.openSegment(sink) {
 				continue
 			}
 		}
-		typ, b, err := st.frames.Next()
+		typ, body, err := st.frames.Next()
+		atEnd := errors.Is(err, io.EOF) || errors.Is(err, record.ErrTorn)
 		switch {
-		case errors.Is(err, io.EOF), errors.Is(err, record.ErrTorn):
-			last := st.segmentIndex == len(st.run.segments)-1
-			if st.set.follow && last && !st.closed {
-				return false, st.pauseAtEnd()
-			}
-			if !st.closed || errors.Is(err, record.ErrTorn) {
+		case atEnd && st.mayGrow():
+			return false, st.pauseAtEnd()
+		case err != nil:
+			if !st.endsCleanly(err) {
 				st.reportFault(sink, err)
 			}
 			st.closeSegment()
-		case err != nil:
-			st.reportFault(sink, err)
-			st.closeSegment()
 		case st.closed:
 			st.reportFault(sink, fmt.Errorf("%w: bytes behind its end", record.ErrCorrupt))
 			st.closeSegment()
 		case typ == record.FrameEnd:
 			st.closed = true
 		case typ == record.FrameBatch, typ == record.FrameZstd:
-			if err := st.decode(sink, typ, b); err != nil {
-				st.reportFault(sink, err)
-				st.closeSegment()
-				continue
-			}
-			st.completeOffset = st.frames.Offset()
-			if len(st.events) == 0 {
-				continue
-			}
-			if !st.began {
-				st.began = true
-				sink.Begin(st.run)
+			if st.readBatch(sink, typ, body) {
+				return true, nil
 			}
-			st.next, st.nextAt = 0, st.events[0].At
-			return true, nil
-		default: // a frame of a later program: what it holds is not for this one
+		default: // frames of later versions are passed over
 		}
 	}
+	return false, nil
 }
 
-// openSegment begins the run's next segment.
+// mayGrow reports whether the segment may still be written to.
+func (st *stream) mayGrow() bool {
+	isLast := st.segmentIndex == len(st.run.segments)-1
+	return st.set.follow && isLast && !st.closed
+}
+
+// endsCleanly reports whether an error is the end of a closed segment.
+func (st *stream) endsCleanly(err error) bool {
+	return st.closed && errors.Is(err, io.EOF) && !errors.Is(err, record.ErrTorn)
+}
+
+// readBatch decodes a batch, and reports whether it has events. A batch that cannot be decoded ends the segment.
+func (st *stream) readBatch(sink Sink, typ byte, body []byte) bool {
+	if err := st.decode(sink, typ, body); err != nil {
+		st.reportFault(sink, err)
+		st.closeSegment()
+		return false
+	}
+	st.completeOffset = st.frames.Offset()
+	if len(st.events) == 0 {
+		return false
+	}
+	if !st.began {
+		st.began = true
+		sink.Begin(st.run)
+	}
+	st.next = 0
+	st.nextAt = st.events[0].At
+	return true
+}
+
+// openSegment opens the run's next segment and reads its header. It reports segments that are missing before it. Where the
+// segment cannot be read, or is a duplicate, it is passed over and the result is false.
 func (st *stream) openSegment(sink Sink) bool {
 	seg := st.run.segments[st.segmentIndex]
 	fail := func(err error) bool {
@@ -116,7 +132,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	frames, err := record.NewFrames(bufio.NewReaderSize(f, 1<<16))
+	frames, err := record.NewFrames(bufio.NewReaderSize(f, readBufferBytes))
 	if err == nil {
 		_, err = header(frames)
 	}
@@ -131,28 +147,34 @@
 			fault.Kind, fault.From = Rotated, st.run.StartMs
 		}
 		sink.Fault(fault)
-		st.lastBatch = 0 // what is missing has been said
+		st.lastBatch = 0 // the missing batches are reported by this fault
 	}
-	st.lastSegment, st.file, st.frames, st.names, st.closed, st.completeOffset = seg.number, f, frames, nil, false, frames.Offset()
+	st.lastSegment = seg.number
+	st.file, st.frames = f, frames
+	st.completeOffset = frames.Offset()
+	st.names = nil
+	st.closed = false
 	return true
 }
 
-// pauseAtEnd keeps the place in a file that may grow.
+// pauseAtEnd goes back behind the last complete frame of a file that may grow, where the next call of fill resumes.
 func (st *stream) pauseAtEnd() error {
 	if _, err := st.file.Seek(st.completeOffset, io.SeekStart); err != nil {
 		return fmt.Errorf("%s: %w", st.run.segments[st.segmentIndex].path, err)
 	}
-	st.frames = record.ResumeFrames(bufio.NewReaderSize(st.file, 1<<16), st.completeOffset)
+	st.frames = record.ResumeFrames(bufio.NewReaderSize(st.file, readBufferBytes), st.completeOffset)
 	return nil
 }
 
+// closeSegment closes the file; the run's next segment follows.
 func (st *stream) closeSegment() {
 	_ = st.file.Close()
 	st.file, st.frames = nil, nil
 	st.segmentIndex++
 }
 
-// reportFault tells that the segment cannot be read further. What is missing ends with the next one's start.
+// reportFault reports that the rest of the segment cannot be read. Events may be missing up to the start of the next segment,
+// or of the pooler's next run.
 func (st *stream) reportFault(sink Sink, err error) {
 	f := Fault{
 		Kind:   faultKind(err),
@@ -168,11 +190,7 @@
 	if st.segmentIndex+1 < len(st.run.segments) {
 		f.To = st.run.segments[st.segmentIndex+1].openedMs
 	} else {
-		for _, r := range st.set.Runs { // the pooler's next life
-			if r.Pooler == st.run.Pooler && r.StartMs > st.run.StartMs && (f.To == 0 || r.StartMs < f.To) {
-				f.To = r.StartMs
-			}
-		}
+		f.To = st.nextRunStart()
 	}
 	sink.Fault(f)
 	if f.Kind != Unclosed {
@@ -180,6 +198,21 @@
 	}
 }
 
+// nextRunStart is the Unix time in milliseconds at which the pooler's process was started again, 0 where it was not.
+func (st *stream) nextRunStart() float64 {
+	next := 0.0
+	for _, r := range st.set.Runs {
+		if r.Pooler != st.run.Pooler || r.StartMs <= st.run.StartMs {
+			continue
+		}
+		if next == 0 || r.StartMs < next {
+			next = r.StartMs
+		}
+	}
+	return next
+}
+
+// finish ends the run.
 func (st *stream) finish(sink Sink) {
 	st.ended = true
 	if !st.began {
@@ -189,21 +222,13 @@
 	st.events, st.decompressed = nil, nil
 }
 
-// decode reads a batch into events.
+// decode decodes a batch into events. A batch that is missing before it is reported.
 func (st *stream) decode(sink Sink, typ byte, b []byte) error {
 	if typ == record.FrameZstd {
-		if st.set.decoder == nil {
-			dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(record.MaxFrame))
-			if err != nil {
-				return fmt.Errorf("zstd: %w", err)
-			}
-			st.set.decoder = dec
-		}
 		var err error
-		if st.decompressed, err = st.set.decoder.DecodeAll(b, st.decompressed[:0]); err != nil {
-			return fmt.Errorf("%w: %w", record.ErrCorrupt, err)
+		if b, err = st.decompress(b); err != nil {
+			return err
 		}
-		b = st.decompressed
 	}
 	st.batch.Reset()
 	if err := proto.Unmarshal(b, &st.batch); err != nil {
@@ -238,6 +263,23 @@
 	return nil
 }
 
+// decompress decompresses a batch into a buffer that the next call overwrites.
+func (st *stream) decompress(b []byte) ([]byte, error) {
+	if st.set.decoder == nil {
+		decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(record.MaxFrame))
+		if err != nil {
+			return nil, fmt.Errorf("zstd: %w", err)
+		}
+		st.set.decoder = decoder
+	}
+	var err error
+	if st.decompressed, err = st.set.decoder.DecodeAll(b, st.decompressed[:0]); err != nil {
+		return nil, fmt.Errorf("%w: %w", record.ErrCorrupt, err)
+	}
+	return st.decompressed, nil
+}
+
+// decodeEvent converts an encoded event of the given time, in microseconds. Names are resolved by the segment's table.
 func (st *stream) decodeEvent(e *record.Event, x *recordpb.Event, at int64) error {
 	*e = record.Event{
 		At:          milliseconds(at),
@@ -300,13 +342,16 @@
 	return nil
 }
 
+// milliseconds converts microseconds.
 func milliseconds(us int64) float64 { return float64(us) / 1000 }
 
-// streams is a heap of runs by the time of their next event.
+// streams is a heap of streams by the time of their next event; at equal times the run that started first comes first.
 type streams []*stream
 
+// Len implements heap.Interface.
 func (h streams) Len() int { return len(h) }
 
+// Less implements heap.Interface.
 func (h streams) Less(i, j int) bool {
 	if h[i].nextAt != h[j].nextAt {
 		return h[i].nextAt < h[j].nextAt
@@ -314,12 +359,13 @@
 	return h[i].run.Index < h[j].run.Index
 }
 
+// Swap implements heap.Interface.
 func (h streams) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is heap's.
+// Push implements heap.Interface.
 func (h *streams) Push(x any) { *h = append(*h, x.(*stream)) }
 
-// Pop is heap's.
+// Pop implements heap.Interface.
 func (h *streams) Pop() any {
 	old := *h
 	x := old[len(old)-1]
