--- a/cmd/beechgrade-kit/alone_test.go
+++ b/cmd/beechgrade-kit/alone_test.go
@@ -50,7 +50,7 @@
 	}
 	a.addr = l.Addr().String()
 	_ = l.Close()
-	a.told = s.Told(0, "alone", a.addr, a.fleet.Discovery(), 7, 1024, discovery.List{})
+	a.told = s.PoolerSettings(0, "alone", a.addr, a.fleet.Discovery(), 7, 1024, discovery.List{})
 	t.Cleanup(func() { a.kill(); a.fleet.Close() })
 	a.configure()
 	return a
--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -67,7 +67,7 @@
 
 	// Discovery answers nobody; the file ends too soon.
 	gone := func(on bool) {
-		if err := a.fleet.Act(func(w *model.World) error { w.SetListUnavailable(on); return nil }); err != nil {
+		if err := a.fleet.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -89,11 +89,11 @@
 	}
 	gone(false)
 	time.Sleep(2500 * time.Millisecond) // the next watch, and the grace
-	before := len(a.fleet.Late())
+	before := len(a.fleet.LateFacts())
 	for range 30 {
 		served(true)
 	}
-	if late := a.fleet.Late(); len(late) != before || len(late) > 0 {
+	if late := a.fleet.LateFacts(); len(late) != before || len(late) > 0 {
 		t.Errorf("sends to a server that drains: %+v", late)
 	}
 	a.kill()
--- a/cmd/beechgrade-kit/scatter_test.go
+++ b/cmd/beechgrade-kit/scatter_test.go
@@ -152,7 +152,7 @@
 			i = 0
 		}
 		if pages == 12 { // within a page
-			r.Fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: 20 * time.Millisecond} })
+			r.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 20 * time.Millisecond} })
 			failed := make(chan error, 1)
 			go func() {
 				_, _, err := r.page(0, 30, cursor)
@@ -165,7 +165,7 @@
 			if err := <-failed; err == nil {
 				t.Error("a page came whole from a pooler that was killed in its midst")
 			}
-			r.Fleet.Asked(nil)
+			r.Fleet.OnStatement(nil)
 			alive, i = []int{2}, 2
 		}
 		ids, next, err := r.page(i, 10, cursor)
@@ -189,9 +189,9 @@
 	r := startReports(t, "(whole) (silent 400ms) (again 8)", "", nil)
 	r.fill(120, 9)
 	for g := range 3 {
-		_ = r.Fleet.Lag(fmt.Sprintf("s-%d-1", g), 20)
+		_ = r.Fleet.SlowReplication(fmt.Sprintf("s-%d-1", g), 20)
 	}
-	r.Fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: time.Millisecond} })
+	r.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: time.Millisecond} })
 	stop, done := make(chan struct{}), make(chan struct{})
 	written, deleted := map[int64]bool{}, map[int64]bool{}
 	go func() { // at groups 0 and 2, which keep their primaries
@@ -414,7 +414,7 @@
 		return reportSettings(pooled, "", reportShards, "(whole)") + fmt.Sprintf(`(fleet-limits (lease 2s) (promise 2s) (renew 400ms) (soon 100ms) (limit "shards" (of shards) (at-once %d) (reserve 0)))`, most)
 	})
 	r.fill(40, 3)
-	r.Fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: 3 * time.Millisecond} })
+	r.Fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 3 * time.Millisecond} })
 	var wg sync.WaitGroup
 	var served, refused, other atomic.Int64
 	end := time.Now().Add(8 * time.Second)
--- a/cmd/beechgrade-kit/sessions_test.go
+++ b/cmd/beechgrade-kit/sessions_test.go
@@ -34,7 +34,7 @@
 	family := a.told["settings"].(map[string]any)["family_info"].(map[string]any)
 	family["tokens"] = "kept"
 	a.configure()
-	if err := a.fleet.Act(func(w *model.World) error {
+	if err := a.fleet.Update(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.SlowReplication(s.Name, 60); err != nil {
 				return err
--- a/cmd/beechgrade-kit/sessions_upgrade_test.go
+++ b/cmd/beechgrade-kit/sessions_upgrade_test.go
@@ -87,7 +87,7 @@
 	a := newAlone(t, sessionsScript)
 	a.told["settings"].(map[string]any)["family_info"].(map[string]any)["tokens"] = "kept"
 	a.configure()
-	if err := a.fleet.Act(func(w *model.World) error {
+	if err := a.fleet.Update(func(w *model.World) error {
 		for _, s := range w.Servers {
 			if err := w.SlowReplication(s.Name, lag); err != nil {
 				return err
--- a/cmd/beechgrade/clickhouse_ends_test.go
+++ b/cmd/beechgrade/clickhouse_ends_test.go
@@ -54,7 +54,7 @@
 			}()
 			w.wait("the first runs", func() bool { return len(w.runs("first")) == 1 })
 		}, ready: func(w *clickhouseWorld) (is bool) { w.onLoop(func() { is = w.p.clickhouse.Waiting() == 1 }); return is }},
-		{phase: "held for room", sql: "SELECT 1", prepare: func(w *clickhouseWorld) { w.servers[0].Full(true) },
+		{phase: "held for room", sql: "SELECT 1", prepare: func(w *clickhouseWorld) { w.servers[0].RejectConnections(true) },
 			ready: func(w *clickhouseWorld) (is bool) { w.onLoop(func() { is = w.p.core.OpenRequests() == 1 }); return is }},
 		{phase: "connecting", sql: "SELECT 1", prepare: func(w *clickhouseWorld) {
 			w.servers[0].Addr = deafAddr
@@ -110,8 +110,8 @@
 			} else if c.phase == "held for room" {
 				sent := uint64(0) // what was on its way when the client went must not come to a server that has room
 				w.onLoop(func() { sent = w.p.core.Metrics().Attempts })
-				w.wait("all that was sent was turned away", func() bool { return uint64(w.servers[0].Turned()) == sent })
-				w.servers[0].Full(false)
+				w.wait("all that was sent was turned away", func() bool { return uint64(w.servers[0].Rejected()) == sent })
+				w.servers[0].RejectConnections(false)
 				if s, _, _, err := w.query("GET", "SELECT 1", "", id("next")); s != 200 || err != nil {
 					t.Errorf("the next: %d %v", s, err)
 				}
--- a/cmd/beechgrade/clickhouse_hard_test.go
+++ b/cmd/beechgrade/clickhouse_hard_test.go
@@ -215,8 +215,8 @@
 	t.Parallel()
 	for _, behind := range []decide.StaleReadPolicy{decide.StaleReadsAnswered, decide.StaleReadsRefused} {
 		w := startClickHouseAs(t, 3, `(deadline 2s) (aim 1s) (class "mes" (path "/mes") (bound 3s) (aim 1s) (deadline 1500ms))`, func(s []*clickhouseserver.Server) {
-			s[1].Lag(60)
-			s[2].Lag(-1)
+			s[1].SetLag(60)
+			s[2].SetLag(-1)
 			holdUntilAllAsked(s)
 		}, func(c *config.Config) { c.Settings.StaleReads, c.Settings.MayCheckHealth = behind, true })
 		ask := func(path, sql, id string) int {
@@ -258,7 +258,7 @@
 				t.Errorf("%v: none without one went to server %d", behind, i+1)
 			}
 		}
-		w.servers[0].Lag(300)
+		w.servers[0].SetLag(300)
 		time.Sleep(3100 * time.Millisecond) // until what was told before is older than the bound; longer changes nothing
 		if s := ask("/mes", "SELECT 1", "late"); s != 503 {
 			t.Errorf("%v: all are behind: %d", behind, s)
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -99,7 +99,7 @@
 func TestClickHouseStorm(t *testing.T) {
 	t.Parallel()
 	const asks, workers, slices = 10000, 24, 25
-	w := startClickHouseAs(t, 4, `(deadline 600ms) (aim 300ms) (hold 4k) (class "mes" (path "/mes") (bound 8s) (aim 500ms) (deadline 1500ms))`, func(s []*clickhouseserver.Server) { s[2].Lag(30); s[3].Lag(12) },
+	w := startClickHouseAs(t, 4, `(deadline 600ms) (aim 300ms) (hold 4k) (class "mes" (path "/mes") (bound 8s) (aim 500ms) (deadline 1500ms))`, func(s []*clickhouseserver.Server) { s[2].SetLag(30); s[3].SetLag(12) },
 		func(c *config.Config) { c.Settings.MayCheckHealth = true })
 	rng := rand.New(rand.NewPCG(11, 11))
 	all := make([]queries.ClientQuery, asks)
@@ -120,11 +120,11 @@
 		s := w.servers[rng.IntN(4)]
 		switch what := rng.IntN(7); what {
 		case 0:
-			s.Full(true)
-			restored = append(restored, func() { s.Full(false) })
+			s.RejectConnections(true)
+			restored = append(restored, func() { s.RejectConnections(false) })
 		case 1:
-			s.Silent(true)
-			restored = append(restored, func() { s.Silent(false) })
+			s.SetUnresponsive(true)
+			restored = append(restored, func() { s.SetUnresponsive(false) })
 		case 2, 3: // it dies, and is back soon
 			i := 0
 			for w.servers[i] != s {
@@ -148,8 +148,8 @@
 				w.hup <- syscall.SIGHUP
 			})
 		case 4: // it catches up, and then falls behind again, by and by
-			s.Lag(0)
-			restored = append(restored, func() { s.Lag(float64(5 + rng.IntN(60))) })
+			s.SetLag(0)
+			restored = append(restored, func() { s.SetLag(float64(5 + rng.IntN(60))) })
 		case 5:
 			if drained[s.Name]++; drained[s.Name] == 1 { // what comes and goes more often is held back as flapping
 				drain = s.Name
--- a/cmd/beechgrade/clickhouse_test.go
+++ b/cmd/beechgrade/clickhouse_test.go
@@ -373,7 +373,7 @@
 func TestClickHouseAgain(t *testing.T) {
 	t.Parallel()
 	w := startClickHouse(t, 3, "")
-	w.servers[0].Full(true)
+	w.servers[0].RejectConnections(true)
 	for i := range 12 {
 		if s, code, text, err := w.query("POST", "INSERT INTO t VALUES (1)", "", id(fmt.Sprint("f", i))); err != nil || s != 200 {
 			t.Errorf("beside a full one: %d %s %s %v", s, code, text, err)
@@ -382,7 +382,7 @@
 			t.Errorf("it ran %d times", n)
 		}
 	}
-	w.servers[0].Full(false)
+	w.servers[0].RejectConnections(false)
 	w.servers[1].Stop()
 	for i := range 12 {
 		if s, code, text, err := w.query("POST", "INSERT INTO t VALUES (1)", "", id(fmt.Sprint("d", i))); err != nil || s != 200 || len(w.runs(fmt.Sprint("d", i))) != 1 {
@@ -526,10 +526,10 @@
 		asked[i] = texts[rng.IntN(len(texts))]
 		slot <- struct{}{}
 		if i%40 == 20 {
-			w.servers[i%3].Full(true)
+			w.servers[i%3].RejectConnections(true)
 		}
 		if i%40 == 35 {
-			w.servers[(i-15)%3].Full(false)
+			w.servers[(i-15)%3].RejectConnections(false)
 		}
 		wg.Add(1)
 		go func() {
--- a/cmd/beechgrade/pooling_begun_test.go
+++ b/cmd/beechgrade/pooling_begun_test.go
@@ -48,7 +48,7 @@
 			time.Sleep(time.Second) // the grace is over
 		},
 		"its server hands over and the list says nothing": func(w *pooledWorld, old string) {
-			w.fleet.ListLate(60000)
+			w.fleet.DelayList(60000)
 			if err := w.fleet.Drain(old); err != nil {
 				t.Fatal(err)
 			}
@@ -97,7 +97,7 @@
 	c := w.connect("")
 	w.exec(c, putKV, "k", "v")
 	old := w.fleet.Primary(0)
-	w.fleet.ListLate(60000)
+	w.fleet.DelayList(60000)
 	if err := w.fleet.Drain(old); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/pooling_takeover_test.go
+++ b/cmd/beechgrade/pooling_takeover_test.go
@@ -208,8 +208,8 @@
 		t.Errorf("%d of %d served, %d refusals, %d others", served.Load(), clients, refused.Load(), other.Load())
 	}
 	seen := w.fleet.Watched()
-	if len(w.fleet.Fallen()) > 0 || seen.MostOpen > 3*20 {
-		t.Errorf("fallen: %v; %d connections at once", w.fleet.Fallen(), seen.MostOpen)
+	if len(w.fleet.PushedOver()) > 0 || seen.MostOpen > 3*20 {
+		t.Errorf("fallen: %v; %d connections at once", w.fleet.PushedOver(), seen.MostOpen)
 	}
 	t.Logf("%d served, %d refusals, %d connections begun", served.Load(), refused.Load(), seen.Sessions)
 }
--- a/cmd/beechgrade/pooling_test.go
+++ b/cmd/beechgrade/pooling_test.go
@@ -37,8 +37,8 @@
 func TestPooledOwnWrites(t *testing.T) {
 	t.Parallel()
 	w := pooled(t, fmt.Sprintf(usual, "(connections 8)"), func(c *database.Config) { c.ApplyMs = 2 })
-	_ = w.fleet.Lag("s-0-1", 5)
-	_ = w.fleet.Lag("s-0-2", 2)
+	_ = w.fleet.SlowReplication("s-0-1", 5)
+	_ = w.fleet.SlowReplication("s-0-2", 2)
 	var elsewhere atomic.Int64 // reads that were not the primary's
 	w.fleet.Before(func(server, sql string) bool {
 		if strings.HasPrefix(sql, "SELECT") && server != "s-0-0" {
--- a/cmd/beechgrade/scatter_test.go
+++ b/cmd/beechgrade/scatter_test.go
@@ -284,7 +284,7 @@
 		t.Errorf("behind all that: %v", err)
 	}
 	// A page of more than is let be at a time is refused as a whole: no server hears of it.
-	w.fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: 50 * time.Millisecond} })
+	w.fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 50 * time.Millisecond} })
 	first := make(chan error, 1)
 	other := w.reader()
 	go func() { _, err := other.page(20, ""); first <- err }()
@@ -309,17 +309,17 @@
 	w := scatterPooler(t, "(whole) (silent 300ms)")
 	want := sortedIDs(visits(w.fleet, 60))[:40]
 	silent := ""
-	w.fleet.Asked(func(server, _ string) database.Manner { // under the fleet's lock
+	w.fleet.OnStatement(func(server, _ string) database.ReadBehavior { // under the fleet's lock
 		switch {
 		case server[:4] == "s-0-" && (silent == "" || silent == server):
 			silent = server
-			return database.Manner{Silent: true}
+			return database.ReadBehavior{Silent: true}
 		case server[:4] == "s-1-":
-			return database.Manner{Each: 20 * time.Millisecond}
+			return database.ReadBehavior{Each: 20 * time.Millisecond}
 		case server[:4] == "s-2-":
-			return database.Manner{Endless: true}
+			return database.ReadBehavior{Endless: true}
 		}
-		return database.Manner{}
+		return database.ReadBehavior{}
 	})
 	r := w.reader()
 	got, err := r.page(40, "")
@@ -347,8 +347,8 @@
 			c.Settings.Classes[slices.Index(c.Classes, "reports")].Idempotency = effect
 		})
 		want := sortedIDs(visits(w.fleet, 60))
-		bad, asked := map[string]string{}, map[string]int{}      // by group
-		w.fleet.Asked(func(server, sql string) database.Manner { // under the fleet's lock
+		bad, asked := map[string]string{}, map[string]int{}                  // by group
+		w.fleet.OnStatement(func(server, sql string) database.ReadBehavior { // under the fleet's lock
 			g := server[:4]
 			if asked[g]++; asked[g] == 1 {
 				bad[g] = server
@@ -357,9 +357,9 @@
 				t.Errorf("%v: %s is asked as number %d: %s", effect, server, asked[g], sql)
 			}
 			if bad[g] == server {
-				return database.Manner{Each: 3 * time.Millisecond, DieAt: 4}
+				return database.ReadBehavior{Each: 3 * time.Millisecond, DieAt: 4}
 			}
-			return database.Manner{}
+			return database.ReadBehavior{}
 		})
 		got, err := w.reader().page(240, "")
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
@@ -378,8 +378,8 @@
 	for _, setting := range []string{"(partial 1)", "(whole)"} {
 		w := scatterPooler(t, setting+" (silent 200ms) (again 1) (wait 3s)")
 		want := sortedIDs(visits(w.fleet, 30))
-		w.fleet.Asked(func(server, _ string) database.Manner {
-			return database.Manner{Silent: strings.HasPrefix(server, "s-2-")}
+		w.fleet.OnStatement(func(server, _ string) database.ReadBehavior {
+			return database.ReadBehavior{Silent: strings.HasPrefix(server, "s-2-")}
 		})
 		r := w.reader()
 		got, err := r.page(40, "")
@@ -392,7 +392,7 @@
 		if err != nil || len(got) != 40 || !strings.HasSuffix(r.missing, ": south") {
 			t.Fatalf("%d rows, missing %q: %v", len(got), r.missing, err)
 		}
-		w.fleet.Asked(nil)
+		w.fleet.OnStatement(nil)
 		got = append(got, r.all(t, 40)...)
 		slices.Sort(got)
 		slices.Sort(want)
@@ -407,7 +407,7 @@
 	t.Parallel()
 	w := scatterPooler(t, "(whole)")
 	visits(w.fleet, 60)
-	w.fleet.Asked(func(string, string) database.Manner { return database.Manner{Each: 30 * time.Millisecond} })
+	w.fleet.OnStatement(func(string, string) database.ReadBehavior { return database.ReadBehavior{Each: 30 * time.Millisecond} })
 	for i := range 6 {
 		r := w.reader()
 		ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/beechgrade/sources_test.go
+++ b/cmd/beechgrade/sources_test.go
@@ -350,11 +350,11 @@
 		}
 	}
 	until("a write is served", write)
-	if err := f.Act(func(w *model.World) error { return w.Hang(first) }); err != nil {
+	if err := f.Update(func(w *model.World) error { return w.Hang(first) }); err != nil {
 		t.Fatal(err)
 	}
 	until("another took over", func() bool { p := f.Primary(0); return p != "" && p != first })
-	if err := f.Act(func(w *model.World) error { return w.Unhang(first) }); err != nil {
+	if err := f.Update(func(w *model.World) error { return w.Unhang(first) }); err != nil {
 		t.Fatal(err)
 	}
 	for range 5 {
@@ -366,7 +366,7 @@
 	if e := w.entry(f.Primary(0)); !e.Primary {
 		t.Errorf("the list does not know the primary: %+v", e)
 	}
-	if diff := cmp.Diff([]string{}, f.RanTwice(), cmpopts.EquateEmpty()); diff != "" {
+	if diff := cmp.Diff([]string{}, f.RepeatedWrites(), cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/testkit/fake/clickhouseserver/house.go
+++ b/internal/testkit/fake/clickhouseserver/house.go
@@ -88,22 +88,22 @@
 // Stop ends it and its connections, and what its sessions held.
 func (s *Server) Stop() { _ = s.server.Close() }
 
-// Full has it turn queries away.
-func (s *Server) Full(on bool) {
+// RejectConnections has it turn queries away.
+func (s *Server) RejectConnections(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.full = on
 }
 
-// Turned is how many queries it has turned away.
-func (s *Server) Turned() int {
+// Rejected is how many queries it has turned away.
+func (s *Server) Rejected() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.turned
 }
 
-// Silent has it take all that comes, and answer nothing until it is not so any more.
-func (s *Server) Silent(on bool) {
+// SetUnresponsive has it take all that comes, and answer nothing until it is not so any more.
+func (s *Server) SetUnresponsive(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -115,16 +115,16 @@
 	}
 }
 
-// Lag sets how many seconds its tables are behind; below 0 it has none that are replicated. What it has had it keeps: where it
+// SetLag sets how many seconds its tables are behind; below 0 it has none that are replicated. What it has had it keeps: where it
 // was nearer before, it stands still until it is so far behind.
-func (s *Server) Lag(seconds float64) {
+func (s *Server) SetLag(seconds float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lag, s.plain = max(0, seconds), seconds < 0
 }
 
-// behind is how many seconds it is behind now.
-func (s *Server) behind() float64 {
+// lagSeconds is how many seconds it is behind now.
+func (s *Server) lagSeconds() float64 {
 	now := time.Now()
 	if p := now.Add(-time.Duration(s.lag * float64(time.Second))); p.After(s.pos) {
 		s.pos = p
@@ -132,8 +132,8 @@
 	return now.Sub(s.pos).Seconds()
 }
 
-// Forget has it keep no list of what came, for measurements.
-func (s *Server) Forget() {
+// DropSessions has it keep no list of what came, for measurements.
+func (s *Server) DropSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgets = true
@@ -177,7 +177,7 @@
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	silent, lag, plain, slow := s.silent, s.behind(), s.plain, s.slowRead
+	silent, lag, plain, slow := s.silent, s.lagSeconds(), s.plain, s.slowRead
 	switch r.URL.Path {
 	case "/ping":
 		s.pings++
@@ -231,7 +231,7 @@
 	}
 	s.mu.Unlock()
 	if full {
-		raise(w, 202, "Too many simultaneous queries.")
+		writeException(w, 202, "Too many simultaneous queries.")
 		return
 	}
 	whole := false
@@ -240,10 +240,10 @@
 		defer s.mu.Unlock()
 		x.Ended, x.Cancelled = whole, !whole && r.Context().Err() != nil
 	}()
-	if word, arg := order(x.Text); word == "EARLY" {
+	if word, arg := parseCommand(x.Text); word == "EARLY" {
 		n, _ := strconv.Atoi(arg)
 		h.Set("Connection", "close")
-		raise(w, n, "as asked, and nothing was read")
+		writeException(w, n, "as asked, and nothing was read")
 		whole = true
 		return
 	}
@@ -252,13 +252,13 @@
 		return
 	}
 	if x.Session != "" {
-		code, text := s.enter(user+"\x00"+x.Session, q.Get("session_check") == "1", x.Text)
+		code, text := s.acquireSession(user+"\x00"+x.Session, q.Get("session_check") == "1", x.Text)
 		if code != 0 {
-			raise(w, code, text)
+			writeException(w, code, text)
 			whole = true
 			return
 		}
-		defer s.leave(user + "\x00" + x.Session)
+		defer s.releaseSession(user + "\x00" + x.Session)
 	}
 	s.mu.Lock()
 	own := s.own
@@ -299,8 +299,8 @@
 	}
 }
 
-// enter takes a query into its session.
-func (s *Server) enter(key string, check bool, text string) (code int, why string) {
+// acquireSession takes a query into its session.
+func (s *Server) acquireSession(key string, check bool, text string) (code int, why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.sessions[key]
@@ -313,7 +313,7 @@
 		v = &session{}
 		s.sessions[key] = v
 	}
-	word, _ := order(text)
+	word, _ := parseCommand(text)
 	if word == "NEEDS" && !v.temp {
 		return 60, "Table does not exist."
 	}
@@ -321,21 +321,21 @@
 	return 0, ""
 }
 
-func (s *Server) leave(key string) {
+func (s *Server) releaseSession(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sessions[key].busy = false
 }
 
-// order is what a query's comment asks for.
-func order(text string) (word, arg string) {
+// parseCommand is what a query's comment asks for.
+func parseCommand(text string) (word, arg string) {
 	_, args, _ := strings.Cut(text, "/*")
 	args, _, _ = strings.Cut(args, "*/")
 	word, arg, _ = strings.Cut(strings.TrimSpace(args), " ")
 	return word, strings.TrimSpace(arg)
 }
 
-func raise(w http.ResponseWriter, code int, text string) {
+func writeException(w http.ResponseWriter, code int, text string) {
 	w.Header().Set("X-ClickHouse-Exception-Code", strconv.Itoa(code))
 	status := http.StatusInternalServerError
 	if code == 372 || code == 60 {
@@ -347,7 +347,7 @@
 
 // answer tells whether it wrote all of its answer.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, x *Run) bool {
-	word, arg := order(x.Text)
+	word, arg := parseCommand(x.Text)
 	n, _ := strconv.Atoi(arg)
 	row := strings.Repeat("x", rowBytes-1) + "\n"
 	flush := http.NewResponseController(w).Flush
@@ -358,7 +358,7 @@
 	case "DROP":
 		panic(http.ErrAbortHandler)
 	case "FAIL":
-		raise(w, n, "as asked")
+		writeException(w, n, "as asked")
 	case "RAISE":
 		_, _ = io.WriteString(w, row)
 		_ = flush()
--- a/internal/testkit/fake/database/dead_test.go
+++ b/internal/testkit/fake/database/dead_test.go
@@ -195,7 +195,7 @@
 					f.mu.Unlock()
 				}
 			}
-			if err := f.Act(func(w *model.World) error { return w.Restart(s.Name) }); err != nil {
+			if err := f.Update(func(w *model.World) error { return w.Restart(s.Name) }); err != nil {
 				t.Fatal(err)
 			}
 			dead.Store(true)
--- a/internal/testkit/fake/database/directory.go
+++ b/internal/testkit/fake/database/directory.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/endpoints/discovery"
 )
 
-const aliveEvery = 2 * time.Second
+const keepAliveInterval = 2 * time.Second
 
 // directory is the stand-in for discovery: the model's list over HTTP.
 type directory struct {
@@ -25,11 +25,11 @@
 	fellAt   float64 // the watches that were open fell silent then, for good; 0 for never
 }
 
-// toldMs is when what a silent watch misses counts as told, from when it fell silent.
-const toldMs = 6000
+// notificationBoundMs is when what a silent watch misses counts as told, from when it fell silent.
+const notificationBoundMs = 6000
 
-// ListSilent has the watches that are open fall silent, and what is called from now on not be answered; not so ends the latter.
-func (f *Fleet) ListSilent(on bool) {
+// SetListSilent has the watches that are open fall silent, and what is called from now on not be answered; not so ends the latter.
+func (f *Fleet) SetListSilent(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.dir.silent = on; on {
@@ -38,10 +38,10 @@
 	}
 }
 
-// told is when what the list says now counts as told.
-func (d *directory) told(at float64) float64 {
+// notifiedBy is when what the list says now counts as told.
+func (d *directory) notifiedBy(at float64) float64 {
 	if d.fellAt > 0 {
-		return max(at, d.fellAt+toldMs)
+		return max(at, d.fellAt+notificationBoundMs)
 	}
 	return at
 }
@@ -86,7 +86,7 @@
 func (d *directory) endpoints(f *Fleet, w http.ResponseWriter, r *http.Request, door int) {
 	watch := r.URL.Query().Get("watch") != ""
 	f.mu.Lock()
-	if f.dir.silent || f.doors.held(door) && !watch {
+	if f.dir.silent || f.doors.listHeld(door) && !watch {
 		f.mu.Unlock()
 		<-r.Context().Done()
 		return
@@ -100,14 +100,14 @@
 	if !watch {
 		l := f.world.List.Snapshot()
 		f.mu.Unlock()
-		d.say(w, f.at(door, &l))
+		d.writeList(w, f.at(door, &l))
 		return
 	}
 	gen, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	wake := make(chan struct{}, 1)
 	d.watchers[wake] = true
 	l := f.world.List.Since(gen)
-	if f.doors.held(door) {
+	if f.doors.listHeld(door) {
 		l = discovery.List{Generation: gen}
 	}
 	f.mu.Unlock()
@@ -121,10 +121,10 @@
 		return
 	}
 	if l.Reset || len(l.Instances) > 0 {
-		d.say(w, f.at(door, &l))
+		d.writeList(w, f.at(door, &l))
 	}
 	flush.Flush()
-	tick := time.NewTicker(aliveEvery)
+	tick := time.NewTicker(keepAliveInterval)
 	defer tick.Stop()
 	gen = l.Generation
 	for {
@@ -138,7 +138,7 @@
 		case <-wake:
 			f.mu.Lock()
 			gone, silent, next := f.world.List.Unavailable, f.dir.fellAt != fell, f.world.List.Since(gen)
-			if f.doors.held(door) {
+			if f.doors.listHeld(door) {
 				next.Generation = gen
 			}
 			f.mu.Unlock()
@@ -151,14 +151,14 @@
 			}
 			if next.Generation > gen {
 				gen = next.Generation
-				d.say(w, f.at(door, &next))
+				d.writeList(w, f.at(door, &next))
 			}
 		}
 		flush.Flush()
 	}
 }
 
-func (d *directory) say(w io.Writer, l *discovery.List) {
+func (d *directory) writeList(w io.Writer, l *discovery.List) {
 	if b, err := jsoniter.Marshal(l); err == nil {
 		_, _ = w.Write(append(b, '\n'))
 	}
--- a/internal/testkit/fake/database/doors.go
+++ b/internal/testkit/fake/database/doors.go
@@ -9,24 +9,24 @@
 	"beechgrade/internal/endpoints/discovery"
 )
 
-// doors are addresses that each pooler has for itself, of every server and of the list: by them the stand-ins know who calls, and what
+// poolerEntrances are addresses that each pooler has for itself, of every server and of the list: by them the stand-ins know who calls, and what
 // befalls one pooler's ways befalls it alone.
-type doors struct {
+type poolerEntrances struct {
 	n    int
-	cut  map[way]int       // faults in force
-	thin map[way][]float64 // parts that are lost
-	hold []int             // by pooler
-	list []string          // where the list answers each
+	cut  map[link]int       // faults in force
+	thin map[link][]float64 // parts that are lost
+	hold []int              // by pooler
+	list []string           // where the list answers each
 }
 
-type way struct{ door, server int }
+type link struct{ door, server int }
 
-// Doors has servers and the list open a door for each of so many poolers, from before Start on.
-func (f *Fleet) Doors(n int) {
-	f.doors = doors{n: n, cut: map[way]int{}, thin: map[way][]float64{}, hold: make([]int, n)}
+// SetPoolerCount has servers and the list open a door for each of so many poolers, from before Start on.
+func (f *Fleet) SetPoolerCount(n int) {
+	f.doors = poolerEntrances{n: n, cut: map[link]int{}, thin: map[link][]float64{}, hold: make([]int, n)}
 }
 
-func (f *Fleet) openDoors() error {
+func (f *Fleet) listenPerPooler() error {
 	for i := range f.doors.n {
 		at := fmt.Sprintf("127.79.0.%d:0", i+1)
 		l, err := net.Listen("tcp", at)
@@ -76,20 +76,20 @@
 	return l
 }
 
-// Cut has nothing get from a pooler to a server nor back, or ends that.
-func (f *Fleet) Cut(door, server int, on bool) {
+// CutLink has nothing get from a pooler to a server nor back, or ends that.
+func (f *Fleet) CutLink(door, server int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.doors.cut[way{door, server}]--; on {
-		f.doors.cut[way{door, server}] += 2
+	if f.doors.cut[link{door, server}]--; on {
+		f.doors.cut[link{door, server}] += 2
 	}
 }
 
-// Thin has a part of what a pooler sends to a server be lost, or ends that.
-func (f *Fleet) Thin(door, server int, part float64, on bool) {
+// LoseOnLink has a part of what a pooler sends to a server be lost, or ends that.
+func (f *Fleet) LoseOnLink(door, server int, part float64, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := way{door, server}
+	w := link{door, server}
 	if on {
 		f.doors.thin[w] = append(f.doors.thin[w], part)
 	} else if i := slices.Index(f.doors.thin[w], part); i >= 0 {
@@ -97,8 +97,8 @@
 	}
 }
 
-// Hold has the list tell a pooler nothing new, or all that it did not tell.
-func (f *Fleet) Hold(door int, on bool) {
+// HoldList has the list tell a pooler nothing new, or all that it did not tell.
+func (f *Fleet) HoldList(door int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.doors.hold[door]--; on {
@@ -107,25 +107,27 @@
 	f.dir.wakeAll()
 }
 
-func (d *doors) held(door int) bool { return door >= 0 && door < d.n && d.hold[door] > 0 }
+func (d *poolerEntrances) listHeld(door int) bool { return door >= 0 && door < d.n && d.hold[door] > 0 }
 
-// holding tells whether the list holds back anything from anybody.
-func (d *doors) holding() bool { return slices.ContainsFunc(d.hold, func(n int) bool { return n > 0 }) }
+// anyListHeld tells whether the list holds back anything from anybody.
+func (d *poolerEntrances) anyListHeld() bool {
+	return slices.ContainsFunc(d.hold, func(n int) bool { return n > 0 })
+}
 
-// shut tells whether nothing gets over the connection's way.
-func (c *conn) shut() bool {
+// linkCut tells whether nothing gets over the connection's way.
+func (c *conn) linkCut() bool {
 	c.s.f.mu.Lock()
 	defer c.s.f.mu.Unlock()
-	return c.door >= 0 && c.s.f.doors.cut[way{c.door, c.s.No}] > 0
+	return c.door >= 0 && c.s.f.doors.cut[link{c.door, c.s.No}] > 0
 }
 
-// lost draws whether a message that came over the connection is to be lost.
-func (c *conn) lost() bool {
+// dropsRequest draws whether a message that came over the connection is to be lost.
+func (c *conn) dropsRequest() bool {
 	if c.door < 0 {
 		return false
 	}
 	c.s.f.mu.Lock()
 	defer c.s.f.mu.Unlock()
-	w := way{c.door, c.s.No}
+	w := link{c.door, c.s.No}
 	return c.s.f.doors.cut[w] > 0 || slices.ContainsFunc(c.s.f.doors.thin[w], func(part float64) bool { return rand.Float64() < part })
 }
--- a/internal/testkit/fake/database/doors_test.go
+++ b/internal/testkit/fake/database/doors_test.go
@@ -14,7 +14,7 @@
 // not answered at one door, and is at the other.
 func TestDoors(t *testing.T) {
 	f := New(Defaults(2), clock.System(), slog.New(slog.DiscardHandler))
-	f.Doors(2)
+	f.SetPoolerCount(2)
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -36,8 +36,8 @@
 		return n > 0
 	}
 	hello := string(pgwire.AppendStartup(nil, "x", "store"))
-	f.Cut(0, 0, true)
-	f.Hold(1, true)
+	f.CutLink(0, 0, true)
+	f.HoldList(1, true)
 	list := "GET /v1/endpoints HTTP/1.0\r\n\r\n"
 	for _, c := range []struct {
 		what, addr, ask string
@@ -48,8 +48,8 @@
 			t.Errorf("%s answers: %v", c.what, got)
 		}
 	}
-	f.Cut(0, 0, false)
-	f.Hold(1, false)
+	f.CutLink(0, 0, false)
+	f.HoldList(1, false)
 	if !answers(a[0].HostPort, hello) || !answers(f.DiscoveryAt(1), list) {
 		t.Error("what is mended does not answer")
 	}
--- a/internal/testkit/fake/database/extended.go
+++ b/internal/testkit/fake/database/extended.go
@@ -22,7 +22,7 @@
 	forms []int16 // of results
 }
 
-func (x *full) parse(m *pgproto3.Parse) error {
+func (x *session) parse(m *pgproto3.Parse) error {
 	if m.Name != "" && x.stmts[m.Name] != nil {
 		return fail("42P05", "prepared statement %q already exists", m.Name)
 	}
@@ -56,7 +56,7 @@
 
 var paramRef = regexp.MustCompile(`\$(\d+)`)
 
-func (x *full) describe(m *pgproto3.Describe) error {
+func (x *session) describe(m *pgproto3.Describe) error {
 	sql, forms := "", []int16(nil)
 	if m.ObjectType == 'S' {
 		p := x.stmts[m.Name]
@@ -104,9 +104,9 @@
 	return ""
 }
 
-var want = regexp.MustCompile(`/\* want ([a-z_.]+)=([^*]*?) \*/`)
+var wantedSetting = regexp.MustCompile(`/\* want ([a-z_.]+)=([^*]*?) \*/`)
 
 // wantOf are the wishes that a text holds, for each of its statements.
 func wantOf(sql string) string {
-	return strings.Join(want.FindAllString(sql, -1), "")
+	return strings.Join(wantedSetting.FindAllString(sql, -1), "")
 }
--- a/internal/testkit/fake/database/fleet.go
+++ b/internal/testkit/fake/database/fleet.go
@@ -61,12 +61,12 @@
 
 	watch    Watch // of ordinary sessions
 	before   func(server, sql string) bool
-	fulls    map[uint32]*full
+	fulls    map[uint32]*session
 	lastPID  uint32
 	streamed int
-	doors    doors
+	doors    poolerEntrances
 	shape    int // of the one table; each ALTER changes it
-	scatters Scatters
+	scatters ScatterState
 }
 
 // server is the sockets of one of the model's servers.
@@ -82,7 +82,7 @@
 
 // New makes a fleet; Start has it listen.
 func New(cfg Config, clk clock.Clock, log *slog.Logger) *Fleet {
-	f := &Fleet{cfg: cfg, clk: clk, log: log, timers: map[*time.Timer]bool{}, fulls: map[uint32]*full{}, watch: Watch{ByText: map[string]int{}}}
+	f := &Fleet{cfg: cfg, clk: clk, log: log, timers: map[*time.Timer]bool{}, fulls: map[uint32]*session{}, watch: Watch{ByText: map[string]int{}}}
 	f.world = model.New(cfg, f, f)
 	for _, s := range f.world.Servers {
 		f.servers = append(f.servers, &server{Server: s, f: f, conns: map[*conn]bool{}})
@@ -105,7 +105,7 @@
 		f.wg.Add(1)
 		go s.accept(l, -1)
 	}
-	if err := f.openDoors(); err != nil {
+	if err := f.listenPerPooler(); err != nil {
 		return err
 	}
 	if f.catalog != nil {
@@ -187,12 +187,12 @@
 func (f *Fleet) Listed(e *model.Entry, at float64) {
 	s := f.servers[e.Server.No]
 	// That a drain is over counts as soon as the list has it: whoever comes back to a list that nobody could be told of is told.
-	heard := !f.world.List.Unavailable && len(f.dir.watchers) > 0 && !f.doors.holding()
+	heard := !f.world.List.Unavailable && len(f.dir.watchers) > 0 && !f.doors.anyListHeld()
 	switch {
 	case e.Lifecycle == "up":
 		s.drainTold = 0
 	case e.Lifecycle == "draining" && heard:
-		at = f.dir.told(at)
+		at = f.dir.notifiedBy(at)
 		s.drainTold = at
 	}
 	if f.watcher != nil && (heard && e.Lifecycle == "draining" || e.Lifecycle == "up") {
@@ -237,8 +237,8 @@
 	return out
 }
 
-// Ran are the ids of the writes that ran.
-func (f *Fleet) Ran() []string {
+// ExecutedWrites are the ids of the writes that ran.
+func (f *Fleet) ExecutedWrites() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.world.ExecutedWrites()
@@ -261,30 +261,30 @@
 	return f.world.Facts()
 }
 
-// RanTwice are the ids of writes that ran more than once.
-func (f *Fleet) RanTwice() []string {
+// RepeatedWrites are the ids of writes that ran more than once.
+func (f *Fleet) RepeatedWrites() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.world.RepeatedWrites()
 }
 
-// Fallen are the cold servers that were pushed over.
-func (f *Fleet) Fallen() []string {
+// PushedOver are the cold servers that were pushed over.
+func (f *Fleet) PushedOver() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.world.PushedOver()
 }
 
-// Late are the requests that came to a server after discovery had told all who watch that it drains, and the
+// LateFacts are the requests that came to a server after discovery had told all who watch that it drains, and the
 // grace and 50 ms for the way had passed.
-func (f *Fleet) Late() []Fact {
+func (f *Fleet) LateFacts() []Fact {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.late)
 }
 
-// Act has something befall the model, under the fleet's lock.
-func (f *Fleet) Act(do func(w *model.World) error) error {
+// Update has something befall the model, under the fleet's lock.
+func (f *Fleet) Update(do func(w *model.World) error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return do(f.world)
@@ -292,30 +292,30 @@
 
 // Kill ends a server's process: its connections are reset, new ones too.
 func (f *Fleet) Kill(name string) error {
-	return f.Act(func(w *model.World) error { return w.Kill(name) })
+	return f.Update(func(w *model.World) error { return w.Kill(name) })
 }
 
 // Revive starts a dead server again: cold, and from where it stood.
 func (f *Fleet) Revive(name string) error {
-	return f.Act(func(w *model.World) error { return w.Revive(name) })
+	return f.Update(func(w *model.World) error { return w.Revive(name) })
 }
 
-// Lag has a replica's apply thread take so many times as long.
-func (f *Fleet) Lag(name string, times float64) error {
-	return f.Act(func(w *model.World) error { return w.SlowReplication(name, times) })
+// SlowReplication has a replica's apply thread take so many times as long.
+func (f *Fleet) SlowReplication(name string, times float64) error {
+	return f.Update(func(w *model.World) error { return w.SlowReplication(name, times) })
 }
 
 // Drain has a server finish what it has and want nothing new; a primary hands over.
 func (f *Fleet) Drain(name string) error {
-	return f.Act(func(w *model.World) error { return w.Drain(name) })
+	return f.Update(func(w *model.World) error { return w.Drain(name) })
 }
 
 // Undrain is Drain's end.
 func (f *Fleet) Undrain(name string) error {
-	return f.Act(func(w *model.World) error { return w.Undrain(name) })
+	return f.Update(func(w *model.World) error { return w.Undrain(name) })
 }
 
-// ListLate has the list run later by so many milliseconds.
-func (f *Fleet) ListLate(ms float64) {
-	_ = f.Act(func(w *model.World) error { w.DelayList(ms); return nil })
+// DelayList has the list run later by so many milliseconds.
+func (f *Fleet) DelayList(ms float64) {
+	_ = f.Update(func(w *model.World) error { w.DelayList(ms); return nil })
 }
--- a/internal/testkit/fake/database/fleet_test.go
+++ b/internal/testkit/fake/database/fleet_test.go
@@ -78,8 +78,8 @@
 	if got := talk(p, "SHOW load"); !strings.Contains(got, "x1=1") {
 		t.Errorf("load: %q", got)
 	}
-	if got := talk(p, strings.Replace(write, "%", "1", 1)); got != "row hi primary" || len(f.RanTwice()) != 1 {
-		t.Errorf("a write that ran twice is not noticed: %q, %v", got, f.RanTwice())
+	if got := talk(p, strings.Replace(write, "%", "1", 1)); got != "row hi primary" || len(f.RepeatedWrites()) != 1 {
+		t.Errorf("a write that ran twice is not noticed: %q, %v", got, f.RepeatedWrites())
 	}
 	_ = f.Drain(r.Name)
 	if got := talk(r, "SELECT content FROM kv WHERE name = 'k' /* id=5,c=r,d=500,cluster=0 */"); got != "53300 replica" {
--- a/internal/testkit/fake/database/house.go
+++ b/internal/testkit/fake/database/house.go
@@ -55,10 +55,10 @@
 	}()
 	for q := range queries {
 		if c.s.isHung() {
-			c.starve()
+			c.waitForReset()
 			break
 		}
-		b, ok := c.house(q)
+		b, ok := c.serveClickHouse(q)
 		if !ok {
 			break
 		}
@@ -71,8 +71,8 @@
 	}
 }
 
-// house answers one query.
-func (c *conn) house(q query) ([]byte, bool) {
+// serveClickHouse answers one query.
+func (c *conn) serveClickHouse(q query) ([]byte, bool) {
 	s, f := c.s, c.s.f
 	switch q.r.URL.Path {
 	case "/ping":
@@ -84,7 +84,7 @@
 		mute := s.DropsAnswers
 		f.mu.Unlock()
 		if mute {
-			return nil, c.starve()
+			return nil, c.waitForReset()
 		}
 		return response(200, "", fmt.Sprintf("obra.kv:\tAbsolute delay: %d. Relative delay: 0.\n", lag)), true
 	}
--- a/internal/testkit/fake/database/listed_test.go
+++ b/internal/testkit/fake/database/listed_test.go
@@ -42,7 +42,7 @@
 	defer func() { _ = res.Body.Close() }()
 	act := func(do func(w *model.World, name string) error) {
 		t.Helper()
-		if err := f.Act(func(w *model.World) error { return do(w, "s-0-1") }); err != nil {
+		if err := f.Update(func(w *model.World) error { return do(w, "s-0-1") }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -62,7 +62,7 @@
 	if line, err := bufio.NewReader(res.Body).ReadString('\n'); err != nil || !strings.Contains(line, `"draining"`) {
 		t.Fatalf("the watch says %q, %v", line, err)
 	}
-	gone := func(on bool) { _ = f.Act(func(w *model.World) error { w.SetListUnavailable(on); return nil }) }
+	gone := func(on bool) { _ = f.Update(func(w *model.World) error { w.SetListUnavailable(on); return nil }) }
 	gone(true)
 	act((*model.World).Undrain)
 	next("up")
--- a/internal/testkit/fake/database/scattered.go
+++ b/internal/testkit/fake/database/scattered.go
@@ -11,10 +11,10 @@
 	"beechgrade/internal/testkit/fake/sortedtable"
 )
 
-// Scatters are tables of which each group has a part, as a test fills them.
-type Scatters struct {
+// ScatterState are tables of which each group has a part, as a test fills them.
+type ScatterState struct {
 	tables map[string]*Table
-	asked  func(server, sql string) Manner
+	asked  func(server, sql string) ReadBehavior
 	reads  []Read
 	open   int // statements that run
 	most   int
@@ -27,17 +27,17 @@
 	Columns sortedtable.Table
 	Types   sortedtable.Row // a value of each column's type
 
-	rows map[int][]*kept // by group
+	rows map[int][]*storedRow // by group
 }
 
-// kept is a row, which is there from one position of its group's log to another.
-type kept struct {
+// storedRow is a row, which is there from one position of its group's log to another.
+type storedRow struct {
 	row       sortedtable.Row
 	from, end float64
 }
 
-// Manner is how a server does with a statement.
-type Manner struct {
+// ReadBehavior is how a server does with a statement.
+type ReadBehavior struct {
 	Silent  bool          // it says nothing
 	Each    time.Duration // between two rows
 	Endless bool          // it never ends, whatever limit it is told
@@ -62,7 +62,7 @@
 	if f.scatters.tables == nil {
 		f.scatters.tables = map[string]*Table{}
 	}
-	t.rows = map[int][]*kept{}
+	t.rows = map[int][]*storedRow{}
 	f.scatters.tables[t.Name] = t
 }
 
@@ -74,7 +74,7 @@
 		from = f.world.Groups[group].Write(f.clk.Now(), "scattered", nil)
 	}
 	t := f.scatters.tables[table]
-	t.rows[group] = append(t.rows[group], &kept{row: row, from: from})
+	t.rows[group] = append(t.rows[group], &storedRow{row: row, from: from})
 	return from
 }
 
@@ -91,8 +91,8 @@
 	return at
 }
 
-// Asked has a function say how servers do with a statement; nil for well.
-func (f *Fleet) Asked(do func(server, sql string) Manner) {
+// OnStatement has a function say how servers do with a statement; nil for well.
+func (f *Fleet) OnStatement(do func(server, sql string) ReadBehavior) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.scatters.asked = do
@@ -108,7 +108,7 @@
 var fromTable = regexp.MustCompile(`(?i)\sFROM\s+(\w+)\s`)
 
 // table is the scattered table that a statement reads, nil for none.
-func (x *full) table(sql string) *Table {
+func (x *session) table(sql string) *Table {
 	f := x.c.s.f
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,7 +138,7 @@
 }
 
 // scattered works on a read of a scattered table.
-func (x *full) scattered(t *Table, sql string, args [][]byte, forms []int16, simple bool) (alive bool, err error) {
+func (x *session) scattered(t *Table, sql string, args [][]byte, forms []int16, simple bool) (alive bool, err error) {
 	f, s := x.c.s.f, x.c.s
 	if simple {
 		forms = nil
@@ -160,7 +160,7 @@
 			there = append(there, k.row)
 		}
 	}
-	manner := Manner{}
+	manner := ReadBehavior{}
 	if f.scatters.asked != nil {
 		manner = f.scatters.asked(s.Name, sql)
 	}
--- a/internal/testkit/fake/database/server.go
+++ b/internal/testkit/fake/database/server.go
@@ -119,7 +119,7 @@
 	case pgwire.StartupEncrypt:
 		return
 	}
-	if c.s.isHung() || c.shut() { // a machine, or a way, that takes and answers nothing
+	if c.s.isHung() || c.linkCut() { // a machine, or a way, that takes and answers nothing
 		_, _ = io.Copy(io.Discard, c.in)
 		return
 	}
@@ -148,7 +148,7 @@
 	}()
 	for sql := range queries {
 		b, ok := c.answer(sql)
-		if !ok || c.shut() && !c.starve() {
+		if !ok || c.linkCut() && !c.waitForReset() {
 			break
 		}
 		if _, err := c.Write(b); err != nil {
@@ -160,7 +160,7 @@
 	}
 }
 
-var errOther = errors.New("not a query")
+var errNotQuery = errors.New("not a query")
 
 func (c *conn) read() (string, error) {
 	var head [5]byte
@@ -169,7 +169,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[1:])
 	if head[0] != 'Q' || n < 5 || n > maxStatement {
-		return "", errOther
+		return "", errNotQuery
 	}
 	body := make([]byte, n-4)
 	if _, err := io.ReadFull(c.in, body); err != nil {
@@ -190,8 +190,8 @@
 	if c.isDead() {
 		return nil, false
 	}
-	if s.isHung() || c.lost() {
-		return nil, c.starve()
+	if s.isHung() || c.dropsRequest() {
+		return nil, c.waitForReset()
 	}
 	switch strings.TrimSpace(sql) {
 	case "":
@@ -209,8 +209,8 @@
 	return c.request(sql, &st)
 }
 
-// starve holds what a server that hangs was sent, until it is reset.
-func (c *conn) starve() bool {
+// waitForReset holds what a server that hangs was sent, until it is reset.
+func (c *conn) waitForReset() bool {
 	<-c.gone
 	return false
 }
@@ -234,8 +234,8 @@
 	return "x0=" + strconv.FormatFloat(r.Position/1000, 'f', 3, 64) + ",x1=" + x1, true
 }
 
-// turned are the verdicts that leave a request untouched.
-var turned = map[model.Verdict]string{model.NotPrimary: "missed", model.Draining: "turned away", model.QueueFull: "turned away"}
+// rejections are the verdicts that leave a request untouched.
+var rejections = map[model.Verdict]string{model.NotPrimary: "missed", model.Draining: "turned away", model.QueueFull: "turned away"}
 
 // reply waits for a job's answer; it is world.Owner.
 type reply chan model.Reply
@@ -292,7 +292,7 @@
 		f.mu.Unlock()
 		return x, false
 	}
-	if how := turned[x.Verdict]; how != "" && f.watcher != nil {
+	if how := rejections[x.Verdict]; how != "" && f.watcher != nil {
 		f.mu.Lock()
 		f.watcher.Turned(st.id, no, how, f.clk.Now())
 		f.mu.Unlock()
@@ -314,23 +314,23 @@
 	case model.PushedOver:
 		return nil, false
 	case model.NotPrimary:
-		return s.told(pgwire.AppendError(nil, "ERROR", "25006", "this is no primary", ""), x), true
+		return s.appendReport(pgwire.AppendError(nil, "ERROR", "25006", "this is no primary", ""), x), true
 	case model.Draining:
-		return s.told(pgwire.AppendError(nil, "ERROR", "53300", "draining", ""), x), true
+		return s.appendReport(pgwire.AppendError(nil, "ERROR", "53300", "draining", ""), x), true
 	case model.QueueFull:
-		return s.told(pgwire.AppendError(nil, "ERROR", "53300", "queue full", ""), x), true
+		return s.appendReport(pgwire.AppendError(nil, "ERROR", "53300", "queue full", ""), x), true
 	case model.HandedOver:
-		return s.told(pgwire.AppendError(nil, "ERROR", "XX000", "handed over", ""), x), true
+		return s.appendReport(pgwire.AppendError(nil, "ERROR", "XX000", "handed over", ""), x), true
 	}
 	tag := "SELECT 1"
 	if st.Writes {
 		tag = "INSERT 0 1"
 	}
-	return s.told(pgwire.AppendComplete(pgwire.AppendRow(nil, "content", x.Value), tag), x), true
+	return s.appendReport(pgwire.AppendComplete(pgwire.AppendRow(nil, "content", x.Value), tag), x), true
 }
 
-// told ends an answer with the server's role and position, and ReadyForQuery.
-func (s *server) told(b []byte, x model.Reply) []byte {
+// appendReport ends an answer with the server's role and position, and ReadyForQuery.
+func (s *server) appendReport(b []byte, x model.Reply) []byte {
 	role := "replica"
 	if x.Primary {
 		role = "primary"
--- a/internal/testkit/fake/database/session.go
+++ b/internal/testkit/fake/database/session.go
@@ -16,8 +16,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// full is an ordinary session at a stand-in server.
-type full struct {
+// session is an ordinary session at a stand-in server.
+type session struct {
 	c         *conn
 	be        *pgproto3.Backend
 	pid       uint32
@@ -63,7 +63,7 @@
 // serveFull speaks the whole protocol to an ordinary client, from its startup message on.
 func (c *conn) serveFull(params map[string]string) {
 	s, f := c.s, c.s.f
-	x := &full{c: c, be: pgproto3.NewBackend(c.in, c), startup: map[string]string{}, stmts: map[string]*prepared{}, portals: map[string]*portal{}, status: 'I'}
+	x := &session{c: c, be: pgproto3.NewBackend(c.in, c), startup: map[string]string{}, stmts: map[string]*prepared{}, portals: map[string]*portal{}, status: 'I'}
 	for n, v := range params {
 		if n != "user" && n != "database" {
 			x.startup[strings.ToLower(n)] = v
@@ -88,7 +88,7 @@
 	for n, v := range map[string]string{"server_version": "15.0", "server_encoding": "UTF8", "integer_datetimes": "on", "standard_conforming_strings": "on"} {
 		x.be.Send(&pgproto3.ParameterStatus{Name: n, Value: v})
 	}
-	for n, as := range reported {
+	for n, as := range reportedSettings {
 		x.be.Send(&pgproto3.ParameterStatus{Name: as, Value: x.settings[n]})
 	}
 	x.be.Send(&pgproto3.BackendKeyData{ProcessID: x.pid, SecretKey: binary.BigEndian.AppendUint32(nil, x.key)})
@@ -105,15 +105,15 @@
 			_, _ = io.Copy(io.Discard, x.c.in) // until its connection is reset
 			return
 		}
-		if _, end := m.(*pgproto3.Terminate); end || !x.take(m) {
+		if _, end := m.(*pgproto3.Terminate); end || !x.handle(m) {
 			return
 		}
 	}
 }
 
-func (x *full) initial() map[string]string {
+func (x *session) initial() map[string]string {
 	out := map[string]string{}
-	for n, v := range defaults {
+	for n, v := range defaultSettings {
 		out[n] = v
 	}
 	for n, v := range x.startup {
@@ -123,7 +123,7 @@
 }
 
 // ready ends an answer: role, position, ReadyForQuery.
-func (x *full) ready() {
+func (x *session) ready() {
 	f, s := x.c.s.f, x.c.s
 	f.mu.Lock()
 	now := f.clk.Now()
@@ -138,8 +138,8 @@
 	x.be.Send(&pgproto3.ReadyForQuery{TxStatus: x.status})
 }
 
-// take works on one message; false where the connection ends.
-func (x *full) take(m pgproto3.FrontendMessage) bool {
+// handle works on one message; false where the connection ends.
+func (x *session) handle(m pgproto3.FrontendMessage) bool {
 	f, s := x.c.s.f, x.c.s
 	f.mu.Lock()
 	if x.c.dead { // it had come with others
@@ -217,13 +217,13 @@
 	}
 	if err != nil {
 		x.skip = true
-		x.complain(err)
+		x.sendError(err)
 		return x.be.Flush() == nil
 	}
 	return true
 }
 
-func (x *full) complain(err error) {
+func (x *session) sendError(err error) {
 	code, text := "XX000", err.Error()
 	if e := (*sqlError)(nil); errors.As(err, &e) {
 		code, text = e.code, e.text
@@ -237,7 +237,7 @@
 	}
 }
 
-func (x *full) simple(sql string) bool {
+func (x *session) simple(sql string) bool {
 	does := sqltext.Split(sql)
 	if len(does) == 1 && does[0].Kind == sqltext.Empty {
 		x.be.Send(&pgproto3.EmptyQueryResponse{})
@@ -250,7 +250,7 @@
 			return false
 		}
 		if err != nil {
-			x.complain(err)
+			x.sendError(err)
 			break
 		}
 	}
@@ -263,7 +263,7 @@
 }
 
 // run works on one statement; false where its connection breaks in the midst of it.
-func (x *full) run(sql string, args [][]byte, simple bool) (alive bool, err error) {
+func (x *session) run(sql string, args [][]byte, simple bool) (alive bool, err error) {
 	f, s := x.c.s.f, x.c.s
 	f.mu.Lock()
 	if x.c.dead {
@@ -271,7 +271,7 @@
 		return false, nil
 	}
 	f.watch.Statements++
-	for _, w := range want.FindAllStringSubmatch(sql, -1) {
+	for _, w := range wantedSetting.FindAllStringSubmatch(sql, -1) {
 		if have := x.settings[w[1]]; have != w[2] && len(f.watch.Mismatches) < 100 {
 			f.watch.Mismatches = append(f.watch.Mismatches, fmt.Sprintf("%s: %s is %q, wanted %q", sql, w[1], have, w[2]))
 		}
@@ -286,7 +286,7 @@
 		return false, nil
 	}
 	d := sqltext.Split(sql)[0]
-	if set, ok := sqltext.SetConfig(want.ReplaceAllString(sql, "")); ok {
+	if set, ok := sqltext.SetConfig(wantedSetting.ReplaceAllString(sql, "")); ok {
 		d = set
 	}
 	if x.status == 'E' && d.Kind != sqltext.Rollback && d.Kind != sqltext.Commit && d.Kind != sqltext.RollbackTo {
@@ -300,7 +300,7 @@
 		return x.scattered(t, sql, args, x.forms, simple)
 	}
 	tag, rows, err := x.work(d, sql, args, simple)
-	if errors.Is(err, errGone) {
+	if errors.Is(err, errConnectionClosed) {
 		return false, nil
 	}
 	if err != nil {
--- a/internal/testkit/fake/database/transactions.go
+++ b/internal/testkit/fake/database/transactions.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-func (x *full) begin() {
+func (x *session) begin() {
 	x.saved, x.points, x.writes, x.readOnly = clone(x.settings), nil, nil, x.settings["default_transaction_read_only"] == "on"
 }
 
@@ -14,10 +14,10 @@
 	return out
 }
 
-var errGone = fmt.Errorf("the connection is gone")
+var errConnectionClosed = fmt.Errorf("the connection is gone")
 
 // endImplicit ends the transaction round statements that had none.
-func (x *full) endImplicit(err error) {
+func (x *session) endImplicit(err error) {
 	if !x.implicit {
 		return
 	}
@@ -29,7 +29,7 @@
 	x.commit()
 }
 
-func (x *full) commit() {
+func (x *session) commit() {
 	f, s := x.c.s.f, x.c.s
 	f.mu.Lock()
 	for _, w := range x.writes {
@@ -45,7 +45,7 @@
 	clear(x.portals)
 }
 
-func (x *full) rollback() {
+func (x *session) rollback() {
 	for n, v := range x.saved {
 		x.set(n, v)
 	}
@@ -58,7 +58,7 @@
 	clear(x.portals)
 }
 
-func (x *full) mayWrite() error {
+func (x *session) mayWrite() error {
 	f, s := x.c.s.f, x.c.s
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testkit/fake/database/work.go
+++ b/internal/testkit/fake/database/work.go
@@ -33,7 +33,7 @@
 )
 
 // work does what a statement says.
-func (x *full) work(d sqltext.Statement, sql string, args [][]byte, simple bool) (tag string, rows [][]byte, err error) {
+func (x *session) work(d sqltext.Statement, sql string, args [][]byte, simple bool) (tag string, rows [][]byte, err error) {
 	arg := func(s string) []byte {
 		if s[0] == '$' {
 			if i := int(s[1] - '1'); i < len(args) {
@@ -82,7 +82,7 @@
 		v := plain(d.Value)
 		if d.Value == "" {
 			if v = x.startup[d.Name]; v == "" {
-				v = defaults[d.Name]
+				v = defaultSettings[d.Name]
 			}
 		}
 		if d.Local {
@@ -174,7 +174,7 @@
 }
 
 // get reads a row as this server has it, the transaction's own writes included.
-func (x *full) get(key string) (string, [][]byte, error) {
+func (x *session) get(key string) (string, [][]byte, error) {
 	for i := len(x.writes) - 1; i >= 0; i-- {
 		if x.writes[i].key == key {
 			return "SELECT 1", [][]byte{x.writes[i].value}, nil
@@ -192,10 +192,10 @@
 }
 
 // sleep waits, unless it is cancelled or its client goes.
-func (x *full) sleep(sql, seconds string) (string, [][]byte, error) {
+func (x *session) sleep(sql, seconds string) (string, [][]byte, error) {
 	d, _ := strconv.ParseFloat(seconds, 64)
 	if err := x.be.Flush(); err != nil {
-		return "", nil, errGone
+		return "", nil, errConnectionClosed
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(min(d, 60)*float64(time.Second)))
 	f := x.c.s.f
@@ -211,7 +211,7 @@
 	f.mu.Unlock()
 	cancel()
 	if dead {
-		return "", nil, errGone
+		return "", nil, errConnectionClosed
 	}
 	if hit {
 		return "", nil, fail("57014", "canceling statement due to user request")
@@ -220,7 +220,7 @@
 }
 
 // stream sends many rows, without keeping them.
-func (x *full) stream(sql string, size, n int, simple bool) (string, [][]byte, error) {
+func (x *session) stream(sql string, size, n int, simple bool) (string, [][]byte, error) {
 	if simple {
 		x.be.Send(rowDescription("content"))
 	}
@@ -229,7 +229,7 @@
 		x.be.Send(&pgproto3.DataRow{Values: [][]byte{row}})
 		if i%16 == 0 {
 			if x.be.Flush() != nil {
-				return "", nil, errGone
+				return "", nil, errConnectionClosed
 			}
 			x.c.s.f.mu.Lock()
 			x.c.s.f.streamed += 16 * size
@@ -240,32 +240,32 @@
 }
 
 // copyIn takes rows as text or binary and counts their messages.
-func (x *full) copyIn() (string, [][]byte, error) {
+func (x *session) copyIn() (string, [][]byte, error) {
 	if err := x.mayWrite(); err != nil {
 		return "", nil, err
 	}
 	x.be.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: []uint16{0, 0}})
 	if x.be.Flush() != nil {
-		return "", nil, errGone
+		return "", nil, errConnectionClosed
 	}
 	n := 0
 	for {
 		m, err := x.be.Receive()
 		if err != nil {
-			return "", nil, errGone
+			return "", nil, errConnectionClosed
 		}
 		f := x.c.s.f
 		f.mu.Lock()
 		before, dead := f.before, x.c.dead
 		f.mu.Unlock()
 		if dead {
-			return "", nil, errGone
+			return "", nil, errConnectionClosed
 		}
 		switch m := m.(type) {
 		case *pgproto3.CopyData:
 			if before != nil && !before(x.c.s.Name, "(copy data)") {
 				x.c.reset()
-				return "", nil, errGone
+				return "", nil, errConnectionClosed
 			}
 			n += len(m.Data)
 		case *pgproto3.CopyDone:
--- a/internal/testkit/fake/sortedtable/sorted.go
+++ b/internal/testkit/fake/sortedtable/sorted.go
@@ -24,31 +24,31 @@
 // Table names the columns.
 type Table []string
 
-var shape = regexp.MustCompile(`(?s)^\s*SELECT .*?(?: AND (\(.*\)))?\s* ORDER BY (.*) LIMIT (\d+)\s*$`)
+var statementPattern = regexp.MustCompile(`(?s)^\s*SELECT .*?(?: AND (\(.*\)))?\s* ORDER BY (.*) LIMIT (\d+)\s*$`)
 
 // Query is a statement that was read.
 type Query struct {
 	cond  []string // its words, nil for none
-	order []by
+	order []sortColumn
 	Limit int
 }
 
-type by struct {
+type sortColumn struct {
 	column            string
 	desc, first, text bool
 }
 
 // Read reads a statement.
 func Read(sql string) (*Query, error) {
-	m := shape.FindStringSubmatch(sql)
+	m := statementPattern.FindStringSubmatch(sql)
 	if m == nil {
 		return nil, fmt.Errorf("the stand-in does not know %.80q", sql)
 	}
-	q := &Query{cond: words.FindAllString(m[1], -1)}
+	q := &Query{cond: tokenPattern.FindAllString(m[1], -1)}
 	q.Limit, _ = strconv.Atoi(m[3])
 	for part := range strings.SplitSeq(m[2], ", ") {
 		w := strings.Fields(part)
-		b := by{column: strings.Trim(w[0], `"`)}
+		b := sortColumn{column: strings.Trim(w[0], `"`)}
 		rest := strings.Join(w[1:], " ")
 		rest, b.text = strings.CutPrefix(rest, `COLLATE "C"`)
 		rest, b.desc = strings.CutPrefix(strings.TrimSpace(rest), "DESC")
@@ -66,7 +66,7 @@
 
 // Run works on the statement: rows that hold, in order, as many as the limit lets be.
 func (q *Query) Run(t Table, rows []Row, args [][]byte) (out []Row, err error) {
-	holds := func(Row) truth { return yes }
+	holds := func(Row) ternary { return yes }
 	if q.cond != nil {
 		c := &compiler{words: q.cond, table: t, args: args}
 		if holds = c.or(); c.err != nil || len(c.words) > 0 {
@@ -118,30 +118,30 @@
 	case float64:
 		y := b.(float64)
 		if math.IsNaN(x) || math.IsNaN(y) { // the largest
-			return nan(x) - nan(y)
+			return compareNaN(x) - compareNaN(y)
 		}
 		return cmp.Compare(x, y)
 	}
 	return cmp.Compare(a.(string), b.(string))
 }
 
-func nan(x float64) int {
+func compareNaN(x float64) int {
 	if math.IsNaN(x) {
 		return 1
 	}
 	return 0
 }
 
-// truth is SQL's.
-type truth int8
+// ternary is SQL's.
+type ternary int8
 
 const (
-	no truth = iota
+	no ternary = iota
 	unknown
 	yes
 )
 
-var words = regexp.MustCompile(`\(|\)|"[^"]*"|COLLATE "C"|\$\d+::\w+|IS NOT NULL|IS NULL|AND|OR|[=<>]|\w+|\S`)
+var tokenPattern = regexp.MustCompile(`\(|\)|"[^"]*"|COLLATE "C"|\$\d+::\w+|IS NOT NULL|IS NULL|AND|OR|[=<>]|\w+|\S`)
 
 type compiler struct {
 	words []string
@@ -150,7 +150,7 @@
 	err   error
 }
 
-type cond func(Row) truth
+type condition func(Row) ternary
 
 func (c *compiler) next(w string) bool {
 	if len(c.words) > 0 && c.words[0] == w {
@@ -160,19 +160,19 @@
 	return false
 }
 
-func (c *compiler) fail(format string, args ...any) cond {
+func (c *compiler) fail(format string, args ...any) condition {
 	if c.err == nil {
 		c.err = fmt.Errorf(format, args...)
 	}
 	c.words = nil
-	return func(Row) truth { return no }
+	return func(Row) ternary { return no }
 }
 
-func (c *compiler) or() cond {
+func (c *compiler) or() condition {
 	a := c.and()
 	for c.next("OR") {
 		x, y := a, c.and()
-		a = func(r Row) truth {
+		a = func(r Row) ternary {
 			if t := x(r); t == yes {
 				return yes
 			} else {
@@ -183,11 +183,11 @@
 	return a
 }
 
-func (c *compiler) and() cond {
+func (c *compiler) and() condition {
 	a := c.term()
 	for c.next("AND") {
 		x, y := a, c.term()
-		a = func(r Row) truth {
+		a = func(r Row) ternary {
 			if t := x(r); t == no {
 				return no
 			} else {
@@ -198,7 +198,7 @@
 	return a
 }
 
-func (c *compiler) term() cond {
+func (c *compiler) term() condition {
 	if c.next("(") {
 		t := c.or()
 		if !c.next(")") {
@@ -207,7 +207,7 @@
 		return t
 	}
 	if c.next("false") {
-		return func(Row) truth { return no }
+		return func(Row) ternary { return no }
 	}
 	if len(c.words) == 0 {
 		return c.fail("a term is due")
@@ -218,7 +218,7 @@
 	}
 	c.words = c.words[1:]
 	text := c.next(`COLLATE "C"`)
-	is := func(b bool) truth {
+	is := func(b bool) ternary {
 		if b {
 			return yes
 		}
@@ -226,9 +226,9 @@
 	}
 	switch {
 	case c.next("IS NULL"):
-		return func(r Row) truth { return is(r[i] == nil) }
+		return func(r Row) ternary { return is(r[i] == nil) }
 	case c.next("IS NOT NULL"):
-		return func(r Row) truth { return is(r[i] != nil) }
+		return func(r Row) ternary { return is(r[i] != nil) }
 	case len(c.words) < 2:
 		return c.fail("a comparison is due")
 	}
@@ -243,7 +243,7 @@
 	if err != nil {
 		return c.fail("%w", err)
 	}
-	return func(r Row) truth {
+	return func(r Row) ternary {
 		if r[i] == nil {
 			return unknown
 		}
--- a/internal/testkit/lab/experiment.go
+++ b/internal/testkit/lab/experiment.go
@@ -160,7 +160,7 @@
 		for i, a := range x.Axes {
 			v := a.Values[at[i]]
 			c.Labels = append(c.Labels, v.Label)
-			items = scenario.Replaced(items, v.Forms)
+			items = scenario.ReplaceForms(items, v.Forms)
 		}
 		whole := *base
 		whole.Items = items
--- a/internal/testkit/lab/lab_test.go
+++ b/internal/testkit/lab/lab_test.go
@@ -194,7 +194,7 @@
 	if err != nil || z == nil {
 		t.Fatalf("%v %v", z, err)
 	}
-	if f := z.Script.Faults; len(f) != 1 || f[0].What != "drain" || z.Script.Clients.Seconds > 8 || len(z.Script.Fleet.Groups) > 2 || z.Script.Poolers > 2 {
+	if f := z.Script.Faults; len(f) != 1 || f[0].Kind != "drain" || z.Script.Clients.Seconds > 8 || len(z.Script.Fleet.Groups) > 2 || z.Script.Poolers > 2 {
 		t.Errorf("shrunk to %s", z.Script.Text())
 	}
 	again, err := scenario.Parse("shrunk", []byte(z.Script.Text()))
--- a/internal/testkit/lab/shrink.go
+++ b/internal/testkit/lab/shrink.go
@@ -36,7 +36,7 @@
 // poolers and requests. It returns the smallest that it found, or nil where the scenario does not fail.
 func Shrink(ctx context.Context, s *scenario.Script, opt simulation.Options, fails Fails, progress func(runs int, s *scenario.Script)) (*Shrunk, error) {
 	z := &shrinker{ctx: ctx, opt: opt, fails: fails, progress: progress}
-	s, err := s.Drawn(opt.Seed) // what was drawn is written out, so that it can be left out
+	s, err := s.Draw(opt.Seed) // what was drawn is written out, so that it can be left out
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	if z.err != nil || z.runs >= maxShrinks {
 		return false, z.err
 	}
-	if s.Again() != nil {
+	if s.CheckRoundTrip() != nil {
 		return false, nil // it is no scenario any more: a fault strikes what is not there
 	}
 	r, err := simulation.Run(z.ctx, s, z.opt)
--- a/internal/testkit/rehearse/consul.go
+++ b/internal/testkit/rehearse/consul.go
@@ -38,11 +38,11 @@
 
 // lie has an agent, or the catalogue, say something wrongly, or no more.
 func (r *Run) lie(f scenario.Fault, on bool) {
-	switch f.What {
+	switch f.Kind {
 	case "deregister-all":
-		_ = r.fleet.Act(func(w *model.World) error { w.DeregisterAll(on); return nil })
+		_ = r.fleet.Update(func(w *model.World) error { w.DeregisterAll(on); return nil })
 	case "wrong-roles":
-		_ = r.fleet.Act(func(w *model.World) error { w.SwapRoles(on); return nil })
+		_ = r.fleet.Update(func(w *model.World) error { w.SwapRoles(on); return nil })
 	default:
 		l := consulserver.Fault{}
 		if on {
--- a/internal/testkit/rehearse/daemon.go
+++ b/internal/testkit/rehearse/daemon.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	operators := withInvariants + shared + peers + fmt.Sprintf("(record (on) (dir %q) (pack %v)%s)\n", p.record, p.run.script.Pack, queue) + p.run.operators + p.run.script.Operators(p.clickhouseAddr) + strings.ReplaceAll(more, "$POOLER", p.name)
+	operators := withInvariants + shared + peers + fmt.Sprintf("(record (on) (dir %q) (pack %v)%s)\n", p.record, p.run.script.Pack, queue) + p.run.operators + p.run.script.OperatorSettings(p.clickhouseAddr) + strings.ReplaceAll(more, "$POOLER", p.name)
 	return os.WriteFile(p.file("operators.sexp"), []byte(operators), 0o640)
 }
 
@@ -191,7 +191,7 @@
 	if len(r.agents) > 0 { // it starts knowing nothing
 		known = discovery.List{}
 	}
-	config := r.script.Told(p.index, p.name, p.addr, r.fleet.DiscoveryAt(p.index), r.opt.Seed^uint64(p.index+1)<<32, r.sockets, known)
+	config := r.script.PoolerSettings(p.index, p.name, p.addr, r.fleet.DiscoveryAt(p.index), r.opt.Seed^uint64(p.index+1)<<32, r.sockets, known)
 	if p.adminAddr != "" {
 		config["control"] = p.adminAddr
 	}
--- a/internal/testkit/rehearse/month.go
+++ b/internal/testkit/rehearse/month.go
@@ -63,7 +63,7 @@
 	p.mu.Lock()
 	pays := append([]scenario.Fault(nil), p.payments...)
 	p.mu.Unlock()
-	text := s.Shared(filepath.Join(out, "disks", p.name), filepath.Join(out, "marks"), pays, price)
+	text := s.SharedSettings(filepath.Join(out, "disks", p.name), filepath.Join(out, "marks"), pays, price)
 	if s.Pages != nil {
 		text += p.pagesSettings()
 	}
@@ -80,7 +80,7 @@
 		r.shared.funds.Paid(r.clk.Now(), f.Target.Word, int64(f.Value))
 	}
 	r.shared.mu.Unlock()
-	for _, no := range f.Struck(r.script) {
+	for _, no := range f.AffectedPoolers(r.script) {
 		p := r.poolers[no]
 		p.mu.Lock()
 		p.payments = append(p.payments, f)
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -178,9 +178,9 @@
 
 // changeLimit has a limit be another at some poolers, which read their settings again.
 func (r *Run) changeLimit(f scenario.Fault) error {
-	for _, no := range f.Struck(r.script) {
+	for _, no := range f.AffectedPoolers(r.script) {
 		p := r.poolers[no]
-		p.limits = scenario.Changed(p.limits, f.Target.Word, f.Value)
+		p.limits = scenario.WithLimit(p.limits, f.Target.Word, f.Value)
 		if err := p.settings(); err != nil {
 			return err
 		}
@@ -193,7 +193,7 @@
 	}
 	r.wires.mu.Lock()
 	defer r.wires.mu.Unlock()
-	r.wires.check.LimitChanged(r.clk.Now()+arrivalToleranceMs, f.Target.Word, f.Struck(r.script), len(r.poolers), f.Value, r.script.Lowered(&f))
+	r.wires.check.LimitChanged(r.clk.Now()+arrivalToleranceMs, f.Target.Word, f.AffectedPoolers(r.script), len(r.poolers), f.Value, r.script.LoweringDelayMs(&f))
 	return nil
 }
 
@@ -208,7 +208,7 @@
 // inject has a fault of links strike and end.
 func (f *peerFleet) inject(ctx context.Context, x scenario.Fault) {
 	do := func(on bool) {
-		f.relays.Update(func(n *netfault.Net) { x.Strike(n, on) })
+		f.relays.Update(func(n *netfault.Net) { x.SetLinks(n, on) })
 		f.mu.Lock()
 		f.check.FaultChanged(f.run.clk.Now())
 		f.run.wires.faultChanged(f.run.clk.Now(), map[bool]int{true: 1, false: -1}[on])
@@ -218,8 +218,8 @@
 		f.mu.Unlock()
 	}
 	do(true)
-	if x.For > 0 {
-		pause(ctx, x.For)
+	if x.Duration > 0 {
+		pause(ctx, x.Duration)
 		do(false)
 	}
 }
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s, err = s.Drawn(opt.Seed); err != nil {
+	if s, err = s.Draw(opt.Seed); err != nil {
 		return nil, err
 	}
 	if err != nil {
@@ -143,8 +143,8 @@
 	r.wires.onReceived, r.wires.onArrived, r.wires.onRead = opt.Received, opt.Arrived, opt.Read
 	r.fleet = database.New(cfg, r.clk, opt.Log)
 	r.fleet.Watch(r.wires)
-	if s.Doors() {
-		r.fleet.Doors(s.Poolers)
+	if s.HasPoolerLinks() {
+		r.fleet.SetPoolerCount(s.Poolers)
 	}
 	defer r.fleet.Close()
 	if s.Agents > 0 {
@@ -273,17 +273,17 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	for _, id := range r.fleet.RanTwice() {
+	for _, id := range r.fleet.RepeatedWrites() {
 		keeper.Add(score.Breach{Rule: "nothing unsafe twice", ID: id, Text: "a write ran more than once"})
 	}
-	for _, name := range r.fleet.Fallen() {
+	for _, name := range r.fleet.PushedOver() {
 		keeper.Add(score.Breach{Rule: "no cold server pushed over", Text: name + " fell"})
 	}
-	for _, f := range r.fleet.Late() {
+	for _, f := range r.fleet.LateFacts() {
 		keeper.Add(score.Breach{Rule: "drains kept", At: f.At, Text: f.Server + " " + f.What})
 	}
 	res.Score, res.Facts = keeper.Score(), r.fleet.Facts()
-	res.Ran = r.fleet.Ran()
+	res.Ran = r.fleet.ExecutedWrites()
 	res.Duplicates = r.wires.duplicateCounts()
 	res.Rules = r.wires.verdict(r.clk.Now())
 	if r.shared.verdict(res.Rules); r.script.Pages != nil {
--- a/internal/testkit/rehearse/strike.go
+++ b/internal/testkit/rehearse/strike.go
@@ -14,38 +14,38 @@
 	if !pause(ctx, f.At) {
 		return nil
 	}
-	if (f.What == "kill-pooler" || f.What == "stall-pooler") && r.opt.ReplaceTarget != nil {
+	if (f.Kind == "kill-pooler" || f.Kind == "stall-pooler") && r.opt.ReplaceTarget != nil {
 		f.Target.Group = r.opt.ReplaceTarget(f.Target.Group)
 	}
-	if r.wires.faultInjected(r.clk.Now(), r.script, &f); f.What == "load" {
+	if r.wires.faultInjected(r.clk.Now(), r.script, &f); f.Kind == "load" {
 		return nil
 	}
 	if f.Owner != "" {
 		f = *f.Resolved(r.peers.limitOwner)
 	}
-	r.opt.Log.Info("fault", "what", f.What, "whom", f.Target.String(), "for_ms", f.For)
-	switch f.What {
+	r.opt.Log.Info("fault", "what", f.Kind, "whom", f.Target.String(), "for_ms", f.Duration)
+	switch f.Kind {
 	case "list-late":
-		r.fleet.ListLate(f.Value)
-		if f.For > 0 && pause(ctx, f.For) {
-			r.fleet.ListLate(0)
+		r.fleet.DelayList(f.Value)
+		if f.Duration > 0 && pause(ctx, f.Duration) {
+			r.fleet.DelayList(0)
 		}
 		return nil
 	case "list-gone":
 		r.setListFailing(true)
-		if f.For > 0 && pause(ctx, f.For) {
+		if f.Duration > 0 && pause(ctx, f.Duration) {
 			r.setListFailing(false)
 		}
 		return nil
 	case "list-silent":
-		r.fleet.ListSilent(true)
-		if f.For > 0 && pause(ctx, f.For) {
-			r.fleet.ListSilent(false)
+		r.fleet.SetListSilent(true)
+		if f.Duration > 0 && pause(ctx, f.Duration) {
+			r.fleet.SetListSilent(false)
 		}
 		return nil
 	case "agent", "deregister-all", "wrong-roles":
 		r.lie(f, true)
-		if f.For > 0 && pause(ctx, f.For) {
+		if f.Duration > 0 && pause(ctx, f.Duration) {
 			r.lie(f, false)
 		}
 		return nil
@@ -59,12 +59,12 @@
 	case "cut", "thin", "list-held":
 		do := r.pathFault(f)
 		do(true)
-		if f.For > 0 && pause(ctx, f.For) {
+		if f.Duration > 0 && pause(ctx, f.Duration) {
 			do(false)
 		}
 		return nil
 	case "stall-pooler":
-		r.poolers[f.Target.Group].pauseProcess(ctx, f.For)
+		r.poolers[f.Target.Group].pauseProcess(ctx, f.Duration)
 		return nil
 	case "kill-pooler":
 		p := r.poolers[f.Target.Group]
@@ -72,7 +72,7 @@
 		if r.opt.Killed != nil {
 			r.opt.Killed(p.name)
 		}
-		if f.For > 0 && pause(ctx, f.For) {
+		if f.Duration > 0 && pause(ctx, f.Duration) {
 			p.run.wires.faultChanged(p.run.clk.Now(), 0)
 			return p.start(ctx)
 		}
@@ -89,7 +89,7 @@
 			return err
 		}
 	}
-	if f.For > 0 && pause(ctx, f.For) {
+	if f.Duration > 0 && pause(ctx, f.Duration) {
 		for _, n := range names {
 			if err := end(n); err != nil {
 				return err
@@ -103,23 +103,23 @@
 	for _, a := range r.agents {
 		a.SetFault(consulserver.Fault{Status: map[bool]int{true: 500}[gone]})
 	}
-	_ = r.fleet.Act(func(w *model.World) error { w.SetListUnavailable(gone); return nil })
+	_ = r.fleet.Update(func(w *model.World) error { w.SetListUnavailable(gone); return nil })
 }
 
 // serverFault are what a fault does to a server, and what ends it.
 func (r *Run) serverFault(f scenario.Fault) (begin, end func(string) error) {
 	on := func(do func(w *model.World, name string) error) func(string) error {
 		return func(name string) error {
-			return r.fleet.Act(func(w *model.World) error { return do(w, name) })
+			return r.fleet.Update(func(w *model.World) error { return do(w, name) })
 		}
 	}
-	b, e := f.Acts()
+	b, e := f.Actions()
 	return on(b), on(e)
 }
 
 func (r *Run) targets(t scenario.Target) (names []string) {
-	_ = r.fleet.Act(func(w *model.World) error {
-		for _, s := range t.Of(w) {
+	_ = r.fleet.Update(func(w *model.World) error {
+		for _, s := range t.Servers(w) {
 			names = append(names, s.Name)
 		}
 		return nil
--- a/internal/testkit/rehearse/ways.go
+++ b/internal/testkit/rehearse/ways.go
@@ -8,8 +8,8 @@
 // pathFault has a fault of the ways from poolers to servers, or of the list's to poolers, strike or end.
 func (r *Run) pathFault(f scenario.Fault) func(on bool) {
 	var servers []int
-	_ = r.fleet.Act(func(w *model.World) error {
-		all := f.Target.Of(w)
+	_ = r.fleet.Update(func(w *model.World) error {
+		all := f.Target.Servers(w)
 		for _, s := range all {
 			servers = append(servers, s.No)
 		}
@@ -20,16 +20,16 @@
 	})
 	return func(on bool) {
 		for _, p := range f.Poolers {
-			switch f.What {
+			switch f.Kind {
 			case "list-held":
-				r.fleet.Hold(p, on)
+				r.fleet.HoldList(p, on)
 			case "cut":
 				for _, s := range servers {
-					r.fleet.Cut(p, s, on)
+					r.fleet.CutLink(p, s, on)
 				}
 			case "thin":
 				for _, s := range servers {
-					r.fleet.Thin(p, s, f.Value, on)
+					r.fleet.LoseOnLink(p, s, f.Value, on)
 				}
 			}
 		}
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -123,7 +123,7 @@
 func (w *wires) faultInjected(at float64, s *scenario.Script, f *scenario.Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	groups, poolers := f.Where(s)
+	groups, poolers := f.Affected(s)
 	w.check.FaultInjected(at, f.Until(at), groups, poolers)
 }
 
--- a/internal/testkit/scenario/acts.go
+++ b/internal/testkit/scenario/acts.go
@@ -2,9 +2,9 @@
 
 import "beechgrade/internal/testkit/model"
 
-// Acts are what a fault does to a server, and what ends it.
-func (f *Fault) Acts() (begin, end func(w *model.World, name string) error) {
-	switch f.What {
+// Actions are what a fault does to a server, and what ends it.
+func (f *Fault) Actions() (begin, end func(w *model.World, name string) error) {
+	switch f.Kind {
 	case "die":
 		return (*model.World).Kill, (*model.World).Revive
 	case "hang":
@@ -16,35 +16,35 @@
 	case "reissue":
 		return (*model.World).Reregister, func(*model.World, string) error { return nil }
 	case "fail-check":
-		return switched((*model.World).FailCheck)
+		return switchAction((*model.World).FailCheck)
 	case "deaf":
-		return switched((*model.World).DropRequests)
+		return switchAction((*model.World).DropRequests)
 	case "mute":
-		return switched((*model.World).DropAnswers)
+		return switchAction((*model.World).DropAnswers)
 	case "lose":
-		return figure((*model.World).LoseRequests, f.Value, 0)
+		return valueAction((*model.World).LoseRequests, f.Value, 0)
 	case "disk":
-		return figure((*model.World).SlowWrites, f.Value, 1)
+		return valueAction((*model.World).SlowWrites, f.Value, 1)
 	case "crowd":
-		return figure((*model.World).LimitMachine, f.Value, 1)
+		return valueAction((*model.World).LimitMachine, f.Value, 1)
 	}
-	return figure((*model.World).SlowReplication, f.Value, 1)
+	return valueAction((*model.World).SlowReplication, f.Value, 1)
 }
 
-type act = func(w *model.World, name string) error
+type action = func(w *model.World, name string) error
 
-func switched(do func(*model.World, string, bool) error) (begin, end act) {
+func switchAction(do func(*model.World, string, bool) error) (begin, end action) {
 	return func(w *model.World, name string) error { return do(w, name, true) },
 		func(w *model.World, name string) error { return do(w, name, false) }
 }
 
-func figure(do func(*model.World, string, float64) error, value, usual float64) (begin, end act) {
+func valueAction(do func(*model.World, string, float64) error, value, usual float64) (begin, end action) {
 	return func(w *model.World, name string) error { return do(w, name, value) },
 		func(w *model.World, name string) error { return do(w, name, usual) }
 }
 
-// Of resolves a target as the world is now.
-func (t Target) Of(w *model.World) (out []*model.Server) {
+// Servers resolves a target as the world is now.
+func (t Target) Servers(w *model.World) (out []*model.Server) {
 	for _, g := range w.Groups {
 		if t.Kind != "site" && t.Kind != "primaries" && t.Kind != "everyone" && t.Kind != "half-primaries" && g.ID != t.Group || t.Kind == "half-primaries" && g.ID%2 != 0 {
 			continue
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -16,15 +16,15 @@
 	Kinds    []string // empty for all that both ways of playing have
 }
 
-// kind is a kind of fault that may be drawn.
-type kind struct {
+// chaosKind is a kind of fault that may be drawn.
+type chaosKind struct {
 	what  string
 	spans [2]float64
 	value [2]float64
 }
 
-// drawable are the kinds of fault that may be drawn, in a fixed order, with how long they last and their figure.
-var drawable = []kind{
+// chaosKinds are the kinds of fault that may be drawn, in a fixed order, with how long they last and their figure.
+var chaosKinds = []chaosKind{
 	{"die", [2]float64{500, 8000}, [2]float64{}},
 	{"hang", [2]float64{500, 8000}, [2]float64{}},
 	{"drain", [2]float64{2000, 8000}, [2]float64{}},
@@ -41,8 +41,8 @@
 	{"restart-pooler", [2]float64{0, 0}, [2]float64{}},
 }
 
-// drawableLies are what Consul may be drawn to tell wrongly, where it is asked.
-var drawableLies = []kind{
+// consulChaosKinds are what Consul may be drawn to tell wrongly, where it is asked.
+var consulChaosKinds = []chaosKind{
 	{"agent", [2]float64{500, 8000}, [2]float64{}},
 	{"deregister-all", [2]float64{200, 6000}, [2]float64{}},
 	{"wrong-roles", [2]float64{500, 8000}, [2]float64{}},
@@ -50,8 +50,8 @@
 	{"fail-check", [2]float64{500, 8000}, [2]float64{}},
 }
 
-// drawablePeers are what may befall poolers and the ways between them, where they are peers.
-var drawablePeers = []kind{
+// peerChaosKinds are what may befall poolers and the ways between them, where they are peers.
+var peerChaosKinds = []chaosKind{
 	{"kill-pooler", [2]float64{300, 9000}, [2]float64{}},
 	{"stall-pooler", [2]float64{300, 6000}, [2]float64{}},
 	{"parted", [2]float64{500, 12000}, [2]float64{}}, // some poolers from the rest, both ways
@@ -61,16 +61,16 @@
 	{"slow", [2]float64{1000, 9000}, [2]float64{5, 120}},
 }
 
-// drawableWays are what may befall the ways from poolers to servers and to the list. They are drawn only where they are named.
-var drawableWays = []kind{
+// serverLinkChaosKinds are what may befall the ways from poolers to servers and to the list. They are drawn only where they are named.
+var serverLinkChaosKinds = []chaosKind{
 	{"cut", [2]float64{500, 9000}, [2]float64{}},
 	{"thin", [2]float64{500, 9000}, [2]float64{0.1, 0.7}},
 	{"list-held", [2]float64{500, 9000}, [2]float64{}},
 	{"restart", [2]float64{}, [2]float64{}},
 }
 
-// someOf draws poolers: one, a part of them, or those of a site.
-func (s *Script) someOf(rng *rand.Rand) (out []int) {
+// drawPoolers draws poolers: one, a part of them, or those of a site.
+func (s *Script) drawPoolers(rng *rand.Rand) (out []int) {
 	if n := len(s.Sites); n > 0 && rng.Float64() < 0.5 {
 		for i := rng.IntN(n); i < s.Poolers; i += n {
 			out = append(out, i)
@@ -88,25 +88,25 @@
 	return out
 }
 
-// ways makes a drawn fault of the ways between poolers.
-func (f *Fault) ways(n int, rng *rand.Rand) {
+// drawServerLinks makes a drawn fault of the ways between poolers.
+func (f *Fault) drawServerLinks(n int, rng *rand.Rand) {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
 	}
 	rng.Shuffle(n, func(a, b int) { all[a], all[b] = all[b], all[a] })
-	what, some := f.What, 1+rng.IntN(max(1, n-1))
-	f.What, f.Both = "between", true
+	what, some := f.Kind, 1+rng.IntN(max(1, n-1))
+	f.Kind, f.Both = "between", true
 	switch what {
 	case "parted":
 		f.Ends, f.Link.Cut = [2][]int{all[:some], all[some:]}, true
 	case "unheard":
-		f.What, f.Both = "links", false
+		f.Kind, f.Both = "links", false
 		f.Ends, f.Link.Cut = [2][]int{all[:1], all[1:]}, true
 	case "apart":
 		f.Ends, f.Link.Cut = [2][]int{all[:1], all[1:min(2, n)]}, true
 	case "lossy":
-		f.What, f.Ends, f.Both = "links", [2][]int{all, all}, false
+		f.Kind, f.Ends, f.Both = "links", [2][]int{all, all}, false
 		f.Link.LossRate, f.Link.DuplicateRate, f.Link.ReorderRate = f.Value, 0.1, 0.2
 	case "slow":
 		f.Ends, f.Link.DelayMs = [2][]int{all[:some], all}, f.Value
@@ -115,8 +115,8 @@
 
 const maxChaos = 1000
 
-// chaos reads (chaos NUMBER FROM TO KIND...).
-func (s *Script) chaos(n *sexp.Node) (err error) {
+// readChaos reads (chaos NUMBER FROM TO KIND...).
+func (s *Script) readChaos(n *sexp.Node) (err error) {
 	a := n.Args()
 	if len(a) < 3 {
 		return n.Errorf("(chaos NUMBER FROM TO), with kinds of fault behind it where not all may be drawn")
@@ -133,7 +133,7 @@
 		return err
 	}
 	for _, k := range a[3:] {
-		if !slices.ContainsFunc(slices.Concat(drawable, drawableLies, drawablePeers, drawableWays), func(d kind) bool { return d.what == k.Text }) {
+		if !slices.ContainsFunc(slices.Concat(chaosKinds, consulChaosKinds, peerChaosKinds, serverLinkChaosKinds), func(d chaosKind) bool { return d.what == k.Text }) {
 			return k.Errorf("no fault %q can be drawn", k.Text)
 		}
 		c.Kinds = append(c.Kinds, k.Text)
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// Drawn is the script with its chaos drawn from a seed and written out; the same seed gives the same faults.
-func (s *Script) Drawn(seed uint64) (*Script, error) {
+// Draw is the script with its chaos drawn from a seed and written out; the same seed gives the same faults.
+func (s *Script) Draw(seed uint64) (*Script, error) {
 	if s.Chaos.Faults == 0 {
 		return s, nil
 	}
@@ -153,36 +153,36 @@
 	rng := rand.New(rand.NewPCG(seed, 21))
 	between := func(r [2]float64) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
 	end := s.Clients.Seconds * 1000
-	drawable := drawable
+	drawable := chaosKinds
 	if s.Agents > 0 {
-		drawable = append(slices.Clone(drawable), drawableLies...)
+		drawable = append(slices.Clone(drawable), consulChaosKinds...)
 	}
 	if s.Peers != nil {
-		drawable = append(slices.Clone(drawable), drawablePeers...)
+		drawable = append(slices.Clone(drawable), peerChaosKinds...)
 	}
-	if slices.ContainsFunc(drawableWays, func(d kind) bool { return slices.Contains(c.Kinds, d.what) }) {
-		drawable = append(slices.Clone(drawable), drawableWays...)
+	if slices.ContainsFunc(serverLinkChaosKinds, func(d chaosKind) bool { return slices.Contains(c.Kinds, d.what) }) {
+		drawable = append(slices.Clone(drawable), serverLinkChaosKinds...)
 	}
 	for range c.Faults {
 		d := drawable[rng.IntN(len(drawable))]
 		for tries := 0; len(c.Kinds) > 0 && !slices.Contains(c.Kinds, d.what) && tries < 1000; tries++ {
 			d = drawable[rng.IntN(len(drawable))]
 		}
-		f := Fault{What: d.what, At: min(end-1, float64(int(between([2]float64{c.From, c.To})))), For: float64(int(between(d.spans))), Value: between(d.value)}
+		f := Fault{Kind: d.what, At: min(end-1, float64(int(between([2]float64{c.From, c.To})))), Duration: float64(int(between(d.spans))), Value: between(d.value)}
 		if d.what == "list-late" || d.what == "slow" { // a time, as it can be written down
 			f.Value = math.Round(f.Value*1e6) / 1e6
 		}
 		group := rng.IntN(len(s.Fleet.Groups))
 		member := rng.IntN(s.Fleet.Groups[group])
-		if f.OfWays() {
-			f.Poolers = s.someOf(rng)
+		if f.OnServerLinks() {
+			f.Poolers = s.drawPoolers(rng)
 		}
 		switch pooler := rng.IntN(s.Poolers); d.what {
 		case "list-held", "list-late", "list-gone", "load", "deregister-all", "wrong-roles":
 		case "agent":
 			f.Target = Target{Kind: "agent", Group: rng.IntN(s.Agents), Word: AgentFaults[rng.IntN(len(AgentFaults))]}
 		case "parted", "unheard", "apart", "lossy", "slow":
-			f.ways(s.Poolers, rng)
+			f.drawServerLinks(s.Poolers, rng)
 		case "kill-pooler", "restart-pooler", "stall-pooler":
 			f.Target = Target{Kind: "pooler", Group: pooler}
 		default:
@@ -190,12 +190,12 @@
 			if rng.Float64() < 0.4 {
 				f.Target = Target{Kind: "primary", Group: group}
 			}
-			if f.OfWays() && rng.Float64() < 0.3 { // a pooler's own links
+			if f.OnServerLinks() && rng.Float64() < 0.3 { // a pooler's own links
 				f.Target = Target{Kind: "everyone"}
 			}
 		}
 		out.Faults = append(out.Faults, f)
 	}
 	slices.SortStableFunc(out.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	return out, out.Again()
+	return out, out.CheckRoundTrip()
 }
--- a/internal/testkit/scenario/credit.go
+++ b/internal/testkit/scenario/credit.go
@@ -11,8 +11,8 @@
 	"beechgrade/internal/testkit/clients"
 )
 
-// Agreed is the log that the first poolers keep in common.
-type Agreed struct {
+// RaftLog is the log that the first poolers keep in common.
+type RaftLog struct {
 	Voters   int
 	Settings raftlog.Settings // but for names and seeds
 	Disk     [2]float64       // ms that a durable write takes, in virtual time
@@ -24,13 +24,13 @@
 	node *sexp.Node
 }
 
-// agreed reads (agreed (voters N) ...): the first poolers vote. The rest is as in the operators' settings.
-func (s *Script) agreed(n *sexp.Node) error {
-	a := &Agreed{Settings: raftlog.Defaults(), Disk: [2]float64{0.1, 2}}
+// readRaftLog reads (agreed (voters N) ...): the first poolers vote. The rest is as in the operators' settings.
+func (s *Script) readRaftLog(n *sexp.Node) error {
+	a := &RaftLog{Settings: raftlog.Defaults(), Disk: [2]float64{0.1, 2}}
 	s.Agreed = a
 	err := sexp.Schema{
 		"voters":    func(n *sexp.Node) (err error) { a.Voters, err = n.Int(3, 5); return err },
-		"disk":      func(n *sexp.Node) error { return spans(n, &a.Disk) },
+		"disk":      func(n *sexp.Node) error { return readRange(n, &a.Disk) },
 		"tick":      func(n *sexp.Node) (err error) { a.Settings.TickInterval, err = n.Millis(50, 10000); return err },
 		"election":  func(n *sexp.Node) (err error) { a.Settings.ElectionTicks, err = n.Int(4, 1000); return err },
 		"heartbeat": func(n *sexp.Node) (err error) { a.Settings.HeartbeatTicks, err = n.Int(1, 250); return err },
@@ -43,8 +43,8 @@
 	return err
 }
 
-// credit reads (credit ...), as the operators' settings have it but for where marks are kept.
-func (s *Script) credit(n *sexp.Node) error {
+// readCredit reads (credit ...), as the operators' settings have it but for where marks are kept.
+func (s *Script) readCredit(n *sexp.Node) error {
 	for _, a := range n.Args() {
 		if a.Head() == "files" {
 			return a.Errorf("where marks are kept is the player's matter: no (files ...) in a scenario")
@@ -55,8 +55,8 @@
 	return err
 }
 
-// aPay reads (pay TENANT NUMBER AMOUNT), a payment that all poolers read of then, or (pay TENANT NUMBER AMOUNT POOLER ...): those.
-func aPay(f *Fault, n *sexp.Node) error {
+// readPayment reads (pay TENANT NUMBER AMOUNT), a payment that all poolers read of then, or (pay TENANT NUMBER AMOUNT POOLER ...): those.
+func readPayment(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 3 || a[0].Kind == sexp.List {
 		return n.Errorf("(pay TENANT NUMBER AMOUNT POOLER ...)")
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// joint checks what goes with what, of credit and pages.
-func (s *Script) joint(n *sexp.Node) error {
+// readJointSettings checks what goes with what, of credit and pages.
+func (s *Script) readJointSettings(n *sexp.Node) error {
 	known := func(class string) bool {
 		return slices.ContainsFunc(s.Clients.Classes, func(c clients.Class) bool { return c.Name == class })
 	}
@@ -132,9 +132,9 @@
 	return 0
 }
 
-// Shared is what the operators' settings say of the log in common, credit, overload and verdicts on servers, for a daemon whose disk and marks lie in these
+// SharedSettings is what the operators' settings say of the log in common, credit, overload and verdicts on servers, for a daemon whose disk and marks lie in these
 // folders. pays are the payments that it has read of since the start; more are forms of (credit ...).
-func (s *Script) Shared(disk, marks string, pays []Fault, more string) string {
+func (s *Script) SharedSettings(disk, marks string, pays []Fault, more string) string {
 	var b strings.Builder
 	if s.Overload != nil {
 		b.WriteString(textOf(s.Overload.node) + "\n")
--- a/internal/testkit/scenario/faults.go
+++ b/internal/testkit/scenario/faults.go
@@ -11,25 +11,25 @@
 
 // Fault is something that goes wrong for a while.
 type Fault struct {
-	Pos    sexp.Pos
-	At     float64
-	For    float64 // 0 for ever
-	What   string
-	Target Target
-	Value  float64
-	Number int     // of a payment
-	Every  float64 // it comes again after so long, 0 for once
+	Pos      sexp.Pos
+	At       float64
+	Duration float64 // 0 for ever
+	Kind     string
+	Target   Target
+	Value    float64
+	Number   int     // of a payment
+	Interval float64 // it comes again after so long, 0 for once
 
-	Who     whom  // of a way to a server, or of the list's: whose...
-	Poolers []int // ...that are these poolers
+	Selector poolerSelector // of a way to a server, or of the list's: whose...
+	Poolers  []int          // ...that are these poolers
 
-	Owner    string // the limit whose lender it strikes
-	From, To whom   // of links: whose...
-	Ends     [2][]int
-	Both     bool        // ...and the other way too
-	Places   [2][]string // of routes: sites
-	Sited    [2][]int    // ...by number
-	Link     netfault.Fault
+	Owner       string         // the limit whose lender it strikes
+	From, To    poolerSelector // of links: whose...
+	Ends        [2][]int
+	Both        bool        // ...and the other way too
+	SiteNames   [2][]string // of routes: sites
+	SiteNumbers [2][]int    // ...by number
+	Link        netfault.Fault
 }
 
 // Target says whom a fault strikes. It is resolved when that happens.
@@ -54,11 +54,11 @@
 	return fmt.Sprintf("%s %d", t.Kind, t.Group)
 }
 
-// unfold writes out what comes again and again.
-func unfold(faults []Fault, endMs float64) (out []Fault) {
+// expandRepeats writes out what comes again and again.
+func expandRepeats(faults []Fault, endMs float64) (out []Fault) {
 	for _, f := range faults {
-		every := f.Every
-		f.Every = 0 // each is written out
+		every := f.Interval
+		f.Interval = 0 // each is written out
 		out = append(out, f)
 		if every <= 0 {
 			continue
@@ -74,8 +74,8 @@
 
 const maxFaults = 10000
 
-// at reads a fault: (at TIME (FAULT ...) (for TIME) (every TIME)).
-func (s *Script) at(n *sexp.Node) error {
+// readFault reads a fault: (at TIME (FAULT ...) (for TIME) (every TIME)).
+func (s *Script) readFault(n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 2 || len(a) > 4 {
 		return n.Errorf("(at TIME (FAULT ...)), with (for TIME) behind it where the fault ends, and (every TIME) where it comes again")
@@ -86,11 +86,11 @@
 		return err
 	}
 	for i, x := range a[2:] {
-		to, least := &f.For, 1.0
+		to, least := &f.Duration, 1.0
 		switch {
 		case i == 0 && x.Head() == "for":
 		case x.Head() == "every" && (i > 0 || len(a) == 3):
-			to, least = &f.Every, 10
+			to, least = &f.Interval, 10
 		default:
 			return x.Errorf("(for TIME) is due here")
 		}
@@ -98,18 +98,18 @@
 			return err
 		}
 	}
-	if f.Every > 0 && (f.For == 0 || f.For >= f.Every) {
+	if f.Interval > 0 && (f.Duration == 0 || f.Duration >= f.Interval) {
 		return n.Errorf("what comes again must end before: (for TIME) shorter than (every TIME)")
 	}
-	f.What = a[1].Head()
-	read := faults[f.What]
+	f.Kind = a[1].Head()
+	read := faultReaders[f.Kind]
 	if read == nil {
 		var known []string
-		for k := range faults {
+		for k := range faultReaders {
 			known = append(known, k)
 		}
 		slices.Sort(known)
-		return a[1].Errorf("there is no fault %q; there are: %v", f.What, known)
+		return a[1].Errorf("there is no fault %q; there are: %v", f.Kind, known)
 	}
 	if err := read(&f, a[1]); err != nil {
 		return err
@@ -118,47 +118,47 @@
 	return nil
 }
 
-// faults are the kinds of fault with how their arguments are read.
-var faults = map[string]func(*Fault, *sexp.Node) error{
-	"die":            struck(0, 0),
-	"hang":           struck(0, 0),
-	"drain":          struck(0, 0),
-	"crowd":          struck(0.01, 1),
-	"lag":            struck(0.1, 1000),
-	"deaf":           struck(0, 0),
-	"mute":           struck(0, 0),
-	"lose":           struck(0, 1),
-	"disk":           struck(0.1, 1000),
+// faultReaders are the kinds of fault with how their arguments are read.
+var faultReaders = map[string]func(*Fault, *sexp.Node) error{
+	"die":            readServerFault(0, 0),
+	"hang":           readServerFault(0, 0),
+	"drain":          readServerFault(0, 0),
+	"crowd":          readServerFault(0.01, 1),
+	"lag":            readServerFault(0.1, 1000),
+	"deaf":           readServerFault(0, 0),
+	"mute":           readServerFault(0, 0),
+	"lose":           readServerFault(0, 1),
+	"disk":           readServerFault(0.1, 1000),
 	"list-late":      func(f *Fault, n *sexp.Node) (err error) { f.Value, err = n.Millis(0, 600000); return err },
-	"list-gone":      func(f *Fault, n *sexp.Node) error { return none(n) },
-	"list-silent":    func(f *Fault, n *sexp.Node) error { return none(n) },
-	"agent":          anAgent,
-	"deregister-all": func(f *Fault, n *sexp.Node) error { return none(n) },
-	"wrong-roles":    func(f *Fault, n *sexp.Node) error { return none(n) },
-	"reissue":        struck(0, 0),
-	"fail-check":     struck(0, 0),
-	"links":          aLink,
-	"between":        aLink,
-	"route":          aRoute,
-	"routes":         aRoute,
-	"power":          aSite,
-	"limit":          aLimit,
-	"pay":            aPay,
+	"list-gone":      func(f *Fault, n *sexp.Node) error { return requireNoArguments(n) },
+	"list-silent":    func(f *Fault, n *sexp.Node) error { return requireNoArguments(n) },
+	"agent":          readAgentFault,
+	"deregister-all": func(f *Fault, n *sexp.Node) error { return requireNoArguments(n) },
+	"wrong-roles":    func(f *Fault, n *sexp.Node) error { return requireNoArguments(n) },
+	"reissue":        readServerFault(0, 0),
+	"fail-check":     readServerFault(0, 0),
+	"links":          readLinkFault,
+	"between":        readLinkFault,
+	"route":          readRouteFault,
+	"routes":         readRouteFault,
+	"power":          readPowerFault,
+	"limit":          readLimitFault,
+	"pay":            readPayment,
 	"load":           func(f *Fault, n *sexp.Node) (err error) { f.Value, err = n.Float(0, 100); return err },
-	"kill-pooler":    aPooler,
-	"restart-pooler": aPooler,
-	"stall-pooler":   aPooler,
-	"restart":        struck(0, 0),
-	"cut":            aWay(0, 0),
-	"thin":           aWay(0, 1),
-	"list-held":      held,
+	"kill-pooler":    readPoolerFault,
+	"restart-pooler": readPoolerFault,
+	"stall-pooler":   readPoolerFault,
+	"restart":        readServerFault(0, 0),
+	"cut":            readServerLinkFault(0, 0),
+	"thin":           readServerLinkFault(0, 1),
+	"list-held":      readListHeldFault,
 }
 
 // AgentFaults are what may befall an agent.
 var AgentFaults = []string{"down", "hang", "frozen", "leaderless", "cut", "empty"}
 
-// anAgent reads (agent NUMBER down), or another of AgentFaults.
-func anAgent(f *Fault, n *sexp.Node) error {
+// readAgentFault reads (agent NUMBER down), or another of AgentFaults.
+func readAgentFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) != 2 || !slices.Contains(AgentFaults, a[1].Text) {
 		return n.Errorf("(agent NUMBER WHAT), where WHAT is one of %v", AgentFaults)
@@ -171,8 +171,8 @@
 // consulOnly are faults of what only Consul has.
 var consulOnly = map[string]bool{"agent": true, "deregister-all": true, "wrong-roles": true, "reissue": true, "fail-check": true}
 
-// aPooler reads (stall-pooler NUMBER), or (stall-pooler owner LIMIT): whoever lends that limit then.
-func aPooler(f *Fault, n *sexp.Node) (err error) {
+// readPoolerFault reads (stall-pooler NUMBER), or (stall-pooler owner LIMIT): whoever lends that limit then.
+func readPoolerFault(f *Fault, n *sexp.Node) (err error) {
 	f.Target.Kind = "pooler"
 	if a := n.Args(); len(a) == 2 && a[0].Text == "owner" && a[1].Kind != sexp.List {
 		f.Owner = a[1].Text
@@ -182,15 +182,15 @@
 	return err
 }
 
-func none(n *sexp.Node) error {
+func requireNoArguments(n *sexp.Node) error {
 	if len(n.Args()) != 0 {
 		return n.Errorf("(%s) takes nothing", n.Head())
 	}
 	return nil
 }
 
-// struck reads a target, and a figure behind it where there is a range for one.
-func struck(least, most float64) func(*Fault, *sexp.Node) error {
+// readServerFault reads a target, and a figure behind it where there is a range for one.
+func readServerFault(least, most float64) func(*Fault, *sexp.Node) error {
 	return func(f *Fault, n *sexp.Node) error {
 		a := n.Args()
 		if len(a) == 0 {
@@ -229,34 +229,34 @@
 	}
 }
 
-// check holds a fault against the fleet.
-func (s *Script) check(f *Fault) error {
+// checkFault holds a fault against the fleet.
+func (s *Script) checkFault(f *Fault) error {
 	fail := func(format string, args ...any) error {
 		return &sexp.Error{Pos: f.Pos, Text: fmt.Sprintf(format, args...)}
 	}
 	switch {
 	case f.At >= s.Clients.Seconds*1000:
 		return fail("this comes when the rehearsal is over")
-	case consulOnly[f.What] && s.Agents == 0:
-		return fail("(%s ...) goes with (consul AGENTS)", f.What)
-	case f.What == "agent" && f.Target.Group >= s.Agents:
+	case consulOnly[f.Kind] && s.Agents == 0:
+		return fail("(%s ...) goes with (consul AGENTS)", f.Kind)
+	case f.Kind == "agent" && f.Target.Group >= s.Agents:
 		return fail("there is no agent %d; they are numbered from 0 to %d", f.Target.Group, s.Agents-1)
-	case f.What == "limit" && (s.Limits == nil || s.limit(f.Target.Word) == nil):
+	case f.Kind == "limit" && (s.Limits == nil || s.limit(f.Target.Word) == nil):
 		return fail("there is no limit %q in (fleet-limits ...)", f.Target.Word)
-	case f.What == "pay" && s.Credit == nil:
+	case f.Kind == "pay" && s.Credit == nil:
 		return fail("(pay ...) goes with (credit ...)")
-	case f.What == "pay" && !slices.ContainsFunc(s.Clients.Tenants, func(t clients.Tenant) bool { return t.Name == f.Target.Word }):
+	case f.Kind == "pay" && !slices.ContainsFunc(s.Clients.Tenants, func(t clients.Tenant) bool { return t.Name == f.Target.Word }):
 		return fail("there is no tenant %q", f.Target.Word)
 	case f.Owner != "" && s.limit(f.Owner) == nil:
 		return fail("there is no limit %q in (fleet-limits ...)", f.Owner)
-	case f.OfRoutes() && s.Sites == nil:
-		return fail("(%s ...) goes with (sites ...)", f.What)
-	case f.OfLinks() && s.Peers == nil:
-		return fail("(%s ...) goes with (peers)", f.What)
+	case f.OnSiteLinks() && s.Sites == nil:
+		return fail("(%s ...) goes with (sites ...)", f.Kind)
+	case f.OnPoolerLinks() && s.Peers == nil:
+		return fail("(%s ...) goes with (peers)", f.Kind)
 	case f.OfProber() && (s.Overload == nil || !s.Overload.Share):
-		return fail("(%s prober ...) goes with (overload), where poolers share probes", f.What)
-	case f.OfWays() && (s.Agents > 0 || s.Clients.ClickHouse):
-		return fail("(%s ...) goes with the platform's list and protocol: without (consul ...) and (clickhouse)", f.What)
+		return fail("(%s prober ...) goes with (overload), where poolers share probes", f.Kind)
+	case f.OnServerLinks() && (s.Agents > 0 || s.Clients.ClickHouse):
+		return fail("(%s ...) goes with the platform's list and protocol: without (consul ...) and (clickhouse)", f.Kind)
 	case f.Target.Kind == "pooler" && f.Target.Group >= s.Poolers:
 		return fail("there is no pooler %d; they are numbered from 0 to %d", f.Target.Group, s.Poolers-1)
 	case slices.Contains([]string{"primary", "replica", "member"}, f.Target.Kind):
--- a/internal/testkit/scenario/journal.go
+++ b/internal/testkit/scenario/journal.go
@@ -12,8 +12,8 @@
 	Disk model.Range // ms that a write and its sync take; what comes meanwhile goes out together in the next
 }
 
-// journal reads (journal off), (journal before ...) or (journal alongside ...), with (disk LEAST MOST) behind it.
-func (s *Script) journal(n *sexp.Node) error {
+// readJournal reads (journal off), (journal before ...) or (journal alongside ...), with (disk LEAST MOST) behind it.
+func (s *Script) readJournal(n *sexp.Node) error {
 	a := n.Args()
 	if len(a) == 0 {
 		return n.Errorf("(journal ...) takes off, before or alongside")
@@ -31,5 +31,5 @@
 		return a[0].Errorf("off, before or alongside is due here")
 	}
 	s.Journal = j
-	return sexp.Schema{"disk": func(n *sexp.Node) error { return spans(n, (*[2]float64)(&j.Disk)) }}.Read(a[1:])
+	return sexp.Schema{"disk": func(n *sexp.Node) error { return readRange(n, (*[2]float64)(&j.Disk)) }}.Read(a[1:])
 }
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -9,15 +9,15 @@
 	"beechgrade/internal/testkit/checker"
 )
 
-// fleetLimits reads (fleet-limits ...), as the operators' settings have it.
-func (s *Script) fleetLimits(n *sexp.Node) (err error) {
+// readFleetLimits reads (fleet-limits ...), as the operators' settings have it.
+func (s *Script) readFleetLimits(n *sexp.Node) (err error) {
 	s.Limits, err = settings.ReadFleetLimits(n)
 	return err
 }
 
-// aLimit reads (limit NAME AMOUNT), a limit that is another from then on at all poolers, or (limit NAME AMOUNT POOLER ...) at some; each
+// readLimitFault reads (limit NAME AMOUNT), a limit that is another from then on at all poolers, or (limit NAME AMOUNT POOLER ...) at some; each
 // takes it by reading its settings again. The burst changes with the amount.
-func aLimit(f *Fault, n *sexp.Node) error {
+func readLimitFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 2 || a[0].Kind == sexp.List {
 		return n.Errorf("(limit NAME AMOUNT POOLER ...)")
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// Changed are the limits with one of another amount.
-func Changed(f settings.FleetLimits, name string, amount float64) settings.FleetLimits {
+// WithLimit are the limits with one of another amount.
+func WithLimit(f settings.FleetLimits, name string, amount float64) settings.FleetLimits {
 	f.Limits = slices.Clone(f.Limits)
 	for i := range f.Limits {
 		if l := &f.Limits[i]; l.Name == name {
@@ -64,8 +64,8 @@
 	return f
 }
 
-// Struck are the poolers at which a change of a limit strikes.
-func (f *Fault) Struck(s *Script) []int {
+// AffectedPoolers are the poolers at which a change of a limit strikes.
+func (f *Fault) AffectedPoolers(s *Script) []int {
 	if len(f.Ends[0]) > 0 {
 		return f.Ends[0]
 	}
@@ -113,8 +113,8 @@
 // calmMs after a fault all is calm again, as far as limits go: their owner has been found, and old leases are over.
 const calmMs = 30000
 
-// Lowered is when a limit that was changed binds: with a lower amount, once what was lent before is over.
-func (s *Script) Lowered(f *Fault) float64 {
+// LoweringDelayMs is when a limit that was changed binds: with a lower amount, once what was lent before is over.
+func (s *Script) LoweringDelayMs(f *Fault) float64 {
 	q := s.Quotas()
 	l := s.limit(f.Target.Word)
 	if f.Value < l.Amount {
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -18,8 +18,8 @@
 	node *sexp.Node
 }
 
-// overload reads (overload ...), as the operators' settings have it.
-func (s *Script) overload(n *sexp.Node) error {
+// readOverload reads (overload ...), as the operators' settings have it.
+func (s *Script) readOverload(n *sexp.Node) error {
 	set, err := settings.ReadOverload(n)
 	s.Overload = &Overload{*set, n}
 	return err
@@ -63,7 +63,7 @@
 
 // OfProber tells whether a fault strikes the first of a server's probers, (cut prober ...), whoever that is then.
 func (f *Fault) OfProber() bool {
-	return f.Who.Node != nil && f.Who.Kind != sexp.List && f.Who.Text == "prober"
+	return f.Selector.Node != nil && f.Selector.Kind != sexp.List && f.Selector.Text == "prober"
 }
 
 // AtProber is the fault as it strikes then.
@@ -91,9 +91,9 @@
 	return 0
 }
 
-// Where is where a fault strikes: at servers of these groups, or among poolers. It is neither where the load changes.
-func (f *Fault) Where(s *Script) (groups []int, poolers bool) {
-	switch f.What {
+// Affected is where a fault strikes: at servers of these groups, or among poolers. It is neither where the load changes.
+func (f *Fault) Affected(s *Script) (groups []int, poolers bool) {
+	switch f.Kind {
 	case "load":
 		return nil, false
 	case "links", "between", "limit", "kill-pooler", "restart-pooler", "stall-pooler":
@@ -101,7 +101,7 @@
 	}
 	switch f.Target.Kind {
 	case "primary", "replica", "member":
-		return []int{f.Target.Group}, f.OfWays()
+		return []int{f.Target.Group}, f.OnServerLinks()
 	}
 	for g := range s.Fleet.Groups {
 		groups = append(groups, g)
@@ -112,9 +112,9 @@
 // Until is when a fault that struck then ends; +Inf for never.
 func (f *Fault) Until(at float64) float64 {
 	switch {
-	case f.For > 0:
-		return at + f.For
-	case f.What == "restart-pooler" || f.What == "limit":
+	case f.Duration > 0:
+		return at + f.Duration
+	case f.Kind == "restart-pooler" || f.Kind == "limit":
 		return at
 	}
 	return math.Inf(1)
--- a/internal/testkit/scenario/pages.go
+++ b/internal/testkit/scenario/pages.go
@@ -22,8 +22,8 @@
 	node *sexp.Node
 }
 
-// pages reads (pages ...).
-func (s *Script) pages(n *sexp.Node) error {
+// readPages reads (pages ...).
+func (s *Script) readPages(n *sexp.Node) error {
 	p := &Pages{Rows: 100, Places: 9, Page: 20, Readers: 3, Think: 50, Wait: 5000, node: n}
 	s.Pages = p
 	whole := func(to *int, least, most int) func(*sexp.Node) error {
@@ -47,8 +47,8 @@
 	return err
 }
 
-// Replaced are a scenario's items with more forms: in place of the same form, but for faults and classes, which add up.
-func Replaced(items, forms []*sexp.Node) []*sexp.Node {
+// ReplaceForms are a scenario's items with more forms: in place of the same form, but for faults and classes, which add up.
+func ReplaceForms(items, forms []*sexp.Node) []*sexp.Node {
 	items = slices.Clone(items)
 	for _, f := range forms {
 		if h := f.Head(); h != "at" && h != "class" {
@@ -65,6 +65,6 @@
 		return s, nil
 	}
 	n := *s.source
-	n.Items = Replaced(slices.DeleteFunc(slices.Clone(n.Items), func(o *sexp.Node) bool { return o.Head() == "on-sockets" }), s.smaller)
+	n.Items = ReplaceForms(slices.DeleteFunc(slices.Clone(n.Items), func(o *sexp.Node) bool { return o.Head() == "on-sockets" }), s.smaller)
 	return Read(&n)
 }
--- a/internal/testkit/scenario/peers.go
+++ b/internal/testkit/scenario/peers.go
@@ -14,8 +14,8 @@
 	Seeds int // poolers, the first ones, that all are told of
 }
 
-// peers reads (peers ...).
-func (s *Script) peers(n *sexp.Node) error {
+// readPeers reads (peers ...).
+func (s *Script) readPeers(n *sexp.Node) error {
 	p := &Peers{View: view.Defaults(), Seeds: 2}
 	s.Peers = p
 	span := func(to *float64) func(*sexp.Node) error {
@@ -28,14 +28,14 @@
 	}.Read(n.Args())
 }
 
-// aLink reads (links WHOM WHOM WHAT...): what befalls the ways from some poolers to others; (between WHOM WHOM WHAT...): both ways.
-func aLink(f *Fault, n *sexp.Node) error {
+// readLinkFault reads (links WHOM WHOM WHAT...): what befalls the ways from some poolers to others; (between WHOM WHOM WHAT...): both ways.
+func readLinkFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 3 {
 		return n.Errorf("(%s WHOM WHOM WHAT...), where WHOM is all, a pooler's number, (NUMBER...), (part FROM TO) or a site, and WHAT is cut, (lose X), (duplicate X), (reorder X) or (slow TIME)", n.Head())
 	}
 	f.Both = n.Head() == "between"
-	f.From, f.To = whom{a[0]}, whom{a[1]}
+	f.From, f.To = poolerSelector{a[0]}, poolerSelector{a[1]}
 	if x := f.From.Items; len(x) == 2 && x[0].Text == "owner" && x[1].Kind != sexp.List {
 		f.Owner = x[1].Text
 	}
@@ -51,11 +51,11 @@
 	return form.Read(rest)
 }
 
-// whom names poolers.
-type whom struct{ *sexp.Node }
+// poolerSelector names poolers.
+type poolerSelector struct{ *sexp.Node }
 
-// of are the poolers that are meant.
-func (w whom) of(s *Script) (out []int, err error) {
+// poolers are the poolers that are meant.
+func (w poolerSelector) poolers(s *Script) (out []int, err error) {
 	add := func(n *sexp.Node) error {
 		x, err := n.Number(0, float64(s.Poolers-1))
 		if err == nil && !slices.Contains(out, int(x)) {
@@ -69,7 +69,7 @@
 	case w.Kind == sexp.List && len(w.Items) == 2 && w.Items[0].Text == "owner": // it is known when the fault strikes
 		return nil, nil
 	case w.Kind == sexp.List && len(w.Items) == 3 && w.Items[0].Text == "part":
-		return w.part(s)
+		return w.shareOfPoolers(s)
 	case w.Kind == sexp.List:
 		for _, n := range w.Items {
 			if err := add(n); err != nil {
@@ -93,8 +93,8 @@
 	return out, err
 }
 
-// part are the poolers of (part FROM TO): from one part of them all to another.
-func (w whom) part(s *Script) (out []int, err error) {
+// shareOfPoolers are the poolers of (part FROM TO): from one part of them all to another.
+func (w poolerSelector) shareOfPoolers(s *Script) (out []int, err error) {
 	var ends [2]float64
 	for i := range ends {
 		if ends[i], err = w.Items[1+i].Number(0, 1); err != nil {
@@ -118,19 +118,19 @@
 		return f
 	}
 	c := *f
-	if c.Target.Group = lender(f.Owner); f.OfLinks() {
+	if c.Target.Group = lender(f.Owner); f.OnPoolerLinks() {
 		c.Ends[0] = []int{c.Target.Group}
 	}
 	return &c
 }
 
-// Strike has a fault of links strike, or end.
-func (f *Fault) Strike(x *netfault.Net, on bool) {
+// SetLinks has a fault of links strike, or end.
+func (f *Fault) SetLinks(x *netfault.Net, on bool) {
 	x.SetFault(f.Ends[0], f.Ends[1], &f.Link, on)
 	if f.Both {
 		x.SetFault(f.Ends[1], f.Ends[0], &f.Link, on)
 	}
 }
 
-// OfLinks tells whether a fault is one of the ways between poolers.
-func (f *Fault) OfLinks() bool { return f.What == "links" || f.What == "between" }
+// OnPoolerLinks tells whether a fault is one of the ways between poolers.
+func (f *Fault) OnPoolerLinks() bool { return f.Kind == "links" || f.Kind == "between" }
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -45,8 +45,8 @@
 		return fmt.Errorf("%q has (journal ...), which can be played in virtual time only; on sockets the settings have it", s.Name)
 	}
 	for _, f := range s.Faults {
-		if f.OfRoutes() {
-			return &sexp.Error{Pos: f.Pos, Text: fmt.Sprintf("(%s ...) can be played in virtual time only", f.What)}
+		if f.OnSiteLinks() {
+			return &sexp.Error{Pos: f.Pos, Text: fmt.Sprintf("(%s ...) can be played in virtual time only", f.Kind)}
 		}
 	}
 	return nil
@@ -55,7 +55,7 @@
 // InVirtualTime tells why a scenario can't be played in virtual time, nil where it can.
 func (s *Script) InVirtualTime() error {
 	for _, f := range s.Faults {
-		if f.What == "list-silent" {
+		if f.Kind == "list-silent" {
 			return &sexp.Error{Pos: f.Pos, Text: "(list-silent) can be played on sockets only: in virtual time no connection is forgotten"}
 		}
 	}
@@ -86,7 +86,7 @@
 	Limits *settings.FleetLimits // that hold for the whole fleet; nil for none
 
 	Overload *Overload // nil where each pooler handles it alone
-	Agreed   *Agreed   // the log in common, nil for none
+	Agreed   *RaftLog  // the log in common, nil for none
 	Credit   *Credit   // tenants pay ahead, nil where they do not
 	Journal  *Journal  // of what may have run, nil for none
 	Pages    *Pages    // reports over all groups, nil for none
@@ -144,7 +144,7 @@
 	}
 	s := &Script{Name: args[0].Text, Poolers: 1, IdleMs: defaultIdle, ProbePrice: defaultProbePrice, Way: defaultWay, Handshake: defaultHandshake, Fleet: model.Defaults(3), Clients: clients.Defaults()}
 	s.Clients.Rate, s.Clients.Seconds, s.source = 100, 20, n
-	if err := s.form().Read(args[1:], "at", "class", "tenant"); err != nil {
+	if err := s.schema().Read(args[1:], "at", "class", "tenant"); err != nil {
 		return nil, err
 	}
 	s.Clients.Groups = len(s.Fleet.Groups)
@@ -158,12 +158,12 @@
 	}
 	s.Fleet.Sites = s.Sites
 	for i := range s.Faults {
-		if err := s.sited(&s.Faults[i]); err != nil {
+		if err := s.resolveSites(&s.Faults[i]); err != nil {
 			return nil, err
 		}
 	}
-	s.Faults = s.powered(s.Faults)
-	s.Faults = unfold(s.Faults, s.Clients.Seconds*1000)
+	s.Faults = s.expandPowerFaults(s.Faults)
+	s.Faults = expandRepeats(s.Faults, s.Clients.Seconds*1000)
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	if s.Limits != nil && s.Peers == nil {
 		return nil, n.Errorf("(fleet-limits ...) goes with (peers)")
@@ -171,19 +171,19 @@
 	if s.Overload != nil && s.Peers == nil {
 		return nil, n.Errorf("(overload ...) goes with (peers)")
 	}
-	if err := s.joint(n); err != nil {
+	if err := s.readJointSettings(n); err != nil {
 		return nil, err
 	}
 	if s.Verdicts != nil && s.Peers == nil {
 		return nil, n.Errorf("(verdicts ...) goes with (peers)")
 	}
-	if err := s.Again(); err != nil {
+	if err := s.CheckRoundTrip(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *Script) form() sexp.Schema {
+func (s *Script) schema() sexp.Schema {
 	f, c := &s.Fleet, &s.Clients
 	float := func(to *float64, least, most float64) func(*sexp.Node) error {
 		return func(n *sexp.Node) (err error) { *to, err = n.Float(least, most); return err }
@@ -195,18 +195,18 @@
 		return func(n *sexp.Node) (err error) { *to, err = n.Millis(0, maxSeconds*1000); return err }
 	}
 	both := func(to *model.Range) func(*sexp.Node) error {
-		return func(n *sexp.Node) error { return spans(n, (*[2]float64)(to)) }
+		return func(n *sexp.Node) error { return readRange(n, (*[2]float64)(to)) }
 	}
 	return sexp.Schema{
 		"seconds":      float(&c.Seconds, 1, maxSeconds),
 		"poolers":      whole(&s.Poolers, 1, maxPoolers),
-		"groups":       s.groups,
-		"groups-of":    s.groupsOf,
+		"groups":       s.readGroups,
+		"groups-of":    s.readGroupsOf,
 		"way":          both(&s.Way),
 		"handshake":    both(&s.Handshake),
 		"probe-cost":   span(&s.ProbeCost),
 		"probe-price":  float(&s.ProbePrice, 0, 1),
-		"clickhouse":   s.clickhouse,
+		"clickhouse":   s.readClickHouse,
 		"consul":       whole(&s.Agents, 1, 9),
 		"forgets":      span(&s.Forgets),
 		"idle":         func(n *sexp.Node) (err error) { s.IdleMs, err = n.Millis(10, maxSeconds*1000); return err },
@@ -219,27 +219,27 @@
 		"follow":       span(&c.FollowMs),
 		"roams":        float(&c.Roams, 0, 1),
 		"retries":      whole(&c.Retries, 0, 10),
-		"retry":        func(n *sexp.Node) error { return spans(n, &c.RetryMs) },
-		"class":        s.class,
-		"tenant":       s.tenant,
+		"retry":        func(n *sexp.Node) error { return readRange(n, &c.RetryMs) },
+		"class":        s.readClass,
+		"tenant":       s.readTenant,
 		"allowance":    float(&c.Allowance, 0.1, maxRate),
 		"over":         float(&c.Over, 0, 1),
-		"peers":        s.peers,
-		"fleet-limits": s.fleetLimits,
-		"overload":     s.overload,
-		"agreed":       s.agreed,
-		"credit":       s.credit,
-		"journal":      s.journal,
-		"pages":        s.pages,
+		"peers":        s.readPeers,
+		"fleet-limits": s.readFleetLimits,
+		"overload":     s.readOverload,
+		"agreed":       s.readRaftLog,
+		"credit":       s.readCredit,
+		"journal":      s.readJournal,
+		"pages":        s.readPages,
 		"on-sockets":   func(n *sexp.Node) error { s.smaller = n.Args(); return nil },
-		"verdicts":     s.verdicts,
+		"verdicts":     s.readOutlierDetection,
 		"back-in":      span(&s.BackMs),
 		"skew":         float(&c.Skew, 0, 1),
 		"swing":        span(&c.SwingMs),
 		"pushed":       func(n *sexp.Node) (err error) { s.Pushed, err = n.Bool(); return err },
-		"sites":        s.sites,
+		"sites":        s.readSites,
 		"cross":        both(&s.Cross),
-		"regions":      s.regions,
+		"regions":      s.readRegions,
 		"far":          both(&s.Far),
 		"near":         func(n *sexp.Node) (err error) { s.Near, err = n.Bool(); return err },
 		"cross-price":  float(&s.CrossPrice, 0, 1),
@@ -259,21 +259,21 @@
 		"falls-in":     span(&f.OverloadWindowMs),
 		"pack":         func(n *sexp.Node) (err error) { s.Pack, err = n.Bool(); return err },
 		"record-queue": whole(&s.Queue, 64, 1<<20),
-		"at":           s.at,
-		"chaos":        s.chaos,
+		"at":           s.readFault,
+		"chaos":        s.readChaos,
 	}
 }
 
-// clickhouse has clients speak the ClickHouse interface, with classes of its own, to one group of peers.
-func (s *Script) clickhouse(n *sexp.Node) (err error) {
+// readClickHouse has clients speak the ClickHouse interface, with classes of its own, to one group of peers.
+func (s *Script) readClickHouse(n *sexp.Node) (err error) {
 	if s.Clients.ClickHouse, err = n.Bool(); err == nil && s.Clients.ClickHouse {
 		s.Fleet.MultiPrimary, s.Clients.Classes = true, clients.ClickHouseClasses()
 	}
 	return err
 }
 
-// tenant reads (tenant NAME (share PART) (usage TIMES)).
-func (s *Script) tenant(n *sexp.Node) error {
+// readTenant reads (tenant NAME (share PART) (usage TIMES)).
+func (s *Script) readTenant(n *sexp.Node) error {
 	args := n.Args()
 	if len(args) == 0 || args[0].Kind == sexp.List || args[0].Text == "" {
 		return n.Errorf("a tenant's name is due first")
@@ -293,8 +293,8 @@
 	return err
 }
 
-// class changes one of the four classes.
-func (s *Script) class(n *sexp.Node) error {
+// readClass changes one of the four classes.
+func (s *Script) readClass(n *sexp.Node) error {
 	args := n.Args()
 	if len(args) == 0 || args[0].Kind == sexp.List {
 		return n.Errorf("a class's name is due first")
@@ -311,7 +311,7 @@
 		"worth":    func(n *sexp.Node) (err error) { c.Worth, err = n.Float(0, 1000); return err },
 		"late":     func(n *sexp.Node) (err error) { c.LateWorth, err = n.Float(0, 1); return err },
 		"bound":    func(n *sexp.Node) (err error) { c.Bound, err = n.Millis(0, 600000); return err },
-		"work":     func(n *sexp.Node) error { return spans(n, &c.Work) },
+		"work":     func(n *sexp.Node) error { return readRange(n, &c.Work) },
 		"keyed": func(n *sexp.Node) (err error) { // its group drops repeats for so long
 			if c.Read != clients.Write {
 				return n.Errorf("only writes have keys, and %q is none", c.Name)
@@ -322,47 +322,47 @@
 	}.Read(args[1:])
 }
 
-// jumps has the clients ask more, or less, where the faults say so.
-func (s *Script) jumps() {
+// setLoadSteps has the clients ask more, or less, where the faults say so.
+func (s *Script) setLoadSteps() {
 	for _, f := range s.Faults {
-		if f.What != "load" {
+		if f.Kind != "load" {
 			continue
 		}
-		to := f.At + f.For
-		if f.For == 0 {
+		to := f.At + f.Duration
+		if f.Duration == 0 {
 			to = s.Clients.Seconds * 1000
 		}
 		s.Clients.Jumps = append(s.Clients.Jumps, clients.Jump{From: f.At, To: to, Times: f.Value})
 	}
 }
 
-// Again makes all that follows from a script that was changed, and checks it.
-func (s *Script) Again() error {
+// CheckRoundTrip makes all that follows from a script that was changed, and checks it.
+func (s *Script) CheckRoundTrip() error {
 	s.Clients.Jumps = nil
 	if s.Agreed != nil && s.Agreed.Voters > s.Poolers {
 		return s.source.Errorf("of %d poolers %d cannot vote", s.Poolers, s.Agreed.Voters)
 	}
 	for i := range s.Faults {
-		if f := &s.Faults[i]; f.Who.Node != nil {
+		if f := &s.Faults[i]; f.Selector.Node != nil {
 			var err error
-			if f.Poolers, err = f.Who.of(s); err != nil {
+			if f.Poolers, err = f.Selector.poolers(s); err != nil {
 				return err
 			}
 		}
-		if f := &s.Faults[i]; f.OfLinks() && s.Peers != nil && f.From.Node != nil {
+		if f := &s.Faults[i]; f.OnPoolerLinks() && s.Peers != nil && f.From.Node != nil {
 			var err error
-			if f.Ends[0], err = f.From.of(s); err == nil {
-				f.Ends[1], err = f.To.of(s)
+			if f.Ends[0], err = f.From.poolers(s); err == nil {
+				f.Ends[1], err = f.To.poolers(s)
 			}
 			if err != nil {
 				return err
 			}
 		}
-		if err := s.check(&s.Faults[i]); err != nil {
+		if err := s.checkFault(&s.Faults[i]); err != nil {
 			return err
 		}
 	}
-	s.jumps()
+	s.setLoadSteps()
 	return nil
 }
 
--- a/internal/testkit/scenario/settings.go
+++ b/internal/testkit/scenario/settings.go
@@ -15,14 +15,14 @@
 // ConnectMs is the poolers' connect time-out.
 const ConnectMs = 250
 
-// plenty are descriptors that no emulated pooler runs out of.
-const plenty = 1 << 20
+// unlimitedSockets are descriptors that no emulated pooler runs out of.
+const unlimitedSockets = 1 << 20
 
 // MaxAttempts is the most that a pooler may send of one request.
 const MaxAttempts = 8
 
-// Told is what the platform tells the pooler of a number, in the form of its configuration file.
-func (s *Script) Told(no int, name, listen, disco string, seed uint64, sockets int, known discovery.List) map[string]any {
+// PoolerSettings is what the platform tells the pooler of a number, in the form of its configuration file.
+func (s *Script) PoolerSettings(no int, name, listen, disco string, seed uint64, sockets int, known discovery.List) map[string]any {
 	ns := func(ms float64) int64 { return int64(ms * 1e6) }
 	var classes []map[string]any
 	var reads []string
@@ -86,15 +86,15 @@
 
 // Config is what a pooler makes of that.
 func (s *Script) Config(no int, name string, seed uint64, known discovery.List) (*config.Config, error) {
-	b, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(s.Told(no, name, "127.0.0.1:1", "127.0.0.1:1", seed, plenty, known))
+	b, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(s.PoolerSettings(no, name, "127.0.0.1:1", "127.0.0.1:1", seed, unlimitedSockets, known))
 	if err != nil {
 		return nil, err
 	}
 	return config.Parse(b, func(string) string { return "" })
 }
 
-// Operators are the operators' settings that a scenario needs of a daemon, whose ClickHouse front listens at an address.
-func (s *Script) Operators(house string) string {
+// OperatorSettings are the operators' settings that a scenario needs of a daemon, whose ClickHouse front listens at an address.
+func (s *Script) OperatorSettings(house string) string {
 	if !s.Clients.ClickHouse {
 		return ""
 	}
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -12,14 +12,14 @@
 	"beechgrade/internal/testkit/netfault"
 )
 
-// asRead are forms that are written as they were read: their settings are no matter of a smaller scenario.
-var asRead = []string{"peers", "fleet-limits", "overload", "verdicts", "agreed", "credit", "pages", "journal"}
+// preservedKeywords are forms that are written as they were read: their settings are no matter of a smaller scenario.
+var preservedKeywords = []string{"peers", "fleet-limits", "overload", "verdicts", "agreed", "credit", "pages", "journal"}
 
 // Text writes a script down, so that it can be read again. Only what differs from the defaults is said. What comes again and again is written out.
 func (s *Script) Text() string {
 	var b strings.Builder
 	f, c, was, wc := &s.Fleet, &s.Clients, model.Defaults(3), clients.Defaults()
-	fmt.Fprintf(&b, "(rehearsal %s\n  (seconds %s) (poolers %d) (rate %s)\n  ", quote(s.Name), num(c.Seconds), s.Poolers, num(c.Rate))
+	fmt.Fprintf(&b, "(rehearsal %s\n  (seconds %s) (poolers %d) (rate %s)\n  ", quote(s.Name), formatNumber(c.Seconds), s.Poolers, formatNumber(c.Rate))
 	if same := len(f.Groups) > 4 && !slices.ContainsFunc(f.Groups, func(n int) bool { return n != f.Groups[0] }); same {
 		fmt.Fprintf(&b, "(groups-of %d %d)", len(f.Groups), f.Groups[0])
 	} else {
@@ -35,12 +35,12 @@
 	}
 	number := func(name string, is, was float64, unit string) {
 		if is != was {
-			fmt.Fprintf(&b, "\n  (%s %s%s)", name, num(is), unit)
+			fmt.Fprintf(&b, "\n  (%s %s%s)", name, formatNumber(is), unit)
 		}
 	}
 	both := func(name string, is, was [2]float64) {
 		if is != was {
-			fmt.Fprintf(&b, "\n  (%s %sms %sms)", name, num(is[0]), num(is[1]))
+			fmt.Fprintf(&b, "\n  (%s %sms %sms)", name, formatNumber(is[0]), formatNumber(is[1]))
 		}
 	}
 	yes := func(name string, is bool) {
@@ -81,9 +81,9 @@
 	number("allowance", c.Allowance, wc.Allowance, "")
 	number("over", c.Over, wc.Over, "")
 	for _, t := range c.Tenants {
-		fmt.Fprintf(&b, "\n  (tenant %s (share %s)", quote(t.Name), num(t.Share))
+		fmt.Fprintf(&b, "\n  (tenant %s (share %s)", quote(t.Name), formatNumber(t.Share))
 		if t.Usage != 1 {
-			fmt.Fprintf(&b, " (usage %s)", num(t.Usage))
+			fmt.Fprintf(&b, " (usage %s)", formatNumber(t.Usage))
 		}
 		b.WriteString(")")
 	}
@@ -124,30 +124,30 @@
 		if k == o {
 			continue
 		}
-		fmt.Fprintf(&b, "\n  (class %s (share %s) (aim %sms) (deadline %sms) (worth %s) (late %s) (bound %sms) (work %sms %sms)", quote(k.Name), num(k.Share), num(k.Aim),
-			num(k.Deadline), num(k.Worth), num(k.LateWorth), num(k.Bound), num(k.Work[0]), num(k.Work[1]))
+		fmt.Fprintf(&b, "\n  (class %s (share %s) (aim %sms) (deadline %sms) (worth %s) (late %s) (bound %sms) (work %sms %sms)", quote(k.Name), formatNumber(k.Share), formatNumber(k.Aim),
+			formatNumber(k.Deadline), formatNumber(k.Worth), formatNumber(k.LateWorth), formatNumber(k.Bound), formatNumber(k.Work[0]), formatNumber(k.Work[1]))
 		if k.KeyMs > 0 {
-			fmt.Fprintf(&b, " (keyed %sms)", num(k.KeyMs))
+			fmt.Fprintf(&b, " (keyed %sms)", formatNumber(k.KeyMs))
 		}
 		b.WriteString(")")
 	}
-	for _, n := range s.kept() {
+	for _, n := range s.preservedForms() {
 		b.WriteString("\n  " + textOf(n))
 	}
 	if c := s.Chaos; c.Faults > 0 {
-		fmt.Fprintf(&b, "\n  (chaos %d %sms %sms", c.Faults, num(c.From), num(c.To))
+		fmt.Fprintf(&b, "\n  (chaos %d %sms %sms", c.Faults, formatNumber(c.From), formatNumber(c.To))
 		for _, k := range c.Kinds {
 			b.WriteString(" " + k)
 		}
 		b.WriteString(")")
 	}
 	for _, x := range s.Faults {
-		if x.OfLinks() && x.Owner == "" && (len(x.Ends[0]) == 0 || len(x.Ends[1]) == 0) {
+		if x.OnPoolerLinks() && x.Owner == "" && (len(x.Ends[0]) == 0 || len(x.Ends[1]) == 0) {
 			continue // it was drawn between some poolers and none
 		}
-		fmt.Fprintf(&b, "\n  (at %sms (%s%s)", num(x.At), x.What, x.args())
-		if x.For > 0 {
-			fmt.Fprintf(&b, " (for %sms)", num(x.For))
+		fmt.Fprintf(&b, "\n  (at %sms (%s%s)", formatNumber(x.At), x.Kind, x.args())
+		if x.Duration > 0 {
+			fmt.Fprintf(&b, " (for %sms)", formatNumber(x.Duration))
 		}
 		b.WriteString(")")
 	}
@@ -158,25 +158,25 @@
 // args are a fault's arguments as they are written.
 func (f *Fault) args() string {
 	var b strings.Builder
-	switch f.What {
+	switch f.Kind {
 	case "list-gone", "list-silent", "deregister-all", "wrong-roles":
 	case "list-late":
-		fmt.Fprintf(&b, " %sms", num(f.Value))
+		fmt.Fprintf(&b, " %sms", formatNumber(f.Value))
 	case "load":
-		fmt.Fprintf(&b, " %s", num(f.Value))
+		fmt.Fprintf(&b, " %s", formatNumber(f.Value))
 	case "kill-pooler", "restart-pooler", "stall-pooler":
 		if f.Owner != "" {
 			return " owner " + quote(f.Owner)
 		}
 		fmt.Fprintf(&b, " %d", f.Target.Group)
 	case "limit":
-		fmt.Fprintf(&b, " %s %s%s", quote(f.Target.Word), num(f.Value), numbers(f.Ends[0]))
+		fmt.Fprintf(&b, " %s %s%s", quote(f.Target.Word), formatNumber(f.Value), formatNumbers(f.Ends[0]))
 	case "pay":
-		fmt.Fprintf(&b, " %s %d %s%s", quote(f.Target.Word), f.Number, num(f.Value), numbers(f.Ends[0]))
+		fmt.Fprintf(&b, " %s %d %s%s", quote(f.Target.Word), f.Number, formatNumber(f.Value), formatNumbers(f.Ends[0]))
 	case "links", "between":
 		fmt.Fprintf(&b, " %s %s%s", f.From.text(f.Ends[0]), f.To.text(f.Ends[1]), linkText(&f.Link))
 	case "route", "routes":
-		for _, names := range f.Places {
+		for _, names := range f.SiteNames {
 			b.WriteString(" (")
 			for i, name := range names {
 				if i > 0 {
@@ -188,29 +188,29 @@
 		}
 		b.WriteString(linkText(&f.Link))
 	default:
-		if f.OfWays() {
-			b.WriteString(" " + f.Who.text(f.Poolers))
+		if f.OnServerLinks() {
+			b.WriteString(" " + f.Selector.text(f.Poolers))
 		}
-		if f.What == "list-held" {
+		if f.Kind == "list-held" {
 			break
 		}
 		fmt.Fprintf(&b, " %s", f.Target)
-		if slices.Contains([]string{"crowd", "lag", "lose", "disk", "thin"}, f.What) {
-			fmt.Fprintf(&b, " %s", num(f.Value))
+		if slices.Contains([]string{"crowd", "lag", "lose", "disk", "thin"}, f.Kind) {
+			fmt.Fprintf(&b, " %s", formatNumber(f.Value))
 		}
 	}
 	return b.String()
 }
 
 // text names poolers as they were named, or those that were drawn.
-func (w whom) text(poolers []int) string {
+func (w poolerSelector) text(poolers []int) string {
 	if w.Node != nil {
 		return textOf(w.Node)
 	}
-	return "(" + strings.TrimPrefix(numbers(poolers), " ") + ")"
+	return "(" + strings.TrimPrefix(formatNumbers(poolers), " ") + ")"
 }
 
-func numbers(list []int) string {
+func formatNumbers(list []int) string {
 	var b strings.Builder
 	for _, n := range list {
 		fmt.Fprintf(&b, " %d", n)
@@ -229,25 +229,25 @@
 		is         float64
 	}{{"lose", "", l.LossRate}, {"duplicate", "", l.DuplicateRate}, {"reorder", "", l.ReorderRate}, {"slow", "ms", l.DelayMs}} {
 		if x.is > 0 {
-			fmt.Fprintf(&b, " (%s %s%s)", x.name, num(x.is), x.unit)
+			fmt.Fprintf(&b, " (%s %s%s)", x.name, formatNumber(x.is), x.unit)
 		}
 	}
 	return b.String()
 }
 
-// kept are the forms that are written as they were read.
-func (s *Script) kept() (out []*sexp.Node) {
+// preservedForms are the forms that are written as they were read.
+func (s *Script) preservedForms() (out []*sexp.Node) {
 	on := map[string]bool{"peers": s.Peers != nil, "fleet-limits": s.Limits != nil, "overload": s.Overload != nil, "verdicts": s.Verdicts != nil, "agreed": s.Agreed != nil, "credit": s.Credit != nil,
 		"pages": s.Pages != nil, "journal": s.Journal != nil}
 	for _, n := range s.source.Args() {
-		if h := n.Head(); slices.Contains(asRead, h) && on[h] || h == "on-sockets" {
+		if h := n.Head(); slices.Contains(preservedKeywords, h) && on[h] || h == "on-sockets" {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-func num(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
+func formatNumber(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 
 func quote(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
--- a/internal/testkit/scenario/text_test.go
+++ b/internal/testkit/scenario/text_test.go
@@ -42,7 +42,7 @@
 func plain(s *Script) map[string]any {
 	c := s.Clone()
 	out := map[string]any{}
-	for _, n := range c.kept() {
+	for _, n := range c.preservedForms() {
 		out["form "+n.Head()] = textOf(n)
 	}
 	var smaller []string
@@ -52,13 +52,13 @@
 	out["smaller"] = smaller
 	c.source, c.smaller, c.Overload, c.Credit, c.Pages, c.Limits, c.Verdicts, c.Agreed = nil, nil, nil, nil, nil, nil, nil, nil // by their forms
 	c.Faults = slices.DeleteFunc(c.Faults, func(f Fault) bool {
-		return f.OfLinks() && f.Owner == "" && (len(f.Ends[0]) == 0 || len(f.Ends[1]) == 0)
+		return f.OnPoolerLinks() && f.Owner == "" && (len(f.Ends[0]) == 0 || len(f.Ends[1]) == 0)
 	})
 	for i := range c.Faults {
 		f := &c.Faults[i]
 		f.Pos.Line, f.Pos.Col, f.Pos.File = 0, 0, ""
-		f.Who, f.From, f.To = whom{}, whom{}, whom{}
-		if f.OfLinks() || !slices.Contains([]string{"crowd", "lag", "lose", "disk", "thin", "list-late", "load", "limit", "pay"}, f.What) {
+		f.Selector, f.From, f.To = poolerSelector{}, poolerSelector{}, poolerSelector{}
+		if f.OnPoolerLinks() || !slices.Contains([]string{"crowd", "lag", "lose", "disk", "thin", "list-late", "load", "limit", "pay"}, f.Kind) {
 			f.Value = 0 // it was drawn for nothing
 		}
 	}
@@ -82,7 +82,7 @@
 func TestTextTakesEveryWord(t *testing.T) {
 	s, _ := Parse("s", []byte(`(rehearsal "x")`))
 	var all []string
-	for w := range s.form() {
+	for w := range s.schema() {
 		if len(words[w]) == 0 {
 			t.Errorf("no value of %q is drawn", w)
 		}
@@ -115,7 +115,7 @@
 			t.Fatal(err)
 		}
 		same(t, s)
-		if d, err := s.Drawn(uint64(rapid.IntRange(0, 99).Draw(t, "seed"))); err == nil { // faults of ways do not go with Consul
+		if d, err := s.Draw(uint64(rapid.IntRange(0, 99).Draw(t, "seed"))); err == nil { // faults of ways do not go with Consul
 			s = d
 			same(t, s)
 		}
@@ -123,7 +123,7 @@
 			read[w]++
 		}
 		for _, f := range s.Faults {
-			read["(at "+f.What+")"]++
+			read["(at "+f.Kind+")"]++
 		}
 	})
 	for _, w := range all {
@@ -131,7 +131,7 @@
 			t.Errorf("%q was never written", w)
 		}
 	}
-	for w := range faults {
+	for w := range faultReaders {
 		if read["(at "+w+")"] == 0 && w != "power" { // which is written as what it does
 			t.Errorf("(at %s) was never written", w)
 		}
@@ -156,7 +156,7 @@
 		t.Run(fmt.Sprint(filepath.Base(path)), func(t *testing.T) {
 			same(t, s)
 			for seed := range uint64(5) {
-				d, err := s.Drawn(seed)
+				d, err := s.Draw(seed)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/testkit/scenario/topology.go
+++ b/internal/testkit/scenario/topology.go
@@ -7,8 +7,8 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// sites reads (sites NAME NAME ...).
-func (s *Script) sites(n *sexp.Node) error {
+// readSites reads (sites NAME NAME ...).
+func (s *Script) readSites(n *sexp.Node) error {
 	for _, a := range n.Args() {
 		if a.Kind == sexp.List || a.Text == "" || slices.Contains(s.Sites, a.Text) {
 			return a.Errorf("a site's name, each once, is due")
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// regions reads (regions N N ...): how many of the sites, in their order, each region has.
-func (s *Script) regions(n *sexp.Node) error {
+// readRegions reads (regions N N ...): how many of the sites, in their order, each region has.
+func (s *Script) readRegions(n *sexp.Node) error {
 	for i, a := range n.Args() {
 		x, err := a.Number(1, maxSites)
 		if err != nil {
@@ -62,7 +62,7 @@
 	return s.Cross
 }
 
-func spans(n *sexp.Node, to *[2]float64) (err error) {
+func readRange(n *sexp.Node, to *[2]float64) (err error) {
 	a := n.Args()
 	if len(a) != 2 {
 		return n.Errorf("(%s LEAST MOST) takes two times", n.Head())
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func (s *Script) groups(n *sexp.Node) error {
+func (s *Script) readGroups(n *sexp.Node) error {
 	s.Fleet.Groups = nil
 	sum := 0
 	for _, a := range n.Args() {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// groupsOf reads (groups-of NUMBER MEMBERS): many groups of one size.
-func (s *Script) groupsOf(n *sexp.Node) error {
+// readGroupsOf reads (groups-of NUMBER MEMBERS): many groups of one size.
+func (s *Script) readGroupsOf(n *sexp.Node) error {
 	a := n.Args()
 	if len(a) != 2 {
 		return n.Errorf("(groups-of NUMBER MEMBERS) takes two numbers")
--- a/internal/testkit/scenario/verdicts.go
+++ b/internal/testkit/scenario/verdicts.go
@@ -11,8 +11,8 @@
 	node *sexp.Node
 }
 
-// verdicts reads (verdicts ...), as the operators' settings have it.
-func (s *Script) verdicts(n *sexp.Node) error {
+// readOutlierDetection reads (verdicts ...), as the operators' settings have it.
+func (s *Script) readOutlierDetection(n *sexp.Node) error {
 	set, err := settings.ReadOutlierDetection(n)
 	s.Verdicts = &Verdicts{*set, n}
 	return err
--- a/internal/testkit/scenario/ways_test.go
+++ b/internal/testkit/scenario/ways_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err = s.Drawn(3); err != nil {
+	if s, err = s.Draw(3); err != nil {
 		t.Fatal(err)
 	}
 	if want := [][]int{{1, 3}, {4, 0}, {0, 1, 2, 3, 4}}; !reflect.DeepEqual([][]int{s.Faults[0].Poolers, s.Faults[1].Poolers, s.Faults[2].Poolers}, want) {
@@ -23,8 +23,8 @@
 		t.Fatalf("%v\n%s", err, s.Text())
 	}
 	for i, f := range s.Faults {
-		if g := again.Faults[i]; !reflect.DeepEqual(f.Poolers, g.Poolers) || f.What != g.What || f.Target != g.Target || f.Value != g.Value {
-			t.Errorf("%s %v %v became %s %v %v", f.What, f.Poolers, f.Target, g.What, g.Poolers, g.Target)
+		if g := again.Faults[i]; !reflect.DeepEqual(f.Poolers, g.Poolers) || f.Kind != g.Kind || f.Target != g.Target || f.Value != g.Value {
+			t.Errorf("%s %v %v became %s %v %v", f.Kind, f.Poolers, f.Target, g.Kind, g.Poolers, g.Target)
 		}
 	}
 }
--- a/internal/testkit/scenario/zones.go
+++ b/internal/testkit/scenario/zones.go
@@ -6,25 +6,25 @@
 	"beechgrade/internal/sexp"
 )
 
-// aSite reads (power SITE): a site loses its power, its poolers and its servers with it, and has it again cold.
-func aSite(f *Fault, n *sexp.Node) (err error) {
+// readPowerFault reads (power SITE): a site loses its power, its poolers and its servers with it, and has it again cold.
+func readPowerFault(f *Fault, n *sexp.Node) (err error) {
 	f.Target.Kind = "site"
 	f.Target.Word, err = n.Str()
 	return err
 }
 
-// aRoute reads (route SITES SITES WHAT...): what befalls the ways from the poolers of some sites to the servers and poolers of others, where SITES
+// readRouteFault reads (route SITES SITES WHAT...): what befalls the ways from the poolers of some sites to the servers and poolers of others, where SITES
 // is a site or (SITE...), and WHAT as of links; (routes ...): both ways.
-func aRoute(f *Fault, n *sexp.Node) error {
+func readRouteFault(f *Fault, n *sexp.Node) error {
 	a := n.Args()
 	if len(a) < 3 {
 		return n.Errorf("(%s SITES SITES WHAT...), where SITES is a site or a list of some, and WHAT is cut, (lose X) or (slow TIME)", n.Head())
 	}
-	if err := aLink(f, n); err != nil {
+	if err := readLinkFault(f, n); err != nil {
 		return err
 	}
 	f.Both, f.From.Node, f.To.Node = n.Head() == "routes", nil, nil
-	for i := range f.Places {
+	for i := range f.SiteNames {
 		list := []*sexp.Node{a[i]}
 		if a[i].Kind == sexp.List {
 			list = a[i].Items
@@ -33,17 +33,17 @@
 			if x.Kind == sexp.List || x.Text == "" {
 				return x.Errorf("a site's name is due")
 			}
-			f.Places[i] = append(f.Places[i], x.Text)
+			f.SiteNames[i] = append(f.SiteNames[i], x.Text)
 		}
 	}
 	return nil
 }
 
-// OfRoutes tells whether a fault is one of the ways between sites.
-func (f *Fault) OfRoutes() bool { return f.What == "route" || f.What == "routes" }
+// OnSiteLinks tells whether a fault is one of the ways between sites.
+func (f *Fault) OnSiteLinks() bool { return f.Kind == "route" || f.Kind == "routes" }
 
-// sited finds the sites that a fault names, with the poolers there.
-func (s *Script) sited(f *Fault) error {
+// resolveSites finds the sites that a fault names, with the poolers there.
+func (s *Script) resolveSites(f *Fault) error {
 	find := func(name string) (int, error) {
 		i := slices.Index(s.Sites, name)
 		if i < 0 {
@@ -55,17 +55,17 @@
 		_, err := find(f.Target.Word)
 		return err
 	}
-	if !f.OfRoutes() {
+	if !f.OnSiteLinks() {
 		return nil
 	}
-	for i, names := range f.Places {
-		f.Sited[i], f.Ends[i] = nil, nil
+	for i, names := range f.SiteNames {
+		f.SiteNumbers[i], f.Ends[i] = nil, nil
 		for _, name := range names {
 			at, err := find(name)
 			if err != nil {
 				return err
 			}
-			f.Sited[i] = append(f.Sited[i], at)
+			f.SiteNumbers[i] = append(f.SiteNumbers[i], at)
 			for p := at; p < s.Poolers; p += len(s.Sites) {
 				f.Ends[i] = append(f.Ends[i], p)
 			}
@@ -74,19 +74,19 @@
 	return nil
 }
 
-// powered has a site's loss of power be what it does to each pooler and server there.
-func (s *Script) powered(faults []Fault) (out []Fault) {
+// expandPowerFaults has a site's loss of power be what it does to each pooler and server there.
+func (s *Script) expandPowerFaults(faults []Fault) (out []Fault) {
 	for _, f := range faults {
-		if f.What != "power" {
+		if f.Kind != "power" {
 			out = append(out, f)
 			continue
 		}
 		servers := f
-		servers.What = "die"
+		servers.Kind = "die"
 		out = append(out, servers)
 		for p := max(0, slices.Index(s.Sites, f.Target.Word)); len(s.Sites) > 0 && p < s.Poolers; p += len(s.Sites) {
 			x := f
-			x.What, x.Target = "kill-pooler", Target{Kind: "pooler", Group: p}
+			x.Kind, x.Target = "kill-pooler", Target{Kind: "pooler", Group: p}
 			out = append(out, x)
 		}
 	}
--- a/internal/testkit/simulation/emulate.go
+++ b/internal/testkit/simulation/emulate.go
@@ -141,7 +141,7 @@
 
 // Run plays a scenario from its start to its end.
 func Run(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
-	s, err := s.Drawn(opt.Seed)
+	s, err := s.Draw(opt.Seed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testkit/simulation/funds.go
+++ b/internal/testkit/simulation/funds.go
@@ -66,7 +66,7 @@
 func (f *prepaidFunds) pay(x *scenario.Fault) {
 	p := lessor.Payment{Tenant: x.Target.Word, Number: uint64(x.Number), Amount: int64(x.Value)}
 	f.paymentRead(f.sim.sched.now, p)
-	for _, no := range x.Struck(f.sim.script) {
+	for _, no := range x.AffectedPoolers(f.sim.script) {
 		if slices.Contains(f.paymentsRead[no], p) {
 			continue
 		}
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -173,11 +173,11 @@
 
 // changeLimit has a limit be another at some poolers.
 func (sim *Simulation) changeLimit(f *scenario.Fault) {
-	for _, no := range f.Struck(sim.script) {
+	for _, no := range f.AffectedPoolers(sim.script) {
 		p := sim.poolers[no]
-		p.reload(scenario.Changed(*p.limits, f.Target.Word, f.Value))
+		p.reload(scenario.WithLimit(*p.limits, f.Target.Word, f.Value))
 	}
-	sim.check.LimitChanged(sim.sched.now, f.Target.Word, f.Struck(sim.script), len(sim.poolers), f.Value, sim.script.Lowered(f))
+	sim.check.LimitChanged(sim.sched.now, f.Target.Word, f.AffectedPoolers(sim.script), len(sim.poolers), f.Value, sim.script.LoweringDelayMs(f))
 }
 
 func (f *peerFleet) limitsResult() *Limits {
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -53,7 +53,7 @@
 func Bounds(s *scenario.Script, f int) checker.ViewConfig {
 	v, delay, lossy := s.Peers.View, max(s.Way[1], s.Cross[1]), false
 	for i := range s.Faults {
-		if x := &s.Faults[i]; x.OfLinks() {
+		if x := &s.Faults[i]; x.OnPoolerLinks() {
 			lossy = lossy || x.Link.LossRate > 0
 			held := 0.0
 			if x.Link.DuplicateRate > 0 || x.Link.ReorderRate > 0 {
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -61,7 +61,7 @@
 	s.Credit.Payments[0].Amount = max(60*mean, int64(c.Rate)*mean/4) // of the first one's: gone within the time
 	s.Pages.Class, s.Pages.Tenant = c.Classes[0].Name, c.Tenants[1].Name
 	for i := range s.Faults {
-		if x := &s.Faults[i]; x.What == "pay" {
+		if x := &s.Faults[i]; x.Kind == "pay" {
 			x.Target.Word, x.Value = c.Tenants[0].Name, float64(s.Credit.Payments[0].Amount/2)
 		}
 	}
--- a/internal/testkit/simulation/strike.go
+++ b/internal/testkit/simulation/strike.go
@@ -9,23 +9,23 @@
 // injectFault carries out a fault, and has it end at its time.
 func (sim *Simulation) injectFault(f *scenario.Fault) {
 	later := func(do func()) {
-		if f.For > 0 {
-			sim.sched.After(f.For, model.Func(do), 0)
+		if f.Duration > 0 {
+			sim.sched.After(f.Duration, model.Func(do), 0)
 		}
 	}
 	f = f.Resolved(sim.limitOwner)
-	groups, poolers := f.Where(sim.script)
+	groups, poolers := f.Affected(sim.script)
 	sim.check.FaultInjected(sim.sched.now, f.Until(sim.sched.now), groups, poolers)
-	switch f.What {
+	switch f.Kind {
 	case "load": // the plan has it
 	case "route", "routes":
 		strike := func(on bool) {
-			sim.siteLinks.SetFault(f.Sited[0], f.Sited[1], &f.Link, on)
+			sim.siteLinks.SetFault(f.SiteNumbers[0], f.SiteNumbers[1], &f.Link, on)
 			if f.Both {
-				sim.siteLinks.SetFault(f.Sited[1], f.Sited[0], &f.Link, on)
+				sim.siteLinks.SetFault(f.SiteNumbers[1], f.SiteNumbers[0], &f.Link, on)
 			}
 			if sim.fleet != nil {
-				f.Strike(sim.fleet.net, on)
+				f.SetLinks(sim.fleet.net, on)
 				sim.fleet.check.FaultChanged(sim.sched.now)
 			}
 			sim.check.FaultChanged(sim.sched.now, map[bool]int{true: 1, false: -1}[on])
@@ -34,7 +34,7 @@
 		later(func() { strike(false) })
 	case "links", "between":
 		strike := func(on bool) {
-			f.Strike(sim.fleet.net, on)
+			f.SetLinks(sim.fleet.net, on)
 			sim.fleet.check.FaultChanged(sim.sched.now)
 			sim.check.FaultChanged(sim.sched.now, map[bool]int{true: 1, false: -1}[on])
 			if f.Link.LossRate > 0 {
@@ -72,15 +72,15 @@
 		sim.poolers[f.Target.Group].restart()
 		sim.check.FaultChanged(sim.sched.now, 0)
 	case "stall-pooler":
-		sim.check.FaultChanged(sim.sched.now+f.For, 0)
+		sim.check.FaultChanged(sim.sched.now+f.Duration, 0)
 		p := sim.poolers[f.Target.Group]
-		p.pausedUntil = max(p.pausedUntil, sim.sched.now+max(1, f.For))
+		p.pausedUntil = max(p.pausedUntil, sim.sched.now+max(1, f.Duration))
 		sim.check.Paused(sim.sched.now, p.no, p.pausedUntil)
 		if sim.fleet != nil {
 			sim.fleet.check.Paused(sim.sched.now, p.no, p.pausedUntil)
 		}
 	case "cut", "thin":
-		servers := f.Target.Of(sim.world)
+		servers := f.Target.Servers(sim.world)
 		f = f.AtProber(sim.prober, servers)
 		sim.links.inject(f, servers, true)
 		later(func() { sim.links.inject(f, servers, false) })
@@ -88,8 +88,8 @@
 		sim.links.holdLists(f.Poolers, true)
 		later(func() { sim.links.holdLists(f.Poolers, false) })
 	default:
-		begin, end := f.Acts()
-		for _, s := range f.Target.Of(sim.world) {
+		begin, end := f.Actions()
+		for _, s := range f.Target.Servers(sim.world) {
 			_ = begin(sim.world, s.Name) // the name is the model's own
 			later(func() { _ = end(sim.world, s.Name) })
 		}
--- a/internal/testkit/simulation/ways.go
+++ b/internal/testkit/simulation/ways.go
@@ -26,9 +26,9 @@
 		for _, s := range servers {
 			k := p*w.servers + s.No
 			switch {
-			case f.What == "cut" && on:
+			case f.Kind == "cut" && on:
 				w.cut[k]++
-			case f.What == "cut":
+			case f.Kind == "cut":
 				w.cut[k]--
 			case on:
 				w.lossy[k] = append(w.lossy[k], f.Value)
--- a/internal/testkit/sizes/measure.go
+++ b/internal/testkit/sizes/measure.go
@@ -103,7 +103,7 @@
 	}
 	address := l.Addr().String()
 	_ = l.Close()
-	told, err := json.Marshal(script.Told(0, "sizes", address, fleet.address, 1, descriptors, fleet.known()))
+	told, err := json.Marshal(script.PoolerSettings(0, "sizes", address, fleet.address, 1, descriptors, fleet.known()))
 	if err != nil {
 		return nil, err
 	}
