--- a/internal/cluster/overload/collector.go
+++ b/internal/cluster/overload/collector.go
@@ -6,338 +6,232 @@
 	"slices"
 )
 
-// peerReport is what a process told last of a group.
+// Constants of a collector's decisions.
+const (
+	admittedRatioSeconds  = 3.0  // over which admittedRatio follows
+	minEndedRate          = 4    // requests a second: fewer are no evidence
+	fastDecayRate         = 0.15 // of peakServed, a second, where the servers seem to do less
+	slowRate              = 0.05 // of peakServed, a second, and of the budget's first growth
+	overBudgetFactor      = 1.3  // more admitted than this: the last decision does not take effect yet
+	minAdmittedShare      = 0.75 // of what is served
+	minAdmittedRatio      = 0.2
+	spareFactor           = 1.5  // a budget of so many times the demand is none
+	levelTolerance        = 0.02 // a level that is right to this part stays
+	servedLessFactor      = 0.8  // of peakServed: fewer are served
+	delayFactor           = 2    // times DelayTarget: too much is outstanding
+	strainFactor          = 3    // times StrainTarget: a budget starts
+	strainWithDelayFactor = 2    // a budget starts at StrainTarget over this, where too much is outstanding
+	msPerSecond           = 1000
+)
+
+// peerReport is the last report of a process on a group.
 type peerReport struct {
 	id         ID
 	sequence   uint32
-	reportedAt float64 // not before then it was told
+	reportedAt float64 // the earliest time, by this process's clock
 	work       []KeyedValue
 	load       GroupLoad
 }
 
-// collected is what a collector makes of a group.
+// collected is a collector's state of a group.
 type collected struct {
 	decidedAt     float64 // 0 for never
-	admittedRatio float64 // of the budget, lately
-	since         float64 // it collects
-	peakServed    float64 // that was served, lately
-	calmSeconds   float64 // s without strain
+	since         float64 // it collects without interruption since then
+	admittedRatio float64 // what was admitted lately, as a part of the budget
+	peakServed    float64 // the most work a second that was served lately
+	calmSeconds   float64 // without strain
 	decision      ShedDecision
 }
 
-// handleReport takes what a process tells, and answers.
-func (controller *Controller) handleReport(from ID, t *LoadReport) {
+// handleReport takes a report over and answers it. A report whose age is not bounded by the time that it brings back does not count.
+func (controller *Controller) handleReport(from ID, report *LoadReport) {
 	if from != controller.self && controller.addresses[from] == "" {
 		return
 	}
-	age := controller.now - t.CollectorTime - t.HeldMs
-	counts := from == controller.self || t.CollectorTime > 0 && t.HeldMs >= 0 && age >= -controller.settings.StaleAfter && age <= controller.settings.StaleAfter
-	a := &ShedDecisions{Sequence: t.Sequence, CollectorTime: controller.now, Order: controller.collectorOrder}
-	for i := range t.Groups {
-		p := &t.Groups[i]
-		group := controller.group(p.Group)
-		if group == nil || !p.valid() {
+	age := controller.now - report.CollectorTime - report.HeldMs
+	stale := controller.settings.StaleAfter
+	bounded := report.CollectorTime > 0 && report.HeldMs >= 0 && age >= -stale && age <= stale
+	counts := from == controller.self || bounded
+	answer := &ShedDecisions{Sequence: report.Sequence, CollectorTime: controller.now, Order: controller.collectorOrder}
+	for i := range report.Groups {
+		load := &report.Groups[i]
+		group := controller.group(load.Group)
+		if group == nil || !load.valid() {
 			continue
 		}
 		if counts {
-			group.recordReport(&peerReport{from, t.Sequence, controller.now - max(0, age), t.Work, *p}, controller.self == from, controller.now)
+			reportedAt := controller.now - max(0, age)
+			if from == controller.self {
+				reportedAt = controller.now
+			}
+			group.recordReport(&peerReport{from, report.Sequence, reportedAt, report.Work, *load})
 		}
-		if group.collected.decidedAt > 0 && controller.now-group.collected.decidedAt <= controller.settings.StaleAfter {
-			a.Groups = append(a.Groups, group.collected.decision)
+		if controller.decidedLately(&group.collected) {
+			answer.Groups = append(answer.Groups, group.collected.decision)
 		}
 	}
-	controller.enqueue(Action{Kind: SendDecisions, To: from, Decisions: a})
+	controller.enqueue(Action{Kind: SendDecisions, To: from, Decisions: answer})
+}
+
+func (controller *Controller) decidedLately(c *collected) bool {
+	return c.decidedAt > 0 && controller.now-c.decidedAt <= controller.settings.StaleAfter
 }
 
+// valid reports whether the numbers of a received load are in their ranges.
 func (p *GroupLoad) valid() bool {
-	ok := finite(p.Budget) && finite(p.Level) && len(p.Classes) <= MaxClasses && len(p.Tenants) <= MaxTenants
-	for _, f := range p.Classes {
-		ok = ok && finite(f.FirstAttempts) && finite(f.Retries) && finite(f.Admitted) && finite(f.Open) && finite(f.Served) && finite(f.Ended) && finite(f.Strain)
+	if !finite(p.Budget) || !finite(p.Level) || len(p.Classes) > MaxClasses || len(p.Tenants) > MaxTenants {
+		return false
 	}
-	for _, f := range p.Tenants {
-		ok = ok && finite(f.Value)
+	for _, c := range p.Classes {
+		for _, x := range [...]float64{c.FirstAttempts, c.Retries, c.Admitted, c.Open, c.Served, c.Ended, c.Strain} {
+			if !finite(x) {
+				return false
+			}
+		}
 	}
-	return ok
+	return !slices.ContainsFunc(p.Tenants, func(tenant KeyedValue) bool { return !finite(tenant.Value) })
 }
 
-func (group *groupState) recordReport(t *peerReport, own bool, now float64) {
-	if own {
-		t.reportedAt = now
-	}
-	i, ok := slices.BinarySearchFunc(group.reports, t.id, func(x *peerReport, id ID) int { return cmp.Compare(x.id, id) })
+// recordReport keeps the newest report of each process.
+func (group *groupState) recordReport(report *peerReport) {
+	i, known := slices.BinarySearchFunc(group.reports, report.id, func(r *peerReport, id ID) int { return cmp.Compare(r.id, id) })
 	switch {
-	case ok && t.sequence <= group.reports[i].sequence: // doubled, or overtaken
-	case ok:
-		group.reports[i] = t
+	case known && report.sequence <= group.reports[i].sequence: // duplicated or reordered
+	case known:
+		group.reports[i] = report
 	case len(group.reports) < MaxPeers:
-		group.reports = slices.Insert(group.reports, i, t)
+		group.reports = slices.Insert(group.reports, i, report)
 	}
 }
 
-// collect makes verdicts of what was told lately.
+// collect decides on all groups with recent reports.
 func (controller *Controller) collect() {
-	work := map[uint16][]float64{}
-	seen := map[ID]bool{}
+	estimates := map[uint16][]float64{}
+	reporters := map[ID]bool{}
 	for _, group := range controller.sortedGroups {
-		group.reports = slices.DeleteFunc(group.reports, func(t *peerReport) bool { return controller.now-t.reportedAt > controller.settings.StaleAfter })
-		for _, t := range group.reports {
-			if seen[t.id] {
-				continue
-			}
-			seen[t.id] = true
-			for _, f := range t.work {
-				if _, ok := controller.priority[f.Key]; ok && finite(f.Value) && f.Value > 0 {
-					work[f.Key] = append(work[f.Key], f.Value)
-				}
+		group.reports = slices.DeleteFunc(group.reports, func(r *peerReport) bool {
+			return controller.now-r.reportedAt > controller.settings.StaleAfter
+		})
+		for _, report := range group.reports {
+			if !reporters[report.id] {
+				reporters[report.id] = true
+				controller.addEstimates(estimates, report)
 			}
 		}
 	}
-	mid := map[uint16]float64{}
-	for k := range controller.priority { // each on its own
-		if mid[k] = lowerMedian(work[k]); mid[k] == 0 {
-			mid[k] = 1
+	work := map[uint16]float64{}
+	for class := range controller.priority {
+		work[class] = lowerMedian(estimates[class])
+		if work[class] == 0 {
+			work[class] = 1
 		}
 	}
-	if len(seen) > 0 {
-		controller.collectorOrder = orderClasses(controller.collectorOrder, controller.priority, mid, controller.objective)
+	if len(reporters) > 0 {
+		controller.collectorOrder = orderClasses(controller.collectorOrder, controller.priority, work, controller.objective)
 	}
 	for _, group := range controller.sortedGroups {
 		if len(group.reports) > 0 {
-			controller.decide(group, mid)
+			controller.decide(group, work)
+		}
+	}
+}
+
+// addEstimates adds a report's estimates of the work of known classes.
+func (controller *Controller) addEstimates(estimates map[uint16][]float64, report *peerReport) {
+	for _, estimate := range report.work {
+		if _, known := controller.priority[estimate.Key]; known && finite(estimate.Value) && estimate.Value > 0 {
+			estimates[estimate.Key] = append(estimates[estimate.Key], estimate.Value)
 		}
 	}
 }
 
-// decide brings a group's budget up to date and makes a level of it.
+// decide updates a group's budget and makes a level of it.
 func (controller *Controller) decide(group *groupState, work map[uint16]float64) {
-	s := controller.sumReports(group, work)
+	totals := controller.sumReports(group, work)
 	c := &group.collected
-	dt := min(controller.settings.StaleAfter, controller.now-c.decidedAt) / 1000
-	budget := medianBudget(s.budgets)
-	if c.decidedAt > 0 && controller.now-c.decidedAt <= controller.settings.StaleAfter && budget > 0 && c.decision.Budget > budget/toleranceFactor && c.decision.Budget < budget*toleranceFactor {
-		budget = c.decision.Budget
-	}
-	switch {
-	case c.decision.Level == 0 || budget == 0:
+	seconds := min(controller.settings.StaleAfter, controller.now-c.decidedAt) / msPerSecond
+	budget := controller.startingBudget(c, &totals)
+	if c.decision.Level == 0 || budget == 0 {
 		c.admittedRatio = 1
-	default:
-		c.admittedRatio += (s.admitted/budget - c.admittedRatio) * min(1, dt/admittedRatioSeconds)
+	} else {
+		c.admittedRatio += (totals.admitted/budget - c.admittedRatio) * min(1, seconds/admittedRatioSeconds)
 	}
-	if c.decidedAt == 0 || controller.now-c.decidedAt > controller.settings.StaleAfter {
+	if !controller.decidedLately(c) {
 		c.since, c.peakServed, c.calmSeconds = controller.now, 0, 0
 	}
-	controller.updatePeakServed(c, &s, budget, dt)
-	strained := s.strain > controller.settings.StrainTarget || s.delay > 2*controller.settings.DelayTarget
-	if c.calmSeconds += dt; strained && s.ended >= minEndedRate {
-		c.calmSeconds = 0
-	}
-	switch {
-	case controller.now-c.since < controller.settings.StaleAfter: // it may not have heard of all yet: what others know stands
-	case budget == 0:
-		if s.ended >= minEndedRate && (s.strain > 3*controller.settings.StrainTarget || strained && s.strain > controller.settings.StrainTarget/2 && s.delay > 2*controller.settings.DelayTarget) {
-			budget = c.peakServed
-		}
-	case !strained || s.ended < minEndedRate: // the longer nobody is late, the faster
-		budget *= 1 + min(controller.settings.GrowthRate, slowRate*math.Exp2(c.calmSeconds))*dt
-	case s.admitted > overBudgetFactor*budget*max(1, c.admittedRatio): // what was decided is not felt yet
-	default:
-		budget = c.peakServed / max(0.2, min(1, c.admittedRatio)) * max(minAdmittedShare, min(1, 1+(controller.settings.DelayTarget-s.delay)/controller.settings.BacklogDivisor))
-	}
-	if budget > spareFactor*s.total { // more than anybody wants: there is no overload
+	controller.updatePeakServed(c, &totals, budget, seconds)
+	budget = controller.nextBudget(c, &totals, budget, seconds)
+	if budget > spareFactor*totals.total { // more than anybody wants: there is no overload
 		budget = 0
 	}
-	v := ShedDecision{Group: group.id, Budget: budget}
-	if budget > 0 {
-		v.BeyondQuota = s.beyondQuota(controller, budget)
-		demand := s.cellDemand(controller, v.BeyondQuota)
-		v.Level = levelFor(demand, s.total-budget)
-		if was := lowerMedian(s.levels); was > 0 && v.Level > 0 {
-			if lets := admittedDemand(demand, was); lets > budget*(1-levelTolerance) && lets < budget*(1+levelTolerance) {
-				v.Level = was
-			}
-		}
-	}
-	c.decidedAt, c.decision = controller.now, v
-}
-
-// updatePeakServed keeps what was served at most lately: what the servers can do. It fades, and faster where less is served though as much was let in.
-func (controller *Controller) updatePeakServed(c *collected, s *groupTotals, budget, dt float64) {
-	fade := slowRate
-	if s.strain > controller.settings.StrainTarget && (budget == 0 || s.admitted <= overBudgetFactor*budget) && s.served < 0.8*c.peakServed && s.served < s.admitted {
-		fade = fastDecayRate
-	}
-	c.peakServed = max(s.served, c.peakServed*(1-min(1, fade*dt)))
-}
-
-// Of judging.
-const (
-	admittedRatioSeconds  = 3.0  // s
-	minEndedRate          = 4    // a second: fewer prove nothing
-	fastDecayRate         = 0.15 // of what was served at most, a second, that is forgotten where the servers seem to do less
-	overBudgetFactor      = 1.3
-	slowRate              = 0.05 // of the budget, a second, that it grows by at first
-	minAdmittedShare      = 0.75 // of what is served is let in at least
-	collectorBudgetFactor = 1.5  // collectors' budgets may be by this factor
-	spareFactor           = 1.5  // ...and above what is wanted is no budget
-	levelTolerance        = 0.02 // a level that is right to this part stays
-	minReportsToTrim      = 4    // from so many on, one may lie
-)
-
-// groupTotals are those of all that was told of a group, nobody's word above all others' together. In work a second.
-type groupTotals struct {
-	classes         map[uint16]ClassLoad
-	tenants         []KeyedValue // by key
-	total           float64
-	admitted        float64
-	served          float64
-	ended           float64 // requests
-	objective       float64 // s, on average
-	strain          float64
-	delay           float64 // what is out by what is answered, as a part of the aims
-	budgets, levels []float64
+	c.decision = controller.decisionFor(group.id, &totals, budget)
+	c.decidedAt = controller.now
 }
 
-func (controller *Controller) sumReports(group *groupState, work map[uint16]float64) groupTotals {
-	s := groupTotals{classes: map[uint16]ClassLoad{}}
-	asks := make([]float64, len(group.reports))
-	all := 0.0
-	for i, t := range group.reports {
-		for _, f := range t.load.Classes {
-			asks[i] += max(f.FirstAttempts+f.Retries, f.Ended) * work[f.Key]
-		}
-		all += asks[i]
-	}
-	tenants, aims := map[uint16]float64{}, 0.0
-	parts := make([]float64, len(group.reports))
-	for i, t := range group.reports {
-		part := 1.0
-		if others := all - asks[i]; len(group.reports) >= minReportsToTrim && asks[i] > others {
-			part = others / asks[i]
-		}
-		parts[i] = part
-		for _, f := range t.load.Classes {
-			if _, ok := controller.priority[f.Key]; !ok {
-				continue
-			}
-			x := s.classes[f.Key]
-			x.FirstAttempts += part * f.FirstAttempts
-			x.Retries += part * f.Retries
-			x.Served += part * min(f.Served, f.Ended)
-			x.Ended += part * f.Ended
-			x.Open += part * f.Open
-			s.classes[f.Key] = x
-			s.total += part * (f.FirstAttempts + f.Retries) * work[f.Key]
-			s.admitted += part * f.Admitted * work[f.Key]
-			aims += part * f.Ended * controller.objective[f.Key]
-			s.served += part * min(f.Served, f.Ended) * work[f.Key]
-			s.ended += part * f.Ended
-		}
-		for _, f := range t.load.Tenants {
-			tenants[f.Key] += part * f.Value
-		}
-		if s.budgets = append(s.budgets, t.load.Budget); t.load.Budget > 0 {
-			s.levels = append(s.levels, t.load.Level)
-		}
-	}
-	for k, x := range tenants { // sorted below
-		s.tenants = append(s.tenants, KeyedValue{k, x})
+// startingBudget returns this collector's last budget, where that agrees roughly with those that poolers report; else their median.
+func (controller *Controller) startingBudget(c *collected, totals *groupTotals) float64 {
+	budget := medianBudget(totals.budgets)
+	own := c.decision.Budget
+	if controller.decidedLately(c) && budget > 0 && own > budget/toleranceFactor && own < budget*toleranceFactor {
+		return own
 	}
-	slices.SortFunc(s.tenants, func(a, b KeyedValue) int { return cmp.Compare(a.Key, b.Key) })
-	for k, f := range s.classes { // each on its own
-		f.FirstAttempts, f.Retries = f.FirstAttempts*work[k], f.Retries*work[k]
-		s.classes[k] = f
-	}
-	s.objective = aims / max(1e-9, s.ended)
-	served := func(k uint16) float64 { // a class that is hardly served has no servers: it is no evidence
-		x := s.classes[k]
-		return min(1, 2*x.Served/max(1e-9, x.Ended))
-	}
-	s.strain = group.trimmedRatio(parts, func(f *ClassLoad) (float64, float64) {
-		w := work[f.Key] * served(f.Key)
-		return w * min(f.Strain, f.Ended), w * f.Ended
-	})
-	s.delay = group.trimmedRatio(parts, func(f *ClassLoad) (float64, float64) {
-		w := served(f.Key)
-		return w * f.Open, w * f.Ended * controller.objective[f.Key]
-	})
-	return s
+	return budget
 }
 
-// trimmedRatio sums up both sides of what each tells but the one who adds most to it, and the one who takes most from it, and is their ratio.
-func (group *groupState) trimmedRatio(parts []float64, of func(f *ClassLoad) (x, y float64)) float64 {
-	xs, ys := make([]float64, len(group.reports)), make([]float64, len(group.reports))
-	x, y := 0.0, 0.0
-	for i, t := range group.reports {
-		for k := range t.load.Classes {
-			a, b := of(&t.load.Classes[k])
-			xs[i] += parts[i] * a
-			ys[i] += parts[i] * b
-		}
-		x += xs[i]
-		y += ys[i]
-	}
-	part := func(x, y float64) float64 { return min(maxRatio, max(0, x)/max(1e-9, y)) }
-	if len(group.reports) < minReportsToTrim {
-		return part(x, y)
+// updatePeakServed follows what the servers can do. It fades, and faster where less is served though as much was admitted.
+func (controller *Controller) updatePeakServed(c *collected, totals *groupTotals, budget, seconds float64) {
+	rate := slowRate
+	withinBudget := budget == 0 || totals.admitted <= overBudgetFactor*budget
+	servesLess := totals.served < servedLessFactor*c.peakServed && totals.served < totals.admitted
+	if totals.strain > controller.settings.StrainTarget && withinBudget && servesLess {
+		rate = fastDecayRate
 	}
-	most, calmest := 0, 0
-	for i := range xs {
-		if xs[i] > xs[most] {
-			most = i
-		}
-	}
-	for i := range xs {
-		if i != most && (calmest == most || ys[i]-xs[i] > ys[calmest]-xs[calmest]) {
-			calmest = i
-		}
-	}
-	return part(x-xs[most]-xs[calmest], y-ys[most]-ys[calmest])
+	c.peakServed = max(totals.served, c.peakServed*(1-min(1, rate*seconds)))
 }
 
-const maxRatio = 100
-
-// beyondQuota are the parts of tenants' sessions that are beyond their share of the budget.
-func (s *groupTotals) beyondQuota(controller *Controller, budget float64) (out []KeyedValue) {
-	all := 0.0
-	for _, f := range s.tenants {
-		all += f.Value
-	}
-	if all <= 0 {
-		return nil
-	}
-	want, share := make([]float64, len(s.tenants)), make([]float64, len(s.tenants))
-	for i, f := range s.tenants {
-		want[i], share[i] = f.Value/all*s.total, controller.share[f.Key]
-	}
-	for i, x := range beyondQuota(want, share, budget) {
-		if x = float64(int(x*255+0.5)) / 255; x > 0 {
-			out = append(out, KeyedValue{s.tenants[i].Key, x})
-		}
+// nextBudget returns the budget after the evidence of the last reports; 0 for none.
+func (controller *Controller) nextBudget(c *collected, totals *groupTotals, budget, seconds float64) float64 {
+	settings := &controller.settings
+	delayed := totals.delay > delayFactor*settings.DelayTarget
+	strained := totals.strain > settings.StrainTarget || delayed
+	evident := totals.ended >= minEndedRate
+	c.calmSeconds += seconds
+	if strained && evident {
+		c.calmSeconds = 0
 	}
-	return out
+	switch {
+	case controller.now-c.since < settings.StaleAfter: // it may not have the reports of all yet: the budget of others stands
+		return budget
+	case budget == 0:
+		overloaded := totals.strain > strainFactor*settings.StrainTarget
+		queued := strained && totals.strain > settings.StrainTarget/strainWithDelayFactor && delayed
+		if evident && (overloaded || queued) {
+			return c.peakServed
+		}
+		return 0
+	case !strained || !evident: // the longer nobody is late, the faster it grows
+		return budget * (1 + min(settings.GrowthRate, slowRate*math.Exp2(c.calmSeconds))*seconds)
+	case totals.admitted > overBudgetFactor*budget*max(1, c.admittedRatio): // the last decision does not take effect yet
+		return budget
+	}
+	backlog := 1 + (settings.DelayTarget-totals.delay)/settings.BacklogDivisor
+	return c.peakServed / max(minAdmittedRatio, min(1, c.admittedRatio)) * max(minAdmittedShare, min(1, backlog))
 }
 
-// cellDemand is the demand of each cell of the order.
-func (s *groupTotals) cellDemand(controller *Controller, over []KeyedValue) []float64 {
-	all, part := 0.0, 0.0
-	for _, f := range s.tenants {
-		all += f.Value
-		for _, b := range over {
-			if b.Key == f.Key {
-				part += f.Value * b.Value
-			}
-		}
-	}
-	if all > 0 {
-		part /= all
+// decisionFor returns the level at which a group's budget is admitted. The level that poolers apply stays where it is about right.
+func (controller *Controller) decisionFor(group int, totals *groupTotals, budget float64) ShedDecision {
+	decision := ShedDecision{Group: group, Budget: budget}
+	if budget <= 0 {
+		return decision
 	}
-	c := cellsOf(controller.collectorOrder, controller.notIdempotent)
-	out := make([]float64, c.count)
-	for k, at := range c.byClass { // each has cells of its own
-		f := s.classes[k]
-		for i, x := range [4]float64{f.Retries * part, f.Retries * (1 - part), f.FirstAttempts * part, f.FirstAttempts * (1 - part)} {
-			out[at[i]] += x
+	decision.BeyondQuota = totals.beyondQuota(controller, budget)
+	demand := totals.cellDemand(controller, decision.BeyondQuota)
+	decision.Level = levelFor(demand, totals.total-budget)
+	if previous := lowerMedian(totals.levels); previous > 0 && decision.Level > 0 {
+		admitted := admittedDemand(demand, previous)
+		if admitted > budget*(1-levelTolerance) && admitted < budget*(1+levelTolerance) {
+			decision.Level = previous
 		}
 	}
-	return out
+	return decision
 }
