--- a/internal/testkit/incident/avoided.go
+++ b/internal/testkit/incident/avoided.go
@@ -33,19 +33,19 @@
 	if i <= 0 {
 		return
 	}
-	k, what := [2]string{pooler, e.Text[:i]}, strings.Fields(e.Text[i+2:])
-	if n := a.last[k]; n > 0 {
+	key, fields := [2]string{pooler, e.Text[:i]}, strings.Fields(e.Text[i+2:])
+	if n := a.last[key]; n > 0 {
 		a.all[n-1].To = e.At
-		delete(a.last, k)
+		delete(a.last, key)
 	}
-	if len(what) != 5 || what[1] != "by" || what[3] != "until" || len(a.all) >= maxAvoided {
+	if len(fields) != 5 || fields[1] != "by" || fields[3] != "until" || len(a.all) >= maxAvoided {
 		return
 	}
 	if a.last == nil {
 		a.last = map[[2]string]int{}
 	}
-	a.all = append(a.all, Avoided{Server: k[1], By: pooler, Why: what[0], Reporters: strings.Split(what[2], ","), From: e.At})
-	a.last[k] = len(a.all)
+	a.all = append(a.all, Avoided{Server: key[1], By: pooler, Why: fields[0], Reporters: strings.Split(fields[2], ","), From: e.At})
+	a.last[key] = len(a.all)
 }
 
 // ended has a pooler's process end: it avoids nothing any more.
--- a/internal/testkit/incident/chains.go
+++ b/internal/testkit/incident/chains.go
@@ -109,24 +109,24 @@
 }
 
 // markUnknown books a request whose answer is not in the records.
-func (m *Model) markUnknown(x *run, q *request, at float64) {
-	q.class.Unknown++
-	m.cell(q.class, q.receivedAt).unknown++
+func (m *Model) markUnknown(run *poolerRun, request *openRequest, at float64) {
+	request.class.Unknown++
+	m.cell(request.class, request.receivedAt).unknown++
 	m.unknowns++
 	if len(m.unknown) < maxUnknown {
 		m.unknown = append(m.unknown, Unknown{
-			At:     q.receivedAt,
-			Pooler: x.Pooler,
-			Class:  q.class.Name,
-			Group:  q.group.id,
-			ID:     fmt.Sprintf("%016x", q.id),
+			At:     request.receivedAt,
+			Pooler: run.Pooler,
+			Class:  request.class.Name,
+			Group:  request.group.id,
+			ID:     fmt.Sprintf("%016x", request.id),
 		})
 	}
-	q.chain.openRequests--
-	q.chain.resultBits |= q.resultBits
-	q.chain.answerLost = true
-	q.chain.lastAt = max(q.chain.lastAt, at)
-	m.awaitRetry(q.chain)
+	request.chain.openRequests--
+	request.chain.resultBits |= request.resultBits
+	request.chain.answerLost = true
+	request.chain.lastAt = max(request.chain.lastAt, at)
+	m.awaitRetry(request.chain)
 }
 
 // expire closes what nothing more can come of.
@@ -140,11 +140,11 @@
 		}
 		m.abandon(chain)
 	}
-	for _, x := range m.runs {
-		for n, q := range x.open {
-			if m.to-q.deadlineAt > unknownAfterMs {
-				delete(x.open, n)
-				m.markUnknown(x, q, m.to)
+	for _, run := range m.runs {
+		for n, request := range run.open {
+			if m.to-request.deadlineAt > unknownAfterMs {
+				delete(run.open, n)
+				m.markUnknown(run, request, m.to)
 			}
 		}
 	}
@@ -183,19 +183,19 @@
 	head int
 }
 
-func (q *queue) push(c *retryChain) { q.list = append(q.list, c) }
+func (request *queue) push(c *retryChain) { request.list = append(request.list, c) }
 
-func (q *queue) first() *retryChain {
-	if q.head == len(q.list) {
+func (request *queue) first() *retryChain {
+	if request.head == len(request.list) {
 		return nil
 	}
-	return q.list[q.head]
+	return request.list[request.head]
 }
 
-func (q *queue) pop() {
-	q.list[q.head] = nil
-	if q.head++; q.head > 1024 && q.head > len(q.list)/2 {
-		q.list = q.list[:copy(q.list, q.list[q.head:])]
-		q.head = 0
+func (request *queue) pop() {
+	request.list[request.head] = nil
+	if request.head++; request.head > 1024 && request.head > len(request.list)/2 {
+		request.list = request.list[:copy(request.list, request.list[request.head:])]
+		request.head = 0
 	}
 }
--- a/internal/testkit/incident/fleet.go
+++ b/internal/testkit/incident/fleet.go
@@ -37,15 +37,15 @@
 	if f.last == nil {
 		f.last = map[[2]string]int{}
 	}
-	k := [2]string{pooler, id}
-	if i := f.last[k]; i > 0 {
+	key := [2]string{pooler, id}
+	if i := f.last[key]; i > 0 {
 		if f.seen[i-1].State == state {
 			return
 		}
 		f.seen[i-1].To = e.At
 	}
 	f.seen = append(f.seen, Seen{By: pooler, Of: name + " " + id, State: state, From: e.At})
-	f.last[k] = len(f.seen)
+	f.last[key] = len(f.seen)
 }
 
 // ended has a pooler's process end: what it thought is nothing any more.
--- a/internal/testkit/incident/fleet_test.go
+++ b/internal/testkit/incident/fleet_test.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/record"
 )
 
-// TestFleetSeen: a pooler's changes of mind become spans, which end with its process; what cannot be read is left out.
-func TestFleetSeen(t *testing.T) {
+// TestPeerStatesBecomeSpans: a pooler's changes of mind become spans, which end with its process; what cannot be read is left out.
+func TestPeerStatesBecomeSpans(t *testing.T) {
 	var f fleet
 	for _, e := range []struct {
 		by   string
--- a/internal/testkit/incident/groups.go
+++ b/internal/testkit/incident/groups.go
@@ -93,10 +93,10 @@
 }
 
 // onPrimaryListed notes that a pooler's list has a primary of this name.
-func (g *group) onPrimaryListed(x *run, s *server, at float64) {
+func (g *group) onPrimaryListed(run *poolerRun, s *server, at float64) {
 	for _, p := range g.gaps {
-		if _, ok := p.listedAt[x.Pooler]; !ok && p.New == s.Name && at >= p.From {
-			p.listedAt[x.Pooler] = at
+		if _, ok := p.listedAt[run.Pooler]; !ok && p.New == s.Name && at >= p.From {
+			p.listedAt[run.Pooler] = at
 		}
 	}
 }
--- a/internal/testkit/incident/incident_test.go
+++ b/internal/testkit/incident/incident_test.go
@@ -20,33 +20,33 @@
 
 const t0 = 1.7e12
 
-// story feeds a model by hand.
-type story struct {
+// recording feeds a model by hand.
+type recording struct {
 	*Model
 	r  *records.Run
 	no uint64
 }
 
-func newStory(pooler string) *story {
-	s := &story{Model: New()}
+func newRecording(pooler string) *recording {
+	s := &recording{Model: New()}
 	s.begin(pooler, t0)
 	return s
 }
 
-func (s *story) begin(pooler string, at float64) {
+func (s *recording) begin(pooler string, at float64) {
 	s.r = &records.Run{Pooler: pooler, StartMs: at, Header: &recordpb.Header{Classes: fake.Classes(), ColdUs: 10e6, GraceUs: 250000}}
 	s.Begin(s.r)
 }
 
-func (s *story) tell(at float64, e record.Event) {
+func (s *recording) event(at float64, e record.Event) {
 	e.At = t0 + at
 	s.Event(s.r, &e)
 }
 
-// ask tells of a request and, where final says so, of its one attempt and its answer.
-func (s *story) ask(at float64, class int32, key uint64, repeat bool, server string, res decide.Result, took float64, final recordpb.Final) uint64 {
+// request tells of a request and, where final says so, of its one attempt and its answer.
+func (s *recording) request(at float64, class int32, key uint64, repeat bool, server string, res decide.Result, took float64, final recordpb.Final) uint64 {
 	s.no++
-	s.tell(at, record.Event{
+	s.event(at, record.Event{
 		Kind:        recordpb.Kind_KIND_REQUEST,
 		Request:     s.no,
 		Class:       class,
@@ -61,7 +61,7 @@
 		if res == decide.OK && class == 1 {
 			role = decide.RolePrimary
 		}
-		s.tell(at+took, record.Event{
+		s.event(at+took, record.Event{
 			Kind:       recordpb.Kind_KIND_ATTEMPT,
 			Request:    s.no,
 			Class:      class,
@@ -76,7 +76,7 @@
 		if final == recordpb.Final_FINAL_SERVED {
 			reason = record.ReasonNone
 		}
-		s.tell(at+took, record.Event{
+		s.event(at+took, record.Event{
 			Kind:       recordpb.Kind_KIND_ANSWER,
 			Request:    s.no,
 			Class:      class,
@@ -96,19 +96,19 @@
 	none    = recordpb.Final_FINAL_NONE
 )
 
-// TestWorth guards against worth that is counted twice, or against a client's retry that passes for a new request.
-func TestWorth(t *testing.T) {
-	s := newStory("a")
-	s.ask(0, 1, 1, false, "s-1", decide.OK, 100, served)    // in time: 3
-	s.ask(0, 1, 2, false, "s-1", decide.OK, 700, served)    // late: 0.9
-	s.ask(10, 1, 3, false, "", 0, 50, refused)              // then served in time of its first try: 3
-	s.ask(100, 1, 3, true, "s-1", decide.OK, 80, served)    //
-	s.ask(10, 1, 4, false, "", 0, 50, refused)              // then served, but late of its first try: 0.9
-	s.ask(300, 1, 4, true, "s-1", decide.OK, 80, served)    //
-	s.ask(0, 0, 5, false, "s-1", decide.OK, 300, served)    // a read that is late: 0
-	s.ask(0, 0, 6, false, "s-1", decide.Failed, 10, failed) // never served: 0
-	s.ask(400, 0, 6, true, "s-1", decide.Failed, 10, failed)
-	s.ask(900, 0, 7, true, "s-1", decide.OK, 10, served) // a retry whose first try no pooler had: 1
+// TestWorthCountsRetriesOnce guards against worth that is counted twice, or against a client's retry that passes for a new request.
+func TestWorthCountsRetriesOnce(t *testing.T) {
+	s := newRecording("a")
+	s.request(0, 1, 1, false, "s-1", decide.OK, 100, served)    // in time: 3
+	s.request(0, 1, 2, false, "s-1", decide.OK, 700, served)    // late: 0.9
+	s.request(10, 1, 3, false, "", 0, 50, refused)              // then served in time of its first try: 3
+	s.request(100, 1, 3, true, "s-1", decide.OK, 80, served)    //
+	s.request(10, 1, 4, false, "", 0, 50, refused)              // then served, but late of its first try: 0.9
+	s.request(300, 1, 4, true, "s-1", decide.OK, 80, served)    //
+	s.request(0, 0, 5, false, "s-1", decide.OK, 300, served)    // a read that is late: 0
+	s.request(0, 0, 6, false, "s-1", decide.Failed, 10, failed) // never served: 0
+	s.request(400, 0, 6, true, "s-1", decide.Failed, 10, failed)
+	s.request(900, 0, 7, true, "s-1", decide.OK, 10, served) // a retry whose first try no pooler had: 1
 	s.Finish()
 	v := s.View()
 	type sums struct {
@@ -128,11 +128,11 @@
 	}
 }
 
-// TestTakeover guards against a gap that is measured from the wrong writes, or a list whose error is not seen.
-func TestTakeover(t *testing.T) {
-	s := newStory("a")
+// TestTakeoverGapAndListError guards against a gap that is measured from the wrong writes, or a list whose error is not seen.
+func TestTakeoverGapAndListError(t *testing.T) {
+	s := newRecording("a")
 	entry := func(at float64, server string, primary bool, state decide.ServerState, started float64) {
-		s.tell(at, record.Event{
+		s.event(at, record.Event{
 			Kind:    recordpb.Kind_KIND_ENTRY,
 			Server:  server,
 			Primary: primary,
@@ -142,14 +142,14 @@
 	}
 	entry(0, "s-1", true, decide.Serving, 0)
 	entry(0, "s-2", false, decide.Serving, 0)
-	s.ask(100, 1, 1, false, "s-1", decide.OK, 10, served)
+	s.request(100, 1, 1, false, "s-1", decide.OK, 10, served)
 	for i := range 5 {
-		s.ask(200+float64(i)*400, 1, uint64(10+i), false, "s-1", decide.Unreachable, 5, refused)
+		s.request(200+float64(i)*400, 1, uint64(10+i), false, "s-1", decide.Unreachable, 5, refused)
 	}
-	s.ask(3000, 1, 2, false, "s-2", decide.OK, 10, served)
+	s.request(3000, 1, 2, false, "s-2", decide.OK, 10, served)
 	entry(6000, "s-2", true, decide.Serving, 0)
 	entry(6100, "s-1", false, decide.Serving, t0+5000)
-	s.tell(7000, record.Event{Kind: recordpb.Kind_KIND_PROBE, Server: "s-1", Role: uint8(decide.RoleReplica), Position: t0 + 4000, DurationMs: 3})
+	s.event(7000, record.Event{Kind: recordpb.Kind_KIND_PROBE, Server: "s-1", Role: uint8(decide.RoleReplica), Position: t0 + 4000, DurationMs: 3})
 	s.Finish()
 	v := s.View()
 	want := []Gap{{From: t0 + 110, To: t0 + 3010, FirstFailed: t0 + 205, Old: "s-1", New: "s-2", Unserved: 10, ListWrongMs: 5795, Lost: 15}}
@@ -180,53 +180,53 @@
 // TestFindings guards against troubles that the view passes over, and against alarms about nothing.
 func TestFindings(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(s *story)
+		do   func(s *recording)
 		want []string
 	}{
-		"quiet": {func(s *story) {
+		"quiet": {func(s *recording) {
 			for i := range 100 {
-				s.ask(float64(i)*50, 1, uint64(i), false, "s-1", decide.OK, 10, served)
+				s.request(float64(i)*50, 1, uint64(i), false, "s-1", decide.OK, 10, served)
 			}
 		}, nil},
-		"one broken connection": {func(s *story) {
-			s.ask(0, 1, 1, false, "s-1", decide.Reset, 10, failed)
-			s.ask(50, 1, 2, false, "s-1", decide.OK, 10, served)
+		"one broken connection": {func(s *recording) {
+			s.request(0, 1, 1, false, "s-1", decide.Reset, 10, failed)
+			s.request(50, 1, 2, false, "s-1", decide.OK, 10, served)
 		}, nil},
-		"silent server": {func(s *story) {
-			s.ask(0, 0, 1, false, "s-1", decide.OK, 10, served)
+		"silent server": {func(s *recording) {
+			s.request(0, 0, 1, false, "s-1", decide.OK, 10, served)
 			for i := range 4 {
-				s.ask(100+float64(i)*100, 0, uint64(2+i), false, "s-1", decide.TimedOut, 800, failed)
+				s.request(100+float64(i)*100, 0, uint64(2+i), false, "s-1", decide.TimedOut, 800, failed)
 			}
-			s.ask(2000, 0, 9, false, "s-1", decide.OK, 10, served)
+			s.request(2000, 0, 9, false, "s-1", decide.OK, 10, served)
 		}, []string{"silent s-1"}},
-		"copies called off while others are answered": {func(s *story) {
+		"copies called off while others are answered": {func(s *recording) {
 			for i := range 9 {
-				s.ask(float64(i)*100, 0, uint64(i), false, "s-1", decide.OK, 10, served)
-				s.ask(float64(i)*100, 0, uint64(100+i), false, "s-1", decide.Cancelled, 50, failed)
+				s.request(float64(i)*100, 0, uint64(i), false, "s-1", decide.OK, 10, served)
+				s.request(float64(i)*100, 0, uint64(100+i), false, "s-1", decide.Cancelled, 50, failed)
 			}
 		}, nil},
-		"sent after a drain": {func(s *story) {
-			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_ENTRY, Server: "s-1", State: uint8(decide.Draining)})
-			s.ask(200, 0, 1, false, "s-1", decide.OK, 300, served) // sent within the grace
-			s.ask(300, 0, 2, false, "s-1", decide.Overloaded, 1, refused)
+		"sent after a drain": {func(s *recording) {
+			s.event(0, record.Event{Kind: recordpb.Kind_KIND_ENTRY, Server: "s-1", State: uint8(decide.Draining)})
+			s.request(200, 0, 1, false, "s-1", decide.OK, 300, served) // sent within the grace
+			s.request(300, 0, 2, false, "s-1", decide.Overloaded, 1, refused)
 		}, []string{"drain s-1a", "sent after drain s-1a"}},
-		"records lost": {func(s *story) {
-			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 9, LostFrom: t0, LostTo: t0 + 5, LossCause: record.CauseRing})
+		"records lost": {func(s *recording) {
+			s.event(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 9, LostFrom: t0, LostTo: t0 + 5, LossCause: record.CauseRing})
 		}, []string{"records lost a"}},
-		"clock stepped": {func(s *story) {
-			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 1})
-			s.tell(1000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 1003})
-			s.tell(2000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 2700})
-			s.tell(3000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 3701})
+		"clock stepped": {func(s *recording) {
+			s.event(0, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 1})
+			s.event(1000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 1003})
+			s.event(2000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 2700})
+			s.event(3000, record.Event{Kind: recordpb.Kind_KIND_GAUGE, WallClockMs: t0 + 3701})
 		}, []string{"clock a"}},
-		"killed and started again, its clock behind": {func(s *story) {
-			s.ask(5000, 1, 1, false, "s-1", decide.OK, 10, none)
+		"killed and started again, its clock behind": {func(s *recording) {
+			s.request(5000, 1, 1, false, "s-1", decide.OK, 10, none)
 			s.End(s.r, false)
 			s.begin("a", t0+2000)
 		}, []string{"clock a", "killed a", "restart a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStory("a")
+			s := newRecording("a")
 			c.do(s)
 			s.Finish()
 			if diff := cmp.Diff(c.want, kinds(s.View())); diff != "" {
@@ -236,10 +236,10 @@
 	}
 }
 
-// TestSums holds any stream of events to what must always add up.
-func TestSums(t *testing.T) {
+// TestTotalsAddUp holds any stream of events to what must always add up.
+func TestTotalsAddUp(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		s := newStory("a")
+		s := newRecording("a")
 		at := 0.0
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
 			at += rapid.SampledFrom([]float64{0, 1, 90, 4000, 40000}).Draw(t, "pause")
@@ -250,7 +250,7 @@
 			}
 			final := rapid.SampledFrom([]recordpb.Final{served, refused, failed, recordpb.Final_FINAL_GONE, none}).Draw(t, "final")
 			server := rapid.SampledFrom([]string{"", "s-1", "s-2"}).Draw(t, "server")
-			s.ask(at, int32(rapid.IntRange(0, 1).Draw(t, "class")), rapid.Uint64Range(0, 3).Draw(t, "key"), rapid.Bool().Draw(t, "repeat"), server,
+			s.request(at, int32(rapid.IntRange(0, 1).Draw(t, "class")), rapid.Uint64Range(0, 3).Draw(t, "key"), rapid.Bool().Draw(t, "repeat"), server,
 				decide.Result(rapid.IntRange(0, 8).Draw(t, "result")), rapid.Float64Range(0, 900).Draw(t, "took"), final)
 		}
 		s.End(s.r, false)
@@ -283,8 +283,8 @@
 }
 
 func (m *Model) open() (out []uint64) {
-	for _, x := range m.runs {
-		for n := range x.open {
+	for _, run := range m.runs {
+		for n := range run.open {
 			out = append(out, n)
 		}
 	}
@@ -305,9 +305,9 @@
 	return m.View()
 }
 
-// TestManyClocks reads 16 poolers whose clocks differ by up to 50 ms, and of which one stepped back by 3 s and started
+// TestSkewedClocksOfPoolers reads 16 poolers whose clocks differ by up to 50 ms, and of which one stepped back by 3 s and started
 // again. Nothing is lost or counted twice, the takeover is seen once, and what is wrong with the clocks is said.
-func TestManyClocks(t *testing.T) {
+func TestSkewedClocksOfPoolers(t *testing.T) {
 	dir := t.TempDir()
 	day := fake.Day{Seed: 4, From: t0, Poolers: 16, Groups: 2, Members: 3, Requests: 4000, EveryMs: 5, SkewMs: 50, StepAt: 3000, StepMs: -3000,
 		Outages: []fake.Outage{{Group: 1, At: 8000, GapMs: 2500}}}
--- a/internal/testkit/incident/limits.go
+++ b/internal/testkit/incident/limits.go
@@ -41,15 +41,15 @@
 	if l.last == nil {
 		l.last = map[[2]string]int{}
 	}
-	k := [2]string{pooler, name}
-	if n := l.last[k]; n > 0 {
+	key := [2]string{pooler, name}
+	if n := l.last[key]; n > 0 {
 		if l.shares[n-1].Amount == amount {
 			return
 		}
 		l.shares[n-1].To = e.At
 	}
 	l.shares = append(l.shares, LimitShare{Limit: name, By: pooler, Amount: amount, From: e.At})
-	l.last[k] = len(l.shares)
+	l.last[key] = len(l.shares)
 }
 
 // ended has a pooler's process end: it uses nothing any more.
--- a/internal/testkit/incident/limits_test.go
+++ b/internal/testkit/incident/limits_test.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/record"
 )
 
-// TestLimitsHeld: what a pooler was told becomes spans, which end with its process; what cannot be read is left out.
-func TestLimitsHeld(t *testing.T) {
+// TestLimitSharesBecomeSpans: what a pooler was told becomes spans, which end with its process; what cannot be read is left out.
+func TestLimitSharesBecomeSpans(t *testing.T) {
 	var l limits
 	for _, e := range []struct {
 		by   string
--- a/internal/testkit/incident/model.go
+++ b/internal/testkit/incident/model.go
@@ -44,7 +44,7 @@
 // Model takes events in and keeps the view of them.
 type Model struct {
 	members       *endpointreport.Model // nil while no source of the list was recorded
-	runs          map[*records.Run]*run
+	runs          map[*records.Run]*poolerRun
 	poolers       map[string]*pooler
 	classes       []*class
 	byName        map[string]*class
@@ -80,12 +80,12 @@
 	recoveries []Recovery
 }
 
-// run is one life of a pooler.
-type run struct {
+// poolerRun is one life of a pooler.
+type poolerRun struct {
 	*records.Run
 	pooler  *pooler
 	classes []*class
-	open    map[uint64]*request
+	open    map[uint64]*openRequest
 	last    float64
 	drift   float64 // wall less own clock at the last gauge
 	drifted bool
@@ -111,8 +111,8 @@
 	window serviceratio.Window
 }
 
-// request is one that is not answered yet.
-type request struct {
+// openRequest is one that is not answered yet.
+type openRequest struct {
 	id                     uint64
 	class                  *class
 	group                  *group
@@ -125,7 +125,7 @@
 // New makes an empty model.
 func New() *Model {
 	return &Model{
-		runs:    map[*records.Run]*run{},
+		runs:    map[*records.Run]*poolerRun{},
 		poolers: map[string]*pooler{},
 		byName:  map[string]*class{},
 		groups:  map[int64]*group{},
@@ -145,11 +145,11 @@
 		p = &pooler{PoolerView: PoolerView{Name: r.Pooler, From: r.StartMs}, leastLagMs: math.Inf(1)}
 		m.poolers[r.Pooler] = p
 	}
-	x := &run{Run: r, pooler: p, open: map[uint64]*request{}, entries: map[string]*listEntry{}, last: r.StartMs}
+	run := &poolerRun{Run: r, pooler: p, open: map[uint64]*openRequest{}, entries: map[string]*listEntry{}, last: r.StartMs}
 	for _, c := range r.Header.Classes {
-		x.classes = append(x.classes, m.class(c))
+		run.classes = append(run.classes, m.class(c))
 	}
-	m.runs[r] = x
+	m.runs[r] = run
 	if p.Runs++; p.Runs > 1 {
 		if r.StartMs < p.To-stepMs {
 			m.addFinding(Finding{At: r.StartMs, Kind: "clock", Pooler: p.Name, Grave: true,
@@ -191,26 +191,26 @@
 
 // End is records.Sink's. Requests of the run that have no answer are unknown.
 func (m *Model) End(r *records.Run, ordered bool) {
-	x := m.runs[r]
-	if x == nil {
+	run := m.runs[r]
+	if run == nil {
 		return
 	}
 	var left []uint64
-	for n := range x.open {
+	for n := range run.open {
 		left = append(left, n)
 	}
 	slices.Sort(left)
 	for _, n := range left {
-		m.markUnknown(x, x.open[n], x.last)
+		m.markUnknown(run, run.open[n], run.last)
 	}
-	x.pooler.ordered = ordered
-	m.fleet.ended(r.Pooler, x.last)
-	m.avoided.ended(r.Pooler, x.last)
-	m.limits.ended(r.Pooler, x.last)
-	m.zones.ended(r.Pooler, x.last)
-	m.endPools(x)
+	run.pooler.ordered = ordered
+	m.fleet.ended(r.Pooler, run.last)
+	m.avoided.ended(r.Pooler, run.last)
+	m.limits.ended(r.Pooler, run.last)
+	m.zones.ended(r.Pooler, run.last)
+	m.endPools(run)
 	if !ordered {
-		m.addFinding(Finding{At: x.last, Kind: "killed", Pooler: r.Pooler, Grave: true,
+		m.addFinding(Finding{At: run.last, Kind: "killed", Pooler: r.Pooler, Grave: true,
 			Text: fmt.Sprintf("its records end without a stop; %d requests had no answer by then", len(left))})
 	}
 	delete(m.runs, r)
@@ -310,28 +310,28 @@
 	}
 }
 
-func (m *Model) onGauge(x *run, e *record.Event) {
-	p := x.pooler
+func (m *Model) onGauge(run *poolerRun, e *record.Event) {
+	p := run.pooler
 	p.Memory, p.Files = max(p.Memory, e.MemoryBytes), max(p.Files, e.Descriptors)
 	p.Sessions, p.Conns = max(p.Sessions, e.Sessions), max(p.Conns, e.Connections)
 	if e.WallClockMs == 0 {
 		return
 	}
 	drift := e.WallClockMs - e.At
-	if x.drifted && math.Abs(drift-x.drift) > stepMs {
+	if run.drifted && math.Abs(drift-run.drift) > stepMs {
 		m.addFinding(Finding{At: e.At, Kind: "clock", Pooler: p.Name, Grave: true,
-			Text: fmt.Sprintf("its machine's clock stepped by %s; the pooler's own times go on as before", signed(drift-x.drift))})
+			Text: fmt.Sprintf("its machine's clock stepped by %s; the pooler's own times go on as before", signed(drift-run.drift))})
 	}
-	x.drift, x.drifted = drift, true
+	run.drift, run.drifted = drift, true
 }
 
-func (m *Model) onRequest(x *run, e *record.Event) {
-	if int(e.Class) >= len(x.classes) || len(x.open) >= maxOpenRequests {
+func (m *Model) onRequest(run *poolerRun, e *record.Event) {
+	if int(e.Class) >= len(run.classes) || len(run.open) >= maxOpenRequests {
 		return
 	}
-	class, group := x.classes[e.Class], m.group(e.Group)
-	q := &request{id: e.ID, class: class, group: group, receivedAt: e.At, deadlineAt: e.At + e.RemainingMs, repeat: e.Repeat}
-	x.open[e.Request] = q
+	class, group := run.classes[e.Class], m.group(e.Group)
+	request := &openRequest{id: e.ID, class: class, group: group, receivedAt: e.At, deadlineAt: e.At + e.RemainingMs, repeat: e.Repeat}
+	run.open[e.Request] = request
 	class.Requests++
 	cell := m.cell(class, e.At)
 	cell.requests++
@@ -339,51 +339,51 @@
 	if e.Repeat {
 		class.Repeats++
 		cell.repeats++
-		if q.chain = m.chainOfRetry(key, e.At); q.chain == nil {
+		if request.chain = m.chainOfRetry(key, e.At); request.chain == nil {
 			m.orphans++
 			class.Orphans++
 		}
 	}
-	if q.chain == nil {
-		q.chain = &retryChain{key: key, class: class, group: group, firstAt: e.At}
-		m.addChain(q.chain)
+	if request.chain == nil {
+		request.chain = &retryChain{key: key, class: class, group: group, firstAt: e.At}
+		m.addChain(request.chain)
 		class.Asked++
 		class.WorthAsked += class.Worth
 		cell.asked += float32(class.Worth)
 		class.window.Add(e.At, class.Worth, 0)
 		m.service.Add(e.At, class.Worth, 0)
 	}
-	q.chain.openRequests++
-	q.chain.requests++
+	request.chain.openRequests++
+	request.chain.requests++
 	if class.writes {
 		group.writes++
 	}
 }
 
-func (m *Model) onAttempt(x *run, e *record.Event) {
+func (m *Model) onAttempt(run *poolerRun, e *record.Event) {
 	server := m.server(e.Server)
-	m.observeServer(x, server, e)
-	q := x.open[e.Request]
-	if q != nil {
-		q.resultBits |= 1 << e.Result
-		q.class.Attempts++
+	m.observeServer(run, server, e)
+	request := run.open[e.Request]
+	if request != nil {
+		request.resultBits |= 1 << e.Result
+		request.class.Attempts++
 	}
-	m.checkDrain(x, server, e)
-	if int(e.Class) < len(x.classes) && x.classes[e.Class].writes {
+	m.checkDrain(run, server, e)
+	if int(e.Class) < len(run.classes) && run.classes[e.Class].writes {
 		m.group(e.Group).onWrite(m, server, e)
 	}
 }
 
-func (m *Model) onAnswer(x *run, e *record.Event) {
-	q := x.open[e.Request]
-	if q == nil {
+func (m *Model) onAnswer(run *poolerRun, e *record.Event) {
+	request := run.open[e.Request]
+	if request == nil {
 		return // its request is in a part that is missing
 	}
-	delete(x.open, e.Request)
-	class, chain := q.class, q.chain
+	delete(run.open, e.Request)
+	class, chain := request.class, request.chain
 	cell := m.cell(class, e.At)
 	chain.openRequests--
-	chain.resultBits |= q.resultBits
+	chain.resultBits |= request.resultBits
 	chain.lastAt = max(chain.lastAt, e.At)
 	switch e.Final {
 	case recordpb.Final_FINAL_SERVED:
@@ -405,7 +405,7 @@
 	class.Reasons[e.Final.String()[len("FINAL_"):]+": "+e.Reason.String()]++
 	chain.final, chain.reason = e.Final, e.Reason
 	if class.writes {
-		q.group.onUnservedWrite(e.At)
+		request.group.onUnservedWrite(e.At)
 	}
 	m.awaitRetry(chain)
 }
--- a/internal/testkit/incident/pools.go
+++ b/internal/testkit/incident/pools.go
@@ -54,7 +54,7 @@
 type pool struct {
 	PoolView
 	waits   latencies
-	byRun   map[*run]*poolGauge
+	byRun   map[*poolerRun]*poolGauge
 	cells   []poolCell
 	ended   burst
 	refused burst
@@ -95,7 +95,7 @@
 		if len(m.pools) >= maxPools && name != otherPools {
 			return m.pool(otherPools)
 		}
-		p = &pool{PoolView: PoolView{Name: name, Ends: map[string]uint64{}}, byRun: map[*run]*poolGauge{}}
+		p = &pool{PoolView: PoolView{Name: name, Ends: map[string]uint64{}}, byRun: map[*poolerRun]*poolGauge{}}
 		m.pools[name] = p
 	}
 	return p
@@ -123,11 +123,11 @@
 }
 
 // gaugeOf is the pool at one pooler.
-func (p *pool) gaugeOf(x *run) *poolGauge {
-	now := p.byRun[x]
+func (p *pool) gaugeOf(run *poolerRun) *poolGauge {
+	now := p.byRun[run]
 	if now == nil {
 		now = &poolGauge{}
-		p.byRun[x] = now
+		p.byRun[run] = now
 	}
 	return now
 }
@@ -140,11 +140,11 @@
 
 // countClients counts the clients of a pool at one pooler between its gauges, which clients may come and go without.
 // What stands for many pools is left to the gauges.
-func (p *pool) countClients(x *run, change int64) {
+func (p *pool) countClients(run *poolerRun, change int64) {
 	if p.Name == otherPools {
 		return
 	}
-	now := p.gaugeOf(x)
+	now := p.gaugeOf(run)
 	p.setClients(now, now.clients+change)
 }
 
@@ -152,23 +152,23 @@
 // sessions, and no more clients may be reported than there were.
 func (m *Model) forgetClients(pooler string) {
 	for _, p := range m.pools {
-		for x, now := range p.byRun {
-			if x.Pooler == pooler {
+		for run, now := range p.byRun {
+			if run.Pooler == pooler {
 				now.clients = 0
 			}
 		}
 	}
 }
 
-func (m *Model) onSession(x *run, e *record.Event, ended bool) {
+func (m *Model) onSession(run *poolerRun, e *record.Event, ended bool) {
 	p := m.pool(e.Pool)
 	if !ended {
 		p.Sessions++
-		p.countClients(x, 1)
+		p.countClients(run, 1)
 		return
 	}
 	p.Ended++
-	p.countClients(x, -1)
+	p.countClients(run, -1)
 	if e.Text == "" {
 		return
 	}
@@ -222,21 +222,21 @@
 	}
 }
 
-func (m *Model) onPool(x *run, e *record.Event) {
+func (m *Model) onPool(run *poolerRun, e *record.Event) {
 	p, h := m.pool(e.Pool), &e.PoolState
-	now := p.gaugeOf(x)
+	now := p.gaugeOf(run)
 	p.setClients(now, int64(h.Clients))
 	p.MostUsed, p.MostWaiting = max(p.MostUsed, int64(h.Used)), max(p.MostWaiting, int64(h.Waiting))
 	p.Connections = int64(h.MaxConnections)
 	if now.at > 0 && e.At-now.at > gaugeGapMs {
-		p.endSaturation(m, x, now, now.at)
+		p.endSaturation(m, run, now, now.at)
 	}
 	now.at, now.waiting, now.used = e.At, uint32(max(0, h.Waiting)), uint32(max(0, h.Used))
 	switch cramped := h.Waiting > 0 && h.Used >= h.MaxConnections; {
 	case cramped && now.saturatedFrom == 0:
 		now.saturatedFrom = e.At
 	case !cramped:
-		p.endSaturation(m, x, now, e.At)
+		p.endSaturation(m, run, now, e.At)
 	}
 	c := p.cell(m, e.At)
 	var waiting, used uint32
@@ -247,7 +247,7 @@
 }
 
 // endSaturation ends a time in which all connections of a pool were in use while clients waited.
-func (p *pool) endSaturation(m *Model, x *run, now *poolGauge, at float64) {
+func (p *pool) endSaturation(m *Model, run *poolerRun, now *poolGauge, at float64) {
 	from := now.saturatedFrom
 	now.saturatedFrom = 0
 	if from == 0 || at-from < saturatedMs {
@@ -256,16 +256,16 @@
 	if len(p.Cramped) < maxSpans {
 		p.Cramped = append(p.Cramped, Stretch{From: from, To: at})
 	}
-	m.addFinding(Finding{At: from, To: at, Kind: "pool cramped", Pooler: x.Pooler,
+	m.addFinding(Finding{At: from, To: at, Kind: "pool cramped", Pooler: run.Pooler,
 		Text: fmt.Sprintf("pool %s: all %d connections in use and clients waiting for %s", p.Name, p.Connections, Span(at-from))})
 }
 
 // endPools ends what a run's pools were in.
-func (m *Model) endPools(x *run) {
+func (m *Model) endPools(run *poolerRun) {
 	for _, p := range m.sortedPools() {
-		if now := p.byRun[x]; now != nil {
-			p.endSaturation(m, x, now, now.at)
-			delete(p.byRun, x)
+		if now := p.byRun[run]; now != nil {
+			p.endSaturation(m, run, now, now.at)
+			delete(p.byRun, run)
 		}
 	}
 }
--- a/internal/testkit/incident/pools_test.go
+++ b/internal/testkit/incident/pools_test.go
@@ -12,23 +12,23 @@
 	"beechgrade/internal/testkit/records"
 )
 
-// TestPools guards against pools whose waits, moves and ends are told otherwise than they were.
-func TestPools(t *testing.T) {
-	s := newStory("a")
+// TestPoolCountsAndFindings guards against pools whose waits, moves and ends are told otherwise than they were.
+func TestPoolCountsAndFindings(t *testing.T) {
+	s := newRecording("a")
 	const name = "obra/tablet"
 	hand := func(at float64, e record.Event) {
 		e.Kind, e.Pool = recordpb.Kind_KIND_HAND, name
-		s.tell(at, e)
+		s.event(at, e)
 	}
 	gauge := func(at float64, used, waiting int32) {
-		s.tell(at, record.Event{
+		s.event(at, record.Event{
 			Kind:      recordpb.Kind_KIND_POOL,
 			Pool:      name,
 			PoolState: record.PoolState{Clients: 40, Used: used, Waiting: waiting, MaxConnections: 2},
 		})
 	}
 	for i := range 40 {
-		s.tell(float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: name, Session: uint64(i + 1)})
+		s.event(float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: name, Session: uint64(i + 1)})
 	}
 	gauge(100, 1, 0)
 	hand(200, record.Event{Assignment: record.AssignmentGranted, Server: "s-1", Session: 1, DurationMs: 3})
@@ -50,9 +50,9 @@
 		hand(5200+float64(i), record.Event{Assignment: record.AssignmentRejected, Session: 3})
 	}
 	for i := range 25 {
-		s.tell(6000+float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: uint64(i + 1), Text: "57P01"})
+		s.event(6000+float64(i), record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: uint64(i + 1), Text: "57P01"})
 	}
-	s.tell(9000, record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: 40}) // the client's own will
+	s.event(9000, record.Event{Kind: recordpb.Kind_KIND_SESSION_END, Pool: name, Session: 40}) // the client's own will
 	s.Finish()
 	v := s.View()
 	want := []PoolView{{
@@ -93,24 +93,24 @@
 // one that never was.
 func TestPoolMostClients(t *testing.T) {
 	const name = "obra/tablet"
-	sessions := func(s *story, kind recordpb.Kind, count int) {
+	sessions := func(s *recording, kind recordpb.Kind, count int) {
 		for i := range count {
-			s.tell(0, record.Event{Kind: kind, Pool: name, Session: uint64(i + 1)})
+			s.event(0, record.Event{Kind: kind, Pool: name, Session: uint64(i + 1)})
 		}
 	}
-	begin := func(s *story, count int) { sessions(s, recordpb.Kind_KIND_SESSION_BEGIN, count) }
-	end := func(s *story, count int) { sessions(s, recordpb.Kind_KIND_SESSION_END, count) }
-	gauge := func(s *story, clients int32) {
-		s.tell(0, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: name, PoolState: record.PoolState{Clients: clients}})
+	begin := func(s *recording, count int) { sessions(s, recordpb.Kind_KIND_SESSION_BEGIN, count) }
+	end := func(s *recording, count int) { sessions(s, recordpb.Kind_KIND_SESSION_END, count) }
+	gauge := func(s *recording, clients int32) {
+		s.event(0, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: name, PoolState: record.PoolState{Clients: clients}})
 	}
 	for what, c := range map[string]struct {
-		events func(s *story)
+		events func(s *recording)
 		want   int64
 	}{
-		"no gauge":                       {func(s *story) { begin(s, 2); end(s, 1) }, 2},
-		"the last gauge before the most": {func(s *story) { begin(s, 1); gauge(s, 1); begin(s, 1); end(s, 2) }, 2},
-		"between two gauges":             {func(s *story) { begin(s, 1); gauge(s, 1); begin(s, 4); end(s, 3); gauge(s, 2) }, 5},
-		"one after the other": {func(s *story) {
+		"no gauge":                       {func(s *recording) { begin(s, 2); end(s, 1) }, 2},
+		"the last gauge before the most": {func(s *recording) { begin(s, 1); gauge(s, 1); begin(s, 1); end(s, 2) }, 2},
+		"between two gauges":             {func(s *recording) { begin(s, 1); gauge(s, 1); begin(s, 4); end(s, 3); gauge(s, 2) }, 5},
+		"one after the other": {func(s *recording) {
 			begin(s, 1)
 			end(s, 1)
 			gauge(s, 0)
@@ -118,37 +118,37 @@
 			end(s, 1)
 			begin(s, 1)
 		}, 1},
-		"the gauge knows of earlier ones": {func(s *story) { gauge(s, 7); begin(s, 2); end(s, 3); begin(s, 1) }, 9},
-		"the ends of earlier ones":        {func(s *story) { end(s, 3); begin(s, 2) }, 2},
-		"at two poolers": {func(s *story) {
+		"the gauge knows of earlier ones": {func(s *recording) { gauge(s, 7); begin(s, 2); end(s, 3); begin(s, 1) }, 9},
+		"the ends of earlier ones":        {func(s *recording) { end(s, 3); begin(s, 2) }, 2},
+		"at two poolers": {func(s *recording) {
 			begin(s, 2)
 			s.begin("b", t0)
 			begin(s, 3)
 		}, 3},
-		"ends were lost": {func(s *story) {
+		"ends were lost": {func(s *recording) {
 			begin(s, 5)
-			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 5, LostFrom: t0, LostTo: t0})
+			s.event(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 5, LostFrom: t0, LostTo: t0})
 			begin(s, 4)
 		}, 5},
-		"segments are missing": {func(s *story) {
+		"segments are missing": {func(s *recording) {
 			begin(s, 5)
 			s.Fault(records.Fault{Kind: records.Missing, Pooler: "a"})
 			begin(s, 4)
 		}, 5},
-		"segments of another pooler are missing": {func(s *story) {
+		"segments of another pooler are missing": {func(s *recording) {
 			begin(s, 5)
 			s.Fault(records.Fault{Kind: records.Missing, Pooler: "b"})
 			begin(s, 4)
 		}, 9},
-		"a gauge after a loss": {func(s *story) {
+		"a gauge after a loss": {func(s *recording) {
 			begin(s, 5)
-			s.tell(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 1, LostFrom: t0, LostTo: t0})
+			s.event(0, record.Event{Kind: recordpb.Kind_KIND_LOST, Lost: 1, LostFrom: t0, LostTo: t0})
 			gauge(s, 4)
 			begin(s, 3)
 		}, 7},
 	} {
 		t.Run(what, func(t *testing.T) {
-			s := newStory("a")
+			s := newRecording("a")
 			c.events(s)
 			s.Finish()
 			if v := s.View(); len(v.Pools) != 1 || v.Pools[0].MostClients != c.want {
@@ -158,13 +158,13 @@
 	}
 }
 
-// TestPoolMostClientsOfTheRest guards against clients of many pools that are reported as those of one.
-func TestPoolMostClientsOfTheRest(t *testing.T) {
-	s := newStory("a")
+// TestOtherPoolsMostClients guards against clients of many pools that are reported as those of one.
+func TestOtherPoolsMostClients(t *testing.T) {
+	s := newRecording("a")
 	for i := range maxPools + 5 {
-		s.tell(0, record.Event{Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: fmt.Sprint("obra/", i), Session: uint64(i + 1)})
+		s.event(0, record.Event{Kind: recordpb.Kind_KIND_SESSION_BEGIN, Pool: fmt.Sprint("obra/", i), Session: uint64(i + 1)})
 	}
-	s.tell(0, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: "obra/none", PoolState: record.PoolState{Clients: 1}})
+	s.event(0, record.Event{Kind: recordpb.Kind_KIND_POOL, Pool: "obra/none", PoolState: record.PoolState{Clients: 1}})
 	s.Finish()
 	for _, p := range s.View().Pools {
 		if p.MostClients != 1 {
--- a/internal/testkit/incident/recovered.go
+++ b/internal/testkit/incident/recovered.go
@@ -23,23 +23,23 @@
 const maxRecoveries = 20000
 
 func (m *Model) onStoreRecovery(pooler string, e *record.Event) {
-	f := e.Recovery
-	if f == nil {
+	recovery := e.Recovery
+	if recovery == nil {
 		return
 	}
-	text := fmt.Sprintf("the %s store held %d records, %d segments behind its snapshot, read in %.1f ms", cmp.Or(f.Store, "durable"), f.Records, f.Segments, e.DurationMs)
-	if f.Dropped > 0 {
-		text += fmt.Sprintf("; %d bytes of its end were never whole, and were dropped: %s", f.Dropped, e.Text)
+	text := fmt.Sprintf("the %s store held %d records, %d segments behind its snapshot, read in %.1f ms", cmp.Or(recovery.Store, "durable"), recovery.Records, recovery.Segments, e.DurationMs)
+	if recovery.Dropped > 0 {
+		text += fmt.Sprintf("; %d bytes of its end were never whole, and were dropped: %s", recovery.Dropped, e.Text)
 	}
 	m.addFinding(Finding{At: e.At, Kind: "recovered", Pooler: pooler, Text: text})
 	if len(m.recoveries) < maxRecoveries {
 		m.recoveries = append(m.recoveries, Recovery{
 			At:       e.At,
 			Pooler:   pooler,
-			Store:    f.Store,
-			Records:  f.Records,
-			Segments: f.Segments,
-			Dropped:  f.Dropped,
+			Store:    recovery.Store,
+			Records:  recovery.Records,
+			Segments: recovery.Segments,
+			Dropped:  recovery.Dropped,
 			TookMs:   e.DurationMs,
 			Why:      e.Text,
 		})
--- a/internal/testkit/incident/recovered_test.go
+++ b/internal/testkit/incident/recovered_test.go
@@ -10,21 +10,21 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// TestRecovered: what a start found in its stores is listed, and is a finding of its pooler; a record of it that says nothing is passed over.
-func TestRecovered(t *testing.T) {
-	s := newStory("a")
-	s.tell(1, record.Event{
+// TestStoreRecoveryIsListed: what a start found in its stores is listed, and is a finding of its pooler; a record of it that says nothing is passed over.
+func TestStoreRecoveryIsListed(t *testing.T) {
+	s := newRecording("a")
+	s.event(1, record.Event{
 		Kind:       recordpb.Kind_KIND_RECOVERED,
 		DurationMs: 12.5,
 		Text:       "0000000000000003.log, byte 91: it ends within a frame",
 		Recovery:   &record.StoreRecovery{Store: "journal", Records: 7, Segments: 2, Dropped: 31},
 	})
-	s.tell(2, record.Event{
+	s.event(2, record.Event{
 		Kind:       recordpb.Kind_KIND_RECOVERED,
 		DurationMs: 1,
 		Recovery:   &record.StoreRecovery{Store: "kept", Records: 2, Segments: 1},
 	})
-	s.tell(3, record.Event{Kind: recordpb.Kind_KIND_RECOVERED})
+	s.event(3, record.Event{Kind: recordpb.Kind_KIND_RECOVERED})
 	s.Finish()
 	v := s.View()
 	want := []Recovery{{t0 + 1, "a", "journal", 7, 2, 31, 12.5, "0000000000000003.log, byte 91: it ends within a frame"}, {t0 + 2, "a", "kept", 2, 1, 0, 1, ""}}
--- a/internal/testkit/incident/servers.go
+++ b/internal/testkit/incident/servers.go
@@ -106,7 +106,7 @@
 }
 
 // observeServer takes what an attempt or a probe told of a server.
-func (m *Model) observeServer(x *run, s *server, e *record.Event) {
+func (m *Model) observeServer(run *poolerRun, s *server, e *record.Event) {
 	if e.Result == uint8(decide.NotSent) {
 		return
 	}
@@ -128,10 +128,10 @@
 		s.onTimeout(m, from, e.At)
 	default:
 		cell.ok++
-		s.onAnswer(m, x, e, from)
+		s.onAnswer(m, run, e, from)
 	}
 	if e.Position != 0 {
-		s.onPosition(m, x, e, cell)
+		s.onPosition(m, run, e, cell)
 	}
 	reportedAt := e.At
 	if e.Kind == recordpb.Kind_KIND_PROBE {
@@ -144,7 +144,7 @@
 				Kind:   "role",
 				Server: s.Name,
 				Group:  s.Group,
-				Pooler: x.Pooler,
+				Pooler: run.Pooler,
 				Text:   "answers as " + roleName(r) + " now",
 			})
 		}
@@ -176,7 +176,7 @@
 }
 
 // onAnswer ends what was thought of a server that gave no answers.
-func (s *server) onAnswer(m *Model, x *run, e *record.Event, from float64) {
+func (s *server) onAnswer(m *Model, run *poolerRun, e *record.Event, from float64) {
 	if s.unresponsive && from > s.firstTimeoutFrom {
 		span := Stretch{From: s.firstTimeoutFrom, To: e.At}
 		if len(s.Silent) < maxSpans {
@@ -195,7 +195,7 @@
 		r := Return{Stretch: span, Server: s.Name, BehindMs: -1}
 		if s.started > s.firstConnectFailureAt-firstCellMs {
 			r.StartedMs = s.started
-			s.markWarmingUp(x, s.started)
+			s.markWarmingUp(run, s.started)
 		}
 		s.Returns = append(s.Returns, r)
 		s.Returns = s.Returns[max(0, len(s.Returns)-maxSpans):]
@@ -207,16 +207,16 @@
 }
 
 // markWarmingUp has the server count as cold from its start on.
-func (s *server) markWarmingUp(x *run, started float64) {
+func (s *server) markWarmingUp(run *poolerRun, started float64) {
 	s.started = started
-	s.warmingUntil = max(s.warmingUntil, started+float64(x.Header.ColdUs)/1000)
+	s.warmingUntil = max(s.warmingUntil, started+float64(run.Header.ColdUs)/1000)
 }
 
 // onPosition takes a position that was told.
-func (s *server) onPosition(m *Model, x *run, e *record.Event, cell *serverCell) {
+func (s *server) onPosition(m *Model, run *poolerRun, e *record.Event, cell *serverCell) {
 	behind := e.At - e.Position
 	if decide.Role(e.Role) == decide.RolePrimary {
-		p := x.pooler
+		p := run.pooler
 		p.leastLagMs, p.hasPosition = min(p.leastLagMs, behind), true
 		behind = max(0, behind)
 	}
@@ -246,7 +246,7 @@
 }
 
 // onEntry takes an entry of a pooler's list.
-func (m *Model) onEntry(x *run, e *record.Event) {
+func (m *Model) onEntry(run *poolerRun, e *record.Event) {
 	server := m.server(e.Server)
 	if server.group == nil {
 		server.group, server.Group = m.group(e.Group), e.Group
@@ -255,23 +255,23 @@
 	if e.Text != "" {
 		server.Address = e.Text
 	}
-	entry := x.entries[e.Server]
+	entry := run.entries[e.Server]
 	if entry == nil {
 		entry = &listEntry{}
-		x.entries[e.Server] = entry
+		run.entries[e.Server] = entry
 	}
 	was := *entry
 	if entry.primary = e.Primary; entry.primary && !was.primary {
 		entry.primaryAt = e.At
-		server.group.onPrimaryListed(x, server, e.At)
+		server.group.onPrimaryListed(run, server, e.At)
 	}
 	started := float64(e.Number)
 	if !e.Restated && started > server.started {
 		if server.started != 0 || started > m.from-firstCellMs {
-			m.addFinding(Finding{At: started, Kind: "start of server", Server: server.Name, Group: server.Group, Pooler: x.Pooler,
+			m.addFinding(Finding{At: started, Kind: "start of server", Server: server.Name, Group: server.Group, Pooler: run.Pooler,
 				Text: fmt.Sprintf("started anew, heard of %s later", Span(max(0, e.At-started)))})
 		}
-		server.markWarmingUp(x, started)
+		server.markWarmingUp(run, started)
 		if n := len(server.Returns); n > 0 && server.Returns[n-1].From <= started+firstCellMs {
 			server.Returns[n-1].StartedMs = started
 		}
@@ -294,19 +294,19 @@
 				Kind:   "drain",
 				Server: server.Name,
 				Group:  server.Group,
-				Pooler: x.Pooler,
+				Pooler: run.Pooler,
 				Text:   "drains, as the list has it",
 			})
 		}
 	case decide.Removed:
-		delete(x.entries, e.Server)
+		delete(run.entries, e.Server)
 		if !server.removed {
 			m.addFinding(Finding{
 				At:     e.At,
 				Kind:   "gone",
 				Server: server.Name,
 				Group:  server.Group,
-				Pooler: x.Pooler,
+				Pooler: run.Pooler,
 				Text:   "has left the list",
 			})
 		}
@@ -328,22 +328,22 @@
 }
 
 // checkDrain holds a send to the grace that was left when the pooler had heard of a drain.
-func (m *Model) checkDrain(x *run, s *server, e *record.Event) {
-	entry := x.entries[s.Name]
-	if entry == nil || entry.drainingSinceMs == 0 || x.Header.GraceUs == 0 {
+func (m *Model) checkDrain(run *poolerRun, s *server, e *record.Event) {
+	entry := run.entries[s.Name]
+	if entry == nil || entry.drainingSinceMs == 0 || run.Header.GraceUs == 0 {
 		return
 	}
 	switch decide.Result(e.Result) {
 	case decide.NotSent, decide.Unreachable:
 		return
 	}
-	if over := e.At - e.DurationMs - entry.drainingSinceMs - float64(x.Header.GraceUs)/1000; over > 0 {
+	if over := e.At - e.DurationMs - entry.drainingSinceMs - float64(run.Header.GraceUs)/1000; over > 0 {
 		m.addFinding(Finding{
 			At:     e.At - e.DurationMs,
 			Kind:   "sent after drain",
 			Server: s.Name,
 			Group:  s.Group,
-			Pooler: x.Pooler,
+			Pooler: run.Pooler,
 			Grave:  true,
 			Text:   fmt.Sprintf("an attempt began %s after the grace had passed", Span(over)),
 		})
--- a/internal/testkit/incident/view.go
+++ b/internal/testkit/incident/view.go
@@ -221,11 +221,11 @@
 	_ = t.histogram.RecordValue(int64(min(max(1, ms*1000), 3_600_000_000)))
 }
 
-func (t *latencies) quantile(q float64) float64 {
+func (t *latencies) quantile(request float64) float64 {
 	if t.histogram == nil {
 		return 0
 	}
-	return float64(t.histogram.ValueAtQuantile(q)) / 1000
+	return float64(t.histogram.ValueAtQuantile(request)) / 1000
 }
 
 // Finish ends the model: what is still open has no answer, and what waits for a retry gets none.
--- a/internal/testkit/incident/zones_test.go
+++ b/internal/testkit/incident/zones_test.go
@@ -9,9 +9,9 @@
 	"beechgrade/internal/record"
 )
 
-// TestZonesNoted: notes become spans of states and of what poolers go by, which end with the process, and sums of where reads went; what an older
+// TestZoneNotesBecomeSpans: notes become spans of states and of what poolers go by, which end with the process, and sums of where reads went; what an older
 // plan had is no news; what cannot be read is left out.
-func TestZonesNoted(t *testing.T) {
+func TestZoneNotesBecomeSpans(t *testing.T) {
 	var z zones
 	if z.view() != nil {
 		t.Error("zones, where nobody has any")
--- a/internal/testkit/report/avoided.go
+++ b/internal/testkit/report/avoided.go
@@ -24,14 +24,14 @@
 	return Clock(r.To)
 }
 
-// mostWords are named of those by whose word a server was avoided.
-const mostWords = 6
+// maxReporters are named of those by whose word a server was avoided.
+const maxReporters = 6
 
 // AvoidedRows are a view's rows, a server each.
-func AvoidedRows(v *incident.View) (out []AvoidedRow) {
+func AvoidedRows(view *incident.View) (out []AvoidedRow) {
 	var by, words []string
-	for i, a := range v.Avoided { // by server
-		if i == 0 || v.Avoided[i-1].Server != a.Server {
+	for i, a := range view.Avoided { // by server
+		if i == 0 || view.Avoided[i-1].Server != a.Server {
 			by, words = nil, nil
 			out = append(out, AvoidedRow{Server: a.Server, Why: a.Why, From: a.From, To: a.To})
 		}
@@ -53,17 +53,17 @@
 			}
 		}
 		slices.Sort(words)
-		r.Word = strings.Join(words[:min(len(words), mostWords)], ", ")
-		if len(words) > mostWords {
-			r.Word += fmt.Sprintf(" and %d more", len(words)-mostWords)
+		r.Word = strings.Join(words[:min(len(words), maxReporters)], ", ")
+		if len(words) > maxReporters {
+			r.Word += fmt.Sprintf(" and %d more", len(words)-maxReporters)
 		}
 	}
 	return out
 }
 
-// avoided is the rows for a terminal.
-func avoided(b *strings.Builder, v *incident.View) {
-	rows := AvoidedRows(v)
+// writeAvoidedTable is the rows for a terminal.
+func writeAvoidedTable(b *strings.Builder, view *incident.View) {
+	rows := AvoidedRows(view)
 	if len(rows) == 0 {
 		return
 	}
--- a/internal/testkit/report/avoided_test.go
+++ b/internal/testkit/report/avoided_test.go
@@ -14,7 +14,7 @@
 	spell := func(server, by string, word []string, from, to float64) incident.Avoided {
 		return incident.Avoided{Server: server, By: by, Why: "silent", Reporters: word, From: from, To: to}
 	}
-	v := &incident.View{
+	view := &incident.View{
 		From:   1000,
 		To:     9000,
 		Events: 1,
@@ -22,14 +22,14 @@
 			spell("db-7", "b", []string{"c"}, 1100, 5000), spell("db-9", "b", []string{"c"}, 1500, 0)},
 	}
 	want := []AvoidedRow{{"db-7", "silent", "c, d, e", 2, 3, 1000, 5000}, {"db-9", "silent", "c", 1, 1, 1500, 0}}
-	if diff := cmp.Diff(want, AvoidedRows(v)); diff != "" {
+	if diff := cmp.Diff(want, AvoidedRows(view)); diff != "" {
 		t.Error(diff)
 	}
 	var text, page strings.Builder
-	if err := Text(&text, v); err != nil {
+	if err := Text(&text, view); err != nil {
 		t.Fatal(err)
 	}
-	if err := HTML(&page, v, "x"); err != nil {
+	if err := HTML(&page, view, "x"); err != nil {
 		t.Fatal(err)
 	}
 	for name, s := range map[string]string{"text": text.String(), "page": page.String()} {
--- a/internal/testkit/report/fleet.go
+++ b/internal/testkit/report/fleet.go
@@ -12,16 +12,16 @@
 	Bands  []Band
 }
 
-var seenAs = map[string]string{"alive": "primary", "suspect": "silent", "failed": "broken", "left": "gone"}
+var peerStateClass = map[string]string{"alive": "primary", "suspect": "silent", "failed": "broken", "left": "gone"}
 
-const fleetLanes = 400
+const maxFleetLanes = 400
 
 // FleetLanes are a view's lanes, and how many more there are.
-func FleetLanes(v *incident.View, width float64) (out []FleetLane, more int) {
-	scale := width / max(1, v.To-v.From)
-	for _, s := range v.Fleet {
+func FleetLanes(view *incident.View, width float64) (out []FleetLane, more int) {
+	scale := width / max(1, view.To-view.From)
+	for _, s := range view.Fleet {
 		if n := len(out); n == 0 || out[n-1].By != s.By || out[n-1].Of != s.Of {
-			if n == fleetLanes {
+			if n == maxFleetLanes {
 				more++
 				continue
 			}
@@ -29,12 +29,12 @@
 		}
 		to := s.To
 		if to == 0 {
-			to = v.To
+			to = view.To
 		}
 		l := &out[len(out)-1]
 		l.Bands = append(l.Bands, Band{
-			Class: seenAs[s.State],
-			X:     max(0, (s.From-v.From)*scale),
+			Class: peerStateClass[s.State],
+			X:     max(0, (s.From-view.From)*scale),
 			W:     max(0.5, (to-s.From)*scale),
 			Title: fmt.Sprintf("%s takes %s for %s from %s for %s", Safe(s.By), Safe(s.Of), Safe(s.State), Clock(s.From), incident.Span(to-s.From)),
 		})
--- a/internal/testkit/report/html.go
+++ b/internal/testkit/report/html.go
@@ -18,16 +18,16 @@
 
 // Bounds on the page, whatever the records hold.
 const (
-	chartW, chartH = 900.0, 180.0
-	smallW, smallH = 320.0, 90.0
-	laneW, laneH   = 900.0, 14.0
-	maxColumns     = 450   // points of a line, and stretches of a server's lane
-	maxStretches   = 30000 // of all lanes together
-	maxRows        = 400   // findings that are listed
-	maxListed      = 200   // unknown requests, returns, gaps that are listed
-	maxPoolCharts  = 24
-	minLane        = 40     // columns of a lane, however many servers there are
-	lagLine        = 1000.0 // ms behind that fill a lane
+	chartWidth, chartHeight           = 900.0, 180.0
+	smallChartWidth, smallChartHeight = 320.0, 90.0
+	laneWidth, laneHeightPx           = 900.0, 14.0
+	maxColumns                        = 450   // points of a line, and stretches of a server's lane
+	maxStretches                      = 30000 // of all lanes together
+	maxRows                           = 400   // findings that are listed
+	maxListed                         = 200   // unknown requests, returns, gaps that are listed
+	maxPoolCharts                     = 24
+	minLaneColumns                    = 40     // columns of a lane, however many servers there are
+	maxLagMs                          = 1000.0 // ms behind that fill a lane
 )
 
 // Chart is a plot of lines over time.
@@ -110,7 +110,7 @@
 }
 
 // HTML writes the report as one file that needs nothing else.
-func HTML(w io.Writer, v *incident.View, title string) error {
+func HTML(w io.Writer, view *incident.View, title string) error {
 	t, err := template.New("report").Funcs(template.FuncMap{
 		"clock": Clock, "span": incident.Span, "who": Who, "known": known, "started": started, "safe": Safe,
 		"pct":   func(x float64) string { return strconv.FormatFloat(100*x, 'f', 2, 64) + "%" },
@@ -126,19 +126,19 @@
 	if err != nil {
 		return fmt.Errorf("template: %w", err)
 	}
-	d := &pageData{V: v, Title: Safe(title), LaneW: laneW, LaneH: laneH}
+	d := &pageData{V: view, Title: Safe(title), LaneW: laneWidth, LaneH: laneHeightPx}
 	d.charts()
 	d.lanes()
 	d.lists()
-	d.Fleet, d.MoreFleet = FleetLanes(v, laneW)
-	d.Avoided = AvoidedRows(v)
+	d.Fleet, d.MoreFleet = FleetLanes(view, laneWidth)
+	d.Avoided = AvoidedRows(view)
 	d.Avoided = d.Avoided[:min(len(d.Avoided), maxRows)]
-	d.Limits, d.MoreLimits = LimitLanes(v, laneW)
-	d.Zones, d.ZoneGoes, d.MoreZones = ZoneLanes(v, laneW)
-	if v.Members != nil {
-		d.Members, d.Judged = MemberRows(v.Members), MemberCounts(v.Members)
+	d.Limits, d.MoreLimits = LimitLanes(view, laneWidth)
+	d.Zones, d.ZoneGoes, d.MoreZones = ZoneLanes(view, laneWidth)
+	if view.Members != nil {
+		d.Members, d.Judged = MemberRows(view.Members), MemberCounts(view.Members)
 		d.MoreMembers = max(0, len(d.Members)-maxRows)
-		d.Members, d.Judgements = d.Members[:min(len(d.Members), maxRows)], v.Members.Decisions[:min(len(v.Members.Decisions), maxRows)]
+		d.Members, d.Judgements = d.Members[:min(len(d.Members), maxRows)], view.Members.Decisions[:min(len(view.Members.Decisions), maxRows)]
 	}
 	if err := t.Execute(w, d); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -206,8 +206,8 @@
 		return xs
 	}
 	d.Columns = used
-	d.Service = d.chart(chartW, chartH, 6, "Service: worth answered in time over worth asked for", "", 1, []string{"service"}, []string{"l0"}, ratio(-1))
-	d.Counts = d.chart(chartW, chartH, 6, "Requests a second, by how they ended", "/s", 0, []string{"served", "refused", "failed", "clients' retries"}, []string{"l0", "l1", "l2", "l3"},
+	d.Service = d.chart(chartWidth, chartHeight, 6, "Service: worth answered in time over worth asked for", "", 1, []string{"service"}, []string{"l0"}, ratio(-1))
+	d.Counts = d.chart(chartWidth, chartHeight, 6, "Requests a second, by how they ended", "/s", 0, []string{"served", "refused", "failed", "clients' retries"}, []string{"l0", "l1", "l2", "l3"},
 		rate(func(c *incident.ClassSeries, i int) float64 { return float64(c.Served[i]) }),
 		rate(func(c *incident.ClassSeries, i int) float64 { return float64(c.Refused[i]) }),
 		rate(func(c *incident.ClassSeries, i int) float64 { return float64(c.Failed[i]) }),
@@ -220,13 +220,13 @@
 			columns(len(series.Waiting), n, func(col, i int) {
 				w[col], u[col] = max(w[col], float64(series.Waiting[i])), max(u[col], float64(series.Used[i]))
 			})
-			x.Chart = d.chart(smallW, smallH, 2, Safe(p.Name), "", 0, []string{"clients waiting", "connections in use"}, []string{"l1", "l0"}, w[:used], u[:used])
+			x.Chart = d.chart(smallChartWidth, smallChartHeight, 2, Safe(p.Name), "", 0, []string{"clients waiting", "connections in use"}, []string{"l1", "l0"}, w[:used], u[:used])
 		}
 		d.Pools = append(d.Pools, x)
 	}
 	for k, c := range s.Classes {
 		if k < 12 {
-			d.Classes = append(d.Classes, d.chart(smallW, smallH, 2, Safe(c.Name), "", 1, []string{"service"}, []string{"l0"}, ratio(k)))
+			d.Classes = append(d.Classes, d.chart(smallChartWidth, smallChartHeight, 2, Safe(c.Name), "", 1, []string{"service"}, []string{"l0"}, ratio(k)))
 		}
 	}
 }
@@ -256,7 +256,7 @@
 				top = max(top, x)
 			}
 		}
-		top = nice(top)
+		top = roundUpScale(top)
 	}
 	for i := 0; i <= 4; i++ {
 		y := float64(i) / 4
@@ -275,8 +275,8 @@
 	return c
 }
 
-// nice rounds a scale's end up.
-func nice(x float64) float64 {
+// roundUpScale rounds a scale's end up.
+func roundUpScale(x float64) float64 {
 	if x <= 0 {
 		return 1
 	}
@@ -296,12 +296,12 @@
 		if i == 0 {
 			op = 'M'
 		}
-		fmt.Fprintf(b, "%c%s %s", op, short(w*(float64(i)+0.5)/float64(len(l))), short(h*(1-min(1, x/top))))
+		fmt.Fprintf(b, "%c%s %s", op, formatTenth(w*(float64(i)+0.5)/float64(len(l))), formatTenth(h*(1-min(1, x/top))))
 	}
 	return b.String()
 }
 
-func short(x float64) string { return strconv.FormatFloat(math.Round(x*10)/10, 'f', -1, 64) }
+func formatTenth(x float64) string { return strconv.FormatFloat(math.Round(x*10)/10, 'f', -1, 64) }
 
 // band marks a stretch of the records' time.
 func (d *pageData) band(from, to, w float64, class, title string) Band {
@@ -352,12 +352,12 @@
 }
 
 func (d *pageData) lanes() {
-	d.Axis = d.ticks(laneW, 6)
+	d.Axis = d.ticks(laneWidth, 6)
 	servers := map[string]*incident.ServerView{}
 	for i := range d.V.Servers {
 		servers[d.V.Servers[i].Name] = &d.V.Servers[i]
 	}
-	n := min(maxColumns, max(minLane, maxStretches/max(1, len(servers))))
+	n := min(maxColumns, max(minLaneColumns, maxStretches/max(1, len(servers))))
 	for _, g := range d.V.Groups {
 		x := GroupLanes{GroupView: g}
 		for _, name := range g.Servers {
@@ -381,7 +381,7 @@
 	if used == 0 {
 		return l
 	}
-	w := laneW / float64(used)
+	w := laneWidth / float64(used)
 	from := 0
 	for i := 1; i <= used; i++ {
 		class, name := state(flags[from])
@@ -398,8 +398,8 @@
 	b := &strings.Builder{}
 	drawn := false
 	for i := range used { // only where there is something to see
-		y := laneH * (1 - min(1, lag[i]/lagLine))
-		if lag[i] < lagLine/20 {
+		y := laneHeightPx * (1 - min(1, lag[i]/maxLagMs))
+		if lag[i] < maxLagMs/20 {
 			drawn = false
 			continue
 		}
@@ -408,27 +408,27 @@
 			op = 'M'
 		}
 		drawn = true
-		fmt.Fprintf(b, "%c%s %sh%s", op, short(w*float64(i)), short(y), short(w))
+		fmt.Fprintf(b, "%c%s %sh%s", op, formatTenth(w*float64(i)), formatTenth(y), formatTenth(w))
 	}
 	l.Lag = b.String()
 	return l
 }
 
 func (d *pageData) lists() {
-	v := d.V
-	for _, f := range v.Findings { // the grave ones first, where there are too many
-		if f.Grave || len(v.Findings) <= maxRows {
+	view := d.V
+	for _, f := range view.Findings { // the grave ones first, where there are too many
+		if f.Grave || len(view.Findings) <= maxRows {
 			d.Findings = append(d.Findings, f)
 		}
 	}
 	d.Findings = d.Findings[:min(len(d.Findings), maxRows)]
-	d.MoreFindings = len(v.Findings) - len(d.Findings) + int(v.Unlisted)
-	d.Unknown = v.Unknown[:min(len(v.Unknown), maxListed)]
-	for _, s := range v.Servers {
+	d.MoreFindings = len(view.Findings) - len(d.Findings) + int(view.Unlisted)
+	d.Unknown = view.Unknown[:min(len(view.Unknown), maxListed)]
+	for _, s := range view.Servers {
 		d.Returns = append(d.Returns, s.Returns...)
 	}
 	d.Returns = d.Returns[:min(len(d.Returns), maxListed)]
-	for _, g := range v.Groups {
+	for _, g := range view.Groups {
 		for _, x := range g.Gaps {
 			if x.Old != x.New {
 				d.Takeovers++
--- a/internal/testkit/report/limits.go
+++ b/internal/testkit/report/limits.go
@@ -19,20 +19,20 @@
 }
 
 const (
-	limitLanes = 400
-	limitHigh  = 14
+	maxLimitLanes = 400
+	laneHeight    = 14
 )
 
 // LimitLanes are a view's lanes, and how many more there are.
-func LimitLanes(v *incident.View, width float64) (out []LimitLane, more int) {
-	scale := width / max(1, v.To-v.From)
+func LimitLanes(view *incident.View, width float64) (out []LimitLane, more int) {
+	scale := width / max(1, view.To-view.From)
 	most := map[string]float64{}
-	for _, h := range v.Limits {
+	for _, h := range view.Limits {
 		most[h.Limit] = max(most[h.Limit], h.Amount)
 	}
-	for _, h := range v.Limits {
+	for _, h := range view.Limits {
 		if n := len(out); n == 0 || out[n-1].Limit != h.Limit || out[n-1].By != h.By {
-			if n == limitLanes {
+			if n == maxLimitLanes {
 				more++
 				continue
 			}
@@ -40,14 +40,14 @@
 		}
 		to := h.To
 		if to == 0 {
-			to = v.To
+			to = view.To
 		}
-		high := limitHigh * h.Amount / max(1e-9, most[h.Limit])
+		high := laneHeight * h.Amount / max(1e-9, most[h.Limit])
 		l := &out[len(out)-1]
 		l.Bands = append(l.Bands, LimitBand{
-			X:     max(0, (h.From-v.From)*scale),
+			X:     max(0, (h.From-view.From)*scale),
 			W:     max(0.5, (to-h.From)*scale),
-			Y:     limitHigh - high,
+			Y:     laneHeight - high,
 			H:     high,
 			Title: fmt.Sprintf("%s may use %g of %s from %s for %s", Safe(h.By), h.Amount, Safe(h.Limit), Clock(h.From), incident.Span(to-h.From)),
 		})
--- a/internal/testkit/report/limits_test.go
+++ b/internal/testkit/report/limits_test.go
@@ -10,7 +10,7 @@
 
 // TestLimitLanes: a lane for each limit and pooler, as high as the part of the most that any had.
 func TestLimitLanes(t *testing.T) {
-	v := &incident.View{
+	view := &incident.View{
 		From: 1000,
 		To:   2000,
 		Limits: []incident.LimitShare{{
@@ -21,7 +21,7 @@
 			To:     1500,
 		}, {Limit: "x", By: "a", Amount: 10, From: 1500}, {Limit: "y", By: "a", Amount: 0, From: 1000}},
 	}
-	lanes, more := LimitLanes(v, 100)
+	lanes, more := LimitLanes(view, 100)
 	type box struct{ X, W, Y, H float64 }
 	var got [][]box
 	for _, l := range lanes {
--- a/internal/testkit/report/members.go
+++ b/internal/testkit/report/members.go
@@ -21,8 +21,8 @@
 }
 
 // MemberRows are a view's rows: sources first, then the server's own word, then the list.
-func MemberRows(v *endpointreport.View) (out []MemberRow) {
-	for _, s := range v.Servers {
+func MemberRows(view *endpointreport.View) (out []MemberRow) {
+	for _, s := range view.Servers {
 		row := MemberRow{Pooler: s.Pooler, Server: s.Name, Group: s.Group}
 		for i, x := range s.Reports {
 			row.Who, row.At, row.Role, row.Against = x.Source, x.AtMs, x.Role, ""
@@ -54,8 +54,8 @@
 }
 
 // MemberCounts are how many judgements there were of each kind, by name.
-func MemberCounts(v *endpointreport.View) (out []string) {
-	for k, n := range v.Counts {
+func MemberCounts(view *endpointreport.View) (out []string) {
+	for k, n := range view.Counts {
 		out = append(out, fmt.Sprintf("%s: %d", Safe(k), n))
 	}
 	slices.Sort(out)
@@ -63,18 +63,18 @@
 }
 
 // Members writes a view as text, each judgement with its reason where that is wanted.
-func Members(w io.Writer, v *endpointreport.View, why bool) error {
+func Members(w io.Writer, view *endpointreport.View, why bool) error {
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "pooler\tgroup\tserver\twho\tlast said\tsays\trole\tagainst its own word")
-	for _, r := range MemberRows(v) {
+	for _, r := range MemberRows(view) {
 		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", Safe(r.Pooler), r.Group, Safe(r.Server), Safe(r.Who), Clock(r.At), Safe(r.Says), r.Role, r.Against)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if len(v.Counts) > 0 {
+	if len(view.Counts) > 0 {
 		fmt.Fprintln(w, "\njudgements")
-		for _, l := range MemberCounts(v) {
+		for _, l := range MemberCounts(view) {
 			fmt.Fprintln(w, " ", l)
 		}
 	}
@@ -82,16 +82,16 @@
 		return nil
 	}
 	fmt.Fprintln(w)
-	for i := range v.Decisions {
-		g := &v.Decisions[i]
+	for i := range view.Decisions {
+		g := &view.Decisions[i]
 		fmt.Fprintf(w, "%s  %s  %s  %s: %s", Clock(g.At), Safe(g.Pooler), Safe(g.Server), Safe(g.Kind), Safe(g.Reason))
 		if g.Source != "" {
 			fmt.Fprintf(w, " (%s)", Safe(g.Source))
 		}
 		fmt.Fprintln(w)
 	}
-	if v.OmittedDecisions > 0 {
-		fmt.Fprintf(w, "...and %d more\n", v.OmittedDecisions)
+	if view.OmittedDecisions > 0 {
+		fmt.Fprintf(w, "...and %d more\n", view.OmittedDecisions)
 	}
 	return nil
 }
--- a/internal/testkit/report/members_test.go
+++ b/internal/testkit/report/members_test.go
@@ -27,7 +27,7 @@
 	if err := Members(&text, members, true); err != nil {
 		t.Fatal(err)
 	}
-	view := made(1, func(int) string { return "p1" }, 1)
+	view := sampleView(1, func(int) string { return "p1" }, 1)
 	view.Members = members
 	if err := HTML(&page, view, "title"); err != nil {
 		t.Fatal(err)
--- a/internal/testkit/report/rehearsal.go
+++ b/internal/testkit/report/rehearsal.go
@@ -9,10 +9,10 @@
 	"beechgrade/internal/testkit/rehearse"
 )
 
-const shown = 20 // differences and breaches that are listed as text
+const maxListedDifferences = 20 // differences and breaches that are listed as text
 
 // Rehearsal writes how a rehearsal went.
-func Rehearsal(w io.Writer, r *rehearse.Result, m *rehearse.Match, v *incident.View, dir string) error {
+func Rehearsal(w io.Writer, r *rehearse.Result, m *rehearse.Match, view *incident.View, dir string) error {
 	b := &strings.Builder{}
 	s := r.Score
 	fmt.Fprintf(b, "%s, seed %d: service %.4f, worst 10 s %.3f, worst class %s; goal %.4f\n\n", Safe(r.Rehearsal), r.Seed, s.Ratio, s.Worst, s.Least, s.Goal)
@@ -26,13 +26,13 @@
 	fmt.Fprintf(b, "\nrecords and clients: %d of %d tries equal, %d taken by no pooler, %d listed as unknown, %d in the dark, %d differ\n",
 		m.Equal, m.Attempts, m.Untaken, m.Unknown, m.InMissing, len(m.Differ))
 	for i, d := range append(m.Totals[:len(m.Totals):len(m.Totals)], m.Differ...) {
-		if i == shown {
-			fmt.Fprintf(b, "  ... %d more\n", len(m.Totals)+len(m.Differ)-shown)
+		if i == maxListedDifferences {
+			fmt.Fprintf(b, "  ... %d more\n", len(m.Totals)+len(m.Differ)-maxListedDifferences)
 			break
 		}
 		fmt.Fprintf(b, "  %s: records %s, clients %s\n", d.What, d.Records, d.Clients)
 	}
-	gaps(b, v)
+	writeGapTable(b, view)
 	if len(r.Facts) > 0 {
 		b.WriteString("\nwhat truly happened\n")
 		table(b, func(t io.Writer) {
@@ -44,7 +44,7 @@
 	if s.Broken > 0 {
 		fmt.Fprintf(b, "\nRULES BROKEN: %d\n", s.Broken)
 		for i, x := range s.Breaches {
-			if i == shown {
+			if i == maxListedDifferences {
 				break
 			}
 			fmt.Fprintf(b, "  %s %s: %s (id %s)\n", Clock(x.At), x.Rule, Safe(x.Text), x.ID)
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -16,8 +16,8 @@
 // hostile are names that must stay text wherever they stand.
 const hostile = `<script>alert(1)</script>"' onload="x"&` + "\x1b[31m"
 
-// made is a view of a made-up incident, with a name for a server.
-func made(servers int, name func(i int) string, seconds float64) *incident.View {
+// sampleView is a view of a made-up incident, with a name for a server.
+func sampleView(servers int, name func(i int) string, seconds float64) *incident.View {
 	m := incident.New()
 	r := &records.Run{Pooler: name(0), StartMs: 1.7e12, Header: &recordpb.Header{Classes: fake.Classes(), ColdUs: 1e6}}
 	r.Header.Classes[0].Name = name(0)
@@ -65,14 +65,14 @@
 	return m.View()
 }
 
-// TestHostile guards against names that become markup, or that a terminal acts on.
-func TestHostile(t *testing.T) {
-	v := made(8, func(i int) string { return fmt.Sprint(hostile, i) }, 20)
+// TestHostileNamesStayText guards against names that become markup, or that a terminal acts on.
+func TestHostileNamesStayText(t *testing.T) {
+	view := sampleView(8, func(i int) string { return fmt.Sprint(hostile, i) }, 20)
 	page, text := &bytes.Buffer{}, &bytes.Buffer{}
-	if err := HTML(page, v, hostile); err != nil {
+	if err := HTML(page, view, hostile); err != nil {
 		t.Fatal(err)
 	}
-	if err := Text(text, v); err != nil {
+	if err := Text(text, view); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []string{"<script", `onload="x"`, "\x1b"} {
@@ -88,11 +88,11 @@
 	}
 }
 
-// TestSize guards against a page that grows with the records: 200 servers, a day, and states that change all the time.
-func TestSize(t *testing.T) {
-	v := made(200, func(i int) string { return fmt.Sprintf("server-%03d.sala-recife.example.org", i) }, 86400)
+// TestPageSizeIsBounded guards against a page that grows with the records: 200 servers, a day, and states that change all the time.
+func TestPageSizeIsBounded(t *testing.T) {
+	view := sampleView(200, func(i int) string { return fmt.Sprintf("server-%03d.sala-recife.example.org", i) }, 86400)
 	page := &bytes.Buffer{}
-	if err := HTML(page, v, "day"); err != nil {
+	if err := HTML(page, view, "day"); err != nil {
 		t.Fatal(err)
 	}
 	if page.Len() > 5<<20 {
@@ -103,13 +103,13 @@
 	}
 }
 
-// TestEmpty guards against a page or a text that fails where there is nothing to show.
-func TestEmpty(t *testing.T) {
-	v := incident.New().View()
-	if err := HTML(&bytes.Buffer{}, v, "none"); err != nil {
+// TestReportWithoutEvents guards against a page or a text that fails where there is nothing to show.
+func TestReportWithoutEvents(t *testing.T) {
+	view := incident.New().View()
+	if err := HTML(&bytes.Buffer{}, view, "none"); err != nil {
 		t.Error(err)
 	}
-	if err := Text(&bytes.Buffer{}, v); err != nil {
+	if err := Text(&bytes.Buffer{}, view); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/testkit/report/text.go
+++ b/internal/testkit/report/text.go
@@ -16,40 +16,40 @@
 )
 
 // Text writes a summary for a terminal.
-func Text(w io.Writer, v *incident.View) error {
+func Text(w io.Writer, view *incident.View) error {
 	b := &strings.Builder{}
-	if v.Events == 0 {
+	if view.Events == 0 {
 		_, err := fmt.Fprintln(w, "The records hold no events.")
 		return err
 	}
-	fmt.Fprintf(b, "%s to %s (%s), %d events of %d poolers", Clock(v.From), Clock(v.To), incident.Span(v.To-v.From), v.Events, len(v.Poolers))
-	if v.Lost > 0 {
-		fmt.Fprintf(b, "; %d more were not recorded", v.Lost)
+	fmt.Fprintf(b, "%s to %s (%s), %d events of %d poolers", Clock(view.From), Clock(view.To), incident.Span(view.To-view.From), view.Events, len(view.Poolers))
+	if view.Lost > 0 {
+		fmt.Fprintf(b, "; %d more were not recorded", view.Lost)
 	}
 	b.WriteString("\n\n")
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "class\tservice\tworst 10 s\tasked\tretries\tserved\tlate\trefused\tfailed\tgone\tunknown\tp50 ms\tp99 ms")
-		for _, c := range append(v.Classes[:len(v.Classes):len(v.Classes)], v.Total) {
+		for _, c := range append(view.Classes[:len(view.Classes):len(view.Classes)], view.Total) {
 			fmt.Fprintf(t, "%s\t%.4f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\n", Safe(c.Name), c.Ratio, c.Worst, c.Asked, c.Repeats,
 				c.Served, c.Late, c.Refused, c.Failed, c.Gone, c.Unknown, c.P50, c.P99)
 		}
 	})
-	fmt.Fprintf(b, "\nworth asked %.1f, got %.1f, lost %.1f; %.1f of it hangs on answers within 50 ms of their aim\n", v.Total.WorthAsked, v.Total.WorthGot, v.LostWorth(), v.Total.WorthBorder)
-	if len(v.Causes) > 0 {
+	fmt.Fprintf(b, "\nworth asked %.1f, got %.1f, lost %.1f; %.1f of it hangs on answers within 50 ms of their aim\n", view.Total.WorthAsked, view.Total.WorthGot, view.LostWorth(), view.Total.WorthBorder)
+	if len(view.Causes) > 0 {
 		b.WriteString("\n")
 		table(b, func(t io.Writer) {
 			fmt.Fprintln(t, "worth lost\trequests\tcause")
-			for _, c := range v.Causes {
+			for _, c := range view.Causes {
 				fmt.Fprintf(t, "%.1f\t%d\t%s\n", c.Worth, c.Requests, c.Name)
 			}
 		})
 	}
-	gaps(b, v)
-	pools(b, v)
-	zonesText(b, v)
-	avoided(b, v)
+	writeGapTable(b, view)
+	writePoolTable(b, view)
+	writeZoneTables(b, view)
+	writeAvoidedTable(b, view)
 	var returns []incident.Return
-	for _, s := range v.Servers {
+	for _, s := range view.Servers {
 		returns = append(returns, s.Returns...)
 	}
 	if len(returns) > 0 {
@@ -61,10 +61,10 @@
 			}
 		})
 	}
-	if len(v.Findings) > 0 {
+	if len(view.Findings) > 0 {
 		b.WriteString("\nfindings (! grave)\n")
 		table(b, func(t io.Writer) {
-			for _, f := range v.Findings {
+			for _, f := range view.Findings {
 				mark := " "
 				if f.Grave {
 					mark = "!"
@@ -73,14 +73,14 @@
 			}
 		})
 	}
-	if v.Unlisted > 0 {
-		fmt.Fprintf(b, "%d more findings are not listed\n", v.Unlisted)
+	if view.Unlisted > 0 {
+		fmt.Fprintf(b, "%d more findings are not listed\n", view.Unlisted)
 	}
-	if v.Unknowns > 0 {
-		fmt.Fprintf(b, "\n%d requests have no answer in the records:\n", v.Unknowns)
-		for i, u := range v.Unknown {
+	if view.Unknowns > 0 {
+		fmt.Fprintf(b, "\n%d requests have no answer in the records:\n", view.Unknowns)
+		for i, u := range view.Unknown {
 			if i == 20 {
-				fmt.Fprintf(b, "  ... %d more (--json lists up to 2000)\n", v.Unknowns-20)
+				fmt.Fprintf(b, "  ... %d more (--json lists up to 2000)\n", view.Unknowns-20)
 				break
 			}
 			fmt.Fprintf(b, "  %s %s %s group %d, id hash %s\n", Clock(u.At), Safe(u.Pooler), Safe(u.Class), u.Group, u.ID)
@@ -90,9 +90,9 @@
 	return err
 }
 
-func gaps(b *strings.Builder, v *incident.View) {
+func writeGapTable(b *strings.Builder, view *incident.View) {
 	any := false
-	for _, g := range v.Groups {
+	for _, g := range view.Groups {
 		any = any || len(g.Gaps) > 0
 	}
 	if !any {
@@ -101,7 +101,7 @@
 	b.WriteString("\n")
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "group\tlast write\tfirst after\tgap\tbefore\tafter\tlist wrong for\twrites not served\tworth lost")
-		for _, g := range v.Groups {
+		for _, g := range view.Groups {
 			for _, x := range g.Gaps {
 				fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.1f\n", x.Group, Clock(x.From), Clock(x.To), incident.Span(x.To-x.From), Safe(x.Old), Safe(x.New),
 					known(x.ListWrongMs), x.Unserved, x.Lost)
@@ -110,14 +110,14 @@
 	})
 }
 
-func pools(b *strings.Builder, v *incident.View) {
-	if len(v.Pools) == 0 {
+func writePoolTable(b *strings.Builder, view *incident.View) {
+	if len(view.Pools) == 0 {
 		return
 	}
 	b.WriteString("\n")
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "pool\tsessions\tended by pooler\tgiven\tchanged hands\tmoved\tsettings carried\tbegun again\tno connection\twait p50 ms\tp99 ms\tmost ms\tmost in use\tmost waiting")
-		for _, p := range v.Pools {
+		for _, p := range view.Pools {
 			fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%d of %d\t%d\n", Safe(p.Name), p.Sessions, Ends(p), p.Hands, p.Changed, p.Moved,
 				p.Carried, p.Again, p.Refused, p.WaitP50, p.WaitP99, p.WaitMost, p.MostUsed, p.Connections, p.MostWaiting)
 		}
--- a/internal/testkit/report/zones.go
+++ b/internal/testkit/report/zones.go
@@ -21,30 +21,30 @@
 	Title      string
 }
 
-var stateAs = map[string]string{"serving": "primary", "strained": "drain", "failing": "silent", "evacuated": "broken", "returning": "cold"}
-var whyAs = map[string]string{"none": "gone", "plan": "replica", "fallback": "silent", "spilling": "broken"}
+var zoneStateClass = map[string]string{"serving": "primary", "strained": "drain", "failing": "silent", "evacuated": "broken", "returning": "cold"}
+var zoneReasonClass = map[string]string{"none": "gone", "plan": "replica", "fallback": "silent", "spilling": "broken"}
 
 const (
-	zoneLanes = 400
-	zoneHigh  = 14
+	maxZoneLanes   = 400
+	zoneLaneHeight = 14
 )
 
 // ZoneLanes are a view's: of zones, and of poolers; and how many more there are of these.
-func ZoneLanes(v *incident.View, width float64) (states, poolers []ZoneLane, more int) {
-	if v.Zones == nil {
+func ZoneLanes(view *incident.View, width float64) (states, poolers []ZoneLane, more int) {
+	if view.Zones == nil {
 		return nil, nil, 0
 	}
-	scale := width / max(1, v.To-v.From)
+	scale := width / max(1, view.To-view.From)
 	band := func(class string, from, to, high float64, title string) ZoneBand {
 		if to == 0 {
-			to = v.To
+			to = view.To
 		}
 		return ZoneBand{
 			Class: class,
-			X:     max(0, (from-v.From)*scale),
+			X:     max(0, (from-view.From)*scale),
 			W:     max(0.5, (to-from)*scale),
-			Y:     zoneHigh * (1 - high),
-			H:     zoneHigh * high,
+			Y:     zoneLaneHeight * (1 - high),
+			H:     zoneLaneHeight * high,
 			Title: fmt.Sprintf("%s from %s for %s", title, Clock(from), incident.Span(to-from)),
 		}
 	}
@@ -54,22 +54,22 @@
 				return &(*lanes)[i]
 			}
 		}
-		if len(*lanes) == zoneLanes {
+		if len(*lanes) == maxZoneLanes {
 			more++
 			return &ZoneLane{}
 		}
 		*lanes = append(*lanes, ZoneLane{Name: name})
 		return &(*lanes)[len(*lanes)-1]
 	}
-	for _, s := range v.Zones.States {
+	for _, s := range view.Zones.States {
 		l := at(&states, s.Zone)
-		l.Bands = append(l.Bands, band(stateAs[s.State], s.From, s.To, 1, fmt.Sprintf("%s is %s from plan %d on,", Safe(s.Zone), Safe(s.State), s.Plan)))
+		l.Bands = append(l.Bands, band(zoneStateClass[s.State], s.From, s.To, 1, fmt.Sprintf("%s is %s from plan %d on,", Safe(s.Zone), Safe(s.State), s.Plan)))
 	}
-	for _, g := range v.Zones.Goes {
+	for _, g := range view.Zones.Goes {
 		l := at(&poolers, g.By)
-		l.Bands = append(l.Bands, band(whyAs[g.Why], g.From, g.To, 1, fmt.Sprintf("%s, in %s, goes by: %s, with %s for near,", Safe(g.By), Safe(g.Zone), Safe(g.Why), Safe(g.Near))))
+		l.Bands = append(l.Bands, band(zoneReasonClass[g.Why], g.From, g.To, 1, fmt.Sprintf("%s, in %s, goes by: %s, with %s for near,", Safe(g.By), Safe(g.Zone), Safe(g.Why), Safe(g.Near))))
 	}
-	for _, c := range v.Zones.Crossed {
+	for _, c := range view.Zones.Crossed {
 		if c.Far == 0 {
 			continue
 		}
@@ -80,25 +80,25 @@
 	return states, poolers, more
 }
 
-// zonesText is the summary's part.
-func zonesText(b *strings.Builder, v *incident.View) {
-	if v.Zones == nil {
+// writeZoneTables is the summary's part.
+func writeZoneTables(b *strings.Builder, view *incident.View) {
+	if view.Zones == nil {
 		return
 	}
-	fmt.Fprintf(b, "\nzones: plan %d is the newest; %.1f%% of the reads that any member may serve crossed\n", v.Zones.Plans, 100*v.Zones.Far)
+	fmt.Fprintf(b, "\nzones: plan %d is the newest; %.1f%% of the reads that any member may serve crossed\n", view.Zones.Plans, 100*view.Zones.Far)
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "zone\tstate\tfrom plan\tfrom\tfor")
-		for _, s := range v.Zones.States {
+		for _, s := range view.Zones.States {
 			to := s.To
 			if to == 0 {
-				to = v.To
+				to = view.To
 			}
 			fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\n", Safe(s.Zone), Safe(s.State), s.Plan, Clock(s.From), incident.Span(to-s.From))
 		}
 	})
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "reads of\tserved in\tattempts")
-		for _, s := range v.Zones.Sent {
+		for _, s := range view.Zones.Sent {
 			fmt.Fprintf(t, "%s\t%s\t%d\n", Safe(s.From), Safe(s.To), s.Sent)
 		}
 	})
--- a/internal/testkit/report/zones_test.go
+++ b/internal/testkit/report/zones_test.go
@@ -12,7 +12,7 @@
 // TestZoneLanes: a lane for each zone's states; one for each pooler, with what crossed as high as its part; the page and the text have them, and nothing
 // of zones where there are none.
 func TestZoneLanes(t *testing.T) {
-	v := &incident.View{
+	view := &incident.View{
 		From:   1000,
 		To:     2000,
 		Events: 1,
@@ -31,7 +31,7 @@
 			Sent:    []incident.ZoneSent{{From: "a", To: "b", Sent: 2}},
 		},
 	}
-	states, poolers, more := ZoneLanes(v, 100)
+	states, poolers, more := ZoneLanes(view, 100)
 	type box struct {
 		Class      string
 		X, W, Y, H float64
@@ -54,13 +54,13 @@
 	}
 	for _, on := range []bool{true, false} {
 		if !on {
-			v.Zones = nil
+			view.Zones = nil
 		}
 		var page, text strings.Builder
-		if err := HTML(&page, v, "x"); err != nil {
+		if err := HTML(&page, view, "x"); err != nil {
 			t.Fatal(err)
 		}
-		if err := Text(&text, v); err != nil {
+		if err := Text(&text, view); err != nil {
 			t.Fatal(err)
 		}
 		if strings.Contains(page.String(), "25% of 8 reads crossed") != on || strings.Contains(text.String(), "25.0% of the reads") != on || strings.Contains(text.String(), "evacuated") != on {
