--- a/internal/endpoints/reconcile/api.go
+++ b/internal/endpoints/reconcile/api.go
@@ -11,6 +11,7 @@
 	Maintenance // of the service or its node: the server drains
 )
 
+// String is the name of the health, as Consul writes it.
 func (h Health) String() string {
 	return [...]string{"passing", "warning", "critical", "maintenance"}[h]
 }
@@ -25,6 +26,7 @@
 	Replica
 )
 
+// String is the name of the role.
 func (r Role) String() string { return [...]string{"unknown", "primary", "replica"}[r] }
 
 // Observation is what one source reports of one server.
@@ -60,6 +62,7 @@
 	StateRemoved
 )
 
+// String is the name of the state, as decisions have it.
 func (s State) String() string { return [...]string{"serving", "draining", "gone"}[s] }
 
 // Entry is one server of the endpoint list. Snapshots store it, hence the tags.
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -34,6 +34,7 @@
 	Times int
 }
 
+// String is the name of the statement and the state that broke it.
 func (b Breach) String() string { return fmt.Sprintf("invariant broken: %s: %s", b.Name, b.State) }
 
 // Checks checks statements. A nil *Checks checks none.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -23,6 +23,7 @@
 // outcomeNames are the names of the metrics, which are fixed.
 var outcomeNames = [ClientGone]string{Served: "passed", Rejected: "dropped", Failed: "bad_gateway"}
 
+// String is the name of the outcome in metrics, or client_gone.
 func (o Outcome) String() string {
 	if o < ClientGone {
 		return outcomeNames[o]
--- a/internal/record/event.go
+++ b/internal/record/event.go
@@ -26,6 +26,7 @@
 	return "unknown"
 }
 
+// String describes the reason in a few words.
 func (r Reason) String() string {
 	switch r {
 	case ReasonNone:
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -18,6 +18,7 @@
 	Line, Col int
 }
 
+// String is FILE:LINE:COLUMN.
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
 // Error is an error at a place in a file.
@@ -26,6 +27,7 @@
 	Text string
 }
 
+// Error is the place and the text.
 func (e *Error) Error() string { return e.Pos.String() + ": " + e.Text }
 
 // Kind is the kind of a node.
