--- a/internal/testkit/byzantine/servers.go
+++ b/internal/testkit/byzantine/servers.go
@@ -15,7 +15,12 @@
 }
 
 // ServerFaults are the kinds of liar.
-var ServerFaults = map[string]ServerFault{"silent": {Unresponsive: true}, "leads": {ClaimsPrimary: true}, "ahead": {AheadMs: 5000}, "servers": {Unresponsive: true, ClaimsPrimary: true, AheadMs: 5000}}
+var ServerFaults = map[string]ServerFault{
+	"silent":  {Unresponsive: true},
+	"leads":   {ClaimsPrimary: true},
+	"ahead":   {AheadMs: 5000},
+	"servers": {Unresponsive: true, ClaimsPrimary: true, AheadMs: 5000},
+}
 
 // AlterServers is what a liar makes of a word of servers.
 func AlterServers[T any](message T, fault ServerFault) T {
--- a/internal/testkit/checker/blackout.go
+++ b/internal/testkit/checker/blackout.go
@@ -5,65 +5,65 @@
 	"slices"
 )
 
-// The rules of who is asked. They are held at the servers, by whoever knows what befalls servers and ways.
+// The rules on avoided servers. They are checked at the servers, by a test that knows the faults of servers and links.
 const (
 	NoBlackout Rule = "no server that answers most who ask is avoided by many for long on words alone"
 	LastAsked  Rule = "no group is given up by all while it is asked for"
 )
 
-// BlackoutRules are those of who is asked.
+// BlackoutRules returns the rules on avoided servers.
 func BlackoutRules() []Rule { return []Rule{NoBlackout, LastAsked} }
 
-// BlackoutConfig says what the rules' figures are. Times are in ms.
+// BlackoutConfig has the limits of the rules. Times are in ms.
 type BlackoutConfig struct {
 	Groups           [][]int // servers by their numbers
 	Poolers          int
-	WindowMs         float64 // a server is avoided for long that is for so long...
-	HealthyMs        float64 // ...after it has been sound for so long
-	OwnEvidenceMs    float64 // so long a pooler may go by what it saw of a server itself
-	RestartGraceMs   float64 // what was seen of a server's last process, and said, may count for so long after the start of one with which nothing is wrong; 0 for as ever
-	MaxAvoidingShare float64 // of the poolers that may avoid it
-	MinReads         int     // reads that poolers send to the others of its group meanwhile, so that it is said that they avoid it
-	MinRequests      int     // requests that a group is asked for meanwhile, so that it is said to be given up
+	WindowMs         float64 // a server counts as avoided if it is for this long...
+	HealthyMs        float64 // ...after it was healthy for this long
+	OwnEvidenceMs    float64 // for which a pooler may rely on its own observation of a server
+	RestartGraceMs   float64 // for which reports on a server's last process may count after a healthy one has started; 0 for no limit
+	MaxAvoidingShare float64 // share of the poolers that may avoid a server
+	MinReads         int     // reads to other members of the group without which a pooler does not count as avoiding it
+	MinRequests      int     // requests for a group without which it does not count as abandoned
 }
 
-// GroundTruth is what befalls servers, ways and poolers now.
+// GroundTruth reports the true state of servers, links and poolers at present.
 type GroundTruth interface {
-	ServerHealthy(server int) bool       // nothing befalls it
-	ServerStartedAt(server int) float64  // when its process began, by what the list tells all soon; 0 for long ago, or where the list does not
-	ServerReachable(server int) bool     // its process runs, and can be reached by somebody
+	ServerHealthy(server int) bool       // no fault affects it
+	ServerStartedAt(server int) float64  // when its process started, if the endpoint list reports it soon; 0 for long ago or unreported
+	ServerReachable(server int) bool     // its process runs, and at least one pooler can reach it
 	IsPrimary(server int) bool           // it leads its group
-	LinkHealthy(pooler, server int) bool // nothing befalls the way
-	PoolerRunning(no int) bool           // its process runs, and is no newcomer
+	LinkHealthy(pooler, server int) bool // no fault affects the link
+	PoolerRunning(no int) bool           // its process runs and is not paused
 }
 
-// BlackoutChecker holds who is asked to the rules. It is told of each send, and looks at what is true now and then; of what poolers think it
-// knows nothing.
+// BlackoutChecker checks that poolers avoid servers only for a reason. It observes each attempt and samples the true state from time to time; it
+// knows nothing of the poolers' own view.
 type BlackoutChecker struct {
 	cfg            BlackoutConfig
 	groupOf        map[int]int
-	windowStart    float64      // of the window
-	healthySince   [][]float64  // by pooler and server: nothing is wrong with it for this pooler since then; never is in the future
-	lastUnanswered [][]float64  // likewise: it had no answer of it last then, by its own asking
+	windowStart    float64      // ms
+	healthySince   [][]float64  // by pooler and server: since when the server works for this pooler; never if it does not
+	lastUnanswered [][]float64  // by pooler and server: when an attempt or health check of its own was last unanswered
 	reads          [][]int      // sends in the window
-	primary        []int        // by group: who led it last, -1 for nobody
+	primary        []int        // by group: its last primary, -1 for none
 	received       []int        // by group: requests for it in the window
 	sent           []int        // by group: sends in the window
-	replicaReads   []int        // likewise, reads that went to others than its primary
-	hadNoMember    []bool       // by group: in the window there was a time without any member running
+	replicaReads   []int        // by group: reads sent to replicas
+	hadNoMember    []bool       // by group: at some time in the window no member ran
 	startedAt      []float64    // by server: when its process began
-	lastImpaired   []float64    // by server: the last time that something was wrong with it while its process ran
-	current        []Impairment // by server: the last time that something was wrong with it while its process ran
+	lastImpaired   []float64    // by server: when it last had a fault while its process ran
+	current        []Impairment // by server: when it last had a fault while its process ran
 	finished       []Impairment
 	verdict        Verdict
 }
 
-// Impairment is what came to a server with which something was wrong while its process ran.
+// Impairment is a span in which a server had a fault while its process ran, with the attempts sent to it.
 type Impairment struct {
 	Server            int
 	From              float64
 	Until             float64 // 0 while it lasts
-	FirstUnansweredAt float64 // a pooler first had no answer of it in time, 0 for not yet
+	FirstUnansweredAt float64 // when an attempt was first unanswered, 0 for not yet
 	SendsBefore       int     // sends in the window before
 	Sends             []float64
 }
@@ -71,13 +71,18 @@
 const (
 	never          = 1e300
 	maxImpairments = 1000
-	minSenders     = 6 // poolers, or clumps, that ask elsewhere; fewer may do so by chance
+	minSenders     = 6 // poolers, or sets of poolers, that send elsewhere; fewer may do so by chance
 	maxSends       = 100000
 )
 
-// NewBlackoutChecker makes the checker.
+// NewBlackoutChecker returns a checker whose first window starts now.
 func NewBlackoutChecker(at float64, cfg BlackoutConfig) *BlackoutChecker {
-	b := &BlackoutChecker{cfg: cfg, groupOf: map[int]int{}, windowStart: at, verdict: Verdict{Checked: map[Rule]uint64{}, Broken: map[Rule]int{}}}
+	b := &BlackoutChecker{
+		cfg:         cfg,
+		groupOf:     map[int]int{},
+		windowStart: at,
+		verdict:     Verdict{Checked: map[Rule]uint64{}, Broken: map[Rule]int{}},
+	}
 	servers := 0
 	for g, members := range cfg.Groups {
 		for _, s := range members {
@@ -95,14 +100,14 @@
 	return b
 }
 
-// RequestReceived tells that a client's request for a group has come to a pooler.
+// RequestReceived records that a pooler received a client's request for a group.
 func (b *BlackoutChecker) RequestReceived(group int) {
 	if group >= 0 && group < len(b.received) {
 		b.received[group]++
 	}
 }
 
-// AttemptSent tells of a request's send.
+// AttemptSent records an attempt.
 func (b *BlackoutChecker) AttemptSent(at float64, pooler, server int, writes bool) {
 	g, ok := b.groupOf[server]
 	if !ok || pooler < 0 || pooler >= len(b.reads) {
@@ -121,7 +126,7 @@
 	}
 }
 
-// Unanswered tells that a pooler asked a server, by a request or a probe, and came to no answer: what it makes of that is its own evidence.
+// Unanswered records that a pooler's attempt or health check got no answer, which is evidence of its own.
 func (b *BlackoutChecker) Unanswered(at float64, pooler, server int) {
 	if pooler >= 0 && pooler < len(b.lastUnanswered) {
 		b.lastUnanswered[pooler][server] = at
@@ -131,7 +136,7 @@
 	}
 }
 
-// Sample takes what is true now, and holds a window that is over to the rules.
+// Sample records the true state and checks the rules if the window has ended.
 func (b *BlackoutChecker) Sample(at float64, truth GroundTruth) {
 	for g, members := range b.cfg.Groups {
 		primary, reachable := -1, false
@@ -175,7 +180,7 @@
 	clear(b.hadNoMember)
 }
 
-// trackImpairment begins and ends a time in which something is wrong with a server that runs.
+// trackImpairment starts or ends the span in which a running server has a fault.
 func (b *BlackoutChecker) trackImpairment(at float64, server int, truth GroundTruth) {
 	current := &b.current[server]
 	switch healthy := truth.ServerHealthy(server); {
@@ -192,15 +197,15 @@
 	}
 }
 
-// Impairments are the times in which something was wrong with a server that ran, in the order of their ends.
+// Impairments returns the finished impairments in the order of their ends.
 func (b *BlackoutChecker) Impairments() []Impairment { return b.finished }
 
-// FirstUnansweredAt is when a pooler first had no answer of a server with which something is wrong; 0 for not yet, or where nothing is.
+// FirstUnansweredAt returns when an attempt at an impaired server was first unanswered; 0 if none was, or if it is healthy.
 func (b *BlackoutChecker) FirstUnansweredAt(server int) float64 {
 	return b.current[server].FirstUnansweredAt
 }
 
-// checkWindow holds a window to the rules.
+// checkWindow checks the rules for a group in the window that ends.
 func (b *BlackoutChecker) checkWindow(at float64, group int) {
 	members, primary := b.cfg.Groups[group], b.primary[group]
 	if b.received[group] >= b.cfg.MinRequests && !b.hadNoMember[group] {
@@ -215,14 +220,14 @@
 		}
 		senders, avoiding, judged, unbiased := 0, 0, 0, 0
 		var proof []Event
-		readsToOthers, readsToServer := 0, 0 // of a clump of poolers that send little
+		readsToOthers, readsToServer := 0, 0 // summed over poolers that send little, until they have MinReads
 		for pooler := range b.reads {
 			replaced := b.replacedCleanly(pooler, server)
 			if replaced && b.windowStart < b.startedAt[server]+b.cfg.RestartGraceMs || !replaced && b.healthySince[pooler][server] > b.windowStart-b.cfg.HealthyMs {
 				continue
 			}
 			if judged++; b.lastUnanswered[pooler][server] > b.windowStart-b.cfg.OwnEvidenceMs && !(replaced && b.lastUnanswered[pooler][server] <= b.startedAt[server]+b.cfg.RestartGraceMs) {
-				continue // it goes by what it saw itself
+				continue // it relies on its own observation
 			}
 			unbiased++
 			for _, other := range members {
@@ -237,13 +242,19 @@
 			if senders++; readsToServer == 0 {
 				avoiding++
 				if len(proof) < maxProof {
-					proof = append(proof, Event{At: at, What: "sends to others only", Pooler: pooler, Server: server, Text: fmt.Sprintf("%d reads to others of the group", readsToOthers)})
+					proof = append(proof, Event{
+						At:     at,
+						What:   "sends to others only",
+						Pooler: pooler,
+						Server: server,
+						Text:   fmt.Sprintf("%d reads to others of the group", readsToOthers),
+					})
 				}
 			}
 			readsToOthers, readsToServer = 0, 0
 		}
 		if 2*judged <= len(b.reads) || 2*unbiased <= judged || senders < minSenders {
-			continue // it does not answer most, or most go by what they saw themselves, or next to nothing is asked
+			continue // it does not answer most poolers, most rely on their own observation, or there are too few reads
 		}
 		b.verdict.Checked[NoBlackout]++
 		if float64(avoiding) > b.cfg.MaxAvoidingShare*float64(senders) {
@@ -252,8 +263,8 @@
 	}
 }
 
-// replacedCleanly tells whether a server is another process than before, and nothing was wrong with that for a pooler since it began: what befell the old one
-// says nothing of it.
+// replacedCleanly reports whether a new process of the server runs that has had no fault for this pooler, so that faults of the old one
+// do not count.
 func (b *BlackoutChecker) replacedCleanly(pooler, server int) bool {
 	return b.cfg.RestartGraceMs > 0 && b.startedAt[server] > 0 && b.lastImpaired[server] < b.startedAt[server] && b.healthySince[pooler][server] <= b.startedAt[server]+b.cfg.RestartGraceMs
 }
@@ -266,7 +277,7 @@
 	}
 }
 
-// Verdict adds what was checked and found.
+// Verdict adds the number of checks and the breaches to v.
 func (b *BlackoutChecker) Verdict(v *Verdict) {
 	for r, n := range b.verdict.Checked {
 		v.Checked[r] += n
--- a/internal/testkit/checker/blackout_test.go
+++ b/internal/testkit/checker/blackout_test.go
@@ -45,7 +45,17 @@
 		{"they saw its new process themselves", calm{-1, nobody, 2000}, func(int) bool { return true }, 5000, false, ""},
 		{"nobody asks anybody", calm{-1, nobody, 0}, func(int) bool { return true }, -1, true, LastAsked},
 	} {
-		b := NewBlackoutChecker(0, BlackoutConfig{Groups: [][]int{{0, 1, 2, 3}}, Poolers: 12, WindowMs: 1000, HealthyMs: 1000, RestartGraceMs: 500, OwnEvidenceMs: 60000, MaxAvoidingShare: 0.8, MinReads: 12, MinRequests: 20})
+		b := NewBlackoutChecker(0, BlackoutConfig{
+			Groups:           [][]int{{0, 1, 2, 3}},
+			Poolers:          12,
+			WindowMs:         1000,
+			HealthyMs:        1000,
+			RestartGraceMs:   500,
+			OwnEvidenceMs:    60000,
+			MaxAvoidingShare: 0.8,
+			MinReads:         12,
+			MinRequests:      20,
+		})
 		for at := 0.0; at <= 5000; at += 50 {
 			for p := range 12 {
 				b.RequestReceived(0)
--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker holds what crossed the wire to the rules. It knows nothing of what a pooler thought: it is told what
-// clients asked and heard, what servers were sent and ran, and what the list had told whom. Each breach carries the
-// events that prove it.
+// Package checker checks the rules against what crossed the wire. It observes what clients sent and received, what servers
+// received and executed, and which endpoint lists poolers had; it knows nothing of a pooler's own state. Each breach carries
+// the events that prove it. Its inputs come in the order of time; it does no I/O.
 package checker
 
 import (
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// Rule is a rule that can be broken.
+// Rule is the text of a rule. The texts are part of the kit's output.
 type Rule string
 
 // The rules.
@@ -24,38 +24,38 @@
 	NotDenied  Rule = "no write to a server that has said that it is not the primary"
 )
 
-// Rules are all of them.
+// Rules returns the rules that hold in every scenario.
 func Rules() []Rule {
 	return []Rule{OneAnswer, NotTwice, DrainsKept, ColdSpared, NotStale, PrimaryRan, NoInvented, NotDenied}
 }
 
-// Class is what the rules go by of a class of requests.
+// Class is what the rules depend on in a class of requests.
 type Class struct {
 	Name           string
 	Writes         bool
-	NoRepeat       bool    // it must not run twice
-	KeyMs          float64 // its servers drop repeats by its key for so long, from the first send that may have run; 0 for no keys
-	Session        bool    // a read must hold the session's own writes
-	MaxStalenessMs float64 // a read's data is no older at the send, 0 for any
+	NoRepeat       bool    // it must not be executed twice
+	KeyMs          float64 // for which servers drop repeats of an idempotency key, from the first attempt that may have run; 0 for no keys
+	Session        bool    // a read must see the session's own writes
+	MaxStalenessMs float64 // maximum age of a read's data at the send, 0 for any
 }
 
-// Config says what the rules' figures are. Times are in milliseconds.
+// Config has the limits of the rules. Times are in milliseconds.
 type Config struct {
 	Classes          []Class
-	GraceMs          float64 // for sends, from the list's word that a server drains or is gone
-	SlackMs          float64 // by which every limit of time is longer
+	GraceMs          float64 // for attempts, from the list that says that a server is draining or removed
+	SlackMs          float64 // added to each time limit
 	MaxAttempts      int
 	ColdMs           float64
 	ColdShare        float64
 	Cores            int
-	OverloadFactor   float64 // times its capacity of the moment, in OverloadWindowMs, that push a cold server over
+	OverloadFactor   float64 // work within OverloadWindowMs, as a multiple of the present capacity, under which a cold server fails
 	OverloadWindowMs float64
-	Limits           []Limit   // that hold for the whole fleet
-	CountMs          float64   // by which a use may come to its pooler later, or sooner, than it is told
-	Overload         *Overload // nil where it is not handled together
+	Limits           []Limit   // of the whole fleet
+	CountMs          float64   // by which a use may reach its pooler earlier or later than it is recorded
+	Overload         *Overload // nil if poolers handle overload alone
 }
 
-// Event is something that crossed the wire, as evidence.
+// Event is something that crossed the wire, as proof of a breach.
 type Event struct {
 	At      float64 `json:"at_ms"`
 	What    string  `json:"what"`
@@ -65,7 +65,7 @@
 	Text    string  `json:"text,omitempty"`
 }
 
-// Breach is a rule that was broken.
+// Breach is one breach of a rule.
 type Breach struct {
 	Rule   Rule    `json:"rule"`
 	At     float64 `json:"at_ms"`
@@ -73,7 +73,7 @@
 	Text   string  `json:"text"`
 	Proof  []Event `json:"proof"`
 	Server int     `json:"server"`
-	Late   bool    `json:"late,omitempty"` // nothing is wrong but the time: what was due came, or ended, too late
+	Late   bool    `json:"late,omitempty"` // only the time was exceeded
 }
 
 const (
@@ -81,7 +81,7 @@
 	maxProof    = 24
 )
 
-// Checker is told what happens, in the order of time. It is not safe for concurrent use.
+// Checker checks the rules on requests, attempts and servers. Its methods are called in the order of time, by one goroutine.
 type Checker struct {
 	cfg            Config
 	requests       map[uint64]*clientRequest
@@ -91,19 +91,19 @@
 	breaches       []Breach
 	counts         map[Rule]int
 	checked        map[Rule]uint64
-	roleReports    map[poolerServer]roleReport // what servers told poolers of their role last
-	leaderAsOf     map[int]float64             // as of when servers told anybody last that they lead
-	RolesAreShared bool                        // poolers tell one another what servers said
-	pauses         map[int]pause               // poolers' machines that stood still last
+	roleReports    map[poolerServer]roleReport // what servers last reported of their role to each pooler
+	leaderAsOf     map[int]float64             // by server: position of its last report as primary, to any pooler
+	RolesAreShared bool                        // poolers share the servers' reports
+	pauses         map[int]pause               // by pooler: its last pause
 	keyed          map[poolerKey][]keySend
 	limits         []*limitState
-	overload       *overloadState // nil where its rules are not checked
+	overload       *overloadState // nil if its rules are not checked
 	activeFaults   int            // faults
-	dueOrder       []dueAnswer    // by when an answer is due, about
+	dueOrder       []dueAnswer    // by deadline, approximately
 	dueHead        int
 }
 
-// poolerKey is a key at a pooler: what a pooler sent it is held to, and what another did it cannot know.
+// poolerKey is an idempotency key at a pooler, which cannot know the attempts of other poolers.
 type poolerKey struct {
 	pooler int
 	key    uint64
@@ -125,7 +125,7 @@
 	id uint64
 }
 
-// clientRequest is one that is open, or was a short while ago.
+// clientRequest is a request that is open or ended within keepMs.
 type clientRequest struct {
 	id           uint64
 	key          uint64
@@ -139,28 +139,45 @@
 	attempts     []attempt
 	executions   []execution
 	events       []Event
-	limit        *limitState // nil where none is of its tenant
+	limit        *limitState // nil if its tenant has none
 	countedAsUse bool
 	group        int
 	tenant       string
-	countsAsLoad bool // it counts as load
+	countsAsLoad bool // it counts in the overload rules
 }
 
 type attempt struct {
 	at       float64
 	server   int
 	ended    bool
-	neverRan bool // it is known not to have run
+	neverRan bool // it was certainly not executed
 }
 
-// New makes a checker.
+// New returns a checker.
 func New(cfg Config) *Checker {
-	c := &Checker{cfg: cfg, requests: map[uint64]*clientRequest{}, listed: map[poolerServer]listing{}, cold: map[int]*coldServer{}, roleReports: map[poolerServer]roleReport{}, leaderAsOf: map[int]float64{}, counts: map[Rule]int{}, checked: map[Rule]uint64{}, pauses: map[int]pause{}, keyed: map[poolerKey][]keySend{}}
+	c := &Checker{
+		cfg:         cfg,
+		requests:    map[uint64]*clientRequest{},
+		listed:      map[poolerServer]listing{},
+		cold:        map[int]*coldServer{},
+		roleReports: map[poolerServer]roleReport{},
+		leaderAsOf:  map[int]float64{},
+		counts:      map[Rule]int{},
+		checked:     map[Rule]uint64{},
+		pauses:      map[int]pause{},
+		keyed:       map[poolerKey][]keySend{},
+	}
 	if cfg.Overload != nil {
 		c.overload = &overloadState{Overload: *cfg.Overload, repeats: newRepeatCounts(len(cfg.Overload.Capacity))}
 	}
 	for _, l := range cfg.Limits {
-		c.limits = append(c.limits, &limitState{Limit: l, poolers: map[int]*poolerUsage{}, running: map[runningQuery]float64{}, usesBySecond: map[int64]float64{}, demandBySecond: map[int64]float64{}})
+		c.limits = append(c.limits, &limitState{
+			Limit:          l,
+			poolers:        map[int]*poolerUsage{},
+			running:        map[runningQuery]float64{},
+			usesBySecond:   map[int64]float64{},
+			demandBySecond: map[int64]float64{},
+		})
 	}
 	return c
 }
@@ -179,7 +196,7 @@
 	}
 }
 
-// Received tells that a client's request is whole at its pooler's. after is the position that a session's read must see.
+// Received records that a pooler has a client's complete request. A session's read must see at least minPosition.
 func (c *Checker) Received(at float64, id uint64, class, pooler int, deadline, minPosition float64) {
 	var request *clientRequest
 	if n := len(c.free); n > 0 {
@@ -191,25 +208,37 @@
 	request.id, request.class, request.received, request.due, request.minPosition, request.pooler = id, &c.cfg.Classes[class], at, deadline, minPosition, pooler
 	c.requests[id] = request
 	c.dueOrder = append(c.dueOrder, dueAnswer{deadline, id})
-	request.record(Event{At: at, What: "asked", Pooler: pooler, Server: -1, Text: fmt.Sprintf("%s, waits %.0f ms", request.class.Name, deadline-at)})
+	request.record(Event{
+		At:     at,
+		What:   "asked",
+		Pooler: pooler,
+		Server: -1,
+		Text:   fmt.Sprintf("%s, waits %.0f ms", request.class.Name, deadline-at),
+	})
 	c.expire(at)
 }
 
-// Keyed tells that an open request has a key, by which its servers know repeats, those that its client asks under other ids
-// included.
+// Keyed records the idempotency key of an open request, by which servers recognize repeats, also those that the client sends with
+// another ID.
 func (c *Checker) Keyed(id, key uint64) {
 	if request := c.requests[id]; request != nil {
 		request.key = key
 	}
 }
 
-// checkKeyWindow holds a send to the window of its key.
+// checkKeyWindow checks that an attempt is sent within the window of its idempotency key.
 func (c *Checker) checkKeyWindow(at float64, request *clientRequest, no, server int) {
 	c.checked[NotTwice]++
 	k := poolerKey{request.pooler, request.key}
 	for _, s := range c.keyed[k] {
 		if !s.neverRan && at > s.at+request.class.KeyMs+c.cfg.SlackMs {
-			c.breach(Breach{Rule: NotTwice, At: at, ID: request.id, Server: server, Text: fmt.Sprintf("attempt %d is sent %.0f ms after one of its key that may have run; its servers drop repeats for %.0f ms", no, at-s.at, request.class.KeyMs)},
+			c.breach(Breach{
+				Rule:   NotTwice,
+				At:     at,
+				ID:     request.id,
+				Server: server,
+				Text:   fmt.Sprintf("attempt %d is sent %.0f ms after one of its key that may have run; its servers drop repeats for %.0f ms", no, at-s.at, request.class.KeyMs),
+			},
 				append(slices.Clone(request.events), Event{At: s.at, What: "sent", Pooler: request.pooler, Server: server, Attempt: s.attempt}, Event{At: at, What: "sent", Pooler: request.pooler, Server: server, Attempt: no}))
 			break
 		}
@@ -220,7 +249,7 @@
 	c.keyed[k] = append(c.keyed[k], keySend{id: request.id, attempt: no, at: at})
 }
 
-// Answered tells that an answer's last byte has come to its client. value is a hash of what was served, 0 for none.
+// Answered records that a client received a complete answer. value is a hash of the data served, 0 for none.
 func (c *Checker) Answered(at float64, id uint64, kind string, served bool, value uint64) {
 	request := c.requests[id]
 	if request == nil {
@@ -237,7 +266,7 @@
 		c.breach(Breach{Rule: OneAnswer, At: at, ID: id, Server: -1, Late: true, Text: fmt.Sprintf("the answer came %.0f ms late", at-request.due)}, request.events)
 	}
 	if c.overload != nil {
-		if s := c.pauses[request.pooler]; request.received <= s.until && s.from <= at { // it waited there while the pooler stood still: no word on load
+		if s := c.pauses[request.pooler]; request.received <= s.until && s.from <= at { // it waited while the pooler was paused, which says nothing on load
 			kind = ""
 		}
 		c.overload.recordAnswer(request, kind, served)
@@ -247,8 +276,8 @@
 	}
 }
 
-// latestAnswer is by when a request's answer is due. A machine that stands still answers nobody: what was due meanwhile is due
-// when it goes on.
+// latestAnswer returns the deadline of a request's answer. If it falls within a pause of the pooler's machine, the answer is due
+// at the end of the pause.
 func (c *Checker) latestAnswer(request *clientRequest) float64 {
 	if s := c.pauses[request.pooler]; request.received <= s.until && request.due >= s.from && request.due < s.until {
 		return s.until
@@ -256,16 +285,16 @@
 	return request.due
 }
 
-// Paused tells that a pooler's machine stands still from now until then.
+// Paused records that a pooler's machine is paused until the given time.
 func (c *Checker) Paused(at float64, pooler int, until float64) {
 	from := at
-	if s, ok := c.pauses[pooler]; ok && s.until >= at { // it stood still already
+	if s, ok := c.pauses[pooler]; ok && s.until >= at { // it is paused already
 		from, until = s.from, max(until, s.until)
 	}
 	c.pauses[pooler] = pause{from, until}
 }
 
-// checkServed holds what was served to what ran.
+// checkServed checks an answer against the executions of its request.
 func (c *Checker) checkServed(at float64, request *clientRequest, value uint64) {
 	c.checked[NoInvented]++
 	var from *execution
@@ -295,7 +324,7 @@
 	}
 }
 
-// Abandoned tells that a client has given its request up, or that its connection, or its pooler, is no more.
+// Abandoned records that a request needs no answer: its client gave up, or its connection or pooler ended.
 func (c *Checker) Abandoned(at float64, id uint64, reason string) {
 	if request := c.requests[id]; request != nil {
 		if request.answers == 0 && !request.abandoned && at > c.latestAnswer(request)+c.cfg.SlackMs {
@@ -306,7 +335,7 @@
 	}
 }
 
-// AttemptSent tells of the first byte of an attempt.
+// AttemptSent records the first byte of an attempt.
 func (c *Checker) AttemptSent(at float64, id uint64, no, pooler, server int) {
 	c.checked[DrainsKept]++
 	if l, ok := c.listed[poolerServer{pooler, server}]; ok && l.state != "up" && at > l.at+c.cfg.GraceMs+c.cfg.SlackMs {
@@ -323,7 +352,7 @@
 	}
 	if request.class.Writes {
 		x, ok := c.roleReports[poolerServer{pooler, server}]
-		since := c.RolesAreShared && c.leaderAsOf[server] > x.asOf // it may have heard by others that the server leads since
+		since := c.RolesAreShared && c.leaderAsOf[server] > x.asOf // other poolers may have reported since that it is the primary
 		if ok {
 			c.checked[NotDenied]++
 		}
@@ -358,8 +387,8 @@
 	}
 }
 
-// AttemptEnded tells how an attempt ended on its wire. never says that it is known not to have run: it was turned away untouched,
-// or its last byte was never written.
+// AttemptEnded records how an attempt ended. neverRan means that it was certainly not executed: the server rejected it untouched,
+// or its last byte was not written.
 func (c *Checker) AttemptEnded(at float64, id uint64, no int, outcome string, neverRan bool) {
 	request := c.requests[id]
 	if request == nil || no >= len(request.attempts) {
@@ -376,7 +405,7 @@
 	request.record(Event{At: at, What: "ended", Pooler: request.pooler, Server: request.attempts[no].server, Attempt: no, Text: outcome})
 }
 
-// expire ends what is long past.
+// expire closes requests whose deadline is long past.
 func (c *Checker) expire(now float64) {
 	const keepMs = 5000
 	for c.dueHead < len(c.dueOrder) && now > c.dueOrder[c.dueHead].at+keepMs {
@@ -403,7 +432,7 @@
 	}
 }
 
-// Finish ends the check: what was due by now and has no answer never will.
+// Finish ends the check: requests that were due by now and have no answer are breaches.
 func (c *Checker) Finish(now float64) {
 	ids := make([]uint64, 0, len(c.requests))
 	for id, request := range c.requests {
@@ -417,17 +446,17 @@
 	}
 }
 
-// Verdict is what was checked and what was found.
+// Verdict has the number of checks and the breaches of each rule.
 type Verdict struct {
-	Checked  map[Rule]uint64 `json:"checked"` // how often each rule was put to the test
+	Checked  map[Rule]uint64 `json:"checked"` // number of checks of each rule
 	Broken   map[Rule]int    `json:"broken"`
 	Breaches []Breach        `json:"breaches"`
 }
 
-// OK tells whether no rule was broken.
+// OK reports whether no rule was broken.
 func (v *Verdict) OK() bool { return len(v.Broken) == 0 }
 
-// Verdict is the verdict so far.
+// Verdict returns the verdict so far. Breaches are in the order of time.
 func (c *Checker) Verdict() *Verdict {
 	c.checkLimits()
 	c.checkShares()
--- a/internal/testkit/checker/credit.go
+++ b/internal/testkit/checker/credit.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// CreditChecker holds what tenants were served to what they paid, as clients saw it; what poolers say counts for nothing.
+// CreditChecker compares what tenants were served with what they paid, as clients saw it, without the poolers' reports.
 type CreditChecker struct {
-	Prices     map[string]int64 // by class; others cost nothing
-	Overdraft  int64            // that may be overdrawn, of each tenant
+	Prices     map[string]int64 // by class; other classes are free
+	Overdraft  int64            // allowed for each tenant
 	Violations []string
 
 	tenants map[string]*tenantCredit
@@ -17,7 +17,7 @@
 
 type tenantCredit struct {
 	payments []timedAmount
-	served   []timedAmount // costs, by when they were answered
+	served   []timedAmount // costs, by the time of the answer
 	attempts int
 	rejected int
 }
@@ -37,13 +37,13 @@
 	return c.tenants[name]
 }
 
-// Paid tells of a payment, as of when the first pooler may have read it.
+// Paid records a payment at the time when the first pooler may have read it.
 func (c *CreditChecker) Paid(at float64, tenant string, amount int64) {
 	t := c.tenant(tenant)
 	t.payments = append(t.payments, timedAmount{at, amount})
 }
 
-// AttemptEnded tells how a client's try ended. One that failed may have run, and is not held against anybody.
+// AttemptEnded records the end of a client's attempt. A failed one may have run and is not charged.
 func (c *CreditChecker) AttemptEnded(at float64, tenant, class string, served, rejected bool) {
 	t := c.tenant(tenant)
 	if t.attempts++; rejected {
@@ -54,7 +54,7 @@
 	}
 }
 
-// CheckFinal holds all of it together: at no time was more served than had been paid by then.
+// CheckFinal checks that at no time more was served than had been paid.
 func (c *CreditChecker) CheckFinal() {
 	for _, name := range slices.Sorted(maps.Keys(c.tenants)) {
 		t := c.tenants[name]
@@ -77,7 +77,7 @@
 	}
 }
 
-// ServedCost is what a tenant's answers cost, up to a time, and since when after that the next one came; 0 for never.
+// ServedCost returns the cost of a tenant's answers up to a time, and the time of the next answer after it; 0 for none.
 func (c *CreditChecker) ServedCost(tenant string, by float64) (cost int64, next float64) {
 	for _, x := range c.tenant(tenant).served {
 		if x.at <= by {
@@ -89,16 +89,16 @@
 	return cost, next
 }
 
-// AttemptCounts are how many tries a tenant made, and how many were refused.
+// AttemptCounts returns the numbers of a tenant's attempts and of those rejected.
 func (c *CreditChecker) AttemptCounts(tenant string) (attempts, rejected int) {
 	t := c.tenant(tenant)
 	return t.attempts, t.rejected
 }
 
-// WithinCredit is the rule that Credit holds tenants to.
+// WithinCredit is the rule that CreditChecker checks.
 const WithinCredit Rule = "no tenant is served beyond what was paid by then"
 
-// Verdict adds what was checked and found.
+// Verdict adds the number of checks and the breaches to v.
 func (c *CreditChecker) Verdict(at float64, v *Verdict) {
 	for _, t := range c.tenants {
 		v.Checked[WithinCredit] += uint64(len(t.served))
--- a/internal/testkit/checker/endpoints.go
+++ b/internal/testkit/checker/endpoints.go
@@ -8,18 +8,18 @@
 	primary bool
 }
 
-const roleReportMs = 30000 // a server's word on its role counts for so long
+const roleReportMs = 30000 // for which a server's report of its role counts
 
 type listing struct {
 	state string
 	at    float64
 }
 
-// Listed tells that a pooler has been told a server's state: up, draining or removed.
+// Listed records that a pooler was notified of a server's lifecycle: up, draining or removed.
 func (c *Checker) Listed(at float64, pooler, server int, state string) {
 	w := poolerServer{pooler, server}
 	if old, ok := c.listed[w]; ok && old.state != "up" && state != "up" {
-		return // it heard the first already
+		return // the first notification counts
 	}
 	if state == "up" {
 		delete(c.listed, w)
@@ -28,8 +28,8 @@
 	c.listed[w] = listing{state, at}
 }
 
-// RoleReported tells that a server's word on its role has come to a pooler. A report is some time old: its word is as of the position
-// that it tells, and does not take back a later one.
+// RoleReported records that a pooler received a server's report of its role. A report is valid as of its position
+// and does not replace a later one.
 func (c *Checker) RoleReported(at, asOf float64, pooler, server int, primary bool) {
 	w := poolerServer{pooler, server}
 	if primary {
@@ -40,7 +40,7 @@
 	}
 }
 
-// PoolerRestarted tells that a pooler's process has ended, and knows nothing any more.
+// PoolerRestarted records that a pooler's process ended, and with it what it knew.
 func (c *Checker) PoolerRestarted(pooler int) {
 	if c.overload != nil {
 		c.overload.repeats.processesStarted++
--- a/internal/testkit/checker/invariants.go
+++ b/internal/testkit/checker/invariants.go
@@ -2,10 +2,10 @@
 
 import "beechgrade/internal/invariant"
 
-// Invariant is the rule that the program's own statements about its state hold. It is put to the test where these are checked.
+// Invariant is the rule that the program's own invariants hold. It is checked where these are.
 const Invariant Rule = "no statement of the program about its own state is false"
 
-// Invariants adds the statements that were made by then, and those that were false.
+// Invariants adds the checks of the program's invariants and their breaches.
 func (v *Verdict) Invariants(at float64, c *invariant.Checks) {
 	made, broken := c.Counts()
 	if v.Checked[Invariant] += uint64(made); broken == 0 {
--- a/internal/testkit/checker/limits.go
+++ b/internal/testkit/checker/limits.go
@@ -7,56 +7,56 @@
 	"slices"
 )
 
-// The rules of limits that hold for the whole fleet.
+// The rules on limits of the whole fleet.
 const (
 	FleetLimit Rule = "no more of a limit of the whole fleet than it allows"
 	FleetShare Rule = "who asks for as much of it gets as much, while all is calm"
 )
 
-// Limit is one of a tenant's requests a second, as the operators set it. It is counted at clients and servers: a request of which any
-// attempt was sent is a use of it, at the time that it came to its pooler, or that the pooler's machine went on after standing still.
+// Limit is a limit on a tenant's requests a second, as the operators set it. It is counted at clients and servers: a request with an
+// attempt is one use, at the time when its pooler received it, or when a pause of the pooler's machine ended.
 type Limit struct {
 	Name          string
 	Tenant        string
 	PerSecond     float64
 	Burst         float64
-	FaultTolerant bool    // it may be over for a while after a fault:
-	OvershootMs   float64 // up to twice the amount, for so long
-	MaxConcurrent int     // a number at once of all queries, in place of a rate
-	CalmMs        float64 // so long after a fault shares follow demand again; 0 where that is not checked
+	FaultTolerant bool    // it may be exceeded after a fault:
+	OvershootMs   float64 // up to twice the amount for this long
+	MaxConcurrent int     // a bound on concurrent queries, in place of a rate
+	CalmMs        float64 // after a fault, until shares follow demand again; 0 if that is not checked
 }
 
-// limitState is a limit with what came of it. What is used is held to a bucket that leaks at the limit's rate and holds its burst, which is
-// the same as to hold every span of time to rate times span and burst.
+// limitState is a limit with its uses. They are checked against a leaky bucket with the limit's rate and burst, which is
+// the same as a bound of rate times span plus burst on every span of time.
 type limitState struct {
 	Limit
 	changes        []limitChange
 	faults         []float64
 	uses           []limitUse
-	checkedUses    int             // uses that were held to the limit already
-	amounts        map[int]float64 // by pooler, as each read it last
+	checkedUses    int             // number of uses that were checked
+	amounts        map[int]float64 // by pooler: the amount in its settings
 	burstPerRate   float64
 	level          float64
 	at             float64
 	firstRequest   float64
 	lastFault      float64
-	faultActive    bool    // one is in force
-	faultAllowance float64 // uses that a fault allows beyond
+	faultActive    bool    // a fault is active
+	faultAllowance float64 // extra uses that a fault allows
 	allowanceUntil float64
-	mostOver       float64 // that the level was over the burst
+	mostOver       float64 // maximum level above the burst
 	used           uint64
 	received       uint64
 	poolers        map[int]*poolerUsage
-	running        map[runningQuery]float64 // since when each runs
-	exceededSince  float64                  // since when too many do, 0 where that is not so
-	runningArea    float64                  // of how many ran, by time
-	usesBySecond   map[int64]float64        // uses by the second
+	running        map[runningQuery]float64 // start of each
+	exceededSince  float64                  // since when too many run, 0 if not
+	runningArea    float64                  // queries times ms
+	usesBySecond   map[int64]float64        // by Unix second
 	demandBySecond map[int64]float64
 }
 
 type limitChange struct{ at, rate, burst float64 }
 
-// runningQuery is a query at a server.
+// runningQuery identifies a query at a server.
 type runningQuery struct {
 	id     uint64
 	server int
@@ -68,14 +68,14 @@
 	server int
 }
 
-type poolerUsage struct{ received, used float64 } // while all is calm
+type poolerUsage struct{ received, used float64 } // without faults
 
-// LimitUsage is what came of a limit.
+// LimitUsage summarizes the uses of a limit.
 type LimitUsage struct {
 	Name     string  `json:"name"`
 	Asked    uint64  `json:"asked"`
 	Used     uint64  `json:"used"`
-	Part     float64 `json:"part_used_of_what_was_wanted"` // of each second's demand or the limit, whichever is less
+	Part     float64 `json:"part_used_of_what_was_wanted"` // share of each second's demand, or of the limit if that is less
 	MostOver float64 `json:"most_over_the_burst"`
 	HeldTo   float64 `json:"burst_it_is_held_to"`
 }
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// Tenant tells whose an open request is.
+// Tenant records the tenant of an open request.
 func (c *Checker) Tenant(at float64, id uint64, tenant string) {
 	request, u := c.requests[id], c.rateLimitOf(tenant)
 	if request == nil || u == nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// calmUsage is what a pooler has of a limit while all is calm, nil where it is not.
+// calmUsage returns a pooler's usage without faults, nil during and shortly after one.
 func (u *limitState) calmUsage(at float64, pooler int) *poolerUsage {
 	if u.CalmMs == 0 || u.faultActive || at < max(u.lastFault, u.firstRequest)+u.CalmMs {
 		return nil
@@ -119,8 +119,8 @@
 	return p
 }
 
-// FaultChanged tells that one has struck or ended, for limits that may be over for a while after one; begins is 1 for one that is in force until
-// it ends, by -1, and 0 for what happens at once.
+// FaultChanged records a change of faults, for limits that may be exceeded after one; begins is 1 for a fault that starts and lasts,
+// -1 for its end, and 0 for one that takes no time.
 func (c *Checker) FaultChanged(at float64, begins int) {
 	c.activeFaults += begins
 	for _, u := range c.limits {
@@ -129,8 +129,8 @@
 	}
 }
 
-// LimitChanged tells that some of so many poolers have read of a limit of another amount, with a burst that changes as much; a lower one binds so long
-// after the last of them has.
+// LimitChanged records that some poolers have read a new amount of a limit, with a burst in proportion; a lower one holds from lateMs
+// after the last of them has read it.
 func (c *Checker) LimitChanged(at float64, name string, changedPoolers []int, poolers int, perSecond, lateMs float64) {
 	for _, u := range c.limits {
 		if u.Name != name {
@@ -157,7 +157,7 @@
 	}
 }
 
-// finalRate is the amount that it will have.
+// finalRate returns the rate after all recorded changes.
 func (u *limitState) finalRate() float64 {
 	if n := len(u.changes); n > 0 {
 		return u.changes[n-1].rate
@@ -165,7 +165,7 @@
 	return u.PerSecond
 }
 
-// recordUse counts a request whose first attempt is sent.
+// recordUse counts a request when its first attempt is sent.
 func (c *Checker) recordUse(request *clientRequest, server int) {
 	u, at := request.limit, request.received
 	if x := c.pauses[request.pooler]; at >= x.from && at < x.until {
@@ -179,12 +179,12 @@
 	u.uses = append(u.uses, limitUse{at, request.id, server})
 }
 
-// QueryStarted tells that a server works on a query now.
+// QueryStarted records that a server executes a query.
 func (c *Checker) QueryStarted(at float64, id uint64, server int) {
 	c.recordRunning(at, runningQuery{id, server}, true)
 }
 
-// QueryEnded tells that a server does not work on a query any more.
+// QueryEnded records the end of a query at a server.
 func (c *Checker) QueryEnded(at float64, id uint64, server int) {
 	c.recordRunning(at, runningQuery{id, server}, false)
 }
@@ -200,7 +200,14 @@
 		u.runningArea += float64(len(u.running)) * max(0, at-u.at)
 		u.at = max(u.at, at)
 		if u.exceededSince > 0 && at-u.exceededSince > c.cfg.CountMs {
-			c.breach(Breach{Rule: FleetLimit, At: at, ID: r.id, Server: r.server, Late: true, Text: fmt.Sprintf("limit %q, %d at once: %d ran for %.0f ms", u.Name, u.MaxConcurrent, len(u.running), at-u.exceededSince)}, nil)
+			c.breach(Breach{
+				Rule:   FleetLimit,
+				At:     at,
+				ID:     r.id,
+				Server: r.server,
+				Late:   true,
+				Text:   fmt.Sprintf("limit %q, %d at once: %d ran for %.0f ms", u.Name, u.MaxConcurrent, len(u.running), at-u.exceededSince),
+			}, nil)
 			u.exceededSince = at
 		}
 		if c.checked[FleetLimit]++; on {
@@ -217,7 +224,7 @@
 	}
 }
 
-// checkLimits holds what was used to the limits, in the order of time.
+// checkLimits checks the new uses in the order of time.
 func (c *Checker) checkLimits() {
 	for _, u := range c.limits {
 		fresh := u.uses[u.checkedUses:]
@@ -243,8 +250,14 @@
 			}
 			u.mostOver = max(u.mostOver, u.level-u.Burst)
 			if over > 1e-6 {
-				c.breach(Breach{Rule: FleetLimit, At: x.at, ID: x.id, Server: x.server, Text: fmt.Sprintf("limit %q, %g a second with a burst of %g: %.1f uses beyond it", u.Name, u.PerSecond, u.Burst, over)}, nil)
-				u.level-- // each is told once
+				c.breach(Breach{
+					Rule:   FleetLimit,
+					At:     x.at,
+					ID:     x.id,
+					Server: x.server,
+					Text:   fmt.Sprintf("limit %q, %g a second with a burst of %g: %.1f uses beyond it", u.Name, u.PerSecond, u.Burst, over),
+				}, nil)
+				u.level-- // each is reported once
 			}
 		}
 	}
@@ -255,7 +268,7 @@
 	u.at = max(u.at, at)
 }
 
-// checkShares holds what poolers that were asked for about as much got of a limit to one another.
+// checkShares compares the usage of poolers that had about the same demand.
 func (c *Checker) checkShares() {
 	const enough, alike, apart = 200, 1.25, 1.5
 	for _, u := range c.limits {
@@ -266,20 +279,31 @@
 				}
 				c.checked[FleetShare]++
 				if p.used > apart*o.used+math.Sqrt(p.used) || o.used > apart*p.used+math.Sqrt(o.used) {
-					c.breach(Breach{Rule: FleetShare, At: u.at, Server: -1, Text: fmt.Sprintf("limit %q: pooler %d used %.0f of the %.0f that it was asked for, pooler %d used %.0f of %.0f", u.Name,
-						no, p.used, p.received, other, o.used, o.received)}, nil)
+					c.breach(Breach{
+						Rule:   FleetShare,
+						At:     u.at,
+						Server: -1,
+						Text: fmt.Sprintf("limit %q: pooler %d used %.0f of the %.0f that it was asked for, pooler %d used %.0f of %.0f", u.Name,
+							no, p.used, p.received, other, o.used, o.received),
+					}, nil)
 				}
 			}
 		}
 	}
 }
 
-// LimitUsages tell what came of limits, from so long after the first request on.
+// LimitUsages returns the usage of each limit from afterMs after the first request on.
 func (c *Checker) LimitUsages(afterMs float64) (out []LimitUsage) {
 	c.checkLimits()
 	for _, u := range c.limits {
 		if u.MaxConcurrent > 0 {
-			out = append(out, LimitUsage{Name: u.Name, Used: u.used, Part: u.runningArea / max(1, u.at-u.firstRequest) / float64(u.MaxConcurrent), MostOver: u.mostOver, HeldTo: float64(u.MaxConcurrent)})
+			out = append(out, LimitUsage{
+				Name:     u.Name,
+				Used:     u.used,
+				Part:     u.runningArea / max(1, u.at-u.firstRequest) / float64(u.MaxConcurrent),
+				MostOver: u.mostOver,
+				HeldTo:   float64(u.MaxConcurrent),
+			})
 			continue
 		}
 		part, of := 0.0, 0.0
--- a/internal/testkit/checker/logagreement.go
+++ b/internal/testkit/checker/logagreement.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// LogAgreement holds what poolers say of their log in common against each other. It knows nothing of how they come to it: of a pooler's
-// process it hears how many entries it has taken and a sum over them, who leads, and how many of its own entries it knows to be taken.
+// LogAgreement compares what poolers report of their shared log. It knows nothing of how they agree: each process
+// reports how many entries it has taken, a checksum over them, and whether it leads.
 type LogAgreement struct {
 	sumByCount      map[uint64]string
 	reporterByCount map[uint64]string
 	leaderByTerm    map[uint64]string
 	lastTally       map[string]Tally // by process
-	MostTaken       uint64           // entries that anybody has taken
+	MostTaken       uint64           // highest number of entries taken by any process
 	lastGrowth      time.Time
 	growth          []growthSample
-	LongestPause    time.Duration // the longest in which nobody took more
+	LongestPause    time.Duration // longest time without a new entry
 	Reports         int
-	TermsWithLeader int // terms with a leader
+	TermsWithLeader int // number of terms with a leader
 	Violations      []string
 }
 
@@ -26,12 +26,12 @@
 	most uint64
 }
 
-// Tally is what a process says of the entries that it has taken.
+// Tally is a process's report of the entries that it has taken.
 type Tally struct {
 	Taken, Applied, Term   uint64
 	Sum                    string
 	Participates, IsLeader bool
-	OwnTaken               uint64 // of its own entries, that it knows to be taken
+	OwnTaken               uint64 // of its own entries, those known to be taken
 }
 
 func (a *LogAgreement) addViolation(format string, args ...any) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// ReportTally takes a process's word; they come by time.
+// ReportTally records a process's report. Reports come in the order of time.
 func (a *LogAgreement) ReportTally(at time.Time, process string, t Tally) {
 	if a.sumByCount == nil {
 		a.sumByCount, a.reporterByCount, a.lastTally = map[uint64]string{}, map[uint64]string{}, map[string]Tally{}
@@ -63,7 +63,7 @@
 	}
 }
 
-// ReportLeader takes a process's word that it leads in a term.
+// ReportLeader records that a process leads in a term.
 func (a *LogAgreement) ReportLeader(process string, term uint64) {
 	if a.leaderByTerm == nil {
 		a.leaderByTerm = map[uint64]string{}
@@ -75,8 +75,8 @@
 	a.TermsWithLeader = len(a.leaderByTerm)
 }
 
-// CheckFinal holds what these processes said last against all that was known to be taken some time before: nothing is lost, and nobody is
-// left behind.
+// CheckFinal checks the last reports of these processes against the entries known to be taken some time before: no entry is lost, and no
+// process lags behind.
 func (a *LogAgreement) CheckFinal(processes []string, behind time.Duration) {
 	most := uint64(0)
 	for _, g := range a.growth {
--- a/internal/testkit/checker/overload.go
+++ b/internal/testkit/checker/overload.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// The rules of overload that poolers handle together. They are held to the faults and to the load, as whoever plays them knows both.
+// The rules on overload that poolers handle together. They are checked against the faults and the load of the scenario.
 const (
 	HealthChecksShared Rule = "no server is probed more often than its probers may"
 	DatagramsBounded   Rule = "poolers tell each other no more of overload than their settings allow"
@@ -15,43 +15,43 @@
 	ServiceRecovered   Rule = "service is back within its time of the last fault's end"
 )
 
-// OverloadRules are those of overload that is handled together.
+// OverloadRules returns the rules on overload that poolers handle together.
 func OverloadRules() []Rule {
 	return []Rule{HealthChecksShared, DatagramsBounded, IdleGroupServed, TenantServed, ServiceRecovered, RepeatsBounded}
 }
 
-// Overload is what its rules go by. What is 0 is not checked.
+// Overload has the limits of its rules. What is 0 is not checked.
 type Overload struct {
 	Poolers      int
-	Probes       float64            // a second that a server gets at most while all poolers hear one another
-	ProbeSlack   float64            // that it may get beyond, on a busy machine
-	Tolerance    float64            // by which parts may be less good there
-	CalmMs       float64            // so long after a fault among poolers they all hear one another again
-	MaxDatagrams float64            // datagrams a second of a pooler, in the mean over the fleet
+	Probes       float64            // maximum health checks of a server a second while all poolers can reach one another
+	ProbeSlack   float64            // further ones allowed on a busy machine
+	Tolerance    float64            // by which shares may be worse on a busy machine
+	CalmMs       float64            // after a fault between poolers, until they all reach one another again
+	MaxDatagrams float64            // maximum datagrams a second of a pooler, mean over the fleet
 	Capacity     []float64          // ms of work a second, by group
-	Primary      []float64          // of these, what its primary can do
-	MeanWorkMs   []float64          // ms, by class, in the mean
-	Tenants      map[string]float64 // requests a second within the share of each
-	RecoveryMs   float64            // until service is back
+	Primary      []float64          // the primary's part of Capacity, by group
+	MeanWorkMs   []float64          // by class
+	Tenants      map[string]float64 // requests a second within each tenant's quota
+	RecoveryMs   float64            // from the end of the last fault until service has recovered
 
-	MaxRepeats func(firsts, processes int, ms float64) float64 // that a group may have over all poolers; nil for any number
+	MaxRepeats func(firsts, processes int, ms float64) float64 // maximum repeats of a group over all poolers; nil for no bound
 }
 
-// Spans, in s.
+// Spans in seconds, and shares.
 const (
-	warmUpS              = 5  // until poolers have learnt what is asked, and servers are warm
-	spanS                = 5  // over which parts are counted
-	idleBeforeS          = 3  // what was asked before is felt for so long
-	faultEffectS         = 10 // a fault of its servers is felt in a group for so long
+	warmUpS              = 5  // until poolers have learnt the load and servers are warm
+	spanS                = 5  // over which shares are computed
+	idleBeforeS          = 3  // for which earlier load has an effect
+	faultEffectS         = 10 // for which a fault of its servers has an effect on a group
 	recoverySpanS        = 2
-	idleLoadShare        = 0.5  // of what a group can do
-	idleMaxRejectedShare = 0.02 // of what it is asked may be turned away
+	idleLoadShare        = 0.5  // of a group's capacity
+	idleMaxRejectedShare = 0.02 // of its requests that may be rejected
 	idleRejectedSlack    = 4
-	tenantMinServedShare = 0.8 // of what it asks is served
+	tenantMinServedShare = 0.8 // of a tenant's requests that must be served
 	recoveredShare       = 0.95
 )
 
-// overloadState is what was seen by seconds, from the first ask on.
+// overloadState has what was observed by second, from the first request on.
 type overloadState struct {
 	Overload
 	start   float64
@@ -65,7 +65,7 @@
 	groups           []groupSecond
 	tenants          map[string]*tenantSecond
 	probes           map[int]float64
-	received, served float64 // first tries; tries of whatever number
+	received, served float64 // clients' first attempts; all served attempts
 	datagrams        float64
 }
 
@@ -73,7 +73,7 @@
 
 type tenantSecond struct{ received, served float64 }
 
-// faultSpan is a fault of some groups' servers, or among poolers.
+// faultSpan is a fault of some groups' servers, or between poolers.
 type faultSpan struct {
 	from, until float64
 	groups      []int
@@ -89,12 +89,16 @@
 		return nil
 	}
 	for len(o.seconds) <= i {
-		o.seconds = append(o.seconds, secondCounts{groups: make([]groupSecond, len(o.Capacity)), tenants: map[string]*tenantSecond{}, probes: map[int]float64{}})
+		o.seconds = append(o.seconds, secondCounts{
+			groups:  make([]groupSecond, len(o.Capacity)),
+			tenants: map[string]*tenantSecond{},
+			probes:  map[int]float64{},
+		})
 	}
 	return &o.seconds[i]
 }
 
-// LoadReceived tells whom an open request is for, whose it is, and whether its client asked before.
+// LoadReceived records the group and tenant of an open request, and whether it is a client's retry.
 func (c *Checker) LoadReceived(at float64, id uint64, class, group int, tenant string, again bool) {
 	request, o := c.requests[id], c.overload
 	if o == nil || request == nil || group >= len(o.Capacity) {
@@ -124,7 +128,7 @@
 	t.received++
 }
 
-// recordAnswer books an answer with the second in which it was asked for.
+// recordAnswer counts an answer in the second in which its request was received.
 func (o *overloadState) recordAnswer(request *clientRequest, kind string, served bool) {
 	s := o.second(request.received)
 	if s == nil || request.answers > 1 {
@@ -141,7 +145,7 @@
 	}
 }
 
-// HealthCheckSent tells that a server was probed.
+// HealthCheckSent records a health check of a server.
 func (c *Checker) HealthCheckSent(at float64, server int) {
 	if c.overload != nil && c.overload.start > 0 {
 		if s := c.overload.second(at); s != nil {
@@ -150,7 +154,7 @@
 	}
 }
 
-// DatagramSent tells that a pooler sends another a word on load or levels.
+// DatagramSent records a pooler's message to another about load or shedding levels.
 func (c *Checker) DatagramSent(at float64) {
 	if c.overload != nil && c.overload.start > 0 {
 		if s := c.overload.second(at); s != nil {
@@ -159,26 +163,26 @@
 	}
 }
 
-// FaultInjected tells of a fault that lasts until then: of the servers of groups, or among poolers; of neither where the load changes.
+// FaultInjected records a fault of the servers of groups, or between poolers, that lasts until then; of neither if the load changes.
 func (c *Checker) FaultInjected(at, until float64, groups []int, poolers bool) {
 	if c.overload != nil {
 		c.overload.faults = append(c.overload.faults, faultSpan{at, until, groups, poolers})
 	}
 }
 
-// faultDuring tells whether a fault that is meant is in force in a span, or was so long before.
+// faultDuring reports whether a fault that matches is active in a span, or ended at most afterMs before it.
 func (o *overloadState) faultDuring(from, until, afterMs float64, matches func(x *faultSpan) bool) bool {
 	return slices.ContainsFunc(o.faults, func(x faultSpan) bool { return matches(&x) && x.from < until && x.until+afterMs > from })
 }
 
-// checkOverload holds what was seen to the rules.
+// checkOverload checks the rules on overload, once.
 func (c *Checker) checkOverload() {
 	o := c.overload
 	if o == nil || o.checked || len(o.seconds) < 2 {
 		return
 	}
 	o.checked = true
-	o.seconds = o.seconds[:len(o.seconds)-1] // the last is not whole
+	o.seconds = o.seconds[:len(o.seconds)-1] // the last is not complete
 	for i := warmUpS; i < len(o.seconds); i++ {
 		c.checkHealthChecks(i)
 	}
@@ -202,7 +206,7 @@
 	if o.Probes == 0 || o.faultDuring(at, at+1000, o.CalmMs, func(x *faultSpan) bool { return x.poolers }) {
 		return
 	}
-	for server, n := range s.probes { // each by itself
+	for server, n := range s.probes { // each server by itself
 		c.checkRule(HealthChecksShared, i, server, n <= o.Probes+o.ProbeSlack, "%.0f probes in a second; %.0f may be", n, o.Probes+o.ProbeSlack)
 	}
 }
@@ -259,7 +263,7 @@
 	}
 }
 
-// checkRecovery holds service after the last fault to what it was before the first.
+// checkRecovery compares the share served after the last fault with that before the first.
 func (c *Checker) checkRecovery() {
 	o := c.overload
 	if o.RecoveryMs == 0 || len(o.faults) == 0 {
--- a/internal/testkit/checker/pages.go
+++ b/internal/testkit/checker/pages.go
@@ -7,54 +7,60 @@
 	"slices"
 )
 
-// Rules of reports that are read in pages.
+// The rules on reports that are read in pages.
 const (
 	PagesOnce  Rule = "the pages together are the sorted list, each row exactly once"
 	PagesAhead Rule = "no page is read at a server that is behind the page before"
 	PagesEnd   Rule = "a page has one end, in time"
 )
 
-// PageRules are all of them.
+// PageRules returns the rules on reports that are read in pages.
 func PageRules() []Rule { return []Rule{PagesOnce, PagesAhead, PagesEnd} }
 
-// PageChecker holds reports to the rows that the servers' groups had. It knows which rows there were and from which position of their group's log to
-// which, what clients were given, and at which positions servers read; nothing of cursors.
+// PageChecker compares reports with the rows that the groups had. It knows each row's first and last position in its group's log, the
+// rows that clients received, and the positions at which servers read; it does not read cursors.
 type PageChecker struct {
-	Descending bool // the place comes down
+	Descending bool // reports are sorted by descending place
 	rows       map[int64]*pageRow
 	reports    map[int]*report
 	checked    map[Rule]uint64
 	breaches   []Breach
 	counts     map[Rule]int
 
-	Served, Ended, Rows int // pages, reports that came to their end, rows
+	Served, Ended, Rows int // pages, complete reports, rows
 	Rejected, Failed    int
 }
 
-// pageRow is a row, there from one position to another, 0 for ever.
+// pageRow is a row with the positions of its insertion and deletion, 0 for never.
 type pageRow struct {
 	id, place        int64
 	group            int
 	written, deleted float64
 }
 
-// PageRead says that a server of a group worked on a shard's part of a page; those of a page come in the order of time.
+// PageRead is a server's read for a shard's part of a page; those of a page are in the order of time.
 type PageRead struct {
 	Group    int
 	Position float64
 }
 
-// report is one that is under way.
+// report is a report in progress.
 type report struct {
-	firstRead map[int]float64 // by group: the least position at which its first page was read
-	lastRead  map[int]float64 // ...and the greatest at which the last read of any was
+	firstRead map[int]float64 // by group: lowest position at which the first page was read
+	lastRead  map[int]float64 // by group: highest position of any page's last read
 	given     []*pageRow
 	started   float64
 }
 
-// NewPageChecker makes a checker.
+// NewPageChecker returns a checker of reports in ascending or descending order.
 func NewPageChecker(desc bool) *PageChecker {
-	return &PageChecker{Descending: desc, rows: map[int64]*pageRow{}, reports: map[int]*report{}, checked: map[Rule]uint64{}, counts: map[Rule]int{}}
+	return &PageChecker{
+		Descending: desc,
+		rows:       map[int64]*pageRow{},
+		reports:    map[int]*report{},
+		checked:    map[Rule]uint64{},
+		counts:     map[Rule]int{},
+	}
 }
 
 func (p *PageChecker) breach(rule Rule, at float64, format string, args ...any) {
@@ -63,19 +69,19 @@
 	}
 }
 
-// RowWritten tells of a row that is written, as of a position of its group's log; 0 for one that was there from the beginning.
+// RowWritten records a row written at a position of its group's log; 0 for one that was there from the beginning.
 func (p *PageChecker) RowWritten(id, place int64, group int, from float64) {
 	p.rows[id] = &pageRow{id: id, place: place, group: group, written: from}
 }
 
-// RowDeleted tells that a row is deleted as of a position.
+// RowDeleted records a row's deletion at a position of its group's log.
 func (p *PageChecker) RowDeleted(id int64, at float64) {
 	if r := p.rows[id]; r != nil {
 		r.deleted = at
 	}
 }
 
-// compare is the order of a report: by place, then by group, as shards are named in that order, then by the row's own number.
+// compare is the order of a report: by place, by group (shards are listed in that order), then by row ID.
 func (p *PageChecker) compare(left, right *pageRow) int {
 	c := cmp.Compare(left.place, right.place)
 	if p.Descending {
@@ -84,7 +90,7 @@
 	return cmp.Or(c, cmp.Compare(left.group, right.group), cmp.Compare(left.id, right.id))
 }
 
-// PageServed tells of a page that a reader was given whole, with what servers read for it, and whether it is its report's last.
+// PageServed records a complete page, the servers' reads for it, and whether it is the last of its report.
 func (p *PageChecker) PageServed(at float64, reader int, ids []int64, reads []PageRead, last bool) {
 	p.Served++
 	p.Rows += len(ids)
@@ -102,7 +108,7 @@
 		if least, ok := r.firstRead[x.Group]; fresh && (!ok || x.Position < least) {
 			r.firstRead[x.Group] = x.Position
 		}
-		now[x.Group] = x.Position // that of the last one: those before it broke
+		now[x.Group] = x.Position // the last one counts: earlier ones broke off
 	}
 	for g, x := range now {
 		r.lastRead[g] = max(r.lastRead[g], x)
@@ -131,7 +137,7 @@
 	}
 }
 
-// checkMissingRows looks for rows that a report should have been given, up to one.
+// checkMissingRows finds rows that the report should have contained, up to the row upTo or, if it is nil, to the end.
 func (p *PageChecker) checkMissingRows(at float64, reader int, r *report, upTo *pageRow) {
 	given := map[int64]bool{}
 	for _, x := range r.given {
@@ -150,17 +156,17 @@
 	}
 }
 
-// ReportStarted has a reader begin a new report, whatever it had.
+// ReportStarted records that a reader starts a new report.
 func (p *PageChecker) ReportStarted(reader int) { delete(p.reports, reader) }
 
-// PageEnded tells that a page came to an end of some kind, and by when one was due.
+// PageEnded records the end of a page's request, of any kind, and its deadline.
 func (p *PageChecker) PageEnded(at, due float64, reader int) {
 	if p.checked[PagesEnd]++; at > due {
 		p.breach(PagesEnd, at, "report of reader %d: a page's end came %.0f ms late", reader, at-due)
 	}
 }
 
-// PageFailed counts pages that came to nothing.
+// PageFailed counts a page that was rejected or failed.
 func (p *PageChecker) PageFailed(rejected bool) {
 	if p.Failed++; rejected {
 		p.Failed--
@@ -168,7 +174,7 @@
 	}
 }
 
-// Verdict adds what was checked and found; reports that are under way are held to what they have come to.
+// Verdict adds the number of checks and the breaches to v; reports in progress are checked up to their last row.
 func (p *PageChecker) Verdict(at float64, v *Verdict) {
 	for _, reader := range slices.Sorted(maps.Keys(p.reports)) {
 		if r := p.reports[reader]; len(r.given) > 0 {
--- a/internal/testkit/checker/queries/queries.go
+++ b/internal/testkit/checker/queries/queries.go
@@ -1,5 +1,5 @@
-// Package queries holds what clients of the ClickHouse interface saw against what the servers saw. It counts on both sides for
-// itself, and knows nothing of what a pooler thought.
+// Package queries compares what clients of the ClickHouse interface saw with what the servers saw. It observes both sides by
+// itself and knows nothing of a pooler's own state.
 package queries
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Rule is a rule that can be broken.
+// Rule is the text of a rule. The texts are part of the kit's output.
 type Rule string
 
 // The rules.
@@ -23,22 +23,22 @@
 	OneServer         Rule = "no session at two servers"
 )
 
-// ClientQuery is a query as its client saw it. Times are in milliseconds on one clock with the servers'.
+// ClientQuery is a query as its client saw it. Times are in milliseconds, on the same clock as the servers'.
 type ClientQuery struct {
 	ID              string
 	Writes          bool
 	Session         string
-	MaxStalenessS   float64 // how old its data may be, 0 for any age
+	MaxStalenessS   float64 // maximum age of its data in seconds, 0 for any
 	BodyHash        uint64  // of its body
-	Echo            bool    // what serves it tells its server, its id and the body's sum
-	Answers         int     // whole answers that came...
-	ExtraBytes      int     // ...and bytes that nobody had asked for
-	ConnectionBroke bool    // its connection ended before an answer, or within one
+	Echo            bool    // its answer names the server, the query's ID and the body's hash
+	Answers         int     // complete answers
+	ExtraBytes      int     // bytes beyond the answer
+	ConnectionBroke bool    // its connection ended before the end of an answer
 	Status          int
 	Code            string // of ClickHouse's exception
-	FromPooler      bool   // the answer was the pooler's own
+	FromPooler      bool   // the pooler itself answered
 	Body            string
-	BodySent        bool // its body went out whole
+	BodySent        bool // its body was sent completely
 }
 
 // Run is a query as a server saw it.
@@ -52,20 +52,20 @@
 	Whole   bool
 }
 
-// Drain is when a pooler heard that a server drains, and when it heard that it does no more (0 for never).
+// Drain has the times when a pooler was notified of the start and end of a server's draining (To is 0 for no end).
 type Drain struct {
 	Server   string
 	From, To float64
 }
 
-// Config has the rules' figures, in milliseconds.
+// Config has the limits of the rules.
 type Config struct {
 	GraceMs float64
-	SlackMs float64 // by which times may differ
+	SlackMs float64 // by which clocks may differ
 	RoundS  float64 // by which servers round their lag
 }
 
-// Breach is a rule that was broken, with what proves it.
+// Breach is one breach of a rule, with the runs that prove it.
 type Breach struct {
 	Rule  Rule   `json:"rule"`
 	ID    string `json:"id"`
@@ -73,13 +73,13 @@
 	Proof []Run  `json:"proof,omitempty"`
 }
 
-// Verdict is what came of it all.
+// Verdict has the breaches and the number of checks of each rule.
 type Verdict struct {
 	Breaches []Breach     `json:"breaches"`
-	Checked  map[Rule]int `json:"checked"` // how often each rule was put to the test
+	Checked  map[Rule]int `json:"checked"` // number of checks of each rule
 }
 
-// Check holds asks against runs.
+// Check compares the clients' queries with the servers' runs.
 func Check(cfg Config, queries []ClientQuery, runs []Run, drains []Drain) *Verdict {
 	v := &Verdict{Checked: map[Rule]int{}}
 	byID := map[string][]Run{}
@@ -140,7 +140,7 @@
 	}
 }
 
-// checkServed holds an answer to the run that made it.
+// checkServed checks that one of the runs produced the answer.
 func (v *Verdict) checkServed(query *ClientQuery, runs []Run) {
 	v.Checked[NoInvented]++
 	part := strings.Fields(query.Body)
@@ -155,7 +155,7 @@
 	v.breach(NoInvented, query.ID, runs, "no server answered %.80q to it", query.Body)
 }
 
-// checkSessions holds each session to one server. A session that was lost is another from then on; its clients name it anew.
+// checkSessions checks that each session stays at one server. After a loss, clients use a new session name.
 func (v *Verdict) checkSessions(queries []ClientQuery, byID map[string][]Run) {
 	serverOf := map[string]Run{}
 	for i := range queries {
--- a/internal/testkit/checker/queries/queries_test.go
+++ b/internal/testkit/checker/queries/queries_test.go
@@ -21,14 +21,20 @@
 		drains []Drain
 		want   []Rule
 	}{
-		"all is well":                 {[]ClientQuery{ok("1"), ok("2")}, []Run{ran("1"), ran("2")}, []Drain{{"a", 50, 0}, {"b", 0, 0}}, nil},
-		"no answer":                   {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Answers = 0 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
-		"broken, and no answer":       {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Answers, a.ConnectionBroke = 0, true })}, []Run{ran("1")}, nil, nil},
-		"two answers":                 {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Answers = 2 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
-		"more behind the answer":      {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.ExtraBytes = 3 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
-		"a read that ran twice":       {[]ClientQuery{ok("1")}, []Run{ran("1"), ran("1")}, nil, nil},
-		"a write that ran twice":      {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Writes = true })}, []Run{ran("1"), ran("1")}, nil, []Rule{NotTwice}},
-		"refused, and it ran":         {[]ClientQuery{{ID: "1", Writes: true, Answers: 1, Status: 503, FromPooler: true}}, []Run{ran("1")}, nil, []Rule{RejectedUntouched}},
+		"all is well":            {[]ClientQuery{ok("1"), ok("2")}, []Run{ran("1"), ran("2")}, []Drain{{"a", 50, 0}, {"b", 0, 0}}, nil},
+		"no answer":              {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Answers = 0 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
+		"broken, and no answer":  {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Answers, a.ConnectionBroke = 0, true })}, []Run{ran("1")}, nil, nil},
+		"two answers":            {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Answers = 2 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
+		"more behind the answer": {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.ExtraBytes = 3 })}, []Run{ran("1")}, nil, []Rule{OneAnswer}},
+		"a read that ran twice":  {[]ClientQuery{ok("1")}, []Run{ran("1"), ran("1")}, nil, nil},
+		"a write that ran twice": {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Writes = true })}, []Run{ran("1"), ran("1")}, nil, []Rule{NotTwice}},
+		"refused, and it ran": {[]ClientQuery{{
+			ID:         "1",
+			Writes:     true,
+			Answers:    1,
+			Status:     503,
+			FromPooler: true,
+		}}, []Run{ran("1")}, nil, []Rule{RejectedUntouched}},
 		"refused by its server":       {[]ClientQuery{{ID: "1", Writes: true, Answers: 1, Status: 503}}, []Run{ran("1")}, nil, nil},
 		"another's answer":            {[]ClientQuery{with(ok("1"), func(a *ClientQuery) { a.Body = "a 2 7" })}, []Run{ran("1"), ran("2")}, nil, []Rule{NoInvented}},
 		"of a body that came in half": {[]ClientQuery{ok("1")}, []Run{other(ran("1"), func(r *Run) { r.Whole = false })}, nil, []Rule{NoInvented}},
--- a/internal/testkit/checker/servers.go
+++ b/internal/testkit/checker/servers.go
@@ -22,7 +22,7 @@
 	primary  bool
 }
 
-// ServerReceived tells that a request has come whole to a server, which started then; 0 for long ago.
+// ServerReceived records that a server has a complete request. started is the start of its process, 0 for long ago.
 func (c *Checker) ServerReceived(at float64, server int, started float64, id uint64, work float64) {
 	age := at - started
 	if started == 0 || c.cfg.ColdMs <= 0 || age >= c.cfg.ColdMs {
@@ -47,17 +47,29 @@
 		for _, x := range s.sent[max(0, len(s.sent)-maxProof+1):] {
 			proof = append(proof, Event{At: x.at, What: "took", Pooler: -1, Server: server, Text: fmt.Sprintf("%.1f ms of work", x.work)})
 		}
-		c.breach(Breach{Rule: ColdSpared, At: at, ID: id, Server: server, Text: fmt.Sprintf("%.0f ms of work within %.0f ms, %.0f ms after its start; it stands %.0f ms",
-			s.workSum, c.cfg.OverloadWindowMs, age, c.cfg.OverloadFactor*capacity)}, proof)
+		c.breach(Breach{
+			Rule:   ColdSpared,
+			At:     at,
+			ID:     id,
+			Server: server,
+			Text: fmt.Sprintf("%.0f ms of work within %.0f ms, %.0f ms after its start; it stands %.0f ms",
+				s.workSum, c.cfg.OverloadWindowMs, age, c.cfg.OverloadFactor*capacity),
+		}, proof)
 	}
 }
 
-// Executed tells that a server worked on a request: what it made of it, and of which position its data is.
+// Executed records that a server executed a request, with a hash of the result and the position of its data.
 func (c *Checker) Executed(at float64, server int, id uint64, writes, primary bool, value uint64, position float64) {
 	if writes {
 		c.checked[PrimaryRan]++
 		if !primary {
-			c.breach(Breach{Rule: PrimaryRan, At: at, ID: id, Server: server, Text: "a write ran at a server that is not its group's primary"},
+			c.breach(Breach{
+				Rule:   PrimaryRan,
+				At:     at,
+				ID:     id,
+				Server: server,
+				Text:   "a write ran at a server that is not its group's primary",
+			},
 				[]Event{{At: at, What: "ran", Pooler: -1, Server: server}})
 		}
 	}
@@ -84,10 +96,16 @@
 	}
 }
 
-// RepeatDropped tells that a server answered a keyed write's repeat, without running it again.
+// RepeatDropped records that a server answered a repeat of a keyed write without executing it again.
 func (c *Checker) RepeatDropped(at float64, server int, id uint64, value uint64, position float64) {
 	if request := c.requests[id]; request != nil {
-		request.executions = append(request.executions, execution{server: -1, at: at, value: value, position: position, sent: request.received})
+		request.executions = append(request.executions, execution{
+			server:   -1,
+			at:       at,
+			value:    value,
+			position: position,
+			sent:     request.received,
+		})
 		request.record(Event{At: at, What: "repeat dropped", Pooler: -1, Server: server})
 	}
 }
--- a/internal/testkit/checker/views.go
+++ b/internal/testkit/checker/views.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// The rules of the fleet's view.
+// The rules on the fleet's view.
 const (
 	ViewComplete Rule = "a pooler that is dead or cut off is told failed by all who can reach one another"
 	ViewAccurate Rule = "nobody who runs and is reached by most is called failed for long"
@@ -15,46 +15,46 @@
 	ViewSending  Rule = "no fewer are counted as may be sending than send"
 )
 
-// ViewRules are those of the fleet's view.
+// ViewRules returns the rules on the fleet's view.
 func ViewRules() []Rule {
 	return []Rule{ViewComplete, ViewAccurate, ViewSettled, ViewNoReturn, ViewRash, ViewSending}
 }
 
-// ViewConfig has the bounds, in ms, by the formulas of the view's page for this fleet.
+// ViewConfig has the bounds in ms, by the formulas of the view's page for this fleet.
 type ViewConfig struct {
-	DetectMs     func(f int) float64 // where f cannot be reached
+	DetectMs     func(f int) float64 // if f poolers cannot be reached
 	SettleMs     float64
 	JoinMs       float64
 	SpreadMs     float64
 	CountHoldMs  float64
-	SelfDetectMs float64 // within it one that is cut off knows that it may be itself
+	SelfDetectMs float64 // within which an isolated pooler suspects itself
 }
 
-// ViewChecker holds what poolers think of one another to what is true. It knows which processes run and which ways are cut, as whoever
-// causes the faults does, and is told what each process says of each; nothing of how it came to that.
+// ViewChecker compares the poolers' views of one another with the true state. It knows which processes run and which links are cut
+// from the injected faults, and each process's reported states; nothing of how a process decides.
 type ViewChecker struct {
 	cfg           ViewConfig
 	poolers       int
-	processes     []*process // by pooler, the one that runs, nil where none does
+	processes     []*process // by pooler: its running process, nil for none
 	byID          map[uint64]*process
 	cut           func(from, to int) bool
-	lastFault     float64 // a fault struck or ended last
-	partitions    []int   // by pooler: of those that can reach one another, -1 where none runs
+	lastFault     float64 // last start or end of a fault
+	partitions    []int   // by pooler: number of the partition, -1 if it does not run
 	partitionedAt []float64
 	pausedUntil   []float64
-	lossyFaults   int // faults in force by which messages are lost
+	lossyFaults   int // active faults by which messages are lost
 	counts        map[Rule]int
 	checked       map[Rule]uint64
 	breaches      []Breach
 	reported      map[string]bool
 
-	Exact     bool      // Says is told at once: what is said first can be told from what is passed on
-	resumedAt []float64 // when it last went on after standing still
+	Exact     bool      // reports come without delay, so that first-hand accusations can be told from relayed ones
+	resumedAt []float64 // by pooler: end of its last pause
 
-	DetectionTimes   []float64 // ms from a crash until an observer called it failed
-	SettleTimes      []float64 // ms from a change until all views were equal and true
-	FalseFailures    int       // failures told of processes that ran
-	FalseAccusations int       // accusations of such
+	DetectionTimes   []float64 // ms from a crash until an observer reported the failure
+	SettleTimes      []float64 // ms from a change until all views were equal and correct
+	FalseFailures    int       // failures reported of running processes
+	FalseAccusations int       // suspicions of running processes
 	diverged         bool
 }
 
@@ -65,18 +65,18 @@
 	started        float64
 	ended          float64
 	leftGracefully bool
-	opinions       map[uint64]opinion // of others, by ID
-	accusations    map[uint64]bool    // against whom it is being told
-	sendingCount   int                // of those that may be sending
+	opinions       map[uint64]opinion // by ID of the other process
+	accusations    map[uint64]bool    // IDs that a received message accuses
+	sendingCount   int                // poolers that may be sending, as it counts
 }
 
 type opinion struct {
-	state       int // as view.State
+	state       int // a view.State
 	incarnation uint32
 	at          float64
 }
 
-// The states, as the view has them.
+// The values of view.State.
 const (
 	viewAlive = iota
 	viewSuspect
@@ -84,30 +84,59 @@
 	viewLeft
 )
 
-// NewViewChecker makes the checker of so many poolers; cut tells whether nothing gets from one to another.
+// NewViewChecker returns a checker of n poolers; cut reports whether no message gets from one pooler to another.
 func NewViewChecker(cfg ViewConfig, n int, cut func(from, to int) bool) *ViewChecker {
-	return &ViewChecker{cfg: cfg, poolers: n, cut: cut, processes: make([]*process, n), byID: map[uint64]*process{}, partitions: make([]int, n), partitionedAt: make([]float64, n), pausedUntil: make([]float64, n), resumedAt: make([]float64, n),
-		counts: map[Rule]int{}, checked: map[Rule]uint64{}, reported: map[string]bool{}}
+	return &ViewChecker{
+		cfg:           cfg,
+		poolers:       n,
+		cut:           cut,
+		processes:     make([]*process, n),
+		byID:          map[uint64]*process{},
+		partitions:    make([]int, n),
+		partitionedAt: make([]float64, n),
+		pausedUntil:   make([]float64, n),
+		resumedAt:     make([]float64, n),
+		counts:        map[Rule]int{},
+		checked:       map[Rule]uint64{},
+		reported:      map[string]bool{},
+	}
 }
 
 func (c *ViewChecker) breach(rule Rule, at float64, observer, subject *process, text string) {
 	c.counts[rule]++
 	if key := fmt.Sprint(rule, observer.id, subject.id); !c.reported[key] && len(c.breaches) < maxBreaches {
 		c.reported[key] = true
-		c.breaches = append(c.breaches, Breach{Rule: rule, At: at, ID: subject.id, Server: subject.pooler, Text: text, Proof: []Event{
-			{At: subject.started, What: "began", Pooler: subject.pooler, Server: -1}, {At: subject.ended, What: "ended", Pooler: subject.pooler, Server: -1},
-			{At: c.lastFault, What: "last fault", Pooler: -1, Server: -1}, {At: at, What: text, Pooler: observer.pooler, Server: subject.pooler}}})
+		c.breaches = append(c.breaches, Breach{
+			Rule:   rule,
+			At:     at,
+			ID:     subject.id,
+			Server: subject.pooler,
+			Text:   text,
+			Proof: []Event{
+				{
+					At:     subject.started,
+					What:   "began",
+					Pooler: subject.pooler,
+					Server: -1,
+				}, {At: subject.ended, What: "ended", Pooler: subject.pooler, Server: -1},
+				{
+					At:     c.lastFault,
+					What:   "last fault",
+					Pooler: -1,
+					Server: -1,
+				}, {At: at, What: text, Pooler: observer.pooler, Server: subject.pooler}},
+		})
 	}
 }
 
-// ProcessStarted tells that a pooler's process has started.
+// ProcessStarted records the start of a pooler's process.
 func (c *ViewChecker) ProcessStarted(at float64, pooler int, id uint64) {
 	p := &process{id: id, pooler: pooler, running: true, started: at, opinions: map[uint64]opinion{}, accusations: map[uint64]bool{}}
 	c.processes[pooler], c.byID[id], c.resumedAt[pooler] = p, p, 0
 	c.FaultChanged(at)
 }
 
-// ProcessEnded tells that it has ended, in order where it could say so.
+// ProcessEnded records the end of a pooler's process; inOrder if it announced that it leaves.
 func (c *ViewChecker) ProcessEnded(at float64, pooler int, inOrder bool) {
 	if p := c.processes[pooler]; p != nil {
 		p.running, p.ended, p.leftGracefully = false, at, inOrder
@@ -116,21 +145,21 @@
 	}
 }
 
-// SetLossy tells that some ways lose messages from now on, or no longer do. While they do there is no bound on what is found out, only
-// on what is found out wrongly.
+// SetLossy records that some links start or stop losing messages. Meanwhile there is no bound on detection, only
+// on false detection.
 func (c *ViewChecker) SetLossy(on bool) {
 	if c.lossyFaults--; on {
 		c.lossyFaults += 2
 	}
 }
 
-// Paused tells that a pooler's process stands still from now until then.
+// Paused records that a pooler's process is paused until the given time.
 func (c *ViewChecker) Paused(at float64, pooler int, until float64) {
 	c.pausedUntil[pooler], c.resumedAt[pooler] = until, until
 	c.FaultChanged(at)
 }
 
-// FaultChanged tells that something struck or ended: a way between two poolers, or a process.
+// FaultChanged records the start or end of a fault of a link or process.
 func (c *ViewChecker) FaultChanged(at float64) {
 	c.lastFault, c.diverged = at, true
 	old := slices.Clone(c.partitions)
@@ -151,7 +180,7 @@
 	return out
 }
 
-// updatePartitions finds who can reach whom, directly or by way of others; a way that is cut in one direction is none.
+// updatePartitions computes which poolers can reach one another, directly or through others. A link must work in both directions.
 func (c *ViewChecker) updatePartitions(at float64) {
 	for i := range c.partitions {
 		c.partitions[i] = -1
@@ -175,7 +204,7 @@
 	}
 }
 
-// ReportState tells that a process has changed its mind on another.
+// ReportState records that a process's state of another process has changed.
 func (c *ViewChecker) ReportState(at float64, observer int, subject uint64, state int, incarnation uint32) {
 	c.resumePaused(at)
 	from, about := c.processes[observer], c.byID[subject]
@@ -184,7 +213,7 @@
 	}
 	previous, known := from.opinions[subject]
 	from.opinions[subject] = opinion{state: state, incarnation: incarnation, at: at}
-	if about == nil { // it was heard of before it was seen
+	if about == nil { // reported before its process started here
 		return
 	}
 	switch {
@@ -208,10 +237,10 @@
 	}
 }
 
-// noAccusationMs is how long one that stood still is to accuse nobody, at least.
+// noAccusationMs is the least time after a pause in which a pooler must accuse nobody.
 const noAccusationMs = 1000
 
-// isolated tells whether nothing gets to a pooler from any that runs.
+// isolated reports whether no message gets to a pooler from any running one.
 func (c *ViewChecker) isolated(i int) bool {
 	for k, p := range c.processes {
 		if k != i && p != nil && !c.cut(k, i) {
@@ -221,28 +250,28 @@
 	return true
 }
 
-// AccusationReceived tells that a process is told something against another, by a message: what it then says is not its own finding.
+// AccusationReceived records that a process received an accusation in a message: what it reports next is not its own finding.
 func (c *ViewChecker) AccusationReceived(observer int, subject uint64) {
 	if o := c.processes[observer]; o != nil {
 		o.accusations[subject] = true
 	}
 }
 
-// MessageProcessed ends what a process was told by one message.
+// MessageProcessed ends the accusations of one message.
 func (c *ViewChecker) MessageProcessed(observer int) {
 	if o := c.processes[observer]; o != nil {
 		clear(o.accusations)
 	}
 }
 
-// ReportCount tells how many a pooler takes for those that may be sending.
+// ReportCount records how many poolers a pooler counts as sending.
 func (c *ViewChecker) ReportCount(at float64, observer, sending int) {
 	if o := c.processes[observer]; o != nil {
 		o.sendingCount = sending
 	}
 }
 
-// resumePaused has those go on whose time of standing still is over.
+// resumePaused ends the pauses that are over.
 func (c *ViewChecker) resumePaused(at float64) {
 	for i, until := range c.pausedUntil {
 		if until > 0 && at >= until {
@@ -252,7 +281,7 @@
 	}
 }
 
-// Sample holds all views to what is true now. It is called now and then.
+// Sample compares all views with the true state. It is called periodically.
 func (c *ViewChecker) Sample(at float64) {
 	c.resumePaused(at)
 	sizes := map[int]int{}
@@ -290,10 +319,10 @@
 	}
 }
 
-// Equal tells whether all views were equal and true when they were last looked at.
+// Equal reports whether all views were equal and correct at the last sample.
 func (c *ViewChecker) Equal() bool { return !c.diverged }
 
-// checkPair holds one process's word on another to what is true, and tells whether it is.
+// checkPair compares one process's state of another with the true state, and reports whether it is correct.
 func (c *ViewChecker) checkPair(at float64, observer, subject *process, sizes map[int]int, running int) bool {
 	reported, known := observer.opinions[subject.id]
 	callsFailed := known && reported.state >= viewFailed
@@ -331,10 +360,10 @@
 		}
 		return false
 	}
-	return true // it hears nobody, and accuses nobody
+	return true // it is isolated and accuses nobody
 }
 
-// Verdict adds what was checked and found.
+// Verdict adds the number of checks and the breaches to v.
 func (c *ViewChecker) Verdict(v *Verdict) {
 	for r, n := range c.checked {
 		v.Checked[r] += n
--- a/internal/testkit/checker/zones.go
+++ b/internal/testkit/checker/zones.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// ZoneChecker holds what poolers made of the fleet's plans against what was true of clients and servers. It knows the faults, by Changed and Struck, and no
-// plan but by what it says. Calm is where nothing is under way, and nothing ended lately.
+// ZoneChecker checks the plans that poolers follow against the true load and capacity. It knows the injected faults, and of plans only
+// their contents. Calm is a time without faults or recent changes.
 type ZoneChecker struct {
-	SafeLoad       float64 // part of a zone's cores that may be planned where it receives
-	SettleMs       float64 // ms after a change in which a plan may not know of it yet
-	MaxRemoteShare float64 // part of reads that may cross in calm
+	SafeLoad       float64 // maximum planned share of a receiving zone's cores
+	SettleMs       float64 // ms after a change within which a plan need not reflect it
+	MaxRemoteShare float64 // maximum share of reads to other zones in calm
 
-	PlansChecked int // looks at a plan that were held against its safe load
+	PlansChecked int // checks of a plan against the safe load
 	Breaches     []Breach
-	plans        map[uint64]uint64 // by number: a sum of what it asks for
-	last         map[int]uint64    // by pooler, whatever process
+	plans        map[uint64]uint64 // by number: hash of its contents
+	last         map[int]uint64    // by pooler, over all its processes
 	changes      []float64
 	faults       [][2]float64
 	reads        float64
@@ -30,31 +30,37 @@
 	NearCalm Rule = "near while safe"
 )
 
-// NewZoneChecker makes a checker.
+// NewZoneChecker returns a checker.
 func NewZoneChecker(safeLoad, settleMs, maxRemoteShare float64) *ZoneChecker {
-	return &ZoneChecker{SafeLoad: safeLoad, SettleMs: settleMs, MaxRemoteShare: maxRemoteShare, plans: map[uint64]uint64{}, last: map[int]uint64{}}
+	return &ZoneChecker{
+		SafeLoad:       safeLoad,
+		SettleMs:       settleMs,
+		MaxRemoteShare: maxRemoteShare,
+		plans:          map[uint64]uint64{},
+		last:           map[int]uint64{},
+	}
 }
 
 func (c *ZoneChecker) breach(r Rule, at float64, format string, args ...any) {
 	c.Breaches = append(c.Breaches, Breach{Rule: r, At: at, Text: fmt.Sprintf(format, args...)})
 }
 
-// FaultChanged tells that something befell zones, their servers or what is asked of them, or ended.
+// FaultChanged records a change of zones, their servers or their load.
 func (c *ZoneChecker) FaultChanged(at float64) { c.changes = append(c.changes, at) }
 
-// FaultInjected tells of a fault from one time to another; it may be told ahead.
+// FaultInjected records a fault from one time to another, possibly in advance.
 func (c *ZoneChecker) FaultInjected(from, to float64) {
 	c.FaultChanged(from)
 	c.FaultChanged(to)
 	c.faults = append(c.faults, [2]float64{from, to})
 }
 
-// settled tells whether nothing changed lately.
+// settled reports whether nothing changed within SettleMs.
 func (c *ZoneChecker) settled(at float64) bool {
 	return !slices.ContainsFunc(c.changes, func(x float64) bool { return x <= at && at < x+c.SettleMs })
 }
 
-// PlanFollowed tells that a pooler follows a plan now; sum is of all that it asks for.
+// PlanFollowed records that a pooler follows a plan; sum is a hash of its contents.
 func (c *ZoneChecker) PlanFollowed(at float64, pooler int, no, sum uint64) {
 	if was, known := c.plans[no]; known && was != sum {
 		c.breach(OnePlan, at, "pooler %d follows another plan %d than others", pooler, no)
@@ -66,7 +72,7 @@
 	c.last[pooler] = max(c.last[pooler], no)
 }
 
-// CheckPlan holds a plan's shares, by zone, against the cores of work that clients near each ask and those that serve in each.
+// CheckPlan checks a plan's shares by zone, given the demand near each zone and the serving cores in each.
 func (c *ZoneChecker) CheckPlan(at float64, no uint64, shares [][]float64, demand, cores []float64) {
 	if !c.settled(at) {
 		return
@@ -85,7 +91,7 @@
 	}
 }
 
-// ReadSent tells that a read that any member may serve went out, to another zone or not.
+// ReadSent records an attempt of a read that any member may serve, and whether it went to another zone.
 func (c *ZoneChecker) ReadSent(at float64, remote bool) {
 	if !c.settled(at) || slices.ContainsFunc(c.faults, func(f [2]float64) bool { return f[0] <= at && at < f[1] }) {
 		return
@@ -95,7 +101,7 @@
 	}
 }
 
-// Finish looks at what crossed in calm, and tells that part.
+// Finish checks and returns the share of reads that went to other zones in calm.
 func (c *ZoneChecker) Finish(at float64) (remoteShare float64) {
 	if remoteShare = c.remoteReads / max(1, c.reads); remoteShare > c.MaxRemoteShare {
 		c.breach(NearCalm, at, "%.3f of %.0f reads crossed in calm", remoteShare, c.reads)
@@ -103,5 +109,5 @@
 	return remoteShare
 }
 
-// CalmReads is how many reads were in calm.
+// CalmReads returns the number of reads in calm.
 func (c *ZoneChecker) CalmReads() float64 { return c.reads }
--- a/internal/testkit/fake/database/extended.go
+++ b/internal/testkit/fake/database/extended.go
@@ -87,7 +87,12 @@
 }
 
 func rowDescription(col string) *pgproto3.RowDescription {
-	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte(col), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1}}}
+	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{
+		Name:         []byte(col),
+		DataTypeOID:  25,
+		DataTypeSize: -1,
+		TypeModifier: -1,
+	}}}
 }
 
 // column names the one column of a statement's rows, empty where it has none.
--- a/internal/testkit/fake/database/fleet.go
+++ b/internal/testkit/fake/database/fleet.go
@@ -82,7 +82,14 @@
 
 // New makes a fleet; Start has it listen.
 func New(cfg Config, clk clock.Clock, log *slog.Logger) *Fleet {
-	f := &Fleet{cfg: cfg, clk: clk, log: log, timers: map[*time.Timer]bool{}, fulls: map[uint32]*session{}, watch: Watch{ByText: map[string]int{}}}
+	f := &Fleet{
+		cfg:    cfg,
+		clk:    clk,
+		log:    log,
+		timers: map[*time.Timer]bool{},
+		fulls:  map[uint32]*session{},
+		watch:  Watch{ByText: map[string]int{}},
+	}
 	f.world = model.New(cfg, f, f)
 	for _, s := range f.world.Servers {
 		f.servers = append(f.servers, &server{Server: s, f: f, conns: map[*conn]bool{}})
--- a/internal/testkit/fake/database/scattered.go
+++ b/internal/testkit/fake/database/scattered.go
@@ -132,7 +132,13 @@
 func (t *Table) describe(forms []int16) *pgproto3.RowDescription {
 	d := &pgproto3.RowDescription{}
 	for i, c := range t.Columns {
-		d.Fields = append(d.Fields, pgproto3.FieldDescription{Name: []byte(c), DataTypeOID: sortedtable.OID(t.Types[i]), DataTypeSize: -1, TypeModifier: -1, Format: form(forms, i)})
+		d.Fields = append(d.Fields, pgproto3.FieldDescription{
+			Name:         []byte(c),
+			DataTypeOID:  sortedtable.OID(t.Types[i]),
+			DataTypeSize: -1,
+			TypeModifier: -1,
+			Format:       form(forms, i),
+		})
 	}
 	return d
 }
--- a/internal/testkit/fake/database/server.go
+++ b/internal/testkit/fake/database/server.go
@@ -256,7 +256,15 @@
 func (c *conn) work(st *work) (x model.Reply, ok bool) {
 	s, f := c.s, c.s.f
 	answer := make(reply, 1)
-	j := &model.Job{ID: st.id, Writes: st.writes, Key: st.key, Value: st.value, Owner: answer, IdempotencyKey: st.idem, IdempotencyMs: f.cfg.Keys[st.class]}
+	j := &model.Job{
+		ID:             st.id,
+		Writes:         st.writes,
+		Key:            st.key,
+		Value:          st.value,
+		Owner:          answer,
+		IdempotencyKey: st.idem,
+		IdempotencyMs:  f.cfg.Keys[st.class],
+	}
 	if j.IdempotencyMs == 0 {
 		j.IdempotencyKey = ""
 	}
--- a/internal/testkit/fake/database/session.go
+++ b/internal/testkit/fake/database/session.go
@@ -63,7 +63,14 @@
 // serveFull speaks the whole protocol to an ordinary client, from its startup message on.
 func (c *conn) serveFull(params map[string]string) {
 	s, f := c.s, c.s.f
-	x := &session{c: c, be: pgproto3.NewBackend(c.in, c), startup: map[string]string{}, stmts: map[string]*prepared{}, portals: map[string]*portal{}, status: 'I'}
+	x := &session{
+		c:       c,
+		be:      pgproto3.NewBackend(c.in, c),
+		startup: map[string]string{},
+		stmts:   map[string]*prepared{},
+		portals: map[string]*portal{},
+		status:  'I',
+	}
 	for n, v := range params {
 		if n != "user" && n != "database" {
 			x.startup[strings.ToLower(n)] = v
@@ -85,7 +92,12 @@
 		f.mu.Unlock()
 	}()
 	x.be.Send(&pgproto3.AuthenticationOk{})
-	for n, v := range map[string]string{"server_version": "15.0", "server_encoding": "UTF8", "integer_datetimes": "on", "standard_conforming_strings": "on"} {
+	for n, v := range map[string]string{
+		"server_version":              "15.0",
+		"server_encoding":             "UTF8",
+		"integer_datetimes":           "on",
+		"standard_conforming_strings": "on",
+	} {
 		x.be.Send(&pgproto3.ParameterStatus{Name: n, Value: v})
 	}
 	for n, as := range reportedSettings {
--- a/internal/testkit/model/catalog.go
+++ b/internal/testkit/model/catalog.go
@@ -39,7 +39,15 @@
 		if e.Lifecycle == "removed" {
 			continue
 		}
-		r := Registration{ID: s.Name, Address: e.HostPort, Server: s, Role: e.Role, Started: float64(e.StartedAtMs), Critical: c.critical[s], Maintenance: e.Lifecycle == "draining"}
+		r := Registration{
+			ID:          s.Name,
+			Address:     e.HostPort,
+			Server:      s,
+			Role:        e.Role,
+			Started:     float64(e.StartedAtMs),
+			Critical:    c.critical[s],
+			Maintenance: e.Lifecycle == "draining",
+		}
 		if n := c.names[s]; n > 0 {
 			r.ID = fmt.Sprintf("%s~%d", s.Name, n)
 		}
--- a/internal/testkit/model/directory.go
+++ b/internal/testkit/model/directory.go
@@ -30,8 +30,15 @@
 func (d *Directory) start() {
 	d.Gen = 1
 	for _, s := range d.world.Servers {
-		d.entries[s.Name] = &Entry{Server: s, Instance: discovery.Instance{ID: s.Name, Zone: s.Site(), MachineType: "padrao-4", Cell: s.Group.ID, Lifecycle: "up",
-			Weight: 1, Role: s.Role()}}
+		d.entries[s.Name] = &Entry{Server: s, Instance: discovery.Instance{
+			ID:          s.Name,
+			Zone:        s.Site(),
+			MachineType: "padrao-4",
+			Cell:        s.Group.ID,
+			Lifecycle:   "up",
+			Weight:      1,
+			Role:        s.Role(),
+		}}
 	}
 }
 
--- a/internal/testkit/model/world.go
+++ b/internal/testkit/model/world.go
@@ -50,8 +50,25 @@
 
 // Defaults are those of the site's brief, for so many members in each group.
 func Defaults(groups ...int) Config {
-	return Config{Groups: groups, Cores: 4, QueueLimit: 64, MaxConnections: 256, ShipDelay: Range{2.4, 15}, ApplyMs: 3, DetectionDelay: Range{1100, 2600}, ElectionDelay: Range{1000, 3900},
-		SwitchoverDelay: Range{420, 1000}, ReportInterval: Range{110, 240}, ListDelay: Range{300, 900}, RoleDelay: Range{2000, 4900}, ColdMs: 18000, ColdShare: 0.15, OverloadFactor: 2.5, OverloadWindowMs: 1500, GraceMs: 250}
+	return Config{
+		Groups:           groups,
+		Cores:            4,
+		QueueLimit:       64,
+		MaxConnections:   256,
+		ShipDelay:        Range{2.4, 15},
+		ApplyMs:          3,
+		DetectionDelay:   Range{1100, 2600},
+		ElectionDelay:    Range{1000, 3900},
+		SwitchoverDelay:  Range{420, 1000},
+		ReportInterval:   Range{110, 240},
+		ListDelay:        Range{300, 900},
+		RoleDelay:        Range{2000, 4900},
+		ColdMs:           18000,
+		ColdShare:        0.15,
+		OverloadFactor:   2.5,
+		OverloadWindowMs: 1500,
+		GraceMs:          250,
+	}
 }
 
 // Clock drives the model.
@@ -132,13 +149,31 @@
 
 // New makes a fleet. Its list names the servers at no address until SetAddr.
 func New(cfg Config, clk Clock, watch Watcher) *World {
-	w := &World{Cfg: cfg, clock: clk, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), watcher: watch, byName: map[string]*Server{}, executedWrites: map[string]bool{}, firstByKey: map[string]firstWrite{}}
+	w := &World{
+		Cfg:            cfg,
+		clock:          clk,
+		rng:            rand.New(rand.NewPCG(cfg.Seed, 1)),
+		watcher:        watch,
+		byName:         map[string]*Server{},
+		executedWrites: map[string]bool{},
+		firstByKey:     map[string]firstWrite{},
+	}
 	w.List.world = w
 	w.List.entries = map[string]*Entry{}
 	for i, n := range cfg.Groups {
 		g := &Group{ID: i, world: w, rows: map[string][]version{}, rng: rand.New(rand.NewPCG(cfg.Seed, 100+uint64(i)))}
 		for k := range n {
-			s := &Server{Name: fmt.Sprintf("s-%d-%d", i, k), No: len(w.Servers), Group: g, world: w, Up: true, machineShare: 1, applySlowdown: 1, writeSlowdown: 1, shipDelay: cfg.ShipDelay.Draw(w.rng)}
+			s := &Server{
+				Name:          fmt.Sprintf("s-%d-%d", i, k),
+				No:            len(w.Servers),
+				Group:         g,
+				world:         w,
+				Up:            true,
+				machineShare:  1,
+				applySlowdown: 1,
+				writeSlowdown: 1,
+				shipDelay:     cfg.ShipDelay.Draw(w.rng),
+			}
 			g.Members = append(g.Members, s)
 			w.byName[s.Name] = s
 			w.Servers = append(w.Servers, s)
--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -93,9 +93,30 @@
 // NewCreditSystem makes a system of so many voters and poolers, with prices of 1.
 func NewCreditSystem(voters, poolers int, funds int64) *CreditSystem {
 	s := &CreditSystem{now: 100, Price: 1, Funds: funds, SettlementsPerRequest: 1}
-	s.Lease = lease.Settings{Duration: 4, RenewInterval: 2, UrgentInterval: 1, ExhaustedInterval: 2, GrantHorizon: 2000, IdleTimeout: 3, QueueTimeout: 2, ClockDrift: 0.01, Grace: 0.5, TickInterval: 1, PersistMarks: true,
-		Classes: []lease.Class{{Price: lease.Price{PerRequest: 1}, PriorityWeight: 1}}, PrepaidTenants: []string{CreditTenant}}
-	s.Lessor = lessor.Settings{ProposalTimeout: 2, StrandedRetention: 1e9, RecallWait: 0, RecallInterval: 1, DemandWindow: 5, ShareDivisor: 2, MaxEntryBytes: 900}
+	s.Lease = lease.Settings{
+		Duration:          4,
+		RenewInterval:     2,
+		UrgentInterval:    1,
+		ExhaustedInterval: 2,
+		GrantHorizon:      2000,
+		IdleTimeout:       3,
+		QueueTimeout:      2,
+		ClockDrift:        0.01,
+		Grace:             0.5,
+		TickInterval:      1,
+		PersistMarks:      true,
+		Classes:           []lease.Class{{Price: lease.Price{PerRequest: 1}, PriorityWeight: 1}},
+		PrepaidTenants:    []string{CreditTenant},
+	}
+	s.Lessor = lessor.Settings{
+		ProposalTimeout:   2,
+		StrandedRetention: 1e9,
+		RecallWait:        0,
+		RecallInterval:    1,
+		DemandWindow:      5,
+		ShareDivisor:      2,
+		MaxEntryBytes:     900,
+	}
 	for i := range voters {
 		s.voters = append(s.voters, &creditVoter{clockRate: 1 + 0.01*float64(i%3-1)})
 	}
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -54,7 +54,13 @@
 
 // NewDurable is a store that has just been made.
 func NewDurable(b DurableBounds) System {
-	s := &durable{bounds: b, files: map[string]*diskFile{"l1": {"H", 1}}, names: map[string]string{"l1": "l1"}, durableNames: map[string]string{"l1": "l1"}, segment: 1}
+	s := &durable{
+		bounds:       b,
+		files:        map[string]*diskFile{"l1": {"H", 1}},
+		names:        map[string]string{"l1": "l1"},
+		durableNames: map[string]string{"l1": "l1"},
+		segment:      1,
+	}
 	return s
 }
 
--- a/internal/testkit/modelcheck/evidence_test.go
+++ b/internal/testkit/modelcheck/evidence_test.go
@@ -28,11 +28,34 @@
 		e.Messages = append(e.Messages, outlier.Received{From: from, Message: &outlier.Observations{Sequence: seq, Items: []outlier.Observation{x}}})
 	}
 	word := func(from outlier.ID, seq uint32, bad bool) {
-		e.Messages = append(e.Messages, outlier.Received{From: from, Message: &outlier.Assessments{Sequence: seq, Items: []outlier.Assessment{{Key: key, Unhealthy: bad, AllZones: bad, FirstUnanswered: 3000, LastUnanswered: 100, Answered: -1}}}})
+		e.Messages = append(e.Messages, outlier.Received{From: from, Message: &outlier.Assessments{Sequence: seq, Items: []outlier.Assessment{{
+			Key:             key,
+			Unhealthy:       bad,
+			AllZones:        bad,
+			FirstUnanswered: 3000,
+			LastUnanswered:  100,
+			Answered:        -1,
+		}}}})
 	}
 	said := outlier.ServerReport{Role: outlier.RoleReplica, Position: evidenceAt - 500}
-	tell(2, 1, outlier.Observation{Answered: 5000, Unanswered: 3, FirstUnanswered: 3000, LastUnanswered: 400, Work: 80, Report: said, ReportAge: 300})
-	tell(3, 1, outlier.Observation{Answered: -1, Unanswered: 2, FirstUnanswered: 2500, LastUnanswered: 300, Work: 80, Report: said, ReportAge: 200})
+	tell(2, 1, outlier.Observation{
+		Answered:        5000,
+		Unanswered:      3,
+		FirstUnanswered: 3000,
+		LastUnanswered:  400,
+		Work:            80,
+		Report:          said,
+		ReportAge:       300,
+	})
+	tell(3, 1, outlier.Observation{
+		Answered:        -1,
+		Unanswered:      2,
+		FirstUnanswered: 2500,
+		LastUnanswered:  300,
+		Work:            80,
+		Report:          said,
+		ReportAge:       200,
+	})
 	tell(3, 2, outlier.Observation{Answered: 100, Work: 80})
 	word(2, 9, true)
 	word(3, 7, true)
--- a/internal/testkit/modelcheck/healthchecks_test.go
+++ b/internal/testkit/modelcheck/healthchecks_test.go
@@ -35,7 +35,15 @@
 		"the first is blind, one lost":   {3, 17, ProbeFaults{Want: 2, Lose: 1}, []int{0}},
 		"the second is blind, one crash": {3, 20, ProbeFaults{Want: 1, Crash: 1, Drop: 1}, []int{1}},
 		"both are blind":                 {3, 17, ProbeFaults{Want: 2, Lose: 1}, []int{0, 1}},
-		"two processes, all of it":       {2, 16, ProbeFaults{Want: 2, Lose: 1, Delay: 1, Duplicate: 1, Crash: 1, Restart: 1, Drop: 1}, []int{0}},
+		"two processes, all of it": {2, 16, ProbeFaults{
+			Want:      2,
+			Lose:      1,
+			Delay:     1,
+			Duplicate: 1,
+			Crash:     1,
+			Restart:   1,
+			Drop:      1,
+		}, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -40,7 +40,11 @@
 func NewShedLevels(n int) *ShedLevels {
 	s := &ShedLevels{now: 1e6, settings: overload.Defaults(), outcomeByHistory: map[string]string{}}
 	s.settings.Collectors = n
-	s.settings.Classes = []overload.Class{{Name: "list", Priority: 1, ObjectiveMs: 400}, {Name: "write", Priority: 5, ObjectiveMs: 400, NotIdempotent: true}}
+	s.settings.Classes = []overload.Class{{
+		Name:        "list",
+		Priority:    1,
+		ObjectiveMs: 400,
+	}, {Name: "write", Priority: 5, ObjectiveMs: 400, NotIdempotent: true}}
 	var peers []overload.Peer
 	for i := range n {
 		peers = append(peers, overload.Peer{ID: overload.ID(i + 1), Addr: fmt.Sprint(i)})
--- a/internal/testkit/modelcheck/modelcheck_test.go
+++ b/internal/testkit/modelcheck/modelcheck_test.go
@@ -24,8 +24,12 @@
 // process takes itself for gone, none invents another's incarnation or takes one back, and none comes back from the dead without a
 // later word of its own.
 func TestViews(t *testing.T) {
-	for name, wrong := range map[string]ViewSystem{"lost, crash, restart": {Lose: 1, Crash: 1, Restart: 1}, "late, crash": {Delay: 1, Crash: 1},
-		"lost, late, doubled": {Lose: 1, Delay: 1, Duplicate: 1}, "three lost": {Lose: 3}} {
+	for name, wrong := range map[string]ViewSystem{
+		"lost, crash, restart": {Lose: 1, Crash: 1, Restart: 1},
+		"late, crash":          {Delay: 1, Crash: 1},
+		"lost, late, doubled":  {Lose: 1, Delay: 1, Duplicate: 1},
+		"three lost":           {Lose: 3},
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := search(t, wrong, nil)
--- a/internal/testkit/modelcheck/quotas_test.go
+++ b/internal/testkit/modelcheck/quotas_test.go
@@ -12,7 +12,15 @@
 
 // smallQuota has clocks that run an eighth too fast, right and an eighth too slow.
 func smallQuota() quota.Settings {
-	return quota.Settings{LeaseDuration: 7, VoteDuration: 3, RenewInterval: 0.8, UrgentInterval: 0.8, UseTimeout: 1, ClockDrift: 0.125, TickInterval: 1}
+	return quota.Settings{
+		LeaseDuration:  7,
+		VoteDuration:   3,
+		RenewInterval:  0.8,
+		UrgentInterval: 0.8,
+		UseTimeout:     1,
+		ClockDrift:     0.125,
+		TickInterval:   1,
+	}
 }
 
 // quotas is three poolers with a limit that is lent.
@@ -212,7 +220,18 @@
 		if rapid.Bool().Draw(rt, "settled") {
 			_ = s.Settle(25)
 		}
-		s.QuotaFaults = QuotaFaults{Lose: 1000, Duplicate: 1000, Delay: 1000, Crash: 1000, Restart: 1000, Bounce: 1000, Pause: 1000, Split: 1000, Heal: 1000, ChangeDemand: 1000}
+		s.QuotaFaults = QuotaFaults{
+			Lose:         1000,
+			Duplicate:    1000,
+			Delay:        1000,
+			Crash:        1000,
+			Restart:      1000,
+			Bounce:       1000,
+			Pause:        1000,
+			Split:        1000,
+			Heal:         1000,
+			ChangeDemand: 1000,
+		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			for k := 0; len(s.messages) > 0 && k < 40; k++ {
 				moves := s.Moves()
--- a/internal/testkit/modelcheck/raft.go
+++ b/internal/testkit/modelcheck/raft.go
@@ -88,7 +88,11 @@
 
 // NewRaftVoters makes a group that begins, or voters with empty disks.
 func NewRaftVoters(set raftlog.Settings, founded bool) *RaftVoters {
-	s := &RaftVoters{settings: set, observed: observedLog{leaders: map[uint64]string{}, votes: map[string]string{}, sums: map[uint64]uint64{}}}
+	s := &RaftVoters{settings: set, observed: observedLog{
+		leaders: map[uint64]string{},
+		votes:   map[string]string{},
+		sums:    map[uint64]uint64{},
+	}}
 	var all []raftlog.Member
 	for i, v := range set.Voters {
 		all = append(all, raftlog.Member{Name: v, Disk: uint64(i + 1)})
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -38,8 +38,26 @@
 }
 
 func smallSettings(i int) view.Settings {
-	return view.Settings{ProbeInterval: 6, ProbeTimeout: 2, WatchedPeers: 2, IndirectProbes: 1, Confirmations: 1, PauseGrace: 10, SuspicionTimeout: 4, GossipInterval: 2, GossipFanout: 1, ExchangeInterval: 1e9, ReconnectInterval: 6, Retention: 1e6, SendingTimeout: 30,
-		TickInterval: 1, MaxRecordBytes: 1000, ExpectedPoolers: 3, SeedAddresses: []string{"0"}, RandomSeed: uint64(i)}
+	return view.Settings{
+		ProbeInterval:     6,
+		ProbeTimeout:      2,
+		WatchedPeers:      2,
+		IndirectProbes:    1,
+		Confirmations:     1,
+		PauseGrace:        10,
+		SuspicionTimeout:  4,
+		GossipInterval:    2,
+		GossipFanout:      1,
+		ExchangeInterval:  1e9,
+		ReconnectInterval: 6,
+		Retention:         1e6,
+		SendingTimeout:    30,
+		TickInterval:      1,
+		MaxRecordBytes:    1000,
+		ExpectedPoolers:   3,
+		SeedAddresses:     []string{"0"},
+		RandomSeed:        uint64(i),
+	}
 }
 
 func (s *ViewSystem) id(i, life int) view.ID { return view.NewID(float64(1000+life), uint64(i+1)) }
@@ -205,7 +223,11 @@
 			move(fmt.Sprint("restart ", i), func(c *ViewSystem) error {
 				c.Restart--
 				life := x.incarnation + 1
-				c.nodes[i] = &viewNode{incarnation: life, view: view.New(smallSettings(i), view.Record{ID: c.id(i, life), Name: fmt.Sprint("p", i), Addr: fmt.Sprint(i)}, c.now)}
+				c.nodes[i] = &viewNode{incarnation: life, view: view.New(smallSettings(i), view.Record{
+					ID:   c.id(i, life),
+					Name: fmt.Sprint("p", i),
+					Addr: fmt.Sprint(i),
+				}, c.now)}
 				return nil
 			})
 		}
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -376,8 +376,18 @@
 // crash has a voter end and start again; so many entries of its log it applies at once, the others as they come to it.
 func (s *ZoneVoters) crash(i, entries int) {
 	x := s.processes[i]
-	s.processes[i] = &zoneProcess{incarnation: x.incarnation + 1, key: xxhash.Sum64String(fmt.Sprint(x.key, entries, s.now)), applied: entries, disk: entries, file: x.file, floor: x.file, leader: -1,
-		startedAt: s.now, clock: s.now, since: x.since}
+	s.processes[i] = &zoneProcess{
+		incarnation: x.incarnation + 1,
+		key:         xxhash.Sum64String(fmt.Sprint(x.key, entries, s.now)),
+		applied:     entries,
+		disk:        entries,
+		file:        x.file,
+		floor:       x.file,
+		leader:      -1,
+		startedAt:   s.now,
+		clock:       s.now,
+		since:       x.since,
+	}
 }
 
 // commitProposal has what was proposed be in the log.
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -168,7 +168,12 @@
 		for tries := 0; len(c.Kinds) > 0 && !slices.Contains(c.Kinds, d.what) && tries < 1000; tries++ {
 			d = drawable[rng.IntN(len(drawable))]
 		}
-		f := Fault{Kind: d.what, At: min(end-1, float64(int(between([2]float64{c.From, c.To})))), Duration: float64(int(between(d.spans))), Value: between(d.value)}
+		f := Fault{
+			Kind:     d.what,
+			At:       min(end-1, float64(int(between([2]float64{c.From, c.To})))),
+			Duration: float64(int(between(d.spans))),
+			Value:    between(d.value),
+		}
 		if d.what == "list-late" || d.what == "slow" { // a time, as it can be written down
 			f.Value = math.Round(f.Value*1e6) / 1e6
 		}
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -104,7 +104,15 @@
 			for i := range s.Faults {
 				delay = max(delay, s.Way[1]+s.Faults[i].Link.DelayMs)
 			}
-			out = append(out, checker.Limit{Name: l.Name, Tenant: l.Subject, PerSecond: l.Amount, Burst: l.Burst, FaultTolerant: l.Guarantee != quota.NeverOver, OvershootMs: q.OvershootBound(delay), CalmMs: calmMs})
+			out = append(out, checker.Limit{
+				Name:          l.Name,
+				Tenant:        l.Subject,
+				PerSecond:     l.Amount,
+				Burst:         l.Burst,
+				FaultTolerant: l.Guarantee != quota.NeverOver,
+				OvershootMs:   q.OvershootBound(delay),
+				CalmMs:        calmMs,
+			})
 		}
 	}
 	return out
--- a/internal/testkit/scenario/peers.go
+++ b/internal/testkit/scenario/peers.go
@@ -22,9 +22,15 @@
 		return func(n *sexp.Node) (err error) { *to, err = n.Millis(0, maxSeconds*1000); return err }
 	}
 	return sexp.Schema{
-		"probe": span(&p.View.ProbeInterval), "timeout": span(&p.View.ProbeTimeout), "suspicion": span(&p.View.SuspicionTimeout), "gossip": span(&p.View.GossipInterval),
-		"exchange": span(&p.View.ExchangeInterval), "reconnect": span(&p.View.ReconnectInterval), "hold": span(&p.View.SendingTimeout), "forget": span(&p.View.Retention),
-		"seeds": func(n *sexp.Node) (err error) { p.Seeds, err = n.Int(0, maxPoolers); return err },
+		"probe":     span(&p.View.ProbeInterval),
+		"timeout":   span(&p.View.ProbeTimeout),
+		"suspicion": span(&p.View.SuspicionTimeout),
+		"gossip":    span(&p.View.GossipInterval),
+		"exchange":  span(&p.View.ExchangeInterval),
+		"reconnect": span(&p.View.ReconnectInterval),
+		"hold":      span(&p.View.SendingTimeout),
+		"forget":    span(&p.View.Retention),
+		"seeds":     func(n *sexp.Node) (err error) { p.Seeds, err = n.Int(0, maxPoolers); return err },
 	}.Read(n.Args())
 }
 
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -142,7 +142,16 @@
 	if len(args) == 0 || args[0].Kind != sexp.String || args[0].Text == "" {
 		return nil, n.Errorf("a rehearsal's name in double quotes is due first")
 	}
-	s := &Script{Name: args[0].Text, Poolers: 1, IdleMs: defaultIdle, ProbePrice: defaultProbePrice, Way: defaultWay, Handshake: defaultHandshake, Fleet: model.Defaults(3), Clients: clients.Defaults()}
+	s := &Script{
+		Name:       args[0].Text,
+		Poolers:    1,
+		IdleMs:     defaultIdle,
+		ProbePrice: defaultProbePrice,
+		Way:        defaultWay,
+		Handshake:  defaultHandshake,
+		Fleet:      model.Defaults(3),
+		Clients:    clients.Defaults(),
+	}
 	s.Clients.Rate, s.Clients.Seconds, s.source = 100, 20, n
 	if err := s.schema().Read(args[1:], "at", "class", "tenant"); err != nil {
 		return nil, err
--- a/internal/testkit/scenario/settings.go
+++ b/internal/testkit/scenario/settings.go
@@ -35,8 +35,16 @@
 		if c.KeyMs > 0 {
 			effect = "dedup"
 		}
-		classes = append(classes, map[string]any{"name": c.Name, "effect": effect, "group": "cell", "key_ttl_ns": ns(c.KeyMs), "slo_ns": ns(c.Aim), "deadline_ns": ns(c.Deadline),
-			"points": c.Worth, "late_worth": c.LateWorth})
+		classes = append(classes, map[string]any{
+			"name":        c.Name,
+			"effect":      effect,
+			"group":       "cell",
+			"key_ttl_ns":  ns(c.KeyMs),
+			"slo_ns":      ns(c.Aim),
+			"deadline_ns": ns(c.Deadline),
+			"points":      c.Worth,
+			"late_worth":  c.LateWorth,
+		})
 		read := c.Read
 		if s.Clients.ClickHouse && read == clients.Write { // any member takes it, once
 			read = clients.ReadAny
@@ -59,18 +67,38 @@
 		known.Instances = []discovery.Instance{}
 	}
 	return map[string]any{
-		"name": name, "listen": listen, "discovery": disco, "seed": strconv.FormatUint(seed, 16),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": s.sockets(sockets)}, "known": known,
+		"name":      name,
+		"listen":    listen,
+		"discovery": disco,
+		"seed":      strconv.FormatUint(seed, 16),
+		"limits":    map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": s.sockets(sockets)},
+		"known":     known,
 		"settings": map[string]any{
-			"siblings": s.Poolers, "tick_ns": 2000000, "my_zone": no % len(zones), "zones": zones, "tenants": tenants, "over_share_worth": s.Clients.Over, "kinds": []string{"padrao-4"},
-			"weights": "nominal", "membership_mode": mode,
-			"allowed": map[string]any{"connect_timeout_ns": ns(ConnectMs), "idle_close_ns": ns(s.IdleMs), "max_attempts": MaxAttempts, "max_retry_after_ns": 2000000000,
-				"may_cancel": true, "may_duplicate": true, "probes": true, "retry_after": true},
+			"siblings":         s.Poolers,
+			"tick_ns":          2000000,
+			"my_zone":          no % len(zones),
+			"zones":            zones,
+			"tenants":          tenants,
+			"over_share_worth": s.Clients.Over,
+			"kinds":            []string{"padrao-4"},
+			"weights":          "nominal",
+			"membership_mode":  mode,
+			"allowed": map[string]any{
+				"connect_timeout_ns": ns(ConnectMs),
+				"idle_close_ns":      ns(s.IdleMs),
+				"max_attempts":       MaxAttempts,
+				"max_retry_after_ns": 2000000000,
+				"may_cancel":         true,
+				"may_duplicate":      true,
+				"probes":             true,
+				"retry_after":        true,
+			},
 			"family_info": map[string]any{"class_read": reads, "staleness_bound_ns": bounds, "shows_role": "trailing", "tells_position": true,
 				"tokens": "brought", "when_behind": "none"},
 			"invariants": map[string]any{"cold_from": s.Fleet.ColdShare, "cold_ns": ns(s.Fleet.ColdMs), "drain_grace_ns": ns(s.Fleet.GraceMs),
 				"fall_multiple": s.Fleet.OverloadFactor, "tip_after_ns": ns(s.Fleet.OverloadWindowMs)},
-			"prices": map[string]any{"probe": s.ProbePrice, "cross_zone": s.CrossPrice}, "telemetry": map[string]any{"source": "probe", "fields": []string{"x0", "x1"}},
+			"prices":          map[string]any{"probe": s.ProbePrice, "cross_zone": s.CrossPrice},
+			"telemetry":       map[string]any{"source": "probe", "fields": []string{"x0", "x1"}},
 			"request_classes": classes,
 		},
 	}
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -237,8 +237,16 @@
 
 // preservedForms are the forms that are written as they were read.
 func (s *Script) preservedForms() (out []*sexp.Node) {
-	on := map[string]bool{"peers": s.Peers != nil, "fleet-limits": s.Limits != nil, "overload": s.Overload != nil, "verdicts": s.Verdicts != nil, "agreed": s.Agreed != nil, "credit": s.Credit != nil,
-		"pages": s.Pages != nil, "journal": s.Journal != nil}
+	on := map[string]bool{
+		"peers":        s.Peers != nil,
+		"fleet-limits": s.Limits != nil,
+		"overload":     s.Overload != nil,
+		"verdicts":     s.Verdicts != nil,
+		"agreed":       s.Agreed != nil,
+		"credit":       s.Credit != nil,
+		"pages":        s.Pages != nil,
+		"journal":      s.Journal != nil,
+	}
 	for _, n := range s.source.Args() {
 		if h := n.Head(); slices.Contains(preservedKeywords, h) && on[h] || h == "on-sockets" {
 			out = append(out, n)
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -240,8 +240,13 @@
 	}
 }
 
-var results = map[model.Verdict]decide.Result{model.Served: decide.OK, model.NotPrimary: decide.Misdirected, model.Draining: decide.Overloaded,
-	model.QueueFull: decide.Overloaded, model.HandedOver: decide.Failed}
+var results = map[model.Verdict]decide.Result{
+	model.Served:     decide.OK,
+	model.NotPrimary: decide.Misdirected,
+	model.Draining:   decide.Overloaded,
+	model.QueueFull:  decide.Overloaded,
+	model.HandedOver: decide.Failed,
+}
 
 func (a *attempt) atPooler(what uint64) {
 	if a.ended || a.pooler.incarnation != a.incarnation {
@@ -253,7 +258,11 @@
 		if a.poolIncarnation != st.incarnation {
 			return // the connection broke before the answer was whole
 		}
-		o := backend.Outcome{Result: results[a.reply.Verdict], Report: backend.Report{Role: decide.RoleReplica, Position: a.reply.Position, HasPos: a.reply.Position > 0}}
+		o := backend.Outcome{Result: results[a.reply.Verdict], Report: backend.Report{
+			Role:     decide.RoleReplica,
+			Position: a.reply.Position,
+			HasPos:   a.reply.Position > 0,
+		}}
 		if a.reply.Primary {
 			o.Role = decide.RolePrimary
 		}
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -11,7 +11,15 @@
 
 // BlackoutConfig are what the rules of who is asked go by.
 func BlackoutConfig(s *scenario.Script) checker.BlackoutConfig {
-	c := checker.BlackoutConfig{Poolers: s.Poolers, WindowMs: 10000, HealthyMs: 10000, OwnEvidenceMs: 120000, MaxAvoidingShare: 0.8, MinReads: 12, MinRequests: 20}
+	c := checker.BlackoutConfig{
+		Poolers:          s.Poolers,
+		WindowMs:         10000,
+		HealthyMs:        10000,
+		OwnEvidenceMs:    120000,
+		MaxAvoidingShare: 0.8,
+		MinReads:         12,
+		MinRequests:      20,
+	}
 	if v := s.Verdicts; v != nil {
 		c.RestartGraceMs = restartGraceMs
 		c.HealthyMs, c.MaxAvoidingShare = v.Settings.EjectionTime+2000, max(c.MaxAvoidingShare, v.Settings.MaxEjectedShare)
--- a/internal/testkit/simulation/clientattempt.go
+++ b/internal/testkit/simulation/clientattempt.go
@@ -40,7 +40,14 @@
 // Fire makes the next try.
 func (a *clientRequest) Fire(uint64) {
 	sim := a.sim
-	v := &clientAttempt{sim: sim, request: a, class: &sim.script.Clients.Classes[a.Class], number: a.no, id: uint64(a.No)<<8 | uint64(a.no), sentAt: sim.sched.now}
+	v := &clientAttempt{
+		sim:     sim,
+		request: a,
+		class:   &sim.script.Clients.Classes[a.Class],
+		number:  a.no,
+		id:      uint64(a.No)<<8 | uint64(a.no),
+		sentAt:  sim.sched.now,
+	}
 	v.name = strconv.FormatUint(v.id, 16)
 	sim.clientAttempts++
 	if a.first == 0 {
@@ -205,8 +212,18 @@
 // submit puts the request to the pooler's core.
 func (v *clientAttempt) submit(due float64) {
 	a := v.request
-	q := platform.Request{ID: v.name, Class: v.class.Name, Group: a.Group, Session: a.Key, Deadline: due, MinPosition: v.minPosition, IsRetry: v.number > 0,
-		Writes: v.class.Read == clients.Write && !v.sim.script.Clients.ClickHouse, Query: v, Tenant: v.sim.script.Clients.TenantOf(&a.Ask)}
+	q := platform.Request{
+		ID:          v.name,
+		Class:       v.class.Name,
+		Group:       a.Group,
+		Session:     a.Key,
+		Deadline:    due,
+		MinPosition: v.minPosition,
+		IsRetry:     v.number > 0,
+		Writes:      v.class.Read == clients.Write && !v.sim.script.Clients.ClickHouse,
+		Query:       v,
+		Tenant:      v.sim.script.Clients.TenantOf(&a.Ask),
+	}
 	if v.class.KeyMs > 0 {
 		q.IdempotencyKey = a.IdempotencyKey()
 	}
@@ -251,8 +268,22 @@
 	if v.pooler != nil {
 		delete(v.pooler.clientAttempts, v)
 	}
-	t := &clients.Try{Ask: &a.Ask, Class: v.class, No: v.number, ID: v.name, Pooler: -1, First: a.first, Sent: v.sentAt, Ended: sim.sched.now, Kind: kind, Late: v.late,
-		Extra: v.extra, Value: v.answer, Wrote: v.version, After: v.minPosition}
+	t := &clients.Try{
+		Ask:    &a.Ask,
+		Class:  v.class,
+		No:     v.number,
+		ID:     v.name,
+		Pooler: -1,
+		First:  a.first,
+		Sent:   v.sentAt,
+		Ended:  sim.sched.now,
+		Kind:   kind,
+		Late:   v.late,
+		Extra:  v.extra,
+		Value:  v.answer,
+		Wrote:  v.version,
+		After:  v.minPosition,
+	}
 	if v.pooler != nil {
 		t.Pooler = v.pooler.no
 	}
--- a/internal/testkit/simulation/consul.go
+++ b/internal/testkit/simulation/consul.go
@@ -177,7 +177,15 @@
 		for i := range list {
 			x := &list[i]
 			m.alias[x.ID] = x.Server
-			c := reconcile.Observation{ID: x.ID, Address: x.Address, Group: x.Server.Group.ID, Zone: "room", Kind: "padrao-4", Weight: 1, StartedAtMs: x.Started}
+			c := reconcile.Observation{
+				ID:          x.ID,
+				Address:     x.Address,
+				Group:       x.Server.Group.ID,
+				Zone:        "room",
+				Kind:        "padrao-4",
+				Weight:      1,
+				StartedAtMs: x.Started,
+			}
 			if x.Critical {
 				c.Health = reconcile.Critical
 			}
--- a/internal/testkit/simulation/credit_cost_test.go
+++ b/internal/testkit/simulation/credit_cost_test.go
@@ -29,7 +29,11 @@
 				}
 			}}
 			if on == 1 {
-				x := &Prepaid{Log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Settings: set.Credit, MarkWriteMs: [2]float64{0.1, 2}}
+				x := &Prepaid{
+					Log:         &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}},
+					Settings:    set.Credit,
+					MarkWriteMs: [2]float64{0.1, 2},
+				}
 				opt.Modules = []ModuleMaker{x.Join}
 			}
 			play(t, s, opt)
--- a/internal/testkit/simulation/credit_test.go
+++ b/internal/testkit/simulation/credit_test.go
@@ -24,7 +24,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &Prepaid{Log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Settings: set.Credit, MarkWriteMs: [2]float64{0.1, 2}}
+	x := &Prepaid{
+		Log:         &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}},
+		Settings:    set.Credit,
+		MarkWriteMs: [2]float64{0.1, 2},
+	}
 	c.Paid(0, "a", funds)
 	c.Paid(0, "b", 100000000)
 	r := play(t, s, Options{Seed: seed, Modules: []ModuleMaker{x.Join}, OnAttemptEnded: func(y *clients.Try) {
--- a/internal/testkit/simulation/journal_test.go
+++ b/internal/testkit/simulation/journal_test.go
@@ -34,19 +34,23 @@
 	}
 	x := &journalPlay{times: hdrhistogram.New(1, 60_000_000, 3)}
 	ran, heard := map[string]int{}, map[string]bool{}
-	x.Result, err = Run(context.Background(), s, Options{Seed: seed, onWrite: func(id string) { ran[id]++ }, OnAttemptEnded: func(y *clients.Try) {
-		heard[y.ID] = y.Kind == clients.Served
-		if y.Class.Name != "registrar-ponto" {
-			return
-		}
-		if y.No == 0 {
-			x.asked++
-		}
-		if y.Kind == clients.Served {
-			x.served++
-			_ = x.times.RecordValue(int64((y.Ended - y.First) * 1000))
-		}
-	}})
+	x.Result, err = Run(context.Background(), s, Options{
+		Seed:    seed,
+		onWrite: func(id string) { ran[id]++ },
+		OnAttemptEnded: func(y *clients.Try) {
+			heard[y.ID] = y.Kind == clients.Served
+			if y.Class.Name != "registrar-ponto" {
+				return
+			}
+			if y.No == 0 {
+				x.asked++
+			}
+			if y.Kind == clients.Served {
+				x.served++
+				_ = x.times.RecordValue(int64((y.Ended - y.First) * 1000))
+			}
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -182,5 +182,9 @@
 
 func (f *peerFleet) limitsResult() *Limits {
 	seconds := (f.sim.sched.now - f.ratesFrom) / 1000 * float64(len(f.sim.poolers))
-	return &Limits{Messages: float64(f.limitMessages) / seconds, Bytes: float64(f.limitBytes) / seconds, Uses: f.sim.check.LimitUsages(f.sim.script.WarmMs())}
+	return &Limits{
+		Messages: float64(f.limitMessages) / seconds,
+		Bytes:    float64(f.limitBytes) / seconds,
+		Uses:     f.sim.check.LimitUsages(f.sim.script.WarmMs()),
+	}
 }
--- a/internal/testkit/simulation/linkfaults.go
+++ b/internal/testkit/simulation/linkfaults.go
@@ -17,7 +17,13 @@
 }
 
 func newLinkFaults(poolers, servers int) *linkFaults {
-	return &linkFaults{servers: servers, cut: make([]int, poolers*servers), lossy: make([][]float64, poolers*servers), listsHeld: make([]int, poolers), pendingLists: make([][]func(), poolers)}
+	return &linkFaults{
+		servers:      servers,
+		cut:          make([]int, poolers*servers),
+		lossy:        make([][]float64, poolers*servers),
+		listsHeld:    make([]int, poolers),
+		pendingLists: make([][]func(), poolers),
+	}
 }
 
 // inject has a fault of ways strike, or end.
--- a/internal/testkit/simulation/month_test.go
+++ b/internal/testkit/simulation/month_test.go
@@ -113,7 +113,12 @@
 	for seed := range uint64(3) {
 		s := short(t, "")
 		s.Clients.Seconds, s.Poolers, s.Clients.Rate = 7.5, 9, 60
-		s.Chaos = scenario.Chaos{Faults: 9, From: 1000, To: 6500, Kinds: []string{"die", "lag", "lossy", "parted", "unheard", "slow", "kill-pooler", "stall-pooler", "list-late", "cut", "thin"}}
+		s.Chaos = scenario.Chaos{
+			Faults: 9,
+			From:   1000,
+			To:     6500,
+			Kinds:  []string{"die", "lag", "lossy", "parted", "unheard", "slow", "kill-pooler", "stall-pooler", "list-late", "cut", "thin"},
+		}
 		s, err := s.Draw(seed)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -104,14 +104,27 @@
 				}
 			}
 		}},
-		{Name: "a server that takes writes after it was replaced", Breaks: checker.PrimaryRan, World: func(w *model.World) { w.SplitBrain = true }},
-		{Name: "trusts the catalogue's word on roles", Breaks: checker.NotDenied, Reconcile: func(s *reconcile.Settings) { s.TrustSourceRoles = true }, TrustsListRoles: true},
-		{Name: "serves what no server made", Breaks: checker.NoInvented, Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
-			if kind == clients.Served && v.id%64 == 0 {
-				v.answer = []byte("cached")
-			}
-			return true
-		}},
+		{
+			Name:   "a server that takes writes after it was replaced",
+			Breaks: checker.PrimaryRan,
+			World:  func(w *model.World) { w.SplitBrain = true },
+		},
+		{
+			Name:            "trusts the catalogue's word on roles",
+			Breaks:          checker.NotDenied,
+			Reconcile:       func(s *reconcile.Settings) { s.TrustSourceRoles = true },
+			TrustsListRoles: true,
+		},
+		{
+			Name:   "serves what no server made",
+			Breaks: checker.NoInvented,
+			Answer: func(sim *Simulation, v *clientAttempt, kind clients.Kind) bool {
+				if kind == clients.Served && v.id%64 == 0 {
+					v.answer = []byte("cached")
+				}
+				return true
+			},
+		},
 	}
 }
 
@@ -142,7 +155,11 @@
 			return true
 		}},
 		{Name: "forgets its incarnation on a restart", Breaks: checker.ViewAccurate, SameID: true},
-		{Name: "does not look for those it lost", Breaks: checker.ViewSettled, View: func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] }},
+		{
+			Name:   "does not look for those it lost",
+			Breaks: checker.ViewSettled,
+			View:   func(s *view.Settings) { s.ReconnectInterval, s.SeedAddresses = 1e9, s.SeedAddresses[:0] },
+		},
 		{Name: "accuses while it stands still", Breaks: checker.ViewRash, View: func(s *view.Settings) { s.Confirmations, s.PauseGrace = 0, 0 }, Peer: func(x *peer, ev view.Event) bool {
 			for now := x.p.sim.sched.now; x.view.NextTick() < now; { // it makes up for the time as if it had run
 				x.out = x.view.Handle(x.view.NextTick(), view.Tick{}, x.out[:0])
--- a/internal/testkit/simulation/mutants_outlier.go
+++ b/internal/testkit/simulation/mutants_outlier.go
@@ -8,10 +8,26 @@
 // OutlierMutants are poolers that share what they know of servers in a way that is broken on purpose.
 func OutlierMutants() []Mutant {
 	return []Mutant{
-		{Name: "positions are not aged", Breaks: checker.NotStale, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.PositionsNotAged }},
-		{Name: "one word is enough", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver }},
-		{Name: "age is taken from when it was heard", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.AgeFromReceipt }},
-		{Name: "own evidence is overruled by others' older", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.IgnoresOwnEvidence }},
+		{
+			Name:    "positions are not aged",
+			Breaks:  checker.NotStale,
+			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.PositionsNotAged },
+		},
+		{
+			Name:    "one word is enough",
+			Breaks:  checker.NoBlackout,
+			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.SingleObserver },
+		},
+		{
+			Name:    "age is taken from when it was heard",
+			Breaks:  checker.NoBlackout,
+			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.AgeFromReceipt },
+		},
+		{
+			Name:    "own evidence is overruled by others' older",
+			Breaks:  checker.NoBlackout,
+			Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.IgnoresOwnEvidence },
+		},
 		{Name: "evidence of the old process is kept", Breaks: checker.NoBlackout, Outlier: func(_ int, s *outlier.Settings) { s.Fault = outlier.KeepsOldEvidence }},
 	}
 }
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -54,7 +54,15 @@
 		return
 	}
 	n := len(g.rows)
-	s.set = execution.Settings{Shards: n, WindowBytes: max(4<<10, pageMemory/n), MaxRowBytes: pageMostRow, UnresponsiveMs: pageSilent, MaxRetries: pageAgain, PositionWaitMs: pageSettle, AnswerReserveMs: min(500, g.set.Wait/10)}
+	s.set = execution.Settings{
+		Shards:          n,
+		WindowBytes:     max(4<<10, pageMemory/n),
+		MaxRowBytes:     pageMostRow,
+		UnresponsiveMs:  pageSilent,
+		MaxRetries:      pageAgain,
+		PositionWaitMs:  pageSettle,
+		AnswerReserveMs: min(500, g.set.Wait/10),
+	}
 	var places []cursor.Place
 	var needs []int64
 	if s.reader.cursor != "" {
@@ -211,14 +219,32 @@
 	x := &shardRead{page: s, action: a, open: true}
 	id := pageSealed | g.seq<<8
 	session := "report-" + strconv.Itoa(s.reader.no)
-	x.client = &clientAttempt{sim: sim, request: &clientRequest{sim: sim, Ask: clients.Ask{Class: g.no, Group: a.Shard, Key: session}}, class: g.class, pooler: s.pooler, incarnation: s.life, id: id, name: strconv.FormatUint(id, 16), shard: x}
+	x.client = &clientAttempt{
+		sim:         sim,
+		request:     &clientRequest{sim: sim, Ask: clients.Ask{Class: g.no, Group: a.Shard, Key: session}},
+		class:       g.class,
+		pooler:      s.pooler,
+		incarnation: s.life,
+		id:          id,
+		name:        strconv.FormatUint(id, 16),
+		shard:       x,
+	}
 	s.parts[a.Shard] = x
 	sim.check.Received(sim.sched.now, id, g.no, s.pooler.no, s.due, float64(a.MinPosition))
 	if sim.script.Limits != nil {
 		sim.check.Tenant(sim.sched.now, id, g.set.Tenant)
 	}
-	ref, err := s.pooler.core.Submit(platform.Request{ID: x.client.name, Class: g.class.Name, Tenant: g.set.Tenant, PlatformProtocol: g.set.Tenant != "", Group: a.Shard, Session: session,
-		MinPosition: float64(a.MinPosition), Deadline: s.due, Query: x.client}, x)
+	ref, err := s.pooler.core.Submit(platform.Request{
+		ID:               x.client.name,
+		Class:            g.class.Name,
+		Tenant:           g.set.Tenant,
+		PlatformProtocol: g.set.Tenant != "",
+		Group:            a.Shard,
+		Session:          session,
+		MinPosition:      float64(a.MinPosition),
+		Deadline:         s.due,
+		Query:            x.client,
+	}, x)
 	switch {
 	case err != nil:
 		x.open = false
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -51,11 +51,23 @@
 
 func (sim *Simulation) newPaging() *pagedReports {
 	s := sim.script.Pages
-	g := &pagedReports{sim: sim, set: s, rng: rand.New(rand.NewPCG(sim.options.Seed, 41)), check: checker.NewPageChecker(s.Desc), ring: cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
-		rows: make([][]*tableRow, len(sim.world.Groups)), open: map[*pooler][]*pageRequest{}}
+	g := &pagedReports{
+		sim:   sim,
+		set:   s,
+		rng:   rand.New(rand.NewPCG(sim.options.Seed, 41)),
+		check: checker.NewPageChecker(s.Desc),
+		ring:  cursor.NewRing(3600e3, 24*3600e3, []byte("the fleet's secret, whatever it is")),
+		rows:  make([][]*tableRow, len(sim.world.Groups)),
+		open:  map[*pooler][]*pageRequest{},
+	}
 	g.no = slices.IndexFunc(sim.script.Clients.Classes, func(c clients.Class) bool { return c.Name == s.Class })
 	g.class = &sim.script.Clients.Classes[g.no]
-	g.order = merge.Order{Columns: []merge.Column{{Name: "place", Type: merge.Int, Desc: s.Desc, NullsFirst: s.Desc}, {Name: "id", Type: merge.Int}}, Own: 1}
+	g.order = merge.Order{Columns: []merge.Column{{
+		Name:       "place",
+		Type:       merge.Int,
+		Desc:       s.Desc,
+		NullsFirst: s.Desc,
+	}, {Name: "id", Type: merge.Int}}, Own: 1}
 	g.word, _, _ = plan.Parse(pageSQL) // it is whole
 	for i := range g.rows {
 		for range s.Rows {
@@ -133,7 +145,15 @@
 		return
 	}
 	g.seq++
-	s := &pageRequest{reports: g, reader: r, pooler: p, life: p.incarnation, id: g.seq, sent: sim.sched.now, due: sim.sched.now + g.set.Wait}
+	s := &pageRequest{
+		reports: g,
+		reader:  r,
+		pooler:  p,
+		life:    p.incarnation,
+		id:      g.seq,
+		sent:    sim.sched.now,
+		due:     sim.sched.now + g.set.Wait,
+	}
 	r.page = s
 	sim.sched.after(sim.linkDelay(), func() {
 		if p.incarnation != s.life || !p.up {
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -63,8 +63,14 @@
 		}
 	}
 	n := s.Poolers
-	return checker.ViewConfig{DetectMs: func(f int) float64 { return v.DetectionBound(n, f, delay) }, SettleMs: v.ConvergenceBound(n, f, delay, lossy), JoinMs: v.JoinBound(n, delay), SpreadMs: v.PropagationBound(n, delay), CountHoldMs: v.SendingTimeout,
-		SelfDetectMs: v.IsolationBound(delay)}
+	return checker.ViewConfig{
+		DetectMs:     func(f int) float64 { return v.DetectionBound(n, f, delay) },
+		SettleMs:     v.ConvergenceBound(n, f, delay, lossy),
+		JoinMs:       v.JoinBound(n, delay),
+		SpreadMs:     v.PropagationBound(n, delay),
+		CountHoldMs:  v.SendingTimeout,
+		SelfDetectMs: v.IsolationBound(delay),
+	}
 }
 
 func (sim *Simulation) newFleet() *peerFleet {
@@ -92,9 +98,18 @@
 
 func (f *peerFleet) result() *Views {
 	seconds := (f.sim.sched.now - f.ratesFrom) / 1000 * float64(len(f.sim.poolers))
-	return &Views{Packets: float64(f.packets) / seconds, Bytes: float64(f.bytes) / seconds, Streamed: float64(f.streamed) / seconds, Exchanges: f.exchanges, Detected: f.check.DetectionTimes, Settled: f.check.SettleTimes,
-		FalseAccusations: f.check.FalseAccusations, FalseFailures: f.check.FalseFailures,
-		ModuleMessages: float64(f.moduleMessages) / seconds, ModuleBytes: float64(f.moduleBytes) / seconds}
+	return &Views{
+		Packets:          float64(f.packets) / seconds,
+		Bytes:            float64(f.bytes) / seconds,
+		Streamed:         float64(f.streamed) / seconds,
+		Exchanges:        f.exchanges,
+		Detected:         f.check.DetectionTimes,
+		Settled:          f.check.SettleTimes,
+		FalseAccusations: f.check.FalseAccusations,
+		FalseFailures:    f.check.FalseFailures,
+		ModuleMessages:   float64(f.moduleMessages) / seconds,
+		ModuleBytes:      float64(f.moduleBytes) / seconds,
+	}
 }
 
 // peer is a pooler's side of it.
--- a/internal/testkit/simulation/prepaid_funds.go
+++ b/internal/testkit/simulation/prepaid_funds.go
@@ -37,8 +37,14 @@
 func (sim *Simulation) newFunds() *prepaidFunds {
 	s := sim.script
 	log := &SharedLog{Settings: s.Agreed.Settings, Voters: s.Agreed.Voters, Seed: sim.options.Seed, DiskMs: s.Agreed.Disk}
-	f := &prepaidFunds{sim: sim, Prepaid: &Prepaid{Log: log, Settings: s.Credit.Credit, MarkWriteMs: [2]float64{0.1, maxMarkWriteMs}}, check: &checker.CreditChecker{Prices: map[string]int64{}}, paid: map[string]int64{},
-		paymentsRead: map[int][]lessor.Payment{}, seen: map[lessor.Payment]bool{}}
+	f := &prepaidFunds{
+		sim:          sim,
+		Prepaid:      &Prepaid{Log: log, Settings: s.Credit.Credit, MarkWriteMs: [2]float64{0.1, maxMarkWriteMs}},
+		check:        &checker.CreditChecker{Prices: map[string]int64{}},
+		paid:         map[string]int64{},
+		paymentsRead: map[int][]lessor.Payment{},
+		seen:         map[lessor.Payment]bool{},
+	}
 	f.Settings.Dir = "marks" // they are kept
 	for _, p := range s.Credit.Prices {
 		f.check.Prices[p.Class] = p.PerRequest
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -127,10 +127,27 @@
 
 // Rules are what a scenario's rules go by.
 func Rules(s *scenario.Script) checker.Config {
-	c := checker.Config{GraceMs: s.Fleet.GraceMs, SlackMs: 50, MaxAttempts: scenario.MaxAttempts, ColdMs: s.Fleet.ColdMs, ColdShare: s.Fleet.ColdShare,
-		Cores: s.Fleet.Cores, OverloadFactor: s.Fleet.OverloadFactor, OverloadWindowMs: s.Fleet.OverloadWindowMs, Limits: s.CheckedLimits(), CountMs: 5, Overload: s.CheckedOverload()}
+	c := checker.Config{
+		GraceMs:          s.Fleet.GraceMs,
+		SlackMs:          50,
+		MaxAttempts:      scenario.MaxAttempts,
+		ColdMs:           s.Fleet.ColdMs,
+		ColdShare:        s.Fleet.ColdShare,
+		Cores:            s.Fleet.Cores,
+		OverloadFactor:   s.Fleet.OverloadFactor,
+		OverloadWindowMs: s.Fleet.OverloadWindowMs,
+		Limits:           s.CheckedLimits(),
+		CountMs:          5,
+		Overload:         s.CheckedOverload(),
+	}
 	for _, x := range s.Clients.Classes {
-		k := checker.Class{Name: x.Name, Writes: x.Read == clients.Write, NoRepeat: x.Read == clients.Write && x.KeyMs == 0, KeyMs: x.KeyMs, Session: x.Read == clients.ReadSession}
+		k := checker.Class{
+			Name:     x.Name,
+			Writes:   x.Read == clients.Write,
+			NoRepeat: x.Read == clients.Write && x.KeyMs == 0,
+			KeyMs:    x.KeyMs,
+			Session:  x.Read == clients.ReadSession,
+		}
 		if x.Read == clients.ReadBounded {
 			k.MaxStalenessMs = x.Bound
 		}
@@ -148,8 +165,17 @@
 	if err := s.InVirtualTime(); err != nil {
 		return nil, err
 	}
-	sim := &Simulation{script: s, options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 3)), sessions: clients.Sessions{}, lostWeight: map[string]float64{}, repeats: newRepeatCounts(), times: newLatencies(),
-		checks: invariant.New(opt.OnBreach), startedAt: time.Now()}
+	sim := &Simulation{
+		script:     s,
+		options:    opt,
+		rng:        rand.New(rand.NewPCG(opt.Seed, 3)),
+		sessions:   clients.Sessions{},
+		lostWeight: map[string]float64{},
+		repeats:    newRepeatCounts(),
+		times:      newLatencies(),
+		checks:     invariant.New(opt.OnBreach),
+		startedAt:  time.Now(),
+	}
 	sim.sched.now = startMs
 	cfg := s.Fleet
 	cfg.Seed = opt.Seed
@@ -221,10 +247,37 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	s := sim.script
-	r := &Result{Scenario: s.Name, Seed: sim.options.Seed, Poolers: s.Poolers, Servers: len(sim.world.Servers), Groups: len(sim.world.Groups), Hash: fmt.Sprintf("%016x", sim.sched.hash),
-		Score: sim.scores.Score(), Verdict: sim.check.Verdict(), Facts: sim.world.Facts(), Events: sim.sched.events, Received: sim.requests, ClientAttempts: sim.clientAttempts, Attempts: sim.attempts, CrossSite: sim.crossSiteAttempts, Reads: sim.anyMemberReads, RemoteReads: sim.remoteReads, HealthChecks: sim.healthChecks,
-		Lists: sim.lists, Conns: sim.mostConnections, Repeats: sim.repeats.result(), CoreTime: sim.coreTime.result(), Ends: map[string]uint64{}, LostWeight: sim.lostWeight, VirtualMs: sim.sched.now - startMs, WallMs: float64(time.Since(sim.startedAt).Microseconds()) / 1000,
-		ModuleMs: float64(sim.moduleNs) / 1e6, HeapMB: float64(m.HeapAlloc) / (1 << 20), P50: sim.times.quantile(50), P99: sim.times.quantile(99)}
+	r := &Result{
+		Scenario:       s.Name,
+		Seed:           sim.options.Seed,
+		Poolers:        s.Poolers,
+		Servers:        len(sim.world.Servers),
+		Groups:         len(sim.world.Groups),
+		Hash:           fmt.Sprintf("%016x", sim.sched.hash),
+		Score:          sim.scores.Score(),
+		Verdict:        sim.check.Verdict(),
+		Facts:          sim.world.Facts(),
+		Events:         sim.sched.events,
+		Received:       sim.requests,
+		ClientAttempts: sim.clientAttempts,
+		Attempts:       sim.attempts,
+		CrossSite:      sim.crossSiteAttempts,
+		Reads:          sim.anyMemberReads,
+		RemoteReads:    sim.remoteReads,
+		HealthChecks:   sim.healthChecks,
+		Lists:          sim.lists,
+		Conns:          sim.mostConnections,
+		Repeats:        sim.repeats.result(),
+		CoreTime:       sim.coreTime.result(),
+		Ends:           map[string]uint64{},
+		LostWeight:     sim.lostWeight,
+		VirtualMs:      sim.sched.now - startMs,
+		WallMs:         float64(time.Since(sim.startedAt).Microseconds()) / 1000,
+		ModuleMs:       float64(sim.moduleNs) / 1e6,
+		HeapMB:         float64(m.HeapAlloc) / (1 << 20),
+		P50:            sim.times.quantile(50),
+		P99:            sim.times.quantile(99),
+	}
 	for i, n := range sim.results {
 		if n > 0 {
 			r.Ends[resultNames[i]] = n
--- a/internal/testkit/simulation/site_test.go
+++ b/internal/testkit/simulation/site_test.go
@@ -32,8 +32,16 @@
 	shares, work := 0.0, 0.0
 	s.Credit.Prices = nil
 	for i := range 3 + rng.IntN(4) {
-		x := clients.Class{Name: name(i), Read: reads[i%4], Share: between(0.1, 1), Aim: between(300, 700), Deadline: between(900, 3000), Worth: float64(1 + rng.IntN(9)), LateWorth: between(0, 0.5),
-			Work: [2]float64{between(5, 30), between(31, 90)}}
+		x := clients.Class{
+			Name:      name(i),
+			Read:      reads[i%4],
+			Share:     between(0.1, 1),
+			Aim:       between(300, 700),
+			Deadline:  between(900, 3000),
+			Worth:     float64(1 + rng.IntN(9)),
+			LateWorth: between(0, 0.5),
+			Work:      [2]float64{between(5, 30), between(31, 90)},
+		}
 		if x.Read == clients.ReadBounded {
 			x.Bound = between(200, 2000)
 		}
--- a/internal/testkit/simulation/zones_figures_test.go
+++ b/internal/testkit/simulation/zones_figures_test.go
@@ -48,13 +48,22 @@
 						var z *ZonePlanning
 						switch how {
 						case "on", "on-cheap":
-							z = &ZonePlanning{Log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Settings: zones.Defaults(), PersistMs: 1}
+							z = &ZonePlanning{
+								Log:       &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}},
+								Settings:  zones.Defaults(),
+								PersistMs: 1,
+							}
 							if how == "on-cheap" {
 								z.Settings.CrossingPrice = 0.01
 							}
 							opt.Modules = []ModuleMaker{z.Join}
 						case "oracle", "oracle-cheap":
-							o := &ZoneOracle{Plan: zones.Defaults().Planner.Plan, CrossingPrice: zones.Defaults().CrossingPrice, IntervalMs: 250, MaxLossRate: 0.05}
+							o := &ZoneOracle{
+								Plan:          zones.Defaults().Planner.Plan,
+								CrossingPrice: zones.Defaults().CrossingPrice,
+								IntervalMs:    250,
+								MaxLossRate:   0.05,
+							}
 							if how == "oracle-cheap" {
 								o.CrossingPrice = 0.01
 							}
--- a/internal/testkit/simulation/zones_test.go
+++ b/internal/testkit/simulation/zones_test.go
@@ -37,7 +37,11 @@
 func zoned(t *testing.T, seed uint64, on bool, script string, changes []float64, mutate func(*zones.Settings, *Options)) *zonedPlay {
 	t.Helper()
 	s := parse(t, fmt.Sprintf(`(rehearsal "zones" (peers) (near yes) (pushed yes) (cross-price 0.01) (cold 10s) (retries 1) %s)`, script))
-	z := &zonedPlay{ZonePlanning: &ZonePlanning{Log: &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}}, Settings: zones.Defaults(), PersistMs: 1}}
+	z := &zonedPlay{ZonePlanning: &ZonePlanning{
+		Log:       &SharedLog{Settings: raftlog.Defaults(), Voters: 3, Seed: seed, DiskMs: [2]float64{0.1, 2}},
+		Settings:  zones.Defaults(),
+		PersistMs: 1,
+	}}
 	z.rules = checker.NewZoneChecker(0.9, 15000, 0.02)
 	z.rules.FaultChanged(0)
 	for i := 0; i+1 < len(changes); i += 2 {
