--- a/internal/frontend/scatter/answers.go
+++ b/internal/frontend/scatter/answers.go
@@ -1,94 +1,129 @@
 package scatter
 
 import (
-	"beechgrade/internal/eventloop/clock"
 	"fmt"
 	"strconv"
 
 	"beechgrade/internal/decide"
+	"beechgrade/internal/eventloop/clock"
 	"beechgrade/internal/frontend/scatter/execution"
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// message takes a message of a connection that is up.
-func (l *link) message(m pgwire.Message) {
+// SQLSTATE codes by which a statement did not run, and another server may run it.
+const (
+	codeReadOnly         = "25006"
+	codeTooFarBehind     = "72000"
+	codeTooManyClients   = "53300"
+	codeCannotConnectNow = "57P03"
+)
+
+// handleMessage handles a message of a server whose startup is complete.
+func (l *link) handleMessage(m pgwire.Message) {
 	p := l.part
 	switch {
 	case m.Type == 'S':
-		l.parameter(m)
+		l.setParameter(m)
 	case m.Type == 'Z':
 		l.readyForQuery()
+	case l.pendingReady > 1 && m.Type == 'E':
+		l.broken = true
+		l.discarding = true
+		l.failPart("the session's settings can't be had there: "+pgwire.ErrorCode(m.Body), false)
 	case m.Type == 'N' || m.Type == 'A' || l.discarding || l.pendingReady > 1:
-		if m.Type == 'E' && l.pendingReady > 1 {
-			l.broken, l.discarding = true, true
-			l.partFailed("the session's settings can't be had there: "+pgwire.ErrorCode(m.Body), false)
-		}
-	case p == nil || !l.sent:
+	case p == nil || !l.sent: // no answer is due
 		l.close()
-	case m.Type == 'E':
+	default:
+		l.handleAnswer(p, m)
+	}
+}
+
+// handleAnswer handles a message of the answer to a part's statement.
+func (l *link) handleAnswer(p *part, m pgwire.Message) {
+	switch m.Type {
+	case 'E':
 		l.statementFailed(m)
-	case m.Type == 'T':
+	case 'T':
 		if err := p.scatter.describe(l, m); err != nil {
 			l.discarding = true
 			p.rejectRows(err)
 		}
-	case m.Type == 'D':
+	case 'D':
 		l.answerBegun = true
-		if l.rows++; p.ended || l.rows > p.action.MaxRows { // more than was asked for, or given up: it is told to end
+		l.rows++
+		if p.ended || l.rows > p.action.MaxRows {
 			l.endAnswer()
 			return
 		}
 		p.beginAnswer(l)
 		p.scatter.row(l, p, m)
-	case m.Type == 'C':
-		l.answerBegun, l.completed = true, true
+	case 'C':
+		l.answerBegun = true
+		l.completed = true
 		p.beginAnswer(l)
 		p.scatter.handle(func(now float64) []execution.Action {
 			return p.scatter.run.RowsEnded(p.action.Shard, p.action.Attempt, now)
 		})
-	case m.Type == '1' || m.Type == '2':
+	case '1', '2': // ParseComplete, BindComplete
 	default:
-		l.partFailed("a message that is not due: "+strconv.Quote(string(m.Type)), true)
+		l.failPart("a message that is not due: "+strconv.Quote(string(m.Type)), true)
 		l.close()
 	}
 }
 
-// statementFailed takes an error of the statement.
+// statementFailed handles an error of the statement.
 func (l *link) statementFailed(m pgwire.Message) {
-	code, p := pgwire.ErrorCode(m.Body), l.part
+	code := pgwire.ErrorCode(m.Body)
 	l.discarding = true
 	if a := l.attempt; a != nil && !a.ended && !l.answerBegun {
-		r := decide.OK // an answer, if not the one wished for
-		switch code {
-		case "25006", "72000":
-			r = decide.Misdirected
-		case "53300", "57P03":
-			r = decide.Overloaded
-		}
-		if r != decide.OK { // the module knows another one
+		if result := resultOf(code); result != decide.OK {
 			l.broken = true
-			l.frontend.endAttempt(a, r, nil)
+			l.frontend.endAttempt(a, result, nil)
 			return
 		}
 		l.answerBegun = true
 	}
-	again := false
-	if len(code) == 5 {
-		switch code[:2] {
-		case "57", "58", "XX", "08", "53", "40", "55":
-			again = true
-		}
+	l.part.reportFailure(code+" "+pgwire.ErrorDetail(m.Body), isRetryable(code))
+}
+
+// resultOf returns the result of an attempt that was answered by an error. An error of the statement itself is an answer.
+func resultOf(code string) decide.Result {
+	switch code {
+	case codeReadOnly, codeTooFarBehind:
+		return decide.Misdirected
+	case codeTooManyClients, codeCannotConnectNow:
+		return decide.Overloaded
+	}
+	return decide.OK
+}
+
+// isRetryable reports whether an error is of a class by which the statement may succeed at another server.
+func isRetryable(code string) bool {
+	const codeLength, classLength = 5, 2
+	if len(code) != codeLength {
+		return false
+	}
+	switch code[:classLength] {
+	case "08", // connection exception
+		"40", // transaction rollback
+		"53", // insufficient resources
+		"55", // object not in prerequisite state
+		"57", // operator intervention
+		"58", // system error
+		"XX": // internal error
+		return true
 	}
-	p.reportFailure(code+" "+pgwire.ErrorDetail(m.Body), again)
+	return false
 }
 
-// readyForQuery takes a ReadyForQuery.
+// readyForQuery handles the end of the settings, or of the statement.
 func (l *link) readyForQuery() {
 	if l.pendingReady == 0 {
 		l.close()
 		return
 	}
-	if l.pendingReady--; l.pendingReady > 0 {
+	l.pendingReady--
+	if l.pendingReady > 0 {
 		if l.onSettingsReady != nil && !l.broken {
 			l.onSettingsReady()
 			l.onSettingsReady = nil
@@ -99,70 +134,52 @@
 	if a := l.attempt; a != nil && !a.ended {
 		l.frontend.endAttempt(a, decide.OK, l)
 	}
-	_, at, ok := l.reportedState()
 	if p != nil {
-		position := int64(0)
-		if ok {
-			position = int64(at)
-			l.frontend.options.Checks.That(position >= p.action.MinPosition, "scatter: no page is read at a server that is behind its cursor",
-				func() string { return fmt.Sprintf("%s at %d, needed %d", l.key.server, position, p.action.MinPosition) })
-		}
-		if p.link == l {
-			if p.link = nil; !l.broken {
-				p.scatter.handle(func(now float64) []execution.Action {
-					return p.scatter.run.PositionReported(p.action.Shard, p.action.Attempt, position, now)
-				})
-			}
-		}
+		l.reportPosition(p)
 	}
-	l.attempt, l.part, l.sent, l.discarding = nil, nil, false, false
-	l.answerBegun, l.completed = false, false // another part may wait on this connection before it is sent there: none of this is its answer
+	// A part that waits on this connection until all are connected must not find the state of this answer.
+	l.attempt = nil
+	l.part = nil
+	l.sent = false
+	l.discarding = false
+	l.answerBegun = false
+	l.completed = false
 	l.release()
 }
 
-// reportedState is what the last answer said of the server's role and position.
-func (l *link) reportedState() (decide.Role, float64, bool) {
-	ms, err := strconv.ParseInt(l.params[l.frontend.options.PositionName], 10, 64)
-	ok := err == nil && clock.Plausible(float64(ms), l.frontend.loop.Now())
-	if !ok {
-		ms = 0
+// reportPosition reports the position that the server had after the answer to a part's statement.
+func (l *link) reportPosition(p *part) {
+	state := l.reportedState()
+	position := int64(state.positionMs)
+	if state.hasPosition {
+		l.frontend.options.Checks.That(position >= p.action.MinPosition, "scatter: no page is read at a server that is behind its cursor",
+			func() string { return fmt.Sprintf("%s at %d, needed %d", l.key.server, position, p.action.MinPosition) })
 	}
-	return l.frontend.role(l.params["role"]), float64(ms), ok
-}
-
-// endAnswer has an answer that nobody wants any more end: soon by itself, or by a cancel request.
-func (l *link) endAnswer() {
-	if l.discarding || l.closed {
+	if p.link != l {
 		return
 	}
-	l.discarding = true
-	l.resumeRows()
-	if l.completed {
-		return
+	p.link = nil
+	if !l.broken {
+		p.scatter.handle(func(now float64) []execution.Action {
+			return p.scatter.run.PositionReported(p.action.Shard, p.action.Attempt, position, now)
+		})
 	}
-	p := l.part
-	l.frontend.loop.At(l.frontend.loop.Now()+cancelDelayMs, func() {
-		if l.part == p && l.sent && !l.closed && l.pendingReady > 0 {
-			l.cancel()
-		}
-	})
-	l.frontend.loop.At(l.frontend.loop.Now()+endWaitMs, func() {
-		if l.part == p && l.sent && !l.closed {
-			l.close()
-		}
-	})
 }
 
-// release files a connection that nobody uses. A cancel that is still on its way must hit nobody's statement, so that connection is closed.
-func (l *link) release() {
-	f := l.frontend
-	switch {
-	case l.closed:
-	case l.openCancels > 0: // until it is worked on
-	case l.broken || l.wasCancelled || f.draining[l.key.server]:
-		l.close()
-	default:
-		f.idle[l.key] = append(f.idle[l.key], l)
-		l.timer = f.loop.At(f.loop.Now()+connIdleMs, l.close)
+// serverState is what a server reports with its answers.
+type serverState struct {
+	role        decide.Role
+	positionMs  float64 // of its log, in Unix ms; 0 if it is not known
+	hasPosition bool
+}
+
+// reportedState returns what the server has reported last.
+func (l *link) reportedState() serverState {
+	state := serverState{role: l.frontend.role(l.params["role"])}
+	ms, err := strconv.ParseInt(l.params[l.frontend.options.PositionName], 10, 64)
+	if err == nil && clock.Plausible(float64(ms), l.frontend.loop.Now()) {
+		state.positionMs = float64(ms)
+		state.hasPosition = true
 	}
+	return state
 }
--- a/internal/frontend/scatter/dial.go
+++ b/internal/frontend/scatter/dial.go
@@ -9,30 +9,43 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// connect gives an attempt a connection.
+// connIdleMs is how long a connection may be idle.
+const connIdleMs = 30000
+
+// Bounds of the prepared statements of a server's session. Scattered reads use the unnamed statement.
+const (
+	maxStatements     = 1
+	maxStatementBytes = 1024
+)
+
+// connect takes an idle connection for an attempt, or opens one.
 func (f *Frontend) connect(a *attempt) {
 	s := a.part.scatter
-	k := connKey{a.server, s.caller.Database, s.caller.User}
-	for list := f.idle[k]; len(list) > 0; list = f.idle[k] {
-		l := list[len(list)-1]
-		f.idle[k] = list[:len(list)-1]
-		f.loop.StopTimer(l.timer)
-		if !l.closed {
-			l.attempt, l.part = a, a.part
-			a.part.connected(l)
-			return
-		}
+	key := connKey{server: a.server, database: s.caller.Database, user: s.caller.User}
+	if l := f.takeIdle(key); l != nil {
+		l.attempt = a
+		l.part = a.part
+		a.part.connected(l)
+		return
 	}
 	if f.options.SpareDescriptors != nil && f.options.SpareDescriptors() < 1 {
 		f.endAttempt(a, decide.Overloaded, nil)
 		return
 	}
-	l := &link{frontend: f, key: k, input: pgwire.NewReader(s.spec.maxMessageBytes()), params: map[string]string{}, settings: sessionstate.NewServer(1, 1024), attempt: a, part: a.part}
+	l := &link{
+		frontend: f,
+		key:      key,
+		input:    pgwire.NewReader(s.spec.maxMessageBytes()),
+		params:   map[string]string{},
+		settings: sessionstate.NewServer(maxStatements, maxStatementBytes),
+		attempt:  a,
+		part:     a.part,
+	}
 	f.conns++
 	l.timer = f.loop.At(f.loop.Now()+f.options.ConnectTimeoutMs, func() { l.dialFailed(decide.Unreachable) })
-	f.loop.Dial(f.addresses[k.server], f.options.ConnectTimeoutMs, l, func(err error) {
-		f.log.Debug("scatter: connect", "store", k.server, "err", err)
-		if eventloop.IsLocalError(err) { // it says nothing about the server
+	f.loop.Dial(f.addresses[key.server], f.options.ConnectTimeoutMs, l, func(err error) {
+		f.log.Debug("scatter: connect", "server", key.server, "err", err)
+		if eventloop.IsLocalError(err) { // no fault of the server
 			l.dialFailed(decide.NotSent)
 			return
 		}
@@ -40,7 +53,20 @@
 	})
 }
 
-// dialFailed takes a connection out that never came up.
+// takeIdle returns the idle connection that was used last, or nil.
+func (f *Frontend) takeIdle(key connKey) *link {
+	for links := f.idle[key]; len(links) > 0; links = f.idle[key] {
+		l := links[len(links)-1]
+		f.idle[key] = links[:len(links)-1]
+		f.loop.StopTimer(l.timer)
+		if !l.closed {
+			return l
+		}
+	}
+	return nil
+}
+
+// dialFailed removes a connection whose startup was not completed.
 func (l *link) dialFailed(result decide.Result) {
 	if l.ready || l.closed {
 		return
@@ -51,50 +77,62 @@
 	if l.conn != nil {
 		l.conn.Close()
 	}
-	if a := l.attempt; a != nil {
-		l.frontend.endAttempt(a, result, nil)
+	if l.attempt != nil {
+		l.frontend.endAttempt(l.attempt, result, nil)
 	}
 }
 
-// Opened is loop's.
-func (l *link) Opened(c *eventloop.Conn) {
-	l.conn = c
+// Opened implements eventloop.Handler.
+func (l *link) Opened(conn *eventloop.Conn) {
+	l.conn = conn
 	if l.closed {
-		c.Close()
+		conn.Close()
 		return
 	}
-	_ = c.Write(pgwire.AppendStartup(nil, l.key.user, l.key.database))
+	_ = conn.Write(pgwire.AppendStartup(nil, l.key.user, l.key.database)) // a failed write closes the connection
 }
 
-func (l *link) startupMessage(m pgwire.Message) {
+// handleStartup handles a message of the server before its first ReadyForQuery.
+func (l *link) handleStartup(m pgwire.Message) {
 	switch m.Type {
 	case 'R':
 		if len(m.Body) < 4 || binary.BigEndian.Uint32(m.Body) != 0 {
-			l.frontend.log.Warn("scatter: the server wants a password, which this pooler has not", "store", l.key.server)
+			l.frontend.log.Warn("scatter: the server requires a password, which the pooler does not have", "server", l.key.server)
 			l.dialFailed(decide.Unreachable)
 		}
 	case 'S':
-		l.parameter(m)
+		l.setParameter(m)
 	case 'K':
 		if len(m.Body) >= 8 {
-			l.pid, l.secret = binary.BigEndian.Uint32(m.Body), binary.BigEndian.Uint32(m.Body[4:])
+			l.pid = binary.BigEndian.Uint32(m.Body)
+			l.secret = binary.BigEndian.Uint32(m.Body[4:])
 		}
 	case 'E':
 		l.dialFailed(decide.Unreachable)
 	case 'Z':
-		l.ready = true
-		l.frontend.loop.StopTimer(l.timer)
-		if a := l.attempt; a == nil || a.ended {
-			l.attempt, l.part = nil, nil
-			l.release()
-			return
-		}
-		l.part.connected(l)
+		l.startupCompleted()
+	}
+}
+
+func (l *link) startupCompleted() {
+	l.ready = true
+	l.frontend.loop.StopTimer(l.timer)
+	if l.attempt == nil || l.attempt.ended {
+		l.attempt = nil
+		l.part = nil
+		l.release()
+		return
 	}
+	l.part.connected(l)
 }
 
-func (l *link) parameter(m pgwire.Message) {
-	if name, val, err := pgwire.Parameter(m.Body); err == nil && (len(l.params) < sessionstate.MaxSettings || l.params[name] != "") {
-		l.params[name] = val
+// setParameter notes a ParameterStatus. The number of parameters is bounded.
+func (l *link) setParameter(m pgwire.Message) {
+	name, value, err := pgwire.Parameter(m.Body)
+	if err != nil {
+		return
+	}
+	if len(l.params) < sessionstate.MaxSettings || l.params[name] != "" {
+		l.params[name] = value
 	}
 }
--- a/internal/frontend/scatter/end.go
+++ b/internal/frontend/scatter/finish.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/frontend/scatter/execution"
 )
 
-// finish gives the client its answer.
+// finish ends the page by the verdict of its run.
 func (s *Scatter) finish() {
 	f := s.frontend
 	s.ended = true
@@ -27,20 +27,7 @@
 	switch s.run.Verdict {
 	case execution.Served:
 		f.Counts.Served++
-		page := &Page{Rows: s.rows}
-		for _, i := range s.run.Missing() {
-			page.Missing = append(page.Missing, s.spec.Shards[i].Name)
-		}
-		if s.run.More {
-			c := &cursor.Cursor{IssuedMs: math.Floor(f.loop.Now()), Binding: s.binding}
-			c.Places, c.MinPositions = s.run.Places()
-			var err error
-			if page.Cursor, err = f.options.Ring.Seal(c, f.nonce()); err != nil {
-				s.reader.Fail(s.run, err)
-				return
-			}
-		}
-		s.reader.Page(page)
+		s.serve()
 	case execution.Rejected:
 		f.Counts.Rejected++
 		s.reader.Fail(s.run, s.cause())
@@ -52,21 +39,42 @@
 	}
 }
 
-// cause is why it came to nothing, with the shard's name.
+// serve ends a page that was served, with the cursor of the next one.
+func (s *Scatter) serve() {
+	page := &Page{Rows: s.rows}
+	for _, shard := range s.run.Missing() {
+		page.Missing = append(page.Missing, s.spec.Shards[shard].Name)
+	}
+	if s.run.More {
+		next := &cursor.Cursor{IssuedMs: math.Floor(s.frontend.loop.Now()), Binding: s.binding}
+		next.Places, next.MinPositions = s.run.Places()
+		var err error
+		page.Cursor, err = s.frontend.options.Ring.Seal(next, newNonce())
+		if err != nil {
+			s.reader.Fail(s.run, err)
+			return
+		}
+	}
+	s.reader.Page(page)
+}
+
+// cause returns why the page was not served, with the name of the shard in place of its number.
 func (s *Scatter) cause() error {
 	if s.err != nil {
 		return s.err
 	}
-	why := s.run.Cause
-	if n, rest, ok := strings.Cut(strings.TrimPrefix(why, "shard "), ": "); ok {
-		if i, err := strconv.Atoi(n); err == nil && i < len(s.spec.Shards) {
-			why = fmt.Sprintf("shard %q: %s", s.spec.Shards[i].Name, rest)
-		}
+	number, cause, ok := strings.Cut(strings.TrimPrefix(s.run.Cause, "shard "), ": ")
+	if !ok {
+		return errors.New(s.run.Cause)
+	}
+	shard, err := strconv.Atoi(number)
+	if err != nil || shard >= len(s.spec.Shards) {
+		return errors.New(s.run.Cause)
 	}
-	return errors.New(why)
+	return fmt.Errorf("shard %q: %s", s.spec.Shards[shard].Name, cause)
 }
 
-// discardReader reads for a client that has gone.
+// discardReader is the Reader of a client that has disconnected.
 type discardReader struct{}
 
 func (discardReader) Describe([]byte)            {}
--- a/internal/frontend/scatter/frontend.go
+++ b/internal/frontend/scatter/frontend.go
@@ -1,106 +1,51 @@
-// Package scatter reads in order over many shards: it asks each, merges what comes sorted, and gives pages with a cursor at which any pooler goes on. It
-// rides on a front that exists, which hands it a statement and takes rows; sub-packages decide, and this one joins them to
-// sockets: merge (the order), cursor (the place at which it goes on), plan (what is asked of whom, in words) and run (one page).
+// Package scatter serves reads over many shards: each shard reads a part of the rows in order, the parts are merged, and the client
+// receives a page of them with a cursor, by which any pooler continues.
 //
-// It is for the loop alone. Connections are its own, so reports do not take those of other work: one for each shard and scatter that
-// runs, Spec.MaxConcurrent for each server at most and as many that end.
+// Its inputs are statements of another frontend's clients (package pooling); its outputs are Requests to a Dispatcher, one for each
+// shard, and the rows, which go to a Reader. The subpackages decide, and this one connects them to sockets: merge has the order of rows,
+// cursor the places at which pages continue, plan the statements of the shards, bindmessage their parameters, and execution the course
+// of one page.
+//
+// The connections are the package's own, so that the load reports on them are of scattered reads alone: at most Spec.MaxConcurrent to
+// each server, and as many that end an answer. The memory of pages is bounded by Spec.MaxHeldBytes. A shard that sends nothing is
+// retried, left out or fails the page, by the rules of execution.
 package scatter
 
 import (
 	"crypto/rand"
-	"fmt"
 	"log/slog"
 	"math"
 
-	"github.com/cespare/xxhash/v2"
-
 	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/slotmap"
 	"beechgrade/internal/frontend/platform"
 	"beechgrade/internal/frontend/scatter/cursor"
-	"beechgrade/internal/frontend/scatter/execution"
-	"beechgrade/internal/frontend/scatter/merge"
 	"beechgrade/internal/invariant"
-	"beechgrade/internal/metrics/exposition"
 )
 
-// Shard is a group of servers that has a part of the rows. Its name is stable: ties go by it.
-type Shard struct {
-	Name  string
-	Group int
-}
-
-// Spec is what the settings say of one scatter. Times are in milliseconds.
-type Spec struct {
-	Name            string
-	Class           string
-	Shards          []Shard // by name
-	Order           merge.Order
-	DefaultRows     int // rows, where the client does not say
-	MaxRows         int
-	MaxMissing      int // shards that may be left out, 0 for none
-	PageBytes       int // bytes of one page's rows, at all shards together
-	MaxRowBytes     int
-	MaxConcurrent   int // pages that are made at a time
-	TimeoutMs       float64
-	UnresponsiveMs  float64
-	MaxRetries      int
-	PositionWaitMs  float64
-	AnswerReserveMs float64
-	orderDigest     cursor.Digest
-	shardsDigest    cursor.Digest
-}
-
-// ExecutionSettings is the spec as the run has it.
-func (s *Spec) ExecutionSettings() execution.Settings {
-	return execution.Settings{Shards: len(s.Shards), MaxMissing: s.MaxMissing, WindowBytes: max(minWindowBytes, s.PageBytes/len(s.Shards)), MaxRowBytes: s.MaxRowBytes, UnresponsiveMs: s.UnresponsiveMs, MaxRetries: s.MaxRetries,
-		PositionWaitMs: s.PositionWaitMs, AnswerReserveMs: s.AnswerReserveMs}
-}
-
-// MaxHeldBytes is how many bytes a pooler holds for all pages of a spec: rows, and of each connection what was read ahead.
-func (s *Spec) MaxHeldBytes() int {
-	set := s.ExecutionSettings()
-	return s.MaxConcurrent * (set.MaxHeldBytes() + len(s.Shards)*(readAheadBytes+s.maxMessageBytes()))
-}
-
-// maxMessageBytes is the longest message that is taken of a server.
-func (s *Spec) maxMessageBytes() int {
-	return max(s.MaxRowBytes, minMessageBytes)
-}
-
 const (
-	minWindowBytes  = 4 << 10
-	minMessageBytes = 64 << 10 // for descriptions and errors
-	readAheadBytes  = 64 << 10 // that the loop reads of a connection at once
-	tickMs          = 5
-	connIdleMs      = 30000
-	cancelDelayMs   = 5    // an answer that ends by itself within it needs no cancel request
-	endWaitMs       = 1000 // ...and one that does not end within this is closed
-	attemptRefBit   = 1 << 29
-	highWaterBytes  = 256 << 10 // to a client that reads slowly
-	lowWaterBytes   = 64 << 10
-	maxCancels      = 256
+	tickMs         = 5         // interval of checks on the pages that run
+	highWaterBytes = 256 << 10 // not read by the client yet: beyond it, no rows are delivered
+	lowWaterBytes  = 64 << 10  // ...until it has fallen to this
 )
 
-// Options are the front's.
+// unlimited is the value of Frontend.maxShards while no limit is assigned. It is below 0.
+const unlimited = -1
+
+// Options are the settings of the frontend, and what it takes from the pooler.
 type Options struct {
 	Specs            []Spec
 	Ring             *cursor.Ring
 	ConnectTimeoutMs float64
-	RoleNames        [2]string
-	PositionName     string
-	SpareDescriptors func() int // descriptors left
+	RoleNames        [2]string  // values of the parameter "role": a primary's, and a replica's
+	PositionName     string     // the parameter with the position of a server's log, in Unix ms
+	SpareDescriptors func() int // connections that may be opened; nil for any number
 	Checks           *invariant.Checks
 }
 
-// Counts are figures since the start.
-type Counts struct {
-	Pages, Served, Rejected, Failed, Abandoned, Rows, Sent, Retried, Missing, Cancels, RejectedCursors uint64
-}
-
-// Frontend is the scatters of a pooler.
+// Frontend has the scattered reads of a pooler. Its methods must be called on the event loop.
 type Frontend struct {
 	loop       *eventloop.Loop
 	log        *slog.Logger
@@ -108,64 +53,58 @@
 	dispatcher platform.Dispatcher
 	events     backend.Events
 
-	addresses      map[string]string
-	draining       map[string]bool
-	idle           map[connKey][]*link
-	conns          int
-	attempts       slotmap.Table[*attempt]
+	addresses   map[string]string // by server
+	draining    map[string]bool   // servers that receive nothing
+	idle        map[connKey][]*link
+	conns       int
+	openCancels int // cancel requests on their way
+	attempts    slotmap.Table[*attempt]
+
 	running        map[*Scatter]bool
-	perSpec        []int
-	shardsInFlight int // shards of pages that are made
-	maxShards      int // of them at most, as the fleet was told; below 0 for not told
-	rejectedShards decayingCount
-	ticking        bool
+	perSpec        []int // pages that run
 	lastID         uint64
-	openCancels    int
+	ticking        bool
+	shardsInFlight int           // of the pages that run
+	maxShards      int           // bounds shardsInFlight; unlimited if no limit is assigned
+	rejectedShards decayingCount // of pages that were rejected as ErrBusy
 
 	Counts Counts
 }
 
-// connKey names whom a connection is to.
+// connKey identifies what a connection can be used for.
 type connKey struct{ server, database, user string }
 
-// New makes a front; events is told of attempts' ends.
-func New(l *eventloop.Loop, log *slog.Logger, opt Options, desk platform.Dispatcher, events backend.Events) *Frontend {
-	f := &Frontend{loop: l, log: log, options: opt, dispatcher: desk, events: events, addresses: map[string]string{}, draining: map[string]bool{}, idle: map[connKey][]*link{},
-		running: map[*Scatter]bool{}, perSpec: make([]int, len(opt.Specs)), maxShards: -1}
+// New makes a frontend. It reports the outcomes of attempts to events.
+func New(loop *eventloop.Loop, log *slog.Logger, options Options, dispatcher platform.Dispatcher, events backend.Events) *Frontend {
+	f := &Frontend{
+		loop:       loop,
+		log:        log,
+		options:    options,
+		dispatcher: dispatcher,
+		events:     events,
+		addresses:  map[string]string{},
+		draining:   map[string]bool{},
+		idle:       map[connKey][]*link{},
+		running:    map[*Scatter]bool{},
+		perSpec:    make([]int, len(options.Specs)),
+		maxShards:  unlimited,
+	}
 	for i := range f.options.Specs {
-		s := &f.options.Specs[i]
-		var names []string
-		for _, x := range s.Shards {
-			names = append(names, x.Name)
-		}
-		s.orderDigest, s.shardsDigest = DigestOf(fmt.Sprint(s.Order)), DigestOf(names...)
+		f.options.Specs[i].setDigests()
 	}
 	return f
 }
 
-// DigestOf stands for texts in a cursor.
-func DigestOf(texts ...string) (m cursor.Digest) {
-	h := xxhash.New()
-	for _, s := range texts {
-		_, _ = fmt.Fprintf(h, "%d %s", len(s), s)
-	}
-	sum := h.Sum64()
-	for i := range m {
-		m[i] = byte(sum >> (8 * i))
-	}
-	return m
-}
+// Check enables the checks of invariants.
+func (f *Frontend) Check(checks *invariant.Checks) { f.options.Checks = checks }
 
-// Check has statements about state checked.
-func (f *Frontend) Check(c *invariant.Checks) { f.options.Checks = c }
-
-// Conns is the number of connections to servers.
+// Conns returns the number of connections to servers.
 func (f *Frontend) Conns() int { return f.conns }
 
-// Running is the number of pages that are made.
+// Running returns the number of pages that run.
 func (f *Frontend) Running() int { return len(f.running) }
 
-// HeldBytes is how many bytes of rows are held now.
+// HeldBytes returns the bytes of rows that are held.
 func (f *Frontend) HeldBytes() (n int) {
 	for s := range f.running {
 		n += s.heldBytes()
@@ -173,58 +112,76 @@
 	return n
 }
 
-// AssignLimit has so many shards be asked at a time at most, over all pages.
-func (f *Frontend) AssignLimit(most int) { f.maxShards = most }
+// MaxHeldBytes returns the bound of the bytes that are held for one page of a scattered read, 0 if there is none of that name.
+func (f *Frontend) MaxHeldBytes(name string) int {
+	i := f.specIndex(name)
+	if i < 0 {
+		return 0
+	}
+	return f.options.Specs[i].maxPageBytes()
+}
 
-// RestoreLimits ends Tell.
-func (f *Frontend) RestoreLimits() { f.maxShards = -1 }
+// AssignLimit bounds the shards that pages may read at a time.
+func (f *Frontend) AssignLimit(maxShards int) { f.maxShards = maxShards }
 
-// Demand is how many shards are asked now, and how many would be.
-func (f *Frontend) Demand() (has, want int) {
-	return f.shardsInFlight, f.shardsInFlight + int(math.Ceil(f.rejectedShards.decayTo(f.loop.Now())))
+// RestoreLimits removes the limit of AssignLimit.
+func (f *Frontend) RestoreLimits() { f.maxShards = unlimited }
+
+// Demand returns how many shards are being read, and how many would be without a limit.
+func (f *Frontend) Demand() (inFlight, wanted int) {
+	rejected := f.rejectedShards.decayTo(f.loop.Now())
+	return f.shardsInFlight, f.shardsInFlight + int(math.Ceil(rejected))
 }
 
-// decayingCount is how much was turned away lately.
+// decayMs is the time in which a decayingCount falls to 1/e, so that it is a count per second.
+const decayMs = 1000
+
+// negligibleCount is a decayingCount that is taken for 0.
+const negligibleCount = 0.05
+
+// decayingCount counts events of about the last second.
 type decayingCount struct{ count, decayedAt float64 }
 
-func (x *decayingCount) decayTo(t float64) float64 {
-	x.count *= math.Exp(-max(0, t-x.decayedAt) / 1000)
-	x.decayedAt = max(x.decayedAt, t)
-	if x.count < 0.05 {
-		x.count = 0
+// decayTo lets the count decay up to now, and returns it.
+func (d *decayingCount) decayTo(now float64) float64 {
+	d.count *= math.Exp(-max(0, now-d.decayedAt) / decayMs)
+	d.decayedAt = max(d.decayedAt, now)
+	if d.count < negligibleCount {
+		d.count = 0
 	}
-	return x.count
+	return d.count
 }
 
-// SetAddress tells where a server listens.
-func (f *Frontend) SetAddress(store, addr string) {
-	if old, ok := f.addresses[store]; ok && old != addr {
-		f.DrainServer(store)
+// SetAddress sets the address of a server, which may receive requests.
+func (f *Frontend) SetAddress(server, address string) {
+	if known, ok := f.addresses[server]; ok && known != address {
+		f.DrainServer(server)
 	}
-	f.addresses[store] = addr
-	delete(f.draining, store)
+	f.addresses[server] = address
+	delete(f.draining, server)
 }
 
-// DrainServer tells that a server drains or is gone: nothing more is sent there. What runs may end.
-func (f *Frontend) DrainServer(store string) {
-	f.draining[store] = true
-	for k, list := range f.idle {
-		if k.server == store {
-			delete(f.idle, k)
-			for _, l := range list {
-				l.close()
-			}
+// DrainServer closes the idle connections of a server, which receives nothing more. Statements that run may end.
+func (f *Frontend) DrainServer(server string) {
+	f.draining[server] = true
+	for key, links := range f.idle {
+		if key.server != server {
+			continue
+		}
+		delete(f.idle, key)
+		for _, l := range links {
+			l.close()
 		}
 	}
 }
 
-// Forget bars a server that has left the list.
-func (f *Frontend) Forget(store string) {
-	delete(f.addresses, store)
-	f.DrainServer(store)
+// Forget removes a server that is not in the endpoint list any more.
+func (f *Frontend) Forget(server string) {
+	delete(f.addresses, server)
+	f.DrainServer(server)
 }
 
-// Retain bars all servers but those.
+// Retain removes all servers but those of the given IDs.
 func (f *Frontend) Retain(ids map[string]bool) {
 	for id := range f.addresses {
 		if !ids[id] {
@@ -233,16 +190,7 @@
 	}
 }
 
-// IsShardRead tells whether a query is a shard's of this front.
-func IsShardRead(q backend.Query) bool {
-	_, ok := q.(*part)
-	return ok
-}
-
-// IsAttemptRef tells whether an attempt is one of this front's.
-func IsAttemptRef(r slotmap.Ref) bool { return r.Index>>29 == attemptRefBit>>29 }
-
-// Spec finds a scatter by its name.
+// specIndex returns the index of the spec of a name, or -1.
 func (f *Frontend) specIndex(name string) int {
 	for i := range f.options.Specs {
 		if f.options.Specs[i].Name == name {
@@ -252,24 +200,33 @@
 	return -1
 }
 
+// startTicking has tick called as long as pages run.
+func (f *Frontend) startTicking(now float64) {
+	if !f.ticking {
+		f.ticking = true
+		f.loop.At(now+tickMs, f.tick)
+	}
+}
+
 func (f *Frontend) tick() {
 	if len(f.running) == 0 {
 		f.ticking = false
 		return
 	}
-	for s := range f.running { // each by itself: the order does not matter
+	for s := range f.running { // in any order: pages do not depend on each other
 		s.tick()
 	}
 	f.loop.At(f.loop.Now()+tickMs, f.tick)
 }
 
-func (f *Frontend) nonce() (n cursor.Nonce) {
-	_, _ = rand.Read(n[:])
-	return n
+func newNonce() (nonce cursor.Nonce) {
+	_, _ = rand.Read(nonce[:]) // it returns no error
+	return nonce
 }
 
-func (f *Frontend) role(val string) decide.Role {
-	switch val {
+// role returns the role of a server by the value of its parameter.
+func (f *Frontend) role(value string) decide.Role {
+	switch value {
 	case f.options.RoleNames[0]:
 		return decide.RolePrimary
 	case f.options.RoleNames[1]:
@@ -277,28 +234,3 @@
 	}
 	return decide.RoleUnknown
 }
-
-// AppendMetrics tells what was done.
-func (f *Frontend) AppendMetrics(s *exposition.Snapshot) {
-	c, scatter := f.Counts, s.Scope("scatter")
-	for _, x := range []struct {
-		name string
-		n    uint64
-	}{{"pages", c.Pages}, {"served", c.Served}, {"refused", c.Rejected}, {"failed", c.Failed}, {"gone", c.Abandoned}, {"rows", c.Rows}, {"asked", c.Sent},
-		{"asked_again", c.Retried}, {"shards_missing", c.Missing}, {"cancels", c.Cancels}, {"cursors_refused", c.RejectedCursors}} {
-		scatter.Counter(x.name, x.n)
-	}
-	scatter.IntGauge("running", int64(len(f.running)))
-	scatter.IntGauge("held_bytes", int64(f.HeldBytes()))
-	scatter.IntGauge("connections", int64(f.conns))
-}
-
-// MaxHeldBytes is the bound of what is held for one page of a scatter.
-func (f *Frontend) MaxHeldBytes(name string) int {
-	i := f.specIndex(name)
-	if i < 0 {
-		return 0
-	}
-	s := &f.options.Specs[i]
-	return s.MaxHeldBytes() / s.MaxConcurrent
-}
--- a/internal/frontend/scatter/link.go
+++ b/internal/frontend/scatter/link.go
@@ -1,6 +1,8 @@
 package scatter
 
 import (
+	"slices"
+
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop"
 	"beechgrade/internal/eventloop/timers"
@@ -8,66 +10,73 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// link is a connection to a server; it is the loop's Handler.
+// longAnswerMs is how long an answer takes at most whose end the decision module waits for, as it has the server's load and position.
+const longAnswerMs = 20
+
+// link is a connection to a server. It implements eventloop.Handler.
 type link struct {
-	frontend        *Frontend
-	key             connKey
-	conn            *eventloop.Conn
-	input           pgwire.Reader
-	settings        *sessionstate.Server // what settings it has
-	params          map[string]string
-	pid             uint32
-	secret          uint32
-	ready           bool
-	closed          bool
-	attempt         *attempt
-	part            *part // whose answer is due
-	sent            bool  // its statement is out
-	pendingReady    int   // ReadyForQuery that are due: of settings, and of the statement
-	onSettingsReady func()
-	answerBegun     bool // a row has come, or the end
-	answerBegunAt   float64
-	completed       bool // CommandComplete has come
-	discarding      bool // what still comes is dropped, up to ReadyForQuery
-	broken          bool
-	wasCancelled    bool // a cancel request went out
-	openCancels     int  // ...and is not worked on yet
-	rows            int  // of its answer
-	mergeFull       bool
-	readingPaused   bool
-	reading         bool // in Data
+	frontend *Frontend
+	key      connKey
+	conn     *eventloop.Conn // nil until it is open
+	input    pgwire.Reader
+	timer    *timers.Timer // bounds its startup, or closes it when it is idle
+	ready    bool          // the startup is complete
+	closed   bool
+
+	settings *sessionstate.Server // of the server's session
+	params   map[string]string    // as reported by the server
+	pid      uint32               // of its cancel key
+	secret   uint32               // of its cancel key
+
+	// The present statement.
+	attempt         *attempt // nil once its outcome is reported
+	part            *part    // whose statement it is
+	sent            bool
+	pendingReady    int    // ReadyForQuery that are due: after the settings, and after the statement
+	onSettingsReady func() // called once the settings are applied
 	columns         orderColumns
-	timer           *timers.Timer
+	rows            int     // that have come
+	answerBegun     bool    // a row, the end or an error has come
+	answerBegunAt   float64 // 0 for not yet
+	completed       bool    // CommandComplete has come
+	discarding      bool    // messages are discarded, up to ReadyForQuery
+	broken          bool    // the session cannot be used again
+	wasCancelled    bool    // a cancel request was sent
+	openCancels     int     // cancel requests on their way
+
+	mergeFull     bool // the merge takes no rows; messages stay in input
+	readingPaused bool
+	reading       bool // readMessages runs
 }
 
-// Data is loop's.
+// Data implements eventloop.Handler.
 func (l *link) Data(b []byte) {
 	l.input.Feed(b)
-	if l.mergeFull { // the merge has enough: what came with the last read stays here
-		l.readingPaused = l.conn.PauseReading() // it may have been on its way back when it was stopped
+	if l.mergeFull {
+		l.readingPaused = l.conn.PauseReading() // reading may have been about to resume when the merge became full
 		return
 	}
 	l.readMessages()
 }
 
-// readMessages takes the messages that are there, as far as the merge takes rows.
+// readMessages handles the messages that were received, as far as the merge takes rows.
 func (l *link) readMessages() {
 	l.reading = true
 	for !l.closed && !l.mergeFull {
-		m, ok, err := l.input.Next()
+		message, ok, err := l.input.Next()
 		if err != nil {
-			l.frontend.log.Warn("scatter: server broke the protocol, or sent more than is taken", "store", l.key.server, "err", err)
-			l.partFailed("it sent a longer row than is taken, or broke the protocol", false)
+			l.frontend.log.Warn("scatter: the server broke the protocol, or sent a longer message than is accepted", "server", l.key.server, "err", err)
+			l.failPart("it sent a longer row than is taken, or broke the protocol", false)
 			l.close()
 			break
 		}
 		if !ok {
 			break
 		}
-		if !l.ready {
-			l.startupMessage(m)
+		if l.ready {
+			l.handleMessage(message)
 		} else {
-			l.message(m)
+			l.handleStartup(message)
 		}
 	}
 	l.reading = false
@@ -80,23 +89,22 @@
 	}
 }
 
-// longAnswerMs is how long an answer that has begun may take to tell the decision module of its server, at its end.
-const longAnswerMs = 20
-
-// endLongAttempt ends an attempt whose answer has begun and goes on for long: its rest is the run's.
+// endLongAttempt reports the success of an attempt whose answer takes long: the rest of the answer concerns the page alone.
 func (l *link) endLongAttempt() {
 	a := l.attempt
 	if a == nil || !l.answerBegun || a.ended {
 		return
 	}
-	if now := l.frontend.loop.Now(); l.answerBegunAt == 0 {
+	now := l.frontend.loop.Now()
+	switch {
+	case l.answerBegunAt == 0:
 		l.answerBegunAt = now
-	} else if now-l.answerBegunAt > longAnswerMs || l.mergeFull {
+	case l.mergeFull || now-l.answerBegunAt > longAnswerMs:
 		l.frontend.endAttempt(a, decide.OK, nil)
 	}
 }
 
-// scatter is the scatter whose answer comes here, nil where nobody waits for it.
+// scatter returns the page that the statement is of, nil if it has ended.
 func (l *link) scatter() *Scatter {
 	if l.part == nil || l.part.scatter.ended {
 		return nil
@@ -104,41 +112,54 @@
 	return l.part.scatter
 }
 
-// send sends a part's statement, behind what brings the client's settings over.
+// send sends a part's statement, after what applies the client's settings to the session.
 func (l *link) send(p *part) error {
 	s := p.scatter
-	sql, vals, err := s.query.ShardStatement(&s.spec.Order, &p.action.Place, p.action.Shard, p.action.MaxRows, len(s.values.Params))
+	statement, values, err := s.query.ShardStatement(&s.spec.Order, &p.action.Place, p.action.Shard, p.action.MaxRows, len(s.values.Params))
 	if err != nil {
 		return err
 	}
-	var out []byte
+	l.sent = true
+	l.pendingReady = 1
+	l.rows = 0
+	l.answerBegun = false
 	l.answerBegunAt = 0
-	l.sent, l.pendingReady, l.rows, l.answerBegun, l.completed, l.discarding = true, 1, 0, false, false, false
-	if set := s.caller.Settings.SyncQuery(l.settings); set != "" {
-		out = pgwire.AppendQuery(out, set)
+	l.completed = false
+	l.discarding = false
+	var out []byte
+	if query := s.caller.Settings.SyncQuery(l.settings); query != "" {
+		out = pgwire.AppendQuery(out, query)
 		l.pendingReady++
 		l.onSettingsReady = func() { s.caller.Settings.Synced(l.settings) }
 	}
-	out = pgwire.AppendParse(out, "", sql, s.paramTypes)
-	out = pgwire.AppendBind(out, "", "", s.values.EncodeWith(vals))
-	out = append(out, 'D', 0, 0, 0, 6, 'P', 0)
-	out = append(out, 'E', 0, 0, 0, 9, 0, 0, 0, 0, 0)
-	out = append(out, 'S', 0, 0, 0, 4)
+	out = pgwire.AppendParse(out, "", statement, s.paramTypes)
+	out = pgwire.AppendBind(out, "", "", s.values.EncodeWith(values))
+	out = append(out, describePortal...)
+	out = append(out, executeAll...)
+	out = append(out, syncMessage...)
 	_ = l.conn.Write(out) // a failed write closes the connection
 	return nil
 }
 
-// detach gives up a connection: one that works on something is closed.
+// Messages of the extended protocol for the unnamed portal.
+const (
+	describePortal = "D\x00\x00\x00\x06P\x00"
+	executeAll     = "E\x00\x00\x00\x09\x00\x00\x00\x00\x00"
+	syncMessage    = "S\x00\x00\x00\x04"
+)
+
+// detach ends the use of the connection by an attempt that was not answered.
 func (l *link) detach() {
 	l.attempt = nil
-	if l.discarding && l.sent { // it was told to end
+	if l.sent && l.discarding { // its answer is being ended already
 		return
 	}
-	if l.sent && l.ready && !l.broken { // the server is told
+	if l.sent && l.ready && !l.broken {
 		l.endAnswer()
 		return
 	}
-	if l.part = nil; l.sent || !l.ready {
+	l.part = nil
+	if l.sent || !l.ready {
 		l.close()
 		return
 	}
@@ -155,22 +176,22 @@
 	}
 }
 
-// pauseReading has nothing more be read here.
-func (l *link) pauseReading() {
-	if !l.readingPaused && !l.closed && l.conn != nil {
-		l.readingPaused = l.conn.PauseReading()
-	}
-}
-
-// resumeReading ends park, once what has been read is worked off: what is read before that adds to what is held.
-func (l *link) resumeReading() {
-	if l.readingPaused && !l.mergeFull && !l.closed {
-		l.readingPaused = false
-		l.conn.ResumeReading()
+// release makes the connection available, if its session can be used again. A cancel request that is on its way could hit the next
+// statement, so that the connection is closed after one.
+func (l *link) release() {
+	f := l.frontend
+	switch {
+	case l.closed:
+	case l.openCancels > 0: // called again when they are handled
+	case l.broken || l.wasCancelled || f.draining[l.key.server]:
+		l.close()
+	default:
+		f.idle[l.key] = append(f.idle[l.key], l)
+		l.timer = f.loop.At(f.loop.Now()+connIdleMs, l.close)
 	}
 }
 
-// stopRows has the merge take no more rows from here.
+// stopRows has messages stay in the input, as the merge is full.
 func (l *link) stopRows() {
 	if !l.mergeFull && !l.discarding {
 		l.mergeFull = true
@@ -178,7 +199,7 @@
 	}
 }
 
-// resumeRows ends stop.
+// resumeRows ends stopRows.
 func (l *link) resumeRows() {
 	if !l.mergeFull {
 		return
@@ -192,7 +213,21 @@
 	})
 }
 
-// Closed is loop's.
+func (l *link) pauseReading() {
+	if !l.readingPaused && !l.closed && l.conn != nil {
+		l.readingPaused = l.conn.PauseReading()
+	}
+}
+
+// resumeReading reads from the connection again, unless the merge has become full by the messages of the input.
+func (l *link) resumeReading() {
+	if l.readingPaused && !l.mergeFull && !l.closed {
+		l.readingPaused = false
+		l.conn.ResumeReading()
+	}
+}
+
+// Closed implements eventloop.Handler.
 func (l *link) Closed(error) {
 	if l.closed {
 		return
@@ -205,44 +240,53 @@
 	f := l.frontend
 	f.conns--
 	f.loop.StopTimer(l.timer)
-	for i, x := range f.idle[l.key] {
-		if x == l {
-			f.idle[l.key] = append(f.idle[l.key][:i:i], f.idle[l.key][i+1:]...)
-			break
-		}
+	if i := slices.Index(f.idle[l.key], l); i >= 0 {
+		links := f.idle[l.key]
+		f.idle[l.key] = append(links[:i:i], links[i+1:]...)
 	}
-	p, a := l.part, l.attempt
-	l.part, l.attempt = nil, nil
-	ours, out := p != nil && p.link == l, a != nil && !a.ended
-	if ours {
+	l.failStatement()
+}
+
+// failStatement ends the statement of a connection that was closed.
+func (l *link) failStatement() {
+	f, p, a := l.frontend, l.part, l.attempt
+	l.part = nil
+	l.attempt = nil
+	answering := p != nil && p.link == l
+	if answering {
 		p.link = nil
 	}
-	if out {
+	open := a != nil && !a.ended
+	if open {
 		a.link = nil
 	}
 	switch {
-	case ours && l.completed: // all its rows are here: asked again it would only tell where another server stands
-		if out {
+	case answering && l.completed: // all rows have come; only the server's position is missing
+		if open {
 			f.endAttempt(a, decide.OK, nil)
 		}
-	case ours: // rows of it are with the merge: the run asks anew, from behind them, and the module must not ask this one again
-		if out {
+	case answering: // the run retries from behind the rows that have come; the decision module must not retry from the beginning
+		if open {
 			a.resetInAnswer = true
 		}
 		p.reportFailure("its server's connection broke", true)
-		if out {
+		if open {
 			f.endAttempt(a, decide.Reset, nil)
 		}
-	case out && !l.sent:
+	case open && !l.sent:
 		f.endAttempt(a, decide.Unreachable, nil)
-	case out:
+	case open:
 		f.endAttempt(a, decide.Reset, nil)
 	}
 }
 
-// partFailed tells of an answer that came to nothing, unless the part's is another attempt's.
-func (l *link) partFailed(why string, again bool) {
-	if p := l.part; p != nil && !p.ended && (!p.answerBegun || p.link == l) {
-		p.reportFailure(why, again)
+// failPart reports that the part's read has failed, unless its rows come from another attempt.
+func (l *link) failPart(cause string, retryable bool) {
+	p := l.part
+	if p == nil || p.ended {
+		return
+	}
+	if !p.answerBegun || p.link == l {
+		p.reportFailure(cause, retryable)
 	}
 }
--- a/internal/frontend/scatter/part.go
+++ b/internal/frontend/scatter/part.go
@@ -4,45 +4,32 @@
 	"fmt"
 	"slices"
 
-	"beechgrade/internal/backend"
 	"beechgrade/internal/decide"
 	"beechgrade/internal/eventloop/slotmap"
-	"beechgrade/internal/eventloop/timers"
 	"beechgrade/internal/frontend/scatter/execution"
 )
 
-// part is a shard's read as the decision module has it: one try of the run. It is front.Client's and backend.Query's.
+// part is an attempt of the run to read a shard, which is one request for the decision module. It implements platform.Client and
+// backend.Query.
 type part struct {
 	scatter       *Scatter
-	action        execution.Action // that asked for it
+	action        execution.Action // the Submit
 	ref           slotmap.Ref
-	submitted     bool       // with core
-	ended         bool       // the run has given it up, or has its end
-	sendWhenReady bool       // it is to be sent as soon as it has a connection
-	answerBegun   bool       // an attempt's answer has begun: the part's rows are that one's alone, and no other is sent
-	attempts      []*attempt // that are out; the module may have a copy made
-	link          *link      // whose answer it is, from when it begins to its end
+	submitted     bool       // and not answered by the dispatcher yet
+	ended         bool       // cancelled by the run
+	sendWhenReady bool       // the run has sent all statements: it is sent as soon as it has a connection
+	answerBegun   bool       // the rows are those of one attempt from now on, and no other is sent
+	attempts      []*attempt // at servers; hedging may start more than one
+	link          *link      // the connection of the answer, until that has ended
 }
 
-// attempt is a part's try at one server.
-type attempt struct {
-	ref           slotmap.Ref
-	id            backend.AttemptID
-	server        string
-	part          *part
-	link          *link // once it has one
-	ended         bool
-	resetInAnswer bool // its connection broke within the answer
-	timer         *timers.Timer
-}
-
-// AppendQuery is backend.Query's; a shard is asked by its own front.
+// AppendQuery implements backend.Query. It is not called: the statement is sent by link.
 func (p *part) AppendQuery(dst []byte, _ int) []byte { return dst }
 
-// Served is front.Client's. For the decision module a read is served when its first row has come; the rest is the run's.
+// Served implements platform.Client. For the dispatcher, a read is served when its first row has come.
 func (p *part) Served([]byte) { p.submitted = false }
 
-// Rejected is front.Client's.
+// Rejected implements platform.Client.
 func (p *part) Rejected(retryMs float64) {
 	p.submitted = false
 	p.scatter.handle(func(now float64) []execution.Action {
@@ -50,103 +37,49 @@
 	})
 }
 
-// Failed is front.Client's.
+// Failed implements platform.Client.
 func (p *part) Failed() {
 	p.submitted = false
 	p.reportFailure("its server gave no answer in time or broke off", true)
 }
 
-func (p *part) reportFailure(why string, again bool) {
+// reportFailure reports to the run that the read has failed.
+func (p *part) reportFailure(cause string, retryable bool) {
 	p.scatter.handle(func(now float64) []execution.Action {
-		return p.scatter.run.Failed(p.action.Shard, p.action.Attempt, why, again, now)
+		return p.scatter.run.Failed(p.action.Shard, p.action.Attempt, cause, retryable, now)
 	})
 }
 
-// rejectRows tells of rows that can't be merged, wherever they are read.
+// rejectRows reports rows that cannot be merged. Other servers would send the same.
 func (p *part) rejectRows(err error) {
-	if p.scatter.err == nil && p.scatter.spec.MaxMissing == 0 {
-		p.scatter.err = fmt.Errorf("shard %q: %w", p.scatter.spec.Shards[p.action.Shard].Name, err)
+	s := p.scatter
+	if s.err == nil && s.spec.MaxMissing == 0 {
+		s.err = fmt.Errorf("shard %q: %w", s.spec.Shards[p.action.Shard].Name, err)
 	}
 	p.reportFailure(err.Error(), false)
 }
 
-// StartAttempt is core.Servers' Start for this front's parts.
-func (f *Frontend) StartAttempt(store string, q backend.Query, until float64, t backend.AttemptID) slotmap.Ref {
-	p := q.(*part)
-	a := &attempt{id: t, server: store, part: p}
-	a.ref = f.attempts.Put(a)
-	a.timer = f.loop.At(until, func() { f.endAttempt(a, decide.TimedOut, nil) })
-	p.attempts = append(p.attempts, a)
-	switch {
-	case f.addresses[store] == "":
-		f.endAttempt(a, decide.Unreachable, nil)
-	case p.ended || p.answerBegun:
-		f.endAttempt(a, decide.NotSent, nil)
-	default:
-		f.connect(a)
-	}
-	return slotmap.Ref{Index: a.ref.Index | attemptRefBit, Gen: a.ref.Gen}
-}
-
-// Cancel is core.Servers': it gives an attempt up.
-func (f *Frontend) Cancel(ref slotmap.Ref) {
-	if a, ok := f.attempts.Get(slotmap.Ref{Index: ref.Index &^ attemptRefBit, Gen: ref.Gen}); ok {
-		f.endAttempt(a, decide.Cancelled, nil)
-	}
-}
-
-// endAttempt ends an attempt, once.
-func (f *Frontend) endAttempt(a *attempt, r decide.Result, l *link) {
-	if a.ended {
-		return
-	}
-	a.ended = true
-	f.attempts.Remove(a.ref)
-	f.loop.StopTimer(a.timer)
-	p, x := a.part, a.link
-	if i := slices.Index(p.attempts, a); i >= 0 {
-		p.attempts = slices.Delete(p.attempts, i, i+1)
-	}
-	quit := r == decide.TimedOut || r == decide.Cancelled
-	switch {
-	case quit && a.resetInAnswer:
-		r = decide.Reset
-	case quit && x != nil && x == p.link: // its answer has begun: it was served, and the rest is the run's
-		r = decide.OK
-	}
-	o := backend.Outcome{Result: r}
-	if l != nil {
-		o.Role, o.Position, o.HasPos = l.reportedState()
-	}
-	if a.link = nil; x != nil && r != decide.OK {
-		if !x.sent && quit {
-			o.Result = decide.NotSent // nothing was sent
-		}
-		x.detach()
-	}
-	f.events.AttemptEnded(a.id, o)
-}
-
-// beginAnswer has a part's answer be the one that comes on a link. A copy that is out is given up: rows of two would not be in order, and the end of one
-// is not the other's.
+// beginAnswer takes the rows from one connection. Other attempts are cancelled: the rows of two servers would not be in order, and the
+// end of one is not that of the other.
 func (p *part) beginAnswer(l *link) {
 	if p.answerBegun {
 		return
 	}
-	p.answerBegun, p.link = true, l
+	p.answerBegun = true
+	p.link = l
 	if len(p.attempts) < 2 {
 		return
 	}
 	f := p.scatter.frontend
-	if a := l.attempt; a != nil {
-		f.endAttempt(a, decide.OK, nil) // first, so the module asks no other in place of those that are given up
+	if l.attempt != nil {
+		f.endAttempt(l.attempt, decide.OK, nil) // first, so that no further attempt is started for those that are cancelled
 	}
 	for _, a := range slices.Clone(p.attempts) {
 		f.endAttempt(a, decide.Cancelled, nil)
 	}
 }
 
-// connected goes on with a part that has a connection.
+// connected uses the connection of an attempt.
 func (p *part) connected(l *link) {
 	l.attempt.link = l
 	if p.sendWhenReady {
@@ -158,7 +91,7 @@
 	})
 }
 
-// sendAll has the statement go out, at once or when there is a connection.
+// sendAll sends the statement on each attempt's connection, now or when it is open.
 func (p *part) sendAll() {
 	p.sendWhenReady = true
 	for _, a := range slices.Clone(p.attempts) {
@@ -170,7 +103,7 @@
 
 func (p *part) send(l *link) {
 	f := p.scatter.frontend
-	if f.draining[l.key.server] { // it drains since: the module knows another one
+	if f.draining[l.key.server] { // the decision module chooses another server
 		f.endAttempt(l.attempt, decide.Overloaded, nil)
 		return
 	}
@@ -188,7 +121,7 @@
 	}
 }
 
-// abandon ends a part for the run. A server that works on it is told.
+// abandon ends a part that the run does not need any more. Servers that run its statement are sent a cancel request.
 func (p *part) abandon() {
 	if p.ended {
 		return
@@ -197,21 +130,25 @@
 	if p.link != nil {
 		p.link.endAnswer()
 	}
-	tries := slices.Clone(p.attempts)
-	for _, a := range tries {
+	f := p.scatter.frontend
+	attempts := slices.Clone(p.attempts)
+	for _, a := range attempts {
 		l := a.link
-		if l != nil && l.sent {
+		if l == nil {
+			continue
+		}
+		if l.sent {
 			l.endAnswer()
 		}
-		if p.submitted && l != nil && l.answerBegun { // its answer has begun: as far as it was wanted it was served
-			p.scatter.frontend.endAttempt(a, decide.OK, nil)
+		if p.submitted && l.answerBegun { // the server has answered, as far as its answer was needed
+			f.endAttempt(a, decide.OK, nil)
 		}
 	}
 	if p.submitted {
 		p.submitted = false
-		p.scatter.frontend.dispatcher.Abandon(p.ref)
+		f.dispatcher.Abandon(p.ref)
 	}
-	for _, a := range tries {
+	for _, a := range attempts {
 		if l := a.link; l != nil && !l.sent {
 			a.link = nil
 			l.detach()
--- a/internal/frontend/scatter/rows.go
+++ b/internal/frontend/scatter/rows.go
@@ -9,19 +9,20 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// orderColumns say where in a shard's rows the order's columns are.
+// orderColumns are the places of the order's columns in a shard's rows.
 type orderColumns struct {
-	indexes []int  // column of the row, by the order's
-	binary  []bool // its form
+	indexes []int  // by column of the order: its index in the row
+	binary  []bool // by column of the order: whether its values are in the binary format
 	values  [][]byte
 }
 
-// row takes a shard's row. It comes by no event of its own: that would be an allocation for each.
+// row handles a shard's row. It is not passed as an event, which would need an allocation for each row.
 func (s *Scatter) row(l *link, p *part, m pgwire.Message) {
-	if s.ended || s.handling {
-		if !s.ended {
-			s.frontend.log.Error("scatter: a row came within an event")
-		}
+	if s.ended {
+		return
+	}
+	if s.handling {
+		s.frontend.log.Error("scatter: a row came while an event was handled")
 		return
 	}
 	key, own, err := s.rowKey(&l.columns, m.Body)
@@ -33,111 +34,147 @@
 	s.perform(s.run.Row(p.action.Shard, p.action.Attempt, key, own, m.Raw, s.frontend.loop.Now()))
 	s.handlePending()
 	s.handling = false
-	if s.frontend.options.Checks.Enabled() {
-		set := s.spec.MaxHeldBytes()
-		s.frontend.options.Checks.That(s.frontend.heldBytesOf(s.specIndex) <= set, "scatter: bytes held of all pages are within their bound",
-			func() string { return fmt.Sprintf("%d of %d", s.frontend.heldBytesOf(s.specIndex), set) })
+	s.checkHeldBytes()
+}
+
+func (s *Scatter) checkHeldBytes() {
+	checks := s.frontend.options.Checks
+	if !checks.Enabled() {
+		return
 	}
+	limit := s.spec.MaxHeldBytes()
+	checks.That(s.frontend.heldBytesOf(s.specIndex) <= limit, "scatter: bytes held of all pages are within their bound",
+		func() string { return fmt.Sprintf("%d of %d", s.frontend.heldBytesOf(s.specIndex), limit) })
 }
 
-func (f *Frontend) heldBytesOf(no int) (n int) {
+// heldBytesOf returns the bytes of rows that are held for the pages of a spec.
+func (f *Frontend) heldBytesOf(specIndex int) (n int) {
 	for s := range f.running {
-		if s.specIndex == no {
+		if s.specIndex == specIndex {
 			n += s.heldBytes()
 		}
 	}
 	return n
 }
 
-// heldBytes is how many bytes of rows are held: by the merge, and of what was read ahead.
-func (s *Scatter) heldBytes() int {
-	n := s.run.HeldBytes()
-	for _, p := range s.parts {
-		if p != nil && p.link != nil {
-			n += p.link.input.Pending()
+// rowKey returns the key of a DataRow, and where the shard's own part of it begins. The key is valid until the next call.
+func (s *Scatter) rowKey(columns *orderColumns, body []byte) (key []byte, own int, err error) {
+	if err := readValues(columns.values, body); err != nil {
+		return nil, 0, err
+	}
+	order := &s.spec.Order
+	s.key = s.key[:0]
+	for i := range order.Columns {
+		if i == order.Own {
+			own = len(s.key)
+		}
+		s.key, err = order.Columns[i].Append(s.key, columns.values[columns.indexes[i]], columns.binary[i])
+		if err != nil {
+			return nil, 0, err
 		}
 	}
-	return n
+	return s.key, own, nil
 }
 
-// rowKey is a row's key.
-func (s *Scatter) rowKey(c *orderColumns, body []byte) (key []byte, own int, err error) {
-	if len(body) < 2 || int(binary.BigEndian.Uint16(body)) != len(c.values) {
-		return nil, 0, ErrColumns
-	}
-	at := 2
-	for i := range c.values {
-		if len(body)-at < 4 {
-			return nil, 0, ErrColumns
+// readValues reads the values of a DataRow, nil for NULL.
+func readValues(values [][]byte, body []byte) error {
+	if len(body) < 2 || int(binary.BigEndian.Uint16(body)) != len(values) {
+		return ErrColumns
+	}
+	body = body[2:]
+	for i := range values {
+		if len(body) < 4 {
+			return ErrColumns
 		}
-		n := int32(binary.BigEndian.Uint32(body[at:]))
-		if at += 4; n < 0 {
-			c.values[i] = nil
+		length := int(int32(binary.BigEndian.Uint32(body)))
+		body = body[4:]
+		if length < 0 {
+			values[i] = nil
 			continue
 		}
-		if len(body)-at < int(n) {
-			return nil, 0, ErrColumns
-		}
-		c.values[i] = body[at : at+int(n)]
-		at += int(n)
-	}
-	o := &s.spec.Order
-	s.key = s.key[:0]
-	for i := range o.Columns {
-		if i == o.Own {
-			own = len(s.key)
-		}
-		if s.key, err = o.Columns[i].Append(s.key, c.values[c.indexes[i]], c.binary[i]); err != nil {
-			return nil, 0, err
+		if len(body) < length {
+			return ErrColumns
 		}
+		values[i] = body[:length]
+		body = body[length:]
 	}
-	return s.key, own, nil
+	return nil
 }
 
-// describe takes a shard's description of its rows, and holds it to the order and to the other shards'.
+// describe handles a shard's RowDescription, which must have the columns of the order, and be the same for all shards.
 func (s *Scatter) describe(l *link, m pgwire.Message) error {
-	cols, names, oids, err := readColumns(m.Body)
+	columns, err := readColumns(m.Body)
 	if err != nil {
 		return err
 	}
-	o := &s.spec.Order
-	l.columns = orderColumns{indexes: make([]int, len(o.Columns)), binary: make([]bool, len(o.Columns)), values: make([][]byte, len(cols))}
-	for i := range o.Columns {
-		c := &o.Columns[i]
-		k := slices.Index(names, c.Name)
+	order := &s.spec.Order
+	l.columns = orderColumns{
+		indexes: make([]int, len(order.Columns)),
+		binary:  make([]bool, len(order.Columns)),
+		values:  make([][]byte, len(columns)),
+	}
+	for i := range order.Columns {
+		column := &order.Columns[i]
+		index := slices.IndexFunc(columns, func(c rowColumn) bool { return c.name == column.Name })
 		switch {
-		case k < 0:
-			return fmt.Errorf("%w: there is no column %q", ErrColumns, c.Name)
-		case !c.Type.Is(oids[k]):
-			return fmt.Errorf("%w: column %q is not of type %s", ErrColumns, c.Name, c.Type)
+		case index < 0:
+			return fmt.Errorf("%w: there is no column %q", ErrColumns, column.Name)
+		case !column.Type.Is(columns[index].typeID):
+			return fmt.Errorf("%w: column %q is not of type %s", ErrColumns, column.Name, column.Type)
 		}
-		l.columns.indexes[i], l.columns.binary[i] = k, cols[k] == 1
+		l.columns.indexes[i] = index
+		l.columns.binary[i] = columns[index].format == formatBinary
 	}
 	if s.description == nil {
 		s.description = slices.Clone(m.Raw)
 		s.reader.Describe(s.description)
 		return nil
 	}
-	if c2, n2, o2, err := readColumns(s.description[5:]); err != nil || !slices.Equal(cols, c2) || !slices.Equal(names, n2) || !slices.Equal(oids, o2) {
+	first, err := readColumns(s.description[messageHeadBytes:])
+	if err != nil || !slices.Equal(columns, first) {
 		return fmt.Errorf("%w: its columns are not those of the other shards", ErrColumns)
 	}
 	return nil
 }
 
-// readColumns reads a RowDescription: forms, names and types.
-func readColumns(b []byte) (forms []uint16, names []string, oids []uint32, err error) {
-	if len(b) < 2 {
-		return nil, nil, nil, ErrColumns
-	}
-	n := int(binary.BigEndian.Uint16(b))
-	b = b[2:]
-	for range n {
-		name, rest, ok := bytes.Cut(b, []byte{0})
-		if !ok || len(rest) < 18 {
-			return nil, nil, nil, ErrColumns
+// messageHeadBytes is the length of a message's type and length.
+const messageHeadBytes = 5
+
+const formatBinary = 1
+
+// A column in a RowDescription is its name, and fields of this length with the type and the format at these offsets.
+const (
+	columnFieldBytes   = 18
+	columnTypeOffset   = 6
+	columnFormatOffset = 16
+)
+
+// rowColumn is a column of a RowDescription.
+type rowColumn struct {
+	name   string
+	typeID uint32
+	format uint16
+}
+
+// readColumns reads a RowDescription.
+func readColumns(body []byte) ([]rowColumn, error) {
+	if len(body) < 2 {
+		return nil, ErrColumns
+	}
+	var columns []rowColumn
+	count := int(binary.BigEndian.Uint16(body))
+	body = body[2:]
+	for range count {
+		name, fields, ok := bytes.Cut(body, []byte{0})
+		if !ok || len(fields) < columnFieldBytes {
+			return nil, ErrColumns
 		}
-		names, oids = append(names, string(name)), append(oids, binary.BigEndian.Uint32(rest[6:]))
-		forms, b = append(forms, binary.BigEndian.Uint16(rest[16:])), rest[18:]
+		columns = append(columns, rowColumn{
+			name:   string(name),
+			typeID: binary.BigEndian.Uint32(fields[columnTypeOffset:]),
+			format: binary.BigEndian.Uint16(fields[columnFormatOffset:]),
+		})
+		body = fields[columnFieldBytes:]
 	}
-	return forms, names, oids, nil
+	return columns, nil
 }
--- a/internal/frontend/scatter/scatter.go
+++ b/internal/frontend/scatter/scatter.go
@@ -14,157 +14,220 @@
 	"beechgrade/internal/frontend/scatter/plan"
 )
 
-// Reader is the client's side of one page.
+// Reader is the client of one page. After Page or Fail it is not called any more.
 type Reader interface {
-	Describe(row []byte)              // RowDescription, once, before the first row
-	Row(row []byte)                   // DataRow, valid during the call
-	Flush()                           // what came may go out
-	Unsent() int                      // bytes that the client has not taken
-	Page(p *Page)                     // the page's end
-	Fail(f *execution.Run, err error) // ...where it came to none
+	// Describe passes the RowDescription, once, before the first row.
+	Describe(message []byte)
+	// Row passes a DataRow, which is valid during the call.
+	Row(message []byte)
+	// Flush sends the rows that were passed.
+	Flush()
+	// Unsent returns the bytes that the client has not read.
+	Unsent() int
+	// Page ends the page.
+	Page(page *Page)
+	// Fail ends a page that was not served; run.Verdict tells whether anything was sent.
+	Fail(run *execution.Run, err error)
 }
 
-// Page is what stands at the end of one.
+// Page is the result of a page that was served.
 type Page struct {
 	Rows    int
-	Cursor  string   // empty where there are no more rows
+	Cursor  string   // of the next page, empty if there are no more rows
 	Missing []string // shards that were left out
 }
 
-// Caller asks.
+// Caller is the session that reads a page.
 type Caller struct {
-	Database, User string
-	Settings       *sessionstate.Client
-	Session        string
-	MinPositionMs  float64 // the session's last write, Unix ms
+	Database      string
+	User          string
+	Settings      *sessionstate.Client
+	Session       string
+	MinPositionMs float64 // of the session's last write, in Unix ms
 }
 
-// Errors of what can't be begun.
+// Errors of a page that cannot begin.
 var (
 	ErrUnknownScatter = errors.New("there is no scatter of this name")
 	ErrPageTooLong    = errors.New("the page has more rows than the settings allow")
 	ErrEncoding       = errors.New("a scattered read takes clients with client_encoding UTF8 and DateStyle ISO only")
 	ErrBusy           = errors.New("too many scattered reads at a time")
-	ErrColumns        = errors.New("the rows do not have the columns that the settings say")
 )
 
-// Scatter is one page that is made.
+// ErrColumns is the error of rows whose columns are not those of the order.
+var ErrColumns = errors.New("the rows do not have the columns that the settings say")
+
+// Scatter is one page that is being read.
 type Scatter struct {
-	frontend      *Frontend
-	spec          *Spec
-	specIndex     int
-	id            uint64
-	settings      execution.Settings
-	query         plan.Query
-	caller        Caller
-	paramTypes    []byte
-	values        bindmessage.Values
-	binding       cursor.Binding
-	deadline      float64
-	reader        Reader
+	frontend   *Frontend
+	spec       *Spec
+	specIndex  int
+	id         uint64
+	settings   execution.Settings
+	query      plan.Query
+	caller     Caller
+	paramTypes []byte             // as in Parse
+	values     bindmessage.Values // of the client's parameters
+	binding    cursor.Binding     // of the page's cursors
+	deadline   float64
+	reader     Reader
+
 	run           *execution.Run
-	parts         []*part
+	parts         []*part // by shard
 	pendingEvents []func(now float64) []execution.Action
-	handling      bool
+	handling      bool // an event is being handled; others wait in pendingEvents
 	ended         bool
-	description   []byte // the first shard's description
-	rows          int
-	clientFull    bool // the client takes no more for now
-	key           []byte
-	err           error // that ends it, with the run's verdict
-}
-
-// Begin begins a page. types is as in Parse, params as in Bind behind its names; an error means that nothing was begun.
-func (f *Frontend) Begin(a plan.Query, who Caller, types, params []byte, r Reader) (*Scatter, error) {
-	no := f.specIndex(a.Scatter)
-	if no < 0 {
-		return nil, fmt.Errorf("%w: %q", ErrUnknownScatter, a.Scatter)
-	}
-	now, spec := f.loop.Now(), &f.options.Specs[no]
-	s := &Scatter{frontend: f, spec: spec, specIndex: no, settings: spec.ExecutionSettings(), query: a, caller: who, paramTypes: types, reader: r}
-	var err error
-	if s.values, err = bindmessage.Parse(params); err != nil {
-		return nil, err
-	}
-	page := a.Rows
-	if page == 0 {
-		page = spec.DefaultRows
+	err           error // the cause of a failure, in place of run.Cause
+
+	description []byte // RowDescription of the first shard that sent one
+	rows        int    // that were delivered
+	clientFull  bool   // the client does not read, and receives no rows
+	key         []byte // reused for each row
+}
+
+// Begin begins a page. paramTypes is as in Parse, params as in Bind after its names. After an error nothing has begun.
+func (f *Frontend) Begin(query plan.Query, caller Caller, paramTypes, params []byte, reader Reader) (*Scatter, error) {
+	index := f.specIndex(query.Scatter)
+	if index < 0 {
+		return nil, fmt.Errorf("%w: %q", ErrUnknownScatter, query.Scatter)
 	}
-	if page > spec.MaxRows {
-		return nil, fmt.Errorf("%w: %d, %d may be", ErrPageTooLong, page, spec.MaxRows)
+	spec := &f.options.Specs[index]
+	values, err := bindmessage.Parse(params)
+	if err != nil {
+		return nil, err
 	}
-	if e := who.Settings.Setting("client_encoding"); e != "" && !strings.EqualFold(strings.Trim(e, "'"), "utf8") && !strings.EqualFold(strings.Trim(e, "'"), "utf-8") {
-		return nil, ErrEncoding
+	pageRows, err := spec.pageRows(query)
+	if err != nil {
+		return nil, err
 	}
-	if d := who.Settings.Setting("datestyle"); d != "" && !strings.Contains(strings.ToLower(d), "iso") {
+	if !readsText(caller.Settings) {
 		return nil, ErrEncoding
 	}
-	text, list := a.Cursor, []string{a.Statement, string(types)}
-	for i, p := range s.values.Params {
-		if i+1 == a.CursorParam {
-			text = string(p)
-			continue
-		}
-		list = append(list, strconv.Itoa(i), string(p), strconv.FormatBool(p == nil))
-	}
-	if a.CursorParam > len(s.values.Params) {
-		return nil, fmt.Errorf("%w: there is no parameter $%d", plan.ErrComment, a.CursorParam)
-	}
-	s.binding = cursor.Binding{Statement: DigestOf(list...), Reader: DigestOf(a.Tenant, spec.Class, who.User, who.Database), Order: spec.orderDigest, Shards: spec.shardsDigest}
-	var places []cursor.Place
-	var needs []int64
-	if text != "" {
-		c, err := f.options.Ring.Open(text, now, &s.binding)
-		if err == nil && len(c.Places) != len(spec.Shards) {
-			err = cursor.ErrShards
-		}
-		if err != nil {
-			f.Counts.RejectedCursors++
-			return nil, err
-		}
-		places, needs = c.Places, c.MinPositions
+	s := &Scatter{
+		frontend:   f,
+		spec:       spec,
+		specIndex:  index,
+		settings:   spec.ExecutionSettings(),
+		query:      query,
+		caller:     caller,
+		paramTypes: paramTypes,
+		values:     values,
+		reader:     reader,
+		parts:      make([]*part, len(spec.Shards)),
 	}
-	if n := len(spec.Shards); f.perSpec[no] >= spec.MaxConcurrent || f.maxShards >= 0 && f.shardsInFlight+n > f.maxShards {
-		f.rejectedShards.count = f.rejectedShards.decayTo(now) + float64(n)
-		f.Counts.Rejected++
-		return nil, ErrBusy
+	now := f.loop.Now()
+	start, err := s.openCursor(now)
+	if err != nil {
+		return nil, err
 	}
-	wait := spec.TimeoutMs
-	if a.TimeoutMs > 0 {
-		wait = min(wait, a.TimeoutMs)
+	if err := f.admit(spec, index, now); err != nil {
+		return nil, err
 	}
-	s.deadline = now + wait
+	s.deadline = now + spec.timeoutMs(query)
 	f.lastID++
 	s.id = f.lastID
-	s.parts = make([]*part, len(spec.Shards))
-	s.run = execution.New(&s.settings, page, places, needs, s.deadline, f.options.Checks)
+	s.run = execution.New(&s.settings, pageRows, start.Places, start.MinPositions, s.deadline, f.options.Checks)
 	f.running[s] = true
-	f.perSpec[no]++
+	f.perSpec[index]++
 	f.shardsInFlight += len(spec.Shards)
 	f.Counts.Pages++
 	s.handle(s.run.Begin)
-	if !f.ticking {
-		f.ticking = true
-		f.loop.At(now+tickMs, f.tick)
-	}
+	f.startTicking(now)
 	return s, nil
 }
 
-// Abandon ends a page whose client has gone.
+// pageRows returns the number of rows of a page.
+func (s *Spec) pageRows(query plan.Query) (int, error) {
+	rows := query.Rows
+	if rows == 0 {
+		rows = s.DefaultRows
+	}
+	if rows > s.MaxRows {
+		return 0, fmt.Errorf("%w: %d, %d may be", ErrPageTooLong, rows, s.MaxRows)
+	}
+	return rows, nil
+}
+
+func (s *Spec) timeoutMs(query plan.Query) float64 {
+	if query.TimeoutMs > 0 {
+		return min(s.TimeoutMs, query.TimeoutMs)
+	}
+	return s.TimeoutMs
+}
+
+// readsText reports whether values are sent to the client in the form that the order of rows is read from.
+func readsText(settings *sessionstate.Client) bool {
+	encoding := strings.Trim(settings.Setting("client_encoding"), "'")
+	if settings.Setting("client_encoding") != "" && !strings.EqualFold(encoding, "utf8") && !strings.EqualFold(encoding, "utf-8") {
+		return false
+	}
+	dateStyle := settings.Setting("datestyle")
+	return dateStyle == "" || strings.Contains(strings.ToLower(dateStyle), "iso")
+}
+
+// openCursor sets what the cursors of the page are bound to, and returns what the client's cursor has, which is empty for the first
+// page.
+func (s *Scatter) openCursor(now float64) (start cursor.Cursor, err error) {
+	text := s.query.Cursor
+	bound := []string{s.query.Statement, string(s.paramTypes)}
+	for i, value := range s.values.Params {
+		if i+1 == s.query.CursorParam {
+			text = string(value)
+			continue
+		}
+		bound = append(bound, strconv.Itoa(i), string(value), strconv.FormatBool(value == nil))
+	}
+	if s.query.CursorParam > len(s.values.Params) {
+		return start, fmt.Errorf("%w: there is no parameter $%d", plan.ErrComment, s.query.CursorParam)
+	}
+	s.binding = cursor.Binding{
+		Statement: DigestOf(bound...),
+		Reader:    DigestOf(s.query.Tenant, s.spec.Class, s.caller.User, s.caller.Database),
+		Order:     s.spec.orderDigest,
+		Shards:    s.spec.shardsDigest,
+	}
+	if text == "" {
+		return start, nil
+	}
+	opened, err := s.frontend.options.Ring.Open(text, now, &s.binding)
+	if err == nil && len(opened.Places) != len(s.spec.Shards) {
+		err = cursor.ErrShards
+	}
+	if err != nil {
+		s.frontend.Counts.RejectedCursors++
+		return start, err
+	}
+	return *opened, nil
+}
+
+// admit returns ErrBusy if the page would exceed a limit.
+func (f *Frontend) admit(spec *Spec, index int, now float64) error {
+	shards := len(spec.Shards)
+	exceedsLimit := f.maxShards >= 0 && f.shardsInFlight+shards > f.maxShards
+	if f.perSpec[index] < spec.MaxConcurrent && !exceedsLimit {
+		return nil
+	}
+	f.rejectedShards.count = f.rejectedShards.decayTo(now) + float64(shards)
+	f.Counts.Rejected++
+	return ErrBusy
+}
+
+// Abandon ends a page whose client has disconnected.
 func (s *Scatter) Abandon() {
 	s.reader = discardReader{}
 	s.handle(func(float64) []execution.Action { return s.run.Abandon() })
 }
 
-// Ended tells whether the page has its end.
+// Ended reports whether the page has ended.
 func (s *Scatter) Ended() bool { return s.ended }
 
-// handle has the run told of something, behind what it is being told.
-func (s *Scatter) handle(e func(now float64) []execution.Action) {
+// handle passes an event to the run and performs its actions. An event that occurs meanwhile is handled after it.
+func (s *Scatter) handle(event func(now float64) []execution.Action) {
 	if s.ended {
 		return
 	}
-	if s.pendingEvents = append(s.pendingEvents, e); s.handling {
+	s.pendingEvents = append(s.pendingEvents, event)
+	if s.handling {
 		return
 	}
 	s.handling = true
@@ -173,7 +236,7 @@
 }
 
 func (s *Scatter) handlePending() {
-	for i := 0; i < len(s.pendingEvents); i++ {
+	for i := 0; i < len(s.pendingEvents); i++ { // events may be added meanwhile
 		s.perform(s.pendingEvents[i](s.frontend.loop.Now()))
 	}
 	clear(s.pendingEvents)
@@ -181,15 +244,12 @@
 }
 
 func (s *Scatter) perform(actions []execution.Action) {
-	for k := range actions {
-		a := &actions[k]
-		p := s.parts[a.Shard]
-		switch a.Kind {
+	for i := range actions {
+		action := &actions[i]
+		p := s.parts[action.Shard]
+		switch action.Kind {
 		case execution.Submit:
-			if a.Attempt > 1 {
-				s.frontend.Counts.Retried++
-			}
-			s.submit(*a)
+			s.submit(*action)
 		case execution.Send:
 			p.sendAll()
 		case execution.StopReading:
@@ -205,32 +265,37 @@
 				p.abandon()
 			}
 		case execution.Deliver:
-			s.rows++
-			s.frontend.Counts.Rows++
-			s.reader.Row(a.Row)
-			if !s.clientFull && s.reader.Unsent() > highWaterBytes {
-				s.clientFull = true
-				s.handle(func(now float64) []execution.Action { return s.run.SetClientReady(false, now) })
-			}
+			s.deliver(action.Row)
 		case execution.Finish:
 			s.finish()
 		}
 	}
 }
 
-// submit puts a shard's read to the decision module.
-func (s *Scatter) submit(a execution.Action) {
-	p := &part{scatter: s, action: a, submitted: true}
-	s.parts[a.Shard] = p
-	q := platform.Request{ID: fmt.Sprintf("scatter-%d-%d-%d", s.id, a.Shard, a.Attempt), Class: s.spec.Class, Tenant: s.query.Tenant, PlatformProtocol: s.query.Tenant != "",
-		Group: s.spec.Shards[a.Shard].Group, Session: s.caller.Session, MinPosition: max(float64(a.MinPosition), s.caller.MinPositionMs), Deadline: s.deadline, Query: p}
-	ref, err := s.frontend.dispatcher.Submit(q, p)
+// submit submits a shard's read to the dispatcher.
+func (s *Scatter) submit(action execution.Action) {
+	if action.Attempt > 1 {
+		s.frontend.Counts.Retried++
+	}
+	p := &part{scatter: s, action: action, submitted: true}
+	s.parts[action.Shard] = p
+	ref, err := s.frontend.dispatcher.Submit(platform.Request{
+		ID:               fmt.Sprintf("scatter-%d-%d-%d", s.id, action.Shard, action.Attempt),
+		Class:            s.spec.Class,
+		Tenant:           s.query.Tenant,
+		PlatformProtocol: s.query.Tenant != "",
+		Group:            s.spec.Shards[action.Shard].Group,
+		Session:          s.caller.Session,
+		MinPosition:      max(float64(action.MinPosition), s.caller.MinPositionMs),
+		Deadline:         s.deadline,
+		Query:            p,
+	}, p)
 	switch {
 	case err != nil:
 		p.submitted = false
 		s.err = err
 		p.reportFailure(err.Error(), false)
-	case p.submitted && p.ended:
+	case p.submitted && p.ended: // it was cancelled meanwhile
 		p.submitted = false
 		s.frontend.dispatcher.Abandon(ref)
 	case p.submitted:
@@ -238,10 +303,24 @@
 	}
 }
 
+// deliver passes a row to the client.
+func (s *Scatter) deliver(row []byte) {
+	s.rows++
+	s.frontend.Counts.Rows++
+	s.reader.Row(row)
+	if !s.clientFull && s.reader.Unsent() > highWaterBytes {
+		s.setClientFull(true)
+	}
+}
+
+func (s *Scatter) setClientFull(full bool) {
+	s.clientFull = full
+	s.handle(func(now float64) []execution.Action { return s.run.SetClientReady(!full, now) })
+}
+
 func (s *Scatter) tick() {
 	if s.clientFull && s.reader.Unsent() < lowWaterBytes {
-		s.clientFull = false
-		s.handle(func(now float64) []execution.Action { return s.run.SetClientReady(true, now) })
+		s.setClientFull(false)
 	}
 	s.handle(s.run.Tick)
 	for _, p := range s.parts {
@@ -253,3 +332,14 @@
 		s.reader.Flush()
 	}
 }
+
+// heldBytes returns the bytes of rows that are held: by the merge, and read ahead on the connections.
+func (s *Scatter) heldBytes() int {
+	n := s.run.HeldBytes()
+	for _, p := range s.parts {
+		if p != nil && p.link != nil {
+			n += p.link.input.Pending()
+		}
+	}
+	return n
+}
