--- a/internal/testkit/incident/avoided.go
+++ b/internal/testkit/incident/avoided.go
@@ -8,26 +8,26 @@
 	"beechgrade/internal/record"
 )
 
-// Avoided is for how long one pooler avoided a server by others' word, why, and by whose.
+// Avoided is a span in which a pooler avoided a server because other poolers reported it, and why.
 type Avoided struct {
 	Server    string   `json:"server"`
-	By        string   `json:"by"` // the pooler
+	By        string   `json:"by"` // the pooler that avoided it
 	Why       string   `json:"why"`
-	Reporters []string `json:"word"` // of these, by name where the records have it
+	Reporters []string `json:"word"` // the poolers that reported it, by name where the records show it
 	From      float64  `json:"from_ms"`
-	To        float64  `json:"to_ms"` // 0 for the records' end
+	To        float64  `json:"to_ms"` // 0: until the end of the records
 }
 
-// maxAvoided bounds how many are kept; what comes after them is left out.
+// maxAvoided bounds the spans that are kept; later ones are dropped.
 const maxAvoided = 20000
 
-// avoided is who avoided what when.
+// avoided collects the spans in which poolers avoided servers.
 type avoided struct {
 	all  []Avoided
-	last map[[2]string]int // by pooler and server: the last of them that lasts, numbered from 1
+	last map[[2]string]int // by pooler and server: index of the span that lasts plus 1
 }
 
-// event takes 'server: why by id,id until ms', or 'server: no more'.
+// event takes 'server: why by id,id until ms', or 'server: no more', which ends the span.
 func (a *avoided) event(pooler string, e *record.Event) {
 	i := strings.LastIndex(e.Text, ": ")
 	if i <= 0 {
@@ -38,7 +38,7 @@
 		a.all[n-1].To = e.At
 		delete(a.last, key)
 	}
-	if len(fields) != 5 || fields[1] != "by" || fields[3] != "until" || len(a.all) >= maxAvoided {
+	if !isAvoidance(fields) || len(a.all) >= maxAvoided {
 		return
 	}
 	if a.last == nil {
@@ -48,9 +48,14 @@
 	a.last[key] = len(a.all)
 }
 
-// ended has a pooler's process end: it avoids nothing any more.
+// isAvoidance reports whether fields are 'why by id,id until ms'.
+func isAvoidance(fields []string) bool {
+	return len(fields) == 5 && fields[1] == "by" && fields[3] == "until"
+}
+
+// ended ends the spans of a pooler whose process ended.
 func (a *avoided) ended(pooler string, at float64) {
-	for k, n := range a.last { // each on its own
+	for k, n := range a.last {
 		if k[0] == pooler {
 			a.all[n-1].To = at
 			delete(a.last, k)
@@ -58,7 +63,7 @@
 	}
 }
 
-// view tells them with names for those whom the poolers have seen.
+// view returns the spans by server, pooler and time. Process ids become names where peers observed them.
 func (a *avoided) view(seen []Seen) []Avoided {
 	names := map[string]string{}
 	for _, s := range seen {
--- a/internal/testkit/incident/cells.go
+++ b/internal/testkit/incident/cells.go
@@ -1,13 +1,13 @@
 package incident
 
-// cell is what falls into one stretch of time for a class.
+// cell is what a class received and was served during a cell of time.
 type cell struct {
 	asked, got                       float32 // worth
 	requests, repeats                uint32
 	served, refused, failed, unknown uint32
 }
 
-// cell finds a class's cell of a time, joining cells where there are too many.
+// cell is the cell of a class at a time.
 func (m *Model) cell(c *class, at float64) *cell {
 	i := m.index(at)
 	for len(m.cells[c.index]) <= i {
@@ -16,7 +16,8 @@
 	return &m.cells[c.index][i]
 }
 
-// index is the number of the stretch that a time falls into. Times before the first are counted into it.
+// index is the number of the cell that a time falls into. Times before the first event count into the first cell. Where there would
+// be too many cells, all become wider.
 func (m *Model) index(at float64) int {
 	if at < m.from {
 		if m.from-at > firstCellMs {
@@ -30,6 +31,7 @@
 	return int((at - m.from) / m.width)
 }
 
+// widen doubles the width of all cells by merging each two neighbours.
 func (m *Model) widen() {
 	m.width *= 2
 	for k, list := range m.cells {
--- a/internal/testkit/incident/chains.go
+++ b/internal/testkit/incident/chains.go
@@ -9,30 +9,32 @@
 	"beechgrade/internal/record/recordpb"
 )
 
+// chainKey is what a request and its client's retry have in common.
 type chainKey struct {
 	class   int
 	group   int64
 	session uint64
 }
 
-// retryChain is what a client asked once, with the tries that followed.
+// retryChain is a request of a client with the retries that followed it. It is served once at most.
 type retryChain struct {
 	key          chainKey
 	class        *class
 	group        *group
 	firstAt      float64
-	lastAt       float64 // its last try's end
-	openRequests int     // tries without an answer
+	lastAt       float64 // end of its last request
+	openRequests int     // requests without an answer
 	resultBits   uint16
 	final        recordpb.Final
 	reason       record.Reason
-	answerLost   bool // a try's answer is unknown
+	answerLost   bool // the answer to one of its requests is unknown
 	done         bool
 	queued       bool
 	requests     int
 }
 
-// chainOfRetry finds the chain that a client's repeat belongs to: the oldest that has no answer it could live with.
+// chainOfRetry finds the chain that a client's retry belongs to: the oldest one that is not done and whose requests all have
+// answers, or else the oldest with an open request; nil for none.
 func (m *Model) chainOfRetry(key chainKey, at float64) *retryChain {
 	var other *retryChain
 	for _, c := range m.chains[key] {
@@ -47,6 +49,7 @@
 	return other
 }
 
+// addChain lets retries find a chain. Chains beyond the bound are not found; they are counted.
 func (m *Model) addChain(c *retryChain) {
 	if m.chainCount >= maxChains {
 		m.retryLost++
@@ -56,6 +59,7 @@
 	m.chains[c.key] = append(m.chains[c.key], c)
 }
 
+// removeChain lets no more retries find a chain.
 func (m *Model) removeChain(c *retryChain) {
 	list := m.chains[c.key]
 	i := slices.Index(list, c)
@@ -70,7 +74,7 @@
 	m.chains[c.key] = slices.Delete(list, i, i+1)
 }
 
-// recordServed books the worth of an answer.
+// recordServed counts the worth of an answer, reduced where it came after the latency objective.
 func (m *Model) recordServed(chain *retryChain, at float64) {
 	if chain.done {
 		return
@@ -100,7 +104,7 @@
 	m.removeChain(chain)
 }
 
-// awaitRetry keeps a chain whose try was not served until its client has had the time to ask again.
+// awaitRetry keeps a chain that was not served for as long as its client may retry.
 func (m *Model) awaitRetry(chain *retryChain) {
 	if !chain.done && !chain.queued {
 		chain.queued = true
@@ -108,7 +112,7 @@
 	}
 }
 
-// markUnknown books a request whose answer is not in the records.
+// markUnknown counts a request whose answer is not in the records.
 func (m *Model) markUnknown(run *poolerRun, request *openRequest, at float64) {
 	request.class.Unknown++
 	m.cell(request.class, request.receivedAt).unknown++
@@ -129,7 +133,7 @@
 	m.awaitRetry(request.chain)
 }
 
-// expire closes what nothing more can come of.
+// expire abandons chains whose clients no longer retry, and counts requests long past their deadline as unknown.
 func (m *Model) expire() {
 	m.expiredAt = m.to
 	for chain := m.awaitingRetry.first(); chain != nil && (chain.done || m.to-chain.lastAt > retryWindowMs); chain = m.awaitingRetry.first() {
@@ -153,7 +157,7 @@
 	}
 }
 
-// abandon books a chain that was never served.
+// abandon ends a chain that was never served: all its worth is lost.
 func (m *Model) abandon(chain *retryChain) {
 	if chain.done {
 		return
@@ -163,7 +167,7 @@
 	m.attributeLoss(chain, chain.class.Worth, chain.lastAt)
 }
 
-// attributeLoss books lost worth under the cause that the records show.
+// attributeLoss adds lost worth to the cause that the records show.
 func (m *Model) attributeLoss(chain *retryChain, worth float64, end float64) {
 	name := chain.group.cause(chain, end)
 	c := m.causes[name]
@@ -177,25 +181,30 @@
 	chain.group.addLoss(chain.firstAt, end, worth)
 }
 
-// queue holds chains in the order of their ends, about.
+// queue is a first-in, first-out queue of chains.
 type queue struct {
 	list []*retryChain
 	head int
 }
 
-func (request *queue) push(c *retryChain) { request.list = append(request.list, c) }
+func (q *queue) push(c *retryChain) { q.list = append(q.list, c) }
 
-func (request *queue) first() *retryChain {
-	if request.head == len(request.list) {
+func (q *queue) first() *retryChain {
+	if q.head == len(q.list) {
 		return nil
 	}
-	return request.list[request.head]
+	return q.list[q.head]
 }
 
-func (request *queue) pop() {
-	request.list[request.head] = nil
-	if request.head++; request.head > 1024 && request.head > len(request.list)/2 {
-		request.list = request.list[:copy(request.list, request.list[request.head:])]
-		request.head = 0
+// compactAfter is how many removed chains a queue keeps space for at least.
+const compactAfter = 1024
+
+// pop removes the first chain. The list is compacted when more than half of it is free.
+func (q *queue) pop() {
+	q.list[q.head] = nil
+	q.head++
+	if q.head > compactAfter && q.head > len(q.list)/2 {
+		q.list = q.list[:copy(q.list, q.list[q.head:])]
+		q.head = 0
 	}
 }
--- a/internal/testkit/incident/fleet.go
+++ b/internal/testkit/incident/fleet.go
@@ -8,25 +8,25 @@
 	"beechgrade/internal/record"
 )
 
-// Seen is for how long one pooler took another's process for something.
+// Seen is a span in which a pooler observed another pooler's process in a state.
 type Seen struct {
 	By    string  `json:"by"`
 	Of    string  `json:"of"`
 	State string  `json:"state"` // alive, suspect, failed or left
 	From  float64 `json:"from_ms"`
-	To    float64 `json:"to_ms"` // 0 for the records' end
+	To    float64 `json:"to_ms"` // 0: until the end of the records
 }
 
-// maxSeen bounds how many are kept; what comes after them is left out.
+// maxSeen bounds the spans that are kept; later ones are dropped.
 const maxSeen = 20000
 
-// fleet is who saw whom, in the records of poolers that are peers.
+// fleet collects the states in which peers observed each other.
 type fleet struct {
 	seen []Seen
-	last map[[2]string]int // by pooler and process: the last of them, numbered from 1
+	last map[[2]string]int // by pooler and process: index of the latest span plus 1
 }
 
-// event takes what a pooler made of a process: 'name id zone: state', with ', was state' behind it where that is known.
+// event takes the state of a process as a pooler observed it: 'name id zone: state', followed by ', was state' where it changed.
 func (f *fleet) event(pooler string, e *record.Event) {
 	who, what, ok := strings.Cut(e.Text, ": ")
 	name, id, _ := strings.Cut(who, " ")
@@ -48,7 +48,7 @@
 	f.last[key] = len(f.seen)
 }
 
-// ended has a pooler's process end: what it thought is nothing any more.
+// ended ends the spans of a pooler whose process ended.
 func (f *fleet) ended(pooler string, at float64) {
 	for k, i := range f.last {
 		if k[0] == pooler {
@@ -58,6 +58,7 @@
 	}
 }
 
+// view returns the spans by observer, process and time.
 func (f *fleet) view() []Seen {
 	out := slices.Clone(f.seen)
 	slices.SortStableFunc(out, func(a, b Seen) int {
--- a/internal/testkit/incident/groups.go
+++ b/internal/testkit/incident/groups.go
@@ -8,25 +8,26 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// group is what the records tell of a primary and its replicas.
+// group is a primary with its replicas.
 type group struct {
 	id              int64
 	servers         []*server
 	writes          uint64 // writes
-	lastWriter      string // server that served the last write...
+	lastWriter      string // name of the server that served the last write
 	lastWriteAt     float64
-	unservedWrites  int     // writes since then that were not served
-	firstUnservedAt float64 // the first of them
+	unservedWrites  int     // since the last served write
+	firstUnservedAt float64 // time of the first of them
 	gaps            []*gap
 	more            int // gaps beyond the bound
 }
 
-// gap is a time in which a group served no write.
+// gap is a time in which a group served no write although some were received.
 type gap struct {
 	Gap
-	listedAt map[string]float64 // by pooler: when its list named the new primary
+	listedAt map[string]float64 // by pooler: when its endpoint list named the new primary
 }
 
+// group returns the group of an id, and adds it where it is new.
 func (m *Model) group(id int64) *group {
 	g := m.groups[id]
 	if g == nil {
@@ -36,7 +37,7 @@
 	return g
 }
 
-// onWrite takes a write's attempt that ended.
+// onWrite takes the end of a write attempt. The first served write after unserved ones may end a gap.
 func (g *group) onWrite(m *Model, s *server, e *record.Event) {
 	if e.Result != uint8(decide.OK) {
 		if e.Result != uint8(decide.NotSent) && e.Result != uint8(decide.Cancelled) {
@@ -45,15 +46,25 @@
 		return
 	}
 	if e.At < g.lastWriteAt {
-		return // another pooler's clock, or a part that overlaps
+		return // recorded by a pooler whose clock is behind
 	}
-	long := e.At - g.lastWriteAt
-	switch other := s.Name != g.lastWriter; {
-	case g.lastWriter == "" || g.unservedWrites == 0:
-	case other && long >= takeoverMs, long >= interruptionMs:
+	if g.endsGap(s, e.At) {
 		g.closeGap(m, s, e.At)
 	}
-	g.lastWriter, g.lastWriteAt, g.unservedWrites = s.Name, e.At, 0
+	g.lastWriter = s.Name
+	g.lastWriteAt = e.At
+	g.unservedWrites = 0
+}
+
+// endsGap reports whether a write that a server serves ends a takeover or an interruption.
+func (g *group) endsGap(s *server, at float64) bool {
+	if g.lastWriter == "" || g.unservedWrites == 0 {
+		return false
+	}
+	if s.Name != g.lastWriter {
+		return at-g.lastWriteAt >= takeoverMs
+	}
+	return at-g.lastWriteAt >= interruptionMs
 }
 
 // onUnservedWrite counts a write that was not served.
@@ -63,6 +74,7 @@
 	}
 }
 
+// closeGap reports a gap that a write of server s ends.
 func (g *group) closeGap(m *Model, s *server, at float64) {
 	x := &gap{Gap: Gap{
 		Group:       g.id,
@@ -92,7 +104,7 @@
 	m.addFinding(Finding{At: x.From, To: at, Kind: kind, Group: g.id, Server: x.New, Grave: true, Text: text})
 }
 
-// onPrimaryListed notes that a pooler's list has a primary of this name.
+// onPrimaryListed notes that a pooler's endpoint list names server s as the primary.
 func (g *group) onPrimaryListed(run *poolerRun, s *server, at float64) {
 	for _, p := range g.gaps {
 		if _, ok := p.listedAt[run.Pooler]; !ok && p.New == s.Name && at >= p.From {
@@ -101,17 +113,18 @@
 	}
 }
 
-// inWriteGap tells whether a stretch meets a time in which the group served no write, one that goes on included.
+// inWriteGap reports whether a span overlaps a gap, one that has not ended included.
 func (g *group) inWriteGap(from, to float64) bool {
 	for _, p := range g.gaps {
 		if from <= p.To && to >= p.From {
 			return true
 		}
 	}
-	return g.unservedWrites > 0 && to-g.lastWriteAt >= takeoverMs && to >= g.firstUnservedAt && g.lastWriter != ""
+	inOpenGap := g.lastWriter != "" && g.unservedWrites > 0
+	return inOpenGap && to >= g.firstUnservedAt && to-g.lastWriteAt >= takeoverMs
 }
 
-// addLoss books lost worth to the gaps that it falls into.
+// addLoss adds lost worth to the first gap that a span overlaps.
 func (g *group) addLoss(from, to, worth float64) {
 	for _, p := range g.gaps {
 		if from <= p.To && to >= p.From {
@@ -121,7 +134,7 @@
 	}
 }
 
-// cause says why a chain was not served, or not in time, as far as the records show it.
+// cause is why a chain was not served, or not in time, as far as the records show it. The first that applies counts.
 func (g *group) cause(chain *retryChain, end float64) string {
 	primary := chain.class.Read == "write" || chain.class.Read == "fresh"
 	warmingUp, unresponsive := false, false
@@ -148,7 +161,7 @@
 	case chain.resultBits&bitOverloaded != 0:
 		return CauseServerRejected
 	case chain.final == recordpb.Final_FINAL_REFUSED && chain.resultBits == 0 && !primary && g.inWriteGap(chain.firstAt, end):
-		return CauseReducedCapacity // its reads crowd what is left of the group
+		return CauseReducedCapacity // the remaining servers do not have the capacity for its reads
 	case warmingUp && (chain.final == recordpb.Final_FINAL_REFUSED || chain.final == recordpb.Final_FINAL_SERVED):
 		return CauseWarmingUp
 	case chain.final == recordpb.Final_FINAL_REFUSED && chain.resultBits == 0:
@@ -163,7 +176,7 @@
 	return CauseUnknown
 }
 
-// Causes of lost worth.
+// Causes of lost worth, as reports name them.
 const (
 	CausePooler          = "the pooler ended with the request open"
 	CauseNoPrimary       = "no primary: a takeover or an interruption"
--- a/internal/testkit/incident/limits.go
+++ b/internal/testkit/incident/limits.go
@@ -9,25 +9,25 @@
 	"beechgrade/internal/record"
 )
 
-// LimitShare is how much of a limit of the whole fleet a pooler might use, for how long.
+// LimitShare is how much of a fleet-wide limit a pooler might use, and from when to when.
 type LimitShare struct {
 	Limit  string  `json:"limit"`
 	By     string  `json:"by"`
 	Amount float64 `json:"amount"`
 	From   float64 `json:"from_ms"`
-	To     float64 `json:"to_ms"` // 0 for the records' end
+	To     float64 `json:"to_ms"` // 0: until the end of the records
 }
 
-// maxLimitShares bounds how many are kept; what comes after them is left out.
+// maxLimitShares bounds the shares that are kept; later ones are dropped.
 const maxLimitShares = 20000
 
-// limits is who held how much when.
+// limits collects the shares of limits.
 type limits struct {
 	shares []LimitShare
-	last   map[[2]string]int // by pooler and limit: the last of them, numbered from 1
+	last   map[[2]string]int // by pooler and limit: index of the latest share plus 1
 }
 
-// event takes what a pooler was told that it may use: 'limit: amount'.
+// event takes the share that a pooler received, as 'limit: amount'. A text that cannot be parsed is passed over.
 func (l *limits) event(pooler string, e *record.Event) {
 	i := strings.LastIndex(e.Text, ": ")
 	if i <= 0 || len(l.shares) >= maxLimitShares {
@@ -52,7 +52,7 @@
 	l.last[key] = len(l.shares)
 }
 
-// ended has a pooler's process end: it uses nothing any more.
+// ended ends the shares of a pooler whose process ended.
 func (l *limits) ended(pooler string, at float64) {
 	for k, n := range l.last {
 		if k[0] == pooler {
@@ -62,6 +62,7 @@
 	}
 }
 
+// view returns the shares by limit, pooler and time.
 func (l *limits) view() []LimitShare {
 	out := slices.Clone(l.shares)
 	slices.SortStableFunc(out, func(a, b LimitShare) int {
--- a/internal/testkit/incident/pools.go
+++ b/internal/testkit/incident/pools.go
@@ -8,13 +8,13 @@
 	"beechgrade/internal/record"
 )
 
-// Bounds on what is told of pools.
+// Bounds and thresholds of pools. Times are in milliseconds.
 const (
 	maxPools    = 500
-	saturatedMs = 1000 // gauges in a row with all connections in use and clients waiting: the pool is cramped
-	gaugeGapMs  = 3000 // between two gauges: what lay between is not known
-	maxEnds     = 40   // codes with which sessions ended
-	stormPart   = 0.5  // of a pool's sessions that end within stormMs: a storm
+	saturatedMs = 1000 // a pool whose connections are all in use while clients wait for at least this long is saturated
+	gaugeGapMs  = 3000 // after a longer time between two gauges, what lay between is not known
+	maxEnds     = 40   // error codes of ended sessions; others count as "other"
+	stormPart   = 0.5  // part of a pool's sessions that end with at most stormMs between two of them: a storm
 	stormMs     = 1000
 	stormLeast  = 20
 	otherPools  = "(other pools)"
@@ -27,7 +27,7 @@
 	Ended       uint64            `json:"ended"`
 	Ends        map[string]uint64 `json:"ended_by_pooler,omitempty"` // by SQLSTATE
 	Hands       uint64            `json:"connections_given"`
-	Changed     uint64            `json:"changed_hands"` // of them, those that another client had had
+	Changed     uint64            `json:"changed_hands"` // of these, those that another client had before
 	Moved       uint64            `json:"moved_to_another_server"`
 	Carried     uint64            `json:"settings_carried"`
 	Refused     uint64            `json:"no_connection"`
@@ -37,20 +37,20 @@
 	WaitMost    float64           `json:"wait_most_ms"`
 	WaitMostAt  float64           `json:"wait_most_at_ms"`
 	MostClients int64             `json:"most_clients"` // of one pooler, at any time
-	MostUsed    int64             `json:"most_used"`    // of one pooler, in its gauges; so is what follows
+	MostUsed    int64             `json:"most_used"`    // of one pooler, by its gauges; likewise the next two
 	MostWaiting int64             `json:"most_waiting"`
 	Connections int64             `json:"connections_allowed"` // of one pooler
 	Cramped     []Stretch         `json:"cramped,omitempty"`
 }
 
-// PoolSeries is a pool over time: the most of each stretch, all poolers together.
+// PoolSeries is a pool over time: the maximum in each cell, all poolers together.
 type PoolSeries struct {
 	Waiting []uint32 `json:"waiting"`
 	Used    []uint32 `json:"used"`
 	Moved   []uint32 `json:"moved"`
 }
 
-// pool is what the model keeps of one.
+// pool is the state of a pool.
 type pool struct {
 	PoolView
 	waits   latencies
@@ -60,23 +60,25 @@
 	refused burst
 }
 
-// poolGauge is a pool of one pooler as its last gauge reported.
+// poolGauge is a pool at one pooler, by its last gauge.
 type poolGauge struct {
 	at            float64 // 0 before the first
 	waiting, used uint32
-	clients       int64   // as the sessions that have begun and ended since also report; never more than there are
-	saturatedFrom float64 // 0 where it is not
+	clients       int64   // by the gauge and the sessions that began and ended since; never more than there are
+	saturatedFrom float64 // 0 where the pool is not saturated
 }
 
+// poolCell is a pool during a cell of time.
 type poolCell struct{ waiting, used, moved uint32 }
 
-// burst counts what comes close together.
+// burst counts events with little time between them.
 type burst struct {
 	from, last float64
 	count      int
 }
 
-// add counts one more, and returns the burst that ended before it.
+// add counts an event. Where it comes more than gap milliseconds after the last one, it begins a new burst, and the burst before is
+// returned.
 func (b *burst) add(at, gap float64) (ended burst) {
 	if b.count > 0 && at-b.last > gap {
 		ended, *b = *b, burst{}
@@ -89,6 +91,7 @@
 	return ended
 }
 
+// pool returns the pool of a name, and adds it where it is new. Pools beyond the bound share one.
 func (m *Model) pool(name string) *pool {
 	p := m.pools[name]
 	if p == nil {
@@ -101,6 +104,7 @@
 	return p
 }
 
+// cell is the cell of a time.
 func (p *pool) cell(m *Model, at float64) *poolCell {
 	i := m.index(at)
 	for len(p.cells) <= i {
@@ -109,6 +113,7 @@
 	return &p.cells[i]
 }
 
+// widen merges each two neighbouring cells.
 func (p *pool) widen() {
 	n := (len(p.cells) + 1) / 2
 	for i := range n {
@@ -138,8 +143,7 @@
 	p.MostClients = max(p.MostClients, now.clients)
 }
 
-// countClients counts the clients of a pool at one pooler between its gauges, which clients may come and go without.
-// What stands for many pools is left to the gauges.
+// countClients counts clients that come and go between gauges. For the pool that many others share, only gauges count.
 func (p *pool) countClients(run *poolerRun, change int64) {
 	if p.Name == otherPools {
 		return
@@ -148,8 +152,8 @@
 	p.setClients(now, now.clients+change)
 }
 
-// forgetClients counts a pooler's clients from 0 up to its next gauge: among events that are not there may be the ends of any
-// sessions, and no more clients may be reported than there were.
+// forgetClients counts a pooler's clients from 0 up to its next gauge: the ends of any sessions may be among the events that are
+// missing, and no more clients may be reported than there were.
 func (m *Model) forgetClients(pooler string) {
 	for _, p := range m.pools {
 		for run, now := range p.byRun {
@@ -160,6 +164,7 @@
 	}
 }
 
+// onSession takes the begin or the end of a session.
 func (m *Model) onSession(run *poolerRun, e *record.Event, ended bool) {
 	p := m.pool(e.Pool)
 	if !ended {
@@ -179,7 +184,7 @@
 	m.reportSessionStorm(p, p.ended.add(e.At, stormMs))
 }
 
-// reportSessionStorm tells of many sessions that the pooler ended within a short time.
+// reportSessionStorm reports a burst in which the pooler ended a large part of a pool's sessions.
 func (m *Model) reportSessionStorm(p *pool, b burst) {
 	if b.count >= stormLeast && float64(b.count) >= stormPart*float64(p.MostClients) {
 		m.addFinding(Finding{At: b.from, To: b.last, Kind: "sessions ended", Grave: true,
@@ -187,6 +192,7 @@
 	}
 }
 
+// onAssignment takes the assignment of a server connection to a client's transaction, or its failure.
 func (m *Model) onAssignment(e *record.Event) {
 	p := m.pool(e.Pool)
 	switch e.Assignment {
@@ -215,6 +221,7 @@
 	}
 }
 
+// reportRejected reports a burst of transactions that got no connection in time.
 func (m *Model) reportRejected(p *pool, b burst) {
 	if b.count > 0 {
 		m.addFinding(Finding{At: b.from, To: b.last, Kind: "no connection", Grave: true,
@@ -222,6 +229,7 @@
 	}
 }
 
+// onPool takes a pooler's gauge of a pool.
 func (m *Model) onPool(run *poolerRun, e *record.Event) {
 	p, h := m.pool(e.Pool), &e.PoolState
 	now := p.gaugeOf(run)
@@ -246,7 +254,7 @@
 	c.waiting, c.used = max(c.waiting, waiting), max(c.used, used)
 }
 
-// endSaturation ends a time in which all connections of a pool were in use while clients waited.
+// endSaturation ends a time in which all connections were in use while clients waited, and reports it where it was long.
 func (p *pool) endSaturation(m *Model, run *poolerRun, now *poolGauge, at float64) {
 	from := now.saturatedFrom
 	now.saturatedFrom = 0
@@ -260,7 +268,7 @@
 		Text: fmt.Sprintf("pool %s: all %d connections in use and clients waiting for %s", p.Name, p.Connections, Span(at-from))})
 }
 
-// endPools ends what a run's pools were in.
+// endPools ends the pools of a run.
 func (m *Model) endPools(run *poolerRun) {
 	for _, p := range m.sortedPools() {
 		if now := p.byRun[run]; now != nil {
@@ -270,6 +278,7 @@
 	}
 }
 
+// sortedPools are the pools by name.
 func (m *Model) sortedPools() []*pool {
 	out := make([]*pool, 0, len(m.pools))
 	for _, p := range m.pools {
@@ -279,7 +288,7 @@
 	return out
 }
 
-// finishPools tells of what was still going on.
+// finishPools reports the bursts that last until the end.
 func (m *Model) finishPools() {
 	for _, p := range m.sortedPools() {
 		m.reportRejected(p, p.refused)
@@ -288,7 +297,7 @@
 	}
 }
 
-// pools puts the pools into the view.
+// pools adds the pools.
 func (v *View) pools(m *Model, cells int) {
 	v.Series.Pools = map[string]PoolSeries{}
 	for _, p := range m.sortedPools() {
@@ -298,7 +307,7 @@
 			x.Ends[k] = n
 		}
 		x.Cramped = slices.Clone(p.Cramped)
-		x.WaitP50, x.WaitP99 = p.waits.quantile(50), p.waits.quantile(99)
+		x.WaitP50, x.WaitP99 = p.waits.quantile(median), p.waits.quantile(tail)
 		v.Pools = append(v.Pools, x)
 		s := PoolSeries{Waiting: make([]uint32, cells), Used: make([]uint32, cells), Moved: make([]uint32, cells)}
 		for i, c := range p.cells {
--- a/internal/testkit/incident/recovered.go
+++ b/internal/testkit/incident/recovered.go
@@ -7,21 +7,22 @@
 	"beechgrade/internal/record"
 )
 
-// Recovery is what a pooler's start found in one of its durable stores.
+// Recovery is what a pooler's start recovered from one of its durable stores.
 type Recovery struct {
 	At       float64 `json:"at_ms"`
 	Pooler   string  `json:"pooler"`
 	Store    string  `json:"store"`
 	Records  int64   `json:"records"`  // live
-	Segments int64   `json:"segments"` // read behind the snapshot
+	Segments int64   `json:"segments"` // read after the snapshot
 	Dropped  int64   `json:"dropped_bytes"`
 	TookMs   float64 `json:"took_ms"`
-	Why      string  `json:"why,omitempty"` // what was wrong with what was dropped
+	Why      string  `json:"why,omitempty"` // why bytes were dropped
 }
 
-// maxRecoveries bounds how many are kept; what comes after them is left out.
+// maxRecoveries bounds the recoveries that are kept; later ones are dropped.
 const maxRecoveries = 20000
 
+// onStoreRecovery takes the recovery of a durable store.
 func (m *Model) onStoreRecovery(pooler string, e *record.Event) {
 	recovery := e.Recovery
 	if recovery == nil {
--- a/internal/testkit/incident/servers.go
+++ b/internal/testkit/incident/servers.go
@@ -9,46 +9,48 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// Flags of a server in a stretch of time.
+// Flags are the states that a server was in during a cell of time.
 const (
 	FlagPrimary = 1 << iota
 	FlagReplica
 	FlagDraining
-	FlagBroken       // connections were refused or broke
-	FlagUnresponsive // requests ran out without an answer
+	FlagBroken       // connections were refused or reset
+	FlagUnresponsive // attempts timed out
 	FlagWarmingUp
 	FlagRemoved
 )
 
-// server is what the records tell of one.
+// server is the state of a server, as its poolers observed it.
 type server struct {
 	ServerView
 	group        *group
 	role         decide.Role
 	roleAt       float64
 	probes       uint64
-	started      float64 // as the list has it
+	started      float64 // by the endpoint list, Unix ms
 	draining     bool
 	removed      bool
-	warmingUntil float64 // until then
+	warmingUntil float64 // end of its warm-up, Unix ms
 
-	firstConnectFailureAt float64 // first of an unbroken run of refused or broken connections, 0 for none
+	firstConnectFailureAt float64 // time of the first of connectFailures, 0 for none
 	connectFailures       int
-	timeoutsInRow         int     // attempts in a row that ran out
-	firstTimeoutFrom      float64 // start of the earliest
+	timeoutsInRow         int     // attempts that timed out without an answer between them
+	firstTimeoutFrom      float64 // start of the earliest of these
 	lastTimeoutAt         float64 // end of the latest
 	unresponsive          bool
-	pendingReturn         *Return // of which its position is still to be told
+	pendingReturn         *Return // a return whose position is not known yet
 
 	cells []serverCell
 }
 
+// serverCell is a server during a cell of time.
 type serverCell struct {
 	ok, failed uint32
-	lag        float32 // largest told, ms
+	lag        float32 // largest distance of its position, ms
 	flags      uint8
 }
 
+// server returns the server of a name, and adds it where it is new.
 func (m *Model) server(name string) *server {
 	s := m.servers[name]
 	if s == nil {
@@ -58,7 +60,7 @@
 	return s
 }
 
-// cellAt is the server's cell of a time, with its present state in it.
+// cellAt is the cell of a time, with the present state of the server in it. Cells that were skipped get that state too.
 func (s *server) cellAt(m *Model, at float64) *serverCell {
 	i := m.index(at)
 	for len(s.cells) <= i {
@@ -69,6 +71,7 @@
 	return c
 }
 
+// flags are the states that the server is in.
 func (s *server) flags(at float64) (f uint8) {
 	switch s.role {
 	case decide.RolePrimary:
@@ -89,9 +92,10 @@
 	return f
 }
 
-// extendToPresent carries the server's state on to the present.
+// extendToPresent adds cells with the present state up to the latest event.
 func (s *server) extendToPresent(m *Model) { s.cellAt(m, m.to) }
 
+// widen merges each two neighbouring cells.
 func (s *server) widen() {
 	n := (len(s.cells) + 1) / 2
 	for i := range n {
@@ -105,7 +109,7 @@
 	s.cells = s.cells[:n]
 }
 
-// observeServer takes what an attempt or a probe told of a server.
+// observeServer takes the result of an attempt or a health check.
 func (m *Model) observeServer(run *poolerRun, s *server, e *record.Event) {
 	if e.Result == uint8(decide.NotSent) {
 		return
@@ -138,30 +142,30 @@
 		reportedAt -= reportMs
 	}
 	if r := decide.Role(e.Role); r != decide.RoleUnknown && reportedAt >= s.roleAt {
-		if r != s.role && s.role != decide.RoleUnknown {
-			m.addFinding(Finding{
-				At:     e.At,
-				Kind:   "role",
-				Server: s.Name,
-				Group:  s.Group,
-				Pooler: run.Pooler,
-				Text:   "answers as " + roleName(r) + " now",
-			})
-		}
-		if r == decide.RolePrimary && s.role != r {
-			s.Primary = append(s.Primary, Stretch{From: e.At})
-			s.Primary = s.Primary[max(0, len(s.Primary)-maxSpans):]
-		}
-		if r != decide.RolePrimary && s.role == decide.RolePrimary && len(s.Primary) > 0 {
-			s.Primary[len(s.Primary)-1].To = e.At
-		}
-		s.role, s.roleAt = r, reportedAt
-		s.Role = roleName(r)
+		m.onRole(run, s, r, e.At)
+		s.roleAt = reportedAt
 		cell.flags |= s.flags(e.At)
 	}
 }
 
-// onTimeout counts an attempt that a server let run out.
+// onRole takes the role that a server reports, and reports a change.
+func (m *Model) onRole(run *poolerRun, s *server, role decide.Role, at float64) {
+	if role != s.role && s.role != decide.RoleUnknown {
+		m.addFinding(Finding{At: at, Kind: "role", Server: s.Name, Group: s.Group, Pooler: run.Pooler, Text: "answers as " + roleName(role) + " now"})
+	}
+	if role == decide.RolePrimary && s.role != role {
+		s.Primary = append(s.Primary, Stretch{From: at})
+		s.Primary = s.Primary[max(0, len(s.Primary)-maxSpans):]
+	}
+	if role != decide.RolePrimary && s.role == decide.RolePrimary && len(s.Primary) > 0 {
+		s.Primary[len(s.Primary)-1].To = at
+	}
+	s.role = role
+	s.Role = roleName(role)
+}
+
+// onTimeout counts an attempt that the server did not answer. After several in a row over a while it is unresponsive, from the
+// first of them on.
 func (s *server) onTimeout(m *Model, from, at float64) {
 	if s.timeoutsInRow++; s.timeoutsInRow == 1 {
 		s.firstTimeoutFrom = from
@@ -175,7 +179,7 @@
 	}
 }
 
-// onAnswer ends what was thought of a server that gave no answers.
+// onAnswer takes an answer to an attempt that began at from, and ends times in which the server was unresponsive or down.
 func (s *server) onAnswer(m *Model, run *poolerRun, e *record.Event, from float64) {
 	if s.unresponsive && from > s.firstTimeoutFrom {
 		span := Stretch{From: s.firstTimeoutFrom, To: e.At}
@@ -206,13 +210,13 @@
 	s.firstConnectFailureAt, s.connectFailures = 0, 0
 }
 
-// markWarmingUp has the server count as cold from its start on.
+// markWarmingUp notes a start of the server, after which it is warming up.
 func (s *server) markWarmingUp(run *poolerRun, started float64) {
 	s.started = started
 	s.warmingUntil = max(s.warmingUntil, started+float64(run.Header.ColdUs)/1000)
 }
 
-// onPosition takes a position that was told.
+// onPosition takes a reported position. The first one after a return shows how far behind the server came back.
 func (s *server) onPosition(m *Model, run *poolerRun, e *record.Event, cell *serverCell) {
 	behind := e.At - e.Position
 	if decide.Role(e.Role) == decide.RolePrimary {
@@ -235,6 +239,7 @@
 	}
 }
 
+// roleName is the name of a role in reports, empty where it is unknown.
 func roleName(r decide.Role) string {
 	switch r {
 	case decide.RolePrimary:
@@ -245,7 +250,7 @@
 	return ""
 }
 
-// onEntry takes an entry of a pooler's list.
+// onEntry takes an entry of a pooler's endpoint list.
 func (m *Model) onEntry(run *poolerRun, e *record.Event) {
 	server := m.server(e.Server)
 	if server.group == nil {
@@ -282,7 +287,7 @@
 		if entry.drainingSinceMs == 0 {
 			entry.drainingSinceMs = e.At
 			if e.Restated {
-				entry.drainingSinceMs = math.Inf(1) // heard before what is here: from when on is not known
+				entry.drainingSinceMs = math.Inf(1) // learned before these records, at an unknown time
 			}
 		}
 		if !server.draining {
@@ -320,6 +325,7 @@
 	server.cellAt(m, e.At)
 }
 
+// endDraining ends a drain, if there is one.
 func (s *server) endDraining(at float64) {
 	if s.draining {
 		s.draining = false
@@ -327,7 +333,7 @@
 	}
 }
 
-// checkDrain holds a send to the grace that was left when the pooler had heard of a drain.
+// checkDrain reports an attempt that began after the grace period of a drain that its pooler knew of.
 func (m *Model) checkDrain(run *poolerRun, s *server, e *record.Event) {
 	entry := run.entries[s.Name]
 	if entry == nil || entry.drainingSinceMs == 0 || run.Header.GraceUs == 0 {
--- a/internal/testkit/incident/view.go
+++ b/internal/testkit/incident/view.go
@@ -12,14 +12,14 @@
 	"beechgrade/internal/testkit/records"
 )
 
-// View is what the records tell. Times are Unix milliseconds, spans milliseconds.
+// View is what the records show. Times are Unix milliseconds, spans milliseconds.
 type View struct {
 	From     float64 `json:"from_ms"`
 	To       float64 `json:"to_ms"`
 	Events   uint64  `json:"events"`
 	Lost     uint64  `json:"events_lost"`
 	Early    uint64  `json:"events_before_start"`
-	SpreadMs float64 `json:"clock_spread_ms"` // between the poolers' clocks, as far as primaries' positions show it
+	SpreadMs float64 `json:"clock_spread_ms"` // between the poolers' clocks, estimated by the positions of primaries
 
 	Total    ClassView            `json:"total"`
 	Classes  []ClassView          `json:"classes"`
@@ -34,16 +34,16 @@
 	Unknown  []Unknown            `json:"unknown_requests"`
 	Unknowns uint64               `json:"unknown_total"`
 	Series   Series               `json:"series"`
-	Members  *endpointreport.View `json:"members,omitempty"` // where the list was made of several sources
-	Limits   []LimitShare         `json:"limits,omitempty"`  // where limits held for the whole fleet: who might use how much
-	Fleet    []Seen               `json:"fleet,omitempty"`   // where poolers were peers: who saw whom
-	Zones    *ZonesView           `json:"zones,omitempty"`   // where the fleet decided them together
-	Avoided  []Avoided            `json:"avoided,omitempty"` // where poolers share what they know of servers: which, by whose word
+	Members  *endpointreport.View `json:"members,omitempty"` // where the endpoint list has several sources
+	Limits   []LimitShare         `json:"limits,omitempty"`  // of fleet-wide limits: how much each pooler might use
+	Fleet    []Seen               `json:"fleet,omitempty"`   // where poolers were peers: the states that they observed
+	Zones    *ZonesView           `json:"zones,omitempty"`   // where the fleet planned zones
+	Avoided  []Avoided            `json:"avoided,omitempty"` // servers that poolers avoided by reports of other poolers
 
 	Recoveries []Recovery `json:"recoveries,omitempty"` // of durable stores, at poolers' starts
 }
 
-// ClassView is what a class was served. A chain is what a client asked once, with its own retries.
+// ClassView is what a class was served. Asked counts chains: requests with their client's retries.
 type ClassView struct {
 	Name       string  `json:"name"`
 	Worth      float64 `json:"worth,omitempty"`
@@ -52,9 +52,9 @@
 	DeadlineMs float64 `json:"deadline_ms,omitempty"`
 	Read       string  `json:"read,omitempty"`
 
-	Requests uint64 `json:"requests"` // tries
-	Repeats  uint64 `json:"repeats"`  // of them, those that are a client's retry
-	Orphans  uint64 `json:"orphans"`  // of these, those whose first try is not in the records
+	Requests uint64 `json:"requests"` // with retries
+	Repeats  uint64 `json:"repeats"`  // retries of clients among them
+	Orphans  uint64 `json:"orphans"`  // retries whose first request is not in the records
 	Asked    uint64 `json:"asked"`    // chains
 	Served   uint64 `json:"served"`
 	Refused  uint64 `json:"refused"`
@@ -64,11 +64,11 @@
 	InTime   uint64 `json:"in_time"`
 	Late     uint64 `json:"late"`
 	Attempts uint64 `json:"attempts"`
-	Border   uint64 `json:"at_the_border"` // answers within 50 ms of their aim
+	Border   uint64 `json:"at_the_border"` // answers within 50 ms of their latency objective
 
 	WorthAsked  float64           `json:"worth_asked"`
 	WorthInTime float64           `json:"worth_in_time"`
-	WorthGot    float64           `json:"worth_got"` // with what late answers still have
+	WorthGot    float64           `json:"worth_got"` // the reduced worth of late answers included
 	WorthBorder float64           `json:"worth_at_the_border"`
 	Ratio       float64           `json:"ratio"`
 	Worst       float64           `json:"worst_10s"`
@@ -80,7 +80,7 @@
 	Times latencies `json:"-"`
 }
 
-// PoolerView is a pooler.
+// PoolerView is a pooler, over all its runs.
 type PoolerView struct {
 	Name         string    `json:"name"`
 	Runs         int       `json:"runs"`
@@ -91,7 +91,7 @@
 	Lists        uint64    `json:"lists"`
 	ListFailures uint64    `json:"list_failures"`
 	Away         []Stretch `json:"away,omitempty"`
-	AheadMs      float64   `json:"clock_ahead_ms"` // of the median pooler, as far as positions show it
+	AheadMs      float64   `json:"clock_ahead_ms"` // of the median pooler's, estimated by the positions of primaries
 	Memory       int64     `json:"most_memory"`
 	Files        int64     `json:"most_descriptors"`
 	Sessions     int64     `json:"most_sessions"`
@@ -100,7 +100,7 @@
 	ordered bool
 }
 
-// GroupView is a group.
+// GroupView is a group of servers with the gaps in its writes.
 type GroupView struct {
 	Group   int64    `json:"group"`
 	Servers []string `json:"servers"`
@@ -108,7 +108,7 @@
 	More    int      `json:"gaps_not_listed,omitempty"`
 }
 
-// Gap is a time in which a group served no write though some were asked.
+// Gap is a time in which a group served no write although some were received.
 type Gap struct {
 	Group       int64   `json:"group"`
 	From        float64 `json:"last_write_ms"`
@@ -126,7 +126,7 @@
 	Name         string            `json:"name"`
 	Group        int64             `json:"group"`
 	Address      string            `json:"address,omitempty"`
-	Role         string            `json:"role,omitempty"` // as told last
+	Role         string            `json:"role,omitempty"` // as it reported last
 	Position     float64           `json:"position_ms"`
 	PositionAt   float64           `json:"position_at_ms"`
 	MostBehindMs float64           `json:"most_behind_ms"`
@@ -148,8 +148,8 @@
 type Return struct {
 	Stretch
 	Server    string  `json:"server"`
-	BehindMs  float64 `json:"behind_ms"`            // at its first word of its position, -1 not told
-	StartedMs float64 `json:"started_ms,omitempty"` // where it started anew, and so was cold
+	BehindMs  float64 `json:"behind_ms"`            // at its first reported position, -1 for none
+	StartedMs float64 `json:"started_ms,omitempty"` // where its process was restarted, and so was warming up
 }
 
 // Cause is a share of the worth that was lost.
@@ -160,7 +160,8 @@
 	ByClass  map[string]float64 `json:"by_class"`
 }
 
-// Finding is a moment or a stretch worth a look.
+// Finding is a moment or a span that an engineer should look at. A grave one means that clients were affected, or that the
+// records are incomplete.
 type Finding struct {
 	At     float64 `json:"at_ms"`
 	To     float64 `json:"to_ms,omitempty"`
@@ -211,24 +212,39 @@
 	Flags []uint8   `json:"flags"`
 }
 
-// latencies holds how long answers took.
+// Resolution of latency histograms.
+const (
+	maxLatencyUs  = 3_600_000_000 // an hour
+	latencyDigits = 2             // significant decimal digits
+)
+
+// Percentages of the reported quantiles.
+const (
+	median = 50
+	tail   = 99
+)
+
+// latencies is a histogram of answer times.
 type latencies struct{ histogram *hdrhistogram.Histogram }
 
+// add counts an answer time in milliseconds.
 func (t *latencies) add(ms float64) {
 	if t.histogram == nil {
-		t.histogram = hdrhistogram.New(1, 3_600_000_000, 2) // microseconds, up to an hour
+		t.histogram = hdrhistogram.New(1, maxLatencyUs, latencyDigits)
 	}
-	_ = t.histogram.RecordValue(int64(min(max(1, ms*1000), 3_600_000_000)))
+	_ = t.histogram.RecordValue(int64(min(max(1, ms*1000), maxLatencyUs)))
 }
 
-func (t *latencies) quantile(request float64) float64 {
+// quantile is the answer time in milliseconds that this percentage of answers did not exceed, 0 without answers.
+func (t *latencies) quantile(percent float64) float64 {
 	if t.histogram == nil {
 		return 0
 	}
-	return float64(t.histogram.ValueAtQuantile(request)) / 1000
+	return float64(t.histogram.ValueAtQuantile(percent)) / 1000
 }
 
-// Finish ends the model: what is still open has no answer, and what waits for a retry gets none.
+// Finish ends the model: open requests become unknown, chains that wait for a retry are abandoned, and states that last until the
+// end of the records are reported.
 func (m *Model) Finish() {
 	for r := range m.runs {
 		m.End(r, true)
@@ -261,7 +277,7 @@
 	}
 }
 
-// View is what has been told so far.
+// View returns what the events so far show. The model may take further events afterwards.
 func (m *Model) View() *View {
 	v := &View{From: m.from, To: m.to, Events: m.events, Lost: m.lost, Early: m.early, Unlisted: m.unlisted,
 		Findings: slices.Clone(m.findings), Faults: slices.Clone(m.faults), Unknown: slices.Clone(m.unknown), Unknowns: m.unknowns}
@@ -281,7 +297,7 @@
 			x.Reasons[k] = n
 			v.Total.Reasons[k] += n
 		}
-		x.P50, x.P99 = c.Times.quantile(50), c.Times.quantile(99)
+		x.P50, x.P99 = c.Times.quantile(median), c.Times.quantile(tail)
 		x.Worst, x.WorstAt = c.window.Worst()
 		x.Ratio = ratio(x.WorthGot, x.WorthAsked)
 		v.Classes = append(v.Classes, x)
@@ -295,7 +311,7 @@
 		}
 	}
 	t := &v.Total
-	t.Ratio, t.P50, t.P99 = ratio(t.WorthGot, t.WorthAsked), t.Times.quantile(50), t.Times.quantile(99)
+	t.Ratio, t.P50, t.P99 = ratio(t.WorthGot, t.WorthAsked), t.Times.quantile(median), t.Times.quantile(tail)
 	t.Worst, t.WorstAt = m.service.Worst()
 	v.poolers(m)
 	v.fleet(m)
@@ -307,6 +323,7 @@
 	return v
 }
 
+// add adds the counts of another class.
 func (c *ClassView) add(x *ClassView) {
 	c.Requests += x.Requests
 	c.Repeats += x.Repeats
@@ -327,6 +344,7 @@
 	c.WorthBorder += x.WorthBorder
 }
 
+// ratio is 1 where nothing was asked for.
 func ratio(got, asked float64) float64 {
 	if asked == 0 {
 		return 1
@@ -334,7 +352,8 @@
 	return got / asked
 }
 
-// poolers reckons how far their clocks lie apart: each saw primaries' positions, which stand at the present.
+// poolers adds the poolers, with the differences of their clocks: each observed the positions of primaries, which are up to date,
+// so the least distance of a position behind a pooler's clock shows that clock's offset.
 func (v *View) poolers(m *Model) {
 	var least []float64
 	for _, p := range m.poolers {
@@ -361,6 +380,7 @@
 	slices.SortFunc(v.Poolers, func(a, b PoolerView) int { return cmp.Compare(a.Name, b.Name) })
 }
 
+// fleet adds groups and servers.
 func (v *View) fleet(m *Model) {
 	for _, g := range m.groups {
 		x := GroupView{Group: g.id, More: g.more}
@@ -394,6 +414,7 @@
 	})
 }
 
+// series adds classes, servers and pools over time.
 func (v *View) series(m *Model) {
 	n := 0
 	if m.from > 0 {
@@ -428,10 +449,10 @@
 	v.pools(m, n)
 }
 
-// LostWorth is the worth that was asked for and not got.
+// LostWorth is the worth that was asked for and not gained.
 func (v *View) LostWorth() float64 { return v.Total.WorthAsked - v.Total.WorthGot }
 
-// Span writes a time in milliseconds for people.
+// Span formats a span in milliseconds for people.
 func Span(ms float64) string {
 	d := time.Duration(ms * float64(time.Millisecond))
 	switch {
@@ -443,6 +464,7 @@
 	return d.Round(time.Second).String()
 }
 
+// signed formats a span with its sign.
 func signed(ms float64) string {
 	if ms < 0 {
 		return "-" + Span(-ms)
--- a/internal/testkit/incident/zones.go
+++ b/internal/testkit/incident/zones.go
@@ -8,38 +8,38 @@
 	"beechgrade/internal/record"
 )
 
-// ZonesView is what zones' plans were, what poolers made of them, and where reads went.
+// ZonesView is the zones' states by the plans, the plan that each pooler followed, and where reads were sent.
 type ZonesView struct {
 	Plans   uint64      `json:"newest_plan"`
-	States  []ZoneState `json:"states"`  // by the newest plans that anybody followed
-	Goes    []ZoneGoes  `json:"goes_by"` // what each pooler went by
+	States  []ZoneState `json:"states"`  // by the newest plans that any pooler followed
+	Goes    []ZoneGoes  `json:"goes_by"` // what each pooler followed
 	Crossed []Crossed   `json:"crossed"` // by pooler
-	Sent    []ZoneSent  `json:"sent"`    // over all, reads that any member may serve
+	Sent    []ZoneSent  `json:"sent"`    // over all poolers, of reads that any member may serve
 	Far     float64     `json:"part_that_crossed"`
 	More    uint64      `json:"not_listed"`
 }
 
-// ZoneState is for how long a zone was in a state by the plans.
+// ZoneState is a span in which a zone was in a state by the plans.
 type ZoneState struct {
 	Zone  string  `json:"zone"`
 	State string  `json:"state"`
-	Plan  uint64  `json:"plan"` // the first that had it so
+	Plan  uint64  `json:"plan"` // the first with that state
 	From  float64 `json:"from_ms"`
-	To    float64 `json:"to_ms"` // 0 for the records' end
+	To    float64 `json:"to_ms"` // 0: until the end of the records
 }
 
-// ZoneGoes is for how long a pooler went by something.
+// ZoneGoes is a span in which a pooler followed a plan, or its fallback.
 type ZoneGoes struct {
 	By   string  `json:"by"`
 	Zone string  `json:"zone"` // its own
-	Near string  `json:"near"` // the one that it took for near
+	Near string  `json:"near"` // the zone that it preferred
 	Why  string  `json:"why"`  // none, plan, fallback or spilling
-	Plan uint64  `json:"plan"` // the first of that
+	Plan uint64  `json:"plan"` // the first in the span
 	From float64 `json:"from_ms"`
-	To   float64 `json:"to_ms"` // 0 for the records' end
+	To   float64 `json:"to_ms"` // 0: until the end of the records
 }
 
-// Crossed is how much of a pooler's reads went to other zones, in a time.
+// Crossed is how many of a pooler's reads were sent to other zones in a span.
 type Crossed struct {
 	By   string  `json:"by"`
 	From float64 `json:"from_ms"`
@@ -48,17 +48,17 @@
 	Far  uint64  `json:"far"`
 }
 
-// ZoneSent is how many reads the poolers of a zone sent to servers of another, or of their own.
+// ZoneSent is how many reads the poolers of a zone sent to the servers of a zone.
 type ZoneSent struct {
 	From string `json:"from"`
 	To   string `json:"to"`
 	Sent uint64 `json:"sent"`
 }
 
-// maxZoneSpans bounds how many are kept of each; what comes after them is left out, and counted.
+// maxZoneSpans bounds the spans of each kind that are kept; later ones are counted only.
 const maxZoneSpans = 20000
 
-// zones is who went by which plan when, in the records of poolers that decide zones together.
+// zones collects the notes of poolers that plan zones together.
 type zones struct {
 	seen    bool
 	newest  uint64
@@ -66,13 +66,13 @@
 	goes    []ZoneGoes
 	crossed []Crossed
 	sent    map[[2]string]uint64
-	state   map[string]int     // by zone: the last of states, numbered from 1
-	going   map[string]int     // by pooler: the last of goes, numbered from 1
-	noted   map[string]float64 // by pooler: when it noted last
+	state   map[string]int     // by zone: index of its latest state plus 1
+	going   map[string]int     // by pooler: index of its latest span plus 1
+	noted   map[string]float64 // by pooler: time of its latest note
 	more    uint64
 }
 
-// event takes a pooler's note.
+// event takes a pooler's note. A text that cannot be parsed is passed over.
 func (z *zones) event(pooler string, e *record.Event) {
 	n, ok := admin.ParseNote(e.Text)
 	if !ok {
@@ -120,6 +120,7 @@
 	}
 }
 
+// becomes takes the state of a zone by a newer plan.
 func (z *zones) becomes(zone, state string, plan uint64, at float64) {
 	if i := z.state[zone]; i > 0 {
 		if z.states[i-1].State == state {
@@ -135,7 +136,7 @@
 	z.state[zone] = len(z.states)
 }
 
-// ended has a pooler's process end: it goes by nothing any more.
+// ended ends the spans of a pooler whose process ended.
 func (z *zones) ended(pooler string, at float64) {
 	if i := z.going[pooler]; i > 0 {
 		z.goes[i-1].To = at
@@ -144,6 +145,7 @@
 	delete(z.noted, pooler)
 }
 
+// view returns what was collected, nil without any note.
 func (z *zones) view() *ZonesView {
 	if !z.seen {
 		return nil
