--- a/internal/cluster/overload/invariants.go
+++ b/internal/cluster/overload/invariants.go
@@ -8,12 +8,12 @@
 	"beechgrade/internal/invariant"
 )
 
-// CheckInvariants has statements about its state checked at one tick of so many.
+// CheckInvariants makes it check its invariants, at one tick of interval.
 func (controller *Controller) CheckInvariants(c *invariant.Checks, every int) {
 	controller.checks, controller.checkInterval = c, every
 }
 
-// checkState makes the statements about all state, as it is after a tick.
+// checkState checks the invariants of the whole state after a tick.
 func (controller *Controller) checkState(c *invariant.Checks) {
 	c.That(len(controller.selfMessages) == 0, "overload: what was put has gone out", func() string { return fmt.Sprintf("%d messages", len(controller.selfMessages)) })
 	c.That(len(controller.groups) == len(controller.sortedGroups) && len(controller.sortedGroups) <= MaxGroups && slices.IsSortedFunc(controller.sortedGroups, func(a, b *groupState) int { return a.id - b.id }), "overload: groups are in order, each filed once",
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkShedding is the side of one that is told levels.
+// checkShedding checks the state of a pooler that sheds.
 func (controller *Controller) checkShedding(c *invariant.Checks, group *groupState, state func() string) {
 	cells := float64(4 * len(group.classOrder))
 	c.That(group.level >= 0 && group.level <= cells && group.applied.level <= cells && finite(group.budget), "overload: a level stands within the cells", state)
@@ -49,7 +49,7 @@
 	}
 }
 
-// checkCollector is the side of one that adds up.
+// checkCollector checks the state of a collector.
 func (controller *Controller) checkCollector(c *invariant.Checks, group *groupState, state func() string) {
 	v := &group.collected.decision
 	c.That(finite(v.Budget) && v.Level >= 0 && v.Level <= float64(4*len(controller.collectorOrder)) && (v.Budget > 0 || v.Level == 0), "overload: a verdict is within its bounds", state)
@@ -74,12 +74,12 @@
 	return s
 }
 
-// CheckInvariants has statements about its state checked at one tick of so many.
+// CheckInvariants makes it check its invariants, at one tick of interval.
 func (sharing *ProbeSharing) CheckInvariants(c *invariant.Checks, every int) {
 	sharing.checks, sharing.checkInterval = c, every
 }
 
-// checkState makes the statements about all state, as it is after a tick.
+// checkState checks the invariants of the whole state after a tick.
 func (sharing *ProbeSharing) checkState(c *invariant.Checks) {
 	c.That(len(sharing.names) == len(sharing.servers) && len(sharing.names) <= maxServers && slices.IsSorted(sharing.names), "probes: servers are in order, each filed once", func() string { return fmt.Sprint(sharing.names) })
 	for id, until := range sharing.skippedUntil { // each by itself
--- a/internal/cluster/overload/probes.go
+++ b/internal/cluster/overload/probes.go
@@ -9,106 +9,108 @@
 	"beechgrade/internal/invariant"
 )
 
-// ProbeSettings say how probes are shared. Times are in ms.
+// ProbeSettings configure how health checks ("probes") are shared. Times are in ms.
 //
-// Each server has Probers, the first processes of the view by rendezvous hashing of its name. Who wants a probe of it and is none of them
-// asks the first of these that has answered lately; who wants one and is one makes it himself. A prober begins at most one probe of a server each
-// Each, and what it finds goes to all that asked, and is what it is for them: found by a probe that began after they asked, or Age before at most; that
-// a server does not answer is news as of the probe's end. Nobody's clock is needed for
-// that: the prober says how long before its answer the probe began, and the asker knows when it asked.
+// Each server has Probers, the first processes of the view by rendezvous hashing of its name. A process that needs a probe and is no prober
+// requests it from the first prober that has answered lately; a prober probes itself. A prober starts at most one probe of a server each
+// MinInterval. Its result goes to all requesters, for whom it counts: from a probe that started after their request, or at most
+// MaxResultAge before; that a server does not answer counts as of the probe's end. No common clock is needed for that: the prober reports
+// how long before its answer the probe started, and the requester knows when it asked.
 //
-// Bad news is taken only from two: after the first prober's the second is asked, and where that says the same, the asker
-// is told. Where the second is passed over, it probes for itself; where there is but one, his word is enough. Where the second found it well, the
-// first is passed over for that server for Shun: what a prober that is cut off says so costs its askers a second question each Shun.
+// An unhealthy result takes two probers: after the first one's the second is asked, and if that agrees the result is reported. Where the
+// second one is skipped, the requester probes itself; with a single prober its result is enough. Where the second one finds the server
+// healthy, the first one is skipped for that server for SkipTime: a prober that is cut off costs its requesters a second request each
+// SkipTime.
 //
-// One that has not answered within Patience, a datagram that it is still at it included, is passed over for Shun, and the asker probes
-// for itself. So a prober that dies is replaced within Replace = Patience + Step, and who hears nobody probes as ever, so much later. A probe that the
-// module wants is never lost: there is an end to each want, within Latest of it.
+// A prober that has not answered within Patience, a message that a probe is in progress included, is skipped for SkipTime, and the
+// requester probes itself. So a prober that ends is replaced within ReplacementBound, and a process that receives nothing probes as without
+// sharing, so much later. Each request ends within LatencyBound of it.
 //
-// Probes that a server gets: at most Probers*(1000/Each) a second by the fleet's word, and those that askers make for themselves (Settings.Most).
+// Probes that a server gets: at most Probers*(1000/MinInterval) a second from probers, and those that requesters make themselves (MaxRate).
 type ProbeSettings struct {
 	Probers      int
 	MinInterval  float64
 	MaxResultAge float64
 	Patience     float64
 	SkipTime     float64
-	ProbeTimeout float64 // that a probe takes at most
+	ProbeTimeout float64 // the longest time of a probe
 	TickInterval float64
 }
 
-// DefaultProbes suit poolers that stand near each other.
+// DefaultProbes returns settings for poolers that are near each other.
 func DefaultProbes() ProbeSettings {
 	return ProbeSettings{Probers: 2, MinInterval: 20, MaxResultAge: 20, Patience: 120, SkipTime: 2000, ProbeTimeout: 300, TickInterval: 50}
 }
 
-// ReplacementBound bounds how long a prober that has died is waited for.
+// ReplacementBound bounds how long a prober that has ended is waited for.
 func (s *ProbeSettings) ReplacementBound() float64 { return s.Patience + s.TickInterval }
 
-// progressTimeout is for how long one that is at a probe is waited for, from its word.
+// progressTimeout returns how long a probe that is in progress is waited for.
 func (s *ProbeSettings) progressTimeout() float64 {
 	return max(s.ProbeTimeout, s.MinInterval) + 2*s.TickInterval
 }
 
-// LatencyBound bounds the time from when a probe is wanted until the module is told: both probers may be at one, and then at the next, then it
-// probes itself.
+// LatencyBound bounds the time from a request until its result: both probers may have one probe in progress, and then another, and then
+// this process probes itself.
 func (s *ProbeSettings) LatencyBound() float64 {
 	return 2*(s.Patience+2*s.progressTimeout()+s.TickInterval) + s.ProbeTimeout
 }
 
-// MaxRate bounds the probes a second that a server gets from n poolers, all of which hear their probers: by these.
+// MaxRate bounds the probes a second that a server gets from the probers of n poolers.
 func (s *ProbeSettings) MaxRate(n int) float64 {
 	return float64(min(n, s.Probers)) * 1000 / s.MinInterval
 }
 
-// Result is what a probe found.
+// Result is the result of a probe.
 type Result uint8
 
 // The results.
 const (
 	Healthy    Result = iota
-	Unhealthy         // no answer, or none that tells it to be well
-	InProgress        // Found only: the prober is at it
+	Unhealthy         // no answer, or none of a healthy server
+	InProgress        // of a ProbeResult only: the probe has not ended
 )
 
-// Finding is what a probe found: for the poolers' cores to read.
+// Finding is a result with what the poolers' cores need of it.
 type Finding struct {
 	Result   Result
-	Kind     uint8 // of what went wrong, as the module has it
+	Kind     uint8 // the decision module's result
 	Role     uint8
 	Position float64 // 0 for none
 }
 
-// ProbeRequest asks a prober about a server.
+// ProbeRequest asks a prober for a probe of a server.
 type ProbeRequest struct {
 	Server   string
 	Sequence uint32
 }
 
-// ProbeResult answers a Want.
+// ProbeResult answers a ProbeRequest.
 type ProbeResult struct {
 	Server       string
 	Sequence     uint32
-	StartedMsAgo float64 // ms before this answer that the probe began
+	StartedMsAgo float64 // when the probe started, before this answer
 	Finding
 }
 
-// MaxServerNameBytes bounds a server's name, in bytes.
+// MaxServerNameBytes bounds a server's name.
 const MaxServerNameBytes = 255
 
-// ProbeAction is something that is to be done.
+// ProbeAction is something that a ProbeSharing asks its caller to do: a probe, a message or a report.
 type ProbeAction struct {
-	Probe    string // this process is to probe it
-	To       ID     // Want or Found goes there
+	Probe    string // the server that this process is to probe
+	To       ID     // the receiver of Request or Response
 	Addr     string
 	Request  *ProbeRequest
 	Response *ProbeResult
-	Report   bool // the module is told Finding of Server, as old as Age
+	Report   bool // Finding is the result for Server, Age ms old
 	Server   string
 	Age      float64
 	Finding
 }
 
-// ProbeSharing shares them. It is told by calls and appends to out what is to be done.
+// ProbeSharing is one process's side of shared probes. Its methods append the actions that they cause to out. It is not safe for
+// concurrent use.
 type ProbeSharing struct {
 	settings     ProbeSettings
 	self         ID
@@ -126,23 +128,23 @@
 
 type probedServer struct {
 	// as a prober
-	startedAt  float64 // of the last probe, -Inf for none
+	startedAt  float64 // of the last probe; -Inf for none
 	probing    bool
-	result     *Finding    // of the last that ended
-	resultAt   float64     // began of it
-	requesters []requester // that wait for the next
-	again      bool        // a probe is due once Each is over
+	result     *Finding    // of the last probe that ended
+	resultAt   float64     // the start of it
+	requesters []requester // that wait for the next result
+	again      bool        // a probe is due once MinInterval is over
 	// as an asker
 	wanted             bool
 	requestedAt        float64
 	askedProbers       []ID
 	sequence           uint32
 	waitsUntil         float64
-	probesLocally      bool // it probes itself
+	probesLocally      bool // this process probes itself
 	unhealthyResult    *Finding
 	unhealthyAge       float64
 	unhealthyFrom      ID
-	skippedProber      ID      // said lately that it does not answer, where another found it well: it is passed over here...
+	skippedProber      ID      // a prober whose unhealthy result another one contradicted: it is skipped...
 	skippedProberUntil float64 // ...until then
 	lastUsed           float64
 }
@@ -152,15 +154,15 @@
 	sequence    uint32
 	local       bool
 	requestedAt float64
-	notified    bool // it was told that this one is at it
+	notified    bool // that the probe is in progress
 }
 
-// NewProbes makes a process's side.
+// NewProbes returns the ProbeSharing of a process that knows nothing, at time now in ms.
 func NewProbes(set ProbeSettings, self ID, now float64) *ProbeSharing {
 	return &ProbeSharing{settings: set, self: self, now: now, servers: map[string]*probedServer{}, skippedUntil: map[ID]float64{}, addresses: map[ID]string{}}
 }
 
-// UpdateMembers brings those that can be reached.
+// UpdateMembers sets the processes that can be reached, this one included.
 func (sharing *ProbeSharing) UpdateMembers(self ID, peers []Peer) {
 	sharing.self = self
 	sharing.peers = peers[:min(len(peers), MaxPeers)]
@@ -173,12 +175,12 @@
 	}
 }
 
-// ProbersOf are those of a server.
+// ProbersOf returns the probers of a server.
 func (sharing *ProbeSharing) ProbersOf(name string) []ID {
 	return ProbersOf(name, sharing.settings.Probers, sharing.peers)
 }
 
-// ProbersOf are so many probers of a server, of processes that can be reached.
+// ProbersOf returns n probers of a server, of processes that can be reached.
 func ProbersOf(name string, n int, peers []Peer) []ID {
 	return RendezvousPeers(xxhash.Sum64String(name), n, peers)
 }
@@ -200,7 +202,7 @@
 	return server
 }
 
-// RequestProbe has the module want a probe.
+// RequestProbe requests a probe of a server.
 func (sharing *ProbeSharing) RequestProbe(now float64, name string, out []ProbeAction) []ProbeAction {
 	sharing.now = max(now, sharing.now)
 	server := sharing.server(name)
@@ -214,7 +216,8 @@
 	return sharing.requestFromNextProber(name, server, out)
 }
 
-// requestFromNextProber asks the next prober that may answer, or has this process probe.
+// requestFromNextProber sends the request to the next prober that is not skipped. Without one it reports the unhealthy result that two
+// probers agree on, or probes itself.
 func (sharing *ProbeSharing) requestFromNextProber(name string, server *probedServer, out []ProbeAction) []ProbeAction {
 	ids := sharing.ProbersOf(name)
 	if slices.Contains(ids, sharing.self) || len(ids) == 0 {
@@ -235,13 +238,13 @@
 	return sharing.probeLocally(name, server, out)
 }
 
-// probeLocally has this process probe for itself.
+// probeLocally makes this process probe for itself.
 func (sharing *ProbeSharing) probeLocally(name string, server *probedServer, out []ProbeAction) []ProbeAction {
 	server.probesLocally, server.waitsUntil = true, math.Inf(1)
 	return sharing.serveRequester(name, server, requester{local: true, requestedAt: sharing.now}, out)
 }
 
-// serveRequester has somebody told of a probe that is young enough, or of the next.
+// serveRequester sends a requester the last result if that is recent enough, otherwise the next one.
 func (sharing *ProbeSharing) serveRequester(name string, server *probedServer, a requester, out []ProbeAction) []ProbeAction {
 	if server.result != nil && sharing.now-server.resultAt <= sharing.settings.MaxResultAge {
 		return sharing.sendResult(name, server, a, out)
@@ -264,7 +267,7 @@
 	return append(out, ProbeAction{Probe: name})
 }
 
-// sendResult tells an asker what was found.
+// sendResult sends the last result to a requester.
 func (sharing *ProbeSharing) sendResult(name string, server *probedServer, a requester, out []ProbeAction) []ProbeAction {
 	age := sharing.now - server.resultAt
 	if a.local {
@@ -273,7 +276,7 @@
 	return append(out, ProbeAction{To: a.id, Addr: sharing.addresses[a.id], Response: &ProbeResult{name, a.sequence, age, *server.result}})
 }
 
-// reportResult tells the module.
+// reportResult ends a request of this process with a result.
 func (sharing *ProbeSharing) reportResult(name string, server *probedServer, f Finding, age float64, out []ProbeAction) []ProbeAction {
 	if server.unhealthyResult != nil && f.Result == Healthy {
 		server.skippedProber, server.skippedProberUntil = server.unhealthyFrom, sharing.now+sharing.settings.SkipTime
@@ -282,7 +285,8 @@
 	return append(out, ProbeAction{Report: true, Server: name, Age: age, Finding: f})
 }
 
-// ProbeEnded tells what a probe of this process's own found. Who asked after it began waits for the next, unless it is young enough.
+// ProbeEnded takes the result of a probe that this process made. Those who asked after its start wait for the next one, unless it started
+// at most MaxResultAge before.
 func (sharing *ProbeSharing) ProbeEnded(now float64, name string, f Finding, out []ProbeAction) []ProbeAction {
 	sharing.now = max(now, sharing.now)
 	server := sharing.server(name)
@@ -299,14 +303,14 @@
 		if a.requestedAt <= server.startedAt || a.requestedAt-server.startedAt <= sharing.settings.MaxResultAge || f.Result != Healthy {
 			out = sharing.sendResult(name, server, a, out)
 		} else {
-			a.notified = false // of the next probe it is to be told by itself
+			a.notified = false // the next probe is another one
 			server.requesters = append(server.requesters, a)
 		}
 	}
 	return sharing.startProbe(name, server, out)
 }
 
-// Receive takes a message.
+// Receive handles a message: *ProbeRequest or *ProbeResult.
 func (sharing *ProbeSharing) Receive(now float64, from ID, m any, out []ProbeAction) []ProbeAction {
 	sharing.now = max(now, sharing.now)
 	if sharing.addresses[from] == "" {
@@ -320,7 +324,7 @@
 		}
 		n := len(out)
 		out = sharing.serveRequester(m.Server, server, requester{id: from, sequence: m.Sequence, requestedAt: sharing.now}, out)
-		if server.probing && sharing.now-server.startedAt > sharing.settings.MaxResultAge && len(out) == n { // it takes its time: say so
+		if server.probing && sharing.now-server.startedAt > sharing.settings.MaxResultAge && len(out) == n { // the requester must not take this process for unresponsive
 			out = sharing.notifyInProgress(m.Server, server, out)
 		}
 	case *ProbeResult:
@@ -342,7 +346,7 @@
 	return out
 }
 
-// notifyInProgress tells those who wait that a probe is under way.
+// notifyInProgress tells the requesters that a probe is in progress.
 func (sharing *ProbeSharing) notifyInProgress(name string, server *probedServer, out []ProbeAction) []ProbeAction {
 	for i := range server.requesters {
 		if a := &server.requesters[i]; !a.local && !a.notified {
@@ -353,7 +357,7 @@
 	return out
 }
 
-// Tick tells that time has passed.
+// Tick reports that time has passed.
 func (sharing *ProbeSharing) Tick(now float64, out []ProbeAction) []ProbeAction {
 	sharing.now = max(now, sharing.now)
 	for _, name := range sharing.names {
@@ -383,12 +387,12 @@
 		}
 	}
 	if sharing.checks.Enabled() {
-		sharing.checks.Walk(&sharing.checkCounter, sharing.checkInterval, "probes: a walk", sharing.checkState)
+		sharing.checks.Walk(&sharing.checkCounter, sharing.checkInterval, "probes: the state", sharing.checkState)
 	}
 	return out
 }
 
-// Due is when a probe that waits for its turn may begin, +Inf for none.
+// Due returns when a probe that waits for MinInterval may start, in ms; +Inf for none.
 func (sharing *ProbeSharing) Due() float64 {
 	due := math.Inf(1)
 	for _, name := range sharing.names {
