--- a/internal/cluster/overload/adapter/adapter.go
+++ b/internal/cluster/overload/adapter/adapter.go
@@ -1,4 +1,6 @@
-// Package adapter joins package overload to a pooler's core and to the ways between poolers: one adapter for sockets and for virtual time.
+// Package adapter connects overload handling, shared probes and lent retry budgets (package overload and those below) to a pooler's core and
+// to the cluster: requests, probe results and budgets go in, shedding policies, probes and lent retries come out. It serves sockets and
+// virtual time alike.
 package adapter
 
 import (
@@ -14,7 +16,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// Core is what it needs of a pooler's core.
+// Core is the part of a pooler's core that the adapter uses.
 type Core interface {
 	SetShedding(group int, s *decide.SheddingPolicy)
 	AverageWork() []float64
@@ -27,22 +29,22 @@
 	HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64)
 }
 
-// Host is what carries words, and time.
+// Host sends messages and runs timers.
 type Host interface {
 	module.Transport
 	At(ms float64, do func())
 }
 
-// Options say what is shared, and how.
+// Options configure an Adapter.
 type Options struct {
-	Shed   bool // overload is handled together
+	Shed   bool // overload is handled by all poolers together
 	Set    overload.Settings
 	Share  bool // probes are shared
 	Probes overload.ProbeSettings
 	RetryBounds
 }
 
-// Adapter is a pooler's side. It is part.Part, core.Pressure and core.Prober.
+// Adapter is a pooler's side. It implements module.Module and the core's observer of requests. Its methods are called on the event loop.
 type Adapter struct {
 	options      Options
 	core         Core
@@ -60,12 +62,12 @@
 	checkInterval int
 }
 
-// New makes one; it is to be joined to the peers and to the core.
+// New returns an Adapter that is to be registered with the cluster node and the core.
 func New(opt Options, c Core, h Host) *Adapter {
 	return &Adapter{options: opt, core: c, host: h, shedding: map[int]*overload.Shedding{}}
 }
 
-// CheckInvariants has statements about its state checked at one tick of so many.
+// CheckInvariants makes its parts check their invariants, at one tick of interval.
 func (adapter *Adapter) CheckInvariants(c *invariant.Checks, every int) {
 	if adapter.checks, adapter.checkInterval = c, every; adapter.controller != nil {
 		adapter.controller.CheckInvariants(c, every)
@@ -75,13 +77,13 @@
 	}
 }
 
-// learnIntervalMs is between two looks at what classes cost.
+// learnIntervalMs is the time between two samples of the work of classes.
 const learnIntervalMs = 1000
 
-// Kind is part.Part's.
+// Kind implements module.Module.
 func (adapter *Adapter) Kind() view.Kind { return module.KindOverload }
 
-// Decode is part.Part's.
+// Decode implements module.Module.
 func (adapter *Adapter) Decode(b []byte) (any, error) {
 	if budgetlease.IsBudgetMessage(b) {
 		return budgetlease.Decode(b)
@@ -89,7 +91,7 @@
 	return overload.Decode(b)
 }
 
-// contracts are the classes and tenants as they are now.
+// contracts returns the settings with the classes and tenants as they are now.
 func (adapter *Adapter) contracts() overload.Settings {
 	set, out := adapter.core.DecisionSettings(), adapter.options.Set
 	classes, tenants := adapter.core.Names()
@@ -111,7 +113,7 @@
 	return out
 }
 
-// UpdateMembers is part.Part's.
+// UpdateMembers implements module.Module.
 func (adapter *Adapter) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
 	var peers []overload.Peer
 	for i := range all {
@@ -137,7 +139,7 @@
 	}
 }
 
-// Receive is part.Part's.
+// Receive implements module.Module.
 func (adapter *Adapter) Receive(from view.ID, m any) {
 	switch m := m.(type) {
 	case *overload.LoadReport:
@@ -155,7 +157,7 @@
 	}
 }
 
-// Tick is part.Part's.
+// Tick implements module.Module.
 func (adapter *Adapter) Tick() {
 	now := adapter.host.Now()
 	if adapter.controller != nil {
@@ -174,15 +176,15 @@
 	adapter.reportBalances()
 }
 
-// Leave is part.Part's: what it told fades by itself.
+// Leave implements module.Module. What this process reported expires by itself.
 func (adapter *Adapter) Leave() {}
 
-// Received is core.Pressure's.
+// Received is called by the core.
 func (adapter *Adapter) Received(group, class, tenant int, again, in bool) {
 	adapter.handle(overload.RequestReceived{Group: adapter.resource(group, class), Class: class, Tenant: tenant, Retry: again, Admitted: in})
 }
 
-// Ended is core.Pressure's.
+// Ended is called by the core.
 func (adapter *Adapter) Ended(group, class int, served, gone bool, strain float64) {
 	adapter.handle(overload.RequestEnded{Group: adapter.resource(group, class), Class: class, Served: served, ClientGone: gone, Strain: strain})
 }
@@ -207,7 +209,8 @@
 	adapter.actions = acts
 }
 
-// resource is what a class's requests of a group ask for: its primary, or any of its servers. Each has a level of its own.
+// resource returns the number by which a group is reported for a class: one for its primary, another for any of its servers. Each has a
+// level of its own.
 func (adapter *Adapter) resource(group, class int) int {
 	if set := adapter.core.DecisionSettings(); class >= 0 && class < len(set.Classes) && (set.Classes[class].Read == decide.Write || set.Classes[class].Read == decide.ReadFresh) {
 		return 2*group + 1
@@ -215,7 +218,7 @@
 	return 2 * group
 }
 
-// shed has the module turn away what both of a group's levels say.
+// shed gives the decision module what both of a group's levels say.
 func (adapter *Adapter) shed(resource int, p *overload.Shedding) {
 	if adapter.shedding[resource] = p; p == nil {
 		delete(adapter.shedding, resource)
@@ -245,10 +248,10 @@
 	adapter.core.SetShedding(group, s)
 }
 
-// Prober is what shares probes, as core.Prober.
+// Prober is the part of an Adapter that shares probes.
 type Prober struct{ *Adapter }
 
-// Delegates is core.Prober's.
+// Delegates is called by the core.
 func (j Prober) Delegates(store string) bool {
 	if j.probes == nil {
 		return false
@@ -257,7 +260,7 @@
 	return true
 }
 
-// Ended is core.Prober's.
+// Ended is called by the core.
 func (j Prober) Ended(store string, result decide.Result, said backend.Report) bool {
 	if j.probes == nil {
 		return false
@@ -301,7 +304,7 @@
 	}
 }
 
-// Statuses tell how groups stand here, for those who look.
+// Statuses returns the state of each group at this process.
 func (adapter *Adapter) Statuses() []overload.Status {
 	if adapter.controller == nil {
 		return nil
--- a/internal/cluster/overload/adapter/retrybudget.go
+++ b/internal/cluster/overload/adapter/retrybudget.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// RetryBounds says what of a group's requests may be sent twice, and how fast servers that return are come back to.
+// RetryBounds configures how many of a group's requests may be retried or hedged, and how fast connections to a returned server are opened.
 type RetryBounds struct {
 	Repeats        bool
 	Part           float64
@@ -20,12 +20,12 @@
 	Returns        float64 // connections a second of the fleet to one server, 0 for any number
 }
 
-// DefaultRetryBounds is of (repeats) without more.
+// DefaultRetryBounds returns the bounds of (repeats) without further settings.
 func DefaultRetryBounds() RetryBounds {
 	return RetryBounds{Part: 0.1, Floor: 10, SpanMs: 10000, LendingEnabled: true, Lending: budgetlease.Defaults()}
 }
 
-// Begin has the module told what it needs no other pooler for.
+// Begin sets the retry budgets that need no other pooler.
 func (adapter *Adapter) Begin() {
 	b := &adapter.options.RetryBounds
 	var r *retrybudget.Settings
@@ -37,7 +37,7 @@
 	}
 }
 
-// updateLenders tells who can be reached. A process that takes another ID begins anew.
+// updateLenders reports the processes that can be reached.
 func (adapter *Adapter) updateLenders(self view.ID, peers []overload.Peer) {
 	if !adapter.options.Repeats || !adapter.options.LendingEnabled {
 		return
@@ -49,7 +49,7 @@
 	adapter.budget.UpdateMembers(self, peers)
 }
 
-// reportBalances tells what the module has.
+// reportBalances reports the budgets of the decision module.
 func (adapter *Adapter) reportBalances() {
 	if adapter.budget == nil {
 		return
--- a/internal/cluster/overload/budgetlease/bytes_test.go
+++ b/internal/cluster/overload/budgetlease/bytes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestBytes: a message's bytes are what poolers of other versions read.
+// TestBytes: the bytes of a message stay what poolers of other versions read.
 func TestBytes(t *testing.T) {
 	items := []Item{{7, 1.5}, {1 << 30, 0}}
 	for name, c := range map[string]struct {
--- a/internal/cluster/overload/budgetlease/codec.go
+++ b/internal/cluster/overload/budgetlease/codec.go
@@ -14,7 +14,7 @@
 	maxItemUnits        = 1 << 20 // 64ths
 )
 
-// IsBudgetMessage tells whether a message is of this package.
+// IsBudgetMessage reports whether an encoded message is one of this package.
 func IsBudgetMessage(b []byte) bool {
 	return len(b) > 0 && (b[0] == kindTransfer || b[0] == kindTransferRequest)
 }
@@ -28,15 +28,15 @@
 	return b
 }
 
-// Append is part.Words'.
+// Append implements module.Message.
 func (g *Transfer) Append(b []byte) []byte { return appendItems(b, kindTransfer, g.Sequence, g.Items) }
 
-// Append is part.Words'.
+// Append implements module.Message.
 func (w *TransferRequest) Append(b []byte) []byte {
 	return appendItems(b, kindTransferRequest, w.Sequence, w.Items)
 }
 
-// Decode reads a message.
+// Decode decodes a message: *Transfer or *TransferRequest.
 func Decode(b []byte) (any, error) {
 	if !IsBudgetMessage(b) {
 		return nil, overload.ErrMalformed
--- a/internal/cluster/overload/budgetlease/doc.go
+++ b/internal/cluster/overload/budgetlease/doc.go
@@ -1,39 +1,44 @@
-// Package budgetlease has poolers lend each other what a group of servers may be sent twice. Calls in, actions out: no I/O, no clock, no goroutines.
+// Package budgetlease lets poolers lend each other the retries that they may send to a group of servers. It is a state machine: calls go in,
+// actions come out. It does no I/O, reads no clock and starts no goroutines.
 //
-// # The rule that adds up without talking
+// # The limit that needs no messages
 //
-// Each pooler's decision module earns, for each group, a part of its own first attempts, and its part of a floor; each copy, and each
-// repeat of what may have run, costs one (account.Repeats). So the sum over all poolers is bounded though nobody has said a word.
-// But who has one request in a second earns one repeat in ten seconds, and it is not always those who need one who have it.
+// For each group the decision module of a pooler earns a part of a retry with each of its own first attempts, and its part of a floor; each
+// hedged request, and each retry of an attempt that may have run, takes one (package retrybudget). So the sum over all poolers is bounded
+// without any message. But a pooler with one request a second earns one retry in ten seconds, and those that need retries are not always
+// those that have them.
 //
-// # What is lent
+// # Lending
 //
-// Each group has a bank: the first process of the view by rendezvous hashing of its block of Block groups. Every Period a pooler that lacks
-// nothing gives what it has beyond Keep to the bank. One that lacks asks the bank, again after Again at the soonest, and is given what the
-// bank has, at most as many as it has requests that lack. A bank that is no bank any more by its view gives all it has to the next.
+// Each group has a bank: the first process of the view by rendezvous hashing of the group's block of Block groups. Every TransferInterval a
+// pooler without waiting requests transfers what it has beyond OwnReserve to the bank. A pooler with waiting requests asks the bank, again
+// after RequestInterval at the earliest, and gets what the bank has, up to the number of its waiting requests. A process that is a bank no
+// longer, by its view, transfers all it has to the next one.
 //
-// A loan is taken off before it is sent and counted once where it arrives, by its sender's number: what is lost, or comes a second time or
-// overtaken, is gone. So the sum of all purses, vaults and what is on its way never grows by lending, whatever links and processes do, and
+// A transfer is taken off before it is sent, and counted once where it arrives, by its sender's sequence number: what is lost, duplicated
+// or reordered is gone. So the sum of all budgets, balances and transfers in transit never grows by lending, whatever links and processes
+// do, and
 //
-//	repeats of a group, ever <= Part * first attempts + Floor/Siblings * processes * (1 + time/Span)    (account.Repeats.Most)
+//	retries of a group since the start <= AttemptShare * first attempts + Floor/Siblings * processes * (1 + time/Span)
+//	    (retrybudget.Settings.MaxRetries)
 //
-// holds with lending as without; in any stretch of time, what had been saved up comes on top: at most Settings.Carry.
+// holds with lending as without; in any stretch of time, what had been saved up comes on top: at most Settings.SavedBound.
 //
-// # What a pooler does that hears nobody
+// # A pooler that receives nothing
 //
-// It has what it earns, and nothing else: it asks, and gives, and neither is answered. What it gives is lost to all: at most what it earns beyond
-// Keep until its view says that the bank is gone. That is safe: fewer repeats are made than might be.
+// It has what it earns, and nothing else: it sends requests and transfers, and none is answered. What it transfers is lost: at most what it
+// earns beyond OwnReserve until its view knows that the bank has ended. That is safe: fewer retries are made than might be.
 //
 // # Bounds
 //
-// With d the longest delay of a message, and links well:
+// With d the longest delay of a message, and working links:
 //
-//	a request that lacks has the bank's loan within Settings.Wait(d) of lacking, if the bank has one;
-//	words a second of one pooler: at most Settings.Talk for its groups, and one answer for each question to a bank;
-//	a vault holds at most Vault for each group.
+//	a waiting request has the bank's transfer within Settings.WaitBound(d), if the bank has any;
+//	messages a second of one pooler: at most Settings.TrafficBound for its groups, and one answer to each request as a bank;
+//	a bank holds at most MaxBankBalance for each group.
 //
-// # What it does not know
+// # Limitations
 //
-// Whether repeats do any good. A group whose servers lose what they are sent needs more than a part of first attempts; that is refused it here,
-// as its other servers, too, have only so much room.
+// It does not know whether retries help. A group whose servers lose what they are sent needs more than a part of its first attempts; that
+// is denied here, as its other servers have limited capacity too.
 package budgetlease
--- a/internal/cluster/overload/budgetlease/lender.go
+++ b/internal/cluster/overload/budgetlease/lender.go
@@ -10,22 +10,22 @@
 	"beechgrade/internal/invariant"
 )
 
-// ID names a process, Peer is one that can be reached.
-type (
-	ID   = overload.ID
-	Peer = overload.Peer
-)
+// ID identifies a process, as in the view.
+type ID = overload.ID
+
+// Peer is a process that can be reached.
+type Peer = overload.Peer
 
-// Settings say how it is lent. Times are in ms.
+// Settings configure lending. Times are in ms, amounts in retries.
 type Settings struct {
-	TransferInterval float64 // between two gifts to a bank
-	RequestInterval  float64 // before a bank is asked again
-	OwnReserve       float64 // that one keeps for itself
-	MaxBankBalance   float64 // that a bank keeps for a group
+	TransferInterval float64 // between two transfers to a bank
+	RequestInterval  float64 // between two requests to a bank
+	OwnReserve       float64 // that a pooler keeps for itself
+	MaxBankBalance   float64 // that a bank holds for a group
 	TickInterval     float64 // between two ticks
 }
 
-// Defaults are for a fleet within one region or a few.
+// Defaults returns settings for a fleet within one region or a few.
 func Defaults() Settings {
 	return Settings{TransferInterval: 250, RequestInterval: 150, OwnReserve: 1, MaxBankBalance: 40, TickInterval: 50}
 }
@@ -38,55 +38,57 @@
 	maxRequested = 64
 )
 
-// WaitBound bounds the time from lacking to having.
+// WaitBound bounds the time that a request waits for a transfer, if the bank has any.
 func (s *Settings) WaitBound(delay float64) float64 {
 	return s.RequestInterval + s.TickInterval + 2*delay
 }
 
-// TrafficBound bounds the datagrams that a pooler sends a second of so many groups, answers aside.
+// TrafficBound bounds the datagrams a second that a pooler sends for a number of groups, without answers.
 func (s *Settings) TrafficBound(groups int) float64 {
 	return math.Ceil(float64(groups)/Block) * (1000/s.TransferInterval + 1000/s.RequestInterval)
 }
 
-// SavedBound bounds what n poolers and a bank may have saved up of a group, each by itself depth.
+// SavedBound bounds what n poolers, each up to depth, and a bank may have saved up for a group.
 func (s *Settings) SavedBound(n int, depth float64) float64 {
 	return float64(n)*depth + s.MaxBankBalance
 }
 
-// Balance is what the decision module has of a group, and how many requests wait for want of it.
+// Balance is the budget that the decision module has for a group, and the number of requests that wait for more.
 type Balance struct {
 	Group     int
 	Remaining float64
 	Waiting   int
 }
 
-// Transfer moves what it names to who hears it; Want asks for it. An Amount is in 64ths, whole.
-type (
-	Transfer struct {
-		Sequence uint32
-		Items    []Item
-	}
-	TransferRequest struct {
-		Sequence uint32
-		Items    []Item
-	}
-	Item struct {
-		Group  int
-		Amount float64
-	}
-)
+// Transfer is a message that moves retries to its receiver.
+type Transfer struct {
+	Sequence uint32
+	Items    []Item
+}
+
+// TransferRequest is a message that asks a bank for a Transfer.
+type TransferRequest struct {
+	Sequence uint32
+	Items    []Item
+}
+
+// Item is the part of a message about one group. An Amount is a whole number of unitsPerRetry-th parts.
+type Item struct {
+	Group  int
+	Amount float64
+}
 
-// Action is something that is to be done.
+// Action is something that a Lender asks its caller to do.
 type Action struct {
 	To       ID
 	Addr     string
 	Transfer *Transfer
 	Request  *TransferRequest
-	Group    int // without either: the module has so much more of it, or less
+	Group    int // without a message: the decision module has Amount more of it, or less
 	Amount   float64
 }
 
-// Lender is one process's side.
+// Lender is one process's side: a pooler and, for some blocks, the bank. It is not safe for concurrent use.
 type Lender struct {
 	settings     Settings
 	self         ID
@@ -96,26 +98,26 @@
 	banks        map[int]ID // by block
 	balances     map[int]*bankBalance
 	sequence     uint32
-	lastTransfer map[ID]uint32 // the last gift heard of each
+	lastTransfer map[ID]uint32 // sequence number of the last transfer, by sender
 	lastRequest  map[ID]uint32
 	nextTransfer float64
-	nextRequest  map[int]float64 // by block: not before
+	nextRequest  map[int]float64 // by block: the earliest time
 	checks       *invariant.Checks
 }
 
-// bankBalance is what a bank has of a group; in and out are all that came and went.
+// bankBalance is what a bank holds for a group, and the sums of what was deposited and withdrawn.
 type bankBalance struct{ amount, deposited, withdrawn float64 }
 
-// New makes a process's side.
+// New returns the Lender of a process that knows nobody, at time now in ms.
 func New(set Settings, self ID, now float64) *Lender {
 	return &Lender{settings: set, self: self, now: now, addresses: map[ID]string{}, banks: map[int]ID{}, balances: map[int]*bankBalance{}, lastTransfer: map[ID]uint32{},
 		lastRequest: map[ID]uint32{}, nextRequest: map[int]float64{}, nextTransfer: now + float64(self%1000)/1000*set.TransferInterval}
 }
 
-// CheckInvariants has what must be true of it checked.
+// CheckInvariants makes the Lender check its invariants.
 func (l *Lender) CheckInvariants(c *invariant.Checks) { l.checks = c }
 
-// UpdateMembers brings those that can be reached.
+// UpdateMembers sets the processes that can be reached, this one included.
 func (l *Lender) UpdateMembers(self ID, peers []Peer) {
 	l.self, l.peers = self, peers[:min(len(peers), MostPeers)]
 	clear(l.addresses)
@@ -123,7 +125,7 @@
 	for _, p := range l.peers {
 		l.addresses[p.ID] = p.Addr
 	}
-	for id := range l.lastTransfer { // an ID is of one process, which does not come back with it once the view has let it go
+	for id := range l.lastTransfer { // a process never returns with the same ID once the view has dropped it
 		if len(l.lastTransfer) > MostPeers && l.addresses[id] == "" {
 			delete(l.lastTransfer, id)
 			delete(l.lastRequest, id)
@@ -131,7 +133,7 @@
 	}
 }
 
-// bank is the one of a block.
+// bank returns the bank of a block.
 func (l *Lender) bank(block int) ID {
 	id, ok := l.banks[block]
 	if !ok {
@@ -162,16 +164,16 @@
 	v.amount, v.deposited = v.amount+x, v.deposited+x
 }
 
-// withdraw takes so much at most.
+// withdraw takes up to x and returns what it took.
 func (l *Lender) withdraw(group int, x float64) float64 {
 	v := l.balance(group)
 	x = min(x, v.amount)
 	v.amount, v.withdrawn = v.amount-x, v.withdrawn+x
-	l.checks.That(v.amount >= 0 && v.withdrawn <= v.deposited+1e-6, "lend: nothing is lent twice", func() string { return fmt.Sprintf("group %d: %+v", group, *v) })
+	l.checks.That(v.amount >= 0 && v.withdrawn <= v.deposited+1e-6, "budgetlease: nothing is lent twice", func() string { return fmt.Sprintf("group %d: %+v", group, *v) })
 	return x
 }
 
-// Tick tells that time has passed, and what the module has.
+// Tick reports that time has passed, and the budgets of the decision module.
 func (l *Lender) Tick(now float64, all []Balance, out []Action) []Action {
 	l.now = max(now, l.now)
 	gives, wants := map[int][]Item{}, map[int][]Item{} // by block
@@ -225,7 +227,7 @@
 	return out
 }
 
-// mergeByGroup has each group once, by number.
+// mergeByGroup returns one item for each group, by number.
 func mergeByGroup(items []Item) (out []Item) {
 	slices.SortFunc(items, func(a, b Item) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Amount, b.Amount)) })
 	for _, x := range items {
@@ -249,7 +251,7 @@
 	return append(out, a)
 }
 
-// Receive takes a message.
+// Receive handles a message: *Transfer or *TransferRequest.
 func (l *Lender) Receive(now float64, from ID, m any, out []Action) []Action {
 	l.now = max(now, l.now)
 	if l.addresses[from] == "" || from == l.self {
@@ -257,7 +259,7 @@
 	}
 	switch m := m.(type) {
 	case *Transfer:
-		if m.Sequence <= l.lastTransfer[from] { // it came before, or was overtaken
+		if m.Sequence <= l.lastTransfer[from] { // duplicated or reordered
 			return out
 		}
 		l.lastTransfer[from] = m.Sequence
--- a/internal/cluster/overload/budgetlease/lender_test.go
+++ b/internal/cluster/overload/budgetlease/lender_test.go
@@ -125,8 +125,8 @@
 	return x
 }
 
-// TestLentWhereItLacks: what seven poolers earn and do not need, the eighth uses: three times what it earns itself, soon.
-func TestLentWhereItLacks(t *testing.T) {
+// TestBudgetIsLentWhereItIsNeeded: what seven poolers earn and do not need, the eighth one uses soon: three times what it earns itself.
+func TestBudgetIsLentWhereItIsNeeded(t *testing.T) {
 	f := newFleet(8, 3, invariant.Test(t))
 	asked, got, waits := 0, 0, 0
 	for n := range 200 {
@@ -151,7 +151,8 @@
 	}
 }
 
-// TestNeverMoreThanEarned: whatever is lost, doubled, late, overtaken, and whoever sees whom, what is held and used is no more than was earned.
+// TestNeverMoreThanEarned: whatever is lost, duplicated, delayed or reordered, and whatever the views are, no more is held and used than
+// was earned.
 func TestNeverMoreThanEarned(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		const n, groups = 4, 2
@@ -182,8 +183,8 @@
 	})
 }
 
-// TestAloneHasItsOwn: who reaches nobody uses what it earns, and no more.
-func TestAloneHasItsOwn(t *testing.T) {
+// TestIsolatedPoolerUsesItsOwnBudget: a pooler that reaches nobody uses what it earns, and no more.
+func TestIsolatedPoolerUsesItsOwnBudget(t *testing.T) {
 	f := newFleet(5, 1, invariant.Test(t))
 	f.dup = func() int { return 0 }
 	made := 0
@@ -201,8 +202,8 @@
 	}
 }
 
-// TestInvariantLentTwice: a bank that forgets that it has lent is caught.
-func TestInvariantLentTwice(t *testing.T) {
+// TestInvariantDetectsDoubleLending: a bank that forgets that it has lent breaks an invariant.
+func TestInvariantDetectsDoubleLending(t *testing.T) {
 	c := invariant.New(nil)
 	l := New(Defaults(), 1, 0)
 	l.CheckInvariants(c)
@@ -215,8 +216,8 @@
 	}
 }
 
-// TestForm: words come back as they went, the longest within what a datagram may hold; anything else is an error, and no panic.
-func TestForm(t *testing.T) {
+// TestMessagesRoundTrip: messages decode as they were encoded, the longest within a datagram; malformed ones are errors, and no panic.
+func TestMessagesRoundTrip(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		items := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) Item {
 			return Item{rapid.IntRange(0, math.MaxInt32).Draw(rt, "group"), float64(rapid.IntRange(0, maxItemUnits).Draw(rt, "amount")) / unitsPerRetry}
--- a/internal/cluster/overload/bytes_test.go
+++ b/internal/cluster/overload/bytes_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// TestBytes: a message's bytes are what poolers of other versions read.
+// TestBytes: the bytes of a message stay what poolers of other versions read.
 func TestBytes(t *testing.T) {
 	want := []string{
 		"01ac02dc0bd00f020001780002000207410000003f000000020100018001c0018002c0028003c00380040002000000000000000003a002808080800400000000000000000000",
--- a/internal/cluster/overload/controller_test.go
+++ b/internal/cluster/overload/controller_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestLevelFindsCapacity: at half more than the servers can do, what is let in comes to what they can, at every process alike; the cheapest is
-// what is shed; once the load is gone, nothing is.
+// TestLevelFindsCapacity: at half more load than the servers can do, what is admitted approaches what they can do, equally at every
+// process; the lowest priority is shed; once the load has ended, nothing is.
 func TestLevelFindsCapacity(t *testing.T) {
 	f := newFleet(t, 8, Defaults())
 	s := newServers(f, 400, 200)
@@ -205,8 +205,8 @@
 	}
 }
 
-// TestLiar: one that tells of no load, or of a thousand times its own, moves what is let in by no more than a part.
-func TestLiar(t *testing.T) {
+// TestByzantineReportsAreBounded: a pooler that reports no load, or a thousand times its own, changes what is admitted by a part at most.
+func TestByzantineReportsAreBounded(t *testing.T) {
 	for name, times := range map[string]float64{"no load": 0, "all load": 1000} {
 		f := newFleet(t, 8, Defaults())
 		f.twist = func(from int, m any) any {
@@ -232,8 +232,9 @@
 	}
 }
 
-// TestLonely: one that is cut off from all keeps its level for a while and is then as alone; the others go on.
-func TestLonely(t *testing.T) {
+// TestIsolatedPoolerFadesItsLevel: a pooler that is cut off from all keeps its level for a while and then sheds alone; the others are not
+// affected.
+func TestIsolatedPoolerFadesItsLevel(t *testing.T) {
 	f := newFleet(t, 8, Defaults())
 	s := newServers(f, 400, 600)
 	s.run(300)
@@ -251,8 +252,8 @@
 	}
 }
 
-// TestLate: words that are older than Stale count for nothing, and nobody sheds by them.
-func TestLate(t *testing.T) {
+// TestStaleMessagesAreIgnored: messages that are older than StaleAfter do not count, and nobody sheds by them.
+func TestStaleMessagesAreIgnored(t *testing.T) {
 	f := newFleet(t, 8, Defaults())
 	f.delay = 3000
 	s := newServers(f, 400, 600)
@@ -264,8 +265,8 @@
 	}
 }
 
-// TestForm: what is written is read again; what is not of the form is an error and nothing else.
-func TestForm(t *testing.T) {
+// TestMessagesRoundTrip: messages decode as they were encoded, up to rounding; malformed ones are errors.
+func TestMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := func(most float64) float64 { return math.Round(rapid.Float64Range(0, most).Draw(t, "x")*64) / 64 }
 		key := rapid.Uint16()
@@ -294,9 +295,9 @@
 	})
 }
 
-// TestNoBudgetIsNotTheLeast: a collector that sees no overload lets in everything. Beside one that does, the answer of a third that lies
-// is not the middle one, however little it would let in.
-func TestNoBudgetIsNotTheLeast(t *testing.T) {
+// TestNoBudgetCountsAsHighest: a collector that sees no overload admits everything. Beside one that does see it, the false answer of a
+// third one is not the median, however little it would admit.
+func TestNoBudgetCountsAsHighest(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		budgets []float64
@@ -335,9 +336,9 @@
 	}
 }
 
-// TestCollectorLies: a collector answers each tell with next to no budget, and no level. That moves nothing where one of the two others hears
-// later than the other that there is overload.
-func TestCollectorLies(t *testing.T) {
+// TestByzantineCollectorIsOutvoted: a collector answers each report with next to no budget, and no level. That changes nothing where one
+// of the two others notices overload later than the other.
+func TestByzantineCollectorIsOutvoted(t *testing.T) {
 	for _, late := range []float64{0, 300, 600, 900} {
 		f := newFleet(t, 8, Defaults())
 		collectors := f.all[0].CollectorsOf(3)
@@ -377,8 +378,8 @@
 	}
 }
 
-// TestLiarBegins: one pooler tells of next to no budget where nobody sees overload. Nothing is shed for it.
-func TestLiarBegins(t *testing.T) {
+// TestByzantinePoolerStartsNoBudget: one pooler reports next to no budget where nobody sees overload. Nothing is shed for that.
+func TestByzantinePoolerStartsNoBudget(t *testing.T) {
 	f := newFleet(t, 8, Defaults())
 	f.twist = func(from int, m any) any {
 		x, ok := m.(*LoadReport)
--- a/internal/cluster/overload/invariants_test.go
+++ b/internal/cluster/overload/invariants_test.go
@@ -8,8 +8,8 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestInvariantMutants: each statement is false of state that is broken on purpose, and of no other.
-func TestInvariantMutants(t *testing.T) {
+// TestInvariantsDetectBrokenState: each invariant fails for a state that was broken.
+func TestInvariantsDetectBrokenState(t *testing.T) {
 	f := newFleet(t, 4, Defaults())
 	newServers(f, 400, 600).run(200)
 	if f.place[0][3] == nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestGoneForgotten: what was kept of processes that have gone for good goes too: a fleet that is rolled daily keeps no more than its own size.
-func TestGoneForgotten(t *testing.T) {
+// TestNothingIsKeptOfUnreachablePeers: nothing is kept of peers that cannot be reached any more.
+func TestNothingIsKeptOfUnreachablePeers(t *testing.T) {
 	f := newFleet(t, 4, Defaults())
 	s := newServers(f, 400, 600)
 	s.run(100)
--- a/internal/cluster/overload/probes_test.go
+++ b/internal/cluster/overload/probes_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestProbesShared: 20 processes that want a probe each 10 ms have one each, and the server has no more of them than two may make. None is told
-// what is older than it may be.
-func TestProbesShared(t *testing.T) {
+// TestProbesAreShared: 20 processes that need a probe every 10 ms have one each, the server gets no more of them than two probers may
+// make, and no result is older than allowed.
+func TestProbesAreShared(t *testing.T) {
 	w := newProbers(t, 20)
 	set := DefaultProbes()
 	for ms := range 2000 {
@@ -114,8 +114,9 @@
 	}
 }
 
-// TestProberGone: where a prober has died, or is cut off from the server, whoever asks it is told the truth within the time that the page states.
-func TestProberGone(t *testing.T) {
+// TestEndedProberIsReplaced: where a prober has ended, or is cut off from the server, each requester gets a correct result within the
+// stated time.
+func TestEndedProberIsReplaced(t *testing.T) {
 	for _, dead := range []bool{true, false} {
 		w := newProbers(t, 8)
 		set := DefaultProbes()
@@ -141,8 +142,9 @@
 	}
 }
 
-// TestProberCutOff: a prober that does not reach a server costs who asks one long wait; after that the other is asked at once.
-func TestProberCutOff(t *testing.T) {
+// TestIsolatedProberIsSkipped: a prober that does not reach a server costs a requester one long wait; after that the other prober is
+// asked at once.
+func TestIsolatedProberIsSkipped(t *testing.T) {
 	w := newProbers(t, 8)
 	first := int(w.all[0].ProbersOf("s")[0]) - 1
 	w.sees = func(i int) bool { return i != first }
@@ -165,8 +167,8 @@
 	}
 }
 
-// TestProbesEnd: whoever dies and whatever the server does, each want has one end within Latest.
-func TestProbesEnd(t *testing.T) {
+// TestEveryRequestEndsOnce: whichever process ends and whatever the server does, each request has one end within LatencyBound.
+func TestEveryRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newProbers(t, rapid.IntRange(1, 6).Draw(t, "n"))
 		blind := rapid.SliceOfN(rapid.Bool(), len(w.all), len(w.all)).Draw(t, "blind")
--- a/internal/cluster/overload/retrybudget/retrybudget_test.go
+++ b/internal/cluster/overload/retrybudget/retrybudget_test.go
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestWithoutRepeats: without settings everything is allowed, and nothing is kept.
-func TestWithoutRepeats(t *testing.T) {
+// TestWithoutSettingsEveryRetryIsAllowed: without Settings every retry is allowed.
+func TestWithoutSettingsEveryRetryIsAllowed(t *testing.T) {
 	var a Budgets
 	for range 3 {
 		a.CountAttempt(0, 1, false, true)
@@ -63,9 +63,8 @@
 	}
 }
 
-// TestComeBackSlowly: twenty poolers at their part of ten a second are at a server with about ten within a second of its return, with what
-// they had there before at once if it never left, and with what they like once it is back for long.
-func TestComeBackSlowly(t *testing.T) {
+// TestSlowStartLimitsConnections: connections to a server that has returned are opened at the stated rate.
+func TestSlowStartLimitsConnections(t *testing.T) {
 	all, opened := make([]SlowStart, 20), 0
 	for i := range all {
 		all[i] = NewSlowStart()
