--- a/internal/testkit/report/avoided.go
+++ b/internal/testkit/report/avoided.go
@@ -9,14 +9,15 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// AvoidedRow is a server that poolers avoided by others' word: how many did, how often, from when to when, and by whose word.
+// AvoidedRow is a server that poolers avoided because others reported it: how many did, how often, from when to when, and who
+// reported it.
 type AvoidedRow struct {
-	Server, Why, Word string
-	Poolers, Spells   int
-	From, To          float64 // To is 0 where one does so yet
+	Server, Why, Reporters string
+	Poolers, Spans         int
+	From, To               float64 // To is 0 where one still does at the end
 }
 
-// Until is when it ended, if it did.
+// Until is the end of the row's time, for people.
 func (r AvoidedRow) Until() string {
 	if r.To == 0 {
 		return "the records' end"
@@ -24,10 +25,10 @@
 	return Clock(r.To)
 }
 
-// maxReporters are named of those by whose word a server was avoided.
+// maxReporters bounds the reporters that a row names.
 const maxReporters = 6
 
-// AvoidedRows are a view's rows, a server each.
+// AvoidedRows returns a row for each server.
 func AvoidedRows(view *incident.View) (out []AvoidedRow) {
 	var by, words []string
 	for i, a := range view.Avoided { // by server
@@ -36,14 +37,13 @@
 			out = append(out, AvoidedRow{Server: a.Server, Why: a.Why, From: a.From, To: a.To})
 		}
 		r := &out[len(out)-1]
-		if r.Spells++; !slices.Contains(by, a.By) {
+		r.Spans++
+		if !slices.Contains(by, a.By) {
 			by = append(by, a.By)
 		}
-		if r.Poolers, r.From = len(by), min(r.From, a.From); a.To == 0 || r.To == 0 {
-			r.To = 0
-		} else {
-			r.To = max(r.To, a.To)
-		}
+		r.Poolers = len(by)
+		r.From = min(r.From, a.From)
+		r.To = laterEnd(r.To, a.To)
 		if !strings.Contains(r.Why, a.Why) {
 			r.Why += ", " + a.Why
 		}
@@ -53,15 +53,23 @@
 			}
 		}
 		slices.Sort(words)
-		r.Word = strings.Join(words[:min(len(words), maxReporters)], ", ")
+		r.Reporters = strings.Join(words[:min(len(words), maxReporters)], ", ")
 		if len(words) > maxReporters {
-			r.Word += fmt.Sprintf(" and %d more", len(words)-maxReporters)
+			r.Reporters += fmt.Sprintf(" and %d more", len(words)-maxReporters)
 		}
 	}
 	return out
 }
 
-// writeAvoidedTable is the rows for a terminal.
+// laterEnd is the later of two ends of spans; 0 is the end of the records.
+func laterEnd(a, b float64) float64 {
+	if a == 0 || b == 0 {
+		return 0
+	}
+	return max(a, b)
+}
+
+// writeAvoidedTable writes the rows for a terminal.
 func writeAvoidedTable(b *strings.Builder, view *incident.View) {
 	rows := AvoidedRows(view)
 	if len(rows) == 0 {
@@ -71,7 +79,7 @@
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "avoided by others' word\tby poolers\ttimes\tfrom\tto\twhy\tby the word of")
 		for _, r := range rows[:min(len(rows), maxRows)] {
-			fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\t%s\t%s\n", Safe(r.Server), r.Poolers, r.Spells, Clock(r.From), r.Until(), Safe(r.Why), Safe(r.Word))
+			fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\t%s\t%s\n", Safe(r.Server), r.Poolers, r.Spans, Clock(r.From), r.Until(), Safe(r.Why), Safe(r.Reporters))
 		}
 	})
 }
--- a/internal/testkit/report/avoided_test.go
+++ b/internal/testkit/report/avoided_test.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// TestAvoidedRows: a row for each server, over all poolers that avoided it; text and page have it.
+// TestAvoidedRows: there is a row for each server, over all poolers that avoided it, in the text and on the page.
 func TestAvoidedRows(t *testing.T) {
 	spell := func(server, by string, word []string, from, to float64) incident.Avoided {
 		return incident.Avoided{Server: server, By: by, Why: "silent", Reporters: word, From: from, To: to}
--- a/internal/testkit/report/fleet.go
+++ b/internal/testkit/report/fleet.go
@@ -6,17 +6,22 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// FleetLane is what one pooler took another's process for, over time.
+// FleetLane is the state in which one pooler observed another's process, over time.
 type FleetLane struct {
 	By, Of string
 	Bands  []Band
 }
 
+// peerStateClass is the CSS class of each state.
 var peerStateClass = map[string]string{"alive": "primary", "suspect": "silent", "failed": "broken", "left": "gone"}
 
+// maxFleetLanes bounds the lanes that are drawn.
 const maxFleetLanes = 400
 
-// FleetLanes are a view's lanes, and how many more there are.
+// leastBandWidth is the width of the shortest bands.
+const leastBandWidth = 0.5
+
+// FleetLanes returns a lane for each pair of a pooler and a process, and how many were left out. Lanes are width wide.
 func FleetLanes(view *incident.View, width float64) (out []FleetLane, more int) {
 	scale := width / max(1, view.To-view.From)
 	for _, s := range view.Fleet {
@@ -35,7 +40,7 @@
 		l.Bands = append(l.Bands, Band{
 			Class: peerStateClass[s.State],
 			X:     max(0, (s.From-view.From)*scale),
-			W:     max(0.5, (to-s.From)*scale),
+			Width: max(leastBandWidth, (to-s.From)*scale),
 			Title: fmt.Sprintf("%s takes %s for %s from %s for %s", Safe(s.By), Safe(s.Of), Safe(s.State), Clock(s.From), incident.Span(to-s.From)),
 		})
 	}
--- a/internal/testkit/report/limits.go
+++ b/internal/testkit/report/limits.go
@@ -12,18 +12,19 @@
 	Bands     []LimitBand
 }
 
-// LimitBand is as high as the part of the most that any pooler had.
+// LimitBand is a share of a limit, as high as its part of the largest share of any pooler.
 type LimitBand struct {
-	X, W, Y, H float64
-	Title      string
+	X, Width, Y, Height float64
+	Title               string
 }
 
 const (
+	leastAmount   = 1e-9 // avoids a division by 0 where all shares are 0
 	maxLimitLanes = 400
 	laneHeight    = 14
 )
 
-// LimitLanes are a view's lanes, and how many more there are.
+// LimitLanes returns a lane for each limit and pooler, and how many were left out. Lanes are width wide.
 func LimitLanes(view *incident.View, width float64) (out []LimitLane, more int) {
 	scale := width / max(1, view.To-view.From)
 	most := map[string]float64{}
@@ -42,14 +43,14 @@
 		if to == 0 {
 			to = view.To
 		}
-		high := laneHeight * h.Amount / max(1e-9, most[h.Limit])
+		high := laneHeight * h.Amount / max(leastAmount, most[h.Limit])
 		l := &out[len(out)-1]
 		l.Bands = append(l.Bands, LimitBand{
-			X:     max(0, (h.From-view.From)*scale),
-			W:     max(0.5, (to-h.From)*scale),
-			Y:     laneHeight - high,
-			H:     high,
-			Title: fmt.Sprintf("%s may use %g of %s from %s for %s", Safe(h.By), h.Amount, Safe(h.Limit), Clock(h.From), incident.Span(to-h.From)),
+			X:      max(0, (h.From-view.From)*scale),
+			Width:  max(leastBandWidth, (to-h.From)*scale),
+			Y:      laneHeight - high,
+			Height: high,
+			Title:  fmt.Sprintf("%s may use %g of %s from %s for %s", Safe(h.By), h.Amount, Safe(h.Limit), Clock(h.From), incident.Span(to-h.From)),
 		})
 	}
 	return out, more
--- a/internal/testkit/report/limits_test.go
+++ b/internal/testkit/report/limits_test.go
@@ -27,7 +27,7 @@
 	for _, l := range lanes {
 		var b []box
 		for _, x := range l.Bands {
-			b = append(b, box{x.X, x.W, x.Y, x.H})
+			b = append(b, box{x.X, x.Width, x.Y, x.Height})
 		}
 		got = append(got, b)
 	}
--- a/internal/testkit/report/members.go
+++ b/internal/testkit/report/members.go
@@ -10,17 +10,17 @@
 	"beechgrade/internal/testkit/endpointreport"
 )
 
-// MemberRow is what somebody says of a server: a source, the server itself, or the list that was made.
+// MemberRow is what a source of the endpoint list, the server itself, or the resulting list reports of a server.
 type MemberRow struct {
 	Pooler, Server string
 	Group          int64
 	Who            string
 	At             float64
-	Says, Role     string
-	Against        string // for how long a source's word on the role stood against the server's own
+	Reported, Role string
+	Against        string // for how long the source's role contradicted the server's own
 }
 
-// MemberRows are a view's rows: sources first, then the server's own word, then the list.
+// MemberRows returns the rows of each server: its sources, then the server's own report, then the list.
 func MemberRows(view *endpointreport.View) (out []MemberRow) {
 	for _, s := range view.Servers {
 		row := MemberRow{Pooler: s.Pooler, Server: s.Name, Group: s.Group}
@@ -29,21 +29,21 @@
 			if i == 0 && s.DeniedMs > 0 {
 				row.Against = time.Duration(s.DeniedMs * float64(time.Millisecond)).Round(100 * time.Millisecond).String()
 			}
-			if row.Says = x.Health + " at " + x.Address; x.Removed {
-				row.Says, row.Role = "gone", ""
+			if row.Reported = x.Health + " at " + x.Address; x.Removed {
+				row.Reported, row.Role = "gone", ""
 			}
 			out = append(out, row)
 		}
 		row.Against = ""
 		if s.SelfReport != nil {
-			row.Who, row.At, row.Role, row.Says = "itself", s.SelfReport.AtMs, s.SelfReport.Role, "answers"
+			row.Who, row.At, row.Role, row.Reported = "itself", s.SelfReport.AtMs, s.SelfReport.Role, "answers"
 			if s.SelfReport.PositionMs > 0 {
-				row.Says = fmt.Sprintf("stands %.0f ms behind", max(0, s.SelfReport.AtMs-s.SelfReport.PositionMs))
+				row.Reported = fmt.Sprintf("stands %.0f ms behind", max(0, s.SelfReport.AtMs-s.SelfReport.PositionMs))
 			}
 			out = append(out, row)
 		}
 		if s.Entry != nil {
-			row.Who, row.At, row.Role, row.Says = "the list", s.Entry.AtMs, "", s.Entry.State+" at "+s.Entry.Address
+			row.Who, row.At, row.Role, row.Reported = "the list", s.Entry.AtMs, "", s.Entry.State+" at "+s.Entry.Address
 			if s.Entry.Primary {
 				row.Role = "primary"
 			}
@@ -53,7 +53,7 @@
 	return out
 }
 
-// MemberCounts are how many judgements there were of each kind, by name.
+// MemberCounts lists how many decisions there were of each kind, by name.
 func MemberCounts(view *endpointreport.View) (out []string) {
 	for k, n := range view.Counts {
 		out = append(out, fmt.Sprintf("%s: %d", Safe(k), n))
@@ -62,12 +62,12 @@
 	return out
 }
 
-// Members writes a view as text, each judgement with its reason where that is wanted.
+// Members writes a view as text; with why, also each decision with its reason.
 func Members(w io.Writer, view *endpointreport.View, why bool) error {
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "pooler\tgroup\tserver\twho\tlast said\tsays\trole\tagainst its own word")
 	for _, r := range MemberRows(view) {
-		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", Safe(r.Pooler), r.Group, Safe(r.Server), Safe(r.Who), Clock(r.At), Safe(r.Says), r.Role, r.Against)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", Safe(r.Pooler), r.Group, Safe(r.Server), Safe(r.Who), Clock(r.At), Safe(r.Reported), r.Role, r.Against)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/testkit/report/rehearsal.go
+++ b/internal/testkit/report/rehearsal.go
@@ -9,9 +9,9 @@
 	"beechgrade/internal/testkit/rehearse"
 )
 
-const maxListedDifferences = 20 // differences and breaches that are listed as text
+const maxListedDifferences = 20 // differences, and breaches, that the text lists
 
-// Rehearsal writes how a rehearsal went.
+// Rehearsal writes the result of a rehearsal: the clients' score, how it matches the records, and the rules that were broken.
 func Rehearsal(w io.Writer, r *rehearse.Result, m *rehearse.Match, view *incident.View, dir string) error {
 	b := &strings.Builder{}
 	s := r.Score
--- a/internal/testkit/report/report_test.go
+++ b/internal/testkit/report/report_test.go
@@ -8,15 +8,16 @@
 
 	"beechgrade/internal/record"
 	"beechgrade/internal/record/recordpb"
+	"beechgrade/internal/testkit/endpointreport"
 	"beechgrade/internal/testkit/fake"
 	"beechgrade/internal/testkit/incident"
 	"beechgrade/internal/testkit/records"
 )
 
-// hostile are names that must stay text wherever they stand.
+// hostile is a name that must stay text in markup and on terminals.
 const hostile = `<script>alert(1)</script>"' onload="x"&` + "\x1b[31m"
 
-// sampleView is a view of a made-up incident, with a name for a server.
+// sampleView is the view of a made-up incident with named servers.
 func sampleView(servers int, name func(i int) string, seconds float64) *incident.View {
 	m := incident.New()
 	r := &records.Run{Pooler: name(0), StartMs: 1.7e12, Header: &recordpb.Header{Classes: fake.Classes(), ColdUs: 1e6}}
@@ -65,7 +66,7 @@
 	return m.View()
 }
 
-// TestHostileNamesStayText guards against names that become markup, or that a terminal acts on.
+// TestHostileNamesStayText checks that names neither become markup nor control a terminal.
 func TestHostileNamesStayText(t *testing.T) {
 	view := sampleView(8, func(i int) string { return fmt.Sprint(hostile, i) }, 20)
 	page, text := &bytes.Buffer{}, &bytes.Buffer{}
@@ -113,3 +114,33 @@
 		t.Error(err)
 	}
 }
+
+// TestPageShowsEverySection renders a view with all optional sections, which the template reads by the names of fields.
+func TestPageShowsEverySection(t *testing.T) {
+	view := sampleView(8, func(i int) string { return fmt.Sprint("s-", i) }, 20)
+	view.Fleet = []incident.Seen{{By: "pooler-a", Of: "pooler-b 7", State: "alive", From: view.From}}
+	view.Limits = []incident.LimitShare{{Limit: "requests", By: "pooler-a", Amount: 3, From: view.From}}
+	view.Avoided = []incident.Avoided{{Server: "s-1", By: "pooler-a", Why: "silent", Reporters: []string{"pooler-c"}, From: view.From}}
+	view.Zones = &incident.ZonesView{
+		Plans:  3,
+		States: []incident.ZoneState{{Zone: "zone-a", State: "serving", Plan: 3, From: view.From}},
+		Goes:   []incident.ZoneGoes{{By: "pooler-a", Zone: "zone-a", Near: "zone-a", Why: "plan", Plan: 3, From: view.From}},
+	}
+	view.Members = &endpointreport.View{
+		Servers: []*endpointreport.Server{{
+			Pooler: "pooler-a",
+			Name:   "s-2",
+			Entry:  &endpointreport.Entry{AtMs: view.From, State: "serving", Address: "127.0.0.1:9"},
+		}},
+		Decisions: []endpointreport.Decision{{At: view.From, Pooler: "pooler-a", Server: "s-2", Kind: "added", Reason: "first report", Source: "consul"}},
+	}
+	page := &strings.Builder{}
+	if err := HTML(page, view, "everything"); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"pooler-a: pooler-b 7", "pooler-a may use 3 of requests", "pooler-c", "zone-a is serving", "serving at 127.0.0.1:9", "first report"} {
+		if !strings.Contains(page.String(), want) {
+			t.Errorf("the page does not show %q", want)
+		}
+	}
+}
--- a/internal/testkit/report/text.go
+++ b/internal/testkit/report/text.go
@@ -1,4 +1,5 @@
-// Package report writes what the records tell: as text for a terminal, and as one HTML file.
+// Package report writes what the records show: an incident.View as text for a terminal or as one HTML file, the reports of
+// endpoint sources, and the result of a rehearsal. Names that come from records are made safe for terminals and markup.
 package report
 
 import (
@@ -11,22 +12,43 @@
 	"strings"
 	"text/tabwriter"
 	"time"
+	"unicode"
 
 	"beechgrade/internal/testkit/incident"
 )
 
 // Text writes a summary for a terminal.
 func Text(w io.Writer, view *incident.View) error {
-	b := &strings.Builder{}
 	if view.Events == 0 {
 		_, err := fmt.Fprintln(w, "The records hold no events.")
 		return err
 	}
+	b := &strings.Builder{}
+	writeHead(b, view)
+	writeClassTable(b, view)
+	writeCauseTable(b, view)
+	writeGapTable(b, view)
+	writePoolTable(b, view)
+	writeZoneTables(b, view)
+	writeAvoidedTable(b, view)
+	writeReturnTable(b, view)
+	writeFindings(b, view)
+	writeUnknown(b, view)
+	_, err := io.WriteString(w, b.String())
+	return err
+}
+
+// writeHead writes which time and which poolers the records are of.
+func writeHead(b *strings.Builder, view *incident.View) {
 	fmt.Fprintf(b, "%s to %s (%s), %d events of %d poolers", Clock(view.From), Clock(view.To), incident.Span(view.To-view.From), view.Events, len(view.Poolers))
 	if view.Lost > 0 {
 		fmt.Fprintf(b, "; %d more were not recorded", view.Lost)
 	}
 	b.WriteString("\n\n")
+}
+
+// writeClassTable writes what each class was served, and the worth of it.
+func writeClassTable(b *strings.Builder, view *incident.View) {
 	table(b, func(t io.Writer) {
 		fmt.Fprintln(t, "class\tservice\tworst 10 s\tasked\tretries\tserved\tlate\trefused\tfailed\tgone\tunknown\tp50 ms\tp99 ms")
 		for _, c := range append(view.Classes[:len(view.Classes):len(view.Classes)], view.Total) {
@@ -34,33 +56,44 @@
 				c.Served, c.Late, c.Refused, c.Failed, c.Gone, c.Unknown, c.P50, c.P99)
 		}
 	})
-	fmt.Fprintf(b, "\nworth asked %.1f, got %.1f, lost %.1f; %.1f of it hangs on answers within 50 ms of their aim\n", view.Total.WorthAsked, view.Total.WorthGot, view.LostWorth(), view.Total.WorthBorder)
-	if len(view.Causes) > 0 {
-		b.WriteString("\n")
-		table(b, func(t io.Writer) {
-			fmt.Fprintln(t, "worth lost\trequests\tcause")
-			for _, c := range view.Causes {
-				fmt.Fprintf(t, "%.1f\t%d\t%s\n", c.Worth, c.Requests, c.Name)
-			}
-		})
+	fmt.Fprintf(b, "\nworth asked %.1f, got %.1f, lost %.1f; %.1f of it hangs on answers within 50 ms of their aim\n",
+		view.Total.WorthAsked, view.Total.WorthGot, view.LostWorth(), view.Total.WorthBorder)
+}
+
+// writeCauseTable writes the causes of lost worth.
+func writeCauseTable(b *strings.Builder, view *incident.View) {
+	if len(view.Causes) == 0 {
+		return
 	}
-	writeGapTable(b, view)
-	writePoolTable(b, view)
-	writeZoneTables(b, view)
-	writeAvoidedTable(b, view)
+	b.WriteString("\n")
+	table(b, func(t io.Writer) {
+		fmt.Fprintln(t, "worth lost\trequests\tcause")
+		for _, c := range view.Causes {
+			fmt.Fprintf(t, "%.1f\t%d\t%s\n", c.Worth, c.Requests, c.Name)
+		}
+	})
+}
+
+// writeReturnTable writes the servers that could be reached again.
+func writeReturnTable(b *strings.Builder, view *incident.View) {
 	var returns []incident.Return
 	for _, s := range view.Servers {
 		returns = append(returns, s.Returns...)
 	}
-	if len(returns) > 0 {
-		b.WriteString("\n")
-		table(b, func(t io.Writer) {
-			fmt.Fprintln(t, "returned\tserver\taway\tbehind\tstarted")
-			for _, r := range returns {
-				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", Clock(r.To), Safe(r.Server), incident.Span(r.To-r.From), known(r.BehindMs), started(r.StartedMs))
-			}
-		})
+	if len(returns) == 0 {
+		return
 	}
+	b.WriteString("\n")
+	table(b, func(t io.Writer) {
+		fmt.Fprintln(t, "returned\tserver\taway\tbehind\tstarted")
+		for _, r := range returns {
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", Clock(r.To), Safe(r.Server), incident.Span(r.To-r.From), known(r.BehindMs), started(r.StartedMs))
+		}
+	})
+}
+
+// writeFindings writes all findings that the view lists.
+func writeFindings(b *strings.Builder, view *incident.View) {
 	if len(view.Findings) > 0 {
 		b.WriteString("\nfindings (! grave)\n")
 		table(b, func(t io.Writer) {
@@ -76,26 +109,29 @@
 	if view.Unlisted > 0 {
 		fmt.Fprintf(b, "%d more findings are not listed\n", view.Unlisted)
 	}
-	if view.Unknowns > 0 {
-		fmt.Fprintf(b, "\n%d requests have no answer in the records:\n", view.Unknowns)
-		for i, u := range view.Unknown {
-			if i == 20 {
-				fmt.Fprintf(b, "  ... %d more (--json lists up to 2000)\n", view.Unknowns-20)
-				break
-			}
-			fmt.Fprintf(b, "  %s %s %s group %d, id hash %s\n", Clock(u.At), Safe(u.Pooler), Safe(u.Class), u.Group, u.ID)
+}
+
+// maxUnknownShown bounds the unknown requests that the text lists.
+const maxUnknownShown = 20
+
+// writeUnknown writes the first requests without an answer.
+func writeUnknown(b *strings.Builder, view *incident.View) {
+	if view.Unknowns == 0 {
+		return
+	}
+	fmt.Fprintf(b, "\n%d requests have no answer in the records:\n", view.Unknowns)
+	for i, u := range view.Unknown {
+		if i == maxUnknownShown {
+			fmt.Fprintf(b, "  ... %d more (--json lists up to 2000)\n", view.Unknowns-maxUnknownShown)
+			break
 		}
+		fmt.Fprintf(b, "  %s %s %s group %d, id hash %s\n", Clock(u.At), Safe(u.Pooler), Safe(u.Class), u.Group, u.ID)
 	}
-	_, err := io.WriteString(w, b.String())
-	return err
 }
 
+// writeGapTable writes the gaps in writes of all groups.
 func writeGapTable(b *strings.Builder, view *incident.View) {
-	any := false
-	for _, g := range view.Groups {
-		any = any || len(g.Gaps) > 0
-	}
-	if !any {
+	if !slices.ContainsFunc(view.Groups, func(g incident.GroupView) bool { return len(g.Gaps) > 0 }) {
 		return
 	}
 	b.WriteString("\n")
@@ -110,6 +146,7 @@
 	})
 }
 
+// writePoolTable writes the pools of server connections.
 func writePoolTable(b *strings.Builder, view *incident.View) {
 	if len(view.Pools) == 0 {
 		return
@@ -124,7 +161,7 @@
 	})
 }
 
-// Ends says how many sessions of a pool the pooler ended, by SQLSTATE.
+// Ends lists how many sessions of a pool the pooler ended, by SQLSTATE.
 func Ends(p incident.PoolView) string {
 	var parts []string
 	for _, code := range slices.Sorted(maps.Keys(p.Ends)) {
@@ -133,13 +170,14 @@
 	return cmp.Or(strings.Join(parts, ", "), "0")
 }
 
+// table writes rows whose cells are separated by tabs, in aligned columns.
 func table(b *strings.Builder, rows func(io.Writer)) {
 	t := tabwriter.NewWriter(b, 0, 0, 2, ' ', 0)
 	rows(t)
 	_ = t.Flush()
 }
 
-// Clock writes a Unix time for people, in UTC.
+// Clock formats a Unix time in milliseconds for people, in UTC; "-" where it is not known.
 func Clock(ms float64) string {
 	if ms <= 0 || math.IsInf(ms, 0) {
 		return "-"
@@ -147,7 +185,7 @@
 	return time.UnixMicro(int64(ms * 1000)).UTC().Format("15:04:05.000")
 }
 
-// Who is whom a finding is about.
+// Who is the server, the pooler or the group that a finding is about.
 func Who(f incident.Finding) string {
 	switch {
 	case f.Server != "" && f.Pooler != "":
@@ -160,20 +198,37 @@
 	return fmt.Sprintf("group %d", f.Group)
 }
 
-// Safe takes out of a name whatever a terminal might act on, and bounds it.
+// maxNameRunes bounds a name from the records.
+const maxNameRunes = 200
+
+// Safe replaces what a terminal may interpret in a name from the records by question marks, and bounds its length.
 func Safe(s string) string {
 	out := []rune{}
 	for _, r := range s {
-		if r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0 || r == 0x2028 || r == 0x2029 || r >= 0x202a && r <= 0x202e || r >= 0x2066 && r <= 0x2069 {
+		if isControl(r) || changesDirection(r) {
 			r = '?'
 		}
-		if out = append(out, r); len(out) == 200 {
+		out = append(out, r)
+		if len(out) == maxNameRunes {
 			return string(out) + "..."
 		}
 	}
 	return string(out)
 }
 
+// isControl reports whether a rune is a control character of ASCII or Latin-1, or a line or paragraph separator.
+func isControl(r rune) bool {
+	return unicode.IsControl(r) || r == '\u2028' || r == '\u2029'
+}
+
+// changesDirection reports whether a rune embeds, overrides or isolates a direction of text.
+func changesDirection(r rune) bool {
+	isEmbedding := r >= '\u202a' && r <= '\u202e'
+	isIsolate := r >= '\u2066' && r <= '\u2069'
+	return isEmbedding || isIsolate
+}
+
+// known formats a span in milliseconds that is negative where it is not known.
 func known(ms float64) string {
 	if ms < 0 {
 		return "not known"
@@ -181,6 +236,7 @@
 	return incident.Span(ms)
 }
 
+// started formats the start of a server, 0 where none was reported.
 func started(ms float64) string {
 	if ms == 0 {
 		return "not told"
@@ -188,6 +244,7 @@
 	return "cold at " + Clock(ms)
 }
 
+// dateOf is the day of a Unix time in milliseconds.
 func dateOf(ms float64) string {
 	return time.UnixMicro(int64(ms * 1000)).UTC().Format("2 January 2006")
 }
--- a/internal/testkit/report/zones.go
+++ b/internal/testkit/report/zones.go
@@ -8,19 +8,20 @@
 	"beechgrade/internal/testkit/incident"
 )
 
-// ZoneLane is a zone's states over time, or what a pooler went by and how much of its reads crossed.
+// ZoneLane is the states of a zone over time, or the plans that a pooler followed and the part of its reads that crossed.
 type ZoneLane struct {
 	Name  string
 	Bands []ZoneBand
 }
 
-// ZoneBand is as high as the part that crossed, or whole for a state.
+// ZoneBand is a span of a lane. It has the full height for a state, or else the height of the part that crossed.
 type ZoneBand struct {
-	Class      string
-	X, W, Y, H float64
-	Title      string
+	Class               string
+	X, Width, Y, Height float64
+	Title               string
 }
 
+// zoneStateClass and zoneReasonClass are the CSS classes of states and of why a pooler follows a plan.
 var zoneStateClass = map[string]string{"serving": "primary", "strained": "drain", "failing": "silent", "evacuated": "broken", "returning": "cold"}
 var zoneReasonClass = map[string]string{"none": "gone", "plan": "replica", "fallback": "silent", "spilling": "broken"}
 
@@ -29,7 +30,7 @@
 	zoneLaneHeight = 14
 )
 
-// ZoneLanes are a view's: of zones, and of poolers; and how many more there are of these.
+// ZoneLanes returns the lanes of zones and of poolers, and how many were left out. Lanes are width wide.
 func ZoneLanes(view *incident.View, width float64) (states, poolers []ZoneLane, more int) {
 	if view.Zones == nil {
 		return nil, nil, 0
@@ -40,12 +41,12 @@
 			to = view.To
 		}
 		return ZoneBand{
-			Class: class,
-			X:     max(0, (from-view.From)*scale),
-			W:     max(0.5, (to-from)*scale),
-			Y:     zoneLaneHeight * (1 - high),
-			H:     zoneLaneHeight * high,
-			Title: fmt.Sprintf("%s from %s for %s", title, Clock(from), incident.Span(to-from)),
+			Class:  class,
+			X:      max(0, (from-view.From)*scale),
+			Width:  max(leastBandWidth, (to-from)*scale),
+			Y:      zoneLaneHeight * (1 - high),
+			Height: zoneLaneHeight * high,
+			Title:  fmt.Sprintf("%s from %s for %s", title, Clock(from), incident.Span(to-from)),
 		}
 	}
 	at := func(lanes *[]ZoneLane, name string) *ZoneLane {
@@ -80,7 +81,7 @@
 	return states, poolers, more
 }
 
-// writeZoneTables is the summary's part.
+// writeZoneTables writes the states of zones and where reads were served.
 func writeZoneTables(b *strings.Builder, view *incident.View) {
 	if view.Zones == nil {
 		return
--- a/internal/testkit/report/zones_test.go
+++ b/internal/testkit/report/zones_test.go
@@ -40,7 +40,7 @@
 		for _, l := range lanes {
 			var b []box
 			for _, x := range l.Bands {
-				b = append(b, box{x.Class, x.X, x.W, x.Y, x.H})
+				b = append(b, box{x.Class, x.X, x.Width, x.Y, x.Height})
 			}
 			out = append(out, b)
 		}
