--- a/internal/testkit/checker/blackout.go
+++ b/internal/testkit/checker/blackout.go
@@ -211,56 +211,84 @@
 	if b.received[group] >= b.cfg.MinRequests && !b.hadNoMember[group] {
 		b.verdict.Checked[LastAsked]++
 		if b.sent[group] == 0 {
-			b.breach(LastAsked, at, primary, fmt.Sprintf("group %d was asked for %d times in %.0f ms, and none of its servers was sent anything", group, b.received[group], at-b.windowStart), nil)
+			text := fmt.Sprintf("group %d was asked for %d times in %.0f ms, and none of its servers was sent anything",
+				group, b.received[group], at-b.windowStart)
+			b.breach(LastAsked, at, primary, text, nil)
 		}
 	}
 	for _, server := range members {
-		if server == primary {
+		if server != primary {
+			b.checkAvoidance(at, group, server)
+		}
+	}
+}
+
+// checkAvoidance checks that not too many poolers avoid a replica that was healthy for them throughout the window.
+func (b *BlackoutChecker) checkAvoidance(at float64, group, server int) {
+	senders, avoiding, judged, unbiased := 0, 0, 0, 0
+	var proof []Event
+	readsToOthers, readsToServer := 0, 0 // summed over poolers that send little, until they have MinReads
+	for pooler := range b.reads {
+		if !b.healthyInWindow(pooler, server) {
 			continue
 		}
-		senders, avoiding, judged, unbiased := 0, 0, 0, 0
-		var proof []Event
-		readsToOthers, readsToServer := 0, 0 // summed over poolers that send little, until they have MinReads
-		for pooler := range b.reads {
-			replaced := b.replacedCleanly(pooler, server)
-			if replaced && b.windowStart < b.startedAt[server]+b.cfg.RestartGraceMs || !replaced && b.healthySince[pooler][server] > b.windowStart-b.cfg.HealthyMs {
-				continue
-			}
-			if judged++; b.lastUnanswered[pooler][server] > b.windowStart-b.cfg.OwnEvidenceMs && !(replaced && b.lastUnanswered[pooler][server] <= b.startedAt[server]+b.cfg.RestartGraceMs) {
-				continue // it relies on its own observation
-			}
-			unbiased++
-			for _, other := range members {
-				if other != primary && other != server {
-					readsToOthers += b.reads[pooler][other]
-				}
-			}
-			readsToServer += b.reads[pooler][server]
-			if readsToOthers+readsToServer < b.cfg.MinReads {
-				continue
-			}
-			if senders++; readsToServer == 0 {
-				avoiding++
-				if len(proof) < maxProof {
-					proof = append(proof, Event{
-						At:     at,
-						What:   "sends to others only",
-						Pooler: pooler,
-						Server: server,
-						Text:   fmt.Sprintf("%d reads to others of the group", readsToOthers),
-					})
-				}
-			}
-			readsToOthers, readsToServer = 0, 0
+		judged++
+		if b.hasOwnEvidence(pooler, server) {
+			continue
+		}
+		unbiased++
+		readsToOthers += b.readsToOthers(pooler, group, server)
+		readsToServer += b.reads[pooler][server]
+		if readsToOthers+readsToServer < b.cfg.MinReads {
+			continue
 		}
-		if 2*judged <= len(b.reads) || 2*unbiased <= judged || senders < minSenders {
-			continue // it does not answer most poolers, most rely on their own observation, or there are too few reads
+		if senders++; readsToServer == 0 {
+			avoiding++
+			if len(proof) < maxProof {
+				text := fmt.Sprintf("%d reads to others of the group", readsToOthers)
+				proof = append(proof, Event{At: at, What: "sends to others only", Pooler: pooler, Server: server, Text: text})
+			}
 		}
-		b.verdict.Checked[NoBlackout]++
-		if float64(avoiding) > b.cfg.MaxAvoidingShare*float64(senders) {
-			b.breach(NoBlackout, at, server, fmt.Sprintf("server %d answers, and of %d poolers, or clumps of these, %d sent it nothing for %.0f ms", server, senders, avoiding, at-b.windowStart), proof)
+		readsToOthers, readsToServer = 0, 0
+	}
+	if 2*judged <= len(b.reads) || 2*unbiased <= judged || senders < minSenders {
+		return // it does not answer most poolers, most rely on their own observation, or there are too few reads
+	}
+	b.verdict.Checked[NoBlackout]++
+	if float64(avoiding) > b.cfg.MaxAvoidingShare*float64(senders) {
+		text := fmt.Sprintf("server %d answers, and of %d poolers, or clumps of these, %d sent it nothing for %.0f ms",
+			server, senders, avoiding, at-b.windowStart)
+		b.breach(NoBlackout, at, server, text, proof)
+	}
+}
+
+// healthyInWindow reports whether a server was healthy for a pooler for long enough before the window that it must not be avoided.
+func (b *BlackoutChecker) healthyInWindow(pooler, server int) bool {
+	if b.replacedCleanly(pooler, server) {
+		return b.windowStart >= b.startedAt[server]+b.cfg.RestartGraceMs
+	}
+	return b.healthySince[pooler][server] <= b.windowStart-b.cfg.HealthyMs
+}
+
+// hasOwnEvidence reports whether a pooler may avoid a server since it had no answer of it lately, from the process that runs now.
+func (b *BlackoutChecker) hasOwnEvidence(pooler, server int) bool {
+	unanswered := b.lastUnanswered[pooler][server]
+	if unanswered <= b.windowStart-b.cfg.OwnEvidenceMs {
+		return false
+	}
+	ofOldProcess := unanswered <= b.startedAt[server]+b.cfg.RestartGraceMs
+	return !b.replacedCleanly(pooler, server) || !ofOldProcess
+}
+
+// readsToOthers returns the pooler's reads in the window to the group's other replicas.
+func (b *BlackoutChecker) readsToOthers(pooler, group, server int) int {
+	sum := 0
+	for _, other := range b.cfg.Groups[group] {
+		if other != b.primary[group] && other != server {
+			sum += b.reads[pooler][other]
 		}
 	}
+	return sum
 }
 
 // replacedCleanly reports whether a new process of the server runs that has had no fault for this pooler, so that faults of the old one
--- a/internal/testkit/checker/checker.go
+++ b/internal/testkit/checker/checker.go
@@ -116,7 +116,11 @@
 	neverRan bool
 }
 
-const maxKeyed = 1 << 18
+// maxKeyed bounds the keys that are remembered, closedAfterMs the time for which a request is after its deadline.
+const (
+	maxKeyed      = 1 << 18
+	closedAfterMs = 5000
+)
 
 type pause struct{ from, until float64 }
 
@@ -125,7 +129,7 @@
 	id uint64
 }
 
-// clientRequest is a request that is open or ended within keepMs.
+// clientRequest is a request that is open or ended within closedAfterMs.
 type clientRequest struct {
 	id           uint64
 	key          uint64
@@ -266,8 +270,8 @@
 		c.breach(Breach{Rule: OneAnswer, At: at, ID: id, Server: -1, Late: true, Text: fmt.Sprintf("the answer came %.0f ms late", at-request.due)}, request.events)
 	}
 	if c.overload != nil {
-		if s := c.pauses[request.pooler]; request.received <= s.until && s.from <= at { // it waited while the pooler was paused, which says nothing on load
-			kind = ""
+		if pause := c.pauses[request.pooler]; request.received <= pause.until && pause.from <= at {
+			kind = "" // it waited while the pooler was paused, which says nothing on load
 		}
 		c.overload.recordAnswer(request, kind, served)
 	}
@@ -335,13 +339,10 @@
 	}
 }
 
-// AttemptSent records the first byte of an attempt.
-func (c *Checker) AttemptSent(at float64, id uint64, no, pooler, server int) {
-	c.checked[DrainsKept]++
-	if l, ok := c.listed[poolerServer{pooler, server}]; ok && l.state != "up" && at > l.at+c.cfg.GraceMs+c.cfg.SlackMs {
-		c.breach(Breach{Rule: DrainsKept, At: at, ID: id, Server: server, Late: true, Text: fmt.Sprintf("sent %.0f ms after the list said %q", at-l.at, l.state)},
-			[]Event{{At: l.at, What: "list told", Pooler: pooler, Server: server, Text: l.state}, {At: at, What: "sent", Pooler: pooler, Server: server, Attempt: no}})
-	}
+// AttemptSent records the first byte of an attempt and checks the rules on attempts.
+func (c *Checker) AttemptSent(at float64, id uint64, number, pooler, server int) {
+	sent := Event{At: at, What: "sent", Pooler: pooler, Server: server, Attempt: number}
+	c.checkDraining(id, &sent)
 	request := c.requests[id]
 	if request == nil {
 		return
@@ -351,39 +352,67 @@
 		c.recordUse(request, server)
 	}
 	if request.class.Writes {
-		x, ok := c.roleReports[poolerServer{pooler, server}]
-		since := c.RolesAreShared && c.leaderAsOf[server] > x.asOf // other poolers may have reported since that it is the primary
-		if ok {
-			c.checked[NotDenied]++
-		}
-		if ok && !x.primary && !since && at-x.at <= roleReportMs {
-			c.breach(Breach{Rule: NotDenied, At: at, ID: id, Server: server, Text: fmt.Sprintf("a write is sent to a server that said %.0f ms before that it is a replica", at-x.at)},
-				[]Event{{At: x.at, What: "said that it is a replica", Pooler: pooler, Server: server}, {At: at, What: "sent", Pooler: pooler, Server: server, Attempt: no}})
-		}
+		c.checkRole(id, &sent)
 	}
 	if request.class.KeyMs > 0 {
-		c.checkKeyWindow(at, request, no, server)
+		c.checkKeyWindow(at, request, number, server)
 	}
 	if request.class.NoRepeat {
-		c.checked[NotTwice]++
-		for i := range request.attempts {
-			if a := &request.attempts[i]; !a.neverRan {
-				request.record(Event{At: at, What: "sent", Pooler: pooler, Server: server, Attempt: no})
-				c.breach(Breach{Rule: NotTwice, At: at, ID: id, Server: server, Text: fmt.Sprintf("attempt %d is sent though attempt %d may have run, or may yet", no, i)}, request.events)
-				break
-			}
-		}
+		c.checkNoRepeat(request, &sent)
 	}
-	if no > 0 {
+	if number > 0 {
 		c.checkRepeat(at, request, server)
 	}
-	for len(request.attempts) <= no {
+	for len(request.attempts) <= number {
 		request.attempts = append(request.attempts, attempt{neverRan: true, ended: true})
 	}
-	request.attempts[no] = attempt{at: at, server: server}
-	request.record(Event{At: at, What: "sent", Pooler: pooler, Server: server, Attempt: no})
-	if no >= c.cfg.MaxAttempts {
-		c.breach(Breach{Rule: NotTwice, At: at, ID: id, Server: server, Text: fmt.Sprintf("%d attempts; %d are allowed", no+1, c.cfg.MaxAttempts)}, request.events)
+	request.attempts[number] = attempt{at: at, server: server}
+	request.record(sent)
+	if number >= c.cfg.MaxAttempts {
+		text := fmt.Sprintf("%d attempts; %d are allowed", number+1, c.cfg.MaxAttempts)
+		c.breach(Breach{Rule: NotTwice, At: at, ID: id, Server: server, Text: text}, request.events)
+	}
+}
+
+// checkDraining checks that the pooler had not been notified, longer ago than the grace, that the server is draining or removed.
+func (c *Checker) checkDraining(id uint64, sent *Event) {
+	c.checked[DrainsKept]++
+	listed, ok := c.listed[poolerServer{sent.Pooler, sent.Server}]
+	if !ok || listed.state == "up" || sent.At <= listed.at+c.cfg.GraceMs+c.cfg.SlackMs {
+		return
+	}
+	text := fmt.Sprintf("sent %.0f ms after the list said %q", sent.At-listed.at, listed.state)
+	notified := Event{At: listed.at, What: "list told", Pooler: sent.Pooler, Server: sent.Server, Text: listed.state}
+	c.breach(Breach{Rule: DrainsKept, At: sent.At, ID: id, Server: sent.Server, Late: true, Text: text}, []Event{notified, *sent})
+}
+
+// checkRole checks that a write is not sent to a server that lately reported that it is a replica.
+func (c *Checker) checkRole(id uint64, sent *Event) {
+	report, ok := c.roleReports[poolerServer{sent.Pooler, sent.Server}]
+	if !ok {
+		return
+	}
+	c.checked[NotDenied]++
+	promoted := c.RolesAreShared && c.leaderAsOf[sent.Server] > report.asOf // other poolers may have reported since that it is the primary
+	if report.primary || promoted || sent.At-report.at > roleReportMs {
+		return
+	}
+	text := fmt.Sprintf("a write is sent to a server that said %.0f ms before that it is a replica", sent.At-report.at)
+	reported := Event{At: report.at, What: "said that it is a replica", Pooler: sent.Pooler, Server: sent.Server}
+	c.breach(Breach{Rule: NotDenied, At: sent.At, ID: id, Server: sent.Server, Text: text}, []Event{reported, *sent})
+}
+
+// checkNoRepeat checks that no earlier attempt of a request that must not be repeated may have run.
+func (c *Checker) checkNoRepeat(request *clientRequest, sent *Event) {
+	c.checked[NotTwice]++
+	for i := range request.attempts {
+		if request.attempts[i].neverRan {
+			continue
+		}
+		request.record(*sent)
+		text := fmt.Sprintf("attempt %d is sent though attempt %d may have run, or may yet", sent.Attempt, i)
+		c.breach(Breach{Rule: NotTwice, At: sent.At, ID: request.id, Server: sent.Server, Text: text}, request.events)
+		return
 	}
 }
 
@@ -407,8 +436,7 @@
 
 // expire closes requests whose deadline is long past.
 func (c *Checker) expire(now float64) {
-	const keepMs = 5000
-	for c.dueHead < len(c.dueOrder) && now > c.dueOrder[c.dueHead].at+keepMs {
+	for c.dueHead < len(c.dueOrder) && now > c.dueOrder[c.dueHead].at+closedAfterMs {
 		c.closeRequest(c.dueOrder[c.dueHead].id)
 		c.dueHead++
 	}
--- a/internal/testkit/checker/views.go
+++ b/internal/testkit/checker/views.go
@@ -216,24 +216,88 @@
 	if about == nil { // reported before its process started here
 		return
 	}
+	change := viewChange{at: at, observer: from, subject: about, state: state, incarnation: incarnation, previous: previous, known: known}
+	c.countDetection(&change)
+	c.checkAccusation(&change)
+	c.checkReturn(&change)
+}
+
+// viewChange is a change of one process's state of another.
+type viewChange struct {
+	at                float64
+	observer, subject *process
+	state             int
+	incarnation       uint32
+	previous          opinion // meaningful if known
+	known             bool
+}
+
+// runs reports whether a process runs and is not paused.
+func (c *ViewChecker) runs(at float64, p *process) bool {
+	return p.running && at >= c.pausedUntil[p.pooler]
+}
+
+// connected reports whether two processes' poolers are in the same partition.
+func (c *ViewChecker) connected(a, b *process) bool {
+	return c.partitions[a.pooler] == c.partitions[b.pooler]
+}
+
+// countDetection records the time of a true detection, or counts a false one.
+func (c *ViewChecker) countDetection(change *viewChange) {
+	observer, subject := change.observer, change.subject
+	if change.state == viewFailed && !subject.running && (!change.known || change.previous.state < viewFailed) {
+		c.DetectionTimes = append(c.DetectionTimes, change.at-max(subject.ended, observer.started))
+		return
+	}
+	if !c.runs(change.at, subject) || !c.connected(subject, observer) {
+		return
+	}
 	switch {
-	case state == viewFailed && !about.running && (!known || previous.state < viewFailed):
-		c.DetectionTimes = append(c.DetectionTimes, at-max(about.ended, from.started))
-	case state == viewFailed && about.running && at >= c.pausedUntil[about.pooler] && c.partitions[about.pooler] == c.partitions[from.pooler]:
+	case change.state == viewFailed:
 		c.FalseFailures++
-	case state == viewSuspect && !from.accusations[about.id] && about.running && at >= c.pausedUntil[about.pooler] && c.partitions[about.pooler] == c.partitions[from.pooler]:
+	case change.state == viewSuspect && !observer.accusations[subject.id]:
 		c.FalseAccusations++
 	}
-	if c.Exact && (state == viewSuspect || state == viewFailed) && about.running && at >= c.pausedUntil[about.pooler] && !from.accusations[about.id] {
-		c.checked[ViewRash]++
-		cutOff := c.isolated(observer)
-		if cutOff && at-c.partitionedAt[observer] > c.cfg.SelfDetectMs || c.resumedAt[observer] > 0 && at-c.resumedAt[observer] < noAccusationMs && c.partitions[observer] == c.partitions[about.pooler] {
-			c.breach(ViewRash, at, from, about, fmt.Sprintf("pooler %d accuses pooler %d, which runs, though it %s itself", observer, about.pooler, map[bool]string{true: "hears nobody", false: "stood still"}[cutOff]))
-		}
+}
+
+// checkAccusation checks that no pooler accuses a running one, by its own finding, while it is isolated or shortly after a pause.
+func (c *ViewChecker) checkAccusation(change *viewChange) {
+	at, observer, subject := change.at, change.observer, change.subject
+	accuses := change.state == viewSuspect || change.state == viewFailed
+	if !c.Exact || !accuses || !c.runs(at, subject) || observer.accusations[subject.id] {
+		return
+	}
+	c.checked[ViewRash]++
+	cause := "stood still"
+	isolated := c.isolated(observer.pooler)
+	if isolated {
+		cause = "hears nobody"
+	}
+	knowsIsolation := isolated && at-c.partitionedAt[observer.pooler] > c.cfg.SelfDetectMs
+	if knowsIsolation || c.resumedLately(at, observer.pooler) && c.connected(observer, subject) {
+		c.breach(ViewRash, at, observer, subject,
+			fmt.Sprintf("pooler %d accuses pooler %d, which runs, though it %s itself", observer.pooler, subject.pooler, cause))
 	}
+}
+
+// resumedLately reports whether a pooler's pause ended within noAccusationMs.
+func (c *ViewChecker) resumedLately(at float64, pooler int) bool {
+	return c.resumedAt[pooler] > 0 && at-c.resumedAt[pooler] < noAccusationMs
+}
+
+// checkReturn checks that an ended process, once reported as failed, is not reported as running again: never in an incarnation that
+// failed before, and not at all once views have settled.
+func (c *ViewChecker) checkReturn(change *viewChange) {
+	at, subject := change.at, change.subject
 	c.checked[ViewNoReturn]++
-	if known && previous.state >= viewFailed && state < viewFailed && !about.running && (incarnation <= previous.incarnation || at-about.ended > c.cfg.SettleMs && at-c.lastFault > c.cfg.SettleMs) {
-		c.breach(ViewNoReturn, at, from, about, fmt.Sprintf("pooler %d's process, which ended %.0f ms ago, is taken for running again", about.pooler, at-about.ended))
+	returned := change.known && change.previous.state >= viewFailed && change.state < viewFailed
+	if !returned || subject.running {
+		return
+	}
+	settled := at-subject.ended > c.cfg.SettleMs && at-c.lastFault > c.cfg.SettleMs
+	if change.incarnation <= change.previous.incarnation || settled {
+		c.breach(ViewNoReturn, at, change.observer, subject,
+			fmt.Sprintf("pooler %d's process, which ended %.0f ms ago, is taken for running again", subject.pooler, at-subject.ended))
 	}
 }
 
--- a/internal/testkit/model/catalog.go
+++ b/internal/testkit/model/catalog.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Catalog is what a Consul catalogue has of the servers: as late as the list, and with what it is told wrongly.
+// Catalog is the content of a Consul catalog: as late as the endpoint list, and with the errors that are injected.
 type Catalog struct {
-	Emptied bool // everything is deregistered, by mistake
-	Swapped bool // it names the wrong member of each group as its primary
+	Emptied bool // all servers are deregistered by mistake
+	Swapped bool // each group's primary is registered wrongly
 	Index   uint64
 
 	world    *World
-	names    map[*Server]int // how often a server was registered under a new id
+	names    map[*Server]int // number of a server's registrations under a new ID
 	critical map[*Server]bool
 }
 
-// Registration is a server as it is registered.
+// Registration is a server's entry in the catalog.
 type Registration struct {
 	ID          string
 	Address     string
@@ -29,7 +29,7 @@
 	c.world.watcher.Registered()
 }
 
-// All is what is registered, in the order of the servers.
+// All returns the registrations in the order of the servers.
 func (c *Catalog) All() (out []Registration) {
 	if c.Emptied {
 		return nil
@@ -53,8 +53,7 @@
 		}
 		if c.Swapped {
 			r.Role = "replica"
-			if g := s.Group; c.world.List.entries[g.Members[len(g.Members)-1].Name].Role == "primary" && s == g.Members[0] ||
-				c.world.List.entries[g.Members[len(g.Members)-1].Name].Role != "primary" && s == g.Members[len(g.Members)-1] {
+			if s == c.wrongPrimary(s.Group) {
 				r.Role = "primary"
 			}
 		}
@@ -63,13 +62,23 @@
 	return out
 }
 
-// DeregisterAll has everything deregistered, or registered again.
+// wrongPrimary returns the member that is registered as a group's primary while roles are swapped: the last one, or the first
+// if the last one is listed as the primary.
+func (c *Catalog) wrongPrimary(g *Group) *Server {
+	last := g.Members[len(g.Members)-1]
+	if c.world.List.entries[last.Name].Role == "primary" {
+		return g.Members[0]
+	}
+	return last
+}
+
+// DeregisterAll deregisters all servers, or ends that.
 func (w *World) DeregisterAll(on bool) { w.Catalog.Emptied = on; w.Catalog.changed() }
 
-// SwapRoles has the catalogue name wrong primaries, or right ones again.
+// SwapRoles registers wrong primaries, or ends that.
 func (w *World) SwapRoles(on bool) { w.Catalog.Swapped = on; w.Catalog.changed() }
 
-// Reregister has a server registered under a new id, with what is registered of it.
+// Reregister registers a server under a new ID.
 func (w *World) Reregister(name string) error {
 	return w.withServer(name, func(s *Server, _ float64) {
 		w.Catalog.names[s]++
@@ -77,7 +86,7 @@
 	})
 }
 
-// FailCheck has a server's check fail, though nothing is wrong with it; or pass again.
+// FailCheck makes the check of a healthy server fail, or pass again.
 func (w *World) FailCheck(name string, on bool) error {
 	return w.withServer(name, func(s *Server, _ float64) {
 		w.Catalog.critical[s] = on
--- a/internal/testkit/model/directory.go
+++ b/internal/testkit/model/directory.go
@@ -4,18 +4,18 @@
 
 const maxHistory = 4096
 
-// Directory is the list of servers, as late as it is. It never says more than discovery does.
+// Directory is the endpoint list with its delay.
 type Directory struct {
 	Gen          int64
-	ExtraDelayMs float64 // ms by which it is later than usual
-	Unavailable  bool    // it answers nobody
+	ExtraDelayMs float64 // further delay
+	Unavailable  bool    // it does not answer
 
 	world   *World
 	entries map[string]*Entry
 	history []change
 }
 
-// Entry is what the list has of a server.
+// Entry is the list's entry for a server.
 type Entry struct {
 	discovery.Instance
 	Server *Server
@@ -42,7 +42,7 @@
 	}
 }
 
-// Site is where a server stands: those of a group in all sites, in turn.
+// Site returns a server's site. The members of a group are spread over the sites in turn.
 func (s *Server) Site() string {
 	if n := len(s.world.Cfg.Sites); n > 0 {
 		return s.world.Cfg.Sites[s.SiteNo()]
@@ -50,7 +50,7 @@
 	return "room"
 }
 
-// SiteNo is the number of the site.
+// SiteNo returns the number of a server's site.
 func (s *Server) SiteNo() int {
 	for k, m := range s.Group.Members {
 		if m == s {
@@ -60,14 +60,14 @@
 	return 0
 }
 
-// SetAddr tells where a server listens.
+// SetAddr sets the address at which a server listens.
 func (d *Directory) SetAddr(name, addr string) {
 	if e := d.entries[name]; e != nil {
 		e.HostPort = addr
 	}
 }
 
-// update has the list say something new of a server, late: its lifecycle, or its role where that is empty.
+// update changes a server's entry after the list's delay: its lifecycle, or its role if lifecycle is empty.
 func (d *Directory) update(s *Server, lifecycle string, roleLate float64) {
 	role, started := s.Role(), s.Started
 	d.world.after(d.world.Cfg.ListDelay.Draw(s.Group.rng)+roleLate+d.ExtraDelayMs, func(now float64) {
@@ -89,7 +89,7 @@
 	})
 }
 
-// Snapshot is the list as it is now.
+// Snapshot returns the complete list.
 func (d *Directory) Snapshot() discovery.List {
 	l := discovery.List{Generation: d.Gen, Reset: true}
 	for _, s := range d.world.Servers {
@@ -100,7 +100,7 @@
 	return l
 }
 
-// Since is what has changed after a generation, or the whole list where that is not known.
+// Since returns the changes after a generation, or the complete list if the generation is not known.
 func (d *Directory) Since(gen int64) discovery.List {
 	if gen <= 0 || gen > d.Gen || len(d.history) > 0 && gen < d.history[0].gen-1 || len(d.history) == 0 && gen < d.Gen {
 		return d.Snapshot()
--- a/internal/testkit/model/faults.go
+++ b/internal/testkit/model/faults.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kill ends a server's process: its connections are reset, new ones too.
+// Kill ends a server's process: its connections are reset and new ones are refused.
 func (w *World) Kill(name string) error {
 	return w.withServer(name, func(s *Server, now float64) {
 		if s.Up {
@@ -20,7 +20,7 @@
 	s.Group.memberLost(s, now)
 }
 
-// stopLog stops a server's log where it is.
+// stopLog freezes a server's position in the log.
 func (s *Server) stopLog(now float64) {
 	if s.stoppedAt == 0 {
 		s.advance(now)
@@ -31,14 +31,14 @@
 	}
 }
 
-// breakConnections breaks all connections; what was worked on is lost.
+// breakConnections breaks all connections; jobs in progress are lost.
 func (s *Server) breakConnections() {
 	s.incarnation++
 	s.queue, s.head, s.working = nil, 0, 0
 	s.world.watcher.Down(s)
 }
 
-// Revive starts a dead server again: cold, and from where it stood.
+// Revive starts a dead server again, cold and from its last position.
 func (w *World) Revive(name string) error {
 	return w.withServer(name, func(s *Server, now float64) {
 		if s.Up || s.PushedOver {
@@ -52,7 +52,7 @@
 	})
 }
 
-// Restart ends a server's process and has another one there at once: cold, at the same address and under the same id.
+// Restart replaces a server's process at once by a cold one with the same address and ID.
 func (w *World) Restart(name string) error {
 	return w.withServer(name, func(s *Server, now float64) {
 		if !s.Up || s.PushedOver {
@@ -69,13 +69,13 @@
 	})
 }
 
-// resumeLog has a server's log go on from where it stood, behind the group's present primary.
+// resumeLog lets a server apply the log again from its frozen position.
 func (s *Server) resumeLog(now float64) {
 	s.stoppedAt, s.applyFreeAt = 0, now
 	s.applied = max(s.applied, s.Group.firstEntry)
 }
 
-// Hang has a server take requests and answer none; its process runs on. Unhang has it go on: what it held is reset.
+// Hang makes a server accept requests without answering, while its process runs on.
 func (w *World) Hang(name string) error {
 	return w.withServer(name, func(s *Server, now float64) {
 		if s.Up && !s.Hung {
@@ -87,7 +87,7 @@
 	})
 }
 
-// Unhang is Hang's end.
+// Unhang ends Hang; the server's connections are reset.
 func (w *World) Unhang(name string) error {
 	return w.withServer(name, func(s *Server, now float64) {
 		if s.Up && s.Hung {
@@ -101,7 +101,7 @@
 	})
 }
 
-// DropRequests has requests vanish on their way to a server, while probes come through and nobody takes over.
+// DropRequests loses requests on their way to a server, or ends that. Health checks arrive and there is no failover.
 func (w *World) DropRequests(name string, on bool) error {
 	return w.withServer(name, func(s *Server, _ float64) {
 		s.DropsRequests = on
@@ -109,7 +109,7 @@
 	})
 }
 
-// DropAnswers has what a server answers vanish, while it works on.
+// DropAnswers loses a server's answers while it executes requests, or ends that.
 func (w *World) DropAnswers(name string, on bool) error {
 	return w.withServer(name, func(s *Server, _ float64) {
 		s.DropsAnswers = on
@@ -124,7 +124,7 @@
 	return no
 }
 
-// LoseRequests has a part of a server's requests taken and never answered.
+// LoseRequests makes a server accept and never answer a share of its requests, from 0 to 1.
 func (w *World) LoseRequests(name string, part float64) error {
 	return w.withServer(name, func(s *Server, _ float64) {
 		s.lossRate = min(1, max(0, part))
@@ -132,7 +132,7 @@
 	})
 }
 
-// SlowWrites has a server's writes take so many times as long.
+// SlowWrites multiplies the time of a server's writes.
 func (w *World) SlowWrites(name string, times float64) error {
 	return w.withServer(name, func(s *Server, _ float64) {
 		s.writeSlowdown = max(0.1, times)
@@ -140,7 +140,7 @@
 	})
 }
 
-// LimitMachine leaves a server only a part of its machine.
+// LimitMachine leaves a server a share of its machine, from 0.01 to 1.
 func (w *World) LimitMachine(name string, left float64) error {
 	return w.withServer(name, func(s *Server, now float64) {
 		s.advance(now)
@@ -149,7 +149,7 @@
 	})
 }
 
-// SlowReplication has a replica's apply thread take so many times as long.
+// SlowReplication multiplies the time that a replica needs to apply an entry.
 func (w *World) SlowReplication(name string, times float64) error {
 	return w.withServer(name, func(s *Server, now float64) {
 		s.advance(now)
@@ -158,7 +158,7 @@
 	})
 }
 
-// Drain has a server finish what it has and want nothing new; a primary hands over. Undrain ends it.
+// Drain makes a server finish its jobs and reject new ones; a primary hands over.
 func (w *World) Drain(name string) error {
 	return w.withServer(name, func(s *Server, _ float64) {
 		if s.Draining {
@@ -178,7 +178,7 @@
 	})
 }
 
-// Undrain is Drain's end.
+// Undrain ends Drain.
 func (w *World) Undrain(name string) error {
 	return w.withServer(name, func(s *Server, _ float64) {
 		if s.Draining {
@@ -189,15 +189,22 @@
 	})
 }
 
-// Healthy tells whether a server does all that it is to do: it takes, answers and loses nothing, and is as fast as ever.
+// Healthy reports whether no fault affects a server: it accepts and answers all requests at full speed.
 func (s *Server) Healthy(now float64) bool {
-	return s.Up && !s.Hung && !s.DropsRequests && !s.DropsAnswers && !s.Draining && s.lossRate == 0 && s.machineShare >= 1 && s.applySlowdown <= 1 && s.writeSlowdown <= 1 && s.Warmth(now) >= 1
+	answers := s.eligible() && !s.DropsRequests && !s.DropsAnswers && s.lossRate == 0
+	return answers && s.isFullSpeed(now)
 }
 
-// DelayList has the list run later by so many milliseconds.
+// isFullSpeed reports whether no fault slows a server down and it is warm.
+func (s *Server) isFullSpeed(now float64) bool {
+	slowed := s.machineShare < 1 || s.applySlowdown > 1 || s.writeSlowdown > 1
+	return !slowed && s.Warmth(now) >= 1
+}
+
+// DelayList adds a delay to the list.
 func (w *World) DelayList(ms float64) { w.List.ExtraDelayMs = ms }
 
-// SetListUnavailable has the list answer nobody, and its watches end.
+// SetListUnavailable ends the list's watches and makes it unavailable, or available again.
 func (w *World) SetListUnavailable(gone bool) {
 	w.List.Unavailable = gone
 	w.watcher.ListDown(gone)
--- a/internal/testkit/model/group.go
+++ b/internal/testkit/model/group.go
@@ -10,14 +10,14 @@
 type Group struct {
 	ID      int
 	Members []*Server
-	Primary *Server // who takes writes; nil while nobody does
+	Primary *Server // nil during a failover
 
 	world         *World
-	primaryLostAt float64 // its log's end since then, 0 while there is a primary
+	primaryLostAt float64 // when the primary was lost, 0 while there is one
 	log           []entry
-	firstEntry    int // number of the first entry kept
+	firstEntry    int // number of the first stored entry
 	rows          map[string][]version
-	rng           *rand.Rand // of its takeovers, so that they last as long whatever else is drawn meanwhile
+	rng           *rand.Rand // of its failovers, so that they do not depend on other draws
 }
 
 // entry is a write in the log.
@@ -37,13 +37,13 @@
 	maxLog      = 1 << 16
 )
 
-// Writable tells whether the group takes writes now.
+// Writable reports whether the group accepts writes.
 func (g *Group) Writable() bool { return g.Primary != nil && g.primaryLostAt == 0 }
 
-// End is the number behind the log's last entry.
+// End returns the number after the log's last entry.
 func (g *Group) End() int { return g.firstEntry + len(g.log) }
 
-// memberLost notes that a server is out. If it was the primary, the group takes no writes until another takes over.
+// memberLost handles the loss of a member. Without its primary the group accepts no writes until another is elected.
 func (g *Group) memberLost(s *Server, now float64) {
 	if g.Primary != s {
 		return
@@ -52,14 +52,14 @@
 	g.primaryLostAt = now
 	w.after(w.Cfg.DetectionDelay.Draw(g.rng), func(float64) {
 		if g.Primary != s || s.Up && !s.Hung {
-			return // it is back before it was given up
+			return // it returned before the failure was detected
 		}
 		g.Primary = nil
 		w.after(w.Cfg.ElectionDelay.Draw(g.rng), func(now float64) { g.promote(now) })
 	})
 }
 
-// memberReturned notes that a server is back: perhaps the primary, or the one that the group waits for.
+// memberReturned handles a member's return, which may be the primary or the only eligible member.
 func (g *Group) memberReturned(s *Server) {
 	switch {
 	case g.Primary == s:
@@ -70,8 +70,8 @@
 	}
 }
 
-// promote makes the member that has most of the log the primary. Nothing that was committed is lost: what it had not
-// applied yet, it applies now.
+// promote makes the eligible member with most of the log the primary. Committed entries are not lost: it applies those
+// that it lacks.
 func (g *Group) promote(now float64) {
 	if g.Primary != nil || g.world.Cfg.MultiPrimary {
 		return
@@ -96,7 +96,7 @@
 	}
 }
 
-// Write puts a write into the log and returns its commit.
+// Write appends a write to the log and returns its commit position.
 func (g *Group) Write(now float64, key string, value []byte) float64 {
 	commit := math.Ceil(now)
 	g.log = append(g.log, entry{commit, g.world.Cfg.ApplyMs})
--- a/internal/testkit/model/server.go
+++ b/internal/testkit/model/server.go
@@ -11,25 +11,25 @@
 	Group *Group
 
 	Up            bool
-	Hung          bool // takes everything and answers nothing
-	DropsRequests bool // requests vanish on their way to it; probes come through
-	DropsAnswers  bool // requests run, and their answers vanish; probes' too
+	Hung          bool // accepts everything and answers nothing
+	DropsRequests bool // requests are lost on their way to it; health checks arrive
+	DropsAnswers  bool // requests are executed and answers are lost, also those of health checks
 	Draining      bool
 	PushedOver    bool
 	Started       float64 // 0 for long ago
 	Served        int
 
 	world         *World
-	machineShare  float64 // part of the machine that its neighbours leave to it
-	applySlowdown float64 // its apply thread takes so many times as long
-	writeSlowdown float64 // its writes take so many times as long
-	lossRate      float64 // part of the requests that it takes and never answers
+	machineShare  float64 // share of its machine that it may use
+	applySlowdown float64 // factor on the time to apply an entry
+	writeSlowdown float64 // factor on the time of writes
+	lossRate      float64 // share of the requests that it accepts and never answers
 	applied       int     // entries
-	applyFreeAt   float64 // when its apply thread is done
+	applyFreeAt   float64 // when its apply thread is free
 	shipDelay     float64
-	stoppedAt     float64 // its position when it stopped, 0 while it runs
-	incarnation   uint32  // grows with each end, so that what was worked on before it is nothing any more
-	claimsPrimary bool    // it takes itself for the primary still
+	stoppedAt     float64 // its frozen position, 0 while it applies the log
+	incarnation   uint32  // grows as connections break, which invalidates earlier jobs
+	claimsPrimary bool    // it accepts writes although it was replaced
 	wasPrimary    bool    // it was the primary when it hung
 	working       int
 	queue         []*Job
@@ -42,26 +42,26 @@
 
 type workSample struct{ at, work float64 }
 
-// Report is a server's report of itself, some time old.
+// Report is a server's load report.
 type Report struct {
 	Position float64
 	Primary  bool
 }
 
-// Verdict says what became of a request at a server.
+// Verdict is the result of a request at a server.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Served     Verdict = iota
-	NotPrimary         // a write, and this is no primary
-	Draining           // turned away: it drains
-	QueueFull          // turned away
-	HandedOver         // an error: it had begun, and the server is the primary no more
-	PushedOver         // the server was pushed over by this: no answer, its connections break
+	NotPrimary         // a write at a replica
+	Draining           // rejected: the server is draining
+	QueueFull          // rejected
+	HandedOver         // a write failed because the server handed over meanwhile
+	PushedOver         // the request overloaded the cold server: no answer, its connections break
 )
 
-// Reply is what a server answers.
+// Reply is a server's answer.
 type Reply struct {
 	Verdict  Verdict
 	Value    []byte
@@ -69,7 +69,7 @@
 	Primary  bool
 }
 
-// Owner is told of a job's answer, once; never where the server dies, hangs or loses it.
+// Owner receives a job's answer, once; never if the server dies, hangs or loses it.
 type Owner interface{ Answered(j *Job, r Reply) }
 
 // Job is a request at a server.
@@ -77,16 +77,16 @@
 	ID             string
 	Writes         bool
 	Key            string
-	IdempotencyKey string // by which a repeat is known, for IdempotencyMs; empty for none
+	IdempotencyKey string // identifies repeats for IdempotencyMs; empty for none
 	IdempotencyMs  float64
 	Value          []byte
 	Work           float64 // ms on a warm core
 	Owner          Owner
-	Tag            uint64 // the owner's
+	Tag            uint64 // for the owner
 
 	server      *Server
 	arrivedAt   float64
-	startedAt   float64 // 0 while it was not worked on
+	startedAt   float64 // 0 before its execution
 	incarnation uint32
 	state       jobState
 }
@@ -100,7 +100,7 @@
 	jobDone
 )
 
-// Role is the server's own word for its role.
+// Role returns the server's actual role.
 func (s *Server) Role() string {
 	if s.Group.Primary == s {
 		return "primary"
@@ -110,10 +110,10 @@
 
 func (s *Server) eligible() bool { return s.Up && !s.Hung && !s.Draining }
 
-// advance has a replica's one thread apply what has been shipped.
+// advance applies the entries that a replica's single thread has had time for.
 func (s *Server) advance(now float64) {
 	g := s.Group
-	if s.stoppedAt != 0 || g.Primary == s && g.primaryLostAt == 0 {
+	if s.stoppedAt != 0 || s.isGroupPrimary() {
 		return
 	}
 	for s.applied < g.End() {
@@ -127,7 +127,7 @@
 	}
 }
 
-// Position is the time up to which a server has all commits, in whole Unix milliseconds.
+// Position returns the time up to which a server has all commits, in whole Unix milliseconds.
 func (s *Server) Position(now float64) float64 {
 	s.advance(now)
 	return s.position(now)
@@ -138,7 +138,7 @@
 	if s.stoppedAt != 0 {
 		return s.stoppedAt
 	}
-	if g.Primary == s && g.primaryLostAt == 0 {
+	if s.isGroupPrimary() {
 		return math.Floor(now)
 	}
 	at := now - s.shipDelay
@@ -151,7 +151,7 @@
 	return math.Floor(at)
 }
 
-// Read is a row as the server has it.
+// Read returns a row's value at the server, nil for none.
 func (s *Server) Read(key string) []byte {
 	rows := s.Group.rows[key]
 	for i := len(rows) - 1; i >= 0; i-- {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// Warmth is the part of its capacity that a server has now.
+// Warmth returns the share of its capacity that a server has during its warm-up, up to 1.
 func (s *Server) Warmth(now float64) float64 {
 	age := now - s.Started
 	if s.Started == 0 || s.world.Cfg.ColdMs <= 0 || age >= s.world.Cfg.ColdMs {
@@ -171,7 +171,7 @@
 	return s.world.Cfg.ColdShare + (1-s.world.Cfg.ColdShare)*age/s.world.Cfg.ColdMs
 }
 
-// recordColdWork counts work that a cold server is sent, and tells whether it is pushed over by it.
+// recordColdWork counts work sent to a cold server, and reports whether it overloads the server.
 func (s *Server) recordColdWork(now, work float64) bool {
 	w := s.Warmth(now)
 	if w >= 1 {
@@ -188,7 +188,7 @@
 	return cfg.OverloadFactor > 0 && s.coldWorkSum > cfg.OverloadFactor*w*float64(cfg.Cores)*cfg.OverloadWindowMs
 }
 
-// Report is the server's report of itself, made anew now and then.
+// Report returns the server's load report, which is renewed periodically.
 func (s *Server) Report(now float64) Report {
 	if now >= s.nextReport {
 		s.report = Report{s.Position(now), s.Group.Primary == s || s.claimsPrimary}
@@ -197,23 +197,23 @@
 	return s.report
 }
 
-// Accepts tells whether a server would take a request in now, and not turn it away at the door or lose it on the way.
+// Accepts reports whether a server would accept a request that arrives now.
 func (s *Server) Accepts(j *Job) bool {
 	return s.Up && !s.Hung && !s.DropsRequests && !s.Draining && (!j.Writes || s.takesWrites())
 }
 
-// takesWrites tells whether a server takes writes.
+// takesWrites reports whether a server accepts writes.
 func (s *Server) takesWrites() bool {
 	return s.Group.Primary == s || s.claimsPrimary || s.world.Cfg.MultiPrimary
 }
 
-// Submit has a server take a request. Its owner is told of the answer, perhaps before Take returns.
+// Submit hands a request to a server. Its owner receives the answer, possibly before Submit returns.
 func (s *Server) Submit(j *Job) {
 	now := s.world.clock.Now()
 	j.server, j.arrivedAt, j.startedAt, j.incarnation, j.state = s, now, 0, s.incarnation, jobReceived
 	switch {
 	case !s.Up || s.Hung || s.DropsRequests || s.lossRate > 0 && s.world.rng.Float64() < s.lossRate:
-		return // nobody answers
+		return // there is no answer
 	case j.Writes && !s.takesWrites():
 		s.reply(j, Reply{Verdict: NotPrimary})
 		return
@@ -251,11 +251,11 @@
 	s.world.clock.After(took, j, 0)
 }
 
-// Fire ends the work on a job; it is Event's.
+// Fire implements Event: it ends the execution of a job.
 func (j *Job) Fire(uint64) {
 	s := j.server
 	if j.incarnation != s.incarnation || j.state != jobRunning {
-		return // its server died meanwhile, or it was cancelled
+		return // its connection broke, or it was cancelled
 	}
 	j.state = jobDone
 	s.startNext()
@@ -265,46 +265,55 @@
 	now := s.world.clock.Now()
 	s.advance(now)
 	s.Served++
-	r := Run{At: now, Applied: s.applied, Primary: s.world.Cfg.MultiPrimary || s.Group.Primary == s && s.Group.primaryLostAt == 0}
-	if !j.Writes {
-		r.Position = s.position(now)
-		s.world.watcher.Executed(s, j, r)
-		s.reply(j, Reply{Value: s.Read(j.Key), Position: r.Position})
-		return
-	}
-	if s.claimsPrimary {
-		s.world.watcher.Executed(s, j, r)
+	run := Run{At: now, Applied: s.applied, Primary: s.world.Cfg.MultiPrimary || s.isGroupPrimary()}
+	switch {
+	case !j.Writes:
+		run.Position = s.position(now)
+		s.world.watcher.Executed(s, j, run)
+		s.reply(j, Reply{Value: s.Read(j.Key), Position: run.Position})
+	case s.claimsPrimary:
+		s.world.watcher.Executed(s, j, run)
 		s.reply(j, Reply{Value: j.Value, Position: now})
-		return
-	}
-	if !r.Primary { // it handed over meanwhile
+	case !run.Primary: // it handed over meanwhile
 		s.reply(j, Reply{Verdict: HandedOver})
-		return
+	default:
+		s.executeWrite(j, run)
 	}
-	r.RanBefore = s.world.executedWrites[j.ID]
-	if x, known := s.world.firstByKey[j.IdempotencyKey]; j.IdempotencyKey != "" && known {
-		if r.RanBefore = true; j.arrivedAt-x.at <= j.IdempotencyMs {
-			r.RanBefore, r.RepeatDropped, r.Commit, r.Position = false, true, now, now
-			s.world.watcher.Executed(s, j, r)
-			s.reply(j, Reply{Value: x.value, Position: now})
-			return
-		}
-	} else if j.IdempotencyKey != "" && len(s.world.firstByKey) < maxRan {
-		s.world.firstByKey[j.IdempotencyKey] = firstWrite{j.arrivedAt, j.Value}
+}
+
+// isGroupPrimary reports whether a server is its group's primary and accepts writes.
+func (s *Server) isGroupPrimary() bool { return s.Group.Primary == s && s.Group.primaryLostAt == 0 }
+
+// executeWrite executes a write at the primary, or answers a repeat of a keyed write without executing it.
+func (s *Server) executeWrite(j *Job, run Run) {
+	w, now := s.world, run.At
+	run.RanBefore = w.executedWrites[j.ID]
+	earlier, known := w.firstByKey[j.IdempotencyKey]
+	switch {
+	case j.IdempotencyKey == "":
+	case known && j.arrivedAt-earlier.at <= j.IdempotencyMs:
+		run.RanBefore, run.RepeatDropped, run.Commit, run.Position = false, true, now, now
+		w.watcher.Executed(s, j, run)
+		s.reply(j, Reply{Value: earlier.value, Position: now})
+		return
+	case known:
+		run.RanBefore = true
+	case len(w.firstByKey) < maxWrites:
+		w.firstByKey[j.IdempotencyKey] = firstWrite{j.arrivedAt, j.Value}
 	}
-	if r.RanBefore && len(s.world.repeatedWrites) < maxTwice {
-		s.world.repeatedWrites = append(s.world.repeatedWrites, j.ID)
+	if run.RanBefore && len(w.repeatedWrites) < maxRepeatedWrites {
+		w.repeatedWrites = append(w.repeatedWrites, j.ID)
 	}
-	if len(s.world.executedWrites) < maxRan {
-		s.world.executedWrites[j.ID] = true
+	if len(w.executedWrites) < maxWrites {
+		w.executedWrites[j.ID] = true
 	}
-	r.Commit = s.Group.Write(now, j.Key, j.Value)
-	r.Applied, r.Position = s.applied, r.Commit
-	s.world.watcher.Executed(s, j, r)
-	s.reply(j, Reply{Value: j.Value, Position: r.Commit})
+	run.Commit = s.Group.Write(now, j.Key, j.Value)
+	run.Applied, run.Position = s.applied, run.Commit
+	w.watcher.Executed(s, j, run)
+	s.reply(j, Reply{Value: j.Value, Position: run.Commit})
 }
 
-// reply tells a job's owner, with the server's role and position.
+// reply answers a job, with the server's role and position.
 func (s *Server) reply(j *Job, r Reply) {
 	j.state = jobDone
 	if s.DropsAnswers {
@@ -317,7 +326,7 @@
 	j.Owner.Answered(j, r)
 }
 
-// startNext hands a core on.
+// startNext starts the next queued job on a core that is free.
 func (s *Server) startNext() {
 	for s.head < len(s.queue) {
 		j := s.queue[s.head]
@@ -337,7 +346,7 @@
 	s.working = max(0, s.working-1)
 }
 
-// Times is how long a job waited for a core, and how long it has had one by now.
+// Times returns how long a job waited for a core, and how long it has had one.
 func (j *Job) Times(now float64) (waited, worked float64) {
 	if j.startedAt == 0 {
 		return now - j.arrivedAt, 0
@@ -345,12 +354,12 @@
 	return j.startedAt - j.arrivedAt, now - j.startedAt
 }
 
-// InProgress tells whether a server has a job that it has not answered.
+// InProgress reports whether a server has the job and has not answered it.
 func (j *Job) InProgress() bool {
 	return j.server != nil && j.incarnation == j.server.incarnation && (j.state == jobQueued || j.state == jobRunning)
 }
 
-// Cancel stops work on a job whose owner wants it no more: its connection has gone.
+// Cancel stops a job whose connection was closed.
 func (j *Job) Cancel() {
 	s := j.server
 	if s == nil || j.incarnation != s.incarnation {
@@ -370,7 +379,7 @@
 	j.state = jobDone
 }
 
-// Work draws a request's work by its class.
+// Work draws a request's work by its class, in ms on a warm core.
 func (w *World) Work(class string) float64 {
 	if r, ok := w.Cfg.Work[class]; ok {
 		if w.Cfg.ExponentialWork {
@@ -381,7 +390,7 @@
 	return 5
 }
 
-// EffectiveCapacity is what a server does truly: the part of its warm cores that it works with, 0 where it answers nothing, and the part of its requests that it loses.
+// EffectiveCapacity returns the share of its warm cores that a server works with, 0 if it answers nothing, and the share of its requests that it loses.
 func (s *Server) EffectiveCapacity(now float64) (cores, loses float64) {
 	if !s.eligible() || s.DropsRequests || s.DropsAnswers {
 		return 0, s.lossRate
--- a/internal/testkit/model/world.go
+++ b/internal/testkit/model/world.go
@@ -1,6 +1,6 @@
-// Package model is the model of database servers and what befalls them: groups of one primary and its replicas with a
-// log that is shipped and applied, takeovers, cold starts, crowds, faults, and a list of servers that lags. It does no
-// I/O and has no clock and no goroutines: the emulator drives it in virtual time, the stand-in servers in real time.
+// Package model simulates database servers and their faults: groups of one primary and its replicas with a
+// replicated log, failovers, cold starts, queues, and an endpoint list that lags. It does no
+// I/O and has no clock and no goroutines: the simulator drives it in virtual time, the fake servers in real time.
 package model
 
 import (
@@ -10,45 +10,45 @@
 	"slices"
 )
 
-// Range is a span from which a value is drawn.
+// Range is the interval from which a value is drawn.
 type Range [2]float64
 
-// Draw draws a value.
+// Draw returns a value with uniform distribution.
 func (r Range) Draw(rng *rand.Rand) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
 
 // Config describes a fleet. Times are in milliseconds.
 type Config struct {
 	Seed             uint64
 	Groups           []int // members of each group, the first of them its primary
-	Cores            int   // requests that a server works on at once
-	QueueLimit       int   // requests that wait at a server; beyond that it turns away
+	Cores            int   // requests that a server executes concurrently
+	QueueLimit       int   // requests that wait at a server; it rejects further ones
 	MaxConnections   int   // connections that a server holds
 	Work             map[string]Range
-	ExponentialWork  bool    // works are exponential of the mean of their ranges: most are short and some are long
+	ExponentialWork  bool    // work has an exponential distribution with the mean of its range
 	ShipDelay        Range   // from a commit until a replica has it
-	ApplyMs          float64 // a replica's one thread is busy for so long with each write
-	DetectionDelay   Range   // from a primary's end until it is given up
-	ElectionDelay    Range   // from then until a replica takes over
-	SwitchoverDelay  Range   // until a primary that drains has handed over
-	ReportInterval   Range   // age at which a load report is made anew
-	ListDelay        Range   // by which the list is late
-	RoleDelay        Range   // by which its roles are late
+	ApplyMs          float64 // time to apply a write, by one thread
+	DetectionDelay   Range   // from a primary's loss until it is detected
+	ElectionDelay    Range   // from then until a replica is primary
+	SwitchoverDelay  Range   // until a draining primary has handed over
+	ReportInterval   Range   // age at which a load report is renewed
+	ListDelay        Range   // delay of the endpoint list
+	RoleDelay        Range   // further delay of its roles
 	ColdMs           float64 // from a start until a server is warm
-	ColdShare        float64 // the part of its capacity that it starts with
-	OverloadFactor   float64 // a cold server that is sent more than so many times its capacity...
-	OverloadWindowMs float64 // ...within this time falls over and stays down
-	QueueSlowdown    float64 // each request that waits, for each core, makes work take so much longer, as a part
+	ColdShare        float64 // share of its capacity at its start
+	OverloadFactor   float64 // a cold server fails when it gets more work than this multiple of its capacity...
+	OverloadWindowMs float64 // ...within this time, and stays down
+	QueueSlowdown    float64 // relative increase of execution time for each waiting request per core
 
-	Keys  map[string]float64 // by class: a write's repeat by its key is dropped for so long
-	Sites []string           // where servers stand, in turn; nil for one room
+	Keys  map[string]float64 // by class: time for which repeats of a keyed write are dropped
+	Sites []string           // sites of the servers, in turn; nil for a single one
 
-	MultiPrimary bool // there is no primary: every member takes writes, which the others apply from a log that all share
+	MultiPrimary bool // every member accepts writes, which the others apply from a shared log
 
-	GraceMs  float64 // for sends to a server, from the list's word that it drains
-	CancelMs float64 // a cancel request takes so long until it strikes
+	GraceMs  float64 // for attempts, from the list that says that a server is draining
+	CancelMs float64 // until a cancel request takes effect
 }
 
-// Defaults are those of the site's brief, for so many members in each group.
+// Defaults returns the settings of the site's brief, for groups of the given sizes.
 func Defaults(groups ...int) Config {
 	return Config{
 		Groups:           groups,
@@ -74,19 +74,19 @@
 // Clock drives the model.
 type Clock interface {
 	Now() float64                          // Unix ms
-	After(ms float64, e Event, arg uint64) // has e.Fire(arg) called then, one call at a time
+	After(ms float64, e Event, arg uint64) // calls e.Fire(arg) then; calls do not overlap
 }
 
-// Event is what happens at a time.
+// Event is an action at a point in time.
 type Event interface{ Fire(arg uint64) }
 
-// Func is an event of a function; what happens often has an Event of its own.
+// Func is a function as an Event. Frequent events have their own types, which saves an allocation.
 type Func func()
 
-// Fire is Event's.
+// Fire implements Event.
 func (f Func) Fire(uint64) { f() }
 
-// Fact is something that truly happened.
+// Fact is a change of a server's true state.
 type Fact struct {
 	At     float64 `json:"at_ms"`
 	Server string  `json:"server"`
@@ -94,34 +94,34 @@
 	What   string  `json:"what"`
 }
 
-// Watcher is told of what must be carried out, or may be of interest, outside the model.
+// Watcher observes the model. Down, Listed, ListDown and Registered must be carried out by the model's driver.
 type Watcher interface {
 	Down(s *Server)                    // all its connections break
 	FactRecorded(f Fact)               // something happened
-	Listed(e *Entry, at float64)       // the list says something new
-	ListDown(gone bool)                // the list cannot be had, or can again
-	Registered()                       // the catalogue says something new
-	Executed(s *Server, j *Job, r Run) // a request ran
+	Listed(e *Entry, at float64)       // the list's entry has changed
+	ListDown(gone bool)                // the list became unavailable, or available again
+	Registered()                       // the catalog has changed
+	Executed(s *Server, j *Job, r Run) // a request was executed
 }
 
-// Run is what a request did when it ran.
+// Run is the execution of a request.
 type Run struct {
 	At            float64
 	Commit        float64 // a write's, 0 for a read
-	Applied       int     // of the log, as the server had it
+	Applied       int     // log entries that the server had applied
 	Position      float64
 	Primary       bool // the server was its group's one primary
-	RanBefore     bool // a write of this id, or of this key, ran before
-	RepeatDropped bool // a repeat of a keyed write, which was answered and not run
+	RanBefore     bool // a write of this ID or key was executed before
+	RepeatDropped bool // a repeat of a keyed write, answered without execution
 }
 
-// firstWrite is when a keyed write that ran first came, and what it wrote.
+// firstWrite is the arrival and value of the first execution of a keyed write.
 type firstWrite struct {
 	at    float64
 	value []byte
 }
 
-// World is a fleet of servers.
+// World is a fleet of servers. It is not safe for concurrent use.
 type World struct {
 	Cfg     Config
 	Groups  []*Group
@@ -129,25 +129,25 @@
 	List    Directory
 	Catalog Catalog
 
-	SplitBrain bool // a primary that was replaced while it hung takes writes when it is back; what is right has it off
+	SplitBrain bool // a mutant: a primary that was replaced while it hung accepts writes when it returns
 
 	clock          Clock
 	rng            *rand.Rand
 	watcher        Watcher
 	byName         map[string]*Server
 	facts          []Fact
-	executedWrites map[string]bool // ids of writes that ran
+	executedWrites map[string]bool // IDs of executed writes
 	firstByKey     map[string]firstWrite
 	repeatedWrites []string
 }
 
 const (
-	maxRan   = 1 << 20
-	maxTwice = 100
-	maxFacts = 1 << 16
+	maxWrites         = 1 << 20
+	maxRepeatedWrites = 100
+	maxFacts          = 1 << 16
 )
 
-// New makes a fleet. Its list names the servers at no address until SetAddr.
+// New returns a fleet. Its list has no addresses until SetAddr.
 func New(cfg Config, clk Clock, watch Watcher) *World {
 	w := &World{
 		Cfg:            cfg,
@@ -188,22 +188,22 @@
 	return w
 }
 
-// Draw draws a value from the model's own randomness.
+// Draw draws a value from the model's random source.
 func (w *World) Draw(r Range) float64 { return r.Draw(w.rng) }
 
-// Uint32 draws a number.
+// Uint32 draws a number from the model's random source.
 func (w *World) Uint32() uint32 { return w.rng.Uint32() }
 
-// Server finds a server by its name, nil where there is none.
+// Server returns a server by its name, nil for none.
 func (w *World) Server(name string) *Server { return w.byName[name] }
 
-// Facts are what truly happened, in order.
+// Facts returns the recorded facts in order.
 func (w *World) Facts() []Fact { return slices.Clone(w.facts) }
 
-// RepeatedWrites are the ids of writes that ran more than once, up to a bound.
+// RepeatedWrites returns the IDs of writes that were executed more than once, up to maxRepeatedWrites.
 func (w *World) RepeatedWrites() []string { return slices.Clone(w.repeatedWrites) }
 
-// PushedOver are the cold servers that were pushed over.
+// PushedOver returns the names of cold servers that failed under overload.
 func (w *World) PushedOver() []string {
 	var out []string
 	for _, s := range w.Servers {
@@ -214,7 +214,7 @@
 	return out
 }
 
-// ExecutedWrites are the ids of the writes that ran, in no order.
+// ExecutedWrites returns the IDs of the executed writes, in no order.
 func (w *World) ExecutedWrites() (out []string) {
 	for id := range w.executedWrites {
 		out = append(out, id)
@@ -222,7 +222,7 @@
 	return out
 }
 
-// Primary is a group's present primary, nil where there is none.
+// Primary returns a group's primary, nil for none.
 func (w *World) Primary(group int) *Server {
 	if group < 0 || group >= len(w.Groups) {
 		return nil
@@ -238,10 +238,10 @@
 	w.watcher.FactRecorded(f)
 }
 
-// ErrServer says that there is no such server.
+// ErrServer is the error for an unknown server's name.
 var ErrServer = errors.New("no such server")
 
-// withServer runs do for a server.
+// withServer calls do for a server.
 func (w *World) withServer(name string, do func(s *Server, now float64)) error {
 	s := w.byName[name]
 	if s == nil {
