--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -170,7 +170,7 @@
 	return &c
 }
 
-// Key is System's.
+// Key implements System.
 func (s *CreditSystem) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.CreditFaults, s.leader, s.Served, s.Paid, s.LostInCrashes, "|")
@@ -317,7 +317,7 @@
 	return m.To >= 0 && m.Entry == nil && s.poolers[m.To].pausedSteps > 0
 }
 
-// Moves is System's.
+// Moves implements System.
 func (s *CreditSystem) Moves() (out []Move) {
 	move := func(name string, do func(c *CreditSystem)) {
 		out = append(out, Move{name, func() (System, error) {
@@ -470,7 +470,7 @@
 // Ledger are the leader's.
 func (s *CreditSystem) Ledger() *ledger.Ledger { return s.voters[s.leader].lessor.Ledger() }
 
-// Check is System's: what was served costs no more than was paid, and the books are whole.
+// Check implements System: what was served costs no more than was paid, and the books are whole.
 func (s *CreditSystem) Check() error {
 	inFlight := int64(0)
 	for _, x := range s.poolers {
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -80,7 +80,7 @@
 	return &c
 }
 
-// Key is System's.
+// Key implements System.
 func (s *durable) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.submitted, " ", s.acked, " ", s.segment, " ", s.writerStep, " ", s.replaced, " ", s.compactionStep, " ", s.upTo, " ", s.snapshotRecords, " ", s.removes, " ", s.compactions, " ", s.crashes, " ", s.violation)
@@ -109,7 +109,7 @@
 	return out
 }
 
-// Check is System's.
+// Check implements System.
 func (s *durable) Check() error {
 	if s.violation != "" {
 		return fmt.Errorf("%s", s.violation)
@@ -140,7 +140,7 @@
 	s.names[name] = id
 }
 
-// Moves is System's: a step of the writer, one of the compaction, or the end of the process or of the power.
+// Moves implements System: a step of the writer, one of the compaction, or the end of the process or of the power.
 func (s *durable) Moves() (out []Move) {
 	step := func(name string, do func(c *durable)) {
 		out = append(out, Move{name, func() (System, error) {
--- a/internal/testkit/modelcheck/evidence.go
+++ b/internal/testkit/modelcheck/evidence.go
@@ -58,10 +58,10 @@
 	return n, twice
 }
 
-// Key is System's.
+// Key implements System.
 func (e *Evidence) Key() string { n, _ := e.times(); return fmt.Sprint(n, e.outcome()) }
 
-// Moves is System's.
+// Moves implements System.
 func (e *Evidence) Moves() (out []Move) {
 	n, twice := e.times()
 	for i := range e.Messages {
@@ -72,7 +72,7 @@
 	return out
 }
 
-// Check is System's: once all was heard, the same is made of it; and nothing is avoided by the word of one alone.
+// Check implements System: once all was heard, the same is made of it; and nothing is avoided by the word of one alone.
 func (e *Evidence) Check() error {
 	n, _ := e.times()
 	all := true
--- a/internal/testkit/modelcheck/healthchecks.go
+++ b/internal/testkit/modelcheck/healthchecks.go
@@ -126,7 +126,7 @@
 	return &c
 }
 
-// Key is System's.
+// Key implements System.
 func (s *HealthCheckers) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.ProbeFaults, s.faultHappened, "|")
@@ -259,7 +259,7 @@
 	return s.perform(i, x.sharing.RequestProbe(s.now, Target, nil))
 }
 
-// Moves is System's. Within a step messages arrive first, in any order; then probes end, processes want one, crash or begin; then time goes on.
+// Moves implements System. Within a step messages arrive first, in any order; then probes end, processes want one, crash or begin; then time goes on.
 func (s *HealthCheckers) Moves() (out []Move) {
 	move := func(name string, wrong bool, do func(c *HealthCheckers) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -346,7 +346,7 @@
 	return nil
 }
 
-// Check is System's: each want has an end within Latest.
+// Check implements System: each want has an end within Latest.
 func (s *HealthCheckers) Check() error {
 	for i, x := range s.nodes {
 		if !x.dead && x.wantedSince > 0 && s.now > x.wantedSince+s.Set.LatencyBound() {
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -96,7 +96,7 @@
 	return &c
 }
 
-// Key is System's.
+// Key implements System.
 func (s *ShedLevels) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.LevelFaults, s.steps, "|")
@@ -152,7 +152,7 @@
 	}
 }
 
-// Moves is System's. A doubled word's copy comes a step later, a late one two.
+// Moves implements System. A doubled word's copy comes a step later, a late one two.
 func (s *ShedLevels) Moves() (out []Move) {
 	move := func(name string, do func(c *ShedLevels) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -225,7 +225,7 @@
 // maxSpread are levels that two may hold at the same time: collectors judge at moments of their own.
 const maxSpread = 0.05
 
-// Check is System's: levels are within the cells.
+// Check implements System: levels are within the cells.
 func (s *ShedLevels) Check() error {
 	for i, x := range s.nodes {
 		for _, g := range x.controller.Statuses() {
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -150,7 +150,7 @@
 	return &c
 }
 
-// Key is System's.
+// Key implements System.
 func (s *QuotaSystem) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.QuotaFaults, s.partitioned, s.halved, "|")
@@ -231,7 +231,7 @@
 	return s.handle(w.to, quota.Received{Message: &m})
 }
 
-// Moves is System's.
+// Moves implements System.
 func (s *QuotaSystem) Moves() (out []Move) {
 	move := func(name string, do func(c *QuotaSystem) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -423,7 +423,7 @@
 	return each
 }
 
-// Check is System's: all together may never use more than the limit.
+// Check implements System: all together may never use more than the limit.
 func (s *QuotaSystem) Check() error {
 	if s.ConcurrencyLimit {
 		sum := 0
--- a/internal/testkit/modelcheck/raft.go
+++ b/internal/testkit/modelcheck/raft.go
@@ -154,7 +154,7 @@
 	return &c
 }
 
-// Key is System's: the same was told to each voter, in its order, and the same is on the way.
+// Key implements System: the same was told to each voter, in its order, and the same is on the way.
 func (s *RaftVoters) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.Lose, s.Duplicate, s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Wipe, s.number)
@@ -322,7 +322,7 @@
 	return nil
 }
 
-// Check is System's: what is wrong was found in the step.
+// Check implements System: what is wrong was found in the step.
 func (s *RaftVoters) Check() error {
 	for _, x := range s.voters {
 		if x.failure != "" {
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -93,7 +93,7 @@
 	return &c
 }
 
-// Key is System's.
+// Key implements System.
 func (s *ViewSystem) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.Lose, s.Duplicate, s.Delay, s.Crash, s.Restart, "|")
@@ -190,7 +190,7 @@
 	return err
 }
 
-// Moves is System's. Messages arrive in one order unless one is late: then others overtake it.
+// Moves implements System. Messages arrive in one order unless one is late: then others overtake it.
 func (s *ViewSystem) Moves() (out []Move) {
 	move := func(name string, do func(c *ViewSystem) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// Check is System's: nobody knows a later word of a process than its own last one.
+// Check implements System: nobody knows a later word of a process than its own last one.
 func (s *ViewSystem) Check() error {
 	for i, x := range s.nodes {
 		for _, r := range x.view.Members() {
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -132,23 +132,23 @@
 
 func (h zoneHost) process() *zoneProcess { return h.system.processes[h.index] }
 
-// Now is part.Net's.
+// Now implements module.Transport.
 func (h zoneHost) Now() float64 { return h.process().clock }
 
-// Send is part.Net's.
+// Send implements module.Transport.
 func (h zoneHost) Send(addr string, _ view.ID, _ view.Kind, w module.Message) {
 	h.process().outgoing = append(h.process().outgoing, zoneMessage{h.index, slices.Index(h.system.Set.Voters, addr), string(w.Append(nil)), h.process().clock})
 }
 
-// SendStream is part.Net's.
+// SendStream implements module.Transport.
 func (h zoneHost) SendStream(string, view.ID, view.Kind, module.Message, func(bool)) {}
 
-// Propose is zones.Log's.
+// Propose implements zones.Log.
 func (h zoneHost) Propose(entry []byte) {
 	h.process().proposals = append(h.process().proposals, string(entry))
 }
 
-// Sample is zones.Pooler's: a little is asked everywhere, and from a time on one zone has nothing that serves.
+// Sample implements zones.Pooler: a little is asked everywhere, and from a time on one zone has nothing that serves.
 func (h zoneHost) Sample(float64) (cells []planner.Cell, asks []planner.Demand) {
 	for z := range h.system.Set.Zones {
 		c := planner.Cell{Zone: z, Cores: 4, FullCores: 4, Attempts: 20}
@@ -160,10 +160,10 @@
 	return cells, []planner.Demand{{Load: 0.5}}
 }
 
-// ApplyStatus is zones.Pooler's.
+// ApplyStatus implements zones.Pooler.
 func (h zoneHost) ApplyStatus(follower.Status) {}
 
-// StorePlanNumber is zones.Pooler's.
+// StorePlanNumber implements zones.Pooler.
 func (h zoneHost) StorePlanNumber(no uint64, done func()) {
 	h.process().pendingStores = append(h.process().pendingStores, pendingStore{no, done})
 }
@@ -312,7 +312,7 @@
 	return &c
 }
 
-// Key is System's: the same was told to each voter, in its order, and the same is on the way.
+// Key implements System: the same was told to each voter, in its order, and the same is on the way.
 func (s *ZoneVoters) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.now, s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice, len(s.log))
@@ -328,7 +328,7 @@
 	return b.String()
 }
 
-// Check is System's: what is wrong was found in the step.
+// Check implements System: what is wrong was found in the step.
 func (s *ZoneVoters) Check() error { return nil }
 
 // advance has time go on a step. Who sleeps does not see it; words that are too late never come.
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// attempt is a request's attempt, or a probe where query is nil. It is the model's job while it is at the server.
+// attempt is an attempt of a request, or a health check if client is nil. At the server it is a job of the model.
 type attempt struct {
 	job             model.Job
 	pooler          *pooler
@@ -23,35 +23,35 @@
 	client          *clientAttempt // nil for a probe
 	number          int
 	deadline        float64
-	id              string // of the server, as the list has it
+	id              string // of the server in the endpoint list
 	sent            bool
 	ended           bool
-	sentAt          float64 // sent then, on a connection that had rested so long
+	sentAt          float64 // when it was sent
 	idleMs          float64
-	asOf            float64 // a server tells its lag as of then
+	asOf            float64 // time to which a reported lag refers
 	reply           model.Reply
-	waitsForPage    bool       // it has a connection, and waits until all of its page have one
-	rows            *shardRows // of a page's shard, nil where it is none
+	waitsForPage    bool       // it has a connection and waits until all attempts of its page have one
+	rows            *shardRows // of a page's shard, nil for other attempts
 	backend.SendConditions
 }
 
-// What an attempt's event is of; the model's own argument is 0.
+// The kinds of an attempt's events. The model's own argument is 0.
 const (
 	atServer   = iota + 1 // it arrives
 	atPooler              // its answer arrives
-	atEnd                 // its time is over
-	atConnect             // its wait for a connection is over
-	atCancel              // the server sees that its connection has gone
-	atReset               // the pooler sees that its connection broke
-	atRefused             // the server turned its connection away
+	atEnd                 // its deadline
+	atConnect             // the end of its wait for a connection
+	atCancel              // the server notices that the connection was closed
+	atReset               // the pooler notices that the connection broke
+	atRefused             // the server refused the connection
 	atUp                  // a connection is up
 	atDown                // a connection could not come up
-	atProbed              // a probe's report arrives
-	atNoServer            // it was begun at a server that nobody knows
+	atProbed              // a health check's report arrives
+	atNoServer            // the server is unknown
 	atRows                // the next rows of a page's shard arrive
 )
 
-// Start is core.Servers'.
+// Start implements core.Servers.
 func (p *pooler) Start(id string, q backend.Query, until float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
 	v := q.(*clientAttempt)
 	a := &attempt{pooler: p, incarnation: p.incarnation, tag: t, client: v, number: t.Number, deadline: until, SendConditions: on}
@@ -60,7 +60,7 @@
 	return a.ref
 }
 
-// CheckHealth is core.Servers'.
+// CheckHealth implements core.Servers.
 func (p *pooler) CheckHealth(id string) {
 	p.sim.healthChecks++
 	if st := p.poolOf(id); st != nil {
@@ -71,7 +71,7 @@
 	p.begin(a, id)
 }
 
-// Cancel is core.Servers'.
+// Cancel implements core.Servers.
 func (p *pooler) Cancel(ref slotmap.Ref) {
 	if a, ok := p.attempts.Get(ref); ok {
 		a.abort(decide.Cancelled)
@@ -82,7 +82,7 @@
 	sim := p.sim
 	a.id, a.pool = id, p.poolOf(id)
 	if a.pool == nil || !a.pool.listed {
-		a.end(backend.Outcome{Result: decide.Unreachable}) // as the sockets' side does, before Start returns
+		a.end(backend.Outcome{Result: decide.Unreachable}) // before Start returns, as the backend on sockets does
 		return
 	}
 	st := a.pool
@@ -111,7 +111,7 @@
 	}
 }
 
-// Recall is core.Servers'.
+// Recall implements core.Servers.
 func (p *pooler) Recall(id string, which func(backend.AttemptID) bool) {
 	st := p.poolOf(id)
 	if st == nil {
@@ -127,10 +127,10 @@
 	}
 }
 
-// maySend asks whether an attempt may still go out, as the daemon does. A probe always may.
+// maySend reports whether an attempt may still be sent; a health check always may.
 func (a *attempt) maySend() bool { return a.client == nil || a.pooler.core.MaySend(a.tag) }
 
-// send puts an attempt on a connection.
+// send sends an attempt on a connection.
 func (a *attempt) send() {
 	sim, st := a.pooler.sim, a.pool
 	if a.client != nil && a.client.shard != nil && a.client.shard.holdUntilSend(a) {
@@ -161,7 +161,7 @@
 	}
 	switch forgets := sim.script.Forgets; {
 	case a.pooler.cut(st.server) || a.pooler.dropsRequest(st.server):
-	case forgets > 0 && a.idleMs >= forgets: // what lies between knows nothing of this connection any more
+	case forgets > 0 && a.idleMs >= forgets: // a network element has forgotten this idle connection
 		sim.sched.After(sim.linkDelayTo(a.pooler, st.server), a, atReset)
 	default:
 		if ms := sim.deliveryDelay(a.pooler, st.server, false); ms >= 0 {
@@ -170,7 +170,7 @@
 	}
 }
 
-// Fire is world.Event's; what happens at the pooler's side waits for its machine.
+// Fire implements model.Event; what happens at the pooler's side waits for its machine.
 func (a *attempt) Fire(what uint64) {
 	switch what {
 	case atServer:
@@ -187,11 +187,11 @@
 	}
 }
 
-// arrive is at the server.
+// arrive handles an attempt's arrival at the server.
 func (a *attempt) arrive() {
 	sim, s := a.pooler.sim, a.pool.server
 	if !s.Up || a.poolIncarnation != a.pool.incarnation {
-		return // its connection is broken, and its pooler hears of that
+		return // its connection is broken, of which the pooler is notified
 	}
 	if a.client == nil { // a probe
 		if s.Hung || s.DropsAnswers {
@@ -220,7 +220,7 @@
 	s.Submit(&a.job)
 }
 
-// Answered is world.Owner's.
+// Answered implements model.Owner.
 func (a *attempt) Answered(_ *model.Job, r model.Reply) {
 	if r.Verdict == model.PushedOver {
 		return // its connection breaks
@@ -256,7 +256,7 @@
 	switch what {
 	case atPooler, atProbed:
 		if a.poolIncarnation != st.incarnation {
-			return // the connection broke before the answer was whole
+			return // the connection broke before the answer was complete
 		}
 		o := backend.Outcome{Result: results[a.reply.Verdict], Report: backend.Report{
 			Role:     decide.RoleReplica,
@@ -282,7 +282,7 @@
 		if o.Role == decide.RoleReplica && len(st.waiting) > 0 {
 			a.pooler.core.ServerReportsReplica(a.id, o.Report, a.client == nil)
 		}
-		st.release() // before the end is told: what that leads to may use it
+		st.release() // before the end is reported, so that what follows can use the connection
 		a.end(o)
 	case atReset:
 		delete(st.busy, a)
@@ -307,8 +307,8 @@
 	}
 }
 
-// useClickHouseReport has an answer tell what one of the ClickHouse interface does: nothing of a role, and how far behind its server is
-// only where a probe asks for that, in whole seconds.
+// useClickHouseReport reduces a report to that of the ClickHouse interface: without a role, and with the server's lag in whole seconds
+// for health checks only.
 func (a *attempt) useClickHouseReport(o *backend.Outcome) {
 	o.Role, o.HasPos = decide.RoleUnknown, false
 	if a.client == nil {
@@ -335,7 +335,7 @@
 		return
 	}
 	delete(st.busy, a)
-	st.countConnections(-1) // where the server broke it, its reset is yet to come, and finds nobody
+	st.countConnections(-1) // a reset by the server that is still to come finds no attempt
 	if !a.pooler.cut(st.server) {
 		a.pooler.sim.sched.After(a.pooler.sim.linkDelay(), a, atCancel)
 	}
@@ -376,7 +376,7 @@
 	p.core.AttemptEnded(a.tag, o)
 }
 
-// applyListRole has a mutant take the list's word on a server's role for the server's own.
+// applyListRole replaces a server's reported role by that of the endpoint list, for a mutant.
 func (p *pooler) applyListRole(id string, o *backend.Outcome) {
 	if m := p.sim.options.Mutant; m == nil || !m.TrustsListRoles || p.member == nil || o.Role == decide.RoleUnknown {
 		return
@@ -388,7 +388,7 @@
 	}
 }
 
-// reportRole tells the checker what a server said of itself.
+// reportRole passes a server's reported role to the checker.
 func (sim *Simulation) reportRole(a *attempt, o *backend.Outcome) {
 	if a.pool != nil && o.Role != decide.RoleUnknown {
 		asOf := sim.sched.now
--- a/internal/testkit/simulation/blackout.go
+++ b/internal/testkit/simulation/blackout.go
@@ -5,11 +5,11 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// restartGraceMs is until when a server's new process may be avoided for what the old one did: until all have its entry, and a probe of it, which may come
-// 3.2 s after the last; and a second.
+// restartGraceMs is the time for which a server's new process may be avoided because of the old one, in ms: until all poolers have its
+// entry and a health check of it, which may come 3.2 s after the last, and a second.
 const restartGraceMs = 5000
 
-// BlackoutConfig are what the rules of who is asked go by.
+// BlackoutConfig returns the limits of the rules on avoided servers for a scenario.
 func BlackoutConfig(s *scenario.Script) checker.BlackoutConfig {
 	c := checker.BlackoutConfig{
 		Poolers:          s.Poolers,
@@ -36,14 +36,14 @@
 	return c
 }
 
-// groundTruth is what befalls servers, ways and poolers now: check.Sight.
+// groundTruth implements checker.GroundTruth.
 type groundTruth struct{ sim *Simulation }
 
 func (x groundTruth) ServerHealthy(s int) bool {
 	return x.sim.world.Servers[s].Healthy(x.sim.sched.now)
 }
 func (x groundTruth) ServerStartedAt(s int) float64 {
-	if x.sim.world.List.ExtraDelayMs > 0 || x.sim.world.List.Unavailable { // it may be long until all have its entry
+	if x.sim.world.List.ExtraDelayMs > 0 || x.sim.world.List.Unavailable { // its entry may be long delayed
 		return 0
 	}
 	return x.sim.world.Servers[s].Started
--- a/internal/testkit/simulation/clientattempt.go
+++ b/internal/testkit/simulation/clientattempt.go
@@ -11,10 +11,10 @@
 	"beechgrade/internal/testkit/clients"
 )
 
-// requestSource draws the clients' asks, each at its time.
+// requestSource creates the clients' requests, each at its time.
 type requestSource struct{ sim *Simulation }
 
-// Fire is world.Event's.
+// Fire implements model.Event.
 func (d requestSource) Fire(uint64) {
 	sim := d.sim
 	a, ok := sim.plan.Next()
@@ -29,7 +29,7 @@
 	sim.sched.at(startMs+sim.plan.Drawn(), d, 0)
 }
 
-// clientRequest is what a client asks, with its retries.
+// clientRequest is a client's request with its retries.
 type clientRequest struct {
 	clients.Ask
 	sim   *Simulation
@@ -37,7 +37,7 @@
 	first float64
 }
 
-// Fire makes the next try.
+// Fire implements model.Event: it starts the next attempt of the client.
 func (a *clientRequest) Fire(uint64) {
 	sim := a.sim
 	v := &clientAttempt{
@@ -63,12 +63,12 @@
 	v.connect(sim.homePooler(a), 0)
 }
 
-// homePooler is the pooler that a session's requests go to, unless it roams.
+// homePooler returns the pooler of a session's requests, unless the session roams.
 func (sim *Simulation) homePooler(a *clientRequest) int {
 	return sim.script.Clients.Home(&a.Ask, len(sim.poolers))
 }
 
-// clientAttempt is one try of a client at a pooler. It is platform.Client and the attempts' backend.Query.
+// clientAttempt is an attempt of a client at a pooler. It implements platform.Client, and backend.Query for the pooler's attempts.
 type clientAttempt struct {
 	sim         *Simulation
 	request     *clientRequest
@@ -79,44 +79,44 @@
 	number      int
 	id          uint64
 	name        string
-	value       []byte // that a write writes
+	value       []byte // of a write
 	version     uint64
 	minPosition float64
 	sentAt      float64
-	submitted   bool // core has it
-	answered    bool // its answer is on its way, or it is over
+	submitted   bool // it was submitted to the core
+	answered    bool // its answer is on the way, or it has ended
 	ended       bool
 	kind        clients.Kind
 	retryMs     float64
 	answer      []byte
 	extra       bool
 	late        bool
-	shard       *shardRead // of a page whose shard's read this is, nil for a client's try
+	shard       *shardRead // the shard's read that this is, nil for a client's attempt
 
-	sentOnce         bool // an attempt of it was sent
-	acceptedAttempts int  // attempts that servers took
+	sentOnce         bool // a pooler's attempt of it was sent
+	acceptedAttempts int  // pooler's attempts accepted by servers
 
-	workedMs float64 // ms that a core had for it
+	workedMs float64 // execution time at servers
 }
 
-// What a visit's event is.
+// The kinds of a client attempt's events.
 const (
 	requestArrives = iota + 1
 	answerArrives
 	connectionBreaks
-	patienceEnds // its client gives up, and listens on for a while
-	clientLeaves // ...and no longer
+	patienceEnds // its client's deadline; it waits a while longer
+	clientLeaves // the end of that wait
 	clientRetriesElsewhere
 )
 
-const frontNoticesMs = 500 // the front notices so late that a pooler is gone
+const frontNoticesMs = 500 // until the clients' load balancer notices that a pooler is down
 
-// connect finds a pooler that is not known to be gone.
+// connect finds a pooler that is not known to be down.
 func (v *clientAttempt) connect(home, tried int) {
 	sim := v.sim
 	for ; tried < len(sim.poolers); tried++ {
 		n := (home + tried) % len(sim.poolers)
-		if k := len(sim.script.Sites); sim.script.Near && k > 0 { // its own site's first
+		if k := len(sim.script.Sites); sim.script.Near && k > 0 { // those of its own site first
 			n = sim.nearest(home, tried, k)
 		}
 		if sim.sched.now < sim.avoidUntil[n] {
@@ -136,7 +136,7 @@
 	v.finish(clients.Unmade)
 }
 
-// nearest is the pooler that is tried as the tried-th: first those of the home's own site.
+// nearest returns the pooler to try after the given number of others: first those of the home pooler's site.
 func (sim *Simulation) nearest(home, tried, sites int) int {
 	all := len(sim.poolers)
 	own := (all - home%sites + sites - 1) / sites
@@ -155,7 +155,7 @@
 	return home
 }
 
-// Fire is world.Event's.
+// Fire implements model.Event.
 func (v *clientAttempt) Fire(arg uint64) {
 	sim := v.sim
 	switch what := arg & 0xff; what {
@@ -209,7 +209,7 @@
 	}
 }
 
-// submit puts the request to the pooler's core.
+// submit submits the request to the pooler's core.
 func (v *clientAttempt) submit(due float64) {
 	a := v.request
 	q := platform.Request{
@@ -235,19 +235,19 @@
 	v.ref, v.submitted = ref, true
 }
 
-// AppendQuery is backend.Query's; the model takes no text.
+// AppendQuery implements backend.Query; the model takes no text.
 func (v *clientAttempt) AppendQuery(dst []byte, _ int) []byte { return dst }
 
-// Served is platform.Client's.
+// Served implements platform.Client.
 func (v *clientAttempt) Served(answer []byte) {
 	v.answer = append([]byte(nil), answer...)
 	v.finishWith(clients.Served, 0)
 }
 
-// Rejected is platform.Client's.
+// Rejected implements platform.Client.
 func (v *clientAttempt) Rejected(retryMs float64) { v.finishWith(clients.Refused, retryMs) }
 
-// Failed is platform.Client's.
+// Failed implements platform.Client.
 func (v *clientAttempt) Failed() { v.finishWith(clients.Failed, 0) }
 
 func (v *clientAttempt) finishWith(kind clients.Kind, wait float64) {
@@ -261,7 +261,7 @@
 	sim.sched.After(sim.linkDelay(), v, answerArrives)
 }
 
-// finish ends a try, and has the client try again where it would.
+// finish ends an attempt of a client, and schedules the client's retry if there is one.
 func (v *clientAttempt) finish(kind clients.Kind) {
 	sim, a := v.sim, v.request
 	v.ended = true
@@ -318,7 +318,7 @@
 	sim.sched.After(wait, a, 0)
 }
 
-// latencies holds how long answers took.
+// latencies is a histogram of the times of served requests.
 type latencies struct{ h *hdrhistogram.Histogram }
 
 func newLatencies() *latencies { return &latencies{hdrhistogram.New(1, 600_000_000, 2)} }
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -7,17 +7,17 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// serverPool is a pooler's connections to one server.
+// serverPool is a pooler's connection pool for one server.
 type serverPool struct {
 	pooler      *pooler
 	server      *model.Server
 	listed      bool
-	idle        []float64 // connections, each by when it came free; the one used last at the end
-	connections int       // all of them, those coming up included
+	idle        []float64 // when each idle connection was released; the last used is at the end
+	connections int       // including those being opened
 	dialing     int
 	waiting     []*attempt
-	busy        map[*attempt]bool // attempts that are out
-	incarnation uint32            // grows as the server's end breaks its connections
+	busy        map[*attempt]bool // attempts on connections
+	incarnation uint32            // grows as the server breaks the connections
 }
 
 func (p *pooler) poolOf(id string) *serverPool {
@@ -33,14 +33,14 @@
 	return st
 }
 
-// SetAddress is core.Servers'.
+// SetAddress implements core.Servers.
 func (p *pooler) SetAddress(id, _ string) {
 	if st := p.poolOf(id); st != nil {
 		st.listed = true
 	}
 }
 
-// CloseIdle is core.Servers'.
+// CloseIdle implements core.Servers.
 func (p *pooler) CloseIdle(id string) {
 	if st := p.poolOf(id); st != nil {
 		st.countConnections(-len(st.idle))
@@ -48,7 +48,7 @@
 	}
 }
 
-// Forget is core.Servers'.
+// Forget implements core.Servers.
 func (p *pooler) Forget(id string) {
 	st := p.poolOf(id)
 	if st == nil || !st.listed {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Retain is core.Servers'.
+// Retain implements core.Servers.
 func (p *pooler) Retain(ids map[string]bool) {
 	for _, st := range p.pools {
 		if st != nil && !ids[st.server.Name] {
@@ -70,7 +70,7 @@
 	}
 }
 
-// countConnections counts connections.
+// countConnections adds n to the number of connections.
 func (st *serverPool) countConnections(n int) {
 	st.connections += n
 	st.pooler.connections += n
@@ -89,17 +89,17 @@
 	}
 }
 
-// Of a pooler's descriptors, so many are set aside, and connections to servers may take this part of the others; as the
-// daemon has it.
+// Of a pooler's file descriptors, some are reserved, and connections to servers may use a share of the others, as in the
+// daemon.
 const (
 	reserved    = 64
 	serversPart = 0.45
-	idlePart    = 0.8 // of the servers' idle time
+	idlePart    = 0.8 // of the servers' idle timeout
 )
 
 func serverConns(sockets int) int { return max(1, int(serversPart*float64(sockets-reserved))) }
 
-// closeOldest closes the connection that has been idle longest, and tells whether there was one.
+// closeOldest closes the connection that has been idle longest, and reports whether there was one.
 func (p *pooler) closeOldest() bool {
 	var oldest *serverPool
 	for _, st := range p.pools {
@@ -115,7 +115,7 @@
 	return true
 }
 
-// dial opens a connection in its turn, if somebody waits for it then.
+// dial opens a connection when the dial limit allows it, if an attempt still waits for one.
 func (st *serverPool) dial() {
 	st.pooler.core.LimitDial(func() {
 		if st.dialing < len(st.waiting) {
@@ -124,7 +124,7 @@
 	})
 }
 
-// open opens a connection, if the descriptors allow it; else those that wait take what comes free.
+// open opens a connection if there are file descriptors; otherwise waiting attempts use connections that are released.
 func (st *serverPool) open() {
 	sim, p := st.pooler.sim, st.pooler
 	if p.connections >= p.maxConnections && !p.closeOldest() {
@@ -137,7 +137,7 @@
 	sim.repeats.connectionOpened(sim.sched.now, s)
 	switch {
 	case p.cut(s) || s.Hung:
-		sim.sched.After(scenario.ConnectMs, d, atDown) // nothing comes back
+		sim.sched.After(scenario.ConnectMs, d, atDown) // there is no answer
 	case !s.Up:
 		sim.sched.After(there+sim.linkDelay(), d, atDown)
 	case sim.serverConnections(s) >= sim.script.Fleet.MaxConnections:
@@ -147,14 +147,14 @@
 	}
 }
 
-// dial is a connection on its way up.
+// dial is a connection being opened.
 type dial struct {
 	st    *serverPool
 	life  uint32
 	slife uint32
 }
 
-// Fire is world.Event's.
+// Fire implements model.Event.
 func (d *dial) Fire(what uint64) {
 	st := d.st
 	p := st.pooler
@@ -178,7 +178,7 @@
 	})
 }
 
-// release has a connection carry the next attempt, or idle.
+// release gives a connection to the next waiting attempt, or makes it idle.
 func (st *serverPool) release() {
 	if !st.listed {
 		st.countConnections(-1)
--- a/internal/testkit/simulation/consul.go
+++ b/internal/testkit/simulation/consul.go
@@ -14,15 +14,15 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// consulAgents are Consul's agents before the model's catalogue. What they say goes through the daemon's own judgement.
+// consulAgents are Consul agents that serve the model's catalog. Their answers pass the daemon's own reconciliation.
 type consulAgents struct {
 	sim     *Simulation
 	states  []agentState
-	blocked []*agentQuery // blocking queries that wait, oldest first
+	blocked []*agentQuery // blocking queries, oldest first
 }
 
 type agentState struct {
-	fault  string // befalls it; empty for nothing
+	fault  string // empty for none
 	frozen []model.Registration
 	index  uint64
 }
@@ -35,14 +35,14 @@
 	answered bool
 }
 
-// catalogWatcher is a pooler's watch of the catalogue and its judge.
+// catalogWatcher is a pooler's watch of the catalog with its reconciliation.
 type catalogWatcher struct {
 	p       *pooler
 	life    uint32
 	watch   *consul.Watch
 	manager *endpoints.Manager
 	last    map[string]reconcile.Observation
-	alias   map[string]*model.Server // by the ids that the catalogue has
+	alias   map[string]*model.Server // by ID in the catalog
 }
 
 const (
@@ -54,7 +54,7 @@
 	return &consulAgents{sim: sim, states: make([]agentState, sim.script.Agents)}
 }
 
-// inject has something befall an agent, or end.
+// inject starts a fault of an agent, or ends it if the fault is empty.
 func (a *consulAgents) inject(n int, what string) {
 	s := &a.states[n]
 	*s = agentState{fault: what}
@@ -66,7 +66,7 @@
 
 func (a *consulAgents) index() uint64 { return a.sim.world.Catalog.Index + 10 }
 
-// wake answers the queries that waited for a change.
+// wake answers the blocked queries.
 func (a *consulAgents) wake() {
 	parked := a.blocked
 	a.blocked = nil
@@ -77,13 +77,13 @@
 	}
 }
 
-// arrive has an agent take a query, and answer it now or at a change.
+// arrive handles a query at an agent: it is answered now, or blocks until a change.
 func (a *consulAgents) arrive(q *agentQuery) {
 	s := &a.states[q.query.Agent]
 	list, index, ans := a.sim.world.Catalog.All(), a.index(), consul.Response{Status: 200}
 	switch {
 	case s.fault == "hang":
-		return // its poolers give up by themselves
+		return // its poolers time out
 	case s.fault == "down" || a.sim.world.List.Unavailable:
 		ans = consul.Response{Status: 500}
 	case s.fault == "cut":
@@ -106,18 +106,18 @@
 	a.sim.sched.After(a.sim.linkDelay(), model.Func(func() { q.watcher.p.whenRunning(q.life, func() { q.watcher.answered(q.query, ans, list) }) }), 0)
 }
 
-// managerLoop is membership.Loop's, for one life of a pooler.
+// managerLoop implements endpoints.Loop for one process of a pooler.
 type managerLoop struct{ processLoop }
 
-// Post is membership.Loop's.
+// Post implements endpoints.Loop.
 func (q managerLoop) Post(f func()) {
 	q.p.sim.sched.After(0, model.Func(func() { q.p.whenRunning(q.incarnation, f) }), 0)
 }
 
-// At is membership.Loop's.
+// At implements endpoints.Loop.
 func (q managerLoop) At(ms float64, do func()) *timers.Timer { return q.processLoop.At(ms, do) }
 
-// newMember joins a pooler's list to the catalogue; its core is told what comes of it.
+// newMember connects a pooler's endpoint list to the catalog.
 func (p *pooler) newMember() *catalogWatcher {
 	m := &catalogWatcher{p: p, life: p.incarnation, last: map[string]reconcile.Observation{}, alias: map[string]*model.Server{}}
 	set := reconcile.Defaults(endpoints.SourceConsul)
@@ -125,11 +125,11 @@
 		mu.Reconcile(&set)
 	}
 	m.watch = consul.NewWatch(len(p.sim.agents.states), watchWaitMs, maxStaleMs, p.sim.rng.Float64)
-	m.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // it starts knowing nothing
+	m.manager = endpoints.New(managerLoop{processLoop{p, p.incarnation}}, slog.New(slog.DiscardHandler), endpoints.Options{Reconcile: set}, listObserver{p, p.incarnation}, &discovery.List{}) // the list is empty at first
 	return m
 }
 
-// query asks the next agent when that is due.
+// query sends the next query when it is due.
 func (m *catalogWatcher) query() {
 	sim := m.p.sim
 	q, at := m.watch.Next(sim.sched.now)
@@ -143,7 +143,7 @@
 	}), 0)
 }
 
-// timeOut ends a query that nobody answered. An agent answers one that waits at the end of its wait; that comes to the same.
+// timeOut ends a query without an answer. For a blocked one this stands for the agent's answer at the end of its wait.
 func (m *catalogWatcher) timeOut(q *agentQuery) {
 	if q.answered {
 		return
@@ -163,7 +163,7 @@
 	return 0
 }
 
-// answered takes an answer as the daemon's source does.
+// answered handles an answer as the daemon's source does.
 func (m *catalogWatcher) answered(q consul.Query, a consul.Response, list []model.Registration) {
 	sim := m.p.sim
 	same := a.Index == q.Index && q.Index > 0 && list == nil
@@ -211,7 +211,7 @@
 	m.query()
 }
 
-// server is whom an id in the list means.
+// server returns the server that an ID in the endpoint list refers to, nil for none.
 func (p *pooler) server(id string) *model.Server {
 	if p.member != nil {
 		if s := p.member.alias[id]; s != nil {
@@ -221,13 +221,13 @@
 	return p.sim.world.Server(id)
 }
 
-// listObserver tells the core of one life of a pooler what its members come to, and the checker with it.
+// listObserver passes endpoint lists to the core of one process of a pooler, and to the checker.
 type listObserver struct {
 	p    *pooler
 	life uint32
 }
 
-// Listed is discovery.Events'.
+// Listed implements discovery.Events.
 func (l listObserver) Listed(x *discovery.List) {
 	if l.p.incarnation != l.life || !l.p.up {
 		return
@@ -236,10 +236,10 @@
 	l.p.core.Listed(x)
 }
 
-// ListFailed is discovery.Events'.
+// ListFailed implements discovery.Events.
 func (l listObserver) ListFailed() {}
 
-// reportListed tells the checker what a pooler hears of the list.
+// reportListed passes a pooler's endpoint list to the checker.
 func (sim *Simulation) reportListed(p *pooler, l *discovery.List) {
 	for i := range l.Instances {
 		n := &l.Instances[i]
--- a/internal/testkit/simulation/coretime.go
+++ b/internal/testkit/simulation/coretime.go
@@ -2,25 +2,25 @@
 
 import "beechgrade/internal/testkit/clients"
 
-// CoreTime is what servers' cores did, in seconds, while clients asked, by what became of it for the client; counted at servers and clients.
+// CoreTime is the execution time of servers, in seconds, by the result for the client; observed at servers and clients.
 type CoreTime struct {
-	InTime           float64 `json:"in_time"`    // for tries that were served within their aim
-	Late             float64 `json:"late"`       // for first tries served later
+	InTime           float64 `json:"in_time"`    // for attempts served within their latency objective
+	Late             float64 `json:"late"`       // for first attempts served later
 	RetriesLate      float64 `json:"again"`      // for retries served later
-	Wasted           float64 `json:"vain"`       // for those that ended in any other way while it ran or before
-	Abandoned        float64 `json:"after"`      // done, or begun and called off, after its try was over
-	MeanWait         float64 `json:"mean_wait"`  // ms for a core, of what had one
-	CancelledWaiting uint64  `json:"called_off"` // called off before it had a core
+	Wasted           float64 `json:"vain"`       // for attempts that were not served
+	Abandoned        float64 `json:"after"`      // after the client's attempt had ended
+	MeanWait         float64 `json:"mean_wait"`  // mean wait for a core, ms
+	CancelledWaiting uint64  `json:"called_off"` // number of attempts cancelled before execution
 }
 
-// coreTimeCounts keeps the counts.
+// coreTimeCounts accumulates CoreTime.
 type coreTimeCounts struct {
 	CoreTime
 	waited float64
 	jobs   uint64
 }
 
-// worked counts the work on an attempt that a server has answered.
+// worked counts the execution of an attempt that a server has answered.
 func (x *coreTimeCounts) worked(a *attempt) {
 	waited, worked := a.job.Times(a.pooler.sim.sched.now)
 	if worked <= 0 || a.client == nil || a.pooler.sim.allDrawn {
@@ -31,7 +31,7 @@
 	x.add(a, worked)
 }
 
-// cancelled counts an attempt that its pooler wants no more.
+// cancelled counts an attempt that its pooler cancelled.
 func (x *coreTimeCounts) cancelled(a *attempt) {
 	if a.client == nil || !a.job.InProgress() || a.pooler.sim.allDrawn {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// ended counts what a try that is over had.
+// ended assigns the execution time of a client's attempt to its result.
 func (x *coreTimeCounts) ended(v *clientAttempt, t *clients.Try) {
 	switch sec := v.workedMs / 1000; {
 	case t.Kind != clients.Served:
--- a/internal/testkit/simulation/credit.go
+++ b/internal/testkit/simulation/credit.go
@@ -13,20 +13,20 @@
 	"beechgrade/internal/settings"
 )
 
-// Prepaid has tenants pay ahead in virtual time, as the daemon has it: on the log in common, with marks in files that outlive processes.
+// Prepaid runs prepaid credit in virtual time, as in the daemon: on the shared log, with high-water marks in files that outlive processes.
 type Prepaid struct {
 	Log         *SharedLog
 	Settings    settings.Credit
-	MarkWriteMs [2]float64 // ms that a durable write of marks takes, from and to
+	MarkWriteMs [2]float64 // range of the time of a durable write of marks
 
-	LaterPayments func(no int) []lessor.Payment // payments that a pooler has read of since the start; may be nil
+	LaterPayments func(no int) []lessor.Payment // payments that a pooler has read since the start; may be nil
 
 	files   map[ledger.Holder][]lease.HighWaterMark
 	writers map[ledger.Holder]int // pooler
 	now     map[int]*creditClient // the process of each pooler
 }
 
-// creditClient is a process's side; it is core's Credit, and credit's Log, Files and Events.
+// creditClient is the credit of one process. It implements core.Credit, and the log, files and events of package credit.
 type creditClient struct {
 	*Prepaid
 	host    Host
@@ -37,7 +37,7 @@
 	names   []string
 }
 
-// settings are a process's, as it would read them now.
+// settings returns the settings that a process would read now.
 func (x *creditClient) settings() credit.Settings {
 	p, s := x.host.x.p, x.Settings
 	if x.LaterPayments != nil {
@@ -49,10 +49,10 @@
 	return set
 }
 
-// reload has a process read its settings again.
+// reload makes a process read its settings again.
 func (x *creditClient) reload() { x.credit.UpdateSettings(x.settings()) }
 
-// Join makes a process's parts: the log's and credit's.
+// Join returns a process's modules: the log and credit.
 func (c *Prepaid) Join(h Host) []module.Module {
 	if c.files == nil {
 		c.files, c.writers, c.now = map[ledger.Holder][]lease.HighWaterMark{}, map[ledger.Holder]int{}, map[int]*creditClient{}
@@ -83,7 +83,7 @@
 			x.credit.SetLeader("")
 		}
 	})
-	var expired []ledger.Holder // this pooler's own; each has a disk of its own
+	var expired []ledger.Holder // earlier processes of this pooler, whose disk this is
 	for of, no := range c.writers {
 		if no == h.No() && of != x.holder {
 			expired = append(expired, of)
@@ -97,7 +97,7 @@
 	return []module.Module{x.log, x.credit}
 }
 
-// Hold is core.Credit's.
+// Hold implements core.Credit.
 func (x *creditClient) Hold(tenant, class, session string, tag uint64) (lease.Reservation, lease.Decision) {
 	i, ok := x.classes[class]
 	if !ok {
@@ -106,24 +106,24 @@
 	return x.credit.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: i, Session: lease.SessionNumber(session), Parts: 1, Tag: tag})
 }
 
-// Settle is core.Credit's.
+// Settle implements core.Credit.
 func (x *creditClient) Settle(h *lease.Reservation, d lease.Usage) { x.credit.Settle(h, d) }
 
-// Cancel is core.Credit's.
+// Cancel implements core.Credit.
 func (x *creditClient) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
 
-// Admit is credit.Events'.
+// Admit implements credit.Events.
 func (x *creditClient) Admit(tag uint64, h lease.Reservation) { x.host.x.p.core.Funded(tag, h) }
 
-// Reject is credit.Events'.
+// Reject implements credit.Events.
 func (x *creditClient) Reject(tag uint64) { x.host.x.p.core.Unfunded(tag) }
 
-// Propose is credit.Log's.
+// Propose implements credit.Log.
 func (x *creditClient) Propose(entry []byte) {
 	x.log.Propose(0, append([]byte{raftlog.CreditEntries}, entry...))
 }
 
-// Write is credit.Files'.
+// Write implements credit.Files.
 func (x *creditClient) Write(no uint64, m []lease.HighWaterMark) {
 	x.host.At(x.host.Now()+(x.MarkWriteMs[0]+x.MarkWriteMs[1])/2, func() {
 		x.files[x.holder] = m
@@ -131,16 +131,16 @@
 	})
 }
 
-// Read is credit.Files'.
+// Read implements credit.Files.
 func (x *creditClient) Read(h ledger.Holder, do func([]lease.HighWaterMark)) {
 	x.host.At(x.host.Now()+1, func() { do(x.files[h]) })
 }
 
-// Erase is credit.Files'.
+// Erase implements credit.Files.
 func (x *creditClient) Erase(h ledger.Holder) {
 	delete(x.files, h)
 	delete(x.writers, h)
 }
 
-// Ledger are those of a voter's process.
+// Ledger returns the ledger of a voter's process.
 func (c *Prepaid) Ledger(no int) *ledger.Ledger { return c.now[no].credit.Ledger() }
--- a/internal/testkit/simulation/disk.go
+++ b/internal/testkit/simulation/disk.go
@@ -12,13 +12,13 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// disk is a pooler's, with the durable store's promise: what was told as kept is there after a kill; of what was being written, all or
-// nothing is. One write is under way at a time, and what comes meanwhile goes out together in the next.
+// disk is a pooler's durable store: entries that were acknowledged survive a kill; of a write in progress, all or
+// none do. There is one write at a time; entries that come meanwhile are written together in the next.
 type disk struct {
 	p       *pooler
 	writeMs model.Range
 	entries map[string][]byte
-	writing []appended // under way
+	writing []appended // in progress
 	queue   []appended
 	writes  int
 }
@@ -28,7 +28,7 @@
 	done    func(error)
 }
 
-// Append is journal.Store's.
+// Append implements journal.Store.
 func (d *disk) Append(entries []durable.Entry, done func(error)) {
 	d.queue = append(d.queue, appended{entries, done})
 	if len(d.writing) == 0 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// processEnded has the pooler's process end: what was under way may have come to the disk.
+// processEnded handles the end of the pooler's process: the write in progress may have succeeded.
 func (d *disk) processEnded() {
 	if d == nil {
 		return
@@ -76,7 +76,7 @@
 	d.writing, d.queue = nil, nil
 }
 
-// Range is journal.Store's.
+// Range implements journal.Store.
 func (d *disk) Range(from, to string, f func(key string, value []byte) bool) {
 	for _, k := range slices.Sorted(maps.Keys(d.entries)) {
 		if k >= from && (to == "" || k < to) && !f(k, d.entries[k]) {
@@ -85,13 +85,13 @@
 	}
 }
 
-// journalLoop is journaled.Loop's.
+// journalLoop implements journaled.Loop.
 type journalLoop struct{ processLoop }
 
-// StopTimer is journaled.Loop's: what comes of a timer that was stopped finds its attempt ended.
+// StopTimer implements journaled.Loop. A stopped timer still fires and finds its attempt ended.
 func (journalLoop) StopTimer(*timers.Timer) {}
 
-// journaled are the pooler's servers, behind its journal where it keeps one.
+// journaled returns the pooler's servers, behind its journal if it has one.
 func (p *pooler) journaled() core.Servers {
 	if p.disk == nil {
 		return p
--- a/internal/testkit/simulation/ejections.go
+++ b/internal/testkit/simulation/ejections.go
@@ -2,22 +2,22 @@
 
 import "beechgrade/internal/cluster/module"
 
-// Ejection is how a verdict on a server went round: times are ms since the play's start.
+// Ejection describes how a server's ejection spread. Times are ms since the run's start.
 type Ejection struct {
 	Server          string  `json:"server"`
-	FirstUnanswered float64 `json:"knew_ms"`  // a pooler first had no answer of it in time; 0 where nobody had before
-	First           float64 `json:"first_ms"` // the first pooler avoided it by others' word, and the last of those that followed within sameEjectionMs
+	FirstUnanswered float64 `json:"knew_ms"`  // first unanswered attempt; 0 if there was none before
+	First           float64 `json:"first_ms"` // first pooler that ejected it, and the last that followed within sameEjectionMs
 	Last            float64 `json:"last_ms"`
 	Poolers         int     `json:"poolers"`
 }
 
-// sameEjectionMs is until when a pooler that begins to avoid a server does so by the same word, and maxEjections bounds what is kept.
+// sameEjectionMs is the time within which poolers count for the same ejection; maxEjections bounds the recorded ones.
 const (
 	sameEjectionMs = 1500
 	maxEjections   = 1000
 )
 
-// recordEjection takes it that a pooler begins to avoid a server.
+// recordEjection records that a pooler begins to avoid a server.
 func (sim *Simulation) recordEjection(s module.AvoidedServer) {
 	now := sim.sched.now - startMs
 	for i := len(sim.ejections) - 1; i >= 0; i-- {
--- a/internal/testkit/simulation/endpointlist.go
+++ b/internal/testkit/simulation/endpointlist.go
@@ -5,10 +5,10 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Watch is core.Directory's.
+// Watch implements core.Directory.
 func (p *pooler) Watch() { p.requestList(true) }
 
-// Fetch is core.Directory's.
+// Fetch implements core.Directory.
 func (p *pooler) Fetch() { p.requestList(false) }
 
 func (p *pooler) requestList(watch bool) {
@@ -32,7 +32,7 @@
 	}), 0)
 }
 
-// deliverList has a list arrive, once nothing holds it.
+// deliverList delivers a list to a pooler, once no fault holds it back.
 func (p *pooler) deliverList(life uint32, l discovery.List) {
 	sim := p.sim
 	if sim.links.holdList(p.no, func() { p.deliverList(life, l) }) {
@@ -67,7 +67,7 @@
 	}), 0)
 }
 
-// listed has the list's news pushed to a pooler that watches.
+// listed pushes a change of the list to a pooler that watches it.
 func (p *pooler) listed(l discovery.List) {
 	if p.watch != 0 && p.up {
 		p.deliverList(p.incarnation, l)
@@ -84,9 +84,9 @@
 	p.sim.sched.After(p.sim.linkDelay(), model.Func(func() { p.whenRunning(life, p.listFailed) }), 0)
 }
 
-const againMs = 160 // before a pushed list's next watch, at most; as the daemon has it
+const againMs = 160 // longest wait before the next watch of a pushed list, as in the daemon
 
-// listFailed is the end of a call or a watch. Where lists are pushed it is nobody's failure, and the watch is asked for anew.
+// listFailed handles the end of a call or a watch. A watch of a pushed list is opened again.
 func (p *pooler) listFailed() {
 	if !p.sim.script.Pushed {
 		p.core.ListFailed()
--- a/internal/testkit/simulation/faults.go
+++ b/internal/testkit/simulation/faults.go
@@ -6,7 +6,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// injectFault carries out a fault, and has it end at its time.
+// injectFault starts a fault, and schedules its end.
 func (sim *Simulation) injectFault(f *scenario.Fault) {
 	later := func(do func()) {
 		if f.Duration > 0 {
@@ -17,7 +17,7 @@
 	groups, poolers := f.Affected(sim.script)
 	sim.check.FaultInjected(sim.sched.now, f.Until(sim.sched.now), groups, poolers)
 	switch f.Kind {
-	case "load": // the plan has it
+	case "load": // the clients' planner handles it
 	case "route", "routes":
 		strike := func(on bool) {
 			sim.siteLinks.SetFault(f.SiteNumbers[0], f.SiteNumbers[1], &f.Link, on)
@@ -90,7 +90,7 @@
 	default:
 		begin, end := f.Actions()
 		for _, s := range f.Target.Servers(sim.world) {
-			_ = begin(sim.world, s.Name) // the name is the model's own
+			_ = begin(sim.world, s.Name) // the name is known
 			later(func() { _ = end(sim.world, s.Name) })
 		}
 	}
@@ -100,11 +100,11 @@
 func (p *pooler) revive() {
 	if !p.up {
 		p.lastList = p.sim.world.List.Snapshot()
-		_ = p.start() // it was started from the same settings before
+		_ = p.start() // the same settings were accepted before
 	}
 }
 
-// restart has a pooler end in order and start again: it takes nothing new, and ends once nothing is open.
+// restart shuts a pooler down gracefully, once its requests have ended, and starts it again.
 func (p *pooler) restart() {
 	sim, life := p.sim, p.incarnation
 	if !p.up {
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// Limits is what came of limits that hold for the whole fleet.
+// Limits summarizes the limits of the whole fleet.
 type Limits struct {
 	Messages float64              `json:"messages_a_second_of_a_pooler"`
 	Bytes    float64              `json:"bytes_a_second_of_a_pooler"`
@@ -19,11 +19,11 @@
 }
 
 const (
-	demandMs  = 100 // between two looks at what a pooler would use; as the daemon has it
-	itemBytes = 70  // of a message's part about one limit
+	demandMs  = 100 // between two samples of a pooler's demand, as in the daemon
+	itemBytes = 70  // of a message's item for one limit
 )
 
-// limitsClient is a pooler's side of the fleet's limits.
+// limitsClient is a pooler's part in the limits of the whole fleet.
 type limitsClient struct {
 	peer    *peer
 	quota   *quota.Quota
@@ -33,7 +33,7 @@
 	actions []quota.Action
 }
 
-// startLimits begins a process's limits.
+// startLimits starts the limits of a process.
 func (x *peer) startLimits() {
 	sim := x.p.sim
 	if sim.script.Limits == nil {
@@ -45,7 +45,7 @@
 	x.limits.reportDemand()
 }
 
-// setLimits tells the core which limits are its own.
+// setLimits passes the limits to the core.
 func (l *limitsClient) setLimits() {
 	l.peer.p.core.SetLimits(l.set.CoreLimits(), l)
 }
@@ -93,7 +93,7 @@
 	l.actions = acts
 }
 
-// send has a message about limits arrive, as often and as late as the way has it.
+// send delivers a message about limits, subject to the link's faults.
 func (l *limitsClient) send(addr string, m *quota.Message) {
 	x := l.peer
 	f, sim := x.fleet, x.p.sim
@@ -122,13 +122,13 @@
 	l.handle(quota.Received{Message: m})
 }
 
-// Due is core.Leases'.
+// Due implements core.Leases.
 func (l *limitsClient) Due() float64 { return l.due }
 
-// Expire is core.Leases'.
+// Expire implements core.Leases.
 func (l *limitsClient) Expire() { l.handle(quota.Tick{}) }
 
-const coldFlow = 1e5 // as the daemon has it
+const coldFlow = 1e5 // as in the daemon
 
 func (l *limitsClient) reportDemand() {
 	for i := range l.set.Limits {
@@ -146,7 +146,7 @@
 	processLoop{l.peer.p, l.peer.incarnation}.At(l.peer.p.sim.sched.now+demandMs, l.reportDemand)
 }
 
-// limitOwner is the pooler that lends a limit, where all that run can reach one another.
+// limitOwner returns the pooler that leases out a limit if all running ones can reach one another.
 func (sim *Simulation) limitOwner(limit string) int {
 	var all []quota.Peer
 	by := map[view.ID]int{}
@@ -159,7 +159,7 @@
 	return by[quota.OwnerOf(limit, all)]
 }
 
-// reload has a pooler take limits that have changed.
+// reload passes changed limits to a pooler.
 func (p *pooler) reload(set settings.FleetLimits) {
 	p.limits = &set
 	if x := p.peer; x != nil && x.limits != nil {
@@ -171,7 +171,7 @@
 	}
 }
 
-// changeLimit has a limit be another at some poolers.
+// changeLimit changes a limit at some poolers.
 func (sim *Simulation) changeLimit(f *scenario.Fault) {
 	for _, no := range f.AffectedPoolers(sim.script) {
 		p := sim.poolers[no]
--- a/internal/testkit/simulation/linkfaults.go
+++ b/internal/testkit/simulation/linkfaults.go
@@ -7,13 +7,13 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// linkFaults are what befalls those from poolers to servers, and from the list to poolers. They outlive processes.
+// linkFaults are the faults of links from poolers to servers, and from the endpoint list to poolers. They outlive processes.
 type linkFaults struct {
 	servers      int
-	cut          []int       // faults in force, by pooler*servers+server
-	lossy        [][]float64 // parts that are lost, likewise
+	cut          []int       // active faults, by pooler*servers+server
+	lossy        [][]float64 // loss rates, by pooler*servers+server
 	listsHeld    []int       // by pooler
-	pendingLists [][]func()  // lists that it is yet to be told
+	pendingLists [][]func()  // by pooler: deliveries that are held back
 }
 
 func newLinkFaults(poolers, servers int) *linkFaults {
@@ -26,7 +26,7 @@
 	}
 }
 
-// inject has a fault of ways strike, or end.
+// inject starts or ends a fault of links.
 func (w *linkFaults) inject(f *scenario.Fault, servers []*model.Server, on bool) {
 	for _, p := range f.Poolers {
 		for _, s := range servers {
@@ -47,13 +47,13 @@
 	}
 }
 
-// healthy tells whether nothing befalls the way from a pooler to a server.
+// healthy reports whether no fault affects the link from a pooler to a server.
 func (w *linkFaults) healthy(p, s int) bool {
 	k := p*w.servers + s
 	return w.cut[k] == 0 && len(w.lossy[k]) == 0
 }
 
-// holdLists has the list tell some poolers nothing, or all that it has not told them.
+// holdLists holds lists back from some poolers, or delivers what was held back.
 func (w *linkFaults) holdLists(poolers []int, on bool) {
 	for _, p := range poolers {
 		if on {
@@ -70,7 +70,7 @@
 	}
 }
 
-// holdList keeps what the list would tell a pooler until it may.
+// holdList holds a delivery back if the pooler's lists are held, and reports whether they are.
 func (w *linkFaults) holdList(p int, tell func()) bool {
 	if w.listsHeld[p] == 0 {
 		return false
@@ -79,12 +79,12 @@
 	return true
 }
 
-// cut tells whether nothing gets from this pooler to a server.
+// cut reports whether no message gets from this pooler to a server.
 func (p *pooler) cut(s *model.Server) bool {
 	return p.sim.links.cut[p.no*p.sim.links.servers+s.No] > 0 || p.sim.sitesCut(p, s)
 }
 
-// dropsRequest draws whether what it sends to a server is lost on a thin way.
+// dropsRequest draws whether a request to a server is lost on a lossy link.
 func (p *pooler) dropsRequest(s *model.Server) bool {
 	for _, part := range p.sim.links.lossy[p.no*p.sim.links.servers+s.No] {
 		if p.sim.rng.Float64() < part {
--- a/internal/testkit/simulation/modules.go
+++ b/internal/testkit/simulation/modules.go
@@ -6,23 +6,23 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// ModuleMaker makes a pooler's parts as a process of it begins: what lives beside the view and is no quota. A Host is what they get to do with it.
+// ModuleMaker makes the modules of a pooler's process at its start, beside the view and quotas. They act through the Host.
 type ModuleMaker func(h Host) []module.Module
 
-// Host is the process that a part lives in.
+// Host is the process of a module.
 type Host struct{ x *peer }
 
-// No is the pooler's number, Life which of its processes this is.
+// No returns the pooler's number, Life the number of its process.
 func (h Host) No() int      { return h.x.p.no }
 func (h Host) Life() uint32 { return h.x.incarnation }
 
-// At has something done at a time, unless the process has ended by then.
+// At calls do at a time, unless the process has ended by then.
 func (h Host) At(ms float64, do func()) { processLoop{h.x.p, h.x.incarnation}.At(ms, do) }
 
-// Now is part.Net's.
+// Now implements module.Transport.
 func (h Host) Now() float64 { return h.x.p.sim.sched.now }
 
-// Send is part.Net's: coded, it arrives as often and as late as the way has it, and is read there.
+// Send implements module.Transport: the encoded message is delivered subject to the link's faults.
 func (h Host) Send(addr string, to view.ID, kind view.Kind, w module.Message) {
 	x := h.x
 	f, sim := x.fleet, x.p.sim
@@ -45,10 +45,10 @@
 	}
 }
 
-// The first bytes of words on load and levels, as the form has them; the others are on probes.
+// The first bytes of messages on load and shedding levels, as encoded; the others are on health checks.
 const reportVerb, answerVerb = 1, 2
 
-// SendStream is part.Net's: it loses nothing, but does not come up over a way that is cut.
+// SendStream implements module.Transport: a stream loses nothing, but cannot be opened on a cut link.
 func (h Host) SendStream(addr string, to view.ID, kind view.Kind, w module.Message, done func(ok bool)) {
 	x := h.x
 	f, sim := x.fleet, x.p.sim
@@ -66,9 +66,9 @@
 	}), 0)
 }
 
-const streamFailsMs = 1500 // as the daemon gives up
+const streamFailsMs = 1500 // the daemon's timeout
 
-// receiveModuleMessage reads what came for a part, and has it heard once the process runs.
+// receiveModuleMessage decodes a message for a module and delivers it once the process runs.
 func (p *pooler) receiveModuleMessage(from, to view.ID, kind view.Kind, b []byte) bool {
 	y := p.peer
 	if y == nil || !p.up {
@@ -92,7 +92,7 @@
 	return false
 }
 
-// moduleMakers are the parts of each pooler; those that a scenario's settings have come first.
+// moduleMakers returns the makers of each pooler's modules, those of the scenario's settings first.
 func (sim *Simulation) moduleMakers() (all []ModuleMaker) {
 	if o := sim.script.Overload; o != nil {
 		all = append(all, WithOverload(o.Options))
@@ -106,7 +106,7 @@
 	return append(all, sim.options.Modules...)
 }
 
-// updateModules tells all parts who is there.
+// updateModules passes the members to all modules.
 func (x *peer) updateModules() {
 	for _, s := range x.modules {
 		s.UpdateMembers(x.view.Self().ID, x.view.Members(), x.view.Counts())
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -18,18 +18,18 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Mutant is a pooler, or a server, that is broken on purpose: what the checker must catch.
+// Mutant is a pooler, or a server, with a deliberate error that the checker must find.
 type Mutant struct {
 	Name            string
 	Breaks          checker.Rule
-	Module          func(c *config.Config)                                        // what its module is told at its start
-	Outcome         func(o *backend.Outcome)                                      // what it is told of an attempt's end
-	List            func(l *discovery.List)                                       // what it is told of the list
-	Answer          func(e *Simulation, v *clientAttempt, kind clients.Kind) bool // in place of an answer, where it returns false
+	Module          func(c *config.Config)                                        // changes the settings of its decision module
+	Outcome         func(o *backend.Outcome)                                      // changes the outcome of an attempt
+	List            func(l *discovery.List)                                       // changes an endpoint list
+	Answer          func(e *Simulation, v *clientAttempt, kind clients.Kind) bool // replaces an answer if it returns false
 	World           func(w *model.World)
-	Reconcile       func(s *reconcile.Settings)                    // what its judge of the server list goes by
-	View            func(s *view.Settings)                         // how its view of the fleet is kept
-	Peer            func(x *peer, ev view.Event) bool              // what its view is told; nothing where it returns false
+	Reconcile       func(s *reconcile.Settings)                    // changes the settings of reconciliation
+	View            func(s *view.Settings)                         // changes the settings of its view
+	Peer            func(x *peer, ev view.Event) bool              // sees an event of its view, which is dropped if it returns false
 	Quota           func(no int, s *quota.Settings)                // how it shares limits of the whole fleet
 	Limits          func(no int, q *quota.Quota, m *quota.Message) // before a message about them is told
 	Demand          func(no int, want float64) float64             // what it says that it would use
@@ -233,7 +233,7 @@
 // answerTwice answers a second time.
 type answerTwice struct{ v *clientAttempt }
 
-// Fire is world.Event's.
+// Fire implements model.Event.
 func (a answerTwice) Fire(uint64) {
 	a.v.sim.check.Answered(a.v.sim.sched.now, a.v.id, string(a.v.kind), false, 0)
 }
@@ -241,7 +241,7 @@
 // answerLate answers what was held back.
 type answerLate struct{ v *clientAttempt }
 
-// Fire is world.Event's.
+// Fire implements model.Event.
 func (l answerLate) Fire(uint64) {
 	v := l.v
 	if v.ended || v.pooler.incarnation != v.incarnation {
--- a/internal/testkit/simulation/outlier.go
+++ b/internal/testkit/simulation/outlier.go
@@ -5,7 +5,7 @@
 	"beechgrade/internal/cluster/outlier/adapter"
 )
 
-// WithOutlierDetection has poolers share what they know of servers.
+// WithOutlierDetection returns the maker of shared outlier detection.
 func WithOutlierDetection(opt adapter.Options) ModuleMaker {
 	return func(h Host) []module.Module {
 		c := h.x.p.core
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -9,10 +9,10 @@
 	"beechgrade/internal/decide"
 )
 
-// overloadInvariantInterval is how many ticks there are for one walk over the state of what handles overload.
+// overloadInvariantInterval is the number of ticks between two checks of the invariants of overload handling.
 const overloadInvariantInterval = 8
 
-// prober is the first prober of a server.
+// prober returns the pooler that checks a server's health first.
 func (sim *Simulation) prober(server string) int {
 	ids := make([]view.ID, len(sim.poolers))
 	for i, p := range sim.poolers {
@@ -23,7 +23,7 @@
 	return sim.script.Prober(server, ids)
 }
 
-// WithOverload has poolers handle overload as one.
+// WithOverload returns the maker of joint overload handling.
 func WithOverload(opt adapter.Options) ModuleMaker {
 	return func(h Host) []module.Module {
 		c := h.x.p.core
@@ -50,13 +50,13 @@
 	}
 }
 
-// healthCheckWatcher has the checker hear what other poolers' probes found servers to be: it counts as if these had said so to this pooler.
+// healthCheckWatcher passes the results of other poolers' health checks to the checker: they count as reports to this pooler.
 type healthCheckWatcher struct {
 	*core.Core
 	p *pooler
 }
 
-// HealthCheckReported is joined's core's.
+// HealthCheckReported implements adapter.Core.
 func (c healthCheckWatcher) HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64) {
 	if s := c.p.sim.world.Server(store); s != nil && said.Role != decide.RoleUnknown && said.HasPos {
 		c.p.sim.check.RoleReported(c.p.sim.sched.now, said.Position, c.p.no, s.No, said.Role == decide.RolePrimary)
--- a/internal/testkit/simulation/page_request.go
+++ b/internal/testkit/simulation/page_request.go
@@ -18,7 +18,8 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// pageRequest is one page that a pooler makes: the daemon's run, merge, cursor and plan before its core, as internal/frontend/scatter joins them to sockets.
+// pageRequest is a page that a pooler produces, with the daemon's execution, merge, cursor and plan, which internal/frontend/scatter joins
+// to sockets.
 type pageRequest struct {
 	reports   *pagedReports
 	reader    *reader
@@ -36,7 +37,7 @@
 	reads     []checker.PageRead
 }
 
-// Of a page, as the daemon's settings have them where nothing is said.
+// The daemon's default settings for a page.
 const (
 	pageMemory  = 8 << 20
 	pageMostRow = 64 << 10
@@ -44,10 +45,10 @@
 	pageAgain   = 3
 	pageSettle  = 20
 	pageTickMs  = 5
-	pageSealed  = 1 << 62 // ids of shards' reads, beside those of clients' tries
+	pageSealed  = 1 << 62 // bit that marks the IDs of shards' reads
 )
 
-// begin begins it, at the pooler.
+// begin starts the page at the pooler.
 func (s *pageRequest) begin() {
 	g, sim := s.reports, s.reports.sim
 	if s.over {
@@ -68,7 +69,7 @@
 	if s.reader.cursor != "" {
 		c, err := g.ring.Open(s.reader.cursor, sim.sched.now, &cursor.Binding{})
 		if err != nil {
-			g.check.PageEnded(sim.sched.now, 0, s.reader.no) // the fleet's own cursor: it is taken anywhere
+			g.check.PageEnded(sim.sched.now, 0, s.reader.no) // each pooler must accept the fleet's cursors
 			s.end(pageEnd{})
 			return
 		}
@@ -89,7 +90,7 @@
 	}
 }
 
-// abandon ends a page whose client has gone.
+// abandon ends a page whose client has left.
 func (s *pageRequest) abandon() {
 	if s.run != nil && !s.over {
 		s.event(func(float64) []execution.Action { return s.run.Abandon() })
@@ -97,7 +98,7 @@
 	s.remove()
 }
 
-// event has the run told of something, behind what it is being told.
+// event passes an event to the execution, after the events that it is handling.
 func (s *pageRequest) event(e func(now float64) []execution.Action) {
 	if s.over {
 		return
@@ -141,7 +142,7 @@
 	}
 }
 
-// finish gives the client its answer.
+// finish answers the client.
 func (s *pageRequest) finish() {
 	g, sim := s.reports, s.reports.sim
 	s.over = true
@@ -176,7 +177,7 @@
 	}
 }
 
-// end has the client hear of it.
+// end removes the page and answers the client.
 func (s *pageRequest) end(x pageEnd) {
 	s.over = true
 	s.remove()
@@ -192,27 +193,27 @@
 	s.reports.open[s.pooler] = slices.DeleteFunc(s.reports.open[s.pooler], func(o *pageRequest) bool { return o == s })
 }
 
-// shardRead is a shard's read as the decision module has it: one try of the run. It is platform.Client.
+// shardRead is a request for a shard's part of a page. It implements platform.Client.
 type shardRead struct {
 	page              *pageRequest
 	action            execution.Action
 	client            *clientAttempt // backend.Query, for the attempts
 	ref               slotmap.Ref
-	open              bool // with core
-	ended             bool // the run has given it up, or has its end
-	sendWhenConnected bool // it is to be sent as soon as it has a connection
+	open              bool // submitted to the core
+	ended             bool // the execution has cancelled it or has its end
+	sendWhenConnected bool // it may be sent as soon as it has a connection
 	stopped           bool
-	held              *attempt // that has a connection, and waits for the word to send
-	source            *attempt // whose rows come
+	held              *attempt // has a connection and waits to be sent
+	source            *attempt // the attempt whose rows are used
 }
 
-// shardRows are what a server found for an attempt.
+// shardRows are the rows that a server found for an attempt.
 type shardRows struct {
 	list []sortedtable.Row
 	o    backend.Outcome
 }
 
-// ask puts a shard's read to the decision module.
+// ask submits a shard's read to the pooler's core.
 func (s *pageRequest) ask(a execution.Action) {
 	g, sim := s.reports, s.reports.sim
 	g.seq++
@@ -257,10 +258,10 @@
 	}
 }
 
-// Served is platform.Client's.
+// Served implements platform.Client.
 func (x *shardRead) Served([]byte) { x.answered("served", true) }
 
-// Rejected is platform.Client's.
+// Rejected implements platform.Client.
 func (x *shardRead) Rejected(retryMs float64) {
 	x.answered("refused", false)
 	x.page.event(func(now float64) []execution.Action {
@@ -268,7 +269,7 @@
 	})
 }
 
-// Failed is platform.Client's.
+// Failed implements platform.Client.
 func (x *shardRead) Failed() {
 	x.answered("failed", false)
 	x.fail("its server gave no answer in time or broke off", true)
@@ -285,7 +286,7 @@
 	})
 }
 
-// holdUntilSend keeps an attempt that has a connection until the word to send; false where it has come.
+// holdUntilSend holds an attempt with a connection until it may be sent, and reports whether it had to.
 func (x *shardRead) holdUntilSend(a *attempt) bool {
 	if x.sendWhenConnected && !x.ended {
 		return false
@@ -299,12 +300,12 @@
 	return true
 }
 
-// send has the statement go out, at once or when there is a connection.
+// send sends the statement, at once or when there is a connection.
 func (x *shardRead) send() {
 	x.sendWhenConnected = true
 	if a := x.held; a != nil && !a.ended {
 		x.held = nil
-		if !a.pool.listed || a.poolIncarnation != a.pool.incarnation { // it is gone since: the module knows another one
+		if !a.pool.listed || a.poolIncarnation != a.pool.incarnation { // the connection is lost: the core chooses another server
 			a.abort(decide.Overloaded)
 			return
 		}
@@ -317,7 +318,7 @@
 	}
 }
 
-// releaseHeld gives back the connection of an attempt that waits.
+// releaseHeld releases the connection of a held attempt.
 func (a *attempt) releaseHeld() {
 	a.waitsForPage = false
 	delete(a.pool.busy, a)
@@ -331,7 +332,7 @@
 	}
 }
 
-// read has a server work on a shard's statement, at its position.
+// read executes a shard's statement at the server's position.
 func (x *shardRead) read(a *attempt, r model.Reply) {
 	if r.Verdict != model.Served {
 		return
@@ -347,9 +348,9 @@
 	}
 }
 
-const rowsAtOnce, rowsMs = 8, 0.2 // rows come so many at a time
+const rowsAtOnce, rowsMs = 8, 0.2 // rows per delivery, and ms between two
 
-// deliverRows hands on what comes of an answer; another attempt's rows than the first one's are not wanted.
+// deliverRows passes rows on. Only those of the first attempt that answers are used.
 func (x *shardRead) deliverRows(a *attempt) {
 	s, sim := x.page, x.page.reports.sim
 	if a.ended || a.pooler.incarnation != a.incarnation || a.poolIncarnation != a.pool.incarnation {
@@ -389,7 +390,7 @@
 	})
 }
 
-// attemptEnded tells that an attempt ended. Where rows of it went on and it broke, the module is not to ask again from the start: the run does, from behind
+// attemptEnded handles the end of an attempt. If it broke after some rows, the execution, not the core, retries from behind
 // them.
 func (x *shardRead) attemptEnded(a *attempt, o *backend.Outcome) {
 	if x.source != a || o.Result == decide.OK || x.ended {
@@ -403,7 +404,7 @@
 	x.fail("its answer broke off", true)
 }
 
-// row hands on one row.
+// row passes one row on.
 func (x *shardRead) row(row sortedtable.Row) {
 	o, s := &x.page.reports.order, x.page
 	var key []byte
@@ -420,7 +421,7 @@
 	})
 }
 
-// cancel ends a part for the run. An answer that has begun was served, as far as it was wanted.
+// cancel ends a shard's read for the execution. An answer that has started counts as served.
 func (x *shardRead) cancel() {
 	if x.ended {
 		return
--- a/internal/testkit/simulation/pages.go
+++ b/internal/testkit/simulation/pages.go
@@ -14,12 +14,12 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// pagedReports is reports over all groups that are read in pages throughout, and the table that they are of.
+// pagedReports are reports over all groups that clients read in pages, with their table.
 type pagedReports struct {
 	sim   *Simulation
 	set   *scenario.Pages
 	class *clients.Class
-	no    int // the class's
+	no    int // number of the class
 	rng   *rand.Rand
 	check *checker.PageChecker
 	order merge.Order
@@ -28,18 +28,18 @@
 	rows  [][]*tableRow // by group
 	last  int64
 	seq   uint64
-	open  map[*pooler][]*pageRequest // pages that are made
+	open  map[*pooler][]*pageRequest // pages in progress
 
 	Counts PageCounts
 }
 
-// PageCounts are figures of the reports.
+// PageCounts has counts of the reports. Its field names are the keys in the result.
 type PageCounts struct {
 	Pages, Reports, Rows, Refused, Failed, Broken, Again int
-	ByPoolers                                            int // poolers that gave one at least
+	ByPoolers                                            int // poolers that served at least one page
 }
 
-// tableRow is a row, there from one position of its group's log to another, 0 for ever.
+// tableRow is a row with the positions of its insertion and deletion in its group's log, 0 for never.
 type tableRow struct {
 	vals      sortedtable.Row
 	from, end float64
@@ -68,7 +68,7 @@
 		Desc:       s.Desc,
 		NullsFirst: s.Desc,
 	}, {Name: "id", Type: merge.Int}}, Own: 1}
-	g.word, _, _ = plan.Parse(pageSQL) // it is whole
+	g.word, _, _ = plan.Parse(pageSQL) // the statement is complete
 	for i := range g.rows {
 		for range s.Rows {
 			g.write(i, 0)
@@ -85,10 +85,10 @@
 	return g
 }
 
-// after has something done after so many ms.
+// after calls do after a delay in ms.
 func (s *sched) after(ms float64, do func()) { s.After(ms, model.Func(do), 0) }
 
-// write puts a row into a group, as of a position of its log.
+// write adds a row to a group at a position of its log.
 func (g *pagedReports) write(group int, from float64) {
 	g.last++
 	place := int64(g.rng.IntN(g.set.Places))
@@ -96,7 +96,7 @@
 	g.check.RowWritten(g.last, place, group, from)
 }
 
-// change writes a row or deletes one, in a group that takes writes, and goes on.
+// change writes or deletes a row in a group that accepts writes, and schedules the next change.
 func (g *pagedReports) change() {
 	sim := g.sim
 	if i := g.rng.IntN(len(g.rows)); sim.world.Groups[i].Writable() {
@@ -113,7 +113,7 @@
 	}
 }
 
-// visible are a group's rows as of a position.
+// visible returns a group's rows as of a position.
 func (g *pagedReports) visible(group int, at float64) (out []sortedtable.Row) {
 	for _, k := range g.rows[group] {
 		if k.from <= at && (k.end == 0 || k.end > at) {
@@ -128,11 +128,11 @@
 	reports *pagedReports
 	no, n   int
 	cursor  string
-	page    *pageRequest // that it waits for
+	page    *pageRequest // in progress
 	given   map[int]bool
 }
 
-// requestPage asks for the next page.
+// requestPage requests the next page.
 func (r *reader) requestPage() {
 	g, sim := r.reports, r.reports.sim
 	if sim.sched.now >= startMs+sim.script.Clients.Seconds*1000 {
@@ -167,8 +167,8 @@
 		if r.page != s {
 			return
 		}
-		due := s.due                // there was no end by then
-		if p.pausedUntil > s.sent { // its machine stands still, or did
+		due := s.due                // there was no answer by then
+		if p.pausedUntil > s.sent { // its machine was paused
 			due = sim.sched.now
 		}
 		g.check.PageEnded(sim.sched.now, due, r.no)
@@ -177,9 +177,9 @@
 	})
 }
 
-const pageSlackMs = 300 // ways, and a pooler's tick
+const pageSlackMs = 300 // link delays and a pooler's tick
 
-// pageEnd is what a reader is told.
+// pageEnd is the answer to a reader.
 type pageEnd struct {
 	rows    []int64
 	cursor  string
@@ -188,7 +188,7 @@
 	wait    float64
 }
 
-// receive takes a page's end.
+// receive handles the end of a page.
 func (r *reader) receive(s *pageRequest, x pageEnd) {
 	g, sim := r.reports, r.reports.sim
 	if r.page != s {
@@ -220,7 +220,7 @@
 	sim.sched.after(wait, r.requestPage)
 }
 
-// killed breaks the pages that a pooler made.
+// killed breaks the pages of a pooler whose process ended.
 func (g *pagedReports) killed(p *pooler) {
 	for _, s := range g.open[p] {
 		s.over = true
@@ -235,10 +235,10 @@
 	delete(g.open, p)
 }
 
-// PageMutant is what is done with a page before its client has it, by a pooler that is broken on purpose.
+// PageMutant alters a page before its client has it.
 type PageMutant func(rows []int64, c *cursor.Cursor) []int64
 
-// PageMutants are poolers whose pages are broken on purpose.
+// PageMutants returns poolers with deliberate errors in pages.
 func PageMutants() []Mutant {
 	return []Mutant{
 		{Name: "forgets a cursor's positions", Breaks: checker.PagesAhead, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
@@ -249,7 +249,7 @@
 			return rows[:max(0, len(rows)-1)]
 		}},
 		{Name: "gives a page's last row again", Breaks: checker.PagesOnce, Pages: func(rows []int64, c *cursor.Cursor) []int64 {
-			for i := range c.Places { // as if it stood right before that row
+			for i := range c.Places { // as if the cursor were before that row
 				p := &c.Places[i]
 				if n := len(p.Key); n > 0 {
 					p.Key = slices.Clone(p.Key)
@@ -261,7 +261,7 @@
 	}
 }
 
-// openPages is how many pages a pooler makes.
+// openPages returns the number of a pooler's pages in progress.
 func (g *pagedReports) openPages(p *pooler) int {
 	if g == nil {
 		return 0
--- a/internal/testkit/simulation/peers.go
+++ b/internal/testkit/simulation/peers.go
@@ -15,7 +15,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// peerFleet is the poolers as peers: the ways between them, and the checker of their views.
+// peerFleet is the poolers as peers: the links between them, and the checker of their views.
 type peerFleet struct {
 	sim   *Simulation
 	net   *netfault.Net
@@ -24,18 +24,18 @@
 
 	packets, bytes              uint64
 	limitMessages, limitBytes   uint64 // about limits
-	moduleMessages, moduleBytes uint64 // by parts
+	moduleMessages, moduleBytes uint64 // by modules
 	exchanges                   uint64
 	streamed                    uint64
-	ratesFrom                   float64 // rates count from then on
+	ratesFrom                   float64 // start of the span for rates
 }
 
-// settledMs is when a fleet that started at once is taken for settled, for rates.
+// settledMs is the time after which rates are counted.
 const settledMs = 40000
 
-const samplingMs = 250 // between two looks of the checker
+const samplingMs = 250 // between two samples of the checker
 
-// Views is what came of the poolers' views.
+// Views summarizes the poolers' views.
 type Views struct {
 	Packets          float64   `json:"packets_a_second_of_a_pooler"`
 	Bytes            float64   `json:"bytes_a_second_of_a_pooler"`
@@ -49,7 +49,7 @@
 	ModuleBytes      float64   `json:"parts_bytes_a_second_of_a_pooler,omitempty"`
 }
 
-// Bounds are those of a scenario's views, by the formulas of the view's page; f is how many may be called failed at once.
+// Bounds returns the bounds of a scenario's views, by the formulas of the view's page; f is the number of simultaneous failures.
 func Bounds(s *scenario.Script, f int) checker.ViewConfig {
 	v, delay, lossy := s.Peers.View, max(s.Way[1], s.Cross[1]), false
 	for i := range s.Faults {
@@ -112,23 +112,23 @@
 	}
 }
 
-// peer is a pooler's side of it.
+// peer is a pooler's process as a peer.
 type peer struct {
 	p            *pooler
 	fleet        *peerFleet
 	incarnation  uint32
 	view         *view.View
 	out          []view.Action
-	sendingCount int // its count of those that may be sending
+	sendingCount int // poolers that it counts as sending
 	lastID       view.ID
 
-	limits   *limitsClient // nil where none hold for the whole fleet
+	limits   *limitsClient // nil if there are no limits of the whole fleet
 	modules  []module.Module
-	overload *adapter.Adapter        // nil where each pooler handles overload alone
-	outliers *outlieradapter.Adapter // nil where each learns alone
+	overload *adapter.Adapter        // nil if each pooler handles overload alone
+	outliers *outlieradapter.Adapter // nil if each pooler detects outliers alone
 }
 
-// join begins a process's view.
+// join starts the view of a process.
 func (p *pooler) join() {
 	f := p.sim.fleet
 	set := p.sim.script.Peers.View
@@ -175,7 +175,7 @@
 	processLoop{x.p, x.incarnation}.At(x.view.NextTick(), x.tick)
 }
 
-// handle tells the view of an event and carries out what it asks for.
+// handle passes an event to the view and performs its actions.
 func (x *peer) handle(ev view.Event) {
 	sim := x.p.sim
 	x.reportAccusations(ev)
@@ -187,7 +187,7 @@
 	x.perform()
 }
 
-// reportAccusations tells the checker what a message says against whom.
+// reportAccusations passes the accusations in a message to the checker.
 func (x *peer) reportAccusations(ev view.Event) {
 	var records []view.Record
 	switch ev := ev.(type) {
@@ -203,7 +203,7 @@
 	}
 }
 
-// perform carries out what the view asks for.
+// perform performs the view's actions.
 func (x *peer) perform() {
 	sim := x.p.sim
 	news, self := x.limits != nil && x.limits.id != x.view.Self().ID, x.view.Self()
@@ -236,7 +236,7 @@
 	}
 }
 
-// poolerAt finds the pooler that listens at an address.
+// poolerAt returns the pooler at an address, nil for none.
 func (f *peerFleet) poolerAt(addr string) *pooler {
 	for _, p := range f.sim.poolers {
 		if p.name == addr {
@@ -246,9 +246,9 @@
 	return nil
 }
 
-const headBytes = 60 // of a datagram and its message, beside the records
+const headBytes = 60 // of a datagram without its records
 
-// send has a datagram arrive, as often and as late as the way has it.
+// send delivers a datagram, subject to the link's faults.
 func (x *peer) send(addr string, m *view.Message) {
 	f, sim := x.fleet, x.p.sim
 	to := f.poolerAt(addr)
@@ -269,7 +269,7 @@
 	}
 }
 
-// exchange has a full exchange: a stream, which loses nothing, but does not come up over a way that is cut.
+// exchange performs a full exchange on a stream, which loses nothing but cannot be opened on a cut link.
 func (x *peer) exchange(addr string) {
 	f, sim := x.fleet, x.p.sim
 	to := f.poolerAt(addr)
@@ -279,7 +279,7 @@
 	f.exchanges++
 	mine := x.view.Records()
 	for i := range mine {
-		f.streamed += 2 * uint64(mine[i].Size()) // and as much comes back
+		f.streamed += 2 * uint64(mine[i].Size()) // in both directions
 	}
 	sim.sched.After(2*sim.poolerLinkDelay(x.p, to)+2*f.net.ExtraDelayMs(x.p.no, to.no), model.Func(func() {
 		y := to.peer
@@ -301,7 +301,7 @@
 	}), 0)
 }
 
-// poolerLinkDelay is how long a message takes between two poolers.
+// poolerLinkDelay draws the delay of a message between two poolers.
 func (sim *Simulation) poolerLinkDelay(a, b *pooler) float64 {
 	if n := len(sim.script.Sites); n > 0 {
 		return sim.script.Between(a.no%n, b.no%n).Draw(sim.fleet.rng)
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -15,28 +15,28 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// pooler is one pooler: the daemon's core, and in place of its sockets the emulated ways to the servers and the list.
+// pooler is one pooler: the daemon's core, with simulated links to the servers and the endpoint list in place of sockets.
 type pooler struct {
-	peer           *peer // nil where poolers are no peers
+	peer           *peer // nil if poolers are no peers
 	sim            *Simulation
 	no             int
 	name           string
-	incarnation    uint32 // grows with each end of its process
+	incarnation    uint32 // number of its ended processes
 	up             bool
 	core           *core.Core
 	pools          []*serverPool // by the server's number
 	attempts       slotmap.Table[*attempt]
-	lastList       discovery.List // as it last had it
-	watch          uint32         // number of the watch that is open, 0 for none
+	lastList       discovery.List // the list that it had last
+	watch          uint32         // number of the open watch, 0 for none
 	clientAttempts map[*clientAttempt]bool
-	pausedUntil    float64 // its machine stands still until then
-	connections    int     // to servers, those coming up included
-	maxConnections int     // that its descriptors allow
-	idleMs         float64 // a connection idle for so long is closed
+	pausedUntil    float64 // end of its machine's pause
+	connections    int     // to servers, including those being opened
+	maxConnections int     // bound by its file descriptors
+	idleMs         float64 // idle timeout of connections
 	idleTimeout    idletimeout.Estimator
-	member         *catalogWatcher       // nil where the list is the platform's
-	limits         *settings.FleetLimits // as it last read them
-	disk           *disk                 // that outlives its processes, nil where it keeps no journal
+	member         *catalogWatcher       // nil if the list is the platform's
+	limits         *settings.FleetLimits // the limits that it read last
+	disk           *disk                 // outlives its processes; nil without a journal
 }
 
 func (sim *Simulation) newPooler(no int) *pooler {
@@ -48,7 +48,7 @@
 	return p
 }
 
-// start begins a process.
+// start starts a process.
 func (p *pooler) start() error {
 	sim := p.sim
 	cfg, err := sim.script.Config(p.no, p.name, sim.options.Seed*1000003+uint64(p.no)*7919+uint64(p.incarnation), p.lastList)
@@ -74,7 +74,7 @@
 	servers := p.journaled()
 	if p.member = nil; sim.agents == nil {
 		p.core.Start(servers, p)
-		if sim.script.Pushed { // the agent's watch, held open by the pooler's program
+		if sim.script.Pushed { // the pooler's program keeps the agent's watch open
 			p.Watch()
 		}
 		return nil
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// leaveFleet has a pooler that ends in order say so.
+// leaveFleet announces a graceful shutdown to the peers.
 func (p *pooler) leaveFleet() {
 	if p.peer != nil {
 		p.peer.handle(view.Leave{})
@@ -97,7 +97,7 @@
 	}
 }
 
-const brokeMs = 50 // a connection that breaks so soon after a request did so because of it; as the daemon has it
+const brokeMs = 50 // a connection that breaks this soon after a request was broken before it, as in the daemon
 
 // kill ends the process: its connections on both sides are reset.
 func (p *pooler) kill() {
@@ -133,7 +133,7 @@
 	sim.check.PoolerRestarted(p.no)
 }
 
-// processLoop is core.Loop's for one life of a pooler: what an earlier one hung up comes to nothing.
+// processLoop implements core.Loop for one process of a pooler. Timers of earlier processes have no effect.
 type processLoop struct {
 	p           *pooler
 	incarnation uint32
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// whenRunning does something once the pooler's machine runs, if its process is still the same.
+// whenRunning calls do once the pooler's machine is not paused, if its process is still the same.
 func (p *pooler) whenRunning(life uint32, do func()) {
 	if p.incarnation != life {
 		return
@@ -159,7 +159,7 @@
 	do()
 }
 
-// checkConnectionCounts states that what counts as connections at a process's end is there: idle, coming up, or with an attempt.
+// checkConnectionCounts checks, at a process's end, that each counted connection is idle, being opened, or used by an attempt.
 func (p *pooler) checkConnectionCounts() {
 	if !p.up {
 		return
--- a/internal/testkit/simulation/prepaid_funds.go
+++ b/internal/testkit/simulation/prepaid_funds.go
@@ -9,17 +9,17 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// prepaidFunds are what tenants of a scenario pay ahead, and what they are served for it.
+// prepaidFunds are the payments of a scenario's tenants, and the requests served for them.
 type prepaidFunds struct {
 	*Prepaid
 	sim          *Simulation
 	check        *checker.CreditChecker
 	paid         map[string]int64
-	paymentsRead map[int][]lessor.Payment // by pooler: the payments that it has read of since the start
+	paymentsRead map[int][]lessor.Payment // by pooler: payments that it has read since the start
 	seen         map[lessor.Payment]bool
 }
 
-// Funds is what became of a tenant's: as clients saw it, and as the books of the log have it in the end.
+// Funds is a tenant's account: as clients saw it, and as the log's ledger has it in the end.
 type Funds struct {
 	Tenant   string `json:"tenant"`
 	Paid     int64  `json:"paid"`
@@ -32,7 +32,7 @@
 	Stranded int64  `json:"stranded"`
 }
 
-const maxMarkWriteMs = 2 // ms that a durable write of marks takes
+const maxMarkWriteMs = 2 // longest durable write of marks
 
 func (sim *Simulation) newFunds() *prepaidFunds {
 	s := sim.script
@@ -45,7 +45,7 @@
 		paymentsRead: map[int][]lessor.Payment{},
 		seen:         map[lessor.Payment]bool{},
 	}
-	f.Settings.Dir = "marks" // they are kept
+	f.Settings.Dir = "marks" // marks are stored
 	for _, p := range s.Credit.Prices {
 		f.check.Prices[p.Class] = p.PerRequest
 	}
@@ -59,7 +59,7 @@
 	return f
 }
 
-// paymentRead tells the checker of a payment, as of when the first pooler reads of it.
+// paymentRead passes a payment to the checker when the first pooler reads it.
 func (f *prepaidFunds) paymentRead(at float64, p lessor.Payment) {
 	if !f.seen[p] {
 		f.seen[p] = true
@@ -68,7 +68,7 @@
 	}
 }
 
-// pay has poolers read of a payment.
+// pay makes poolers read a payment.
 func (f *prepaidFunds) pay(x *scenario.Fault) {
 	p := lessor.Payment{Tenant: x.Target.Word, Number: uint64(x.Number), Amount: int64(x.Value)}
 	f.paymentRead(f.sim.sched.now, p)
@@ -83,23 +83,23 @@
 	}
 }
 
-// attemptEnded tells how a client's try ended.
+// attemptEnded passes the end of a client's attempt to the checker.
 func (f *prepaidFunds) attemptEnded(t *clients.Try) {
 	f.check.AttemptEnded(t.Ended, f.sim.script.Clients.TenantOf(t.Ask), t.Class.Name, t.Kind == clients.Served, t.Kind == clients.Refused)
 }
 
-// pageServed tells of a page that was served: each shard's read costs what one of its class does.
+// pageServed charges a served page: each shard's read costs as much as a request of its class.
 func (f *prepaidFunds) pageServed(at float64, shards int) {
 	for range shards {
 		f.check.AttemptEnded(at, f.sim.script.Pages.Tenant, f.sim.script.Pages.Class, true, false)
 	}
 }
 
-// result is what became of each tenant's funds, and what was found.
+// result returns each tenant's account, and adds the checker's findings to v.
 func (f *prepaidFunds) result(v *checker.Verdict) (out []Funds) {
 	f.check.CheckFinal()
 	f.check.Verdict(f.sim.sched.now, v)
-	var best *creditClient // of the voter that knows most
+	var best *creditClient // of the voter whose ledger is most recent
 	most := int64(-1)
 	for no := range f.Log.Voters {
 		y, consumed := f.now[no], int64(0)
--- a/internal/testkit/simulation/repeats.go
+++ b/internal/testkit/simulation/repeats.go
@@ -7,10 +7,10 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Repeats counts what poolers do twice, as the servers see it, and how they come back to one that returns.
+// Repeats counts the poolers' repeats as the servers see them, and the connections to a server that returns.
 type Repeats struct {
 	Firsts uint64  `json:"first_attempts"`
-	Taken  uint64  `json:"taken_again"`          // attempts of a request of which a server had taken another
+	Taken  uint64  `json:"taken_again"`          // attempts accepted after another attempt of the same request
 	Part   float64 `json:"taken_again_at_worst"` // of the first attempts of a group
 	Opened int     `json:"opened_at_worst"`      // connections to a server in a tenth of a second, within returnedMs of its return
 }
@@ -20,7 +20,7 @@
 	binMs      = 100
 )
 
-// repeatCounts keeps the counts.
+// repeatCounts accumulates Repeats.
 type repeatCounts struct {
 	firsts, taken map[int]uint64 // by group
 	opened        map[opening]int
@@ -32,7 +32,7 @@
 	return &repeatCounts{firsts: map[int]uint64{}, taken: map[int]uint64{}, opened: map[opening]int{}}
 }
 
-// firstAttempt counts an attempt that is sent, if it is its request's first.
+// firstAttempt counts an attempt if it is its request's first.
 func (x *repeatCounts) firstAttempt(v *clientAttempt, s *model.Server) {
 	if !v.sentOnce {
 		v.sentOnce = true
@@ -40,7 +40,7 @@
 	}
 }
 
-// accepted counts one that a server takes.
+// accepted counts an attempt that a server accepts.
 func (x *repeatCounts) accepted(v *clientAttempt, s *model.Server) {
 	if v.acceptedAttempts > 0 {
 		x.taken[s.Group.ID]++
@@ -48,14 +48,14 @@
 	v.acceptedAttempts++
 }
 
-// rejected takes one back that found no place there.
+// rejected reverts accepted for an attempt that found the queue full.
 func (x *repeatCounts) rejected(v *clientAttempt, s *model.Server) {
 	if v.acceptedAttempts--; v.acceptedAttempts > 0 {
 		x.taken[s.Group.ID]--
 	}
 }
 
-// connectionOpened counts a connection that is opened.
+// connectionOpened counts a connection to a server that has returned lately.
 func (x *repeatCounts) connectionOpened(now float64, s *model.Server) {
 	if s.Started > 0 && now-s.Started <= returnedMs {
 		x.opened[opening{s.No, int(now / binMs)}]++
--- a/internal/testkit/simulation/scheduler.go
+++ b/internal/testkit/simulation/scheduler.go
@@ -1,5 +1,5 @@
 // Package simulation plays a scenario in virtual time: many poolers, each the daemon's own core with its decision module,
-// before the world's model, on one thread and the same to the bit for the same seed.
+// with the model's servers, in one goroutine. The same scenario and seed give the same result to the last bit.
 package simulation
 
 import (
@@ -8,14 +8,14 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// sched is virtual time: events in the order of their times, and of their setting among equals. It is a heap of four
-// children a node, which is the fastest here for the many short waits.
+// sched is the scheduler of virtual time: events in the order of their times and, among equals, of their scheduling. It is a heap with
+// four children a node, which suits many short waits.
 type sched struct {
 	now    float64
 	heap   []item
 	seq    uint64
 	events uint64
-	hash   uint64 // of all that happened, in order
+	hash   uint64 // of all events, in order
 }
 
 type item struct {
@@ -25,10 +25,10 @@
 	event model.Event
 }
 
-// Now is world.Clock's.
+// Now implements model.Clock.
 func (s *sched) Now() float64 { return s.now }
 
-// After is world.Clock's.
+// After implements model.Clock.
 func (s *sched) After(ms float64, e model.Event, arg uint64) { s.at(s.now+max(0, ms), e, arg) }
 
 func (s *sched) at(at float64, e model.Event, arg uint64) {
@@ -83,7 +83,7 @@
 	return top
 }
 
-// run lets time pass until then, or until stop says so.
+// run advances time to the given one, or until stop returns true.
 func (s *sched) run(until float64, stop func() bool) {
 	for len(s.heap) > 0 && s.heap[0].at <= until {
 		x := s.pop()
@@ -98,7 +98,7 @@
 	s.now = max(s.now, until)
 }
 
-// mix takes something that happened into the hash.
+// mix adds an event to the hash.
 func (s *sched) mix(a, b uint64) {
 	s.hash = (s.hash^a)*0x9e3779b97f4a7c15 + b
 	s.hash ^= s.hash >> 29
--- a/internal/testkit/simulation/sharedlog.go
+++ b/internal/testkit/simulation/sharedlog.go
@@ -9,22 +9,22 @@
 	"beechgrade/internal/cluster/raftlog/adapter"
 )
 
-// SharedLog is the log that poolers have in common, in virtual time: the first ones vote, each with a disk that outlives its processes.
+// SharedLog is the poolers' shared log in virtual time. The first poolers are voters, each with a disk that outlives its processes.
 type SharedLog struct {
-	Settings raftlog.Settings // but for names and seeds
+	Settings raftlog.Settings // without names and seeds
 	Voters   int
 	Seed     uint64
-	DiskMs   [2]float64 // that a durable write takes, from and to
+	DiskMs   [2]float64 // range of the time of a durable write
 
 	disks map[int]*voterDisk
 	rng   *rand.Rand
 }
 
-// voterDisk is a voter's disk: what a process that ended had not been told of is not on it.
+// voterDisk is a voter's disk. Writes that were not acknowledged when a process ended are lost.
 type voterDisk struct {
 	log     *SharedLog
 	records map[string][]byte
-	free    float64 // when the writes before are done
+	free    float64 // when earlier writes are complete
 }
 
 type diskWriter struct {
@@ -32,7 +32,7 @@
 	h Host
 }
 
-// Append is joined.Disk's.
+// Append implements adapter.Disk.
 func (w diskWriter) Append(records []raftlog.Record, done func(error)) {
 	d, c := w.d, w.d.log
 	d.free = max(d.free, w.h.Now()+c.DiskMs[0]+(c.DiskMs[1]-c.DiskMs[0])*c.rng.Float64())
@@ -48,7 +48,7 @@
 	})
 }
 
-// Join makes a process's part in the log.
+// Join returns a process's module of the log.
 func (c *SharedLog) Join(h Host, m raftlog.Machine, observe func(a *raftlog.Action)) *adapter.Adapter {
 	if c.disks == nil {
 		c.disks, c.rng = map[int]*voterDisk{}, rand.New(rand.NewPCG(c.Seed, 33))
@@ -77,5 +77,5 @@
 	return logAdapter
 }
 
-// Wipe has a voter's disk be empty from its next process on.
+// Wipe empties a voter's disk for its next process.
 func (c *SharedLog) Wipe(no int) { delete(c.disks, no) }
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -21,30 +21,30 @@
 	"beechgrade/internal/testkit/score"
 )
 
-// Options say how a scenario is played.
+// Options configure a run.
 type Options struct {
 	Seed           uint64
-	Mutant         *Mutant // a pooler that is broken on purpose, to prove the checker
-	Meter          bool    // take the decision module's time apart; it costs some itself
+	Mutant         *Mutant // a deliberate error, to prove the checker; nil for none
+	Meter          bool    // measure the decision module's time, which has a cost itself
 	Progress       func(virtualMs, endMs float64)
-	OnBreach       func(invariant.Breach) // is told of each invariant that breaks first, at that moment; may be nil
-	Modules        []ModuleMaker          // that live in each pooler, beside those that the scenario has
-	OnAttemptEnded func(t *clients.Try)   // is told how each try ended for its client; may be nil
+	OnBreach       func(invariant.Breach) // is called for the first breach of each invariant; may be nil
+	Modules        []ModuleMaker          // of each pooler, beside those of the scenario
+	OnAttemptEnded func(t *clients.Try)   // is called at the end of each client's attempt; may be nil
 
-	onWrite func(id string)                                                            // is told of each write that must never run twice, as it runs; for tests
-	OnRead  func(at float64, class *clients.Class, pooler int, work float64, far bool) // is told of each attempt of a read that any member may serve; may be nil
+	onWrite func(id string)                                                            // is called as a write that must not run twice is executed; for tests
+	OnRead  func(at float64, class *clients.Class, pooler int, work float64, far bool) // is called for each attempt of a read that any member may serve; may be nil
 }
 
-// startMs is when virtual time begins, Unix ms: a fixed moment, so that every run is the same.
+// startMs is the start of virtual time in Unix ms, the same in every run.
 const startMs = 1.7e12
 
-// invariantInterval is how many events there are for one walk over a pooler's state that checks its invariants.
+// invariantInterval is the number of events between two checks of a pooler's invariants.
 const invariantInterval = 64
 
-// tailMs bounds what comes behind the last ask.
+// tailMs bounds the time after the last request.
 const tailMs = 60000
 
-// Result is what came of a run.
+// Result is the result of a run. Its JSON form is the kit's output.
 type Result struct {
 	Pending  []journal.Attempt `json:"-"` // in poolers' journals at the end
 	Writes   int               `json:"journal_writes,omitempty"`
@@ -87,27 +87,27 @@
 	P99            float64              `json:"served_p99_ms"`
 }
 
-// Simulation is a run that is under way.
+// Simulation is a run in progress.
 type Simulation struct {
 	script       *scenario.Script
 	options      Options
 	sched        sched
 	world        *model.World
-	rng          *rand.Rand // of the network and the clients, apart from the model's
+	rng          *rand.Rand // of the network and the clients; the model has its own
 	poolers      []*pooler
-	blackouts    *checker.BlackoutChecker // nil where poolers are no peers
-	ejections    []Ejection               // how verdicts went round
-	fleet        *peerFleet               // the poolers as peers, nil where they are none
+	blackouts    *checker.BlackoutChecker // nil if poolers are no peers
+	ejections    []Ejection               // spread of ejections
+	fleet        *peerFleet               // the poolers as peers, nil if they are none
 	paging       *pagedReports            // reports that are read in pages, nil for none
-	funds        *prepaidFunds            // that tenants pay ahead, nil for none
+	funds        *prepaidFunds            // prepaid by tenants, nil for none
 	links        *linkFaults              // from poolers to servers, and to the list
-	siteLinks    *netfault.Net            // what befalls the ways between sites, nil for one room
-	agents       *consulAgents            // of Consul, nil where the list is the platform's
+	siteLinks    *netfault.Net            // faults between sites, nil for a single site
+	agents       *consulAgents            // of Consul, nil if the list is the platform's
 	plan         *clients.Planner
 	sessions     clients.Sessions
 	scores       *score.Keeper
 	check        *checker.Checker
-	avoidUntil   []float64 // until when the front does not try a pooler, as it has noticed that it is gone
+	avoidUntil   []float64 // by pooler: until when the clients' load balancer avoids it
 	openRequests int       // asks
 	allDrawn     bool
 	times        *latencies
@@ -115,7 +115,7 @@
 	requests, clientAttempts, attempts, healthChecks, lists uint64
 	crossSiteAttempts, anyMemberReads, remoteReads          uint64
 	lastWatch                                               uint32
-	mostConnections                                         int // connections that a pooler had at most
+	mostConnections                                         int // highest number of a pooler's connections
 	results                                                 [16]uint64
 	lostWeight                                              map[string]float64
 	repeats                                                 *repeatCounts
@@ -125,7 +125,7 @@
 	startedAt                                               time.Time
 }
 
-// Rules are what a scenario's rules go by.
+// Rules returns the limits of the checker's rules for a scenario.
 func Rules(s *scenario.Script) checker.Config {
 	c := checker.Config{
 		GraceMs:          s.Fleet.GraceMs,
@@ -156,7 +156,7 @@
 	return c
 }
 
-// Run plays a scenario from its start to its end.
+// Run plays a scenario from start to end, or until ctx ends.
 func Run(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
 	s, err := s.Draw(opt.Seed)
 	if err != nil {
@@ -312,10 +312,10 @@
 	return r
 }
 
-// linkDelay is how long a message takes from one machine to another.
+// linkDelay draws the delay of a message between two machines, in ms.
 func (sim *Simulation) linkDelay() float64 { return sim.draw(sim.script.Way) }
 
-// linkDelayTo is how long one takes between a pooler and a server, which may stand in different sites.
+// linkDelayTo draws the delay of a message between a pooler and a server, possibly in different sites.
 func (sim *Simulation) linkDelayTo(p *pooler, s *model.Server) float64 {
 	if n := len(sim.script.Sites); n > 0 {
 		return sim.draw(sim.script.Between(p.no%n, s.SiteNo()))
@@ -323,7 +323,7 @@
 	return sim.linkDelay()
 }
 
-// sitesCut tells whether nothing goes between a pooler and a server, one way at least.
+// sitesCut reports whether the link between a pooler's and a server's site is cut in at least one direction.
 func (sim *Simulation) sitesCut(p *pooler, s *model.Server) bool {
 	if sim.siteLinks == nil {
 		return false
@@ -332,7 +332,7 @@
 	return a != b && (sim.siteLinks.Cut(a, b) || sim.siteLinks.Cut(b, a))
 }
 
-// deliveryDelay is how long a message takes between a pooler and a server, or back; below 0 where it is lost.
+// deliveryDelay draws the delay of a message from a pooler to a server, or back; negative if it is lost.
 func (sim *Simulation) deliveryDelay(p *pooler, s *model.Server, back bool) float64 {
 	ms := sim.linkDelayTo(p, s)
 	if sim.siteLinks == nil {
@@ -354,7 +354,7 @@
 
 func (sim *Simulation) draw(r model.Range) float64 { return r.Draw(sim.rng) }
 
-// serverConnections is how many connections a server holds.
+// serverConnections returns the number of open connections to a server.
 func (sim *Simulation) serverConnections(s *model.Server) (n int) {
 	for _, p := range sim.poolers {
 		if st := p.pools[s.No]; st != nil && p.up {
@@ -374,7 +374,7 @@
 	return out
 }
 
-// sortedAttempts has a set of attempts in an order that is the same in every run: that of their slots.
+// sortedAttempts returns a set of attempts in the order of their slots, which is the same in every run.
 func (sim *Simulation) sortedAttempts(set map[*attempt]bool) []*attempt {
 	out := make([]*attempt, 0, len(set))
 	for a := range set {
@@ -384,7 +384,7 @@
 	return out
 }
 
-// Down is world.Watcher's.
+// Down implements model.Watcher.
 func (sim *Simulation) Down(s *model.Server) {
 	for _, p := range sim.poolers {
 		if p.up {
@@ -393,12 +393,12 @@
 	}
 }
 
-// FactRecorded is world.Watcher's.
+// FactRecorded implements model.Watcher.
 func (sim *Simulation) FactRecorded(f model.Fact) {
 	sim.sched.mix(uint64(f.Group), uint64(len(f.What)))
 }
 
-// Listed is world.Watcher's.
+// Listed implements model.Watcher.
 func (sim *Simulation) Listed(x *model.Entry, _ float64) {
 	if sim.agents != nil {
 		return
@@ -409,7 +409,7 @@
 	}
 }
 
-// ListDown is world.Watcher's.
+// ListDown implements model.Watcher.
 func (sim *Simulation) ListDown(gone bool) {
 	if sim.agents != nil {
 		sim.agents.wake()
@@ -422,14 +422,14 @@
 	}
 }
 
-// Registered is world.Watcher's.
+// Registered implements model.Watcher.
 func (sim *Simulation) Registered() {
 	if sim.agents != nil {
 		sim.agents.wake()
 	}
 }
 
-// Executed is world.Watcher's.
+// Executed implements model.Watcher.
 func (sim *Simulation) Executed(s *model.Server, j *model.Job, r model.Run) {
 	a, ok := j.Owner.(*attempt)
 	if !ok || a.client == nil {
@@ -456,12 +456,12 @@
 }
 
 const (
-	maxRestartMs  = 3700 // a pooler that is restarted goes on for so long at most
+	maxRestartMs  = 3700 // longest graceful shutdown of a pooler
 	restartDownMs = 300
 	restartPollMs = 20
 )
 
-// Begin and End take the decision module's time.
+// meter measures the decision module's time.
 type meter struct {
 	sim  *Simulation
 	from time.Time
--- a/internal/testkit/simulation/zones.go
+++ b/internal/testkit/simulation/zones.go
@@ -8,19 +8,19 @@
 	"beechgrade/internal/cluster/zones/adapter"
 )
 
-// ZonePlanning has poolers decide together which zone serves what, in virtual time: on a log in common, with numbers kept in files that outlive
+// ZonePlanning runs the planning of zones in virtual time, on the shared log, with plan numbers in files that outlive
 // processes.
 type ZonePlanning struct {
 	Log          *SharedLog
 	Settings     zones.Settings
-	PersistMs    float64 // that a durable write of a number takes
+	PersistMs    float64 // time of a durable write of a plan number
 	OnPlanStored func(pooler int, no uint64)
 
 	storedPlans map[int]uint64
 	now         map[int]*zoneProcess
 }
 
-// zoneProcess is a process's side; it is zones' Log and Keeper.
+// zoneProcess is the zone planning of one process. It implements the log and the plan store of package zones.
 type zoneProcess struct {
 	*ZonePlanning
 	host    Host
@@ -28,7 +28,7 @@
 	log     *raftadapter.Adapter
 }
 
-// Join makes a process's parts: the log's and zones'.
+// Join returns a process's modules: the log and zones.
 func (c *ZonePlanning) Join(h Host) []module.Module {
 	if c.storedPlans == nil {
 		c.storedPlans, c.now = map[int]uint64{}, map[int]*zoneProcess{}
@@ -55,12 +55,12 @@
 	return []module.Module{x.log, x.adapter}
 }
 
-// Propose is zones.Log's.
+// Propose implements zones.Log.
 func (x *zoneProcess) Propose(entry []byte) {
 	x.log.Propose(0, append([]byte{raftlog.ZoneEntries}, entry...))
 }
 
-// StorePlanNumber is joined.Keeper's.
+// StorePlanNumber implements the plan store of package zones.
 func (x *zoneProcess) StorePlanNumber(no uint64, done func()) {
 	x.host.At(x.host.Now()+x.PersistMs, func() {
 		x.storedPlans[x.host.No()] = max(x.storedPlans[x.host.No()], no)
@@ -70,7 +70,7 @@
 	})
 }
 
-// Cores are what serves in each site, as it truly is: a cold server has a part.
+// Cores returns the cores of running servers by site.
 func (c *ZonePlanning) Cores(pooler int) []float64 {
 	sim := c.now[pooler].host.x.p.sim
 	out := make([]float64, len(sim.script.Sites))
@@ -82,10 +82,10 @@
 	return out
 }
 
-// Now is virtual time.
+// Now returns virtual time in Unix ms.
 func (c *ZonePlanning) Now(pooler int) float64 { return c.now[pooler].host.Now() }
 
-// Of is a pooler's present process.
+// Of returns the adapter of a pooler's running process, nil for none.
 func (c *ZonePlanning) Of(pooler int) *adapter.Adapter {
 	if x := c.now[pooler]; x != nil {
 		return x.adapter
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -13,26 +13,26 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// ZoneOracle shares reads by the planner that poolers have, of what is truly so and at once: who is alive, what servers can do, what they lose and which
-// ways are cut. It is what plans are held against, and no pooler could be it.
+// ZoneOracle plans zones with the poolers' planner from the true state, without delay: running poolers, capacities, loss rates and cut
+// links. Plans are compared with it; no pooler could know as much.
 type ZoneOracle struct {
-	Plan          plan.Settings // but for classes and delays
-	CrossingPrice float64       // of crossing
+	Plan          plan.Settings // without classes and delays
+	CrossingPrice float64       // of a read in another zone
 	IntervalMs    float64
-	MaxLossRate   float64 // a zone of which servers lose more than that is left
+	MaxLossRate   float64 // a zone serves nothing if half of its servers lose more
 
 	Shifts int
 
 	sim      *Simulation
 	counts   [][][]float64 // by group, class and zone: requests a second
-	received [][][]float64 // since the last step
-	zoneOf   map[int]int   // by pooler: the zone that it took for near
+	received [][][]float64 // requests since the last step
+	zoneOf   map[int]int   // by pooler: the zone that it uses as near
 }
 
-// loadSmoothingMs is over how long the oracle's loads are smoothed: arrivals are drawn, and it knows no rate.
+// loadSmoothingMs is the time constant by which the oracle smooths the observed load.
 const loadSmoothingMs = 4000
 
-// Join is Options.Parts'.
+// Join is a ModuleMaker.
 func (o *ZoneOracle) Join(h Host) []module.Module {
 	p := h.x.p
 	if o.sim == nil {
@@ -54,7 +54,7 @@
 	return t
 }
 
-// oracleObserver is core.Geography's.
+// oracleObserver implements core.ZoneObserver.
 type oracleObserver struct {
 	o    *ZoneOracle
 	zone int
@@ -71,7 +71,7 @@
 	return was*fade + count*1000/o.IntervalMs*(1-fade)
 }
 
-// step looks at the world and has each pooler stand where the plan has it.
+// step computes a plan from the true state and applies it to each pooler.
 func (o *ZoneOracle) step() {
 	sim, sites := o.sim, len(o.sim.script.Sites)
 	set := o.Plan
