--- a/internal/frontend/scatter/bindmessage/bind.go
+++ b/internal/frontend/scatter/bindmessage/bind.go
@@ -1,6 +1,5 @@
-// Package bindmessage reads what a Bind message has behind its names, and writes it again with more values behind the client's own. It is
-// told bytes and tells bytes; it knows no connection, nor what a value means. It takes 1000 parameters at most and copies what it keeps,
-// so it holds as much as the message it was told.
+// Package bindmessage parses the parameters of a Bind message, and encodes them again with further values after those of the client. It
+// knows no connection and no meaning of the values. At most 1000 parameters are accepted, and Values hold as many bytes as the message.
 package bindmessage
 
 import (
@@ -12,84 +11,134 @@
 	"beechgrade/internal/protocol/pgwire"
 )
 
-// Values is what a Bind has behind its names.
+// maxParams bounds the parameters of a message.
+const maxParams = 1000
+
+const formatText = 0
+
+// nullLength is the length of a NULL.
+const nullLength = math.MaxUint32
+
+// errMalformed is the error of a message that does not follow the protocol.
+var errMalformed = fmt.Errorf("%w: Bind", pgwire.ErrMalformed)
+
+// Values are the parameters of a Bind message.
 type Values struct {
 	Params        [][]byte // nil for NULL
-	formats       []uint16
-	resultFormats []byte // the forms that are wished for, as they came
+	formats       []uint16 // of the parameters: one for each, one for all, or none for text
+	resultFormats []byte   // as in the message
 }
 
-const maxParams = 1000
-
-// Parse takes a Bind's rest; none, of a simple query, is one without values.
-func Parse(b []byte) (x Values, err error) {
-	if b == nil { // a simple query's
+// Parse parses a Bind message from behind the names of the portal and the statement. nil stands for a simple query, which has no
+// parameters.
+func Parse(message []byte) (Values, error) {
+	if message == nil {
 		return Values{resultFormats: []byte{0, 0}}, nil
 	}
-	bad := fmt.Errorf("%w: Bind", pgwire.ErrMalformed)
-	number := func() int {
-		if len(b) < 2 {
-			err = bad
-			return 0
-		}
-		n := int(binary.BigEndian.Uint16(b))
-		b = b[2:]
-		return n
+	var values Values
+	p := parser{rest: message}
+	values.formats = p.formats()
+	values.Params = p.params()
+	if p.malformed || !p.atResultFormats() {
+		return Values{}, errMalformed
+	}
+	if len(values.formats) > 1 && len(values.formats) != len(values.Params) {
+		return Values{}, errMalformed
+	}
+	values.resultFormats = slices.Clone(p.rest)
+	return values, nil
+}
+
+// parser reads a message from its beginning.
+type parser struct {
+	rest      []byte
+	malformed bool
+}
+
+func (p *parser) fail() { p.malformed = true }
+
+func (p *parser) uint16() int {
+	if len(p.rest) < 2 {
+		p.fail()
+		return 0
 	}
-	n := number()
-	if n > maxParams || len(b) < 2*n {
-		return x, bad
+	n := int(binary.BigEndian.Uint16(p.rest))
+	p.rest = p.rest[2:]
+	return n
+}
+
+// formats reads the formats of the parameters.
+func (p *parser) formats() (formats []uint16) {
+	count := p.uint16()
+	if count > maxParams || len(p.rest) < 2*count {
+		p.fail()
+		return nil
 	}
-	for range n {
-		x.formats = append(x.formats, uint16(number()))
+	for range count {
+		formats = append(formats, uint16(p.uint16()))
 	}
-	n = number()
-	if n > maxParams {
-		return x, bad
+	return formats
+}
+
+// params reads the values of the parameters.
+func (p *parser) params() (params [][]byte) {
+	count := p.uint16()
+	if count > maxParams {
+		p.fail()
+		return nil
 	}
-	for range n {
-		if len(b) < 4 {
-			return x, bad
+	for range count {
+		if len(p.rest) < 4 {
+			p.fail()
+			return nil
 		}
-		size := int32(binary.BigEndian.Uint32(b))
-		if b = b[4:]; size < 0 {
-			x.Params = append(x.Params, nil)
+		length := int(int32(binary.BigEndian.Uint32(p.rest)))
+		p.rest = p.rest[4:]
+		if length < 0 {
+			params = append(params, nil)
 			continue
 		}
-		if len(b) < int(size) {
-			return x, bad
+		if len(p.rest) < length {
+			p.fail()
+			return nil
 		}
-		x.Params, b = append(x.Params, slices.Clone(b[:size])), b[size:]
-	}
-	if len(b) < 2 || len(b) != 2+2*int(binary.BigEndian.Uint16(b)) || len(x.formats) > 1 && len(x.formats) != len(x.Params) {
-		return x, bad
+		params = append(params, slices.Clone(p.rest[:length]))
+		p.rest = p.rest[length:]
 	}
-	x.resultFormats = slices.Clone(b)
-	return x, err
+	return params
 }
 
-// EncodeWith is the same with more values behind its own, as text.
-func (x *Values) EncodeWith(vals [][]byte) []byte {
-	n := len(x.Params) + len(vals)
-	dst := binary.BigEndian.AppendUint16(nil, uint16(n))
-	for i := range n {
-		form := uint16(0)
-		switch {
-		case i >= len(x.Params) || len(x.formats) == 0:
-		case len(x.formats) == 1:
-			form = x.formats[0]
-		default:
-			form = x.formats[i]
-		}
-		dst = binary.BigEndian.AppendUint16(dst, form)
+// atResultFormats reports whether the rest of the message is the formats of the results.
+func (p *parser) atResultFormats() bool {
+	return len(p.rest) >= 2 && len(p.rest) == 2+2*int(binary.BigEndian.Uint16(p.rest))
+}
+
+// EncodeWith encodes the parameters, with further values in the text format after them.
+func (v *Values) EncodeWith(further [][]byte) []byte {
+	params := append(slices.Clone(v.Params), further...)
+	dst := binary.BigEndian.AppendUint16(nil, uint16(len(params)))
+	for i := range params {
+		dst = binary.BigEndian.AppendUint16(dst, v.format(i))
 	}
-	dst = binary.BigEndian.AppendUint16(dst, uint16(n))
-	for _, v := range append(slices.Clone(x.Params), vals...) {
-		if v == nil {
-			dst = binary.BigEndian.AppendUint32(dst, math.MaxUint32)
+	dst = binary.BigEndian.AppendUint16(dst, uint16(len(params)))
+	for _, param := range params {
+		if param == nil {
+			dst = binary.BigEndian.AppendUint32(dst, nullLength)
 			continue
 		}
-		dst = append(binary.BigEndian.AppendUint32(dst, uint32(len(v))), v...)
+		dst = binary.BigEndian.AppendUint32(dst, uint32(len(param)))
+		dst = append(dst, param...)
+	}
+	return append(dst, v.resultFormats...)
+}
+
+// format returns the format of a parameter; those that are added are text.
+func (v *Values) format(i int) uint16 {
+	switch {
+	case i >= len(v.Params) || len(v.formats) == 0:
+		return formatText
+	case len(v.formats) == 1:
+		return v.formats[0]
 	}
-	return append(dst, x.resultFormats...)
+	return v.formats[i]
 }
--- a/internal/frontend/scatter/cursor/cursor.go
+++ b/internal/frontend/scatter/cursor/cursor.go
@@ -1,19 +1,18 @@
-// Package cursor is the place at which a scattered read goes on: what is sealed and given to a client with a page, and brought back with the
-// ask for the next one. It does no I/O and has no clock; nonces are given to it.
+// Package cursor seals the place at which a scattered read continues into a text, which the client receives with a page and returns for
+// the next one. It does no I/O and has no clock; nonces are given to it.
 //
-// # What it holds
+// # Contents
 //
-// For each shard a Place and the position of its log that the page was read at. Rows go out by the order's columns, then by
-// shard, then by the shard's own order, so the last row of a page says where all shards stand: those before its shard are past all
-// rows with its columns, those behind it are before them, and its own shard is behind that very row. Only a shard that was missing
-// has a place of its own. So a cursor has one row's key, whatever the number of equal keys and of shards.
+// A cursor has for each shard a Place, and the position of the log that its next rows must be read at. Rows are ordered by the order's
+// columns, then by shard, then by the shard's own order, so that the last row of a page determines the places of all shards: those before
+// its shard are past all rows with its columns, those after it are before them, and its own shard is behind that very row. Only a shard
+// that was missing has a place of its own. So a cursor has one row's key, whatever the number of shards.
 //
-// # What it promises
+// # Guarantees
 //
-// Nobody without a secret of the ring makes one or changes a bit of one, or reads what is in it. It is of one statement with its
-// parameters, one reader (tenant, class, user, database), one order and one list of shards, and is taken for the ring's age. Each fault
-// has an error of its own; what can't be opened at all is ErrForged. Nothing is remembered of a cursor: any pooler goes on with it, as often as it is
-// brought.
+// Without a secret of the Ring, a cursor can be neither made, changed nor read. It is bound to one statement with its parameters, one
+// reader (tenant, class, user, database), one order and one list of shards, and expires after the Ring's age. Each violation has an error
+// of its own; a text that cannot be opened at all is ErrForged. Nothing is stored: any pooler opens a cursor, as often as it is returned.
 package cursor
 
 import (
@@ -22,10 +21,9 @@
 	"encoding/base64"
 	"encoding/binary"
 	"errors"
-	"slices"
 )
 
-// Errors of a cursor that is not taken.
+// Errors of a cursor that is rejected.
 var (
 	ErrTruncated  = errors.New("the cursor is not whole")
 	ErrUnknownKey = errors.New("the cursor's key is not taken, or not any more: begin again")
@@ -38,85 +36,122 @@
 	ErrKeyTooLong = errors.New("the row at which the page ends has too long a key for a cursor")
 )
 
-// Digest is what stands for a text that a cursor is bound to.
+// Digest is a digest of texts that a cursor is bound to.
 type Digest [6]byte
 
-// Binding is what a cursor is of.
-type Binding struct{ Statement, Reader, Order, Shards Digest }
+// Binding is what a cursor is valid for.
+type Binding struct {
+	Statement Digest // with its parameters
+	Reader    Digest // tenant, class, user and database
+	Order     Digest
+	Shards    Digest
+}
+
+func (b *Binding) digests() []*Digest { return []*Digest{&b.Statement, &b.Reader, &b.Order, &b.Shards} }
 
-// Place is where a shard stands: behind the row that went out last, which may be of another shard. The zero Place is before all rows.
+// check returns the error of the first digest that is not as wanted.
+func (b *Binding) check(want *Binding) error {
+	switch {
+	case b.Statement != want.Statement:
+		return ErrStatement
+	case b.Reader != want.Reader:
+		return ErrReader
+	case b.Order != want.Order:
+		return ErrOrder
+	case b.Shards != want.Shards:
+		return ErrShards
+	}
+	return nil
+}
+
+// Place is the place of a shard: behind the row that was delivered last, which may be of another shard. The zero Place is before all
+// rows.
 type Place struct {
-	Key       []byte // of the row, in the order asked for
-	OwnOffset int    // where the shard's own part of it begins
-	Shard     int
+	Key       []byte // of the row, in the order of the read
+	OwnOffset int    // where the shard's own part of Key begins
+	Shard     int    // of the row
 }
 
-// Compare compares places by how far they are.
+// Compare compares places by their progress.
 func (p *Place) Compare(o *Place) int {
 	if p.Key == nil || o.Key == nil {
 		return cmp.Compare(len(p.Key), len(o.Key))
 	}
-	return cmp.Or(bytes.Compare(p.Key[:p.OwnOffset], o.Key[:o.OwnOffset]), cmp.Compare(p.Shard, o.Shard), bytes.Compare(p.Key[p.OwnOffset:], o.Key[o.OwnOffset:]))
+	return cmp.Or(
+		bytes.Compare(p.Key[:p.OwnOffset], o.Key[:o.OwnOffset]),
+		cmp.Compare(p.Shard, o.Shard),
+		bytes.Compare(p.Key[p.OwnOffset:], o.Key[o.OwnOffset:]),
+	)
 }
 
-// Cursor is what one holds.
+// Cursor is the contents of a cursor.
 type Cursor struct {
 	IssuedMs     float64 // Unix ms
 	Binding      Binding
 	Places       []Place // by shard
-	MinPositions []int64 // by shard: the position, in Unix ms, that its rows must be read at or behind; 0 for none
+	MinPositions []int64 // by shard: the position that its next rows must be read at, in Unix ms; 0 for any
 }
 
-// Bounds of what is taken.
+// Bounds of cursors.
 const (
 	MaxShards    = 1024
-	MaxKeyBytes  = 2048 // bytes of a row's key
-	MaxTextBytes = 8192 // bytes of a cursor as the client has it
+	MaxKeyBytes  = 2048 // of a row's key
+	MaxTextBytes = 8192 // of the text
+)
+
+// A sealed cursor has a head (version, length, ID of the key), the nonce and the encrypted contents. The head is authenticated.
+const (
 	version      = 1
-	headBytes    = 1 + 2 + idBytes // version, length, the key's name
+	lengthOffset = 1
+	idOffset     = 3
+	headBytes    = idOffset + idBytes
 	nonceBytes   = 12
 )
 
-// Nonce is what no two cursors may be sealed with.
+// Nonce is a random number that no two cursors may be sealed with.
 type Nonce [nonceBytes]byte
 
 var encoding = base64.RawURLEncoding.Strict()
 
-// Seal makes a cursor's text; now is in Unix milliseconds.
-func (r *Ring) Seal(c *Cursor, n Nonce) (string, error) {
+// Seal returns the text of a cursor.
+func (r *Ring) Seal(c *Cursor, nonce Nonce) (string, error) {
 	r.rotate(c.IssuedMs)
 	plain, err := c.append(nil)
 	if err != nil {
 		return "", err
 	}
-	b := append([]byte{version, 0, 0}, r.sealingID[:]...)
-	binary.BigEndian.PutUint16(b[1:], uint16(headBytes+nonceBytes+len(plain)+r.sealingKey.Overhead()))
-	b = append(b, n[:]...)
-	b = r.sealingKey.Seal(b, n[:], plain, b[:headBytes])
-	if encoding.EncodedLen(len(b)) > MaxTextBytes {
+	length := headBytes + nonceBytes + len(plain) + r.sealingKey.Overhead()
+	sealed := append([]byte{version, 0, 0}, r.sealingID[:]...)
+	binary.BigEndian.PutUint16(sealed[lengthOffset:], uint16(length))
+	sealed = append(sealed, nonce[:]...)
+	sealed = r.sealingKey.Seal(sealed, nonce[:], plain, sealed[:headBytes])
+	if encoding.EncodedLen(len(sealed)) > MaxTextBytes {
 		return "", ErrKeyTooLong
 	}
-	return encoding.EncodeToString(b), nil
+	return encoding.EncodeToString(sealed), nil
 }
 
-// Open reads a cursor's text and holds it to what it must be of.
+// Open opens the text of a cursor, which must have the wanted binding. now is in Unix ms.
 func (r *Ring) Open(text string, now float64, want *Binding) (*Cursor, error) {
 	if len(text) > MaxTextBytes {
 		return nil, ErrForged
 	}
-	b, err := encoding.DecodeString(text)
+	sealed, err := encoding.DecodeString(text)
 	switch {
-	case len(b) == 0 || b[0] != version:
+	case len(sealed) == 0 || sealed[0] != version:
 		return nil, ErrForged
-	case err != nil || len(b) < headBytes+nonceBytes || int(binary.BigEndian.Uint16(b[1:])) != len(b):
+	case err != nil || len(sealed) < headBytes+nonceBytes:
+		return nil, ErrTruncated
+	case int(binary.BigEndian.Uint16(sealed[lengthOffset:])) != len(sealed):
 		return nil, ErrTruncated
 	}
 	r.rotate(now)
-	key := r.byID[[idBytes]byte(b[3:headBytes])]
+	key := r.byID[[idBytes]byte(sealed[idOffset:headBytes])]
 	if key == nil {
 		return nil, ErrUnknownKey
 	}
-	plain, err := key.Open(nil, b[headBytes:headBytes+nonceBytes], b[headBytes+nonceBytes:], b[:headBytes])
+	head, rest := sealed[:headBytes], sealed[headBytes:]
+	plain, err := key.Open(nil, rest[:nonceBytes], rest[nonceBytes:], head)
 	if err != nil {
 		return nil, ErrForged
 	}
@@ -124,133 +159,11 @@
 	if err := c.read(plain); err != nil {
 		return nil, err
 	}
-	switch {
-	case now-c.IssuedMs > r.maxAgeMs:
+	if now-c.IssuedMs > r.maxAgeMs {
 		return nil, ErrExpired
-	case c.Binding.Statement != want.Statement:
-		return nil, ErrStatement
-	case c.Binding.Reader != want.Reader:
-		return nil, ErrReader
-	case c.Binding.Order != want.Order:
-		return nil, ErrOrder
-	case c.Binding.Shards != want.Shards:
-		return nil, ErrShards
-	}
-	return c, nil
-}
-
-// append appends what is sealed.
-func (c *Cursor) append(dst []byte) ([]byte, error) {
-	dst = binary.AppendUvarint(dst, uint64(max(0, c.IssuedMs)))
-	for _, m := range []Digest{c.Binding.Statement, c.Binding.Reader, c.Binding.Order, c.Binding.Shards} {
-		dst = append(dst, m[:]...)
-	}
-	dst = binary.AppendUvarint(dst, uint64(len(c.Places)))
-	base := int64(0)
-	for _, n := range c.MinPositions {
-		if n > 0 && (base == 0 || n < base) {
-			base = n
-		}
 	}
-	dst = binary.AppendUvarint(dst, uint64(base))
-	for _, n := range c.MinPositions {
-		if n > 0 {
-			n = n - base + 1
-		}
-		dst = binary.AppendUvarint(dst, uint64(n))
-	}
-	// The places that there are, the one that most have first.
-	var points []*Place
-	var have []int
-	at := make([]int, len(c.Places))
-	for i := range c.Places {
-		k := slices.IndexFunc(points, func(p *Place) bool { return p.Compare(&c.Places[i]) == 0 })
-		if k < 0 {
-			k, points, have = len(points), append(points, &c.Places[i]), append(have, 0)
-		}
-		at[i] = k
-		have[k]++
-	}
-	most := 0
-	for k := range have {
-		if have[k] > have[most] {
-			most = k
-		}
-	}
-	dst = binary.AppendUvarint(dst, uint64(len(points)))
-	for _, p := range points {
-		if len(p.Key) > MaxKeyBytes {
-			return nil, ErrKeyTooLong
-		}
-		dst = binary.AppendUvarint(dst, uint64(len(p.Key)))
-		dst = binary.AppendUvarint(dst, uint64(p.OwnOffset))
-		dst = binary.AppendUvarint(dst, uint64(p.Shard))
-		dst = append(dst, p.Key...)
-	}
-	dst = binary.AppendUvarint(dst, uint64(most))
-	if len(points) > 1 {
-		for i, k := range at {
-			if k != most {
-				dst = binary.AppendUvarint(binary.AppendUvarint(dst, uint64(i)), uint64(k))
-			}
-		}
-	}
-	return dst, nil
-}
-
-// read reads what was sealed. It is a fleet's own, so a fault is one of another version of the program.
-func (c *Cursor) read(b []byte) error {
-	bad := false
-	number := func(most int) int {
-		n, size := binary.Uvarint(b)
-		if size <= 0 || n > uint64(most) {
-			bad, b = true, nil
-			return 0
-		}
-		b = b[size:]
-		return int(n)
-	}
-	const longTime = 1 << 52
-	c.IssuedMs = float64(number(longTime))
-	for _, m := range []*Digest{&c.Binding.Statement, &c.Binding.Reader, &c.Binding.Order, &c.Binding.Shards} {
-		if len(b) < len(m) {
-			return ErrForged
-		}
-		b = b[copy(m[:], b):]
-	}
-	c.Places = make([]Place, number(MaxShards))
-	c.MinPositions = make([]int64, len(c.Places))
-	base := number(longTime)
-	for i := range c.MinPositions {
-		if n := number(longTime); n > 0 {
-			c.MinPositions[i] = int64(base + n - 1)
-		}
-	}
-	points := make([]Place, number(len(c.Places)))
-	for i := range points {
-		p := &points[i]
-		n := number(MaxKeyBytes)
-		p.OwnOffset, p.Shard = number(n), number(max(0, len(c.Places)-1))
-		if n > len(b) {
-			return ErrForged
-		}
-		if n > 0 {
-			p.Key, b = b[:n:n], b[n:]
-		}
-	}
-	if len(c.Places) == 0 || len(points) == 0 {
-		return ErrForged
-	}
-	most := number(len(points) - 1)
-	for i := range c.Places {
-		c.Places[i] = points[most]
-	}
-	for len(b) > 0 {
-		i, k := number(len(c.Places)-1), number(len(points)-1)
-		c.Places[i] = points[k]
-	}
-	if bad {
-		return ErrForged
+	if err := c.Binding.check(want); err != nil {
+		return nil, err
 	}
-	return nil
+	return c, nil
 }
--- a/internal/frontend/scatter/cursor/ring.go
+++ b/internal/frontend/scatter/cursor/ring.go
@@ -6,70 +6,83 @@
 	"crypto/hkdf"
 	"crypto/sha256"
 	"encoding/binary"
+	"fmt"
 	"math"
 )
 
-// Ring is the keys of cursors: one for each secret and span of Rotate, derived from them alone, so that all who have the
-// secret have the keys. The first secret seals; the others are taken, for as long as cursors may be old.
+// Ring has the keys of cursors. There is one for each secret and generation, a span of rotationMs, and it is derived from these alone, so
+// that all poolers with a secret have its keys. New cursors are sealed by the first secret; the others are for cursors that were sealed
+// before the secret changed.
 type Ring struct {
-	secrets              [][]byte
-	rotationMs, maxAgeMs float64
-	newest               int64 // generation of which the keys are here, and all before it that are taken
-	byID                 map[[idBytes]byte]cipher.AEAD
-	sealingKey           cipher.AEAD
-	sealingID            [idBytes]byte
-	derived              bool
+	secrets    [][]byte
+	rotationMs float64
+	maxAgeMs   float64
+
+	derived    bool  // the fields below are set
+	generation int64 // the present one
+	byID       map[[idBytes]byte]cipher.AEAD
+	sealingKey cipher.AEAD
+	sealingID  [idBytes]byte
 }
 
+// MaxGenerations bounds the generations whose keys are valid at a time.
+const MaxGenerations = 64
+
 const (
-	idBytes = 3
-	// generationsAhead is how many generations ahead of the clock here a key is taken: other poolers' clocks differ.
+	idBytes  = 3
+	keyBytes = 32
+
+	// generationsAhead is how many generations ahead of the clock a key is valid, as the clocks of poolers differ.
 	generationsAhead = 1
-	// MaxGenerations bounds the generations of one secret that are taken at a time.
-	MaxGenerations = 64
 )
 
-// NewRing makes a ring. Times are in milliseconds: keys change each rotate, cursors are taken for age.
-func NewRing(rotate, age float64, secrets ...[]byte) *Ring {
-	return &Ring{secrets: secrets, rotationMs: rotate, maxAgeMs: age}
+// NewRing makes a ring whose keys change every rotationMs, for cursors that are valid for maxAgeMs. There must be a secret.
+func NewRing(rotationMs, maxAgeMs float64, secrets ...[]byte) *Ring {
+	return &Ring{secrets: secrets, rotationMs: rotationMs, maxAgeMs: maxAgeMs}
 }
 
-// Generations is how many generations of a secret are taken at a time.
-func Generations(rotate, age float64) int { return int(math.Ceil(age/rotate)) + 1 + generationsAhead }
+// Generations returns how many generations of a secret's keys are valid at a time.
+func Generations(rotationMs, maxAgeMs float64) int {
+	return int(math.Ceil(maxAgeMs/rotationMs)) + 1 + generationsAhead
+}
 
-// rotate has the keys be those of the present, in Unix milliseconds.
+// rotate derives the keys that are valid now, in Unix ms, if the generation has changed.
 func (r *Ring) rotate(now float64) {
-	g := int64(math.Floor(now / r.rotationMs))
-	if r.derived && g == r.newest {
+	present := int64(math.Floor(now / r.rotationMs))
+	if r.derived && present == r.generation {
 		return
 	}
-	r.newest, r.derived, r.byID = g, true, map[[idBytes]byte]cipher.AEAD{}
-	first := int64(math.Floor((now - r.maxAgeMs) / r.rotationMs))
-	for i := len(r.secrets) - 1; i >= 0; i-- { // where two ids are the same the newest key has it
-		for k := first; k <= g+generationsAhead; k++ {
-			id, key := derive(r.secrets[i], k)
-			if r.byID[id] = key; i == 0 && k == g {
-				r.sealingKey, r.sealingID = key, id
+	r.derived = true
+	r.generation = present
+	r.byID = map[[idBytes]byte]cipher.AEAD{}
+	oldest := int64(math.Floor((now - r.maxAgeMs) / r.rotationMs))
+	for i := len(r.secrets) - 1; i >= 0; i-- { // of keys with equal IDs, the newest is valid
+		for generation := oldest; generation <= present+generationsAhead; generation++ {
+			id, key := derive(r.secrets[i], generation)
+			r.byID[id] = key
+			if i == 0 && generation == present {
+				r.sealingKey = key
+				r.sealingID = id
 			}
 		}
 	}
 	r.byID[r.sealingID] = r.sealingKey
 }
 
-// derive makes the key of a secret and a generation, and what names it.
+// derive returns the key of a secret and a generation, and its ID.
 func derive(secret []byte, generation int64) (id [idBytes]byte, key cipher.AEAD) {
 	info := binary.BigEndian.AppendUint64([]byte("beechgrade scatter cursor"), uint64(generation))
-	b, err := hkdf.Key(sha256.New, secret, nil, string(info), 32+idBytes)
-	if err != nil { // only of a length that is too large
-		panic(err)
+	material, err := hkdf.Key(sha256.New, secret, nil, string(info), keyBytes+idBytes)
+	if err != nil {
+		panic(fmt.Sprintf("cursor: derive %d bytes: %v", keyBytes+idBytes, err)) // only more bytes than SHA-256 allows
 	}
-	block, err := aes.NewCipher(b[:32])
+	block, err := aes.NewCipher(material[:keyBytes])
 	if err != nil {
-		panic(err)
+		panic(fmt.Sprintf("cursor: AES with a key of %d bytes: %v", keyBytes, err)) // only another length
 	}
 	key, err = cipher.NewGCM(block)
 	if err != nil {
-		panic(err)
+		panic(fmt.Sprintf("cursor: GCM: %v", err)) // only a cipher of another block size
 	}
-	return [idBytes]byte(b[32:]), key
+	return [idBytes]byte(material[keyBytes:]), key
 }
--- a/internal/frontend/scatter/execution/page.go
+++ b/internal/frontend/scatter/execution/page.go
@@ -13,20 +13,20 @@
 		return
 	}
 	for r.clientReady && r.delivered < r.pageRows {
-		i, key, own, row, ok := r.merge.Next()
+		row, ok := r.merge.Next()
 		if !ok {
 			break
 		}
-		s := &r.shards[i]
+		s := &r.shards[row.Shard]
 		r.delivered++
-		s.deliveredKey = append(s.deliveredKey[:0], key...)
-		s.deliveredOwn = own
-		r.lastPlace = cursor.Place{Key: s.deliveredKey, OwnOffset: own, Shard: i}
-		r.actions = append(r.actions, Action{Kind: Deliver, Shard: i, Row: row})
-		if s.readingStopped && r.merge.Low(i) {
+		s.deliveredKey = append(s.deliveredKey[:0], row.Key...)
+		s.deliveredOwn = row.Own
+		r.lastPlace = cursor.Place{Key: s.deliveredKey, OwnOffset: row.Own, Shard: row.Shard}
+		r.actions = append(r.actions, Action{Kind: Deliver, Shard: row.Shard, Row: row.Message})
+		if s.readingStopped && r.merge.Low(row.Shard) {
 			s.readingStopped = false
 			s.progressAt = now
-			r.actions = append(r.actions, Action{Kind: ResumeReading, Shard: i})
+			r.actions = append(r.actions, Action{Kind: ResumeReading, Shard: row.Shard})
 		}
 	}
 	if r.delivered == r.pageRows || r.merge.Done() {
--- a/internal/frontend/scatter/merge/merge_test.go
+++ b/internal/frontend/scatter/merge/merge_test.go
@@ -200,11 +200,11 @@
 		m, got := New(n, window), []string(nil)
 		take := func() {
 			for {
-				_, _, _, text, ok := m.Next()
+				next, ok := m.Next()
 				if !ok {
 					return
 				}
-				got = append(got, string(text))
+				got = append(got, string(next.Message))
 			}
 		}
 		for left := n; left > 0; {
@@ -336,11 +336,11 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				i, _, _, _, ok := m.Next()
+				next, ok := m.Next()
 				if !ok {
 					b.Fatal("no row")
 				}
-				add(i)
+				add(next.Shard)
 			}
 		})
 	}
--- a/internal/frontend/scatter/merge/timestamp.go
+++ b/internal/frontend/scatter/merge/timestamp.go
@@ -7,103 +7,154 @@
 	"time"
 )
 
-// epoch is PostgreSQL's: moments are microseconds since 2000.
+// epoch is the beginning of PostgreSQL's timestamps, in Unix seconds. Timestamps are microseconds since then.
 var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).Unix()
 
-// parseTimestamp reads a time. As text it is in the ISO form, which sessions have unless they ask for another.
-func parseTimestamp(val []byte, binaryForm, zoned bool) (int64, error) {
-	if binaryForm {
-		if len(val) != 8 {
+const (
+	microsPerSecond = 1e6
+	fractionDigits  = 6 // of a second
+	timestampBytes  = 8 // in the binary format
+)
+
+// Timestamps without a date.
+const (
+	infinity         = "infinity"
+	negativeInfinity = "-infinity"
+)
+
+// suffixBC follows a year before 1.
+const suffixBC = " BC"
+
+// parseTimestamp reads a timestamp. In the text format it has the ISO form, which sessions have by default. zoned tells whether it has
+// an offset from UTC.
+func parseTimestamp(value []byte, isBinary, zoned bool) (int64, error) {
+	if isBinary {
+		if len(value) != timestampBytes {
 			return 0, ErrValue
 		}
-		return int64(binary.BigEndian.Uint64(val)), nil
+		return int64(binary.BigEndian.Uint64(value)), nil
 	}
-	switch string(val) {
-	case "infinity":
+	switch string(value) {
+	case infinity:
 		return math.MaxInt64, nil
-	case "-infinity":
+	case negativeInfinity:
 		return math.MinInt64, nil
 	}
-	s := scanner{input: val}
-	year := s.number(4, 6)
-	s.expect('-')
-	month := s.number(2, 2)
-	s.expect('-')
-	day := s.number(2, 2)
-	s.expect(' ')
-	hour := s.number(2, 2)
-	s.expect(':')
-	minute := s.number(2, 2)
-	s.expect(':')
-	second := s.number(2, 2)
-	micros := 0
-	if s.accept('.') {
-		at := len(s.input)
-		micros = s.number(1, 6)
-		for n := at - len(s.input); n < 6; n++ {
-			micros *= 10
-		}
-	}
+	s := scanner{input: value}
+	t := s.civilTime()
+	micros := s.fraction()
 	offset := 0
 	if zoned {
-		sign := 1
-		if s.accept('-') {
-			sign = -1
-		} else {
-			s.expect('+')
-		}
-		offset = 3600 * s.number(2, 2)
-		if s.accept(':') {
-			offset += 60 * s.number(2, 2)
-			if s.accept(':') {
-				offset += s.number(2, 2)
-			}
-		}
-		offset *= sign
+		offset = s.offset()
 	}
-	if len(s.input) == 3 && string(s.input) == " BC" {
-		s.input, year = nil, 1-year
+	if string(s.input) == suffixBC {
+		s.input = nil
+		t.year = 1 - t.year
 	}
-	if s.invalid || len(s.input) > 0 || month < 1 || month > 12 || day < 1 || day > 31 || hour > 24 || minute > 59 || second > 60 {
+	if s.invalid || len(s.input) > 0 || !t.isValid() {
 		return 0, ErrValue
 	}
-	at := time.Date(year, time.Month(month), day, hour, minute, second, 0, time.UTC).Unix() - epoch - int64(offset)
-	return at*1e6 + int64(micros), nil
+	seconds := t.unix() - epoch - int64(offset)
+	return seconds*microsPerSecond + int64(micros), nil
 }
 
-// formatTimestamp is a moment as a server takes it.
-func formatTimestamp(n int64, zoned bool) []byte {
-	switch n {
+// formatTimestamp returns the text of a timestamp.
+func formatTimestamp(micros int64, zoned bool) []byte {
+	switch micros {
 	case math.MaxInt64:
-		return []byte("infinity")
+		return []byte(infinity)
 	case math.MinInt64:
-		return []byte("-infinity")
+		return []byte(negativeInfinity)
 	}
-	sec, micros := n/1e6, n%1e6
-	if micros < 0 {
-		sec, micros = sec-1, micros+1e6
+	seconds, fraction := micros/microsPerSecond, micros%microsPerSecond
+	if fraction < 0 {
+		seconds--
+		fraction += microsPerSecond
 	}
-	t := time.Unix(sec+epoch, 0).UTC()
-	year, end := t.Year(), ""
+	t := time.Unix(seconds+epoch, 0).UTC()
+	year, suffix := t.Year(), ""
 	if year < 1 {
-		year, end = 1-year, " BC"
+		year, suffix = 1-year, suffixBC
 	}
 	out := fmt.Appendf(nil, "%04d-%02d-%02d %02d:%02d:%02d", year, t.Month(), t.Day(), t.Hour(), t.Minute(), t.Second())
-	if micros > 0 {
-		out = fmt.Appendf(out, ".%06d", micros)
+	if fraction > 0 {
+		out = fmt.Appendf(out, ".%06d", fraction)
 	}
 	if zoned {
 		out = append(out, "+00"...)
 	}
-	return append(out, end...)
+	return append(out, suffix...)
+}
+
+// civilTime is a date and a time of day.
+type civilTime struct{ year, month, day, hour, minute, second int }
+
+// isValid reports whether the fields are in their ranges. 24:00:00 and leap seconds are valid, as at the servers.
+func (t civilTime) isValid() bool {
+	if t.month < 1 || t.month > 12 || t.day < 1 || t.day > 31 {
+		return false
+	}
+	return t.hour <= 24 && t.minute <= 59 && t.second <= 60
+}
+
+func (t civilTime) unix() int64 {
+	return time.Date(t.year, time.Month(t.month), t.day, t.hour, t.minute, t.second, 0, time.UTC).Unix()
 }
 
-// scanner reads a text from its front.
+// scanner reads a text from its beginning.
 type scanner struct {
 	input   []byte
-	invalid bool
+	invalid bool // something expected was not there
 }
 
+// civilTime reads "2026-01-31 23:59:59".
+func (s *scanner) civilTime() (t civilTime) {
+	t.year = s.number(4, 6)
+	s.expect('-')
+	t.month = s.number(2, 2)
+	s.expect('-')
+	t.day = s.number(2, 2)
+	s.expect(' ')
+	t.hour = s.number(2, 2)
+	s.expect(':')
+	t.minute = s.number(2, 2)
+	s.expect(':')
+	t.second = s.number(2, 2)
+	return t
+}
+
+// fraction reads an optional fraction of a second, in microseconds.
+func (s *scanner) fraction() int {
+	if !s.accept('.') {
+		return 0
+	}
+	before := len(s.input)
+	micros := s.number(1, fractionDigits)
+	for digits := before - len(s.input); digits < fractionDigits; digits++ {
+		micros *= 10
+	}
+	return micros
+}
+
+// offset reads an offset from UTC, "+05", "+05:30" or "+05:30:15", in seconds.
+func (s *scanner) offset() int {
+	sign := 1
+	if s.accept('-') {
+		sign = -1
+	} else {
+		s.expect('+')
+	}
+	seconds := 3600 * s.number(2, 2)
+	if s.accept(':') {
+		seconds += 60 * s.number(2, 2)
+		if s.accept(':') {
+			seconds += s.number(2, 2)
+		}
+	}
+	return sign * seconds
+}
+
+// accept reads a character if it is the next one.
 func (s *scanner) accept(c byte) bool {
 	if len(s.input) > 0 && s.input[0] == c {
 		s.input = s.input[1:]
@@ -112,14 +163,23 @@
 	return false
 }
 
-func (s *scanner) expect(c byte) { s.invalid = !s.accept(c) || s.invalid }
+// expect reads a character, which must be the next one.
+func (s *scanner) expect(c byte) {
+	if !s.accept(c) {
+		s.invalid = true
+	}
+}
 
-func (s *scanner) number(least, most int) (n int) {
-	i := 0
-	for i < len(s.input) && i < most && s.input[i] >= '0' && s.input[i] <= '9' {
-		n = n*10 + int(s.input[i]-'0')
-		i++
+// number reads a number of minDigits to maxDigits.
+func (s *scanner) number(minDigits, maxDigits int) (n int) {
+	digits := 0
+	for digits < len(s.input) && digits < maxDigits && s.input[digits] >= '0' && s.input[digits] <= '9' {
+		n = n*10 + int(s.input[digits]-'0')
+		digits++
+	}
+	s.input = s.input[digits:]
+	if digits < minDigits {
+		s.invalid = true
 	}
-	s.input, s.invalid = s.input[i:], s.invalid || i < least
 	return n
 }
