--- a/internal/testkit/console/console.go
+++ b/internal/testkit/console/console.go
@@ -1,5 +1,5 @@
-// Package console is the incident view in a terminal: a timeline to move along, servers by group, classes, takeovers
-// and findings to jump to. It works at 80x24 and without colour.
+// Package console shows an incident view in a terminal: a timeline with a cursor, and panes with servers by group, classes,
+// findings, takeovers, poolers and pools. It works at 80x24 and without colour, and can follow records that are being written.
 package console
 
 import (
@@ -14,22 +14,25 @@
 	"charm.land/lipgloss/v2"
 )
 
-// Next yields the view anew, where records are still being written.
+// Next returns the present view of records that are still being written.
 type Next func() (*incident.View, error)
 
+// Sizes of the screen in columns and lines, and how often a followed view is refreshed.
 const (
 	refresh       = time.Second
 	minWidth      = 40
 	minHeight     = 10
 	defaultWidth  = 80
 	defaultHeight = 24
-	labelWidth    = 14 // columns for names before a lane
-	lagWidth      = 9  // columns behind it
+	labelWidth    = 14 // of the names before a lane
+	lagWidth      = 9  // of the lag behind a lane
 	headerLines   = 4
 	footerLines   = 2
+	minLaneWidth  = 8
+	clockWidth    = 8 // of a time on the axis: hh:mm:ss
 )
 
-// tab is one of the panes.
+// tab is a pane.
 type tab int
 
 const (
@@ -44,23 +47,23 @@
 
 var tabNames = [tabs]string{"servers", "classes", "findings", "takeovers", "poolers", "pools"}
 
-// Model is the console; it is Bubble Tea's.
+// Model is the state of the console. It implements tea.Model.
 type Model struct {
 	view               *incident.View
 	nextView           Next
 	err                error
 	width, height      int
 	tab                tab
-	shownFrom, shownTo float64 // the stretch of time that is shown
+	shownFrom, shownTo float64 // the shown span of time, Unix ms
 	cursor             float64
-	follow             bool // the cursor stays at the end
+	follow             bool // the cursor stays at the end of the records
 	scroll             [tabs]int
-	selected           int  // finding
-	grave              bool // only grave findings
+	selected           int  // index of the selected finding
+	grave              bool // only grave findings are listed
 	help               bool
 }
 
-// New makes a console. next may be nil.
+// New returns a console that shows a view. With next, the view is refreshed and the cursor follows its end; next may be nil.
 func New(v *incident.View, next Next) *Model {
 	m := &Model{
 		view:      v,
@@ -78,7 +81,7 @@
 	return m
 }
 
-// Run shows the console until it is quit.
+// Run shows the console until the user quits, the context ends, or next fails.
 func Run(ctx context.Context, m *Model) error {
 	_, err := tea.NewProgram(m, tea.WithContext(ctx)).Run()
 	if err != nil && ctx.Err() == nil {
@@ -87,14 +90,16 @@
 	return m.err
 }
 
+// refreshed is the message with a newer view.
 type refreshed struct {
 	view *incident.View
 	err  error
 }
 
-// Init is Bubble Tea's.
+// Init implements tea.Model.
 func (m *Model) Init() tea.Cmd { return m.scheduleRefresh() }
 
+// scheduleRefresh is the command that fetches the next view, nil where there is no next one.
 func (m *Model) scheduleRefresh() tea.Cmd {
 	if m.nextView == nil {
 		return nil
@@ -105,7 +110,7 @@
 	})
 }
 
-// Update is Bubble Tea's.
+// Update implements tea.Model.
 func (m *Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
@@ -122,7 +127,7 @@
 	return m, nil
 }
 
-// replaceView goes on with a newer view. What was shown whole is shown whole again.
+// replaceView shows a newer view. Where the whole time was shown, the whole time of the new view is shown.
 func (m *Model) replaceView(v *incident.View) {
 	old := m.view
 	m.view = v
@@ -139,6 +144,7 @@
 	m.keepCursorShown()
 }
 
+// findings are the findings that are listed.
 func (m *Model) findings() []incident.Finding {
 	if !m.grave {
 		return m.view.Findings
@@ -152,11 +158,13 @@
 	return out
 }
 
+// body is the number of lines for rows.
 func (m *Model) body() int { return max(1, m.height-headerLines-footerLines) }
 
-func (m *Model) lane() int { return max(8, m.width-labelWidth-lagWidth) }
+// lane is the width of a lane in columns.
+func (m *Model) lane() int { return max(minLaneWidth, m.width-labelWidth-lagWidth) }
 
-// View is Bubble Tea's.
+// View implements tea.Model.
 func (m *Model) View() tea.View {
 	v := tea.NewView(m.Render())
 	v.AltScreen = true
@@ -172,28 +180,15 @@
 	rev   = lipgloss.NewStyle().Reverse(true)
 )
 
-// Render is the whole screen: m.h lines of at most m.w columns.
+// keysHint is the last line of the screen.
+const keysHint = "←→ [] time  +- 0 zoom  tab 1-5 pane  ↑↓ rows  n p grave  enter go  ? help  q quit"
+
+// Render is the whole screen: at most height lines of at most width columns.
 func (m *Model) Render() string {
 	if m.help {
 		return m.fit(strings.Split(helpText, "\n"))
 	}
-	v := m.view
-	t := &v.Total
-	title := fmt.Sprintf("service %.2f%%  worst 10 s %.2f%%  worth lost %.1f of %.1f  unknown %d", 100*t.Ratio, 100*t.Worst, v.LostWorth(), t.WorthAsked, v.Unknowns)
-	if m.follow {
-		title += "  [follows]"
-	}
-	var names []string
-	for i, n := range tabNames {
-		n = fmt.Sprintf("%d %s", i+1, n)
-		if tab(i) == m.tab {
-			n = rev.Render(" " + n + " ")
-		} else {
-			n = " " + n + " "
-		}
-		names = append(names, n)
-	}
-	lines := []string{bold.Render(cut(title, m.width)), m.spark(), m.axis(), strings.Join(names, " ")}
+	lines := []string{bold.Render(cut(m.title(), m.width)), m.spark(), m.axis(), m.tabLine()}
 	rows := m.rows()
 	at := max(0, min(m.scroll[m.tab], len(rows)-1))
 	rows = rows[min(at, len(rows)):]
@@ -204,10 +199,35 @@
 			lines = append(lines, "")
 		}
 	}
-	lines = append(lines, m.status(), faint.Render(cut("←→ [] time  +- 0 zoom  tab 1-5 pane  ↑↓ rows  n p grave  enter go  ? help  q quit", m.width)))
+	lines = append(lines, m.status(), faint.Render(cut(keysHint, m.width)))
 	return m.fit(lines)
 }
 
+// title sums the incident up.
+func (m *Model) title() string {
+	total := &m.view.Total
+	title := fmt.Sprintf("service %.2f%%  worst 10 s %.2f%%  worth lost %.1f of %.1f  unknown %d",
+		100*total.Ratio, 100*total.Worst, m.view.LostWorth(), total.WorthAsked, m.view.Unknowns)
+	if m.follow {
+		title += "  [follows]"
+	}
+	return title
+}
+
+// tabLine names the panes, with the present one highlighted.
+func (m *Model) tabLine() string {
+	var names []string
+	for i, name := range tabNames {
+		name = fmt.Sprintf(" %d %s ", i+1, name)
+		if tab(i) == m.tab {
+			name = rev.Render(name)
+		}
+		names = append(names, name)
+	}
+	return strings.Join(names, " ")
+}
+
+// fit cuts lines to the size of the screen.
 func (m *Model) fit(lines []string) string {
 	lines = lines[:min(len(lines), m.height)]
 	for i, l := range lines {
@@ -234,7 +254,7 @@
 
 Any key goes back.`
 
-// status says what holds at the cursor.
+// status sums up the cell of time at the cursor.
 func (m *Model) status() string {
 	v := m.view
 	s := "at " + report.Clock(m.cursor)
@@ -243,8 +263,11 @@
 	var served, refused, failed uint32
 	for _, c := range v.Series.Classes {
 		if i < len(c.Asked) {
-			asked, got = asked+c.Asked[i], got+c.Got[i]
-			served, refused, failed = served+c.Served[i], refused+c.Refused[i], failed+c.Failed[i]
+			asked += c.Asked[i]
+			got += c.Got[i]
+			served += c.Served[i]
+			refused += c.Refused[i]
+			failed += c.Failed[i]
 		}
 	}
 	if asked > 0 {
--- a/internal/testkit/console/console_test.go
+++ b/internal/testkit/console/console_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestScreenFitsTerminalInEveryPane guards against a screen that runs over its terminal, in any pane and any size.
+// TestScreenFitsTerminalInEveryPane checks that the screen fits any terminal, in each pane.
 func TestScreenFitsTerminalInEveryPane(t *testing.T) {
 	v := day(t)
 	v.Servers[0].Name += "\x1b[2J"
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestJumpShowsChosenMoment guards against a console that shows another moment than the one chosen.
+// TestJumpShowsChosenMoment checks that keys move the cursor to the chosen finding and zoom around it.
 func TestJumpShowsChosenMoment(t *testing.T) {
 	v := day(t)
 	m := New(v, nil)
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestFollowKeepsCursorUnlessMoved guards against a console that stays behind records that grow, or that runs off with one's place.
+// TestFollowKeepsCursorUnlessMoved checks that the cursor follows records that grow, but not after it was moved.
 func TestFollowKeepsCursorUnlessMoved(t *testing.T) {
 	v := day(t)
 	m := New(v, func() (*incident.View, error) { return v, nil })
--- a/internal/testkit/console/keys.go
+++ b/internal/testkit/console/keys.go
@@ -2,7 +2,15 @@
 
 import tea "charm.land/bubbletea/v2"
 
-// key does what a key is for.
+const (
+	longStep      = 10  // columns
+	zoomIn        = 0.5 // of the shown span
+	zoomOut       = 2   // of the shown span
+	minShownCells = 4   // cells of time in the shortest span
+	sameMomentMs  = 0.5 // a finding this close to the cursor is the one at the cursor
+)
+
+// key handles a key. Any key leaves the help.
 func (m *Model) key(k string) tea.Cmd {
 	if m.help {
 		m.help = false
@@ -25,18 +33,18 @@
 	case "right":
 		m.move(step)
 	case "shift+left", "[":
-		m.move(-10 * step)
+		m.move(-longStep * step)
 	case "shift+right", "]":
-		m.move(10 * step)
+		m.move(longStep * step)
 	case "home":
 		m.move(m.view.From - m.cursor)
 	case "end":
 		m.move(m.view.To - m.cursor)
 		m.follow = m.nextView != nil
 	case "+", "=":
-		m.zoom(0.5)
+		m.zoom(zoomIn)
 	case "-":
-		m.zoom(2)
+		m.zoom(zoomOut)
 	case "0":
 		m.shownFrom, m.shownTo = m.view.From, m.view.To
 	case "up", "k":
@@ -62,14 +70,14 @@
 	return nil
 }
 
-// move moves the cursor along the time, and the stretch that is shown with it.
+// move moves the cursor by a span in milliseconds, and ends following.
 func (m *Model) move(ms float64) {
 	m.follow = false
 	m.cursor = min(m.view.To, max(m.view.From, m.cursor+ms))
 	m.keepCursorShown()
 }
 
-// keepCursorShown keeps the cursor within what is shown.
+// keepCursorShown keeps the cursor within the records, and moves the shown span so that it contains the cursor.
 func (m *Model) keepCursorShown() {
 	m.cursor = min(m.view.To, max(m.view.From, m.cursor))
 	if span := m.shownTo - m.shownFrom; m.cursor < m.shownFrom {
@@ -79,11 +87,12 @@
 	}
 }
 
+// jump moves the cursor to a time.
 func (m *Model) jump(at float64) { m.move(at - m.cursor) }
 
-// zoom shows a shorter or longer stretch round the cursor.
+// zoom changes the shown span by a factor; the cursor stays where it is on the screen.
 func (m *Model) zoom(factor float64) {
-	span := min(m.view.To-m.view.From, max(m.view.Series.WidthMs*4, (m.shownTo-m.shownFrom)*factor))
+	span := min(m.view.To-m.view.From, max(m.view.Series.WidthMs*minShownCells, (m.shownTo-m.shownFrom)*factor))
 	before := m.cursor - m.shownFrom
 	if m.shownTo > m.shownFrom {
 		before *= span / (m.shownTo - m.shownFrom)
@@ -92,20 +101,22 @@
 	m.shownTo = m.shownFrom + span
 }
 
-// seek goes to the next or the previous grave finding.
+// seek jumps to the next grave finding, or to the previous one where direction is -1.
 func (m *Model) seek(direction int) {
 	f := m.view.Findings
 	for i := range f {
 		if direction < 0 {
 			i = len(f) - 1 - i
 		}
-		if d := (f[i].At - m.cursor) * float64(direction); f[i].Grave && d > 0.5 {
+		distance := (f[i].At - m.cursor) * float64(direction)
+		if f[i].Grave && distance > sameMomentMs {
 			m.jump(f[i].At)
 			return
 		}
 	}
 }
 
+// step selects another finding, or scrolls the rows of other panes.
 func (m *Model) step(n int) {
 	if m.tab == tabFindings {
 		m.selected = min(max(0, m.selected+n), max(0, len(m.findings())-1))
--- a/internal/testkit/console/tables.go
+++ b/internal/testkit/console/tables.go
@@ -26,12 +26,14 @@
 	return m.poolerRows()
 }
 
+// letters are the letters of states in a lane, the gravest state first.
 var letters = []struct {
 	flag   uint8
 	letter rune
 }{{incident.FlagRemoved, '-'}, {incident.FlagBroken, 'x'}, {incident.FlagUnresponsive, '?'}, {incident.FlagDraining, 'd'},
 	{incident.FlagPrimary, 'P'}, {incident.FlagWarmingUp, 'c'}, {incident.FlagReplica, 'r'}}
 
+// letter is the letter of the gravest state, a dot where none is known.
 func letter(flags uint8) rune {
 	for _, l := range letters {
 		if flags&l.flag != 0 {
@@ -41,6 +43,7 @@
 	return '.'
 }
 
+// serverRows are the rows of a pane: a lane for each server, by groups.
 func (m *Model) serverRows() (rows []string) {
 	for _, g := range m.view.Groups {
 		rows = append(rows, faint.Render(fmt.Sprintf("group %d", g.Group)))
@@ -65,7 +68,7 @@
 	return rows
 }
 
-// paint colours a lane's letters and marks the cursor's column.
+// paint colours the letters of a lane, and marks the column of the cursor.
 func paint(lane []rune, cursor int) string {
 	var b strings.Builder
 	for i := 0; i < len(lane); {
@@ -91,6 +94,7 @@
 	return b.String()
 }
 
+// classRows are what each class was served, and the causes of lost worth.
 func (m *Model) classRows() (rows []string) {
 	rows = append(rows, bold.Render(fmt.Sprintf("%-18s %8s %8s %7s %7s %7s %6s %7s", "class", "service", "worst10s", "served", "refused", "failed", "late", "p99 ms")))
 	for _, c := range append(m.view.Classes[:len(m.view.Classes):len(m.view.Classes)], m.view.Total) {
@@ -103,6 +107,7 @@
 	return rows
 }
 
+// findingRows are the rows of a pane: a line for each finding, the selected one highlighted.
 func (m *Model) findingRows() (rows []string) {
 	for i, f := range m.findings() {
 		mark := " "
@@ -124,6 +129,7 @@
 	return rows
 }
 
+// takeoverRows are the gaps in writes of all groups.
 func (m *Model) takeoverRows() (rows []string) {
 	for _, g := range m.view.Groups {
 		for _, x := range g.Gaps {
@@ -141,6 +147,7 @@
 	return rows
 }
 
+// poolerRows are the rows of a pane: a line for each pooler.
 func (m *Model) poolerRows() (rows []string) {
 	rows = append(rows, bold.Render(fmt.Sprintf("%-16s %6s %10s %8s %8s %9s %7s", "pooler", "starts", "events", "lost", "clients", "memory", "clock")))
 	for _, p := range m.view.Poolers {
@@ -150,6 +157,7 @@
 	return rows
 }
 
+// poolRows are the rows of a pane: a line for each pool, with the times in which it was saturated.
 func (m *Model) poolRows() (rows []string) {
 	rows = append(rows, bold.Render(fmt.Sprintf("%-20s %8s %8s %8s %7s %7s %7s %9s %9s %11s %7s", "pool", "sessions", "given", "changed", "moved", "again", "refused",
 		"p50 ms", "p99 ms", "in use", "waiting")))
@@ -166,7 +174,7 @@
 	return rows
 }
 
-// cut shortens a text to a number of columns.
+// cut shortens a text to w columns.
 func cut(s string, w int) string {
 	if lipgloss.Width(s) <= w {
 		return s
