--- a/internal/testkit/rehearse/admin.go
+++ b/internal/testkit/rehearse/admin.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// adminPollMs is between two looks at a pooler's door.
+// adminPollMs is the time between two polls of a pooler's admin endpoint.
 const adminPollMs = 100
 
-// pollAdmin tell Options.Figures what poolers' doors show, until the function that it returns is called.
+// pollAdmin passes the metrics of the poolers' admin endpoints to Options.Metrics until the function that it returns is called.
 func (r *Run) pollAdmin(ctx context.Context) (end func()) {
 	if r.opt.Metrics == nil {
 		return func() {}
@@ -33,7 +33,7 @@
 	return func() { cancel(); wg.Wait(); c.CloseIdleConnections() }
 }
 
-// adminMetrics are those of a door; nil where nobody answers.
+// adminMetrics are the metrics of an admin endpoint by name, nil where it does not answer.
 func adminMetrics(ctx context.Context, c *http.Client, address string) map[string]string {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/-/metrics", nil)
 	if err != nil {
--- a/internal/testkit/rehearse/links.go
+++ b/internal/testkit/rehearse/links.go
@@ -5,7 +5,7 @@
 	"beechgrade/internal/testkit/scenario"
 )
 
-// pathFault has a fault of the ways from poolers to servers, or of the list's to poolers, strike or end.
+// pathFault returns what switches a fault on the paths from poolers to servers, or to the endpoint list, on and off.
 func (r *Run) pathFault(f scenario.Fault) func(on bool) {
 	var servers []int
 	_ = r.fleet.Update(func(w *model.World) error {
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -1,8 +1,9 @@
-// Package rehearse runs the daemon as processes against stand-in servers, clients and faults on loopback, as a scenario has them, and compares what
-// the processes recorded with what the clients saw.
+// Package rehearse runs daemons as processes on loopback against fake servers, clients and faults, as a scenario script describes,
+// and compares what the poolers recorded with what the clients saw. It also measures the ClickHouse and the pooling frontend.
 package rehearse
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -33,7 +34,7 @@
 	maxSettle = 10 * time.Second
 )
 
-// Options say how a rehearsal is run.
+// Options say how a rehearsal is run. Functions may be nil; they are called from several goroutines.
 type Options struct {
 	Seed     uint64
 	Out      string // folder, which must not hold a rehearsal yet
@@ -41,25 +42,30 @@
 	Log      *slog.Logger
 	Progress func(done, all int)
 
-	Operators string // more of the operators' settings; $POOLER stands for a pooler's name
+	Operators string // additional operators' settings; $POOLER stands for a pooler's name
 	Rereads   []Reread
 
-	Arrived func(server, pooler int, writes bool, at float64) // is told of each request that comes whole to a server; may be nil
+	// Arrived is called with each request that a server received completely.
+	Arrived func(server, pooler int, writes bool, at float64)
+	// Read is called with each read attempt that a server received completely.
+	Read func(at float64, c *clients.Class, pooler, server int)
+	// Received is called with each request that reached a server.
+	Received func(server int, at float64)
+	// Killed is called when a pooler's process was killed, before it is started again.
+	Killed func(pooler string)
+	// Metrics is called with the metrics of the poolers' admin endpoints, several times a second. Poolers have no admin endpoints
+	// where it is nil.
+	Metrics func(pooler, pid int, at float64, figures map[string]string)
+	// Started is called when the clients start, with the addresses of the admin endpoints.
+	Started func(at float64, adminAddrs []string)
+	// ReplaceTarget returns the pooler that a kill-pooler or stall-pooler fault hits in place of the one that it names.
+	ReplaceTarget func(pooler int) int
 
-	Killed func(pooler string) // is told once a pooler's process was killed, before it starts again
-
-	Metrics       func(pooler, pid int, at float64, figures map[string]string) // is told what poolers' doors show, now and then; nil for no doors
-	ReplaceTarget func(pooler int) int                                         // whom a kill-pooler or stall-pooler strikes in place of the one that it names; may be nil
-	Started       func(at float64, doors []string)                             // is told, as clients begin to ask, where poolers' doors are, if there are Figures; may be nil
-
-	Read func(at float64, c *clients.Class, pooler, server int) // is told of each attempt of a read that came whole to a server; may be nil
-
-	ByzantineDaemon string                       // path of the daemon's program built with the tag liar...
-	ByzantineModes  map[int]string               // ...and what some poolers, by number, lie about load ("none" or "all"), or of servers: see lies
-	Received        func(server int, at float64) // is told of each request that came to a server
+	ByzantineDaemon string         // path of the daemon's program built with the tag liar
+	ByzantineModes  map[int]string // by pooler: what it misreports; such poolers run ByzantineDaemon
 }
 
-// Result is a rehearsal's outcome; it is written to result.json in its folder.
+// Result is the outcome of a rehearsal. It is written to ResultFile in the folder of the rehearsal.
 type Result struct {
 	Rehearsal  string               `json:"rehearsal"`
 	Seed       uint64               `json:"seed"`
@@ -79,10 +85,11 @@
 	UpTo   map[string]int64 `json:"served_up_to,omitempty"` // ...and up to its last payment in the midst
 }
 
-// Duplicates is what servers of a group took, or had no room for: attempts, and how many of these were of a request of which one had been taken.
+// Duplicates counts what servers of a group received or rejected: attempts, and those among them whose request had been received
+// before.
 type Duplicates struct{ Taken, Repeated int }
 
-// Pause is when a pooler's process stood still: what came meanwhile it takes for newly come.
+// Pause is a span in which a pooler's process was stopped. What arrived meanwhile counts as received at its end.
 type Pause struct {
 	Pooler string  `json:"pooler"`
 	From   float64 `json:"from_ms"`
@@ -96,7 +103,7 @@
 	ResultFile   = "result.json"
 )
 
-// Run is a rehearsal that is under way.
+// Run is a rehearsal.
 type Run struct {
 	script  *scenario.Script
 	opt     Options
@@ -112,7 +119,7 @@
 	sockets   int        // that a pooler may hold, where that is more than usual
 }
 
-// Execute runs a rehearsal from its start to its end.
+// Execute runs a rehearsal from its start to its end, and writes its result.
 func Execute(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
 	s, err := s.Smaller()
 	if err != nil {
@@ -174,7 +181,7 @@
 	return r.execute(ctx)
 }
 
-// launchAll starts all poolers, side by side.
+// launchAll starts all poolers at the same time.
 func (r *Run) launchAll(ctx context.Context) error {
 	errs := make([]error, len(r.poolers))
 	var wg sync.WaitGroup
@@ -189,15 +196,8 @@
 	return errors.Join(errs...)
 }
 
+// execute has the clients make their requests while faults are injected, stops the poolers, and writes the result.
 func (r *Run) execute(ctx context.Context) (*Result, error) {
-	var addrs []string
-	for _, p := range r.poolers {
-		if r.script.Clients.ClickHouse {
-			addrs = append(addrs, p.clickhouseAddr)
-			continue
-		}
-		addrs = append(addrs, p.addr)
-	}
 	var table *report
 	if r.script.Pages != nil {
 		table = r.shared.pagesTable()
@@ -211,87 +211,138 @@
 	}
 	res := &Result{Rehearsal: r.script.Name, Seed: r.opt.Seed, FromMs: r.clk.Now()}
 	watch := cpupressure.Start()
-	faulty, stop := context.WithCancel(ctx)
-	var wg sync.WaitGroup
-	errs := make(chan error, len(r.script.Faults)+len(r.opt.Rereads))
-	for _, x := range r.opt.Rereads {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			if err := r.reread(faulty, x); err != nil {
-				errs <- err
-			}
-		}()
-	}
-	for _, f := range r.script.Faults {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			if err := r.inject(faulty, f); err != nil {
-				errs <- fmt.Errorf("%s: %w", f.Pos, err)
-			}
-		}()
-	}
-	looked := func() {}
-	if r.peers != nil {
-		looked = r.peers.begin(ctx)
+	faults := r.startFaults(ctx)
+	stopSampling := r.startSampling(ctx, res.FromMs)
+	waitForPages := func() {}
+	if table != nil {
+		waitForPages = table.play(faults.ctx)
 	}
-	shown := r.pollAdmin(ctx)
-	if r.opt.Started != nil {
-		var doors []string
-		for _, p := range r.poolers {
-			doors = append(doors, p.adminAddr)
-		}
-		r.opt.Started(res.FromMs, doors)
-	}
-	reported := func() {}
-	if r.script.Pages != nil {
-		reported = table.play(faulty)
-	}
-	clients.NewPlayer(cfg, r.clk, addrs, log).Run(ctx, plan, func(asked int) {
+	clients.NewPlayer(cfg, r.clk, r.clientAddrs(), log).Run(ctx, plan, func(asked int) {
 		if r.opt.Progress != nil {
 			r.opt.Progress(asked, len(plan))
 		}
 	})
-	stop()
-	wg.Wait()
-	reported()
+	faults.stop()
+	waitForPages()
 	if r.peers != nil && ctx.Err() == nil {
 		r.peers.settle(ctx, maxSettle)
 	}
-	shown()
-	looked()
+	stopSampling()
 	res.ToMs, res.Machine = r.clk.Now(), watch.Stop()
 	if err := errors.Join(log.close(), r.stop()); err != nil {
 		return nil, err
 	}
-	select {
-	case err := <-errs:
+	if err := cmp.Or(faults.err(), ctx.Err()); err != nil {
 		return nil, err
-	default:
 	}
-	if err := ctx.Err(); err != nil {
+	if err := r.collect(res, keeper); err != nil {
 		return nil, err
 	}
-	for _, id := range r.fleet.RepeatedWrites() {
-		keeper.Add(score.Breach{Rule: "nothing unsafe twice", ID: id, Text: "a write ran more than once"})
+	b, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(res, "", "  ")
+	if err != nil {
+		return nil, err
 	}
-	for _, name := range r.fleet.PushedOver() {
-		keeper.Add(score.Breach{Rule: "no cold server pushed over", Text: name + " fell"})
+	return res, os.WriteFile(filepath.Join(r.opt.Out, ResultFile), b, 0o640)
+}
+
+// clientAddrs are the addresses of the poolers that the clients use.
+func (r *Run) clientAddrs() (addrs []string) {
+	for _, p := range r.poolers {
+		if r.script.Clients.ClickHouse {
+			addrs = append(addrs, p.clickhouseAddr)
+		} else {
+			addrs = append(addrs, p.addr)
+		}
+	}
+	return addrs
+}
+
+// faultTasks are the goroutines that inject the script's faults and reload the poolers' settings.
+type faultTasks struct {
+	ctx    context.Context // ends with stop
+	cancel context.CancelFunc
+	wg     sync.WaitGroup
+	errs   chan error // of all tasks, buffered for each of them
+}
+
+// startFaults starts a task for each fault and each reload. Its caller calls stop.
+func (r *Run) startFaults(ctx context.Context) *faultTasks {
+	ctx, cancel := context.WithCancel(ctx)
+	tasks := &faultTasks{ctx: ctx, cancel: cancel, errs: make(chan error, len(r.script.Faults)+len(r.opt.Rereads))}
+	for _, reread := range r.opt.Rereads {
+		tasks.start(func() error { return r.reread(ctx, reread) })
+	}
+	for _, fault := range r.script.Faults {
+		tasks.start(func() error {
+			if err := r.inject(ctx, fault); err != nil {
+				return fmt.Errorf("%s: %w", fault.Pos, err)
+			}
+			return nil
+		})
+	}
+	return tasks
+}
+
+// start runs a task in a goroutine.
+func (t *faultTasks) start(task func() error) {
+	t.wg.Go(func() {
+		if err := task(); err != nil {
+			t.errs <- err
+		}
+	})
+}
+
+// stop ends the tasks and waits for them.
+func (t *faultTasks) stop() {
+	t.cancel()
+	t.wg.Wait()
+}
+
+// err is the first error of a task, nil for none.
+func (t *faultTasks) err() error {
+	select {
+	case err := <-t.errs:
+		return err
+	default:
+		return nil
 	}
-	for _, f := range r.fleet.LateFacts() {
-		keeper.Add(score.Breach{Rule: "drains kept", At: f.At, Text: f.Server + " " + f.What})
+}
+
+// startSampling samples the peers' views and the poolers' metrics until the function that it returns is called, and reports the
+// start to Options.Started.
+func (r *Run) startSampling(ctx context.Context, fromMs float64) (stop func()) {
+	stopPeers := func() {}
+	if r.peers != nil {
+		stopPeers = r.peers.begin(ctx)
 	}
-	res.Score, res.Facts = keeper.Score(), r.fleet.Facts()
+	stopAdmin := r.pollAdmin(ctx)
+	if r.opt.Started != nil {
+		var addrs []string
+		for _, p := range r.poolers {
+			addrs = append(addrs, p.adminAddr)
+		}
+		r.opt.Started(fromMs, addrs)
+	}
+	return func() {
+		stopAdmin()
+		stopPeers()
+	}
+}
+
+// collect completes the result by what the servers, the checker and the peers observed. The poolers have stopped.
+func (r *Run) collect(res *Result, keeper *score.Keeper) error {
+	r.addServerBreaches(keeper)
+	res.Facts = r.fleet.Facts()
 	res.Ran = r.fleet.ExecutedWrites()
 	res.Duplicates = r.wires.duplicateCounts()
 	res.Rules = r.wires.verdict(r.clk.Now())
-	if r.shared.verdict(res.Rules); r.script.Pages != nil {
+	r.shared.verdict(res.Rules)
+	if r.script.Pages != nil {
 		res.Pages = &r.shared.Pages
 	}
 	res.Served, res.UpTo = r.shared.served(), r.shared.upTo
 	if err := r.invariants(res.Rules); err != nil {
-		return nil, err
+		return err
 	}
 	for i, s := range r.wires.pauses {
 		res.Pauses = append(res.Pauses, Pause{r.poolers[i].name, s[0], s[1]})
@@ -306,13 +357,23 @@
 		keeper.Add(score.Breach{Rule: string(b.Rule), At: b.At, ID: fmt.Sprintf("%016x", b.ID), Text: "by the wires: " + b.Text})
 	}
 	res.Score = keeper.Score()
-	b, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(res, "", "  ")
-	if err != nil {
-		return nil, err
+	return nil
+}
+
+// addServerBreaches adds the rules that the servers saw broken.
+func (r *Run) addServerBreaches(keeper *score.Keeper) {
+	for _, id := range r.fleet.RepeatedWrites() {
+		keeper.Add(score.Breach{Rule: "nothing unsafe twice", ID: id, Text: "a write ran more than once"})
+	}
+	for _, name := range r.fleet.PushedOver() {
+		keeper.Add(score.Breach{Rule: "no cold server pushed over", Text: name + " fell"})
+	}
+	for _, fact := range r.fleet.LateFacts() {
+		keeper.Add(score.Breach{Rule: "drains kept", At: fact.At, Text: fact.Server + " " + fact.What})
 	}
-	return res, os.WriteFile(filepath.Join(r.opt.Out, ResultFile), b, 0o640)
 }
 
+// pause waits, and reports whether the context lasted.
 func pause(ctx context.Context, ms float64) bool {
 	t := time.NewTimer(time.Duration(ms * float64(time.Millisecond)))
 	defer t.Stop()
@@ -324,7 +385,7 @@
 	}
 }
 
-// stop ends all poolers in order.
+// stop stops all poolers gracefully.
 func (r *Run) stop() error {
 	var wg sync.WaitGroup
 	for _, p := range r.poolers {
@@ -338,6 +399,7 @@
 	return nil
 }
 
+// kill kills all poolers.
 func (r *Run) kill() {
 	for _, p := range r.poolers {
 		p.stop(syscall.SIGKILL)
