--- a/internal/testkit/byzantine/load.go
+++ b/internal/testkit/byzantine/load.go
@@ -1,4 +1,4 @@
-// Package byzantine is what a pooler says that lies about its load, for rehearsals and virtual time.
+// Package byzantine alters the messages of a byzantine pooler, which reports false loads or server states, for rehearsals and virtual time.
 package byzantine
 
 import (
@@ -7,12 +7,12 @@
 	"beechgrade/internal/cluster/overload"
 )
 
-// RateFactors are what the kinds of liar make of each rate that they tell.
+// RateFactors are the factors on reported rates, by the kind of byzantine pooler.
 var RateFactors = map[string]float64{"all": 1000, "none": 0}
 
-// AlterLoad is what one makes of a word: each rate so many times as much, all of it late, and as a collector it lets in all for 0, else nothing.
+// AlterLoad multiplies the rates in a message, reports all attempts as late, and as a collector admits everything (factor 0) or nothing.
 func AlterLoad[T any](message T, factor float64) T {
-	altered, _ := alterLoad(message, factor).(T) // it is of the same kind
+	altered, _ := alterLoad(message, factor).(T) // it has the same type
 	return altered
 }
 
--- a/internal/testkit/byzantine/servers.go
+++ b/internal/testkit/byzantine/servers.go
@@ -6,15 +6,15 @@
 	"beechgrade/internal/cluster/outlier"
 )
 
-// ServerFault is what a liar says of servers, as an observer and as a collector; times are in ms.
+// ServerFault describes what a byzantine pooler reports of servers, as an observer and as a collector.
 type ServerFault struct {
-	Unresponsive  bool    // each has answered nothing...
-	SinceMs       float64 // ...for so long
-	ClaimsPrimary bool    // each leads its group
-	AheadMs       float64 // each is so much further than it is
+	Unresponsive  bool    // each server is reported as unresponsive...
+	SinceMs       float64 // ...since this long ago
+	ClaimsPrimary bool    // each server is reported as its group's primary
+	AheadMs       float64 // added to each server's position
 }
 
-// ServerFaults are the kinds of liar.
+// ServerFaults are the server faults, by the kind of byzantine pooler.
 var ServerFaults = map[string]ServerFault{
 	"silent":  {Unresponsive: true},
 	"leads":   {ClaimsPrimary: true},
@@ -22,9 +22,9 @@
 	"servers": {Unresponsive: true, ClaimsPrimary: true, AheadMs: 5000},
 }
 
-// AlterServers is what a liar makes of a word of servers.
+// AlterServers alters a message on servers.
 func AlterServers[T any](message T, fault ServerFault) T {
-	altered, _ := fault.alter(message).(T) // it is of the same kind
+	altered, _ := fault.alter(message).(T) // it has the same type
 	return altered
 }
 
--- a/internal/testkit/cpupressure/cpupressure.go
+++ b/internal/testkit/cpupressure/cpupressure.go
@@ -1,4 +1,4 @@
-// Package cpupressure watches how much of the processors' time what is played on the machine in real time wants and does not get.
+// Package cpupressure measures the processor time that this process lacks while it runs scenarios in real time.
 package cpupressure
 
 import (
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// Pressure is how much there was too little of. Both are 0 where the system does not tell.
+// Pressure is the share of missing processor time. All are 0 if the system does not report it.
 type Pressure struct {
-	Waited float64 `json:"waited"` // of the time that this process's threads ran or waited for a processor, the part that they waited
-	Stolen float64 `json:"stolen"` // of the time that the processors were to work, the part that the machine did not have them (another machine on the same metal)
-	Worst  float64 `json:"worst"`  // the two together in the worst second
+	Waited float64 `json:"waited"` // share of waiting in the time that this process's threads ran or waited for a processor
+	Stolen float64 `json:"stolen"` // share of the processors' busy time stolen by the hypervisor
+	Worst  float64 `json:"worst"`  // highest sum of the two in a second
 }
 
 const sampleInterval = time.Second
 
-// Monitor is one that is under way.
+// Monitor samples the pressure until Stop.
 type Monitor struct {
 	stop    chan struct{}
 	done    sync.WaitGroup
 	samples []sample
 }
 
-// Start begins to watch.
+// Start starts a monitor.
 func Start() *Monitor {
 	w := &Monitor{stop: make(chan struct{}), samples: []sample{takeSample()}}
 	w.done.Add(1)
@@ -46,7 +46,7 @@
 	return w
 }
 
-// Stop stops the watch and tells what it saw.
+// Stop stops the monitor and returns the pressure since Start.
 func (w *Monitor) Stop() Pressure {
 	close(w.stop)
 	w.done.Wait()
@@ -59,16 +59,16 @@
 	return b
 }
 
-// sample is what the system told at some time.
+// sample has the system's counters at some time.
 type sample struct {
-	threads                map[string][2]float64 // what each thread ran and waited, in ns
+	threads                map[string][2]float64 // running and waiting time of each thread, ns
 	busyTicks, stolenTicks float64               // ticks of all processors
 }
 
 func pressureBetween(a, b sample) Pressure {
 	var ran, waited float64
 	for name, x := range b.threads {
-		was := a.threads[name] // none for one that is new; one that ended is missed
+		was := a.threads[name] // zero for a new thread; ended threads are not counted
 		ran, waited = ran+max(0, x[0]-was[0]), waited+max(0, x[1]-was[1])
 	}
 	works, stolen := b.busyTicks-a.busyTicks, b.stolenTicks-a.stolenTicks
@@ -96,7 +96,7 @@
 	return s
 }
 
-// numbers are the first n of a file's first line, behind a word; nil where it has none.
+// numbers returns the first n numbers of a file's first line, after a word; nil if there are none.
 func numbers(name, word string, n int) []float64 {
 	b, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/testkit/deterministic/deterministic.go
+++ b/internal/testkit/deterministic/deterministic.go
@@ -1,4 +1,4 @@
-// Package deterministic has tests of drawn sequences draw the same ones in every run, so that they come to the same verdict.
+// Package deterministic runs property tests with the same draws in every run, so that they give the same result.
 package deterministic
 
 import (
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Check is rapid.Check from a seed of its own, unless the command line names one (-rapid.seed). With -rapid.checks=N and
-// other seeds it looks further than a test in every run can.
+// Check is rapid.Check with a fixed seed, unless the command line sets one (-rapid.seed). With -rapid.checks=N and
+// other seeds it covers more than the usual run.
 func Check(t *testing.T, prop func(*rapid.T)) {
 	t.Helper()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
--- a/internal/testkit/modelcheck/credits.go
+++ b/internal/testkit/modelcheck/credits.go
@@ -11,9 +11,9 @@
 	"beechgrade/internal/cluster/credit/message"
 )
 
-// CreditSystem are voters with their banks and poolers with their purses, with a log between them that has its entries in one order and may
-// lose, delay and double what is proposed. Each process has a clock of its own, off by as much as drift allows and set apart from the
-// others. Clients' requests are counted here, at their ends, and never by what the purses say.
+// CreditSystem are voters with their lessors and poolers with their lease managers. The log between them orders its entries and may
+// lose, delay and duplicate proposals. Each process has its own clock, with the drift that is allowed and an offset from the
+// others. Clients' requests are counted here, when they end, not by the lease managers' counts.
 type CreditSystem struct {
 	CreditFaults
 	Lease     lease.Settings
@@ -44,7 +44,7 @@
 	AdmittedLate  int // requests let in by an account whose end the log had
 }
 
-// CreditFaults are what may still happen.
+// CreditFaults are the numbers of faults and events that may still happen.
 type CreditFaults struct{ NewRequests, Lose, Duplicate, Depose, Crash, Pause, Pay int }
 
 type creditVoter struct {
@@ -65,7 +65,7 @@
 	reservations []lease.Reservation
 }
 
-// CreditMessage is what is on its way.
+// CreditMessage is a message, proposal or write in progress.
 type CreditMessage struct {
 	From, To  int // poolers; a voter's number is -1-i
 	Requests  []message.Request
@@ -87,10 +87,10 @@
 	return fmt.Sprintf("%d to %d: %v%v", m.From, m.To, m.Requests, m.Responses)
 }
 
-// CreditTenant is whose funds they are.
+// CreditTenant is the only tenant.
 const CreditTenant = "t"
 
-// NewCreditSystem makes a system of so many voters and poolers, with prices of 1.
+// NewCreditSystem returns a system with prices of 1.
 func NewCreditSystem(voters, poolers int, funds int64) *CreditSystem {
 	s := &CreditSystem{now: 100, Price: 1, Funds: funds, SettlementsPerRequest: 1}
 	s.Lease = lease.Settings{
@@ -126,7 +126,7 @@
 	return s
 }
 
-// Start begins all; settings are taken as they are by then.
+// Start starts all processes with the present settings.
 func (s *CreditSystem) Start() {
 	if s.Lessor.ExpiryDelay = s.Lease.ExpiryDelay(); s.ShortVoterLeases {
 		s.Lessor.ExpiryDelay /= 4
@@ -145,7 +145,7 @@
 	s.apply()
 }
 
-// clockOf is a process's own: apart by far more than any span.
+// clockOf returns a process's clock. Clocks differ by far more than any span.
 func (s *CreditSystem) clockOf(i int) float64 {
 	if i < 0 {
 		return 1e6*float64(-i) + s.now*s.voters[-1-i].clockRate
@@ -188,7 +188,7 @@
 
 func (s *CreditSystem) commit(entry []byte) { s.log = append(s.log, entry) }
 
-// apply has the leader, and all others, take what the log has.
+// apply applies the log at all voters.
 func (s *CreditSystem) apply() {
 	for i, v := range s.voters {
 		for ; v.applied < len(s.log); v.applied++ {
@@ -245,7 +245,7 @@
 	}
 }
 
-// admit has a request go to its server.
+// admit starts an admitted request.
 func (s *CreditSystem) admit(x *creditPooler, h lease.Reservation) {
 	x.reservations = append(x.reservations, h)
 	k := ledger.Key{Tenant: h.Tenant, Overdraft: h.Overdraft, Holder: x.id, Generation: h.Generation}
@@ -282,7 +282,7 @@
 	}
 }
 
-// Request has a client ask a pooler.
+// Request makes a client's request at a pooler.
 func (s *CreditSystem) Request(i int) lease.Decision {
 	x := s.poolers[i]
 	s.tag++
@@ -297,7 +297,7 @@
 	return v
 }
 
-// End has the first request of a pooler end.
+// End ends the first request of a pooler.
 func (s *CreditSystem) End(i int) {
 	x := s.poolers[i]
 	if len(x.reservations) == 0 {
@@ -309,7 +309,7 @@
 	x.manager.Settle(&h, lease.Usage{Served: int(s.SettlementsPerRequest)})
 }
 
-// recipientPaused tells whether a message is for a process that stands still.
+// recipientPaused reports whether a message is for a paused process.
 func (s *CreditSystem) recipientPaused(m *CreditMessage) bool {
 	if m.Write > 0 {
 		return s.poolers[m.From].pausedSteps > 0
@@ -391,14 +391,14 @@
 	s.apply()
 }
 
-// SetLeader has another voter lead.
+// SetLeader makes another voter the leader.
 func (s *CreditSystem) SetLeader(i int) {
 	s.voters[s.leader].lessor.SetLeader(s.clockOf(-1-s.leader), false)
 	s.leader = i
 	s.voters[i].lessor.SetLeader(s.clockOf(-1-i), true)
 }
 
-// Kill ends a process, or stops it for so many steps, and has another begin with its files.
+// Kill ends a process, or pauses it for some steps, and starts another one with its files.
 func (s *CreditSystem) Kill(i, stop int) {
 	x := s.poolers[i]
 	for _, st := range x.manager.Statuses() {
@@ -416,7 +416,7 @@
 	}
 }
 
-// Advance has a step go by.
+// Advance advances time by a step.
 func (s *CreditSystem) Advance() {
 	s.now++
 	for i := range s.voters {
@@ -433,7 +433,7 @@
 	}
 }
 
-// Settle has time go by with nothing going wrong, and all requests end.
+// Settle advances time without faults until all requests have ended.
 func (s *CreditSystem) Settle(steps int) error {
 	for range steps {
 		s.Advance()
@@ -458,7 +458,7 @@
 	return nil
 }
 
-// DrainAll has all poolers end their work in order.
+// DrainAll shuts all poolers down gracefully.
 func (s *CreditSystem) DrainAll() {
 	for i, x := range s.poolers {
 		if !x.ended {
@@ -467,10 +467,10 @@
 	}
 }
 
-// Ledger are the leader's.
+// Ledger returns the leader's ledger.
 func (s *CreditSystem) Ledger() *ledger.Ledger { return s.voters[s.leader].lessor.Ledger() }
 
-// Check implements System: what was served costs no more than was paid, and the books are whole.
+// Check implements System: served requests cost no more than was paid, and the ledger's invariants hold.
 func (s *CreditSystem) Check() error {
 	inFlight := int64(0)
 	for _, x := range s.poolers {
@@ -494,7 +494,7 @@
 	return nil
 }
 
-// PoolerEnded tells whether a process crashed.
+// PoolerEnded reports whether a process has ended.
 func (s *CreditSystem) PoolerEnded(id ledger.Holder) bool {
 	return slices.ContainsFunc(s.poolers, func(x *creditPooler) bool { return x.id == id && x.ended })
 }
--- a/internal/testkit/modelcheck/durable.go
+++ b/internal/testkit/modelcheck/durable.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// DurableMutants are ways in which the durable store's protocol could be wrong, each a step that is left out or comes too early.
+// DurableMutants are errors in the durable store's protocol: each is a step that is left out or comes too early.
 type DurableMutants struct {
 	AckUnsynced      bool // a commit is told of before its sync
 	HeadUnsynced     bool // a segment is written to before its head and its name are durable
@@ -17,13 +17,13 @@
 	SnapLate         bool // a snapshot says that it holds more than the segments it replaces
 }
 
-// DurableBounds say how small the store is.
+// DurableBounds bound the size of the store.
 type DurableBounds struct {
 	Records, Segments, Compactions, Crashes int
 	Mutants                                 DurableMutants
 }
 
-// durable is the protocol by which a store commits, goes on to another segment, compacts beside that, and recovers, on a disk that
+// durable is the protocol by which a store commits, changes segments, compacts concurrently and recovers, on a disk that
 // may lose, of what was not synced, any bytes from the end of each file and any names. Records are numbers from 1, in the files as
 // letters; a file is its letters: H its head, S its seal, E a snapshot's end, ? what is there and cannot be read.
 type durable struct {
@@ -52,7 +52,7 @@
 	synced int
 }
 
-// NewDurable is a store that has just been made.
+// NewDurable returns a new store.
 func NewDurable(b DurableBounds) System {
 	s := &durable{
 		bounds:       b,
@@ -140,7 +140,7 @@
 	s.names[name] = id
 }
 
-// Moves implements System: a step of the writer, one of the compaction, or the end of the process or of the power.
+// Moves implements System: a step of the writer or of the compaction, a crash of the process, or a loss of power.
 func (s *durable) Moves() (out []Move) {
 	step := func(name string, do func(c *durable)) {
 		out = append(out, Move{name, func() (System, error) {
@@ -255,7 +255,7 @@
 	return out
 }
 
-// outcomes are what the disk may have after a loss of power.
+// outcomes returns the possible contents of the disk after a loss of power.
 func (s *durable) outcomes() []*durable {
 	all := []*durable{s.clone()}
 	each := func(more func(x *durable) []*durable) {
@@ -319,7 +319,7 @@
 	return all
 }
 
-// recover is what a start makes of what it finds, and holds that to what was told.
+// recover recovers the store from the disk, and checks that all acknowledged records are there.
 func (s *durable) recover() {
 	s.crashes++
 	s.writerStep, s.compactionStep, s.removes, s.replaced = "", "", "", ""
@@ -419,7 +419,7 @@
 	s.drop()
 }
 
-// drop forgets files that no name leads to any more.
+// drop removes files without a name.
 func (s *durable) drop() {
 	used := map[string]bool{}
 	for _, m := range []map[string]string{s.names, s.durableNames} {
--- a/internal/testkit/modelcheck/evidence.go
+++ b/internal/testkit/modelcheck/evidence.go
@@ -6,7 +6,7 @@
 	"beechgrade/internal/cluster/outlier"
 )
 
-// Evidence is what one process hears of servers' state from others, in whatever order, each word once and as many of them twice as Twice says.
+// Evidence are the messages on servers' state that a process receives, in any order, of which Duplicates come twice.
 type Evidence struct {
 	Set        outlier.Settings
 	Members    outlier.MembersChanged
@@ -19,10 +19,10 @@
 	want     string // what is made of all of them, heard in their order
 }
 
-// evidenceAt is when all that happens.
+// evidenceAt is the time of all events.
 const evidenceAt = 1e6
 
-// Start is the state before anything was heard.
+// Start returns the state before any message.
 func (e *Evidence) Start() *Evidence {
 	var all []int
 	for i := range e.Messages {
@@ -43,7 +43,7 @@
 	return &x
 }
 
-// outcome is what it makes of what it heard: as a collector, and as one that heeds collectors.
+// outcome describes the process's assessments as a collector, and its ejections.
 func (e *Evidence) outcome() string {
 	return fmt.Sprintf("%+v %+v", e.detector.Assessments(), e.detector.Ejections())
 }
@@ -72,7 +72,7 @@
 	return out
 }
 
-// Check implements System: once all was heard, the same is made of it; and nothing is avoided by the word of one alone.
+// Check implements System: the outcome does not depend on the order of messages, and no server is ejected by a single observer's report.
 func (e *Evidence) Check() error {
 	n, _ := e.times()
 	all := true
--- a/internal/testkit/modelcheck/healthchecks.go
+++ b/internal/testkit/modelcheck/healthchecks.go
@@ -11,9 +11,9 @@
 	"beechgrade/internal/invariant"
 )
 
-// HealthCheckers are so many poolers that share probes of one server, with the messages between them. Time goes on in steps, at each of which every
-// process that runs has its tick. A probe ends at any step up to Probe. Processes want one, crash, start again with nothing, and are taken for
-// gone a while after; messages are lost, come twice or late, wherever that can be; some do not reach the server.
+// HealthCheckers are poolers that share health checks of one server, with the messages between them. Time advances in steps, with a tick of
+// each running process. A health check ends at any step up to Probe. Processes request one, crash, restart without state, and are
+// removed from the members later; messages are lost, duplicated or delayed; some processes do not reach the server.
 type HealthCheckers struct {
 	ProbeFaults
 	Set            overload.ProbeSettings
@@ -27,7 +27,7 @@
 	faultHappened bool          // something went wrong by now
 }
 
-// ProbeFaults are what may still happen.
+// ProbeFaults are the numbers of faults and events that may still happen.
 type ProbeFaults struct{ Want, Lose, Duplicate, Delay, Crash, Restart, Drop int }
 
 type healthChecker struct {
@@ -48,17 +48,17 @@
 	text     string
 }
 
-// Target is the server that they probe.
+// Target is the server.
 const Target = "s"
 
-// SmallProbes are settings in steps.
+// SmallProbes returns settings with steps in place of ms.
 func SmallProbes() overload.ProbeSettings {
 	return overload.ProbeSettings{Probers: 2, MinInterval: 2, MaxResultAge: 1, Patience: 3, SkipTime: 6, ProbeTimeout: 3, TickInterval: 1}
 }
 
 const unreachableKind = 4 // a finding of a process that did not reach the server; its Role is who found it, its Position when that probe began
 
-// NewHealthCheckers makes a system of so many.
+// NewHealthCheckers returns a system of n poolers.
 func NewHealthCheckers(n int, set overload.ProbeSettings) *HealthCheckers {
 	s := &HealthCheckers{Set: set, now: 100, Unreachable: map[int]bool{}}
 	for range n {
@@ -67,7 +67,7 @@
 	return s
 }
 
-// Start begins all processes.
+// Start starts all processes.
 func (s *HealthCheckers) Start() {
 	for i := range s.nodes {
 		s.begin(i)
@@ -77,7 +77,7 @@
 	}
 }
 
-// Probing are the processes that probe the server.
+// Probing returns the processes whose health check is in progress.
 func (s *HealthCheckers) Probing() (out []int) {
 	for _, id := range s.nodes[0].sharing.ProbersOf(Target) {
 		out = append(out, int(id-1)%100)
@@ -98,7 +98,7 @@
 	*x = healthChecker{incarnation: x.incarnation, sharing: overload.NewProbes(set, s.id(i), s.now), last: -1e6}
 }
 
-// alive are those that run, as their view has them in the end.
+// alive returns the running processes.
 func (s *HealthCheckers) alive() (out []overload.Peer) {
 	for k, x := range s.nodes {
 		if !x.dead {
@@ -149,7 +149,7 @@
 	return 0
 }
 
-// normalized is a message as seen from now.
+// normalized describes a message relative to the present.
 func (s *HealthCheckers) normalized(w nodeMessage) string {
 	switch m := w.m.(type) {
 	case *overload.ProbeRequest:
@@ -160,7 +160,7 @@
 	return ""
 }
 
-// perform carries out what a process asks for, and holds that to the rules.
+// perform performs a process's actions and checks them.
 func (s *HealthCheckers) perform(i int, acts []overload.ProbeAction) error {
 	x := s.nodes[i]
 	for _, a := range acts {
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// checkResult holds what the module is told to what is true.
+// checkResult checks a reported result against the true state.
 func (s *HealthCheckers) checkResult(i int, a *overload.ProbeAction) error {
 	x := s.nodes[i]
 	switch from := int(a.Role); {
@@ -216,12 +216,12 @@
 	sortMessages(s.messages)
 }
 
-// sortMessages has words in an order that does not depend on who sent first.
+// sortMessages sorts messages into an order that does not depend on that of their sending.
 func sortMessages(words []nodeMessage) {
 	slices.SortStableFunc(words, func(x, y nodeMessage) int { return cmp.Or(cmp.Compare(x.to, y.to), cmp.Compare(x.text, y.text)) })
 }
 
-// deliver has a message arrive.
+// deliver delivers a message.
 func (s *HealthCheckers) deliver(w nodeMessage) error {
 	x := s.nodes[w.to]
 	if x.dead {
@@ -240,7 +240,7 @@
 	return s.perform(w.to, x.sharing.Receive(s.now, s.id(w.from), m, nil))
 }
 
-// end has a process's probe end.
+// end ends a process's health check.
 func (s *HealthCheckers) end(i int) error {
 	x := s.nodes[i]
 	f := overload.Finding{Role: uint8(i), Position: x.startedAt}
@@ -259,7 +259,7 @@
 	return s.perform(i, x.sharing.RequestProbe(s.now, Target, nil))
 }
 
-// Moves implements System. Within a step messages arrive first, in any order; then probes end, processes want one, crash or begin; then time goes on.
+// Moves implements System. Within a step messages arrive first, in any order; then come health checks, requests, crashes and starts; then time advances.
 func (s *HealthCheckers) Moves() (out []Move) {
 	move := func(name string, wrong bool, do func(c *HealthCheckers) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -324,7 +324,7 @@
 	return out
 }
 
-// advance has a step go by.
+// advance advances time by a step.
 func (s *HealthCheckers) advance() error {
 	s.now++
 	for i := range s.messages {
@@ -346,7 +346,7 @@
 	return nil
 }
 
-// Check implements System: each want has an end within Latest.
+// Check implements System: each requested health check ends within Latest.
 func (s *HealthCheckers) Check() error {
 	for i, x := range s.nodes {
 		if !x.dead && x.wantedSince > 0 && s.now > x.wantedSince+s.Set.LatencyBound() {
--- a/internal/testkit/modelcheck/levels.go
+++ b/internal/testkit/modelcheck/levels.go
@@ -10,8 +10,8 @@
 	"beechgrade/internal/invariant"
 )
 
-// ShedLevels are so many poolers that agree on what one group turns away, all of them collectors, with the messages between them and the same load at
-// each. A step is a Period; within it messages arrive in any order, and some are lost, come twice, or steps later.
+// ShedLevels are poolers that agree on the shedding level of a group, all of them collectors, with the messages between them and the same
+// load at each. A step is a report interval; within it messages arrive in any order, and some are lost, duplicated or delayed.
 type ShedLevels struct {
 	LevelFaults
 	CompareAt int                                // at this step levels are held to one another, as they are once it is quiet
@@ -25,7 +25,7 @@
 	outcomeByHistory map[string]string // what followed from which words, in all states
 }
 
-// LevelFaults are what may still happen.
+// LevelFaults are the numbers of faults and events that may still happen.
 type LevelFaults struct{ Lose, Duplicate, Delay int }
 
 type levelNode struct {
@@ -36,7 +36,7 @@
 	reports    uint32          // tells
 }
 
-// NewShedLevels makes a system of so many, long after its start and with more load than its servers can do.
+// NewShedLevels returns a system of n poolers, long after its start and overloaded.
 func NewShedLevels(n int) *ShedLevels {
 	s := &ShedLevels{now: 1e6, settings: overload.Defaults(), outcomeByHistory: map[string]string{}}
 	s.settings.Collectors = n
@@ -65,7 +65,7 @@
 	return s
 }
 
-// deliverAll has all arrive, in the order of their text.
+// deliverAll delivers all messages in the order of their sending.
 func (s *ShedLevels) deliverAll() {
 	for len(s.messages) > 0 {
 		w := s.messages[0]
@@ -74,7 +74,7 @@
 	}
 }
 
-// AppliedLevels are the levels that they go by.
+// AppliedLevels returns the levels that the poolers apply.
 func (s *ShedLevels) AppliedLevels() (out []float64) {
 	for _, x := range s.nodes {
 		for _, g := range x.controller.Statuses() {
@@ -152,7 +152,7 @@
 	}
 }
 
-// Moves implements System. A doubled word's copy comes a step later, a late one two.
+// Moves implements System. The copy of a duplicated message comes a step later, a delayed message two.
 func (s *ShedLevels) Moves() (out []Move) {
 	move := func(name string, do func(c *ShedLevels) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -183,7 +183,7 @@
 	return out
 }
 
-// advance has a step go by: each process is asked for the same, of which its servers do three fifths, and has its tick.
+// advance advances time by a step: each process has the same load, of which its servers can do three fifths, and a tick.
 func (s *ShedLevels) advance() error {
 	for i, x := range s.nodes { // the same words have come to it, in whatever order and however often: the same must follow
 		x.history += fmt.Sprint(x.fresh, ";")
@@ -222,10 +222,10 @@
 	return nil
 }
 
-// maxSpread are levels that two may hold at the same time: collectors judge at moments of their own.
+// maxSpread is the allowed difference of two poolers' levels: collectors decide at different times.
 const maxSpread = 0.05
 
-// Check implements System: levels are within the cells.
+// Check implements System: the levels of two poolers differ by at most maxSpread.
 func (s *ShedLevels) Check() error {
 	for i, x := range s.nodes {
 		for _, g := range x.controller.Statuses() {
@@ -237,7 +237,7 @@
 	return nil
 }
 
-// spread has time go by with nothing going wrong, and tells how far levels are apart then.
+// spread advances time without faults and returns the difference of the levels then.
 func (s *ShedLevels) spread() float64 {
 	c := s.clone()
 	c.CompareAt, c.outcomeByHistory = -1, map[string]string{}
--- a/internal/testkit/modelcheck/modelcheck.go
+++ b/internal/testkit/modelcheck/modelcheck.go
@@ -1,36 +1,36 @@
-// Package modelcheck goes through all that can happen to a small system of pure decision modules, breadth first: every order of the
-// moves that there are, with states that were seen before gone through once. It holds each state, and each step, to what must be so.
+// Package modelcheck explores the states of a small system of pure decision modules, breadth first: every order of the possible
+// moves, with each distinct state visited once. It checks the invariants of each state and step.
 package modelcheck
 
 import "github.com/cespare/xxhash/v2"
 
-// System is a state. A move makes another one and leaves this as it is.
+// System is a state. A move returns another state and does not change this one.
 type System interface {
-	Key() string   // the same for states from which the same follows
-	Moves() []Move // in an order that is the same in every run
-	Check() error  // what is wrong with it, nil for nothing
+	Key() string   // equal for equivalent states
+	Moves() []Move // in a deterministic order
+	Check() error  // nil if the state is correct
 }
 
-// Move is a step to another state.
+// Move is a transition to another state.
 type Move struct {
 	Name string
-	Do   func() (System, error) // the error says what is wrong with the step itself
+	Do   func() (System, error) // the error is that of the transition
 }
 
-// Bounds say how far a search goes.
+// Bounds limit a search.
 type Bounds struct {
-	Depth  int // steps from the start
+	Depth  int // moves from the start
 	States int
 }
 
-// Result is what was found.
+// Result is the result of a search.
 type Result struct {
 	States   int
 	Steps    int
-	Depth    int  // the longest way that was gone
-	Complete bool // every state within Depth was seen; else States was too few
+	Depth    int  // of the deepest state visited
+	Complete bool // all states within Bounds.Depth were visited; otherwise Bounds.States was reached
 	Err      error
-	Trace    []string // the moves that lead to Err
+	Trace    []string // moves from the start to Err
 }
 
 type node struct {
@@ -40,7 +40,7 @@
 	move   string
 }
 
-// Run searches from a start.
+// Run searches from a start state until the bounds or the first error.
 func Run(start System, b Bounds) *Result {
 	r := &Result{Complete: true}
 	nodes := []node{{system: start, parent: -1}}
@@ -78,7 +78,7 @@
 				nodes = append(nodes, node{next, n.depth + 1, i, m.Name})
 			}
 		}
-		nodes[i].system = nil // its successors have all that is needed
+		nodes[i].system = nil // no longer needed
 	}
 	r.States = len(nodes)
 	return r
--- a/internal/testkit/modelcheck/quotas.go
+++ b/internal/testkit/modelcheck/quotas.go
@@ -12,10 +12,10 @@
 	"beechgrade/internal/invariant"
 )
 
-// QuotaSystem are so many poolers that share a limit which is never to be gone over, with the messages between them. Each has a clock of its
-// own, as fast or slow as drift has it. Time goes on in steps, at each of which every process that runs has its tick; within a step
-// messages to one process arrive in any order. Some are lost, come twice, or are overtaken by all that comes in the next steps. Processes
-// crash, start again with nothing, stand still, and think that only some of the others are there, wherever that can be.
+// QuotaSystem are poolers that share a limit that must never be exceeded, with the messages between them. Each has its own clock, as fast
+// or slow as the drift allows. Time advances in steps, with a tick of each running process; within a step
+// messages to one process arrive in any order. Some are lost, duplicated or delayed by some steps. Processes
+// crash, restart without state, are paused, and are partitioned.
 type QuotaSystem struct {
 	QuotaFaults
 	LateSteps   int // how late a message is that is late
@@ -41,7 +41,7 @@
 	lingering   []lingeringUses
 }
 
-// QuotaFaults are what may still happen.
+// QuotaFaults are the numbers of faults and events that may still happen.
 type QuotaFaults struct {
 	Lose, Duplicate, Delay, Crash, Restart, Bounce, Pause, Split, Heal, ChangeDemand, Cut int
 }
@@ -56,7 +56,7 @@
 	used        int
 }
 
-// lingeringUses is what a process that has gone has let in, and goes on.
+// lingeringUses are uses admitted by a process that has ended, which continue.
 type lingeringUses struct {
 	count int
 	until float64
@@ -69,10 +69,10 @@
 	text     string
 }
 
-// QuotaName is the limit that they share.
+// QuotaName is the name of the limit.
 const QuotaName = "shared"
 
-// NewQuotaSystem makes a system of so many, with a number at once, whose clocks run apart as far as drift allows.
+// NewQuotaSystem returns a system of n poolers with a concurrency limit and the largest clock drift.
 func NewQuotaSystem(n, limit int, reserve float64, set quota.Settings) *QuotaSystem {
 	set.ExpectedPoolers = n
 	set.Limits = []quota.Limit{{Name: QuotaName, Kind: quota.Rate, Amount: float64(limit), Burst: float64(limit), Reserve: reserve}}
@@ -83,7 +83,7 @@
 	return s
 }
 
-// Start begins all processes; settings of the system are taken as they are by then.
+// Start starts all processes with the present settings.
 func (s *QuotaSystem) Start() {
 	if s.ConcurrencyLimit {
 		s.Set.Limits[0].Kind = quota.Concurrency
@@ -127,7 +127,7 @@
 
 func (s *QuotaSystem) clock(i int) float64 { return s.now * s.nodes[i].clockRate }
 
-// members are those that a process thinks are there: all that live, or those on its side.
+// members returns the members in a process's view: all running ones, or those on its side of a partition.
 func (s *QuotaSystem) members(i int) quota.MembersChanged {
 	e := quota.MembersChanged{SendingPoolers: len(s.nodes)}
 	for k, x := range s.nodes {
@@ -181,7 +181,7 @@
 	return b.String()
 }
 
-// handle tells one process of an event, and puts on the wires what follows.
+// handle passes an event to a process and enqueues the messages that it sends.
 func (s *QuotaSystem) handle(i int, e quota.Event) error {
 	x, c := s.nodes[i], invariant.New(nil)
 	x.quota.CheckInvariants(c, 1)
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// enqueue has a message on its way, unless a partition is between the two. What is on its way when one begins still arrives.
+// enqueue sends a message unless a partition separates the two. Messages sent before a partition still arrive.
 func (s *QuotaSystem) enqueue(w quotaMessage) {
 	if s.partitioned && (w.to == s.Isolated) != (w.from == s.Isolated) {
 		return
@@ -313,7 +313,7 @@
 	}
 }
 
-// use has a process let one in, or one end.
+// use makes a process admit a use, or end one.
 func (s *QuotaSystem) use(i, n int) {
 	x := s.nodes[i]
 	if n > 0 && x.used >= int(x.quota.Usable(QuotaName, s.clock(i))+1e-9) || x.used+n < 0 || x.dead || x.pausedSteps > 0 {
@@ -327,7 +327,7 @@
 	return quota.Demand{Limit: QuotaName, Wanted: s.nodes[i].want, Used: float64(s.nodes[i].used)}
 }
 
-// expireLingering ends what goes on for longer than it may after its lease or its process has ended.
+// expireLingering ends uses that last as long as allowed after their lease or process has ended.
 func (s *QuotaSystem) expireLingering() {
 	s.lingering = slices.DeleteFunc(s.lingering, func(g lingeringUses) bool { return s.now >= g.until })
 	for i, x := range s.nodes {
@@ -347,7 +347,7 @@
 	return s.updateMembers()
 }
 
-// changeDemand has one process want the whole limit, and the others nothing.
+// changeDemand makes one process demand the whole limit, and the others nothing.
 func (s *QuotaSystem) changeDemand(i int) error {
 	s.ChangeDemand--
 	for k, x := range s.nodes {
@@ -361,7 +361,7 @@
 	return nil
 }
 
-// updateMembers has all see who is there.
+// updateMembers passes the members to all processes.
 func (s *QuotaSystem) updateMembers() error {
 	for i, x := range s.nodes {
 		if !x.dead && x.pausedSteps == 0 {
@@ -371,7 +371,7 @@
 	return nil
 }
 
-// advance has a step go by.
+// advance advances time by a step.
 func (s *QuotaSystem) advance() error {
 	s.now++
 	for i := range s.messages {
@@ -395,7 +395,7 @@
 	return nil
 }
 
-// Settle has time go by with nothing going wrong.
+// Settle advances time without faults.
 func (s *QuotaSystem) Settle(steps int) error {
 	for range steps {
 		_ = s.advance()
@@ -411,7 +411,7 @@
 	return nil
 }
 
-// Allowances is what each may use now.
+// Allowances returns what each process may use.
 func (s *QuotaSystem) Allowances() (each []float64) {
 	for i, x := range s.nodes {
 		n := 0.0
@@ -423,7 +423,7 @@
 	return each
 }
 
-// Check implements System: all together may never use more than the limit.
+// Check implements System: all processes together never use more than the limit.
 func (s *QuotaSystem) Check() error {
 	if s.ConcurrencyLimit {
 		sum := 0
--- a/internal/testkit/modelcheck/raft.go
+++ b/internal/testkit/modelcheck/raft.go
@@ -17,10 +17,10 @@
 	"beechgrade/internal/invariant"
 )
 
-// RaftVoters are so many voters of a log in common, the messages between them and the writes that wait for their disks. Messages arrive
-// in any order; of them some are lost or come twice. A voter may stand for election, be proposed to, and crash: of the writes that wait
-// the first so many are on its disk then, and it starts again from that. It knows of voters what is on their disks and what they
-// send and apply, nothing of how they come to it.
+// RaftVoters are the voters of a shared log, the messages between them and the pending writes to their disks. Messages arrive
+// in any order; some are lost or duplicated. A voter may campaign, get proposals, and crash: some of the oldest pending writes
+// are on its disk then, and it restarts from that. The checks see what is on the voters' disks and what they
+// send and apply, not their state.
 type RaftVoters struct {
 	Lose, Duplicate, Campaign, Heartbeat, Propose, Crash, Wipe int // that may still happen
 
@@ -68,7 +68,7 @@
 	stream   uint64 // its number, where its end is to be told
 }
 
-// observedLog is what has become known to be so.
+// observedLog is what was observed of the log in any state before.
 type observedLog struct {
 	entries []string          // by index, that were applied
 	leaders map[uint64]string // by term
@@ -76,7 +76,7 @@
 	sums    map[uint64]uint64 // by entries taken
 }
 
-// RaftSettings are of a small log.
+// RaftSettings returns the settings of a small log with n voters.
 func RaftSettings(n int) raftlog.Settings {
 	s := raftlog.Defaults()
 	s.TickInterval, s.ElectionTicks, s.HeartbeatTicks, s.SnapshotEntries, s.KeepEntries = 1, 3, 1, 4, 1
@@ -86,7 +86,7 @@
 	return s
 }
 
-// NewRaftVoters makes a group that begins, or voters with empty disks.
+// NewRaftVoters returns the voters of a new group, or voters with empty disks.
 func NewRaftVoters(set raftlog.Settings, founded bool) *RaftVoters {
 	s := &RaftVoters{settings: set, observed: observedLog{
 		leaders: map[uint64]string{},
@@ -119,7 +119,7 @@
 	return &raftlog.Replica{Log: raftlog.New(set, 0), Machine: x.tally}
 }
 
-// start has a voter begin with what its disk has.
+// start starts a voter from its disk.
 func (s *RaftVoters) start(i int) error {
 	x := s.voters[i]
 	x.incarnation++
@@ -154,7 +154,7 @@
 	return &c
 }
 
-// Key implements System: the same was told to each voter, in its order, and the same is on the way.
+// Key implements System: states are equal if each voter had the same events in the same order and the same messages are in progress.
 func (s *RaftVoters) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.Lose, s.Duplicate, s.Campaign, s.Heartbeat, s.Propose, s.Crash, s.Wipe, s.number)
@@ -172,7 +172,7 @@
 	return b.String()
 }
 
-// handle tells a voter of an event and takes what it asks for.
+// handle passes an event to a voter and performs its actions.
 func (s *RaftVoters) handle(i int, e raftlog.Event) error {
 	x := s.voters[i]
 	if x.replica == nil {
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// raftOf is what a message has of raft's own; nil for none.
+// raftOf returns the raft message that a message contains, nil for none.
 func raftOf(b []byte) *pb.Message {
 	raft := false
 	for len(b) > 0 {
@@ -276,7 +276,7 @@
 	return nil
 }
 
-// checkVote holds what a voter sends against its disk: a vote is there before it is told, and it is the only one of its term.
+// checkVote checks a message that a voter sends against its disk: a vote is durable before it is sent, and the only one of its term.
 func (s *RaftVoters) checkVote(x *voter, b []byte) error {
 	m := raftOf(b)
 	if m == nil || m.GetReject() || m.GetType() != pb.MsgVoteResp {
@@ -297,7 +297,7 @@
 	return nil
 }
 
-// checkApplied holds what a voter applies against what others did, and, the first time, against the disks: more than half have it, or had it on a disk that was lost since.
+// checkApplied checks that a voter applies the same entry as others, and that more than half had it on their disks, possibly lost since.
 func (s *RaftVoters) checkApplied(x *voter, a *raftlog.Action) error {
 	text := fmt.Sprint(a.Term, " ", string(a.Entry))
 	for uint64(len(s.observed.entries)) <= a.Index {
@@ -322,7 +322,7 @@
 	return nil
 }
 
-// Check implements System: what is wrong was found in the step.
+// Check implements System: errors are found by the moves.
 func (s *RaftVoters) Check() error {
 	for _, x := range s.voters {
 		if x.failure != "" {
@@ -335,7 +335,7 @@
 	return nil
 }
 
-// finishWrite puts a voter's oldest write on its disk, and tells it where it is to know.
+// finishWrite completes a voter's oldest write, and acknowledges it if tell is set.
 func (s *RaftVoters) finishWrite(i int, tell bool) error {
 	x := s.voters[i]
 	a := x.pending[0]
@@ -360,7 +360,7 @@
 	return s.handle(i, raftlog.StoreCompleted{Ref: a.Ref})
 }
 
-// crash has a voter end and start again; of its writes the first so many are on the disk.
+// crash restarts a voter; its first pending writes are on the disk.
 func (s *RaftVoters) crash(i, writes int) error {
 	for range writes {
 		if err := s.finishWrite(i, false); err != nil {
@@ -370,7 +370,7 @@
 	return s.start(i)
 }
 
-// wipe has a voter start with an empty disk.
+// wipe restarts a voter with an empty disk.
 func (s *RaftVoters) wipe(i int) error {
 	x := s.voters[i]
 	old := x.disk
@@ -390,7 +390,7 @@
 	return raftlog.BootstrapRecords(all[0], all)[2].Value
 }
 
-// stand lets time pass at a voter until it stands for election; at a leader, until it has told that it lives.
+// stand advances a voter's time until it campaigns; a leader's until it has sent a heartbeat.
 func (s *RaftVoters) stand(i int) error {
 	x := s.voters[i]
 	for range 2*s.settings.ElectionTicks + 1 {
@@ -414,7 +414,7 @@
 	return s.handle(w.from, raftlog.StreamCompleted{Ref: w.stream, OK: true})
 }
 
-// lose has a message not come.
+// lose drops a message.
 func (s *RaftVoters) lose(k int) error {
 	w := s.messages[k]
 	s.messages = slices.Delete(s.messages, k, k+1)
@@ -429,12 +429,12 @@
 	return s.again(i, s.number)
 }
 
-// again proposes a number that may have been proposed before.
+// again proposes a number again.
 func (s *RaftVoters) again(i int, number uint64) error {
 	return s.handle(i, raftlog.Propose{Ref: number, Entry: counter.EncodeEntry("x", number, 0)})
 }
 
-// Moves are System's.
+// Moves implements System.
 func (s *RaftVoters) Moves() (moves []Move) {
 	add := func(name string, do func(c *RaftVoters) error) {
 		moves = append(moves, Move{name, func() (System, error) {
--- a/internal/testkit/modelcheck/raft_moves.go
+++ b/internal/testkit/modelcheck/raft_moves.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/cluster/raftlog"
 )
 
-// lost counts voters with a disk that was lost, and which are not of the group again; all, while a place goes over.
+// lost counts voters that lost their disk and have not rejoined; all voters during a replacement.
 func (s *RaftVoters) lost() (n int) {
 	for _, x := range s.voters {
 		st := x.replica.Status()
@@ -21,8 +21,8 @@
 	return n
 }
 
-// Wander goes one of all ways, as drawn: messages in any order, lost and twice, writes that wait, crashes, at most so many lost disks at
-// a time that more than half are whole.
+// Wander makes random moves: messages in any order, lost and duplicated, pending writes, crashes, and lost disks of less than half
+// of the voters at a time.
 func (s *RaftVoters) Wander(pick func(n int) int, steps int) error {
 	s.KeepsReplicas = true
 	for range steps {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Settle has all messages arrive and all writes be done, while time goes on for so many ticks.
+// Settle delivers all messages and completes all writes, while time advances for some ticks.
 func (s *RaftVoters) Settle(ticks int) error {
 	for range ticks {
 		for n := 0; ; n++ {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// Taken is how many numbers each voter has taken, and how many were applied by anybody; part is of those that take part.
+// Taken returns how many numbers each participating voter has taken, and how many were applied by any.
 func (s *RaftVoters) Taken() (least, most uint64, part int) {
 	least = s.number
 	for _, x := range s.voters {
--- a/internal/testkit/modelcheck/views.go
+++ b/internal/testkit/modelcheck/views.go
@@ -9,9 +9,9 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// ViewSystem are so many poolers whose views know one another, with the messages between them. Time goes on in steps, at each of which
-// every process that runs has its tick, and within which messages arrive. Of them some are lost, come twice, are overtaken by all that
-// comes in the next steps, or meet a process that has crashed or started again, wherever that can be.
+// ViewSystem are poolers whose views know one another, with the messages between them. Time advances in steps, with a tick of
+// each running process, within which messages arrive. Some are lost, duplicated, delayed by
+// some steps, or arrive at a process that has crashed or restarted.
 type ViewSystem struct {
 	Lose, Duplicate, Delay, Crash, Restart int // that may still happen
 
@@ -62,7 +62,7 @@
 
 func (s *ViewSystem) id(i, life int) view.ID { return view.NewID(float64(1000+life), uint64(i+1)) }
 
-// NewViewSystem makes a system of so many that know one another.
+// NewViewSystem returns a system of n poolers that know one another.
 func NewViewSystem(n int) *ViewSystem {
 	s := &ViewSystem{now: 10, incarnations: map[view.ID]uint32{}}
 	var all []view.Record
@@ -106,7 +106,7 @@
 	return b.String()
 }
 
-// handle tells one process of an event, and puts on the wires what follows.
+// handle passes an event to a process and enqueues the messages that it sends.
 func (s *ViewSystem) handle(i int, e view.Event) error {
 	x := s.nodes[i]
 	if s.Break != nil {
@@ -171,7 +171,7 @@
 	})
 }
 
-// deliver has a message arrive.
+// deliver delivers a message.
 func (s *ViewSystem) deliver(w viewMessage) error {
 	x := s.nodes[w.to]
 	if x.dead {
@@ -190,7 +190,7 @@
 	return err
 }
 
-// Moves implements System. Messages arrive in one order unless one is late: then others overtake it.
+// Moves implements System. Messages arrive in order, apart from delayed ones.
 func (s *ViewSystem) Moves() (out []Move) {
 	move := func(name string, do func(c *ViewSystem) error) {
 		out = append(out, Move{name, func() (System, error) {
@@ -235,10 +235,10 @@
 	return out
 }
 
-// lateSteps is how late a message is that is late.
+// lateSteps is the delay of a delayed message.
 const lateSteps = 3
 
-// advance has a step go by.
+// advance advances time by a step.
 func (s *ViewSystem) advance() error {
 	s.now++
 	for i := range s.messages {
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// settle has time go by with nothing going wrong.
+// settle advances time without faults.
 func (s *ViewSystem) settle(steps int) error {
 	for range steps {
 		if err := s.advance(); err != nil {
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// Check implements System: nobody knows a later word of a process than its own last one.
+// Check implements System: no view has a higher incarnation of a process than the process itself.
 func (s *ViewSystem) Check() error {
 	for i, x := range s.nodes {
 		for _, r := range x.view.Members() {
--- a/internal/testkit/modelcheck/zones.go
+++ b/internal/testkit/modelcheck/zones.go
@@ -16,11 +16,11 @@
 	"beechgrade/internal/cluster/zones/planner"
 )
 
-// ZoneVoters are voters that decide about zones together, each in a zone of its own, with the words between them and a log that they have in
-// common. The log is what a log may do at worst: what was proposed is agreed in any order, late, once or twice, and each voter applies it when it
-// likes. Any voter may take itself for the one who leads, several at once, and be the last to learn of another. A voter may stand still, and start
-// again: with what its disk had, applied before it knows of anybody or after. Time goes on in steps, at each of which those who run look about. It knows
-// what voters apply and follow, nothing of how they come to it.
+// ZoneVoters are voters that plan zones together, each in its own zone, with the messages between them and a shared log.
+// The log is a worst case: proposals are committed in any order, late, once or twice, and each voter applies them at any
+// time. Several voters may consider themselves the leader at once. A voter may be paused, and
+// restarted from its disk, which it applies before or after it learns of a leader. Time advances in steps with a tick of each running
+// voter. The checks see what voters apply and follow, not their state.
 type ZoneVoters struct {
 	Ticks, Pauses, Lead, Crash, Duplicate, Twice int // that may still happen
 
@@ -47,7 +47,7 @@
 	at       float64
 }
 
-// zoneObserved is what has become known to be so.
+// zoneObserved is what was observed in any state before.
 type zoneObserved struct {
 	plans   map[uint64]string
 	applied map[uint64]float64 // by number: when a voter that ran had it applied last
@@ -78,7 +78,7 @@
 	done   func()
 }
 
-// What a process is told of.
+// The kinds of a process's events.
 type zoneEvent struct {
 	now  float64
 	kind zoneEventKind
@@ -96,7 +96,7 @@
 	zoneKept
 )
 
-// ZoneSettings are of so many zones, with steps of time in place of ms.
+// ZoneSettings returns the settings of n zones, with steps in place of ms.
 func ZoneSettings(n int) zones.Settings {
 	s := zones.Defaults()
 	for i := range n {
@@ -115,7 +115,7 @@
 	return s
 }
 
-// NewZoneVoters makes voters that have just started, of whom nobody leads.
+// NewZoneVoters returns voters that have just started, without a leader.
 func NewZoneVoters(set zones.Settings) *ZoneVoters {
 	s := &ZoneVoters{Set: set, ZoneLostAt: 2, MaxDelay: 1, now: 1, truth: zoneObserved{map[uint64]string{}, map[uint64]float64{}}}
 	for range set.Zones {
@@ -124,7 +124,7 @@
 	return s
 }
 
-// zoneHost is a process's surroundings; what it says goes to its voter.
+// zoneHost is the environment of a voter's coordinator.
 type zoneHost struct {
 	system *ZoneVoters
 	index  int
@@ -148,7 +148,7 @@
 	h.process().proposals = append(h.process().proposals, string(entry))
 }
 
-// Sample implements zones.Pooler: a little is asked everywhere, and from a time on one zone has nothing that serves.
+// Sample implements zones.Pooler: there is a small load everywhere, and from ZoneLostAt on the last zone has no servers.
 func (h zoneHost) Sample(float64) (cells []planner.Cell, asks []planner.Demand) {
 	for z := range h.system.Set.Zones {
 		c := planner.Cell{Zone: z, Cores: 4, FullCores: 4, Attempts: 20}
@@ -168,7 +168,7 @@
 	h.process().pendingStores = append(h.process().pendingStores, pendingStore{no, done})
 }
 
-// newCoordinator makes a process, and has it hear again what it was told.
+// newCoordinator returns a process's coordinator after its events so far.
 func (s *ZoneVoters) newCoordinator(i int) *zones.Coordinator {
 	x := s.processes[i]
 	set := s.Set
@@ -203,7 +203,7 @@
 	return z
 }
 
-// apply has a process have an event.
+// apply applies an event to a coordinator.
 func (x *zoneProcess) apply(z *zones.Coordinator, s *ZoneVoters, e *zoneEvent) {
 	switch e.kind {
 	case zoneTick:
@@ -228,7 +228,7 @@
 	}
 }
 
-// handle tells a process of an event and takes what it says.
+// handle passes an event to a process and collects its messages.
 func (s *ZoneVoters) handle(i int, e zoneEvent) error {
 	s.record(i, e)
 	return s.checkProcess(i)
@@ -259,7 +259,7 @@
 	x.outgoing, x.proposals = nil, nil
 }
 
-// checkProcess holds what a voter has and follows to the rules.
+// checkProcess checks what a voter has applied and follows.
 func (s *ZoneVoters) checkProcess(i int) error {
 	x := s.processes[i]
 	stand, p := x.coordinator.Status()
@@ -312,7 +312,7 @@
 	return &c
 }
 
-// Key implements System: the same was told to each voter, in its order, and the same is on the way.
+// Key implements System: states are equal if each voter had the same events in the same order and the same messages are in progress.
 func (s *ZoneVoters) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.now, s.Ticks, s.Pauses, s.Lead, s.Crash, s.Duplicate, s.Twice, len(s.log))
@@ -328,10 +328,10 @@
 	return b.String()
 }
 
-// Check implements System: what is wrong was found in the step.
+// Check implements System: errors are found by the moves.
 func (s *ZoneVoters) Check() error { return nil }
 
-// advance has time go on a step. Who sleeps does not see it; words that are too late never come.
+// advance advances time by a step, except for a paused voter. Messages that are too late are lost.
 func (s *ZoneVoters) advance(sleeper int) error {
 	s.now++
 	s.messages = slices.DeleteFunc(s.messages, func(w zoneMessage) bool { return s.now-w.at > s.MaxDelay })
@@ -346,7 +346,7 @@
 	return nil
 }
 
-// apply has a voter have the next entry.
+// apply applies the next entry at a voter.
 func (s *ZoneVoters) apply(i int) error {
 	x := s.processes[i]
 	x.applied++
@@ -357,13 +357,13 @@
 	return s.checkProcess(i)
 }
 
-// setLeader has a voter learn who leads.
+// setLeader notifies a voter of the leader.
 func (s *ZoneVoters) setLeader(i, who int) error {
 	s.processes[i].leader = who
 	return s.handle(i, zoneEvent{kind: zoneLeaderChanged, text: s.Set.Voters[who], n: uint64(who)})
 }
 
-// numberStored has a number be in a voter's file.
+// numberStored completes the write of a plan number to a voter's file.
 func (s *ZoneVoters) numberStored(i int) error {
 	x := s.processes[i]
 	if x.coordinator == nil {
@@ -373,7 +373,7 @@
 	return s.handle(i, zoneEvent{kind: zoneKept})
 }
 
-// crash has a voter end and start again; so many entries of its log it applies at once, the others as they come to it.
+// crash restarts a voter, which applies some entries of its log at once and the others later.
 func (s *ZoneVoters) crash(i, entries int) {
 	x := s.processes[i]
 	s.processes[i] = &zoneProcess{
@@ -390,7 +390,7 @@
 	}
 }
 
-// commitProposal has what was proposed be in the log.
+// commitProposal appends a proposal to the log.
 func (s *ZoneVoters) commitProposal(k int, stays bool) {
 	s.log = append(s.log, s.proposals[k])
 	if !stays {
@@ -406,7 +406,7 @@
 	return s.handle(w.to, zoneEvent{kind: zoneReceived, text: w.text, n: uint64(w.from + 1)})
 }
 
-// Moves are System's.
+// Moves implements System.
 func (s *ZoneVoters) Moves() (moves []Move) {
 	add := func(name string, do func(c *ZoneVoters) error) {
 		moves = append(moves, Move{name, func() (System, error) {
@@ -475,7 +475,7 @@
 	return moves
 }
 
-// Wander goes one of all ways, as drawn, until none goes on or so many steps were gone.
+// Wander makes up to the given number of random moves and returns their names.
 func (s *ZoneVoters) Wander(pick func(n int) int, steps int) ([]string, error) {
 	var way []string
 	for x := s; len(way) < steps; {
--- a/internal/testkit/netfault/links.go
+++ b/internal/testkit/netfault/links.go
@@ -1,5 +1,5 @@
-// Package netfault says what befalls the ways between poolers: cut, lossy, slow, duplicating and reordering ones, each direction by
-// itself. It does no I/O; the emulator and the relays on loopback ask it what becomes of each message.
+// Package netfault injects faults into the links between poolers: cut, lossy, slow, duplicating and reordering ones, each direction by
+// itself. Net does no I/O: the simulator and the relays on loopback ask it for the delays of each message.
 package netfault
 
 import (
@@ -7,25 +7,25 @@
 	"slices"
 )
 
-// Fault is what befalls a way. Times are in ms.
+// Fault is a fault of a link. Rates are from 0 to 1.
 type Fault struct {
 	Cut           bool
-	LossRate      float64 // part of the messages
-	DuplicateRate float64 // part of the messages that come twice
-	ReorderRate   float64 // part of the messages that others overtake
-	DelayMs       float64 // each takes so much longer
+	LossRate      float64 // share of the messages that are lost
+	DuplicateRate float64 // share of the messages that are duplicated
+	ReorderRate   float64 // share of the messages that may be overtaken
+	DelayMs       float64 // added to the delay of each message
 }
 
-// Net is the ways between so many poolers.
+// Net is the links between poolers. It is not safe for concurrent use.
 type Net struct {
 	poolers int
-	links   [][]*Fault // those in force, by from*n+to
+	links   [][]*Fault // active faults, by from*poolers+to
 }
 
-// New makes ways with no faults.
+// New returns the links between n poolers, without faults.
 func New(n int) *Net { return &Net{poolers: n, links: make([][]*Fault, n*n)} }
 
-// SetFault has a fault strike the ways from some poolers to others, or ends it.
+// SetFault starts a fault of the links from some poolers to others, or ends it.
 func (net *Net) SetFault(from, to []int, f *Fault, on bool) {
 	for _, a := range from {
 		for _, b := range to {
@@ -42,18 +42,18 @@
 	}
 }
 
-// Cut tells whether nothing gets from one to the other.
+// Cut reports whether no message gets from one pooler to the other.
 func (net *Net) Cut(from, to int) bool {
 	return slices.ContainsFunc(net.links[from*net.poolers+to], func(f *Fault) bool { return f.Cut || f.LossRate >= 1 })
 }
 
-// reorderMs is how long a message may be held back for others to overtake it.
+// reorderMs is the longest time for which a message is held back so that others overtake it.
 const reorderMs = 80
 
-// MaxHoldMs is how much later the last copy of a message may come that is doubled and overtaken.
+// MaxHoldMs is the longest extra delay of a duplicated and reordered message's last copy.
 const MaxHoldMs = 2 * reorderMs
 
-// CopyDelays is after which delays beyond the usual a message's copies arrive; none where it is lost.
+// CopyDelays draws the extra delays in ms of a message's copies; none if it is lost.
 func (net *Net) CopyDelays(from, to int, rng *rand.Rand) []float64 {
 	copies, delayMs, holdMs := 1, 0.0, 0.0
 	for _, f := range net.links[from*net.poolers+to] {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// ExtraDelayMs is how much longer what is never lost takes.
+// ExtraDelayMs returns the extra delay of a stream, which loses nothing.
 func (net *Net) ExtraDelayMs(from, to int) (ms float64) {
 	for _, f := range net.links[from*net.poolers+to] {
 		ms += f.DelayMs
--- a/internal/testkit/netfault/relay.go
+++ b/internal/testkit/netfault/relay.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Relays carry what goes between poolers on loopback, datagrams and streams, each way by itself. Pooler i has an address of its own,
-// Real(i), and the others are told of Told(i), where its relay listens; who sends is known by the address that it sends from.
+// Relays forward the datagrams and streams between poolers on loopback, each direction by itself. Pooler i listens at
+// ListenAddress(i) and advertises AdvertisedAddress(i), that of its relay; a sender is identified by the address that it sends from.
 type Relays struct {
 	mu     sync.Mutex // of net, rng and counts
 	net    *Net
@@ -22,7 +22,7 @@
 	forwarded, lost uint64
 }
 
-// relay is before one pooler.
+// relay is the relay of one pooler.
 type relay struct {
 	relays *Relays
 	pooler int
@@ -32,15 +32,15 @@
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
-	streams map[net.Conn][2]int // and from whom to whom
+	streams map[net.Conn][2]int // sender and receiver of each
 }
 
 const (
 	maxStreams          = 256
-	maxDelayedDatagrams = 4096 // datagrams that are on their way at a time
+	maxDelayedDatagrams = 4096 // delayed datagrams at a time
 )
 
-// NewRelays opens relays for so many poolers. Their addresses are of the loop's own range, one for each pooler.
+// NewRelays opens relays for n poolers, each with its own loopback address.
 func NewRelays(n int, seed uint64) (*Relays, error) {
 	if n > 200 {
 		return nil, fmt.Errorf("relays: %d poolers; 200 may be", n)
@@ -86,7 +86,7 @@
 	return errors.New("relay: no port is free for both")
 }
 
-// freeAddress finds a port that is free for datagrams and streams.
+// freeAddress finds a port that is free for both datagrams and streams.
 func freeAddress(host string) (netip.AddrPort, error) {
 	for range 20 {
 		p, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)})
@@ -104,15 +104,15 @@
 	return netip.AddrPort{}, errors.New("relay: no port is free for both")
 }
 
-// ListenAddress is where a pooler is to listen.
+// ListenAddress returns the address at which a pooler must listen.
 func (relays *Relays) ListenAddress(i int) string { return relays.relays[i].target.String() }
 
-// AdvertisedAddress is what a pooler is to say of itself, and others of it.
+// AdvertisedAddress returns the address that a pooler must advertise to its peers.
 func (relays *Relays) AdvertisedAddress(i int) string {
 	return relays.relays[i].packet.LocalAddr().String()
 }
 
-// Update has something done to the ways; streams on those that are cut by it break.
+// Update changes the links' faults; streams on links that are cut break.
 func (relays *Relays) Update(do func(n *Net)) {
 	relays.mu.Lock()
 	do(relays.net)
@@ -134,17 +134,17 @@
 	return relays.net.Cut(from, to)
 }
 
-// Cut tells whether nothing gets from one to the other.
+// Cut reports whether no message gets from one pooler to the other.
 func (relays *Relays) Cut(from, to int) bool { return relays.cut(from, to) }
 
-// Counts are the datagrams that were carried, and those that were lost on purpose.
+// Counts returns the numbers of forwarded and of dropped datagrams.
 func (relays *Relays) Counts() (carried, lost uint64) {
 	relays.mu.Lock()
 	defer relays.mu.Unlock()
 	return relays.forwarded, relays.lost
 }
 
-// senderOf finds the pooler that sends from an address, -1 for none.
+// senderOf returns the pooler that sends from an address, -1 for none.
 func (relays *Relays) senderOf(a netip.Addr) int {
 	for i, r := range relays.relays {
 		if r.target.Addr() == a.Unmap() {
@@ -259,7 +259,7 @@
 	<-done
 }
 
-// Close ends all relays.
+// Close closes all relays and waits for them.
 func (relays *Relays) Close() error {
 	for _, r := range relays.relays {
 		_ = r.packet.Close()
--- a/internal/testkit/serviceratio/window.go
+++ b/internal/testkit/serviceratio/window.go
@@ -1,23 +1,23 @@
-// Package serviceratio reckons the service ratio over time: worth answered in time over worth asked for.
+// Package serviceratio computes the service ratio over time: the priority weight answered in time over that requested.
 package serviceratio
 
 import "math"
 
 const (
-	// Seconds is the length of the window whose worst place counts.
+	// Seconds is the length of the window.
 	Seconds = 10
-	// settleSeconds is how long after a request its worth may still change: deadlines and retries.
+	// settleSeconds is the time after a request within which its result may still change, by deadlines and retries.
 	settleSeconds = 60
 )
 
-// Window finds the worst stretch of ten seconds. Worth counts at the time at which it was first asked for. It holds a
-// minute, whatever the length.
+// Window finds the ten seconds with the lowest ratio. Weight counts at the time of the first attempt. It stores a
+// minute, whatever the length of the run.
 type Window struct {
-	requested, served [settleSeconds + Seconds]float64 // by second, as a ring
-	first             int64                            // the earliest second that is still held
+	requested, served [settleSeconds + Seconds]float64 // by second, in a ring buffer
+	first             int64                            // the earliest stored second
 	newest            int64
 	started           bool
-	sum               [2]float64 // of the last ten seconds settled
+	sum               [2]float64 // of the last ten settled seconds
 	settled           [Seconds][2]float64
 	settledSeconds    int64
 	worst             float64
@@ -25,7 +25,7 @@
 	late              uint64
 }
 
-// Add books worth of a request first asked for at the given Unix millisecond. What comes over a minute late is
+// Add adds the weight of a request whose first attempt was at the given Unix ms. What comes over a minute late is
 // counted in Late and left out.
 func (w *Window) Add(atMs, requested, served float64) {
 	second := int64(math.Floor(atMs / 1000))
@@ -37,7 +37,7 @@
 			w.late++
 			return
 		}
-		w.first = second // nothing before is settled yet: clocks differ a little
+		w.first = second // nothing is settled yet: clocks differ a little
 	}
 	for second-w.first >= int64(len(w.requested)) {
 		w.settle()
@@ -47,7 +47,7 @@
 	w.served[second%int64(len(w.served))] += served
 }
 
-// settle takes the earliest second out.
+// settle removes the earliest second from the ring buffer and updates the window.
 func (w *Window) settle() {
 	i := w.first % int64(len(w.requested))
 	now := [2]float64{w.requested[i], w.served[i]}
@@ -65,8 +65,8 @@
 	w.first++
 }
 
-// Worst is the lowest ratio of ten seconds on end, and the Unix millisecond at which they begin. Of less than ten
-// seconds, it is the ratio of all. It is 1 where nothing was asked for.
+// Worst returns the lowest ratio of ten consecutive seconds and the Unix ms of their start. For less than ten
+// seconds it is the ratio of all. It is 1 if nothing was requested.
 func (w *Window) Worst() (ratio, atMs float64) {
 	c := *w
 	if !c.started {
@@ -85,5 +85,5 @@
 	return c.worst, float64(c.worstAt) * 1000
 }
 
-// Late is how often worth came too late to count in a window.
+// Late returns the number of additions that came too late to count.
 func (w *Window) Late() uint64 { return w.late }
