--- /dev/null
+++ b/cmd/beechgrade/clickhouse_world_test.go
@@ -0,0 +1,161 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"beechgrade/internal/config"
+	"beechgrade/internal/endpoints/discovery"
+	"beechgrade/internal/settings"
+	"beechgrade/internal/testkit/fake/clickhouseserver"
+)
+
+// clickhouseWorld is a pooler before stand-ins for ClickHouse's servers, whose list is a file.
+type clickhouseWorld struct {
+	t       testing.TB
+	p       *pooler
+	addr    string
+	hup     chan<- os.Signal
+	list    string
+	servers []*clickhouseserver.Server
+	client  *http.Client
+}
+
+const houseGroup = 9
+
+func startClickHouse(t testing.TB, n int, more string, change ...func(*config.Config)) *clickhouseWorld {
+	return startClickHouseAs(t, n, more, nil, change...)
+}
+
+// startClickHouseAs has a function set the servers up before the pooler knows them.
+func startClickHouseAs(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), change ...func(*config.Config)) *clickhouseWorld {
+	return startClickHouseOn(t, n, more, setUp, func(*pooler) {}, change...)
+}
+
+// startClickHouseOn has another function add to the pooler before it runs.
+func startClickHouseOn(t testing.TB, n int, more string, setUp func([]*clickhouseserver.Server), add func(*pooler), change ...func(*config.Config)) *clickhouseWorld {
+	t.Helper()
+	w := &clickhouseWorld{t: t, list: filepath.Join(t.TempDir(), "list.json"), client: &http.Client{Transport: &http.Transport{DisableCompression: true}, Timeout: patience}}
+	t.Cleanup(w.client.CloseIdleConnections)
+	for i := range n {
+		s, err := clickhouseserver.Start(fmt.Sprint("h", i))
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(s.Stop)
+		w.servers = append(w.servers, s)
+	}
+	if setUp != nil {
+		setUp(w.servers)
+	}
+	w.write()
+	if !strings.HasPrefix(more, "(deadline") {
+		more = "(deadline 15s) (aim 5s) " + more
+	}
+	set, err := settings.Parse("test", []byte(fmt.Sprintf(`(clickhouse (listen "127.0.0.1:0") (group %d) %s) (membership (static %q))`, houseGroup, more, w.list)), os.Getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg := testConfig(t, "", nil, append([]func(*config.Config){func(c *config.Config) {
+		c.InitialList, c.Settings.DrainGrace = discovery.List{}, 250*time.Millisecond
+		c.ConnectTimeoutMs = 2000
+	}}, change...)...)
+	set.ClickHouse.AddClasses(cfg)
+	w.p = newPooler(cfg, testLog())
+	w.p.openClickHouse(set.ClickHouse)
+	w.p.openSources(set.Endpoints)
+	add(w.p)
+	first := *cfg
+	w.p.load = func() (*config.Config, error) { return &first, nil }
+	_, w.hup, _, _ = launch(t, w.p)
+	at := make(chan string, 1)
+	w.p.loop.Post(func() { at <- w.p.clickhouseAddr })
+	w.addr = <-at
+	w.until(fmt.Sprintf("%d servers, 0 removals held back", n))
+	return w
+}
+
+// write writes the list; the servers named drain.
+func (w *clickhouseWorld) write(drain ...string) {
+	var parts []string
+	for _, s := range w.servers {
+		cycle := "up"
+		for _, d := range drain {
+			if d == s.Name {
+				cycle = "draining"
+			}
+		}
+		parts = append(parts, fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"cell":%d,"lifecycle":%q,"weight":1}`, s.Name, s.Addr, houseGroup, cycle))
+	}
+	if err := os.WriteFile(w.list, []byte(`{"instances":[`+strings.Join(parts, ",")+`]}`), 0o600); err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+func (w *clickhouseWorld) until(sum string) {
+	w.t.Helper()
+	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
+		got := make(chan string, 1)
+		w.p.loop.Post(func() { got <- w.p.sources.members.Summary() })
+		x := <-got
+		if x == sum {
+			return
+		}
+		if time.Now().After(end) {
+			w.t.Fatalf("%q, want %q", x, sum)
+		}
+	}
+}
+
+// query puts one query, and reads its answer: status, exception code, body.
+func (w *clickhouseWorld) query(method, sql, body string, more url.Values) (status int, code, text string, err error) {
+	v := url.Values{}
+	if sql != "" {
+		v.Set("query", sql)
+	}
+	for k := range more {
+		v.Set(k, more.Get(k))
+	}
+	req, err := http.NewRequest(method, "http://"+w.addr+"/?"+v.Encode(), strings.NewReader(body))
+	if err != nil {
+		return 0, "", "", err
+	}
+	req.SetBasicAuth("escritorio", "secret")
+	res, err := w.client.Do(req)
+	if err != nil {
+		return 0, "", "", err
+	}
+	b, err := io.ReadAll(res.Body)
+	_ = res.Body.Close()
+	return res.StatusCode, res.Header.Get("X-ClickHouse-Exception-Code"), string(b), err
+}
+
+// runs are the runs at all servers, of one query's id or of all.
+func (w *clickhouseWorld) runs(id string) (out []clickhouseserver.Run) {
+	for _, s := range w.servers {
+		for _, r := range s.Runs() {
+			if id == "" || r.ID == id {
+				out = append(out, r)
+			}
+		}
+	}
+	return out
+}
+
+func id(s string) url.Values { return url.Values{"query_id": {s}} }
+
+func (w *clickhouseWorld) wait(what string, ok func() bool) {
+	w.t.Helper()
+	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			w.t.Fatalf("not so in %v: %s", patience, what)
+		}
+	}
+}
