--- a/internal/cluster/overload/invariants.go
+++ b/internal/cluster/overload/invariants.go
@@ -8,70 +8,100 @@
 	"beechgrade/internal/invariant"
 )
 
-// CheckInvariants makes it check its invariants, at one tick of interval.
-func (controller *Controller) CheckInvariants(c *invariant.Checks, every int) {
-	controller.checks, controller.checkInterval = c, every
+const sumSlack = 1e-9 // the part by which rates that are added up differently may differ
+
+// CheckInvariants makes the Controller check its invariants, at one tick of interval.
+func (controller *Controller) CheckInvariants(checks *invariant.Checks, interval int) {
+	controller.checks, controller.checkInterval = checks, interval
 }
 
 // checkState checks the invariants of the whole state after a tick.
-func (controller *Controller) checkState(c *invariant.Checks) {
-	c.That(len(controller.selfMessages) == 0, "overload: what was put has gone out", func() string { return fmt.Sprintf("%d messages", len(controller.selfMessages)) })
-	c.That(len(controller.groups) == len(controller.sortedGroups) && len(controller.sortedGroups) <= MaxGroups && slices.IsSortedFunc(controller.sortedGroups, func(a, b *groupState) int { return a.id - b.id }), "overload: groups are in order, each filed once",
-		func() string {
-			return fmt.Sprintf("%d filed, %d in order", len(controller.groups), len(controller.sortedGroups))
-		})
-	c.That(len(controller.peers) <= MaxPeers && len(controller.addresses) == len(controller.peers) && len(controller.pendingReports) <= maxPendingReports, "overload: what is kept is bounded", func() string {
-		return fmt.Sprintf("%d peers, %d addresses, %d tells", len(controller.peers), len(controller.addresses), len(controller.pendingReports))
+func (controller *Controller) checkState(checks *invariant.Checks) {
+	checks.That(len(controller.selfMessages) == 0, "overload: all messages to itself were handled", func() string {
+		return fmt.Sprintf("%d messages", len(controller.selfMessages))
+	})
+	const groupsFiled = "overload: groups are in order, each filed once"
+	inOrder := slices.IsSortedFunc(controller.sortedGroups, func(a, b *groupState) int { return a.id - b.id })
+	allFiled := len(controller.groups) == len(controller.sortedGroups) && len(controller.sortedGroups) <= MaxGroups
+	checks.That(inOrder && allFiled, groupsFiled, func() string {
+		return fmt.Sprintf("%d filed, %d in order", len(controller.groups), len(controller.sortedGroups))
+	})
+	peersBounded := len(controller.peers) <= MaxPeers && len(controller.addresses) == len(controller.peers)
+	checks.That(peersBounded && len(controller.pendingReports) <= maxPendingReports, "overload: the state is bounded", func() string {
+		return fmt.Sprintf("%d peers, %d addresses, %d pending reports", len(controller.peers), len(controller.addresses), len(controller.pendingReports))
 	})
-	for id := range controller.collectorTimes { // each by itself
-		c.That(controller.addresses[id] != "" || id == controller.self, "overload: nothing is kept of peers that are gone", func() string { return fmt.Sprintf("%x's stamp", uint64(id)) })
+	for id := range controller.collectorTimes {
+		reachable := controller.addresses[id] != "" || id == controller.self
+		checks.That(reachable, "overload: nothing is kept of unreachable peers", func() string { return fmt.Sprintf("%x's time", uint64(id)) })
 	}
 	for _, group := range controller.sortedGroups {
-		state := func() string { return controller.describe(group) }
-		c.That(controller.groups[group.id] == group, "overload: groups are in order, each filed once", state)
-		controller.checkShedding(c, group, state)
-		controller.checkCollector(c, group, state)
+		describe := func() string { return controller.describe(group) }
+		checks.That(controller.groups[group.id] == group, groupsFiled, describe)
+		controller.checkShedding(checks, group, describe)
+		controller.checkCollector(checks, group, describe)
 	}
 }
 
 // checkShedding checks the state of a pooler that sheds.
-func (controller *Controller) checkShedding(c *invariant.Checks, group *groupState, state func() string) {
-	cells := float64(4 * len(group.classOrder))
-	c.That(group.level >= 0 && group.level <= cells && group.applied.level <= cells && finite(group.budget), "overload: a level stands within the cells", state)
-	c.That(group.level == 0 || controller.now-group.decidedAt <= controller.settings.IsolationBound(), "overload: no level outlives Lonely", state)
-	for i, x := range group.decisions {
-		c.That(controller.now-x.reportedAt <= controller.settings.StaleAfter && !slices.ContainsFunc(group.decisions[:i], func(y collectorDecision) bool { return y.from == x.from }), "overload: an answer is young, one of each collector", state)
+func (controller *Controller) checkShedding(checks *invariant.Checks, group *groupState, describe func() string) {
+	cells := float64(cellsPerClass * len(group.classOrder))
+	levelInRange := group.level >= 0 && group.level <= cells && group.applied.level <= cells
+	checks.That(levelInRange && finite(group.budget), "overload: a level stands within the cells", describe)
+	recent := controller.now-group.decidedAt <= controller.settings.IsolationBound()
+	checks.That(group.level == 0 || recent, "overload: no level outlives IsolationBound", describe)
+	for i, decision := range group.decisions {
+		fresh := controller.now-decision.reportedAt <= controller.settings.StaleAfter
+		repeated := slices.ContainsFunc(group.decisions[:i], func(other collectorDecision) bool { return other.from == decision.from })
+		checks.That(fresh && !repeated, "overload: decisions are recent, one of each collector", describe)
 	}
 	for i := range group.rates {
-		r := group.rates[i]
-		c.That(finite(r.first) && finite(r.retries) && finite(r.admitted) && finite(r.served) && finite(r.strain) && finite(group.openRequests[i]) && r.served <= r.ended*(1+1e-9) && r.strain <= r.ended*(1+1e-9),
-			"overload: rates are ones that can be", state)
+		valid := group.rates[i].valid() && finite(group.openRequests[i])
+		checks.That(valid, "overload: rates are in their ranges", describe)
+	}
+}
+
+// valid reports whether rates are finite, and those of requests that ended in their order.
+func (rates *loadCounts) valid() bool {
+	for _, x := range [...]float64{rates.first, rates.retries, rates.admitted, rates.served, rates.strain} {
+		if !finite(x) {
+			return false
+		}
 	}
+	limit := rates.ended * (1 + sumSlack)
+	return rates.served <= limit && rates.strain <= limit
 }
 
 // checkCollector checks the state of a collector.
-func (controller *Controller) checkCollector(c *invariant.Checks, group *groupState, state func() string) {
-	v := &group.collected.decision
-	c.That(finite(v.Budget) && v.Level >= 0 && v.Level <= float64(4*len(controller.collectorOrder)) && (v.Budget > 0 || v.Level == 0), "overload: a verdict is within its bounds", state)
-	for _, b := range v.BeyondQuota {
-		c.That(b.Value > 0 && b.Value <= 1, "overload: a verdict is within its bounds", state)
+func (controller *Controller) checkCollector(checks *invariant.Checks, group *groupState, describe func() string) {
+	const decisionInRange = "overload: a decision is in its range"
+	decision := &group.collected.decision
+	levelInRange := decision.Level >= 0 && decision.Level <= float64(cellsPerClass*len(controller.collectorOrder))
+	levelHasBudget := decision.Budget > 0 || decision.Level == 0
+	checks.That(finite(decision.Budget) && levelInRange && levelHasBudget, decisionInRange, describe)
+	for _, tenant := range decision.BeyondQuota {
+		checks.That(tenant.Value > 0 && tenant.Value <= 1, decisionInRange, describe)
 	}
-	c.That(len(group.reports) <= MaxPeers, "overload: what is kept is bounded", state)
-	for i, t := range group.reports {
-		c.That((i == 0 || group.reports[i-1].id < t.id) && controller.now-t.reportedAt <= controller.settings.StaleAfter+controller.settings.ReportInterval+controller.settings.TickInterval && t.reportedAt <= controller.now, "overload: one young tell is kept of each process", state)
+	checks.That(len(group.reports) <= MaxPeers, "overload: the state is bounded", describe)
+	maxAge := controller.settings.StaleAfter + controller.settings.ReportInterval + controller.settings.TickInterval
+	for i, report := range group.reports {
+		inOrder := i == 0 || group.reports[i-1].id < report.id
+		recent := controller.now-report.reportedAt <= maxAge && report.reportedAt <= controller.now
+		checks.That(inOrder && recent, "overload: one recent report is kept of each process", describe)
 	}
 }
 
 func (controller *Controller) describe(group *groupState) string {
-	s := fmt.Sprintf("group %d at %.0f: level %g of %d cells (placed %g) held at %.0f, budget %g, verdict %+v of %d classes; rates %+v, open %v;", group.id, controller.now, group.level, 4*len(group.classOrder), group.applied.level,
-		group.decidedAt, group.budget, group.collected.decision, len(controller.collectorOrder), group.rates, group.openRequests)
-	for _, x := range group.decisions {
-		s += fmt.Sprintf(" given by %x at %.0f: %+v", uint64(x.from), x.reportedAt, x.decision)
+	text := fmt.Sprintf("group %d at %.0f: level %g of %d cells (applied %g) decided at %.0f, budget %g, decision %+v of %d classes;",
+		group.id, controller.now, group.level, cellsPerClass*len(group.classOrder), group.applied.level, group.decidedAt, group.budget,
+		group.collected.decision, len(controller.collectorOrder))
+	text += fmt.Sprintf(" rates %+v, open %v;", group.rates, group.openRequests)
+	for _, decision := range group.decisions {
+		text += fmt.Sprintf(" decided by %x at %.0f: %+v", uint64(decision.from), decision.reportedAt, decision.decision)
 	}
-	for _, t := range group.reports {
-		s += fmt.Sprintf(" told by %x at %.0f", uint64(t.id), t.reportedAt)
+	for _, report := range group.reports {
+		text += fmt.Sprintf(" reported by %x at %.0f", uint64(report.id), report.reportedAt)
 	}
-	return s
+	return text
 }
 
 // CheckInvariants makes it check its invariants, at one tick of interval.
--- a/internal/cluster/overload/invariants_test.go
+++ b/internal/cluster/overload/invariants_test.go
@@ -17,23 +17,23 @@
 	}
 	for name, do := range map[string]func(controller *Controller, group *groupState){
 		"groups are in order": func(controller *Controller, group *groupState) { delete(controller.groups, 3) },
-		"what is kept is bounded": func(controller *Controller, group *groupState) {
+		"the state is bounded": func(controller *Controller, group *groupState) {
 			controller.pendingReports = make([]pendingReport, maxPendingReports+1)
 		},
-		"peers that are gone":     func(controller *Controller, group *groupState) { controller.collectorTimes[99] = collectorTime{1, 1} },
+		"unreachable peers":       func(controller *Controller, group *groupState) { controller.collectorTimes[99] = collectorTime{1, 1} },
 		"stands within the cells": func(controller *Controller, group *groupState) { group.level = 1e9 },
 		"no level outlives": func(controller *Controller, group *groupState) {
 			group.decidedAt = controller.now - controller.settings.IsolationBound() - 1
 		},
-		"an answer is young": func(controller *Controller, group *groupState) {
+		"decisions are recent": func(controller *Controller, group *groupState) {
 			group.decisions = append(group.decisions, group.decisions[0])
 		},
-		"rates are ones that can be": func(controller *Controller, group *groupState) { group.rates[0].served = group.rates[0].ended + 1 },
-		"a verdict is within":        func(controller *Controller, group *groupState) { group.collected.decision = ShedDecision{Level: 1} },
-		"one young tell is kept": func(controller *Controller, group *groupState) {
+		"rates are in their ranges":  func(controller *Controller, group *groupState) { group.rates[0].served = group.rates[0].ended + 1 },
+		"a decision is in its range": func(controller *Controller, group *groupState) { group.collected.decision = ShedDecision{Level: 1} },
+		"one recent report is kept": func(controller *Controller, group *groupState) {
 			group.reports = append(group.reports, group.reports[0])
 		},
-		"what was put": func(controller *Controller, group *groupState) {
+		"all messages to itself": func(controller *Controller, group *groupState) {
 			controller.selfMessages = append(controller.selfMessages, Action{})
 		},
 	} {
