--- a/cmd/beechgrade-kit/load.go
+++ b/cmd/beechgrade-kit/load.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"net/url"
 	"os"
@@ -45,7 +46,19 @@
 	}
 }
 
-const maxLoadRate, maxLoadSeconds = 200000, 3600
+// Bounds of the load tool.
+const (
+	maxLoadRate    = 200000 // requests per second
+	maxLoadSeconds = 3600
+	loadTimeoutMs  = 5000 // of a request to the pooling or the ClickHouse frontend
+	loadSampleMs   = 1000 // between two snapshots of the progress
+)
+
+// loadTarget is where the load tool sends requests.
+type loadTarget interface {
+	load.Target
+	Close()
+}
 
 // fire runs the load tool.
 func fire(ctx context.Context, c *cli.Command) error {
@@ -53,32 +66,15 @@
 	if c.String("clickhouse") != "" {
 		classes = clients.ClickHouseClasses()
 	}
-	p := load.Pattern{Shape: load.Shape(c.String("shape")), From: c.Float("rate"), To: c.Float("to"), Seconds: c.Float("seconds"), Groups: c.Int("groups"),
-		Sessions: c.Int("sessions"), Seed: c.Uint64("seed")}
-	if p.To == 0 {
-		p.To = p.From
-	}
-	for _, k := range classes {
-		p.Mix = append(p.Mix, load.Mix{Class: k.Name, Share: k.Share, Writes: k.Read == clients.Write})
-	}
-	switch {
-	case p.Shape != load.Constant && p.Shape != load.Poisson:
-		return fmt.Errorf("--shape %q: constant or poisson", p.Shape)
-	case !(p.From > 0 && p.To > 0 && max(p.From, p.To) <= maxLoadRate):
-		return fmt.Errorf("--rate and --to: above 0 and at most %d", maxLoadRate)
-	case !(p.Seconds > 0 && p.Seconds <= maxLoadSeconds):
-		return fmt.Errorf("--seconds: above 0 and at most %d", maxLoadSeconds)
-	}
-	addrs := slices.Concat(c.StringSlice("target"), hostOf(c.String("pooling")), hostOf(c.String("clickhouse")))
-	if given := min(1, len(c.StringSlice("target"))) + len(hostOf(c.String("pooling"))) + len(hostOf(c.String("clickhouse"))); given != 1 {
-		return errors.New("--target, --pooling or --clickhouse is due, one of them")
+	pattern, err := loadPattern(c, classes)
+	if err != nil {
+		return err
 	}
-	for _, a := range addrs {
-		if err := onThisMachine(a); err != nil {
-			return err
-		}
+	addrs, err := loadAddrs(c)
+	if err != nil {
+		return err
 	}
-	src := p.Source()
+	src := pattern.Source()
 	if dirs := c.StringSlice("replay"); len(dirs) > 0 {
 		set, err := records.Open(false, dirs...)
 		if err != nil {
@@ -88,77 +84,137 @@
 			return err
 		}
 	}
-	var target interface {
-		load.Target
-		Close()
-	} = &load.Platform{Addrs: c.StringSlice("target"), Classes: classes, Seed: p.Seed}
-	if at := c.String("pooling"); at != "" {
-		target = &load.Pooling{URL: at, Read: c.String("read"), Write: c.String("write"), TimeoutMs: 5000}
-	}
-	if at := c.String("clickhouse"); at != "" {
-		target = &load.House{URL: at, Read: "SELECT content FROM kv WHERE name = '?'", Write: "INSERT INTO kv (name, content) VALUES ('?', unhex('00'))", TimeoutMs: 5000}
-	}
+	target := newLoadTarget(c, classes, pattern.Seed)
 	defer target.Close()
-	o := load.Options{Out: c.Int("out-most"), EveryMs: 1000}
-	if !c.Bool("json") && !c.Bool("live") {
-		o.Progress = func(s load.Snapshot) {
-			fmt.Fprintf(os.Stderr, "\r%4.0f s  %8d due  %8.0f served/s  %6d out  p50 %7.1f ms  p99 %7.1f ms ", s.AtMs/1000, s.Due, s.PerSecond, s.Out, s.P50, s.P99)
-		}
-	}
-	var r *load.Result
-	var err error
+	options := load.Options{Out: c.Int("out-most"), EveryMs: loadSampleMs}
+	var result *load.Result
 	if c.Bool("live") {
 		run, stop := context.WithCancel(ctx)
 		defer stop()
-		title := strings.Join(addrs, " ")
-		if failed := live.Run(ctx, live.New(title, p.Seconds, stop), func(progress func(load.Snapshot)) {
-			o.Progress = progress
-			r, err = load.Run(run, src, target, o)
-		}); failed != nil {
-			return failed
+		console := live.New(strings.Join(addrs, " "), pattern.Seconds, stop)
+		consoleErr := live.Run(ctx, console, func(progress func(load.Snapshot)) {
+			options.Progress = progress
+			result, err = load.Run(run, src, target, options)
+		})
+		if consoleErr != nil {
+			return consoleErr
 		}
 	} else {
-		r, err = load.Run(ctx, src, target, o)
-	}
-	if o.Progress != nil && !c.Bool("live") {
-		fmt.Fprint(os.Stderr, "\r\033[K")
+		if !c.Bool("json") {
+			options.Progress = printProgress
+		}
+		result, err = load.Run(ctx, src, target, options)
+		if options.Progress != nil {
+			fmt.Fprint(os.Stderr, "\r\033[K")
+		}
 	}
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
+	return reportLoad(c, result)
+}
+
+// loadPattern is the pattern of requests that the flags describe.
+func loadPattern(c *cli.Command, classes []clients.Class) (load.Pattern, error) {
+	p := load.Pattern{
+		Shape:    load.Shape(c.String("shape")),
+		From:     c.Float("rate"),
+		To:       c.Float("to"),
+		Seconds:  c.Float("seconds"),
+		Groups:   c.Int("groups"),
+		Sessions: c.Int("sessions"),
+		Seed:     c.Uint64("seed"),
+	}
+	if p.To == 0 {
+		p.To = p.From
+	}
+	for _, class := range classes {
+		p.Mix = append(p.Mix, load.Mix{Class: class.Name, Share: class.Share, Writes: class.Read == clients.Write})
+	}
+	switch {
+	case p.Shape != load.Constant && p.Shape != load.Poisson:
+		return p, fmt.Errorf("--shape %q: constant or poisson", p.Shape)
+	case !(p.From > 0 && p.To > 0 && max(p.From, p.To) <= maxLoadRate):
+		return p, fmt.Errorf("--rate and --to: above 0 and at most %d", maxLoadRate)
+	case !(p.Seconds > 0 && p.Seconds <= maxLoadSeconds):
+		return p, fmt.Errorf("--seconds: above 0 and at most %d", maxLoadSeconds)
+	}
+	return p, nil
+}
+
+// loadAddrs are the addresses of the target, of which there is one kind. All must be on this machine.
+func loadAddrs(c *cli.Command) ([]string, error) {
+	platform, pooling, clickhouse := c.StringSlice("target"), hostOf(c.String("pooling")), hostOf(c.String("clickhouse"))
+	if min(1, len(platform))+len(pooling)+len(clickhouse) != 1 {
+		return nil, errors.New("--target, --pooling or --clickhouse is due, one of them")
+	}
+	addrs := slices.Concat(platform, pooling, clickhouse)
+	for _, addr := range addrs {
+		if err := onThisMachine(addr); err != nil {
+			return nil, err
+		}
+	}
+	return addrs, nil
+}
+
+// newLoadTarget is the target that the flags name.
+func newLoadTarget(c *cli.Command, classes []clients.Class, seed uint64) loadTarget {
+	if at := c.String("clickhouse"); at != "" {
+		return &load.House{
+			URL:       at,
+			Read:      "SELECT content FROM kv WHERE name = '?'",
+			Write:     "INSERT INTO kv (name, content) VALUES ('?', unhex('00'))",
+			TimeoutMs: loadTimeoutMs,
+		}
+	}
+	if at := c.String("pooling"); at != "" {
+		return &load.Pooling{URL: at, Read: c.String("read"), Write: c.String("write"), TimeoutMs: loadTimeoutMs}
+	}
+	return &load.Platform{Addrs: c.StringSlice("target"), Classes: classes, Seed: seed}
+}
+
+// printProgress writes a snapshot over the last one.
+func printProgress(s load.Snapshot) {
+	fmt.Fprintf(os.Stderr, "\r%4.0f s  %8d due  %8.0f served/s  %6d out  p50 %7.1f ms  p99 %7.1f ms ", s.AtMs/1000, s.Due, s.PerSecond, s.Out, s.P50, s.P99)
+}
+
+// reportLoad writes the result, and fails where nothing was served.
+func reportLoad(c *cli.Command, result *load.Result) error {
 	if path := c.String("report"); path != "" {
-		f, err := os.Create(path)
+		file, err := os.Create(path)
 		if err != nil {
 			return err
 		}
-		if err := errors.Join(load.HTML(f, r, "Load"), f.Close()); err != nil {
+		if err := errors.Join(load.HTML(file, result, "Load"), file.Close()); err != nil {
 			return err
 		}
 	}
+	write := load.Text
 	if c.Bool("json") {
-		err = writeJSON(c.Root().Writer, r)
-	} else {
-		err = load.Text(c.Root().Writer, r)
+		write = func(w io.Writer, result *load.Result) error { return writeJSON(w, result) }
 	}
-	if err == nil && r.Served() == 0 {
+	if err := write(c.Root().Writer, result); err != nil {
+		return err
+	}
+	if result.Served() == 0 {
 		return failed{errors.New("nothing was served")}
 	}
-	return err
+	return nil
 }
 
-// hostOf is the address within a URL, none for none.
+// hostOf is the address within a URL, none for an empty text.
 func hostOf(text string) []string {
 	if text == "" {
 		return nil
 	}
 	u, err := url.Parse(text)
 	if err != nil {
-		return []string{text} // which is then refused
+		return []string{text} // onThisMachine rejects it
 	}
 	return []string{u.Host}
 }
 
-// onThisMachine refuses every address but those of this machine: a load tool aimed wrongly is an attack.
+// onThisMachine rejects every address but loopback ones, as load on another machine by mistake would be an attack.
 func onThisMachine(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/cmd/beechgrade-kit/main.go
+++ b/cmd/beechgrade-kit/main.go
@@ -1,5 +1,5 @@
-// Command beechgrade-kit is the operators' tools beside the daemon: looking at what poolers recorded, and rehearsing
-// failures on loopback.
+// Command beechgrade-kit is the operators' tools beside the daemon: it shows what poolers recorded, rehearses failures on loopback,
+// and measures.
 package main
 
 import (
@@ -32,12 +32,12 @@
 	os.Exit(exitCode(err))
 }
 
-// failed is a result that is not good, where everything was read and done as it should be.
+// failed wraps a negative result of a command that itself worked. The exit code tells it from errors.
 type failed struct{ error }
 
 func (f failed) Unwrap() error { return f.error }
 
-// exitCode is 0, 1 for what failed, or 2 for usage and bad input.
+// exitCode is 0 for success, 1 for a negative result, and 2 for wrong usage or input.
 func exitCode(err error) int {
 	switch {
 	case err == nil:
@@ -48,6 +48,7 @@
 	return 2
 }
 
+// command is the tree of all commands.
 func command() *cli.Command {
 	asJSON := func() cli.Flag { return &cli.BoolFlag{Name: "json", Usage: "write JSON for machines"} }
 	return &cli.Command{
@@ -55,34 +56,9 @@
 		Usage:          "look at what poolers recorded, rehearse failures, and try changes at any size",
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Commands: []*cli.Command{
-			{
-				Name:  "incident",
-				Usage: "tell from records what happened",
-				Commands: []*cli.Command{
-					{Name: "summary", Usage: "a summary as text", ArgsUsage: "DIR...", Flags: []cli.Flag{asJSON()}, Action: summary},
-					{Name: "report", Usage: "one HTML file", ArgsUsage: "DIR...",
-						Flags:  []cli.Flag{&cli.StringFlag{Name: "out", Aliases: []string{"o"}, Value: "incident.html", Usage: "the `FILE` to write"}},
-						Action: htmlReport},
-					{Name: "view", Usage: "a console to look around in", ArgsUsage: "DIR...",
-						Flags:  []cli.Flag{&cli.BoolFlag{Name: "follow", Usage: "go on with records that are still being written"}},
-						Action: view},
-					{Name: "trace", Usage: "all that is recorded of one request", ArgsUsage: "DIR...",
-						Flags:  []cli.Flag{&cli.StringFlag{Name: "id", Required: true, Usage: "the client's `ID`, or its hash of 16 hexadecimal digits"}, asJSON()},
-						Action: trace},
-				},
-			},
+			incidentCommand(asJSON),
 			sizesCommand(asJSON),
-			{
-				Name: "pooling", Usage: "measure the pooling front beside the stand-ins reached directly",
-				Flags: []cli.Flag{
-					&cli.IntFlag{Name: "clients", Value: 1000, Usage: "`NUMBER` connected at once"},
-					&cli.IntFlag{Name: "connections", Value: 50, Usage: "`NUMBER` of server connections"},
-					&cli.FloatFlag{Name: "seconds", Value: 5, Usage: "for each part"},
-					&cli.StringFlag{Name: "out", Value: "pooling", Usage: "the `DIR` for logs"},
-					&cli.StringFlag{Name: "daemon", Usage: "the daemon's program `FILE`; else the one beside this program"},
-				},
-				Action: measurePooling,
-			},
+			poolingCommand(),
 			clickhouseCommand(asJSON),
 			journalCommand(asJSON),
 			storeCommand(asJSON),
@@ -91,27 +67,67 @@
 			zonesCommand(asJSON),
 			labCommand(asJSON),
 			loadCommand(asJSON),
-			{
-				Name: "rehearse", Usage: "run the daemon against stand-in servers and faults, as a script has them", ArgsUsage: "SCRIPT",
-				Flags: []cli.Flag{
-					&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "what is drawn follows from this `NUMBER`"},
-					&cli.StringFlag{Name: "out", Value: "rehearsal", Usage: "the `DIR` for records, logs and results"},
-					&cli.StringFlag{Name: "daemon", Usage: "the daemon's program `FILE`; else the one beside this program"},
-					&cli.StringFlag{Name: "settings", Usage: "more of the operators' settings for the poolers, a `FILE`; $POOLER stands for a pooler's name"},
-					&cli.BoolFlag{Name: "verbose", Aliases: []string{"v"}, Usage: "log what the stand-ins do"},
-					asJSON(),
-				},
-				Action: runRehearsal,
-				Commands: []*cli.Command{
-					{Name: "check", Usage: "read scripts and tell what is wrong with them", ArgsUsage: "SCRIPT...", Action: checkScripts},
-					{Name: "compare", Usage: "hold a rehearsal's records against what its clients saw", ArgsUsage: "DIR", Flags: []cli.Flag{asJSON()}, Action: compare},
-				},
-			},
+			rehearseCommand(asJSON),
 		},
 	}
 }
 
-// load reads all records below some folders.
+// incidentCommand shows from records what happened.
+func incidentCommand(asJSON func() cli.Flag) *cli.Command {
+	return &cli.Command{
+		Name:  "incident",
+		Usage: "tell from records what happened",
+		Commands: []*cli.Command{
+			{Name: "summary", Usage: "a summary as text", ArgsUsage: "DIR...", Flags: []cli.Flag{asJSON()}, Action: summary},
+			{Name: "report", Usage: "one HTML file", ArgsUsage: "DIR...",
+				Flags:  []cli.Flag{&cli.StringFlag{Name: "out", Aliases: []string{"o"}, Value: "incident.html", Usage: "the `FILE` to write"}},
+				Action: htmlReport},
+			{Name: "view", Usage: "a console to look around in", ArgsUsage: "DIR...",
+				Flags:  []cli.Flag{&cli.BoolFlag{Name: "follow", Usage: "go on with records that are still being written"}},
+				Action: view},
+			{Name: "trace", Usage: "all that is recorded of one request", ArgsUsage: "DIR...",
+				Flags:  []cli.Flag{&cli.StringFlag{Name: "id", Required: true, Usage: "the client's `ID`, or its hash of 16 hexadecimal digits"}, asJSON()},
+				Action: trace},
+		},
+	}
+}
+
+// poolingCommand measures the pooling frontend.
+func poolingCommand() *cli.Command {
+	return &cli.Command{
+		Name: "pooling", Usage: "measure the pooling front beside the stand-ins reached directly",
+		Flags: []cli.Flag{
+			&cli.IntFlag{Name: "clients", Value: 1000, Usage: "`NUMBER` connected at once"},
+			&cli.IntFlag{Name: "connections", Value: 50, Usage: "`NUMBER` of server connections"},
+			&cli.FloatFlag{Name: "seconds", Value: 5, Usage: "for each part"},
+			&cli.StringFlag{Name: "out", Value: "pooling", Usage: "the `DIR` for logs"},
+			&cli.StringFlag{Name: "daemon", Usage: "the daemon's program `FILE`; else the one beside this program"},
+		},
+		Action: measurePooling,
+	}
+}
+
+// rehearseCommand runs rehearsals, checks scripts, and compares records with what clients saw.
+func rehearseCommand(asJSON func() cli.Flag) *cli.Command {
+	return &cli.Command{
+		Name: "rehearse", Usage: "run the daemon against stand-in servers and faults, as a script has them", ArgsUsage: "SCRIPT",
+		Flags: []cli.Flag{
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "what is drawn follows from this `NUMBER`"},
+			&cli.StringFlag{Name: "out", Value: "rehearsal", Usage: "the `DIR` for records, logs and results"},
+			&cli.StringFlag{Name: "daemon", Usage: "the daemon's program `FILE`; else the one beside this program"},
+			&cli.StringFlag{Name: "settings", Usage: "more of the operators' settings for the poolers, a `FILE`; $POOLER stands for a pooler's name"},
+			&cli.BoolFlag{Name: "verbose", Aliases: []string{"v"}, Usage: "log what the stand-ins do"},
+			asJSON(),
+		},
+		Action: runRehearsal,
+		Commands: []*cli.Command{
+			{Name: "check", Usage: "read scripts and tell what is wrong with them", ArgsUsage: "SCRIPT...", Action: checkScripts},
+			{Name: "compare", Usage: "hold a rehearsal's records against what its clients saw", ArgsUsage: "DIR", Flags: []cli.Flag{asJSON()}, Action: compare},
+		},
+	}
+}
+
+// loadView reads all records below the folders that the command names.
 func loadView(c *cli.Command) (*incident.View, error) {
 	set, err := open(c)
 	if err != nil {
@@ -125,6 +141,7 @@
 	return m.View(), nil
 }
 
+// summary writes the summary of an incident.
 func summary(_ context.Context, c *cli.Command) error {
 	v, err := loadView(c)
 	if err != nil {
@@ -136,12 +153,14 @@
 	return report.Text(c.Root().Writer, v)
 }
 
+// writeJSON writes indented JSON.
 func writeJSON(w io.Writer, v any) error {
 	enc := jsoniter.ConfigCompatibleWithStandardLibrary.NewEncoder(w)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
 }
 
+// checkScripts parses scripts and sums them up.
 func checkScripts(_ context.Context, c *cli.Command) error {
 	if !c.Args().Present() {
 		return errors.New("which scripts?")
@@ -157,6 +176,7 @@
 	return nil
 }
 
+// runRehearsal runs a rehearsal and reports its result.
 func runRehearsal(ctx context.Context, c *cli.Command) error {
 	s, err := oneScript(c)
 	if err != nil {
@@ -194,7 +214,7 @@
 	return reportRehearsal(c, out)
 }
 
-// daemonOf is the daemon's program: the one that was named, or the one beside this program.
+// daemonOf is the path of the daemon's program: by the flag, or beside this program.
 func daemonOf(c *cli.Command) (string, error) {
 	if d := c.String("daemon"); d != "" {
 		return d, nil
@@ -206,6 +226,7 @@
 	return filepath.Join(filepath.Dir(self), "beechgrade"), nil
 }
 
+// measurePooling measures the pooling frontend.
 func measurePooling(ctx context.Context, c *cli.Command) error {
 	daemon, err := daemonOf(c)
 	if err != nil {
@@ -228,6 +249,7 @@
 	return nil
 }
 
+// compare reports the result of an earlier rehearsal.
 func compare(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
 		return errors.New("one folder of a rehearsal is due")
@@ -235,7 +257,7 @@
 	return reportRehearsal(c, c.Args().First())
 }
 
-// reportRehearsal tells how a rehearsal went, and fails where a rule was broken or the records do not agree with the clients.
+// reportRehearsal writes the result of a rehearsal. It fails where a rule was broken, or the records and the clients differ.
 func reportRehearsal(c *cli.Command, dir string) error {
 	m, v, res, err := rehearse.Compare(dir)
 	if err != nil {
