--- a/internal/cluster/outlier/adapter/byzantine.go
+++ b/internal/cluster/outlier/adapter/byzantine.go
@@ -12,9 +12,9 @@
 // outgoingObservations and outgoingAssessments falsify what is sent to other poolers as the variable LIE of the
 // environment says: a byzantine pooler for rehearsals.
 func outgoingObservations(t *outlier.Observations) *outlier.Observations {
-	return byzantine.Said(t, byzantine.OfServers[os.Getenv("LIE")])
+	return byzantine.AlterServers(t, byzantine.ServerFaults[os.Getenv("LIE")])
 }
 
 func outgoingAssessments(w *outlier.Assessments) *outlier.Assessments {
-	return byzantine.Said(w, byzantine.OfServers[os.Getenv("LIE")])
+	return byzantine.AlterServers(w, byzantine.ServerFaults[os.Getenv("LIE")])
 }
--- a/internal/cluster/overload/adapter/byzantine.go
+++ b/internal/cluster/overload/adapter/byzantine.go
@@ -12,9 +12,9 @@
 // outgoingReport and outgoingDecisions falsify what is sent to other poolers as the variable LIE of the
 // environment says: a byzantine pooler for rehearsals.
 func outgoingReport(t *overload.LoadReport) *overload.LoadReport {
-	return byzantine.Of(t, byzantine.Times[os.Getenv("LIE")])
+	return byzantine.AlterLoad(t, byzantine.RateFactors[os.Getenv("LIE")])
 }
 
 func outgoingDecisions(a *overload.ShedDecisions) *overload.ShedDecisions {
-	return byzantine.Of(a, byzantine.Times[os.Getenv("LIE")])
+	return byzantine.AlterLoad(a, byzantine.RateFactors[os.Getenv("LIE")])
 }
