--- a/internal/frontend/scatter/bindmessage/bind_test.go
+++ b/internal/frontend/scatter/bindmessage/bind_test.go
@@ -12,8 +12,8 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// whole writes a Bind's rest by the protocol's page: forms, values, wished forms.
-func whole(forms []uint16, vals [][]byte, results []uint16) []byte {
+// encodeBind writes a Bind's rest by the protocol's page: forms, values, wished forms.
+func encodeBind(forms []uint16, vals [][]byte, results []uint16) []byte {
 	list := func(dst []byte, l []uint16) []byte {
 		dst = binary.BigEndian.AppendUint16(dst, uint16(len(l)))
 		for _, x := range l {
@@ -32,8 +32,8 @@
 	return list(b, results)
 }
 
-// TestValuesAreAppended: the client's values keep their forms, however those were stated (none, one for all, one each); what is put behind them
-// is text, NULL stays NULL, and a message that is cut or goes on is an error.
+// TestValuesAreAppended: the client's values keep their formats, whether there is none, one for all or one for each; values that are
+// added are text, NULL stays NULL, and a message that is truncated or too long is an error.
 func TestValuesAreAppended(t *testing.T) {
 	t.Parallel()
 	deterministic.Check(t, func(rt *rapid.T) {
@@ -53,7 +53,7 @@
 				each[i] = one
 			}
 		}
-		b := whole(stated, vals, results)
+		b := encodeBind(stated, vals, results)
 		x, err := Parse(b)
 		if err != nil {
 			rt.Fatal(err)
@@ -62,28 +62,28 @@
 			rt.Fatal(diff)
 		}
 		all := append(append([][]byte{}, vals...), more...)
-		if diff := cmp.Diff(whole(append(each, make([]uint16, len(more))...), all, results), x.EncodeWith(more)); diff != "" {
+		if diff := cmp.Diff(encodeBind(append(each, make([]uint16, len(more))...), all, results), x.EncodeWith(more)); diff != "" {
 			rt.Fatal(diff)
 		}
 		if _, err := Parse(b[:rapid.IntRange(0, len(b)-1).Draw(rt, "cut")]); err == nil {
-			rt.Fatal("a part of it was read")
+			rt.Fatal("a truncated message was accepted")
 		}
 		if _, err := Parse(append(b, 0)); err == nil {
-			rt.Fatal("something behind it was read over")
+			rt.Fatal("a message with a byte too many was accepted")
 		}
 	})
 }
 
-// TestMalformedMessagesAreRejected: many values are refused before they are kept, and a simple query has none.
+// TestMalformedMessagesAreRejected: a message with too many values is rejected, and a simple query has none.
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	t.Parallel()
-	if _, err := Parse(whole(nil, make([][]byte, maxParams), nil)); err != nil {
+	if _, err := Parse(encodeBind(nil, make([][]byte, maxParams), nil)); err != nil {
 		t.Error(err)
 	}
-	if _, err := Parse(whole(nil, make([][]byte, maxParams+1), nil)); err == nil {
-		t.Error("one too many is taken")
+	if _, err := Parse(encodeBind(nil, make([][]byte, maxParams+1), nil)); err == nil {
+		t.Error("one value too many was accepted")
 	}
-	if x, err := Parse(nil); err != nil || len(x.Params) != 0 || cmp.Diff(whole(nil, nil, nil), x.EncodeWith(nil)) != "" {
+	if x, err := Parse(nil); err != nil || len(x.Params) != 0 || cmp.Diff(encodeBind(nil, nil, nil), x.EncodeWith(nil)) != "" {
 		t.Error(x, err)
 	}
 }
--- a/internal/frontend/scatter/merge/merge_test.go
+++ b/internal/frontend/scatter/merge/merge_test.go
@@ -19,8 +19,8 @@
 // datum is a value as a test knows it: nil, int64, float64, string, []byte or time.Time.
 type datum any
 
-// drawn draws a value of a type, often one of few so that some are equal.
-func drawn(t *rapid.T, c *Column) datum {
+// drawValue draws a value of a type, often one of a few so that some are equal.
+func drawValue(t *rapid.T, c *Column) datum {
 	if rapid.IntRange(0, 5).Draw(t, "null") == 0 {
 		return nil
 	}
@@ -39,8 +39,8 @@
 	return rapid.SliceOfN(rapid.SampledFrom([]byte{0, 1, 254, 255}), 0, 4).Draw(t, "bytes")
 }
 
-// before is the servers' own order, said another way than keys say it.
-func before(c *Column, a, b datum) int {
+// compareValues compares values in the order of the servers, without keys.
+func compareValues(c *Column, a, b datum) int {
 	if a == nil || b == nil {
 		switch {
 		case a == nil && b == nil:
@@ -78,8 +78,8 @@
 	return n
 }
 
-// wire is a value as a server sends it.
-func wire(c *Column, v datum, binaryForm bool) []byte {
+// encodeValue returns a value as a server sends it.
+func encodeValue(c *Column, v datum, binaryForm bool) []byte {
 	switch x := v.(type) {
 	case int64:
 		if binaryForm {
@@ -105,7 +105,7 @@
 			year, end = 1-year, " BC"
 		}
 		zone := ""
-		if c.Type == Instant { // 5:30 ahead, as the server of a session there says it
+		if c.Type == Instant { // as a server sends it in a session 5:30 ahead of UTC
 			x = x.Add(5*time.Hour + 30*time.Minute)
 			if year, end = x.Year(), ""; year < 1 {
 				year, end = 1-year, " BC"
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func drawnOrder(t *rapid.T) Order {
+func drawOrder(t *rapid.T) Order {
 	o := Order{Own: rapid.IntRange(1, 3).Draw(t, "columns")}
 	for range o.Own {
 		o.Columns = append(o.Columns, Column{Name: "c", Type: Type(rapid.IntRange(0, int(types)-1).Draw(t, "type")), Desc: rapid.Bool().Draw(t, "desc"),
@@ -135,15 +135,15 @@
 	return o
 }
 
-// TestKeysCompareAsValuesDo: keys compare as values do at the servers, in both forms of the wire, and a key gives its values back.
+// TestKeysCompareAsValuesDo: keys compare as the values do at the servers, in both formats, and a key gives its values back.
 func TestKeysCompareAsValuesDo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := drawnOrder(t).Columns[0]
-		a, b := drawn(t, &c), drawn(t, &c)
+		c := drawOrder(t).Columns[0]
+		a, b := drawValue(t, &c), drawValue(t, &c)
 		var keys [][]byte
 		for _, v := range []datum{a, b} {
 			form := rapid.Bool().Draw(t, "binary")
-			k, err := c.Append(nil, wire(&c, v, form), form)
+			k, err := c.Append(nil, encodeValue(&c, v, form), form)
 			if err != nil {
 				t.Fatalf("%v: %v", v, err)
 			}
@@ -151,44 +151,45 @@
 			o := Order{Columns: []Column{c}, Own: 1}
 			back, err := o.Values(k)
 			if err != nil || back[0].Null != (v == nil) {
-				t.Fatalf("%v came back as %v, %v", v, back, err)
+				t.Fatalf("%v was decoded as %v, %v", v, back, err)
 			}
 			if again, err := c.Append(nil, back[0].Text, false); v != nil && (err != nil || !bytes.Equal(again, k)) {
-				t.Fatalf("%v came back as %q: %x, was %x, %v", v, back[0].Text, again, k, err)
+				t.Fatalf("%v was decoded as %q: %x, was %x, %v", v, back[0].Text, again, k, err)
 			}
 		}
-		if got, want := bytes.Compare(keys[0], keys[1]), before(&c, a, b); got != want {
+		if got, want := bytes.Compare(keys[0], keys[1]), compareValues(&c, a, b); got != want {
 			t.Fatalf("%v and %v of %+v compare as %d, not %d: %x %x", a, b, c, got, want, keys[0], keys[1])
 		}
 	})
 }
 
-// row is one of a drawn shard.
+// row is a row of a drawn shard.
 type row struct {
 	vals  []datum
 	shard int
 	text  string
 }
 
-// TestMergeAgreesWithModel: what comes out is what a plain sort makes of all rows, however they come in, and what is held stays within its bound.
+// TestMergeAgreesWithModel: the rows are returned in the order of a plain sort, in whichever order they are added, and the bytes held
+// stay within their bound.
 func TestMergeAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := drawnOrder(t)
+		o := drawOrder(t)
 		n, window := rapid.IntRange(1, 6).Draw(t, "shards"), rapid.IntRange(1, 300).Draw(t, "window")
 		less := func(a, b row) int {
 			for i := range o.Own {
-				if c := before(&o.Columns[i], a.vals[i], b.vals[i]); c != 0 {
+				if c := compareValues(&o.Columns[i], a.vals[i], b.vals[i]); c != 0 {
 					return c
 				}
 			}
-			return cmp.Or(cmp.Compare(a.shard, b.shard), before(&o.Columns[o.Own], a.vals[o.Own], b.vals[o.Own]))
+			return cmp.Or(cmp.Compare(a.shard, b.shard), compareValues(&o.Columns[o.Own], a.vals[o.Own], b.vals[o.Own]))
 		}
 		shards, all, most := make([][]row, n), []row(nil), 0
 		for i := range n {
 			for k := range rapid.IntRange(0, 12).Draw(t, "rows") {
 				r := row{shard: i, text: fmt.Sprint(i, "/", k)}
 				for c := range o.Own {
-					r.vals = append(r.vals, drawn(t, &o.Columns[c]))
+					r.vals = append(r.vals, drawValue(t, &o.Columns[c]))
 				}
 				r.vals = append(r.vals, int64(k))
 				shards[i] = append(shards[i], r)
@@ -218,7 +219,7 @@
 				continue
 			case m.Full(i):
 				if take(); m.Full(i) && !slices.ContainsFunc(m.shards, func(s shard) bool { return s.open && s.empty() }) {
-					t.Fatal("nothing comes out, and nothing more may come in")
+					t.Fatal("no row is returned, and no shard may be read")
 				}
 				continue
 			}
@@ -230,7 +231,7 @@
 					own = len(key)
 				}
 				form := rapid.Bool().Draw(t, "binary")
-				key, _ = o.Columns[c].Append(key, wire(&o.Columns[c], r.vals[c], form), form)
+				key, _ = o.Columns[c].Append(key, encodeValue(&o.Columns[c], r.vals[c], form), form)
 			}
 			if err := m.Add(i, key, own, []byte(r.text)); err != nil {
 				t.Fatal(err)
@@ -253,7 +254,7 @@
 	})
 }
 
-// TestUnorderedRowsAreRejected: a shard whose row is not behind the one before is caught, whether that row is still here or not.
+// TestUnorderedRowsAreRejected: a row that is not behind the shard's row before is an error, whether that is still held or not.
 func TestUnorderedRowsAreRejected(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		m := New(1, 100)
@@ -270,12 +271,12 @@
 		}
 		m.End(0)
 		if err := m.Add(0, []byte{6, 1}, 1, nil); !errors.Is(err, ErrOrder) {
-			t.Errorf("behind its end: %v", err)
+			t.Errorf("after its end: %v", err)
 		}
 	}
 }
 
-// TestInvalidValuesAreRejected: what is not of its type is an error, in both forms.
+// TestInvalidValuesAreRejected: a value that is not of its type is an error, in both formats.
 func TestInvalidValuesAreRejected(t *testing.T) {
 	for typ, list := range map[Type][]string{Int: {"", "-", "1.5", "9223372036854775808", "+1", "99999999999999999999"}, Float: {"", "x", "0x1p4", "1_0", "inf"},
 		Bytea: {"", "abc", `\x1`, `\xgg`}, Timestamp: {"", "2026-13-01 00:00:00", "01/02/2026 00:00:00", "2026-01-01", "2026-01-01 00:00:00+00", "2026-01-01 00:00:00 AD"},
@@ -292,7 +293,7 @@
 	}
 }
 
-// FuzzKey: no key from outside has Values do worse than an error, and one that is taken gives itself again.
+// FuzzKey: Values returns an error for an invalid key, and the values of a valid one give the same key.
 func FuzzKey(f *testing.F) {
 	f.Add([]byte{2, 1, 2, 3, 4, 5, 6, 7, 8}, byte(0), false)
 	f.Add([]byte{2, 'a', 0, 1}, byte(2), false)
@@ -301,16 +302,16 @@
 		o := Order{Columns: []Column{c}, Own: 1}
 		vals, err := o.Values(key)
 		if err != nil || len(vals) == 0 || vals[0].Null || c.Type == Float || c.Type == Timestamp || c.Type == Instant {
-			return // of times and numbers not all bits are ones
+			return // several keys may have the same value
 		}
 		again, err := c.Append(nil, vals[0].Text, false)
 		if err != nil || !bytes.Equal(again, key) {
-			t.Errorf("%x came back as %q: %x, %v", key, vals[0].Text, again, err)
+			t.Errorf("%x was decoded as %q: %x, %v", key, vals[0].Text, again, err)
 		}
 	})
 }
 
-// BenchmarkMerge is a row's way through the merge: its key from the wire, in, and out.
+// BenchmarkMerge measures a row: its key, Add and Next.
 func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{1, 4, 16, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -346,7 +347,7 @@
 	}
 }
 
-// TestMergeDoesNotAllocate: a row costs no allocation once buffers have their size.
+// TestMergeDoesNotAllocate: a row needs no allocation once the buffers have grown.
 func TestMergeDoesNotAllocate(t *testing.T) {
 	m, key, text := New(2, 1<<16), make([]byte, 8), make([]byte, 100)
 	count := uint64(0)
--- a/internal/frontend/scatter/plan/plan_test.go
+++ b/internal/frontend/scatter/plan/plan_test.go
@@ -14,7 +14,7 @@
 
 const body = "SELECT id, at FROM orders WHERE site = $1 /*after*/ /*order*/ "
 
-// TestParse reads what a comment says, and has one line for each fault.
+// TestParse: the options of a comment are parsed, and each fault is an error.
 func TestParse(t *testing.T) {
 	for name, c := range map[string]struct {
 		sql  string
@@ -22,18 +22,19 @@
 		ok   bool
 		err  error
 	}{
-		"all of it":         {body + "/* scatter=orders, page=50,d=2000.5,t=acme,cursor=AbC_-1 */;", Query{Scatter: "orders", Rows: 50, TimeoutMs: 2000.5, Tenant: "acme", Cursor: "AbC_-1", Statement: body}, true, nil},
-		"a parameter":       {body + "/* scatter=orders,cursor=$2 */", Query{Scatter: "orders", Cursor: "$2", CursorParam: 2, Statement: body}, true, nil},
-		"none":              {"SELECT 1", Query{}, false, nil},
-		"another's comment": {"SELECT 1 /* id=1,c=a,d=3,cluster=0 */", Query{}, false, nil},
-		"no marks":          {"SELECT 1 /* scatter=orders */", Query{}, true, ErrPlaceholders},
-		"a mark twice":      {body + "/*order*/ /* scatter=orders */", Query{}, true, ErrPlaceholders},
-		"turned round":      {"SELECT 1 /*order*/ /*after*/ /* scatter=orders */", Query{}, true, ErrPlaceholders},
-		"page of none":      {body + "/* scatter=orders,page=0 */", Query{}, true, ErrComment},
-		"no wait":           {body + "/* scatter=orders,d=NaN */", Query{}, true, ErrComment},
-		"no parameter":      {body + "/* scatter=orders,cursor=$x */", Query{}, true, ErrComment},
-		"twice":             {body + "/* scatter=orders,page=1,page=2 */", Query{}, true, ErrComment},
-		"an endless name":   {body + "/* scatter=" + strings.Repeat("x", 65) + " */", Query{}, true, ErrComment},
+		"all options": {body + "/* scatter=orders, page=50,d=2000.5,t=acme,cursor=AbC_-1 */;",
+			Query{Scatter: "orders", Rows: 50, TimeoutMs: 2000.5, Tenant: "acme", Cursor: "AbC_-1", Statement: body}, true, nil},
+		"a parameter":               {body + "/* scatter=orders,cursor=$2 */", Query{Scatter: "orders", Cursor: "$2", CursorParam: 2, Statement: body}, true, nil},
+		"none":                      {"SELECT 1", Query{}, false, nil},
+		"another program's comment": {"SELECT 1 /* id=1,c=a,d=3,cluster=0 */", Query{}, false, nil},
+		"no placeholders":           {"SELECT 1 /* scatter=orders */", Query{}, true, ErrPlaceholders},
+		"a placeholder twice":       {body + "/*order*/ /* scatter=orders */", Query{}, true, ErrPlaceholders},
+		"in the wrong order":        {"SELECT 1 /*order*/ /*after*/ /* scatter=orders */", Query{}, true, ErrPlaceholders},
+		"page of none":              {body + "/* scatter=orders,page=0 */", Query{}, true, ErrComment},
+		"no timeout":                {body + "/* scatter=orders,d=NaN */", Query{}, true, ErrComment},
+		"no parameter":              {body + "/* scatter=orders,cursor=$x */", Query{}, true, ErrComment},
+		"twice":                     {body + "/* scatter=orders,page=1,page=2 */", Query{}, true, ErrComment},
+		"a name too long":           {body + "/* scatter=" + strings.Repeat("x", 65) + " */", Query{}, true, ErrComment},
 	} {
 		got, ok, err := Parse(c.sql)
 		if ok != c.ok || !errors.Is(err, c.err) {
@@ -45,7 +46,7 @@
 	}
 }
 
-// TestShardStatement: the three ways in which a shard stands to a row, and what NULLs make of them.
+// TestShardStatement: the condition at a shard before, at and after that of the place, with and without NULLs.
 func TestShardStatement(t *testing.T) {
 	o := merge.Order{Columns: []merge.Column{{Name: "at", Type: merge.Int, Desc: true, NullsFirst: true}, {Name: `a"b`, Expr: "o.name", Type: merge.Text}, {Name: "id", Type: merge.Int}}, Own: 2}
 	key := func(vals ...[]byte) cursor.Place {
@@ -70,7 +71,7 @@
 		"from the start":           {cursor.Place{}, 0, "", ""},
 		"a shard before the row's": {row, 0, " AND (" + two + ")", "5 x"},
 		"the row's":                {row, 1, " AND (" + two + ` OR "at" = $2::int8 AND o.name COLLATE "C" = $3::text AND ("id" > $4::int8 OR "id" IS NULL))`, "5 x 9"},
-		"a shard behind":           {row, 2, " AND (" + two + ` OR "at" = $2::int8 AND o.name COLLATE "C" = $3::text)`, "5 x"},
+		"a shard after the row's":  {row, 2, " AND (" + two + ` OR "at" = $2::int8 AND o.name COLLATE "C" = $3::text)`, "5 x"},
 		"nulls":                    {null, 0, ` AND ("at" IS NOT NULL)`, ""},
 		"nulls, behind":            {null, 2, ` AND ("at" IS NOT NULL OR "at" IS NULL AND o.name COLLATE "C" IS NULL)`, ""},
 	} {
--- /dev/null
+++ b/internal/frontend/scatter/reuse_test.go
@@ -0,0 +1,74 @@
+package scatter
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"testing"
+
+	"github.com/jackc/pgx/v5/pgproto3"
+
+	"beechgrade/internal/decide"
+	"beechgrade/internal/frontend/pooling/sessionstate"
+	"beechgrade/internal/frontend/scatter/plan"
+)
+
+// TestReusedConnectionBreaksBeforeSend: a part reuses the connection of another page, and waits for the server of the other shard, which
+// does not answer, so that nothing is sent. The state that the other page left on the connection must not be taken for an answer: when
+// the client disconnects, the attempt ends as not sent, and the connection is idle again.
+func TestReusedConnectionBreaksBeforeSend(t *testing.T) {
+	for how, then := range map[string]func(f *fixture, s *Scatter, a *statement){
+		"the client disconnects": func(f *fixture, s *Scatter, _ *statement) { f.onLoop(s.Abandon) },
+		"a parameter comes, and the client disconnects": func(f *fixture, s *Scatter, a *statement) {
+			a.sendParameter("application_name", "x")
+			f.waitFor("the parameter", func() bool { return s.parts[0].attempts[0].link.params["application_name"] == "x" })
+			f.onLoop(s.Abandon)
+		},
+	} {
+		t.Run(how, func(t *testing.T) {
+			f := newFixture(t)
+			a, c := f.firstStatements()
+			a.beginAnswer().sendRows(1).endAnswer(true)
+			c.beginAnswer().sendRows(2).endAnswer(true)
+			f.wantPage("[1 2]", fmt.Sprint("0 ", decide.OK), fmt.Sprint("1 ", decide.OK))
+			unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and does not answer
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = unresponsive.Close() }()
+			_ = c.conn.Close()
+			f.waitFor("the connection is closed", func() bool { return f.frontend.conns == 1 })
+			var s *Scatter
+			f.onLoop(func() {
+				f.frontend.SetAddress("c", unresponsive.Addr().String())
+				f.nextServer = "a"
+				query := plan.Query{Scatter: "visits", Statement: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
+				if s, err = f.frontend.Begin(query, Caller{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}, []byte{0, 0}, nil, f); err != nil {
+					t.Error(err)
+					return
+				}
+				if p := s.parts[0]; len(p.attempts) != 1 || p.attempts[0].link == nil || p.attempts[0].link.sent {
+					t.Error("the part does not reuse the connection of the other page, or was sent")
+				}
+			})
+			if t.Failed() {
+				return
+			}
+			then(f, s, a)
+			f.onLoop(func() {
+				if !slices.Contains(f.outcomes, fmt.Sprint("2 ", decide.NotSent)) {
+					t.Errorf("the attempt did not end as not sent: %q", f.outcomes)
+				}
+				if n := len(f.frontend.idle[connKey{"a", "d", "u"}]); n != 1 {
+					t.Errorf("%d connections to its server are idle, not 1", n)
+				}
+			})
+		})
+	}
+}
+
+// sendParameter sends a ParameterStatus.
+func (s *statement) sendParameter(name, value string) {
+	s.backend.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
+	_ = s.backend.Flush()
+}
