--- a/cmd/beechgrade-kit/compatibility_test.go
+++ b/cmd/beechgrade-kit/compatibility_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"crypto/sha256"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -14,32 +13,14 @@
 	"github.com/google/go-cmp/cmp"
 	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
-)
 
-// The tests of this file compare what others read, and what a run in virtual time comes to, with golden files. -update-compatibility
-// rewrites the files, for a change that is meant to be seen.
-var updateCompatibility = flag.Bool("update-compatibility", false, "rewrite the golden files of the compatibility tests")
+	"beechgrade/internal/testkit/golden"
+)
 
+// The tests of this file compare what others read, and what a run in virtual time comes to, with golden files.
+// -update-golden rewrites the files, for a change that is meant to be seen.
 const compatibilityDir = "testdata/compatibility"
 
-// golden compares a text with its golden file.
-func golden(t testing.TB, name, got string) {
-	t.Helper()
-	path := filepath.Join(compatibilityDir, name)
-	if *updateCompatibility {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Errorf("%s has changed:\n%s", name, diff)
-	}
-}
-
 // TestCommandsAreStable compares the names of all commands and flags, with their defaults.
 func TestCommandsAreStable(t *testing.T) {
 	t.Parallel()
@@ -60,7 +41,7 @@
 		}
 	}
 	describe(command(), "")
-	golden(t, "commands.txt", out.String())
+	golden.Compare(t, filepath.Join(compatibilityDir, "commands.txt"), out.String())
 }
 
 // slowScenarios are too large for a test in every run.
@@ -80,7 +61,7 @@
 	}
 	const file = "virtual-time.txt"
 	text, err := os.ReadFile(filepath.Join(compatibilityDir, file))
-	if err != nil && !*updateCompatibility {
+	if err != nil && !golden.Updating() {
 		t.Fatal(err)
 	}
 	want := map[string]string{}
@@ -98,14 +79,14 @@
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				lines[i] = virtualRun(t, name, script)
-				if diff := cmp.Diff(want[name], lines[i]); diff != "" && !*updateCompatibility {
+				if diff := cmp.Diff(want[name], lines[i]); diff != "" && !golden.Updating() {
 					t.Errorf("the run has changed:\n%s", diff)
 				}
 			})
 		}
 	})
-	if *updateCompatibility {
-		golden(t, file, strings.Join(lines, ""))
+	if golden.Updating() {
+		golden.Compare(t, filepath.Join(compatibilityDir, file), strings.Join(lines, ""))
 	}
 }
 
@@ -140,5 +121,5 @@
 	if err := cmd.Run(context.Background(), []string{"beechgrade-kit", "incident", "summary", "--json", filepath.Join("testdata", "stored-756537a")}); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "stored-records.json", out.String())
+	golden.Compare(t, filepath.Join(compatibilityDir, "stored-records.json"), out.String())
 }
--- a/cmd/beechgrade/compatibility_test.go
+++ b/cmd/beechgrade/compatibility_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"errors"
-	"flag"
 	"fmt"
 	"net/http"
 	"os"
@@ -16,38 +15,18 @@
 	"testing"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
 	jsoniter "github.com/json-iterator/go"
 
 	"beechgrade/internal/protocol/pgwire"
 	"beechgrade/internal/settings"
 	"beechgrade/internal/sexp"
+	"beechgrade/internal/testkit/golden"
 )
 
 // The tests of this file compare what others read with golden files: operators' settings, admin answers, names of metrics, and answers to
-// clients. -update-compatibility rewrites the files, for a change that is meant to be seen from outside.
-var updateCompatibility = flag.Bool("update-compatibility", false, "rewrite the golden files of the compatibility tests")
-
+// clients. -update-golden rewrites the files, for a change that is meant to be seen.
 const compatibilityDir = "testdata/compatibility"
 
-// golden compares a text with its golden file.
-func golden(t testing.TB, name, got string) {
-	t.Helper()
-	path := filepath.Join(compatibilityDir, name)
-	if *updateCompatibility {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Errorf("%s: what others read has changed:\n%s", name, diff)
-	}
-}
-
 // compatibilitySettings returns the settings file that has every form, with the given folder and address of peers in it.
 func compatibilitySettings(t testing.TB, dir, peers string) string {
 	t.Helper()
@@ -79,7 +58,7 @@
 			t.Fatal(err)
 		}
 	}
-	golden(t, "check.txt", strings.ReplaceAll(out.String(), dir, "$DIR"))
+	golden.Compare(t, filepath.Join(compatibilityDir, "check.txt"), strings.ReplaceAll(out.String(), dir, "$DIR"))
 }
 
 // printNode writes a settings node as text.
@@ -153,7 +132,7 @@
 	}
 	nodes = append(nodes, unknown)
 	report("/")
-	golden(t, "unknown-settings.txt", out.String())
+	golden.Compare(t, filepath.Join(compatibilityDir, "unknown-settings.txt"), out.String())
 }
 
 // jsonKeys lists the paths of all keys of a JSON value; elements of a list count as one.
@@ -233,7 +212,7 @@
 	}
 	slices.Sort(keys)
 	fmt.Fprintf(&out, "\n/-/zones\n%s\n", strings.Join(keys, "\n"))
-	golden(t, "admin.txt", out.String())
+	golden.Compare(t, filepath.Join(compatibilityDir, "admin.txt"), out.String())
 }
 
 // errorFields returns the fields of a server's error message as text.
@@ -393,5 +372,5 @@
 	late.send(pgwire.AppendStartup(nil, "backend", "store"))
 	fmt.Fprintf(&out, "a new connection while clients are sent away: %s\n", answerText(late))
 	text := regexp.MustCompile(`D=\d+`).ReplaceAllString(out.String(), "D=MS")
-	golden(t, "client-answers.txt", text)
+	golden.Compare(t, filepath.Join(compatibilityDir, "client-answers.txt"), text)
 }
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -24,6 +24,7 @@
 	"beechgrade/internal/storage/sessiontoken"
 	"beechgrade/internal/storage/snapshots"
 	"beechgrade/internal/storage/store"
+	"beechgrade/internal/testkit/golden"
 )
 
 // storedData copies the data that version 756537a wrote to its disk, so that a test may open it for writing.
@@ -71,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "stored-handover.json", asJSON(t, state))
+	golden.Compare(t, filepath.Join(compatibilityDir, "stored-handover.json"), asJSON(t, state))
 }
 
 // TestStoredEndpointsAreReadable reads a saved list of servers.
@@ -85,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "stored-endpoints.json", asJSON(t, file))
+	golden.Compare(t, filepath.Join(compatibilityDir, "stored-endpoints.json"), asJSON(t, file))
 }
 
 // TestStoredSnapshotsAreReadable reads the last good configuration and list.
@@ -106,7 +107,7 @@
 		}
 		fmt.Fprintf(&out, "%s from %s, saved at %.0f: %s\n", what, record.Source, record.SavedMs, record.Body)
 	}
-	golden(t, "stored-snapshots.txt", out.String())
+	golden.Compare(t, filepath.Join(compatibilityDir, "stored-snapshots.txt"), out.String())
 }
 
 // TestStoredSessionsAreReadable reads sessions' last commits.
@@ -121,7 +122,7 @@
 	for _, commit := range keeper.Snapshot().Commits {
 		fmt.Fprintf(&out, "%s %d\n", commit.Session, commit.At)
 	}
-	golden(t, "stored-sessions.txt", out.String())
+	golden.Compare(t, filepath.Join(compatibilityDir, "stored-sessions.txt"), out.String())
 }
 
 // TestStoredCreditIsReadable reads what a process had spent of its leases when it ended.
@@ -168,7 +169,7 @@
 	for _, attempt := range journal.Pending(openStored(t, storedData(t), "journal")) {
 		fmt.Fprintf(&out, "%s at %s, attempt %d, %.3f: ended as %d\n", attempt.ID, attempt.Server, attempt.Number, attempt.StartedAt, attempt.Outcome)
 	}
-	golden(t, "stored-journal.txt", out.String())
+	golden.Compare(t, filepath.Join(compatibilityDir, "stored-journal.txt"), out.String())
 }
 
 // TestStoredRaftLogIsReadable restores the log in common from a voter's disk.
@@ -191,5 +192,5 @@
 	}
 	standing := log.Status()
 	fmt.Fprintf(&out, "%d records; term %d, commit %d, first %d, last %d\n", len(records), standing.Term, standing.CommitIndex, standing.FirstIndex, standing.LastIndex)
-	golden(t, "stored-raft-log.txt", out.String())
+	golden.Compare(t, filepath.Join(compatibilityDir, "stored-raft-log.txt"), out.String())
 }
