--- a/cmd/beechgrade-kit/lab.go
+++ b/cmd/beechgrade-kit/lab.go
@@ -161,7 +161,7 @@
 			fmt.Fprintf(w, "parts: %.1f datagrams and %.0f bytes a second of each pooler\n", v.ModuleMessages, v.ModuleBytes)
 		}
 	}
-	heedsText(w, r)
+	ejectionsText(w, r)
 	if r.ModuleMs > 0 {
 		fmt.Fprintf(w, "\ndecision module: %.1f us a try, %.0f%% of the run\n", 1000*r.ModuleMs/float64(max(1, r.ClientAttempts)), 100*r.ModuleMs/r.WallMs)
 	}
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// heedsText tells how verdicts went round.
-func heedsText(w io.Writer, r *simulation.Result) {
+// ejectionsText tells how verdicts went round.
+func ejectionsText(w io.Writer, r *simulation.Result) {
 	if len(r.Ejections) == 0 {
 		return
 	}
--- a/cmd/beechgrade-kit/load.go
+++ b/cmd/beechgrade-kit/load.go
@@ -160,7 +160,7 @@
 // newLoadTarget is the target that the flags name.
 func newLoadTarget(c *cli.Command, classes []clients.Class, seed uint64) loadTarget {
 	if at := c.String("clickhouse"); at != "" {
-		return &load.House{
+		return &load.ClickHouse{
 			URL:       at,
 			Read:      "SELECT content FROM kv WHERE name = '?'",
 			Write:     "INSERT INTO kv (name, content) VALUES ('?', unhex('00'))",
--- a/cmd/beechgrade-kit/peers.go
+++ b/cmd/beechgrade-kit/peers.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// asked is what one pooler said, or why it did not.
-type asked struct {
+// peerAnswer is what one pooler said, or why it did not.
+type peerAnswer struct {
 	Addr    string                 `json:"addr"`
 	Name    string                 `json:"name,omitempty"`
 	Err     string                 `json:"error,omitempty"`
@@ -44,14 +44,14 @@
 }
 
 // queryPeers asks poolers side by side.
-func queryPeers(addrs []string, key cluster.Key) []*asked {
-	out := make([]*asked, len(addrs))
+func queryPeers(addrs []string, key cluster.Key) []*peerAnswer {
+	out := make([]*peerAnswer, len(addrs))
 	var wg sync.WaitGroup
 	for i, a := range addrs {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out[i] = &asked{Addr: a}
+			out[i] = &peerAnswer{Addr: a}
 			shown, err := cluster.QueryStatus(a, key)
 			if err != nil {
 				out[i].Err = err.Error()
@@ -81,7 +81,7 @@
 		var more []string
 		for _, v := range views {
 			for _, r := range v.Records {
-				known := slices.ContainsFunc(views, func(o *asked) bool { return o.Addr == r.Addr || len(o.Records) > 0 && o.Records[0].ID == r.ID })
+				known := slices.ContainsFunc(views, func(o *peerAnswer) bool { return o.Addr == r.Addr || len(o.Records) > 0 && o.Records[0].ID == r.ID })
 				if !known && r.State <= fleetview.Suspect && !slices.Contains(more, r.Addr) {
 					more = append(more, r.Addr)
 				}
@@ -98,20 +98,20 @@
 }
 
 // peersText lays views side by side: a line for each process, first those on which the poolers differ.
-func peersText(w io.Writer, views []*asked) error {
+func peersText(w io.Writer, views []*peerAnswer) error {
 	type line struct {
 		fleetview.Record
 		says   []string
 		differ bool
 	}
 	lines := map[fleetview.ID]*line{}
-	heard := 0
+	answered := 0
 	for _, v := range views {
 		if v.Err != "" {
 			fmt.Fprintf(w, "%s does not answer: %s\n", v.Addr, v.Err)
 			continue
 		}
-		heard++
+		answered++
 		for _, r := range v.Records {
 			l := lines[r.ID]
 			if l == nil {
@@ -130,14 +130,14 @@
 				continue
 			}
 			i := slices.IndexFunc(v.Records, func(r fleetview.Record) bool { return r.ID == id })
-			says := "-"
+			states := "-"
 			if i >= 0 {
-				if says = v.Records[i].State.String(); v.Records[i].Draining {
-					says += ", drains"
+				if states = v.Records[i].State.String(); v.Records[i].Draining {
+					states += ", drains"
 				}
 			}
-			l.says = append(l.says, says)
-			l.differ = l.differ || says != l.says[0]
+			l.says = append(l.says, states)
+			l.differ = l.differ || states != l.says[0]
 		}
 		order = append(order, l)
 	}
@@ -168,14 +168,14 @@
 				map[bool]string{true: "sees a majority", false: "sees no majority"}[v.Counts.Majority], map[bool]string{true: ", hears nobody"}[v.Counts.Isolated])
 		}
 	}
-	if avoidedText(w, views); heard == 0 {
+	if avoidedText(w, views); answered == 0 {
 		return failed{errors.New("nobody answers")}
 	}
 	return nil
 }
 
 // avoidedText tells why servers are avoided, by whose word, and until when.
-func avoidedText(w io.Writer, views []*asked) {
+func avoidedText(w io.Writer, views []*peerAnswer) {
 	names := map[fleetview.ID]string{}
 	for _, v := range views {
 		for _, r := range v.Records {
--- a/cmd/beechgrade-kit/peers_test.go
+++ b/cmd/beechgrade-kit/peers_test.go
@@ -11,7 +11,7 @@
 // TestPeersAvoided: what poolers avoid is told with why, by whose word and until when; an ID that nobody has a name for stands as it is.
 func TestPeersAvoided(t *testing.T) {
 	var b strings.Builder
-	err := peersText(&b, []*asked{
+	err := peersText(&b, []*peerAnswer{
 		{Addr: "x", Err: "refused"},
 		{Addr: "y", Name: "pooler-4", Records: []fleetview.Record{{ID: 4, Name: "pooler-4"}, {ID: 1, Name: "pooler-1"}},
 			Avoided: []module.AvoidedServer{{Server: "db-7", Reason: "silent", ReportedBy: []fleetview.ID{1, 0x9f}, UntilMs: 1764650000912}}},
--- a/internal/testkit/endpointreport/propagation/pace.go
+++ b/internal/testkit/endpointreport/propagation/pace.go
@@ -195,14 +195,14 @@
 	r := &Result{Servers: servers, Services: services, FirstMs: clk.Now() - began}
 	r.Goroutines = runtime.NumGoroutine() - goroutines
 	r.HeapMB = heap() - was
-	rest := func(sec float64) {
+	remaining := func(sec float64) {
 		select {
 		case <-time.After(time.Duration(sec * float64(time.Second))):
 		case <-ctx.Done():
 		}
 	}
 	from, at := cpu(), clk.Now()
-	rest(min(2, seconds))
+	remaining(min(2, seconds))
 	r.IdleCPU = (cpu() - from) / (clk.Now() - at)
 
 	hist := hdrhistogram.New(1, 60_000_000, 3)
@@ -219,10 +219,10 @@
 			changed[mark(fmt.Sprintf("s-%d", i), float64(weight))] = clk.Now()
 		}
 		put(ids, weight)
-		rest(0.1)
+		remaining(0.1)
 	}
 	r.BusyCPU = (cpu() - from) / (clk.Now() - at)
-	rest(1)
+	remaining(1)
 	k.mu.Lock()
 	for id, when := range changed {
 		if heard, ok := k.when[id]; ok { // one that changed again before it was asked for is not heard by itself
--- a/internal/testkit/lab/experiment.go
+++ b/internal/testkit/lab/experiment.go
@@ -162,9 +162,9 @@
 			c.Labels = append(c.Labels, v.Label)
 			items = scenario.ReplaceForms(items, v.Forms)
 		}
-		whole := *base
-		whole.Items = items
-		s, err := scenario.Read(&whole)
+		complete := *base
+		complete.Items = items
+		s, err := scenario.Read(&complete)
 		if err != nil {
 			return fmt.Errorf("cell %q: %w", c.Key(), err)
 		}
--- a/internal/testkit/lab/lab_test.go
+++ b/internal/testkit/lab/lab_test.go
@@ -89,9 +89,9 @@
 // TestResumed: an experiment that was broken off at any point, within a line too, goes on and comes to the same table.
 func TestResumed(t *testing.T) {
 	x, dir := parse(t, small), t.TempDir()
-	whole, err := Run(context.Background(), x, dir, nil)
-	if err != nil || len(whole) != 12 {
-		t.Fatalf("%d runs: %v", len(whole), err)
+	complete, err := Run(context.Background(), x, dir, nil)
+	if err != nil || len(complete) != 12 {
+		t.Fatalf("%d runs: %v", len(complete), err)
 	}
 	path := filepath.Join(dir, ResultsFile)
 	all, err := os.ReadFile(path)
@@ -108,7 +108,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(whole, again); diff != "" {
+		if diff := cmp.Diff(complete, again); diff != "" {
 			t.Fatalf("cut at byte %d: %s", cut, diff)
 		}
 		if lines, err := Read(dir); err != nil || len(lines) != 12 {
@@ -123,11 +123,11 @@
 	if _, err := Run(ctx, x, dir, nil); !errors.Is(err, context.Canceled) {
 		t.Errorf("called off: %v", err)
 	}
-	if again, err := Run(context.Background(), x, dir, nil); err != nil || cmp.Diff(whole, again) != "" {
+	if again, err := Run(context.Background(), x, dir, nil); err != nil || cmp.Diff(complete, again) != "" {
 		t.Errorf("after being called off: %v", err)
 	}
 	var b bytes.Buffer
-	if err := HTML(&b, x, whole); err != nil || strings.Contains(b.String(), "NaN") || !strings.Contains(b.String(), "goal by rate") {
+	if err := HTML(&b, x, complete); err != nil || strings.Contains(b.String(), "NaN") || !strings.Contains(b.String(), "goal by rate") {
 		t.Errorf("the report: %v", err)
 	}
 }
--- a/internal/testkit/lab/run.go
+++ b/internal/testkit/lab/run.go
@@ -113,14 +113,14 @@
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, ErrBusy)
 	}
-	lines, whole, err := readLines(f)
+	lines, complete, err := readLines(f)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.Truncate(whole); err != nil { // a line that was cut off
+	if err := f.Truncate(complete); err != nil { // a line that was cut off
 		return nil, err
 	}
-	if _, err := f.Seek(whole, io.SeekStart); err != nil {
+	if _, err := f.Seek(complete, io.SeekStart); err != nil {
 		return nil, err
 	}
 	type job struct {
@@ -221,21 +221,21 @@
 }
 
 // readLines reads a table as far as it is whole, and tells where that ends.
-func readLines(r io.Reader) (lines []Line, whole int64, err error) {
+func readLines(r io.Reader) (lines []Line, complete int64, err error) {
 	in := bufio.NewReaderSize(r, 1<<16)
 	for {
 		b, err := in.ReadBytes('\n')
 		if err != nil || len(b) > maxLine {
 			if err == io.EOF || err == nil {
-				return lines, whole, nil
+				return lines, complete, nil
 			}
 			return nil, 0, err
 		}
 		var l Line
 		if json.Unmarshal(bytes.TrimSpace(b), &l) != nil {
-			return lines, whole, nil // what stands behind it is run again
+			return lines, complete, nil // what stands behind it is run again
 		}
-		whole += int64(len(b))
+		complete += int64(len(b))
 		lines = append(lines, l)
 	}
 }
--- a/internal/testkit/load/load.go
+++ b/internal/testkit/load/load.go
@@ -99,12 +99,12 @@
 
 // The endings of shots that no pooler decided.
 const (
-	Served  Ending = "served"
-	Refused Ending = "refused"
-	Failed  Ending = "failed"
-	Silent  Ending = "no answer"
-	Broken  Ending = "broken"
-	Dropped Ending = "not sent" // more were out than may be
+	Served     Ending = "served"
+	Refused    Ending = "refused"
+	Failed     Ending = "failed"
+	Unanswered Ending = "no answer"
+	Broken     Ending = "broken"
+	Dropped    Ending = "not sent" // more were out than may be
 )
 
 // Target takes shots. It is used by many goroutines at once.
--- a/internal/testkit/load/load_test.go
+++ b/internal/testkit/load/load_test.go
@@ -137,7 +137,7 @@
 			w.WriteHeader(http.StatusBadGateway)
 		}
 	}))
-	h := &House{URL: s.URL, Read: "SELECT '?'", Write: "INSERT '?'", TimeoutMs: 20000}
+	h := &ClickHouse{URL: s.URL, Read: "SELECT '?'", Write: "INSERT '?'", TimeoutMs: 20000}
 	got := []Ending{h.Fire(context.Background(), Shot{Class: "c", Session: 1}), h.Fire(context.Background(), Shot{
 		Class:   "c",
 		Session: 3,
--- a/internal/testkit/load/report.go
+++ b/internal/testkit/load/report.go
@@ -14,7 +14,7 @@
 //go:embed report.html
 var page string
 
-var endings = []Ending{Served, Refused, Failed, Silent, Broken, Dropped}
+var endings = []Ending{Served, Refused, Failed, Unanswered, Broken, Dropped}
 
 // Text writes a result for a terminal.
 func Text(w io.Writer, r *Result) error {
--- a/internal/testkit/load/targets.go
+++ b/internal/testkit/load/targets.go
@@ -167,7 +167,7 @@
 	case errors.As(err, &pe):
 		return Failed
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
-		return Silent
+		return Unanswered
 	}
 	return Broken
 }
@@ -185,8 +185,8 @@
 	}
 }
 
-// House asks the ClickHouse front: reads and writes are queries of the given texts, in which ? stands for the session's key.
-type House struct {
+// ClickHouse asks the ClickHouse front: reads and writes are queries of the given texts, in which ? stands for the session's key.
+type ClickHouse struct {
 	URL       string // http://user@host:port
 	Read      string
 	Write     string
@@ -197,7 +197,7 @@
 }
 
 // Fire is Target's.
-func (h *House) Fire(ctx context.Context, s Shot) Ending {
+func (h *ClickHouse) Fire(ctx context.Context, s Shot) Ending {
 	h.once.Do(func() {
 		h.client = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: keepIdle}}
 	})
@@ -220,7 +220,7 @@
 	}
 	switch {
 	case ctx.Err() != nil:
-		return Silent
+		return Unanswered
 	case err != nil:
 		return Broken
 	case res.StatusCode == http.StatusServiceUnavailable:
@@ -232,7 +232,7 @@
 }
 
 // Close closes all connections.
-func (h *House) Close() {
+func (h *ClickHouse) Close() {
 	if h.client != nil {
 		h.client.CloseIdleConnections()
 	}
--- a/internal/testkit/sizes/measure.go
+++ b/internal/testkit/sizes/measure.go
@@ -103,12 +103,12 @@
 	}
 	address := l.Addr().String()
 	_ = l.Close()
-	told, err := json.Marshal(script.PoolerSettings(0, "sizes", address, fleet.address, 1, descriptors, fleet.known()))
+	reported, err := json.Marshal(script.PoolerSettings(0, "sizes", address, fleet.address, 1, descriptors, fleet.known()))
 	if err != nil {
 		return nil, err
 	}
 	config, settings := filepath.Join(options.Folder, fmt.Sprintf("config-%d.json", servers)), filepath.Join(options.Folder, "operators.sexp")
-	if err := os.WriteFile(config, told, 0o600); err != nil {
+	if err := os.WriteFile(config, reported, 0o600); err != nil {
 		return nil, err
 	}
 	if err := os.WriteFile(settings, nil, 0o600); err != nil {
--- a/internal/testkit/sizes/servers.go
+++ b/internal/testkit/sizes/servers.go
@@ -138,11 +138,11 @@
 		case <-changed:
 		}
 		s.mu.Lock()
-		news := s.changes[next:]
+		updates := s.changes[next:]
 		next, changed = len(s.changes), s.changed
 		s.mu.Unlock()
-		for i := range news {
-			if b, err := jsoniter.Marshal(news[i]); err == nil {
+		for i := range updates {
+			if b, err := jsoniter.Marshal(updates[i]); err == nil {
 				s.write(w, b)
 			}
 		}
--- a/internal/testkit/storebench/storebench.go
+++ b/internal/testkit/storebench/storebench.go
@@ -215,12 +215,12 @@
 		}
 		for at := 0; at < len(b); at += step {
 			for _, how := range []string{"cut", "flipped"} {
-				bad := append([]byte(nil), b...)
-				if bad[at] ^= 0x20; how == "cut" {
-					bad = append([]byte(nil), b[:at]...)
+				damaged := append([]byte(nil), b...)
+				if damaged[at] ^= 0x20; how == "cut" {
+					damaged = append([]byte(nil), b[:at]...)
 				}
 				try := filepath.Join(dir, name+"-try")
-				if err := errors.Join(os.RemoveAll(try), os.MkdirAll(try, 0o750), os.WriteFile(filepath.Join(try, file), bad, 0o640)); err != nil {
+				if err := errors.Join(os.RemoveAll(try), os.MkdirAll(try, 0o750), os.WriteFile(filepath.Join(try, file), damaged, 0o640)); err != nil {
 					return nil, err
 				}
 				d.one(ctx, kit, try, fmt.Sprintf("%s at %d", how, at))
@@ -242,20 +242,20 @@
 	short, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	text, err := exec.CommandContext(short, kit, "store", "opened", d.Name, dir).Output()
-	word := strings.Fields(string(text))
+	fields := strings.Fields(string(text))
 	n := -1
-	if len(word) == 2 && word[0] == "prefix" {
-		n, _ = strconv.Atoi(word[1])
+	if len(fields) == 2 && fields[0] == "prefix" {
+		n, _ = strconv.Atoi(fields[1])
 	}
 	switch {
 	case err == nil && n == damageRecords:
 		d.Same++
 	case err == nil && n >= 0:
 		d.Prefix++
-	case len(word) > 0 && word[0] == "refused":
+	case len(fields) > 0 && fields[0] == "refused":
 		d.Refused++
 	default:
-		if len(word) > 0 && word[0] == "wrong" {
+		if len(fields) > 0 && fields[0] == "wrong" {
 			d.Wrong++
 		} else {
 			d.Died++
@@ -269,10 +269,10 @@
 // Opened opens a candidate and says in a line what it holds: "prefix N", "wrong", or "refused".
 func Opened(name, dir string) string {
 	var keys []string
-	bad := false
+	damaged := false
 	take := func(k string, v []byte) {
 		keys = append(keys, k)
-		bad = bad || len(v) != valueBytes || strings.Trim(string(v), "\x00") != ""
+		damaged = damaged || len(v) != valueBytes || strings.Trim(string(v), "\x00") != ""
 	}
 	if name == "store" {
 		s, _, err := store.Open(store.Options{FS: store.Dir(dir)})
@@ -298,9 +298,9 @@
 		}
 	}
 	for i, k := range keys {
-		bad = bad || k != fmt.Sprintf("%012d", i)
+		damaged = damaged || k != fmt.Sprintf("%012d", i)
 	}
-	if bad {
+	if damaged {
 		return "wrong"
 	}
 	return fmt.Sprint("prefix ", len(keys))
