--- a/internal/frontend/scatter/attempts_test.go
+++ b/internal/frontend/scatter/attempts_test.go
@@ -71,7 +71,8 @@
 func (f *fixture) startAttempt(n int, server string) {
 	x := f.requests[n]
 	x.server = server
-	x.attempts = append(x.attempts, f.frontend.StartAttempt(server, x.request.Query, f.loop.Now()+10000, backend.AttemptID{Request: slotmap.Ref{Index: uint32(n)}}))
+	id := backend.AttemptID{Request: slotmap.Ref{Index: uint32(n)}}
+	x.attempts = append(x.attempts, f.frontend.StartAttempt(server, x.request.Query, f.loop.Now()+10000, id))
 }
 
 func (f *fixture) Abandon(ref slotmap.Ref) { f.endRequest(f.requests[ref.Index]) }
@@ -120,7 +121,8 @@
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, statements: make(chan *statement, 10), page: make(chan string, 1)}
 	started, ended := make(chan struct{}), make(chan error, 1)
-	f.loop = eventloop.New(clock.System(), slog.New(slog.DiscardHandler), func() eventloop.Handler { return closingHandler{} }, func() { close(started) })
+	accept := func() eventloop.Handler { return closingHandler{} }
+	f.loop = eventloop.New(clock.System(), slog.New(slog.DiscardHandler), accept, func() { close(started) })
 	go func() { ended <- f.loop.Run("127.0.0.1:0") }()
 	<-started
 	t.Cleanup(func() {
@@ -131,9 +133,11 @@
 	})
 	spec := Spec{Name: "visits", Class: "reports", Shards: []Shard{{"one", 0}, {"two", 1}},
 		Order:       merge.Order{Columns: []merge.Column{{Name: "id", Expr: "id", Type: merge.Int}}},
-		DefaultRows: 50, MaxRows: 50, PageBytes: 1 << 20, MaxRowBytes: 1 << 10, MaxConcurrent: 4, TimeoutMs: 10000, UnresponsiveMs: 9000, MaxRetries: 1, PositionWaitMs: 20}
+		DefaultRows: 50, MaxRows: 50, PageBytes: 1 << 20, MaxRowBytes: 1 << 10, MaxConcurrent: 4,
+		TimeoutMs: 10000, UnresponsiveMs: 9000, MaxRetries: 1, PositionWaitMs: 20}
 	checks := invariant.New(func(b invariant.Breach) { t.Errorf("%v", b) })
-	f.frontend = New(f.loop, slog.New(slog.DiscardHandler), Options{Specs: []Spec{spec}, Ring: cursor.NewRing(3600e3, 3600e3, []byte("a secret")), ConnectTimeoutMs: 5000,
+	f.frontend = New(f.loop, slog.New(slog.DiscardHandler), Options{Specs: []Spec{spec},
+		Ring: cursor.NewRing(3600e3, 3600e3, []byte("a secret")), ConnectTimeoutMs: 5000,
 		PositionName: "position", Checks: checks}, f, f)
 	for _, name := range []string{"a", "b", "c"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -150,13 +154,19 @@
 	}
 	f.onLoop(func() {
 		a := plan.Query{Scatter: "visits", Statement: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
-		if _, err := f.frontend.Begin(a, Caller{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}, []byte{0, 0}, nil, f); err != nil {
+		if _, err := f.begin(a); err != nil {
 			t.Error(err)
 		}
 	})
 	return f
 }
 
+// begin begins a page. It must be called on the event loop.
+func (f *fixture) begin(query plan.Query) (*Scatter, error) {
+	caller := Caller{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}
+	return f.frontend.Begin(query, caller, []byte{0, 0}, nil, f)
+}
+
 // closingHandler handles connections to the address of the loop, which the test does not use.
 type closingHandler struct{}
 
@@ -233,7 +243,8 @@
 func (s *statement) beginAnswer() *statement {
 	s.backend.Send(&pgproto3.ParseComplete{})
 	s.backend.Send(&pgproto3.BindComplete{})
-	s.backend.Send(&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte("id"), DataTypeOID: 20, DataTypeSize: 8, TypeModifier: -1}}})
+	id := pgproto3.FieldDescription{Name: []byte("id"), DataTypeOID: 20, DataTypeSize: 8, TypeModifier: -1}
+	s.backend.Send(&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{id}})
 	return s
 }
 
--- a/internal/frontend/scatter/cursor/cursor_test.go
+++ b/internal/frontend/scatter/cursor/cursor_test.go
@@ -45,7 +45,8 @@
 func TestSealedCursorOpensUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 70).Draw(t, "shards")
-		c := &Cursor{IssuedMs: noonMs + float64(rapid.IntRange(0, int(hourMs)).Draw(t, "at")), Binding: exampleBinding, Places: make([]Place, n), MinPositions: make([]int64, n)}
+		issued := noonMs + float64(rapid.IntRange(0, int(hourMs)).Draw(t, "at"))
+		c := &Cursor{IssuedMs: issued, Binding: exampleBinding, Places: make([]Place, n), MinPositions: make([]int64, n)}
 		points := []Place{{}}
 		for range rapid.IntRange(0, 3).Draw(t, "points") {
 			key := rapid.SliceOfN(rapid.Byte(), 1, 40).Draw(t, "key")
--- a/internal/frontend/scatter/execution/execution_test.go
+++ b/internal/frontend/scatter/execution/execution_test.go
@@ -140,7 +140,9 @@
 			if at := max(h.read[a.Shard], h.readOnPage[a.Shard]); float64(a.MinPosition) < at {
 				h.t.Fatalf("shard %d is read at %d, and was read at %f before", a.Shard, a.MinPosition, at)
 			}
-			h.attempts[a.Shard] = &fakeAttempt{shard: a.Shard, number: a.Attempt, failsAfter: -1, minPosition: a.MinPosition, place: a.Place, maxRows: a.MaxRows}
+			h.attempts[a.Shard] = &fakeAttempt{
+				shard: a.Shard, number: a.Attempt, failsAfter: -1, minPosition: a.MinPosition, place: a.Place, maxRows: a.MaxRows,
+			}
 		case Send:
 			h.runStatement(x)
 		case StopReading:
--- a/internal/frontend/scatter/merge/merge_test.go
+++ b/internal/frontend/scatter/merge/merge_test.go
@@ -28,7 +28,8 @@
 	case Int:
 		return rapid.OneOf(rapid.Int64(), rapid.SampledFrom([]int64{math.MinInt64, -1, 0, 1, math.MaxInt64})).Draw(t, "int")
 	case Float:
-		return rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), math.Inf(-1), 0, math.Copysign(0, -1), -1})).Draw(t, "float")
+		return rapid.OneOf(rapid.Float64(),
+			rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), math.Inf(-1), 0, math.Copysign(0, -1), -1})).Draw(t, "float")
 	case Text:
 		return rapid.OneOf(rapid.StringMatching(`[a-c]{0,3}`), rapid.StringMatching(`[ -~é-ü]{0,9}`)).Draw(t, "text")
 	case Timestamp, Instant:
@@ -278,9 +279,15 @@
 
 // TestInvalidValuesAreRejected: a value that is not of its type is an error, in both formats.
 func TestInvalidValuesAreRejected(t *testing.T) {
-	for typ, list := range map[Type][]string{Int: {"", "-", "1.5", "9223372036854775808", "+1", "99999999999999999999"}, Float: {"", "x", "0x1p4", "1_0", "inf"},
-		Bytea: {"", "abc", `\x1`, `\xgg`}, Timestamp: {"", "2026-13-01 00:00:00", "01/02/2026 00:00:00", "2026-01-01", "2026-01-01 00:00:00+00", "2026-01-01 00:00:00 AD"},
-		Instant: {"2026-01-01 00:00:00", "2026-01-01 00:00:00 CET"}, UUID: {"", "0", "6ba7b810-9dad-11d1-80b4-00c04fd430c", "6ba7b810-9dad-11d1-80b4-00c04fd430c8ff"}} {
+	for typ, list := range map[Type][]string{
+		Int:   {"", "-", "1.5", "9223372036854775808", "+1", "99999999999999999999"},
+		Float: {"", "x", "0x1p4", "1_0", "inf"},
+		Bytea: {"", "abc", `\x1`, `\xgg`},
+		Timestamp: {"", "2026-13-01 00:00:00", "01/02/2026 00:00:00", "2026-01-01", "2026-01-01 00:00:00+00",
+			"2026-01-01 00:00:00 AD"},
+		Instant: {"2026-01-01 00:00:00", "2026-01-01 00:00:00 CET"},
+		UUID:    {"", "0", "6ba7b810-9dad-11d1-80b4-00c04fd430c", "6ba7b810-9dad-11d1-80b4-00c04fd430c8ff"},
+	} {
 		c := Column{Name: "c", Type: typ}
 		for _, s := range list {
 			if _, err := c.Append(nil, []byte(s), false); !errors.Is(err, ErrValue) {
--- a/internal/frontend/scatter/plan/plan_test.go
+++ b/internal/frontend/scatter/plan/plan_test.go
@@ -48,7 +48,11 @@
 
 // TestShardStatement: the condition at a shard before, at and after that of the place, with and without NULLs.
 func TestShardStatement(t *testing.T) {
-	o := merge.Order{Columns: []merge.Column{{Name: "at", Type: merge.Int, Desc: true, NullsFirst: true}, {Name: `a"b`, Expr: "o.name", Type: merge.Text}, {Name: "id", Type: merge.Int}}, Own: 2}
+	o := merge.Order{Own: 2, Columns: []merge.Column{
+		{Name: "at", Type: merge.Int, Desc: true, NullsFirst: true},
+		{Name: `a"b`, Expr: "o.name", Type: merge.Text},
+		{Name: "id", Type: merge.Int},
+	}}
 	key := func(vals ...[]byte) cursor.Place {
 		p := cursor.Place{Shard: 1}
 		for i, v := range vals {
--- a/internal/frontend/scatter/reuse_test.go
+++ b/internal/frontend/scatter/reuse_test.go
@@ -9,7 +9,6 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 
 	"beechgrade/internal/decide"
-	"beechgrade/internal/frontend/pooling/sessionstate"
 	"beechgrade/internal/frontend/scatter/plan"
 )
 
@@ -43,7 +42,7 @@
 				f.frontend.SetAddress("c", unresponsive.Addr().String())
 				f.nextServer = "a"
 				query := plan.Query{Scatter: "visits", Statement: "SELECT id FROM visits WHERE true /*after*/ /*order*/"}
-				if s, err = f.frontend.Begin(query, Caller{Database: "d", User: "u", Settings: sessionstate.NewClient(sessionstate.NewStatements(), nil)}, []byte{0, 0}, nil, f); err != nil {
+				if s, err = f.begin(query); err != nil {
 					t.Error(err)
 					return
 				}
