--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -15,144 +15,195 @@
 // preservedKeywords are forms that are written as they were read: their settings are no matter of a smaller scenario.
 var preservedKeywords = []string{"peers", "fleet-limits", "overload", "verdicts", "agreed", "credit", "pages", "journal"}
 
-// Text writes a script down, so that it can be read again. Only what differs from the defaults is said. What comes again and again is written out.
+// Text writes a script in its text form, from which it can be read again. It contains only what differs from the defaults, and each
+// repetition of a repeated fault.
 func (s *Script) Text() string {
-	var b strings.Builder
-	f, c, was, wc := &s.Fleet, &s.Clients, model.Defaults(3), clients.Defaults()
-	fmt.Fprintf(&b, "(rehearsal %s\n  (seconds %s) (poolers %d) (rate %s)\n  ", quote(s.Name), formatNumber(c.Seconds), s.Poolers, formatNumber(c.Rate))
-	if same := len(f.Groups) > 4 && !slices.ContainsFunc(f.Groups, func(n int) bool { return n != f.Groups[0] }); same {
-		fmt.Fprintf(&b, "(groups-of %d %d)", len(f.Groups), f.Groups[0])
-	} else {
-		b.WriteString("(groups")
-		for _, n := range f.Groups {
-			fmt.Fprintf(&b, " %d", n)
-		}
-		b.WriteString(")")
+	w := &textWriter{}
+	defaults := clients.Defaults()
+	if s.Clients.ClickHouse {
+		defaults.Classes = clients.ClickHouseClasses()
 	}
-	if c.ClickHouse {
-		b.WriteString("\n  (clickhouse)")
-		wc.Classes = clients.ClickHouseClasses()
+	w.head(s)
+	w.topology(s)
+	w.clients(&s.Clients, &defaults)
+	w.servers(s)
+	w.classes(s.Clients.Classes, defaults.Classes)
+	for _, n := range s.preservedForms() {
+		w.WriteString("\n  " + textOf(n))
 	}
-	number := func(name string, is, was float64, unit string) {
-		if is != was {
-			fmt.Fprintf(&b, "\n  (%s %s%s)", name, formatNumber(is), unit)
-		}
+	w.chaos(&s.Chaos)
+	w.faults(s.Faults)
+	w.WriteString(")\n")
+	return w.String()
+}
+
+// textWriter writes the forms of a script, each on a line of its own.
+type textWriter struct{ strings.Builder }
+
+// number writes a form with a number, unless it has its default value.
+func (w *textWriter) number(name string, value, usual float64, unit string) {
+	if value != usual {
+		fmt.Fprintf(w, "\n  (%s %s%s)", name, formatNumber(value), unit)
 	}
-	both := func(name string, is, was [2]float64) {
-		if is != was {
-			fmt.Fprintf(&b, "\n  (%s %sms %sms)", name, formatNumber(is[0]), formatNumber(is[1]))
-		}
+}
+
+// millis writes a form with a range in ms, unless it has its default value.
+func (w *textWriter) millis(name string, value, usual [2]float64) {
+	if value != usual {
+		fmt.Fprintf(w, "\n  (%s %sms %sms)", name, formatNumber(value[0]), formatNumber(value[1]))
+	}
+}
+
+// yes writes a form with a flag that is set.
+func (w *textWriter) yes(name string, value bool) {
+	if value {
+		fmt.Fprintf(w, "\n  (%s yes)", name)
 	}
-	yes := func(name string, is bool) {
-		if is {
-			fmt.Fprintf(&b, "\n  (%s yes)", name)
+}
+
+// head writes the beginning: the name, sizes and groups.
+func (w *textWriter) head(s *Script) {
+	groups := s.Fleet.Groups
+	fmt.Fprintf(w, "(rehearsal %s\n  (seconds %s) (poolers %d) (rate %s)\n  ",
+		quote(s.Name), formatNumber(s.Clients.Seconds), s.Poolers, formatNumber(s.Clients.Rate))
+	const listedGroups = 4 // more are written as a count if all have the same size
+	if same := len(groups) > listedGroups && !slices.ContainsFunc(groups, func(n int) bool { return n != groups[0] }); same {
+		fmt.Fprintf(w, "(groups-of %d %d)", len(groups), groups[0])
+	} else {
+		w.WriteString("(groups")
+		for _, n := range groups {
+			fmt.Fprintf(w, " %d", n)
 		}
+		w.WriteString(")")
 	}
+	if s.Clients.ClickHouse {
+		w.WriteString("\n  (clickhouse)")
+	}
+}
+
+// topology writes the sites and what depends on them, and the fleet's options.
+func (w *textWriter) topology(s *Script) {
 	if len(s.Sites) > 0 {
-		b.WriteString("\n  (sites")
+		w.WriteString("\n  (sites")
 		for _, name := range s.Sites {
-			b.WriteString(" " + quote(name))
+			w.WriteString(" " + quote(name))
 		}
-		b.WriteString(")")
+		w.WriteString(")")
 	}
 	if len(s.Regions) > 0 {
-		b.WriteString("\n  (regions")
-		for i := range s.Regions[len(s.Regions)-1] + 1 {
-			n := 0
-			for _, r := range s.Regions {
-				if r == i {
-					n++
+		w.WriteString("\n  (regions")
+		for region := range s.Regions[len(s.Regions)-1] + 1 {
+			sites := 0
+			for _, of := range s.Regions {
+				if of == region {
+					sites++
 				}
 			}
-			fmt.Fprintf(&b, " %d", n)
+			fmt.Fprintf(w, " %d", sites)
 		}
-		b.WriteString(")")
+		w.WriteString(")")
 	}
-	both("cross", s.Cross, [2]float64{})
-	both("far", s.Far, [2]float64{})
-	yes("near", s.Near)
-	number("cross-price", s.CrossPrice, 0, "")
-	yes("pushed", s.Pushed)
-	yes("pack", s.Pack)
-	number("record-queue", float64(s.Queue), 0, "")
-	number("back-in", s.BackMs, 0, "ms")
-	number("skew", c.Skew, wc.Skew, "")
-	number("swing", c.SwingMs, wc.SwingMs, "ms")
-	number("allowance", c.Allowance, wc.Allowance, "")
-	number("over", c.Over, wc.Over, "")
-	for _, t := range c.Tenants {
-		fmt.Fprintf(&b, "\n  (tenant %s (share %s)", quote(t.Name), formatNumber(t.Share))
-		if t.Usage != 1 {
-			fmt.Fprintf(&b, " (usage %s)", formatNumber(t.Usage))
+	w.millis("cross", s.Cross, [2]float64{})
+	w.millis("far", s.Far, [2]float64{})
+	w.yes("near", s.Near)
+	w.number("cross-price", s.CrossPrice, 0, "")
+	w.yes("pushed", s.Pushed)
+	w.yes("pack", s.Pack)
+	w.number("record-queue", float64(s.Queue), 0, "")
+	w.number("back-in", s.BackMs, 0, "ms")
+}
+
+// clients writes how clients send requests.
+func (w *textWriter) clients(c, usual *clients.Config) {
+	w.number("skew", c.Skew, usual.Skew, "")
+	w.number("swing", c.SwingMs, usual.SwingMs, "ms")
+	w.number("allowance", c.Allowance, usual.Allowance, "")
+	w.number("over", c.Over, usual.Over, "")
+	for _, tenant := range c.Tenants {
+		fmt.Fprintf(w, "\n  (tenant %s (share %s)", quote(tenant.Name), formatNumber(tenant.Share))
+		if tenant.Usage != 1 {
+			fmt.Fprintf(w, " (usage %s)", formatNumber(tenant.Usage))
 		}
-		b.WriteString(")")
+		w.WriteString(")")
 	}
-	number("sessions", float64(c.Sessions), float64(wc.Sessions), "")
-	number("follows", c.Follows, wc.Follows, "")
-	number("follow", c.FollowMs, wc.FollowMs, "ms")
-	number("retries", float64(c.Retries), float64(wc.Retries), "")
-	number("roams", c.Roams, wc.Roams, "")
-	both("retry", c.RetryMs, wc.RetryMs)
-	number("cores", float64(f.Cores), float64(was.Cores), "")
-	number("queue", float64(f.QueueLimit), float64(was.QueueLimit), "")
-	number("connections", float64(f.MaxConnections), float64(was.MaxConnections), "")
-	number("apply", f.ApplyMs, was.ApplyMs, "ms")
-	number("cold", f.ColdMs, was.ColdMs, "ms")
-	number("cold-by", f.ColdShare, was.ColdShare, "")
-	number("falls", f.OverloadFactor, was.OverloadFactor, "")
-	number("falls-in", f.OverloadWindowMs, was.OverloadWindowMs, "ms")
-	number("crowds", f.QueueSlowdown, was.QueueSlowdown, "")
-	number("consul", float64(s.Agents), 0, "")
-	number("forgets", s.Forgets, 0, "ms")
-	number("idle", s.IdleMs, defaultIdle, "ms")
-	number("descriptors", float64(s.Sockets), 0, "")
-	number("probe-cost", s.ProbeCost, 0, "ms")
-	number("probe-price", s.ProbePrice, defaultProbePrice, "")
-	if f.ExponentialWork {
-		b.WriteString("\n  (tail yes)")
-	}
-	both("ship", f.ShipDelay, was.ShipDelay)
-	both("detect", f.DetectionDelay, was.DetectionDelay)
-	both("elect", f.ElectionDelay, was.ElectionDelay)
-	both("switch", f.SwitchoverDelay, was.SwitchoverDelay)
-	both("list", f.ListDelay, was.ListDelay)
-	both("roles", f.RoleDelay, was.RoleDelay)
-	both("way", s.Way, defaultWay)
-	both("handshake", s.Handshake, defaultHandshake)
-	for i, k := range c.Classes {
-		o := wc.Classes[i]
-		if k == o {
+	w.number("sessions", float64(c.Sessions), float64(usual.Sessions), "")
+	w.number("follows", c.Follows, usual.Follows, "")
+	w.number("follow", c.FollowMs, usual.FollowMs, "ms")
+	w.number("retries", float64(c.Retries), float64(usual.Retries), "")
+	w.number("roams", c.Roams, usual.Roams, "")
+	w.millis("retry", c.RetryMs, usual.RetryMs)
+}
+
+// servers writes the settings of servers and of the network.
+func (w *textWriter) servers(s *Script) {
+	f, usual := &s.Fleet, model.Defaults(3)
+	w.number("cores", float64(f.Cores), float64(usual.Cores), "")
+	w.number("queue", float64(f.QueueLimit), float64(usual.QueueLimit), "")
+	w.number("connections", float64(f.MaxConnections), float64(usual.MaxConnections), "")
+	w.number("apply", f.ApplyMs, usual.ApplyMs, "ms")
+	w.number("cold", f.ColdMs, usual.ColdMs, "ms")
+	w.number("cold-by", f.ColdShare, usual.ColdShare, "")
+	w.number("falls", f.OverloadFactor, usual.OverloadFactor, "")
+	w.number("falls-in", f.OverloadWindowMs, usual.OverloadWindowMs, "ms")
+	w.number("crowds", f.QueueSlowdown, usual.QueueSlowdown, "")
+	w.number("consul", float64(s.Agents), 0, "")
+	w.number("forgets", s.Forgets, 0, "ms")
+	w.number("idle", s.IdleMs, defaultIdle, "ms")
+	w.number("descriptors", float64(s.Sockets), 0, "")
+	w.number("probe-cost", s.ProbeCost, 0, "ms")
+	w.number("probe-price", s.ProbePrice, defaultProbePrice, "")
+	w.yes("tail", f.ExponentialWork)
+	w.millis("ship", f.ShipDelay, usual.ShipDelay)
+	w.millis("detect", f.DetectionDelay, usual.DetectionDelay)
+	w.millis("elect", f.ElectionDelay, usual.ElectionDelay)
+	w.millis("switch", f.SwitchoverDelay, usual.SwitchoverDelay)
+	w.millis("list", f.ListDelay, usual.ListDelay)
+	w.millis("roles", f.RoleDelay, usual.RoleDelay)
+	w.millis("way", s.Way, defaultWay)
+	w.millis("handshake", s.Handshake, defaultHandshake)
+}
+
+// classes writes the classes that differ from the defaults.
+func (w *textWriter) classes(classes, usual []clients.Class) {
+	for i, k := range classes {
+		if k == usual[i] {
 			continue
 		}
-		fmt.Fprintf(&b, "\n  (class %s (share %s) (aim %sms) (deadline %sms) (worth %s) (late %s) (bound %sms) (work %sms %sms)", quote(k.Name), formatNumber(k.Share), formatNumber(k.Aim),
-			formatNumber(k.Deadline), formatNumber(k.Worth), formatNumber(k.LateWorth), formatNumber(k.Bound), formatNumber(k.Work[0]), formatNumber(k.Work[1]))
+		fmt.Fprintf(w, "\n  (class %s (share %s) (aim %sms) (deadline %sms) (worth %s) (late %s) (bound %sms) (work %sms %sms)",
+			quote(k.Name), formatNumber(k.Share), formatNumber(k.Aim), formatNumber(k.Deadline), formatNumber(k.Worth),
+			formatNumber(k.LateWorth), formatNumber(k.Bound), formatNumber(k.Work[0]), formatNumber(k.Work[1]))
 		if k.KeyMs > 0 {
-			fmt.Fprintf(&b, " (keyed %sms)", formatNumber(k.KeyMs))
+			fmt.Fprintf(w, " (keyed %sms)", formatNumber(k.KeyMs))
 		}
-		b.WriteString(")")
+		w.WriteString(")")
 	}
-	for _, n := range s.preservedForms() {
-		b.WriteString("\n  " + textOf(n))
+}
+
+// chaos writes the settings of random faults.
+func (w *textWriter) chaos(c *Chaos) {
+	if c.Faults <= 0 {
+		return
 	}
-	if c := s.Chaos; c.Faults > 0 {
-		fmt.Fprintf(&b, "\n  (chaos %d %sms %sms", c.Faults, formatNumber(c.From), formatNumber(c.To))
-		for _, k := range c.Kinds {
-			b.WriteString(" " + k)
-		}
-		b.WriteString(")")
+	fmt.Fprintf(w, "\n  (chaos %d %sms %sms", c.Faults, formatNumber(c.From), formatNumber(c.To))
+	for _, kind := range c.Kinds {
+		w.WriteString(" " + kind)
 	}
-	for _, x := range s.Faults {
-		if x.OnPoolerLinks() && x.Owner == "" && (len(x.Ends[0]) == 0 || len(x.Ends[1]) == 0) {
+	w.WriteString(")")
+}
+
+// faults writes the faults with their times.
+func (w *textWriter) faults(faults []Fault) {
+	for i := range faults {
+		f := &faults[i]
+		if f.OnPoolerLinks() && f.Owner == "" && (len(f.Ends[0]) == 0 || len(f.Ends[1]) == 0) {
 			continue // it was drawn between some poolers and none
 		}
-		fmt.Fprintf(&b, "\n  (at %sms (%s%s)", formatNumber(x.At), x.Kind, x.args())
-		if x.Duration > 0 {
-			fmt.Fprintf(&b, " (for %sms)", formatNumber(x.Duration))
+		fmt.Fprintf(w, "\n  (at %sms (%s%s)", formatNumber(f.At), f.Kind, f.args())
+		if f.Duration > 0 {
+			fmt.Fprintf(w, " (for %sms)", formatNumber(f.Duration))
 		}
-		b.WriteString(")")
+		w.WriteString(")")
 	}
-	b.WriteString(")\n")
-	return b.String()
 }
 
 // args are a fault's arguments as they are written.
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -41,8 +41,11 @@
 // invariantInterval is the number of events between two checks of a pooler's invariants.
 const invariantInterval = 64
 
-// tailMs bounds the time after the last request.
-const tailMs = 60000
+// tailMs bounds the time after the last request, tailStepMs is the step in which it passes.
+const (
+	tailMs     = 60000
+	tailStepMs = 500
+)
 
 // Result is the result of a run. Its JSON form is the kit's output.
 type Result struct {
@@ -165,6 +168,28 @@
 	if err := s.InVirtualTime(); err != nil {
 		return nil, err
 	}
+	sim := newSimulation(s, opt)
+	sim.addParts()
+	if err := sim.startPoolers(); err != nil {
+		return nil, err
+	}
+	for i := range s.Faults {
+		f := &s.Faults[i]
+		sim.sched.at(startMs+f.At, model.Func(func() { sim.injectFault(f) }), 0)
+	}
+	sim.sched.at(startMs, requestSource{sim}, 0)
+	if err := sim.advance(ctx); err != nil {
+		return nil, err
+	}
+	for _, p := range sim.poolers {
+		p.checkConnectionCounts()
+	}
+	sim.check.Finish(sim.sched.now)
+	return sim.result(), nil
+}
+
+// newSimulation returns a simulation with its servers, clients and checker.
+func newSimulation(s *scenario.Script, opt Options) *Simulation {
 	sim := &Simulation{
 		script:     s,
 		options:    opt,
@@ -177,20 +202,28 @@
 		startedAt:  time.Now(),
 	}
 	sim.sched.now = startMs
-	cfg := s.Fleet
-	cfg.Seed = opt.Seed
-	sim.world = model.New(cfg, &sim.sched, sim)
+	fleet := s.Fleet
+	fleet.Seed = opt.Seed
+	sim.world = model.New(fleet, &sim.sched, sim)
 	if opt.Mutant != nil && opt.Mutant.World != nil {
 		opt.Mutant.World(sim.world)
 	}
-	for _, x := range sim.world.Servers {
-		sim.world.List.SetAddr(x.Name, x.Name+":5432")
+	for _, server := range sim.world.Servers {
+		sim.world.List.SetAddr(server.Name, server.Name+":5432")
 	}
 	c := s.Clients
 	c.Seed = opt.Seed
-	sim.plan, sim.scores, sim.check = clients.NewPlanner(c), score.New(opt.Seed, c.Classes), checker.New(Rules(s))
-	sim.check.RolesAreShared = s.Verdicts != nil || s.Overload != nil && s.Overload.Share
+	sim.plan = clients.NewPlanner(c)
+	sim.scores = score.New(opt.Seed, c.Classes)
 	sim.scores.Tenants(c.Tenants, c.Over)
+	sim.check = checker.New(Rules(s))
+	sim.check.RolesAreShared = s.Verdicts != nil || s.Overload != nil && s.Overload.Share
+	return sim
+}
+
+// addParts adds the parts that the scenario has: links, Consul, peers, credit, paged reports and sites.
+func (sim *Simulation) addParts() {
+	s := sim.script
 	sim.avoidUntil = make([]float64, s.Poolers)
 	sim.links = newLinkFaults(s.Poolers, len(sim.world.Servers))
 	if s.Agents > 0 {
@@ -209,40 +242,38 @@
 	if n := len(s.Sites); n > 0 {
 		sim.siteLinks = netfault.New(n)
 	}
-	for i := range s.Poolers {
+}
+
+func (sim *Simulation) startPoolers() error {
+	for i := range sim.script.Poolers {
 		p := sim.newPooler(i)
 		sim.poolers = append(sim.poolers, p)
 		if err := p.start(); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	for i := range s.Faults {
-		f := &s.Faults[i]
-		sim.sched.at(startMs+f.At, model.Func(func() { sim.injectFault(f) }), 0)
-	}
-	sim.sched.at(startMs, requestSource{sim}, 0)
-	end := startMs + c.Seconds*1000
+	return nil
+}
+
+// advance runs virtual time to the scenario's end, and on until all requests have ended, by tailMs at most.
+func (sim *Simulation) advance(ctx context.Context) error {
+	duration := sim.script.Clients.Seconds * 1000
+	end := startMs + duration
 	stopped := func() bool {
-		if opt.Progress != nil {
-			opt.Progress(sim.sched.now-startMs, c.Seconds*1000)
+		if sim.options.Progress != nil {
+			sim.options.Progress(sim.sched.now-startMs, duration)
 		}
 		return ctx.Err() != nil
 	}
 	sim.sched.run(end, stopped)
 	for until := end; ctx.Err() == nil && (sim.openRequests > 0 || !sim.allDrawn) && until < end+tailMs; {
-		until += 500
+		until += tailStepMs
 		sim.sched.run(until, stopped)
 	}
-	if err := ctx.Err(); err != nil {
-		return nil, err
-	}
-	for _, p := range sim.poolers {
-		p.checkConnectionCounts()
-	}
-	sim.check.Finish(sim.sched.now)
-	return sim.result(), nil
+	return ctx.Err()
 }
 
+// result returns the result of the run.
 func (sim *Simulation) result() *Result {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -293,9 +324,15 @@
 	if sim.options.Mutant != nil {
 		r.Mutant = sim.options.Mutant.Name
 	}
+	sim.addPartResults(r)
+	return r
+}
+
+// addPartResults adds the results and verdicts of the parts that the scenario has.
+func (sim *Simulation) addPartResults(r *Result) {
 	if sim.fleet != nil {
 		r.Views = sim.fleet.result()
-		if s.Limits != nil {
+		if sim.script.Limits != nil {
 			r.Limits = sim.fleet.limitsResult()
 		}
 		sim.fleet.check.Verdict(r.Verdict)
@@ -309,7 +346,6 @@
 	if sim.funds != nil {
 		r.Funds = sim.funds.result(r.Verdict)
 	}
-	return r
 }
 
 // linkDelay draws the delay of a message between two machines, in ms.
