--- a/internal/testkit/scenario/actions.go
+++ b/internal/testkit/scenario/actions.go
@@ -2,7 +2,7 @@
 
 import "beechgrade/internal/testkit/model"
 
-// Actions are what a fault does to a server, and what ends it.
+// Actions returns what starts a fault at a server, and what ends it.
 func (f *Fault) Actions() (begin, end func(w *model.World, name string) error) {
 	switch f.Kind {
 	case "die":
@@ -43,7 +43,7 @@
 		func(w *model.World, name string) error { return do(w, name, usual) }
 }
 
-// Servers resolves a target as the world is now.
+// Servers returns the servers that the target denotes at present.
 func (t Target) Servers(w *model.World) (out []*model.Server) {
 	for _, g := range w.Groups {
 		if t.Kind != "site" && t.Kind != "primaries" && t.Kind != "everyone" && t.Kind != "half-primaries" && g.ID != t.Group || t.Kind == "half-primaries" && g.ID%2 != 0 {
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -9,11 +9,11 @@
 	"beechgrade/internal/sexp"
 )
 
-// Chaos are faults that are drawn from a run's seed, beside those that are written down. Times are in milliseconds.
+// Chaos has the settings of faults drawn from a run's seed, beside the explicit ones. Times are in milliseconds.
 type Chaos struct {
 	Faults   int
 	From, To float64
-	Kinds    []string // empty for all that both ways of playing have
+	Kinds    []string // empty for all kinds that work both in virtual time and on sockets
 }
 
 // chaosKind is a kind of fault that may be drawn.
@@ -23,7 +23,7 @@
 	value [2]float64
 }
 
-// chaosKinds are the kinds of fault that may be drawn, in a fixed order, with how long they last and their figure.
+// chaosKinds are the kinds of fault that may be drawn, in a fixed order, with the ranges of their duration and value.
 var chaosKinds = []chaosKind{
 	{"die", [2]float64{500, 8000}, [2]float64{}},
 	{"hang", [2]float64{500, 8000}, [2]float64{}},
@@ -41,7 +41,7 @@
 	{"restart-pooler", [2]float64{0, 0}, [2]float64{}},
 }
 
-// consulChaosKinds are what Consul may be drawn to tell wrongly, where it is asked.
+// consulChaosKinds are the kinds of fault of Consul.
 var consulChaosKinds = []chaosKind{
 	{"agent", [2]float64{500, 8000}, [2]float64{}},
 	{"deregister-all", [2]float64{200, 6000}, [2]float64{}},
@@ -50,18 +50,18 @@
 	{"fail-check", [2]float64{500, 8000}, [2]float64{}},
 }
 
-// peerChaosKinds are what may befall poolers and the ways between them, where they are peers.
+// peerChaosKinds are the kinds of fault of poolers as peers and of the links between them.
 var peerChaosKinds = []chaosKind{
 	{"kill-pooler", [2]float64{300, 9000}, [2]float64{}},
 	{"stall-pooler", [2]float64{300, 6000}, [2]float64{}},
-	{"parted", [2]float64{500, 12000}, [2]float64{}}, // some poolers from the rest, both ways
-	{"unheard", [2]float64{500, 9000}, [2]float64{}}, // what one says is lost
-	{"apart", [2]float64{500, 12000}, [2]float64{}},  // two never hear each other
+	{"parted", [2]float64{500, 12000}, [2]float64{}}, // some poolers from the rest, in both directions
+	{"unheard", [2]float64{500, 9000}, [2]float64{}}, // a pooler's messages are lost
+	{"apart", [2]float64{500, 12000}, [2]float64{}},  // no messages between two poolers
 	{"lossy", [2]float64{1000, 9000}, [2]float64{0.02, 0.35}},
 	{"slow", [2]float64{1000, 9000}, [2]float64{5, 120}},
 }
 
-// serverLinkChaosKinds are what may befall the ways from poolers to servers and to the list. They are drawn only where they are named.
+// serverLinkChaosKinds are the kinds of fault of links from poolers to servers and to the list. They are drawn only if they are named.
 var serverLinkChaosKinds = []chaosKind{
 	{"cut", [2]float64{500, 9000}, [2]float64{}},
 	{"thin", [2]float64{500, 9000}, [2]float64{0.1, 0.7}},
@@ -69,7 +69,7 @@
 	{"restart", [2]float64{}, [2]float64{}},
 }
 
-// drawPoolers draws poolers: one, a part of them, or those of a site.
+// drawPoolers draws poolers: one, a share of them, or those of a site.
 func (s *Script) drawPoolers(rng *rand.Rand) (out []int) {
 	if n := len(s.Sites); n > 0 && rng.Float64() < 0.5 {
 		for i := rng.IntN(n); i < s.Poolers; i += n {
@@ -88,7 +88,7 @@
 	return out
 }
 
-// drawServerLinks makes a drawn fault of the ways between poolers.
+// drawServerLinks draws the links of a fault.
 func (f *Fault) drawServerLinks(n int, rng *rand.Rand) {
 	all := make([]int, n)
 	for i := range all {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// Draw is the script with its chaos drawn from a seed and written out; the same seed gives the same faults.
+// Draw returns the script with its chaos drawn from a seed as explicit faults. The same seed gives the same faults.
 func (s *Script) Draw(seed uint64) (*Script, error) {
 	if s.Chaos.Faults == 0 {
 		return s, nil
--- a/internal/testkit/scenario/credit.go
+++ b/internal/testkit/scenario/credit.go
@@ -11,14 +11,14 @@
 	"beechgrade/internal/testkit/clients"
 )
 
-// RaftLog is the log that the first poolers keep in common.
+// RaftLog is the shared log of which the first poolers are voters.
 type RaftLog struct {
 	Voters   int
-	Settings raftlog.Settings // but for names and seeds
-	Disk     [2]float64       // ms that a durable write takes, in virtual time
+	Settings raftlog.Settings // without names and seeds
+	Disk     [2]float64       // range of the time of a durable write in virtual time, ms
 }
 
-// Credit is what tenants pay ahead, as the operators' settings have it; who holds marks where is the player's matter.
+// Credit has the settings of prepaid credit, in the form of the operators' settings, without the folder of marks.
 type Credit struct {
 	settings.Credit
 	node *sexp.Node
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// PriceOf is what a class's requests cost, as far as they cost the same each.
+// PriceOf returns the price of a class's requests, if all have the same.
 func (s *Script) PriceOf(class string) int64 {
 	if s.Credit == nil {
 		return 0
@@ -162,7 +162,7 @@
 	return b.String()
 }
 
-// textOf writes down what was read.
+// textOf returns the text of a form.
 func textOf(n *sexp.Node) string {
 	switch {
 	case n.Kind == sexp.String:
--- a/internal/testkit/scenario/faults.go
+++ b/internal/testkit/scenario/faults.go
@@ -9,35 +9,35 @@
 	"beechgrade/internal/testkit/netfault"
 )
 
-// Fault is something that goes wrong for a while.
+// Fault is a fault of the scenario with its start and duration in ms.
 type Fault struct {
 	Pos      sexp.Pos
 	At       float64
-	Duration float64 // 0 for ever
+	Duration float64 // 0 for no end
 	Kind     string
 	Target   Target
 	Value    float64
 	Number   int     // of a payment
-	Interval float64 // it comes again after so long, 0 for once
+	Interval float64 // time between two starts of a repeated fault, 0 for one start
 
-	Selector poolerSelector // of a way to a server, or of the list's: whose...
-	Poolers  []int          // ...that are these poolers
+	Selector poolerSelector // of a link to a server or to the list: which poolers
+	Poolers  []int          // the poolers that Who selects
 
-	Owner       string         // the limit whose lender it strikes
-	From, To    poolerSelector // of links: whose...
+	Owner       string         // the limit whose owner is the target
+	From, To    poolerSelector // of links between poolers: senders and receivers
 	Ends        [2][]int
-	Both        bool        // ...and the other way too
-	SiteNames   [2][]string // of routes: sites
-	SiteNumbers [2][]int    // ...by number
+	Both        bool        // in both directions
+	SiteNames   [2][]string // of links between sites
+	SiteNumbers [2][]int    // Places by number
 	Link        netfault.Fault
 }
 
-// Target says whom a fault strikes. It is resolved when that happens.
+// Target is the target of a fault. It is resolved when the fault starts.
 type Target struct {
 	Kind   string // primary, replica, member, primaries, half-primaries (of every other group), everyone, site or pooler
 	Group  int
 	Member int
-	Word   string // what befalls an agent; a site's name
+	Word   string // an agent's fault; a site's name
 }
 
 func (t Target) String() string {
@@ -54,11 +54,11 @@
 	return fmt.Sprintf("%s %d", t.Kind, t.Group)
 }
 
-// expandRepeats writes out what comes again and again.
+// expandRepeats replaces repeated faults by a fault for each start.
 func expandRepeats(faults []Fault, endMs float64) (out []Fault) {
 	for _, f := range faults {
 		every := f.Interval
-		f.Interval = 0 // each is written out
+		f.Interval = 0 // each start is a fault of its own
 		out = append(out, f)
 		if every <= 0 {
 			continue
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// faultReaders are the kinds of fault with how their arguments are read.
+// faultReaders has the reader of the arguments of each kind of fault.
 var faultReaders = map[string]func(*Fault, *sexp.Node) error{
 	"die":            readServerFault(0, 0),
 	"hang":           readServerFault(0, 0),
@@ -154,7 +154,7 @@
 	"list-held":      readListHeldFault,
 }
 
-// AgentFaults are what may befall an agent.
+// AgentFaults are the kinds of fault of a Consul agent.
 var AgentFaults = []string{"down", "hang", "frozen", "leaderless", "cut", "empty"}
 
 // readAgentFault reads (agent NUMBER down), or another of AgentFaults.
@@ -168,10 +168,10 @@
 	return err
 }
 
-// consulOnly are faults of what only Consul has.
+// consulOnly are the kinds of fault that need Consul.
 var consulOnly = map[string]bool{"agent": true, "deregister-all": true, "wrong-roles": true, "reissue": true, "fail-check": true}
 
-// readPoolerFault reads (stall-pooler NUMBER), or (stall-pooler owner LIMIT): whoever lends that limit then.
+// readPoolerFault reads (stall-pooler NUMBER), or (stall-pooler owner LIMIT) for the owner of the limit at that time.
 func readPoolerFault(f *Fault, n *sexp.Node) (err error) {
 	f.Target.Kind = "pooler"
 	if a := n.Args(); len(a) == 2 && a[0].Text == "owner" && a[1].Kind != sexp.List {
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// readServerFault reads a target, and a figure behind it where there is a range for one.
+// readServerFault returns a reader of a target, and of a number in the given range if most is positive.
 func readServerFault(least, most float64) func(*Fault, *sexp.Node) error {
 	return func(f *Fault, n *sexp.Node) error {
 		a := n.Args()
@@ -229,7 +229,7 @@
 	}
 }
 
-// checkFault holds a fault against the fleet.
+// checkFault checks a fault against the rest of the script.
 func (s *Script) checkFault(f *Fault) error {
 	fail := func(format string, args ...any) error {
 		return &sexp.Error{Pos: f.Pos, Text: fmt.Sprintf(format, args...)}
--- a/internal/testkit/scenario/journal.go
+++ b/internal/testkit/scenario/journal.go
@@ -6,10 +6,10 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Journal is what each pooler keeps, in virtual time, of attempts that may have run.
+// Journal has the settings of the poolers' journal of attempts in virtual time.
 type Journal struct {
 	Mode journal.Mode
-	Disk model.Range // ms that a write and its sync take; what comes meanwhile goes out together in the next
+	Disk model.Range // range of the time of a write with its sync, ms
 }
 
 // readJournal reads (journal off), (journal before ...) or (journal alongside ...), with (disk LEAST MOST) behind it.
--- a/internal/testkit/scenario/limits.go
+++ b/internal/testkit/scenario/limits.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// WithLimit are the limits with one of another amount.
+// WithLimit returns the limits with another amount of one of them.
 func WithLimit(f settings.FleetLimits, name string, amount float64) settings.FleetLimits {
 	f.Limits = slices.Clone(f.Limits)
 	for i := range f.Limits {
@@ -64,7 +64,7 @@
 	return f
 }
 
-// AffectedPoolers are the poolers at which a change of a limit strikes.
+// AffectedPoolers returns the poolers that read a change of settings.
 func (f *Fault) AffectedPoolers(s *Script) []int {
 	if len(f.Ends[0]) > 0 {
 		return f.Ends[0]
@@ -76,20 +76,20 @@
 	return all
 }
 
-// WarmMs is until parts of limits that are used are counted: the first owner waits for votes, and leases out.
+// WarmMs returns the time from which the usage of limits is counted: before, the first owner waits for votes.
 func (s *Script) WarmMs() float64 {
 	q := s.Quotas()
 	return q.TakeoverBound(quota.Rate, s.Way[1])
 }
 
-// Quotas are how poolers share the limits.
+// Quotas returns the settings by which poolers share the limits.
 func (s *Script) Quotas() quota.Settings {
 	q := s.Limits.Settings
 	q.Limits, q.ExpectedPoolers = s.Limits.Quotas(), s.Poolers
 	return q
 }
 
-// CheckedLimits are what the checker holds the whole fleet to: those that it can count at servers.
+// CheckedLimits returns the limits that the checker can count at servers.
 func (s *Script) CheckedLimits() (out []checker.Limit) {
 	if s.Limits == nil {
 		return nil
@@ -118,10 +118,10 @@
 	return out
 }
 
-// calmMs after a fault all is calm again, as far as limits go: their owner has been found, and old leases are over.
+// calmMs is the time after a fault until each limit has an owner and old leases have expired.
 const calmMs = 30000
 
-// LoweringDelayMs is when a limit that was changed binds: with a lower amount, once what was lent before is over.
+// LoweringDelayMs returns the time until a lower amount binds: once earlier leases have expired.
 func (s *Script) LoweringDelayMs(f *Fault) float64 {
 	q := s.Quotas()
 	l := s.limit(f.Target.Word)
--- a/internal/testkit/scenario/outlier.go
+++ b/internal/testkit/scenario/outlier.go
@@ -5,7 +5,7 @@
 	"beechgrade/internal/sexp"
 )
 
-// Verdicts is how the fleet shares what it knows of servers.
+// Verdicts has the settings of shared outlier detection.
 type Verdicts struct {
 	settings.OutlierDetection
 	node *sexp.Node
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Overload is how the fleet handles overload as one.
+// Overload has the settings of joint overload handling.
 type Overload struct {
 	settings.Overload
 	node *sexp.Node
@@ -25,7 +25,7 @@
 	return err
 }
 
-// CheckedOverload is what the rules of overload go by; nil where poolers do not handle it together.
+// CheckedOverload returns the limits of the checker's rules on overload; nil if poolers handle it alone.
 func (s *Script) CheckedOverload() *checker.Overload {
 	if s.Overload == nil {
 		return nil
@@ -52,7 +52,7 @@
 		set.Tenants = append(set.Tenants, overload.Tenant{Name: t.Name})
 	}
 	if s.Overload.Shed {
-		c.MaxDatagrams = set.TrafficBound(2 * len(s.Fleet.Groups)) // each is told of as two
+		c.MaxDatagrams = set.TrafficBound(2 * len(s.Fleet.Groups)) // each counts as two
 	}
 	one := float64(s.Fleet.Cores) * 1000
 	for _, n := range s.Fleet.Groups {
@@ -61,12 +61,12 @@
 	return c
 }
 
-// OfProber tells whether a fault strikes the first of a server's probers, (cut prober ...), whoever that is then.
+// OfProber reports whether the fault affects the pooler that checks a server's health first, (cut prober ...).
 func (f *Fault) OfProber() bool {
 	return f.Selector.Node != nil && f.Selector.Kind != sexp.List && f.Selector.Text == "prober"
 }
 
-// AtProber is the fault as it strikes then.
+// AtProber returns the fault with its poolers resolved.
 func (f *Fault) AtProber(prober func(server string) int, servers []*model.Server) *Fault {
 	if !f.OfProber() || len(servers) == 0 {
 		return f
@@ -76,7 +76,7 @@
 	return &c
 }
 
-// Prober is the first prober of a server, of processes by pooler; 0 for those that do not run.
+// Prober returns the pooler that checks a server's health first, given the process IDs by pooler, 0 for those that do not run.
 func (s *Script) Prober(server string, ids []overload.ID) int {
 	var all []overload.Peer
 	by := map[overload.ID]int{}
@@ -91,7 +91,7 @@
 	return 0
 }
 
-// Affected is where a fault strikes: at servers of these groups, or among poolers. It is neither where the load changes.
+// Affected returns the groups whose servers a fault affects, or whether it is between poolers. A change of load is neither.
 func (f *Fault) Affected(s *Script) (groups []int, poolers bool) {
 	switch f.Kind {
 	case "load":
@@ -109,7 +109,7 @@
 	return groups, false
 }
 
-// Until is when a fault that struck then ends; +Inf for never.
+// Until returns the end of a fault that starts at the given time; +Inf for none.
 func (f *Fault) Until(at float64) float64 {
 	switch {
 	case f.Duration > 0:
--- a/internal/testkit/scenario/pages.go
+++ b/internal/testkit/scenario/pages.go
@@ -6,17 +6,17 @@
 	"beechgrade/internal/sexp"
 )
 
-// Pages are reports in order over all groups, read in pages throughout: each page at the next pooler.
+// Pages has the settings of sorted reports over all groups, which clients read in pages, each at the next pooler.
 type Pages struct {
 	Class   string // of session reads
-	Tenant  string // who asks, empty for nobody
+	Tenant  string // empty for none
 	Rows    int    // of each group, at the start
-	Places  int    // values of the column that is ordered by: so many rows have one
+	Places  int    // number of values of the sort column
 	Desc    bool
 	Page    int // rows
-	Readers int // reports that are read at a time
+	Readers int // concurrent readers
 	Think   float64
-	Wait    float64 // ms that a page is waited for
+	Wait    float64 // timeout of a page, ms
 	Changes float64 // rows written or deleted a second, over all groups
 
 	node *sexp.Node
@@ -47,7 +47,7 @@
 	return err
 }
 
-// ReplaceForms are a scenario's items with more forms: in place of the same form, but for faults and classes, which add up.
+// ReplaceForms returns a scenario's items with further forms. Each replaces the same form; faults and classes are added.
 func ReplaceForms(items, forms []*sexp.Node) []*sexp.Node {
 	items = slices.Clone(items)
 	for _, f := range forms {
@@ -59,7 +59,7 @@
 	return items
 }
 
-// Smaller is the scenario as it is played on sockets: with the forms of its (on-sockets ...).
+// Smaller returns the scenario for sockets: with the forms of its (on-sockets ...).
 func (s *Script) Smaller() (*Script, error) {
 	if s.smaller == nil {
 		return s, nil
--- a/internal/testkit/scenario/peers.go
+++ b/internal/testkit/scenario/peers.go
@@ -8,10 +8,10 @@
 	"beechgrade/internal/testkit/netfault"
 )
 
-// Peers says that poolers keep a view of the fleet, and how.
+// Peers has the settings of the poolers' view of the fleet.
 type Peers struct {
 	View  view.Settings
-	Seeds int // poolers, the first ones, that all are told of
+	Seeds int // number of the first poolers that are in all poolers' seed lists
 }
 
 // readPeers reads (peers ...).
@@ -57,10 +57,10 @@
 	return form.Read(rest)
 }
 
-// poolerSelector names poolers.
+// poolerSelector is a form that selects poolers.
 type poolerSelector struct{ *sexp.Node }
 
-// poolers are the poolers that are meant.
+// poolers returns the selected poolers.
 func (w poolerSelector) poolers(s *Script) (out []int, err error) {
 	add := func(n *sexp.Node) error {
 		x, err := n.Number(0, float64(s.Poolers-1))
@@ -70,9 +70,9 @@
 		return err
 	}
 	switch site := slices.Index(s.Sites, w.Text); {
-	case w.Kind != sexp.List && w.Text == "prober": // likewise, of ways to servers
+	case w.Kind != sexp.List && w.Text == "prober": // also for links to servers
 		return nil, nil
-	case w.Kind == sexp.List && len(w.Items) == 2 && w.Items[0].Text == "owner": // it is known when the fault strikes
+	case w.Kind == sexp.List && len(w.Items) == 2 && w.Items[0].Text == "owner": // it is resolved when the fault starts
 		return nil, nil
 	case w.Kind == sexp.List && len(w.Items) == 3 && w.Items[0].Text == "part":
 		return w.shareOfPoolers(s)
@@ -99,7 +99,7 @@
 	return out, err
 }
 
-// shareOfPoolers are the poolers of (part FROM TO): from one part of them all to another.
+// shareOfPoolers returns the poolers of (part FROM TO), a range of all of them.
 func (w poolerSelector) shareOfPoolers(s *Script) (out []int, err error) {
 	var ends [2]float64
 	for i := range ends {
@@ -118,7 +118,7 @@
 	return out, err
 }
 
-// Resolved is a fault as it strikes: at whoever lends its limit then, who is told.
+// Resolved returns the fault with the limit's owner as its target.
 func (f *Fault) Resolved(lender func(limit string) int) *Fault {
 	if f.Owner == "" {
 		return f
@@ -130,7 +130,7 @@
 	return &c
 }
 
-// SetLinks has a fault of links strike, or end.
+// SetLinks starts a fault of links between poolers, or ends it.
 func (f *Fault) SetLinks(x *netfault.Net, on bool) {
 	x.SetFault(f.Ends[0], f.Ends[1], &f.Link, on)
 	if f.Both {
@@ -138,5 +138,5 @@
 	}
 }
 
-// OnPoolerLinks tells whether a fault is one of the ways between poolers.
+// OnPoolerLinks reports whether the fault affects links between poolers.
 func (f *Fault) OnPoolerLinks() bool { return f.Kind == "links" || f.Kind == "between" }
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads what a rehearsal is: a fleet, clients and faults, as an S-expression. The same scenario is played
-// in virtual time by the emulator, and on sockets against real daemons.
+// Package scenario reads the description of a rehearsal as an S-expression: a fleet, clients and faults. The same scenario can run
+// in virtual time in the simulator, and on sockets with real daemons.
 package scenario
 
 import (
@@ -14,7 +14,7 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// Bounds of a script: a rehearsal ends by itself.
+// Bounds of a script.
 const (
 	maxSeconds = 3600
 	maxPoolers = 1000
@@ -22,13 +22,13 @@
 	maxServers = 20000
 	maxSites   = 27
 
-	// What can be played on sockets: each server, pooler and request is real there.
+	// Bounds of a script on sockets, where each server, pooler and request is real.
 	socketPoolers = 32
 	socketRate    = 20000
 	socketServers = 200
 )
 
-// OnSockets tells why a scenario can't be played on sockets, nil where it can.
+// OnSockets returns why a scenario cannot run on sockets, nil if it can.
 func (s *Script) OnSockets() error {
 	servers := 0
 	for _, n := range s.Fleet.Groups {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// InVirtualTime tells why a scenario can't be played in virtual time, nil where it can.
+// InVirtualTime returns why a scenario cannot run in virtual time, nil if it can.
 func (s *Script) InVirtualTime() error {
 	for _, f := range s.Faults {
 		if f.Kind == "list-silent" {
@@ -73,39 +73,39 @@
 	Faults  []Fault
 	Chaos   Chaos // faults that are drawn from the seed
 
-	// The network and what connections cost, in virtual time.
-	Way        model.Range // one way, between any two machines
-	Handshake  model.Range // of a new connection to a server, beside the way there and back
-	ProbeCost  float64     // ms of a server's core for each probe
-	ProbePrice float64     // poolers are told that a probe costs this part of a request's worth
-	Forgets    float64     // what lies between forgets a connection that rested for so long, without a word; 0 for never
+	// The network and the cost of connections, in virtual time.
+	Way        model.Range // one-way delay between two machines
+	Handshake  model.Range // of a new connection to a server, beside the round trip
+	ProbeCost  float64     // execution time of a health check, ms
+	ProbePrice float64     // price of a health check as a share of a request's priority weight, in the poolers' settings
+	Forgets    float64     // idle time after which the network silently drops a connection; 0 for never
 
-	Agents int // of Consul, whose catalogue poolers take their list from; 0 for the platform's discovery
+	Agents int // number of Consul agents that provide the list; 0 for the platform's discovery
 
-	Peers  *Peers                // poolers keep a view of the fleet; nil where they do not
-	Limits *settings.FleetLimits // that hold for the whole fleet; nil for none
+	Peers  *Peers                // nil if poolers keep no view of the fleet
+	Limits *settings.FleetLimits // limits of the whole fleet; nil for none
 
-	Overload *Overload // nil where each pooler handles it alone
-	Agreed   *RaftLog  // the log in common, nil for none
-	Credit   *Credit   // tenants pay ahead, nil where they do not
-	Journal  *Journal  // of what may have run, nil for none
+	Overload *Overload // nil if each pooler handles overload alone
+	Agreed   *RaftLog  // nil without a shared log
+	Credit   *Credit   // nil without prepaid credit
+	Journal  *Journal  // nil without a journal of attempts
 	Pages    *Pages    // reports over all groups, nil for none
-	Verdicts *Verdicts // nil where each pooler learns alone
+	Verdicts *Verdicts // nil if each pooler detects outliers alone
 
-	source  *sexp.Node   // as it was read
-	smaller []*sexp.Node // forms that go for sockets
-	BackMs  float64      // after the last fault's end service is to be back, 0 for no such rule
+	source  *sexp.Node   // the form that was read
+	smaller []*sexp.Node // forms for sockets
+	BackMs  float64      // time after the last fault within which service must recover, 0 for no such rule
 
-	Pushed     bool        // the list comes by an agent's push, unasked
-	Sites      []string    // servers and poolers stand in them in turn
-	Cross      model.Range // one way between two sites
-	Regions    []int       // of the sites, by number; nil for one
-	Far        model.Range // one way between two regions
-	Near       bool        // a client's front tries the poolers of its own site first
-	CrossPrice float64     // of an attempt that crosses, as a part of its worth
+	Pushed     bool        // an agent pushes the list
+	Sites      []string    // servers and poolers are assigned to them in turn
+	Cross      model.Range // one-way delay between two sites
+	Regions    []int       // region of each site, by number; nil for a single one
+	Far        model.Range // one-way delay between two regions
+	Near       bool        // clients try the poolers of their own site first
+	CrossPrice float64     // price of an attempt in another site, as a share of its priority weight
 
-	IdleMs  float64 // poolers are told that servers close connections idle for so long
-	Sockets int     // descriptors that a pooler may have, 0 for as many as it needs
+	IdleMs  float64 // the servers' idle timeout, in the poolers' settings
+	Sockets int     // file descriptors of a pooler, 0 for as many as it needs
 }
 
 const (
@@ -273,7 +273,7 @@
 	}
 }
 
-// readClickHouse has clients speak the ClickHouse interface, with classes of its own, to one group of peers.
+// readClickHouse reads (clickhouse): clients use the ClickHouse interface, with its own classes, and one group of peers.
 func (s *Script) readClickHouse(n *sexp.Node) (err error) {
 	if s.Clients.ClickHouse, err = n.Bool(); err == nil && s.Clients.ClickHouse {
 		s.Fleet.MultiPrimary, s.Clients.Classes = true, clients.ClickHouseClasses()
@@ -321,7 +321,7 @@
 		"late":     func(n *sexp.Node) (err error) { c.LateWorth, err = n.Float(0, 1); return err },
 		"bound":    func(n *sexp.Node) (err error) { c.Bound, err = n.Millis(0, 600000); return err },
 		"work":     func(n *sexp.Node) error { return readRange(n, &c.Work) },
-		"keyed": func(n *sexp.Node) (err error) { // its group drops repeats for so long
+		"keyed": func(n *sexp.Node) (err error) { // for which its group drops repeats
 			if c.Read != clients.Write {
 				return n.Errorf("only writes have keys, and %q is none", c.Name)
 			}
@@ -331,7 +331,7 @@
 	}.Read(args[1:])
 }
 
-// setLoadSteps has the clients ask more, or less, where the faults say so.
+// setLoadSteps sets the changes of the clients' load from the faults.
 func (s *Script) setLoadSteps() {
 	for _, f := range s.Faults {
 		if f.Kind != "load" {
@@ -345,7 +345,7 @@
 	}
 }
 
-// CheckRoundTrip makes all that follows from a script that was changed, and checks it.
+// CheckRoundTrip derives all dependent values of a script that was changed, and checks it.
 func (s *Script) CheckRoundTrip() error {
 	s.Clients.Jumps = nil
 	if s.Agreed != nil && s.Agreed.Voters > s.Poolers {
@@ -375,7 +375,7 @@
 	return nil
 }
 
-// Clone makes a copy that can be changed by itself.
+// Clone returns an independent copy.
 func (s *Script) Clone() *Script {
 	c := *s
 	c.Fleet.Groups, c.Faults = slices.Clone(s.Fleet.Groups), slices.Clone(s.Faults)
--- a/internal/testkit/scenario/serverlinks.go
+++ b/internal/testkit/scenario/serverlinks.go
@@ -31,12 +31,12 @@
 	return nil
 }
 
-// OnServerLinks tells whether a fault is one of the ways from some poolers to servers, or to the list.
+// OnServerLinks reports whether the fault affects links from poolers to servers or to the list.
 func (f *Fault) OnServerLinks() bool {
 	return f.Kind == "cut" || f.Kind == "thin" || f.Kind == "list-held"
 }
 
-// HasPoolerLinks tells whether servers and the list are to know on sockets which pooler calls: each pooler then has addresses of its own for them.
+// HasPoolerLinks reports whether, on sockets, each pooler needs its own addresses of servers and the list, which identify the caller.
 func (s *Script) HasPoolerLinks() bool {
 	return s.Agents == 0 && !s.Clients.ClickHouse && (s.Verdicts != nil || slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.OnServerLinks() }))
 }
--- a/internal/testkit/scenario/settings.go
+++ b/internal/testkit/scenario/settings.go
@@ -12,16 +12,16 @@
 	"beechgrade/internal/testkit/clients"
 )
 
-// ConnectMs is the poolers' connect time-out.
+// ConnectMs is the poolers' connect timeout.
 const ConnectMs = 250
 
-// unlimitedSockets are descriptors that no emulated pooler runs out of.
+// unlimitedSockets is more file descriptors than a simulated pooler can use.
 const unlimitedSockets = 1 << 20
 
-// MaxAttempts is the most that a pooler may send of one request.
+// MaxAttempts is the maximum number of a pooler's attempts of a request.
 const MaxAttempts = 8
 
-// PoolerSettings is what the platform tells the pooler of a number, in the form of its configuration file.
+// PoolerSettings returns the configuration that the platform gives a pooler, in the form of its configuration file.
 func (s *Script) PoolerSettings(no int, name, listen, disco string, seed uint64, sockets int, known discovery.List) map[string]any {
 	ns := func(ms float64) int64 { return int64(ms * 1e6) }
 	var classes []map[string]any
@@ -46,7 +46,7 @@
 			"late_worth":  c.LateWorth,
 		})
 		read := c.Read
-		if s.Clients.ClickHouse && read == clients.Write { // any member takes it, once
+		if s.Clients.ClickHouse && read == clients.Write { // any member accepts it, once
 			read = clients.ReadAny
 		}
 		reads, bounds = append(reads, string(read)), append(bounds, ns(c.Bound))
@@ -104,7 +104,7 @@
 	}
 }
 
-// sockets are the descriptors of a pooler: as many as it needs for so many, unless the script says otherwise.
+// sockets returns the file descriptors of a pooler: as many as needed, unless the script sets a number.
 func (s *Script) sockets(needed int) int {
 	if s.Sockets > 0 {
 		return s.Sockets
@@ -112,7 +112,7 @@
 	return max(1024, needed)
 }
 
-// Config is what a pooler makes of that.
+// Config returns the parsed configuration of a pooler.
 func (s *Script) Config(no int, name string, seed uint64, known discovery.List) (*config.Config, error) {
 	b, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(s.PoolerSettings(no, name, "127.0.0.1:1", "127.0.0.1:1", seed, unlimitedSockets, known))
 	if err != nil {
@@ -121,7 +121,7 @@
 	return config.Parse(b, func(string) string { return "" })
 }
 
-// OperatorSettings are the operators' settings that a scenario needs of a daemon, whose ClickHouse front listens at an address.
+// OperatorSettings returns the operators' settings of a daemon for the scenario, with the address of its ClickHouse frontend.
 func (s *Script) OperatorSettings(house string) string {
 	if !s.Clients.ClickHouse {
 		return ""
--- a/internal/testkit/scenario/text.go
+++ b/internal/testkit/scenario/text.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/testkit/netfault"
 )
 
-// preservedKeywords are forms that are written as they were read: their settings are no matter of a smaller scenario.
+// preservedKeywords are the forms that are written as they were read.
 var preservedKeywords = []string{"peers", "fleet-limits", "overload", "verdicts", "agreed", "credit", "pages", "journal"}
 
 // Text writes a script in its text form, from which it can be read again. It contains only what differs from the defaults, and each
@@ -206,7 +206,7 @@
 	}
 }
 
-// args are a fault's arguments as they are written.
+// args returns the text of a fault's arguments.
 func (f *Fault) args() string {
 	var b strings.Builder
 	switch f.Kind {
@@ -253,7 +253,7 @@
 	return b.String()
 }
 
-// text names poolers as they were named, or those that were drawn.
+// text returns the text of the selector, or that of the poolers that were drawn.
 func (w poolerSelector) text(poolers []int) string {
 	if w.Node != nil {
 		return textOf(w.Node)
@@ -269,7 +269,7 @@
 	return b.String()
 }
 
-// linkText is what befalls a link.
+// linkText returns the text of a link's fault.
 func linkText(l *netfault.Fault) string {
 	var b strings.Builder
 	if l.Cut {
@@ -286,7 +286,7 @@
 	return b.String()
 }
 
-// preservedForms are the forms that are written as they were read.
+// preservedForms returns the forms that are written as they were read.
 func (s *Script) preservedForms() (out []*sexp.Node) {
 	on := map[string]bool{
 		"peers":        s.Peers != nil,
--- a/internal/testkit/scenario/topology.go
+++ b/internal/testkit/scenario/topology.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Delays are the mean ways between sites, as operators would state them.
+// Delays returns the mean one-way delays between sites in ms.
 func (s *Script) Delays() [][]float64 {
 	out := make([][]float64, len(s.Sites))
 	for a := range out {
@@ -51,7 +51,7 @@
 	return out
 }
 
-// Between is the way between two sites.
+// Between returns the range of the one-way delay between two sites.
 func (s *Script) Between(a, b int) model.Range {
 	if a == b {
 		return s.Way
--- a/internal/testkit/scenario/zones.go
+++ b/internal/testkit/scenario/zones.go
@@ -39,10 +39,10 @@
 	return nil
 }
 
-// OnSiteLinks tells whether a fault is one of the ways between sites.
+// OnSiteLinks reports whether the fault affects links between sites.
 func (f *Fault) OnSiteLinks() bool { return f.Kind == "route" || f.Kind == "routes" }
 
-// resolveSites finds the sites that a fault names, with the poolers there.
+// resolveSites resolves the sites that a fault names, with their poolers.
 func (s *Script) resolveSites(f *Fault) error {
 	find := func(name string) (int, error) {
 		i := slices.Index(s.Sites, name)
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// expandPowerFaults has a site's loss of power be what it does to each pooler and server there.
+// expandPowerFaults replaces a site's loss of power by faults of its poolers and servers.
 func (s *Script) expandPowerFaults(faults []Fault) (out []Fault) {
 	for _, f := range faults {
 		if f.Kind != "power" {
