--- a/internal/testkit/checker/blackout_test.go
+++ b/internal/testkit/checker/blackout_test.go
@@ -23,9 +23,9 @@
 func nobody(int, int) bool               { return false }
 func half(pooler, _ int) bool            { return pooler < 6 }
 
-// TestBlackouts: that all poolers, or nearly all, leave out a server that answers is a breach; not where it does not answer most, where they saw
+// TestAvoidingAHealthyServerIsABreach: that all poolers, or nearly all, leave out a server that answers is a breach; not where it does not answer most, where they saw
 // that themselves, of the process that runs now, or where some still ask it. A group that nobody asks any more is one too.
-func TestBlackouts(t *testing.T) {
+func TestAvoidingAHealthyServerIsABreach(t *testing.T) {
 	for _, c := range []struct {
 		what   string
 		see    calm
--- a/internal/testkit/checker/invariants_test.go
+++ b/internal/testkit/checker/invariants_test.go
@@ -6,8 +6,8 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestInvariants: a statement that was false breaks a rule of the play, with its name and state.
-func TestInvariants(t *testing.T) {
+// TestBrokenInvariantsAreBreaches: a statement that was false breaks a rule of the play, with its name and state.
+func TestBrokenInvariantsAreBreaches(t *testing.T) {
 	for _, ok := range []bool{true, false} {
 		c, v := invariant.New(nil), New(Config{}).Verdict()
 		c.That(ok, "x", func() string { return "y" })
--- a/internal/testkit/checker/queries/queries_test.go
+++ b/internal/testkit/checker/queries/queries_test.go
@@ -6,8 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestRules: each rule is broken by what breaks it alone, and by nothing that is as it should be.
-func TestRules(t *testing.T) {
+// TestQueryRulesFindEachBreach: each rule is broken by what breaks it alone, and by nothing that is as it should be.
+func TestQueryRulesFindEachBreach(t *testing.T) {
 	cfg := Config{GraceMs: 250, RoundS: 1}
 	ok := func(id string) ClientQuery {
 		return ClientQuery{ID: id, Answers: 1, Status: 200, Echo: true, Body: "a " + id + " 7\n", BodyHash: 7, BodySent: true}
--- a/internal/testkit/checker/zones_test.go
+++ b/internal/testkit/checker/zones_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestZonesRules: each rule is broken by what breaks it, and by nothing less.
-func TestZonesRules(t *testing.T) {
+// TestZoneRulesFindEachBreach: each rule is broken by what breaks it, and by nothing less.
+func TestZoneRulesFindEachBreach(t *testing.T) {
 	near := [][]float64{{1, 0}, {0, 1}}
 	for _, x := range []struct {
 		rule Rule
--- a/internal/testkit/cpupressure/cpupressure_test.go
+++ b/internal/testkit/cpupressure/cpupressure_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestBusy: threads that all want a processor, eight for each, are seen to wait for most of their time; one that rests is not.
-func TestBusy(t *testing.T) {
+// TestPressureIsMeasured: threads that all want a processor, eight for each, are seen to wait for most of their time; one that rests is not.
+func TestPressureIsMeasured(t *testing.T) {
 	if _, err := os.Stat("/proc/self/schedstat"); err != nil {
 		t.Skip("the system does not tell how long threads wait")
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestBetween: of two sights, what came since counts, also of a thread that is new.
-func TestBetween(t *testing.T) {
+// TestPressureBetweenSamples: of two sights, what came since counts, also of a thread that is new.
+func TestPressureBetweenSamples(t *testing.T) {
 	a := sample{threads: map[string][2]float64{"1": {100, 50}, "gone": {9, 9}}, busyTicks: 10, stolenTicks: 1}
 	b := sample{threads: map[string][2]float64{"1": {150, 60}, "2": {30, 30}}, busyTicks: 40, stolenTicks: 11}
 	if got := pressureBetween(a, b); got.Waited != 40.0/120 || got.Stolen != 10.0/40 {
--- a/internal/testkit/lab/shrink.go
+++ b/internal/testkit/lab/shrink.go
@@ -69,7 +69,7 @@
 	if z.err != nil || z.runs >= maxShrinks {
 		return false, z.err
 	}
-	if s.CheckRoundTrip() != nil {
+	if s.Revalidate() != nil {
 		return false, nil // it is no scenario any more: a fault strikes what is not there
 	}
 	r, err := simulation.Run(z.ctx, s, z.opt)
--- a/internal/testkit/model/world_test.go
+++ b/internal/testkit/model/world_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestPushedOver guards against a cold server that stands whatever it is sent.
-func TestPushedOver(t *testing.T) {
+// TestColdServerFailsUnderOverload guards against a cold server that stands whatever it is sent.
+func TestColdServerFailsUnderOverload(t *testing.T) {
 	f, clk := still(1)
 	s := f.Servers[0]
 	s.Started = clk.ms
--- a/internal/testkit/modelcheck/healthchecks_test.go
+++ b/internal/testkit/modelcheck/healthchecks_test.go
@@ -20,9 +20,9 @@
 	return Run(s, Bounds{Depth: depth, States: 900000})
 }
 
-// TestProbers: whoever wants a probe, however long probes take, whichever message is lost, late, doubled or overtaken, and whoever crashes and
+// TestHealthCheckersExplored: whoever wants a probe, however long probes take, whichever message is lost, late, doubled or overtaken, and whoever crashes and
 // begins again: each want has one end, in time, with what is true, no older than it may be, and bad news by one's own eyes or two others'.
-func TestProbers(t *testing.T) {
+func TestHealthCheckersExplored(t *testing.T) {
 	for name, x := range map[string]struct {
 		n, depth int
 		wrong    ProbeFaults
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestProberMutants: the search finds each of these.
-func TestProberMutants(t *testing.T) {
+// TestHealthCheckerMutants: the search finds each of these.
+func TestHealthCheckerMutants(t *testing.T) {
 	found := func(do func(seq uint32, f *overload.ProbeResult)) func(*HealthCheckers) {
 		return func(s *HealthCheckers) {
 			s.Break = func(_ int, seq uint32, m any) any {
--- a/internal/testkit/modelcheck/raft_test.go
+++ b/internal/testkit/modelcheck/raft_test.go
@@ -20,9 +20,9 @@
 	return -1
 }
 
-// TestAgreedSmoke: voters with empty disks find each other, and one leads; what is proposed all have; one that loses its disk comes
+// TestRaftCommits: voters with empty disks find each other, and one leads; what is proposed all have; one that loses its disk comes
 // back as another voter.
-func TestAgreedSmoke(t *testing.T) {
+func TestRaftCommits(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		s := NewRaftVoters(RaftSettings(n), false)
 		s.KeepsReplicas, s.Checks = true, invariant.Test(t)
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestAgreedWander: whatever way is gone, and once the links and disks are well again all have taken the same.
-func TestAgreedWander(t *testing.T) {
+// TestRaftRandomMoves: whatever way is gone, and once the links and disks are well again all have taken the same.
+func TestRaftRandomMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")
 		s := NewRaftVoters(RaftSettings(n), rapid.Bool().Draw(t, "founded"))
@@ -86,8 +86,8 @@
 	return len(w) > 0 && strings.HasPrefix(w[len(w)-1].Key, "e/") && !w[len(w)-1].Deleted
 }
 
-// TestAgreedMutants: each of these is found by what crosses the wires and what the disks hold.
-func TestAgreedMutants(t *testing.T) {
+// TestRaftMutants: each of these is found by what crosses the wires and what the disks hold.
+func TestRaftMutants(t *testing.T) {
 	mutants := map[string]func(s *RaftVoters){
 		"a vote is told before it is stored":            func(s *RaftVoters) { s.AcksEarly = hardOnly },
 		"an entry is told before it is stored":          func(s *RaftVoters) { s.AcksEarly = entries },
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestAgreedExplored goes through all that can happen within so many steps: to voters of whom none leads, and to such as have a leader with
+// TestRaftExplored goes through all that can happen within so many steps: to voters of whom none leads, and to such as have a leader with
 // an entry on its way.
-func TestAgreedExplored(t *testing.T) {
+func TestRaftExplored(t *testing.T) {
 	for _, c := range []struct {
 		name                                      string
 		led                                       bool
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestAgreedOtherVoters: a pooler takes the place of a voter that the settings name no more; then two more come to make five.
-func TestAgreedOtherVoters(t *testing.T) {
+// TestRaftOtherVoters: a pooler takes the place of a voter that the settings name no more; then two more come to make five.
+func TestRaftOtherVoters(t *testing.T) {
 	s := NewRaftVoters(RaftSettings(3), true)
 	s.KeepsReplicas, s.Checks = true, invariant.Test(t)
 	do := func(err error) {
--- a/internal/testkit/modelcheck/zones_test.go
+++ b/internal/testkit/modelcheck/zones_test.go
@@ -152,8 +152,8 @@
 	return nil, nil
 }
 
-// TestZonesWander: longer ways than can all be gone.
-func TestZonesWander(t *testing.T) {
+// TestZonesRandomMoves: longer ways than can all be gone.
+func TestZonesRandomMoves(t *testing.T) {
 	t.Parallel()
 	if way, err := wanderZones(t, 80, 70, nil); err != nil {
 		t.Fatalf("%v after %q", err, way)
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -150,7 +150,7 @@
 	r.wires.onReceived, r.wires.onArrived, r.wires.onRead = opt.Received, opt.Arrived, opt.Read
 	r.fleet = database.New(cfg, r.clk, opt.Log)
 	r.fleet.Watch(r.wires)
-	if s.HasPoolerLinks() {
+	if s.NeedsPoolerAddresses() {
 		r.fleet.SetPoolerCount(s.Poolers)
 	}
 	defer r.fleet.Close()
--- a/internal/testkit/scenario/chaos.go
+++ b/internal/testkit/scenario/chaos.go
@@ -202,5 +202,5 @@
 		out.Faults = append(out.Faults, f)
 	}
 	slices.SortStableFunc(out.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	return out, out.CheckRoundTrip()
+	return out, out.Revalidate()
 }
--- a/internal/testkit/scenario/scenario.go
+++ b/internal/testkit/scenario/scenario.go
@@ -186,7 +186,7 @@
 	if s.Verdicts != nil && s.Peers == nil {
 		return nil, n.Errorf("(verdicts ...) goes with (peers)")
 	}
-	if err := s.CheckRoundTrip(); err != nil {
+	if err := s.Revalidate(); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -345,8 +345,8 @@
 	}
 }
 
-// CheckRoundTrip derives all dependent values of a script that was changed, and checks it.
-func (s *Script) CheckRoundTrip() error {
+// Revalidate derives all dependent values of a script that was changed, and checks it.
+func (s *Script) Revalidate() error {
 	s.Clients.Jumps = nil
 	if s.Agreed != nil && s.Agreed.Voters > s.Poolers {
 		return s.source.Errorf("of %d poolers %d cannot vote", s.Poolers, s.Agreed.Voters)
--- a/internal/testkit/scenario/serverlinks.go
+++ b/internal/testkit/scenario/serverlinks.go
@@ -36,7 +36,7 @@
 	return f.Kind == "cut" || f.Kind == "thin" || f.Kind == "list-held"
 }
 
-// HasPoolerLinks reports whether, on sockets, each pooler needs its own addresses of servers and the list, which identify the caller.
-func (s *Script) HasPoolerLinks() bool {
+// NeedsPoolerAddresses reports whether, on sockets, each pooler needs its own addresses of servers and the list, which identify the caller.
+func (s *Script) NeedsPoolerAddresses() bool {
 	return s.Agents == 0 && !s.Clients.ClickHouse && (s.Verdicts != nil || slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.OnServerLinks() }))
 }
--- a/internal/testkit/simulation/coretime_test.go
+++ b/internal/testkit/simulation/coretime_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestSpentAddsUp: what cores did under twice the load is told whole, by what became of it: no more than there are cores, and most of it.
+// TestCoreTimeAddsUp: what cores did under twice the load is told whole, by what became of it: no more than there are cores, and most of it.
 // At half of it nothing is late, and nothing waits.
-func TestSpentAddsUp(t *testing.T) {
+func TestCoreTimeAddsUp(t *testing.T) {
 	t.Parallel()
 	const text = `(rehearsal "spent" (seconds 5) (poolers 8) (groups-of 2 4) (rate 1100) (roams 0.6) (retries 3) (retry 20ms 120ms) `
 	r := play(t, parse(t, text+`)`), Options{Seed: 1})
--- a/internal/testkit/simulation/credit_cost_test.go
+++ b/internal/testkit/simulation/credit_cost_test.go
@@ -9,9 +9,9 @@
 	"beechgrade/internal/testkit/clients"
 )
 
-// TestCreditBesideOff has the same clients served with tenants that have plenty, and without credit, paired by seed: what waits for an answer about funds
+// TestCreditCostsLittleBesideNone has the same clients served with tenants that have plenty, and without credit, paired by seed: what waits for an answer about funds
 // must not show in what clients wait for.
-func TestCreditBesideOff(t *testing.T) {
+func TestCreditCostsLittleBesideNone(t *testing.T) {
 	t.Parallel()
 	set, err := settings.Parse("x", []byte(`(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d")) (credit (payment "a" 1 100000000) (price "quadro-obra" (request 10))
 		(price "conferir-ponto" (request 10)) (price "relatorio-mes" (request 10)) (price "registrar-ponto" (request 10)))`), func(string) string { return "" })
--- a/internal/testkit/simulation/credit_test.go
+++ b/internal/testkit/simulation/credit_test.go
@@ -40,9 +40,9 @@
 	return c, x, r.Hash
 }
 
-// TestCreditEmulated: 30 poolers, voters killed, cut off and stopped while funds run out; the books know of all that was served, and the same
+// TestCreditIsNotOverspent: 30 poolers, voters killed, cut off and stopped while funds run out; the books know of all that was served, and the same
 // seed is the same to the bit.
-func TestCreditEmulated(t *testing.T) {
+func TestCreditIsNotOverspent(t *testing.T) {
 	t.Parallel()
 	const funds = 20000
 	script := `(rate 150) (seconds 50) (at 10s (kill-pooler 0) (for 2s)) (at 14s (stall-pooler 7) (for 14s)) (at 16s (between (0 1) (2 3 4 5 6 7 8 9) cut) (for 5s)) (at 22s (kill-pooler 9) (for 2s))
--- a/internal/testkit/simulation/journal_test.go
+++ b/internal/testkit/simulation/journal_test.go
@@ -77,9 +77,9 @@
 	return x
 }
 
-// TestJournalKilled: poolers are killed again and again under writes, on disks of any speed; each write that ran has an answer that was heard,
+// TestJournaledWritesSurviveKills: poolers are killed again and again under writes, on disks of any speed; each write that ran has an answer that was heard,
 // or is listed, once; and no rule is broken. Alongside, what is missing came in the last moments before a kill.
-func TestJournalKilled(t *testing.T) {
+func TestJournaledWritesSurviveKills(t *testing.T) {
 	t.Parallel()
 	unheard := 0
 	for seed := range uint64(2) {
--- a/internal/testkit/simulation/linkfaults_test.go
+++ b/internal/testkit/simulation/linkfaults_test.go
@@ -9,9 +9,9 @@
 	"beechgrade/internal/testkit/model"
 )
 
-// TestWaysToServers: who is cut off from all servers serves nobody, on a thin way much is lost, and others do not notice; in another
+// TestFaultsOfServerLinks: who is cut off from all servers serves nobody, on a thin way much is lost, and others do not notice; in another
 // process of the pooler it goes on.
-func TestWaysToServers(t *testing.T) {
+func TestFaultsOfServerLinks(t *testing.T) {
 	t.Parallel()
 	const text = `(rehearsal "ways" (seconds 16) (poolers 4) (groups 3 3) (rate 400) (retries 0)
 		(at 4s (cut 1 everyone) (for 8s)) (at 4s (thin (3) everyone 0.9) (for 8s)) (at 8s (kill-pooler 1) (for 200ms)))`
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestListHeld: while the list tells poolers nothing, nothing new comes to them; at the end all does. A server that is another process at
+// TestHeldListIsDeliveredLater: while the list tells poolers nothing, nothing new comes to them; at the end all does. A server that is another process at
 // once, under its old id, is cold, and no rule is broken.
-func TestListHeld(t *testing.T) {
+func TestHeldListIsDeliveredLater(t *testing.T) {
 	t.Parallel()
 	heard := func(hold string) (n int) {
 		r := play(t, parse(t, `(rehearsal "held" (seconds 14) (poolers 2) (groups 3) (rate 100) (cold 3s) `+hold+` (at 3s (drain member 0 1) (for 4s)) (at 5s (restart member 0 2)))`),
--- a/internal/testkit/simulation/month_test.go
+++ b/internal/testkit/simulation/month_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestWrittenDownIsTheSamePlay: a scenario with all that the month-end has and faults drawn beside it, written down and read again, is the same play to the bit.
-func TestWrittenDownIsTheSamePlay(t *testing.T) {
+// TestWrittenScriptGivesTheSameRun: a scenario with all that the month-end has and faults drawn beside it, written down and read again, is the same play to the bit.
+func TestWrittenScriptGivesTheSameRun(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		s := short(t, "")
--- a/internal/testkit/simulation/outlier_byzantine_test.go
+++ b/internal/testkit/simulation/outlier_byzantine_test.go
@@ -34,10 +34,10 @@
 const liedTo = `(rehearsal "lied to" (seconds 20.5) (poolers 16) ` + judgedFleet + ` (groups-of 1 4) (rate 120) (verdicts (testers 1) (turn 30s) (lapse 3s))
 	(at 4s (lag member 0 2 80) (for 16s)) (at 4s (lag member 0 1 80) (for 16s)) (at 9s (die primary 0)))`
 
-// TestVerdictLiar: a collector says that all servers are silent, that each leads, or that each is 5 s further than it is, or all of it, as an
+// TestByzantineOutlierReports: a collector says that all servers are silent, that each leads, or that each is 5 s further than it is, or all of it, as an
 // observer and as a collector. No rule is broken, and as much is served as without it; poolers that need one word only break the rules of
 // staleness and of whom writes go to.
-func TestVerdictLiar(t *testing.T) {
+func TestByzantineOutlierReports(t *testing.T) {
 	t.Parallel()
 	s := parse(t, liedTo)
 	honest := play(t, s, Options{Seed: 1}).Score.Ratio
--- a/internal/testkit/simulation/outlier_test.go
+++ b/internal/testkit/simulation/outlier_test.go
@@ -24,11 +24,11 @@
 // mutantSeeds is the number of seeds at one of which a mutant has to be caught.
 const mutantSeeds = 4
 
-// TestVerdictMutants: words that come 0.6 s late make no read staler than its class allows; poolers that take a position for as new as the word
+// TestOutlierMutants: words that come 0.6 s late make no read staler than its class allows; poolers that take a position for as new as the word
 // that brought it are caught. Collectors that lie take no server from those that it answers, one of three nor two: poolers that need one
 // word only, or for which each word is new, are caught. A server that is another process is avoided for nothing that the last one did; poolers that keep
 // what they have of that one are caught.
-func TestVerdictMutants(t *testing.T) {
+func TestOutlierMutants(t *testing.T) {
 	t.Parallel()
 	for i, m := range OutlierMutants() {
 		t.Run(m.Name, func(t *testing.T) {
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestVerdictsUnderChaos: what befalls servers, the ways to them, poolers and the ways between them is drawn from seeds; no rule is broken. At seed 13
+// TestOutliersUnderChaos: what befalls servers, the ways to them, poolers and the ways between them is drawn from seeds; no rule is broken. At seed 13
 // a primary comes back as a replica while writes wait for it. Many more seeds with BEECHGRADE_VERDICT_SEEDS.
-func TestVerdictsUnderChaos(t *testing.T) {
+func TestOutliersUnderChaos(t *testing.T) {
 	t.Parallel()
 	seeds := []uint64{0, 1, 13}
 	if n, err := strconv.Atoi(os.Getenv("BEECHGRADE_VERDICT_SEEDS")); err == nil {
--- a/internal/testkit/simulation/overload_test.go
+++ b/internal/testkit/simulation/overload_test.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// TestOverloadLiar: one of eight lies that it is asked a thousand times what it is, or for nothing, as collector too, while one group of ten is
+// TestByzantineLoadReports: one of eight lies that it is asked a thousand times what it is, or for nothing, as collector too, while one group of ten is
 // hot: the nine others shed nothing for that, and all are served as without it. Before strain was taken without both extremes, the first had
 // nine groups that were well turn away 0.7 of what they were asked.
-func TestOverloadLiar(t *testing.T) {
+func TestByzantineLoadReports(t *testing.T) {
 	t.Parallel()
 	const ten = `(groups 1 2 2 2 2 2 2 2 2 2) (rate 200) (seconds 18) (at 4s (crowd primary 0 0.1) (for 12s)) `
 	honest := playOver(t, ten, `(overload (shed yes))`, 5, nil).Score.Ratio
--- a/internal/testkit/simulation/pooler.go
+++ b/internal/testkit/simulation/pooler.go
@@ -122,7 +122,7 @@
 		}
 		p.attempts.Remove(a.ref)
 	}
-	for _, v := range sim.sortedAttemptsOfClients(p.clientAttempts) {
+	for _, v := range sim.sortedClientAttempts(p.clientAttempts) {
 		sim.sched.After(sim.linkDelay(), v, connectionBreaks)
 		sim.check.Abandoned(sim.sched.now, v.id, "its pooler ended")
 	}
--- a/internal/testkit/simulation/sharedlog_test.go
+++ b/internal/testkit/simulation/sharedlog_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestAgreedElects: a leader that is killed is followed by another within the bound, and where two stood at once, within twice that.
-func TestAgreedElects(t *testing.T) {
+// TestSharedLogElectsALeader: a leader that is killed is followed by another within the bound, and where two stood at once, within twice that.
+func TestSharedLogElectsALeader(t *testing.T) {
 	t.Parallel()
 	var all []float64
 	bound := 0.0
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -401,7 +401,7 @@
 	return n
 }
 
-func (sim *Simulation) sortedAttemptsOfClients(set map[*clientAttempt]bool) []*clientAttempt {
+func (sim *Simulation) sortedClientAttempts(set map[*clientAttempt]bool) []*clientAttempt {
 	out := make([]*clientAttempt, 0, len(set))
 	for v := range set {
 		out = append(out, v)
--- a/internal/testkit/simulation/simulation_test.go
+++ b/internal/testkit/simulation/simulation_test.go
@@ -48,8 +48,8 @@
 	(at 26s (fail-check everyone) (for 6s)) (at 28s (agent 0 hang) (for 8s)) (at 30s (die primaries) (for 5s)) (at 33s (kill-pooler 1) (for 400ms)) (at 36s (agent 1 leaderless) (for 5s))
 	(at 38s (lag replica 1 30) (for 5s)) (at 39s (list-gone) (for 4s)) (at 40s (drain primary 1) (for 4s)))`
 
-// TestLies: whatever Consul says wrongly, no rule is broken, and service goes on.
-func TestLies(t *testing.T) {
+// TestWrongCatalogs: whatever Consul says wrongly, no rule is broken, and service goes on.
+func TestWrongCatalogs(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		r := play(t, parse(t, lies), Options{Seed: seed})
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestSame: the same scenario and seed are the same run to the last event; another seed is not.
-func TestSame(t *testing.T) {
+// TestSameSeedGivesSameRun: the same scenario and seed are the same run to the last event; another seed is not.
+func TestSameSeedGivesSameRun(t *testing.T) {
 	t.Parallel()
 	s := parse(t, everything)
 	a, b, c := play(t, s, Options{Seed: 7}), play(t, s, Options{Seed: 7}), play(t, s, Options{Seed: 8})
@@ -185,10 +185,10 @@
 const house = `(rehearsal "house" (clickhouse) (seconds 14) (poolers 3) (groups 4) (rate 150) (cold 6s) (class "painel" (bound 3s)) (at 1s (lag member 0 1 60) (for 9s))
 	(at 3s (hang member 0 0) (for 2s)) (at 5s (load 1.6) (for 2s)) (at 6s (drain member 0 2) (for 3s)) (at 8s (die member 0 3) (for 2s)))`
 
-// TestHouse: the decisions behind the ClickHouse front, where every member takes writes and only probes tell how far behind one
+// TestClickHouseInterface: the decisions behind the ClickHouse front, where every member takes writes and only probes tell how far behind one
 // is: no rule broken, each put to the test that can be, and the same run twice. What repeats a write or hears of no drain is
 // caught there too.
-func TestHouse(t *testing.T) {
+func TestClickHouseInterface(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		r := play(t, parse(t, house), Options{Seed: seed})
--- a/internal/testkit/simulation/stood_test.go
+++ b/internal/testkit/simulation/stood_test.go
@@ -6,8 +6,8 @@
 	"beechgrade/internal/testkit/checker"
 )
 
-// TestStoodIsNoLoad: what waited at a pooler that stood still, and is turned away as it wakes, is not held against a group that is asked for little.
-func TestStoodIsNoLoad(t *testing.T) {
+// TestPauseIsNoLoad: what waited at a pooler that stood still, and is turned away as it wakes, is not held against a group that is asked for little.
+func TestPauseIsNoLoad(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed < 4; seed++ {
 		r := play(t, parse(t, `(rehearsal "stood" (seconds 20) (poolers 8) (groups 3 3) (rate 60) (peers (probe 500ms) (timeout 150ms) (suspicion 1500ms)) (overload)
