--- a/cmd/beechgrade-kit/peers.go
+++ b/cmd/beechgrade-kit/peers.go
@@ -33,14 +33,14 @@
 	}
 }
 
-// peerAnswer is what one pooler said, or why it did not.
+// peerAnswer is the view of one pooler, or why it did not answer.
 type peerAnswer struct {
 	Addr    string                 `json:"addr"`
 	Name    string                 `json:"name,omitempty"`
 	Err     string                 `json:"error,omitempty"`
 	Counts  fleetview.Counts       `json:"counts"`
 	Records []fleetview.Record     `json:"records"`
-	Avoided []module.AvoidedServer `json:"avoided,omitempty"` // servers, by others' word
+	Avoided []module.AvoidedServer `json:"avoided,omitempty"` // because other poolers reported them
 }
 
 // queryPeers asks poolers side by side.
@@ -97,25 +97,51 @@
 	return peersText(c.Root().Writer, views)
 }
 
-// peersText lays views side by side: a line for each process, first those on which the poolers differ.
+// peerLine is a process of the fleet, with its state by each pooler that answered.
+type peerLine struct {
+	fleetview.Record          // with the highest incarnation that any pooler reported
+	states           []string // in the order of the poolers, "-" where it is not known
+	differ           bool     // the poolers do not all report the same state
+}
+
+// peersText writes a line for each process, first those whose states differ between poolers, and a summary of each pooler.
 func peersText(w io.Writer, views []*peerAnswer) error {
-	type line struct {
-		fleetview.Record
-		says   []string
-		differ bool
-	}
-	lines := map[fleetview.ID]*line{}
-	answered := 0
+	var answered []*peerAnswer
 	for _, v := range views {
 		if v.Err != "" {
 			fmt.Fprintf(w, "%s does not answer: %s\n", v.Addr, v.Err)
 			continue
 		}
-		answered++
+		answered = append(answered, v)
+	}
+	if err := writePeerLines(w, answered); err != nil {
+		return err
+	}
+	for _, v := range answered {
+		majority := "sees no majority"
+		if v.Counts.Majority {
+			majority = "sees a majority"
+		}
+		if v.Counts.Isolated {
+			majority += ", hears nobody"
+		}
+		fmt.Fprintf(w, "%s reaches %d, counts %d that may be sending, %s\n", v.Name, v.Counts.Reachable, v.Counts.Sending, majority)
+	}
+	avoidedText(w, views)
+	if len(answered) == 0 {
+		return failed{errors.New("nobody answers")}
+	}
+	return nil
+}
+
+// peerLines are the processes that any pooler reports, in the order of peersText.
+func peerLines(answered []*peerAnswer) []*peerLine {
+	lines := map[fleetview.ID]*peerLine{}
+	for _, v := range answered {
 		for _, r := range v.Records {
 			l := lines[r.ID]
 			if l == nil {
-				l = &line{Record: r}
+				l = &peerLine{Record: r}
 				lines[r.ID] = l
 			}
 			if r.Incarnation > l.Incarnation {
@@ -123,58 +149,53 @@
 			}
 		}
 	}
-	var order []*line
+	var order []*peerLine
 	for id, l := range lines {
-		for _, v := range views {
-			if v.Err != "" {
-				continue
-			}
-			i := slices.IndexFunc(v.Records, func(r fleetview.Record) bool { return r.ID == id })
-			states := "-"
-			if i >= 0 {
-				if states = v.Records[i].State.String(); v.Records[i].Draining {
-					states += ", drains"
-				}
-			}
-			l.says = append(l.says, states)
-			l.differ = l.differ || states != l.says[0]
+		for _, v := range answered {
+			state := stateBy(v, id)
+			l.states = append(l.states, state)
+			l.differ = l.differ || state != l.states[0]
 		}
 		order = append(order, l)
 	}
-	slices.SortFunc(order, func(a, b *line) int {
+	slices.SortFunc(order, func(a, b *peerLine) int {
 		return cmp.Or(boolFirst(a.differ, b.differ), cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID))
 	})
+	return order
+}
+
+// stateBy is the state of a process by one pooler, "-" where the pooler does not know it.
+func stateBy(answer *peerAnswer, id fleetview.ID) string {
+	i := slices.IndexFunc(answer.Records, func(r fleetview.Record) bool { return r.ID == id })
+	if i < 0 {
+		return "-"
+	}
+	state := answer.Records[i].State.String()
+	if answer.Records[i].Draining {
+		state += ", drains"
+	}
+	return state
+}
+
+// writePeerLines writes the table of processes; a "!" marks those whose states differ.
+func writePeerLines(w io.Writer, answered []*peerAnswer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	head := []string{"", "process", "pooler", "zone", "address", "incarnation"}
-	for _, v := range views {
-		if v.Err == "" {
-			head = append(head, "by "+v.Name)
-		}
+	for _, v := range answered {
+		head = append(head, "by "+v.Name)
 	}
 	fmt.Fprintln(t, strings.Join(head, "\t"))
-	for _, l := range order {
+	for _, l := range peerLines(answered) {
 		mark := ""
 		if l.differ {
 			mark = "!"
 		}
-		fmt.Fprintf(t, "%s\t%x\t%s\t%s\t%s\t%d\t%s\n", mark, uint64(l.ID), l.Name, l.Zone, l.Addr, l.Incarnation, strings.Join(l.says, "\t"))
+		fmt.Fprintf(t, "%s\t%x\t%s\t%s\t%s\t%d\t%s\n", mark, uint64(l.ID), l.Name, l.Zone, l.Addr, l.Incarnation, strings.Join(l.states, "\t"))
 	}
-	if err := t.Flush(); err != nil {
-		return err
-	}
-	for _, v := range views {
-		if v.Err == "" {
-			fmt.Fprintf(w, "%s reaches %d, counts %d that may be sending, %s%s\n", v.Name, v.Counts.Reachable, v.Counts.Sending,
-				map[bool]string{true: "sees a majority", false: "sees no majority"}[v.Counts.Majority], map[bool]string{true: ", hears nobody"}[v.Counts.Isolated])
-		}
-	}
-	if avoidedText(w, views); answered == 0 {
-		return failed{errors.New("nobody answers")}
-	}
-	return nil
+	return t.Flush()
 }
 
-// avoidedText tells why servers are avoided, by whose word, and until when.
+// avoidedText lists the servers that poolers avoid: why, by whose reports, and until when.
 func avoidedText(w io.Writer, views []*peerAnswer) {
 	names := map[fleetview.ID]string{}
 	for _, v := range views {
--- a/internal/testkit/score/score.go
+++ b/internal/testkit/score/score.go
@@ -1,5 +1,5 @@
-// Package score judges service from the clients' side only: the worth answered in time over the worth asked for, and
-// the rules, as far as clients can see them. It knows nothing of the poolers' records.
+// Package score measures service from the clients' side only: the worth that was answered in time over the worth that was asked
+// for, and the rules as far as clients can see them. It uses nothing that poolers recorded.
 package score
 
 import (
@@ -12,9 +12,16 @@
 )
 
 const (
-	maxBreaches = 200
-	lateMs      = 50  // a client's own reckoning of time is no better than this on a busy machine
-	lostMs      = 500 // up to so long after its time an answer only earns nothing; where clients are real, one that is later is lost
+	maxBreaches = 200 // that are listed; more are counted only
+	lateMs      = 50  // precision of a client's clock on a busy machine
+	lostMs      = 500 // an answer that is at most this late has no worth; a later one breaks the rule "in time"
+)
+
+// Weights of Score.Goal.
+const (
+	ratioWeight = 0.45 // of the ratio of all classes over all time
+	worstWeight = 0.35 // of the worst ten seconds
+	leastWeight = 0.2  // of the worst class
 )
 
 // Score is what clients were served.
@@ -27,12 +34,12 @@
 	Worst    float64  `json:"worst_10s"`
 	WorstAt  float64  `json:"worst_10s_at_ms"`
 	Least    string   `json:"worst_class"`
-	Goal     float64  `json:"goal"` // 45% the whole, 35% the worst 10 s, 20% the worst class
+	Goal     float64  `json:"goal"` // weighted sum of Ratio, Worst and the ratio of the worst class
 	Breaches []Breach `json:"breaches"`
 	Broken   int      `json:"breaches_total"`
 }
 
-// Class is what one class was served. An ask is a first try with its client's own retries.
+// Class is what a class, or a tenant, was served. Asked counts requests without their client's retries, Tries with them.
 type Class struct {
 	Name        string  `json:"name"`
 	Asked       uint64  `json:"asked"`
@@ -51,7 +58,7 @@
 	Ratio       float64 `json:"ratio"`
 }
 
-// Breach is a rule that was broken, with the try that shows it.
+// Breach is a violation of a rule, with the request that shows it.
 type Breach struct {
 	Rule string  `json:"rule"`
 	At   float64 `json:"at_ms"`
@@ -59,15 +66,15 @@
 	Text string  `json:"text"`
 }
 
-// Keeper scores tries as they end.
+// Keeper scores requests as they end. It is a clients.Sink, and not safe for concurrent use.
 type Keeper struct {
 	score      Score
 	index      map[string]int
 	window     serviceratio.Window
-	overWeight float64 // what is beyond a tenant's share is worth this part
+	overWeight float64 // part of the worth that requests beyond a tenant's share have
 }
 
-// Tenants has the keeper score each tenant within its share; what is beyond that is worth a part.
+// Tenants has the keeper also score each tenant within its share. Requests beyond a share have the part over of their worth.
 func (k *Keeper) Tenants(tenants []clients.Tenant, over float64) {
 	k.overWeight = over
 	for _, t := range tenants {
@@ -75,7 +82,7 @@
 	}
 }
 
-// classesOf are what a try counts in: its class, and its tenant where it is within the share.
+// classesOf are the classes that a request counts in: its own, and its tenant where it is within the share.
 func (k *Keeper) classesOf(t *clients.Try) []*Class {
 	b := []*Class{&k.score.Classes[k.index[t.Class.Name]]}
 	if n := t.Ask.Tenant; n >= 0 && n < len(k.score.Tenants) && !t.Ask.Over {
@@ -84,7 +91,7 @@
 	return b
 }
 
-// New makes a keeper for classes.
+// New returns a keeper for the given classes.
 func New(seed uint64, classes []clients.Class) *Keeper {
 	k := &Keeper{score: Score{Seed: seed}, index: map[string]int{}}
 	for _, c := range classes {
@@ -94,7 +101,7 @@
 	return k
 }
 
-// Tried is clients.Sink's.
+// Tried implements clients.Sink.
 func (k *Keeper) Tried(t *clients.Try) {
 	worth := t.Ask.Worth(t.Class, k.overWeight)
 	if t.No == 0 {
@@ -121,7 +128,7 @@
 	}
 }
 
-// tried counts a try.
+// tried counts a request by its result.
 func (c *Class) tried(t *clients.Try, worth float64) {
 	c.Tries++
 	if t.No == 0 {
@@ -144,6 +151,7 @@
 	}
 }
 
+// served counts a served answer. A stale or invented value breaks a rule and has no worth.
 func (k *Keeper) served(t *clients.Try, worth float64) {
 	if t.Stale {
 		k.breach("no stale read", t, "the value is older than its class allows")
@@ -169,6 +177,7 @@
 	k.window.Add(t.First, 0, got)
 }
 
+// breach counts a violation that a client saw.
 func (k *Keeper) breach(rule string, t *clients.Try, text string) {
 	k.score.Broken++
 	if len(k.score.Breaches) < maxBreaches {
@@ -176,13 +185,13 @@
 	}
 }
 
-// Add books a breach that was seen elsewhere.
+// Add counts a violation that was observed elsewhere. All of these are listed.
 func (k *Keeper) Add(b Breach) {
 	k.score.Broken++
 	k.score.Breaches = append(k.score.Breaches, b)
 }
 
-// Score is the result so far.
+// Score returns the score so far. The keeper may take further requests afterwards.
 func (k *Keeper) Score() *Score {
 	s := k.score
 	s.Classes, s.Tenants, s.Breaches = slices.Clone(k.score.Classes), slices.Clone(k.score.Tenants), slices.Clone(k.score.Breaches)
@@ -213,7 +222,7 @@
 	}
 	s.Ratio = s.Total.Ratio
 	s.Worst, s.WorstAt = k.window.Worst()
-	s.Goal = 0.45*s.Ratio + 0.35*s.Worst + 0.2*least
+	s.Goal = ratioWeight*s.Ratio + worstWeight*s.Worst + leastWeight*least
 	slices.SortStableFunc(s.Breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
 	return &s
 }
