--- a/cmd/beechgrade-kit/kit_test.go
+++ b/cmd/beechgrade-kit/kit_test.go
@@ -13,6 +13,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/google/go-cmp/cmp"
 
@@ -232,15 +233,18 @@
 	}
 }
 
-// kills is how often TestJournalKilled kills its pooler; a hundred take a minute.
+// kills is how often TestJournalKilled kills its pooler; a hundred take a minute and a half.
 var kills = flag.Int("kills", 12, "how often a pooler with a journal is killed")
 
+// killEvery is the time between two kills. Each life has to start on a busy machine and to write its records, which takes 250 ms from an event on.
+const killEvery = 900 * time.Millisecond
+
 // TestJournalKilled: a pooler is killed under load again and again: each write that ran has an answer that its client heard, or
 // is in the journal; none is there twice; the journal lists what was called off and broken off too.
 func TestJournalKilled(t *testing.T) {
 	t.Parallel()
 	dir, out := t.TempDir(), t.TempDir()
-	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "killed" (seconds %g) (poolers 1) `+strings.Replace(quick, "(rate 60)", "(rate 150)", 1)+` (class "registrar-ponto" (share 0.8)) (at 500ms (kill-pooler 0) (for 60ms) (every 450ms)))`, 0.6+0.45*float64(*kills))))
+	s, err := scenario.Parse("script", []byte(fmt.Sprintf(`(rehearsal "killed" (seconds %g) (poolers 1) `+strings.Replace(quick, "(rate 60)", "(rate 150)", 1)+` (class "registrar-ponto" (share 0.8)) (at 500ms (kill-pooler 0) (for 60ms) (every %dms)))`, 0.6+killEvery.Seconds()*float64(*kills), killEvery.Milliseconds())))
 	if err != nil {
 		t.Fatal(err)
 	}
