--- a/internal/testkit/fake/clickhouseserver/server.go
+++ b/internal/testkit/fake/clickhouseserver/server.go
@@ -1,5 +1,5 @@
-// Package clickhouseserver is a stand-in for a ClickHouse server's HTTP interface on loopback. It runs no SQL: a query's text says how it
-// is answered, and the stand-in counts what ran, what was cancelled, and when it was told to drain.
+// Package clickhouseserver fakes a ClickHouse server's HTTP interface on loopback. It runs no SQL: a query's text says how it
+// is answered, and the fake counts the queries that ran and those that were cancelled.
 package clickhouseserver
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Run is a query that came.
+// Run is a query that the server received.
 type Run struct {
 	ID        string // its query_id
 	Text      string // the parameter and as much of the body as a text may have
@@ -33,7 +33,7 @@
 	Kept      bool // its data stays: it was not cut off before its body's end
 }
 
-// Server is a stand-in. How it answers is in a comment of a query's text: "ROWS n" has n rows of 1 KiB, "FAIL code" an
+// Server is a fake server. How it answers is in a comment of a query's text: "ROWS n" has n rows of 1 KiB, "FAIL code" an
 // exception, "BROKEN" ends in the midst of its body, "RAISE" has an exception in the midst of a whole body, "HANG" waits until
 // its connection goes, "SLOW n" has n rows, one each 10 ms, "DROP" closes before it answers, "PROGRESS n" has n fields of
 // progress in its head, one each 10 ms, "EARLY code" is an exception before its body is read, "TEMP" is kept by its session and
@@ -65,7 +65,7 @@
 	temp bool
 }
 
-// maxText is how much of a body is kept as text.
+// maxText bounds the stored part of a body.
 const maxText = 1 << 20
 
 // Start starts a server.
@@ -88,21 +88,21 @@
 // Stop ends it and its connections, and what its sessions held.
 func (s *Server) Stop() { _ = s.server.Close() }
 
-// RejectConnections has it turn queries away.
+// RejectConnections makes the server reject queries, or ends that.
 func (s *Server) RejectConnections(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.full = on
 }
 
-// Rejected is how many queries it has turned away.
+// Rejected returns the number of rejected queries.
 func (s *Server) Rejected() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.turned
 }
 
-// SetUnresponsive has it take all that comes, and answer nothing until it is not so any more.
+// SetUnresponsive makes the server accept queries without answering, until it is called with false.
 func (s *Server) SetUnresponsive(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +123,7 @@
 	s.lag, s.plain = max(0, seconds), seconds < 0
 }
 
-// lagSeconds is how many seconds it is behind now.
+// lagSeconds returns the server's present lag.
 func (s *Server) lagSeconds() float64 {
 	now := time.Now()
 	if p := now.Add(-time.Duration(s.lag * float64(time.Second))); p.After(s.pos) {
@@ -132,14 +132,14 @@
 	return now.Sub(s.pos).Seconds()
 }
 
-// DropSessions has it keep no list of what came, for measurements.
+// DropSessions makes the server record no queries, for measurements.
 func (s *Server) DropSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgets = true
 }
 
-// Follow has it begin with the data of a process that was there before.
+// Follow makes the server start with the data of an earlier process.
 func (s *Server) Follow(old *Server) {
 	old.mu.Lock()
 	lag, pos, plain := old.lag, old.pos, old.plain
@@ -149,21 +149,21 @@
 	s.lag, s.pos, s.plain = lag, pos, plain
 }
 
-// SlowRead has it wait before each 64 KiB of a body.
+// SlowRead makes the server wait before each 64 KiB of a body.
 func (s *Server) SlowRead(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowRead = d
 }
 
-// Answer has queries answered by a function where it says that it did; it gets as much of the body as is kept.
+// Answer sets a function that answers queries if it returns true; it gets the stored part of the body.
 func (s *Server) Answer(f func(w http.ResponseWriter, r *http.Request, x *Run, body []byte) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.own = f
 }
 
-// Runs are the queries that came, as they stand now.
+// Runs returns the queries received so far.
 func (s *Server) Runs() (out []Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -276,7 +276,7 @@
 	whole = s.answer(w, r, x)
 }
 
-// read takes a body, and keeps some of it; it tells whether that came whole.
+// read reads a body and stores a part of it; it reports whether the body was complete.
 func (s *Server) read(x *Run, body io.Reader, slow time.Duration) (text []byte, whole bool) {
 	sum, buf := xxhash.New(), make([]byte, 64<<10)
 	n := int64(0)
@@ -327,7 +327,7 @@
 	s.sessions[key].busy = false
 }
 
-// parseCommand is what a query's comment asks for.
+// parseCommand returns the command in a query's comment.
 func parseCommand(text string) (word, arg string) {
 	_, args, _ := strings.Cut(text, "/*")
 	args, _, _ = strings.Cut(args, "*/")
@@ -345,7 +345,7 @@
 	_, _ = fmt.Fprintf(w, "Code: %d. DB::Exception: %s", code, text)
 }
 
-// answer tells whether it wrote all of its answer.
+// answer writes an answer and reports whether it was written completely.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, x *Run) bool {
 	word, arg := parseCommand(x.Text)
 	n, _ := strconv.Atoi(arg)
@@ -410,7 +410,7 @@
 	return ok && write("Transfer-Encoding: chunked\r\nConnection: close\r\nX-ClickHouse-Summary: {\"read_rows\":\"%d\"}\r\n\r\n2\r\n1\n\r\n0\r\n\r\n", n)
 }
 
-// Raw is a stand-in that reads one request's head and then does as it is told, byte by byte.
+// Raw is a fake server that reads one request's head and then lets a function write to the connection.
 type Raw struct {
 	Addr string
 	l    net.Listener
--- a/internal/testkit/fake/consulserver/agent.go
+++ b/internal/testkit/fake/consulserver/agent.go
@@ -86,7 +86,7 @@
 	a.changed = make(chan struct{})
 }
 
-// RequireToken has the agent answer 403 to queries without this token.
+// RequireToken makes the agent answer 403 to queries without this token.
 func (a *Agent) RequireToken(token string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testkit/fake/consulserver/catalog.go
+++ b/internal/testkit/fake/consulserver/catalog.go
@@ -56,7 +56,7 @@
 	c.changed = make(chan struct{})
 }
 
-// ResetIndex has the index start again, as after a restore.
+// ResetIndex resets the index, as a restore does.
 func (c *Catalog) ResetIndex() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testkit/fake/database/clickhouse.go
+++ b/internal/testkit/fake/database/clickhouse.go
@@ -22,7 +22,7 @@
 	body []byte
 }
 
-// isHTTP tells whether a connection begins as one of the ClickHouse interface does.
+// isHTTP reports whether a connection starts like one of the ClickHouse interface.
 func isHTTP(start []byte) bool {
 	switch string(start) {
 	case "GET ", "POST", "HEAD", "PUT ":
--- a/internal/testkit/fake/database/directory.go
+++ b/internal/testkit/fake/database/directory.go
@@ -14,7 +14,7 @@
 
 const keepAliveInterval = 2 * time.Second
 
-// directory is the stand-in for discovery: the model's list over HTTP.
+// directory is the fake discovery: the model's list over HTTP.
 type directory struct {
 	addr     string
 	server   *http.Server
--- a/internal/testkit/fake/database/entrances.go
+++ b/internal/testkit/fake/database/entrances.go
@@ -21,7 +21,7 @@
 
 type link struct{ door, server int }
 
-// SetPoolerCount has servers and the list open a door for each of so many poolers, from before Start on.
+// SetPoolerCount makes servers and the list listen at an address for each pooler. It is called before Start.
 func (f *Fleet) SetPoolerCount(n int) {
 	f.doors = poolerEntrances{n: n, cut: map[link]int{}, thin: map[link][]float64{}, hold: make([]int, n)}
 }
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// DiscoveryAt is where the list answers a pooler.
+// DiscoveryAt returns the address of the list for a pooler.
 func (f *Fleet) DiscoveryAt(door int) string {
 	if door < 0 || door >= f.doors.n {
 		return f.dir.addr
@@ -56,13 +56,13 @@
 	return f.doors.list[door]
 }
 
-// ListAt is the list as a pooler is told it.
+// ListAt returns the list for a pooler.
 func (f *Fleet) ListAt(door int) discovery.List {
 	l := f.List()
 	return *f.at(door, &l)
 }
 
-// at has a list name the addresses of a pooler's doors.
+// at returns a list with the addresses for a pooler.
 func (f *Fleet) at(door int, l *discovery.List) *discovery.List {
 	if door < 0 || door >= f.doors.n {
 		return l
@@ -76,7 +76,7 @@
 	return l
 }
 
-// CutLink has nothing get from a pooler to a server nor back, or ends that.
+// CutLink cuts the link between a pooler and a server, or ends that.
 func (f *Fleet) CutLink(door, server int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// LoseOnLink has a part of what a pooler sends to a server be lost, or ends that.
+// LoseOnLink loses a share of a pooler's requests to a server, or ends that.
 func (f *Fleet) LoseOnLink(door, server int, part float64, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// HoldList has the list tell a pooler nothing new, or all that it did not tell.
+// HoldList holds the list back from a pooler, or delivers what was held back.
 func (f *Fleet) HoldList(door int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,12 +109,12 @@
 
 func (d *poolerEntrances) listHeld(door int) bool { return door >= 0 && door < d.n && d.hold[door] > 0 }
 
-// anyListHeld tells whether the list holds back anything from anybody.
+// anyListHeld reports whether the list is held back from any pooler.
 func (d *poolerEntrances) anyListHeld() bool {
 	return slices.ContainsFunc(d.hold, func(n int) bool { return n > 0 })
 }
 
-// linkCut tells whether nothing gets over the connection's way.
+// linkCut reports whether the connection's link is cut.
 func (c *conn) linkCut() bool {
 	c.s.f.mu.Lock()
 	defer c.s.f.mu.Unlock()
--- a/internal/testkit/fake/database/fleet.go
+++ b/internal/testkit/fake/database/fleet.go
@@ -1,4 +1,4 @@
-// Package database is stand-in database servers on loopback: the world's model behind sockets that speak the platform's
+// Package database fakes database servers on loopback: the model behind sockets that speak the platform's
 // protocol and that of ordinary clients, and a stand-in for discovery. Everything is of this process and listens on
 // 127.0.0.1 only.
 package database
@@ -24,13 +24,13 @@
 	Fact   = model.Fact
 )
 
-// Defaults are those of the site's brief, for so many members in each group.
+// Defaults returns the settings of the site's brief, for groups of the given sizes.
 func Defaults(groups ...int) Config { return model.Defaults(groups...) }
 
-// ErrServer says that there is no such server.
+// ErrServer is the error for an unknown server's name.
 var ErrServer = model.ErrServer
 
-// Watcher is told of what crosses the stand-ins' wires, under the fleet's lock.
+// Watcher observes what crosses the fakes' connections, under the fleet's lock.
 type Watcher interface {
 	Arrived(server int, id string, at float64) (no int)            // a request has come whole; no is its number among those of its id
 	Turned(id string, no int, how string, at float64)              // it was turned away untouched
@@ -97,10 +97,10 @@
 	return f
 }
 
-// Watch has a watcher told, from before Start on.
+// Watch sets the watcher. It is called before Start.
 func (f *Fleet) Watch(w Watcher) { f.watcher = w }
 
-// Start has all servers and discovery listen on loopback.
+// Start makes all servers and discovery listen on loopback.
 func (f *Fleet) Start() error {
 	for _, s := range f.servers {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -150,10 +150,10 @@
 	f.wg.Wait()
 }
 
-// Now is world.Clock's.
+// Now implements model.Clock.
 func (f *Fleet) Now() float64 { return f.clk.Now() }
 
-// After is world.Clock's: the event comes under the fleet's lock. The lock is held.
+// After implements model.Clock: the event comes under the fleet's lock. The lock is held.
 func (f *Fleet) After(ms float64, e model.Event, arg uint64) {
 	var t *time.Timer
 	t = time.AfterFunc(time.Duration(ms*float64(time.Millisecond)), func() {
@@ -167,7 +167,7 @@
 	f.timers[t] = true
 }
 
-// Down is world.Watcher's: the server's connections break, and what was worked on there ends. The lock is held, so nobody hears of the
+// Down implements model.Watcher: the server's connections break, and what was worked on there ends. The lock is held, so nobody hears of the
 // death before all of them are reset: what is sent from then on can't be answered. They are reset beside each other, since each Close
 // waits until who reads or writes there has let go, which takes no lock.
 func (f *Fleet) Down(s *model.Server) {
@@ -187,10 +187,10 @@
 	resets.Wait()
 }
 
-// FactRecorded is world.Watcher's.
+// FactRecorded implements model.Watcher.
 func (f *Fleet) FactRecorded(x Fact) { f.log.Info("fleet", "server", x.Server, "what", x.What) }
 
-// Listed is world.Watcher's.
+// Listed implements model.Watcher.
 func (f *Fleet) Listed(e *model.Entry, at float64) {
 	s := f.servers[e.Server.No]
 	// That a drain is over counts as soon as the list has it: whoever comes back to a list that nobody could be told of is told.
@@ -208,13 +208,13 @@
 	f.dir.wakeAll()
 }
 
-// ListDown is world.Watcher's.
+// ListDown implements model.Watcher.
 func (f *Fleet) ListDown(bool) { f.dir.wakeAll() }
 
-// Registered is world.Watcher's.
+// Registered implements model.Watcher.
 func (f *Fleet) Registered() { f.register() }
 
-// Executed is world.Watcher's.
+// Executed implements model.Watcher.
 func (f *Fleet) Executed(s *model.Server, j *model.Job, r model.Run) {
 	if f.watcher != nil {
 		value := j.Value
@@ -225,17 +225,17 @@
 	}
 }
 
-// Discovery is the address of the stand-in for discovery.
+// Discovery returns the address of the fake discovery.
 func (f *Fleet) Discovery() string { return f.dir.addr }
 
-// List is the list as discovery has it now.
+// List returns the present list of discovery.
 func (f *Fleet) List() discovery.List {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.world.List.Snapshot()
 }
 
-// Servers are the servers' names, group by group.
+// Servers returns the servers' names, group by group.
 func (f *Fleet) Servers() []string {
 	var out []string
 	for _, s := range f.servers {
@@ -244,14 +244,14 @@
 	return out
 }
 
-// ExecutedWrites are the ids of the writes that ran.
+// ExecutedWrites returns the IDs of the executed writes.
 func (f *Fleet) ExecutedWrites() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.world.ExecutedWrites()
 }
 
-// Primary is the name of a group's present primary, empty where there is none.
+// Primary returns the name of a group's primary, empty for none.
 func (f *Fleet) Primary(group int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -261,21 +261,21 @@
 	return ""
 }
 
-// Facts are what truly happened, in order.
+// Facts returns the recorded facts in order.
 func (f *Fleet) Facts() []Fact {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.world.Facts()
 }
 
-// RepeatedWrites are the ids of writes that ran more than once.
+// RepeatedWrites returns the IDs of writes that were executed more than once.
 func (f *Fleet) RepeatedWrites() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.world.RepeatedWrites()
 }
 
-// PushedOver are the cold servers that were pushed over.
+// PushedOver returns the names of cold servers that failed under overload.
 func (f *Fleet) PushedOver() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -290,7 +290,7 @@
 	return slices.Clone(f.late)
 }
 
-// Update has something befall the model, under the fleet's lock.
+// Update changes the model, under the fleet's lock.
 func (f *Fleet) Update(do func(w *model.World) error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -307,22 +307,22 @@
 	return f.Update(func(w *model.World) error { return w.Revive(name) })
 }
 
-// SlowReplication has a replica's apply thread take so many times as long.
+// SlowReplication multiplies the time that a replica needs to apply an entry.
 func (f *Fleet) SlowReplication(name string, times float64) error {
 	return f.Update(func(w *model.World) error { return w.SlowReplication(name, times) })
 }
 
-// Drain has a server finish what it has and want nothing new; a primary hands over.
+// Drain makes a server finish its jobs and reject new ones; a primary hands over.
 func (f *Fleet) Drain(name string) error {
 	return f.Update(func(w *model.World) error { return w.Drain(name) })
 }
 
-// Undrain is Drain's end.
+// Undrain ends Drain.
 func (f *Fleet) Undrain(name string) error {
 	return f.Update(func(w *model.World) error { return w.Undrain(name) })
 }
 
-// DelayList has the list run later by so many milliseconds.
+// DelayList adds a delay to the list, in ms.
 func (f *Fleet) DelayList(ms float64) {
 	_ = f.Update(func(w *model.World) error { w.DelayList(ms); return nil })
 }
--- a/internal/testkit/fake/database/server.go
+++ b/internal/testkit/fake/database/server.go
@@ -209,7 +209,7 @@
 	return c.request(sql, &st)
 }
 
-// waitForReset holds what a server that hangs was sent, until it is reset.
+// waitForReset waits until the connection to a hanging server is reset.
 func (c *conn) waitForReset() bool {
 	<-c.gone
 	return false
@@ -234,16 +234,16 @@
 	return "x0=" + strconv.FormatFloat(r.Position/1000, 'f', 3, 64) + ",x1=" + x1, true
 }
 
-// rejections are the verdicts that leave a request untouched.
+// rejections are the verdicts that leave a request untouched, with their texts.
 var rejections = map[model.Verdict]string{model.NotPrimary: "missed", model.Draining: "turned away", model.QueueFull: "turned away"}
 
 // reply waits for a job's answer; it is world.Owner.
 type reply chan model.Reply
 
-// Answered is world.Owner's.
+// Answered implements model.Owner.
 func (r reply) Answered(_ *model.Job, x model.Reply) { r <- x }
 
-// work is what a server is asked, in no protocol's form.
+// work is a request, independent of the protocol.
 type work struct {
 	id, class, key string
 	idem           string
--- a/internal/testkit/fake/database/session.go
+++ b/internal/testkit/fake/database/session.go
@@ -16,7 +16,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// session is an ordinary session at a stand-in server.
+// session is an ordinary SQL session at a fake server.
 type session struct {
 	c         *conn
 	be        *pgproto3.Backend
@@ -51,7 +51,7 @@
 	value []byte
 }
 
-// sqlError is an error as a server words it.
+// sqlError is an error with its SQLSTATE.
 type sqlError struct{ code, text string }
 
 func (e *sqlError) Error() string { return e.code + ": " + e.text }
--- a/internal/testkit/fake/database/watch.go
+++ b/internal/testkit/fake/database/watch.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Watch is what the stand-ins saw of ordinary sessions, over all servers.
+// Watch has counts of ordinary sessions, over all servers.
 type Watch struct {
 	Statements   int            `json:"statements"`
 	Preparations int            `json:"preparations"`
@@ -16,7 +16,7 @@
 	DuringDrain  int            `json:"during_drain"` // messages behind the grace of a drain
 }
 
-// Watched is what has been seen so far.
+// Watched returns the counts so far.
 func (f *Fleet) Watched() Watch {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,7 +37,7 @@
 	f.before = do
 }
 
-// Streamed is how many bytes of long results went out.
+// Streamed returns the number of bytes of long results that were sent.
 func (f *Fleet) Streamed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testkit/fake/faultyfs/disk.go
+++ b/internal/testkit/fake/faultyfs/disk.go
@@ -46,7 +46,7 @@
 // New makes an empty disk.
 func New() *Disk { return &Disk{names: map[string]*node{}, kept: map[string]*node{}} }
 
-// Ops is how many operations there were; Last the kind of the last one.
+// Ops returns the number of operations and the kind of the last one.
 func (d *Disk) Ops() (int, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Restart is the disk as the next start finds it. Of what was not synced, any sectors may be there, in any order, and any names;
+// Restart returns the disk as the next start finds it. Of what was not synced, any sectors may be there, in any order, and any names;
 // where power is false only the process ended, and all that it wrote is there.
 func (d *Disk) Restart(rng *rand.Rand, power bool) *Disk {
 	d.mu.Lock()
@@ -157,7 +157,7 @@
 	d.names[name], d.kept[name] = n, n
 }
 
-// Files are the files as a process sees them.
+// Files returns the files as a process sees them.
 func (d *Disk) Files() map[string][]byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,7 +168,7 @@
 	return out
 }
 
-// Lock is store.FS's.
+// Lock implements store.FS.
 func (d *Disk) Lock() (func() error, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,7 +184,7 @@
 	}, nil
 }
 
-// List is store.FS's.
+// List implements store.FS.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -198,7 +198,7 @@
 	return out, nil
 }
 
-// Read is store.FS's.
+// Read implements store.FS.
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -212,7 +212,7 @@
 	return slices.Clone(n.data), nil
 }
 
-// Create is store.FS's.
+// Create implements store.FS.
 func (d *Disk) Create(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -227,7 +227,7 @@
 	return &file{d, n}, nil
 }
 
-// Append is store.FS's.
+// Append implements store.FS.
 func (d *Disk) Append(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -241,7 +241,7 @@
 	return &file{d, n}, nil
 }
 
-// Truncate is store.FS's.
+// Truncate implements store.FS.
 func (d *Disk) Truncate(name string, size int64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// Rename is store.FS's.
+// Rename implements store.FS.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -273,7 +273,7 @@
 	return nil
 }
 
-// Remove is store.FS's.
+// Remove implements store.FS.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -284,7 +284,7 @@
 	return nil
 }
 
-// Sync is store.FS's.
+// Sync implements store.FS.
 func (d *Disk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
