--- a/internal/testkit/clients/clickhouse.go
+++ b/internal/testkit/clients/clickhouse.go
@@ -19,7 +19,7 @@
 	WaitField  = "X-Wait-Ms"
 )
 
-// ClickHouseClasses are the classes of clients of the ClickHouse interface, whose servers take writes and reads at any member.
+// ClickHouseClasses are the classes of clients of the ClickHouse interface, whose servers take reads and writes at any member.
 func ClickHouseClasses() []Class {
 	return []Class{
 		{
@@ -38,7 +38,7 @@
 	}
 }
 
-// clickhouseQuery words a try for the ClickHouse interface.
+// clickhouseQuery encodes a request for the ClickHouse interface.
 func clickhouseQuery(a *Ask, c *Class, t *Try, patience float64) []byte {
 	sql := fmt.Sprintf("SELECT content FROM kv WHERE name = '%s'", a.Key)
 	if c.Read == Write {
@@ -80,7 +80,7 @@
 	return a, nil
 }
 
-// asBroken has an answer that stopped in its midst count as broken: it cannot be gone on with.
+// asBroken turns a timeout within an answer into a broken connection, as reading cannot be resumed there.
 func asBroken(err error) error {
 	var ne net.Error
 	if errors.As(err, &ne) && ne.Timeout() {
--- a/internal/testkit/rehearse/attempts.go
+++ b/internal/testkit/rehearse/attempts.go
@@ -26,7 +26,7 @@
 	Tenant string       `json:"tenant,omitempty"`
 }
 
-// log scores tries and writes them down.
+// log scores attempts and writes them to AttemptsFile.
 type log struct {
 	*score.Keeper
 	file *os.File
@@ -45,7 +45,7 @@
 	return k, &log{Keeper: k, file: f, out: bufio.NewWriter(f), run: r}, nil
 }
 
-// Tried is clients.Sink's.
+// Tried implements clients.Sink.
 func (l *log) Tried(t *clients.Try) {
 	l.run.wires.tried(t)
 	l.run.shared.tried(t)
@@ -76,7 +76,7 @@
 	}
 }
 
-// Trying is clients.Watcher's.
+// Trying implements clients.Watcher.
 func (l *log) Trying(t *clients.Try, untilMs, afterMs float64) {
 	l.run.wires.Trying(t, untilMs, afterMs)
 }
--- a/internal/testkit/rehearse/match.go
+++ b/internal/testkit/rehearse/match.go
@@ -21,10 +21,10 @@
 	"beechgrade/internal/testkit/score"
 )
 
-// maxAttempts bounds the clients' log that is matched.
+// maxAttempts bounds the lines of the clients' log.
 const maxAttempts = 1 << 22
 
-// Match is how what the poolers recorded and what the clients saw agree.
+// Match is how far the poolers' records and the clients' log agree.
 type Match struct {
 	Attempts  int          `json:"tries"`
 	Equal     int          `json:"equal"`      // tries of which both say the same
@@ -37,14 +37,14 @@
 	WorthDiff float64      `json:"worth_diff"` // largest, beyond what lies at the border of an aim
 }
 
-// Difference is something that both should say the same of.
+// Difference is something that the records and the clients report differently.
 type Difference struct {
 	What    string `json:"what"`
 	Records string `json:"records"`
 	Clients string `json:"clients"`
 }
 
-// WorthLine is a class's worth as both have it. Border is what answers within 50 ms of their aim may shift.
+// WorthLine is the worth of a class by both. Border is what answers within 50 ms of their latency objective may shift.
 type WorthLine struct {
 	Class   string  `json:"class"`
 	Asked   float64 `json:"asked"`
@@ -54,10 +54,10 @@
 	Unseen  float64 `json:"unseen"` // worth of asks that the records can't have or can't know the end of
 }
 
-// OK tells whether everything agrees.
+// OK reports whether there are no differences.
 func (m *Match) OK() bool { return len(m.Differ) == 0 && len(m.Totals) == 0 }
 
-// finals collects how each request ended, by the hash of its client's id.
+// finals collects from records how each request ended, by the hash of its client's id.
 type finals struct {
 	*incident.Model
 	ids     map[string]map[uint64]uint64 // by run: request number to hash
@@ -68,16 +68,19 @@
 	pauses []Pause
 }
 
-// pausedDuring tells whether a try's pooler stood still meanwhile: then it reckons the try's time from when it went on.
+// pausedDuring reports whether the pooler's process was paused during an attempt: the pooler measures its time from the end of the
+// pause.
 func (f *finals) pausedDuring(t *AttemptLine) bool {
 	return slices.ContainsFunc(f.pauses, func(s Pause) bool { return s.Pooler == t.Pooler && t.Sent <= s.To && t.Ended >= s.From })
 }
 
+// missingSpan is a time in which a pooler's records are missing.
 type missingSpan struct {
 	pooler   string
 	from, to float64
 }
 
+// Event implements records.Sink.
 func (f *finals) Event(r *records.Run, e *record.Event) {
 	f.Model.Event(r, e)
 	key := fmt.Sprint(r.Index)
@@ -105,6 +108,7 @@
 	}
 }
 
+// Fault implements records.Sink.
 func (f *finals) Fault(x records.Fault) {
 	f.Model.Fault(x)
 	to := x.To
@@ -114,7 +118,7 @@
 	f.missing = append(f.missing, missingSpan{x.Pooler, x.From, to})
 }
 
-// Compare reads a rehearsal's folder and holds its records against its clients' log and score.
+// Compare compares the records in a rehearsal's folder with its clients' log and score.
 func Compare(dir string) (*Match, *incident.View, *Result, error) {
 	res, err := ReadResult(dir)
 	if err != nil {
@@ -171,13 +175,13 @@
 	return strings.TrimSuffix(strings.TrimSuffix(name, "-reads"), "-writes")
 }
 
-// unseenClass is what of a class the records can't have.
+// unseenClass counts what the records of a class cannot contain.
 type unseenClass struct {
 	served, refused, failed uint64
 	asks                    uint64 // first tries whose own chain the records may have only in part
 }
 
-// matchAttempts holds the clients' log against the records, try by try.
+// matchAttempts compares the clients' log with the records, attempt by attempt.
 func (f *finals) matchAttempts(path string, m *Match) (map[string]*unseenClass, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -207,6 +211,7 @@
 	return unseen, nil
 }
 
+// matchAttempt compares one attempt.
 func (f *finals) matchAttempt(t *AttemptLine, u *unseenClass, m *Match) {
 	kind, known := f.kind[xxhash.Sum64String(t.ID)]
 	miss := func(n *int) {
@@ -246,14 +251,14 @@
 	}
 }
 
-// inMissingSpan tells whether a pooler's records are missing while it had the try.
+// inMissingSpan reports whether the pooler's records are missing during an attempt.
 func (f *finals) inMissingSpan(t *AttemptLine) bool {
 	return slices.ContainsFunc(f.missing, func(d missingSpan) bool {
 		return d.pooler == t.Pooler && t.Sent <= d.to && t.Ended >= d.from
 	})
 }
 
-// totals holds the classes' figures against each other: equal to the last one, but for what can't be known.
+// totals compares the classes' counts and worth, which must be equal but for what the records cannot contain.
 func (m *Match) totals(v *incident.View, s *score.Score, unseen map[string]*unseenClass) {
 	for _, c := range s.Classes {
 		x, again := incident.ClassView{Name: c.Name}, 0.0
--- a/internal/testkit/rehearse/peers.go
+++ b/internal/testkit/rehearse/peers.go
@@ -21,7 +21,7 @@
 	"beechgrade/internal/testkit/simulation"
 )
 
-// peerFleet is the poolers as peers: relays between each two of them, and the checker of what they say of each other.
+// peerFleet is the poolers as peers: the relays between each two of them, and the checker of the views that they report.
 type peerFleet struct {
 	run    *Run
 	relays *netfault.Relays
@@ -43,7 +43,7 @@
 	busyMachineMs = 2000 // that a machine with dozens of processes on few cores may add
 )
 
-// startPeers opens the relays, and writes the key.
+// startPeers opens the relays and writes the shared key.
 func (r *Run) startPeers() error {
 	s := r.script
 	relays, err := netfault.NewRelays(s.Poolers, r.opt.Seed)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// settings are what a pooler is told of its being a peer.
+// settings are the operators' settings that make a pooler a peer.
 func (f *peerFleet) settings(no int) string {
 	p, v := f.run.script.Peers, &f.run.script.Peers.View
 	var b strings.Builder
@@ -88,7 +88,7 @@
 	return b.String()
 }
 
-// begin looks until the function that it returns is called.
+// begin samples the views until the function that it returns is called.
 func (f *peerFleet) begin(ctx context.Context) (end func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -99,7 +99,7 @@
 	return func() { cancel(); <-done }
 }
 
-// sampleUntilDone asks all poolers now and then what they think, until the context ends.
+// sampleUntilDone queries the views of all poolers every sampleMs, until the context ends.
 func (f *peerFleet) sampleUntilDone(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.sampleOnce()
@@ -107,6 +107,7 @@
 	}
 }
 
+// sampleOnce queries the views of all poolers at the same time.
 func (f *peerFleet) sampleOnce() {
 	var wg sync.WaitGroup
 	for i, p := range f.run.poolers {
@@ -139,7 +140,7 @@
 	f.check.Sample(f.run.clk.Now())
 }
 
-// reportChanges tells the checker what a pooler said that it had not said before.
+// reportChanges passes to the checker what a pooler newly reports.
 func (f *peerFleet) reportChanges(i int, records []view.Record, counts view.Counts) {
 	now := f.run.clk.Now()
 	if id := records[0].ID; f.ids[i] != id {
@@ -155,7 +156,7 @@
 	f.check.ReportCount(now, i, counts.Sending)
 }
 
-// limitOwner is the pooler that lends a limit, of those that were heard of last.
+// limitOwner is the pooler that owns a limit, among those that answered last.
 func (f *peerFleet) limitOwner(limit string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,14 +170,14 @@
 	return by[quota.OwnerOf(limit, all)]
 }
 
-// prober is the first prober of a server, of those that were heard of last.
+// prober is the first pooler that health-checks a server, among those that answered last.
 func (f *peerFleet) prober(server string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.run.script.Prober(server, f.ids)
 }
 
-// changeLimit has a limit be another at some poolers, which read their settings again.
+// changeLimit changes a limit in the settings of some poolers, and has these reload them.
 func (r *Run) changeLimit(f scenario.Fault) error {
 	for _, no := range f.AffectedPoolers(r.script) {
 		p := r.poolers[no]
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// ended tells the checker that a pooler's process ends now.
+// ended reports the end of a pooler's process to the checker.
 func (f *peerFleet) ended(i int, inOrder bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,7 +206,7 @@
 	f.check.ProcessEnded(f.run.clk.Now(), i, inOrder)
 }
 
-// inject has a fault of links strike and end.
+// inject injects a fault of the links between poolers, and ends it after its duration.
 func (f *peerFleet) inject(ctx context.Context, x scenario.Fault) {
 	do := func(on bool) {
 		f.relays.Update(func(n *netfault.Net) { x.SetLinks(n, on) })
@@ -224,7 +225,7 @@
 	}
 }
 
-// pauseProcess has a pooler's process stand still for a while.
+// pauseProcess stops the process by a signal for a span in milliseconds, and lets it continue whatever happens.
 func (p *pooler) pauseProcess(ctx context.Context, ms float64) {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -244,7 +245,7 @@
 	_ = cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// pid is the process that runs, 0 for none.
+// pid is the id of the running process, 0 for none.
 func (p *pooler) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,7 +255,7 @@
 	return p.cmd.Process.Pid
 }
 
-// Fleet is what came of the poolers as peers.
+// Fleet is the result of a rehearsal with peers.
 type Fleet struct {
 	Views   simulation.Views     `json:"views"`
 	Carried uint64               `json:"datagrams_carried"`
@@ -265,6 +266,7 @@
 	Avoided map[string]int `json:"avoided_by_poolers,omitempty"` // by server: how many poolers said, when they were asked, that they avoid it by others' word
 }
 
+// result is what the checker and the relays counted.
 func (f *peerFleet) result(v *checker.Verdict) *Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -285,7 +287,7 @@
 	return out
 }
 
-// settle waits until the last fault is behind so far that all views must be equal, but no longer than a bound.
+// settle waits until the last fault is so long ago that all views must be equal, for at most a given time.
 func (f *peerFleet) settle(ctx context.Context, most time.Duration) {
 	until := time.Now().Add(most)
 	for time.Now().Before(until) && ctx.Err() == nil && !f.viewsEqual() {
@@ -293,6 +295,7 @@
 	}
 }
 
+// viewsEqual reports whether all views must be equal by now.
 func (f *peerFleet) viewsEqual() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -85,7 +85,7 @@
 	return c
 }
 
-// faultChanged tells the checker that one struck or ended.
+// faultChanged reports to the checker that faults began or ended.
 func (w *wires) faultChanged(at float64, begins int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,7 +99,7 @@
 	return w.check.LimitUsages(warmMs)
 }
 
-// Trying is clients.Watcher's.
+// Trying implements clients.Watcher.
 func (w *wires) Trying(t *clients.Try, untilMs, afterMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -112,14 +112,14 @@
 	w.check.Tenant(t.Sent, idOf(t.ID), t.Tenant)
 }
 
-// Probed is fleet.Watcher's.
+// Probed implements database.Watcher.
 func (w *wires) Probed(server int, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.HealthCheckSent(at, server)
 }
 
-// faultInjected tells the checker of a fault.
+// faultInjected reports a fault with its targets to the checker.
 func (w *wires) faultInjected(at float64, s *scenario.Script, f *scenario.Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -148,7 +148,7 @@
 	delete(w.taken, t.ID)
 }
 
-// Arrived is fleet.Watcher's.
+// Arrived implements database.Watcher.
 func (w *wires) Arrived(server int, id string, at float64) (no int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -166,14 +166,14 @@
 	return no
 }
 
-// Turned is fleet.Watcher's.
+// Turned implements database.Watcher.
 func (w *wires) Turned(id string, no int, how string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.AttemptEnded(at, idOf(id), no, how, true)
 }
 
-// Took is fleet.Watcher's.
+// Took implements database.Watcher.
 func (w *wires) Took(server int, started float64, id string, work, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -186,14 +186,14 @@
 	w.taken[id], w.duplicates[w.groups[server]] = true, x
 }
 
-// Over is fleet.Watcher's.
+// Over implements database.Watcher.
 func (w *wires) Over(server int, id string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.check.QueryEnded(at, idOf(id), server)
 }
 
-// Ran is fleet.Watcher's.
+// Ran implements database.Watcher.
 func (w *wires) Ran(server int, j *model.Job, value []byte, r model.Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -204,7 +204,7 @@
 	w.check.Executed(r.At, server, idOf(j.ID), j.Writes, r.Primary, valueOf(value), r.Position)
 }
 
-// processPaused tells that a pooler's process stands still for a while.
+// processPaused reports that a pooler's process is paused.
 func (w *wires) processPaused(at float64, pooler int, until float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -212,7 +212,7 @@
 	w.pauses[pooler] = [2]float64{at, until}
 }
 
-// wasPaused tells whether a try lay at a pooler whose process stood still meanwhile.
+// wasPaused reports whether a pooler's process was paused during an attempt.
 func (w *wires) wasPaused(t *clients.Try) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
