--- a/internal/testkit/fake/clickhouseserver/server.go
+++ b/internal/testkit/fake/clickhouseserver/server.go
@@ -42,21 +42,21 @@
 	Name string
 	Addr string
 
-	server   *http.Server
-	mu       sync.Mutex
-	runs     []*Run
-	full     bool
-	turned   int           // queries turned away
-	silent   chan struct{} // closed when it is not any more; nil where it answers
-	lag      float64       // seconds that it stays behind once it is
-	pos      time.Time     // what it has is never older again
-	plain    bool          // it has no tables that are replicated
-	sessions map[string]*session
-	asked    int // for its lag
-	pings    int
-	slowRead time.Duration
-	forgets  bool
-	own      func(http.ResponseWriter, *http.Request, *Run, []byte) bool
+	server            *http.Server
+	mu                sync.Mutex
+	runs              []*Run
+	full              bool
+	turned            int           // queries turned away
+	silent            chan struct{} // closed when it is not any more; nil where it answers
+	lag               float64       // seconds that it stays behind once it is
+	pos               time.Time     // what it has is never older again
+	plain             bool          // it has no tables that are replicated
+	sessions          map[string]*session
+	asked             int // for its lag
+	pings             int
+	slowRead          time.Duration
+	recordingDisabled bool
+	own               func(http.ResponseWriter, *http.Request, *Run, []byte) bool
 }
 
 // session is one that the server has: user and id, as ClickHouse keeps them apart.
@@ -132,11 +132,11 @@
 	return now.Sub(s.pos).Seconds()
 }
 
-// DropSessions makes the server record no queries, for measurements.
-func (s *Server) DropSessions() {
+// DisableRecording makes the server record no queries, for measurements.
+func (s *Server) DisableRecording() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgets = true
+	s.recordingDisabled = true
 }
 
 // Follow makes the server start with the data of an earlier process.
@@ -226,7 +226,7 @@
 	if full {
 		s.turned++
 	}
-	if !full && !s.forgets {
+	if !full && !s.recordingDisabled {
 		s.runs = append(s.runs, x)
 	}
 	s.mu.Unlock()
--- a/internal/testkit/rehearse/clickhouse.go
+++ b/internal/testkit/rehearse/clickhouse.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	defer s.Stop()
-	s.DropSessions()
+	s.DisableRecording()
 	if err := os.MkdirAll(options.Out, 0o750); err != nil {
 		return nil, err
 	}
