--- a/internal/testkit/incident/servers.go
+++ b/internal/testkit/incident/servers.go
@@ -282,6 +282,12 @@
 		}
 	}
 	server.started = max(server.started, started)
+	m.onListedState(run, server, entry, e)
+	server.cellAt(m, e.At)
+}
+
+// onListedState takes the state of a server in a pooler's endpoint list, and reports drains and removals.
+func (m *Model) onListedState(run *poolerRun, server *server, entry *listEntry, e *record.Event) {
 	switch decide.ServerState(e.State) {
 	case decide.Draining:
 		if entry.drainingSinceMs == 0 {
@@ -322,7 +328,6 @@
 		server.removed = false
 		server.endDraining(e.At)
 	}
-	server.cellAt(m, e.At)
 }
 
 // endDraining ends a drain, if there is one.
