--- a/internal/backend/api.go
+++ b/internal/backend/api.go
@@ -1,8 +1,8 @@
 package backend
 
 import (
+	"beechgrade/internal/attempts"
 	"beechgrade/internal/decide"
-	"beechgrade/internal/eventloop/slotmap"
 )
 
 // Query is a request in the form that is sent to a server.
@@ -20,10 +20,7 @@
 }
 
 // AttemptID identifies the request and the attempt that an outcome belongs to.
-type AttemptID struct {
-	Request slotmap.Ref
-	Number  int // of the attempt within its request, from 0
-}
+type AttemptID = attempts.ID
 
 // Outcome is the result of an attempt or a health check, with what the server reported in its answer.
 type Outcome struct {
@@ -45,11 +42,7 @@
 }
 
 // Report is what a server reported about itself.
-type Report struct {
-	Role     decide.Role
-	Position float64 // on the clock, valid if HasPos
-	HasPos   bool
-}
+type Report = attempts.Report
 
 // Events receives the ends of attempts and health checks, and a notice when the last byte of an attempt has been sent. Its methods
 // are called on the event loop, also from within Start, Cancel and CheckHealth.
--- a/internal/cluster/outlier/adapter/adapter.go
+++ b/internal/cluster/outlier/adapter/adapter.go
@@ -6,7 +6,7 @@
 import (
 	"slices"
 
-	"beechgrade/internal/backend"
+	"beechgrade/internal/attempts"
 	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/outlier"
 	"beechgrade/internal/cluster/view"
@@ -19,7 +19,7 @@
 type Core interface {
 	Snapshot() *decide.Snapshot
 	CheckHealthForObserver(store string)
-	ServerReported(store string, said backend.Report, ageMs float64)
+	ServerReported(store string, said attempts.Report, ageMs float64)
 	Eject(store string)
 	StartTrial(store string)
 }
@@ -165,7 +165,7 @@
 }
 
 // attemptRef packs an attempt's ID: the index of its request, 24 bits of the generation and 16 of the attempt's number.
-func attemptRef(id backend.AttemptID) uint64 {
+func attemptRef(id attempts.ID) uint64 {
 	const generationMask, numberMask = 1<<24 - 1, 1<<16 - 1
 	return uint64(id.Request.Index)<<40 | uint64(id.Request.Gen&generationMask)<<16 | uint64(id.Number&numberMask)
 }
@@ -179,7 +179,7 @@
 )
 
 // Sent reports an attempt that was sent to a server.
-func (adapter *Adapter) Sent(server string, attempt backend.AttemptID, class int) {
+func (adapter *Adapter) Sent(server string, attempt attempts.ID, class int) {
 	work := float64(defaultWorkMs)
 	if class >= 0 && class < len(adapter.classWork) {
 		work = adapter.classWork[class] * msPerSecond
@@ -191,7 +191,7 @@
 }
 
 // Ended reports the end of an attempt, and what the server reported with it.
-func (adapter *Adapter) Ended(server string, attempt backend.AttemptID, result decide.Result, report backend.Report) {
+func (adapter *Adapter) Ended(server string, attempt attempts.ID, result decide.Result, report attempts.Report) {
 	outcome := outlier.Answered
 	switch result {
 	case decide.TimedOut, decide.Cancelled, decide.NotSent:
@@ -203,7 +203,7 @@
 }
 
 // HealthChecked reports the result of a health check.
-func (adapter *Adapter) HealthChecked(server string, result decide.Result, report backend.Report) {
+func (adapter *Adapter) HealthChecked(server string, result decide.Result, report attempts.Report) {
 	adapter.handle(outlier.HealthChecked{Server: server, OK: result == decide.OK, Report: reportOf(report)})
 }
 
@@ -212,7 +212,7 @@
 	return adapter.detector != nil && adapter.detector.Withholds(server)
 }
 
-func reportOf(report backend.Report) (out outlier.ServerReport) {
+func reportOf(report attempts.Report) (out outlier.ServerReport) {
 	if !report.HasPos {
 		return out
 	}
@@ -256,7 +256,7 @@
 	case outlier.CheckHealth:
 		adapter.core.CheckHealthForObserver(action.Server)
 	case outlier.LearnReport:
-		report := backend.Report{Position: action.Report.Position, HasPos: true}
+		report := attempts.Report{Position: action.Report.Position, HasPos: true}
 		if action.Report.Role == outlier.RolePrimary {
 			report.Role = decide.RolePrimary
 		}
--- a/internal/cluster/overload/adapter/adapter.go
+++ b/internal/cluster/overload/adapter/adapter.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"beechgrade/internal/backend"
+	"beechgrade/internal/attempts"
 	"beechgrade/internal/cluster/module"
 	"beechgrade/internal/cluster/overload"
 	"beechgrade/internal/cluster/overload/budgetlease"
@@ -26,7 +26,7 @@
 	SetRetryBudget(b *retrybudget.Settings, returns float64)
 	RetryBudgets() []decide.RetryBudget
 	AddRetryBudget(more map[int]float64)
-	HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64)
+	HealthCheckReported(store string, result decide.Result, said attempts.Report, ageMs float64)
 }
 
 // Host sends messages and runs timers.
@@ -261,7 +261,7 @@
 }
 
 // Ended is called by the core.
-func (j Prober) Ended(store string, result decide.Result, said backend.Report) bool {
+func (j Prober) Ended(store string, result decide.Result, said attempts.Report) bool {
 	if j.probes == nil {
 		return false
 	}
@@ -286,7 +286,7 @@
 		case a.Response != nil:
 			adapter.host.Send(a.Addr, a.To, module.KindOverload, a.Response)
 		case a.Report:
-			said := backend.Report{Role: decide.Role(min(a.Role, uint8(decide.RoleReplica))), HasPos: a.Position > 0}
+			said := attempts.Report{Role: decide.Role(min(a.Role, uint8(decide.RoleReplica))), HasPos: a.Position > 0}
 			if said.HasPos {
 				said.Position = a.Position
 			}
