--- a/internal/cluster/credit/adapter.go
+++ b/internal/cluster/credit/adapter.go
@@ -10,10 +10,10 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// Bounds on the encoded sizes, in bytes.
+// Upper bounds on encoded sizes, in bytes. Those of requests, responses and payments do not include the tenant's name.
 const (
-	messageOverhead  = 60 // of what is in a message beside its items
-	requestOverhead  = 80 // of a request without its tenant's name
+	messageOverhead  = 60 // everything in a message except its items
+	requestOverhead  = 80
 	responseOverhead = 64
 	paymentOverhead  = 24
 )
@@ -24,14 +24,14 @@
 	return responseOverhead + len(response.Key.Tenant)
 }
 
-// Kind returns the kind of this module's messages; it is a method of module.Module.
+// Kind returns the kind of this module's messages. It implements module.Module.
 func (c *Credit) Kind() view.Kind { return module.KindCredit }
 
-// Decode decodes a message of another pooler; it is a method of module.Module.
+// Decode decodes a message from another pooler. It implements module.Module.
 func (c *Credit) Decode(b []byte) (any, error) { return DecodeMessage(b) }
 
-// UpdateMembers takes the members of the cluster; it is a method of module.Module. Of several processes of a voter's name the youngest
-// is the voter.
+// UpdateMembers updates the known members of the cluster. It implements module.Module. If several processes have a voter's name, the
+// youngest, which has the highest ID, is the voter.
 func (c *Credit) UpdateMembers(self view.ID, members []view.Record, _ view.Counts) {
 	c.self = self
 	clear(c.voters)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Tick lets time go on; it is a method of module.Module.
+// Tick does the work that is due at the current time. It implements module.Module.
 func (c *Credit) Tick() {
 	now := c.transport.Now()
 	if c.lessor != nil {
@@ -64,8 +64,8 @@
 	c.reportPayments(now)
 }
 
-// Leave is called when the process begins to end; it is a method of module.Module. With persisted marks requests that still come to this
-// process may spend what it holds; whoever finds the files makes the final reports.
+// Leave is called when the process begins to shut down. It implements module.Module. With persisted marks, requests that still arrive may
+// spend what this process holds, and the process that finds its files makes the final reports.
 func (c *Credit) Leave() {
 	c.closing = true
 	if !c.settings.Lease.PersistMarks {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Receive takes a message of another pooler; it is a method of module.Module.
+// Receive handles a message from another pooler. It implements module.Module.
 func (c *Credit) Receive(from view.ID, decoded any) {
 	m := decoded.(*Message)
 	switch {
@@ -84,7 +84,7 @@
 	case m.Reply:
 		c.leaderContactAt = c.transport.Now()
 		c.handleReply(m)
-	case c.lessor == nil: // it takes this pooler for a voter
+	case c.lessor == nil: // a request sent to a pooler that does not vote is dropped
 	case c.lessor.IsLeader():
 		c.holders[m.Holder] = c.endpointOf(from)
 		c.handleAsLeader(m.Holder, m)
@@ -93,7 +93,7 @@
 	}
 }
 
-// redirect answers a request with the name of the leader, if it is another known pooler.
+// redirect answers a request with the name of the leader, if the leader is known and is another pooler.
 func (c *Credit) redirect(from view.ID, m *Message) {
 	to := c.endpointOf(from)
 	if to.addr != "" && c.leader != "" && c.leader != c.settings.Name {
@@ -103,7 +103,7 @@
 
 func (c *Credit) endpointOf(id view.ID) endpoint { return c.holders[uint64(id)] }
 
-// sendToLeader sends a message to the leader, as far as it is known, and else to one voter after another.
+// sendToLeader sends a message to the last known leader, or to the next voter if no leader is known or the leader does not respond.
 func (c *Credit) sendToLeader(m *Message) {
 	m.Holder = c.settings.Holder
 	if c.lessor != nil && c.leader == c.settings.Name {
@@ -122,7 +122,8 @@
 	}
 }
 
-// nextReachableVoter returns the next other voter, which a pooler that does not vote takes for the leader until it is told another.
+// nextReachableVoter returns the next voter in turn that is a known member and not this pooler. A pooler that does not vote assumes that
+// this voter is the leader until a reply names another.
 func (c *Credit) nextReachableVoter() (voter endpoint, known bool) {
 	for range c.settings.Voters {
 		c.nextVoter = (c.nextVoter + 1) % len(c.settings.Voters)
@@ -138,7 +139,7 @@
 	return endpoint{}, false
 }
 
-// sendToHolder sends the leader's reply to a pooler, which may be this one.
+// sendToHolder sends a reply of the leader to a pooler, which may be this one.
 func (c *Credit) sendToHolder(holder ledger.Holder, m *Message) {
 	m.Holder = holder
 	if holder == c.settings.Holder {
@@ -150,7 +151,7 @@
 	}
 }
 
-// splitByDatagram splits a list so that each part fits a datagram.
+// splitByDatagram splits a list into parts that each fit into one datagram.
 func splitByDatagram[T any](items []T, size func(*T) int) [][]T {
 	var parts [][]T
 	total := 0
--- a/internal/cluster/credit/api.go
+++ b/internal/cluster/credit/api.go
@@ -1,29 +1,30 @@
-// Package credit lets tenants pay in advance for what all poolers together do for them. Each pooler has one Credit, a module of the
-// cluster (package module) with a lease manager (package lease); at a voter of the replicated log it has the ledger (package ledger) and
-// the lessor over it (package lessor) as well. Those decide; this package carries the messages between them.
+// Package credit implements prepaid credit: tenants pay in advance for the work that all poolers together do for them. Each pooler has
+// one Credit, which is a module of the cluster (package module) and contains a lease manager (package lease). On a voter of the replicated
+// log it also contains the ledger (package ledger) and the lessor that grants from it (package lessor). Those packages make the decisions;
+// this one carries messages between them.
 //
 // # Bounds
 //
-// In the operators' unit, with S the most that one pooler may hold of a tenant's funds, d the longest delay of a message and c the longest
-// time that the log takes for an entry:
+// Amounts are in the operators' unit. S is the largest amount of a tenant's funds that one pooler may hold, d the longest delay of a
+// message, and c the longest time that the log takes to commit an entry.
 //
-//   - Charged above what was paid: nothing; for classes with an overdraft never more than that beside.
-//   - Lent to a pooler: what it spends in GrantHorizon, and at most 1/ShareDivisor of the available funds by its share, or what its queue
-//     needs; S is the larger.
-//   - Stranded: S for each pooler that crashed or is cut off. Of one that comes back, or whose files are found, until its accounts have
-//     expired and the final report is in the log: ExpiryDelay + RenewInterval + c + 2*d. Of one whose files are lost for
-//     StrandedRetention, after which it counts as spent.
-//   - Charged, but not served: of a crashed process what was in flight, and the distance of its last high-water marks (twice a quarter of
-//     its accounts at most); without files what it held.
-//   - A pooler that hears nobody spends what it holds until Duration after its last answered request, for some classes also what it holds
-//     of the overdraft, and then nothing.
-//   - A payment opens everywhere within lease.Settings.PaymentPropagation of when the log has it.
+//   - Charged in excess of payments: nothing. Classes with an overdraft may exceed the payments by at most the overdraft.
+//   - Lent to one pooler: what it spends in GrantHorizon, limited to its share of 1/ShareDivisor of the available funds, or what its
+//     queue needs. S is the larger of the two.
+//   - Stranded: S for each pooler that has crashed or is unreachable. If the pooler returns, or its files are found, the funds are stranded
+//     until its accounts have expired and the final report is in the log: ExpiryDelay + RenewInterval + c + 2*d. If its files are lost,
+//     they are stranded for StrandedRetention and then count as spent.
+//   - Charged but not served after a crash: the requests that were in flight, and the gap between the last high-water marks and the
+//     actual spending (at most twice a quarter of each account). Without files, everything that the process held.
+//   - A pooler that cannot reach the leader spends what it holds, for some classes including the overdraft that it holds, until Duration
+//     after it sent its last answered request. After that it spends nothing.
+//   - A payment takes effect at every pooler within lease.Settings.PaymentPropagation after the log has committed it.
 //
 // # Messages
 //
-// Requests go to the leader of the log, as far as it is known; a voter that does not lead answers with the leader's name. Each pooler also
-// reports which payments its settings have: first a digest of all, and the payments only if the leader has others. The leader answers with
-// those that the ledger has.
+// Requests go to the last known leader of the log; a voter that does not lead answers with the leader's name. Each pooler also reports the
+// payments in its settings: first a digest of all of them, and the payments themselves only if the leader's digest differs. The leader
+// answers with the payments that are in the ledger.
 package credit
 
 import (
@@ -39,22 +40,22 @@
 	Lease    lease.Settings
 	Lessor   lessor.Settings
 	Payments []lessor.Payment
-	Voters   []string // names of poolers
-	Name     string   // of this pooler
+	Voters   []string // names of the poolers that vote in the log
+	Name     string   // name of this pooler
 	Holder   ledger.Holder
 }
 
-// Log is where entries are proposed. What comes of them arrives by Apply and SetLeader.
+// Log accepts proposals for the replicated log. Committed entries and leader changes come back through Credit.Apply and Credit.SetLeader.
 type Log interface{ Propose(entry []byte) }
 
-// Files keep the high-water marks of each process.
+// Files stores the high-water marks of each process.
 type Files interface {
-	Write(write uint64, marks []lease.HighWaterMark)                   // of this process; Credit.MarksPersisted answers
-	Read(holder ledger.Holder, done func(marks []lease.HighWaterMark)) // of a process that has ended; done is called on the loop
+	Write(write uint64, marks []lease.HighWaterMark)                   // stores this process's marks and then calls Credit.MarksPersisted
+	Read(holder ledger.Holder, done func(marks []lease.HighWaterMark)) // reads the marks of an ended process; done is called on the loop
 	Erase(holder ledger.Holder)
 }
 
-// Events receives the decisions on queued requests, by their tags.
+// Events receives the decisions on queued requests, which are identified by their tags.
 type Events interface {
 	Admit(tag uint64, reservation lease.Reservation)
 	Reject(tag uint64)
--- a/internal/cluster/credit/codec.go
+++ b/internal/cluster/credit/codec.go
@@ -11,9 +11,10 @@
 	"beechgrade/internal/encoding"
 )
 
-// Message goes between a pooler and the leader, or whom it takes for the leader. It is a protobuf message, in which the themed names of
-// earlier versions mean: who Holder, asks Requests, answers Responses, pays Payments, depth Overdraft, gen Generation, seq Sequence, want
-// Requested, need Queued, rate SpendRate, left Available, full AvailableAtPayment, keep Retain, no Number:
+// Message is exchanged between a pooler and the leader, or the voter that the pooler assumes to be the leader. It is encoded as the
+// protobuf message below. Where a field of the schema has another name than the Go field, that is: who is Holder, asks is Requests,
+// answers is Responses, digest is PaymentDigest, pays is Payments, depth is Overdraft, gen is Generation, seq is Sequence, want is
+// Requested, need is Queued, rate is SpendRate, left is Available, full is AvailableAtPayment, keep is Retain, and no is Number.
 //
 //	message Credit { fixed64 who = 1; bool reply = 2; string leader = 3; repeated Item asks = 4; repeated Item answers = 5;
 //	                 fixed64 digest = 6; repeated Pay pays = 7; }
@@ -22,12 +23,12 @@
 //	               sint64 left = 13; uint64 full = 14; uint64 keep = 15; }
 //	message Pay { string tenant = 1; uint64 no = 2; uint64 amount = 3; }
 type Message struct {
-	Holder        ledger.Holder // the pooler that requests, or that is answered
+	Holder        ledger.Holder // the pooler that sends the request, or to which the reply goes
 	Reply         bool
-	Leader        string // of a reply by a voter that does not lead: who does
+	Leader        string // name of the leader, in a reply from a voter that does not lead
 	Requests      []message.Request
 	Responses     []message.Response
-	PaymentDigest uint64 // 0 for none
+	PaymentDigest uint64 // 0 if the message has none
 	Payments      []lessor.Payment
 }
 
@@ -78,12 +79,12 @@
 	flagRecall
 )
 
-// ErrMalformed is returned for bytes that are no message of this module.
+// ErrMalformed is returned for bytes that do not encode a message of this module.
 var ErrMalformed = errors.New("credit: malformed message")
 
 func malformed(error) error { return ErrMalformed }
 
-// itemWriter appends the fields of a message within a message.
+// itemWriter appends the fields of a nested message.
 type itemWriter struct{ b []byte }
 
 func (w *itemWriter) uint(field protowire.Number, value uint64) {
@@ -105,7 +106,7 @@
 	w.uint(itemGeneration, uint64(key.Generation))
 }
 
-// flag returns a bit, or 0.
+// flag returns the bit if it is set, and 0 otherwise.
 func flag(set bool, bit uint64) uint64 {
 	if set {
 		return bit
@@ -113,7 +114,7 @@
 	return 0
 }
 
-// Append encodes the message; it is a method of module.Message.
+// Append appends the encoded message to b. It implements module.Message.
 func (m *Message) Append(b []byte) []byte {
 	b = encoding.AppendFixedField(b, fieldHolder, m.Holder)
 	b = encoding.AppendNonZeroUint(b, fieldReply, protowire.EncodeBool(m.Reply))
@@ -164,7 +165,7 @@
 	return w.b
 }
 
-// eachField visits a message's fields and skips those of a type that no field here has.
+// eachField visits the fields of a message and skips those whose wire type no field of this module uses.
 func eachField(b []byte, visit func(field encoding.Field) error) error {
 	return encoding.Fields(b, malformed, func(field encoding.Field) error {
 		if !field.HasValue() {
@@ -174,7 +175,7 @@
 	})
 }
 
-// DecodeMessage decodes a message, all of it or nothing.
+// DecodeMessage decodes a message. On an error it returns no part of the message.
 func DecodeMessage(b []byte) (*Message, error) {
 	m := &Message{}
 	if err := eachField(b, m.readField); err != nil {
@@ -213,15 +214,15 @@
 	if err != nil || len(m.Requests)+len(m.Responses) >= message.MaxItems {
 		return ErrMalformed
 	}
-	ofProcess := item.request.Key.Tenant == ""
+	processWide := item.request.Key.Tenant == ""
 	if field.Number == fieldRequests {
-		if ofProcess && !item.request.Recovered {
+		if processWide && !item.request.Recovered {
 			return ErrMalformed
 		}
 		m.Requests = append(m.Requests, item.request)
 		return nil
 	}
-	if ofProcess && item.response.Sequence != 0 {
+	if processWide && item.response.Sequence != 0 {
 		return ErrMalformed
 	}
 	m.Responses = append(m.Responses, item.response)
@@ -241,14 +242,14 @@
 		}
 		return nil
 	})
-	named := payment.Tenant != "" && len(payment.Tenant) <= ledger.MaxNameBytes
-	if err != nil || !named || payment.Amount <= 0 || payment.Amount > ledger.MaxAmount {
+	validName := payment.Tenant != "" && len(payment.Tenant) <= ledger.MaxNameBytes
+	if err != nil || !validName || payment.Amount <= 0 || payment.Amount > ledger.MaxAmount {
 		return lessor.Payment{}, ErrMalformed
 	}
 	return payment, nil
 }
 
-// item is a request or a response: the two share their encoding.
+// item is a request or a response. Both use the same protobuf message.
 type item struct {
 	request  message.Request
 	response message.Response
--- a/internal/cluster/credit/credit.go
+++ b/internal/cluster/credit/credit.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// Credit is one process's. It is for the loop alone.
+// Credit is the prepaid credit of one process. It is not safe for concurrent use: only the event loop may call it.
 type Credit struct {
 	settings  Settings
 	transport module.Transport
@@ -19,28 +19,28 @@
 	events    Events
 
 	leases *lease.Manager
-	ledger *ledger.Ledger // nil where this pooler does not vote
-	lessor *lessor.Lessor // nil where this pooler does not vote
+	ledger *ledger.Ledger // nil if this pooler does not vote
+	lessor *lessor.Lessor // nil if this pooler does not vote
 
 	self            view.ID
-	voters          map[string]endpoint        // that can be reached, by name
-	holders         map[ledger.Holder]endpoint // whom to respond to
-	leader          string                     // as far as is known, empty for nobody
-	leaderContactAt float64                    // when the leader responded, or another voter was tried
-	nextVoter       int                        // index of the voter that was tried last
+	voters          map[string]endpoint        // voters that can be reached, by name
+	holders         map[ledger.Holder]endpoint // where responses are sent
+	leader          string                     // last known leader, empty if none is known
+	leaderContactAt float64                    // when the leader last responded or the next voter was tried, in ms
+	nextVoter       int                        // index in settings.Voters of the voter tried last
 
 	payments     payments
 	actionBuffer []lease.Action
 	closing      bool
 }
 
-// endpoint is a process that can be reached.
+// endpoint is the address and ID of another process.
 type endpoint struct {
 	addr string
 	id   view.ID
 }
 
-// New makes a process's credit. files may be nil if no marks are persisted.
+// New returns the credit of a process. files may be nil if no marks are persisted.
 func New(settings Settings, transport module.Transport, log Log, files Files, events Events) *Credit {
 	c := &Credit{
 		settings: settings, transport: transport, log: log, files: files, events: events,
@@ -56,7 +56,7 @@
 	return c
 }
 
-// UpdateSettings takes changed prices, payments and prepaid tenants. Voters, Name and Holder stay.
+// UpdateSettings applies changed prices, payments and prepaid tenants. Voters, Name and Holder do not change.
 func (c *Credit) UpdateSettings(settings Settings) {
 	settings.Voters = c.settings.Voters
 	settings.Name = c.settings.Name
@@ -66,11 +66,11 @@
 	c.payments.set(settings.Payments)
 }
 
-// Reserve decides on a request; see lease.Manager.Reserve.
+// Reserve decides whether a request is admitted; see lease.Manager.Reserve.
 func (c *Credit) Reserve(request lease.AdmissionRequest) (lease.Reservation, lease.Decision) {
 	reservation, decision := c.leases.Reserve(c.transport.Now(), request)
 	if decision == lease.Queued {
-		c.handleLeaseEvent(lease.Tick{}) // funds are requested at once
+		c.handleLeaseEvent(lease.Tick{}) // requests funds without waiting for the next tick
 	}
 	return reservation, decision
 }
@@ -83,40 +83,40 @@
 // Cancel removes a request from the queue.
 func (c *Credit) Cancel(tenant string, tag uint64) { c.leases.Cancel(tenant, tag) }
 
-// Recover settles what processes that have ended left in files.
+// Recover settles the accounts of processes that have ended and left files.
 func (c *Credit) Recover(holders []ledger.Holder) {
 	c.handleLeaseEvent(lease.Recover{Holders: holders})
 }
 
-// MarksPersisted reports that the marks of a write are durable.
+// MarksPersisted reports that the marks of a write, and of all earlier writes, are durable.
 func (c *Credit) MarksPersisted(write uint64) {
 	c.handleLeaseEvent(lease.MarksPersisted{Write: write})
 }
 
-// Statuses returns the state of tenants at this process.
+// Statuses returns the state of each active tenant at this process.
 func (c *Credit) Statuses() []lease.Status { return c.leases.Statuses() }
 
-// Ledger returns this voter's ledger, nil where this pooler does not vote.
+// Ledger returns this voter's ledger, or nil if this pooler does not vote.
 func (c *Credit) Ledger() *ledger.Ledger { return c.ledger }
 
-// Apply applies an entry of the log; it is a method of raftlog.Machine.
+// Apply applies a committed entry of the log. It implements raftlog.Machine.
 func (c *Credit) Apply(index uint64, entry []byte) {
 	if c.lessor != nil {
 		c.runLessorActions(c.lessor.Apply(c.transport.Now(), index, entry, nil))
 	}
 }
 
-// Snapshot encodes the ledger; it is a method of raftlog.Machine.
+// Snapshot encodes the ledger. It implements raftlog.Machine.
 func (c *Credit) Snapshot() []byte { return c.ledger.Snapshot() }
 
-// Restore replaces the ledger; it is a method of raftlog.Machine.
+// Restore replaces the ledger by that of a snapshot. It implements raftlog.Machine.
 func (c *Credit) Restore(snapshot []byte) error {
 	err := c.ledger.Restore(snapshot)
 	c.lessor.LedgerRestored(c.transport.Now())
 	return err
 }
 
-// SetLeader reports the name of the pooler that leads the log, as far as this voter knows; empty for nobody.
+// SetLeader sets the name of the pooler that leads the log, as this voter knows it; an empty name means that there is no known leader.
 func (c *Credit) SetLeader(name string) {
 	c.leader = name
 	if c.lessor != nil {
@@ -124,13 +124,13 @@
 	}
 }
 
-// Close makes the final reports: no more requests come.
+// Close sends the final reports. No requests may follow.
 func (c *Credit) Close() {
 	c.closing = true
 	c.handleLeaseEvent(lease.Shutdown{})
 }
 
-// handleAsLeader does what a pooler requests of the leader.
+// handleAsLeader handles the requests and payments in a message that a pooler sent to the leader.
 func (c *Credit) handleAsLeader(holder ledger.Holder, m *Message) {
 	now := c.transport.Now()
 	if len(m.Requests) > 0 {
@@ -147,7 +147,7 @@
 	}
 }
 
-// handleReply takes the leader's responses.
+// handleReply handles a reply from the leader.
 func (c *Credit) handleReply(m *Message) {
 	if len(m.Responses) > 0 {
 		c.handleLeaseEvent(lease.ResponsesReceived{Responses: m.Responses})
@@ -175,7 +175,7 @@
 
 func (c *Credit) handleLeaseEvent(event lease.Event) {
 	actions := c.leases.Handle(c.transport.Now(), event, c.actionBuffer[:0])
-	c.actionBuffer = nil // carrying out an action may cause another event
+	c.actionBuffer = nil // running an action may call handleLeaseEvent again
 	for i := range actions {
 		c.runLeaseAction(&actions[i])
 	}
--- a/internal/cluster/credit/lease/admission.go
+++ b/internal/cluster/credit/lease/admission.go
@@ -6,22 +6,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sessionFractions is how finely sessions are told apart where a class is admitted in part.
+// sessionFractions is the resolution at which sessions are selected when only a part of a class is admitted.
 const sessionFractions = 1 << 20
 
-// AdmissionRequest is a client's request that asks for admission.
+// AdmissionRequest describes a client's request that is to be admitted.
 type AdmissionRequest struct {
 	Tenant  string
 	Class   int
-	Session uint64 // of SessionNumber
-	Parts   int    // of a scattered request, each of which may cost the class's price; 0 counts as 1
-	Tag     uint64 // names the request in Admit and Reject, and for Cancel
+	Session uint64 // from SessionNumber
+	Parts   int    // number of parts of a scattered request, each of which may cost the class's price; 0 counts as 1
+	Tag     uint64 // identifies the request in Admit, Reject and Cancel
 }
 
 // SessionNumber returns the number of a session for AdmissionRequest.
 func SessionNumber(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Reserve decides on a request. An admitted one is to be ended by Settle; for a queued one an Admit or a Reject action follows.
+// Reserve decides whether a request is admitted. The caller must end an admitted request with Settle. For a queued request, an Admit or
+// Reject action follows.
 func (m *Manager) Reserve(now float64, request AdmissionRequest) (Reservation, Decision) {
 	if !m.prepaid[request.Tenant] {
 		return Reservation{}, Admitted
@@ -40,13 +41,13 @@
 	if class.Overdraft == 0 && !m.withinThrottle(tenant, request.Class, request.Session) {
 		return Reservation{}, Throttled
 	}
-	if !tenant.hasQueued(request.Class) { // what came before it comes first
+	if !tenant.hasQueued(request.Class) { // earlier requests of the class take precedence
 		if reservation, ok := m.reserve(tenant, request.Class, price); ok {
 			return reservation, Admitted
 		}
 	}
 	if m.now < tenant.exhaustedUntil || m.settings.QueueTimeout == 0 || len(tenant.queue) >= MaxQueued {
-		tenant.lease(0) // funds are requested for it all the same
+		tenant.lease(0) // creates the lease, so that funds are requested although this request is rejected
 		return Reservation{}, Exhausted
 	}
 	tenant.queue = append(tenant.queue, queuedRequest{
@@ -59,12 +60,12 @@
 	return slices.ContainsFunc(t.queue, func(request queuedRequest) bool { return request.class == class })
 }
 
-// reserve reserves a price of the funds held here: of the overdraft only what the tenant's own funds here do not cover.
+// reserve reserves a price from the funds held here. It uses the overdraft only if the tenant's own funds held here do not cover the price.
 func (m *Manager) reserve(tenant *tenantState, class int, price int64) (Reservation, bool) {
 	terms := &m.settings.Classes[class]
 	for i, overdraft := range [2]int64{0, terms.Overdraft} {
 		if i > 0 && overdraft == 0 {
-			break // the class has none
+			break // the class has no overdraft
 		}
 		lease := tenant.lease(overdraft)
 		m.expireIfDue(lease)
@@ -81,7 +82,7 @@
 	return Reservation{}, false
 }
 
-// canSpend reports whether an account has so much left, and the durable mark covers it.
+// canSpend reports whether an account has enough free funds for a price and the durable mark covers it.
 func (m *Manager) canSpend(account *account, price int64) bool {
 	if account.free() < price {
 		return false
@@ -89,8 +90,9 @@
 	return !m.settings.PersistMarks || account.spent+account.reserved+price <= account.persistedMark
 }
 
-// withinThrottle reports whether a tenant whose funds run low may spend on a request. The classes with the highest priority weight for
-// their price come first; in the class that is admitted in part the session decides, so that a session gets one answer.
+// withinThrottle reports whether throttling allows a request. A tenant whose funds run low may spend only a share of its demand. Classes
+// with the highest priority weight per price get the share first. If only a part of a class fits, it is selected by session, so that all
+// requests of a session get the same decision.
 func (m *Manager) withinThrottle(tenant *tenantState, class int, session uint64) bool {
 	threshold := m.settings.ThrottleBelow * float64(tenant.availableAtPayment)
 	if m.settings.ThrottleBelow == 0 || !tenant.availableKnown || float64(tenant.available) >= threshold {
@@ -101,22 +103,22 @@
 	for i := range tenant.classRates {
 		total += tenant.classRates[i].perSecond(m.now)
 	}
-	before := 0.0 // the demand of classes that come first
+	precedingDemand := 0.0 // demand of the classes with a higher priority weight per price
 	for _, i := range m.classesByValue {
 		rate := tenant.classRates[i].perSecond(m.now)
 		if i != class {
-			before += rate
+			precedingDemand += rate
 			continue
 		}
 		if rate <= 0 {
-			return before < share*total
+			return precedingDemand < share*total
 		}
-		return float64(session%sessionFractions)/sessionFractions < (share*total-before)/rate
+		return float64(session%sessionFractions)/sessionFractions < (share*total-precedingDemand)/rate
 	}
 	return true
 }
 
-// Settle ends a reservation and returns what the request is charged; 0 the second time.
+// Settle ends a reservation and returns the amount charged for the request. It returns 0 if the reservation has already ended.
 func (m *Manager) Settle(reservation *Reservation, usage Usage) int64 {
 	if reservation.Amount == 0 {
 		return 0
@@ -151,20 +153,20 @@
 	}
 }
 
-// admitQueued admits requests of the queue for which there are funds, of each class in their order.
+// admitQueued admits the queued requests for which there are funds, in queue order within each class.
 func (m *Manager) admitQueued(tenant *tenantState) {
 	if len(tenant.queue) == 0 {
 		return
 	}
-	var short classSet // with a request for which the funds are not enough
+	var unfunded classSet // classes whose first queued request cannot be funded
 	tenant.queue = slices.DeleteFunc(tenant.queue, func(request queuedRequest) bool {
-		if short.has(request.class) {
+		if unfunded.has(request.class) {
 			return false
 		}
 		price := m.settings.Classes[request.class].reservation(request.parts)
 		reservation, ok := m.reserve(tenant, request.class, price)
 		if !ok {
-			short.add(request.class)
+			unfunded.add(request.class)
 			return false
 		}
 		m.actions = append(m.actions, Action{Kind: Admit, Tag: request.tag, Reservation: reservation})
@@ -172,7 +174,7 @@
 	})
 }
 
-// classSet is a set of classes by their index; those from 62 on count as one.
+// classSet is a set of class indexes. Indexes of 62 and above share one element.
 type classSet uint64
 
 func classBit(class int) classSet { return 1 << min(class, 62) }
@@ -180,9 +182,9 @@
 func (s *classSet) add(class int)      { *s |= classBit(class) }
 func (s *classSet) has(class int) bool { return *s&classBit(class) != 0 }
 
-// rejectQueued rejects the selected requests of the queue, and expects no funds for a while.
+// rejectQueued rejects the selected queued requests and marks the tenant's funds as exhausted for a while.
 func (m *Manager) rejectQueued(tenant *tenantState, selected func(*queuedRequest) bool) {
-	before := len(tenant.queue)
+	queuedBefore := len(tenant.queue)
 	tenant.queue = slices.DeleteFunc(tenant.queue, func(request queuedRequest) bool {
 		if !selected(&request) {
 			return false
@@ -190,12 +192,13 @@
 		m.actions = append(m.actions, Action{Kind: Reject, Tag: request.tag})
 		return true
 	})
-	if len(tenant.queue) < before || before == 0 { // with an empty queue nothing would find out sooner
+	if len(tenant.queue) < queuedBefore || queuedBefore == 0 { // with an empty queue, no queued request would detect the exhaustion
 		tenant.exhaustedUntil = m.exhaustionEnd()
 	}
 }
 
-// exhaustionEnd is until when a tenant's funds count as exhausted that are found to be so now: two requests may ask for them meanwhile.
+// exhaustionEnd returns until when the funds of a tenant that are found to be exhausted now count as such. The time suffices for two
+// requests to the leader.
 func (m *Manager) exhaustionEnd() float64 {
 	return m.now + 2*m.settings.ExhaustedInterval + m.settings.TickInterval
 }
--- a/internal/cluster/credit/lease/api.go
+++ b/internal/cluster/credit/lease/api.go
@@ -1,32 +1,35 @@
-// Package lease is a pooler's side of prepaid credit: which part of tenants' funds this process holds, what it requests from the
-// leader, and whether a request is admitted. It is a deterministic state machine: events in, actions out, no I/O, clock or goroutines.
+// Package lease is the pooler's side of prepaid credit. It tracks which part of the tenants' funds this process holds, requests funds from
+// the leader, and decides whether a client's request is admitted. It is a deterministic state machine: it takes events and returns
+// actions, and has no I/O, clock or goroutines.
 //
 // # Admission
 //
-// A request is admitted if its maximum price can be reserved of the funds held here. The price is reserved once, at admission; the final
-// answer charges what the request came to, and the remainder is free again. So retries and hedged requests cost nothing, and nothing is
-// charged that was not reserved. Where a tenant has no funds here, and it is not known that it has none at all, its requests are queued
-// for at most Settings.QueueTimeout; once its funds are known to be exhausted they are rejected at once.
+// A request is admitted if its maximum price can be reserved from the funds held here. The price is reserved once, at admission. When the
+// request ends, its actual cost is charged and the rest of the reservation is released. Retries and hedged attempts therefore cost
+// nothing extra, and nothing is charged that was not reserved. If a tenant has no funds here but may have some elsewhere, its requests are
+// queued for at most Settings.QueueTimeout. Once its funds are known to be exhausted, its requests are rejected immediately.
 //
 // # Requests to the leader
 //
-// The manager requests what the tenant spends in Settings.GrantHorizon, of which the leader grants what there is (package lessor). It
-// requests more when half of that is used, so that requests find funds here and wait for no round trip. What an idle tenant has left is
-// returned after Settings.IdleTimeout, and what the leader recalls is returned at once.
+// The manager requests what the tenant spends in Settings.GrantHorizon, and the leader grants as much of it as it can (package lessor). It
+// requests more once half of that amount is used, so that most requests are admitted without waiting for a round trip. Remaining funds of
+// an idle tenant are returned after Settings.IdleTimeout. Funds that the leader recalls are returned immediately.
 //
 // # Expiry
 //
-// An account may be used for Settings.Duration from the moment at which the last answered request was sent, by this process's clock.
-// Every event is checked against that first: a process that was suspended and wakes up spends nothing of what has expired. An expired
-// account is closed by its final report, once all that was admitted on it has ended, and a new one is opened. A process that hears
-// nobody spends what it holds until then, for some classes also what it holds of the overdraft (Class.Overdraft), and then nothing.
+// An account may be used for Settings.Duration after the last answered request about it was sent, by this process's clock. The expiry is
+// checked before every event is handled, so that a process that was suspended spends nothing from an expired account when it resumes.
+// An expired account is replaced by a new one, and closed by its final report once all requests admitted on it have ended. A process that
+// cannot reach the leader spends what it holds until the expiry, for some classes including the overdraft that it holds (Class.Overdraft),
+// and after that nothing.
 //
 // # High-water marks
 //
-// With Settings.PersistMarks, no more of an account is spent than a mark that is durable, and a higher mark is requested in time. A
-// process that finds the files of one that has ended has the log fence it, waits until the log has expired all its accounts, and only
-// then reads the marks and reports them as final: a process that was asleep and not dead has woken up to no funds by then. Of a crashed
-// process the difference between its last marks and what it spent is charged, and no more.
+// With Settings.PersistMarks, spending from an account never exceeds a durable high-water mark, and the mark is raised before spending
+// reaches it. A process that finds the files of an ended process has the log fence that process, waits until the log has expired all its
+// accounts, and only then reads the marks and reports them as final. If the other process was only suspended, its accounts have
+// expired by then and it can spend nothing when it resumes. For a crashed process, at most the difference between its last marks and its
+// actual spending is charged in excess.
 package lease
 
 import (
@@ -34,17 +37,17 @@
 	"beechgrade/internal/cluster/credit/message"
 )
 
-// MaxQueued bounds the requests of one tenant in the queue.
+// MaxQueued is the maximum number of queued requests of one tenant.
 const MaxQueued = 1024
 
-// Decision is the answer to a request for admission.
+// Decision is the outcome of a request for admission.
 type Decision uint8
 
 // The decisions.
 const (
 	Admitted  Decision = iota
-	Queued             // an Admit or a Reject action follows
-	Throttled          // the tenant's funds run low, and the request is among those with the lowest priority for their price
+	Queued             // an Admit or Reject action follows
+	Throttled          // the tenant's funds run low, and the request's class has a low priority for its price
 	Exhausted          // the tenant's funds are exhausted
 )
 
@@ -52,23 +55,23 @@
 	return [...]string{"pass", "wait", "slowed", "no funds"}[min(d, Exhausted)]
 }
 
-// Reservation is what is reserved for an admitted request, until Settle ends it.
+// Reservation is the amount reserved for an admitted request until Settle ends it.
 type Reservation struct {
 	Tenant     string
 	Overdraft  int64
-	Generation uint32 // of the account
+	Generation uint32 // generation of the account
 	Amount     int64
-	Price      Price // as it was at admission
+	Price      Price // price at admission
 }
 
-// Usage is what a request came to; for a scattered one the sum over its parts.
+// Usage is what a request used. For a scattered request it is the sum over its parts.
 type Usage struct {
 	Served, Failed int
 	Rows           int64
 	Seconds        float64
 }
 
-// Charge returns what is charged for a request: never more than was reserved.
+// Charge returns the amount charged for a request, which is at most the reserved amount.
 func (r *Reservation) Charge(usage Usage) int64 {
 	amount := int64(usage.Served) * r.Price.PerRequest
 	if r.Price.ChargeFailed {
@@ -83,28 +86,28 @@
 // Event is an input of the state machine.
 type Event interface{ event() }
 
-// Tick is due every Settings.TickInterval.
+// Tick reports that time has passed. It is due every Settings.TickInterval.
 type Tick struct{}
 
-// ResponsesReceived brings responses of the leader.
+// ResponsesReceived delivers responses from the leader.
 type ResponsesReceived struct{ Responses []message.Response }
 
-// SettingsChanged brings changed prices and tenants.
+// SettingsChanged delivers changed prices and tenants.
 type SettingsChanged struct{ Settings Settings }
 
-// MarksPersisted reports that the marks of this write, and of all before it, are durable.
+// MarksPersisted reports that the marks of this write, and of all earlier writes, are durable.
 type MarksPersisted struct{ Write uint64 }
 
-// Recover names processes that have ended and left files.
+// Recover lists processes that have ended and left files.
 type Recover struct{ Holders []ledger.Holder }
 
-// MarksRead brings the marks of such a process; it answers ReadMarks.
+// MarksRead delivers the marks of an ended process, in answer to ReadMarks.
 type MarksRead struct {
 	Holder ledger.Holder
 	Marks  []HighWaterMark
 }
 
-// Shutdown reports that nothing is spent any more.
+// Shutdown reports that this process spends nothing more.
 type Shutdown struct{}
 
 func (Tick) event()              {}
@@ -115,23 +118,23 @@
 func (MarksRead) event()         {}
 func (Shutdown) event()          {}
 
-// HighWaterMark is the most that may have been spent of an account. It is stored as JSON.
+// HighWaterMark is the most that may have been spent from an account. It is stored as JSON.
 type HighWaterMark struct {
 	Key   ledger.Key `json:"Key"`
 	Spent int64      `json:"Spent"`
 }
 
-// ActionKind is what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The actions.
 const (
-	SendRequests ActionKind = iota // Requests go to the leader
-	Admit                          // the queued request with Tag is admitted, with Reservation
-	Reject                         // the queued request with Tag is rejected
-	PersistMarks                   // Marks, which are all there are, are to be made durable; MarksPersisted answers with Write
-	ReadMarks                      // the marks of Holder are to be read; MarksRead answers
-	EraseMarks                     // the files of Holder are not needed any more
+	SendRequests ActionKind = iota // send Requests to the leader
+	Admit                          // admit the queued request with Tag, with Reservation
+	Reject                         // reject the queued request with Tag
+	PersistMarks                   // replace the stored marks by Marks, and then answer with MarksPersisted and the same Write
+	ReadMarks                      // read the marks of Holder, and answer with MarksRead
+	EraseMarks                     // delete the files of Holder
 )
 
 func (k ActionKind) String() string {
@@ -153,11 +156,11 @@
 // Status is the state of one tenant at this process, for metrics. Amounts are in the operators' unit, times in ms.
 type Status struct {
 	Tenant             string
-	Free               int64 // held here and not reserved
+	Free               int64 // funds held here that are not reserved
 	Reserved           int64
-	Available          int64 // to the tenant in all, as the leader reported last
-	AvailableAtPayment int64 // the same after the last payment
-	Queued             int   // requests
+	Available          int64 // the tenant's available funds at all poolers, as the leader last reported
+	AvailableAtPayment int64 // Available after the last payment
+	Queued             int   // number of queued requests
 	ExpiresAt          float64
 	Exhausted          bool
 }
--- a/internal/cluster/credit/lease/claims.go
+++ b/internal/cluster/credit/lease/claims.go
@@ -8,17 +8,17 @@
 	"beechgrade/internal/cluster/credit/message"
 )
 
-// settlementClaim is a final report to be made for a process that has ended. One without a tenant stands for the process itself: it
-// has the log fence the process first, and close all its accounts last.
+// settlementClaim is a final report to be made on behalf of an ended process. A claim without a tenant concerns the whole process: the log
+// fences the process at the first report, and closes all its remaining accounts at the last.
 type settlementClaim struct {
 	HighWaterMark
 	nextRequestAt float64
-	marksRead     bool // of a process: its marks were read after all its accounts had expired
+	marksRead     bool // for a claim of a whole process: its marks were read, after all its accounts had expired
 }
 
-func (c *settlementClaim) ofProcess() bool { return c.Key.Tenant == "" }
+func (c *settlementClaim) isProcessWide() bool { return c.Key.Tenant == "" }
 
-// claim begins to settle what processes that have ended left.
+// claim begins to settle the accounts of ended processes.
 func (m *Manager) claim(holders []ledger.Holder) {
 	for _, holder := range holders {
 		key := ledger.Key{Holder: holder, Generation: math.MaxUint32}
@@ -26,11 +26,12 @@
 	}
 }
 
-// appendClaims appends the reports for other processes that are due; a process itself comes after all its accounts.
+// appendClaims appends the due reports on behalf of ended processes. The report about a whole process is held back while claims for its
+// accounts are open.
 func (m *Manager) appendClaims(requests []message.Request) []message.Request {
 	for i := range m.claims {
 		claim := &m.claims[i]
-		if m.now < claim.nextRequestAt || claim.ofProcess() && m.claimsAccountOf(claim.Key.Holder) {
+		if m.now < claim.nextRequestAt || claim.isProcessWide() && m.claimsAccountOf(claim.Key.Holder) {
 			continue
 		}
 		claim.nextRequestAt = m.now + 2*m.settings.RenewInterval
@@ -40,10 +41,10 @@
 }
 
 func (m *Manager) claimsAccountOf(holder ledger.Holder) bool {
-	return slices.ContainsFunc(m.claims, func(claim settlementClaim) bool { return claim.Key.Holder == holder && !claim.ofProcess() })
+	return slices.ContainsFunc(m.claims, func(claim settlementClaim) bool { return claim.Key.Holder == holder && !claim.isProcessWide() })
 }
 
-// handleClaimResponse takes the log's state of what another process left.
+// handleClaimResponse handles the leader's response about an account of an ended process, or about that whole process.
 func (m *Manager) handleClaimResponse(response *message.Response) {
 	i := slices.IndexFunc(m.claims, func(claim settlementClaim) bool { return claim.Key == response.Key })
 	if i < 0 {
@@ -53,17 +54,17 @@
 	switch {
 	case response.Closed:
 		m.claims = slices.Delete(m.claims, i, i+1)
-		if claim.ofProcess() {
+		if claim.isProcessWide() {
 			m.actions = append(m.actions, Action{Kind: EraseMarks, Holder: claim.Key.Holder})
 		}
-	case claim.ofProcess() && response.Expired && !claim.marksRead:
+	case claim.isProcessWide() && response.Expired && !claim.marksRead:
 		m.actions = append(m.actions, Action{Kind: ReadMarks, Holder: claim.Key.Holder})
 	}
 }
 
-// marksRead claims what the marks of a process that has ended have.
+// marksRead adds claims for the accounts in the marks of an ended process.
 func (m *Manager) marksRead(event *MarksRead) {
-	i := slices.IndexFunc(m.claims, func(claim settlementClaim) bool { return claim.ofProcess() && claim.Key.Holder == event.Holder })
+	i := slices.IndexFunc(m.claims, func(claim settlementClaim) bool { return claim.isProcessWide() && claim.Key.Holder == event.Holder })
 	if i < 0 || m.claims[i].marksRead {
 		return
 	}
--- a/internal/cluster/credit/lease/clone.go
+++ b/internal/cluster/credit/lease/clone.go
@@ -38,7 +38,8 @@
 	return &clone
 }
 
-// Key returns a text that is the same for managers that behave the same from now on, for the model checker. Times count back from now.
+// Key returns a text that identifies the manager's state for the model checker: managers with equal keys behave the same from now on. It
+// contains times as ms before now.
 func (m *Manager) Key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, m.self, m.lastGeneration, m.closing, m.lastWrite, "|")
@@ -51,7 +52,7 @@
 	return b.String()
 }
 
-// since is how long ago a time was, in ms with three digits, or -1 for one that is not set.
+// since returns how long ago a time was, in ms with three decimal places, or -1 if the time is not set.
 func (m *Manager) since(at float64) float64 {
 	if at == 0 {
 		return -1
--- a/internal/cluster/credit/lease/invariants.go
+++ b/internal/cluster/credit/lease/invariants.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// checkInvariants states what always holds of all accounts.
+// checkInvariants checks the invariants of all current accounts.
 func (m *Manager) checkInvariants() {
 	checks := m.settings.Checks
 	if !checks.Enabled() {
@@ -12,12 +12,12 @@
 		for _, lease := range tenant.leases {
 			account := &lease.current
 			valid := account.free() >= 0 && account.reserved >= 0 && account.spent >= 0
-			checks.That(valid, "credit: no more is held and spent than was granted", func() string {
+			checks.That(valid, "credit: amounts spent, reserved and returned are within the grant", func() string {
 				return fmt.Sprintf("tenant %q, account %d: granted %d, returned %d, spent %d, reserved %d",
 					tenant.name, account.generation, account.granted, account.returned, account.spent, account.reserved)
 			})
-			marked := !m.settings.PersistMarks || account.spent+account.reserved <= account.persistedMark
-			checks.That(marked, "credit: no more is spent than is marked", func() string {
+			withinMark := !m.settings.PersistMarks || account.spent+account.reserved <= account.persistedMark
+			checks.That(withinMark, "credit: spending is within the durable mark", func() string {
 				return fmt.Sprintf("tenant %q, account %d: spent %d, reserved %d, durable mark %d",
 					tenant.name, account.generation, account.spent, account.reserved, account.persistedMark)
 			})
--- a/internal/cluster/credit/lease/manager.go
+++ b/internal/cluster/credit/lease/manager.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/cluster/credit/ledger"
 )
 
-// New makes a process's manager.
+// New returns the manager of a process.
 func New(settings Settings, self ledger.Holder, now float64) *Manager {
 	m := &Manager{self: self, now: now, tenants: map[string]*tenantState{}}
 	m.applySettings(settings)
@@ -44,7 +44,7 @@
 	return m.actions
 }
 
-// advanceTo moves the clock on. What has expired by then is taken out of use before anything else.
+// advanceTo sets the current time and stops the use of accounts that have expired by then.
 func (m *Manager) advanceTo(now float64) {
 	m.now = max(m.now, now)
 	for _, tenant := range m.active {
@@ -105,7 +105,7 @@
 	}
 }
 
-// shutDown returns all that is not reserved.
+// shutDown rejects queued requests and returns all funds that are not reserved.
 func (m *Manager) shutDown() {
 	m.closing = true
 	for _, tenant := range m.active {
@@ -133,7 +133,7 @@
 	return ledger.Key{Tenant: tenant.name, Overdraft: lease.overdraft, Holder: m.self, Generation: account.generation}
 }
 
-// Statuses returns the state of each tenant with anything here.
+// Statuses returns the state of each active tenant.
 func (m *Manager) Statuses() []Status {
 	var statuses []Status
 	for _, tenant := range m.active {
--- a/internal/cluster/credit/lease/manager_test.go
+++ b/internal/cluster/credit/lease/manager_test.go
@@ -10,7 +10,7 @@
 
 // The classes of testSettings.
 const (
-	classHigh      = 0 // the highest priority weight for its price
+	classHigh      = 0 // has the highest priority weight per price
 	classLow       = 1
 	classOverdraft = 2
 )
@@ -30,19 +30,19 @@
 	return settings
 }
 
-// reserve asks for admission of the tenant's request.
+// reserve requests admission for a request of the tenant.
 func reserve(manager *Manager, now float64, class int, tag uint64) (Reservation, Decision) {
 	return manager.Reserve(now, AdmissionRequest{Tenant: "t", Class: class, Session: 1, Parts: 1, Tag: tag})
 }
 
-// granting is the leader's response to a request: so much is granted in all, of so much that is available now and after the last payment.
+// granting returns the leader's response to a request, with the total granted and the funds available now and after the last payment.
 func granting(request *message.Request, granted, available, atPayment int64) ResponsesReceived {
 	return ResponsesReceived{[]message.Response{{
 		Key: request.Key, Sequence: request.Sequence, Granted: granted, Available: available, AvailableAtPayment: atPayment,
 	}}}
 }
 
-// requestOf returns the first request at an overdraft that a manager sends at its next tick.
+// requestOf returns the first request at an overdraft that a manager sends at a tick at now.
 func requestOf(t *testing.T, manager *Manager, now float64, overdraft int64) *message.Request {
 	t.Helper()
 	for _, action := range manager.Handle(now, Tick{}, nil) {
@@ -53,18 +53,19 @@
 			}
 		}
 	}
-	t.Fatalf("nothing was requested at an overdraft of %d", overdraft)
+	t.Fatalf("the manager sent no request at an overdraft of %d", overdraft)
 	return nil
 }
 
-// requestAndGrant lets a manager request funds, and grants so much of the tenant's own.
+// requestAndGrant has a manager request a tenant's own funds, and answers with a total grant.
 func requestAndGrant(t *testing.T, manager *Manager, now float64, granted, available, atPayment int64) {
 	t.Helper()
 	request := requestOf(t, manager, now, 0)
 	manager.Handle(now, granting(request, granted, available, atPayment), nil)
 }
 
-// TestOnlyTheFirstRequestWaitsForTheLeader checks that a tenant's first request waits for one response, and the next for none.
+// TestOnlyTheFirstRequestWaitsForTheLeader checks that a tenant's first request waits for one response of the leader, and that the next is
+// admitted immediately.
 func TestOnlyTheFirstRequestWaitsForTheLeader(t *testing.T) {
 	manager := New(testSettings(t), 7, 0)
 	if _, decision := reserve(manager, 1000, classHigh, 11); decision != Queued {
@@ -76,7 +77,7 @@
 	}
 	actions = manager.Handle(1005, granting(&actions[0].Requests[0], 100, 1000, 1000), nil)
 	if len(actions) == 0 {
-		t.Fatal("nothing follows from the grant")
+		t.Fatal("the grant caused no action, want an Admit")
 	}
 	if first := actions[0]; first.Kind != Admit || first.Tag != 11 || first.Reservation.Amount != 10 {
 		t.Fatalf("%+v", first)
@@ -85,25 +86,26 @@
 		t.Error(decision)
 	}
 	if _, decision := manager.Reserve(1006, AdmissionRequest{Tenant: "other", Session: 1, Parts: 1, Tag: 13}); decision != Admitted {
-		t.Errorf("a tenant that does not pay in advance: %v", decision)
+		t.Errorf("request of a tenant that is not prepaid: %v, want it admitted", decision)
 	}
 }
 
-// TestSuspendedProcessSpendsNothingExpired suspends a process past its account's expiry: it spends nothing of it, whatever event comes first.
-func TestSuspendedProcessSpendsNothingExpired(t *testing.T) {
+// TestSuspendedProcessSpendsNothingAfterExpiry checks that a process that was suspended past its account's expiry spends nothing of the
+// account, even if a request is the first event that it handles.
+func TestSuspendedProcessSpendsNothingAfterExpiry(t *testing.T) {
 	for suspendedMs, want := range map[float64]Decision{999: Admitted, 10001: Queued} {
 		manager := New(testSettings(t), 7, 0)
 		reserve(manager, 1000, classHigh, 1)
 		requestAndGrant(t, manager, 1000, 100, 1000, 1000)
 		if _, decision := reserve(manager, 1000+suspendedMs, classHigh, 2); decision != want {
-			t.Errorf("after %g ms: %v, want %v", suspendedMs, decision, want)
+			t.Errorf("suspended for %g ms: %v, want %v", suspendedMs, decision, want)
 		}
 	}
 }
 
-// TestChargeIsByThePriceAtAdmission checks that a price is reserved at admission, that the charge is by that price and never more, and that a
-// second Settle charges nothing.
-func TestChargeIsByThePriceAtAdmission(t *testing.T) {
+// TestChargeUsesPriceAtAdmission checks that the price is reserved at admission, that the charge uses that price even if the settings have
+// changed and never exceeds the reservation, and that a second Settle charges nothing.
+func TestChargeUsesPriceAtAdmission(t *testing.T) {
 	settings := testSettings(t)
 	manager := New(settings, 7, 0)
 	reserve(manager, 1000, classLow, 1)
@@ -132,11 +134,11 @@
 		t.Errorf("charged %d, want 16", got)
 	}
 	if got := manager.Settle(&reservation, Usage{Served: 1, Rows: 3}); got != 0 {
-		t.Errorf("charged %d the second time", got)
+		t.Errorf("the second Settle charged %d, want 0", got)
 	}
 }
 
-// TestScatteredRequestIsChargedByItsParts checks that served parts, and failed ones where the price says so, are charged.
+// TestScatteredRequestIsChargedByItsParts checks that served parts are charged, and also failed parts if the price has ChargeFailed.
 func TestScatteredRequestIsChargedByItsParts(t *testing.T) {
 	scattered := Reservation{Amount: 40, Price: Price{PerRequest: 10, ChargeFailed: true}}
 	if got := scattered.Charge(Usage{Served: 2, Failed: 1}); got != 30 {
@@ -144,9 +146,9 @@
 	}
 }
 
-// TestThrottlingSparesThePriorityClasses checks that of a tenant whose funds run low the class with the highest priority weight goes on and
-// the lowest is throttled, and that an overdraft class is not.
-func TestThrottlingSparesThePriorityClasses(t *testing.T) {
+// TestThrottlingSparesPriorityClasses checks that, when a tenant's funds run low, the class with the lowest priority weight per price is
+// throttled, and that the class with the highest and a class with an overdraft are not.
+func TestThrottlingSparesPriorityClasses(t *testing.T) {
 	settings := testSettings(t)
 	settings.ThrottleBelow = 0.5
 	settings.Classes[classLow] = Class{Price: Price{PerRequest: 10}, PriorityWeight: 1}
@@ -166,29 +168,29 @@
 		}
 	}
 	if admitted[classHigh] < 1980 || admitted[classLow] > 100 {
-		t.Errorf("of the high class %d were admitted, of the low %d; want nearly 2000 and few", admitted[classHigh], admitted[classLow])
+		t.Errorf("admitted %d of the high class and %d of the low; want at least 1980 and at most 100", admitted[classHigh], admitted[classLow])
 	}
 	if _, decision := reserve(manager, 3001, classOverdraft, 1); decision != Admitted {
-		t.Errorf("the class with an overdraft: %v", decision)
+		t.Errorf("request of the class with an overdraft: %v, want it admitted", decision)
 	}
 }
 
-// TestOverdraftIsForItsClassOnly checks that only the class with an overdraft goes on beyond the tenant's funds.
+// TestOverdraftIsForItsClassOnly checks that only the class with an overdraft is admitted once the tenant's own funds are used.
 func TestOverdraftIsForItsClassOnly(t *testing.T) {
 	manager := New(testSettings(t), 7, 0)
 	reserve(manager, 1000, classOverdraft, 1)
 	request := requestOf(t, manager, 1000, testOverdraft)
 	manager.Handle(1001, granting(request, 30, 0, 100), nil)
 	if _, decision := reserve(manager, 1002, classHigh, 2); decision == Admitted {
-		t.Error("another class spent of the overdraft")
+		t.Error("a class without an overdraft spent from the overdraft")
 	}
 	if _, decision := reserve(manager, 1002, classOverdraft, 3); decision != Admitted {
 		t.Error(decision)
 	}
 }
 
-// TestNothingIsSpentBeyondADurableMark checks that a request waits until its mark is durable.
-func TestNothingIsSpentBeyondADurableMark(t *testing.T) {
+// TestNothingIsSpentBeyondDurableMark checks that a request waits until a mark that covers it is durable.
+func TestNothingIsSpentBeyondDurableMark(t *testing.T) {
 	settings := testSettings(t)
 	settings.PersistMarks = true
 	manager := New(settings, 7, 0)
@@ -200,13 +202,13 @@
 	}
 	actions = manager.Handle(1002, MarksPersisted{actions[0].Write}, nil)
 	if len(actions) == 0 || actions[0].Kind != Admit {
-		t.Fatalf("after the mark: %+v", actions)
+		t.Fatalf("after the mark is durable: %+v", actions)
 	}
 }
 
-// TestMarksOfAnotherAreReadOnceItsAccountsHaveExpired checks that a process that has ended is fenced first, and its marks are read only once
+// TestMarksOfEndedProcessAreReadAfterItsAccountsExpire checks that an ended process is fenced first, and that its marks are read only after
 // the log has expired all its accounts.
-func TestMarksOfAnotherAreReadOnceItsAccountsHaveExpired(t *testing.T) {
+func TestMarksOfEndedProcessAreReadAfterItsAccountsExpire(t *testing.T) {
 	settings := testSettings(t)
 	settings.PersistMarks = true
 	manager := New(settings, 8, 0)
@@ -217,7 +219,7 @@
 	}
 	fenced := ResponsesReceived{[]message.Response{{Key: fence.Key}}}
 	if actions := manager.Handle(60, fenced, nil); len(actions) != 0 {
-		t.Fatalf("read before the accounts have expired: %+v", actions)
+		t.Fatalf("marks were read before the accounts expired: %+v", actions)
 	}
 	expired := ResponsesReceived{[]message.Response{{Key: fence.Key, Expired: true}}}
 	if actions := manager.Handle(70, expired, nil); len(actions) != 1 || actions[0].Kind != ReadMarks {
@@ -225,7 +227,7 @@
 	}
 }
 
-// TestBrokenInvariantsAreReported breaks the state for each invariant of a manager.
+// TestBrokenInvariantsAreReported checks that a state that breaks both invariants of a manager is reported for each.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	seen := map[string]bool{}
 	settings := testSettings(t)
@@ -234,14 +236,14 @@
 	manager := New(settings, 7, 0)
 	manager.tenantFor("t").lease(0).current = account{generation: 1, granted: 10, reserved: 20, expiresAt: 1e6}
 	manager.Handle(1, ResponsesReceived{}, nil)
-	for _, name := range []string{"credit: no more is held and spent than was granted", "credit: no more is spent than is marked"} {
+	for _, name := range []string{"credit: amounts spent, reserved and returned are within the grant", "credit: spending is within the durable mark"} {
 		if !seen[name] {
 			t.Errorf("%q was not reported", name)
 		}
 	}
 }
 
-// BenchmarkReserve measures what credit costs a request.
+// BenchmarkReserve measures the time that one request spends in Reserve and Settle.
 func BenchmarkReserve(b *testing.B) {
 	settings := Defaults()
 	settings.PrepaidTenants = []string{"t"}
--- a/internal/cluster/credit/lease/marks.go
+++ b/internal/cluster/credit/lease/marks.go
@@ -1,9 +1,9 @@
 package lease
 
-// markStepDivisor is the part of the free funds by which a mark is raised.
+// markStepDivisor determines the step by which a mark is raised: the free funds divided by it.
 const markStepDivisor = 4
 
-// raiseMark asks for a higher mark of a lease's account where what is spent comes near the durable one.
+// raiseMark requests a higher mark for a lease's account when its spending comes close to the durable mark.
 func (m *Manager) raiseMark(tenant *tenantState, lease *tenantLease) {
 	account := &lease.current
 	if !m.settings.PersistMarks || account.generation == 0 || account.pendingWrite > 0 {
@@ -21,7 +21,7 @@
 	m.actions = append(m.actions, Action{Kind: PersistMarks, Write: m.lastWrite, Marks: m.highWaterMarks()})
 }
 
-// highWaterMarks are the most that may have been spent of each account that is not closed.
+// highWaterMarks returns the most that may have been spent from each account that is not closed.
 func (m *Manager) highWaterMarks() []HighWaterMark {
 	var marks []HighWaterMark
 	for _, tenant := range m.active {
@@ -39,7 +39,7 @@
 	return marks
 }
 
-// marksPersisted admits what waited for the marks of a write and of those before it.
+// marksPersisted records that a write of marks, and all earlier writes, are durable, and admits queued requests that waited for them.
 func (m *Manager) marksPersisted(write uint64) {
 	for _, tenant := range m.active {
 		for _, lease := range tenant.leases {
--- a/internal/cluster/credit/lease/rate.go
+++ b/internal/cluster/credit/lease/rate.go
@@ -4,10 +4,10 @@
 
 const (
 	rateWindowMs   = 1000
-	negligibleRate = 1e-3 // units a second; what is below counts as no demand
+	negligibleRate = 1e-3 // in units per second; a lower rate counts as no demand
 )
 
-// rateMeter measures how much is counted a second, with an exponentially decaying window of rateWindowMs.
+// rateMeter measures an amount per second, with an exponentially decaying window of rateWindowMs.
 type rateMeter struct{ amount, updatedAt float64 }
 
 func (r *rateMeter) add(now, amount float64) {
--- a/internal/cluster/credit/lease/requests.go
+++ b/internal/cluster/credit/lease/requests.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	maxUnanswered = 16 // requests about an account whose responses still extend it
-	excessFactor  = 3  // times the target; what is held beyond that is returned unasked
+	maxUnanswered = 16 // maximum number of requests about an account that are tracked until their response extends it
+	excessFactor  = 3  // free funds above this multiple of the target are returned without a recall
 )
 
-// leaseDemand is what a lease is needed for now. Amounts are in the operators' unit.
+// leaseDemand is the current demand for the funds of a lease. Amounts are in the operators' unit.
 type leaseDemand struct {
-	rate      float64 // a second
-	queued    int64   // for requests in the queue
-	price     int64   // the highest of the classes with demand
-	target    int64   // that should be free here
-	exhausted bool    // the tenant has demand, and its funds were found to be exhausted
+	rate      float64 // spending per second
+	queued    int64   // amount that queued requests need
+	price     int64   // highest price of the classes with demand
+	target    int64   // amount that should be free here
+	exhausted bool    // the tenant has demand, but its funds were found to be exhausted
 }
 
-// sendRequests sends the leader what is due now.
+// sendRequests sends the leader the requests and reports that are due.
 func (m *Manager) sendRequests() {
 	var requests []message.Request
 	for _, tenant := range m.active {
@@ -40,7 +40,7 @@
 	}
 }
 
-// appendFinalReports appends the final reports of expired accounts on which no request is running.
+// appendFinalReports appends the due final reports of expired accounts that have no reservations left.
 func (m *Manager) appendFinalReports(requests []message.Request, tenant *tenantState, lease *tenantLease) []message.Request {
 	for i := range lease.expired {
 		account := &lease.expired[i]
@@ -56,7 +56,8 @@
 	return requests
 }
 
-// requestedOverdrafts are the overdrafts at which a tenant needs funds: beyond its own funds only for classes with demand.
+// requestedOverdrafts returns the overdrafts at which a tenant needs funds. That is always 0, its own funds, and otherwise the overdrafts
+// of classes with demand and of leases with an account.
 func (m *Manager) requestedOverdrafts(tenant *tenantState) []int64 {
 	overdrafts := []int64{0}
 	for i := range tenant.classRates {
@@ -74,7 +75,7 @@
 	return overdrafts
 }
 
-// nextRequest returns the request about a lease that is due now, if any.
+// nextRequest returns the request about a lease, if one is due.
 func (m *Manager) nextRequest(tenant *tenantState, lease *tenantLease) (request message.Request, due bool) {
 	demand := m.demandOf(tenant, lease)
 	if m.isUnused(lease, &demand) {
@@ -99,16 +100,16 @@
 		exhausted: m.now < tenant.exhaustedUntil && tenant.demand(m.now) > 0,
 	}
 	demand.target = max(int64(demand.rate*m.settings.GrantHorizon/1000), demand.queued)
-	if demand.rate > negligibleRate { // one price is in hand while the next is requested
+	if demand.rate > negligibleRate { // one price can be spent while the next is requested
 		demand.target = max(demand.target, 2*demand.price)
 	}
-	if demand.exhausted { // one price, which may be the last
+	if demand.exhausted { // only one price, so that the remaining funds are not spread over many poolers
 		demand.target = max(demand.queued, demand.price)
 	}
 	return demand
 }
 
-// isUnused reports whether nobody has needed a lease's funds for the idle timeout.
+// isUnused reports whether a lease has free funds that no request has needed for the idle timeout.
 func (m *Manager) isUnused(lease *tenantLease, demand *leaseDemand) bool {
 	current := &lease.current
 	holds := current.generation > 0 && current.free() > 0
@@ -116,8 +117,8 @@
 	return holds && !inDemand && m.now-lease.lastUsedAt > m.settings.IdleTimeout
 }
 
-// returnExcess returns what is held far beyond the target, and the last of exhausted funds where it is less than any price: that is of
-// use to nobody but together with what others hold.
+// returnExcess returns funds that far exceed the target. If the tenant's funds are exhausted, it also returns a remainder that is less than
+// any price: it is of use only when combined with remainders that other poolers hold.
 func (m *Manager) returnExcess(tenant *tenantState, lease *tenantLease, demand *leaseDemand) {
 	current := &lease.current
 	if current.expiresAt <= 0 {
@@ -127,13 +128,13 @@
 		current.returned += current.free() - demand.target
 		lease.reportSoon = true
 	}
-	lastOfFunds := demand.exhausted && demand.queued == 0
-	if lastOfFunds && current.free() > 0 && current.free() < m.lowestPrice(tenant, lease.overdraft) {
+	returnsRemainder := demand.exhausted && demand.queued == 0
+	if returnsRemainder && current.free() > 0 && current.free() < m.lowestPrice(tenant, lease.overdraft) {
 		current.returned += current.free()
 	}
 }
 
-// requestInterval returns how long after the last request about a lease the next may follow, and whether one is needed.
+// requestInterval returns the minimum time in ms between the last request about a lease and the next, and whether a request is needed.
 func (m *Manager) requestInterval(lease *tenantLease, demand *leaseDemand) (interval float64, needed bool) {
 	free := lease.current.free()
 	expiresAt := lease.current.expiresAt
@@ -152,7 +153,7 @@
 	return 0, false
 }
 
-// newRequest makes the next request about a lease, and opens an account where there is none.
+// newRequest returns the next request about a lease, and starts a new account if the lease has none.
 func (m *Manager) newRequest(tenant *tenantState, lease *tenantLease, demand *leaseDemand) message.Request {
 	current := &lease.current
 	if current.generation == 0 {
@@ -176,7 +177,7 @@
 	}
 }
 
-// queuedAmount is what the queue needs at an overdraft; at 0 all of it.
+// queuedAmount returns the amount that queued requests need at an overdraft. At 0 it covers all queued requests.
 func (m *Manager) queuedAmount(tenant *tenantState, overdraft int64) int64 {
 	amount := int64(0)
 	for _, request := range tenant.queue {
@@ -188,7 +189,7 @@
 	return amount
 }
 
-// spendRate is what is spent a second of a lease: of an overdraft, what the classes with it have demand for.
+// spendRate returns the spending per second from a lease. For an overdraft, it is the demand of the classes with that overdraft.
 func (m *Manager) spendRate(tenant *tenantState, lease *tenantLease) float64 {
 	if lease.overdraft == 0 {
 		return lease.rate.perSecond(m.now)
@@ -202,14 +203,15 @@
 	return total
 }
 
-// highestPrice is that of the classes with demand at an overdraft; at 0 of all.
+// highestPrice returns the highest price of the classes with demand and a given overdraft. At 0 it covers all classes with demand.
 func (m *Manager) highestPrice(tenant *tenantState, overdraft int64) int64 {
 	highest := int64(0)
 	m.eachPrice(tenant, overdraft, func(price int64) { highest = max(highest, price) })
 	return highest
 }
 
-// lowestPrice is that of the classes with demand at an overdraft, at 0 of all; 0 where there is no demand.
+// lowestPrice returns the lowest price of the classes with demand and a given overdraft, or 0 if there is no demand. At 0 it covers all
+// classes with demand.
 func (m *Manager) lowestPrice(tenant *tenantState, overdraft int64) int64 {
 	lowest := int64(math.MaxInt64)
 	m.eachPrice(tenant, overdraft, func(price int64) { lowest = min(lowest, price) })
--- a/internal/cluster/credit/lease/responses.go
+++ b/internal/cluster/credit/lease/responses.go
@@ -6,7 +6,7 @@
 	"beechgrade/internal/cluster/credit/message"
 )
 
-// handleResponse takes the leader's response about one account.
+// handleResponse handles the leader's response about one account.
 func (m *Manager) handleResponse(response *message.Response) {
 	if response.Key.Holder != m.self {
 		m.handleClaimResponse(response)
@@ -26,7 +26,7 @@
 	switch {
 	case response.Closed:
 		lease.handleClosed(response.Key.Generation)
-	case lease.current.generation != response.Key.Generation: // about an expired account
+	case lease.current.generation != response.Key.Generation: // the response is about an expired account
 	case response.Expired:
 		lease.expireCurrent()
 	case response.Recall:
@@ -36,7 +36,7 @@
 	}
 }
 
-// handleClosed drops an account that the log has closed. Requests that were admitted on it go on, but nothing more is spent of it.
+// handleClosed drops an account that the log has closed. Requests that were admitted on it continue, but no more of it is spent.
 func (l *tenantLease) handleClosed(generation uint32) {
 	if l.current.generation == generation {
 		if l.current.granted > 0 {
@@ -49,7 +49,7 @@
 	})
 }
 
-// returnAbove returns what is free beyond an amount.
+// returnAbove returns the free funds above an amount.
 func (l *tenantLease) returnAbove(retain int64) {
 	if excess := l.current.free() - retain; excess > 0 {
 		l.current.returned += excess
@@ -57,7 +57,8 @@
 	}
 }
 
-// handleGrant takes what the log has of the current account, which extends it, and admits what waited for it.
+// handleGrant updates the current account from the log's state, extends its expiry, and admits queued requests that the account can now
+// fund.
 func (m *Manager) handleGrant(tenant *tenantState, lease *tenantLease, response *message.Response) {
 	current := &lease.current
 	grew := response.Granted > current.granted
@@ -73,12 +74,12 @@
 	}
 	m.admitQueued(tenant)
 	empty := !grew && current.free() == 0 && lease.overdraft == 0
-	if empty && tenant.heldElsewhere() <= 0 { // nobody has any
+	if empty && tenant.heldElsewhere() <= 0 { // no other pooler holds funds either
 		m.rejectQueued(tenant, func(request *queuedRequest) bool { return m.settings.Classes[request.class].Overdraft == 0 })
 	}
 }
 
-// extend lets an account be used for the lease's duration from the sending of the request that is answered.
+// extend sets the account's expiry to the lease's duration after the answered request was sent.
 func (m *Manager) extend(account *account, response *message.Response) {
 	for _, sent := range account.unanswered {
 		if sent.sequence != response.Sequence || response.Granted <= 0 {
--- a/internal/cluster/credit/lease/state.go
+++ b/internal/cluster/credit/lease/state.go
@@ -9,28 +9,28 @@
 	now            float64
 	lastGeneration uint32
 	prepaid        map[string]bool
-	classesByValue []int // the highest priority weight for its price first
+	classesByValue []int // class indexes, the highest priority weight per price first
 	tenants        map[string]*tenantState
-	active         []*tenantState // all of tenants, in the order in which they came
+	active         []*tenantState // the values of tenants, in the order in which they were added
 	claims         []settlementClaim
 	actions        []Action
-	lastWrite      uint64 // of marks
+	lastWrite      uint64 // number of the last write of marks
 	closing        bool
 }
 
-// tenantState is what this process knows of a tenant.
+// tenantState is the state of a tenant at this process.
 type tenantState struct {
 	name               string
-	classRates         []rateMeter    // demand, by class
-	leases             []*tenantLease // by overdraft
-	available          int64          // as the leader reported last
+	classRates         []rateMeter    // demand of each class
+	leases             []*tenantLease // one for each overdraft
+	available          int64          // as the leader last reported
 	availableAtPayment int64
 	availableKnown     bool
 	queue              []queuedRequest
-	exhaustedUntil     float64 // until then no funds are expected
+	exhaustedUntil     float64 // no funds are expected before this time
 }
 
-// queuedRequest waits for funds.
+// queuedRequest is a request that waits for funds.
 type queuedRequest struct {
 	tag      uint64
 	class    int
@@ -39,21 +39,21 @@
 	deadline float64
 }
 
-// tenantLease is what is held of a tenant's funds, at one depth of overdraft.
+// tenantLease is the part of a tenant's funds that this process holds at one depth of overdraft. Depth 0 is the tenant's own funds.
 type tenantLease struct {
 	overdraft   int64
 	current     account
-	expired     []account // not closed by the log yet
-	rate        rateMeter // of what is reserved
+	expired     []account // expired accounts that the log has not closed yet
+	rate        rateMeter // rate of reserved amounts
 	lastUsedAt  float64
 	requestedAt float64
-	reportSoon  bool // funds were returned, which others wait for
+	reportSoon  bool // funds were returned, and other poolers may wait for them
 }
 
-// account mirrors a ledger.Account. Amounts are sums since it was opened.
+// account is this process's copy of a ledger.Account. Amounts are totals since it was opened, except reserved.
 type account struct {
-	generation uint32 // 0 before it was requested
-	sequence   uint32 // of the last request
+	generation uint32 // 0 until the account is requested
+	sequence   uint32 // number of the last request
 	granted    int64
 	returned   int64
 	spent      int64
@@ -61,14 +61,14 @@
 	expiresAt  float64
 	unanswered []sentRequest
 
-	nextRequestAt float64 // once expired: when the final report is sent again
+	nextRequestAt float64 // for an expired account, when the final report is sent again
 
 	persistedMark int64
 	pendingMark   int64
-	pendingWrite  uint64 // of pendingMark, 0 for none
+	pendingWrite  uint64 // number of the write of pendingMark, 0 if none is in progress
 }
 
-// sentRequest is a request whose response extends the account.
+// sentRequest is an unanswered request, whose response will extend the account's expiry.
 type sentRequest struct {
 	sequence uint32
 	sentAt   float64
@@ -76,10 +76,10 @@
 
 func (a *account) free() int64 { return a.granted - a.returned - a.spent - a.reserved }
 
-// outstanding is what the ledger counts as lent, as far as it is known here.
+// outstanding returns the amount that the ledger counts as lent, as far as this process knows.
 func (a *account) outstanding() int64 { return a.granted - a.returned - a.spent }
 
-// expireCurrent takes the current account out of use.
+// expireCurrent stops the use of the current account.
 func (l *tenantLease) expireCurrent() {
 	l.current.nextRequestAt = 0
 	l.expired = append(l.expired, l.current)
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// lease finds or makes the lease of an overdraft.
+// lease returns the lease of an overdraft, and creates it if necessary.
 func (t *tenantState) lease(overdraft int64) *tenantLease {
 	if lease := t.findLease(overdraft); lease != nil {
 		return lease
@@ -118,7 +118,7 @@
 	return lease
 }
 
-// heldElsewhere is what others hold of the tenant's available funds, or may hold.
+// heldElsewhere returns the part of the tenant's available funds that this process does not hold and other poolers may hold.
 func (t *tenantState) heldElsewhere() int64 {
 	amount := t.available
 	for _, lease := range t.leases {
@@ -130,7 +130,7 @@
 	return amount
 }
 
-// demand is what the tenant's requests would spend a second, 0 if that is negligible.
+// demand returns the amount per second that the tenant's requests would spend, or 0 if it is negligible.
 func (t *tenantState) demand(now float64) float64 {
 	total := 0.0
 	for i := range t.classRates {
@@ -142,7 +142,7 @@
 	return total
 }
 
-// isIdle reports whether nothing is known of the tenant that would be missed.
+// isIdle reports whether the tenant has no accounts, queued requests, demand or recent use, so that its state can be dropped.
 func (t *tenantState) isIdle(now, idleTimeout float64) bool {
 	for _, lease := range t.leases {
 		if lease.current.generation > 0 || len(lease.expired) > 0 || now-lease.lastUsedAt < idleTimeout {
--- a/internal/cluster/credit/payments.go
+++ b/internal/cluster/credit/payments.go
@@ -11,20 +11,20 @@
 
 const (
 	paymentsInterval       = 500  // ms between two reports of payments, until all are in the ledger
-	paymentsMessageBytes   = 1000 // of payments in a message, about
+	paymentsMessageBytes   = 1000 // approximate size of the payments in one message
 	paymentMessagesPerTick = 8
 )
 
-// payments are those of this pooler's settings that are not known to be in the ledger.
+// payments tracks which payments of this pooler's settings are not yet known to be in the ledger.
 type payments struct {
 	unconfirmed  []lessor.Payment
-	digest       uint64 // of all that the settings have
+	digest       uint64 // digest of all payments in the settings
 	nextReportAt float64
-	sendAll      bool // the leader has other payments: ours are sent
-	sent         int  // of unconfirmed, in this round
+	sendAll      bool // the leader's digest differs, so the payments themselves are sent
+	sent         int  // how many of unconfirmed were sent in the current round
 }
 
-// PaymentDigest is the same for the same payments in any order, and never 0.
+// PaymentDigest returns a digest of payments that does not depend on their order and is never 0.
 func PaymentDigest(list []lessor.Payment) uint64 {
 	sum := uint64(0)
 	for _, payment := range list {
@@ -34,7 +34,7 @@
 	return max(1, sum)
 }
 
-// set takes the payments that the settings have now.
+// set replaces the payments by those of new settings.
 func (p *payments) set(list []lessor.Payment) {
 	p.unconfirmed = slices.Clone(list)
 	p.digest = PaymentDigest(list)
@@ -42,7 +42,8 @@
 	p.sent = 0
 }
 
-// handleDigest takes the digest of the leader's payments: equal ones are all in the ledger.
+// handleDigest handles the digest of the leader's payments. If it equals this pooler's, all payments are in the ledger; otherwise the
+// payments themselves are sent.
 func (p *payments) handleDigest(digest uint64) {
 	switch {
 	case digest == p.digest:
@@ -53,7 +54,7 @@
 	}
 }
 
-// confirm drops payments that the leader says are in the ledger.
+// confirm drops payments that are in the ledger, as the leader reports.
 func (p *payments) confirm(list []lessor.Payment) {
 	before := len(p.unconfirmed)
 	p.unconfirmed = slices.DeleteFunc(p.unconfirmed, func(payment lessor.Payment) bool { return slices.Contains(list, payment) })
@@ -61,7 +62,7 @@
 	p.sent = max(0, min(p.sent-dropped, len(p.unconfirmed)))
 }
 
-// nextMessage returns the next payments to send, at most so many that fit a message.
+// nextMessage returns the next payments to send, about paymentsMessageBytes of them.
 func (p *payments) nextMessage() []lessor.Payment {
 	var list []lessor.Payment
 	for size := 0; p.sent < len(p.unconfirmed) && size < paymentsMessageBytes; p.sent++ {
@@ -72,7 +73,7 @@
 	return list
 }
 
-// reportPayments reports the payments of this pooler's settings to the leader, where the ledger may not have them.
+// reportPayments reports to the leader the payments of this pooler's settings that may not be in the ledger yet.
 func (c *Credit) reportPayments(now float64) {
 	if len(c.payments.unconfirmed) == 0 || now < c.payments.nextReportAt || c.closing {
 		return
@@ -91,7 +92,7 @@
 	}
 }
 
-// sendPayments sends some messages of payments, and goes on at the next tick until all were sent.
+// sendPayments sends up to paymentMessagesPerTick messages of payments, and continues at the next tick until all were sent.
 func (c *Credit) sendPayments(now float64) {
 	for range paymentMessagesPerTick {
 		if list := c.payments.nextMessage(); len(list) > 0 {
@@ -113,7 +114,7 @@
 	return !slices.ContainsFunc(c.payments.unconfirmed, func(payment lessor.Payment) bool { return !c.isApplied(payment) })
 }
 
-// appliedOf returns those of a list that the ledger has.
+// appliedOf returns those payments of a list that are in the ledger.
 func (c *Credit) appliedOf(list []lessor.Payment) []lessor.Payment {
 	var applied []lessor.Payment
 	for _, payment := range list {
