--- a/internal/cluster/credit/ledger/bytes_test.go
+++ b/internal/cluster/credit/ledger/bytes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fullRecord has something in each field.
+// fullRecord returns a record with a value in each field.
 func fullRecord() *record {
 	key := Key{Tenant: "t", Overdraft: 300, Holder: 4, Generation: 5}
 	op := Op{Kind: kindTenant, Key: key, Number: 6, Amount: 7, Spent: 8, Returned: 9, Sequence: 10, Recovered: true}
@@ -13,8 +13,9 @@
 		expired: true, granted: 13, paid: 14, balance: -15, lent: 16, stranded: 17, availableAtPayment: 18, appliedPayments: []byte{1, 2}}
 }
 
-// TestEntryAndSnapshotBytesStay checks that the bytes of entries and snapshots stay as voters of other versions read and write them.
-func TestEntryAndSnapshotBytesStay(t *testing.T) {
+// TestEntryAndSnapshotEncodingIsStable checks that the encoding of entries and snapshots remains that of other versions, which voters of
+// those versions read and write.
+func TestEntryAndSnapshotEncodingIsStable(t *testing.T) {
 	l := New()
 	l.Apply(1, Encode([]Op{{Kind: Payment, Key: Key{Tenant: "t"}, Number: 1, Amount: 100}}))
 	l.Apply(2, Encode([]Op{
@@ -31,16 +32,16 @@
 		{l.Snapshot(), "0a04081330020a150811120174706478be018001059001649a010201010a16081012017418032101000000000000002801500168050a0d081221010000000000000028010a11081221090000000000000028ffffffff0f"},
 	} {
 		if got := hex.EncodeToString(c.b); got != c.want {
-			t.Errorf("%s, want %s", got, c.want)
+			t.Errorf("encoded as %s, want %s", got, c.want)
 		}
 	}
 	b := appendRecord(nil, fullRecord())
-	var again []byte
-	if err := eachRecord(b, func(l *record) error { again = appendRecord(again, l); return nil }); err != nil || hex.EncodeToString(again) != hex.EncodeToString(b) {
-		t.Errorf("read as %x, %v", again, err)
+	var reencoded []byte
+	if err := eachRecord(b, func(r *record) error { reencoded = appendRecord(reencoded, r); return nil }); err != nil || hex.EncodeToString(reencoded) != hex.EncodeToString(b) {
+		t.Errorf("decoded and encoded again: %x, %v; want %x", reencoded, err, b)
 	}
-	n := New()
-	if err := n.Restore(l.Snapshot()); err != nil || hex.EncodeToString(n.Snapshot()) != hex.EncodeToString(l.Snapshot()) {
-		t.Errorf("restored as %x, %v", n.Snapshot(), err)
+	restored := New()
+	if err := restored.Restore(l.Snapshot()); err != nil || hex.EncodeToString(restored.Snapshot()) != hex.EncodeToString(l.Snapshot()) {
+		t.Errorf("snapshot of the restored ledger: %x, %v; want %x", restored.Snapshot(), err, l.Snapshot())
 	}
 }
--- a/internal/cluster/credit/ledger/codec.go
+++ b/internal/cluster/credit/ledger/codec.go
@@ -8,19 +8,20 @@
 	"beechgrade/internal/encoding"
 )
 
-// An entry of the log is a protobuf message, in which the themed names of earlier versions mean: depth Overdraft, gen Generation, no
-// Number, seq Sequence, heir Recovered, full AvailableAtPayment, taken the ranges of applied payments:
+// An entry of the log is encoded as the protobuf message below. Where a field of the schema has another name than the Go field, that is:
+// depth is Overdraft, gen is Generation, no is Number, seq is Sequence, heir is Recovered, full is AvailableAtPayment, and taken contains
+// the ranges of applied payments.
 //
 //	message Entry { repeated Op ops = 1; }
 //	message Op { uint32 kind = 1; string tenant = 2; uint64 depth = 3; fixed64 holder = 4; uint32 gen = 5; uint64 no = 6; uint64 amount = 7;
 //	             uint64 spent = 8; uint64 returned = 9; uint32 seq = 10; bool heir = 11; bool expired = 12; uint64 granted = 13; }
 //
-// A snapshot is the same with accounts as ops of kind 16, tenants of kind 17 with their payments' numbers as packed pairs, processes of
-// kind 18, and the index of the last entry of kind 19:
+// A snapshot has the same encoding, with other kinds: accounts are ops of kind 16, tenants ops of kind 17 with the ranges of their payment
+// numbers as packed pairs, processes ops of kind 18, and the index of the last entry is an op of kind 19. It uses these additional fields:
 //
 //	message Op { uint64 paid = 14; sint64 balance = 15; uint64 lent = 16; uint64 stranded = 17; uint64 full = 18; bytes taken = 19; }
 const (
-	fieldRecord protowire.Number = 1 // of an entry and of a snapshot
+	fieldRecord protowire.Number = 1 // the only field of an entry and of a snapshot
 
 	fieldKind               protowire.Number = 1
 	fieldTenant             protowire.Number = 2
@@ -53,8 +54,8 @@
 	maxKind = 255
 )
 
-// ErrMalformed is returned for bytes that are no entry and no snapshot of a ledger.
-var ErrMalformed = errors.New("ledger: malformed entry")
+// ErrMalformed is returned for bytes that do not encode an entry or a snapshot of a ledger.
+var ErrMalformed = errors.New("ledger: malformed entry or snapshot")
 
 func malformed(error) error { return ErrMalformed }
 
@@ -80,7 +81,7 @@
 	return b
 }
 
-// Decode decodes an entry, all of it or nothing.
+// Decode decodes an entry. On an error it returns no operations.
 func Decode(b []byte) ([]Op, error) {
 	var ops []Op
 	err := eachRecord(b, func(r *record) error {
@@ -96,12 +97,12 @@
 	return ops, nil
 }
 
-// isValidOp reports whether a record may stand in an entry: Fence and CloseRemaining have no tenant, all others have one.
+// isValidOp reports whether a record is valid in an entry. Fence and CloseRemaining must have no tenant, all other kinds must have one.
 func (r *record) isValidOp() bool {
 	known := r.Kind >= Payment && r.Kind <= CloseRemaining
-	ofProcess := r.Kind >= Fence
-	named := (r.Key.Tenant == "") == ofProcess
-	return known && named && (r.Kind != Payment || r.Amount != 0)
+	processWide := r.Kind >= Fence
+	tenantMatchesKind := (r.Key.Tenant == "") == processWide
+	return known && tenantMatchesKind && (r.Kind != Payment || r.Amount != 0)
 }
 
 func appendRecord(b []byte, r *record) []byte {
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// readField takes a field; one of another type than its own is skipped.
+// readField reads a field. A field with an unexpected wire type is skipped.
 func (r *record) readField(field encoding.Field) error {
 	switch field.Type {
 	case protowire.VarintType:
@@ -177,8 +178,9 @@
 	return nil
 }
 
-// inBounds reports whether a number may stand in a field. Most are counts and amounts from 0. A tenant that has spent more than it paid
-// has less than nothing available after a payment, written as the number's two's complement; its balance is zigzag encoded.
+// inBounds reports whether a value is valid for a field. Most fields are counts and amounts that are not negative. A tenant that has spent
+// more than it paid may have a negative available amount after a payment, which is encoded in two's complement, and a negative balance,
+// which is zigzag encoded.
 func inBounds(field protowire.Number, value uint64) bool {
 	switch field {
 	case fieldNumber, fieldBalance:
--- a/internal/cluster/credit/ledger/invariants.go
+++ b/internal/cluster/credit/ledger/invariants.go
@@ -6,21 +6,21 @@
 	"beechgrade/internal/invariant"
 )
 
-// changesPerWalk is how many changes there are for one check of the whole ledger.
+// changesPerWalk is the number of changes between two checks of the whole ledger.
 const changesPerWalk = 64
 
-// checkTenant states the invariant of the tenant that an operation was about, and now and then that of the whole ledger.
+// checkTenant checks the invariant of the tenant that an operation concerned, and periodically those of the whole ledger.
 func (l *Ledger) checkTenant(name string) {
 	tenant := l.tenants[name]
 	if !l.Checks.Enabled() || tenant == nil {
 		return
 	}
-	state := func(checks *invariant.Checks, statement string, err error) {
+	check := func(checks *invariant.Checks, statement string, err error) {
 		checks.That(err == nil, statement, func() string { return err.Error() })
 	}
-	state(l.Checks, "credit: paid is balance, lent, stranded and spent", tenant.checkTotals(name))
-	l.Checks.Walk(&l.changesSinceWalk, changesPerWalk, "credit: the books agree", func(checks *invariant.Checks) {
-		state(checks, "credit: the books agree", l.Check())
+	check(l.Checks, "credit: paid = balance + lent + stranded + spent", tenant.checkTotals(name))
+	l.Checks.Walk(&l.changesSinceWalk, changesPerWalk, "credit: ledger totals agree with the accounts", func(checks *invariant.Checks) {
+		check(checks, "credit: ledger totals agree with the accounts", l.Check())
 	})
 }
 
@@ -32,13 +32,13 @@
 	return nil
 }
 
-// accountTotals are sums over the accounts.
+// accountTotals contains sums over all accounts.
 type accountTotals struct {
 	lent, stranded map[string]int64 // by tenant
-	open           map[Holder]int
+	open           map[Holder]int   // number of accounts
 }
 
-// Check verifies the whole ledger.
+// Check verifies the invariants of the whole ledger.
 func (l *Ledger) Check() error {
 	totals, err := l.checkAccounts()
 	if err != nil {
@@ -50,13 +50,13 @@
 			return err
 		}
 		if tenant.Lent != totals.lent[name] || tenant.Stranded != totals.stranded[name] {
-			return fmt.Errorf("tenant %q: lent %d and stranded %d, but the accounts have %d and %d",
+			return fmt.Errorf("tenant %q: lent %d and stranded %d, but the sums over its accounts are %d and %d",
 				name, tenant.Lent, tenant.Stranded, totals.lent[name], totals.stranded[name])
 		}
 	}
 	for holder, counted := range l.openAccounts {
 		if totals.open[holder] != counted {
-			return fmt.Errorf("process %x: %d accounts are counted, there are %d", holder, counted, totals.open[holder])
+			return fmt.Errorf("process %x: counted %d open accounts, found %d", holder, counted, totals.open[holder])
 		}
 	}
 	return nil
@@ -67,10 +67,10 @@
 	for _, key := range l.AllAccounts() {
 		account := l.accounts[key]
 		if account.Returned < 0 || account.Spent < 0 || account.Outstanding() < 0 {
-			return nil, fmt.Errorf("account %v: of %d granted %d are spent and %d returned", key, account.Granted, account.Spent, account.Returned)
+			return nil, fmt.Errorf("account %v: granted %d, spent %d, returned %d", key, account.Granted, account.Spent, account.Returned)
 		}
 		if key.Generation > l.lastGeneration[key.Holder] {
-			return nil, fmt.Errorf("account %v is not among the %d that its process opened", key, l.lastGeneration[key.Holder])
+			return nil, fmt.Errorf("account %v: generation is above %d, the last that its process opened", key, l.lastGeneration[key.Holder])
 		}
 		totals.open[key.Holder]++
 		if account.Expired {
--- a/internal/cluster/credit/ledger/ledger.go
+++ b/internal/cluster/credit/ledger/ledger.go
@@ -9,23 +9,23 @@
 	"beechgrade/internal/invariant"
 )
 
-// fencedGeneration is the last generation of a process that opens no more accounts.
+// fencedGeneration is the last generation of a process that may open no more accounts.
 const fencedGeneration = math.MaxUint32
 
-// Ledger is the replicated state.
+// Ledger is the replicated state of all tenants' funds.
 type Ledger struct {
-	AppliedIndex uint64            // of the last entry
-	Checks       *invariant.Checks // nil for off
+	AppliedIndex uint64            // index of the last applied entry
+	Checks       *invariant.Checks // nil disables the checks
 
 	tenants          map[string]*Tenant
 	accounts         map[Key]*Account
-	lastGeneration   map[Holder]uint32 // the highest opened
+	lastGeneration   map[Holder]uint32 // highest generation that is opened or forbidden
 	openAccounts     map[Holder]int
 	byTenant         map[string]map[Key]bool
 	changesSinceWalk int
 }
 
-// New makes an empty ledger.
+// New returns an empty ledger.
 func New() *Ledger {
 	return &Ledger{
 		tenants: map[string]*Tenant{}, accounts: map[Key]*Account{}, lastGeneration: map[Holder]uint32{},
@@ -33,7 +33,7 @@
 	}
 }
 
-// Tenant returns the state of a tenant, which is zero where none has paid.
+// Tenant returns the state of a tenant, or the zero value if the tenant has not paid.
 func (l *Ledger) Tenant(name string) Tenant {
 	if tenant := l.tenants[name]; tenant != nil {
 		return *tenant
@@ -44,7 +44,7 @@
 // Tenants returns the names of all tenants, sorted.
 func (l *Ledger) Tenants() []string { return slices.Sorted(maps.Keys(l.tenants)) }
 
-// Account returns an account, and whether there is one.
+// Account returns an account, and whether it exists.
 func (l *Ledger) Account(key Key) (Account, bool) {
 	if account := l.accounts[key]; account != nil {
 		return *account, true
@@ -74,7 +74,7 @@
 		cmp.Compare(a.Holder, b.Holder), cmp.Compare(a.Generation, b.Generation))
 }
 
-// Apply applies an entry, once. One that is malformed changes nothing.
+// Apply applies an entry of the log, once for each index. A malformed entry changes nothing.
 func (l *Ledger) Apply(index uint64, entry []byte) []Result {
 	if index <= l.AppliedIndex {
 		return nil
@@ -143,14 +143,14 @@
 	return result
 }
 
-// forbidGeneration lets a grant that is still on its way open nothing.
+// forbidGeneration prevents a delayed grant from opening an account that its process has already closed.
 func (l *Ledger) forbidGeneration(key Key) {
 	if l.lastGeneration[key.Holder] > 0 || len(l.lastGeneration) < MaxHolders {
 		l.lastGeneration[key.Holder] = max(l.lastGeneration[key.Holder], key.Generation)
 	}
 }
 
-// mayOpen reports whether an operation opens an account: a grant of a new generation, where there is anything to lend.
+// mayOpen reports whether an operation opens an account. It must be a grant with a new generation, and there must be funds to lend.
 func (l *Ledger) mayOpen(tenant *Tenant, op *Op) bool {
 	if op.Kind != Grant || op.Amount <= 0 || len(l.accounts) >= MaxAccounts {
 		return false
@@ -158,14 +158,14 @@
 	return op.Key.Generation > l.lastGeneration[op.Key.Holder] && tenant.Balance+op.Key.Overdraft > 0
 }
 
-// grant takes a report and lends what there is of the amount.
+// grant applies a report and lends as much of the requested amount as there are funds.
 func (l *Ledger) grant(tenant *Tenant, account *Account, op *Op) bool {
 	fenced := l.lastGeneration[op.Key.Holder] == fencedGeneration
 	if op.Sequence <= account.Sequence || account.Expired || fenced {
 		return false
 	}
 	account.Sequence = op.Sequence
-	account.report(tenant, op.Spent, op.Returned)
+	account.applyReport(tenant, op.Spent, op.Returned)
 	amount := max(0, min(op.Amount, tenant.Balance+op.Key.Overdraft))
 	tenant.Balance -= amount
 	tenant.Lent += amount
@@ -173,8 +173,8 @@
 	return true
 }
 
-// report takes sums, which may only grow, and never beyond what was granted.
-func (a *Account) report(tenant *Tenant, spent, returned int64) {
+// applyReport applies reported totals. They may only grow, and never exceed the granted amount.
+func (a *Account) applyReport(tenant *Tenant, spent, returned int64) {
 	newSpent := min(max(a.Spent, spent), a.Granted-a.Returned)
 	tenant.Spent += newSpent - a.Spent
 	tenant.Lent -= newSpent - a.Spent
@@ -185,7 +185,7 @@
 	a.Returned = newReturned
 }
 
-// expire strands what is outstanding, if there has been no later report.
+// expire marks an account as expired and its outstanding funds as stranded, unless there has been a later report.
 func (a *Account) expire(tenant *Tenant, sequence uint32) bool {
 	if sequence != a.Sequence || a.Expired {
 		return false
@@ -208,7 +208,7 @@
 	return account
 }
 
-// closeAccount closes an account of which so much was spent in all. The remainder of what was granted returns to the tenant's balance.
+// closeAccount closes an account with its total spending. The rest of the granted amount returns to the tenant's balance.
 func (l *Ledger) closeAccount(key Key, tenant *Tenant, account *Account, spent int64) {
 	if account.Expired {
 		tenant.Stranded -= account.Outstanding()
@@ -227,7 +227,8 @@
 	}
 }
 
-// fence keeps a process from opening accounts. With closeRemaining it closes those that have expired, with what was reported of them.
+// fence prevents a process from opening accounts. With closeRemaining it also closes the process's expired accounts with their reported
+// spending. It returns whether no accounts are open and whether all have expired.
 func (l *Ledger) fence(holder Holder, closeRemaining bool) (closed, allExpired bool) {
 	if l.lastGeneration[holder] == 0 && len(l.lastGeneration) >= MaxHolders {
 		return true, true
--- a/internal/cluster/credit/ledger/ledger_test.go
+++ b/internal/cluster/credit/ledger/ledger_test.go
@@ -10,29 +10,29 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestPaymentsCountOnceInAnyOrder applies payments in any order and as often as drawn: each counts once.
+// TestPaymentsCountOnceInAnyOrder checks that payments that are applied in random order, some repeatedly, count once each.
 func TestPaymentsCountOnceInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		l, sum, seen := New(), int64(0), map[uint64]bool{}
 		l.Checks = invariant.Test(r)
-		for i, no := range rapid.SliceOfN(rapid.Uint64Range(0, 40), 1, 200).Draw(r, "numbers") {
-			if !seen[no] {
-				seen[no], sum = true, sum+int64(no)+1
+		for i, number := range rapid.SliceOfN(rapid.Uint64Range(0, 40), 1, 200).Draw(r, "numbers") {
+			if !seen[number] {
+				seen[number], sum = true, sum+int64(number)+1
 			}
-			l.Apply(uint64(i+1), Encode([]Op{{Kind: Payment, Key: Key{Tenant: "t"}, Number: no, Amount: int64(no) + 1}}))
+			l.Apply(uint64(i+1), Encode([]Op{{Kind: Payment, Key: Key{Tenant: "t"}, Number: number, Amount: int64(number) + 1}}))
 		}
 		if got := l.Tenant("t").Paid; got != sum {
 			r.Fatalf("paid %d, want %d", got, sum)
 		}
 		if n := len(l.tenants["t"].appliedPayments); n > len(seen) {
-			r.Fatalf("%d spans for %d numbers", n, len(seen))
+			r.Fatalf("%d ranges for %d payment numbers", n, len(seen))
 		}
 	})
 }
 
-// TestInvariantsHoldForDrawnEntries applies drawn entries, some of them twice and out of order; a second ledger that is restored from
-// snapshots now and then stays equal.
-func TestInvariantsHoldForDrawnEntries(t *testing.T) {
+// TestInvariantsHoldForRandomEntries checks the invariants after random entries, each of which is applied twice. It also checks that a
+// second ledger that is sometimes restored from a snapshot instead of applying an entry remains equal.
+func TestInvariantsHoldForRandomEntries(t *testing.T) {
 	tenants := []string{"a", "b"}
 	rapid.Check(t, func(r *rapid.T) {
 		l, other := New(), New()
@@ -41,12 +41,12 @@
 		for range rapid.IntRange(1, 60).Draw(r, "entries") {
 			var ops []Op
 			for range rapid.IntRange(1, 4).Draw(r, "ops") {
-				op := Op{Kind: Kind(rapid.IntRange(int(Payment), int(CloseRemaining)).Draw(r, "kind")), Number: rapid.Uint64Range(0, 5).Draw(r, "no"),
+				op := Op{Kind: Kind(rapid.IntRange(int(Payment), int(CloseRemaining)).Draw(r, "kind")), Number: rapid.Uint64Range(0, 5).Draw(r, "number"),
 					Amount: rapid.Int64Range(1, 50).Draw(r, "amount"),
 					Spent:  rapid.Int64Range(0, 60).Draw(r, "spent"), Returned: rapid.Int64Range(0, 60).Draw(r, "returned"),
-					Sequence: uint32(rapid.IntRange(1, 5).Draw(r, "seq")), Recovered: rapid.Bool().Draw(r, "heir")}
-				op.Key = Key{Tenant: rapid.SampledFrom(tenants).Draw(r, "tenant"), Overdraft: rapid.SampledFrom([]int64{0, 0, 20}).Draw(r, "depth"),
-					Holder: rapid.Uint64Range(1, 3).Draw(r, "holder"), Generation: uint32(rapid.IntRange(1, 4).Draw(r, "gen"))}
+					Sequence: uint32(rapid.IntRange(1, 5).Draw(r, "sequence")), Recovered: rapid.Bool().Draw(r, "recovered")}
+				op.Key = Key{Tenant: rapid.SampledFrom(tenants).Draw(r, "tenant"), Overdraft: rapid.SampledFrom([]int64{0, 0, 20}).Draw(r, "overdraft"),
+					Holder: rapid.Uint64Range(1, 3).Draw(r, "holder"), Generation: uint32(rapid.IntRange(1, 4).Draw(r, "generation"))}
 				if op.Kind >= Fence {
 					op.Key.Tenant = ""
 				}
@@ -55,8 +55,8 @@
 			index++
 			entry := Encode(ops)
 			l.Apply(index, entry)
-			l.Apply(index, entry) // a second time it is none
-			if rapid.IntRange(0, 5).Draw(r, "copy") == 0 {
+			l.Apply(index, entry) // the second application has no effect
+			if rapid.IntRange(0, 5).Draw(r, "restore") == 0 {
 				if err := other.Restore(l.Snapshot()); err != nil {
 					r.Fatal(err)
 				}
@@ -67,20 +67,20 @@
 				r.Fatal(err)
 			}
 			for _, name := range l.Tenants() {
-				if x := l.Tenant(name); x.Balance < -20 {
-					r.Fatalf("tenant %q is %d below nothing, 20 at most", name, -x.Balance)
+				if tenant := l.Tenant(name); tenant.Balance < -20 {
+					r.Fatalf("tenant %q has a balance of %d, want at least -20", name, tenant.Balance)
 				}
 			}
 			if !bytes.Equal(l.Snapshot(), other.Snapshot()) {
-				r.Fatal("two voters that have the same entries have other books")
+				r.Fatal("the ledgers of two voters with the same entries differ")
 			}
 		}
 	})
 }
 
-// TestSnapshotKeepsATenantInDebt checks a tenant that has spent more than it paid, within its overdraft, so that less than nothing is
-// available after a payment: a ledger that is restored from a snapshot has the same.
-func TestSnapshotKeepsATenantInDebt(t *testing.T) {
+// TestSnapshotKeepsNegativeAvailableFunds checks that a snapshot preserves a tenant that has spent more than it paid, within its overdraft,
+// and whose available funds are negative after a payment.
+func TestSnapshotKeepsNegativeAvailableFunds(t *testing.T) {
 	l, other := New(), New()
 	key := Key{Tenant: "a", Overdraft: 20, Holder: 1, Generation: 1}
 	for i, op := range []Op{
@@ -91,8 +91,8 @@
 	} {
 		l.Apply(uint64(i+1), Encode([]Op{op}))
 	}
-	if full := l.Tenant("a").AvailableAtPayment; full != -1 {
-		t.Fatalf("the last payment left %d, want -1", full)
+	if available := l.Tenant("a").AvailableAtPayment; available != -1 {
+		t.Fatalf("%d available after the last payment, want -1", available)
 	}
 	if err := other.Restore(l.Snapshot()); err != nil {
 		t.Fatal(err)
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestBrokenInvariantsAreReported breaks the state for each invariant of the ledger.
+// TestBrokenInvariantsAreReported checks that a state that breaks both invariants of the ledger is reported for each.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	var seen []string
 	l := New()
@@ -113,43 +113,44 @@
 	for i := range uint64(changesPerWalk) {
 		pay(i + 2)
 	}
-	if diff := cmp.Diff([]string{"credit: paid is balance, lent, stranded and spent", "credit: the books agree"}, seen); diff != "" {
+	if diff := cmp.Diff([]string{"credit: paid = balance + lent + stranded + spent", "credit: ledger totals agree with the accounts"}, seen); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestLateGrantOpensNothing checks that a grant that comes after its account's final report opens nothing, and that of two grants or expiries
-// the older changes nothing.
-func TestLateGrantOpensNothing(t *testing.T) {
+// TestLateGrantOpensNoAccount checks that a grant that is applied after its account's final report opens no account, and that grants and
+// expiries with an old sequence number have no effect.
+func TestLateGrantOpensNoAccount(t *testing.T) {
 	l := New()
-	k := Key{Tenant: "t", Holder: 7, Generation: 1}
-	do := func(op Op) Result {
+	key := Key{Tenant: "t", Holder: 7, Generation: 1}
+	apply := func(op Op) Result {
 		return l.Apply(l.AppliedIndex+1, Encode([]Op{op}))[0]
 	}
-	do(Op{Kind: Payment, Key: Key{Tenant: "t"}, Number: 1, Amount: 100})
-	if r := do(Op{Kind: Close, Key: k, Spent: 0}); !r.Closed {
-		t.Error("an account that never was is not said to be closed")
+	apply(Op{Kind: Payment, Key: Key{Tenant: "t"}, Number: 1, Amount: 100})
+	if r := apply(Op{Kind: Close, Key: key, Spent: 0}); !r.Closed {
+		t.Error("Close of an account that was never opened is not reported as closed")
 	}
-	if r := do(Op{Kind: Grant, Key: k, Sequence: 1, Amount: 10}); !r.Closed || l.Tenant("t").Lent != 0 {
-		t.Errorf("a loan came back to life: %+v", r)
+	if r := apply(Op{Kind: Grant, Key: key, Sequence: 1, Amount: 10}); !r.Closed || l.Tenant("t").Lent != 0 {
+		t.Errorf("a late grant opened an account: %+v", r)
 	}
-	k.Generation = 2
-	do(Op{Kind: Grant, Key: k, Sequence: 3, Amount: 10})
-	do(Op{Kind: Grant, Key: k, Sequence: 3, Amount: 10})
-	do(Op{Kind: Grant, Key: k, Sequence: 2, Amount: 10})
-	if a, _ := l.Account(k); a.Granted != 10 {
-		t.Errorf("lent %d by one ask, want 10", a.Granted)
+	key.Generation = 2
+	apply(Op{Kind: Grant, Key: key, Sequence: 3, Amount: 10})
+	apply(Op{Kind: Grant, Key: key, Sequence: 3, Amount: 10})
+	apply(Op{Kind: Grant, Key: key, Sequence: 2, Amount: 10})
+	if a, _ := l.Account(key); a.Granted != 10 {
+		t.Errorf("granted %d by one request, want 10", a.Granted)
 	}
-	do(Op{Kind: Expire, Key: k, Sequence: 2})
-	if a, _ := l.Account(k); a.Expired {
-		t.Error("an end came for an ask that was not the last")
+	apply(Op{Kind: Expire, Key: key, Sequence: 2})
+	if a, _ := l.Account(key); a.Expired {
+		t.Error("expired by the sequence number of a request that is not the last")
 	}
-	do(Op{Kind: Expire, Key: k, Sequence: 3})
-	if r := do(Op{Kind: Close, Key: k, Spent: 4}); !r.Applied || l.Tenant("t").Spent != 4 || l.Tenant("t").Stranded != 0 || l.Tenant("t").Balance != 96 {
-		t.Errorf("after the last word: %+v", l.Tenant("t"))
+	apply(Op{Kind: Expire, Key: key, Sequence: 3})
+	if r := apply(Op{Kind: Close, Key: key, Spent: 4}); !r.Applied || l.Tenant("t").Spent != 4 || l.Tenant("t").Stranded != 0 || l.Tenant("t").Balance != 96 {
+		t.Errorf("after the final report: %+v, want spent 4, stranded 0, balance 96", l.Tenant("t"))
 	}
 }
 
+// FuzzDecode checks that entries and snapshots of random bytes leave the ledger consistent and cause no panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode([]Op{{Kind: Grant, Key: Key{Tenant: "t", Holder: 1, Generation: 1}, Sequence: 1, Amount: 5}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/cluster/credit/ledger/payments.go
+++ b/internal/cluster/credit/ledger/payments.go
@@ -4,10 +4,10 @@
 	"slices"
 )
 
-// numberRange is a range of payments' numbers that were applied, both ends included.
+// numberRange is a range of numbers of applied payments. Both ends are inclusive.
 type numberRange struct{ from, to uint64 }
 
-// applyPayment adds a payment, once, and reports whether the tenant has it now.
+// applyPayment adds a payment unless it was applied before, and reports whether it is in the ledger now.
 func (l *Ledger) applyPayment(op Op) bool {
 	tenant := l.tenants[op.Key.Tenant]
 	if tenant == nil {
@@ -30,7 +30,7 @@
 	return true
 }
 
-// findPayment returns the index of the range that has a number, or where it would be inserted.
+// findPayment returns the index of the range that contains a number, or the index at which a range with it would be inserted.
 func (t *Tenant) findPayment(number uint64) (int, bool) {
 	return slices.BinarySearchFunc(t.appliedPayments, number, func(applied numberRange, number uint64) int {
 		switch {
@@ -48,7 +48,7 @@
 	return found
 }
 
-// recordPayment adds a number that is not there, and joins ranges that it connects.
+// recordPayment adds a number that is not in any range, and merges adjacent ranges.
 func (t *Tenant) recordPayment(number uint64) {
 	i, _ := t.findPayment(number)
 	joinsLeft := i > 0 && t.appliedPayments[i-1].to+1 == number
--- a/internal/cluster/credit/ledger/snapshot.go
+++ b/internal/cluster/credit/ledger/snapshot.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Snapshot encodes the ledger: equal ledgers have equal bytes.
+// Snapshot encodes the ledger. Equal ledgers have equal encodings.
 func (l *Ledger) Snapshot() []byte {
 	b := appendRecord(nil, &record{Op: Op{Kind: kindIndex, Number: l.AppliedIndex}})
 	for _, name := range l.Tenants() {
@@ -37,7 +37,7 @@
 	return r
 }
 
-// Restore takes the ledger from a snapshot. After an error it is as it was.
+// Restore replaces the ledger by that of a snapshot. On an error the ledger is unchanged.
 func (l *Ledger) Restore(snapshot []byte) error {
 	restored := New()
 	restored.Checks = l.Checks
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// decodeRanges decodes pairs of varints.
+// decodeRanges decodes ranges of payment numbers, each of which is a pair of varints.
 func decodeRanges(b []byte) ([]numberRange, error) {
 	var ranges []numberRange
 	for len(b) > 0 {
