--- a/internal/cluster/credit/codec_test.go
+++ b/internal/cluster/credit/codec_test.go
@@ -10,14 +10,15 @@
 	"beechgrade/internal/cluster/credit/message"
 )
 
-// FuzzRead decodes any bytes: they are a message or an error, and what was decoded stays the same when it is encoded again.
-func FuzzRead(f *testing.F) {
-	k := ledger.Key{Tenant: "t", Overdraft: 5, Holder: 1 << 63, Generation: 7}
+// FuzzDecodeMessage checks that random bytes decode to a message or an error, and that a decoded message is unchanged after it is encoded
+// and decoded again.
+func FuzzDecodeMessage(f *testing.F) {
+	key := ledger.Key{Tenant: "t", Overdraft: 5, Holder: 1 << 63, Generation: 7}
 	f.Add((&Message{Holder: 9, Requests: []message.Request{{
-		Key: k, Sequence: 1, Spent: 2, Returned: 3, Requested: 4, Queued: 5, SpendRate: 6, Final: true, Recovered: true, MarksRead: true,
+		Key: key, Sequence: 1, Spent: 2, Returned: 3, Requested: 4, Queued: 5, SpendRate: 6, Final: true, Recovered: true, MarksRead: true,
 	}}}).Append(nil))
 	f.Add((&Message{Holder: 9, Reply: true, Leader: "p", Responses: []message.Response{{
-		Key: k, Sequence: 1, Granted: 2, Closed: true, Expired: true, Available: -3, AvailableAtPayment: 4, Recall: true, Retain: 5,
+		Key: key, Sequence: 1, Granted: 2, Closed: true, Expired: true, Available: -3, AvailableAtPayment: 4, Recall: true, Retain: 5,
 	}}}).Append(nil))
 	f.Add((&Message{PaymentDigest: 77, Payments: []lessor.Payment{{Tenant: "t", Number: 1 << 60, Amount: 5}}}).Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -29,8 +30,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d := cmp.Diff(m, again); d != "" {
-			t.Error(d)
+		if diff := cmp.Diff(m, again); diff != "" {
+			t.Error(diff)
 		}
 	})
 }
--- a/internal/cluster/credit/credit.go
+++ b/internal/cluster/credit/credit.go
@@ -24,7 +24,7 @@
 
 	self            view.ID
 	voters          map[string]endpoint        // voters that can be reached, by name
-	holders         map[ledger.Holder]endpoint // where responses are sent
+	holders         map[ledger.Holder]endpoint // where responses are sent; members are also entered by their view.ID
 	leader          string                     // last known leader, empty if none is known
 	leaderContactAt float64                    // when the leader last responded or the next voter was tried, in ms
 	nextVoter       int                        // index in settings.Voters of the voter tried last
--- a/internal/cluster/credit/fleet_test.go
+++ b/internal/cluster/credit/fleet_test.go
@@ -14,13 +14,13 @@
 	"beechgrade/internal/invariant"
 )
 
-// fleet is the poolers of a test in virtual time, with a log that takes logMs for an entry and loses none, and requests that take serveMs.
+// fleet runs the poolers of a test in virtual time. Its log takes logMs to commit an entry and loses none, and a request takes serveMs.
 type fleet struct {
 	t           *testing.T
 	now         float64
 	rng         *rand.Rand
 	events      eventQueue
-	n           int
+	scheduled   int // number of events scheduled so far
 	nodes       []*node
 	log         [][]byte
 	leader      int
@@ -28,45 +28,48 @@
 	partitioned func(a, b int) bool
 	cutFromLog  func(a int) bool
 
-	entries, bytes, messages, messageBytes int
-	served, rejected, queued, requests     int
-	charged                                int64
-	ample                                  int64 // while less is charged, the funds are not short
-	queuedEarly                            int   // queued while the funds were not short
-	chargedAtFirstRejection                int64 // -1 before one
-	admittedAt                             []float64
+	entries, entryBytes, messages, messageBytes int
+	served, rejected, queued, requests          int
+	charged                                     int64
+	shortageThreshold                           int64     // the funds count as short once this amount is charged
+	queuedEarly                                 int       // requests queued before the funds were short
+	chargedAtFirstRejection                     int64     // -1 before the first rejection
+	admittedAt                                  []float64 // time of the last admission at each pooler, 0 before the first
 }
 
+// node is one pooler. It implements the transport, the log and the events of its Credit.
 type node struct {
 	fleet          *fleet
 	number         int
 	credit         *Credit
 	applied        int
 	queued         map[uint64]bool
-	dead           bool
+	crashed        bool
 	suspendedUntil float64
 }
 
 type scheduledEvent struct {
-	at float64
-	no int
-	do func()
+	at     float64
+	number int // orders events of the same time
+	run    func()
 }
+
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, k int) bool {
-	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].no < q[k].no
+	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].number < q[k].number
 }
 func (q eventQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
 func (q *eventQueue) Pop() any {
-	x := (*q)[len(*q)-1]
+	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
-	return x
+	return last
 }
 
-// How long things take, in ms; a link takes up to 1 ms more.
+// Durations in ms. A link takes up to 1 ms longer.
 const (
 	linkMs  = 1
 	diskMs  = 2
@@ -75,31 +78,33 @@
 	tickMs  = 50
 )
 
-func (f *fleet) at(ms float64, do func()) {
-	f.n++
-	heap.Push(&f.events, scheduledEvent{f.now + ms, f.n, do})
+// at schedules a function to run after a delay.
+func (f *fleet) at(delayMs float64, run func()) {
+	f.scheduled++
+	heap.Push(&f.events, scheduledEvent{f.now + delayMs, f.scheduled, run})
 }
 
+// run runs the scheduled events until a time.
 func (f *fleet) run(until float64) {
 	for len(f.events) > 0 && f.events[0].at <= until {
-		x := heap.Pop(&f.events).(scheduledEvent)
-		f.now = x.at
-		x.do()
+		event := heap.Pop(&f.events).(scheduledEvent)
+		f.now = event.at
+		event.run()
 	}
 	f.now = until
 }
 
 func (n *node) Now() float64 { return n.fleet.now }
-func (n *node) Send(addr string, to view.ID, _ view.Kind, w module.Message) {
+func (n *node) Send(addr string, to view.ID, _ view.Kind, message module.Message) {
 	f := n.fleet
-	b := w.Append(nil)
+	b := message.Append(nil)
 	if len(b) > module.MaxBodyBytes {
-		f.t.Errorf("a datagram of %d bytes", len(b))
+		f.t.Errorf("datagram of %d bytes, at most %d fit", len(b), module.MaxBodyBytes)
 	}
 	f.messages++
 	f.messageBytes += len(b)
-	y := f.nodes[int(to)-1]
-	if f.lossRate > 0 && f.rng.Float64() < f.lossRate || f.partitioned != nil && f.partitioned(n.number, y.number) {
+	receiver := f.nodes[int(to)-1]
+	if f.lossRate > 0 && f.rng.Float64() < f.lossRate || f.partitioned != nil && f.partitioned(n.number, receiver.number) {
 		return
 	}
 	f.at(linkMs+f.rng.Float64(), func() {
@@ -107,8 +112,8 @@
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		if !y.dead {
-			y.credit.Receive(view.ID(n.number+1), m)
+		if !receiver.crashed {
+			receiver.credit.Receive(view.ID(n.number+1), m)
 		}
 	})
 }
@@ -119,25 +124,26 @@
 		return
 	}
 	f.entries++
-	f.bytes += len(entry)
+	f.entryBytes += len(entry)
 	f.at(logMs, func() {
 		f.log = append(f.log, entry)
-		for _, y := range f.nodes {
-			f.at(f.rng.Float64(), y.catchUp)
+		for _, voter := range f.nodes {
+			f.at(f.rng.Float64(), voter.applyLog)
 		}
 	})
 }
 
-func (n *node) catchUp() {
-	for n.credit.ledger != nil && !n.dead && n.applied < len(n.fleet.log) && (n.fleet.cutFromLog == nil || !n.fleet.cutFromLog(n.number)) {
+// applyLog applies the entries of the log that a voter has not applied yet.
+func (n *node) applyLog() {
+	for n.credit.ledger != nil && !n.crashed && n.applied < len(n.fleet.log) && (n.fleet.cutFromLog == nil || !n.fleet.cutFromLog(n.number)) {
 		n.applied++
 		n.credit.Apply(uint64(n.applied), n.fleet.log[n.applied-1])
 	}
 }
 
-func (n *node) Admit(tag uint64, h lease.Reservation) {
+func (n *node) Admit(tag uint64, reservation lease.Reservation) {
 	delete(n.queued, tag)
-	n.fleet.serve(n, h)
+	n.fleet.serve(n, reservation)
 }
 
 func (n *node) Reject(tag uint64) {
@@ -151,11 +157,11 @@
 	}
 }
 
-func (f *fleet) serve(n *node, h lease.Reservation) {
+func (f *fleet) serve(n *node, reservation lease.Reservation) {
 	f.served++
 	f.admittedAt[n.number] = f.now
-	f.charged += h.Amount
-	f.at(serveMs, func() { n.credit.Settle(&h, lease.Usage{Served: 1}) })
+	f.charged += reservation.Amount
+	f.at(serveMs, func() { n.credit.Settle(&reservation, lease.Usage{Served: 1}) })
 }
 
 // request sends a client's request to a pooler.
@@ -167,7 +173,7 @@
 	case lease.Admitted:
 		f.serve(n, reservation)
 	case lease.Queued:
-		if f.queued++; f.chargedAtFirstRejection < 0 && f.charged < f.ample {
+		if f.queued++; f.chargedAtFirstRejection < 0 && f.charged < f.shortageThreshold {
 			f.queuedEarly++
 		}
 		n.queued[tag] = true
@@ -184,73 +190,76 @@
 		all = append(all, view.Record{ID: view.ID(i + 1), Name: fmt.Sprintf("p%d", i), Addr: fmt.Sprint(i)})
 	}
 	for i := range poolers {
-		s := Settings{
+		settings := Settings{
 			Lease: lease.Defaults(), Lessor: lessor.Defaults(),
 			Voters: []string{"p0", "p1", "p2"}, Name: all[i].Name, Holder: ledger.Holder(1000 + i),
 		}
-		s.Lease.Classes = []lease.Class{{Price: lease.Price{PerRequest: 1}, PriorityWeight: 1}}
-		s.Lease.PrepaidTenants = []string{"t"}
-		s.Lease.Checks = invariant.Test(t)
-		s.Lessor.ExpiryDelay = s.Lease.ExpiryDelay()
+		settings.Lease.Classes = []lease.Class{{Price: lease.Price{PerRequest: 1}, PriorityWeight: 1}}
+		settings.Lease.PrepaidTenants = []string{"t"}
+		settings.Lease.Checks = invariant.Test(t)
+		settings.Lessor.ExpiryDelay = settings.Lease.ExpiryDelay()
 		if change != nil {
-			change(&s)
+			change(&settings)
 		}
 		n := &node{fleet: f, number: i, queued: map[uint64]bool{}}
 		f.nodes = append(f.nodes, n)
-		n.credit = New(s, n, n, nil, n)
+		n.credit = New(settings, n, n, nil, n)
 		n.credit.UpdateMembers(all[i].ID, all, view.Counts{})
 		var tick func()
 		tick = func() {
-			if !n.dead {
+			if !n.crashed {
 				n.credit.Tick()
 			}
 			f.at(tickMs, tick)
 		}
 		f.at(f.rng.Float64()*tickMs, tick)
 	}
-	f.lead(0)
+	f.setLeader(0)
 	return f
 }
 
-func (f *fleet) lead(i int) {
+// setLeader makes a voter the leader of the log.
+func (f *fleet) setLeader(i int) {
 	f.leader = i
 	for _, n := range f.nodes[:3] {
 		n.credit.SetLeader(fmt.Sprintf("p%d", i))
 	}
 }
 
-// load sends so many requests a second in all, spread over the poolers by weight, until a time.
+// load sends requests at a total rate per second, distributed over the poolers by weight, until a time.
 func (f *fleet) load(rate, until float64, weight func(i int) float64, alive func(i int) bool) {
 	sum := 0.0
 	for i := range f.nodes {
 		sum += weight(i)
 	}
 	for i, n := range f.nodes {
-		r := rate * weight(i) / sum
+		poolerRate := rate * weight(i) / sum
 		var next func()
 		next = func() {
 			if f.now > until {
 				return
 			}
-			if !n.dead && (alive == nil || alive(i)) {
+			if !n.crashed && (alive == nil || alive(i)) {
 				f.request(n, "t", 0)
 			}
-			f.at(f.rng.ExpFloat64()*1000/r, next)
+			f.at(f.rng.ExpFloat64()*1000/poolerRate, next)
 		}
-		f.at(f.rng.ExpFloat64()*1000/r, next)
+		f.at(f.rng.ExpFloat64()*1000/poolerRate, next)
 	}
 }
 
-func even(int) float64     { return 1 }
-func byRank(i int) float64 { return 1 / float64(1+i) }
+func evenWeight(int) float64     { return 1 }
+func weightByRank(i int) float64 { return 1 / float64(1+i) }
 
-func pay(list ...lessor.Payment) func(s *Settings) { return func(s *Settings) { s.Payments = list } }
+func withPayments(list ...lessor.Payment) func(s *Settings) {
+	return func(s *Settings) { s.Payments = list }
+}
 
-// check verifies the ledgers, and that no more was charged than was paid.
+// check verifies the voters' ledgers, and that at most the paid amount was charged.
 func (f *fleet) check(paid int64) {
 	f.t.Helper()
 	if f.charged > paid {
-		f.t.Errorf("%d are charged, of %d paid", f.charged, paid)
+		f.t.Errorf("charged %d, which is more than the %d paid", f.charged, paid)
 	}
 	for _, n := range f.nodes[:3] {
 		if err := n.credit.Ledger().Check(); err != nil {
@@ -259,23 +268,23 @@
 	}
 }
 
-// disk is a process's credit.Files. files are those of all processes.
-type disk struct {
+// markFiles implements Files for one process. files contains the marks of all processes.
+type markFiles struct {
 	fleet     *fleet
 	holder    ledger.Holder
 	persisted func(write uint64)
 	files     map[ledger.Holder][]lease.HighWaterMark
 }
 
-func (d *disk) Write(write uint64, marks []lease.HighWaterMark) {
+func (d *markFiles) Write(write uint64, marks []lease.HighWaterMark) {
 	d.fleet.at(diskMs, func() {
 		d.files[d.holder] = marks
 		d.persisted(write)
 	})
 }
 
-func (d *disk) Read(holder ledger.Holder, done func([]lease.HighWaterMark)) {
+func (d *markFiles) Read(holder ledger.Holder, done func([]lease.HighWaterMark)) {
 	d.fleet.at(diskMs, func() { done(d.files[holder]) })
 }
 
-func (d *disk) Erase(holder ledger.Holder) { delete(d.files, holder) }
+func (d *markFiles) Erase(holder ledger.Holder) { delete(d.files, holder) }
--- a/internal/cluster/credit/lease/requests.go
+++ b/internal/cluster/credit/lease/requests.go
@@ -103,7 +103,7 @@
 	if demand.rate > negligibleRate { // one price can be spent while the next is requested
 		demand.target = max(demand.target, 2*demand.price)
 	}
-	if demand.exhausted { // only one price, so that the remaining funds are not spread over many poolers
+	if demand.exhausted { // one price at a time, because it may be the last of the funds
 		demand.target = max(demand.queued, demand.price)
 	}
 	return demand
--- a/internal/cluster/credit/lease/settings.go
+++ b/internal/cluster/credit/lease/settings.go
@@ -16,11 +16,11 @@
 	return max(p.PerRequest, p.Max) * int64(max(1, parts))
 }
 
-// Class is the credit terms of a class of requests.
+// Class contains the credit terms of a class of requests.
 type Class struct {
 	Price
 	PriorityWeight float64
-	Overdraft      int64 // how far below zero the tenant's balance may go for it
+	Overdraft      int64 // how far below zero the tenant's balance may go for requests of the class
 }
 
 // Settings configure a Manager. Times are in ms.
--- a/internal/cluster/credit/ledger/api.go
+++ b/internal/cluster/credit/ledger/api.go
@@ -29,7 +29,7 @@
 // may do so only after Expire, because the process that wrote the files may only be suspended and resume later.
 package ledger
 
-// Holder is a process that holds accounts, by its number in the view.
+// Holder identifies a process that holds accounts. A restarted pooler is another process, with another number.
 type Holder = uint64
 
 // Limits on what the ledger accepts. Amounts are in the operators' unit.
--- a/internal/cluster/credit/lessor/batch.go
+++ b/internal/cluster/credit/lessor/batch.go
@@ -2,10 +2,10 @@
 
 import "beechgrade/internal/cluster/credit/ledger"
 
-// maxOpsOfKind bounds the expirations, the write-offs and the payments of one batch, so that requests find place in it.
+// maxOpsOfKind limits the expirations, the write-offs and the payments in one batch, so that there is room for requests.
 const maxOpsOfKind = ledger.MaxOps / 4
 
-// proposeBatch proposes what has gathered, when it is time, and returns all actions.
+// proposeBatch proposes the pending operations if a batch is due, and returns all actions.
 func (l *Lessor) proposeBatch() []Action {
 	waiting := len(l.inFlight) > 0 && l.now < l.proposedAt+l.settings.ProposalTimeout
 	if !l.isLeader || l.now < l.proposedAt+l.settings.BatchInterval || waiting {
@@ -21,7 +21,7 @@
 	return l.actions
 }
 
-// propose encodes operations as entries of at most MaxEntryBytes, or of one operation.
+// propose encodes operations into entries and proposes them. An entry has at most MaxEntryBytes unless it is a single operation.
 func (l *Lessor) propose(ops []ledger.Op) {
 	l.inFlight = nil
 	l.proposedAt = l.now
@@ -42,12 +42,12 @@
 	l.actions = append(l.actions, Action{Kind: Propose, Entry: entry})
 }
 
-// appendExpirations appends the expiry of accounts of which nothing can be spent any more. Each is proposed again after ProposalTimeout,
-// as the entry may be lost.
+// appendExpirations appends the expiry of accounts that their holders have stopped using. Each is proposed again after ProposalTimeout,
+// because the entry may be lost.
 func (l *Lessor) appendExpirations(ops []ledger.Op) []ledger.Op {
-	done := 0
-	for ; done < len(l.activeAccounts) && len(ops) < maxOpsOfKind; done++ {
-		account := l.activeAccounts[done]
+	processed := 0
+	for ; processed < len(l.activeAccounts) && len(ops) < maxOpsOfKind; processed++ {
+		account := l.activeAccounts[processed]
 		if !l.isCurrent(account) {
 			continue
 		}
@@ -58,15 +58,15 @@
 		account.appliedAt = l.now - l.settings.ExpiryDelay + l.settings.ProposalTimeout
 		l.activeAccounts = append(l.activeAccounts, account)
 	}
-	l.activeAccounts = l.activeAccounts[done:]
+	l.activeAccounts = l.activeAccounts[processed:]
 	return ops
 }
 
-// appendWriteOffs appends the write-off of accounts that nobody has reported on for StrandedRetention.
+// appendWriteOffs appends the write-off of accounts that have been expired for StrandedRetention without a final report.
 func (l *Lessor) appendWriteOffs(ops []ledger.Op) []ledger.Op {
-	done := 0
-	for ; done < len(l.expiredAccounts) && len(ops) < maxOpsOfKind; done++ {
-		account := l.expiredAccounts[done]
+	processed := 0
+	for ; processed < len(l.expiredAccounts) && len(ops) < maxOpsOfKind; processed++ {
+		account := l.expiredAccounts[processed]
 		if _, known := l.ledger.Account(account.key); !known {
 			continue
 		}
@@ -77,7 +77,7 @@
 		account.appliedAt = l.now - l.settings.StrandedRetention + l.settings.ProposalTimeout
 		l.expiredAccounts = append(l.expiredAccounts, account)
 	}
-	l.expiredAccounts = l.expiredAccounts[done:]
+	l.expiredAccounts = l.expiredAccounts[processed:]
 	return ops
 }
 
--- a/internal/cluster/credit/lessor/clone.go
+++ b/internal/cluster/credit/lessor/clone.go
@@ -26,7 +26,8 @@
 	return &clone
 }
 
-// Key returns a text that is the same for lessors that behave the same from now on, for the model checker. Times count back from now.
+// Key returns a text that identifies the lessor's state for the model checker: lessors with equal keys behave the same from now on. It
+// contains times as ms before now.
 func (l *Lessor) Key() string {
 	var b strings.Builder
 	oldest := l.now - 10*l.settings.ProposalTimeout
@@ -52,5 +53,5 @@
 	return b.String()
 }
 
-// since is how long ago a time was, in ms with three digits.
+// since returns how long ago a time was, in ms with three decimal places.
 func (l *Lessor) since(at float64) float64 { return float64(int64((l.now-at)*1000)) / 1000 }
--- a/internal/cluster/credit/lessor/grants.go
+++ b/internal/cluster/credit/lessor/grants.go
@@ -7,23 +7,23 @@
 	"beechgrade/internal/cluster/credit/ledger"
 )
 
-// grantRound is what one batch of requests shares.
+// grantRound is the state that the requests of one batch share. Amounts are in the operators' unit.
 type grantRound struct {
 	tenants []string         // in the order of their first requests
-	balance map[string]int64 // by tenant, as it will be by the entry so far
-	unmet   map[string]int64 // by tenant: what queues need and did not get
+	balance map[string]int64 // balance of each tenant after the operations of the batch so far
+	unmet   map[string]int64 // amount of each tenant that queued requests need and did not get
 }
 
-// grantOutcome is what becomes of a request in a batch.
+// grantOutcome is the outcome of a request in a batch.
 type grantOutcome uint8
 
 const (
-	granted   grantOutcome = iota // the entry has an operation for it
-	answered                      // the ledger has the answer already, or there is nothing to grant
-	postponed                     // it waits for funds that are recalled
+	granted   grantOutcome = iota // the batch contains an operation for the request
+	answered                      // the request is answered from the ledger: it was applied before, or there is nothing to grant
+	postponed                     // the request waits for recalled funds
 )
 
-// appendGrants appends operations for the pending requests, and recalls funds for those that get less than their queues need.
+// appendGrants appends operations for the pending requests, and recalls funds if any get less than their queues need.
 func (l *Lessor) appendGrants(ops []ledger.Op) []ledger.Op {
 	round := l.startRound()
 	var remaining []pendingRequest
@@ -59,7 +59,8 @@
 	return ops
 }
 
-// startRound records the demand of all pending requests, and what they return: the same entry can grant it again.
+// startRound records the demand of all pending requests, and adds the funds that they return to the balance, so that the batch can grant
+// them.
 func (l *Lessor) startRound() *grantRound {
 	round := &grantRound{balance: map[string]int64{}, unmet: map[string]int64{}}
 	for i := range l.requests {
@@ -79,23 +80,23 @@
 	return round
 }
 
-// finalOp is the operation of a final report.
+// finalOp returns the operation for a final report.
 func finalOp(request *pendingRequest) ledger.Op {
 	op := ledger.Op{Kind: ledger.Close, Key: request.Key, Spent: request.Spent, Recovered: request.Recovered}
 	if request.Recovered {
 		op.Number = request.from
 	}
-	ofProcess := request.Key.Tenant == ""
+	processWide := request.Key.Tenant == ""
 	switch {
-	case ofProcess && request.MarksRead:
+	case processWide && request.MarksRead:
 		op.Kind = ledger.CloseRemaining
-	case ofProcess:
+	case processWide:
 		op.Kind = ledger.Fence
 	}
 	return op
 }
 
-// decide decides what a request gets.
+// decide decides the amount that a request is granted, or that it is answered from the ledger or postponed.
 func (l *Lessor) decide(round *grantRound, request *pendingRequest) (ledger.Op, grantOutcome) {
 	tenant := request.Key.Tenant
 	account, known := l.ledger.Account(request.Key)
@@ -120,31 +121,31 @@
 	}, granted
 }
 
-// mayWait reports whether a request may wait for funds that are recalled from others. One that returns funds may not.
+// mayWait reports whether a request may wait for funds recalled from other poolers. A request that returns funds may not.
 func (l *Lessor) mayWait(request *pendingRequest, account *ledger.Account) bool {
 	early := l.now < request.receivedAt+l.settings.RecallWait
 	return early && l.heldByOthers(request) && request.Returned == account.Returned
 }
 
-// heldByOthers reports whether others hold any of the tenant's funds.
+// heldByOthers reports whether other poolers hold any of the tenant's funds.
 func (l *Lessor) heldByOthers(request *pendingRequest) bool {
 	account, _ := l.ledger.Account(request.Key)
 	return l.ledger.Tenant(request.Key.Tenant).Lent > account.Outstanding()
 }
 
-// maxBeyondQueued is the most that a pooler may get beside what its queue needs. Where a share is less than one unit and nobody holds
-// any of the funds, one pooler gets all that it requests: smaller parts would be of use to nobody.
+// maxBeyondQueued returns the most that a pooler may get if its queue needs less. If its share is less than one unit and no pooler holds
+// any of the funds, the pooler gets all that it requests, because no pooler could use a smaller part.
 func (l *Lessor) maxBeyondQueued(request *pendingRequest, account *ledger.Account, spendable int64) int64 {
-	holds := max(0, account.Granted-max(account.Returned, request.Returned)-max(account.Spent, request.Spent))
+	held := max(0, account.Granted-max(account.Returned, request.Returned)-max(account.Spent, request.Spent))
 	share := l.fairShare(request)
-	lastOfFunds := share == 0 && holds == 0 && request.Requested <= spendable
+	lastOfFunds := share == 0 && held == 0 && request.Requested <= spendable
 	if lastOfFunds && !l.heldByOthers(request) {
 		return request.Requested
 	}
-	return share - holds
+	return share - held
 }
 
-// fairShare is a pooler's share, by spend rate, of the part of the tenant's funds that is shared at a time.
+// fairShare returns a pooler's share, by spend rate, of the 1/ShareDivisor of the tenant's available funds.
 func (l *Lessor) fairShare(request *pendingRequest) int64 {
 	total := int64(0)
 	for _, report := range l.demand[request.Key.Tenant] {
@@ -155,7 +156,7 @@
 	return int64(shared * float64(max(1, request.SpendRate)) / float64(max(1, total)))
 }
 
-// recordDemand keeps what a pooler reports of its spend rate, and forgets reports older than DemandWindow.
+// recordDemand records the spend rate that a pooler reports, and drops reports older than DemandWindow.
 func (l *Lessor) recordDemand(request *pendingRequest) {
 	if request.Recovered {
 		return
@@ -180,7 +181,7 @@
 	l.demand[tenant] = reports
 }
 
-// recallFunds asks those that hold most of a tenant's funds to return half, until an amount will come in.
+// recallFunds asks the poolers that hold most of a tenant's funds to return half of them, until the recalled funds reach an amount.
 func (l *Lessor) recallFunds(tenant string, amount int64) {
 	for _, candidate := range l.recallCandidates(tenant) {
 		if amount <= 0 {
@@ -203,12 +204,13 @@
 	}
 }
 
+// recallCandidate is an account from which funds can be recalled.
 type recallCandidate struct {
 	key         ledger.Key
 	outstanding int64
 }
 
-// recallCandidates are a tenant's active accounts with funds that their own queues do not need, the largest first.
+// recallCandidates returns a tenant's active accounts with outstanding funds and without queued requests, the largest first.
 func (l *Lessor) recallCandidates(tenant string) []recallCandidate {
 	var candidates []recallCandidate
 	for _, key := range l.ledger.Accounts(tenant) {
--- a/internal/cluster/credit/lessor/lessor.go
+++ b/internal/cluster/credit/lessor/lessor.go
@@ -8,49 +8,49 @@
 	"beechgrade/internal/cluster/credit/message"
 )
 
-// maxPending bounds the requests, the payments and the recalls that are kept.
+// maxPending limits the pending requests, the pending payments and the recorded recalls.
 const maxPending = 100_000
 
-// Lessor is one voter's.
+// Lessor grants leases from the ledger of one voter.
 type Lessor struct {
 	settings        Settings
 	ledger          *ledger.Ledger
 	now             float64
 	isLeader        bool
 	requests        []pendingRequest
-	requestIndex    map[ledger.Key]int // into requests
-	payments        []Payment          // that are not in the log yet
-	inFlight        [][]byte           // entries that were proposed together and are not applied
+	requestIndex    map[ledger.Key]int // index in requests
+	payments        []Payment          // payments that are not in the log yet
+	inFlight        [][]byte           // entries of the last batch that are not applied yet
 	proposedAt      float64
-	activeAccounts  []accountDeadline // in the order in which their last reports were applied here
-	expiredAccounts []accountDeadline
+	activeAccounts  []accountTimer // in the order in which their last reports were applied here
+	expiredAccounts []accountTimer
 	demand          map[string][]spendReport // by tenant
 	recalledAt      map[ledger.Key]float64
 	actions         []Action
 }
 
-// pendingRequest waits for the next entry.
+// pendingRequest is a request that waits for the next batch.
 type pendingRequest struct {
 	message.Request
 	from       ledger.Holder
 	receivedAt float64
 }
 
-// accountDeadline says when an account's last report, or its expiry, was applied here.
-type accountDeadline struct {
+// accountTimer records when an account's last report or its expiry was applied here, from which ExpiryDelay or StrandedRetention counts.
+type accountTimer struct {
 	key       ledger.Key
 	sequence  uint32
 	appliedAt float64
 }
 
-// spendReport is what a pooler reported of the rate at which it spends a tenant's funds.
+// spendReport is the rate at which a pooler last reported to spend a tenant's funds.
 type spendReport struct {
 	holder     ledger.Holder
-	rate       int64 // a second
+	rate       int64 // amount per second
 	reportedAt float64
 }
 
-// New makes a voter's lessor over its ledger.
+// New returns the lessor of a voter with a ledger.
 func New(settings Settings, funds *ledger.Ledger, now float64) *Lessor {
 	l := &Lessor{
 		settings: settings, ledger: funds, now: now,
@@ -63,10 +63,10 @@
 // Ledger returns the voter's ledger.
 func (l *Lessor) Ledger() *ledger.Ledger { return l.ledger }
 
-// IsLeader reports whether this voter leads, as far as SetLeader was told.
+// IsLeader reports whether this voter leads, as last set by SetLeader.
 func (l *Lessor) IsLeader() bool { return l.isLeader }
 
-// LedgerRestored reports that the ledger was replaced: the accounts' delays start anew.
+// LedgerRestored handles the replacement of the ledger. The expiry delays of all accounts start again.
 func (l *Lessor) LedgerRestored(now float64) {
 	l.now = max(l.now, now)
 	l.activeAccounts = nil
@@ -74,16 +74,16 @@
 	l.inFlight = nil
 	for _, key := range l.ledger.AllAccounts() {
 		account, _ := l.ledger.Account(key)
-		deadline := accountDeadline{key: key, sequence: account.Sequence, appliedAt: l.now}
+		timer := accountTimer{key: key, sequence: account.Sequence, appliedAt: l.now}
 		if account.Expired {
-			l.expiredAccounts = append(l.expiredAccounts, deadline)
+			l.expiredAccounts = append(l.expiredAccounts, timer)
 		} else {
-			l.activeAccounts = append(l.activeAccounts, deadline)
+			l.activeAccounts = append(l.activeAccounts, timer)
 		}
 	}
 }
 
-// SetLeader reports whether this voter leads.
+// SetLeader sets whether this voter leads.
 func (l *Lessor) SetLeader(now float64, isLeader bool) {
 	l.now = max(l.now, now)
 	if l.isLeader == isLeader {
@@ -96,7 +96,7 @@
 	clear(l.demand)
 }
 
-// HandleRequests takes a pooler's requests.
+// HandleRequests handles the requests of a pooler.
 func (l *Lessor) HandleRequests(now float64, from ledger.Holder, requests []message.Request, actions []Action) []Action {
 	l.advance(now, actions)
 	for i := range requests {
@@ -107,7 +107,7 @@
 	return l.proposeBatch()
 }
 
-// AddPayments takes payments that a pooler's settings have.
+// AddPayments adds payments from a pooler's settings that are not in the ledger yet.
 func (l *Lessor) AddPayments(now float64, payments []Payment, actions []Action) []Action {
 	l.advance(now, actions)
 	for _, payment := range payments {
@@ -118,23 +118,23 @@
 	return l.proposeBatch()
 }
 
-// Tick lets time go on.
+// Tick does the work that is due at a time.
 func (l *Lessor) Tick(now float64, actions []Action) []Action {
 	l.advance(now, actions)
 	return l.proposeBatch()
 }
 
-// Apply has the ledger apply an entry of the log, and responds to those whom it concerns.
+// Apply applies an entry of the log to the ledger. If this voter leads, it responds to the poolers whose requests the entry contains.
 func (l *Lessor) Apply(now float64, index uint64, entry []byte, actions []Action) []Action {
 	l.advance(now, actions)
 	for _, result := range l.ledger.Apply(index, entry) {
-		l.noteApplied(&result)
-		if l.isLeader && isAnswered(result.Kind) {
+		l.recordResult(&result)
+		if l.isLeader && needsResponse(result.Kind) {
 			l.respondToResult(&result)
 		}
 	}
 	if len(l.activeAccounts) > 2*l.accountCount()+1024 {
-		l.activeAccounts = slices.DeleteFunc(l.activeAccounts, func(deadline accountDeadline) bool { return !l.isCurrent(deadline) })
+		l.activeAccounts = slices.DeleteFunc(l.activeAccounts, func(timer accountTimer) bool { return !l.isCurrent(timer) })
 	}
 	l.inFlight = slices.DeleteFunc(l.inFlight, func(proposed []byte) bool { return bytes.Equal(proposed, entry) })
 	return l.proposeBatch()
@@ -145,13 +145,13 @@
 	l.actions = actions
 }
 
-// accepts reports whether a request may be taken: a pooler speaks for its own accounts, and for those of processes that have ended.
+// accepts reports whether a request is accepted. A pooler may report on its own accounts, and on those recovered from ended processes.
 func (l *Lessor) accepts(from ledger.Holder, request *message.Request) bool {
 	own := request.Key.Holder == from && request.Key.Tenant != ""
 	return l.isLeader && len(l.requests) < maxPending && (own || request.Recovered)
 }
 
-// addRequest keeps the newest request about each account, in the place of the first.
+// addRequest adds a request, or replaces an older pending request about the same account in its place.
 func (l *Lessor) addRequest(request pendingRequest) {
 	i, known := l.requestIndex[request.Key]
 	if !known {
@@ -159,10 +159,10 @@
 		l.requests = append(l.requests, request)
 		return
 	}
-	before := &l.requests[i]
-	if request.Sequence >= before.Sequence || request.Final {
-		request.receivedAt = before.receivedAt
-		*before = request
+	previous := &l.requests[i]
+	if request.Sequence >= previous.Sequence || request.Final {
+		request.receivedAt = previous.receivedAt
+		*previous = request
 	}
 }
 
@@ -170,14 +170,14 @@
 	return !l.ledger.PaymentApplied(payment.Tenant, payment.Number) && !slices.Contains(l.payments, payment)
 }
 
-// noteApplied keeps what this voter has to know of an operation that the ledger has applied.
-func (l *Lessor) noteApplied(result *ledger.Result) {
-	deadline := accountDeadline{key: result.Key, sequence: result.Account.Sequence, appliedAt: l.now}
+// recordResult updates the account timers and the pending payments after the ledger has applied an operation.
+func (l *Lessor) recordResult(result *ledger.Result) {
+	timer := accountTimer{key: result.Key, sequence: result.Account.Sequence, appliedAt: l.now}
 	switch {
 	case result.Kind == ledger.Grant && result.Applied:
-		l.activeAccounts = append(l.activeAccounts, deadline)
+		l.activeAccounts = append(l.activeAccounts, timer)
 	case result.Kind == ledger.Expire && result.Applied:
-		l.expiredAccounts = append(l.expiredAccounts, deadline)
+		l.expiredAccounts = append(l.expiredAccounts, timer)
 	case result.Kind == ledger.Payment:
 		l.payments = slices.DeleteFunc(l.payments, func(payment Payment) bool {
 			return payment.Tenant == result.Key.Tenant && payment.Number == result.Number
@@ -185,8 +185,8 @@
 	}
 }
 
-// isAnswered reports whether a pooler waits for the result of an operation.
-func isAnswered(kind ledger.Kind) bool {
+// needsResponse reports whether a pooler waits for the result of an operation.
+func needsResponse(kind ledger.Kind) bool {
 	return kind == ledger.Grant || kind == ledger.Close || kind >= ledger.Fence
 }
 
@@ -205,13 +205,13 @@
 	return accounts
 }
 
-// isCurrent reports whether an account is active and had no later report.
-func (l *Lessor) isCurrent(deadline accountDeadline) bool {
-	account, known := l.ledger.Account(deadline.key)
-	return known && account.Sequence == deadline.sequence && !account.Expired
+// isCurrent reports whether an account is active and has had no later report than that of the timer.
+func (l *Lessor) isCurrent(timer accountTimer) bool {
+	account, known := l.ledger.Account(timer.key)
+	return known && account.Sequence == timer.sequence && !account.Expired
 }
 
-// accountResponse is what the ledger has of an account.
+// accountResponse returns a response with the ledger's state of an account.
 func (l *Lessor) accountResponse(key ledger.Key, closed bool) message.Response {
 	account, _ := l.ledger.Account(key)
 	tenant := l.ledger.Tenant(key.Tenant)
@@ -221,7 +221,7 @@
 	}
 }
 
-// respond adds a response to the last action for its pooler that has room.
+// respond adds a response to the last Respond action for the pooler that has room, or to a new one.
 func (l *Lessor) respond(to ledger.Holder, response message.Response) {
 	for i := len(l.actions) - 1; i >= 0; i-- {
 		action := &l.actions[i]
--- a/internal/cluster/credit/lessor/lessor_test.go
+++ b/internal/cluster/credit/lessor/lessor_test.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// leader is a lessor that leads, over a ledger in which a tenant has paid, and a log that applies what is proposed at once.
+// leader is a lessor that leads, with a ledger in which tenant t has paid, and with a log that applies proposed entries immediately.
 type leader struct {
 	t         *testing.T
 	lessor    *Lessor
@@ -26,17 +26,17 @@
 	l := &leader{t: t, lessor: New(Defaults(), funds, 0), responses: map[ledger.Holder][]message.Response{}}
 	l.lessor.SetLeader(0, true)
 	l.advance(1000)
-	l.run(l.lessor.AddPayments(l.now, []Payment{{Tenant: "t", Number: 1, Amount: paid}}, nil))
+	l.execute(l.lessor.AddPayments(l.now, []Payment{{Tenant: "t", Number: 1, Amount: paid}}, nil))
 	l.advance(1000)
 	return l
 }
 
-func (l *leader) run(actions []Action) {
+func (l *leader) execute(actions []Action) {
 	for _, action := range actions {
 		switch action.Kind {
 		case Propose:
 			l.index++
-			l.run(l.lessor.Apply(l.now, l.index, action.Entry, nil))
+			l.execute(l.lessor.Apply(l.now, l.index, action.Entry, nil))
 		case Respond:
 			l.responses[action.To] = append(l.responses[action.To], action.Responses...)
 		}
@@ -45,15 +45,15 @@
 
 func (l *leader) advance(ms float64) {
 	l.now += ms
-	l.run(l.lessor.Tick(l.now, nil))
+	l.execute(l.lessor.Tick(l.now, nil))
 }
 
-// request sends a request of a holder, and returns the responses that the holder got by the next batch.
+// request sends a request of its holder, and returns the responses that the holder receives until the next batch.
 func (l *leader) request(request message.Request) []message.Response {
 	l.t.Helper()
 	holder := request.Key.Holder
 	l.responses[holder] = nil
-	l.run(l.lessor.HandleRequests(l.now, holder, []message.Request{request}, nil))
+	l.execute(l.lessor.HandleRequests(l.now, holder, []message.Request{request}, nil))
 	l.advance(l.lessor.settings.BatchInterval)
 	return l.responses[holder]
 }
@@ -67,20 +67,20 @@
 	return ledger.Key{Tenant: "t", Holder: holder, Generation: 1}
 }
 
-// TestGrantIsTheQueuesNeedOrAShare checks what a first request gets of 1000 units.
-func TestGrantIsTheQueuesNeedOrAShare(t *testing.T) {
+// TestGrantIsQueuedAmountOrShare checks how much the first request about an account is granted.
+func TestGrantIsQueuedAmountOrShare(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		paid    int64
 		request message.Request
 		granted int64
 	}{
-		{"what is requested, where it is less than the share", 1000, message.Request{Requested: 100, SpendRate: 50}, 100},
+		{"the requested amount, if it is less than the share", 1000, message.Request{Requested: 100, SpendRate: 50}, 100},
 		{"a share of what is available", 1000, message.Request{Requested: 900, SpendRate: 50}, 250},
-		{"what the queue needs, beyond the share", 1000, message.Request{Requested: 900, Queued: 600, SpendRate: 50}, 600},
-		{"no more than there is", 1000, message.Request{Requested: 5000, Queued: 5000}, 1000},
+		{"the queued amount, even if it exceeds the share", 1000, message.Request{Requested: 900, Queued: 600, SpendRate: 50}, 600},
+		{"at most the balance", 1000, message.Request{Requested: 5000, Queued: 5000}, 1000},
 		{"the last of the funds as a whole", 3, message.Request{Requested: 3}, 3},
-		{"nothing where nothing is requested", 1000, message.Request{SpendRate: 50}, 0},
+		{"nothing if nothing is requested", 1000, message.Request{SpendRate: 50}, 0},
 	} {
 		l := newLeader(t, c.paid)
 		c.request.Key, c.request.Sequence = keyOf(7), 1
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestSharesAreBySpendRate checks that two poolers that request at once get shares by their spend rates.
+// TestSharesAreBySpendRate checks that two poolers with requests in the same batch get shares in proportion to their spend rates.
 func TestSharesAreBySpendRate(t *testing.T) {
 	l := newLeader(t, 1000)
 	var requests []message.Request
@@ -105,12 +105,12 @@
 		l.lessor.addRequest(pendingRequest{Request: request, from: request.Key.Holder, receivedAt: l.now})
 	}
 	l.advance(l.lessor.settings.BatchInterval)
-	if a, b := l.granted(keyOf(7)), l.granted(keyOf(8)); a != 187 || b != 62 { // of 250
+	if a, b := l.granted(keyOf(7)), l.granted(keyOf(8)); a != 187 || b != 62 { // shares of 250, which is 1/ShareDivisor of the funds
 		t.Errorf("granted %d and %d, want 187 and 62", a, b)
 	}
 }
 
-// TestRepeatedRequestIsAnsweredAndGrantsNothing checks that a request that is received twice grants once.
+// TestRepeatedRequestIsAnsweredAndGrantsNothing checks that a request that is received twice is granted once and answered twice.
 func TestRepeatedRequestIsAnsweredAndGrantsNothing(t *testing.T) {
 	l := newLeader(t, 1000)
 	request := message.Request{Key: keyOf(7), Sequence: 1, Requested: 100}
@@ -124,51 +124,52 @@
 	}
 }
 
-// TestQueuesNeedRecallsFundsOfOthers checks that those that hold most are asked to return half where a queue's need finds nothing.
-func TestQueuesNeedRecallsFundsOfOthers(t *testing.T) {
+// TestQueuedRequestRecallsFundsFromOthers checks that the pooler that holds most is asked to return half of its funds when there are none
+// for the queued requests of another pooler.
+func TestQueuedRequestRecallsFundsFromOthers(t *testing.T) {
 	l := newLeader(t, 100)
 	l.request(message.Request{Key: keyOf(7), Sequence: 1, Requested: 100, Queued: 100})
 	l.responses[7] = nil
 	if responses := l.request(message.Request{Key: keyOf(8), Sequence: 1, Requested: 10, Queued: 10}); len(responses) != 0 {
-		t.Errorf("the request was answered before funds came back: %+v", responses)
+		t.Errorf("the request was answered before funds were returned: %+v", responses)
 	}
 	want := []message.Response{{Key: keyOf(7), Sequence: 1, Granted: 100, Available: 100, AvailableAtPayment: 100, Recall: true, Retain: 50}}
 	if diff := cmp.Diff(want, l.responses[7]); diff != "" {
 		t.Error(diff)
 	}
 	l.request(message.Request{Key: keyOf(7), Sequence: 2, Returned: 50})
-	l.request(message.Request{Key: keyOf(8), Sequence: 2, Requested: 10, Queued: 10}) // the pooler repeats what it needs
+	l.request(message.Request{Key: keyOf(8), Sequence: 2, Requested: 10, Queued: 10}) // the pooler repeats its request
 	if got := l.granted(keyOf(8)); got != 10 {
-		t.Errorf("granted %d once funds came back, want 10", got)
+		t.Errorf("granted %d after funds were returned, want 10", got)
 	}
 }
 
-// TestAccountExpiresAfterTheDelay checks that an account without reports is expired ExpiryDelay after its last, and that what it holds is
-// stranded until StrandedRetention is over, and then spent.
-func TestAccountExpiresAfterTheDelay(t *testing.T) {
+// TestAccountExpiresAfterExpiryDelay checks that an account expires ExpiryDelay after its last report, and that its funds are stranded for
+// StrandedRetention and then count as spent.
+func TestAccountExpiresAfterExpiryDelay(t *testing.T) {
 	l := newLeader(t, 100)
 	l.request(message.Request{Key: keyOf(7), Sequence: 1, Requested: 40, Queued: 40})
 	l.advance(l.lessor.settings.ExpiryDelay - l.lessor.settings.BatchInterval - 1)
 	if account, _ := l.lessor.Ledger().Account(keyOf(7)); account.Expired {
-		t.Error("expired before its delay")
+		t.Error("the account expired before ExpiryDelay")
 	}
 	l.advance(100)
 	if tenant := l.lessor.Ledger().Tenant("t"); tenant.Stranded != 40 || tenant.Balance != 60 {
-		t.Errorf("after the delay: %+v", tenant)
+		t.Errorf("after ExpiryDelay: %+v, want stranded 40, balance 60", tenant)
 	}
 	l.advance(l.lessor.settings.StrandedRetention)
 	l.advance(100)
 	if tenant := l.lessor.Ledger().Tenant("t"); tenant.Stranded != 0 || tenant.Spent != 40 {
-		t.Errorf("after the retention: %+v", tenant)
+		t.Errorf("after StrandedRetention: %+v, want stranded 0, spent 40", tenant)
 	}
 }
 
-// TestFollowerTakesNothing checks that a voter that does not lead takes no requests and proposes nothing.
-func TestFollowerTakesNothing(t *testing.T) {
+// TestFollowerIgnoresRequests checks that a voter that does not lead neither answers requests nor proposes entries.
+func TestFollowerIgnoresRequests(t *testing.T) {
 	l := newLeader(t, 1000)
 	l.lessor.SetLeader(l.now, false)
-	request := []message.Request{{Key: keyOf(7), Sequence: 1, Requested: 100, Queued: 100}}
-	if actions := l.lessor.HandleRequests(l.now, 7, request, nil); len(actions) != 0 {
+	requests := []message.Request{{Key: keyOf(7), Sequence: 1, Requested: 100, Queued: 100}}
+	if actions := l.lessor.HandleRequests(l.now, 7, requests, nil); len(actions) != 0 {
 		t.Errorf("%+v", actions)
 	}
 	if actions := l.lessor.Tick(l.now+1e6, nil); len(actions) != 0 {
@@ -176,13 +177,14 @@
 	}
 }
 
-// TestPoolerSpeaksForItsOwnAccountsOnly checks that a request about another process's account is dropped, unless its files were found.
-func TestPoolerSpeaksForItsOwnAccountsOnly(t *testing.T) {
+// TestPoolerReportsOnOwnOrRecoveredAccounts checks that a request about another process's account is accepted only if it is recovered from
+// that process's files.
+func TestPoolerReportsOnOwnOrRecoveredAccounts(t *testing.T) {
 	for recovered, want := range map[bool]bool{false: false, true: true} {
 		l := newLeader(t, 1000)
 		request := message.Request{Key: keyOf(7), Spent: 5, Final: true, Recovered: recovered}
 		if got := l.lessor.accepts(8, &request); got != want {
-			t.Errorf("recovered %v: accepted %v", recovered, got)
+			t.Errorf("recovered %v: accepted %v, want %v", recovered, got, want)
 		}
 	}
 }
