--- a/internal/cluster/raftlog/adapter/adapter.go
+++ b/internal/cluster/raftlog/adapter/adapter.go
@@ -1,5 +1,5 @@
-// Package adapter connects the replicated log (package raftlog) to the pooler that it lives in: it is a module of the cluster (package
-// module), with a disk of its own. The same adapter serves the daemon and virtual time.
+// Package adapter connects the replicated log (package raftlog) to its pooler. It is a module of the cluster (package module) with a disk of
+// its own. The daemon and the simulator use the same adapter.
 package adapter
 
 import (
@@ -10,7 +10,7 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// Disk makes records durable, off the loop. done is called on the loop, in the order of the calls.
+// Disk makes records durable without blocking the event loop. It calls done on the loop, in the order of the Append calls.
 type Disk interface {
 	Append(records []raftlog.Record, done func(error))
 }
@@ -19,36 +19,36 @@
 type Options struct {
 	Settings raftlog.Settings
 	Machine  raftlog.Machine
-	Observe  func(action *raftlog.Action) // called for all actions but sends and writes, on the loop; nil for nobody
+	Observe  func(action *raftlog.Action) // called on the loop for all actions except Send and Store; may be nil
 }
 
-// Adapter is a pooler's replicated log. It is for the loop alone.
+// Adapter is a pooler's replicated log. It must be used on the event loop only.
 type Adapter struct {
 	transport module.Transport
 	options   Options
 	replica   raftlog.Replica
 	disk      Disk
-	ids       []view.ID // of all members that can be reached
-	addrs     []string  // of the same
+	ids       []view.ID // of all members that have not left
+	addrs     []string  // of the members in ids, in the same order
 	queue     []raftlog.Event
-	busy      bool
+	handling  bool // handle is running
 	actions   []raftlog.Action
 	counts    Counts
 }
 
-// Counts are since the start.
+// Counts count what happened since the start.
 type Counts struct {
 	Sent    uint64 // datagrams
 	Bytes   uint64 // of datagrams and streams
-	Streams uint64
+	Streams uint64 // chunks sent by stream
 	Writes  uint64
-	Applied uint64
-	Dropped uint64
+	Applied uint64 // entries
+	Dropped uint64 // proposals
 
 	StopReason string // empty while the voter takes part
 }
 
-// New makes an adapter. A voter does nothing before Start.
+// New returns an adapter. A voter does nothing before Start.
 func New(transport module.Transport, options Options) *Adapter {
 	return &Adapter{
 		transport: transport,
@@ -57,31 +57,31 @@
 	}
 }
 
-// Start brings a voter's disk and what it holds; an err says that it cannot be read.
+// Start provides a voter's disk and its records, or the error with which reading it failed.
 func (a *Adapter) Start(disk Disk, records []raftlog.Record, err error) {
 	a.disk = disk
 	a.handle(raftlog.StorageLoaded{Records: records, Err: err})
 }
 
-// Propose asks for an entry. A ProposalDropped action returns ref where it is dropped.
+// Propose proposes an entry. If the proposal is dropped, a ProposalDropped action returns ref.
 func (a *Adapter) Propose(ref uint64, entry []byte) {
 	a.handle(raftlog.Propose{Ref: ref, Entry: entry})
 }
 
-// Status returns the state of the log here.
+// Status returns the state of the log at this pooler.
 func (a *Adapter) Status() raftlog.Status { return a.replica.Status() }
 
 // Counts returns the counts so far.
 func (a *Adapter) Counts() Counts { return a.counts }
 
-// Kind returns the kind of this module's messages; it is a method of module.Module.
+// Kind returns the kind of this module's messages; it implements module.Module.
 func (a *Adapter) Kind() view.Kind { return module.KindRaftLog }
 
-// Decode leaves the message to the log; it is a method of module.Module.
+// Decode returns the message unchanged, as the log decodes it; it implements module.Module.
 func (a *Adapter) Decode(body []byte) (any, error) { return body, nil }
 
-// UpdateMembers takes the members of the cluster; it is a method of module.Module. Of several processes of a voter's name the youngest that
-// can be reached is the voter.
+// UpdateMembers takes over the members of the cluster; it implements module.Module. Of several processes with a voter's name, the youngest one
+// that has not left is the voter.
 func (a *Adapter) UpdateMembers(self view.ID, members []view.Record, _ view.Counts) {
 	var addresses raftlog.AddressesChanged
 	for _, voter := range a.options.Settings.Voters {
@@ -101,7 +101,8 @@
 	a.handle(addresses)
 }
 
-// youngestOf returns the youngest process of a name that has not left. One that failed counts: it may be back before the view has it.
+// youngestOf returns the youngest process with a name that has not left. A failed process counts, as it may run again before the view shows
+// it.
 func youngestOf(name string, members []view.Record) *view.Record {
 	var youngest *view.Record
 	for i := range members {
@@ -116,7 +117,7 @@
 	return youngest
 }
 
-// Receive takes a message of another pooler; it is a method of module.Module.
+// Receive handles a message of another pooler; it implements module.Module.
 func (a *Adapter) Receive(from view.ID, decoded any) {
 	event := raftlog.MessageReceived{Message: decoded.([]byte)}
 	if i := slices.Index(a.ids, from); i >= 0 {
@@ -125,19 +126,19 @@
 	a.handle(event)
 }
 
-// Tick lets time go on; it is a method of module.Module.
+// Tick advances the log's time; it implements module.Module.
 func (a *Adapter) Tick() { a.handle(raftlog.Tick{}) }
 
-// Leave is called when the process begins to end; it is a method of module.Module.
+// Leave is called when the process starts to shut down; it implements module.Module.
 func (a *Adapter) Leave() { a.handle(raftlog.Shutdown{}) }
 
-// handle gives the log an event. What its actions cause is queued behind it.
+// handle passes an event to the log. Events that its actions cause are queued and handled after it.
 func (a *Adapter) handle(event raftlog.Event) {
 	a.queue = append(a.queue, event)
-	if a.busy {
+	if a.handling {
 		return
 	}
-	a.busy = true
+	a.handling = true
 	for len(a.queue) > 0 {
 		next := a.queue[0]
 		a.queue = a.queue[1:]
@@ -147,7 +148,7 @@
 		}
 		clear(a.actions)
 	}
-	a.busy = false
+	a.handling = false
 }
 
 func (a *Adapter) execute(action *raftlog.Action) {
@@ -179,7 +180,7 @@
 // encodedMessage is a message that the log has encoded.
 type encodedMessage []byte
 
-// Append appends the message; it is a method of module.Message.
+// Append appends the message; it implements module.Message.
 func (m encodedMessage) Append(b []byte) []byte { return append(b, m...) }
 
 func (a *Adapter) send(action *raftlog.Action) {
@@ -198,7 +199,7 @@
 	})
 }
 
-// receiver returns the process that a message is for, 0 for any. A message to a voter is for whichever process has its name: the next one
+// receiver returns the process that a message is for, 0 for any. A message to a voter is for any process with its name, as a restarted one
 // has the same disk.
 func (a *Adapter) receiver(action *raftlog.Action) view.ID {
 	if action.To != "" {
--- a/internal/cluster/raftlog/adapter/adapter_test.go
+++ b/internal/cluster/raftlog/adapter/adapter_test.go
@@ -11,21 +11,21 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// transport notes the addresses that messages go to.
+// transport records the addresses to which messages are sent.
 type transport struct {
-	now float64
-	to  []string
+	now    float64
+	sentTo []string
 }
 
-func (x *transport) Now() float64 { return x.now }
+func (tr *transport) Now() float64 { return tr.now }
 
-func (x *transport) Send(addr string, _ view.ID, _ view.Kind, _ module.Message) {
-	x.to = append(x.to, addr)
+func (tr *transport) Send(addr string, _ view.ID, _ view.Kind, _ module.Message) {
+	tr.sentTo = append(tr.sentTo, addr)
 }
 
-func (x *transport) SendStream(string, view.ID, view.Kind, module.Message, func(bool)) {}
+func (tr *transport) SendStream(string, view.ID, view.Kind, module.Message, func(bool)) {}
 
-// disk makes records durable at once.
+// disk calls done within Append.
 type disk struct{ records []raftlog.Record }
 
 func (d *disk) Append(records []raftlog.Record, done func(error)) {
@@ -40,10 +40,10 @@
 	return settings
 }
 
-// TestVoterIsTheYoungestProcessThatHasNotLeft checks where a new voter's messages to the others go.
+// TestVoterIsTheYoungestProcessThatHasNotLeft checks to which processes a new voter sends its messages if several have a voter's name.
 func TestVoterIsTheYoungestProcessThatHasNotLeft(t *testing.T) {
-	x := &transport{}
-	a := New(x, Options{Settings: voterSettings(), Machine: &counter.Counter{}})
+	tr := &transport{}
+	a := New(tr, Options{Settings: voterSettings(), Machine: &counter.Counter{}})
 	a.Start(&disk{}, nil, nil)
 	a.UpdateMembers(1, []view.Record{
 		{ID: 1, Name: "a", Addr: "self"},
@@ -53,27 +53,27 @@
 		{ID: 6, Name: "c", Addr: "left c", State: view.Left},
 		{ID: 4, Name: "other", Addr: "other"},
 	}, view.Counts{})
-	x.now = 1000
+	tr.now = 1000
 	a.Tick()
-	if diff := cmp.Diff([]string{"new b", "c"}, x.to); diff != "" {
+	if diff := cmp.Diff([]string{"new b", "c"}, tr.sentTo); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestWritesThatEndAtOnceAreTakenInOrder checks that a disk may call back within Append, and that what is applied is observed and counted.
-func TestWritesThatEndAtOnceAreTakenInOrder(t *testing.T) {
-	x := &transport{}
+// TestSynchronousWritesAreHandledInOrder checks that a disk may call done within Append, and that actions are observed and counted.
+func TestSynchronousWritesAreHandledInOrder(t *testing.T) {
+	tr := &transport{}
 	settings := voterSettings()
 	members := []raftlog.Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
 	var observed []raftlog.ActionKind
-	a := New(x, Options{
+	a := New(tr, Options{
 		Settings: settings, Machine: &counter.Counter{},
 		Observe: func(action *raftlog.Action) { observed = append(observed, action.Kind) },
 	})
 	d := &disk{}
 	a.Start(d, raftlog.BootstrapRecords(members[0], members), nil)
 	for range 3 * settings.ElectionTicks {
-		x.now += settings.TickInterval
+		tr.now += settings.TickInterval
 		a.Tick()
 	}
 	if status := a.Status(); !status.IsVoter || !status.Participates || a.Counts().StopReason != "" {
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestUnreadableDiskStopsTheVoter checks that the reason is counted.
+// TestUnreadableDiskStopsTheVoter checks that a voter whose disk cannot be decoded does not participate, and gives the reason.
 func TestUnreadableDiskStopsTheVoter(t *testing.T) {
 	a := New(&transport{}, Options{Settings: voterSettings(), Machine: &counter.Counter{}})
 	a.Start(&disk{}, []raftlog.Record{{Key: "e/0000000000000001", Value: []byte{0xff}}}, nil)
--- a/internal/cluster/raftlog/api.go
+++ b/internal/cluster/raftlog/api.go
@@ -1,10 +1,10 @@
 package raftlog
 
-// Bounds of what is accepted.
+// Bounds of accepted data.
 const (
-	MaxEntryBytes    = 900       // an entry goes in one datagram
-	MaxDatagramBytes = 1200      // of a message that is no part of a snapshot
-	MaxChunkBytes    = 400 << 10 // of a part of a snapshot, which goes by a stream
+	MaxEntryBytes    = 900       // an entry fits in one datagram
+	MaxDatagramBytes = 1200      // of a message that is not a snapshot chunk
+	MaxChunkBytes    = 400 << 10 // of a snapshot chunk, which is sent by a stream
 	MaxSnapshotBytes = 12 << 20
 	MaxVoters        = 5
 )
@@ -12,10 +12,10 @@
 // Event is an input of the state machine.
 type Event interface{ event() }
 
-// Tick is due at Log.Next.
+// Tick reports that the time of Log.Next has come.
 type Tick struct{}
 
-// MessageReceived brings a whole message. From is the address for the answer to a forwarded proposal.
+// MessageReceived carries a complete message. From is the address to which the answer to a forwarded proposal goes.
 type MessageReceived struct {
 	From    string
 	Message []byte
@@ -24,40 +24,42 @@
 // Address is where a voter can be reached.
 type Address struct{ Name, Addr string }
 
-// AddressesChanged brings the addresses of all voters that can be reached.
+// AddressesChanged replaces the addresses of the voters that can be reached.
 type AddressesChanged struct{ Voters []Address }
 
-// Propose asks for an entry, which the caller must not change any more. Ref is returned by ProposalDropped.
+// Propose proposes an entry, which the caller must not modify afterwards. ProposalDropped returns Ref.
 type Propose struct {
 	Ref   uint64
 	Entry []byte
 }
 
-// StorageLoaded brings all that the disk holds, in any order. At a voter it comes first, and once. With an Err the pooler does not vote.
+// StorageLoaded carries all records on the disk, in any order. A voter receives it once, before any other event. With an Err the pooler does
+// not vote.
 type StorageLoaded struct {
 	Records []Record
 	Err     error
 }
 
-// StoreCompleted reports that the records of a Store action are durable, in the order of these actions. An Err is final.
+// StoreCompleted reports that the records of a Store action are durable. Completions arrive in the order of the actions. After an Err this
+// voter takes no further part.
 type StoreCompleted struct {
 	Ref uint64
 	Err error
 }
 
-// SnapshotTaken brings the Machine's snapshot, after the Apply of Index; it answers TakeSnapshot. The caller must not change Data any more.
+// SnapshotTaken answers TakeSnapshot with the Machine's snapshot after the Apply of Index. The caller must not modify Data afterwards.
 type SnapshotTaken struct {
 	Index uint64
 	Data  []byte
 }
 
-// StreamCompleted reports the end of a Send by stream.
+// StreamCompleted reports whether a Send by stream succeeded.
 type StreamCompleted struct {
 	Ref uint64
 	OK  bool
 }
 
-// Shutdown reports that this process is about to end: a leader hands its duty over.
+// Shutdown reports that this process is about to end: a leader transfers its leadership.
 type Shutdown struct{}
 
 func (Tick) event()             {}
@@ -70,28 +72,28 @@
 func (StreamCompleted) event()  {}
 func (Shutdown) event()         {}
 
-// Record is a record on the disk.
+// Record is a key with its value on the disk, or the deletion of one.
 type Record struct {
 	Key     string
 	Value   []byte
 	Deleted bool
 }
 
-// ActionKind is what an Action asks for.
+// ActionKind is what an Action requests or reports.
 type ActionKind uint8
 
 // The actions.
 const (
-	Send            ActionKind = iota // Message goes to Addr; with Stream by a stream, and StreamCompleted answers with Ref
-	Store                             // Records are to be made durable, all or none; StoreCompleted answers with Ref
+	Send            ActionKind = iota // send Message to Addr; with Stream by a stream, whose end StreamCompleted reports with Ref
+	Store                             // make Records durable, all or none; StoreCompleted answers with Ref
 	Apply                             // Entry is committed at Index
 	ApplySnapshot                     // Data is the Machine's state after Index
-	TakeSnapshot                      // the Machine's state after Index is wanted; SnapshotTaken answers
-	ProposalDropped                   // the proposal of Ref is lost, as far as is known here; it may be made again
+	TakeSnapshot                      // request for the Machine's state after Index; SnapshotTaken answers
+	ProposalDropped                   // the proposal of Ref is lost, as far as this pooler knows; it may be made again
 	BecameLeader                      // this voter leads in Term
-	LeaderChanged                     // another voter leads: Leader, empty for nobody known
+	LeaderChanged                     // this voter does not lead; Leader is the leader's name, empty if unknown
 	VotersChanged                     // the voters are Members from Index on
-	Stopped                           // this voter takes no part any more: Text says why
+	Stopped                           // this voter takes no further part; Text is the reason
 )
 
 // String names the action in logs and in traces of the model checker.
@@ -118,8 +120,8 @@
 	Text    string
 }
 
-// Machine is the state machine of a user. It must be deterministic: nothing but the entries goes into it, no time and no order of a map. An
-// entry may come in two copies with two indexes, where its proposer tried again.
+// Machine is the state machine of a user. It must be deterministic: its state depends on nothing but the entries, not on time or the
+// iteration order of a map. If a proposer retries, an entry may appear twice, at two indexes.
 type Machine interface {
 	Apply(index uint64, entry []byte)
 	Snapshot() []byte
@@ -134,19 +136,19 @@
 
 // Status is the state of the log at this pooler, for metrics and logs.
 type Status struct {
-	IsVoter         bool   // the settings name this pooler
-	Participates    bool   // ...and it takes part
-	Reason          string // why it does not take part
-	ChangingVoters  bool   // a voter's place is going over to another disk: until then the old one counts too
-	Leader          string // as far as is known, empty for nobody
+	IsVoter         bool   // the settings name this pooler as a voter
+	Participates    bool   // this voter runs and is admitted by the log
+	Reason          string // why this voter does not participate
+	ChangingVoters  bool   // a voter's disk is being replaced; until the change is complete the old disk counts too
+	Leader          string // the name of the leader, empty if unknown
 	IsLeader        bool
 	Term            uint64
 	LastIndex       uint64
 	CommitIndex     uint64
 	AppliedIndex    uint64
-	FirstIndex      uint64 // of the entries that are kept
-	LogBytes        int    // of the entries that are kept, about
-	PendingWrites   int    // that wait for the disk
+	FirstIndex      uint64 // of the retained entries
+	LogBytes        int    // approximate size of the retained entries
+	PendingWrites   int    // writes that wait for the disk
 	PendingForwards int    // proposals to other poolers that wait for an answer
 	Members         []Member
 }
--- a/internal/cluster/raftlog/bytes_test.go
+++ b/internal/cluster/raftlog/bytes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestMessageBytesStay checks that the bytes of a message stay as poolers of other versions read and write them.
-func TestMessageBytesStay(t *testing.T) {
+// TestMessageEncodingIsStable checks that messages are encoded and decoded as by poolers of other versions.
+func TestMessageEncodingIsStable(t *testing.T) {
 	m := &message{kind: kindForwardResult, group: 2, from: 3, to: 4, name: "pooler", disk: 6, askerDisk: 7,
 		ref: 300, index: 9, count: 10, chunk: 11, flag: true,
 		members: []Member{{"a", 1}, {"b", 0}}, data: []byte("data")}
@@ -24,6 +24,6 @@
 	}
 	b := m.encode(nil)
 	if got, err := decodeMessage(b); err != nil || hex.EncodeToString(got.encode(nil)) != hex.EncodeToString(b) {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, %v", got, err)
 	}
 }
--- a/internal/cluster/raftlog/codec.go
+++ b/internal/cluster/raftlog/codec.go
@@ -9,31 +9,31 @@
 	"beechgrade/internal/encoding"
 )
 
-// ErrMalformed is wrapped by the errors of bytes that are no message, or none that may be accepted.
+// ErrMalformed is wrapped by the errors for bytes that are not a message, or a message that exceeds a limit.
 var ErrMalformed = errors.New("raftlog: malformed message")
 
 func malformed(reason error) error { return fmt.Errorf("%w: %w", ErrMalformed, reason) }
 
 const maxNameBytes = 64
 
-// messageKind is what a message is. Its numbers are on the wire.
+// messageKind is the kind of a message. Its numbers are on the wire.
 type messageKind uint64
 
 const (
-	kindRaft          messageKind = iota + 1 // data is a message of raft's
-	kindChunk                                // data is a chunk of such a message
-	kindDiscover                             // asks who is in which group
+	kindRaft          messageKind = iota + 1 // data is a raft message
+	kindChunk                                // data is a chunk of a raft message
+	kindDiscover                             // asks which group the receiver belongs to
 	kindIdentity                             // answers kindDiscover
 	kindForward                              // data is a proposal
-	kindForwardResult                        // answers kindForward: flag if the leader has it, name is who may lead
+	kindForwardResult                        // answers kindForward: flag if the leader accepted it, name of the likely leader
 )
 
-// message goes between poolers, and encodes what is on a disk beside raft's own messages.
+// message is sent between poolers. It also encodes the data on a disk that is not in a raft message.
 type message struct {
 	kind      messageKind
 	group     uint64
-	from      uint64 // raft's number of the sender
-	to        uint64 // raft's number of the receiver
+	from      uint64 // raft ID of the sender
+	to        uint64 // raft ID of the receiver
 	name      string
 	disk      uint64
 	askerDisk uint64
@@ -91,7 +91,7 @@
 	return encoding.AppendNonEmptyBytes(b, fieldData, m.data)
 }
 
-// decodeMessage decodes a message, whose data is a part of b.
+// decodeMessage decodes a message. The message's data aliases b.
 func decodeMessage(b []byte) (*message, error) {
 	m := &message{}
 	err := encoding.Fields(b, malformed, m.readField)
@@ -110,7 +110,7 @@
 		m.to = field.Value
 	case fieldName:
 		if len(field.Bytes) > maxNameBytes {
-			return fmt.Errorf("%w: a name of %d bytes", ErrMalformed, len(field.Bytes))
+			return fmt.Errorf("%w: name of %d bytes is too long", ErrMalformed, len(field.Bytes))
 		}
 		m.name = string(field.Bytes)
 	case fieldDisk:
@@ -135,10 +135,10 @@
 	return nil
 }
 
-// readMember adds a member. A change of voters may have those before and after it.
+// readMember adds a member. A membership change may name the voters before and after it, hence 2*MaxVoters.
 func (m *message) readMember(b []byte) error {
 	if len(m.members) == 2*MaxVoters {
-		return fmt.Errorf("%w: too many voters", ErrMalformed)
+		return fmt.Errorf("%w: too many members", ErrMalformed)
 	}
 	var member Member
 	err := encoding.Fields(b, malformed, func(field encoding.Field) error {
@@ -154,7 +154,7 @@
 		return err
 	}
 	if member.Name == "" || len(member.Name) > maxNameBytes {
-		return fmt.Errorf("%w: a voter's name of %d bytes", ErrMalformed, len(member.Name))
+		return fmt.Errorf("%w: member name of %d bytes is empty or too long", ErrMalformed, len(member.Name))
 	}
 	m.members = append(m.members, member)
 	return nil
--- a/internal/cluster/raftlog/counter/counter.go
+++ b/internal/cluster/raftlog/counter/counter.go
@@ -1,6 +1,6 @@
-// Package counter is the simplest user of the replicated log: it counts the numbered entries of each proposer once, and keeps a checksum
-// over all of them in their order. Tests, measurements, and a fleet that tries its voters compare it: where two counters have counted the
-// same number of entries, their checksums are equal.
+// Package counter is the simplest user of the replicated log: it counts each numbered entry of each proposer once, and keeps a checksum over
+// the counted entries in their order. Two counters that have counted the same number of entries have equal checksums, which tests,
+// measurements and fleets with test entries use to compare voters.
 package counter
 
 import (
@@ -14,7 +14,7 @@
 	"beechgrade/internal/encoding"
 )
 
-// Window bounds how far a proposer's numbers may be ahead of the first that is missing.
+// Window bounds how far a proposer's number may be beyond its contiguous numbers.
 const Window = 4096
 
 const (
@@ -23,23 +23,23 @@
 	numberBytes  = 8
 )
 
-// ErrMalformed is returned for bytes that are no snapshot of a counter.
+// ErrMalformed is returned for bytes that are not a snapshot of a counter.
 var ErrMalformed = errors.New("counter: malformed snapshot")
 
 // Counter is a raftlog.Machine.
 type Counter struct {
-	AppliedIndex    uint64 // of the last entry
+	AppliedIndex    uint64 // index of the last applied entry
 	Counted         uint64
 	Duplicates      uint64 // entries that were counted before
-	Checksum        uint64 // of those counted, in their order
-	CountDuplicates bool   // a fault for tests: entries are counted again
+	Checksum        uint64 // over the counted entries in their order
+	CountDuplicates bool   // fault injection for tests: entries are counted more than once
 	proposers       []*proposer
 }
 
 type proposer struct {
 	name       string
-	contiguous uint64   // all numbers up to it are counted
-	beyond     []uint64 // counted numbers above it, sorted
+	contiguous uint64   // all numbers up to this one are counted
+	beyond     []uint64 // counted numbers above contiguous, sorted
 }
 
 func (p *proposer) has(number uint64) bool {
@@ -47,22 +47,22 @@
 	return number <= p.contiguous || found
 }
 
-// count adds a number, if it is not there.
+// count adds a number unless it is counted already.
 func (p *proposer) count(number uint64) {
 	at, found := slices.BinarySearch(p.beyond, number)
 	if number <= p.contiguous || found {
 		return
 	}
 	p.beyond = slices.Insert(p.beyond, at, number)
-	joined := 0
-	for joined < len(p.beyond) && p.beyond[joined] == p.contiguous+1 {
+	merged := 0
+	for merged < len(p.beyond) && p.beyond[merged] == p.contiguous+1 {
 		p.contiguous++
-		joined++
+		merged++
 	}
-	p.beyond = slices.Delete(p.beyond, 0, joined)
+	p.beyond = slices.Delete(p.beyond, 0, merged)
 }
 
-// EncodeEntry makes a proposer's numbered entry, the first of which is 1, with so many bytes of padding.
+// EncodeEntry encodes a proposer's numbered entry, with padding bytes at its end. A proposer's first number is 1.
 func EncodeEntry(name string, number uint64, padding int) []byte {
 	b := append([]byte{byte(len(name))}, name...)
 	b = binary.BigEndian.AppendUint64(b, number)
@@ -85,7 +85,7 @@
 	return slices.BinarySearchFunc(c.proposers, name, func(p *proposer, name string) int { return strings.Compare(p.name, name) })
 }
 
-// proposerOf finds or adds a proposer; nil where there are too many.
+// proposerOf returns a proposer, which it adds if it is new; nil if there are too many.
 func (c *Counter) proposerOf(name string) *proposer {
 	i, found := c.find(name)
 	if found {
@@ -105,7 +105,7 @@
 	return found && c.proposers[i].has(number)
 }
 
-// Numbers returns the numbers that are counted, of one proposer after another.
+// Numbers returns the counted numbers of all proposers, one proposer after another.
 func (c *Counter) Numbers() []uint64 {
 	var numbers []uint64
 	for _, p := range c.proposers {
@@ -117,7 +117,7 @@
 	return numbers
 }
 
-// Apply counts an entry, once; it is a method of raftlog.Machine.
+// Apply counts an entry, unless it is counted already; it implements raftlog.Machine.
 func (c *Counter) Apply(index uint64, entry []byte) {
 	c.AppliedIndex = index
 	name, number, ok := DecodeEntry(entry)
@@ -138,7 +138,7 @@
 	c.Checksum = xxhash.Sum64(append(b, entry...))
 }
 
-// Snapshot encodes the counter; it is a method of raftlog.Machine.
+// Snapshot encodes the counter; it implements raftlog.Machine.
 func (c *Counter) Snapshot() []byte {
 	var b []byte
 	for _, number := range []uint64{c.AppliedIndex, c.Counted, c.Duplicates, c.Checksum, uint64(len(c.proposers))} {
@@ -156,7 +156,7 @@
 	return b
 }
 
-// Restore takes the counter from a snapshot; it is a method of raftlog.Machine.
+// Restore replaces the counter by that of a snapshot; it implements raftlog.Machine.
 func (c *Counter) Restore(snapshot []byte) error {
 	*c = Counter{CountDuplicates: c.CountDuplicates}
 	if len(snapshot) == 0 {
--- a/internal/cluster/raftlog/counter/counter_test.go
+++ b/internal/cluster/raftlog/counter/counter_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestEntriesCountOnceAndSnapshotsKeepThem applies drawn entries, some of them twice: each counts once, and a counter that is restored from
-// a snapshot on the way comes to the same checksum.
-func TestEntriesCountOnceAndSnapshotsKeepThem(t *testing.T) {
+// TestEntriesAreCountedOnceAcrossSnapshots applies random entries, some of them twice, and checks that each is counted once, and that a
+// counter that is restored from snapshots in between has the same state.
+func TestEntriesAreCountedOnceAcrossSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type id struct {
 			name   string
@@ -19,17 +19,17 @@
 		var c, restored Counter
 		seen := map[id]bool{}
 		for i := range rapid.IntRange(1, 80).Draw(t, "entries") {
-			x := id{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "proposer"), rapid.Uint64Range(1, 20).Draw(t, "number")}
-			seen[x] = true
-			entry := EncodeEntry(x.name, x.number, 3)
+			drawn := id{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "proposer"), rapid.Uint64Range(1, 20).Draw(t, "number")}
+			seen[drawn] = true
+			entry := EncodeEntry(drawn.name, drawn.number, 3)
 			c.Apply(uint64(i+1), entry)
 			if rapid.IntRange(0, 5).Draw(t, "restore") > 0 {
 				restored.Apply(uint64(i+1), entry)
 			} else if err := restored.Restore(c.Snapshot()); err != nil {
 				t.Fatal(err)
 			}
-			if !c.Has(x.name, x.number) {
-				t.Fatalf("%+v is not counted", x)
+			if !c.Has(drawn.name, drawn.number) {
+				t.Fatalf("%+v is not counted", drawn)
 			}
 		}
 		if c.Counted != uint64(len(seen)) || len(c.Numbers()) != len(seen) {
@@ -41,14 +41,14 @@
 	})
 }
 
-// TestMalformedSnapshotIsAnError checks that a snapshot that was cut anywhere is an error, but for none at all.
+// TestMalformedSnapshotIsAnError checks that a snapshot truncated at any byte is an error, and an empty one is not.
 func TestMalformedSnapshotIsAnError(t *testing.T) {
 	var c Counter
 	c.Apply(1, EncodeEntry("proposer", 3, 0))
 	snapshot := c.Snapshot()
 	for n := 1; n < len(snapshot); n++ {
 		if err := new(Counter).Restore(snapshot[:n]); !errors.Is(err, ErrMalformed) {
-			t.Errorf("cut after %d bytes: %v", n, err)
+			t.Errorf("truncated to %d bytes: %v", n, err)
 		}
 	}
 	if err := new(Counter).Restore(nil); err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestEntryBeyondTheWindowIsNotCounted checks that a number too far ahead of the first missing one is not counted.
+// TestEntryBeyondTheWindowIsNotCounted checks that a number more than Window beyond the contiguous ones is not counted.
 func TestEntryBeyondTheWindowIsNotCounted(t *testing.T) {
 	var c Counter
 	c.Apply(1, EncodeEntry("a", Window, 0))
--- a/internal/cluster/raftlog/discovery.go
+++ b/internal/cluster/raftlog/discovery.go
@@ -9,16 +9,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// discovery is a voter's way into a group.
+// discovery is the state by which a voter finds, founds or joins a group.
 type discovery struct {
-	identityStored bool                // the disk has whose it is, and of which group
-	groupless      map[string]*message // what voters without a group said last, by name
+	identityStored bool                // this voter's identity and group are durable on the disk
+	groupless      map[string]*message // the last answers of voters without a group, by name
 	nextDiscoverAt float64
 	leaderSeenAt   float64
-	nextMemberAt   float64 // when another voter may be proposed
+	nextMemberAt   float64 // the earliest time of the next membership proposal
 }
 
-// discover asks the other voters for the group. A voter does so that has none, is not admitted yet, or has seen no leader for three election
+// discover asks the other voters for their group if this voter has none, is not admitted yet, or has seen no leader for three election
 // timeouts, as it may have been replaced.
 func (l *Log) discover() {
 	if l.node != nil && l.leader != raft.None {
@@ -42,7 +42,7 @@
 	}
 }
 
-// isOtherVoter reports whether a message is of another voter of the settings, and this one can answer for itself.
+// isOtherVoter reports whether a message is from another voter of the settings, and this voter runs and its own identity is durable.
 func (l *Log) isOtherVoter(m *message) bool {
 	if !l.identityStored || l.stopReason != "" {
 		return false
@@ -50,8 +50,8 @@
 	return m.disk != 0 && m.name != l.settings.Self && slices.Contains(l.settings.Voters, m.name)
 }
 
-// handleDiscover answers a voter that asks for the group. Only what was said after the asker's disk was new counts for it, so the answer
-// names that disk.
+// handleDiscover answers a voter that asks for the group. The asker accepts only answers that were given after its disk got its number, so
+// the answer names that number.
 func (l *Log) handleDiscover(m *message) {
 	if !l.isOtherVoter(m) {
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// handleIdentity takes another voter's answer.
+// handleIdentity handles another voter's answer to kindDiscover.
 func (l *Log) handleIdentity(m *message) {
 	if !l.isOtherVoter(m) || m.askerDisk != l.self.Disk {
 		return
@@ -78,7 +78,7 @@
 	switch {
 	case l.group != 0:
 		l.compareMembers(m)
-	case m.group != 0 && m.flag: // this voter is a founder of that group, and its disk does not have it yet
+	case m.group != 0 && m.flag: // this voter is a founder of that group, but has not stored it yet
 		if l.matchesVoters(m.members) {
 			l.foundGroup(m.members)
 		}
@@ -89,32 +89,32 @@
 	}
 }
 
-// compareMembers takes the members that a voter with more of the log has.
+// compareMembers compares this voter with the members of a voter that has applied more of the log.
 func (l *Log) compareMembers(m *message) {
 	if m.group != l.group || m.index <= l.appliedIndex || len(m.members) == 0 {
 		return
 	}
 	switch {
 	case l.awaitingAdmission:
-		l.members = m.members // whom to answer, until the log has it
+		l.members = m.members // the voters to answer, until the log has the members
 	case !slices.Contains(m.members, l.self):
-		l.stop("another disk has this voter's place in the log: this one is to be emptied, or the pooler no voter")
+		l.stop("the log has replaced this voter by one with another disk: empty this disk, or remove the pooler from the voters")
 	}
 }
 
-// joinGroup stores the group that another voter is in, and waits to be admitted.
+// joinGroup stores the group of another voter, and waits for admission to it.
 func (l *Log) joinGroup(m *message) {
 	l.group = m.group
 	l.awaitingAdmission = true
 	l.identityStored = false
 	l.members = m.members
-	l.writeRecords([]Record{l.identityRecord()}, pendingWrite{then: func() {
+	l.writeRecords([]Record{l.identityRecord()}, pendingWrite{onDurable: func() {
 		l.identityStored = true
 		l.startRaft(0)
 	}})
 }
 
-// foundIfComplete founds the group once all voters have said that they are in none.
+// foundIfComplete founds the group once all voters have answered that they belong to none.
 func (l *Log) foundIfComplete(m *message) {
 	l.groupless[m.name] = m
 	all := []Member{l.self}
@@ -138,7 +138,7 @@
 	return slices.Equal(names, l.settings.Voters) && slices.Contains(members, l.self)
 }
 
-// foundGroup begins the log with the voters that are all in no group. Each begins with the same state.
+// foundGroup starts the log of a new group. Each founder starts with the same snapshot and hard state.
 func (l *Log) foundGroup(founders []Member) {
 	l.group = groupID(founders)
 	l.founding = founders
@@ -146,12 +146,12 @@
 	snapshot := initialSnapshot(founders)
 	hardState := initialHardState()
 	records := []Record{l.identityRecord(), hardStateRecord(hardState), snapshotRecord(snapshot)}
-	l.writeRecords(records, pendingWrite{then: func() {
+	l.writeRecords(records, pendingWrite{onDurable: func() {
 		if err := l.storage.ApplySnapshot(snapshot); err != nil {
 			l.stop(err.Error())
 			return
 		}
-		_ = l.storage.SetHardState(hardState) // in memory, it does not fail
+		_ = l.storage.SetHardState(hardState) // memory storage does not fail
 		l.members = founders
 		l.confState = snapshot.GetMetadata().GetConfState()
 		l.firstIndex = initialIndex + 1
@@ -163,7 +163,7 @@
 	}})
 }
 
-// A group begins with a snapshot of its founders in place of the first entry.
+// A group starts with a snapshot of its founders in place of the first entry.
 const (
 	initialIndex = 1
 	initialTerm  = 1
@@ -185,12 +185,12 @@
 	}
 }
 
-// groupID is a group's number, by its founders.
+// groupID returns the ID of the group with these founders.
 func groupID(founders []Member) uint64 {
 	return max(1, xxhash.Sum64((&message{members: founders}).encode(nil)))
 }
 
-// BootstrapRecords returns the disk of a voter of a group that these voters have founded, for tests and for a start with a known group.
+// BootstrapRecords returns the disk records of a voter of the group of these founders, for tests and for a start with a known group.
 func BootstrapRecords(self Member, founders []Member) []Record {
 	m := &message{name: self.Name, disk: self.Disk, group: groupID(founders), members: founders}
 	return []Record{{Key: keyMeta, Value: m.encode(nil)}, hardStateRecord(initialHardState()), snapshotRecord(initialSnapshot(founders))}
--- a/internal/cluster/raftlog/forward.go
+++ b/internal/cluster/raftlog/forward.go
@@ -6,11 +6,11 @@
 	"go.etcd.io/raft/v3"
 )
 
-// forwarding is what became of proposals that went to another pooler, which leads or may know who does.
+// forwarding is the state of the proposals that were forwarded to another pooler, which leads or may know the leader.
 type forwarding struct {
-	forwarded    []forwardedProposal // in the order in which they were sent
+	forwarded    []forwardedProposal // unanswered, in the order in which they were sent
 	nextRef      uint64
-	likelyLeader string
+	likelyLeader string // name of the voter that proposals go to, empty if unknown
 }
 
 type forwardedProposal struct {
@@ -20,7 +20,7 @@
 	deadline    float64
 }
 
-// propose gives an entry to raft where this voter leads, and else to another pooler.
+// propose passes an entry to raft if this voter leads, and otherwise forwards it to another pooler.
 func (l *Log) propose(event Propose) {
 	if !l.acceptProposal(event) {
 		l.actions = append(l.actions, Action{Kind: ProposalDropped, Ref: event.Ref})
@@ -39,14 +39,14 @@
 	return l.forward(event)
 }
 
-// forward sends a proposal to the leader, or to a voter that may know it. It reports whether there is one.
+// forward sends a proposal to the leader, or to a voter that may know the leader. It reports whether there is such a voter.
 func (l *Log) forward(event Propose) bool {
 	to := l.forwardTarget()
 	if l.addresses[to] == "" {
 		return false
 	}
 	if l.nextRef == 0 {
-		l.nextRef = uint64(l.rng.Uint32()) + 1 // answers to a former process of this pooler are not taken
+		l.nextRef = uint64(l.rng.Uint32()) + 1 // so that answers to an earlier process of this pooler match no proposal
 	}
 	l.nextRef++
 	l.likelyLeader = to
@@ -57,7 +57,7 @@
 	return true
 }
 
-// forwardTarget returns the name of the pooler that a proposal goes to, empty for none.
+// forwardTarget returns the name of the pooler to which a proposal is forwarded, empty for none.
 func (l *Log) forwardTarget() string {
 	isMember := l.node != nil && !l.awaitingAdmission
 	switch {
@@ -71,7 +71,7 @@
 	return l.likelyLeader
 }
 
-// nextReachableVoter returns the other voter after one that has an address, empty for none.
+// nextReachableVoter returns the next voter in the settings' order after a voter, other than this one, that has an address; empty for none.
 func (l *Log) nextReachableVoter(after string) string {
 	voters := l.settings.Voters
 	from := slices.Index(voters, after)
@@ -84,7 +84,7 @@
 	return ""
 }
 
-// handleForward takes another pooler's proposal, if this voter leads, and answers.
+// handleForward proposes another pooler's entry if this voter leads, and answers.
 func (l *Log) handleForward(from string, m *message) {
 	validEntry := len(m.data) > 0 && len(m.data) <= MaxEntryBytes
 	if !l.isVoter || from == "" || !validEntry {
@@ -101,7 +101,7 @@
 	l.actions = append(l.actions, Action{Kind: Send, Addr: from, Message: answer.encode(nil)})
 }
 
-// handleForwardResult takes the answer to a forwarded proposal.
+// handleForwardResult handles the answer to a forwarded proposal.
 func (l *Log) handleForwardResult(m *message) {
 	i := slices.IndexFunc(l.forwarded, func(proposal forwardedProposal) bool { return proposal.ref == m.ref })
 	if i < 0 {
@@ -116,12 +116,12 @@
 	l.dropForward(proposal, m.name)
 }
 
-// dropForward drops a proposal, and turns to the pooler that the answer names as the leader, or to the next.
+// dropForward drops a proposal. Later ones go to the leader that the answer named, hint, or to the next voter if the hint cannot be used.
 func (l *Log) dropForward(proposal forwardedProposal, hint string) {
 	if l.likelyLeader == proposal.to {
 		l.likelyLeader = hint
-		useless := hint == "" || hint == proposal.to || hint == l.settings.Self
-		if useless || l.addresses[hint] == "" {
+		unusable := hint == "" || hint == proposal.to || hint == l.settings.Self
+		if unusable || l.addresses[hint] == "" {
 			l.likelyLeader = l.nextReachableVoter(proposal.to)
 		}
 	}
--- a/internal/cluster/raftlog/invariants_test.go
+++ b/internal/cluster/raftlog/invariants_test.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestBrokenInvariantsAreReported breaks the state for each invariant of the log.
+// TestBrokenInvariantsAreReported breaks each invariant of the log, and checks that both breaches are reported.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	all := testMembers()
 	settings := testSettings("a")
@@ -20,7 +20,7 @@
 		t.Fatal(breaches)
 	}
 	third := &pb.Entry{Index: proto.Uint64(3), Term: proto.Uint64(1), Data: []byte("x")}
-	l.apply(&pb.Message{Entries: []*pb.Entry{third}}) // without the second
+	l.apply(&pb.Message{Entries: []*pb.Entry{third}}) // entry 2 was not applied
 	l.term = 9
 	l.Handle(1, Tick{}, nil)
 	if breaches := settings.Checks.Breaches(); len(breaches) != 2 {
--- a/internal/cluster/raftlog/load.go
+++ b/internal/cluster/raftlog/load.go
@@ -12,22 +12,22 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// loaded is what a disk holds.
-type loaded struct {
+// diskContents is the decoded contents of a disk.
+type diskContents struct {
 	identity  *message // nil for a new disk
 	hardState *pb.HardState
 	snapshot  *pb.Snapshot
-	entries   []*pb.Entry // in any order at first
+	entries   []*pb.Entry // unsorted until loadLog
 }
 
-// loadStorage takes what the disk has at the start.
+// loadStorage starts a voter from the contents of its disk.
 func (l *Log) loadStorage(event StorageLoaded) {
 	if l.restored || !l.isVoter {
 		return
 	}
 	l.restored = true
 	if event.Err != nil {
-		l.stop("its disk cannot be read: " + event.Err.Error())
+		l.stop("cannot read the disk: " + event.Err.Error())
 		return
 	}
 	if err := l.loadRecords(event.Records); err != nil {
@@ -45,7 +45,7 @@
 		return l.startNewDisk(len(records))
 	}
 	if disk.identity.name != l.settings.Self {
-		return fmt.Errorf("its disk is %q's, this pooler is %q", disk.identity.name, l.settings.Self)
+		return fmt.Errorf("the disk belongs to voter %q, but this pooler is %q", disk.identity.name, l.settings.Self)
 	}
 	l.self = Member{Name: disk.identity.name, Disk: disk.identity.disk}
 	l.group = disk.identity.group
@@ -61,17 +61,17 @@
 	return nil
 }
 
-func decodeRecords(records []Record) (*loaded, error) {
-	disk := &loaded{hardState: &pb.HardState{}, snapshot: &pb.Snapshot{}}
+func decodeRecords(records []Record) (*diskContents, error) {
+	disk := &diskContents{hardState: &pb.HardState{}, snapshot: &pb.Snapshot{}}
 	for _, record := range records {
 		if err := disk.decodeRecord(record); err != nil {
-			return nil, fmt.Errorf("its disk: record %q: %w", record.Key, err)
+			return nil, fmt.Errorf("cannot decode disk record %q: %w", record.Key, err)
 		}
 	}
 	return disk, nil
 }
 
-func (d *loaded) decodeRecord(record Record) (err error) {
+func (d *diskContents) decodeRecord(record Record) (err error) {
 	switch {
 	case record.Key == keyMeta:
 		d.identity, err = decodeMessage(record.Value)
@@ -87,27 +87,27 @@
 	return err
 }
 
-// startNewDisk draws the number of a disk with nothing on it, and stores whose it is.
+// startNewDisk draws the number of an empty disk, and stores this voter's identity.
 func (l *Log) startNewDisk(records int) error {
 	if records > 0 {
-		return fmt.Errorf("its disk has %d records, but not whose they are", records)
+		return fmt.Errorf("the disk has %d records, but no voter identity", records)
 	}
 	l.self = Member{Name: l.settings.Self, Disk: l.rng.Uint64() | 1}
-	l.writeRecords([]Record{l.identityRecord()}, pendingWrite{then: func() { l.identityStored = true }})
+	l.writeRecords([]Record{l.identityRecord()}, pendingWrite{onDurable: func() { l.identityStored = true }})
 	return nil
 }
 
-// loadLog takes the snapshot, the entries after it and the hard state, which must fit together.
-func (l *Log) loadLog(disk *loaded) error {
+// loadLog loads the snapshot, the entries after it and the hard state, and checks that they are consistent.
+func (l *Log) loadLog(disk *diskContents) error {
 	base := disk.snapshot.GetMetadata().GetIndex()
 	slices.SortFunc(disk.entries, func(a, b *pb.Entry) int { return cmp.Compare(a.GetIndex(), b.GetIndex()) })
-	for len(disk.entries) > 0 && disk.entries[0].GetIndex() <= base { // kept from before the snapshot: the next one deletes them
+	for len(disk.entries) > 0 && disk.entries[0].GetIndex() <= base { // retained from before the snapshot; the next snapshot deletes them
 		l.firstIndex = max(l.firstIndex, disk.entries[0].GetIndex())
 		disk.entries = disk.entries[1:]
 	}
 	for i, entry := range disk.entries {
 		if expected := base + 1 + uint64(i); entry.GetIndex() != expected {
-			return fmt.Errorf("its disk lacks entry %d", expected)
+			return fmt.Errorf("the disk lacks log entry %d", expected)
 		}
 	}
 	l.lastIndex = base + uint64(len(disk.entries))
@@ -115,16 +115,16 @@
 		l.firstIndex = base + 1
 	}
 	if disk.hardState.GetCommit() > l.lastIndex {
-		return fmt.Errorf("its disk knows of %d entries and has %d", disk.hardState.GetCommit(), l.lastIndex)
+		return fmt.Errorf("the disk has committed index %d, but its last log entry is %d", disk.hardState.GetCommit(), l.lastIndex)
 	}
 	if disk.hardState.GetCommit() < base {
 		disk.hardState.Commit = proto.Uint64(base)
 	}
-	return l.fillStorage(disk)
+	return l.fillMemoryStorage(disk)
 }
 
-// fillStorage gives raft what the disk has.
-func (l *Log) fillStorage(disk *loaded) error {
+// fillMemoryStorage copies the contents of the disk to the memory storage from which raft reads.
+func (l *Log) fillMemoryStorage(disk *diskContents) error {
 	l.awaitingAdmission = true
 	if disk.snapshot.GetMetadata().GetIndex() > 0 {
 		if err := l.storage.ApplySnapshot(disk.snapshot); err != nil {
--- a/internal/cluster/raftlog/log.go
+++ b/internal/cluster/raftlog/log.go
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// reservedRaftIDs are the highest numbers, which raft uses itself.
+// reservedRaftIDs is how many of the highest IDs are left to raft's internal use.
 const reservedRaftIDs = 16
 
 // Log is one pooler's side of the replicated log.
@@ -22,18 +22,18 @@
 	nextTickAt    float64
 	rng           *rand.Rand
 	actions       []Action
-	stopReason    string            // why this voter takes no part any more
-	addresses     map[string]string // of voters that can be reached, by name
-	recentSenders map[uint64]string // names of voters that sent messages and are not in members, by raft's number
+	stopReason    string            // why this voter takes no further part, empty while it does
+	addresses     map[string]string // of the voters that can be reached, by name
+	recentSenders map[uint64]string // names of voters that sent messages but are not in members, by raft ID
 
 	// As a voter.
 	isVoter           bool
 	restored          bool
 	self              Member
-	group             uint64 // 0 for none
+	group             uint64 // ID of the group, 0 for none
 	founding          []Member
 	members           []Member // sorted by name, as of the last applied change
-	awaitingAdmission bool     // the log names another disk in this voter's place, or none
+	awaitingAdmission bool     // the log does not name this voter with its disk
 	node              *raft.RawNode
 	storage           *logStorage
 	confState         *pb.ConfState
@@ -41,13 +41,13 @@
 	diskState
 	transfers
 
-	// When to stand for election is drawn here, as raft's own draw cannot be seeded.
+	// The random election timeout is drawn here, as raft's own random source cannot be seeded.
 	ticksWithoutLeader int
 	electionJitter     int // ticks beyond ElectionTicks
 
-	// As reported last.
+	// As last reported by an action.
 	term     uint64
-	leader   uint64 // raft's number, raft.None for nobody
+	leader   uint64 // raft ID, raft.None if unknown
 	isLeader bool
 
 	appliedIndex uint64
@@ -56,7 +56,7 @@
 	forwarding
 }
 
-// raftID is a voter's number for raft.
+// raftID returns the ID by which raft knows a voter: a hash of its name and the number of its disk.
 func (m *Member) raftID() uint64 {
 	var disk [8]byte
 	binary.BigEndian.PutUint64(disk[:], m.Disk)
@@ -64,7 +64,7 @@
 	return min(max(hash, 1), math.MaxUint64-reservedRaftIDs)
 }
 
-// New makes a pooler's log. At a voter nothing is done before StorageLoaded.
+// New returns a pooler's log. A voter does nothing before StorageLoaded.
 func New(settings Settings, now float64) *Log {
 	settings.Voters = slices.Clone(settings.Voters)
 	slices.Sort(settings.Voters)
@@ -82,14 +82,14 @@
 // Next returns when the next Tick is due.
 func (l *Log) Next() float64 { return l.nextTickAt }
 
-// Handle processes one event and appends the actions that it causes. Where raft panics over a state that cannot be, this voter takes no part
-// any more; the pooler goes on.
+// Handle processes one event and appends the actions that it causes. If raft panics because of an impossible state, this voter takes no
+// further part, but the pooler keeps running.
 func (l *Log) Handle(now float64, event Event, actions []Action) (all []Action) {
 	l.now = max(now, l.now)
 	l.actions = actions
 	defer func() {
 		if r := recover(); r != nil {
-			l.stop(fmt.Sprintf("the log's core cannot go on: %v", r))
+			l.stop(fmt.Sprintf("the raft library panicked: %v", r))
 		}
 		all, l.actions = l.actions, nil
 	}()
@@ -123,7 +123,7 @@
 	}
 }
 
-// stop ends this voter's part, for the first reason.
+// stop ends this voter's participation. Only the first reason is kept.
 func (l *Log) stop(reason string) {
 	if l.stopReason != "" {
 		return
@@ -136,7 +136,7 @@
 	l.actions = append(l.actions, Action{Kind: Stopped, Text: reason})
 }
 
-// advanceClock does what is due by now.
+// advanceClock does the work of the ticks that have passed.
 func (l *Log) advanceClock() {
 	ticks := l.countTicks()
 	if ticks == 0 {
@@ -149,7 +149,7 @@
 	l.discover()
 }
 
-// countTicks returns how many ticks have passed, of a long pause no more than an election takes.
+// countTicks returns how many ticks have passed. After a long pause it returns no more than an election takes.
 func (l *Log) countTicks() int {
 	ticks := 0
 	for l.now >= l.nextTickAt {
@@ -162,8 +162,8 @@
 	return ticks
 }
 
-// tickRaft counts ticks. A leader that was suspended counts all that it missed, so that it learns that nobody answered; another voter counts
-// one: it was not the others that were unresponsive.
+// tickRaft passes ticks to raft. A leader that was suspended counts all missed ticks, so that it notices that nobody answered. Any other voter
+// counts one: this process was unresponsive, not the others.
 func (l *Log) tickRaft(ticks int) {
 	wasSuspended := ticks > 2
 	for range ticks {
@@ -180,20 +180,20 @@
 	}
 }
 
-// tickFollower forgets an unresponsive leader, and stands for election some time later.
+// tickFollower forgets a leader that was silent for ElectionTicks, and campaigns after the random part of the election timeout.
 func (l *Log) tickFollower(leader uint64) {
 	l.ticksWithoutLeader++
 	if l.ticksWithoutLeader >= l.settings.ElectionTicks && leader != raft.None {
-		_ = l.node.ForgetLeader() // as raft's own count would: another voter may be voted for now
+		_ = l.node.ForgetLeader() // as raft's own timeout would do: another candidate may now get this voter's vote
 	}
 	if l.ticksWithoutLeader >= l.settings.ElectionTicks+l.electionJitter {
 		l.ticksWithoutLeader = 0
 		l.electionJitter = l.rng.IntN(l.settings.ElectionTicks)
-		_ = l.node.Campaign() // it fails only for one that may not stand
+		_ = l.node.Campaign() // fails only for a voter that may not campaign
 	}
 }
 
-// transferLeadership hands a leader's duty over to the voter that has most of the log.
+// transferLeadership transfers leadership to the active voter whose log is the most complete.
 func (l *Log) transferLeadership() {
 	if l.node == nil || !l.isLeader {
 		return
@@ -226,7 +226,7 @@
 	case l.node != nil:
 		l.addRaftStatus(&status)
 	case status.Reason == "":
-		status.Reason = "it waits for the other voters"
+		status.Reason = "waiting for the other voters to found or admit to a group"
 	}
 	return status
 }
@@ -241,7 +241,7 @@
 	status.AppliedIndex = l.appliedIndex
 	status.ChangingVoters = len(l.confState.GetVotersOutgoing()) > 0
 	if l.awaitingAdmission {
-		status.Reason = "its disk is new, and the others have not agreed to it yet"
+		status.Reason = "the disk is new, and the group has not admitted it yet"
 	}
 	status.FirstIndex, _ = l.storage.FirstIndex()
 	status.LastIndex = max(l.lastIndex, status.FirstIndex-1)
--- a/internal/cluster/raftlog/log_test.go
+++ b/internal/cluster/raftlog/log_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// testMembers are the voters of the tests' group.
+// testMembers returns the voters of the test group.
 func testMembers() []Member {
 	return []Member{{Name: "a", Disk: 1}, {Name: "b", Disk: 2}, {Name: "c", Disk: 3}}
 }
 
-// testSettings are those of a pooler in a group of the voters a, b and c.
+// testSettings returns the settings of a pooler where the voters are a, b and c.
 func testSettings(self string) Settings {
 	settings := Defaults()
 	settings.Voters = []string{"a", "b", "c"}
@@ -22,13 +22,13 @@
 	return settings
 }
 
-// testAddresses are those of all three voters.
+// testAddresses returns the addresses of all three voters.
 func testAddresses() AddressesChanged {
 	return AddressesChanged{Voters: []Address{{Name: "a", Addr: "A"}, {Name: "b", Addr: "B"}, {Name: "c", Addr: "C"}}}
 }
 
-// TestSnapshotArrivesInChunksOrNotAtAll checks that what is too large for a datagram arrives complete, and nothing of it where a chunk is
-// missing, repeated or of another transfer.
+// TestSnapshotArrivesInChunksOrNotAtAll checks that a message too large for a datagram arrives complete, and not at all if a chunk is missing,
+// repeated or of another transfer.
 func TestSnapshotArrivesInChunksOrNotAtAll(t *testing.T) {
 	sender := New(testSettings("a"), 0)
 	receiver := New(testSettings("a"), 0)
@@ -64,24 +64,24 @@
 		t.Fatalf("%d chunks", len(first))
 	}
 	if !bytes.Equal(receive(first...), data) {
-		t.Error("it did not arrive")
+		t.Error("the message did not arrive")
 	}
 	for name, chunks := range map[string][][]byte{
-		"one is missing":             {first[0], first[1], first[3]},
-		"one is repeated":            {first[0], first[1], first[1], first[3]},
-		"one is of another transfer": {first[0], second[1], first[2], first[3]},
+		"a chunk is missing":             {first[0], first[1], first[3]},
+		"a chunk is repeated":            {first[0], first[1], first[1], first[3]},
+		"a chunk is of another transfer": {first[0], second[1], first[2], first[3]},
 	} {
 		if receive(chunks...) != nil {
-			t.Errorf("where %s, a part of it was taken", name)
+			t.Errorf("%s: the incomplete message was accepted", name)
 		}
 	}
 	if !bytes.Equal(receive(second...), data) || len(sender.outgoing) != 0 {
-		t.Error("it did not arrive after that")
+		t.Error("the message did not arrive after incomplete transfers")
 	}
 }
 
-// TestProposalsFollowHintsToTheLeader checks that a pooler that does not vote follows the voters' hints, tries the next voter where none
-// answers, and reports what is dropped.
+// TestProposalsFollowHintsToTheLeader checks that a pooler that does not vote forwards proposals to the leader that a voter named, tries the
+// next voter if there is no answer, and reports dropped proposals.
 func TestProposalsFollowHintsToTheLeader(t *testing.T) {
 	settings := testSettings("x")
 	settings.MaxForwards = 2
@@ -106,7 +106,7 @@
 	}
 	to, m = propose(2, 2)
 	if to != "C" {
-		t.Errorf("the proposal went to %q and not by the hint", to)
+		t.Errorf("the proposal went to %q, not to the named leader at C", to)
 	}
 	accepted := (&message{kind: kindForwardResult, ref: m.ref, flag: true}).encode(nil)
 	if out = l.Handle(3, MessageReceived{From: "C", Message: accepted}, nil); len(out) != 0 {
@@ -115,7 +115,7 @@
 	propose(4, 3)
 	propose(4, 4)
 	if to, _ = propose(4, 5); to != "dropped" {
-		t.Errorf("one more than MaxForwards went to %q", to)
+		t.Errorf("a proposal beyond MaxForwards went to %q", to)
 	}
 	lost := 0
 	for now := 4.0; now < 4+settings.ForwardTimeout()+2*settings.TickInterval; now += settings.TickInterval {
@@ -126,12 +126,12 @@
 		}
 	}
 	if to, _ = propose(3000, 6); lost != 2 || to != "A" {
-		t.Errorf("without answers %d were dropped, and the next went to %q", lost, to)
+		t.Errorf("without answers %d proposals were dropped, and the next went to %q", lost, to)
 	}
 }
 
-// TestCorruptMessagesAreHarmless checks that a message that was encoded is decoded, and that corrupt bytes are an error or a message, never a
-// panic, also in a voter.
+// TestCorruptMessagesAreHarmless checks that an encoded message is decoded to the same one, and that a voter that receives corrupt bytes
+// neither panics nor stops.
 func TestCorruptMessagesAreHarmless(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &message{
@@ -155,8 +155,8 @@
 	})
 }
 
-// TestVoterStopsOnAForeignOrIncompleteDisk checks that a disk of another voter, or one that lacks something, ends the voter's part with one
-// reason.
+// TestVoterStopsOnAForeignOrIncompleteDisk checks that a voter stops, and reports it once, if its disk belongs to another voter or lacks
+// records.
 func TestVoterStopsOnAForeignOrIncompleteDisk(t *testing.T) {
 	all := testMembers()
 	ninth, _ := proto.Marshal(&pb.Entry{Index: proto.Uint64(9), Term: proto.Uint64(1)})
@@ -171,28 +171,28 @@
 			t.Errorf("%s: %+v", name, out)
 		}
 		if out = l.Handle(5000, Tick{}, nil); len(out) != 0 {
-			t.Errorf("%s: it goes on with %+v", name, out)
+			t.Errorf("%s: the stopped voter still requests %+v", name, out)
 		}
 	}
 }
 
-// TestFollowerBehindAChangeAnswersItsLeader checks that a follower that has not applied the change by which its leader's new disk became a
-// voter answers it all the same: otherwise it never learns of the change. Its answers had gone to a name that was not among its members, so
-// nowhere; the leader took it for unresponsive, and as it had a leader it asked nobody either.
-func TestFollowerBehindAChangeAnswersItsLeader(t *testing.T) {
+// TestFollowerAnswersLeaderNotYetInItsMembers checks that a follower answers its leader before it has applied the membership change that
+// admitted the leader's new disk. It guards against a deadlock: the follower found no name for the leader among its members and dropped its
+// answers, the leader considered it unresponsive and never sent the change, and as the follower had a leader, it asked no other voter.
+func TestFollowerAnswersLeaderNotYetInItsMembers(t *testing.T) {
 	all := testMembers()
-	replaced := Member{Name: "b", Disk: 99} // b lost its disk and was admitted with a new one
+	replacement := Member{Name: "b", Disk: 99} // b lost its disk and was admitted with a new one
 	follower := New(testSettings("a"), 0)
 	follower.Handle(0, testAddresses(), nil)
 	follower.Handle(0, StorageLoaded{Records: BootstrapRecords(all[0], all)}, nil)
 	leader := New(testSettings("b"), 0)
-	leader.self = replaced
+	leader.self = replacement
 	leader.group = groupID(all)
 	leader.members = all
 	leader.addresses["a"] = "A"
 	kind := pb.MsgHeartbeat
 	leader.send(&pb.Message{
-		Type: &kind, From: proto.Uint64(replaced.raftID()), To: proto.Uint64(all[0].raftID()), Term: proto.Uint64(5),
+		Type: &kind, From: proto.Uint64(replacement.raftID()), To: proto.Uint64(all[0].raftID()), Term: proto.Uint64(5),
 	})
 	if len(leader.actions) != 1 {
 		t.Fatalf("%+v", leader.actions)
--- a/internal/cluster/raftlog/logger.go
+++ b/internal/cluster/raftlog/logger.go
@@ -6,13 +6,14 @@
 	"go.etcd.io/raft/v3"
 )
 
-// silentLogger is raft's logger. What matters is reported by actions; where raft cannot go on it panics, and the voter stops (Log.Handle).
+// silentLogger is the logger given to raft. It discards messages, as actions report what matters, and panics where raft cannot go on, which
+// stops the voter (Log.Handle).
 type silentLogger struct{}
 
-// The memory storage of raft uses the package's logger, whatever raft.Config has.
+// The memory storage of raft uses the package's logger, not the one of raft.Config.
 func init() { raft.SetLogger(silentLogger{}) }
 
-// The methods of raft.Logger.
+// These methods implement raft.Logger.
 
 func (silentLogger) Debug(...any)            {}
 func (silentLogger) Debugf(string, ...any)   {}
--- a/internal/cluster/raftlog/membership.go
+++ b/internal/cluster/raftlog/membership.go
@@ -10,7 +10,8 @@
 
 func compareNames(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// proposeMember proposes a voter with a new disk, in place of the member of its name, or of one that the settings do not name any more.
+// proposeMember proposes to add a voter with a new disk, in place of the member with the same name, or of one that the settings no longer
+// name.
 func (l *Log) proposeMember(added Member) {
 	changing := len(l.confState.GetVotersOutgoing()) > 0
 	if l.now < l.nextMemberAt || slices.Contains(l.members, added) || changing {
@@ -31,10 +32,10 @@
 	members = append(members, added)
 	slices.SortFunc(members, compareNames)
 	change := &pb.ConfChangeV2{Changes: changes, Context: (&message{members: members}).encode(nil)}
-	_ = l.node.ProposeConfChange(change) // if it is dropped, the voter asks again
+	_ = l.node.ProposeConfChange(change) // if the proposal is dropped, the voter asks again
 }
 
-// memberReplacedBy returns the index of the member whose place a voter takes, -1 for none where there is a free place.
+// memberReplacedBy returns the index of the member that a voter replaces, -1 if it fills a free place. allowed is false if there is neither.
 func (l *Log) memberReplacedBy(added Member) (index int, allowed bool) {
 	index = slices.IndexFunc(l.members, func(member Member) bool { return member.Name == added.Name })
 	if index >= 0 || len(l.members) < len(l.settings.Voters) {
@@ -44,18 +45,18 @@
 	return index, index >= 0
 }
 
-// applyConfChange applies a change of voters. A new voter needs a snapshot that names it.
+// applyConfChange applies a membership change and forces a snapshot, as a new voter needs one that names it.
 func (l *Log) applyConfChange(entry *pb.Entry) {
 	change := &pb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
-		l.stop("a change of voters: " + err.Error())
+		l.stop("cannot decode a membership change: " + err.Error())
 		return
 	}
 	l.confState = l.node.ApplyConfChange(change)
 	if len(change.GetContext()) > 0 {
 		m, err := decodeMessage(change.GetContext())
 		if err != nil {
-			l.stop("a change of voters: " + err.Error())
+			l.stop("cannot decode a membership change: " + err.Error())
 			return
 		}
 		l.members = m.members
@@ -63,5 +64,5 @@
 		l.actions = append(l.actions, Action{Kind: VotersChanged, Index: entry.GetIndex(), Members: l.members})
 	}
 	l.snapshotForced = true
-	l.storage.stale = true
+	l.storage.snapshotOutdated = true
 }
--- a/internal/cluster/raftlog/mux.go
+++ b/internal/cluster/raftlog/mux.go
@@ -6,49 +6,49 @@
 	"beechgrade/internal/encoding"
 )
 
-// The first bytes of entries, by the user whose they are. They are stored; 3 is not used any more.
+// The first byte of an entry identifies its user. The values are stored on disks; 3 was used by an earlier version.
 const (
 	CounterEntries byte = 1
 	CreditEntries  byte = 2
 	ZoneEntries    byte = 4
 )
 
-// MachineMux is a Machine of several: an entry's first byte says whose it is. Other entries are skipped, in the same way at each voter
-// that has the same users.
+// MachineMux is a Machine that passes each entry to the Machine of the user that the entry's first byte identifies. It skips entries of
+// unknown users, which gives the same state at all voters with the same users.
 type MachineMux struct {
 	kinds    []byte
 	machines []Machine
 }
 
-// Add gives entries that begin with a byte to a machine, without that byte.
-func (x *MachineMux) Add(kind byte, machine Machine) {
-	x.kinds = append(x.kinds, kind)
-	x.machines = append(x.machines, machine)
+// Add registers the machine for the entries whose first byte is kind. The machine receives them without that byte.
+func (m *MachineMux) Add(kind byte, machine Machine) {
+	m.kinds = append(m.kinds, kind)
+	m.machines = append(m.machines, machine)
 }
 
-// Apply gives an entry to its machine.
-func (x *MachineMux) Apply(index uint64, entry []byte) {
-	for i, kind := range x.kinds {
+// Apply passes an entry to its machine.
+func (m *MachineMux) Apply(index uint64, entry []byte) {
+	for i, kind := range m.kinds {
 		if len(entry) > 0 && entry[0] == kind {
-			x.machines[i].Apply(index, entry[1:])
+			m.machines[i].Apply(index, entry[1:])
 		}
 	}
 }
 
 // Snapshot encodes the snapshots of all machines as a protobuf message, with the machines' first bytes as field numbers.
-func (x *MachineMux) Snapshot() []byte {
+func (m *MachineMux) Snapshot() []byte {
 	var b []byte
-	for i, kind := range x.kinds {
-		b = encoding.AppendBytesField(b, protowire.Number(kind), x.machines[i].Snapshot())
+	for i, kind := range m.kinds {
+		b = encoding.AppendBytesField(b, protowire.Number(kind), m.machines[i].Snapshot())
 	}
 	return b
 }
 
-// Restore restores all machines; one that the snapshot does not have, to the state before the first entry.
-func (x *MachineMux) Restore(snapshot []byte) error {
-	parts := make([][]byte, len(x.machines))
+// Restore restores all machines. A machine that is not in the snapshot gets its state before the first entry.
+func (m *MachineMux) Restore(snapshot []byte) error {
+	parts := make([][]byte, len(m.machines))
 	err := encoding.Fields(snapshot, malformed, func(field encoding.Field) error {
-		for i, kind := range x.kinds {
+		for i, kind := range m.kinds {
 			if protowire.Number(kind) == field.Number {
 				parts[i] = field.Bytes
 			}
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	for i, machine := range x.machines {
+	for i, machine := range m.machines {
 		if err := machine.Restore(parts[i]); err != nil {
 			return err
 		}
--- a/internal/cluster/raftlog/raft.go
+++ b/internal/cluster/raftlog/raft.go
@@ -9,28 +9,29 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of what raft does at a time.
+// Limits given to raft.
 const (
-	maxMessageBytes     = 1000 // of entries in a message, unless one entry is larger
-	maxInflightMessages = 256  // messages of entries to one voter that are not answered
-	maxApplyBytes       = 1 << 20
+	maxMessageBytes     = 1000    // of entries in a message, unless one entry is larger
+	maxInflightMessages = 256     // unanswered messages with entries to one voter
+	maxApplyBytes       = 1 << 20 // of entries that are applied at a time
 )
 
-// logStorage is what raft reads of the log. While a change of voters has no snapshot after it, there is no snapshot for a new voter.
+// logStorage is the memory storage from which raft reads the log. After a membership change it has no snapshot for a new voter until one that
+// includes the change is taken.
 type logStorage struct {
 	*raft.MemoryStorage
-	stale bool
+	snapshotOutdated bool // the last snapshot is older than the last membership change
 }
 
-// Snapshot returns the last snapshot; it is a method of raft.Storage.
+// Snapshot returns the last snapshot; it implements raft.Storage.
 func (s *logStorage) Snapshot() (*pb.Snapshot, error) {
-	if s.stale {
+	if s.snapshotOutdated {
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
 	return s.MemoryStorage.Snapshot()
 }
 
-// startRaft starts raft on what the disk has.
+// startRaft starts raft on the loaded storage, whose entries up to applied are in the Machine's snapshot.
 func (l *Log) startRaft(applied uint64) {
 	node, err := raft.NewRawNode(&raft.Config{
 		ID:                        l.self.raftID(),
@@ -57,7 +58,7 @@
 	l.appliedIndex = applied
 }
 
-// receive takes a message of another pooler. What is malformed is dropped.
+// receive handles a message of another pooler. Malformed messages are dropped.
 func (l *Log) receive(event MessageReceived) {
 	m, err := decodeMessage(event.Message)
 	if err != nil {
@@ -77,7 +78,7 @@
 	}
 }
 
-// receiveRaft takes a message of raft's, or a part of one.
+// receiveRaft handles a raft message, or a chunk of one.
 func (l *Log) receiveRaft(m *message) {
 	if l.node == nil || m.group != l.group || m.to != l.self.raftID() {
 		return
@@ -96,7 +97,7 @@
 	}
 }
 
-// stepRaft gives raft a message of another voter, if it is of a type that voters send. Raft ignores what does not fit its state.
+// stepRaft passes another voter's message to raft, if it is of a type that voters send. Raft ignores messages that do not fit its state.
 func (l *Log) stepRaft(r *pb.Message) {
 	switch r.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
@@ -110,14 +111,14 @@
 		after := l.node.BasicStatus()
 		isNewVote := before.GetVote() != after.GetVote() || before.GetTerm() != after.GetTerm()
 		if after.GetVote() == r.GetFrom() && isNewVote {
-			l.ticksWithoutLeader = 0 // the candidate gets the time to win
+			l.ticksWithoutLeader = 0 // gives the candidate the time to win
 		}
 	case pb.MsgAppResp, pb.MsgVoteResp, pb.MsgPreVote, pb.MsgPreVoteResp, pb.MsgHeartbeatResp, pb.MsgTimeoutNow:
 		_ = l.node.Step(r)
 	}
 }
 
-// processReady carries out what raft asks for, and reports a change of leader.
+// processReady processes the messages that raft has ready, and reports a change of leader.
 func (l *Log) processReady() {
 	for l.node != nil && l.node.HasReady() {
 		ready := l.node.Ready()
@@ -144,7 +145,7 @@
 	}
 }
 
-// reportLeader reports that this voter leads, in each term, or whom it follows.
+// reportLeader reports that this voter leads, once in each term, or a change of the leader that it follows.
 func (l *Log) reportLeader() {
 	status := l.node.BasicStatus()
 	term := status.GetTerm()
@@ -165,17 +166,18 @@
 	}
 }
 
-// rememberSender keeps who sent a message, if members does not have it: a voter with a new disk, which was admitted by entries that are not
-// applied here yet. It must be answered, or they never come. One that the log does not admit is never counted by raft.
+// rememberSender records the sender of a message if it is not in members: it may be a voter with a new disk that was admitted by entries not
+// yet applied here. It must be answered, as it may be the leader, without whom those entries never arrive. Raft never counts a sender that the
+// log does not admit.
 func (l *Log) rememberSender(m *message) {
 	if !slices.Contains(l.settings.Voters, m.name) || l.nameOf(m.from) != "" {
 		return
 	}
-	maps.DeleteFunc(l.recentSenders, func(_ uint64, name string) bool { return name == m.name }) // one disk for each name
+	maps.DeleteFunc(l.recentSenders, func(_ uint64, name string) bool { return name == m.name }) // at most one disk for each name
 	l.recentSenders[m.from] = m.name
 }
 
-// nameOf returns the name of a voter by raft's number, empty for one that is not known.
+// nameOf returns the name of the voter with a raft ID, empty if it is unknown.
 func (l *Log) nameOf(id uint64) string {
 	for i := range l.members {
 		if l.members[i].raftID() == id {
@@ -185,7 +187,7 @@
 	return l.recentSenders[id]
 }
 
-// send sends a message of raft's to a voter.
+// send sends a raft message to a voter.
 func (l *Log) send(r *pb.Message) {
 	data, err := proto.Marshal(r)
 	if err != nil {
@@ -207,7 +209,7 @@
 	}
 }
 
-// apply hands committed entries over.
+// apply delivers committed entries.
 func (l *Log) apply(m *pb.Message) {
 	for _, entry := range m.GetEntries() {
 		l.applyEntry(entry)
--- a/internal/cluster/raftlog/replica.go
+++ b/internal/cluster/raftlog/replica.go
@@ -1,12 +1,13 @@
 package raftlog
 
-// Replica is a Log with the Machine that its entries go to.
+// Replica is a Log with the Machine to which it applies its entries.
 type Replica struct {
 	*Log
 	Machine Machine
 }
 
-// Handle is Log.Handle. When it returns, what goes to the Machine has gone there, in its order; the actions say so all the same.
+// Handle calls Log.Handle and applies the entries, the snapshots and the snapshot requests of its actions to the Machine, in order. The
+// actions that it returns include these.
 func (r *Replica) Handle(now float64, event Event, actions []Action) []Action {
 	from := len(actions)
 	actions = r.Log.Handle(now, event, actions)
@@ -16,7 +17,7 @@
 			r.Machine.Apply(action.Index, action.Entry)
 		case ApplySnapshot:
 			if err := r.Machine.Restore(action.Data); err != nil {
-				actions = r.stopWith("a snapshot: "+err.Error(), actions)
+				actions = r.stopWith("the state machine cannot restore a snapshot: "+err.Error(), actions)
 			}
 		case TakeSnapshot:
 			actions = r.Log.Handle(now, SnapshotTaken{Index: action.Index, Data: r.Machine.Snapshot()}, actions)
@@ -25,7 +26,7 @@
 	return actions
 }
 
-// stopWith stops the log and appends the action that says so.
+// stopWith stops the log and appends the Stopped action.
 func (r *Replica) stopWith(reason string, actions []Action) []Action {
 	r.actions = actions
 	r.stop(reason)
--- a/internal/cluster/raftlog/snapshots.go
+++ b/internal/cluster/raftlog/snapshots.go
@@ -9,14 +9,14 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// noLimit is more bytes than any log has.
+// noLimit is a size in bytes that no log reaches.
 const noLimit = 1 << 40
 
-// installSnapshot hands a snapshot's state over to the Machine.
+// installSnapshot delivers a snapshot's state to the Machine, and takes the voters from it.
 func (l *Log) installSnapshot(snapshot *pb.Snapshot) error {
 	m, err := decodeMessage(snapshot.GetData())
 	if err != nil {
-		return fmt.Errorf("a snapshot: %w", err)
+		return fmt.Errorf("cannot decode a snapshot: %w", err)
 	}
 	metadata := snapshot.GetMetadata()
 	l.members = m.members
@@ -28,13 +28,13 @@
 	l.logBytes = 0
 	l.snapshotIndex = 0
 	l.snapshotForced = false
-	l.storage.stale = false
+	l.storage.snapshotOutdated = false
 	l.awaitingAdmission = !slices.Contains(l.members, l.self)
 	l.actions = append(l.actions, Action{Kind: ApplySnapshot, Index: l.appliedIndex, Term: l.appliedTerm, Data: m.data})
 	return nil
 }
 
-// requestSnapshotIfDue asks for the Machine's snapshot once there is enough after the last.
+// requestSnapshotIfDue requests a snapshot of the Machine once enough entries or bytes follow the last one, or the voters have changed.
 func (l *Log) requestSnapshotIfDue() {
 	large := l.entriesSinceSnapshot >= l.settings.SnapshotEntries || l.bytesSinceSnapshot >= l.settings.SnapshotBytes
 	if l.snapshotIndex != 0 || !large && !l.snapshotForced {
@@ -49,14 +49,14 @@
 	l.actions = append(l.actions, Action{Kind: TakeSnapshot, Index: l.appliedIndex})
 }
 
-// saveSnapshot writes a snapshot, and drops entries long before it.
+// saveSnapshot stores a snapshot, and deletes the entries that are more than KeepEntries before it.
 func (l *Log) saveSnapshot(event SnapshotTaken) {
 	if l.node == nil || l.snapshotIndex == 0 || event.Index != l.snapshotIndex {
 		return
 	}
 	l.snapshotIndex = 0
 	if len(event.Data) > MaxSnapshotBytes {
-		l.stop(fmt.Sprintf("a snapshot of %d bytes; at most %d", len(event.Data), MaxSnapshotBytes))
+		l.stop(fmt.Sprintf("the snapshot has %d bytes, more than the maximum of %d", len(event.Data), MaxSnapshotBytes))
 		return
 	}
 	data := (&message{members: l.snapshotMembers, data: event.Data}).encode(nil)
@@ -69,7 +69,7 @@
 		return
 	}
 	if !l.snapshotForced {
-		l.storage.stale = false
+		l.storage.snapshotOutdated = false
 	}
 	records := []Record{snapshotRecord(snapshot)}
 	if keep := uint64(l.settings.KeepEntries); event.Index > keep {
@@ -80,10 +80,10 @@
 	l.requestSnapshotIfDue()
 }
 
-// compactMemory drops the entries up to an index from memory, if they are there, and counts anew what remains.
+// compactMemory drops the entries up to an index from memory, if there are any, and recomputes logBytes.
 func (l *Log) compactMemory(upTo uint64) {
 	if err := l.storage.Compact(upTo); err != nil {
-		return // nothing to drop
+		return // there are no such entries
 	}
 	l.logBytes = 0
 	first, _ := l.storage.FirstIndex()
--- a/internal/cluster/raftlog/storage.go
+++ b/internal/cluster/raftlog/storage.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The keys of the records on a disk: whose it is, raft's hard state, the snapshot, and the entries by their index.
+// The keys of the records on a disk: the voter's identity, raft's hard state, the snapshot, and the prefix of the keys of the entries.
 const (
 	keyMeta      = "meta"
 	keyHardState = "hard"
@@ -18,26 +18,26 @@
 
 func entryKey(index uint64) string { return fmt.Sprintf("%s%016x", keyEntry, index) }
 
-// diskState is what a voter's disk has once the pending writes are done.
+// diskState describes a voter's disk as it is once the pending writes are done, and its snapshots.
 type diskState struct {
 	pendingWrites        []pendingWrite
-	lastRef              uint64 // of a Store or of a Send by stream
-	firstIndex           uint64 // of the entries that are there; firstIndex > lastIndex for none
+	lastRef              uint64 // of the last Store or Send by stream
+	firstIndex           uint64 // of the entries on the disk; firstIndex > lastIndex if there are none
 	lastIndex            uint64
 	entriesSinceSnapshot int
 	bytesSinceSnapshot   int
 	logBytes             int           // of entries in memory
-	snapshotIndex        uint64        // of the snapshot that the Machine is asked for, 0 for none
-	snapshotConf         *pb.ConfState // ...and the voters then
+	snapshotIndex        uint64        // of the snapshot that was requested from the Machine, 0 for none
+	snapshotConf         *pb.ConfState // the voters at snapshotIndex, as snapshotMembers
 	snapshotMembers      []Member
-	snapshotForced       bool // a snapshot is due whatever its size: the voters have changed
+	snapshotForced       bool // a snapshot is due regardless of size, as the voters have changed
 }
 
-// pendingWrite is a write that waits for the disk, and what follows it.
+// pendingWrite is a write that waits for the disk, with what is done when it is durable.
 type pendingWrite struct {
-	ref     uint64
-	message *pb.Message // raft's, nil for none
-	then    func()
+	ref       uint64
+	message   *pb.Message // the raft message that requested the write, nil for none
+	onDurable func()
 }
 
 func (l *Log) writeRecords(records []Record, write pendingWrite) {
@@ -47,7 +47,7 @@
 	l.actions = append(l.actions, Action{Kind: Store, Ref: write.ref, Records: records})
 }
 
-// storeAppend writes what raft wants to be durable.
+// storeAppend writes the hard state, the snapshot and the entries that raft requests to be stored.
 func (l *Log) storeAppend(m *pb.Message) {
 	var records []Record
 	if m.Term != nil || m.Vote != nil || m.Commit != nil {
@@ -65,7 +65,7 @@
 	l.writeRecords(records, pendingWrite{message: m})
 }
 
-// appendEntries appends records of entries, and the deletion of those behind them: a new leader replaces the end of the log.
+// appendEntries appends the records of entries, and deletes the stored entries after them, as a new leader may replace the end of the log.
 func (l *Log) appendEntries(records []Record, entries []*pb.Entry) []Record {
 	last := entries[len(entries)-1].GetIndex()
 	for index := last + 1; index <= l.lastIndex; index++ {
@@ -81,7 +81,7 @@
 	return records
 }
 
-// deleteEntries appends the deletion of the entries up to an index.
+// deleteEntries appends records that delete the stored entries up to an index.
 func (l *Log) deleteEntries(records []Record, upTo uint64) []Record {
 	for ; l.firstIndex <= min(upTo, l.lastIndex); l.firstIndex++ {
 		records = append(records, Record{Key: entryKey(l.firstIndex), Deleted: true})
@@ -89,7 +89,7 @@
 	return records
 }
 
-// marshal encodes a message of raft's, which has no field that could fail.
+// marshal encodes a raft message. None of its fields can fail to encode.
 func marshal(m proto.Message) []byte {
 	b, _ := proto.Marshal(m)
 	return b
@@ -103,34 +103,34 @@
 	return Record{Key: keySnapshot, Value: marshal(snapshot)}
 }
 
-// identityRecord is whose disk it is.
+// identityRecord returns the record of the voter that the disk belongs to, and of its group.
 func (l *Log) identityRecord() Record {
 	m := &message{name: l.self.Name, disk: l.self.Disk, group: l.group, members: l.founding}
 	return Record{Key: keyMeta, Value: m.encode(nil)}
 }
 
-// storeCompleted goes on with what waited for a write.
+// storeCompleted does what waited for a write, and sends the messages that may be sent only after it.
 func (l *Log) storeCompleted(event StoreCompleted) {
 	if l.stopReason != "" {
 		return
 	}
 	if event.Err != nil {
-		l.stop("its disk failed: " + event.Err.Error())
+		l.stop("writing to the disk failed: " + event.Err.Error())
 		return
 	}
 	if len(l.pendingWrites) == 0 || l.pendingWrites[0].ref != event.Ref {
-		l.stop(fmt.Sprintf("the disk told of write %d out of turn", event.Ref))
+		l.stop(fmt.Sprintf("the disk reported the completion of write %d out of order", event.Ref))
 		return
 	}
 	write := l.pendingWrites[0]
 	l.pendingWrites = append(l.pendingWrites[:0], l.pendingWrites[1:]...)
-	if write.then != nil {
-		write.then()
+	if write.onDurable != nil {
+		write.onDurable()
 	}
 	if write.message == nil || l.node == nil {
 		return
 	}
-	if err := l.takeStored(write.message); err != nil {
+	if err := l.updateMemoryStorage(write.message); err != nil {
 		l.stop(err.Error())
 		return
 	}
@@ -143,8 +143,8 @@
 	}
 }
 
-// takeStored lets raft read what has become durable.
-func (l *Log) takeStored(m *pb.Message) error {
+// updateMemoryStorage adds what has become durable to the memory storage from which raft reads.
+func (l *Log) updateMemoryStorage(m *pb.Message) error {
 	if snapshot := m.GetSnapshot(); snapshot != nil && !raft.IsEmptySnap(snapshot) {
 		if err := l.storage.ApplySnapshot(snapshot); err != nil {
 			return err
--- a/internal/cluster/raftlog/transfer.go
+++ b/internal/cluster/raftlog/transfer.go
@@ -6,22 +6,22 @@
 	"go.etcd.io/raft/v3"
 )
 
-// maxChunks bounds the chunks of a snapshot with what raft adds to it.
+// maxChunks bounds the chunks of a snapshot message, with 1 MiB for what raft adds to the snapshot.
 const maxChunks = (MaxSnapshotBytes+(1<<20))/MaxChunkBytes + 1
 
-// transfers are snapshots on their way in chunks: one to each voter, one to this.
+// transfers are the snapshots that are being sent in chunks, one to each voter, and the one that is being received.
 type transfers struct {
 	outgoing     []*outgoingTransfer
 	incoming     incomingTransfer
 	lastTransfer uint64
 }
 
-// outgoingTransfer is a message that is too large for a datagram; each chunk follows when the one before has arrived.
+// outgoingTransfer is a message that is too large for a datagram. Each chunk is sent once the previous one has arrived.
 type outgoingTransfer struct {
 	message   *message
 	to        string // the voter's name
-	sequence  uint64 // tells this process's transfers apart
-	ref       uint64 // of the chunk on its way
+	sequence  uint64 // distinguishes the transfers of this process
+	ref       uint64 // of the chunk that is being sent
 	nextChunk int
 }
 
@@ -33,7 +33,7 @@
 	data      []byte
 }
 
-// startTransfer sends a message in chunks, in place of one that is on its way to the same voter.
+// startTransfer starts to send a message in chunks. It cancels an unfinished transfer to the same voter.
 func (l *Log) startTransfer(m *message) {
 	l.outgoing = slices.DeleteFunc(l.outgoing, func(transfer *outgoingTransfer) bool { return transfer.message.to == m.to })
 	l.lastTransfer++
@@ -42,7 +42,7 @@
 	l.sendChunk(transfer)
 }
 
-// sendChunk sends the next chunk.
+// sendChunk sends the next chunk; it fails the transfer if the voter cannot be reached.
 func (l *Log) sendChunk(transfer *outgoingTransfer) {
 	addr := l.addresses[transfer.to]
 	if addr == "" {
@@ -65,7 +65,7 @@
 	return uint64(max(1, (len(t.message.data)+MaxChunkBytes-1)/MaxChunkBytes))
 }
 
-// chunkSent goes on once a chunk has arrived.
+// chunkSent sends the next chunk once one has arrived, or finishes the transfer.
 func (l *Log) chunkSent(event StreamCompleted) {
 	i := slices.IndexFunc(l.outgoing, func(transfer *outgoingTransfer) bool { return transfer.ref == event.Ref })
 	if i < 0 {
@@ -80,7 +80,7 @@
 	l.sendChunk(transfer)
 }
 
-// finishTransfer ends a transfer and tells raft how.
+// finishTransfer ends a transfer and reports its result to raft.
 func (l *Log) finishTransfer(transfer *outgoingTransfer, ok bool) {
 	l.outgoing = slices.DeleteFunc(l.outgoing, func(other *outgoingTransfer) bool { return other == transfer })
 	status := raft.SnapshotFailure
@@ -92,8 +92,8 @@
 	}
 }
 
-// receiveChunk adds a chunk to the incoming transfer, and returns the whole message with the last one, nil before. A chunk that is not the
-// next is dropped; the first of another transfer begins that.
+// receiveChunk adds a chunk to the incoming transfer. It returns the complete message with the last chunk, and nil before. It drops a chunk
+// that is not the next one; the first chunk of another transfer replaces the current transfer.
 func (l *Log) receiveChunk(m *message) []byte {
 	incoming := &l.incoming
 	if m.chunk == 0 && m.count <= maxChunks {
