--- a/internal/cluster/raftlog/adapter/adapter.go
+++ b/internal/cluster/raftlog/adapter/adapter.go
@@ -1,5 +1,5 @@
-// Package adapter connects the replicated log (package raftlog) to its pooler. It is a module of the cluster (package module) with a disk of
-// its own. The daemon and the simulator use the same adapter.
+// Package adapter connects the replicated log (package raftlog) to its pooler. It is a module of the cluster (package module) with a disk
+// of its own. The daemon and the simulator use the same adapter.
 package adapter
 
 import (
@@ -80,8 +80,8 @@
 // Decode returns the message unchanged, as the log decodes it; it implements module.Module.
 func (a *Adapter) Decode(body []byte) (any, error) { return body, nil }
 
-// UpdateMembers takes over the members of the cluster; it implements module.Module. Of several processes with a voter's name, the youngest one
-// that has not left is the voter.
+// UpdateMembers takes over the members of the cluster; it implements module.Module. Of several processes with a voter's name, the youngest
+// one that has not left is the voter.
 func (a *Adapter) UpdateMembers(self view.ID, members []view.Record, _ view.Counts) {
 	var addresses raftlog.AddressesChanged
 	for _, voter := range a.options.Settings.Voters {
--- a/internal/cluster/raftlog/api.go
+++ b/internal/cluster/raftlog/api.go
@@ -33,8 +33,8 @@
 	Entry []byte
 }
 
-// StorageLoaded carries all records on the disk, in any order. A voter receives it once, before any other event. With an Err the pooler does
-// not vote.
+// StorageLoaded carries all records on the disk, in any order. A voter receives it once, before any other event. With an Err the pooler
+// does not vote.
 type StorageLoaded struct {
 	Records []Record
 	Err     error
--- a/internal/cluster/raftlog/counter/counter.go
+++ b/internal/cluster/raftlog/counter/counter.go
@@ -1,5 +1,5 @@
-// Package counter is the simplest user of the replicated log: it counts each numbered entry of each proposer once, and keeps a checksum over
-// the counted entries in their order. Two counters that have counted the same number of entries have equal checksums, which tests,
+// Package counter is the simplest user of the replicated log: it counts each numbered entry of each proposer once, and keeps a checksum
+// over the counted entries in their order. Two counters that have counted the same number of entries have equal checksums, which tests,
 // measurements and fleets with test entries use to compare voters.
 package counter
 
--- a/internal/cluster/raftlog/log.go
+++ b/internal/cluster/raftlog/log.go
@@ -162,8 +162,8 @@
 	return ticks
 }
 
-// tickRaft passes ticks to raft. A leader that was suspended counts all missed ticks, so that it notices that nobody answered. Any other voter
-// counts one: this process was unresponsive, not the others.
+// tickRaft passes ticks to raft. A leader that was suspended counts all missed ticks, so that it notices that nobody answered. Any other
+// voter counts one: this process was unresponsive, not the others.
 func (l *Log) tickRaft(ticks int) {
 	wasSuspended := ticks > 2
 	for range ticks {
--- a/internal/cluster/raftlog/log_test.go
+++ b/internal/cluster/raftlog/log_test.go
@@ -27,8 +27,8 @@
 	return AddressesChanged{Voters: []Address{{Name: "a", Addr: "A"}, {Name: "b", Addr: "B"}, {Name: "c", Addr: "C"}}}
 }
 
-// TestSnapshotArrivesInChunksOrNotAtAll checks that a message too large for a datagram arrives complete, and not at all if a chunk is missing,
-// repeated or of another transfer.
+// TestSnapshotArrivesInChunksOrNotAtAll checks that a message too large for a datagram arrives complete, and not at all if a chunk is
+// missing, repeated or of another transfer.
 func TestSnapshotArrivesInChunksOrNotAtAll(t *testing.T) {
 	sender := New(testSettings("a"), 0)
 	receiver := New(testSettings("a"), 0)
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestProposalsFollowHintsToTheLeader checks that a pooler that does not vote forwards proposals to the leader that a voter named, tries the
-// next voter if there is no answer, and reports dropped proposals.
+// TestProposalsFollowHintsToTheLeader checks that a pooler that does not vote forwards proposals to the leader that a voter named, tries
+// the next voter if there is no answer, and reports dropped proposals.
 func TestProposalsFollowHintsToTheLeader(t *testing.T) {
 	settings := testSettings("x")
 	settings.MaxForwards = 2
--- a/internal/cluster/raftlog/membership.go
+++ b/internal/cluster/raftlog/membership.go
@@ -35,7 +35,8 @@
 	_ = l.node.ProposeConfChange(change) // if the proposal is dropped, the voter asks again
 }
 
-// memberReplacedBy returns the index of the member that a voter replaces, -1 if it fills a free place. allowed is false if there is neither.
+// memberReplacedBy returns the index of the member that a voter replaces, -1 if it fills a free place. allowed is false if there is
+// neither.
 func (l *Log) memberReplacedBy(added Member) (index int, allowed bool) {
 	index = slices.IndexFunc(l.members, func(member Member) bool { return member.Name == added.Name })
 	if index >= 0 || len(l.members) < len(l.settings.Voters) {
--- a/internal/cluster/raftlog/raft.go
+++ b/internal/cluster/raftlog/raft.go
@@ -16,8 +16,8 @@
 	maxApplyBytes       = 1 << 20 // of entries that are applied at a time
 )
 
-// logStorage is the memory storage from which raft reads the log. After a membership change it has no snapshot for a new voter until one that
-// includes the change is taken.
+// logStorage is the memory storage from which raft reads the log. After a membership change it has no snapshot for a new voter until one
+// that includes the change is taken.
 type logStorage struct {
 	*raft.MemoryStorage
 	snapshotOutdated bool // the last snapshot is older than the last membership change
@@ -166,9 +166,9 @@
 	}
 }
 
-// rememberSender records the sender of a message if it is not in members: it may be a voter with a new disk that was admitted by entries not
-// yet applied here. It must be answered, as it may be the leader, without whom those entries never arrive. Raft never counts a sender that the
-// log does not admit.
+// rememberSender records the sender of a message if it is not in members: it may be a voter with a new disk that was admitted by entries
+// not yet applied here. It must be answered, as it may be the leader, without whom those entries never arrive. Raft never counts a sender
+// that the log does not admit.
 func (l *Log) rememberSender(m *message) {
 	if !slices.Contains(l.settings.Voters, m.name) || l.nameOf(m.from) != "" {
 		return
--- a/internal/cluster/raftlog/settings.go
+++ b/internal/cluster/raftlog/settings.go
@@ -39,8 +39,8 @@
 	return min(1, float64(len(s.Voters)-1)*(2*delay+write+s.TickInterval)/(float64(s.ElectionTicks)*s.TickInterval))
 }
 
-// ProposalBound bounds the time in ms from a proposal until it is applied where it was made, while there is a leader and losses messages are
-// lost in a row.
+// ProposalBound bounds the time in ms from a proposal until it is applied where it was made, while there is a leader and losses messages
+// are lost in a row.
 func (s *Settings) ProposalBound(delay, write float64, losses int) float64 {
 	return 4*delay + 2*write + float64(losses)*(float64(s.HeartbeatTicks+1)*s.TickInterval+2*delay)
 }
--- a/internal/cluster/view/api.go
+++ b/internal/cluster/view/api.go
@@ -10,20 +10,20 @@
 	randomMask = 1<<randomBits - 1
 )
 
-// NewID makes the ID of a process that started at a time in Unix ms, from a random number.
+// NewID returns the ID of a process that started at startMs, in Unix ms. Of random only the low 16 bits are used.
 func NewID(startMs float64, random uint64) ID {
 	return ID(uint64(startMs)<<randomBits | random&randomMask)
 }
 
-// State is the state that a process is believed to be in.
+// State is the state of a process as far as a view knows.
 type State uint8
 
 // The states. Within an incarnation a later one overrides an earlier one.
 const (
 	Alive   State = iota
-	Suspect       // it did not answer, and may refute that
-	Failed        // it crashed or is cut off: nobody can tell which
-	Left          // it announced its end, or another process has taken its place; it never returns
+	Suspect       // did not answer, and may refute the suspicion
+	Failed        // crashed or is cut off; the two cannot be distinguished
+	Left          // announced its end, or was replaced by another process; final
 )
 
 // String returns the state's name in logs and answers.
@@ -31,7 +31,7 @@
 	return [...]string{"alive", "suspect", "failed", "left"}[min(s, Left)]
 }
 
-// Record is what is known of one process. The JSON keys are fixed.
+// Record is what a view knows of one process. The JSON keys are fixed.
 type Record struct {
 	ID          ID     `json:"ID"`
 	Name        string `json:"Name"`
@@ -41,18 +41,18 @@
 	Version     string `json:"Version"`
 	Incarnation uint32 `json:"Inc"` // raised by the process itself, to refute a suspicion or announce a change
 	State       State  `json:"State"`
-	Draining    bool   `json:"Draining"` // announced by the process itself: it accepts no more clients
+	Draining    bool   `json:"Draining"` // announced by the process itself, which then accepts no more clients
 }
 
 // Bounds of received records.
 const (
 	MaxRecords   = 2000 // processes in a view, including those that failed or left
-	MaxNameBytes = 64   // of each text of a record
+	MaxNameBytes = 64   // of each string of a record
 )
 
-const recordOverheadBytes = 32 // of a record beside its texts
+const recordOverheadBytes = 32 // size of a record without its strings
 
-// Size returns about how many bytes the record takes in a message.
+// Size returns the approximate size in bytes of the record in a message.
 func (r *Record) Size() int {
 	return recordOverheadBytes + len(r.Name) + len(r.Addr) + len(r.Zone) + len(r.Region) + len(r.Version)
 }
@@ -72,7 +72,7 @@
 const (
 	Ping        Kind = iota // asks for an Ack
 	Ack                     // answers a Ping
-	PingRequest             // asks for a Ping to the Target on the sender's behalf
+	PingRequest             // asks the receiver to send a Ping to the Target on the sender's behalf
 	Gossip                  // carries records only
 )
 
@@ -80,7 +80,7 @@
 type Message struct {
 	Kind     Kind
 	From     ID
-	Sequence uint32 // of the Ping or PingRequest that is sent or answered
+	Sequence uint32 // number of the Ping or PingRequest that is sent or answered
 	Target   ID     // the receiver of a Ping, the subject of a PingRequest, the sender of an Ack
 	Records  []Record
 }
@@ -94,13 +94,13 @@
 // Received is a message that arrived.
 type Received struct{ Message *Message }
 
-// ExchangeCompleted carries the other side's records of a full exchange, whichever side started it.
+// ExchangeCompleted carries the records that the other side sent in a full exchange, whichever side started it.
 type ExchangeCompleted struct{ Records []Record }
 
 // SetDraining announces whether this process accepts clients.
 type SetDraining struct{ Draining bool }
 
-// Leave announces that this process ends, and sends nothing to servers any more.
+// Leave announces that this process ends and no longer sends anything to servers.
 type Leave struct{}
 
 func (Tick) event()              {}
@@ -117,7 +117,7 @@
 	Send          ActionKind = iota // send Message to Addr
 	StartExchange                   // start a full exchange with Addr
 	RecordChanged                   // Record is new (IsNew) or changed; Previous is its state before
-	NameConflict                    // another process uses this one's name, as Text says
+	NameConflict                    // another process uses this one's name; Text describes the conflict
 )
 
 // Action is something that a view asks its caller to do.
@@ -133,8 +133,8 @@
 
 // Counts summarize a view. The JSON keys are fixed.
 type Counts struct {
-	Reachable int  `json:"Reachable"` // this process, and those that answer
-	Sending   int  `json:"Sending"`   // this process, and those that may be sending to servers
+	Reachable int  `json:"Reachable"` // number of processes that answer, and this one
+	Sending   int  `json:"Sending"`   // number of processes that may be sending to servers, this one included
 	Majority  bool `json:"Majority"`  // more than half of the expected processes can be reached
 	Isolated  bool `json:"Alone"`     // nobody has answered for a while
 }
--- a/internal/cluster/view/clone.go
+++ b/internal/cluster/view/clone.go
@@ -52,8 +52,8 @@
 	return &clone
 }
 
-// StateKey returns a text that is equal for two views which act alike from now on, except for their random numbers. Times are relative
-// to now.
+// StateKey returns a string that is equal for two views that behave the same from now on, except for their random numbers. Times in it
+// are relative to now.
 func (v *View) StateKey() string {
 	var b strings.Builder
 	ago := func(at float64) float64 { return max(-1, min(v.now-at, maxKeyTimeMs)) }
--- a/internal/cluster/view/invariants.go
+++ b/internal/cluster/view/invariants.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/invariant"
 )
 
-// CheckInvariants makes the view check its invariants, once in interval events.
+// CheckInvariants makes the view check its invariants once every interval events.
 func (v *View) CheckInvariants(checks *invariant.Checks, interval int) {
 	v.checks, v.checkInterval = checks, interval
 }
@@ -20,13 +20,13 @@
 	checks.That(ownRecord, "view: this process is alive in its own view", describe(v.self))
 	checks.That(len(v.members) <= MaxRecords, "view: the number of members is bounded", func() string { return fmt.Sprint(len(v.members)) })
 	for id, peer := range v.members {
-		filed := peer.ID == id && peer.ringPosition == ringPosition(id)
-		checks.That(filed, "view: each member is filed by its ID", describe(peer))
+		indexed := peer.ID == id && peer.ringPosition == ringPosition(id)
+		checks.That(indexed, "view: each member is indexed by its ID", describe(peer))
 		if peer.State == Suspect {
 			checks.That(peer.suspicionEnds > 0, "view: a suspicion has an end", describe(peer))
 		}
 		unavailable := peer.State >= Failed
-		checks.That(unavailable == (peer.unavailableSince > 0), "view: members that failed or left have the time of it", describe(peer))
+		checks.That(unavailable == (peer.unavailableSince > 0), "view: members that failed or left have the time when they did", describe(peer))
 	}
 	v.checkLists(checks)
 	v.checkReferences(checks)
@@ -39,21 +39,21 @@
 		byState[peer.State]++
 	}
 	suspects, running, failed := byState[Suspect], byState[Alive]+byState[Suspect], byState[Failed]
-	checks.That(suspects == v.suspectCount, "view: suspects are counted", func() string { return fmt.Sprintf("%d, counted %d", suspects, v.suspectCount) })
+	checks.That(suspects == v.suspectCount, "view: the count of suspects is correct", func() string { return fmt.Sprintf("%d suspects, counted %d", suspects, v.suspectCount) })
 
 	const ringOrder = "view: the ring has each running member once, in order"
 	sorted := slices.IsSortedFunc(v.ring, comparePositions)
 	checks.That(sorted && len(v.ring) == running, ringOrder, func() string {
-		return fmt.Sprintf("%d on it, %d run, in order: %v", len(v.ring), running, sorted)
+		return fmt.Sprintf("%d members on the ring, %d running, in order: %v", len(v.ring), running, sorted)
 	})
 	for i, peer := range v.ring {
 		repeated := i > 0 && v.ring[i-1] == peer
 		checks.That(v.members[peer.ID] == peer && peer.State <= Suspect && !repeated, ringOrder, describe(peer))
 	}
 	for _, peer := range v.failed {
-		checks.That(v.members[peer.ID] == peer && peer.State == Failed, "view: members to reconnect to have failed", describe(peer))
+		checks.That(v.members[peer.ID] == peer && peer.State == Failed, "view: only failed members are reconnected to", describe(peer))
 	}
-	checks.That(len(v.failed) == failed, "view: all failed members are to be reconnected to", func() string {
+	checks.That(len(v.failed) == failed, "view: all failed members are reconnected to", func() string {
 		return fmt.Sprintf("%d listed, %d failed", len(v.failed), failed)
 	})
 }
@@ -75,8 +75,8 @@
 		ordered[sequence] = true
 	}
 	for sequence, pending := range v.probes {
-		checks.That(ordered[sequence], "view: each pending probe has an end", func() string {
-			return fmt.Sprintf("%d of %x", sequence, uint64(pending.member.ID))
+		checks.That(ordered[sequence], "view: each pending probe is in the probe order", func() string {
+			return fmt.Sprintf("probe %d of %x", sequence, uint64(pending.member.ID))
 		})
 	}
 }
--- a/internal/cluster/view/probes.go
+++ b/internal/cluster/view/probes.go
@@ -6,35 +6,36 @@
 	isolatedProbes     = 16 // peers that an isolated process probes in a round
 	maxReconnects      = 4  // failed peers that are probed in a round
 	isolationIntervals = 3  // probe intervals without any answer after which a process is isolated
-	maxWatchFactor     = 8  // times WatchedPeers: peers that are probed where many do not answer
-	drawsPerPeer       = 4  // random draws for each peer that is wanted
+	maxWatchFactor     = 8  // times WatchedPeers: bound of the peers probed in a round if many do not answer
+	drawsPerPeer       = 4  // random draws for each requested peer
 )
 
-// probe is one that waits for its answer.
+// probe is a probe that waits for its answer.
 type probe struct {
 	member          *member
 	sentAt          float64
 	indirect        bool   // other processes were asked to probe too
-	reconnect       bool   // its member has failed
-	onBehalfOf      ID     // the process that asked for it, 0 for none
+	reconnect       bool   // sent to find out whether a failed member runs again
+	onBehalfOf      ID     // the process that sent the PingRequest for it, 0 for none
 	requestSequence uint32 // of that process's PingRequest
 }
 
-// resumeAfterPause drops what this process concluded while it did not run, late ms after its tick: nobody could answer it.
-func (v *View) resumeAfterPause(late float64) {
+// resumeAfterPause is called if a tick comes overdue ms late, as this process was paused. It drops the conclusions from unanswered probes,
+// as this process could receive no answers, and extends suspicions.
+func (v *View) resumeAfterPause(overdue float64) {
 	v.probes, v.probeOrder = map[uint32]*probe{}, nil
-	v.noAccusationsUntil = v.now + v.settings.PauseGrace
+	v.noSuspicionsUntil = v.now + v.settings.PauseGrace
 	for _, peer := range v.ring {
 		peer.missedProbes = 0
 		if peer.State == Suspect {
-			peer.suspicionEnds += late + v.settings.SuspicionTimeout
+			peer.suspicionEnds += overdue + v.settings.SuspicionTimeout
 		}
 	}
 }
 
-// confirmedByOthers reports whether a process other than peer has answered since a time, so that this process's own links work.
+// confirmedByOthers reports whether a process other than peer has answered since a time, which shows that this process's own links work.
 func (v *View) confirmedByOthers(peer *member, since float64) bool {
-	if v.now < v.noAccusationsUntil {
+	if v.now < v.noSuspicionsUntil {
 		return false
 	}
 	at := v.lastAck
@@ -49,18 +50,18 @@
 	return v.now-max(v.lastAck, v.lastAckFromOther, v.startedAt) > isolationIntervals*v.settings.ProbeInterval
 }
 
-// probeWatchedPeers probes the peers that this process watches. An isolated process goes round the whole ring instead.
+// probeWatchedPeers probes the peers that this process watches. An isolated process probes the peers of the whole ring in turn instead.
 func (v *View) probeWatchedPeers() {
-	own := slices.Index(v.ring, v.self)
+	selfIndex := slices.Index(v.ring, v.self)
 	n := len(v.ring)
 	if v.isolated() {
-		v.probeAroundRing(own)
+		v.probeAroundRing(selfIndex)
 		return
 	}
 	watched := 0
 	limit := maxWatchFactor * v.settings.WatchedPeers
 	for k := 1; k < n && watched < v.settings.WatchedPeers && k <= limit; k++ {
-		peer := v.ring[(own+k)%n]
+		peer := v.ring[(selfIndex+k)%n]
 		v.sendProbe(probe{member: peer})
 		if peer.reachable() {
 			watched++
@@ -68,18 +69,18 @@
 	}
 }
 
-func (v *View) probeAroundRing(own int) {
+func (v *View) probeAroundRing(selfIndex int) {
 	n := len(v.ring)
 	for range min(isolatedProbes, n-1) {
 		v.nextOnRing++
 		if v.nextOnRing%n == 0 { // this process itself
 			v.nextOnRing++
 		}
-		v.sendProbe(probe{member: v.ring[(own+v.nextOnRing)%n]})
+		v.sendProbe(probe{member: v.ring[(selfIndex+v.nextOnRing)%n]})
 	}
 }
 
-// sendProbe pings the member of a probe.
+// sendProbe sends a Ping to the member of a probe, and adds it to the pending probes.
 func (v *View) sendProbe(p probe) {
 	v.sequence++
 	p.sentAt = v.now
@@ -88,7 +89,7 @@
 	v.send(p.member, &Message{Kind: Ping, Sequence: v.sequence, Target: p.member.ID})
 }
 
-// randomPeers draws up to n peers of the ring, other than this process and one more.
+// randomPeers draws up to n peers from the ring, excluding this process and except.
 func (v *View) randomPeers(n int, except *member) (peers []*member) {
 	for range drawsPerPeer * n {
 		if len(peers) == n || len(v.ring) < 2 {
@@ -102,7 +103,7 @@
 	return peers
 }
 
-// reconnect probes failed peers in turn, and contacts a seed where this process knows nobody or is isolated.
+// reconnect probes failed peers in turn. It contacts a seed if this process has not been contacted yet or is isolated.
 func (v *View) reconnect() {
 	if n := len(v.failed); n > 0 {
 		for range min(maxReconnects, 1+n/max(1, len(v.ring)), n) {
@@ -115,7 +116,7 @@
 	}
 }
 
-// contactSeed starts an exchange with the next seed that is not this process.
+// contactSeed starts a full exchange with the next seed that is not this process.
 func (v *View) contactSeed() {
 	seeds := v.settings.SeedAddresses
 	for range seeds {
@@ -127,7 +128,7 @@
 	}
 }
 
-// handleProbeTimeouts escalates or ends the probes that have no answer.
+// handleProbeTimeouts continues with indirect probes, or ends, the probes that timed out.
 func (v *View) handleProbeTimeouts() {
 	remaining := v.probeOrder[:0]
 	for _, sequence := range v.probeOrder {
@@ -139,7 +140,7 @@
 	v.probeOrder = remaining
 }
 
-// continueProbe ends a probe after two timeouts, and tries indirect probes after the first. It reports whether the probe still waits.
+// continueProbe sends indirect probes after one ProbeTimeout, and ends the probe after two. It reports whether the probe is still pending.
 func (v *View) continueProbe(sequence uint32, pending *probe) bool {
 	age := v.now - pending.sentAt
 	forOthers := pending.onBehalfOf != 0 || pending.reconnect
@@ -160,7 +161,7 @@
 	return true
 }
 
-// probeFailed records that a peer answered neither directly nor through others.
+// probeFailed records that a peer answered neither directly nor indirectly.
 func (v *View) probeFailed(pending *probe) {
 	peer := pending.member
 	peer.missedProbes++
@@ -170,7 +171,7 @@
 	}
 }
 
-// expireSuspicions marks the suspects failed that did not refute the suspicion in time.
+// expireSuspicions marks the suspects as failed that did not refute the suspicion in time.
 func (v *View) expireSuspicions() {
 	if v.suspectCount == 0 {
 		return
@@ -195,7 +196,7 @@
 		return
 	}
 	if sender := v.members[message.From]; sender != nil {
-		v.noteContact(sender)
+		v.recordContact(sender)
 	}
 	for i := range message.Records {
 		v.applyRecord(&message.Records[i])
@@ -209,7 +210,7 @@
 	case Ack:
 		v.handleAck(message)
 	}
-	if sender != nil && sender.State == Failed { // it runs, and may know other processes that were given up too
+	if sender != nil && sender.State == Failed { // it runs, and may know of other running processes that are marked failed here
 		v.requestExchange(sender, v.settings.ReconnectInterval)
 	}
 }
@@ -219,7 +220,7 @@
 	case sender == nil:
 	case message.Target == v.self.ID:
 		v.send(sender, &Message{Kind: Ack, Sequence: message.Sequence, Target: v.self.ID})
-	default: // the sender looks for a previous process at this address
+	default: // the sender probes an earlier process at this address
 		v.requestExchange(sender, v.settings.ReconnectInterval)
 	}
 }
@@ -243,7 +244,7 @@
 		v.lastAckFromOther, v.lastAckFrom = v.lastAck, message.From
 	}
 	v.lastAck = v.now
-	if pending.member.ID != message.Target { // a helper acknowledged the request, the target has not answered
+	if pending.member.ID != message.Target { // a helper acknowledged the PingRequest; the target has not answered
 		return
 	}
 	delete(v.probes, message.Sequence)
--- a/internal/cluster/view/records.go
+++ b/internal/cluster/view/records.go
@@ -15,7 +15,7 @@
 	return out
 }
 
-// applyRecord takes a received record over, where it is newer than the known one.
+// applyRecord applies a received record if it is newer than the known one.
 func (v *View) applyRecord(record *Record) {
 	if !record.Valid() {
 		v.rejectedRecords++
@@ -55,7 +55,7 @@
 	}
 }
 
-// refute raises this process's incarnation where a record calls it suspect or failed, or has a later incarnation.
+// refute raises this process's incarnation if a record marks it suspect or failed, or has a higher incarnation.
 func (v *View) refute(record *Record) {
 	accused := record.State == Suspect || record.State == Failed
 	if record.Incarnation > v.self.Incarnation || accused && record.Incarnation == v.self.Incarnation {
@@ -63,7 +63,7 @@
 	}
 }
 
-// enterState sets the times and counters that go with a peer's new state.
+// enterState sets the times and counters that depend on a peer's new state.
 func (v *View) enterState(peer *member) {
 	switch peer.State {
 	case Alive:
@@ -71,7 +71,7 @@
 		peer.unavailableSince = 0
 	case Suspect:
 		v.suspectCount++
-		peer.unavailableSince = 0 // this record is newer than a failure: the process ran in between
+		peer.unavailableSince = 0 // the record is newer than a failure, so the process ran in between
 		peer.suspicionEnds = v.now + v.settings.SuspicionTimeout
 	default:
 		if peer.unavailableSince == 0 {
@@ -84,7 +84,7 @@
 	return cmp.Or(cmp.Compare(a.ringPosition, b.ringPosition), cmp.Compare(a.ID, b.ID))
 }
 
-// updateLists puts a peer on the ring, or among the failed ones, or on neither, by its state.
+// updateLists adds a peer to the ring or to the failed peers, or removes it from them, according to its state.
 func (v *View) updateLists(peer *member) {
 	at, onRing := slices.BinarySearchFunc(v.ring, peer, comparePositions)
 	switch runs := peer.State <= Suspect; {
@@ -108,7 +108,7 @@
 	v.enqueueUpdate(v.self)
 }
 
-// removeExpired forgets the processes that failed or left longer ago than Retention.
+// removeExpired removes the processes that failed or left at least Retention ago.
 func (v *View) removeExpired() {
 	if v.now < v.nextCleanup {
 		return
--- a/internal/cluster/view/settings.go
+++ b/internal/cluster/view/settings.go
@@ -5,22 +5,22 @@
 // Settings configure a view. Times are in ms.
 type Settings struct {
 	ProbeInterval     float64  // between two probes of a peer by a process that watches it
-	ProbeTimeout      float64  // for a direct answer, and again for an indirect one
+	ProbeTimeout      float64  // for a direct answer, and again for an indirect answer
 	WatchedPeers      int      // peers that each process watches
-	IndirectProbes    int      // processes that are asked to probe where there is no direct answer
-	Confirmations     int      // other processes that must have answered lately before this one suspects a peer; 0 suits a fleet of two only
-	PauseGrace        float64  // a process that was paused suspects nobody for so long
-	SuspicionTimeout  float64  // from a suspicion until a failure
+	IndirectProbes    int      // processes that are asked to probe a peer that does not answer directly
+	Confirmations     int      // unless 0, another process must have answered lately before a peer is suspected; 0 is for fleets of two only
+	PauseGrace        float64  // time for which a process that was paused suspects nobody
+	SuspicionTimeout  float64  // from a suspicion to a failure
 	GossipInterval    float64  // between rounds of gossip
 	GossipFanout      int      // processes that a round goes to
 	ExchangeInterval  float64  // between full exchanges with a random process
 	ReconnectInterval float64  // between probes of failed processes, and between attempts to reach a seed
-	Retention         float64  // a failed process is probed and remembered for so long
-	SendingTimeout    float64  // a process that cannot be reached may still be sending to servers for so long
+	Retention         float64  // time for which a failed process is probed and remembered
+	SendingTimeout    float64  // time for which a process that cannot be reached may still be sending to servers
 	TickInterval      float64  // the resolution of timers
 	MaxRecordBytes    int      // of records in a datagram
-	ExpectedPoolers   int      // 0 where that is not known
-	SeedAddresses     []string // where other processes may be reached first
+	ExpectedPoolers   int      // 0 if unknown
+	SeedAddresses     []string // addresses at which a new process tries to reach others
 	RandomSeed        uint64
 }
 
@@ -45,14 +45,14 @@
 	}
 }
 
-// rareCases is the reciprocal of the probability with which DetectionBound may be exceeded.
+// rareCases is the reciprocal of the probability that DetectionBound is exceeded.
 const rareCases = 1e6
 
-// gossipRounds returns the rounds of gossip after which news has reached n processes.
+// gossipRounds returns the number of gossip rounds after which an update has reached n processes.
 func gossipRounds(n int) float64 { return math.Ceil(math.Log2(float64(max(2, n)))) }
 
-// PropagationBound bounds, in ms, the time until news has reached all n processes that can reach one another, with messages that take
-// delay ms at most.
+// PropagationBound bounds, in ms, the time until an update has reached all n processes that can reach one another, with messages that
+// take at most delay ms.
 func (s *Settings) PropagationBound(n int, delay float64) float64 {
 	return s.GossipInterval*(gossipRounds(n)+2) + delay
 }
@@ -65,7 +65,7 @@
 		run = math.Min(float64(f), longestRun)
 	}
 	rounds := math.Ceil(run / float64(s.WatchedPeers))
-	if f > 1 { // the processes that were asked for indirect probes may have crashed too
+	if f > 1 { // the processes that are asked for indirect probes may have crashed too
 		rounds++
 	}
 	return rounds*(s.ProbeInterval+2*s.ProbeTimeout+2*delay+2*s.TickInterval) + s.SuspicionTimeout + s.TickInterval +
@@ -73,7 +73,7 @@
 }
 
 // ConvergenceBound bounds, in ms, the time from the last fault until all views of n processes are equal and correct, where f processes
-// were wrongly marked failed. lossy is true where messages were lost.
+// were wrongly marked failed. lossy is true if messages were lost.
 func (s *Settings) ConvergenceBound(n, f int, delay float64, lossy bool) float64 {
 	reconnectRounds := math.Ceil(float64(f) / float64(maxReconnects*max(1, n-f)))
 	ms := s.DetectionBound(n, f, delay) + 2*s.ReconnectInterval*reconnectRounds + 3*s.PropagationBound(n, delay)
--- a/internal/cluster/view/updates.go
+++ b/internal/cluster/view/updates.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	updateRepeats  = 3  // an update is sent so many times the binary logarithm of the ring's size
-	minRecordBytes = 40 // with less capacity no further record is tried
+	updateRepeats  = 3  // an update is sent this many times the binary logarithm of the ring's size
+	minRecordBytes = 40 // with less remaining capacity no further record is tried
 )
 
-// update is a record that spreads by gossip.
+// update is a record that is spread by gossip.
 type update struct {
 	member    *member
 	timesSent int
 	sequence  uint32
 }
 
-// enqueueUpdate makes a peer's record spread from the beginning.
+// enqueueUpdate puts a peer's record first among the updates, as not sent yet.
 func (v *View) enqueueUpdate(peer *member) {
 	v.sequence++
 	i := slices.IndexFunc(v.updates, func(u *update) bool { return u.member == peer })
@@ -32,7 +32,7 @@
 	v.updates[0] = first
 }
 
-// attachUpdates adds updates to a message to a peer, up to a capacity in bytes, those that were sent least first.
+// attachUpdates adds updates to a message to a peer, up to a capacity in bytes; the least often sent ones go first.
 func (v *View) attachUpdates(message *Message, to *member, capacity int) {
 	v.removeSpreadUpdates()
 	attached := false
@@ -54,7 +54,7 @@
 	}
 }
 
-// removeSpreadUpdates drops the updates that were sent often enough.
+// removeSpreadUpdates drops the updates that were sent as often as required to reach all processes.
 func (v *View) removeSpreadUpdates() {
 	maxSends := updateRepeats * bits.Len(uint(len(v.ring)))
 	v.updates = slices.DeleteFunc(v.updates, func(u *update) bool { return u.timesSent >= maxSends })
@@ -66,8 +66,8 @@
 	v.emit(Action{Kind: Send, Addr: peer.Addr, Message: message})
 }
 
-// attachRecords fills in a message's sender and its records. This process's own record comes first where the peer may not know it and
-// could not answer, then the suspicion against the peer itself, then updates.
+// attachRecords sets a message's sender and records: first this process's own record if the peer may not know it and could not answer,
+// then the peer's own record if it is marked suspect or failed, so that it can refute that, then updates.
 func (v *View) attachRecords(peer *member, message *Message) {
 	message.From = v.self.ID
 	capacity := v.settings.MaxRecordBytes
@@ -112,7 +112,7 @@
 	}
 	other := records[0].ID
 	if peer := v.members[other]; peer != nil && peer != v.self {
-		v.noteContact(peer)
+		v.recordContact(peer)
 	}
 	for i := range records {
 		v.applyRecord(&records[i])
--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxCountsAgeMs is the age at which counts are made again though no record changed: time alone can change them.
+// maxCountsAgeMs is the age at which counts are recomputed even if no record has changed, as time alone can change them.
 const maxCountsAgeMs = 250
 
-// unreachableProbes is how many probes in a row a peer may miss before it counts as unreachable.
+// unreachableProbes is the number of missed probes in a row from which a peer counts as unreachable.
 const unreachableProbes = 2
 
 // View is one process's view of the fleet. It is not safe for concurrent use.
@@ -25,12 +25,12 @@
 	self      *member
 	members   map[ID]*member
 	byAddress map[string]*member // the youngest known process at each address
-	ring      []*member          // those that are alive or suspect, this process included, by ringPosition
+	ring      []*member          // the alive and suspect members, this process included, by ringPosition
 	failed    []*member
 
 	updates      []*update
-	probes       map[uint32]*probe // by sequence number
-	probeOrder   []uint32          // the numbers of probes, the oldest first
+	probes       map[uint32]*probe // pending probes, by sequence number
+	probeOrder   []uint32          // sequence numbers of probes, the oldest first
 	sequence     uint32
 	nextFailed   int // index in failed
 	nextOnRing   int // offset on the ring, while isolated
@@ -38,23 +38,23 @@
 	suspectCount int
 
 	// Times, in ms.
-	startedAt          float64
-	lastTick           float64
-	nextProbe          float64
-	nextGossip         float64
-	nextExchange       float64
-	nextReconnect      float64
-	nextCleanup        float64
-	noAccusationsUntil float64 // after a pause of this process
-	lastAck            float64
-	lastAckFrom        ID
-	lastAckFromOther   float64 // the last Ack of a process other than lastAckFrom
-	lastExchange       map[ID]float64
+	startedAt         float64
+	lastTick          float64
+	nextProbe         float64
+	nextGossip        float64
+	nextExchange      float64
+	nextReconnect     float64
+	nextCleanup       float64
+	noSuspicionsUntil float64 // set after a pause of this process
+	lastAck           float64
+	lastAckFrom       ID
+	lastAckFromOther  float64 // the last Ack of a process other than lastAckFrom
+	lastExchange      map[ID]float64
 
 	counts          Counts
 	countedAt       float64
 	countsStale     bool
-	contacted       bool // a message of another process arrived
+	contacted       bool // a message of another process has arrived
 	hasLeft         bool
 	rejectedRecords int
 
@@ -68,16 +68,16 @@
 	Record
 	ringPosition     uint64
 	suspicionEnds    float64
-	unavailableSince float64 // it failed or left then; 0 while it is alive or suspect
-	missedProbes     int     // probes of this process that it did not answer, in a row
-	lastContact      float64 // its last message to this process
-	conflictReported bool    // that it uses this process's name
+	unavailableSince float64 // when it failed or left; 0 while it is alive or suspect
+	missedProbes     int     // probes by this process in a row that it did not answer
+	lastContact      float64 // time of its last message to this process
+	conflictReported bool    // a NameConflict with this process was reported
 }
 
 // reachable reports whether a peer answers this process.
 func (m *member) reachable() bool { return m.State == Alive && m.missedProbes < unreachableProbes }
 
-// New returns the view of a process that knows nobody else, at time now in ms.
+// New returns the view of a process that knows no other process, at time now in ms.
 func New(settings Settings, self Record, now float64) *View {
 	pcg := rand.NewPCG(settings.RandomSeed, uint64(self.ID))
 	v := &View{
@@ -98,7 +98,7 @@
 	return v
 }
 
-// ringPosition returns the place of an ID on the ring.
+// ringPosition returns the position of an ID on the ring.
 func ringPosition(id ID) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(id))
@@ -138,10 +138,10 @@
 func (v *View) emit(action Action) { v.actions = append(v.actions, action) }
 
 func (v *View) tick() {
-	late := v.now - v.lastTick - v.settings.TickInterval
+	overdue := v.now - v.lastTick - v.settings.TickInterval
 	v.lastTick = v.now
-	if late > v.settings.ProbeTimeout {
-		v.resumeAfterPause(late)
+	if overdue > v.settings.ProbeTimeout {
+		v.resumeAfterPause(overdue)
 	}
 	v.handleProbeTimeouts()
 	if v.now >= v.nextReconnect {
@@ -166,8 +166,8 @@
 	v.removeExpired()
 }
 
-// noteContact records that a message of a peer itself arrived.
-func (v *View) noteContact(peer *member) {
+// recordContact records that a message from a peer has arrived.
+func (v *View) recordContact(peer *member) {
 	peer.lastContact = v.now
 	v.contacted = true
 	if peer.Name == v.self.Name && peer.Addr != v.self.Addr && peer.State != Left {
@@ -175,7 +175,7 @@
 	}
 }
 
-// leave announces to all that this process ends.
+// leave announces to all running peers that this process ends.
 func (v *View) leave() {
 	v.self.State = Left
 	for _, peer := range v.ring {
@@ -187,7 +187,7 @@
 	v.hasLeft = true
 }
 
-// Counts returns the view's counts, at most maxCountsAgeMs old.
+// Counts returns the view's counts, which are at most maxCountsAgeMs old.
 func (v *View) Counts() Counts {
 	if !v.countsStale && v.now-v.countedAt < maxCountsAgeMs {
 		return v.counts
@@ -228,5 +228,5 @@
 // Self returns this process's record.
 func (v *View) Self() Record { return v.self.Record }
 
-// RejectedRecords returns how many received records were invalid, or did not fit in the view.
+// RejectedRecords returns how many received records were rejected because they were invalid or the view was full.
 func (v *View) RejectedRecords() int { return v.rejectedRecords }
