--- a/internal/cluster/quota/api.go
+++ b/internal/cluster/quota/api.go
@@ -6,14 +6,14 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// ID identifies a process, as in the view.
+// ID identifies a process, as in package view.
 type ID = view.ID
 
-// Peer is a process that can be reached, by the view.
+// Peer is a process that can be reached according to the view.
 type Peer struct {
 	ID       ID
 	Addr     string
-	Draining bool // it owns no limit, where there are others
+	Draining bool // it is not selected as an owner unless there is no other process
 }
 
 // Event is an input of a Quota.
@@ -25,14 +25,14 @@
 // Received is a message that arrived.
 type Received struct{ Message *Message }
 
-// MembersChanged reports the processes that can be reached, this one included, and how many may be sending.
+// MembersChanged reports the processes that can be reached, this one included, and how many poolers may be sending to servers.
 type MembersChanged struct {
 	Peers          []Peer
 	SendingPoolers int
 }
 
-// Demand reports what this pooler would use of a limit if it might, and what it uses, in the limit's own unit. Used must follow each
-// SetAllowance of a Concurrency limit soon.
+// Demand reports how much of a limit this pooler would use if it were not limited, and how much it uses, in the limit's own unit. After
+// each SetAllowance of a Concurrency limit the caller must report Used soon.
 type Demand struct {
 	Limit  string
 	Wanted float64
@@ -42,7 +42,7 @@
 // LimitsChanged replaces the limits.
 type LimitsChanged struct{ Limits []Limit }
 
-// Leave reports that this process uses nothing any more.
+// Leave reports that this process no longer uses any limit.
 type Leave struct{}
 
 func (Tick) event()           {}
@@ -58,11 +58,11 @@
 // The message kinds.
 const (
 	LeaseRequest MessageKind = iota // to the owner
-	LeaseAnswer                     // of the owner, to a LeaseRequest
-	LeaseRecall                     // of the owner: use no more than Units, and send a LeaseRequest
+	LeaseAnswer                     // from the owner, to a LeaseRequest
+	LeaseRecall                     // from the owner: use no more than Units, and send a LeaseRequest
 )
 
-// Message goes between two processes.
+// Message is a message between two processes.
 type Message struct {
 	Kind  MessageKind
 	From  ID
@@ -72,28 +72,28 @@
 
 // Item is the part of a message about one limit.
 type Item struct {
-	LimitHash    uint64 // of the limit's name
-	Sequence     uint32 // of the request
-	Epoch        uint32 // of the owner
-	OwnerTime    float64
-	Vote         bool // in a request: a vote for the owner, by the Epoch and OwnerTime that it gave; in an answer: a lease of Units
-	SoonEven     bool // the limit has this guarantee
-	LastTaken    uint32
+	LimitHash    uint64  // of the limit's name
+	Sequence     uint32  // of the request
+	Epoch        uint32  // of the owner
+	OwnerTime    float64 // the owner's clock, in ms: of the answer, or of the answer that a vote refers to
+	Vote         bool    // in a request: a vote for the owner of Epoch and OwnerTime; in an answer: a lease of Units
+	SoonEven     bool    // the limit has this guarantee
+	LastTaken    uint32  // in a request: number of the request whose answer the sender accepted last
 	UnitsInUse   int     // in a request: units that are or may be in use
-	RemainingMs  float64 // in a request: how long these may still be used
+	RemainingMs  float64 // in a request: how long the lease may still be used
 	Demand       float64 // in a request: as a part of the limit
-	Units        int
-	Pool         int     // that the units are of: those of a sender with other settings do not count
-	AllAccounted bool    // in an answer: no more than the Pool is leased
+	Units        int     // in an answer: leased units; in a recall: the most units to keep
+	Pool         int     // size of the sender's pool; votes and leases of a sender with another size are ignored
+	AllAccounted bool    // in an answer: all leases are accounted for, so no more than the Pool is leased
 	Share        float64 // in an answer, SoonEven: as a part of the limit
 }
 
-const maxItemUnits = MaxUnits * 256 // by the settings of any version
+const maxItemUnits = MaxUnits * 256 // accepted from poolers of any version
 
 // valid reports whether the numbers of a received item are in their ranges.
 func (item *Item) valid() bool {
-	for _, x := range [...]float64{item.OwnerTime, item.RemainingMs, item.Demand, item.Share} {
-		if !finite(x) {
+	for _, number := range [...]float64{item.OwnerTime, item.RemainingMs, item.Demand, item.Share} {
+		if !finite(number) {
 			return false
 		}
 	}
@@ -111,7 +111,7 @@
 // The actions.
 const (
 	Send         ActionKind = iota // send Message to Addr
-	SetAllowance                   // from now on this pooler may use Amount of Limit, with Burst
+	SetAllowance                   // this pooler may use Amount of Limit, with Burst, until the next one
 )
 
 // Action is something that a Quota asks its caller to do.
@@ -128,16 +128,16 @@
 type Status struct {
 	Limit     Limit
 	Amount    float64 // that this process may use
-	Reserved  float64 // that it may use unconditionally
+	Reserved  float64 // that this process may use unconditionally
 	LeaseEnds float64 // ms
-	Owner     ID      // that its requests go to
+	Owner     ID      // the process that requests are sent to
 	IsOwner   bool    // this process leases the limit
 	Epoch     uint32
-	Leased    float64 // leased, by this owner's accounts
-	Voters    int     // processes that are bound to this one by their votes
+	Leased    float64 // leased according to the accounts of this process, if it is the owner
+	Voters    int     // processes whose votes bind them to this one
 }
 
-const maxNumber = 1e15 // of received numbers
+const maxNumber = 1e15 // bound of received numbers
 
-// finite reports whether a received number can be calculated with.
+// finite reports whether a received number is within the range that calculations support.
 func finite(x float64) bool { return !math.IsNaN(x) && x >= 0 && x < maxNumber }
--- a/internal/cluster/quota/clone.go
+++ b/internal/cluster/quota/clone.go
@@ -39,8 +39,8 @@
 	return &clone
 }
 
-// StateKey returns a text that is equal for two Quotas which act alike from now on. Times are relative to now, and the numbers of requests
-// to the last one of their sender, which last returns.
+// StateKey returns a string that is equal for two Quotas that behave the same from now on. Times in it are relative to now, and the numbers
+// of requests to the last one of their sender, which last returns.
 func (q *Quota) StateKey(last func(ID) uint32) string {
 	var w strings.Builder
 	fmt.Fprint(&w, q.hasLeft, q.peers)
@@ -51,41 +51,41 @@
 	return w.String()
 }
 
-func (q *Quota) ago(at float64) float64   { return max(-maxKeyTimeMs, min(q.now-at, maxKeyTimeMs)) }
-func (q *Quota) until(at float64) float64 { return max(0, min(at-q.now, maxKeyTimeMs)) }
+func (q *Quota) timeSince(at float64) float64 { return max(-maxKeyTimeMs, min(q.now-at, maxKeyTimeMs)) }
+func (q *Quota) timeUntil(at float64) float64 { return max(0, min(at-q.now, maxKeyTimeMs)) }
 
 func (q *Quota) writeHolderKey(w *strings.Builder, limit *limitState) {
-	fmt.Fprintf(w, "|%v %d %v ", limit.partition, limit.reserved, q.until(limit.startedAt+q.voteDelay(limit.Kind)))
-	fmt.Fprintf(w, "%d %d %d %v ", limit.currentOwner, limit.votedFor, limit.votedEpoch, q.until(limit.voteEnds))
-	ownerTimeAge := min(q.ago(limit.ownerTimeAt), q.settings.VoteDuration)
-	fmt.Fprintf(w, "%d %v %d %v ", limit.ownerTimeFrom, q.ago(limit.ownerTime), limit.ownerEpoch, ownerTimeAge)
-	fmt.Fprintf(w, "%d %d %d %v ", limit.sequence-limit.lastTaken, limit.leasedUnits, limit.unitsInUse, q.until(limit.leaseEnds))
-	fmt.Fprintf(w, "%v %v %v %v ", limit.demand, limit.reportedDemand, q.until(limit.nextRequest), limit.urgent)
+	fmt.Fprintf(w, "|%v %d %v ", limit.partition, limit.reserved, q.timeUntil(limit.startedAt+q.voteDelay(limit.Kind)))
+	fmt.Fprintf(w, "%d %d %d %v ", limit.currentOwner, limit.votedFor, limit.votedEpoch, q.timeUntil(limit.voteEnds))
+	ownerTimeAge := min(q.timeSince(limit.ownerTimeAt), q.settings.VoteDuration)
+	fmt.Fprintf(w, "%d %v %d %v ", limit.ownerTimeFrom, q.timeSince(limit.ownerTime), limit.ownerEpoch, ownerTimeAge)
+	fmt.Fprintf(w, "%d %d %d %v ", limit.sequence-limit.lastTaken, limit.leasedUnits, limit.unitsInUse, q.timeUntil(limit.leaseEnds))
+	fmt.Fprintf(w, "%v %v %v %v ", limit.demand, limit.reportedDemand, q.timeUntil(limit.nextRequest), limit.urgent)
 	for _, r := range limit.requests {
 		if r.sequence > limit.lastTaken && q.now-r.sentAt < q.settings.LeaseDuration {
-			fmt.Fprintf(w, "a%d %v %v ", limit.sequence-r.sequence, q.ago(r.sentAt), r.vote)
+			fmt.Fprintf(w, "a%d %v %v ", limit.sequence-r.sequence, q.timeSince(r.sentAt), r.vote)
 		}
 	}
 }
 
 func (q *Quota) writeOwnerKey(w *strings.Builder, limit *limitState, last func(ID) uint32) {
 	state := &limit.ownership
-	fmt.Fprintf(w, "o%d %v %v ", state.epoch, q.until(state.ends), state.active)
-	fmt.Fprintf(w, "%d %v ", state.unaccounted, q.until(state.unaccountedUntil))
-	fmt.Fprintf(w, "%v %v %v ", state.planNeeded, q.until(state.nextPlan), q.until(state.nextElection))
+	fmt.Fprintf(w, "o%d %v %v ", state.epoch, q.timeUntil(state.ends), state.active)
+	fmt.Fprintf(w, "%d %v ", state.unaccounted, q.timeUntil(state.unaccountedUntil))
+	fmt.Fprintf(w, "%v %v %v ", state.planNeeded, q.timeUntil(state.nextPlan), q.timeUntil(state.nextElection))
 	for _, peer := range state.holders {
 		n := last(peer.id)
-		fmt.Fprintf(w, "b%d %d %v %v ", peer.id, n-peer.sequence, q.until(peer.voteEnds), peer.demand)
-		fmt.Fprintf(w, "%v %d %v ", peer.adopted, peer.claimedUnits, q.until(peer.claimEnds))
-		fmt.Fprintf(w, "%d %v %d ", peer.confirmedUnits, q.until(peer.confirmedEnds), n-peer.confirmedSequence)
-		fmt.Fprintf(w, "%d %.3f %v ", peer.target, peer.deficit, min(q.settings.UrgentInterval, q.ago(peer.recalledAt)))
+		fmt.Fprintf(w, "b%d %d %v %v ", peer.id, n-peer.sequence, q.timeUntil(peer.voteEnds), peer.demand)
+		fmt.Fprintf(w, "%v %d %v ", peer.adopted, peer.claimedUnits, q.timeUntil(peer.claimEnds))
+		fmt.Fprintf(w, "%d %v %d ", peer.confirmedUnits, q.timeUntil(peer.confirmedEnds), n-peer.confirmedSequence)
+		fmt.Fprintf(w, "%d %.3f %v ", peer.target, peer.deficit, min(q.settings.UrgentInterval, q.timeSince(peer.recalledAt)))
 		for _, g := range peer.grants {
-			fmt.Fprintf(w, "p%d %d %v ", n-g.sequence, g.units, q.until(g.ends))
+			fmt.Fprintf(w, "p%d %d %v ", n-g.sequence, g.units, q.timeUntil(g.ends))
 		}
 	}
 }
 
-// LastSequence returns the number of the last request about a limit.
+// LastSequence returns the number of the last request for a limit.
 func (q *Quota) LastSequence(name string) uint32 {
 	if limit := q.limitByName(name); limit != nil {
 		return limit.sequence
@@ -93,7 +93,7 @@
 	return 0
 }
 
-// Usable returns how much of a limit may be used at a time, if no event comes until then.
+// Usable returns how much of a limit may be used at time now, if no event is handled before.
 func (q *Quota) Usable(name string, now float64) float64 {
 	limit := q.limitByName(name)
 	if limit == nil || q.hasLeft {
@@ -110,7 +110,8 @@
 	return amount
 }
 
-// RestartLease makes the lease by the answer to a request count from now: a fault by which a model checker is tested.
+// RestartLease makes the lease in the answer to a request count from now. It is a fault injection that tests whether a model checker finds
+// it.
 func (q *Quota) RestartLease(hash uint64, sequence uint32) {
 	limit := q.byHash[hash]
 	if limit == nil {
--- a/internal/cluster/quota/holders.go
+++ b/internal/cluster/quota/holders.go
@@ -9,19 +9,19 @@
 // holder is an owner's account of a process that holds, or may hold, units of the pool. Times are in ms on the owner's clock.
 type holder struct {
 	id                ID
-	sequence          uint32 // of the last request
+	sequence          uint32 // number of the last request
 	lastRequest       float64
 	voteEnds          float64
 	demand            float64 // as a part of the limit
-	adopted           bool    // what it held of an earlier owner is accounted for
-	claimedUnits      int     // what it reported to hold, until claimEnds
+	adopted           bool    // the units that it holds from an earlier owner are accounted for
+	claimedUnits      int     // units that it reported with its last vote, until claimEnds
 	claimEnds         float64
-	confirmedUnits    int // of the grant with confirmedSequence, which it took last, until confirmedEnds
+	confirmedUnits    int // of the last grant that it accepted, which has confirmedSequence, until confirmedEnds
 	confirmedEnds     float64
 	confirmedSequence uint32
-	grants            []grant // that it may still take
-	target            int     // units that it is to have, by the last plan
-	deficit           float64 // units that it had too few in earlier plans
+	grants            []grant // grants that it may still accept
+	target            int     // units that it should have according to the last plan
+	deficit           float64 // accumulated difference between its proportional part and its units
 	recalledAt        float64
 }
 
@@ -32,7 +32,7 @@
 	ends     float64
 }
 
-// addHolder returns the account of a process, which is opened where there is none; nil where there are too many.
+// addHolder returns the account of a process, which it opens if there is none; nil if there are too many.
 func (state *ownership) addHolder(id ID) *holder {
 	peer := state.holderByID[id]
 	if peer != nil || len(state.holders) >= MaxPeers {
@@ -45,7 +45,7 @@
 	return peer
 }
 
-// outstandingUnits returns the most units that a process can come to hold by the answers that it took or may still take.
+// outstandingUnits returns the largest number of units that a process can hold by the answers that it accepted or may still accept.
 func (peer *holder) outstandingUnits(now float64) int {
 	n := 0
 	if now < peer.confirmedEnds {
@@ -59,7 +59,7 @@
 	return n
 }
 
-// confirmTaken takes over which grant the process took last: it takes no earlier one any more.
+// confirmTaken records which grant the process accepted last. It accepts no earlier one afterwards.
 func (peer *holder) confirmTaken(item *Item) {
 	if !peer.adopted {
 		return
@@ -79,7 +79,8 @@
 	}
 }
 
-// adoptClaim accounts for what a process holds of an earlier owner, where it surely still holds that.
+// adoptClaim accounts for the units that a process holds from an earlier owner, if it is certain that it still holds them or that no unit
+// of an earlier owner is left.
 func (q *Quota) adoptClaim(limit *limitState, peer *holder) {
 	state := &limit.ownership
 	if peer.adopted || peer.voteEnds <= q.now {
@@ -96,12 +97,12 @@
 		return
 	}
 	peer.adopted = true
-	peer.confirmedSequence = math.MaxUint32 // of no grant
+	peer.confirmedSequence = math.MaxUint32 // matches no grant
 	peer.target = peer.outstandingUnits(q.now)
 	state.planNeeded = true
 }
 
-// grantUnits records a grant to a process, of its target as far as units are free, and returns the units.
+// grantUnits records a grant to a process and returns its units: the target, as far as units are free.
 func (q *Quota) grantUnits(limit *limitState, peer *holder, sequence uint32) int {
 	outstanding := peer.outstandingUnits(q.now)
 	free := max(0, limit.partition.Pool-q.leasedUnits(limit))
@@ -115,7 +116,8 @@
 	return units
 }
 
-// mergeOldestGrants makes room for another grant: the two oldest become one with the later number, of the larger units and end.
+// mergeOldestGrants makes room for another grant by merging the two oldest ones. The merged grant has the later number, the larger number
+// of units and the later end.
 func (peer *holder) mergeOldestGrants() {
 	if len(peer.grants) < maxGrants {
 		return
@@ -126,7 +128,7 @@
 	peer.grants = append(peer.grants[:0], peer.grants[1:]...)
 }
 
-// isExpired reports whether a process that cannot be reached can have held nothing for ms: none of its last requests counts any more.
+// isExpired reports whether a process cannot be reached and certainly has held no units for ms, as its last request and vote are too old.
 func (q *Quota) isExpired(limit *limitState, peer *holder, ms float64) bool {
 	if _, reachable := q.addresses[peer.id]; reachable || peer.id == q.self {
 		return false
@@ -136,7 +138,7 @@
 	return at >= peer.voteEnds+retention && at >= peer.lastRequest+retention && peer.outstandingUnits(at) == 0
 }
 
-// removeExpiredHolders closes the accounts of processes that have ended: each restart of a pooler opens another one.
+// removeExpiredHolders closes the accounts of processes that have ended. They would accumulate, as each restart of a pooler opens one.
 func (q *Quota) removeExpiredHolders(limit *limitState) {
 	state := &limit.ownership
 	state.holders = slices.DeleteFunc(state.holders, func(peer *holder) bool {
--- a/internal/cluster/quota/invariants.go
+++ b/internal/cluster/quota/invariants.go
@@ -8,10 +8,10 @@
 	"beechgrade/internal/invariant"
 )
 
-// expiredTicks is after how many ticks the account of an expired holder must be closed.
+// expiredTicks is the number of ticks within which the account of an expired holder must be closed.
 const expiredTicks = 4
 
-// CheckInvariants makes the Quota check its invariants, once in interval events.
+// CheckInvariants makes the Quota check its invariants once every interval events.
 func (q *Quota) CheckInvariants(checks *invariant.Checks, interval int) {
 	q.checks, q.checkInterval = checks, interval
 }
@@ -20,16 +20,16 @@
 func (q *Quota) checkState(checks *invariant.Checks) {
 	checks.That(len(q.outbox) == 0, "quota: all enqueued messages were sent", func() string { return fmt.Sprintf("%d messages", len(q.outbox)) })
 	for _, limit := range q.limits {
-		filed := q.byHash[limit.key] == limit && len(q.byHash) == len(q.limits)
-		checks.That(filed, "quota: limits are filed", func() string { return limit.Name })
+		indexed := q.byHash[limit.key] == limit && len(q.byHash) == len(q.limits)
+		checks.That(indexed, "quota: limits are indexed by their hash", func() string { return limit.Name })
 		switch limit.Guarantee {
 		case NeverOver:
 			q.checkLease(checks, limit)
 			q.checkOwnership(checks, limit)
 		case SoonEven:
 			inRange := limit.share >= 0 && limit.share <= 1 && limit.higherShare <= 1
-			checks.That(inRange, "quota: a share is a part of the limit", func() string {
-				return fmt.Sprintf("%s: %v, to be %v at %v", limit.Name, limit.share, limit.higherShare, limit.higherShareAt)
+			checks.That(inRange, "quota: a share is between 0 and the whole limit", func() string {
+				return fmt.Sprintf("%s: share %v, %v from %v on", limit.Name, limit.share, limit.higherShare, limit.higherShareAt)
 			})
 		}
 	}
@@ -44,11 +44,11 @@
 	leaseInPool := limit.leasedUnits >= 0 && limit.leasedUnits <= limit.partition.Pool
 	reservedInPartition := limit.reserved >= 0 && limit.reserved <= limit.partition.Reserved
 	checks.That(leaseInPool && reservedInPartition, "quota: a lease is within the pool", describe)
-	none := limit.leasedUnits == 0
-	checks.That(none || q.now < limit.leaseEnds, "quota: no lease outlives its end", describe)
-	checks.That(none || limit.leaseEnds <= q.now+q.settings.LeaseDuration, "quota: a lease counts from its request", describe)
+	noLease := limit.leasedUnits == 0
+	checks.That(noLease || q.now < limit.leaseEnds, "quota: no lease is used after its end", describe)
+	checks.That(noLease || limit.leaseEnds <= q.now+q.settings.LeaseDuration, "quota: a lease ends at most LeaseDuration from now", describe)
 	checks.That(limit.unitsInUse >= limit.leasedUnits, "quota: leased units count as in use", describe)
-	checks.That(limit.voteEnds <= q.now+q.settings.VoteDuration, "quota: a vote counts from its request", describe)
+	checks.That(limit.voteEnds <= q.now+q.settings.VoteDuration, "quota: a vote ends at most VoteDuration from now", describe)
 	amount, _ := q.allowance(limit)
 	checks.That(amount <= limit.Amount*(1+roundingSlack), "quota: an allowance is within the limit", describe)
 	for i, r := range limit.requests {
@@ -66,22 +66,22 @@
 	}
 	inPool := state.unaccounted >= 0 && state.unaccounted <= limit.partition.Pool
 	checks.That(inPool, "quota: unaccounted units are within the pool", describe)
-	checks.That(!state.active || state.ends <= q.now+q.settings.VoteDuration, "quota: an ownership ends with its votes", describe)
+	checks.That(!state.active || state.ends <= q.now+q.settings.VoteDuration, "quota: an ownership ends at most VoteDuration from now", describe)
 
 	const (
-		holdersFiled   = "quota: holders are in order, each filed once"
-		numbersInRange = "quota: a holder's numbers are in their ranges"
+		holdersIndexed = "quota: holders are in order, each indexed once"
+		numbersInRange = "quota: the numbers of a holder's account are in their ranges"
 	)
 	inOrder := slices.IsSortedFunc(state.holders, func(a, b *holder) int { return cmp.Compare(a.id, b.id) })
-	checks.That(inOrder && len(state.holders) == len(state.holderByID), holdersFiled, describe)
+	checks.That(inOrder && len(state.holders) == len(state.holderByID), holdersIndexed, describe)
 	for _, peer := range state.holders {
-		checks.That(state.holderByID[peer.id] == peer, holdersFiled, describe)
+		checks.That(state.holderByID[peer.id] == peer, holdersIndexed, describe)
 		inRange := len(peer.grants) <= maxGrants && peer.confirmedUnits >= 0 && peer.voteEnds <= q.now+q.settings.VoteDuration
 		checks.That(inRange, numbersInRange, describe)
 		for _, g := range peer.grants {
 			checks.That(g.units >= 0 && g.ends <= q.now+q.settings.leaseRetention(limit.Kind), numbersInRange, describe)
 		}
-		checks.That(!q.isExpired(limit, peer, expiredTicks*q.settings.TickInterval), "quota: no account is kept of an expired holder", describe)
+		checks.That(!q.isExpired(limit, peer, expiredTicks*q.settings.TickInterval), "quota: the accounts of expired holders are closed", describe)
 	}
 }
 
--- a/internal/cluster/quota/messages.go
+++ b/internal/cluster/quota/messages.go
@@ -1,6 +1,6 @@
 package quota
 
-// enqueue adds an item to a message for a process.
+// enqueue adds an item to an enqueued message to a process, or to a new one.
 func (q *Quota) enqueue(to ID, kind MessageKind, item Item) {
 	for _, message := range q.outbox {
 		if message.To == to && message.Kind == kind && len(message.Items) < MaxItems {
@@ -11,7 +11,7 @@
 	q.outbox = append(q.outbox, &Message{Kind: kind, From: q.self, To: to, Items: []Item{item}})
 }
 
-// flush sends the enqueued messages. Those to this process are handled at once, and may enqueue others.
+// flush sends the enqueued messages. Messages to this process are handled at once, which may enqueue further ones.
 func (q *Quota) flush() {
 	for len(q.outbox) > 0 {
 		message := q.outbox[0]
@@ -25,7 +25,7 @@
 	q.outbox = nil
 }
 
-// handleMessage handles the items about limits that this process knows with the same guarantee.
+// handleMessage handles the items for limits that this process has with the same guarantee.
 func (q *Quota) handleMessage(message *Message) {
 	if message.To != q.self || message.Kind > LeaseRecall || len(message.Items) > MaxItems {
 		return
--- a/internal/cluster/quota/ownership.go
+++ b/internal/cluster/quota/ownership.go
@@ -9,18 +9,18 @@
 // ownership is the state of a limit's owner, or of a process that may become it.
 type ownership struct {
 	epoch            uint32
-	active           bool    // a majority voted for this process, until ends
+	active           bool    // a majority has voted for this process, until ends
 	ends             float64 // ms
-	unaccounted      int     // units of the pool that may be leased by an earlier owner, until unaccountedUntil
+	unaccounted      int     // units of the pool that an earlier owner may have leased, until unaccountedUntil
 	unaccountedUntil float64
 	holders          []*holder // by ID
 	holderByID       map[ID]*holder
 	planNeeded       bool
-	nextPlan         float64 // the earliest time of it, a tick after the last plan
+	nextPlan         float64 // the earliest time of the next plan, a tick after the last one
 	nextElection     float64
 }
 
-// updateMembers takes the reachable processes, and finds out whether limits have another owner.
+// updateMembers takes over the reachable processes, and determines the limits' owners again.
 func (q *Quota) updateMembers(event MembersChanged) {
 	q.peers = event.Peers[:min(len(event.Peers), MaxPeers)]
 	q.sendingPoolers = max(1, event.SendingPoolers)
@@ -36,17 +36,17 @@
 	}
 }
 
-// ownerOf returns the process that a limit's requests go to.
+// ownerOf returns the process to which requests for a limit are sent.
 func (q *Quota) ownerOf(limit *limitState) ID { return selectOwner(limit.key, q.self, q.peers) }
 
-// selectOwner returns the first peer by rendezvous hashing that is not draining; self where there is none.
+// selectOwner returns the peer that rendezvous hashing selects among those that are not draining; self if there is none.
 func selectOwner(key uint64, self ID, peers []Peer) ID {
 	best := self
 	highest := uint64(0)
 	for _, peer := range peers {
 		score := rendezvousScore(key, peer.ID)
-		ahead := score > highest || score == highest && peer.ID > best
-		if !peer.Draining && ahead {
+		better := score > highest || score == highest && peer.ID > best
+		if !peer.Draining && better {
 			best = peer.ID
 			highest = score
 		}
@@ -54,7 +54,7 @@
 	return best
 }
 
-// OwnerOf returns the owner of the limit with a name where these processes can all be reached.
+// OwnerOf returns the owner of the limit with a name if all these processes can be reached.
 func OwnerOf(limit string, peers []Peer) ID {
 	return selectOwner((&Limit{Name: limit}).hash(), 0, peers)
 }
@@ -67,12 +67,12 @@
 	return xxhash.Sum64(b[:])
 }
 
-// restartOwnership ends an ownership: the next one has a higher epoch and no holders.
+// restartOwnership ends an ownership. The next one has a higher epoch and no holders.
 func (q *Quota) restartOwnership(limit *limitState) {
 	limit.ownership = ownership{epoch: limit.ownership.epoch + 1, holderByID: map[ID]*holder{}}
 }
 
-// handleLeaseRequest answers a request as the owner: with the owner's time, and with a lease if the request is a valid vote and this
+// handleLeaseRequest answers a request as the owner. The answer has the owner's time, and a lease if the request is a valid vote and this
 // process has a majority.
 func (q *Quota) handleLeaseRequest(limit *limitState, from ID, item *Item) {
 	state := &limit.ownership
@@ -96,7 +96,7 @@
 	q.enqueue(from, LeaseAnswer, answer)
 }
 
-// recordVote takes a vote over, with what its sender holds.
+// recordVote records a vote, with the demand and the units of its sender.
 func (q *Quota) recordVote(limit *limitState, peer *holder, item *Item) {
 	state := &limit.ownership
 	peer.voteEnds = max(peer.voteEnds, item.OwnerTime+q.settings.remoteSpan(q.settings.VoteDuration))
@@ -109,7 +109,7 @@
 	q.updateOwnership(limit)
 	before := peer.outstandingUnits(q.now)
 	peer.confirmTaken(item)
-	if peer.outstandingUnits(q.now) < before { // others may get what this one gave back
+	if peer.outstandingUnits(q.now) < before { // others may get the units that were given back
 		state.planNeeded = true
 	}
 	if state.active {
@@ -117,7 +117,7 @@
 	}
 }
 
-// updateOwnership ends an ownership whose majority has lapsed, counts the votes, and makes a plan where that is due.
+// updateOwnership ends an ownership whose majority has expired, counts the votes, and makes a plan if one is due.
 func (q *Quota) updateOwnership(limit *limitState) {
 	state := &limit.ownership
 	if state.active && q.now >= state.ends {
@@ -138,7 +138,7 @@
 	q.planTargets(limit)
 }
 
-// countVotes starts or extends the ownership: it lasts as long as a majority of the votes.
+// countVotes starts or extends the ownership, which lasts as long as a majority of votes.
 func (q *Quota) countVotes(limit *limitState) {
 	state := &limit.ownership
 	ends := make([]float64, 0, len(state.holders))
@@ -165,7 +165,8 @@
 	}
 }
 
-// allHoldersKnown reports whether every process that can hold units has reported them, and is bound to this owner by its vote.
+// allHoldersKnown reports whether all ExpectedPoolers, and thus every process that can hold units, have reported their units and are bound
+// to this owner by their votes.
 func (q *Quota) allHoldersKnown(limit *limitState) bool {
 	n := 0
 	for _, peer := range limit.ownership.holders {
@@ -176,7 +177,7 @@
 	return n >= q.settings.ExpectedPoolers
 }
 
-// leasedUnits returns the most units that may be leased now: those of all holders, and those that are not accounted for.
+// leasedUnits returns the largest number of units that may be leased now: those of all holders and the unaccounted ones.
 func (q *Quota) leasedUnits(limit *limitState) int {
 	n := limit.ownership.unaccounted
 	for _, peer := range limit.ownership.holders {
--- a/internal/cluster/quota/quota.go
+++ b/internal/cluster/quota/quota.go
@@ -7,7 +7,7 @@
 	"beechgrade/internal/invariant"
 )
 
-const maxGrants = 8 // grants of each holder that are accounted for separately
+const maxGrants = 8 // grants to each holder that are accounted for separately
 
 // Quota is one process's side of the fleet's limits. It is not safe for concurrent use.
 type Quota struct {
@@ -33,9 +33,9 @@
 	Limit
 	key           uint64 // hash of the name
 	partition     Partition
-	reserved      int // units in effect: more of them only once no more is leased than the new pool
+	reserved      int // reserved units in effect; raised only once no more than the new pool is leased
 	startedAt     float64
-	allowedAmount float64 // last reported as an action, as allowedBurst
+	allowedAmount float64 // reported by the last SetAllowance, as allowedBurst
 	allowedBurst  float64
 
 	// As a holder.
@@ -43,15 +43,15 @@
 	votedFor       ID
 	votedEpoch     uint32
 	voteEnds       float64
-	ownerTimeFrom  ID // the owner that ownerTime and ownerEpoch are from
+	ownerTimeFrom  ID // the owner that sent ownerTime and ownerEpoch
 	ownerTime      float64
 	ownerEpoch     uint32
-	ownerTimeAt    float64 // when the request that ownerTime answers was sent
-	sequence       uint32  // of the last request
-	lastTaken      uint32  // of the request whose answer was taken last
+	ownerTimeAt    float64 // when the request was sent whose answer has ownerTime
+	sequence       uint32  // number of the last request
+	lastTaken      uint32  // number of the request whose answer was accepted last
 	requests       []request
 	leasedUnits    int
-	unitsInUse     int // that are or may be in use
+	unitsInUse     int // leased units that are or may be in use
 	leaseEnds      float64
 	demand         float64 // as a part of the limit
 	reportedDemand float64
@@ -60,7 +60,7 @@
 
 	// With the guarantee SoonEven.
 	share           float64
-	higherShare     float64 // taken at higherShareAt
+	higherShare     float64 // applied at higherShareAt
 	higherShareAt   float64 // 0 for none
 	shareAnsweredAt float64
 
@@ -88,7 +88,7 @@
 	if q.hasLeft {
 		return q.actions
 	}
-	for _, limit := range q.limits { // a process that was paused ends its leases before anything else
+	for _, limit := range q.limits { // before anything else, as this process may have been paused
 		if limit.leasedUnits > 0 && q.now >= limit.leaseEnds {
 			limit.reduceTo(0)
 		}
@@ -116,7 +116,7 @@
 	return q.actions
 }
 
-// advance sends requests and renews ownerships that are due.
+// advance applies shares, sends requests and updates ownerships that are due.
 func (q *Quota) advance() {
 	for _, limit := range q.limits {
 		if limit.Guarantee == SoonEven {
@@ -131,7 +131,8 @@
 	}
 }
 
-// Due returns when an allowance may fall without another event, in ms; +Inf for never. A caller that was paused calls Handle first.
+// Due returns when an allowance may decrease without another event, in ms; +Inf for never. A caller that was paused must call Handle before
+// it uses an allowance.
 func (q *Quota) Due() float64 {
 	due := math.Inf(1)
 	for _, limit := range q.limits {
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// updateLimits takes the limits as they are now, and keeps the state of those that remain.
+// updateLimits replaces the limits, and keeps the state of those with the same name, kind and guarantee.
 func (q *Quota) updateLimits(limits []Limit) {
 	previous := q.limits
 	q.limits, q.byHash = nil, map[uint64]*limitState{}
@@ -182,8 +183,8 @@
 	return limit
 }
 
-// changeLimit gives a limit another amount, burst or reserve. Until the owner knows the limit as it is, this process uses no more of it
-// than before; what it holds is reduced in proportion where the pool has become smaller.
+// changeLimit changes a limit's amount, burst or reserve. Until the owner confirms that all leases are within the new pool, this process
+// uses no more reserved units than before; leased units change in proportion to the pool.
 func (q *Quota) changeLimit(limit *limitState, changed Limit) {
 	if limit.Limit == changed {
 		return
@@ -199,12 +200,12 @@
 	limit.allowedAmount = -1
 	limit.urgent = true
 	limit.ownership.planNeeded = true
-	if previous.Pool != limit.partition.Pool { // the accounts are in units of another size: leases are waited out
+	if previous.Pool != limit.partition.Pool { // the accounts are in units of another size, so new ones start once the leases have expired
 		q.restartOwnership(limit)
 	}
 }
 
-// reduceTo gives back the units of a lease beyond a number.
+// reduceTo gives back the leased units beyond a number.
 func (limit *limitState) reduceTo(units int) {
 	limit.leasedUnits = min(limit.leasedUnits, units)
 	if limit.Kind != Concurrency {
@@ -212,7 +213,7 @@
 	}
 }
 
-// leave gives back all that this process holds.
+// leave gives back all units that this process holds, and reports that to the owners.
 func (q *Quota) leave() {
 	for _, limit := range q.limits {
 		limit.reduceTo(0)
@@ -225,7 +226,7 @@
 	q.hasLeft = true
 }
 
-// reportAllowance emits an action where the allowance has changed.
+// reportAllowance emits a SetAllowance action if the allowance has changed.
 func (q *Quota) reportAllowance(limit *limitState) {
 	amount, burst := q.allowance(limit)
 	if amount != limit.allowedAmount || burst != limit.allowedBurst {
@@ -234,13 +235,13 @@
 	}
 }
 
-// allowance returns what this process may use of a limit now.
+// allowance returns how much of a limit this process may use now.
 func (q *Quota) allowance(limit *limitState) (amount, burst float64) {
 	switch limit.Guarantee {
 	case NeverOver:
 		units := limit.leasedUnits
 		if limit.Kind != Concurrency || q.now >= limit.startedAt+q.voteDelay(limit.Kind) {
-			units += limit.reserved // a previous incarnation uses none of them any more
+			units += limit.reserved // uses that a previous incarnation admitted have ended
 		}
 		return limit.unitsAllowance(&limit.partition, units)
 	case SoonEven:
--- a/internal/cluster/quota/requests.go
+++ b/internal/cluster/quota/requests.go
@@ -3,22 +3,22 @@
 import "math"
 
 const (
-	maxRequests   = 64   // whose answers are still accepted
-	demandChange  = 0.1  // a demand that differs by this part from the reported one, and by a unit, is reported soon...
-	smallDemand   = 0.01 // ...if the difference is more than this part of the limit
-	maxDemand     = 1e3  // as a part of the limit
+	maxRequests   = 64   // the latest requests, whose answers are still accepted
+	demandChange  = 0.1  // a demand that differs from the reported one by this fraction, and by a unit, is reported soon...
+	smallDemand   = 0.01 // ...if the difference is more than this fraction of the limit, or the limit is of concurrent uses
+	maxDemand     = 1e3  // as a multiple of the limit
 	minAmount     = 1e-9
-	voteFreshness = 0.5 // the part of VoteDuration that the owner's answer may be old for another vote
+	voteFreshness = 0.5 // maximum age of the owner's last answer for another vote, as a fraction of VoteDuration
 )
 
-// request is one whose answer may still arrive.
+// request is a sent request whose answer may still arrive.
 type request struct {
 	sequence uint32
 	sentAt   float64
 	vote     bool
 }
 
-// updateDemand takes this pooler's demand of a limit, and its use.
+// updateDemand records this pooler's demand for a limit, and its use.
 func (q *Quota) updateDemand(event Demand) {
 	limit := q.limitByName(event.Limit)
 	if limit == nil || !finite(event.Wanted) || !finite(event.Used) {
@@ -50,7 +50,7 @@
 	return limit.urgent && q.now >= limit.nextRequest-q.settings.RenewInterval+q.settings.UrgentInterval
 }
 
-// sendRequest reports this process's demand to the owner and votes for it where that is allowed, with what this process holds.
+// sendRequest reports this process's demand to the owner, and votes for the owner if it may. The vote reports the units in use.
 func (q *Quota) sendRequest(limit *limitState) {
 	limit.nextRequest = q.now + q.settings.RenewInterval
 	limit.urgent = false
@@ -76,16 +76,16 @@
 	q.enqueue(limit.currentOwner, LeaseRequest, item)
 }
 
-// mayVote reports whether this process may vote for the current owner: its answer is fresh, no other vote binds this process, and votes
-// of a previous incarnation have expired.
+// mayVote reports whether this process may vote for the current owner: the owner's last answer is recent, no vote for another owner binds
+// this process, and votes of a previous incarnation have expired.
 func (q *Quota) mayVote(limit *limitState) bool {
 	fresh := limit.ownerTimeFrom == limit.currentOwner && q.now-limit.ownerTimeAt <= voteFreshness*q.settings.VoteDuration
 	unbound := limit.votedFor == limit.currentOwner || q.now >= limit.voteEnds
 	return fresh && unbound && q.now >= limit.startedAt+q.voteDelay(limit.Kind)
 }
 
-// voteDelay returns how long a process that has started does not vote: its previous incarnation may have voted, and the uses that it
-// admitted may go on.
+// voteDelay returns how long a process does not vote after its start, as its previous incarnation may have voted, and uses that it admitted
+// may continue.
 func (q *Quota) voteDelay(kind Kind) float64 {
 	if kind == Concurrency {
 		return q.settings.LocalWait(max(q.settings.VoteDuration, q.settings.UseTimeout))
@@ -93,7 +93,7 @@
 	return q.settings.LocalWait(q.settings.VoteDuration)
 }
 
-// pendingRequest returns the request that an answer is to. An answer that is older than the last taken one is to none.
+// pendingRequest returns the request that an answer is for. ok is false if the answer is not newer than the last accepted one.
 func (limit *limitState) pendingRequest(sequence uint32) (pending request, ok bool) {
 	for _, r := range limit.requests {
 		if r.sequence == sequence && sequence > limit.lastTaken {
@@ -103,7 +103,7 @@
 	return request{}, false
 }
 
-// handleLeaseAnswer takes the owner's time over, and the lease if the answer has one.
+// handleLeaseAnswer takes over the owner's time, and the lease if the answer has one.
 func (q *Quota) handleLeaseAnswer(limit *limitState, from ID, item *Item) {
 	pending, ok := limit.pendingRequest(item.Sequence)
 	if !ok || from != limit.currentOwner && from != limit.votedFor {
@@ -118,8 +118,8 @@
 	}
 }
 
-// takeOwnerTime takes over the epoch and the time of the owner's clock, by which this process can vote for it.
-func (limit *limitState) takeOwnerTime(from ID, item *Item, askedAt float64) {
+// takeOwnerTime takes over the owner's epoch and time, which this process needs to vote for it.
+func (limit *limitState) takeOwnerTime(from ID, item *Item, sentAt float64) {
 	if limit.ownerTimeFrom == from && item.OwnerTime <= limit.ownerTime {
 		return
 	}
@@ -129,17 +129,17 @@
 	limit.ownerTimeFrom = from
 	limit.ownerTime = item.OwnerTime
 	limit.ownerEpoch = item.Epoch
-	limit.ownerTimeAt = askedAt
+	limit.ownerTimeAt = sentAt
 }
 
-// takeLease takes a lease, which counts from its request.
-func (q *Quota) takeLease(limit *limitState, item *Item, askedAt float64) {
+// takeLease accepts a lease, whose duration counts from the sending of the request.
+func (q *Quota) takeLease(limit *limitState, item *Item, sentAt float64) {
 	limit.lastTaken = item.Sequence
 	if item.AllAccounted {
 		limit.reserved = limit.partition.Reserved
 	}
 	limit.leasedUnits = item.Units
-	limit.leaseEnds = askedAt + q.settings.LeaseDuration
+	limit.leaseEnds = sentAt + q.settings.LeaseDuration
 	if q.now >= limit.leaseEnds {
 		limit.leasedUnits = 0
 	}
--- a/internal/cluster/quota/settings.go
+++ b/internal/cluster/quota/settings.go
@@ -2,13 +2,13 @@
 
 // Settings configure how limits are divided. Times are in ms.
 type Settings struct {
-	ExpectedPoolers int     // the most processes at a time; more than half of them make an owner
-	LeaseDuration   float64 // from the request that a lease answers
-	VoteDuration    float64 // from a vote
+	ExpectedPoolers int     // the largest number of processes at a time; an owner needs the votes of more than half of them
+	LeaseDuration   float64 // from the sending of the request that the lease answers
+	VoteDuration    float64 // from the sending of the vote
 	RenewInterval   float64 // between two requests
-	UrgentInterval  float64 // between two requests where something has changed
-	UseTimeout      float64 // a concurrent use may go on for so long after its lease, or its pooler, has ended
-	ClockDrift      float64 // the part of a span by which a clock may be off
+	UrgentInterval  float64 // between two requests if something has changed
+	UseTimeout      float64 // time for which a concurrent use may continue after the end of its lease or pooler
+	ClockDrift      float64 // the fraction by which a clock may run too fast or too slow
 	TickInterval    float64 // the resolution of timers
 	Limits          []Limit
 }
@@ -27,14 +27,14 @@
 }
 
 const (
-	electionTicks  = 2 // ticks between two counts of the votes
+	electionTicks  = 2 // ticks between two counts of votes
 	staleIntervals = 4 // renewal intervals after which a share or a demand is stale
 )
 
-// LocalWait returns how long a process must wait, by its own clock, until a span on another's clock is over.
+// LocalWait returns how long, in ms of its own clock, a process must wait until ms have passed on any other process's clock.
 func (s *Settings) LocalWait(ms float64) float64 { return ms * (1 + s.ClockDrift) / (1 - s.ClockDrift) }
 
-// remoteSpan returns how much of a span on another's clock has surely not passed after as much on the own clock.
+// remoteSpan returns the time on the own clock in which surely no more than ms pass on any other process's clock.
 func (s *Settings) remoteSpan(ms float64) float64 {
 	return ms * (1 - s.ClockDrift) / (1 + s.ClockDrift)
 }
@@ -47,30 +47,31 @@
 	return s.LocalWait(s.LeaseDuration)
 }
 
-// ReclaimBound bounds the time until the units of a process that crashed can be leased again.
+// ReclaimBound bounds the time, in ms, until the units of a crashed process can be leased again.
 func (s *Settings) ReclaimBound(kind Kind) float64 { return s.leaseRetention(kind) + 2*s.TickInterval }
 
-// ElectionBound bounds the time from when all processes know that an owner has ended until a majority has voted for the next one.
+// ElectionBound bounds the time, in ms, from when all processes know that an owner has ended until a majority has voted for the next one.
 func (s *Settings) ElectionBound(delay float64) float64 {
 	return 1.5*s.VoteDuration + 3*(s.RenewInterval+s.TickInterval) + 4*delay
 }
 
-// TakeoverBound bounds the time from when all processes know that an owner has ended until the whole pool can be leased.
+// TakeoverBound bounds the time, in ms, from when all processes know that an owner has ended until the whole pool can be leased.
 func (s *Settings) TakeoverBound(kind Kind, delay float64) float64 {
 	return s.ElectionBound(delay) + s.ReclaimBound(kind)
 }
 
-// DemandBound bounds the time until shares have followed demand, where the owner is reachable for all and nothing is lost: the request
-// with the demand, the plan, the recall to those who have too much, their requests, the plan, the recall to the one who has too little,
-// which may have been sent one just before, its request and the answer.
+// DemandBound bounds the time, in ms, until leases have followed a change of demand, if all processes reach the owner and no message is
+// lost. The steps are the request with the demand, a plan, the recalls to the holders with too many units, their requests, another plan,
+// the recall to the holder with too few units, which may have been sent another one just before, its request and the answer.
 func (s *Settings) DemandBound(delay float64) float64 {
 	return 4*(s.UrgentInterval+s.TickInterval) + 3*s.TickInterval + 6*delay
 }
 
-// StaleAfter returns for how long a SoonEven share is used without an answer, and a demand counts without a request.
+// StaleAfter returns how long, in ms, a SoonEven share is used without an answer, and a reported demand counts without another request.
 func (s *Settings) StaleAfter() float64 { return staleIntervals * s.RenewInterval }
 
-// OvershootBound bounds how long SoonEven shares may add up to too much after a fault, or a change of those that may be sending.
+// OvershootBound bounds how long, in ms, SoonEven shares may exceed the limit in sum after a fault, or after a change of the number of
+// poolers that may be sending.
 func (s *Settings) OvershootBound(delay float64) float64 {
 	return s.StaleAfter() + 2*s.RenewInterval + 2*delay
 }
--- a/internal/cluster/quota/shares.go
+++ b/internal/cluster/quota/shares.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// handleShareRequest answers a request about a SoonEven limit as the owner, with the sender's part of all reported demand.
+// handleShareRequest answers a request for a SoonEven limit as the owner, with the sender's share.
 func (q *Quota) handleShareRequest(limit *limitState, from ID, item *Item) {
 	state := &limit.ownership
 	peer := state.holderByID[from]
@@ -41,7 +41,7 @@
 	})
 }
 
-// handleShareAnswer takes a share: a smaller one at once, a larger one after others have had the time to reduce theirs.
+// handleShareAnswer accepts a share: a smaller one at once, a larger one after others have had time to reduce theirs.
 func (q *Quota) handleShareAnswer(limit *limitState, from ID, item *Item) {
 	pending, ok := limit.pendingRequest(item.Sequence)
 	if !ok || from != limit.currentOwner || item.Share > 1 {
@@ -59,7 +59,7 @@
 	limit.higherShare = item.Share
 }
 
-// advanceShare takes a larger share whose time has come. Without an answer for StaleAfter the share is an equal one.
+// advanceShare applies a larger share that is due. Without an answer for StaleAfter it sets an equal share.
 func (q *Quota) advanceShare(limit *limitState) {
 	if limit.higherShareAt > 0 && q.now >= limit.higherShareAt {
 		limit.setShare(limit.higherShare)
--- a/internal/cluster/quota/targets.go
+++ b/internal/cluster/quota/targets.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	idleWeight      = 0.02 // the part of the limit that all poolers together demand beside their reported demand, so newcomers get a share
-	targetTolerance = 10   // fine units may differ from the target by one part in so many...
-	poolTolerance   = 200  // ...or from it by one part of the pool in so many, before a lease is recalled
+	idleWeight      = 0.02 // the part of the limit that is added to the demand of all poolers together, so that new poolers get a share
+	targetTolerance = 10   // the units of a rate may differ from the target by 1/targetTolerance of it...
+	poolTolerance   = 200  // ...or by 1/poolTolerance of the pool, before a lease is recalled
 	roundingSlack   = 1e-9
 )
 
-// planTargets decides how many units each process is to have: by demand, in whole units; units that remain go round in turns. Processes
-// with too many units are asked to give some back; those with too few are asked to request again once units are free.
+// planTargets determines the target of each process: whole units in proportion to demand; the remaining units are given to the processes in
+// turns. It asks processes with too many units to give some back, and those with too few to request again once units are free.
 func (q *Quota) planTargets(limit *limitState) {
 	state := &limit.ownership
 	if !state.active || q.now < state.nextPlan {
@@ -31,7 +31,7 @@
 	q.sendRecalls(limit, bound)
 }
 
-// boundHolders returns the holders that are bound to this owner by their votes, and the units that others cannot hold.
+// boundHolders returns the holders that are bound to this owner by their votes, and the units that no other process can hold.
 func (q *Quota) boundHolders(limit *limitState) (bound []*holder, free int) {
 	state := &limit.ownership
 	bound = make([]*holder, 0, len(state.holders))
@@ -40,15 +40,15 @@
 		peer.target = 0
 		if peer.adopted && peer.voteEnds > q.now {
 			bound = append(bound, peer)
-		} else { // what it may hold is nobody's until its lease is over
+		} else { // units that it may hold are not available until its lease has ended
 			free -= peer.outstandingUnits(q.now)
 		}
 	}
 	return bound, max(0, free)
 }
 
-// setProportionalTargets gives each holder the whole units of its part, and returns the units that remain. turns is the part of a turn
-// since the last plan, by which deficits grow.
+// setProportionalTargets sets each holder's target to the whole units of its proportional part, and returns the remaining units. turns is
+// the fraction of a turn (2*RenewInterval) since the last plan, with which deficits accumulate.
 func (q *Quota) setProportionalTargets(limit *limitState, bound []*holder, free int, turns float64) (remaining int) {
 	total := 0.0
 	for _, peer := range bound {
@@ -66,7 +66,8 @@
 	return remaining
 }
 
-// distributeRemaining gives one more unit each, first to those that demand any, in the order of their deficits.
+// distributeRemaining adds one of the remaining units to each target, in the order of the holders' priorities, first for holders with
+// demand.
 func distributeRemaining(bound []*holder, remaining int, now float64) {
 	slices.SortStableFunc(bound, func(a, b *holder) int {
 		return cmp.Or(cmp.Compare(b.priority(now), a.priority(now)), cmp.Compare(a.id, b.id))
@@ -85,7 +86,8 @@
 	}
 }
 
-// sendRecalls asks the holders whose units differ from their target to request again, where that helps somebody.
+// sendRecalls asks the holders whose units differ too much from their target to request again: those with too many if some holder has too
+// few, and those with too few if there are free units.
 func (q *Quota) sendRecalls(limit *limitState, bound []*holder) {
 	free := limit.partition.Pool - q.leasedUnits(limit)
 	missing := slices.ContainsFunc(bound, func(peer *holder) bool { return peer.outstandingUnits(q.now) < peer.target })
@@ -106,7 +108,8 @@
 
 func (peer *holder) weight(poolers int) float64 { return peer.demand + idleWeight/float64(poolers) }
 
-// priority orders holders for the units that remain. A unit that a holder has beyond its target counts for it for one turn.
+// priority is the order in which holders get remaining units. A holder that has units beyond its target has a higher priority, so it keeps
+// such a unit for one turn.
 func (peer *holder) priority(now float64) float64 {
 	if peer.outstandingUnits(now) > peer.target {
 		return peer.deficit + 1
