--- a/internal/cluster/quota/targets.go
+++ b/internal/cluster/quota/targets.go
@@ -66,8 +66,8 @@
 	return remaining
 }
 
-// distributeRemaining adds one of the remaining units to each target, in the order of the holders' priorities, first for holders with
-// demand.
+// distributeRemaining adds one of the remaining units to each target: first to those of holders with demand, then to all, in the order of
+// the holders' priorities.
 func distributeRemaining(bound []*holder, remaining int, now float64) {
 	slices.SortStableFunc(bound, func(a, b *holder) int {
 		return cmp.Or(cmp.Compare(b.priority(now), a.priority(now)), cmp.Compare(a.id, b.id))
--- a/internal/cluster/raftlog/log.go
+++ b/internal/cluster/raftlog/log.go
@@ -79,7 +79,7 @@
 	return l
 }
 
-// Next returns when the next Tick is due.
+// Next returns when the next Tick is due, in ms.
 func (l *Log) Next() float64 { return l.nextTickAt }
 
 // Handle processes one event and appends the actions that it causes. If raft panics because of an impossible state, this voter takes no
--- a/internal/cluster/raftlog/storage.go
+++ b/internal/cluster/raftlog/storage.go
@@ -28,9 +28,9 @@
 	bytesSinceSnapshot   int
 	logBytes             int           // of entries in memory
 	snapshotIndex        uint64        // of the snapshot that was requested from the Machine, 0 for none
-	snapshotConf         *pb.ConfState // the voters at snapshotIndex, as snapshotMembers
-	snapshotMembers      []Member
-	snapshotForced       bool // a snapshot is due regardless of size, as the voters have changed
+	snapshotConf         *pb.ConfState // raft's voters at snapshotIndex
+	snapshotMembers      []Member      // the members at snapshotIndex
+	snapshotForced       bool          // a snapshot is due regardless of size, as the voters have changed
 }
 
 // pendingWrite is a write that waits for the disk, with what is done when it is durable.
