--- a/cmd/beechgrade/clickhouse.go
+++ b/cmd/beechgrade/clickhouse.go
@@ -39,7 +39,7 @@
 		Rules:                rules,
 		UserLimits:           o.Users,
 		DefaultLimits:        o.DefaultLimits,
-		ExpireLeases:         p.core.Expire,
+		ExpireLeases:         p.core.ExpireLeases,
 		MemoryBytes:          func() int { return p.cfg.Limits.MemoryMB << 20 },
 		SpareDescriptors:     p.spareConns,
 	}, p.core, p.core)
--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -116,7 +116,7 @@
 func (l *fleetLimits) allow(name string, amount, burst float64) {
 	l.pooler.log.Debug("fleet limit", "limit", name, "amount", amount, "burst", burst)
 	l.pooler.core.RecordEvent(recordpb.Kind_KIND_LIMIT, fmt.Sprintf("%s: %g", name, amount))
-	if l.pooler.core.Allow(name, amount, burst) {
+	if l.pooler.core.SetAllowance(name, amount, burst) {
 		return
 	}
 	for i := range l.set.Limits {
--- a/cmd/beechgrade/peers_test.go
+++ b/cmd/beechgrade/peers_test.go
@@ -121,7 +121,7 @@
 		t.Error("there are limits of the whole fleet")
 	}
 	told := &exposition.Snapshot{}
-	if n := testing.AllocsPerRun(100, func() { p.writePeersMetrics(told); p.writeLimitsMetrics(told); p.core.Expire() }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { p.writePeersMetrics(told); p.writeLimitsMetrics(told); p.core.ExpireLeases() }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 	if got := string(told.AppendLines(nil)); got != "" {
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -148,7 +148,7 @@
 		ConnectTimeoutMs: p.cfg.ConnectTimeoutMs,
 		IdleMs:           p.cfg.ServerIdleTimeoutMs * closeIdlePart,
 		Memory:           p.memory,
-		Dial:             p.core.LimitDial,
+		Dial:             p.core.DialWithinLimit,
 		MaxConns:         p.maxServerConnections,
 		FreeDescriptor:   p.freeClientDescriptor,
 	}
--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -26,7 +26,7 @@
 		PositionName: positionParameter,
 		MaxMessage:   o.MaxMessageBytes,
 		MaxAnswer:    o.MaxResponseBytes,
-		Expire:       p.core.Expire,
+		Expire:       p.core.ExpireLeases,
 		Spare:        p.spareConns,
 		Scatter:      p.scatter,
 	}, p.core, p.core)
--- a/internal/backend/journaled/journaled.go
+++ b/internal/backend/journaled/journaled.go
@@ -40,7 +40,7 @@
 	Recall(id string, which func(backend.AttemptID) bool)
 }
 
-// grouped is implemented by connections that need to know the servers' groups, as core.Grouped.
+// grouped is implemented by connections that need to know the servers' groups, as core.GroupSetter.
 type grouped interface{ SetGroup(id string, group int) }
 
 // heldRef is set in the index of the refs of attempts that Servers holds back, so that they differ from those of the connections.
@@ -86,8 +86,8 @@
 	return s
 }
 
-// Ran reports whether a request of a client's id may have run before this process began.
-func (s *Servers) Ran(id string) bool { return s.journal.MayHaveRun(id) }
+// MayHaveRun reports whether a request of a client's id may have run before this process began.
+func (s *Servers) MayHaveRun(id string) bool { return s.journal.MayHaveRun(id) }
 
 // SetGroup passes a server's group on, where the connections need it.
 func (s *Servers) SetGroup(id string, group int) {
--- a/internal/backend/journaled/journaled_test.go
+++ b/internal/backend/journaled/journaled_test.go
@@ -135,7 +135,7 @@
 	}
 	_ = r.store.Close()
 	next := newFixture(t, r.disk, journal.BeforeSend)
-	if !next.servers.Ran("id-2") || !next.servers.Ran("id-7") || next.servers.Ran("id-6") || next.servers.Ran("id-3") {
+	if !next.servers.MayHaveRun("id-2") || !next.servers.MayHaveRun("id-7") || next.servers.MayHaveRun("id-6") || next.servers.MayHaveRun("id-3") {
 		t.Errorf("%v", next.pending())
 	}
 	next.servers.Start("d", nil, 2e6, backend.SendConditions{AtMostOnce: true}, tag(2)) // with the same clock as before, no key is used again
@@ -176,7 +176,7 @@
 		r.servers = New(r, slog.New(slog.NewTextHandler(io.Discard, nil)), r, r.store, journal.BeforeSend)
 		r.servers.Wrap(r)
 		for k := range uint32(i) {
-			if !r.servers.Ran(fmt.Sprint("id-", k+1)) {
+			if !r.servers.MayHaveRun(fmt.Sprint("id-", k+1)) {
 				t.Errorf("start %d at %v: id-%d may have run, and is not known", i, now, k+1)
 			}
 		}
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -42,8 +42,8 @@
 	Fetch()
 }
 
-// Grouped is implemented by servers that need to know the group of each of them.
-type Grouped interface {
+// GroupSetter is implemented by servers that need to know the group of each of them.
+type GroupSetter interface {
 	SetGroup(id string, group int) // called before SetAddress
 }
 
@@ -55,7 +55,7 @@
 // Journal records how attempts ended, and knows which requests may have run in an earlier process.
 type Journal interface {
 	Ended(tag backend.AttemptID, result decide.Result)
-	Ran(id string) bool
+	MayHaveRun(id string) bool
 }
 
 // Meter measures the time of the decision module.
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -61,8 +61,8 @@
 	c.reload()
 }
 
-// Allow assigns a part of a limit, and reports whether the limit is one of the core's.
-func (c *Core) Allow(name string, amount, burst float64) bool {
+// SetAllowance assigns a part of a limit, and reports whether the limit is one of the core's.
+func (c *Core) SetAllowance(name string, amount, burst float64) bool {
 	assigned := c.limits.named(name)
 	if assigned == nil {
 		return false
@@ -84,11 +84,11 @@
 	return 0, false
 }
 
-// Expire ends leases that are over, before anything else uses them.
-func (c *Core) Expire() { c.limits.expire() }
+// ExpireLeases ends leases that are over, before anything else uses them.
+func (c *Core) ExpireLeases() { c.limits.expire() }
 
-// LimitDial begins a connection to a server, within the fleet's limit of dials.
-func (c *Core) LimitDial(do func()) { c.limits.use(LimitDials, "").run(do) }
+// DialWithinLimit begins a connection to a server, within the fleet's limit of dials.
+func (c *Core) DialWithinLimit(do func()) { c.limits.use(LimitDials, "").run(do) }
 
 // set replaces the limits, and lifts those that are no more.
 func (g *limitGate) set(limits []Limit, leases Leases) {
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -75,7 +75,7 @@
 	if got := ask("b", 3); got != 3 {
 		t.Errorf("%d of another tenant", got)
 	}
-	c.Allow("x", 10, 4)
+	c.SetAllowance("x", 10, 4)
 	if got := ask("a", 3); got != 0 {
 		t.Errorf("%d were admitted by a bucket that begins empty", got)
 	}
@@ -86,13 +86,13 @@
 	if got := ask("a", 9); got != 4 { // the burst
 		t.Errorf("%d after a second", got)
 	}
-	c.Allow("x", 1000, 400)
+	c.SetAllowance("x", 1000, 400)
 	l.now += 5
 	if got := ask("a", 9); got != 5 {
 		t.Errorf("%d in the 5 ms after a thousand a second were assigned", got)
 	}
 	l.now += 1000
-	lease.due, lease.end = l.now, func() { c.Allow("x", 0, 0) }
+	lease.due, lease.end = l.now, func() { c.SetAllowance("x", 0, 0) }
 	if got := ask("a", 9); got != 0 {
 		t.Errorf("%d by a lease that was over", got)
 	}
@@ -120,7 +120,7 @@
 	if done != 0 {
 		t.Fatalf("%d before a part was assigned", done)
 	}
-	c.Allow("p", 10, 2)
+	c.SetAllowance("p", 10, 2)
 	l.now += 100
 	timers := l.timers
 	l.timers = nil
@@ -131,7 +131,7 @@
 		t.Errorf("%d after 100 ms at ten a second", done)
 	}
 	l.now += 10000
-	c.Allow("p", 20, 2)
+	c.SetAllowance("p", 20, 2)
 	if done != 3 {
 		t.Errorf("%d with a burst of 2", done)
 	}
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -38,7 +38,7 @@
 		}
 		named[instance.ID] = true
 		event.Endpoints = append(event.Endpoints, c.endpointOf(instance, now))
-		if servers, ok := c.servers.(Grouped); ok {
+		if servers, ok := c.servers.(GroupSetter); ok {
 			servers.SetGroup(instance.ID, instance.Cell)
 		}
 		if instance.HostPort != "" {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -102,7 +102,7 @@
 		return slotmap.Ref{}, nil
 	}
 	c.limits.use(LimitTenantRequests, incoming.Tenant)
-	c.Expire()
+	c.ExpireLeases()
 	clientDeadline := incoming.Deadline
 	if c.answersBy > 0 {
 		incoming.Deadline = min(incoming.Deadline, c.answersBy)
@@ -174,7 +174,7 @@
 			return true
 		}
 	}
-	return c.journal != nil && c.journal.Ran(clientID(incoming))
+	return c.journal != nil && c.journal.MayHaveRun(clientID(incoming))
 }
 
 // clientID returns the id that a request's client uses for it.
--- a/internal/testkit/simulation/connections.go
+++ b/internal/testkit/simulation/connections.go
@@ -117,7 +117,7 @@
 
 // dial opens a connection when the dial limit allows it, if an attempt still waits for one.
 func (st *serverPool) dial() {
-	st.pooler.core.LimitDial(func() {
+	st.pooler.core.DialWithinLimit(func() {
 		if st.dialing < len(st.waiting) {
 			st.open()
 		}
--- a/internal/testkit/simulation/limits.go
+++ b/internal/testkit/simulation/limits.go
@@ -85,7 +85,7 @@
 		case quota.Send:
 			l.send(a.Addr, a.Message)
 		case quota.SetAllowance:
-			l.peer.p.core.Allow(a.Limit, a.Amount, a.Burst)
+			l.peer.p.core.SetAllowance(a.Limit, a.Amount, a.Burst)
 			sim.sched.mix(uint64(l.peer.p.no)<<32|uint64(a.Amount*1000), uint64(sim.sched.now))
 		}
 	}
