--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/eventloop/timers"
 )
 
-// Errors of a request that cannot be passed to the router.
+// Errors of requests that Submit does not accept. Frontends pass their texts to clients.
 var (
 	ErrUnknownClass     = errors.New("no such class")
 	ErrUnknownTenant    = errors.New("no such tenant")
@@ -24,10 +24,11 @@
 	CloseIdle(id string)
 	Forget(id string)
 	Retain(ids map[string]bool)
-	Start(id string, query backend.Query, until float64, on backend.SendConditions, tag backend.AttemptID) slotmap.Ref
+	Start(id string, query backend.Query, deadline float64, conditions backend.SendConditions, attempt backend.AttemptID) slotmap.Ref
 	Cancel(attempt slotmap.Ref)
 	CheckHealth(id string)
-	Recall(id string, which func(backend.AttemptID) bool) // ends the attempts that have not been written yet and must not be
+	// Recall ends a server's attempts that have not been written yet and for which recall returns true.
+	Recall(id string, recall func(backend.AttemptID) bool)
 }
 
 // Loop is the event loop.
@@ -42,23 +43,23 @@
 	Fetch()
 }
 
-// GroupSetter is implemented by servers that need to know the group of each of them.
+// GroupSetter is implemented by Servers that need the group of each server.
 type GroupSetter interface {
 	SetGroup(id string, group int) // called before SetAddress
 }
 
-// ReportSink receives what servers report of themselves, each time.
+// ReportSink receives every report of a server's role and position.
 type ReportSink interface {
 	ServerReported(server string, primary, replica bool, position float64)
 }
 
 // Journal records how attempts ended, and knows which requests may have run in an earlier process.
 type Journal interface {
-	Ended(tag backend.AttemptID, result decide.Result)
-	MayHaveRun(id string) bool
+	Ended(attempt backend.AttemptID, result decide.Result)
+	MayHaveRun(clientID string) bool
 }
 
-// Meter measures the time of the decision module.
+// Meter measures the time that the router takes for each event.
 type Meter interface {
 	Begin()
 	End()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,21 +1,22 @@
-// Package core is the event loop's state between the router, the servers and the clients: it passes events to the router
-// (package decide) and carries out its actions in order. It decides nothing itself.
+// Package core connects the router (package decide) to servers and clients on the event loop: it passes events to the router and
+// carries out the router's actions in order. It makes no routing decisions itself.
 //
-// Its inputs are requests of the frontends, ends of attempts and health checks, endpoint lists, settings and what peers assign.
-// Its outputs are attempts and health checks at the servers, answers to clients, and records. It has a slot for each request
-// until that is over and its attempts have ended, and keys of requests for some minutes (see recentKeys). Without peers, a
-// journal or credit their fields are nil, and the settings alone apply: without messages of peers a pooler goes on by itself.
+// Its inputs are requests of the frontends, ends of attempts and health checks, endpoint lists, settings, and the limits and
+// policies that peers assign. Its outputs are attempts and health checks at the servers, answers to clients, and records. It keeps
+// a slot for each request until the request is finished and its attempts have ended, and keys of requests for some minutes (see
+// recentKeys). Without peers, a journal or prepaid credit their fields are nil and the settings alone apply. A pooler that receives
+// no messages from its peers keeps serving.
 //
 // One file holds one concern:
 //
-//   - core.go: the state, settings and their reload; api.go: what the core needs from others
-//   - events.go: the queue of events and the actions of the router
-//   - request.go, requesttable.go, keys.go: requests from their arrival to their end, and those that may have run
+//   - core.go: the state, settings and their reload; api.go: the interfaces that the core depends on
+//   - events.go: the event queue, and the execution of the router's actions
+//   - request.go, requesttable.go, keys.go: requests from arrival to end, and the memory of requests that may have run
 //   - dispatch.go, outcomes.go: the start of attempts, and their ends
 //   - healthcheck.go, observer.go, lists.go: health checks, reports of servers, and endpoint lists
-//   - sessiontokens.go, credit.go, limits.go, pacer.go: answers that wait for a commit, prepaid credit, limits of the fleet
-//   - overload.go, zones.go: the core's part in the fleet's handling of overload and zones
-//   - recorder.go, decisions.go: records, metrics and log lines; invariants.go: statements that hold between events
+//   - sessiontokens.go, credit.go, limits.go, pacer.go: answers that wait for a stored commit, prepaid credit, fleet-wide limits
+//   - overload.go, zones.go: what the core measures and applies for fleet-wide overload control and zone planning
+//   - recorder.go, decisions.go: records, metrics and log lines; invariants.go: checks that hold between events
 package core
 
 import (
@@ -29,7 +30,7 @@
 	"beechgrade/internal/metrics"
 )
 
-// Core feeds the router. It must be used on the loop alone.
+// Core connects the router to servers and clients. Its methods must be called on the event loop.
 type Core struct {
 	loop      Loop
 	log       *slog.Logger
@@ -38,39 +39,39 @@
 	servers   Servers
 	directory Directory
 
-	classNumbers  map[string]int // of the classes that are in use
-	tenantNumbers map[string]int
-	zoneNumbers   nameNumbers
-	kindNumbers   nameNumbers
-	processes     int     // on the socket, 0 for this one alone
-	peers         int     // poolers that may be sending, 0 for the settings' number
-	answersBy     float64 // requests that arrive have their answer by then, 0 for no end
+	classNumbers   map[string]int // of the classes that are not retired
+	tenantNumbers  map[string]int
+	zoneNumbers    nameNumbers
+	kindNumbers    nameNumbers
+	processes      int     // that share this pooler's sockets, 0 for this process alone
+	peers          int     // poolers that may be sending; 0 to use Settings.Peers
+	answerDeadline float64 // upper bound of the deadlines of new requests, in ms of the loop; 0 for none
 
 	requests    requestTable
 	events      []queuedEvent
 	actions     []decide.Action
 	carryingOut bool
-	abandoned   []slotmap.Ref // requests that were given up while actions are carried out
+	abandoned   []slotmap.Ref // requests whose clients left while actions were carried out
 
 	metrics      metrics.Metrics
-	classMetrics []*metrics.Class // by the classes' numbers
+	classMetrics []*metrics.Class // by class number
 	decisions    decisionCounts
 	recorder     recorder
 	meter        Meter
 
-	reportSink    ReportSink // nil without one
-	journal       Journal    // nil without one
+	reportSink    ReportSink // optional
+	journal       Journal    // optional
 	sessionDoubt  sessionDoubt
-	sessionTokens SessionTokens // nil where sessions' commits are not stored
+	sessionTokens SessionTokens // nil if sessions' commits are not stored
 	credit        Credit        // nil without prepaid credit
 	limits        limitGate
 	fleet         fleetState
 	observation   serverObservation
 
-	checks         *invariant.Checks // nil without a checker
-	walkEvery      int               // events between two walks
-	sinceWalk      int
-	unreportedEnds int // ends of attempts that the router has yet to handle
+	checks          *invariant.Checks // nil if invariants are not checked
+	walkInterval    int               // events between two checks of all requests
+	eventsSinceWalk int
+	unreportedEnds  int // ends of attempts that have not been passed to the router yet
 }
 
 // New returns the core of one pooler.
@@ -100,14 +101,15 @@
 // SetMeter sets the meter.
 func (c *Core) SetMeter(meter Meter) { c.meter = meter }
 
-// SetChecks has the invariants of the core and of the router checked, from the beginning on.
-func (c *Core) SetChecks(checks *invariant.Checks, every int) {
+// SetChecks enables the checks of the core's and the router's invariants. All requests are checked once in interval events. It
+// is called before Start.
+func (c *Core) SetChecks(checks *invariant.Checks, interval int) {
 	c.checks = checks
-	c.walkEvery = every
-	c.router.EnableChecks(checks, every)
+	c.walkInterval = interval
+	c.router.EnableChecks(checks, interval)
 }
 
-// Start joins the core to the servers and the directory, and passes the last known list to the router.
+// Start sets the servers and the directory, and passes the last known endpoint list to the router.
 func (c *Core) Start(servers Servers, directory Directory) {
 	c.servers = servers
 	c.directory = directory
@@ -117,7 +119,7 @@
 	c.applyList(&c.config.InitialList, decide.ListRestored)
 }
 
-// indexNames takes the names and numbers of classes and tenants from the configuration.
+// indexNames rebuilds the lookup tables of class and tenant names from the configuration.
 func (c *Core) indexNames() {
 	c.classNumbers, c.classMetrics, c.tenantNumbers = map[string]int{}, nil, map[string]int{}
 	for number, name := range c.config.Tenants {
@@ -132,13 +134,14 @@
 	c.requests.setKeyLifetime(keyLifetimeMs(c.config.Settings.Classes))
 }
 
-// Reload applies the configuration's present settings. Requests in flight keep their class.
+// Reload applies the configuration's current settings. Requests in flight keep their class.
 func (c *Core) Reload() {
 	c.indexNames()
 	c.reload()
 }
 
-// reload passes the settings to the router, with what the core knows better: processes, peers, zone and assigned limits.
+// reload passes the settings to the router, with the values that are determined at run time: processes, peers, zone, assigned
+// limits, shedding and the retry budget.
 func (c *Core) reload() {
 	settings := c.config.Settings
 	settings.Processes = max(1, c.processes)
@@ -156,7 +159,7 @@
 	c.handleEvent(&decide.Reload{Settings: settings})
 }
 
-// SetProcesses sets the number of processes that share this pooler's place, and reports whether it changed.
+// SetProcesses sets the number of processes that act as this pooler at the same time, and reports whether it changed.
 func (c *Core) SetProcesses(n int) bool {
 	if n == max(1, c.processes) {
 		return false
@@ -166,7 +169,7 @@
 	return true
 }
 
-// SetPeers sets the number of poolers that may be sending, in place of the settings' number; 0 for that.
+// SetPeers sets the number of poolers that may be sending. It overrides Settings.Peers unless it is 0.
 func (c *Core) SetPeers(n int) {
 	if n != c.peers {
 		c.peers = n
@@ -174,10 +177,10 @@
 	}
 }
 
-// Snapshot returns what the router knows.
+// Snapshot returns a snapshot of the router's state.
 func (c *Core) Snapshot() *decide.Snapshot { return c.router.Snapshot() }
 
-// MergeSnapshot merges what another router knew into this one's state.
+// MergeSnapshot merges another router's snapshot into this router's state.
 func (c *Core) MergeSnapshot(snapshot *decide.Snapshot) {
 	c.router.Merge(clock.ToDuration(c.loop.Now()), snapshot)
 }
@@ -188,10 +191,10 @@
 // OpenRequests returns the number of requests that await an answer or have attempts in flight.
 func (c *Core) OpenRequests() int { return c.requests.Len() }
 
-// SetAnswerDeadline sets the time by which requests of the platform's clients, open ones and new ones, have their answer. Sessions of the
-// other frontends have no deadline and are ended by their frontends.
+// SetAnswerDeadline sets the time, in ms of the loop, by which open and new requests of the platform protocol's clients must be
+// answered. Sessions of the other frontends have no deadline and are ended by their frontends.
 func (c *Core) SetAnswerDeadline(ms float64) {
-	c.answersBy = ms
+	c.answerDeadline = ms
 	var open []slotmap.Ref
 	c.requests.Each(func(ref slotmap.Ref, _ *request) { open = append(open, ref) })
 	for _, ref := range open {
--- a/internal/core/credit.go
+++ b/internal/core/credit.go
@@ -11,63 +11,63 @@
 )
 
 const (
-	// creditDeadlineMarginMs is how long before its deadline a request that waits for credit is rejected, so that its client
-	// gets the answer.
+	// creditDeadlineMarginMs is how long before its deadline a request that waits for credit is rejected, so that the client
+	// receives the answer in time.
 	creditDeadlineMarginMs = 5
-	// minCreditRetryAfterMs is the least wait that a client is advised for lack of credit, and twice that the longest: a payment
-	// usually arrives sooner, and clients must not return together.
+	// minCreditRetryAfterMs is the shortest retry delay that a client is told if there is no credit; the longest is twice that. A
+	// payment usually arrives sooner, and the delays are spread so that clients do not return all at once.
 	minCreditRetryAfterMs = 1000
-	// creditIndexShift is where a slot's index begins in a request's name for Credit; its generation is below.
+	// creditIndexShift is the position of the slot's index in a credit tag; the bits below hold the slot's generation.
 	creditIndexShift = 32
 )
 
-// Credit decides whether a tenant's prepaid credit admits a request. The router gets a request once it is admitted.
+// Credit decides whether a tenant's prepaid credit admits a request. A request is passed to the router once it is admitted.
 type Credit interface {
 	Hold(tenant, class, session string, tag uint64) (lease.Reservation, lease.Decision)
-	Settle(h *lease.Reservation, d lease.Usage)
+	Settle(hold *lease.Reservation, usage lease.Usage)
 	Cancel(tenant string, tag uint64)
 }
 
-// SetCredit has requests paid for.
+// SetCredit makes the admission of requests depend on prepaid credit.
 func (c *Core) SetCredit(credit Credit) { c.credit = credit }
 
-// payment is a request's state with its tenant's credit.
+// payment is a request's state concerning its tenant's prepaid credit.
 type payment struct {
 	tenant       string
 	creditHold   lease.Reservation
-	pending      *decide.Request // what the router gets once the request is admitted; nil otherwise
+	pending      *decide.Request // passes a request that waits for credit to the router once it is admitted; nil if it does not wait
 	waitingSince float64
 }
 
-// creditTag names a request to Credit by its slot.
+// creditTag returns the tag by which Credit identifies the request in a slot.
 func creditTag(ref slotmap.Ref) uint64 { return uint64(ref.Index)<<creditIndexShift | uint64(ref.Gen) }
 
-// creditRef returns the slot of a request by its name for Credit.
+// creditRef returns the slot of the request with a credit tag.
 func creditRef(tag uint64) slotmap.Ref {
 	return slotmap.Ref{Index: uint32(tag >> creditIndexShift), Gen: uint32(tag)}
 }
 
-// holdCredit reserves a tenant's credit for a request, and reports whether the request may go on now. Otherwise it waits, or
-// was rejected.
+// holdCredit reserves a tenant's credit for a request, and reports whether the request is admitted now. Otherwise it waits or was
+// rejected.
 func (c *Core) holdCredit(ref slotmap.Ref, req *request, incoming *platform.Request, event *decide.Request) bool {
 	// Funded may be called before Hold returns.
 	req.payment.tenant = incoming.Tenant
 	req.payment.pending = event
 	req.payment.waitingSince = c.loop.Now()
-	hold, verdict := c.credit.Hold(incoming.Tenant, incoming.Class, incoming.Session, creditTag(ref))
-	if verdict == lease.Queued {
+	hold, decision := c.credit.Hold(incoming.Tenant, incoming.Class, incoming.Session, creditTag(ref))
+	if decision == lease.Queued {
 		c.loop.At(max(req.payment.waitingSince, incoming.Deadline-creditDeadlineMarginMs), func() { c.rejectOverdue(ref) })
 		return false
 	}
 	req.payment.pending = nil
 	req.payment.creditHold = hold
-	if verdict != lease.Admitted {
-		c.rejectUnfunded(ref, req, verdict == lease.Throttled)
+	if decision != lease.Admitted {
+		c.rejectUnfunded(ref, req, decision == lease.Throttled)
 	}
-	return verdict == lease.Admitted
+	return decision == lease.Admitted
 }
 
-// rejectOverdue rejects a request that has waited for credit as long as its client does.
+// rejectOverdue rejects a request that still waits for credit shortly before its deadline.
 func (c *Core) rejectOverdue(ref slotmap.Ref) {
 	if req, ok := c.requests.Get(ref); ok && req.payment.pending != nil {
 		req.payment.pending = nil
@@ -76,14 +76,15 @@
 	}
 }
 
-// rejectUnfunded rejects a request for lack of credit; slowed if the credit is low and the request among the least important.
-func (c *Core) rejectUnfunded(ref slotmap.Ref, req *request, slowed bool) {
+// rejectUnfunded rejects a request for lack of credit. throttled tells that the credit is low, and the request among the tenant's
+// least important.
+func (c *Core) rejectUnfunded(ref slotmap.Ref, req *request, throttled bool) {
 	c.finish(req, metrics.Rejected)
-	c.releaseIfDone(ref, req) // its client may send, or give up, something else at once
+	c.releaseIfDone(ref, req) // before the client is called, which may submit or abandon other requests
 	spread := float64(creditTag(ref) % minCreditRetryAfterMs)
 	wait := min(clock.ToMillis(c.config.Settings.MaxRetryAfter), minCreditRetryAfterMs+spread)
 	if client, ok := req.client.(platform.PrepaidClient); ok {
-		client.RejectedUnfunded(slowed, wait)
+		client.RejectedUnfunded(throttled, wait)
 	} else {
 		req.client.Rejected(wait)
 	}
@@ -114,26 +115,26 @@
 	}
 }
 
-// settleCredit ends the hold on a tenant's credit: once for each request, however many attempts it had.
+// settleCredit ends the hold on a tenant's credit. It is called once for each request, however many attempts the request had.
 func (c *Core) settleCredit(req *request, end metrics.Outcome) {
-	done := lease.Usage{}
+	usage := lease.Usage{}
 	firstWritten, sent := req.firstWrittenAt()
 	switch {
 	case end == metrics.Served:
-		done.Served = 1
+		usage.Served = 1
 		if sent {
-			done.Seconds = (c.loop.Now() - firstWritten) / msPerSecond
+			usage.Seconds = (c.loop.Now() - firstWritten) / msPerSecond
 		}
 		if counted, ok := req.client.(platform.RowCounter); ok {
-			done.Rows = counted.Rows()
+			usage.Rows = counted.Rows()
 		}
 	case end != metrics.Rejected && sent:
-		done.Failed = 1
+		usage.Failed = 1
 	}
-	c.credit.Settle(&req.payment.creditHold, done)
+	c.credit.Settle(&req.payment.creditHold, usage)
 }
 
-// firstWrittenAt returns when the earliest attempt that was written was started, and false if none was.
+// firstWrittenAt returns when the earliest of the written attempts was started, and false if none was written.
 func (req *request) firstWrittenAt() (at float64, sent bool) {
 	for i := range req.attempts {
 		a := &req.attempts[i]
--- a/internal/core/decisions_test.go
+++ b/internal/core/decisions_test.go
@@ -10,27 +10,28 @@
 	"beechgrade/internal/metrics/exposition"
 )
 
-// TestDecisionsAreLoggedAndCounted: of a request that is sent again and then rejected, the log has the request, the
-// reason, and where it had been sent; the metrics count both.
+// TestDecisionsAreLoggedAndCounted: a request is retried and then rejected. The log has the request, the reasons and the number of
+// attempts; the metrics count both decisions.
 func TestDecisionsAreLoggedAndCounted(t *testing.T) {
-	c, d, l, _ := newWaitingCore(t)
+	c, servers, loop, _ := newWaitingCore(t)
 	var log bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	d.skip(0)     // there was no connection: it is sent again
-	l.now += 3000 // beyond its deadline
+	servers.skip(0)  // not sent, so the request is retried
+	loop.now += 3000 // past the deadline
 	c.handleEvent(&decide.Timer{})
-	for _, line := range []string{`msg=decision what=repeat reason=unanswered request=1 class=write attempts=1`, `msg=decision what=refuse reason=`} {
+	for _, line := range []string{`msg="router decided on a request" decision=repeat reason=unanswered request=1 class=write attempts=1`,
+		`msg="router decided on a request" decision=refuse reason=`} {
 		if !strings.Contains(log.String(), line) {
-			t.Errorf("no %q in\n%s", line, &log)
+			t.Errorf("no %q in the log:\n%s", line, &log)
 		}
 	}
-	figures := &exposition.Snapshot{}
-	c.WriteMetrics(figures)
-	text, err := figures.PrometheusText()
+	snapshot := &exposition.Snapshot{}
+	c.WriteMetrics(snapshot)
+	text, err := snapshot.PrometheusText()
 	if err != nil || !strings.Contains(string(text), "decisions") {
-		t.Error(err, string(text))
+		t.Errorf("metrics without decisions, error %v: %s", err, text)
 	}
 	if c.decisions.retried[decide.ReasonRetry] == 0 {
-		t.Errorf("%+v", c.decisions)
+		t.Errorf("the retry is not counted: %+v", c.decisions)
 	}
 }
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -10,15 +10,15 @@
 	"beechgrade/internal/frontend/platform"
 )
 
-// An attempt that the router has sent may still wait: for a connection, for its entry in a journal, for its turn. Meanwhile
-// health checks, peers' reports or the list may show that its server is not the primary. So it is checked again just before
-// its first byte is written, against what the router knows then; and what waits is recalled as soon as the report comes,
-// rather than when it has got a connection.
+// An attempt that the router has started may still wait for a connection, for its entry in a journal or for its turn. Meanwhile
+// health checks, peers' reports or the endpoint list may show that its server is not the primary any more. So an attempt is checked
+// again just before its first byte is written, against the router's state at that time, and waiting attempts are recalled as soon as
+// such a report arrives rather than when they get a connection.
 
-// noWriteLimit is later than any time that the router names.
+// noWriteLimit bounds Action.WriteBefore: a value from there on means that there is no limit.
 const noWriteLimit = math.MaxInt64 / 2
 
-// send starts a request's next attempt, or skips it where the request may not be sent any more.
+// send starts a request's next attempt, or reports it to the router as not sent if the request must not be sent any more.
 func (c *Core) send(action *decide.Action) {
 	ref := refOf(action.ID)
 	req, ok := c.requests.Get(ref)
@@ -29,12 +29,12 @@
 		c.decisions.retried[action.Reason]++
 		c.logDecision("repeat", req, action)
 	}
-	number, until := len(req.attempts), req.deadline
+	number, deadline := len(req.attempts), req.deadline
 	if action.Wait != 0 {
-		until = min(until, c.loop.Now()+clock.ToMillis(action.Wait))
+		deadline = min(deadline, c.loop.Now()+clock.ToMillis(action.Wait))
 	}
 	mayBeSent := c.mayBeSent(req, action.Server)
-	req.attempts = append(req.attempts, attempt{server: action.Server, startedAt: c.loop.Now(), writeBefore: until})
+	req.attempts = append(req.attempts, attempt{server: action.Server, startedAt: c.loop.Now(), writeBefore: deadline})
 	if !mayBeSent {
 		c.handleEvent(&decide.Outcome{
 			ID: action.ID, Attempt: number, Server: action.Server, Result: decide.NotSent, Final: req.finished,
@@ -42,20 +42,20 @@
 		return
 	}
 	req.inFlight++
-	conditions := backend.SendConditions{AtMostOnce: req.once}
+	conditions := backend.SendConditions{AtMostOnce: req.atMostOnce}
 	if action.WriteBefore < noWriteLimit {
 		conditions.WriteBefore = clock.ToMillis(action.WriteBefore)
-		req.attempts[number].writeBefore = min(until, conditions.WriteBefore)
+		req.attempts[number].writeBefore = min(deadline, conditions.WriteBefore)
 	}
-	tag := backend.AttemptID{Request: ref, Number: number}
+	id := backend.AttemptID{Request: ref, Number: number}
 	if c.observation.observer != nil {
-		c.observation.observer.Sent(string(action.Server), tag, req.class)
+		c.observation.observer.Sent(string(action.Server), id, req.class)
 	}
-	started := c.servers.Start(string(action.Server), req.query, until, conditions, tag)
-	req.attempts[number].ref = started
+	attemptRef := c.servers.Start(string(action.Server), req.query, deadline, conditions, id)
+	req.attempts[number].ref = attemptRef
 }
 
-// mayBeSent reports whether a request's next attempt may go to a server now.
+// mayBeSent reports whether a request's next attempt may be started at a server now.
 func (c *Core) mayBeSent(req *request, server decide.ServerID) bool {
 	if req.finished || len(req.attempts) >= c.config.Settings.MaxAttempts {
 		return false
@@ -63,7 +63,6 @@
 	return c.mayServe(req, server) && req.deadline > c.loop.Now()
 }
 
-// cancelAttempt cancels an attempt.
 func (c *Core) cancelAttempt(action *decide.Action) {
 	req, ok := c.requests.Get(refOf(action.ID))
 	if ok && action.Attempt >= 0 && action.Attempt < len(req.attempts) {
@@ -71,8 +70,8 @@
 	}
 }
 
-// mayServe reports whether a request may be sent to a server: one for the primary alone goes to the server that the router
-// takes for it.
+// mayServe reports whether a server may serve a request: writes and fresh reads may go to the primary only, as the router knows
+// it.
 func (c *Core) mayServe(req *request, server decide.ServerID) bool {
 	switch c.config.Settings.Classes[req.class].Read {
 	case decide.Write, decide.ReadFresh:
@@ -81,15 +80,15 @@
 	return true
 }
 
-// MaySend implements backend.Events. It is the one place where an attempt is allowed to be written, whatever it waited
-// for. A request whose client has closed its connection, though the loop has yet to read that, ends with the attempt that is
-// not sent.
-func (c *Core) MaySend(tag backend.AttemptID) bool {
-	req, ok := c.requests.Get(tag.Request)
+// MaySend implements backend.Events. It is the only place that allows an attempt to be written, whatever the attempt waited for.
+// It also detects a client that has closed its connection before the loop has read the close; the request then ends when the
+// attempt is reported as not sent.
+func (c *Core) MaySend(id backend.AttemptID) bool {
+	req, ok := c.requests.Get(id.Request)
 	if !ok || req.finished || req.clientClosed {
 		return false
 	}
-	a := &req.attempts[tag.Number]
+	a := &req.attempts[id.Number]
 	if c.loop.Now() >= a.writeBefore || !c.router.Available(a.server) || !c.mayServe(req, a.server) {
 		return false
 	}
@@ -97,15 +96,15 @@
 		req.clientClosed = true
 		return false
 	}
-	a.allowed = true
+	a.writeAllowed = true
 	return true
 }
 
-// ServerReportsReplica implements backend.Events: a server reports that it is a replica. The router must know it first: the attempts
-// that are recalled and the connection that is free now must not meet at that server again.
+// ServerReportsReplica implements backend.Events. The router gets the role before attempts are recalled: otherwise it could send the
+// recalled requests to that server again, on the connection that has just become free.
 func (c *Core) ServerReportsReplica(server string, report backend.Report, healthCheck bool) {
 	now := clock.ToDuration(c.loop.Now())
-	at := now // in an answer to a request it counts at once
+	at := now // a report in an answer to a request counts from now on
 	if healthCheck {
 		at = min(now, c.reportTime(server, report))
 	}
@@ -118,28 +117,28 @@
 	c.recallUnwritten(server)
 }
 
-// recallUnwritten ends the attempts at a server that have not been written yet and must not be any more.
+// recallUnwritten ends the attempts at a server that have not been written yet and that the server must not serve any more.
 func (c *Core) recallUnwritten(server string) {
 	if c.servers == nil || c.router.IsPrimary(decide.ServerID(server)) {
 		return
 	}
-	c.servers.Recall(server, func(tag backend.AttemptID) bool {
-		req, ok := c.requests.Get(tag.Request)
+	c.servers.Recall(server, func(id backend.AttemptID) bool {
+		req, ok := c.requests.Get(id.Request)
 		return ok && !c.mayServe(req, decide.ServerID(server))
 	})
 }
 
-// checkWritten states that what is written was allowed to be.
+// checkWritten checks that MaySend allowed an attempt that was written.
 func (c *Core) checkWritten(req *request, number int) {
 	if !c.checks.Enabled() {
 		return
 	}
 	a := &req.attempts[number]
-	c.checks.That(a.allowed || c.mayServe(req, a.server), "core: what only the primary may serve goes to no other server", func() string {
+	c.checks.That(a.writeAllowed || c.mayServe(req, a.server), "core: writes and fresh reads go to the primary only", func() string {
 		known, _ := c.router.SnapshotOf(a.server)
 		return fmt.Sprintf("%s, attempt %d, to %s: %+v", req.id, number, a.server, known)
 	})
-	c.checks.That(a.allowed, "core: what is written was allowed", func() string {
+	c.checks.That(a.writeAllowed, "core: only attempts that MaySend allowed are written", func() string {
 		return fmt.Sprintf("%s, attempt %d, to %s", req.id, number, a.server)
 	})
 }
--- a/internal/core/dispatch_test.go
+++ b/internal/core/dispatch_test.go
@@ -17,12 +17,12 @@
 	"beechgrade/internal/invariant"
 )
 
-// waitingServers are servers without open connections: attempts wait, in their order.
+// waitingServers are servers without open connections: attempts wait for one in the order of their start.
 type waitingServers struct {
 	countingServers
 	core    *Core
-	waits   []waitingAttempt
-	sent    []string // the servers of what was written
+	waiting []waitingAttempt
+	sent    []string // servers of the written attempts
 	started int
 }
 
@@ -32,16 +32,16 @@
 	tag    backend.AttemptID
 }
 
-func (d *waitingServers) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
-	d.started++
-	d.waits = append(d.waits, waitingAttempt{id, tag})
+func (servers *waitingServers) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
+	servers.started++
+	servers.waiting = append(servers.waiting, waitingAttempt{id, tag})
 	return slotmap.Ref{}
 }
 
-func (d *waitingServers) Recall(id string, which func(backend.AttemptID) bool) {
-	for i := 0; i < len(d.waits); {
-		if x := d.waits[i]; x.server == id && which(x.tag) {
-			d.skip(i)
+func (servers *waitingServers) Recall(id string, which func(backend.AttemptID) bool) {
+	for i := 0; i < len(servers.waiting); {
+		if a := servers.waiting[i]; a.server == id && which(a.tag) {
+			servers.skip(i)
 			i = 0
 			continue
 		}
@@ -49,32 +49,32 @@
 	}
 }
 
-func (d *waitingServers) skip(i int) {
-	x := d.waits[i]
-	d.waits = slices.Delete(d.waits, i, i+1)
-	d.core.AttemptEnded(x.tag, backend.Outcome{Result: decide.NotSent})
+func (servers *waitingServers) skip(i int) {
+	a := servers.waiting[i]
+	servers.waiting = slices.Delete(servers.waiting, i, i+1)
+	servers.core.AttemptEnded(a.tag, backend.Outcome{Result: decide.NotSent})
 }
 
-// connect opens a connection to a server, which carries the attempt that has waited longest.
-func (d *waitingServers) connect(id string) {
+// connect opens a connection to a server and writes the attempt that has waited longest for it, if MaySend allows it.
+func (servers *waitingServers) connect(id string) {
 	for {
-		i := slices.IndexFunc(d.waits, func(x waitingAttempt) bool { return x.server == id })
+		i := slices.IndexFunc(servers.waiting, func(a waitingAttempt) bool { return a.server == id })
 		if i < 0 {
 			return
 		}
-		x := d.waits[i]
-		if !d.core.MaySend(x.tag) {
-			d.skip(i)
+		a := servers.waiting[i]
+		if !servers.core.MaySend(a.tag) {
+			servers.skip(i)
 			continue
 		}
-		d.waits = slices.Delete(d.waits, i, i+1)
-		d.sent = append(d.sent, id)
-		d.core.AttemptWritten(x.tag)
+		servers.waiting = slices.Delete(servers.waiting, i, i+1)
+		servers.sent = append(servers.sent, id)
+		servers.core.AttemptWritten(a.tag)
 		return
 	}
 }
 
-// newWaitingCore returns a core of which two writes wait for a connection to a, the primary.
+// newWaitingCore returns a core with two writes that wait for a connection to server a, the primary.
 func newWaitingCore(t *testing.T) (*Core, *waitingServers, *manualLoop, *recordingObserver) {
 	t.Helper()
 	entry := func(id string) discovery.Instance {
@@ -86,188 +86,186 @@
 				Read: decide.Write, Idempotency: decide.NotIdempotent},
 				{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
-	l, d, w := &manualLoop{now: 1e6}, &waitingServers{}, &recordingObserver{}
-	c := New(l, slog.New(slog.DiscardHandler), cfg)
+	loop, servers, observer := &manualLoop{now: 1e6}, &waitingServers{}, &recordingObserver{}
+	c := New(loop, slog.New(slog.DiscardHandler), cfg)
 	c.SetChecks(invariant.Test(t), 1)
-	d.core = c
-	c.Start(d, l)
-	c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: l.now - 500, HasPos: true}, 0)
+	servers.core = c
+	c.Start(servers, loop)
+	c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: loop.now - 500, HasPos: true}, 0)
 	for _, id := range []string{"1", "2"} {
-		submit(t, c, l, id, "write")
+		submit(t, c, loop, id, "write")
 	}
-	if fmt.Sprint(d.waits) != fmt.Sprint([]waitingAttempt{{"a", backend.AttemptID{Request: d.waits[0].tag.Request}},
-		{"a", backend.AttemptID{Request: d.waits[1].tag.Request}}}) {
-		t.Fatalf("%v wait", d.waits)
+	if fmt.Sprint(servers.waiting) != fmt.Sprint([]waitingAttempt{{"a", backend.AttemptID{Request: servers.waiting[0].tag.Request}},
+		{"a", backend.AttemptID{Request: servers.waiting[1].tag.Request}}}) {
+		t.Fatalf("waiting attempts: %v, want one to a for each write", servers.waiting)
 	}
-	return c, d, l, w
+	return c, servers, loop, observer
 }
 
-func submit(t *testing.T, c *Core, l *manualLoop, id, class string) {
+func submit(t *testing.T, c *Core, loop *manualLoop, id, class string) {
 	t.Helper()
-	if _, err := c.Submit(platform.Request{ID: id, Class: class, Deadline: l.now + 2000, Query: stub{}}, stub{}); err != nil {
+	if _, err := c.Submit(platform.Request{ID: id, Class: class, Deadline: loop.now + 2000, Query: stub{}}, stub{}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// delegatingSharer makes health checks, and passes no results to the router: they were for others.
+// delegatingSharer makes health checks for other poolers only: their results are not passed to the router.
 type delegatingSharer struct{}
 
 func (delegatingSharer) Delegates(string) bool                            { return true }
 func (delegatingSharer) Ended(string, decide.Result, backend.Report) bool { return true }
 
-// TestWaitingWritesFollowTheNewPrimary: writes wait for a connection to their primary when this pooler learns, from any
-// source, that it is a replica now. None is written there when the connection is open; each goes to the new primary,
-// with one more attempt.
+// TestWaitingWritesFollowTheNewPrimary: writes wait for a connection to their primary when this pooler learns from any source that the
+// server is a replica now. None is written there once the connection is open; each goes to the new primary, with one more attempt.
 func TestWaitingWritesFollowTheNewPrimary(t *testing.T) {
-	report := func(l *manualLoop, r decide.Role, before float64) backend.Report {
-		return backend.Report{Role: r, Position: l.now - before, HasPos: true}
+	report := func(loop *manualLoop, r decide.Role, before float64) backend.Report {
+		return backend.Report{Role: r, Position: loop.now - before, HasPos: true}
 	}
-	for by, reportTo := range map[string]func(c *Core, l *manualLoop, w *recordingObserver){
-		"another's health check": func(c *Core, l *manualLoop, _ *recordingObserver) {
-			c.HealthCheckReported("a", decide.OK, report(l, decide.RoleReplica, 10), 30)
+	for source, reportTo := range map[string]func(c *Core, loop *manualLoop, observer *recordingObserver){
+		"a peer's health check": func(c *Core, loop *manualLoop, _ *recordingObserver) {
+			c.HealthCheckReported("a", decide.OK, report(loop, decide.RoleReplica, 10), 30)
 		},
-		"another's health check of an ejected server": func(c *Core, l *manualLoop, w *recordingObserver) {
-			w.ejected = "a"
-			c.SetServerObserver(w)
-			c.HealthCheckReported("a", decide.OK, report(l, decide.RoleReplica, 10), 30)
+		"a peer's health check of an ejected server": func(c *Core, loop *manualLoop, observer *recordingObserver) {
+			observer.ejected = "a"
+			c.SetServerObserver(observer)
+			c.HealthCheckReported("a", decide.OK, report(loop, decide.RoleReplica, 10), 30)
 		},
-		"the observer's health check": func(c *Core, l *manualLoop, w *recordingObserver) {
-			c.SetServerObserver(w)
+		"the observer's health check": func(c *Core, loop *manualLoop, observer *recordingObserver) {
+			c.SetServerObserver(observer)
 			c.CheckHealthForObserver("a")
-			c.HealthCheckEnded("a", backend.Outcome{Report: report(l, decide.RoleReplica, 10)})
+			c.HealthCheckEnded("a", backend.Outcome{Report: report(loop, decide.RoleReplica, 10)})
 		},
-		"its own health check for another": func(c *Core, l *manualLoop, _ *recordingObserver) {
+		"its own health check, made for peers": func(c *Core, loop *manualLoop, _ *recordingObserver) {
 			c.SetHealthCheckSharer(delegatingSharer{})
-			c.HealthCheckEnded("a", backend.Outcome{Report: report(l, decide.RoleReplica, 10)})
+			c.HealthCheckEnded("a", backend.Outcome{Report: report(loop, decide.RoleReplica, 10)})
 		},
-		"its own health check": func(c *Core, l *manualLoop, _ *recordingObserver) {
-			c.ServerReportsReplica("a", report(l, decide.RoleReplica, 10), true)
+		"its own health check": func(c *Core, loop *manualLoop, _ *recordingObserver) {
+			c.ServerReportsReplica("a", report(loop, decide.RoleReplica, 10), true)
 		},
-		"an answer": func(c *Core, l *manualLoop, _ *recordingObserver) {
+		"an answer": func(c *Core, loop *manualLoop, _ *recordingObserver) {
 			c.ServerReportsReplica("a", backend.Report{Role: decide.RoleReplica}, false)
 		},
-		"a peer's report": func(c *Core, l *manualLoop, _ *recordingObserver) {
-			c.ServerReported("a", report(l, decide.RoleReplica, 10), 20)
+		"a peer's report": func(c *Core, loop *manualLoop, _ *recordingObserver) {
+			c.ServerReported("a", report(loop, decide.RoleReplica, 10), 20)
 		},
-		"a peer's report on another, at the send": func(c *Core, l *manualLoop, _ *recordingObserver) {
-			c.ServerReported("b", report(l, decide.RolePrimary, 5), 5)
+		"a peer's report that b is the primary, at the send": func(c *Core, loop *manualLoop, _ *recordingObserver) {
+			c.ServerReported("b", report(loop, decide.RolePrimary, 5), 5)
 		},
-		"another's snapshot, at the send": func(c *Core, l *manualLoop, _ *recordingObserver) {
+		"another router's snapshot, at the send": func(c *Core, loop *manualLoop, _ *recordingObserver) {
 			known, _ := c.router.SnapshotOf("a")
 			known.Role, known.RoleAt = decide.RoleReplica, known.RoleAt+1
 			c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
 		},
 	} {
-		t.Run(by, func(t *testing.T) {
-			c, d, l, w := newWaitingCore(t)
-			reportTo(c, l, w)
-			if early := !strings.HasSuffix(by, "at the send"); early != (len(d.waits) == 0) {
-				t.Errorf("%v still wait", d.waits)
+		t.Run(source, func(t *testing.T) {
+			c, servers, loop, observer := newWaitingCore(t)
+			reportTo(c, loop, observer)
+			if recalled := !strings.HasSuffix(source, "at the send"); recalled != (len(servers.waiting) == 0) {
+				t.Errorf("waiting after the report: %v, want all recalled: %v", servers.waiting, recalled)
 			}
 			for range 3 {
-				d.connect("a")
+				servers.connect("a")
 			}
-			if len(d.sent) > 0 || d.started > 4 {
-				t.Errorf("sent to %v, %d attempts started", d.sent, d.started)
+			if len(servers.sent) > 0 || servers.started > 4 {
+				t.Errorf("sent to %v, %d attempts started", servers.sent, servers.started)
 			}
-			c.HealthCheckReported("b", decide.OK, report(l, decide.RolePrimary, 1), 0)
+			c.HealthCheckReported("b", decide.OK, report(loop, decide.RolePrimary, 1), 0)
 			for range 3 {
-				d.connect("b")
+				servers.connect("b")
 			}
-			if fmt.Sprint(d.sent) != "[b b]" || d.started != 4 {
-				t.Errorf("with a new primary: sent to %v, %d attempts started", d.sent, d.started)
+			if fmt.Sprint(servers.sent) != "[b b]" || servers.started != 4 {
+				t.Errorf("with a new primary: sent to %v, %d attempts started", servers.sent, servers.started)
 			}
 		})
 	}
 }
 
-// TestOldRoleReportRecallsNothing: a report that a server was a replica before it became the primary recalls nothing.
+// TestOldRoleReportRecallsNothing: a delayed report that a server was a replica before it became the primary recalls no attempts.
 func TestOldRoleReportRecallsNothing(t *testing.T) {
-	c, d, l, _ := newWaitingCore(t)
-	old := backend.Report{Role: decide.RoleReplica, Position: l.now - 900, HasPos: true}
+	c, servers, loop, _ := newWaitingCore(t)
+	old := backend.Report{Role: decide.RoleReplica, Position: loop.now - 900, HasPos: true}
 	c.HealthCheckReported("a", decide.OK, old, 30)
 	c.ServerReportsReplica("a", old, true)
-	d.connect("a")
-	d.connect("a")
-	if fmt.Sprint(d.sent) != "[a a]" || d.started != 2 {
-		t.Errorf("sent to %v, %d attempts started", d.sent, d.started)
+	servers.connect("a")
+	servers.connect("a")
+	if fmt.Sprint(servers.sent) != "[a a]" || servers.started != 2 {
+		t.Errorf("sent to %v, %d attempts started", servers.sent, servers.started)
 	}
 }
 
-// TestDrainingRecallsUnwrittenAttempts: attempts that wait for a connection to a server that begins to drain are
-// recalled, reads too: the connection may be open only after the grace.
+// TestDrainingRecallsUnwrittenAttempts: attempts that wait for a connection to a server that begins to drain are recalled, reads too:
+// the connection might open only after the drain grace period.
 func TestDrainingRecallsUnwrittenAttempts(t *testing.T) {
-	c, d, l, _ := newWaitingCore(t)
-	submit(t, c, l, "3", "read")
-	for i := range d.waits {
-		d.waits[i].server = "a"
+	c, servers, loop, _ := newWaitingCore(t)
+	submit(t, c, loop, "3", "read")
+	for i := range servers.waiting {
+		servers.waiting[i].server = "a"
 	}
-	begun := d.started
+	startedBefore := servers.started
 	c.Listed(&discovery.List{Generation: 2, Instances: []discovery.Instance{{ID: "a", HostPort: "1.2.3.4:5", Lifecycle: "draining", Weight: 1}}})
-	if d.connect("a"); len(d.sent) > 0 || begun != 3 {
-		t.Errorf("sent to %v; %d were started before", d.sent, begun)
+	if servers.connect("a"); len(servers.sent) > 0 || startedBefore != 3 {
+		t.Errorf("sent to %v, want none; %d attempts were started before, want 3", servers.sent, startedBefore)
 	}
 }
 
-// TestInvariantCatchesAWriteToAReplica: an attempt that is written after such a report without MaySend breaks the
-// statements.
+// TestInvariantCatchesAWriteToAReplica: a write that is written without MaySend after a report that another server is the primary
+// breaks two invariants.
 func TestInvariantCatchesAWriteToAReplica(t *testing.T) {
-	c, d, l, _ := newWaitingCore(t)
+	c, servers, loop, _ := newWaitingCore(t)
 	var broken []string
 	c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
-	kept := slices.Clone(d.waits)
-	c.MaySend(kept[0].tag)
-	c.AttemptWritten(kept[0].tag)
+	waiting := slices.Clone(servers.waiting)
+	c.MaySend(waiting[0].tag)
+	c.AttemptWritten(waiting[0].tag)
 	if len(broken) > 0 {
-		t.Fatalf("%v, while it is the primary", broken)
+		t.Fatalf("broken while a is the primary: %v", broken)
 	}
-	c.ServerReported("b", backend.Report{Role: decide.RolePrimary, Position: l.now - 5, HasPos: true}, 5)
-	c.AttemptWritten(kept[1].tag)
-	if fmt.Sprint(broken) != "[core: what only the primary may serve goes to no other server core: what is written was allowed]" {
-		t.Errorf("%v", broken)
+	c.ServerReported("b", backend.Report{Role: decide.RolePrimary, Position: loop.now - 5, HasPos: true}, 5)
+	c.AttemptWritten(waiting[1].tag)
+	if fmt.Sprint(broken) != "[core: writes and fresh reads go to the primary only core: only attempts that MaySend allowed are written]" {
+		t.Errorf("broken: %v", broken)
 	}
 }
 
-// TestInvariantCatchesAnAnswerToAnUnsentAttempt: an attempt that MaySend did not allow ends. Where it ends as one that
-// its server received, the statement breaks, and so it does where its answer is streamed; where it ends as one that was
-// never there, nothing breaks and it does not count as sent.
+// TestInvariantCatchesAnAnswerToAnUnsentAttempt: an attempt that MaySend did not allow ends. A result, or a streamed answer, which shows
+// that the server received the attempt breaks the invariant. Any other result does not, and the attempt is not counted as sent.
 func TestInvariantCatchesAnAnswerToAnUnsentAttempt(t *testing.T) {
-	const unsentBreach = "[core: what is written was allowed]"
-	for _, x := range []struct {
-		r    decide.Result
-		want string
+	const unsentBreach = "[core: only attempts that MaySend allowed are written]"
+	for _, test := range []struct {
+		result decide.Result
+		want   string
 	}{
 		{decide.OK, unsentBreach}, {decide.Misdirected, unsentBreach}, {decide.Failed, unsentBreach}, {decide.Reset, unsentBreach},
 		{decide.Overloaded, "[]"}, {decide.TimedOut, "[]"}, {decide.Unreachable, "[]"}, {decide.Cancelled, "[]"}, {decide.NotSent, "[]"},
 	} {
-		for _, goes := range []bool{false, true} {
-			c, d, _, _ := newWaitingCore(t)
+		for _, allowed := range []bool{false, true} {
+			c, servers, _, _ := newWaitingCore(t)
 			var broken []string
 			c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
-			tag, want, tries := d.waits[0].tag, x.want, c.metrics.Attempts
-			if goes {
+			tag, want, attemptsBefore := servers.waiting[0].tag, test.want, c.metrics.Attempts
+			if allowed {
 				c.MaySend(tag)
 				want = "[]"
 			}
-			c.AttemptEnded(tag, backend.Outcome{Result: x.r})
+			c.AttemptEnded(tag, backend.Outcome{Result: test.result})
 			if fmt.Sprint(broken) != want {
-				t.Errorf("result %d, allowed %v: %v, not %s", x.r, goes, broken, want)
+				t.Errorf("result %d, allowed %v: broken %v, want %s", test.result, allowed, broken, want)
 			}
-			if counted := c.metrics.Attempts > tries; counted != (x.want == unsentBreach) {
-				t.Errorf("result %d, allowed %v: it counts as a send: %v", x.r, goes, counted)
+			if counted := c.metrics.Attempts > attemptsBefore; counted != (test.want == unsentBreach) {
+				t.Errorf("result %d, allowed %v: counted as a send: %v", test.result, allowed, counted)
 			}
 		}
 	}
-	c, d, l, _ := newWaitingCore(t)
+	c, servers, loop, _ := newWaitingCore(t)
 	var broken []string
 	c.checks = invariant.New(func(b invariant.Breach) { broken = append(broken, b.Name) })
-	taker := randomClient{&randomRun{answers: map[int]int{}}, 1}
-	if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: stub{}}, taker); err != nil {
+	client := randomClient{&randomRun{answers: map[int]int{}}, 1}
+	if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: loop.now + 2000, Query: stub{}}, client); err != nil {
 		t.Fatal(err)
 	}
-	c.AnswerStreams(d.waits[len(d.waits)-1].tag, func() {})
+	c.AnswerStreams(servers.waiting[len(servers.waiting)-1].tag, func() {})
 	if fmt.Sprint(broken) != unsentBreach {
-		t.Errorf("an answer is streamed: %v", broken)
+		t.Errorf("broken by a streamed answer: %v", broken)
 	}
 }
 
@@ -277,48 +275,48 @@
 	closed *bool
 }
 
-func (l closingClient) Disconnected() bool { return *l.closed }
+func (client closingClient) Disconnected() bool { return *client.closed }
 
-// TestAttemptIsNotWrittenOnceItMayNotBe: an attempt waits for a connection until its time is up, its server drains, or
-// its client has closed, and nobody has recalled it: it is not written then, and its request ends.
-func TestAttemptIsNotWrittenOnceItMayNotBe(t *testing.T) {
+// TestMaySendRechecksWaitingAttempts: while an attempt waits for a connection, its time ends, its server begins to drain or is removed,
+// or its client closes its connection, and the attempt is not recalled. MaySend does not allow it to be written.
+func TestMaySendRechecksWaitingAttempts(t *testing.T) {
 	for name, scenario := range map[string]struct {
-		then func(c *Core, l *manualLoop, closed *bool)
-		goes bool
+		change  func(c *Core, loop *manualLoop, closed *bool)
+		allowed bool
 	}{
-		"nothing happens":       {func(*Core, *manualLoop, *bool) {}, true},
-		"its time is nearly up": {func(_ *Core, l *manualLoop, _ *bool) { l.now += 1999 }, true},
-		"its time is up":        {func(_ *Core, l *manualLoop, _ *bool) { l.now += 2000 }, false},
-		"the client closes":     {func(_ *Core, _ *manualLoop, closed *bool) { *closed = true }, false},
-		"its server begins to drain": {func(c *Core, l *manualLoop, _ *bool) {
+		"nothing happens":         {func(*Core, *manualLoop, *bool) {}, true},
+		"its time is nearly over": {func(_ *Core, loop *manualLoop, _ *bool) { loop.now += 1999 }, true},
+		"its time is over":        {func(_ *Core, loop *manualLoop, _ *bool) { loop.now += 2000 }, false},
+		"the client closes":       {func(_ *Core, _ *manualLoop, closed *bool) { *closed = true }, false},
+		"its server begins to drain": {func(c *Core, loop *manualLoop, _ *bool) {
 			list := &decide.EndpointList{Kind: decide.ListChanges, Endpoints: []decide.Endpoint{{Server: "a", State: decide.Draining, Capacity: 1}}}
-			c.handleEvent(list) // the router knows; the connections do not yet
+			c.handleEvent(list) // only the router gets the list, so nothing is recalled
 		}, false},
-		"its server is removed": {func(c *Core, l *manualLoop, _ *bool) {
+		"its server is removed": {func(c *Core, loop *manualLoop, _ *bool) {
 			c.handleEvent(&decide.EndpointList{Kind: decide.ListChanges,
 				Endpoints: []decide.Endpoint{{Server: "a", State: decide.Removed, Capacity: 1}}})
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, d, l, _ := newWaitingCore(t)
+			c, servers, loop, _ := newWaitingCore(t)
 			closed := false
-			if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: l.now + 2000, Query: stub{}},
+			if _, err := c.Submit(platform.Request{ID: "3", Class: "read", Deadline: loop.now + 2000, Query: stub{}},
 				closingClient{closed: &closed}); err != nil {
 				t.Fatal(err)
 			}
-			tag := d.waits[len(d.waits)-1].tag
-			d.waits = d.waits[len(d.waits)-1:]
-			server := decide.ServerID(d.waits[0].server)
+			tag := servers.waiting[len(servers.waiting)-1].tag
+			servers.waiting = servers.waiting[len(servers.waiting)-1:]
+			server := decide.ServerID(servers.waiting[0].server)
 			if server != "a" {
 				c.requests.Each(func(_ slotmap.Ref, req *request) {
 					if req.id == "3" {
-						req.attempts[0].server = "a" // whichever it chose, the scenario is of this one
+						req.attempts[0].server = "a" // the test is about server a, whichever server the router chose
 					}
 				})
 			}
-			scenario.then(c, l, &closed)
-			if goes := c.MaySend(tag); goes != scenario.goes {
-				t.Errorf("it is written: %v", goes)
+			scenario.change(c, loop, &closed)
+			if allowed := c.MaySend(tag); allowed != scenario.allowed {
+				t.Errorf("MaySend returned %v, want %v", allowed, scenario.allowed)
 			}
 		})
 	}
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -7,19 +7,19 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// queuedEvent is an event that the router has yet to handle, with the time at which it happened.
+// queuedEvent is an event that the router has not handled yet, with the time at which it happened.
 type queuedEvent struct {
 	at    decide.Time
 	event decide.Event
 }
 
-// handleEvent passes an event of this moment to the router.
+// handleEvent passes an event to the router, with the current time.
 func (c *Core) handleEvent(event decide.Event) {
 	c.handleEventAt(clock.ToDuration(c.loop.Now()), event)
 }
 
-// handleEventAt queues an event and, unless an action of an earlier one is being carried out, handles the queue: an event that
-// an action causes is handled after all actions of the event before it.
+// handleEventAt queues an event and handles the queue, unless it is called while an action is carried out: an event that is caused
+// by an action is handled after all actions of the current event.
 func (c *Core) handleEventAt(at decide.Time, event decide.Event) {
 	c.events = append(c.events, queuedEvent{at, event})
 	if c.carryingOut {
@@ -48,7 +48,7 @@
 	c.abandoned = c.abandoned[:0]
 	c.carryingOut = false
 	if c.checks.Enabled() && c.unreportedEnds == 0 {
-		c.checks.Walk(&c.sinceWalk, c.walkEvery, "core: the walk", c.walk)
+		c.checks.Walk(&c.eventsSinceWalk, c.walkInterval, "core: check of all requests", c.walk)
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 }
 
-// reject gives the final answer to a request that may be retried, after waitMs.
+// reject answers a request that did not run; its client may retry it after waitMs.
 func (c *Core) reject(action *decide.Action, waitMs float64) {
 	req := c.finishByID(action.ID, metrics.Rejected)
 	if req == nil {
@@ -89,9 +89,9 @@
 	c.recorder.answer(req, recordpb.Final_FINAL_REFUSED, waitMs)
 }
 
-// fail gives the final answer to a request which the router assumes may have run. The router counts an attempt as in flight
-// from its decision on. Where no attempt has begun on a connection, or each is known not to have run, a retry is harmless, and
-// the request is rejected.
+// fail answers a request which, as far as the router knows, may have run. The router counts an attempt as in flight from its
+// decision on. If no attempt has been written, or each is known not to have run, a retry is safe and the request is rejected
+// instead.
 func (c *Core) fail(action *decide.Action) {
 	if req, ok := c.requests.Get(refOf(action.ID)); ok && !req.mayHaveRun() {
 		c.reject(action, clock.ToMillis(c.config.Settings.MaxRetryAfter))
--- a/internal/core/healthcheck.go
+++ b/internal/core/healthcheck.go
@@ -6,25 +6,25 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// unsentHealthCheckMs is the time that a health check which is not made appears to take.
-const unsentHealthCheckMs = 2
+// skippedHealthCheckDelayMs is the time after which a skipped health check is reported to the router as failed.
+const skippedHealthCheckDelayMs = 2
 
 // CheckHealth checks a server's health, within the fleet's limit of health checks.
 func (c *Core) CheckHealth(server string) {
 	c.limits.use(LimitHealthChecks, "").run(func() { c.servers.CheckHealth(server) })
 }
 
-// checkHealthForRouter carries out a health check that the router requests: it is not made where its result would not count,
-// where one for the observer is in flight, or where another pooler makes it.
+// checkHealthForRouter carries out a health check that the router requests. It is skipped if the observer ejects the server, as the
+// result would not count; put off while a check for the observer is in flight; and left to another pooler that makes it.
 func (c *Core) checkHealthForRouter(server string) {
 	c.recorder.healthCheckSent(server)
 	observer, sharer := c.observation.observer, c.fleet.healthCheckSharer
 	switch {
 	case observer != nil && observer.Ejects(server):
-		c.loop.At(c.loop.Now()+unsentHealthCheckMs, func() {
+		c.loop.At(c.loop.Now()+skippedHealthCheckDelayMs, func() {
 			c.handleEvent(&decide.HealthCheckResult{Server: decide.ServerID(server), Result: decide.Failed})
 		})
-	case c.observation.pending[server]: // its result is not the router's
+	case c.observation.pending[server]: // the result of that check is not passed to the router
 		c.observation.requestedMeanwhile[server] = true
 	case sharer == nil || !sharer.Delegates(server):
 		c.CheckHealth(server)
@@ -42,7 +42,7 @@
 		return
 	}
 	sharer := c.fleet.healthCheckSharer
-	if sharer != nil && outcome.Result == decide.OK { // it may have been made for peers alone, and not reach the router otherwise
+	if sharer != nil && outcome.Result == decide.OK { // a check made for peers may not reach the router otherwise
 		c.mergeRole(server, outcome.Report)
 	}
 	if sharer == nil || !sharer.Ended(server, outcome.Result, outcome.Report) {
@@ -50,12 +50,12 @@
 	}
 }
 
-// HealthCheckReported passes the result of a health check, which is ageMs old at most, to the router.
+// HealthCheckReported passes the result of a health check by this or another pooler to the router. It is at most ageMs old.
 func (c *Core) HealthCheckReported(server string, result decide.Result, report backend.Report, ageMs float64) {
 	isReplica := report.Role == decide.RoleReplica
 	if observer := c.observation.observer; observer != nil && result == decide.OK && observer.Ejects(server) {
 		c.mergeReport(server, report)
-		// It shows nothing of whether requests come through.
+		// Peers found that the server serves no requests; a successful health check does not disprove that.
 		result = decide.Failed
 		report = backend.Report{}
 	}
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -20,7 +20,7 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// randomRun is a core whose servers, clients and clock do anything that is allowed: each attempt ends once.
+// randomRun is a core whose servers, clients and clock do anything that is allowed. Each attempt ends once.
 type randomRun struct {
 	countingServers
 	now          float64
@@ -30,33 +30,33 @@
 	healthChecks []string
 	streams      []backend.AnswerStream
 	refs         []slotmap.Ref
-	answers      map[int]int // answers by client
+	answers      map[int]int // number of answers by client
 	submitted    int
 }
 
-func (d *randomRun) Now() float64                          { return d.now }
-func (d *randomRun) At(ms float64, f func()) *timers.Timer { return d.heap.Add(ms, f) }
-func (d *randomRun) CheckHealth(id string)                 { d.healthChecks = append(d.healthChecks, id) }
-func (d *randomRun) Start(_ string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
-	if d.core.MaySend(tag) { // it has a connection; dispatch_test.go has attempts that wait
-		d.openAttempts = append(d.openAttempts, tag)
+func (run *randomRun) Now() float64                          { return run.now }
+func (run *randomRun) At(ms float64, f func()) *timers.Timer { return run.heap.Add(ms, f) }
+func (run *randomRun) CheckHealth(id string)                 { run.healthChecks = append(run.healthChecks, id) }
+func (run *randomRun) Start(_ string, _ backend.Query, _ float64, _ backend.SendConditions, tag backend.AttemptID) slotmap.Ref {
+	if run.core.MaySend(tag) { // a connection is open at once; dispatch_test.go tests attempts that wait
+		run.openAttempts = append(run.openAttempts, tag)
 	} else {
-		d.core.AttemptEnded(tag, backend.Outcome{Result: decide.NotSent})
+		run.core.AttemptEnded(tag, backend.Outcome{Result: decide.NotSent})
 	}
 	return slotmap.Ref{Index: uint32(tag.Number) + 1, Gen: 1}
 }
 
 // randomClient counts its answers, and receives streams.
 type randomClient struct {
-	d  *randomRun
-	no int
+	run    *randomRun
+	number int
 }
 
-func (a randomClient) Served([]byte)    { a.d.answers[a.no]++ }
-func (a randomClient) Rejected(float64) { a.d.answers[a.no]++ }
-func (a randomClient) Failed()          { a.d.answers[a.no]++ }
-func (a randomClient) ReceiveStream() backend.AnswerStream {
-	a.d.answers[a.no]++
+func (client randomClient) Served([]byte)    { client.run.answers[client.number]++ }
+func (client randomClient) Rejected(float64) { client.run.answers[client.number]++ }
+func (client randomClient) Failed()          { client.run.answers[client.number]++ }
+func (client randomClient) ReceiveStream() backend.AnswerStream {
+	client.run.answers[client.number]++
 	return discardStream{}
 }
 
@@ -67,8 +67,8 @@
 func (discardStream) HasCapacity() bool  { return true }
 func (discardStream) Ended([]byte, bool) {}
 
-func newRandomRun(c *invariant.Checks) *randomRun {
-	d := &randomRun{now: 1e6, answers: map[int]int{}}
+func newRandomRun(checks *invariant.Checks) *randomRun {
+	run := &randomRun{now: 1e6, answers: map[int]int{}}
 	var list []discovery.Instance
 	for i := range 3 {
 		list = append(list, discovery.Instance{ID: fmt.Sprint("s", i), HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1})
@@ -79,87 +79,87 @@
 				Read: decide.ReadAny}, {LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1,
 				Read: decide.Write, Idempotency: decide.NotIdempotent}}},
 		InitialList: discovery.List{Reset: true, Instances: list}}
-	d.core = New(d, slog.New(slog.DiscardHandler), cfg)
-	d.core.SetChecks(c, 1)
-	d.core.Start(d, stub{})
-	return d
+	run.core = New(run, slog.New(slog.DiscardHandler), cfg)
+	run.core.SetChecks(checks, 1)
+	run.core.Start(run, stub{})
+	return run
 }
 
-func (d *randomRun) submit(class string, due float64) {
-	d.submitted++
-	ref, err := d.core.Submit(platform.Request{ID: fmt.Sprint(d.submitted), Class: class, Deadline: d.now + due,
-		Query: stub{}}, randomClient{d, d.submitted})
+func (run *randomRun) submit(class string, timeout float64) {
+	run.submitted++
+	ref, err := run.core.Submit(platform.Request{ID: fmt.Sprint(run.submitted), Class: class, Deadline: run.now + timeout,
+		Query: stub{}}, randomClient{run, run.submitted})
 	if err == nil {
-		d.refs = append(d.refs, ref)
+		run.refs = append(run.refs, ref)
 	}
 }
 
-// TestInvariants: whatever clients, servers, lists and the clock do in whatever order, the core has what the router
-// has, and nothing remains of what is over.
+// TestInvariants: whatever clients, servers, lists and the clock do, the core and the router have the same requests and attempts, and no
+// state remains of requests that are done.
 func TestInvariants(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		d := newRandomRun(invariant.Test(t))
+		run := newRandomRun(invariant.Test(t))
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") }
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(t *rapid.T) {
 				for range rapid.IntRange(1, 6).Draw(t, "times") {
-					d.submit(rapid.SampledFrom([]string{"read", "write", "none"}).Draw(t, "class"), rapid.Float64Range(0, 3000).Draw(t, "due"))
+					run.submit(rapid.SampledFrom([]string{"read", "write", "none"}).Draw(t, "class"), rapid.Float64Range(0, 3000).Draw(t, "timeout"))
 				}
 			},
 			"end": func(t *rapid.T) {
-				if n := len(d.openAttempts); n > 0 {
+				if n := len(run.openAttempts); n > 0 {
 					i := pick(n)
-					tag := d.openAttempts[i]
-					d.openAttempts = slices.Delete(d.openAttempts, i, i+1)
+					tag := run.openAttempts[i]
+					run.openAttempts = slices.Delete(run.openAttempts, i, i+1)
 					outcome := backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Misdirected)).Draw(t, "result"))}
 					if rapid.Bool().Draw(t, "has report") {
-						outcome.Report = backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: d.now, HasPos: true}
+						outcome.Report = backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: run.now, HasPos: true}
 					}
-					d.core.AttemptEnded(tag, outcome)
+					run.core.AttemptEnded(tag, outcome)
 				}
 			},
 			"stream": func(t *rapid.T) {
-				if n := len(d.openAttempts); n > 0 {
+				if n := len(run.openAttempts); n > 0 {
 					i := pick(n)
-					tag := d.openAttempts[i]
-					d.openAttempts = slices.Delete(d.openAttempts, i, i+1)
-					if f := d.core.AnswerStreams(tag, func() {}); f != nil {
-						d.streams = append(d.streams, f)
+					tag := run.openAttempts[i]
+					run.openAttempts = slices.Delete(run.openAttempts, i, i+1)
+					if stream := run.core.AnswerStreams(tag, func() {}); stream != nil {
+						run.streams = append(run.streams, stream)
 					}
 				}
 			},
 			"stream ends": func(t *rapid.T) {
-				if len(d.streams) > 0 {
-					d.streams[0].Ended(nil, rapid.Bool().Draw(t, "whole"))
-					d.streams = d.streams[1:]
+				if len(run.streams) > 0 {
+					run.streams[0].Ended(nil, rapid.Bool().Draw(t, "complete"))
+					run.streams = run.streams[1:]
 				}
 			},
 			"health check ends": func(t *rapid.T) {
-				if len(d.healthChecks) > 0 {
-					d.core.HealthCheckEnded(d.healthChecks[0],
+				if len(run.healthChecks) > 0 {
+					run.core.HealthCheckEnded(run.healthChecks[0],
 						backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Reset)).Draw(t, "result")),
-							Report: backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: d.now, HasPos: true}})
-					d.healthChecks = d.healthChecks[1:]
+							Report: backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: run.now, HasPos: true}})
+					run.healthChecks = run.healthChecks[1:]
 				}
 			},
 			"abandon": func(*rapid.T) {
-				if n := len(d.refs); n > 0 {
-					d.core.Abandon(d.refs[pick(n)])
+				if n := len(run.refs); n > 0 {
+					run.core.Abandon(run.refs[pick(n)])
 				}
 			},
 			"pass": func(t *rapid.T) {
-				d.now += rapid.Float64Range(1, 400).Draw(t, "ms")
-				d.heap.Run(d.now)
+				run.now += rapid.Float64Range(1, 400).Draw(t, "ms")
+				run.heap.Run(run.now)
 			},
 			"list": func(t *rapid.T) {
-				d.core.Listed(&discovery.List{Reset: rapid.Bool().Draw(t, "whole"),
+				run.core.Listed(&discovery.List{Reset: rapid.Bool().Draw(t, "full"),
 					Instances: []discovery.Instance{{ID: fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "server")), HostPort: "1.2.3.4:5",
 						Lifecycle: rapid.SampledFrom([]string{"up", "draining", "removed", "unknown"}).Draw(t, "state"), Weight: 1}}})
 			},
 			"": func(t *rapid.T) {
-				for no, n := range d.answers {
+				for client, n := range run.answers {
 					if n > 1 {
-						t.Errorf("%d had %d answers", no, n)
+						t.Errorf("client %d received %d answers", client, n)
 					}
 				}
 			},
@@ -167,34 +167,34 @@
 	})
 }
 
-// TestInvariantsFailWhenBroken: each statement is seen to fail for one change of state.
+// TestInvariantsFailWhenBroken: each invariant is reported as broken after one change of the state.
 func TestInvariantsFailWhenBroken(t *testing.T) {
-	for _, m := range []struct {
-		name string
-		poke func(c *Core, req *request)
+	for _, test := range []struct {
+		name    string
+		corrupt func(c *Core, req *request)
 	}{
-		{"core: of what is over nothing is stored", func(_ *Core, req *request) { req.finished, req.inFlight = true, 0 }},
-		{"core: attempts in flight are of those made", func(_ *Core, req *request) { req.inFlight = 9 }},
-		{"core: each request has its id", func(c *Core, req *request) { delete(c.requests.byID, req.id) }},
-		{"core: the router has the requests without a final answer", func(_ *Core, req *request) { req.finished = true }},
-		{"core: the router has the attempts in flight", func(_ *Core, req *request) { req.inFlight++ }},
-		{"core: what waits for credit has not been sent", func(_ *Core, req *request) {
+		{"core: a request that is done has no slot", func(_ *Core, req *request) { req.finished, req.inFlight = true, 0 }},
+		{"core: attempts in flight are at most those made", func(_ *Core, req *request) { req.inFlight = 9 }},
+		{"core: ids and requests match", func(c *Core, req *request) { delete(c.requests.byID, req.id) }},
+		{"core: the router has all requests without a final answer", func(_ *Core, req *request) { req.finished = true }},
+		{"core: the router has all attempts in flight", func(_ *Core, req *request) { req.inFlight++ }},
+		{"core: a request that waits for credit has no attempts", func(_ *Core, req *request) {
 			req.payment.pending,
 				req.attempts = &decide.Request{}, []attempt{{}}
 		}},
-		{"core: an answer that waits is the request's last", func(_ *Core, req *request) { req.delayedAnswer = &delayedAnswer{} }},
-		{"core: the metric is of those in progress", func(c *Core, _ *request) { c.metrics.OpenRequests++ }},
+		{"core: a delayed answer is the final one", func(_ *Core, req *request) { req.delayedAnswer = &delayedAnswer{} }},
+		{"core: the metric of open requests is right", func(c *Core, _ *request) { c.metrics.OpenRequests++ }},
 	} {
-		d, c := newRandomRun(nil), invariant.New(nil)
-		d.submit("read", 3000)
-		if d.core.walk(c); len(c.Breaches()) > 0 {
-			t.Errorf("without: %v", c.Breaches())
+		run, checks := newRandomRun(nil), invariant.New(nil)
+		run.submit("read", 3000)
+		if run.core.walk(checks); len(checks.Breaches()) > 0 {
+			t.Errorf("broken before the state is changed: %v", checks.Breaches())
 		}
-		req, _ := d.core.requests.Get(d.refs[0])
-		m.poke(d.core, req)
-		d.core.walk(c)
-		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not seen: %v", m.name, c.Breaches())
+		req, _ := run.core.requests.Get(run.refs[0])
+		test.corrupt(run.core, req)
+		run.core.walk(checks)
+		if !slices.ContainsFunc(checks.Breaches(), func(b invariant.Breach) bool { return b.Name == test.name }) {
+			t.Errorf("%q is not reported: %v", test.name, checks.Breaches())
 		}
 	}
 }
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -5,24 +5,24 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// Bounds of the memory of keys: a client repeats a request within seconds, or not at all.
+// Bounds of recentKeys. Clients retry a request within seconds or not at all.
 const (
 	minKeyLifetimeMs = 60000
 	maxKeys          = 20000
 )
 
-// recentKeys remembers when requests that may have run were first sent. The core has two: one by the key by which servers
-// recognise a repeat, so that a repeat under another id is bound by the same window, and one by id, of requests that must not
-// run twice. An entry stays for minKeyLifetimeMs and for lifetimeMs at least, unless more than maxKeys come in that time, and
-// for twice that at most: there are two generations, and the older one is dropped whole.
+// recentKeys remembers when requests that may have run were first sent. The request table has two: one by idempotency key, so that a
+// retry under another id is bound by the same key window, and one by id, for requests that must not run twice. An entry is kept for
+// at least the longer of minKeyLifetimeMs and lifetimeMs, unless more than maxKeys entries are added in that time, and for at most
+// twice as long: there are two generations, and the older one is dropped as a whole.
 type recentKeys struct {
 	recent, previous map[string]float64
-	recentSince      float64 // when the recent generation began
+	recentSince      float64 // start of the recent generation, in ms of the loop
 	lifetimeMs       float64
 }
 
-// keyLifetimeMs returns how long requests of such classes are remembered: until their clients' deadlines and their servers'
-// memory of keys have ended.
+// keyLifetimeMs returns how long requests of these classes must be remembered: until the clients' deadlines have passed and the
+// servers have forgotten the keys.
 func keyLifetimeMs(classes []decide.Class) (ms float64) {
 	for _, class := range classes {
 		ms = max(ms, clock.ToMillis(class.Deadline+class.KeyWindow))
@@ -30,7 +30,7 @@
 	return ms
 }
 
-// rotate begins a new generation when the recent one is old or full.
+// rotate starts a new generation if the recent one has reached its lifetime or maxKeys.
 func (k *recentKeys) rotate(now float64) {
 	lifetime := max(minKeyLifetimeMs, k.lifetimeMs)
 	age := now - k.recentSince
@@ -45,7 +45,7 @@
 	k.recentSince = now
 }
 
-// firstSent returns when a request of that key was first sent, if it may have run.
+// firstSent returns when a request with that key that may have run was first sent.
 func (k *recentKeys) firstSent(key string, now float64) (at float64, ok bool) {
 	if key == "" {
 		return 0, false
@@ -57,7 +57,7 @@
 	return at, ok
 }
 
-// recordSend records a send.
+// recordSend records that a request with that key was sent at a time. The earliest send counts.
 func (k *recentKeys) recordSend(key string, at, now float64) {
 	first, known := k.firstSent(key, now)
 	if key != "" && (!known || at < first) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// forget takes back a send that turned out not to have run.
+// forget removes the send at a time, of a request that turned out not to have run.
 func (k *recentKeys) forget(key string, at float64) {
 	for _, generation := range []map[string]float64{k.recent, k.previous} {
 		if generation[key] == at {
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -7,46 +7,46 @@
 	"beechgrade/internal/decide"
 )
 
-// LimitKind is what a limit of the whole fleet applies to.
+// LimitKind is the kind of use that a fleet-wide limit applies to.
 type LimitKind uint8
 
-// What a limit may apply to.
+// The kinds of limits.
 const (
 	LimitTenantRequests LimitKind = iota // a tenant's requests a second
-	LimitSlowStart                       // the slow-start budget of cold servers, whose whole is 1
+	LimitSlowStart                       // the slow-start budget of cold servers, as a part of 1
 	LimitHealthChecks                    // health checks a second
-	LimitListCalls                       // calls for lists a second
+	LimitListCalls                       // subscriptions to and fetches of the endpoint list a second
 	LimitDials                           // new connections to servers a second
 )
 
-// Limit is a limit of the whole fleet, of which peers assign a part to this pooler.
+// Limit is a fleet-wide limit, of which peers assign a part to this pooler.
 type Limit struct {
 	Name   string
 	Kind   LimitKind
 	Tenant string
-	Amount float64 // of the whole fleet
-	Hard   bool    // a tenant's requests beyond it are rejected
+	Amount float64 // for the whole fleet
+	Hard   bool    // requests of the tenant beyond the limit are rejected
 }
 
-// appliesTo reports whether the limit is on such a use; tenant matters for LimitTenantRequests alone.
+// appliesTo reports whether the limit is of a kind. tenant matters for LimitTenantRequests only.
 func (l *Limit) appliesTo(kind LimitKind, tenant string) bool {
 	return l.Kind == kind && (kind != LimitTenantRequests || l.Tenant == tenant)
 }
 
-// Leases are the terms of the assigned parts. They expire without notice.
+// Leases are the leases by which parts of limits are assigned. The holder has to call Expire itself.
 type Leases interface {
-	Due() float64 // Due is the time of the next expiry
-	Expire()
+	Due() float64 // Due is the time of the next expiry, in ms of the loop
+	Expire()      // Expire ends the leases whose time is over
 }
 
-// limitGate has this pooler's parts of the fleet's limits, and measures its demand.
+// limitGate holds this pooler's parts of the fleet-wide limits, and measures its demand.
 type limitGate struct {
 	loop   Loop
 	limits []*limit
-	leases Leases // nil without them
+	leases Leases // optional
 }
 
-// limit is a Limit with the part that is assigned to this pooler, and its demand.
+// limit is a Limit with the part that is assigned to this pooler, and this pooler's demand.
 type limit struct {
 	Limit
 	assigned, burst float64
@@ -54,16 +54,16 @@
 	pacer           pacer
 }
 
-// SetLimits sets the limits that the core enforces. Until a part is assigned, nothing of a limit may be used. Limits that were
-// set before keep their parts.
+// SetLimits replaces the limits that the core enforces. Nothing of a limit may be used until a part of it is assigned. Limits that
+// were set before keep their parts.
 func (c *Core) SetLimits(limits []Limit, leases Leases) {
 	c.limits.set(limits, leases)
 	c.reload()
 }
 
-// SetAllowance assigns a part of a limit, and reports whether the limit is one of the core's.
+// SetAllowance sets the rate and burst that this pooler may use of a limit, and reports whether the core enforces that limit.
 func (c *Core) SetAllowance(name string, amount, burst float64) bool {
-	assigned := c.limits.named(name)
+	assigned := c.limits.byName(name)
 	if assigned == nil {
 		return false
 	}
@@ -76,21 +76,21 @@
 	return true
 }
 
-// Demand returns what this pooler would use of a limit a second, and false for a limit that is not the core's.
+// Demand returns what this pooler would use of a limit a second, or false if the core does not enforce that limit.
 func (c *Core) Demand(name string) (float64, bool) {
-	if measured := c.limits.named(name); measured != nil {
+	if measured := c.limits.byName(name); measured != nil {
 		return measured.demand.rate(c.loop.Now()), true
 	}
 	return 0, false
 }
 
-// ExpireLeases ends leases that are over, before anything else uses them.
+// ExpireLeases ends leases whose time is over. It is called before a limit is used.
 func (c *Core) ExpireLeases() { c.limits.expire() }
 
-// DialWithinLimit begins a connection to a server, within the fleet's limit of dials.
-func (c *Core) DialWithinLimit(do func()) { c.limits.use(LimitDials, "").run(do) }
+// DialWithinLimit calls dial, which opens a connection to a server, as soon as the fleet-wide limit of dials allows it.
+func (c *Core) DialWithinLimit(dial func()) { c.limits.use(LimitDials, "").run(dial) }
 
-// set replaces the limits, and lifts those that are no more.
+// set replaces the limits, and lifts those that were removed.
 func (g *limitGate) set(limits []Limit, leases Leases) {
 	old := g.limits
 	g.limits, g.leases = nil, leases
@@ -112,8 +112,8 @@
 	}
 }
 
-// named returns the limit of that name, or nil.
-func (g *limitGate) named(name string) *limit {
+// byName returns the limit with a name, or nil.
+func (g *limitGate) byName(name string) *limit {
 	for _, l := range g.limits {
 		if l.Name == name {
 			return l
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// use counts one use of a limit and returns it, nil without a limit.
+// use counts one use of the limit of a kind, and returns the limit; nil if there is none.
 func (g *limitGate) use(kind LimitKind, tenant string) *limit {
 	for _, l := range g.limits {
 		if l.appliesTo(kind, tenant) {
@@ -133,14 +133,14 @@
 	return nil
 }
 
-// expire ends leases that are over.
+// expire ends leases whose time is over.
 func (g *limitGate) expire() {
 	if g.leases != nil && g.loop.Now() >= g.leases.Due() {
 		g.leases.Expire()
 	}
 }
 
-// apply puts the assigned parts into settings; tenants are the tenants' numbers.
+// apply puts the assigned parts into settings. tenants maps names to numbers.
 func (g *limitGate) apply(settings *decide.Settings, tenants map[string]int) {
 	cloned := false
 	for _, l := range g.limits {
@@ -168,36 +168,37 @@
 	}
 }
 
-// rateMeter measures a rate a second: over the last second, or over more where little happens.
-type rateMeter struct{ recent, slow, fadedAt float64 }
+// rateMeter measures a rate of events a second by exponentially decaying counts: over about the last second, or over a longer time
+// if events are rare.
+type rateMeter struct{ shortTerm, longTerm, decayedAt float64 }
 
 const (
-	rateMemoryMs     = 1000 // memory of a rate...
-	slowRateMemoryMs = 8000 // ...and of a low one
-	minRecentEvents  = 8    // a rate with fewer in rateMemoryMs is low
-	msPerSecond      = 1000
+	shortTimeConstantMs = 1000 // time constant of the short-term count
+	longTimeConstantMs  = 8000 // time constant of the long-term count
+	minShortTermEvents  = 8    // with fewer, the rate is taken from the long-term count
+	msPerSecond         = 1000
 )
 
-// fade brings the counts up to now.
-func (m *rateMeter) fade(now float64) {
-	past := max(0, now-m.fadedAt)
-	m.recent *= math.Exp(-past / rateMemoryMs)
-	m.slow *= math.Exp(-past / slowRateMemoryMs)
-	m.fadedAt = max(m.fadedAt, now)
+// decay decays the counts to the time now.
+func (m *rateMeter) decay(now float64) {
+	past := max(0, now-m.decayedAt)
+	m.shortTerm *= math.Exp(-past / shortTimeConstantMs)
+	m.longTerm *= math.Exp(-past / longTimeConstantMs)
+	m.decayedAt = max(m.decayedAt, now)
 }
 
 // count counts one event.
 func (m *rateMeter) count(now float64) {
-	m.fade(now)
-	m.recent++
-	m.slow++
+	m.decay(now)
+	m.shortTerm++
+	m.longTerm++
 }
 
-// rate returns the events a second.
+// rate returns the rate, in events a second.
 func (m *rateMeter) rate(now float64) float64 {
-	m.fade(now)
-	if m.recent >= minRecentEvents {
-		return m.recent * msPerSecond / rateMemoryMs
+	m.decay(now)
+	if m.shortTerm >= minShortTermEvents {
+		return m.shortTerm * msPerSecond / shortTimeConstantMs
 	}
-	return m.slow * msPerSecond / slowRateMemoryMs
+	return m.longTerm * msPerSecond / longTimeConstantMs
 }
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -26,17 +26,17 @@
 	c.handleEvent(&decide.EndpointList{Kind: decide.ListFailed})
 }
 
-// applyList passes a list to the servers, the router and the observers.
+// applyList passes an endpoint list to the servers, the router and the observers.
 func (c *Core) applyList(list *discovery.List, kind decide.ListKind) {
-	whole := kind != decide.ListChanges
+	full := kind != decide.ListChanges
 	event, now := &decide.EndpointList{Kind: kind}, c.loop.Now()
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for i := range list.Instances {
 		instance := &list.Instances[i]
 		if instance.ID == "" {
 			continue
 		}
-		named[instance.ID] = true
+		listed[instance.ID] = true
 		event.Endpoints = append(event.Endpoints, c.endpointOf(instance, now))
 		if servers, ok := c.servers.(GroupSetter); ok {
 			servers.SetGroup(instance.ID, instance.Cell)
@@ -47,20 +47,20 @@
 	}
 	c.recorder.list(list, kind)
 	if c.fleet.zoneObserver != nil {
-		c.fleet.zoneObserver.Listed(list, whole)
+		c.fleet.zoneObserver.Listed(list, full)
 	}
-	c.log.Debug("list", "kind", kind, "generation", list.Generation, "entries", len(event.Endpoints))
+	c.log.Debug("applying endpoint list", "kind", kind, "generation", list.Generation, "entries", len(event.Endpoints))
 	c.handleEvent(event)
 	if c.observation.observer != nil {
-		c.observation.observer.Listed(list, whole)
+		c.observation.observer.Listed(list, full)
 	}
 	c.closeUnavailable(event.Endpoints)
-	if whole && !c.config.Settings.DrainOnly { // with DrainOnly a server that left the list may still serve
-		c.servers.Retain(named)
+	if full && !c.config.Settings.DrainOnly { // with DrainOnly a server that left the list may still serve
+		c.servers.Retain(listed)
 	}
 }
 
-// endpointOf returns an entry of the list in the router's form.
+// endpointOf converts an entry of the endpoint list for the router.
 func (c *Core) endpointOf(instance *discovery.Instance, now float64) decide.Endpoint {
 	endpoint := decide.Endpoint{
 		Server:   decide.ServerID(instance.ID),
@@ -71,13 +71,13 @@
 		Primary:  instance.Role == primaryRole,
 		State:    serverState(instance),
 	}
-	if instance.StartedAtMs > 0 { // one ahead of the clock would be cold for ever
+	if instance.StartedAtMs > 0 { // a server whose start time is ahead of this clock would otherwise stay in slow start
 		endpoint.Started = clock.ToDuration(min(clock.FromUnix(instance.StartedAtMs), now))
 	}
 	return endpoint
 }
 
-// closeUnavailable closes idle connections to servers that are draining or removed. Attempts and connections in use there stay
+// closeUnavailable closes idle connections to servers that are draining or removed. Their attempts and connections in use remain
 // until they end.
 func (c *Core) closeUnavailable(endpoints []decide.Endpoint) {
 	for i := range endpoints {
@@ -87,7 +87,7 @@
 			c.servers.Forget(id)
 		case state == decide.Draining:
 			c.servers.CloseIdle(id)
-			// An attempt that waits for a connection would be new to the server, however late the connection is open.
+			// An attempt that still waits for a connection would be a new request to the draining server.
 			c.servers.Recall(id, func(backend.AttemptID) bool { return true })
 		case state == decide.Removed:
 			c.servers.CloseIdle(id)
@@ -95,7 +95,7 @@
 	}
 }
 
-// serverState returns an entry's state.
+// serverState returns the state that an entry of the endpoint list gives a server.
 func serverState(instance *discovery.Instance) decide.ServerState {
 	switch instance.Lifecycle {
 	case "draining":
@@ -106,10 +106,10 @@
 	return decide.Serving
 }
 
-// nameNumbers assigns numbers to names; names that the settings do not have get the next ones.
+// nameNumbers assigns numbers to names: those of the settings in their order, then others as they first appear.
 type nameNumbers map[string]int
 
-// numberNames numbers a list of names.
+// numberNames assigns numbers to the names of the settings.
 func numberNames(names []string) nameNumbers {
 	numbers := nameNumbers{}
 	for _, name := range names {
@@ -118,7 +118,7 @@
 	return numbers
 }
 
-// number returns a name's number.
+// number returns a name's number, and assigns the next one to a new name.
 func (numbers nameNumbers) number(name string) int {
 	number, ok := numbers[name]
 	if !ok {
--- a/internal/core/observer.go
+++ b/internal/core/observer.go
@@ -7,25 +7,25 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// ServerObserver receives all that this pooler learns of servers, for the fleet's outlier detection.
+// ServerObserver receives everything that this pooler observes of servers, for shared outlier detection.
 type ServerObserver interface {
-	Listed(list *discovery.List, whole bool)
-	Sent(server string, tag backend.AttemptID, class int)
-	Ended(server string, tag backend.AttemptID, result decide.Result, report backend.Report)
-	// HealthChecked takes a health check by this pooler.
+	Listed(list *discovery.List, full bool)
+	Sent(server string, id backend.AttemptID, class int)
+	Ended(server string, id backend.AttemptID, result decide.Result, report backend.Report)
+	// HealthChecked receives the result of a health check that this pooler made.
 	HealthChecked(server string, result decide.Result, report backend.Report)
-	// Ejects reports whether peers find that a server serves no requests, whatever its health checks show.
+	// Ejects reports whether peers found that a server serves no requests, whatever its health checks show.
 	Ejects(server string) bool
 }
 
-// serverObservation is the core's state for an observer; all nil without one.
+// serverObservation is the core's state for a ServerObserver. It is the zero value without one.
 type serverObservation struct {
 	observer           ServerObserver
 	pending            map[string]bool // servers with a health check in flight that was made for the observer alone
-	requestedMeanwhile map[string]bool // of these, the ones whose health check the router has requested since
+	requestedMeanwhile map[string]bool // those of pending for which the router has requested a health check since
 }
 
-// SetServerObserver sets the observer and passes it the last known list.
+// SetServerObserver sets the observer and passes it the last known endpoint list.
 func (c *Core) SetServerObserver(observer ServerObserver) {
 	c.observation = serverObservation{observer: observer, pending: map[string]bool{}, requestedMeanwhile: map[string]bool{}}
 	observer.Listed(&c.config.InitialList, true)
@@ -39,24 +39,24 @@
 	}
 }
 
-// observeHealthCheck passes the end of a health check to the observer, and reports whether it was the observer's own. The
-// router gets the server's role first: the observer may start a trial of the server at once, and what waits must not go there
-// if it is a replica now.
+// observeHealthCheck passes the end of a health check to the observer, and reports whether the check was made for the observer
+// alone. The router gets the server's role first: the observer may start a trial of the server at once, and waiting writes must not
+// go there if it is a replica now.
 func (c *Core) observeHealthCheck(server string, outcome *backend.Outcome) bool {
 	observation := &c.observation
 	if observation.observer == nil {
 		return false
 	}
-	own := observation.pending[server]
+	forObserver := observation.pending[server]
 	switch {
 	case outcome.Result != decide.OK:
-	case own:
+	case forObserver:
 		c.mergeReport(server, outcome.Report)
-	default: // the position comes with the check's result, from which the router learns the rate at which it advances
+	default: // the position is passed with the check's result, from which the router learns the rate at which it advances
 		c.mergeRole(server, outcome.Report)
 	}
 	observation.observer.HealthChecked(server, outcome.Result, outcome.Report)
-	if !own {
+	if !forObserver {
 		return false
 	}
 	requested := observation.requestedMeanwhile[server]
@@ -68,17 +68,17 @@
 	return true
 }
 
-// reportTime returns the time of a report on this process's clock, by the server's position.
+// reportTime returns the time of a report on this process's clock, derived from the server's position.
 func (c *Core) reportTime(server string, report backend.Report) decide.Time {
 	return c.router.ToLocalTime(decide.ServerID(server), clock.ToDuration(report.Position))
 }
 
-// mergeServer gives the router what is known of one server.
+// mergeServer merges the state of one server into the router's state.
 func (c *Core) mergeServer(known decide.ServerSnapshot) {
 	c.MergeSnapshot(&decide.Snapshot{Servers: []decide.ServerSnapshot{known}})
 }
 
-// mergeReport gives the router a server's report, as of the report's time.
+// mergeReport passes a server's report to the router, as of the report's time. A report from the future is ignored.
 func (c *Core) mergeReport(server string, report backend.Report) {
 	if !report.HasPos || c.reportTime(server, report) > clock.ToDuration(c.loop.Now()) {
 		return
@@ -86,7 +86,7 @@
 	c.ServerReported(server, report, 0)
 }
 
-// mergeRole is mergeReport without the position.
+// mergeRole is like mergeReport, but passes the role only.
 func (c *Core) mergeRole(server string, report backend.Report) {
 	now, at := clock.ToDuration(c.loop.Now()), c.reportTime(server, report)
 	known, ok := c.router.SnapshotOf(decide.ServerID(server))
@@ -103,8 +103,8 @@
 	}
 }
 
-// ServerReported gives the router a server's report, made to any pooler, that is ageMs old at most. A position also is the time
-// of its report.
+// ServerReported passes a server's report to any pooler on to the router. The report is at most ageMs old. Its position is also its
+// time, on the server's clock.
 func (c *Core) ServerReported(server string, report backend.Report, ageMs float64) {
 	now, at := clock.ToDuration(c.loop.Now()), c.reportTime(server, report)
 	known, ok := c.router.SnapshotOf(decide.ServerID(server))
@@ -127,7 +127,7 @@
 	}
 }
 
-// Eject has the router take a server out of use.
+// Eject marks a server as ejected in the router.
 func (c *Core) Eject(server string) {
 	if known, ok := c.router.SnapshotOf(decide.ServerID(server)); ok {
 		known.Ejected = true
@@ -136,7 +136,7 @@
 	}
 }
 
-// StartTrial has the router send a few requests to a server that it has ejected.
+// StartTrial makes the router send a few requests to an ejected server.
 func (c *Core) StartTrial(server string) {
 	if known, ok := c.router.SnapshotOf(decide.ServerID(server)); ok && known.Ejected {
 		c.handleEvent(&decide.HealthCheckResult{Server: known.ID})
--- a/internal/core/observer_test.go
+++ b/internal/core/observer_test.go
@@ -14,51 +14,55 @@
 	"beechgrade/internal/frontend/platform"
 )
 
-// recordingServers record the attempts and health checks that they get.
+// recordingServers record the attempts and health checks that are started.
 type recordingServers struct {
 	countingServers
 	healthChecks []string
 	sent         []string
 }
 
-func (p *recordingServers) CheckHealth(id string) { p.healthChecks = append(p.healthChecks, id) }
-func (p *recordingServers) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, _ backend.AttemptID) slotmap.Ref {
-	p.sent = append(p.sent, id)
+func (servers *recordingServers) CheckHealth(id string) {
+	servers.healthChecks = append(servers.healthChecks, id)
+}
+func (servers *recordingServers) Start(id string, _ backend.Query, _ float64, _ backend.SendConditions, _ backend.AttemptID) slotmap.Ref {
+	servers.sent = append(servers.sent, id)
 	return slotmap.Ref{}
 }
 
-// recordingObserver records the events that it gets.
+// recordingObserver records the events that it receives.
 type recordingObserver struct {
-	events  []string
-	ejected string
-	then    func(server string) // at each event of a server
+	events        []string
+	ejected       string
+	onServerEvent func(server string) // called at each end of an attempt or health check; may be nil
 }
 
-func (w *recordingObserver) Listed(list *discovery.List, _ bool) {
-	w.note("listed", len(list.Instances))
+func (observer *recordingObserver) Listed(list *discovery.List, _ bool) {
+	observer.record("listed", len(list.Instances))
 }
-func (w *recordingObserver) Sent(server string, _ backend.AttemptID, class int) {
-	w.note("sent", server, class)
+func (observer *recordingObserver) Sent(server string, _ backend.AttemptID, class int) {
+	observer.record("sent", server, class)
 }
-func (w *recordingObserver) Ended(server string, _ backend.AttemptID, r decide.Result, _ backend.Report) {
-	w.note("ended", server, r)
-	w.do(server)
+func (observer *recordingObserver) Ended(server string, _ backend.AttemptID, r decide.Result, _ backend.Report) {
+	observer.record("ended", server, r)
+	observer.callOnServerEvent(server)
 }
-func (w *recordingObserver) HealthChecked(server string, r decide.Result, _ backend.Report) {
-	w.note("checked", server, r)
-	w.do(server)
+func (observer *recordingObserver) HealthChecked(server string, r decide.Result, _ backend.Report) {
+	observer.record("checked", server, r)
+	observer.callOnServerEvent(server)
 }
-func (w *recordingObserver) do(server string) {
-	if w.then != nil {
-		w.then(server)
+func (observer *recordingObserver) callOnServerEvent(server string) {
+	if observer.onServerEvent != nil {
+		observer.onServerEvent(server)
 	}
 }
-func (w *recordingObserver) Ejects(server string) bool { return server == w.ejected }
-func (w *recordingObserver) note(x ...any)             { w.events = append(w.events, fmt.Sprint(x...)) }
+func (observer *recordingObserver) Ejects(server string) bool { return server == observer.ejected }
+func (observer *recordingObserver) record(x ...any) {
+	observer.events = append(observer.events, fmt.Sprint(x...))
+}
 
-// TestObserverReceivesEventsAndEjectsServers: an observer receives what this pooler learns; it has servers ejected and
-// tried, and has one checked without the router's own health checks being confused with its. A report counts as of its
-// time; one from the future counts for nothing.
+// TestObserverReceivesEventsAndEjectsServers: an observer receives what this pooler learns, ejects servers, starts trials of them and has
+// them checked; its health checks and the router's own are not confused. A report counts as of its time, and a report from the future
+// does not count.
 func TestObserverReceivesEventsAndEjectsServers(t *testing.T) {
 	entry := func(id string) discovery.Instance {
 		return discovery.Instance{ID: id, HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}
@@ -66,58 +70,58 @@
 	cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCheckHealth: true,
 		Classes: []decide.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{entry("a"), entry("b")}}}
-	l, servers, w := &manualLoop{now: 1e6}, &recordingServers{}, &recordingObserver{}
-	c := New(l, slog.New(slog.DiscardHandler), cfg)
-	c.SetServerObserver(w)
-	c.Start(servers, l)
+	loop, servers, observer := &manualLoop{now: 1e6}, &recordingServers{}, &recordingObserver{}
+	c := New(loop, slog.New(slog.DiscardHandler), cfg)
+	c.SetServerObserver(observer)
+	c.Start(servers, loop)
 	c.Eject("a")
 	for i := range 3 {
-		if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: l.now + 2000, Query: stub{}}, stub{}); err != nil {
+		if _, err := c.Submit(platform.Request{ID: fmt.Sprint(i), Class: "read", Deadline: loop.now + 2000, Query: stub{}}, stub{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if fmt.Sprint(servers.sent) != "[b b b]" || fmt.Sprint(w.events) != "[listed2 listed2 sentb0 sentb0 sentb0]" {
-		t.Errorf("sent to %v; observed %v", servers.sent, w.events)
+	if fmt.Sprint(servers.sent) != "[b b b]" || fmt.Sprint(observer.events) != "[listed2 listed2 sentb0 sentb0 sentb0]" {
+		t.Errorf("sent to %v; observed %v", servers.sent, observer.events)
 	}
 	ejected := func(id string) bool { known, _ := c.router.SnapshotOf(decide.ServerID(id)); return known.Ejected }
 	servers.healthChecks = nil
-	if w.ejected = "a"; !ejected("a") {
-		t.Fatal("it is not ejected")
+	if observer.ejected = "a"; !ejected("a") {
+		t.Fatal("a is not ejected")
 	}
 	if c.HealthCheckReported("a", decide.OK, backend.Report{}, 0); !ejected("a") {
-		t.Error("a health check without a report returns it to use")
+		t.Error("a health check without a report returns an ejected server to use")
 	}
-	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.healthChecks) != 0 || len(l.timers) == 0 {
-		t.Errorf("%v are checked for nothing, and %d timers wait", servers.healthChecks, len(l.timers))
+	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.healthChecks) != 0 || len(loop.timers) == 0 {
+		t.Errorf("health checks of an ejected server: %v, want none; timers for their results: %d, want at least one", servers.healthChecks, len(loop.timers))
 	}
-	w.ejected = ""
+	observer.ejected = ""
 	c.CheckHealthForObserver("a")
 	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.healthChecks) != 1 {
-		t.Errorf("%v: the router's health check is sent while the observer's is", servers.healthChecks)
+		t.Errorf("health checks %v: the router's was sent while the observer's was in flight", servers.healthChecks)
 	}
-	c.HealthCheckEnded("a", backend.Outcome{Report: backend.Report{Role: decide.RolePrimary, Position: l.now - 30, HasPos: true}})
+	c.HealthCheckEnded("a", backend.Outcome{Report: backend.Report{Role: decide.RolePrimary, Position: loop.now - 30, HasPos: true}})
 	if known, _ := c.router.SnapshotOf("a"); !known.Ejected || known.Role != decide.RolePrimary || known.RoleAt != 999970*1e6 {
-		t.Errorf("the observer's health check is taken for the router's, or not merged: %+v", known)
+		t.Errorf("the observer's health check was handled as the router's, or its report was not merged: %+v", known)
 	}
 	if len(servers.healthChecks) != 2 {
-		t.Errorf("%v: the router's health check is forgotten", servers.healthChecks)
+		t.Errorf("health checks %v: the router's was not made after the observer's", servers.healthChecks)
 	}
-	c.ServerReported("b", backend.Report{Position: l.now + 500, HasPos: true}, 0)
-	c.ServerReported("a", backend.Report{Position: l.now - 10, HasPos: true}, 20)
+	c.ServerReported("b", backend.Report{Position: loop.now + 500, HasPos: true}, 0)
+	c.ServerReported("a", backend.Report{Position: loop.now - 10, HasPos: true}, 20)
 	if known, _ := c.router.SnapshotOf("b"); known.Position > 0 {
-		t.Errorf("a position in the future counts: %+v", known)
+		t.Errorf("a position in the future was merged: %+v", known)
 	}
 	if known, _ := c.router.SnapshotOf("a"); known.Position != 999990*1e6 || known.PositionReportedAt != 999980*1e6 || !known.Ejected {
-		t.Errorf("%+v", known)
+		t.Errorf("a report 20 ms old of an ejected server was not merged as of its time: %+v", known)
 	}
 	if c.StartTrial("a"); ejected("a") {
-		t.Error("it has no trial")
+		t.Error("a is still ejected after StartTrial")
 	}
 }
 
-// TestRouterKnowsTheRoleBeforeTheObserver: a primary was ejected, and a write waits for it. Its next report, to the
-// observer's health check, to the router's or to a request, has the observer start a trial: the write goes there if it
-// still is the primary, and not if it is a replica now.
+// TestRouterKnowsTheRoleBeforeTheObserver: a primary was ejected, and a write waits for it. At the server's next report, in the result of
+// a health check or in an answer, the observer starts a trial at once. The write goes there if the server is still the primary, and does
+// not if it has become a replica.
 func TestRouterKnowsTheRoleBeforeTheObserver(t *testing.T) {
 	cfg := &config.Config{Classes: []string{"write"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond,
 		MaxAttempts: 8, MayCheckHealth: true,
@@ -125,27 +129,27 @@
 		InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{
 			{ID: "a", HostPort: "1.2.3.4:5", Lifecycle: "up", Weight: 1}, {ID: "b", HostPort: "1.2.3.4:6", Lifecycle: "up", Weight: 1}}}}
 	for _, role := range []decide.Role{decide.RolePrimary, decide.RoleReplica} {
-		for _, by := range []string{"observer's health check", "health check", "request"} {
-			l, servers, w := &manualLoop{now: 1e6}, &recordingServers{}, &recordingObserver{}
-			c := New(l, slog.New(slog.DiscardHandler), cfg)
-			c.SetServerObserver(w)
-			c.Start(servers, l)
-			c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: l.now - 200, HasPos: true}, 0)
-			ask := func(id string) slotmap.Ref {
-				ref, err := c.Submit(platform.Request{ID: id, Class: "write", Deadline: l.now + 2000, Query: stub{}}, stub{})
+		for _, source := range []string{"observer's health check", "health check", "request"} {
+			loop, servers, observer := &manualLoop{now: 1e6}, &recordingServers{}, &recordingObserver{}
+			c := New(loop, slog.New(slog.DiscardHandler), cfg)
+			c.SetServerObserver(observer)
+			c.Start(servers, loop)
+			c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: loop.now - 200, HasPos: true}, 0)
+			submit := func(id string) slotmap.Ref {
+				ref, err := c.Submit(platform.Request{ID: id, Class: "write", Deadline: loop.now + 2000, Query: stub{}}, stub{})
 				if err != nil {
 					t.Fatal(err)
 				}
 				return ref
 			}
-			first := ask("1")
+			first := submit("1")
 			c.Eject("a")
-			if ask("2"); fmt.Sprint(servers.sent) != "[a]" {
+			if submit("2"); fmt.Sprint(servers.sent) != "[a]" {
 				t.Fatalf("sent to %v", servers.sent)
 			}
-			w.then = c.StartTrial
-			outcome := backend.Outcome{Report: backend.Report{Role: role, Position: l.now - 100, HasPos: true}}
-			switch by {
+			observer.onServerEvent = c.StartTrial
+			outcome := backend.Outcome{Report: backend.Report{Role: role, Position: loop.now - 100, HasPos: true}}
+			switch source {
 			case "observer's health check":
 				c.CheckHealthForObserver("a")
 				c.HealthCheckEnded("a", outcome)
@@ -159,7 +163,7 @@
 			}
 			want := map[decide.Role]string{decide.RolePrimary: "[a a]", decide.RoleReplica: "[a]"}[role]
 			if fmt.Sprint(servers.sent) != want {
-				t.Errorf("by a %s, role %d: sent to %v, not %s", by, role, servers.sent, want)
+				t.Errorf("by a %s, role %d: sent to %v, want %s", source, role, servers.sent, want)
 			}
 		}
 	}
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// stream is a request's answer that is streamed to its client.
+// stream is an answer that is streamed to the request's client.
 type stream struct {
 	backend.AnswerStream
 	core *Core
@@ -19,16 +19,16 @@
 }
 
 // Ended implements backend.AnswerStream.
-func (s *stream) Ended(b []byte, whole bool) {
+func (s *stream) Ended(b []byte, complete bool) {
 	end := metrics.Served
-	if !whole {
+	if !complete {
 		end = metrics.Failed
 	}
 	s.core.streamEnded(s.ref, end)
-	s.AnswerStream.Ended(b, whole)
+	s.AnswerStream.Ended(b, complete)
 }
 
-// streamEnded ends a request whose answer was streamed.
+// streamEnded finishes a request whose answer was streamed.
 func (c *Core) streamEnded(ref slotmap.Ref, end metrics.Outcome) {
 	if req, ok := c.requests.Get(ref); ok && req.stream != nil {
 		req.stream = nil
@@ -39,40 +39,40 @@
 }
 
 // AttemptWritten implements backend.Events.
-func (c *Core) AttemptWritten(tag backend.AttemptID) {
-	req, ok := c.requests.Get(tag.Request)
-	if !ok || req.attempts[tag.Number].written {
+func (c *Core) AttemptWritten(id backend.AttemptID) {
+	req, ok := c.requests.Get(id.Request)
+	if !ok || req.attempts[id.Number].written {
 		return
 	}
-	req.attempts[tag.Number].written = true
-	c.checkWritten(req, tag.Number)
-	c.requests.sentKeys.recordSend(req.key, req.attempts[tag.Number].startedAt, c.loop.Now())
+	req.attempts[id.Number].written = true
+	c.checkWritten(req, id.Number)
+	c.requests.sentKeys.recordSend(req.key, req.attempts[id.Number].startedAt, c.loop.Now())
 	c.metrics.Attempts++
 }
 
-// AnswerStreams implements backend.Events. To the router the request is answered then.
-func (c *Core) AnswerStreams(tag backend.AttemptID, stop func()) backend.AnswerStream {
-	req, ok := c.requests.Get(tag.Request)
+// AnswerStreams implements backend.Events. The router regards the request as answered when the stream begins.
+func (c *Core) AnswerStreams(id backend.AttemptID, stop func()) backend.AnswerStream {
+	req, ok := c.requests.Get(id.Request)
 	if !ok {
 		return nil
 	}
 	c.unreportedEnds++
 	req.inFlight--
-	c.AttemptWritten(tag)
+	c.AttemptWritten(id)
 	wasFinished := req.finished
 	outcome := backend.Outcome{Result: decide.OK}
-	c.countAttempt(req, tag.Number, outcome.Result)
-	if req.wroteSession != "" && !wasFinished { // an answer that is streamed cannot wait for the commit
-		c.sessionTokens.Keep(req.wroteSession, clock.ToDuration(c.loop.Now()), nil)
+	c.observeAttemptEnd(req, id.Number, outcome.Result)
+	if req.commitSession != "" && !wasFinished { // a streamed answer cannot wait until the commit is stored
+		c.sessionTokens.Keep(req.commitSession, clock.ToDuration(c.loop.Now()), nil)
 	}
-	c.recordEnd(req, tag, &outcome)
-	if taker, ok := req.client.(platform.StreamReceiver); ok && !wasFinished {
+	c.recordEnd(req, id, &outcome)
+	if receiver, ok := req.client.(platform.StreamReceiver); ok && !wasFinished {
 		req.finished = true
-		req.stream = &stream{AnswerStream: taker.ReceiveStream(), core: c, ref: tag.Request, stop: stop}
+		req.stream = &stream{AnswerStream: receiver.ReceiveStream(), core: c, ref: id.Request, stop: stop}
 		c.recorder.answer(req, recordpb.Final_FINAL_SERVED, 0)
 	}
 	answer := req.stream
-	c.reportEnd(req, tag, &outcome, req.finished)
+	c.reportEnd(req, id, &outcome, req.finished)
 	if answer == nil || wasFinished {
 		return nil
 	}
@@ -80,34 +80,34 @@
 }
 
 // AttemptEnded implements backend.Events.
-func (c *Core) AttemptEnded(tag backend.AttemptID, outcome backend.Outcome) {
-	req, ok := c.requests.Get(tag.Request)
+func (c *Core) AttemptEnded(id backend.AttemptID, outcome backend.Outcome) {
+	req, ok := c.requests.Get(id.Request)
 	if !ok {
 		return
 	}
 	c.unreportedEnds++
 	req.inFlight--
 	if showsWritten(outcome.Result) {
-		c.AttemptWritten(tag)
+		c.AttemptWritten(id)
 	}
-	a := &req.attempts[tag.Number]
+	a := &req.attempts[id.Number]
 	if showsNotRun(outcome.Result) {
 		c.requests.sentKeys.forget(req.key, a.startedAt)
 		a.didNotRun = true
 	}
 	server := string(a.server)
-	c.countAttempt(req, tag.Number, outcome.Result)
-	c.recordEnd(req, tag, &outcome)
+	c.observeAttemptEnd(req, id.Number, outcome.Result)
+	c.recordEnd(req, id, &outcome)
 	c.forwardReport(server, &outcome)
-	c.answerClient(tag.Request, req, &outcome)
-	c.reportEnd(req, tag, &outcome, req.finished)
+	c.answerClient(id.Request, req, &outcome)
+	c.reportEnd(req, id, &outcome, req.finished)
 	if observer := c.observation.observer; observer != nil {
-		// It may have the server tried, for which the router must have the report.
-		observer.Ended(server, tag, outcome.Result, outcome.Report)
+		// The observer may start a trial of the server at once, so the router must have the report before.
+		observer.Ended(server, id, outcome.Result, outcome.Report)
 	}
 }
 
-// showsWritten reports whether an attempt that ended so was written: it was answered, or broke in flight.
+// showsWritten reports whether a result shows that the attempt was written: it was answered, or its connection broke.
 func showsWritten(result decide.Result) bool {
 	switch result {
 	case decide.OK, decide.Misdirected, decide.Failed, decide.Reset:
@@ -116,7 +116,7 @@
 	return false
 }
 
-// showsNotRun reports whether an attempt that ended so has not run.
+// showsNotRun reports whether a result shows that the server did not run the attempt.
 func showsNotRun(result decide.Result) bool {
 	switch result {
 	case decide.Misdirected, decide.Overloaded, decide.Unreachable, decide.NotSent:
@@ -125,7 +125,8 @@
 	return false
 }
 
-// answerClient gives the client of an open request the answer that has come, and ends a request whose client has closed its connection.
+// answerClient answers the client of an open request if its attempt was served, and finishes a request whose client has closed its
+// connection.
 func (c *Core) answerClient(ref slotmap.Ref, req *request, outcome *backend.Outcome) {
 	switch {
 	case req.finished:
@@ -143,22 +144,22 @@
 	}
 }
 
-// recordEnd records the end of an attempt, and enters it in the journal.
-func (c *Core) recordEnd(req *request, tag backend.AttemptID, outcome *backend.Outcome) {
-	c.recorder.attempt(req, tag.Number, outcome)
+// recordEnd writes the end of an attempt to the records and the journal.
+func (c *Core) recordEnd(req *request, id backend.AttemptID, outcome *backend.Outcome) {
+	c.recorder.attempt(req, id.Number, outcome)
 	if c.journal != nil {
-		c.journal.Ended(tag, outcome.Result)
+		c.journal.Ended(id, outcome.Result)
 	}
 }
 
-// reportEnd releases a request that is done, and passes the end of its attempt to the router.
-func (c *Core) reportEnd(req *request, tag backend.AttemptID, outcome *backend.Outcome, final bool) {
-	server := req.attempts[tag.Number].server
-	c.releaseIfDone(tag.Request, req)
+// reportEnd releases the request if it is done, and passes the end of its attempt to the router.
+func (c *Core) reportEnd(req *request, id backend.AttemptID, outcome *backend.Outcome, final bool) {
+	server := req.attempts[id.Number].server
+	c.releaseIfDone(id.Request, req)
 	c.unreportedEnds--
 	c.handleEvent(&decide.Outcome{
-		ID:       requestID(tag.Request),
-		Attempt:  tag.Number,
+		ID:       requestID(id.Request),
+		Attempt:  id.Number,
 		Server:   server,
 		Result:   outcome.Result,
 		Final:    final,
@@ -167,14 +168,14 @@
 	})
 }
 
-// forwardReport passes on what a server reported of itself.
+// forwardReport passes a server's report to the report sink.
 func (c *Core) forwardReport(server string, outcome *backend.Outcome) {
 	if c.reportSink != nil && (outcome.Role != decide.RoleUnknown || outcome.HasPos) {
 		c.reportSink.ServerReported(server, outcome.Role == decide.RolePrimary, outcome.Role == decide.RoleReplica, outcome.Position)
 	}
 }
 
-// reportOf returns a report in the router's form.
+// reportOf converts a server's report for the router.
 func reportOf(report backend.Report) decide.Report {
 	out := decide.Report{Role: report.Role, HasPosition: report.HasPos}
 	if report.HasPos {
--- a/internal/core/overload.go
+++ b/internal/core/overload.go
@@ -10,25 +10,28 @@
 	"beechgrade/internal/metrics"
 )
 
-// strainedFrom is the part of its latency objective at which an answer begins to count as strained.
-const strainedFrom = 0.7
+// strainThreshold is the latency, as a part of the latency objective, at which the strain of an answer begins to rise from 0. It
+// reaches 1 at the objective.
+const strainThreshold = 0.7
 
-// DemandObserver counts the demand on groups, and how hard it was to serve what was admitted.
+// DemandObserver counts the demand on groups, and the strain of serving the admitted requests.
 type DemandObserver interface {
-	Received(group, class, tenant int, again, in bool)
-	Ended(group, class int, served, gone bool, strain float64) // of an admitted request
+	Received(group, class, tenant int, isRetry, admitted bool)
+	// Ended reports the end of an admitted request. strain is from 0 to 1. clientLeft tells that the client left within the
+	// latency objective.
+	Ended(group, class int, served, clientLeft bool, strain float64)
 }
 
 // HealthCheckSharer shares health checks with other poolers.
 type HealthCheckSharer interface {
-	// Delegates reports whether another pooler makes a server's health check; else this one does.
+	// Delegates reports whether another pooler makes a server's health check; otherwise this one does.
 	Delegates(server string) bool
-	// Ended takes a health check that this pooler made, and reports whether it passes the result on; else it goes to the router
-	// as usual.
+	// Ended receives the result of a health check that this pooler made, and reports whether it passes the result on itself;
+	// otherwise the core passes it to the router.
 	Ended(server string, result decide.Result, report backend.Report) bool
 }
 
-// fleetState is the core's part in the fleet's handling of overload and zones; all nil without peers.
+// fleetState is the state of fleet-wide overload control and zone planning. It is the zero value without peers.
 type fleetState struct {
 	demandObserver    DemandObserver
 	healthCheckSharer HealthCheckSharer
@@ -40,19 +43,19 @@
 	zoneOverride zoneOverride
 }
 
-// requestDemand is a request as a part of its group's demand.
+// requestDemand is a request's contribution to its group's demand.
 type requestDemand struct {
-	admitted    bool // it was admitted, and counts
+	admitted    bool // shedding did not reject the request, so its end is reported
 	group       int
 	class       int
 	arrived     float64
 	objectiveMs float64
 }
 
-// SetDemandObserver sets the receiver of demand and load.
+// SetDemandObserver sets the observer of demand and load.
 func (c *Core) SetDemandObserver(observer DemandObserver) { c.fleet.demandObserver = observer }
 
-// SetHealthCheckSharer sets what shares health checks with other poolers.
+// SetHealthCheckSharer sets the sharer of health checks.
 func (c *Core) SetHealthCheckSharer(sharer HealthCheckSharer) { c.fleet.healthCheckSharer = sharer }
 
 // AverageWork returns the average work of a request, by class, in seconds.
@@ -64,9 +67,9 @@
 // DecisionSettings returns the settings with their classes and tenants.
 func (c *Core) DecisionSettings() *decide.Settings { return &c.config.Settings }
 
-// SetShedding sets what the router sheds of a group's requests; nil for nothing.
+// SetShedding sets the shedding policy of a group; nil for none.
 func (c *Core) SetShedding(group int, policy *decide.SheddingPolicy) {
-	shedding := maps.Clone(c.fleet.shedding) // the router has the old one
+	shedding := maps.Clone(c.fleet.shedding) // the router still uses the old map
 	if shedding == nil {
 		shedding = map[int]*decide.SheddingPolicy{}
 	}
@@ -79,8 +82,8 @@
 	c.reload()
 }
 
-// SetRetryBudget sets the bound on hedged requests and retries, and on new connections a second, over all poolers, to a server
-// that has returned; 0 for any number.
+// SetRetryBudget sets the budget of hedged requests and retries, and the limit of new connections a second that all poolers together
+// may open to a server that has recovered; a rate of 0 means no limit.
 func (c *Core) SetRetryBudget(budget *retrybudget.Settings, recoveryRampRate float64) {
 	c.fleet.retryBudget = budget
 	c.fleet.recoveryRampRate = recoveryRampRate
@@ -89,7 +92,7 @@
 	}
 }
 
-// RetryBudgets returns the hedged requests and retries that groups may still send from here.
+// RetryBudgets returns this pooler's remaining budgets of hedged requests and retries, by group.
 func (c *Core) RetryBudgets() []decide.RetryBudget {
 	if c.fleet.retryBudget == nil {
 		return nil
@@ -97,24 +100,24 @@
 	return c.router.RetryBudgets()
 }
 
-// AddRetryBudget adds to the hedged requests and retries that groups may send, or subtracts from them.
-func (c *Core) AddRetryBudget(more map[int]float64) {
-	if c.fleet.retryBudget == nil || len(more) == 0 {
+// AddRetryBudget adds amounts, which may be negative, to the groups' budgets of hedged requests and retries.
+func (c *Core) AddRetryBudget(amounts map[int]float64) {
+	if c.fleet.retryBudget == nil || len(amounts) == 0 {
 		return
 	}
-	budget := *c.fleet.retryBudget // the router has the old one
+	budget := *c.fleet.retryBudget // the router still uses the old value
 	budget.Lent = maps.Clone(budget.Lent)
 	if budget.Lent == nil {
 		budget.Lent = map[int]float64{}
 	}
-	for group, amount := range more { // each on its own, so the order does not matter
+	for group, amount := range amounts { // one entry for each group, so the order does not matter
 		budget.Lent[group] += amount
 	}
 	c.fleet.retryBudget = &budget
 	c.reload()
 }
 
-// countDemand counts a request that was received, for the fleet.
+// countDemand reports a received request to the demand and zone observers.
 func (c *Core) countDemand(req *request, now decide.Time, event *decide.Request) {
 	if c.fleet.demandObserver != nil {
 		req.demand = requestDemand{
@@ -131,7 +134,7 @@
 	}
 }
 
-// countEnd counts how an admitted request ended.
+// countEnd reports the end of an admitted request to the demand observer.
 func (c *Core) countEnd(req *request, end metrics.Outcome) {
 	demand := &req.demand
 	if c.fleet.demandObserver == nil || !demand.admitted {
@@ -140,7 +143,7 @@
 	took := (c.loop.Now() - demand.arrived) / max(1, demand.objectiveMs) // as a multiple of the objective
 	served, strain := end == metrics.Served, 1.0
 	if served {
-		strain = max(0, min(1, (took-strainedFrom)/(1-strainedFrom)))
+		strain = max(0, min(1, (took-strainThreshold)/(1-strainThreshold)))
 	}
 	c.fleet.demandObserver.Ended(demand.group, demand.class, served, end == metrics.ClientGone && took < 1, strain)
 }
--- a/internal/core/pacer.go
+++ b/internal/core/pacer.go
@@ -1,13 +1,13 @@
 package core
 
 const (
-	// maxQueuedActions bounds a pacer's queue; the router has one health check in flight to each server at most.
+	// maxQueuedActions bounds a pacer's queue; the router has at most one health check in flight to each server.
 	maxQueuedActions = 4096
-	// minPacerWaitMs is the least time between two looks at a queue.
+	// minPacerWaitMs is the shortest delay of a pacer's timer.
 	minPacerWaitMs = 5
 )
 
-// pacer queues this pooler's own actions (health checks, list calls, dials) within a limit: a token bucket.
+// pacer is a token bucket that delays this pooler's own actions (health checks, list calls, dials) to keep a limit.
 type pacer struct {
 	loop        Loop
 	limited     bool
@@ -18,7 +18,7 @@
 	timerSet    bool
 }
 
-// run runs an action within the limit, now or later; without a limit, or where too many wait, now.
+// run runs an action as soon as the limit allows it; at once if there is no limit or the queue is full.
 func (l *limit) run(action func()) {
 	if l == nil || len(l.pacer.waiting) >= maxQueuedActions {
 		action()
@@ -28,13 +28,13 @@
 	l.pacer.release()
 }
 
-// fill adds the tokens until now.
+// fill adds the tokens that accrued until now.
 func (p *pacer) fill(now float64) {
 	p.tokens = min(p.burst, p.tokens+p.rate*max(0, now-p.filledAt)/msPerSecond)
 	p.filledAt = max(p.filledAt, now)
 }
 
-// setRate sets the limit, from now on.
+// setRate sets the rate and the burst, from now on.
 func (p *pacer) setRate(rate, burst float64) {
 	now := p.loop.Now()
 	p.fill(now)
@@ -48,13 +48,13 @@
 	p.release()
 }
 
-// lift ends the limit and runs everything that waits.
+// lift removes the limit and runs all queued actions.
 func (p *pacer) lift() {
 	p.limited = false
 	p.release()
 }
 
-// release runs what may run now, and sets a timer for the rest.
+// release runs the queued actions that the limit allows now, and sets a timer for the remaining ones.
 func (p *pacer) release() {
 	p.fill(p.loop.Now())
 	for len(p.waiting) > 0 && (!p.limited || p.tokens >= 1) {
--- a/internal/core/recorder.go
+++ b/internal/core/recorder.go
@@ -14,16 +14,16 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// recorder records what the core sees and does, where records are on.
+// recorder writes records of the core's events, if records are enabled.
 type recorder struct {
 	loop               Loop
-	records            *record.Recorder // nil without records
-	requests           uint64           // number of the request recorded last
+	records            *record.Recorder // nil if records are disabled
+	requests           uint64           // number of the last recorded request
 	healthChecksSentAt map[string]float64
 }
 
-// recorded is what a request stores for its records.
-type recorded struct {
+// recordedRequest is the state that a request keeps for its records.
+type recordedRequest struct {
 	number         uint64
 	class          int32
 	group          int64
@@ -31,20 +31,20 @@
 	lastAttemptEnd record.Reason
 }
 
-// SetRecorder has the core record what it sees and does.
+// SetRecorder sets the recorder of the core's events.
 func (c *Core) SetRecorder(records *record.Recorder) { c.recorder.records = records }
 
-// on reports whether records are on.
-func (r *recorder) on() bool { return r.records.Enabled() }
+// enabled reports whether records are enabled.
+func (r *recorder) enabled() bool { return r.records.Enabled() }
 
-// request records a request that was received.
+// request records the arrival of a request.
 func (r *recorder) request(req *request, incoming *platform.Request) {
-	if !r.on() {
+	if !r.enabled() {
 		return
 	}
 	r.requests++
 	now := r.loop.Now()
-	req.recorded = recorded{number: r.requests, class: int32(req.class), group: int64(incoming.Group), startedAt: now}
+	req.recorded = recordedRequest{number: r.requests, class: int32(req.class), group: int64(incoming.Group), startedAt: now}
 	r.records.Put(&record.Event{
 		At:          now,
 		Kind:        recordpb.Kind_KIND_REQUEST,
@@ -61,7 +61,7 @@
 
 // attempt records the end of an attempt.
 func (r *recorder) attempt(req *request, number int, outcome *backend.Outcome) {
-	if !r.on() {
+	if !r.enabled() {
 		return
 	}
 	now := r.loop.Now()
@@ -85,9 +85,9 @@
 	r.records.Put(&event)
 }
 
-// answer records the final answer to a request, with the wait that its client is advised.
+// answer records the final answer to a request. waitMs is the time after which its client is told to retry.
 func (r *recorder) answer(req *request, final recordpb.Final, waitMs float64) {
-	if !r.on() {
+	if !r.enabled() {
 		return
 	}
 	now := r.loop.Now()
@@ -114,16 +114,16 @@
 	r.records.Put(&event)
 }
 
-// healthCheckSent takes the time at which a health check is sent.
+// healthCheckSent stores the time at which a health check is sent.
 func (r *recorder) healthCheckSent(server string) {
-	if r.on() {
+	if r.enabled() {
 		r.healthChecksSentAt[server] = r.loop.Now()
 	}
 }
 
 // healthCheck records the end of a health check.
 func (r *recorder) healthCheck(server string, outcome *backend.Outcome) {
-	if !r.on() {
+	if !r.enabled() {
 		return
 	}
 	event := record.Event{
@@ -143,9 +143,9 @@
 	r.records.Put(&event)
 }
 
-// list records a change of the endpoint list, or the whole list.
+// list records an endpoint list, or changes of it.
 func (r *recorder) list(list *discovery.List, kind decide.ListKind) {
-	if !r.on() {
+	if !r.enabled() {
 		return
 	}
 	now := r.loop.Now()
@@ -174,9 +174,9 @@
 	}
 }
 
-// RecordGauge records the numbers of sessions, connections and requests, once a second.
+// RecordGauge records the numbers of sessions, connections and open requests. It is called once a second.
 func (c *Core) RecordGauge(sessions, conns int) {
-	if c.recorder.on() {
+	if c.recorder.enabled() {
 		c.recorder.records.Put(&record.Event{
 			At:          c.loop.Now(),
 			Kind:        recordpb.Kind_KIND_GAUGE,
@@ -190,21 +190,21 @@
 
 // RecordEvent records an event of the pooler itself.
 func (c *Core) RecordEvent(kind record.Kind, text string) {
-	if c.recorder.on() {
+	if c.recorder.enabled() {
 		c.recorder.records.Put(&record.Event{At: c.loop.Now(), Kind: kind, Text: text})
 	}
 }
 
-// RecordRecovery records what the opening of a durable store found, how many ms it took, and what was wrong with the store's end.
-func (c *Core) RecordRecovery(found record.StoreRecovery, took float64, why string) {
-	if c.recorder.on() {
+// RecordRecovery records what the opening of a durable store found, how long it took, and what was wrong with the store's end.
+func (c *Core) RecordRecovery(found record.StoreRecovery, tookMs float64, reason string) {
+	if c.recorder.enabled() {
 		c.recorder.records.Put(&record.Event{
-			At: c.loop.Now(), Kind: recordpb.Kind_KIND_RECOVERED, DurationMs: took, Text: why, Recovery: &found,
+			At: c.loop.Now(), Kind: recordpb.Kind_KIND_RECOVERED, DurationMs: tookMs, Text: reason, Recovery: &found,
 		})
 	}
 }
 
-// RecordClasses returns the classes in the form of the records' headers.
+// RecordClasses converts the classes for the headers of records.
 func RecordClasses(names []string, classes []decide.Class) []*recordpb.Class {
 	reads := map[decide.ReadKind]string{
 		decide.ReadAny:     "any",
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -15,79 +15,79 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// request is a client's request. It has a slot until it is over and its attempts have ended.
+// request is a client's request. It keeps its slot until it is finished and its attempts have ended.
 type request struct {
 	id           string
-	clientID     string // by which its client knows it
-	key          string // by which servers recognise a repeat, empty for none
-	once         bool   // it must not run twice
+	clientID     string // the client's own id of the request
+	key          string // idempotency key by which servers recognise a retry, empty for none
+	atMostOnce   bool   // the request must not run twice
 	class        int
 	classMetrics *metrics.Class
 	client       platform.Client
 	query        backend.Query
 	deadline     float64
-	attempts     []attempt // by number
+	attempts     []attempt // by attempt number
 	inFlight     int
 	finished     bool
 
-	stream        *stream        // its answer while that is streamed to its client, else nil
-	delayedAnswer *delayedAnswer // its answer while that waits for its session's commit to be stored, else nil
-	wroteSession  string         // the session whose commit must be stored, where it is a write of one
+	stream        *stream        // the answer while it is streamed to the client, else nil
+	delayedAnswer *delayedAnswer // the answer while it waits for the session's commit to be stored, else nil
+	commitSession string         // the session whose commit must be stored before the answer; empty if none
 	payment       payment
 	demand        requestDemand
-	recorded      recorded
+	recorded      recordedRequest
 
-	ranBefore       bool // an earlier request with its key may have run
-	platform        bool // its client uses the platform's protocol, and has a deadline
-	clientClosed    bool // its client was found to have closed its connection as an attempt was about to be written
-	answerDelivered bool // its client was given its server's answer
+	mayHaveRunBefore bool // an earlier request with its key may have run
+	platformProtocol bool // the client uses the platform protocol, and has a deadline
+	clientClosed     bool // MaySend found that the client has closed its connection
+	answerDelivered  bool // the server's answer was passed to the client
 }
 
-// attempt is one attempt of a request. One that was not sent has no ref.
+// attempt is one attempt of a request. ref is zero if the attempt was not started.
 type attempt struct {
-	server      decide.ServerID
-	ref         slotmap.Ref
-	startedAt   float64
-	writeBefore float64 // it must not be written from then on
-	allowed     bool    // MaySend allowed it to be written
-	written     bool
-	didNotRun   bool // it has ended without having run
+	server       decide.ServerID
+	ref          slotmap.Ref
+	startedAt    float64
+	writeBefore  float64 // the attempt must not be written from this time on
+	writeAllowed bool    // MaySend returned true
+	written      bool
+	didNotRun    bool // the attempt has ended, and the server did not run it
 }
 
-// mayRun reports whether an attempt may have run, or may still run.
+// mayRun reports whether the attempt may have run, or may still run.
 func (a *attempt) mayRun() bool { return a.mayHaveBeenWritten() && !a.didNotRun }
 
-// mayHaveBeenWritten reports whether any byte of an attempt may have been written.
-func (a *attempt) mayHaveBeenWritten() bool { return a.allowed || a.written }
+// mayHaveBeenWritten reports whether any byte of the attempt may have been written.
+func (a *attempt) mayHaveBeenWritten() bool { return a.writeAllowed || a.written }
 
-// awaitsAnswer reports whether a request's client has yet to get all of its answer.
+// awaitsAnswer reports whether the client has not received its complete answer yet.
 func (req *request) awaitsAnswer() bool {
 	return !req.finished || req.stream != nil || req.delayedAnswer != nil
 }
 
-// done reports whether a request is over and has no attempt or answer left.
+// done reports whether the request is answered and has no attempt in flight.
 func (req *request) done() bool { return !req.awaitsAnswer() && req.inFlight == 0 }
 
-// mayHaveBeenWritten reports whether an attempt of a request may have been written.
+// mayHaveBeenWritten reports whether any attempt of the request may have been written.
 func (req *request) mayHaveBeenWritten() bool {
 	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.mayHaveBeenWritten() })
 }
 
-// mayHaveRun reports whether a request, or an earlier one with its key, may have run or may still run.
+// mayHaveRun reports whether the request, or an earlier one with its key, may have run or may still run.
 func (req *request) mayHaveRun() bool {
-	return req.ranBefore || slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.mayRun() })
+	return req.mayHaveRunBefore || slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.mayRun() })
 }
 
-// closedBeforeAnswer reports whether the client of a request that must not run twice has closed its connection.
+// closedBeforeAnswer reports whether the request must not run twice and its client has closed its connection.
 func (req *request) closedBeforeAnswer() bool {
 	client, ok := req.client.(platform.Disconnectable)
-	return ok && req.once && client.Disconnected()
+	return ok && req.atMostOnce && client.Disconnected()
 }
 
-// admission is what the configuration has on a request that was received.
+// admission is the class and tenant of a request that passed validation.
 type admission struct {
-	class, tenant int // numbers; no tenant is negative
-	contract      *decide.Class
+	class, tenant int // numbers; tenant is noTenant without one
+	classSettings *decide.Class
 }
 
 // Submit implements platform.Dispatcher.
@@ -96,7 +96,7 @@
 	if err != nil {
 		return slotmap.Ref{}, err
 	}
-	if c.mayRunAgain(&incoming, admitted.contract) {
+	if c.mustNotRunAgain(&incoming, admitted.classSettings) {
 		c.classMetrics[admitted.class].Count(metrics.Failed)
 		client.Failed()
 		return slotmap.Ref{}, nil
@@ -104,8 +104,8 @@
 	c.limits.use(LimitTenantRequests, incoming.Tenant)
 	c.ExpireLeases()
 	clientDeadline := incoming.Deadline
-	if c.answersBy > 0 {
-		incoming.Deadline = min(incoming.Deadline, c.answersBy)
+	if c.answerDeadline > 0 {
+		incoming.Deadline = min(incoming.Deadline, c.answerDeadline)
 	}
 	now := clock.ToDuration(c.loop.Now())
 	req := c.newRequest(&incoming, client, admitted)
@@ -124,7 +124,8 @@
 		c.handleEventAt(now, event)
 		return ref, nil
 	}
-	// The process's end cuts its time short. It is given up then, but not at once because of the estimated work of its class.
+	// The process ends before the client's deadline. The router gets the client's deadline first and the earlier one afterwards:
+	// with the earlier one alone it might reject the request at once because of its class's estimated work.
 	event.Deadline = clock.ToDuration(clientDeadline)
 	c.handleEventAt(now, event)
 	c.handleEvent(&decide.ShortenDeadline{ID: event.ID, By: clock.ToDuration(incoming.Deadline)})
@@ -148,26 +149,26 @@
 	if !ok {
 		tenant = noTenant
 	}
-	contract := &c.config.Settings.Classes[class]
-	if contract.Idempotency == decide.IdempotentWithKey && incoming.PlatformProtocol && incoming.IdempotencyKey == "" {
+	classSettings := &c.config.Settings.Classes[class]
+	if classSettings.Idempotency == decide.IdempotentWithKey && incoming.PlatformProtocol && incoming.IdempotencyKey == "" {
 		return admission{}, fmt.Errorf("class %q: %w", incoming.Class, ErrMissingKey)
 	}
-	if incoming.Writes && contract.Read != decide.Write { // a read may be repeated
+	if incoming.Writes && classSettings.Read != decide.Write { // the router may retry reads that may have run
 		return admission{}, fmt.Errorf("class %q: %w", incoming.Class, ErrWriteInReadClass)
 	}
-	return admission{class: class, tenant: tenant, contract: contract}, nil
+	return admission{class: class, tenant: tenant, classSettings: classSettings}, nil
 }
 
-// noTenant is the number of a tenant that the settings do not have.
+// noTenant is the number for a request without a tenant of the settings.
 const noTenant = -1
 
-// mayRunAgain reports whether a request must not run twice and may have run before: in an earlier process, or by an earlier
-// request of its id whose client has closed its connection.
-func (c *Core) mayRunAgain(incoming *platform.Request, contract *decide.Class) bool {
-	if contract.Idempotency == decide.Idempotent {
+// mustNotRunAgain reports whether a request must not run twice and may have run before: in an earlier process, or as an earlier
+// request with the same id whose client has closed its connection.
+func (c *Core) mustNotRunAgain(incoming *platform.Request, classSettings *decide.Class) bool {
+	if classSettings.Idempotency == decide.Idempotent {
 		return false
 	}
-	hasKey := contract.Idempotency == decide.IdempotentWithKey && incoming.IdempotencyKey != ""
+	hasKey := classSettings.Idempotency == decide.IdempotentWithKey && incoming.IdempotencyKey != ""
 	if !hasKey {
 		earlier, ok := c.requests.latest(incoming.ID)
 		if ok && earlier.mayHaveBeenWritten() || c.requests.mayHaveRun(incoming.ID, c.loop.Now()) {
@@ -180,30 +181,30 @@
 // clientID returns the id that a request's client uses for it.
 func clientID(incoming *platform.Request) string { return cmp.Or(incoming.ClientID, incoming.ID) }
 
-// newRequest makes the record of a request.
+// newRequest returns the state of a new request.
 func (c *Core) newRequest(incoming *platform.Request, client platform.Client, admitted admission) *request {
-	contract := admitted.contract
+	classSettings := admitted.classSettings
 	req := &request{
-		id:           incoming.ID,
-		clientID:     clientID(incoming),
-		once:         contract.Idempotency != decide.Idempotent,
-		class:        admitted.class,
-		classMetrics: c.classMetrics[admitted.class],
-		client:       client,
-		query:        incoming.Query,
-		deadline:     incoming.Deadline,
-		platform:     incoming.PlatformProtocol,
+		id:               incoming.ID,
+		clientID:         clientID(incoming),
+		atMostOnce:       classSettings.Idempotency != decide.Idempotent,
+		class:            admitted.class,
+		classMetrics:     c.classMetrics[admitted.class],
+		client:           client,
+		query:            incoming.Query,
+		deadline:         incoming.Deadline,
+		platformProtocol: incoming.PlatformProtocol,
 	}
-	if contract.Idempotency == decide.IdempotentWithKey && incoming.IdempotencyKey != "" {
+	if classSettings.Idempotency == decide.IdempotentWithKey && incoming.IdempotencyKey != "" {
 		req.key = strconv.Itoa(incoming.Group) + " " + incoming.IdempotencyKey
 	}
-	if incoming.PlatformProtocol && contract.Read == decide.Write && c.storesCommits() {
-		req.wroteSession = incoming.Session
+	if incoming.PlatformProtocol && classSettings.Read == decide.Write && c.storesCommits() {
+		req.commitSession = incoming.Session
 	}
 	return req
 }
 
-// requestEvent returns the event by which the router gets a request.
+// requestEvent returns the event that passes a request to the router.
 func (c *Core) requestEvent(ref slotmap.Ref, req *request, incoming *platform.Request, admitted admission, now decide.Time) *decide.Request {
 	event := &decide.Request{
 		ID:          requestID(ref),
@@ -211,17 +212,18 @@
 		Group:       incoming.Group,
 		Tenant:      admitted.tenant,
 		Deadline:    clock.ToDuration(incoming.Deadline),
-		Session:     c.sessionOf(incoming, admitted.contract),
+		Session:     c.sessionOf(incoming, admitted.classSettings),
 		ClientRetry: incoming.IsRetry,
 		OnlyServer:  decide.ServerID(incoming.OnlyServer),
 	}
 	if incoming.MinPosition > 0 {
-		// A commit is rounded up and so may lie ahead of the clock, or far ahead where a clock was set; 0 would stand for none.
+		// A commit's position is rounded up and may lie ahead of this clock, or far ahead after a clock was set. 0 would mean that
+		// there was no commit.
 		event.SinceCommit = cmp.Or(now-clock.ToDuration(incoming.MinPosition), 1)
 	}
 	if at, ok := c.requests.sentKeys.firstSent(req.key, c.loop.Now()); ok {
 		event.MayHaveRunSince = clock.ToDuration(at)
-		req.ranBefore = true
+		req.mayHaveRunBefore = true
 	}
 	return event
 }
@@ -234,7 +236,7 @@
 	return ""
 }
 
-// finish marks a request as over and counts its end.
+// finish marks a request as finished and counts its outcome.
 func (c *Core) finish(req *request, end metrics.Outcome) {
 	req.finished = true
 	if req.payment.creditHold.Amount > 0 {
@@ -245,7 +247,7 @@
 	c.countEnd(req, end)
 }
 
-// finishByID marks a request as over and returns it, or nil if it was over before.
+// finishByID finishes a request and returns it, or nil if it is unknown or finished already.
 func (c *Core) finishByID(id decide.RequestID, end metrics.Outcome) *request {
 	ref := refOf(id)
 	req, ok := c.requests.Get(ref)
@@ -257,15 +259,15 @@
 	return req
 }
 
-// releaseIfDone frees the slot of a request that is over and has no attempt or answer left.
+// releaseIfDone frees the slot of a request that is answered and has no attempt in flight.
 func (c *Core) releaseIfDone(ref slotmap.Ref, req *request) {
 	if req.done() {
 		c.requests.release(ref, req, c.loop.Now())
 	}
 }
 
-// deliver gives a request's client its server's answer. A client that has closed its connection by then does not get it, and
-// may send the request again.
+// deliver passes a server's answer to the client. A client that has closed its connection by then does not receive the answer,
+// and may retry the request.
 func (c *Core) deliver(req *request, answer []byte) {
 	req.answerDelivered = !req.closedBeforeAnswer()
 	req.client.Served(answer)
@@ -291,12 +293,12 @@
 func (c *Core) abandon(ref slotmap.Ref, req *request) {
 	c.finish(req, metrics.ClientGone)
 	c.recorder.answer(req, recordpb.Final_FINAL_GONE, 0)
-	if c.carryingOut { // a client may abandon another request at an answer, while actions on it are yet to be carried out
+	if c.carryingOut { // a client may abandon another request when it is answered; actions for that request may still be queued
 		c.abandoned = append(c.abandoned, ref)
 	} else {
 		c.releaseIfDone(ref, req)
 	}
-	if req.payment.pending != nil { // the router does not know of it
+	if req.payment.pending != nil { // the request has not been passed to the router yet
 		req.payment.pending = nil
 		c.credit.Cancel(req.payment.tenant, creditTag(ref))
 		return
@@ -304,10 +306,10 @@
 	c.handleEvent(&decide.Abandoned{ID: requestID(ref)})
 }
 
-// AnswerBy implements platform.Dispatcher. It brings forward the deadline of a request of the platform's clients.
+// AnswerBy implements platform.Dispatcher. It shortens the deadline of a platform client's request to ms.
 func (c *Core) AnswerBy(ref slotmap.Ref, ms float64) {
 	req, ok := c.requests.Get(ref)
-	if !ok || !req.platform || req.finished || req.deadline <= ms {
+	if !ok || !req.platformProtocol || req.finished || req.deadline <= ms {
 		return
 	}
 	req.deadline = ms
--- a/internal/core/requesttable.go
+++ b/internal/core/requesttable.go
@@ -7,22 +7,22 @@
 	"beechgrade/internal/eventloop/slotmap"
 )
 
-// requestTable has the requests that are open or have attempts in flight, and remembers for some minutes which ones may have
+// requestTable holds the requests that are open or have attempts in flight, and remembers for some minutes which requests may have
 // run.
 type requestTable struct {
 	slotmap.Table[*request]
 	byID     map[string]slotmap.Ref // the latest request of each id
 	sentKeys recentKeys             // keys of requests that may have run
-	sentOnce recentKeys             // ids of requests that must not run twice and may have run
+	sentIDs  recentKeys             // ids of requests that must not run twice and may have run
 }
 
 // newRequestTable returns an empty table.
 func newRequestTable() requestTable { return requestTable{byID: map[string]slotmap.Ref{}} }
 
-// setKeyLifetime sets how long keys and ids are remembered at least.
+// setKeyLifetime sets the least time for which keys and ids are remembered.
 func (table *requestTable) setKeyLifetime(ms float64) {
 	table.sentKeys.lifetimeMs = ms
-	table.sentOnce.lifetimeMs = ms
+	table.sentIDs.lifetimeMs = ms
 }
 
 // add stores a request.
@@ -32,40 +32,40 @@
 	return ref
 }
 
-// latest returns the latest request of an id, while it has a slot.
+// latest returns the latest request with an id, as long as it has a slot.
 func (table *requestTable) latest(id string) (*request, bool) { return table.Get(table.byID[id]) }
 
 // release frees the slot of a request that is done.
 func (table *requestTable) release(ref slotmap.Ref, req *request, now float64) {
 	table.rememberIfRun(req, now)
 	table.Remove(ref)
-	if table.byID[req.id] == ref { // else its client has sent it again meanwhile
+	if table.byID[req.id] == ref { // otherwise a newer request has the same id
 		delete(table.byID, req.id)
 	}
 }
 
-// rememberIfRun remembers the id of a request that may have run, where it must not run twice and its client did not get its
-// server's answer.
+// rememberIfRun remembers the id of a request that may have run, if the request must not run twice and its client did not receive
+// the server's answer.
 func (table *requestTable) rememberIfRun(req *request, now float64) {
-	clientMayRetry := req.once && !req.answerDelivered
+	clientMayRetry := req.atMostOnce && !req.answerDelivered
 	if clientMayRetry && req.key == "" && req.mayHaveRun() {
-		table.sentOnce.recordSend(req.id, now, now)
+		table.sentIDs.recordSend(req.id, now, now)
 	}
 }
 
-// mayHaveRun reports whether a request of that id, which must not run twice, has ended and may have run.
+// mayHaveRun reports whether a request with that id that must not run twice has ended and may have run.
 func (table *requestTable) mayHaveRun(id string, now float64) bool {
-	_, known := table.sentOnce.firstSent(id, now)
+	_, known := table.sentIDs.firstSent(id, now)
 	return known
 }
 
-// A request's name for the router is its slot's index, then its slot's generation.
+// A RequestID consists of the index of the request's slot and the slot's generation.
 const (
 	refIndexBytes  = 4
 	requestIDBytes = 8
 )
 
-// requestID names a request to the router by its slot, as the ids of different clients may be equal.
+// requestID returns the router's ID of the request in a slot. The clients' own ids are not unique among clients.
 func requestID(ref slotmap.Ref) decide.RequestID {
 	var id [requestIDBytes]byte
 	binary.BigEndian.PutUint32(id[:refIndexBytes], ref.Index)
@@ -73,7 +73,7 @@
 	return decide.RequestID(id[:])
 }
 
-// refOf returns the slot of a request by its name for the router.
+// refOf returns the slot of the request with a RequestID.
 func refOf(id decide.RequestID) slotmap.Ref {
 	if len(id) != requestIDBytes {
 		return slotmap.Ref{}
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// doubtAheadMs is how far ahead of the clock unknown sessions count as written, and a commit elsewhere may lie...
+	// doubtAheadMs is how far ahead of the clock the commits of unknown sessions are assumed to lie; a commit that another process
+	// served may lie that far ahead.
 	doubtAheadMs = 1000
-	// doubtRenewMs: ...renewed when less than this is left.
+	// doubtRenewMs: the assumption is renewed when less than this remains.
 	doubtRenewMs = 500
-	// unknownSessionPrefix makes a session's name one that the router does not know.
+	// unknownSessionPrefix turns a session's name into one that the router does not know.
 	unknownSessionPrefix = "\x00"
 )
 
-// SessionTokens stores sessions' last commits where they survive a crash.
+// SessionTokens stores sessions' last commits durably.
 type SessionTokens interface {
-	// Keep stores one. If the answer has to wait for that, it returns true and calls done later, on the loop.
-	Keep(session string, at decide.Time, done func(kept bool)) (waits bool)
+	// Keep stores a commit. If the answer has to wait until it is stored, Keep returns true and calls done later, on the loop.
+	Keep(session string, at decide.Time, done func(stored bool)) (waits bool)
 }
 
-// SetSessionTokens sets the storage of sessions' commits, for settings where the router has to remember them.
+// SetSessionTokens sets the storage of sessions' commits. It is used only if Settings.TrackCommits is set.
 func (c *Core) SetSessionTokens(tokens SessionTokens) { c.sessionTokens = tokens }
 
-// SetSessionDoubt has session reads see everything written until now while inDoubt returns true, whatever the router knows of
-// their sessions: another process may serve these sessions' writes.
+// SetSessionDoubt makes session reads see everything written until now while inDoubt returns true, whatever the router knows of
+// their sessions: meanwhile another process may serve writes of the same sessions.
 func (c *Core) SetSessionDoubt(inDoubt func() bool) { c.sessionDoubt.inDoubt = inDoubt }
 
-// sessionDoubt is whether sessions' writes may be served elsewhere.
+// sessionDoubt tells whether another process may serve writes of this pooler's sessions.
 type sessionDoubt struct {
 	inDoubt      func() bool // nil for never
-	unknownUntil float64     // sessions that the router does not know count as written until then
+	unknownUntil float64     // sessions that the router does not know are assumed to have commits up to this time, in ms of the loop
 }
 
-// sessionOf returns the session for the router: in doubt an unknown one, all of which count as written just now.
-func (c *Core) sessionOf(incoming *platform.Request, contract *decide.Class) string {
+// sessionOf returns the session name for the router. In doubt it is one that the router does not know: unknown sessions are assumed
+// to have a commit just now.
+func (c *Core) sessionOf(incoming *platform.Request, classSettings *decide.Class) string {
 	doubt := &c.sessionDoubt
-	if doubt.inDoubt == nil || contract.Read != decide.ReadSession || !doubt.inDoubt() {
+	if doubt.inDoubt == nil || classSettings.Read != decide.ReadSession || !doubt.inDoubt() {
 		return incoming.Session
 	}
 	if now := c.loop.Now(); doubt.unknownUntil < now+doubtRenewMs {
@@ -56,22 +58,22 @@
 // storesCommits reports whether sessions' commits are stored.
 func (c *Core) storesCommits() bool { return c.sessionTokens != nil && c.config.Settings.TrackCommits }
 
-// delayedAnswer is a write's answer that waits for its commit to be stored. To the router the request is answered.
+// delayedAnswer is a write's answer that waits for its commit to be stored. The router regards the request as answered.
 type delayedAnswer struct{ answer []byte }
 
-// delayAnswer has a write's commit stored, and reports whether the answer waits for that, until its client's deadline at most.
-// A write whose commit is not stored by then is answered as failed: a session without an answer to its write need not see it.
+// delayAnswer stores a write's commit, and reports whether the answer has to wait for that, at most until the client's deadline. A
+// write whose commit is not stored by then is answered as failed: reads of a session need not see a write that was not acknowledged.
 func (c *Core) delayAnswer(ref slotmap.Ref, req *request, outcome *backend.Outcome) bool {
-	if req.wroteSession == "" {
+	if req.commitSession == "" {
 		return false
 	}
 	at := clock.ToDuration(c.loop.Now())
 	if outcome.HasPos {
 		at = clock.ToDuration(outcome.Position)
 	}
-	waits := c.sessionTokens.Keep(req.wroteSession, at, func(kept bool) {
+	waits := c.sessionTokens.Keep(req.commitSession, at, func(stored bool) {
 		end := metrics.Failed
-		if kept {
+		if stored {
 			end = metrics.Served
 		}
 		c.giveDelayedAnswer(ref, req, end)
@@ -84,7 +86,7 @@
 	return true
 }
 
-// giveDelayedAnswer ends a request whose answer waits, if it still does.
+// giveDelayedAnswer finishes a request whose answer still waits, with the given outcome.
 func (c *Core) giveDelayedAnswer(ref slotmap.Ref, req *request, end metrics.Outcome) {
 	delayed := req.delayedAnswer
 	if delayed == nil {
--- a/internal/core/slowstart_test.go
+++ b/internal/core/slowstart_test.go
@@ -27,16 +27,16 @@
 func (stub) Failed()                            {}
 func (stub) AppendQuery(b []byte, _ int) []byte { return b }
 
-// manualClock is a loop whose clock tests set.
+// manualClock is a loop whose time is set by tests.
 type manualClock struct {
 	stub
 	now float64
 }
 
-func (m *manualClock) Now() float64 { return m.now }
+func (loop *manualClock) Now() float64 { return loop.now }
 
-// countingServers count the attempts that they get.
-type countingServers struct{ n int }
+// countingServers count the attempts that are started.
+type countingServers struct{ started int }
 
 func (*countingServers) SetAddress(string, string)                   {}
 func (*countingServers) CloseIdle(string)                            {}
@@ -45,24 +45,24 @@
 func (*countingServers) Recall(string, func(backend.AttemptID) bool) {}
 func (*countingServers) CheckHealth(string)                          {}
 func (*countingServers) Cancel(slotmap.Ref)                          {}
-func (c *countingServers) Start(string, backend.Query, float64, backend.SendConditions, backend.AttemptID) slotmap.Ref {
-	c.n++
+func (servers *countingServers) Start(string, backend.Query, float64, backend.SendConditions, backend.AttemptID) slotmap.Ref {
+	servers.started++
 	return slotmap.Ref{}
 }
 
-// TestPeersShareTheSlowStartBudget: the slow-start budget is divided by the number of poolers that may be sending,
-// where that is known, and by the settings' number where it is not any more.
+// TestPeersShareTheSlowStartBudget: the slow-start budget is divided by the number of poolers that may be sending if it is known, and
+// by the settings' number once it is not known any more.
 func TestPeersShareTheSlowStartBudget(t *testing.T) {
-	sent := func(siblings ...int) int {
+	sent := func(peerCounts ...int) int {
 		cfg := &config.Config{Classes: []string{"read"}, Settings: decide.Settings{Peers: 1, Tick: time.Millisecond, MaxAttempts: 8, MayCancel: true,
 			SlowStartMultiple: 3, SlowStartSpan: 1500 * time.Millisecond, SlowStartFrom: 0.5, SlowStartTime: 18 * time.Second,
 			Classes: []decide.Class{{LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Read: decide.ReadAny}}},
 			InitialList: discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: "1.2.3.4:5",
 				Lifecycle: "up", StartedAtMs: 998000, Weight: 1}}}}
-		loop := &manualClock{now: 1e6 - 1500} // a process that has just started sends a cold server nothing in the first span
+		loop := &manualClock{now: 1e6 - 1500} // a process sends nothing to a cold server in the first SlowStartSpan after its start
 		c, servers := New(loop, slog.New(slog.DiscardHandler), cfg), &countingServers{}
 		c.Start(servers, stub{})
-		for _, n := range siblings {
+		for _, n := range peerCounts {
 			c.SetPeers(n)
 		}
 		loop.now = 1e6
@@ -71,13 +71,13 @@
 				t.Fatal(err)
 			}
 		}
-		return servers.n
+		return servers.started
 	}
-	alone, many, back := sent(), sent(40), sent(40, 0)
-	if many >= alone || alone == 0 {
-		t.Errorf("alone it sends %d, as one of 40 %d", alone, many)
+	alone, oneOfMany, aloneAgain := sent(), sent(40), sent(40, 0)
+	if oneOfMany >= alone || alone == 0 {
+		t.Errorf("alone the pooler sends %d, as one of 40 it sends %d", alone, oneOfMany)
 	}
-	if back != alone {
-		t.Errorf("without a view again it sends %d, and %d without one", back, alone)
+	if aloneAgain != alone {
+		t.Errorf("the pooler sends %d once the number of peers is unknown again, want %d", aloneAgain, alone)
 	}
 }
