--- a/internal/cluster/bytes_test.go
+++ b/internal/cluster/bytes_test.go
@@ -11,7 +11,7 @@
 
 type rawMessage []byte
 
-func (w rawMessage) Append(b []byte) []byte { return append(b, w...) }
+func (message rawMessage) Append(b []byte) []byte { return append(b, message...) }
 
 // fullEnvelope returns an envelope with a value in every field.
 func fullEnvelope() *envelope {
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestBytes: the bytes of an envelope stay what poolers of other versions read.
-func TestBytes(t *testing.T) {
+// TestEnvelopeWireFormat: envelopes are encoded to fixed bytes, which poolers of other versions read, and decoded from them.
+func TestEnvelopeWireFormat(t *testing.T) {
 	for _, c := range []struct {
 		b    []byte
 		want string
@@ -37,7 +37,7 @@
 		{testKey.seal(nil, &envelope{Message: view.Message{Kind: view.Ping, From: 1}}), "62677031113f210525cebfe908760bb3404e63d1110100000000000000210000000000000000"},
 	} {
 		if got := hex.EncodeToString(c.b); got != c.want {
-			t.Errorf("%s, want %s", got, c.want)
+			t.Errorf("encoded as %s, want %s", got, c.want)
 		}
 	}
 	b := appendEnvelope(nil, fullEnvelope())
@@ -47,6 +47,6 @@
 	}
 	got.body.message = rawMessage(got.body.raw)
 	if again := appendEnvelope(nil, got); hex.EncodeToString(again) != hex.EncodeToString(b) {
-		t.Errorf("read as %+v", got)
+		t.Errorf("decoded as %+v, which is encoded differently", got)
 	}
 }
--- a/internal/cluster/codec.go
+++ b/internal/cluster/codec.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/encoding"
 )
 
-// A message between two poolers is, in this order: protocolMagic, a keyed hash of the remainder, and a protobuf message:
+// A message between two poolers consists of protocolMagic, a keyed hash of the remainder, and a protobuf message, in this order:
 //
 //	message Envelope { uint32 kind = 1; fixed64 from = 2; uint32 seq = 3; fixed64 target = 4; repeated Record records = 5; Counts counts = 6;
 //	                   repeated Avoided avoided = 10; }
@@ -26,34 +26,34 @@
 //	message Avoided { string server = 1; string why = 2; repeated fixed64 by = 3; fixed64 until = 4; }  in the answer to a status query
 //	message Counts { uint32 reachable = 1; uint32 sending = 2; bool majority = 3; bool alone = 4; }
 //
-// In a message about limits the kind is kindQuota, the target is the receiver, and the remainder is:
+// In a message about fleet-wide limits the kind is kindQuota, the target is the receiver, and the remainder is:
 //
 //	Envelope { uint32 verb = 8; repeated Item items = 7; }
 //	message Item { fixed64 limit = 1; uint32 seq = 2; uint32 epoch = 3; fixed64 stamp = 4; bool vote = 5; bool even = 6; uint32 seen = 7;
 //	               uint32 hold = 8; fixed64 rest = 9; fixed64 want = 10; uint32 units = 11; uint32 pool = 12; bool sure = 13; fixed64 share = 14; }
 //
-// The fields until, stamp, rest, want and share are doubles. Kinds from module.FirstKind on are those of modules, which encode their
-// messages themselves: Envelope { bytes body = 9; }.
+// The fields until, stamp, rest, want and share are doubles, in the bits of a fixed64. Kinds from module.FirstKind to module.LastKind
+// belong to modules, which encode their messages themselves: Envelope { bytes body = 9; }.
 //
-// Unknown fields are skipped, so that a later version can add some. A datagram that is replayed by somebody without the key changes
-// nothing: records are ordered by the incarnation that their process gave them.
+// Unknown fields are skipped, so that later versions can add fields. A datagram that is replayed by somebody without the key has no
+// effect: records are ordered by the incarnation that their process gave them.
 const (
 	protocolMagic = "bgp1"
-	macBytes      = 16 // the part of the hash that is sent
+	macBytes      = 16 // the hash is truncated to this length
 	headerBytes   = len(protocolMagic) + macBytes
 
 	// MaxDatagramBytes bounds a received datagram.
 	MaxDatagramBytes = 1400
-	// MaxStreamBytes bounds a message that is received over a stream: a module's message and its envelope.
+	// MaxStreamBytes bounds a message that is received over a stream: the largest message of a module, and its envelope.
 	MaxStreamBytes = module.MaxStreamBytes + envelopeBytes
 	envelopeBytes  = 256
 )
 
 // Message kinds beside those of the view.
 const (
-	kindExchange    view.Kind = 16 // one side of a full exchange
-	kindStatusQuery view.Kind = 17 // asks for all that a pooler knows, and reports nothing
-	kindQuota       view.Kind = 18 // about fleet-wide limits
+	kindExchange    view.Kind = 16 // one side of a full exchange, or the reply to a module's message over a stream
+	kindStatusQuery view.Kind = 17 // asks for everything that a pooler knows of the cluster; has no sender
+	kindQuota       view.Kind = 18 // a message about fleet-wide limits
 )
 
 // Field numbers of an envelope, its counts and its records.
@@ -75,16 +75,16 @@
 	fieldCountsIsolated  = 4
 
 	fieldRecordID          = 1
-	fieldRecordName        = 2 // the first of the texts, which are numbered in order
-	fieldRecordVersion     = 6 // the last of them
+	fieldRecordName        = 2 // the first of the text fields, which are numbered in order
+	fieldRecordVersion     = 6 // the last text field
 	fieldRecordIncarnation = 7
 	fieldRecordState       = 8
 	fieldRecordDraining    = 9
 )
 
-const maxCount = 0xffffff // of the numbers in Counts
+const maxCount = 0xffffff // bit mask of the numbers in Counts
 
-// Errors of messages that are rejected.
+// Errors of rejected messages.
 var (
 	ErrNotAuthenticated = errors.New("not sent by a holder of the cluster's key")
 	ErrMalformed        = errors.New("malformed message")
@@ -101,7 +101,7 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// envelope is a message of the view, of the quota or of a module, with what only streams carry.
+// envelope is a message of the view, the quota or a module. Counts and avoided servers are sent over streams only.
 type envelope struct {
 	view.Message
 	counts  view.Counts
@@ -110,7 +110,7 @@
 	body    moduleBody
 }
 
-// seal appends the encoded and authenticated message.
+// seal encodes and authenticates a message, and appends it to dst.
 func (k Key) seal(dst []byte, message *envelope) []byte {
 	start := len(dst)
 	dst = append(append(dst, protocolMagic...), make([]byte, macBytes)...)
@@ -119,7 +119,7 @@
 	return dst
 }
 
-// SealDatagram returns the datagram of a view's message.
+// SealDatagram returns a message of the view as a datagram.
 func (k Key) SealDatagram(message *view.Message) []byte {
 	return k.seal(nil, &envelope{Message: *message})
 }
@@ -298,7 +298,7 @@
 	return record, err
 }
 
-// appendFrame appends a sealed message for a stream, after its length.
+// appendFrame appends a sealed message as sent over a stream: its length, then the message.
 func appendFrame(dst, sealed []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(dst, uint32(len(sealed))), sealed...)
 }
--- a/internal/cluster/codec_test.go
+++ b/internal/cluster/codec_test.go
@@ -17,7 +17,7 @@
 
 var testKey = Key("a key of a fleet, for tests")
 
-// TestEnvelopeRoundTrip: every message decodes as it was encoded, and is rejected where a byte was changed or the key is another.
+// TestEnvelopeRoundTrip: every message is decoded as it was encoded, and is rejected if a byte was changed or the key differs.
 func TestEnvelopeRoundTrip(t *testing.T) {
 	text := rapid.StringN(0, 20, view.MaxNameBytes)
 	deterministic.Check(t, func(t *rapid.T) {
@@ -51,13 +51,13 @@
 	})
 }
 
-// TestUnknownFieldsAreSkipped: the fields of a later version are ignored.
+// TestUnknownFieldsAreSkipped: fields that a later version adds are ignored.
 func TestUnknownFieldsAreSkipped(t *testing.T) {
 	in := &envelope{Message: view.Message{Kind: view.Gossip, From: 7, Records: []view.Record{{ID: 9, Name: "n", Addr: "a"}}}}
-	body := appendText(appendUint(appendEnvelope(nil, in), 99, 5), 77, "news of a later version")
+	body := appendText(appendUint(appendEnvelope(nil, in), 99, 5), 77, "field of a later version")
 	out, err := decodeEnvelope(body)
 	if err != nil || len(out.Records) != 1 || out.From != 7 {
-		t.Errorf("%+v, %v", out, err)
+		t.Errorf("decoded as %+v, error %v", out, err)
 	}
 }
 
@@ -76,12 +76,12 @@
 		}
 		for i := range message.Records {
 			if !message.Records[i].Valid() {
-				t.Fatalf("taken: %+v", message.Records[i])
+				t.Fatalf("accepted an invalid record: %+v", message.Records[i])
 			}
 		}
 		again, err := testKey.open(testKey.seal(nil, message))
 		if err != nil || !cmp.Equal(message, again, cmp.AllowUnexported(envelope{}, moduleBody{}), cmpopts.EquateEmpty()) {
-			t.Fatalf("%+v came back as %+v, %v", message, again, err)
+			t.Fatalf("%+v was decoded as %+v, error %v", message, again, err)
 		}
 	})
 }
@@ -90,19 +90,20 @@
 func TestFrameIsReadCompletelyOrRejected(t *testing.T) {
 	b := appendFrame(nil, testKey.seal(nil, &envelope{Message: view.Message{Kind: kindStatusQuery}}))
 	if message, err := readFrame(bytes.NewReader(b), testKey); err != nil || message.Kind != kindStatusQuery {
-		t.Fatalf("%+v, %v", message, err)
+		t.Fatalf("read %+v, error %v", message, err)
 	}
 	for cut := range b {
 		if _, err := readFrame(bytes.NewReader(b[:cut]), testKey); err == nil {
-			t.Errorf("cut at %d it was accepted", cut)
+			t.Errorf("a frame truncated to %d bytes was accepted", cut)
 		}
 	}
 	if _, err := readFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}), testKey); !errors.Is(err, ErrMalformed) {
-		t.Error(err)
+		t.Errorf("frame longer than MaxStreamBytes: %v", err)
 	}
 }
 
-// TestQuotaMessageRoundTrip: a quota message of MaxItems decodes as it was encoded, from one datagram; one of more items is rejected.
+// TestQuotaMessageRoundTrip: a quota message of MaxItems items fits one datagram and is decoded as it was encoded. A message of more
+// items is rejected.
 func TestQuotaMessageRoundTrip(t *testing.T) {
 	key := Key("0123456789abcdef")
 	m := &quota.Message{Kind: quota.LeaseAnswer, From: 7, To: 9}
@@ -111,7 +112,7 @@
 	}
 	b := key.seal(nil, &envelope{Message: view.Message{Kind: kindQuota, From: m.From, Target: m.To}, quota: m})
 	if len(b) > MaxDatagramBytes {
-		t.Errorf("%d bytes", len(b))
+		t.Errorf("the datagram has %d bytes, want at most %d", len(b), MaxDatagramBytes)
 	}
 	message, err := key.open(b)
 	if err != nil {
--- a/internal/cluster/datagrams.go
+++ b/internal/cluster/datagrams.go
@@ -10,13 +10,13 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// datagram is one to be sent. Its message does not change any more.
+// datagram is a message that is queued to be sent in a datagram. Its envelope must not change any more.
 type datagram struct {
 	to       netip.AddrPort
 	envelope envelope
 }
 
-// enqueueDatagram queues a message for an address, unless the queue is full.
+// enqueueDatagram queues a message for an address. It is dropped if the queue is full.
 func (node *Node) enqueueDatagram(addr string, message envelope) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// writeLoop sends what is queued, until the queue is closed.
+// writeLoop sends the queued datagrams until the queue is closed.
 func (node *Node) writeLoop() {
 	defer node.workers.Done()
 	defer close(node.writerDone)
@@ -52,7 +52,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // a datagram that was sent to a process that has ended was refused
+		case err != nil: // an earlier datagram to a process that has ended was refused
 			continue
 		case n > MaxDatagramBytes:
 			node.dropped.Add(1)
@@ -91,7 +91,7 @@
 	return e.isForModule() || isQuota || e.Kind <= view.Gossip
 }
 
-// postToLoop runs a function on the event loop. It reports false, and does nothing, where too many wait there.
+// postToLoop runs a function on the event loop. It reports false, and does nothing, if maxPendingEvents functions are pending.
 func (node *Node) postToLoop(do func()) bool {
 	if node.pendingEvents.Add(1) > maxPendingEvents {
 		node.pendingEvents.Add(-1)
--- a/internal/cluster/modules.go
+++ b/internal/cluster/modules.go
@@ -10,7 +10,7 @@
 	"beechgrade/internal/encoding"
 )
 
-// moduleBody is a module's message: the message to be sent, or the bytes that were received and what they were decoded to.
+// moduleBody is a module's message: either the message to be sent, or the received bytes and the message decoded from them.
 type moduleBody struct {
 	message module.Message
 	raw     []byte
@@ -24,11 +24,11 @@
 	return encoding.AppendBytesField(b, fieldModuleBody, message.Append(nil))
 }
 
-// Register adds a module. It is called before Start, once for each kind, and panics for a kind that is taken or not a module's.
+// Register adds a module. It is called before Start, and panics if the module's kind is registered already or is not a module's kind.
 func (node *Node) Register(mod module.Module) {
 	kind := mod.Kind()
 	if kind < module.FirstKind || kind > module.LastKind || node.moduleOfKind(kind) != nil {
-		panic(fmt.Sprintf("cluster: module of kind %d", kind))
+		panic(fmt.Sprintf("cluster: module kind %d is registered already or out of range", kind))
 	}
 	node.modules = append(node.modules, mod)
 }
@@ -44,7 +44,7 @@
 // Now implements module.Transport.
 func (node *Node) Now() float64 { return node.loop.Now() }
 
-// Send implements module.Transport. Before the view is started, and after Leave, it does nothing.
+// Send implements module.Transport. It does nothing before the view is started and after Leave.
 func (node *Node) Send(addr string, to view.ID, kind view.Kind, message module.Message) {
 	if node.stopped || node.view == nil {
 		return
@@ -57,7 +57,7 @@
 	return envelope{Message: header, body: moduleBody{message: message}}
 }
 
-// SendStream implements module.Transport.
+// SendStream implements module.Transport. It does nothing before the view is started and after Leave.
 func (node *Node) SendStream(addr string, to view.ID, kind view.Kind, message module.Message, done func(ok bool)) {
 	if node.stopped || node.view == nil {
 		return
@@ -71,7 +71,7 @@
 		defer node.openExchanges.Add(-1)
 		_, err := node.exchange(addr, &request) // the content of the reply is not used
 		if err != nil {
-			node.log.Debug("cluster: stream failed", "addr", addr, "kind", kind, "err", err)
+			node.log.Debug("cluster: sending a message over a stream failed", "addr", addr, "kind", kind, "err", err)
 		}
 		node.loop.Post(func() {
 			if !node.stopped {
@@ -81,7 +81,7 @@
 	}()
 }
 
-// decodeModuleMessage makes the module decode its message. It is called off the event loop.
+// decodeModuleMessage has the module decode its message. It is called off the event loop.
 func (node *Node) decodeModuleMessage(message *envelope) error {
 	mod := node.moduleOfKind(message.Kind)
 	if mod == nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// deliverToModule passes a decoded message to its module, unless it is for another process.
+// deliverToModule passes a decoded message to its module, unless the message is for another process.
 func (node *Node) deliverToModule(message *envelope) {
 	if node.stopped || node.view == nil {
 		return
@@ -106,7 +106,7 @@
 	node.moduleOfKind(message.Kind).Receive(message.From, message.body.decoded)
 }
 
-// serveModuleStream handles a module's message that arrived over a stream. The reply says that it was taken.
+// serveModuleStream handles a module's message that arrived over a stream. The reply confirms that the message was received.
 func (node *Node) serveModuleStream(conn net.Conn, message *envelope) {
 	if err := node.decodeModuleMessage(message); err != nil {
 		node.dropped.Add(1)
@@ -124,7 +124,7 @@
 	node.writeReply(conn, replies)
 }
 
-// updateModules reports the members and counts of the view to all modules.
+// updateModules passes the members and counts of the view to all modules.
 func (node *Node) updateModules() {
 	if len(node.modules) == 0 || node.view == nil || node.stopped {
 		return
--- a/internal/cluster/modules_test.go
+++ b/internal/cluster/modules_test.go
@@ -8,24 +8,24 @@
 	"beechgrade/internal/cluster/view"
 )
 
-type text string
+type textMessage string
 
-func (s text) Append(b []byte) []byte { return append(b, s...) }
+func (message textMessage) Append(b []byte) []byte { return append(b, message...) }
 
-// TestModuleMessageRoundTrip: a module's message decodes as it was encoded, with its sender and receiver; a body of MaxBodyBytes fits a
-// datagram; without the module it is rejected.
+// TestModuleMessageRoundTrip: a module's message is decoded as it was encoded, with its sender and receiver. A body of MaxBodyBytes fits
+// one datagram. A node without the module rejects the message.
 func TestModuleMessageRoundTrip(t *testing.T) {
-	w := text(make([]byte, module.MaxBodyBytes))
-	b := testKey.seal(nil, &envelope{Message: view.Message{Kind: module.KindCredit, From: 7, Target: 9}, body: moduleBody{message: w}})
+	body := textMessage(make([]byte, module.MaxBodyBytes))
+	b := testKey.seal(nil, &envelope{Message: view.Message{Kind: module.KindCredit, From: 7, Target: 9}, body: moduleBody{message: body}})
 	if len(b) > MaxDatagramBytes {
-		t.Errorf("%d bytes", len(b))
+		t.Errorf("the datagram has %d bytes, want at most %d", len(b), MaxDatagramBytes)
 	}
 	message, err := testKey.open(b)
-	if err != nil || message.Kind != module.KindCredit || message.From != 7 || message.Target != 9 || string(message.body.raw) != string(w) {
-		t.Fatalf("%+v, %v", message, err)
+	if err != nil || message.Kind != module.KindCredit || message.From != 7 || message.Target != 9 || string(message.body.raw) != string(body) {
+		t.Fatalf("decoded as %+v, error %v", message, err)
 	}
 	node := &Node{}
 	if err := node.decodeModuleMessage(message); !errors.Is(err, ErrMalformed) {
-		t.Errorf("read for no part: %v", err)
+		t.Errorf("decoded without a module: %v", err)
 	}
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -1,8 +1,8 @@
 // Package cluster runs a pooler as a member of the cluster: it connects the membership view (package view), the fleet-wide limits
-// (package quota) and the modules (package module) to sockets. Small messages go in datagrams, full exchanges and large messages over
-// streams, both on one address. Goroutines read, write, authenticate and encode, and post what they received to the event loop; the
-// state machines run on the loop alone. What other processes can make it queue is bounded: what exceeds a bound is dropped and counted.
-// A node that receives nothing keeps running; each state machine documents what it does then.
+// (package quota) and the modules (package module) to sockets. Small messages are sent in datagrams, full exchanges and large messages
+// over streams, both on one address. Goroutines read, write, authenticate and encode messages, and post received messages to the event
+// loop; the state machines run on the loop only. Queues that other processes can fill are bounded: messages beyond a bound are dropped
+// and counted. A node that receives nothing keeps running; each state machine documents what it does in that case.
 //
 // Without (peers ...) in the operators' settings there is no Node, no socket and no goroutine.
 package cluster
@@ -27,12 +27,12 @@
 // Options configure a Node.
 type Options struct {
 	Listen    string // host:port, both numeric
-	Advertise string // the address that others are given; Listen where empty
+	Advertise string // the address that other processes are told; Listen if empty
 	Key       Key
-	Record    view.Record // this process; its address is filled in
+	Record    view.Record // the record of this process; Addr is set from Advertise
 	View      view.Settings
-	Quota     *quota.Settings // fleet-wide limits, nil for none
-	RetryBind bool            // this pooler's previous process may still use the address: bind again until it is free
+	Quota     *quota.Settings // fleet-wide limits; nil for none
+	RetryBind bool            // the pooler's previous process may still use the address: retry until it is free
 }
 
 // Loop is the event loop that the state machines run on. Post may be called from any goroutine, the other methods on the loop.
@@ -46,19 +46,19 @@
 type Events interface {
 	// CountsChanged reports counts that differ from the previous ones.
 	CountsChanged(c view.Counts)
-	// MemberChanged reports a process that is new, or whose record changed.
-	MemberChanged(r view.Record, was view.State, isNew bool)
-	// AllowanceChanged reports what this pooler may use of a limit from now on.
+	// MemberChanged reports a process that is new, or whose record changed. previous is the state before the change.
+	MemberChanged(r view.Record, previous view.State, isNew bool)
+	// AllowanceChanged reports the rate and burst that this pooler may use of a limit from now on.
 	AllowanceChanged(limit string, amount, burst float64)
 }
 
 const (
-	maxPendingEvents     = 256 // posted to the loop and not handled yet
-	maxQueuedDatagrams   = 512 // waiting for the socket
-	maxConcurrentStreams = 8   // opened by this process, and as many accepted
+	maxPendingEvents     = 256 // functions posted to the loop that have not run yet
+	maxQueuedDatagrams   = 512 // datagrams that wait for the socket
+	maxConcurrentStreams = 8   // streams opened by this process, and as many accepted ones
 	streamTimeoutMs      = 1500
 	retryPauseMs         = 50
-	leaveTimeoutMs       = 200 // for sending the last datagrams
+	leaveTimeoutMs       = 200 // for sending the queued datagrams
 )
 
 // Stats are counters since the start.
@@ -66,10 +66,10 @@
 	DatagramsIn, DatagramsOut  uint64
 	Dropped                    uint64 // received messages that are not authentic or malformed, and sends to malformed addresses
 	Overflowed                 uint64 // messages dropped because a queue was full
-	Exchanges, ExchangesFailed uint64 // full exchanges that this process started, and those of them that failed
+	Exchanges, ExchangesFailed uint64 // full exchanges that this process started, and how many of them failed
 }
 
-// Node is this process as a member of the cluster. Its methods are called on the event loop.
+// Node is this process as a member of the cluster. Its methods must be called on the event loop.
 type Node struct {
 	options     Options
 	loop        Loop
@@ -80,8 +80,8 @@
 	viewActions []view.Action
 	localIP     netip.Addr
 
-	quota        *quota.Quota // nil without limits
-	quotaSelf    view.ID      // the ID that quota was made with
+	quota        *quota.Quota // nil if there are no limits
+	quotaSelf    view.ID      // the ID of this process in quota
 	quotaActions []quota.Action
 	quotaDue     float64
 
@@ -94,7 +94,7 @@
 	tcp        *net.TCPListener
 	workers    sync.WaitGroup
 	sendQueue  chan datagram
-	writerDone chan struct{} // closed once the queue was sent
+	writerDone chan struct{} // closed once all queued datagrams were sent
 
 	pendingEvents   atomic.Int64
 	openExchanges   atomic.Int64
@@ -103,7 +103,7 @@
 	overflowed      atomic.Uint64
 	exchanges       atomic.Uint64
 	exchangesFailed atomic.Uint64
-	stopped         bool // used on the loop only
+	stopped         bool // accessed on the loop only
 }
 
 // New returns a Node that is not started yet.
@@ -117,18 +117,18 @@
 	}
 }
 
-// CheckInvariants makes the view and the quota check their invariants, once in interval events. It is called before Start.
+// CheckInvariants enables the checks of the view's and the quota's invariants, once in interval events. It is called before Start.
 func (node *Node) CheckInvariants(checks *invariant.Checks, interval int) {
 	node.checks, node.checkInterval = checks, interval
 }
 
-// Start opens the sockets and starts the view. With Options.RetryBind it returns nil and keeps trying where the address is in use.
+// Start opens the sockets and starts the view. With Options.RetryBind it returns nil if the sockets cannot be opened, and keeps trying.
 func (node *Node) Start() error {
-	at, err := netip.ParseAddrPort(node.options.Listen)
+	listenAddr, err := netip.ParseAddrPort(node.options.Listen)
 	if err != nil {
 		return fmt.Errorf("cluster: listen on %s: %w", node.options.Listen, err)
 	}
-	node.localIP = at.Addr()
+	node.localIP = listenAddr.Addr()
 	err = node.bind()
 	if err != nil && node.options.RetryBind {
 		node.loop.At(node.loop.Now()+retryPauseMs, node.retryBind)
@@ -157,29 +157,29 @@
 	if err != nil {
 		return fmt.Errorf("cluster: listen on %s: %w", node.options.Listen, err)
 	}
-	packet, err := net.ListenUDP("udp", addr)
+	udp, err := net.ListenUDP("udp", addr)
 	if err != nil {
 		return fmt.Errorf("cluster: listen on %s: %w", node.options.Listen, err)
 	}
-	listen, err := net.ListenTCP("tcp", &net.TCPAddr{IP: addr.IP, Port: addr.Port})
+	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: addr.IP, Port: addr.Port})
 	if err != nil {
-		return errors.Join(fmt.Errorf("cluster: listen on %s: %w", node.options.Listen, err), packet.Close())
+		return errors.Join(fmt.Errorf("cluster: listen on %s: %w", node.options.Listen, err), udp.Close())
 	}
-	node.udp, node.tcp = packet, listen
+	node.udp, node.tcp = udp, tcp
 	return nil
 }
 
 func (node *Node) startView() {
-	me := node.options.Record
-	me.Addr = node.options.Advertise
-	node.view = view.New(node.options.View, me, node.loop.Now())
+	self := node.options.Record
+	self.Addr = node.options.Advertise
+	node.view = view.New(node.options.View, self, node.loop.Now())
 	node.view.CheckInvariants(node.checks, node.checkInterval)
 	for _, run := range []func(){node.readLoop, node.writeLoop, node.acceptLoop} {
 		node.workers.Add(1)
 		go run()
 	}
 	node.updateModules()
-	node.log.Info("cluster: listening", "listen", node.options.Listen, "id", hexID(me.ID), "seeds", node.options.View.SeedAddresses)
+	node.log.Info("cluster: listening", "listen", node.options.Listen, "id", hexID(self.ID), "seeds", node.options.View.SeedAddresses)
 	node.tick()
 }
 
@@ -195,7 +195,7 @@
 	node.loop.At(node.view.NextTick(), node.tick)
 }
 
-// handleView passes an event to the view and carries out the actions.
+// handleView passes an event to the view and carries out the resulting actions.
 func (node *Node) handleView(event view.Event) {
 	if node.stopped || node.view == nil {
 		return
@@ -219,7 +219,7 @@
 	}
 }
 
-// applyViewAction carries out an action and reports whether a member changed.
+// applyViewAction carries out an action of the view, and reports whether a member changed.
 func (node *Node) applyViewAction(action *view.Action) (memberChanged bool) {
 	switch action.Kind {
 	case view.Send:
@@ -240,13 +240,13 @@
 
 func hexID(id view.ID) string { return fmt.Sprintf("%x", uint64(id)) }
 
-// Drain announces that this pooler accepts no more clients, or does again.
+// Drain announces whether this pooler is draining, that is, accepts no new clients.
 func (node *Node) Drain(draining bool) { node.handleView(view.SetDraining{Draining: draining}) }
 
 // Counts returns the view's counts.
 func (node *Node) Counts() view.Counts { return node.counts }
 
-// Members returns all known processes; nil before the view is started.
+// Members returns the records of all known processes; nil before the view is started.
 func (node *Node) Members() []view.Record {
 	if node.view == nil {
 		return nil
@@ -254,7 +254,7 @@
 	return node.view.Members()
 }
 
-// Name returns the name that this process uses: that of the settings, unless another process has it.
+// Name returns the name that this process uses: the configured one, unless another process uses that.
 func (node *Node) Name() string {
 	if node.view == nil {
 		return node.options.Record.Name
@@ -267,8 +267,8 @@
 	return Stats{DatagramsIn: node.received.Load(), DatagramsOut: node.sent.Load(), Dropped: node.dropped.Load(), Overflowed: node.overflowed.Load(), Exchanges: node.exchanges.Load(), ExchangesFailed: node.exchangesFailed.Load()}
 }
 
-// Leave announces that this process ends, unless quietly, which is for a process that another one of this pooler replaces. It stops the
-// state machines, sends what is queued for up to leaveTimeoutMs, closes the sockets and waits for the goroutines.
+// Leave announces that this process ends, unless quietly is set, for a process that is replaced by another process of the same pooler.
+// It stops the state machines, sends the queued datagrams for at most leaveTimeoutMs, closes the sockets and waits for the goroutines.
 func (node *Node) Leave(quietly bool) {
 	if node.stopped {
 		return
@@ -286,7 +286,7 @@
 	if node.view == nil {
 		return
 	}
-	close(node.sendQueue) // the writer sends what is queued, then ends
+	close(node.sendQueue) // writeLoop sends the queued datagrams, then ends
 	select {
 	case <-node.writerDone:
 	case <-time.After(leaveTimeoutMs * time.Millisecond):
--- a/internal/cluster/quota.go
+++ b/internal/cluster/quota.go
@@ -7,7 +7,8 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// updateQuotaMembers reports the members to the quota. A process that takes another ID starts a new quota: its leases belong to the old ID.
+// updateQuotaMembers passes the members to the quota. If this process takes another ID, a new quota is created, as the leases belong to
+// the old ID.
 func (node *Node) updateQuotaMembers() {
 	if node.options.Quota == nil || node.stopped {
 		return
@@ -26,7 +27,7 @@
 	node.handleQuota(event)
 }
 
-// handleQuota passes an event to the quota and carries out the actions. Events may call it again meanwhile.
+// handleQuota passes an event to the quota and carries out the resulting actions. node.events may call it again meanwhile.
 func (node *Node) handleQuota(event quota.Event) {
 	if node.stopped || node.quota == nil {
 		return
@@ -51,12 +52,12 @@
 	}
 }
 
-// ReportDemand reports what this pooler would use of a limit, and what it uses, in the limit's own unit.
+// ReportDemand passes to the quota what this pooler would use of a limit and what it uses, in the limit's unit.
 func (node *Node) ReportDemand(limit string, wanted, used float64) {
 	node.handleQuota(quota.Demand{Limit: limit, Wanted: wanted, Used: used})
 }
 
-// SetLimits replaces the limits. The other settings of the quota are taken the first time only.
+// SetLimits replaces the limits. The other settings of the quota are used only if no limits were set before.
 func (node *Node) SetLimits(settings quota.Settings) {
 	if node.options.Quota == nil {
 		node.options.Quota = &settings
@@ -69,7 +70,7 @@
 	node.handleQuota(quota.LimitsChanged{Limits: settings.Limits})
 }
 
-// Due returns when an allowance may fall without another message, in ms of the event loop; +Inf if none may.
+// Due returns the time at which an allowance may decrease without another message, in ms of the event loop; +Inf if there is none.
 func (node *Node) Due() float64 {
 	if node.quota == nil {
 		return math.Inf(1)
@@ -80,7 +81,7 @@
 // Expire ends the leases whose time is over.
 func (node *Node) Expire() { node.handleQuota(quota.Tick{}) }
 
-// QuotaStatuses returns the state of each limit at this process.
+// QuotaStatuses returns this process's state of each limit.
 func (node *Node) QuotaStatuses() []quota.Status {
 	if node.quota == nil {
 		return nil
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -14,10 +14,10 @@
 type Status struct {
 	Records []view.Record
 	Counts  view.Counts
-	Avoided []module.AvoidedServer // on the evidence of others
+	Avoided []module.AvoidedServer // because other poolers reported them
 }
 
-// QueryStatus asks a pooler for all that it knows of the cluster.
+// QueryStatus asks the pooler at an address for everything that it knows of the cluster.
 func QueryStatus(addr string, key Key) (Status, error) {
 	conn, err := net.DialTimeout("tcp", addr, streamTimeout)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return Status{Records: reply.Records, Counts: reply.counts, Avoided: reply.avoided}, nil
 }
 
-// Bounds of the avoided servers in a status, and of the reporters of each.
+// Bounds of the avoided servers in a status: their number, and the reporters and the time of each.
 const (
 	maxAvoidedServers   = 1000
 	maxAvoidedReporters = 16
@@ -46,7 +46,7 @@
 	fieldAvoidedUntil    = 4
 )
 
-// avoidedServers returns the servers that this pooler's modules avoid, up to maxAvoidedServers.
+// avoidedServers returns the servers that this pooler's modules avoid, at most maxAvoidedServers.
 func (node *Node) avoidedServers() (all []module.AvoidedServer) {
 	for _, mod := range node.modules {
 		if reporter, ok := mod.(module.AvoidedReporter); ok {
--- a/internal/cluster/streams.go
+++ b/internal/cluster/streams.go
@@ -36,7 +36,7 @@
 	}()
 }
 
-// reserveStream counts a stream that this process opens. It reports false where too many are open.
+// reserveStream counts a stream that this process is about to open. It reports false if maxConcurrentStreams are open.
 func (node *Node) reserveStream() bool {
 	if node.openExchanges.Add(1) > maxConcurrentStreams {
 		node.openExchanges.Add(-1)
@@ -71,7 +71,7 @@
 	return readFrame(conn, key)
 }
 
-// readFrame reads one sealed message of a stream. It allocates for what has arrived, not for what the length announces.
+// readFrame reads one sealed message from a stream. It allocates memory for the bytes that have arrived, not for the announced length.
 func readFrame(r io.Reader, key Key) (*envelope, error) {
 	var length [frameLengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -91,7 +91,7 @@
 	return key.open(b)
 }
 
-// acceptLoop serves the streams that others open, until the listener is closed.
+// acceptLoop serves the streams that other processes open, until the listener is closed.
 func (node *Node) acceptLoop() {
 	defer node.workers.Done()
 	slots := make(chan struct{}, maxConcurrentStreams)
@@ -101,7 +101,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptRetryPause) // no file descriptor is free
+			time.Sleep(acceptRetryPause) // for instance, no file descriptor is free
 			continue
 		}
 		select {
@@ -152,7 +152,7 @@
 	}
 }
 
-// writeReply writes the reply that the event loop makes, within the timeout. Nothing is written where replies is closed.
+// writeReply waits for the reply of the event loop and writes it. It writes nothing on a time-out or if replies is closed.
 func (node *Node) writeReply(conn net.Conn, replies <-chan *envelope) {
 	select {
 	case reply := <-replies:
