--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,7 +16,7 @@
 //   - healthcheck.go, observer.go, lists.go: health checks, reports of servers, and endpoint lists
 //   - sessiontokens.go, credit.go, limits.go, pacer.go: answers that wait for a stored commit, prepaid credit, fleet-wide limits
 //   - overload.go, zones.go: what the core measures and applies for fleet-wide overload control and zone planning
-//   - recorder.go, decisions.go: records, metrics and log lines; invariants.go: checks that hold between events
+//   - recorder.go, decisions.go: records, metrics and log lines; invariants.go: what must hold between events
 package core
 
 import (
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -89,8 +89,8 @@
 	c.recorder.answer(req, recordpb.Final_FINAL_REFUSED, waitMs)
 }
 
-// fail answers a request which, as far as the router knows, may have run. The router counts an attempt as in flight from its
-// decision on. If no attempt has been written, or each is known not to have run, a retry is safe and the request is rejected
+// fail answers a request which, as far as the router knows, may have run. The router counts an attempt as in flight from the decision
+// to send it. If no attempt can have been written, or each is known not to have run, a retry is safe and the request is rejected
 // instead.
 func (c *Core) fail(action *decide.Action) {
 	if req, ok := c.requests.Get(refOf(action.ID)); ok && !req.mayHaveRun() {
--- a/internal/core/lists.go
+++ b/internal/core/lists.go
@@ -87,7 +87,7 @@
 			c.servers.Forget(id)
 		case state == decide.Draining:
 			c.servers.CloseIdle(id)
-			// An attempt that still waits for a connection would be a new request to the draining server.
+			// An attempt that waits for a connection would be a new request to the draining server, however late the connection opens.
 			c.servers.Recall(id, func(backend.AttemptID) bool { return true })
 		case state == decide.Removed:
 			c.servers.CloseIdle(id)
