--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -25,10 +25,10 @@
 		return
 	}
 	j := adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
-	if set.Shed {
+	if set.SheddingEnabled {
 		p.core.SetDemandObserver(j)
 	}
-	if set.Share {
+	if set.ProbeSharingEnabled {
 		p.core.SetHealthCheckSharer(adapter.Prober{Adapter: j})
 	}
 	j.Begin()
--- a/internal/cluster/overload/adapter/adapter.go
+++ b/internal/cluster/overload/adapter/adapter.go
@@ -37,10 +37,10 @@
 
 // Options configure an Adapter.
 type Options struct {
-	Shed   bool // overload is handled by all poolers together
-	Set    overload.Settings
-	Share  bool // probes are shared
-	Probes overload.ProbeSettings
+	SheddingEnabled     bool // overload is handled by all poolers together
+	Shedding            overload.Settings
+	ProbeSharingEnabled bool // probes are shared
+	Probes              overload.ProbeSettings
 	RetryBounds
 }
 
@@ -93,7 +93,7 @@
 
 // contracts returns the settings with the classes and tenants as they are now.
 func (adapter *Adapter) contracts() overload.Settings {
-	set, out := adapter.core.DecisionSettings(), adapter.options.Set
+	set, out := adapter.core.DecisionSettings(), adapter.options.Shedding
 	classes, tenants := adapter.core.Names()
 	for i, c := range set.Classes {
 		if i < len(classes) {
@@ -122,11 +122,11 @@
 		}
 	}
 	now := adapter.host.Now()
-	if adapter.controller == nil && adapter.options.Shed {
+	if adapter.controller == nil && adapter.options.SheddingEnabled {
 		adapter.controller = overload.New(adapter.contracts(), self, now)
 		adapter.controller.CheckInvariants(adapter.checks, adapter.checkInterval)
 	}
-	if adapter.probes == nil && adapter.options.Share {
+	if adapter.probes == nil && adapter.options.ProbeSharingEnabled {
 		adapter.probes = overload.NewProbes(adapter.options.Probes, self, now)
 		adapter.probes.CheckInvariants(adapter.checks, adapter.checkInterval)
 	}
@@ -226,7 +226,7 @@
 	group, set := resource/2, adapter.core.DecisionSettings()
 	n := len(set.Classes)
 	s := &decide.SheddingPolicy{Levels: make([]float64, n), Ranks: make([][4]int, n), OverQuotaIndex: make([]int, n), OverQuota: make([][2]float64, len(set.Tenants)),
-		RankLifetime: time.Duration(adapter.options.Set.SessionPeriod * float64(time.Millisecond))}
+		RankLifetime: time.Duration(adapter.options.Shedding.SessionPeriod * float64(time.Millisecond))}
 	on := false
 	for i := range set.Classes {
 		s.OverQuotaIndex[i] = adapter.resource(group, i) & 1
--- a/internal/cluster/overload/adapter/retrybudget.go
+++ b/internal/cluster/overload/adapter/retrybudget.go
@@ -11,35 +11,35 @@
 
 // RetryBounds configures how many of a group's requests may be retried or hedged, and how fast connections to a returned server are opened.
 type RetryBounds struct {
-	Repeats        bool
-	Part           float64
-	Floor          float64
-	SpanMs         float64
-	LendingEnabled bool
-	Lending        budgetlease.Settings
-	Returns        float64 // connections a second of the fleet to one server, 0 for any number
+	RetryBudgetEnabled bool
+	AttemptShare       float64
+	Floor              float64
+	SpanMs             float64
+	LendingEnabled     bool
+	Lending            budgetlease.Settings
+	RecoveryRampRate   float64 // connections a second of the fleet to one server, 0 for any number
 }
 
 // DefaultRetryBounds returns the bounds of (repeats) without further settings.
 func DefaultRetryBounds() RetryBounds {
-	return RetryBounds{Part: 0.1, Floor: 10, SpanMs: 10000, LendingEnabled: true, Lending: budgetlease.Defaults()}
+	return RetryBounds{AttemptShare: 0.1, Floor: 10, SpanMs: 10000, LendingEnabled: true, Lending: budgetlease.Defaults()}
 }
 
 // Begin sets the retry budgets that need no other pooler.
 func (adapter *Adapter) Begin() {
 	b := &adapter.options.RetryBounds
 	var r *retrybudget.Settings
-	if b.Repeats {
-		r = &retrybudget.Settings{AttemptShare: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
+	if b.RetryBudgetEnabled {
+		r = &retrybudget.Settings{AttemptShare: b.AttemptShare, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
 	}
-	if r != nil || b.Returns > 0 {
-		adapter.core.SetRetryBudget(r, b.Returns)
+	if r != nil || b.RecoveryRampRate > 0 {
+		adapter.core.SetRetryBudget(r, b.RecoveryRampRate)
 	}
 }
 
 // updateLenders reports the processes that can be reached.
 func (adapter *Adapter) updateLenders(self view.ID, peers []overload.Peer) {
-	if !adapter.options.Repeats || !adapter.options.LendingEnabled {
+	if !adapter.options.RetryBudgetEnabled || !adapter.options.LendingEnabled {
 		return
 	}
 	if adapter.budget == nil {
--- a/internal/cluster/overload/budgetlease/codec.go
+++ b/internal/cluster/overload/budgetlease/codec.go
@@ -52,7 +52,7 @@
 		return x
 	}
 	seq := uint32(uint(1<<32 - 1))
-	n := int(uint(Block))
+	n := int(uint(GroupsPerBlock))
 	var items []Item
 	for range n {
 		items = append(items, Item{int(uint(1<<31 - 1)), float64(uint(maxItemUnits)) / unitsPerRetry})
--- a/internal/cluster/overload/budgetlease/doc.go
+++ b/internal/cluster/overload/budgetlease/doc.go
@@ -10,7 +10,7 @@
 //
 // # Lending
 //
-// Each group has a bank: the first process of the view by rendezvous hashing of the group's block of Block groups. Every TransferInterval a
+// Each group has a bank: the first process of the view by rendezvous hashing of the group's block of GroupsPerBlock groups. Every TransferInterval a
 // pooler without waiting requests transfers what it has beyond OwnReserve to the bank. A pooler with waiting requests asks the bank, again
 // after RequestInterval at the earliest, and gets what the bank has, up to the number of its waiting requests. A process that is a bank no
 // longer, by its view, transfers all it has to the next one.
--- a/internal/cluster/overload/budgetlease/lender.go
+++ b/internal/cluster/overload/budgetlease/lender.go
@@ -32,10 +32,10 @@
 
 // Bounds of what is taken from outside.
 const (
-	Block        = overload.GroupsPerBlock
-	MostGroups   = overload.MaxGroups
-	MostPeers    = overload.MaxPeers
-	maxRequested = 64
+	GroupsPerBlock = overload.GroupsPerBlock
+	MaxGroups      = overload.MaxGroups
+	MaxPeers       = overload.MaxPeers
+	maxRequested   = 64
 )
 
 // WaitBound bounds the time that a request waits for a transfer, if the bank has any.
@@ -45,7 +45,7 @@
 
 // TrafficBound bounds the datagrams a second that a pooler sends for a number of groups, without answers.
 func (s *Settings) TrafficBound(groups int) float64 {
-	return math.Ceil(float64(groups)/Block) * (1000/s.TransferInterval + 1000/s.RequestInterval)
+	return math.Ceil(float64(groups)/GroupsPerBlock) * (1000/s.TransferInterval + 1000/s.RequestInterval)
 }
 
 // SavedBound bounds what n poolers, each up to depth, and a bank may have saved up for a group.
@@ -119,14 +119,14 @@
 
 // UpdateMembers sets the processes that can be reached, this one included.
 func (l *Lender) UpdateMembers(self ID, peers []Peer) {
-	l.self, l.peers = self, peers[:min(len(peers), MostPeers)]
+	l.self, l.peers = self, peers[:min(len(peers), MaxPeers)]
 	clear(l.addresses)
 	clear(l.banks)
 	for _, p := range l.peers {
 		l.addresses[p.ID] = p.Addr
 	}
 	for id := range l.lastTransfer { // a process never returns with the same ID once the view has dropped it
-		if len(l.lastTransfer) > MostPeers && l.addresses[id] == "" {
+		if len(l.lastTransfer) > MaxPeers && l.addresses[id] == "" {
 			delete(l.lastTransfer, id)
 			delete(l.lastRequest, id)
 		}
@@ -151,7 +151,7 @@
 func (l *Lender) balance(group int) *bankBalance {
 	v := l.balances[group]
 	if v == nil {
-		if v = (&bankBalance{}); len(l.balances) < MostGroups {
+		if v = (&bankBalance{}); len(l.balances) < MaxGroups {
 			l.balances[group] = v
 		}
 	}
@@ -182,7 +182,7 @@
 		l.nextTransfer = l.now + l.settings.TransferInterval
 	}
 	for _, s := range all {
-		block, mine := s.Group/Block, l.bank(s.Group/Block) == l.self
+		block, mine := s.Group/GroupsPerBlock, l.bank(s.Group/GroupsPerBlock) == l.self
 		lacks := min(maxRequested, float64(s.Waiting))
 		switch more := wholeUnits(s.Remaining - l.settings.OwnReserve); {
 		case s.Waiting > 0 && s.Remaining < lacks:
@@ -204,8 +204,8 @@
 	}
 	if due {
 		for group, v := range l.balances { // sorted below
-			if v.amount > 0 && l.bank(group/Block) != l.self {
-				gives[group/Block] = append(gives[group/Block], Item{group, l.withdraw(group, v.amount)})
+			if v.amount > 0 && l.bank(group/GroupsPerBlock) != l.self {
+				gives[group/GroupsPerBlock] = append(gives[group/GroupsPerBlock], Item{group, l.withdraw(group, v.amount)})
 			}
 		}
 	}
@@ -264,7 +264,7 @@
 		}
 		l.lastTransfer[from] = m.Sequence
 		for _, x := range m.Items {
-			if l.bank(x.Group/Block) == l.self {
+			if l.bank(x.Group/GroupsPerBlock) == l.self {
 				l.deposit(x.Group, x.Amount)
 			} else {
 				out = append(out, Action{Group: x.Group, Amount: x.Amount})
--- a/internal/cluster/overload/budgetlease/lender_test.go
+++ b/internal/cluster/overload/budgetlease/lender_test.go
@@ -221,7 +221,7 @@
 	deterministic.Check(t, func(rt *rapid.T) {
 		items := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) Item {
 			return Item{rapid.IntRange(0, math.MaxInt32).Draw(rt, "group"), float64(rapid.IntRange(0, maxItemUnits).Draw(rt, "amount")) / unitsPerRetry}
-		}), 1, Block).Draw(rt, "items")
+		}), 1, GroupsPerBlock).Draw(rt, "items")
 		g := &Transfer{rapid.Uint32().Draw(rt, "seq"), items}
 		b := g.Append(nil)
 		m, err := Decode(b)
--- a/internal/cluster/overload/invariants.go
+++ b/internal/cluster/overload/invariants.go
@@ -128,7 +128,7 @@
 		}
 		c.That(len(server.requesters) == 0 || server.probing || sharing.now-server.startedAt < sharing.settings.MinInterval, "probes: who waits is served", state)
 		c.That(server.probesLocally == (own == 1) && own <= 1 && (server.wanted || !server.probesLocally), "probes: what this process probes for itself is what it wants", state)
-		c.That(!server.wanted || server.probesLocally || len(server.askedProbers) > 0 && server.waitsUntil <= sharing.now+max(sharing.settings.Patience, sharing.settings.progressTimeout()), "probes: each want has an end", state)
+		c.That(!server.wanted || server.probesLocally || len(server.askedProbers) > 0 && server.waitsUntil <= sharing.now+max(sharing.settings.ProberTimeout, sharing.settings.progressTimeout()), "probes: each want has an end", state)
 		c.That(server.startedAt <= sharing.now && server.resultAt <= server.startedAt && (server.result != nil || math.IsInf(server.resultAt, -1)), "probes: a finding is of a probe that began", state)
 	}
 }
--- a/internal/cluster/overload/probes.go
+++ b/internal/cluster/overload/probes.go
@@ -22,28 +22,28 @@
 // healthy, the first one is skipped for that server for SkipTime: a prober that is cut off costs its requesters a second request each
 // SkipTime.
 //
-// A prober that has not answered within Patience, a message that a probe is in progress included, is skipped for SkipTime, and the
+// A prober that has not answered within ProberTimeout, a message that a probe is in progress included, is skipped for SkipTime, and the
 // requester probes itself. So a prober that ends is replaced within ReplacementBound, and a process that receives nothing probes as without
 // sharing, so much later. Each request ends within LatencyBound of it.
 //
 // Probes that a server gets: at most Probers*(1000/MinInterval) a second from probers, and those that requesters make themselves (MaxRate).
 type ProbeSettings struct {
-	Probers      int
-	MinInterval  float64
-	MaxResultAge float64
-	Patience     float64
-	SkipTime     float64
-	ProbeTimeout float64 // the longest time of a probe
-	TickInterval float64
+	Probers       int
+	MinInterval   float64
+	MaxResultAge  float64
+	ProberTimeout float64
+	SkipTime      float64
+	ProbeTimeout  float64 // the longest time of a probe
+	TickInterval  float64
 }
 
 // DefaultProbes returns settings for poolers that are near each other.
 func DefaultProbes() ProbeSettings {
-	return ProbeSettings{Probers: 2, MinInterval: 20, MaxResultAge: 20, Patience: 120, SkipTime: 2000, ProbeTimeout: 300, TickInterval: 50}
+	return ProbeSettings{Probers: 2, MinInterval: 20, MaxResultAge: 20, ProberTimeout: 120, SkipTime: 2000, ProbeTimeout: 300, TickInterval: 50}
 }
 
 // ReplacementBound bounds how long a prober that has ended is waited for.
-func (s *ProbeSettings) ReplacementBound() float64 { return s.Patience + s.TickInterval }
+func (s *ProbeSettings) ReplacementBound() float64 { return s.ProberTimeout + s.TickInterval }
 
 // progressTimeout returns how long a probe that is in progress is waited for.
 func (s *ProbeSettings) progressTimeout() float64 {
@@ -53,7 +53,7 @@
 // LatencyBound bounds the time from a request until its result: both probers may have one probe in progress, and then another, and then
 // this process probes itself.
 func (s *ProbeSettings) LatencyBound() float64 {
-	return 2*(s.Patience+2*s.progressTimeout()+s.TickInterval) + s.ProbeTimeout
+	return 2*(s.ProberTimeout+2*s.progressTimeout()+s.TickInterval) + s.ProbeTimeout
 }
 
 // MaxRate bounds the probes a second that a server gets from the probers of n poolers.
@@ -229,7 +229,7 @@
 		}
 		sharing.sequence++
 		server.askedProbers = append(server.askedProbers, id)
-		server.sequence, server.requestedAt, server.waitsUntil = sharing.sequence, sharing.now, sharing.now+sharing.settings.Patience
+		server.sequence, server.requestedAt, server.waitsUntil = sharing.sequence, sharing.now, sharing.now+sharing.settings.ProberTimeout
 		return append(out, ProbeAction{To: id, Addr: sharing.addresses[id], Request: &ProbeRequest{name, server.sequence}})
 	}
 	if server.unhealthyResult != nil && len(server.askedProbers) >= min(2, len(ids)) {
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -50,14 +50,14 @@
 func (o *Overload) read(node *sexp.Node, _ func(string) string) error {
 	o.Enabled = true
 	o.Options = adapter.Options{
-		Set:         overload.Defaults(),
-		Share:       true,
-		Probes:      overload.DefaultProbes(),
-		RetryBounds: adapter.DefaultRetryBounds(),
+		Shedding:            overload.Defaults(),
+		ProbeSharingEnabled: true,
+		Probes:              overload.DefaultProbes(),
+		RetryBounds:         adapter.DefaultRetryBounds(),
 	}
-	s := &o.Set
+	s := &o.Shedding
 	err := sexp.Schema{
-		"shed":       flag(&o.Shed),
+		"shed":       flag(&o.SheddingEnabled),
 		"period":     duration(&s.ReportInterval, overloadPeriods),
 		"memory":     duration(&s.RateMemory, overloadMemories),
 		"stale":      duration(&s.StaleAfter, overloadStaleness),
@@ -69,7 +69,7 @@
 		"drain":      number(&s.BacklogDivisor, overloadDrains),
 		"back":       number(&s.GrowthRate, overloadRecoveries),
 		"collectors": count(&s.Collectors, collectorCounts),
-		"returns":    number(&o.RetryBounds.Returns, returnLimits),
+		"returns":    number(&o.RetryBounds.RecoveryRampRate, returnLimits),
 		"repeats":    o.readRepeats,
 		"probes":     o.readProbes,
 	}.Read(node.Args())
@@ -82,9 +82,9 @@
 // readRepeats reads (repeats ...), the budget of retries.
 func (o *Overload) readRepeats(node *sexp.Node) error {
 	b := &o.RetryBounds
-	b.Repeats = true
+	b.RetryBudgetEnabled = true
 	return sexp.Schema{
-		"part":  number(&b.Part, retryParts),
+		"part":  number(&b.AttemptShare, retryParts),
 		"floor": number(&b.Floor, retryFloors),
 		"span":  duration(&b.SpanMs, retrySpans),
 		"lend":  flag(&b.LendingEnabled),
@@ -97,11 +97,11 @@
 func (o *Overload) readProbes(node *sexp.Node) error {
 	p := &o.Probes
 	return sexp.Schema{
-		"share":    flag(&o.Share),
+		"share":    flag(&o.ProbeSharingEnabled),
 		"probers":  count(&p.Probers, proberCounts),
 		"each":     duration(&p.MinInterval, healthCheckIntervals),
 		"age":      duration(&p.MaxResultAge, healthCheckAges),
-		"patience": duration(&p.Patience, healthCheckPatience),
+		"patience": duration(&p.ProberTimeout, healthCheckPatience),
 		"shun":     duration(&p.SkipTime, shunTimes),
 	}.Read(node.Args())
 }
--- a/internal/settings/overload_test.go
+++ b/internal/settings/overload_test.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		overload := settings.Overload
-		if !overload.Enabled || overload.Shed || overload.Share || overload.Repeats || overload.Returns != 0 {
+		if !overload.Enabled || overload.SheddingEnabled || overload.ProbeSharingEnabled || overload.RetryBudgetEnabled || overload.RecoveryRampRate != 0 {
 			t.Errorf("read as %+v", overload)
 		}
 	}
--- a/internal/testkit/modelcheck/healthchecks.go
+++ b/internal/testkit/modelcheck/healthchecks.go
@@ -53,7 +53,7 @@
 
 // SmallProbes returns settings with steps in place of ms.
 func SmallProbes() overload.ProbeSettings {
-	return overload.ProbeSettings{Probers: 2, MinInterval: 2, MaxResultAge: 1, Patience: 3, SkipTime: 6, ProbeTimeout: 3, TickInterval: 1}
+	return overload.ProbeSettings{Probers: 2, MinInterval: 2, MaxResultAge: 1, ProberTimeout: 3, SkipTime: 6, ProbeTimeout: 3, TickInterval: 1}
 }
 
 const unreachableKind = 4 // a finding of a process that did not reach the server; its Role is who found it, its Position when that probe began
--- a/internal/testkit/modelcheck/healthchecks_test.go
+++ b/internal/testkit/modelcheck/healthchecks_test.go
@@ -84,7 +84,7 @@
 		"takes an old answer for its own": {ProbeFaults{Want: 2, Duplicate: 1}, nil, found(func(seq uint32, f *overload.ProbeResult) { f.Sequence = seq })},
 		"tells no age":                    {ProbeFaults{Want: 2}, nil, found(func(_ uint32, f *overload.ProbeResult) { f.StartedMsAgo = -5 })},
 		"believes one prober":             {ProbeFaults{Want: 2}, []int{0}, found(func(_ uint32, f *overload.ProbeResult) { f.Result = min(f.Result, overload.Healthy) })},
-		"waits for ever":                  {ProbeFaults{Want: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.Patience = 1e6 })},
+		"waits for ever":                  {ProbeFaults{Want: 1, Lose: 1}, nil, set(func(s *overload.ProbeSettings) { s.ProberTimeout = 1e6 })},
 		"probes as often as asked":        {ProbeFaults{Want: 2}, nil, set(func(s *overload.ProbeSettings) { s.MinInterval, s.MaxResultAge = 0, -1 })},
 		"keeps what it found":             {ProbeFaults{Want: 2}, nil, set(func(s *overload.ProbeSettings) { s.MaxResultAge = 10 })},
 	} {
--- a/internal/testkit/rehearse/wires.go
+++ b/internal/testkit/rehearse/wires.go
@@ -80,7 +80,7 @@
 func rules(s *scenario.Script) checker.Config {
 	c := simulation.Rules(s)
 	if c.CountMs = arrivalToleranceMs; c.Overload != nil {
-		c.Overload.ProbeSlack, c.Overload.Tolerance = c.Overload.Probes, degradedTolerance // a word that comes later than Patience has its asker probe
+		c.Overload.ProbeSlack, c.Overload.Tolerance = c.Overload.Probes, degradedTolerance // a reply that arrives after ProberTimeout makes the requester probe
 	}
 	return c
 }
--- a/internal/testkit/scenario/faults.go
+++ b/internal/testkit/scenario/faults.go
@@ -253,7 +253,7 @@
 		return fail("(%s ...) goes with (sites ...)", f.Kind)
 	case f.OnPoolerLinks() && s.Peers == nil:
 		return fail("(%s ...) goes with (peers)", f.Kind)
-	case f.OfProber() && (s.Overload == nil || !s.Overload.Share):
+	case f.OfProber() && (s.Overload == nil || !s.Overload.ProbeSharingEnabled):
 		return fail("(%s prober ...) goes with (overload), where poolers share probes", f.Kind)
 	case f.OnServerLinks() && (s.Agents > 0 || s.Clients.ClickHouse):
 		return fail("(%s ...) goes with the platform's list and protocol: without (consul ...) and (clickhouse)", f.Kind)
--- a/internal/testkit/scenario/overload.go
+++ b/internal/testkit/scenario/overload.go
@@ -31,18 +31,18 @@
 		return nil
 	}
 	c := &checker.Overload{Poolers: s.Poolers, RecoveryMs: s.BackMs, Tenants: map[string]float64{}}
-	if p := &s.Overload.Probes; s.Overload.Share {
+	if p := &s.Overload.Probes; s.Overload.ProbeSharingEnabled {
 		v := &s.Peers.View
 		c.Probes = p.MaxRate(s.Poolers) + float64(p.Probers)
 		c.CalmMs = p.SkipTime + p.LatencyBound() + v.DetectionBound(s.Poolers, max(1, s.Poolers/2), s.Way[1]) + v.ConvergenceBound(s.Poolers, max(1, s.Poolers/2), s.Way[1], false)
 	}
-	if b := &s.Overload.RetryBounds; b.Repeats {
-		r := retrybudget.Settings{AttemptShare: b.Part, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
+	if b := &s.Overload.RetryBounds; b.RetryBudgetEnabled {
+		r := retrybudget.Settings{AttemptShare: b.AttemptShare, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
 		c.MaxRepeats = func(firsts, n int, ms float64) float64 {
 			return r.MaxRetries(firsts, n, s.Poolers, time.Duration(ms*float64(time.Millisecond)))
 		}
 	}
-	set := s.Overload.Set
+	set := s.Overload.Shedding
 	for _, x := range s.Clients.Classes {
 		c.MeanWorkMs = append(c.MeanWorkMs, (x.Work[0]+x.Work[1])/2)
 		set.Classes = append(set.Classes, overload.Class{Name: x.Name})
@@ -51,7 +51,7 @@
 		c.Tenants[t.Name] = s.Clients.AllowanceOf(&t)
 		set.Tenants = append(set.Tenants, overload.Tenant{Name: t.Name})
 	}
-	if s.Overload.Shed {
+	if s.Overload.SheddingEnabled {
 		c.MaxDatagrams = set.TrafficBound(2 * len(s.Fleet.Groups)) // each counts as two
 	}
 	one := float64(s.Fleet.Cores) * 1000
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -205,14 +205,14 @@
 // OverloadMutants are poolers that handle overload together in a way that is broken on purpose.
 func OverloadMutants() []Mutant {
 	return []Mutant{
-		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, Overload: func(no int, o *adapter.Options) { o.Share = false }},
+		{Name: "makes each probe itself", Breaks: checker.HealthChecksShared, Overload: func(no int, o *adapter.Options) { o.ProbeSharingEnabled = false }},
 		{Name: "probes once for each who asks", Breaks: checker.HealthChecksShared, Overload: func(no int, o *adapter.Options) { o.Probes.MinInterval, o.Probes.MaxResultAge = 0, -1 }},
-		{Name: "tells at every turn", Breaks: checker.DatagramsBounded, Overload: func(no int, o *adapter.Options) { o.Set.ReportInterval = o.Set.TickInterval }},
+		{Name: "tells at every turn", Breaks: checker.DatagramsBounded, Overload: func(no int, o *adapter.Options) { o.Shedding.ReportInterval = o.Shedding.TickInterval }},
 		{Name: "sheds in all groups what one cannot do", Breaks: checker.IdleGroupServed, Core: func(no int, c adapter.Core) adapter.Core { return shedsAllGroups{c} }},
 		{Name: "knows of no tenants", Breaks: checker.TenantServed, Module: func(c *config.Config) { c.Settings.Tenants = nil }},
-		{Name: "does not let in again", Breaks: checker.ServiceRecovered, Overload: func(no int, o *adapter.Options) { o.Set.GrowthRate, o.Set.HoldTime = 1e-4, 1e6 }},
-		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.Repeats = false }},
-		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.Part = 1 }},
+		{Name: "does not let in again", Breaks: checker.ServiceRecovered, Overload: func(no int, o *adapter.Options) { o.Shedding.GrowthRate, o.Shedding.HoldTime = 1e-4, 1e6 }},
+		{Name: "repeats whatever it likes", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.RetryBudgetEnabled = false }},
+		{Name: "earns a repeat with each first try", Breaks: checker.RepeatsBounded, Overload: func(no int, o *adapter.Options) { o.AttemptShare = 1 }},
 	}
 }
 
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -38,10 +38,10 @@
 		}
 		j := adapter.New(opt, told, h)
 		j.CheckInvariants(h.x.p.sim.checks, overloadInvariantInterval)
-		if opt.Shed {
+		if opt.SheddingEnabled {
 			c.SetDemandObserver(j)
 		}
-		if opt.Share {
+		if opt.ProbeSharingEnabled {
 			c.SetHealthCheckSharer(adapter.Prober{Adapter: j})
 		}
 		h.x.overload = j
--- a/internal/testkit/simulation/simulation.go
+++ b/internal/testkit/simulation/simulation.go
@@ -217,7 +217,7 @@
 	sim.scores = score.New(opt.Seed, c.Classes)
 	sim.scores.Tenants(c.Tenants, c.Over)
 	sim.check = checker.New(Rules(s))
-	sim.check.RolesAreShared = s.Verdicts != nil || s.Overload != nil && s.Overload.Share
+	sim.check.RolesAreShared = s.Verdicts != nil || s.Overload != nil && s.Overload.ProbeSharingEnabled
 	return sim
 }
 
