--- a/internal/cluster/overload/api.go
+++ b/internal/cluster/overload/api.go
@@ -6,10 +6,10 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// ID names a process, as in the view.
+// ID identifies a process, as in the view.
 type ID = view.ID
 
-// Class is a class of requests, by the settings.
+// Class is a class of requests, as configured.
 type Class struct {
 	Name          string
 	Priority      float64
@@ -17,7 +17,7 @@
 	NotIdempotent bool
 }
 
-// Tenant has a share of each group, as a part of all; 0 for none of its own.
+// Tenant is a tenant with its share of each group, between 0 and 1; 0 for a tenant without a share of its own.
 type Tenant struct {
 	Name  string
 	Share float64
@@ -26,16 +26,16 @@
 // Settings configure how overload is handled. Times are in ms.
 type Settings struct {
 	ReportInterval float64 // between two reports
-	RateMemory     float64 // over which rates fade
+	RateMemory     float64 // time constant of the decay of rates
 	Collectors     int     // of each block of groups
-	StaleAfter     float64 // older reports and decisions do not count
-	HoldTime       float64 // a level stays for so long without an answer...
-	FadeTime       float64 // ...and then falls to nothing in this time
-	SessionPeriod  float64 // a session stays at the same place of the order for so long
-	StrainTarget   float64 // there is overload from three times this strain on
-	DelayTarget    float64 // the part of their objectives that answers may take on average
-	BacklogDivisor float64 // the delay, in objectives, that would take the whole budget
-	GrowthRate     float64 // the part of the budget by which it grows in a second, at most, where nobody is late
+	StaleAfter     float64 // maximum age of reports and decisions that count
+	HoldTime       float64 // time for which a level is kept without an answer...
+	FadeTime       float64 // ...and over which it then falls to 0
+	SessionPeriod  float64 // time for which a session keeps its place in the shedding order
+	StrainTarget   float64 // strain from three times of which on a group is overloaded
+	DelayTarget    float64 // average latency allowed, as a fraction of the latency objective
+	BacklogDivisor float64 // excess of the delay over DelayTarget, in latency objectives, that would use up the whole budget
+	GrowthRate     float64 // maximum growth of the budget a second, as a fraction of it, while no answer is late
 	TickInterval   float64 // the resolution of timers
 	Classes        []Class
 	Tenants        []Tenant
@@ -46,12 +46,12 @@
 	return Settings{ReportInterval: 250, RateMemory: 350, Collectors: 3, StaleAfter: 1500, HoldTime: 3000, FadeTime: 3000, SessionPeriod: 60000, StrainTarget: 0.06, DelayTarget: 0.55, GrowthRate: 0.4, BacklogDivisor: 2, TickInterval: 50}
 }
 
-// Bounds of what is taken from outside.
+// Limits of received data and of state.
 const (
 	GroupsPerBlock = 8    // groups that are reported together
 	MaxClasses     = 32   // in a report
 	MaxTenants     = 16   // of a group in a report: those with the most requests
-	MaxPeers       = 2000 // whose reports a collector keeps
+	MaxPeers       = 2000 // processes whose reports a collector keeps
 	MaxGroups      = 4096
 )
 
@@ -65,10 +65,10 @@
 	return s.RateMemory + 2*s.ReportInterval + 2*s.TickInterval + 2*delay
 }
 
-// IsolationBound bounds how long a pooler that receives nothing applies what it knew.
+// IsolationBound bounds how long a pooler that receives nothing applies its last decision.
 func (s *Settings) IsolationBound() float64 { return s.HoldTime + s.FadeTime + s.TickInterval }
 
-// RecoveryBound returns how long the budget takes to grow by a factor once nobody is late.
+// RecoveryBound returns how long, in ms, the budget takes to grow by a factor once no answer is late.
 func (s *Settings) RecoveryBound(factor float64) float64 {
 	ms, b := 0.0, 1.0
 	for ; b < factor; ms += s.ReportInterval {
@@ -83,12 +83,12 @@
 	return 2 * float64(s.Collectors) * 1000 / s.ReportInterval * math.Ceil(float64(groups)/GroupsPerBlock) * each
 }
 
-// groupReportBytes bounds the report of a group.
+// groupReportBytes bounds the encoded size of the report of a group.
 func (s *Settings) groupReportBytes() int {
 	return 16 + 24*min(len(s.Classes), MaxClasses) + 6*min(len(s.Tenants), MaxTenants)
 }
 
-// Peer is a process that can be reached, by the view.
+// Peer is a process that the view lists as reachable.
 type Peer struct {
 	ID   ID
 	Addr string
@@ -106,31 +106,31 @@
 	Peers []Peer
 }
 
-// RequestReceived reports a request.
+// RequestReceived reports a request that a client sent.
 type RequestReceived struct {
-	Group, Class, Tenant int // numbers; a Tenant of -1 is none
+	Group, Class, Tenant int // numbers; Tenant is -1 for a request without a tenant
 	Retry                bool
-	Admitted             bool // it was not rejected by the level
+	Admitted             bool // the level did not reject it
 }
 
-// RequestEnded reports that an admitted request has had its answer.
+// RequestEnded reports that an admitted request has its final answer.
 type RequestEnded struct {
 	Group, Class int
 	Served       bool
-	ClientGone   bool // its client disconnected early: it is no evidence
+	ClientGone   bool // the client disconnected before the answer, so the request is no evidence
 	Strain       float64
 }
 
 // WorkLearned reports this pooler's estimates of the classes' work, by number; 0 where it has none.
 type WorkLearned struct{ Work []float64 }
 
-// ReportReceived is a LoadReport that arrived.
+// ReportReceived is the arrival of a LoadReport.
 type ReportReceived struct {
 	From   ID
 	Report *LoadReport
 }
 
-// DecisionsReceived is an answer that arrived.
+// DecisionsReceived is the arrival of a collector's ShedDecisions.
 type DecisionsReceived struct {
 	From      ID
 	Decisions *ShedDecisions
@@ -148,11 +148,11 @@
 func (DecisionsReceived) event() {}
 func (SettingsChanged) event()   {}
 
-// LoadReport is a message to a collector. Classes and tenants are named by NameKey.
+// LoadReport is a message to a collector. Classes and tenants are identified by NameKey.
 type LoadReport struct {
 	Sequence      uint32
-	CollectorTime float64 // of the collector's last answer, 0 for none
-	HeldMs        float64 // from the arrival of that answer to this report
+	CollectorTime float64 // copied from the collector's last answer, 0 for none
+	HeldMs        float64 // time from the arrival of that answer to this report
 	Work          []KeyedValue
 	Groups        []GroupLoad
 }
@@ -163,39 +163,39 @@
 	Value float64
 }
 
-// GroupLoad is what a pooler reports of a group. Rates are a second.
+// GroupLoad is a pooler's report of a group. Rates are per second.
 type GroupLoad struct {
 	Group   int
-	Budget  float64 // as the pooler knows it, 0 for none
+	Budget  float64 // the median of the collectors' last budgets, 0 for none
 	Level   float64
 	Classes []ClassLoad
 	Tenants []KeyedValue
 }
 
-// ClassLoad is the load of a class.
+// ClassLoad is the load of a class: rates per second, except Open.
 type ClassLoad struct {
 	Key                    uint16
-	FirstAttempts, Retries float64 // that were received
-	Admitted               float64 // that were admitted
+	FirstAttempts, Retries float64 // received
+	Admitted               float64
 	Served, Ended          float64 // of the admitted ones
 	Strain                 float64
-	Open                   float64 // outstanding now
+	Open                   float64 // number of outstanding requests
 }
 
 // ShedDecisions is a collector's answer to a LoadReport.
 type ShedDecisions struct {
 	Sequence      uint32
 	CollectorTime float64
-	Order         []uint16 // classes, the one to shed first in front
+	Order         []uint16 // keys of the classes, the one to shed first in front
 	Groups        []ShedDecision
 }
 
-// ShedDecision says what is to be shed of a group.
+// ShedDecision is a collector's decision on which requests of a group to shed.
 type ShedDecision struct {
 	Group       int
 	Budget      float64
 	Level       float64
-	BeyondQuota []KeyedValue // of tenants: the part of their sessions that is beyond their quota
+	BeyondQuota []KeyedValue // by tenant: the fraction of its sessions that is beyond its quota
 }
 
 // ActionKind is the kind of an action.
@@ -205,10 +205,10 @@
 const (
 	SendReport    ActionKind = iota // send Report to Addr
 	SendDecisions                   // send Decisions to Addr
-	Shed                            // from now on this pooler sheds what Shedding says of Group
+	Shed                            // apply Shedding to the requests of Group from now on
 )
 
-// Action is something that a Controller asks its caller to do.
+// Action is an output of a Controller, which its caller carries out.
 type Action struct {
 	Kind      ActionKind
 	To        ID
@@ -216,14 +216,14 @@
 	Report    *LoadReport
 	Decisions *ShedDecisions
 	Group     int
-	Shedding  *Shedding // nil for nothing
+	Shedding  *Shedding // nil to shed nothing
 }
 
-// Shedding says which requests are shed, by the numbers of this pooler.
+// Shedding describes which requests to shed, by this pooler's numbers of classes and tenants.
 type Shedding struct {
 	Level         float64
-	Cells         [][4]int  // by class: of a retry beyond its tenant's quota, a retry within, a first attempt beyond, a first attempt within
-	BeyondQuota   []float64 // by tenant
+	Cells         [][4]int  // by class: the cell of a retry beyond its tenant's quota, a retry within it, a first attempt beyond it, a first attempt within it
+	BeyondQuota   []float64 // by tenant: the fraction of its sessions beyond its quota
 	SessionPeriod float64
 }
 
@@ -233,10 +233,10 @@
 	Level   float64
 	Cells   int
 	Budget  float64
-	Answers int
+	Answers int // collectors whose last decision is recent
 }
 
-const maxNumber = 1e15 // of received numbers
+const maxNumber = 1e15 // upper limit of received numbers
 
-// finite reports whether a received number can be calculated with.
+// finite reports whether a received number is finite, not negative and below maxNumber.
 func finite(x float64) bool { return !math.IsNaN(x) && x >= 0 && x < maxNumber }
--- a/internal/cluster/overload/bytes_test.go
+++ b/internal/cluster/overload/bytes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// wholeWords have something in each field.
-func wholeWords() []interface{ Append([]byte) []byte } {
+// sampleMessages returns a message of each kind with a value in each field.
+func sampleMessages() []interface{ Append([]byte) []byte } {
 	return []interface{ Append([]byte) []byte }{
 		&LoadReport{Sequence: 300, CollectorTime: 1.5, HeldMs: 2, Work: []KeyedValue{{1, 0.5}, {2, 0}}, Groups: []GroupLoad{{Group: 7, Budget: 8, Level: 0.5,
 			Classes: []ClassLoad{{1, 2, 3, 4, 5, 6, 7, 8}, {Key: 2}}, Tenants: []KeyedValue{{3, 4.5}}}, {Group: 1 << 30}}},
@@ -16,7 +16,7 @@
 	}
 }
 
-// TestBytes: the bytes of a message stay what poolers of other versions read.
+// TestBytes: the encoding of messages does not change, so that poolers of other versions can decode them.
 func TestBytes(t *testing.T) {
 	want := []string{
 		"01ac02dc0bd00f020001780002000207410000003f000000020100018001c0018002c0028003c00380040002000000000000000003a002808080800400000000000000000000",
@@ -24,20 +24,20 @@
 		"0306736572766572ac02",
 		"0406736572766572ac02dc0b020201e28601",
 	}
-	for i, m := range wholeWords() {
+	for i, m := range sampleMessages() {
 		b := m.Append(nil)
 		if got := hex.EncodeToString(b); got != want[i] {
-			t.Errorf("%s, want %s", got, want[i])
+			t.Errorf("%T is encoded as %s, want %s", m, got, want[i])
 		}
 		if got, err := Decode(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
-			t.Errorf("read as %+v, %v", got, err)
+			t.Errorf("%T is decoded as %+v, %v", m, got, err)
 		}
 		if _, err := Decode(append(b, 0)); err == nil {
-			t.Errorf("%T with a byte after its end is taken", m)
+			t.Errorf("%T with a byte after its end is decoded without an error", m)
 		}
 		for cut := range b {
 			if x, err := Decode(b[:cut]); err == nil {
-				t.Errorf("%T cut at %d is read as %+v", m, cut, x)
+				t.Errorf("%T cut to %d bytes is decoded as %+v, want an error", m, cut, x)
 			}
 		}
 	}
--- a/internal/cluster/overload/codec.go
+++ b/internal/cluster/overload/codec.go
@@ -28,73 +28,73 @@
 	unitsPerShare = 255
 )
 
-func appendScaled(b []byte, x, grain float64) []byte {
+func appendScaled(b []byte, x, unitsPerOne float64) []byte {
 	if math.IsNaN(x) {
 		x = 0
 	}
-	return binary.AppendUvarint(b, uint64(math.Round(min(max(0, x), 1e15)*grain)))
+	return binary.AppendUvarint(b, uint64(math.Round(min(max(0, x), 1e15)*unitsPerOne)))
 }
 
 // Append implements module.Message.
-func (t *LoadReport) Append(b []byte) []byte {
+func (report *LoadReport) Append(b []byte) []byte {
 	b = append(b, kindReport)
-	b = binary.AppendUvarint(b, uint64(t.Sequence))
-	b = appendScaled(b, t.CollectorTime, unitsPerMs)
-	b = appendScaled(b, t.HeldMs, unitsPerMs)
-	b = append(b, byte(len(t.Work)))
-	for _, f := range t.Work {
-		b = binary.BigEndian.AppendUint16(b, f.Key)
-		b = append(b, encodeWork(f.Value))
+	b = binary.AppendUvarint(b, uint64(report.Sequence))
+	b = appendScaled(b, report.CollectorTime, unitsPerMs)
+	b = appendScaled(b, report.HeldMs, unitsPerMs)
+	b = append(b, byte(len(report.Work)))
+	for _, work := range report.Work {
+		b = binary.BigEndian.AppendUint16(b, work.Key)
+		b = append(b, encodeWork(work.Value))
 	}
-	b = append(b, byte(len(t.Groups)))
-	for i := range t.Groups {
-		p := &t.Groups[i]
-		b = binary.AppendUvarint(b, uint64(p.Group))
-		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(p.Budget)))
-		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(p.Level)))
-		b = append(b, byte(len(p.Classes)), byte(len(p.Tenants)))
-		for _, f := range p.Classes {
-			b = binary.BigEndian.AppendUint16(b, f.Key)
-			for _, x := range [...]float64{f.FirstAttempts, f.Retries, f.Admitted, f.Served, f.Ended, f.Strain, f.Open} {
+	b = append(b, byte(len(report.Groups)))
+	for i := range report.Groups {
+		group := &report.Groups[i]
+		b = binary.AppendUvarint(b, uint64(group.Group))
+		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(group.Budget)))
+		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(group.Level)))
+		b = append(b, byte(len(group.Classes)), byte(len(group.Tenants)))
+		for _, class := range group.Classes {
+			b = binary.BigEndian.AppendUint16(b, class.Key)
+			for _, x := range [...]float64{class.FirstAttempts, class.Retries, class.Admitted, class.Served, class.Ended, class.Strain, class.Open} {
 				b = appendScaled(b, x, unitsPerRate)
 			}
 		}
-		for _, f := range p.Tenants {
-			b = appendScaled(binary.BigEndian.AppendUint16(b, f.Key), f.Value, unitsPerRate)
+		for _, tenant := range group.Tenants {
+			b = appendScaled(binary.BigEndian.AppendUint16(b, tenant.Key), tenant.Value, unitsPerRate)
 		}
 	}
 	return b
 }
 
 // Append implements module.Message.
-func (a *ShedDecisions) Append(b []byte) []byte {
+func (decisions *ShedDecisions) Append(b []byte) []byte {
 	b = append(b, kindDecisions)
-	b = binary.AppendUvarint(b, uint64(a.Sequence))
-	b = appendScaled(b, a.CollectorTime, unitsPerMs)
-	b = append(b, byte(len(a.Order)))
-	for _, k := range a.Order {
-		b = binary.BigEndian.AppendUint16(b, k)
+	b = binary.AppendUvarint(b, uint64(decisions.Sequence))
+	b = appendScaled(b, decisions.CollectorTime, unitsPerMs)
+	b = append(b, byte(len(decisions.Order)))
+	for _, key := range decisions.Order {
+		b = binary.BigEndian.AppendUint16(b, key)
 	}
-	b = append(b, byte(len(a.Groups)))
-	for i := range a.Groups {
-		v := &a.Groups[i]
-		b = binary.AppendUvarint(b, uint64(v.Group))
-		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(v.Budget)))
-		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(v.Level)))
-		b = append(b, byte(len(v.BeyondQuota)))
-		for _, f := range v.BeyondQuota {
-			b = append(binary.BigEndian.AppendUint16(b, f.Key), byte(math.Round(min(1, f.Value)*unitsPerShare)))
+	b = append(b, byte(len(decisions.Groups)))
+	for i := range decisions.Groups {
+		group := &decisions.Groups[i]
+		b = binary.AppendUvarint(b, uint64(group.Group))
+		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(group.Budget)))
+		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(group.Level)))
+		b = append(b, byte(len(group.BeyondQuota)))
+		for _, tenant := range group.BeyondQuota {
+			b = append(binary.BigEndian.AppendUint16(b, tenant.Key), byte(math.Round(min(1, tenant.Value)*unitsPerShare)))
 		}
 	}
 	return b
 }
 
-// reader decodes a message; after a fault it returns zeros.
+// reader decodes a message; after an error it returns zeros.
 type reader struct{ encoding.Reader }
 
-func (r *reader) single() float64          { return r.finite(float64(math.Float32frombits(r.Uint32()))) }
-func (r *reader) scaled(g float64) float64 { return float64(r.Uvarint()) / g }
-func (r *reader) number() int              { return int(r.UvarintMax(math.MaxInt32)) }
+func (r *reader) float32() float64                   { return r.finite(float64(math.Float32frombits(r.Uint32()))) }
+func (r *reader) scaled(unitsPerOne float64) float64 { return float64(r.Uvarint()) / unitsPerOne }
+func (r *reader) number() int                        { return int(r.UvarintMax(math.MaxInt32)) }
 
 func (r *reader) finite(x float64) float64 {
 	if r.Require(finite(x)); !r.OK() {
@@ -107,7 +107,7 @@
 func Decode(b []byte) (any, error) {
 	r := &reader{encoding.NewReader(b)}
 	var m any
-	switch verb := r.Byte(); verb {
+	switch kind := r.Byte(); kind {
 	case kindReport:
 		m = r.loadReport()
 	case kindDecisions:
@@ -117,7 +117,7 @@
 	case kindProbeResult:
 		m = r.probeResult()
 	default:
-		return nil, fmt.Errorf("%w: verb %d", ErrMalformed, verb)
+		return nil, fmt.Errorf("%w: kind %d", ErrMalformed, kind)
 	}
 	if !r.AtEnd() {
 		return nil, ErrMalformed
@@ -126,39 +126,39 @@
 }
 
 func (r *reader) loadReport() *LoadReport {
-	t := &LoadReport{Sequence: uint32(r.Uvarint()), CollectorTime: r.scaled(unitsPerMs), HeldMs: r.scaled(unitsPerMs)}
+	report := &LoadReport{Sequence: uint32(r.Uvarint()), CollectorTime: r.scaled(unitsPerMs), HeldMs: r.scaled(unitsPerMs)}
 	for range r.ByteMax(MaxClasses) {
-		t.Work = append(t.Work, KeyedValue{r.Uint16(), decodeWork(r.Byte())})
+		report.Work = append(report.Work, KeyedValue{r.Uint16(), decodeWork(r.Byte())})
 	}
 	for range r.ByteMax(GroupsPerBlock) {
-		p := GroupLoad{Group: r.number(), Budget: r.single(), Level: r.single()}
+		group := GroupLoad{Group: r.number(), Budget: r.float32(), Level: r.float32()}
 		classes, tenants := r.ByteMax(MaxClasses), r.ByteMax(MaxTenants)
 		for range classes {
-			f := ClassLoad{Key: r.Uint16()}
-			for _, to := range [...]*float64{&f.FirstAttempts, &f.Retries, &f.Admitted, &f.Served, &f.Ended, &f.Strain, &f.Open} {
-				*to = r.finite(r.scaled(unitsPerRate))
+			class := ClassLoad{Key: r.Uint16()}
+			for _, field := range [...]*float64{&class.FirstAttempts, &class.Retries, &class.Admitted, &class.Served, &class.Ended, &class.Strain, &class.Open} {
+				*field = r.finite(r.scaled(unitsPerRate))
 			}
-			p.Classes = append(p.Classes, f)
+			group.Classes = append(group.Classes, class)
 		}
 		for range tenants {
-			p.Tenants = append(p.Tenants, KeyedValue{r.Uint16(), r.finite(r.scaled(unitsPerRate))})
+			group.Tenants = append(group.Tenants, KeyedValue{r.Uint16(), r.finite(r.scaled(unitsPerRate))})
 		}
-		t.Groups = append(t.Groups, p)
+		report.Groups = append(report.Groups, group)
 	}
-	return t
+	return report
 }
 
 func (r *reader) shedDecisions() *ShedDecisions {
-	a := &ShedDecisions{Sequence: uint32(r.Uvarint()), CollectorTime: r.scaled(unitsPerMs)}
+	decisions := &ShedDecisions{Sequence: uint32(r.Uvarint()), CollectorTime: r.scaled(unitsPerMs)}
 	for range r.ByteMax(MaxClasses) {
-		a.Order = append(a.Order, r.Uint16())
+		decisions.Order = append(decisions.Order, r.Uint16())
 	}
 	for range r.ByteMax(GroupsPerBlock) {
-		v := ShedDecision{Group: r.number(), Budget: r.single(), Level: r.single()}
+		group := ShedDecision{Group: r.number(), Budget: r.float32(), Level: r.float32()}
 		for range r.ByteMax(MaxTenants * 2) {
-			v.BeyondQuota = append(v.BeyondQuota, KeyedValue{r.Uint16(), float64(r.Byte()) / unitsPerShare})
+			group.BeyondQuota = append(group.BeyondQuota, KeyedValue{r.Uint16(), float64(r.Byte()) / unitsPerShare})
 		}
-		a.Groups = append(a.Groups, v)
+		decisions.Groups = append(decisions.Groups, group)
 	}
-	return a
+	return decisions
 }
--- a/internal/cluster/overload/collector.go
+++ b/internal/cluster/overload/collector.go
@@ -8,42 +8,42 @@
 
 // Constants of a collector's decisions.
 const (
-	admittedRatioSeconds  = 3.0  // over which admittedRatio follows
-	minEndedRate          = 4    // requests a second: fewer are no evidence
-	fastDecayRate         = 0.15 // of peakServed, a second, where the servers seem to do less
-	slowRate              = 0.05 // of peakServed, a second, and of the budget's first growth
-	overBudgetFactor      = 1.3  // more admitted than this: the last decision does not take effect yet
-	minAdmittedShare      = 0.75 // of what is served
-	minAdmittedRatio      = 0.2
-	spareFactor           = 1.5  // a budget of so many times the demand is none
-	levelTolerance        = 0.02 // a level that is right to this part stays
-	servedLessFactor      = 0.8  // of peakServed: fewer are served
-	delayFactor           = 2    // times DelayTarget: too much is outstanding
-	strainFactor          = 3    // times StrainTarget: a budget starts
-	strainWithDelayFactor = 2    // a budget starts at StrainTarget over this, where too much is outstanding
+	admittedRatioSeconds  = 3.0  // time constant of the average admittedRatio
+	minEndedRate          = 4    // requests a second: a lower rate is no evidence
+	fastDecayRate         = 0.15 // decay of peakServed a second where the capacity seems to have dropped
+	slowRate              = 0.05 // usual decay of peakServed a second, and initial growth of the budget a second
+	overBudgetFactor      = 1.3  // more work than this times the budget is admitted: the last decision is not in effect yet
+	minAdmittedShare      = 0.75 // lowest budget, as a fraction of the served rate
+	minAdmittedRatio      = 0.2  // lower limit of admittedRatio in the budget
+	spareFactor           = 1.5  // a budget above this times the demand is dropped
+	levelTolerance        = 0.02 // a previous level that admits the budget within this fraction is kept
+	servedLessFactor      = 0.8  // a served rate below this times peakServed suggests a lower capacity
+	delayFactor           = 2    // the delay above this times DelayTarget is too long
+	strainFactor          = 3    // strain above this times StrainTarget starts a budget
+	strainWithDelayFactor = 2    // strain above StrainTarget divided by this starts a budget where the delay is too long
 	msPerSecond           = 1000
 )
 
-// peerReport is the last report of a process on a group.
+// peerReport is the last report of a process about a group.
 type peerReport struct {
 	id         ID
 	sequence   uint32
-	reportedAt float64 // the earliest time, by this process's clock
+	reportedAt float64 // the earliest possible time, by this process's clock
 	work       []KeyedValue
 	load       GroupLoad
 }
 
-// collected is a collector's state of a group.
+// collected is a collector's state for a group.
 type collected struct {
 	decidedAt     float64 // 0 for never
-	since         float64 // it collects without interruption since then
-	admittedRatio float64 // what was admitted lately, as a part of the budget
-	peakServed    float64 // the most work a second that was served lately
-	calmSeconds   float64 // without strain
+	since         float64 // start of the collection without interruption
+	admittedRatio float64 // moving average of the admitted work over the budget
+	peakServed    float64 // the highest recent rate of served work, per second
+	calmSeconds   float64 // time without strain
 	decision      ShedDecision
 }
 
-// handleReport takes a report over and answers it. A report whose age is not bounded by the time that it brings back does not count.
+// handleReport records a report and answers it. A report counts only if the collector time that it echoes bounds its age.
 func (controller *Controller) handleReport(from ID, report *LoadReport) {
 	if from != controller.self && controller.addresses[from] == "" {
 		return
@@ -92,7 +92,7 @@
 	return !slices.ContainsFunc(p.Tenants, func(tenant KeyedValue) bool { return !finite(tenant.Value) })
 }
 
-// recordReport keeps the newest report of each process.
+// recordReport stores a report, if it is the newest of its process.
 func (group *groupState) recordReport(report *peerReport) {
 	i, known := slices.BinarySearchFunc(group.reports, report.id, func(r *peerReport, id ID) int { return cmp.Compare(r.id, id) })
 	switch {
@@ -145,7 +145,7 @@
 	}
 }
 
-// decide updates a group's budget and makes a level of it.
+// decide updates a group's budget and derives the level from it.
 func (controller *Controller) decide(group *groupState, work map[uint16]float64) {
 	totals := controller.sumReports(group, work)
 	c := &group.collected
@@ -161,14 +161,14 @@
 	}
 	controller.updatePeakServed(c, &totals, budget, seconds)
 	budget = controller.nextBudget(c, &totals, budget, seconds)
-	if budget > spareFactor*totals.total { // more than anybody wants: there is no overload
+	if budget > spareFactor*totals.total { // the budget far exceeds the demand: there is no overload
 		budget = 0
 	}
 	c.decision = controller.decisionFor(group.id, &totals, budget)
 	c.decidedAt = controller.now
 }
 
-// startingBudget returns this collector's last budget, where that agrees roughly with those that poolers report; else their median.
+// startingBudget returns this collector's last budget, if it is within toleranceFactor of the median of the reported ones; else that median.
 func (controller *Controller) startingBudget(c *collected, totals *groupTotals) float64 {
 	budget := medianBudget(totals.budgets)
 	own := c.decision.Budget
@@ -178,7 +178,8 @@
 	return budget
 }
 
-// updatePeakServed follows what the servers can do. It fades, and faster where less is served though as much was admitted.
+// updatePeakServed tracks the capacity of the servers. The peak decays, and faster where strained servers serve less
+// though no more is admitted.
 func (controller *Controller) updatePeakServed(c *collected, totals *groupTotals, budget, seconds float64) {
 	rate := slowRate
 	withinBudget := budget == 0 || totals.admitted <= overBudgetFactor*budget
@@ -189,7 +190,7 @@
 	c.peakServed = max(totals.served, c.peakServed*(1-min(1, rate*seconds)))
 }
 
-// nextBudget returns the budget after the evidence of the last reports; 0 for none.
+// nextBudget returns the budget that follows from the evidence of the last reports; 0 for none.
 func (controller *Controller) nextBudget(c *collected, totals *groupTotals, budget, seconds float64) float64 {
 	settings := &controller.settings
 	delayed := totals.delay > delayFactor*settings.DelayTarget
@@ -200,7 +201,7 @@
 		c.calmSeconds = 0
 	}
 	switch {
-	case controller.now-c.since < settings.StaleAfter: // it may not have the reports of all yet: the budget of others stands
+	case controller.now-c.since < settings.StaleAfter: // some reports may not have arrived yet: keep the budget that the poolers report
 		return budget
 	case budget == 0:
 		overloaded := totals.strain > strainFactor*settings.StrainTarget
@@ -209,16 +210,17 @@
 			return c.peakServed
 		}
 		return 0
-	case !strained || !evident: // the longer nobody is late, the faster it grows
+	case !strained || !evident: // the budget grows faster the longer no answer is late
 		return budget * (1 + min(settings.GrowthRate, slowRate*math.Exp2(c.calmSeconds))*seconds)
-	case totals.admitted > overBudgetFactor*budget*max(1, c.admittedRatio): // the last decision does not take effect yet
+	case totals.admitted > overBudgetFactor*budget*max(1, c.admittedRatio): // the last decision is not in effect yet
 		return budget
 	}
 	backlog := 1 + (settings.DelayTarget-totals.delay)/settings.BacklogDivisor
 	return c.peakServed / max(minAdmittedRatio, min(1, c.admittedRatio)) * max(minAdmittedShare, min(1, backlog))
 }
 
-// decisionFor returns the level at which a group's budget is admitted. The level that poolers apply stays where it is about right.
+// decisionFor returns the decision that admits a group's budget. The level that poolers apply now is kept if it admits the budget within
+// levelTolerance.
 func (controller *Controller) decisionFor(group int, totals *groupTotals, budget float64) ShedDecision {
 	decision := ShedDecision{Group: group, Budget: budget}
 	if budget <= 0 {
--- a/internal/cluster/overload/controller.go
+++ b/internal/cluster/overload/controller.go
@@ -10,7 +10,8 @@
 	"beechgrade/internal/invariant"
 )
 
-// Controller is one process's side: a pooler that reports and sheds, and a collector. It is not safe for concurrent use.
+// Controller is the overload state of one process, which is both a pooler that reports and sheds, and a collector. It is not safe for
+// concurrent use.
 type Controller struct {
 	settings       Settings
 	self           ID
@@ -30,50 +31,50 @@
 	nextReport     float64
 	sequence       uint32
 	pendingReports []pendingReport
-	collectorTimes map[ID]collectorTime // of the last answers
-	collectorOrder []uint16             // of classes, as a collector
-	selfMessages   []Action             // to this process itself
+	collectorTimes map[ID]collectorTime // from the last answers
+	collectorOrder []uint16             // the order of shedding of classes, as a collector
+	selfMessages   []Action             // messages to this process itself that are not handled yet
 
 	checks        *invariant.Checks // nil if invariants are not checked
 	checkInterval int               // in ticks
 	checkCounter  int
 }
 
-// pendingReport is a report whose answer is still accepted.
+// pendingReport is a sent report whose answer is still accepted.
 type pendingReport struct {
 	sequence uint32
 	sentAt   float64
 }
 
-// collectorTime is the time of a collector's clock in its last answer, and when that arrived.
+// collectorTime is the collector's time in its last answer, and the time at which that arrived here.
 type collectorTime struct{ time, receivedAt float64 }
 
-// loadCounts are numbers of requests of a class, or rates a second.
+// loadCounts are numbers of requests of a class, or rates per second.
 type loadCounts struct{ first, retries, admitted, served, ended, strain float64 }
 
 // groupState is the state of a group with recent requests or reports.
 type groupState struct {
 	id int
 
-	// As a reporter.
+	// State of a pooler that reports.
 	counts       []loadCounts // by class, since ratesAt
 	rates        []loadCounts // by class
 	tenantCounts []float64
 	tenantRates  []float64
 	openRequests []float64 // by class
 	ratesAt      float64
-	idleReports  int // intervals without requests
+	idleReports  int // report intervals without requests
 
-	// As a pooler that sheds.
+	// State of a pooler that sheds.
 	decisions   []collectorDecision
 	level       float64
 	budget      float64
-	decidedAt   float64 // when the level was decided last
+	decidedAt   float64 // time of the last decision on the level
 	classOrder  []uint16
 	beyondQuota []KeyedValue
 	applied     appliedLevel
 
-	// As a collector.
+	// State of a collector.
 	reports   []*peerReport // by ID
 	collected collected
 }
@@ -81,22 +82,22 @@
 // collectorDecision is the last decision of a collector.
 type collectorDecision struct {
 	from       ID
-	reportedAt float64 // when the report that it answers was sent
+	reportedAt float64 // sending time of the report that it answers
 	order      []uint16
 	decision   ShedDecision
 }
 
-// appliedLevel is what the decision module was given last.
+// appliedLevel is the shedding that the decision module was last given.
 type appliedLevel struct {
 	level       float64
 	order       []uint16
 	beyondQuota []KeyedValue
 }
 
-// phases is the number of phases of an interval among which processes are spread.
+// phases is the number of phases of a report interval over which processes are spread.
 const phases = 1000
 
-// New returns the Controller of a process that knows nothing, at time now in ms.
+// New returns the Controller of a process without state, at time now in ms.
 func New(settings Settings, self ID, now float64) *Controller {
 	controller := &Controller{
 		self: self, now: now, groups: map[int]*groupState{}, addresses: map[ID]string{},
@@ -107,7 +108,7 @@
 	return controller
 }
 
-// NameKey returns the hash by which messages name a class or a tenant.
+// NameKey returns the hash by which messages identify a class or a tenant.
 func NameKey(name string) uint16 { return uint16(xxhash.Sum64String(name)) }
 
 func mixHash(a, b uint64) uint64 {
@@ -236,7 +237,7 @@
 
 func (group *groupState) hasClass(class int) bool { return class >= 0 && class < len(group.counts) }
 
-// group returns the state of a group, which is new for an unknown one; nil where there are too many.
+// group returns the state of a group and creates it for an unknown one. It returns nil for an invalid number or beyond MaxGroups groups.
 func (controller *Controller) group(id int) *groupState {
 	group := controller.groups[id]
 	if group == nil && len(controller.sortedGroups) < MaxGroups && id >= 0 {
@@ -265,7 +266,7 @@
 	})
 }
 
-// RendezvousPeers returns the n first of the peers by rendezvous hashing of a key.
+// RendezvousPeers returns the first n peers by rendezvous hashing of a key.
 func RendezvousPeers(key uint64, n int, peers []Peer) []ID {
 	type scored struct {
 		id    ID
--- a/internal/cluster/overload/invariants_test.go
+++ b/internal/cluster/overload/invariants_test.go
@@ -8,20 +8,20 @@
 	"beechgrade/internal/invariant"
 )
 
-// TestInvariantsDetectBrokenState: each invariant fails for a state that was broken.
+// TestInvariantsDetectBrokenState: each invariant reports a state in which it was broken on purpose.
 func TestInvariantsDetectBrokenState(t *testing.T) {
 	f := newFleet(t, 4, Defaults())
 	newServers(f, 400, 600).run(200)
-	if f.place[0][3] == nil {
-		t.Fatal("nothing is shed")
+	if f.shedding[0][3] == nil {
+		t.Fatal("nothing is shed at 600 requests a second of 400 served")
 	}
-	for name, do := range map[string]func(controller *Controller, group *groupState){
+	for name, breakState := range map[string]func(controller *Controller, group *groupState){
 		"groups are in order": func(controller *Controller, group *groupState) { delete(controller.groups, 3) },
 		"the state is bounded": func(controller *Controller, group *groupState) {
 			controller.pendingReports = make([]pendingReport, maxPendingReports+1)
 		},
-		"unreachable peers":       func(controller *Controller, group *groupState) { controller.collectorTimes[99] = collectorTime{1, 1} },
-		"stands within the cells": func(controller *Controller, group *groupState) { group.level = 1e9 },
+		"no state is kept of unreachable peers": func(controller *Controller, group *groupState) { controller.collectorTimes[99] = collectorTime{1, 1} },
+		"a level is within the cells":           func(controller *Controller, group *groupState) { group.level = 1e9 },
 		"no level outlives": func(controller *Controller, group *groupState) {
 			group.decidedAt = controller.now - controller.settings.IsolationBound() - 1
 		},
@@ -38,68 +38,68 @@
 		},
 	} {
 		controller := f.all[0]
-		kept, was, rate := *controller, *controller.groups[3], controller.groups[3].rates[0]
-		controller.groups = map[int]*groupState{3: kept.groups[3]}
-		do(controller, kept.groups[3])
-		held(t, name, controller.checkState)
+		controllerBefore, groupBefore, ratesBefore := *controller, *controller.groups[3], controller.groups[3].rates[0]
+		controller.groups = map[int]*groupState{3: controllerBefore.groups[3]}
+		breakState(controller, controllerBefore.groups[3])
+		expectBreach(t, name, controller.checkState)
 		delete(controller.collectorTimes, 99)
-		*controller, *kept.groups[3], was.rates[0] = kept, was, rate
+		*controller, *controllerBefore.groups[3], groupBefore.rates[0] = controllerBefore, groupBefore, ratesBefore
 	}
-	held(t, "", f.all[0].checkState)
+	expectBreach(t, "", f.all[0].checkState)
 
 	w := newProbers(t, 4)
-	who := 0
-	for w.all[who].ProbersOf("s")[0] == ID(who+1) || w.all[who].ProbersOf("s")[1] == ID(who+1) {
-		who++
+	nonProber := 0 // a process that is no prober
+	for w.all[nonProber].ProbersOf("s")[0] == ID(nonProber+1) || w.all[nonProber].ProbersOf("s")[1] == ID(nonProber+1) {
+		nonProber++
 	}
-	sharing := w.all[who]
-	for name, do := range map[string]func(server *probedServer){
-		"servers are in order":  func(server *probedServer) { sharing.names = append(sharing.names, "a") },
-		"longer than Shun":      func(server *probedServer) { sharing.skippedUntil[2] = sharing.now + 1e6 },
-		"peers that are gone":   func(server *probedServer) { server.requesters, server.probing = []requester{{id: 99}}, true },
-		"in line once":          func(server *probedServer) { server.requesters, server.probing = []requester{{id: 2}, {id: 2}}, true },
-		"who waits is served":   func(server *probedServer) { server.requesters = []requester{{id: 2}} },
-		"probes for itself":     func(server *probedServer) { server.probesLocally = true },
-		"each want has an end":  func(server *probedServer) { server.waitsUntil = math.Inf(1) },
-		"of a probe that began": func(server *probedServer) { server.resultAt = sharing.now },
+	sharing := w.all[nonProber]
+	for name, breakState := range map[string]func(server *probedServer){
+		"servers are in order":                      func(server *probedServer) { sharing.names = append(sharing.names, "a") },
+		"skipped for longer than SkipTime":          func(server *probedServer) { sharing.skippedUntil[2] = sharing.now + 1e6 },
+		"no request of an unreachable peer":         func(server *probedServer) { server.requesters, server.probing = []requester{{id: 99}}, true },
+		"a waiting requester is listed once":        func(server *probedServer) { server.requesters, server.probing = []requester{{id: 2}, {id: 2}}, true },
+		"in progress or due for waiting requesters": func(server *probedServer) { server.requesters = []requester{{id: 2}} },
+		"a local probe has one request":             func(server *probedServer) { server.probesLocally = true },
+		"each request has a timeout":                func(server *probedServer) { server.waitsUntil = math.Inf(1) },
+		"a result is of a probe that started":       func(server *probedServer) { server.resultAt = sharing.now },
 	} {
 		_ = sharing.RequestProbe(w.now, "s", nil)
 		server := sharing.servers["s"]
-		do(server)
-		held(t, name, sharing.checkState)
+		breakState(server)
+		expectBreach(t, name, sharing.checkState)
 		*sharing = *NewProbes(DefaultProbes(), sharing.self, w.now)
-		sharing.UpdateMembers(ID(who+1), w.all[(who+1)%4].peers)
+		sharing.UpdateMembers(ID(nonProber+1), w.all[(nonProber+1)%4].peers)
 	}
 	_ = sharing.RequestProbe(w.now, "s", nil)
-	held(t, "", sharing.checkState)
+	expectBreach(t, "", sharing.checkState)
 }
 
-// held tells whether a walk finds the statement false that it should; "" for none.
-func held(t *testing.T, want string, walk func(c *invariant.Checks)) {
+// expectBreach fails the test unless walk reports a breach of the invariant whose name contains want; with "" it must report none.
+func expectBreach(t *testing.T, want string, walk func(checks *invariant.Checks)) {
 	t.Helper()
-	c, n, found := invariant.New(nil), 0, want == ""
-	c.Walk(&n, 1, "walk", walk)
-	for _, b := range c.Breaches() {
-		if found = found || strings.Contains(b.Name, want); want == "" {
-			t.Errorf("%v, of state that is sound", b)
+	checks, calls, found := invariant.New(nil), 0, want == ""
+	checks.Walk(&calls, 1, "walk", walk)
+	for _, breach := range checks.Breaches() {
+		if found = found || strings.Contains(breach.Name, want); want == "" {
+			t.Errorf("%v, of intact state", breach)
 		}
 	}
 	if !found {
-		t.Errorf("%q: nobody saw it: %v", want, c.Breaches())
+		t.Errorf("no breach of %q was reported, but %v", want, checks.Breaches())
 	}
 }
 
-// TestNothingIsKeptOfUnreachablePeers: nothing is kept of peers that cannot be reached any more.
+// TestNothingIsKeptOfUnreachablePeers: the collector times of peers that cannot be reached any more are dropped.
 func TestNothingIsKeptOfUnreachablePeers(t *testing.T) {
 	f := newFleet(t, 4, Defaults())
 	s := newServers(f, 400, 600)
 	s.run(100)
 	controller := f.all[0]
 	if len(controller.collectorTimes) < 2 {
-		t.Fatalf("%d collectors answered", len(controller.collectorTimes))
+		t.Fatalf("%d collectors answered, want 2 at least", len(controller.collectorTimes))
 	}
 	f.do(0, MembersChanged{Self: 1, Peers: []Peer{{1, "a"}}})
 	if len(controller.collectorTimes) > 1 {
-		t.Errorf("stamps of %d are kept", len(controller.collectorTimes))
+		t.Errorf("the times of %d collectors are kept, want 1 at most", len(controller.collectorTimes))
 	}
 }
--- a/internal/cluster/overload/levels.go
+++ b/internal/cluster/overload/levels.go
@@ -7,7 +7,7 @@
 
 const cellsPerClass = 4 // see Shedding.Cells
 
-// handleDecisions takes a collector's answer to a recent report.
+// handleDecisions records a collector's answer to a recent report.
 func (controller *Controller) handleDecisions(from ID, answer *ShedDecisions) {
 	i := slices.IndexFunc(controller.pendingReports, func(r pendingReport) bool { return r.sequence == answer.Sequence })
 	if i < 0 || controller.now-controller.pendingReports[i].sentAt > controller.settings.StaleAfter {
@@ -23,7 +23,7 @@
 	}
 	for _, decision := range answer.Groups {
 		group := controller.groups[decision.Group]
-		// A collector decides nothing on classes that it does not know.
+		// A collector's level covers only the classes that it knows.
 		decision.Level = min(decision.Level, float64(cellsPerClass*len(answer.Order)))
 		valid := finite(decision.Level) && finite(decision.Budget)
 		if group == nil || !valid || !slices.Contains(controller.CollectorsOf(decision.Group), from) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// recordDecision keeps the last decision of each collector. It reports false for one that was overtaken.
+// recordDecision stores the last decision of each collector. It reports false for one that a newer decision overtook.
 func (group *groupState) recordDecision(decision collectorDecision) bool {
 	i := slices.IndexFunc(group.decisions, func(d collectorDecision) bool { return d.from == decision.from })
 	switch {
@@ -49,7 +49,7 @@
 	return true
 }
 
-// updateLevel applies the decision with the median level. Without a recent decision the level falls to 0.
+// updateLevel applies the recent decision with the median level. Without a recent decision the level falls to 0.
 func (controller *Controller) updateLevel(group *groupState) {
 	group.decisions = slices.DeleteFunc(group.decisions, func(d collectorDecision) bool {
 		return controller.now-d.reportedAt > controller.settings.StaleAfter
@@ -67,7 +67,7 @@
 		return cmp.Or(cmp.Compare(a.decision.Level, b.decision.Level), cmp.Compare(a.from, b.from))
 	})
 	median := group.decisions[(len(group.decisions)-1)/2]
-	budgets := make([]float64, len(group.decisions)) // their own median: among equal levels one may be of a byzantine collector
+	budgets := make([]float64, len(group.decisions)) // the median of budgets is taken apart: among equal levels one may be from a byzantine collector
 	for i := range group.decisions {
 		budgets[i] = group.decisions[i].decision.Budget
 	}
@@ -79,7 +79,7 @@
 	controller.applyShedding(group, group.level)
 }
 
-// fadeLevel keeps the last level for HoldTime, and lowers it evenly to 0 over FadeTime.
+// fadeLevel keeps the last level for HoldTime, then lowers it linearly to 0 over FadeTime.
 func (controller *Controller) fadeLevel(group *groupState) {
 	faded := (controller.now - group.decidedAt - controller.settings.HoldTime) / controller.settings.FadeTime
 	faded = min(1, max(0, faded))
@@ -89,7 +89,7 @@
 	}
 }
 
-// applyShedding emits an action where what is shed changes.
+// applyShedding emits an action if the shedding of a group changes.
 func (controller *Controller) applyShedding(group *groupState, level float64) {
 	applied := &group.applied
 	sameOrder := slices.Equal(applied.order, group.classOrder) && slices.Equal(applied.beyondQuota, group.beyondQuota)
@@ -108,8 +108,8 @@
 	controller.actions = append(controller.actions, action)
 }
 
-// sheddingOf returns what is shed of a group, by this pooler's numbers of classes and tenants. Classes that the collector does not know
-// are shed last.
+// sheddingOf returns the shedding of a group, by this pooler's numbers of classes and tenants. Classes that the collector does not know are
+// shed last.
 func (controller *Controller) sheddingOf(group *groupState, level float64) *Shedding {
 	shedding := &Shedding{
 		Level: level, Cells: make([][cellsPerClass]int, len(controller.classes)),
--- a/internal/cluster/overload/probes.go
+++ b/internal/cluster/overload/probes.go
@@ -11,28 +11,28 @@
 
 // ProbeSettings configure how health checks ("probes") are shared. Times are in ms.
 //
-// Each server has Probers, the first processes of the view by rendezvous hashing of its name. A process that needs a probe and is no prober
-// requests it from the first prober that has answered lately; a prober probes itself. A prober starts at most one probe of a server each
-// MinInterval. Its result goes to all requesters, for whom it counts: from a probe that started after their request, or at most
-// MaxResultAge before; that a server does not answer counts as of the probe's end. No common clock is needed for that: the prober reports
-// how long before its answer the probe started, and the requester knows when it asked.
+// Each server has a number of probers (Probers), the first processes of the view by rendezvous hashing of its name. A process that needs a
+// probe and is no prober requests it from the first prober that is not skipped; a prober probes itself. A prober starts at most one probe
+// of a server in MinInterval. It sends the result to all requesters for which it counts: those that asked before the probe started, or at
+// most MaxResultAge after that; a result that is not healthy counts for all that asked before the probe's end. This needs no common clock:
+// the prober reports how long before its answer the probe started, and the requester knows when it asked.
 //
-// An unhealthy result takes two probers: after the first one's the second is asked, and if that agrees the result is reported. Where the
-// second one is skipped, the requester probes itself; with a single prober its result is enough. Where the second one finds the server
-// healthy, the first one is skipped for that server for SkipTime: a prober that is cut off costs its requesters a second request each
-// SkipTime.
+// An unhealthy result takes two probers: the requester asks the second after the first, and if that agrees the result is reported. If the
+// second one is skipped, the requester probes itself; with a single prober its result is enough. If the second one finds the server
+// healthy, the first one is skipped for that server for SkipTime: a prober that is cut off costs its requesters one second request in
+// each SkipTime.
 //
-// A prober that has not answered within ProberTimeout, a message that a probe is in progress included, is skipped for SkipTime, and the
-// requester probes itself. So a prober that ends is replaced within ReplacementBound, and a process that receives nothing probes as without
-// sharing, so much later. Each request ends within LatencyBound of it.
+// A prober that has not answered within ProberTimeout, if only that a probe is in progress, is skipped for SkipTime, and the requester
+// probes itself. So a prober that ends is replaced within ReplacementBound, and a process that receives nothing probes as without sharing,
+// but that much later. Each request gets its result within LatencyBound.
 //
-// Probes that a server gets: at most Probers*(1000/MinInterval) a second from probers, and those that requesters make themselves (MaxRate).
+// A server gets at most Probers*(1000/MinInterval) probes a second from probers (MaxRate), and those that requesters make themselves.
 type ProbeSettings struct {
-	Probers       int
-	MinInterval   float64
-	MaxResultAge  float64
-	ProberTimeout float64
-	SkipTime      float64
+	Probers       int     // of each server
+	MinInterval   float64 // between two probes of a server by one prober
+	MaxResultAge  float64 // oldest start of a probe, before a request, whose result counts for the request
+	ProberTimeout float64 // time to wait for a prober's first message
+	SkipTime      float64 // time for which a prober is skipped
 	ProbeTimeout  float64 // the longest time of a probe
 	TickInterval  float64
 }
@@ -42,16 +42,16 @@
 	return ProbeSettings{Probers: 2, MinInterval: 20, MaxResultAge: 20, ProberTimeout: 120, SkipTime: 2000, ProbeTimeout: 300, TickInterval: 50}
 }
 
-// ReplacementBound bounds how long a prober that has ended is waited for.
+// ReplacementBound bounds how long a requester waits for a prober that has ended.
 func (s *ProbeSettings) ReplacementBound() float64 { return s.ProberTimeout + s.TickInterval }
 
-// progressTimeout returns how long a probe that is in progress is waited for.
+// progressTimeout returns how long a requester waits for the result of a probe that is in progress.
 func (s *ProbeSettings) progressTimeout() float64 {
 	return max(s.ProbeTimeout, s.MinInterval) + 2*s.TickInterval
 }
 
-// LatencyBound bounds the time from a request until its result: both probers may have one probe in progress, and then another, and then
-// this process probes itself.
+// LatencyBound bounds the time from a request until its result: each of two probers may have a probe in progress, and then make another
+// one, and then this process probes itself.
 func (s *ProbeSettings) LatencyBound() float64 {
 	return 2*(s.ProberTimeout+2*s.progressTimeout()+s.TickInterval) + s.ProbeTimeout
 }
@@ -67,15 +67,15 @@
 // The results.
 const (
 	Healthy    Result = iota
-	Unhealthy         // no answer, or none of a healthy server
-	InProgress        // of a ProbeResult only: the probe has not ended
+	Unhealthy         // no answer, or not that of a healthy server
+	InProgress        // only in a ProbeResult: the probe has not ended
 )
 
-// Finding is a result with what the poolers' cores need of it.
+// Finding is a result with the details that the pooler's core needs.
 type Finding struct {
 	Result   Result
-	Kind     uint8 // the decision module's result
-	Role     uint8
+	Kind     uint8   // a decide.Result
+	Role     uint8   // a decide.Role
 	Position float64 // 0 for none
 }
 
@@ -89,27 +89,27 @@
 type ProbeResult struct {
 	Server       string
 	Sequence     uint32
-	StartedMsAgo float64 // when the probe started, before this answer
+	StartedMsAgo float64 // time from the start of the probe to this answer
 	Finding
 }
 
 // MaxServerNameBytes bounds a server's name.
 const MaxServerNameBytes = 255
 
-// ProbeAction is something that a ProbeSharing asks its caller to do: a probe, a message or a report.
+// ProbeAction is an output of a ProbeSharing, which its caller carries out: a probe, a message or the report of a result.
 type ProbeAction struct {
-	Probe    string // the server that this process is to probe
+	Probe    string // the server that this process is to probe; empty for none
 	To       ID     // the receiver of Request or Response
 	Addr     string
 	Request  *ProbeRequest
 	Response *ProbeResult
-	Report   bool // Finding is the result for Server, Age ms old
+	Report   bool // Finding is the result for Server, at most Age ms old
 	Server   string
 	Age      float64
 	Finding
 }
 
-// ProbeSharing is one process's side of shared probes. Its methods append the actions that they cause to out. It is not safe for
+// ProbeSharing is the state of shared probes in one process. Its methods append the actions that they cause to out. It is not safe for
 // concurrent use.
 type ProbeSharing struct {
 	settings     ProbeSettings
@@ -118,7 +118,7 @@
 	peers        []Peer
 	addresses    map[ID]string
 	servers      map[string]*probedServer
-	names        []string
+	names        []string // of servers, sorted
 	skippedUntil map[ID]float64
 	sequence     uint32
 
@@ -126,40 +126,42 @@
 	checkInterval, checkCounter int
 }
 
+// probedServer is the state of probes of a server.
 type probedServer struct {
-	// as a prober
+	// State of a prober.
 	startedAt  float64 // of the last probe; -Inf for none
 	probing    bool
 	result     *Finding    // of the last probe that ended
-	resultAt   float64     // the start of it
-	requesters []requester // that wait for the next result
+	resultAt   float64     // start of that probe
+	requesters []requester // requesters that wait for the next result
 	again      bool        // a probe is due once MinInterval is over
-	// as an asker
-	wanted             bool
+	// State of a process that requests probes.
+	wanted             bool // a request of this process has no result yet
 	requestedAt        float64
-	askedProbers       []ID
-	sequence           uint32
-	waitsUntil         float64
-	probesLocally      bool // this process probes itself
-	unhealthyResult    *Finding
+	askedProbers       []ID     // for this request, the last one at the end
+	sequence           uint32   // of the last ProbeRequest
+	waitsUntil         float64  // timeout of that request
+	probesLocally      bool     // this process probes itself
+	unhealthyResult    *Finding // of the first of two probers
 	unhealthyAge       float64
 	unhealthyFrom      ID
 	skippedProber      ID      // a prober whose unhealthy result another one contradicted: it is skipped...
-	skippedProberUntil float64 // ...until then
+	skippedProberUntil float64 // ...until this time
 	lastUsed           float64
 }
 
+// requester is a process that waits for a result: this process (local) or another one.
 type requester struct {
 	id          ID
 	sequence    uint32
 	local       bool
 	requestedAt float64
-	notified    bool // that the probe is in progress
+	notified    bool // it was told that the probe is in progress
 }
 
-// NewProbes returns the ProbeSharing of a process that knows nothing, at time now in ms.
-func NewProbes(set ProbeSettings, self ID, now float64) *ProbeSharing {
-	return &ProbeSharing{settings: set, self: self, now: now, servers: map[string]*probedServer{}, skippedUntil: map[ID]float64{}, addresses: map[ID]string{}}
+// NewProbes returns the ProbeSharing of a process without state, at time now in ms.
+func NewProbes(settings ProbeSettings, self ID, now float64) *ProbeSharing {
+	return &ProbeSharing{settings: settings, self: self, now: now, servers: map[string]*probedServer{}, skippedUntil: map[ID]float64{}, addresses: map[ID]string{}}
 }
 
 // UpdateMembers sets the processes that can be reached, this one included.
@@ -167,11 +169,11 @@
 	sharing.self = self
 	sharing.peers = peers[:min(len(peers), MaxPeers)]
 	clear(sharing.addresses)
-	for _, x := range sharing.peers {
-		sharing.addresses[x.ID] = x.Addr
+	for _, peer := range sharing.peers {
+		sharing.addresses[peer.ID] = peer.Addr
 	}
-	for _, server := range sharing.servers { // each by itself
-		server.requesters = slices.DeleteFunc(server.requesters, func(a requester) bool { return !a.local && sharing.addresses[a.id] == "" })
+	for _, server := range sharing.servers { // the order does not matter
+		server.requesters = slices.DeleteFunc(server.requesters, func(r requester) bool { return !r.local && sharing.addresses[r.id] == "" })
 	}
 }
 
@@ -180,13 +182,14 @@
 	return ProbersOf(name, sharing.settings.Probers, sharing.peers)
 }
 
-// ProbersOf returns n probers of a server, of processes that can be reached.
+// ProbersOf returns n probers of a server from the processes that can be reached.
 func ProbersOf(name string, n int, peers []Peer) []ID {
 	return RendezvousPeers(xxhash.Sum64String(name), n, peers)
 }
 
 const maxServers = 4096
 
+// server returns the state of a server and creates it for an unknown one; nil beyond maxServers servers.
 func (sharing *ProbeSharing) server(name string) *probedServer {
 	server := sharing.servers[name]
 	if server == nil {
@@ -216,8 +219,8 @@
 	return sharing.requestFromNextProber(name, server, out)
 }
 
-// requestFromNextProber sends the request to the next prober that is not skipped. Without one it reports the unhealthy result that two
-// probers agree on, or probes itself.
+// requestFromNextProber sends the request to the next prober that is not skipped. Without one it reports the unhealthy result that the
+// asked probers agree on, or makes this process probe.
 func (sharing *ProbeSharing) requestFromNextProber(name string, server *probedServer, out []ProbeAction) []ProbeAction {
 	ids := sharing.ProbersOf(name)
 	if slices.Contains(ids, sharing.self) || len(ids) == 0 {
@@ -238,27 +241,28 @@
 	return sharing.probeLocally(name, server, out)
 }
 
-// probeLocally makes this process probe for itself.
+// probeLocally makes this process probe the server itself.
 func (sharing *ProbeSharing) probeLocally(name string, server *probedServer, out []ProbeAction) []ProbeAction {
 	server.probesLocally, server.waitsUntil = true, math.Inf(1)
 	return sharing.serveRequester(name, server, requester{local: true, requestedAt: sharing.now}, out)
 }
 
-// serveRequester sends a requester the last result if that is recent enough, otherwise the next one.
-func (sharing *ProbeSharing) serveRequester(name string, server *probedServer, a requester, out []ProbeAction) []ProbeAction {
+// serveRequester sends a requester the last result if that is recent enough; otherwise the requester waits for the next one.
+func (sharing *ProbeSharing) serveRequester(name string, server *probedServer, r requester, out []ProbeAction) []ProbeAction {
 	if server.result != nil && sharing.now-server.resultAt <= sharing.settings.MaxResultAge {
-		return sharing.sendResult(name, server, a, out)
+		return sharing.sendResult(name, server, r, out)
 	}
-	i := slices.IndexFunc(server.requesters, func(x requester) bool { return x.id == a.id && x.local == a.local })
+	i := slices.IndexFunc(server.requesters, func(other requester) bool { return other.id == r.id && other.local == r.local })
 	switch {
 	case i >= 0:
-		server.requesters[i] = a
+		server.requesters[i] = r
 	case len(server.requesters) < MaxPeers:
-		server.requesters = append(server.requesters, a)
+		server.requesters = append(server.requesters, r)
 	}
 	return sharing.startProbe(name, server, out)
 }
 
+// startProbe starts a probe if there are requesters, none is in progress and MinInterval is over.
 func (sharing *ProbeSharing) startProbe(name string, server *probedServer, out []ProbeAction) []ProbeAction {
 	if server.probing || len(server.requesters) == 0 || sharing.now-server.startedAt < sharing.settings.MinInterval {
 		return out
@@ -268,43 +272,43 @@
 }
 
 // sendResult sends the last result to a requester.
-func (sharing *ProbeSharing) sendResult(name string, server *probedServer, a requester, out []ProbeAction) []ProbeAction {
+func (sharing *ProbeSharing) sendResult(name string, server *probedServer, r requester, out []ProbeAction) []ProbeAction {
 	age := sharing.now - server.resultAt
-	if a.local {
+	if r.local {
 		return sharing.reportResult(name, server, *server.result, age, out)
 	}
-	return append(out, ProbeAction{To: a.id, Addr: sharing.addresses[a.id], Response: &ProbeResult{name, a.sequence, age, *server.result}})
+	return append(out, ProbeAction{To: r.id, Addr: sharing.addresses[r.id], Response: &ProbeResult{name, r.sequence, age, *server.result}})
 }
 
 // reportResult ends a request of this process with a result.
-func (sharing *ProbeSharing) reportResult(name string, server *probedServer, f Finding, age float64, out []ProbeAction) []ProbeAction {
-	if server.unhealthyResult != nil && f.Result == Healthy {
+func (sharing *ProbeSharing) reportResult(name string, server *probedServer, finding Finding, age float64, out []ProbeAction) []ProbeAction {
+	if server.unhealthyResult != nil && finding.Result == Healthy {
 		server.skippedProber, server.skippedProberUntil = server.unhealthyFrom, sharing.now+sharing.settings.SkipTime
 	}
 	server.wanted, server.probesLocally, server.unhealthyResult, server.waitsUntil = false, false, nil, 0
-	return append(out, ProbeAction{Report: true, Server: name, Age: age, Finding: f})
+	return append(out, ProbeAction{Report: true, Server: name, Age: age, Finding: finding})
 }
 
-// ProbeEnded takes the result of a probe that this process made. Those who asked after its start wait for the next one, unless it started
-// at most MaxResultAge before.
-func (sharing *ProbeSharing) ProbeEnded(now float64, name string, f Finding, out []ProbeAction) []ProbeAction {
+// ProbeEnded records the result of a probe that this process made and sends it to the requesters. Those that asked more than MaxResultAge
+// after its start wait for the next probe, unless the result is not healthy.
+func (sharing *ProbeSharing) ProbeEnded(now float64, name string, finding Finding, out []ProbeAction) []ProbeAction {
 	sharing.now = max(now, sharing.now)
 	server := sharing.server(name)
 	if server == nil {
-		return append(out, ProbeAction{Report: true, Server: name, Finding: f})
+		return append(out, ProbeAction{Report: true, Server: name, Finding: finding})
 	}
 	if !server.probing {
 		return out
 	}
-	server.probing, server.result, server.resultAt = false, &f, server.startedAt
-	askers := server.requesters
+	server.probing, server.result, server.resultAt = false, &finding, server.startedAt
+	requesters := server.requesters
 	server.requesters = nil
-	for _, a := range askers {
-		if a.requestedAt <= server.startedAt || a.requestedAt-server.startedAt <= sharing.settings.MaxResultAge || f.Result != Healthy {
-			out = sharing.sendResult(name, server, a, out)
+	for _, r := range requesters {
+		if r.requestedAt <= server.startedAt || r.requestedAt-server.startedAt <= sharing.settings.MaxResultAge || finding.Result != Healthy {
+			out = sharing.sendResult(name, server, r, out)
 		} else {
-			a.notified = false // the next probe is another one
-			server.requesters = append(server.requesters, a)
+			r.notified = false // the next probe is another one
+			server.requesters = append(server.requesters, r)
 		}
 	}
 	return sharing.startProbe(name, server, out)
@@ -324,7 +328,7 @@
 		}
 		n := len(out)
 		out = sharing.serveRequester(m.Server, server, requester{id: from, sequence: m.Sequence, requestedAt: sharing.now}, out)
-		if server.probing && sharing.now-server.startedAt > sharing.settings.MaxResultAge && len(out) == n { // the requester must not take this process for unresponsive
+		if server.probing && sharing.now-server.startedAt > sharing.settings.MaxResultAge && len(out) == n { // otherwise the requester would time out and skip this prober
 			out = sharing.notifyInProgress(m.Server, server, out)
 		}
 	case *ProbeResult:
@@ -346,12 +350,12 @@
 	return out
 }
 
-// notifyInProgress tells the requesters that a probe is in progress.
+// notifyInProgress notifies the requesters, each once, that a probe is in progress.
 func (sharing *ProbeSharing) notifyInProgress(name string, server *probedServer, out []ProbeAction) []ProbeAction {
 	for i := range server.requesters {
-		if a := &server.requesters[i]; !a.local && !a.notified {
-			a.notified = true
-			out = append(out, ProbeAction{To: a.id, Addr: sharing.addresses[a.id], Response: &ProbeResult{name, a.sequence, 0, Finding{Result: InProgress}}})
+		if r := &server.requesters[i]; !r.local && !r.notified {
+			r.notified = true
+			out = append(out, ProbeAction{To: r.id, Addr: sharing.addresses[r.id], Response: &ProbeResult{name, r.sequence, 0, Finding{Result: InProgress}}})
 		}
 	}
 	return out
@@ -375,13 +379,13 @@
 	}
 	sharing.names = slices.DeleteFunc(sharing.names, func(name string) bool {
 		server := sharing.servers[name]
-		old := !server.wanted && !server.probing && len(server.requesters) == 0 && sharing.now-server.lastUsed > 60000
-		if old {
+		unused := !server.wanted && !server.probing && len(server.requesters) == 0 && sharing.now-server.lastUsed > 60000
+		if unused {
 			delete(sharing.servers, name)
 		}
-		return old
+		return unused
 	})
-	for id, until := range sharing.skippedUntil { // each on its own
+	for id, until := range sharing.skippedUntil { // the order does not matter
 		if sharing.now >= until {
 			delete(sharing.skippedUntil, id)
 		}
@@ -392,7 +396,7 @@
 	return out
 }
 
-// Due returns when a probe that waits for MinInterval may start, in ms; +Inf for none.
+// Due returns the time, in ms, at which the next probe that waits for MinInterval may start; +Inf for none.
 func (sharing *ProbeSharing) Due() float64 {
 	due := math.Inf(1)
 	for _, name := range sharing.names {
--- a/internal/cluster/overload/reports.go
+++ b/internal/cluster/overload/reports.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	maxReportBytes     = 1000     // about groups, in a datagram
-	maxPendingReports  = 64       // whose answers are still accepted
-	minRate            = 1.0 / 64 // requests a second: fewer are none
-	idleAfterReports   = 20       // intervals without requests after which a group is not reported any more
-	forgetAfterReports = 200      // intervals without requests after which a group is forgotten
+	maxReportBytes     = 1000     // of reports of groups in a datagram
+	maxPendingReports  = 64       // reports whose answers are still accepted
+	minRate            = 1.0 / 64 // requests a second: lower rates are not reported
+	idleAfterReports   = 20       // report intervals without requests after which a group is no longer reported
+	forgetAfterReports = 200      // report intervals without requests after which the state of a group is dropped
 )
 
-// sendReports updates the rates of all groups and reports them to the collectors, those of a block together.
+// sendReports updates the rates of all groups and reports them to their collectors, the groups of a block together.
 func (controller *Controller) sendReports() {
 	var block []*groupState
 	flush := func() {
@@ -41,23 +41,23 @@
 	flush()
 }
 
-// updateRates turns the counts since the last time into rates, which fade over RateMemory.
+// updateRates merges the counts since the last update into the rates, which decay over RateMemory.
 func (controller *Controller) updateRates(group *groupState) {
 	elapsed := controller.now - group.ratesAt
 	if elapsed <= 0 {
 		return
 	}
-	fade := math.Exp(-elapsed / controller.settings.RateMemory)
-	perCount := (1 - fade) * msPerSecond / elapsed
+	decay := math.Exp(-elapsed / controller.settings.RateMemory)
+	perCount := (1 - decay) * msPerSecond / elapsed
 	busy := false
 	for i := range group.counts {
 		counts := &group.counts[i]
 		busy = busy || counts.first+counts.retries+counts.ended > 0
-		group.rates[i].update(counts, fade, perCount)
+		group.rates[i].update(counts, decay, perCount)
 		*counts = loadCounts{}
 	}
 	for i := range group.tenantCounts {
-		group.tenantRates[i] = group.tenantRates[i]*fade + group.tenantCounts[i]*perCount
+		group.tenantRates[i] = group.tenantRates[i]*decay + group.tenantCounts[i]*perCount
 		group.tenantCounts[i] = 0
 	}
 	group.ratesAt = controller.now
@@ -67,13 +67,13 @@
 	}
 }
 
-func (rates *loadCounts) update(counts *loadCounts, fade, perCount float64) {
-	rates.first = rates.first*fade + counts.first*perCount
-	rates.retries = rates.retries*fade + counts.retries*perCount
-	rates.admitted = rates.admitted*fade + counts.admitted*perCount
-	rates.served = rates.served*fade + counts.served*perCount
-	rates.ended = rates.ended*fade + counts.ended*perCount
-	rates.strain = rates.strain*fade + counts.strain*perCount
+func (rates *loadCounts) update(counts *loadCounts, decay, perCount float64) {
+	rates.first = rates.first*decay + counts.first*perCount
+	rates.retries = rates.retries*decay + counts.retries*perCount
+	rates.admitted = rates.admitted*decay + counts.admitted*perCount
+	rates.served = rates.served*decay + counts.served*perCount
+	rates.ended = rates.ended*decay + counts.ended*perCount
+	rates.strain = rates.strain*decay + counts.strain*perCount
 }
 
 // sendReport reports the groups of a block to a collector.
@@ -99,7 +99,7 @@
 	controller.enqueue(Action{Kind: SendReport, To: to, Report: report})
 }
 
-// loadOf returns what is reported of a group.
+// loadOf returns the report of a group.
 func (controller *Controller) loadOf(group *groupState) GroupLoad {
 	load := GroupLoad{Group: group.id, Budget: group.budget, Level: group.level}
 	for i, key := range controller.classes {
@@ -116,7 +116,7 @@
 	return load
 }
 
-// topTenants returns the tenants with the most requests.
+// topTenants returns the rates of the at most MaxTenants tenants with the most requests.
 func (controller *Controller) topTenants(group *groupState) (top []KeyedValue) {
 	for i, key := range controller.tenants {
 		if group.tenantRates[i] >= minRate {
@@ -127,7 +127,7 @@
 	return top[:min(len(top), MaxTenants)]
 }
 
-// enqueue emits a message to a process that can be reached. One to this process itself is handled at the end of the event.
+// enqueue emits a message to a process, if that can be reached. A message to this process itself is handled at the end of the event.
 func (controller *Controller) enqueue(message Action) {
 	if message.To == controller.self {
 		controller.selfMessages = append(controller.selfMessages, message)
--- a/internal/cluster/overload/shedorder.go
+++ b/internal/cluster/overload/shedorder.go
@@ -6,67 +6,69 @@
 	"slices"
 )
 
-// cellOrder numbers the cells of the order: by class in the order of shedding, idempotent ones first.
+// cellOrder numbers the cells in the order of shedding: those of idempotent classes first.
 type cellOrder struct {
 	byClass map[uint16][4]int
 	count   int
 }
 
-func cellsOf(order []uint16, once map[uint16]bool) cellOrder {
-	c := cellOrder{byClass: map[uint16][4]int{}}
+// cellsOf returns the cells of classes, which are given in the order of shedding.
+func cellsOf(order []uint16, notIdempotent map[uint16]bool) cellOrder {
+	cells := cellOrder{byClass: map[uint16][4]int{}}
 	for _, last := range []bool{false, true} {
 		for stage := range 4 {
-			for _, k := range order {
-				if once[k] == last {
-					x := c.byClass[k]
-					x[stage] = c.count
-					c.byClass[k] = x
-					c.count++
+			for _, key := range order {
+				if notIdempotent[key] == last {
+					stages := cells.byClass[key]
+					stages[stage] = cells.count
+					cells.byClass[key] = stages
+					cells.count++
 				}
 			}
 		}
 	}
-	return c
+	return cells
 }
 
-// orderClasses sorts classes by priority for their work; equal ones by priority, and then the longest objective first. A previous order that
-// is about right stays.
-func orderClasses(old []uint16, worth, work, aim map[uint16]float64) []uint16 {
-	keys := make([]uint16, 0, len(worth))
-	dear := map[uint16]float64{}
-	for k, w := range worth { // sorted below: the map's order does not matter
-		keys = append(keys, k)
-		dear[k] = w / max(1e-9, work[k])
+// orderClasses sorts classes by priority per work, the lowest first; equal ones by priority, and then the longest objective first. A
+// previous order in which no class comes after one with more than toleranceFactor times its value is kept.
+func orderClasses(previous []uint16, priority, work, objective map[uint16]float64) []uint16 {
+	keys := make([]uint16, 0, len(priority))
+	value := map[uint16]float64{}  // priority per work
+	for key, p := range priority { // sorted below: the map's order does not matter
+		keys = append(keys, key)
+		value[key] = p / max(1e-9, work[key])
 	}
 	slices.SortFunc(keys, func(a, b uint16) int {
-		return cmp.Or(cmp.Compare(dear[a], dear[b]), cmp.Compare(worth[a], worth[b]), cmp.Compare(aim[b], aim[a]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(value[a], value[b]), cmp.Compare(priority[a], priority[b]), cmp.Compare(objective[b], objective[a]), cmp.Compare(a, b))
 	})
-	if len(old) != len(keys) {
+	if len(previous) != len(keys) {
 		return keys
 	}
-	most := 0.0
-	for _, k := range old {
-		d, ok := dear[k]
-		if !ok || d < most/toleranceFactor {
+	highest := 0.0
+	for _, key := range previous {
+		v, ok := value[key]
+		if !ok || v < highest/toleranceFactor {
 			return keys
 		}
-		most = max(most, d)
+		highest = max(highest, v)
 	}
-	return old
+	return previous
 }
 
+// toleranceFactor is the factor by which values may differ before a previous order of classes, or a collector's own budget, is given up.
 const toleranceFactor = 1.25
 
-// levelFor returns the level below which as much demand stands as is to be shed.
-func levelFor(demand []float64, need float64) float64 {
+// levelFor returns the level below which the cells hold as much demand as is to be shed.
+func levelFor(demand []float64, excess float64) float64 {
 	for i, d := range demand {
-		if need <= 0 {
+		if excess <= 0 {
 			return float64(i)
 		}
-		if need < d {
-			return float64(i) + need/d
+		if excess < d {
+			return float64(i) + excess/d
 		}
-		need -= d
+		excess -= d
 	}
 	return float64(len(demand))
 }
@@ -79,29 +81,30 @@
 	return sum
 }
 
-// beyondQuota returns the part of each tenant's demand that is beyond its share of a budget. What some do not use is divided among the others.
-func beyondQuota(want, share []float64, budget float64) []float64 {
-	out := make([]float64, len(want))
-	left, shares, open := budget, 0.0, []int{}
-	for i := range want {
-		if share[i] > 0 && want[i] > 0 {
-			open = append(open, i)
+// beyondQuota returns the fraction of each tenant's demand that is beyond its share of a budget. Shares that some do not use are divided
+// among the others.
+func beyondQuota(demand, share []float64, budget float64) []float64 {
+	out := make([]float64, len(demand))
+	remaining, shares, limited := budget, 0.0, []int{}
+	for i := range demand {
+		if share[i] > 0 && demand[i] > 0 {
+			limited = append(limited, i)
 			shares += share[i]
 		} else {
-			left -= want[i] // a tenant without a share is never beyond it
+			remaining -= demand[i] // a tenant without a share is never beyond it
 		}
 	}
-	slices.SortStableFunc(open, func(a, b int) int { return cmp.Compare(want[a]/share[a], want[b]/share[b]) })
-	for _, i := range open {
-		gets := min(want[i], max(0, left)*share[i]/shares)
-		out[i] = 1 - gets/want[i]
-		left -= gets
+	slices.SortStableFunc(limited, func(a, b int) int { return cmp.Compare(demand[a]/share[a], demand[b]/share[b]) })
+	for _, i := range limited {
+		granted := min(demand[i], max(0, remaining)*share[i]/shares)
+		out[i] = 1 - granted/demand[i]
+		remaining -= granted
 		shares -= share[i]
 	}
 	return out
 }
 
-// lowerMedian returns the median, the lower of two; 0 of none. It sorts its argument.
+// lowerMedian returns the median, the lower of two, and 0 without values. It sorts its argument.
 func lowerMedian(x []float64) float64 {
 	if len(x) == 0 {
 		return 0
@@ -110,7 +113,8 @@
 	return x[(len(x)-1)/2]
 }
 
-// medianBudget returns the median of budgets, the upper of two where that of levels is the lower: both admit more. It is 0 of none.
+// medianBudget returns the median of budgets, and 0 without budgets. Of two it takes the upper one, as the median of levels takes the lower
+// one: both admit more. It sorts its argument.
 func medianBudget(budgets []float64) float64 {
 	if len(budgets) == 0 {
 		return 0
@@ -119,7 +123,7 @@
 	return budgets[len(budgets)/2]
 }
 
-// effectiveBudget returns how much a budget admits: 0 is none, which admits everything.
+// effectiveBudget returns the work that a budget admits. A budget of 0 means no budget, which admits everything.
 func effectiveBudget(budget float64) float64 {
 	if budget == 0 {
 		return math.Inf(1)
@@ -127,7 +131,7 @@
 	return budget
 }
 
-// encodeWork rounds an estimate of work to eighths of a doubling, so that it takes a byte and rarely changes.
+// encodeWork encodes an estimate of work as its logarithm in eighths of a doubling, so that it fits a byte and rarely changes.
 func encodeWork(x float64) uint8 {
 	if x <= 0 {
 		return 0
@@ -135,6 +139,7 @@
 	return uint8(max(1, min(255, 128+math.Round(8*math.Log2(x)))))
 }
 
+// decodeWork reverses encodeWork, up to rounding.
 func decodeWork(b uint8) float64 {
 	if b == 0 {
 		return 0
--- a/internal/cluster/overload/totals.go
+++ b/internal/cluster/overload/totals.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	minReportsToTrim = 4 // of so many reports one may be byzantine
-	maxRatio         = 100
-	tiny             = 1e-9 // in place of 0 as a divisor
-	quotaSteps       = 255  // of the part of a tenant's sessions that is beyond its quota
+	minReportsToTrim = 4    // from this number of reports on, one of them may be byzantine
+	maxRatio         = 100  // upper limit of a trimmed ratio
+	tiny             = 1e-9 // replaces 0 as a divisor
+	quotaSteps       = 255  // steps in which the fraction of a tenant's sessions beyond its quota is encoded
 )
 
-// groupTotals are the sums of all reports on a group, in work a second. No report counts for more than all others together.
+// groupTotals are the sums of all reports about a group, in work per second. No report counts for more than all others together.
 type groupTotals struct {
 	classes   map[uint16]ClassLoad
 	tenants   []KeyedValue // by key
 	total     float64      // received
 	admitted  float64
 	served    float64
-	ended     float64 // requests a second
-	objective float64 // s, on average
+	ended     float64 // requests per second
+	objective float64 // average latency objective in s
 	strain    float64
-	delay     float64 // what is outstanding by what is answered, as a part of the objectives
+	delay     float64 // outstanding requests over the rate of ended ones, as a fraction of the latency objectives
 	budgets   []float64
 	levels    []float64
 }
 
-// sumReports adds up the reports on a group. work is that of a request of each class.
+// sumReports adds up the reports about a group. work is the work of a request, by class.
 func (controller *Controller) sumReports(group *groupState, work map[uint16]float64) groupTotals {
 	totals := groupTotals{classes: map[uint16]ClassLoad{}}
 	weights := group.reportWeights(work)
@@ -57,18 +57,18 @@
 		totals.classes[key] = class
 	}
 	totals.objective = objectives / max(tiny, totals.ended)
-	totals.strain = group.trimmedRatio(weights, func(load *ClassLoad) (x, y float64) {
+	totals.strain = group.trimmedRatio(weights, func(load *ClassLoad) (numerator, denominator float64) {
 		weight := work[load.Key] * totals.servedEvidence(load.Key)
 		return weight * min(load.Strain, load.Ended), weight * load.Ended
 	})
-	totals.delay = group.trimmedRatio(weights, func(load *ClassLoad) (x, y float64) {
+	totals.delay = group.trimmedRatio(weights, func(load *ClassLoad) (numerator, denominator float64) {
 		weight := totals.servedEvidence(load.Key)
 		return weight * load.Open, weight * load.Ended * controller.objective[load.Key]
 	})
 	return totals
 }
 
-// addClass adds a report's load of a class.
+// addClass adds the load of a class from one report.
 func (totals *groupTotals) addClass(load *ClassLoad, weight, work float64) {
 	class := totals.classes[load.Key]
 	class.FirstAttempts += weight * load.FirstAttempts
@@ -83,7 +83,8 @@
 	totals.ended += weight * load.Ended
 }
 
-// servedEvidence returns the weight of a class as evidence of overload: one that is hardly served has no servers.
+// servedEvidence returns the weight of a class as evidence of overload. A class of which next to nothing is served has no working servers
+// and is no evidence.
 func (totals *groupTotals) servedEvidence(key uint16) float64 {
 	class := totals.classes[key]
 	return min(1, 2*class.Served/max(tiny, class.Ended))
@@ -109,45 +110,48 @@
 	return weights
 }
 
-// trimmedRatio returns the ratio of the sums of both values over all reports, without the report that raises it most and the one that
-// lowers it most.
-func (group *groupState) trimmedRatio(weights []float64, values func(load *ClassLoad) (x, y float64)) float64 {
-	xs, ys := make([]float64, len(group.reports)), make([]float64, len(group.reports))
-	x, y := 0.0, 0.0
+// trimmedRatio returns the ratio of the sums of both values over all reports. From minReportsToTrim reports on it leaves out the report
+// that raises the ratio most and the one that lowers it most.
+func (group *groupState) trimmedRatio(weights []float64, values func(load *ClassLoad) (numerator, denominator float64)) float64 {
+	numerators, denominators := make([]float64, len(group.reports)), make([]float64, len(group.reports))
+	numerator, denominator := 0.0, 0.0
 	for i, report := range group.reports {
 		for k := range report.load.Classes {
 			a, b := values(&report.load.Classes[k])
-			xs[i] += weights[i] * a
-			ys[i] += weights[i] * b
+			numerators[i] += weights[i] * a
+			denominators[i] += weights[i] * b
 		}
-		x += xs[i]
-		y += ys[i]
+		numerator += numerators[i]
+		denominator += denominators[i]
+	}
+	ratio := func(numerator, denominator float64) float64 {
+		return min(maxRatio, max(0, numerator)/max(tiny, denominator))
 	}
-	ratio := func(x, y float64) float64 { return min(maxRatio, max(0, x)/max(tiny, y)) }
 	if len(group.reports) < minReportsToTrim {
-		return ratio(x, y)
+		return ratio(numerator, denominator)
 	}
-	highest, calmest := extremes(xs, ys)
-	return ratio(x-xs[highest]-xs[calmest], y-ys[highest]-ys[calmest])
+	highest, lowest := extremes(numerators, denominators)
+	return ratio(numerator-numerators[highest]-numerators[lowest], denominator-denominators[highest]-denominators[lowest])
 }
 
-// extremes returns the index of the largest x, and that of the largest y-x among the others.
-func extremes(xs, ys []float64) (highest, calmest int) {
-	for i := range xs {
-		if xs[i] > xs[highest] {
+// extremes returns the index of the report that raises a ratio most, by the largest numerator, and of the one among the others that lowers
+// it most, by the largest excess of the denominator over the numerator.
+func extremes(numerators, denominators []float64) (highest, lowest int) {
+	for i := range numerators {
+		if numerators[i] > numerators[highest] {
 			highest = i
 		}
 	}
-	calmest = highest
-	for i := range xs {
-		if i != highest && (calmest == highest || ys[i]-xs[i] > ys[calmest]-xs[calmest]) {
-			calmest = i
+	lowest = highest
+	for i := range numerators {
+		if i != highest && (lowest == highest || denominators[i]-numerators[i] > denominators[lowest]-numerators[lowest]) {
+			lowest = i
 		}
 	}
-	return highest, calmest
+	return highest, lowest
 }
 
-// beyondQuota returns the parts of tenants' sessions that are beyond their shares of the budget.
+// beyondQuota returns the fractions of tenants' sessions that are beyond their shares of the budget.
 func (totals *groupTotals) beyondQuota(controller *Controller, budget float64) (out []KeyedValue) {
 	all := 0.0
 	for _, tenant := range totals.tenants {
@@ -161,34 +165,34 @@
 		demand[i] = tenant.Value / all * totals.total
 		shares[i] = controller.share[tenant.Key]
 	}
-	for i, part := range beyondQuota(demand, shares, budget) {
-		part = float64(int(part*quotaSteps+0.5)) / quotaSteps
-		if part > 0 {
-			out = append(out, KeyedValue{totals.tenants[i].Key, part})
+	for i, fraction := range beyondQuota(demand, shares, budget) {
+		fraction = float64(int(fraction*quotaSteps+0.5)) / quotaSteps
+		if fraction > 0 {
+			out = append(out, KeyedValue{totals.tenants[i].Key, fraction})
 		}
 	}
 	return out
 }
 
-// cellDemand returns the demand of each cell of the order.
+// cellDemand returns the demand of each cell of the shedding order.
 func (totals *groupTotals) cellDemand(controller *Controller, beyond []KeyedValue) []float64 {
-	all, part := 0.0, 0.0
+	all, fraction := 0.0, 0.0
 	for _, tenant := range totals.tenants {
 		all += tenant.Value
 		for _, b := range beyond {
 			if b.Key == tenant.Key {
-				part += tenant.Value * b.Value
+				fraction += tenant.Value * b.Value
 			}
 		}
 	}
 	if all > 0 {
-		part /= all
+		fraction /= all
 	}
 	cells := cellsOf(controller.collectorOrder, controller.notIdempotent)
 	demand := make([]float64, cells.count)
 	for key, at := range cells.byClass {
 		class := totals.classes[key]
-		byStage := [4]float64{class.Retries * part, class.Retries * (1 - part), class.FirstAttempts * part, class.FirstAttempts * (1 - part)}
+		byStage := [4]float64{class.Retries * fraction, class.Retries * (1 - fraction), class.FirstAttempts * fraction, class.FirstAttempts * (1 - fraction)}
 		for stage, x := range byStage {
 			demand[at[stage]] += x
 		}
