--- a/internal/cluster/overload/adapter/adapter.go
+++ b/internal/cluster/overload/adapter/adapter.go
@@ -1,6 +1,6 @@
-// Package adapter connects overload handling, shared probes and lent retry budgets (package overload and those below) to a pooler's core and
-// to the cluster: requests, probe results and budgets go in, shedding policies, probes and lent retries come out. It serves sockets and
-// virtual time alike.
+// Package adapter connects overload handling, shared probes and lent retry budgets (package overload and its subpackages) to a pooler's core
+// and to the cluster: requests, probe results and budgets go in, shedding policies, probes and lent retries come out. It works with sockets
+// and in virtual time.
 package adapter
 
 import (
@@ -18,33 +18,33 @@
 
 // Core is the part of a pooler's core that the adapter uses.
 type Core interface {
-	SetShedding(group int, s *decide.SheddingPolicy)
+	SetShedding(group int, policy *decide.SheddingPolicy)
 	AverageWork() []float64
 	Names() (classes, tenants []string)
 	DecisionSettings() *decide.Settings
-	CheckHealth(store string)
-	SetRetryBudget(b *retrybudget.Settings, returns float64)
+	CheckHealth(server string)
+	SetRetryBudget(settings *retrybudget.Settings, recoveryRampRate float64)
 	RetryBudgets() []decide.RetryBudget
-	AddRetryBudget(more map[int]float64)
-	HealthCheckReported(store string, result decide.Result, said attempts.Report, ageMs float64)
+	AddRetryBudget(amounts map[int]float64)
+	HealthCheckReported(server string, result decide.Result, report attempts.Report, ageMs float64)
 }
 
 // Host sends messages and runs timers.
 type Host interface {
 	module.Transport
-	At(ms float64, do func())
+	At(ms float64, callback func())
 }
 
 // Options configure an Adapter.
 type Options struct {
-	SheddingEnabled     bool // overload is handled by all poolers together
+	SheddingEnabled     bool // the poolers handle overload together
 	Shedding            overload.Settings
-	ProbeSharingEnabled bool // probes are shared
+	ProbeSharingEnabled bool
 	Probes              overload.ProbeSettings
 	RetryBounds
 }
 
-// Adapter is a pooler's side. It implements module.Module and the core's observer of requests. Its methods are called on the event loop.
+// Adapter is the adapter of one pooler. It implements module.Module and core.DemandObserver. Its methods are called on the event loop.
 type Adapter struct {
 	options      Options
 	core         Core
@@ -53,9 +53,9 @@
 	probes       *overload.ProbeSharing
 	budget       *budgetlease.Lender
 	actions      []overload.Action
-	probesDue    float64
-	contractSize int // classes and tenants that the settings had
-	learnedAt    float64
+	probesDue    float64                    // time of the timer for the next probe
+	settingsSize int                        // numbers of classes and tenants in the last settings
+	learnedAt    float64                    // time of the last sample of the work of classes
 	shedding     map[int]*overload.Shedding // by resource
 
 	checks        *invariant.Checks
@@ -63,17 +63,17 @@
 }
 
 // New returns an Adapter that is to be registered with the cluster node and the core.
-func New(opt Options, c Core, h Host) *Adapter {
-	return &Adapter{options: opt, core: c, host: h, shedding: map[int]*overload.Shedding{}}
+func New(options Options, core Core, host Host) *Adapter {
+	return &Adapter{options: options, core: core, host: host, shedding: map[int]*overload.Shedding{}}
 }
 
-// CheckInvariants makes its parts check their invariants, at one tick of interval.
-func (adapter *Adapter) CheckInvariants(c *invariant.Checks, every int) {
-	if adapter.checks, adapter.checkInterval = c, every; adapter.controller != nil {
-		adapter.controller.CheckInvariants(c, every)
+// CheckInvariants makes the controller and the shared probes check their invariants, once in interval ticks.
+func (adapter *Adapter) CheckInvariants(checks *invariant.Checks, interval int) {
+	if adapter.checks, adapter.checkInterval = checks, interval; adapter.controller != nil {
+		adapter.controller.CheckInvariants(checks, interval)
 	}
 	if adapter.probes != nil {
-		adapter.probes.CheckInvariants(c, every)
+		adapter.probes.CheckInvariants(checks, interval)
 	}
 }
 
@@ -91,25 +91,25 @@
 	return overload.Decode(b)
 }
 
-// contracts returns the settings with the classes and tenants as they are now.
-func (adapter *Adapter) contracts() overload.Settings {
-	set, out := adapter.core.DecisionSettings(), adapter.options.Shedding
+// currentSettings returns the settings of overload with the current classes and tenants.
+func (adapter *Adapter) currentSettings() overload.Settings {
+	settings, out := adapter.core.DecisionSettings(), adapter.options.Shedding
 	classes, tenants := adapter.core.Names()
-	for i, c := range set.Classes {
+	for i, class := range settings.Classes {
 		if i < len(classes) {
-			out.Classes = append(out.Classes, overload.Class{Name: classes[i], Priority: c.PriorityWeight, ObjectiveMs: float64(c.LatencyObjective) / float64(time.Millisecond), NotIdempotent: c.Idempotency == decide.NotIdempotent})
+			out.Classes = append(out.Classes, overload.Class{Name: classes[i], Priority: class.PriorityWeight, ObjectiveMs: float64(class.LatencyObjective) / float64(time.Millisecond), NotIdempotent: class.Idempotency == decide.NotIdempotent})
 		}
 	}
 	all := 0.0
-	for _, t := range set.Tenants {
-		all += t.RateLimit
+	for _, tenant := range settings.Tenants {
+		all += tenant.RateLimit
 	}
-	for i, t := range set.Tenants {
+	for i, tenant := range settings.Tenants {
 		if i < len(tenants) {
-			out.Tenants = append(out.Tenants, overload.Tenant{Name: tenants[i], Share: t.RateLimit / max(all, 1e-9)})
+			out.Tenants = append(out.Tenants, overload.Tenant{Name: tenants[i], Share: tenant.RateLimit / max(all, 1e-9)})
 		}
 	}
-	adapter.contractSize = len(set.Classes) + len(set.Tenants)<<16
+	adapter.settingsSize = len(settings.Classes) + len(settings.Tenants)<<16
 	return out
 }
 
@@ -123,14 +123,14 @@
 	}
 	now := adapter.host.Now()
 	if adapter.controller == nil && adapter.options.SheddingEnabled {
-		adapter.controller = overload.New(adapter.contracts(), self, now)
+		adapter.controller = overload.New(adapter.currentSettings(), self, now)
 		adapter.controller.CheckInvariants(adapter.checks, adapter.checkInterval)
 	}
 	if adapter.probes == nil && adapter.options.ProbeSharingEnabled {
 		adapter.probes = overload.NewProbes(adapter.options.Probes, self, now)
 		adapter.probes.CheckInvariants(adapter.checks, adapter.checkInterval)
 	}
-	adapter.updateLenders(self, peers)
+	adapter.updateLender(self, peers)
 	if adapter.controller != nil {
 		adapter.handle(overload.MembersChanged{Self: self, Peers: peers})
 	}
@@ -161,8 +161,8 @@
 func (adapter *Adapter) Tick() {
 	now := adapter.host.Now()
 	if adapter.controller != nil {
-		if set := adapter.core.DecisionSettings(); len(set.Classes)+len(set.Tenants)<<16 != adapter.contractSize {
-			adapter.handle(overload.SettingsChanged{Settings: adapter.contracts()})
+		if settings := adapter.core.DecisionSettings(); len(settings.Classes)+len(settings.Tenants)<<16 != adapter.settingsSize {
+			adapter.handle(overload.SettingsChanged{Settings: adapter.currentSettings()})
 		}
 		if now-adapter.learnedAt >= learnIntervalMs {
 			adapter.learnedAt = now
@@ -179,24 +179,25 @@
 // Leave implements module.Module. What this process reported expires by itself.
 func (adapter *Adapter) Leave() {}
 
-// Received is called by the core.
-func (adapter *Adapter) Received(group, class, tenant int, again, in bool) {
-	adapter.handle(overload.RequestReceived{Group: adapter.resource(group, class), Class: class, Tenant: tenant, Retry: again, Admitted: in})
+// Received implements core.DemandObserver.
+func (adapter *Adapter) Received(group, class, tenant int, retry, admitted bool) {
+	adapter.handle(overload.RequestReceived{Group: adapter.resource(group, class), Class: class, Tenant: tenant, Retry: retry, Admitted: admitted})
 }
 
-// Ended is called by the core.
-func (adapter *Adapter) Ended(group, class int, served, gone bool, strain float64) {
-	adapter.handle(overload.RequestEnded{Group: adapter.resource(group, class), Class: class, Served: served, ClientGone: gone, Strain: strain})
+// Ended implements core.DemandObserver.
+func (adapter *Adapter) Ended(group, class int, served, clientGone bool, strain float64) {
+	adapter.handle(overload.RequestEnded{Group: adapter.resource(group, class), Class: class, Served: served, ClientGone: clientGone, Strain: strain})
 }
 
+// handle passes an event to the controller and carries out the actions. The core may call the adapter again meanwhile.
 func (adapter *Adapter) handle(e overload.Event) {
 	if adapter.controller == nil {
 		return
 	}
-	acts := adapter.controller.Handle(adapter.host.Now(), e, adapter.actions[:0])
-	adapter.actions = nil
-	for i := range acts {
-		switch a := &acts[i]; a.Kind {
+	actions := adapter.controller.Handle(adapter.host.Now(), e, adapter.actions[:0])
+	adapter.actions = nil // a nested call must not reuse the slice
+	for i := range actions {
+		switch a := &actions[i]; a.Kind {
 		case overload.SendReport:
 			adapter.host.Send(a.Addr, a.To, module.KindOverload, outgoingReport(a.Report))
 		case overload.SendDecisions:
@@ -205,80 +206,81 @@
 			adapter.shed(a.Group, a.Shedding)
 		}
 	}
-	clear(acts)
-	adapter.actions = acts
+	clear(actions)
+	adapter.actions = actions
 }
 
-// resource returns the number by which a group is reported for a class: one for its primary, another for any of its servers. Each has a
-// level of its own.
+// resource returns the number by which a group is reported for a class: one number for requests that only its primary may serve, another
+// for all other requests. Each has a level of its own.
 func (adapter *Adapter) resource(group, class int) int {
-	if set := adapter.core.DecisionSettings(); class >= 0 && class < len(set.Classes) && (set.Classes[class].Read == decide.Write || set.Classes[class].Read == decide.ReadFresh) {
+	if settings := adapter.core.DecisionSettings(); class >= 0 && class < len(settings.Classes) && (settings.Classes[class].Read == decide.Write || settings.Classes[class].Read == decide.ReadFresh) {
 		return 2*group + 1
 	}
 	return 2 * group
 }
 
-// shed gives the decision module what both of a group's levels say.
-func (adapter *Adapter) shed(resource int, p *overload.Shedding) {
-	if adapter.shedding[resource] = p; p == nil {
+// shed records the shedding of one of a group's two resources and gives the decision module the policy that combines both.
+func (adapter *Adapter) shed(resource int, shedding *overload.Shedding) {
+	if adapter.shedding[resource] = shedding; shedding == nil {
 		delete(adapter.shedding, resource)
 	}
-	group, set := resource/2, adapter.core.DecisionSettings()
-	n := len(set.Classes)
-	s := &decide.SheddingPolicy{Levels: make([]float64, n), Ranks: make([][4]int, n), OverQuotaIndex: make([]int, n), OverQuota: make([][2]float64, len(set.Tenants)),
+	group, settings := resource/2, adapter.core.DecisionSettings()
+	n := len(settings.Classes)
+	policy := &decide.SheddingPolicy{Levels: make([]float64, n), Ranks: make([][4]int, n), OverQuotaIndex: make([]int, n), OverQuota: make([][2]float64, len(settings.Tenants)),
 		RankLifetime: time.Duration(adapter.options.Shedding.SessionPeriod * float64(time.Millisecond))}
-	on := false
-	for i := range set.Classes {
-		s.OverQuotaIndex[i] = adapter.resource(group, i) & 1
-		if p := adapter.shedding[2*group+s.OverQuotaIndex[i]]; p != nil && i < len(p.Cells) {
-			s.Levels[i], s.Ranks[i], on = p.Level, p.Cells[i], true
+	active := false
+	for i := range settings.Classes {
+		policy.OverQuotaIndex[i] = adapter.resource(group, i) & 1
+		if own := adapter.shedding[2*group+policy.OverQuotaIndex[i]]; own != nil && i < len(own.Cells) {
+			policy.Levels[i], policy.Ranks[i], active = own.Level, own.Cells[i], true
 		}
 	}
-	if !on {
+	if !active {
 		adapter.core.SetShedding(group, nil)
 		return
 	}
 	for k := range 2 {
-		if p := adapter.shedding[2*group+k]; p != nil {
-			for i := range min(len(s.OverQuota), len(p.BeyondQuota)) {
-				s.OverQuota[i][k] = p.BeyondQuota[i]
+		if own := adapter.shedding[2*group+k]; own != nil {
+			for i := range min(len(policy.OverQuota), len(own.BeyondQuota)) {
+				policy.OverQuota[i][k] = own.BeyondQuota[i]
 			}
 		}
 	}
-	adapter.core.SetShedding(group, s)
+	adapter.core.SetShedding(group, policy)
 }
 
-// Prober is the part of an Adapter that shares probes.
+// Prober is the part of an Adapter that shares probes. It implements core.HealthCheckSharer.
 type Prober struct{ *Adapter }
 
-// Delegates is called by the core.
-func (j Prober) Delegates(store string) bool {
-	if j.probes == nil {
+// Delegates implements core.HealthCheckSharer.
+func (prober Prober) Delegates(server string) bool {
+	if prober.probes == nil {
 		return false
 	}
-	j.handleProbeActions(j.probes.RequestProbe(j.host.Now(), store, nil))
+	prober.handleProbeActions(prober.probes.RequestProbe(prober.host.Now(), server, nil))
 	return true
 }
 
-// Ended is called by the core.
-func (j Prober) Ended(store string, result decide.Result, said attempts.Report) bool {
-	if j.probes == nil {
+// Ended implements core.HealthCheckSharer.
+func (prober Prober) Ended(server string, result decide.Result, report attempts.Report) bool {
+	if prober.probes == nil {
 		return false
 	}
-	f := overload.Finding{Kind: uint8(result), Role: uint8(said.Role)}
+	finding := overload.Finding{Kind: uint8(result), Role: uint8(report.Role)}
 	if result != decide.OK {
-		f.Result = overload.Unhealthy
+		finding.Result = overload.Unhealthy
 	}
-	if said.HasPos {
-		f.Position = said.Position
+	if report.HasPos {
+		finding.Position = report.Position
 	}
-	j.handleProbeActions(j.probes.ProbeEnded(j.host.Now(), store, f, nil))
+	prober.handleProbeActions(prober.probes.ProbeEnded(prober.host.Now(), server, finding, nil))
 	return true
 }
 
-func (adapter *Adapter) handleProbeActions(acts []overload.ProbeAction) {
-	for i := range acts {
-		switch a := &acts[i]; {
+// handleProbeActions carries out the actions of shared probes and sets a timer for the next probe that is due.
+func (adapter *Adapter) handleProbeActions(actions []overload.ProbeAction) {
+	for i := range actions {
+		switch a := &actions[i]; {
 		case a.Probe != "":
 			adapter.core.CheckHealth(a.Probe)
 		case a.Request != nil:
@@ -286,11 +288,11 @@
 		case a.Response != nil:
 			adapter.host.Send(a.Addr, a.To, module.KindOverload, a.Response)
 		case a.Report:
-			said := attempts.Report{Role: decide.Role(min(a.Role, uint8(decide.RoleReplica))), HasPos: a.Position > 0}
-			if said.HasPos {
-				said.Position = a.Position
+			report := attempts.Report{Role: decide.Role(min(a.Role, uint8(decide.RoleReplica))), HasPos: a.Position > 0}
+			if report.HasPos {
+				report.Position = a.Position
 			}
-			adapter.core.HealthCheckReported(a.Server, decide.Result(min(a.Kind, uint8(decide.Misdirected))), said, a.Age)
+			adapter.core.HealthCheckReported(a.Server, decide.Result(min(a.Kind, uint8(decide.Misdirected))), report, a.Age)
 		}
 	}
 	if due := adapter.probes.Due(); due < adapter.probesDue || adapter.probesDue <= adapter.host.Now() {
--- a/internal/cluster/overload/adapter/byzantine.go
+++ b/internal/cluster/overload/adapter/byzantine.go
@@ -9,12 +9,12 @@
 	"beechgrade/internal/testkit/byzantine"
 )
 
-// outgoingReport and outgoingDecisions falsify what is sent to other poolers as the variable LIE of the
-// environment says: a byzantine pooler for rehearsals.
-func outgoingReport(t *overload.LoadReport) *overload.LoadReport {
-	return byzantine.AlterLoad(t, byzantine.RateFactors[os.Getenv("LIE")])
+// outgoingReport and outgoingDecisions falsify messages to other poolers, as selected by the environment variable LIE. This makes the
+// process a byzantine pooler, for rehearsals.
+func outgoingReport(report *overload.LoadReport) *overload.LoadReport {
+	return byzantine.AlterLoad(report, byzantine.RateFactors[os.Getenv("LIE")])
 }
 
-func outgoingDecisions(a *overload.ShedDecisions) *overload.ShedDecisions {
-	return byzantine.AlterLoad(a, byzantine.RateFactors[os.Getenv("LIE")])
+func outgoingDecisions(decisions *overload.ShedDecisions) *overload.ShedDecisions {
+	return byzantine.AlterLoad(decisions, byzantine.RateFactors[os.Getenv("LIE")])
 }
--- a/internal/cluster/overload/adapter/retrybudget.go
+++ b/internal/cluster/overload/adapter/retrybudget.go
@@ -9,7 +9,8 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// RetryBounds configures how many of a group's requests may be retried or hedged, and how fast connections to a returned server are opened.
+// RetryBounds configure how many of a group's requests may be retried or hedged, and how fast connections to a server that has returned are
+// opened.
 type RetryBounds struct {
 	RetryBudgetEnabled bool
 	AttemptShare       float64
@@ -17,28 +18,28 @@
 	SpanMs             float64
 	LendingEnabled     bool
 	Lending            budgetlease.Settings
-	RecoveryRampRate   float64 // connections a second of the fleet to one server, 0 for any number
+	RecoveryRampRate   float64 // connections a second that the fleet opens to a server that has returned, 0 for no limit
 }
 
-// DefaultRetryBounds returns the bounds of (repeats) without further settings.
+// DefaultRetryBounds returns the bounds that (repeats) sets without further settings.
 func DefaultRetryBounds() RetryBounds {
 	return RetryBounds{AttemptShare: 0.1, Floor: 10, SpanMs: 10000, LendingEnabled: true, Lending: budgetlease.Defaults()}
 }
 
-// Begin sets the retry budgets that need no other pooler.
+// Begin sets the limits that need no other pooler: the retry budget and the rate of connections to servers that have returned.
 func (adapter *Adapter) Begin() {
-	b := &adapter.options.RetryBounds
-	var r *retrybudget.Settings
-	if b.RetryBudgetEnabled {
-		r = &retrybudget.Settings{AttemptShare: b.AttemptShare, Floor: b.Floor, Span: time.Duration(b.SpanMs * float64(time.Millisecond))}
+	bounds := &adapter.options.RetryBounds
+	var settings *retrybudget.Settings
+	if bounds.RetryBudgetEnabled {
+		settings = &retrybudget.Settings{AttemptShare: bounds.AttemptShare, Floor: bounds.Floor, Span: time.Duration(bounds.SpanMs * float64(time.Millisecond))}
 	}
-	if r != nil || b.RecoveryRampRate > 0 {
-		adapter.core.SetRetryBudget(r, b.RecoveryRampRate)
+	if settings != nil || bounds.RecoveryRampRate > 0 {
+		adapter.core.SetRetryBudget(settings, bounds.RecoveryRampRate)
 	}
 }
 
-// updateLenders reports the processes that can be reached.
-func (adapter *Adapter) updateLenders(self view.ID, peers []overload.Peer) {
+// updateLender passes the processes that can be reached to the lender, which it creates first if lending is enabled.
+func (adapter *Adapter) updateLender(self view.ID, peers []overload.Peer) {
 	if !adapter.options.RetryBudgetEnabled || !adapter.options.LendingEnabled {
 		return
 	}
@@ -49,30 +50,31 @@
 	adapter.budget.UpdateMembers(self, peers)
 }
 
-// reportBalances reports the budgets of the decision module.
+// reportBalances reports the retry budgets of the decision module to the lender.
 func (adapter *Adapter) reportBalances() {
 	if adapter.budget == nil {
 		return
 	}
-	all := adapter.core.RetryBudgets()
-	told := make([]budgetlease.Balance, len(all))
-	for i, s := range all {
-		told[i] = budgetlease.Balance(s)
+	budgets := adapter.core.RetryBudgets()
+	balances := make([]budgetlease.Balance, len(budgets))
+	for i, budget := range budgets {
+		balances[i] = budgetlease.Balance(budget)
 	}
-	adapter.handleBudgetActions(adapter.budget.Tick(adapter.host.Now(), told, nil))
+	adapter.handleBudgetActions(adapter.budget.Tick(adapter.host.Now(), balances, nil))
 }
 
-func (adapter *Adapter) handleBudgetActions(acts []budgetlease.Action) {
-	moved := map[int]float64{}
-	for i := range acts {
-		switch a := &acts[i]; {
+// handleBudgetActions carries out the actions of the lender.
+func (adapter *Adapter) handleBudgetActions(actions []budgetlease.Action) {
+	amounts := map[int]float64{}
+	for i := range actions {
+		switch a := &actions[i]; {
 		case a.Transfer != nil:
 			adapter.host.Send(a.Addr, a.To, adapter.Kind(), a.Transfer)
 		case a.Request != nil:
 			adapter.host.Send(a.Addr, a.To, adapter.Kind(), a.Request)
 		default:
-			moved[a.Group] += a.Amount
+			amounts[a.Group] += a.Amount
 		}
 	}
-	adapter.core.AddRetryBudget(moved)
+	adapter.core.AddRetryBudget(amounts)
 }
--- a/internal/cluster/overload/budgetlease/bytes_test.go
+++ b/internal/cluster/overload/budgetlease/bytes_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-// TestBytes: the bytes of a message stay what poolers of other versions read.
+// TestBytes: the encoding of messages does not change, so that poolers of other versions can decode them.
 func TestBytes(t *testing.T) {
 	items := []Item{{7, 1.5}, {1 << 30, 0}}
 	for name, c := range map[string]struct {
 		message interface{ Append([]byte) []byte }
 		want    string
 	}{
-		"a gift":    {&Transfer{300, items}, "10ac02020760808080800400"},
-		"a request": {&TransferRequest{300, items}, "11ac02020760808080800400"},
+		"a transfer": {&Transfer{300, items}, "10ac02020760808080800400"},
+		"a request":  {&TransferRequest{300, items}, "11ac02020760808080800400"},
 	} {
 		b := c.message.Append(nil)
 		if got := hex.EncodeToString(b); got != c.want {
-			t.Errorf("%s: %s, want %s", name, got, c.want)
+			t.Errorf("%s is encoded as %s, want %s", name, got, c.want)
 		}
 		if got, err := Decode(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s is decoded as %+v, %v", name, got, err)
 		}
 	}
 }
--- a/internal/cluster/overload/budgetlease/lender.go
+++ b/internal/cluster/overload/budgetlease/lender.go
@@ -20,8 +20,8 @@
 type Settings struct {
 	TransferInterval float64 // between two transfers to a bank
 	RequestInterval  float64 // between two requests to a bank
-	OwnReserve       float64 // that a pooler keeps for itself
-	MaxBankBalance   float64 // that a bank holds for a group
+	OwnReserve       float64 // amount of a group that a pooler does not transfer
+	MaxBankBalance   float64 // largest amount of a group that a bank holds
 	TickInterval     float64 // between two ticks
 }
 
@@ -30,30 +30,30 @@
 	return Settings{TransferInterval: 250, RequestInterval: 150, OwnReserve: 1, MaxBankBalance: 40, TickInterval: 50}
 }
 
-// Bounds of what is taken from outside.
+// Limits of received data and of state.
 const (
 	GroupsPerBlock = overload.GroupsPerBlock
 	MaxGroups      = overload.MaxGroups
 	MaxPeers       = overload.MaxPeers
-	maxRequested   = 64
+	maxRequested   = 64 // retries in an item of a request
 )
 
-// WaitBound bounds the time that a request waits for a transfer, if the bank has any.
+// WaitBound bounds the time that a request waits for a transfer, if the bank has a balance.
 func (s *Settings) WaitBound(delay float64) float64 {
 	return s.RequestInterval + s.TickInterval + 2*delay
 }
 
-// TrafficBound bounds the datagrams a second that a pooler sends for a number of groups, without answers.
+// TrafficBound bounds the datagrams a second that a pooler sends for a number of groups, without its answers as a bank.
 func (s *Settings) TrafficBound(groups int) float64 {
 	return math.Ceil(float64(groups)/GroupsPerBlock) * (1000/s.TransferInterval + 1000/s.RequestInterval)
 }
 
-// SavedBound bounds what n poolers, each up to depth, and a bank may have saved up for a group.
+// SavedBound bounds the retries that n poolers, each up to depth, and a bank may have saved up for a group.
 func (s *Settings) SavedBound(n int, depth float64) float64 {
 	return float64(n)*depth + s.MaxBankBalance
 }
 
-// Balance is the budget that the decision module has for a group, and the number of requests that wait for more.
+// Balance is the retry budget of a group in the decision module, and the number of requests that wait for a larger one.
 type Balance struct {
 	Group     int
 	Remaining float64
@@ -78,52 +78,52 @@
 	Amount float64
 }
 
-// Action is something that a Lender asks its caller to do.
+// Action is an output of a Lender, which its caller carries out.
 type Action struct {
 	To       ID
 	Addr     string
 	Transfer *Transfer
 	Request  *TransferRequest
-	Group    int // without a message: the decision module has Amount more of it, or less
+	Group    int // without a message: the group whose budget in the decision module changes by Amount
 	Amount   float64
 }
 
-// Lender is one process's side: a pooler and, for some blocks, the bank. It is not safe for concurrent use.
+// Lender is the lending state of one process, which is a pooler and, for some blocks, the bank. It is not safe for concurrent use.
 type Lender struct {
 	settings     Settings
 	self         ID
 	now          float64
 	peers        []Peer
 	addresses    map[ID]string
-	banks        map[int]ID // by block
-	balances     map[int]*bankBalance
+	banks        map[int]ID           // by block
+	balances     map[int]*bankBalance // by group
 	sequence     uint32
 	lastTransfer map[ID]uint32 // sequence number of the last transfer, by sender
-	lastRequest  map[ID]uint32
+	lastRequest  map[ID]uint32 // sequence number of the last request, by sender
 	nextTransfer float64
-	nextRequest  map[int]float64 // by block: the earliest time
+	nextRequest  map[int]float64 // earliest time of the next request, by block
 	checks       *invariant.Checks
 }
 
-// bankBalance is what a bank holds for a group, and the sums of what was deposited and withdrawn.
+// bankBalance is the amount that a bank holds for a group, and the sums of deposits and withdrawals.
 type bankBalance struct{ amount, deposited, withdrawn float64 }
 
-// New returns the Lender of a process that knows nobody, at time now in ms.
-func New(set Settings, self ID, now float64) *Lender {
-	return &Lender{settings: set, self: self, now: now, addresses: map[ID]string{}, banks: map[int]ID{}, balances: map[int]*bankBalance{}, lastTransfer: map[ID]uint32{},
-		lastRequest: map[ID]uint32{}, nextRequest: map[int]float64{}, nextTransfer: now + float64(self%1000)/1000*set.TransferInterval}
+// New returns the Lender of a process that knows no other process, at time now in ms.
+func New(settings Settings, self ID, now float64) *Lender {
+	return &Lender{settings: settings, self: self, now: now, addresses: map[ID]string{}, banks: map[int]ID{}, balances: map[int]*bankBalance{}, lastTransfer: map[ID]uint32{},
+		lastRequest: map[ID]uint32{}, nextRequest: map[int]float64{}, nextTransfer: now + float64(self%1000)/1000*settings.TransferInterval}
 }
 
 // CheckInvariants makes the Lender check its invariants.
-func (l *Lender) CheckInvariants(c *invariant.Checks) { l.checks = c }
+func (l *Lender) CheckInvariants(checks *invariant.Checks) { l.checks = checks }
 
 // UpdateMembers sets the processes that can be reached, this one included.
 func (l *Lender) UpdateMembers(self ID, peers []Peer) {
 	l.self, l.peers = self, peers[:min(len(peers), MaxPeers)]
 	clear(l.addresses)
 	clear(l.banks)
-	for _, p := range l.peers {
-		l.addresses[p.ID] = p.Addr
+	for _, peer := range l.peers {
+		l.addresses[peer.ID] = peer.Addr
 	}
 	for id := range l.lastTransfer { // a process never returns with the same ID once the view has dropped it
 		if len(l.lastTransfer) > MaxPeers && l.addresses[id] == "" {
@@ -146,109 +146,113 @@
 	return id
 }
 
+// wholeUnits rounds an amount down to whole units of messages.
 func wholeUnits(x float64) float64 { return math.Floor(max(0, x)*unitsPerRetry) / unitsPerRetry }
 
+// balance returns the bank's balance of a group and creates it for an unknown one. Beyond MaxGroups groups it is not stored.
 func (l *Lender) balance(group int) *bankBalance {
-	v := l.balances[group]
-	if v == nil {
-		if v = (&bankBalance{}); len(l.balances) < MaxGroups {
-			l.balances[group] = v
+	b := l.balances[group]
+	if b == nil {
+		if b = (&bankBalance{}); len(l.balances) < MaxGroups {
+			l.balances[group] = b
 		}
 	}
-	return v
+	return b
 }
 
-func (l *Lender) deposit(group int, x float64) {
-	v := l.balance(group)
-	x = min(x, max(0, l.settings.MaxBankBalance-v.amount))
-	v.amount, v.deposited = v.amount+x, v.deposited+x
+// deposit adds an amount to a balance, up to MaxBankBalance.
+func (l *Lender) deposit(group int, amount float64) {
+	b := l.balance(group)
+	amount = min(amount, max(0, l.settings.MaxBankBalance-b.amount))
+	b.amount, b.deposited = b.amount+amount, b.deposited+amount
 }
 
-// withdraw takes up to x and returns what it took.
-func (l *Lender) withdraw(group int, x float64) float64 {
-	v := l.balance(group)
-	x = min(x, v.amount)
-	v.amount, v.withdrawn = v.amount-x, v.withdrawn+x
-	l.checks.That(v.amount >= 0 && v.withdrawn <= v.deposited+1e-6, "budgetlease: nothing is lent twice", func() string { return fmt.Sprintf("group %d: %+v", group, *v) })
-	return x
+// withdraw takes up to an amount from a balance and returns the amount taken.
+func (l *Lender) withdraw(group int, amount float64) float64 {
+	b := l.balance(group)
+	amount = min(amount, b.amount)
+	b.amount, b.withdrawn = b.amount-amount, b.withdrawn+amount
+	l.checks.That(b.amount >= 0 && b.withdrawn <= b.deposited+1e-6, "budgetlease: nothing is lent twice", func() string { return fmt.Sprintf("group %d: %+v", group, *b) })
+	return amount
 }
 
 // Tick reports that time has passed, and the budgets of the decision module.
-func (l *Lender) Tick(now float64, all []Balance, out []Action) []Action {
+func (l *Lender) Tick(now float64, balances []Balance, out []Action) []Action {
 	l.now = max(now, l.now)
-	gives, wants := map[int][]Item{}, map[int][]Item{} // by block
+	transfers, requests := map[int][]Item{}, map[int][]Item{} // by block
 	due := l.now >= l.nextTransfer
 	if due {
 		l.nextTransfer = l.now + l.settings.TransferInterval
 	}
-	for _, s := range all {
-		block, mine := s.Group/GroupsPerBlock, l.bank(s.Group/GroupsPerBlock) == l.self
-		lacks := min(maxRequested, float64(s.Waiting))
-		switch more := wholeUnits(s.Remaining - l.settings.OwnReserve); {
-		case s.Waiting > 0 && s.Remaining < lacks:
-			more = lacks
-			if x := l.withdraw(s.Group, wholeUnits(more)); x > 0 {
-				out, more = append(out, Action{Group: s.Group, Amount: x}), more-x
+	for _, balance := range balances {
+		block, isBank := balance.Group/GroupsPerBlock, l.bank(balance.Group/GroupsPerBlock) == l.self
+		needed := min(maxRequested, float64(balance.Waiting))
+		switch amount := wholeUnits(balance.Remaining - l.settings.OwnReserve); {
+		case balance.Waiting > 0 && balance.Remaining < needed:
+			amount = needed
+			if withdrawn := l.withdraw(balance.Group, wholeUnits(amount)); withdrawn > 0 {
+				out, amount = append(out, Action{Group: balance.Group, Amount: withdrawn}), amount-withdrawn
 			}
-			if !mine && more > 0 && l.now >= l.nextRequest[block] {
-				wants[block] = append(wants[block], Item{s.Group, more})
+			if !isBank && amount > 0 && l.now >= l.nextRequest[block] {
+				requests[block] = append(requests[block], Item{balance.Group, amount})
 			}
-		case due && s.Waiting == 0 && more > 0:
-			out = append(out, Action{Group: s.Group, Amount: -more})
-			if mine {
-				l.deposit(s.Group, more)
+		case due && balance.Waiting == 0 && amount > 0:
+			out = append(out, Action{Group: balance.Group, Amount: -amount})
+			if isBank {
+				l.deposit(balance.Group, amount)
 			} else {
-				gives[block] = append(gives[block], Item{s.Group, more})
+				transfers[block] = append(transfers[block], Item{balance.Group, amount})
 			}
 		}
 	}
-	if due {
-		for group, v := range l.balances { // sorted below
-			if v.amount > 0 && l.bank(group/GroupsPerBlock) != l.self {
-				gives[group/GroupsPerBlock] = append(gives[group/GroupsPerBlock], Item{group, l.withdraw(group, v.amount)})
+	if due { // the balances of blocks whose bank is another process now
+		for group, b := range l.balances { // sorted below
+			if b.amount > 0 && l.bank(group/GroupsPerBlock) != l.self {
+				transfers[group/GroupsPerBlock] = append(transfers[group/GroupsPerBlock], Item{group, l.withdraw(group, b.amount)})
 			}
 		}
 	}
-	for _, block := range sortedBlocks(wants) {
+	for _, block := range sortedBlocks(requests) {
 		l.nextRequest[block] = l.now + l.settings.RequestInterval
-		out = l.send(l.bank(block), nil, wants[block], out)
+		out = l.send(l.bank(block), nil, requests[block], out)
 	}
-	for _, block := range sortedBlocks(gives) {
-		out = l.send(l.bank(block), mergeByGroup(gives[block]), nil, out)
+	for _, block := range sortedBlocks(transfers) {
+		out = l.send(l.bank(block), mergeByGroup(transfers[block]), nil, out)
 	}
 	return out
 }
 
-func sortedBlocks(m map[int][]Item) (out []int) {
-	for k := range m {
-		out = append(out, k)
+func sortedBlocks(items map[int][]Item) (out []int) {
+	for block := range items {
+		out = append(out, block)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// mergeByGroup returns one item for each group, by number.
+// mergeByGroup returns one item for each group with the sum of its amounts, sorted by group.
 func mergeByGroup(items []Item) (out []Item) {
 	slices.SortFunc(items, func(a, b Item) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Amount, b.Amount)) })
-	for _, x := range items {
-		if n := len(out); n > 0 && out[n-1].Group == x.Group {
-			out[n-1].Amount += x.Amount
+	for _, item := range items {
+		if n := len(out); n > 0 && out[n-1].Group == item.Group {
+			out[n-1].Amount += item.Amount
 			continue
 		}
-		out = append(out, x)
+		out = append(out, item)
 	}
 	return out
 }
 
-func (l *Lender) send(to ID, gives, wants []Item, out []Action) []Action {
+// send emits a Transfer, or a TransferRequest if transfer is nil.
+func (l *Lender) send(to ID, transfer, request []Item, out []Action) []Action {
 	l.sequence++
-	a := Action{To: to, Addr: l.addresses[to]}
-	if gives != nil {
-		a.Transfer = &Transfer{l.sequence, gives}
+	action := Action{To: to, Addr: l.addresses[to]}
+	if transfer != nil {
+		action.Transfer = &Transfer{l.sequence, transfer}
 	} else {
-		a.Request = &TransferRequest{l.sequence, wants}
+		action.Request = &TransferRequest{l.sequence, request}
 	}
-	return append(out, a)
+	return append(out, action)
 }
 
 // Receive handles a message: *Transfer or *TransferRequest.
@@ -263,11 +267,11 @@
 			return out
 		}
 		l.lastTransfer[from] = m.Sequence
-		for _, x := range m.Items {
-			if l.bank(x.Group/GroupsPerBlock) == l.self {
-				l.deposit(x.Group, x.Amount)
+		for _, item := range m.Items {
+			if l.bank(item.Group/GroupsPerBlock) == l.self {
+				l.deposit(item.Group, item.Amount)
 			} else {
-				out = append(out, Action{Group: x.Group, Amount: x.Amount})
+				out = append(out, Action{Group: item.Group, Amount: item.Amount})
 			}
 		}
 	case *TransferRequest:
@@ -275,14 +279,14 @@
 			return out
 		}
 		l.lastRequest[from] = m.Sequence
-		var gives []Item
-		for _, x := range m.Items {
-			if n := l.withdraw(x.Group, x.Amount); n > 0 {
-				gives = append(gives, Item{x.Group, n})
+		var transfer []Item
+		for _, item := range m.Items {
+			if amount := l.withdraw(item.Group, item.Amount); amount > 0 {
+				transfer = append(transfer, Item{item.Group, amount})
 			}
 		}
-		if gives != nil {
-			out = l.send(from, gives, nil, out)
+		if transfer != nil {
+			out = l.send(from, transfer, nil, out)
 		}
 	}
 	return out
--- a/internal/cluster/overload/retrybudget/retrybudget.go
+++ b/internal/cluster/overload/retrybudget/retrybudget.go
@@ -1,10 +1,10 @@
-// Package retrybudget decides whether one pooler may retry or hedge a request of a group, and how fast it opens connections to a server
-// that has returned. The decision module reports each attempt to it, and asks it before another one. It does no I/O, reads no clock and
-// starts no goroutines.
+// Package retrybudget decides whether a pooler may retry or hedge a request of a group, and how fast it opens connections to a server that
+// has returned. The decision module reports each attempt to it, and asks it before a retry or a hedged request. It does no I/O, reads no
+// clock and starts no goroutines.
 //
-// Both limits hold for the sum of all poolers without any messages, as each pooler has a part of its own: Settings.MaxRetries bounds the
-// retries of a group, and a rate of connections a second those to a server that returned. Poolers lend each other what they do not use with
-// package budgetlease; without other poolers each one has its own part.
+// Both limits hold for the sum of all poolers without any messages, as each pooler has its own part of them: Settings.MaxRetries bounds the
+// retries of a group, and a rate of connections a second bounds those to a server that has returned. With package budgetlease poolers lend
+// each other the retries that they do not use.
 //
 // It does not know whether a retry helps, nor where it is sent.
 package retrybudget
@@ -15,31 +15,31 @@
 	"time"
 )
 
-// Settings says how many hedged requests, and retries of attempts that may have run, a group may have. It is not changed any more.
+// Settings limit the hedged requests of a group, and the retries of attempts that may have run. They are immutable.
 type Settings struct {
 	AttemptShare float64         // retries for each first attempt
-	Floor        float64         // so many more over all poolers, and as many again in each Span
-	Span         time.Duration   //
-	Lent         map[int]float64 // by group: what this pooler was lent since its start, less what it lent
+	Floor        float64         // additional retries over all poolers, at the start and again in each Span
+	Span         time.Duration   // in which the floor is earned again
+	Lent         map[int]float64 // by group: retries borrowed by this pooler since its start, less those that it lent
 }
 
-// minDepth is the least that a pooler may save up, in retries.
+// minDepth is the lower limit of the number of retries that a pooler may save up.
 const minDepth = 2.0
 
-// OwnFloor returns a pooler's part of the floor, among siblings of so many processes each.
-func (b *Settings) OwnFloor(siblings, processes int) float64 {
-	return b.Floor / float64(max(1, siblings)*max(1, processes))
+// OwnFloor returns the part of the floor of one process, with that number of poolers and of processes of each.
+func (settings *Settings) OwnFloor(poolers, processes int) float64 {
+	return settings.Floor / float64(max(1, poolers)*max(1, processes))
 }
 
-// Depth returns how many retries a pooler may save up.
-func (b *Settings) Depth(siblings, processes int) float64 {
-	return max(minDepth, b.OwnFloor(siblings, processes))
+// Depth returns how many retries a process may save up.
+func (settings *Settings) Depth(poolers, processes int) float64 {
+	return max(minDepth, settings.OwnFloor(poolers, processes))
 }
 
-// MaxRetries bounds the retries of a group over all poolers, with a number of first attempts since the first of n processes started. Each
-// process that starts later brings its part of the floor.
-func (b *Settings) MaxRetries(firsts, n, siblings int, since time.Duration) float64 {
-	return b.AttemptShare*float64(firsts) + b.OwnFloor(siblings, 1)*float64(n)*(1+since.Seconds()/b.Span.Seconds())
+// MaxRetries bounds the retries of a group over all poolers, given the first attempts since the first of n processes started. Each process
+// that starts later adds its part of the floor.
+func (settings *Settings) MaxRetries(firstAttempts, n, poolers int, since time.Duration) float64 {
+	return settings.AttemptShare*float64(firstAttempts) + settings.OwnFloor(poolers, 1)*float64(n)*(1+since.Seconds()/settings.Span.Seconds())
 }
 
 // Budgets are the retry budgets of a pooler, by group. Without Settings every retry is allowed.
@@ -49,108 +49,112 @@
 	balances        map[int]*balance
 }
 
+// balance is the number of retries that a group has left, with those earned until a time.
 type balance struct {
 	remaining float64
 	at        time.Duration
 }
 
-// UpdateSettings takes new settings, and what was lent since the previous ones.
-func (a *Budgets) UpdateSettings(now time.Duration, b *Settings, siblings, processes int) {
-	was := a.settings
-	if a.settings = b; b == nil || was == nil {
-		a.balances = nil
+// UpdateSettings applies new settings, and the lending since the previous ones.
+func (budgets *Budgets) UpdateSettings(now time.Duration, settings *Settings, poolers, processes int) {
+	previous := budgets.settings
+	if budgets.settings = settings; settings == nil || previous == nil {
+		budgets.balances = nil
 	}
-	if b == nil {
+	if settings == nil {
 		return
 	}
-	a.ownFloor, a.depth = b.OwnFloor(siblings, processes), b.Depth(siblings, processes)
-	if was == nil {
+	budgets.ownFloor, budgets.depth = settings.OwnFloor(poolers, processes), settings.Depth(poolers, processes)
+	if previous == nil {
 		return
 	}
-	for id, x := range b.Lent { // each on its own
-		if d := x - was.Lent[id]; d != 0 {
-			a.balanceAt(now, id).remaining += d
+	for id, lent := range settings.Lent { // the order does not matter
+		if change := lent - previous.Lent[id]; change != 0 {
+			budgets.balanceAt(now, id).remaining += change
 		}
 	}
 }
 
-// balanceAt returns a group's balance, with what it earned until now.
-func (a *Budgets) balanceAt(now time.Duration, group int) *balance {
-	p := a.balances[group]
-	if p == nil {
-		if a.balances == nil {
-			a.balances = map[int]*balance{}
+// balanceAt returns a group's balance, with the part of the floor earned until now.
+func (budgets *Budgets) balanceAt(now time.Duration, group int) *balance {
+	b := budgets.balances[group]
+	if b == nil {
+		if budgets.balances == nil {
+			budgets.balances = map[int]*balance{}
 		}
-		p = &balance{a.ownFloor, now}
-		a.balances[group] = p
+		b = &balance{budgets.ownFloor, now}
+		budgets.balances[group] = b
 	}
-	p.add(a.ownFloor*(now-p.at).Seconds()/a.settings.Span.Seconds(), a.depth)
-	p.at = now
-	return p
+	b.add(budgets.ownFloor*(now-b.at).Seconds()/budgets.settings.Span.Seconds(), budgets.depth)
+	b.at = now
+	return b
 }
 
-// add adds retries up to a depth; what was lent may exceed that.
-func (p *balance) add(x, depth float64) { p.remaining = max(p.remaining, min(depth, p.remaining+x)) }
+// add adds retries up to a depth. A balance that exceeds the depth by borrowed retries is not lowered.
+func (b *balance) add(retries, depth float64) {
+	b.remaining = max(b.remaining, min(depth, b.remaining+retries))
+}
 
 // Allows reports whether a group may have one more retry.
-func (a *Budgets) Allows(now time.Duration, group int) bool {
-	return a.settings == nil || a.balanceAt(now, group).remaining >= 1
+func (budgets *Budgets) Allows(now time.Duration, group int) bool {
+	return budgets.settings == nil || budgets.balanceAt(now, group).remaining >= 1
 }
 
-// CountAttempt counts an attempt: a request's first one, which earns a part of a retry, or a retry of what may have run, which takes one.
-func (a *Budgets) CountAttempt(now time.Duration, group int, first, again bool) {
+// CountAttempt counts an attempt: a request's first one, which earns a part of a retry, or a retry of an attempt that may have run, or a
+// hedged request, which takes one.
+func (budgets *Budgets) CountAttempt(now time.Duration, group int, first, retry bool) {
 	switch {
-	case a.settings == nil:
+	case budgets.settings == nil:
 	case first:
-		a.balanceAt(now, group).add(a.settings.AttemptShare, a.depth)
-	case again:
-		a.balanceAt(now, group).remaining--
+		budgets.balanceAt(now, group).add(budgets.settings.AttemptShare, budgets.depth)
+	case retry:
+		budgets.balanceAt(now, group).remaining--
 	}
 }
 
-// Remaining returns the retries that a group has.
-func (a *Budgets) Remaining(now time.Duration, group int) float64 {
-	return a.balanceAt(now, group).remaining
+// Remaining returns the number of retries that a group has left.
+func (budgets *Budgets) Remaining(now time.Duration, group int) float64 {
+	return budgets.balanceAt(now, group).remaining
 }
 
-// Groups returns the groups that anything was sent to, sorted.
-func (a *Budgets) Groups() []int {
+// Groups returns the groups with a balance, sorted.
+func (budgets *Budgets) Groups() []int {
 	var out []int
-	for id := range a.balances { // sorted below
+	for id := range budgets.balances { // sorted below
 		out = append(out, id)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// never is a time before all others.
+// never is the return time of a server that was never down.
 const never = time.Duration(math.MinInt64 / 2)
 
-// SlowStartTime is how long the connections to a server that has returned are limited.
+// SlowStartTime is the time for which the connections to a server that has returned are limited.
 const SlowStartTime = 5 * time.Second
 
-// SlowStart limits the connections to a server that was down or is new: when it returned, since when it is used again, and the most
-// connections that this pooler has had there since.
+// SlowStart limits the connections to a server that was down or is new.
 type SlowStart struct {
-	returnedAt, usedSince time.Duration
-	phase                 float64
-	maxConnections        int
+	returnedAt, usedSince time.Duration // when the server returned, and since when it is used again
+	phase                 float64       // in [0, 1), so that poolers open their connections at different times
+	maxConnections        int           // the highest number of connections of this pooler since then
 }
 
 // NewSlowStart returns the SlowStart of a server that was never down.
 func NewSlowStart() SlowStart { return SlowStart{returnedAt: never} }
 
-// ObserveConnections takes the number of connections to the server.
-func (b *SlowStart) ObserveConnections(n int) { b.maxConnections = max(b.maxConnections, n) }
+// ObserveConnections records the number of connections to the server.
+func (s *SlowStart) ObserveConnections(n int) { s.maxConnections = max(s.maxConnections, n) }
 
-// AllowsConnection reports whether there may be one connection more than n: as many as there were, or by this pooler's rate a second since
-// the server is used again. The server returned last at of, and was used from then on if then is true, else it is from now on.
-func (b *SlowStart) AllowsConnection(now, of time.Duration, then bool, n int, rate float64, luck func() float64) bool {
-	if of > b.returnedAt {
-		if *b = (SlowStart{returnedAt: of, usedSince: now}); then {
-			b.usedSince = min(now, of)
+// AllowsConnection reports whether this pooler may open one connection more than its n open ones: up to the highest number since the return,
+// or more by its rate, in connections a second, since the server is used again. returnedAt is the time of the server's last return. The
+// server counts as used since then if usedSinceReturn is true, else from now on. random returns numbers in [0, 1).
+func (s *SlowStart) AllowsConnection(now, returnedAt time.Duration, usedSinceReturn bool, n int, rate float64, random func() float64) bool {
+	if returnedAt > s.returnedAt {
+		if *s = (SlowStart{returnedAt: returnedAt, usedSince: now}); usedSinceReturn {
+			s.usedSince = min(now, returnedAt)
 		}
-		b.phase = luck()
+		s.phase = random()
 	}
-	return n < b.maxConnections || b.returnedAt == never || now-b.usedSince >= SlowStartTime || float64(b.maxConnections) < math.Floor(b.phase+(now-b.usedSince).Seconds()*rate)
+	return n < s.maxConnections || s.returnedAt == never || now-s.usedSince >= SlowStartTime || float64(s.maxConnections) < math.Floor(s.phase+(now-s.usedSince).Seconds()*rate)
 }
--- a/internal/cluster/overload/retrybudget/retrybudget_test.go
+++ b/internal/cluster/overload/retrybudget/retrybudget_test.go
@@ -11,80 +11,81 @@
 
 const sec = time.Second
 
-// TestNeverMoreThanEarned: whatever several poolers send, and lend each other, their repeats together stay within Repeats.Most.
+// TestNeverMoreThanEarned: whatever several poolers send, and lend each other, their retries together stay within Settings.MaxRetries.
 func TestNeverMoreThanEarned(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(rt, "poolers")
-		set := Settings{AttemptShare: rapid.Float64Range(0, 1).Draw(rt, "part"), Floor: rapid.Float64Range(0, 20).Draw(rt, "floor"), Span: 10 * sec}
-		all, lent := make([]Budgets, n), make([]float64, n)
-		for i := range all {
-			b := set
-			all[i].UpdateSettings(0, &b, n, 1)
+		settings := Settings{AttemptShare: rapid.Float64Range(0, 1).Draw(rt, "attempt share"), Floor: rapid.Float64Range(0, 20).Draw(rt, "floor"), Span: 10 * sec}
+		budgets, lent := make([]Budgets, n), make([]float64, n)
+		for i := range budgets {
+			own := settings
+			budgets[i].UpdateSettings(0, &own, n, 1)
 		}
-		now, firsts, again := time.Duration(0), 0, 0
+		now, firstAttempts, retries := time.Duration(0), 0, 0
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(rt, "ms")) * time.Millisecond
-			i := rapid.IntRange(0, n-1).Draw(rt, "who")
-			switch a := &all[i]; rapid.IntRange(0, 3).Draw(rt, "what") {
+			i := rapid.IntRange(0, n-1).Draw(rt, "pooler")
+			switch b := &budgets[i]; rapid.IntRange(0, 3).Draw(rt, "event") {
 			case 0, 1:
-				a.CountAttempt(now, 7, true, false)
-				firsts++
+				b.CountAttempt(now, 7, true, false)
+				firstAttempts++
 			case 2:
-				if a.Allows(now, 7) {
-					a.CountAttempt(now, 7, false, true)
-					again++
+				if b.Allows(now, 7) {
+					b.CountAttempt(now, 7, false, true)
+					retries++
 				}
-			case 3: // all that is whole goes to the next one
-				if x := a.Remaining(now, 7); x > 0 {
+			case 3: // all that remains is lent to the next pooler
+				if x := b.Remaining(now, 7); x > 0 {
 					to := (i + 1) % n
 					lent[i], lent[to] = lent[i]-x, lent[to]+x
 					for _, k := range []int{i, to} {
-						b := set
-						b.Lent = map[int]float64{7: lent[k]}
-						all[k].UpdateSettings(now, &b, n, 1)
+						changed := settings
+						changed.Lent = map[int]float64{7: lent[k]}
+						budgets[k].UpdateSettings(now, &changed, n, 1)
 					}
 				}
 			}
 		}
-		if most := set.MaxRetries(firsts, n, n, now); float64(again) > most+1e-6 {
-			rt.Fatalf("%d repeats of %d first attempts by %d poolers in %v; at most %v", again, firsts, n, now, most)
+		if limit := settings.MaxRetries(firstAttempts, n, n, now); float64(retries) > limit+1e-6 {
+			rt.Fatalf("%d retries for %d first attempts by %d poolers in %v, want at most %v", retries, firstAttempts, n, now, limit)
 		}
 	})
 }
 
 // TestWithoutSettingsEveryRetryIsAllowed: without Settings every retry is allowed.
 func TestWithoutSettingsEveryRetryIsAllowed(t *testing.T) {
-	var a Budgets
+	var budgets Budgets
 	for range 3 {
-		a.CountAttempt(0, 1, false, true)
+		budgets.CountAttempt(0, 1, false, true)
 	}
-	if !a.Allows(0, 1) || len(a.Groups()) != 0 {
-		t.Errorf("refused, or kept %v", a.Groups())
+	if !budgets.Allows(0, 1) || len(budgets.Groups()) != 0 {
+		t.Errorf("a retry is denied, or there are balances of groups %v, want none", budgets.Groups())
 	}
 }
 
-// TestSlowStartLimitsConnections: connections to a server that has returned are opened at the stated rate.
+// TestSlowStartLimitsConnections: 20 poolers together open connections to a server that has returned at the given rate, until SlowStartTime
+// is over.
 func TestSlowStartLimitsConnections(t *testing.T) {
-	all, opened := make([]SlowStart, 20), 0
-	for i := range all {
-		all[i] = NewSlowStart()
-		if !all[i].AllowsConnection(sec, never, false, 30, 0.5, nil) {
-			t.Fatal("a server that was always there is held back")
+	slowStarts, opened := make([]SlowStart, 20), 0
+	for i := range slowStarts {
+		slowStarts[i] = NewSlowStart()
+		if !slowStarts[i].AllowsConnection(sec, never, false, 30, 0.5, nil) {
+			t.Fatal("connections to a server that was never down are limited")
 		}
 	}
 	for now := sec; now < 2*sec; now += 10 * time.Millisecond {
-		for i := range all {
-			luck := func() float64 { return (float64(i) + 0.5) / 20 }
-			for n := all[i].maxConnections; all[i].AllowsConnection(now, sec, true, n, 0.5, luck); n++ {
-				all[i].ObserveConnections(n + 1)
+		for i := range slowStarts {
+			random := func() float64 { return (float64(i) + 0.5) / 20 }
+			for n := slowStarts[i].maxConnections; slowStarts[i].AllowsConnection(now, sec, true, n, 0.5, random); n++ {
+				slowStarts[i].ObserveConnections(n + 1)
 				opened++
 			}
 		}
 	}
 	if opened < 8 || opened > 12 {
-		t.Errorf("%d were opened in the first second, want about 10", opened)
+		t.Errorf("%d connections were opened in the first second, want 8 to 12", opened)
 	}
-	if !all[0].AllowsConnection(sec+SlowStartTime, sec, true, 99, 0.5, nil) {
-		t.Error("one that is back for long is held back")
+	if !slowStarts[0].AllowsConnection(sec+SlowStartTime, sec, true, 99, 0.5, nil) {
+		t.Error("connections are still limited after SlowStartTime")
 	}
 }
