--- a/internal/cluster/outlier/adapter/adapter.go
+++ b/internal/cluster/outlier/adapter/adapter.go
@@ -1,5 +1,5 @@
 // Package adapter connects shared outlier detection (package outlier) to a pooler's core and to the cluster: attempts, health checks and
-// the endpoint list go in, ejections and learned reports come out. It serves sockets and virtual time alike. Without other poolers it does
+// the endpoint list go in, ejections and learned reports come out. It works with sockets and in virtual time. Without other poolers it does
 // nothing.
 package adapter
 
@@ -18,16 +18,16 @@
 // Core is the part of a pooler's core that the adapter uses.
 type Core interface {
 	Snapshot() *decide.Snapshot
-	CheckHealthForObserver(store string)
-	ServerReported(store string, said attempts.Report, ageMs float64)
-	Eject(store string)
-	StartTrial(store string)
+	CheckHealthForObserver(server string)
+	ServerReported(server string, report attempts.Report, ageMs float64)
+	Eject(server string)
+	StartTrial(server string)
 }
 
 // Host sends messages and runs timers.
 type Host interface {
 	module.Transport
-	At(ms float64, do func())
+	At(ms float64, callback func())
 }
 
 // Options configure an Adapter.
@@ -36,7 +36,7 @@
 // EjectionObserver is called for each ejection on shared evidence that starts or ends.
 type EjectionObserver func(ejection outlier.Ejection, started bool)
 
-// Adapter is a pooler's side. It implements module.Module and the core's observer of servers. Its methods are called on the event loop.
+// Adapter is the adapter of one pooler. It implements module.Module and the core's observer of servers. Its methods are called on the event loop.
 type Adapter struct {
 	options       Options
 	core          Core
@@ -45,9 +45,9 @@
 	actions       []outlier.Action
 	listed        map[string]outlier.Server
 	serverRates   map[string]float64 // by server: work done a second, relative to the slowest kind
-	classWork     []float64          // seconds
-	learnedAt     float64
-	onEjection    EjectionObserver // may be nil
+	classWork     []float64          // average work of a request in seconds, by class
+	learnedAt     float64            // time of the last sample of the decision module's estimates
+	onEjection    EjectionObserver   // may be nil
 	checks        *invariant.Checks
 	checkInterval int
 }
@@ -110,7 +110,7 @@
 	adapter.handle(outlier.Tick{})
 }
 
-// learn takes the decision module's estimates of work and rates, and the servers that it has marked down.
+// learn copies the decision module's estimates of work and rates, and passes on the servers that it has marked down.
 func (adapter *Adapter) learn(snapshot *decide.Snapshot) {
 	adapter.classWork = snapshot.ClassWork
 	rate := 0.0
@@ -137,7 +137,7 @@
 // Leave implements module.Module. What this process reported expires by itself.
 func (adapter *Adapter) Leave() {}
 
-// Listed takes an endpoint list, or a part of one that changed.
+// Listed applies an endpoint list, or the changed part of one if complete is false.
 func (adapter *Adapter) Listed(list *discovery.List, complete bool) {
 	if complete {
 		clear(adapter.listed)
@@ -158,13 +158,13 @@
 
 func (adapter *Adapter) updateServers() {
 	var all []outlier.Server
-	for _, x := range adapter.listed { // the detector sorts them
-		all = append(all, x)
+	for _, server := range adapter.listed { // the detector sorts them
+		all = append(all, server)
 	}
 	adapter.handle(outlier.ServersListed{Servers: all})
 }
 
-// attemptRef packs an attempt's ID: the index of its request, 24 bits of the generation and 16 of the attempt's number.
+// attemptRef packs an attempt's ID into 64 bits: the index of its request, 24 bits of the generation and 16 bits of the attempt's number.
 func attemptRef(id attempts.ID) uint64 {
 	const generationMask, numberMask = 1<<24 - 1, 1<<16 - 1
 	return uint64(id.Request.Index)<<40 | uint64(id.Request.Gen&generationMask)<<16 | uint64(id.Number&numberMask)
@@ -190,7 +190,7 @@
 	adapter.handle(outlier.AttemptSent{Server: server, Ref: attemptRef(attempt), Work: max(minWorkMs, work)})
 }
 
-// Ended reports the end of an attempt, and what the server reported with it.
+// Ended reports the end of an attempt, and the server's report with it.
 func (adapter *Adapter) Ended(server string, attempt attempts.ID, result decide.Result, report attempts.Report) {
 	outcome := outlier.Answered
 	switch result {
@@ -207,11 +207,12 @@
 	adapter.handle(outlier.HealthChecked{Server: server, OK: result == decide.OK, Report: reportOf(report)})
 }
 
-// Ejects reports whether a server gets no requests though its health check succeeds.
+// Ejects reports whether this pooler sends a server no requests though its health check succeeds.
 func (adapter *Adapter) Ejects(server string) bool {
 	return adapter.detector != nil && adapter.detector.Withholds(server)
 }
 
+// reportOf converts a server's report; one without a position is empty.
 func reportOf(report attempts.Report) (out outlier.ServerReport) {
 	if !report.HasPos {
 		return out
--- a/internal/cluster/outlier/adapter/byzantine.go
+++ b/internal/cluster/outlier/adapter/byzantine.go
@@ -9,12 +9,12 @@
 	"beechgrade/internal/testkit/byzantine"
 )
 
-// outgoingObservations and outgoingAssessments falsify what is sent to other poolers as the variable LIE of the
-// environment says: a byzantine pooler for rehearsals.
-func outgoingObservations(t *outlier.Observations) *outlier.Observations {
-	return byzantine.AlterServers(t, byzantine.ServerFaults[os.Getenv("LIE")])
+// outgoingObservations and outgoingAssessments falsify messages to other poolers, as selected by the environment variable LIE. This makes the
+// process a byzantine pooler, for rehearsals.
+func outgoingObservations(observations *outlier.Observations) *outlier.Observations {
+	return byzantine.AlterServers(observations, byzantine.ServerFaults[os.Getenv("LIE")])
 }
 
-func outgoingAssessments(w *outlier.Assessments) *outlier.Assessments {
-	return byzantine.AlterServers(w, byzantine.ServerFaults[os.Getenv("LIE")])
+func outgoingAssessments(assessments *outlier.Assessments) *outlier.Assessments {
+	return byzantine.AlterServers(assessments, byzantine.ServerFaults[os.Getenv("LIE")])
 }
--- a/internal/cluster/outlier/adapter/correct.go
+++ b/internal/cluster/outlier/adapter/correct.go
@@ -4,7 +4,9 @@
 
 import "beechgrade/internal/cluster/outlier"
 
-// outgoingObservations and outgoingAssessments return what is sent to other poolers: here unchanged. Rehearsals
-// build a byzantine pooler with the tag liar.
-func outgoingObservations(t *outlier.Observations) *outlier.Observations { return t }
-func outgoingAssessments(w *outlier.Assessments) *outlier.Assessments    { return w }
+// outgoingObservations and outgoingAssessments return messages to other poolers unchanged. Rehearsals build a byzantine pooler, which
+// falsifies them, with the build tag liar.
+func outgoingObservations(observations *outlier.Observations) *outlier.Observations {
+	return observations
+}
+func outgoingAssessments(assessments *outlier.Assessments) *outlier.Assessments { return assessments }
--- a/internal/cluster/outlier/api.go
+++ b/internal/cluster/outlier/api.go
@@ -7,13 +7,13 @@
 	"beechgrade/internal/cluster/view"
 )
 
-// ID names a process, as in the view.
+// ID identifies a process, as in the view.
 type ID = view.ID
 
 // Event is an input of a Detector.
 type Event interface{ event() }
 
-// Peer is a process that can be reached, by the view.
+// Peer is a process that the view lists as reachable.
 type Peer struct {
 	ID   ID
 	Addr string
@@ -24,7 +24,7 @@
 type Server struct {
 	Name  string
 	Group int
-	Start float64 // of its process, Unix ms; 0 if unknown
+	Start float64 // start time of its process, in Unix ms; 0 if unknown
 }
 
 // Tick reports that time has passed.
@@ -36,14 +36,14 @@
 	Peers []Peer
 }
 
-// ServersListed reports all servers.
+// ServersListed reports all servers of the endpoint list.
 type ServersListed struct{ Servers []Server }
 
 // AttemptSent reports an attempt of a request that was sent to a server.
 type AttemptSent struct {
 	Server string
-	Ref    uint64
-	Work   float64 // ms that an attempt like it takes
+	Ref    uint64  // identifies the attempt
+	Work   float64 // ms that such an attempt is expected to take
 }
 
 // Outcome is how an attempt ended.
@@ -56,7 +56,7 @@
 	Unanswered                  // it did not answer in time, or could not be reached
 )
 
-// AttemptEnded reports the end of an attempt, and what the server reported of itself.
+// AttemptEnded reports the end of an attempt, and the server's report with its answer.
 type AttemptEnded struct {
 	Server  string
 	Ref     uint64
@@ -64,7 +64,7 @@
 	Report  ServerReport
 }
 
-// ServerReport is what a server reported of itself.
+// ServerReport is a server's report of its own role and position.
 type ServerReport struct {
 	Role     Role
 	Position float64 // up to when it has all data, on the servers' own time scale; 0 if unknown
@@ -92,7 +92,7 @@
 // ServersDown reports the servers that this pooler's decision module has marked down.
 type ServersDown struct{ Servers []string } // names, sorted
 
-// Received is a message that arrived: *Observations or *Assessments.
+// Received is the arrival of a message: *Observations or *Assessments.
 type Received struct {
 	From    ID
 	Message any
@@ -107,7 +107,7 @@
 func (ServersDown) event()    {}
 func (Received) event()       {}
 
-// Observations is a message of an observer to collectors. Ages are in ms, as of its sending.
+// Observations is a message of an observer to collectors. Ages are in ms, at the time of sending.
 type Observations struct {
 	Sequence uint32
 	Items    []Observation
@@ -116,32 +116,32 @@
 // Observation is the evidence of an observer about one process of a server.
 type Observation struct {
 	Key             uint32  // hash of the server's name and start
-	Answered        float64 // age of the last answer to a request, below 0 for none
-	Unanswered      int     // attempts that were not answered in time, sent after any that was answered
+	Answered        float64 // age of the last answer to a request, negative for none
+	Unanswered      int     // attempts not answered in time that were sent after the last answered one
 	FirstUnanswered float64 // age of the first of them
-	LastUnanswered  float64
+	LastUnanswered  float64 // age of the last of them
 	Work            float64 // ms that one of them should have taken
 	Report          ServerReport
 	ReportAge       float64
 }
 
-// Assessments is a message of a collector to all poolers. Ages are in ms, as of its sending.
+// Assessments is a message of a collector to all poolers. Ages are in ms, at the time of sending.
 type Assessments struct {
 	Sequence uint32
 	Items    []Assessment
 }
 
-// Assessment is what a collector concludes about one process of a server.
+// Assessment is a collector's conclusion about one process of a server.
 type Assessment struct {
 	Key             uint32
 	Unhealthy       bool
-	AllZones        bool     // unhealthy for all zones; otherwise for Zones
-	Zones           []uint32 // hashes of names
-	FirstUnanswered float64  // age of the first unanswered attempt
-	LastUnanswered  float64
-	Observers       []ID         // maxWitnesses of them
-	Answered        float64      // age of the last answer, below 0 for none
-	Report          ServerReport // that MinVouchers observers vouch for
+	AllZones        bool         // unhealthy for all zones; otherwise for Zones
+	Zones           []uint32     // hashes of the zones' names
+	FirstUnanswered float64      // age of the first unanswered attempt
+	LastUnanswered  float64      // age of the last unanswered attempt
+	Observers       []ID         // at most maxNamedObservers of those with unanswered attempts
+	Answered        float64      // age of the last answer, negative for none
+	Report          ServerReport // the newest one confirmed by MinVouchers observers
 	ReportAge       float64
 }
 
@@ -153,13 +153,13 @@
 	Send            ActionKind = iota // send Observations or Assessments to Addr
 	Eject                             // tell the decision module that Server is down
 	Restore                           // tell it that Server answers again
-	LearnReport                       // tell it Report of Server, Age ms old
-	CheckHealth                       // check the health of Server, and report the result here
-	EjectionStarted                   // Server is ejected from now on, as Ejection says
-	EjectionEnded                     // Server is not ejected any more
+	LearnReport                       // tell it that Server reported Report, Age ms ago
+	CheckHealth                       // check the health of Server, and report the result with HealthChecked
+	EjectionStarted                   // Server is ejected from now on, as described by Ejection
+	EjectionEnded                     // Server is no longer ejected
 )
 
-// Action is something that a Detector asks its caller to do.
+// Action is an output of a Detector, which its caller carries out.
 type Action struct {
 	Kind         ActionKind
 	To           ID
@@ -172,7 +172,7 @@
 	Ejection     Ejection
 }
 
-// Ejection is why a server is ejected, on whose evidence, and until when.
+// Ejection describes why a server is ejected, on whose evidence, and until when.
 type Ejection = module.AvoidedServer
 
 var inf = math.Inf(1)
--- a/internal/cluster/outlier/assessments.go
+++ b/internal/cluster/outlier/assessments.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	maxReorderedMessages  = 1 << 20 // how far back a message that was overtaken may lie
-	healthCheckIntervalMs = 200     // between health checks of a server that is reported to be primary
+	maxReorderedMessages  = 1 << 20 // sequence numbers by which a later message may precede the first one that arrived
+	healthCheckIntervalMs = 200     // between health checks of a server that one observer reports as primary
 )
 
-// observerIndex returns the index of an observer's evidence, or where it belongs.
+// observerIndex returns the index of an observer's evidence, or the index at which to insert it, and whether there is any.
 func (server *serverState) observerIndex(id ID) (int, bool) {
 	return slices.BinarySearchFunc(server.observers, id, func(o *observer, id ID) int { return cmp.Compare(o.id, id) })
 }
 
-// addObserver returns an observer's evidence, which is empty for a new one; nil where there are too many. sequence is that of its message.
+// addObserver returns an observer's evidence, which is empty for a new observer; nil beyond MaxPeers observers. sequence is that of the
+// message with the evidence.
 func (server *serverState) addObserver(id ID, sequence uint32) *observer {
 	i, ok := server.observerIndex(id)
 	if ok {
@@ -44,8 +45,8 @@
 	return true
 }
 
-// recordObservation takes an observation over, where this process collects those of the server. The newest of each kind of evidence
-// stands, in whatever order messages arrive, and however often. delay is added to ages where older is safer.
+// recordObservation records an observation if this process is a collector of the server. The newest evidence of each kind counts, in whatever
+// order messages arrive, and however often. delay is added to ages where a higher age is safer.
 func (detector *Detector) recordObservation(server *serverState, from ID, sequence uint32, item *Observation, delay float64) {
 	if !slices.Contains(detector.collectors(server), detector.self) {
 		return
@@ -72,7 +73,7 @@
 	}
 }
 
-// recordObservedReport takes over what an observer says that a server reported. It reports whether the server is a new primary.
+// recordObservedReport records a server's report from an observation. It returns whether the server is reported as a new primary.
 func (detector *Detector) recordObservedReport(server *serverState, o *observer, sequence uint32, item *Observation, delay float64) bool {
 	age := item.ReportAge + delay
 	if item.Report.isEmpty() || age > detector.settings.StaleAfter || !advance(&o.reportSequence, sequence) {
@@ -87,7 +88,8 @@
 	return true
 }
 
-// verifyPrimary makes this collector check a server itself where one observer alone says that it is the newest primary.
+// verifyPrimary makes this collector check the health of a server itself if an observer reports it as the primary with the newest
+// position, which the assessments do not confirm yet.
 func (detector *Detector) verifyPrimary(server *serverState, o *observer) {
 	if !detector.settings.ShareRoles || detector.now-server.healthCheckedAt < healthCheckIntervalMs {
 		return
@@ -102,8 +104,8 @@
 	}
 }
 
-// assess returns what this collector concludes about a server, from the evidence alone, whatever the order of its arrival. Its ages are
-// times yet.
+// assess returns this collector's conclusion about a server. It depends on the evidence alone, not on the order of arrival. The result has
+// times where a message has ages.
 func (detector *Detector) assess(server *serverState) Assessment {
 	out := Assessment{Key: server.key, Answered: -1}
 	if detector.settings.ShareHealth {
@@ -113,8 +115,9 @@
 	return out
 }
 
+// assessHealth sets the fields of an assessment that concern health.
 func (detector *Detector) assessHealth(server *serverState, out *Assessment) {
-	var zones []string // whose observers have unanswered attempts
+	var zones []string // zones with observers that have unanswered attempts
 	for _, o := range server.observers {
 		if !detector.isTrusted(o) {
 			continue
@@ -129,13 +132,13 @@
 	if len(zones) == 0 {
 		return
 	}
-	evidence, unhealthy := detector.silenceOf(server, nil)
+	evidence, unhealthy := detector.unansweredEvidenceOf(server, nil)
 	enoughZones := detector.zoneCount < minZones || len(evidence.zones) >= minZones || detector.settings.Fault == SingleObserver
 	out.AllZones = unhealthy && enoughZones
 	out.Unhealthy = out.AllZones
 	if !out.AllZones {
 		for _, zone := range zones {
-			if inZone, unhealthy := detector.silenceOf(server, &zone); unhealthy {
+			if inZone, unhealthy := detector.unansweredEvidenceOf(server, &zone); unhealthy {
 				evidence = inZone
 				out.Unhealthy = true
 				out.Zones = append(out.Zones, zoneKey(zone))
@@ -143,14 +146,14 @@
 		}
 	}
 	if out.Unhealthy {
-		out.FirstUnanswered, out.LastUnanswered, out.Observers = evidence.first, evidence.last, evidence.witnesses
+		out.FirstUnanswered, out.LastUnanswered, out.Observers = evidence.first, evidence.last, evidence.namedObservers
 	}
 }
 
-// zoneKey returns the hash by which messages name a zone.
+// zoneKey returns the hash by which messages identify a zone.
 func zoneKey(zone string) uint32 { return uint32(xxhash.Sum64String(zone)) }
 
-// Assessments returns what this process concludes about all servers as a collector.
+// Assessments returns this process's conclusions about all servers as a collector.
 func (detector *Detector) Assessments() (out []Assessment) {
 	for _, server := range detector.servers {
 		out = append(out, detector.assess(server))
@@ -158,7 +161,7 @@
 	return out
 }
 
-// primaryPosition returns the position of a primary, 0 for another server.
+// primaryPosition returns the position of a server that is assessed as primary; 0 for others.
 func (a *Assessment) primaryPosition() float64 {
 	if a.Report.Role == RolePrimary {
 		return a.Report.Position
@@ -166,7 +169,7 @@
 	return 0
 }
 
-// sameConclusion reports whether two assessments differ in evidence only.
+// sameConclusion reports whether two assessments differ only in their evidence.
 func (a *Assessment) sameConclusion(b *Assessment) bool {
 	sameHealth := a.Unhealthy == b.Unhealthy && a.AllZones == b.AllZones && slices.Equal(a.Zones, b.Zones)
 	return sameHealth && (a.Report.Role == RolePrimary) == (b.Report.Role == RolePrimary)
@@ -180,7 +183,7 @@
 	}
 }
 
-// publish sends the assessments that changed, and with all those that are current.
+// publish sends the assessments that changed; if all is true, also those that are current.
 func (detector *Detector) publish(all bool) {
 	var changed []*serverState
 	for _, server := range detector.servers {
@@ -206,7 +209,7 @@
 	detector.sendAssessments(changed)
 }
 
-// sendAssessments sends what was published about servers to all poolers, this one included.
+// sendAssessments sends the published assessments of servers to all poolers, this one included.
 func (detector *Detector) sendAssessments(servers []*serverState) {
 	if len(servers) == 0 {
 		return
@@ -229,7 +232,7 @@
 	}
 }
 
-// withAges returns an assessment with ages in place of times.
+// withAges returns an assessment with ages instead of times.
 func (detector *Detector) withAges(a Assessment) Assessment {
 	age := func(at float64) float64 {
 		if at <= 0 {
--- a/internal/cluster/outlier/bench_test.go
+++ b/internal/cluster/outlier/bench_test.go
@@ -8,64 +8,67 @@
 	"time"
 )
 
-// stalls are the longest that one event kept the loop, in each round; of a round that the machine was busy in it says nothing.
+// stalls records the longest time that one event blocked the event loop in each round. Rounds during which the machine was busy otherwise are
+// not comparable, so percentiles are reported.
 type stalls struct {
-	longest time.Duration
-	all     []time.Duration
+	longest time.Duration   // in the current round
+	all     []time.Duration // by round
 }
 
+// time measures an event.
 func (s *stalls) time(do func()) {
-	began := time.Now()
+	start := time.Now()
 	do()
-	s.longest = max(s.longest, time.Since(began))
+	s.longest = max(s.longest, time.Since(start))
 }
 
+// round ends a round.
 func (s *stalls) round() {
 	s.all = append(s.all, s.longest)
 	s.longest = 0
 }
 
-// report is of the round in the middle, and of the one that nine in ten are below.
+// report reports the median and the 90th percentile of all rounds.
 func (s *stalls) report(b *testing.B) {
 	slices.Sort(s.all)
 	b.ReportMetric(float64(s.all[len(s.all)/2].Microseconds())/1000, "stall-ms")
 	b.ReportMetric(float64(s.all[len(s.all)*9/10].Microseconds())/1000, "stall-p90-ms")
 }
 
-// BenchmarkCollector is a collector of 100 servers before 300 poolers, each of which tells of ten every Period: a tick's time, with all that it is told since
-// the last, what it holds, and the longest that one event of a round keeps the loop.
+// BenchmarkCollector measures a collector of 100 servers and 300 poolers, each of which reports ten servers in every ReportInterval: the time of
+// a tick with all observations since the last one, the heap in use, and the longest time that one event blocks the event loop.
 func BenchmarkCollector(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	detector := New(Defaults(), 1, 1e6)
-	m := MembersChanged{Self: 1}
+	members := MembersChanged{Self: 1}
 	for i := range 300 {
-		m.Peers = append(m.Peers, Peer{ID: ID(i + 1), Addr: fmt.Sprintf("10.0.0.%d:7400", i), Zone: string(rune('a' + i%3))})
+		members.Peers = append(members.Peers, Peer{ID: ID(i + 1), Addr: fmt.Sprintf("10.0.0.%d:7400", i), Zone: string(rune('a' + i%3))})
 	}
-	detector.Handle(1e6, m, nil)
-	var l ServersListed
+	detector.Handle(1e6, members, nil)
+	var list ServersListed
 	for i := range 100 {
-		l.Servers = append(l.Servers, Server{Name: fmt.Sprintf("db-%d", i), Group: i / 4 % GroupsPerBlock})
+		list.Servers = append(list.Servers, Server{Name: fmt.Sprintf("db-%d", i), Group: i / 4 % GroupsPerBlock})
 	}
-	detector.Handle(1e6, l, nil)
+	detector.Handle(1e6, list, nil)
 	detector.settings.Collectors = 300
-	detector.updateMembers(m)
-	now, at, seq := 1e6, 0, uint32(0)
+	detector.updateMembers(members)
+	now, next, sequence := 1e6, 0, uint32(0)
 	var out []Action
 	var stalls stalls
 	handle := func(e Event) { stalls.time(func() { out = detector.Handle(now, e, out[:0]) }) }
 	round := func() {
 		defer stalls.round()
-		seq++
+		sequence++
 		for i := 2; i <= 300; i++ {
-			t := &Observations{Sequence: seq}
+			observations := &Observations{Sequence: sequence}
 			for k := range 10 {
-				server := detector.servers[(at+k)%100]
-				t.Items = append(t.Items, Observation{Key: server.key, Answered: 20, Report: ServerReport{RoleReplica, now - 40}, ReportAge: 20})
+				server := detector.servers[(next+k)%100]
+				observations.Items = append(observations.Items, Observation{Key: server.key, Answered: 20, Report: ServerReport{RoleReplica, now - 40}, ReportAge: 20})
 			}
-			at += 10
-			handle(Received{From: ID(i), Message: t})
+			next += 10
+			handle(Received{From: ID(i), Message: observations})
 		}
 		now += detector.settings.ReportInterval
 		handle(Tick{})
@@ -86,26 +89,26 @@
 	runtime.KeepAlive(detector)
 }
 
-// BenchmarkHeed is a pooler that collects nothing and hears three collectors tell of 100 servers, all of whose positions moved, once every Period: the time for
-// all that comes in one, and the longest that one event of it keeps the loop.
+// BenchmarkHeed measures a pooler that is no collector and applies the assessments of three collectors about 100 servers, all of whose positions
+// changed, in every ReportInterval: the time for all assessments of an interval, and the longest time that one event blocks the event loop.
 func BenchmarkHeed(b *testing.B) {
 	detector := New(Defaults(), 1, 1e6)
-	m := MembersChanged{Self: 1}
+	members := MembersChanged{Self: 1}
 	for i := range 300 {
-		m.Peers = append(m.Peers, Peer{ID: ID(i + 1), Addr: fmt.Sprint(i), Zone: string(rune('a' + i%3))})
+		members.Peers = append(members.Peers, Peer{ID: ID(i + 1), Addr: fmt.Sprint(i), Zone: string(rune('a' + i%3))})
 	}
-	var l ServersListed
+	var list ServersListed
 	for i := range 100 {
-		l.Servers = append(l.Servers, Server{Name: fmt.Sprintf("db-%d", i), Group: i / 4})
+		list.Servers = append(list.Servers, Server{Name: fmt.Sprintf("db-%d", i), Group: i / 4})
 	}
-	detector.Handle(1e6, m, nil)
-	detector.Handle(1e6, l, nil)
-	now, seq := 1e6, uint32(0)
+	detector.Handle(1e6, members, nil)
+	detector.Handle(1e6, list, nil)
+	now, sequence := 1e6, uint32(0)
 	var stalls stalls
 	var out []Action
 	round := func() {
 		defer stalls.round()
-		seq++
+		sequence++
 		now += detector.settings.ReportInterval
 		for n := range 3 {
 			var items [2][]Assessment
@@ -117,7 +120,7 @@
 			}
 			for block := range items {
 				split(items[block], (*Assessment).wireBytes, func(part []Assessment) {
-					e := Received{From: from[block], Message: &Assessments{Sequence: seq, Items: part}}
+					e := Received{From: from[block], Message: &Assessments{Sequence: sequence, Items: part}}
 					stalls.time(func() { out = detector.Handle(now, e, out[:0]) })
 				})
 			}
--- a/internal/cluster/outlier/codec.go
+++ b/internal/cluster/outlier/codec.go
@@ -10,7 +10,8 @@
 )
 
 // A message is a byte for its kind, its sequence number, the newest position in it, and its items. Numbers are varints. Ages are in tenths
-// of a ms; one that is too long is the longest. Positions are encoded as so far behind the newest one, rounded so that none gets newer.
+// of a ms and limited to maxAgeMs. Positions are encoded as their distance from the newest one, rounded so that none is decoded as newer
+// than it is.
 
 // ErrMalformed is the error of a message that cannot be decoded.
 var ErrMalformed = errors.New("outlier: malformed message")
@@ -51,7 +52,7 @@
 	return f
 }
 
-// appendHeader appends what stands before the items, and returns the newest position.
+// appendHeader appends the part of a message before its items, and returns the position from which the positions of the items are encoded.
 func appendHeader(b []byte, kind byte, sequence uint32, newest float64) ([]byte, float64) {
 	base := math.Ceil(min(newest, maxPosition))
 	b = binary.BigEndian.AppendUint32(append(b, kind), sequence)
@@ -118,7 +119,7 @@
 
 func appendUnhealthy(b []byte, item *Assessment) []byte {
 	zones := item.Zones[:min(len(item.Zones), maxZones)]
-	observers := item.Observers[:min(len(item.Observers), maxWitnesses)]
+	observers := item.Observers[:min(len(item.Observers), maxNamedObservers)]
 	b = append(b, byte(len(zones)), byte(len(observers)))
 	for _, zone := range zones {
 		b = binary.BigEndian.AppendUint32(b, zone)
@@ -130,7 +131,7 @@
 	return appendAge(b, item.LastUnanswered)
 }
 
-// reader decodes a message; after a fault it returns zeros.
+// reader decodes a message; after an error it returns zeros.
 type reader struct{ encoding.Reader }
 
 func (r *reader) number(unit, limit float64) float64 {
@@ -141,7 +142,7 @@
 
 func (r *reader) age() float64 { return r.number(unitsPerMs, maxAgeMs) }
 
-// report reads what flags say that there is.
+// report reads the fields of a report and the age of an answer that are present by the flags f.
 func (r *reader) report(f byte, base float64) (report ServerReport, age, answered float64) {
 	report.Role, answered = Role(f&flagRole), -1
 	r.Require(report.Role <= RoleReplica)
@@ -176,7 +177,7 @@
 	item.Unhealthy = f&flagUnhealthy != 0
 	item.AllZones = f&flagAllZones != 0
 	if item.Unhealthy {
-		zones, observers := r.ByteMax(maxZones), r.ByteMax(maxWitnesses)
+		zones, observers := r.ByteMax(maxZones), r.ByteMax(maxNamedObservers)
 		for i := 0; i < zones && r.OK(); i++ {
 			item.Zones = append(item.Zones, r.Uint32())
 		}
--- a/internal/cluster/outlier/detector.go
+++ b/internal/cluster/outlier/detector.go
@@ -8,26 +8,26 @@
 	"beechgrade/internal/invariant"
 )
 
-// maxPauseMs is how long after its last tick a process counts as paused.
+// maxPauseMs is the time since its last tick after which a process counts as paused.
 const maxPauseMs = 500
 
-// Detector is one process's side: an observer, a collector, and a pooler that applies what collectors conclude. It is not safe for
-// concurrent use.
+// Detector is the outlier detection of one process, which is an observer, a collector, and a pooler that applies the collectors' assessments.
+// It is not safe for concurrent use.
 type Detector struct {
 	settings          Settings
 	self              ID
 	now               float64
 	peers             []Peer
-	hashPeers         []overload.Peer // the same, for hashing
+	hashPeers         []overload.Peer // the same peers, for rendezvous hashing
 	peerByID          map[ID]*Peer
-	zoneCount         int // zones with poolers
+	zoneCount         int // number of zones with poolers
 	byKey             map[uint32]*serverState
 	byName            map[string]*serverState
 	servers           []*serverState // by key
 	groups            map[int][]*serverState
 	collectorsByBlock map[int][]ID
 	distrustedUntil   map[ID]float64
-	sequence          uint32 // of the last message
+	sequence          uint32 // of the last sent message
 	lastTick          float64
 	nextReport        float64
 	nextRefresh       float64
@@ -38,28 +38,28 @@
 	checkCounter  int
 }
 
-// serverState is what is known of one process of a server. Times are in ms, on this process's clock.
+// serverState is the state of one process of a server. Times are in ms, on this process's clock.
 type serverState struct {
 	Server
 	key  uint32 // hash of the name and the start
-	down bool   // by this pooler's decision module
+	down bool   // marked down by this pooler's decision module
 
-	// As an observer.
+	// State of an observer.
 	own        localEvidence
-	reported   Observation // as last sent
-	reportedAt float64     // when it was last sent out of turn
+	reported   Observation // the last sent one
+	reportedAt float64     // time of the last one that was sent at once
 
-	// As a collector.
+	// State of a collector.
 	observers       []*observer // by ID
 	changed         bool        // evidence arrived since the last assessment
-	published       Assessment  // the last one, with times in place of ages
+	published       Assessment  // the last sent one, with times instead of ages
 	healthCheckedAt float64
 
-	// As a pooler that applies assessments.
+	// State of a pooler that applies assessments.
 	assessments     map[ID]*assessment // by collector
 	ejection        ejection
-	learnedPosition float64 // the newest that the decision module was given, of whatever role
-	primaryPosition float64 // the same, as the primary
+	learnedPosition float64 // the newest one passed to the decision module, in any role
+	primaryPosition float64 // the newest one passed to it as the primary
 }
 
 // observer is the evidence of one observer about a server. Times are on this process's clock.
@@ -71,7 +71,7 @@
 	reportSequence   uint32 // of the message with the server's report
 	receivedAt       float64
 	answeredAt       float64
-	soleAnswersSince float64 // answers since then are the only ones that anybody received
+	soleAnswersSince float64 // no other observer received an answer after this time
 	unanswered       int
 	firstUnanswered  float64
 	lastUnanswered   float64
@@ -80,7 +80,7 @@
 	reportedAt       float64
 }
 
-// New returns the Detector of a process that knows nothing, at time now in ms.
+// New returns the Detector of a process without state, at time now in ms.
 func New(settings Settings, self ID, now float64) *Detector {
 	return &Detector{
 		settings: settings, self: self, now: now, nextReport: now, nextRefresh: now,
@@ -147,7 +147,7 @@
 		zones[p.Zone] = true
 	}
 	detector.zoneCount = len(zones)
-	detector.nextRefresh = min(detector.nextRefresh, detector.now+detector.settings.TickInterval) // for new members
+	detector.nextRefresh = min(detector.nextRefresh, detector.now+detector.settings.TickInterval) // new members have no evidence yet
 }
 
 // collectors returns the collectors of a server: those of its block of groups.
@@ -178,7 +178,7 @@
 	detector.publish(full)
 }
 
-// removeStale forgets evidence and assessments that do not count any more, and those of processes that have ended.
+// removeStale drops evidence and assessments that no longer count, and those of processes that have ended.
 func (detector *Detector) removeStale() {
 	for id, until := range detector.distrustedUntil {
 		if detector.now >= until {
@@ -198,7 +198,7 @@
 	}
 }
 
-// handleMessage takes over the items about servers that this process knows. Its own messages do not pass here.
+// handleMessage records the items about servers that this process knows. Messages of this process to itself do not pass here.
 func (detector *Detector) handleMessage(from ID, message any) {
 	if detector.peerByID[from] == nil || from == detector.self {
 		return
@@ -219,7 +219,7 @@
 	}
 }
 
-// receivedTime returns the time of an event whose age arrived now.
+// receivedTime converts the age of an event, in a message that arrived now, to a time.
 func (detector *Detector) receivedTime(age float64) float64 {
 	if detector.settings.Fault == AgeFromReceipt {
 		return detector.now
@@ -227,12 +227,12 @@
 	return detector.now - age
 }
 
-// split passes the items to send in parts that fit a packet each.
+// split passes the items to send in parts of at most maxPacketBytes each.
 func split[T any](items []T, size func(*T) int, send func([]T)) {
 	for len(items) > 0 {
-		n, all := 0, 0
-		for n < len(items) && (n == 0 || all+size(&items[n]) <= maxPacketBytes) {
-			all += size(&items[n])
+		n, total := 0, 0
+		for n < len(items) && (n == 0 || total+size(&items[n]) <= maxPacketBytes) {
+			total += size(&items[n])
 			n++
 		}
 		send(items[:n:n])
@@ -240,14 +240,14 @@
 	}
 }
 
-// Withholds reports whether a server gets no requests though its health check succeeds: others find that it answers none, and it is not
+// Withholds reports whether this pooler sends a server no requests though its health check succeeds: the server is ejected, and it is not
 // this pooler's turn to test it.
 func (detector *Detector) Withholds(name string) bool {
 	server := detector.byName[name]
 	return server != nil && server.ejection.active && !server.ejection.testing
 }
 
-// publicEjection returns the ejection as it is reported to operators.
+// publicEjection returns a server's ejection as it is reported to operators.
 func (server *serverState) publicEjection() Ejection {
 	e := &server.ejection
 	return Ejection{Server: server.Name, Reason: e.reason, ReportedBy: e.observers, UntilMs: e.until}
@@ -264,7 +264,7 @@
 	return out
 }
 
-// LocallyUnreachable counts the servers that answer others and not this pooler. Where there are many, its own links fail.
+// LocallyUnreachable counts the servers that answer others and not this pooler. If there are many, this pooler's own links fail.
 func (detector *Detector) LocallyUnreachable() (n int) {
 	for _, server := range detector.servers {
 		if server.own.unanswered > 0 && server.down && !server.ejection.active && server.answersOthers() {
--- a/internal/cluster/outlier/detector_test.go
+++ b/internal/cluster/outlier/detector_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-func zones(z string, n int) (out []string) {
+// zones returns the same zone for n poolers.
+func zones(zone string, n int) (out []string) {
 	for range n {
-		out = append(out, z)
+		out = append(out, zone)
 	}
 	return out
 }
@@ -19,66 +20,66 @@
 	f := newFleet(t, zones("a", 8)...)
 	f.advance(2000, 400)
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
-	f.advance(workMs*(silentWorks+silentSharedWorks/2)+2*f.set.ReportInterval+400, 400)
+	f.advance(workMs*(responseLimitWorks+sharedLimitWorks/2)+2*f.settings.ReportInterval+400, 400)
 	if n := f.countEjecting("s1"); n != 8 {
-		t.Fatalf("%d of 8 avoid it", n)
+		t.Fatalf("%d of 8 poolers eject s1, want all", n)
 	}
 	first, last := inf, 0.0
 	for _, p := range f.poolers {
-		first, last = min(first, p.since["s1"]), max(last, p.since["s1"])
-		for _, s := range p.v.Ejections() {
-			if len(s.ReportedBy) != 2 || s.UntilMs > f.now+f.set.EjectionTime || s.Reason == "" {
-				t.Errorf("%+v", s)
+		first, last = min(first, p.ejectedAt["s1"]), max(last, p.ejectedAt["s1"])
+		for _, e := range p.detector.Ejections() {
+			if len(e.ReportedBy) != 2 || e.UntilMs > f.now+f.settings.EjectionTime || e.Reason == "" {
+				t.Errorf("pooler %d has ejection %+v, want two observers, a reason, and an end within EjectionTime", p.id, e)
 			}
 		}
 	}
-	if spread := f.set.SpreadBound(wayMs); last-first > spread {
-		t.Errorf("%v ms between the first and the last, of %v", last-first, spread)
+	if spread := f.settings.SpreadBound(delayMs); last-first > spread {
+		t.Errorf("%v ms between the first and the last ejection, want at most %v", last-first, spread)
 	}
-	f.advance(12000, 400) // its testers find it deaf: longer than a verdict stands by itself
+	f.advance(12000, 400) // longer than EjectionTime: the requests of testers without an answer renew the ejection
 	if n := f.countEjecting("s1"); n != 8 {
-		t.Errorf("%d of 8 avoid it later", n)
+		t.Errorf("%d of 8 poolers eject s1 12 s later, want all", n)
 	}
 	f.answers = func(*pooler, string) bool { return true }
-	if f.advance(f.set.RecoveryBound(8, 400, workMs, wayMs), 400); f.countEjecting("s1") > 0 {
-		t.Errorf("%d avoid it though it answers", f.countEjecting("s1"))
+	if f.advance(f.settings.RecoveryBound(8, 400, workMs, delayMs), 400); f.countEjecting("s1") > 0 {
+		t.Errorf("%d poolers eject s1 though it answers again", f.countEjecting("s1"))
 	}
 }
 
 // TestTesterCountSendsToEjectedServer: one in four poolers, at least two and at most MaxTesters, still sends to an ejected server, and
 // not always the same ones.
 func TestTesterCountSendsToEjectedServer(t *testing.T) {
-	set := Defaults()
+	settings := Defaults()
 	for poolers, want := range map[int]int{2: 2, 8: 2, 11: 2, 12: 3, 30: 7, 32: 8, 300: 8} {
-		if n := set.TesterCount(poolers); n != want {
-			t.Errorf("%d of %d poolers try, not %d", n, poolers, want)
+		if n := settings.TesterCount(poolers); n != want {
+			t.Errorf("%d of %d poolers test, want %d", n, poolers, want)
 		}
 	}
-	if set.MaxTesters = 1; set.TesterCount(8) != 1 || set.TesterCount(300) != 1 {
-		t.Error("more try than the settings allow")
+	if settings.MaxTesters = 1; settings.TesterCount(8) != 1 || settings.TesterCount(300) != 1 {
+		t.Error("more poolers test than MaxTesters")
 	}
 	for _, poolers := range []int{8, 13} {
 		f := newFleet(t, zones("a", poolers)...)
 		f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 		f.advance(2000, 400)
-		had := map[ID]bool{}
+		tested := map[ID]bool{}
 		for range 8 {
-			for f.advance(50, 400); int(f.now-f.poolers[0].v.byName["s1"].ejection.since)%int(f.set.TesterTurn) < 900; { // to the middle of a turn
+			for f.advance(50, 400); int(f.now-f.poolers[0].detector.byName["s1"].ejection.since)%int(f.settings.TesterTurn) < 900; { // until the middle of a turn
 				f.advance(50, 400)
 			}
 			n := 0
 			for _, p := range f.poolers {
-				if a := &p.v.byName["s1"].ejection; a.active && a.testing {
-					n, had[p.id] = n+1, true
+				if a := &p.detector.byName["s1"].ejection; a.active && a.testing {
+					n, tested[p.id] = n+1, true
 				}
 			}
-			if round := int((f.now - f.poolers[0].v.byName["s1"].ejection.since) / f.set.TesterTurn); round > 0 && n != f.set.TesterCount(poolers) {
-				t.Errorf("%d of %d poolers try it in round %d", n, poolers, round)
+			if turn := int((f.now - f.poolers[0].detector.byName["s1"].ejection.since) / f.settings.TesterTurn); turn > 0 && n != f.settings.TesterCount(poolers) {
+				t.Errorf("%d of %d poolers test s1 in turn %d, want %d", n, poolers, turn, f.settings.TesterCount(poolers))
 			}
 			f.advance(1200, 400)
 		}
-		if len(had) < 3 {
-			t.Errorf("always the same of %d poolers try it: %v", poolers, had)
+		if len(tested) < 3 {
+			t.Errorf("only %v of %d poolers tested s1 in 8 turns, want at least 3", tested, poolers)
 		}
 	}
 }
@@ -89,10 +90,10 @@
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 	f.advance(2000, 300)
 	if f.countEjecting("s1") != 5 {
-		t.Fatal("nobody avoids it")
+		t.Fatal("not all poolers eject s1")
 	}
-	if f.advance(f.set.EjectionTime+2000, 0); f.countEjecting("s1") > 0 {
-		t.Error("it has no end")
+	if f.advance(f.settings.EjectionTime+2000, 0); f.countEjecting("s1") > 0 {
+		t.Error("poolers still eject s1 after EjectionTime without new evidence")
 	}
 }
 
@@ -104,13 +105,13 @@
 	f.advance(4000, 300)
 	for _, p := range f.poolers {
 		if p.ejects("s1") != (p.zone == "a") {
-			t.Errorf("%d of zone %s: %v", p.id, p.zone, p.ejects("s1"))
+			t.Errorf("pooler %d of zone %s ejects s1: %v, want it to in zone a only", p.id, p.zone, p.ejects("s1"))
 		}
 	}
 }
 
-// TestPoolerWithoutLinksEjectsForNobodyElse: a pooler that reaches no server ejects none for others, and can tell that its own links
-// fail.
+// TestPoolerWithoutLinksEjectsForNobodyElse: a pooler that reaches no server causes no ejection at the others, and LocallyUnreachable shows
+// that its own links fail.
 func TestPoolerWithoutLinksEjectsForNobodyElse(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
 	f.advance(1000, 300)
@@ -118,13 +119,13 @@
 	f.advance(5000, 300)
 	for _, s := range f.servers {
 		if n := f.countEjecting(s.Name); n > 0 {
-			t.Errorf("%d avoid %s", n, s.Name)
+			t.Errorf("%d poolers eject %s, want none", n, s.Name)
 		}
 	}
 	p := f.poolers[1]
 	p.do(ServersDown{Servers: []string{"s0", "s1", "s2", "s3"}})
-	if n := p.v.LocallyUnreachable(); n != 4 {
-		t.Errorf("it thinks that it is itself for %d of 4", n)
+	if n := p.detector.LocallyUnreachable(); n != 4 {
+		t.Errorf("%d servers count as locally unreachable, want 4", n)
 	}
 }
 
@@ -133,15 +134,15 @@
 func TestByzantinePoolerIsOutvoted(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
 	f.advance(1000, 300)
-	liar := f.poolers[0]
+	byzantine := f.poolers[0]
 	for range 60 {
 		for _, s := range f.servers {
-			x := f.poolers[1].v.byName[s.Name]
-			tell := &Observations{Sequence: uint32(f.now), Items: []Observation{{Key: x.key, Answered: -1, Unanswered: 200, FirstUnanswered: 5000, LastUnanswered: 10, Work: 1, Report: ServerReport{RolePrimary, f.now + 5000}}}}
-			word := &Assessments{Sequence: uint32(f.now), Items: []Assessment{{Key: x.key, Unhealthy: true, AllZones: true, FirstUnanswered: 5000, LastUnanswered: 10, Observers: []ID{2, 3}, Report: ServerReport{RolePrimary, f.now + 5000}}}}
+			server := f.poolers[1].detector.byName[s.Name]
+			observations := &Observations{Sequence: uint32(f.now), Items: []Observation{{Key: server.key, Answered: -1, Unanswered: 200, FirstUnanswered: 5000, LastUnanswered: 10, Work: 1, Report: ServerReport{RolePrimary, f.now + 5000}}}}
+			assessments := &Assessments{Sequence: uint32(f.now), Items: []Assessment{{Key: server.key, Unhealthy: true, AllZones: true, FirstUnanswered: 5000, LastUnanswered: 10, Observers: []ID{2, 3}, Report: ServerReport{RolePrimary, f.now + 5000}}}}
 			for _, p := range f.poolers[1:] {
-				p.do(Received{From: liar.id, Message: tell})
-				p.do(Received{From: liar.id, Message: word})
+				p.do(Received{From: byzantine.id, Message: observations})
+				p.do(Received{From: byzantine.id, Message: assessments})
 			}
 		}
 		f.advance(50, 300)
@@ -149,38 +150,38 @@
 	for _, p := range f.poolers[1:] {
 		for _, s := range f.servers {
 			if p.ejects(s.Name) {
-				t.Errorf("%d avoids %s", p.id, s.Name)
+				t.Errorf("pooler %d ejects %s", p.id, s.Name)
 			}
-			if at := p.knows[fmt.Sprint(s.Name, RolePrimary)]; at.Position > f.now || at.Role == RolePrimary && !f.leads[s.Name] {
-				t.Errorf("%d takes it that %s leads: %+v", p.id, s.Name, at)
+			if report := p.learned[fmt.Sprint(s.Name, RolePrimary)]; report.Position > f.now || report.Role == RolePrimary && !f.primaries[s.Name] {
+				t.Errorf("pooler %d learned a false report of %s as primary: %+v", p.id, s.Name, report)
 			}
-			if at := p.knows[fmt.Sprint(s.Name, RoleUnknown)]; at.Position > f.now {
-				t.Errorf("%d takes it that %s is at %v of %v", p.id, s.Name, at.Position, f.now)
+			if report := p.learned[fmt.Sprint(s.Name, RoleUnknown)]; report.Position > f.now {
+				t.Errorf("pooler %d learned position %v of %s at time %v, from the future", p.id, report.Position, s.Name, f.now)
 			}
 		}
 	}
-	if i := slices.IndexFunc(f.poolers[1:], func(p *pooler) bool { return p.v.distrustedUntil[liar.id] > f.now }); i < 0 {
-		t.Error("its words count on")
+	if i := slices.IndexFunc(f.poolers[1:], func(p *pooler) bool { return p.detector.distrustedUntil[byzantine.id] > f.now }); i < 0 {
+		t.Error("no pooler distrusts the byzantine one")
 	}
 }
 
-// TestFalseAnswersDelayEjectionBriefly: a pooler that keeps reporting answers of an unresponsive server is distrusted, and the others
-// eject the server soon.
+// TestFalseAnswersDelayEjectionBriefly: a pooler that alone keeps reporting answers of an unresponsive server is distrusted, and the others
+// eject the server within 6 s.
 func TestFalseAnswersDelayEjectionBriefly(t *testing.T) {
 	f := newFleet(t, zones("a", 7)...)
 	f.advance(1000, 300)
 	f.answers = func(p *pooler, s string) bool { return p.id == 1 || s != "s1" }
 	f.advance(6000, 300)
 	if n := f.countEjecting("s1"); n != 6 {
-		t.Errorf("%d of 6 avoid it", n)
+		t.Errorf("%d of 6 poolers eject s1, want all", n)
 	}
 	if f.poolers[0].ejects("s1") {
-		t.Error("one avoids it that has its answers") // own evidence stands above others'
+		t.Error("a pooler ejects s1 though it gets answers") // own evidence overrules that of others
 	}
 }
 
-// TestPartitionedSidesConvergeAfterHealing: during a partition a server is unresponsive for one side alone. After it all poolers agree,
-// without a flood of messages.
+// TestPartitionedSidesConvergeAfterHealing: during a partition a server is unresponsive for one side alone. After the partition all poolers
+// agree, with at most twice the usual number of messages.
 func TestPartitionedSidesConvergeAfterHealing(t *testing.T) {
 	f := newFleet(t, zones("a", 8)...)
 	f.advance(1000, 300)
@@ -190,7 +191,7 @@
 	f.advance(5000, 300)
 	for _, p := range f.poolers[4:] {
 		if p.ejects("s1") {
-			t.Errorf("%d avoids a server that answers it", p.id)
+			t.Errorf("pooler %d ejects s1 though it gets answers", p.id)
 		}
 	}
 	before := f.sent
@@ -199,15 +200,15 @@
 	f.cut, f.answers, before = func(_, _ *pooler) bool { return false }, func(*pooler, string) bool { return true }, f.sent
 	f.advance(2000, 300)
 	if sent := f.sent - before; sent > 2*usual {
-		t.Errorf("%d messages after the heal, %d before", sent, usual)
+		t.Errorf("%d messages in 2 s after the partition, want at most twice the %d before its end", sent, usual)
 	}
-	if f.advance(f.set.RecoveryBound(8, 300, workMs, wayMs), 300); f.countEjecting("s1") > 0 {
-		t.Errorf("%d avoid it after the heal", f.countEjecting("s1"))
+	if f.advance(f.settings.RecoveryBound(8, 300, workMs, delayMs), 300); f.countEjecting("s1") > 0 {
+		t.Errorf("%d poolers eject s1 after the partition", f.countEjecting("s1"))
 	}
 }
 
-// TestEjectionSpreadsAfterPartition: during a partition one side ejects a server, and the other has no requests for it. After it all
-// poolers eject the server within CatchUpBound.
+// TestEjectionSpreadsAfterPartition: during a partition one side ejects a server, and the other has no requests for it. After the partition
+// all poolers eject the server within CatchUpBound.
 func TestEjectionSpreadsAfterPartition(t *testing.T) {
 	f := newFleet(t, zones("a", 8)...)
 	f.advance(1000, 300)
@@ -215,12 +216,12 @@
 	f.cut = func(from, to *pooler) bool { return side(from) != side(to) }
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 	for _, p := range f.poolers[4:] {
-		p.deaf = true
+		p.idle = true
 	}
 	f.advance(5000, 300)
 	f.cut = func(_, _ *pooler) bool { return false }
-	if f.advance(f.set.CatchUpBound(wayMs), 300); f.countEjecting("s1") < 8 {
-		t.Errorf("%d of 8 avoid it %v ms after the heal", f.countEjecting("s1"), f.set.CatchUpBound(wayMs))
+	if f.advance(f.settings.CatchUpBound(delayMs), 300); f.countEjecting("s1") < 8 {
+		t.Errorf("%d of 8 poolers eject s1 %v ms after the partition, want all", f.countEjecting("s1"), f.settings.CatchUpBound(delayMs))
 	}
 }
 
@@ -231,7 +232,7 @@
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 	f.advance(2000, 300)
 	if f.countEjecting("s1") != 5 {
-		t.Fatal("nobody avoids it")
+		t.Fatal("not all poolers eject s1")
 	}
 	f.answers = func(*pooler, string) bool { return true }
 	f.servers[1].Start = f.now
@@ -240,12 +241,12 @@
 			p.do(ServersListed{Servers: f.servers})
 		}
 	}
-	if n := f.countEjecting("s1"); n != 1 { // that has the old list: at once, as stated
-		t.Errorf("%d avoid the new process", n)
+	if n := f.countEjecting("s1"); n != 1 { // pooler 0 has the old list; the others end the ejection at once
+		t.Errorf("%d poolers eject s1 after its restart is listed at all but one, want 1", n)
 	}
-	f.poolers[0].do(Tick{}) // it has the old list yet, and tells what it has of the old process
+	f.poolers[0].do(Tick{}) // it still has the old list, and reports its evidence about the old process
 	if f.advance(300, 300); f.countEjecting("s1") > 1 {
-		t.Errorf("%d avoid the new process by an old word", f.countEjecting("s1"))
+		t.Errorf("%d poolers eject the new process of s1 on evidence about the old one", f.countEjecting("s1"))
 	}
 }
 
@@ -254,14 +255,14 @@
 func TestNewPrimaryIsLearnedByAll(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
 	f.advance(2000, 300)
-	f.leads = map[string]bool{"s2": true, "s4": true}
-	seen := f.now
+	f.primaries = map[string]bool{"s2": true, "s4": true}
+	observedAt := f.now
 	f.poolers[3].do(HealthChecked{Server: "s2", OK: true, Report: f.reportOf("s2")})
-	f.advance(5*wayMs, 0)
+	f.advance(5*delayMs, 0)
 	for _, p := range f.poolers {
-		got, old := p.knows[fmt.Sprint("s2", RolePrimary)], p.knows[fmt.Sprint("s0", RolePrimary)]
-		if got.Position < seen || got.Position > f.now || got.Position <= old.Position {
-			t.Errorf("%d: %+v, of the old one %+v, of %v", p.id, got, old, seen)
+		learned, old := p.learned[fmt.Sprint("s2", RolePrimary)], p.learned[fmt.Sprint("s0", RolePrimary)]
+		if learned.Position < observedAt || learned.Position > f.now || learned.Position <= old.Position {
+			t.Errorf("pooler %d learned %+v of the new primary and %+v of the old one, want the new one newer and from %v on", p.id, learned, old, observedAt)
 		}
 	}
 }
@@ -269,36 +270,37 @@
 // TestPositionsCountFromServerReport: positions count from when servers reported them, wherever they arrive, and stale ones are not sent.
 func TestPositionsCountFromServerReport(t *testing.T) {
 	f := newFleet(t, zones("a", 5)...)
-	f.poolers[0].deaf = true
+	f.poolers[0].idle = true
 	f.advance(2000, 300)
 	p := f.poolers[0]
 	for _, s := range f.servers {
-		at := p.knows[fmt.Sprint(s.Name, RoleUnknown)]
-		if age := f.now - at.Position; age < 40 && !f.leads[s.Name] || age > 1000 {
-			t.Errorf("%s: %v ms old", s.Name, age)
+		report := p.learned[fmt.Sprint(s.Name, RoleUnknown)]
+		if age := f.now - report.Position; age < 40 && !f.primaries[s.Name] || age > 1000 {
+			t.Errorf("the position of %s is %v ms old, want at least 40 for a replica and at most 1000", s.Name, age)
 		}
 	}
-	had := p.knows["s1Unsaid"]
-	if f.advance(3000, 0); p.knows["s1Unsaid"].Position > had.Position+200 {
-		t.Errorf("its position moved by %v with nobody asking", p.knows["s1Unsaid"].Position-had.Position)
+	before := p.learned["s1Unsaid"]
+	if f.advance(3000, 0); p.learned["s1Unsaid"].Position > before.Position+200 {
+		t.Errorf("the position of s1 moved by %v without requests, want at most 200", p.learned["s1Unsaid"].Position-before.Position)
 	}
 }
 
-// TestPausedPoolerDropsOpenAttempts: a pooler that was paused for 5 s with open attempts misleads nobody, and drops old assessments.
+// TestPausedPoolerDropsOpenAttempts: two poolers are paused for 5 s with open attempts. They do not report these as unanswered, so that no
+// pooler ejects a server.
 func TestPausedPoolerDropsOpenAttempts(t *testing.T) {
 	f := newFleet(t, zones("a", 4)...)
 	f.advance(1000, 300)
-	a, b := f.poolers[0], f.poolers[1]
-	for _, p := range []*pooler{a, b} {
+	first, second := f.poolers[0], f.poolers[1]
+	for _, p := range []*pooler{first, second} {
 		for range 5 {
-			p.ask("s1")
+			p.send("s1")
 		}
-		p.stands = f.now + 5000
+		p.pausedUntil = f.now + 5000
 	}
-	f.advance(5600, 0) // nobody else asks, so nobody contradicts
+	f.advance(5600, 0) // without requests, so that no answer contradicts
 	for _, s := range f.servers {
 		if n := f.countEjecting(s.Name); n > 0 {
-			t.Errorf("%d avoid %s", n, s.Name)
+			t.Errorf("%d poolers eject %s, want none", n, s.Name)
 		}
 	}
 }
@@ -307,38 +309,39 @@
 // unresponsive. It applies what the others apply within CatchUpBound.
 func TestPausedPoolerCatchesUp(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
-	bad := "s1"
-	f.answers = func(_ *pooler, s string) bool { return s != bad }
+	unresponsive := "s1"
+	f.answers = func(_ *pooler, s string) bool { return s != unresponsive }
 	f.advance(2000, 300)
 	p := f.poolers[5]
 	if !p.ejects("s1") {
-		t.Fatal("it avoids nothing")
+		t.Fatal("pooler 6 does not eject s1")
 	}
-	p.stands, bad = f.now+5000, "s5"
+	p.pausedUntil, unresponsive = f.now+5000, "s5"
 	f.advance(5000, 300)
 	if f.countEjecting("s1") != 1 || f.countEjecting("s5") != 5 {
-		t.Fatalf("%d avoid the one that answers again, %d the one that is silent now", f.countEjecting("s1"), f.countEjecting("s5"))
+		t.Fatalf("%d poolers eject s1, which answers again, want the paused one only; %d eject s5, which does not answer, want 5", f.countEjecting("s1"), f.countEjecting("s5"))
 	}
-	if f.advance(f.set.CatchUpBound(wayMs), 300); p.ejects("s1") || !p.ejects("s5") {
-		t.Errorf("%v ms after it woke it avoids %v", f.set.CatchUpBound(wayMs), p.v.Ejections())
+	if f.advance(f.settings.CatchUpBound(delayMs), 300); p.ejects("s1") || !p.ejects("s5") {
+		t.Errorf("%v ms after its pause the pooler ejects %v, want s5 only", f.settings.CatchUpBound(delayMs), p.detector.Ejections())
 	}
 }
 
-// TestEvidenceSurvivesRestartOfOthers: all poolers restart except one that has evidence against an unresponsive server. Its evidence
-// counts: all eject the server within the stated time of the first request of another pooler.
+// TestEvidenceSurvivesRestartOfOthers: all poolers restart except one that has evidence against an unresponsive server. Its evidence counts
+// as that of one observer: all eject the server soon after the first request of another pooler, within the bound of the package comment.
+// If that pooler restarts too, it takes longer.
 func TestEvidenceSurvivesRestartOfOthers(t *testing.T) {
-	took := func(seeded bool) float64 {
+	ejectionTime := func(keepOne bool) float64 {
 		f := newFleet(t, zones("a", 6)...)
 		f.advance(1000, 300)
 		f.answers = func(_ *pooler, s string) bool { return s != "s1" }
 		f.advance(3000, 300)
 		for i, p := range f.poolers {
-			if i > 0 || !seeded {
+			if i > 0 || !keepOne {
 				p.id += 100
 			}
 		}
 		for i, p := range f.poolers {
-			if i > 0 || !seeded {
+			if i > 0 || !keepOne {
 				p.start()
 				continue
 			}
@@ -348,31 +351,31 @@
 			}
 			p.do(m)
 		}
-		f.mail = nil
-		first := 0.0
+		f.messages = nil
+		firstSent := 0.0
 		for end := f.now + 4000; f.now < end && f.countEjecting("s1") < 6; f.advance(5, 300) {
 			for _, p := range f.poolers[1:] {
 				for _, a := range p.open {
-					if a.server == "s1" && (first == 0 || a.at < first) {
-						first = a.at
+					if a.server == "s1" && (firstSent == 0 || a.at < firstSent) {
+						firstSent = a.at
 					}
 				}
 			}
 		}
-		return f.now - first
+		return f.now - firstSent
 	}
-	step := Defaults().TickInterval
-	bound := reportAfterWorks*workMs + (&Settings{ReportInterval: Defaults().ReportInterval, TickInterval: step}).SpreadBound(wayMs) + step
-	if with := took(true); with > bound {
-		t.Errorf("%v ms until all avoid it, of %v", with, bound)
+	tick := Defaults().TickInterval
+	bound := reportAfterWorks*workMs + (&Settings{ReportInterval: Defaults().ReportInterval, TickInterval: tick}).SpreadBound(delayMs) + tick
+	if with := ejectionTime(true); with > bound {
+		t.Errorf("%v ms until all poolers eject s1, want at most %v", with, bound)
 	}
-	if without := took(false); without <= bound {
-		t.Errorf("%v ms with nothing that anybody knew, no more than the %v with it", without, bound)
+	if without := ejectionTime(false); without <= bound {
+		t.Errorf("%v ms until all poolers eject s1 without earlier evidence, want more than the %v with it", without, bound)
 	}
 }
 
-// TestStateSurvivesRestartOfOthers: all poolers restart except one. All learn the primary from it, and two observers suffice for an
-// unresponsive server.
+// TestStateSurvivesRestartOfOthers: all poolers restart except one. All learn the primary from it within CatchUpBound, without requests of
+// their own.
 func TestStateSurvivesRestartOfOthers(t *testing.T) {
 	f := newFleet(t, zones("a", 6)...)
 	f.advance(2000, 300)
@@ -390,11 +393,11 @@
 			p.start()
 		}
 	}
-	f.mail = nil
-	f.advance(f.set.CatchUpBound(wayMs), 0)
+	f.messages = nil
+	f.advance(f.settings.CatchUpBound(delayMs), 0)
 	for _, p := range f.poolers[1:] {
-		if p.knows["s0Leads"] == (ServerReport{}) && p.knows[fmt.Sprint("s0", RolePrimary)] == (ServerReport{}) {
-			t.Errorf("%d does not know who leads", p.id)
+		if p.learned["s0Leads"] == (ServerReport{}) && p.learned[fmt.Sprint("s0", RolePrimary)] == (ServerReport{}) {
+			t.Errorf("pooler %d does not know the primary", p.id)
 		}
 	}
 }
@@ -406,14 +409,14 @@
 	f.answers = func(_ *pooler, s string) bool { return s >= "s4" }
 	f.advance(6000, 300)
 	for _, p := range f.poolers {
-		if n := len(p.v.Ejections()); n != f.set.MaxEjected(4) {
-			t.Errorf("%d avoids %d, of %d at most", p.id, n, f.set.MaxEjected(4))
+		if n := len(p.detector.Ejections()); n != f.settings.MaxEjected(4) {
+			t.Errorf("pooler %d ejects %d of 4 servers, want %d", p.id, n, f.settings.MaxEjected(4))
 		}
 	}
 	p := f.poolers[0]
-	p.do(ServersDown{Servers: []string{"s0", "s1", "s2", "s3"}}) // its own module has all of them down
-	if p.do(Tick{}); len(p.v.Ejections()) > 0 {
-		t.Error("words take the last")
+	p.do(ServersDown{Servers: []string{"s0", "s1", "s2", "s3"}}) // its own module has marked all of them down
+	if p.do(Tick{}); len(p.detector.Ejections()) > 0 {
+		t.Error("shared evidence ejects servers though all others are down")
 	}
 }
 
@@ -424,12 +427,12 @@
 	f.answers = func(_ *pooler, s string) bool { return s != "s1" && s != "s2" }
 	f.advance(3000, 300)
 	p := f.poolers[0]
-	if n := len(p.v.Ejections()); n != 2 {
-		t.Fatalf("%d are avoided", n)
+	if n := len(p.detector.Ejections()); n != 2 {
+		t.Fatalf("%d of 4 servers are ejected, want 2", n)
 	}
 	f.servers = slices.Delete(f.servers, 3, 4)
-	if p.do(ServersListed{Servers: f.servers}); len(p.v.Ejections()) != 1 {
-		t.Errorf("words take %d of three", len(p.v.Ejections()))
+	if p.do(ServersListed{Servers: f.servers}); len(p.detector.Ejections()) != 1 {
+		t.Errorf("%d of 3 servers are ejected, want 1", len(p.detector.Ejections()))
 	}
 }
 
@@ -440,11 +443,11 @@
 	f.advance(2000, 300)
 	p := f.poolers[0]
 	f.cut = func(from, to *pooler) bool { return from == p || to == p }
-	p.deaf = true
-	if f.advance(f.set.IsolationBound()+f.set.TickInterval, 300); p.ejects("s1") {
-		t.Error("it goes on avoiding")
+	p.idle = true
+	if f.advance(f.settings.IsolationBound()+f.settings.TickInterval, 300); p.ejects("s1") {
+		t.Error("the isolated pooler still ejects s1 after IsolationBound")
 	}
 	if f.countEjecting("s1") < 4 {
-		t.Error("the others do not")
+		t.Error("the other poolers do not eject s1 any more")
 	}
 }
--- a/internal/cluster/outlier/distrust.go
+++ b/internal/cluster/outlier/distrust.go
@@ -1,6 +1,6 @@
 package outlier
 
-// contradictingObservers is how many observers of a zone must contradict one.
+// contradictingObservers is how many observers of a zone must contradict another one of that zone for it to be distrusted.
 const contradictingObservers = 3
 
 // isTrusted reports whether an observer's evidence counts.
@@ -8,8 +8,8 @@
 	return len(detector.distrustedUntil) == 0 || detector.now >= detector.distrustedUntil[o.id]
 }
 
-// updateDistrust distrusts, for DistrustTime, the observers of a server that the evidence of others contradicts: one that alone receives
-// answers, or one that alone receives none.
+// updateDistrust distrusts, for DistrustTime, the observers of a server that the evidence of others contradicts: an observer that alone
+// receives answers, or one that alone receives none.
 func (detector *Detector) updateDistrust(server *serverState) {
 	unresponsive := 0 // observers with unanswered attempts
 	for _, o := range server.observers {
@@ -24,8 +24,8 @@
 	var contradicted []ID
 	for _, o := range server.observers {
 		soleAnswers := o.answeredAt > o.soleAnswersSince && unresponsive >= contradictingObservers
-		soleSilence := o.unanswered >= maxWaiting
-		if (soleAnswers || soleSilence) && detector.isTrusted(o) && detector.contradicted(server, o) {
+		soleUnanswered := o.unanswered >= maxWaiting
+		if (soleAnswers || soleUnanswered) && detector.isTrusted(o) && detector.contradicted(server, o) {
 			contradicted = append(contradicted, o.id)
 		}
 	}
@@ -34,9 +34,9 @@
 	}
 }
 
-// updateSoleAnswers ends the time since which an observer alone received answers, where another one received one too.
+// updateSoleAnswers advances soleAnswersSince of each observer to its last answer if another trusted observer received an answer since.
 func (detector *Detector) updateSoleAnswers(server *serverState) {
-	newest, second, newestFrom := -inf, -inf, ID(0) // the last answers of two trusted observers
+	newest, second, newestFrom := -inf, -inf, ID(0) // times of the last answers of two trusted observers
 	for _, o := range server.observers {
 		switch {
 		case !detector.isTrusted(o):
@@ -57,7 +57,7 @@
 	}
 }
 
-// contradicted reports whether enough observers of the same zone have evidence against that of one.
+// contradicted reports whether enough observers of the same zone contradict the evidence of an observer.
 func (detector *Detector) contradicted(server *serverState, o *observer) bool {
 	withoutAnswer, withAnswer := 0, 0
 	for _, other := range server.observers {
@@ -67,17 +67,17 @@
 		if detector.receivesNone(other, o.soleAnswersSince) {
 			withoutAnswer++
 		}
-		if other.answeredAt > o.firstUnanswered+silenceLimit(o.work, 1) {
+		if other.answeredAt > o.firstUnanswered+responseLimit(o.work, 1) {
 			withAnswer++
 		}
 	}
 	soleAnswers := o.answeredAt > o.soleAnswersSince && withoutAnswer >= contradictingObservers
-	longSilence := o.unanswered >= maxWaiting && o.lastUnanswered-o.firstUnanswered > silenceLimit(o.work, 1)
-	return soleAnswers || longSilence && withAnswer >= contradictingObservers
+	longUnanswered := o.unanswered >= maxWaiting && o.lastUnanswered-o.firstUnanswered > responseLimit(o.work, 1)
+	return soleAnswers || longUnanswered && withAnswer >= contradictingObservers
 }
 
-// receivesNone reports whether an observer has received no answer since a time, for as long as an assessment takes.
+// receivesNone reports whether an observer has received no answer since a time, for longer than the time limit of an assessment.
 func (detector *Detector) receivesNone(o *observer, since float64) bool {
 	unansweredSince := o.unanswered > 0 && o.lastUnanswered > since && o.answeredAt < since
-	return unansweredSince && detector.now-max(o.firstUnanswered, since) > silenceLimit(o.work, 1)
+	return unansweredSince && detector.now-max(o.firstUnanswered, since) > responseLimit(o.work, 1)
 }
--- a/internal/cluster/outlier/ejections.go
+++ b/internal/cluster/outlier/ejections.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// unresponsiveReason is why a server is ejected, in logs and answers.
+// unresponsiveReason is the reason of an ejection in logs and in answers of the admin endpoint.
 const unresponsiveReason = "silent"
 
-// assessment is the last one of a collector about a server. Times are on this process's clock.
+// assessment is the last assessment of a server by a collector. Times are on this process's clock.
 type assessment struct {
 	sequence        uint32
 	receivedAt      float64
@@ -21,7 +21,7 @@
 	reportedAt      float64
 }
 
-// ejection is the state of a server by shared evidence.
+// ejection is the ejection of a server on shared evidence.
 type ejection struct {
 	active    bool
 	testing   bool // it is this process's turn to test the server
@@ -31,7 +31,7 @@
 	observers []ID
 }
 
-// recordAssessment takes a collector's assessment of a server over.
+// recordAssessment records a collector's assessment of a server and applies it.
 func (detector *Detector) recordAssessment(server *serverState, from ID, sequence uint32, item *Assessment) {
 	if !slices.Contains(detector.collectors(server), from) {
 		return
@@ -69,7 +69,8 @@
 	detector.updateEjection(server)
 }
 
-// shareReports passes the newest position that a quorum of collectors reports to the decision module: as the primary, and of any role.
+// shareReports passes the newest positions that a quorum of collectors reports to the decision module: the one as the primary, and the one
+// in any role.
 func (detector *Detector) shareReports(server *serverState) {
 	if detector.settings.ShareRoles {
 		position, at := detector.quorumPosition(server, func(r ServerReport) bool { return r.Role == RolePrimary && r.Position > 0 })
@@ -81,7 +82,8 @@
 	}
 }
 
-// quorumPosition returns the newest position that a quorum of collectors reports, or a later one, and the time of that report; 0 for none.
+// quorumPosition returns the newest position for which a quorum of collectors reports it or a later one, and the time of that report; 0 for
+// none. counts selects the reports.
 func (detector *Detector) quorumPosition(server *serverState, counts func(ServerReport) bool) (position, at float64) {
 	var fresh []*assessment
 	for _, a := range server.assessments {
@@ -100,7 +102,7 @@
 	return last.report.Position, last.reportedAt
 }
 
-// learn passes a report to the decision module where its position is newer than the learned one.
+// learn passes a report to the decision module if its position is newer than the learned one.
 func (detector *Detector) learn(server *serverState, learned *float64, report ServerReport, at float64) {
 	if report.Position <= 0 {
 		return
@@ -119,7 +121,8 @@
 	return unhealthy
 }
 
-// quorumVerdict reports whether a quorum of collectors calls a server unhealthy, and returns the assessment with the newest evidence.
+// quorumVerdict reports whether a quorum of collectors calls a server unhealthy, and returns the one of their assessments with the newest
+// evidence.
 func (detector *Detector) quorumVerdict(server *serverState) (unhealthy bool, newest *assessment) {
 	n := 0
 	for _, id := range detector.collectors(server) {
@@ -135,14 +138,14 @@
 	return n >= detector.settings.collectorQuorum(len(detector.peers)), newest
 }
 
-// callsUnhealthy reports whether an assessment, and its evidence, is recent enough to call a server unhealthy.
+// callsUnhealthy reports whether an assessment calls its server unhealthy, and it and its evidence are recent enough.
 func (detector *Detector) callsUnhealthy(a *assessment) bool {
 	recent := detector.now-a.receivedAt <= detector.settings.assessmentLifetime()
 	return a.unhealthy && recent && detector.now-a.lastUnanswered <= detector.settings.EjectionTime
 }
 
-// updateEjection starts, renews or ends a server's ejection: the collectors' conclusion must not contradict what this process observed,
-// and the group must be able to do without the server.
+// updateEjection starts, renews or ends a server's ejection. A server is ejected if a quorum of collectors calls it unhealthy, this process's
+// own observations do not contradict that, and canEject allows it.
 func (detector *Detector) updateEjection(server *serverState) {
 	unhealthy, verdict := detector.quorumVerdict(server)
 	if unhealthy && server.own.answeredSentAt >= verdict.firstUnanswered && detector.settings.Fault != IgnoresOwnEvidence {
@@ -181,7 +184,7 @@
 	server.ejection.testing = testing
 }
 
-// canEject reports whether a group can do without a server: not too many are ejected, and another one is up.
+// canEject reports whether a server may be ejected: fewer than MaxEjected other members of its group are, and another member is up.
 func (detector *Detector) canEject(server *serverState) bool {
 	members := detector.groups[server.Group]
 	ejected, up := 0, 0
@@ -197,24 +200,24 @@
 	return up > 0 && ejected < detector.settings.MaxEjected(len(members))
 }
 
-// isTester reports whether it is this process's turn to test a server: TesterCount of all poolers do at any time, those with the lowest
-// hashes, each for TesterTurn.
+// isTester reports whether it is this process's turn to test a server. In each TesterTurn after the first, the TesterCount poolers with the
+// lowest hashes test it.
 func (detector *Detector) isTester(server *serverState) bool {
 	turn := uint64((detector.now - server.ejection.since) / max(1, detector.settings.TesterTurn))
 	if turn == 0 {
 		return false
 	}
-	draw := func(id ID) uint64 { return mixHash(uint64(server.key)<<32^uint64(id), turn+1) }
-	own, before := draw(detector.self), 0
+	rank := func(id ID) uint64 { return mixHash(uint64(server.key)<<32^uint64(id), turn+1) }
+	own, before := rank(detector.self), 0
 	for i := range detector.peers {
-		if id := detector.peers[i].ID; id != detector.self && draw(id) < own {
+		if id := detector.peers[i].ID; id != detector.self && rank(id) < own {
 			before++
 		}
 	}
 	return before < detector.settings.TesterCount(len(detector.peers))
 }
 
-// Factors of hashes: odd numbers with about as many ones as zeros.
+// Factors and shifts of mixHash. The factors are odd numbers with about as many one bits as zero bits.
 const (
 	blockHashFactor = 0x9e3779b97f4a7c15
 	firstMixFactor  = 0xff51afd7ed558ccd
@@ -230,7 +233,8 @@
 	return h ^ h>>secondMixShift
 }
 
-// endEjection ends an ejection. With restore the decision module learns that the server answers, where a collector knows of an answer.
+// endEjection ends an ejection. With restore, the decision module learns that the server answers again if a collector knows of an answer since
+// the ejection started.
 func (detector *Detector) endEjection(server *serverState, restore bool) {
 	last := server.ejection
 	server.ejection = ejection{}
--- a/internal/cluster/outlier/invariants.go
+++ b/internal/cluster/outlier/invariants.go
@@ -13,9 +13,9 @@
 
 // checkState checks the invariants of the whole state.
 func (detector *Detector) checkState(checks *invariant.Checks) {
-	filed := len(detector.servers) == len(detector.byName) && len(detector.servers) == len(detector.byKey)
-	checks.That(filed, "outlier: servers are filed", func() string {
-		return fmt.Sprintf("%d, %d by name, %d by key", len(detector.servers), len(detector.byName), len(detector.byKey))
+	indexed := len(detector.servers) == len(detector.byName) && len(detector.servers) == len(detector.byKey)
+	checks.That(indexed, "outlier: servers are indexed by name and by key", func() string {
+		return fmt.Sprintf("%d servers, %d by name, %d by key", len(detector.servers), len(detector.byName), len(detector.byKey))
 	})
 	for _, members := range detector.groups {
 		ejected := 0
@@ -24,8 +24,8 @@
 				ejected++
 			}
 		}
-		checks.That(ejected <= detector.settings.MaxEjected(len(members)), "outlier: no more of a group is ejected than MaxEjected", func() string {
-			return fmt.Sprintf("%d of %d of group %d", ejected, len(members), members[0].Group)
+		checks.That(ejected <= detector.settings.MaxEjected(len(members)), "outlier: no more servers of a group are ejected than MaxEjected", func() string {
+			return fmt.Sprintf("%d of %d servers of group %d", ejected, len(members), members[0].Group)
 		})
 	}
 	for _, server := range detector.servers {
@@ -38,10 +38,10 @@
 	describe := func() string {
 		return fmt.Sprintf("%s: %+v, %+v; now %v", server.Name, *own, server.ejection, detector.now)
 	}
-	filed := detector.byKey[server.key] == server && detector.byName[server.Name] == server
-	checks.That(filed, "outlier: a server is filed once", describe)
+	indexed := detector.byKey[server.key] == server && detector.byName[server.Name] == server
+	checks.That(indexed, "outlier: a server is indexed once", describe)
 	checks.That(len(own.openAttempts) <= maxOpenAttempts, "outlier: open attempts are bounded", describe)
-	checks.That(own.unanswered == 0 || own.inOrder(detector.now), "outlier: unanswered attempts were sent after any answered one", describe)
+	checks.That(own.unanswered == 0 || own.inOrder(detector.now), "outlier: unanswered attempts were sent after the last answered one", describe)
 	hasEnd := server.ejection.until <= detector.now+detector.settings.EjectionTime
 	checks.That(!server.ejection.active || hasEnd, "outlier: an ejection has an end", describe)
 	for _, o := range server.observers {
@@ -52,6 +52,7 @@
 	}
 }
 
+// inOrder reports whether the times of unanswered attempts are in order, after the last answered attempt and not after now.
 func (o *localEvidence) inOrder(now float64) bool {
 	return o.firstUnanswered <= o.lastUnanswered && o.lastUnanswered > o.answeredSentAt && o.lastUnanswered <= now
 }
--- a/internal/cluster/outlier/observations.go
+++ b/internal/cluster/outlier/observations.go
@@ -3,22 +3,22 @@
 import "slices"
 
 const (
-	reportAfterWorks = 2.0 // times its work that an attempt may take before it is reported as unanswered
-	answerMemory     = 2.0 // times EjectionTime for which an answer is reported
+	reportAfterWorks = 2.0 // an open attempt is reported as unanswered after this many times its work
+	answerMemory     = 2.0 // an answer is reported for this many times EjectionTime
 )
 
-// localEvidence is what this process observed of a server itself. Times are in ms.
+// localEvidence is this process's own evidence about a server. Times are in ms.
 type localEvidence struct {
 	openAttempts    []openAttempt
-	answeredAt      float64 // the arrival of the last answer
-	answeredSentAt  float64 // the sending of the latest attempt that was answered
+	answeredAt      float64 // arrival time of the last answer
+	answeredSentAt  float64 // latest sending time of an answered attempt
 	unanswered      int     // attempts that ended without an answer, sent after answeredSentAt
-	firstUnanswered float64 // the sending of the first and the last of them
+	firstUnanswered float64 // sending times of the first and the last of them
 	lastUnanswered  float64
 	work            float64 // ms that one of them should have taken, at most
 	report          ServerReport
 	reportedAt      float64
-	changed         bool // since the last observation was sent
+	changed         bool // since the last sent observation
 }
 
 type openAttempt struct {
@@ -44,7 +44,7 @@
 	switch {
 	case o.lastUnanswered <= o.answeredSentAt:
 		o.unanswered = 0
-	case o.unanswered > 0: // at least the last one was sent later
+	case o.unanswered > 0: // of the unanswered attempts, at least the last one was sent after the answered one
 		o.unanswered = 1
 		o.firstUnanswered = o.lastUnanswered
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-// recordReport takes what a server reported of itself. Another primary than the known one is reported to the collectors at once.
+// recordReport records a server's report. A report by a primary other than the known one is sent to the collectors at once.
 func (detector *Detector) recordReport(server *serverState, report ServerReport) {
 	server.own.recordReport(detector.now, report)
 	if report.Role == RolePrimary && detector.settings.ShareRoles && detector.primaryOf(server.Group) != server {
@@ -118,7 +118,7 @@
 	}
 }
 
-// primaryOf returns the server of a group with the newest position as the primary; nil where none is known.
+// primaryOf returns the server of a group with the newest position as the primary; nil if none is known.
 func (detector *Detector) primaryOf(group int) (primary *serverState) {
 	newest := 0.0
 	for _, server := range detector.groups[group] {
@@ -129,7 +129,7 @@
 	return primary
 }
 
-// reportAtOnce sends the observation of a server to its collectors, but not twice within a tick.
+// reportAtOnce sends the observation of a server to its collectors, at most once in a TickInterval.
 func (detector *Detector) reportAtOnce(server *serverState) {
 	if detector.now-server.reportedAt < detector.settings.TickInterval {
 		return
@@ -138,7 +138,7 @@
 	detector.sendObservations([]*serverState{server})
 }
 
-// observationOf returns what this process has observed of a server.
+// observationOf returns this process's observation of a server.
 func (detector *Detector) observationOf(server *serverState) Observation {
 	own := &server.own
 	out := Observation{Key: server.key, Answered: -1}
@@ -161,7 +161,7 @@
 	return out
 }
 
-// unansweredAttempts are attempts without an answer: how many, the sending of the first and the last, and the work of one.
+// unansweredAttempts describes attempts without an answer: their number, the sending times of the first and the last, and the work of one.
 type unansweredAttempts struct {
 	unanswered      int
 	firstUnanswered float64
@@ -169,7 +169,7 @@
 	work            float64
 }
 
-// withOpenAttempts returns the unanswered attempts, and those open attempts that have taken too long.
+// withOpenAttempts returns the unanswered attempts, including open attempts that have taken too long.
 func (o *localEvidence) withOpenAttempts(now float64) unansweredAttempts {
 	sum := unansweredAttempts{o.unanswered, o.firstUnanswered, o.lastUnanswered, o.work}
 	for _, attempt := range o.openAttempts {
@@ -187,7 +187,7 @@
 	return sum
 }
 
-// reportChanges sends the observations that changed, and with all those that are current.
+// reportChanges sends the observations that changed; if all is true, also those that are current.
 func (detector *Detector) reportChanges(all bool) {
 	var changed []*serverState
 	for _, server := range detector.servers {
@@ -199,13 +199,13 @@
 	detector.sendObservations(changed)
 }
 
-// isCurrent reports whether an observation is worth a refresh.
+// isCurrent reports whether an observation is part of a refresh.
 func (detector *Detector) isCurrent(o *Observation) bool {
 	answered := o.Answered >= 0 && o.Answered <= detector.settings.EjectionTime
 	return o.Unanswered > 0 || answered || o.Report.Role == RolePrimary
 }
 
-// sendObservations sends the observations of servers to their collectors, those of a block together.
+// sendObservations sends the observations of servers to their collectors, the servers of a block together.
 func (detector *Detector) sendObservations(servers []*serverState) {
 	detector.sequence++
 	blockOf := func(server *serverState) int { return server.Group / GroupsPerBlock }
@@ -220,7 +220,7 @@
 	}
 }
 
-// sendBlock sends the observations of servers of one block to the collectors of it.
+// sendBlock sends the observations of servers of one block to the collectors of that block.
 func (detector *Detector) sendBlock(servers []*serverState) {
 	items := make([]Observation, len(servers))
 	for i, server := range servers {
--- a/internal/cluster/outlier/servers.go
+++ b/internal/cluster/outlier/servers.go
@@ -8,38 +8,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// updateServers takes the list of servers. Of two servers with one key the second is left out.
+// updateServers applies a list of servers. Of two servers with the same key the second is ignored.
 func (detector *Detector) updateServers(all []Server) {
-	named := map[string]bool{}
+	names := map[string]bool{}
 	for _, listed := range all {
-		if named[listed.Name] || len(named) >= MaxServers {
+		if names[listed.Name] || len(names) >= MaxServers {
 			continue
 		}
 		if other := detector.byKey[detector.keyOf(listed)]; other != nil && other.Name != listed.Name {
 			continue
 		}
-		named[listed.Name] = true
+		names[listed.Name] = true
 		server := detector.byName[listed.Name]
 		if server == nil || detector.replaces(listed, server) {
 			server = detector.addServer(listed, server)
 		}
 		server.Start = listed.Start
 	}
-	detector.sortServers(named)
-	for _, server := range detector.servers { // a group that has lost a member can do without fewer
+	detector.sortServers(names)
+	for _, server := range detector.servers { // MaxEjected falls when a group loses a member
 		if server.ejection.active {
 			detector.updateEjection(server)
 		}
 	}
 }
 
-// replaces reports whether a listed server is another process than the known one, or in another group.
+// replaces reports whether a listed server is a different process than the known server of that name, or in a different group.
 func (detector *Detector) replaces(listed Server, server *serverState) bool {
 	restarted := server.Start != listed.Start && detector.settings.Fault != KeepsOldEvidence
 	return restarted || server.Group != listed.Group
 }
 
-// addServer starts without evidence about a server, which may replace a previous one.
+// addServer adds a server without evidence, which may replace the previous process of that name.
 func (detector *Detector) addServer(listed Server, previous *serverState) *serverState {
 	server := &serverState{Server: listed, key: detector.keyOf(listed), assessments: map[ID]*assessment{}}
 	server.own.clear()
@@ -55,11 +55,11 @@
 	return server
 }
 
-// sortServers removes the servers that are not named, and sorts the others by key and into their groups.
-func (detector *Detector) sortServers(named map[string]bool) {
+// sortServers removes the servers whose names are not listed, and sorts the others by key and into their groups.
+func (detector *Detector) sortServers(names map[string]bool) {
 	detector.servers, detector.groups = detector.servers[:0], map[int][]*serverState{}
 	for name, server := range detector.byName {
-		if !named[name] {
+		if !names[name] {
 			delete(detector.byName, name)
 			delete(detector.byKey, server.key)
 			continue
--- a/internal/cluster/outlier/vouching.go
+++ b/internal/cluster/outlier/vouching.go
@@ -1,18 +1,18 @@
 package outlier
 
 const (
-	maxVouchers = 16
+	maxVouchers = 16 // upper limit of MinVouchers
 	roleCount   = RoleReplica + 1
 )
 
-// newestPositions are the newest positions that were reported, the newest first, with the times of the reports.
+// newestPositions holds the newest reported positions, the newest first, with the times of the reports.
 type newestPositions struct {
 	positions  [maxVouchers]float64
 	reportedAt [maxVouchers]float64
 	count      int
 }
 
-// add adds a position, where it is among the newest ones up to a limit.
+// add inserts a position if it is among the newest limit ones.
 func (n *newestPositions) add(position, reportedAt float64, limit int) {
 	i := n.count
 	for i > 0 && position > n.positions[i-1] {
@@ -27,13 +27,14 @@
 	n.positions[i], n.reportedAt[i] = position, reportedAt
 }
 
-// vouchedReport returns the newest report of a server that at least MinVouchers observers vouch for, and the time of the last of theirs.
+// vouchedReport returns the newest position and role of a server that at least MinVouchers observers confirm, each by reporting that position
+// or a later one, and the time of the report with exactly that position.
 func (detector *Detector) vouchedReport(server *serverState) (ServerReport, float64) {
 	vouchers := min(maxVouchers, max(1, detector.settings.MinVouchers))
 	if detector.settings.Fault == SingleObserver {
 		vouchers = 1
 	}
-	var byRole [roleCount]newestPositions // that of RoleUnknown has the reports of all roles
+	var byRole [roleCount]newestPositions // the entry of RoleUnknown holds the reports of all roles
 	for _, o := range server.observers {
 		if o.report.Position <= 0 || detector.now-o.reportedAt > detector.settings.StaleAfter || !detector.isTrusted(o) {
 			continue
