--- a/internal/cluster/outlier/adapter/adapter.go
+++ b/internal/cluster/outlier/adapter/adapter.go
@@ -36,7 +36,8 @@
 // EjectionObserver is called for each ejection on shared evidence that starts or ends.
 type EjectionObserver func(ejection outlier.Ejection, started bool)
 
-// Adapter is the adapter of one pooler. It implements module.Module and the core's observer of servers. Its methods are called on the event loop.
+// Adapter is the adapter of one pooler. It implements module.Module and the core's observer of servers. Its methods are called on the event
+// loop.
 type Adapter struct {
 	options       Options
 	core          Core
--- a/internal/cluster/outlier/adapter/byzantine.go
+++ b/internal/cluster/outlier/adapter/byzantine.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/testkit/byzantine"
 )
 
-// outgoingObservations and outgoingAssessments falsify messages to other poolers, as selected by the environment variable LIE. This makes the
-// process a byzantine pooler, for rehearsals.
+// outgoingObservations and outgoingAssessments falsify messages to other poolers, as selected by the environment variable LIE. This makes
+// the process a byzantine pooler, for rehearsals.
 func outgoingObservations(observations *outlier.Observations) *outlier.Observations {
 	return byzantine.AlterServers(observations, byzantine.ServerFaults[os.Getenv("LIE")])
 }
--- a/internal/cluster/outlier/assessments.go
+++ b/internal/cluster/outlier/assessments.go
@@ -45,8 +45,8 @@
 	return true
 }
 
-// recordObservation records an observation if this process is a collector of the server. The newest evidence of each kind counts, in whatever
-// order messages arrive, and however often. delay is added to ages where a higher age is safer.
+// recordObservation records an observation if this process is a collector of the server. The newest evidence of each kind counts, in
+// whatever order messages arrive, and however often. delay is added to ages where a higher age is safer.
 func (detector *Detector) recordObservation(server *serverState, from ID, sequence uint32, item *Observation, delay float64) {
 	if !slices.Contains(detector.collectors(server), detector.self) {
 		return
--- a/internal/cluster/outlier/bench_test.go
+++ b/internal/cluster/outlier/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// stalls records the longest time that one event blocked the event loop in each round. Rounds during which the machine was busy otherwise are
-// not comparable, so percentiles are reported.
+// stalls records the longest time that one event blocked the event loop in each round. Rounds during which the machine was busy otherwise
+// are not comparable, so percentiles are reported.
 type stalls struct {
 	longest time.Duration   // in the current round
 	all     []time.Duration // by round
@@ -35,8 +35,8 @@
 	b.ReportMetric(float64(s.all[len(s.all)*9/10].Microseconds())/1000, "stall-p90-ms")
 }
 
-// BenchmarkCollector measures a collector of 100 servers and 300 poolers, each of which reports ten servers in every ReportInterval: the time of
-// a tick with all observations since the last one, the heap in use, and the longest time that one event blocks the event loop.
+// BenchmarkCollector measures a collector of 100 servers and 300 poolers, each of which reports ten servers in every ReportInterval: the
+// time of a tick with all observations since the last one, the heap in use, and the longest time that one event blocks the event loop.
 func BenchmarkCollector(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -89,8 +89,9 @@
 	runtime.KeepAlive(detector)
 }
 
-// BenchmarkHeed measures a pooler that is no collector and applies the assessments of three collectors about 100 servers, all of whose positions
-// changed, in every ReportInterval: the time for all assessments of an interval, and the longest time that one event blocks the event loop.
+// BenchmarkHeed measures a pooler that is no collector and applies the assessments of three collectors about 100 servers, all of whose
+// positions changed, in every ReportInterval: the time for all assessments of an interval, and the longest time that one event blocks the
+// event loop.
 func BenchmarkHeed(b *testing.B) {
 	detector := New(Defaults(), 1, 1e6)
 	members := MembersChanged{Self: 1}
--- a/internal/cluster/outlier/detector.go
+++ b/internal/cluster/outlier/detector.go
@@ -11,8 +11,8 @@
 // maxPauseMs is the time since its last tick after which a process counts as paused.
 const maxPauseMs = 500
 
-// Detector is the outlier detection of one process, which is an observer, a collector, and a pooler that applies the collectors' assessments.
-// It is not safe for concurrent use.
+// Detector is the outlier detection of one process, which is an observer, a collector, and a pooler that applies the collectors'
+// assessments. It is not safe for concurrent use.
 type Detector struct {
 	settings          Settings
 	self              ID
--- a/internal/cluster/outlier/doc.go
+++ b/internal/cluster/outlier/doc.go
@@ -70,7 +70,7 @@
 //
 // # Limitations
 //
-// It does not know why a server is unresponsive: a server that is overloaded for longer than an assessment takes, at all poolers, is ejected
-// like one that is hung. A server that loses only a part of its requests is not ejected: its answers contradict the assessment. It does
-// not know whether an endpoint list without start times lists the same process.
+// It does not know why a server is unresponsive: a server that is overloaded for longer than an assessment takes, at all poolers, is
+// ejected like one that is hung. A server that loses only a part of its requests is not ejected: its answers contradict the assessment. It
+// does not know whether an endpoint list without start times lists the same process.
 package outlier
--- a/internal/cluster/outlier/ejections.go
+++ b/internal/cluster/outlier/ejections.go
@@ -144,8 +144,8 @@
 	return a.unhealthy && recent && detector.now-a.lastUnanswered <= detector.settings.EjectionTime
 }
 
-// updateEjection starts, renews or ends a server's ejection. A server is ejected if a quorum of collectors calls it unhealthy, this process's
-// own observations do not contradict that, and canEject allows it.
+// updateEjection starts, renews or ends a server's ejection. A server is ejected if a quorum of collectors calls it unhealthy, this
+// process's own observations do not contradict that, and canEject allows it.
 func (detector *Detector) updateEjection(server *serverState) {
 	unhealthy, verdict := detector.quorumVerdict(server)
 	if unhealthy && server.own.answeredSentAt >= verdict.firstUnanswered && detector.settings.Fault != IgnoresOwnEvidence {
@@ -233,8 +233,8 @@
 	return h ^ h>>secondMixShift
 }
 
-// endEjection ends an ejection. With restore, the decision module learns that the server answers again if a collector knows of an answer since
-// the ejection started.
+// endEjection ends an ejection. With restore, the decision module learns that the server answers again if a collector knows of an answer
+// since the ejection started.
 func (detector *Detector) endEjection(server *serverState, restore bool) {
 	last := server.ejection
 	server.ejection = ejection{}
--- a/internal/cluster/outlier/fleet_test.go
+++ b/internal/cluster/outlier/fleet_test.go
@@ -57,8 +57,8 @@
 	content  []byte
 }
 
-// newFleet returns poolers in the given zones, and two groups of four servers: s0 to s3 of group 0, s4 to s7 of group 1. The first server of
-// each group is its primary.
+// newFleet returns poolers in the given zones, and two groups of four servers: s0 to s3 of group 0, s4 to s7 of group 1. The first server
+// of each group is its primary.
 func newFleet(t *testing.T, zones ...string) *fleet {
 	f := &fleet{t: t, settings: Defaults(), now: 1e6, primaries: map[string]bool{"s0": true, "s4": true}, cut: func(_, _ *pooler) bool { return false },
 		answers: func(*pooler, string) bool { return true }}
@@ -137,8 +137,8 @@
 	p.do(AttemptSent{Server: server, Ref: p.f.lastRef, Work: workMs})
 }
 
-// advance simulates a time. Each pooler sends each server that it has not marked down a request every interval ms, at a phase of its own; with
-// interval 0 it sends none.
+// advance simulates a time. Each pooler sends each server that it has not marked down a request every interval ms, at a phase of its own;
+// with interval 0 it sends none.
 func (f *fleet) advance(ms, interval float64) {
 	for end := f.now + ms; f.now < end; f.now += 5 {
 		for _, p := range f.poolers {
--- a/internal/cluster/outlier/settings.go
+++ b/internal/cluster/outlier/settings.go
@@ -115,8 +115,8 @@
 	return max(0, min(int(s.MaxEjectedShare*float64(members)), members-1))
 }
 
-// RecoveryBound bounds how long a server that answers its testers stays ejected: until a tester sends it a request, gets the answer, and all
-// poolers know of it. each is the time between two requests of the testers, answer the time that an answer takes.
+// RecoveryBound bounds how long a server that answers its testers stays ejected: until a tester sends it a request, gets the answer, and
+// all poolers know of it. each is the time between two requests of the testers, answer the time that an answer takes.
 func (s *Settings) RecoveryBound(poolers int, each, answer, delay float64) float64 {
 	return s.TesterTurn + each + answer + s.SpreadBound(delay)
 }
@@ -152,8 +152,8 @@
 }
 
 // TrafficBound bounds the bytes a second that a pooler sends, on average over a fleet of n poolers, for a number of servers of which some
-// are unhealthy. It does not include messages that are sent at once: those to each collector about a server that contradicts its assessment,
-// and those to all poolers about an assessment or a primary that changed.
+// are unhealthy. It does not include messages that are sent at once: those to each collector about a server that contradicts its
+// assessment, and those to all poolers about an assessment or a primary that changed.
 func (s *Settings) TrafficBound(n, servers, unhealthy int) float64 {
 	blocks := math.Ceil(float64(servers) / serversPerBlock)
 	collectors := float64(min(n, s.Collectors))
--- a/internal/cluster/outlier/vouching.go
+++ b/internal/cluster/outlier/vouching.go
@@ -27,8 +27,8 @@
 	n.positions[i], n.reportedAt[i] = position, reportedAt
 }
 
-// vouchedReport returns the newest position and role of a server that at least MinVouchers observers confirm, each by reporting that position
-// or a later one, and the time of the report with exactly that position.
+// vouchedReport returns the newest position and role of a server that at least MinVouchers observers confirm, each by reporting that
+// position or a later one, and the time of the report with exactly that position.
 func (detector *Detector) vouchedReport(server *serverState) (ServerReport, float64) {
 	vouchers := min(maxVouchers, max(1, detector.settings.MinVouchers))
 	if detector.settings.Fault == SingleObserver {
--- a/internal/cluster/overload/adapter/adapter.go
+++ b/internal/cluster/overload/adapter/adapter.go
@@ -1,6 +1,6 @@
-// Package adapter connects overload handling, shared probes and lent retry budgets (package overload and its subpackages) to a pooler's core
-// and to the cluster: requests, probe results and budgets go in, shedding policies, probes and lent retries come out. It works with sockets
-// and in virtual time.
+// Package adapter connects overload handling, shared probes and lent retry budgets (package overload and its subpackages) to a pooler's
+// core and to the cluster: requests, probe results and budgets go in, shedding policies, probes and lent retries come out. It works with
+// sockets and in virtual time.
 package adapter
 
 import (
--- a/internal/cluster/overload/budgetlease/lender_test.go
+++ b/internal/cluster/overload/budgetlease/lender_test.go
@@ -130,8 +130,8 @@
 	return sum
 }
 
-// TestBudgetIsLentWhereItIsNeeded: eight poolers earn one retry a second each, and only one of them needs retries, four a second. It gets the
-// retries of the others within WaitBound.
+// TestBudgetIsLentWhereItIsNeeded: eight poolers earn one retry a second each, and only one of them needs retries, four a second. It gets
+// the retries of the others within WaitBound.
 func TestBudgetIsLentWhereItIsNeeded(t *testing.T) {
 	f := newFleet(8, 3, invariant.Test(t))
 	needed, made, waitingSteps := 0, 0, 0
--- a/internal/cluster/overload/clone.go
+++ b/internal/cluster/overload/clone.go
@@ -81,7 +81,7 @@
 	var text strings.Builder
 	fmt.Fprint(&text, controller.now, controller.nextReport, controller.sequence, controller.collectorOrder)
 	for _, group := range controller.sortedGroups {
-		fmt.Fprintf(&text, "|%d %v %v %v %v %v %+v", group.id, group.level, group.budget, group.decidedAt, group.classOrder, group.applied, group.collected)
+		fmt.Fprintf(&text, "|%d %v %v %v %v %v %+v", group.id, group.level, group.budget, group.decidedAt, group.classOrder, group.applied, group.collector)
 		for _, decision := range slices.SortedFunc(slices.Values(group.decisions), func(a, b collectorDecision) int { return int(math.Copysign(1, float64(a.from)-float64(b.from))) }) {
 			fmt.Fprintf(&text, " g%d %v %v %v", decision.from, decision.reportedAt, decision.decision.Level, decision.decision.Budget)
 		}
--- a/internal/cluster/overload/collector.go
+++ b/internal/cluster/overload/collector.go
@@ -33,14 +33,14 @@
 	load       GroupLoad
 }
 
-// collected is a collector's state for a group.
-type collected struct {
-	decidedAt     float64 // 0 for never
-	since         float64 // start of the collection without interruption
-	admittedRatio float64 // moving average of the admitted work over the budget
-	peakServed    float64 // the highest recent rate of served work, per second
-	calmSeconds   float64 // time without strain
-	decision      ShedDecision
+// collectorState is a collector's state for a group.
+type collectorState struct {
+	decidedAt       float64 // 0 for never
+	collectingSince float64 // start of the collection without interruption
+	admittedRatio   float64 // moving average of the admitted work over the budget
+	peakServed      float64 // the highest recent rate of served work, per second
+	calmSeconds     float64 // time without strain
+	decision        ShedDecision
 }
 
 // handleReport records a report and answers it. A report counts only if the collector time that it echoes bounds its age.
@@ -66,30 +66,30 @@
 			}
 			group.recordReport(&peerReport{from, report.Sequence, reportedAt, report.Work, *load})
 		}
-		if controller.decidedLately(&group.collected) {
-			answer.Groups = append(answer.Groups, group.collected.decision)
+		if controller.decidedLately(&group.collector) {
+			answer.Groups = append(answer.Groups, group.collector.decision)
 		}
 	}
 	controller.enqueue(Action{Kind: SendDecisions, To: from, Decisions: answer})
 }
 
-func (controller *Controller) decidedLately(c *collected) bool {
+func (controller *Controller) decidedLately(c *collectorState) bool {
 	return c.decidedAt > 0 && controller.now-c.decidedAt <= controller.settings.StaleAfter
 }
 
 // valid reports whether the numbers of a received load are in their ranges.
-func (p *GroupLoad) valid() bool {
-	if !finite(p.Budget) || !finite(p.Level) || len(p.Classes) > MaxClasses || len(p.Tenants) > MaxTenants {
+func (load *GroupLoad) valid() bool {
+	if !finite(load.Budget) || !finite(load.Level) || len(load.Classes) > MaxClasses || len(load.Tenants) > MaxTenants {
 		return false
 	}
-	for _, c := range p.Classes {
+	for _, c := range load.Classes {
 		for _, x := range [...]float64{c.FirstAttempts, c.Retries, c.Admitted, c.Open, c.Served, c.Ended, c.Strain} {
 			if !finite(x) {
 				return false
 			}
 		}
 	}
-	return !slices.ContainsFunc(p.Tenants, func(tenant KeyedValue) bool { return !finite(tenant.Value) })
+	return !slices.ContainsFunc(load.Tenants, func(tenant KeyedValue) bool { return !finite(tenant.Value) })
 }
 
 // recordReport stores a report, if it is the newest of its process.
@@ -148,7 +148,7 @@
 // decide updates a group's budget and derives the level from it.
 func (controller *Controller) decide(group *groupState, work map[uint16]float64) {
 	totals := controller.sumReports(group, work)
-	c := &group.collected
+	c := &group.collector
 	seconds := min(controller.settings.StaleAfter, controller.now-c.decidedAt) / msPerSecond
 	budget := controller.startingBudget(c, &totals)
 	if c.decision.Level == 0 || budget == 0 {
@@ -157,7 +157,7 @@
 		c.admittedRatio += (totals.admitted/budget - c.admittedRatio) * min(1, seconds/admittedRatioSeconds)
 	}
 	if !controller.decidedLately(c) {
-		c.since, c.peakServed, c.calmSeconds = controller.now, 0, 0
+		c.collectingSince, c.peakServed, c.calmSeconds = controller.now, 0, 0
 	}
 	controller.updatePeakServed(c, &totals, budget, seconds)
 	budget = controller.nextBudget(c, &totals, budget, seconds)
@@ -168,8 +168,9 @@
 	c.decidedAt = controller.now
 }
 
-// startingBudget returns this collector's last budget, if it is within toleranceFactor of the median of the reported ones; else that median.
-func (controller *Controller) startingBudget(c *collected, totals *groupTotals) float64 {
+// startingBudget returns this collector's last budget, if it is within toleranceFactor of the median of the reported ones; else that
+// median.
+func (controller *Controller) startingBudget(c *collectorState, totals *groupTotals) float64 {
 	budget := medianBudget(totals.budgets)
 	own := c.decision.Budget
 	if controller.decidedLately(c) && budget > 0 && own > budget/toleranceFactor && own < budget*toleranceFactor {
@@ -180,7 +181,7 @@
 
 // updatePeakServed tracks the capacity of the servers. The peak decays, and faster where strained servers serve less
 // though no more is admitted.
-func (controller *Controller) updatePeakServed(c *collected, totals *groupTotals, budget, seconds float64) {
+func (controller *Controller) updatePeakServed(c *collectorState, totals *groupTotals, budget, seconds float64) {
 	rate := slowRate
 	withinBudget := budget == 0 || totals.admitted <= overBudgetFactor*budget
 	servesLess := totals.served < servedLessFactor*c.peakServed && totals.served < totals.admitted
@@ -191,7 +192,7 @@
 }
 
 // nextBudget returns the budget that follows from the evidence of the last reports; 0 for none.
-func (controller *Controller) nextBudget(c *collected, totals *groupTotals, budget, seconds float64) float64 {
+func (controller *Controller) nextBudget(c *collectorState, totals *groupTotals, budget, seconds float64) float64 {
 	settings := &controller.settings
 	delayed := totals.delay > delayFactor*settings.DelayTarget
 	strained := totals.strain > settings.StrainTarget || delayed
@@ -201,7 +202,7 @@
 		c.calmSeconds = 0
 	}
 	switch {
-	case controller.now-c.since < settings.StaleAfter: // some reports may not have arrived yet: keep the budget that the poolers report
+	case controller.now-c.collectingSince < settings.StaleAfter: // some reports may not have arrived yet: keep the budget that the poolers report
 		return budget
 	case budget == 0:
 		overloaded := totals.strain > strainFactor*settings.StrainTarget
--- a/internal/cluster/overload/controller.go
+++ b/internal/cluster/overload/controller.go
@@ -76,7 +76,7 @@
 
 	// State of a collector.
 	reports   []*peerReport // by ID
-	collected collected
+	collector collectorState
 }
 
 // collectorDecision is the last decision of a collector.
--- a/internal/cluster/overload/invariants.go
+++ b/internal/cluster/overload/invariants.go
@@ -74,7 +74,7 @@
 // checkCollector checks the state of a collector.
 func (controller *Controller) checkCollector(checks *invariant.Checks, group *groupState, describe func() string) {
 	const decisionInRange = "overload: a decision is in its range"
-	decision := &group.collected.decision
+	decision := &group.collector.decision
 	levelInRange := decision.Level >= 0 && decision.Level <= float64(cellsPerClass*len(controller.collectorOrder))
 	levelHasBudget := decision.Budget > 0 || decision.Level == 0
 	checks.That(finite(decision.Budget) && levelInRange && levelHasBudget, decisionInRange, describe)
@@ -93,7 +93,7 @@
 func (controller *Controller) describe(group *groupState) string {
 	text := fmt.Sprintf("group %d at %.0f: level %g of %d cells (applied %g) decided at %.0f, budget %g, decision %+v of %d classes;",
 		group.id, controller.now, group.level, cellsPerClass*len(group.classOrder), group.applied.level, group.decidedAt, group.budget,
-		group.collected.decision, len(controller.collectorOrder))
+		group.collector.decision, len(controller.collectorOrder))
 	text += fmt.Sprintf(" rates %+v, open %v;", group.rates, group.openRequests)
 	for _, decision := range group.decisions {
 		text += fmt.Sprintf(" decided by %x at %.0f: %+v", uint64(decision.from), decision.reportedAt, decision.decision)
--- a/internal/cluster/overload/invariants_test.go
+++ b/internal/cluster/overload/invariants_test.go
@@ -29,7 +29,7 @@
 			group.decisions = append(group.decisions, group.decisions[0])
 		},
 		"rates are in their ranges":  func(controller *Controller, group *groupState) { group.rates[0].served = group.rates[0].ended + 1 },
-		"a decision is in its range": func(controller *Controller, group *groupState) { group.collected.decision = ShedDecision{Level: 1} },
+		"a decision is in its range": func(controller *Controller, group *groupState) { group.collector.decision = ShedDecision{Level: 1} },
 		"one recent report is kept": func(controller *Controller, group *groupState) {
 			group.reports = append(group.reports, group.reports[0])
 		},
--- a/internal/cluster/overload/retrybudget/retrybudget.go
+++ b/internal/cluster/overload/retrybudget/retrybudget.go
@@ -146,9 +146,9 @@
 // ObserveConnections records the number of connections to the server.
 func (s *SlowStart) ObserveConnections(n int) { s.maxConnections = max(s.maxConnections, n) }
 
-// AllowsConnection reports whether this pooler may open one connection more than its n open ones: up to the highest number since the return,
-// or more by its rate, in connections a second, since the server is used again. returnedAt is the time of the server's last return. The
-// server counts as used since then if usedSinceReturn is true, else from now on. random returns numbers in [0, 1).
+// AllowsConnection reports whether this pooler may open one connection more than its n open ones: up to the highest number since the
+// return, or more by its rate, in connections a second, since the server is used again. returnedAt is the time of the server's last return.
+// The server counts as used since then if usedSinceReturn is true, else from now on. random returns numbers in [0, 1).
 func (s *SlowStart) AllowsConnection(now, returnedAt time.Duration, usedSinceReturn bool, n int, rate float64, random func() float64) bool {
 	if returnedAt > s.returnedAt {
 		if *s = (SlowStart{returnedAt: returnedAt, usedSince: now}); usedSinceReturn {
