--- a/internal/cluster/outlier/assessments.go
+++ b/internal/cluster/outlier/assessments.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// recordObservedReport records a server's report from an observation. It returns whether the server is reported as a new primary.
+// recordObservedReport records a server's report from an observation. It reports whether the report names a new primary.
 func (detector *Detector) recordObservedReport(server *serverState, o *observer, sequence uint32, item *Observation, delay float64) bool {
 	age := item.ReportAge + delay
 	if item.Report.isEmpty() || age > detector.settings.StaleAfter || !advance(&o.reportSequence, sequence) {
--- a/internal/cluster/outlier/fleet_test.go
+++ b/internal/cluster/outlier/fleet_test.go
@@ -30,7 +30,7 @@
 	lastRef   uint64
 }
 
-// pooler is a pooler of the fleet with what its decision module was told.
+// pooler is a pooler of the fleet with the state that its decision module would have.
 type pooler struct {
 	f           *fleet
 	id          ID
--- a/internal/cluster/overload/api.go
+++ b/internal/cluster/overload/api.go
@@ -32,7 +32,7 @@
 	HoldTime       float64 // time for which a level is kept without an answer...
 	FadeTime       float64 // ...and over which it then falls to 0
 	SessionPeriod  float64 // time for which a session keeps its place in the shedding order
-	StrainTarget   float64 // strain from three times of which on a group is overloaded
+	StrainTarget   float64 // above three times this strain a group is overloaded
 	DelayTarget    float64 // average latency allowed, as a fraction of the latency objective
 	BacklogDivisor float64 // excess of the delay over DelayTarget, in latency objectives, that would use up the whole budget
 	GrowthRate     float64 // maximum growth of the budget a second, as a fraction of it, while no answer is late
--- a/internal/cluster/overload/collector.go
+++ b/internal/cluster/overload/collector.go
@@ -179,8 +179,8 @@
 	return budget
 }
 
-// updatePeakServed tracks the capacity of the servers. The peak decays, and faster where strained servers serve less
-// though no more is admitted.
+// updatePeakServed tracks the capacity of the servers. The peak decays, and faster where strained servers serve less though no more is
+// admitted.
 func (controller *Controller) updatePeakServed(c *collectorState, totals *groupTotals, budget, seconds float64) {
 	rate := slowRate
 	withinBudget := budget == 0 || totals.admitted <= overBudgetFactor*budget
--- a/internal/cluster/overload/levels.go
+++ b/internal/cluster/overload/levels.go
@@ -67,7 +67,7 @@
 		return cmp.Or(cmp.Compare(a.decision.Level, b.decision.Level), cmp.Compare(a.from, b.from))
 	})
 	median := group.decisions[(len(group.decisions)-1)/2]
-	budgets := make([]float64, len(group.decisions)) // the median of budgets is taken apart: among equal levels one may be from a byzantine collector
+	budgets := make([]float64, len(group.decisions)) // for a median of their own: among equal levels one may be from a byzantine collector
 	for i := range group.decisions {
 		budgets[i] = group.decisions[i].decision.Budget
 	}
--- a/internal/cluster/overload/probes.go
+++ b/internal/cluster/overload/probes.go
@@ -30,7 +30,7 @@
 type ProbeSettings struct {
 	Probers       int     // of each server
 	MinInterval   float64 // between two probes of a server by one prober
-	MaxResultAge  float64 // oldest start of a probe, before a request, whose result counts for the request
+	MaxResultAge  float64 // maximum time from the start of a probe to a request for which its result counts
 	ProberTimeout float64 // time to wait for a prober's first message
 	SkipTime      float64 // time for which a prober is skipped
 	ProbeTimeout  float64 // the longest time of a probe
@@ -156,7 +156,7 @@
 	sequence    uint32
 	local       bool
 	requestedAt float64
-	notified    bool // it was told that the probe is in progress
+	notified    bool // it was notified that the probe is in progress
 }
 
 // NewProbes returns the ProbeSharing of a process without state, at time now in ms.
