--- a/cmd/beechgrade-kit/zones.go
+++ b/cmd/beechgrade-kit/zones.go
@@ -152,10 +152,10 @@
 		if s == nil {
 			continue
 		}
-		if s.Plan != nil && s.Why == "plan" && (newest == nil || s.Plan.No > newest.Plan.No) {
+		if s.Plan != nil && s.Reason == "plan" && (newest == nil || s.Plan.Number > newest.Plan.Number) {
 			newest = s
 		}
-		if s.Votes && (voter == nil || s.Leads) {
+		if s.IsVoter && (voter == nil || s.IsLeader) {
 			voter = s
 		}
 	}
@@ -163,7 +163,7 @@
 		fmt.Fprintln(w, "no plan is in force at those who were asked")
 	} else {
 		p := newest.Plan
-		fmt.Fprintf(w, "plan %d by %s, the same since %d; %.2f cores short; a zone that receives has %.2f of its safe room at most\n", p.No, p.By, p.Since, p.Short, p.Most)
+		fmt.Fprintf(w, "plan %d by %s, the same since %d; %.2f cores short; a zone that receives has %.2f of its safe room at most\n", p.Number, p.Author, p.Since, p.Unserved, p.MaxFill)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if shown := cmp.Or(newest, voter); shown != nil {
@@ -182,13 +182,13 @@
 		}
 		s, no := d.Status, "-"
 		if s.Plan != nil {
-			no = strconv.FormatUint(s.Plan.No, 10)
+			no = strconv.FormatUint(s.Plan.Number, 10)
 		}
-		votes := map[bool]string{true: "votes"}[s.Votes]
-		if s.Leads {
+		votes := map[bool]string{true: "votes"}[s.IsVoter]
+		if s.IsLeader {
 			votes = "leads"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", s.Pooler, s.Zone, s.Near, s.Why, no, votes)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", s.Pooler, s.Zone, s.PreferredZone, s.Reason, no, votes)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -216,14 +216,14 @@
 	}
 	z := voter.Zones[zone]
 	switch {
-	case z.Order == nil && z.Newest == 0:
+	case z.Order == nil && z.NewestOrder == 0:
 		return "none"
 	case z.Order == nil:
-		return fmt.Sprintf("none; the last was %d", z.Newest)
+		return fmt.Sprintf("none; the last was %d", z.NewestOrder)
 	case z.Order.UntilMs > 0:
-		return fmt.Sprintf("%d: %s until %s", z.Order.No, z.Order.State, time.UnixMilli(int64(math.Round(z.Order.UntilMs))).UTC().Format(time.RFC3339))
+		return fmt.Sprintf("%d: %s until %s", z.Order.Number, z.Order.State, time.UnixMilli(int64(math.Round(z.Order.UntilMs))).UTC().Format(time.RFC3339))
 	}
-	return fmt.Sprintf("%d: %s", z.Order.No, z.Order.State)
+	return fmt.Sprintf("%d: %s", z.Order.Number, z.Order.State)
 }
 
 // orderZone has an order be proposed at a voter until it stands there, which is when the fleet has agreed. It is one order, by its number,
@@ -255,7 +255,7 @@
 			case d.Err != "" && ctx.Err() == nil:
 				why = fmt.Errorf("%s: %s", d.Endpoint, d.Err)
 			case d.Status == nil:
-			case !d.Votes:
+			case !d.IsVoter:
 				why = fmt.Errorf("%s: %s does not vote; these do: %s", d.Endpoint, d.Pooler, strings.Join(d.Voters, " "))
 			default:
 				_, status, err := callZones(ctx, d.Endpoint, http.MethodPost, q)
@@ -288,13 +288,13 @@
 // newestOrder is the number of a zone's newest order at any voter that answered; 0 for a zone that nobody knows, too.
 func newestOrder(all []*zoneEndpoint, zone string) (newest uint64, ok bool) {
 	for _, d := range all {
-		if d.Status == nil || !d.Votes {
+		if d.Status == nil || !d.IsVoter {
 			continue
 		}
 		ok = true
 		for _, z := range d.Zones {
 			if z.Name == zone {
-				newest = max(newest, z.Newest)
+				newest = max(newest, z.NewestOrder)
 			}
 		}
 	}
--- a/internal/cluster/zones/admin/admin.go
+++ b/internal/cluster/zones/admin/admin.go
@@ -24,34 +24,34 @@
 
 // Status is the state of zones at a pooler, as its admin endpoint shows it. The JSON keys are fixed.
 type Status struct {
-	Pooler string   `json:"pooler"`
-	Zone   string   `json:"zone"`
-	Near   string   `json:"near"` // the zone that it takes for local
-	Why    string   `json:"why"`  // none, plan, fallback or spilling
-	Votes  bool     `json:"votes"`
-	Leads  bool     `json:"leads"`
-	Voters []string `json:"voters"`
-	Plan   *Plan    `json:"plan,omitempty"` // the last one that it followed; in force where Why is plan
-	Zones  []Zone   `json:"zones"`
+	Pooler        string   `json:"pooler"`
+	Zone          string   `json:"zone"`
+	PreferredZone string   `json:"near"` // the zone that it takes for local
+	Reason        string   `json:"why"`  // none, plan, fallback or spilling
+	IsVoter       bool     `json:"votes"`
+	IsLeader      bool     `json:"leads"`
+	Voters        []string `json:"voters"`
+	Plan          *Plan    `json:"plan,omitempty"` // the last one that it followed; in force where Why is plan
+	Zones         []Zone   `json:"zones"`
 }
 
 // Plan is a plan.
 type Plan struct {
-	No    uint64  `json:"no"`
-	Since uint64  `json:"since"` // the number of the first plan with the same target
-	By    string  `json:"by"`
-	Short float64 `json:"short"` // cores of work without safe capacity
-	Most  float64 `json:"most"`  // the largest part of its safe capacity that a receiving zone is sent
+	Number   uint64  `json:"no"`
+	Since    uint64  `json:"since"` // the number of the first plan with the same target
+	Author   string  `json:"by"`
+	Unserved float64 `json:"short"` // cores of work without safe capacity
+	MaxFill  float64 `json:"most"`  // the largest part of its safe capacity that a receiving zone is sent
 }
 
 // Zone is the state of a zone by the plan and the orders.
 type Zone struct {
-	Name   string  `json:"name"`
-	State  string  `json:"state,omitempty"`
-	RestMs float64 `json:"rest_ms,omitempty"`
-	Shares []Share `json:"shares,omitempty"` // of its reads, including those that stay
-	Newest uint64  `json:"newest_order"`     // 0 for none; at voters only
-	Order  *Order  `json:"order,omitempty"`  // the active one, at voters only
+	Name        string  `json:"name"`
+	State       string  `json:"state,omitempty"`
+	RestMs      float64 `json:"rest_ms,omitempty"`
+	Shares      []Share `json:"shares,omitempty"` // of its reads, including those that stay
+	NewestOrder uint64  `json:"newest_order"`     // 0 for none; at voters only
+	Order       *Order  `json:"order,omitempty"`  // the active one, at voters only
 }
 
 // Share is the part of a zone's reads that goes to a zone.
@@ -62,7 +62,7 @@
 
 // Order is an active order. UntilMs is Unix ms, 0 for until it is lifted.
 type Order struct {
-	No      uint64  `json:"no"`
+	Number  uint64  `json:"no"`
 	State   string  `json:"state"`
 	UntilMs float64 `json:"until_ms,omitempty"`
 }
@@ -84,16 +84,16 @@
 // NewStatus returns the state of zones at a pooler. machine is nil at a pooler that is no voter, plan where it never followed one.
 func NewStatus(settings *zones.Settings, status follower.Status, plan *statemachine.Plan, machine *statemachine.StateMachine, leads bool) *Status {
 	out := &Status{
-		Pooler: settings.Name,
-		Zone:   settings.Zone,
-		Near:   settings.Zones[status.Zone],
-		Why:    status.Reason.String(),
-		Votes:  machine != nil,
-		Leads:  leads,
-		Voters: settings.Voters,
+		Pooler:        settings.Name,
+		Zone:          settings.Zone,
+		PreferredZone: settings.Zones[status.Zone],
+		Reason:        status.Reason.String(),
+		IsVoter:       machine != nil,
+		IsLeader:      leads,
+		Voters:        settings.Voters,
 	}
 	if plan != nil {
-		out.Plan = &Plan{No: plan.Number, Since: plan.Since, By: plan.Author, Short: plan.Unserved, Most: plan.MaxFill}
+		out.Plan = &Plan{Number: plan.Number, Since: plan.Since, Author: plan.Author, Unserved: plan.Unserved, MaxFill: plan.MaxFill}
 	}
 	for index, name := range settings.Zones {
 		zone := Zone{Name: name}
@@ -103,7 +103,7 @@
 			zone.Shares = sharesOf(plan.Matrix[index], settings.Zones)
 		}
 		if machine != nil {
-			zone.Newest = machine.NewestOrder(index)
+			zone.NewestOrder = machine.NewestOrder(index)
 			if order, ok := machine.Order(index); ok {
 				zone.Order = &Order{order.Number, order.State.String(), order.Until}
 			}
--- a/internal/cluster/zones/admin/admin_test.go
+++ b/internal/cluster/zones/admin/admin_test.go
@@ -65,13 +65,13 @@
 	b.Apply(3, statemachine.EncodeOrder(&statemachine.Order{Number: 2, Zone: 0, Lifts: true}))
 	p := &statemachine.Plan{Number: 9, Since: 7, Author: "q", MaxFill: 0.5, Zones: []statemachine.ZoneStatus{{}, {State: health.Evacuated, RestMs: 2000}}, Matrix: plan.Matrix{{1, 0}, {0.75, 0.25}}}
 	got := NewStatus(set, follower.Status{Zone: 1, Reason: follower.Planned}, p, b, true)
-	want := &Status{Pooler: "p", Zone: "a", Near: "b", Why: "plan", Votes: true, Leads: true, Voters: []string{"p"}, Plan: &Plan{No: 9, Since: 7, By: "q", Most: 0.5},
-		Zones: []Zone{{Name: "a", State: "serving", Shares: []Share{{"a", 1}}, Newest: 2},
-			{Name: "b", State: "evacuated", RestMs: 2000, Shares: []Share{{"a", 0.75}, {"b", 0.25}}, Newest: 4, Order: &Order{4, "evacuated", 5000}}}}
+	want := &Status{Pooler: "p", Zone: "a", PreferredZone: "b", Reason: "plan", IsVoter: true, IsLeader: true, Voters: []string{"p"}, Plan: &Plan{Number: 9, Since: 7, Author: "q", MaxFill: 0.5},
+		Zones: []Zone{{Name: "a", State: "serving", Shares: []Share{{"a", 1}}, NewestOrder: 2},
+			{Name: "b", State: "evacuated", RestMs: 2000, Shares: []Share{{"a", 0.75}, {"b", 0.25}}, NewestOrder: 4, Order: &Order{4, "evacuated", 5000}}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if got := NewStatus(set, follower.Status{}, nil, nil, false); got.Plan != nil || got.Votes || got.Why != "none" || len(got.Zones) != 2 {
+	if got := NewStatus(set, follower.Status{}, nil, nil, false); got.Plan != nil || got.IsVoter || got.Reason != "none" || len(got.Zones) != 2 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/cluster/zones/admin/note.go
+++ b/internal/cluster/zones/admin/note.go
@@ -13,21 +13,21 @@
 // Note is a record of what a pooler does by zones, and where the reads that any member may serve went since the note before. The JSON keys
 // are fixed.
 type Note struct {
-	Plan   uint64   `json:"plan,omitempty"`
-	By     string   `json:"by,omitempty"`
-	Why    string   `json:"why"`
-	Zone   string   `json:"zone"` // this pooler's
-	Near   string   `json:"near"`
-	Zones  []string `json:"zones"`
-	States []string `json:"states,omitempty"` // of Zones by the plan, in their order
-	Sent   []uint64 `json:"sent,omitempty"`   // attempts that ended, by Zones; nothing for none
+	PlanNumber    uint64   `json:"plan,omitempty"`
+	Author        string   `json:"by,omitempty"`
+	Reason        string   `json:"why"`
+	Zone          string   `json:"zone"` // this pooler's
+	PreferredZone string   `json:"near"`
+	Zones         []string `json:"zones"`
+	States        []string `json:"states,omitempty"` // of Zones by the plan, in their order
+	Sent          []uint64 `json:"sent,omitempty"`   // attempts that ended, by Zones; nothing for none
 }
 
 // NewNote makes a note. sent are the counts of attempts by zone since the start, was those at the note before.
 func NewNote(set *zones.Settings, s follower.Status, p *statemachine.Plan, sent, was []uint64) *Note {
-	n := &Note{Why: s.Reason.String(), Zone: set.Zone, Near: set.Zones[s.Zone], Zones: set.Zones}
+	n := &Note{Reason: s.Reason.String(), Zone: set.Zone, PreferredZone: set.Zones[s.Zone], Zones: set.Zones}
 	if p != nil {
-		n.Plan, n.By = p.Number, p.Author
+		n.PlanNumber, n.Author = p.Number, p.Author
 		for _, m := range p.Zones {
 			n.States = append(n.States, m.State.String())
 		}
@@ -45,7 +45,7 @@
 
 // SameDecision reports whether two notes differ in the plan's number and the counts only.
 func (n *Note) SameDecision(o *Note) bool {
-	return n.Why == o.Why && n.Near == o.Near && slices.Equal(n.States, o.States)
+	return n.Reason == o.Reason && n.PreferredZone == o.PreferredZone && slices.Equal(n.States, o.States)
 }
 
 // Text encodes a note; empty for one that cannot be encoded.
--- a/internal/cluster/zones/api.go
+++ b/internal/cluster/zones/api.go
@@ -46,7 +46,7 @@
 		CoresPerSize:   4,
 		Planner: planner.Settings{
 			Health:          health.Defaults(),
-			Plan:            plan.Settings{SpareShare: 0.15, NearSpareShare: 0.1, CrossingPrice: 1},
+			Plan:            plan.Settings{SpareShare: 0.15, LocalSpareShare: 0.1, CrossingPrice: 1},
 			ReportLifetime:  2000,
 			Window:          1000,
 			LoadMemory:      5000,
--- a/internal/cluster/zones/plan/matrix.go
+++ b/internal/cluster/zones/plan/matrix.go
@@ -111,7 +111,7 @@
 			return false
 		}
 		for i := range groups {
-			if r := &groups[i].Capacities[b]; b == z && !r.ServesNear || b != z && !r.ServesRemote {
+			if r := &groups[i].Capacities[b]; b == z && !r.ServesLocal || b != z && !r.ServesRemote {
 				return false
 			}
 		}
@@ -188,7 +188,7 @@
 // mayStay reports whether a zone's own reads may stay, in all groups.
 func (s *Settings) mayStay(z int, groups []Group) bool {
 	for i := range groups {
-		if !groups[i].Capacities[z].ServesNear {
+		if !groups[i].Capacities[z].ServesLocal {
 			return false
 		}
 	}
--- a/internal/cluster/zones/plan/plan.go
+++ b/internal/cluster/zones/plan/plan.go
@@ -27,11 +27,11 @@
 
 // Settings are the inputs that all groups have in common.
 type Settings struct {
-	Classes        []Class
-	Delay          [][]float64 // ms one way, from a pooler's zone to a server's; +Inf where nothing may go
-	CrossingPrice  float64     // as ms of delay
-	SpareShare     float64     // the part of a zone's servers that is kept free of remote reads
-	NearSpareShare float64     // the part that is kept free of local reads, before they go elsewhere
+	Classes         []Class
+	Delay           [][]float64 // ms one way, from a pooler's zone to a server's; +Inf where nothing may go
+	CrossingPrice   float64     // as ms of delay
+	SpareShare      float64     // the part of a zone's servers that is kept free of remote reads
+	LocalSpareShare float64     // the part that is kept free of local reads, before they go elsewhere
 }
 
 // Flow is the load of a class on a group, from the clients near a zone.
@@ -46,7 +46,7 @@
 	Cores        float64 // of the servers that serve
 	FixedCores   float64 // of them, taken by what cannot go elsewhere
 	Age          float64 // ms that their data is old
-	ServesNear   bool    // local reads may go there
+	ServesLocal  bool    // local reads may go there
 	ServesRemote bool    // reads of other zones may go there
 }
 
@@ -61,9 +61,9 @@
 	return max(0, c.Cores*(1-s.SpareShare)-c.FixedCores)
 }
 
-// NearExtraCapacity returns the cores that local reads alone may take beyond SafeCapacity.
-func (s *Settings) NearExtraCapacity(c *Capacity) float64 {
-	return max(0, c.Cores*(1-min(s.SpareShare, s.NearSpareShare))-c.FixedCores) - s.SafeCapacity(c)
+// LocalExtraCapacity returns the cores that local reads alone may take beyond SafeCapacity.
+func (s *Settings) LocalExtraCapacity(c *Capacity) float64 {
+	return max(0, c.Cores*(1-min(s.SpareShare, s.LocalSpareShare))-c.FixedCores) - s.SafeCapacity(c)
 }
 
 // Solution is the plan of one group.
@@ -81,7 +81,7 @@
 	capacity, class := &group.Capacities[to], &s.Classes[flow.Class]
 	fresh := class.MaxAge <= 0 || capacity.Age <= class.MaxAge
 	if flow.Zone == to {
-		return capacity.ServesNear && fresh
+		return capacity.ServesLocal && fresh
 	}
 	inReach := class.MaxRoundTrip <= 0 || 2*s.Delay[flow.Zone][to] <= class.MaxRoundTrip
 	return capacity.ServesRemote && !s.Unreachable(flow.Zone, to) && fresh && inReach
@@ -195,7 +195,7 @@
 	for zone := range group.Capacities {
 		capacity := &group.Capacities[zone]
 		n.addEdge(zones[zone], sink, unitsDown(s.SafeCapacity(capacity)), 0)
-		n.addEdge(near[zone], sink, unitsDown(s.NearExtraCapacity(capacity)), 0)
+		n.addEdge(near[zone], sink, unitsDown(s.LocalExtraCapacity(capacity)), 0)
 	}
 	n.minimizeCost(source, sink)
 	return n
--- a/internal/cluster/zones/plan/plan_test.go
+++ b/internal/cluster/zones/plan/plan_test.go
@@ -15,7 +15,7 @@
 	zones := len(g.Capacities)
 	room, left := make([]int64, 2*zones), make([]int64, len(g.Flows)) // the second half: for near reads alone
 	for z := range zones {
-		room[z], room[zones+z] = int64(math.Floor(s.SafeCapacity(&g.Capacities[z])/Unit+1e-6)), int64(math.Floor(s.NearExtraCapacity(&g.Capacities[z])/Unit+1e-6))
+		room[z], room[zones+z] = int64(math.Floor(s.SafeCapacity(&g.Capacities[z])/Unit+1e-6)), int64(math.Floor(s.LocalExtraCapacity(&g.Capacities[z])/Unit+1e-6))
 	}
 	for i := range left {
 		left[i] = int64(math.Round(g.Flows[i].Load / Unit))
@@ -106,7 +106,7 @@
 					x /= most
 				}
 				for z := range zones {
-					g.Capacities = append(g.Capacities, Capacity{Cores: float64(2*(x%most)) * Unit, FixedCores: float64(x%most/2) * Unit, ServesNear: kinds>>z&1 > 0, ServesRemote: kinds>>(zones+z)&1 > 0, Age: float64(z * 60)})
+					g.Capacities = append(g.Capacities, Capacity{Cores: float64(2*(x%most)) * Unit, FixedCores: float64(x%most/2) * Unit, ServesLocal: kinds>>z&1 > 0, ServesRemote: kinds>>(zones+z)&1 > 0, Age: float64(z * 60)})
 					x /= most
 				}
 				a := s.Solve(g)
@@ -131,7 +131,7 @@
 			for c := range 2 {
 				g.Flows = append(g.Flows, Flow{c, z, rapid.Float64Range(0, 3).Draw(r, fmt.Sprint("load", i))})
 			}
-			g.Capacities = append(g.Capacities, Capacity{Cores: rapid.Float64Range(0, 9).Draw(r, "cores"), FixedCores: rapid.Float64Range(0, 2).Draw(r, "fixed"), ServesNear: rapid.Bool().Draw(r, "keeps"),
+			g.Capacities = append(g.Capacities, Capacity{Cores: rapid.Float64Range(0, 9).Draw(r, "cores"), FixedCores: rapid.Float64Range(0, 2).Draw(r, "fixed"), ServesLocal: rapid.Bool().Draw(r, "keeps"),
 				ServesRemote: rapid.Bool().Draw(r, "takes")})
 		}
 		groups = append(groups, g)
@@ -198,7 +198,7 @@
 // once.
 func TestStepsOutAreLargeAndBackSmall(t *testing.T) {
 	s, far := small(2), Matrix{{0, 1}, {0, 1}}
-	well := []Group{{Flows: []Flow{{0, 0, 1}, {0, 1, 1}}, Capacities: []Capacity{{Cores: 9, ServesNear: true, ServesRemote: true}, {Cores: 9, ServesNear: true, ServesRemote: true}}}}
+	well := []Group{{Flows: []Flow{{0, 0, 1}, {0, 1, 1}}, Capacities: []Capacity{{Cores: 9, ServesLocal: true, ServesRemote: true}, {Cores: 9, ServesLocal: true, ServesRemote: true}}}}
 	m, steps, slow := far, 0, []StepLimit{{0.5, 0.1}, {0.5, 0.1}}
 	for ; m[0][0] < 0.999 && steps < 100; steps++ {
 		next := s.Step(m, IdentityMatrix(2), well, slow)
@@ -222,7 +222,7 @@
 func TestRoundMovesWholePoolers(t *testing.T) {
 	s := small(3)
 	s.SpareShare = 0
-	group := []Group{{Flows: []Flow{{0, 0, 2}}, Capacities: []Capacity{{Cores: 2, ServesNear: true}, {Cores: 0.5, ServesRemote: true}, {Cores: 9, ServesRemote: true}}}}
+	group := []Group{{Flows: []Flow{{0, 0, 2}}, Capacities: []Capacity{{Cores: 2, ServesLocal: true}, {Cores: 0.5, ServesRemote: true}, {Cores: 9, ServesRemote: true}}}}
 	for _, c := range []struct {
 		row, want []float64
 		n         int
--- a/internal/cluster/zones/planner/observations.go
+++ b/internal/cluster/zones/planner/observations.go
@@ -305,7 +305,7 @@
 		capacity.Age = relevant[0].AgeMs
 	}
 	zone := &planner.zones[at.zone]
-	capacity.ServesNear = !zone.State.Abandoned()
+	capacity.ServesLocal = !zone.State.Abandoned()
 	capacity.ServesRemote = zone.State == health.Serving
 	recovered := zone.RecoveredShare(&planner.settings.Health, now)
 	capacity.Cores *= returningCapacityShare + (fullCapacityShare-returningCapacityShare)*recovered
--- a/internal/cluster/zones/planner/planner_test.go
+++ b/internal/cluster/zones/planner/planner_test.go
@@ -39,7 +39,7 @@
 
 func settings(zones int) Settings {
 	s := Settings{Name: "a", ZonesHash: 1, Zones: zones, Health: health.Defaults(), ReportLifetime: 1600, Window: 1000, LoadMemory: 3000, StepInterval: 1000, OutwardShare: 0.34, ReturnShare: 0.1, RenewInterval: 2000, SettleTime: 1000, ProposalTimeout: 1000}
-	s.Plan = plan.Settings{Classes: []plan.Class{{Priority: 1}}, CrossingPrice: 1, SpareShare: 0.2, NearSpareShare: 0.2}
+	s.Plan = plan.Settings{Classes: []plan.Class{{Priority: 1}}, CrossingPrice: 1, SpareShare: 0.2, LocalSpareShare: 0.2}
 	for a := range zones {
 		s.Plan.Delay = append(s.Plan.Delay, make([]float64, zones))
 		for b := range zones {
--- a/internal/settings/zones.go
+++ b/internal/settings/zones.go
@@ -53,7 +53,7 @@
 		"cores":     number(&s.CoresPerSize, zoneCores),
 		"price":     number(&s.CrossingPrice, zonePrices),
 		"spare":     number(&planner.Plan.SpareShare, zoneReserves),
-		"tight":     number(&planner.Plan.NearSpareShare, zoneReserves),
+		"tight":     number(&planner.Plan.LocalSpareShare, zoneReserves),
 		"period":    duration(&s.ReportInterval, zonePeriods),
 		"life":      duration(&s.PlanLifetime, planLifetimes),
 		"renew":     duration(&planner.RenewInterval, planIntervals),
--- a/internal/testkit/incident/zones.go
+++ b/internal/testkit/incident/zones.go
@@ -81,18 +81,18 @@
 	if !z.seen {
 		z.seen, z.sent, z.state, z.going, z.noted = true, map[[2]string]uint64{}, map[string]int{}, map[string]int{}, map[string]float64{}
 	}
-	if n.Plan > z.newest || n.Plan == z.newest && len(z.states) == 0 {
-		z.newest = n.Plan
+	if n.PlanNumber > z.newest || n.PlanNumber == z.newest && len(z.states) == 0 {
+		z.newest = n.PlanNumber
 		for i, state := range n.States {
-			z.becomes(n.Zones[i], state, n.Plan, e.At)
+			z.becomes(n.Zones[i], state, n.PlanNumber, e.At)
 		}
 	}
-	if i := z.going[pooler]; i == 0 || z.goes[i-1].Why != n.Why || z.goes[i-1].Near != n.Near {
+	if i := z.going[pooler]; i == 0 || z.goes[i-1].Why != n.Reason || z.goes[i-1].Near != n.PreferredZone {
 		if i > 0 {
 			z.goes[i-1].To = e.At
 		}
 		if delete(z.going, pooler); len(z.goes) < maxZoneSpans {
-			z.goes = append(z.goes, ZoneGoes{By: pooler, Zone: n.Zone, Near: n.Near, Why: n.Why, Plan: n.Plan, From: e.At})
+			z.goes = append(z.goes, ZoneGoes{By: pooler, Zone: n.Zone, Near: n.PreferredZone, Why: n.Reason, Plan: n.PlanNumber, From: e.At})
 			z.going[pooler] = len(z.goes)
 		} else {
 			z.more++
--- a/internal/testkit/incident/zones_test.go
+++ b/internal/testkit/incident/zones_test.go
@@ -22,27 +22,27 @@
 		at float64
 		n  admin.Note
 	}{
-		{"p", 1, admin.Note{Why: "none", Zone: "a", Near: "a", Zones: names, Sent: []uint64{3, 0}}},
-		{"p", 2, admin.Note{Plan: 7, Why: "plan", Zone: "a", Near: "a", Zones: names, States: []string{"serving", "serving"}}},
+		{"p", 1, admin.Note{Reason: "none", Zone: "a", PreferredZone: "a", Zones: names, Sent: []uint64{3, 0}}},
+		{"p", 2, admin.Note{PlanNumber: 7, Reason: "plan", Zone: "a", PreferredZone: "a", Zones: names, States: []string{"serving", "serving"}}},
 		{"p", 3, admin.Note{
-			Plan:   9,
-			Why:    "plan",
-			Zone:   "a",
-			Near:   "b",
-			Zones:  names,
-			States: []string{"evacuated", "serving"},
-			Sent:   []uint64{1, 4},
+			PlanNumber:    9,
+			Reason:        "plan",
+			Zone:          "a",
+			PreferredZone: "b",
+			Zones:         names,
+			States:        []string{"evacuated", "serving"},
+			Sent:          []uint64{1, 4},
 		}},
 		{"q", 4, admin.Note{
-			Plan:   7,
-			Why:    "plan",
-			Zone:   "b",
-			Near:   "b",
-			Zones:  names,
-			States: []string{"serving", "serving"},
-			Sent:   []uint64{0, 2},
+			PlanNumber:    7,
+			Reason:        "plan",
+			Zone:          "b",
+			PreferredZone: "b",
+			Zones:         names,
+			States:        []string{"serving", "serving"},
+			Sent:          []uint64{0, 2},
 		}},
-		{"q", 5, admin.Note{Plan: 9, Why: "fallback", Zone: "b", Near: "b", Zones: names, States: []string{"evacuated", "serving"}}},
+		{"q", 5, admin.Note{PlanNumber: 9, Reason: "fallback", Zone: "b", PreferredZone: "b", Zones: names, States: []string{"evacuated", "serving"}}},
 	} {
 		z.event(e.by, &record.Event{At: e.at, Text: e.n.Text()})
 	}
--- a/internal/testkit/simulation/zones_oracle.go
+++ b/internal/testkit/simulation/zones_oracle.go
@@ -118,7 +118,7 @@
 		}
 		for z := range x.Capacities {
 			healthy := members[z] > 0 && lossy[z]*2 < members[z]
-			x.Capacities[z].ServesNear, x.Capacities[z].ServesRemote = healthy, healthy
+			x.Capacities[z].ServesLocal, x.Capacities[z].ServesRemote = healthy, healthy
 		}
 		groups = append(groups, x)
 		answers = append(answers, set.Solve(&x))
