--- a/internal/cluster/zones/adapter/adapter.go
+++ b/internal/cluster/zones/adapter/adapter.go
@@ -1,5 +1,5 @@
 // Package adapter connects the coordination of zones (package zones) to a pooler's core, the cluster and the replicated log: the endpoint
-// list, attempts and health checks go in, the preferred zone and the price of crossing come out. It serves sockets and virtual time alike.
+// list, attempts and health checks go in, the preferred zone and the price of crossing come out. The pooler and the simulator both use it.
 package adapter
 
 import (
@@ -20,76 +20,79 @@
 
 // Core is the part of a pooler's core that the adapter uses.
 type Core interface {
-	AverageWork() []float64 // a request's, by class, in seconds
+	AverageWork() []float64 // of a request, by class, in seconds
 	DecisionSettings() *decide.Settings
 	SetZone(zone string, price float64)
 	WarmUpFactor(startedMs float64) float64
 	RelativeRate(store string) float64
 }
 
-// PlanNumberStore stores the number of a plan durably, and calls done on the event loop.
-type PlanNumberStore interface{ StorePlanNumber(no uint64, done func()) }
+// PlanNumberStore stores the number of a plan durably, and then calls done on the event loop.
+type PlanNumberStore interface {
+	StorePlanNumber(number uint64, done func())
+}
 
-// Adapter is a pooler's side. It implements zones.Pooler and the core's observer of zones. Its methods are called on the event loop.
+// Adapter connects one pooler. It implements zones.Pooler and core.ZoneObserver. Its methods are called on the event loop.
 type Adapter struct {
 	*zones.Coordinator
 	settings  zones.Settings
 	core      Core
 	transport module.Transport
 	store     PlanNumberStore
-	servers   map[string]*zoneServer // servers
-	cells     []*cell                // in their order
-	demands   map[[2]int]float64
-	sent      []uint64 // attempts of reads that any member may serve, by zone of the servers, since the start
-	planSeen  bool
+	servers   map[string]*zoneServer // by ID
+	cells     []*cell                // sorted by group and zone
+	demands   map[[2]int]float64     // requests since the last sample, by group and class
+	sent      []uint64               // attempts of reads that any member may serve, by zone of the servers, since the start
+	planSeen  bool                   // a status with a plan was applied
 }
 
-// zoneServer is a server by the endpoint list, and by what was observed of it.
+// zoneServer is what the endpoint list states of a server, and what was observed of it.
 type zoneServer struct {
 	cell    *cell
 	size    float64
 	serves  bool
 	started float64
 	primary bool
-	misses  int // attempts and health checks in a row without an answer
+	misses  int // consecutive attempts that were lost and health checks that failed
 }
 
+// cell is the servers of a group in a zone.
 type cell struct {
 	planner.Cell
 	attempts, lost, fixedCores float64 // since the last sample
 	servers                    map[string]*zoneServer
 }
 
-// maxMisses is how many misses make a server count as not serving.
+// maxMisses is the number of consecutive misses from which a server counts as not serving.
 const maxMisses = 3
 
-// A server that is overloaded or unhealthy does a part of the work of others of its kind. Differences within paceTolerance are chance.
+// A server that is overloaded or unhealthy is slower than others of its kind, and counts with the corresponding part of its cores.
 const (
-	paceTolerance = 1.25
-	minPace       = 0.02
+	paceTolerance = 1.25 // a pace that is lower than the median by this factor or less counts as full: such differences are chance
+	minPace       = 0.02 // lower bound of a server's relative pace
 )
 
-// capacityMemoryMs is the time over which the normal number of servers in a zone fades.
+// capacityMemoryMs is the time constant with which the capacity of a zone in normal operation decays.
 const capacityMemoryMs = 600_000
 
-// New returns an Adapter. The classes, and how far their reads may cross, come from the core's settings.
-func New(set zones.Settings, net module.Transport, log zones.Log, c Core, k PlanNumberStore) *Adapter {
-	adapter := &Adapter{settings: set, core: c, transport: net, store: k, servers: map[string]*zoneServer{}, demands: map[[2]int]float64{}, sent: make([]uint64, len(set.Zones))}
-	set.Planner.Plan.Classes = classes(c.DecisionSettings())
-	adapter.settings = set
-	adapter.Coordinator = zones.New(set, net, log, adapter)
+// New returns an Adapter. The classes, and how long a round trip their reads allow, come from the core's settings. store may be nil.
+func New(settings zones.Settings, transport module.Transport, log zones.Log, core Core, store PlanNumberStore) *Adapter {
+	adapter := &Adapter{settings: settings, core: core, transport: transport, store: store, servers: map[string]*zoneServer{}, demands: map[[2]int]float64{}, sent: make([]uint64, len(settings.Zones))}
+	settings.Planner.Plan.Classes = classes(core.DecisionSettings())
+	adapter.settings = settings
+	adapter.Coordinator = zones.New(settings, transport, log, adapter)
 	return adapter
 }
 
-// classes returns the classes for plans. What only the primary can do goes wherever that is, and is not part of a plan.
-func classes(set *decide.Settings) (out []plan.Class) {
+// classes returns the classes as plans need them. Requests that only the primary can serve go to its zone, and are not part of a plan.
+func classes(settings *decide.Settings) (out []plan.Class) {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	for _, c := range set.Classes {
-		x := plan.Class{Priority: c.PriorityWeight, MaxRoundTrip: ms(c.LatencyObjective)}
+	for _, c := range settings.Classes {
+		class := plan.Class{Priority: c.PriorityWeight, MaxRoundTrip: ms(c.LatencyObjective)}
 		if c.Read == decide.ReadBounded {
-			x.MaxAge = ms(c.MaxStaleness)
+			class.MaxAge = ms(c.MaxStaleness)
 		}
-		out = append(out, x)
+		out = append(out, class)
 	}
 	return out
 }
@@ -97,45 +100,46 @@
 // Settings returns the settings in use.
 func (adapter *Adapter) Settings() *zones.Settings { return &adapter.settings }
 
-// Sent returns the number of attempts since the start of reads that any member may serve, by zone of the servers.
+// Sent returns, by zone of the servers, the number of attempts since the start for reads that any member may serve.
 func (adapter *Adapter) Sent() []uint64 { return adapter.sent }
 
-// movable reports whether any member of a group may serve a class.
+// movable reports whether any member of a group may serve requests of a class, so that they may move to another zone.
 func (adapter *Adapter) movable(class int) bool {
-	set := adapter.core.DecisionSettings()
-	return class >= 0 && class < len(set.Classes) && set.Classes[class].Read != decide.Write && set.Classes[class].Read != decide.ReadFresh
+	settings := adapter.core.DecisionSettings()
+	return class >= 0 && class < len(settings.Classes) && settings.Classes[class].Read != decide.Write && settings.Classes[class].Read != decide.ReadFresh
 }
 
+// work returns the average work of a request of a class, in seconds.
 func (adapter *Adapter) work(class int) float64 {
-	if w := adapter.core.AverageWork(); class >= 0 && class < len(w) {
-		return w[class]
+	if work := adapter.core.AverageWork(); class >= 0 && class < len(work) {
+		return work[class]
 	}
 	return 0
 }
 
-// Listed takes an endpoint list, or a part of one that changed.
-func (adapter *Adapter) Listed(l *discovery.List, whole bool) {
+// Listed handles an endpoint list; unless whole, it holds changes only.
+func (adapter *Adapter) Listed(list *discovery.List, whole bool) {
 	seen := map[string]bool{}
-	for i := range l.Instances {
-		n := &l.Instances[i]
-		zone := adapter.settings.Index(n.Zone)
-		if seen[n.ID] = true; zone < 0 || n.ID == "" {
+	for i := range list.Instances {
+		instance := &list.Instances[i]
+		zone := adapter.settings.Index(instance.Zone)
+		if seen[instance.ID] = true; zone < 0 || instance.ID == "" {
 			continue
 		}
-		server := adapter.servers[n.ID]
+		server := adapter.servers[instance.ID]
 		if server == nil {
 			server = &zoneServer{}
-			adapter.servers[n.ID] = server
+			adapter.servers[instance.ID] = server
 		}
-		at := adapter.cell(n.Cell, zone)
+		at := adapter.cell(instance.Cell, zone)
 		if server.cell != at && server.cell != nil {
-			delete(server.cell.servers, n.ID)
+			delete(server.cell.servers, instance.ID)
 		}
-		server.cell, at.servers[n.ID] = at, server
-		if started := float64(n.StartedAtMs); started != server.started {
+		server.cell, at.servers[instance.ID] = at, server
+		if started := float64(instance.StartedAtMs); started != server.started {
 			server.started, server.misses = started, 0
 		}
-		server.size, server.serves, server.primary = cmp.Or(n.Weight, 1), n.Lifecycle != "draining" && n.Lifecycle != "removed", n.Role == "primary"
+		server.size, server.serves, server.primary = cmp.Or(instance.Weight, 1), instance.Lifecycle != "draining" && instance.Lifecycle != "removed", instance.Role == "primary"
 	}
 	if whole {
 		for id, server := range adapter.servers {
@@ -144,6 +148,7 @@
 	}
 }
 
+// cell returns the cell of a group in a zone, which it adds if there is none.
 func (adapter *Adapter) cell(group, zone int) *cell {
 	i, found := slices.BinarySearchFunc(adapter.cells, [2]int{group, zone}, func(c *cell, at [2]int) int {
 		return cmp.Or(cmp.Compare(c.Group, at[0]), cmp.Compare(c.Zone, at[1]))
@@ -161,25 +166,25 @@
 	}
 }
 
-// cancelledLossShare of its class's aim is after what a copy that was called off counts as lost.
+// cancelledLossShare is the part of its class's latency objective after which an attempt that was cancelled counts as lost.
 const cancelledLossShare = 0.5
 
-// AttemptEnded takes the end of an attempt at a server, ms after it was sent.
-func (adapter *Adapter) AttemptEnded(store string, class int, r decide.Result, ms float64, _ bool) {
-	server := adapter.servers[store]
+// AttemptEnded counts an attempt at a server that ended ms after it was sent.
+func (adapter *Adapter) AttemptEnded(id string, class int, result decide.Result, ms float64, _ bool) {
+	server := adapter.servers[id]
 	if server == nil {
 		return
 	}
 	lost := false
-	if r != decide.NotSent && adapter.movable(class) {
+	if result != decide.NotSent && adapter.movable(class) {
 		adapter.sent[server.cell.Zone]++
 	}
-	switch r {
+	switch result {
 	case decide.NotSent:
 		return
 	case decide.Cancelled:
-		set := adapter.core.DecisionSettings()
-		if class >= len(set.Classes) || ms < cancelledLossShare*float64(set.Classes[class].LatencyObjective)/float64(time.Millisecond) {
+		settings := adapter.core.DecisionSettings()
+		if class >= len(settings.Classes) || ms < cancelledLossShare*float64(settings.Classes[class].LatencyObjective)/float64(time.Millisecond) {
 			return
 		}
 		lost = true
@@ -192,14 +197,14 @@
 		return
 	}
 	server.misses = 0
-	if r == decide.OK && !adapter.movable(class) {
+	if result == decide.OK && !adapter.movable(class) {
 		server.cell.fixedCores += adapter.work(class)
 	}
 }
 
-// HealthChecked takes the result of a health check.
-func (adapter *Adapter) HealthChecked(store string, ok bool) {
-	if server := adapter.servers[store]; server != nil {
+// HealthChecked counts the result of a health check.
+func (adapter *Adapter) HealthChecked(id string, ok bool) {
+	if server := adapter.servers[id]; server != nil {
 		if server.misses++; ok {
 			server.misses = 0
 		}
@@ -207,76 +212,76 @@
 }
 
 // Sample implements zones.Pooler.
-func (adapter *Adapter) Sample(ms float64) (cells []planner.Cell, asks []planner.Demand) {
-	seconds, usual := max(ms, 1)/1000, adapter.medianPace()
+func (adapter *Adapter) Sample(ms float64) (cells []planner.Cell, demands []planner.Demand) {
+	seconds, medianPace := max(ms, 1)/1000, adapter.medianPace()
 	for _, c := range adapter.cells {
-		x := &c.Cell
-		x.Cores = 0
-		whole := 0.0
+		sampled := &c.Cell
+		sampled.Cores = 0
+		fullCores := 0.0
 		for id, server := range c.servers {
 			if server.serves && server.misses < maxMisses {
-				whole += server.size * adapter.settings.CoresPerSize
-				x.Cores += server.size * adapter.settings.CoresPerSize * adapter.core.WarmUpFactor(server.started) * max(minPace, min(1, paceTolerance*adapter.core.RelativeRate(id)/usual))
+				fullCores += server.size * adapter.settings.CoresPerSize
+				sampled.Cores += server.size * adapter.settings.CoresPerSize * adapter.core.WarmUpFactor(server.started) * max(minPace, min(1, paceTolerance*adapter.core.RelativeRate(id)/medianPace))
 			}
 		}
-		x.Cores = math.Round(x.Cores*1000) / 1000 // whatever order they were added in
-		x.FullCores = max(whole, x.FullCores*math.Exp(-ms/capacityMemoryMs))
-		x.Attempts, x.Lost, x.FixedCores = c.attempts/seconds, c.lost/seconds, c.fixedCores/seconds
+		sampled.Cores = math.Round(sampled.Cores*1000) / 1000 // the sum must not depend on the order of the map
+		sampled.FullCores = max(fullCores, sampled.FullCores*math.Exp(-ms/capacityMemoryMs))
+		sampled.Attempts, sampled.Lost, sampled.FixedCores = c.attempts/seconds, c.lost/seconds, c.fixedCores/seconds
 		c.attempts, c.lost, c.fixedCores = 0, 0, 0
-		cells = append(cells, *x)
+		cells = append(cells, *sampled)
 	}
-	for k, n := range adapter.demands {
-		asks = append(asks, planner.Demand{Group: k[0], Class: k[1], Load: n / seconds * adapter.work(k[1])})
-		if adapter.demands[k] = 0; n == 0 {
-			delete(adapter.demands, k)
+	for key, requests := range adapter.demands {
+		demands = append(demands, planner.Demand{Group: key[0], Class: key[1], Load: requests / seconds * adapter.work(key[1])})
+		if adapter.demands[key] = 0; requests == 0 {
+			delete(adapter.demands, key)
 		}
 	}
-	slices.SortFunc(asks, func(a, b planner.Demand) int {
+	slices.SortFunc(demands, func(a, b planner.Demand) int {
 		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Class, b.Class))
 	})
-	return cells, asks
+	return cells, demands
 }
 
-// medianPace returns the median of the serving servers' paces.
+// medianPace returns the median of the relative rates of the servers that serve.
 func (adapter *Adapter) medianPace() float64 {
-	var all []float64
+	var paces []float64
 	for id, server := range adapter.servers {
 		if server.serves && server.misses < maxMisses {
-			all = append(all, adapter.core.RelativeRate(id))
+			paces = append(paces, adapter.core.RelativeRate(id))
 		}
 	}
-	if len(all) == 0 {
+	if len(paces) == 0 {
 		return 1
 	}
-	slices.Sort(all)
-	return max(all[len(all)/2], minPace)
+	slices.Sort(paces)
+	return max(paces[len(paces)/2], minPace)
 }
 
-// ApplyStatus implements zones.Pooler.
-func (adapter *Adapter) ApplyStatus(s follower.Status) {
-	if s.Reason == follower.NoPlan && !adapter.planSeen {
+// ApplyStatus implements zones.Pooler. Until a first plan the core keeps its own settings.
+func (adapter *Adapter) ApplyStatus(status follower.Status) {
+	if status.Reason == follower.NoPlan && !adapter.planSeen {
 		return
 	}
 	adapter.planSeen = true
-	adapter.core.SetZone(adapter.settings.Zones[s.Zone], s.Price)
+	adapter.core.SetZone(adapter.settings.Zones[status.Zone], status.Price)
 }
 
 // StorePlanNumber implements zones.Pooler.
-func (adapter *Adapter) StorePlanNumber(no uint64, done func()) {
+func (adapter *Adapter) StorePlanNumber(number uint64, done func()) {
 	if adapter.store == nil {
 		done()
 		return
 	}
-	adapter.store.StorePlanNumber(no, done)
+	adapter.store.StorePlanNumber(number, done)
 }
 
-// HandleLogAction follows the leader of the replicated log.
-func (adapter *Adapter) HandleLogAction(a *raftlog.Action) {
-	switch a.Kind {
+// HandleLogAction follows changes of the replicated log's leader.
+func (adapter *Adapter) HandleLogAction(action *raftlog.Action) {
+	switch action.Kind {
 	case raftlog.BecameLeader:
 		adapter.SetLeader(adapter.settings.Name)
 	case raftlog.LeaderChanged:
-		adapter.SetLeader(a.Leader)
+		adapter.SetLeader(action.Leader)
 	case raftlog.Stopped:
 		adapter.SetLeader("")
 	}
--- a/internal/cluster/zones/admin/admin.go
+++ b/internal/cluster/zones/admin/admin.go
@@ -1,10 +1,12 @@
-// Package admin is the operators' view of zones: what the admin endpoint shows, and how orders are parsed. It is pure.
+// Package admin is the operators' view of zones: the status that the admin endpoint shows, and the parsing of orders. It does no I/O and
+// has no clock.
 //
-// It decides whether a request is an order that may be proposed: of a known zone and state, with a bounded time, and with the number after
-// the newest one of its zone. Inputs are the settings and the voter's state machine. Whether the order takes effect is decided by the
-// replicated log, so the caller queries the status again. The caller names the number, so a request that is repeated is one order.
+// It decides whether a request is an order that may be proposed: for a known zone and state, with a bounded time, and with the number after
+// that of the zone's newest order. Inputs are the settings and the voter's state machine. Whether the order takes effect is decided by the
+// replicated log, so the caller queries the status again. The caller chooses the number, so a repeated request does not make a second
+// order.
 //
-// A pooler that is no voter has no state machine: it shows what it does itself, and takes no orders.
+// A pooler that is not a voter has no state machine: it shows its own status only, and accepts no orders.
 package admin
 
 import (
@@ -26,16 +28,16 @@
 type Status struct {
 	Pooler        string   `json:"pooler"`
 	Zone          string   `json:"zone"`
-	PreferredZone string   `json:"near"` // the zone that it takes for local
+	PreferredZone string   `json:"near"` // the zone that it treats as local
 	Reason        string   `json:"why"`  // none, plan, fallback or spilling
 	IsVoter       bool     `json:"votes"`
 	IsLeader      bool     `json:"leads"`
 	Voters        []string `json:"voters"`
-	Plan          *Plan    `json:"plan,omitempty"` // the last one that it followed; in force where Why is plan
+	Plan          *Plan    `json:"plan,omitempty"` // the last one that it followed; in force if Reason is plan
 	Zones         []Zone   `json:"zones"`
 }
 
-// Plan is a plan.
+// Plan is a plan as the admin endpoint shows it.
 type Plan struct {
 	Number   uint64  `json:"no"`
 	Since    uint64  `json:"since"` // the number of the first plan with the same target
@@ -44,13 +46,13 @@
 	MaxFill  float64 `json:"most"`  // the largest part of its safe capacity that a receiving zone is sent
 }
 
-// Zone is the state of a zone by the plan and the orders.
+// Zone is the state of a zone according to the plan and the orders.
 type Zone struct {
 	Name        string  `json:"name"`
 	State       string  `json:"state,omitempty"`
 	RestMs      float64 `json:"rest_ms,omitempty"`
-	Shares      []Share `json:"shares,omitempty"` // of its reads, including those that stay
-	NewestOrder uint64  `json:"newest_order"`     // 0 for none; at voters only
+	Shares      []Share `json:"shares,omitempty"` // of its reads, including those that stay local
+	NewestOrder uint64  `json:"newest_order"`     // number, 0 for none; at voters only
 	Order       *Order  `json:"order,omitempty"`  // the active one, at voters only
 }
 
@@ -60,17 +62,17 @@
 	Part float64 `json:"part"`
 }
 
-// Order is an active order. UntilMs is Unix ms, 0 for until it is lifted.
+// Order is an active order. UntilMs is in Unix ms, 0 for an order that lasts until it is lifted.
 type Order struct {
 	Number  uint64  `json:"no"`
 	State   string  `json:"state"`
 	UntilMs float64 `json:"until_ms,omitempty"`
 }
 
-// LiftedState is given in place of a state, to end the active order.
+// LiftedState is given in place of a state to end the active order.
 const LiftedState = "lifted"
 
-// MaxOrderTime bounds the time of an order that has an end.
+// MaxOrderTime bounds the duration of an order that has an end.
 const MaxOrderTime = 30 * 24 * time.Hour
 
 // Errors of ParseOrder. Their texts are part of the admin endpoint's answers.
@@ -81,7 +83,8 @@
 	ErrBehind       = errors.New("this pooler has not heard of the order before this one yet")
 )
 
-// NewStatus returns the state of zones at a pooler. machine is nil at a pooler that is no voter, plan where it never followed one.
+// NewStatus returns the state of zones at a pooler. machine is nil at a pooler that is not a voter, plan at one that never followed a
+// plan.
 func NewStatus(settings *zones.Settings, status follower.Status, plan *statemachine.Plan, machine *statemachine.StateMachine, leads bool) *Status {
 	out := &Status{
 		Pooler:        settings.Name,
@@ -130,8 +133,8 @@
 	paramFor    = "for"
 )
 
-// ParseOrder parses the parameters of an order that arrived at a time in Unix ms. applied is true where the order is in the log already:
-// the request is a repeated one. machine is nil at a pooler that is no voter.
+// ParseOrder parses the parameters of an order that arrived at now, in Unix ms. applied is true if the order was applied already, that is,
+// if the request is a repeated one. machine is nil at a pooler that is not a voter.
 func ParseOrder(query url.Values, settings *zones.Settings, machine *statemachine.StateMachine, now float64) (order zones.Order, applied bool, err error) {
 	for name := range query {
 		if !slices.Contains([]string{paramZone, paramState, paramNumber, paramFor}, name) {
@@ -181,8 +184,8 @@
 	return nil
 }
 
-// compareToNewest reports whether an order is the newest one of its zone, which is in the log already. An order with another number than
-// the next one is an error.
+// compareToNewest reports whether an order is the newest one of its zone, which was applied already. Any other order is an error unless it
+// has the next number.
 func compareToNewest(order *zones.Order, zone int, machine *statemachine.StateMachine) (applied bool, err error) {
 	newest := machine.NewestOrder(zone)
 	switch {
--- a/internal/cluster/zones/admin/note.go
+++ b/internal/cluster/zones/admin/note.go
@@ -10,45 +10,45 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// Note is a record of what a pooler does by zones, and where the reads that any member may serve went since the note before. The JSON keys
-// are fixed.
+// Note is the content of a record: which zone a pooler prefers and why, and to which zones the reads that any member may serve went since
+// the previous note. The JSON keys are fixed.
 type Note struct {
 	PlanNumber    uint64   `json:"plan,omitempty"`
 	Author        string   `json:"by,omitempty"`
 	Reason        string   `json:"why"`
-	Zone          string   `json:"zone"` // this pooler's
-	PreferredZone string   `json:"near"`
+	Zone          string   `json:"zone"` // this pooler's own
+	PreferredZone string   `json:"near"` // the zone that it treats as local
 	Zones         []string `json:"zones"`
-	States        []string `json:"states,omitempty"` // of Zones by the plan, in their order
-	Sent          []uint64 `json:"sent,omitempty"`   // attempts that ended, by Zones; nothing for none
+	States        []string `json:"states,omitempty"` // of Zones according to the plan, in the same order
+	Sent          []uint64 `json:"sent,omitempty"`   // attempts that ended, in the order of Zones; empty if there were none
 }
 
-// NewNote makes a note. sent are the counts of attempts by zone since the start, was those at the note before.
-func NewNote(set *zones.Settings, s follower.Status, p *statemachine.Plan, sent, was []uint64) *Note {
-	n := &Note{Reason: s.Reason.String(), Zone: set.Zone, PreferredZone: set.Zones[s.Zone], Zones: set.Zones}
-	if p != nil {
-		n.PlanNumber, n.Author = p.Number, p.Author
-		for _, m := range p.Zones {
-			n.States = append(n.States, m.State.String())
+// NewNote returns a note. sent are the counts of attempts by zone since the start, previous those at the previous note.
+func NewNote(settings *zones.Settings, status follower.Status, plan *statemachine.Plan, sent, previous []uint64) *Note {
+	n := &Note{Reason: status.Reason.String(), Zone: settings.Zone, PreferredZone: settings.Zones[status.Zone], Zones: settings.Zones}
+	if plan != nil {
+		n.PlanNumber, n.Author = plan.Number, plan.Author
+		for _, zone := range plan.Zones {
+			n.States = append(n.States, zone.State.String())
 		}
 	}
-	any := false
-	for z := range sent {
-		x := sent[z] - was[z]
-		n.Sent, any = append(n.Sent, x), any || x > 0
+	anySent := false
+	for zone := range sent {
+		count := sent[zone] - previous[zone]
+		n.Sent, anySent = append(n.Sent, count), anySent || count > 0
 	}
-	if !any {
+	if !anySent {
 		n.Sent = nil
 	}
 	return n
 }
 
-// SameDecision reports whether two notes differ in the plan's number and the counts only.
-func (n *Note) SameDecision(o *Note) bool {
-	return n.Reason == o.Reason && n.PreferredZone == o.PreferredZone && slices.Equal(n.States, o.States)
+// SameDecision reports whether two notes of a pooler have the same reason, preferred zone and states of zones.
+func (n *Note) SameDecision(other *Note) bool {
+	return n.Reason == other.Reason && n.PreferredZone == other.PreferredZone && slices.Equal(n.States, other.States)
 }
 
-// Text encodes a note; empty for one that cannot be encoded.
+// Text returns the encoded note, empty if it cannot be encoded.
 func (n *Note) Text() string {
 	b, err := jsoniter.Marshal(n)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return string(b)
 }
 
-// ParseNote decodes a note. ok is false for a text that is none.
+// ParseNote decodes a note. ok is false for a text that is not a note.
 func ParseNote(text string) (n Note, ok bool) {
 	if jsoniter.UnmarshalFromString(text, &n) != nil || len(n.Zones) == 0 || len(n.Zones) > statemachine.MaxZones || !slices.Contains(n.Zones, n.Zone) {
 		return n, false
--- a/internal/cluster/zones/api.go
+++ b/internal/cluster/zones/api.go
@@ -13,31 +13,31 @@
 // Settings configure a Coordinator. Times are in ms.
 type Settings struct {
 	Zones          []string // names, the same in the same order at all poolers
-	Zone           string   // this pooler's
+	Zone           string   // this pooler's own
 	Name           string
 	Voters         []string // names of poolers
 	ReportInterval float64  // between two reports of a pooler
-	PlanLifetime   float64  // from the last renewal of a plan
-	CrossingPrice  float64  // where the fleet has a plan, as a part of a request's priority
+	PlanLifetime   float64  // from the last renewal of a plan until it expires
+	CrossingPrice  float64  // of crossing zones once a plan was received, as a part of a request's priority
 	CoresPerSize   float64  // cores of a server of size 1
-	Orders         []Order  // of the operators' settings
+	Orders         []Order  // operators' orders from the settings file
 	Planner        planner.Settings
-	MinPlan        uint64 // of the plan that this pooler followed before it was restarted
+	MinPlan        uint64 // stored number of the plan that this pooler followed before it was restarted; 0 for none
 	Checks         *invariant.Checks
 
-	FollowsAnyPlan bool // a fault by which tests are tested
+	FollowsAnyPlan bool // fault injected by tests: older plans are followed too
 }
 
-// Order is an operators' order of a zone's state. The one with the highest number of a zone is in force.
+// Order is an operators' order that sets a zone's state. For each zone the order with the highest number counts.
 type Order struct {
 	Number uint64
 	Zone   string
-	Lifts  bool // it ends the previous order, and orders nothing
+	Lifts  bool // ends the previous order without setting a state
 	State  health.State
-	Until  float64 // Unix ms, 0 for until it is lifted
+	Until  float64 // Unix ms; 0 for an order that lasts until it is lifted
 }
 
-// Defaults returns settings for a few zones of a region or two. The zones, their delays and the classes come from elsewhere.
+// Defaults returns settings for a few zones in one or two regions. The caller sets the zones, their delays and the classes.
 func Defaults() Settings {
 	return Settings{
 		ReportInterval: 500,
@@ -60,25 +60,25 @@
 	}
 }
 
-// DecisionBound bounds the time from a failure until a pooler that is reached follows a plan which reflects it, with a stable leader.
-// delay is that of a message, disk that of a durable write, losses the number of messages lost in a row.
+// DecisionBound bounds the time from a failure until a reachable pooler follows a plan that reflects it, with a stable leader. delay is the
+// longest delay of a message in ms, disk that of a durable write in ms, losses the number of messages lost in a row.
 func (s *Settings) DecisionBound(delay, disk float64, losses int) float64 {
 	return s.Planner.Health.FailureTime + s.Planner.Window + 2*s.ReportInterval + s.Planner.StepInterval + 2*delay +
 		(4*delay + 2*disk) + disk + float64(losses)*s.ReportInterval
 }
 
-// FallbackBound bounds the time from the last renewal that a voter applied until a pooler that receives no other has fallen back.
+// FallbackBound bounds the time from the last renewal that a voter applied until a pooler that receives no later one falls back.
 func (s *Settings) FallbackBound(delay float64) float64 { return s.PlanLifetime + delay }
 
 const msPerMinute = 60_000
 
-// MaxShiftsPerMinute bounds how often a zone is abandoned or restored in a minute.
+// MaxShiftsPerMinute bounds how often a zone is abandoned or restored within a minute.
 func (s *Settings) MaxShiftsPerMinute() int { return s.Planner.Health.MaxShifts(msPerMinute) }
 
 // FenceBound bounds for how long a pooler that stores its plan's number may follow an older plan after a newer one.
 func (s *Settings) FenceBound() float64 { return 0 }
 
-// ZonesHash returns a hash, never 0, of the zones' names in their order.
+// ZonesHash returns a hash, never 0, of the ordered zone names.
 func (s *Settings) ZonesHash() uint32 {
 	h := xxhash.New()
 	for _, zone := range s.Zones {
@@ -88,7 +88,7 @@
 	return uint32(h.Sum64()) | 1
 }
 
-// Index returns a zone's index, below 0 for an unknown one.
+// Index returns the index of a zone, -1 for an unknown one.
 func (s *Settings) Index(zone string) int {
 	for i, name := range s.Zones {
 		if name == zone {
--- a/internal/cluster/zones/bytes_test.go
+++ b/internal/cluster/zones/bytes_test.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// TestBytes: the bytes of a message stay what poolers of other versions read.
-func TestBytes(t *testing.T) {
+// TestMessageEncodingIsStable guards against a change of the wire format: poolers of other versions must be able to decode the messages.
+func TestMessageEncodingIsStable(t *testing.T) {
 	plan := &statemachine.Plan{Number: 1, Since: 2, Version: 3, ZonesHash: 4, Author: "voter", Zones: []statemachine.ZoneStatus{{State: health.Returning, RestMs: 5000}, {}}, Matrix: [][]float64{{0.5, 0.5}, {0, 1}}, Unserved: 1.5, MaxFill: 0.25}
 	for name, c := range map[string]struct {
 		message interface{ Append([]byte) []byte }
@@ -23,10 +23,10 @@
 	} {
 		b := c.message.Append(nil)
 		if got := hex.EncodeToString(b); got != c.want {
-			t.Errorf("%s: %s, want %s", name, got, c.want)
+			t.Errorf("%s: encoded as %s, want %s", name, got, c.want)
 		}
 		if got, err := Decode(b); err != nil || hex.EncodeToString(got.(interface{ Append([]byte) []byte }).Append(nil)) != hex.EncodeToString(b) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: decoded as %+v, error %v; want the message that was encoded", name, got, err)
 		}
 	}
 }
--- a/internal/cluster/zones/codec.go
+++ b/internal/cluster/zones/codec.go
@@ -20,12 +20,11 @@
 	planner.Report
 }
 
-// PlanUpdate is a voter's message: the number of the newest plan that it applied, how long ago that was, and the plan where the receiver
-// does not have it.
+// PlanUpdate is a voter's message: the number of the newest plan that it applied, and how long ago that was.
 type PlanUpdate struct {
 	PlanNumber uint64
 	AgeMs      float64
-	Plan       *statemachine.Plan
+	Plan       *statemachine.Plan // nil where the receiver already has the plan
 }
 
 // Kinds of messages.
@@ -34,7 +33,7 @@
 	kindPlanUpdate = 2
 )
 
-// Bounds of a report, so that each part of it goes in one datagram.
+// Bounds of a report, so that each part of it fits in one datagram.
 const (
 	maxParts          = 64
 	maxCellsPerPart   = 32
@@ -44,12 +43,13 @@
 // Scales and bounds of encoded numbers.
 const (
 	rateScale = 100 // rates and cores are in hundredths
-	loadScale = 10  // loads are in thousandths: so many times finer
+	loadScale = 10  // loads are in thousandths, this many times finer than rates
 	maxNumber = 1e12
 	maxClass  = 1 << 16
 )
 
-// splitReport splits a report into parts that fit a datagram each. A part has mostly cells or mostly demands.
+// splitReport splits a report into parts that each fit in a datagram. Demands are added only to parts with less than half the cells that
+// fit.
 func splitReport(report *planner.Report) (parts []planner.Report) {
 	cells, demands := report.Cells, report.Demands
 	for len(parts) < maxParts && (len(parts) == 0 || len(cells)+len(demands) > 0) {
@@ -106,7 +106,7 @@
 // Decode decodes a message that takes up all bytes: *Report or *PlanUpdate.
 func Decode(b []byte) (any, error) {
 	if len(b) == 0 {
-		return nil, fmt.Errorf("%w: empty", ErrMalformed)
+		return nil, fmt.Errorf("%w: empty message", ErrMalformed)
 	}
 	switch b[0] {
 	case kindReport:
@@ -114,10 +114,10 @@
 	case kindPlanUpdate:
 		return decodePlanUpdate(b[1:])
 	}
-	return nil, fmt.Errorf("%w: kind %d", ErrMalformed, b[0])
+	return nil, fmt.Errorf("%w: unknown kind %d", ErrMalformed, b[0])
 }
 
-// reader decodes a report; after a fault it returns zeros.
+// reader decodes a report; after a decoding error all further values are 0.
 type reader struct{ encoding.Reader }
 
 func (r *reader) int(limit uint64) int         { return int(r.UvarintMax(limit)) }
@@ -135,7 +135,7 @@
 		m.Demands = append(m.Demands, planner.Demand{Group: r.int(math.MaxInt32), Class: r.int(maxClass), Load: r.scaled(loadScale * rateScale)})
 	}
 	if !r.AtEnd() {
-		return nil, fmt.Errorf("%w: a report of %d bytes", ErrMalformed, len(b))
+		return nil, fmt.Errorf("%w: report of %d bytes", ErrMalformed, len(b))
 	}
 	return m, nil
 }
@@ -150,7 +150,7 @@
 }
 
 func decodePlanUpdate(b []byte) (any, error) {
-	malformed := fmt.Errorf("%w: a plan update of %d bytes", ErrMalformed, len(b))
+	malformed := fmt.Errorf("%w: plan update of %d bytes", ErrMalformed, len(b))
 	number, n := binary.Uvarint(b)
 	if n <= 0 {
 		return nil, malformed
--- a/internal/cluster/zones/coordinator.go
+++ b/internal/cluster/zones/coordinator.go
@@ -11,45 +11,45 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-// Log is the replicated log, as far as entries are proposed. Apply, Snapshot, Restore and SetLeader bring what comes of it.
+// Log proposes entries to the replicated log. The log calls back by Apply, Snapshot, Restore and SetLeader.
 type Log interface{ Propose(entry []byte) }
 
 // Pooler is the pooler that a Coordinator works for.
 type Pooler interface {
-	// Sample returns what was observed since the last sample, ms ago.
+	// Sample returns what was observed since the last sample, which was taken ms ago.
 	Sample(ms float64) ([]planner.Cell, []planner.Demand)
-	// ApplyStatus is called with what the pooler is to do from now on.
+	// ApplyStatus sets the preferred zone and the price of crossing from now on.
 	ApplyStatus(status follower.Status)
-	// StorePlanNumber stores a number for the pooler's next process, and calls done.
+	// StorePlanNumber durably stores the number of a plan for the pooler's next process, and then calls done.
 	StorePlanNumber(number uint64, done func())
 }
 
-// proposalChecks is how often, in a step of the planner, a voter looks for something to propose.
+// proposalChecks is how many times within a StepInterval a voter checks whether there is something to propose.
 const proposalChecks = 4
 
-// Coordinator is one process's. It implements module.Module and the state machine of the replicated log. Its methods are called on the
-// event loop.
+// Coordinator is the part of package zones in one process. It implements module.Module and the state machine of the replicated log. Its
+// methods are called on the event loop.
 type Coordinator struct {
 	settings  Settings
 	transport module.Transport
 	log       Log
 	pooler    Pooler
 
-	// Of a voter, else nil.
+	// Nil at a process that is not a voter.
 	state   *statemachine.StateMachine
 	planner *planner.Planner
 
 	follower      *follower.Follower
 	self          view.ID
-	voters        []poolerAddress // other than this process
-	members       []poolerAddress // the same, by ID
+	voters        []poolerAddress // without this process
+	members       []poolerAddress // all poolers without this process, sorted by ID
 	leader        string          // name; empty for none
-	planAppliedAt float64         // of the plan in force, while there was a leader; 0 for never
-	announced     uint64          // Since of the plan that was sent to all
+	planAppliedAt float64         // when a plan was last applied while there was a leader; 0 for never
+	announced     uint64          // Since of the plan that was last sent to all members
 	nextReport    float64
 	lastSample    float64
 	nextStep      float64
-	nextProposal  []float64 // of each order of the settings
+	nextProposal  []float64 // when each order of the settings may be proposed again
 	status        follower.Status
 	statusApplied bool
 	counts        Counts
@@ -68,149 +68,152 @@
 // New returns the Coordinator of a process.
 func New(settings Settings, transport module.Transport, log Log, pooler Pooler) *Coordinator {
 	plannerSettings, followerSettings := settings.derived()
-	z := &Coordinator{
+	c := &Coordinator{
 		settings: settings, transport: transport, log: log, pooler: pooler, follower: follower.New(followerSettings),
 		lastSample: transport.Now(), nextProposal: make([]float64, len(settings.Orders)),
 	}
 	if slices.Contains(settings.Voters, settings.Name) {
-		z.state = statemachine.New()
-		z.state.Checks = settings.Checks
-		z.planner = planner.New(plannerSettings)
+		c.state = statemachine.New()
+		c.state.Checks = settings.Checks
+		c.planner = planner.New(plannerSettings)
 	}
-	return z
+	return c
 }
 
-// State returns this voter's state machine, nil for a process that is no voter.
-func (z *Coordinator) State() *statemachine.StateMachine { return z.state }
+// State returns this voter's state machine, nil for a process that is not a voter.
+func (c *Coordinator) State() *statemachine.StateMachine { return c.state }
 
-// Planner returns this voter's planner, nil for a process that is no voter.
-func (z *Coordinator) Planner() *planner.Planner { return z.planner }
+// Planner returns this voter's planner, nil for a process that is not a voter.
+func (c *Coordinator) Planner() *planner.Planner { return c.planner }
 
-// Status returns what this pooler does, and the plan that it follows or followed last, nil for none.
-func (z *Coordinator) Status() (follower.Status, *statemachine.Plan) {
-	plan, _ := z.follower.Plan()
-	return z.status, plan
+// Status returns the status in use, and the plan that this pooler follows or followed last, nil for none.
+func (c *Coordinator) Status() (follower.Status, *statemachine.Plan) {
+	plan, _ := c.follower.Plan()
+	return c.status, plan
 }
 
 // Counts returns the counters.
-func (z *Coordinator) Counts() Counts { return z.counts }
+func (c *Coordinator) Counts() Counts { return c.counts }
 
-// Apply applies an entry of the log. Without a leader its plan is not followed: what a process finds in its log when it starts may be old.
-func (z *Coordinator) Apply(index uint64, entry []byte) {
-	if z.state == nil || !z.state.Apply(index, entry) {
+// Apply applies an entry of the log. A plan applied while no leader is known is not followed: an entry that a starting process finds in
+// its log may be old.
+func (c *Coordinator) Apply(index uint64, entry []byte) {
+	if c.state == nil || !c.state.Apply(index, entry) {
 		return
 	}
-	plan := z.state.Plan
-	if z.leader == "" || plan == nil || len(entry) == 0 {
+	plan := c.state.Plan
+	if c.leader == "" || plan == nil || len(entry) == 0 {
 		return
 	}
-	z.planAppliedAt = z.transport.Now()
-	z.handlePlan(plan, 0)
-	if z.leader == z.settings.Name && plan.Since != z.announced {
-		z.announced = plan.Since
+	c.planAppliedAt = c.transport.Now()
+	c.handlePlan(plan, 0)
+	if c.leader == c.settings.Name && plan.Since != c.announced {
+		c.announced = plan.Since
 		update := &PlanUpdate{PlanNumber: plan.Number, Plan: plan}
-		for _, member := range z.members {
-			z.transport.Send(member.addr, member.id, module.KindZones, update)
+		for _, member := range c.members {
+			c.transport.Send(member.addr, member.id, module.KindZones, update)
 		}
 	}
 }
 
 // Snapshot returns the encoded state.
-func (z *Coordinator) Snapshot() []byte { return z.state.Snapshot() }
+func (c *Coordinator) Snapshot() []byte { return c.state.Snapshot() }
 
 // Restore replaces the state by that of a snapshot.
-func (z *Coordinator) Restore(b []byte) error {
-	z.planAppliedAt = 0
-	return z.state.Restore(b)
+func (c *Coordinator) Restore(b []byte) error {
+	c.planAppliedAt = 0
+	return c.state.Restore(b)
 }
 
 // SetLeader sets the name of the log's leader, as far as this process knows; empty for none.
-func (z *Coordinator) SetLeader(name string) {
-	z.leader = name
-	if z.planner != nil {
-		z.planner.SetLeading(z.transport.Now(), name != "" && name == z.settings.Name, z.state.Plan)
+func (c *Coordinator) SetLeader(name string) {
+	c.leader = name
+	if c.planner != nil {
+		c.planner.SetLeading(c.transport.Now(), name != "" && name == c.settings.Name, c.state.Plan)
 	}
 }
 
 // SetOrders replaces the orders of the settings.
-func (z *Coordinator) SetOrders(orders []Order) {
-	z.settings.Orders, z.nextProposal = orders, make([]float64, len(orders))
+func (c *Coordinator) SetOrders(orders []Order) {
+	c.settings.Orders, c.nextProposal = orders, make([]float64, len(orders))
 }
 
-// ProposeOrder proposes an order. It reports false for an unknown zone. An order whose number is taken will have no effect.
-func (z *Coordinator) ProposeOrder(order Order) bool {
-	zone := z.settings.Index(order.Zone)
+// ProposeOrder proposes an order, and reports false for an unknown zone. The state machine ignores an order whose number is not above that
+// of the zone's newest order.
+func (c *Coordinator) ProposeOrder(order Order) bool {
+	zone := c.settings.Index(order.Zone)
 	if zone < 0 {
 		return false
 	}
 	entry := statemachine.Order{Number: order.Number, Zone: zone, Lifts: order.Lifts, State: order.State, Until: order.Until}
-	z.log.Propose(statemachine.EncodeOrder(&entry))
+	c.log.Propose(statemachine.EncodeOrder(&entry))
 	return true
 }
 
 // Kind implements module.Module.
-func (z *Coordinator) Kind() view.Kind { return module.KindZones }
+func (c *Coordinator) Kind() view.Kind { return module.KindZones }
 
 // Decode implements module.Module.
-func (z *Coordinator) Decode(b []byte) (any, error) { return Decode(b) }
+func (c *Coordinator) Decode(b []byte) (any, error) { return Decode(b) }
 
 // UpdateMembers implements module.Module.
-func (z *Coordinator) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
-	z.self, z.voters, z.members = self, z.voters[:0], z.members[:0]
+func (c *Coordinator) UpdateMembers(self view.ID, all []view.Record, _ view.Counts) {
+	c.self, c.voters, c.members = self, c.voters[:0], c.members[:0]
 	var zonePoolers []view.ID // of this process's zone
 	for i := range all {
 		record := &all[i]
 		if record.ID != self && record.State > view.Suspect {
 			continue
 		}
-		if record.Zone == z.settings.Zone {
+		if record.Zone == c.settings.Zone {
 			zonePoolers = append(zonePoolers, record.ID)
 		}
 		if record.ID == self {
 			continue
 		}
 		address := poolerAddress{record.Addr, record.ID}
-		z.members = append(z.members, address)
-		if slices.Contains(z.settings.Voters, record.Name) {
-			z.voters = append(z.voters, address)
+		c.members = append(c.members, address)
+		if slices.Contains(c.settings.Voters, record.Name) {
+			c.voters = append(c.voters, address)
 		}
 	}
-	slices.SortFunc(z.members, func(a, b poolerAddress) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(c.members, func(a, b poolerAddress) int { return cmp.Compare(a.id, b.id) })
 	slices.Sort(zonePoolers)
 	if rank := slices.Index(zonePoolers, self); rank >= 0 {
-		z.follower.SetRank(rank, len(zonePoolers))
+		c.follower.SetRank(rank, len(zonePoolers))
 	}
 }
 
 // Receive implements module.Module.
-func (z *Coordinator) Receive(from view.ID, message any) {
-	now := z.transport.Now()
+func (c *Coordinator) Receive(from view.ID, message any) {
+	now := c.transport.Now()
 	switch m := message.(type) {
 	case *Report:
-		if z.planner == nil {
+		if c.planner == nil {
 			return
 		}
-		z.planner.Receive(now, uint64(from), &m.Report)
+		c.planner.Receive(now, uint64(from), &m.Report)
 		if m.Part == 0 {
-			z.sendPlan(from, m.PlanNumber)
+			c.sendPlan(from, m.PlanNumber)
 		}
 	case *PlanUpdate:
 		if m.Plan != nil {
-			z.handlePlan(m.Plan, m.AgeMs)
+			c.handlePlan(m.Plan, m.AgeMs)
 		} else {
-			z.follower.HandleRenewal(now, m.PlanNumber, m.AgeMs)
+			c.follower.HandleRenewal(now, m.PlanNumber, m.AgeMs)
 		}
-		z.updateStatus()
+		c.updateStatus()
 	}
 }
 
-// sendPlan sends a pooler the news that a plan is in force, and the plan itself unless the pooler has its number.
-func (z *Coordinator) sendPlan(to view.ID, known uint64) {
-	plan, age := z.state.Plan, z.transport.Now()-z.planAppliedAt
-	if plan == nil || z.planAppliedAt == 0 || age >= z.settings.PlanLifetime {
+// sendPlan tells a pooler that the plan in force is renewed. The plan itself is sent too unless it has the number known, which is that of
+// the newest plan that the pooler has.
+func (c *Coordinator) sendPlan(to view.ID, known uint64) {
+	plan, age := c.state.Plan, c.transport.Now()-c.planAppliedAt
+	if plan == nil || c.planAppliedAt == 0 || age >= c.settings.PlanLifetime {
 		return
 	}
-	i := slices.IndexFunc(z.members, func(m poolerAddress) bool { return m.id == to })
+	i := slices.IndexFunc(c.members, func(m poolerAddress) bool { return m.id == to })
 	if i < 0 {
 		return
 	}
@@ -218,80 +221,80 @@
 	if known != plan.Number {
 		update.Plan = plan
 	}
-	z.transport.Send(z.members[i].addr, to, module.KindZones, update)
+	c.transport.Send(c.members[i].addr, to, module.KindZones, update)
 }
 
-// handlePlan takes a plan that was in force age ms ago.
-func (z *Coordinator) handlePlan(plan *statemachine.Plan, age float64) {
-	z.storePlanNumber(z.follower.HandlePlan(z.transport.Now(), plan, age))
+// handlePlan handles a plan that was in force age ms ago.
+func (c *Coordinator) handlePlan(plan *statemachine.Plan, age float64) {
+	c.storePlanNumber(c.follower.HandlePlan(c.transport.Now(), plan, age))
 }
 
-// storePlanNumber stores the number of a plan before the plan is followed, and then the next one; 0 for none.
-func (z *Coordinator) storePlanNumber(number uint64) {
+// storePlanNumber stores the number of a plan, after which the plan is followed, and then the next number that waits. 0 stores nothing.
+func (c *Coordinator) storePlanNumber(number uint64) {
 	if number == 0 {
 		return
 	}
-	z.counts.Plans++
-	z.pooler.StorePlanNumber(number, func() {
-		next := z.follower.NumberStored(number)
-		z.updateStatus()
-		z.storePlanNumber(next)
+	c.counts.Plans++
+	c.pooler.StorePlanNumber(number, func() {
+		next := c.follower.NumberStored(number)
+		c.updateStatus()
+		c.storePlanNumber(next)
 	})
 }
 
 // Tick implements module.Module.
-func (z *Coordinator) Tick() {
-	now := z.transport.Now()
-	if now >= z.nextReport {
-		z.nextReport = now + z.settings.ReportInterval
-		z.report(now)
+func (c *Coordinator) Tick() {
+	now := c.transport.Now()
+	if now >= c.nextReport {
+		c.nextReport = now + c.settings.ReportInterval
+		c.report(now)
 	}
-	if z.planner != nil && now >= z.nextStep {
-		z.nextStep = now + z.settings.Planner.StepInterval/proposalChecks
-		z.proposeOrders(now)
-		for _, entry := range z.planner.Step(now, z.state) {
-			z.log.Propose(entry)
+	if c.planner != nil && now >= c.nextStep {
+		c.nextStep = now + c.settings.Planner.StepInterval/proposalChecks
+		c.proposeOrders(now)
+		for _, entry := range c.planner.Step(now, c.state) {
+			c.log.Propose(entry)
 		}
 	}
-	z.updateStatus()
+	c.updateStatus()
 }
 
-// proposeOrders proposes the orders of the settings that are newer than those in the log, as the leader.
-func (z *Coordinator) proposeOrders(now float64) {
-	if !z.planner.IsLeading() {
+// proposeOrders proposes, at the leader, the orders of the settings that are newer than those in the log.
+func (c *Coordinator) proposeOrders(now float64) {
+	if !c.planner.IsLeading() {
 		return
 	}
-	for i, order := range z.settings.Orders {
-		zone := z.settings.Index(order.Zone)
-		isNew := zone >= 0 && order.Number > z.state.NewestOrder(zone)
-		if isNew && now >= z.nextProposal[i] {
-			z.nextProposal[i] = now + z.settings.Planner.ProposalTimeout
-			z.ProposeOrder(order)
+	for i, order := range c.settings.Orders {
+		zone := c.settings.Index(order.Zone)
+		isNew := zone >= 0 && order.Number > c.state.NewestOrder(zone)
+		if isNew && now >= c.nextProposal[i] {
+			c.nextProposal[i] = now + c.settings.Planner.ProposalTimeout
+			c.ProposeOrder(order)
 		}
 	}
 }
 
-// report sends the voters what this pooler observed since its last report.
-func (z *Coordinator) report(now float64) {
-	elapsed := now - z.lastSample
-	z.lastSample = now
-	cells, demands := z.pooler.Sample(elapsed)
-	zone := z.settings.Index(z.settings.Zone)
+// report sends what this pooler observed since its last report to the voters.
+func (c *Coordinator) report(now float64) {
+	elapsed := now - c.lastSample
+	c.lastSample = now
+	cells, demands := c.pooler.Sample(elapsed)
+	zone := c.settings.Index(c.settings.Zone)
 	if elapsed > 0 {
-		z.recordLocalAttempts(now, zone, cells)
+		c.recordLocalAttempts(now, zone, cells)
 	}
 	for _, part := range splitReport(&planner.Report{Zone: max(0, zone), Cells: cells, Demands: demands}) {
-		report := &Report{PlanNumber: z.follower.NewestPlan(), Report: part}
-		if z.planner != nil {
-			z.planner.Receive(now, uint64(z.self), &report.Report)
+		report := &Report{PlanNumber: c.follower.NewestPlan(), Report: part}
+		if c.planner != nil {
+			c.planner.Receive(now, uint64(c.self), &report.Report)
 		}
-		for _, voter := range z.voters {
-			z.transport.Send(voter.addr, voter.id, module.KindZones, report)
+		for _, voter := range c.voters {
+			c.transport.Send(voter.addr, voter.id, module.KindZones, report)
 		}
 	}
 }
 
-func (z *Coordinator) recordLocalAttempts(now float64, zone int, cells []planner.Cell) {
+func (c *Coordinator) recordLocalAttempts(now float64, zone int, cells []planner.Cell) {
 	attempts, lost := 0.0, 0.0
 	for i := range cells {
 		if cells[i].Zone == zone {
@@ -299,25 +302,25 @@
 			lost += cells[i].Lost
 		}
 	}
-	z.follower.RecordLocalAttempts(now, attempts, lost)
+	c.follower.RecordLocalAttempts(now, attempts, lost)
 }
 
-// updateStatus tells the pooler what to do where that has changed.
-func (z *Coordinator) updateStatus() {
-	status := z.follower.Status(z.transport.Now())
-	if z.statusApplied && status == z.status {
+// updateStatus passes the follower's status to the pooler if it has changed.
+func (c *Coordinator) updateStatus() {
+	status := c.follower.Status(c.transport.Now())
+	if c.statusApplied && status == c.status {
 		return
 	}
-	if z.statusApplied && status.Zone != z.status.Zone {
-		z.counts.Shifts++
+	if c.statusApplied && status.Zone != c.status.Zone {
+		c.counts.Shifts++
 	}
-	if status.Reason == follower.Fallback && z.status.Reason != follower.Fallback {
-		z.counts.Fallbacks++
+	if status.Reason == follower.Fallback && c.status.Reason != follower.Fallback {
+		c.counts.Fallbacks++
 	}
-	z.status = status
-	z.statusApplied = true
-	z.pooler.ApplyStatus(status)
+	c.status = status
+	c.statusApplied = true
+	c.pooler.ApplyStatus(status)
 }
 
-// Leave implements module.Module. What this process reported expires by itself.
-func (z *Coordinator) Leave() {}
+// Leave implements module.Module. It sends nothing: the reports of this process expire.
+func (c *Coordinator) Leave() {}
--- a/internal/cluster/zones/follower/follower.go
+++ b/internal/cluster/zones/follower/follower.go
@@ -1,22 +1,24 @@
-// Package follower is what one pooler makes of the fleet's plans: in which zone its requests are served first, and the price of crossing
-// zones. It is a pure state machine: plans, renewals and the pooler's own losses go in, a Status comes out.
+// Package follower applies the fleet's plans at one pooler: it decides which zone the pooler treats as local, and the price of crossing
+// zones. It is a pure state machine: plans, renewals and the losses of the pooler's own attempts go in, a Status comes out.
 //
 // # What it decides
 //
-// The poolers of a zone are numbered, the same at each, and the plan's shares are dealt to them: of ten poolers in a zone of which 40% of
-// the reads go elsewhere, four take that other zone for local. Shares are rounded down, so that no zone receives more than the plan says,
-// except where a zone is left by all. The decision module picks the server of each request, by price and load.
+// The poolers of a zone have ranks, on which all of them agree, and the plan's shares are assigned to them by rank: if 40% of the reads of
+// a zone with ten poolers go to another zone, four of the poolers treat that zone as local. Shares are rounded down, so that no zone
+// receives more than the plan says, except if all poolers leave their zone. The decision module picks the server of each request, by price
+// and load.
 //
-// # A pooler that receives nothing
+// # Fallback without renewals
 //
-// A plan expires PlanLifetime after a voter had it in force last. Then, and before the first plan, the rule is: local first; crossing is
-// expensive; and where this pooler's own attempts in its zone fail, it goes where the last plan had sent it, and nowhere else. So without
-// news nothing goes to a zone that the last plan did not send there, whatever each pooler believes.
+// A plan expires PlanLifetime after it was last in force at a voter. From then on the pooler prefers its local zone at the plan's price of
+// crossing; if its own attempts in the local zone fail, it prefers the zone that the last plan assigned to it, and no other. So without
+// renewals no zone receives load that the last plan did not send there, whatever each pooler observes. Before the first plan a pooler
+// prefers its local zone at the price of its own settings.
 //
-// # Never back to an older plan
+// # Plans are never followed out of order
 //
-// A plan with a lower number is ignored, also after a restart: before a plan with another target is followed, the number since which plans
-// have that target is stored where the next process of this pooler finds it, as MinPlan.
+// A plan with a lower number is ignored, also after a restart: before a plan with another target is followed, the number of the first plan
+// with that target is stored, and the pooler's next process gets it as MinPlan.
 package follower
 
 import "beechgrade/internal/cluster/zones/statemachine"
@@ -26,12 +28,12 @@
 	Zone             int    // this pooler's own
 	ZonesHash        uint32 // of the zones' names
 	PlanLifetime     float64
-	CrossingPrice    float64 // where the fleet has a plan or had one, as a part of a request's priority
-	MinAttempts      float64 // local attempts in a window, for their losses to count
-	FailingLossShare float64 // the part of the attempts whose loss is a failure
-	FailureTime      float64 // that losses last until this pooler leaves its zone, without a plan in force
-	MinPlan          uint64  // Since of the plan that this pooler followed last, before it was restarted
-	FollowsAnyPlan   bool    // a fault by which tests are tested
+	CrossingPrice    float64 // of crossing zones once a plan was received, as a part of a request's priority
+	MinAttempts      float64 // local attempts a second below which their losses do not count
+	FailingLossShare float64 // the part of the attempts from which losses are a failure
+	FailureTime      float64 // how long losses last until this pooler leaves its zone while no plan is in force
+	MinPlan          uint64  // Since of the plan that this pooler followed last before it was restarted
+	FollowsAnyPlan   bool    // fault injected by tests: older plans are followed too
 }
 
 // Reason is why a pooler prefers a zone.
@@ -39,49 +41,50 @@
 
 // The reasons.
 const (
-	NoPlan   Reason = iota // no plan was ever received: as without zones
-	Planned                // a plan in force
-	Fallback               // without a plan in force: local first
-	Spilling               // the same, but the local zone fails: where the last plan had sent it
+	NoPlan   Reason = iota // no plan was received since the start: the pooler acts as if there were no zones
+	Planned                // a plan is in force
+	Fallback               // the last plan expired: the local zone is preferred
+	Spilling               // the last plan expired and the local zone fails: the zone of the last plan is preferred
 )
 
-// String returns the reason's name in answers and notes.
+// String returns the reason's name as in admin answers and notes.
 func (r Reason) String() string {
 	return [...]string{"none", "plan", "fallback", "spilling"}[min(r, Spilling)]
 }
 
-// Status is what a pooler does.
+// Status is the zone that a pooler prefers, and why.
 type Status struct {
-	Zone       int     // that it takes for local
-	Price      float64 // of crossing; below 0 for that of its own settings
+	Zone       int     // that the pooler treats as local
+	Price      float64 // of crossing zones; below 0 for the price of the pooler's own settings
 	Reason     Reason
-	PlanNumber uint64
+	PlanNumber uint64 // of the plan followed or followed last, 0 for none
 }
 
 // receivedPlan is a plan and when it expires, in ms.
 type receivedPlan struct {
-	plan *statemachine.Plan // nil for none
-	ends float64
+	plan      *statemachine.Plan // nil for none
+	expiresAt float64
 }
 
 // renew replaces a plan by one with the same target.
-func (r *receivedPlan) renew(plan *statemachine.Plan, ends float64) {
+func (r *receivedPlan) renew(plan *statemachine.Plan, expiresAt float64) {
 	r.plan = plan
-	r.ends = max(r.ends, ends)
+	r.expiresAt = max(r.expiresAt, expiresAt)
 }
 
 func (r *receivedPlan) hasTarget(since uint64) bool { return r.plan != nil && r.plan.Since == since }
 
-// Follower is one pooler's. At most one number is stored at a time: a slow disk delays a plan, and no frequency of plans stops them.
+// Follower decides for one pooler. At most one number is stored at a time, and of the plans that arrive meanwhile only the newest waits: a
+// slow disk delays plans, but frequent plans cannot keep the pooler from following any.
 type Follower struct {
 	settings     Settings
-	current      receivedPlan // in force, or the last one
+	current      receivedPlan // followed, or followed last
 	storing      receivedPlan // its number is being stored
-	waiting      receivedPlan // received since then
+	waiting      receivedPlan // the newest one received since storing began
 	rank         int          // of this pooler in its zone, from 0
-	poolers      int          // of the zone
-	failingSince float64      // 0 for not failing
-	failing      bool
+	poolers      int          // number of poolers in the zone
+	failingSince float64      // when losses of local attempts began, 0 for no losses
+	failing      bool         // losses have lasted for FailureTime
 }
 
 // New returns a Follower without a plan.
@@ -92,14 +95,14 @@
 	f.rank, f.poolers = max(0, rank), max(1, poolers)
 }
 
-// HandlePlan takes a plan that was in force age ms ago. It returns the number to be stored before the plan is followed, 0 for none.
+// HandlePlan handles a plan that was in force age ms ago. It returns the number to be stored before the plan is followed, 0 for none.
 func (f *Follower) HandlePlan(now float64, plan *statemachine.Plan, age float64) (store uint64) {
-	ends := now + f.settings.PlanLifetime - max(0, age)
-	if plan.ZonesHash != f.settings.ZonesHash || ends <= now && f.current.plan == nil {
+	expiresAt := now + f.settings.PlanLifetime - max(0, age)
+	if plan.ZonesHash != f.settings.ZonesHash || expiresAt <= now && f.current.plan == nil {
 		return 0
 	}
 	if f.settings.FollowsAnyPlan {
-		f.current = receivedPlan{plan, ends}
+		f.current = receivedPlan{plan, expiresAt}
 		return 0
 	}
 	if plan.Since < f.settings.MinPlan || plan.Number < f.NewestPlan() {
@@ -107,15 +110,15 @@
 	}
 	switch {
 	case f.waiting.hasTarget(plan.Since):
-		f.waiting.renew(plan, ends)
+		f.waiting.renew(plan, expiresAt)
 	case f.storing.hasTarget(plan.Since) && f.waiting.plan == nil:
-		f.storing.renew(plan, ends)
+		f.storing.renew(plan, expiresAt)
 	case f.storing.plan != nil:
-		f.waiting = receivedPlan{plan, ends}
+		f.waiting = receivedPlan{plan, expiresAt}
 	case f.current.hasTarget(plan.Since):
-		f.current.renew(plan, ends)
+		f.current.renew(plan, expiresAt)
 	default:
-		f.storing = receivedPlan{plan, ends}
+		f.storing = receivedPlan{plan, expiresAt}
 		return plan.Since
 	}
 	return 0
@@ -132,17 +135,17 @@
 	return &f.current
 }
 
-// HandleRenewal takes the news that the plan with a number was still in force age ms ago.
+// HandleRenewal extends the newest plan if it has the given number; it was still in force age ms ago.
 func (f *Follower) HandleRenewal(now float64, number uint64, age float64) {
 	if number != f.NewestPlan() {
 		return
 	}
 	if newest := f.newest(); newest.plan != nil {
-		newest.ends = max(newest.ends, now+f.settings.PlanLifetime-max(0, age))
+		newest.expiresAt = max(newest.expiresAt, now+f.settings.PlanLifetime-max(0, age))
 	}
 }
 
-// NumberStored reports that a number was stored: its plan is followed from now on. It returns the next number to be stored, 0 for none.
+// NumberStored is called when a number was stored: its plan is followed from now on. It returns the next number to be stored, 0 for none.
 func (f *Follower) NumberStored(since uint64) (store uint64) {
 	if f.storing.plan == nil || f.storing.plan.Since > since {
 		return 0
@@ -154,9 +157,9 @@
 	return f.storing.plan.Since
 }
 
-// Plan returns the plan that is or was followed last, nil for none, and when it expires, in ms.
-func (f *Follower) Plan() (plan *statemachine.Plan, ends float64) {
-	return f.current.plan, f.current.ends
+// Plan returns the plan that is followed or was followed last, nil for none, and when it expires, in ms.
+func (f *Follower) Plan() (plan *statemachine.Plan, expiresAt float64) {
+	return f.current.plan, f.current.expiresAt
 }
 
 // NewestPlan returns the number of the newest plan that was received, 0 for none.
@@ -167,7 +170,8 @@
 	return 0
 }
 
-// RecordLocalAttempts takes the attempts a second in the pooler's own zone in the last window, and those of them that were lost.
+// RecordLocalAttempts handles the attempts a second that ended in the pooler's own zone since the last call, and those of them that were
+// lost.
 func (f *Follower) RecordLocalAttempts(now, attempts, lost float64) {
 	switch {
 	case attempts < f.settings.MinAttempts:
@@ -180,7 +184,7 @@
 	}
 }
 
-// Status returns what the pooler does now.
+// Status returns the status at a time.
 func (f *Follower) Status(now float64) Status {
 	own := f.settings.Zone
 	plan := f.current.plan
@@ -190,7 +194,7 @@
 	target := TargetZone(plan.Matrix[own], own, f.rank, f.poolers)
 	status := Status{Zone: own, Price: f.settings.CrossingPrice, Reason: Fallback, PlanNumber: plan.Number}
 	switch {
-	case now < f.current.ends:
+	case now < f.current.expiresAt:
 		status.Zone, status.Reason = target, Planned
 	case f.failing && target != own:
 		status.Zone, status.Reason = target, Spilling
@@ -199,14 +203,14 @@
 }
 
 const (
-	emptyShare    = 1e-3 // a smaller share that stays is none
-	roundingSlack = 1e-6
+	emptyShare    = 1e-3 // a smaller share that stays local counts as 0
+	roundingSlack = 1e-6 // of a pooler, that rounding errors may take away
 )
 
-// TargetZone returns the zone that the pooler with a rank takes for local, by its zone's row of the plan.
+// TargetZone returns the zone that the pooler with a rank treats as local. row is that of the pooler's own zone in the plan's matrix.
 func TargetZone(row []float64, own, rank, poolers int) int {
 	counts := poolersByZone(row, own, poolers)
-	place := poolers - 1 - rank // the last ranks leave first, so a pooler that has left does not return while shares grow
+	place := poolers - 1 - rank // the last ranks leave first, so a pooler that has left does not return while the other zone's share grows
 	for zone, count := range counts {
 		if zone == own {
 			continue
@@ -219,7 +223,7 @@
 	return own
 }
 
-// poolersByZone returns how many poolers of a zone go to each other zone.
+// poolersByZone returns how many poolers of a zone treat each other zone as local.
 func poolersByZone(row []float64, own, poolers int) []int {
 	counts := make([]int, len(row))
 	largest, leaving, total := own, 0, 0.0
@@ -235,7 +239,7 @@
 		}
 	}
 	allLeave := own < len(row) && row[own] < emptyShare && total > 1-emptyShare
-	if allLeave && largest != own { // the poolers that rounding left over go with the largest share
+	if allLeave && largest != own { // the poolers that remain after rounding down are added to the largest share
 		counts[largest] += poolers - leaving
 	}
 	return counts
--- a/internal/cluster/zones/follower/follower_test.go
+++ b/internal/cluster/zones/follower/follower_test.go
@@ -7,20 +7,21 @@
 	"beechgrade/internal/cluster/zones/statemachine"
 )
 
-func set() Settings {
+func testSettings() Settings {
 	return Settings{Zone: 0, ZonesHash: 9, PlanLifetime: 5000, CrossingPrice: 0.4, MinAttempts: 10, FailingLossShare: 0.2, FailureTime: 1000}
 }
 
-func thePlan(no uint64, away float64) *statemachine.Plan {
-	return &statemachine.Plan{Number: no, Since: no, ZonesHash: 9, Zones: make([]statemachine.ZoneStatus, 2), Matrix: plan.Matrix{{1 - away, away}, {0, 1}}}
+// testPlan returns a plan for two zones by which a share of the reads of zone 0 goes to zone 1.
+func testPlan(number uint64, share float64) *statemachine.Plan {
+	return &statemachine.Plan{Number: number, Since: number, ZonesHash: 9, Zones: make([]statemachine.ZoneStatus, 2), Matrix: plan.Matrix{{1 - share, share}, {0, 1}}}
 }
 
-// TestNoMorePoolersLeaveThanTheShare: no more poolers take another zone for local than its share, except where all leave.
+// TestNoMorePoolersLeaveThanTheShare: no more poolers treat another zone as local than its share allows, unless all poolers leave.
 func TestNoMorePoolersLeaveThanTheShare(t *testing.T) {
 	for _, c := range []struct {
-		row  []float64
-		of   int
-		want []int
+		row     []float64
+		poolers int
+		want    []int
 	}{
 		{[]float64{1, 0, 0}, 4, []int{4, 0, 0}},
 		{[]float64{0.6, 0.4, 0}, 10, []int{6, 4, 0}},
@@ -28,121 +29,121 @@
 		{[]float64{0, 0.6, 0.4}, 4, []int{0, 3, 1}},
 		{[]float64{0, 0.7, 0.3}, 1, []int{0, 1, 0}},
 		{[]float64{0.3, 0, 0}, 4, []int{4, 0, 0}},
-		{[]float64{0, 0.6, 0}, 4, []int{2, 2, 0}}, // there is no safe room for more
+		{[]float64{0, 0.6, 0}, 4, []int{2, 2, 0}}, // a row that sums to less than 1: there is no safe capacity for more
 	} {
 		got := make([]int, 3)
-		for i := range c.of {
-			got[TargetZone(c.row, 0, i, c.of)]++
+		for rank := range c.poolers {
+			got[TargetZone(c.row, 0, rank, c.poolers)]++
 		}
-		for z := range got {
-			if got[z] != c.want[z] {
-				t.Errorf("%v over %d poolers: %v, want %v", c.row, c.of, got, c.want)
+		for zone := range got {
+			if got[zone] != c.want[zone] {
+				t.Errorf("row %v with %d poolers: got %v poolers by zone, want %v", c.row, c.poolers, got, c.want)
 			}
 		}
 	}
-	for i := range 10 { // who has gone stays gone as more go
+	for rank := range 10 { // a pooler that has left does not return while the other zone's share grows
 		for n := 1; n < 10; n++ {
-			if TargetZone([]float64{1 - float64(n)/10, float64(n) / 10}, 0, i, 10) == 1 && TargetZone([]float64{0.9 - float64(n)/10, float64(n+1) / 10}, 0, i, 10) != 1 {
-				t.Errorf("pooler %d comes back as more go", i)
+			if TargetZone([]float64{1 - float64(n)/10, float64(n) / 10}, 0, rank, 10) == 1 && TargetZone([]float64{0.9 - float64(n)/10, float64(n+1) / 10}, 0, rank, 10) != 1 {
+				t.Errorf("pooler %d returns while the other zone's share grows from %d to %d tenths", rank, n, n+1)
 			}
 		}
 	}
 }
 
-// TestFallsBackWithoutRenewal: without a renewal a plan expires, and local comes first; where the local zone fails too, this pooler goes
-// where the plan had sent it.
+// TestFallsBackWithoutRenewal: without a renewal a plan expires, and the local zone is preferred; if the local zone fails too, the pooler
+// prefers the zone that the plan had assigned to it.
 func TestFallsBackWithoutRenewal(t *testing.T) {
 	for _, x := range []struct {
-		away  float64
-		spill int
+		share  float64 // of the reads that leave zone 0
+		target int     // by the plan
 	}{{1, 1}, {0, 0}} {
-		f := New(set())
+		f := New(testSettings())
 		if s := f.Status(0); s.Reason != NoPlan || s.Price >= 0 || s.Zone != 0 {
-			t.Errorf("%+v before any plan", s)
+			t.Errorf("status %+v before the first plan", s)
 		}
-		f.NumberStored(f.HandlePlan(0, thePlan(1, x.away), 1000))
-		if s := f.Status(3999); s.Reason != Planned || s.Zone != x.spill || s.PlanNumber != 1 {
-			t.Errorf("%+v under a plan", s)
+		f.NumberStored(f.HandlePlan(0, testPlan(1, x.share), 1000))
+		if s := f.Status(3999); s.Reason != Planned || s.Zone != x.target || s.PlanNumber != 1 {
+			t.Errorf("status %+v while the plan is in force, want zone %d", s, x.target)
 		}
 		if s := f.Status(4001); s.Reason != Fallback || s.Zone != 0 || s.Price != 0.4 {
-			t.Errorf("%+v without news", s)
+			t.Errorf("status %+v after the plan expired, want a fallback to zone 0", s)
 		}
 		for now := 5000.0; now <= 6500; now += 500 {
 			f.RecordLocalAttempts(now, 20, 15)
 		}
-		if s := f.Status(6500); s.Zone != x.spill {
-			t.Errorf("%+v without news, where near fails", s)
+		if s := f.Status(6500); s.Zone != x.target {
+			t.Errorf("status %+v after the plan expired while the local zone fails, want zone %d", s, x.target)
 		}
 		f.RecordLocalAttempts(7000, 20, 0)
 		if s := f.Status(7000); s.Zone != 0 {
-			t.Errorf("%+v where near is well again", s)
+			t.Errorf("status %+v after the local zone recovered, want zone 0", s)
 		}
 	}
 }
 
-// TestNeverFollowsAnOlderPlan: no older plan is followed after a newer one, whoever sends it, also after a restart; and none before its
-// number is stored.
+// TestNeverFollowsAnOlderPlan: an older plan is not followed after a newer one, whoever sends it, also after a restart; and no plan is
+// followed before its number is stored.
 func TestNeverFollowsAnOlderPlan(t *testing.T) {
-	f := New(set())
-	f.NumberStored(f.HandlePlan(0, thePlan(7, 1), 0))
-	if f.HandlePlan(10, thePlan(6, 0), 0) != 0 || f.Status(10).PlanNumber != 7 {
-		t.Errorf("%+v", f.Status(10))
+	f := New(testSettings())
+	f.NumberStored(f.HandlePlan(0, testPlan(7, 1), 0))
+	if f.HandlePlan(10, testPlan(6, 0), 0) != 0 || f.Status(10).PlanNumber != 7 {
+		t.Errorf("status %+v after plan 6 arrived, want plan 7", f.Status(10))
 	}
-	if keep := f.HandlePlan(20, thePlan(8, 0), 0); keep != 8 || f.Status(20).PlanNumber != 7 {
-		t.Errorf("%d is to be kept, and %+v", keep, f.Status(20))
+	if number := f.HandlePlan(20, testPlan(8, 0), 0); number != 8 || f.Status(20).PlanNumber != 7 {
+		t.Errorf("number %d is to be stored, and status %+v; want number 8, and plan 7 until it is stored", number, f.Status(20))
 	}
-	s := set()
-	s.MinPlan = 8
-	g := New(s)
-	if g.HandlePlan(0, thePlan(7, 1), 0) != 0 || g.Status(0).Reason != NoPlan {
-		t.Errorf("%+v after a restart", g.Status(0))
+	settings := testSettings()
+	settings.MinPlan = 8
+	restarted := New(settings)
+	if restarted.HandlePlan(0, testPlan(7, 1), 0) != 0 || restarted.Status(0).Reason != NoPlan {
+		t.Errorf("status %+v after a restart and plan 7, want no plan: the least is 8", restarted.Status(0))
 	}
-	if g.NumberStored(g.HandlePlan(0, thePlan(8, 0), 0)); g.Status(0).PlanNumber != 8 {
-		t.Errorf("%+v: the one that it had", g.Status(0))
+	if restarted.NumberStored(restarted.HandlePlan(0, testPlan(8, 0), 0)); restarted.Status(0).PlanNumber != 8 {
+		t.Errorf("status %+v after a restart, want plan 8 again", restarted.Status(0))
 	}
-	again := thePlan(9, 0) // the same once more
-	if again.Since = 8; g.HandlePlan(10, again, 0) != 0 || g.Status(10).PlanNumber != 9 {
-		t.Errorf("%+v: the same plan, renewed", g.Status(10))
+	renewed := testPlan(9, 0) // has the target of plan 8
+	if renewed.Since = 8; restarted.HandlePlan(10, renewed, 0) != 0 || restarted.Status(10).PlanNumber != 9 {
+		t.Errorf("status %+v after a renewal, want plan 9 without a number to store", restarted.Status(10))
 	}
-	g.HandleRenewal(4000, 9, 0)
-	if g.Status(8999).Reason != Planned || g.Status(9001).Reason != Fallback {
-		t.Error("a plan ends Life after it was in force")
+	restarted.HandleRenewal(4000, 9, 0)
+	if restarted.Status(8999).Reason != Planned || restarted.Status(9001).Reason != Fallback {
+		t.Error("the plan did not expire PlanLifetime after its renewal")
 	}
-	other := thePlan(10, 0)
-	if other.ZonesHash = 1; g.HandlePlan(0, other, 0) != 0 {
-		t.Error("a plan for other zones")
+	other := testPlan(10, 0)
+	if other.ZonesHash = 1; restarted.HandlePlan(0, other, 0) != 0 {
+		t.Error("a plan for other zones was accepted")
 	}
 }
 
-// TestSlowDiskDelaysButDoesNotStopPlans: plans arrive faster than their numbers are stored. Each number that is stored is newer, and the
-// newest plan is followed in the end.
+// TestSlowDiskDelaysButDoesNotStopPlans: plans arrive faster than their numbers are stored. Each stored number is newer than the previous
+// one, and the newest plan is followed in the end.
 func TestSlowDiskDelaysButDoesNotStopPlans(t *testing.T) {
-	f, keep, last := New(set()), uint64(0), uint64(0)
-	for no := uint64(1); no <= 40; no++ {
-		now := 100 * float64(no)
-		if k := f.HandlePlan(now, thePlan(no, float64(no%2)), 0); k > 0 && keep > 0 {
-			t.Fatalf("%d and %d are kept at once", keep, k)
-		} else if k > 0 {
-			keep = k
+	f, storing, last := New(testSettings()), uint64(0), uint64(0)
+	for number := uint64(1); number <= 40; number++ {
+		now := 100 * float64(number)
+		if next := f.HandlePlan(now, testPlan(number, float64(number%2)), 0); next > 0 && storing > 0 {
+			t.Fatalf("number %d is to be stored while %d is being stored", next, storing)
+		} else if next > 0 {
+			storing = next
 		}
-		if f.NewestPlan() != no {
-			t.Fatalf("%d was heard, %d is the newest", no, f.NewestPlan())
+		if f.NewestPlan() != number {
+			t.Fatalf("plan %d was received, but plan %d is the newest", number, f.NewestPlan())
 		}
-		if no%7 != 0 { // the disk takes seven times as long
+		if number%7 != 0 { // storing a number takes as long as seven plans
 			continue
 		}
-		was := keep
-		keep = f.NumberStored(keep)
-		if s := f.Status(now); s.PlanNumber != was || s.PlanNumber <= last || s.Reason != Planned || keep != no {
-			t.Fatalf("%d was kept: %+v after %d, then %d is", was, s, last, keep)
+		stored := storing
+		storing = f.NumberStored(storing)
+		if s := f.Status(now); s.PlanNumber != stored || s.PlanNumber <= last || s.Reason != Planned || storing != number {
+			t.Fatalf("after number %d was stored: status %+v, previous plan %d, next number %d, want %d", stored, s, last, storing, number)
 		}
-		last = was
+		last = stored
 	}
 	f.HandleRenewal(8000, 40, 0)
-	for keep > 0 {
-		keep = f.NumberStored(keep)
+	for storing > 0 {
+		storing = f.NumberStored(storing)
 	}
 	if s := f.Status(12000); s.PlanNumber != 40 || s.Reason != Planned {
-		t.Errorf("%+v in the end", s)
+		t.Errorf("status %+v in the end, want plan 40 in force", s)
 	}
 }
