--- a/internal/cluster/zones/health/health.go
+++ b/internal/cluster/zones/health/health.go
@@ -1,10 +1,10 @@
-// Package health follows the state of one zone, or of the link from one zone to another: serving, strained, failing, evacuated,
-// returning. It is a pure state machine: observations of the fleet go in from time to time, a state comes out. Each change takes evidence
-// that lasts, and an evacuated zone rests longer after each return that failed, so states do not flap (Settings.MaxShifts). Without an
-// observation, or with one that nobody could make, the state stays as it is; an evacuated zone that nobody can observe may return.
+// Package health tracks the state of one zone, or of the link from one zone to another: serving, strained, failing, evacuated, returning.
+// It is a pure state machine: observations of the fleet go in periodically, a state comes out. Each change needs evidence that lasts for
+// some time, and an evacuated zone rests longer after each failed return, so states do not flap (Settings.MaxShifts). An observation that
+// no pooler could make is no evidence: the state stays as it is, except that an evacuated zone that cannot be observed may return.
 //
-// Operators may order a state until they lift the order; what was observed meanwhile counts again from then on. The package does not know
-// whose evidence it is, nor what follows from a state.
+// Operators may order a state until they lift the order. Evidence is collected meanwhile, and counts when the order ends. The package does
+// not depend on who made the observations, nor on what follows from a state.
 package health
 
 import "math"
@@ -15,13 +15,13 @@
 // The states.
 const (
 	Serving   State = iota
-	Strained        // its local reads fill it: it takes none of other zones
-	Failing         // a part of what is sent there is lost: its reads leave in steps
-	Evacuated       // nothing is sent there
-	Returning       // its local reads come back in small steps
+	Strained        // its local reads use up its safe capacity: it takes no reads of other zones
+	Failing         // a part of the attempts there is lost, or servers are missing: its reads leave in steps
+	Evacuated       // no reads are sent there
+	Returning       // its local reads return in small steps
 )
 
-// StateNames are the names of the states in orders and answers.
+// StateNames are the names of the states in orders and admin answers.
 var StateNames = [...]string{"serving", "strained", "failing", "evacuated", "returning"}
 
 // String returns the state's name.
@@ -32,18 +32,18 @@
 
 // Settings configure when states change. Times are in ms.
 type Settings struct {
-	MinAttempts      float64 // in a window, for its losses to count
-	FailingLossShare float64 // the part of the attempts whose loss is a failure
-	HealthyLossShare float64 // the part that may be lost in a healthy zone
-	MinServingShare  float64 // a zone fails with a smaller part of its servers serving
-	StrainedLoad     float64 // as a part of the safe capacity
-	UnstrainedLoad   float64
-	FailureTime      float64 // that losses last until a zone fails
-	EvacuationTime   float64 // from then until it is evacuated
-	StrainTime       float64 // that load lasts until a zone is strained, or is not any more
-	MinRest          float64 // that an evacuated zone is left alone, doubled for each failed return...
+	MinAttempts      float64 // in a window, below which losses do not count
+	FailingLossShare float64 // the part of the attempts from which losses are a failure
+	HealthyLossShare float64 // the part of the attempts that may be lost in a healthy zone
+	MinServingShare  float64 // the part of its servers below which a zone fails
+	StrainedLoad     float64 // from which a zone is strained, as a part of the safe capacity
+	UnstrainedLoad   float64 // up to which it is not strained any more, as a part of the safe capacity
+	FailureTime      float64 // how long a failure lasts until the zone is failing
+	EvacuationTime   float64 // from failing to evacuated
+	StrainTime       float64 // how long a load lasts until a zone is strained, or is not strained any more
+	MinRest          float64 // the first time for which an evacuated zone is not used; doubled for each failed return...
 	MaxRest          float64 // ...up to this
-	RecoveryTime     float64 // that a return takes
+	RecoveryTime     float64 // duration of a return
 }
 
 // Defaults returns settings for the zones of one region.
@@ -64,15 +64,15 @@
 	}
 }
 
-// nextRest returns the rest after a failed return.
+// nextRest returns the rest that follows a rest whose return failed.
 func (settings *Settings) nextRest(rest float64) float64 {
 	return min(2*rest, max(settings.MaxRest, settings.MinRest))
 }
 
 // MaxShifts bounds how often a zone is abandoned or restored within a time of up to MaxRest: it stays abandoned for at least MinRest and
-// restored for at least FailureTime, and where it fails within MaxRest of its return the next rest is twice as long.
+// restored for at least FailureTime, and if it fails within MaxRest of its return the next rest is twice as long.
 func (settings *Settings) MaxShifts(ms float64) int {
-	// count returns n and the shifts after a time at which the zone was abandoned.
+	// count returns n plus the number of shifts after the zone was abandoned at a time.
 	count := func(n int, at, rest float64) int {
 		for ; ; rest = settings.nextRest(rest) {
 			at += rest
@@ -95,10 +95,10 @@
 // Observation is what was observed in the last window.
 type Observation struct {
 	Attempts     float64 // that ended
-	Lost         float64 // of them, without an answer
-	ServingShare float64 // the part of its servers that serve, of those in normal operation
+	Lost         float64 // attempts of these without an answer
+	ServingShare float64 // cores that serve, as a part of those in normal operation
 	Load         float64 // as a part of the safe capacity
-	Unobserved   bool    // nobody could observe it
+	Unobserved   bool    // no pooler could observe the zone or link
 }
 
 // IsFailure reports whether an observation is evidence of a failure.
@@ -110,7 +110,7 @@
 	return lossy || observation.ServingShare < settings.MinServingShare
 }
 
-// IsHealthy reports whether an observation has no evidence of a failure at all.
+// IsHealthy reports whether an observation was made and has no evidence of a failure.
 func (settings *Settings) IsHealthy(observation *Observation) bool {
 	if observation.Unobserved || observation.ServingShare < settings.MinServingShare {
 		return false
@@ -124,28 +124,28 @@
 	RestMs  float64 // the next rest
 	Ordered bool    // by operators
 
-	returned bool    // it returned, and has not served for MaxRest since
-	since    float64 // of the state
+	returned bool    // returned, and has not served for MaxRest since
+	since    float64 // when the state was entered
 
-	// Since when the evidence lasts, 0 for none.
+	// When each kind of evidence began, 0 for no evidence.
 	failingSince    float64
 	strainedSince   float64
 	healthySince    float64
 	unstrainedSince float64
 }
 
-// New returns a zone that serves.
+// New returns a zone in the state Serving.
 func New(settings *Settings) Zone { return Zone{RestMs: settings.MinRest} }
 
-// Resume returns a zone in the state that another process had it in. Its times start anew, so it can only change later.
+// Resume returns a zone in the state that it had in another process. Its times start anew, so it changes no earlier than it would have.
 func Resume(state State, restMs, now float64) Zone {
 	return Zone{State: state, RestMs: restMs, since: now}
 }
 
-// Since returns when the zone came to its state.
+// Since returns when the zone entered its state.
 func (z *Zone) Since() float64 { return z.since }
 
-// RecoveredShare returns how far a returning zone has recovered, from 0 to 1.
+// RecoveredShare returns how far a returning zone has recovered, from 0 to 1; 1 in any other state.
 func (z *Zone) RecoveredShare(settings *Settings, now float64) float64 {
 	if z.State != Returning {
 		return 1
@@ -161,7 +161,7 @@
 	}
 }
 
-// ClearOrder ends an order: a zone that was abandoned returns.
+// ClearOrder ends an order, if there is one: a zone that was abandoned returns.
 func (z *Zone) ClearOrder(now float64) {
 	if !z.Ordered {
 		return
@@ -182,7 +182,7 @@
 	z.returned = z.returned || state == Returning
 }
 
-// fail changes to an abandoned state, with a longer rest if the zone had returned lately.
+// fail changes to an abandoned state, with a longer rest if the zone had returned recently.
 func (z *Zone) fail(settings *Settings, state State, now float64) {
 	if z.returned {
 		z.RestMs = settings.nextRest(z.RestMs)
@@ -190,10 +190,10 @@
 	z.changeState(state, now)
 }
 
-// noEvidence is the duration of evidence that there is none of.
+// noEvidence is returned as the duration of a condition that does not hold.
 const noEvidence = -1
 
-// durationOf returns for how long a condition has held. since is where the start of that is stored.
+// durationOf returns for how long a condition has held. since points to the time at which it began, 0 for a condition that does not hold.
 func durationOf(since *float64, holds bool, now float64) float64 {
 	if !holds {
 		*since = 0
@@ -205,9 +205,10 @@
 	return now - *since
 }
 
-// durations are how long the kinds of evidence have lasted, in ms.
+// durations is how long each kind of evidence has lasted, in ms.
 type durations struct{ failing, strained, healthy, unstrained float64 }
 
+// observe updates the times at which evidence began, and returns how long it has lasted.
 func (z *Zone) observe(settings *Settings, now float64, observation *Observation) durations {
 	strained := !observation.Unobserved && observation.Load >= settings.StrainedLoad
 	mayReturn := settings.IsHealthy(observation) || observation.Unobserved && z.State == Evacuated
@@ -219,7 +220,7 @@
 	}
 }
 
-// Step takes an observation and reports whether the state changed. An ordered state does not change.
+// Step handles an observation and reports whether the state changed. An ordered state does not change.
 func (z *Zone) Step(settings *Settings, now float64, observation *Observation) bool {
 	previous := z.State
 	lasted := z.observe(settings, now, observation)
@@ -249,6 +250,7 @@
 	return z.State != previous
 }
 
+// stepServing changes the state of a zone that is serving or strained.
 func (z *Zone) stepServing(settings *Settings, now float64, lasted durations) {
 	if lasted.failing >= settings.FailureTime {
 		z.fail(settings, Failing, now)
@@ -260,7 +262,7 @@
 	case z.State == Strained && lasted.unstrained >= settings.StrainTime:
 		z.changeState(Serving, now)
 	}
-	if now-z.since >= settings.MaxRest { // it has served for long: the next return is as quick as the first one
+	if now-z.since >= settings.MaxRest { // a failure after this long starts with the shortest rest again
 		z.RestMs = settings.MinRest
 		z.returned = false
 	}
--- a/internal/cluster/zones/health/health_test.go
+++ b/internal/cluster/zones/health/health_test.go
@@ -10,106 +10,106 @@
 
 const tick = 500.0
 
-// TestLossyZoneIsEvacuatedAndReturns: health checks succeed, and a third of the attempts is lost. The zone fails, is evacuated, returns,
+// TestLossyZoneIsEvacuatedAndReturns: health checks succeed while a third of the attempts is lost. The zone fails, is evacuated, returns,
 // fails again with a longer rest, and serves once it is healthy.
 func TestLossyZoneIsEvacuatedAndReturns(t *testing.T) {
-	set := Defaults()
-	z, now := New(&set), 0.0
-	var seen []State
-	last := map[State]float64{}
+	settings := Defaults()
+	z, now := New(&settings), 0.0
+	var states []State
+	enteredAt := map[State]float64{}
 	var rests []float64
 	for ; now < 400000; now += tick {
-		e := Observation{Attempts: 100, Lost: 33, ServingShare: 1, Load: 0.5}
+		observation := Observation{Attempts: 100, Lost: 33, ServingShare: 1, Load: 0.5}
 		if z.State == Evacuated {
-			e.Attempts, e.Lost = 0, 0
+			observation.Attempts, observation.Lost = 0, 0
 		}
 		if now > 200000 {
-			e.Lost = 0
+			observation.Lost = 0
 		}
-		if was := z.State; z.Step(&set, now, &e) {
-			if was == Evacuated {
-				rests = append(rests, now-last[Evacuated])
+		if previous := z.State; z.Step(&settings, now, &observation) {
+			if previous == Evacuated {
+				rests = append(rests, now-enteredAt[Evacuated])
 			}
-			seen, last[z.State] = append(seen, z.State), now
+			states, enteredAt[z.State] = append(states, z.State), now
 		}
 	}
-	if len(seen) < 6 || seen[0] != Failing || seen[1] != Evacuated || seen[2] != Returning || seen[3] != Evacuated || z.State != Serving {
-		t.Errorf("%v", seen)
+	if len(states) < 6 || states[0] != Failing || states[1] != Evacuated || states[2] != Returning || states[3] != Evacuated || z.State != Serving {
+		t.Errorf("states %v, want failing, evacuated, returning, evacuated, and serving at the end", states)
 	}
 	for i := 1; i < len(rests); i++ {
 		if rests[i] < 1.9*rests[i-1] {
-			t.Errorf("rests of %v", rests)
+			t.Errorf("rests of %v ms, want each one twice as long as the previous one", rests)
 		}
 	}
-	if rests[0] < set.MinRest || rests[0] > set.MinRest+set.FailureTime+2*tick {
-		t.Errorf("the first rest took %v", rests[0])
+	if rests[0] < settings.MinRest || rests[0] > settings.MinRest+settings.FailureTime+2*tick {
+		t.Errorf("the first rest took %v ms, want about %v", rests[0], settings.MinRest)
 	}
 }
 
-// TestOrderOverridesEvidence: an order holds whatever is observed, and its end brings the zone back slowly.
+// TestOrderOverridesEvidence: an ordered state holds whatever is observed; when the order ends the zone returns slowly.
 func TestOrderOverridesEvidence(t *testing.T) {
-	set := Defaults()
-	z := New(&set)
+	settings := Defaults()
+	z := New(&settings)
 	z.Order(0, Evacuated)
 	for now := 0.0; now < 300000; now += tick {
-		if z.Step(&set, now, &Observation{Attempts: 100, ServingShare: 1}) || z.State != Evacuated {
-			t.Fatalf("%v at %v, under an order", z.State, now)
+		if z.Step(&settings, now, &Observation{Attempts: 100, ServingShare: 1}) || z.State != Evacuated {
+			t.Fatalf("%v at %v ms, want evacuated as ordered", z.State, now)
 		}
 	}
 	z.ClearOrder(300000)
-	if z.State != Returning || z.RecoveredShare(&set, 300000+set.RecoveryTime/2) != 0.5 {
-		t.Errorf("%v after the order", z.State)
+	if z.State != Returning || z.RecoveredShare(&settings, 300000+settings.RecoveryTime/2) != 0.5 {
+		t.Errorf("%v after the order ended, want returning", z.State)
 	}
-	if !z.Step(&set, 300000+set.RecoveryTime, &Observation{Attempts: 100, ServingShare: 1}) || z.State != Serving {
-		t.Errorf("%v, warm", z.State)
+	if !z.Step(&settings, 300000+settings.RecoveryTime, &Observation{Attempts: 100, ServingShare: 1}) || z.State != Serving {
+		t.Errorf("%v after RecoveryTime, want serving", z.State)
 	}
 	z.Order(0, Serving)
 	for now := 0.0; now < 10000; now += tick {
-		if z.Step(&set, now, &Observation{ServingShare: 0}); z.State != Serving {
-			t.Fatalf("%v: it was ordered to serve", z.State)
+		if z.Step(&settings, now, &Observation{ServingShare: 0}); z.State != Serving {
+			t.Fatalf("%v, want serving as ordered", z.State)
 		}
 	}
-	if z.ClearOrder(10000); !z.Step(&set, 10000, &Observation{ServingShare: 0}) || z.State != Failing {
-		t.Errorf("%v: what was seen all the while counts at the order's end", z.State)
+	if z.ClearOrder(10000); !z.Step(&settings, 10000, &Observation{ServingShare: 0}) || z.State != Failing {
+		t.Errorf("%v after the order ended, want failing: the evidence collected during the order counts", z.State)
 	}
 }
 
-// TestStrainNeedsLastingLoad: load must last for a zone to become strained, and be lower for a while for it to serve again.
+// TestStrainNeedsLastingLoad: a zone becomes strained only if high load lasts, and serves again only if low load lasts.
 func TestStrainNeedsLastingLoad(t *testing.T) {
-	set := Defaults()
-	z, now := New(&set), 0.0
+	settings := Defaults()
+	z, now := New(&settings), 0.0
 	run := func(load, ms float64) State {
 		for end := now + ms; now < end; now += tick {
-			z.Step(&set, now, &Observation{Attempts: 100, ServingShare: 1, Load: load})
+			z.Step(&settings, now, &Observation{Attempts: 100, ServingShare: 1, Load: load})
 		}
 		return z.State
 	}
-	for i, s := range []struct {
+	for i, step := range []struct {
 		load, ms float64
 		want     State
-	}{{1.2, set.StrainTime, Serving}, {0.9, tick, Serving}, {1.2, set.StrainTime + 2*tick, Strained}, {0.9, 5 * set.StrainTime, Strained}, {0.7, set.StrainTime, Strained}, {0.7, 2 * tick, Serving}} {
-		if got := run(s.load, s.ms); got != s.want {
-			t.Errorf("%d: %v, want %v", i, got, s.want)
+	}{{1.2, settings.StrainTime, Serving}, {0.9, tick, Serving}, {1.2, settings.StrainTime + 2*tick, Strained}, {0.9, 5 * settings.StrainTime, Strained}, {0.7, settings.StrainTime, Strained}, {0.7, 2 * tick, Serving}} {
+		if got := run(step.load, step.ms); got != step.want {
+			t.Errorf("step %d: %v, want %v", i, got, step.want)
 		}
 	}
 }
 
-// TestShiftsAreBounded: whatever is observed, a zone is abandoned and restored no more often than MaxShifts.
+// TestShiftsAreBounded: whatever is observed, a zone is abandoned or restored no more often than MaxShifts.
 func TestShiftsAreBounded(t *testing.T) {
 	deterministic.Check(t, func(r *rapid.T) {
-		set := Defaults()
-		set.MinRest = rapid.Float64Range(2000, 20000).Draw(r, "rest")
-		z, now, out := New(&set), 0.0, false
+		settings := Defaults()
+		settings.MinRest = rapid.Float64Range(2000, 20000).Draw(r, "rest")
+		z, now, abandoned := New(&settings), 0.0, false
 		var shifts []float64
 		for now < 150000 {
-			e := Observation{Attempts: 100, ServingShare: 1, Unobserved: rapid.IntRange(0, 9).Draw(r, "dark") == 0}
+			observation := Observation{Attempts: 100, ServingShare: 1, Unobserved: rapid.IntRange(0, 9).Draw(r, "dark") == 0}
 			if rapid.Bool().Draw(r, "bad") {
-				e.Lost = 100
+				observation.Lost = 100
 			}
 			for range rapid.IntRange(1, 40).Draw(r, "ticks") {
 				now += tick
-				if z.Step(&set, now, &e); z.State.Abandoned() != out {
-					out = !out
+				if z.Step(&settings, now, &observation); z.State.Abandoned() != abandoned {
+					abandoned = !abandoned
 					shifts = append(shifts, now)
 				}
 			}
@@ -121,23 +121,23 @@
 					n++
 				}
 			}
-			if n > set.MaxShifts(60000) {
-				r.Fatalf("%d shifts in a minute from %v: %v; %d are stated", n, shifts[i], shifts, set.MaxShifts(60000))
+			if n > settings.MaxShifts(60000) {
+				r.Fatalf("%d shifts in the minute from %v ms: %v; MaxShifts is %d", n, shifts[i], shifts, settings.MaxShifts(60000))
 			}
 		}
 	})
 }
 
-// TestResumeStartsTimesAnew: a process that takes over a zone's state starts its times anew.
+// TestResumeStartsTimesAnew: in a process that takes over a zone's state the zone rests for the whole time again.
 func TestResumeStartsTimesAnew(t *testing.T) {
-	set := Defaults()
+	settings := Defaults()
 	z := Resume(Evacuated, 60000, 1000)
 	for now := 1000.0; now < 61000; now += tick { // its rest is not over
-		if z.Step(&set, now, &Observation{ServingShare: 1}) {
-			t.Fatalf("%v at %v", z.State, now)
+		if z.Step(&settings, now, &Observation{ServingShare: 1}) {
+			t.Fatalf("%v at %v ms, want evacuated", z.State, now)
 		}
 	}
-	if !z.Step(&set, 61000, &Observation{ServingShare: 1}) || z.State != Returning || z.RestMs != 60000 {
-		t.Errorf("%v after its rest of %v", z.State, z.RestMs)
+	if !z.Step(&settings, 61000, &Observation{ServingShare: 1}) || z.State != Returning || z.RestMs != 60000 {
+		t.Errorf("%v with a next rest of %v ms after its rest, want returning and 60000 ms", z.State, z.RestMs)
 	}
 }
--- a/internal/cluster/zones/statemachine/codec.go
+++ b/internal/cluster/zones/statemachine/codec.go
@@ -10,19 +10,19 @@
 	"beechgrade/internal/encoding"
 )
 
-// All numbers are varints; a plan is
+// All numbers are varints. A plan is encoded as
 //
 //	number since version zones-hash author-length author zones {state rest}... links {from to state rest}... unserved max-fill
 //	{shares {to share}...}...
 //
-// with shares in thousandths, and rows without the shares that are 0. Rests are in seconds.
+// with shares in thousandths; a row holds the shares above 0 after their count. Rests are in seconds.
 const (
 	shareScale   = 1000
 	msPerSecond  = 1000
 	maxRestS     = 1e6
-	maxFraction  = 1e12 // of unserved and max-fill, in thousandths
+	maxFraction  = 1e12 // largest value of unserved and max-fill, in thousandths
 	maxUntilMs   = 1 << 50
-	shareEpsilon = 1e-6
+	shareEpsilon = 1e-6 // of a thousandth, that rounding errors may add or take away
 )
 
 // Marks of an order in a snapshot; the list of orders ends with noMoreOrders.
@@ -32,6 +32,7 @@
 	activeOrder  = 2
 )
 
+// describe returns two plans for the report of a failed check.
 func describe(a, b *Plan) string { return fmt.Sprintf("%+v, then %+v", a, b) }
 
 func (s *ZoneStatus) append(b []byte) []byte {
@@ -39,7 +40,7 @@
 	return binary.AppendUvarint(b, uint64(max(0, math.Round(s.RestMs/msPerSecond))))
 }
 
-// thousandths rounds up.
+// thousandths returns a number in thousandths, rounded up.
 func thousandths(x float64) uint64 {
 	return uint64(min(maxFraction, max(0, math.Ceil(x*shareScale-shareEpsilon))))
 }
@@ -70,7 +71,8 @@
 	return b
 }
 
-// appendRow rounds the shares that leave a zone down, and adds what that leaves to the share that stays, if there is one.
+// appendRow appends a row of the matrix. Shares that leave the zone are rounded down; the remainders are added to the share that stays
+// local, unless that is 0.
 func appendRow(b []byte, zone int, row []float64) []byte {
 	shares := make([]uint64, len(row))
 	rounded := 0.0
@@ -110,7 +112,7 @@
 	return b
 }
 
-// reader decodes entries. A number that is missing or above its bound makes it fail.
+// reader decodes entries and snapshots. Decoding fails if a number is missing or above its bound.
 type reader struct{ encoding.Reader }
 
 func (r *reader) status() ZoneStatus {
@@ -176,7 +178,7 @@
 	return nil, ErrMalformed
 }
 
-// Rounded returns the plan as others decode it.
+// Rounded returns the plan as other poolers decode it, with rounded numbers.
 func (p *Plan) Rounded() *Plan {
 	rounded, err := DecodePlan(p.append(nil))
 	if err != nil {
@@ -207,7 +209,7 @@
 	return out
 }
 
-// Restore replaces the state by that of a snapshot. After an error the state is as it was.
+// Restore replaces the state by that of a snapshot. An error leaves the state unchanged.
 func (machine *StateMachine) Restore(snapshot []byte) error {
 	restored := StateMachine{Checks: machine.Checks, AcceptsAnyPlan: machine.AcceptsAnyPlan}
 	if len(snapshot) > 0 {
--- a/internal/cluster/zones/statemachine/statemachine.go
+++ b/internal/cluster/zones/statemachine/statemachine.go
@@ -1,12 +1,13 @@
 // Package statemachine holds the plan in force and the operators' orders. It is a state machine of the replicated log: each voter applies
-// the same entries in the same order and comes to the same state. It does no I/O and has no clock: the end of an order is an entry too,
-// which the leader proposes. Without new entries the state stays as it is.
+// the same entries in the same order and reaches the same state. It does no I/O and has no clock: an order that expires is ended by an
+// entry that the leader proposes. Without new entries the state does not change.
 //
 // # Guarantees
 //
-// A plan's number is the previous one plus one, and the plan names the version of the orders that it was made with. An entry for which
-// either does not hold is rejected, so of two leaders at once, or one that was paused, one is too late: there is one plan for each number,
-// and none that ignores an active order. Orders are numbered for each zone: each is applied once, and none after a newer one.
+// A plan has the number of the previous plan plus one, and the version of the orders that it was made with. A plan for which either does
+// not hold is rejected. So if two voters believe that they lead, or a paused leader continues, the later proposal is rejected: there is one
+// plan for each number, and none that ignores an active order. Orders are numbered for each zone: each one is applied once, and none after
+// a newer one.
 package statemachine
 
 import (
@@ -22,13 +23,13 @@
 const (
 	MaxZones     = 27
 	MaxNameBytes = 64
-	MaxLinks     = 64 // between zones, that are not serving
+	MaxLinks     = 64 // links in a plan, which are those not serving
 )
 
 // ErrMalformed is the error of an entry, a plan or a snapshot that cannot be decoded.
 var ErrMalformed = errors.New("zones: malformed entry")
 
-// ZoneStatus is the state of a zone or a link by a plan.
+// ZoneStatus is the state of a zone or a link in a plan.
 type ZoneStatus struct {
 	State  health.State
 	RestMs float64 // the next rest, in whole seconds
@@ -40,18 +41,19 @@
 	ZoneStatus
 }
 
-// Plan says where the fleet sends the reads of each zone. Shares are in thousandths, rounded so that no zone receives more than was meant.
+// Plan defines to which zones the fleet sends the reads of each zone. Encoded shares are in thousandths, rounded so that no zone receives
+// more than was planned.
 type Plan struct {
 	Number    uint64
 	Since     uint64 // the number of the first plan with the same target; set when the plan is applied
-	Version   uint64 // of the orders that it was made with
+	Version   uint64 // of the orders that the plan was made with
 	ZonesHash uint32 // of the zones' names: a pooler with other zones does not follow the plan
-	Author    string // the voter that made it
+	Author    string // name of the voter that made the plan
 	Zones     []ZoneStatus
 	Links     []LinkStatus
 	Matrix    plan.Matrix
-	Unserved  float64 // cores of work without safe capacity, in thousandths
-	MaxFill   float64 // the largest part of its safe capacity that a receiving zone is sent, in thousandths
+	Unserved  float64 // cores of work without safe capacity, in whole thousandths
+	MaxFill   float64 // the largest part of its safe capacity that a receiving zone is sent, in whole thousandths
 }
 
 // SameTarget reports whether two plans send the same reads to the same zones.
@@ -59,7 +61,7 @@
 	return string(p.target()) == string(other.target())
 }
 
-// target returns the encoded plan without what differs between plans of one target.
+// target returns the encoded plan without the fields that may differ between plans with the same target.
 func (p *Plan) target() []byte {
 	same := *p
 	same.Number, same.Since, same.Author = 0, 0, ""
@@ -67,25 +69,25 @@
 	return same.append(nil)
 }
 
-// Order is an operators' order of a zone's state.
+// Order is an operators' order that sets a zone's state.
 type Order struct {
 	Number uint64
 	Zone   int
-	Lifts  bool // it ends the previous one, and orders nothing
+	Lifts  bool // ends the previous order without setting a state
 	State  health.State
-	Until  float64 // Unix ms, whole; 0 for until it is lifted
+	Until  float64 // whole Unix ms; 0 for an order that lasts until it is lifted
 }
 
 // StateMachine is the agreed state.
 type StateMachine struct {
-	Index          uint64
-	Plan           *Plan // nil before the first
-	Version        uint64
+	Index          uint64 // of the last applied entry
+	Plan           *Plan  // nil before the first one
+	Version        uint64 // of the orders: the number of changes to them
 	Checks         *invariant.Checks
-	AcceptsAnyPlan bool // a fault by which tests are tested
+	AcceptsAnyPlan bool // fault injected by tests: plans with any number and version are accepted
 
-	orders [MaxZones]Order // the newest of each zone
-	active [MaxZones]bool
+	orders [MaxZones]Order // the newest order of each zone
+	active [MaxZones]bool  // whether that order is active
 }
 
 // New returns an empty StateMachine.
@@ -118,7 +120,8 @@
 // EncodeOrderEnd returns the entry that ends the order with the same number.
 func EncodeOrderEnd(o *Order) []byte { return o.append([]byte{entryOrderEnd}) }
 
-// Apply applies the entry with an index, once, and reports whether it changed anything. A malformed entry does not.
+// Apply applies the entry with an index and reports whether the state changed. An entry with an index that was applied already is ignored,
+// and so is a malformed one.
 func (machine *StateMachine) Apply(index uint64, entry []byte) bool {
 	if index <= machine.Index {
 		return false
