--- a/internal/cluster/zones/health/health.go
+++ b/internal/cluster/zones/health/health.go
@@ -35,7 +35,7 @@
 	MinAttempts      float64 // in a window, below which losses do not count
 	FailingLossShare float64 // the part of the attempts from which losses are a failure
 	HealthyLossShare float64 // the part of the attempts that may be lost in a healthy zone
-	MinServingShare  float64 // the part of its servers below which a zone fails
+	MinServingShare  float64 // a zone fails if a smaller part of its servers serves
 	StrainedLoad     float64 // from which a zone is strained, as a part of the safe capacity
 	UnstrainedLoad   float64 // up to which it is not strained any more, as a part of the safe capacity
 	FailureTime      float64 // how long a failure lasts until the zone is failing
