--- a/internal/endpoints/consul/mapping.go
+++ b/internal/endpoints/consul/mapping.go
@@ -42,22 +42,22 @@
 // Mapping says how an instance becomes a server.
 type Mapping struct {
 	ID, Group, Zone, Kind, Weight, Started, Role FieldSource
-	PrimaryWords, ReplicaWords                   []string          // values of Role; for a tag without a key, the tags themselves
+	PrimaryValues, ReplicaValues                 []string          // values of Role; for a tag without a key, the tags themselves
 	GroupNumbers                                 map[string]string // numbers of groups, by name
 }
 
 // DefaultMapping has the group, role, kind and start in the service's meta.
 func DefaultMapping() Mapping {
 	return Mapping{
-		ID:           FieldSource{Kind: FieldID},
-		Group:        FieldSource{FieldMeta, "group"},
-		Zone:         FieldSource{Kind: FieldDatacenter},
-		Kind:         FieldSource{FieldMeta, "kind"},
-		Weight:       FieldSource{Kind: FieldWeights},
-		Started:      FieldSource{FieldMeta, "started"},
-		Role:         FieldSource{FieldMeta, "role"},
-		PrimaryWords: []string{"primary", "master", "leader"},
-		ReplicaWords: []string{"replica", "standby", "secondary", "slave"},
+		ID:            FieldSource{Kind: FieldID},
+		Group:         FieldSource{FieldMeta, "group"},
+		Zone:          FieldSource{Kind: FieldDatacenter},
+		Kind:          FieldSource{FieldMeta, "kind"},
+		Weight:        FieldSource{Kind: FieldWeights},
+		Started:       FieldSource{FieldMeta, "started"},
+		Role:          FieldSource{FieldMeta, "role"},
+		PrimaryValues: []string{"primary", "master", "leader"},
+		ReplicaValues: []string{"replica", "standby", "secondary", "slave"},
 	}
 }
 
@@ -180,12 +180,12 @@
 }
 
 func (m *Mapping) roleNamed(text string) reconcile.Role {
-	for _, word := range m.PrimaryWords {
+	for _, word := range m.PrimaryValues {
 		if strings.EqualFold(word, text) {
 			return reconcile.Primary
 		}
 	}
-	for _, word := range m.ReplicaWords {
+	for _, word := range m.ReplicaValues {
 		if strings.EqualFold(word, text) {
 			return reconcile.Replica
 		}
--- a/internal/endpoints/snapshot/snapshot.go
+++ b/internal/endpoints/snapshot/snapshot.go
@@ -16,8 +16,8 @@
 
 // Errors of a snapshot that cannot be used.
 var (
-	ErrForeign = atomicfile.ErrFormat
-	ErrTorn    = atomicfile.ErrIncomplete
+	ErrFormat     = atomicfile.ErrFormat
+	ErrIncomplete = atomicfile.ErrIncomplete
 )
 
 // File is the content of a snapshot.
@@ -50,7 +50,7 @@
 	return dst, nil
 }
 
-// Parse reads the bytes of a snapshot. Errors wrap ErrForeign or ErrTorn.
+// Parse reads the bytes of a snapshot. Errors wrap ErrFormat or ErrIncomplete.
 func Parse(content []byte) (*File, error) {
 	file := &File{}
 	if err := atomicfile.Decode(content, magic, file); err != nil {
@@ -58,7 +58,7 @@
 	}
 	for i := range file.Entries {
 		if !isValid(&file.Entries[i]) {
-			return nil, fmt.Errorf("%w: entry %d", ErrForeign, i)
+			return nil, fmt.Errorf("%w: entry %d", ErrFormat, i)
 		}
 	}
 	return file, nil
--- a/internal/endpoints/snapshot/snapshot_test.go
+++ b/internal/endpoints/snapshot/snapshot_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	for n := range len(b) {
-		if f, err := Parse(b[:n]); f != nil || !errors.Is(err, ErrTorn) && !errors.Is(err, ErrForeign) {
+		if f, err := Parse(b[:n]); f != nil || !errors.Is(err, ErrIncomplete) && !errors.Is(err, ErrFormat) {
 			t.Fatalf("cut at %d: %+v %v", n, f, err)
 		}
 		flipped := bytes.Clone(b)
@@ -37,7 +37,7 @@
 			t.Fatalf("byte %d changed: %+v", n, f)
 		}
 	}
-	if f, err := Parse(append(b, 'x')); f != nil || !errors.Is(err, ErrTorn) {
+	if f, err := Parse(append(b, 'x')); f != nil || !errors.Is(err, ErrIncomplete) {
 		t.Errorf("longer: %+v %v", f, err)
 	}
 	f, err := Parse(b)
@@ -67,7 +67,7 @@
 	if err := os.WriteFile(path, []byte("{\"instances\":[]}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(path); !errors.Is(err, ErrForeign) {
+	if _, err := Load(path); !errors.Is(err, ErrFormat) {
 		t.Error(err)
 	}
 	if err := Save(filepath.Join(path, "below"), file); err == nil {
--- a/internal/settings/consul.go
+++ b/internal/settings/consul.go
@@ -130,8 +130,8 @@
 		"weight":       fieldSource(&mapping.Weight),
 		"started":      fieldSource(&mapping.Started),
 		"role":         fieldSource(&mapping.Role),
-		"primary":      words(&mapping.PrimaryWords),
-		"replica":      words(&mapping.ReplicaWords),
+		"primary":      words(&mapping.PrimaryValues),
+		"replica":      words(&mapping.ReplicaValues),
 		"group-number": func(node *sexp.Node) error { return readGroupNumber(node, mapping) },
 	}.Read(node.Args(), "group-number")
 }
--- a/internal/settings/endpoints_test.go
+++ b/internal/settings/endpoints_test.go
@@ -46,8 +46,8 @@
 	mapping.Role = consul.FieldSource{Kind: consul.FieldTag}
 	mapping.Zone = consul.FieldSource{Kind: consul.FieldNodeMeta, Key: "rack"}
 	mapping.Started = consul.FieldSource{Kind: consul.FieldNone}
-	mapping.PrimaryWords = []string{"lider"}
-	mapping.ReplicaWords = nil
+	mapping.PrimaryValues = []string{"lider"}
+	mapping.ReplicaValues = nil
 	mapping.GroupNumbers = map[string]string{"obra": "3"}
 	wantConsul := &consul.Options{
 		Name:             "consul",
@@ -62,7 +62,7 @@
 		MaxResponseBytes: 1 << 20,
 		Mapping:          mapping,
 	}
-	m.Consul.Mapping.ReplicaWords = nil // of the default
+	m.Consul.Mapping.ReplicaValues = nil // of the default
 	if diff := cmp.Diff(wantConsul, m.Consul); diff != "" {
 		t.Error(diff)
 	}
