--- a/internal/endpoints/convert.go
+++ b/internal/endpoints/convert.go
@@ -14,7 +14,7 @@
 	roleReplica       = "replica"
 )
 
-// ReportFromList returns the report that a list in the platform's form stands for.
+// ReportFromList converts a list in the platform's format to a report.
 func ReportFromList(list *discovery.List) *reconcile.Report {
 	report := &reconcile.Report{Full: list.Reset, Generation: list.Generation}
 	for i := range list.Instances {
@@ -28,7 +28,8 @@
 	return report
 }
 
-// observationFromInstance returns what an instance in the platform's form stands for; false where it is no usable server.
+// observationFromInstance converts an instance in the platform's format to an observation. It returns false if the instance is removed
+// or lacks an id or an address.
 func observationFromInstance(instance *discovery.Instance) (reconcile.Observation, bool) {
 	observation := reconcile.Observation{
 		ID:          instance.ID,
@@ -71,7 +72,7 @@
 	return observation
 }
 
-// instanceFromEntry returns an entry in the platform's form, which the core takes.
+// instanceFromEntry converts an entry to the platform's format, which the core reads.
 func instanceFromEntry(entry *reconcile.Entry) discovery.Instance {
 	instance := discovery.Instance{
 		ID:          entry.ID,
--- a/internal/endpoints/manager.go
+++ b/internal/endpoints/manager.go
@@ -1,7 +1,7 @@
-// Package endpoints keeps the list of database servers up to date. A Manager takes the reports of the list's sources (the
-// platform's discovery, Consul, a static file) and the self-reports of servers, has package reconcile make one list of them, and
-// passes the changes on to the core, the log, the records and the snapshot. While no source reports, the list stays as it
-// was, at first that of the configuration or of a snapshot.
+// Package endpoints keeps the list of database servers up to date. A Manager receives the reports of the list's sources (the
+// platform's discovery, Consul, a static file) and the self-reports of servers, merges them into one list with package reconcile,
+// and passes the changes on to the core, the log, the records and the snapshot. The list starts as that of the configuration and of
+// the last snapshot, and stays as it is while no source reports.
 package endpoints
 
 import (
@@ -19,16 +19,16 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// Names of the sources, as settings, logs and records have them.
+// Names of the sources in settings, logs and records.
 const (
 	SourcePlatform = "platform" // the platform's discovery
 	SourceConsul   = "consul"
 	SourceStatic   = "static"
-	SourceInitial  = "known" // the list at the start: the configuration's, or a snapshot
+	SourceInitial  = "known" // the initial list: from the configuration and the last snapshot
 )
 
 const (
-	saveIntervalMs = 5000 // least time between two snapshots
+	saveIntervalMs = 5000 // minimum time between two snapshots
 	msPerSecond    = 1000
 )
 
@@ -39,7 +39,7 @@
 	Post(f func())
 }
 
-// Discovery is the platform's discovery, where it is a source.
+// Discovery sends requests to the platform's discovery.
 type Discovery interface {
 	Watch()
 	Fetch()
@@ -49,33 +49,33 @@
 type Options struct {
 	Reconcile     reconcile.Settings
 	Platform      bool           // the platform's discovery is a source
-	SnapshotPath  string         // a file, empty for none
-	SnapshotStore snapshot.Store // where SnapshotPath is empty; nil for none
+	SnapshotPath  string         // of the snapshot file; if empty, SnapshotStore is used
+	SnapshotStore snapshot.Store // used if SnapshotPath is empty; nil for no snapshots
 }
 
 // Manager keeps the list of servers. Its methods are called on the event loop.
 type Manager struct {
-	loop       Loop
-	log        *slog.Logger
-	options    Options
-	reconciler *reconcile.Reconciler
-	events     discovery.Events
-	discovery  Discovery // nil where the platform's discovery is no source
-	recorder   *record.Recorder
-	generation int64 // of the list that is published
-	listed     int   // servers in it
-	started    bool  // InitialList was called
-	ticks      uint64
-
-	pendingSources   map[string]bool // that have not yet reported all that they have
-	initialRetired   bool            // the initial list was replaced by the sources' reports
+	loop        Loop
+	log         *slog.Logger
+	options     Options
+	reconciler  *reconcile.Reconciler
+	events      discovery.Events
+	discovery   Discovery // nil if the platform's discovery is not a source
+	recorder    *record.Recorder
+	generation  int64  // of the published list
+	serverCount int    // servers in the published list
+	started     bool   // InitialList was called
+	ticks       uint64 // calls of tick; a scheduled tick is skipped if another has run since
+
+	pendingSources   map[string]bool // sources that have not yet reported all their servers
+	initialRetired   bool            // the sources' reports have replaced the initial list
 	unsavedChanges   bool
-	saveScheduled    bool // a snapshot is being written or will be
+	saveScheduled    bool // a snapshot is being written or is scheduled to be
 	earliestNextSave float64
 }
 
-// New returns a manager that knows the given list, and the last snapshot where one is configured. events takes the changes.
-func New(loop Loop, log *slog.Logger, options Options, events discovery.Events, known *discovery.List) *Manager {
+// New returns a manager that starts with the given list and with the last snapshot, if one is configured. events receives the changes.
+func New(loop Loop, log *slog.Logger, options Options, events discovery.Events, initial *discovery.List) *Manager {
 	m := &Manager{loop: loop, log: log, options: options, events: events, pendingSources: map[string]bool{}}
 	for _, source := range options.Reconcile.Sources {
 		m.pendingSources[source] = true
@@ -84,8 +84,8 @@
 	settings.Sources = append(slices.Clone(settings.Sources), SourceInitial)
 	m.reconciler = reconcile.New(settings)
 	report := &reconcile.Report{Full: true}
-	for i := range known.Instances {
-		if observation, ok := observationFromInstance(&known.Instances[i]); ok {
+	for i := range initial.Instances {
+		if observation, ok := observationFromInstance(&initial.Instances[i]); ok {
 			report.Observations = append(report.Observations, observation)
 		}
 	}
@@ -97,14 +97,14 @@
 	return m
 }
 
-// loadSnapshot returns the servers of the last snapshot, none where it cannot be read.
+// loadSnapshot returns the servers of the last snapshot, or none if there is no snapshot or it cannot be read.
 func (m *Manager) loadSnapshot() (observations []reconcile.Observation) {
 	if m.options.SnapshotStore == nil {
 		return nil
 	}
 	file, err := m.options.SnapshotStore.Load()
 	if err != nil {
-		m.log.Warn("starting without the saved list", "err", err)
+		m.log.Warn("cannot read the saved endpoint list; starting without it", "err", err)
 		return nil
 	}
 	if file == nil {
@@ -114,11 +114,11 @@
 		observations = append(observations, observationFromEntry(&file.Entries[i]))
 	}
 	age := math.Round((m.loop.Now() - file.SavedAtMs) / msPerSecond)
-	m.log.Info("starting with the saved list", "file", m.options.SnapshotPath, "servers", len(file.Entries), "saved_s_ago", age)
+	m.log.Info("starting with the saved endpoint list", "file", m.options.SnapshotPath, "servers", len(file.Entries), "saved_s_ago", age)
 	return observations
 }
 
-// InitialList returns the list to start with. Changes are published from then on.
+// InitialList returns the list to start with. Changes are published from this call on.
 func (m *Manager) InitialList() discovery.List {
 	_, decisions := m.reconciler.TakeChanges()
 	m.recordDecisions(decisions)
@@ -126,43 +126,43 @@
 	for _, entry := range m.reconciler.List() {
 		list.Instances = append(list.Instances, instanceFromEntry(&entry))
 	}
-	m.listed = len(list.Instances)
+	m.serverCount = len(list.Instances)
 	m.started = true
 	return list
 }
 
-// SetDiscovery has Watch and Fetch go to the platform's discovery.
+// SetDiscovery sets the platform's discovery, which Watch and Fetch then call.
 func (m *Manager) SetDiscovery(discovery Discovery) { m.discovery = discovery }
 
-// SetRecorder has reports and decisions recorded.
+// SetRecorder sets the recorder of reports and decisions.
 func (m *Manager) SetRecorder(recorder *record.Recorder) { m.recorder = recorder }
 
-// Watch opens a watch at the platform's discovery, where that is a source.
+// Watch opens a watch at the platform's discovery, if that is a source.
 func (m *Manager) Watch() {
 	if m.discovery != nil {
 		m.discovery.Watch()
 	}
 }
 
-// Fetch asks the platform's discovery for the full list, where that is a source.
+// Fetch requests the full list from the platform's discovery, if that is a source.
 func (m *Manager) Fetch() {
 	if m.discovery != nil {
 		m.discovery.Fetch()
 	}
 }
 
-// Listed takes a list of the platform's discovery.
+// Listed handles a list from the platform's discovery.
 func (m *Manager) Listed(list *discovery.List) {
 	m.Observe(SourcePlatform, ReportFromList(list))
 }
 
-// ListFailed takes that a call to the platform's discovery failed, and passes that on: the core decides on the next call.
+// ListFailed handles the failure of a call to the platform's discovery, and passes it on: the core decides on the next call.
 func (m *Manager) ListFailed() {
 	m.SourceLost(SourcePlatform, "its watch ended")
 	m.events.ListFailed()
 }
 
-// Observe takes the report of a source. Once each source has reported all that it has, the initial list is retired.
+// Observe handles the report of a source. Once every source has reported all its servers, the initial list is retired.
 func (m *Manager) Observe(source string, report *reconcile.Report) {
 	now := m.loop.Now()
 	m.recordReport(source, report)
@@ -179,19 +179,20 @@
 	m.publish()
 }
 
-// SourceLost takes that a source is unreachable.
+// SourceLost handles a source that has become unreachable.
 func (m *Manager) SourceLost(source, reason string) {
 	m.reconciler.SourceLost(m.loop.Now(), source, reason)
 	m.publish()
 }
 
-// Note has a decision about a source logged and recorded.
+// Note logs and records a decision about a source.
 func (m *Manager) Note(source string, kind reconcile.DecisionKind, reason string) {
 	m.reconciler.Note(m.loop.Now(), source, kind, reason)
 	m.publish()
 }
 
-// ServerReported takes what a server reported of itself in a response to a request or a health check. position is 0 for none.
+// ServerReported handles what a server reported about itself in a response to a request or a health check. position is 0 if it
+// reported none.
 func (m *Manager) ServerReported(server string, primary, replica bool, position float64) {
 	report := reconcile.SelfReport{Position: position}
 	switch {
@@ -206,13 +207,13 @@
 	}
 }
 
-// Override applies the operators' instructions, in place of those before.
+// Override applies the operators' instructions, which replace the previous ones.
 func (m *Manager) Override(override reconcile.Override) {
 	m.reconciler.Override(m.loop.Now(), override)
 	m.publish()
 }
 
-// publish publishes what has changed, and schedules the reconciler's next tick.
+// publish publishes the changes, and schedules the reconciler's next tick.
 func (m *Manager) publish() {
 	if m.started {
 		m.publishChanges()
@@ -220,20 +221,21 @@
 	}
 }
 
-// publishChanges publishes the entries that changed and records the decisions. It reports whether there were any.
+// publishChanges publishes the entries that changed and records the decisions. It reports whether there were any
+// changes or decisions.
 func (m *Manager) publishChanges() bool {
 	changes, decisions := m.reconciler.TakeChanges()
 	m.recordDecisions(decisions)
 	if len(changes) > 0 {
 		m.generation++
-		list := discovery.List{Generation: m.generation, Reset: m.listed == 0}
+		list := discovery.List{Generation: m.generation, Reset: m.serverCount == 0}
 		for i := range changes {
 			removed := changes[i].State == reconcile.StateRemoved
 			if !list.Reset || !removed {
 				list.Instances = append(list.Instances, instanceFromEntry(&changes[i]))
 			}
 		}
-		m.listed = m.reconciler.Len()
+		m.serverCount = m.reconciler.Len()
 		m.events.Listed(&list)
 		m.unsavedChanges = true
 		m.saveSnapshot()
@@ -241,7 +243,7 @@
 	return len(changes)+len(decisions) > 0
 }
 
-// tick calls the reconciler, and schedules the next call in place of the one before.
+// tick runs the reconciler's tick, and schedules the next one in place of any scheduled before.
 func (m *Manager) tick() {
 	m.ticks++
 	scheduled := m.ticks
@@ -261,7 +263,7 @@
 func (m *Manager) recordDecisions(decisions []reconcile.Decision) {
 	for i := range decisions {
 		decision := &decisions[i]
-		m.log.Info("endpoints", "decision", string(decision.Kind), "server", decision.Server, "source", decision.Source, "reason", decision.Reason)
+		m.log.Info("decision on the endpoint list", "decision", string(decision.Kind), "server", decision.Server, "source", decision.Source, "reason", decision.Reason)
 		m.recorder.Put(&record.Event{
 			At:     m.loop.Now(),
 			Kind:   recordpb.Kind_KIND_JUDGED,
@@ -299,10 +301,11 @@
 	}
 }
 
-// saveSnapshot writes the list to the snapshot on a goroutine of its own: one at a time, saveIntervalMs apart, never an empty one.
+// saveSnapshot writes the list to the snapshot on a goroutine of its own. Writes do not overlap and start at least saveIntervalMs
+// apart, and an empty list is never written.
 func (m *Manager) saveSnapshot() {
 	idle := m.options.SnapshotStore == nil || m.saveScheduled || !m.unsavedChanges
-	if idle || m.listed == 0 {
+	if idle || m.serverCount == 0 {
 		return
 	}
 	now := m.loop.Now()
@@ -323,20 +326,20 @@
 	}()
 }
 
-// snapshotSaved ends the writing of a snapshot. After a failure the next change has it tried again.
+// snapshotSaved handles the end of a snapshot's writing. A failed write is repeated after the next change.
 func (m *Manager) snapshotSaved(err error) {
 	m.saveScheduled = false
 	if err != nil {
-		m.log.Warn("the list could not be saved", "err", err)
+		m.log.Warn("cannot save the endpoint list; retrying after its next change", "err", err)
 		return
 	}
 	m.saveSnapshot()
 }
 
-// Entry returns the entry of a server, by its id in the list, and whether there is one.
+// Entry returns the entry of the server with this id in the list, and whether there is one.
 func (m *Manager) Entry(id string) (reconcile.Entry, bool) { return m.reconciler.Entry(id) }
 
-// Summary describes the list in a line.
+// Summary describes the list in one line.
 func (m *Manager) Summary() string {
-	return fmt.Sprintf("%d servers, %d removals held back", m.listed, m.reconciler.HeldRemovals())
+	return fmt.Sprintf("%d servers, %d removals held back", m.serverCount, m.reconciler.HeldRemovals())
 }
--- a/internal/endpoints/manager_test.go
+++ b/internal/endpoints/manager_test.go
@@ -13,7 +13,7 @@
 	"beechgrade/internal/eventloop/timers"
 )
 
-// harness is a manager on an event loop that the test drives, and the list as its changes add up to it.
+// harness is a manager on an event loop that the test drives, and the list that results from its changes.
 type harness struct {
 	*Manager
 	now       float64
@@ -29,7 +29,7 @@
 }
 func (h *harness) Post(f func()) { f() }
 
-// events takes the changes.
+// events applies the manager's changes to the harness's list.
 type events struct{ harness *harness }
 
 func (e events) Listed(list *discovery.List) {
@@ -47,8 +47,8 @@
 
 func (e events) ListFailed() { e.harness.failed++ }
 
-// listed is the list as a text: the lifecycle and role of each server.
-func (h *harness) listed() string {
+// listText describes the list: the lifecycle and role of each server.
+func (h *harness) listText() string {
 	var parts []string
 	for id, instance := range h.list {
 		parts = append(parts, strings.TrimSpace(id+" "+instance.Lifecycle+" "+instance.Role))
@@ -57,10 +57,10 @@
 	return strings.Join(parts, ", ")
 }
 
-func newHarness(known []discovery.Instance, sources ...string) *harness {
+func newHarness(initial []discovery.Instance, sources ...string) *harness {
 	h := &harness{now: 1e6, list: map[string]discovery.Instance{}}
 	options := Options{Reconcile: reconcile.Defaults(sources...), Platform: slices.Contains(sources, SourcePlatform)}
-	h.Manager = New(h, slog.New(slog.DiscardHandler), options, events{h}, &discovery.List{Instances: known})
+	h.Manager = New(h, slog.New(slog.DiscardHandler), options, events{h}, &discovery.List{Instances: initial})
 	for _, instance := range h.InitialList().Instances {
 		h.list[instance.ID] = instance
 	}
@@ -75,9 +75,9 @@
 	return reconcile.Observation{ID: id, Address: id + ":5432", Weight: 1}
 }
 
-// TestInitialListStandsUntilAllSourcesReported checks that the initial list stands until each source has reported all that it
-// has.
-func TestInitialListStandsUntilAllSourcesReported(t *testing.T) {
+// TestInitialListIsKeptUntilAllSourcesReported checks that the servers of the initial list are kept until every source has reported
+// all its servers.
+func TestInitialListIsKeptUntilAllSourcesReported(t *testing.T) {
 	h := newHarness([]discovery.Instance{up("a"), up("b"), up("old")}, SourceConsul, SourceStatic)
 	var got []string
 	for _, step := range []func(){
@@ -94,7 +94,7 @@
 		func() { h.Observe(SourceConsul, &reconcile.Report{Removed: []string{"b"}}) },
 	} {
 		step()
-		got = append(got, h.listed())
+		got = append(got, h.listText())
 	}
 	want := []string{
 		"a up, b up, old up",
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestSelfReportsAndPlatformReachTheList checks that servers' self-reports decide on roles, and that the platform's changes and
-// failures are passed on.
+// TestSelfReportsAndPlatformReachTheList checks that servers' self-reports decide on roles, and that changes and failures of the
+// platform's discovery are passed on.
 func TestSelfReportsAndPlatformReachTheList(t *testing.T) {
 	h := newHarness(nil, SourcePlatform)
 	a, b := up("a"), up("b")
@@ -117,24 +117,24 @@
 	h.Listed(&discovery.List{Generation: 5, Reset: true, Instances: []discovery.Instance{a, b}})
 	h.ServerReported("b", true, false, 0)
 	h.ServerReported("a", false, true, 0)
-	if diff := cmp.Diff("a up, b up primary", h.listed()); diff != "" {
+	if diff := cmp.Diff("a up, b up primary", h.listText()); diff != "" {
 		t.Error(diff)
 	}
 	b.Lifecycle = "draining"
 	h.Listed(&discovery.List{Generation: 6, Instances: []discovery.Instance{b}})
-	if diff := cmp.Diff("a up, b draining", h.listed()); diff != "" {
+	if diff := cmp.Diff("a up, b draining", h.listText()); diff != "" {
 		t.Error(diff)
 	}
 	counting := &countingDiscovery{}
 	h.SetDiscovery(counting)
 	b.Lifecycle = "up"
-	h.Listed(&discovery.List{Generation: 2, Instances: []discovery.Instance{b}}) // changes that go back
-	if h.ListFailed(); h.failed != 1 || counting.fetches != 1 || h.listed() != "a up, b draining" {
-		t.Errorf("%d failures, %d fetches of the full list; %s", h.failed, counting.fetches, h.listed())
+	h.Listed(&discovery.List{Generation: 2, Instances: []discovery.Instance{b}}) // an earlier generation than the last
+	if h.ListFailed(); h.failed != 1 || counting.fetches != 1 || h.listText() != "a up, b draining" {
+		t.Errorf("%d failures, %d fetches of the full list; %s", h.failed, counting.fetches, h.listText())
 	}
 	h.Listed(&discovery.List{Generation: 2, Reset: true, Instances: []discovery.Instance{b}})
-	if h.Summary() != "1 servers, 0 removals held back" || h.listed() != "b up primary" {
-		t.Errorf("%s; %s", h.Summary(), h.listed())
+	if h.Summary() != "1 servers, 0 removals held back" || h.listText() != "b up primary" {
+		t.Errorf("%s; %s", h.Summary(), h.listText())
 	}
 }
 
--- a/internal/endpoints/snapshot/snapshot.go
+++ b/internal/endpoints/snapshot/snapshot.go
@@ -1,5 +1,6 @@
-// Package snapshot stores the last good endpoint list, so that a pooler that starts while no source is reachable serves at once. A
-// snapshot is read completely or not at all: one that is damaged or foreign is an error, one that does not exist is nil.
+// Package snapshot stores the last good endpoint list, so that a pooler that starts while no source is reachable can serve at once.
+// A snapshot is read completely or not at all: reading a damaged file or one of another format is an error, and a file that does not
+// exist is read as nil.
 package snapshot
 
 import (
@@ -28,29 +29,29 @@
 
 // Store loads and saves a snapshot.
 type Store interface {
-	Load() (*File, error) // nil where there is none
+	Load() (*File, error) // nil if there is no snapshot
 	Save(file *File) error
 }
 
-// FileStore is a Store in the file of that path.
+// FileStore is a Store that keeps the snapshot in the file at this path.
 type FileStore string
 
-// Load reads the file, nil where there is none.
+// Load reads the file. It returns nil if the file does not exist.
 func (s FileStore) Load() (*File, error) { return Load(string(s)) }
 
 // Save replaces the file.
 func (s FileStore) Save(file *File) error { return Save(string(s), file) }
 
-// Append appends the bytes of a snapshot to dst.
+// Append appends the encoded snapshot to dst.
 func Append(dst []byte, file *File) ([]byte, error) {
 	dst, err := atomicfile.Encode(dst, magic, file)
 	if err != nil {
-		return dst, fmt.Errorf("snapshot: %w", err)
+		return dst, fmt.Errorf("encode snapshot: %w", err)
 	}
 	return dst, nil
 }
 
-// Parse reads the bytes of a snapshot. Errors wrap ErrFormat or ErrIncomplete.
+// Parse decodes a snapshot. Errors wrap ErrFormat or ErrIncomplete.
 func Parse(content []byte) (*File, error) {
 	file := &File{}
 	if err := atomicfile.Decode(content, magic, file); err != nil {
@@ -58,7 +59,7 @@
 	}
 	for i := range file.Entries {
 		if !isValid(&file.Entries[i]) {
-			return nil, fmt.Errorf("%w: entry %d", ErrFormat, i)
+			return nil, fmt.Errorf("%w: entry %d lacks an id or an address, or has an unknown state", ErrFormat, i)
 		}
 	}
 	return file, nil
@@ -68,30 +69,30 @@
 	return entry.ID != "" && entry.Address != "" && entry.State <= reconcile.StateRemoved
 }
 
-// Load reads the snapshot at path, nil where there is none.
+// Load reads the snapshot at path. It returns nil if the file does not exist.
 func Load(path string) (*File, error) {
 	content, err := atomicfile.Read(path, maxBytes)
 	if err != nil {
-		return nil, fmt.Errorf("snapshot %s: %w", path, err)
+		return nil, fmt.Errorf("read snapshot %s: %w", path, err)
 	}
 	if content == nil {
 		return nil, nil
 	}
 	file, err := Parse(content)
 	if err != nil {
-		return nil, fmt.Errorf("snapshot %s: %w", path, err)
+		return nil, fmt.Errorf("decode snapshot %s: %w", path, err)
 	}
 	return file, nil
 }
 
-// Save replaces the snapshot at path. A reader finds the old one or the new one, also after a loss of power.
+// Save replaces the snapshot at path. A reader finds either the old or the new one, even after a power failure.
 func Save(path string, file *File) error {
 	content, err := Append(nil, file)
 	if err != nil {
 		return err
 	}
 	if err := atomicfile.Replace(path, content, true); err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("replace snapshot: %w", err)
 	}
 	return nil
 }
--- a/internal/endpoints/snapshot/snapshot_test.go
+++ b/internal/endpoints/snapshot/snapshot_test.go
@@ -20,16 +20,16 @@
 	},
 }
 
-// TestSnapshotCutAnywhereIsRejected checks that a file that ends too soon or has a changed byte is rejected, and that a
-// complete one is read.
-func TestSnapshotCutAnywhereIsRejected(t *testing.T) {
+// TestTruncatedOrCorruptSnapshotIsRejected checks that a snapshot that is truncated, has a changed byte or is followed by another
+// byte is rejected, and that an intact one is read.
+func TestTruncatedOrCorruptSnapshotIsRejected(t *testing.T) {
 	b, err := Append(nil, file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range len(b) {
 		if f, err := Parse(b[:n]); f != nil || !errors.Is(err, ErrIncomplete) && !errors.Is(err, ErrFormat) {
-			t.Fatalf("cut at %d: %+v %v", n, f, err)
+			t.Fatalf("truncated to %d bytes: %+v %v", n, f, err)
 		}
 		flipped := bytes.Clone(b)
 		flipped[n] ^= 0x20
@@ -38,7 +38,7 @@
 		}
 	}
 	if f, err := Parse(append(b, 'x')); f != nil || !errors.Is(err, ErrIncomplete) {
-		t.Errorf("longer: %+v %v", f, err)
+		t.Errorf("with a trailing byte: %+v %v", f, err)
 	}
 	f, err := Parse(b)
 	if diff := cmp.Diff(file, f); err != nil || diff != "" {
@@ -46,12 +46,12 @@
 	}
 }
 
-// TestFileIsReplacedAndRead checks that a file is replaced completely, and that one that is missing, foreign or cannot be
-// written is reported.
+// TestFileIsReplacedAndRead checks that a file is replaced completely, that a missing file is read as nil, and that a file of
+// another format or one that cannot be written is an error.
 func TestFileIsReplacedAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "members")
 	if f, err := Load(path); f != nil || err != nil {
-		t.Errorf("none: %+v %v", f, err)
+		t.Errorf("missing file: %+v %v", f, err)
 	}
 	for _, x := range []*File{{SavedAtMs: 1}, file} {
 		if err := Save(path, x); err != nil {
@@ -62,7 +62,7 @@
 		}
 	}
 	if names, _ := filepath.Glob(filepath.Join(filepath.Dir(path), "*")); len(names) != 1 {
-		t.Errorf("left behind: %v", names)
+		t.Errorf("temporary files left behind: %v", names)
 	}
 	if err := os.WriteFile(path, []byte("{\"instances\":[]}"), 0o600); err != nil {
 		t.Fatal(err)
@@ -71,6 +71,6 @@
 		t.Error(err)
 	}
 	if err := Save(filepath.Join(path, "below"), file); err == nil {
-		t.Error("it was saved below a file")
+		t.Error("no error for a path below a regular file")
 	}
 }
