--- a/internal/endpoints/discovery/call.go
+++ b/internal/endpoints/discovery/call.go
@@ -15,11 +15,11 @@
 
 // Errors that end a call.
 var (
-	errSilent           = errors.New("silent for too long")
-	errStaleList        = errors.New("a list older than what was told before")
-	errWatchEnded       = errors.New("the watch ended")
-	errNoList           = errors.New("no list in the answer")
-	errConnectionClosed = errors.New("connection closed")
+	errSilent           = errors.New("no progress within the silence timeout")
+	errStaleList        = errors.New("list is older than one received before")
+	errWatchEnded       = errors.New("discovery ended the watch")
+	errNoList           = errors.New("response ended without a list")
+	errConnectionClosed = errors.New("discovery closed the connection")
 )
 
 // httpCall is one HTTP call, on a connection of its own.
@@ -28,7 +28,7 @@
 	path              string
 	isWatch           bool
 	startedAt         float64
-	generationAtStart int64 // the newest then
+	generationAtStart int64 // the client's newestGeneration when the call was started
 	conn              *eventloop.Conn
 	response          response
 	timeout           *timers.Timer
@@ -44,20 +44,20 @@
 	return call
 }
 
-// resetTimeout restarts the time within which the call has to make progress.
+// resetTimeout restarts the timeout for the call's next progress.
 func (call *httpCall) resetTimeout() {
 	loop := call.client.loop
 	loop.StopTimer(call.timeout)
 	call.timeout = loop.At(loop.Now()+silenceTimeoutMs, func() { call.finish(errSilent) })
 }
 
-// isTimeout reports whether a call ended because nothing came, on its connection or in answer to the dial.
+// isTimeout reports whether a call ended by a timeout, while connecting or afterwards.
 func isTimeout(err error) bool {
 	var netError net.Error
 	return errors.Is(err, errSilent) || errors.As(err, &netError) && netError.Timeout()
 }
 
-// finish ends the call. An error, which the end of a watch always is, counts as a failure unless the call has been replaced.
+// finish ends the call. An error counts as a failure unless the call has been replaced; the end of a watch is always an error.
 func (call *httpCall) finish(err error) {
 	if call.ended {
 		return
@@ -78,21 +78,21 @@
 	if err == nil {
 		return
 	}
-	if !call.isWatch { // the open watch does not stand in for the full list
+	if !call.isWatch { // the full list is missing: the caller's next Watch must open a new watch
 		client.watchOpenedEarly = false
 	}
 	if isCurrent {
-		client.log.Info("discovery", "call", call.path, "err", err)
+		client.log.Info("call to discovery failed", "call", call.path, "err", err)
 		client.recoverFrom(call, err)
 	}
 }
 
-// recoverFrom reopens a watch that failed, where the client does so itself, or passes the failure on.
+// recoverFrom reopens a failed watch if the client does so by itself, and passes any other failure on.
 func (c *Client) recoverFrom(call *httpCall, err error) {
 	switch {
 	case c.pushMode && call.isWatch:
 		c.scheduleWatch(c.loop.Now() - call.startedAt)
-	case call.isWatch && isTimeout(err): // what it missed must reach the list before the caller's next poll may be due
+	case call.isWatch && isTimeout(err): // missed changes must reach the list before the caller's next poll may be due
 		c.watchOpenedEarly = false
 		c.Watch()
 	default:
@@ -108,10 +108,10 @@
 		return
 	}
 	request := "GET " + call.path + " HTTP/1.1\r\nHost: " + call.client.address + "\r\nAccept: application/json\r\n\r\n"
-	_ = conn.Write([]byte(request)) // a failure closes the connection
+	_ = conn.Write([]byte(request)) // if the write fails, the connection closes and Closed is called
 }
 
-// Data takes bytes of the response.
+// Data handles bytes of the response.
 func (call *httpCall) Data(b []byte) {
 	if call.ended {
 		return
@@ -125,8 +125,8 @@
 	case err != nil:
 		call.finish(err)
 	case call.response.inBody && call.response.status != statusOK:
-		call.finish(fmt.Errorf("status %d", call.response.status))
-	case call.listReceived && !call.isWatch: // what may follow the list is ignored
+		call.finish(fmt.Errorf("response status %d, want 200", call.response.status))
+	case call.listReceived && !call.isWatch: // bytes after the list are ignored
 		call.finish(nil)
 	case call.response.ended && call.isWatch:
 		call.finish(errWatchEnded)
@@ -135,8 +135,8 @@
 	}
 }
 
-// progress grows with each step of the response. Single bytes are none, so that a response that trickles times out; empty lines are
-// steps on a watch alone.
+// progress grows with each step of the response. Single bytes do not count as steps, so that a response that trickles in times out.
+// Empty lines count only on a watch, which sends them to show that it is alive.
 func (call *httpCall) progress() int {
 	if call.isWatch {
 		return call.response.progressSteps + call.response.lineBreaks
@@ -144,23 +144,23 @@
 	return call.response.progressSteps
 }
 
-// decodeList takes one JSON object of the body.
+// decodeList decodes one JSON object of the body as a list.
 func (call *httpCall) decodeList(object []byte) error {
 	if call.ended || call.response.status != statusOK {
 		return nil
 	}
 	var list List
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(object, &list); err != nil {
-		return fmt.Errorf("list: %w", err)
+		return fmt.Errorf("decode list: %w", err)
 	}
 	if len(list.Instances) > maxInstances || list.Generation < 0 {
-		return fmt.Errorf("list: generation %d with %d instances", list.Generation, len(list.Instances))
+		return fmt.Errorf("list out of bounds: generation %d with %d instances", list.Generation, len(list.Instances))
 	}
 	return call.acceptList(&list)
 }
 
-// acceptList passes a list on, unless a newer one was received. Discovery handles calls in turn, so an answer may be older than what
-// another call brought.
+// acceptList passes a list on, unless a newer one was received. Discovery handles calls one after another, so a response may be older
+// than a list that was received on another call.
 func (call *httpCall) acceptList(list *List) error {
 	client := call.client
 	isFirst := !call.listReceived
@@ -168,26 +168,26 @@
 	if wentBack || !call.isWatch && list.Generation < client.newestGeneration {
 		return fmt.Errorf("generation %d after %d: %w", list.Generation, max(call.lastGeneration, client.newestGeneration), errStaleList)
 	}
-	if call.isWatch && isFirst && list.Generation < call.generationAtStart { // discovery has started again
+	if call.isWatch && isFirst && list.Generation < call.generationAtStart { // discovery has restarted
 		client.newestGeneration = list.Generation
 		client.incomplete = true
 		list.Restarted = true
 	}
 	call.listReceived = true
 	call.lastGeneration = list.Generation
-	if list.Generation < client.newestGeneration { // another call has brought the full list since
+	if list.Generation < client.newestGeneration { // the other call has received a newer list
 		return nil
 	}
 	client.newestGeneration = list.Generation
 	client.incomplete = client.incomplete && !list.Reset
-	if client.incomplete { // changes of a list that was not received
+	if client.incomplete { // changes to a list that was not received
 		client.Fetch()
 	}
 	client.events.Listed(list)
 	return nil
 }
 
-// Closed ends the call with its connection.
+// Closed ends the call when its connection is closed.
 func (call *httpCall) Closed(err error) {
 	call.conn = nil
 	if err == nil {
--- a/internal/endpoints/discovery/harness_test.go
+++ b/internal/endpoints/discovery/harness_test.go
@@ -17,9 +17,9 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// testClient is a client on a loop whose clock the test sets, before scripted discoveries.
+// testClient is a client on an event loop whose clock the test sets. It talks to scripted servers in place of discovery.
 type testClient struct {
 	t      *testing.T
 	clock  *clock.Manual
@@ -29,18 +29,18 @@
 }
 
 func (s *testClient) Listed(list *List) {
-	s.events <- fmt.Sprintf("list %d, whole %v", list.Generation, list.Reset)
+	s.events <- fmt.Sprintf("list %d, full %v", list.Generation, list.Reset)
 }
 
 func (s *testClient) ListFailed() { s.events <- "failed" }
 
-// newTestClient makes a client that holds generation 4 from the given discovery.
-func newTestClient(t *testing.T, at *scriptedServer) *testClient {
+// newTestClient returns a client of the given server that holds generation 4.
+func newTestClient(t *testing.T, server *scriptedServer) *testClient {
 	s := &testClient{t: t, clock: &clock.Manual{Ms: 1e6}, events: make(chan string, 99)}
 	began, ended := make(chan struct{}), make(chan error, 1)
 	log := slog.New(slog.DiscardHandler)
 	s.loop = eventloop.New(s.clock, log, func() eventloop.Handler { return ignoringHandler{} }, func() {
-		s.client = New(s.loop, log, at.address, 4, s)
+		s.client = New(s.loop, log, server.address, 4, s)
 		close(began)
 	})
 	go func() { ended <- s.loop.Run("127.0.0.1:0") }()
@@ -54,38 +54,38 @@
 	return s
 }
 
-// onLoop runs a function on the loop, and waits for its end.
+// onLoop runs a function on the loop, and waits until it has returned.
 func (s *testClient) onLoop(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// advance moves the clock on.
+// advance moves the clock forward.
 func (s *testClient) advance(ms float64) { s.onLoop(func() { s.clock.Ms += ms }) }
 
-// waitUntil waits until something holds on the loop.
+// waitUntil waits until ok, called on the loop, returns true. what describes the condition.
 func (s *testClient) waitUntil(what string, ok func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		satisfied := false
 		if s.onLoop(func() { satisfied = ok() }); satisfied {
 			return
 		}
 		if time.Now().After(end) {
-			s.t.Fatalf("not so: %s", what)
+			s.t.Fatalf("condition not met: %s", what)
 		}
 	}
 }
 
-// waitUntilRead waits until all that was sent on calls that are open has been read.
+// waitUntilRead waits until the client has read all that was sent on its open calls.
 func (s *testClient) waitUntilRead() {
 	s.t.Helper()
 	idle := func(call *httpCall) bool { return call == nil || call.conn != nil && call.conn.OpenAndIdle() }
-	s.waitUntil("all is read", func() bool { return idle(s.client.watch) && idle(s.client.fullFetch) })
+	s.waitUntil("all sent bytes are read", func() bool { return idle(s.client.watch) && idle(s.client.fullFetch) })
 }
 
-// wantEvent waits for the next event.
+// wantEvent waits for the next event, which has to be the given one.
 func (s *testClient) wantEvent(event string) {
 	s.t.Helper()
 	select {
@@ -93,12 +93,12 @@
 		if got != event {
 			s.t.Fatalf("event %q, want %q", got, event)
 		}
-	case <-time.After(patience):
-		s.t.Fatalf("no event: %s", event)
+	case <-time.After(testTimeout):
+		s.t.Fatalf("no event, want %q", event)
 	}
 }
 
-// scriptedServer is a discovery that says what the test has it say.
+// scriptedServer stands in for discovery. It accepts calls, and the test sends the responses.
 type scriptedServer struct {
 	t        *testing.T
 	listener net.Listener
@@ -114,23 +114,23 @@
 	return &scriptedServer{t: t, listener: ln, address: ln.Addr().String()}
 }
 
-// acceptedCall is one call that a discovery has accepted.
+// acceptedCall is one call that a scripted server has accepted.
 type acceptedCall struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// next accepts a call, which has to be for the given path.
+// next accepts a call, which has to request the given path.
 func (d *scriptedServer) next(path string) *acceptedCall {
 	d.t.Helper()
-	_ = d.listener.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	_ = d.listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	conn, err := d.listener.Accept()
 	if err != nil {
-		d.t.Fatalf("no request of %s: %v", path, err)
+		d.t.Fatalf("no request for %s: %v", path, err)
 	}
 	d.t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	c := &acceptedCall{t: d.t, conn: conn, reader: bufio.NewReader(conn)}
 	line, err := c.reader.ReadString('\n')
 	if err != nil || line != "GET "+path+" HTTP/1.1\r\n" {
@@ -163,7 +163,7 @@
 
 const okHead = "HTTP/1.1 200 OK\r\n\r\n"
 
-// sendList says a list of no instances.
+// sendList sends a list without instances.
 func (c *acceptedCall) sendList(generation int, full bool) {
 	c.t.Helper()
 	c.send(fmt.Sprintf("{\"generation\":%d,\"reset\":%v,\"instances\":[]}\n", generation, full))
@@ -175,11 +175,11 @@
 	if b, err := c.reader.ReadByte(); err == nil {
 		c.t.Fatalf("the client sent %q", b)
 	} else if strings.Contains(err.Error(), "timeout") {
-		c.t.Fatal("the client keeps the call")
+		c.t.Fatal("the client keeps the call open")
 	}
 }
 
-// next2 accepts two calls, by their paths: connections may come up in either order.
+// next2 accepts two calls and returns them by path, as their connections may be established in either order.
 func (d *scriptedServer) next2() map[string]*acceptedCall {
 	d.t.Helper()
 	calls := map[string]*acceptedCall{}
@@ -189,7 +189,7 @@
 			d.t.Fatal(err)
 		}
 		d.t.Cleanup(func() { _ = conn.Close() })
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		c := &acceptedCall{t: d.t, conn: conn, reader: bufio.NewReader(conn)}
 		line, err := c.reader.ReadString('\n')
 		if err != nil {
@@ -200,9 +200,9 @@
 	return calls
 }
 
-// fullListener listens with a backlog that is full: connections to it never come up, as the system drops what asks for them. The
-// function closes what fills it.
-func fullListener(t *testing.T) (d *scriptedServer, empty func()) {
+// fullListener returns a server whose listen backlog is full: connections to it are never established, as the kernel drops their SYN
+// packets. drain closes the connections that fill the backlog.
+func fullListener(t *testing.T) (d *scriptedServer, drain func()) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -219,26 +219,26 @@
 	}
 	t.Cleanup(func() { _ = ln.Close() })
 	var fill []net.Conn
-	empty = func() {
+	drain = func() {
 		for _, conn := range fill {
 			_ = conn.Close()
 		}
 	}
-	t.Cleanup(empty)
-	for at := ln.Addr().String(); ; {
-		conn, err := net.DialTimeout("tcp", at, 100*time.Millisecond)
+	t.Cleanup(drain)
+	for address := ln.Addr().String(); ; {
+		conn, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 		if err != nil {
-			return &scriptedServer{t: t, listener: ln, address: at}, empty
+			return &scriptedServer{t: t, listener: ln, address: address}, drain
 		}
 		fill = append(fill, conn)
 	}
 }
 
-// nextAfterEmpty accepts the first call for a path behind connections that were closed before they said anything. Meanwhile it moves
-// the clock on for a client that waits before its next call.
-func (d *scriptedServer) nextAfterEmpty(s *testClient, path string) *acceptedCall {
+// nextAfterDrain accepts the first call for a path, and skips connections that were closed without a request. Meanwhile it advances the
+// clock for a client that pauses before its next call.
+func (d *scriptedServer) nextAfterDrain(s *testClient, path string) *acceptedCall {
 	d.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		s.onLoop(func() {
 			if s.client.watch == nil {
 				s.clock.Ms += maxRetryPauseMs
@@ -256,6 +256,6 @@
 			return c
 		}
 	}
-	d.t.Fatalf("no request of %s", path)
+	d.t.Fatalf("no request for %s", path)
 	return nil
 }
--- a/internal/endpoints/discovery/response.go
+++ b/internal/endpoints/discovery/response.go
@@ -11,47 +11,47 @@
 // Bounds of a response, in bytes.
 const (
 	maxHeadBytes      = 16 << 10
-	maxChunkHeadBytes = 1024
+	maxChunkHeadBytes = 1024 // of the line before a chunk
 	maxListBytes      = 8 << 20
-	maxRetainedBytes  = 1 << 16 // of the buffer of one list, for the next one
+	maxRetainedBytes  = 1 << 16 // capacity up to which the buffer of an object is reused for the next one
 )
 
 const crlf = "\r\n"
 
 var (
-	errTooLong   = errors.New("too long")
-	errMalformed = errors.New("not one JSON object after another")
+	errTooLong   = errors.New("exceeds its maximum length")
+	errMalformed = errors.New("not a sequence of JSON objects")
 )
 
-// response parses an HTTP/1.1 response as it comes in: a head, then a body that is chunked, of a stated length, or that runs to the
-// end of the connection. The body is a sequence of JSON objects, which may be indented.
+// response parses an HTTP/1.1 response incrementally: a head, then a body that is chunked, has a stated length, or extends to the end
+// of the connection. The body is a sequence of JSON objects, which may be indented.
 type response struct {
-	buffer    []byte // read and not yet consumed
+	buffer    []byte // bytes read and not yet consumed
 	status    int
 	inBody    bool
 	chunked   bool
 	inChunk   bool
-	remaining int // bytes of this chunk or body, -1 for up to the end of the connection
+	remaining int // bytes left of this chunk or body; -1 for a body that extends to the end of the connection
 	ended     bool
 
-	object    []byte // the object that is coming in
-	depth     int    // open brackets in it
+	object    []byte // the part of the current object that was received
+	depth     int    // open brackets and braces in it
 	inString  bool
-	escaped   bool // the next byte stands for itself
-	lineBlank bool // nothing since the last line break: inside an object, this is where it broke off
+	escaped   bool // the next byte of the string follows a backslash
+	lineBlank bool // only white space since the last line break; see scanBody
 
-	progressSteps int // the head, and the beginnings and ends of objects
-	lineBreaks    int // between objects
+	progressSteps int // number of: the head, and the beginnings and ends of objects
+	lineBreaks    int // number of line breaks between objects
 }
 
-// feed takes bytes that were read, and calls onObject for each object that is complete. The object is valid during the call.
+// feed parses bytes that were read, and calls onObject for each complete object. The object is valid only during the call.
 func (r *response) feed(b []byte, onObject func(object []byte) error) error {
 	r.buffer = append(r.buffer, b...)
 	if !r.inBody {
 		end := bytes.Index(r.buffer, []byte(crlf+crlf))
 		if end < 0 {
 			if len(r.buffer) > maxHeadBytes {
-				return fmt.Errorf("head: %w", errTooLong)
+				return fmt.Errorf("response head %w", errTooLong)
 			}
 			return nil
 		}
@@ -82,11 +82,11 @@
 	lines := strings.Split(head, crlf)
 	fields := strings.SplitN(lines[0], " ", 3)
 	if len(fields) < 2 || !strings.HasPrefix(fields[0], "HTTP/1.") {
-		return fmt.Errorf("status line %q", lines[0])
+		return fmt.Errorf("malformed status line %q", lines[0])
 	}
 	var err error
 	if r.status, err = strconv.Atoi(fields[1]); err != nil {
-		return fmt.Errorf("status: %w", err)
+		return fmt.Errorf("malformed status code: %w", err)
 	}
 	r.remaining = -1
 	for _, line := range lines[1:] {
@@ -97,19 +97,19 @@
 			r.chunked = strings.EqualFold(value, "chunked")
 		case "content-length":
 			if r.remaining, err = strconv.Atoi(value); err != nil || r.remaining < 0 {
-				return fmt.Errorf("content length %q", value)
+				return fmt.Errorf("malformed Content-Length %q", value)
 			}
 		}
 	}
 	return nil
 }
 
-// consume takes one piece of the body off the buffer, and returns its length, 0 where more has to come first.
+// consume parses one piece of the body at the start of the buffer and returns its length, or 0 if more bytes are needed.
 func (r *response) consume(onObject func([]byte) error) (int, error) {
 	if r.chunked && !r.inChunk {
 		return r.consumeChunkHead()
 	}
-	if r.chunked && r.remaining == 0 { // the line break behind a chunk
+	if r.chunked && r.remaining == 0 { // the line break after a chunk
 		if len(r.buffer) < len(crlf) {
 			return 0, nil
 		}
@@ -133,14 +133,14 @@
 	end := bytes.Index(r.buffer, []byte(crlf))
 	if end < 0 {
 		if len(r.buffer) > maxChunkHeadBytes {
-			return 0, fmt.Errorf("chunk head: %w", errTooLong)
+			return 0, fmt.Errorf("chunk head %w", errTooLong)
 		}
 		return 0, nil
 	}
 	text, _, _ := strings.Cut(string(r.buffer[:end]), ";")
 	size, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
 	if err != nil {
-		return 0, fmt.Errorf("chunk head: %w", err)
+		return 0, fmt.Errorf("malformed chunk head: %w", err)
 	}
 	r.inChunk = true
 	r.remaining = int(size)
@@ -151,10 +151,10 @@
 	return end + len(crlf), err
 }
 
-// scanBody scans a piece of the body for objects. Between objects there may be any white space, such as the empty lines of a watch. An
-// empty line within an object is an error, so that an object that broke off does not swallow the next one.
+// scanBody scans a piece of the body for objects. Any white space is allowed between objects, such as the empty lines of a watch. An
+// empty line within an object is an error, so that a truncated object is not merged with the next one.
 func (r *response) scanBody(b []byte, onObject func([]byte) error) error {
-	start := 0 // of the current object in b
+	start := 0 // index in b of the current object's first byte
 	for i := 0; i < len(b); {
 		if r.inString {
 			n, err := r.scanString(b[i:])
@@ -193,23 +193,23 @@
 	}
 	r.object = append(r.object, b[start:]...)
 	if len(r.object) > maxListBytes {
-		return fmt.Errorf("list: %w", errTooLong)
+		return fmt.Errorf("list %w", errTooLong)
 	}
 	return nil
 }
 
-// significant are the bytes that scanByte tells apart within an object. Most bytes outside strings are others.
+// significant marks the bytes that scanByte has to see within an object, outside its strings. Most bytes there are not among them.
 var significant = [256]bool{'"': true, '{': true, '}': true, '[': true, ']': true, ' ': true, '\t': true, '\r': true, '\n': true}
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
 
-// scanString scans up to the end of a string, and returns how many bytes of b are of it.
+// scanString scans b up to the end of a string, and returns how many bytes of b belong to the string.
 func (r *response) scanString(b []byte) (n int, err error) {
 	escaped := r.escaped
 	for i, c := range b {
 		switch {
 		case c < ' ':
-			return 0, fmt.Errorf("list: %w", errMalformed)
+			return 0, fmt.Errorf("response body is %w", errMalformed)
 		case escaped:
 			escaped = false
 		case c == '\\':
@@ -226,12 +226,12 @@
 // scanByte scans a byte of an object outside its strings, and reports whether it completes the object.
 func (r *response) scanByte(c byte) (complete bool, err error) {
 	if r.depth == 0 && c != '{' {
-		return false, fmt.Errorf("list: %w", errMalformed)
+		return false, fmt.Errorf("response body is %w", errMalformed)
 	}
 	switch c {
 	case '\n':
 		if r.lineBlank {
-			return false, fmt.Errorf("list: %w", errMalformed)
+			return false, fmt.Errorf("response body is %w", errMalformed)
 		}
 		r.lineBlank = true
 		return false, nil
@@ -251,7 +251,7 @@
 	return r.depth == 0, nil
 }
 
-// takeObject returns the object that is complete, and keeps its buffer for the next one unless it is large.
+// takeObject returns the complete object, and reuses its buffer for the next one unless the buffer is large.
 func (r *response) takeObject() []byte {
 	object := r.object
 	r.object = r.object[:0]
@@ -261,13 +261,13 @@
 	return object
 }
 
-// objectOpen reports whether an object has begun and is not complete.
+// objectOpen reports whether an object has begun and is not yet complete.
 func (r *response) objectOpen() bool { return r.depth > 0 }
 
-// finishBody ends the body.
+// finishBody checks at the end of the body that its last object is complete.
 func (r *response) finishBody() error {
 	if r.objectOpen() {
-		return fmt.Errorf("list: %w", errMalformed)
+		return fmt.Errorf("response body is %w", errMalformed)
 	}
 	return nil
 }
--- a/internal/endpoints/discovery/response_test.go
+++ b/internal/endpoints/discovery/response_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestResponseParsesAnyChunking checks that lists are read however their bytes arrive and are laid out: chunks, lines and
-// objects do not end together.
+// TestResponseParsesAnyChunking checks that objects are parsed however they are laid out and split into reads: the bounds of chunks,
+// lines and objects need not coincide.
 func TestResponseParsesAnyChunking(t *testing.T) {
 	for name, c := range map[string]struct {
 		in    string
@@ -23,15 +23,15 @@
 		"stated length":   {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{}\n{}", []string{"{}", "{}"}, true, false},
 		"indented": {"HTTP/1.1 200 OK\r\n\r\n\n{\r\n  \"a\": \"}\\\"\\\\\",\n\t\"b\": [ 1,\n 2 ]\n}\n\n{}",
 			[]string{"{\r\n  \"a\": \"}\\\"\\\\\",\n\t\"b\": [ 1,\n 2 ]\n}", "{}"}, false, false},
-		"cut short":            {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n{\"a\":1", nil, true, true},
-		"broken off":           {"HTTP/1.1 200 OK\r\n\r\n{\"a\":1\n\n{}\n", nil, false, true},
-		"broken off in a text": {"HTTP/1.1 200 OK\r\n\r\n{\"a\n", nil, false, true},
-		"noise":                {"HTTP/1.1 200 OK\r\n\r\n{}x", []string{"{}"}, false, true},
-		"refused":              {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", nil, true, false},
-		"not HTTP":             {"SSH-2.0\r\n\r\n", nil, false, true},
-		"bad chunk":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", nil, false, true},
-		"bad length":           {"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", nil, false, true},
-		"endless head":         {"HTTP/1.1 200 OK\r\n" + strings.Repeat("a: b\r\n", 4000), nil, false, true},
+		"body too short":   {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n{\"a\":1", nil, true, true},
+		"truncated object": {"HTTP/1.1 200 OK\r\n\r\n{\"a\":1\n\n{}\n", nil, false, true},
+		"truncated string": {"HTTP/1.1 200 OK\r\n\r\n{\"a\n", nil, false, true},
+		"not an object":    {"HTTP/1.1 200 OK\r\n\r\n{}x", []string{"{}"}, false, true},
+		"status 503":       {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", nil, true, false},
+		"not HTTP":         {"SSH-2.0\r\n\r\n", nil, false, true},
+		"bad chunk":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", nil, false, true},
+		"bad length":       {"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", nil, false, true},
+		"endless head":     {"HTTP/1.1 200 OK\r\n" + strings.Repeat("a: b\r\n", 4000), nil, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, size := range []int{1, 2, 3, 7, len(c.in)} {
@@ -39,15 +39,15 @@
 				var got []string
 				var err error
 				for part := range slices.Chunk([]byte(c.in), size) {
-					if err = r.feed(part, func(line []byte) error { got = append(got, string(line)); return nil }); err != nil {
+					if err = r.feed(part, func(object []byte) error { got = append(got, string(object)); return nil }); err != nil {
 						break
 					}
 				}
 				if (err != nil) != c.fails {
-					t.Fatalf("in pieces of %d: error %v", size, err)
+					t.Fatalf("in pieces of %d bytes: error %v", size, err)
 				}
 				if diff := cmp.Diff(c.want, got); diff != "" || r.ended != c.ended {
-					t.Fatalf("in pieces of %d: ended %v: %s", size, r.ended, diff)
+					t.Fatalf("in pieces of %d bytes: ended %v: %s", size, r.ended, diff)
 				}
 			}
 		})
--- a/internal/endpoints/discovery/silence_test.go
+++ b/internal/endpoints/discovery/silence_test.go
@@ -23,9 +23,9 @@
 func (ignoringHandler) Data([]byte)            {}
 func (ignoringHandler) Closed(error)           {}
 
-// TestSilentWatchTimesOutAndIsReopened checks that a watch without progress ends, since nothing closes a connection to a
-// discovery that vanished, and that progress keeps it open. Wherever a watch falls silent, the next one is opened at once from
-// the last list on, with time for one more within 6 s. Only a watch that was refused is reported as a failure.
+// TestSilentWatchTimesOutAndIsReopened checks that a watch without progress is ended, since nothing closes a connection to a host
+// that has disappeared, and that progress keeps it open. Wherever in the response a watch falls silent, the next one is opened at once
+// from the last list on, early enough for a third within 6 s. Only a watch that is answered with an error status is a failure.
 func TestSilentWatchTimesOutAndIsReopened(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 	advance := func(ms float64) {
 		done := make(chan struct{})
 		l.Post(func() { manual.Ms += ms; close(done) })
-		<-done // what is sent after this comes after it
+		<-done // bytes sent from here on arrive after the change of the clock
 	}
 	wantEvent := func(want string) {
 		t.Helper()
@@ -61,7 +61,7 @@
 				t.Fatalf("event %s, want %s", got, want)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("no event: %s", want)
+			t.Fatalf("no event, want %s", want)
 		}
 	}
 	const list = "11\r\n{\"generation\":5}\n\r\n"
@@ -87,16 +87,16 @@
 	send("b\r\n{\"generation\r\n") // silent inside a list
 	silentSince := manual.Ms
 	advance(2600)
-	wantReopened("5") // silent from its start
+	wantReopened("5") // and this one is silent from its start
 	advance(2600)
 	wantReopened("5")
 	if took := manual.Ms - silentSince; took >= 6000-2*connectTimeoutMs/5 {
-		t.Errorf("the third is opened %v ms after the first fell silent", took)
+		t.Errorf("the third watch is opened %v ms after the first fell silent", took)
 	}
-	send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // silent after its head
+	send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") // silent after the response head
 	advance(2600)
 	wantReopened("5")
-	send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":\n") // a list that never ends, though bytes come
+	send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":\n") // a list that never completes, although bytes arrive
 	time.Sleep(50 * time.Millisecond)
 	advance(2000)
 	send(" ")
