--- a/internal/endpoints/consul/harness_test.go
+++ b/internal/endpoints/consul/harness_test.go
@@ -13,9 +13,9 @@
 	"beechgrade/internal/testkit/fake/consulserver"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// recordingSink is a sink that a test can wait for.
+// recordingSink is a sink that records what it receives, and on which a test can wait.
 type recordingSink struct {
 	mu      sync.Mutex
 	list    map[string]reconcile.Observation
@@ -24,29 +24,29 @@
 	changed chan struct{}
 }
 
-func (sink *recordingSink) Observe(_ string, r *reconcile.Report) {
+func (sink *recordingSink) Observe(_ string, report *reconcile.Report) {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
-	for _, c := range r.Observations {
-		sink.list[c.ID] = c
+	for _, observation := range report.Observations {
+		sink.list[observation.ID] = observation
 	}
-	for _, id := range r.Removed {
+	for _, id := range report.Removed {
 		delete(sink.list, id)
 	}
 	sink.signal()
 }
 
-func (sink *recordingSink) SourceLost(_, why string) {
+func (sink *recordingSink) SourceLost(_, reason string) {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
-	sink.lost = append(sink.lost, why)
+	sink.lost = append(sink.lost, reason)
 	sink.signal()
 }
 
-func (sink *recordingSink) Note(_ string, w reconcile.DecisionKind, why string) {
+func (sink *recordingSink) Note(_ string, kind reconcile.DecisionKind, reason string) {
 	sink.mu.Lock()
 	defer sink.mu.Unlock()
-	sink.notes = append(sink.notes, string(w)+": "+why)
+	sink.notes = append(sink.notes, string(kind)+": "+reason)
 	sink.signal()
 }
 
@@ -57,10 +57,10 @@
 	}
 }
 
-// waitUntil waits until ok holds, which is called with the lock held.
+// waitUntil waits until ok, called with the lock held, returns true. what describes the condition.
 func (sink *recordingSink) waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.After(patience); ; {
+	for end := time.After(testTimeout); ; {
 		sink.mu.Lock()
 		satisfied := ok()
 		sink.mu.Unlock()
@@ -72,7 +72,7 @@
 		case <-end:
 			sink.mu.Lock()
 			defer sink.mu.Unlock()
-			t.Fatalf("not so: %s; list %v, notes %q, lost %q", what, sink.list, sink.notes, sink.lost)
+			t.Fatalf("condition not met: %s; list %v, notes %q, lost %q", what, sink.list, sink.notes, sink.lost)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	return func() bool { return strings.Contains(strings.Join(sink.notes, "\n"), part) }
 }
 
-// instance is a replica; three instances make a group.
+// instance returns the i-th instance, a replica. Each group has three.
 func instance(i int) consulserver.Instance {
 	return consulserver.Instance{
 		ID:      fmt.Sprint("db-", i),
@@ -92,19 +92,19 @@
 	}
 }
 
-// testSetup is a source before fake agents.
+// testSetup is a source that queries fake agents.
 type testSetup struct {
 	catalog *consulserver.Catalog
 	agents  []*consulserver.Agent
-	src     *Source
+	source  *Source
 	*recordingSink
 }
 
-// startWatch starts agents before a catalogue of three instances, and a source that watches them.
+// startWatch starts agents that serve a catalogue of three instances, and a source that watches it. change may modify the options.
 func startWatch(t *testing.T, agents int, change func(*Options)) *testSetup {
 	t.Helper()
 	sink := &recordingSink{list: map[string]reconcile.Observation{}, changed: make(chan struct{}, 1)}
-	w := &testSetup{catalog: consulserver.NewCatalog(), recordingSink: sink}
+	s := &testSetup{catalog: consulserver.NewCatalog(), recordingSink: sink}
 	options := Options{
 		Name:             "consul",
 		Services:         []string{"db"},
@@ -115,28 +115,28 @@
 		Seed:             1,
 	}
 	for range agents {
-		agent, err := consulserver.Start(w.catalog)
+		agent, err := consulserver.Start(s.catalog)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(agent.Stop)
-		w.agents = append(w.agents, agent)
+		s.agents = append(s.agents, agent)
 		options.Agents = append(options.Agents, agent.Address)
 	}
-	w.catalog.Change("db", []consulserver.Instance{instance(0), instance(1), instance(2)})
+	s.catalog.Change("db", []consulserver.Instance{instance(0), instance(1), instance(2)})
 	if change != nil {
 		change(&options)
 	}
-	w.src = New(options, func(f func()) { f() }, clock.System().Now, w.recordingSink, slog.New(slog.DiscardHandler))
-	w.src.Start()
-	t.Cleanup(w.src.Stop)
-	return w
+	s.source = New(options, func(f func()) { f() }, clock.System().Now, s.recordingSink, slog.New(slog.DiscardHandler))
+	s.source.Start()
+	t.Cleanup(s.source.Stop)
+	return s
 }
 
-func (w *testSetup) setAllFaults(fault consulserver.Fault) {
-	for _, agent := range w.agents {
+func (s *testSetup) setAllFaults(fault consulserver.Fault) {
+	for _, agent := range s.agents {
 		agent.SetFault(fault)
 	}
 }
 
-func (w *testSetup) hasSize(n int) func() bool { return func() bool { return len(w.list) == n } }
+func (s *testSetup) hasSize(n int) func() bool { return func() bool { return len(s.list) == n } }
--- a/internal/endpoints/consul/mapping.go
+++ b/internal/endpoints/consul/mapping.go
@@ -11,14 +11,14 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-// FieldKind is a kind of place in an instance, as settings name it.
+// FieldKind is the kind of an instance's field that a value is taken from, by its name in the settings.
 type FieldKind string
 
-// The kinds of places.
+// The kinds of fields.
 const (
 	FieldMeta       FieldKind = "meta"
 	FieldNodeMeta   FieldKind = "node-meta"
-	FieldTag        FieldKind = "tag" // what follows the key in a tag
+	FieldTag        FieldKind = "tag" // the rest of the first tag that begins with the key
 	FieldConst      FieldKind = "const"
 	FieldWeights    FieldKind = "weights"
 	FieldService    FieldKind = "service"
@@ -28,25 +28,25 @@
 	FieldNone       FieldKind = "none"
 )
 
-// FieldKinds are all kinds of places.
+// FieldKinds lists all kinds of fields.
 var FieldKinds = []FieldKind{
 	FieldMeta, FieldNodeMeta, FieldTag, FieldConst, FieldWeights, FieldService, FieldDatacenter, FieldNode, FieldID, FieldNone,
 }
 
-// FieldSource says where in an instance a field of a server comes from.
+// FieldSource says which field of an instance a field of a server is taken from.
 type FieldSource struct {
 	Kind FieldKind
-	Key  string // for meta, node-meta and tag; the value itself for const
+	Key  string // key for meta and node-meta, prefix for tag, the value itself for const
 }
 
-// Mapping says how an instance becomes a server.
+// Mapping says how the fields of a server are taken from an instance.
 type Mapping struct {
 	ID, Group, Zone, Kind, Weight, Started, Role FieldSource
-	PrimaryValues, ReplicaValues                 []string          // values of Role; for a tag without a key, the tags themselves
-	GroupNumbers                                 map[string]string // numbers of groups, by name
+	PrimaryValues, ReplicaValues                 []string          // values of Role; if Role is a tag without a key, the tags themselves
+	GroupNumbers                                 map[string]string // group numbers by the value of Group; other values must be numbers
 }
 
-// DefaultMapping has the group, role, kind and start in the service's meta.
+// DefaultMapping returns a mapping that takes the group, role, kind and start time from the service's meta.
 func DefaultMapping() Mapping {
 	return Mapping{
 		ID:            FieldSource{Kind: FieldID},
@@ -61,7 +61,7 @@
 	}
 }
 
-// Errors of instances that cannot be used.
+// Errors of instances that cannot be used. Their texts go into records.
 var (
 	ErrNoAddress = errors.New("it has no address or port")
 	ErrNoGroup   = errors.New("its group cannot be told")
@@ -76,10 +76,10 @@
 	maxWeight       = 1e6
 	maxStartMs      = 1e14
 	minStartMs      = 1e11 // a smaller number is in seconds
-	maxQuotedLength = 40   // of a value in an error
+	maxQuotedLength = 40   // bytes of a value that an error quotes
 )
 
-// value is a field's text, and whether there is one.
+// value returns the text of the field in an instance, and whether there is one.
 func (f FieldSource) value(instance *Instance) (string, bool) {
 	var text string
 	switch f.Kind {
@@ -107,7 +107,7 @@
 	return text, text != ""
 }
 
-// Observation is the server that an instance stands for. An error says why it cannot be used.
+// Observation returns the observation of the server that an instance describes, or an error if the instance cannot be used.
 func (m *Mapping) Observation(instance *Instance) (reconcile.Observation, error) {
 	observation := reconcile.Observation{Health: instance.Health, Weight: 1}
 	host := instance.Address
@@ -167,7 +167,7 @@
 }
 
 func (m *Mapping) role(instance *Instance) reconcile.Role {
-	if m.Role.Kind == FieldTag && m.Role.Key == "" { // a tag by itself is the role
+	if m.Role.Kind == FieldTag && m.Role.Key == "" { // a whole tag names the role
 		for _, tag := range instance.Tags {
 			if role := m.roleNamed(tag); role != reconcile.RoleUnknown {
 				return role
@@ -180,20 +180,21 @@
 }
 
 func (m *Mapping) roleNamed(text string) reconcile.Role {
-	for _, word := range m.PrimaryValues {
-		if strings.EqualFold(word, text) {
+	for _, value := range m.PrimaryValues {
+		if strings.EqualFold(value, text) {
 			return reconcile.Primary
 		}
 	}
-	for _, word := range m.ReplicaValues {
-		if strings.EqualFold(word, text) {
+	for _, value := range m.ReplicaValues {
+		if strings.EqualFold(value, text) {
 			return reconcile.Replica
 		}
 	}
 	return reconcile.RoleUnknown
 }
 
-// parseStart reads a time in Unix seconds, in Unix milliseconds or in RFC 3339, as Unix milliseconds; 0 where it is none of these.
+// parseStart parses a time in Unix seconds, in Unix milliseconds or in RFC 3339. It returns Unix milliseconds, or 0 if the text is none
+// of these.
 func parseStart(text string) float64 {
 	if start, err := time.Parse(time.RFC3339, text); err == nil {
 		return float64(start.UnixMilli())
--- a/internal/endpoints/consul/parse.go
+++ b/internal/endpoints/consul/parse.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-// Instance is an instance of a service, as the health or the catalogue API has it.
+// Instance is an instance of a service, as returned by the health or the catalogue API.
 type Instance struct {
 	Node, NodeAddress, Datacenter string
 	NodeMeta                      map[string]string
@@ -21,7 +21,7 @@
 	Meta                          map[string]string
 	Weights                       Weights
 	Health                        reconcile.Health
-	FailingChecks                 string // ids of the checks that are not passing
+	FailingChecks                 string // ids of the checks that are not passing, each after a space
 }
 
 // Weights are the DNS weights of a service.
@@ -35,12 +35,12 @@
 	maxInstances         = 20000
 	maxFieldBytes        = 1 << 16
 	parseBufferBytes     = 1 << 15
-	maxFailingCheckBytes = 200 // of all ids together, but for the last one
+	maxFailingCheckBytes = 200 // of Instance.FailingChecks; no id is added once it is as long
 	maxCheckIDBytes      = 60
 	maxErrorBytes        = 120
 )
 
-// Errors of a response that cannot be read.
+// Errors of a response that cannot be read. Their texts go into records.
 var (
 	ErrTooLong   = errors.New("the answer is too long")
 	ErrTooMany   = errors.New("too many instances in the answer")
@@ -88,7 +88,7 @@
 	LockIndex      uint64            `json:"LockIndex"`
 }
 
-// Ids of the checks that agents register for maintenance.
+// Ids of the checks that agents register in maintenance mode.
 const (
 	nodeMaintenance          = "_node_maintenance"
 	serviceMaintenancePrefix = "_service_maintenance:"
@@ -96,8 +96,8 @@
 
 var jsonAPI = jsoniter.Config{EscapeHTML: false}.Froze()
 
-// Parse reads a response of the health API, or else of the catalogue API, completely or not at all. A null is an empty list, as
-// agents write it. Errors wrap ErrTooMany or ErrMalformed, or are ErrTooLong.
+// Parse reads a response of the health API if health is set, or else of the catalogue API. It returns either all instances or an
+// error, which wraps ErrTooMany or ErrMalformed, or is ErrTooLong. Agents write an empty list also as null.
 func Parse(reader io.Reader, health bool) ([]Instance, error) {
 	iterator := jsoniter.Parse(jsonAPI, reader, parseBufferBytes)
 	var instances []Instance
@@ -166,7 +166,7 @@
 	return instance
 }
 
-// checkHealth is the health that a check stands for. A status that is not known here counts as critical.
+// checkHealth returns the health that follows from a check. An unknown status counts as critical.
 func checkHealth(id, status string) reconcile.Health {
 	switch status {
 	case "passing":
@@ -198,13 +198,13 @@
 	}
 }
 
-// limitedReader fails with ErrTooLong after a number of bytes.
+// limitedReader fails with ErrTooLong after it has read a given number of bytes.
 type limitedReader struct {
 	reader    io.Reader
 	remaining int64
 }
 
-// Read reads up to len(b) bytes, within what remains.
+// Read reads up to len(b) bytes, but no more than remaining.
 func (l *limitedReader) Read(b []byte) (int, error) {
 	if l.remaining <= 0 {
 		return 0, ErrTooLong
--- a/internal/endpoints/consul/parse_test.go
+++ b/internal/endpoints/consul/parse_test.go
@@ -21,36 +21,36 @@
 		if err != nil && list != nil || len(list) > len(b) {
 			t.Errorf("%d instances, %v", len(list), err)
 		}
-		m := DefaultMapping()
+		mapping := DefaultMapping()
 		for i := range list {
-			if c, err := m.Observation(&list[i]); err == nil && (c.ID == "" || c.Address == "" || c.Weight <= 0) {
-				t.Errorf("%+v", c)
+			if observation, err := mapping.Observation(&list[i]); err == nil && (observation.ID == "" || observation.Address == "" || observation.Weight <= 0) {
+				t.Errorf("%+v", observation)
 			}
 		}
-		if err == nil && len(b) > 1 { // a list that is cut off is not read
+		if err == nil && len(b) > 1 { // a truncated list is an error
 			text := bytes.TrimSpace(b)
 			if _, err := Parse(bytes.NewReader(text[:len(text)-1]), health); err == nil && text[len(text)-1] == ']' {
-				t.Errorf("cut off, it was taken: %q", text)
+				t.Errorf("a truncated list was accepted: %q", text)
 			}
 		}
 	})
 }
 
-// BenchmarkParse measures a full response of 2,000 instances.
+// BenchmarkParse measures the parsing of a response with 2,000 instances.
 func BenchmarkParse(b *testing.B) {
-	c := consulserver.NewCatalog()
+	catalog := consulserver.NewCatalog()
 	var all []consulserver.Instance
 	for i := range 2000 {
 		all = append(all, instance(i))
 	}
-	c.Change("db", all)
-	a, err := consulserver.Start(c)
+	catalog.Change("db", all)
+	agent, err := consulserver.Start(catalog)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer a.Stop()
-	src := New(Options{Agents: []string{a.Address}, MaxResponseBytes: 16 << 20}, nil, nil, nil, slog.New(slog.DiscardHandler))
-	res, err := src.client.Get(src.url("db", Query{}))
+	defer agent.Stop()
+	source := New(Options{Agents: []string{agent.Address}, MaxResponseBytes: 16 << 20}, nil, nil, nil, slog.New(slog.DiscardHandler))
+	res, err := source.client.Get(source.url("db", Query{}))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/endpoints/consul/query.go
+++ b/internal/endpoints/consul/query.go
@@ -12,15 +12,15 @@
 
 const (
 	msPerSecond = 1000
-	// maxHeaderSeconds bounds what a header may ask for: no agent stops a watch for longer.
+	// maxHeaderSeconds bounds the times in headers, so that an agent cannot stop a watch for longer.
 	maxHeaderSeconds = 3600
-	// maxLastContactMs bounds the age that an agent may state.
+	// maxLastContactMs bounds the time since the last contact that an agent may report.
 	maxLastContactMs = 1e12
-	// maxDrainedBytes is how much of a response's rest is read, so that its connection can be used again.
+	// maxDrainedBytes is how much of the unread rest of a response is read so that its connection can be reused.
 	maxDrainedBytes = 4096
 )
 
-// url is the address of a query at its agent.
+// url returns the URL of a query at its agent.
 func (s *Source) url(service string, query Query) string {
 	scheme, path := "http", "/v1/health/service/"
 	if s.options.TLS != nil {
@@ -52,7 +52,7 @@
 	return address.String()
 }
 
-// query sends one query. A failure is in the response's Err.
+// query sends one query. If it fails, the error is in the response's Err.
 func (w *watcher) query(ctx context.Context, query Query) ([]Instance, Response) {
 	s := w.source
 	ctx, cancel := context.WithTimeout(ctx, milliseconds(query.TimeoutMs()))
@@ -64,26 +64,26 @@
 	if token := *s.token.Load(); token != "" {
 		request.Header.Set("X-Consul-Token", token)
 	}
-	answer, err := s.client.Do(request)
+	httpResponse, err := s.client.Do(request)
 	if err != nil {
 		return nil, Response{Err: queryError(ctx, query, err)}
 	}
 	defer func() {
-		_, _ = io.CopyN(io.Discard, answer.Body, maxDrainedBytes)
-		_ = answer.Body.Close()
+		_, _ = io.CopyN(io.Discard, httpResponse.Body, maxDrainedBytes)
+		_ = httpResponse.Body.Close()
 	}()
-	response := responseOf(answer)
+	response := responseFromHTTP(httpResponse)
 	if response.Status != http.StatusOK {
 		return nil, response
 	}
-	body := &limitedReader{reader: answer.Body, remaining: s.options.MaxResponseBytes}
+	body := &limitedReader{reader: httpResponse.Body, remaining: s.options.MaxResponseBytes}
 	instances, err := Parse(body, !s.options.CatalogOnly)
 	s.bytesRead.Add(s.options.MaxResponseBytes - body.remaining)
 	response.Err = err
 	return instances, response
 }
 
-// queryError is the error of a query, without the address, which is noted beside it.
+// queryError returns the error of a query without its URL, as notes name the agent and the service already.
 func queryError(ctx context.Context, query Query, err error) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return fmt.Errorf("no answer within %.0f s", query.TimeoutMs()/msPerSecond)
@@ -95,22 +95,22 @@
 	return err
 }
 
-// responseOf reads status and headers of an agent's response.
-func responseOf(answer *http.Response) Response {
+// responseFromHTTP reads the status and the headers of an agent's response.
+func responseFromHTTP(httpResponse *http.Response) Response {
 	response := Response{
-		Status:        answer.StatusCode,
-		Leaderless:    answer.Header.Get("X-Consul-KnownLeader") == "false",
-		RetryAfterMs:  headerMillis(answer.Header.Get("Retry-After")),
-		LastContactMs: min(nonNegative(answer.Header.Get("X-Consul-LastContact")), maxLastContactMs),
+		Status:        httpResponse.StatusCode,
+		Leaderless:    httpResponse.Header.Get("X-Consul-KnownLeader") == "false",
+		RetryAfterMs:  headerMillis(httpResponse.Header.Get("Retry-After")),
+		LastContactMs: min(nonNegative(httpResponse.Header.Get("X-Consul-LastContact")), maxLastContactMs),
 	}
-	if ageMs := headerMillis(answer.Header.Get("Age")); ageMs > 0 { // of an agent's cache
+	if ageMs := headerMillis(httpResponse.Header.Get("Age")); ageMs > 0 { // the response is from the agent's cache
 		response.LastContactMs += ageMs
 	}
-	response.Index, _ = strconv.ParseUint(answer.Header.Get("X-Consul-Index"), 10, 64) // 0 where there is none
+	response.Index, _ = strconv.ParseUint(httpResponse.Header.Get("X-Consul-Index"), 10, 64) // 0 if the header is missing or malformed
 	return response
 }
 
-// nonNegative reads a number that is not negative, 0 for any other text.
+// nonNegative parses a number, and returns 0 if it is negative or malformed.
 func nonNegative(text string) float64 {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(number > 0) {
@@ -119,5 +119,5 @@
 	return number
 }
 
-// headerMillis reads a header's seconds as milliseconds.
+// headerMillis parses a header's seconds, and returns them as milliseconds.
 func headerMillis(text string) float64 { return min(nonNegative(text), maxHeaderSeconds) * msPerSecond }
--- a/internal/endpoints/consul/silence_test.go
+++ b/internal/endpoints/consul/silence_test.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// TestSilentQueryLeavesTimeForAnother checks that after a silent query the next one is due early enough: half a second before
-// what the silent one missed must be known, which is 2 s after its wait, or 6 s after its start without a wait. Half a second
-// is also left to a response that the agent holds back for as long as it may.
+// TestSilentQueryLeavesTimeForAnother checks that after an unanswered query the next one is due at least 500 ms before the changes that
+// were missed must be known: 2 s after the end of a blocking query's wait, or 6 s after the start of a query that does not block. It also
+// checks that a query's timeout leaves 500 ms for the response after the wait and the sixteenth of it that an agent may add.
 func TestSilentQueryLeavesTimeForAnother(t *testing.T) {
 	for _, agents := range []int{1, 2} {
 		for _, index := range []uint64{0, 7} {
-			for _, wait := range []float64{200, 5000, 20000, 60000, 600000} {
+			for _, waitMs := range []float64{200, 5000, 20000, 60000, 600000} {
 				for _, draw := range []float64{0, 0.5, 0.999} {
-					w := NewWatch(agents, wait, 0, func() float64 { return draw })
+					watch := NewWatch(agents, waitMs, 0, func() float64 { return draw })
 					now := 1e6
 					if index > 0 {
-						query, at := w.Next(now)
-						w.HandleResponse(at, query, Response{Status: 200, Index: index})
+						query, at := watch.Next(now)
+						watch.HandleResponse(at, query, Response{Status: 200, Index: index})
 					}
 					for range 9 {
-						query, queriedAt := w.Next(now)
+						query, queriedAt := watch.Next(now)
 						deadline := queriedAt + 6000
 						if index > 0 {
 							deadline = queriedAt + query.WaitMs + 2000
-							if query.WaitMs > wait || query.TimeoutMs() < query.WaitMs+query.WaitMs/16+500 {
-								t.Fatalf("wait %v: queried for %v, given up after %v", wait, query.WaitMs, query.TimeoutMs())
+							if query.WaitMs > waitMs || query.TimeoutMs() < query.WaitMs+query.WaitMs/16+500 {
+								t.Fatalf("wait %v ms: query waits for %v ms, times out after %v ms", waitMs, query.WaitMs, query.TimeoutMs())
 							}
 						}
 						now = queriedAt + query.TimeoutMs()
-						w.HandleResponse(now, query, Response{Err: errors.New("no answer")})
-						if next, at := w.Next(now); at+500+timerDelay(query) > deadline || next.Index != index || agents > 1 && next.Agent == query.Agent {
-							t.Fatalf("%d agents, index %d, wait %v: %+v is due %v ms before what was missed must be known", agents, index, wait, next, deadline-at)
+						watch.HandleResponse(now, query, Response{Err: errors.New("no answer")})
+						if next, at := watch.Next(now); at+500+timerDelay(query) > deadline || next.Index != index || agents > 1 && next.Agent == query.Agent {
+							t.Fatalf("%d agents, index %d, wait %v ms: %+v is due %v ms before the missed changes must be known", agents, index, waitMs, next, deadline-at)
 						}
 					}
 				}
@@ -43,40 +43,42 @@
 	}
 }
 
-// timerDelay is how late timers may be on a busy machine before the query after a silent poll has less than half a second. After a query that
-// may not wait, the pause ends at a drawn time before that.
-func timerDelay(q Query) float64 {
-	if q.Index == 0 {
+// timerDelay is how late timers may fire on a busy machine while the query after an unanswered blocking one still has 500 ms. After a
+// query that does not block it is 0, as the pause ends at a random time before its upper bound.
+func timerDelay(query Query) float64 {
+	if query.Index == 0 {
 		return 0
 	}
 	return 150
 }
 
-// TestSilentQueryOnTheWireIsReplaced checks the same over HTTP, with the default wait: an agent that never answers is queried
-// again within 1.5 s after the wait.
+// TestSilentQueryOnTheWireIsReplaced checks over HTTP, with the default wait, that an agent that never answers is queried again within
+// 1.5 s after the wait.
 func TestSilentQueryOnTheWireIsReplaced(t *testing.T) {
 	t.Parallel()
 	type poll struct {
-		wait time.Duration // of the query; 0 for an answer at once
+		wait time.Duration // of the query; 0 if it does not block
 		at   time.Time
 	}
 	polls := make(chan poll, 100)
-	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
+	agent := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		wait, _ := time.ParseDuration(request.URL.Query().Get("wait"))
 		polls <- poll{wait, time.Now()}
 		if wait > 0 {
-			<-r.Context().Done()
+			<-request.Context().Done()
 			return
 		}
-		w.Header().Set("X-Consul-Index", "7")
-		_, _ = w.Write([]byte("[]"))
+		writer.Header().Set("X-Consul-Index", "7")
+		_, _ = writer.Write([]byte("[]"))
 	}))
 	t.Cleanup(agent.Close)
-	startWatch(t, 0, func(o *Options) { o.Agents, o.WaitMs = []string{agent.Listener.Addr().String()}, 20000 })
+	startWatch(t, 0, func(options *Options) {
+		options.Agents, options.WaitMs = []string{agent.Listener.Addr().String()}, 20000
+	})
 	<-polls
 	silent := <-polls
 	if silent.wait == 0 {
-		t.Fatal("the second query does not wait")
+		t.Fatal("the second query does not block")
 	}
 	const answer = 500 * time.Millisecond
 	select {
@@ -87,28 +89,28 @@
 	}
 }
 
-// TestNextQueryMeetsTheDeadline checks that the next query begins early enough after failures of all kinds, however often they
-// come: what an agent has must be known 6 s after it could be reached.
+// TestNextQueryMeetsTheDeadline checks that after any kind of failure, however often repeated, the next query begins early enough: an
+// agent's instances must be known 6 s after the agent became reachable.
 func TestNextQueryMeetsTheDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer Response
-		took   float64
+		response Response
+		tookMs   float64
 	}{
-		"refused at once":          {Response{Err: errors.New("refused")}, 1},
-		"hung":                     {Response{Err: errors.New("no answer")}, Query{}.TimeoutMs()},
-		"failed after a while":     {Response{Status: 500}, 2500},
-		"denied":                   {Response{Status: 403}, 10},
-		"asked to come back later": {Response{Status: 429, RetryAfterMs: 60000}, 10},
+		"refused at once":      {Response{Err: errors.New("refused")}, 1},
+		"timed out":            {Response{Err: errors.New("no answer")}, Query{}.TimeoutMs()},
+		"failed after a while": {Response{Status: 500}, 2500},
+		"denied":               {Response{Status: 403}, 10},
+		"asked to retry later": {Response{Status: 429, RetryAfterMs: 60000}, 10},
 	} {
 		for _, agents := range []int{1, 2} {
 			for _, draw := range []float64{0, 0.5, 0.999} {
-				w := NewWatch(agents, 60000, 0, func() float64 { return draw })
+				watch := NewWatch(agents, 60000, 0, func() float64 { return draw })
 				now := 1e6
 				for range 20 {
-					query, queriedAt := w.Next(now)
-					now = queriedAt + c.took
-					w.HandleResponse(now, query, c.answer)
-					if _, next := w.Next(now); next+500 > queriedAt+6000 {
+					query, queriedAt := watch.Next(now)
+					now = queriedAt + c.tookMs
+					watch.HandleResponse(now, query, c.response)
+					if _, next := watch.Next(now); next+500 > queriedAt+6000 {
 						t.Fatalf("%s, %d agents: the next query begins %v ms after this one", name, agents, next-queriedAt)
 					}
 				}
--- a/internal/endpoints/consul/source.go
+++ b/internal/endpoints/consul/source.go
@@ -1,9 +1,9 @@
 // Package consul watches services in Consul's catalogue and health API, over several agents, by blocking queries, and reports
 // their instances as servers.
 //
-// Each service has a goroutine that queries, reads and compares; the event loop receives only the changes. Watch holds the
-// decisions (which agent to query when, whether to accept a response) and does no I/O. While no agent answers, the source
-// reports that it is lost once, and keeps trying.
+// Each service has a goroutine that sends the queries, parses the responses and compares them; the event loop receives only the
+// changes. Watch makes the decisions (which agent to query and when, whether to accept a response) and does no I/O. When no agent
+// answers any more, the source reports once that it is lost, and keeps trying.
 package consul
 
 import (
@@ -23,11 +23,11 @@
 
 // Options configure a Source. Times are in milliseconds.
 type Options struct {
-	Name             string // as the reconciler knows the source
-	Agents           []string
+	Name             string      // of the source, in the reconciler's settings
+	Agents           []string    // addresses
 	TLS              *tls.Config // nil for plain HTTP
 	Services         []string
-	CatalogOnly      bool // query the catalogue, which has no health
+	CatalogOnly      bool // query the catalogue API, which reports no health
 	Datacenter       string
 	Namespace        string
 	Partition        string
@@ -37,7 +37,7 @@
 	WaitMs           float64 // of blocking queries; at most maxWaitMs is used
 	MaxResponseBytes int64
 	Mapping          Mapping
-	Seed             uint64 // of the jitter
+	Seed             uint64 // of the random jitter
 }
 
 // Sink receives what a Source observes. Its methods are called one at a time, on the event loop.
@@ -47,7 +47,8 @@
 	Note(source string, kind reconcile.DecisionKind, reason string)
 }
 
-// Source watches services. Its methods may be called from any goroutine, but for SetToken, Start and Stop, which have one caller.
+// Source watches services. Its methods may be called from any goroutine, except that SetToken, Start and Stop must not be called
+// concurrently.
 type Source struct {
 	options      Options
 	post         func(func())
@@ -59,7 +60,7 @@
 	now          func() float64
 	cancel       context.CancelFunc
 	wg           sync.WaitGroup
-	bytesRead    atomic.Int64 // of responses
+	bytesRead    atomic.Int64 // of response bodies
 
 	mu          sync.Mutex
 	unreachable map[string]bool // services for which no agent answers
@@ -75,7 +76,8 @@
 	writeBufferBytes     = 4 << 10
 )
 
-// New returns a source that Start has watch. post runs a function on the event loop, now is that loop's clock in ms.
+// New returns a source that watches its services once Start is called. post runs a function on the event loop, and now returns that
+// loop's time in ms.
 func New(options Options, post func(func()), now func() float64, sink Sink, log *slog.Logger) *Source {
 	s := &Source{
 		options:     options,
@@ -107,7 +109,7 @@
 	}
 }
 
-// SetToken sets the token of the queries from now on, and has those that are backing off sent again.
+// SetToken sets the token of the next queries. If it differs from the previous token, watchers that are pausing query again at once.
 func (s *Source) SetToken(token string) {
 	token = strings.TrimSpace(token)
 	if previous := s.token.Swap(&token); *previous == token {
@@ -144,7 +146,7 @@
 	}
 }
 
-// Stop ends the watchers, and returns once they have ended.
+// Stop stops the watchers, and returns when they have ended.
 func (s *Source) Stop() {
 	if s.cancel != nil {
 		s.cancel()
@@ -153,10 +155,10 @@
 	}
 }
 
-// BytesRead is the number of bytes of responses read so far.
+// BytesRead returns how many bytes of response bodies were read so far.
 func (s *Source) BytesRead() int64 { return s.bytesRead.Load() }
 
-// setUnreachable notes that no agent answers for a service, and reports whether that holds for all services.
+// setUnreachable records that no agent answers for a service, and reports whether this is now so for all services.
 func (s *Source) setUnreachable(service string) (all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +166,7 @@
 	return len(s.unreachable) == len(s.options.Services)
 }
 
-// setReported notes that a service was reported, and reports whether others have not been yet.
+// setReported records that a service was reported, and returns whether other services have not been reported yet.
 func (s *Source) setReported(service string) (moreToCome bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/endpoints/consul/watch.go
+++ b/internal/endpoints/consul/watch.go
@@ -8,71 +8,72 @@
 
 // Query is the next query to an agent.
 type Query struct {
-	Agent  int     // index into the agents
-	Index  uint64  // of the last response; 0 has the agent answer at once
-	WaitMs float64 // for which the agent may hold the answer back
+	Agent  int     // position in the list of agents
+	Index  uint64  // X-Consul-Index of the last response; with 0 the agent answers at once
+	WaitMs float64 // how long the agent may delay its answer to a blocking query
 }
 
-// Response is the outcome of a query, but for the instances.
+// Response is the outcome of a query, without the instances.
 type Response struct {
-	Status        int // 0 where there was none
+	Status        int // HTTP status; 0 if there was no response
 	Index         uint64
-	Leaderless    bool    // the agent knows no leader
-	LastContactMs float64 // since the answering server last heard from its leader
-	RetryAfterMs  float64 // that the agent asks for
-	Err           error   // there was no response, or it could not be read
+	Leaderless    bool    // the answering server knows no leader
+	LastContactMs float64 // time since the answering server last heard from its leader
+	RetryAfterMs  float64 // pause that the agent asks for
+	Err           error   // why there was no response, or why it could not be read
 }
 
-// Result says what to do with a response.
+// Result is the decision on a response.
 type Result struct {
-	Accepted bool
+	Accepted bool    // the instances of the response are to be used
 	AgeMs    float64 // of the accepted instances
-	Reason   string  // why it is not accepted, or something else worth a note; empty for nothing
+	Reason   string  // why the response is rejected, or a remark on an accepted one; may be empty
 }
 
-// Bounds of the pauses between queries, in milliseconds.
+// Bounds of the pauses between queries and of the queries themselves, in milliseconds.
 const (
-	minBackoffMs         = 200
-	maxBackoffMs         = 30000
-	maxBackoffDoublings  = 10
-	deniedBackoffMs      = 5000
-	minQueryIntervalMs   = 50  // between accepted responses: an index may run
-	laggingPauseMs       = 500 // before the next query after a response that lags
-	maxLaggingResponses  = 4   // an index that is behind so often counts as reset
-	noIndexPauseMs       = 1000
-	minPauseMs           = 100 // after a failed query that has waited
-	immediateTimeoutMs   = 5000
-	jitterBelowPart      = 0.2 // a bounded pause is drawn from this last part of its bound
-	minJitter, jitterGap = 0.75, 0.5
-
-	// What an agent has must reach the list within notificationDeadlineMs after the agent could be reached, whatever it answered
-	// before; the next query takes responseTimeMs of that.
+	minBackoffMs           = 200
+	maxBackoffMs           = 30000
+	maxBackoffDoublings    = 10
+	deniedBackoffMs        = 5000      // minimum backoff after status 403
+	minQueryIntervalMs     = 50        // after an accepted response, as an index may advance continuously
+	laggingPauseMs         = 500       // after a response whose index is behind
+	maxLaggingResponses    = 4         // number of responses in a row with a lower index that count as a reset of the index
+	noIndexPauseMs         = 1000      // after a response without an index, or a stale one that was accepted
+	minPauseBoundMs        = 100       // lowest upper bound of a pause, which applies after a query that timed out
+	immediateTimeoutMs     = 5000      // of a query that does not block
+	boundedJitterFraction  = 0.2       // a pause with an upper bound is drawn from this last fraction of the bound
+	minJitter, jitterRange = 0.75, 0.5 // other pauses are multiplied by 0.75 to 1.25
+
+	// An agent's current instances must reach the list within notificationDeadlineMs after the agent became reachable, whatever it
+	// answered before. Of that time, responseTimeMs are reserved for the response to the next query.
 	notificationDeadlineMs = 6000
 	responseTimeMs         = 500
 
-	// What a silent query misses must reach the list within 2 s after its wait. A query is given up pollGraceMs after its wait; the pause
-	// after it takes minPauseMs, late timers up to 150 ms, and the next response responseTimeMs. Agents add up to a sixteenth of the
-	// wait, hence maxWaitMs: 625 ms of pollGraceMs are left to the response itself.
+	// Changes that are missed by an unanswered query must reach the list within 2 s after its wait. A query times out pollGraceMs
+	// after its wait; the pause after it takes up to minPauseBoundMs, late timers up to 150 ms, and the next response responseTimeMs.
+	// Agents extend the wait by up to a sixteenth. maxWaitMs keeps that to 625 ms, so that 625 ms of pollGraceMs are left for the
+	// response itself.
 	pollGraceMs = 1250
 	maxWaitMs   = 10000
 )
 
-// Watch decides how one service is watched over several agents: which agent to query when, and whether to accept the response.
-// It does no I/O and has no clock.
+// Watch decides how one service is watched over several agents: which agent to query and when, and whether to accept the response.
+// It does no I/O and reads no clock.
 type Watch struct {
-	waitMs             float64
-	maxStaleMs         float64
-	random             func() float64
-	agents             []agentState
-	current            int // the agent to prefer
-	index              uint64
-	indexAgent         int // the agent that the index is of, -1 for none
-	nextQueryAt        float64
-	queriedAt          float64 // when the last query is, or was, due
-	laggingResponses   int     // in a row
-	untrustedResponses int     // in a row, not accepted since other agents may know better
-	failures           int     // in a row, over all agents
-	unreachable        bool
+	waitMs           float64
+	maxStaleMs       float64
+	random           func() float64
+	agents           []agentState
+	current          int     // position of the preferred agent
+	index            uint64  // for the next query
+	indexAgent       int     // position of the agent that sent the last accepted index, -1 for none
+	nextQueryAt      float64 // earliest time of the next query, for all agents
+	queriedAt        float64 // when the last query was due
+	laggingResponses int     // responses in a row with a lower index
+	staleResponses   int     // stale responses in a row that were rejected
+	failures         int     // failed queries in a row, over all agents
+	unreachable      bool    // BecameUnreachable has reported that no agent answers
 }
 
 type agentState struct {
@@ -80,8 +81,9 @@
 	backoffUntil float64
 }
 
-// NewWatch returns a watch over so many agents, with queries that wait for waitMs, or maxWaitMs if that is less. Responses of servers
-// that last heard from their leader over maxStaleMs ago are not accepted while another agent may know better. random draws from 0 to 1.
+// NewWatch returns a watch over the given number of agents. Its blocking queries wait for waitMs, or for maxWaitMs if that is less.
+// Responses of servers that last heard from their leader over maxStaleMs ago are not accepted while another agent may have newer data.
+// random returns a number from 0 to 1.
 func NewWatch(agents int, waitMs, maxStaleMs float64, random func() float64) *Watch {
 	return &Watch{
 		waitMs:     min(waitMs, maxWaitMs),
@@ -107,7 +109,7 @@
 	return Query{Agent: best, Index: w.index, WaitMs: w.waitMs}, bestAt
 }
 
-// TimeoutMs is how long a response may take. It leaves time to query another agent, should this one be silent.
+// TimeoutMs is how long a response may take. It leaves time to query another agent if this one does not answer.
 func (q Query) TimeoutMs() float64 {
 	if q.Index == 0 {
 		return immediateTimeoutMs
@@ -115,15 +117,15 @@
 	return q.WaitMs + pollGraceMs
 }
 
-// HandleResponse takes the response to a query.
+// HandleResponse decides on the response to a query, and updates the state from which Next makes the next query.
 func (w *Watch) HandleResponse(now float64, query Query, response Response) Result {
 	if response.Err != nil || response.Status != http.StatusOK {
 		return w.handleFailure(now, query, response)
 	}
 	agent := &w.agents[query.Agent]
 	stale := w.isStale(response)
-	allUntrusted := w.untrustedResponses >= len(w.agents)-1
-	if stale && !allUntrusted {
+	allOthersStale := w.staleResponses >= len(w.agents)-1
+	if stale && !allOthersStale {
 		return w.rejectStale(now, agent, response)
 	}
 	*agent = agentState{}
@@ -136,13 +138,13 @@
 		}
 		w.nextQueryAt = now + w.jitter(noIndexPauseMs)
 	}
-	w.untrustedResponses = 0
+	w.staleResponses = 0
 	if response.Index >= w.index {
 		w.index = response.Index
 	} else {
 		w.laggingResponses++
 		if w.laggingResponses < maxLaggingResponses && query.Agent != w.indexAgent {
-			// The other agent may lag; its list would bring back what was removed.
+			// This agent may lag behind the one that sent the index; its list would bring back removed instances.
 			w.nextQueryAt = now + w.jitter(laggingPauseMs)
 			return Result{Reason: fmt.Sprintf("its index is %d, after %d from another agent: it lags, or all began anew", response.Index, w.index)}
 		}
@@ -150,7 +152,7 @@
 		w.index = 0
 	}
 	w.laggingResponses, w.indexAgent = 0, query.Agent
-	if response.Index == 0 { // the next query will not block: there must be a pause
+	if response.Index == 0 { // the next query does not block, so there must be a pause
 		w.index = 0
 		w.nextQueryAt = now + w.jitter(noIndexPauseMs)
 	}
@@ -158,14 +160,14 @@
 	return result
 }
 
-// isStale reports whether a response may be older than what other agents have.
+// isStale reports whether other agents may have newer data than a response.
 func (w *Watch) isStale(response Response) bool {
 	return response.Leaderless || w.maxStaleMs > 0 && response.LastContactMs > w.maxStaleMs
 }
 
-// rejectStale has another agent queried after a stale response.
+// rejectStale rejects a stale response, and switches to the next agent.
 func (w *Watch) rejectStale(now float64, agent *agentState, response Response) Result {
-	w.untrustedResponses++
+	w.staleResponses++
 	agent.backoffUntil = now + w.jitter(minBackoffMs)
 	w.current = (w.current + 1) % len(w.agents)
 	reason := "the agent knows no leader"
@@ -175,7 +177,7 @@
 	return Result{Reason: reason + "; another is asked"}
 }
 
-// handleFailure has an agent back off, and the next one queried.
+// handleFailure lets an agent back off, and switches to the next one.
 func (w *Watch) handleFailure(now float64, query Query, response Response) Result {
 	agent := &w.agents[query.Agent]
 	agent.failures++
@@ -190,16 +192,16 @@
 		pause = max(pause, deniedBackoffMs)
 	}
 	elapsed := now - w.queriedAt
-	maxPause := max(minPauseMs, notificationDeadlineMs-responseTimeMs-elapsed)
-	if query.Index > 0 && elapsed >= query.TimeoutMs() { // given up without a response
-		maxPause = minPauseMs
+	maxPause := max(minPauseBoundMs, notificationDeadlineMs-responseTimeMs-elapsed)
+	if query.Index > 0 && elapsed >= query.TimeoutMs() { // timed out without a response
+		maxPause = minPauseBoundMs
 	}
 	agent.backoffUntil = now + min(max(w.jitter(pause), response.RetryAfterMs), w.jitterBelow(maxPause))
 	w.current = (w.current + 1) % len(w.agents)
 	return Result{Reason: reason}
 }
 
-// BecameUnreachable reports, once, that no agent has answered: as many queries as there are agents and one more have failed.
+// BecameUnreachable reports, once, that no agent answers: more queries in a row have failed than there are agents.
 func (w *Watch) BecameUnreachable() bool {
 	if w.unreachable || w.failures <= len(w.agents) {
 		return false
@@ -208,16 +210,16 @@
 	return true
 }
 
-// ResetBackoff has all agents queried again at once.
+// ResetBackoff ends all pauses, so that the next query is due at once.
 func (w *Watch) ResetBackoff() {
 	clear(w.agents)
 	w.nextQueryAt = 0
 }
 
-// jitterBelow spreads a pause over the last part of its bound.
+// jitterBelow draws a pause from the last fraction of its upper bound.
 func (w *Watch) jitterBelow(ms float64) float64 {
-	return ms * (1 - jitterBelowPart + jitterBelowPart*w.random())
+	return ms * (1 - boundedJitterFraction + boundedJitterFraction*w.random())
 }
 
-// jitter spreads a pause around its length.
-func (w *Watch) jitter(ms float64) float64 { return ms * (minJitter + jitterGap*w.random()) }
+// jitter spreads a pause around the given length.
+func (w *Watch) jitter(ms float64) float64 { return ms * (minJitter + jitterRange*w.random()) }
--- a/internal/endpoints/consul/watcher.go
+++ b/internal/endpoints/consul/watcher.go
@@ -10,22 +10,22 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-// repeatedNoteMs is the least time between two notes of the same reason.
+// repeatedNoteMs is the minimum time between two notes with the same reason.
 const repeatedNoteMs = 10000
 
-// watcher watches one service on a goroutine of its own.
+// watcher watches one service, on a goroutine of its own.
 type watcher struct {
 	source           *Source
 	service          string
 	plan             *Watch
 	retrySignal      chan struct{}
-	lastObservations map[string]reconcile.Observation
-	lastUnusable     string // the last note on instances that cannot be used
-	lastReason       string // of the last other note
+	lastObservations map[string]reconcile.Observation // by id, from the last accepted response
+	lastUnusable     string                           // reason of the last note on unusable instances
+	lastReason       string                           // reason of the last other note
 	lastReasonAt     float64
 }
 
-// run queries until ctx ends.
+// run sends queries until ctx ends.
 func (w *watcher) run(ctx context.Context) {
 	for {
 		now := w.source.now()
@@ -52,7 +52,7 @@
 	}
 }
 
-// sleep waits, and reports whether to retry at once instead. It is not ok once ctx has ended.
+// sleep waits for waitMs. retry is true if the wait was interrupted to retry at once; ok is false if ctx has ended.
 func (w *watcher) sleep(ctx context.Context, waitMs float64) (retry, ok bool) {
 	timer := time.NewTimer(milliseconds(waitMs))
 	defer timer.Stop()
@@ -68,7 +68,7 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// note passes on why a response was not accepted, and that no agent answers any more.
+// note logs and passes on the reason of a result, and passes on that no agent answers any more.
 func (w *watcher) note(query Query, result Result) {
 	s := w.source
 	name, agent := s.options.Name, s.options.Agents[query.Agent]
@@ -76,7 +76,7 @@
 	repeated := result.Reason == w.lastReason && now-w.lastReasonAt <= repeatedNoteMs
 	if result.Reason != "" && !repeated {
 		w.lastReason, w.lastReasonAt = result.Reason, now
-		s.log.Info("consul", "service", w.service, "agent", agent, "reason", result.Reason)
+		s.log.Info("problem with a Consul query", "service", w.service, "agent", agent, "reason", result.Reason)
 		s.post(func() { s.sink.Note(name, reconcile.Rejected, w.service+" at "+agent+": "+result.Reason) })
 	}
 	if !w.plan.BecameUnreachable() {
@@ -89,7 +89,7 @@
 	}
 }
 
-// reportChanges compares a response with the last one, and reports the changes.
+// reportChanges compares the instances of a response with those of the last one, and reports the changes.
 func (w *watcher) reportChanges(instances []Instance, ageMs float64) {
 	s := w.source
 	report := &reconcile.Report{AgeMs: ageMs, MoreToCome: s.setReported(w.service)}
@@ -112,8 +112,9 @@
 	s.post(func() { s.sink.Observe(s.options.Name, report) })
 }
 
-// observations maps instances to servers, by id. Where several have one id, the one that started last counts, or else the one
-// that counted before; the others go into the report as well, so that the conflict is seen.
+// observations maps instances to observations of servers, by id. If several instances have the same id, the one that started last
+// is used or, if they started at the same time, the one at the address used before. The others are added to the report as well, so that
+// the reconciler sees the conflict.
 func (w *watcher) observations(instances []Instance, report *reconcile.Report) map[string]reconcile.Observation {
 	current := make(map[string]reconcile.Observation, len(instances))
 	unusable, example := 0, ""
@@ -137,7 +138,7 @@
 	return current
 }
 
-// precedes reports whether an observation counts rather than a later one in the response with the same id.
+// precedes reports whether an observation takes precedence over one with the same id that is later in the response.
 func (w *watcher) precedes(observation, later reconcile.Observation) bool {
 	if observation.StartedAtMs != later.StartedAtMs {
 		return observation.StartedAtMs > later.StartedAtMs
@@ -145,13 +146,13 @@
 	return w.lastObservations[later.ID].Address == observation.Address
 }
 
-// noteUnusable passes on that instances cannot be used, unless that was the last such note.
+// noteUnusable logs and passes on that instances cannot be used, unless the last such note had the same reason.
 func (w *watcher) noteUnusable(reason string) {
 	if reason == w.lastUnusable {
 		return
 	}
 	w.lastUnusable = reason
 	s := w.source
-	s.log.Warn("consul", "reason", reason)
+	s.log.Warn("Consul instances cannot be used", "reason", reason)
 	s.post(func() { s.sink.Note(s.options.Name, reconcile.Rejected, reason) })
 }
