--- a/internal/endpoints/reconcile/api.go
+++ b/internal/endpoints/reconcile/api.go
@@ -1,9 +1,9 @@
 package reconcile
 
-// Health is the health of a server as a source observes it.
+// Health is the health of a server as reported by a source.
 type Health uint8
 
-// The healths, as Consul distinguishes them, from good to bad.
+// The states of health that Consul distinguishes, from good to bad.
 const (
 	Passing Health = iota
 	Warning
@@ -11,12 +11,12 @@
 	Maintenance // of the service or its node: the server drains
 )
 
-// String is the name of the health, as Consul writes it.
+// String returns Consul's name of the health.
 func (h Health) String() string {
 	return [...]string{"passing", "warning", "critical", "maintenance"}[h]
 }
 
-// Role is the role of a server in its group, as a source or the server itself reports it.
+// Role is the role of a server in its group, as reported by a source or by the server itself.
 type Role uint8
 
 // The roles.
@@ -26,10 +26,10 @@
 	Replica
 )
 
-// String is the name of the role.
+// String returns the name of the role.
 func (r Role) String() string { return [...]string{"unknown", "primary", "replica"}[r] }
 
-// Observation is what one source reports of one server.
+// Observation is what one source reports about one server.
 type Observation struct {
 	ID          string
 	Address     string
@@ -44,15 +44,15 @@
 
 // Report is one message of a source.
 type Report struct {
-	Full         bool // Observations are all that the source has; otherwise the changes since its last report
+	Full         bool // Observations are all servers of the source; otherwise they are the changes since its last report
 	Observations []Observation
 	Removed      []string // ids of servers
-	Generation   int64    // 0 where the source has none
-	AgeMs        float64  // how old the source itself calls the report
-	MoreToCome   bool     // further reports follow until the source has reported all that it has
+	Generation   int64    // 0 if the source has no generations
+	AgeMs        float64  // age of the report according to the source
+	MoreToCome   bool     // the source has not reported all its servers yet, and further reports follow
 }
 
-// State is the state of a server in the endpoint list. Its numbers are stored and recorded.
+// State is the state of a server in the endpoint list. Its numeric values are stored and recorded.
 type State uint8
 
 // The states.
@@ -62,10 +62,10 @@
 	StateRemoved
 )
 
-// String is the name of the state, as decisions have it.
+// String returns the name of the state in decisions.
 func (s State) String() string { return [...]string{"serving", "draining", "gone"}[s] }
 
-// Entry is one server of the endpoint list. Snapshots store it, hence the tags.
+// Entry is one server of the endpoint list. It is stored in snapshots under the keys of its tags.
 type Entry struct {
 	ID          string  `json:"ID"`
 	Address     string  `json:"Address"`
@@ -78,13 +78,13 @@
 	Primary     bool    `json:"Primary"`
 }
 
-// SelfReport is what a server reports of itself, in a response to a request or to a health check.
+// SelfReport is what a server reports about itself in a response to a request or to a health check.
 type SelfReport struct {
 	Role     Role
-	Position float64 // of its data; 0 where it reports none
+	Position float64 // of its data; 0 if it reports none
 }
 
-// DecisionKind says what a decision is about. Its texts are logged and recorded.
+// DecisionKind is the kind of a decision. Its text is logged and recorded.
 type DecisionKind string
 
 // The kinds of decisions.
@@ -112,29 +112,29 @@
 
 // Decision is a decision with its reason, for logs and records.
 type Decision struct {
-	AtMs   float64 // ms
+	AtMs   float64 // time of the decision
 	Kind   DecisionKind
 	Server string // id in the list; empty where the decision is about a source
 	Group  int
-	Source string // whose report was followed or rejected; empty for none
+	Source string // the source whose report was followed or rejected; empty for none
 	Reason string
 }
 
-// CriticalPolicy says what a critical health check means for a server.
+// CriticalPolicy says how a server whose health is Critical is used.
 type CriticalPolicy uint8
 
 // The policies.
 const (
 	CriticalUseIfResponding CriticalPolicy = iota // the server is used as long as it responds
-	CriticalDrain                                 // the server drains, unless most of its group is critical
+	CriticalDrain                                 // the server drains, unless over MassRemovalFraction of its group is critical
 	CriticalIgnore                                // the server is used
 )
 
-// Settings configure a Reconciler. Times are in milliseconds. A time or number of 0 switches its rule off.
+// Settings configure a Reconciler. Times are in milliseconds. A time or number of 0 disables its rule.
 type Settings struct {
-	Sources           []string // by rank: where sources contradict each other, the first wins
-	SourceRetentionMs float64  // a source that is lost counts for so long; 0 for ever
-	StaleAgeMs        float64  // a report that its source calls older than this counts only where there is no other
+	Sources           []string // by rank: if sources contradict each other, the first wins
+	SourceRetentionMs float64  // how long the observations of a lost source count; 0 for no limit
+	StaleAgeMs        float64  // reports older than this, by their AgeMs, count only for servers that no other report contains
 
 	// A source that removes MassRemovalFraction of its servers, and at least MassRemovalMinimum, within MassRemovalWindowMs
 	// has its removals held back for MassRemovalHoldMs; 0 holds them back until the operators accept them.
@@ -148,13 +148,13 @@
 	FlapWindowMs  float64
 	FlapHoldMs    float64
 
-	SelfReportTTLMs float64 // a self-report counts above all sources for so long
+	SelfReportTTLMs float64 // how long a self-report takes precedence over all sources
 	Critical        CriticalPolicy
 
-	TrustSourceRoles bool // sources' roles count above self-reports; for tests of the checks, off otherwise
+	TrustSourceRoles bool // sources' roles take precedence over self-reports; only set to test the checks
 }
 
-// Defaults returns the settings of an installation that sets nothing but its sources.
+// Defaults returns the default settings for the given sources.
 func Defaults(sources ...string) Settings {
 	return Settings{
 		Sources:             sources,
@@ -170,13 +170,13 @@
 	}
 }
 
-// Pin fixes the state of a server, whatever sources report.
+// Pin fixes the state of a server, whatever the sources report.
 type Pin struct {
 	ID    string
 	State State
 }
 
-// Override holds the operators' instructions, which count above all sources.
+// Override holds the operators' instructions, which take precedence over all sources.
 type Override struct {
 	AcceptHeldRemovals bool // accept the removals that are held back now
 	Pins               []Pin
--- a/internal/endpoints/reconcile/entries.go
+++ b/internal/endpoints/reconcile/entries.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// updateEntry publishes the entry of a server, unless it flaps or stands for a process that is listed under another id.
+// updateEntry publishes the proposed entry of a server. A flapping server is drained, and a server whose process is listed under
+// another id is removed.
 func (r *Reconciler) updateEntry(server *serverState, proposed proposal) {
 	r.trackStateChange(server, proposed.State)
 	r.holdFlapping(server, &proposed)
@@ -37,7 +38,7 @@
 	}
 }
 
-// trackStateChange notes when the state that follows from the sources changes. The first one of a new server is no change.
+// trackStateChange records when the state according to the sources changes. The first state of a new server is not a change.
 func (r *Reconciler) trackStateChange(server *serverState, state State) {
 	if state != server.sourceState {
 		if server.listed || server.sourceState != StateRemoved || len(server.stateChanges) > 0 {
@@ -48,7 +49,7 @@
 	server.stateChanges = slices.DeleteFunc(server.stateChanges, func(at float64) bool { return r.now-at > r.settings.FlapWindowMs })
 }
 
-// holdFlapping has a server that flaps drain until it is stable.
+// holdFlapping drains a server that flaps until it is stable.
 func (r *Reconciler) holdFlapping(server *serverState, proposed *proposal) {
 	if r.isFlapping(server) {
 		if server.flappingUntil == 0 {
@@ -70,7 +71,7 @@
 	}
 }
 
-// isFlapping reports whether a server changes its state too often. One that the operators pin to serving never does.
+// isFlapping reports whether a server changes its state too often. A server that the operators have pinned to serving never flaps.
 func (r *Reconciler) isFlapping(server *serverState) bool {
 	if pin, ok := r.pins[server.id]; ok && pin == StateServing {
 		return false
@@ -78,10 +79,10 @@
 	return r.settings.FlapThreshold > 0 && len(server.stateChanges) >= r.settings.FlapThreshold
 }
 
-// recordChange adds the decisions that an entry about to be published stands for.
+// recordChange adds the decisions that describe the change to an entry that is about to be published.
 func (r *Reconciler) recordChange(server *serverState, proposed *proposal) {
 	previous := server.entry
-	server.entry.Group = proposed.Group // for the decisions' group
+	server.entry.Group = proposed.Group // so that addDecision uses the new group
 	decidedBy, reason := proposed.decidedBy, proposed.reason
 	stateChanged := proposed.State != previous.State
 	switch {
@@ -123,7 +124,7 @@
 		}
 	}
 	if report := r.selfReports[entry.Address]; report != nil && entry.StartedAtMs > report.processStartedAtMs {
-		*report = selfReportState{processStartedAtMs: entry.StartedAtMs} // another process, which has reported nothing yet
+		*report = selfReportState{processStartedAtMs: entry.StartedAtMs} // a new process, which has not reported yet
 	}
 	server.listed, server.entry = entry.State != StateRemoved, *entry
 	if !server.listed {
@@ -144,8 +145,8 @@
 	group.members[server.id] = server
 }
 
-// removeFromIndexes removes a server from the indexes by id and address. Ids that were not listed because of its address are
-// reconciled anew.
+// removeFromIndexes removes a server from the indexes by id and address. Ids that were not listed because this server had their
+// address are marked for reconciliation.
 func (r *Reconciler) removeFromIndexes(server *serverState) {
 	if r.listedByID[server.entry.ID] == server {
 		delete(r.listedByID, server.entry.ID)
@@ -164,14 +165,15 @@
 	delete(r.duplicates, address)
 }
 
-// transferEntry transfers the entry of a server that its source has removed to another id, where the same process is now
-// registered under that: it keeps its id in the list, and readers of the list see no change. It reports whether it did.
+// transferEntry transfers the entry of a server that its source has removed to another id, if the same process is now registered
+// under that id. The process keeps its id in the list, so that readers of the list see no change. It reports whether an entry was
+// transferred.
 func (r *Reconciler) transferEntry(server *serverState) bool {
 	previous := server.entry
 	candidates := append(sortedKeys(r.dirty), r.duplicates[previous.Address]...)
 	for _, id := range candidates {
 		other := r.servers[id]
-		if other == nil || other == server || other.listed || !r.continues(other, &previous) {
+		if other == nil || other == server || other.listed || !r.describesProcess(other, &previous) {
 			continue
 		}
 		r.addDecision(DuplicateAddress, server, "", "its process at %s is registered as %s now; it keeps its name here", previous.Address, other.id)
@@ -189,18 +191,18 @@
 	return false
 }
 
-// continues reports whether the selected observation of a server is of the process that an entry stands for.
-func (r *Reconciler) continues(server *serverState, entry *Entry) bool {
+// describesProcess reports whether the selected observation of a server describes the process of an entry.
+func (r *Reconciler) describesProcess(server *serverState, entry *Entry) bool {
 	selected := r.selectSource(server)
 	observation := selected.observation
 	if observation == nil || observation.removed || !r.sourceCounts(selected.source) {
 		return false
 	}
-	samePlace := observation.Address == entry.Address && observation.Group == entry.Group
-	return samePlace && observation.StartedAtMs <= entry.StartedAtMs
+	samePlacement := observation.Address == entry.Address && observation.Group == entry.Group
+	return samePlacement && observation.StartedAtMs <= entry.StartedAtMs
 }
 
-// availableID is the id for a server that is new in the list: its own, or one derived from it where that is taken.
+// availableID returns the id for a server that is new in the list: its own, or one derived from it if that is taken.
 func (r *Reconciler) availableID(server *serverState) string {
 	id := server.id
 	for suffix := 2; r.listedByID[id] != nil && r.listedByID[id] != server; suffix++ {
@@ -209,15 +211,15 @@
 	return id
 }
 
-// isDuplicate reports whether the process at an entry's address is listed under another id and keeps it: it was there first,
-// and no later start is reported under this one. Otherwise the other id is removed from the list.
+// isDuplicate reports whether the address of an entry is listed under another id that keeps it, which is so unless this entry has a
+// later start time. In that case the other id is removed from the list.
 func (r *Reconciler) isDuplicate(server *serverState, entry *Entry) bool {
 	for _, other := range slices.Clone(r.listedByAddress[entry.Address]) {
 		if other == server || entry.Address == "" {
 			continue
 		}
 		if entry.StartedAtMs <= other.entry.StartedAtMs {
-			if !slices.Contains(r.duplicates[entry.Address], server.id) { // decided once
+			if !slices.Contains(r.duplicates[entry.Address], server.id) { // the decision is added only once
 				r.duplicates[entry.Address] = append(r.duplicates[entry.Address], server.id)
 				r.addDecision(DuplicateAddress, server, "", "%s has it as %s, since before", entry.Address, other.id)
 			}
@@ -233,8 +235,8 @@
 	return false
 }
 
-// discardUnknown discards the state of a server that every source has removed. Observations of a lost source are kept, as it may
-// come back with changes only, and so is the state of a server that may be flapping.
+// discardUnknown discards the state of a server that every source has removed. Observations that a lost source has not removed are
+// kept, as the source may come back with changes only, and so is the state of a server that may be flapping.
 func (r *Reconciler) discardUnknown(server *serverState) {
 	for _, observation := range server.observations {
 		if observation != nil && !observation.removed {
--- a/internal/endpoints/reconcile/harness_test.go
+++ b/internal/endpoints/reconcile/harness_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// harness is a reconciler with two sources, and the list as its changes add up to it.
+// harness is a reconciler with two sources, and the list that results from its changes.
 type harness struct {
 	t          *testing.T
 	reconciler *Reconciler
@@ -17,7 +17,7 @@
 	decisions  []Decision
 }
 
-// newHarness returns a harness with the default settings but for change, which may be nil.
+// newHarness returns a harness with the default settings. change, which may be nil, modifies them.
 func newHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
 	settings := Defaults("consul", "static")
@@ -50,7 +50,7 @@
 	return h.takeChanges()
 }
 
-// advance lets time pass and calls Tick whenever that is due.
+// advance moves the time forward and calls Tick whenever it is due. It returns the decisions made meanwhile.
 func (h *harness) advance(ms float64) []Decision {
 	end := h.now + ms
 	before := len(h.decisions)
@@ -63,7 +63,7 @@
 	return h.decisions[before:]
 }
 
-// summary is the list as a text: the state of each server, with a star for the primary.
+// summary describes the list: the state of each server, with a star for the primary.
 func (h *harness) summary() string {
 	var parts []string
 	for _, entry := range h.list {
@@ -90,7 +90,7 @@
 	for _, decision := range decisions {
 		got = append(got, decision.Kind)
 		if decision.Reason == "" || decision.AtMs == 0 {
-			h.t.Errorf("no reason or time: %+v", decision)
+			h.t.Errorf("decision without a reason or a time: %+v", decision)
 		}
 	}
 	if diff := cmp.Diff(kinds, got); diff != "" {
--- a/internal/endpoints/reconcile/invariants_test.go
+++ b/internal/endpoints/reconcile/invariants_test.go
@@ -10,9 +10,9 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// TestInvariantsOfAnySequenceOfInputs checks, after any sequence of inputs, that the changes add up to the list, no address is
-// listed twice, no group has two primaries, no primary has lately reported to be a replica, one empty report never empties the
-// list, and no server serves that a source has in maintenance.
+// TestInvariantsOfAnySequenceOfInputs checks that the following holds after any sequence of inputs: the changes add up to the list, no
+// address is listed twice, no group has two primaries, no primary has recently reported itself as a replica, a single empty report
+// does not empty the list, and no server that a source reports in maintenance is serving.
 func TestInvariantsOfAnySequenceOfInputs(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		m := newInputModel(t)
@@ -34,12 +34,12 @@
 	modelRetentionMs = 5000
 )
 
-// inputModel draws inputs, and keeps what sources and servers have reported.
+// inputModel draws the inputs, and remembers what the sources and servers have reported.
 type inputModel struct {
 	*harness
 	settings     Settings
 	observations map[string]map[string]Observation // by source and id
-	denied       map[string]float64                // by address: when its server reported to be a replica
+	denied       map[string]float64                // by address: when its server reported itself as a replica; 0 if it last did not
 }
 
 func newInputModel(t *testing.T) *inputModel {
@@ -140,7 +140,7 @@
 	primaries := map[int]string{}
 	for _, entry := range entries {
 		if other := idByAddress[entry.Address]; other != "" {
-			rt.Fatalf("%s is listed as %s and as %s", entry.Address, other, entry.ID)
+			rt.Fatalf("%s is listed under the ids %s and %s", entry.Address, other, entry.ID)
 		}
 		idByAddress[entry.Address] = entry.ID
 		if entry.Primary {
@@ -157,17 +157,17 @@
 	}
 }
 
-// checkNotDenied checks that a primary has not lately reported to be a replica.
+// checkNotDenied checks that a primary has not recently reported itself as a replica.
 func (m *inputModel) checkNotDenied(rt *rapid.T, entry *Entry) {
 	deniedAt := m.denied[entry.Address]
-	deniedLately := deniedAt != 0 && m.now-deniedAt < m.settings.SelfReportTTLMs
+	deniedRecently := deniedAt != 0 && m.now-deniedAt < m.settings.SelfReportTTLMs
 	report := m.reconciler.selfReports[entry.Address]
-	if deniedLately && report != nil && report.role == Replica {
-		rt.Fatalf("%s is called the primary, and has reported that it is none", entry.ID)
+	if deniedRecently && report != nil && report.role == Replica {
+		rt.Fatalf("%s is the primary in the list, but has reported itself as a replica", entry.ID)
 	}
 }
 
-// checkMaintenance checks that a server does not serve while a reachable source has it in maintenance.
+// checkMaintenance checks that a server is not serving while a reachable source reports it in maintenance.
 func (m *inputModel) checkMaintenance(rt *rapid.T, entry *Entry) {
 	for name, observations := range m.observations {
 		reported, ok := observations[entry.ID]
@@ -176,7 +176,7 @@
 		isKnown := ok && isOwnID && source.observations[entry.ID] != nil
 		isReachable := source.lostAt == 0 && source.heldRemovals[entry.ID] == 0
 		if isKnown && isReachable && reported.Health == Maintenance && entry.State == StateServing {
-			rt.Fatalf("%s serves, and %s has it in maintenance", entry.ID, name)
+			rt.Fatalf("%s is serving, but %s reports it in maintenance", entry.ID, name)
 		}
 	}
 }
--- a/internal/endpoints/reconcile/observe.go
+++ b/internal/endpoints/reconcile/observe.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Observe takes the report of a source. It reports whether the source must be asked for a full one, as these changes do not
-// follow its last report. Sources that the settings do not name are ignored.
+// Observe handles the report of a source. It returns whether a full report must be requested from the source, because these changes
+// are older than its last report. Sources that the settings do not name are ignored.
 func (r *Reconciler) Observe(now float64, sourceName string, report *Report) (needsFull bool) {
 	r.now = max(now, r.now)
 	source := r.sourcesByName[sourceName]
@@ -37,20 +37,20 @@
 	return false
 }
 
-// recoverSource ends the loss of a source that reports again.
+// recoverSource marks a lost source that reports again as reachable.
 func (r *Reconciler) recoverSource(source *sourceState) {
 	if source.lostAt == 0 {
 		return
 	}
 	if !r.sourceCounts(source) {
-		r.forgetRemoved(source)
+		r.discardRemoved(source)
 	}
 	source.lostAt = 0
 	r.addDecision(SourceRecovered, nil, source.name, "it can be had again")
 	r.markSourceDirty(source)
 }
 
-// acceptGeneration reports whether a report is taken: changes of an earlier generation than the last are not.
+// acceptGeneration reports whether a report is accepted. Changes of an earlier generation than that of the last report are not.
 func (r *Reconciler) acceptGeneration(source *sourceState, report *Report) bool {
 	if report.Generation == 0 || report.Generation >= source.generation {
 		return true
@@ -63,7 +63,7 @@
 	return true
 }
 
-// storeObservations stores what a source reports, and returns the ids in it.
+// storeObservations stores the observations of a source, and returns their ids.
 func (r *Reconciler) storeObservations(source *sourceState, observations []Observation) (seen map[string]bool) {
 	seen = map[string]bool{}
 	for i := range observations {
@@ -92,8 +92,8 @@
 	r.markDirty(observation.ID).observations[source.rank] = updated
 }
 
-// selectObservation returns the first observation or, where a source reports the same id at several addresses, the likeliest:
-// the one of the process that started last, or else the one at the address that is listed.
+// selectObservation returns the first observation or, if a source reports the same id at several addresses, the most likely one: that
+// of the process that started last, or else the one at the listed address.
 func (r *Reconciler) selectObservation(source *sourceState, observations []Observation) *Observation {
 	first := &observations[0]
 	best := first
@@ -117,7 +117,7 @@
 	return best
 }
 
-// keepLatestStart keeps the later start where a source reports an earlier one: a process does not start again in the past.
+// keepLatestStart keeps the previous start time if a source reports an earlier one, as a process cannot restart in the past.
 func (r *Reconciler) keepLatestStart(source *sourceState, previous, updated *storedObservation) {
 	updated.rejectedStartMs = previous.rejectedStartMs
 	if updated.StartedAtMs >= previous.StartedAtMs {
@@ -131,13 +131,13 @@
 	updated.StartedAtMs = previous.StartedAtMs
 }
 
-// Note adds a decision about a source that was made elsewhere, such as that its message could not be read.
+// Note adds a decision about a source that was made elsewhere, for example that its message could not be read.
 func (r *Reconciler) Note(now float64, sourceName string, kind DecisionKind, reason string) {
 	r.now = max(now, r.now)
 	r.addDecision(kind, nil, sourceName, "%s", reason)
 }
 
-// SourceLost takes that a source is unreachable. Its observations count for Settings.SourceRetentionMs more.
+// SourceLost handles a source that has become unreachable. Its observations count for another Settings.SourceRetentionMs.
 func (r *Reconciler) SourceLost(now float64, sourceName, reason string) {
 	r.now = max(now, r.now)
 	source := r.sourcesByName[sourceName]
@@ -152,7 +152,7 @@
 	r.addDecision(SourceLost, nil, sourceName, "%s; what it said last stands %s", reason, retention)
 }
 
-// ObserveServer takes the self-report of a server, by its id in the list.
+// ObserveServer handles the self-report of the server with this id in the list.
 func (r *Reconciler) ObserveServer(now float64, id string, report SelfReport) {
 	r.now = max(now, r.now)
 	server := r.listedByID[id]
@@ -174,7 +174,7 @@
 		stored.role, stored.roleReportedAt = report.Role, r.now
 	}
 	if server.sourceState == StateDraining && r.settings.Critical == CriticalUseIfResponding && !server.usedWhileCritical {
-		r.dirty[server.id] = server // its response may have it used
+		r.dirty[server.id] = server // as it responds, it may be used again
 	}
 	if len(r.dirty) > 0 {
 		r.reconcileDirty()
--- a/internal/endpoints/reconcile/override.go
+++ b/internal/endpoints/reconcile/override.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// RetireSource has the observations of a source count no more, as other sources have taken its place. Servers that none of
-// these knows are removed by the rules of all removals: an empty report in place of a snapshot removes nothing at first.
+// RetireSource discards the observations of a source that other sources have replaced. Servers that no other source reports are removed
+// under the rules for removals: if the other sources report none of the servers, nothing is removed at first.
 func (r *Reconciler) RetireSource(now float64, sourceName string) {
 	r.now = max(now, r.now)
 	source := r.sourcesByName[sourceName]
@@ -25,7 +25,7 @@
 	r.reconcileDirty()
 }
 
-// knownToOthers reports whether a source other than this one has the server.
+// knownToOthers reports whether a source other than this one reports the server.
 func (r *Reconciler) knownToOthers(source *sourceState, id string) bool {
 	for rank, observation := range r.servers[id].observations {
 		if rank == source.rank || observation == nil || observation.removed {
@@ -38,7 +38,7 @@
 	return false
 }
 
-// Override applies the operators' instructions, in place of those before.
+// Override applies the operators' instructions, which replace the previous ones.
 func (r *Reconciler) Override(now float64, override Override) {
 	r.now = max(now, r.now)
 	for id := range r.pins {
--- a/internal/endpoints/reconcile/primary.go
+++ b/internal/endpoints/reconcile/primary.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// updatePrimary decides which server of a group the list calls its primary: the one that reports so itself or, where none
-// does, the one that a source names and that has not denied it. With several there is none.
+// updatePrimary decides which server of a group is its primary in the list: the one that reports itself as the primary or, if there
+// is none, the one that a source reports as the primary and that does not report itself as a replica. If there are several, the list
+// has no primary for the group.
 func (r *Reconciler) updatePrimary(group *groupState) {
 	primaries := r.primariesOf(group)
 	r.notePrimaryProblem(group, primaries)
@@ -65,7 +66,7 @@
 	group.lastProblem = problem
 }
 
-// selfReportedRole is the role that a server reports of itself, if the report is recent.
+// selfReportedRole returns the role that a server reports itself, or RoleUnknown if it has not reported one recently.
 func (r *Reconciler) selfReportedRole(server *serverState) Role {
 	report := r.selfReports[server.entry.Address]
 	if report == nil || r.now-report.roleReportedAt > r.settings.SelfReportTTLMs {
@@ -74,7 +75,7 @@
 	return report.role
 }
 
-// observedRole is the role that the sources report of a server, and the name of the source that decides.
+// observedRole returns the role that the sources report for a server, and the name of the source that was decisive.
 func (r *Reconciler) observedRole(server *serverState) (role Role, sourceName string) {
 	for _, stale := range []bool{false, true} {
 		for rank, observation := range server.observations {
--- a/internal/endpoints/reconcile/reconciler.go
+++ b/internal/endpoints/reconcile/reconciler.go
@@ -1,16 +1,16 @@
-// Package reconcile makes one endpoint list out of the reports of several sources and the self-reports of servers.
+// Package reconcile merges the reports of several sources and the self-reports of servers into one endpoint list.
 //
 // Its inputs are sources' reports (Observe, SourceLost, RetireSource), servers' self-reports (ObserveServer), the operators'
 // instructions (Override) and the passage of time (Tick). Its outputs are the entries that changed and the decisions with
 // their reasons (TakeChanges).
 //
-// Where sources contradict each other, the first by rank wins, unless it has been lost for too long or calls its own report
-// stale. A server's self-report decides on its role. Removals of many servers at once, or of the last one of a group, are held
-// back; a server that flaps drains until it is stable. While no source reports, the list stays as it is, for
-// Settings.SourceRetentionMs at least, and for as long as its servers respond.
+// If sources contradict each other, the first by rank wins, unless it has been lost for too long or its own report is stale. A
+// server's self-report decides on its role. Removals of many servers at once, or of the last server of a group, are held back. A
+// server that flaps drains until it is stable. While no source reports, the list stays as it is for at least
+// Settings.SourceRetentionMs, and for as long as its servers respond.
 //
-// The package does no I/O and has no clock and no goroutine. Times are in milliseconds on the caller's clock. What it keeps
-// is bounded by what sources report: one entry for each server and source.
+// The package does no I/O, reads no clock and starts no goroutines. Times are in milliseconds on the caller's clock. Memory is
+// bounded by what the sources report: one entry for each server and source.
 package reconcile
 
 import (
@@ -27,21 +27,21 @@
 	minSelfReportRetentionMs = 60000
 )
 
-// recheckIntervalMs is the time between checks of what no timer of its own ends.
+// recheckIntervalMs is the time between checks of conditions that depend on servers' responses and have no timer of their own.
 const recheckIntervalMs = 1000
 
-// Reconciler makes the endpoint list. It is not safe for concurrent use.
+// Reconciler maintains the endpoint list. It is not safe for concurrent use.
 type Reconciler struct {
 	settings        Settings
 	now             float64
 	sources         []*sourceState // by rank
 	sourcesByName   map[string]*sourceState
-	servers         map[string]*serverState     // by the ids that sources have for them
-	listedByID      map[string]*serverState     // by the ids that the list has for them
-	selfReports     map[string]*selfReportState // by address, as it is the process there that reports
+	servers         map[string]*serverState     // by their ids at the sources
+	listedByID      map[string]*serverState     // by their ids in the list
+	selfReports     map[string]*selfReportState // by address, as the process at an address reports, whatever its id
 	listedByAddress map[string][]*serverState
-	duplicates      map[string][]string     // by address: ids that are not listed, as the address is listed under another id
-	dirty           map[string]*serverState // to be reconciled
+	duplicates      map[string][]string     // by address: ids that are not listed because the address is listed under another id
+	dirty           map[string]*serverState // servers to be reconciled
 	groups          map[int]*groupState
 	changes         []Entry
 	decisions       []Decision
@@ -56,15 +56,15 @@
 	hasReported  bool
 	lostAt       float64 // 0 while the source is reachable
 	ageMs        float64
-	removalTimes []float64          // within Settings.MassRemovalWindowMs
-	heldRemovals map[string]float64 // by id: when the removal was held back
+	removalTimes []float64          // times of removals within Settings.MassRemovalWindowMs
+	heldRemovals map[string]float64 // by id: the time since when the removal is held back
 }
 
-// storedObservation is the last observation of a source on a server.
+// storedObservation is the last observation of a server by a source.
 type storedObservation struct {
 	Observation
-	removed         bool    // the source has removed the server since
-	rejectedStartMs float64 // an earlier start that was reported since and rejected
+	removed         bool    // the source has since removed the server
+	rejectedStartMs float64 // the earlier start time that was last reported and rejected; 0 for none
 }
 
 type selfReportState struct {
@@ -72,21 +72,21 @@
 	roleReportedAt     float64
 	position           float64
 	respondedAt        float64
-	processStartedAtMs float64 // start of the process that reported
+	processStartedAtMs float64 // start time of the process that reported
 }
 
 type serverState struct {
 	id                string
-	listedID          string               // its id in the list: its own, or the one that its process had before
-	observations      []*storedObservation // by the source's rank, nil for none
+	listedID          string               // its id in the list: id, or the one under which its process was listed before
+	observations      []*storedObservation // by the source's rank; nil if the source has not reported the server
 	entry             Entry                // as last published
 	listed            bool                 // entry is in the list
-	stateChanges      []float64            // times, within Settings.FlapWindowMs
-	flappingUntil     float64              // 0 for not flapping
-	sourceState       State                // that follows from the sources, before flapping is considered
-	usedWhileCritical bool                 // it is critical, and used since it responds
-	lastConflict      string               // addresses of the conflict that was last reported
-	rejectedRole      Role                 // as a source had it when it was last rejected
+	stateChanges      []float64            // times of changes of sourceState within Settings.FlapWindowMs
+	flappingUntil     float64              // 0 if the server is not flapping
+	sourceState       State                // the state according to the sources, before flapping is considered
+	usedWhileCritical bool                 // the server is critical, but used because it responds
+	lastConflict      string               // addresses of the last reported conflict
+	rejectedRole      Role                 // role of the last Rejected decision; reset once the sources report another role
 }
 
 type groupState struct {
@@ -131,7 +131,7 @@
 	r.decisions = append(r.decisions, decision)
 }
 
-// markDirty has a server reconciled, and returns its state.
+// markDirty marks a server for reconciliation, and returns its state.
 func (r *Reconciler) markDirty(id string) *serverState {
 	server := r.servers[id]
 	if server == nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-// Tick does what is due at now, and returns when to call it next, 0 for not before the next input.
+// Tick applies what is due at now, and returns when to call it next, or 0 if it need not be called before the next input.
 func (r *Reconciler) Tick(now float64) (next float64) {
 	r.now = max(now, r.now)
 	if hold := r.settings.MassRemovalHoldMs; hold > 0 {
@@ -160,7 +160,8 @@
 	return r.nextTick()
 }
 
-// markExpired marks the servers whose entries time alone may change, and forgets state changes of those that are not listed.
+// markExpired marks the servers whose entries may change by the passage of time alone, and discards outdated state changes of servers
+// that are not listed.
 func (r *Reconciler) markExpired() {
 	for _, source := range r.sources {
 		if r.retentionExpired(source) {
@@ -178,7 +179,7 @@
 	}
 }
 
-// wasStableUnlisted reports whether a server that is not listed has not changed its state for a whole window.
+// wasStableUnlisted reports whether a server is not listed and has not changed its state for Settings.FlapWindowMs.
 func (r *Reconciler) wasStableUnlisted(server *serverState) bool {
 	if server.listed || server.flappingUntil != 0 || len(server.stateChanges) == 0 {
 		return false
@@ -195,7 +196,7 @@
 	}
 }
 
-// nextTick is when Tick has something to do, 0 for never.
+// nextTick returns when Tick has something to do next, or 0 for never.
 func (r *Reconciler) nextTick() (next float64) {
 	schedule := func(at float64) {
 		if next == 0 || at < next {
@@ -240,7 +241,7 @@
 	return entries
 }
 
-// Entry returns the entry of a server, by its id in the list, and whether there is one.
+// Entry returns the entry of the server with this id in the list, and whether there is one.
 func (r *Reconciler) Entry(id string) (Entry, bool) {
 	if server := r.listedByID[id]; server != nil {
 		return server.entry, true
@@ -248,10 +249,10 @@
 	return Entry{}, false
 }
 
-// Len is the number of servers in the list.
+// Len returns the number of servers in the list.
 func (r *Reconciler) Len() int { return len(r.listedByID) }
 
-// HeldRemovals is the number of removals that are held back.
+// HeldRemovals returns the number of removals that are held back.
 func (r *Reconciler) HeldRemovals() (count int) {
 	for _, source := range r.sources {
 		count += len(source.heldRemovals)
--- a/internal/endpoints/reconcile/reconciler_test.go
+++ b/internal/endpoints/reconcile/reconciler_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkChanges measures a report of changes of a tenth of 2,000 servers.
+// BenchmarkChanges measures a report of changes to a tenth of 2,000 servers.
 func BenchmarkChanges(b *testing.B) {
 	r := New(Defaults("consul"))
 	var all []Observation
@@ -20,9 +20,9 @@
 		now += 1000
 		report := Report{}
 		for i := range 200 {
-			c := all[(i*10+int(now/1000))%len(all)]
-			c.Weight = now
-			report.Observations = append(report.Observations, c)
+			changed := all[(i*10+int(now/1000))%len(all)]
+			changed.Weight = now
+			report.Observations = append(report.Observations, changed)
 		}
 		r.Observe(now, "consul", &report)
 		r.Tick(now)
--- a/internal/endpoints/reconcile/removals.go
+++ b/internal/endpoints/reconcile/removals.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// handleRemovals removes servers of a source, or holds the removals back. removesAll: the source has no other server left.
+// handleRemovals removes servers of a source, or holds the removals back. removesAll is set if the source has no other servers left.
 func (r *Reconciler) handleRemovals(source *sourceState, ids []string, removesAll bool) {
 	liveCount := 0
 	remainingByGroup := map[int]int{}
@@ -41,7 +41,7 @@
 	}
 }
 
-// isMassRemoval reports whether a source removed so many of its servers within the window that they are held back.
+// isMassRemoval reports whether a source removed so many of its servers within the window that the removals are held back.
 func (r *Reconciler) isMassRemoval(removalCount, total int) bool {
 	if r.settings.MassRemovalFraction <= 0 || removalCount < r.settings.MassRemovalMinimum {
 		return false
@@ -60,8 +60,9 @@
 	r.markDirty(observation.ID)
 }
 
-// forgetRemoved forgets what a source removed before it was lost for too long: other sources have decided on that since.
-func (r *Reconciler) forgetRemoved(source *sourceState) {
+// discardRemoved discards the removals that a source reported before it was lost for too long, as other sources have since decided on
+// those servers.
+func (r *Reconciler) discardRemoved(source *sourceState) {
 	for id, observation := range source.observations {
 		if observation.removed {
 			delete(source.observations, id)
--- a/internal/endpoints/reconcile/removals_test.go
+++ b/internal/endpoints/reconcile/removals_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMassRemovalsAreHeldBack checks that an empty report removes nothing at first, that single removals count at once, and
-// that operators or time release those held back.
+// TestMassRemovalsAreHeldBack checks that an empty report removes nothing at first, that removals of single servers are applied at once,
+// and that held removals are accepted by the operators or after the hold time.
 func TestMassRemovalsAreHeldBack(t *testing.T) {
 	eight := func() (out []Observation) {
 		for i := range 8 {
@@ -19,41 +19,41 @@
 		do   func(h *harness)
 		want string
 	}{
-		"an empty answer": {func(h *harness) {
+		"empty report": {func(h *harness) {
 			h.wantDecisions(h.observe("consul", true), slices.Repeat([]DecisionKind{RemovalHeldBack}, 8)...)
 		},
 			"0 serving, 1 serving, 2 serving, 3 serving, 4 serving, 5 serving, 6 serving, 7 serving"},
-		"...that was a mistake": {func(h *harness) {
+		"empty report, then a full one": {func(h *harness) {
 			h.observe("consul", true)
 			h.observe("consul", true, eight()...)
 			h.advance(700000)
 		}, "0 serving, 1 serving, 2 serving, 3 serving, 4 serving, 5 serving, 6 serving, 7 serving"},
-		"...that stays so": {func(h *harness) {
+		"empty report, until the hold time ends": {func(h *harness) {
 			h.observe("consul", true)
-			if said := h.advance(700000); len(said) != 16 || said[0].Kind != RemovalAccepted {
-				t.Errorf("%+v", said)
+			if decisions := h.advance(700000); len(decisions) != 16 || decisions[0].Kind != RemovalAccepted {
+				t.Errorf("%+v", decisions)
 			}
 		}, ""},
-		"...that the operators accept": {func(h *harness) {
+		"empty report, accepted by the operators": {func(h *harness) {
 			h.observe("consul", true)
 			h.reconciler.Override(h.now, Override{AcceptHeldRemovals: true})
 			h.takeChanges()
 		}, ""},
 		"two of eight": {func(h *harness) { h.wantDecisions(h.observe("consul", true, eight()[2:]...), Removed, Removed) },
 			"2 serving, 3 serving, 4 serving, 5 serving, 6 serving, 7 serving"},
-		"one after the other": {func(h *harness) {
+		"one after another": {func(h *harness) {
 			for i := 1; i < 8; i++ {
 				h.observe("consul", true, eight()[i:]...)
 				h.now += 1000
 			}
 		}, "3 serving, 4 serving, 5 serving, 6 serving, 7 serving"},
-		"one after the other, slowly": {func(h *harness) {
+		"one after another, slowly": {func(h *harness) {
 			for i := 1; i < 4; i++ {
 				h.observe("consul", true, eight()[i:]...)
 				h.advance(31000)
 			}
 		}, "3 serving, 4 serving, 5 serving, 6 serving, 7 serving"},
-		"a group's last": {func(h *harness) {
+		"last server of a group": {func(h *harness) {
 			for i := 1; i < 5; i++ {
 				h.observe("consul", true, eight()[i:]...)
 				h.advance(31000)
@@ -63,7 +63,7 @@
 			h.reconciler.Override(h.now, Override{Pins: []Pin{{"0", StateServing}, {"7", StateDraining}}})
 			h.observe("consul", true, eight()[1:]...)
 		}, "0 serving, 1 serving, 2 serving, 3 serving, 4 serving, 5 serving, 6 serving, 7 draining"},
-		"pinned no more": {func(h *harness) {
+		"no longer pinned": {func(h *harness) {
 			h.reconciler.Override(h.now, Override{Pins: []Pin{{"0", StateServing}, {"7", StateDraining}}})
 			h.observe("consul", true, eight()[1:]...)
 			h.reconciler.Override(h.now, Override{})
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestRetiredSourceLeavesWhatOthersKnow checks that a retired source leaves the servers that others know, and that its removals
-// are held back where they know none.
+// TestRetiredSourceLeavesWhatOthersKnow checks that the servers of a retired source stay if other sources report them, and that their
+// removals are held back if the other sources report none of them.
 func TestRetiredSourceLeavesWhatOthersKnow(t *testing.T) {
 	three := []Observation{observation("1", 0), observation("2", 0), observation("3", 1)}
 	h := newHarness(t, nil)
--- a/internal/endpoints/reconcile/state.go
+++ b/internal/endpoints/reconcile/state.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// maxReconcileRounds bounds how often servers that change others are reconciled in one go; the rest waits for the next input.
+	// maxReconcileRounds bounds the rounds of reconciling servers that were marked by the previous round. Servers that are still
+	// marked after the last round wait for the next input.
 	maxReconcileRounds = 4
-	// maxFutureStartMs is how far a start may lie ahead of the clock here; later ones are ignored.
+	// maxFutureStartMs is how far a start time may be ahead of the caller's clock; later ones are ignored.
 	maxFutureStartMs = 5000
 )
 
-// selection is the observation that decides on a server.
+// selection is the observation that determines the entry of a server.
 type selection struct {
-	observation *storedObservation // nil where none counts
+	observation *storedObservation // nil if no observation counts
 	source      *sourceState
-	expired     bool // there are observations that count no more
+	expired     bool // there are observations that no longer count
 }
 
-// proposal is an entry that may be published, and why.
+// proposal is an entry that may be published, with its reason.
 type proposal struct {
 	Entry
 	decidedBy string // name of the source, empty for none
 	reason    string
 }
 
-// reconcileDirty reconciles the servers of which something has changed, in the order of their ids, then those that these
-// changes mark, and then the primaries of their groups.
+// reconcileDirty reconciles the marked servers in the order of their ids, then the servers that this marks, and then updates the
+// primaries of their groups.
 func (r *Reconciler) reconcileDirty() {
 	if len(r.dirty) == 0 {
 		return
@@ -58,20 +59,20 @@
 	}
 }
 
-// retentionExpired reports whether a source has been lost for so long that its observations count no more.
+// retentionExpired reports whether a source has been lost for so long that its observations no longer count.
 func (r *Reconciler) retentionExpired(source *sourceState) bool {
 	retention := r.settings.SourceRetentionMs
 	return retention > 0 && source.lostAt != 0 && r.now >= source.lostAt+retention
 }
 
-// sourceCounts reports whether the observations of a source count: it is reachable, or was not long ago.
+// sourceCounts reports whether the observations of a source count: it is reachable, or was lost less than SourceRetentionMs ago.
 func (r *Reconciler) sourceCounts(source *sourceState) bool { return !r.retentionExpired(source) }
 
 func (r *Reconciler) isStaleAge(ageMs float64) bool {
 	return r.settings.StaleAgeMs > 0 && ageMs > r.settings.StaleAgeMs
 }
 
-// isStale reports whether a source calls its own last report stale.
+// isStale reports whether the last report of a source was stale by its AgeMs.
 func (r *Reconciler) isStale(source *sourceState) bool { return r.isStaleAge(source.ageMs) }
 
 // observationCounts reports whether an observation is used: its source counts, or the server still responds.
@@ -79,14 +80,14 @@
 	return r.sourceCounts(source) || r.respondedRecently(observation.Address)
 }
 
-// respondedRecently reports whether the process at an address has responded within the time for which self-reports count.
+// respondedRecently reports whether the process at an address has responded within Settings.SelfReportTTLMs.
 func (r *Reconciler) respondedRecently(address string) bool {
 	report := r.selfReports[address]
 	return report != nil && r.now-report.respondedAt <= r.settings.SelfReportTTLMs
 }
 
-// selectSource returns the observation that decides on a server: the first by rank that counts, a stale one only where there is
-// no other.
+// selectSource selects the observation that determines the entry of a server: the first by rank that counts, and a stale one only if
+// there is no other.
 func (r *Reconciler) selectSource(server *serverState) selection {
 	var selected selection
 	for _, stale := range []bool{false, true} {
@@ -105,7 +106,7 @@
 	return selected
 }
 
-// reconcileServer makes the entry of a server out of its observations.
+// reconcileServer updates the entry of a server from its observations.
 func (r *Reconciler) reconcileServer(server *serverState) {
 	selected := r.selectSource(server)
 	if selected.observation == nil {
@@ -125,7 +126,8 @@
 		proposed.decidedBy = ""
 	}
 	if server.listed && proposed.Group != server.entry.Group && proposed.State != StateRemoved {
-		// A server does not change its group: what has that id there now is another server. The old one is removed first.
+		// A server does not change its group, so the server with this id in the new group is another one. The old one is removed
+		// first.
 		previous := server.entry
 		previous.State, previous.Primary = StateRemoved, false
 		moved := fmt.Sprintf("its source has moved it to group %d", proposed.Group)
@@ -134,7 +136,7 @@
 	r.updateEntry(server, proposed)
 }
 
-// entryOf is the entry of a server by the selected observation, with the latest start that any source reports.
+// entryOf returns the entry of a server according to the selected observation, with the latest start time reported by any source.
 func (r *Reconciler) entryOf(server *serverState, selected selection) Entry {
 	best := selected.observation
 	entry := Entry{ID: server.listedID, Address: best.Address, Group: best.Group, Zone: best.Zone, Kind: best.Kind, Weight: best.Weight}
@@ -159,28 +161,28 @@
 	return entry
 }
 
-// conflicts reports whether another observation has a server at another address than the selected one.
+// conflicts reports whether another observation has a different address than the selected one.
 func conflicts(best, other *storedObservation) bool {
 	return !best.removed && other.Address != "" && other.Address != best.Address
 }
 
-// applyHealth sets the state of an entry by what sources report of the server's health.
+// applyHealth sets the state of an entry according to the health of the server as reported by the sources.
 func (r *Reconciler) applyHealth(server *serverState, best *storedObservation, proposed *proposal) {
 	server.usedWhileCritical = false
-	maintainedBy := r.maintainedBy(server)
+	maintenanceSource := r.maintenanceSource(server)
 	switch {
 	case best.removed:
 		proposed.State, proposed.reason = StateRemoved, "its source has dropped it"
-	case maintainedBy != nil:
+	case maintenanceSource != nil:
 		proposed.State, proposed.reason = StateDraining, "in maintenance"
-		proposed.decidedBy = maintainedBy.name
+		proposed.decidedBy = maintenanceSource.name
 	case best.Health == Critical && r.settings.Critical != CriticalIgnore:
 		proposed.State, proposed.reason = r.criticalState(server, best)
 	}
 }
 
-// maintainedBy is the first source that has a server in maintenance, nil for none.
-func (r *Reconciler) maintainedBy(server *serverState) *sourceState {
+// maintenanceSource returns the first source by rank that reports a server in maintenance, or nil.
+func (r *Reconciler) maintenanceSource(server *serverState) *sourceState {
 	for rank, observation := range server.observations {
 		if observation == nil || observation.removed || observation.Health != Maintenance {
 			continue
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// criticalState is the state of a server whose health check is critical, and the reason.
+// criticalState returns the state of a server whose health is critical, and the reason.
 func (r *Reconciler) criticalState(server *serverState, observation *storedObservation) (State, string) {
 	if r.settings.Critical == CriticalUseIfResponding {
 		if r.respondedRecently(observation.Address) {
@@ -209,7 +211,8 @@
 	return StateDraining, "critical"
 }
 
-// countCritical counts the servers of a group, each by its first observation there, and those that are critical.
+// countCritical counts the servers of a group and how many of them are critical. The first observation by rank in the group decides
+// for each server.
 func (r *Reconciler) countCritical(group int) (members, critical int) {
 	for _, member := range r.servers {
 		for _, observation := range member.observations {
--- a/internal/endpoints/reconcile/state_test.go
+++ b/internal/endpoints/reconcile/state_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestSelfReportsDecideOnThePrimary checks that a source's primary counts only while no server's self-report contradicts it.
+// TestSelfReportsDecideOnThePrimary checks that the primary reported by a source counts only while no self-report contradicts it.
 func TestSelfReportsDecideOnThePrimary(t *testing.T) {
 	h := newHarness(t, nil)
 	three := []Observation{withRole(observation("1", 0), Primary), withRole(observation("2", 0), Replica), withRole(observation("3", 0), Replica)}
 	h.wantDecisions(h.observe("consul", true, three...), Added, Added, Added)
 	h.wantList("1 serving*, 2 serving, 3 serving")
-	h.wantDecisions(h.selfReport("1", Replica), Rejected, NoPrimary) // it was replaced; the catalogue does not know yet
+	h.wantDecisions(h.selfReport("1", Replica), Rejected, NoPrimary) // a failover that the catalogue does not show yet
 	h.wantList("1 serving, 2 serving, 3 serving")
 	h.selfReport("2", Primary)
 	h.wantList("1 serving, 2 serving*, 3 serving")
@@ -21,7 +21,7 @@
 	h.wantList("1 serving, 2 serving, 3 serving")
 	h.selfReport("2", Replica)
 	h.wantList("1 serving, 2 serving, 3 serving*")
-	// The same server under another id, reported as the primary: it keeps its id in the list, and its self-report.
+	// The source registers the same process under another id, as the primary: it keeps its id in the list and its self-report.
 	h.reconciler.Observe(h.now, "consul", &Report{
 		Observations: []Observation{withRole(Observation{ID: "1b", Address: observation("1", 0).Address}, Primary)},
 		Removed:      []string{"1"},
@@ -32,13 +32,13 @@
 		t.Errorf("%+v %v", entry, ok)
 	}
 	h.selfReport("1", Replica)
-	// A later process under the first id is another server; the list has both under ids of their own.
+	// A process that starts later under the first id is another server; the list contains both under different ids.
 	later := withStart(withRole(observation("1", 0), Replica), 9e5)
 	later.Address = "10.3.3.3:5432"
 	h.observe("consul", false, later)
 	h.wantList("1 serving, 1#2 serving, 2 serving, 3 serving*")
 
-	// A self-report expires, and is then repeated.
+	// A self-report expires, and counts again when it is repeated.
 	expired := newHarness(t, nil)
 	expired.observe("consul", true, withRole(observation("1", 0), Primary))
 	expired.selfReport("1", Replica)
@@ -54,8 +54,8 @@
 	trusting.wantList("1 serving*, 2 serving, 3 serving")
 }
 
-// TestMaintenanceDrainsAndCriticalNeedsResponses checks that maintenance drains a server whichever source reports it, and that
-// a critical server is used only while it responds.
+// TestMaintenanceDrainsAndCriticalNeedsResponses checks that maintenance drains a server whichever source reports it, and that a server
+// whose health is critical is used only while it responds.
 func TestMaintenanceDrainsAndCriticalNeedsResponses(t *testing.T) {
 	h := newHarness(t, nil)
 	h.observe("consul", true, observation("1", 0), withHealth(observation("2", 0), Warning), withHealth(observation("3", 0), Critical))
@@ -64,7 +64,7 @@
 	h.wantList("1 serving, 2 serving, 3 serving")
 	h.advance(25000)
 	h.wantList("1 serving, 2 serving, 3 serving")
-	h.advance(10000) // it responds no more
+	h.advance(10000) // it no longer responds
 	h.wantList("1 serving, 2 serving, 3 draining")
 	h.observe("static", true, observation("1", 0))
 	h.wantDecisions(h.observe("static", false, withHealth(observation("1", 0), Maintenance)), Drained)
@@ -80,28 +80,28 @@
 	strict.reconciler.markDirty("3")
 	strict.observe("consul", false, withHealth(observation("1", 0), Critical))
 	if n := strings.Count(strict.summary(), "serving"); n == 0 {
-		t.Errorf("all are critical, and none is used: %s", strict.summary())
+		t.Errorf("all servers are critical, and none is used: %s", strict.summary())
 	}
 	loose := newHarness(t, func(s *Settings) { s.Critical = CriticalIgnore })
 	loose.observe("consul", true, withHealth(observation("1", 0), Critical))
 	loose.wantList("1 serving")
 }
 
-// TestSourcesCountByRankAgeAndRetention checks that the first source by rank wins unless its report is stale, and that a lost
-// source counts for its retention, or while its servers respond.
+// TestSourcesCountByRankAgeAndRetention checks that the first source by rank wins unless its report is stale, and that the observations
+// of a lost source count until its retention ends, and longer for servers that respond.
 func TestSourcesCountByRankAgeAndRetention(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.SourceRetentionMs = 60000 })
 	other := observation("1", 0)
 	other.Address, other.Zone = "10.9.9.9:5432", "b"
 	h.observe("static", true, other, observation("2", 0))
 	h.wantDecisions(h.observe("consul", true, observation("1", 0)), ConflictingAddresses, Moved)
-	if a := h.list["1"].Address; a != observation("1", 0).Address {
-		t.Errorf("at %s", a)
+	if address := h.list["1"].Address; address != observation("1", 0).Address {
+		t.Errorf("listed at %s", address)
 	}
 	h.reconciler.Observe(h.now, "consul", &Report{Full: true, Observations: []Observation{observation("1", 0)}, AgeMs: 3600000})
 	h.takeChanges()
-	if a := h.list["1"].Address; a != other.Address {
-		t.Errorf("an hour old, it still has it at %s", a)
+	if address := h.list["1"].Address; address != other.Address {
+		t.Errorf("listed at %s, by a report that is an hour old", address)
 	}
 	h.reconciler.Observe(h.now, "consul", &Report{
 		Full:         true,
@@ -115,8 +115,8 @@
 	h.advance(45000)
 	h.selfReport("3", Primary)
 	h.advance(20000)
-	if said := h.decisions[len(h.decisions)-1]; said.Kind != Removed || said.Server != "4" {
-		t.Errorf("%+v", said)
+	if last := h.decisions[len(h.decisions)-1]; last.Kind != Removed || last.Server != "4" {
+		t.Errorf("%+v", last)
 	}
 	h.wantList("1 serving, 2 serving, 3 serving*")
 	h.advance(60000)
@@ -125,14 +125,14 @@
 	h.wantList("1 serving, 2 serving, 3 serving, 4 serving")
 }
 
-// TestRemovalsBeforeALossAreForgotten checks that what a source removed before a long loss does not remove what another has
-// reported since.
-func TestRemovalsBeforeALossAreForgotten(t *testing.T) {
+// TestRemovalsBeforeALossAreDiscarded checks that a removal by a source that was then lost for too long does not remove a server that
+// another source has reported since.
+func TestRemovalsBeforeALossAreDiscarded(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.SourceRetentionMs, s.MassRemovalFraction = 5000, 0 })
 	h.observe("consul", true, observation("1", 0), observation("2", 0))
 	h.observe("consul", true, observation("2", 0))
 	h.observe("static", true, observation("1", 0))
-	h.wantList("2 serving") // the first by rank has removed it
+	h.wantList("2 serving") // the first source by rank has removed server 1
 	h.reconciler.SourceLost(h.now, "consul", "gone")
 	h.advance(6000)
 	h.wantList("1 serving")
