--- a/internal/endpoints/discovery/response.go
+++ b/internal/endpoints/discovery/response.go
@@ -40,7 +40,7 @@
 	escaped   bool // the next byte of the string follows a backslash
 	lineBlank bool // only white space since the last line break; see scanBody
 
-	progressSteps int // number of: the head, and the beginnings and ends of objects
+	progressSteps int // number of steps: the head, and the beginning and end of each object
 	lineBreaks    int // number of line breaks between objects
 }
 
--- a/internal/endpoints/reconcile/reconciler.go
+++ b/internal/endpoints/reconcile/reconciler.go
@@ -45,7 +45,7 @@
 	groups          map[int]*groupState
 	changes         []Entry
 	decisions       []Decision
-	pins            map[string]State
+	pins            map[string]State // by id at the sources
 }
 
 type sourceState struct {
