--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -14,7 +14,7 @@
 
 // Report is what a server reported about itself.
 type Report struct {
-	Role     decide.Role
-	Position float64 // on the clock, valid if HasPos
-	HasPos   bool
+	Role        decide.Role
+	Position    float64 // on the clock, valid if HasPosition
+	HasPosition bool
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -165,15 +165,15 @@
 	unreadable := Outcome{Result: decide.Failed}
 	for report, want := range map[string]Outcome{
 		"":                       {Result: decide.OK}, // it has none yet
-		"x0=4.25,x1=1":           {Result: decide.OK, Report: Report{Role: decide.RolePrimary, Position: 4250, HasPos: true}},
-		"x1=0, x0=5.0019,load=7": {Result: decide.OK, Report: Report{Role: decide.RoleReplica, Position: 5001, HasPos: true}},
+		"x0=4.25,x1=1":           {Result: decide.OK, Report: Report{Role: decide.RolePrimary, Position: 4250, HasPosition: true}},
+		"x1=0, x0=5.0019,load=7": {Result: decide.OK, Report: Report{Role: decide.RoleReplica, Position: 5001, HasPosition: true}},
 		"x0=4.25":                unreadable,
 		"x1=1":                   unreadable,
 		"x0=nan,x1=1":            unreadable,
 		"x0=inf,x1=1":            unreadable,
 		"x0=1e300,x1=1":          unreadable,
-		"x0=6,x1=1":              {Result: decide.OK, Report: Report{Role: decide.RolePrimary, Position: 6000, HasPos: true}}, // its clock may be ahead
-		"x0=86400,x1=0":          {Result: decide.OK, Report: Report{Role: decide.RoleReplica, Position: 86400000, HasPos: true}},
+		"x0=6,x1=1":              {Result: decide.OK, Report: Report{Role: decide.RolePrimary, Position: 6000, HasPosition: true}}, // its clock may be ahead
+		"x0=86400,x1=0":          {Result: decide.OK, Report: Report{Role: decide.RoleReplica, Position: 86400000, HasPosition: true}},
 		"x0=86406,x1=1":          unreadable, // it lies ahead by more than a day
 		"x0=-4,x1=1":             unreadable,
 		"x0=4,x1=2":              unreadable,
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -38,9 +38,9 @@
 		}
 	case conn.pool.options.PositionName:
 		ms, err := strconv.ParseInt(value, 10, 64)
-		if err == nil && !conn.outcome.HasPos && conn.pool.plausiblePosition(clock.FromUnix(ms)) {
+		if err == nil && !conn.outcome.HasPosition && conn.pool.plausiblePosition(clock.FromUnix(ms)) {
 			conn.outcome.Position = clock.FromUnix(ms)
-			conn.outcome.HasPos = true
+			conn.outcome.HasPosition = true
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		return outcome
 	}
 	outcome.Report = pool.parseLoad(string(column))
-	if !outcome.HasPos {
+	if !outcome.HasPosition {
 		return Outcome{Result: decide.Failed}
 	}
 	return outcome
@@ -80,14 +80,14 @@
 		case err != nil:
 		case name == positionField && pool.plausiblePosition(number*1000): // rounded down to milliseconds, as the printed number may have been rounded up
 			report.Position = clock.FromUnix(int64(number * 1000))
-			report.HasPos = true
+			report.HasPosition = true
 		case name == primaryField && number == 1:
 			report.Role = decide.RolePrimary
 		case name == primaryField && number == 0:
 			report.Role = decide.RoleReplica
 		}
 	}
-	if !report.HasPos || report.Role == decide.RoleUnknown {
+	if !report.HasPosition || report.Role == decide.RoleUnknown {
 		return Report{}
 	}
 	return report
--- a/internal/cluster/outlier/adapter/adapter.go
+++ b/internal/cluster/outlier/adapter/adapter.go
@@ -215,7 +215,7 @@
 
 // reportOf converts a server's report; one without a position is empty.
 func reportOf(report attempts.Report) (out outlier.ServerReport) {
-	if !report.HasPos {
+	if !report.HasPosition {
 		return out
 	}
 	out.Position = report.Position
@@ -258,7 +258,7 @@
 	case outlier.CheckHealth:
 		adapter.core.CheckHealthForObserver(action.Server)
 	case outlier.LearnReport:
-		report := attempts.Report{Position: action.Report.Position, HasPos: true}
+		report := attempts.Report{Position: action.Report.Position, HasPosition: true}
 		if action.Report.Role == outlier.RolePrimary {
 			report.Role = decide.RolePrimary
 		}
--- a/internal/cluster/overload/adapter/adapter.go
+++ b/internal/cluster/overload/adapter/adapter.go
@@ -270,7 +270,7 @@
 	if result != decide.OK {
 		finding.Result = overload.Unhealthy
 	}
-	if report.HasPos {
+	if report.HasPosition {
 		finding.Position = report.Position
 	}
 	prober.handleProbeActions(prober.probes.ProbeEnded(prober.host.Now(), server, finding, nil))
@@ -288,8 +288,8 @@
 		case a.Response != nil:
 			adapter.host.Send(a.Addr, a.To, module.KindOverload, a.Response)
 		case a.Report:
-			report := attempts.Report{Role: decide.Role(min(a.Role, uint8(decide.RoleReplica))), HasPos: a.Position > 0}
-			if report.HasPos {
+			report := attempts.Report{Role: decide.Role(min(a.Role, uint8(decide.RoleReplica))), HasPosition: a.Position > 0}
+			if report.HasPosition {
 				report.Position = a.Position
 			}
 			adapter.core.HealthCheckReported(a.Server, decide.Result(min(a.Kind, uint8(decide.Misdirected))), report, a.Age)
--- a/internal/core/dispatch_test.go
+++ b/internal/core/dispatch_test.go
@@ -91,7 +91,7 @@
 	c.SetChecks(invariant.Test(t), 1)
 	servers.core = c
 	c.Start(servers, loop)
-	c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: loop.now - 500, HasPos: true}, 0)
+	c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: loop.now - 500, HasPosition: true}, 0)
 	for _, id := range []string{"1", "2"} {
 		submit(t, c, loop, id, "write")
 	}
@@ -119,7 +119,7 @@
 // server is a replica now. None is written there once the connection is open; each goes to the new primary, with one more attempt.
 func TestWaitingWritesFollowTheNewPrimary(t *testing.T) {
 	report := func(loop *manualLoop, r decide.Role, before float64) backend.Report {
-		return backend.Report{Role: r, Position: loop.now - before, HasPos: true}
+		return backend.Report{Role: r, Position: loop.now - before, HasPosition: true}
 	}
 	for source, reportTo := range map[string]func(c *Core, loop *manualLoop, observer *recordingObserver){
 		"a peer's health check": func(c *Core, loop *manualLoop, _ *recordingObserver) {
@@ -183,7 +183,7 @@
 // TestOldRoleReportRecallsNothing: a delayed report that a server was a replica before it became the primary recalls no attempts.
 func TestOldRoleReportRecallsNothing(t *testing.T) {
 	c, servers, loop, _ := newWaitingCore(t)
-	old := backend.Report{Role: decide.RoleReplica, Position: loop.now - 900, HasPos: true}
+	old := backend.Report{Role: decide.RoleReplica, Position: loop.now - 900, HasPosition: true}
 	c.HealthCheckReported("a", decide.OK, old, 30)
 	c.ServerReportsReplica("a", old, true)
 	servers.connect("a")
@@ -220,7 +220,7 @@
 	if len(broken) > 0 {
 		t.Fatalf("broken while a is the primary: %v", broken)
 	}
-	c.ServerReported("b", backend.Report{Role: decide.RolePrimary, Position: loop.now - 5, HasPos: true}, 5)
+	c.ServerReported("b", backend.Report{Role: decide.RolePrimary, Position: loop.now - 5, HasPosition: true}, 5)
 	c.AttemptWritten(waiting[1].tag)
 	if fmt.Sprint(broken) != "[core: writes and fresh reads go to the primary only core: only attempts that MaySend allowed are written]" {
 		t.Errorf("broken: %v", broken)
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -113,7 +113,7 @@
 					run.openAttempts = slices.Delete(run.openAttempts, i, i+1)
 					outcome := backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Misdirected)).Draw(t, "result"))}
 					if rapid.Bool().Draw(t, "has report") {
-						outcome.Report = backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: run.now, HasPos: true}
+						outcome.Report = backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: run.now, HasPosition: true}
 					}
 					run.core.AttemptEnded(tag, outcome)
 				}
@@ -138,7 +138,7 @@
 				if len(run.healthChecks) > 0 {
 					run.core.HealthCheckEnded(run.healthChecks[0],
 						backend.Outcome{Result: decide.Result(rapid.IntRange(0, int(decide.Reset)).Draw(t, "result")),
-							Report: backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: run.now, HasPos: true}})
+							Report: backend.Report{Role: decide.Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: run.now, HasPosition: true}})
 					run.healthChecks = run.healthChecks[1:]
 				}
 			},
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -163,7 +163,7 @@
 			}
 		case LimitSlowStart:
 			settings.SlowStartAssigned = true
-			settings.SlowStartPart = l.assigned
+			settings.SlowStartShare = l.assigned
 		}
 	}
 }
--- a/internal/core/observer.go
+++ b/internal/core/observer.go
@@ -80,7 +80,7 @@
 
 // mergeReport passes a server's report to the router, as of the report's time. A report from the future is ignored.
 func (c *Core) mergeReport(server string, report backend.Report) {
-	if !report.HasPos || c.reportTime(server, report) > clock.ToDuration(c.loop.Now()) {
+	if !report.HasPosition || c.reportTime(server, report) > clock.ToDuration(c.loop.Now()) {
 		return
 	}
 	c.ServerReported(server, report, 0)
@@ -90,7 +90,7 @@
 func (c *Core) mergeRole(server string, report backend.Report) {
 	now, at := clock.ToDuration(c.loop.Now()), c.reportTime(server, report)
 	known, ok := c.router.SnapshotOf(decide.ServerID(server))
-	hasRole := report.HasPos && report.Role != decide.RoleUnknown
+	hasRole := report.HasPosition && report.Role != decide.RoleUnknown
 	if !ok || !hasRole || at > now {
 		return
 	}
--- a/internal/core/observer_test.go
+++ b/internal/core/observer_test.go
@@ -99,15 +99,15 @@
 	if c.carryOut(&decide.Action{Kind: decide.HealthCheck, Server: "a"}); len(servers.healthChecks) != 1 {
 		t.Errorf("health checks %v: the router's was sent while the observer's was in flight", servers.healthChecks)
 	}
-	c.HealthCheckEnded("a", backend.Outcome{Report: backend.Report{Role: decide.RolePrimary, Position: loop.now - 30, HasPos: true}})
+	c.HealthCheckEnded("a", backend.Outcome{Report: backend.Report{Role: decide.RolePrimary, Position: loop.now - 30, HasPosition: true}})
 	if known, _ := c.router.SnapshotOf("a"); !known.Ejected || known.Role != decide.RolePrimary || known.RoleAt != 999970*1e6 {
 		t.Errorf("the observer's health check was handled as the router's, or its report was not merged: %+v", known)
 	}
 	if len(servers.healthChecks) != 2 {
 		t.Errorf("health checks %v: the router's was not made after the observer's", servers.healthChecks)
 	}
-	c.ServerReported("b", backend.Report{Position: loop.now + 500, HasPos: true}, 0)
-	c.ServerReported("a", backend.Report{Position: loop.now - 10, HasPos: true}, 20)
+	c.ServerReported("b", backend.Report{Position: loop.now + 500, HasPosition: true}, 0)
+	c.ServerReported("a", backend.Report{Position: loop.now - 10, HasPosition: true}, 20)
 	if known, _ := c.router.SnapshotOf("b"); known.Position > 0 {
 		t.Errorf("a position in the future was merged: %+v", known)
 	}
@@ -134,7 +134,7 @@
 			c := New(loop, slog.New(slog.DiscardHandler), cfg)
 			c.SetServerObserver(observer)
 			c.Start(servers, loop)
-			c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: loop.now - 200, HasPos: true}, 0)
+			c.ServerReported("a", backend.Report{Role: decide.RolePrimary, Position: loop.now - 200, HasPosition: true}, 0)
 			submit := func(id string) slotmap.Ref {
 				ref, err := c.Submit(platform.Request{ID: id, Class: "write", Deadline: loop.now + 2000, Query: stub{}}, stub{})
 				if err != nil {
@@ -148,7 +148,7 @@
 				t.Fatalf("sent to %v", servers.sent)
 			}
 			observer.onServerEvent = c.StartTrial
-			outcome := backend.Outcome{Report: backend.Report{Role: role, Position: loop.now - 100, HasPos: true}}
+			outcome := backend.Outcome{Report: backend.Report{Role: role, Position: loop.now - 100, HasPosition: true}}
 			switch source {
 			case "observer's health check":
 				c.CheckHealthForObserver("a")
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -170,15 +170,15 @@
 
 // forwardReport passes a server's report to the report sink.
 func (c *Core) forwardReport(server string, outcome *backend.Outcome) {
-	if c.reportSink != nil && (outcome.Role != decide.RoleUnknown || outcome.HasPos) {
+	if c.reportSink != nil && (outcome.Role != decide.RoleUnknown || outcome.HasPosition) {
 		c.reportSink.ServerReported(server, outcome.Role == decide.RolePrimary, outcome.Role == decide.RoleReplica, outcome.Position)
 	}
 }
 
 // reportOf converts a server's report for the router.
 func reportOf(report backend.Report) decide.Report {
-	out := decide.Report{Role: report.Role, HasPosition: report.HasPos}
-	if report.HasPos {
+	out := decide.Report{Role: report.Role, HasPosition: report.HasPosition}
+	if report.HasPosition {
 		out.Position = clock.ToDuration(report.Position)
 	}
 	return out
--- a/internal/core/recorder.go
+++ b/internal/core/recorder.go
@@ -79,7 +79,7 @@
 		Role:       uint8(outcome.Role),
 		DurationMs: now - a.startedAt,
 	}
-	if outcome.HasPos {
+	if outcome.HasPosition {
 		event.Position = outcome.Position
 	}
 	r.records.Put(&event)
@@ -133,7 +133,7 @@
 		Result: uint8(outcome.Result),
 		Role:   uint8(outcome.Role),
 	}
-	if outcome.HasPos {
+	if outcome.HasPosition {
 		event.Position = outcome.Position
 	}
 	if sentAt, ok := r.healthChecksSentAt[server]; ok {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -128,7 +128,7 @@
 	// with the earlier one alone it might reject the request at once because of its class's estimated work.
 	event.Deadline = clock.ToDuration(clientDeadline)
 	c.handleEventAt(now, event)
-	c.handleEvent(&decide.ShortenDeadline{ID: event.ID, By: clock.ToDuration(incoming.Deadline)})
+	c.handleEvent(&decide.ShortenDeadline{ID: event.ID, Deadline: clock.ToDuration(incoming.Deadline)})
 	return ref, nil
 }
 
@@ -313,5 +313,5 @@
 		return
 	}
 	req.deadline = ms
-	c.handleEvent(&decide.ShortenDeadline{ID: requestID(ref), By: clock.ToDuration(ms)})
+	c.handleEvent(&decide.ShortenDeadline{ID: requestID(ref), Deadline: clock.ToDuration(ms)})
 }
--- a/internal/core/sessiontokens.go
+++ b/internal/core/sessiontokens.go
@@ -68,7 +68,7 @@
 		return false
 	}
 	at := clock.ToDuration(c.loop.Now())
-	if outcome.HasPos {
+	if outcome.HasPosition {
 		at = clock.ToDuration(outcome.Position)
 	}
 	waits := c.sessionTokens.Keep(req.commitSession, at, func(stored bool) {
--- a/internal/decide/api.go
+++ b/internal/decide/api.go
@@ -111,8 +111,8 @@
 
 // ShortenDeadline brings a request's deadline forward, as the process ends soon after.
 type ShortenDeadline struct {
-	ID RequestID
-	By Time
+	ID       RequestID
+	Deadline Time
 }
 
 // HealthCheckResult is the answer to a health check.
--- a/internal/decide/invariants_actions.go
+++ b/internal/decide/invariants_actions.go
@@ -133,7 +133,7 @@
 		return
 	}
 	rate := min(r.warmRate(server), r.typicalRate(server)) * r.warmUpFactor(server)
-	part := r.settings.SlowStartPart / float64(r.settings.Processes)
+	part := r.settings.SlowStartShare / float64(r.settings.Processes)
 	budget := r.settings.SlowStartMultiple * fullRateConcurrency * rate * part * span.Seconds()
 	if slowStartMargin/2*budget < max(request.expectedWork(), r.averageWork) {
 		view.slowStartSends = view.slowStartSends[:0]
--- a/internal/decide/router.go
+++ b/internal/decide/router.go
@@ -143,7 +143,7 @@
 	case *ShortenDeadline:
 		if request := r.requests[event.ID]; request != nil {
 			// giveUpAt stays: a class's estimated work may be longer than the time left.
-			request.deadline = min(request.deadline, event.By)
+			request.deadline = min(request.deadline, event.Deadline)
 		}
 	case *HealthCheckResult:
 		r.onHealthCheckResult(event)
--- a/internal/decide/server.go
+++ b/internal/decide/server.go
@@ -114,7 +114,7 @@
 		startedAt:            never,
 		slowStartUsed:        maxRate, // an earlier process may just have used the whole budget...
 		slowStartUsedAt:      r.now,
-		slowStartPart:        r.settings.SlowStartPart,
+		slowStartPart:        r.settings.SlowStartShare,
 		slowStartDraw:        math.Inf(1),
 		slowStartDrawAt:      r.now,
 	}
--- a/internal/decide/settings.go
+++ b/internal/decide/settings.go
@@ -104,8 +104,8 @@
 	DrainOnly         bool          // only draining servers are excluded; one that left the list may serve
 	SlowStartMultiple float64       // budget, as a multiple of what a cold server serves; 0 for none
 	SlowStartSpan     time.Duration // the span that the slow-start budget is for; 0 for no budget
-	SlowStartAssigned bool          // SlowStartPart is set, in place of an equal part for each of Peers
-	SlowStartPart     float64       // this router's part of the budget
+	SlowStartAssigned bool          // SlowStartShare is set, in place of an equal part for each of Peers
+	SlowStartShare    float64       // this router's part of the budget
 	SlowStartFrom     float64       // part of its capacity that a server has at its start
 	SlowStartTime     time.Duration // until a server has all of its capacity
 	CrossZoneCost     float64       // of an attempt into another zone, as a part of the latency objective
@@ -141,7 +141,7 @@
 	r.settings.MaxAttempts = max(1, settings.MaxAttempts)
 	r.settings.ListStaleAfter = cmp.Or(settings.ListStaleAfter, math.MaxInt64)
 	if !settings.SlowStartAssigned {
-		r.settings.SlowStartPart = 1 / float64(r.settings.Peers)
+		r.settings.SlowStartShare = 1 / float64(r.settings.Peers)
 	}
 	r.classes = classes
 	r.shortestObjective = 0
--- a/internal/decide/slowstart.go
+++ b/internal/decide/slowstart.go
@@ -28,7 +28,7 @@
 	}
 	budget := r.slowStartBudget(server)
 	r.updateSlowStartAccount(server, budget)
-	part := r.settings.SlowStartPart
+	part := r.settings.SlowStartShare
 	if budget*part >= r.averageWork {
 		return server.slowStartUsed <= budget*part-min(budget*part, request.expectedWork())
 	}
@@ -49,7 +49,7 @@
 // part of the budget is handed over with what was used of it, so that what remains is unchanged when the
 // part changes.
 func (r *Router) updateSlowStartAccount(server *server, budget workSeconds) {
-	part := r.settings.SlowStartPart
+	part := r.settings.SlowStartShare
 	elapsed := (r.now - server.slowStartUsedAt).Seconds()
 	leaked := budget * min(part, server.slowStartPart) * elapsed / r.settings.SlowStartSpan.Seconds()
 	handedOver := budget * (part - server.slowStartPart)
--- a/internal/decide/slowstart_parts_test.go
+++ b/internal/decide/slowstart_parts_test.go
@@ -12,9 +12,9 @@
 	move = func() {
 		for i := range f.routers {
 			set := f.set
-			set.SlowStartAssigned, set.SlowStartPart = true, 0.1/float64(len(f.routers)-1)
+			set.SlowStartAssigned, set.SlowStartShare = true, 0.1/float64(len(f.routers)-1)
 			if i == holder {
-				set.SlowStartPart = 0.9
+				set.SlowStartShare = 0.9
 			}
 			f.handle(i, &Reload{Settings: set})
 		}
--- a/internal/frontend/clickhouse/attempts.go
+++ b/internal/frontend/clickhouse/attempts.go
@@ -168,7 +168,7 @@
 	if a.request == nil {
 		if result == decide.OK && s.reportedAt != 0 && s.reportedAt >= a.startedAt {
 			outcome.Position = s.positionMs
-			outcome.HasPos = true
+			outcome.HasPosition = true
 		}
 		f.events.HealthCheckEnded(s.id, outcome)
 		return
@@ -178,7 +178,7 @@
 	}
 	if result == decide.Misdirected {
 		outcome.Position = s.positionMs
-		outcome.HasPos = true
+		outcome.HasPosition = true
 	}
 	f.events.AttemptEnded(a.id, outcome)
 }
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -166,7 +166,7 @@
 // report returns what the last answer reported of the server.
 func (l *link) report() backend.Report {
 	position := l.reportedPosition()
-	return backend.Report{Role: l.frontend.role(l.params[roleParameter]), Position: position, HasPos: position > 0}
+	return backend.Report{Role: l.frontend.role(l.params[roleParameter]), Position: position, HasPosition: position > 0}
 }
 
 func (l *link) reportedPosition() float64 {
--- a/internal/frontend/scatter/attempts.go
+++ b/internal/frontend/scatter/attempts.go
@@ -89,7 +89,7 @@
 		state := reported.reportedState()
 		outcome.Role = state.role
 		outcome.Position = state.positionMs
-		outcome.HasPos = state.hasPosition
+		outcome.HasPosition = state.hasPosition
 	}
 	if l != nil && result != decide.OK {
 		if givenUp && !l.sent {
--- a/internal/testkit/simulation/attempt.go
+++ b/internal/testkit/simulation/attempt.go
@@ -259,9 +259,9 @@
 			return // the connection broke before the answer was complete
 		}
 		o := backend.Outcome{Result: results[a.reply.Verdict], Report: backend.Report{
-			Role:     decide.RoleReplica,
-			Position: a.reply.Position,
-			HasPos:   a.reply.Position > 0,
+			Role:        decide.RoleReplica,
+			Position:    a.reply.Position,
+			HasPosition: a.reply.Position > 0,
 		}}
 		if a.reply.Primary {
 			o.Role = decide.RolePrimary
@@ -310,10 +310,10 @@
 // useClickHouseReport reduces a report to that of the ClickHouse interface: without a role, and with the server's lag in whole seconds
 // for health checks only.
 func (a *attempt) useClickHouseReport(o *backend.Outcome) {
-	o.Role, o.HasPos = decide.RoleUnknown, false
+	o.Role, o.HasPosition = decide.RoleUnknown, false
 	if a.client == nil {
 		lag := math.Floor(max(0, a.asOf-o.Position)/1000) * 1000
-		o.Position, o.HasPos = a.sentAt-lag-1000, true
+		o.Position, o.HasPosition = a.sentAt-lag-1000, true
 	}
 }
 
--- a/internal/testkit/simulation/mutants.go
+++ b/internal/testkit/simulation/mutants.go
@@ -94,7 +94,7 @@
 			}
 		}},
 		{Name: "takes replicas for up to date", Breaks: checker.NotStale, Outcome: func(o *backend.Outcome) {
-			if o.HasPos {
+			if o.HasPosition {
 				o.Position += 5000
 			}
 		}, Module: func(c *config.Config) {
--- a/internal/testkit/simulation/overload.go
+++ b/internal/testkit/simulation/overload.go
@@ -58,7 +58,7 @@
 
 // HealthCheckReported implements adapter.Core.
 func (c healthCheckWatcher) HealthCheckReported(store string, result decide.Result, said backend.Report, ageMs float64) {
-	if s := c.p.sim.world.Server(store); s != nil && said.Role != decide.RoleUnknown && said.HasPos {
+	if s := c.p.sim.world.Server(store); s != nil && said.Role != decide.RoleUnknown && said.HasPosition {
 		c.p.sim.check.RoleReported(c.p.sim.sched.now, said.Position, c.p.no, s.No, said.Role == decide.RolePrimary)
 	}
 	c.Core.HealthCheckReported(store, result, said, ageMs)
