--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -1,4 +1,5 @@
-// Package attempts has the types by which those who send attempts to servers and those who observe them speak of an attempt. It has no logic.
+// Package attempts has the types that describe an attempt to the code that sends attempts and to the code that observes them. It has no
+// logic.
 package attempts
 
 import (
@@ -15,6 +16,6 @@
 // Report is what a server reported about itself.
 type Report struct {
 	Role        decide.Role
-	Position    float64 // on the clock, valid if HasPosition
+	Position    float64 // milliseconds on the servers' clock: every commit up to then is applied; valid if HasPosition
 	HasPosition bool
 }
--- a/internal/decide/api.go
+++ b/internal/decide/api.go
@@ -1,15 +1,15 @@
 // Package decide chooses where a proxy sends each request when the servers behind it form groups of one
 // primary and its replicas. It only decides: it has no sockets, no clock and no goroutines, and the same
-// events give the same actions. The embedding proxy passes events with their times to Router.Handle, and
-// carries out the actions that Handle returns, in order.
+// events give the same actions. The proxy that embeds it (the embedder) passes events with their times to
+// Router.Handle, and carries out the actions that Handle returns, in order.
 //
 // Events are requests, the outcomes of attempts and health checks, the endpoint list, timers and settings.
 // Actions are attempts to send, cancellations, final answers, health checks, timers and subscriptions.
 // Memory is bounded by the servers in the list, the requests in flight and maxRememberedSessions. A router
-// that gets no reports from servers, no list and nothing from its peers goes on with what it last knew, and
-// estimates the load of other routers from its own.
+// that gets no reports from servers, no list and nothing from its peers continues with its last known state,
+// and estimates the load of other routers from its own.
 //
-// Files that hold records and decisions, by idea:
+// The files by topic:
 //
 //   - api.go: events and actions; inspect.go: read access for the embedder; snapshot.go: state handed to
 //     another router
@@ -25,7 +25,7 @@
 //     of new ones
 //   - endpointlist.go, clockoffset.go: the endpoint list and its subscription, and the offset of the
 //     servers' clock
-//   - invariants_*.go: statements that hold after each event, checked in tests and on request
+//   - invariants_*.go: invariants that hold after each event, checked in tests and where enabled
 package decide
 
 import "time"
@@ -42,20 +42,20 @@
 // Event is an input of the router.
 type Event interface{ event() }
 
-// Request is a client's request. The router gives it exactly one final answer, unless it is served or
-// abandoned.
+// Request is a client's request. It ends by exactly one of a served attempt, a final answer of the router
+// (Reject or Fail) and Abandoned.
 type Request struct {
 	ID              RequestID
 	Class           int // index into Settings.Classes
-	Group           int // number of the group that serves it
+	Group           int // number of the group of servers that serves it
 	Tenant          int // index into Settings.Tenants, negative for none
 	Deadline        Time
 	Session         string
 	SinceCommit     time.Duration // session reads: time since its commit, negative if that is ahead, 0: none
 	WorkHint        time.Duration // expected work on a standard core, 0 if unknown
 	ClientRetry     bool          // the client has sent it before
-	MayHaveRunSince Time          // when one with its key that may have run was first sent; 0 for none
-	OnlyServer      ServerID      // the one server that can serve it, empty for any; with ReadAny only
+	MayHaveRunSince Time          // first send of a request with the same key that may have run; 0 for none
+	OnlyServer      ServerID      // the only server that can serve it, empty for any; with ReadAny only
 }
 
 // Result is how an attempt or a health check ended.
@@ -68,14 +68,15 @@
 	Failed             // the server answered with an error; it may have had an effect
 	Overloaded         // refused without being read: the server is overloaded
 	TimedOut           // no answer in time
-	Unreachable        // no connection: never sent
+	Unreachable        // no connection: the attempt was never sent
 	Reset              // the connection dropped with the attempt in flight
 	Cancelled          // cancelled by the router
-	NotSent            // never sent: the request was over
-	Misdirected        // refused without being run: the server is not the primary, or too far behind
+	NotSent            // never sent: the request was over, or the local side could not send
+	Misdirected        // refused without being run: the server is not the primary, or its data is too old
 )
 
-// Role is a server's role in its group, as an answer or a report has it. The numbers are stored in records.
+// Role is a server's role in its group, as stated by an answer or a report. The numbers are stored in
+// records.
 type Role uint8
 
 // Roles.
@@ -85,14 +86,14 @@
 	RoleReplica
 )
 
-// Report is what a server reported of itself. HasPosition and HasInFlight tell which fields are present.
+// Report is what a server reported about itself. HasPosition and HasInFlight tell which fields are present.
 type Report struct {
 	Role        Role
 	Position    Time // on the servers' clock: the server has applied every commit up to then
 	HasPosition bool
 	InFlight    float64 // requests in flight there, of all routers
 	HasInFlight bool
-	Age         time.Duration // how much older than its event it may be
+	Age         time.Duration // how much older than the event that carries it the report may be
 }
 
 // Outcome is the end of an attempt.
@@ -102,14 +103,14 @@
 	Server   ServerID
 	Result   Result
 	Final    bool   // the request is over
-	Reported Report // the role and position at the answer itself
-	Load     Report // a load report that came along, some time old
+	Reported Report // the role and position in the answer itself
+	Load     Report // a load report that the answer carried, which may be older than the answer
 }
 
 // Abandoned is the end of a request whose client no longer waits for it.
 type Abandoned struct{ ID RequestID }
 
-// ShortenDeadline brings a request's deadline forward, as the process ends soon after.
+// ShortenDeadline brings a request's deadline forward, as the process stops soon after it.
 type ShortenDeadline struct {
 	ID       RequestID
 	Deadline Time
@@ -127,10 +128,10 @@
 
 // Kinds of list.
 const (
-	ListChanges  ListKind = iota // changed endpoints only
+	ListChanges  ListKind = iota // the changed endpoints only
 	ListFull                     // every endpoint; a server that is missing has been removed
-	ListRestored                 // every endpoint as last seen by an earlier process, possibly stale
-	ListFailed                   // a call failed; the list stays as it is
+	ListRestored                 // every endpoint as an earlier process last received them, possibly stale
+	ListFailed                   // a call to the list's source failed; the list stays as it is
 )
 
 // String returns the kind's name for logs.
@@ -166,8 +167,8 @@
 	Zone     int
 	Capacity float64 // relative to other servers
 	State    ServerState
-	Started  Time // when its process last started, 0 for long ago
-	Primary  bool
+	Started  Time // last start of its process, on the servers' clock; 0 for long ago
+	Primary  bool // it is the primary by the list; valid with Settings.ListShowsRole
 }
 
 // EndpointList is a change of the endpoint list, or the whole list.
@@ -192,20 +193,20 @@
 func (*Timer) event()             {}
 func (*Reload) event()            {}
 
-// ActionKind is what an Action requests.
+// ActionKind is what an Action asks of the embedder.
 type ActionKind uint8
 
 // Kinds of actions.
 const (
 	Send        ActionKind = iota // start the next attempt of ID at Server; Wait is its time-out, 0 for none
 	Cancel                        // stop waiting for attempt Attempt of ID
-	Reject                        // final answer: the request has not run, or may run again; retry after Wait
+	Reject                        // final answer: not run, or may run again; the client may retry after Wait
 	Fail                          // final answer: the request may have run
 	HealthCheck                   // check the health of Server
 	SetTimer                      // send a Timer with Tag at At
 	Subscribe                     // subscribe to the endpoint list
-	FetchList                     // request the whole list once; the router does not use it
-	Log                           // a line for the log
+	FetchList                     // fetch the whole list once; this router never emits it
+	Log                           // write Text to the log
 )
 
 var actionNames = [...]string{
@@ -234,15 +235,15 @@
 // Reasons.
 const (
 	ReasonNone        Reason = iota
-	ReasonExpired            // it came with no time left, or is of no class that is known
+	ReasonExpired            // its deadline had passed on arrival, or its class is unknown
 	ReasonShed               // the routers have agreed to shed it
 	ReasonNoServer           // no server of its group is known
-	ReasonRateLimit          // its tenant's rate limit is used up
-	ReasonDeadline           // its time was up
-	ReasonTooLate            // no server could answer in the time that is left
-	ReasonMaxAttempts        // it may not be sent again
-	ReasonHedge              // sent again: the attempt before is presumed lost or at an unresponsive server
-	ReasonRetry              // sent again: the attempt before ended without an answer
+	ReasonRateLimit          // its tenant's rate limit is exhausted
+	ReasonDeadline           // its deadline was reached
+	ReasonTooLate            // no server could answer in the remaining time
+	ReasonMaxAttempts        // it must not be sent again
+	ReasonHedge              // sent again: the previous attempt is presumed lost or at an unresponsive server
+	ReasonRetry              // sent again: the previous attempt ended without an answer
 	reasonCount
 )
 
@@ -260,10 +261,10 @@
 	ReasonRetry:       "unanswered",
 }
 
-// String returns the reason as logs and metrics name it.
+// String returns the reason's name in logs and metrics.
 func (reason Reason) String() string { return reasonNames[min(reason, reasonCount-1)] }
 
-// Reasons returns all of them, by number.
+// Reasons returns all reasons, by number.
 func Reasons() []Reason {
 	all := make([]Reason, reasonCount)
 	for i := range all {
@@ -272,14 +273,14 @@
 	return all
 }
 
-// Action is an output of the router. Its embedder carries actions out in order.
+// Action is an output of the router. The embedder carries actions out in order.
 type Action struct {
 	Kind        ActionKind
 	ID          RequestID
 	Attempt     int
 	Server      ServerID
 	Wait        time.Duration
-	WriteBefore Time // Send: the attempt must not be written from then on
+	WriteBefore Time // Send: the attempt must not be written at this time or later
 	At          Time
 	Tag         int64
 	Text        string
--- a/internal/decide/attempts.go
+++ b/internal/decide/attempts.go
@@ -5,21 +5,23 @@
 )
 
 const (
-	// slowAnswerFactor: an answer that took this many times its work met the load of other routers.
+	// slowAnswerFactor: an answer that took more than this multiple of its expected time is evidence of load
+	// from other routers.
 	slowAnswerFactor = 1.5
-	// overloadedFactor: a server that refuses a request as overloaded takes this many latency objectives
-	// for it.
+	// overloadedFactor: a server that refuses a request as overloaded is taken to need this many latency
+	// objectives for it.
 	overloadedFactor = 2
-	// earlyAnswers is added to the number of answers in the gain of averages, so that the first ones move
-	// them less.
+	// earlyAnswers is added to the number of answers in the gain of averages, so that the first answers
+	// move an average less.
 	earlyAnswers = 8
-	// minMeasuredTime bounds the time of an answer, in seconds, that others are divided by.
+	// minMeasuredTime is the least time of an answer, in seconds, that is used as a divisor.
 	minMeasuredTime = 1e-9
-	// likelyFailure is the chance of failure from which a server that fails a request gets none for a turn.
+	// likelyFailure is the chance of failure above which a server that fails a request gets no other one
+	// for the time of an average request.
 	likelyFailure = 0.5
 )
 
-// trySend sends a request if a server can take it now.
+// trySend sends a request if a server can take it now, and reports whether it did.
 func (r *Router) trySend(request *request) bool {
 	if r.attemptsExhausted(request) {
 		return false
@@ -38,8 +40,8 @@
 	})
 	server.frozenShare = share
 	server.frozenUntil = r.now + freezeTime
-	r.useSlowStart(server, request)
-	server.countPick()
+	r.chargeSlowStart(server, request)
+	server.updateRequestShares()
 	r.emit(Action{
 		Kind:        Send,
 		ID:          request.id,
@@ -50,7 +52,7 @@
 	return true
 }
 
-// writeBefore returns the time from which an attempt must not be written any more.
+// writeBefore returns the time from which an attempt must not be written to a connection any more.
 func (r *Router) writeBefore(server *server, request *request) Time {
 	before := request.sendBy - r.settings.Tick
 	if request.class.Read == ReadBounded && r.settings.StaleReads == StaleReadsAnswered {
@@ -64,7 +66,7 @@
 // addAttempt records an attempt that is sent.
 func (r *Router) addAttempt(server *server, attempt *attempt) {
 	request := attempt.request
-	r.retryBudgets.CountAttempt(r.now, request.group.id, len(request.attempts) == 0, request.duplicates())
+	r.retryBudgets.CountAttempt(r.now, request.group.id, len(request.attempts) == 0, request.wouldDuplicate())
 	request.awaitsRetryBudget = false
 	server.openAttempts = append(server.openAttempts, attempt)
 	request.attempts = append(request.attempts, attempt)
@@ -74,8 +76,8 @@
 	server.recoveryRamp.ObserveConnections(len(server.openAttempts))
 }
 
-// removeAttempt removes an attempt that ended and returns it with the number of older ones still in flight
-// there; nil if it is not known.
+// removeAttempt removes an attempt that ended and returns it, nil if it is not known, with the number of
+// older attempts still in flight at the server.
 func (r *Router) removeAttempt(server *server, id RequestID, number int) (ended *attempt, older int) {
 	index := slices.IndexFunc(server.openAttempts, func(attempt *attempt) bool {
 		return attempt.request.id == id && attempt.number == number
@@ -95,8 +97,8 @@
 	return ended, index
 }
 
-// excludeOpenAttempts excludes all attempts in flight from measurement, and takes all servers as having
-// just answered: after a pause of this router.
+// excludeOpenAttempts is called after a pause of this process. It excludes all attempts in flight from
+// measurement, and counts all servers as having just answered.
 func (r *Router) excludeOpenAttempts() {
 	for _, server := range r.serversByID {
 		server.answeredAt = r.now
@@ -106,7 +108,8 @@
 	}
 }
 
-// onOutcome handles the end of an attempt. A request without a final answer and without attempts waits again.
+// onOutcome handles the end of an attempt. If the request has neither a final answer nor another attempt in
+// flight, it waits again.
 func (r *Router) onOutcome(event *Outcome) {
 	server := r.servers[event.Server]
 	if server == nil {
@@ -140,7 +143,7 @@
 // idle reports whether a request has no final answer and no attempt in flight.
 func (request *request) idle() bool { return !request.finished && request.openAttempts == 0 }
 
-// mayHaveRun reports whether an attempt that ended so may have run.
+// mayHaveRun reports whether an attempt with this result may have run.
 func mayHaveRun(result Result) bool {
 	switch result {
 	case Failed, TimedOut, Reset, Cancelled:
@@ -149,8 +152,8 @@
 	return false
 }
 
-// applyOutcomeReports takes the reports of an outcome. That a server is a replica counts at once; that it
-// is the primary, as of its report.
+// applyOutcomeReports applies the reports of an outcome. The role of replica takes effect as of now, the role
+// of primary as of the time of the report.
 func (r *Router) applyOutcomeReports(server *server, attempt *attempt, event *Outcome) {
 	r.observeClock(server, event.Reported, attempt.sentAt)
 	at := r.now
@@ -158,12 +161,12 @@
 		at = min(r.now, max(attempt.sentAt, server.group.localTime(event.Reported.Position)))
 	}
 	r.applyReport(server, event.Reported, at)
-	r.observeClock(server, event.Load, never) // a load report is some time old
+	r.observeClock(server, event.Load, never) // it is not known when a load report was made
 	r.applyReport(server, event.Load, server.group.localTime(event.Load.Position))
 }
 
-// applyResult takes the result of an attempt as evidence of its server; older attempts are still in flight
-// there.
+// applyResult updates a server by the result of an attempt; older is the number of earlier attempts still in
+// flight there.
 func (r *Router) applyResult(server *server, attempt *attempt, older int, event *Outcome) {
 	switch event.Result {
 	case OK:
@@ -175,7 +178,7 @@
 	}
 }
 
-// onSuccess handles a request's answer.
+// onSuccess handles the answer to an attempt.
 func (r *Router) onSuccess(server *server, attempt *attempt, older int, event *Outcome) {
 	request := attempt.request
 	if !attempt.unmeasured {
@@ -187,28 +190,28 @@
 	}
 	r.recordAnswer(server, attempt)
 	if request.class.Read == Write && r.settings.TrackCommits {
-		// Without a reported position, it is committed by now.
+		// Without a reported position, the write counts as committed now, the latest possible time.
 		r.rememberCommit(request.session, event.Reported.positionOr(r.serverClockNow(server.group)))
 	}
 }
 
-// measure takes an answer's time as evidence of the server's load and rate, and of the work of the
-// request's class.
+// measure updates the estimates of the server's load and rate, and of the work of the request's class, by the
+// time that an answer took.
 func (r *Router) measure(server *server, attempt *attempt) {
 	request := attempt.request
 	took := (r.now - attempt.sentAt).Seconds()
 	received := server.virtualService - attempt.serviceAtSend
-	onLink := min(r.linkDelay(server), took/2)
-	received *= 1 - onLink/max(took, minMeasuredTime)
-	took -= onLink
-	met := fullRateConcurrency * (took*r.serviceRate(server)/request.expectedWork() - slowAnswerFactor)
-	if r.observeLoad(server, met) {
+	linkTime := min(r.linkDelay(server), took/2)
+	received *= 1 - linkTime/max(took, minMeasuredTime)
+	took -= linkTime
+	implied := fullRateConcurrency * (took*r.serviceRate(server)/request.expectedWork() - slowAnswerFactor)
+	if r.observeLoad(server, implied) {
 		load := r.loadOf(server).likely
 		received = min(received, took*rateShare(load)*r.warmUpFactor(server))
 	}
 	server.expectedWork += request.expectedWork()
 	server.receivedService += received
-	if r.warmUpFactor(server) == 1 { // a cold server's rate is known roughly
+	if r.warmUpFactor(server) == 1 { // a cold server's rate is known only roughly
 		r.observeWait(server, took-request.expectedWork()/r.warmRate(server))
 		r.learnWork(server, request, received)
 	}
@@ -218,7 +221,7 @@
 func (r *Router) learnWork(server *server, request *request, received float64) {
 	class := request.class
 	class.answerCount++
-	// The work that the service shows, scaled from the request to its class.
+	// The work that the received service amounts to, scaled from the request to its class.
 	observed := received * r.warmRate(server) * class.averageWork / request.expectedWork()
 	learned := class.averageWork + averageGain(class.answerCount)*(observed-class.averageWork)
 	class.averageWork = max(minClassWork, learned)
@@ -226,10 +229,10 @@
 	r.answerCount++
 }
 
-// averageGain returns the weight of one answer in an average over so many.
+// averageGain returns the weight of one answer in an average over the given number of answers.
 func averageGain(answers float64) float64 { return max(minAverageGain, 1/(answers+earlyAnswers)) }
 
-// onMisdirected handles a refusal by a server that is not the primary, or too far behind.
+// onMisdirected handles a refusal by a server that is not the primary, or whose data is too old.
 func (r *Router) onMisdirected(server *server, attempt *attempt, event *Outcome) {
 	r.recordAnswer(server, attempt)
 	if attempt.request.primaryOnly() && event.Reported.Role != RolePrimary {
@@ -237,11 +240,12 @@
 		server.roleAt = r.now
 		return
 	}
-	server.positionRate /= 2 // it is further behind than estimated
+	server.positionRate /= 2 // the server is further behind than estimated
 }
 
-// onFailure handles an attempt that was not answered, or refused by an overloaded server. It does not prove
-// that the server is down: the server's cost rises for a while, and it gets nothing for a turn.
+// onFailure handles an attempt that failed or was refused by an overloaded server. This does not prove that
+// the server is down: the server's cost rises for a while, and after a refusal or likely failure it gets
+// no request for the time of an average one.
 func (r *Router) onFailure(server *server, attempt *attempt, result Result) {
 	switch result {
 	case Unreachable:
@@ -251,8 +255,8 @@
 		request := attempt.request
 		objective := request.class.LatencyObjective.Seconds()
 		rate := r.serviceRate(server)
-		met := overloadedFactor * fullRateConcurrency * objective * rate / request.expectedWork()
-		r.observeLoad(server, met)
+		implied := overloadedFactor * fullRateConcurrency * objective * rate / request.expectedWork()
+		r.observeLoad(server, implied)
 	}
 	r.observeFailure(server)
 	if result == Overloaded || result == Failed && server.failureAtLast > likelyFailure {
@@ -260,8 +264,8 @@
 	}
 }
 
-// onUnreachable handles a connection that failed after so long. One that was not refused at once may have
-// failed by the link: a health check shows whether the server lives.
+// onUnreachable handles a connection that failed after the given time. If it was not refused at once, the
+// link may be the cause: a health check shows whether the server is alive.
 func (r *Router) onUnreachable(server *server, took Time) {
 	linkMayExplain := r.observeLink(server, took)
 	if !linkMayExplain && took < longDelay {
--- a/internal/decide/candidates.go
+++ b/internal/decide/candidates.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	// maxHealthChecksPerRequest is how many servers are checked for one request: the best two matter most.
+	// maxHealthChecksPerRequest bounds the servers that are checked for one request: further ones than the
+	// best two gain little.
 	maxHealthChecksPerRequest = 2
 	// healthCheckWaitTicks is how many ticks a request waits for a health check.
 	healthCheckWaitTicks = 4
-	// minFreshnessChance is added to the chance that a server is fresh, which may be 0.
+	// minFreshnessChance is added to the chance that a server is fresh, which is a divisor and may be 0.
 	minFreshnessChance = 1e-3
-	// loadReportLifetimes: a load report is recent for the shortest objective divided by this.
+	// loadReportLifetimes: a load report is recent for the shortest latency objective divided by this.
 	loadReportLifetimes = 4
 )
 
 // freshness is whether a server's data is new enough for a request.
 type freshness struct {
-	known  bool // by what it reported
-	likely bool // by now, at the rate at which it advanced
+	known  bool // by the position that the server reported
+	likely bool // by the position extrapolated to now
 }
 
 // freshness returns whether a server's data is known to be new enough, and whether it probably is by now.
@@ -28,14 +29,15 @@
 	if required == never || r.provenPosition(server, request) >= required {
 		return freshness{known: true, likely: true}
 	}
-	if server == r.primary(request.group) && request.group.clock.inDoubt() { // up to date, by another clock
+	// A primary is up to date, but its clock may be behind the estimate.
+	if server == r.primary(request.group) && request.group.clock.inDoubt() {
 		return freshness{likely: true}
 	}
 	return freshness{likely: r.likelyReached(server, required)}
 }
 
-// likelyReached reports whether a server has probably reached a position by now, or has not reported its
-// position lately.
+// likelyReached reports whether a server has probably reached a position by now. A server that has not
+// reported its position recently counts as having reached it.
 func (r *Router) likelyReached(server *server, required Time) bool {
 	if server.position == never || r.now-server.positionReportedAt > max(r.primarySearchPause, server.lag()) {
 		return true
@@ -48,8 +50,8 @@
 	return server.positionReportedAt - server.group.localTime(server.position)
 }
 
-// provenPosition returns as of when a server's data is complete, on the servers' clock: a primary's as of
-// its report, or of a health check since the request arrived.
+// provenPosition returns the time on the servers' clock up to which a server's data is known to be complete.
+// For a primary that is the time of its report, or of a health check sent since the request arrived.
 func (r *Router) provenPosition(server *server, request *request) Time {
 	if server != r.primary(request.group) {
 		return server.position
@@ -65,7 +67,8 @@
 	return proven
 }
 
-// requiredPosition returns the position that a request requires of a replica now, on the servers' clock.
+// requiredPosition returns the position that a server must have reached now to serve a request, on the
+// servers' clock.
 func (r *Router) requiredPosition(request *request) Time {
 	if request.class.Read == ReadBounded {
 		return r.serverClockNow(request.group) - request.class.MaxStaleness
@@ -73,18 +76,20 @@
 	return request.requiredPosition
 }
 
-// freshnessChance returns how likely a health check finds a server fresh: one that was far behind stays so
-// for a while.
+// freshnessChance returns the estimated probability that a health check finds a server fresh enough: a
+// server that was far behind stays so for a while.
 func (r *Router) freshnessChance(server *server, request *request) float64 {
 	lag := server.lag()
 	allowed := r.serverClockNow(request.group) - r.requiredPosition(request)
 	if server.position == never || lag <= allowed {
 		return 1
 	}
-	return 1 - (1-allowed.Seconds()/lag.Seconds())*r.fading(server.positionReportedAt, linkDelayMemory)
+	return 1 - (1-allowed.Seconds()/lag.Seconds())*
+		r.evidenceWeight(server.positionReportedAt, linkDelayMemory)
 }
 
-// excludes reports whether a request cannot go to a server: it needs another one, or has yet to try others.
+// excludes reports whether a request must not go to a server: only another server can serve it, or the server
+// was tried and other members were not.
 func (request *request) excludes(server *server) bool {
 	if request.onlyServer != "" {
 		return request.onlyServer != server.id
@@ -107,7 +112,8 @@
 	return certain
 }
 
-// choosePrimary returns the primary for a request that it alone may serve, or nil if the request has to wait.
+// choosePrimary returns the primary for a request that only the primary may serve, or nil if the request has
+// to wait.
 func (r *Router) choosePrimary(request *request) *server {
 	primary := r.primary(request.group)
 	if primary == nil || !primary.usable() || !r.hasCapacity(primary, request) {
@@ -119,8 +125,8 @@
 	return primary
 }
 
-// cheapestCandidates returns the member of least cost among those that are certain to serve a read
-// correctly, and among all that may.
+// cheapestCandidates returns the member of least cost among those that never serve the read from data that is
+// too old (certain), and the one of least cost among all candidates (cheapest).
 func (r *Router) cheapestCandidates(request *request) (certain, cheapest *server) {
 	leastCertain, least := math.Inf(1), math.Inf(1)
 	for _, server := range request.group.members {
@@ -137,7 +143,7 @@
 		}
 		isCertain := fresh.known || r.settings.StaleReads != StaleReadsAnswered
 		costsTooMuch := isCertain && cost >= leastCertain || !isCertain && cost >= least
-		if costsTooMuch || !r.slowStartAllows(server, request) { // slowStartAllows last, as it draws
+		if costsTooMuch || !r.slowStartAllows(server, request) { // slowStartAllows last: it uses random draws
 			continue
 		}
 		if isCertain {
@@ -150,21 +156,22 @@
 	return certain, cheapest
 }
 
-// mayTryUnproven reports whether a server that is not known to be fresh may be used: it refuses reads if it
-// is stale, or its health may be checked first.
+// mayTryUnproven reports whether a server that is probably but not certainly fresh is a candidate: it refuses
+// reads for which its data is too old, or its health may be checked first.
 func (r *Router) mayTryUnproven(server *server, request *request, fresh freshness) bool {
 	refusesStale := r.settings.StaleReads != StaleReadsAnswered
 	return fresh.likely && (refusesStale || r.mayAwaitHealthCheck(server, request))
 }
 
-// costOfMiss returns the expected seconds that a server costs which turns out to be stale: a turn there,
-// and a health check. Where servers do not refuse stale reads, they are checked one by one.
+// costOfMiss returns the expected extra cost, in seconds, of trying a server that may turn out to be stale: a
+// delay of two ticks and a health check, divided by the chance that it is fresh.
 func (r *Router) costOfMiss(server *server, request *request) float64 {
-	turn := (2 * r.settings.Tick).Seconds()
-	return (turn + r.healthCheckCost(request)) / (r.freshnessChance(server, request) + minFreshnessChance)
+	delay := (2 * r.settings.Tick).Seconds()
+	return (delay + r.healthCheckCost(request)) / (r.freshnessChance(server, request) + minFreshnessChance)
 }
 
-// checkPrimaryOnce checks the health of the primary for a session read whose cheaper members are behind.
+// checkPrimaryOnce checks the health of the primary for a session read that no member is known to be fresh
+// enough for, once since the read arrived.
 func (r *Router) checkPrimaryOnce(request *request) {
 	primary := r.primary(request.group)
 	if primary == nil || !primary.usable() || primary.healthCheckSentAt >= request.arrivedAt {
@@ -175,13 +182,13 @@
 	}
 }
 
-// healthCheckCost returns the cost of a health check for a request, in seconds of its time.
+// healthCheckCost returns the cost of a health check for a request, in seconds of latency.
 func (r *Router) healthCheckCost(request *request) float64 {
 	return r.settings.HealthCheckCost * request.class.LatencyObjective.Seconds()
 }
 
-// mayAwaitHealthCheck reports whether a request may wait for a server's health check: the server refused
-// none lately, and has none in flight for longer than another server's check would cost.
+// mayAwaitHealthCheck reports whether a request may wait for a server's health check: the server has refused
+// none recently, and none has been in flight for longer than checking another server would cost.
 func (r *Router) mayAwaitHealthCheck(server *server, request *request) bool {
 	if r.now-server.healthCheckRefusedAt < ejectedCheckInterval {
 		return false
@@ -190,8 +197,8 @@
 	return !server.healthCheckPending || r.now-server.healthCheckSentAt <= longest
 }
 
-// awaitsHealthCheck checks the health of a server whose position or load a request needs, if that pays, and
-// reports whether the request has to wait for the result.
+// awaitsHealthCheck checks the health of a server whose position or load a request needs, if the check is
+// worth its cost, and reports whether the request has to wait for the result.
 func (r *Router) awaitsHealthCheck(request *request, server *server) bool {
 	if !r.needsHealthCheck(request, server) {
 		return false
@@ -209,8 +216,8 @@
 	return r.now < server.healthCheckSentAt+healthCheckWaitTicks*r.settings.Tick
 }
 
-// needsHealthCheck reports whether a request needs a server's position, or its load where that costs more
-// than the check.
+// needsHealthCheck reports whether a request needs a server's position, or whether the estimated load there
+// delays it by more than the cost of a check.
 func (r *Router) needsHealthCheck(request *request, server *server) bool {
 	if !r.settings.MayCheckHealth {
 		return false
--- a/internal/decide/clockoffset.go
+++ b/internal/decide/clockoffset.go
@@ -6,39 +6,38 @@
 )
 
 const (
-	// offsetTolerance is what delays and rounding explain; clocks are stepped by seconds.
+	// offsetTolerance is the greatest difference that delays and rounding explain; clock steps are seconds.
 	offsetTolerance = 500 * time.Millisecond
-	// offsetMaxRoundTrip bounds the time of an answer that is evidence that the servers' clock is behind.
+	// offsetMaxRoundTrip bounds the round trip of an answer that bounds the offset from above.
 	offsetMaxRoundTrip = 250 * time.Millisecond
-	// offsetConfirmTime is how long reports must agree that the servers' clock is behind,
-	// offsetConfirmReports how many.
+	// The estimate is lowered once offsetConfirmReports reports over at least offsetConfirmTime agree on it.
 	offsetConfirmTime    = time.Second
 	offsetConfirmReports = 3
-	// offsetCheckInterval is the pause between health checks for such reports.
+	// offsetCheckInterval is the pause between health checks that collect such reports.
 	offsetCheckInterval = offsetConfirmTime / 4
-	// positionResolution is the unit to which a position is rounded down.
+	// positionResolution is the unit to which a reported position is rounded down.
 	positionResolution = time.Millisecond
 )
 
 // clockOffset estimates how far the clock of a group's servers is ahead of this router's, from reports of
-// its primary: its position is the time of its report. Positions are stored as the servers state them, and
-// the offset is used where one is compared with this router's clock.
+// its primary, whose position is the time of the report. Positions are stored as the servers state them;
+// the offset is applied where a position is compared with this router's clock.
 //
-// Too high an offset makes data look older than they are, which costs a detour to the primary. Too low a
-// one lets a stale replica serve. So the estimate is raised at once, and lowered only after several reports
-// that agree. A primary whose clock stands still does not agree with itself.
+// With too high an offset, data looks older than it is, and reads go to the primary without need. With too
+// low a one, a stale replica may serve reads. So the estimate is raised at once, and lowered only after
+// several reports that agree. Reports of a primary whose clock stands still do not agree with each other.
 type clockOffset struct {
 	ahead time.Duration // the estimate
 
-	// Reports since agreeingSince place the servers' clock behind the estimate, within these bounds.
+	// agreeingReports reports since agreeingSince place the offset below the estimate, within these bounds.
 	lowerBound      time.Duration
 	upperBound      time.Duration
 	agreeingSince   Time
 	agreeingReports int
 }
 
-// observe takes a position that a primary reported in answer to what was sent at that time, or never where
-// that is not known.
+// observe updates the estimate by a position that a primary reported. sentAt is when the request that the
+// primary answered was sent, or never if that is not known.
 func (clock *clockOffset) observe(now, sentAt, position Time) {
 	lower := position - now
 	upper := unlimited
@@ -55,10 +54,11 @@
 	}
 }
 
-// inDoubt reports whether reports agree that the servers' clock is behind, too few to be believed.
+// inDoubt reports whether several reports agree on a lower offset, but not yet enough to adopt it.
 func (clock *clockOffset) inDoubt() bool { return clock.agreeingReports > 1 }
 
-// considerLowering counts a report that places the servers' clock behind the estimate.
+// considerLowering counts a report that places the offset below the estimate, and adopts the lower offset
+// after enough reports that agree.
 func (clock *clockOffset) considerLowering(now Time, lower, upper time.Duration) {
 	if clock.agreeingReports == 0 || lower > clock.upperBound || upper < clock.lowerBound {
 		clock.lowerBound = lower
@@ -75,7 +75,7 @@
 	}
 }
 
-// adopt takes the upper bound as the estimate, where there is one.
+// adopt sets the estimate to the upper bound, or to the lower one where there is no upper bound.
 func (clock *clockOffset) adopt(lower, upper time.Duration) {
 	clock.ahead = lower
 	clock.agreeingReports = 0
@@ -84,7 +84,7 @@
 	}
 }
 
-// observeClock takes a report for the offset of its group's clock.
+// observeClock updates the clock offset of a server's group by a report of its primary.
 func (r *Router) observeClock(server *server, report Report, sentAt Time) {
 	if report.Role != RolePrimary || !report.HasPosition {
 		return
@@ -97,8 +97,8 @@
 	}
 }
 
-// correctStarts dates the starts of a group's servers by the servers' clock, which is behind where it was
-// assumed to be: one that seemed to have started long ago may just have done so.
+// correctStarts recomputes the start times of a group's servers after the clock offset was lowered: a server
+// that seemed to have started long ago may have started just now.
 func (r *Router) correctStarts(group *group) {
 	for _, server := range group.members {
 		if server.endpoint.Started != 0 {
@@ -107,13 +107,13 @@
 	}
 }
 
-// localTime returns this router's time at which the clock of the group's servers showed a time.
+// localTime converts a time on the clock of the group's servers to this router's clock.
 func (group *group) localTime(servers Time) Time { return servers - group.clock.ahead }
 
 // serverClockNow returns the present time on the clock of a group's servers.
 func (r *Router) serverClockNow(group *group) Time { return r.now + group.clock.ahead }
 
-// ToLocalTime returns the time on this router's clock at which a server's clock showed a time.
+// ToLocalTime converts a time on a server's clock to this router's clock.
 func (r *Router) ToLocalTime(id ServerID, servers Time) Time {
 	if server := r.servers[id]; server != nil {
 		return server.group.localTime(servers)
--- a/internal/decide/cost.go
+++ b/internal/decide/cost.go
@@ -10,16 +10,19 @@
 // bandwidth share the part of the server's rate that one request gets.
 
 const (
-	// fullRateConcurrency is how many requests a server serves at full rate each: the cores of a small one.
+	// fullRateConcurrency is the number of requests that a server serves at full rate each: the number of
+	// cores of a small server.
 	fullRateConcurrency = 4.0
-	// minRemainingFraction is the least remaining work of a request in flight, as a part of its work.
+	// minRemainingFraction bounds the estimated remaining work of a request in flight from below, as a
+	// fraction of its work.
 	minRemainingFraction = 0.3
-	// freezeTime is the paper's update-freeze: estimated shares are kept for so long after a pick.
+	// freezeTime is the paper's update-freeze: the time for which estimated shares are kept after a pick.
 	freezeTime = time.Second
 )
 
-// rateShare returns the part of its rate for one request alone that a server gives each of n: about
-// fullRateConcurrency/n where n is greater. Its number of cores is unknown, so that the passage is gradual.
+// rateShare returns the fraction of its single-request rate at which a server serves each of n requests:
+// about 1 up to fullRateConcurrency, and about fullRateConcurrency/n beyond. The transition is gradual, as
+// the number of cores is unknown.
 func rateShare(n concurrency) float64 {
 	x := n * n / (fullRateConcurrency * fullRateConcurrency)
 	return 1 / math.Sqrt(math.Sqrt(1+x*x))
@@ -28,13 +31,13 @@
 // serverCost is the cost of sending a request to a server.
 type serverCost struct {
 	seconds float64     // the paper's Cost(p)
-	share   serviceRate // b_j: the share of the rate that the request is estimated to get
+	share   serviceRate // b_j: the rate that the request is estimated to get
 }
 
 // cost is the paper's equation 2: the completion time d_j/b_j of the new request, and the sum over the
-// requests in flight there of the increase r_f/b'_f - r_f/b_f of theirs. Each increase counts by the
-// request's weight against that of the new one, so that a primary full of writes is spared. To this it adds
-// the chance of failure, the zone and the delay of the link.
+// requests in flight there of the increase r_f/b'_f - r_f/b_f of theirs. Each increase is scaled by the
+// weight of its request relative to the new one, so that reads avoid a primary that is busy with writes. The
+// sum is then corrected for the chance of failure, the zone and the delay of the link.
 func (r *Router) cost(server *server, request *request) serverCost {
 	r.advanceService(server)
 	rate := r.serviceRate(server)
@@ -57,7 +60,7 @@
 	return serverCost{seconds: cost + r.linkDelay(server), share: shareAfter}
 }
 
-// remainingWork estimates what is left of an attempt's work at a server of that rate.
+// remainingWork estimates the remaining work of an attempt at a server of the given rate.
 func (attempt *attempt) remainingWork(server *server, rate serviceRate) workSeconds {
 	work := attempt.request.expectedWork()
 	return max(work-(server.virtualService-attempt.serviceAtSend)*rate, minRemainingFraction*work)
--- a/internal/decide/endpointlist.go
+++ b/internal/decide/endpointlist.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// listTimePerRouter is the time of the list's source for one router's call, so that the calls of all
-	// are spread.
+	// listTimePerRouter is the time allotted to one router's call at the list's source, by which the calls
+	// of all routers are spread.
 	listTimePerRouter = 20 * time.Millisecond
-	// resubscribeFraction is the part of Settings.ListStaleAfter that may pass without a subscription.
+	// resubscribeFraction is the fraction of Settings.ListStaleAfter that may pass without a subscription.
 	resubscribeFraction = 0.6
-	// minResubscribePause is the pause before a new subscription, with a random part of the same...
+	// minResubscribePause is the pause before a new subscription, to which a random part up to the same
+	// length is added...
 	minResubscribePause = 100 * time.Millisecond
-	// maxResubscribePause: ...doubled up to this while subscriptions fail within as long.
+	// maxResubscribePause: ...doubled up to this while subscriptions fail within this time.
 	maxResubscribePause = time.Second
 	// maxResubscribeDoublings bounds the doublings of the pause, so that it does not overflow.
 	maxResubscribeDoublings = 9
-	// maxListCallInterval is the time from the start of a call to that of the next: a change is known in 6
-	// s, less 1 s to connect and 0.5 s for the answer.
+	// maxListCallInterval is the longest time from the start of a call to the start of the next. A change
+	// has to be known within 6 s, of which 1 s is for connecting and 0.5 s for the answer.
 	maxListCallInterval = 9 * time.Second / 2
-	// maxListCallSilence is how long a failed call may have been without a message: a live one has one
-	// every 2 s.
+	// maxListCallSilence is the longest time without a message before a call counts as failed: a live call
+	// has a message every 2 s.
 	maxListCallSilence = 5 * time.Second / 2
 )
 
-// onEndpointList takes a change of the endpoint list, or the whole list.
+// onEndpointList applies a change of the endpoint list, or the whole list.
 func (r *Router) onEndpointList(event *EndpointList) {
 	if event.Kind == ListFailed {
 		r.onListFailed()
@@ -47,7 +48,7 @@
 	}
 }
 
-// applyEndpoint takes one entry of a list.
+// applyEndpoint applies one entry of the endpoint list.
 func (r *Router) applyEndpoint(endpoint *Endpoint, kind ListKind) {
 	server := r.servers[endpoint.Server]
 	if server == nil {
@@ -61,7 +62,7 @@
 		server.role = RolePrimary
 		server.roleAt = never + 1 // any report is newer
 	}
-	if endpoint.State == Removed { // one seen draining stays excluded
+	if endpoint.State == Removed { // a server that was draining stays excluded, also with DrainOnly
 		server.markRemoved(r.now)
 		return
 	}
@@ -71,24 +72,24 @@
 	r.kindRates[endpoint.Kind] = cmp.Or(r.kindRates[endpoint.Kind], initialKindRate)
 }
 
-// addListedServer adds a server that the list has for the first time.
+// addListedServer adds a server that appears in the list for the first time.
 func (r *Router) addListedServer(endpoint *Endpoint, kind ListKind) *server {
 	server := r.addServer(endpoint.Server, r.groupFor(endpoint.Group))
-	server.requestShare = r.rng.Float64() // each router begins at another member
+	server.requestShare = r.rng.Float64() // random, so that routers prefer different members at first
 	if !r.hasList {
 		return server
 	}
 	server.requestShare = 0
 	if r.settings.MayCheckHealth {
-		server.health = ejected // it may not exist: a health check comes before any request
+		server.health = ejected // it may not exist: a health check has to succeed before any request
 	}
 	if kind == ListChanges {
-		server.startedAt = max(server.startedAt, r.now) // a new machine starts cold, whatever its entry says
+		server.startedAt = max(server.startedAt, r.now) // a new server is cold, whatever start its entry has
 	}
 	return server
 }
 
-// removeUnlisted marks the servers that a whole list does not have.
+// removeUnlisted marks the servers that are missing from a whole list as removed.
 func (r *Router) removeUnlisted(named map[ServerID]bool) {
 	for _, server := range r.serversByID {
 		if !named[server.id] && server.removedAt == 0 {
@@ -97,9 +98,9 @@
 	}
 }
 
-// updateStart takes the start that an entry reports. It is a time of the server's clock, which may differ
-// from this one's by any amount. So a start in a change of the list counts from now, as it has just
-// happened; only where nothing was known before is it taken as reported, and none lies ahead.
+// updateStart applies the start time in a list entry. It is a time on the server's clock, which may differ
+// from this router's by any amount. So a new start in a change of the list counts as having happened now.
+// Only for the first entry of a server or in a whole list is the start used as stated, at most now.
 func (r *Router) updateStart(server *server, endpoint *Endpoint, kind ListKind) {
 	if endpoint.Started == server.endpoint.Started {
 		return
@@ -115,15 +116,15 @@
 // onListFailed schedules a new subscription, after a pause that grows with failures in a row.
 func (r *Router) onListFailed() {
 	r.subscriptionFailures++
-	if r.now-r.subscribedAt >= maxResubscribePause { // it had been in use
+	if r.now-r.subscribedAt >= maxResubscribePause { // the subscription had worked for a while
 		r.subscriptionFailures = 0
 	}
 	doublings := min(r.subscriptionFailures, maxResubscribeDoublings)
 	r.scheduleSubscription(min(maxResubscribePause, minResubscribePause<<doublings))
 }
 
-// scheduleSubscription schedules a subscription after a pause, at a time of this router's own, before
-// changes that were missed count as known.
+// scheduleSubscription schedules a subscription after a pause, at a random time of this router's own, and
+// before the list counts as stale.
 func (r *Router) scheduleSubscription(pause time.Duration) {
 	sinceLast := min(maxListCallSilence, r.now-r.subscribedAt)
 	beforeStale := time.Duration(resubscribeFraction * float64(r.settings.ListStaleAfter))
--- a/internal/decide/group.go
+++ b/internal/decide/group.go
@@ -10,12 +10,12 @@
 	id           int
 	members      []*server
 	waiting      []*request
-	openAttempts int        // in flight at its members
-	backlogs     [2]backlog // at its primary, and at the others
+	openAttempts int        // attempts in flight at its members
+	backlogs     [2]backlog // at its primary, and at its other members
 	clock        clockOffset
 }
 
-// groupFor returns a group, which it adds if there is none of that number.
+// groupFor returns the group of a number, which it adds if there is none.
 func (r *Router) groupFor(id int) *group {
 	found := r.groups[id]
 	if found == nil {
@@ -37,7 +37,7 @@
 	})
 }
 
-// primary returns the group's primary by the latest evidence, or nil while none is known.
+// primary returns the group's primary by the latest evidence, or nil if none is known.
 func (r *Router) primary(group *group) *server {
 	var primary *server
 	for _, member := range group.members {
--- a/internal/decide/healthcheck.go
+++ b/internal/decide/healthcheck.go
@@ -9,9 +9,9 @@
 const (
 	// ejectedCheckInterval is the pause between health checks of an ejected server.
 	ejectedCheckInterval = 200 * time.Millisecond
-	// checksBeforeBackoff is how many failed health checks come before that pause grows.
+	// checksBeforeBackoff is the number of failed health checks in a row after which the pause grows.
 	checksBeforeBackoff = 4
-	// maxCheckBackoffDoublings is how often that pause is doubled at most.
+	// maxCheckBackoffDoublings bounds the doublings of the pause.
 	maxCheckBackoffDoublings = 4
 )
 
@@ -27,7 +27,7 @@
 		linkMayExplain = r.observeLink(server, r.now-server.healthCheckSentAt)
 	}
 	server.healthCheckPending = false
-	if provesNothing(event.Result, linkMayExplain) {
+	if isInconclusive(event.Result, linkMayExplain) {
 		server.healthCheckRefusedAt = r.now
 		return
 	}
@@ -43,24 +43,25 @@
 	}
 }
 
-// provesNothing reports whether the result of a health check neither ejects a server nor returns it to use.
-func provesNothing(result Result, linkMayExplain bool) bool {
+// isInconclusive reports whether a health check's result is no reason to eject a server or return it to use:
+// the check was refused, unreadable or not sent, or the link may be the cause of the failure.
+func isInconclusive(result Result, linkMayExplain bool) bool {
 	refused := result == Overloaded || result == Failed || result == NotSent
 	return refused || result != OK && linkMayExplain
 }
 
-// onHealthCheckPassed handles the report of a server that answered a health check.
+// onHealthCheckPassed handles a successful health check and its report.
 func (r *Router) onHealthCheckPassed(server *server, event *HealthCheckResult, sentAt Time) {
 	server.healthCheckFailures = 0
-	if event.Load.Role == RolePrimary { // no other answer confirms that it is the primary
+	if event.Load.Role == RolePrimary { // only a health check's answer confirms that a server is the primary
 		server.primaryConfirmedAt = server.healthCheckSentAt
 	}
 	r.observeClock(server, event.Load, sentAt)
 	// A primary's position is the time of its report.
 	r.applyReport(server, event.Load, server.group.localTime(event.Load.Position))
 	if server.health == ejected {
-		// A health check bypasses its queue, so that requests have to prove it. What it had in flight may
-		// be lost.
+		// A health check bypasses the server's request queue, so only answered requests prove that it
+		// serves. Attempts in flight from before may be lost.
 		r.markHealthy(server)
 		server.health = halfOpen
 		server.presumeAllLost()
@@ -69,7 +70,7 @@
 	r.sendWaiting(server.group)
 }
 
-// checkHealth sends a health check to a server, unless one is in flight or was sent within pause.
+// checkHealth sends a health check to a server, unless one is in flight or was sent less than pause ago.
 func (r *Router) checkHealth(server *server, pause time.Duration) {
 	if !r.settings.MayCheckHealth || server.healthCheckPending || !server.available() {
 		return
@@ -82,14 +83,16 @@
 	r.emit(Action{Kind: HealthCheck, Server: server.id})
 }
 
-// healthCheckBackoff returns the pause between health checks of an ejected server. It grows as they fail.
+// healthCheckBackoff returns the pause between health checks of an ejected server, which grows with failures
+// in a row.
 func (server *server) healthCheckBackoff() time.Duration {
 	doublings := max(0, server.healthCheckFailures-checksBeforeBackoff)
 	return ejectedCheckInterval << min(doublings, maxCheckBackoffDoublings)
 }
 
-// checkServers ejects unresponsive servers of a busy group, and checks the health of those that need it:
-// ejected ones, those that refuse connections, and all while a write waits for a primary.
+// checkServers ejects unresponsive servers of a busy group. It checks the health of ejected servers, of
+// servers that refuse connections, of a primary whose clock offset is in question, and of all members while
+// a request waits for a primary.
 func (r *Router) checkServers(group *group) {
 	primary := r.primary(group)
 	search := r.primarySearch(group, primary)
@@ -115,14 +118,14 @@
 }
 
 // primarySearch is whether a group's members are checked for a new primary, and the pause between checks of
-// each.
+// the same member.
 type primarySearch struct {
 	active bool
 	pause  time.Duration
 }
 
-// primarySearch returns whether a request waits for a usable primary. The pause is the one at which a round
-// of health checks and half a pause of delay cost least together.
+// primarySearch returns whether a request waits for a usable primary. The pause minimizes the sum of two
+// costs: a round of health checks per pause, and a delay of half a pause on average.
 func (r *Router) primarySearch(group *group, primary *server) primarySearch {
 	if primary != nil && primary.usable() {
 		return primarySearch{}
--- a/internal/decide/hedging.go
+++ b/internal/decide/hedging.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// maxPatience: an attempt that was overtaken is presumed lost after this multiple of its work...
-	maxPatience = 6.0
-	// minPatience: ...or down to this one, where many attempts are lost.
-	minPatience = 3.0
-	// overtakingForLoss is how many later attempts must have been answered before one is presumed lost.
-	overtakingForLoss = 3
-	// lossRateMemory is the memory of the part of attempts that is lost, in attempts.
+	// maxLossThreshold: an attempt that was overtaken is presumed lost once it has had this multiple of its
+	// expected work as service...
+	maxLossThreshold = 6.0
+	// minLossThreshold: ...or a lower multiple, down to this one, where many attempts are lost.
+	minLossThreshold = 3.0
+	// minOvertakesForLoss is how many later attempts must have been answered before one is presumed lost.
+	minOvertakesForLoss = 3
+	// lossRateMemory is the memory of the fraction of attempts that is lost, in attempts.
 	lossRateMemory = 300
-	// uncertainLoss is how far an attempt counts as lost that was given up before maxPatience.
+	// uncertainLoss is the fraction of a loss that an attempt counts as if it was given up before
+	// maxLossThreshold.
 	uncertainLoss = 0.5
 )
 
 // hedgeStuckRequests sends a second attempt of each idempotent request whose only attempt is presumed lost
-// or is at an ejected server. Where duplicates are not allowed, the attempt is cancelled, so that the
-// request can be retried.
+// or is at an ejected server. Where duplicates are not allowed, the attempt is cancelled instead, so that the
+// request can be retried. Requests whose deadline is close get their final answer.
 func (r *Router) hedgeStuckRequests(group *group) {
 	for _, server := range group.members {
 		for _, attempt := range slices.Clone(server.openAttempts) {
@@ -35,13 +37,13 @@
 	}
 }
 
-// presumeLost marks an attempt as lost that later ones overtook, and that had more service than it is
-// likely to need.
+// presumeLost marks an attempt as presumed lost if later ones overtook it and it has had more service than it
+// is likely to need.
 func (r *Router) presumeLost(group *group, server *server, attempt *attempt) {
-	if attempt.presumedLost || attempt.overtakenBy < overtakingForLoss {
+	if attempt.presumedLost || attempt.overtakenBy < minOvertakesForLoss {
 		return
 	}
-	if r.serviceMultiple(server, attempt) > r.patience(group) {
+	if r.serviceMultiple(server, attempt) > r.lossThreshold(group) {
 		attempt.presumedLost = true
 		server.lostAttempts++
 	}
@@ -75,34 +77,35 @@
 	}
 }
 
-// patience returns the service, as a multiple of its work, at which an attempt that was overtaken is more
-// likely lost than slow: a part exp(-x) of the attempts takes x times its work.
-func (r *Router) patience(group *group) float64 {
-	if len(group.waiting) > 0 { // hedged requests would be at others' expense
-		return maxPatience
+// lossThreshold returns the service, as a multiple of the expected work, at which an overtaken attempt is
+// more likely lost than slow: a fraction exp(-x) of attempts takes more than x times the expected work.
+func (r *Router) lossThreshold(group *group) float64 {
+	if len(group.waiting) > 0 { // hedges would take capacity from requests that wait
+		return maxLossThreshold
 	}
-	return min(maxPatience, max(minPatience, -math.Log(r.lossRate)))
+	return min(maxLossThreshold, max(minLossThreshold, -math.Log(r.lossRate)))
 }
 
-// recordLoss counts an attempt's end towards the part that is lost. One that was cancelled early may just
-// be slow.
+// recordLoss updates the loss rate by the end of an attempt. An attempt that was cancelled early may just
+// have been slow.
 func (r *Router) recordLoss(server *server, attempt *attempt, result Result) {
 	gaveUp := result == Cancelled || result == TimedOut
-	wasStuck := attempt.overtakenBy >= overtakingForLoss && attempt.presumedLost
-	if neverServed(result) || gaveUp && !wasStuck {
+	wasStuck := attempt.overtakenBy >= minOvertakesForLoss && attempt.presumedLost
+	if isConnectionFailure(result) || gaveUp && !wasStuck {
 		return
 	}
 	lost := 0.0
 	if gaveUp {
 		lost = uncertainLoss
-		if r.serviceMultiple(server, attempt) > maxPatience {
+		if r.serviceMultiple(server, attempt) > maxLossThreshold {
 			lost = 1
 		}
 	}
 	r.lossRate += (lost - r.lossRate) / lossRateMemory
 }
 
-// neverServed reports whether an attempt ended so by its connection, and shows nothing of lost answers.
-func neverServed(result Result) bool {
+// isConnectionFailure reports whether an attempt ended for lack of a connection or by its loss, which says
+// nothing about lost answers.
+func isConnectionFailure(result Result) bool {
 	return result == Unreachable || result == NotSent || result == Reset
 }
--- a/internal/decide/hedging_test.go
+++ b/internal/decide/hedging_test.go
@@ -43,7 +43,7 @@
 			h.advance(40 * ms)
 			if st := h.r.servers[s]; res == Cancelled {
 				a := st.openAttempts[0]
-				a.overtakenBy, a.serviceAtSend, a.presumedLost, st.lostAttempts = overtakingForLoss, a.serviceAtSend-10, true, 1
+				a.overtakenBy, a.serviceAtSend, a.presumedLost, st.lostAttempts = minOvertakesForLoss, a.serviceAtSend-10, true, 1
 			}
 			h.handle(&Outcome{ID: id, Server: s, Result: res, Final: true})
 		}
@@ -57,7 +57,7 @@
 		q := actionsOf(Send, h.request("slow", classAny))[0]
 		s := h.r.servers[q.Server]
 		a := s.openAttempts[0]
-		a.overtakenBy, a.serviceAtSend = overtakingForLoss, a.serviceAtSend-4*a.request.expectedWork()/h.r.warmRate(s) // four times its work
+		a.overtakenBy, a.serviceAtSend = minOvertakesForLoss, a.serviceAtSend-4*a.request.expectedWork()/h.r.warmRate(s) // four times its work
 		if wait {
 			r := &request{id: "w", class: &h.r.classes[classKeyedWrite], group: s.group, deadline: never, weight: 1, relativeWork: 1}
 			s.group.waiting = append(s.group.waiting, r)
--- a/internal/decide/inspect.go
+++ b/internal/decide/inspect.go
@@ -1,18 +1,18 @@
 package decide
 
-// Read access to a router's state for its embedder. Nothing is decided or changed here.
+// Read access to a router's state for its embedder.
 
-// CountServers returns the number of listed servers, and how many of them are out of use now.
-func (r *Router) CountServers() (listed, avoided int) {
+// CountServers returns the number of listed servers, and how many of them are not usable now.
+func (r *Router) CountServers() (listed, unusable int) {
 	for _, server := range r.serversByID {
 		if server.removedAt == 0 {
 			listed++
 			if !server.usable() {
-				avoided++
+				unusable++
 			}
 		}
 	}
-	return listed, avoided
+	return listed, unusable
 }
 
 // AverageWork returns the average work of each class, by number, in seconds of a server of rate 1.
@@ -43,21 +43,22 @@
 	return server != nil && r.primary(server.group) == server
 }
 
-// InFlight returns the number of requests without a final answer, and of attempts in flight.
+// InFlight returns the numbers of open requests and of attempts in flight.
 func (r *Router) InFlight() (requests, attempts int) { return len(r.requests), r.openAttempts }
 
-// RetryBudget is how many hedged requests and retries a group may still send from here, and how many of its
-// requests wait for one.
+// RetryBudget is how many hedged requests and retries this router may still send to a group, and how many
+// requests wait for that budget.
 type RetryBudget struct {
 	Group     int
 	Remaining float64
 	Waiting   int
 }
 
-// RetryBudgets returns the budget of each group that anything was sent to, by number.
+// RetryBudgets returns the retry budget of each group that anything was sent to, in order of the groups'
+// numbers.
 func (r *Router) RetryBudgets() (budgets []RetryBudget) {
 	waiting := map[int]int{}
-	for _, request := range r.requests { // the order does not matter, as they are counted
+	for _, request := range r.requests { // the order does not matter: they are only counted
 		if request.awaitsRetryBudget {
 			waiting[request.group.id]++
 		}
--- a/internal/decide/invariants_actions.go
+++ b/internal/decide/invariants_actions.go
@@ -9,14 +9,14 @@
 // sumTolerance is what rounding may add to a sum of work, in seconds.
 const sumTolerance = 1e-9
 
-// onAction checks an action, and takes it.
+// onAction checks an action, and updates the records by it.
 func (c *checker) onAction(r *Router, action *Action) {
 	switch action.Kind {
 	case Send:
 		c.onSend(r, action)
 	case Reject, Fail:
 		c.checkFinalAnswer(action)
-		c.end(action.ID)
+		c.markEnded(action.ID)
 	case Cancel:
 		c.checkCancel(action)
 	case HealthCheck:
@@ -24,15 +24,15 @@
 	}
 }
 
-// checkFinalAnswer states that a request has one final answer.
+// checkFinalAnswer checks that a request gets one final answer only.
 func (c *checker) checkFinalAnswer(action *Action) {
 	request := c.requests[action.ID]
 	c.checks.That(request != nil && !request.ended, "decide: each request has one final answer", func() string {
-		return fmt.Sprintf("%x gets another by %+v", action.ID, *action)
+		return fmt.Sprintf("request %x is unknown or has ended, and gets %+v", action.ID, *action)
 	})
 }
 
-// checkCancel states that what is cancelled is in flight.
+// checkCancel checks that a cancelled attempt is in flight.
 func (c *checker) checkCancel(action *Action) {
 	inFlight := false
 	if request := c.requests[action.ID]; request != nil {
@@ -43,7 +43,7 @@
 	})
 }
 
-// onHealthCheck states that only servers in the list are checked.
+// onHealthCheck checks that health checks go to listed servers only.
 func (c *checker) onHealthCheck(r *Router, action *Action) {
 	view := c.servers[action.Server]
 	c.checks.That(view != nil, "decide: only a listed server is checked", func() string { return fmt.Sprintf("%+v", *action) })
@@ -53,8 +53,8 @@
 	}
 }
 
-// checkAvailable states that nothing goes to a server that is draining or removed; with DrainOnly, one that
-// left the list may be used.
+// checkAvailable checks that nothing is sent to a server that is draining or removed; with DrainOnly, a
+// server that left the list may be used.
 func (c *checker) checkAvailable(r *Router, action *Action, view *serverView) {
 	available := !view.draining && (!view.removed || r.settings.DrainOnly)
 	c.checks.That(available, "decide: nothing is sent to a server that is draining or removed", func() string {
@@ -62,7 +62,7 @@
 	})
 }
 
-// onSend checks an attempt, and takes it.
+// onSend checks an attempt, and adds it to the records.
 func (c *checker) onSend(r *Router, action *Action) {
 	view, request, known := c.servers[action.Server], r.requestOf(action), c.requests[action.ID]
 	found := view != nil && request != nil && known != nil
@@ -78,7 +78,7 @@
 	c.checkDuplicates(r, request, known)
 	known.openAttempts[known.attempts] = attemptView{server: action.Server, sentAt: r.now}
 	known.attempts++
-	c.count(known, view, 1)
+	c.countOpenAttempts(known, view, 1)
 	most := max(1, r.settings.MaxAttempts)
 	c.checks.That(known.attempts <= most, "decide: a request has no more than the attempts allowed", func() string {
 		return fmt.Sprintf("%d of %d: %+v", known.attempts, most, *action)
@@ -89,7 +89,8 @@
 	})
 }
 
-// requestOf returns the request of a Send, which may be over by the end of the event.
+// requestOf returns the record of the request of a Send, which may have had its final answer by the end of
+// the event.
 func (r *Router) requestOf(action *Action) *request {
 	if server := r.servers[action.Server]; server != nil {
 		for _, attempt := range server.openAttempts {
@@ -101,10 +102,11 @@
 	return nil
 }
 
-// checkPosition states that the server of a read has data that is new enough by its own report, dated by
-// the report or else by the time of the question: not by when the answer was read, which may be long after.
-// A primary's report may be older than a health check for this read alone: it may have been replaced since,
-// but hardly between its report and its answer (see freshness).
+// checkPosition checks that the server of a read has data that is new enough by its own report. The report
+// counts as of its own time, or else as of when the request that it answers was sent; not as of when the
+// answer was read, which may be long after. Only for a health check sent since the read arrived may a
+// primary's report be older: a primary may have been replaced since its report, but hardly between its report
+// and its answer (see freshness).
 func (c *checker) checkPosition(r *Router, action *Action, view *serverView, request *request) {
 	required := r.requiredPosition(request)
 	mayBeStale := r.settings.StaleReads != StaleReadsAnswered || !r.settings.MayCheckHealth
@@ -117,15 +119,16 @@
 	checkedInTime := view.primaryNotDeniedAt >= max(required-ahead, request.arrivedAt)
 	c.checks.That(covered || checkedInTime && server.role == RolePrimary, "decide: a read goes where its position is covered", func() string {
 		ago := func(t Time) time.Duration { return r.now - t }
-		return fmt.Sprintf("%s for %x, which came %v ago and needs %v ago (bound %v): it reported to be at %v ago and to be the primary %v ago, "+
-			"when asked %v ago; the router has position %v ago, role %d as of %v ago, last position report %v ago",
+		return fmt.Sprintf("server %s, request %x: arrived %v ago, requires position %v ago (bound %v); server reported position %v ago and that it is "+
+			"the primary %v ago, last check not denying that sent %v ago; router has position %v ago, role %d as of %v ago, last position report %v ago",
 			action.Server, request.id, ago(request.arrivedAt), ago(required), request.class.MaxStaleness, ago(view.position),
 			ago(view.primaryAt), ago(view.primaryNotDeniedAt), ago(server.position), server.role, ago(server.roleAt), ago(server.positionReportedAt))
 	})
 }
 
-// checkSlowStart states that a cold server gets no more from this router in a span than the router's part
-// of the budget. Where that is less than one request, a draw decides, which has a mean and no bound.
+// checkSlowStart checks that a cold server gets no more work from this router in a span than the router's
+// share of the budget. A share of less than one request is not checked: random draws then decide, which keep
+// to the budget on average only.
 func (c *checker) checkSlowStart(r *Router, action *Action, view *serverView, request *request) {
 	server, span := r.servers[action.Server], r.settings.SlowStartSpan
 	if r.settings.SlowStartMultiple <= 0 || span <= 0 || r.warmUpFactor(server) == 1 {
@@ -141,7 +144,7 @@
 	}
 	view.slowStartSends = slices.DeleteFunc(view.slowStartSends, func(send budgetedSend) bool { return r.now-send.at >= span })
 	view.slowStartSends = append(view.slowStartSends, budgetedSend{at: r.now, work: request.expectedWork(), budget: budget})
-	sum, most := 0.0, 0.0 // the part may have been larger when it was sent
+	sum, most := 0.0, 0.0 // the share may have been larger when earlier work was sent
 	for _, send := range view.slowStartSends {
 		sum += send.work
 		most = max(most, send.budget)
--- a/internal/decide/invariants_checker.go
+++ b/internal/decide/invariants_checker.go
@@ -1,12 +1,13 @@
 package decide
 
 // Invariants of the router under any input, checked against separate records of its events and actions (see
-// internal/invariant). Nothing is decided here, and without a checker nothing is done.
+// internal/invariant). The checker does not influence decisions, and without one nothing is recorded.
 
 import "beechgrade/internal/invariant"
 
-// EnableChecks has the router's invariants checked from its beginning on: those of an event with each
-// event, and a walk over all state every so many events. It has no effect if checks are off.
+// EnableChecks enables checks of the router's invariants, before its first event. The invariants of an event
+// are checked with each event, those of the whole state once in walkInterval events. It has no effect if
+// checks are off.
 func (r *Router) EnableChecks(checks *invariant.Checks, walkInterval int) {
 	r.checker = nil
 	if checks.Enabled() {
@@ -21,44 +22,46 @@
 	}
 }
 
-// checkEvent checks an event that has been handled; before is the number of earlier actions in the output.
+// checkEvent checks an event that has been handled; before is the number of actions that the output had
+// before the event.
 func (r *Router) checkEvent(event Event, before int) {
 	if r.checker != nil {
 		r.checker.observe(r, event, r.actions[before:])
 	}
 }
 
-// checker follows a router by its events and actions alone.
+// checker keeps records of a router's events and actions, independent of the router's state, and checks the
+// router against them.
 type checker struct {
 	checks            *invariant.Checks
 	walkInterval      int
 	eventsSinceWalk   int
 	servers           map[ServerID]*serverView
-	requests          map[RequestID]*requestView // until they are over and none of their attempts is in flight
+	requests          map[RequestID]*requestView // until a request has ended and has no attempt in flight
 	openAttempts      int
 	openByClass       map[int]int
 	openByTenant      map[int]int
 	duplicatesByGroup map[int]*duplicateCounts
 }
 
-// serverView is what was reported of a server, and by it.
+// serverView is what the list and the server's reports show of a server.
 type serverView struct {
 	draining, removed  bool
-	position           Time // the newest that it reported
-	primaryAt          Time // when it last was the primary for certain
-	primaryNotDeniedAt Time // when the last question was sent whose answer did not deny that it is the primary
+	position           Time // the newest reported position
+	primaryAt          Time // when the server last was the primary for certain
+	primaryNotDeniedAt Time // when the last request was sent whose answer did not deny that it is the primary
 	healthCheckedAt    Time // when the last health check was sent
 	openAttempts       int
-	slowStartSends     []budgetedSend // while it was cold, within the last span of the slow-start budget
+	slowStartSends     []budgetedSend // sends while it was cold, within the last span of the slow-start budget
 }
 
-// budgetedSend is work that was sent to a cold server, and its budget then.
+// budgetedSend is work that was sent to a cold server, and this router's budget at that time.
 type budgetedSend struct {
 	at           Time
 	work, budget workSeconds
 }
 
-// requestView is what is known of a request.
+// requestView is the record of a request.
 type requestView struct {
 	class, tenant int
 	ended         bool
@@ -67,13 +70,13 @@
 	attempts      int
 }
 
-// attemptView is an attempt in flight.
+// attemptView is the record of an attempt in flight.
 type attemptView struct {
 	server ServerID
 	sentAt Time
 }
 
-// server returns the view of a server, which it adds if there is none.
+// server returns the record of a server, which it adds if there is none.
 func (c *checker) server(id ServerID) *serverView {
 	view := c.servers[id]
 	if view == nil {
@@ -83,7 +86,7 @@
 	return view
 }
 
-// observe takes an event and the actions that it caused.
+// observe updates the records by an event and the actions that it caused, and checks the invariants.
 func (c *checker) observe(r *Router, event Event, actions []Action) {
 	switch event := event.(type) {
 	case *Request:
@@ -93,10 +96,10 @@
 	case *Outcome:
 		c.onOutcome(r, event)
 	case *Abandoned:
-		c.end(event.ID)
+		c.markEnded(event.ID)
 	case *HealthCheckResult:
 		if view := c.servers[event.Server]; view != nil {
-			view.report(r, event.Server, event.Load, view.healthCheckedAt)
+			view.applyReport(r, event.Server, event.Load, view.healthCheckedAt)
 		}
 	case *EndpointList:
 		c.onEndpointList(event)
@@ -107,14 +110,14 @@
 	c.checks.Walk(&c.eventsSinceWalk, c.walkInterval, "decide: the walk", func(*invariant.Checks) { c.walk(r, event) })
 }
 
-// report takes a server's report in answer to what was sent at that time. A primary's position is the time
-// of its report.
-func (view *serverView) report(r *Router, id ServerID, report Report, sentAt Time) {
+// applyReport updates the record by a server's report, in answer to a request sent at sentAt. A primary's
+// position is the time of its report.
+func (view *serverView) applyReport(r *Router, id ServerID, report Report, sentAt Time) {
 	at := r.ToLocalTime(id, report.Position)
 	if report.HasPosition && at <= r.now {
 		view.position = max(view.position, report.Position)
 	}
-	// Where the list alone has roles, a report may have none.
+	// Where only the list states roles, reports have none.
 	if report.Role == RolePrimary || report.Role == RoleUnknown && report.HasPosition {
 		view.primaryNotDeniedAt = max(view.primaryNotDeniedAt, sentAt)
 	}
@@ -126,7 +129,7 @@
 	}
 }
 
-// onOutcome takes the end of an attempt.
+// onOutcome updates the records by the end of an attempt.
 func (c *checker) onOutcome(r *Router, event *Outcome) {
 	request := c.requests[event.ID]
 	if request == nil {
@@ -134,16 +137,16 @@
 	}
 	if attempt, ok := request.openAttempts[event.Attempt]; ok && attempt.server == event.Server {
 		view := c.server(event.Server)
-		view.report(r, event.Server, event.Reported, attempt.sentAt)
-		if event.Reported.Role == RolePrimary { // reported after it was sent, whatever its clock shows
+		view.applyReport(r, event.Server, event.Reported, attempt.sentAt)
+		if event.Reported.Role == RolePrimary { // the report was made after the send, whatever its clock shows
 			view.primaryAt = max(view.primaryAt, attempt.sentAt)
 		}
 		if event.Load.HasPosition {
-			view.report(r, event.Server, event.Load, never)
+			view.applyReport(r, event.Server, event.Load, never)
 		}
 		delete(request.openAttempts, event.Attempt)
 		request.mayHaveRun = request.mayHaveRun || mayHaveRun(event.Result)
-		c.count(request, view, -1)
+		c.countOpenAttempts(request, view, -1)
 	}
 	if event.Final {
 		request.ended = true
@@ -151,30 +154,30 @@
 	c.forgetEnded(event.ID, request)
 }
 
-// count adds n to the numbers of attempts in flight.
-func (c *checker) count(request *requestView, view *serverView, n int) {
+// countOpenAttempts adds n to the counts of attempts in flight.
+func (c *checker) countOpenAttempts(request *requestView, view *serverView, n int) {
 	view.openAttempts += n
 	c.openAttempts += n
 	c.openByClass[request.class] += n
 	c.openByTenant[request.tenant] += n
 }
 
-// end marks a request as over.
-func (c *checker) end(id RequestID) {
+// markEnded marks a request as ended.
+func (c *checker) markEnded(id RequestID) {
 	if request := c.requests[id]; request != nil {
 		request.ended = true
 		c.forgetEnded(id, request)
 	}
 }
 
-// forgetEnded removes a request that is over and has no attempt in flight.
+// forgetEnded removes a request that has ended and has no attempt in flight.
 func (c *checker) forgetEnded(id RequestID, request *requestView) {
 	if request.ended && len(request.openAttempts) == 0 {
 		delete(c.requests, id)
 	}
 }
 
-// onEndpointList takes a change of the endpoint list, or the whole list.
+// onEndpointList updates the records by a change of the endpoint list, or by the whole list.
 func (c *checker) onEndpointList(event *EndpointList) {
 	if event.Kind == ListFailed {
 		return
@@ -197,7 +200,7 @@
 	}
 }
 
-// onMerge takes what the router was given by another.
+// onMerge updates the records by a snapshot of another router that is merged into this one.
 func (c *checker) onMerge(r *Router, now Time, snapshot *Snapshot) {
 	for i := range snapshot.Servers {
 		known := &snapshot.Servers[i]
--- a/internal/decide/invariants_duplicates.go
+++ b/internal/decide/invariants_duplicates.go
@@ -6,19 +6,20 @@
 	"beechgrade/internal/cluster/overload/retrybudget"
 )
 
-// budgetTolerance is what rounding may add to a budget of duplicates.
+// budgetTolerance is the rounding error allowed in a retry budget.
 const budgetTolerance = 1e-6
 
-// duplicateCounts is what follows of a group's hedged requests and retries from its router's actions alone.
+// duplicateCounts counts a group's first attempts and duplicates (hedged requests and retries) by the
+// router's actions alone.
 type duplicateCounts struct {
 	since      Time
 	firsts     int
 	duplicates int
-	floor      float64 // the greatest part of the floor that this router had
+	floor      float64 // the largest share of the floor that this router has had
 }
 
-// checkDuplicates states that a group's hedged requests and retries stay within what its first attempts,
-// the floor and loans of others allow.
+// checkDuplicates checks that a group's hedged requests and retries stay within what its first attempts, the
+// floor and loans from other routers allow.
 func (c *checker) checkDuplicates(r *Router, request *request, view *requestView) {
 	budget := r.settings.RetryBudget
 	if budget == nil {
@@ -43,6 +44,6 @@
 	spans := (r.now - counts.since + retrybudget.SlowStartTime).Seconds() / budget.Span.Seconds()
 	most := budget.AttemptShare*float64(counts.firsts) + counts.floor*(1+spans) + budget.Lent[request.group.id]
 	c.checks.That(float64(counts.duplicates) <= most+budgetTolerance, "decide: duplicates stay within the retry budget", func() string {
-		return fmt.Sprintf("group %d: %d, of %v; %+v", request.group.id, counts.duplicates, most, *counts)
+		return fmt.Sprintf("group %d: %d duplicates, at most %v allowed; %+v", request.group.id, counts.duplicates, most, *counts)
 	})
 }
--- a/internal/decide/invariants_state.go
+++ b/internal/decide/invariants_state.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// walk checks the invariants of all state.
+// walk checks the invariants of the whole state.
 func (c *checker) walk(r *Router, event Event) {
 	c.walkServers(r)
 	waiting := c.walkGroups(r, event)
@@ -15,14 +15,14 @@
 	c.checks.That(r.timerAt != never || !busy, "decide: a timer is pending while anything is open", func() string {
 		return fmt.Sprintf("%d requests, %d attempts", len(r.requests), r.openAttempts)
 	})
-	for id, view := range c.servers { // forget those that were removed
+	for id, view := range c.servers { // drop the records of removed servers
 		if view.removed && view.openAttempts == 0 && r.servers[id] == nil {
 			delete(c.servers, id)
 		}
 	}
 }
 
-// walkServers checks all servers, and the numbers of attempts in flight.
+// walkServers checks all servers, and the counts of attempts in flight.
 func (c *checker) walkServers(r *Router) {
 	open, byClass, byTenant := 0, map[int]int{}, map[int]int{}
 	for _, server := range r.serversByID {
@@ -40,7 +40,7 @@
 	c.checkCounts("decide: attempts in flight agree by tenant", byTenant, c.openByTenant)
 }
 
-// checkCounts states that as many attempts are in lists as were sent and have not ended.
+// checkCounts checks that the numbers of attempts in the servers' lists equal those sent and not ended.
 func (c *checker) checkCounts(name string, lists, sent map[int]int) {
 	for key := range sent {
 		c.checks.That(lists[key] == sent[key], name, func() string {
@@ -55,8 +55,8 @@
 // walkServer checks one server, and counts its attempts by class and tenant.
 func (c *checker) walkServer(r *Router, server *server, byClass, byTenant map[int]int) {
 	view := c.servers[server.id]
-	filed := r.servers[server.id] == server && slices.Contains(server.group.members, server)
-	c.checks.That(view != nil && filed, "decide: a server is a member of its group", func() string {
+	registered := r.servers[server.id] == server && slices.Contains(server.group.members, server)
+	c.checks.That(view != nil && registered, "decide: a server is a member of its group", func() string {
 		return fmt.Sprintf("%s: listed %v, group %d", server.id, view != nil, server.group.id)
 	})
 	if view == nil {
@@ -85,7 +85,7 @@
 		return fmt.Sprintf("%s: %d, counted %d", server.id, lost, server.lostAttempts)
 	})
 	c.checks.That(server.position <= view.position, "decide: a position is one that was reported", func() string {
-		return fmt.Sprintf("%s: at %v, reported %v", server.id, server.position, view.position)
+		return fmt.Sprintf("%s: position %v, newest reported %v", server.id, server.position, view.position)
 	})
 	inRange := server.slowStartUsed >= 0 && server.slowStartDraw >= 0 && server.othersLoad >= 0 && server.relativeRate > 0
 	c.checks.That(inRange, "decide: a server's values are in range", func() string {
@@ -94,7 +94,7 @@
 	})
 }
 
-// walkGroups checks all groups, and returns the requests that wait.
+// walkGroups checks all groups, and returns the waiting requests.
 func (c *checker) walkGroups(r *Router, event Event) map[*request]bool {
 	waiting := map[*request]bool{}
 	_, ticked := event.(*Timer)
--- a/internal/decide/outlier.go
+++ b/internal/decide/outlier.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// unresponsiveGaps: a server is unresponsive without an answer for this many mean gaps between answers...
+	// unresponsiveGaps: a server is unresponsive without an answer for this many mean intervals between
+	// answers...
 	unresponsiveGaps = 8.0
-	// unresponsiveTurns: ...and this many mean request times.
-	unresponsiveTurns = 3.0
-	// halfOpenAttempts is how many requests a half-open server gets at once: one may get lost and prove
-	// nothing.
+	// unresponsiveRequestTimes: ...plus this many mean request times.
+	unresponsiveRequestTimes = 3.0
+	// halfOpenAttempts is how many requests a half-open server gets at once: a single one may get lost by
+	// chance.
 	halfOpenAttempts = 3
 	// restartOutage: a server that refused connections for this long has probably restarted.
 	restartOutage = time.Second
 )
 
-// recordAnswer takes an answer. To an attempt from before the server was ejected, it shows only that the
-// server lived.
+// recordAnswer records that a server answered an attempt, and returns it to use. An answer to an attempt from
+// before the server was ejected for refused connections only shows that it has been alive until now.
 func (r *Router) recordAnswer(server *server, attempt *attempt) {
 	server.answeredAt = r.now
 	if attempt.sentAt >= server.ejectedAt || server.refusingSince == 0 {
@@ -31,15 +32,16 @@
 // markHealthy returns a server to use.
 func (r *Router) markHealthy(server *server) {
 	if server.health == ejected {
-		r.restartSlowStart(server)
+		r.restartSlowStartAfterOutage(server)
 	}
 	server.refusingSince = 0
 	server.healthCheckFailures = 0
 	server.health = healthy
 }
 
-// restartSlowStart takes a server for cold that refused connections for a while: it has probably restarted.
-func (r *Router) restartSlowStart(server *server) {
+// restartSlowStartAfterOutage counts a server that refused connections for at least restartOutage as cold, as
+// it has probably restarted.
+func (r *Router) restartSlowStartAfterOutage(server *server) {
 	if server.refusingSince != 0 && r.now-server.refusingSince >= restartOutage {
 		server.startedAt = max(server.startedAt, r.now)
 	}
@@ -54,7 +56,7 @@
 	server.ejectedAt = r.now
 }
 
-// recordRefusal takes a refused or broken connection. A second one without an answer between ejects the
+// recordRefusal records a refused or broken connection. A second one without an answer in between ejects the
 // server.
 func (r *Router) recordRefusal(server *server) {
 	if server.refusingSince != 0 || server.health != healthy {
@@ -63,36 +65,37 @@
 	server.refusingSince = cmp.Or(server.refusingSince, r.now)
 }
 
-// unresponsive reports whether a server left requests unanswered for longer than chance explains. Health
-// checks do not count, and neither do attempts that were overtaken: they show something of themselves, not
-// of the server.
+// unresponsive reports whether a server has left requests unanswered for longer than chance explains.
+// Health checks do not count. Neither do attempts that were overtaken, as these may be lost while the
+// server answers.
 func (r *Router) unresponsive(server *server) bool {
 	first, count, longest := r.now, 0.0, r.averageWork
 	for _, attempt := range server.openAttempts {
-		if attempt.showsServer() {
+		if attempt.isServerEvidence() {
 			first = min(first, attempt.sentAt)
 			count++
 			longest = max(longest, attempt.request.expectedWork())
 		}
 	}
-	turn := longest / (r.serviceRate(server) * rateShare(r.loadOf(server).likely))
-	limit := turn*(unresponsiveTurns+unresponsiveGaps/min(fullRateConcurrency, count)) + r.linkDelay(server)
+	requestTime := longest / (r.serviceRate(server) * rateShare(r.loadOf(server).likely))
+	limit := requestTime*(unresponsiveRequestTimes+unresponsiveGaps/min(fullRateConcurrency, count)) +
+		r.linkDelay(server)
 	return count > 0 && (r.now-max(server.answeredAt, first)).Seconds() > limit
 }
 
-// startTrial makes an ejected server half-open after a pause, where it answers no health checks: a request
-// alone can show that it is back.
+// startTrial makes an ejected server half-open after a pause. It is for servers without health checks, where
+// only an answered request can show that the server is back.
 func (r *Router) startTrial(server *server) {
 	if !server.available() || r.now-server.ejectedAt < server.healthCheckBackoff() {
 		return
 	}
-	r.restartSlowStart(server)
+	r.restartSlowStartAfterOutage(server)
 	server.healthCheckFailures++
 	server.health = halfOpen
 	server.presumeAllLost()
 }
 
-// trialIsFull reports whether a half-open server has all the attempts that it may have at once.
+// trialIsFull reports whether a half-open server has as many attempts in flight as it may have.
 func (server *server) trialIsFull() bool {
 	return server.health == halfOpen && server.countedAttempts() >= halfOpenAttempts
 }
--- a/internal/decide/reports.go
+++ b/internal/decide/reports.go
@@ -1,9 +1,9 @@
 package decide
 
-// positionGain is the weight of one report in the rate at which a server's position advances.
+// positionGain is the weight of one report in the average rate at which a server's position advances.
 const positionGain = 0.3
 
-// positionOr returns the reported position, or a default without one.
+// positionOr returns the reported position, or other if the report has none.
 func (report *Report) positionOr(other Time) Time {
 	if report.HasPosition {
 		return report.Position
@@ -11,7 +11,8 @@
 	return other
 }
 
-// applyReport takes a report's role, position and load; at is the time of the evidence for the role.
+// applyReport applies a report's role, position and load to a server; at is the time of the evidence for the
+// role.
 func (r *Router) applyReport(server *server, report Report, at Time) {
 	if report.HasPosition {
 		r.applyPosition(server, report)
@@ -28,7 +29,8 @@
 	}
 }
 
-// applyPosition takes a reported position, unless it goes back or lies ahead of the servers' clock.
+// applyPosition applies a reported position, unless it is older than the known one or ahead of the servers'
+// clock.
 func (r *Router) applyPosition(server *server, report Report) {
 	server.positionReportedAt = max(server.positionReportedAt, r.now-report.Age)
 	if report.Position <= server.position || report.Position > r.serverClockNow(server.group) {
--- a/internal/decide/request.go
+++ b/internal/decide/request.go
@@ -7,34 +7,34 @@
 const (
 	// minAverageGain is the least weight of one answer or hint in a class's average.
 	minAverageGain = 0.02
-	// maxRelativeWork is the most work of a request by its hint, as a multiple of its class's average.
+	// maxRelativeWork bounds the work of a request with a hint, as a multiple of its class's average.
 	maxRelativeWork = 10.0
-	// clientRetryFactor reduces the weight of a request that its client sent before: its objective runs
-	// from the first time.
+	// clientRetryFactor reduces the weight of a client's retry: its objective counts from the client's first
+	// attempt.
 	clientRetryFactor = 0.2
-	// minWeight is the least weight of a request, so that weights can be divided by.
+	// minWeight is the least weight of a request, as weights are divisors.
 	minWeight = 1e-6
-	// finalAnswerTicks is how many ticks before its end a request gets its final answer.
+	// finalAnswerTicks is how many ticks before its deadline a request gets its final answer.
 	finalAnswerTicks = 2
 )
 
-// class is a class of requests with what was learned of its work.
+// class is a class of requests with its learned averages.
 type class struct {
 	Class
-	averageWork workSeconds // over answerCount answers
+	averageWork workSeconds // of a request, over answerCount answers
 	answerCount float64
 	averageHint float64 // average of the work hints, in seconds, over hintCount hints
 	hintCount   float64
 
-	// The time to the earliest answer to an average request in the group earliestAnswerGroup, as of
-	// earliestAnswerAt.
+	// earliestAnswer caches the time to the earliest answer to an average request in the group
+	// earliestAnswerGroup, as of earliestAnswerAt.
 	earliestAnswer      Time
 	earliestAnswerAt    Time
 	earliestAnswerGroup *group
 }
 
-// learnHint updates the average of hints, and returns the work of a request with a hint as a multiple of
-// the class's average.
+// learnHint updates the average of the work hints, and returns the work of a request with this hint as a
+// multiple of the class's average.
 func (c *class) learnHint(hint float64) float64 {
 	c.averageHint += max(minAverageGain, 1/(c.hintCount+1)) * (hint - c.averageHint)
 	c.hintCount++
@@ -48,51 +48,53 @@
 	classIndex int
 	group      *group
 	session    string
-	onlyServer ServerID // the one server that can serve it, empty for any
+	onlyServer ServerID // the only server that can serve it, empty for any
 
 	arrivedAt   Time
-	objectiveAt Time // an answer until then is within the latency objective
+	objectiveAt Time // end of the latency objective
 	deadline    Time
 	giveUpAt    Time // an answer after this has no weight
-	sendBy      Time // it must not be sent from then on
+	sendBy      Time // the request must not be sent at this time or later
 
-	requiredPosition Time    // session reads: what a server must have reached, on the servers' clock
-	weight           float64 // its priority weight, less for retries and beyond quotas
+	requiredPosition Time    // session reads: the position a server must have reached, on the servers' clock
+	weight           float64 // its priority weight, reduced for client retries and beyond quotas
 	relativeWork     float64 // its work as a multiple of the class's average, 1 without a hint
-	admissionDraw    float64 // from 0 to 1, drawn once; decides at the edge of admission
+	admissionDraw    float64 // random number from 0 to 1, drawn once: decides admission in the cutoff bin
 	sheddingRank     float64 // in the agreed order of shedding, as of its arrival
 
 	attempts        []*attempt
 	openAttempts    int
-	reachedServer   bool // an attempt got to a server
+	reachedServer   bool // an attempt reached a server
 	mayHaveRun      bool // an attempt may have run
 	mayHaveRunSince Time // when the first such attempt was sent...
 	mayHaveRunZone  int  // ...and into which zone
 
-	healthChecks      int  // servers checked for it since its last outcome
-	awaitsRetryBudget bool // it waits, as its group may not send a hedged request or a retry now
-	finished          bool
+	healthChecks      int  // servers checked for it since the last outcome of its attempts
+	awaitsRetryBudget bool // its next attempt is a duplicate, for which the group's retry budget is exhausted
+	finished          bool // it had its final answer, was served or was abandoned
 }
 
-// attempt is a request on its way to a server.
+// attempt is one send of a request to a server.
 type attempt struct {
 	request       *request
 	server        *server
 	number        int
 	sentAt        Time
-	serviceAtSend float64 // the server's virtual service then
+	serviceAtSend float64 // the server's virtual service at sentAt
 	ended         bool
-	hedged        bool // the request was sent again because of this attempt, or the attempt cancelled
-	overtakenBy   int  // later attempts there that were answered before this one
+	hedged        bool // the request was sent again because of this attempt, or the attempt was cancelled
+	overtakenBy   int  // number of later attempts at the server that were answered before this one
 	presumedLost  bool // it will probably never be answered, and does not count as load
-	unmeasured    bool // in flight while this router was paused: its time measures nothing
+	unmeasured    bool // in flight during a pause of this process: its duration is no measurement
 }
 
-// showsServer reports whether an attempt without an answer is evidence of its server. One that was
-// overtaken or is presumed lost shows something of itself alone.
-func (attempt *attempt) showsServer() bool { return attempt.overtakenBy == 0 && !attempt.presumedLost }
+// isServerEvidence reports whether an unanswered attempt is evidence about its server. An attempt that was
+// overtaken or is presumed lost is not: the server answers others.
+func (attempt *attempt) isServerEvidence() bool {
+	return attempt.overtakenBy == 0 && !attempt.presumedLost
+}
 
-// onRequest admits a request, and sends it or lets it wait.
+// onRequest handles a request that arrives: it is rejected, sent or queued.
 func (r *Router) onRequest(event *Request) {
 	if r.requests[event.ID] != nil || r.rejectsOnArrival(event) {
 		return
@@ -118,7 +120,7 @@
 	}
 }
 
-// rejectsOnArrival rejects a request that cannot be served, or that the routers have agreed to shed, and
+// rejectsOnArrival rejects a request that cannot be served or that the routers have agreed to shed, and
 // reports whether it did.
 func (r *Router) rejectsOnArrival(event *Request) bool {
 	shedding := r.settings.Shedding[event.Group]
@@ -131,7 +133,7 @@
 		r.reject(event, shedding.RetryAfter(r.now, event), ReasonShed)
 		return true
 	}
-	if r.groups[event.Group] == nil && len(r.servers) > 0 { // and no record of the group remains
+	if r.groups[event.Group] == nil && len(r.servers) > 0 { // rejected before a group record is made
 		objective := r.classes[event.Class].LatencyObjective
 		r.reject(event, min(r.settings.MaxRetryAfter, objective), ReasonNoServer)
 		return true
@@ -144,7 +146,7 @@
 	r.emit(Action{Kind: Reject, ID: event.ID, Wait: retryAfter, Reason: reason})
 }
 
-// newRequest makes the record of a request.
+// newRequest returns a new record of a request.
 func (r *Router) newRequest(event *Request) *request {
 	class := &r.classes[event.Class]
 	request := &request{
@@ -167,7 +169,7 @@
 	if class.LateWeight > 0 {
 		request.giveUpAt = request.deadline
 	}
-	if event.MayHaveRunSince > 0 && class.Idempotency == IdempotentWithKey { // another with its key
+	if event.MayHaveRunSince > 0 && class.Idempotency == IdempotentWithKey { // one with its key may have run
 		request.mayHaveRun = true
 		request.mayHaveRunSince = event.MayHaveRunSince
 		request.sendBy = event.MayHaveRunSince + class.KeyWindow
@@ -175,7 +177,8 @@
 	return request
 }
 
-// positionAfterCommit returns the position that a server must have reached to show a session its own writes.
+// positionAfterCommit returns the position that a server must have reached for a session to read its own
+// writes.
 func (r *Router) positionAfterCommit(event *Request, class *class) Time {
 	switch {
 	case class.Read != ReadSession:
@@ -191,7 +194,7 @@
 	return never
 }
 
-// expectedWork returns the request's work: its class's average, scaled by its hint.
+// expectedWork returns the request's expected work: the average of its class, scaled by its hint.
 func (request *request) expectedWork() workSeconds {
 	return request.class.averageWork * request.relativeWork
 }
@@ -208,9 +211,9 @@
 	})
 }
 
-// duplicates reports whether the request's next attempt would be a hedged one, or repeat one that may have
+// wouldDuplicate reports whether the request's next attempt would be a hedge, or follow one that may have
 // run.
-func (request *request) duplicates() bool {
+func (request *request) wouldDuplicate() bool {
 	return len(request.attempts) > 0 && (request.mayHaveRun || request.openAttempts > 0)
 }
 
@@ -225,8 +228,8 @@
 	request.sendBy = attempt.sentAt + request.class.KeyWindow
 }
 
-// mustAnswerNow reports whether a request must have its final answer now. One that reached no server has
-// half its time.
+// mustAnswerNow reports whether a request must get its final answer now. A request that has reached no server
+// gets it after half the time to its deadline, so that its client can still retry.
 func (r *Router) mustAnswerNow(request *request) bool {
 	end := request.deadline
 	if !request.reachedServer && request.openAttempts == 0 {
@@ -235,7 +238,7 @@
 	return r.now+tickInterval+finalAnswerTicks*r.settings.Tick >= end
 }
 
-// giveUpReason returns why a request cannot be sent any more; ReasonNone where it can.
+// giveUpReason returns why a request cannot be sent any more, or ReasonNone if it can.
 func (r *Router) giveUpReason(request *request) Reason {
 	switch {
 	case r.mustAnswerNow(request):
@@ -248,8 +251,8 @@
 	return ReasonNone
 }
 
-// earliestAnswer returns the least time to an answer, at the usable server of the group that is fastest
-// under its load.
+// earliestAnswer returns the least expected time to an answer: that at the usable server of the group
+// which is fastest under its present load.
 func (r *Router) earliestAnswer(request *request) Time {
 	class := request.class
 	if class.earliestAnswerAt != r.now || class.earliestAnswerGroup != request.group {
@@ -268,7 +271,8 @@
 	return toDuration(class.earliestAnswer.Seconds() * request.relativeWork)
 }
 
-// giveFinalAnswer ends a request: rejected where a retry is harmless, with the longest advice, else failed.
+// giveFinalAnswer ends a request. It is rejected, with the longest retry-after time, if a retry by the client
+// is harmless, and failed otherwise.
 func (r *Router) giveFinalAnswer(request *request, reason Reason) {
 	answer := Action{Kind: Fail, ID: request.id, Reason: reason}
 	if request.mayBeRetried() {
@@ -287,7 +291,8 @@
 	return class.Idempotency == Idempotent || notRun || keyedEverywhere
 }
 
-// dropRequest removes a request and cancels its attempts, so that servers do no work that nobody waits for.
+// dropRequest removes a request and cancels its attempts in flight, so that servers do not work on abandoned
+// requests.
 func (r *Router) dropRequest(request *request) {
 	request.finished = true
 	delete(r.requests, request.id)
--- a/internal/decide/retries.go
+++ b/internal/decide/retries.go
@@ -1,7 +1,7 @@
 package decide
 
-// attemptsExhausted reports whether a request may not be sent again. One that may have run could otherwise
-// apply twice.
+// attemptsExhausted reports whether a request must not be sent now or later: it has had all its attempts, a
+// duplicate is not allowed, its key window ends (so that it could run twice), or it is shed.
 func (r *Router) attemptsExhausted(request *request) bool {
 	if len(request.attempts) >= r.settings.MaxAttempts {
 		return true
@@ -17,22 +17,22 @@
 	return shedding.RejectsAttempt(request.classIndex, request.sheddingRank, duplicates)
 }
 
-// outsideKeyScope reports whether a server would not drop a repeat of a request that may have run: it is in
-// another zone than the first attempt.
+// outsideKeyScope reports whether a server would run a request again that may have run, as its idempotency
+// key holds in the zone of the first attempt only and the server is in another zone.
 func (request *request) outsideKeyScope(server *server) bool {
 	class := request.class
 	dropsInZone := class.Idempotency == IdempotentWithKey && class.KeyScope == ScopeZone
 	return request.mayHaveRun && dropsInZone && server.endpoint.Zone != request.mayHaveRunZone
 }
 
-// retryBudgetAllows reports whether a request's next attempt is a first one, or its group may send a
-// duplicate.
+// retryBudgetAllows reports whether a request's next attempt is no duplicate, or the retry budget of its
+// group allows one.
 func (r *Router) retryBudgetAllows(request *request) bool {
-	request.awaitsRetryBudget = request.duplicates() && !r.retryBudgets.Allows(r.now, request.group.id)
+	request.awaitsRetryBudget = request.wouldDuplicate() && !r.retryBudgets.Allows(r.now, request.group.id)
 	return !request.awaitsRetryBudget
 }
 
-// retryReason returns the reason of an attempt that has just been added.
+// retryReason returns the reason of the request's latest attempt, ReasonNone for the first one.
 func (request *request) retryReason() Reason {
 	switch {
 	case len(request.attempts) < 2:
--- a/internal/decide/router.go
+++ b/internal/decide/router.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// never is a time before all others: of what has not happened.
+	// never is before all times, and stands for events that have not happened.
 	never = Time(math.MinInt64 / 2)
-	// unlimited is a time after all others.
+	// unlimited is after all times, and stands for no limit.
 	unlimited = Time(math.MaxInt64)
 	// tickInterval is the period of the periodic work, well below any latency objective.
 	tickInterval = 10 * time.Millisecond
-	// longDelay is how late a timer is after a pause of this process, and how slow a failure that the link
-	// may explain.
+	// longDelay: a timer that is later than this shows a pause of this process, and a failure that took at
+	// least this long may be caused by the link.
 	longDelay = 100 * time.Millisecond
-	// maxRememberedSessions is the number of sessions in a generation of remembered commits.
+	// maxRememberedSessions bounds the sessions whose last commits are remembered.
 	maxRememberedSessions = 20000
 )
 
-// Quantities of the cost model. They are plain numbers, as the model multiplies and divides them.
+// Quantities of the cost model. They are aliases of float64, as the model multiplies and divides them.
 type (
-	workSeconds = float64 // work, as seconds of a server of rate 1
-	serviceRate = float64 // work that a server does in a second for one request alone
-	concurrency = float64 // requests in service at once at a server, estimated
+	workSeconds = float64 // work, in seconds of a server of rate 1
+	serviceRate = float64 // work per second that a server does for a single request
+	concurrency = float64 // estimated number of requests in service at a server at once
 )
 
 // Router makes the decisions of one proxy. It is not safe for concurrent use.
@@ -43,42 +43,42 @@
 	groups          map[int]*group
 	groupsByNumber  []*group
 	requests        map[RequestID]*request
-	sessionCommits  map[string]Time // sessions' last commits, with Settings.TrackCommits
-	forgottenCommit Time            // the latest of the commits that were dropped
+	sessionCommits  map[string]Time // last commit by session, with Settings.TrackCommits
+	forgottenCommit Time            // the latest commit that was dropped from sessionCommits
 
 	shortestObjective  time.Duration // the least latency objective of a class
-	primarySearchPause time.Duration // between health checks of a member while a write waits for a primary
+	primarySearchPause time.Duration // least pause between checks of a member in the search for a primary
 
 	openAttempts  int
 	averageWork   workSeconds // of a request, over answerCount answers
 	answerCount   float64
-	lossRate      float64             // part of the attempts that are never answered
+	lossRate      float64             // fraction of attempts that are never answered
 	kindRates     map[int]serviceRate // warm rates, by kind of server
 	typicalRates  map[int]serviceRate // by kind: the median rate of warm servers that have answered
 	zoneLinks     map[int]zoneLink    // by zone
-	loadReported  bool                // reports contain the requests in flight at a server
-	rateRefreshAt Time
+	loadReported  bool                // servers report their requests in flight
+	rateRefreshAt Time                // time of the next refresh of the rates
 
-	requestRate     float64 // own requests a second: recentRequests over requestRateSpan seconds
-	recentRequests  float64 // fading, up to requestRateAt
-	requestRateSpan float64 // seconds, fading alike
+	requestRate     float64 // this router's requests per second: recentRequests over requestRateSpan seconds
+	recentRequests  float64 // decaying count, as of requestRateAt
+	requestRateSpan float64 // seconds, decaying alike
 	requestRateAt   Time
 
-	urgencies      [urgencyBins]float64 // recent requests by urgency, fading, up to urgenciesAt
+	urgencies      [urgencyBins]float64 // decaying counts of requests by urgency, as of urgenciesAt
 	urgenciesAt    Time
-	memberBacklogs [2]backlog          // at the primaries of all groups, and at the other members
+	memberBacklogs [2]backlog          // at the primaries of all groups, and at all other members
 	retryBudgets   retrybudget.Budgets // the hedged requests and retries that groups may still send
 
 	timerAt              Time // when the pending timer fires, never for none
-	hasList              bool
-	resubscribeAt        Time
+	hasList              bool // the endpoint list was received at least once
+	resubscribeAt        Time // time of the next subscription, unlimited for none
 	subscribedAt         Time // time of the last subscription
-	subscriptionFailures int  // subscriptions in a row that failed soon
+	subscriptionFailures int  // subscriptions in a row that failed within maxResubscribePause
 
-	checker *checker // checks the invariants, nil without
+	checker *checker // checks the invariants, nil if they are not checked
 }
 
-// New makes a router. The seed is its only source of randomness.
+// New returns a router. The seed is its only source of randomness.
 func New(settings Settings, seed uint64) *Router {
 	r := &Router{
 		rng:             rand.New(rand.NewPCG(seed, 0)),
@@ -98,7 +98,8 @@
 	return r
 }
 
-// Handle processes one event at time now, and appends the actions that it causes to actions.
+// Handle processes one event at time now, and returns actions with the actions that the event causes
+// appended.
 func (r *Router) Handle(now Time, event Event, actions []Action) []Action {
 	before := len(actions)
 	r.now = max(now, r.now)
@@ -107,7 +108,7 @@
 		r.begin()
 	}
 	if r.timerAt != never && r.now-r.timerAt > longDelay {
-		// A pause of this process is no evidence against servers: what was in flight has no measured time.
+		// A pause of this process is no evidence against servers: attempts in flight are not measured.
 		r.timerAt = r.now
 		r.excludeOpenAttempts()
 	}
@@ -118,7 +119,7 @@
 	return r.actions
 }
 
-// begin sets the times that count from the first event.
+// begin initializes the times that count from the first event.
 func (r *Router) begin() {
 	r.requestRateAt = r.now
 	r.rateRefreshAt = r.now + rateRefreshInterval
@@ -129,7 +130,7 @@
 	}
 }
 
-// dispatch passes an event to the function that decides about it.
+// dispatch passes an event to its handler.
 func (r *Router) dispatch(event Event) {
 	switch event := event.(type) {
 	case *Request:
@@ -142,7 +143,7 @@
 		}
 	case *ShortenDeadline:
 		if request := r.requests[event.ID]; request != nil {
-			// giveUpAt stays: a class's estimated work may be longer than the time left.
+			// giveUpAt stays: a class's estimated work may be longer than the remaining time.
 			request.deadline = min(request.deadline, event.Deadline)
 		}
 	case *HealthCheckResult:
@@ -157,7 +158,7 @@
 	}
 }
 
-// onTick does the periodic work of the groups that have requests.
+// onTick does the periodic work, of groups only where they have requests or attempts in flight.
 func (r *Router) onTick() {
 	if r.now >= r.rateRefreshAt {
 		r.refreshRates()
@@ -172,7 +173,7 @@
 	}
 }
 
-// setTimer requests the next tick while there is anything to do.
+// setTimer requests the next tick while there are open requests or attempts, or a subscription is due.
 func (r *Router) setTimer() {
 	busy := len(r.requests) > 0 || r.openAttempts > 0 || r.resubscribeAt < unlimited
 	if r.timerAt == never && busy {
@@ -181,20 +182,20 @@
 	}
 }
 
-// emit appends an action to those of the present event.
+// emit appends an action to those of the current event.
 func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// fading returns the weight, from 1 down to 0, of evidence from a time, which counts for so long.
-func (r *Router) fading(at Time, memory time.Duration) float64 {
+// evidenceWeight returns the weight of evidence from a past time. It falls linearly from 1 to 0 over memory.
+func (r *Router) evidenceWeight(at Time, memory time.Duration) float64 {
 	return max(0, 1-(r.now-at).Seconds()/memory.Seconds())
 }
 
-// toDuration converts seconds.
+// toDuration converts seconds to a Duration.
 func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// rememberCommit stores a session's last commit. Memory is bounded by dropping all of them at once:
-// sessions that were dropped then count as having committed at the latest of these times, which may send a
-// read to the primary but never to old data.
+// rememberCommit stores a session's last commit. When maxRememberedSessions are stored, all are dropped at
+// once, to bound memory. Dropped sessions then count as having committed at the latest of the dropped
+// commits, which may send a read to the primary without need but never to data that is too old.
 func (r *Router) rememberCommit(session string, at Time) {
 	if r.sessionCommits == nil || len(r.sessionCommits) >= maxRememberedSessions {
 		for _, commit := range r.sessionCommits {
--- a/internal/decide/server.go
+++ b/internal/decide/server.go
@@ -9,10 +9,10 @@
 	"beechgrade/internal/cluster/overload/retrybudget"
 )
 
-// removedServerMemory is how long a server that left the list and answers nothing is remembered.
+// removedServerMemory is how long the record of a server that left the list and answers nothing is kept.
 const removedServerMemory = 30 * time.Second
 
-// healthState is whether the router uses a server.
+// healthState is whether the router sends requests to a server.
 type healthState uint8
 
 const (
@@ -32,65 +32,65 @@
 	return "ejected"
 }
 
-// server is what the router knows of one server. Reports reach it late: each piece of evidence has its own
-// time.
+// server is the router's record of one server. Reports reach the router late, so each piece of evidence has a
+// time of its own.
 type server struct {
 	id       ServerID
 	endpoint Endpoint
 	group    *group
-	settings *Settings // the router's, as they are now
+	settings *Settings // the router's present settings
 
 	draining      bool
-	removedAt     Time // when it left the list, 0 while in it
-	firstListedAt Time // when it was first listed, never for before this router began
+	removedAt     Time // when it left the list, 0 while it is listed
+	firstListedAt Time // when it was first listed, never if in the first list that this router received
 
 	openAttempts []*attempt // in the order they were sent
-	lostAttempts int        // how many of them are presumed lost
-	answeredAt   Time       // last answer of an attempt
-	requestShare float64    // part of this router's requests to the group that go there
-
-	relativeRate     float64     // its service rate, as a part of its kind's
-	virtualService   float64     // integral of one request's rate share over time, as of virtualServiceAt
-	virtualServiceAt Time        //
-	frozenShare      serviceRate // after a pick, what each request's share of the rate is assumed to be...
-	frozenUntil      Time        // ...until then
+	lostAttempts int        // number of open attempts that are presumed lost
+	answeredAt   Time       // last answer to an attempt
+	requestShare float64    // fraction of this router's requests to the group that go there
+
+	relativeRate     float64 // its service rate relative to that of its kind
+	virtualService   float64 // integral of one request's rate share over time, as of virtualServiceAt
+	virtualServiceAt Time
+	frozenShare      serviceRate // the rate that each request is assumed to get after a pick...
+	frozenUntil      Time        // ...until this time
 	expectedWork     workSeconds // of the requests answered since the last refresh of the rates
-	receivedService  float64     // that these received
+	receivedService  float64     // service that these requests received
 
 	othersLoad     concurrency // requests of other routers in flight there, as of loadReportedAt
 	loadReportedAt Time
 
 	position           Time    // known position, on the servers' clock; never goes back
-	positionAt         Time    // when it became known
-	positionReportedAt Time    // last report of its position, new or not
-	positionRate       float64 // advance of its position per second of the clock
+	positionAt         Time    // when position became known
+	positionReportedAt Time    // last report of a position, whether it advanced or not
+	positionRate       float64 // advance of the position per second of this router's clock
 	role               Role
 	roleAt             Time // time of the evidence for role
 	primaryConfirmedAt Time // when the last health check that confirmed it as the primary was sent
 
 	health        healthState
-	ejectedAt     Time // when it was last ejected
-	failureAtLast float64
-	failureAt     Time // the chance of a failed answer was failureAtLast then
+	ejectedAt     Time    // when it was last ejected
+	failureAtLast float64 // chance that it fails a request, as of failureAt
+	failureAt     Time
 	refusingSince Time // start of an unbroken run of refused or broken connections, 0 for none
 
-	overloadedUntil Time
+	overloadedUntil Time // it gets no request before this time
 	recoveryRamp    retrybudget.SlowStart
 
-	healthCheckSentAt    Time // the last one
-	healthCheckPending   bool
-	healthCheckRefusedAt Time // last health check that it refused
-	healthCheckFailures  int  // in a row
+	healthCheckSentAt    Time // when the last health check was sent
+	healthCheckPending   bool // a health check is in flight
+	healthCheckRefusedAt Time // last inconclusive health check
+	healthCheckFailures  int  // failed health checks and trials in a row
 
-	startedAt       Time        // when it started, about; never for long ago
-	slowStartUsed   workSeconds // sent while it is cold, as a leaking account: no more than a span's counts
+	startedAt       Time        // approximate start time; never for long ago
+	slowStartUsed   workSeconds // leaky bucket of the work sent while it is cold, as of slowStartUsedAt
 	slowStartUsedAt Time
-	slowStartPart   float64 // this process's part of the budget at slowStartUsedAt
-	slowStartDraw   float64 // drawn at slowStartDrawAt, divided by the seconds it is for; infinite once used
+	slowStartShare  float64 // this process's share of the budget, as of slowStartUsedAt
+	slowStartDraw   float64 // random number over the seconds since the last draw; infinite once used
 	slowStartDrawAt Time
 }
 
-// addServer adds a server of which nothing is known.
+// addServer adds a record of a server of which nothing is known.
 func (r *Router) addServer(id ServerID, group *group) *server {
 	added := &server{
 		id:                   id,
@@ -112,9 +112,9 @@
 		healthCheckSentAt:    never,
 		healthCheckRefusedAt: never,
 		startedAt:            never,
-		slowStartUsed:        maxRate, // an earlier process may just have used the whole budget...
+		slowStartUsed:        maxRate, // the previous process may just have used the whole budget...
 		slowStartUsedAt:      r.now,
-		slowStartPart:        r.settings.SlowStartShare,
+		slowStartShare:       r.settings.SlowStartShare,
 		slowStartDraw:        math.Inf(1),
 		slowStartDrawAt:      r.now,
 	}
@@ -132,7 +132,8 @@
 	return added
 }
 
-// dropServer removes a server, and its group if that is empty then. The caller removes it from serversByID.
+// dropServer removes a server, and its group if the group is then empty. The caller removes the server from
+// serversByID.
 func (r *Router) dropServer(dropped *server) {
 	group := dropped.group
 	group.members = slices.DeleteFunc(group.members, func(member *server) bool { return member == dropped })
@@ -142,8 +143,8 @@
 	}
 }
 
-// dropRemovedServers drops servers that left the list, have not answered for a while, and have no attempt
-// in flight.
+// dropRemovedServers drops the servers that left the list, have not answered for removedServerMemory, and
+// have no attempt in flight.
 func (r *Router) dropRemovedServers() {
 	r.serversByID = slices.DeleteFunc(r.serversByID, func(server *server) bool {
 		if server.removedAt == 0 || len(server.openAttempts) > 0 {
@@ -157,11 +158,11 @@
 	})
 }
 
-// markRemoved records that a server is not in the list any more.
+// markRemoved records that a server left the list.
 func (server *server) markRemoved(now Time) { server.removedAt = max(now, 1) }
 
-// available reports whether the list allows sends to the server. With DrainOnly a server that left the list
-// may be used.
+// available reports whether the list allows sends to the server. With Settings.DrainOnly, a server that left
+// the list is available.
 func (server *server) available() bool {
 	return !server.draining && (server.removedAt == 0 || server.settings.DrainOnly)
 }
--- a/internal/decide/snapshot.go
+++ b/internal/decide/snapshot.go
@@ -1,9 +1,9 @@
 package decide
 
-// A snapshot is the state that a router hands to another one that takes its place or runs beside it. It is
-// evidence with its time, so that the receiver can keep whatever it knows better; no decision is made here.
+// A snapshot is the state that a router hands over to another one, which replaces it or runs beside it. Its
+// evidence has times, so that the receiver can keep newer evidence of its own.
 
-// ServerSnapshot is what a router knows of one server. The JSON names are part of the format of the handover.
+// ServerSnapshot is what a router knows about one server. The JSON names are part of the handover format.
 type ServerSnapshot struct {
 	ID                 ServerID `json:"id"`
 	Role               Role     `json:"role"`
@@ -26,9 +26,9 @@
 	At      Time
 }
 
-// Snapshot is what a router knows. The JSON names are part of the format of the handover. The commits are
-// stored apart, and filled in by the caller; the last commit of any other session is no later than
-// ForgottenCommit, which is 0 where there was none.
+// Snapshot is the state of a router that is handed over. The JSON names are part of the handover format. The
+// commits are stored separately and filled in by the caller. The last commit of any session that is not among
+// them is at most ForgottenCommit, which is 0 if there was none.
 type Snapshot struct {
 	Commits         []SessionCommit `json:"-"`
 	ForgottenCommit Time            `json:"-"`
@@ -39,7 +39,7 @@
 	AverageWork float64          `json:"mean"`
 }
 
-// Shift moves the times that are of the router's own clock, for a router whose clock differs by so much.
+// Shift converts the times on the sender's clock for a router whose clock is ahead by the given time.
 // Positions are on the servers' clock and stay.
 func (snapshot *Snapshot) Shift(by Time) {
 	for i := range snapshot.Servers {
@@ -49,14 +49,14 @@
 			&server.StartedAt, &server.SlowStartUsedAt, &server.EjectedAt,
 		}
 		for _, at := range times {
-			if *at > 0 { // else it has never happened
+			if *at > 0 { // otherwise the event has not happened
 				*at += by
 			}
 		}
 	}
 }
 
-// Snapshot returns what the router knows of the servers that are listed.
+// Snapshot returns the router's averages, and its state of the listed servers.
 func (r *Router) Snapshot() *Snapshot {
 	snapshot := &Snapshot{KindRates: map[int]float64{}, AverageWork: r.averageWork}
 	for _, server := range r.serversByID {
@@ -73,7 +73,7 @@
 	return snapshot
 }
 
-// SnapshotOf returns what the router knows of one server, and false for one that is not listed.
+// SnapshotOf returns what the router knows about one server, and false if the server is not listed.
 func (r *Router) SnapshotOf(id ServerID) (ServerSnapshot, bool) {
 	if server := r.servers[id]; server != nil && server.removedAt == 0 {
 		return server.snapshot(), true
@@ -81,7 +81,7 @@
 	return ServerSnapshot{}, false
 }
 
-// snapshot returns what the router knows of the server.
+// snapshot returns what the router knows about the server.
 func (server *server) snapshot() ServerSnapshot {
 	return ServerSnapshot{
 		ID:                 server.id,
@@ -100,9 +100,9 @@
 	}
 }
 
-// Merge takes another router's snapshot, for the servers listed here. Newer evidence here stays; times
-// ahead of now and values out of range are ignored, as the snapshot may come from a file or from the
-// network.
+// Merge merges another router's snapshot into this router's state, for the servers listed here. Newer
+// evidence of this router is kept. Times ahead of now and values out of range are ignored, as the snapshot
+// may come from a file or from the network.
 func (r *Router) Merge(now Time, snapshot *Snapshot) {
 	if r.checker != nil {
 		r.checker.onMerge(r, now, snapshot)
@@ -126,7 +126,7 @@
 	}
 }
 
-// mergeWork takes the average work of the classes, if they are as many as here.
+// mergeWork adopts the average work of the classes, if their number is the same here.
 func (r *Router) mergeWork(snapshot *Snapshot) {
 	if len(snapshot.ClassWork) != len(r.classes) || !withinRateBounds(snapshot.AverageWork) {
 		return
@@ -139,7 +139,7 @@
 	}
 }
 
-// mergeServer takes what another router knows of a server.
+// mergeServer merges what another router knows about a server.
 func (r *Router) mergeServer(now Time, server *server, other *ServerSnapshot) {
 	if other.RoleAt > server.roleAt && other.RoleAt <= now && other.Role <= RoleReplica {
 		server.role = other.Role
@@ -167,11 +167,11 @@
 	}
 }
 
-// positionIsPast reports whether a position and the times of its reports do not lie ahead of now.
+// positionIsPast reports whether neither the position nor the times of its reports are ahead of now.
 func (snapshot *ServerSnapshot) positionIsPast(now Time, group *group) bool {
 	latest := max(group.localTime(snapshot.Position), snapshot.PositionAt, snapshot.PositionReportedAt)
 	return latest <= now
 }
 
-// withinRateBounds reports whether a rate, or work, is possible.
+// withinRateBounds reports whether a rate, or an average work, is within the bounds of maxRate.
 func withinRateBounds(value float64) bool { return value >= 1/maxRate && value <= maxRate }
--- a/internal/decide/tenants.go
+++ b/internal/decide/tenants.go
@@ -3,19 +3,20 @@
 const (
 	// minTenantBurst is the least depth of a tenant's bucket, in requests.
 	minTenantBurst = 4.0
-	// minRefillRate is the least rate of a bucket, in tokens a second, that a wait is computed from.
+	// minRefillRate is the least rate, in tokens per second, that the time to the next token is computed
+	// with.
 	minRefillRate = 1e-3
 )
 
-// tokenBucket limits a tenant's requests.
+// tokenBucket limits the rate of a tenant's requests.
 type tokenBucket struct {
 	tokens    float64
-	rate      float64 // tokens a second
+	rate      float64 // tokens per second
 	updatedAt Time
 }
 
-// applyRateLimit takes a request from its tenant's bucket. Beyond the limit the request is rejected, and
-// the result false, or has a lower weight.
+// applyRateLimit takes a token for a request from its tenant's bucket. Beyond the limit, the request is
+// rejected or gets a lower weight, as the tenant's settings say. It returns false if the request is rejected.
 func (r *Router) applyRateLimit(event *Request, request *request) bool {
 	if event.Tenant < 0 || event.Tenant >= len(r.buckets) || r.settings.Tenants[event.Tenant].RateLimit <= 0 {
 		return true
@@ -34,8 +35,9 @@
 	return true
 }
 
-// refillBucket updates a tenant's bucket: at the assigned rate, or at an equal part with a second's depth,
-// so that bursts within a second are not limited.
+// refillBucket refills a tenant's bucket, at the assigned rate or at an equal share of the rate limit.
+// With an equal share, the bucket holds the requests of one second, so that bursts within a second are not
+// limited.
 func (r *Router) refillBucket(index int) *tokenBucket {
 	bucket := &r.buckets[index]
 	tenant := r.settings.Tenants[index]
