--- a/internal/decide/backlog_test.go
+++ b/internal/decide/backlog_test.go
@@ -11,7 +11,7 @@
 	return h.handle(&Request{ID: id, Class: classAny, Deadline: h.now + 2*time.Second, OnlyServer: "a"})
 }
 
-// answerSlowly sends one read after another to a server whose answers each take so long.
+// answerSlowly sends n reads to server a, one per second, whose answers each take the given time.
 func (h *harness) answerSlowly(n int, took time.Duration) {
 	for i := range n {
 		id := RequestID(fmt.Sprint("slow", i, h.now))
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestOthersBacklogLowersAdmission: the requests of hundreds of other routers that wait at servers show in the times of
-// this router's answers only. A router that went on sending its least urgent requests, as it has none there itself,
-// would keep the queue standing for all.
+// TestOthersBacklogLowersAdmission: the requests of other routers that wait at a server show only in the times of this
+// router's answers. A router that has no requests waiting there, and so continued to send its least urgent ones, would
+// keep the server's queue full for all routers.
 func TestOthersBacklogLowersAdmission(t *testing.T) {
 	for peers, shed := range map[int]bool{1: false, 150: true} {
 		h := newGroupOfThree(t, func(s *Settings) { s.Peers = peers })
@@ -41,20 +41,20 @@
 			h.end(id, 0, "a", Cancelled)
 		}
 		if shed && sent > 20 || !shed && sent != 40 {
-			t.Errorf("%d routers: %d of 40 reads were sent behind answers that waited long", peers, sent)
+			t.Errorf("%d routers: %d of 40 reads were sent after slow answers; load must be shed: %v", peers, sent, shed)
 		}
 		h.advance(6 * throttleMemorySeconds)
 		h.wantSend(h.requestOfA("later"), "later", "a")
 	}
 }
 
-// TestMostUrgentAreAdmitted: what is not admitted is what has the least weight for its work, and a class at the cutoff
-// in part.
-func TestMostUrgentAreAdmitted(t *testing.T) {
+// TestMostUrgentRequestsAreAdmitted: requests with the least weight for their work are not admitted, and of a class at
+// the cutoff a fraction is.
+func TestMostUrgentRequestsAreAdmitted(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.Peers = 1 << 20 })
 	s := h.r.servers["a"]
 	for i := range 300 {
-		c := &h.r.classes[i%3*2] // bounded and any, worth 1, and writes, worth 4
+		c := &h.r.classes[i%3*2] // bounded and any reads of weight 1, and writes of weight 4
 		h.r.countUrgency(&request{group: s.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now})
 	}
 	for _, x := range []struct{ throttle, light, heavy float64 }{{0, 1, 1}, {0.41, 0.5, 1}, {1.1, 0, 1}, {1.8, 0, 0.5}} {
--- a/internal/decide/candidates_test.go
+++ b/internal/decide/candidates_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestBoundedReadAtTheBoundary: a position as old as the bound covers a bounded read, and an older one does not.
+// TestBoundedReadAtTheBoundary: a position exactly as old as the bound covers a bounded read, and an older one does not.
 func TestBoundedReadAtTheBoundary(t *testing.T) {
 	for _, c := range []struct {
 		age  time.Duration
@@ -30,14 +30,14 @@
 		h.report("a", RoleReplica, h.now-100*ms)
 		got := h.handle(&Request{ID: "1", Class: classSession, Deadline: h.now + time.Second, SinceCommit: c.token})
 		if sent := len(actionsOf(Send, got)) == 1; sent != c.want {
-			t.Errorf("written %v ago: sent %v, want %v", c.token, sent, c.want)
+			t.Errorf("commit %v ago: sent %v, want %v", c.token, sent, c.want)
 		}
 	}
 }
 
-// TestRememberedCommitsBindSessionReads: a session's read goes to a server that has its last write; sessions that were
+// TestSessionReadCoversRememberedCommit: a session's read goes to a server that has its last write; sessions that were
 // dropped count as having written at the latest of the dropped commits.
-func TestRememberedCommitsBindSessionReads(t *testing.T) {
+func TestSessionReadCoversRememberedCommit(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.TrackCommits = true })
 	h.handle(&Request{ID: "w", Class: classKeyedWrite, Deadline: h.now + time.Second, Session: "s"})
 	h.now += 50 * ms
@@ -53,13 +53,13 @@
 		t.Errorf("%d sessions kept", n)
 	}
 	if h.r.forgottenCommit != h.now {
-		t.Error("dropping sessions must raise what an unknown one is taken to have written")
+		t.Error("dropping sessions must raise forgottenCommit to their latest commit")
 	}
 }
 
-// TestStaleReplicaGetsNoReadThatItWouldAnswer: a replica that would answer from old data gets no read on an estimate of
+// TestUnprovenReplicaGetsNoReadUnlessItRefusesStaleReads: a replica that would answer from old data gets no read on an estimate of
 // its position.
-func TestStaleReplicaGetsNoReadThatItWouldAnswer(t *testing.T) {
+func TestUnprovenReplicaGetsNoReadUnlessItRefusesStaleReads(t *testing.T) {
 	for _, c := range []struct {
 		behind StaleReadPolicy
 		want   bool
@@ -70,33 +70,33 @@
 		h.report("a", RoleReplica, h.now)
 		h.now += 350 * ms
 		if got := len(actionsOf(Send, h.request("1", classBounded))) == 1; got != c.want {
-			t.Errorf("behind=%d: sent %v, want %v", c.behind, got, c.want)
+			t.Errorf("stale-read policy %d: sent %v, want %v", c.behind, got, c.want)
 		}
 	}
 }
 
-// TestPositionNeverGoesBackNorAhead: neither an older report nor one from the future changes a position.
-func TestPositionNeverGoesBackNorAhead(t *testing.T) {
+// TestPositionIgnoresOlderAndFutureReports: neither an older report nor one from the future changes a position.
+func TestPositionIgnoresOlderAndFutureReports(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.report("a", RoleReplica, h.now-time.Second)
 	if h.r.servers["a"].position != start {
-		t.Error("an older report took the position back")
+		t.Error("an older report lowered the position")
 	}
 	h.report("a", RoleReplica, h.now+time.Hour)
 	if h.r.servers["a"].position != start {
-		t.Error("a position in the future was believed")
+		t.Error("a position ahead of the clock was adopted")
 	}
 }
 
-// TestReadTriesEveryMemberBeforeOneAgain: two members fail in turn. Fails if a read goes back and forth between them,
-// or if it may have no positions checked after the first round.
-func TestReadTriesEveryMemberBeforeOneAgain(t *testing.T) {
+// TestReadTriesEveryMemberBeforeRepeatingOne: members fail one after the other. Fails if a read returns to a member
+// before all were tried, or if no health checks are sent for it after a failure.
+func TestReadTriesEveryMemberBeforeRepeatingOne(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	seen := map[ServerID]bool{}
 	sent := actionsOf(Send, h.request("1", classAny))
 	for i := range 3 {
 		if len(sent) != 1 || seen[sent[0].Server] {
-			t.Fatalf("try %d: %+v, tried before: %v", i, sent, seen)
+			t.Fatalf("attempt %d: %+v, servers tried before: %v", i, sent, seen)
 		}
 		seen[sent[0].Server] = true
 		h.now += 5 * ms
@@ -117,12 +117,12 @@
 	h.now += 310 * ms // the reported position is too old by now
 	h.r.servers["p"].failureAt = h.now
 	if next := actionsOf(HealthCheck, h.end("2", 0, sent[0].Server, Failed)); len(next) == 0 {
-		t.Error("after a failure the others are not checked")
+		t.Error("after a failure no other server is checked")
 	}
 }
 
-// TestReadIsNotSentAgainToReplicasThatAreBehind: every replica refuses a session read as it is too far behind. Fails if
-// the read returns to one before that can have caught up.
+// TestReadIsNotSentAgainToReplicasThatAreBehind: every replica refuses a session read as its data is too old. Fails if
+// the read returns to one of them before it can have caught up.
 func TestReadIsNotSentAgainToReplicasThatAreBehind(t *testing.T) {
 	set := testSettings()
 	set.StaleReads = StaleReadsRefused
@@ -131,7 +131,7 @@
 	for i := range 2 {
 		sent := actionsOf(Send, out)
 		if len(sent) != 1 {
-			t.Fatalf("try %d: %+v", i, sent)
+			t.Fatalf("attempt %d: %+v", i, sent)
 		}
 		h.now += 5 * ms
 		out = h.handle(&Outcome{ID: "1", Attempt: i, Server: sent[0].Server, Result: Misdirected,
--- a/internal/decide/clockoffset_test.go
+++ b/internal/decide/clockoffset_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// hour is what an operator's mistake steps a clock by.
+// hour is the size of a clock step by operator error.
 const hour = time.Hour
 
-// observeAnswer plays a probe's answer: the server's clock is ahead of the router's by so much, and the way takes 2 ms either way.
+// observeAnswer observes the answer to a health check by a server whose clock is ahead of the router's by ahead. The
+// network delay is 2 ms in each direction.
 func (clock *clockOffset) observeAnswer(now Time, ahead time.Duration) {
 	clock.observe(now, now-4*ms, now-2*ms+ahead)
 }
@@ -20,7 +21,7 @@
 	near := func(t *testing.T, c *clockOffset, want time.Duration) {
 		t.Helper()
 		if off := c.ahead - want; off < 0 || off > 4*ms {
-			t.Errorf("estimate %v, want %v and at most the way more", c.ahead, want)
+			t.Errorf("estimate %v, want %v to 4 ms (the round trip) more", c.ahead, want)
 		}
 	}
 	for _, ahead := range []time.Duration{hour, -hour, 3 * time.Second, -3 * time.Second} {
@@ -32,7 +33,7 @@
 			}
 			near(t, c, ahead)
 			for range 12 {
-				c.observeAnswer(now, 0) // another server is the primary now
+				c.observeAnswer(now, 0) // another server, without an offset, has become the primary
 				now += 100 * ms
 			}
 			near(t, c, 0)
@@ -42,14 +43,14 @@
 		c := &clockOffset{}
 		for n := range 100 {
 			c.observeAnswer(start+Time(n)*100*ms, time.Duration(n%5-2)*100*ms)
-			c.observe(start, start-3*time.Second, start-3*time.Second) // an answer that was long on its way
-			c.observe(start, never, start-20*time.Second)              // a report that came along, of any age
+			c.observe(start, start-3*time.Second, start-3*time.Second) // an answer with a long round trip
+			c.observe(start, never, start-20*time.Second)              // a load report of unknown age
 		}
 		if c.ahead != 0 {
 			t.Errorf("estimate %v", c.ahead)
 		}
 	})
-	t.Run("a primary that stands still", func(t *testing.T) {
+	t.Run("a primary whose clock stands still", func(t *testing.T) {
 		c := &clockOffset{}
 		for n := range 100 {
 			now := start + Time(n)*200*ms
@@ -59,7 +60,7 @@
 			t.Errorf("estimate %v", c.ahead)
 		}
 	})
-	t.Run("two that say they lead", func(t *testing.T) {
+	t.Run("two servers that report to be the primary", func(t *testing.T) {
 		c := &clockOffset{}
 		for n := range 100 {
 			c.observeAnswer(start+Time(n)*100*ms, time.Duration(n%2)*-hour)
@@ -70,15 +71,15 @@
 	})
 }
 
-// TestReadsByAFastClock: this router's clock is an hour ahead of the servers'. A replica that is up to date must serve
-// bounded reads all the same, once reports agree, and one that is behind must not; until then the primary serves them;
-// a server that has started lately by the servers' clock counts as cold. Seen: the primary got no health checks once it
-// seemed an hour behind.
-func TestReadsByAFastClock(t *testing.T) {
+// TestReadsWithAFastRouterClock: this router's clock is an hour ahead of the servers'. Until reports agree on the offset,
+// the primary serves bounded reads. From then on replicas that are up to date serve them too, replicas that are behind do
+// not, and a server that has started recently by the servers' clock counts as cold. The test guards against sending no
+// more health checks to a primary that seems an hour behind.
+func TestReadsWithAFastRouterClock(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1},
 		Endpoint{Server: "a", Capacity: 1, Started: start - hour - 100*ms}, Endpoint{Server: "b", Capacity: 1})
 	if h.r.warmUpFactor(h.r.servers["a"]) != 1 {
-		t.Fatal("by its own clock alone the router has no reason to take it for cold")
+		t.Fatal("before the offset is known, the server must count as warm")
 	}
 	position := map[ServerID]time.Duration{"p": 0, "a": 100 * ms, "b": second}
 	served := map[ServerID]int{}
@@ -102,7 +103,7 @@
 		}
 	}
 	if served["a"] == 0 || served["b"] > 0 || served["a"]+served["p"] < 58 {
-		t.Errorf("of 60 reads served by %v: want nearly all, some by a, none by b", served)
+		t.Errorf("of 60 reads, served by server: %v; want at least 58 in all, some by a, none by b", served)
 	}
 	if h.r.warmUpFactor(h.r.servers["a"]) == 1 {
 		t.Error("a server that started 3 s ago counts as warm")
--- a/internal/decide/cost_test.go
+++ b/internal/decide/cost_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestCostFollowsEquation2: equation 2 on an example computed by hand: rate 1, full-rate concurrency 4, average work
-// 0.08. A request among n gets (1+(n/4)^4)^(-1/4): 0.9990 alone, 0.9864 as the second, 0.8409 as the fourth, 0.7347 as
-// the fifth. The new one takes 0.08 over its share, and each of those there slows from its share to that.
+// TestCostFollowsEquation2 checks equation 2 by examples computed by hand: rate 1, full-rate concurrency 4, average work
+// 0.08. Each of n requests gets a share of (1+(n/4)^4)^(-1/4): 0.9990 for n = 1, 0.9864 for 2, 0.8409 for 4, 0.7347 for 5.
+// The new request takes 0.08 divided by its share, and the share of each request in flight falls to the same value.
 func TestCostFollowsEquation2(t *testing.T) {
 	for _, c := range []struct {
 		inFlight int
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestCostWeighsTheSlowdownOfOthersByPriority: the slowdown of requests in flight counts by their weight against the
-// new one's.
-func TestCostWeighsTheSlowdownOfOthersByPriority(t *testing.T) {
+// TestCostScalesSlowdownByRelativeWeight: the slowdown of each request in flight is scaled by its weight relative to that
+// of the new request.
+func TestCostScalesSlowdownByRelativeWeight(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	s := h.r.servers["p"]
 	read := &request{class: &h.r.classes[classAny], weight: 1, relativeWork: 1}
@@ -43,11 +43,11 @@
 		s.openAttempts = append(s.openAttempts, &attempt{request: heavy})
 	}
 	if got := h.r.cost(s, read).seconds; math.Abs(got-(0.08/0.7347+4*4*(0.08/0.7347-0.08/0.8409))) > 2e-3 {
-		t.Errorf("cost %v: the slowdown of requests must count by their weight", got)
+		t.Errorf("cost %v: the slowdown of requests must be scaled by their weight", got)
 	}
 }
 
-// TestSharesAreFrozenAfterAPick: the estimated share of a server's rate is fixed for a while after a request was sent
+// TestSharesAreFrozenAfterAPick: the estimated share of a server's rate is kept for freezeTime after a request was sent
 // there.
 func TestSharesAreFrozenAfterAPick(t *testing.T) {
 	h := newGroupOfThree(t, nil)
@@ -58,17 +58,17 @@
 	}
 	s.frozenShare, s.frozenUntil = 0.8, h.now+freezeTime
 	req := &request{class: &h.r.classes[classAny], weight: 1, relativeWork: 1}
-	s.openAttempts = s.openAttempts[:3] // two ended: shares stay as they were at the pick
+	s.openAttempts = s.openAttempts[:3] // two attempts ended: shares stay as they were at the pick
 	frozenCost := h.r.cost(s, req).seconds
 	h.now += freezeTime + ms
 	h.r.now = h.now
 	share := h.r.cost(s, req).share
 	if share <= 0.8 || frozenCost <= 0 {
-		t.Errorf("share after the freeze is %v, want the full rate back", share)
+		t.Errorf("share after the freeze is %v, want more than 0.8", share)
 	}
 	s.frozenUntil = h.now + freezeTime
 	if share = h.r.cost(s, req).share; share != 0.8 {
-		t.Errorf("share inside the freeze is %v, want 0.8", share)
+		t.Errorf("share during the freeze is %v, want 0.8", share)
 	}
 }
 
@@ -80,13 +80,13 @@
 	for i := 2; i <= 4; i++ {
 		h.request(RequestID(fmt.Sprint(i)), classBounded)
 	}
-	// b's requests would now slow each other; a still gives a whole share.
+	// Requests at b now slow each other, while a would serve one at its full rate.
 	h.r.servers["b"].relativeRate = 1
 	h.wantSend(h.request("5", classBounded), "5", "a")
 }
 
-// TestReadsSpreadOverTheMembers: one of many routers that has nothing in flight must not send read after read to the
-// same server, however little it observes. Fails if the other routers are not assumed to do as it does.
+// TestReadsSpreadOverTheMembers: one of many routers must not send all its reads to the same server, though it has no
+// others in flight and observes little load. Fails if the other routers are not assumed to send as this one does.
 func TestReadsSpreadOverTheMembers(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.Peers, s.StaleReads = 200, StaleReadsRefused })
 	got := map[ServerID]int{}
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestFailingServerIsNotTheCheapest: quick failures leave a server idle, and an idle server costs least. Fails if
-// failed answers do not count.
+// TestFailingServerIsNotTheCheapest: a server that fails requests quickly is idle, and an idle server costs least. Fails
+// if failures do not raise the cost.
 func TestFailingServerIsNotTheCheapest(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.r.servers["a"].relativeRate = 1.5
--- a/internal/decide/endpointlist_test.go
+++ b/internal/decide/endpointlist_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestDrainingServerGetsNothingOnceTheListChanges: from the change of the list on, nothing goes to a server that is
-// draining or removed.
-func TestDrainingServerGetsNothingOnceTheListChanges(t *testing.T) {
+// TestDrainingOrRemovedServerGetsNoRequests: once the list has changed, nothing is sent to a server that is draining or
+// removed.
+func TestDrainingOrRemovedServerGetsNoRequests(t *testing.T) {
 	for _, state := range []ServerState{Draining, Removed} {
 		h := newGroupOfThree(t, nil)
 		h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "a", State: state}, {Server: "b", State: state}}})
@@ -23,17 +23,16 @@
 // TestServerMissingFromAFullListIsRemoved: a server that is missing from a whole list is not used, except with
 // DrainOnly.
 func TestServerMissingFromAFullListIsRemoved(t *testing.T) {
-	for _, soft := range []bool{false, true} {
-		h := newGroupOfThree(t, func(s *Settings) { s.DrainOnly = soft })
+	for _, drainOnly := range []bool{false, true} {
+		h := newGroupOfThree(t, func(s *Settings) { s.DrainOnly = drainOnly })
 		h.handle(&EndpointList{Kind: ListFull, Endpoints: []Endpoint{{Server: "b"}}})
-		if got := h.r.servers["a"].usable(); got != soft {
-			t.Errorf("soft removal %v: usable %v", soft, got)
+		if got := h.r.servers["a"].usable(); got != drainOnly {
+			t.Errorf("DrainOnly %v: usable %v", drainOnly, got)
 		}
 	}
 }
 
-// TestSubscriptionIsRenewedAfterItFails: a subscription that failed is renewed once, and the list stays in force
-// meanwhile.
+// TestSubscriptionIsRenewedAfterItFails: a subscription that failed is renewed once, and the list is kept meanwhile.
 func TestSubscriptionIsRenewedAfterItFails(t *testing.T) {
 	set := testSettings()
 	set.WatchList = true
@@ -43,16 +42,16 @@
 	}
 	h.handle(&EndpointList{Kind: ListFailed})
 	if n := len(actionsOf(Subscribe, h.advance(3*maxResubscribePause))); n != 1 {
-		t.Errorf("%d subscriptions after a failure", n)
+		t.Errorf("%d subscriptions after a failure, want 1", n)
 	}
 	if !h.r.servers["a"].usable() {
-		t.Error("a failed list call must leave the old list in force")
+		t.Error("a failed list call must not change the list")
 	}
 }
 
-// TestSubscriptionThatBreaksIsRenewedSoon: a subscription that had lasted and broke is renewed at once, as draining
-// servers and new primaries are known by it alone; one that breaks as it is opened is not, or an overloaded source
-// would be flooded.
+// TestSubscriptionThatBreaksIsRenewedSoon: a subscription that breaks after a while is renewed at once, as draining
+// servers and new primaries are known only by it. One that fails as it is opened is renewed more slowly, so that an
+// overloaded source is not flooded.
 func TestSubscriptionThatBreaksIsRenewedSoon(t *testing.T) {
 	set := testSettings()
 	set.WatchList = true
@@ -70,17 +69,17 @@
 		}
 	}
 	if n > 12 {
-		t.Errorf("%d subscriptions in 10 s of failures", n)
+		t.Errorf("%d subscriptions in 10 s of failures, want at most 12", n)
 	}
 	h.advance(maxResubscribePause * 2)
 	h.handle(&EndpointList{Kind: ListFailed})
 	if n := len(actionsOf(Subscribe, h.advance(3*minResubscribePause))); n != 1 {
-		t.Errorf("%d subscriptions soon after a subscription that lasted again", n)
+		t.Errorf("%d subscriptions soon after another subscription that lasted broke, want 1", n)
 	}
 }
 
-// TestServerRemovedAfterDrainingStaysExcluded: with DrainOnly, a server seen draining and then listed as removed is
-// excluded; one only listed as removed is not, and is dropped once it has not answered for a while.
+// TestServerRemovedAfterDrainingStaysExcluded: with DrainOnly, a server that was draining and then removed is excluded.
+// A server that was removed without draining is not, and is dropped once it has not answered for a while.
 func TestServerRemovedAfterDrainingStaysExcluded(t *testing.T) {
 	set := testSettings()
 	set.DrainOnly = true
--- a/internal/decide/harness_test.go
+++ b/internal/decide/harness_test.go
@@ -9,10 +9,10 @@
 
 const ms = time.Millisecond
 
-// start is where the tests' clock begins.
+// start is the initial time of the tests' clock.
 const start = 1000 * time.Second
 
-// harness drives one router by hand.
+// harness drives one router step by step.
 type harness struct {
 	t   *testing.T
 	r   *Router
@@ -20,12 +20,12 @@
 	out []Action
 }
 
-// classes used by the tests, by number.
+// Classes of the tests, by number.
 const (
 	classBounded = iota
 	classSession
-	classKeyedWrite // keyed, inside the group
-	classWriteOnce  // a write that must never run twice
+	classKeyedWrite // idempotent with a key, whose scope is the group
+	classWriteOnce  // a write that must not run twice
 	classAny
 )
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// newHarness returns a router with checks on that has the list.
+// newHarness returns a harness whose router checks its invariants and has received the given list.
 func newHarness(t *testing.T, set Settings, entries ...Endpoint) *harness {
 	t.Helper()
 	h := &harness{t: t, r: New(set, 7), now: start}
@@ -57,7 +57,8 @@
 	return h
 }
 
-// newGroupOfThree is a group with primary p and replicas a and b, all reachable and up to date.
+// newGroupOfThree returns a harness of one group with primary p and replicas a and b, all reachable and up to
+// date.
 func newGroupOfThree(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
 	set := testSettings()
@@ -88,7 +89,7 @@
 	return h.handle(&Outcome{ID: id, Attempt: no, Server: s, Result: res, Final: res == OK})
 }
 
-// advance passes time with ticks, and returns all actions.
+// advance lets time pass with ticks, and returns all actions.
 func (h *harness) advance(d time.Duration) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		h.now = min(end, h.now+tickInterval)
@@ -107,7 +108,7 @@
 	return got
 }
 
-// wantSend fails unless one attempt of a request was sent, to a server if one is named.
+// wantSend fails the test unless exactly one attempt was sent, of request id and, if s is not empty, to server s.
 func (h *harness) wantSend(actions []Action, id RequestID, s ServerID) {
 	h.t.Helper()
 	got := actionsOf(Send, actions)
@@ -116,7 +117,7 @@
 	}
 }
 
-// wantNone fails if there is an action of a kind.
+// wantNone fails the test if there is an action of the kind.
 func (h *harness) wantNone(kind ActionKind, actions []Action) {
 	h.t.Helper()
 	if got := actionsOf(kind, actions); len(got) != 0 {
--- a/internal/decide/healthcheck_test.go
+++ b/internal/decide/healthcheck_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// TestHealthCheckPauseGrowsAfterSeveralFailures: health checks fail by chance too, and a late one after a few of these
-// would keep a server out, and have it count as restarted. Only after several does the pause between them grow.
+// TestHealthCheckPauseGrowsAfterSeveralFailures: health checks also fail by chance. If the pause grew after a few such
+// failures, the late next check would keep a healthy server ejected, and the server would count as restarted. So the
+// pause between checks grows only after checksBeforeBackoff failures.
 func TestHealthCheckPauseGrowsAfterSeveralFailures(t *testing.T) {
 	h := newGroupOfThree(t, nil)
-	h.request("open", classWriteOnce) // its group is tended to
+	h.request("open", classWriteOnce) // servers are checked only while the group has requests
 	h.r.servers["a"].health = ejected
 	last := h.now
 	for n := range checksBeforeBackoff + 3 {
@@ -18,16 +19,16 @@
 		}
 		want := ejectedCheckInterval << max(0, n-checksBeforeBackoff)
 		if took := h.now - last; n > 0 && (took < want || took > want+2*tickInterval) {
-			t.Errorf("health check %d after %v, want %v", n, took, want)
+			t.Errorf("health check %d was sent %v after the one before, want %v", n, took, want)
 		}
 		last = h.now
 		h.handle(&HealthCheckResult{Server: "a", Result: Unreachable})
 	}
 }
 
-// TestUnreadableReportNeitherEjectsNorReturns: a health check with an answer that cannot be read neither ejects a
-// server nor returns it to use.
-func TestUnreadableReportNeitherEjectsNorReturns(t *testing.T) {
+// TestUnreadableHealthCheckLeavesHealthUnchanged: a health check whose answer cannot be read neither ejects a server nor
+// returns it to use.
+func TestUnreadableHealthCheckLeavesHealthUnchanged(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	for _, was := range []healthState{healthy, ejected} {
 		s := h.r.servers["p"]
@@ -35,7 +36,7 @@
 		h.r.checkHealth(s, 0)
 		h.handle(&HealthCheckResult{Server: "p", Result: Failed})
 		if s.health != was || s.healthCheckPending {
-			t.Errorf("health %v became %v, probing %v", was, s.health, s.healthCheckPending)
+			t.Errorf("health %v became %v, health check pending %v", was, s.health, s.healthCheckPending)
 		}
 		h.now += time.Second
 	}
--- a/internal/decide/hedging_test.go
+++ b/internal/decide/hedging_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestOvertakenAttemptIsPresumedLostAndHedged: an attempt that later ones overtake is presumed lost and its request
-// sent again; the server stays in use.
+// TestOvertakenAttemptIsPresumedLostAndHedged: an attempt that is overtaken by several later ones is presumed lost and
+// its request is sent again. It no longer counts as load, and the server stays in use.
 func TestOvertakenAttemptIsPresumedLostAndHedged(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
@@ -25,14 +25,14 @@
 		t.Error("the lost attempt was never sent again")
 	}
 	if n := len(h.r.servers["p"].openAttempts) - h.r.servers["p"].lostAttempts; n > 1 {
-		t.Errorf("load %v: lost attempts still count", n)
+		t.Errorf("%d attempts count as load, want at most 1: lost attempts still count", n)
 	}
 }
 
-// TestLossesShortenTheTimeToHedging: where many attempts are never answered, one that others overtake is hedged while
-// its answer may still be in time; where none is lost, or others wait for capacity, not yet. A hedge at six times the
-// work came too late.
-func TestLossesShortenTheTimeToHedging(t *testing.T) {
+// TestHigherLossRateHedgesEarlier: where many attempts are never answered, an overtaken attempt is hedged early enough
+// for an answer in time: a hedge at six times the expected work came too late. Where no attempts are lost, or other
+// requests wait for capacity, it is not hedged that early.
+func TestHigherLossRateHedgesEarlier(t *testing.T) {
 	hedged := func(lose, wait bool) bool {
 		h := newGroupOfThree(t, nil)
 		n := 0
@@ -70,15 +70,15 @@
 		t.Error("an attempt that is probably lost was not hedged")
 	}
 	if hedged(false, false) {
-		t.Error("hedged where nothing was ever lost")
+		t.Error("hedged where no attempts are lost")
 	}
 	if hedged(true, true) {
-		t.Error("hedged while others wait for capacity")
+		t.Error("hedged while other requests wait for capacity")
 	}
 }
 
-// TestAttemptThatNoneOvertookIsNotPresumedLost: attempts at a slow server that none overtook are not presumed lost.
-func TestAttemptThatNoneOvertookIsNotPresumedLost(t *testing.T) {
+// TestAttemptNotOvertakenIsNotPresumedLost: attempts at a slow server that were not overtaken are not presumed lost.
+func TestAttemptNotOvertakenIsNotPresumedLost(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
 	for i := range 3 {
@@ -86,6 +86,6 @@
 	}
 	h.advance(time.Second)
 	if h.r.servers["p"].lostAttempts != 0 {
-		t.Error("nothing was overtaken, so nothing may be written off")
+		t.Error("attempts that were not overtaken are presumed lost")
 	}
 }
--- a/internal/decide/invariants_test.go
+++ b/internal/decide/invariants_test.go
@@ -12,8 +12,8 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// randomRun is a router with its embedder, which is correct: each attempt and each health check ends once, with a served one or one whose
-// request is over as the final one, timers come late but come. All else is drawn.
+// randomRun runs a router with random input from a correct embedder: each attempt ends once, each health check at most
+// once, an outcome is final if it is an answer or its request is over, and timers may be late. All else is random.
 type randomRun struct {
 	r            *Router
 	c            *invariant.Checks
@@ -89,7 +89,7 @@
 	return rep
 }
 
-// end has an attempt end somehow.
+// end ends a random attempt with a random result.
 func (d *randomRun) end(t *rapid.T) {
 	if len(d.openAttempts) == 0 {
 		return
@@ -120,7 +120,8 @@
 		ClientRetry: rapid.Bool().Draw(t, "repeat"), WorkHint: Time(rapid.Int64Range(0, int64(200*ms)).Draw(t, "work"))})
 }
 
-// TestInvariants: settings, lists, requests, outcomes, health checks, timers and pauses in any order.
+// TestInvariants checks the router's invariants under random settings, lists, requests, outcomes, health checks, timers
+// and pauses in any order.
 func TestInvariants(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
 		d := newRandomRun(invariant.Test(t), drawSettings(t), rapid.Uint64().Draw(t, "seed"))
@@ -188,8 +189,8 @@
 	})
 }
 
-// TestInvariantsFailWhenBroken: each statement is seen to fail for one change of state, or for what the router would do
-// if it were broken.
+// TestInvariantsFailWhenBroken: each invariant reports a breach after a change of state that violates it, or for an
+// action that violates it.
 func TestInvariantsFailWhenBroken(t *testing.T) {
 	send := func(id RequestID, s ServerID) func(*harness) []Action {
 		return func(h *harness) []Action { return []Action{{Kind: Send, ID: id, Server: s}} }
@@ -259,20 +260,21 @@
 		h.r.checker.checks = c
 		w := h.r.checker
 		if w.walk(h.r, &Timer{}); len(c.Breaches()) > 0 {
-			t.Errorf("without: %v", c.Breaches())
+			t.Errorf("%q: breaches before the violation: %v", m.name, c.Breaches())
 		}
 		if m.poke != nil {
 			m.poke(h)
 		}
 		w.observe(h.r, &Timer{}, m.do(h))
 		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
-			t.Errorf("%q is not seen: %v", m.name, c.Breaches())
+			t.Errorf("%q is not reported, but %v", m.name, c.Breaches())
 		}
 	}
 }
 
-// BenchmarkWatch measures the statements where they are off, on, and with a walk at every event.
-func BenchmarkWatch(b *testing.B) {
+// BenchmarkInvariantChecks measures the cost of the invariants: off, with a walk every 64 events, and with a walk at every
+// event.
+func BenchmarkInvariantChecks(b *testing.B) {
 	for _, x := range []struct {
 		name  string
 		every int
--- a/internal/decide/load_test.go
+++ b/internal/decide/load_test.go
@@ -4,27 +4,28 @@
 	"testing"
 )
 
-// TestEstimatedLoadRejectsNothing: in a busy fleet the estimate of others' load alone makes every member seem too slow.
-// Fails if that rejects a read which no report and no answer speaks against.
+// TestEstimatedLoadRejectsNothing: among many busy routers, the estimated load of the others makes every member seem too
+// slow. Fails if a read is rejected by that estimate alone, without evidence from a report or an answer.
 func TestEstimatedLoadRejectsNothing(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.Peers, s.StaleReads = 250, StaleReadsRefused })
 	h.r.requestRate, h.r.recentRequests, h.r.requestRateSpan, h.r.requestRateAt = 50, 250, 5, h.now
 	if n := h.r.loadOf(h.r.servers["a"]).likely; n < 2*fullRateConcurrency {
-		t.Fatalf("load %v: the guess should be high here", n)
+		t.Fatalf("estimated load %v, want at least %v for this test", n, 2*fullRateConcurrency)
 	}
 	out := h.request("1", classAny)
 	h.wantSend(out, "1", "")
 	h.wantNone(Reject, out)
 }
 
-// TestSlowAnswersShowTheLoadOfOthers: one of many routers has nothing at a server whose queue is full. Fails if it
-// sends the next read there after an answer many times its work; with few routers their own requests explain that.
-func TestSlowAnswersShowTheLoadOfOthers(t *testing.T) {
+// TestSlowAnswersRaiseTheLoadEstimate: one of many routers has no other request at a server whose queue is full. Fails
+// if an answer that takes many times the expected work does not raise the estimated load of other routers. With a single
+// router, its own requests have to explain the time.
+func TestSlowAnswersRaiseTheLoadEstimate(t *testing.T) {
 	for peers, avoids := range map[int]bool{250: true, 1: false} {
 		h := newGroupOfThree(t, func(s *Settings) { s.Peers, s.StaleReads = peers, StaleReadsRefused })
 		first := actionsOf(Send, h.request("1", classAny))[0].Server
 		a := h.r.servers[first]
-		for range 39 { // the router is awake: this is no standstill of its own
+		for range 39 { // with ticks, so that the router does not detect a pause of its process
 			h.advance(tickInterval)
 		}
 		h.end("1", 0, first, OK)
--- a/internal/decide/outlier_test.go
+++ b/internal/decide/outlier_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestUnresponsiveServerGetsNoReads: a server that answers health checks but no requests is not used.
+// TestUnresponsiveServerGetsNoReads: a read at a server that answers no requests is sent elsewhere, and an answered health
+// check alone does not return such a server to use.
 func TestUnresponsiveServerGetsNoReads(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	for _, s := range h.r.serversByID {
@@ -32,9 +33,9 @@
 	}
 }
 
-// TestAttemptsFromAnOutageDoNotBlockTheTrial: attempts that are still in flight from an outage must not keep the server
-// from its trial.
-func TestAttemptsFromAnOutageDoNotBlockTheTrial(t *testing.T) {
+// TestAttemptsFromAnOutageDoNotCountWhileHalfOpen: attempts still in flight from an outage do not count towards the
+// attempts that a half-open server may have.
+func TestAttemptsFromAnOutageDoNotCountWhileHalfOpen(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
 	for i := range 4 {
@@ -54,9 +55,9 @@
 	h.wantSend(h.end("trial", 0, "p", OK), "next", "p")
 }
 
-// TestServerWhoseTrialIsNotAnsweredIsEjectedAgain: a half-open server that leaves its requests unanswered is ejected
+// TestHalfOpenServerThatDoesNotAnswerIsEjected: a half-open server that leaves its requests unanswered is ejected
 // again.
-func TestServerWhoseTrialIsNotAnsweredIsEjectedAgain(t *testing.T) {
+func TestHalfOpenServerThatDoesNotAnswerIsEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
 	h.r.eject(h.r.servers["p"])
@@ -64,12 +65,12 @@
 	h.wantSend(h.request("trial", classWriteOnce), "trial", "p")
 	h.advance(1500 * ms)
 	if h.r.servers["p"].health != ejected {
-		t.Error("the trial is not answered and the server is not ejected")
+		t.Error("the half-open server left its request unanswered, and was not ejected")
 	}
 }
 
-// TestPauseOfThisProcessIsNoEvidenceAgainstServers: a router that was paused finds every timer late and every answer
-// late. Fails if it takes servers for unresponsive or slow by that.
+// TestPauseOfThisProcessIsNoEvidenceAgainstServers: after a pause of the router's process, its timers and all answers are
+// late. Fails if servers count as unresponsive or slow because of that.
 func TestPauseOfThisProcessIsNoEvidenceAgainstServers(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	sent := actionsOf(Send, h.request("1", classAny))[0].Server
@@ -79,14 +80,14 @@
 	h.end("1", 0, sent, OK)
 	h.handle(&Timer{})
 	if s := h.r.servers[sent]; s.health != healthy || s.relativeRate < rate {
-		t.Errorf("health %v, rate %v of %v", s.health, s.relativeRate, rate)
+		t.Errorf("health %v, relative rate %v, before the pause %v", s.health, s.relativeRate, rate)
 	}
 }
 
-// TestServerBehindASlowLinkIsNotEjected: health checks and connections into one other zone take long and fail, while
-// that zone's servers are healthy. Reads go elsewhere; a write still goes to the primary there, and it does not count
-// as restarted. Fails if the server is ejected because of the link to it. A refusal that comes at once is the server's
-// own.
+// TestServerBehindASlowLinkIsNotEjected: health checks and connections into another zone are slow and fail, while that
+// zone's servers are healthy. Reads go elsewhere; a write still goes to the primary there, which does not count as
+// restarted. Fails if the server is ejected because of the link. A connection that is refused at once is evidence against
+// the server.
 func TestServerBehindASlowLinkIsNotEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Zone: 1}, Endpoint{Server: "a"})
 	h.report("p", RolePrimary, h.now)
@@ -99,7 +100,7 @@
 	h.now += 250 * ms
 	h.wantSend(h.end("write", 0, "p", Unreachable), "write", "p")
 	if s := h.r.servers["p"]; s.health != healthy || s.startedAt != never {
-		t.Errorf("health %v, cold from %v", s.health, s.startedAt)
+		t.Errorf("health %v, started at %v, want healthy and never", s.health, s.startedAt)
 	}
 	h.now += 2 * ms
 	h.end("write", 1, "p", Unreachable)
@@ -110,8 +111,8 @@
 	}
 }
 
-// TestSlowConnectionFailureCausesAHealthCheck: opening connections has become slow, so that some fail at their time
-// limit, while the servers are healthy. Fails if that ejects a server; a health check shows whether it lives.
+// TestSlowConnectionFailureCausesAHealthCheck: connections open so slowly that some time out, while the servers are
+// healthy. Fails if that ejects a server without a health check that shows whether it is alive.
 func TestSlowConnectionFailureCausesAHealthCheck(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.wantSend(h.request("1", classWriteOnce), "1", "p")
@@ -126,12 +127,12 @@
 		h.handle(&HealthCheckResult{Server: "p", Result: Unreachable})
 	}
 	if h.r.servers["p"].health != ejected {
-		t.Error("the health check failed too, and again, and the server is not ejected")
+		t.Error("two health checks failed too, and the server is not ejected")
 	}
 }
 
-// TestOneBrokenConnectionDoesNotEject: connections of healthy servers break now and then. Fails if one ejects its
-// server, if no health check follows soon, or if a server that answers what was sent before counts as restarted.
+// TestOneBrokenConnectionDoesNotEject: connections to healthy servers break now and then. Fails if a single one ejects
+// the server, if no health check follows soon, or if a server that answers a request from before counts as restarted.
 func TestOneBrokenConnectionDoesNotEject(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	s := h.r.servers["p"]
@@ -143,7 +144,7 @@
 			t.Fatalf("after one %+v: health %v", broken, s.health)
 		}
 		if got := actionsOf(HealthCheck, h.advance(2*tickInterval)); len(got) != 1 || got[0].Server != "p" {
-			t.Fatalf("checked %+v", got)
+			t.Fatalf("health checks %+v, want one of p", got)
 		}
 		h.handle(&HealthCheckResult{Server: "p", Result: OK})
 	}
@@ -151,13 +152,13 @@
 		h.handle(&HealthCheckResult{Server: "p", Result: Reset})
 	}
 	if s.health != ejected {
-		t.Fatalf("after two: health %v", s.health)
+		t.Fatalf("after two broken connections: health %v, want ejected", s.health)
 	}
 	h.now += restartOutage
-	h.end("open", 0, "p", OK) // it was alive all the time
+	h.end("open", 0, "p", OK) // the server was alive all the time
 	h.now += 10 * ms
 	h.report("p", RolePrimary, h.now)
 	if s.health == ejected || h.r.warmUpFactor(s) < 1 {
-		t.Errorf("health %v, warm-up factor %v", s.health, h.r.warmUpFactor(s))
+		t.Errorf("health %v, warm-up factor %v, want it in use and warm", s.health, h.r.warmUpFactor(s))
 	}
 }
--- a/internal/decide/positioncheck_test.go
+++ b/internal/decide/positioncheck_test.go
@@ -1,14 +1,14 @@
 package decide
 
-// Health checks before a read is sent, and what they may cost.
+// Tests of the health checks that precede a read, and of their cost.
 
 import (
 	"testing"
 	"time"
 )
 
-// newStaleGroup is a group whose positions were reported long ago: p is the primary, a was up to date then and b far
-// behind.
+// newStaleGroup returns a group whose positions were last reported a second ago or earlier: p is the primary, a was up to
+// date, and b was behind by lag.
 func newStaleGroup(t *testing.T, cost float64, lag time.Duration) *harness {
 	t.Helper()
 	h := newGroupOfThree(t, func(s *Settings) { s.HealthCheckCost = cost })
@@ -21,8 +21,8 @@
 	return h
 }
 
-// TestReadChecksOneServerAtATime: a read has the next server checked when the first has reported that it is behind, not
-// both at once: the second check would mostly be wasted, times the number of routers.
+// TestReadChecksOneServerAtATime: the next server is checked for a read only once the first has reported that it is
+// behind. Two checks at once would mostly waste the second one, in each of many routers.
 func TestReadChecksOneServerAtATime(t *testing.T) {
 	h := newStaleGroup(t, 0, 0)
 	first := actionsOf(HealthCheck, h.request("1", classBounded))
@@ -38,9 +38,9 @@
 	h.wantSend(h.report(next[0].Server, RoleReplica, h.now), "1", next[0].Server)
 }
 
-// TestServerKnownBehindIsCheckedLast: a server that was too far behind at its last report is checked after the others,
+// TestServerReportedBehindIsCheckedLast: a server that was too far behind at its last report is checked after the others,
 // though it is faster.
-func TestServerKnownBehindIsCheckedLast(t *testing.T) {
+func TestServerReportedBehindIsCheckedLast(t *testing.T) {
 	h := newStaleGroup(t, 0.15, 900*ms)
 	h.r.servers["b"].relativeRate, h.r.servers["p"].draining = 1.2, true
 	if checked := actionsOf(HealthCheck, h.request("1", classBounded)); len(checked) != 1 || checked[0].Server != "a" {
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestServerThatRefusesHealthChecksGetsNone: a server that refuses health checks, as it gets too many from all routers
-// together, gets none for a while, and another is checked. With a check at each tick from hundreds of routers it would
-// not recover.
-func TestServerThatRefusesHealthChecksGetsNone(t *testing.T) {
+// TestServerThatRefusedAHealthCheckGetsNoneForAWhile: a server that refuses health checks, as all routers together send
+// too many, gets none for a while, and another server is checked. It would not recover from a check at each tick by
+// hundreds of routers.
+func TestServerThatRefusedAHealthCheckGetsNoneForAWhile(t *testing.T) {
 	h := newStaleGroup(t, 0, 0)
 	first := actionsOf(HealthCheck, h.request("1", classBounded))
 	if len(first) != 1 {
@@ -70,13 +70,13 @@
 		acts = h.advance(tickInterval)
 	}
 	if checked[first[0].Server] != 0 || len(checked) == 0 {
-		t.Errorf("refused by %s, then checked %v", first[0].Server, checked)
+		t.Errorf("refused by %s, then checked %v, want others only", first[0].Server, checked)
 	}
 }
 
-// TestHealthChecksAreWeighedAgainstTheRead: where all servers report that they are behind, the best two are checked for
-// a read and no more; and the dearer health checks are, the less often requests that wait for a primary search for it.
-func TestHealthChecksAreWeighedAgainstTheRead(t *testing.T) {
+// TestHealthCheckCostLimitsChecks: where all servers report that they are behind, only the best two are checked for a
+// read. The higher the cost of health checks, the less often servers are checked while a write waits for a primary.
+func TestHealthCheckCostLimitsChecks(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "a"}, Endpoint{Server: "b"}, Endpoint{Server: "c"}, Endpoint{Server: "d"})
 	checked, acts := 0, h.request("1", classBounded)
 	for range 50 {
@@ -105,12 +105,12 @@
 		}
 	}
 	if checksByCost[0] != 20 || checksByCost[0.05] != 16 {
-		t.Errorf("health checks in a second by cost: %v", checksByCost)
+		t.Errorf("health checks in a second by cost: %v, want 20 at 0 and 16 at 0.05", checksByCost)
 	}
 }
 
-// TestPrimaryWithoutCapacityIsNotChecked: a session's read that finds no server with capacity gains nothing from the
-// report of a primary without capacity.
+// TestPrimaryWithoutCapacityIsNotChecked: a session read that no server has capacity for cannot use the report of a
+// primary without capacity.
 func TestPrimaryWithoutCapacityIsNotChecked(t *testing.T) {
 	for full, want := range map[bool]int{true: 0, false: 1} {
 		h := newGroupOfThree(t, nil)
@@ -127,10 +127,10 @@
 	}
 }
 
-// TestPrimaryIsCheckedOnceForEachSessionRead: session reads one after the other, with positions that only other poolers
-// know. The members of least cost are checked and are behind; then the primary, which costs more, is checked once for
-// each read. Seen: it had been checked for the read before, was not checked again for half of the shortest objective,
-// and the read waited.
+// TestPrimaryIsCheckedOnceForEachSessionRead: session reads follow each other, and require commits made through other
+// poolers. The members of least cost are checked and are behind; then the primary, which costs more, must be checked
+// once for each read. The test guards against a read that waits because the primary was checked for the read before,
+// and so not again for half of the shortest objective.
 func TestPrimaryIsCheckedOnceForEachSessionRead(t *testing.T) {
 	set := testSettings()
 	for i := range set.Classes {
@@ -141,13 +141,13 @@
 	h.report("a", RoleReplica, h.now)
 	h.report("b", RoleReplica, h.now)
 	for _, id := range []RequestID{"1", "2", "3"} {
-		for range 30 { // replicas keep the primary's pace, so they may well have what is wanted
+		for range 30 { // replicas keep up with the primary, so they are likely to have reached the required position
 			h.now += 50 * ms
 			h.report("a", RoleReplica, h.now-2*ms)
 			h.report("b", RoleReplica, h.now-2*ms)
 		}
 		h.now += 20 * ms
-		writes := []RequestID{id + "a", id + "b", id + "c"} // which make the primary cost more than the others
+		writes := []RequestID{id + "a", id + "b", id + "c"} // these raise the primary's cost above the others'
 		for _, w := range writes {
 			h.request(w, classWriteOnce)
 		}
--- a/internal/decide/primary_test.go
+++ b/internal/decide/primary_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestReadsLeaveThePrimaryToWrites: behind a primary with a backlog, reads with a little more weight for their work do
-// not displace the writes that no other server can take.
-func TestReadsLeaveThePrimaryToWrites(t *testing.T) {
+// TestWritesPrecedeReadsAtThePrimary: at a primary with a backlog, reads with a little more weight for their work do not
+// displace writes, which no other server can serve.
+func TestWritesPrecedeReadsAtThePrimary(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) {
 		s.Peers = 1 << 20
 		s.Classes[classWriteOnce].PriorityWeight = 1 // as much as a read, for twice the work
@@ -34,12 +34,12 @@
 		}
 	}
 	if in[classWriteOnce] != 100 || in[classBounded] == 0 || in[classBounded] == 100 {
-		t.Errorf("admitted %v of 100 each: want all writes (%d) and a part of the reads (%d)", fmt.Sprint(in), classWriteOnce, classBounded)
+		t.Errorf("admitted %v of 100 each by class: want all writes (class %d) and some of the reads (class %d)", fmt.Sprint(in), classWriteOnce, classBounded)
 	}
 }
 
-// TestWritesWaitForAPrimaryAndGoOnce: writes wait while no primary is known, and each is sent once when one appears.
-func TestWritesWaitForAPrimaryAndGoOnce(t *testing.T) {
+// TestWritesWaitForAPrimaryAndAreSentOnce: writes wait while no primary is known, and each is sent once when one appears.
+func TestWritesWaitForAPrimaryAndAreSentOnce(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.request("0", classKeyedWrite)
 	h.handle(&Outcome{ID: "0", Server: "p", Result: Misdirected, Reported: Report{Role: RoleReplica}})
@@ -69,14 +69,14 @@
 	}
 }
 
-// TestOldPrimaryReportCountsUpToItsTime: a server that once reported that it is the primary may have been replaced
-// since. Its report covers reads up to the time of the report, and the list's role covers none; where servers answer no
-// health checks, they have to suffice.
-func TestOldPrimaryReportCountsUpToItsTime(t *testing.T) {
+// TestPrimaryReportCoversReadsUpToItsTime: a server that reported that it is the primary may have been replaced since. Its
+// report covers reads up to the time of the report, and the role in the list covers none. Where servers answer no health
+// checks, the report or the list's role has to suffice.
+func TestPrimaryReportCoversReadsUpToItsTime(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.wantSend(h.request("1", classBounded), "1", "")
 	h.end("1", 0, actionsOf(Send, h.out)[0].Server, OK)
-	h.now += 2 * time.Second // it hung, was replaced, and is back
+	h.now += 2 * time.Second // p hung, was replaced as primary, and is back
 	h.wantNone(Send, h.request("2", classBounded))
 	if len(actionsOf(HealthCheck, h.out)) == 0 {
 		t.Fatal("no server was checked")
@@ -84,7 +84,7 @@
 	h.wantNone(Send, h.report("p", RoleReplica, h.now-1900*ms))
 	h.wantSend(h.report("a", RolePrimary, h.now), "2", "a")
 
-	h = newGroupOfThree(t, nil) // health checks that are refused: they are repeated, but not without end
+	h = newGroupOfThree(t, nil) // health checks that are refused are repeated, at a bounded rate
 	h.now += 2 * time.Second
 	checked, acts := 0, h.request("1", classBounded)
 	for range 30 {
@@ -97,7 +97,7 @@
 		acts = append(next, h.advance(tickInterval)...)
 	}
 	if checked <= 2 || checked > 12 {
-		t.Errorf("%d health checks in 0.3 s", checked)
+		t.Errorf("%d health checks in 0.3 s, want 3 to 12", checked)
 	}
 	h.wantSend(h.report("p", RolePrimary, h.now-200*ms), "1", "p")
 
@@ -106,14 +106,14 @@
 		set.ListShowsRole, set.MayCheckHealth = true, checks
 		h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1, Primary: true}, Endpoint{Server: "a", Capacity: 1})
 		if sent := len(actionsOf(Send, h.request("1", classBounded))) > 0; sent == checks {
-			t.Errorf("sent by the list's role alone: %v, where health checks are allowed: %v", sent, checks)
+			t.Errorf("sent by the list's role alone: %v, with health checks allowed: %v", sent, checks)
 		}
 	}
 }
 
-// TestDemotionInAnAnswerBinds: a server whose answer says that it is a replica is not the primary, whatever an older
-// report says.
-func TestDemotionInAnAnswerBinds(t *testing.T) {
+// TestDemotionInAnAnswerOverridesOlderReports: a server whose answer states that it is a replica is not the primary, even
+// if an older report that arrives later states that it is.
+func TestDemotionInAnAnswerOverridesOlderReports(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.handle(&Request{ID: "1", Class: classKeyedWrite, Deadline: h.now + time.Second})
 	h.now += 20 * ms
--- a/internal/decide/rates_test.go
+++ b/internal/decide/rates_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// TestNewServerHasTheRateOfItsKind: answers of one server change the rate of its kind, in every group, and of no other
+// TestAnswersChangeTheRateOfTheKind: answers of one server change the rate of its kind, in every group, and of no other
 // kind.
-func TestNewServerHasTheRateOfItsKind(t *testing.T) {
+func TestAnswersChangeTheRateOfTheKind(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "a", Kind: 0}, Endpoint{Server: "b", Kind: 1}, Endpoint{Server: "c", Kind: 1},
 		Endpoint{Server: "d", Kind: 1, Group: 5})
 	if got := h.r.warmRate(h.r.servers["a"]); got != initialKindRate {
 		t.Errorf("no answers: %v", got)
 	}
-	// b's answers take half the service that was expected, second after second.
+	// b's answers take half the expected service, one per refresh of the rates.
 	for i := range 10 {
 		id := RequestID(fmt.Sprint("q", i))
 		b := h.r.servers["b"]
@@ -32,12 +32,13 @@
 	}
 	a, b, c, d := h.r.warmRate(h.r.servers["a"]), h.r.warmRate(h.r.servers["b"]), h.r.warmRate(h.r.servers["c"]), h.r.warmRate(h.r.servers["d"])
 	if a != initialKindRate || c <= 1.2 || d != c || b < c {
-		t.Errorf("rates %v %v %v %v: want the kind's to follow b, in every group, and no other kind's", a, b, c, d)
+		t.Errorf("rates %v %v %v %v: want the rate of b's kind to follow b in every group, and that of no other kind", a, b, c, d)
 	}
 }
 
-// TestColdAnswersDoNotRaiseTheRate: a server that started sooner than the router knows answers sooner than one so cold
-// would. Its rate must not rise for that: it would take more than it can serve later, while still cold.
+// TestColdAnswersDoNotRaiseTheRate: a server that started earlier than the router knows answers faster than a server that
+// is as cold as assumed. Its rate must not rise because of that: it would later, while still cold, get more requests than
+// it can serve.
 func TestColdAnswersDoNotRaiseTheRate(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	s, sent := h.r.servers["p"], 0
@@ -48,7 +49,7 @@
 			for len(actionsOf(Send, out)) == 0 && len(finalAnswers(out)) == 0 {
 				out = append(out, h.advance(tickInterval)...)
 			}
-			h.advance(60 * ms) // as a server takes that is warm, and a little faster than usual
+			h.advance(60 * ms) // the time of a warm server that is a little faster than average
 			if len(actionsOf(Send, out)) == 1 {
 				sent++
 				h.end(id, 0, "p", OK)
@@ -60,17 +61,18 @@
 	was, work := h.r.warmRate(s), h.r.classes[classWriteOnce].averageWork
 	rounds("cold", 20)
 	if now := h.r.warmRate(s); sent < 10 || now > 1.001*was || h.r.classes[classWriteOnce].averageWork != work {
-		t.Errorf("%d answers of a cold server; its rate went from %v to %v", sent, was, now)
+		t.Errorf("after %d answers of a cold server its rate went from %v to %v, want no increase", sent, was, now)
 	}
 	h.advance(10 * time.Second)
 	rounds("warm", 20)
 	if now := h.r.warmRate(s); now <= 1.05*was {
-		t.Errorf("it is warm and answers soon, and its rate stays at %v", now)
+		t.Errorf("the server is warm and answers fast, and its rate stays at %v", now)
 	}
 }
 
-// TestLostAnswersDoNotSlowTheRate: the rate follows the answers, not an attempt that they overtook.
-func TestLostAnswersDoNotSlowTheRate(t *testing.T) {
+// TestOvertakenAttemptDoesNotLowerTheRate: a server's rate follows its answers, not an unanswered attempt that was
+// overtaken by them.
+func TestOvertakenAttemptDoesNotLowerTheRate(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
 	h.report("p", RolePrimary, h.now)
 	h.handle(&Request{ID: "stuck", Class: classWriteOnce, Deadline: h.now + time.Minute})
@@ -81,7 +83,7 @@
 		h.end(id, 0, "p", OK)
 	}
 	if got := h.r.serviceRate(h.r.servers["p"]); got < 0.7 {
-		t.Errorf("rate %v", got)
+		t.Errorf("rate %v, want at least 0.7", got)
 	}
 }
 
@@ -94,7 +96,7 @@
 	h.handle(&Request{ID: "2", Class: classAny, Deadline: deadline, WorkHint: 30 * ms})
 	h.handle(&Request{ID: "3", Class: classAny, Deadline: deadline})
 	avg := h.r.classes[classAny].averageWork
-	// The second raises the average to 20 ms, so it counts half as much again.
+	// The second hint of 30 ms raises the average hint to 20 ms, so its request has 1.5 times the average work.
 	if a, b, c := h.r.requests["1"].expectedWork(), h.r.requests["2"].expectedWork(),
 		h.r.requests["3"].expectedWork(); math.Abs(a-avg)+math.Abs(b-1.5*avg)+math.Abs(c-avg) > 1e-9 {
 		t.Errorf("work %v, %v, %v with an average of %v", a, b, c, avg)
--- a/internal/decide/reason_test.go
+++ b/internal/decide/reason_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestReasons: each rejection, failure and retry states its reason.
+// TestReasons: each rejection, failure and retry has its reason.
 func TestReasons(t *testing.T) {
 	want := func(t *testing.T, kind ActionKind, reason Reason, actions []Action) {
 		t.Helper()
 		got := actionsOf(kind, actions)
 		if len(got) != 1 || got[0].Reason != reason {
-			t.Fatalf("want kind %v for %v, got %+v", kind, reason, got)
+			t.Fatalf("want one action %v with reason %v, got %+v", kind, reason, got)
 		}
 	}
 	t.Run("late", func(t *testing.T) {
--- a/internal/decide/reporttime_test.go
+++ b/internal/decide/reporttime_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// primaryReport is a primary's report of that time.
+// primaryReport returns a primary's report made at the given time.
 func primaryReport(at Time) Report { return Report{Role: RolePrimary, Position: at, HasPosition: true} }
 
-// TestReportsReadLateCountAsOfTheirTime: a router was paused, and the primary was replaced meanwhile. Reports of the
-// old one from before wait in the process's sockets and are read after the first request that comes: they count as of
-// their time, not as of now.
-func TestReportsReadLateCountAsOfTheirTime(t *testing.T) {
+// TestPrimaryReportsReadLateCountAsOfTheirTime: a router's process is paused, and the primary is replaced meanwhile.
+// Reports that the old primary made before are still in the process's sockets, and are read after the next request has
+// arrived. They count as of the time when they were made, not as of now.
+func TestPrimaryReportsReadLateCountAsOfTheirTime(t *testing.T) {
 	for _, class := range []int{classBounded, classSession} {
 		h := newGroupOfThree(t, nil)
 		h.now += 400 * ms
@@ -29,63 +29,63 @@
 		h.wantNone(Send, h.handle(&HealthCheckResult{Server: "p", Load: primaryReport(reportedAt)}))
 		h.wantNone(Send, h.advance(100*ms))
 		if got := h.r.servers["p"].roleAt; got > reportedAt {
-			t.Errorf("its report of %v counts as of %v", reportedAt, got)
+			t.Errorf("the report made at %v counts as of %v", reportedAt, got)
 		}
 	}
 }
 
 const second = 1000 * ms
 
-// TestWaitingReadNeedsAReportWithinItsBound: a read that has waited for longer than its staleness bound is not sent by
-// a report that came soon after it.
+// TestWaitingReadNeedsAReportWithinItsBound: a read that has waited for longer than its staleness bound is not sent on
+// the strength of a report that was made soon after it arrived.
 func TestWaitingReadNeedsAReportWithinItsBound(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1})
 	h.report("p", RolePrimary, h.now)
 	h.now += 2 * second
 	h.wantNone(Send, h.request("1", classBounded))
 	h.wantSend(append(h.report("p", RolePrimary, h.now-100*ms), h.advance(40*ms)...), "1", "p")
-	h.now += 1200 * ms // its connection never came up; meanwhile another took over
+	h.now += 1200 * ms // the connection was not established; meanwhile another server may have become the primary
 	h.wantNone(Send, append(h.handle(&Outcome{ID: "1", Server: "p", Result: NotSent}), h.advance(tickInterval)...))
 }
 
-// TestReadIsWrittenInTime: a server's position covers a read up to a time, and the attempt may wait for a connection
-// for no longer.
-func TestReadIsWrittenInTime(t *testing.T) {
+// TestWriteBeforeFollowsTheStalenessBound: a server's position covers a bounded read only up to a certain time, and the
+// attempt must not wait longer than that for a connection.
+func TestWriteBeforeFollowsTheStalenessBound(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.now += 100 * ms
 	h.wantSend(h.request("1", classBounded), "1", "")
-	if by, want := h.out[0].WriteBefore, start+300*ms+1; by != want { // later than that it is too late
-		t.Errorf("by %v, want %v", by-start, want-start)
+	if before, want := h.out[0].WriteBefore, start+300*ms+1; before != want {
+		t.Errorf("bounded read: to be written before %v, want %v", before-start, want-start)
 	}
 	h.request("2", classAny)
 	if a := actionsOf(Send, h.out)[0]; a.WriteBefore < noLimit {
-		t.Errorf("any read has an end: %v", a.WriteBefore)
+		t.Errorf("read of class any: to be written before %v, want no limit", a.WriteBefore)
 	}
 	h.handle(&Request{ID: "3", Class: classSession, Deadline: h.now + second, SinceCommit: 50 * ms})
 	if got := actionsOf(Send, h.out); len(got) > 0 && got[0].WriteBefore < noLimit {
-		t.Errorf("a session's read has an end: %v", got[0].WriteBefore)
+		t.Errorf("session read: to be written before %v, want no limit", got[0].WriteBefore)
 	}
 }
 
 const noLimit = 1 << 62
 
-// TestCommitAheadOfTheClockIsNotCoveredNow: a commit may lie ahead of this clock, where a server's is fast or was set.
-// The position that a replica has by now does not cover it.
-func TestCommitAheadOfTheClockIsNotCoveredNow(t *testing.T) {
+// TestCommitAheadOfTheClockIsNotCoveredEarly: a commit may be ahead of this router's clock, if a server's clock is fast
+// or was stepped. A replica's position as of now does not cover such a commit.
+func TestCommitAheadOfTheClockIsNotCoveredEarly(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.now += 10 * ms
 	h.handle(&Request{ID: "1", Class: classSession, Deadline: h.now + second, SinceCommit: -40 * ms})
 	h.report("a", RoleReplica, h.now)
 	h.now += 10 * ms
 	for _, a := range actionsOf(Send, append(h.report("a", RoleReplica, h.now), h.advance(tickInterval)...)) {
-		t.Errorf("sent to %s, which is known not to have it", a.Server)
+		t.Errorf("sent to %s, which has not reached the commit", a.Server)
 	}
 	h.now += 40 * ms
 	h.wantSend(append(h.report("a", RoleReplica, h.now), h.advance(40*ms)...), "1", "a")
 }
 
-// TestWriteWithoutAPositionCountsAsCommittedNow: a session's write whose answer had no position was committed by now at
-// the latest.
+// TestWriteWithoutAPositionCountsAsCommittedNow: a session's write whose answer has no position counts as committed now,
+// the latest possible time.
 func TestWriteWithoutAPositionCountsAsCommittedNow(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.TrackCommits = true })
 	h.handle(&Request{ID: "w", Class: classKeyedWrite, Session: "s", Deadline: h.now + second})
@@ -93,12 +93,12 @@
 	h.handle(&Outcome{ID: "w", Server: "p", Result: OK, Final: true})
 	h.handle(&Request{ID: "r", Class: classSession, Session: "s", Deadline: h.now + second})
 	for _, a := range actionsOf(Send, h.out) {
-		t.Errorf("sent to %s", a.Server)
+		t.Errorf("sent to %s, whose position is older than the write", a.Server)
 	}
 }
 
-// TestReplicaReportDoesNotConfirmThePrimary: a health check sent for a read is answered with a report, from before the
-// server last was known as the primary, which says replica. It does not confirm the primary.
+// TestReplicaReportDoesNotConfirmThePrimary: a health check sent for a read is answered with a report of the role of
+// replica, made before the server was last known as the primary. It does not confirm that the server is the primary.
 func TestReplicaReportDoesNotConfirmThePrimary(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1})
 	h.now += 40 * ms
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestSubscribesInTime: however many routers there are, each renews its subscription before changes that it missed
-// count as known.
-func TestSubscribesInTime(t *testing.T) {
+// TestSubscriptionIsRenewedBeforeTheListIsStale: even among many routers, each renews its subscription before
+// ListStaleAfter, when missed changes count as known.
+func TestSubscriptionIsRenewedBeforeTheListIsStale(t *testing.T) {
 	for seed := range uint64(50) {
 		set := testSettings()
 		set.WatchList, set.ListStaleAfter, set.Peers = true, 2*second, 1000
@@ -127,7 +127,7 @@
 				if subscribed++; now-failed > 1200*ms+tickInterval {
 					t.Fatalf("seed %d: %v without a subscription", seed, now-failed)
 				}
-				failed = now + 300*ms // it was open for so long
+				failed = now + 300*ms // the subscription fails after 300 ms
 			}
 			var ev Event = &Timer{}
 			if now == failed && subscribed > 0 {
@@ -136,15 +136,15 @@
 			out = r.Handle(now+tickInterval, ev, nil)
 		}
 		if subscribed < 5 {
-			t.Errorf("seed %d: subscribed %d times", seed, subscribed)
+			t.Errorf("seed %d: subscribed %d times, want at least 5", seed, subscribed)
 		}
 	}
 }
 
-// TestReadsByASlowClock: this router's clock is behind the servers', as that of a process that began before a clock
-// step. A replica that is 3.1 s behind its primary seems 0.1 s old by this clock, and must not get a read whose bound
-// is 0.3 s.
-func TestReadsByASlowClock(t *testing.T) {
+// TestReadsWithASlowRouterClock: this router's clock is 3 s behind the servers', as that of a process that started before
+// a clock step. A replica that is 3.1 s behind its primary seems 0.1 s old by this clock, and must not get a read whose
+// staleness bound is 0.3 s.
+func TestReadsWithASlowRouterClock(t *testing.T) {
 	const behind = 3 * second
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1}, Endpoint{Server: "a", Capacity: 1})
 	for n := range 20 {
@@ -153,15 +153,15 @@
 		h.report("a", RoleReplica, h.now-100*ms)
 		for _, a := range actionsOf(Send, h.request(RequestID(fmt.Sprint(n)), classBounded)) {
 			if a.Server == "a" {
-				t.Fatalf("read %d goes to the replica, which is %v behind", n, behind+100*ms)
+				t.Fatalf("read %d was sent to the replica, which is %v behind", n, behind+100*ms)
 			}
 		}
 	}
 }
 
-// TestRoleReportReadLateCountsAsOfItsTime: a process that was paused reads the answers that came meanwhile when it
-// continues. That a server was the primary then does not cover a read now: it may have been replaced.
-func TestRoleReportReadLateCountsAsOfItsTime(t *testing.T) {
+// TestRoleInALateAnswerCountsAsOfItsTime: after a pause, a process reads the answers that arrived meanwhile. That a server
+// was the primary when it answered does not cover a read now, as it may have been replaced since.
+func TestRoleInALateAnswerCountsAsOfItsTime(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p", Capacity: 1})
 	h.report("p", RolePrimary, h.now)
 	h.wantSend(h.request("w", classKeyedWrite), "w", "p")
@@ -174,9 +174,9 @@
 	h.wantSend(h.request("r2", classBounded), "r2", "p")
 }
 
-// TestProbeSentBeforeAReadDoesNotQualifyIt: the result of a health check that was sent before a read arrived does not
-// cover the read, however late it is read; the read waits for a check of its own.
-func TestProbeSentBeforeAReadDoesNotQualifyIt(t *testing.T) {
+// TestHealthCheckSentBeforeAReadDoesNotCoverIt: the result of a health check that was sent before a read arrived does not
+// cover the read, even if it is processed after the arrival. The read waits for a health check of its own.
+func TestHealthCheckSentBeforeAReadDoesNotCoverIt(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.advance(time.Second)
 	if len(actionsOf(HealthCheck, h.request("r", classBounded))) == 0 {
--- a/internal/decide/retries_test.go
+++ b/internal/decide/retries_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestRetryFollowsIdempotency: what may follow an attempt's end, by its result and the request's idempotency.
+// TestRetryFollowsIdempotency: whether a request is sent again after an attempt depends on the attempt's result and the
+// request's idempotency.
 func TestRetryFollowsIdempotency(t *testing.T) {
 	retry, fail := "sent again", "failed"
 	for _, c := range []struct {
@@ -29,7 +30,7 @@
 			}
 			h.now += 5 * ms
 			out := h.end("1", 0, first[0].Server, c.res)
-			for range 40 { // a primary that is in doubt reports again
+			for range 40 { // the primary reports again, as some results put its role in doubt
 				h.report("p", RolePrimary, h.now)
 				out = append(append(out, h.out...), h.advance(tickInterval)...)
 			}
@@ -49,8 +50,8 @@
 	}
 }
 
-// TestKeyedRequestIsRetriedOnlyWithinItsWindow: a request with an idempotency key is sent again just inside its window
-// and not at its end.
+// TestKeyedRequestIsRetriedOnlyWithinItsWindow: a request with an idempotency key is sent again just before its key window
+// ends, and not at the end.
 func TestKeyedRequestIsRetriedOnlyWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -61,28 +62,28 @@
 		h.now += c.after
 		out := h.end("1", 0, "p", Failed)
 		if got := len(actionsOf(Send, out)) == 1; got != c.want {
-			t.Errorf("after %v: sent %v", c.after, got)
+			t.Errorf("after %v: sent %v, want %v", c.after, got, c.want)
 		}
 		if !c.want && len(actionsOf(Fail, out)) != 1 {
-			t.Errorf("after %v: a keyed request that may have run is failed, not rejected: %+v", c.after, out)
+			t.Errorf("after %v: a keyed request that may have run must be failed, not rejected: %+v", c.after, out)
 		}
 	}
 }
 
-// TestNeverTwoInFlightWhereNotAllowed: where duplicates are not allowed, the attempt at an ejected server is cancelled
+// TestAttemptIsCancelledBeforeRetryWithoutDuplicates: where duplicates are not allowed, the attempt at an ejected server is cancelled
 // before the request is sent elsewhere.
-func TestNeverTwoInFlightWhereNotAllowed(t *testing.T) {
+func TestAttemptIsCancelledBeforeRetryWithoutDuplicates(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.MayDuplicate = false })
 	first := actionsOf(Send, h.request("1", classAny))[0].Server
 	h.r.eject(h.r.servers[first])
 	out := h.advance(100 * ms)
 	h.wantNone(Send, out)
 	if len(actionsOf(Cancel, out)) != 1 {
-		t.Fatalf("want it called off first: %+v", out)
+		t.Fatalf("want the first attempt cancelled: %+v", out)
 	}
 	out = h.end("1", 0, first, Cancelled)
 	if got := actionsOf(Send, out); len(got) != 1 || got[0].Server == first {
-		t.Fatalf("want it sent elsewhere: %+v", out)
+		t.Fatalf("want the request sent to another server: %+v", out)
 	}
 }
 
@@ -101,17 +102,17 @@
 }
 
 // TestRequestIsRejectedOnceItsObjectiveHasPassed: a request without late weight that no server can take is rejected
-// once its objective has passed, with the longest advice.
+// once its objective has passed, with the longest retry-after time.
 func TestRequestIsRejectedOnceItsObjectiveHasPassed(t *testing.T) {
-	h := newHarness(t, testSettings()) // nobody to ask
+	h := newHarness(t, testSettings()) // no servers
 	if got := finalAnswers(append(h.request("1", classBounded), h.advance(410*ms)...)); len(got) != 1 || got[0].Kind != Reject {
 		t.Fatalf("want a rejection once the objective has passed: %+v", got)
-	} else if got[0].Wait != time.Second { // it found no capacity for all its objective: a retry soon would be late
-		t.Fatalf("advised %v, want the longest that there is", got[0].Wait)
+	} else if got[0].Wait != time.Second { // there was no capacity until the objective, so an early retry is useless
+		t.Fatalf("retry after %v, want the longest time, 1 s", got[0].Wait)
 	}
 }
 
-// TestClientRetriesWaitBehindFirstAttempts: of two requests that wait, a first attempt by the client goes before a
+// TestClientRetriesWaitBehindFirstAttempts: of two waiting requests, a client's first attempt is sent before a client's
 // retry.
 func TestClientRetriesWaitBehindFirstAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), Endpoint{Server: "p"})
@@ -123,14 +124,14 @@
 	h.request("first", classAny)
 	h.now += 10 * ms
 	if got := actionsOf(Send, h.end("fill0", 0, "p", OK)); len(got) == 0 || got[0].ID != "first" {
-		t.Errorf("want the first try sent first: %+v", got)
+		t.Errorf("want the client's first attempt sent first: %+v", got)
 	}
 }
 
-// TestRequestThatReachedNoServerHasHalfItsTime: guards against holding a write for a primary that does not come until
-// too late for its client to retry: nothing is gained by the second half, and a late rejection without an attempt costs
-// 0.3 of the weight. One whose connection failed counts as not having reached a server; one that was misdirected has
-// reached one.
+// TestRequestThatReachedNoServerHasHalfItsTime guards against holding a write for a missing primary until it is too late
+// for its client to retry. Waiting for the second half of the deadline gains nothing, and a late rejection without an
+// attempt costs 0.3 of the weight. A request whose connection failed has not reached a server; one that was misdirected
+// has.
 func TestRequestThatReachedNoServerHasHalfItsTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		result Result
--- a/internal/decide/retrybudget_test.go
+++ b/internal/decide/retrybudget_test.go
@@ -14,7 +14,7 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// withRetryBudget limits duplicates to a part of first attempts, with a floor.
+// withRetryBudget returns a change of settings that limits duplicates to a share of first attempts, with a floor.
 func withRetryBudget(part, floor float64) func(*Settings) {
 	return func(s *Settings) {
 		s.Peers = 10
@@ -22,7 +22,7 @@
 	}
 }
 
-// failFirstAttempt sends a read and has its first attempt fail; it returns how many attempts were made by then.
+// failFirstAttempt sends a read whose first attempt fails, and returns the number of its attempts, including a retry.
 func (h *harness) failFirstAttempt(id RequestID) int {
 	h.t.Helper()
 	got := actionsOf(Send, h.request(id, classAny))
@@ -32,13 +32,13 @@
 	return 1 + len(actionsOf(Send, h.end(id, 0, got[0].Server, Failed)))
 }
 
-// TestFirstAttemptsEarnRetries: with a part of a half, two first attempts pay for one retry; a read that failed waits
-// until there is one, and is sent once another router has lent it. One that was refused without being read costs
-// nothing.
+// TestFirstAttemptsEarnRetries: with an attempt share of one half, two first attempts pay for one retry. A read that
+// failed waits while the budget is less than one retry, and is sent once another router has lent the remainder. A retry
+// after a refusal costs nothing.
 func TestFirstAttemptsEarnRetries(t *testing.T) {
 	h := newGroupOfThree(t, withRetryBudget(0.5, 0))
 	if n := h.failFirstAttempt("first"); n != 1 {
-		t.Fatalf("half a retry was earned, and %d attempts made", n)
+		t.Fatalf("%d attempts with half a retry in the budget, want 1", n)
 	}
 	if s := h.r.RetryBudgets(); len(s) != 1 || s[0].Waiting != 1 || s[0].Remaining != 0.5 {
 		t.Fatalf("budgets %+v", s)
@@ -48,19 +48,19 @@
 	b.Lent, set.RetryBudget = map[int]float64{h.r.groupsByNumber[0].id: 0.5}, &b
 	h.handle(&Reload{Settings: set})
 	if n := len(actionsOf(Send, h.advance(50*ms))); n != 1 {
-		t.Fatalf("with a loan it was sent %d times", n)
+		t.Fatalf("after the loan the read was sent %d times, want 1", n)
 	}
 	if s := h.r.RetryBudgets(); s[0].Remaining != 0 || s[0].Waiting != 0 {
 		t.Fatalf("budgets %+v", s)
 	}
 	got := actionsOf(Send, h.request("full", classAny))
 	if n := len(actionsOf(Send, h.end("full", 0, got[0].Server, Overloaded))) + len(actionsOf(Send, h.advance(50*ms))); n != 1 {
-		t.Errorf("refused without being read, it was sent again %d times", n)
+		t.Errorf("after a refusal as overloaded the read was sent again %d times, want 1", n)
 	}
 }
 
-// TestDuplicatesStayWithinTheBudget: whatever fails and is lent, duplicates stay within the budget, by the invariant's
-// own count.
+// TestDuplicatesStayWithinTheBudget: with random failures, duplicates stay within the budget, by the test's count and by
+// that of the invariant.
 func TestDuplicatesStayWithinTheBudget(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		part, floor := rapid.Float64Range(0, 1).Draw(rt, "part"), rapid.Float64Range(0, 20).Draw(rt, "floor")
@@ -89,12 +89,12 @@
 			rt.Fatalf("%d duplicates of %d first attempts; at most %v", duplicates, firsts, most)
 		}
 		if hasBudgetBreach(c) {
-			rt.Fatalf("broken: %v", c.Breaches())
+			rt.Fatalf("breach of the invariant: %v", c.Breaches())
 		}
 	})
 }
 
-// enableChecks has the router checked from here on, with its servers known.
+// enableChecks enables checks of the router's invariants from now on, with its servers known to the checker.
 func (h *harness) enableChecks(c *invariant.Checks) {
 	h.r.EnableChecks(c, 1)
 	for _, id := range []ServerID{"p", "a", "b"} {
@@ -102,7 +102,7 @@
 	}
 }
 
-// hasBudgetBreach reports whether the statement on the retry budget was broken.
+// hasBudgetBreach reports whether the invariant of the retry budget was breached.
 func hasBudgetBreach(c *invariant.Checks) bool {
 	return slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool {
 		return strings.HasPrefix(b.Name, "decide: duplicates stay within the retry budget")
@@ -115,16 +115,16 @@
 	h := newGroupOfThree(t, withRetryBudget(0.1, 0))
 	h.enableChecks(c)
 	lent := *h.r.settings.RetryBudget
-	lent.Lent = map[int]float64{0: 1} // of which the settings know nothing
+	lent.Lent = map[int]float64{0: 1} // a loan that is not in the router's settings
 	h.r.retryBudgets.UpdateSettings(h.r.now, &lent, 10, 1)
 	if n := h.failFirstAttempt("r"); n != 2 || !hasBudgetBreach(c) {
-		t.Errorf("%d attempts; caught %v", n, c.Breaches())
+		t.Errorf("%d attempts, want 2 and a breach of the budget: %v", n, c.Breaches())
 	}
 }
 
-// TestRoutersReturnSlowlyToARecoveredServer: of twenty routers that each see a server return, none opens a connection
-// at once, about ten have one within a second at ten a second, and all may after the slow start's time. Without the
-// setting all do at once.
+// TestRoutersReturnSlowlyToARecoveredServer: with a recovery ramp of ten connections per second, of twenty routers none
+// opens a connection to a returned server at once, about ten do within a second, and all may after the ramp's time.
+// Without the setting all do at once.
 func TestRoutersReturnSlowlyToARecoveredServer(t *testing.T) {
 	for rate, want := range map[float64][6]int{0: {20, 20, 20, 20, 20, 20}, 10: {0, 0, 5, 15, 20, 20}} {
 		sent := [3]int{}
@@ -133,7 +133,7 @@
 			for range i {
 				h.r.rng.Float64()
 			}
-			h.r.servers["a"].ejectedAt = h.now // and its health check has just been answered
+			h.r.servers["a"].ejectedAt = h.now // its health check has just been answered
 			for k, wait := range []time.Duration{0, time.Second, retrybudget.SlowStartTime} {
 				h.advance(wait)
 				id := RequestID(fmt.Sprint("x", k))
--- a/internal/decide/router_test.go
+++ b/internal/decide/router_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestBadInputHasADefinedResult: events that should never come have a defined result and do not panic.
+// TestBadInputHasADefinedResult: events that a correct embedder does not send have a defined result and do not panic.
 func TestBadInputHasADefinedResult(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.Peers = 0 })
 	for _, ev := range []Event{
@@ -26,7 +26,7 @@
 		}
 	}
 	if got := finalAnswers(h.handle(&Request{ID: "group", Class: classAny, Group: 77, Tenant: 5, Deadline: h.now + time.Second})); len(got) != 1 {
-		t.Errorf("a group with no members: %+v", got)
+		t.Errorf("a request for a group without members: final answers %+v, want one", got)
 	}
 	e := newHarness(t, Settings{})
 	e.handle(&Request{ID: "1", Deadline: e.now + time.Second})
@@ -34,7 +34,7 @@
 	e.advance(time.Second)
 }
 
-// playMixedLoad plays a mixed load and returns all actions; every server answers, some badly.
+// playMixedLoad runs a mixed load, in which every attempt ends and some fail, and returns all actions.
 func playMixedLoad(t *testing.T, requests int) (*harness, []Action) {
 	t.Helper()
 	h := newGroupOfThree(t, func(s *Settings) { s.TrackCommits = true })
@@ -68,7 +68,7 @@
 			over := answered[a.ID] > 0
 			final := res == OK || over
 			if res == OK && !over {
-				answered[a.ID]++ // later copies' answers reach nobody
+				answered[a.ID]++ // answers of further attempts are not given to the client
 			}
 			role := RoleReplica
 			if a.Server == "p" {
@@ -112,20 +112,20 @@
 	}
 }
 
-// TestNothingIsLeftBehind: after a mixed load no requests, attempts or servers that were removed remain.
-func TestNothingIsLeftBehind(t *testing.T) {
+// TestNoStateRemainsAfterLoad: after a mixed load no requests, attempts or servers that were removed remain.
+func TestNoStateRemainsAfterLoad(t *testing.T) {
 	h, _ := playMixedLoad(t, 10000)
 	if n := len(h.r.requests); n != 0 {
-		t.Errorf("%d requests left", n)
+		t.Errorf("%d requests remain", n)
 	}
 	for _, s := range h.r.serversByID {
 		if len(s.openAttempts) != 0 || s.lostAttempts != 0 {
-			t.Errorf("%s: %d attempts left, %d lost", s.id, len(s.openAttempts), s.lostAttempts)
+			t.Errorf("%s: %d attempts remain, %d presumed lost", s.id, len(s.openAttempts), s.lostAttempts)
 		}
 	}
-	for _, x := range h.r.groupsByNumber {
-		if len(x.waiting) != 0 {
-			t.Errorf("%d wait", len(x.waiting))
+	for _, group := range h.r.groupsByNumber {
+		if len(group.waiting) != 0 {
+			t.Errorf("%d requests still wait", len(group.waiting))
 		}
 	}
 	h.handle(&EndpointList{Kind: ListFull})
@@ -136,9 +136,9 @@
 	}
 }
 
-// TestIdleRouterCausesNoActions: most of hundreds of routers are idle most of the time. Fails if one without requests
-// sets a timer or checks servers.
-func TestIdleRouterCausesNoActions(t *testing.T) {
+// TestIdleRouterEmitsNoActions: in a tier of hundreds of routers, most are idle most of the time. Fails if a router
+// without requests sets a timer or checks servers.
+func TestIdleRouterEmitsNoActions(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	if out := h.report("a", RoleReplica, h.now); len(out) != 0 {
 		t.Errorf("an idle router did %+v", out)
@@ -149,7 +149,7 @@
 	}
 }
 
-// BenchmarkHandle is one of 250 routers before 90 servers: a read and its answer.
+// BenchmarkHandle measures a read and its answer, in one of 250 routers with 90 servers.
 func BenchmarkHandle(b *testing.B) {
 	set := testSettings()
 	set.Peers, set.StaleReads = 250, StaleReadsRefused
@@ -173,9 +173,9 @@
 	}
 }
 
-// TestOddInputNeitherPanicsNorGrows: numbers of routers far off, and lists as real registries send them now and then.
-// None may panic, and memory must stay bounded.
-func TestOddInputNeitherPanicsNorGrows(t *testing.T) {
+// TestUnusualInputNeitherPanicsNorLeaks: numbers of routers that are out of range, and lists as real registries send them
+// now and then (repeated, with moved servers, in contradictory order) cause no panic, and memory stays bounded.
+func TestUnusualInputNeitherPanicsNorLeaks(t *testing.T) {
 	for _, peers := range []int{-1, 0, 1, 1000} {
 		set := testSettings()
 		set.Peers, set.DrainOnly = peers, true
@@ -197,16 +197,16 @@
 			{Server: "s1", State: Removed}, {Server: "s1"}}})
 		h.advance(removedServerMemory + 3*time.Second)
 		if len(h.r.requests) != 0 || h.r.openAttempts > 500 {
-			t.Errorf("%d siblings: %d requests and %d attempts left", peers, len(h.r.requests), h.r.openAttempts)
+			t.Errorf("%d routers: %d requests and %d attempts remain", peers, len(h.r.requests), h.r.openAttempts)
 		}
 		if h.r.servers["s1"] == nil || !h.r.servers["s1"].available() {
-			t.Error("drained, removed and back: not available")
+			t.Error("s1 was drained, removed and listed again, and is not available")
 		}
 	}
 }
 
-// TestUnknownGroupIsRejectedWithoutARecord: requests for groups that do not exist are rejected at once, and neither
-// they nor a group whose servers were all removed take memory for good.
+// TestUnknownGroupIsRejectedWithoutARecord: requests for groups that do not exist are rejected at once. Neither they nor
+// a group whose servers were all removed leave a record.
 func TestUnknownGroupIsRejectedWithoutARecord(t *testing.T) {
 	h := newGroupOfThree(t, func(s *Settings) { s.MaxRetryAfter = time.Second })
 	groups := len(h.r.groups)
@@ -218,12 +218,12 @@
 	}
 	h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "x", Group: 9}}})
 	h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "x", Group: 9, State: Removed}}})
-	h.request("a", classAny) // a tickInterval comes while something is open only
+	h.request("a", classAny) // ticks come only while a request is open
 	for range 40 {
 		h.advance(time.Second)
 		h.request(RequestID(fmt.Sprint("a", h.now)), classAny)
 	}
 	if len(h.r.groups) != groups || len(h.r.groupsByNumber) != groups || h.r.servers["x"] != nil {
-		t.Errorf("%d groups, %d before; %v", len(h.r.groups), groups, h.r.servers["x"])
+		t.Errorf("%d groups, want %d as before; server x: %v, want none", len(h.r.groups), groups, h.r.servers["x"])
 	}
 }
--- a/internal/decide/settings_test.go
+++ b/internal/decide/settings_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// TestReloadKeepsLearning: after settings that change no class, answers to attempts in flight still update the averages
+// TestReloadKeepsUpdatingClassAverages: after settings that change no class, answers to attempts in flight still update the averages
 // of their classes.
-func TestReloadKeepsLearning(t *testing.T) {
+func TestReloadKeepsUpdatingClassAverages(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	was := h.r.classes[classAny].averageWork
 	got := actionsOf(Send, h.request("q", classAny))
@@ -14,6 +14,6 @@
 	h.advance(30 * ms)
 	h.end("q", 0, got[0].Server, OK)
 	if h.r.classes[classAny].averageWork == was {
-		t.Error("an answer to what was sent before a reload taught nothing")
+		t.Error("the answer to an attempt from before the reload did not change the class's average")
 	}
 }
--- a/internal/decide/slowstart_budget_test.go
+++ b/internal/decide/slowstart_budget_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestColdServerStaysWithinItsBudget: the work sent to a cold server within the span stays within the budget.
+// TestColdServerStaysWithinItsBudget: the work sent to a cold server within a span stays within this router's share of the
+// budget.
 func TestColdServerStaysWithinItsBudget(t *testing.T) {
 	for _, peers := range []int{1, 3} {
 		set := testSettings()
@@ -27,12 +28,12 @@
 		work := float64(sent) * h.r.classes[classAny].averageWork
 		most := set.SlowStartMultiple * 0.3 * fullRateConcurrency * initialKindRate / float64(peers)
 		if sent == 0 || work > most {
-			t.Errorf("%d siblings: %d sends, %v of work, at most %v", peers, sent, work, most)
+			t.Errorf("%d routers: %d sends, %v of work, want some and at most %v", peers, sent, work, most)
 		}
 	}
 }
 
-// TestServerIsColdAfterAnOutage: a server that refused connections for a while has probably restarted, and is cold.
+// TestServerIsColdAfterAnOutage: a server that refused connections for a while has probably restarted, and counts as cold.
 func TestServerIsColdAfterAnOutage(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	s := actionsOf(Send, h.request("1", classAny))[0].Server
@@ -41,13 +42,13 @@
 	h.now += restartOutage + ms
 	h.report(s, RoleReplica, h.now)
 	if w := h.r.warmUpFactor(h.r.servers[s]); w > 0.3 {
-		t.Errorf("warm-up factor %v after an outage", w)
+		t.Errorf("warm-up factor %v after an outage, want at most 0.3", w)
 	}
 }
 
-// TestManyRoutersKeepTheSlowStartBudgetTogether: the part of one of many routers is less than a request, yet the sum
-// must neither be nothing nor exceed the budget. Fails if the budget only admits what fits a router's part.
-func TestManyRoutersKeepTheSlowStartBudgetTogether(t *testing.T) {
+// TestManyRoutersTogetherKeepTheSlowStartBudget: the share of each of many routers is less than one request, yet the sum
+// of what they send must neither be zero nor exceed the budget. Fails if a router only sends what fits into its share.
+func TestManyRoutersTogetherKeepTheSlowStartBudget(t *testing.T) {
 	const routers = 200
 	set := testSettings()
 	set.Peers = routers
@@ -59,8 +60,8 @@
 		all = append(all, h)
 	}
 	work := all[0].r.classes[classAny].averageWork
-	allowed := set.SlowStartMultiple * set.SlowStartFrom * fullRateConcurrency * initialKindRate // work a second just after the start
-	var sent []float64                                                                           // by tenths of a second
+	allowed := set.SlowStartMultiple * set.SlowStartFrom * fullRateConcurrency * initialKindRate // work per second just after the start
+	var sent []float64                                                                           // work by tenth of a second
 	for step := range 30 {
 		n := 0
 		for i, h := range all {
--- a/internal/decide/slowstart_parts_test.go
+++ b/internal/decide/slowstart_parts_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// moveParts gives routers their parts of the slow start budget anew every so often: nearly all of it to one after another.
-func (f *slowStartFleet) moveParts(from, to Time, every time.Duration) {
+// moveShares assigns the shares of the slow-start budget anew at each interval: nearly the whole budget to one router after
+// another.
+func (f *slowStartFleet) moveShares(from, to Time, every time.Duration) {
 	holder := 0
 	var move func()
 	move = func() {
@@ -26,38 +27,38 @@
 	f.at(from, move)
 }
 
-// TestSlowStartPartsMove: parts of the budget move from router to router within its span. What one has used of a part
-// is not used again by the next that gets it, nor by the same one when the part returns.
-func TestSlowStartPartsMove(t *testing.T) {
+// TestSlowStartSharesMoveBetweenRouters: shares of the budget move from router to router within its span. What a router has
+// used of a share is not used again by the next router that gets it, nor by the same router when the share returns.
+func TestSlowStartSharesMoveBetweenRouters(t *testing.T) {
 	for _, every := range []time.Duration{50 * ms, 100 * ms, 250 * ms, time.Second} {
 		for seed := range uint64(3) {
 			f := newSlowStartFleet(t, 8, seed+1, nil)
-			f.answer = func(*slowStartFleet) (Result, time.Duration) { return OK, ms } // so that its budget alone holds a router back
-			f.moveParts(start, start+20*time.Second, every)
+			f.answer = func(*slowStartFleet) (Result, time.Duration) { return OK, ms } // only the budget limits the routers
+			f.moveShares(start, start+20*time.Second, every)
 			f.restart(restartAt, 0)
 			f.demand(restartAt+time.Second, start+18*time.Second, 1000)
 			f.run(start + 18*time.Second)
-			calls, allowed := f.worst(restartAt)
-			t.Logf("parts move every %v: %d calls in the fullest span, %.1f are allowed", every, calls, allowed)
-			if calls == 0 || float64(calls) > slowStartBound(allowed) {
-				t.Errorf("parts move every %v, seed %d: %d calls, at most %.1f", every, seed+1, calls, slowStartBound(allowed))
+			attempts, allowed := f.fullestSpan(restartAt)
+			t.Logf("shares move every %v: %d attempts in the fullest span, %.1f are allowed", every, attempts, allowed)
+			if attempts == 0 || float64(attempts) > slowStartBound(allowed) {
+				t.Errorf("shares move every %v, seed %d: %d attempts, want some and at most %.1f", every, seed+1, attempts, slowStartBound(allowed))
 			}
 		}
 	}
 }
 
-// TestSlowStartDrawsForWhatIsTaken: a server in slow start that costs more than another has no draw used up by a
-// request that goes to the other.
-func TestSlowStartDrawsForWhatIsTaken(t *testing.T) {
+// TestSlowStartDrawsOnlyForTheChosenServer: a request that goes to a cheaper server does not use up the draw of a server
+// in slow start that costs more.
+func TestSlowStartDrawsOnlyForTheChosenServer(t *testing.T) {
 	h := newGroupOfThree(t, func(set *Settings) { set.Peers = 300 })
 	cold := h.r.servers["b"]
 	cold.startedAt, cold.slowStartDrawAt, cold.relativeRate = h.now-time.Second, h.now-time.Second, 0.01
 	before := cold.slowStartDrawAt
 	sent := h.handle(&Request{ID: "x", Class: classAny, Deadline: h.now + time.Second})
 	if len(sent) == 0 || len(cold.openAttempts) > 0 {
-		t.Fatalf("the read goes to a warm server: %v", sent)
+		t.Fatalf("the read must go to a warm server: %v", sent)
 	}
 	if cold.slowStartDrawAt != before {
-		t.Error("a draw was used up for a server that was not taken")
+		t.Error("a draw was made for a server that was not chosen")
 	}
 }
--- a/internal/decide/slowstart_test.go
+++ b/internal/decide/slowstart_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// slowStartBound is the most calls that a server in slow start may get in one span: the allowance plus what
-// chance may add to it.
+// slowStartBound returns the greatest number of attempts that a server in slow start may get in one span: the allowed
+// number plus a margin of two or three standard deviations and a constant, as random draws keep to it on average only.
 func slowStartBound(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -20,8 +20,8 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// slowStartFleet plays many routers, which share nothing, against one primary that restarts. Its clients want
-// far more of the primary than it may get.
+// slowStartFleet simulates many routers, which do not communicate, and one primary that restarts. The demand of their
+// clients far exceeds what the primary may get.
 type slowStartFleet struct {
 	t        *testing.T
 	set      Settings
@@ -33,22 +33,25 @@
 	sends    []slowStartSend // to the primary, in order
 	requests int
 	answer   func(f *slowStartFleet) (Result, time.Duration)
-	started  Time          // of the primary's present process
-	ahead    time.Duration // the primary's clock is ahead of the routers'
+	started  Time          // start of the primary's present process
+	ahead    time.Duration // how far the primary's clock is ahead of the routers'
 }
 
-// slowStartSend is a call that went out to a process of the primary, and how many that was allowed in the span then.
+// slowStartSend is an attempt sent to the process of the primary that started at started, and the number of attempts
+// allowed in the span that ends at the send.
 type slowStartSend struct {
 	at, started Time
 	allowed     float64
 }
 
+// fleetEvent is a function that is called at a time; events at the same time run in the order of sequence.
 type fleetEvent struct {
 	at       Time
 	sequence int
 	call     func()
 }
 
+// fleetEvents is a heap of events, the earliest first.
 type fleetEvents []fleetEvent
 
 func (h fleetEvents) Len() int { return len(h) }
@@ -82,22 +85,23 @@
 	return f
 }
 
-// work is the time that a request takes at a warm server, alone: what routers take it for before they have delay.
+// work returns the time that a single request takes at a warm server, which is also the initial estimate of routers.
 func (f *slowStartFleet) work() time.Duration {
 	return time.Duration(initialWorkFraction * float64(f.set.Classes[classKeyedWrite].LatencyObjective))
 }
 
-// warmUpFactor is the part of its capacity that the primary has.
+// warmUpFactor returns the fraction of its capacity that the primary has.
 func (f *slowStartFleet) warmUpFactor(at Time) float64 {
 	age := (at - f.started).Seconds() / f.set.SlowStartTime.Seconds()
 	return f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*min(1, age)
 }
 
+// served returns the outcome of an attempt that the primary answers.
 func (f *slowStartFleet) served() (Result, time.Duration) {
 	return OK, time.Duration(float64(f.work()) / f.warmUpFactor(f.now))
 }
 
-// begin starts a router that knows nothing but the list.
+// begin starts or replaces router i. The new router gets the list and one report of each server, and no snapshot.
 func (f *slowStartFleet) begin(i int) {
 	r := New(f.set, f.rng.Uint64())
 	f.routers[i] = r
@@ -111,12 +115,13 @@
 	f.handle(i, &HealthCheckResult{Server: "b", Result: OK, Load: Report{Role: RoleReplica, HasPosition: true, Position: f.now}})
 }
 
+// at schedules a call.
 func (f *slowStartFleet) at(when Time, call func()) {
 	f.sequence++
 	heap.Push(&f.events, fleetEvent{at: when, sequence: f.sequence, call: call})
 }
 
-// later brings an event to a router, unless another has taken its place by then.
+// later delivers an event to router i after a delay, unless the router has been replaced by then.
 func (f *slowStartFleet) later(after time.Duration, i int, ev Event) {
 	r := f.routers[i]
 	f.at(f.now+after, func() {
@@ -126,6 +131,7 @@
 	})
 }
 
+// handle passes an event to router i, and schedules the results of its actions.
 func (f *slowStartFleet) handle(i int, ev Event) {
 	r := f.routers[i]
 	for _, a := range r.Handle(f.now, ev, nil) {
@@ -150,7 +156,7 @@
 	}
 }
 
-// restart has the primary begin anew; each router hears of it up to so much later.
+// restart restarts the primary; each router learns of it after a random time of at most delay.
 func (f *slowStartFleet) restart(when Time, delay time.Duration) {
 	f.at(when, func() {
 		f.started = f.now
@@ -161,7 +167,7 @@
 	})
 }
 
-// demand sends writes from then on: so many a second in all, one router in eight getting several times the mean.
+// demand sends writes to the routers, perSecond in all on average. Every eighth router gets several times the mean.
 func (f *slowStartFleet) demand(from, to Time, perSecond float64) {
 	weights, sum := make([]float64, len(f.routers)), 0.0
 	for i := range weights {
@@ -187,6 +193,7 @@
 	f.at(from, next)
 }
 
+// run runs the scheduled events up to a time.
 func (f *slowStartFleet) run(until Time) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		e := heap.Pop(&f.events).(fleetEvent)
@@ -196,14 +203,15 @@
 	f.now = until
 }
 
-// allowed is how many calls of mean work the settings let the primary get in a span that ends then.
+// allowed returns the number of attempts of average work that the settings allow the primary in a span that ends at the
+// given time.
 func (f *slowStartFleet) allowed(at Time) float64 {
 	return f.set.SlowStartMultiple * f.warmUpFactor(at) * fullRateConcurrency * initialKindRate * f.set.SlowStartSpan.Seconds() / f.work().Seconds()
 }
 
-// worst is the fullest span of any process of the server since it restarted first: its calls, and what was allowed.
-// Sends before from do not count, as their routers did not know of the restart.
-func (f *slowStartFleet) worst(from Time) (calls int, allowed float64) {
+// fullestSpan returns the number of attempts, and the number allowed, in the span that exceeds its bound most, over all
+// processes of the primary. Sends before from do not count, as not all routers knew of the restart by then.
+func (f *slowStartFleet) fullestSpan(from Time) (attempts int, allowed float64) {
 	first, most := 0, math.Inf(-1)
 	for i, last := range f.sends {
 		if last.at < from {
@@ -214,20 +222,21 @@
 			first++
 		}
 		if over := float64(i-first+1) - slowStartBound(last.allowed); over > most {
-			most, calls, allowed = over, i-first+1, last.allowed
+			most, attempts, allowed = over, i-first+1, last.allowed
 		}
 	}
-	return calls, allowed
+	return attempts, allowed
 }
 
-// slowStartCases are what a fleet is tried with.
+// slowStartCases are the numbers of routers, and of seeds for each, that the budget is checked with.
 var slowStartCases = []struct {
 	name    string
 	routers int
 	seeds   int
 }{{"one", 1, 4}, {"two", 2, 4}, {"twenty-four", 24, 6}, {"thirty", 30, 6}, {"three hundred", 300, 3}}
 
-// checkSlowStartBudget plays a fleet with many seeds, and compares the fullest span of each with the bound.
+// checkSlowStartBudget runs play for fleets of several sizes with several seeds each, and compares the fullest span of each
+// run with the bound. play returns the time from which attempts count.
 func checkSlowStartBudget(t *testing.T, change func(*Settings), play func(f *slowStartFleet) (counted Time)) {
 	t.Helper()
 	for _, c := range slowStartCases {
@@ -237,18 +246,18 @@
 			total := 0
 			for seed := range c.seeds {
 				f := newSlowStartFleet(t, c.routers, uint64(seed+1), change)
-				calls, allowed := f.worst(play(f))
-				parts = append(parts, float64(calls)/allowed)
+				attempts, allowed := f.fullestSpan(play(f))
+				parts = append(parts, float64(attempts)/allowed)
 				total += len(f.sends)
-				if bound := slowStartBound(allowed); float64(calls) > bound {
-					t.Errorf("seed %d: %d calls in %v, allowed are %.1f, at most %.1f", seed+1, calls, f.set.SlowStartSpan, allowed, bound)
+				if bound := slowStartBound(allowed); float64(attempts) > bound {
+					t.Errorf("seed %d: %d attempts in %v, %.1f are allowed, want at most %.1f", seed+1, attempts, f.set.SlowStartSpan, allowed, bound)
 				}
 			}
 			if total == 0 {
 				t.Error("nothing was sent")
 			}
 			slices.Sort(parts)
-			t.Logf("calls in the fullest span, as parts of what is allowed: %.2f to %.2f, median %.2f; %d sends in all", parts[0],
+			t.Logf("attempts in the fullest span, relative to the number allowed: %.2f to %.2f, median %.2f; %d sends in all", parts[0],
 				parts[len(parts)-1], parts[len(parts)/2], total)
 		})
 	}
@@ -256,7 +265,7 @@
 
 const restartAt = start + 10*time.Second
 
-// TestSlowStartBurst: there is little demand, then the primary restarts and all clients send at once.
+// TestSlowStartBurst: demand is low, then the primary restarts and all clients send at once.
 func TestSlowStartBurst(t *testing.T) {
 	checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
 		f.demand(start, start+20*time.Second, 20)
@@ -268,9 +277,9 @@
 	})
 }
 
-// TestSlowStartBySteppedClocks: the wall clock of the server, or that of the routers, has been stepped: the start that
-// the list reports lies ahead of the routers' clock, or long before it.
-func TestSlowStartBySteppedClocks(t *testing.T) {
+// TestSlowStartWithSteppedClocks: the wall clock of the server or of the routers was stepped, so that the start time in
+// the list is ahead of the routers' clock, or long before it.
+func TestSlowStartWithSteppedClocks(t *testing.T) {
 	for _, ahead := range []time.Duration{0, -time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		t.Run(ahead.String(), func(t *testing.T) {
 			checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
@@ -286,7 +295,7 @@
 	}
 }
 
-// TestSlowStartRetries: the server refuses most of what it gets, and all of it is sent again.
+// TestSlowStartRetries: the server refuses or fails most requests, which are all sent again.
 func TestSlowStartRetries(t *testing.T) {
 	checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
 		f.demand(start+7*time.Second, start+18*time.Second, 200)
@@ -304,13 +313,13 @@
 	})
 }
 
-// TestSlowStartRestarts: all routers are replaced, by ones without a snapshot, again and again while the server is
-// cold. What a router sent before counts in the same span.
-func TestSlowStartRestarts(t *testing.T) {
+// TestSlowStartRouterRestarts: all routers are replaced repeatedly, by routers without a snapshot, while the server is
+// cold. What the replaced routers sent counts in the same span.
+func TestSlowStartRouterRestarts(t *testing.T) {
 	checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
 		f.demand(start+7*time.Second, start+18*time.Second, 200)
 		f.restart(restartAt, 0)
-		f.at(restartAt, func() { // it answers at once, so that nothing but its budget holds a router back
+		f.at(restartAt, func() { // the server answers at once, so that only the budget limits the routers
 			f.answer = func(*slowStartFleet) (Result, time.Duration) { return OK, ms }
 		})
 		for step := range 12 {
@@ -325,9 +334,9 @@
 	})
 }
 
-// TestSlowStartAnew: routers learn of the start at different times, and during the slow start the server starts once
-// more.
-func TestSlowStartAnew(t *testing.T) {
+// TestSlowStartSecondRestart: routers learn of the server's restart at different times, and the server restarts again
+// during its slow start.
+func TestSlowStartSecondRestart(t *testing.T) {
 	const delay = 300 * ms
 	checkSlowStartBudget(t, nil, func(f *slowStartFleet) Time {
 		f.demand(start+7*time.Second, start+18*time.Second, 200)
@@ -338,9 +347,9 @@
 	})
 }
 
-// TestSlowStartSparse: where each router has a request now and then, a server in slow start still gets a good part of
-// its budget. There may be more demand than the budget, but not by many routers at a time.
-func TestSlowStartSparse(t *testing.T) {
+// TestSlowStartSparseDemandUsesTheBudget: where each router has a request only now and then, a server in slow start still
+// gets a good fraction of its budget. The total demand exceeds the budget, but few routers have a request at a time.
+func TestSlowStartSparseDemandUsesTheBudget(t *testing.T) {
 	const from, to = restartAt + 2*time.Second, restartAt + 8*time.Second
 	got, allowed := 0.0, 0.0
 	for seed := range uint64(3) {
@@ -355,8 +364,8 @@
 		}
 		allowed += f.allowed((from+to)/2) * float64(to-from) / float64(f.set.SlowStartSpan)
 	}
-	t.Logf("%.2f of what is allowed", got/allowed)
-	if got < 0.65*allowed { // 0.60 where a draw is good for a quarter of a span alone
-		t.Errorf("%.0f calls, %.0f are allowed", got, allowed)
+	t.Logf("attempts relative to the number allowed: %.2f", got/allowed)
+	if got < 0.65*allowed { // 0.60 if a draw counts for a quarter of a span only
+		t.Errorf("%.0f attempts of %.0f allowed, want at least 0.65 of them", got, allowed)
 	}
 }
--- a/internal/decide/snapshot_test.go
+++ b/internal/decide/snapshot_test.go
@@ -8,8 +8,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestMergeTakesWhatIsNewerAndPossible: a router takes from another's snapshot what is newer and possible.
-func TestMergeTakesWhatIsNewerAndPossible(t *testing.T) {
+// TestMergeTakesNewerAndValidEvidence: a router adopts from another's snapshot only evidence that is newer than its own
+// and within valid ranges.
+func TestMergeTakesNewerAndValidEvidence(t *testing.T) {
 	list := &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "a", Capacity: 1}, {Server: "b", Capacity: 1}}}
 	set := Settings{Peers: 1, Tick: time.Millisecond, MayCheckHealth: true,
 		Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, SlowStartTime: 10 * time.Second, SlowStartFrom: 0.2}
@@ -38,7 +39,7 @@
 	next.Handle(104*time.Second, &HealthCheckResult{Server: "a", Result: OK,
 		Load: Report{Role: RoleReplica, HasPosition: true, Position: 104 * time.Second}}, nil)
 	before := next.Snapshot()
-	next.Merge(105*time.Second, m) // older by now
+	next.Merge(105*time.Second, m) // the snapshot is older than the last report of a
 	if diff := cmp.Diff(before.Servers[0], next.Snapshot().Servers[0]); diff != "" {
 		t.Error(diff)
 	}
@@ -55,10 +56,10 @@
 	}
 }
 
-// TestProcessesShareTheSlowStartBudget: two processes in one router's place together send a cold server what one may
-// send alone.
+// TestProcessesShareTheSlowStartBudget: two processes that act as one router may together send a cold server as much work
+// as a single process.
 func TestProcessesShareTheSlowStartBudget(t *testing.T) {
-	room := func(processes int) float64 {
+	allowance := func(processes int) float64 {
 		set := Settings{Peers: 1, Processes: processes, Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}},
 			SlowStartTime: 10 * time.Second, SlowStartFrom: 0.5,
 			SlowStartMultiple: 2.5, SlowStartSpan: 1500 * time.Millisecond}
@@ -70,9 +71,9 @@
 		for s.slowStartUsed = 0; r.slowStartAllows(s, req); s.slowStartUsed += 0.01 {
 			sent += 0.01
 		}
-		return sent + req.expectedWork() // the bucket's depth
+		return sent + req.expectedWork() // the depth of the bucket
 	}
-	if one, two := room(1), room(2); one <= 0 || two < 0.45*one || two > 0.55*one {
-		t.Errorf("one may send %.2f, each of two %.2f", one, two)
+	if one, two := allowance(1), allowance(2); one <= 0 || two < 0.45*one || two > 0.55*one {
+		t.Errorf("a single process may send %.2f of work, each of two %.2f; want about half", one, two)
 	}
 }
--- a/internal/decide/subscription_test.go
+++ b/internal/decide/subscription_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// longestGap has the subscription of a router fail again and again, each time after it was open for so long, and
-// returns the longest time from the start of a call to the start of the next.
+// longestGap makes each subscription of a router fail after it was open for the given time, and returns the longest time
+// from the start of a call to the start of the next.
 func longestGap(set Settings, seed uint64, open time.Duration) time.Duration {
 	r, now := New(set, seed), Time(start)
 	began, longest := now, time.Duration(0)
@@ -25,19 +25,19 @@
 	return longest
 }
 
-// TestNextCallIsInTime: the list counts as known 6 s after its source can be reached again. That may be just after a
-// call has begun, which then fails after being silent; the next call needs up to 1.5 s to connect and to be answered.
-// So calls begin no further apart than 4.5 s, however many routers there are and whatever the settings; and from the
-// start of a process alike.
-func TestNextCallIsInTime(t *testing.T) {
-	for name, askEvery := range map[string]time.Duration{"not set": 0, "short": 2 * time.Second, "long": time.Hour} {
+// TestListCallIntervalIsBounded: the list has to be known 6 s after its source becomes reachable again. If that is just
+// after a call has started, the call fails after a silence, and the next one needs up to 1.5 s to connect and be
+// answered. So calls start at most 4.5 s apart, for any number of routers and any settings, also from the start of a
+// process.
+func TestListCallIntervalIsBounded(t *testing.T) {
+	for name, staleAfter := range map[string]time.Duration{"not set": 0, "short": 2 * time.Second, "long": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			for _, open := range []time.Duration{0, 20 * ms, 1200 * ms, 2500 * ms} {
 				for seed := range uint64(40) {
 					set := testSettings()
-					set.WatchList, set.ListStaleAfter, set.Peers = true, askEvery, 300
+					set.WatchList, set.ListStaleAfter, set.Peers = true, staleAfter, 300
 					if gap := longestGap(set, seed, open); gap > 4500*ms+3*tickInterval {
-						t.Fatalf("calls that fail after %v, seed %d: %v from one to the next", open, seed, gap)
+						t.Fatalf("calls that fail after %v, seed %d: %v from one to the next, want at most 4.5 s", open, seed, gap)
 					}
 				}
 			}
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestNextListCallAfterASubscriptionThatLasted: a subscription that was open for long may have been silent for up to
-// 2.5 s when it ends.
-func TestNextListCallAfterASubscriptionThatLasted(t *testing.T) {
+// TestListCallSoonAfterALongSubscription: a subscription that was open for a long time may have been silent for up to
+// 2.5 s when it ends, so the next call has to start within 2 s.
+func TestListCallSoonAfterALongSubscription(t *testing.T) {
 	for seed := range uint64(40) {
 		set := testSettings()
 		set.WatchList, set.Peers = true, 300
@@ -56,14 +56,14 @@
 		h.advance(20 * time.Second)
 		h.handle(&EndpointList{Kind: ListFailed})
 		if n := len(actionsOf(Subscribe, h.advance(2*time.Second+3*tickInterval))); n != 1 {
-			t.Fatalf("seed %d: %d calls in the 2 s after the watch ended", seed, n)
+			t.Fatalf("seed %d: %d calls in the 2 s after the subscription ended, want 1", seed, n)
 		}
 	}
 }
 
-// TestCallsAreSpread: the calls of many routers whose subscriptions fail at the same time are spread over the time
-// available: the source handles calls in turn.
-func TestCallsAreSpread(t *testing.T) {
+// TestListCallsAreSpreadOverTime: the calls of many routers that start at the same time are spread over the available
+// time, as the source handles one call after the other.
+func TestListCallsAreSpreadOverTime(t *testing.T) {
 	var first, last time.Duration = time.Hour, 0
 	for seed := range uint64(300) {
 		set := testSettings()
@@ -77,6 +77,6 @@
 		first, last = min(first, now-start), max(last, now-start)
 	}
 	if last-first < 4*time.Second || last > 4500*ms+tickInterval {
-		t.Errorf("the first calls come from %v to %v after the start", first, last)
+		t.Errorf("the first calls start %v to %v after the routers, want a range of 4 s or more up to 4.5 s", first, last)
 	}
 }
--- a/internal/decide/trial_test.go
+++ b/internal/decide/trial_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestEjectedServerWithoutHealthChecksIsTried: where servers answer no health checks, only a request can show that a
-// server that refused connections is back. Seen: a group's one server refused two connections, was ejected and got
-// nothing any more, though it listened again a moment later; each request waited for half its deadline and was
-// rejected. Cause: a server returned by a health check alone.
-func TestEjectedServerWithoutHealthChecksIsTried(t *testing.T) {
+// TestEjectedServerWithoutHealthChecksGetsTrialRequests: where servers answer no health checks, only a request can show
+// that a server that refused connections is back. The test guards against an ejected server that gets no requests any
+// more, because only a health check would return it to use: a group's only server refused two connections, listened again
+// a moment later, and each request waited for half its deadline and was rejected.
+func TestEjectedServerWithoutHealthChecksGetsTrialRequests(t *testing.T) {
 	set := testSettings()
 	set.MayCheckHealth = false
 	h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1})
@@ -22,7 +22,7 @@
 	}
 	h.wantNone(Send, h.request("at once", classAny))
 
-	// One that still refuses gets a few requests in each pause, and the pause grows.
+	// A server that still refuses connections gets a few requests after each pause, and the pauses grow.
 	sent, refused := 0, 0
 	for range 500 {
 		refused++
@@ -36,7 +36,7 @@
 		t.Errorf("%d attempts at a server that refuses connections for 10 s, want 1 to %d", sent, most)
 	}
 
-	// It is back: one answer shows that.
+	// The server is back, which one answer shows.
 	served := false
 	for n := range 400 {
 		h.request(RequestID(fmt.Sprint("back", n)), classAny)
@@ -52,14 +52,14 @@
 		t.Fatal("nothing is sent to a server that is back")
 	}
 	if s := h.r.servers["p"]; s.health != healthy || h.now-s.startedAt > 5*time.Second {
-		t.Errorf("health %d, cold since %v at %v: want it in use, and cold, as it refused for more than %v", s.health,
+		t.Errorf("health %d, started at %v, now %v: want it in use and cold, as it refused connections for more than %v", s.health,
 			s.startedAt, h.now, restartOutage)
 	}
 }
 
-// TestHealthCheckThatWasNotSentProvesNothing: a health check for which this machine had no descriptor shows nothing of
-// the server, which must stay in use.
-func TestHealthCheckThatWasNotSentProvesNothing(t *testing.T) {
+// TestUnsentHealthCheckLeavesServerInUse: a health check that was not sent, as this machine had no file descriptor for it,
+// is no evidence against the server, which must stay in use.
+func TestUnsentHealthCheckLeavesServerInUse(t *testing.T) {
 	h := newGroupOfThree(t, nil)
 	h.handle(&HealthCheckResult{Server: "p", Result: NotSent})
 	h.wantSend(h.request("w", classWriteOnce), "w", "p")
