--- a/internal/decide/attempts.go
+++ b/internal/decide/attempts.go
@@ -23,7 +23,7 @@
 
 // trySend sends a request if a server can take it now, and reports whether it did.
 func (r *Router) trySend(request *request) bool {
-	if r.attemptsExhausted(request) {
+	if r.mustNotBeSent(request) {
 		return false
 	}
 	server := r.chooseServer(request)
--- a/internal/decide/backlog_test.go
+++ b/internal/decide/backlog_test.go
@@ -61,18 +61,18 @@
 		for _, c := range h.r.backlogsOf(s) {
 			c.throttle, c.updatedAt, c.cutoffAt = x.throttle, h.now, never
 		}
-		in := map[float64]float64{}
+		admitted := map[float64]float64{} // by weight, the fraction of draws that is admitted
 		for draw := 0.005; draw < 1; draw += 0.01 {
-			for _, no := range []int{classAny, classKeyedWrite} {
-				c := &h.r.classes[no]
+			for _, index := range []int{classAny, classKeyedWrite} {
+				c := &h.r.classes[index]
 				if h.r.admits(s, &request{group: s.group, class: c, weight: c.PriorityWeight, relativeWork: 1,
 					objectiveAt: h.now, admissionDraw: draw}) {
-					in[c.PriorityWeight] += 0.01
+					admitted[c.PriorityWeight] += 0.01
 				}
 			}
 		}
-		if d := in[1] - x.light; d > 0.03 || d < -0.03 || in[4] < x.heavy-0.03 || in[4] > x.heavy+0.03 {
-			t.Errorf("throttle %v: admitted %v of weight 1 and %v of weight 4, want %v and %v", x.throttle, in[1], in[4], x.light, x.heavy)
+		if d := admitted[1] - x.light; d > 0.03 || d < -0.03 || admitted[4] < x.heavy-0.03 || admitted[4] > x.heavy+0.03 {
+			t.Errorf("throttle %v: admitted %v of weight 1 and %v of weight 4, want %v and %v", x.throttle, admitted[1], admitted[4], x.light, x.heavy)
 		}
 	}
 }
--- a/internal/decide/candidates_test.go
+++ b/internal/decide/candidates_test.go
@@ -64,9 +64,9 @@
 		behind StaleReadPolicy
 		want   bool
 	}{{StaleReadsAnswered, false}, {StaleReadsRefused, true}, {StaleReadsWait, true}} {
-		set := testSettings()
-		set.StaleReads = c.behind
-		h := newHarness(t, set, Endpoint{Server: "a"})
+		settings := testSettings()
+		settings.StaleReads = c.behind
+		h := newHarness(t, settings, Endpoint{Server: "a"})
 		h.report("a", RoleReplica, h.now)
 		h.now += 350 * ms
 		if got := len(actionsOf(Send, h.request("1", classBounded))) == 1; got != c.want {
@@ -124,9 +124,9 @@
 // TestReadIsNotSentAgainToReplicasThatAreBehind: every replica refuses a session read as its data is too old. Fails if
 // the read returns to one of them before it can have caught up.
 func TestReadIsNotSentAgainToReplicasThatAreBehind(t *testing.T) {
-	set := testSettings()
-	set.StaleReads = StaleReadsRefused
-	h := newHarness(t, set, Endpoint{Server: "a"}, Endpoint{Server: "b"})
+	settings := testSettings()
+	settings.StaleReads = StaleReadsRefused
+	h := newHarness(t, settings, Endpoint{Server: "a"}, Endpoint{Server: "b"})
 	out := h.handle(&Request{ID: "1", Class: classSession, Deadline: h.now + time.Second, SinceCommit: 50 * ms})
 	for i := range 2 {
 		sent := actionsOf(Send, out)
--- a/internal/decide/endpointlist_test.go
+++ b/internal/decide/endpointlist_test.go
@@ -34,9 +34,9 @@
 
 // TestSubscriptionIsRenewedAfterItFails: a subscription that failed is renewed once, and the list is kept meanwhile.
 func TestSubscriptionIsRenewedAfterItFails(t *testing.T) {
-	set := testSettings()
-	set.WatchList = true
-	h := newHarness(t, set, Endpoint{Server: "a"})
+	settings := testSettings()
+	settings.WatchList = true
+	h := newHarness(t, settings, Endpoint{Server: "a"})
 	if len(actionsOf(Subscribe, h.out)) != 1 {
 		t.Fatal("not subscribed at the start")
 	}
@@ -53,9 +53,9 @@
 // servers and new primaries are known only by it. One that fails as it is opened is renewed more slowly, so that an
 // overloaded source is not flooded.
 func TestSubscriptionThatBreaksIsRenewedSoon(t *testing.T) {
-	set := testSettings()
-	set.WatchList = true
-	h := newHarness(t, set, Endpoint{Server: "a"})
+	settings := testSettings()
+	settings.WatchList = true
+	h := newHarness(t, settings, Endpoint{Server: "a"})
 	h.advance(10 * time.Second)
 	h.handle(&EndpointList{Kind: ListFailed})
 	if n := len(actionsOf(Subscribe, h.advance(3*minResubscribePause))); n != 1 {
@@ -81,9 +81,9 @@
 // TestServerRemovedAfterDrainingStaysExcluded: with DrainOnly, a server that was draining and then removed is excluded.
 // A server that was removed without draining is not, and is dropped once it has not answered for a while.
 func TestServerRemovedAfterDrainingStaysExcluded(t *testing.T) {
-	set := testSettings()
-	set.DrainOnly = true
-	h := newHarness(t, set, Endpoint{Server: "a"}, Endpoint{Server: "b", Group: 1})
+	settings := testSettings()
+	settings.DrainOnly = true
+	h := newHarness(t, settings, Endpoint{Server: "a"}, Endpoint{Server: "b", Group: 1})
 	h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "a", State: Draining}}})
 	h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "a", State: Removed}, {Server: "b", Group: 1, State: Removed}}})
 	h.wantNone(Send, h.request("1", classAny))
--- a/internal/decide/harness_test.go
+++ b/internal/decide/harness_test.go
@@ -49,9 +49,9 @@
 }
 
 // newHarness returns a harness whose router checks its invariants and has received the given list.
-func newHarness(t *testing.T, set Settings, entries ...Endpoint) *harness {
+func newHarness(t *testing.T, settings Settings, entries ...Endpoint) *harness {
 	t.Helper()
-	h := &harness{t: t, r: New(set, 7), now: start}
+	h := &harness{t: t, r: New(settings, 7), now: start}
 	h.r.EnableChecks(invariant.Test(t), 1)
 	h.handle(&EndpointList{Kind: ListRestored, Endpoints: entries})
 	return h
@@ -61,32 +61,36 @@
 // date.
 func newGroupOfThree(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
-	set := testSettings()
+	settings := testSettings()
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1}, Endpoint{Server: "a", Capacity: 1}, Endpoint{Server: "b", Capacity: 1})
+	h := newHarness(t, settings, Endpoint{Server: "p", Capacity: 1}, Endpoint{Server: "a", Capacity: 1}, Endpoint{Server: "b", Capacity: 1})
 	h.report("p", RolePrimary, h.now)
 	h.report("a", RoleReplica, h.now)
 	h.report("b", RoleReplica, h.now)
 	return h
 }
 
+// handle passes an event to the router, and returns its actions.
 func (h *harness) handle(ev Event) []Action {
 	h.out = h.r.Handle(h.now, ev, nil)
 	return h.out
 }
 
+// report passes a server's answer to a health check to the router: its role, and a position at the given time.
 func (h *harness) report(s ServerID, role Role, at Time) []Action {
 	return h.handle(&HealthCheckResult{Server: s, Load: Report{Role: role, Position: at, HasPosition: true}})
 }
 
+// request passes a request of a class to the router, with the deadline of its class.
 func (h *harness) request(id RequestID, class int) []Action {
 	return h.handle(&Request{ID: id, Class: class, Deadline: h.now + h.r.classes[class].Deadline})
 }
 
-func (h *harness) end(id RequestID, no int, s ServerID, res Result) []Action {
-	return h.handle(&Outcome{ID: id, Attempt: no, Server: s, Result: res, Final: res == OK})
+// end passes the outcome of an attempt to the router.
+func (h *harness) end(id RequestID, number int, s ServerID, result Result) []Action {
+	return h.handle(&Outcome{ID: id, Attempt: number, Server: s, Result: result, Final: result == OK})
 }
 
 // advance lets time pass with ticks, and returns all actions.
--- a/internal/decide/hedging.go
+++ b/internal/decide/hedging.go
@@ -104,8 +104,8 @@
 	r.lossRate += (lost - r.lossRate) / lossRateMemory
 }
 
-// isConnectionFailure reports whether an attempt ended for lack of a connection or by its loss, which says
-// nothing about lost answers.
+// isConnectionFailure reports whether an attempt ended because there was no connection or the connection
+// dropped, which is no evidence about lost answers.
 func isConnectionFailure(result Result) bool {
 	return result == Unreachable || result == NotSent || result == Reset
 }
--- a/internal/decide/invariants_test.go
+++ b/internal/decide/invariants_test.go
@@ -29,102 +29,102 @@
 }
 
 func drawSettings(t *rapid.T) Settings {
-	set := testSettings()
+	settings := testSettings()
 	flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	set.Peers = rapid.SampledFrom([]int{1, 3, 20, 300}).Draw(t, "siblings")
-	set.MayCancel, set.MayDuplicate, set.MayCheckHealth = flag("cancel"), flag("duplicate"), flag("health checks")
-	set.TrackCommits, set.DrainOnly, set.ListShowsRole = flag("tokens"), flag("drain only"), flag("roles")
-	set.StaleReads = StaleReadPolicy(rapid.IntRange(0, 2).Draw(t, "behind"))
-	set.MaxAttempts = rapid.IntRange(1, 6).Draw(t, "attempts")
-	if flag("no cold") {
-		set.SlowStartMultiple = 0
+	settings.Peers = rapid.SampledFrom([]int{1, 3, 20, 300}).Draw(t, "peers")
+	settings.MayCancel, settings.MayDuplicate, settings.MayCheckHealth = flag("cancel"), flag("duplicate"), flag("health checks")
+	settings.TrackCommits, settings.DrainOnly, settings.ListShowsRole = flag("track commits"), flag("drain only"), flag("roles")
+	settings.StaleReads = StaleReadPolicy(rapid.IntRange(0, 2).Draw(t, "stale reads"))
+	settings.MaxAttempts = rapid.IntRange(1, 6).Draw(t, "attempts")
+	if flag("no slow start") {
+		settings.SlowStartMultiple = 0
 	}
-	set.Tenants = []Tenant{{RateLimit: 100}, {RateLimit: 20, Assigned: true, AssignedRate: 3, Burst: 3, RejectOverLimit: true}}
-	for i := range set.Classes {
-		set.Classes[i].LateWeight = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "late worth")
+	settings.Tenants = []Tenant{{RateLimit: 100}, {RateLimit: 20, Assigned: true, AssignedRate: 3, Burst: 3, RejectOverLimit: true}}
+	for i := range settings.Classes {
+		settings.Classes[i].LateWeight = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "late weight")
 	}
-	return set
+	return settings
 }
 
-func newRandomRun(c *invariant.Checks, set Settings, seed uint64) *randomRun {
-	d := &randomRun{r: New(set, seed), c: c, now: start, attempts: map[RequestID]int{}, finished: map[RequestID]bool{},
+func newRandomRun(c *invariant.Checks, settings Settings, seed uint64) *randomRun {
+	run := &randomRun{r: New(settings, seed), c: c, now: start, attempts: map[RequestID]int{}, finished: map[RequestID]bool{},
 		finalAnswers: map[RequestID]int{}}
-	d.r.EnableChecks(c, 1)
+	run.r.EnableChecks(c, 1)
 	var entries []Endpoint
 	for g := range 2 {
 		for i := range 3 {
 			id := ServerID(fmt.Sprintf("s%d%d", g, i))
-			d.servers = append(d.servers, id)
+			run.servers = append(run.servers, id)
 			entries = append(entries, Endpoint{Server: id, Group: g, Zone: i, Capacity: 1, Primary: i == 0})
 		}
 	}
-	d.do(&EndpointList{Kind: ListRestored, Endpoints: entries})
-	return d
+	run.do(&EndpointList{Kind: ListRestored, Endpoints: entries})
+	return run
 }
 
-func (d *randomRun) do(ev Event) {
-	for _, a := range d.r.Handle(d.now, ev, nil) {
+func (run *randomRun) do(ev Event) {
+	for _, a := range run.r.Handle(run.now, ev, nil) {
 		switch a.Kind {
 		case Send:
-			a.Attempt = d.attempts[a.ID]
-			d.attempts[a.ID]++
-			d.openAttempts = append(d.openAttempts, a)
+			a.Attempt = run.attempts[a.ID]
+			run.attempts[a.ID]++
+			run.openAttempts = append(run.openAttempts, a)
 		case Reject, Fail:
-			d.finished[a.ID] = true
-			d.finalAnswers[a.ID]++
+			run.finished[a.ID] = true
+			run.finalAnswers[a.ID]++
 		case HealthCheck:
-			d.healthChecks = append(d.healthChecks, a.Server)
+			run.healthChecks = append(run.healthChecks, a.Server)
 		case SetTimer:
-			d.timers++
+			run.timers++
 		}
 	}
 }
 
-func (d *randomRun) report(t *rapid.T) Report {
-	rep := Report{Role: Role(rapid.IntRange(0, 2).Draw(t, "role")), HasPosition: rapid.Bool().Draw(t, "placed"),
-		HasInFlight: rapid.Bool().Draw(t, "loaded"), InFlight: rapid.Float64Range(0, 30).Draw(t, "in flight")}
+func (run *randomRun) report(t *rapid.T) Report {
+	rep := Report{Role: Role(rapid.IntRange(0, 2).Draw(t, "role")), HasPosition: rapid.Bool().Draw(t, "has position"),
+		HasInFlight: rapid.Bool().Draw(t, "has in flight"), InFlight: rapid.Float64Range(0, 30).Draw(t, "in flight")}
 	if rep.HasPosition {
-		rep.Position = d.now + rapid.SampledFrom([]Time{-10 * time.Second, -400 * ms, -200 * ms, -20 * ms, 0, 20 * ms}).Draw(t, "position")
+		rep.Position = run.now + rapid.SampledFrom([]Time{-10 * time.Second, -400 * ms, -200 * ms, -20 * ms, 0, 20 * ms}).Draw(t, "position")
 	}
 	return rep
 }
 
 // end ends a random attempt with a random result.
-func (d *randomRun) end(t *rapid.T) {
-	if len(d.openAttempts) == 0 {
+func (run *randomRun) end(t *rapid.T) {
+	if len(run.openAttempts) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(d.openAttempts)-1).Draw(t, "attempt")
-	a := d.openAttempts[i]
-	d.openAttempts = slices.Delete(d.openAttempts, i, i+1)
+	i := rapid.IntRange(0, len(run.openAttempts)-1).Draw(t, "attempt")
+	a := run.openAttempts[i]
+	run.openAttempts = slices.Delete(run.openAttempts, i, i+1)
 	res := Result(rapid.IntRange(0, int(Misdirected)).Draw(t, "result"))
 	if res == OK {
-		d.finished[a.ID] = true
+		run.finished[a.ID] = true
 	}
-	ev := &Outcome{ID: a.ID, Attempt: a.Attempt, Server: a.Server, Result: res, Final: d.finished[a.ID]}
+	ev := &Outcome{ID: a.ID, Attempt: a.Attempt, Server: a.Server, Result: res, Final: run.finished[a.ID]}
 	if res == OK || res == Misdirected || res == Failed {
-		ev.Reported = d.report(t)
+		ev.Reported = run.report(t)
 		if rapid.Bool().Draw(t, "report") {
-			ev.Load = d.report(t)
+			ev.Load = run.report(t)
 		}
 	}
-	d.do(ev)
+	run.do(ev)
 }
 
-func (d *randomRun) request(t *rapid.T) {
-	d.lastRequest++
-	d.do(&Request{ID: RequestID(fmt.Sprint(d.lastRequest)), Class: rapid.IntRange(0, 5).Draw(t, "class"),
+func (run *randomRun) request(t *rapid.T) {
+	run.lastRequest++
+	run.do(&Request{ID: RequestID(fmt.Sprint(run.lastRequest)), Class: rapid.IntRange(0, 5).Draw(t, "class"),
 		Group:  rapid.IntRange(0, 2).Draw(t, "group"),
-		Tenant: rapid.IntRange(-1, 1).Draw(t, "tenant"), Deadline: d.now + Time(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "due")),
-		Session: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "session"), SinceCommit: Time(rapid.Int64Range(0, int64(time.Second)).Draw(t, "own")),
-		ClientRetry: rapid.Bool().Draw(t, "repeat"), WorkHint: Time(rapid.Int64Range(0, int64(200*ms)).Draw(t, "work"))})
+		Tenant: rapid.IntRange(-1, 1).Draw(t, "tenant"), Deadline: run.now + Time(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "deadline")),
+		Session: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "session"), SinceCommit: Time(rapid.Int64Range(0, int64(time.Second)).Draw(t, "since commit")),
+		ClientRetry: rapid.Bool().Draw(t, "client retry"), WorkHint: Time(rapid.Int64Range(0, int64(200*ms)).Draw(t, "work hint"))})
 }
 
 // TestInvariants checks the router's invariants under random settings, lists, requests, outcomes, health checks, timers
 // and pauses in any order.
 func TestInvariants(t *testing.T) {
 	deterministic.Check(t, func(t *rapid.T) {
-		d := newRandomRun(invariant.Test(t), drawSettings(t), rapid.Uint64().Draw(t, "seed"))
+		run := newRandomRun(invariant.Test(t), drawSettings(t), rapid.Uint64().Draw(t, "seed"))
 		many := func(do func(*rapid.T)) func(*rapid.T) {
 			return func(t *rapid.T) {
 				for range rapid.IntRange(1, 8).Draw(t, "times") {
@@ -133,53 +133,53 @@
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"request": many(d.request), "end": many(d.end),
-			"pass": func(t *rapid.T) {
+			"request": many(run.request), "end": many(run.end),
+			"pass time": func(t *rapid.T) {
 				for range rapid.IntRange(1, 20).Draw(t, "ticks") {
-					if d.now += tickInterval; d.timers > 0 {
-						d.timers--
-						d.do(&Timer{})
+					if run.now += tickInterval; run.timers > 0 {
+						run.timers--
+						run.do(&Timer{})
 					}
 				}
 			},
-			"stand still": func(t *rapid.T) { d.now += Time(rapid.Int64Range(int64(ms), int64(6*time.Second)).Draw(t, "ms")) },
+			"stall": func(t *rapid.T) { run.now += Time(rapid.Int64Range(int64(ms), int64(6*time.Second)).Draw(t, "ms")) },
 			"health check result": func(t *rapid.T) {
-				if len(d.healthChecks) > 0 {
-					s := d.healthChecks[0]
-					d.healthChecks = d.healthChecks[1:]
+				if len(run.healthChecks) > 0 {
+					s := run.healthChecks[0]
+					run.healthChecks = run.healthChecks[1:]
 					ev := &HealthCheckResult{Server: s, Result: rapid.SampledFrom([]Result{OK, OK, OK, Overloaded, TimedOut,
 						Unreachable}).Draw(t, "result")}
 					if ev.Result == OK {
-						ev.Load = d.report(t)
+						ev.Load = run.report(t)
 					}
-					d.do(ev)
+					run.do(ev)
 				}
 			},
 			"list": func(t *rapid.T) {
 				l := &EndpointList{Kind: ListKind(rapid.IntRange(0, int(ListFailed)).Draw(t, "kind"))}
-				for _, s := range rapid.SliceOfDistinct(rapid.SampledFrom(append(d.servers, "new")), rapid.ID).Draw(t, "named") {
+				for _, s := range rapid.SliceOfDistinct(rapid.SampledFrom(append(run.servers, "new")), rapid.ID).Draw(t, "servers") {
 					l.Endpoints = append(l.Endpoints, Endpoint{Server: s, Group: int(s[1]) % 2, Capacity: 1,
 						State:   ServerState(rapid.IntRange(0, 2).Draw(t, "state")),
-						Started: d.now - Time(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "age"))})
+						Started: run.now - Time(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "age"))})
 				}
 				if l.Kind == ListFailed {
 					l.Endpoints = nil
 				}
-				d.do(l)
+				run.do(l)
 			},
 			"abandon": func(t *rapid.T) {
-				if d.lastRequest > 0 {
-					id := RequestID(fmt.Sprint(rapid.IntRange(1, d.lastRequest).Draw(t, "request")))
-					if !d.finished[id] {
-						d.finished[id] = true
-						d.do(&Abandoned{ID: id})
+				if run.lastRequest > 0 {
+					id := RequestID(fmt.Sprint(rapid.IntRange(1, run.lastRequest).Draw(t, "request")))
+					if !run.finished[id] {
+						run.finished[id] = true
+						run.do(&Abandoned{ID: id})
 					}
 				}
 			},
-			"reload": func(t *rapid.T) { d.do(&Reload{Settings: drawSettings(t)}) },
-			"merge":  func(*rapid.T) { d.r.Merge(d.now, d.r.Snapshot()) },
+			"reload": func(t *rapid.T) { run.do(&Reload{Settings: drawSettings(t)}) },
+			"merge":  func(*rapid.T) { run.r.Merge(run.now, run.r.Snapshot()) },
 			"": func(t *rapid.T) {
-				for id, n := range d.finalAnswers {
+				for id, n := range run.finalAnswers {
 					if n > 1 {
 						t.Errorf("%s had %d answers", id, n)
 					}
@@ -200,9 +200,9 @@
 		return &request{id: "h", group: h.r.groups[0], class: &h.r.classes[0], deadline: h.now + time.Hour}
 	}
 	for _, m := range []struct {
-		name string
-		poke func(*harness)
-		do   func(*harness) []Action
+		name    string
+		corrupt func(*harness)          // changes the state before do, nil for no change
+		do      func(*harness) []Action // returns the actions to check
 	}{
 		{"decide: each request has one final answer", nil, func(*harness) []Action { return []Action{{Kind: Reject, ID: "none"}} }},
 		{"decide: only an attempt in flight is cancelled", nil, func(*harness) []Action { return []Action{{Kind: Cancel, ID: "w", Attempt: 3}} }},
@@ -240,8 +240,7 @@
 		{"decide: a request waits once", func(h *harness) { req := newWaiting(h); req.group.waiting = []*request{req, req} }, none},
 		{"decide: a request waits in its group", func(h *harness) {
 			req := newWaiting(h)
-			req.group.waiting,
-				req.group = []*request{req}, &group{}
+			req.group.waiting, req.group = []*request{req}, &group{}
 		}, none},
 		{"decide: after a tick no request that waits is over",
 			func(h *harness) { req := newWaiting(h); req.finished, req.group.waiting = true, []*request{req} }, none},
@@ -249,8 +248,7 @@
 		{"decide: a request that is known has no final answer", func(h *harness) { h.r.requests["x"] = newWaiting(h) }, none},
 		{"decide: a request's attempts are counted", func(h *harness) { h.r.requests["w"].openAttempts = 2 }, none},
 		{"decide: a request is in flight or waits", func(h *harness) {
-			h.r.requests["w"].attempts[0].ended,
-				h.r.requests["w"].openAttempts = true, 0
+			h.r.requests["w"].attempts[0].ended, h.r.requests["w"].openAttempts = true, 0
 		}, none},
 		{"decide: a timer is pending while anything is open", func(h *harness) { h.r.timerAt = never }, none},
 	} {
@@ -258,14 +256,14 @@
 		h.wantSend(h.request("w", classKeyedWrite), "w", "p")
 		c := invariant.New(nil)
 		h.r.checker.checks = c
-		w := h.r.checker
-		if w.walk(h.r, &Timer{}); len(c.Breaches()) > 0 {
+		checker := h.r.checker
+		if checker.walk(h.r, &Timer{}); len(c.Breaches()) > 0 {
 			t.Errorf("%q: breaches before the violation: %v", m.name, c.Breaches())
 		}
-		if m.poke != nil {
-			m.poke(h)
+		if m.corrupt != nil {
+			m.corrupt(h)
 		}
-		w.observe(h.r, &Timer{}, m.do(h))
+		checker.observe(h.r, &Timer{}, m.do(h))
 		if !slices.ContainsFunc(c.Breaches(), func(b invariant.Breach) bool { return b.Name == m.name }) {
 			t.Errorf("%q is not reported, but %v", m.name, c.Breaches())
 		}
--- a/internal/decide/load.go
+++ b/internal/decide/load.go
@@ -32,12 +32,12 @@
 // loadOf returns a server's load: this router's attempts except for lost ones, and those of other routers.
 // The latter are as reported; as the report ages, an estimate replaces it.
 func (r *Router) loadOf(server *server) serverLoad {
-	own := float64(server.countedAttempts())
-	fresh := r.evidenceWeight(server.loadReportedAt, loadReportMemory)
-	estimate := (1 - fresh) * r.estimateOthersLoad(server)
-	own += server.othersLoad * fresh
-	mostEvident := othersEvidenceFraction * float64(server.countedAttempts()*(r.settings.Peers-1))
-	return serverLoad{likely: own + estimate, evident: own + min(estimate, mostEvident)}
+	known := float64(server.countedAttempts())
+	reportWeight := r.evidenceWeight(server.loadReportedAt, loadReportMemory)
+	estimate := (1 - reportWeight) * r.estimateOthersLoad(server)
+	known += server.othersLoad * reportWeight
+	maxEvident := othersEvidenceFraction * float64(server.countedAttempts()*(r.settings.Peers-1))
+	return serverLoad{likely: known + estimate, evident: known + min(estimate, maxEvident)}
 }
 
 // estimateOthersLoad estimates the load of other routers at a server, assuming that each sends as many
--- a/internal/decide/positioncheck_test.go
+++ b/internal/decide/positioncheck_test.go
@@ -132,11 +132,11 @@
 // once for each read. The test guards against a read that waits because the primary was checked for the read before,
 // and so not again for half of the shortest objective.
 func TestPrimaryIsCheckedOnceForEachSessionRead(t *testing.T) {
-	set := testSettings()
-	for i := range set.Classes {
-		set.Classes[i].LatencyObjective, set.Classes[i].Deadline = 5*time.Second, 10*time.Second
+	settings := testSettings()
+	for i := range settings.Classes {
+		settings.Classes[i].LatencyObjective, settings.Classes[i].Deadline = 5*time.Second, 10*time.Second
 	}
-	h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1}, Endpoint{Server: "a", Capacity: 8}, Endpoint{Server: "b", Capacity: 8})
+	h := newHarness(t, settings, Endpoint{Server: "p", Capacity: 1}, Endpoint{Server: "a", Capacity: 8}, Endpoint{Server: "b", Capacity: 8})
 	h.report("p", RolePrimary, h.now)
 	h.report("a", RoleReplica, h.now)
 	h.report("b", RoleReplica, h.now)
--- a/internal/decide/primary_test.go
+++ b/internal/decide/primary_test.go
@@ -14,7 +14,7 @@
 		s.Classes[classWriteOnce].PriorityWeight = 1 // as much as a read, for twice the work
 	})
 	h.r.classes[classWriteOnce].averageWork = 2 * h.r.classes[classBounded].averageWork
-	p, in := h.r.servers["p"], map[int]int{}
+	p, admitted := h.r.servers["p"], map[int]int{}
 	for i := range 500 {
 		c := &h.r.classes[classBounded]
 		if i%5 == 0 {
@@ -23,18 +23,18 @@
 		h.r.countUrgency(&request{group: p.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now})
 	}
 	for _, c := range h.r.backlogsOf(p) {
-		c.throttle, c.updatedAt, c.cutoffAt = 0.4, h.now, never // two thirds of the demand are admitted
+		c.throttle, c.updatedAt, c.cutoffAt = 0.4, h.now, never // admits two thirds of the demand
 	}
 	for draw := 0.005; draw < 1; draw += 0.01 {
-		for _, no := range []int{classBounded, classWriteOnce} {
-			c := &h.r.classes[no]
+		for _, index := range []int{classBounded, classWriteOnce} {
+			c := &h.r.classes[index]
 			if h.r.admits(p, &request{group: p.group, class: c, weight: c.PriorityWeight, relativeWork: 1, objectiveAt: h.now, admissionDraw: draw}) {
-				in[no]++
+				admitted[index]++
 			}
 		}
 	}
-	if in[classWriteOnce] != 100 || in[classBounded] == 0 || in[classBounded] == 100 {
-		t.Errorf("admitted %v of 100 each by class: want all writes (class %d) and some of the reads (class %d)", fmt.Sprint(in), classWriteOnce, classBounded)
+	if admitted[classWriteOnce] != 100 || admitted[classBounded] == 0 || admitted[classBounded] == 100 {
+		t.Errorf("admitted %v of 100 each by class: want all writes (class %d) and some of the reads (class %d)", fmt.Sprint(admitted), classWriteOnce, classBounded)
 	}
 }
 
@@ -102,9 +102,9 @@
 	h.wantSend(h.report("p", RolePrimary, h.now-200*ms), "1", "p")
 
 	for _, checks := range []bool{true, false} {
-		set := testSettings()
-		set.ListShowsRole, set.MayCheckHealth = true, checks
-		h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1, Primary: true}, Endpoint{Server: "a", Capacity: 1})
+		settings := testSettings()
+		settings.ListShowsRole, settings.MayCheckHealth = true, checks
+		h := newHarness(t, settings, Endpoint{Server: "p", Capacity: 1, Primary: true}, Endpoint{Server: "a", Capacity: 1})
 		if sent := len(actionsOf(Send, h.request("1", classBounded))) > 0; sent == checks {
 			t.Errorf("sent by the list's role alone: %v, with health checks allowed: %v", sent, checks)
 		}
--- a/internal/decide/reporttime_test.go
+++ b/internal/decide/reporttime_test.go
@@ -117,9 +117,9 @@
 // ListStaleAfter, when missed changes count as known.
 func TestSubscriptionIsRenewedBeforeTheListIsStale(t *testing.T) {
 	for seed := range uint64(50) {
-		set := testSettings()
-		set.WatchList, set.ListStaleAfter, set.Peers = true, 2*second, 1000
-		r := New(set, seed)
+		settings := testSettings()
+		settings.WatchList, settings.ListStaleAfter, settings.Peers = true, 2*second, 1000
+		r := New(settings, seed)
 		now, subscribed := Time(start), 0
 		out := r.Handle(now, &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "p"}}}, nil)
 		for failed := now; now < start+10*second; now += tickInterval {
--- a/internal/decide/request.go
+++ b/internal/decide/request.go
@@ -243,7 +243,7 @@
 	switch {
 	case r.mustAnswerNow(request):
 		return ReasonDeadline
-	case r.attemptsExhausted(request):
+	case r.mustNotBeSent(request):
 		return ReasonMaxAttempts
 	case r.now+r.earliestAnswer(request) > request.giveUpAt:
 		return ReasonTooLate
--- a/internal/decide/retries.go
+++ b/internal/decide/retries.go
@@ -1,8 +1,8 @@
 package decide
 
-// attemptsExhausted reports whether a request must not be sent now or later: it has had all its attempts, a
+// mustNotBeSent reports whether a request must not be sent now or later: it has had all its attempts, a
 // duplicate is not allowed, its key window ends (so that it could run twice), or it is shed.
-func (r *Router) attemptsExhausted(request *request) bool {
+func (r *Router) mustNotBeSent(request *request) bool {
 	if len(request.attempts) >= r.settings.MaxAttempts {
 		return true
 	}
--- a/internal/decide/retries_test.go
+++ b/internal/decide/retries_test.go
@@ -120,7 +120,7 @@
 	for i := 0; h.r.hasCapacity(h.r.servers["p"], &request{class: &h.r.classes[classAny]}); i++ {
 		h.request(RequestID(fmt.Sprint("fill", i)), classAny)
 	}
-	h.handle(&Request{ID: "repeat", Class: classAny, Deadline: h.now + time.Second, ClientRetry: true})
+	h.handle(&Request{ID: "retry", Class: classAny, Deadline: h.now + time.Second, ClientRetry: true})
 	h.request("first", classAny)
 	h.now += 10 * ms
 	if got := actionsOf(Send, h.end("fill0", 0, "p", OK)); len(got) == 0 || got[0].ID != "first" {
--- a/internal/decide/retrybudget_test.go
+++ b/internal/decide/retrybudget_test.go
@@ -43,10 +43,10 @@
 	if s := h.r.RetryBudgets(); len(s) != 1 || s[0].Waiting != 1 || s[0].Remaining != 0.5 {
 		t.Fatalf("budgets %+v", s)
 	}
-	set := h.r.settings
-	b := *set.RetryBudget
-	b.Lent, set.RetryBudget = map[int]float64{h.r.groupsByNumber[0].id: 0.5}, &b
-	h.handle(&Reload{Settings: set})
+	settings := h.r.settings
+	b := *settings.RetryBudget
+	b.Lent, settings.RetryBudget = map[int]float64{h.r.groupsByNumber[0].id: 0.5}, &b
+	h.handle(&Reload{Settings: settings})
 	if n := len(actionsOf(Send, h.advance(50*ms))); n != 1 {
 		t.Fatalf("after the loan the read was sent %d times, want 1", n)
 	}
@@ -71,18 +71,18 @@
 		for i := range rapid.IntRange(1, 60).Draw(rt, "requests") {
 			id := RequestID(fmt.Sprint("r", i))
 			acts := h.request(id, classAny)
-			for no := 0; no < 3; no++ {
+			for number := 0; number < 3; number++ {
 				got := actionsOf(Send, acts)
 				if len(got) == 0 {
 					break
 				}
-				if no == 0 {
+				if number == 0 {
 					firsts++
 				} else {
 					duplicates++
 				}
 				res := rapid.SampledFrom([]Result{OK, Failed, Reset, TimedOut}).Draw(rt, "result")
-				acts = append(h.end(id, no, got[0].Server, res), h.advance(20*ms)...)
+				acts = append(h.end(id, number, got[0].Server, res), h.advance(20*ms)...)
 			}
 		}
 		if most := h.r.settings.RetryBudget.MaxRetries(firsts, 1, 10, time.Duration(h.now)); float64(duplicates) > most+1e-9 {
--- a/internal/decide/router_test.go
+++ b/internal/decide/router_test.go
@@ -41,14 +41,14 @@
 	var all []Action
 	var open []Action
 	answered := map[RequestID]int{}
-	tries := map[RequestID]int{}
+	attempts := map[RequestID]int{}
 	take := func(out []Action) {
 		all = append(all, out...)
 		for _, a := range out {
 			switch a.Kind {
 			case Send:
-				a.Attempt = tries[a.ID]
-				tries[a.ID]++
+				a.Attempt = attempts[a.ID]
+				attempts[a.ID]++
 				open = append(open, a)
 			case Reject, Fail:
 				answered[a.ID]++
@@ -151,13 +151,13 @@
 
 // BenchmarkHandle measures a read and its answer, in one of 250 routers with 90 servers.
 func BenchmarkHandle(b *testing.B) {
-	set := testSettings()
-	set.Peers, set.StaleReads = 250, StaleReadsRefused
+	settings := testSettings()
+	settings.Peers, settings.StaleReads = 250, StaleReadsRefused
 	var entries []Endpoint
 	for i := range 90 {
 		entries = append(entries, Endpoint{Server: ServerID(fmt.Sprint(i)), Group: i / 6})
 	}
-	r := New(set, 1)
+	r := New(settings, 1)
 	out := r.Handle(start, &EndpointList{Kind: ListRestored, Endpoints: entries}, nil)
 	b.ReportAllocs()
 	now := start
@@ -177,13 +177,13 @@
 // now and then (repeated, with moved servers, in contradictory order) cause no panic, and memory stays bounded.
 func TestUnusualInputNeitherPanicsNorLeaks(t *testing.T) {
 	for _, peers := range []int{-1, 0, 1, 1000} {
-		set := testSettings()
-		set.Peers, set.DrainOnly = peers, true
+		settings := testSettings()
+		settings.Peers, settings.DrainOnly = peers, true
 		var list []Endpoint
 		for i := range 500 {
 			list = append(list, Endpoint{Server: ServerID(fmt.Sprint("s", i)), Group: i % 100, Kind: i % 3})
 		}
-		h := newHarness(t, set, list...)
+		h := newHarness(t, settings, list...)
 		for i := range 1000 { // a thousand groups with one request each
 			h.handle(&Request{ID: RequestID(fmt.Sprint(i)), Class: classAny, Group: i, Deadline: h.now + time.Second})
 		}
--- a/internal/decide/server.go
+++ b/internal/decide/server.go
@@ -18,7 +18,7 @@
 const (
 	healthy  healthState = iota
 	halfOpen             // gets a few requests at a time until it answers one
-	ejected              // gets no request until a health check succeeds
+	ejected              // gets no request until a health check succeeds or a trial starts
 )
 
 // String returns the state's name.
--- a/internal/decide/shedding_test.go
+++ b/internal/decide/shedding_test.go
@@ -29,10 +29,10 @@
 			t.Fatalf("a retry ranks at %g, the first attempt at %g", retry, first)
 		}
 	})
-	set := Settings{Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, Peers: 1,
+	settings := Settings{Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, Peers: 1,
 		Shedding: map[int]*SheddingPolicy{4: s}, MaxRetryAfter: 2 * time.Second}
 	rejected, waits := 0, map[time.Duration]bool{}
-	a, b := New(set, 1), New(set, 2)
+	a, b := New(settings, 1), New(settings, 2)
 	for i := range 1000 {
 		isRejected := func(r *Router) (found bool) {
 			ev := &Request{ID: RequestID(fmt.Sprint(i)), Group: 4, Tenant: -1, Session: fmt.Sprint("s", i), Deadline: Time(time.Hour + time.Second)}
--- a/internal/decide/slowstart.go
+++ b/internal/decide/slowstart.go
@@ -36,7 +36,8 @@
 }
 
 // slowStartBudget returns the work that all routers together may send to a cold server in a span, divided by
-// the number of processes per router.
+// the number of processes per router. The configured budget is halved, as in one span a router may send both
+// what the bucket holds and what leaks from it.
 func (r *Router) slowStartBudget(server *server) workSeconds {
 	span := r.settings.SlowStartSpan.Seconds()
 	// The estimate of the server's own rate may be far too high.
@@ -83,10 +84,10 @@
 func (r *Router) recoveryRampAllows(server *server) bool {
 	rate := r.settings.RecoveryRampRate / float64(r.settings.Peers*r.settings.Processes)
 	returnedAt := max(server.ejectedAt, server.startedAt, server.firstListedAt)
-	inUseSince := server.health == healthy && server.ejectedAt != returnedAt
+	usedSinceReturn := server.health == healthy && server.ejectedAt != returnedAt
 	if rate <= 0 {
 		return true
 	}
 	open := len(server.openAttempts)
-	return server.recoveryRamp.AllowsConnection(r.now, returnedAt, inUseSince, open, rate, r.rng.Float64)
+	return server.recoveryRamp.AllowsConnection(r.now, returnedAt, usedSinceReturn, open, rate, r.rng.Float64)
 }
--- a/internal/decide/slowstart_budget_test.go
+++ b/internal/decide/slowstart_budget_test.go
@@ -10,9 +10,9 @@
 // budget.
 func TestColdServerStaysWithinItsBudget(t *testing.T) {
 	for _, peers := range []int{1, 3} {
-		set := testSettings()
-		set.Peers = peers
-		h := newHarness(t, set, Endpoint{Server: "a", Started: start})
+		settings := testSettings()
+		settings.Peers = peers
+		h := newHarness(t, settings, Endpoint{Server: "a", Started: start})
 		h.report("a", RoleReplica, h.now)
 		sent := 0
 		for i := range 200 {
@@ -26,7 +26,7 @@
 			}
 		}
 		work := float64(sent) * h.r.classes[classAny].averageWork
-		most := set.SlowStartMultiple * 0.3 * fullRateConcurrency * initialKindRate / float64(peers)
+		most := settings.SlowStartMultiple * 0.3 * fullRateConcurrency * initialKindRate / float64(peers)
 		if sent == 0 || work > most {
 			t.Errorf("%d routers: %d sends, %v of work, want some and at most %v", peers, sent, work, most)
 		}
@@ -50,18 +50,18 @@
 // of what they send must neither be zero nor exceed the budget. Fails if a router only sends what fits into its share.
 func TestManyRoutersTogetherKeepTheSlowStartBudget(t *testing.T) {
 	const routers = 200
-	set := testSettings()
-	set.Peers = routers
+	settings := testSettings()
+	settings.Peers = routers
 	var all []*harness
 	for i := range routers {
-		h := &harness{t: t, r: New(set, uint64(i+1)), now: start}
+		h := &harness{t: t, r: New(settings, uint64(i+1)), now: start}
 		h.handle(&EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "p", Primary: true}}})
 		h.handle(&EndpointList{Kind: ListChanges, Endpoints: []Endpoint{{Server: "p", Started: start}}})
 		all = append(all, h)
 	}
 	work := all[0].r.classes[classAny].averageWork
-	allowed := set.SlowStartMultiple * set.SlowStartFrom * fullRateConcurrency * initialKindRate // work per second just after the start
-	var sent []float64                                                                           // work by tenth of a second
+	allowed := settings.SlowStartMultiple * settings.SlowStartFrom * fullRateConcurrency * initialKindRate // work per second just after the start
+	var sent []float64                                                                                     // work by tenth of a second
 	for step := range 30 {
 		n := 0
 		for i, h := range all {
--- a/internal/decide/slowstart_parts_test.go
+++ b/internal/decide/slowstart_parts_test.go
@@ -12,12 +12,12 @@
 	var move func()
 	move = func() {
 		for i := range f.routers {
-			set := f.set
-			set.SlowStartAssigned, set.SlowStartShare = true, 0.1/float64(len(f.routers)-1)
+			settings := f.settings
+			settings.SlowStartAssigned, settings.SlowStartShare = true, 0.1/float64(len(f.routers)-1)
 			if i == holder {
-				set.SlowStartShare = 0.9
+				settings.SlowStartShare = 0.9
 			}
-			f.handle(i, &Reload{Settings: set})
+			f.handle(i, &Reload{Settings: settings})
 		}
 		holder = (holder + 1) % len(f.routers)
 		if when := f.now + every; when < to {
@@ -50,7 +50,7 @@
 // TestSlowStartDrawsOnlyForTheChosenServer: a request that goes to a cheaper server does not use up the draw of a server
 // in slow start that costs more.
 func TestSlowStartDrawsOnlyForTheChosenServer(t *testing.T) {
-	h := newGroupOfThree(t, func(set *Settings) { set.Peers = 300 })
+	h := newGroupOfThree(t, func(settings *Settings) { settings.Peers = 300 })
 	cold := h.r.servers["b"]
 	cold.startedAt, cold.slowStartDrawAt, cold.relativeRate = h.now-time.Second, h.now-time.Second, 0.01
 	before := cold.slowStartDrawAt
--- a/internal/decide/slowstart_test.go
+++ b/internal/decide/slowstart_test.go
@@ -24,7 +24,7 @@
 // clients far exceeds what the primary may get.
 type slowStartFleet struct {
 	t        *testing.T
-	set      Settings
+	settings Settings
 	rng      *rand.Rand
 	routers  []*Router
 	now      Time
@@ -54,28 +54,28 @@
 // fleetEvents is a heap of events, the earliest first.
 type fleetEvents []fleetEvent
 
-func (h fleetEvents) Len() int { return len(h) }
+func (events fleetEvents) Len() int { return len(events) }
 
-func (h fleetEvents) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].sequence, h[j].sequence)) < 0
+func (events fleetEvents) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(events[i].at, events[j].at), cmp.Compare(events[i].sequence, events[j].sequence)) < 0
 }
 
-func (h fleetEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (events fleetEvents) Swap(i, j int) { events[i], events[j] = events[j], events[i] }
 
-func (h *fleetEvents) Push(x any) { *h = append(*h, x.(fleetEvent)) }
+func (events *fleetEvents) Push(x any) { *events = append(*events, x.(fleetEvent)) }
 
-func (h *fleetEvents) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
+func (events *fleetEvents) Pop() any {
+	last := (*events)[len(*events)-1]
+	*events = (*events)[:len(*events)-1]
 	return last
 }
 
 func newSlowStartFleet(t *testing.T, routers int, seed uint64, change func(*Settings)) *slowStartFleet {
 	t.Helper()
-	f := &slowStartFleet{t: t, set: testSettings(), rng: rand.New(rand.NewPCG(seed, 1)), now: start, started: start - time.Hour}
-	f.set.Peers, f.set.MaxAttempts, f.set.SlowStartTime = routers, 8, 18*time.Second
+	f := &slowStartFleet{t: t, settings: testSettings(), rng: rand.New(rand.NewPCG(seed, 1)), now: start, started: start - time.Hour}
+	f.settings.Peers, f.settings.MaxAttempts, f.settings.SlowStartTime = routers, 8, 18*time.Second
 	if change != nil {
-		change(&f.set)
+		change(&f.settings)
 	}
 	f.answer = (*slowStartFleet).served
 	for i := range routers {
@@ -87,13 +87,13 @@
 
 // work returns the time that a single request takes at a warm server, which is also the initial estimate of routers.
 func (f *slowStartFleet) work() time.Duration {
-	return time.Duration(initialWorkFraction * float64(f.set.Classes[classKeyedWrite].LatencyObjective))
+	return time.Duration(initialWorkFraction * float64(f.settings.Classes[classKeyedWrite].LatencyObjective))
 }
 
 // warmUpFactor returns the fraction of its capacity that the primary has.
 func (f *slowStartFleet) warmUpFactor(at Time) float64 {
-	age := (at - f.started).Seconds() / f.set.SlowStartTime.Seconds()
-	return f.set.SlowStartFrom + (1-f.set.SlowStartFrom)*min(1, age)
+	age := (at - f.started).Seconds() / f.settings.SlowStartTime.Seconds()
+	return f.settings.SlowStartFrom + (1-f.settings.SlowStartFrom)*min(1, age)
 }
 
 // served returns the outcome of an attempt that the primary answers.
@@ -103,7 +103,7 @@
 
 // begin starts or replaces router i. The new router gets the list and one report of each server, and no snapshot.
 func (f *slowStartFleet) begin(i int) {
-	r := New(f.set, f.rng.Uint64())
+	r := New(f.settings, f.rng.Uint64())
 	f.routers[i] = r
 	entry := Endpoint{Server: "p", Primary: true}
 	if f.started > start {
@@ -150,8 +150,8 @@
 				f.sends = append(f.sends, slowStartSend{f.now, f.started, f.allowed(f.now)})
 				result, took = f.answer(f)
 			}
-			no := len(r.requests[a.ID].attempts) - 1
-			f.later(took, i, &Outcome{ID: a.ID, Attempt: no, Server: a.Server, Result: result, Final: result == OK})
+			number := len(r.requests[a.ID].attempts) - 1
+			f.later(took, i, &Outcome{ID: a.ID, Attempt: number, Server: a.Server, Result: result, Final: result == OK})
 		}
 	}
 }
@@ -206,7 +206,7 @@
 // allowed returns the number of attempts of average work that the settings allow the primary in a span that ends at the
 // given time.
 func (f *slowStartFleet) allowed(at Time) float64 {
-	return f.set.SlowStartMultiple * f.warmUpFactor(at) * fullRateConcurrency * initialKindRate * f.set.SlowStartSpan.Seconds() / f.work().Seconds()
+	return f.settings.SlowStartMultiple * f.warmUpFactor(at) * fullRateConcurrency * initialKindRate * f.settings.SlowStartSpan.Seconds() / f.work().Seconds()
 }
 
 // fullestSpan returns the number of attempts, and the number allowed, in the span that exceeds its bound most, over all
@@ -218,7 +218,7 @@
 			first = i + 1
 			continue
 		}
-		for f.sends[first].at <= last.at-f.set.SlowStartSpan || f.sends[first].started != last.started {
+		for f.sends[first].at <= last.at-f.settings.SlowStartSpan || f.sends[first].started != last.started {
 			first++
 		}
 		if over := float64(i-first+1) - slowStartBound(last.allowed); over > most {
@@ -242,23 +242,23 @@
 	for _, c := range slowStartCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			var parts []float64
+			var ratios []float64
 			total := 0
 			for seed := range c.seeds {
 				f := newSlowStartFleet(t, c.routers, uint64(seed+1), change)
 				attempts, allowed := f.fullestSpan(play(f))
-				parts = append(parts, float64(attempts)/allowed)
+				ratios = append(ratios, float64(attempts)/allowed)
 				total += len(f.sends)
 				if bound := slowStartBound(allowed); float64(attempts) > bound {
-					t.Errorf("seed %d: %d attempts in %v, %.1f are allowed, want at most %.1f", seed+1, attempts, f.set.SlowStartSpan, allowed, bound)
+					t.Errorf("seed %d: %d attempts in %v, %.1f are allowed, want at most %.1f", seed+1, attempts, f.settings.SlowStartSpan, allowed, bound)
 				}
 			}
 			if total == 0 {
 				t.Error("nothing was sent")
 			}
-			slices.Sort(parts)
-			t.Logf("attempts in the fullest span, relative to the number allowed: %.2f to %.2f, median %.2f; %d sends in all", parts[0],
-				parts[len(parts)-1], parts[len(parts)/2], total)
+			slices.Sort(ratios)
+			t.Logf("attempts in the fullest span, relative to the number allowed: %.2f to %.2f, median %.2f; %d sends in all", ratios[0],
+				ratios[len(ratios)-1], ratios[len(ratios)/2], total)
 		})
 	}
 }
@@ -323,7 +323,7 @@
 			f.answer = func(*slowStartFleet) (Result, time.Duration) { return OK, ms }
 		})
 		for step := range 12 {
-			f.at(restartAt+time.Second+Time(step)*f.set.SlowStartSpan/3, func() {
+			f.at(restartAt+time.Second+Time(step)*f.settings.SlowStartSpan/3, func() {
 				for i := range f.routers {
 					f.begin(i)
 				}
@@ -362,7 +362,7 @@
 				got++
 			}
 		}
-		allowed += f.allowed((from+to)/2) * float64(to-from) / float64(f.set.SlowStartSpan)
+		allowed += f.allowed((from+to)/2) * float64(to-from) / float64(f.settings.SlowStartSpan)
 	}
 	t.Logf("attempts relative to the number allowed: %.2f", got/allowed)
 	if got < 0.65*allowed { // 0.60 if a draw counts for a quarter of a span only
--- a/internal/decide/snapshot_test.go
+++ b/internal/decide/snapshot_test.go
@@ -12,10 +12,10 @@
 // and within valid ranges.
 func TestMergeTakesNewerAndValidEvidence(t *testing.T) {
 	list := &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "a", Capacity: 1}, {Server: "b", Capacity: 1}}}
-	set := Settings{Peers: 1, Tick: time.Millisecond, MayCheckHealth: true,
+	settings := Settings{Peers: 1, Tick: time.Millisecond, MayCheckHealth: true,
 		Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}}, SlowStartTime: 10 * time.Second, SlowStartFrom: 0.2}
 	made := func() *Router {
-		r := New(set, 1)
+		r := New(settings, 1)
 		r.Handle(100*time.Second, list, nil)
 		return r
 	}
@@ -60,10 +60,10 @@
 // as a single process.
 func TestProcessesShareTheSlowStartBudget(t *testing.T) {
 	allowance := func(processes int) float64 {
-		set := Settings{Peers: 1, Processes: processes, Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}},
+		settings := Settings{Peers: 1, Processes: processes, Classes: []Class{{LatencyObjective: time.Second, PriorityWeight: 1}},
 			SlowStartTime: 10 * time.Second, SlowStartFrom: 0.5,
 			SlowStartMultiple: 2.5, SlowStartSpan: 1500 * time.Millisecond}
-		r := New(set, 1)
+		r := New(settings, 1)
 		r.Handle(100*time.Second, &EndpointList{Kind: ListRestored,
 			Endpoints: []Endpoint{{Server: "a", Capacity: 1, Started: 100 * time.Second}}}, nil)
 		s, req := r.servers["a"], &request{class: &r.classes[0], relativeWork: 1}
--- a/internal/decide/subscription_test.go
+++ b/internal/decide/subscription_test.go
@@ -7,8 +7,8 @@
 
 // longestGap makes each subscription of a router fail after it was open for the given time, and returns the longest time
 // from the start of a call to the start of the next.
-func longestGap(set Settings, seed uint64, open time.Duration) time.Duration {
-	r, now := New(set, seed), Time(start)
+func longestGap(settings Settings, seed uint64, open time.Duration) time.Duration {
+	r, now := New(settings, seed), Time(start)
 	began, longest := now, time.Duration(0)
 	out := r.Handle(now, &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "p"}}}, nil)
 	failed := false
@@ -34,9 +34,9 @@
 		t.Run(name, func(t *testing.T) {
 			for _, open := range []time.Duration{0, 20 * ms, 1200 * ms, 2500 * ms} {
 				for seed := range uint64(40) {
-					set := testSettings()
-					set.WatchList, set.ListStaleAfter, set.Peers = true, staleAfter, 300
-					if gap := longestGap(set, seed, open); gap > 4500*ms+3*tickInterval {
+					settings := testSettings()
+					settings.WatchList, settings.ListStaleAfter, settings.Peers = true, staleAfter, 300
+					if gap := longestGap(settings, seed, open); gap > 4500*ms+3*tickInterval {
 						t.Fatalf("calls that fail after %v, seed %d: %v from one to the next, want at most 4.5 s", open, seed, gap)
 					}
 				}
@@ -49,9 +49,9 @@
 // 2.5 s when it ends, so the next call has to start within 2 s.
 func TestListCallSoonAfterALongSubscription(t *testing.T) {
 	for seed := range uint64(40) {
-		set := testSettings()
-		set.WatchList, set.Peers = true, 300
-		h := &harness{t: t, r: New(set, seed), now: start}
+		settings := testSettings()
+		settings.WatchList, settings.Peers = true, 300
+		h := &harness{t: t, r: New(settings, seed), now: start}
 		h.handle(&EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "a"}}})
 		h.advance(20 * time.Second)
 		h.handle(&EndpointList{Kind: ListFailed})
@@ -66,9 +66,9 @@
 func TestListCallsAreSpreadOverTime(t *testing.T) {
 	var first, last time.Duration = time.Hour, 0
 	for seed := range uint64(300) {
-		set := testSettings()
-		set.WatchList, set.Peers = true, 300
-		r := New(set, seed)
+		settings := testSettings()
+		settings.WatchList, settings.Peers = true, 300
+		r := New(settings, seed)
 		now, out := Time(start), r.Handle(start, &EndpointList{Kind: ListRestored, Endpoints: []Endpoint{{Server: "p"}}}, nil)
 		for len(actionsOf(Subscribe, out)) == 0 {
 			now += tickInterval
--- a/internal/decide/trial_test.go
+++ b/internal/decide/trial_test.go
@@ -11,9 +11,9 @@
 // more, because only a health check would return it to use: a group's only server refused two connections, listened again
 // a moment later, and each request waited for half its deadline and was rejected.
 func TestEjectedServerWithoutHealthChecksGetsTrialRequests(t *testing.T) {
-	set := testSettings()
-	set.MayCheckHealth = false
-	h := newHarness(t, set, Endpoint{Server: "p", Capacity: 1})
+	settings := testSettings()
+	settings.MayCheckHealth = false
+	h := newHarness(t, settings, Endpoint{Server: "p", Capacity: 1})
 	for n := range 2 {
 		id := RequestID(fmt.Sprint("refused", n))
 		h.wantSend(h.request(id, classAny), id, "p")
