--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -34,7 +34,7 @@
 		CompactionRate: o.CompactionBytesPerSecond,
 		Log:            log,
 		Checks:         loggedChecks(checked, log),
-		Store:          loggedChecks(checked, log),
+		StoreChecks:    loggedChecks(checked, log),
 		BatchesPerWalk: checked.WalkInterval,
 	})
 	if err != nil {
--- a/internal/storage/snapshots/snapshots.go
+++ b/internal/storage/snapshots/snapshots.go
@@ -45,7 +45,7 @@
 	CompactionRate int64 // bytes a second; 0 for no bound
 	MaxMemory      int64
 	Checks         *invariant.Checks // of the keeper's goroutine; nil for off
-	Store          *invariant.Checks // of the store; nil for off
+	StoreChecks    *invariant.Checks // of the store; nil for off
 	BatchesPerWalk int
 	MaxAgeMs       float64 // a value that was known to be good longer ago is not used
 	Log            *slog.Logger
@@ -119,7 +119,7 @@
 		SegmentBytes:   k.options.MaxBytes / segmentsPerStore,
 		CompactionRate: k.options.CompactionRate,
 		MaxMemory:      k.options.MaxMemory,
-		Checks:         k.options.Store,
+		Checks:         k.options.StoreChecks,
 		BatchesPerWalk: k.options.BatchesPerWalk,
 	})
 	if err != nil {
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -111,7 +111,7 @@
 		var log bytes.Buffer
 		k, err := Start(Options{
 			FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.NewTextHandler(&log, nil)),
-			Checks: panicOnBreach(), Store: panicOnBreach(), BatchesPerWalk: 1,
+			Checks: panicOnBreach(), StoreChecks: panicOnBreach(), BatchesPerWalk: 1,
 		})
 		if err != nil {
 			return err.Error()
@@ -193,7 +193,7 @@
 		for range rapid.IntRange(1, 4).Draw(rt, "lives") {
 			checks, inner := invariant.New(nil), invariant.New(nil)
 			k, err := Start(Options{
-				FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler), Checks: checks, Store: inner, BatchesPerWalk: 1,
+				FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler), Checks: checks, StoreChecks: inner, BatchesPerWalk: 1,
 			})
 			if err != nil {
 				rt.Fatal(err)
