--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -121,7 +121,7 @@
 			for f, b := range whole {
 				_ = os.WriteFile(f, b[:len(b)-7], 0o600)
 			}
-		}, "kept: its end was not whole", true},
+		}, "kept: dropped an incomplete tail of the store", true},
 	} {
 		_ = os.RemoveAll(dir)
 		_ = os.MkdirAll(dir, 0o750)
--- a/internal/storage/atomicfile/atomicfile.go
+++ b/internal/storage/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile keeps a value in a file that is read whole or not at all: a line with the kind, the checksum and the length of what
-// follows, and the value as JSON.
+// Package atomicfile stores a value in a file that is read completely or not at all. The file has a header line with the kind, the checksum
+// and the length of the body, and the body, which is the value as JSON.
 package atomicfile
 
 import (
@@ -22,13 +22,13 @@
 
 // Errors of a file that cannot be used.
 var (
-	ErrFormat     = errors.New("it is of another kind or version")
-	ErrIncomplete = errors.New("it is not whole")
+	ErrFormat     = errors.New("file is of another kind or version")
+	ErrIncomplete = errors.New("file is truncated or damaged")
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode appends a value; kind names its format and version.
+// Encode appends an encoded value to b; kind names its format and version.
 func Encode(b []byte, kind string, value any) ([]byte, error) {
 	body, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(value)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return append(b, body...), nil
 }
 
-// Decode decodes a value of that kind.
+// Decode decodes a value. It fails with ErrFormat if the file is not of the kind, and with ErrIncomplete if it is truncated or damaged.
 func Decode(b []byte, kind string, value any) error {
 	header, body, complete := bytes.Cut(b, []byte{'\n'})
 	fields, isKind := strings.CutPrefix(string(header), kind+" ")
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// matchesHeader reports whether a body has the checksum and the length that the header says.
+// matchesHeader reports whether a body has the checksum and the length that the header states.
 func matchesHeader(fields string, body []byte) bool {
 	checksumText, sizeText, _ := strings.Cut(fields, " ")
 	checksum, checksumErr := strconv.ParseUint(checksumText, 16, 32)
@@ -65,7 +65,7 @@
 	return size == len(body) && crc32.Checksum(body, checksumTable) == uint32(checksum)
 }
 
-// Read reads a file of at most so many bytes; nil where there is none.
+// Read reads a file of at most maxBytes. It returns nil if the file does not exist.
 func Read(path string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -82,7 +82,7 @@
 	return b, err
 }
 
-// Replace replaces a file: whoever reads finds the old one or the new one, if it is durable also after a loss of power.
+// Replace replaces a file atomically: a reader finds the old content or the new one. With durable, this also holds after a power failure.
 func Replace(path string, content []byte, durable bool) error {
 	dir, name := filepath.Dir(path), filepath.Base(path)
 	if durable {
@@ -103,11 +103,11 @@
 	return err
 }
 
-// moveIntoPlace moves a file to a path. One that is there is exchanged with it and removed, as a rename over it may wait for seconds for a
-// busy disk.
+// moveIntoPlace moves a file to a path. An existing file there is exchanged with the new one and then removed, because a rename over an
+// existing file may take seconds while the disk is busy.
 func moveIntoPlace(from, to string) error {
 	if unix.Renameat2(unix.AT_FDCWD, from, unix.AT_FDCWD, to, unix.RENAME_EXCHANGE) == nil {
 		return os.Remove(from)
 	}
-	return os.Rename(from, to) // nothing is there, or the file system cannot exchange
+	return os.Rename(from, to) // the target does not exist, or the file system does not support the exchange
 }
--- a/internal/storage/atomicfile/atomicfile_test.go
+++ b/internal/storage/atomicfile/atomicfile_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestReplacedFileIsTheOldOrTheNew reads while a file is replaced: it is the old one or the new one, and no other file is left.
-func TestReplacedFileIsTheOldOrTheNew(t *testing.T) {
+// TestReplaceIsAtomic reads a file while it is replaced: each read returns the old or the new content, and no temporary file remains.
+func TestReplaceIsAtomic(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "x.state")
 	values := [][]byte{bytes.Repeat([]byte("a"), 9000), bytes.Repeat([]byte("b"), 5000)}
@@ -32,15 +32,15 @@
 		default:
 		}
 		if b, err := Read(path, 1<<20); err != nil || !bytes.Equal(b, values[0]) && !bytes.Equal(b, values[1]) {
-			t.Errorf("%d bytes are read: %v", len(b), err)
+			t.Errorf("read %d bytes: %v", len(b), err)
 			reading = false
 		}
 	}
 	<-done
 	if b, err := Read(path, 1<<20); err != nil || !bytes.Equal(b, values[1]) {
-		t.Errorf("at the end %d bytes are read: %v", len(b), err)
+		t.Errorf("after the last replacement read %d bytes: %v", len(b), err)
 	}
 	if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
-		t.Errorf("%d files are left: %v", len(files), err)
+		t.Errorf("%d files remain: %v", len(files), err)
 	}
 }
--- a/internal/storage/journal/attempt.go
+++ b/internal/storage/journal/attempt.go
@@ -10,15 +10,15 @@
 	"beechgrade/internal/encoding"
 )
 
-// Attempt is one that may have run. It is stored as a protobuf message, in which no means Number and end Outcome:
+// Attempt is an attempt of a request that may have run at a server. It is stored as a protobuf message, where no is Number and end is Outcome:
 //
 //	message Attempt { string id = 1; string server = 2; double at_ms = 3; uint64 no = 4; uint64 end = 5; }
 type Attempt struct {
-	ID        string  // by which its client knows the request
-	Server    string  // by its id in the endpoint list
-	StartedAt float64 // when it was to be sent, Unix ms
-	Number    int     // of the request's attempts
-	Outcome   uint64  // decide.Result plus 1; 0 where none is known
+	ID        string  // the client's id of the request
+	Server    string  // id in the endpoint list
+	StartedAt float64 // when the attempt was to be sent, Unix ms
+	Number    int     // of the attempt within its request
+	Outcome   uint64  // decide.Result plus 1; 0 if unknown
 }
 
 const (
@@ -29,7 +29,7 @@
 	fieldOutcome   protowire.Number = 5
 )
 
-// OutcomeText returns in words how the attempt ended.
+// OutcomeText describes how the attempt ended.
 func (a *Attempt) OutcomeText() string {
 	switch decide.Result(a.Outcome - 1) {
 	case decide.Failed:
--- a/internal/storage/journal/bytes_test.go
+++ b/internal/storage/journal/bytes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestAttemptBytesStay checks that the bytes of an attempt stay as they are on disks.
-func TestAttemptBytesStay(t *testing.T) {
+// TestAttemptEncodingIsStable checks that the encoding of an attempt does not change, as attempts are stored on disk.
+func TestAttemptEncodingIsStable(t *testing.T) {
 	for _, c := range []struct {
 		a    Attempt
 		want string
@@ -19,11 +19,11 @@
 			t.Errorf("%s, want %s", got, c.want)
 		}
 		if got, err := decode(b); err != nil || got != c.a {
-			t.Errorf("read as %+v, %v", got, err)
+			t.Errorf("decoded as %+v, %v", got, err)
 		}
 	}
-	whole := (&Attempt{ID: "id"}).encode()
-	if _, err := decode(whole[:3]); err == nil || err.Error() != "journal: unexpected EOF" {
-		t.Errorf("of what was cut: %v", err)
+	complete := (&Attempt{ID: "id"}).encode()
+	if _, err := decode(complete[:3]); err == nil || err.Error() != "journal: unexpected EOF" {
+		t.Errorf("truncated attempt: %v", err)
 	}
 }
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -1,6 +1,6 @@
-// Package journal keeps, across crashes, which attempts of requests that must never run twice may have run at a server: an attempt is durable
-// before its first byte is sent, or is being written beside it (Mode), and its outcome after. Package backend/journaled puts a journal before
-// the connections to servers.
+// Package journal records durably which attempts of requests that must not run twice may have run at a server. An attempt is recorded before
+// its first byte is sent or concurrently with it, depending on Mode, and its outcome once it has ended. Package backend/journaled puts a
+// journal in front of the connections to servers.
 package journal
 
 import (
@@ -12,24 +12,24 @@
 	"beechgrade/internal/storage/store"
 )
 
-// Mode is when an attempt's first byte is sent.
+// Mode says when an attempt's first byte is sent.
 type Mode uint8
 
 // The modes.
 const (
-	BeforeSend Mode = iota // once the attempt is durable: none that ran is ever missing
-	Alongside              // at once, while the attempt is being written: one of the last moments may be missing
+	BeforeSend Mode = iota // once the attempt is durable: no attempt that ran is missing after a crash
+	Alongside              // at once, while the attempt is being written: the last attempts before a crash may be missing
 )
 
 func (m Mode) String() string { return [...]string{"before", "alongside"}[m] }
 
-// Store is the durable store as the journal needs it.
+// Store is the part of the durable store that the journal uses.
 type Store interface {
 	Append(entries []store.Entry, done func(error)) // done is called on the loop
 	Range(from, to string, visit func(key string, value []byte) bool)
 }
 
-// The keys of attempts: the prefix, the start of the process that recorded it, and a count.
+// The key of an attempt is the prefix, the start time of the process that recorded it, and a counter.
 const (
 	attemptPrefix    = "attempt/"
 	attemptPrefixEnd = "attempt0" // the first key after all with the prefix
@@ -37,12 +37,12 @@
 	keyStartFormat   = "%013x-"
 )
 
-// Journal records attempts on a store. It is for the loop alone.
+// Journal records attempts in a store. Its methods must be called on the event loop.
 type Journal struct {
 	store     Store
-	startedAt float64 // Unix ms, in this process's keys
+	startedAt float64 // Unix ms; part of this process's keys
 	recorded  uint64
-	earlier   map[string]bool // ids of requests that may have run before this process began
+	earlier   map[string]bool // ids of requests that may have run before this process started
 }
 
 // Entry is an attempt with its key in the store.
@@ -51,13 +51,13 @@
 	key     string
 }
 
-// New makes a journal on an open store. The attempts of earlier processes in it may have run.
+// New returns a journal on an open store. The attempts of earlier processes that it finds there may have run.
 func New(s Store, nowMs float64) *Journal {
 	j := &Journal{store: s, startedAt: nowMs, earlier: map[string]bool{}}
 	for _, attempt := range Pending(s) {
 		j.earlier[attempt.ID] = true
 	}
-	// No key may be used again, whatever the clock says.
+	// A key must not be reused, even if the clock was set back.
 	s.Range(attemptPrefix, attemptPrefixEnd, func(key string, _ []byte) bool {
 		var started int64
 		if n, err := fmt.Sscanf(key[len(attemptPrefix):], keyStartFormat, &started); err == nil && n == 1 {
@@ -68,21 +68,21 @@
 	return j
 }
 
-// MayHaveRun reports whether a request of this id may have run before this process began.
+// MayHaveRun reports whether a request with this id may have run before this process started.
 func (j *Journal) MayHaveRun(id string) bool { return j.earlier[id] }
 
-// NewEntry makes an entry for an attempt, which Record stores.
+// NewEntry returns an entry for an attempt, to be stored by Record.
 func (j *Journal) NewEntry(attempt Attempt) *Entry {
 	j.recorded++
 	return &Entry{Attempt: attempt, key: attemptPrefix + fmt.Sprintf(keyFormat, int64(j.startedAt), j.recorded)}
 }
 
-// Record stores an attempt before it is sent. done is called once it is durable, or cannot be.
+// Record stores an attempt before it is sent. done is called once it is durable or storing it has failed.
 func (j *Journal) Record(entry *Entry, done func(error)) {
 	j.store.Append([]store.Entry{{Key: entry.key, Value: entry.Attempt.encode()}}, done)
 }
 
-// RecordOutcome records how an attempt ended. One that was answered, or is known not to have run, is removed; any other stays.
+// RecordOutcome records how an attempt ended. An attempt that was answered or is known not to have run is removed; any other stays.
 func (j *Journal) RecordOutcome(entry *Entry, result decide.Result, done func(error)) {
 	change := store.Entry{Key: entry.key, Deleted: true}
 	if mayHaveRun(result) {
@@ -92,7 +92,7 @@
 	j.store.Append([]store.Entry{change}, done)
 }
 
-// mayHaveRun reports whether it is not known that an attempt with this result did not run.
+// mayHaveRun reports whether it is unknown if an attempt with this result ran.
 func mayHaveRun(result decide.Result) bool {
 	switch result {
 	case decide.Failed, decide.TimedOut, decide.Reset, decide.Cancelled:
@@ -101,7 +101,7 @@
 	return false
 }
 
-// Pending returns the attempts that a store holds, by server and time: each may have run.
+// Pending returns the attempts in a store, sorted by server and time. Each of them may have run.
 func Pending(s Store) []Attempt {
 	var attempts []Attempt
 	s.Range(attemptPrefix, attemptPrefixEnd, func(_ string, value []byte) bool {
@@ -116,7 +116,7 @@
 	return attempts
 }
 
-// Clear removes all pending attempts, once an operator has looked at them.
+// Clear removes all pending attempts, once an operator has reviewed them.
 func Clear(s Store, done func(error)) {
 	var deletions []store.Entry
 	s.Range(attemptPrefix, attemptPrefixEnd, func(key string, _ []byte) bool {
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -10,8 +10,8 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// TestOnlyUnknownOutcomesStay checks which results keep an attempt among those that may have run, and for how long.
-func TestOnlyUnknownOutcomesStay(t *testing.T) {
+// TestOnlyUnknownOutcomesStayPending checks which results leave an attempt pending, and that it stays pending until Clear.
+func TestOnlyUnknownOutcomesStayPending(t *testing.T) {
 	s, _, err := store.Open(store.Options{FS: faultyfs.New()})
 	if err != nil {
 		t.Fatal(err)
@@ -49,10 +49,10 @@
 	if diff := cmp.Diff(want, texts); diff != "" {
 		t.Error(diff)
 	}
-	next := New(s, 0) // its clock was set back
+	next := New(s, 0) // as if the clock was set back
 	for id := range results {
-		_, stays := want[id]
-		if next.MayHaveRun(id) != stays {
+		_, isPending := want[id]
+		if next.MayHaveRun(id) != isPending {
 			t.Errorf("%s: may have run: %v", id, next.MayHaveRun(id))
 		}
 	}
--- a/internal/storage/sessiontoken/codec.go
+++ b/internal/storage/sessiontoken/codec.go
@@ -13,7 +13,7 @@
 	encodedTimeBytes                  = 1 + 8 // tag and value
 )
 
-var errMalformed = errors.New("it is of another kind")
+var errMalformed = errors.New("not an encoded commit time")
 
 // encode encodes a time as a protobuf message:
 //
--- a/internal/storage/sessiontoken/merge.go
+++ b/internal/storage/sessiontoken/merge.go
@@ -10,16 +10,16 @@
 	"beechgrade/internal/storage/store"
 )
 
-// StoredTokens is what a store holds.
+// StoredTokens is the content of a store.
 type StoredTokens struct {
 	commits         map[string]decide.Time
 	forgottenUntil  decide.Time
-	uncleanShutdown bool        // its process had answered writes without waiting, and did not shut down cleanly
-	latestCommit    decide.Time // then: no commit of its process is later
+	uncleanShutdown bool        // its process answered writes before they were durable, and did not shut down cleanly
+	latestCommit    decide.Time // no commit of its process is later; used after an unclean shutdown
 	empty           bool
 }
 
-// Read reads what a store holds. A value that cannot be read counts as written now.
+// Read reads the content of a store. For a value that cannot be decoded, every session that is not stored by name counts as written now.
 func Read(s *store.Store, now decide.Time, log *slog.Logger) *StoredTokens {
 	stored := &StoredTokens{commits: map[string]decide.Time{}, empty: true}
 	latest := decide.Time(0)
@@ -28,7 +28,7 @@
 		at, err := decode(value)
 		switch {
 		case err != nil:
-			log.Warn("sessions: a stored value is malformed and not used", "key", key, "err", err)
+			log.Warn("sessions: ignoring a malformed stored value; sessions without a stored commit count as written now", "key", key, "err", err)
 			latest = max(latest, now)
 			stored.forgottenUntil = max(stored.forgottenUntil, now)
 		case key == forgottenKey:
@@ -45,7 +45,7 @@
 	return stored
 }
 
-// Erase empties a store whose content is kept elsewhere.
+// Erase deletes all entries of a store, once they are stored elsewhere.
 func Erase(s *store.Store) error {
 	var deletions []store.Entry
 	s.Range("", "", func(key string, _ []byte) bool {
@@ -55,18 +55,18 @@
 	return appendAndWait(s, deletions)
 }
 
-// merge is what comes of a Merge.
+// merge is the result of a Merge.
 type merge struct {
-	snapshot decide.Snapshot // what the decision module has to know
-	entries  []store.Entry   // what is to be stored
+	snapshot decide.Snapshot // for the decision module
+	entries  []store.Entry   // to be stored
 }
 
 func (m *merge) commit(session string, at decide.Time) {
 	m.snapshot.Commits = append(m.snapshot.Commits, decide.SessionCommit{Session: session, At: at})
 }
 
-// Merge takes what another process on the same socket held when it ended, and returns what the decision module has to know of it. done is
-// called once that is durable here, not on the loop: from then on it need not be stored there any more.
+// Merge adds the commits that another process on the same socket had stored when it ended, and returns the resulting changes for the
+// decision module. done is called, not on the loop, once they are durable in this keeper's store; the other store may then be erased.
 func (k *Keeper) Merge(other *StoredTokens, done func(error)) *decide.Snapshot {
 	m := &merge{}
 	if other.uncleanShutdown {
@@ -93,14 +93,14 @@
 	return &m.snapshot
 }
 
-// knownSessions are all maps of sessions that the decision module may know by name.
+// knownSessions returns all maps of sessions that the decision module may know by name.
 func (k *Keeper) knownSessions() []map[string]decide.Time {
 	return []map[string]decide.Time{k.lastForgotten, k.longNamed, k.commits}
 }
 
-// mergeUnclean takes it that every session may have written at the other process until its end.
+// mergeUnclean treats every session as having written through the other process until that process ended.
 func (k *Keeper) mergeUnclean(m *merge, other *StoredTokens) {
-	k.log.Warn("sessions: another process did not shut down cleanly; every session counts as written until its end")
+	k.log.Warn("sessions: another process did not shut down cleanly; every session counts as written until that process ended")
 	for _, sessions := range k.knownSessions() {
 		for name, at := range sessions {
 			m.commit(name, max(at, other.latestCommit))
@@ -109,7 +109,7 @@
 	m.entries = k.forgetAll(other.latestCommit)
 }
 
-// mergeForgotten takes it that the sessions that the other process does not know by name may be among those it has forgotten.
+// mergeForgotten treats the sessions that the other process does not know by name as sessions that it may have forgotten.
 func (k *Keeper) mergeForgotten(m *merge, other *StoredTokens) {
 	for _, sessions := range k.knownSessions() {
 		for _, name := range slices.Sorted(maps.Keys(sessions)) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// mergeCommits takes the later commits of the other process.
+// mergeCommits adds the commits of the other process that are later than those of this one.
 func (k *Keeper) mergeCommits(m *merge, other *StoredTokens) {
 	for _, name := range slices.Sorted(maps.Keys(other.commits)) {
 		at := other.commits[name]
@@ -135,7 +135,7 @@
 			continue
 		}
 		m.commit(name, at)
-		if !known && k.forgottenUntil >= at { // any session that is not kept here counts as later; the decision module may know it still
+		if !known && k.forgottenUntil >= at { // a session that is not stored here counts as written later; the decision module may still know it
 			continue
 		}
 		if !known && len(k.commits) >= k.maxSessions {
--- a/internal/storage/sessiontoken/sessiontoken.go
+++ b/internal/storage/sessiontoken/sessiontoken.go
@@ -1,6 +1,7 @@
-// Package sessiontoken keeps sessions' last commits on a durable store, so that a pooler that is started again does not answer a session with
-// less than it has seen. At most MaxSessions are kept by name; where there are more, all are forgotten at once, and any session counts as
-// written as late as the latest of them. That is never less than a session has seen.
+// Package sessiontoken keeps the time of each session's last commit in a durable store, so that a restarted pooler does not serve a session
+// older data than the session has already seen. At most MaxSessions sessions are stored by name. When there are more, all of them are
+// forgotten at once, and every session that is not stored counts as having written at the latest of their commits. That is never earlier
+// than the session's own last commit.
 package sessiontoken
 
 import (
@@ -16,34 +17,34 @@
 	"beechgrade/internal/storage/store"
 )
 
-// Mode is when the answer of a write goes out.
+// Mode says when a write is answered.
 type Mode uint8
 
 // The modes.
 const (
-	BeforeAnswer Mode = iota // the session's commit is durable before
-	Alongside                // at once: after a crash every session counts as written until the next start
+	BeforeAnswer Mode = iota // once the session's commit is durable
+	Alongside                // at once; after a crash every session counts as written until the next start
 )
 
 func (m Mode) String() string { return [...]string{"before", "alongside"}[m] }
 
-// MaxSessions bounds the sessions that are kept by name.
+// MaxSessions is the maximum number of sessions that are stored by name.
 const MaxSessions = 20000
 
 // The keys of the store.
 const (
 	commitPrefix    = "commit/"
 	commitPrefixEnd = "commit0" // the first key after all with the prefix
-	forgottenKey    = "dropped" // the latest commit of the sessions that are not kept by name
-	openKey         = "open"    // a process answers writes without waiting, and has not shut down cleanly
+	forgottenKey    = "dropped" // the latest commit of the sessions that are not stored by name
+	openKey         = "open"    // present while a process that answers before commits are durable runs; left behind by an unclean shutdown
 )
 
-const maxNameBytes = 200 // a session with a longer name is not kept by it
+const maxNameBytes = 200 // a session with a longer name is not stored by name
 
-// MaxRecordBytes bounds the key and the value of a session's commit.
+// MaxRecordBytes is the maximum size of the key and the value of a session's commit.
 const MaxRecordBytes = len(commitPrefix) + maxNameBytes + encodedTimeBytes
 
-// Keeper keeps sessions' commits. It is for the loop alone.
+// Keeper keeps the commits of sessions. Its methods must be called on the event loop.
 type Keeper struct {
 	store       *store.Store
 	mode        Mode
@@ -52,28 +53,28 @@
 	maxSessions int
 
 	commits           map[string]decide.Time
-	lastForgotten     map[string]decide.Time // the sessions that were forgotten last
-	longNamed         map[string]decide.Time // sessions whose names are too long to be kept, at most maxSessions
-	forgottenUntil    decide.Time            // any session that is not in commits counts as written by then
+	lastForgotten     map[string]decide.Time // the sessions that the last forgetAll removed
+	longNamed         map[string]decide.Time // sessions whose names are too long to be stored, at most maxSessions
+	forgottenUntil    decide.Time            // a session that is not in commits counts as written at that time
 	diskFailureLogged bool
 
-	checks           *invariant.Checks // nil for off
+	checks           *invariant.Checks // nil if checking is disabled
 	changesPerWalk   int
 	changesSinceWalk int
 }
 
-// LimitSessions bounds the sessions further, where memory is short.
+// LimitSessions lowers the maximum number of sessions, where memory is scarce.
 func (k *Keeper) LimitSessions(limit int) { k.maxSessions = min(k.maxSessions, max(1, limit)) }
 
-// UseChecks has the keeper check its invariants, and walk over its state every so many changes.
+// UseChecks enables checks of the invariants, with a walk over all sessions once in changesPerWalk changes.
 func (k *Keeper) UseChecks(checks *invariant.Checks, changesPerWalk int) {
 	k.checks = checks
 	k.changesPerWalk = changesPerWalk
 }
 
-// New makes a keeper on an open store, whose callbacks post runs on the loop. Where the process before did not shut down cleanly and had
-// answered writes without waiting, every session counts as written until now, or until the latest commit that is kept where the clock was set
-// back. What follows from that is durable when New returns.
+// New returns a keeper on an open store; post runs the store's callbacks on the loop. If the previous process answered writes before they
+// were durable and did not shut down cleanly, every session counts as written until now, or until the latest stored commit if the clock was
+// set back. This is durable when New returns.
 func New(s *store.Store, mode Mode, now decide.Time, post func(func()), log *slog.Logger) (*Keeper, error) {
 	stored := Read(s, now, log)
 	k := &Keeper{
@@ -95,7 +96,7 @@
 	return k, nil
 }
 
-// appendAndWait returns once entries are durable, or cannot be.
+// appendAndWait appends entries, and returns once they are durable or have failed.
 func appendAndWait(s *store.Store, entries []store.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -105,7 +106,7 @@
 	return <-done
 }
 
-// forgetAll forgets all sessions by name: they, and all that are not known, count as written until then at least.
+// forgetAll removes all sessions. They, and all unknown sessions, then count as written at the latest of their commits, and not before until.
 func (k *Keeper) forgetAll(until decide.Time) []store.Entry {
 	var entries []store.Entry
 	for _, name := range slices.Sorted(maps.Keys(k.commits)) {
@@ -126,7 +127,7 @@
 	return store.Entry{Key: commitPrefix + session, Value: encode(at)}
 }
 
-// Snapshot returns what the decision module is given at a start.
+// Snapshot returns the commits for the decision module at startup.
 func (k *Keeper) Snapshot() *decide.Snapshot {
 	snapshot := &decide.Snapshot{ForgottenCommit: k.forgottenUntil}
 	for name, at := range k.commits {
@@ -136,8 +137,8 @@
 	return snapshot
 }
 
-// Keep keeps a session's commit. It reports whether the answer has to wait: then done is called on the loop, with whether the commit is
-// durable. done may be nil where nobody waits.
+// Keep stores a session's commit. It reports whether the answer has to wait: if so, done is called on the loop with whether the commit is
+// durable. done may be nil if nothing waits for it.
 func (k *Keeper) Keep(session string, at decide.Time, done func(kept bool)) (waits bool) {
 	before, known := k.commits[session]
 	entries := k.record(session, at)
@@ -164,7 +165,7 @@
 	return waits
 }
 
-// record takes a commit, and returns what is to be stored for it.
+// record adds a commit in memory, and returns the entries that have to be stored for it.
 func (k *Keeper) record(session string, at decide.Time) []store.Entry {
 	if len(session) > maxNameBytes {
 		k.forgottenUntil = max(k.forgottenUntil, at)
@@ -176,7 +177,7 @@
 	}
 	before, known := k.commits[session]
 	if known && before >= at {
-		return []store.Entry{commitEntry(session, before)} // the one before may not be durable yet: this one comes after it
+		return []store.Entry{commitEntry(session, before)} // the earlier commit may not be durable yet; this entry is durable after it
 	}
 	var entries []store.Entry
 	if !known && len(k.commits) >= k.maxSessions {
@@ -186,15 +187,16 @@
 	return append(entries, commitEntry(session, at))
 }
 
-// logFailure logs the first error of the store.
+// logFailure logs an error of the store, the first time only.
 func (k *Keeper) logFailure(err error) {
 	if err != nil && !k.diskFailureLogged {
 		k.diskFailureLogged = true
-		k.log.Error("sessions: the store failed, commits are not kept", "mode", k.mode.String(), "err", err)
+		k.log.Error("sessions: the store failed; commits are not kept from now on", "mode", k.mode.String(), "err", err)
 	}
 }
 
-// Close closes the store cleanly, once the loop has ended: what was answered is durable by then, or the next start finds that it may not be.
+// Close closes the store cleanly, once the loop has ended. If the answered commits could not be made durable, the next start finds an unclean
+// shutdown.
 func Close(s *store.Store, mode Mode) error {
 	var err error
 	if mode == Alongside {
--- a/internal/storage/sessiontoken/sessiontoken_test.go
+++ b/internal/storage/sessiontoken/sessiontoken_test.go
@@ -17,7 +17,7 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// open makes a keeper. wait runs the next callback of its store.
+// open opens a keeper on a disk. wait runs the next callback of its store.
 func open(d *faultyfs.Disk, mode Mode, now decide.Time) (k *Keeper, s *store.Store, wait func(), err error) {
 	if s, _, err = store.Open(store.Options{FS: d, SegmentBytes: 600}); err != nil {
 		return nil, nil, nil, err
@@ -30,7 +30,7 @@
 	return k, s, func() { (<-callbacks)() }, nil
 }
 
-// commitSeenBy returns the commit that a router which was given a keeper's snapshot requires for a session's read.
+// commitSeenBy returns the commit that a router which was started from a keeper's snapshot requires for a session's reads.
 func commitSeenBy(k *Keeper, session string) decide.Time {
 	m := k.Snapshot()
 	for _, c := range m.Commits {
@@ -41,9 +41,9 @@
 	return m.ForgottenCommit
 }
 
-// TestSessionsNeverGoBackAfterACrash has sessions write, forgets them, loses power, fails the disk and sets the clock back at any time: after
-// each start no session counts for less than its last answered commit, in either mode, and a clean shutdown leaves each session its own.
-func TestSessionsNeverGoBackAfterACrash(t *testing.T) {
+// TestCrashLosesNoAnsweredCommit draws session writes, forgotten sessions, power failures and disk errors. In either mode, no session has an
+// earlier commit after a start than its last answered one.
+func TestCrashLosesNoAnsweredCommit(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		d := faultyfs.New()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
@@ -58,7 +58,7 @@
 			k.maxSessions = 5
 			for name, at := range answered {
 				if got := commitSeenBy(k, name); got < at {
-					rt.Fatalf("%s counts for %d, and was answered %d", name, got, at)
+					rt.Fatalf("%s has commit %d after a start; %d was answered", name, got, at)
 				}
 			}
 			ops, _ := d.Ops()
@@ -82,7 +82,7 @@
 					rt.Fatal(err)
 				}
 			} else {
-				_ = s.Close() // a crash: what was not synced may be lost, below
+				_ = s.Close() // a crash: the restart may lose what was not synced
 				d = d.Restart(rng, true)
 				continue
 			}
@@ -91,13 +91,13 @@
 	})
 }
 
-// TestCleanShutdownKeepsEachSessionsOwnCommit checks that after a clean shutdown each session counts for its own commit and others for none;
-// after another, that holds where answers wait, and else all count as written until the start, or until the latest stored commit where the
-// clock was set back.
+// TestCleanShutdownKeepsEachSessionsOwnCommit checks that after a clean shutdown each session has its own commit, and unknown sessions have
+// none. After an unclean shutdown this holds in mode BeforeAnswer; in mode Alongside every session counts as written until the start, or
+// until the latest stored commit if the clock was set back.
 func TestCleanShutdownKeepsEachSessionsOwnCommit(t *testing.T) {
 	for _, mode := range []Mode{BeforeAnswer, Alongside} {
-		for _, ordered := range []bool{true, false} {
-			for _, back := range []bool{false, true} {
+		for _, clean := range []bool{true, false} {
+			for _, clockSetBack := range []bool{false, true} {
 				d := faultyfs.New()
 				k, s, wait, err := open(d, mode, 100)
 				if err != nil {
@@ -108,7 +108,7 @@
 						wait()
 					}
 				}
-				if ordered {
+				if clean {
 					err = Close(s, mode)
 				} else {
 					err = s.Close()
@@ -117,7 +117,7 @@
 					t.Fatal(err)
 				}
 				now := decide.Time(2000)
-				if back {
+				if clockSetBack {
 					now = 150
 				}
 				if k, s, _, err = open(d, mode, now); err != nil {
@@ -125,12 +125,12 @@
 				}
 				got := fmt.Sprint(commitSeenBy(k, "a"), commitSeenBy(k, "b"), commitSeenBy(k, "new"))
 				want := fmt.Sprint(decide.Time(200), decide.Time(900), decide.Time(0))
-				if !ordered && mode == Alongside {
-					x := max(900, now)
-					want = fmt.Sprint(x, x, x)
+				if !clean && mode == Alongside {
+					latest := max(900, now)
+					want = fmt.Sprint(latest, latest, latest)
 				}
 				if got != want {
-					t.Errorf("%s, in order %v, back %v: %s, want %s", mode, ordered, back, got, want)
+					t.Errorf("mode %s, clean shutdown %v, clock set back %v: %s, want %s", mode, clean, clockSetBack, got, want)
 				}
 				_ = s.Close()
 			}
@@ -138,7 +138,7 @@
 	}
 }
 
-// process is one of two that take sessions' writes at once, with its own disk.
+// process is one of two processes that serve writes of sessions at the same time, each with a disk of its own.
 type process struct {
 	disk   *faultyfs.Disk
 	store  *store.Store
@@ -155,148 +155,148 @@
 	return &process{disk: disk, store: s, keeper: keeper, mode: mode, wait: wait}
 }
 
-// mergePlay is two processes, one of which ends and is merged into the other.
-type mergePlay struct {
+// mergeScenario has two processes, one of which ends; its commits are merged into the other.
+type mergeScenario struct {
 	rt        *rapid.T
 	rng       *rand.Rand
 	now       decide.Time
-	answered  map[string]decide.Time // the last commit of each session that either answered
-	router    map[string]decide.Time // what the remaining process's router knows
-	forgotten decide.Time            // ...and of any other session
+	answered  map[string]decide.Time // the last commit of each session that either process answered
+	router    map[string]decide.Time // the commits that the remaining process's router knows
+	forgotten decide.Time            // the commit that its router requires for any other session
 	ending    *process
 	remaining *process
 }
 
-func newMergePlay(rt *rapid.T) *mergePlay {
-	p := &mergePlay{
+func newMergeScenario(rt *rapid.T) *mergeScenario {
+	m := &mergeScenario{
 		rt: rt, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1)), now: 1000,
 		answered: map[string]decide.Time{}, router: map[string]decide.Time{},
 	}
-	for _, process := range []**process{&p.ending, &p.remaining} {
+	for _, process := range []**process{&m.ending, &m.remaining} {
 		mode := rapid.SampledFrom([]Mode{BeforeAnswer, Alongside}).Draw(rt, "mode")
-		*process = startProcess(rt, faultyfs.New(), mode, p.now)
+		*process = startProcess(rt, faultyfs.New(), mode, m.now)
 		(*process).keeper.maxSessions = 4
 	}
-	return p
+	return m
 }
 
-// write has one of the processes take a write of a session.
-func (p *mergePlay) write() {
-	process := []*process{p.ending, p.remaining}[rapid.IntRange(0, 1).Draw(p.rt, "by")]
-	p.now += decide.Time(rapid.IntRange(1, 20).Draw(p.rt, "later"))
-	name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", strings.Repeat("long", 60)}).Draw(p.rt, "session")
+// write has one of the processes serve a write of a session.
+func (m *mergeScenario) write() {
+	process := []*process{m.ending, m.remaining}[rapid.IntRange(0, 1).Draw(m.rt, "by")]
+	m.now += decide.Time(rapid.IntRange(1, 20).Draw(m.rt, "later"))
+	name := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", strings.Repeat("long", 60)}).Draw(m.rt, "session")
 	isAnswered := true
-	if process.keeper.Keep(name, p.now, func(kept bool) { isAnswered = kept }) {
+	if process.keeper.Keep(name, m.now, func(kept bool) { isAnswered = kept }) {
 		process.wait()
 	}
 	if isAnswered {
-		p.answered[name] = p.now
+		m.answered[name] = m.now
 	}
-	if process == p.remaining {
-		p.router[name] = p.now
+	if process == m.remaining {
+		m.router[name] = m.now
 	}
 }
 
-// end ends one process, cleanly or with a loss of power.
-func (p *mergePlay) end() {
-	clean := rapid.Bool().Draw(p.rt, "clean")
+// end ends the ending process, cleanly or by a power failure.
+func (m *mergeScenario) end() {
+	clean := rapid.Bool().Draw(m.rt, "clean")
 	if !clean {
-		_ = p.ending.store.Close()
-	} else if err := Close(p.ending.store, p.ending.mode); err != nil {
-		p.rt.Fatal(err)
+		_ = m.ending.store.Close()
+	} else if err := Close(m.ending.store, m.ending.mode); err != nil {
+		m.rt.Fatal(err)
 	}
-	p.ending.disk = p.ending.disk.Restart(p.rng, !clean)
+	m.ending.disk = m.ending.disk.Restart(m.rng, !clean)
 }
 
-// restart has the remaining process start anew.
-func (p *mergePlay) restart() {
-	if err := Close(p.remaining.store, p.remaining.mode); err != nil {
-		p.rt.Fatal(err)
+// restart restarts the remaining process.
+func (m *mergeScenario) restart() {
+	if err := Close(m.remaining.store, m.remaining.mode); err != nil {
+		m.rt.Fatal(err)
 	}
-	p.remaining = startProcess(p.rt, p.remaining.disk.Restart(p.rng, true), p.remaining.mode, p.now)
-	p.router = map[string]decide.Time{}
-	snapshot := p.remaining.keeper.Snapshot()
-	p.forgotten = snapshot.ForgottenCommit
+	m.remaining = startProcess(m.rt, m.remaining.disk.Restart(m.rng, true), m.remaining.mode, m.now)
+	m.router = map[string]decide.Time{}
+	snapshot := m.remaining.keeper.Snapshot()
+	m.forgotten = snapshot.ForgottenCommit
 	for _, commit := range snapshot.Commits {
-		p.router[commit.Session] = commit.At
+		m.router[commit.Session] = commit.At
 	}
 }
 
-// merge has the remaining process take over what the other's disk holds, and erases that sometimes.
-func (p *mergePlay) merge() {
-	s, _, err := store.Open(store.Options{FS: p.ending.disk})
+// merge merges the stored commits of the ended process into the remaining one, and sometimes erases them.
+func (m *mergeScenario) merge() {
+	s, _, err := store.Open(store.Options{FS: m.ending.disk})
 	if err != nil {
-		p.rt.Fatal(err)
+		m.rt.Fatal(err)
 	}
 	done := make(chan error, 1)
-	stored := Read(s, p.now, slog.New(slog.DiscardHandler))
-	snapshot := p.remaining.keeper.Merge(stored, func(err error) { done <- err })
+	stored := Read(s, m.now, slog.New(slog.DiscardHandler))
+	snapshot := m.remaining.keeper.Merge(stored, func(err error) { done <- err })
 	if err := <-done; err != nil {
-		p.rt.Fatal(err)
+		m.rt.Fatal(err)
 	}
-	p.forgotten = max(p.forgotten, snapshot.ForgottenCommit)
+	m.forgotten = max(m.forgotten, snapshot.ForgottenCommit)
 	for _, commit := range snapshot.Commits {
-		p.router[commit.Session] = max(p.router[commit.Session], commit.At)
+		m.router[commit.Session] = max(m.router[commit.Session], commit.At)
 	}
-	if rapid.Bool().Draw(p.rt, "erased") {
+	if rapid.Bool().Draw(m.rt, "erased") {
 		if err := Erase(s); err != nil {
-			p.rt.Fatal(err)
+			m.rt.Fatal(err)
 		}
 	}
 	if err := s.Close(); err != nil {
-		p.rt.Fatal(err)
+		m.rt.Fatal(err)
 	}
 }
 
-// check verifies that no session counts for less than what was answered, at the router and after another start.
-func (p *mergePlay) check() {
-	for name, at := range p.answered {
-		got, known := p.router[name]
+// check verifies that no session has an earlier commit than its last answered one, at the router and after another start.
+func (m *mergeScenario) check() {
+	for name, at := range m.answered {
+		got, known := m.router[name]
 		if !known {
-			got = p.forgotten
+			got = m.forgotten
 		}
 		if got < at {
-			p.rt.Fatalf("%.10s counts for %d at the router, and was answered %d", name, got, at)
+			m.rt.Fatalf("%.10s has commit %d at the router; %d was answered", name, got, at)
 		}
 	}
-	_ = p.remaining.store.Close()
-	last := startProcess(p.rt, p.remaining.disk.Restart(p.rng, true), p.remaining.mode, p.now)
-	for name, at := range p.answered {
+	_ = m.remaining.store.Close()
+	last := startProcess(m.rt, m.remaining.disk.Restart(m.rng, true), m.remaining.mode, m.now)
+	for name, at := range m.answered {
 		if got := commitSeenBy(last.keeper, name); got < at {
-			p.rt.Fatalf("after a start %.10s counts for %d, and was answered %d", name, got, at)
+			m.rt.Fatalf("%.10s has commit %d after a start; %d was answered", name, got, at)
 		}
 	}
 	_ = last.store.Close()
 }
 
-// TestMergedSessionsNeverGoBack has two processes take sessions' writes at once, each on its own disk; one ends, cleanly or not, or loses
-// power, and the other takes over what it held, then or after a start of its own. No session counts for less than its last commit that either
-// answered, and a merge may be repeated.
-func TestMergedSessionsNeverGoBack(t *testing.T) {
+// TestMergeLosesNoAnsweredCommit has two processes serve writes of sessions at the same time, each on its own disk. One ends, cleanly or by a
+// power failure, and the other merges its stored commits, possibly after a restart of its own. No session has an earlier commit than the last
+// that either process answered, even if the merge is repeated.
+func TestMergeLosesNoAnsweredCommit(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
-		p := newMergePlay(rt)
+		m := newMergeScenario(rt)
 		for range rapid.IntRange(0, 30).Draw(rt, "writes") {
-			p.write()
+			m.write()
 		}
-		p.end()
+		m.end()
 		if rapid.Bool().Draw(rt, "the other starts anew") {
-			p.restart()
+			m.restart()
 		}
 		for range rapid.IntRange(1, 2).Draw(rt, "times") {
-			p.merge()
+			m.merge()
 		}
-		p.check()
+		m.check()
 	})
 }
 
-// TestBrokenInvariantsAreReported breaks the state for each invariant of the keeper; without a break none is reported.
+// TestBrokenInvariantsAreReported breaks each invariant of the keeper in turn and expects its report. An intact state reports none.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	for want, breaks := range map[string]func(k *Keeper){
-		"":                                   func(k *Keeper) { k.checkInvariants(); k.checkStep("a", 5, true); k.checkStored("a", 5) },
-		"commits: sessions are bounded":      func(k *Keeper) { k.maxSessions = 0; k.checkInvariants() },
-		"commits: a session's commit is one": func(k *Keeper) { k.commits["b"] = -1; k.checkInvariants() },
-		"commits: a session's commit does not go back": func(k *Keeper) { k.checkStep("a", 6, true) },
-		"commits: what is answered as kept is there":   func(k *Keeper) { k.checkStored("a", 6) },
+		"": func(k *Keeper) { k.checkInvariants(); k.checkStep("a", 5, true); k.checkStored("a", 5) },
+		"commits: the number of sessions is bounded":          func(k *Keeper) { k.maxSessions = 0; k.checkInvariants() },
+		"commits: a session's name and commit time are valid": func(k *Keeper) { k.commits["b"] = -1; k.checkInvariants() },
+		"commits: a session's commit time does not decrease":  func(k *Keeper) { k.checkStep("a", 6, true) },
+		"commits: an acknowledged commit is in the store":     func(k *Keeper) { k.checkStored("a", 6) },
 	} {
 		k, s, wait, err := open(faultyfs.New(), BeforeAnswer, 1)
 		if err != nil {
--- a/internal/storage/snapshots/bytes_test.go
+++ b/internal/storage/snapshots/bytes_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestRecordBytesStay checks that the bytes of a record stay as they are on disks.
-func TestRecordBytesStay(t *testing.T) {
+// TestRecordEncodingIsStable checks that the encoding of a record does not change, as records are stored on disk. A truncated record is
+// rejected.
+func TestRecordEncodingIsStable(t *testing.T) {
 	const want = "09000000000000f83f120466726f6d1a04626f6479"
 	r := &Record{SavedMs: 1.5, Source: "from", Body: []byte("body")}
 	b := r.encode()
@@ -15,11 +16,11 @@
 		t.Errorf("%s, want %s", got, want)
 	}
 	if got, err := decode(b); err != nil || !reflect.DeepEqual(got, r) {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, %v", got, err)
 	}
 	for cut := range b {
-		if x, err := decode(b[:cut]); err == nil {
-			t.Errorf("cut at %d it is read as %+v", cut, x)
+		if got, err := decode(b[:cut]); err == nil {
+			t.Errorf("cut at byte %d: decoded as %+v", cut, got)
 		}
 	}
 }
--- a/internal/storage/snapshots/invariants.go
+++ b/internal/storage/snapshots/invariants.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// maxListedKeys bounds the keys that a check looks at.
+// maxListedKeys is the maximum number of keys that a check visits.
 const maxListedKeys = 8
 
-// checkInvariants states what holds once a value has been stored.
+// checkInvariants checks the invariants that hold once a value has been stored.
 func (k *Keeper) checkInvariants(kind string, record *Record) {
 	checks := k.options.Checks
 	if !checks.Enabled() {
@@ -18,20 +18,20 @@
 	value, found := k.store.Get(kind)
 	stored, err := decode(value)
 	isStored := found && err == nil && stored.equals(record)
-	checks.That(isStored, "kept: a value is there as it was kept", func() string {
-		return fmt.Sprintf("%s: there %v, %v, %d bytes of %d", kind, found, err, len(value), len(record.Body))
+	checks.That(isStored, "kept: a stored value reads back unchanged", func() string {
+		return fmt.Sprintf("%s: found %v, %v, %d bytes; body of %d bytes", kind, found, err, len(value), len(record.Body))
 	})
 	listed := 0
 	k.store.Range("", "", func(key string, _ []byte) bool {
 		listed++
-		checks.That(slices.Contains(kinds(), key), "kept: nothing else is there", func() string { return fmt.Sprintf("%q", key) })
+		checks.That(slices.Contains(kinds(), key), "kept: the store has no unknown keys", func() string { return fmt.Sprintf("%q", key) })
 		return listed < maxListedKeys
 	})
 	k.mu.Lock()
 	waiting := len(k.waiting)
 	k.mu.Unlock()
-	checks.That(waiting <= len(kinds()), "kept: one value of each kind waits at most", func() string {
-		return fmt.Sprint(waiting, " wait")
+	checks.That(waiting <= len(kinds()), "kept: at most one value of each kind is pending", func() string {
+		return fmt.Sprint(waiting, " pending")
 	})
 }
 
--- a/internal/storage/snapshots/record.go
+++ b/internal/storage/snapshots/record.go
@@ -9,13 +9,13 @@
 	"beechgrade/internal/eventloop/clock"
 )
 
-// Record is a stored value. It is a protobuf message, in which from means Source:
+// Record is a stored value. It is encoded as a protobuf message, in which from is Source:
 //
 //	message Record { double saved_ms = 1; string from = 2; bytes body = 3; string boot = 4; double monotonic_ms = 5; }
 type Record struct {
-	SavedMs float64       // Unix ms at which it was known to be good
-	Saved   clock.Instant // the same on the monotonic clock of that boot
-	Source  string
+	SavedMs float64       // when the value was last known to be good, Unix ms
+	Saved   clock.Instant // the same time on the monotonic clock of that boot
+	Source  string        // the path or address that the value came from
 	Body    []byte
 }
 
@@ -27,13 +27,13 @@
 	fieldMonotonicMs protowire.Number = 5
 )
 
-// NewRecord returns a record that is known to be good now.
+// NewRecord returns a record of a value that is known to be good now.
 func NewRecord(machine clock.Machine, source string, body []byte) *Record {
 	return &Record{SavedMs: machine.Wall(), Saved: machine.Now(), Source: source, Body: body}
 }
 
-// Age returns the milliseconds since a record was known to be good: by the monotonic clock within a boot of the machine, and by the wall
-// clock after another start.
+// Age returns the milliseconds since a record was last known to be good, by the monotonic clock within a boot of the machine and by the wall
+// clock after a reboot.
 func (r *Record) Age(machine clock.Machine) float64 {
 	if ms, known := machine.Since(r.Saved); known {
 		return ms
@@ -54,7 +54,7 @@
 
 func malformed(error) error { return ErrMalformed }
 
-// decode decodes a record; the time and the body must be there.
+// decode decodes a record. The time and the body are required.
 func decode(b []byte) (*Record, error) {
 	r := &Record{}
 	hasTime, hasBody := false, false
--- a/internal/storage/snapshots/snapshots.go
+++ b/internal/storage/snapshots/snapshots.go
@@ -1,6 +1,6 @@
-// Package snapshots keeps the last good configuration and the last endpoint lists on a durable store, so that a start whose sources cannot be
-// reached serves by them. It keeps one value of each kind, with the time at which it was known to be good, and where it is from. A value that
-// is too old, or whose age is not known, is not used.
+// Package snapshots keeps the last good configuration and the last endpoint lists in a durable store, so that a pooler can start with them
+// when their sources cannot be reached. It stores one value of each kind, with its source and the time at which it was last known to be good.
+// A value that is too old, or whose age is unknown, is not used.
 package snapshots
 
 import (
@@ -15,61 +15,61 @@
 	"beechgrade/internal/storage/store"
 )
 
-// The kinds of values: keys of the store.
+// The kinds of values, which are the keys in the store.
 const (
-	Config       = "config"  // the configuration file's text, from its path
-	List         = "list"    // the platform's list, from discovery's address
-	EndpointList = "members" // the list that this pooler's endpoint reconciliation makes
+	Config       = "config"  // the text of the configuration file; its source is the path
+	List         = "list"    // the platform's list; its source is the address of discovery
+	EndpointList = "members" // the list that endpoint reconciliation in this pooler produces
 )
 
 func kinds() []string { return []string{Config, List, EndpointList} }
 
 // Errors of a stored value that is not used.
 var (
-	ErrTooOld     = errors.New("it is too old")
-	ErrFromFuture = errors.New("it was kept at a time that lies ahead of this clock")
-	ErrMalformed  = errors.New("it is not of this program")
+	ErrTooOld     = errors.New("saved value is too old")
+	ErrFromFuture = errors.New("saved value has a time ahead of the clock")
+	ErrMalformed  = errors.New("saved value is malformed")
 )
 
 const (
-	maxClockSkewMs    = 60000                  // that a time may be ahead of the clock, as that may have been set back a little
-	lockRetryInterval = 500 * time.Millisecond // between attempts to open a store that another process has
-	maxValueBytes     = 15 << 20               // the store takes no more at once
+	maxClockSkewMs    = 60000                  // by which a saved time may be ahead of the clock, which may have been set back a little
+	lockRetryInterval = 500 * time.Millisecond // between attempts to open a store that another process has open
+	maxValueBytes     = 15 << 20               // the store accepts at most 16 MiB in one append
 	segmentsPerStore  = 8
 )
 
 // Options configure a Keeper.
 type Options struct {
 	FS             store.FS
-	MaxBytes       int64 // of the store
-	CompactionRate int64 // bytes a second; 0 for no bound
-	MaxMemory      int64
-	Checks         *invariant.Checks // of the keeper's goroutine; nil for off
-	StoreChecks    *invariant.Checks // of the store; nil for off
+	MaxBytes       int64             // of the store on disk
+	CompactionRate int64             // bytes a second; 0 for no bound
+	MaxMemory      int64             // of the store's records, in bytes
+	Checks         *invariant.Checks // of the keeper's goroutine; nil if disabled
+	StoreChecks    *invariant.Checks // of the store's goroutine; nil if disabled
 	BatchesPerWalk int
-	MaxAgeMs       float64 // a value that was known to be good longer ago is not used
+	MaxAgeMs       float64 // a value that was last known to be good longer ago is not used
 	Log            *slog.Logger
 }
 
-// Keeper keeps values. The store belongs to a goroutine of its own, which Stop ends: who has a new value never waits for a disk. A nil Keeper
-// keeps nothing.
+// Keeper stores values. A goroutine of its own, which Stop ends, writes to the store, so that callers of Put never wait for the disk. A nil
+// Keeper stores nothing.
 type Keeper struct {
 	options  Options
-	loaded   map[string]*Record // at the start
-	recovery *store.Recovery    // of the start
+	loaded   map[string]*Record // the values that the store had at the start
+	recovery *store.Recovery    // from opening the store at the start
 
 	mu      sync.Mutex
-	waiting map[string]func() (*Record, error) // the newest value of each kind that is not stored
+	waiting map[string]func() (*Record, error) // the newest value of each kind that is not stored yet
 
 	wake       chan struct{}
 	quit       chan struct{}
 	done       chan struct{}
-	store      *store.Store      // the goroutine's own, once it runs
-	lastErrors map[string]string // by kind: each error is logged once
+	store      *store.Store      // belongs to the goroutine once it runs
+	lastErrors map[string]string // by kind, so that a repeated error is logged once
 }
 
-// Start opens the store. An error says why nothing of it is used and nothing is kept. Another process that has the store is no error, as
-// where one takes another's place: what it keeps is not read, and this one keeps values once that one has ended.
+// Start opens the store. After an error, no stored value is used and none is stored. It is no error if another process has the store open,
+// as during an upgrade: the stored values are then not read, and this process stores values once the other one has ended.
 func Start(options Options) (*Keeper, error) {
 	k := &Keeper{
 		options:    options,
@@ -82,7 +82,7 @@
 	}
 	switch err := k.openAndLoad(); {
 	case errors.Is(err, store.ErrLocked):
-		options.Log.Info("kept: another process has the store", "err", err)
+		options.Log.Info("kept: another process has the store open; its values are not read, and new values are stored once it has ended", "err", err)
 	case err != nil:
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 	return k, nil
 }
 
-// openAndLoad opens the store and reads what it holds.
+// openAndLoad opens the store and reads its values.
 func (k *Keeper) openAndLoad() error {
 	recovery, err := k.open()
 	if err != nil {
@@ -104,7 +104,7 @@
 		}
 		record, err := decode(value)
 		if err != nil {
-			k.options.Log.Warn("kept: a stored value is malformed and not used", "kind", kind, "err", err)
+			k.options.Log.Warn("kept: ignoring a malformed stored value", "kind", kind, "err", err)
 			continue
 		}
 		k.loaded[kind] = record
@@ -127,12 +127,12 @@
 	}
 	k.store = s
 	if recovery.DroppedBytes > 0 {
-		k.options.Log.Warn("kept: its end was not whole", "bytes", recovery.DroppedBytes, "why", recovery.Reason)
+		k.options.Log.Warn("kept: dropped an incomplete tail of the store", "bytes", recovery.DroppedBytes, "why", recovery.Reason)
 	}
 	return recovery, nil
 }
 
-// Get returns the value that was stored when the store was opened, nil where there is none. An error says why it is not used.
+// Get returns the value that the store had when it was opened, nil if there is none. An error says why the value is not used.
 func (k *Keeper) Get(kind string, machine clock.Machine) (*Record, error) {
 	if k == nil || k.loaded[kind] == nil {
 		return nil, nil
@@ -140,14 +140,14 @@
 	record := k.loaded[kind]
 	switch age := record.Age(machine); {
 	case age < -maxClockSkewMs:
-		return nil, fmt.Errorf("%w, by %.0f s", ErrFromFuture, -age/1000)
+		return nil, fmt.Errorf("%w by %.0f s", ErrFromFuture, -age/1000)
 	case age > k.options.MaxAgeMs:
-		return nil, fmt.Errorf("%w: %.0f s, at most %.0f", ErrTooOld, age/1000, k.options.MaxAgeMs/1000)
+		return nil, fmt.Errorf("%w: saved %.0f s ago, at most %.0f s allowed", ErrTooOld, age/1000, k.options.MaxAgeMs/1000)
 	}
 	return record, nil
 }
 
-// Recovery returns what opening the store found, nil where another process had it.
+// Recovery returns the result of opening the store, nil if another process had it open.
 func (k *Keeper) Recovery() *store.Recovery {
 	if k == nil {
 		return nil
@@ -155,7 +155,8 @@
 	return k.recovery
 }
 
-// Put stores a value in place of the one before. value is called on the keeper's goroutine; of several that wait, only the last is.
+// Put replaces the stored value of a kind. value is called on the keeper's goroutine; of several pending values of a kind, only the last is
+// stored.
 func (k *Keeper) Put(kind string, value func() (*Record, error)) {
 	if k == nil {
 		return
@@ -165,11 +166,11 @@
 	k.mu.Unlock()
 	select {
 	case k.wake <- struct{}{}:
-	default: // the goroutine will look anyway
+	default: // a wake-up is already pending
 	}
 }
 
-// Stop stores what waits, closes the store and ends the goroutine.
+// Stop stores the pending values, closes the store and ends the goroutine.
 func (k *Keeper) Stop() {
 	if k == nil {
 		return
@@ -197,7 +198,8 @@
 	}
 }
 
-// awaitStore opens the store once no other process has it, and reports whether it is open; it is not when the keeper is stopped before.
+// awaitStore opens the store once no other process has it open. It reports false if the store cannot be opened or the keeper is stopped
+// first.
 func (k *Keeper) awaitStore() bool {
 	for k.store == nil {
 		select {
@@ -206,7 +208,7 @@
 		case <-time.After(lockRetryInterval):
 		}
 		if _, err := k.open(); err != nil && !errors.Is(err, store.ErrLocked) {
-			k.options.Log.Error("kept: the store cannot be opened, nothing is stored", "err", err)
+			k.options.Log.Error("kept: the store cannot be opened; no values are stored", "err", err)
 			<-k.quit
 			return false
 		}
@@ -244,7 +246,7 @@
 
 func (k *Keeper) write(kind string, record *Record) error {
 	if len(record.Body) > maxValueBytes {
-		return fmt.Errorf("%d bytes; at most %d", len(record.Body), maxValueBytes)
+		return fmt.Errorf("value of %d bytes; at most %d bytes can be stored", len(record.Body), maxValueBytes)
 	}
 	done := make(chan error, 1)
 	k.store.Append([]store.Entry{{Key: kind, Value: record.encode()}}, func(err error) { done <- err })
--- a/internal/storage/snapshots/snapshots_test.go
+++ b/internal/storage/snapshots/snapshots_test.go
@@ -18,6 +18,7 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
+// value returns a record that was saved at a time, for Put.
 func value(at float64, body string) func() (*Record, error) {
 	return func() (*Record, error) { return &Record{SavedMs: at, Source: "f", Body: []byte(body)}, nil }
 }
@@ -26,11 +27,11 @@
 	return invariant.New(func(b invariant.Breach) { panic(b.String()) })
 }
 
-// machineAt returns a machine of an unknown boot whose wall clock stands at a time.
+// machineAt returns a machine of an unknown boot whose wall clock shows a time.
 func machineAt(ms float64) clock.Machine { return clock.Machine{Wall: func() float64 { return ms }} }
 
-// TestAgeIsIndependentOfWallClockSteps checks that within a boot a record's age is by the monotonic clock, however the wall clock steps, and
-// by the wall clock after another start of the machine.
+// TestAgeIsIndependentOfWallClockSteps checks that within a boot a record's age follows the monotonic clock, whatever steps the wall clock
+// makes, and that after a reboot it follows the wall clock.
 func TestAgeIsIndependentOfWallClockSteps(t *testing.T) {
 	for _, step := range []float64{-3600e3, -3e3, 0, 3e3, 3600e3} {
 		d, now, monotonic := faultyfs.New(), 1e12, 5000.0
@@ -57,22 +58,22 @@
 		}
 		monotonic++
 		if _, err := k.Get(List, machine); !errors.Is(err, ErrTooOld) {
-			t.Errorf("step of %v ms: what is too old is found: %v", step, err)
+			t.Errorf("step of %v ms: got a value that is too old: %v", step, err)
 		}
 		k.Stop()
 	}
 }
 
-// TestNextStartGetsTheLastValue checks that the value that was stored last is there at the next start, within its maximum age, also where the
-// clock was set back a little; not where it was set back far.
-func TestNextStartGetsTheLastValue(t *testing.T) {
+// TestNextStartReadsTheLastValue checks that the next start reads the value that was stored last if it is within its maximum age, even if the
+// clock was set back by up to maxClockSkewMs, but not by more.
+func TestNextStartReadsTheLastValue(t *testing.T) {
 	d := faultyfs.New()
 	opt := Options{FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1000, Log: slog.New(slog.DiscardHandler)}
 	k, err := Start(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := Start(opt) // of another process, which keeps on once this one has ended
+	second, err := Start(opt) // of another process, which stores values once the first one has ended
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,14 +101,14 @@
 		}
 	}
 	if r, err := k.Get(EndpointList, machineAt(1e6)); r != nil || err != nil {
-		t.Errorf("never kept: %+v, %v", r, err)
+		t.Errorf("a kind that was never stored: %+v, %v", r, err)
 	}
 }
 
-// TestDiskFailuresAreReportedAndLeaveACompleteValue fails each operation of the disk once, and loses power at each: the next start gets a
-// value that was stored, complete, or none, and a failure is logged.
+// TestDiskFailuresAreReportedAndLeaveACompleteValue fails each operation of the disk once, and loses power at each: the next start reads a
+// complete value that was stored, or none, and the failure is logged.
 func TestDiskFailuresAreReportedAndLeaveACompleteValue(t *testing.T) {
-	play := func(d *faultyfs.Disk) string {
+	run := func(d *faultyfs.Disk) string {
 		var log bytes.Buffer
 		k, err := Start(Options{
 			FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.NewTextHandler(&log, nil)),
@@ -123,7 +124,7 @@
 		return log.String()
 	}
 	undisturbed := faultyfs.New()
-	play(undisturbed)
+	run(undisturbed)
 	ops, _ := undisturbed.Ops()
 	for at := 1; at <= ops; at++ {
 		for _, power := range []bool{false, true} {
@@ -131,8 +132,8 @@
 			if d.FailAt, d.Err = at, errors.New("input/output error"); power {
 				d.FailAt, d.CrashAt = 0, at
 			}
-			if said := play(d); said == "" {
-				t.Errorf("operation %d failed, and nobody was told", at)
+			if logged := run(d); logged == "" {
+				t.Errorf("operation %d failed, and nothing was logged", at)
 			}
 			restarted := d.Restart(rand.New(rand.NewPCG(uint64(at), 1)), true)
 			k, err := Start(Options{FS: restarted, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler)})
@@ -150,19 +151,19 @@
 	}
 }
 
-// TestBrokenInvariantsAreReported breaks the state for each invariant of the keeper; without a break none is reported.
+// TestBrokenInvariantsAreReported breaks each invariant of the keeper in turn and expects its report. An intact state reports none.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	for want, breaks := range map[string]func(k *Keeper, r *Record){
-		"":                                      func(*Keeper, *Record) {},
-		"kept: a value is there as it was kept": func(_ *Keeper, r *Record) { r.SavedMs++ },
-		"kept: nothing else is there": func(k *Keeper, _ *Record) {
+		"": func(*Keeper, *Record) {},
+		"kept: a stored value reads back unchanged": func(_ *Keeper, r *Record) { r.SavedMs++ },
+		"kept: the store has no unknown keys": func(k *Keeper, _ *Record) {
 			done := make(chan error, 1)
 			k.store.Append([]store.Entry{{Key: "stray"}}, func(err error) { done <- err })
 			<-done
 		},
-		"kept: one value of each kind waits at most": func(k *Keeper, _ *Record) {
-			for _, what := range []string{"1", "2", "3", "4"} {
-				k.waiting[what] = nil
+		"kept: at most one value of each kind is pending": func(k *Keeper, _ *Record) {
+			for _, kind := range []string{"1", "2", "3", "4"} {
+				k.waiting[kind] = nil
 			}
 		},
 	} {
@@ -182,55 +183,55 @@
 	}
 }
 
-// TestRandomFailuresLoseNoStoredValue puts values of all kinds while the disk fails or the power is lost: each start gets the last that was
-// stored or a later one, complete, and every invariant holds.
+// TestRandomFailuresLoseNoStoredValue puts values of all kinds, with a power failure at a random operation: each start reads the last value
+// that was stored or a later one, complete, and every invariant holds.
 func TestRandomFailuresLoseNoStoredValue(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		d := faultyfs.New()
-		least, last := map[string]float64{}, map[string]float64{}
+		oldest, newest := map[string]float64{}, map[string]float64{}
 		n := 0.0
 		for range rapid.IntRange(1, 4).Draw(rt, "lives") {
-			checks, inner := invariant.New(nil), invariant.New(nil)
+			checks, storeChecks := invariant.New(nil), invariant.New(nil)
 			k, err := Start(Options{
-				FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler), Checks: checks, StoreChecks: inner, BatchesPerWalk: 1,
+				FS: d, MaxBytes: 1 << 20, MaxAgeMs: 1e9, Log: slog.New(slog.DiscardHandler), Checks: checks, StoreChecks: storeChecks, BatchesPerWalk: 1,
 			})
 			if err != nil {
 				rt.Fatal(err)
 			}
-			for _, what := range []string{Config, List, EndpointList} {
-				r, err := k.Get(what, machineAt(n))
+			for _, kind := range []string{Config, List, EndpointList} {
+				r, err := k.Get(kind, machineAt(n))
 				if err != nil {
 					rt.Fatal(err)
 				}
 				got := 0.0
 				if r != nil {
 					got = r.SavedMs
-					if string(r.Body) != strings.Repeat(what, int(got)%90) {
-						rt.Fatalf("%s: %q of %v", what, r.Body, got)
+					if string(r.Body) != strings.Repeat(kind, int(got)%90) {
+						rt.Fatalf("%s: value %v has body %q", kind, got, r.Body)
 					}
 				}
-				if got < least[what] || got > last[what] {
-					rt.Fatalf("%s: found that of %v; kept %v, last %v", what, got, least[what], last[what])
+				if got < oldest[kind] || got > newest[kind] {
+					rt.Fatalf("%s: read value %v, want one from %v to %v", kind, got, oldest[kind], newest[kind])
 				}
-				least[what], last[what] = got, got // what was lost does not come back
+				oldest[kind], newest[kind] = got, got // a value that was lost must not reappear
 			}
 			ops, _ := d.Ops()
 			d.CrashAt = ops + rapid.IntRange(1, 60).Draw(rt, "until")
 			for range rapid.IntRange(0, 12).Draw(rt, "values") {
 				n++
-				what := rapid.SampledFrom([]string{Config, List, EndpointList}).Draw(rt, "what")
-				r := &Record{SavedMs: n, Body: []byte(strings.Repeat(what, int(n)%90))}
-				last[what] = n
-				k.Put(what, func() (*Record, error) { return r, nil })
+				kind := rapid.SampledFrom([]string{Config, List, EndpointList}).Draw(rt, "what")
+				r := &Record{SavedMs: n, Body: []byte(strings.Repeat(kind, int(n)%90))}
+				newest[kind] = n
+				k.Put(kind, func() (*Record, error) { return r, nil })
 			}
 			k.Stop()
-			if now, _ := d.Ops(); now < d.CrashAt { // all was kept
-				for what, at := range last {
-					least[what] = at
+			if now, _ := d.Ops(); now < d.CrashAt { // no power failure: all values were stored
+				for kind, at := range newest {
+					oldest[kind] = at
 				}
 			}
-			if broken := append(checks.Breaches(), inner.Breaches()...); broken != nil {
+			if broken := append(checks.Breaches(), storeChecks.Breaches()...); broken != nil {
 				rt.Fatal(broken)
 			}
 			d = d.Restart(rng, true)
