--- a/internal/storage/store/compaction.go
+++ b/internal/storage/store/compaction.go
@@ -7,22 +7,23 @@
 	"github.com/google/btree"
 )
 
-// compactionChunkBytes is how much a compaction writes at a time.
+// compactionChunkBytes is the size of a compaction's writes.
 const compactionChunkBytes = 64 << 10
 
-// compaction writes a snapshot beside the writer, which only seals its segment for it. What was live then is written under another name, at
-// the rate of the options, from a copy of the index that shares all that does not change; it gets its name once it is complete and synced;
-// and what it replaces is removed once that name is durable. Whenever it is killed, the old files or the new one hold the same.
+// compaction writes a snapshot concurrently with the writer, which only seals its segment for it. The records that are live then are written
+// from a copy-on-write clone of the index, under a temporary name and at the rate of the options. The snapshot is renamed once it is complete
+// and synced, and the files that it replaces are removed once the rename is durable. If the process is killed at any point, the old files or
+// the new one hold the same records.
 type compaction struct {
-	lastSegment   uint64 // that it replaces
+	lastSegment   uint64 // the last segment that the snapshot replaces
 	durable       uint64
 	records       *btree.BTreeG[item]
 	replaced      []string
-	reservedBytes int64 // that it may come to
+	reservedBytes int64 // the maximum size of the snapshot
 	writtenBytes  int64
-	renamed       bool // an error from then on leaves names that are not known
+	renamed       bool // set before the rename: after a later error it is unknown which files exist
 	done          []func(error)
-	unthrottle    chan struct{} // closed once somebody waits for its space: it need not spare the disk any more
+	unthrottle    chan struct{} // closed once the writer waits for the compaction, which then ignores its rate limit
 	unthrottled   bool
 }
 
@@ -35,7 +36,7 @@
 	s.startCompaction(done)
 }
 
-// startCompaction starts a compaction, behind one that is under way: it is to hold all that came before.
+// startCompaction starts a compaction, after the one in progress if there is one, as the snapshot must include everything appended before.
 func (s *Store) startCompaction(done func(error)) {
 	for s.compacting != nil {
 		s.awaitCompaction()
@@ -66,7 +67,7 @@
 	go func() { s.compactionDone <- c.run(s.options.FS, s.options.CompactionRate, s.closing) }()
 }
 
-// awaitCompaction waits for the compaction that is under way, which need not spare the disk meanwhile: appends wait for it too.
+// awaitCompaction waits for the compaction in progress and lifts its rate limit, as appends wait for it too.
 func (s *Store) awaitCompaction() {
 	c := s.compacting
 	if !c.unthrottled {
@@ -76,7 +77,8 @@
 	s.finishCompaction(<-s.compactionDone)
 }
 
-// finishCompaction takes a compaction's end. One whose file could not be written leaves all as it was; an error after that is final.
+// finishCompaction handles the end of a compaction. If its file could not be written, nothing has changed; an error after that is final for
+// the store.
 func (s *Store) finishCompaction(err error) {
 	c := s.compacting
 	s.compacting = nil
@@ -99,7 +101,7 @@
 	}
 }
 
-// run writes the snapshot and removes what it replaces.
+// run writes the snapshot and removes the files that it replaces.
 func (c *compaction) run(fs FS, rate int64, closing <-chan struct{}) error {
 	partial := snapshotName(c.lastSegment) + partialSuffix
 	if err := c.write(fs, partial, rate, closing); err != nil {
@@ -144,7 +146,7 @@
 	return errors.Join(err, f.Sync(), f.Close())
 }
 
-// throttle waits until what was written fits the rate, or nobody spares the disk any more.
+// throttle waits until the bytes written fit the rate, or until the rate limit is lifted.
 func (c *compaction) throttle(startedAt time.Time, rate int64, closing <-chan struct{}) {
 	if rate <= 0 {
 		return
@@ -161,7 +163,7 @@
 	}
 }
 
-// reservedBytes is what the store takes on its disk, with what a compaction may come to.
+// reservedBytes returns the size of the store on disk, including the reservation of a compaction in progress.
 func (s *Store) reservedBytes() int64 {
 	if s.compacting != nil {
 		return s.totalBytes + s.compacting.reservedBytes
@@ -169,7 +171,7 @@
 	return s.totalBytes
 }
 
-// compactEarly starts a compaction while there is space for it, where most of a store with a bound is dead.
+// compactEarly starts a compaction of a store with a size bound while there is still space for the snapshot, if most of the store is dead.
 func (s *Store) compactEarly() {
 	if s.options.MaxBytes <= 0 || s.compacting != nil || s.diskFailure() != nil {
 		return
@@ -179,7 +181,7 @@
 	}
 }
 
-// hasSnapshotSpace reports whether a snapshot has space beside what there is.
+// hasSnapshotSpace reports whether there is space for a snapshot in addition to the present files.
 func (s *Store) hasSnapshotSpace() bool {
 	if s.options.MaxBytes <= 0 {
 		return true
@@ -192,7 +194,8 @@
 	return s.totalBytes+s.liveBytes+2*(fileHeaderBytes+frameHeaderBytes) <= s.options.MaxBytes
 }
 
-// compactionFreesSpace reports whether a snapshot has space beside what there is, and is less than half of that.
+// compactionFreesSpace reports whether there is space for a snapshot in addition to the present files, and it would be less than half their
+// size.
 func (s *Store) compactionFreesSpace() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,7 +203,7 @@
 	return snapshotBytes < s.totalBytes/2 && s.totalBytes+snapshotBytes+fileHeaderBytes+frameHeaderBytes <= s.options.MaxBytes
 }
 
-// makeSpace compacts if that is needed to take so many bytes more, and reports whether they can be taken: live records are never given up.
+// makeSpace compacts if that is needed to store more bytes, and reports whether there is space for them. Live records are never discarded.
 func (s *Store) makeSpace(bytes int64) bool {
 	for s.compacting != nil && !s.hasSpace(bytes) {
 		s.awaitCompaction()
--- a/internal/storage/store/compaction_test.go
+++ b/internal/storage/store/compaction_test.go
@@ -15,45 +15,45 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// hooked is a disk that calls hook before each operation of a compaction.
-type hooked struct {
+// hookedDisk is a disk that calls hook before each operation of a compaction, and after a rename.
+type hookedDisk struct {
 	*faultyfs.Disk
 	hook func()
 }
 
 type hookedFile struct {
 	store.File
-	disk *hooked
+	disk *hookedDisk
 }
 
-func (h *hooked) Create(name string) (store.File, error) {
+func (d *hookedDisk) Create(name string) (store.File, error) {
 	if !strings.HasSuffix(name, ".tmp") {
-		return h.Disk.Create(name)
+		return d.Disk.Create(name)
 	}
-	h.hook()
-	f, err := h.Disk.Create(name)
-	return hookedFile{f, h}, err
+	d.hook()
+	f, err := d.Disk.Create(name)
+	return hookedFile{f, d}, err
 }
 
 func (f hookedFile) Write(p []byte) (int, error) { f.disk.hook(); return f.File.Write(p) }
 func (f hookedFile) Sync() error                 { f.disk.hook(); return f.File.Sync() }
 
-func (h *hooked) Rename(from, to string) error {
-	h.hook()
-	defer h.hook()
-	return h.Disk.Rename(from, to)
+func (d *hookedDisk) Rename(from, to string) error {
+	d.hook()
+	defer d.hook()
+	return d.Disk.Rename(from, to)
 }
 
-func (h *hooked) Remove(name string) error {
-	h.hook()
-	return h.Disk.Remove(name)
+func (d *hookedDisk) Remove(name string) error {
+	d.hook()
+	return d.Disk.Remove(name)
 }
 
-// runDuringCompaction appends the entries of a history, the last of them one by one before each operation of two compactions, and reads all
-// records each time. It returns how many were acknowledged and requested, and the errors of the compactions.
+// runDuringCompaction appends the steps of a history, some of them at the operations of two compactions, and reads all records after each. It
+// returns how many were acknowledged and requested, and the errors of the compactions.
 func runDuringCompaction(t *testing.T, d *faultyfs.Disk, steps []step, all []map[string]string) (acknowledged, requested int, compacted error) {
-	h := &hooked{Disk: d}
-	s, _, err := store.Open(store.Options{FS: h, SegmentBytes: 700, Checks: panicOnBreach(), BatchesPerWalk: 1})
+	disk := &hookedDisk{Disk: d}
+	s, _, err := store.Open(store.Options{FS: disk, SegmentBytes: 700, Checks: panicOnBreach(), BatchesPerWalk: 1})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -72,10 +72,10 @@
 		}
 		acknowledged = requested
 		if diff := cmp.Diff(all[acknowledged], recordsOf(s)); diff != "" {
-			t.Errorf("after %d: %s", acknowledged, diff)
+			t.Errorf("after step %d: %s", acknowledged, diff)
 		}
 	}
-	h.hook = next
+	disk.hook = next
 	for range 18 {
 		next()
 	}
@@ -109,9 +109,10 @@
 	return out
 }
 
-// TestAppendsGoOnDuringACompaction appends and reads at each step of a compaction, with a loss of power or a failure at each operation of
-// either: what was acknowledged is there, nothing else is, and what fails before the snapshot has its name fails the compaction alone.
-func TestAppendsGoOnDuringACompaction(t *testing.T) {
+// TestCompactionDoesNotBlockAppends appends and reads during each operation of a compaction, with a power failure or a disk error at each
+// operation. The restarted store has every acknowledged step and nothing else, and an error before the rename of the snapshot fails the
+// compaction only.
+func TestCompactionDoesNotBlockAppends(t *testing.T) {
 	steps := puts(60)
 	all := statesAfter(steps)
 	undisturbed := faultyfs.New()
@@ -119,7 +120,7 @@
 		t.Fatal(acknowledged, err)
 	}
 	ops, _ := undisturbed.Ops()
-	goesOn, crashes := 0, 0
+	onlyCompaction, crashes := 0, 0
 	for at := 1; at <= ops; at++ {
 		for variant := range 6 {
 			d := faultyfs.New()
@@ -131,7 +132,7 @@
 			}
 			acknowledged, requested, err := runDuringCompaction(t, d, steps, all)
 			if variant >= 3 && err != nil && acknowledged == len(steps) {
-				goesOn++
+				onlyCompaction++
 			}
 			if variant >= 3 && err == nil && acknowledged == len(steps) {
 				t.Errorf("operation %d failed, and no error was returned", at)
@@ -141,18 +142,18 @@
 				t.Fatalf("operation %d, variant %d: %v", at, variant, err)
 			}
 			if matchingPrefix(recordsOf(s), all, acknowledged, requested) < 0 {
-				t.Fatalf("operation %d, variant %d: %d acknowledged of %d, and it holds %v", at, variant, acknowledged, requested, recordsOf(s))
+				t.Fatalf("operation %d, variant %d: %d steps acknowledged, %d requested; the store has %v", at, variant, acknowledged, requested, recordsOf(s))
 			}
 			_ = s.Close()
 		}
 	}
-	t.Logf("%d operations, %d crashes; %d failures failed a compaction alone", ops, crashes, goesOn)
-	if goesOn < 6 {
-		t.Errorf("%d failures failed a compaction alone", goesOn)
+	t.Logf("%d operations, %d crashes; %d errors failed only a compaction", ops, crashes, onlyCompaction)
+	if onlyCompaction < 6 {
+		t.Errorf("%d errors failed only a compaction, want at least 6", onlyCompaction)
 	}
 }
 
-// readOnly is a disk that takes nothing.
+// readOnly is a read-only disk.
 type readOnly struct{ *faultyfs.Disk }
 
 func (readOnly) Create(string) (store.File, error) { return nil, syscall.EROFS }
@@ -162,8 +163,8 @@
 func (readOnly) Remove(string) error               { return syscall.EROFS }
 func (readOnly) Sync() error                       { return syscall.EROFS }
 
-// TestReadOnlyDiskIsNoDamage checks that a store on a disk that takes nothing cannot be opened for that reason, not as damaged, and can be
-// inspected.
+// TestReadOnlyDiskIsNoDamage checks that opening a store on a read-only disk fails with the disk's error and not with ErrCorrupt, and that the
+// store can be inspected.
 func TestReadOnlyDiskIsNoDamage(t *testing.T) {
 	d := faultyfs.New()
 	steps := scriptedHistory()
@@ -185,17 +186,17 @@
 	}
 }
 
-// TestStoreStaysWithinItsBound checks that a store with a bound never takes more on its disk, a snapshot that is being written included; dead
-// records free space, and live ones are never given up.
-func TestStoreStaysWithinItsBound(t *testing.T) {
-	const most = 30000
+// TestStoreStaysWithinItsSizeBound checks that a store's files, including a snapshot that is being written, never exceed its size bound. The
+// space of dead records is reused, and live records are never discarded.
+func TestStoreStaysWithinItsSizeBound(t *testing.T) {
+	const maxBytes = 30000
 	d := faultyfs.New()
-	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 2000, MaxBytes: most, Checks: panicOnBreach(), BatchesPerWalk: 1})
+	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 2000, MaxBytes: maxBytes, Checks: panicOnBreach(), BatchesPerWalk: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	largest := 0
-	one := func(key string) error {
+	put := func(key string) error {
 		done := make(chan error, 1)
 		s.Append([]store.Entry{{Key: key, Value: make([]byte, 100)}}, func(err error) { done <- err })
 		err := <-done
@@ -207,13 +208,13 @@
 		return err
 	}
 	for i := range 3000 {
-		if err := one(fmt.Sprint("k", i%40)); err != nil {
+		if err := put(fmt.Sprint("k", i%40)); err != nil {
 			t.Fatalf("write %d: %v", i, err)
 		}
 	}
 	kept := 40
 	for ; kept < 1000; kept++ {
-		if err := one(fmt.Sprint("k", kept)); err != nil {
+		if err := put(fmt.Sprint("k", kept)); err != nil {
 			if !errors.Is(err, store.ErrFull) {
 				t.Fatal(err)
 			}
@@ -222,19 +223,19 @@
 	}
 	requested := make(chan error, 1)
 	s.Compact(func(err error) { requested <- err })
-	if err := <-requested; !errors.Is(err, store.ErrFull) { // its snapshot has no space beside what there is
-		t.Errorf("a compaction that was requested: %v", err)
+	if err := <-requested; !errors.Is(err, store.ErrFull) { // there is no space for its snapshot
+		t.Errorf("a requested compaction of a full store: %v", err)
 	}
-	t.Logf("at most %d bytes of %d; full with %d records", largest, most, kept)
-	if largest > most || kept == 1000 || len(recordsOf(s)) != kept || kept*(100+40) < most/3 {
-		t.Errorf("%d bytes of %d, %d records of %d", largest, most, len(recordsOf(s)), kept)
+	t.Logf("at most %d bytes of %d; full with %d records", largest, maxBytes, kept)
+	if largest > maxBytes || kept == 1000 || len(recordsOf(s)) != kept || kept*(100+40) < maxBytes/3 {
+		t.Errorf("at most %d bytes, bound %d; %d records, %d acknowledged", largest, maxBytes, len(recordsOf(s)), kept)
 	}
 	_ = s.Close()
 }
 
-// TestCompactionKeepsToItsRate checks that a compaction with a bound on its rate spares the disk, that appends go on meanwhile, and that
-// Close does not wait for the rate.
-func TestCompactionKeepsToItsRate(t *testing.T) {
+// TestCompactionRateIsLimited checks that a compaction keeps to its rate limit, that appends are not delayed by it, and that Close does not
+// wait for the rate limit.
+func TestCompactionRateIsLimited(t *testing.T) {
 	s, _, err := store.Open(store.Options{FS: faultyfs.New(), CompactionRate: 200 << 10})
 	if err != nil {
 		t.Fatal(err)
@@ -252,16 +253,16 @@
 			t.Fatal(err)
 		}
 	}
-	beside := time.Since(began)
+	appendsTook := time.Since(began)
 	select {
 	case <-done:
-		t.Errorf("400 KB were written within %v", beside)
+		t.Errorf("the compaction wrote 400 KB within %v", appendsTook)
 	case <-time.After(300 * time.Millisecond):
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
-	if err := <-done; err != nil || time.Since(began) > 1500*time.Millisecond || beside > 250*time.Millisecond {
-		t.Errorf("%v; ended after %v, 100 appends beside it took %v", err, time.Since(began), beside)
+	if err := <-done; err != nil || time.Since(began) > 1500*time.Millisecond || appendsTook > 250*time.Millisecond {
+		t.Errorf("%v; ended after %v, 100 concurrent appends took %v", err, time.Since(began), appendsTook)
 	}
 }
--- a/internal/storage/store/frame.go
+++ b/internal/storage/store/frame.go
@@ -7,14 +7,14 @@
 	"hash/crc32"
 )
 
-// A file is a header of 16 bytes and the frames after it:
+// A file is a header of 16 bytes, followed by frames:
 //
-//	header: magic (7 bytes), format version (1), the file's number (8)
-//	frame:  length of the payload (4), checksum of all else in the frame (4), sequence number (8), the sequence number up to which all was
-//	        known to be durable when it was written (8), kind (1), payload
+//	header: magic (7 bytes), format version (1), number of the file (8)
+//	frame:  length of the payload (4), checksum of the rest of the frame (4), sequence number (8), the highest sequence number that was
+//	        known to be durable when the frame was written (8), kind (1), payload
 //
-// The payload has, for each entry, whether it is a deletion (1), the lengths of key and value (4 each), and both. All numbers are
-// little-endian. The entries of a frame are kept all or none.
+// The payload has, for each entry, whether it is a deletion (1), the lengths of key and value (4 each), the key and the value. All numbers
+// are little-endian. A frame is applied as a whole or not at all, so its entries are atomic.
 const (
 	fileHeaderBytes  = 16
 	frameHeaderBytes = 4 + 4 + 8 + 8 + 1
@@ -38,13 +38,13 @@
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// frameKind is what a frame is. Its numbers are stored.
+// frameKind is the kind of a frame. Its values are stored.
 type frameKind uint8
 
 const (
 	kindPut  frameKind = iota + 1
-	kindSeal           // the file is complete, and another follows it
-	kindEnd            // a snapshot is complete; the sequence number is how many records it has
+	kindSeal           // the segment is complete, and another follows it
+	kindEnd            // the snapshot is complete; the sequence number is its number of records
 )
 
 type frame struct {
@@ -54,16 +54,16 @@
 	entries  []Entry
 }
 
-// Errors of a frame, which need not be damage: the last file may end within one.
+// Errors of reading a frame. They need not mean damage, as the last segment may end within a frame.
 var (
 	errTruncated = errors.New("it ends within a frame")
 	errChecksum  = errors.New("a frame's checksum is wrong")
 )
 
-// encodedSize is how much an entry takes within a frame.
+// encodedSize returns the bytes that an entry takes within a frame.
 func encodedSize(entry *Entry) int { return entryHeaderBytes + len(entry.Key) + len(entry.Value) }
 
-// frameBytes is how much a frame of entries takes.
+// frameBytes returns the bytes of a frame of entries.
 func frameBytes(entries []Entry) int64 {
 	size := int64(frameHeaderBytes)
 	for i := range entries {
@@ -78,7 +78,7 @@
 	return binary.LittleEndian.AppendUint64(b, number)
 }
 
-// checkFileHeader reports why a file does not begin with the header of its number.
+// checkFileHeader checks that a file begins with the header for its number.
 func checkFileHeader(b []byte, number uint64) error {
 	if len(b) < fileHeaderBytes {
 		return errTruncated
@@ -100,7 +100,7 @@
 	start := len(b)
 	payloadBytes := frameBytes(f.entries) - frameHeaderBytes
 	b = binary.LittleEndian.AppendUint32(b, uint32(payloadBytes))
-	b = binary.LittleEndian.AppendUint32(b, 0) // the checksum, below
+	b = binary.LittleEndian.AppendUint32(b, 0) // the checksum, which is set below
 	b = binary.LittleEndian.AppendUint64(b, f.sequence)
 	b = binary.LittleEndian.AppendUint64(b, f.durable)
 	b = append(b, byte(f.kind))
@@ -123,12 +123,12 @@
 	return append(b, entry.Value...)
 }
 
-// frameChecksum is over a frame's length, and all behind the checksum's own place.
+// frameChecksum returns the checksum of a frame: of its length, and of everything after the checksum field.
 func frameChecksum(f []byte) uint32 {
 	return crc32.Update(crc32.Checksum(f[:checksumOffset], checksumTable), checksumTable, f[sequenceOffset:])
 }
 
-// readFrame reads the frame at the start of b, and how long it is.
+// readFrame decodes the frame at the start of b, and returns its length n in bytes.
 func readFrame(b []byte) (f frame, n int, err error) {
 	if len(b) < frameHeaderBytes {
 		return frame{}, 0, errTruncated
@@ -178,8 +178,8 @@
 	return entries, nil
 }
 
-// laterDurable returns the highest sequence number that any complete frame in b, wherever it begins, says is durable. It is called for what
-// follows a frame that cannot be read, to tell damage from a tail that was never complete.
+// laterDurable returns the highest durable sequence number that any complete frame in b states, at whatever offset it begins. It is called
+// with the bytes after a frame that cannot be read, to tell damage from an incomplete tail.
 func laterDurable(b []byte) (durable uint64, found bool) {
 	for i := 0; i+frameHeaderBytes <= len(b); i++ {
 		payloadBytes := binary.LittleEndian.Uint32(b[i:])
--- a/internal/storage/store/fs.go
+++ b/internal/storage/store/fs.go
@@ -12,30 +12,30 @@
 
 // FS is a folder. Names have no separators.
 type FS interface {
-	// Lock keeps other processes out. It fails with ErrLocked where another has the lock.
+	// Lock locks the folder against other processes. It fails with ErrLocked if another process has the lock.
 	Lock() (unlock func() error, err error)
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
-	// Create makes a file, which must not exist.
+	// Create creates a file, which must not exist.
 	Create(name string) (File, error)
 	// Append opens a file, which must exist, for writing at its end.
 	Append(name string) (File, error)
-	// Truncate cuts a file, durably.
+	// Truncate truncates a file durably.
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
-	// Sync makes the creations, renames and removals before it durable.
+	// Sync makes all earlier creations, renames and removals durable.
 	Sync() error
 }
 
-// File is a file that is written at its end.
+// File is a file opened for appending.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Dir is a folder of the file system. Lock makes it where it is not there.
+// Dir is a folder of the file system. Lock creates it if it does not exist.
 type Dir string
 
 const (
@@ -46,7 +46,7 @@
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Lock takes a lock on a file in the folder. It ends with the process.
+// Lock takes a lock on a file in the folder. The lock is released at the latest when the process ends.
 func (d Dir) Lock() (func() error, error) {
 	if err := os.MkdirAll(string(d), dirMode); err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 	return f.Close, nil
 }
 
-// List returns the names of regular files but the lock.
+// List returns the names of the regular files, without the lock file.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -83,7 +83,7 @@
 // Read returns a file's content.
 func (d Dir) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-// Create makes a file, which must not exist.
+// Create creates a file, which must not exist.
 func (d Dir) Create(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, fileMode)
 }
@@ -93,7 +93,7 @@
 	return os.OpenFile(d.path(name), os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// Truncate cuts a file, and syncs it.
+// Truncate truncates a file and syncs it.
 func (d Dir) Truncate(name string, size int64) error {
 	f, err := os.OpenFile(d.path(name), os.O_WRONLY, fileMode)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return errors.Join(f.Truncate(size), f.Sync(), f.Close())
 }
 
-// Rename renames a file, over one of the other name.
+// Rename renames a file, and replaces an existing one of the new name.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Remove removes a file.
--- a/internal/storage/store/inspect.go
+++ b/internal/storage/store/inspect.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// FileReport is what a file of a store holds, read without changing anything.
+// FileReport describes the content of a file of a store.
 type FileReport struct {
 	Name          string `json:"name"`
 	Bytes         int    `json:"bytes"`
 	Frames        int    `json:"frames"`
 	Entries       int    `json:"entries"`
-	FirstSequence uint64 `json:"first,omitempty"` // of its records
+	FirstSequence uint64 `json:"first,omitempty"` // sequence number of its first record
 	LastSequence  uint64 `json:"last,omitempty"`
-	State         string `json:"ends"` // sealed, whole, open, or why it can be read no further
-	ReadUpTo      int    `json:"at"`   // byte
+	State         string `json:"ends"` // a state below, or the error that ended reading
+	ReadUpTo      int    `json:"at"`   // offset at which reading ended, in bytes
 }
 
 // The states of a file that can be read to its end.
@@ -25,7 +25,7 @@
 	stateForeign  = "not of the store, or never whole"
 )
 
-// Inspect reads every file of a store as far as that goes, sorted by name.
+// Inspect reads every file of a store as far as possible, without changing any, and reports on them sorted by name.
 func Inspect(fs FS) ([]FileReport, error) {
 	names, err := fs.List()
 	if err != nil {
@@ -85,21 +85,20 @@
 	}
 }
 
-// ReadOnly is a folder in which nothing is changed, whatever is asked of it: a store that is opened on it shows what recovery would make of
-// it.
+// ReadOnly is a folder whose changes are discarded. A store that is opened on it shows what recovery would find, without changing any file.
 type ReadOnly struct{ FS }
 
-// discardFile takes what is written to it and keeps nothing.
+// discardFile discards everything that is written to it.
 type discardFile struct{}
 
 func (discardFile) Write(p []byte) (int, error) { return len(p), nil }
 func (discardFile) Sync() error                 { return nil }
 func (discardFile) Close() error                { return nil }
 
-// Create returns a file that keeps nothing.
+// Create returns a file that discards everything.
 func (ReadOnly) Create(string) (File, error) { return discardFile{}, nil }
 
-// Append returns a file that keeps nothing.
+// Append returns a file that discards everything.
 func (ReadOnly) Append(string) (File, error) { return discardFile{}, nil }
 
 // Truncate does nothing.
--- a/internal/storage/store/invariants_test.go
+++ b/internal/storage/store/invariants_test.go
@@ -18,22 +18,22 @@
 	return <-done
 }
 
-// TestBrokenInvariantsAreReported breaks the state for each invariant of the store; without a break none is reported.
+// TestBrokenInvariantsAreReported breaks each invariant of the store in turn and expects its report. An intact state reports none.
 func TestBrokenInvariantsAreReported(t *testing.T) {
 	t.Parallel()
 	for want, breaks := range map[string]func(s *Store){
 		"": func(*Store) {},
-		"store: what was acknowledged is what is durable": func(s *Store) { s.sequence++ },
-		"store: the segment that is written is replaced by nothing": func(s *Store) {
+		"store: the last written record is durable": func(s *Store) { s.sequence++ },
+		"store: the open segment is not replaceable": func(s *Store) {
 			s.replaceable = append(s.replaceable, segmentName(s.segmentNumber))
 		},
-		"store: it stays within its bound":                                     func(s *Store) { s.totalBytes += 2 << 20 },
-		"store: what is live is counted":                                       func(s *Store) { s.liveBytes++ },
-		"store: its files' sizes are counted":                                  func(s *Store) { s.segmentBytes++ },
-		"compaction: every file is written, to be replaced, or being replaced": func(s *Store) { s.fileBytes["stray"] = 0 },
-		"compaction: a snapshot is no larger than was reserved":                func(s *Store) { s.checkCompacted(&compaction{writtenBytes: 1 << 20}) },
-		"compaction: a snapshot is of what was before":                         func(s *Store) { s.checkCompacted(&compaction{lastSegment: 1 << 40}) },
-		"store: the index has its keys in order, each once": func(s *Store) {
+		"store: its files stay within their size bound":                          func(s *Store) { s.totalBytes += 2 << 20 },
+		"store: live bytes are counted correctly":                                func(s *Store) { s.liveBytes++ },
+		"store: file sizes are counted correctly":                                func(s *Store) { s.segmentBytes++ },
+		"compaction: every file is open, replaceable or being replaced":          func(s *Store) { s.fileBytes["stray"] = 0 },
+		"compaction: a snapshot is no larger than its reservation":               func(s *Store) { s.checkCompacted(&compaction{writtenBytes: 1 << 20}) },
+		"compaction: a snapshot covers sealed segments and durable records only": func(s *Store) { s.checkCompacted(&compaction{lastSegment: 1 << 40}) },
+		"store: the keys of the index are sorted and unique": func(s *Store) {
 			other := btree.NewG(indexDegree, func(a, b item) bool { return a.key > b.key })
 			s.index.Ascend(func(x item) bool { other.ReplaceOrInsert(x); return true })
 			s.index = other
@@ -48,7 +48,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := s.Close(); err != nil { // the writer has ended, and the test may change its state
+		if err := s.Close(); err != nil { // the writer has ended, so the test may change its state
 			t.Fatal(err)
 		}
 		s.options.Checks, s.options.BatchesPerWalk = invariant.New(nil), 1
@@ -61,13 +61,13 @@
 	}
 }
 
-// TestMemoryBoundRejectsWhatTakesMore checks that beyond the bound on memory nothing is taken that takes more, that deletions are and free
-// memory, and that a store opened with a lower bound keeps what it has.
-func TestMemoryBoundRejectsWhatTakesMore(t *testing.T) {
+// TestMemoryBoundRejectsGrowth checks that a store at its memory bound rejects entries that take more memory, and accepts deletions, which free
+// memory. A store that is opened with a lower bound keeps its records.
+func TestMemoryBoundRejectsGrowth(t *testing.T) {
 	t.Parallel()
 	dir := Dir(t.TempDir())
-	most := MemoryUse(10, 10*102)
-	s, _, err := Open(Options{FS: dir, MaxMemory: most, Checks: invariant.Test(t), BatchesPerWalk: 1})
+	maxMemory := MemoryUse(10, 10*102)
+	s, _, err := Open(Options{FS: dir, MaxMemory: maxMemory, Checks: invariant.Test(t), BatchesPerWalk: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,23 +77,23 @@
 			t.Fatal(i, err)
 		}
 	}
-	for _, x := range []struct {
+	for _, c := range []struct {
 		entries []Entry
 		want    error
 	}{
 		{[]Entry{put(10)}, ErrFull},
-		{[]Entry{put(3)}, nil}, // in place of as much
+		{[]Entry{put(3)}, nil}, // replaces a value of the same size
 		{[]Entry{{Key: "03", Value: make([]byte, 101)}}, ErrFull},
 		{[]Entry{{Key: "04", Deleted: true}, put(11)}, nil},
 		{[]Entry{put(12)}, ErrFull},
 		{[]Entry{{Key: "05", Deleted: true}}, nil},
 		{[]Entry{put(12)}, nil},
 	} {
-		if err := appendAndWait(t, s, x.entries...); !errors.Is(err, x.want) {
-			t.Errorf("%v: %v", x.entries[0].Key, err)
+		if err := appendAndWait(t, s, c.entries...); !errors.Is(err, c.want) {
+			t.Errorf("%v: %v", c.entries[0].Key, err)
 		}
 	}
-	var errs [4]error // in one batch, room is promised once
+	var errs [4]error // the entries of one batch are not promised the same memory
 	_ = appendAndWait(t, s, Entry{Key: "00", Deleted: true})
 	done := make(chan int, len(errs))
 	for i := range errs {
@@ -106,12 +106,12 @@
 		}
 	}
 	if full != 3 {
-		t.Errorf("%d of 4 were rejected; there was space for one", full)
+		t.Errorf("%d of 4 appends were rejected, though there was memory for one", full)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s, rec, err := Open(Options{FS: dir, MaxMemory: most / 2})
+	s, rec, err := Open(Options{FS: dir, MaxMemory: maxMemory / 2})
 	if err != nil || rec.Records != 10 || rec.DurationMs <= 0 {
 		t.Fatal(rec, err)
 	}
--- a/internal/storage/store/linear_test.go
+++ b/internal/storage/store/linear_test.go
@@ -14,18 +14,18 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// operation is what a client did: it wrote some keys at once, or read all (writes is nil).
+// operation is an operation of a client: an atomic write of some keys, or a read of all keys if writes is nil.
 type operation struct {
 	writes    map[int]string
-	uncertain bool // whether it was kept is not known
+	uncertain bool // it is unknown whether the write was stored
 }
 
 const linearKeys = 3
 
-// contents is a state: the keys' values.
+// contents is the state of the store: the values of the keys.
 type contents [linearKeys]string
 
-// linear is the model of a store that does one operation after another.
+// linear is the model of a store that performs one operation at a time.
 var linear = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{contents{}} },
 	Step: func(state, input, output any) []any {
@@ -59,16 +59,16 @@
 	return out
 }
 
-// concurrent runs clients that write and read at once, beside compactions, until power is lost, and again after that. It returns their history,
-// and the number of writes whose outcome is not known.
-func concurrent(t *testing.T, seed uint64) (history []porcupine.Operation, maybes int) {
+// runClients runs clients that write and read concurrently with compactions, until a power failure and again after it. It returns their
+// history, and the number of writes whose outcome is unknown.
+func runClients(t *testing.T, seed uint64) (history []porcupine.Operation, uncertainWrites int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	d := faultyfs.New()
 	d.CrashAt = 20 + rng.IntN(30)
 	var mu sync.Mutex
 	began := time.Now()
 	now := func() int64 { return time.Since(began).Nanoseconds() }
-	var unsure []int
+	var uncertain []int // indices in history
 	for life := range 2 {
 		s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 200, Checks: panicOnBreach(), BatchesPerWalk: 1})
 		if err != nil {
@@ -76,13 +76,13 @@
 		}
 		var wg sync.WaitGroup
 		for client := range 5 {
-			mine := rand.New(rand.NewPCG(seed, uint64(10*life+client+2)))
+			clientRNG := rand.New(rand.NewPCG(seed, uint64(10*life+client+2)))
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
 				for i := range 9 {
 					op := porcupine.Operation{ClientId: client, Call: now()}
-					switch mine.IntN(5) {
+					switch clientRNG.IntN(5) {
 					case 0, 1:
 						op.Input, op.Output = operation{}, readAll(s)
 					case 2:
@@ -93,8 +93,8 @@
 					default:
 						in := operation{writes: map[int]string{}}
 						var e []store.Entry
-						for range 1 + mine.IntN(2) {
-							k := mine.IntN(linearKeys)
+						for range 1 + clientRNG.IntN(2) {
+							k := clientRNG.IntN(linearKeys)
 							if in.writes[k] == "" {
 								in.writes[k] = fmt.Sprint(life, client, ".", i)
 								e = append(e, store.Entry{Key: fmt.Sprint("k", k), Value: []byte(in.writes[k])})
@@ -108,11 +108,11 @@
 					op.Return = now()
 					mu.Lock()
 					if in := op.Input.(operation); in.uncertain {
-						unsure = append(unsure, len(history))
+						uncertain = append(uncertain, len(history))
 					}
 					history = append(history, op)
 					mu.Unlock()
-					if in := op.Input.(operation); in.uncertain { // the client ends
+					if in := op.Input.(operation); in.uncertain { // a client stops after an uncertain write
 						return
 					}
 				}
@@ -126,7 +126,7 @@
 				t.Fatal(err)
 			}
 			op := porcupine.Operation{ClientId: 9, Call: now(), Input: operation{}, Output: readAll(s)}
-			for _, i := range unsure { // these may have been kept at any time up to the restart
+			for _, i := range uncertain { // these may have taken effect at any time up to the restart
 				history[i].Return = now()
 			}
 			op.Call = now()
@@ -135,26 +135,26 @@
 			_ = s.Close()
 		}
 	}
-	return history, len(unsure)
+	return history, len(uncertain)
 }
 
-// TestConcurrentHistoriesAreLinearizable checks that what concurrent clients wrote and read, beside compactions and over a loss of power, is
-// linearizable, and that a history with one stale read is not.
+// TestConcurrentHistoriesAreLinearizable checks that the histories of concurrent clients are linearizable, with compactions and across a power
+// failure, and that the check finds a history with one stale read.
 func TestConcurrentHistoriesAreLinearizable(t *testing.T) {
 	t.Parallel()
-	reads, maybes, broken := 0, 0, 0
+	reads, uncertain, staleFound := 0, 0, 0
 	for seed := range uint64(25) {
-		h, unsure := concurrent(t, seed)
-		maybes += unsure
+		h, n := runClients(t, seed)
+		uncertain += n
 		if res := porcupine.CheckOperationsTimeout(linear, h, 3*time.Second); res != porcupine.Ok {
 			t.Fatalf("seed %d: %v of %d operations", seed, res, len(h))
 		}
-		for i := len(h) - 1; i >= 0 && broken <= int(seed); i-- { // an older value of a key, in place of the last
+		for i := len(h) - 1; i >= 0 && staleFound <= int(seed); i-- { // replaces the last read value of a key by an older one
 			if out, ok := h[i].Output.(contents); ok && strings.HasPrefix(out[0], "1") {
 				out[0] = ""
 				h[i].Output = out
 				if porcupine.CheckOperationsTimeout(linear, h, 3*time.Second) == porcupine.Illegal {
-					broken++
+					staleFound++
 				}
 				break
 			}
@@ -165,8 +165,8 @@
 			}
 		}
 	}
-	t.Logf("%d reads, %d writes with unknown outcome; %d of 25 histories with a stale read were found", reads, maybes, broken)
-	if reads < 200 || maybes == 0 || broken < 20 {
-		t.Errorf("%d reads, %d unsure writes, %d broken histories found", reads, maybes, broken)
+	t.Logf("%d reads, %d writes with unknown outcome; %d of 25 histories with a stale read were found", reads, uncertain, staleFound)
+	if reads < 200 || uncertain == 0 || staleFound < 20 {
+		t.Errorf("%d reads, %d writes with unknown outcome, %d of 25 histories with a stale read found", reads, uncertain, staleFound)
 	}
 }
--- a/internal/storage/store/memory.go
+++ b/internal/storage/store/memory.go
@@ -1,15 +1,16 @@
 package store
 
-// indexBytesPerRecord is what a record takes in the index beside its key and value: its place, with half of a tree's nodes free, the
-// allocations' rounding, and as much again as the collector lets grow.
+// indexBytesPerRecord is the memory that a record takes in the index in addition to its key and value: its item in tree nodes that are half
+// full, the rounding of allocations, and the same amount again because the garbage collector lets the heap grow.
 const indexBytesPerRecord = 160
 
-// MemoryUse returns about how many bytes of memory so many live records take, whose keys and values have so many bytes.
+// MemoryUse estimates the bytes of memory that live records take, by their number and the total bytes of their keys and values.
 func MemoryUse(records int, payloadBytes int64) int64 {
 	return 2*payloadBytes + indexBytesPerRecord*int64(records)
 }
 
-// fitsMemory reports whether entries that take so much more memory fit beside what is promised. Those that free memory always do.
+// fitsMemory reports whether growth more bytes fit into the memory bound, in addition to those promised to the entries of the current batch.
+// Entries that free memory always fit.
 func (s *Store) fitsMemory(growth, promised int64) bool {
 	return growth <= 0 || s.memoryUse()+promised+growth <= s.options.MaxMemory
 }
@@ -20,7 +21,7 @@
 	return MemoryUse(s.index.Len(), s.payloadBytes)
 }
 
-// memoryGrowth is how much more memory is taken once entries are kept, compared with what is there now.
+// memoryGrowth returns the additional memory that is in use once entries are in the index.
 func (s *Store) memoryGrowth(entries []Entry) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storage/store/recovery.go
+++ b/internal/storage/store/recovery.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// storeFiles are the numbers of a store's files, sorted.
+// storeFiles holds the numbers of a store's files, sorted.
 type storeFiles struct {
 	snapshots []uint64
 	segments  []uint64
 }
 
-// recover reads the newest snapshot and the segments after it, and removes what they replace.
+// recover reads the newest snapshot and the segments after it, and removes the files that the snapshot replaces.
 func (s *Store) recover() (*Recovery, error) {
 	names, err := s.options.FS.List()
 	if err != nil {
@@ -46,10 +46,10 @@
 	return recovery, s.createSegment(base + 1 + uint64(recovery.SegmentsRead))
 }
 
-// sortFiles tells snapshots and segments by their names, and removes snapshots that were never complete.
+// sortFiles classifies files as snapshots and segments by their names, and removes incomplete snapshots.
 func (s *Store) sortFiles(names []string) (*storeFiles, error) {
 	slices.Sort(names)
-	// A process that ended may have left names and bytes that are not on the disk yet. What this one acts on must be durable.
+	// An earlier process may have left names and bytes that are not on the disk yet. Recovery must rely on durable state only.
 	if err := s.options.FS.Sync(); err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 	return files, nil
 }
 
-// removeReplaced removes what the snapshot base replaces, where a compaction was killed before it had done so.
+// removeReplaced removes the files that the snapshot base replaces, if a compaction was killed before it removed them.
 func (s *Store) removeReplaced(files *storeFiles, base uint64) error {
 	var replaced []string
 	for _, number := range files.snapshots {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// readSnapshot reads a snapshot. It got its name when it was complete: whatever is wrong with it is damage.
+// readSnapshot reads a snapshot. It was renamed only once it was complete, so any error in it is damage.
 func (s *Store) readSnapshot(number uint64) error {
 	b, err := s.options.FS.Read(snapshotName(number))
 	if err != nil {
@@ -143,8 +143,8 @@
 	}
 }
 
-// readSegment reads a segment. One with another after it was sealed before that was made; the last may have a tail that was never complete,
-// and is cut there.
+// readSegment reads a segment. A segment that is followed by another must be sealed, because it was sealed before the next was created. The
+// last segment may have an incomplete tail, which is cut off.
 func (s *Store) readSegment(number uint64, isLast bool, recovery *Recovery) error {
 	b, err := s.options.FS.Read(segmentName(number))
 	if err != nil {
@@ -177,7 +177,7 @@
 	return s.continueSegment(number, end, sealed)
 }
 
-// corrupt adds to an error that it is damage, and where.
+// corrupt wraps an error as damage at an offset, unless it says so already.
 func corrupt(at int, err error) error {
 	if errors.Is(err, ErrCorrupt) {
 		return err
@@ -185,12 +185,14 @@
 	return fmt.Errorf("%w: byte %d: %w", ErrCorrupt, at, err)
 }
 
-// isUnfinishedHeader reports whether a segment was being made: its length may be on the disk before its header.
+// isUnfinishedHeader reports whether a segment was still being created, from its content and the error of its header. The length of the file
+// may reach the disk before the bytes of the header, which are then zero.
 func isUnfinishedHeader(b []byte, err error) bool {
 	allZero := len(b) == fileHeaderBytes && bytes.Count(b, []byte{0}) == fileHeaderBytes
 	return errors.Is(err, errTruncated) || allZero
 }
 
+// replaceUnfinished removes a segment whose header is incomplete, and creates it again.
 func (s *Store) replaceUnfinished(number uint64, droppedBytes int, recovery *Recovery) error {
 	recovery.DroppedBytes += droppedBytes
 	recovery.Reason = "its head is not whole"
@@ -200,7 +202,8 @@
 	return s.createSegment(number)
 }
 
-// readFrames applies a segment's frames, up to the first that cannot be read. It returns where it ended, and whether by a seal.
+// readFrames applies a segment's frames up to the first that cannot be read. It returns the end of the last frame that was read, and whether
+// that frame is a seal.
 func (s *Store) readFrames(b []byte) (end int, sealed bool, err error) {
 	at := fileHeaderBytes
 	for at < len(b) {
@@ -227,7 +230,8 @@
 	return at, sealed, nil
 }
 
-// cutTail drops a tail that was never complete. Nothing was acknowledged before it was synced, and later frames say what was.
+// cutTail drops an incomplete tail. Nothing in it was acknowledged, as records are acknowledged only after a sync, unless a later frame states
+// that a higher sequence number was durable: then the segment is damaged.
 func (s *Store) cutTail(number uint64, b []byte, at int, reason error, recovery *Recovery) error {
 	if durable, found := laterDurable(b[at+1:]); found && durable > s.sequence {
 		return fmt.Errorf("%w: byte %d: %w, and records up to %d were durable", ErrCorrupt, at, reason, durable)
--- a/internal/storage/store/repair.go
+++ b/internal/storage/store/repair.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// LostRange is a part of a file that a repair could not read.
+// LostRange is a range of bytes of a file that a repair could not read.
 type LostRange struct {
 	Name   string `json:"name"`
 	From   int    `json:"from"`
@@ -15,8 +15,8 @@
 	Reason string `json:"why"`
 }
 
-// Repair writes what can be read of a store into another, which must be empty, and returns what it had to leave out. There may have been the
-// deletion of a key, or a newer value: an operator has to look at the result.
+// Repair copies the readable records of a store into another store, which must be empty, and returns the ranges that could not be read. A lost
+// range may have held the deletion of a key or a newer value, so an operator has to review the result.
 func Repair(from, to FS) (kept int, lost []LostRange, err error) {
 	unlock, err := from.Lock()
 	if err != nil {
@@ -50,7 +50,7 @@
 	return len(live), lost, copied.writeAndClose(live)
 }
 
-// currentFiles returns the newest snapshot and the segments after it, in their order.
+// currentFiles returns the newest snapshot and the segments after it, in order.
 func currentFiles(names []string) []string {
 	slices.Sort(names)
 	base, snapshot := uint64(0), ""
@@ -72,7 +72,7 @@
 	return files
 }
 
-// writeAndClose writes records, one after another, and closes the store.
+// writeAndClose appends records one at a time, and closes the store.
 func (s *Store) writeAndClose(records map[string][]byte) error {
 	var failed error
 	for _, key := range slices.Sorted(maps.Keys(records)) {
@@ -83,11 +83,11 @@
 	return errors.Join(failed, s.Close())
 }
 
-// salvage visits the entries of every complete frame of a file, wherever it stands, and returns what lies between them.
+// salvage visits the entries of every complete frame of a file, at whatever offset it begins, and returns the ranges between those frames.
 func salvage(name string, b []byte, visit func(*Entry)) []LostRange {
 	var lost []LostRange
 	at := min(fileHeaderBytes, len(b))
-	gapFrom, reason := -1, "" // of the gap that at is in, -1 for none
+	gapFrom, reason := -1, "" // of the unreadable range that contains at; -1 if there is none
 	for at < len(b) {
 		f, n, err := readFrame(b[at:])
 		if err != nil {
--- a/internal/storage/store/replace.go
+++ b/internal/storage/store/replace.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 )
 
-// Replace replaces a file durably: the new one is written under a name of its own and synced, takes the old one's place, and the folder is
-// synced. Whoever reads, at any time and after any loss of power, finds the old one or the new one, complete; once Replace has returned
-// without an error, the new one. After an error either may be there. Two processes may replace one file.
+// Replace replaces a file atomically and durably: it writes and syncs the new content under a temporary name, renames it over the old file and
+// syncs the folder. A reader finds the complete old or new content at any time, also after a power failure, and the new content once Replace
+// has returned without an error. After an error, either may be there. Several processes may replace the same file concurrently.
 func Replace(fs FS, name string, content []byte) error {
 	partial := fmt.Sprintf("%s.new-%016x", name, rand.Uint64())
 	f, err := fs.Create(partial)
--- a/internal/storage/store/replace_test.go
+++ b/internal/storage/store/replace_test.go
@@ -10,9 +10,9 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// TestReplacedFileIsTheOldOrTheNew loses power at every operation of a replacement, or fails it: the file is the old one or the new one,
-// complete, and the new one after success; a failure leaves no partial file.
-func TestReplacedFileIsTheOldOrTheNew(t *testing.T) {
+// TestReplaceIsAtomicAndDurable loses power at every operation of a replacement, or fails the operation: the file has the complete old or new
+// content, and the new content after success. A failed operation leaves no temporary file.
+func TestReplaceIsAtomicAndDurable(t *testing.T) {
 	t.Parallel()
 	old, new := strings.Repeat("old ", 400), strings.Repeat("newer ", 500)
 	undisturbed := faultyfs.New()
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	ops, _ := undisturbed.Ops()
-	if ops < 5 { // create, write, sync, rename, sync of the folder
+	if ops < 5 { // create, write, sync, rename and sync of the folder
 		t.Errorf("%d operations", ops)
 	}
 	read := func(d *faultyfs.Disk) string { return string(d.Files()["a"]) }
@@ -32,7 +32,7 @@
 			err := store.Replace(d, "a", []byte(new))
 			got := read(d.Restart(rand.New(rand.NewPCG(seed, 1)), true))
 			if got != new && (err == nil || got != old) {
-				t.Fatalf("power lost at operation %d, %v: %d bytes are there", at, err, len(got))
+				t.Fatalf("power lost at operation %d, %v: the file has %d bytes", at, err, len(got))
 			}
 		}
 		d := faultyfs.New()
@@ -40,7 +40,7 @@
 		d.FailAt, d.Err, d.Short = at, errors.New("no"), true
 		err := store.Replace(d, "a", []byte(new))
 		if got := read(d); (err != nil) != (at <= ops) || got != new && (err == nil || got != old) || len(d.Files()) != 1 {
-			t.Fatalf("operation %d failed: %v, %d bytes are there, %d files", at, err, len(got), len(d.Files()))
+			t.Fatalf("operation %d failed: %v; the file has %d bytes, the folder %d files", at, err, len(got), len(d.Files()))
 		}
 	}
 }
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -1,8 +1,8 @@
-// Package store keeps records that must survive a crash: a log in segments, an index by key in memory, and compaction into snapshots.
+// Package store is a durable key-value store: a log in segments, an index by key in memory, and compaction into snapshots.
 //
-// What was acknowledged is there after a crash; what is there was given to the store, once, in the order in which it was. All entries of one
-// Append are kept, or none. A sync that fails is final: the store takes nothing more until it is opened anew. Damage of what was durable is
-// never repaired silently: opening fails with ErrCorrupt, and an operator has to look (Inspect, Repair).
+// Every acknowledged record survives a crash, and after a crash the store holds a prefix of what was appended, in the order of the calls. The
+// entries of one Append are stored atomically. A failed sync is final: the store accepts no more entries until it is opened again. Damage to
+// durable records is never repaired silently: opening fails with ErrCorrupt, and an operator has to decide (Inspect, Repair).
 package store
 
 import (
@@ -27,7 +27,7 @@
 	ErrClosed     = errors.New("the store is closed")
 )
 
-// Entry is a record to be kept: a key with its value, or the deletion of a key.
+// Entry is a change to the store: a key with its new value, or the deletion of a key.
 type Entry struct {
 	Key     string
 	Value   []byte
@@ -39,21 +39,21 @@
 // Options configure a Store.
 type Options struct {
 	FS             FS
-	SegmentBytes   int64        // a segment of that size is followed by another; 0 for the default
-	MaxBytes       int64        // of all files, a snapshot that is being written included; 0 for no bound. Beyond it nothing is taken
-	CompactionRate int64        // bytes a second that a compaction writes at most; 0 for no bound
-	MaxMemory      int64        // that live records may take, by MemoryUse; 0 for no bound. Beyond it nothing is taken that takes more
-	Post           func(func()) // runs the callbacks of commits, for example on a loop; nil runs them on the writer's goroutine
+	SegmentBytes   int64        // size at which a new segment is begun; 0 for the default
+	MaxBytes       int64        // of all files, including a snapshot that is being written; 0 for no bound. Entries beyond it are rejected
+	CompactionRate int64        // maximum bytes a second that a compaction writes; 0 for no bound
+	MaxMemory      int64        // of live records, by MemoryUse; 0 for no bound. Entries that would exceed it are rejected
+	Post           func(func()) // runs the callbacks of Append and Compact, for example on an event loop; nil runs them on the writer's goroutine
 
-	Checks         *invariant.Checks // the writer's own; nil for off
-	BatchesPerWalk int               // a check of all that there is every so many batches
+	Checks         *invariant.Checks // used by the writer's goroutine; nil if disabled
+	BatchesPerWalk int               // batches between two walks over the whole state
 }
 
-// Recovery is what opening a store found.
+// Recovery describes what was found when a store was opened.
 type Recovery struct {
-	Records      int    // live
-	SegmentsRead int    // after the snapshot
-	DroppedBytes int    // of a tail that was never complete
+	Records      int    // live records
+	SegmentsRead int    // segments after the snapshot
+	DroppedBytes int    // of an incomplete tail
 	Reason       string // why they were dropped
 	DurationMs   float64
 }
@@ -66,25 +66,25 @@
 	stopped chan struct{} // closed when the writer has ended
 
 	mu           sync.Mutex
-	index        *btree.BTreeG[item] // what is durable
+	index        *btree.BTreeG[item] // the durable records
 	queue        []commit
 	diskError    error
 	closed       bool
-	liveBytes    int64 // of live records, as a snapshot has them
+	liveBytes    int64 // of live records, as encoded in a snapshot
 	payloadBytes int64 // of their keys and values
 	totalBytes   int64 // of all files
 
-	// The writer's own.
+	// Used by the writer's goroutine only.
 	segmentFile      File
 	segmentNumber    uint64
 	segmentBytes     int64
 	sequence         uint64   // of the last frame
-	durable          uint64   // the last that is known to be durable
-	replaceable      []string // files that the next snapshot replaces
+	durable          uint64   // the last sequence number that is known to be durable
+	replaceable      []string // the files that the next snapshot replaces
 	fileBytes        map[string]int64
-	compacting       *compaction   // under way, nil for none
-	compactionDone   chan error    // its end
-	closing          chan struct{} // closed by Close: a compaction need not spare the disk any more
+	compacting       *compaction   // in progress, nil if there is none
+	compactionDone   chan error    // receives the result of the compaction
+	closing          chan struct{} // closed by Close: a compaction then ignores its rate limit
 	batchesSinceWalk int
 	bytesAtOpen      int64
 }
@@ -99,15 +99,15 @@
 
 const indexDegree = 32
 
-// commit is a call that waits for the writer.
+// commit is a call of Append or Compact that waits for the writer.
 type commit struct {
 	entries []Entry
 	done    func(error)
 	compact bool
 }
 
-// Open opens a store and recovers what it holds. It fails with ErrLocked where another process has the store, and with ErrCorrupt where what
-// was durable is damaged.
+// Open opens a store and recovers its records. It fails with ErrLocked if another process has the store open, and with ErrCorrupt if durable
+// records are damaged.
 func Open(options Options) (s *Store, recovery *Recovery, err error) {
 	if options.SegmentBytes <= 0 {
 		options.SegmentBytes = defaultSegmentBytes
@@ -140,7 +140,7 @@
 const (
 	segmentSuffix  = ".log"
 	snapshotSuffix = ".snap"
-	partialSuffix  = ".tmp" // of a snapshot that is not complete
+	partialSuffix  = ".tmp" // of an incomplete snapshot
 	numberDigits   = 16     // of a file's number in its name, hexadecimal
 )
 
@@ -158,13 +158,13 @@
 	return number, found && err == nil && len(text) == numberDigits
 }
 
-// Append keeps entries, all or none of them, in the order of the calls. done is called once: with nil after they were synced, so that no
-// crash loses them; with an error where they are not kept, or it is not known. done may be nil.
+// Append stores entries atomically, in the order of the calls. done is called once: with nil after the entries were synced, so that no crash
+// loses them, or with an error if they were not stored or that is unknown. done may be nil.
 func (s *Store) Append(entries []Entry, done func(error)) {
 	s.enqueue(commit{entries: entries, done: done})
 }
 
-// Compact replaces the segments by a snapshot of what is live.
+// Compact replaces the segments by a snapshot of the live records.
 func (s *Store) Compact(done func(error)) { s.enqueue(commit{done: done, compact: true}) }
 
 func (s *Store) enqueue(c commit) {
@@ -187,11 +187,11 @@
 func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // it will look anyway
+	default: // a wake-up is already pending
 	}
 }
 
-// notify calls back, by way of Options.Post.
+// notify calls done, through Options.Post if that is set.
 func (s *Store) notify(done func(error), err error) {
 	switch {
 	case done == nil:
@@ -210,8 +210,8 @@
 	return found.value, ok
 }
 
-// Range calls visit for the keys from from on and before to (empty for all), in their order, until it returns false. It sees the store as it
-// is at the call, whatever is written meanwhile.
+// Range calls visit for the keys in the range [from, to), in order, until it returns false; an empty to means no upper bound. It iterates over
+// the state of the store at the call, whatever is written meanwhile.
 func (s *Store) Range(from, to string, visit func(key string, value []byte) bool) {
 	s.mu.Lock()
 	records := s.index.Clone()
@@ -235,7 +235,7 @@
 	return Stats{Records: s.index.Len(), Live: s.liveBytes}
 }
 
-// Close takes nothing more, and returns once all that came before has been called back. It may be called more than once.
+// Close rejects further entries, and returns once all earlier calls have been carried out and called back. It may be called more than once.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -18,7 +18,7 @@
 	"beechgrade/internal/testkit/fake/faultyfs"
 )
 
-// step is a step of a history: entries that are appended together, or a compaction.
+// step is one step of a history: entries that are appended atomically, or a compaction.
 type step struct {
 	entries []store.Entry
 	compact bool
@@ -41,22 +41,22 @@
 
 // statesAfter returns the records of a store after each prefix of a history.
 func statesAfter(steps []step) (out []map[string]string) {
-	m := map[string]string{}
-	snap := func() {
+	records := map[string]string{}
+	appendCopy := func() {
 		c := map[string]string{}
-		for k, v := range m {
+		for k, v := range records {
 			c[k] = v
 		}
 		out = append(out, c)
 	}
-	snap()
+	appendCopy()
 	for _, a := range steps {
 		for _, e := range a.entries {
-			if delete(m, e.Key); !e.Deleted {
-				m[e.Key] = string(e.Value)
+			if delete(records, e.Key); !e.Deleted {
+				records[e.Key] = string(e.Value)
 			}
 		}
-		snap()
+		appendCopy()
 	}
 	return out
 }
@@ -66,7 +66,7 @@
 	return invariant.New(func(b invariant.Breach) { panic(b.String()) })
 }
 
-// runHistory takes the steps of a history one after another, up to an error, and returns how many were acknowledged, and how many requested.
+// runHistory performs the steps of a history in order, up to the first error, and returns how many were acknowledged and how many requested.
 func runHistory(d *faultyfs.Disk, steps []step) (acknowledged, requested int) {
 	s, _, err := store.Open(store.Options{FS: d, SegmentBytes: 700, Checks: panicOnBreach(), BatchesPerWalk: 1})
 	if err != nil {
@@ -95,7 +95,7 @@
 	return out
 }
 
-// matchingPrefix returns how many steps of a history lead to these records, between two numbers, -1 for none.
+// matchingPrefix returns the highest number of steps, between from and to, after which a store has these records; -1 if there is none.
 func matchingPrefix(got map[string]string, all []map[string]string, from, to int) int {
 	for n := to; n >= from; n-- {
 		if cmp.Equal(got, all[n]) {
@@ -105,18 +105,18 @@
 	return -1
 }
 
-// TestAcknowledgedRecordsSurviveALossOfPower loses power at every operation of a history with compactions, whatever of the unsynced bytes and
-// names stays: the store has all that was acknowledged and nothing that was not appended, and goes on from there. The same where only the
-// process ends.
-func TestAcknowledgedRecordsSurviveALossOfPower(t *testing.T) {
+// TestAcknowledgedRecordsSurviveAPowerFailure loses power at every operation of a history with compactions, and keeps a random part of the
+// unsynced bytes and names. The restarted store has every acknowledged record and nothing that was not appended, and accepts new records. The
+// same holds if only the process ends.
+func TestAcknowledgedRecordsSurviveAPowerFailure(t *testing.T) {
 	steps := scriptedHistory()
 	all := statesAfter(steps)
 	undisturbed := faultyfs.New()
 	if acknowledged, _ := runHistory(undisturbed, steps); acknowledged != len(steps) {
-		t.Fatalf("%d of %d", acknowledged, len(steps))
+		t.Fatalf("acknowledged %d of %d steps", acknowledged, len(steps))
 	}
 	ops, _ := undisturbed.Ops()
-	where := map[string]int{}
+	crashes := map[string]int{} // by operation
 	for at := 1; at <= ops; at++ {
 		for variant := range 12 {
 			rng := rand.New(rand.NewPCG(uint64(at), uint64(variant)))
@@ -125,7 +125,7 @@
 			acknowledged, requested := runHistory(d, steps)
 			if variant == 0 {
 				_, what := d.Ops()
-				where[what]++
+				crashes[what]++
 			}
 			next := d.Restart(rng, variant > 0)
 			s, _, err := store.Open(store.Options{FS: next, SegmentBytes: 700})
@@ -135,7 +135,7 @@
 			got := recordsOf(s)
 			n := matchingPrefix(got, all, acknowledged, requested)
 			if n < 0 {
-				t.Fatalf("operation %d, variant %d: %d acknowledged of %d requested, and it holds %v", at, variant, acknowledged, requested, got)
+				t.Fatalf("operation %d, variant %d: %d steps acknowledged, %d requested; the store has %v", at, variant, acknowledged, requested, got)
 			}
 			done := make(chan error, 1)
 			s.Append([]store.Entry{{Key: "after", Value: []byte("all")}}, func(err error) { done <- err })
@@ -144,26 +144,26 @@
 			}
 			last, _, err := store.Open(store.Options{FS: next.Restart(rng, true)})
 			if err != nil {
-				t.Fatalf("operation %d, variant %d, the second time: %v", at, variant, err)
+				t.Fatalf("operation %d, variant %d, second restart: %v", at, variant, err)
 			}
 			got["after"] = "all"
 			if diff := cmp.Diff(got, recordsOf(last)); diff != "" {
-				t.Fatalf("operation %d, variant %d, the second time: %s", at, variant, diff)
+				t.Fatalf("operation %d, variant %d, second restart: %s", at, variant, diff)
 			}
 			_ = last.Close()
 		}
 	}
-	t.Logf("%d operations: %v", ops, where)
+	t.Logf("%d operations: %v", ops, crashes)
 	for _, what := range []string{"create", "write", "sync", "rename", "remove", "sync folder"} {
-		if where[what] == 0 {
-			t.Errorf("power was never lost at %q", what)
+		if crashes[what] == 0 {
+			t.Errorf("no power failure at an operation %q", what)
 		}
 	}
 }
 
-// TestDamageIsFoundAtEveryByte cuts each file at every offset and flips each of its bytes: the store opens with a prefix of what it held, or
-// fails with ErrCorrupt. Only the end of the newest segment may be missing without that.
-func TestDamageIsFoundAtEveryByte(t *testing.T) {
+// TestDamageIsDetectedAtEveryByte truncates each file at every offset and flips a bit in each of its bytes: the store opens with a prefix of
+// its history, or fails with ErrCorrupt. Only the end of the newest segment may be lost without an error.
+func TestDamageIsDetectedAtEveryByte(t *testing.T) {
 	steps := scriptedHistory()
 	all := statesAfter(steps)
 	d := faultyfs.New()
@@ -178,7 +178,7 @@
 			}
 		}
 	})
-	opened, refused := 0, 0
+	opened, rejected := 0, 0
 	try := func(name string, b []byte, what string) {
 		c := faultyfs.New()
 		for n, x := range files {
@@ -187,18 +187,18 @@
 		c.Set(name, b)
 		s, rec, err := store.Open(store.Options{FS: c})
 		if err != nil {
-			if refused++; !errors.Is(err, store.ErrCorrupt) {
+			if rejected++; !errors.Is(err, store.ErrCorrupt) {
 				t.Fatalf("%s %s: %v", name, what, err)
 			}
 			return
 		}
 		opened++
 		n := matchingPrefix(recordsOf(s), all, 0, len(steps))
-		if n < 0 || n < len(steps) && rec.DroppedBytes == 0 && !strings.HasPrefix(what, "cut") { // a cut between frames looks like an end
-			t.Fatalf("%s %s: it holds %d steps, %+v", name, what, n, rec)
+		if n < 0 || n < len(steps) && rec.DroppedBytes == 0 && !strings.HasPrefix(what, "cut") { // a cut between two frames looks like the end of the file
+			t.Fatalf("%s %s: the store has the first %d steps, %+v", name, what, n, rec)
 		}
 		if name != names[len(names)-1] && n < len(steps) {
-			t.Fatalf("%s %s: an older file is damaged, and %d of %d steps are there without an error", name, what, n, len(steps))
+			t.Fatalf("%s %s: damage to an older file: the store opens without an error, with %d of %d steps", name, what, n, len(steps))
 		}
 		_ = s.Close()
 	}
@@ -211,11 +211,11 @@
 			try(name, flipped, fmt.Sprintf("flipped at %d", at))
 		}
 	}
-	t.Logf("%d files; opened %d, rejected %d", len(files), opened, refused)
-	if opened == 0 || refused == 0 {
-		t.Errorf("opened %d, refused %d", opened, refused)
+	t.Logf("%d files; opened %d, rejected %d", len(files), opened, rejected)
+	if opened == 0 || rejected == 0 {
+		t.Errorf("opened %d, rejected %d", opened, rejected)
 	}
-	for _, name := range names { // without one file
+	for _, name := range names { // each file missing in turn
 		c := faultyfs.New()
 		for n, x := range files {
 			if n != name {
@@ -224,16 +224,16 @@
 		}
 		if s, _, err := store.Open(store.Options{FS: c}); err == nil {
 			if n := matchingPrefix(recordsOf(s), all, 0, len(steps)); n < len(steps) && name != names[len(names)-1] {
-				t.Errorf("without %s it holds the first %d steps, without an error", name, n)
+				t.Errorf("without %s the store opens without an error, with the first %d steps", name, n)
 			}
 			_ = s.Close()
 		}
 	}
 }
 
-// TestRepairKeepsWhatCanBeRead checks that a repair copies what can be read of a damaged store and reports each part that was left out, and
-// that the store itself stays as it was.
-func TestRepairKeepsWhatCanBeRead(t *testing.T) {
+// TestRepairCopiesReadableRecords checks that a repair copies the readable records of a damaged store, reports the range that it could not
+// read, and leaves the damaged store unchanged.
+func TestRepairCopiesReadableRecords(t *testing.T) {
 	steps := scriptedHistory()
 	d := faultyfs.New()
 	if acknowledged, _ := runHistory(d, steps); acknowledged != len(steps) {
@@ -256,7 +256,7 @@
 			copied := faultyfs.New()
 			kept, lost, err := store.Repair(c, copied)
 			if err != nil || len(lost) != 1 || lost[0].Name != name || lost[0].From > at || lost[0].To <= at {
-				t.Fatalf("%s, byte %d: %d kept, %+v, %v", name, at, kept, lost, err)
+				t.Fatalf("%s, byte %d: %d records copied, lost %+v, %v", name, at, kept, lost, err)
 			}
 			if diff := cmp.Diff(before, c.Files()); diff != "" {
 				t.Fatalf("%s, byte %d: the damaged store was changed: %s", name, at, diff)
@@ -271,8 +271,8 @@
 					same++
 				}
 			}
-			if same < len(last)-2 { // one frame is lost, of two entries at most
-				t.Fatalf("%s, byte %d: %d of %d are as they were", name, at, same, len(last))
+			if same < len(last)-2 { // one frame is lost, which has at most two entries
+				t.Fatalf("%s, byte %d: %d of %d records are unchanged", name, at, same, len(last))
 			}
 			_ = s.Close()
 		}
@@ -288,8 +288,8 @@
 	}
 }
 
-// TestFailedOperationsLoseNothingAcknowledged fails each operation once: nothing acknowledged is lost, nothing is acknowledged after a failed
-// sync, and the next start has all that was.
+// TestFailedOperationsLoseNothingAcknowledged fails each operation once: some step returns an error, and the restarted store has every
+// acknowledged step.
 func TestFailedOperationsLoseNothingAcknowledged(t *testing.T) {
 	steps := scriptedHistory()
 	all := statesAfter(steps)
@@ -310,15 +310,15 @@
 				t.Fatalf("operation %d: %v", at, err)
 			}
 			if matchingPrefix(recordsOf(s), all, acknowledged, requested) < 0 {
-				t.Fatalf("operation %d: %d acknowledged of %d, and it holds %v", at, acknowledged, requested, recordsOf(s))
+				t.Fatalf("operation %d: %d steps acknowledged, %d requested; the store has %v", at, acknowledged, requested, recordsOf(s))
 			}
 			_ = s.Close()
 		}
 	}
 }
 
-// TestFullDiskLosesNothingAcknowledged checks that with less and less space what was acknowledged is there, and that with a bound on its own
-// size a store says that it is full before anything is lost, and dead records free space.
+// TestFullDiskLosesNothingAcknowledged checks that acknowledged records survive on disks that fill up at different points. A store with a size
+// bound frees the space of dead records, and fails with ErrFull before it loses a live one.
 func TestFullDiskLosesNothingAcknowledged(t *testing.T) {
 	steps := scriptedHistory()
 	all := statesAfter(steps)
@@ -329,10 +329,10 @@
 		next := d.Restart(rand.New(rand.NewPCG(uint64(room), 1)), true)
 		s, _, err := store.Open(store.Options{FS: next})
 		if err != nil {
-			t.Fatalf("room for %d: %v", room, err)
+			t.Fatalf("disk of %d bytes: %v", room, err)
 		}
 		if matchingPrefix(recordsOf(s), all, acknowledged, requested) < 0 {
-			t.Fatalf("room for %d: %d acknowledged of %d", room, acknowledged, requested)
+			t.Fatalf("disk of %d bytes: %d steps acknowledged, %d requested", room, acknowledged, requested)
 		}
 		_ = s.Close()
 	}
@@ -341,30 +341,30 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
-	one := func(key string) error {
+	put := func(key string) error {
 		done := make(chan error, 1)
 		s.Append([]store.Entry{{Key: key, Value: make([]byte, 100)}}, func(err error) { done <- err })
 		return <-done
 	}
-	for i := range 300 { // dead records free space
-		if err := one("same"); err != nil {
+	for i := range 300 { // the space of dead records is reused
+		if err := put("same"); err != nil {
 			t.Fatalf("write %d: %v", i, err)
 		}
 	}
 	full := error(nil)
 	for i := 0; full == nil && i < 100; i++ {
-		full = one(fmt.Sprint("other", i))
+		full = put(fmt.Sprint("other", i))
 	}
 	if !errors.Is(full, store.ErrFull) {
-		t.Errorf("%v", full)
+		t.Errorf("a full store returned %v", full)
 	}
 	if _, ok := s.Get("other0"); !ok {
 		t.Error("an acknowledged record is missing")
 	}
 }
 
-// TestStateMachine compares random histories with crashes, compactions and failures with a map.
-func TestStateMachine(t *testing.T) {
+// TestStoreMatchesAMap compares the store with a map over random histories of appends, compactions and crashes.
+func TestStoreMatchesAMap(t *testing.T) {
 	deterministic.Check(t, func(rt *rapid.T) {
 		d := faultyfs.New()
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
@@ -427,8 +427,8 @@
 	})
 }
 
-// TestConcurrentAppendsShareSyncs checks that concurrent appends share syncs, that each is called back once, when what it wrote can be read,
-// that a second process gets ErrLocked, and that a Range sees the store as it was.
+// TestConcurrentAppendsShareSyncs checks that concurrent appends share syncs, and that each is called back once, after its entries can be read.
+// Also a second process gets ErrLocked, and a Range iterates over the state at its call.
 func TestConcurrentAppendsShareSyncs(t *testing.T) {
 	d := faultyfs.New()
 	s, _, err := store.Open(store.Options{FS: d})
@@ -441,7 +441,7 @@
 	before, _ := d.Ops()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	told := map[int]int{}
+	calls := map[int]int{} // callbacks by append
 	for i := range 400 {
 		wg.Add(1)
 		s.Append([]store.Entry{{Key: fmt.Sprint("k", i), Value: []byte("v")}}, func(err error) {
@@ -450,14 +450,14 @@
 				t.Errorf("%d: %v %v", i, err, ok)
 			}
 			mu.Lock()
-			told[i]++
+			calls[i]++
 			mu.Unlock()
 		})
 	}
 	wg.Wait()
 	after, _ := d.Ops()
-	if len(told) != 400 || after-before > 2*400 {
-		t.Errorf("%d were called back, with %d operations", len(told), after-before)
+	if len(calls) != 400 || after-before > 2*400 {
+		t.Errorf("%d appends were called back, with %d operations", len(calls), after-before)
 	}
 	n := 0
 	s.Range("k1", "k2", func(k string, _ []byte) bool {
@@ -471,7 +471,7 @@
 		return true
 	})
 	if n != 111 { // k1, k10 to k19, k100 to k199
-		t.Errorf("%d in the range", n)
+		t.Errorf("%d keys in the range", n)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
@@ -479,6 +479,6 @@
 	done := make(chan error, 1)
 	s.Append(nil, func(err error) { done <- err })
 	if err := <-done; !errors.Is(err, store.ErrClosed) {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("after Close: %v", err)
 	}
 }
--- a/internal/storage/store/writer.go
+++ b/internal/storage/store/writer.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// batch is what is written and synced together.
+// batch holds the appends that are written and synced together.
 type batch struct {
 	encoded        []byte
 	frames         []frame
@@ -15,7 +15,7 @@
 	promisedMemory int64
 }
 
-// runWriter is the writer's goroutine. It ends when the store is closed, and the queue and a compaction are done.
+// runWriter is the writer's goroutine. It returns once the store is closed, the queue is empty and no compaction is in progress.
 func (s *Store) runWriter() {
 	defer close(s.stopped)
 	for {
@@ -33,7 +33,7 @@
 	}
 }
 
-// drainQueue carries out what waits until there is nothing more, and reports whether the store is closed.
+// drainQueue carries out queued calls until the queue is empty, and reports whether the store is closed.
 func (s *Store) drainQueue() (closed bool) {
 	for {
 		s.mu.Lock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// commitAll carries out what waited, in as few writes as possible.
+// commitAll carries out queued calls in as few writes as possible.
 func (s *Store) commitAll(commits []commit) {
 	b := &batch{}
 	for _, c := range commits {
@@ -68,7 +68,7 @@
 	s.checkInvariants()
 }
 
-// admit reports why entries cannot be taken, nil if they can. It writes the batch out where that makes room for them.
+// admit returns an error if entries cannot be stored. It flushes the batch first if that makes space for them.
 func (s *Store) admit(b *batch, entries []Entry) error {
 	if err := s.diskFailure(); err != nil {
 		return err
@@ -84,7 +84,7 @@
 }
 
 func (s *Store) admitBytes(b *batch, size int64) error {
-	needed := size + fileHeaderBytes + frameHeaderBytes // a segment may have to be sealed, and another begun
+	needed := size + fileHeaderBytes + frameHeaderBytes // the segment may have to be sealed, and the next one created
 	if s.options.MaxBytes <= 0 || s.reservedBytes()+int64(len(b.encoded))+needed <= s.options.MaxBytes {
 		return nil
 	}
@@ -114,7 +114,7 @@
 func (s *Store) addToBatch(b *batch, c commit) {
 	f := frame{sequence: s.sequence + 1 + uint64(len(b.frames)), durable: s.durable, kind: kindPut}
 	for _, entry := range c.entries {
-		entry.Value = slices.Clone(entry.Value) // the caller may change its own
+		entry.Value = slices.Clone(entry.Value) // the caller may change its copy later
 		f.entries = append(f.entries, entry)
 	}
 	b.frames = append(b.frames, f)
@@ -122,7 +122,7 @@
 	b.commits = append(b.commits, c)
 }
 
-// flushBatch writes the batch, calls back, and empties it.
+// flushBatch writes the batch, notifies its callers and empties it.
 func (s *Store) flushBatch(b *batch) {
 	if len(b.commits) == 0 {
 		return
@@ -134,15 +134,15 @@
 	*b = batch{}
 }
 
-// diskFailure returns the error after which the store takes nothing more, nil for none.
+// diskFailure returns the error after which the store rejects entries, nil if there was none.
 func (s *Store) diskFailure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.diskError
 }
 
-// recordDiskFailure lets the store take nothing more after an error of its disk. After a sync that failed nobody knows what the disk has,
-// and a later sync that succeeds would say nothing of it.
+// recordDiskFailure makes the store reject further entries after a disk error. After a failed sync it is unknown which bytes are on the disk,
+// and a later successful sync would not tell.
 func (s *Store) recordDiskFailure(err error) error {
 	if err == nil {
 		return nil
@@ -155,7 +155,7 @@
 	return s.diskError
 }
 
-// writeFrames writes and syncs frames, and brings them into the index.
+// writeFrames writes and syncs frames, and applies them to the index.
 func (s *Store) writeFrames(encoded []byte, frames []frame) error {
 	if err := s.diskFailure(); err != nil {
 		return err
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// applyFrame brings a frame into the index. Outside of recovery the caller holds mu.
+// applyFrame applies a frame to the index. Outside of recovery the caller holds mu.
 func (s *Store) applyFrame(f *frame) {
 	for i := range f.entries {
 		entry := &f.entries[i]
@@ -208,7 +208,7 @@
 	s.totalBytes += n
 }
 
-// rotate seals the segment, and begins the next once that is durable.
+// rotate seals the open segment, and creates the next one once the seal is durable.
 func (s *Store) rotate() error {
 	seal := appendFrame(nil, &frame{sequence: s.sequence, durable: s.durable, kind: kindSeal})
 	if _, err := s.segmentFile.Write(seal); err != nil {
@@ -222,7 +222,7 @@
 	return s.createSegment(s.segmentNumber + 1)
 }
 
-// createSegment makes a segment, whose header and name are durable before anything else is written to it.
+// createSegment creates a segment. Its header and name are durable before anything else is written to it.
 func (s *Store) createSegment(number uint64) error {
 	f, err := s.options.FS.Create(segmentName(number))
 	if err != nil {
