--- a/internal/lifecycle/handover/directory.go
+++ b/internal/lifecycle/handover/directory.go
@@ -18,35 +18,35 @@
 const (
 	filePrefix = "handover-"
 	fileSuffix = ".state"
-	maxFiles   = 16 // that are looked at
+	maxFiles   = 16 // that are read in one pass
 )
 
 // Ages of a file, in ms.
 const (
-	LiveMs        = 2000  // a file shows that its process runs
-	UsefulMs      = 5000  // what it says is worth knowing
-	RemoveAfterMs = 60000 // a file that nobody writes any more is removed
+	LiveMs        = 2000  // up to this age, a file shows that its process is running
+	UsefulMs      = 5000  // up to this age, the state in a file is used
+	RemoveAfterMs = 60000 // a file that has not been written for longer is removed
 )
 
-// Directory is where a process writes its own file and reads the others'.
+// Directory is the folder where a process writes its own file and reads those of the other processes.
 type Directory struct {
 	path    string
 	ownName string
 	machine clock.Machine
-	seen    map[string]fileVersion // by name: files that may be abandoned
+	seen    map[string]fileVersion // the last seen version of other files, by name, to find abandoned ones
 }
 
-// fileVersion is how a file was first seen as it is.
+// fileVersion identifies a version of a file, with the time at which it was first seen.
 type fileVersion struct {
 	modified    time.Time
 	size        int64
 	firstSeenMs float64 // on the machine's monotonic clock
 }
 
-// OpenDirectory makes a process's Directory on this machine.
+// OpenDirectory returns a process's Directory on this machine.
 func OpenDirectory(path string) *Directory { return OpenDirectoryOn(clock.ThisMachine(), path) }
 
-// OpenDirectoryOn makes a process's Directory with the clocks of a machine.
+// OpenDirectoryOn returns a process's Directory that uses the clocks of a machine.
 func OpenDirectoryOn(machine clock.Machine, path string) *Directory {
 	return &Directory{
 		path:    path,
@@ -71,8 +71,8 @@
 // Remove removes the process's own file.
 func (d *Directory) Remove() { _ = os.Remove(filepath.Join(d.path, d.ownName)) }
 
-// Others returns the other processes' states of at most that age, the newest first. An error says which files cannot be used; it comes with
-// the states of the others. Abandoned files are removed. The wall clock decides on files of old versions only.
+// Others returns the states of the other processes that are at most maxAgeMs old, the newest first. An error names the files that cannot be
+// used; the remaining states are returned with it. Abandoned files are removed. The wall clock matters only for files of old versions.
 func (d *Directory) Others(maxAgeMs float64) ([]*State, error) {
 	files, err := os.ReadDir(d.path)
 	if err != nil {
@@ -80,14 +80,14 @@
 	}
 	var states []*State
 	var errs []error
-	looked := 0
+	filesRead := 0
 	for _, file := range files {
 		isState := strings.HasPrefix(file.Name(), filePrefix) && file.Type().IsRegular()
 		if file.Name() == d.ownName || !isState {
 			continue
 		}
-		looked++
-		if looked > maxFiles {
+		filesRead++
+		if filesRead > maxFiles {
 			break
 		}
 		state, err := d.readOther(file)
@@ -102,14 +102,14 @@
 	return states, errors.Join(errs...)
 }
 
-// readOther reads another process's file; nil without an error for one that has nothing to say now.
+// readOther reads another process's file. It returns nil without an error if the file is abandoned, still being written, or of unknown age.
 func (d *Directory) readOther(file os.DirEntry) (*State, error) {
 	path := filepath.Join(d.path, file.Name())
 	if d.isAbandoned(file) {
 		_ = os.Remove(path)
 		return nil, nil
 	}
-	if !strings.HasSuffix(file.Name(), fileSuffix) { // it is being written
+	if !strings.HasSuffix(file.Name(), fileSuffix) { // still being written
 		return nil, nil
 	}
 	b, err := atomicfile.Read(path, maxBytes)
@@ -131,7 +131,7 @@
 	return state, nil
 }
 
-// age returns how old a state is in ms, and whether that is known.
+// age returns the age of a state in ms, and whether it is known.
 func (d *Directory) age(state *State) (ms float64, known bool) {
 	if state.Saved != (clock.Instant{}) {
 		ms, known = d.machine.Since(state.Saved)
@@ -141,7 +141,8 @@
 	return ms, known && ms >= -LiveMs
 }
 
-// isAbandoned reports whether a file has not changed for RemoveAfterMs, as this process has seen it: the file's own time is by the wall clock.
+// isAbandoned reports whether this process has seen a file unchanged for longer than RemoveAfterMs. The file's modification time cannot tell, as
+// it follows the wall clock.
 func (d *Directory) isAbandoned(file os.DirEntry) bool {
 	info, err := file.Info()
 	if err != nil {
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -20,8 +20,8 @@
 			Servers: []decide.ServerSnapshot{{ID: "s-1", Role: decide.RolePrimary, RoleAt: 3 * time.Second, Position: time.Second}}}}
 }
 
-// TestDamagedStateIsNotRead checks that a file that is cut anywhere, or has any byte changed, is not read.
-func TestDamagedStateIsNotRead(t *testing.T) {
+// TestDamagedStateIsRejected checks that a state that is truncated at any byte, has any byte changed, or is of another version is rejected.
+func TestDamagedStateIsRejected(t *testing.T) {
 	b, err := Encode(nil, state(5))
 	if err != nil {
 		t.Fatal(err)
@@ -32,16 +32,16 @@
 	}
 	for i := range b {
 		if _, err := Decode(b[:i]); err == nil {
-			t.Errorf("read though cut after %d bytes", i)
+			t.Errorf("decoded a state truncated to %d bytes", i)
 		}
 		c := append([]byte(nil), b...)
 		c[i] ^= 1
 		if _, err := Decode(c); err == nil {
-			t.Errorf("read though byte %d is another", i)
+			t.Errorf("decoded a state with byte %d changed", i)
 		}
 	}
 	if _, err := Decode([]byte("beechgrade handover 2" + string(b[len(fileKind):]))); err == nil {
-		t.Error("read though of another version")
+		t.Error("decoded a state of another version")
 	}
 }
 
@@ -52,30 +52,30 @@
 	return clock.Machine{Wall: func() float64 { return m.wall }, Monotonic: func() float64 { return m.monotonic }, Boot: "b"}
 }
 
-// saved is a state of the present moment.
+// saved returns a state that is saved now.
 func (m *testMachine) saved() *State {
 	s := state(m.wall)
 	s.Saved = m.clocks().Now()
 	return s
 }
 
-// advance has time pass on both clocks.
+// advance advances both clocks.
 func (m *testMachine) advance(ms float64) { m.wall, m.monotonic = m.wall+ms, m.monotonic+ms }
 
-// TestOthersAreReadNewestFirst checks that a process reads the others' states, the newest first, and not its own; old ones are left out,
-// unreadable ones do not keep the rest from being read, and abandoned ones are removed.
+// TestOthersAreReadNewestFirst checks that a process reads the states of other processes, the newest first, and not its own. Old states are
+// skipped, unreadable files do not prevent reading the others, and abandoned files are removed.
 func TestOthersAreReadNewestFirst(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
-	in := func() *Directory { return OpenDirectoryOn(machine.clocks(), dir) }
-	me, a, b, old := in(), in(), in(), in()
+	openDir := func() *Directory { return OpenDirectoryOn(machine.clocks(), dir) }
+	me, a, b, old := openDir(), openDir(), openDir(), openDir()
 	for _, write := range []struct {
-		folder *Directory
-		then   float64
+		folder    *Directory
+		advanceMs float64
 	}{{old, 8100}, {a, 800}, {b, 100}, {me, 0}} {
 		if err := write.folder.Write(machine.saved()); err != nil {
 			t.Fatal(err)
 		}
-		machine.advance(write.then)
+		machine.advance(write.advanceMs)
 	}
 	broken := filepath.Join(dir, "handover-x.state")
 	if err := os.WriteFile(broken, []byte("noise"), 0o600); err != nil {
@@ -85,7 +85,7 @@
 		t.Helper()
 		got, err := me.Others(ms)
 		if fails != (err != nil) {
-			t.Errorf("error %v", err)
+			t.Errorf("want an error %v, got %v", fails, err)
 		}
 		for _, s := range got {
 			ages = append(ages, s.AgeMs)
@@ -106,17 +106,17 @@
 	}
 	machine.advance(RemoveAfterMs + 1)
 	if got := ages(1e9, false); len(got) > 0 {
-		t.Errorf("read though abandoned: %v", got)
+		t.Errorf("read abandoned files: %v", got)
 	}
 	if remaining, _ := filepath.Glob(filepath.Join(dir, filePrefix+"*")); len(remaining) != 1 || remaining[0] != filepath.Join(dir, me.ownName) {
 		t.Errorf("files remain: %v", remaining)
 	}
 	if _, err := OpenDirectory(filepath.Join(dir, "none")).Others(LiveMs); err == nil {
-		t.Error("a directory that is not there is read")
+		t.Error("no error for a directory that does not exist")
 	}
 }
 
-// FuzzParse decodes any bytes: they are a complete state or an error.
+// FuzzParse decodes arbitrary bytes: the result is a complete state or an error.
 func FuzzParse(f *testing.F) {
 	b, _ := Encode(nil, state(5))
 	f.Add(b)
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestWallClockStepsHideNoProcess steps the wall clock at any time and by any amount: no live process is hidden, no file of one is removed,
-// and none that has ended counts as live.
+// TestWallClockStepsHideNoProcess steps the wall clock in either direction: a running process stays visible, its file is not removed, and a process
+// that has ended does not count as running.
 func TestWallClockStepsHideNoProcess(t *testing.T) {
 	for _, step := range []float64{-3600e3, -3e3, 3e3, 3600e3} {
 		dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
@@ -141,7 +141,7 @@
 		for range 3 {
 			machine.wall += step
 			if others, err := reader.Others(LiveMs); err != nil || len(others) != 1 || others[0].AgeMs != 0 {
-				t.Errorf("step of %v ms: %d processes are read, %v", step, len(others), err)
+				t.Errorf("step of %v ms: read the states of %d processes, %v", step, len(others), err)
 			}
 		}
 		if _, err := os.Stat(filepath.Join(dir, writer.ownName)); err != nil {
@@ -149,12 +149,12 @@
 		}
 		machine.monotonic += LiveMs + 1
 		if others, _ := reader.Others(LiveMs); len(others) > 0 {
-			t.Errorf("step of %v ms: the state of a process that has ended is read", step)
+			t.Errorf("step of %v ms: read the state of a process that has ended", step)
 		}
 	}
 }
 
-// TestStateOfAnOlderVersionIsAgedByWallTime checks that the state of a version that writes only its wall time is read by that.
+// TestStateOfAnOlderVersionIsAgedByWallTime checks that the age of a state from a version that writes only the wall time is taken from that.
 func TestStateOfAnOlderVersionIsAgedByWallTime(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
 	for at, count := range map[float64]int{1e12 - 100: 1, 1e12 - LiveMs - 1: 0, 1e12 + LiveMs + 1: 0} {
@@ -166,12 +166,12 @@
 			t.Fatal(err)
 		}
 		if others, err := OpenDirectoryOn(machine.clocks(), dir).Others(LiveMs); err != nil || len(others) != count {
-			t.Errorf("saved at %.0f: %d are read, %v", at, len(others), err)
+			t.Errorf("saved at %.0f: read %d states, %v", at, len(others), err)
 		}
 	}
 }
 
-// TestStateOfAnotherBootIsNotRead checks that a state from before the machine's last start is not read.
+// TestStateOfAnotherBootIsNotRead checks that a state from before the machine's last boot is not read.
 func TestStateOfAnotherBootIsNotRead(t *testing.T) {
 	dir, machine := t.TempDir(), &testMachine{wall: 1e12, monotonic: 5000}
 	if err := OpenDirectoryOn(machine.clocks(), dir).Write(machine.saved()); err != nil {
@@ -180,6 +180,6 @@
 	clocks := machine.clocks()
 	clocks.Boot = "c"
 	if others, err := OpenDirectoryOn(clocks, dir).Others(UsefulMs); err != nil || len(others) > 0 {
-		t.Errorf("%d are read, %v", len(others), err)
+		t.Errorf("read %d states, %v", len(others), err)
 	}
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
-// Package lifecycle is the life of a pooler's process as a state machine, without I/O or clock: from its start to its end, with the drain
-// that operators may ask for in between.
+// Package lifecycle is the state machine of a pooler's process, without I/O or clock: from startup to termination, with a drain that operators
+// may request in between.
 package lifecycle
 
 // State is the state of a process.
@@ -7,44 +7,44 @@
 
 // The states.
 const (
-	Starting    State = iota // it cannot serve yet
-	Ready                    // it serves
-	Draining                 // it serves, and sends its clients away, as the operators asked for
-	HandingOver              // it ends, and another process accepts the connections on the same socket
-	Stopping                 // it ends, and nobody else accepts connections at its address
+	Starting    State = iota // the process cannot serve yet
+	Ready                    // the process serves
+	Draining                 // the process serves, but closes its clients' idle connections, as requested by operators
+	HandingOver              // the process is terminating, and another process accepts connections on the same socket
+	Stopping                 // the process is terminating, and no other process accepts connections at its address
 )
 
 func (s State) String() string {
 	return [...]string{"starting", "ready", "draining", "handing over", "stopping"}[s]
 }
 
-// Event is what happens to a process.
+// Event is an event in the life of a process.
 type Event uint8
 
 // The events.
 const (
-	Started   Event = iota // it can serve
-	Drain                  // the operators want its clients gone
-	Resume                 // the operators take that back
-	Terminate              // it is to end
+	Started   Event = iota // the process can serve
+	Drain                  // operators request a drain
+	Resume                 // operators cancel the drain
+	Terminate              // the process has to terminate
 )
 
 func (e Event) String() string {
 	return [...]string{"started", "drain", "resume", "terminate"}[e]
 }
 
-// Machine is the life of one process.
+// Machine is the state machine of one process.
 type Machine struct {
-	Shared bool // another process may have its listening socket too
+	Shared bool // another process may have the same listening socket
 
 	state   State
-	drained bool // the operators want its clients gone, whatever the state
+	drained bool // a drain was requested and not cancelled, in any state
 }
 
-// State returns the present state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Handle processes an event, and reports whether it can be followed now: a process that ends cannot resume.
+// Handle processes an event, and reports whether it was accepted: a terminating process cannot resume.
 func (m *Machine) Handle(event Event) bool {
 	ending := m.state == HandingOver || m.state == Stopping
 	switch event {
@@ -88,17 +88,17 @@
 	}
 }
 
-// IsServing reports whether the process can serve, and is not about to end.
+// IsServing reports whether the process can serve and is not terminating.
 func (m *Machine) IsServing() bool { return m.state == Ready || m.state == Draining }
 
-// AcceptsConnections reports whether new connections of clients are accepted.
+// AcceptsConnections reports whether the process accepts new client connections.
 func (m *Machine) AcceptsConnections() bool { return m.state != Starting && m.state != HandingOver }
 
-// IsReadyForClients reports whether a readiness check is answered with yes.
+// IsReadyForClients reports whether the process answers a readiness check positively.
 func (m *Machine) IsReadyForClients() bool {
-	welcoming := m.state == Starting || m.state == Ready || m.state == Stopping
-	return welcoming && !m.drained
+	acceptsClients := m.state == Starting || m.state == Ready || m.state == Stopping
+	return acceptsClients && !m.drained
 }
 
-// ClosesIdleClients reports whether clients' connections are to be closed once they are idle.
+// ClosesIdleClients reports whether client connections have to be closed once they are idle.
 func (m *Machine) ClosesIdleClients() bool { return m.state == Draining || m.state == HandingOver }
