--- a/internal/encoding/encoding.go
+++ b/internal/encoding/encoding.go
@@ -1,5 +1,5 @@
-// Package encoding has what the program's binary encodings share: reading and writing the fields of a protobuf message, and a Reader of
-// plain numbers. What a field means, and its bounds, belong to the package whose encoding it is.
+// Package encoding provides the common parts of the program's binary encodings: reading and writing the fields of a protobuf message, and a
+// Reader of fixed-width integers and varints. The meaning and the bounds of the fields are up to the package that defines an encoding.
 package encoding
 
 import "google.golang.org/protobuf/encoding/protowire"
@@ -8,8 +8,8 @@
 type Field struct {
 	Number protowire.Number
 	Type   protowire.Type
-	Value  uint64 // of a varint or a fixed64, else 0
-	Bytes  []byte // of a string, bytes or a message within, else nil; a part of the message that was read
+	Value  uint64 // of a varint or fixed64 field, else 0
+	Bytes  []byte // of a string, bytes or embedded message field, else nil; aliases the message
 }
 
 // HasValue reports whether the field is of a type that Value or Bytes holds.
@@ -17,8 +17,8 @@
 	return f.Type == protowire.VarintType || f.Type == protowire.Fixed64Type || f.Type == protowire.BytesType
 }
 
-// Fields calls visit for each field of a message, and ends with its first error. Where the bytes are no message it ends with what malformed
-// makes of the reason; the fields before that were visited. A field of a type that Field does not hold is visited without a value.
+// Fields calls visit for each field of a message, and returns the first error of visit. If the bytes are not a valid message, it returns
+// malformed(reason), after visiting the fields before the malformed one. A field of a type that Field cannot hold is visited without a value.
 func Fields(b []byte, malformed func(reason error) error, visit func(field Field) error) error {
 	for len(b) > 0 {
 		field, n := consumeField(b)
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// consumeField reads the field at the start of b, and how long it is; negative for a parse error of protowire.
+// consumeField decodes the field at the start of b and returns its length, or a negative parse error of protowire.
 func consumeField(b []byte) (field Field, length int) {
 	field.Number, field.Type, length = protowire.ConsumeTag(b)
 	if length < 0 {
@@ -67,13 +67,13 @@
 	return protowire.AppendFixed64(protowire.AppendTag(b, number, protowire.Fixed64Type), value)
 }
 
-// AppendBytesField appends a field of bytes: a string, or a message within.
+// AppendBytesField appends a length-delimited field: a string, bytes or an embedded message.
 func AppendBytesField[T string | []byte](b []byte, number protowire.Number, value T) []byte {
 	b = protowire.AppendVarint(protowire.AppendTag(b, number, protowire.BytesType), uint64(len(value)))
 	return append(b, value...)
 }
 
-// AppendNonZeroUint is AppendUintField for a value that is not 0.
+// AppendNonZeroUint appends a varint field unless the value is 0.
 func AppendNonZeroUint(b []byte, number protowire.Number, value uint64) []byte {
 	if value == 0 {
 		return b
@@ -81,7 +81,7 @@
 	return AppendUintField(b, number, value)
 }
 
-// AppendNonZeroFixed is AppendFixedField for a value that is not 0.
+// AppendNonZeroFixed appends a fixed64 field unless the value is 0.
 func AppendNonZeroFixed(b []byte, number protowire.Number, value uint64) []byte {
 	if value == 0 {
 		return b
@@ -89,7 +89,7 @@
 	return AppendFixedField(b, number, value)
 }
 
-// AppendNonEmptyBytes is AppendBytesField for a value that is not empty.
+// AppendNonEmptyBytes appends a length-delimited field unless the value is empty.
 func AppendNonEmptyBytes[T string | []byte](b []byte, number protowire.Number, value T) []byte {
 	if len(value) == 0 {
 		return b
--- a/internal/encoding/encoding_test.go
+++ b/internal/encoding/encoding_test.go
@@ -13,7 +13,7 @@
 
 var errTest = errors.New("malformed")
 
-// readAll returns a message's fields, and errTest with the reason where it is malformed.
+// readAll returns a message's fields, and errTest joined with the reason if the message is malformed.
 func readAll(b []byte) (fields []Field, err error) {
 	malformed := func(reason error) error { return errors.Join(errTest, reason) }
 	err = Fields(b, malformed, func(field Field) error {
@@ -23,7 +23,7 @@
 	return fields, err
 }
 
-// testMessage is a message with a field of each type, and those fields.
+// testMessage returns a message with fields of each type, and the expected fields.
 func testMessage() ([]byte, []Field) {
 	b := AppendUintField(nil, 1, 300)
 	b = AppendFixedField(b, 2, 1<<63)
@@ -42,17 +42,17 @@
 	}
 }
 
-// TestFieldsComeOnceInOrder checks that each field is visited once, in order; of a message that was cut those that are complete, with an error
-// unless the cut is between two.
-func TestFieldsComeOnceInOrder(t *testing.T) {
+// TestFieldsAreVisitedOnceInOrder checks that each field is visited once, in order. Of a truncated message the complete fields are visited, and
+// an error is returned unless it ends between two fields.
+func TestFieldsAreVisitedOnceInOrder(t *testing.T) {
 	b, want := testMessage()
 	got, err := readAll(b)
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Fatal(err, diff)
 	}
 	for _, f := range got {
-		if none := f.Number == 5 || f.Number == 6; f.HasValue() == none {
-			t.Errorf("%+v: has a value: %v", f, f.HasValue())
+		if valueless := f.Number == 5 || f.Number == 6; f.HasValue() == valueless {
+			t.Errorf("%+v: HasValue is %v", f, f.HasValue())
 		}
 	}
 	ends := 0
@@ -68,41 +68,41 @@
 		}
 	}
 	if ends != len(want) {
-		t.Errorf("%d cuts are a message, of %d fields", ends, len(want))
+		t.Errorf("%d truncated messages are valid, want %d as there are fields", ends, len(want))
 	}
 }
 
-// TestFieldsReturnsTheVisitorsError checks that a visitor's error is returned as it is, and that nothing is visited after it.
+// TestFieldsReturnsTheVisitorsError checks that a visitor's error is returned unchanged, and that no field is visited after it.
 func TestFieldsReturnsTheVisitorsError(t *testing.T) {
 	b, _ := testMessage()
-	own, n := errors.New("too many"), 0
+	visitError, n := errors.New("too many"), 0
 	err := Fields(b, func(error) error { return errTest }, func(Field) error {
 		if n++; n == 2 {
-			return own
+			return visitError
 		}
 		return nil
 	})
-	if err != own || n != 2 {
-		t.Errorf("%v after %d", err, n)
+	if err != visitError || n != 2 {
+		t.Errorf("%v after %d fields", err, n)
 	}
 }
 
-// TestHostileBytesAreMalformed checks that bytes that are no message are malformed, whatever lengths they name.
-func TestHostileBytesAreMalformed(t *testing.T) {
+// TestInvalidBytesAreMalformed checks that invalid messages are malformed, whatever lengths they state.
+func TestInvalidBytesAreMalformed(t *testing.T) {
 	for name, b := range map[string][]byte{
-		"a number of 0":              {0x00, 1},
-		"a number above all":         {0x80, 0x80, 0x80, 0x80, 0x80, 0x01, 1},
-		"an end of no group":         {0x0c},
-		"a group without an end":     {0x0b, 0x08, 1},
-		"another group's end":        {0x0b, 0x14},
-		"a type that is none":        {0x0f},
-		"a varint without an end":    {0x08, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1},
-		"a length above what is":     {0x0a, 0x02, 1},
-		"a length above all":         {0x0a, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 1},
-		"a fixed64 of 7 bytes":       {0x09, 1, 2, 3, 4, 5, 6, 7},
-		"a fixed32 of 3 bytes":       {0x0d, 1, 2, 3},
-		"a tag without an end":       {0x88},
-		"groups within groups, open": bytes.Repeat([]byte{0x0b}, 1<<16),
+		"field number 0":                   {0x00, 1},
+		"field number too large":           {0x80, 0x80, 0x80, 0x80, 0x80, 0x01, 1},
+		"end group without a group":        {0x0c},
+		"group without an end":             {0x0b, 0x08, 1},
+		"end of another group":             {0x0b, 0x14},
+		"unknown wire type":                {0x0f},
+		"varint too long":                  {0x08, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1},
+		"length above the remaining bytes": {0x0a, 0x02, 1},
+		"length above the maximum":         {0x0a, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 1},
+		"fixed64 of 7 bytes":               {0x09, 1, 2, 3, 4, 5, 6, 7},
+		"fixed32 of 3 bytes":               {0x0d, 1, 2, 3},
+		"truncated tag":                    {0x88},
+		"nested groups without an end":     bytes.Repeat([]byte{0x0b}, 1<<16),
 	} {
 		if got, err := readAll(b); !errors.Is(err, errTest) || len(got) > 0 {
 			t.Errorf("%s: %+v, %v", name, got, err)
@@ -110,10 +110,10 @@
 	}
 }
 
-// TestZeroFieldsAreLeftOut checks that the functions for non-zero values leave out a zero, and else append what the others do.
-func TestZeroFieldsAreLeftOut(t *testing.T) {
+// TestZeroFieldsAreOmitted checks that the functions for non-zero values omit a zero, and otherwise append the same as the other functions.
+func TestZeroFieldsAreOmitted(t *testing.T) {
 	if b := AppendNonEmptyBytes(AppendNonEmptyBytes(AppendNonZeroFixed(AppendNonZeroUint(nil, 1, 0), 2, 0), 3, ""), 4, []byte(nil)); len(b) > 0 {
-		t.Errorf("%x of nothing", b)
+		t.Errorf("zero values are encoded as %x, want nothing", b)
 	}
 	b := AppendNonEmptyBytes(AppendNonEmptyBytes(AppendNonZeroFixed(AppendNonZeroUint([]byte{1}, 1, 300), 2, 2), 3, "s"), 4, []byte("b"))
 	want := AppendUintField([]byte{1}, 1, 300)
@@ -128,8 +128,8 @@
 	}
 }
 
-// numbers are what a Reader may be asked for, by the name of the call.
-var numbers = []struct {
+// readerCalls are the methods of Reader that read, with their encoded input and expected result.
+var readerCalls = []struct {
 	name string
 	read func(r *Reader) uint64
 	want uint64
@@ -145,22 +145,22 @@
 	{"Take", func(r *Reader) uint64 { return uint64(len(r.Take(3))) }, 3, []byte{0, 0, 0}},
 }
 
-// TestReaderFailsAtTheEnd checks that numbers come in their order; one that is cut is 0, and the Reader has failed for good.
+// TestReaderFailsAtTheEnd checks that values are read in order. A truncated value reads as 0, and the Reader then stays failed.
 func TestReaderFailsAtTheEnd(t *testing.T) {
 	var b []byte
-	for _, x := range numbers {
+	for _, x := range readerCalls {
 		b = append(b, x.from...)
 	}
 	r := NewReader(b)
-	for _, x := range numbers {
+	for _, x := range readerCalls {
 		if got := x.read(&r); got != x.want || !r.OK() {
 			t.Errorf("%s: %x, want %x", x.name, got, x.want)
 		}
 	}
 	if !r.AtEnd() || r.More() {
-		t.Errorf("not done: %+v", r)
+		t.Errorf("not at the end: %+v", r)
 	}
-	for _, x := range numbers {
+	for _, x := range readerCalls {
 		for cut := range x.from {
 			r := NewReader(x.from[:cut])
 			if got := x.read(&r); got != 0 || r.OK() || r.More() || r.AtEnd() {
@@ -170,26 +170,26 @@
 		r := NewReader(x.from)
 		r.Require(true)
 		if r.Require(false); x.read(&r) != 0 || r.OK() || r.More() || r.AtEnd() {
-			t.Errorf("%s of a Reader that has failed: %+v", x.name, r)
+			t.Errorf("%s of a failed Reader: %+v", x.name, r)
 		}
 		if r.Require(true); r.OK() {
-			t.Errorf("%+v has not failed any more", r)
+			t.Errorf("%+v: a failed Reader has recovered", r)
 		}
 	}
 }
 
-// TestReaderFailsBeyondABound checks that a value above its bound is 0 and makes the Reader fail; so do a varint of too many bytes, and a
-// negative length.
-func TestReaderFailsBeyondABound(t *testing.T) {
+// TestReaderFailsAboveABound checks that a value above its bound reads as 0 and makes the Reader fail, as do a varint of too many bytes and a
+// negative or too large length.
+func TestReaderFailsAboveABound(t *testing.T) {
 	for name, c := range map[string]struct {
 		b    []byte
 		read func(r *Reader) int
 	}{
-		"UvarintMax":        {[]byte{0xad, 2}, func(r *Reader) int { return int(r.UvarintMax(300)) }},
-		"ByteMax":           {[]byte{6}, func(r *Reader) int { return r.ByteMax(5) }},
-		"a varint too long": {bytes.Repeat([]byte{0xff}, 11), func(r *Reader) int { return int(r.Uvarint()) }},
-		"a length below 0":  {[]byte{1, 2}, func(r *Reader) int { return len(r.Take(-1)) }},
-		"a length like all": {[]byte{1, 2}, func(r *Reader) int { return len(r.Take(math.MaxInt)) }},
+		"UvarintMax":       {[]byte{0xad, 2}, func(r *Reader) int { return int(r.UvarintMax(300)) }},
+		"ByteMax":          {[]byte{6}, func(r *Reader) int { return r.ByteMax(5) }},
+		"varint too long":  {bytes.Repeat([]byte{0xff}, 11), func(r *Reader) int { return int(r.Uvarint()) }},
+		"negative length":  {[]byte{1, 2}, func(r *Reader) int { return len(r.Take(-1)) }},
+		"length too large": {[]byte{1, 2}, func(r *Reader) int { return len(r.Take(math.MaxInt)) }},
 	} {
 		r := NewReader(c.b)
 		if n := c.read(&r); n != 0 || r.OK() {
@@ -198,15 +198,15 @@
 	}
 }
 
-// TestAppendToTakenBytesLeavesTheRest checks that appending to bytes that were taken does not overwrite what is still to be read.
-func TestAppendToTakenBytesLeavesTheRest(t *testing.T) {
+// TestAppendToTakenBytesKeepsUnreadBytes checks that appending to the result of Take does not overwrite bytes that are not read yet.
+func TestAppendToTakenBytesKeepsUnreadBytes(t *testing.T) {
 	r := NewReader([]byte{1, 2, 3})
 	if _ = append(r.Take(1), 9); r.Byte() != 2 {
-		t.Error("what follows was overwritten")
+		t.Error("an unread byte was overwritten")
 	}
 }
 
-// FuzzFields reads any bytes: what is read is within them, and the same when it is written again.
+// FuzzFields reads arbitrary bytes: encoding the fields again and reading them yields the same fields, in no more bytes.
 func FuzzFields(f *testing.F) {
 	b, _ := testMessage()
 	f.Add(b)
@@ -230,19 +230,19 @@
 				again = AppendBytesField(again, x.Number, x.Bytes)
 			default:
 				if x.HasValue() || x.Value != 0 || x.Bytes != nil {
-					t.Fatalf("a value of %+v", x)
+					t.Fatalf("%+v should have no value", x)
 				}
 				continue
 			}
 			kept = append(kept, x)
 		}
-		if back, err := readAll(again); err != nil || !cmp.Equal(kept, back) || len(again) > len(b) {
-			t.Fatalf("%+v was read again as %+v, %v", kept, back, err)
+		if decoded, err := readAll(again); err != nil || !cmp.Equal(kept, decoded) || len(again) > len(b) {
+			t.Fatalf("%+v encoded again is read as %+v, %v", kept, decoded, err)
 		}
 	})
 }
 
-// FuzzReader reads anything of any bytes: no more is taken than there is, and a Reader that has failed stays so.
+// FuzzReader performs arbitrary calls on arbitrary bytes: a Reader never grows, and a failed Reader stays failed.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte{0xfe, 1, 2, 1, 2, 3, 4}, []byte{0, 1, 2, 3})
 	f.Add(bytes.Repeat([]byte{0xff}, 30), []byte{4, 5, 6, 7})
@@ -250,10 +250,10 @@
 		r := NewReader(b)
 		for _, c := range calls {
 			failed, before := !r.OK(), len(r.b)
-			x := numbers[int(c)%len(numbers)].read(&r)
+			x := readerCalls[int(c)%len(readerCalls)].read(&r)
 			revived := failed && (x != 0 || r.OK())
 			if revived || len(r.b) > before || r.More() && r.AtEnd() {
-				t.Fatalf("%s yields %d: %+v", numbers[int(c)%len(numbers)].name, x, r)
+				t.Fatalf("%s returned %d: %+v", readerCalls[int(c)%len(readerCalls)].name, x, r)
 			}
 		}
 	})
--- a/internal/encoding/reader.go
+++ b/internal/encoding/reader.go
@@ -2,28 +2,28 @@
 
 import "encoding/binary"
 
-// Reader reads plain numbers. A value that is missing or above its bound makes it fail, and from then on it reads zeros.
+// Reader reads integers from bytes. It fails at a value that is missing or above its bound, and returns zeros from then on.
 type Reader struct {
 	b      []byte
 	failed bool
 }
 
-// NewReader makes a Reader of bytes, which it does not change.
+// NewReader returns a Reader of b. It does not modify b.
 func NewReader(b []byte) Reader { return Reader{b: b} }
 
-// OK reports whether it has not failed.
+// OK reports whether the Reader has not failed.
 func (r *Reader) OK() bool { return !r.failed }
 
-// More reports whether it has not failed and there is more to read.
+// More reports whether the Reader has not failed and has bytes left.
 func (r *Reader) More() bool { return !r.failed && len(r.b) > 0 }
 
-// AtEnd reports whether it has not failed and all was read.
+// AtEnd reports whether the Reader has not failed and has read all bytes.
 func (r *Reader) AtEnd() bool { return !r.failed && len(r.b) == 0 }
 
-// Require makes it fail unless a condition on what was read holds.
+// Require makes the Reader fail unless condition holds.
 func (r *Reader) Require(condition bool) { r.failed = r.failed || !condition }
 
-// Take reads the next n bytes, which are a part of the Reader's; nil if it fails.
+// Take returns the next n bytes, which alias the Reader's bytes, or nil if the Reader fails.
 func (r *Reader) Take(n int) []byte {
 	if r.failed || n < 0 || len(r.b) < n {
 		r.failed = true
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// Uint16 reads a big-endian number of 2 bytes.
+// Uint16 reads a big-endian integer of 2 bytes.
 func (r *Reader) Uint16() uint16 {
 	if b := r.Take(2); b != nil {
 		return binary.BigEndian.Uint16(b)
@@ -50,7 +50,7 @@
 	return 0
 }
 
-// Uint32 reads a big-endian number of 4 bytes.
+// Uint32 reads a big-endian integer of 4 bytes.
 func (r *Reader) Uint32() uint32 {
 	if b := r.Take(4); b != nil {
 		return binary.BigEndian.Uint32(b)
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// Uint64 reads a big-endian number of 8 bytes.
+// Uint64 reads a big-endian integer of 8 bytes.
 func (r *Reader) Uint64() uint64 {
 	if b := r.Take(8); b != nil {
 		return binary.BigEndian.Uint64(b)
@@ -77,7 +77,7 @@
 	return value
 }
 
-// UvarintMax reads a varint of at most limit.
+// UvarintMax reads a varint. The Reader fails if it is above limit.
 func (r *Reader) UvarintMax(limit uint64) uint64 {
 	value := r.Uvarint()
 	if value > limit {
@@ -87,7 +87,7 @@
 	return value
 }
 
-// ByteMax reads a byte of at most limit, such as a count of what follows.
+// ByteMax reads a byte, such as a count of elements. The Reader fails if it is above limit.
 func (r *Reader) ByteMax(limit int) int {
 	value := int(r.Byte())
 	if value > limit {
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// FuzzParse decodes arbitrary bytes: the result is a complete state or an error.
-func FuzzParse(f *testing.F) {
+// FuzzDecode decodes arbitrary bytes: the result is a complete state or an error.
+func FuzzDecode(f *testing.F) {
 	b, _ := Encode(nil, state(5))
 	f.Add(b)
 	f.Add(b[:30])
--- a/internal/record/encode.go
+++ b/internal/record/encode.go
@@ -8,16 +8,16 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// stateRemoved is the state of an entry that is removed from the list, by the schema.
+// stateRemoved is the schema's state of an entry that was removed from the list.
 const stateRemoved = 2
 
-// Sources of the process's own usage.
+// Files from which the process's resource usage is read.
 const (
 	memoryFile  = "/proc/self/statm"
 	descriptors = "/proc/self/fd"
 )
 
-// trackList keeps the endpoint list, which each segment begins with.
+// trackList keeps track of the endpoint list, which is written at the start of each segment.
 func (w *writer) trackList(event *Event) {
 	switch {
 	case event.Kind == recordpb.Kind_KIND_LIST && event.Full:
@@ -69,7 +69,7 @@
 	w.encodeByKind(event, out)
 }
 
-// encodeByKind encodes the fields of single kinds.
+// encodeByKind encodes the fields that are specific to a kind.
 func (w *writer) encodeByKind(event *Event, out *recordpb.Event) {
 	switch event.Kind {
 	case recordpb.Kind_KIND_HAND:
@@ -133,7 +133,7 @@
 	}
 }
 
-// nameNumber is the number of a name in this segment, 0 for the empty one. A new name goes into the batch.
+// nameNumber returns the number of a name in this segment, 0 for the empty name. A new name is added to the batch.
 func (w *writer) nameNumber(name string) uint32 {
 	if name == "" {
 		return 0
@@ -147,7 +147,7 @@
 	return number
 }
 
-// residentBytes is the memory of the process, 0 where it cannot be read.
+// residentBytes returns the resident memory of the process in bytes, 0 if it cannot be read.
 func residentBytes() uint64 {
 	text, err := os.ReadFile(memoryFile)
 	if err != nil {
@@ -161,7 +161,7 @@
 	return pages * uint64(os.Getpagesize())
 }
 
-// openDescriptors is the number of the process's descriptors, 0 where it cannot be read.
+// openDescriptors returns the number of open descriptors of the process, 0 if it cannot be read.
 func openDescriptors() uint32 {
 	folder, err := os.Open(descriptors)
 	if err != nil {
--- a/internal/record/event.go
+++ b/internal/record/event.go
@@ -2,13 +2,13 @@
 
 import "beechgrade/internal/record/recordpb"
 
-// Kind is the kind of an event; the schema lists them.
+// Kind is the kind of an event, as listed in the schema.
 type Kind = recordpb.Kind
 
-// Reason says what the pooler knew of a request when it rejected or failed it. Its numbers are the schema's.
+// Reason says what the pooler knew about a request's attempts when it rejected or failed the request. The values are part of the schema.
 type Reason uint32
 
-// The reasons. From ReasonEnded on, a reason is the Result of the attempt that ended last, by the decision module's number.
+// The reasons. A reason from ReasonEnded on is ReasonEnded plus the decision module's Result of the attempt that ended last.
 const (
 	ReasonNone       Reason = iota
 	ReasonNotSent           // no attempt was sent
@@ -18,7 +18,7 @@
 
 var resultNames = [...]string{"ok", "error", "turned away", "timed out", "unreachable", "reset", "called off", "never sent", "missed"}
 
-// ResultName names a Result of the decision module, by its number.
+// ResultName returns the name of a Result of the decision module.
 func ResultName(result uint32) string {
 	if int(result) < len(resultNames) {
 		return resultNames[result]
@@ -26,7 +26,7 @@
 	return "unknown"
 }
 
-// String describes the reason in a few words.
+// String returns a short description of the reason.
 func (r Reason) String() string {
 	switch r {
 	case ReasonNone:
@@ -39,27 +39,27 @@
 	return ResultName(uint32(r - ReasonEnded))
 }
 
-// Assignment says how a transaction's wait for a server connection ended. Its numbers are the schema's.
+// Assignment says how a transaction's wait for a server connection ended. The values are part of the schema.
 type Assignment uint8
 
 // The assignments.
 const (
 	AssignmentGranted   Assignment = 1
 	AssignmentRejected  Assignment = 2
-	AssignmentRestarted Assignment = 3 // the transaction had only begun, and begins again at another connection
+	AssignmentRestarted Assignment = 3 // the transaction had only begun, and was restarted on another connection
 )
 
-// LossCause says why events were lost. Its numbers are the schema's.
+// LossCause says why events were lost. The values are part of the schema.
 type LossCause uint8
 
 // The causes.
 const (
-	CauseRing  LossCause = 1 // the writer did not keep up
+	CauseRing  LossCause = 1 // the writer did not keep up, and the ring was full
 	CauseWrite LossCause = 2 // writing failed
 )
 
-// Event is one event, to be recorded or read back. Times are in milliseconds; At, Position, LostFrom, LostTo and WallClockMs are Unix
-// time. Which fields are set depends on Kind, as the schema says.
+// Event is an event that is recorded or read back. Times are in milliseconds; At, Position, LostFrom, LostTo and WallClockMs are Unix
+// time. Which fields are set depends on Kind, as documented in the schema.
 type Event struct {
 	At          float64
 	Kind        Kind
@@ -69,8 +69,8 @@
 	State       uint8
 	Repeat      bool
 	Primary     bool
-	Full        bool // the list is full, rather than changes
-	Restated    bool // the entry is repeated at the start of a segment, and not new
+	Full        bool // the list is complete, not a list of changes
+	Restated    bool // the entry is repeated at the start of a segment, and is not new
 	Class       int32
 	Attempt     int32
 	Group       int64
@@ -81,39 +81,39 @@
 	DurationMs  float64
 	RemainingMs float64
 	WaitMs      float64
-	Position    float64 // 0 for none
+	Position    float64 // 0 if unknown
 	Reason      Reason
 	Number      int64 // a list's generation; a server's start in Unix ms; a gauge's open requests
 	Text        string
 
-	// Of a gauge.
+	// Set for a gauge.
 	Sessions    int64
 	Connections int64
 	MemoryBytes int64
 	Descriptors int64
-	WallClockMs float64 // of the machine, which may step
+	WallClockMs float64 // of the machine; it may step
 
-	// Of lost events.
+	// Set for lost events.
 	Lost             uint64
 	LostFrom, LostTo float64
 	LossCause        LossCause
 
-	// Of the report of an endpoint source.
+	// Set for a report of an endpoint source.
 	Source string
 	Health uint8
 
-	// Of a connection pool and its transactions.
+	// Set for a connection pool and its transactions.
 	Pool             string
 	Assignment       Assignment
-	FromOtherClient  bool // another client had the connection before
-	ServerChanged    bool // the session's transaction before was at another server
-	SettingsRestored bool // the session's settings were sent ahead
+	FromOtherClient  bool // another client used the connection before
+	ServerChanged    bool // the session's previous transaction was on another server
+	SettingsRestored bool // the session's settings were sent before the transaction
 	PoolState        PoolState
 
-	Recovery *StoreRecovery // of a durable store; Text says why some of it was dropped
+	Recovery *StoreRecovery // of a durable store; Text says why a tail was dropped
 }
 
-// StoreRecovery is what was found when a durable store was opened.
+// StoreRecovery describes what was found when a durable store was opened.
 type StoreRecovery struct {
 	Store    string
 	Records  int64
@@ -124,5 +124,5 @@
 // PoolState is the state of a connection pool.
 type PoolState struct {
 	Clients, Idle, Used, Connecting, Waiting, MaxConnections int32
-	LongestWaitMs                                            float64 // of those that wait now
+	LongestWaitMs                                            float64 // of the clients that are waiting
 }
--- a/internal/record/files.go
+++ b/internal/record/files.go
@@ -21,7 +21,7 @@
 // Dir stores segments in the folder of that path.
 type Dir string
 
-// Create creates a segment, and the folder where it does not exist.
+// Create creates a segment, and the folder if it does not exist.
 func (d Dir) Create(name string) (io.WriteCloser, error) {
 	if err := os.MkdirAll(string(d), 0o750); err != nil {
 		return nil, err
@@ -32,7 +32,7 @@
 // Remove removes a segment.
 func (d Dir) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// List returns the names and sizes of the folder's files, none where it does not exist.
+// List returns the names and sizes of the folder's files, none if it does not exist.
 func (d Dir) List() (map[string]int64, error) {
 	entries, err := os.ReadDir(string(d))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -49,11 +49,12 @@
 
 var unsafeName = regexp.MustCompile(`[^A-Za-z0-9_.]+`)
 
-// SegmentName is the name of a segment's file. Names of one pooler sort by run, then by number.
+// SegmentName returns the name of a segment's file. The names of a pooler sort by run, then by segment number.
 func SegmentName(pooler string, runMs float64, segment uint32) string {
 	return fmt.Sprintf("%s%013d-%06d%s", namePrefix(pooler), int64(runMs), segment, Suffix)
 }
 
+// namePrefix returns the prefix of the names of a pooler's segments.
 func namePrefix(pooler string) string {
 	s := strings.Trim(unsafeName.ReplaceAllString(pooler, "_"), ".")
 	if s == "" {
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -8,11 +8,11 @@
 	"io"
 )
 
-// A segment is Magic, then frames: the payload's length (4 bytes, little-endian), its type, a CRC-32C over length,
-// type and payload (4 bytes), the payload. The first frame is the Header.
+// A segment is Magic, followed by frames. A frame is the length of its payload (4 bytes, little-endian), its type (1 byte), a CRC-32C of
+// length, type and payload (4 bytes), and the payload. The first frame is the Header.
 const (
 	Magic = "BGREC01\n"
-	// MaxFrame bounds a frame's payload in bytes, compressed or not.
+	// MaxFrame is the maximum size of a frame's payload in bytes, compressed or not.
 	MaxFrame = 4 << 20
 
 	frameTypeOffset     = 4
@@ -25,7 +25,7 @@
 	FrameHeader = 'H'
 	FrameBatch  = 'B'
 	FrameZstd   = 'Z' // a Batch, compressed with zstd
-	FrameEnd    = 'E' // the segment was closed in order; nothing follows
+	FrameEnd    = 'E' // the segment was closed properly; nothing follows
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -36,11 +36,12 @@
 	ErrCorrupt = errors.New("is damaged")
 )
 
-// beginFrame makes room for a frame's head; endFrame fills it in.
+// beginFrame appends an empty frame head, which endFrame fills in once the payload is appended.
 func beginFrame(dst []byte, typ byte) []byte {
 	return append(dst, 0, 0, 0, 0, typ, 0, 0, 0, 0)
 }
 
+// endFrame fills in the head of the frame that begins at start and ends at the end of dst.
 func endFrame(dst []byte, start int) []byte {
 	head := dst[start : start+frameHeadBytes]
 	payload := dst[start+frameHeadBytes:]
@@ -60,7 +61,7 @@
 	buffer []byte
 }
 
-// NewFrames reads a segment from its first byte on.
+// NewFrames returns a reader of a segment's frames. It reads and checks Magic.
 func NewFrames(r io.Reader) (*Frames, error) {
 	f := &Frames{reader: r}
 	b, err := f.read(len(Magic))
@@ -81,8 +82,8 @@
 // Offset is the offset of the end of the last complete frame.
 func (f *Frames) Offset() int64 { return f.offset }
 
-// Next returns the next frame. The payload is valid until the next call. The error is io.EOF at the end of the file, wraps ErrTorn
-// inside a frame, and ErrCorrupt where the bytes are not those that were written.
+// Next returns the next frame. The payload is valid until the next call. The error is io.EOF at the end of the file; it wraps ErrTorn if the
+// file ends inside a frame, and ErrCorrupt if the bytes are damaged.
 func (f *Frames) Next() (typ byte, payload []byte, err error) {
 	b, err := f.read(frameHeadBytes)
 	switch {
@@ -125,5 +126,5 @@
 	return b, err
 }
 
-// ResumeFrames reads a segment on from the end of a frame.
+// ResumeFrames returns a reader of the frames from an offset on, which must be the end of a frame; r must be positioned there.
 func ResumeFrames(r io.Reader, at int64) *Frames { return &Frames{reader: r, offset: at} }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,9 +1,9 @@
-// Package record records what the event loop observed and did: a typed stream of events, which one goroutine writes to segments on
-// disk. The event loop never waits for it and never allocates for it: events that the ring or the disk has no room for are counted,
-// and the count is recorded in their place. While the disk fails, service goes on and writing is retried.
+// Package record records what the event loop observed and did, as a typed stream of events that a goroutine writes to segments on disk.
+// Recording an event neither blocks the event loop nor allocates. Events that do not fit the ring or cannot be written are counted, and the
+// count is recorded in their place. While the disk fails, requests are still served and writing is retried.
 //
-// A segment holds Magic and frames (see Frames); the schema of their content is in recordpb. Segments of a pooler are
-// removed, oldest first, at a limit on their size.
+// A segment holds Magic and frames (see Frames); the schema of their content is in recordpb. The oldest segments of a pooler are removed when
+// the total size of its segments reaches a limit.
 package record
 
 import (
@@ -12,18 +12,18 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// Recorder takes events on the event loop. A nil Recorder takes none.
+// Recorder accepts events on the event loop. A nil Recorder ignores them.
 type Recorder struct {
 	ring        ring
-	wake        chan struct{} // of the writer
-	pendingLost Event         // events that found no room and are not in the ring as lost yet
+	wake        chan struct{} // wakes the writer
+	pendingLost Event         // events lost because the ring was full, not yet recorded as lost
 	lostCount   atomic.Uint64
 }
 
 // Enabled reports whether events are recorded.
 func (r *Recorder) Enabled() bool { return r != nil }
 
-// Put records an event, or counts it as lost where the ring is full. It is called on the event loop, and neither waits nor allocates.
+// Put records an event, or counts it as lost if the ring is full. It is called on the event loop, and neither blocks nor allocates.
 func (r *Recorder) Put(event *Event) {
 	if r == nil {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// Lost is the number of events that found no room in the ring.
+// Lost returns the number of events that were lost because the ring was full.
 func (r *Recorder) Lost() uint64 {
 	if r == nil {
 		return 0
@@ -61,7 +61,7 @@
 	r.lostCount.Add(1)
 }
 
-// putLost puts the count of lost events where these would have been, and reports whether there was room.
+// putLost puts the count of lost events into the ring in their place, and reports whether there was space.
 func (r *Recorder) putLost() bool {
 	if r.ring.put(&r.pendingLost) < 0 {
 		return false
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -15,13 +15,13 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// disk stores segments in memory. It fails when its capacity is used up, and blocks while a test has it blocked.
+// disk stores segments in memory. Writes fail when its capacity is used up, and wait while blocked is set.
 type disk struct {
 	mu           sync.Mutex
 	files        map[string]*bytes.Buffer
-	capacity     int           // bytes left, -1 for no end
-	blocked      chan struct{} // writes wait for it to close, where it is set
-	writeStarted chan struct{} // receives for each write that waits
+	capacity     int           // bytes left, -1 for unlimited
+	blocked      chan struct{} // if set, writes wait until it is closed
+	writeStarted chan struct{} // receives when a write begins to wait
 }
 
 func newDisk() *disk { return &disk{files: map[string]*bytes.Buffer{}, capacity: -1} }
@@ -60,14 +60,14 @@
 
 func (f *diskFile) Write(b []byte) (int, error) {
 	f.disk.mu.Lock()
-	hold, began := f.disk.blocked, f.disk.writeStarted
+	blocked, started := f.disk.blocked, f.disk.writeStarted
 	f.disk.mu.Unlock()
-	if hold != nil {
+	if blocked != nil {
 		select {
-		case began <- struct{}{}:
+		case started <- struct{}{}:
 		default:
 		}
-		<-hold
+		<-blocked
 	}
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -85,7 +85,7 @@
 
 func (f *diskFile) Close() error { return nil }
 
-// countEvents counts the events on the disk, and those that are recorded as lost.
+// countEvents counts the events on the disk, and the events that are recorded as lost.
 func (d *disk) countEvents(t *testing.T) (kept int, lost uint64) {
 	t.Helper()
 	d.mu.Lock()
@@ -93,7 +93,7 @@
 	for name, b := range d.files {
 		f, err := NewFrames(bytes.NewReader(b.Bytes()))
 		if err != nil {
-			continue // there was no room for its first bytes
+			continue // the disk was full before Magic was complete
 		}
 		for {
 			typ, payload, err := f.Next()
@@ -132,22 +132,22 @@
 	return &Event{At: 1.7e12 + float64(i), Kind: recordpb.Kind_KIND_ATTEMPT, Request: uint64(i), Server: "s-1", DurationMs: 3}
 }
 
-// TestSlowDiskLosesAndCountsEvents checks that a slow disk never holds up the event loop, and that lost events are counted.
+// TestSlowDiskLosesAndCountsEvents checks that a slow disk never blocks the event loop, and that lost events are counted.
 func TestSlowDiskLosesAndCountsEvents(t *testing.T) {
 	d := newDisk()
 	d.blocked, d.writeStarted = make(chan struct{}), make(chan struct{}, 1)
 	rec, stop := Start(options(d))
 	rec.Put(event(0))
-	<-d.writeStarted // the writer hangs now
+	<-d.writeStarted // the writer is blocked now
 	const all = 5000
 	for i := 1; i < all; i++ {
 		rec.Put(event(i))
 	}
 	if rec.Lost() < all-2*256 {
-		t.Fatalf("%d events lost with a ring of 256; the ring is not bounded", rec.Lost())
+		t.Fatalf("only %d events lost with a ring of 256; the ring is not bounded", rec.Lost())
 	}
 	close(d.blocked)
-	for { // until there is room, so that the loss is recorded
+	for { // until the ring has space, so that the loss is recorded
 		before := rec.Lost()
 		rec.Put(event(all))
 		if rec.Lost() == before {
@@ -162,18 +162,17 @@
 	}
 }
 
-// TestFullDiskIsRetriedAndCounted checks that a full disk ends neither service nor records, and that the events it lost are
-// counted.
+// TestFullDiskIsRetriedAndCounted checks that recording resumes after the disk was full, and that the events lost meanwhile are counted.
 func TestFullDiskIsRetriedAndCounted(t *testing.T) {
-	for _, room := range []int{0, 5, 300, 5000, 20000} {
+	for _, capacity := range []int{0, 5, 300, 5000, 20000} {
 		d := newDisk()
-		d.capacity = room
+		d.capacity = capacity
 		rec, stop := Start(options(d))
 		put := 0
 		fill := func(n int) {
 			for range n {
 				for rec.ring.next() != nil && rec.ring.head.Load()-rec.ring.tail.Load() > 200 {
-					time.Sleep(100 * time.Microsecond) // the ring itself loses nothing here
+					time.Sleep(100 * time.Microsecond) // waits, so that the ring itself loses no events
 				}
 				rec.Put(event(put))
 				put++
@@ -193,13 +192,13 @@
 		}
 		stop()
 		if kept, lost := d.countEvents(t); kept+int(lost) != put || lost == 0 {
-			t.Errorf("with %d bytes: %d events kept and %d recorded as lost, %d were put", room, kept, lost, put)
+			t.Errorf("disk of %d bytes: %d events kept and %d recorded as lost, %d were put", capacity, kept, lost, put)
 		}
 	}
 }
 
-// TestOldestSegmentsAreRemoved checks that the segments of a pooler stay within their limit, that other files stay, and that
-// each segment begins with the list.
+// TestOldestSegmentsAreRemoved checks that the segments of a pooler stay within their size limit, that other files are not removed, and that
+// each segment begins with the endpoint list.
 func TestOldestSegmentsAreRemoved(t *testing.T) {
 	d := newDisk()
 	d.files["n_1-old"] = bytes.NewBufferString("no segment")
@@ -220,19 +219,19 @@
 		}
 	}
 	if sum == 0 || sum > opt.TotalBytes+opt.SegmentBytes {
-		t.Errorf("%d bytes kept, the cap is %d", sum, opt.TotalBytes)
+		t.Errorf("%d bytes kept, the limit is %d", sum, opt.TotalBytes)
 	}
 	if files["n_1-old"] == 0 || files["n_10-0001700000000000-000001.bgr"] == 0 {
-		t.Error("another's file was removed")
+		t.Error("a file that is no segment of this pooler was removed")
 	}
-	for name, b := range d.files { // each segment that is left holds the list
+	for name, b := range d.files { // each remaining segment has the list
 		if strings.HasPrefix(name, "n_1_.._x-") && !bytes.Contains(b.Bytes()[:400], []byte("s-1")) {
 			t.Errorf("%s does not begin with the list", name)
 		}
 	}
 }
 
-// BenchmarkPut measures what an event costs the event loop.
+// BenchmarkPut measures the cost of recording an event on the event loop.
 func BenchmarkPut(b *testing.B) {
 	rec, stop := Start(Options{Pooler: "n", Files: Dir(b.TempDir()), SegmentBytes: 16 << 20, TotalBytes: 64 << 20, QueueLength: 1 << 16, FlushIntervalMs: 50,
 		Log: slog.New(slog.DiscardHandler)})
--- a/internal/record/ring.go
+++ b/internal/record/ring.go
@@ -2,16 +2,16 @@
 
 import "sync/atomic"
 
-// ring is a bounded queue with one writer and one reader, without locks.
+// ring is a bounded lock-free queue with one writer and one reader.
 type ring struct {
 	buffer []Event
 	mask   uint64
-	head   atomic.Uint64 // next to be written; moved by the writer alone
-	_      [48]byte      // each counter on a cache line of its own
-	tail   atomic.Uint64 // next to be read; moved by the reader alone
+	head   atomic.Uint64 // the next slot to write; advanced by the writer only
+	_      [48]byte      // keeps the two counters on separate cache lines
+	tail   atomic.Uint64 // the next slot to read; advanced by the reader only
 }
 
-// newRing returns a ring for at least so many events.
+// newRing returns a ring for at least that many events.
 func newRing(events int) ring {
 	size := 1
 	for size < events {
@@ -20,7 +20,7 @@
 	return ring{buffer: make([]Event, size), mask: uint64(size - 1)}
 }
 
-// put adds an event and returns how many are waiting then, -1 where there is no room.
+// put adds an event and returns the number of events in the ring, -1 if the ring is full.
 func (r *ring) put(event *Event) int {
 	head := r.head.Load()
 	waiting := head - r.tail.Load()
@@ -32,7 +32,7 @@
 	return int(waiting) + 1
 }
 
-// next is the oldest event, nil where none waits; it stays until drop.
+// next returns the oldest event without removing it, nil if the ring is empty.
 func (r *ring) next() *Event {
 	tail := r.tail.Load()
 	if tail == r.head.Load() {
--- a/internal/record/segment.go
+++ b/internal/record/segment.go
@@ -13,7 +13,7 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// Settings of the compressor, for little memory.
+// Settings of the compressor, chosen for low memory use.
 const (
 	compressionLevel  = 1
 	compressionWindow = 1 << 17 // bytes
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// frameBatch begins a frame with the payload, compressed where that is set.
+// frameBatch begins a frame with the encoded batch as payload, compressed if the options say so.
 func (w *writer) frameBatch() error {
 	if !w.options.Compress {
 		w.out = append(beginFrame(w.out[:0], FrameBatch), w.payload...)
@@ -67,7 +67,7 @@
 	return err
 }
 
-// ensureSegment has a segment open, unless it is too early to retry after a failure. It reports whether there is one.
+// ensureSegment opens a segment if none is open, unless it is too early to retry after a failure. It reports whether a segment is open.
 func (w *writer) ensureSegment(at float64) bool {
 	if w.file != nil {
 		return true
@@ -84,7 +84,7 @@
 	return true
 }
 
-// open opens a segment, and writes its header and the endpoint list, so that it can be read without those before it.
+// open creates a segment, and writes its header and the endpoint list, so that it can be read without earlier segments.
 func (w *writer) open(at float64) error {
 	if err := w.prune(); err != nil {
 		return err
@@ -124,7 +124,7 @@
 	return w.writeBytes(append([]byte(Magic), frame...))
 }
 
-// writeList writes the entries of the endpoint list, as restated.
+// writeList writes the entries of the endpoint list, marked as restated.
 func (w *writer) writeList(at float64) error {
 	w.startBatch(at)
 	for _, id := range sortedKeys(w.listed) {
@@ -145,7 +145,7 @@
 	return w.writeBatch()
 }
 
-// prune removes the oldest segments of this pooler until another has room.
+// prune removes the oldest segments of this pooler until another one fits the size limit.
 func (w *writer) prune() error {
 	sizes, err := w.options.Files.List()
 	if err != nil {
@@ -172,27 +172,27 @@
 	return nil
 }
 
-// close closes the segment, with a frame that says so unless writing failed.
-func (w *writer) close(ordered bool) {
+// close closes the segment; clean is false if writing failed. A clean close writes an end frame first.
+func (w *writer) close(clean bool) {
 	if w.file == nil {
 		return
 	}
-	if ordered {
+	if clean {
 		if err := w.writeBytes(endFrame(beginFrame(nil, FrameEnd), 0)); err != nil {
-			w.options.Log.Warn("records: the end of a segment was not written", "file", w.name, "err", err)
+			w.options.Log.Warn("records: could not write the end frame of a segment; the segment reads as if cut off by a crash", "file", w.name, "err", err)
 		}
 	}
 	if err := w.file.Close(); err != nil {
-		w.options.Log.Warn("records: close", "file", w.name, "err", err)
+		w.options.Log.Warn("records: could not close a segment", "file", w.name, "err", err)
 	}
 	w.file = nil
 }
 
-// failSegment gives up the segment and the batch after a failure, and counts the events of the batch as lost.
+// failSegment closes the segment and discards the batch after a failure, and counts the events of the batch as lost.
 func (w *writer) failSegment(err error) {
 	if !w.failureLogged {
 		w.failureLogged = true
-		w.options.Log.Error("records cannot be written; service goes on without", "err", err)
+		w.options.Log.Error("records: writing failed; requests are served without records while writing is retried", "err", err)
 	}
 	w.close(false)
 	at := w.batch.BaseUs
@@ -202,7 +202,7 @@
 		case event.Lost != nil:
 			w.lost -= event.Lost.Events
 			isPending := i == 0 && event.Lost.Events == w.pendingLost.Lost && LossCause(event.Lost.Cause) == CauseWrite
-			if !isPending { // what is pending is counted already
+			if !isPending { // pendingLost already has its count
 				w.countLost(milliseconds(event.Lost.FromUs), event.Lost.Events)
 				w.countLost(milliseconds(event.Lost.ToUs), 0)
 			}
@@ -217,7 +217,7 @@
 
 func milliseconds(us int64) float64 { return float64(us) / usPerMs }
 
-// discardQueued counts all events that wait as lost.
+// discardQueued discards all queued events and counts them as lost.
 func (w *writer) discardQueued() {
 	queue := &w.recorder.ring
 	for event := queue.next(); event != nil; event = queue.next() {
@@ -231,7 +231,7 @@
 	}
 }
 
-// countLost counts events as lost by a failure.
+// countLost counts events that were lost because writing failed.
 func (w *writer) countLost(at float64, events uint64) {
 	lost := &w.pendingLost
 	if lost.Lost == 0 {
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -12,15 +12,15 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// Schema is the number of the schema that this program writes.
+// Schema is the version of the schema that this program writes.
 const Schema = 1
 
-// Suffix ends the names of segments.
+// Suffix is the suffix of segment file names.
 const Suffix = ".bgr"
 
 const (
 	batchEvents  = 1024
-	minRetryMs   = 100 // between attempts to write while writing fails; doubled up to maxRetryMs
+	minRetryMs   = 100 // first wait between attempts to write while writing fails; doubled up to maxRetryMs
 	maxRetryMs   = 5000
 	closeTimeout = 2 * time.Second
 	usPerMs      = 1000
@@ -34,11 +34,11 @@
 	Classes          []*recordpb.Class
 	WarmupStartShare float64 // share of its capacity that a server starts with
 	WarmupMs         float64 // from a server's start until its full capacity
-	DrainGraceMs     float64 // for which requests may be sent to a server that is reported as draining
+	DrainGraceMs     float64 // for which requests may still be sent to a server after it is reported as draining
 	Files            Files
-	SegmentBytes     int64 // at which a segment is closed
-	TotalBytes       int64 // of all segments of this pooler; the oldest are removed
-	QueueLength      int   // events that wait for the writer at most
+	SegmentBytes     int64 // size at which a segment is closed
+	TotalBytes       int64 // maximum size of all segments of this pooler; the oldest are removed
+	QueueLength      int   // maximum number of events that wait for the writer
 	FlushIntervalMs  float64
 	Compress         bool // with zstd
 	Log              *slog.Logger
@@ -56,8 +56,8 @@
 	size        int64 // of the segment
 	segment     uint32
 	batches     uint64
-	lost        uint64            // events, recorded as lost so far
-	nameNumbers map[string]uint32 // in this segment
+	lost        uint64            // events that were recorded as lost so far
+	nameNumbers map[string]uint32 // of this segment
 	listed      map[string]Event  // the endpoint list, by server
 	compressor  *zstd.Encoder
 
@@ -65,9 +65,9 @@
 	events     []*recordpb.Event // reused by batches
 	payload    []byte
 	out        []byte
-	previousUs int64 // time of the event before
+	previousUs int64 // time of the previous event
 
-	pendingLost   Event // events lost by failures, not written yet
+	pendingLost   Event // events lost by write failures, not recorded yet
 	retryAt       time.Time
 	retryMs       float64
 	failureLogged bool
@@ -84,7 +84,7 @@
 	}
 }
 
-// Start starts recording. stop ends it once all events are written, or after 2 s.
+// Start starts recording. stop waits until all events are written, at most closeTimeout.
 func Start(options Options) (recorder *Recorder, stop func()) {
 	w := newWriter(options)
 	go w.run()
@@ -93,12 +93,12 @@
 		select {
 		case <-w.done:
 		case <-time.After(closeTimeout):
-			options.Log.Error("records: the last events were not written in time")
+			options.Log.Error("records: the last events were not written within the time limit; they may be missing")
 		}
 	}
 }
 
-// Write records the events that produce puts, without a goroutine: for tools and tests.
+// Write records the events that produce puts, without starting a goroutine. It is for tools and tests.
 func Write(options Options, produce func(put func(*Event))) {
 	w := newWriter(options)
 	produce(func(event *Event) {
@@ -132,13 +132,13 @@
 	}
 }
 
-// flushAll writes all events that wait.
+// flushAll writes all queued events.
 func (w *writer) flushAll() {
 	for w.flush() {
 	}
 }
 
-// flush writes a batch of the events that wait, and reports whether more wait.
+// flush writes a batch of queued events, and reports whether more are queued.
 func (w *writer) flush() bool {
 	queue := &w.recorder.ring
 	event := queue.next()
@@ -171,7 +171,7 @@
 	return queue.next() != nil
 }
 
-// startBatch empties the batch. Times in it count from at.
+// startBatch empties the batch and sets its base time.
 func (w *writer) startBatch(at float64) {
 	w.batch.Reset()
 	w.batch.Events, w.batch.Names = w.batch.Events[:0], nil
