--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -85,7 +85,7 @@
 		t.Helper()
 		got, err := me.Others(ms)
 		if fails != (err != nil) {
-			t.Errorf("want an error %v, got %v", fails, err)
+			t.Errorf("unexpected error or lack of one: %v", err)
 		}
 		for _, s := range got {
 			ages = append(ages, s.AgeMs)
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -23,7 +23,7 @@
 				drained = false
 			}
 			if want := e != Resume || !terminated; accepted != want {
-				t.Fatalf("event %v in state %v: accepted %v, want %v", e, m.State(), accepted, want)
+				t.Fatalf("event %v led to state %v: accepted: %v", e, m.State(), accepted)
 			}
 			want := Starting
 			switch {
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// Start starts recording. stop waits until all events are written, at most closeTimeout.
+// Start starts recording. stop waits until all events are written, at most 2 s.
 func Start(options Options) (recorder *Recorder, stop func()) {
 	w := newWriter(options)
 	go w.run()
--- a/internal/storage/sessiontoken/sessiontoken.go
+++ b/internal/storage/sessiontoken/sessiontoken.go
@@ -106,7 +106,8 @@
 	return <-done
 }
 
-// forgetAll removes all sessions. They, and all unknown sessions, then count as written at the latest of their commits, and not before until.
+// forgetAll removes all sessions and returns the entries to store for that. They, and all unknown sessions, then count as written at until, or
+// at the latest of their commits if that is later.
 func (k *Keeper) forgetAll(until decide.Time) []store.Entry {
 	var entries []store.Entry
 	for _, name := range slices.Sorted(maps.Keys(k.commits)) {
--- a/internal/storage/store/compaction_test.go
+++ b/internal/storage/store/compaction_test.go
@@ -212,9 +212,9 @@
 			t.Fatalf("write %d: %v", i, err)
 		}
 	}
-	kept := 40
-	for ; kept < 1000; kept++ {
-		if err := put(fmt.Sprint("k", kept)); err != nil {
+	acknowledged := 40
+	for ; acknowledged < 1000; acknowledged++ {
+		if err := put(fmt.Sprint("k", acknowledged)); err != nil {
 			if !errors.Is(err, store.ErrFull) {
 				t.Fatal(err)
 			}
@@ -226,9 +226,9 @@
 	if err := <-requested; !errors.Is(err, store.ErrFull) { // there is no space for its snapshot
 		t.Errorf("a requested compaction of a full store: %v", err)
 	}
-	t.Logf("at most %d bytes of %d; full with %d records", largest, maxBytes, kept)
-	if largest > maxBytes || kept == 1000 || len(recordsOf(s)) != kept || kept*(100+40) < maxBytes/3 {
-		t.Errorf("at most %d bytes, bound %d; %d records, %d acknowledged", largest, maxBytes, len(recordsOf(s)), kept)
+	t.Logf("at most %d bytes of %d; full with %d records", largest, maxBytes, acknowledged)
+	if largest > maxBytes || acknowledged == 1000 || len(recordsOf(s)) != acknowledged || acknowledged*(100+40) < maxBytes/3 {
+		t.Errorf("at most %d bytes, bound %d; %d records, %d acknowledged", largest, maxBytes, len(recordsOf(s)), acknowledged)
 	}
 	_ = s.Close()
 }
--- a/internal/storage/store/store.go
+++ b/internal/storage/store/store.go
@@ -42,7 +42,7 @@
 	SegmentBytes   int64        // size at which a new segment is begun; 0 for the default
 	MaxBytes       int64        // of all files, including a snapshot that is being written; 0 for no bound. Entries beyond it are rejected
 	CompactionRate int64        // maximum bytes a second that a compaction writes; 0 for no bound
-	MaxMemory      int64        // of live records, by MemoryUse; 0 for no bound. Entries that would exceed it are rejected
+	MaxMemory      int64        // of live records, by MemoryUse; 0 for no bound. Beyond it, entries that need more memory are rejected
 	Post           func(func()) // runs the callbacks of Append and Compact, for example on an event loop; nil runs them on the writer's goroutine
 
 	Checks         *invariant.Checks // used by the writer's goroutine; nil if disabled
--- a/internal/storage/store/store_test.go
+++ b/internal/storage/store/store_test.go
@@ -124,8 +124,8 @@
 			d.CrashAt = at
 			acknowledged, requested := runHistory(d, steps)
 			if variant == 0 {
-				_, what := d.Ops()
-				crashes[what]++
+				_, operation := d.Ops()
+				crashes[operation]++
 			}
 			next := d.Restart(rng, variant > 0)
 			s, _, err := store.Open(store.Options{FS: next, SegmentBytes: 700})
@@ -154,9 +154,9 @@
 		}
 	}
 	t.Logf("%d operations: %v", ops, crashes)
-	for _, what := range []string{"create", "write", "sync", "rename", "remove", "sync folder"} {
-		if crashes[what] == 0 {
-			t.Errorf("no power failure at an operation %q", what)
+	for _, operation := range []string{"create", "write", "sync", "rename", "remove", "sync folder"} {
+		if crashes[operation] == 0 {
+			t.Errorf("no power failure at an operation %q", operation)
 		}
 	}
 }
@@ -179,36 +179,36 @@
 		}
 	})
 	opened, rejected := 0, 0
-	try := func(name string, b []byte, what string) {
+	openWith := func(name string, b []byte, damage string) {
 		c := faultyfs.New()
-		for n, x := range files {
-			c.Set(n, x)
+		for n, content := range files {
+			c.Set(n, content)
 		}
 		c.Set(name, b)
 		s, rec, err := store.Open(store.Options{FS: c})
 		if err != nil {
 			if rejected++; !errors.Is(err, store.ErrCorrupt) {
-				t.Fatalf("%s %s: %v", name, what, err)
+				t.Fatalf("%s %s: %v", name, damage, err)
 			}
 			return
 		}
 		opened++
 		n := matchingPrefix(recordsOf(s), all, 0, len(steps))
-		if n < 0 || n < len(steps) && rec.DroppedBytes == 0 && !strings.HasPrefix(what, "cut") { // a cut between two frames looks like the end of the file
-			t.Fatalf("%s %s: the store has the first %d steps, %+v", name, what, n, rec)
+		if n < 0 || n < len(steps) && rec.DroppedBytes == 0 && !strings.HasPrefix(damage, "cut") { // a cut between two frames looks like the end of the file
+			t.Fatalf("%s %s: the store has the first %d steps, %+v", name, damage, n, rec)
 		}
 		if name != names[len(names)-1] && n < len(steps) {
-			t.Fatalf("%s %s: damage to an older file: the store opens without an error, with %d of %d steps", name, what, n, len(steps))
+			t.Fatalf("%s %s: damage to an older file: the store opens without an error, with %d of %d steps", name, damage, n, len(steps))
 		}
 		_ = s.Close()
 	}
 	for _, name := range names {
 		b := files[name]
 		for at := range b {
-			try(name, b[:at], fmt.Sprint("cut at ", at))
+			openWith(name, b[:at], fmt.Sprint("cut at ", at))
 			flipped := slices.Clone(b)
 			flipped[at] ^= 1 << (at % 8)
-			try(name, flipped, fmt.Sprintf("flipped at %d", at))
+			openWith(name, flipped, fmt.Sprintf("flipped at %d", at))
 		}
 	}
 	t.Logf("%d files; opened %d, rejected %d", len(files), opened, rejected)
@@ -217,9 +217,9 @@
 	}
 	for _, name := range names { // each file missing in turn
 		c := faultyfs.New()
-		for n, x := range files {
+		for n, content := range files {
 			if n != name {
-				c.Set(n, x)
+				c.Set(n, content)
 			}
 		}
 		if s, _, err := store.Open(store.Options{FS: c}); err == nil {
@@ -243,8 +243,8 @@
 	for name, b := range d.Files() {
 		for at := 16; at < len(b); at += 41 {
 			c := faultyfs.New()
-			for n, x := range d.Files() {
-				c.Set(n, x)
+			for n, content := range d.Files() {
+				c.Set(n, content)
 			}
 			bad := slices.Clone(b)
 			bad[at] ^= 0x10
@@ -393,9 +393,9 @@
 				if err := <-done; err != nil {
 					rt.Fatal(err)
 				}
-				for _, x := range e {
-					if delete(model, x.Key); !x.Deleted {
-						model[x.Key] = string(x.Value)
+				for _, entry := range e {
+					if delete(model, entry.Key); !entry.Deleted {
+						model[entry.Key] = string(entry.Value)
 					}
 				}
 			},
