--- a/cmd/beechgrade/clickhouse.go
+++ b/cmd/beechgrade/clickhouse.go
@@ -30,7 +30,7 @@
 		CheckStaleness:       p.cfg.Settings.StaleReads != decide.StaleReadsAnswered,
 		DeadlineMs:           o.DeadlineMs,
 		ConnectTimeoutMs:     p.cfg.ConnectTimeoutMs,
-		ConnectionIdleMs:     o.ConnectionIdleMs * closeIdlePart,
+		ConnectionIdleMs:     o.ConnectionIdleMs * idleTimeShare,
 		ClientIdleMs:         o.ClientIdleMs,
 		RequestTimeoutMs:     o.HeadTimeoutMs,
 		KillQueries:          o.KillQueries,
--- a/cmd/beechgrade/clickhouse_storm_test.go
+++ b/cmd/beechgrade/clickhouse_storm_test.go
@@ -256,7 +256,7 @@
 		var end func()
 		w := startClickHouseOn(t, 2, "", nil, func(p *pooler) {
 			var err error
-			if end, err = p.journalOn(d, settings.Journal{MaxBytes: 1 << 20}); err != nil {
+			if end, err = p.openJournalOn(d, settings.Journal{MaxBytes: 1 << 20}); err != nil {
 				t.Fatal(err)
 			}
 		})
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -57,14 +57,14 @@
 	}
 	var gone []ledger.Holder
 	if set.Dir != "" {
-		if gone, err = x.lockFiles(); err != nil {
+		if gone, err = x.lockHolderFiles(); err != nil {
 			return nil, badInput{fmt.Errorf("credit: files: %w", err)}
 		}
 	}
 	go x.saveMarks()
 	s := x.settings()
 	x.credit = credit.New(s, p.peers, x, x, x)
-	x.inheritEnded(gone)
+	x.recoverEnded(gone)
 	p.peers.Register(x.credit)
 	if x.credit.Ledger() != nil {
 		p.raftLog.users.Add(raftlog.CreditEntries, x.credit)
@@ -82,7 +82,7 @@
 	p.core.SetCredit(x)
 	p.credit = x
 	if set.Dir != "" {
-		p.loop.Post(func() { p.loop.At(p.loop.Now()+endedProcessesMs, x.findEndedProcesses) })
+		p.loop.Post(func() { p.loop.At(p.loop.Now()+endedProcessesIntervalMs, x.findEndedProcesses) })
 	}
 	return func() {
 		close(x.writes)
@@ -164,11 +164,11 @@
 }
 
 const (
-	marksRetry       = time.Second // after a failed write of marks
-	endedProcessesMs = 3000        // between two searches for files of ended processes
-	marksSuffix      = ".marks"
-	lockSuffix       = ".lock"
-	newLockSuffix    = ".new" // of a lock file before it is locked
+	marksRetryInterval       = time.Second // after a failed write of marks
+	endedProcessesIntervalMs = 3000        // between two searches for files of ended processes
+	marksSuffix              = ".marks"
+	lockSuffix               = ".lock"
+	newLockSuffix            = ".new" // of a lock file before it is locked
 )
 
 func (x *creditGate) file(h ledger.Holder, end string) string {
@@ -191,7 +191,7 @@
 					return
 				}
 				m = next
-			case <-time.After(marksRetry):
+			case <-time.After(marksRetryInterval):
 			}
 			b, err = jsoniter.Marshal(m.list)
 		}
@@ -200,8 +200,8 @@
 	}
 }
 
-// lockFiles locks this process's file, and returns the holders whose processes have ended: their files are not locked.
-func (x *creditGate) lockFiles() (gone []ledger.Holder, err error) {
+// lockHolderFiles locks this process's file, and returns the holders whose processes have ended: their files are not locked.
+func (x *creditGate) lockHolderFiles() (gone []ledger.Holder, err error) {
 	if err := os.MkdirAll(x.set.Dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -245,7 +245,7 @@
 	return nil
 }
 
-func (x *creditGate) inheritEnded(gone []ledger.Holder) {
+func (x *creditGate) recoverEnded(gone []ledger.Holder) {
 	if len(gone) > 0 {
 		x.pooler.log.Info("credit: found what processes that are no more left", "processes", len(gone))
 		x.credit.Recover(gone)
@@ -254,12 +254,12 @@
 
 // findEndedProcesses inherits the leases of processes that have ended since the last search.
 func (x *creditGate) findEndedProcesses() {
-	if gone, err := x.lockFiles(); err != nil {
+	if gone, err := x.lockHolderFiles(); err != nil {
 		x.pooler.log.Warn("credit: files", "err", err)
 	} else {
-		x.inheritEnded(gone)
+		x.recoverEnded(gone)
 	}
-	x.pooler.loop.At(x.pooler.loop.Now()+endedProcessesMs, x.findEndedProcesses)
+	x.pooler.loop.At(x.pooler.loop.Now()+endedProcessesIntervalMs, x.findEndedProcesses)
 }
 
 // Read reads the marks of an ended process, and passes them to do on the loop.
--- a/cmd/beechgrade/credit_test.go
+++ b/cmd/beechgrade/credit_test.go
@@ -65,11 +65,11 @@
 		t.Fatalf("took over %d files while their process is there", n-1)
 	}
 	_ = x.locks[x.holder].Close() // as the process's end does
-	gone, err := two.credit.lockFiles()
+	gone, err := two.credit.lockHolderFiles()
 	if d := cmp.Diff([]ledger.Holder{x.holder}, gone); d != "" || err != nil {
 		t.Fatal(d, err)
 	}
-	if gone, _ = two.credit.lockFiles(); len(gone) > 0 {
+	if gone, _ = two.credit.lockHolderFiles(); len(gone) > 0 {
 		t.Error("found twice:", gone)
 	}
 	b, err := os.ReadFile(x.file(x.holder, marksSuffix))
@@ -110,7 +110,7 @@
 	ended := make(chan struct{})
 	for i := range processes {
 		x := process(ledger.Holder(1e6 + i))
-		if _, err := x.lockFiles(); err != nil {
+		if _, err := x.lockHolderFiles(); err != nil {
 			t.Fatal(err)
 		}
 		looking.Add(1)
@@ -123,7 +123,7 @@
 					return
 				default:
 				}
-				if gone, err := x.lockFiles(); err != nil || len(gone) > 0 {
+				if gone, err := x.lockHolderFiles(); err != nil || len(gone) > 0 {
 					t.Errorf("%v are taken for gone: %v", gone, err)
 				}
 			}
@@ -134,7 +134,7 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			if gone, err := x.lockFiles(); err != nil || len(gone) > 0 {
+			if gone, err := x.lockHolderFiles(); err != nil || len(gone) > 0 {
 				t.Errorf("%v are taken for gone: %v", gone, err)
 			}
 		}()
@@ -142,7 +142,7 @@
 	done.Wait()
 	close(ended)
 	looking.Wait()
-	if gone, err := process(2e6).lockFiles(); err != nil || len(gone) > 0 {
+	if gone, err := process(2e6).lockHolderFiles(); err != nil || len(gone) > 0 {
 		t.Errorf("%v are taken for gone once all have begun: %v", gone, err)
 	}
 	for _, x := range all {
--- a/cmd/beechgrade/descriptors.go
+++ b/cmd/beechgrade/descriptors.go
@@ -8,10 +8,10 @@
 
 // How descriptors are divided. docs/design/request-path.md has the order in which clients and connections make way.
 const (
-	reservedDescriptors    = 64   // for discovery, the listener, the runtime, and dials, which hold two for a moment
-	serverConnectionsMost  = 0.45 // of the rest, that connections to servers may take
-	serverConnectionsLeast = 0.2  // of the rest, that clients leave to connections to servers
-	activeClientsPart      = 4    // clients with requests that hold one in so many of all descriptors are many
+	reservedDescriptors  = 64   // for discovery, the listener, the runtime, and dials, which hold two for a moment
+	maxServerShare       = 0.45 // of the rest, that connections to servers may take
+	minServerShare       = 0.2  // of the rest, that clients leave to connections to servers
+	activeClientsDivisor = 4    // clients with requests that hold one in so many of all descriptors are many
 )
 
 // platformDescriptors is how many descriptors the platform's clients and connections to servers may hold together.
@@ -19,28 +19,28 @@
 	return p.sockets() - reservedDescriptors - p.frontendDescriptors()
 }
 
-func (p *pooler) partOfPlatform(part float64) int {
+func (p *pooler) platformShare(part float64) int {
 	return int(part * float64(p.platformDescriptors()))
 }
 
 // maxServerConnections is how many connections to servers there may be beside the clients that there are.
 func (p *pooler) maxServerConnections() int {
-	return min(p.partOfPlatform(serverConnectionsMost), p.platformDescriptors()-p.platform.Occupied())
+	return min(p.platformShare(maxServerShare), p.platformDescriptors()-p.platform.Occupied())
 }
 
 // spareForClients is how many more clients there may be.
 func (p *pooler) spareForClients() int {
-	return p.platformDescriptors() - p.platform.Occupied() - max(p.partOfPlatform(serverConnectionsLeast), p.backend.Conns())
+	return p.platformDescriptors() - p.platform.Occupied() - max(p.platformShare(minServerShare), p.backend.Conns())
 }
 
 // freeClientDescriptor has a client make way for a connection to a server, and reports whether one did.
 func (p *pooler) freeClientDescriptor() bool {
-	return p.backend.Conns() < p.partOfPlatform(serverConnectionsMost) && p.platform.FreeDescriptor()
+	return p.backend.Conns() < p.platformShare(maxServerShare) && p.platform.FreeDescriptor()
 }
 
 // freeServerDescriptor has an idle connection to a server make way for a client, and reports whether one did.
 func (p *pooler) freeServerDescriptor() bool {
-	return p.backend.Conns() > p.partOfPlatform(serverConnectionsLeast) && p.backend.CloseOldest()
+	return p.backend.Conns() > p.platformShare(minServerShare) && p.backend.CloseOldest()
 }
 
 // frontendDescriptors is how many descriptors the other fronts hold, beside the first one and its connections to servers.
--- a/cmd/beechgrade/drain.go
+++ b/cmd/beechgrade/drain.go
@@ -8,16 +8,16 @@
 // asked in the last 2 s: CloseActive is early enough for a connection to be shut (leaveMs and lingerMs of the frontend) and for the process to
 // be held up meanwhile.
 const (
-	noticeMs        = 350  // until clients' side has noticed: new connections stop, and closed ones go elsewhere
-	refuseMs        = 1500 // until the commands of clients that never become idle are refused
-	endPartialMs    = 2500
-	closeActiveMs   = 3000
-	afterDeadlineMs = 1000 // from the last deadline of what was taken before that until CloseAll
+	closeIdleMs      = 350  // until clients' side has noticed: new connections stop, and closed ones go elsewhere
+	refuseCommandsMs = 1500 // until the commands of clients that never become idle are refused
+	endPartialMs     = 2500
+	closeActiveMs    = 3000
+	afterDeadlineMs  = 1000 // from the last deadline of what was taken before that until CloseAll
 )
 
-// sendAway begins a drain: clients are sent away in stages, each at a time that counts from now. A resume cancels the stages that have not
+// startDrain begins a drain: clients are sent away in stages, each at a time that counts from now. A resume cancels the stages that have not
 // come yet; the end of the process does not.
-func (p *pooler) sendAway() {
+func (p *pooler) startDrain() {
 	p.drainCount++
 	this, from := p.drainCount, p.loop.Now()
 	if p.pooling != nil {
@@ -30,7 +30,7 @@
 		ms    float64
 		stage platform.DrainStage
 	}{
-		{noticeMs, platform.CloseIdle}, {refuseMs, platform.RefuseCommands}, {endPartialMs, platform.EndPartial},
+		{closeIdleMs, platform.CloseIdle}, {refuseCommandsMs, platform.RefuseCommands}, {endPartialMs, platform.EndPartial},
 		{closeActiveMs, platform.CloseActive}, {p.closeAllMs(), platform.CloseAll},
 	} {
 		p.loop.At(from+step.ms, func() {
@@ -44,7 +44,7 @@
 // closeAllMs is the time from a drain's begin until whatever a client still has under way is ended: what was begun before commands were
 // refused has had its whole time by then.
 func (p *pooler) closeAllMs() float64 {
-	return max(stopTimeoutMs, refuseMs+p.longestDeadline()+afterDeadlineMs)
+	return max(stopTimeoutMs, refuseCommandsMs+p.longestDeadline()+afterDeadlineMs)
 }
 
 // enterStage brings a drain that began at the given time to a stage.
--- a/cmd/beechgrade/journal.go
+++ b/cmd/beechgrade/journal.go
@@ -14,10 +14,10 @@
 	if o.Dir == "" {
 		return func() {}, nil
 	}
-	return p.journalOn(store.Dir(o.Dir), o)
+	return p.openJournalOn(store.Dir(o.Dir), o)
 }
 
-func (p *pooler) journalOn(fs store.FS, o settings.Journal) (stop func(), err error) {
+func (p *pooler) openJournalOn(fs store.FS, o settings.Journal) (stop func(), err error) {
 	checks, every := p.storeChecks()
 	s, rec, err := store.Open(store.Options{
 		FS:             fs,
--- a/cmd/beechgrade/lifecycle.go
+++ b/cmd/beechgrade/lifecycle.go
@@ -17,7 +17,7 @@
 
 // Listed takes a list from discovery. One that is older than what another process on the socket has reported is not passed on.
 func (l listObserver) Listed(list *discovery.List) {
-	if p := l.pooler; list.Restarted || list.Generation >= p.list.gen {
+	if p := l.pooler; list.Restarted || list.Generation >= p.list.generation {
 		p.list.receive(list)
 		p.saveList()
 		l.Events.Listed(list)
@@ -58,12 +58,12 @@
 	switch now {
 	case lifecycle.Draining:
 		p.core.RecordEvent(recordpb.Kind_KIND_DRAIN, "")
-		p.sendAway()
+		p.startDrain()
 	case lifecycle.Ready:
 		p.resume()
 	case lifecycle.HandingOver, lifecycle.Stopping:
 		p.core.RecordEvent(recordpb.Kind_KIND_DRAIN, "")
-		p.end(before == lifecycle.Draining)
+		p.beginShutdown(before == lifecycle.Draining)
 	}
 	return accepted
 }
--- a/cmd/beechgrade/lifecycle_test.go
+++ b/cmd/beechgrade/lifecycle_test.go
@@ -193,7 +193,7 @@
 		callAdmin(t, door, "POST", "/-/drain")
 		callAdmin(t, door, "POST", "/-/resume")
 	}
-	time.Sleep(2 * noticeMs * time.Millisecond)
+	time.Sleep(2 * closeIdleMs * time.Millisecond)
 	c.send(query("1", "read", 9000))
 	next(t, queries).send(row("v"))
 	c.want("TDCZ v")
@@ -203,7 +203,7 @@
 	}
 	callAdmin(t, door, "POST", "/-/resume")
 	k := client(t, pooler)
-	time.Sleep(refuseMs * time.Millisecond)
+	time.Sleep(refuseCommandsMs * time.Millisecond)
 	k.send(query("2", "read", 9000))
 	nextQuery(t, queries).send(row("w"))
 	k.want("TDCZ w")
@@ -306,11 +306,11 @@
 		t.Fatal(err)
 	}
 	for _, v := range []string{"x", "2", "-1", fmt.Sprint(fd)} {
-		if _, err := inherit(func(string) string { return v }); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, err := inheritListener(func(string) string { return v }); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", v, err)
 		}
 	}
-	if ln, err := inherit(func(string) string { return "" }); ln != nil || err != nil {
+	if ln, err := inheritListener(func(string) string { return "" }); ln != nil || err != nil {
 		t.Errorf("not set: %v, %v", ln, err)
 	}
 }
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -61,7 +61,7 @@
 }
 
 func runCheck(_ context.Context, c *cli.Command) error {
-	cfg, set, _, err := read(c.String("settings"), nil)
+	cfg, set, _, err := loadConfig(c.String("settings"), nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/beechgrade/outlier.go
+++ b/cmd/beechgrade/outlier.go
@@ -19,7 +19,7 @@
 	if !set.Enabled || p.peers == nil {
 		return
 	}
-	p.outlier = adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
+	p.outlier = adapter.New(set.Options, p.core, clusterTransport{p.peers, p.loop})
 	p.outlier.OnEjection(func(s outlier.Ejection, begins bool) {
 		p.core.RecordEvent(recordpb.Kind_KIND_AVOIDED, ejectionText(s, begins))
 	})
--- a/cmd/beechgrade/overload.go
+++ b/cmd/beechgrade/overload.go
@@ -10,21 +10,21 @@
 	"beechgrade/internal/settings"
 )
 
-// clusterHost gives a module of the cluster its transport and the loop's timers.
-type clusterHost struct {
+// clusterTransport gives a module of the cluster its transport and the loop's timers.
+type clusterTransport struct {
 	*cluster.Node
 	loop *eventloop.Loop
 }
 
 // At calls do at a time of the loop's clock, in milliseconds.
-func (h clusterHost) At(ms float64, do func()) { h.loop.At(ms, do) }
+func (h clusterTransport) At(ms float64, do func()) { h.loop.At(ms, do) }
 
 // openOverload opens the shared handling of overload, where the settings enable it. It comes after openPeers.
 func (p *pooler) openOverload(set settings.Overload) {
 	if !set.Enabled || p.peers == nil {
 		return
 	}
-	j := adapter.New(set.Options, p.core, clusterHost{p.peers, p.loop})
+	j := adapter.New(set.Options, p.core, clusterTransport{p.peers, p.loop})
 	if set.SheddingEnabled {
 		p.core.SetDemandObserver(j)
 	}
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -31,8 +31,8 @@
 )
 
 const (
-	// closeIdlePart is the part of the servers' idle time after which a connection is closed here, before the server closes it.
-	closeIdlePart = 0.8
+	// idleTimeShare is the part of the servers' idle time after which a connection is closed here, before the server closes it.
+	idleTimeShare = 0.8
 
 	// User and database with which the pooler connects to servers, and the parameter in which they report their position.
 	backendUser       = "backend"
@@ -82,7 +82,7 @@
 	journal       *journaled.Servers
 	commits       *sessiontoken.Keeper // of sessions
 	otherSessions *upgradeSessions     // those of the other process on an inherited socket
-	recovered     []recovered          // found by opening stores, until it is recorded
+	recovered     []recoveredStore     // found by opening stores, until it is recorded
 	snapshots     *snapshots.Keeper    // the last good configuration and list
 	renewConfig   func()               // notes that the configuration is still good; nil where it came from a snapshot
 	listSavedAt   float64              // when the list was saved last, or will be
@@ -96,7 +96,7 @@
 
 	// The list of servers.
 	sources *sources // nil where the platform's discovery is the only one
-	list    list
+	list    serverList
 	hasList bool // a source has reported, or enough time has passed
 
 	// The process's lifecycle, and its part of an inherited socket.
@@ -132,7 +132,7 @@
 	p.backend = backend.New(p.loop, log, p.backendOptions(), p.core)
 	p.platform = platform.NewPostgres(p.loop, log, p.core, platform.Budget{
 		SpareDescriptors:  p.spareForClients,
-		EvictionThreshold: func() int { return p.sockets() / activeClientsPart },
+		EvictionThreshold: func() int { return p.sockets() / activeClientsDivisor },
 		ReleaseDescriptor: p.freeServerDescriptor,
 		Memory:            p.memory,
 	})
@@ -146,7 +146,7 @@
 		Roles:            serverRoles,
 		PositionName:     positionParameter,
 		ConnectTimeoutMs: p.cfg.ConnectTimeoutMs,
-		IdleMs:           p.cfg.ServerIdleTimeoutMs * closeIdlePart,
+		IdleMs:           p.cfg.ServerIdleTimeoutMs * idleTimeShare,
 		Memory:           p.memory,
 		Dial:             p.core.DialWithinLimit,
 		MaxConns:         p.maxServerConnections,
@@ -166,7 +166,7 @@
 		p.listenClickHouse()
 	}
 	if p.recordsGauges {
-		p.gauge()
+		p.recordGauges()
 		if p.zones != nil {
 			p.zones.recordNote()
 		}
@@ -197,7 +197,7 @@
 	if p.journal != nil {
 		servers = p.journal.Wrap(servers)
 	}
-	p.list.take(&p.cfg.InitialList)
+	p.list.apply(&p.cfg.InitialList)
 	p.core.Start(servers, directory)
 	p.setPushMode()
 	p.applyPreviousState()
--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -69,7 +69,7 @@
 	}
 	return frontends{
 		Pool:              p.backend,
-		pooled:            p.pooling,
+		pooling:           p.pooling,
 		scatter:           p.scatter,
 		clickhouse:        p.clickhouse,
 		clickhouseServers: map[string]bool{},
@@ -80,7 +80,7 @@
 // frontends passes each attempt to the connections of its frontend. Optional frontends are nil where they are off.
 type frontends struct {
 	*backend.Pool
-	pooled            *pooling.Frontend
+	pooling           *pooling.Frontend
 	scatter           *scatter.Frontend // only where pooling is on
 	clickhouse        *clickhouse.Frontend
 	clickhouseServers map[string]bool // by ID
@@ -100,8 +100,8 @@
 		return
 	}
 	s.Pool.SetAddress(id, addr)
-	if s.pooled != nil {
-		s.pooled.SetAddress(id, addr)
+	if s.pooling != nil {
+		s.pooling.SetAddress(id, addr)
 	}
 	if s.scatter != nil {
 		s.scatter.SetAddress(id, addr)
@@ -110,8 +110,8 @@
 
 func (s frontends) CloseIdle(id string) {
 	s.Pool.CloseIdle(id)
-	if s.pooled != nil {
-		s.pooled.DrainServer(id)
+	if s.pooling != nil {
+		s.pooling.DrainServer(id)
 	}
 	if s.scatter != nil {
 		s.scatter.DrainServer(id)
@@ -123,8 +123,8 @@
 
 func (s frontends) Forget(id string) {
 	s.Pool.Forget(id)
-	if s.pooled != nil {
-		s.pooled.Forget(id)
+	if s.pooling != nil {
+		s.pooling.Forget(id)
 	}
 	if s.scatter != nil {
 		s.scatter.Forget(id)
@@ -137,8 +137,8 @@
 
 func (s frontends) Retain(ids map[string]bool) {
 	s.Pool.Retain(ids)
-	if s.pooled != nil {
-		s.pooled.Retain(ids)
+	if s.pooling != nil {
+		s.pooling.Retain(ids)
 	}
 	if s.scatter != nil {
 		s.scatter.Retain(ids)
@@ -150,8 +150,8 @@
 
 func (s frontends) Recall(id string, which func(backend.AttemptID) bool) {
 	s.Pool.Recall(id, which)
-	if s.pooled != nil {
-		s.pooled.Recall(id, which)
+	if s.pooling != nil {
+		s.pooling.Recall(id, which)
 	}
 	if s.clickhouse != nil {
 		s.clickhouse.Recall(id, which)
@@ -162,8 +162,8 @@
 	switch {
 	case s.clickhouse != nil && clickhouse.IsRequest(q):
 		return s.clickhouse.StartAttempt(id, q, until, t)
-	case s.pooled != nil && pooling.IsTransaction(q):
-		return s.pooled.StartAttempt(id, q, until, t)
+	case s.pooling != nil && pooling.IsTransaction(q):
+		return s.pooling.StartAttempt(id, q, until, t)
 	case s.scatter != nil && scatter.IsShardRead(q):
 		return s.scatter.StartAttempt(id, q, until, t)
 	}
@@ -182,8 +182,8 @@
 	switch {
 	case s.clickhouse != nil && clickhouse.IsAttemptRef(ref):
 		s.clickhouse.Cancel(ref)
-	case s.pooled != nil && pooling.IsAttemptRef(ref):
-		s.pooled.Cancel(ref)
+	case s.pooling != nil && pooling.IsAttemptRef(ref):
+		s.pooling.Cancel(ref)
 	case s.scatter != nil && scatter.IsAttemptRef(ref):
 		s.scatter.Cancel(ref)
 	default:
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -42,14 +42,14 @@
 	proposalsDue float64
 	logAt        float64
 	next         uint64 // number of the next witness entry
-	waiting      []proposal
+	waiting      []witnessProposal
 	latencies    []float64 // of own witness entries, ms from the proposal to the commit
 	process      string    // this process's name in its entries
 }
 
-type proposal struct {
-	number    uint64
-	first, at float64
+type witnessProposal struct {
+	number                      uint64
+	firstProposedAt, proposedAt float64
 }
 
 // openRaftLog opens the replicated log, where the settings enable it. The returned function closes it.
@@ -184,8 +184,8 @@
 		if l.counter.Has(l.process, w.number) {
 			continue
 		}
-		if now >= w.at+l.set.Settings.ForwardTimeout() {
-			w.at = now
+		if now >= w.proposedAt+l.set.Settings.ForwardTimeout() {
+			w.proposedAt = now
 			l.propose(w.number)
 			if !l.adapter.Status().IsVoter { // it does not learn whether the entry was committed
 				continue
@@ -195,7 +195,7 @@
 	}
 	l.waiting = kept
 	for l.proposalsDue += l.set.WitnessPerSecond * witnessIntervalMs / 1000; l.proposalsDue >= 1 && len(l.waiting) < mostTries; l.proposalsDue-- {
-		l.waiting = append(l.waiting, proposal{l.next, now, now})
+		l.waiting = append(l.waiting, witnessProposal{l.next, now, now})
 		l.propose(l.next)
 		l.next++
 	}
@@ -229,8 +229,8 @@
 // recordLatency records how long the commit of one of this process's entries took.
 func (l *raftLog) recordLatency(entry []byte) {
 	name, number, _ := counter.DecodeEntry(entry)
-	if i, ok := slices.BinarySearchFunc(l.waiting, number, func(w proposal, n uint64) int { return cmp.Compare(w.number, n) }); ok && name == l.process {
-		l.latencies = append(l.latencies, l.pooler.loop.Now()-l.waiting[i].first)
+	if i, ok := slices.BinarySearchFunc(l.waiting, number, func(w witnessProposal, n uint64) int { return cmp.Compare(w.number, n) }); ok && name == l.process {
+		l.latencies = append(l.latencies, l.pooler.loop.Now()-l.waiting[i].firstProposedAt)
 	}
 }
 
--- a/cmd/beechgrade/recorder.go
+++ b/cmd/beechgrade/recorder.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// gauge records how many clients and connections to servers there are, and does so again after gaugeIntervalMs.
-func (p *pooler) gauge() {
+// recordGauges records how many clients and connections to servers there are, and does so again after gaugeIntervalMs.
+func (p *pooler) recordGauges() {
 	sessions, conns := p.platform.Sessions(), p.backend.Conns()
 	if p.pooling != nil {
 		sessions, conns = sessions+p.pooling.Sessions(), conns+p.pooling.Conns()
@@ -61,5 +61,5 @@
 		sessions, conns = sessions+p.clickhouse.Sessions(), conns+p.clickhouse.Conns()
 	}
 	p.core.RecordGauge(sessions, conns)
-	p.loop.At(p.loop.Now()+gaugeIntervalMs, p.gauge)
+	p.loop.At(p.loop.Now()+gaugeIntervalMs, p.recordGauges)
 }
--- a/cmd/beechgrade/recovered.go
+++ b/cmd/beechgrade/recovered.go
@@ -9,8 +9,8 @@
 	"beechgrade/internal/storage/store"
 )
 
-// recovered is what recovery found when a durable store was opened.
-type recovered struct {
+// recoveredStore is what recovery found when a durable store was opened.
+type recoveredStore struct {
 	name string
 	*store.Recovery
 }
@@ -23,7 +23,7 @@
 	if rec.DroppedBytes > 0 {
 		p.log.Warn(name+": its end was not whole", "bytes", rec.DroppedBytes, "why", rec.Reason)
 	}
-	p.recovered = append(p.recovered, recovered{name, rec})
+	p.recovered = append(p.recovered, recoveredStore{name, rec})
 }
 
 // recordRecovered records the recoveries so far. It runs on the loop.
@@ -41,14 +41,14 @@
 	p.recovered = nil
 }
 
-// stores is the largest number of durable stores, which share one part in storesPart of the memory.
+// maxStores is the largest number of durable stores, which share one part in storesMemoryDivisor of the memory.
 const (
-	stores     = 4
-	storesPart = 4
+	maxStores           = 4
+	storesMemoryDivisor = 4
 )
 
 // storeMemory is the memory, in bytes, that one store's records may take.
-func storeMemory(memoryMB int) int64 { return int64(memoryMB) << 20 / storesPart / stores }
+func storeMemory(memoryMB int) int64 { return int64(memoryMB) << 20 / storesMemoryDivisor / maxStores }
 
 // storeChecks returns the checks for one store, which belong to its writer's goroutine. A breach is counted on the loop, with all others.
 func (p *pooler) storeChecks() (c *invariant.Checks, every int) {
--- a/cmd/beechgrade/reload.go
+++ b/cmd/beechgrade/reload.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		p.log.Error("membership: what cannot be read stays as it was", "err", err)
 	}
-	p.loop.Post(func() { p.sources.take(files) })
+	p.loop.Post(func() { p.sources.apply(files) })
 }
 
 // rejectConfig logs and counts a configuration that cannot be used.
@@ -103,10 +103,10 @@
 		p.log.Warn("cannot change while serving, needs a restart", "kept", kept)
 	}
 	limitMemory(p.cfg, 1+p.otherProcesses)
-	p.backend.SetTimes(p.cfg.ConnectTimeoutMs, p.cfg.ServerIdleTimeoutMs*closeIdlePart)
+	p.backend.SetTimes(p.cfg.ConnectTimeoutMs, p.cfg.ServerIdleTimeoutMs*idleTimeShare)
 	if p.sources == nil || p.sources.set.Options.Platform {
 		if slices.Contains(changed, "discovery") { // its generations are its own
-			p.list.gen, p.list.restarts, p.list.received = 0, 0, false
+			p.list.generation, p.list.restarts, p.list.received = 0, 0, false
 		}
 		p.discovery.SetAddress(p.cfg.DiscoveryAddress)
 	}
--- a/cmd/beechgrade/serve.go
+++ b/cmd/beechgrade/serve.go
@@ -26,12 +26,12 @@
 type closers []func()
 
 // add adds a function.
-func (c *closers) add(closeIt func()) { *c = append(*c, closeIt) }
+func (c *closers) add(closeFunc func()) { *c = append(*c, closeFunc) }
 
 // close calls all functions, the last one that was added first.
 func (c *closers) close() {
-	for _, closeIt := range slices.Backward(*c) {
-		closeIt()
+	for _, closeFunc := range slices.Backward(*c) {
+		closeFunc()
 	}
 }
 
@@ -39,7 +39,7 @@
 func serve(verbose bool, settingsFile string) error {
 	stop, reload := notifySignals()
 	log := newLogger(verbose)
-	cfg, set, keeper, err := read(settingsFile, log)
+	cfg, set, keeper, err := loadConfig(settingsFile, log)
 	if err != nil {
 		return err
 	}
@@ -81,9 +81,9 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
 
-// read reads the operators' settings, where there are any, and the configuration. With a log, the last good configuration stands in for a file
+// loadConfig reads the operators' settings, where there are any, and the configuration. With a log, the last good configuration stands in for a file
 // that cannot be read, and the keeper that saves it is returned.
-func read(settingsFile string, log *slog.Logger) (cfg *config.Config, set *settings.Settings, keeper *snapshots.Keeper, err error) {
+func loadConfig(settingsFile string, log *slog.Logger) (cfg *config.Config, set *settings.Settings, keeper *snapshots.Keeper, err error) {
 	set = &settings.Settings{}
 	cfg, err = config.Load(os.Getenv)
 	if err != nil && !errors.Is(err, config.ErrIncomplete) {
@@ -120,13 +120,13 @@
 	p.openEndpoints(set, keeper)
 	p.settings = set
 	var err error
-	if p.inheritedListener, err = inherit(os.Getenv); err != nil {
+	if p.inheritedListener, err = inheritListener(os.Getenv); err != nil {
 		return badInput{err}
 	}
 	if err := p.openStorage(set, opened); err != nil {
 		return err
 	}
-	p.inheritKnown(os.Getenv("TMPDIR"))
+	p.inheritState(os.Getenv("TMPDIR"))
 	if err := p.openCluster(set, opened); err != nil {
 		return err
 	}
--- a/cmd/beechgrade/sessions.go
+++ b/cmd/beechgrade/sessions.go
@@ -22,16 +22,16 @@
 		p.log.Warn("sessions: they bring their commits themselves: nothing is kept")
 		return func() {}, nil
 	}
-	return p.sessionsIn([2]store.FS{store.Dir(o.Dir), store.Dir(filepath.Join(o.Dir, upgradeDir))}, o)
+	return p.openSessionsIn([2]store.FS{store.Dir(o.Dir), store.Dir(filepath.Join(o.Dir, upgradeDir))}, o)
 }
 
-// sessionsOn opens the store in one place.
-func (p *pooler) sessionsOn(fs store.FS, o settings.Sessions) (stop func(), err error) {
-	return p.sessionsIn([2]store.FS{fs, nil}, o)
+// openSessionsOn opens the store in one place.
+func (p *pooler) openSessionsOn(fs store.FS, o settings.Sessions) (stop func(), err error) {
+	return p.openSessionsIn([2]store.FS{fs, nil}, o)
 }
 
-// sessionsIn opens the store in the first of two places that no other process holds. The second is for processes on an inherited socket.
-func (p *pooler) sessionsIn(places [2]store.FS, o settings.Sessions) (stop func(), err error) {
+// openSessionsIn opens the store in the first of two places that no other process holds. The second is for processes on an inherited socket.
+func (p *pooler) openSessionsIn(places [2]store.FS, o settings.Sessions) (stop func(), err error) {
 	checks, every := p.storeChecks()
 	opt := store.Options{
 		MaxBytes:       o.MaxBytes,
@@ -41,7 +41,7 @@
 		Checks:         checks,
 		BatchesPerWalk: every,
 	}
-	s, rec, at, err := p.openSessions(places, opt)
+	s, rec, at, err := p.openFreeStore(places, opt)
 	if err != nil {
 		return nil, fmt.Errorf("sessions: %w", err)
 	}
@@ -60,7 +60,7 @@
 	}
 	if other := places[1-at]; other != nil {
 		b := newUpgradeSessions(p, other, opt, at == 0)
-		if err := b.first(); err != nil {
+		if err := b.mergeAtStart(); err != nil {
 			return nil, errors.Join(fmt.Errorf("sessions: %w", err), s.Close())
 		}
 		if p.inheritedListener != nil {
@@ -79,20 +79,20 @@
 }
 
 const (
-	openRetry   = 20 * time.Millisecond // another process may hold a place for a moment, to see whether it is free
-	openTimeout = 8 * time.Second       // a takeover lasts as long as the disk needs; a process has to be ready within 10 s
-	openSlowLog = 250 * time.Millisecond
+	openRetryInterval = 20 * time.Millisecond // another process may hold a place for a moment, to see whether it is free
+	openTimeout       = 8 * time.Second       // a takeover lasts as long as the disk needs; a process has to be ready within 10 s
+	slowOpen          = 250 * time.Millisecond
 )
 
-// openSessions opens a place that no process holds.
-func (p *pooler) openSessions(places [2]store.FS, opt store.Options) (s *store.Store, rec *store.Recovery, at int, err error) {
+// openFreeStore opens a place that no process holds.
+func (p *pooler) openFreeStore(places [2]store.FS, opt store.Options) (s *store.Store, rec *store.Recovery, at int, err error) {
 	began := time.Now()
 	defer func() {
-		if took := time.Since(began); took > openSlowLog {
+		if took := time.Since(began); took > slowOpen {
 			p.log.Warn("sessions: a place was long in coming free", "ms", took.Milliseconds(), "place", at, "err", err)
 		}
 	}()
-	for until := began.Add(openTimeout); ; time.Sleep(openRetry) {
+	for until := began.Add(openTimeout); ; time.Sleep(openRetryInterval) {
 		for at = range places {
 			if at == 1 && (p.inheritedListener == nil || places[1] == nil) {
 				return nil, nil, 0, err
--- a/cmd/beechgrade/sessions_test.go
+++ b/cmd/beechgrade/sessions_test.go
@@ -60,7 +60,7 @@
 		var log bytes.Buffer
 		p := newPooler(cfg, slog.New(slog.NewTextHandler(&log, nil)))
 		d := &slowDisk{Disk: faultyfs.New(), gate: make(chan struct{})}
-		end, err := p.sessionsOn(d, settings.Sessions{Mode: mode, MaxBytes: 1 << 20})
+		end, err := p.openSessionsOn(d, settings.Sessions{Mode: mode, MaxBytes: 1 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/beechgrade/shutdown.go
+++ b/cmd/beechgrade/shutdown.go
@@ -30,17 +30,17 @@
 	pooler  *pooler
 	began   float64 // ms
 	longest float64 // deadline of all classes, ms, longestDeadlineMs at most
-	leastMs float64 // that it lasts
+	minMs   float64 // that it lasts
 }
 
-// end begins the shutdown. drained says that clients have been sent away already.
-func (p *pooler) end(drained bool) {
-	s := &shutdown{pooler: p, began: p.loop.Now(), longest: min(p.longestDeadline(), longestDeadlineMs), leastMs: acceptAfterTermMs}
+// beginShutdown begins the shutdown. drained says that clients have been sent away already.
+func (p *pooler) beginShutdown(drained bool) {
+	s := &shutdown{pooler: p, began: p.loop.Now(), longest: min(p.longestDeadline(), longestDeadlineMs), minMs: acceptAfterTermMs}
 	p.core.SetAnswerDeadline(s.deadline() + endPartialAfterMs)
 	closeIdleAt := s.deadline() + closeIdleAfterMs
 	if p.lifecycle.State() == lifecycle.HandingOver {
 		s.handOver()
-		closeIdleAt, s.leastMs = s.began, handOverMs
+		closeIdleAt, s.minMs = s.began, handOverMs
 	} else if drained {
 		closeIdleAt = s.began
 	}
@@ -93,7 +93,7 @@
 func (s *shutdown) poll() {
 	p := s.pooler
 	now := p.loop.Now()
-	if s.goesOn(now) {
+	if s.mustContinue(now) {
 		p.loop.At(now+stopPollMs, s.poll)
 		return
 	}
@@ -107,10 +107,10 @@
 	p.endLoop(max(now+minQueuedConnectionMs, min(now+queuedConnectionsMs, s.deadline()+dropClientsAfterMs)))
 }
 
-// goesOn reports whether clients may still come, are still connected, or still wait for an answer.
-func (s *shutdown) goesOn(now float64) bool {
+// mustContinue reports whether clients may still come, are still connected, or still wait for an answer.
+func (s *shutdown) mustContinue(now float64) bool {
 	p := s.pooler
-	if now < s.began+s.leastMs {
+	if now < s.began+s.minMs {
 		return true
 	}
 	if now < s.deadline()+dropClientsAfterMs && p.platform.Sessions() > 0 {
--- a/cmd/beechgrade/slow_test.go
+++ b/cmd/beechgrade/slow_test.go
@@ -226,10 +226,10 @@
 	t.Parallel()
 	const mostBytes = 1 << 20
 	useJournal := func(p *pooler, d *slowDisk) (func(), error) {
-		return p.journalOn(d, settings.Journal{MaxBytes: mostBytes, Mode: journal.BeforeSend})
+		return p.openJournalOn(d, settings.Journal{MaxBytes: mostBytes, Mode: journal.BeforeSend})
 	}
 	useSessions := func(p *pooler, d *slowDisk) (func(), error) {
-		return p.sessionsOn(d, settings.Sessions{MaxBytes: mostBytes, Mode: sessiontoken.BeforeAnswer})
+		return p.openSessionsOn(d, settings.Sessions{MaxBytes: mostBytes, Mode: sessiontoken.BeforeAnswer})
 	}
 	for name, c := range map[string]struct {
 		use      func(p *pooler, d *slowDisk) (func(), error)
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -78,7 +78,7 @@
 	}
 	p.snapshots = k
 	if rec := k.Recovery(); rec != nil { // logged by the keeper
-		p.recovered = append(p.recovered, recovered{"kept", rec})
+		p.recovered = append(p.recovered, recoveredStore{"kept", rec})
 	}
 	if p.sources == nil {
 		p.restore()
--- a/cmd/beechgrade/socket.go
+++ b/cmd/beechgrade/socket.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// inherit returns the listening socket that the process was given by EDGE_SOCKET_FD; nil where it was given none.
-func inherit(env func(string) string) (net.Listener, error) {
+// inheritListener returns the listening socket that the process was given by EDGE_SOCKET_FD; nil where it was given none.
+func inheritListener(env func(string) string) (net.Listener, error) {
 	v := env("EDGE_SOCKET_FD")
 	if v == "" {
 		return nil, nil
--- a/cmd/beechgrade/sources.go
+++ b/cmd/beechgrade/sources.go
@@ -60,7 +60,7 @@
 		s.consul.SetToken(n.token)
 		s.consul.Start()
 	}
-	p.loop.Post(func() { s.take(n) }) // once the core has started
+	p.loop.Post(func() { s.apply(n) }) // once the core has started
 }
 
 // read reads the sources' files. A file that cannot be read does not affect the others.
@@ -82,8 +82,8 @@
 	return n, errors.Join(errs...)
 }
 
-// take applies the contents of the files. It runs on the loop.
-func (s *sources) take(n sourceFiles) {
+// apply applies the contents of the files. It runs on the loop.
+func (s *sources) apply(n sourceFiles) {
 	if s.consul != nil && n.token != "" {
 		s.consul.SetToken(n.token)
 	}
--- a/cmd/beechgrade/stored_data_test.go
+++ b/cmd/beechgrade/stored_data_test.go
@@ -129,7 +129,7 @@
 func TestStoredCreditIsReadable(t *testing.T) {
 	t.Parallel()
 	x := &creditGate{set: settings.Credit{Dir: filepath.Join(storedData(t), "credit")}, holder: 7, locks: map[ledger.Holder]*os.File{}}
-	gone, err := x.lockFiles()
+	gone, err := x.lockHolderFiles()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 func TestStoredPlanNumberIsReadable(t *testing.T) {
 	t.Parallel()
 	z := &zoneFailover{set: settings.Zones{Dir: filepath.Join(storedData(t), "zones")}, pooler: &pooler{cfg: &config.Config{Name: "test"}}}
-	if number, err := z.lastNumber(); number != 12 || err != nil {
+	if number, err := z.loadLastNumber(); number != 12 || err != nil {
 		t.Errorf("%d, %v", number, err)
 	}
 }
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -16,16 +16,16 @@
 	uncountedDescriptors = 16 // of a process, beside those that it counts
 )
 
-// list is the platform's complete list of servers.
-type list struct {
-	gen      int64
-	restarts int  // of discovery's generations, as far as the processes on this socket know
-	received bool // from discovery, by this process or another; a list from the configuration may be of any age
-	entries  map[string]discovery.Instance
+// serverList is the platform's complete list of servers.
+type serverList struct {
+	generation int64
+	restarts   int  // of discovery's generations, as far as the processes on this socket know
+	received   bool // from discovery, by this process or another; a list from the configuration may be of any age
+	entries    map[string]discovery.Instance
 }
 
-// take applies an update, or replaces the list.
-func (l *list) take(n *discovery.List) {
+// apply applies an update, or replaces the list.
+func (l *serverList) apply(n *discovery.List) {
 	if n.Reset || l.entries == nil {
 		l.entries = map[string]discovery.Instance{}
 	}
@@ -36,26 +36,26 @@
 			l.entries[e.ID] = e
 		}
 	}
-	l.gen = n.Generation
+	l.generation = n.Generation
 }
 
 // receive applies a list from discovery.
-func (l *list) receive(n *discovery.List) {
-	if n.Restarted && l.received && n.Generation < l.gen {
+func (l *serverList) receive(n *discovery.List) {
+	if n.Restarted && l.received && n.Generation < l.generation {
 		l.restarts++
 	}
 	l.received = true
-	l.take(n)
+	l.apply(n)
 }
 
 // newer reports whether another process's list is newer: discovery has restarted more often, or its generation is higher.
-func (l *list) newer(s *handover.State) bool {
-	return s.ListRestarts > l.restarts || s.ListRestarts == l.restarts && s.List.Generation > l.gen
+func (l *serverList) newer(s *handover.State) bool {
+	return s.ListRestarts > l.restarts || s.ListRestarts == l.restarts && s.List.Generation > l.generation
 }
 
 // adopt applies another process's list. Servers that drain in this list go on draining until discovery itself reports otherwise: the other
 // process may not have been notified.
-func (l *list) adopt(s *handover.State) {
+func (l *serverList) adopt(s *handover.State) {
 	n := s.List
 	n.Instances = slices.Clone(n.Instances)
 	for i := range n.Instances {
@@ -63,21 +63,21 @@
 			e.Lifecycle = "draining"
 		}
 	}
-	l.take(&n)
+	l.apply(&n)
 	l.restarts, l.received = s.ListRestarts, true
 }
 
 // complete returns the complete list.
-func (l *list) complete() discovery.List {
-	out := discovery.List{Generation: l.gen, Reset: true}
+func (l *serverList) complete() discovery.List {
+	out := discovery.List{Generation: l.generation, Reset: true}
 	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
 		out.Instances = append(out.Instances, l.entries[id])
 	}
 	return out
 }
 
-// inheritKnown starts with what another process on the same socket knows. The processes exchange their states in dir.
-func (p *pooler) inheritKnown(dir string) {
+// inheritState starts with what another process on the same socket knows. The processes exchange their states in dir.
+func (p *pooler) inheritState(dir string) {
 	if p.inheritedListener == nil || dir == "" {
 		return
 	}
@@ -182,17 +182,17 @@
 	quit := make(chan struct{})
 	var done sync.WaitGroup
 	done.Go(func() {
-		p.report(quit)
+		p.writeStates(quit)
 		p.folder.Remove()
 	})
-	done.Go(func() { p.observe(quit) })
+	done.Go(func() { p.readStates(quit) })
 	return func() { close(quit); done.Wait() }
 }
 
-// report writes this process's state each stateInterval.
-func (p *pooler) report(quit <-chan struct{}) {
+// writeStates writes this process's state each stateInterval.
+func (p *pooler) writeStates(quit <-chan struct{}) {
 	last := ""
-	each(quit, func() {
+	repeat(quit, func() {
 		states := make(chan *handover.State, 1)
 		p.loop.Post(func() { states <- p.state() })
 		select {
@@ -206,10 +206,10 @@
 	})
 }
 
-// observe reads the others' states each stateInterval.
-func (p *pooler) observe(quit <-chan struct{}) {
+// readStates reads the others' states each stateInterval.
+func (p *pooler) readStates(quit <-chan struct{}) {
 	last := ""
-	each(quit, func() {
+	repeat(quit, func() {
 		others, err := p.folder.Others(handover.UsefulMs)
 		if err != nil && err.Error() != last {
 			last = err.Error()
@@ -219,8 +219,8 @@
 	})
 }
 
-// each calls do, and again stateInterval after it returned, until quit is closed.
-func each(quit <-chan struct{}, do func()) {
+// repeat calls do, and again stateInterval after it returned, until quit is closed.
+func repeat(quit <-chan struct{}, do func()) {
 	for {
 		do()
 		select {
@@ -240,17 +240,17 @@
 	}
 	for _, s := range others {
 		if s.ListSource == p.cfg.DiscoveryAddress && p.list.newer(s) {
-			p.adopt(s)
+			p.adoptList(s)
 		}
 	}
 }
 
-// adopt applies another process's newer list, and has discovery's own requested.
-func (p *pooler) adopt(s *handover.State) {
-	p.log.Info("another process has heard more", "generation", s.List.Generation, "own", p.list.gen)
+// adoptList applies another process's newer list, and has discovery's own requested.
+func (p *pooler) adoptList(s *handover.State) {
+	p.log.Info("another process has heard more", "generation", s.List.Generation, "own", p.list.generation)
 	anew := s.ListRestarts > p.list.restarts
 	p.list.adopt(s)
-	p.discovery.Adopt(p.list.gen, anew)
+	p.discovery.Adopt(p.list.generation, anew)
 	whole := p.list.complete()
 	p.core.Listed(&whole)
 }
--- a/cmd/beechgrade/upgrade_sessions.go
+++ b/cmd/beechgrade/upgrade_sessions.go
@@ -13,7 +13,7 @@
 
 const (
 	upgradeDir         = "beside"               // folder of the second place, in the first
-	otherPlaceInterval = 100 * time.Millisecond // between checks whether another process holds the other place
+	otherStoreInterval = 100 * time.Millisecond // between checks whether another process holds the other place
 	trustMs            = 300                    // for which a check that found no other process holds for sessions' reads
 	slowTakeoverMs     = 250                    // a longer takeover is logged
 	// settleMs is the time from the start until the first write is answered. By then the other process has noticed this one, or no longer trusts its
@@ -26,25 +26,25 @@
 type upgradeSessions struct {
 	pooler       *pooler
 	opt          store.Options
-	owns         bool // this process holds the first place; the other need not exist
+	ownsFirst    bool // this process holds the first place; the other need not exist
 	locked       bool // when this process started
 	mergePending bool // its commits have not been merged since; owned by the goroutine
 
-	trusted float64 // until this time no other process serves sessions' writes
-	settle  float64 // before this time no write is answered
-	began   bool
-	quit    chan struct{}
-	done    chan struct{}
+	trustedUntil float64 // until this time no other process serves sessions' writes
+	writesFrom   float64 // before this time no write is answered
+	began        bool
+	quit         chan struct{}
+	done         chan struct{}
 }
 
-func newUpgradeSessions(p *pooler, fs store.FS, opt store.Options, own bool) *upgradeSessions {
+func newUpgradeSessions(p *pooler, fs store.FS, opt store.Options, ownsFirst bool) *upgradeSessions {
 	opt.FS, opt.Checks = fs, nil // each store has checks of its own
-	return &upgradeSessions{pooler: p, opt: opt, owns: own, quit: make(chan struct{}), done: make(chan struct{})}
+	return &upgradeSessions{pooler: p, opt: opt, ownsFirst: ownsFirst, quit: make(chan struct{}), done: make(chan struct{})}
 }
 
-// first merges the commits of a process that has ended, before the loop begins, or notes that one runs.
-func (b *upgradeSessions) first() error {
-	if d, ok := b.opt.FS.(store.Dir); ok && b.owns && b.pooler.inheritedListener == nil {
+// mergeAtStart merges the commits of a process that has ended, before the loop begins, or notes that one runs.
+func (b *upgradeSessions) mergeAtStart() error {
+	if d, ok := b.opt.FS.(store.Dir); ok && b.ownsFirst && b.pooler.inheritedListener == nil {
 		if _, err := os.Stat(string(d)); errors.Is(err, os.ErrNotExist) {
 			return nil
 		}
@@ -72,22 +72,22 @@
 		return
 	}
 	if b.locked {
-		b.settle = b.pooler.loop.Now() + settleMs
+		b.writesFrom = b.pooler.loop.Now() + settleMs
 	}
 	b.began = true
 	go b.watch()
 }
 
 // doubts reports whether another process may have served a session's last write.
-func (b *upgradeSessions) doubts() bool { return b.pooler.loop.Now() > b.trusted }
+func (b *upgradeSessions) doubts() bool { return b.pooler.loop.Now() > b.trustedUntil }
 
 // Keep saves a session's commit; its answer waits for settle too.
 func (b *upgradeSessions) Keep(session string, at decide.Time, done func(kept bool)) (waits bool) {
-	if done == nil || b.pooler.loop.Now() >= b.settle {
+	if done == nil || b.pooler.loop.Now() >= b.writesFrom {
 		return b.pooler.commits.Keep(session, at, done)
 	}
 	later := func(kept bool) {
-		b.pooler.loop.At(max(b.settle, b.pooler.loop.Now()), func() { done(kept) })
+		b.pooler.loop.At(max(b.writesFrom, b.pooler.loop.Now()), func() { done(kept) })
 	}
 	if !b.pooler.commits.Keep(session, at, later) {
 		later(true)
@@ -104,11 +104,11 @@
 		if began = b.pooler.loop.Now(); began-last > trustMs { // a process may have started and ended meanwhile
 			b.mergePending = true
 		}
-		err := b.checkOtherPlace()
+		err := b.checkOtherStore()
 		switch {
 		case err == nil:
 			until := began + trustMs
-			b.pooler.loop.Post(func() { b.trusted = max(b.trusted, until) })
+			b.pooler.loop.Post(func() { b.trustedUntil = max(b.trustedUntil, until) })
 		case errors.Is(err, store.ErrLocked):
 			b.mergePending = true
 		case err.Error() != said: // reads still have to see the present
@@ -118,13 +118,13 @@
 		select {
 		case <-b.quit:
 			return
-		case <-time.After(otherPlaceInterval):
+		case <-time.After(otherStoreInterval):
 		}
 	}
 }
 
-// checkOtherPlace merges the commits of a process that has ended. nil means that no other process runs, and that all commits are known here.
-func (b *upgradeSessions) checkOtherPlace() error {
+// checkOtherStore merges the commits of a process that has ended. nil means that no other process runs, and that all commits are known here.
+func (b *upgradeSessions) checkOtherStore() error {
 	if !b.mergePending {
 		unlock, err := b.opt.FS.Lock()
 		if err != nil {
--- a/cmd/beechgrade/upgrade_sessions_test.go
+++ b/cmd/beechgrade/upgrade_sessions_test.go
@@ -41,7 +41,7 @@
 	}
 	start := func() (p *pooler, end func()) {
 		p = unused()
-		close, err := p.sessionsIn(places, set)
+		close, err := p.openSessionsIn(places, set)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,22 +61,22 @@
 	two, endTwo := start()
 	kept, at := make(chan float64, 1), clock.ToDuration(two.loop.Now())
 	two.loop.Post(func() {
-		if two.otherSessions.settle == 0 {
+		if two.otherSessions.writesFrom == 0 {
 			t.Error("it does not wait at its start, though another process is there")
 		}
-		two.otherSessions.settle = two.loop.Now() + 200 // it became ready later than that
+		two.otherSessions.writesFrom = two.loop.Now() + 200 // it became ready later than that
 		if !two.otherSessions.Keep("x", at, func(bool) { kept <- two.loop.Now() }) {
 			t.Error("an answer does not wait, though the other process may not know of this one")
 			kept <- 0
 		}
 	})
-	if when := <-kept; when < two.otherSessions.settle {
-		t.Errorf("%s: answered at %v, before %v", mode, when, two.otherSessions.settle)
+	if when := <-kept; when < two.otherSessions.writesFrom {
+		t.Errorf("%s: answered at %v, before %v", mode, when, two.otherSessions.writesFrom)
 	}
 	u.until("it doubts", one, one.otherSessions.doubts)
 	u.until("it doubts", two, two.otherSessions.doubts)
 	third := unused()
-	if _, err := third.sessionsIn(places, set); !errors.Is(err, store.ErrLocked) {
+	if _, err := third.openSessionsIn(places, set); !errors.Is(err, store.ErrLocked) {
 		t.Errorf("a third process: %v", err)
 	}
 	_ = third.inheritedListener.Close()
@@ -94,7 +94,7 @@
 	})
 	endTwo()
 	last := newPooler(testConfig(t, "127.0.0.1:1", nil, func(c *config.Config) { c.Settings.TrackCommits = true }), slog.New(slog.DiscardHandler))
-	end, err := last.sessionsIn(places, set) // alone, on no given socket
+	end, err := last.openSessionsIn(places, set) // alone, on no given socket
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/beechgrade/upgrade_test.go
+++ b/cmd/beechgrade/upgrade_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.inheritedListener, err = inherit(func(string) string { return fmt.Sprint(fd) }); err != nil {
+	if p.inheritedListener, err = inheritListener(func(string) string { return fmt.Sprint(fd) }); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -95,7 +95,7 @@
 		c.DiscoveryAddress, c.InitialList.Instances, c.InitialList.Generation = u.at, known, u.known
 	}), slog.New(slog.DiscardHandler))
 	give(u.t, p, u.ln)
-	p.inheritKnown(u.dir)
+	p.inheritState(u.dir)
 	if u.stalled != nil {
 		p.folder = stalledFolder{p.folder, u.stalled}
 	}
@@ -135,7 +135,7 @@
 	u := newUpgrade(t)
 	one := u.process()
 	u.lines <- fmt.Sprintf(`{"generation":7,"reset":true,"instances":[{"instanceId":"s-9","hostPort":%q,"lifecycle":"up","weight":1}]}`, srv)
-	u.until("the list is there", one, func() bool { return one.list.gen == 7 })
+	u.until("the list is there", one, func() bool { return one.list.generation == 7 })
 	c := client(t, u.ln.Addr().String())
 	c.send(query("1", "read", 9000))
 	next(t, queries).send(row("v")) // which tells that it is the primary
@@ -192,7 +192,7 @@
 	t.Cleanup(func() { close(stalled) }) // before the process is waited for
 	u.until("it hears what another one writes", p, func() bool {
 		u.write(drainedSince(u, 0))
-		return p.list.gen == 8 && p.list.entries["s-1"].Lifecycle == "draining"
+		return p.list.generation == 8 && p.list.entries["s-1"].Lifecycle == "draining"
 	})
 }
 
@@ -207,7 +207,7 @@
 		if p.otherProcesses != 0 {
 			t.Errorf("it counts as %d that run", p.otherProcesses)
 		}
-		return p.list.gen == 8 && p.list.entries["s-1"].Lifecycle == "draining"
+		return p.list.generation == 8 && p.list.entries["s-1"].Lifecycle == "draining"
 	})
 }
 
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -54,7 +54,7 @@
 	}
 	s.Name, s.Voters, s.Checks = p.cfg.Name, p.raftLog.set.Settings.Voters, p.checks
 	if set.Dir != "" {
-		if s.MinPlan, err = z.lastNumber(); err != nil {
+		if s.MinPlan, err = z.loadLastNumber(); err != nil {
 			return nil, badInput{fmt.Errorf("zones: %w", err)}
 		}
 	}
@@ -76,8 +76,8 @@
 
 func (z *zoneFailover) file() string { return filepath.Join(z.set.Dir, "zones-"+z.pooler.cfg.Name) }
 
-// lastNumber returns the number of the plan that the last process followed.
-func (z *zoneFailover) lastNumber() (uint64, error) {
+// loadLastNumber returns the number of the plan that the last process followed.
+func (z *zoneFailover) loadLastNumber() (uint64, error) {
 	if err := os.MkdirAll(z.set.Dir, 0o700); err != nil {
 		return 0, err
 	}
--- a/cmd/beechgrade/zones_test.go
+++ b/cmd/beechgrade/zones_test.go
@@ -26,7 +26,7 @@
 		t.Fatal("followed without a number on the disk")
 	case <-time.After(100 * time.Millisecond):
 	}
-	if _, err := z.lastNumber(); err != nil { // makes the folder
+	if _, err := z.loadLastNumber(); err != nil { // makes the folder
 		t.Fatal(err)
 	}
 	for _, no := range []uint64{7, 6} {
@@ -42,7 +42,7 @@
 			t.Fatalf("%d was not tried again in 10 s", no)
 		}
 	}
-	if no, err := z.lastNumber(); no != 7 || err != nil {
+	if no, err := z.loadLastNumber(); no != 7 || err != nil {
 		t.Errorf("%d is kept, %v", no, err)
 	}
 	if err := store.Replace(store.Dir(dir), filepath.Base(z.file()), []byte("12")); err != nil { // the process that takes over has kept a newer one
@@ -54,7 +54,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatalf("9 was not passed over in 10 s")
 	}
-	if no, err := z.lastNumber(); no != 12 || err != nil {
+	if no, err := z.loadLastNumber(); no != 12 || err != nil {
 		t.Errorf("%d is kept, %v: another process of this pooler had kept 12", no, err)
 	}
 	stop <- os.Interrupt
