--- a/cmd/beechgrade-sim/main.go
+++ b/cmd/beechgrade-sim/main.go
@@ -1,5 +1,5 @@
-// Command beechgrade-sim joins the router to the simulator's wire on standard input and output.
-// It hosts many instances, one router each; they share nothing, and it decides nothing.
+// Command beechgrade-sim connects the router to the simulator, whose protocol it speaks on standard input and output.
+// It hosts many instances, each with its own router. Instances share no state, and all decisions are the routers'.
 package main
 
 import (
@@ -67,7 +67,7 @@
 	}
 }
 
-// handle runs one event; a panic comes back as text, so that it is reported and not lost.
+// handle passes one event to the router. A panic is returned as a fault, so that it is reported to the simulator.
 func handle(r *decide.Router, now decide.Time, e decide.Event, out []decide.Action) (
 	actions []decide.Action, fault string,
 ) {
--- a/cmd/beechgrade-sim/main_test.go
+++ b/cmd/beechgrade-sim/main_test.go
@@ -15,10 +15,10 @@
 
 func TestRun(t *testing.T) {
 	for name, c := range map[string]struct{ in, want, not string }{
-		"sends":                   {provision + ask + "COMMIT\n", "PASS_ON\tfront=1\trequest_id=ab\tstore=h:1\nWAKE_AT\tfront=1\tinstant_ns=1010000000\ttag=0\nREADY\n", ""},
-		"unknown instance":        {"SYNC\twall_ns=1\n" + ask + "COMMIT\n", "READY\n", "PASS_ON"},
-		"killed":                  {provision + "CRASH_NOW\tfront=1\n" + ask + "COMMIT\n", "READY\n", "PASS_ON"},
-		"killed and back at once": {provision + "CRASH_NOW\tfront=1\n" + provision[len("SYNC\twall_ns=1000000000\n"):] + ask + "COMMIT\n", "PASS_ON", ""},
+		"sends":                 {provision + ask + "COMMIT\n", "PASS_ON\tfront=1\trequest_id=ab\tstore=h:1\nWAKE_AT\tfront=1\tinstant_ns=1010000000\ttag=0\nREADY\n", ""},
+		"unknown instance":      {"SYNC\twall_ns=1\n" + ask + "COMMIT\n", "READY\n", "PASS_ON"},
+		"stopped":               {provision + "CRASH_NOW\tfront=1\n" + ask + "COMMIT\n", "READY\n", "PASS_ON"},
+		"stopped and restarted": {provision + "CRASH_NOW\tfront=1\n" + provision[len("SYNC\twall_ns=1000000000\n"):] + ask + "COMMIT\n", "PASS_ON", ""},
 	} {
 		var out strings.Builder
 		if err := run(strings.NewReader(c.in), &out); err != nil {
@@ -30,14 +30,14 @@
 	}
 }
 
-func TestMalformedInputEndsWithItsLine(t *testing.T) {
+func TestErrorOfMalformedInputNamesLine(t *testing.T) {
 	var out strings.Builder
 	if err := run(strings.NewReader("SYNC\twall_ns=1\nASK\tfront\n"), &out); err == nil || !strings.Contains(err.Error(), "line 2") {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestPanicBecomesText(t *testing.T) {
+func TestPanicIsReturnedAsFault(t *testing.T) {
 	if _, fault := handle(nil, 0, nil, nil); !strings.Contains(fault, "panic") {
 		t.Errorf("fault %q", fault)
 	}
