--- a/cmd/beechgrade-kit/agreed_test.go
+++ b/cmd/beechgrade-kit/agreed_test.go
@@ -44,10 +44,10 @@
 			for _, m := range fieldOf.FindAllStringSubmatch(in.Text(), -1) {
 				l.fields[m[1]] = strings.Trim(m[2], `"`)
 			}
-			if l.fields["msg"] == "peers" || l.fields["msg"] == "cluster: listening" {
+			if l.fields["msg"] == "cluster: node could not start; shutting down" || l.fields["msg"] == "cluster: listening" {
 				life++
 			}
-			if l.at, err = time.Parse(time.RFC3339, l.fields["time"]); err != nil || !strings.HasPrefix(l.fields["msg"], "agreed: ") {
+			if l.at, err = time.Parse(time.RFC3339, l.fields["time"]); err != nil || !strings.HasPrefix(l.fields["msg"], "replicated log: ") && !strings.HasPrefix(l.fields["msg"], "store agreed: ") {
 				continue
 			}
 			l.process = fmt.Sprintf("%s/%d", name, life)
@@ -94,9 +94,9 @@
 			return n
 		}
 		switch l.fields["msg"] {
-		case "agreed: this pooler leads":
+		case "replicated log: this pooler became the leader":
 			a.ReportLeader(l.process, num("term"))
-		case "agreed: tally":
+		case "replicated log: witness entries":
 			if pooler, _, _ := strings.Cut(l.process, "/"); pooler != fmt.Sprintf("pooler-%d", voters) {
 				a.ReportTally(l.at, l.process, checker.Tally{Taken: num("taken"), Applied: num("applied"), Term: num("term"), Sum: l.fields["sum"], Participates: l.fields["part"] == "true"})
 				last[pooler] = l.process
@@ -120,8 +120,8 @@
 	t.Logf("%d entries taken, %d terms with a leader, %.1f s at most in which nobody took any", a.MostTaken, a.TermsWithLeader, a.LongestPause.Seconds())
 	if t.Failed() {
 		for _, l := range lines {
-			if l.fields["msg"] != "agreed: tally" {
-				t.Log(l.at.Format("05.000"), l.process, l.fields["msg"], cmp.Or(l.fields["leader"], l.fields["why"], l.fields["voters"]), l.fields["term"])
+			if l.fields["msg"] != "replicated log: witness entries" {
+				t.Log(l.at.Format("05.000"), l.process, l.fields["msg"], cmp.Or(l.fields["leader"], l.fields["reason"], l.fields["voters"]), l.fields["term"])
 			}
 		}
 	}
@@ -186,13 +186,13 @@
 				damage(t, disk, func(b []byte) []byte { b[200] ^= 4; return b })
 			}
 		}, 0)
-	if said(lines, "agreed: a voter's place went to another disk", "pooler-2") == 0 {
+	if said(lines, "replicated log: a voter continues on another disk", "pooler-2") == 0 {
 		t.Error("nobody agreed to the new disk")
 	}
-	if said(lines, "agreed: its end was not whole", "pooler-2") != 1 {
+	if said(lines, "store agreed: recovery dropped an incomplete end", "pooler-2") != 1 {
 		t.Error("nobody saw the torn tail")
 	}
-	if said(lines, "agreed: this pooler votes no more", "pooler-0") != 1 {
+	if said(lines, "replicated log: stopped; this pooler no longer votes", "pooler-0") != 1 {
 		t.Error("a rotten disk was taken")
 	}
 	if a.MostTaken < 800 {
--- a/cmd/beechgrade-kit/kept_test.go
+++ b/cmd/beechgrade-kit/kept_test.go
@@ -78,8 +78,8 @@
 	if err := a.start(set); err != nil {
 		t.Fatal(err)
 	}
-	a.logged("starting with the configuration that was kept")
-	a.logged("starting with the list that was kept")
+	a.logged("snapshots: starting with the saved configuration")
+	a.logged("snapshots: starting with the saved list")
 	served(true)
 
 	// A server drains while nobody can hear of it.
@@ -111,7 +111,7 @@
 				bad[40] ^= 1
 				_ = os.WriteFile(f, bad, 0o600)
 			}
-		}, "kept: starting without it", false},
+		}, "snapshots: the store cannot be opened; starting without saved data", false},
 		"foreign": {func() {
 			for f := range whole {
 				_ = os.WriteFile(f, []byte("[general]\nthis is another program's file\n"), 0o600)
@@ -157,7 +157,7 @@
 	// A file that was read and says what cannot be is nobody's but the operators' to mend.
 	a.told["listen"] = "no port"
 	a.configure()
-	if err := a.start(set); err == nil || strings.Contains(a.log(), "starting with the configuration") {
+	if err := a.start(set); err == nil || strings.Contains(a.log(), "starting with the saved configuration") {
 		t.Errorf("a wrong file: %v\n%s", err, a.log())
 	}
 }
--- a/cmd/beechgrade-kit/sessions_upgrade_test.go
+++ b/cmd/beechgrade-kit/sessions_upgrade_test.go
@@ -75,7 +75,7 @@
 			if checked < 30 || writes < 50 || stale > 0 {
 				t.Errorf("%d reads of %d were stale; %d writes", stale, checked, writes)
 			}
-			if said := last.said(); !strings.Contains(said, "its commits are known here") || strings.Contains(said, "invariant broken") {
+			if said := last.said(); !strings.Contains(said, "merged the commits of another process that has ended") || strings.Contains(said, "invariant broken") {
 				t.Error(said)
 			}
 		})
--- a/cmd/beechgrade-kit/zones_play_test.go
+++ b/cmd/beechgrade-kit/zones_play_test.go
@@ -157,7 +157,7 @@
 			}
 			at, err := time.Parse(time.RFC3339, l["time"])
 			cells := numberOf.FindAllString(l["shares"], -1)
-			if l["msg"] != `"zones: follows"` || err != nil || len(cells) != 9 {
+			if l["msg"] != `"zones: plan adopted"` || err != nil || len(cells) != 9 {
 				continue
 			}
 			x := planned{at: float64(at.UnixMilli()) - z.FromMs, shares: make([][]float64, 3)}
--- a/cmd/beechgrade-kit/zones_test.go
+++ b/cmd/beechgrade-kit/zones_test.go
@@ -132,7 +132,7 @@
 			if l["level"] == "ERROR" && strings.Contains(in.Text(), "zones") {
 				t.Error(in.Text())
 			}
-			if l["msg"] != `"zones: follows"` {
+			if l["msg"] != `"zones: plan adopted"` {
 				continue
 			}
 			no, err := strconv.ParseUint(l["plan"], 10, 64)
@@ -140,7 +140,7 @@
 			if err != nil || err2 != nil {
 				t.Error(in.Text())
 			}
-			rules.PlanFollowed(float64(at.UnixMilli()), p, no, xxhash.Sum64String(l["by"]+l["zones"]+l["shares"]+l["short"]))
+			rules.PlanFollowed(float64(at.UnixMilli()), p, no, xxhash.Sum64String(l["author"]+l["zones"]+l["shares"]+l["unserved"]))
 			follows++
 		}
 		_ = f.Close()
--- a/cmd/beechgrade/admin.go
+++ b/cmd/beechgrade/admin.go
@@ -17,18 +17,18 @@
 	p.admin = admin.New(p.loop, p.log, adminHandler{p})
 	address, _, err := p.loop.Listen(p.adminAddr, p.admin.Accept)
 	if err != nil {
-		p.log.Error("control", "err", err)
+		p.log.Error("admin endpoint could not listen; shutting down", "err", err)
 		p.loop.End()
 		return
 	}
 	p.adminAddr = address
-	p.log.Info("control", "listen", address)
+	p.log.Info("admin endpoint listening", "listen", address)
 }
 
 // adminHandler answers operators' calls.
 type adminHandler struct{ pooler *pooler }
 
-// adminCall is a call that changes or asks for the process's state.
+// adminCall is a call that changes or queries the lifecycle state of the process.
 type adminCall struct {
 	method string
 	do     func() bool // reports success
@@ -85,17 +85,17 @@
 
 // metrics collects the metrics of all subsystems.
 func (p *pooler) metrics() *exposition.Snapshot {
-	sheet := &exposition.Snapshot{}
-	p.core.WriteMetrics(sheet)
-	p.platform.WriteMetrics(sheet)
-	p.writePeersMetrics(sheet)
-	p.writeLimitsMetrics(sheet)
-	p.writeInvariantsMetrics(sheet)
-	p.writeScatterMetrics(sheet)
-	p.writeRaftLogMetrics(sheet)
-	p.writeCreditMetrics(sheet)
-	p.writeOverloadMetrics(sheet)
-	p.writeOutlierMetrics(sheet)
-	p.writeZonesMetrics(sheet)
-	return sheet
+	snapshot := &exposition.Snapshot{}
+	p.core.WriteMetrics(snapshot)
+	p.platform.WriteMetrics(snapshot)
+	p.writePeersMetrics(snapshot)
+	p.writeLimitsMetrics(snapshot)
+	p.writeInvariantsMetrics(snapshot)
+	p.writeScatterMetrics(snapshot)
+	p.writeRaftLogMetrics(snapshot)
+	p.writeCreditMetrics(snapshot)
+	p.writeOverloadMetrics(snapshot)
+	p.writeOutlierMetrics(snapshot)
+	p.writeZonesMetrics(snapshot)
+	return snapshot
 }
--- a/cmd/beechgrade/check.go
+++ b/cmd/beechgrade/check.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/settings"
 )
 
-// describe writes what the command check prints: the configuration in one line, and a line for each optional subsystem.
+// describe writes the output of the check command: one line for the configuration, and one for each optional subsystem.
 func describe(w io.Writer, cfg *config.Config, set *settings.Settings) error {
 	write := func(lines ...string) {
 		for _, line := range lines {
--- a/cmd/beechgrade/clickhouse.go
+++ b/cmd/beechgrade/clickhouse.go
@@ -47,15 +47,15 @@
 
 // listenClickHouse opens the address of the ClickHouse frontend.
 func (p *pooler) listenClickHouse() {
-	at, stop, err := p.loop.Listen(p.clickhouseAddr, p.clickhouse.Accept)
+	address, stop, err := p.loop.Listen(p.clickhouseAddr, p.clickhouse.Accept)
 	if err != nil {
-		p.log.Error("clickhouse", "err", err)
+		p.log.Error("clickhouse: frontend could not listen; shutting down", "err", err)
 		p.stopClickHouse = func() {}
 		p.loop.End()
 		return
 	}
-	p.clickhouseAddr = at
+	p.clickhouseAddr = address
 	p.stopClickHouse = func() { p.stopListening(stop, p.clickhouse.End) }
 	p.clickhouse.Start()
-	p.log.Info("clickhouse", "listen", at)
+	p.log.Info("clickhouse: frontend listening", "listen", address)
 }
--- a/cmd/beechgrade/credit.go
+++ b/cmd/beechgrade/credit.go
@@ -21,8 +21,8 @@
 	"beechgrade/internal/storage/store"
 )
 
-// creditGate joins prepaid credit to the core, the replicated log and the lease files. It implements core.CreditGate, and the interfaces that
-// package credit needs of a log, of files and of an observer.
+// creditGate connects prepaid credit to the core, the replicated log and the lease files. It implements core.CreditGate, and the interfaces
+// through which package credit uses the log and the files and reports to an observer.
 type creditGate struct {
 	pooler   *pooler
 	set      settings.Credit
@@ -31,12 +31,13 @@
 	holder   ledger.Holder
 	writes   chan leaseMarks
 	done     chan struct{}
-	locks    map[ledger.Holder]*os.File // of this process's lease marks, and of those inherited from ended processes
+	locks    map[ledger.Holder]*os.File // locked lock files: this process's, and those taken over from ended processes
 	consumed int64
 	refused  uint64
 	waited   uint64
 }
 
+// leaseMarks are the high-water marks of this process's leases, in one version to save.
 type leaseMarks struct {
 	number uint64
 	list   []lease.HighWaterMark
@@ -47,7 +48,7 @@
 	if !set.Enabled {
 		return func() {}, nil
 	}
-	x := &creditGate{
+	g := &creditGate{
 		pooler: p,
 		set:    set,
 		holder: rand.Uint64() | 1,
@@ -55,138 +56,138 @@
 		done:   make(chan struct{}),
 		locks:  map[ledger.Holder]*os.File{},
 	}
-	var gone []ledger.Holder
+	var ended []ledger.Holder
 	if set.Dir != "" {
-		if gone, err = x.lockHolderFiles(); err != nil {
-			return nil, badInput{fmt.Errorf("credit: files: %w", err)}
+		if ended, err = g.lockHolderFiles(); err != nil {
+			return nil, badInput{fmt.Errorf("credit: lock files: %w", err)}
 		}
 	}
-	go x.saveMarks()
-	s := x.settings()
-	x.credit = credit.New(s, p.peers, x, x, x)
-	x.recoverEnded(gone)
-	p.peers.Register(x.credit)
-	if x.credit.Ledger() != nil {
-		p.raftLog.users.Add(raftlog.CreditEntries, x.credit)
+	go g.saveMarks()
+	s := g.settings()
+	g.credit = credit.New(s, p.peers, g, g, g)
+	g.recoverEnded(ended)
+	p.peers.Register(g.credit)
+	if g.credit.Ledger() != nil {
+		p.raftLog.users.Add(raftlog.CreditEntries, g.credit)
 	}
 	p.raftLog.observers = append(p.raftLog.observers, func(a *raftlog.Action) {
 		switch a.Kind {
 		case raftlog.BecameLeader:
-			x.credit.SetLeader(p.cfg.Name)
+			g.credit.SetLeader(p.cfg.Name)
 		case raftlog.LeaderChanged:
-			x.credit.SetLeader(a.Leader)
+			g.credit.SetLeader(a.Leader)
 		case raftlog.Stopped:
-			x.credit.SetLeader("")
+			g.credit.SetLeader("")
 		}
 	})
-	p.core.SetCredit(x)
-	p.credit = x
+	p.core.SetCredit(g)
+	p.credit = g
 	if set.Dir != "" {
-		p.loop.Post(func() { p.loop.At(p.loop.Now()+endedProcessesIntervalMs, x.findEndedProcesses) })
+		p.loop.Post(func() { p.loop.At(p.loop.Now()+endedProcessesIntervalMs, g.findEndedProcesses) })
 	}
 	return func() {
-		close(x.writes)
-		<-x.done
+		close(g.writes)
+		<-g.done
 	}, nil
 }
 
-func (x *creditGate) settings() credit.Settings {
-	cfg := x.pooler.cfg
-	x.classes = map[string]int{}
+func (g *creditGate) settings() credit.Settings {
+	cfg := g.pooler.cfg
+	g.classes = map[string]int{}
 	for i, n := range cfg.Classes {
 		if !cfg.Retired(i) {
-			x.classes[n] = i
+			g.classes[n] = i
 		}
 	}
-	s := x.set.SettingsFor(cfg.Classes, func(i int) float64 { return cfg.Settings.Classes[i].PriorityWeight })
-	s.Voters, s.Name, s.Holder = x.pooler.raftLog.set.Settings.Voters, cfg.Name, x.holder
-	s.Lease.Checks = x.pooler.checks
+	s := g.set.SettingsFor(cfg.Classes, func(i int) float64 { return cfg.Settings.Classes[i].PriorityWeight })
+	s.Voters, s.Name, s.Holder = g.pooler.raftLog.set.Settings.Voters, cfg.Name, g.holder
+	s.Lease.Checks = g.pooler.checks
 	return s
 }
 
 // reload applies new prices and payments.
-func (x *creditGate) reload(set settings.Credit) {
-	if !set.Enabled || set.Dir != x.set.Dir {
-		x.pooler.log.Warn("cannot change while serving, needs a restart", "kept", []string{"credit"})
-		set.Enabled, set.Dir = true, x.set.Dir
+func (g *creditGate) reload(set settings.Credit) {
+	if !set.Enabled || set.Dir != g.set.Dir {
+		g.pooler.log.Warn("settings cannot be changed while serving; the previous ones apply until a restart", "settings", []string{"credit"})
+		set.Enabled, set.Dir = true, g.set.Dir
 		if len(set.Prices) == 0 {
 			return
 		}
 	}
-	x.set = set
-	x.credit.UpdateSettings(x.settings())
-	x.pooler.log.Info("credit read again", "prices", len(set.Prices), "payments", len(set.Payments))
+	g.set = set
+	g.credit.UpdateSettings(g.settings())
+	g.pooler.log.Info("credit: settings reloaded", "prices", len(set.Prices), "payments", len(set.Payments))
 }
 
 // Hold reserves credit for a request, or returns why it has to wait or is rejected.
-func (x *creditGate) Hold(tenant, class, session string, tag uint64) (lease.Reservation, lease.Decision) {
-	i, ok := x.classes[class]
+func (g *creditGate) Hold(tenant, class, session string, tag uint64) (lease.Reservation, lease.Decision) {
+	i, ok := g.classes[class]
 	if !ok {
 		return lease.Reservation{}, lease.Admitted
 	}
-	h, v := x.credit.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: i, Session: lease.SessionNumber(session), Parts: 1, Tag: tag})
-	switch v {
+	reservation, decision := g.credit.Reserve(lease.AdmissionRequest{Tenant: tenant, Class: i, Session: lease.SessionNumber(session), Parts: 1, Tag: tag})
+	switch decision {
 	case lease.Queued:
-		x.waited++
+		g.waited++
 	case lease.Throttled, lease.Exhausted:
-		x.refused++
+		g.refused++
 	}
-	return h, v
+	return reservation, decision
 }
 
 // Settle charges a request that has ended.
-func (x *creditGate) Settle(h *lease.Reservation, d lease.Usage) { x.consumed += x.credit.Settle(h, d) }
+func (g *creditGate) Settle(r *lease.Reservation, u lease.Usage) { g.consumed += g.credit.Settle(r, u) }
 
-// Cancel ends the wait of a request for credit.
-func (x *creditGate) Cancel(tenant string, tag uint64) { x.credit.Cancel(tenant, tag) }
+// Cancel removes a request that waits for credit.
+func (g *creditGate) Cancel(tenant string, tag uint64) { g.credit.Cancel(tenant, tag) }
 
-// Admit lets in a request that waited for credit.
-func (x *creditGate) Admit(tag uint64, h lease.Reservation) { x.pooler.core.Funded(tag, h) }
+// Admit admits a request that waited for credit.
+func (g *creditGate) Admit(tag uint64, r lease.Reservation) { g.pooler.core.Funded(tag, r) }
 
 // Reject rejects a request that waited for credit.
-func (x *creditGate) Reject(tag uint64) {
-	x.refused++
-	x.pooler.core.Unfunded(tag)
+func (g *creditGate) Reject(tag uint64) {
+	g.refused++
+	g.pooler.core.Unfunded(tag)
 }
 
 // Propose proposes an entry to the replicated log. A proposal may be lost: poolers repeat their requests.
-func (x *creditGate) Propose(entry []byte) {
-	x.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.CreditEntries}, entry...))
+func (g *creditGate) Propose(entry []byte) {
+	g.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.CreditEntries}, entry...))
 }
 
-// Write saves the lease marks. Marks that wait to be saved are replaced: the newest are complete.
-func (x *creditGate) Write(no uint64, list []lease.HighWaterMark) {
+// Write saves the lease marks. It replaces marks that still wait to be saved, as each list is complete.
+func (g *creditGate) Write(number uint64, list []lease.HighWaterMark) {
 	select {
-	case <-x.writes:
+	case <-g.writes:
 	default:
 	}
-	x.writes <- leaseMarks{no, list}
+	g.writes <- leaseMarks{number, list}
 }
 
 const (
-	marksRetryInterval       = time.Second // after a failed write of marks
-	endedProcessesIntervalMs = 3000        // between two searches for files of ended processes
+	marksRetryInterval       = time.Second // after marks could not be saved
+	endedProcessesIntervalMs = 3000        // between searches for files of ended processes
 	marksSuffix              = ".marks"
 	lockSuffix               = ".lock"
 	newLockSuffix            = ".new" // of a lock file before it is locked
 )
 
-func (x *creditGate) file(h ledger.Holder, end string) string {
-	return filepath.Join(x.set.Dir, fmt.Sprintf("credit-%016x%s", h, end))
+func (g *creditGate) file(h ledger.Holder, suffix string) string {
+	return filepath.Join(g.set.Dir, fmt.Sprintf("credit-%016x%s", h, suffix))
 }
 
-// saveMarks writes marks, off the loop. They are durable before credit is used by them.
-func (x *creditGate) saveMarks() {
-	defer close(x.done)
-	for m := range x.writes {
+// saveMarks saves lease marks, off the loop. Credit is used only up to marks that are durable.
+func (g *creditGate) saveMarks() {
+	defer close(g.done)
+	for m := range g.writes {
 		b, err := jsoniter.Marshal(m.list)
 		for err == nil {
-			if err = store.Replace(store.Dir(x.set.Dir), filepath.Base(x.file(x.holder, marksSuffix)), b); err == nil {
+			if err = store.Replace(store.Dir(g.set.Dir), filepath.Base(g.file(g.holder, marksSuffix)), b); err == nil {
 				break
 			}
-			x.pooler.log.Error("credit: marks cannot be written; prepaid tenants wait", "err", err)
+			g.pooler.log.Error("credit: lease marks cannot be saved and are retried; requests of prepaid tenants wait", "err", err)
 			select {
-			case next, ok := <-x.writes:
+			case next, ok := <-g.writes:
 				if !ok {
 					return
 				}
@@ -195,44 +196,44 @@
 			}
 			b, err = jsoniter.Marshal(m.list)
 		}
-		no := m.number
-		x.pooler.loop.Post(func() { x.credit.MarksPersisted(no) })
+		number := m.number
+		g.pooler.loop.Post(func() { g.credit.MarksPersisted(number) })
 	}
 }
 
-// lockHolderFiles locks this process's file, and returns the holders whose processes have ended: their files are not locked.
-func (x *creditGate) lockHolderFiles() (gone []ledger.Holder, err error) {
-	if err := os.MkdirAll(x.set.Dir, 0o700); err != nil {
+// lockHolderFiles locks this process's lock file, and returns the holders whose processes have ended. Their lock files exist, but were not locked.
+func (g *creditGate) lockHolderFiles() (ended []ledger.Holder, err error) {
+	if err := os.MkdirAll(g.set.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	list, err := os.ReadDir(x.set.Dir)
+	list, err := os.ReadDir(g.set.Dir)
 	if err != nil {
 		return nil, err
 	}
 	for _, f := range list {
 		text, found := strings.CutSuffix(f.Name(), lockSuffix)
 		h, e := strconv.ParseUint(strings.TrimPrefix(text, "credit-"), 16, 64)
-		if x.locks[h] == nil && found && e == nil && x.lockFile(h, x.file(h, lockSuffix)) == nil {
-			gone = append(gone, h)
+		if g.locks[h] == nil && found && e == nil && g.lockFile(h, g.file(h, lockSuffix)) == nil {
+			ended = append(ended, h)
 		}
 	}
-	if x.locks[x.holder] != nil {
-		return gone, nil
+	if g.locks[g.holder] != nil {
+		return ended, nil
 	}
-	// The file is locked before it is renamed to the name by which others search: a file of that name without a lock would count as
-	// that of an ended process, and the other process would take the lock.
-	unnamed := x.file(x.holder, newLockSuffix)
-	if err := x.lockFile(x.holder, unnamed); err != nil {
+	// The file is locked before it gets the name for which other processes search: they would take an unlocked file of that name for an ended
+	// process's, and lock it.
+	newPath := g.file(g.holder, newLockSuffix)
+	if err := g.lockFile(g.holder, newPath); err != nil {
 		return nil, err
 	}
-	if err := os.Rename(unnamed, x.file(x.holder, lockSuffix)); err != nil {
+	if err := os.Rename(newPath, g.file(g.holder, lockSuffix)); err != nil {
 		return nil, err
 	}
-	return gone, nil
+	return ended, nil
 }
 
-// lockFile locks a holder's file; it fails where another process holds the lock.
-func (x *creditGate) lockFile(h ledger.Holder, path string) error {
+// lockFile locks a holder's lock file. It fails where another process holds the lock.
+func (g *creditGate) lockFile(h ledger.Holder, path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
@@ -241,52 +242,52 @@
 		_ = f.Close()
 		return fmt.Errorf("lock %s: %w", path, err)
 	}
-	x.locks[h] = f
+	g.locks[h] = f
 	return nil
 }
 
-func (x *creditGate) recoverEnded(gone []ledger.Holder) {
-	if len(gone) > 0 {
-		x.pooler.log.Info("credit: found what processes that are no more left", "processes", len(gone))
-		x.credit.Recover(gone)
+func (g *creditGate) recoverEnded(ended []ledger.Holder) {
+	if len(ended) > 0 {
+		g.pooler.log.Info("credit: recovering the leases of ended processes", "processes", len(ended))
+		g.credit.Recover(ended)
 	}
 }
 
-// findEndedProcesses inherits the leases of processes that have ended since the last search.
-func (x *creditGate) findEndedProcesses() {
-	if gone, err := x.lockHolderFiles(); err != nil {
-		x.pooler.log.Warn("credit: files", "err", err)
+// findEndedProcesses recovers the leases of processes that have ended since the last search, and repeats the search periodically.
+func (g *creditGate) findEndedProcesses() {
+	if ended, err := g.lockHolderFiles(); err != nil {
+		g.pooler.log.Warn("credit: search for lock files of ended processes failed, will be retried", "err", err)
 	} else {
-		x.recoverEnded(gone)
+		g.recoverEnded(ended)
 	}
-	x.pooler.loop.At(x.pooler.loop.Now()+endedProcessesIntervalMs, x.findEndedProcesses)
+	g.pooler.loop.At(g.pooler.loop.Now()+endedProcessesIntervalMs, g.findEndedProcesses)
 }
 
 // Read reads the marks of an ended process, and passes them to do on the loop.
-func (x *creditGate) Read(h ledger.Holder, do func([]lease.HighWaterMark)) {
-	path := x.file(h, marksSuffix)
+func (g *creditGate) Read(h ledger.Holder, do func([]lease.HighWaterMark)) {
+	path := g.file(h, marksSuffix)
 	go func() {
 		b, err := os.ReadFile(path)
 		var list []lease.HighWaterMark
 		if err == nil {
 			err = jsoniter.Unmarshal(b, &list)
 		}
-		if err != nil && !os.IsNotExist(err) { // credit that is not known to be unused counts as used
-			x.pooler.log.Error("credit: marks of a process that is no more cannot be read; what it held counts as spent", "err", err)
+		if err != nil && !os.IsNotExist(err) { // credit counts as used unless it is known to be unused
+			g.pooler.log.Error("credit: lease marks of an ended process cannot be read; its leases count as spent", "err", err)
 			return
 		}
-		x.pooler.loop.Post(func() { do(list) })
+		g.pooler.loop.Post(func() { do(list) })
 	}()
 }
 
 // Erase removes the files of an ended process, once its leases are settled.
-func (x *creditGate) Erase(h ledger.Holder) {
-	x.pooler.log.Info("credit: settled what a process that is no more left", "process", fmt.Sprintf("%016x", h))
-	f := x.locks[h]
-	delete(x.locks, h)
+func (g *creditGate) Erase(h ledger.Holder) {
+	g.pooler.log.Info("credit: the leases of an ended process are settled", "process", fmt.Sprintf("%016x", h))
+	f := g.locks[h]
+	delete(g.locks, h)
 	go func() {
-		_ = os.Remove(x.file(h, marksSuffix))
-		_ = os.Remove(x.file(h, lockSuffix))
+		_ = os.Remove(g.file(h, marksSuffix))
+		_ = os.Remove(g.file(h, lockSuffix))
 		if f != nil {
 			_ = f.Close()
 		}
@@ -294,12 +295,12 @@
 }
 
 // close sends the last settlement claims, and logs the state of the ledger.
-func (x *creditGate) close() {
-	x.credit.Close()
-	if b := x.credit.Ledger(); b != nil {
+func (g *creditGate) close() {
+	g.credit.Close()
+	if b := g.credit.Ledger(); b != nil {
 		for _, n := range b.Tenants() {
 			t := b.Tenant(n)
-			x.pooler.log.Info("credit: books",
+			g.pooler.log.Info("credit: ledger account at shutdown",
 				"tenant", n,
 				"paid", t.Paid,
 				"balance", t.Balance,
@@ -308,7 +309,7 @@
 				"spent", t.Spent)
 		}
 	}
-	x.pooler.log.Info("credit: ends", "spent", x.consumed, "refused", x.refused, "waited", x.waited)
+	g.pooler.log.Info("credit: totals of this process at shutdown", "spent", g.consumed, "refused", g.refused, "waited", g.waited)
 }
 
 // writeCreditMetrics writes the metrics of prepaid credit, where it is enabled.
@@ -316,30 +317,30 @@
 	if p.credit == nil {
 		return
 	}
-	x, all := p.credit, s.Scope("credit")
-	free, held := int64(0), int64(0)
-	for _, a := range x.credit.Statuses() {
-		free, held = free+a.Free, held+a.Reserved
+	g, scope := p.credit, s.Scope("credit")
+	free, reserved := int64(0), int64(0)
+	for _, a := range g.credit.Statuses() {
+		free, reserved = free+a.Free, reserved+a.Reserved
 	}
-	all.IntGauge("spent", x.consumed)
-	all.IntGauge("free", free)
-	all.IntGauge("held", held)
-	all.Counter("refused", x.refused)
-	all.Counter("waited", x.waited)
-	if b := x.credit.Ledger(); b != nil {
-		var paid, left, lent, stranded, spent int64
+	scope.IntGauge("spent", g.consumed)
+	scope.IntGauge("free", free)
+	scope.IntGauge("held", reserved)
+	scope.Counter("refused", g.refused)
+	scope.Counter("waited", g.waited)
+	if b := g.credit.Ledger(); b != nil {
+		var paid, balance, lent, stranded, spent int64
 		for _, n := range b.Tenants() {
 			t := b.Tenant(n)
-			paid, left, lent, stranded, spent = paid+t.Paid, left+t.Balance, lent+t.Lent, stranded+t.Stranded, spent+t.Spent
+			paid, balance, lent, stranded, spent = paid+t.Paid, balance+t.Balance, lent+t.Lent, stranded+t.Stranded, spent+t.Spent
 		}
 		tenants, accounts := b.Size()
-		books := s.Scope("credit.books")
-		books.IntGauge("paid", paid)
-		books.IntGauge("balance", left)
-		books.IntGauge("lent", lent)
-		books.IntGauge("stranded", stranded)
-		books.IntGauge("spent", spent)
-		books.IntGauge("tenants", int64(tenants))
-		books.IntGauge("accounts", int64(accounts))
+		ledgerScope := s.Scope("credit.books")
+		ledgerScope.IntGauge("paid", paid)
+		ledgerScope.IntGauge("balance", balance)
+		ledgerScope.IntGauge("lent", lent)
+		ledgerScope.IntGauge("stranded", stranded)
+		ledgerScope.IntGauge("spent", spent)
+		ledgerScope.IntGauge("tenants", int64(tenants))
+		ledgerScope.IntGauge("accounts", int64(accounts))
 	}
 }
--- a/cmd/beechgrade/descriptors.go
+++ b/cmd/beechgrade/descriptors.go
@@ -6,15 +6,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// How descriptors are divided. docs/design/request-path.md has the order in which clients and connections make way.
+// How descriptors are divided. docs/design/request-path.md describes in which order clients and server connections are closed for each other.
 const (
-	reservedDescriptors  = 64   // for discovery, the listener, the runtime, and dials, which hold two for a moment
-	maxServerShare       = 0.45 // of the rest, that connections to servers may take
-	minServerShare       = 0.2  // of the rest, that clients leave to connections to servers
-	activeClientsDivisor = 4    // clients with requests that hold one in so many of all descriptors are many
+	reservedDescriptors  = 64   // for discovery, the listener, the runtime, and dials, which briefly hold two
+	maxServerShare       = 0.45 // share of the rest that connections to servers may take
+	minServerShare       = 0.2  // share of the rest that clients leave to connections to servers
+	activeClientsDivisor = 4    // clients are evicted once those with requests hold one in so many of all descriptors
 )
 
-// platformDescriptors is how many descriptors the platform's clients and connections to servers may hold together.
+// platformDescriptors returns how many descriptors the platform's clients and server connections may hold together.
 func (p *pooler) platformDescriptors() int {
 	return p.sockets() - reservedDescriptors - p.frontendDescriptors()
 }
@@ -23,27 +23,27 @@
 	return int(part * float64(p.platformDescriptors()))
 }
 
-// maxServerConnections is how many connections to servers there may be beside the clients that there are.
+// maxServerConnections returns how many server connections there may be, given the current number of clients.
 func (p *pooler) maxServerConnections() int {
 	return min(p.platformShare(maxServerShare), p.platformDescriptors()-p.platform.Occupied())
 }
 
-// spareForClients is how many more clients there may be.
+// spareForClients returns how many more clients may connect.
 func (p *pooler) spareForClients() int {
 	return p.platformDescriptors() - p.platform.Occupied() - max(p.platformShare(minServerShare), p.backend.Conns())
 }
 
-// freeClientDescriptor has a client make way for a connection to a server, and reports whether one did.
+// freeClientDescriptor closes a client to make room for a server connection, and reports whether one was closed.
 func (p *pooler) freeClientDescriptor() bool {
 	return p.backend.Conns() < p.platformShare(maxServerShare) && p.platform.FreeDescriptor()
 }
 
-// freeServerDescriptor has an idle connection to a server make way for a client, and reports whether one did.
+// freeServerDescriptor closes an idle server connection to make room for a client, and reports whether one was closed.
 func (p *pooler) freeServerDescriptor() bool {
 	return p.backend.Conns() > p.platformShare(minServerShare) && p.backend.CloseOldest()
 }
 
-// frontendDescriptors is how many descriptors the other fronts hold, beside the first one and its connections to servers.
+// frontendDescriptors returns how many descriptors the optional frontends hold. The platform's frontend and its server connections are not counted.
 func (p *pooler) frontendDescriptors() int {
 	n := 0
 	if p.pooling != nil {
@@ -58,12 +58,13 @@
 	return n
 }
 
-// spareConns is how many descriptors the other fronts may take yet.
+// spareConns returns how many more descriptors the optional frontends may take.
 func (p *pooler) spareConns() int {
 	return p.sockets() - reservedDescriptors - p.platform.Sessions() - p.backend.Conns() - p.frontendDescriptors()
 }
 
-// sockets is how many descriptors this process may hold, of those that the machine has. The system's limit holds for each process alone.
+// sockets returns how many descriptors this process may hold. The configured limit is shared by the processes on an inherited socket; the system's
+// limit applies to each process.
 func (p *pooler) sockets() int {
 	if p.otherProcesses == 0 {
 		return min(p.descriptorLimit, p.cfg.Limits.Sockets)
@@ -71,7 +72,7 @@
 	return min(p.descriptorLimit, max(2*reservedDescriptors, p.cfg.Limits.Sockets-p.othersDescriptors))
 }
 
-// descriptorLimit is how many descriptors the system lets this process have. Beyond it nothing can be accepted or dialled.
+// systemLimit returns how many descriptors the system allows this process. Beyond it no connection can be accepted or dialled.
 func systemLimit() int {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -80,5 +81,5 @@
 	return int(min(limit.Cur, math.MaxInt32))
 }
 
-// memory is how many bytes this process may take.
+// memory returns how many bytes of memory this process may use.
 func (p *pooler) memory() int { return p.cfg.Limits.MemoryMB << 20 / (1 + p.otherProcesses) }
--- a/cmd/beechgrade/descriptors_test.go
+++ b/cmd/beechgrade/descriptors_test.go
@@ -73,7 +73,7 @@
 func (d *daemon) admin() string {
 	d.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if lines := d.logged("msg=control"); len(lines) > 0 {
+		if lines := d.logged(`msg="admin endpoint listening"`); len(lines) > 0 {
 			return field(lines[0], "listen")
 		}
 	}
@@ -114,7 +114,7 @@
 		lines := bufio.NewScanner(stderr)
 		for lines.Scan() {
 			d.keep(lines.Text())
-			if _, rest, ok := strings.Cut(lines.Text(), "msg=serving"); ok {
+			if _, rest, ok := strings.Cut(lines.Text(), `msg="serving clients"`); ok {
 				serving <- strings.TrimPrefix(strings.Fields(rest)[1], "listen=")
 			}
 		}
--- a/cmd/beechgrade/drain.go
+++ b/cmd/beechgrade/drain.go
@@ -4,22 +4,22 @@
 	"beechgrade/internal/frontend/platform"
 )
 
-// The times from a drain's begin until its stages, in milliseconds. By 4 s no client may hold a connection that is idle, or on which it has
-// asked in the last 2 s: CloseActive is early enough for a connection to be shut (leaveMs and lingerMs of the frontend) and for the process to
-// be held up meanwhile.
+// The times from the start of a drain to its stages, in milliseconds. By 4 s no client may hold a connection that is idle, or on which it has
+// sent a request in the last 2 s. CloseActive comes early enough to close a connection (leaveMs and lingerMs of the frontend) even if the
+// process is delayed meanwhile.
 const (
-	closeIdleMs      = 350  // until clients' side has noticed: new connections stop, and closed ones go elsewhere
-	refuseCommandsMs = 1500 // until the commands of clients that never become idle are refused
+	closeIdleMs      = 350  // clients have noticed the drain by then: they open no new connections, and reconnect elsewhere
+	refuseCommandsMs = 1500 // commands of clients that never become idle are refused from then on
 	endPartialMs     = 2500
 	closeActiveMs    = 3000
-	afterDeadlineMs  = 1000 // from the last deadline of what was taken before that until CloseAll
+	afterDeadlineMs  = 1000 // from the last deadline of commands accepted before refuseCommandsMs until CloseAll
 )
 
-// startDrain begins a drain: clients are sent away in stages, each at a time that counts from now. A resume cancels the stages that have not
-// come yet; the end of the process does not.
+// startDrain starts a drain: client connections are closed in stages, each at a fixed time from now. A resume cancels the remaining stages; a
+// shutdown does not.
 func (p *pooler) startDrain() {
 	p.drainCount++
-	this, from := p.drainCount, p.loop.Now()
+	number, startedAt := p.drainCount, p.loop.Now()
 	if p.pooling != nil {
 		p.pooling.Drain()
 	}
@@ -33,28 +33,28 @@
 		{closeIdleMs, platform.CloseIdle}, {refuseCommandsMs, platform.RefuseCommands}, {endPartialMs, platform.EndPartial},
 		{closeActiveMs, platform.CloseActive}, {p.closeAllMs(), platform.CloseAll},
 	} {
-		p.loop.At(from+step.ms, func() {
-			if p.drainCount == this {
-				p.enterStage(step.stage, from)
+		p.loop.At(startedAt+step.ms, func() {
+			if p.drainCount == number {
+				p.enterStage(step.stage, startedAt)
 			}
 		})
 	}
 }
 
-// closeAllMs is the time from a drain's begin until whatever a client still has under way is ended: what was begun before commands were
-// refused has had its whole time by then.
+// closeAllMs returns the time from the start of a drain until all remaining requests are ended, in milliseconds. Requests that began before
+// commands were refused have passed their deadlines by then.
 func (p *pooler) closeAllMs() float64 {
 	return max(stopTimeoutMs, refuseCommandsMs+p.longestDeadline()+afterDeadlineMs)
 }
 
-// enterStage brings a drain that began at the given time to a stage.
-func (p *pooler) enterStage(stage platform.DrainStage, from float64) {
-	p.log.Info("drain",
+// enterStage moves a drain that started at the given time to a stage.
+func (p *pooler) enterStage(stage platform.DrainStage, startedAt float64) {
+	p.log.Info("drain stage entered",
 		"stage", stage.String(),
-		"ms", p.loop.Now()-from,
+		"elapsed_ms", p.loop.Now()-startedAt,
 		"sessions", p.platform.Sessions(),
-		"halfway", p.platform.PartialMessages(),
-		"open", p.core.OpenRequests())
+		"partial_messages", p.platform.PartialMessages(),
+		"open_requests", p.core.OpenRequests())
 	p.platform.SetDrainStage(stage)
 	if stage < platform.CloseAll {
 		return
@@ -69,7 +69,7 @@
 
 // resume ends a drain.
 func (p *pooler) resume() {
-	p.drainCount++ // its remaining stages have no effect
+	p.drainCount++ // cancels the remaining stages of the drain
 	p.platform.Resume()
 	if p.pooling != nil {
 		p.pooling.Resume()
--- a/cmd/beechgrade/fleetlimits.go
+++ b/cmd/beechgrade/fleetlimits.go
@@ -10,10 +10,10 @@
 	"beechgrade/internal/settings"
 )
 
-// demandIntervalMs is the time between two reports of this pooler's demand for the fleet's limits.
+// demandIntervalMs is the interval between reports of this pooler's demand under the fleet's limits.
 const demandIntervalMs = 100
 
-// fleetLimits joins the limits that hold for the whole fleet to the subsystems that apply them.
+// fleetLimits passes allowances under the limits of the whole fleet on to the subsystems that enforce them.
 type fleetLimits struct {
 	pooler   *pooler
 	set      settings.FleetLimits
@@ -22,27 +22,27 @@
 }
 
 // quotas returns the settings of package quota for the limits; nil where there are none.
-func quotas(set *settings.FleetLimits, expect int) *quota.Settings {
+func quotas(set *settings.FleetLimits, expectedPoolers int) *quota.Settings {
 	if !set.Enabled {
 		return nil
 	}
 	s := set.Settings
-	s.Limits, s.ExpectedPoolers = set.Quotas(), expect
+	s.Limits, s.ExpectedPoolers = set.Quotas(), expectedPoolers
 	return &s
 }
 
-// apply puts limits in force, with an allowance of nothing until one is assigned. It runs on the loop.
+// apply puts limits in force. A new limit allows nothing until an allowance is assigned. It runs on the loop.
 func (l *fleetLimits) apply(set settings.FleetLimits) {
 	old := l.set.Limits
 	l.set = set
 	for i := range set.Limits {
-		if x := &set.Limits[i]; !containsLimit(old, x) { // the core's own limits begin with nothing
-			l.assign(x, 0, 0)
+		if limit := &set.Limits[i]; !containsLimit(old, limit) { // limits that the core enforces start with an allowance of nothing by themselves
+			l.assign(limit, 0, 0)
 		}
 	}
 	for i := range old {
-		if x := &old[i]; !containsLimit(set.Limits, x) {
-			l.release(x)
+		if limit := &old[i]; !containsLimit(set.Limits, limit) {
+			l.release(limit)
 		}
 	}
 	l.pooler.core.SetLimits(set.CoreLimits(), l.pooler.peers)
@@ -52,31 +52,31 @@
 	}
 }
 
-func containsLimit(list []settings.FleetLimit, x *settings.FleetLimit) bool {
+func containsLimit(list []settings.FleetLimit, limit *settings.FleetLimit) bool {
 	for i := range list {
-		if list[i].Name == x.Name && list[i].Resource == x.Resource && list[i].Subject == x.Subject && list[i].Kind == x.Kind {
+		if list[i].Name == limit.Name && list[i].Resource == limit.Resource && list[i].Subject == limit.Subject && list[i].Kind == limit.Kind {
 			return true
 		}
 	}
 	return false
 }
 
-// assign sets the allowance of a limit where it is applied.
-func (l *fleetLimits) assign(x *settings.FleetLimit, amount, burst float64) {
-	switch x.Resource {
+// assign sets the allowance of a limit in the subsystem that enforces it.
+func (l *fleetLimits) assign(limit *settings.FleetLimit, amount, burst float64) {
+	switch limit.Resource {
 	case settings.ResourceQueries:
-		t := l.assigned[x.Subject]
-		if x.Kind == quota.Concurrency {
+		t := l.assigned[limit.Subject]
+		if limit.Kind == quota.Concurrency {
 			t.BoundsRunning, t.MaxRunning = true, int(amount+1e-9)
 		} else {
 			t.BoundsRate, t.PerSecond, t.Burst = true, amount, burst
 		}
-		if l.assigned[x.Subject] = t; l.pooler.clickhouse != nil {
-			l.pooler.clickhouse.AssignLimit(x.Subject, t)
+		if l.assigned[limit.Subject] = t; l.pooler.clickhouse != nil {
+			l.pooler.clickhouse.AssignLimit(limit.Subject, t)
 		}
 	case settings.ResourcePool:
 		if l.pooler.pooling != nil {
-			l.pooler.pooling.AssignLimit(x.Subject, int(amount+1e-9))
+			l.pooler.pooling.AssignLimit(limit.Subject, int(amount+1e-9))
 		}
 	case settings.ResourceShards:
 		if l.pooler.scatter != nil {
@@ -85,25 +85,25 @@
 	}
 }
 
-// release removes a limit where it was applied, which goes by its own settings again.
-func (l *fleetLimits) release(x *settings.FleetLimit) {
-	switch x.Resource {
+// release removes a limit from the subsystem that enforced it, which returns to its own settings.
+func (l *fleetLimits) release(limit *settings.FleetLimit) {
+	switch limit.Resource {
 	case settings.ResourceQueries:
-		t := l.assigned[x.Subject]
-		if x.Kind == quota.Concurrency {
+		t := l.assigned[limit.Subject]
+		if limit.Kind == quota.Concurrency {
 			t.BoundsRunning = false
 		} else {
 			t.BoundsRate = false
 		}
-		if l.assigned[x.Subject] = t; l.pooler.clickhouse == nil {
+		if l.assigned[limit.Subject] = t; l.pooler.clickhouse == nil {
 			return
 		}
-		if l.pooler.clickhouse.AssignLimit(x.Subject, t); t == (limits.Allowance{}) {
-			l.pooler.clickhouse.RestoreLimits(x.Subject)
+		if l.pooler.clickhouse.AssignLimit(limit.Subject, t); t == (limits.Allowance{}) {
+			l.pooler.clickhouse.RestoreLimits(limit.Subject)
 		}
 	case settings.ResourcePool:
 		if l.pooler.pooling != nil {
-			l.pooler.pooling.RestoreLimits(x.Subject)
+			l.pooler.pooling.RestoreLimits(limit.Subject)
 		}
 	case settings.ResourceShards:
 		if l.pooler.scatter != nil {
@@ -112,51 +112,51 @@
 	}
 }
 
-// allow sets what this pooler may use of a limit.
+// allow sets this pooler's allowance under a limit.
 func (l *fleetLimits) allow(name string, amount, burst float64) {
-	l.pooler.log.Debug("fleet limit", "limit", name, "amount", amount, "burst", burst)
+	l.pooler.log.Debug("fleet limits: allowance changed", "limit", name, "amount", amount, "burst", burst)
 	l.pooler.core.RecordEvent(recordpb.Kind_KIND_LIMIT, fmt.Sprintf("%s: %g", name, amount))
 	if l.pooler.core.SetAllowance(name, amount, burst) {
 		return
 	}
 	for i := range l.set.Limits {
-		if x := &l.set.Limits[i]; x.Name == name {
-			l.assign(x, amount, burst)
-			if x.Kind == quota.Concurrency { // what is in use beyond it must be known before it is leased to others
-				l.reportDemand(x)
+		if limit := &l.set.Limits[i]; limit.Name == name {
+			l.assign(limit, amount, burst)
+			if limit.Kind == quota.Concurrency { // use beyond the allowance must be reported before the rest is leased to other poolers
+				l.reportDemand(limit)
 			}
 		}
 	}
 }
 
-// reportDemand reports what this pooler would use of a limit, and what it uses.
-func (l *fleetLimits) reportDemand(x *settings.FleetLimit) {
-	if want, ok := l.pooler.core.Demand(x.Name); ok {
-		if x.Resource == settings.ResourceColdServers { // as a part of the fleet's slow-start budget
-			want /= slowStartScale
+// reportDemand reports how much this pooler would use of a limit, and for a concurrency limit how much it uses.
+func (l *fleetLimits) reportDemand(limit *settings.FleetLimit) {
+	if wanted, ok := l.pooler.core.Demand(limit.Name); ok {
+		if limit.Resource == settings.ResourceColdServers { // as a share of the fleet's slow-start budget
+			wanted /= slowStartScale
 		}
-		l.pooler.peers.ReportDemand(x.Name, want, 0)
+		l.pooler.peers.ReportDemand(limit.Name, wanted, 0)
 		return
 	}
 	switch {
-	case x.Resource == settings.ResourceQueries && l.pooler.clickhouse != nil:
-		demand := l.pooler.clickhouse.Demand(x.Subject)
-		if x.Kind == quota.Concurrency {
+	case limit.Resource == settings.ResourceQueries && l.pooler.clickhouse != nil:
+		demand := l.pooler.clickhouse.Demand(limit.Subject)
+		if limit.Kind == quota.Concurrency {
 			running := float64(demand.Running)
-			l.pooler.peers.ReportDemand(x.Name, running+demand.Unserved, running)
+			l.pooler.peers.ReportDemand(limit.Name, running+demand.Unserved, running)
 		} else {
-			l.pooler.peers.ReportDemand(x.Name, demand.PerSecond, 0)
+			l.pooler.peers.ReportDemand(limit.Name, demand.PerSecond, 0)
 		}
-	case x.Resource == settings.ResourcePool && l.pooler.pooling != nil:
-		has, want := l.pooler.pooling.Demand(x.Subject)
-		l.pooler.peers.ReportDemand(x.Name, float64(want), float64(has))
-	case x.Resource == settings.ResourceShards && l.pooler.scatter != nil:
-		has, want := l.pooler.scatter.Demand()
-		l.pooler.peers.ReportDemand(x.Name, float64(want), float64(has))
+	case limit.Resource == settings.ResourcePool && l.pooler.pooling != nil:
+		used, wanted := l.pooler.pooling.Demand(limit.Subject)
+		l.pooler.peers.ReportDemand(limit.Name, float64(wanted), float64(used))
+	case limit.Resource == settings.ResourceShards && l.pooler.scatter != nil:
+		used, wanted := l.pooler.scatter.Demand()
+		l.pooler.peers.ReportDemand(limit.Name, float64(wanted), float64(used))
 	}
 }
 
-// slowStartScale is the flow of requests a second that counts as the whole slow-start budget. Only ratios of flows matter.
+// slowStartScale is the request rate, per second, that is reported as the whole slow-start budget. Only ratios between rates matter.
 const slowStartScale = 1e5
 
 func (l *fleetLimits) tick() {
@@ -170,7 +170,7 @@
 func (p *pooler) reloadLimits(set settings.FleetLimits) {
 	if p.peers == nil {
 		if set.Enabled {
-			p.log.Warn("cannot change while serving, needs a restart", "kept", []string{"fleet-limits"})
+			p.log.Warn("settings cannot be changed while serving; the previous ones apply until a restart", "settings", []string{"fleet-limits"})
 		}
 		return
 	}
@@ -182,26 +182,26 @@
 	}
 	p.limits.apply(set)
 	p.peers.SetLimits(*quotasOrNone(&set, p.expectedPoolers))
-	p.log.Info("fleet limits read again", "limits", len(set.Limits))
+	p.log.Info("fleet limits: settings reloaded", "limits", len(set.Limits))
 }
 
-func quotasOrNone(set *settings.FleetLimits, expect int) *quota.Settings {
-	if s := quotas(set, expect); s != nil {
+func quotasOrNone(set *settings.FleetLimits, expectedPoolers int) *quota.Settings {
+	if s := quotas(set, expectedPoolers); s != nil {
 		return s
 	}
-	return &quota.Settings{ExpectedPoolers: expect}
+	return &quota.Settings{ExpectedPoolers: expectedPoolers}
 }
 
-// writeLimitsMetrics writes the metrics of the fleet's limits, where there are any.
+// writeLimitsMetrics writes the metrics of the fleet's limits, where any are configured.
 func (p *pooler) writeLimitsMetrics(s *exposition.Snapshot) {
 	if p.peers == nil || p.limits == nil {
 		return
 	}
 	for _, l := range p.peers.QuotaStatuses() {
-		of := s.Scope("limits").Label("limit", l.Limit.Name)
-		of.Gauge("allowed", l.Amount)
-		of.Gauge("floor", l.Reserved)
-		of.BoolGauge("owns", l.IsOwner)
-		of.Gauge("lent", l.Leased)
+		limit := s.Scope("limits").Label("limit", l.Limit.Name)
+		limit.Gauge("allowed", l.Amount)
+		limit.Gauge("floor", l.Reserved)
+		limit.BoolGauge("owns", l.IsOwner)
+		limit.Gauge("lent", l.Leased)
 	}
 }
--- a/cmd/beechgrade/invariants.go
+++ b/cmd/beechgrade/invariants.go
@@ -6,8 +6,8 @@
 	"beechgrade/internal/settings"
 )
 
-// openInvariants has the subsystems check statements about their own state, where the settings enable it. A breach is logged once for
-// each name and counted; it stops nothing.
+// openInvariants has the subsystems check invariants of their own state, where the settings enable it. A violation is counted, and logged once for
+// each name; it has no other effect.
 func (p *pooler) openInvariants(set settings.Invariants) {
 	if set.Enabled {
 		p.countsChecks = true
@@ -19,7 +19,7 @@
 	}
 }
 
-// check passes the checks to the subsystems. It is called once all are open, before any begins.
+// check passes the checks to the subsystems. It is called once all are open, before any of them starts.
 func (p *pooler) check(c *invariant.Checks, every int) {
 	p.checks = c
 	p.core.SetChecks(c, every)
@@ -48,15 +48,15 @@
 	}
 }
 
-// logInvariants logs at the end how many statements were checked, and how many were false.
+// logInvariants logs at shutdown how many invariants were checked, and how many were violated.
 func (p *pooler) logInvariants() {
 	if p.countsChecks {
 		made, broken := p.checks.Counts()
-		p.log.Info("invariants", "made", made, "broken", broken)
+		p.log.Info("invariant checks at shutdown", "made", made, "broken", broken)
 	}
 }
 
-// writeInvariantsMetrics writes the metrics of checked statements, where any are checked.
+// writeInvariantsMetrics writes the metrics of invariant checks, where they are enabled.
 func (p *pooler) writeInvariantsMetrics(s *exposition.Snapshot) {
 	if !p.countsChecks {
 		return
--- a/cmd/beechgrade/journal.go
+++ b/cmd/beechgrade/journal.go
@@ -9,7 +9,7 @@
 	"beechgrade/internal/storage/store"
 )
 
-// openJournal opens the journal of attempts that may have run, where the settings enable it. The returned function closes it.
+// openJournal opens the journal of attempts that may have been executed, where the settings enable it. The returned function closes it.
 func (p *pooler) openJournal(o settings.Journal) (stop func(), err error) {
 	if o.Dir == "" {
 		return func() {}, nil
@@ -36,7 +36,7 @@
 	p.journal = journaled.New(p.loop, p.log, p.core, s, o.Mode)
 	p.core.SetJournal(p.journal)
 	if n := len(journal.Pending(s)); n > 0 {
-		p.log.Warn("journal: attempts of earlier processes may have run", "attempts", n)
+		p.log.Warn("journal: attempts of earlier processes have no recorded outcome and may have been executed", "attempts", n)
 	}
 	return func() { _ = s.Close() }, nil
 }
--- a/cmd/beechgrade/lifecycle.go
+++ b/cmd/beechgrade/lifecycle.go
@@ -6,16 +6,16 @@
 	"beechgrade/internal/record/recordpb"
 )
 
-// listTimeoutMs is how long a start waits for a list of servers before it serves with the one from the configuration.
+// listTimeoutMs is how long the startup waits for a server list before it serves with the one from the configuration.
 const listTimeoutMs = 1500
 
-// listObserver passes lists on from discovery, and notes the first one.
+// listObserver passes lists on from discovery, and marks the process ready at the first one.
 type listObserver struct {
 	pooler *pooler
 	discovery.Events
 }
 
-// Listed takes a list from discovery. One that is older than what another process on the socket has reported is not passed on.
+// Listed applies a list from discovery. A list that is older than one that another process on the socket has reported is not passed on.
 func (l listObserver) Listed(list *discovery.List) {
 	if p := l.pooler; list.Restarted || list.Generation >= p.list.generation {
 		p.list.receive(list)
@@ -25,13 +25,13 @@
 	l.pooler.listReceived()
 }
 
-// awaitList has the process count as ready once a list has been received, after listTimeoutMs at the latest.
+// awaitList marks the process ready once a list has been received, or after listTimeoutMs.
 func (p *pooler) awaitList() {
 	p.lifecycle.Shared = p.inheritedListener != nil
 	p.loop.At(p.loop.Now()+listTimeoutMs, p.listReceived)
 }
 
-// listReceived notes that there is a list: from the first one on this process can serve.
+// listReceived marks the process ready at the first call.
 func (p *pooler) listReceived() {
 	if !p.hasList {
 		p.hasList = true
@@ -39,7 +39,8 @@
 	}
 }
 
-// handleLifecycle changes the process's state by an event, does what follows from the change, and reports whether the event was accepted.
+// handleLifecycle applies an event to the lifecycle state, starts the drain, resume or shutdown that follows from it, and reports whether the event
+// was accepted.
 func (p *pooler) handleLifecycle(event lifecycle.Event) bool {
 	before := p.lifecycle.State()
 	accepted := p.lifecycle.Handle(event)
@@ -48,7 +49,7 @@
 	if now == before {
 		return accepted
 	}
-	p.log.Info("life", "was", before.String(), "now", now.String(), "sessions", p.platform.Sessions(), "open", p.core.OpenRequests())
+	p.log.Info("lifecycle state changed", "was", before.String(), "now", now.String(), "sessions", p.platform.Sessions(), "open_requests", p.core.OpenRequests())
 	if p.inheritedListener != nil && before == lifecycle.Starting && p.lifecycle.AcceptsConnections() {
 		p.stopAccepting = p.loop.AcceptFrom(p.inheritedListener, p.platform.Accept)
 	}
--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// badInput is an error in what the program was given: arguments, environment, configuration or settings.
+// badInput is an error in the program's input: arguments, environment, configuration or settings.
 type badInput struct{ error }
 
 func (b badInput) Unwrap() error { return b.error }
--- a/cmd/beechgrade/outlier.go
+++ b/cmd/beechgrade/outlier.go
@@ -20,19 +20,19 @@
 		return
 	}
 	p.outlier = adapter.New(set.Options, p.core, clusterTransport{p.peers, p.loop})
-	p.outlier.OnEjection(func(s outlier.Ejection, begins bool) {
-		p.core.RecordEvent(recordpb.Kind_KIND_AVOIDED, ejectionText(s, begins))
+	p.outlier.OnEjection(func(e outlier.Ejection, begins bool) {
+		p.core.RecordEvent(recordpb.Kind_KIND_AVOIDED, ejectionText(e, begins))
 	})
 	p.core.SetServerObserver(p.outlier)
 	p.peers.Register(p.outlier)
 }
 
-// ejectionText returns the text of the record of a server's ejection, or of its end.
-func ejectionText(s outlier.Ejection, begins bool) string {
+// ejectionText returns the text that is recorded when a server's ejection begins or ends.
+func ejectionText(e outlier.Ejection, begins bool) string {
 	if !begins {
-		return s.Server + ": no more"
+		return e.Server + ": no more"
 	}
-	return fmt.Sprintf("%s: %s by %s until %.0f", s.Server, s.Reason, idsText(s.ReportedBy), s.UntilMs)
+	return fmt.Sprintf("%s: %s by %s until %.0f", e.Server, e.Reason, idsText(e.ReportedBy), e.UntilMs)
 }
 
 func idsText(ids []view.ID) string {
@@ -43,17 +43,17 @@
 	return strings.Join(all, ",")
 }
 
-// writeOutlierMetrics writes why servers are ejected, by whose observations, and until when.
+// writeOutlierMetrics writes the reason, the reporting poolers and the end of each server's ejection.
 func (p *pooler) writeOutlierMetrics(s *exposition.Snapshot) {
 	if p.outlier == nil {
 		return
 	}
-	part := s.Scope("verdicts")
-	for _, v := range p.outlier.Avoided() {
-		of := part.Label("server", v.Server)
-		of.IntGauge("until", int64(math.RoundToEven(v.UntilMs)))
-		of.Info("why", v.Reason)
-		of.Info("by", idsText(v.ReportedBy))
+	ejections := s.Scope("verdicts")
+	for _, e := range p.outlier.Avoided() {
+		server := ejections.Label("server", e.Server)
+		server.IntGauge("until", int64(math.RoundToEven(e.UntilMs)))
+		server.Info("why", e.Reason)
+		server.Info("by", idsText(e.ReportedBy))
 	}
-	part.IntGauge("own_links", int64(p.outlier.LocallyUnreachable()))
+	ejections.IntGauge("own_links", int64(p.outlier.LocallyUnreachable()))
 }
--- a/cmd/beechgrade/peers.go
+++ b/cmd/beechgrade/peers.go
@@ -14,8 +14,8 @@
 	"beechgrade/internal/settings"
 )
 
-// openPeers makes the pooler a member of a fleet, where the settings enable it.
-func (p *pooler) openPeers(set settings.Cluster, own settings.FleetLimits) error {
+// openPeers makes the pooler a member of a fleet of poolers, where the settings enable it.
+func (p *pooler) openPeers(set settings.Cluster, fleetLimitSettings settings.FleetLimits) error {
 	if !set.Enabled {
 		return nil
 	}
@@ -30,58 +30,59 @@
 	v := set.View
 	v.ExpectedPoolers = cmp.Or(v.ExpectedPoolers, p.cfg.Settings.Peers)
 	p.expectedPoolers = v.ExpectedPoolers
-	drawn := rand.Uint64() // two processes may have the same seed in their configuration
-	v.RandomSeed = drawn
+	seed := rand.Uint64() // not the configuration's: two processes may have the same one
+	v.RandomSeed = seed
 	p.peers = cluster.New(p.loop, p.log, cluster.Options{
 		Listen:    set.Listen,
 		Advertise: set.Advertise,
 		Key:       key,
 		View:      v,
-		Quota:     quotas(&own, p.expectedPoolers),
+		Quota:     quotas(&fleetLimitSettings, p.expectedPoolers),
 		RetryBind: p.inheritedListener != nil,
 		Record: view.Record{
-			ID:      view.NewID(clock.Wall(), drawn),
+			ID:      view.NewID(clock.Wall(), seed),
 			Name:    p.cfg.Name,
 			Zone:    zone,
 			Region:  set.Region,
-			Version: short(version()),
+			Version: truncateName(version()),
 		},
 	}, fleetEvents{p})
-	if own.Enabled {
-		p.limits = &fleetLimits{pooler: p, set: own, assigned: map[string]limits.Allowance{}}
+	if fleetLimitSettings.Enabled {
+		p.limits = &fleetLimits{pooler: p, set: fleetLimitSettings, assigned: map[string]limits.Allowance{}}
 	}
 	return nil
 }
 
-func short(s string) string { return s[:min(len(s), view.MaxNameBytes)] }
+// truncateName cuts a text to the longest name in a record.
+func truncateName(s string) string { return s[:min(len(s), view.MaxNameBytes)] }
 
 // fleetEvents passes changes of the cluster's view on to the pooler.
 type fleetEvents struct{ pooler *pooler }
 
-// CountsChanged applies how many poolers there are.
+// CountsChanged applies a change of the number of poolers.
 func (f fleetEvents) CountsChanged(c view.Counts) {
 	p := f.pooler
-	p.log.Info("fleet", "reachable", c.Reachable, "sending", c.Sending, "majority", c.Majority, "alone", c.Isolated)
+	p.log.Info("cluster: number of poolers changed", "reachable", c.Reachable, "sending", c.Sending, "majority", c.Majority, "isolated", c.Isolated)
 	p.core.SetPeers(c.Sending)
 }
 
-// AllowanceChanged applies what this pooler may use of a limit.
+// AllowanceChanged applies a new allowance of this pooler under a limit.
 func (f fleetEvents) AllowanceChanged(limit string, amount, burst float64) {
 	if f.pooler.limits != nil {
 		f.pooler.limits.allow(limit, amount, burst)
 	}
 }
 
-// MemberChanged records a change of a member.
-func (f fleetEvents) MemberChanged(r view.Record, was view.State, isNew bool) {
+// MemberChanged records a new member, or a member's change of state.
+func (f fleetEvents) MemberChanged(r view.Record, previous view.State, isNew bool) {
 	if isNew {
 		f.pooler.core.RecordEvent(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s", r.Name, uint64(r.ID), r.Zone, r.State))
 		return
 	}
-	f.pooler.core.RecordEvent(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s, was %s", r.Name, uint64(r.ID), r.Zone, r.State, was))
+	f.pooler.core.RecordEvent(recordpb.Kind_KIND_PEER, fmt.Sprintf("%s %x %s: %s, was %s", r.Name, uint64(r.ID), r.Zone, r.State, previous))
 }
 
-// writePeersMetrics writes the metrics of the fleet, where the pooler is in one.
+// writePeersMetrics writes the metrics of the cluster, where the pooler is a member of a fleet.
 func (p *pooler) writePeersMetrics(s *exposition.Snapshot) {
 	if p.peers == nil {
 		return
--- a/cmd/beechgrade/pooler.go
+++ b/cmd/beechgrade/pooler.go
@@ -31,34 +31,35 @@
 )
 
 const (
-	// idleTimeShare is the part of the servers' idle time after which a connection is closed here, before the server closes it.
+	// idleTimeShare is the part of a server's idle timeout after which the pooler closes a connection, so that it closes before the server does.
 	idleTimeShare = 0.8
 
-	// User and database with which the pooler connects to servers, and the parameter in which they report their position.
+	// User and database with which the pooler connects to servers, and the parameter in which servers report their replication position.
 	backendUser       = "backend"
 	backendDatabase   = "store"
 	positionParameter = "applied_ms"
 )
 
-// serverRoles are the names that servers give to their roles: the primary's, then the replica's.
+// serverRoles are the roles as servers report them: the primary's name, then the replica's.
 var serverRoles = [2]string{"primary", "replica"}
 
-// pooler joins the subsystems of the daemon. Optional ones are nil where they are off. But for construction, all of it is for the event loop alone.
+// pooler connects the subsystems of the daemon. Optional subsystems are nil where they are disabled. After construction, only the event loop
+// accesses it.
 type pooler struct {
 	cfg       *config.Config
-	settings  *settings.Settings // as read at the start; nil in tests
+	settings  *settings.Settings // as read at startup; nil in tests
 	log       *slog.Logger
 	loop      *eventloop.Loop
 	core      *core.Core
 	platform  *platform.Postgres
 	backend   *backend.Pool
 	discovery *discovery.Client
-	machine   clock.Machine // this machine's clocks; tests set it
+	machine   clock.Machine // this machine's clocks; replaced in tests
 
 	load      func() (*config.Config, error) // reads the configuration again
-	reloaders []reloader                     // of the operators' settings
+	reloaders []reloader                     // for the operators' settings
 
-	// The optional frontends, with the addresses at which they listen.
+	// The optional frontends, with their listen addresses.
 	pooling         *pooling.Frontend
 	poolingAddr     string
 	stopPooling     func()
@@ -68,7 +69,7 @@
 	clickhouseGroup int // the group of servers that speak ClickHouse's protocol
 	stopClickHouse  func()
 
-	// What poolers share.
+	// Subsystems that the poolers of a fleet run together.
 	peers           *cluster.Node
 	expectedPoolers int
 	limits          *fleetLimits
@@ -80,35 +81,35 @@
 
 	// Storage.
 	journal       *journaled.Servers
-	commits       *sessiontoken.Keeper // of sessions
-	otherSessions *upgradeSessions     // those of the other process on an inherited socket
-	recovered     []recoveredStore     // found by opening stores, until it is recorded
-	snapshots     *snapshots.Keeper    // the last good configuration and list
-	renewConfig   func()               // notes that the configuration is still good; nil where it came from a snapshot
-	listSavedAt   float64              // when the list was saved last, or will be
+	commits       *sessiontoken.Keeper // the last commit of each session
+	otherSessions *upgradeSessions     // the store of the other process on an inherited socket
+	recovered     []recoveredStore     // recoveries of opened stores that are not recorded yet
+	snapshots     *snapshots.Keeper    // the last valid configuration and server list
+	renewConfig   func()               // saves the configuration again with a new time; nil where it came from a snapshot
+	listSavedAt   float64              // time of the last or the scheduled save of the list, ms
 	savingList    bool
 
 	// Records and checks.
 	recordsGauges bool
-	files         record.Files // where records go in place of the settings' folder; tests set it
+	files         record.Files // destination of records in tests, in place of the settings' folder
 	checks        *invariant.Checks
-	countsChecks  bool // in the metrics
+	countsChecks  bool // report the checks in the log and the metrics
 
-	// The list of servers.
+	// The server list.
 	sources *sources // nil where the platform's discovery is the only one
 	list    serverList
-	hasList bool // a source has reported, or enough time has passed
+	hasList bool // a source has reported a list, or listTimeoutMs has passed
 
-	// The process's lifecycle, and its part of an inherited socket.
+	// The process's lifecycle, and its share of an inherited socket.
 	lifecycle         lifecycle.Machine
-	drainCount        int // begun and ended so far
+	drainCount        int // drains that have begun, plus those that have ended
 	inheritedListener net.Listener
 	stopAccepting     func() // on the inherited listener
 	folder            stateFolder
-	previousState     *handover.State // of another process, until it is applied
-	otherProcesses    int
-	othersDescriptors int
-	descriptorLimit   int // the system's, for this process
+	previousState     *handover.State // read from another process, until it is applied
+	otherProcesses    int             // on the same socket
+	othersDescriptors int             // that the other processes hold
+	descriptorLimit   int             // of the system, for this process
 
 	admin     *admin.Server
 	adminAddr string
@@ -125,7 +126,7 @@
 		descriptorLimit: systemLimit(),
 	}
 	if p.descriptorLimit < cfg.Limits.Sockets {
-		log.Warn("the system allows fewer descriptors than the settings", "system", p.descriptorLimit, "settings", cfg.Limits.Sockets)
+		log.Warn("the system's descriptor limit is below the configured one and applies instead", "system", p.descriptorLimit, "configured", cfg.Limits.Sockets)
 	}
 	p.loop = eventloop.New(clock.System(), log, func() eventloop.Handler { return p.platform.Accept() }, p.start)
 	p.core = core.New(p.loop, log, cfg)
@@ -154,7 +155,7 @@
 	}
 }
 
-// start begins to serve. It runs on the loop before anything else.
+// start starts the subsystems. It is the first function that runs on the loop.
 func (p *pooler) start() {
 	p.startCore()
 	p.awaitList()
@@ -171,7 +172,7 @@
 			p.zones.recordNote()
 		}
 	}
-	if p.limits != nil { // nothing of a limit is used before it is assigned
+	if p.limits != nil { // a limit allows nothing until an allowance is assigned
 		p.limits.apply(p.limits.set)
 	}
 	if p.raftLog != nil {
@@ -179,16 +180,16 @@
 	}
 	if p.peers != nil {
 		if err := p.peers.Start(); err != nil {
-			p.log.Error("peers", "err", err)
+			p.log.Error("cluster: node could not start; shutting down", "err", err)
 			p.loop.End()
 			return
 		}
 	}
-	p.log.Info("serving", "listen", p.loop.Addr(), "servers", len(p.cfg.InitialList.Instances),
-		"siblings", p.cfg.Settings.Peers, "max_retry_after", p.cfg.Settings.MaxRetryAfter)
+	p.log.Info("serving clients", "listen", p.loop.Addr(), "servers", len(p.cfg.InitialList.Instances),
+		"peers", p.cfg.Settings.Peers, "max_retry_after", p.cfg.Settings.MaxRetryAfter)
 }
 
-// startCore starts the request table with its servers, the list and what earlier processes knew, and the platform's frontend.
+// startCore starts the core with its servers, the server list and the state of earlier processes, and the platform's frontend.
 func (p *pooler) startCore() {
 	directory := p.startDiscovery()
 	p.core.RecordEvent(recordpb.Kind_KIND_START, "")
@@ -209,7 +210,8 @@
 	p.platform.Start()
 }
 
-// startDiscovery makes the platform's discovery, and starts the other sources of the list. It returns what answers for the list.
+// startDiscovery creates the client of the platform's discovery, and starts the other sources of the server list. It returns the directory from
+// which the core requests the list.
 func (p *pooler) startDiscovery() core.Directory {
 	if p.sources == nil {
 		p.discovery = discovery.New(p.loop, p.log, p.cfg.DiscoveryAddress, p.cfg.InitialList.Generation, listObserver{p, p.core})
@@ -220,7 +222,7 @@
 	return p.sources.members
 }
 
-// run serves until a signal to stop comes and all answers have been given; one to reload reads configuration and settings again.
+// run serves until a signal to stop has come and the shutdown is complete. A signal to reload reads the configuration and the settings again.
 func (p *pooler) run(stop, reload <-chan os.Signal) error {
 	go func() {
 		for range stop {
--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -34,24 +34,24 @@
 
 // listenPooling opens the address of the pooling frontend.
 func (p *pooler) listenPooling() {
-	at, stop, err := p.loop.Listen(p.poolingAddr, p.pooling.Accept)
+	address, stop, err := p.loop.Listen(p.poolingAddr, p.pooling.Accept)
 	if err != nil {
-		p.log.Error("pooling", "err", err)
+		p.log.Error("pooling: frontend could not listen; shutting down", "err", err)
 		p.stopPooling = func() {}
 		p.loop.End()
 		return
 	}
-	p.poolingAddr = at
+	p.poolingAddr = address
 	p.stopPooling = func() { p.stopListening(stop, p.pooling.End) }
 	p.pooling.Start()
-	p.log.Info("pooling", "listen", at)
+	p.log.Info("pooling: frontend listening", "listen", address)
 }
 
-// lastAnswersMs is how long before stopTimeoutMs clients get an error for requests that are still in progress.
+// lastAnswersMs is how long before stopTimeoutMs clients receive an error for requests that are still in progress.
 const lastAnswersMs = 1200
 
-// stopListening closes the listener of a frontend after acceptAfterTermMs, so that connections that wait to be accepted get an answer. end is
-// called lastAnswersMs before the process ends at the latest.
+// stopListening closes the listener of a frontend after acceptAfterTermMs, so that connections waiting to be accepted receive an answer. It
+// calls end lastAnswersMs before stopTimeoutMs.
 func (p *pooler) stopListening(stop, end func()) {
 	now := p.loop.Now()
 	p.loop.At(now+stopTimeoutMs-lastAnswersMs, end)
@@ -62,7 +62,7 @@
 	p.loop.At(now+acceptAfterTermMs, stop)
 }
 
-// servers returns what carries out attempts: the platform's connections, and those of the optional frontends.
+// servers returns the implementation of attempts: the platform's server connections, and those of the optional frontends.
 func (p *pooler) servers() core.Servers {
 	if p.pooling == nil && p.clickhouse == nil {
 		return p.backend
@@ -77,17 +77,17 @@
 	}
 }
 
-// frontends passes each attempt to the connections of its frontend. Optional frontends are nil where they are off.
+// frontends passes each attempt to the server connections of its frontend. Optional frontends are nil where they are disabled.
 type frontends struct {
 	*backend.Pool
 	pooling           *pooling.Frontend
 	scatter           *scatter.Frontend // only where pooling is on
 	clickhouse        *clickhouse.Frontend
 	clickhouseServers map[string]bool // by ID
-	group             int             // whose servers speak ClickHouse's protocol
+	group             int             // the group of servers that speak ClickHouse's protocol
 }
 
-// SetGroup notes the group of a server.
+// SetGroup records whether a server speaks ClickHouse's protocol, by its group.
 func (s frontends) SetGroup(id string, group int) {
 	if s.clickhouse != nil && group == s.group {
 		s.clickhouseServers[id] = true
@@ -158,16 +158,16 @@
 	}
 }
 
-func (s frontends) Start(id string, q backend.Query, until float64, on backend.SendConditions, t backend.AttemptID) slotmap.Ref {
+func (s frontends) Start(id string, q backend.Query, until float64, conditions backend.SendConditions, attempt backend.AttemptID) slotmap.Ref {
 	switch {
 	case s.clickhouse != nil && clickhouse.IsRequest(q):
-		return s.clickhouse.StartAttempt(id, q, until, t)
+		return s.clickhouse.StartAttempt(id, q, until, attempt)
 	case s.pooling != nil && pooling.IsTransaction(q):
-		return s.pooling.StartAttempt(id, q, until, t)
+		return s.pooling.StartAttempt(id, q, until, attempt)
 	case s.scatter != nil && scatter.IsShardRead(q):
-		return s.scatter.StartAttempt(id, q, until, t)
+		return s.scatter.StartAttempt(id, q, until, attempt)
 	}
-	return s.Pool.Start(id, q, until, on, t)
+	return s.Pool.Start(id, q, until, conditions, attempt)
 }
 
 func (s frontends) CheckHealth(id string) {
--- a/cmd/beechgrade/raftlog.go
+++ b/cmd/beechgrade/raftlog.go
@@ -18,12 +18,15 @@
 )
 
 const (
-	lockRetryMs       = 200 // between attempts to open a disk that this pooler's last process has locked
+	lockRetryMs       = 200 // between attempts to open a store that this pooler's previous process still locks
 	witnessIntervalMs = 20
 	logIntervalMs     = 250 // between log lines about witness entries
 )
 
-// raftLog joins the replicated log to the cluster and to its disk. Its users add their state machines before the start.
+// raftLog connects the replicated log to the cluster and to its store on disk. Its users add their state machines before it starts.
+//
+// Witness entries are numbered entries that a pooler proposes at a configured rate, to measure commit latency and to verify that every voter
+// applies each entry once.
 type raftLog struct {
 	pooler    *pooler
 	set       settings.RaftLog
@@ -36,17 +39,18 @@
 	begun     bool
 
 	mu      sync.Mutex
-	pending []func() // completions of the disk, to run on the loop
+	pending []func() // completions of disk writes, to run on the loop
 
 	counter      counter.Counter
 	proposalsDue float64
 	logAt        float64
 	next         uint64 // number of the next witness entry
 	waiting      []witnessProposal
-	latencies    []float64 // of own witness entries, ms from the proposal to the commit
-	process      string    // this process's name in its entries
+	latencies    []float64 // of this process's witness entries, ms from the proposal to the commit
+	process      string    // this process's name in its witness entries
 }
 
+// witnessProposal is a witness entry that is not known to be committed.
 type witnessProposal struct {
 	number                      uint64
 	firstProposedAt, proposedAt float64
@@ -77,7 +81,7 @@
 	}
 }
 
-// begin opens a voter's disk, off the loop: another process of this pooler may still hold its lock.
+// begin opens a voter's store, off the loop: another process of this pooler may still hold its lock.
 func (l *raftLog) begin() {
 	l.begun = true
 	if l.set.WitnessPerSecond > 0 {
@@ -126,7 +130,7 @@
 	}()
 }
 
-// postInOrder runs functions on the loop in the order of the calls, which the loop itself does not promise while its queue is full.
+// postInOrder runs functions on the loop in the order of the calls, which the loop itself does not guarantee while its queue is full.
 func (l *raftLog) postInOrder(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,10 +141,10 @@
 
 func (l *raftLog) runPending() {
 	l.mu.Lock()
-	box := l.pending
+	batch := l.pending
 	l.pending = nil
 	l.mu.Unlock()
-	for _, do := range box {
+	for _, do := range batch {
 		do()
 	}
 }
@@ -154,7 +158,7 @@
 	l.store.Append(entries, done)
 }
 
-// observe logs leadership and passes actions on.
+// observe logs changes of leadership and of voters, and passes all actions on to the observers.
 func (l *raftLog) observe(a *raftlog.Action) {
 	switch a.Kind {
 	case raftlog.Apply:
@@ -162,24 +166,24 @@
 			l.recordLatency(a.Entry[1:])
 		}
 	case raftlog.BecameLeader:
-		l.pooler.log.Info("agreed: this pooler leads", "term", a.Term)
+		l.pooler.log.Info("replicated log: this pooler became the leader", "term", a.Term)
 	case raftlog.LeaderChanged:
-		l.pooler.log.Info("agreed: follows", "leader", a.Leader, "term", a.Term)
+		l.pooler.log.Info("replicated log: leader changed", "leader", a.Leader, "term", a.Term)
 	case raftlog.VotersChanged:
-		l.pooler.log.Warn("agreed: a voter's place went to another disk", "from", a.Index, "voters", fmt.Sprint(a.Members))
+		l.pooler.log.Warn("replicated log: a voter continues on another disk", "from_index", a.Index, "voters", fmt.Sprint(a.Members))
 	case raftlog.Stopped:
-		l.pooler.log.Error("agreed: this pooler votes no more", "why", a.Text)
+		l.pooler.log.Error("replicated log: stopped; this pooler no longer votes", "reason", a.Text)
 	}
 	for _, f := range l.observers {
 		f(a)
 	}
 }
 
-// proposeWitnesses proposes numbered entries at the settings' rate, and repeats those that were not committed in time.
+// proposeWitnesses proposes witness entries at the configured rate, and repeats those that were not committed in time.
 func (l *raftLog) proposeWitnesses() {
 	now := l.pooler.loop.Now()
-	const mostTries = counter.Window / 2
-	kept := l.waiting[:0]
+	const maxWaiting = counter.Window / 2
+	remaining := l.waiting[:0]
 	for _, w := range l.waiting {
 		if l.counter.Has(l.process, w.number) {
 			continue
@@ -187,14 +191,14 @@
 		if now >= w.proposedAt+l.set.Settings.ForwardTimeout() {
 			w.proposedAt = now
 			l.propose(w.number)
-			if !l.adapter.Status().IsVoter { // it does not learn whether the entry was committed
+			if !l.adapter.Status().IsVoter { // a pooler that does not vote does not learn whether the entry was committed
 				continue
 			}
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	l.waiting = kept
-	for l.proposalsDue += l.set.WitnessPerSecond * witnessIntervalMs / 1000; l.proposalsDue >= 1 && len(l.waiting) < mostTries; l.proposalsDue-- {
+	l.waiting = remaining
+	for l.proposalsDue += l.set.WitnessPerSecond * witnessIntervalMs / 1000; l.proposalsDue >= 1 && len(l.waiting) < maxWaiting; l.proposalsDue-- {
 		l.waiting = append(l.waiting, witnessProposal{l.next, now, now})
 		l.propose(l.next)
 		l.next++
@@ -204,12 +208,12 @@
 		l.logAt = now + logIntervalMs
 		s := l.adapter.Status()
 		slices.Sort(l.latencies)
-		half, most := 0.0, 0.0
+		p50, p99 := 0.0, 0.0
 		if n := len(l.latencies); n > 0 {
-			half, most = l.latencies[n/2], l.latencies[n*99/100]
+			p50, p99 = l.latencies[n/2], l.latencies[n*99/100]
 		}
 		l.latencies = l.latencies[:0]
-		l.pooler.log.Info("agreed: tally",
+		l.pooler.log.Info("replicated log: witness entries",
 			"taken", l.counter.Counted,
 			"sum", l.counter.Checksum,
 			"again", l.counter.Duplicates,
@@ -220,13 +224,13 @@
 			"part", s.Participates,
 			"tried", l.next-1,
 			"unheard", len(l.waiting),
-			"p50", half,
-			"p99", most)
+			"p50", p50,
+			"p99", p99)
 	}
 	l.pooler.loop.At(now+witnessIntervalMs, l.proposeWitnesses)
 }
 
-// recordLatency records how long the commit of one of this process's entries took.
+// recordLatency records how long the commit took, where the entry is one of this process's.
 func (l *raftLog) recordLatency(entry []byte) {
 	name, number, _ := counter.DecodeEntry(entry)
 	if i, ok := slices.BinarySearchFunc(l.waiting, number, func(w witnessProposal, n uint64) int { return cmp.Compare(w.number, n) }); ok && name == l.process {
--- a/cmd/beechgrade/recorder.go
+++ b/cmd/beechgrade/recorder.go
@@ -10,10 +10,10 @@
 	"beechgrade/internal/settings"
 )
 
-// gaugeIntervalMs is the time between two records of how many connections there are.
+// gaugeIntervalMs is the interval between records of the number of connections.
 const gaugeIntervalMs = 1000
 
-// openRecorder opens the recorder of events, where the settings have it on. closeRecorder ends it, after the loop has ended.
+// openRecorder opens the recorder of events, where the settings enable it. closeRecorder closes it, after the loop has ended.
 func (p *pooler) openRecorder(o settings.Record) (closeRecorder func()) {
 	if !o.Enabled {
 		return func() {}
@@ -48,7 +48,7 @@
 	}
 }
 
-// recordGauges records how many clients and connections to servers there are, and does so again after gaugeIntervalMs.
+// recordGauges records the number of client sessions and of server connections, and repeats it every gaugeIntervalMs.
 func (p *pooler) recordGauges() {
 	sessions, conns := p.platform.Sessions(), p.backend.Conns()
 	if p.pooling != nil {
--- a/cmd/beechgrade/recovered.go
+++ b/cmd/beechgrade/recovered.go
@@ -9,24 +9,24 @@
 	"beechgrade/internal/storage/store"
 )
 
-// recoveredStore is what recovery found when a durable store was opened.
+// recoveredStore is the result of recovery when a durable store was opened.
 type recoveredStore struct {
 	name string
 	*store.Recovery
 }
 
-// noteRecovery logs a recovery that dropped data, and keeps it to be recorded.
+// noteRecovery logs a recovery that dropped data, and keeps the result until it can be recorded.
 func (p *pooler) noteRecovery(name string, rec *store.Recovery) {
 	if rec == nil {
 		return
 	}
 	if rec.DroppedBytes > 0 {
-		p.log.Warn(name+": its end was not whole", "bytes", rec.DroppedBytes, "why", rec.Reason)
+		p.log.Warn("store "+name+": recovery dropped an incomplete end", "bytes", rec.DroppedBytes, "reason", rec.Reason)
 	}
 	p.recovered = append(p.recovered, recoveredStore{name, rec})
 }
 
-// recordRecovered records the recoveries so far. It runs on the loop.
+// recordRecovered records the recoveries that are not recorded yet. It runs on the loop.
 func (p *pooler) recordRecovered() {
 	for _, r := range p.recovered {
 		if r.Records > 0 || r.DroppedBytes > 0 {
@@ -41,16 +41,16 @@
 	p.recovered = nil
 }
 
-// maxStores is the largest number of durable stores, which share one part in storesMemoryDivisor of the memory.
+// maxStores is the largest number of durable stores. Together they may take 1/storesMemoryDivisor of the memory.
 const (
 	maxStores           = 4
 	storesMemoryDivisor = 4
 )
 
-// storeMemory is the memory, in bytes, that one store's records may take.
+// storeMemory returns how many bytes of memory the records of one store may take.
 func storeMemory(memoryMB int) int64 { return int64(memoryMB) << 20 / storesMemoryDivisor / maxStores }
 
-// storeChecks returns the checks for one store, which belong to its writer's goroutine. A breach is counted on the loop, with all others.
+// storeChecks returns the invariant checks for one store, which belong to its writer's goroutine. A violation is counted on the loop, with all others.
 func (p *pooler) storeChecks() (c *invariant.Checks, every int) {
 	if p.settings == nil || !p.settings.Invariants.Enabled {
 		return nil, 0
@@ -60,7 +60,7 @@
 	}), p.settings.Invariants.WalkInterval
 }
 
-// loggedChecks returns checks for state that does not belong to the loop. A breach is logged.
+// loggedChecks returns invariant checks for state that does not belong to the loop. A violation is only logged.
 func loggedChecks(set settings.Invariants, log *slog.Logger) *invariant.Checks {
 	if !set.Enabled {
 		return nil
--- a/cmd/beechgrade/reload.go
+++ b/cmd/beechgrade/reload.go
@@ -10,9 +10,9 @@
 	"beechgrade/internal/settings"
 )
 
-// reloader reads one subsystem's settings again after SIGHUP.
+// reloader reloads one subsystem's settings after SIGHUP.
 type reloader struct {
-	failure string // the log's message where the settings cannot be read; those in force stay
+	failure string // log message where the settings cannot be read; the previous ones stay in force
 	read    func() (apply func(), err error)
 }
 
@@ -30,7 +30,7 @@
 	return next, nil
 }
 
-// settingsReloaders returns the reloaders of the subsystems that are on. apply runs on the event loop.
+// settingsReloaders returns the reloaders of the enabled subsystems. Their apply functions run on the event loop.
 func (p *pooler) settingsReloaders(settingsFile string) []reloader {
 	load := func(apply func(next *settings.Settings)) func() (func(), error) {
 		return func() (func(), error) {
@@ -43,18 +43,27 @@
 	}
 	var all []reloader
 	if p.peers != nil {
-		all = append(all, reloader{"fleet limits: the old ones stay", load(func(next *settings.Settings) { p.reloadLimits(next.FleetLimits) })})
+		all = append(all, reloader{
+			"fleet limits: settings cannot be read; the previous limits stay in force",
+			load(func(next *settings.Settings) { p.reloadLimits(next.FleetLimits) }),
+		})
 	}
 	if p.credit != nil {
-		all = append(all, reloader{"credit: the old prices and payments stay", load(func(next *settings.Settings) { p.credit.reload(next.Credit) })})
+		all = append(all, reloader{
+			"credit: settings cannot be read; the previous prices and payments stay in force",
+			load(func(next *settings.Settings) { p.credit.reload(next.Credit) }),
+		})
 	}
 	if p.zones != nil {
-		all = append(all, reloader{"zones: the old orders stay", load(func(next *settings.Settings) { p.zones.reload(next.Zones) })})
+		all = append(all, reloader{
+			"zones: settings cannot be read; the previous orders stay in force",
+			load(func(next *settings.Settings) { p.zones.reload(next.Zones) }),
+		})
 	}
 	return all
 }
 
-// reload reads everything again that may change while serving. It runs off the event loop.
+// reload reloads everything that may change while serving. It runs off the event loop.
 func (p *pooler) reload() {
 	next, err := p.load()
 	if err != nil {
@@ -75,37 +84,37 @@
 	}
 	files, err := p.sources.read()
 	if err != nil {
-		p.log.Error("membership: what cannot be read stays as it was", "err", err)
+		p.log.Error("endpoints: a source file cannot be read; a token or static list read before stays in force", "err", err)
 	}
 	p.loop.Post(func() { p.sources.apply(files) })
 }
 
-// rejectConfig logs and counts a configuration that cannot be used.
+// rejectConfig logs and counts a new configuration that cannot be used.
 func (p *pooler) rejectConfig(err error) {
-	p.log.Error("configuration not taken; the old one stays", "err", err)
+	p.log.Error("configuration rejected; the previous one stays in force", "err", err)
 	p.core.Metrics().ReloadsRejected++
 }
 
-// apply puts a new configuration in force, but for what needs a restart, which the log names.
+// apply puts a new configuration in force, except for the parts that need a restart, which it logs.
 func (p *pooler) apply(next *config.Config) {
 	if err := p.cfg.CheckKeys(next); err != nil {
 		p.rejectConfig(err)
 		return
 	}
 	p.saveConfig(next, os.Getenv("EDGE_CONFIG"))
-	changed, kept := p.cfg.Apply(next)
+	changed, unchanged := p.cfg.Apply(next)
 	if p.core.Metrics().ReloadsAccepted++; slices.Contains(changed, "settings") {
 		p.core.Reload()
 	}
-	p.log.Info("configuration read again", "changed", changed)
+	p.log.Info("configuration reloaded", "changed", changed)
 	p.core.RecordEvent(recordpb.Kind_KIND_RELOAD, strings.Join(changed, ", "))
-	if len(kept) > 0 {
-		p.log.Warn("cannot change while serving, needs a restart", "kept", kept)
+	if len(unchanged) > 0 {
+		p.log.Warn("settings cannot be changed while serving; the previous ones apply until a restart", "settings", unchanged)
 	}
 	limitMemory(p.cfg, 1+p.otherProcesses)
 	p.backend.SetTimes(p.cfg.ConnectTimeoutMs, p.cfg.ServerIdleTimeoutMs*idleTimeShare)
 	if p.sources == nil || p.sources.set.Options.Platform {
-		if slices.Contains(changed, "discovery") { // its generations are its own
+		if slices.Contains(changed, "discovery") { // generations of different discoveries are not comparable
 			p.list.generation, p.list.restarts, p.list.received = 0, 0, false
 		}
 		p.discovery.SetAddress(p.cfg.DiscoveryAddress)
@@ -113,7 +122,7 @@
 	p.setPushMode()
 }
 
-// setPushMode has discovery keep a watch open where the settings say that lists are pushed.
+// setPushMode has the discovery client keep a watch open where the settings specify that lists are pushed.
 func (p *pooler) setPushMode() {
 	p.discovery.SetPushMode(!p.cfg.Settings.WatchList && (p.sources == nil || p.sources.set.Options.Platform))
 }
--- a/cmd/beechgrade/scatter.go
+++ b/cmd/beechgrade/scatter.go
@@ -7,12 +7,12 @@
 	"beechgrade/internal/settings"
 )
 
-// openScatter opens reads over many groups, where the settings enable them. It comes before openPooling, which serves their clients.
-func (p *pooler) openScatter(o settings.Scatter, peers settings.Cluster) error {
+// openScatter opens reads over many groups, where the settings enable them. It is called before openPooling, whose frontend serves their clients.
+func (p *pooler) openScatter(o settings.Scatter, cluster settings.Cluster) error {
 	if !o.Enabled {
 		return nil
 	}
-	secrets, err := o.Secrets(&peers)
+	secrets, err := o.Secrets(&cluster)
 	if err != nil {
 		return badInput{err}
 	}
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// writeScatterMetrics writes the metrics of reads over many groups, where they are on.
+// writeScatterMetrics writes the metrics of reads over many groups, where they are enabled.
 func (p *pooler) writeScatterMetrics(s *exposition.Snapshot) {
 	if p.scatter != nil {
 		p.scatter.AppendMetrics(s)
--- a/cmd/beechgrade/serve.go
+++ b/cmd/beechgrade/serve.go
@@ -19,23 +19,23 @@
 // dials would wait until the runtime's monitor notices that.
 const minProcessors = 2
 
-// memoryPercent is the part of the machine's memory that the Go runtime may take; the rest is for stacks and what its limit does not count.
+// memoryPercent is the part of the machine's memory, in percent, that the Go runtime may take. The rest is for stacks and for memory that the
+// runtime's limit does not count.
 const memoryPercent = 60
 
-// closers are functions that close what was opened.
+// closers are the functions that close opened subsystems.
 type closers []func()
 
-// add adds a function.
 func (c *closers) add(closeFunc func()) { *c = append(*c, closeFunc) }
 
-// close calls all functions, the last one that was added first.
+// close calls the functions in the reverse of the order in which they were added.
 func (c *closers) close() {
 	for _, closeFunc := range slices.Backward(*c) {
 		closeFunc()
 	}
 }
 
-// serve runs the daemon until it has ended after SIGTERM, or cannot go on.
+// serve runs the daemon until its shutdown after SIGTERM or SIGINT is complete, or until it fails.
 func serve(verbose bool, settingsFile string) error {
 	stop, reload := notifySignals()
 	log := newLogger(verbose)
@@ -62,8 +62,8 @@
 	return p.run(stop, reload)
 }
 
-// notifySignals returns the channels of signals to end and to reload. Each kind has a channel of its own: a signal that finds its channel full
-// is dropped, and one of the same kind is enough.
+// notifySignals returns the channels for signals to stop and to reload. Each kind has its own channel: a signal is dropped where its channel is
+// full, which is safe only if the pending signal is of the same kind.
 func notifySignals() (stop, reload chan os.Signal) {
 	stop = make(chan os.Signal, 1)
 	reload = make(chan os.Signal, 1)
@@ -72,7 +72,7 @@
 	return stop, reload
 }
 
-// newLogger returns the log on standard error.
+// newLogger returns a logger that writes to standard error.
 func newLogger(verbose bool) *slog.Logger {
 	level := slog.LevelInfo
 	if verbose {
@@ -81,8 +81,8 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
 
-// loadConfig reads the operators' settings, where there are any, and the configuration. With a log, the last good configuration stands in for a file
-// that cannot be read, and the keeper that saves it is returned.
+// loadConfig reads the configuration, and the operators' settings where a file is given. With a logger, it also opens the snapshots and returns
+// their keeper, and a configuration file that cannot be read completely is replaced by the last saved configuration.
 func loadConfig(settingsFile string, log *slog.Logger) (cfg *config.Config, set *settings.Settings, keeper *snapshots.Keeper, err error) {
 	set = &settings.Settings{}
 	cfg, err = config.Load(os.Getenv)
@@ -111,8 +111,8 @@
 	return cfg, set, keeper, nil
 }
 
-// openSubsystems opens the optional parts, each where the settings have it on, and adds what closes them. The order matters: frontends come before
-// what the list of servers is made from, storage before what is handed over, the fleet before what is decided on it.
+// openSubsystems opens the optional subsystems that the settings enable, and adds the functions that close them. The order matters: frontends come
+// before the sources of the server list, storage before the state of another process, and the cluster before the subsystems that communicate over it.
 func (p *pooler) openSubsystems(set *settings.Settings, keeper *snapshots.Keeper, opened *closers) error {
 	if err := p.openFrontends(set); err != nil {
 		return err
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// openFrontends opens the frontends beside the platform's.
+// openFrontends opens the optional frontends; the platform's is always there.
 func (p *pooler) openFrontends(set *settings.Settings) error {
 	if err := p.openScatter(set.Scatter, set.Cluster); err != nil {
 		return err
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// openEndpoints opens the sources of the list of servers, and the snapshots of the list and the configuration.
+// openEndpoints opens the sources of the server list, and the snapshots of the list and of the configuration.
 func (p *pooler) openEndpoints(set *settings.Settings, keeper *snapshots.Keeper) {
 	if set.Endpoints.Enabled && keeper != nil {
 		set.Endpoints.Options.SnapshotStore = savedEndpoints{keeper}
@@ -154,7 +154,7 @@
 	p.saveConfig(p.cfg, os.Getenv("EDGE_CONFIG"))
 }
 
-// openStorage opens the journal of attempts and the sessions' commits.
+// openStorage opens the journal of attempts and the store of sessions' commits.
 func (p *pooler) openStorage(set *settings.Settings, opened *closers) error {
 	closeJournal, err := p.openJournal(set.Journal)
 	if err != nil {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// openCluster joins the fleet, and opens what is decided on it. The invariants are checked from here on.
+// openCluster makes the pooler a member of the fleet, and opens the subsystems that poolers run together. Invariants are checked from here on.
 func (p *pooler) openCluster(set *settings.Settings, opened *closers) error {
 	if err := p.openPeers(set.Cluster, set.FleetLimits); err != nil {
 		return err
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// limitMemory limits the Go runtime's memory to this process's part of the machine's.
+// limitMemory limits the Go runtime's memory to this process's share of the machine's memory.
 func limitMemory(cfg *config.Config, processes int) {
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * memoryPercent / 100 / int64(processes))
 }
--- a/cmd/beechgrade/shutdown.go
+++ b/cmd/beechgrade/shutdown.go
@@ -6,34 +6,35 @@
 	"beechgrade/internal/lifecycle"
 )
 
-// The times of the end of a process, in milliseconds. What counts from the longest deadline of all classes, counts longestDeadlineMs at most.
+// The times of a shutdown, in milliseconds. "The longest deadline" is that of all classes, but longestDeadlineMs at most.
 const (
 	longestDeadlineMs     = 3000
-	acceptAfterTermMs     = 700   // from SIGTERM on, in which clients still come
-	handOverMs            = 100   // from the hand-over on, for connections that were just accepted to reach the loop
+	acceptAfterTermMs     = 700   // from SIGTERM, while clients may still connect
+	handOverMs            = 100   // from the handover, for connections that were just accepted to reach the loop
 	closeIdleAfterMs      = 250   // from the longest deadline until idle connections are closed
-	endPartialAfterMs     = 500   // from the longest deadline until nothing more is taken
-	closeActiveAfterMs    = 550   // from the longest deadline until connections of clients that go on sending are closed
-	dropClientsAfterMs    = 600   // from the longest deadline until clients are dropped that do not close their side
-	stopTimeoutMs         = 10000 // after which the process ends with answers outstanding
-	stopPollMs            = 20    // between two looks at whether answers are outstanding
-	queuedConnectionsMs   = 1000  // at the end, for connections that wait in the listener's queue to be accepted and refused
-	minQueuedConnectionMs = 50    // of that, where the process may be killed soon
+	endPartialAfterMs     = 500   // from the longest deadline until no more requests are accepted
+	closeActiveAfterMs    = 550   // from the longest deadline until connections of clients that keep sending are closed
+	dropClientsAfterMs    = 600   // from the longest deadline until clients that do not close their side are disconnected
+	stopTimeoutMs         = 10000 // after which the process ends even with answers outstanding
+	stopPollMs            = 20    // between checks for outstanding answers
+	queuedConnectionsMs   = 1000  // at the end, for connections waiting in the listener's queue to be accepted and refused
+	minQueuedConnectionMs = 50    // the minimum of that, where the process may be killed soon
 )
 
-// shutdown is the end of the service, from SIGTERM until the loop ends.
+// shutdown is the process's shutdown, from SIGTERM until the loop ends.
 //
-// Where another process accepts on the same socket, clients' connections are closed as they fall idle, and clients connect to that process.
-// Otherwise new connections stop once clients' side has noticed the restart, but open connections stay in use: nobody else may be there to take
-// their requests. They are closed late, early enough to answer everything before the process may be killed, and for clients to read the answers.
+// Where another process accepts on the same socket, client connections are closed as they become idle, and clients reconnect to that process.
+// Otherwise new connections stop once clients have noticed the restart, but open connections stay in use, as no other pooler may be available for
+// their requests. They are closed as late as still allows answering every request, and clients to read the answers, before the process may be
+// killed.
 type shutdown struct {
 	pooler  *pooler
 	began   float64 // ms
 	longest float64 // deadline of all classes, ms, longestDeadlineMs at most
-	minMs   float64 // that it lasts
+	minMs   float64 // shortest duration, ms
 }
 
-// beginShutdown begins the shutdown. drained says that clients have been sent away already.
+// beginShutdown starts the shutdown. drained reports that a drain has started before, so idle connections are closed at once.
 func (p *pooler) beginShutdown(drained bool) {
 	s := &shutdown{pooler: p, began: p.loop.Now(), longest: min(p.longestDeadline(), longestDeadlineMs), minMs: acceptAfterTermMs}
 	p.core.SetAnswerDeadline(s.deadline() + endPartialAfterMs)
@@ -51,7 +52,7 @@
 	s.poll()
 }
 
-// longestDeadline is that of all classes, in milliseconds.
+// longestDeadline returns the longest deadline of all classes, in milliseconds.
 func (p *pooler) longestDeadline() float64 {
 	longest := 0.0
 	for _, class := range p.cfg.Settings.Classes {
@@ -60,14 +61,14 @@
 	return longest
 }
 
-// deadline is when the last request that was taken before the shutdown has its answer.
+// deadline returns the time by which the last request accepted before the shutdown has its answer.
 func (s *shutdown) deadline() float64 { return s.began + s.longest }
 
 func (s *shutdown) enterStageAt(at float64, stage platform.DrainStage) {
 	s.pooler.loop.At(at, func() { s.pooler.platform.SetDrainStage(stage) })
 }
 
-// handOver leaves the listening socket, and the place in the fleet, to the next process.
+// handOver stops accepting on the inherited socket and leaves the fleet; the next process takes over both.
 func (s *shutdown) handOver() {
 	s.pooler.stopAccepting()
 	if s.pooler.peers != nil {
@@ -76,7 +77,7 @@
 	s.enterStageAt(s.deadline(), platform.RefuseCommands)
 }
 
-// drainFrontends stops the optional frontends' listeners and sends their clients away.
+// drainFrontends stops the optional frontends' listeners and starts draining their clients.
 func (s *shutdown) drainFrontends() {
 	p := s.pooler
 	if p.pooling != nil {
@@ -89,7 +90,7 @@
 	}
 }
 
-// poll ends the process once it may end, and looks again after stopPollMs until then.
+// poll ends the process once it may end. Until then it checks again every stopPollMs.
 func (s *shutdown) poll() {
 	p := s.pooler
 	now := p.loop.Now()
@@ -97,7 +98,7 @@
 		p.loop.At(now+stopPollMs, s.poll)
 		return
 	}
-	p.log.Info("drained", "ms", now-s.began)
+	p.log.Info("shutdown: clients and requests are done, ending the process", "elapsed_ms", now-s.began)
 	if p.credit != nil {
 		p.credit.close()
 	}
@@ -107,7 +108,7 @@
 	p.endLoop(max(now+minQueuedConnectionMs, min(now+queuedConnectionsMs, s.deadline()+dropClientsAfterMs)))
 }
 
-// mustContinue reports whether clients may still come, are still connected, or still wait for an answer.
+// mustContinue reports whether clients may still connect, are still connected, or still wait for an answer.
 func (s *shutdown) mustContinue(now float64) bool {
 	p := s.pooler
 	if now < s.began+s.minMs {
@@ -130,15 +131,15 @@
 	return p.clickhouse != nil && p.clickhouse.HasOutstanding()
 }
 
-// endLoop ends the loop. Connections that wait in the listener's queue are accepted and refused first, since closing the listener would reset
-// them; at the given time the loop ends whether or not their clients have read that.
-func (p *pooler) endLoop(by float64) {
+// endLoop ends the loop. Connections waiting in the listener's queue are accepted and refused first, since closing the listener would reset them.
+// At the given time the loop ends whether or not their clients have read the answer.
+func (p *pooler) endLoop(deadline float64) {
 	p.platform.SetDrainStage(platform.EndPartial)
-	p.loop.StopAccepting(by-p.loop.Now(), func(accepted int) {
+	p.loop.StopAccepting(deadline-p.loop.Now(), func(accepted int) {
 		var poll func()
 		poll = func() {
-			if now := p.loop.Now(); accepted > 0 && p.platform.Sessions() > 0 && now < by {
-				p.loop.At(min(by, now+stopPollMs), poll)
+			if now := p.loop.Now(); accepted > 0 && p.platform.Sessions() > 0 && now < deadline {
+				p.loop.At(min(deadline, now+stopPollMs), poll)
 				return
 			}
 			p.loop.End()
--- a/cmd/beechgrade/snapshots.go
+++ b/cmd/beechgrade/snapshots.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	snapshotRenewMs    = 60000 // between two notes that what was saved is still good
-	listSaveIntervalMs = 1000  // between two saved lists
+	snapshotRenewMs    = 60000 // between renewals of the saved values' times
+	listSaveIntervalMs = 1000  // between saves of the server list
 )
 
-// startSnapshots opens the snapshots, where the settings enable them. Where the disk cannot be used, the start goes on without them.
+// startSnapshots opens the store of snapshots, where the settings enable it. Where the disk cannot be used, it returns nil and the startup goes on.
 func startSnapshots(o settings.Snapshots, checked settings.Invariants, log *slog.Logger) *snapshots.Keeper {
 	if o.Dir == "" {
 		return nil
 	}
-	k, err := snapshots.Start(snapshots.Options{
+	keeper, err := snapshots.Start(snapshots.Options{
 		FS:             store.Dir(o.Dir),
 		MaxBytes:       o.MaxBytes,
 		MaxAgeMs:       o.MaxAgeMs,
@@ -38,46 +38,46 @@
 		BatchesPerWalk: checked.WalkInterval,
 	})
 	if err != nil {
-		log.Error("kept: starting without it, and nothing is kept", "dir", o.Dir, "err", err)
+		log.Error("snapshots: the store cannot be opened; starting without saved data, and nothing will be saved", "dir", o.Dir, "err", err)
 		return nil
 	}
-	return k
+	return keeper
 }
 
-// snapshotConfig returns the saved configuration, for a start whose file cannot be read completely. Other errors of the file, and errors of the
-// environment, are for the operator to fix.
-func snapshotConfig(k *snapshots.Keeper, cause error, env func(string) string, log *slog.Logger) (*config.Config, error) {
-	if k == nil || !errors.Is(cause, config.ErrIncomplete) {
+// snapshotConfig returns the saved configuration where the configuration file cannot be read completely. Other errors of the file or of the
+// environment are returned, for the operator to fix.
+func snapshotConfig(keeper *snapshots.Keeper, cause error, env func(string) string, log *slog.Logger) (*config.Config, error) {
+	if keeper == nil || !errors.Is(cause, config.ErrIncomplete) {
 		return nil, cause
 	}
-	r, err := k.Get(snapshots.Config, clock.ThisMachine())
+	r, err := keeper.Get(snapshots.Config, clock.ThisMachine())
 	if err == nil && r != nil && r.Source != env("EDGE_CONFIG") {
-		err = fmt.Errorf("it is of %s", r.Source)
+		err = fmt.Errorf("it was saved from %s", r.Source)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w; what was kept is not used: %w", cause, err)
+		return nil, fmt.Errorf("%w; the saved configuration is not used: %w", cause, err)
 	}
 	if r == nil {
 		return nil, cause
 	}
 	c, err := config.Parse(r.Body, env)
 	if err != nil {
-		return nil, fmt.Errorf("%w; what was kept is not used: %w", cause, err)
+		return nil, fmt.Errorf("%w; the saved configuration is not used: %w", cause, err)
 	}
 	c.FromSnapshot = true
-	log.Warn("kept: starting with the configuration that was kept",
+	log.Warn("snapshots: starting with the saved configuration",
 		"saved_s_ago", math.Round(r.Age(clock.ThisMachine())/1000),
-		"why", cause)
+		"reason", cause)
 	return c, nil
 }
 
-// openSnapshots starts with the saved list, and saves the configuration and the list from now on.
-func (p *pooler) openSnapshots(k *snapshots.Keeper) {
-	if k == nil {
+// openSnapshots restores the saved server list, and saves the configuration and the list from then on.
+func (p *pooler) openSnapshots(keeper *snapshots.Keeper) {
+	if keeper == nil {
 		return
 	}
-	p.snapshots = k
-	if rec := k.Recovery(); rec != nil { // logged by the keeper
+	p.snapshots = keeper
+	if rec := keeper.Recovery(); rec != nil { // logged by the keeper
 		p.recovered = append(p.recovered, recoveredStore{"kept", rec})
 	}
 	if p.sources == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// restore applies the saved list where it is newer than the configuration's, and from the same discovery.
+// restore applies the saved list where it is newer than the configuration's list, and from the same discovery address.
 func (p *pooler) restore() {
 	r, err := p.snapshots.Get(snapshots.List, p.machine)
 	var l discovery.List
@@ -97,22 +97,22 @@
 	known := &p.cfg.InitialList
 	switch {
 	case err != nil:
-		p.log.Warn("kept: starting without the list", "err", err)
+		p.log.Warn("snapshots: the saved list cannot be used; starting without it", "err", err)
 	case r == nil:
 	case r.Source != p.cfg.DiscoveryAddress:
-		p.log.Info("kept: the list is another discovery's", "from", r.Source)
+		p.log.Info("snapshots: the saved list is from another discovery address and is not used", "address", r.Source)
 	case len(known.Instances) > 0 && (l.Generation <= known.Generation || !p.cfg.FromSnapshot && p.cfg.ModifiedAtMs > r.SavedMs):
-		p.log.Info("kept: the configuration's list is newer", "generation", known.Generation, "kept", l.Generation)
+		p.log.Info("snapshots: the configuration's list is newer than the saved one", "generation", known.Generation, "saved_generation", l.Generation)
 	default:
 		p.cfg.InitialList = l
-		p.log.Info("kept: starting with the list that was kept",
+		p.log.Info("snapshots: starting with the saved list",
 			"servers", len(l.Instances),
 			"generation", l.Generation,
 			"saved_s_ago", math.Round(r.Age(p.machine)/1000))
 	}
 }
 
-// saveConfig saves the configuration in force, where it was read from its file.
+// saveConfig saves the configuration in force, unless it came from a snapshot itself.
 func (p *pooler) saveConfig(c *config.Config, path string) {
 	if p.snapshots == nil || c.FromSnapshot {
 		return
@@ -125,14 +125,14 @@
 	p.renewConfig()
 }
 
-// saveSnapshots notes each snapshotRenewMs that the saved configuration is still good, and the list too while a watch on it is open.
+// saveSnapshots saves the configuration again every snapshotRenewMs, which renews its time, and the list too while a watch on it is open.
 func (p *pooler) saveSnapshots() {
 	if p.snapshots == nil {
 		return
 	}
-	var beat func()
-	beat = func() {
-		p.loop.At(p.loop.Now()+snapshotRenewMs, beat)
+	var renew func()
+	renew = func() {
+		p.loop.At(p.loop.Now()+snapshotRenewMs, renew)
 		if p.discovery.WatchEstablished() {
 			p.saveList()
 		}
@@ -140,10 +140,10 @@
 			p.renewConfig()
 		}
 	}
-	p.loop.At(p.loop.Now()+snapshotRenewMs, beat)
+	p.loop.At(p.loop.Now()+snapshotRenewMs, renew)
 }
 
-// saveList saves the list, listSaveIntervalMs after the last time at the earliest.
+// saveList saves the list, at least listSaveIntervalMs after the last save.
 func (p *pooler) saveList() {
 	if p.snapshots == nil || p.sources != nil || p.savingList {
 		return
@@ -154,7 +154,7 @@
 	p.loop.At(p.listSavedAt, func() {
 		p.savingList = false
 		l, record := p.list.complete(), snapshots.NewRecord(p.machine, p.cfg.DiscoveryAddress, nil)
-		if len(l.Instances) == 0 || l.Generation == 0 { // of no use, or from another discovery
+		if len(l.Instances) == 0 || l.Generation == 0 { // empty, or not from this discovery address
 			return
 		}
 		p.snapshots.Put(snapshots.List, func() (*snapshots.Record, error) {
@@ -165,23 +165,22 @@
 	})
 }
 
-// savedEndpoints stores the list of endpoints among the snapshots, where the settings name no file for it.
-type savedEndpoints struct{ k *snapshots.Keeper }
+// savedEndpoints stores the endpoint list among the snapshots, where the settings name no file for it.
+type savedEndpoints struct{ keeper *snapshots.Keeper }
 
-// Load returns the saved list; nil for none.
+// Load returns the saved list; nil where none is saved.
 func (s savedEndpoints) Load() (*snapshot.File, error) {
-	r, err := s.k.Get(snapshots.EndpointList, clock.ThisMachine())
+	r, err := s.keeper.Get(snapshots.EndpointList, clock.ThisMachine())
 	if err != nil || r == nil {
 		return nil, err
 	}
 	return snapshot.Parse(r.Body)
 }
 
-// Save saves a list.
 func (s savedEndpoints) Save(f *snapshot.File) error {
 	b, err := snapshot.Append(nil, f)
 	if err == nil {
-		s.k.Put(snapshots.EndpointList, func() (*snapshots.Record, error) {
+		s.keeper.Put(snapshots.EndpointList, func() (*snapshots.Record, error) {
 			return &snapshots.Record{SavedMs: f.SavedAtMs, Saved: clock.ThisMachine().Now(), Body: b}, nil
 		})
 	}
--- a/cmd/beechgrade/sources.go
+++ b/cmd/beechgrade/sources.go
@@ -16,21 +16,21 @@
 	"beechgrade/internal/settings"
 )
 
-// sources are the sources of the list of servers, where the operators' settings name others than the platform's discovery.
+// sources are the sources of the server list, where the operators' settings name others than the platform's discovery.
 type sources struct {
 	set     settings.Endpoints
 	members *endpoints.Manager
-	consul  *consul.Source // nil where Consul is no source
+	consul  *consul.Source // nil where Consul is not a source
 }
 
-// sourceFiles are the contents of the sources' files.
+// sourceFiles are the contents of the files among the sources.
 type sourceFiles struct {
 	token    string
 	override reconcile.Override
 	static   *reconcile.Report // nil where there is none, or it cannot be read
 }
 
-// openSources makes the list from several sources, where the settings name them.
+// openSources combines the server list from several sources, where the settings name them.
 func (p *pooler) openSources(set settings.Endpoints) {
 	if !set.Enabled {
 		return
@@ -52,59 +52,59 @@
 	if s.set.Options.Platform {
 		s.members.SetDiscovery(p.discovery)
 	}
-	n, err := s.read()
+	files, err := s.read()
 	if err != nil {
-		p.log.Error("membership", "err", err)
+		p.log.Error("endpoints: a source file cannot be read; starting without it", "err", err)
 	}
 	if s.consul != nil {
-		s.consul.SetToken(n.token)
+		s.consul.SetToken(files.token)
 		s.consul.Start()
 	}
-	p.loop.Post(func() { s.apply(n) }) // once the core has started
+	p.loop.Post(func() { s.apply(files) }) // runs once the core has started
 }
 
-// read reads the sources' files. A file that cannot be read does not affect the others.
-func (s *sources) read() (n sourceFiles, err error) {
+// read reads the sources' files. It reads all of them, even if some cannot be read.
+func (s *sources) read() (files sourceFiles, err error) {
 	var errs []error
-	note := func(err error) {
+	addError := func(err error) {
 		if err != nil {
 			errs = append(errs, err)
 		}
 	}
-	n.token, err = s.set.Token()
-	note(err)
-	n.override, err = s.set.ReadOverride()
-	note(err)
+	files.token, err = s.set.Token()
+	addError(err)
+	files.override, err = s.set.ReadOverride()
+	addError(err)
 	if s.set.StaticPath != "" {
-		n.static, err = readStatic(s.set.StaticPath)
-		note(err)
+		files.static, err = readStatic(s.set.StaticPath)
+		addError(err)
 	}
-	return n, errors.Join(errs...)
+	return files, errors.Join(errs...)
 }
 
 // apply applies the contents of the files. It runs on the loop.
-func (s *sources) apply(n sourceFiles) {
-	if s.consul != nil && n.token != "" {
-		s.consul.SetToken(n.token)
+func (s *sources) apply(files sourceFiles) {
+	if s.consul != nil && files.token != "" {
+		s.consul.SetToken(files.token)
 	}
-	if n.static != nil {
-		s.members.Observe(endpoints.SourceStatic, n.static)
+	if files.static != nil {
+		s.members.Observe(endpoints.SourceStatic, files.static)
 	}
-	s.members.Override(n.override)
+	s.members.Override(files.override)
 }
 
-const maxStatic = 16 << 20
+const maxStaticBytes = 16 << 20
 
-// readStatic reads a list in the platform's format.
+// readStatic reads a static server list in the format of the platform's discovery.
 func readStatic(path string) (*reconcile.Report, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("static list: %w", err)
 	}
 	defer func() { _ = f.Close() }()
-	b, err := io.ReadAll(io.LimitReader(f, maxStatic+1))
-	if err != nil || len(b) > maxStatic {
-		return nil, fmt.Errorf("static list %s: over %d bytes, or %w", path, maxStatic, err)
+	b, err := io.ReadAll(io.LimitReader(f, maxStaticBytes+1))
+	if err != nil || len(b) > maxStaticBytes {
+		return nil, fmt.Errorf("static list %s: longer than %d bytes, or cannot be read: %w", path, maxStaticBytes, err)
 	}
 	var l discovery.List
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(b, &l); err != nil {
--- a/cmd/beechgrade/upgrade.go
+++ b/cmd/beechgrade/upgrade.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	stateInterval        = 500 * time.Millisecond
-	uncountedDescriptors = 16 // of a process, beside those that it counts
+	stateInterval        = 500 * time.Millisecond // between exchanges of state with the other processes
+	uncountedDescriptors = 16                     // of a process, in addition to those of its clients and server connections
 )
 
-// serverList is the platform's complete list of servers.
+// serverList is the complete list of servers from the platform's discovery, by ID.
 type serverList struct {
 	generation int64
-	restarts   int  // of discovery's generations, as far as the processes on this socket know
-	received   bool // from discovery, by this process or another; a list from the configuration may be of any age
+	restarts   int  // how often discovery's generations restarted, as far as the processes on this socket know
+	received   bool // a list came from discovery, to this process or another; a list from the configuration may be of any age
 	entries    map[string]discovery.Instance
 }
 
-// apply applies an update, or replaces the list.
+// apply applies an update to the list, or replaces it where the update is a complete list.
 func (l *serverList) apply(n *discovery.List) {
 	if n.Reset || l.entries == nil {
 		l.entries = map[string]discovery.Instance{}
@@ -48,13 +48,13 @@
 	l.apply(n)
 }
 
-// newer reports whether another process's list is newer: discovery has restarted more often, or its generation is higher.
+// newer reports whether another process's list is newer: it has seen more restarts of the generations, or its generation is higher.
 func (l *serverList) newer(s *handover.State) bool {
 	return s.ListRestarts > l.restarts || s.ListRestarts == l.restarts && s.List.Generation > l.generation
 }
 
-// adopt applies another process's list. Servers that drain in this list go on draining until discovery itself reports otherwise: the other
-// process may not have been notified.
+// adopt applies another process's list. Servers that are draining in this list stay draining until discovery itself reports otherwise, as the other
+// process may not have been notified of the drain.
 func (l *serverList) adopt(s *handover.State) {
 	n := s.List
 	n.Instances = slices.Clone(n.Instances)
@@ -76,7 +76,7 @@
 	return out
 }
 
-// inheritState starts with what another process on the same socket knows. The processes exchange their states in dir.
+// inheritState reads the state of another process on the same socket, to start with. The processes exchange their states in dir.
 func (p *pooler) inheritState(dir string) {
 	if p.inheritedListener == nil || dir == "" {
 		return
@@ -84,14 +84,14 @@
 	p.folder = handover.OpenDirectoryOn(p.machine, dir)
 	others, err := p.folder.Others(handover.UsefulMs)
 	if err != nil {
-		p.log.Warn("what another process handed over is not used", "err", err)
+		p.log.Warn("upgrade: the state of another process cannot be read and is not used", "err", err)
 	}
 	if len(others) == 0 {
 		return
 	}
 	p.previousState = others[0]
-	if then := p.previousState.ClockMs; then > 0 { // the wall clock may have stepped between the starts of the two clocks
-		p.previousState.Snapshot.Shift(clock.ToDuration(p.loop.Now() - p.previousState.AgeMs - then))
+	if clockMs := p.previousState.ClockMs; clockMs > 0 { // the wall clock may have stepped between the starts of the two clocks
+		p.previousState.Snapshot.Shift(clock.ToDuration(p.loop.Now() - p.previousState.AgeMs - clockMs))
 	}
 	if p.sources == nil && p.previousListIsNewer() {
 		p.cfg.InitialList = p.previousState.List
@@ -100,23 +100,23 @@
 	p.countProcesses(others)
 }
 
-// previousListIsNewer reports whether the other process's list is of the same discovery, and newer than the configuration's.
+// previousListIsNewer reports whether the other process's list is from the same discovery address, and newer than the configuration's.
 func (p *pooler) previousListIsNewer() bool {
 	state := p.previousState
 	return state.ListSource == p.cfg.DiscoveryAddress && state.List.Generation > p.cfg.InitialList.Generation
 }
 
-// applyPreviousState passes on to the decision module what another process knew, but for what depends on other classes or kinds of servers.
+// applyPreviousState passes another process's state on to the decision module, except for values that depend on different classes or machine types.
 func (p *pooler) applyPreviousState() {
-	if b := p.previousState; b != nil {
-		if !slices.Equal(b.Classes, p.cfg.Classes) {
-			b.Snapshot.ClassWork = nil
+	if state := p.previousState; state != nil {
+		if !slices.Equal(state.Classes, p.cfg.Classes) {
+			state.Snapshot.ClassWork = nil
 		}
-		if !slices.Equal(b.Kinds, p.cfg.MachineTypes) {
-			b.Snapshot.KindRates = nil
+		if !slices.Equal(state.Kinds, p.cfg.MachineTypes) {
+			state.Snapshot.KindRates = nil
 		}
-		p.core.MergeSnapshot(b.Snapshot)
-		p.log.Info("goes on from another process", "generation", b.List.Generation, "servers", len(b.Snapshot.Servers))
+		p.core.MergeSnapshot(state.Snapshot)
+		p.log.Info("upgrade: continuing with the state of another process", "generation", state.List.Generation, "servers", len(state.Snapshot.Servers))
 		p.previousState = nil
 	}
 	p.updateProcesses()
@@ -133,15 +133,15 @@
 	}
 }
 
-// updateProcesses divides limits among the processes on the socket.
+// updateProcesses divides the limits among the processes on the socket.
 func (p *pooler) updateProcesses() {
 	if p.core.SetProcesses(1 + p.otherProcesses) {
-		p.log.Info("processes on the socket", "others", p.otherProcesses, "they_hold", p.othersDescriptors)
+		p.log.Info("upgrade: the number of processes on the socket changed", "others", p.otherProcesses, "their_descriptors", p.othersDescriptors)
 		limitMemory(p.cfg, 1+p.otherProcesses)
 	}
 }
 
-// state returns what this process reports to the others.
+// state returns the state that this process reports to the others.
 func (p *pooler) state() *handover.State {
 	held := uncountedDescriptors + p.platform.Sessions() + p.backend.Conns() + p.frontendDescriptors()
 	if p.admin != nil {
@@ -166,15 +166,15 @@
 	}
 }
 
-// stateFolder is where the processes on a socket report to each other.
+// stateFolder is the folder in which the processes on a socket exchange their states.
 type stateFolder interface {
 	Write(s *handover.State) error
 	Others(ms float64) ([]*handover.State, error)
 	Remove()
 }
 
-// exchangeStates reports the state to the other processes and reads theirs, until the returned function is called. Reading does not wait for
-// writing, which takes seconds on a busy disk.
+// exchangeStates writes this process's state for the other processes and reads theirs, until the returned function is called. Reading does not
+// wait for writing, which takes seconds on a busy disk.
 func (p *pooler) exchangeStates() (stop func()) {
 	if p.folder == nil {
 		return func() {}
@@ -189,37 +189,37 @@
 	return func() { close(quit); done.Wait() }
 }
 
-// writeStates writes this process's state each stateInterval.
+// writeStates writes this process's state every stateInterval.
 func (p *pooler) writeStates(quit <-chan struct{}) {
-	last := ""
+	lastErr := ""
 	repeat(quit, func() {
 		states := make(chan *handover.State, 1)
 		p.loop.Post(func() { states <- p.state() })
 		select {
 		case s := <-states:
-			if err := p.folder.Write(s); err != nil && err.Error() != last {
-				last = err.Error()
-				p.log.Warn("what the next process needs is not told", "err", err)
+			if err := p.folder.Write(s); err != nil && err.Error() != lastErr {
+				lastErr = err.Error()
+				p.log.Warn("upgrade: the state for the other processes cannot be written", "err", err)
 			}
 		case <-quit:
 		}
 	})
 }
 
-// readStates reads the others' states each stateInterval.
+// readStates reads the other processes' states every stateInterval.
 func (p *pooler) readStates(quit <-chan struct{}) {
-	last := ""
+	lastErr := ""
 	repeat(quit, func() {
 		others, err := p.folder.Others(handover.UsefulMs)
-		if err != nil && err.Error() != last {
-			last = err.Error()
-			p.log.Warn("what another process tells is not used", "err", err)
+		if err != nil && err.Error() != lastErr {
+			lastErr = err.Error()
+			p.log.Warn("upgrade: the state of another process cannot be read and is not used", "err", err)
 		}
 		p.loop.Post(func() { p.applyStates(others) })
 	})
 }
 
-// repeat calls do, and again stateInterval after it returned, until quit is closed.
+// repeat calls do until quit is closed, with a pause of stateInterval after each call.
 func repeat(quit <-chan struct{}, do func()) {
 	for {
 		do()
@@ -231,7 +231,7 @@
 	}
 }
 
-// applyStates applies the other processes' states. A newer list counts even where its process was too slow to count as running.
+// applyStates applies the other processes' states. A newer list is adopted even from a process that reported too late to count as running.
 func (p *pooler) applyStates(others []*handover.State) {
 	p.countProcesses(others)
 	p.updateProcesses()
@@ -245,12 +245,12 @@
 	}
 }
 
-// adoptList applies another process's newer list, and has discovery's own requested.
+// adoptList applies another process's newer list, and has the discovery client request the list itself.
 func (p *pooler) adoptList(s *handover.State) {
-	p.log.Info("another process has heard more", "generation", s.List.Generation, "own", p.list.generation)
-	anew := s.ListRestarts > p.list.restarts
+	p.log.Info("upgrade: adopting a newer list from another process", "generation", s.List.Generation, "own_generation", p.list.generation)
+	restarted := s.ListRestarts > p.list.restarts
 	p.list.adopt(s)
-	p.discovery.Adopt(p.list.generation, anew)
-	whole := p.list.complete()
-	p.core.Listed(&whole)
+	p.discovery.Adopt(p.list.generation, restarted)
+	complete := p.list.complete()
+	p.core.Listed(&complete)
 }
--- a/cmd/beechgrade/zones.go
+++ b/cmd/beechgrade/zones.go
@@ -16,18 +16,19 @@
 	"beechgrade/internal/storage/store"
 )
 
-// zoneFailover joins the fleet's decision on which zone serves which reads to the core, the replicated log and the file with the plan's
-// number.
+// zoneFailover connects failover between zones, which decides for the whole fleet which zone serves which reads, to the core, to the replicated
+// log and to the file with the plan's number.
 type zoneFailover struct {
 	pooler     *pooler
 	set        settings.Zones
 	adapter    *adapter.Adapter
 	toSave     chan planNumber
 	done       chan struct{}
-	lastNote   *zonesadmin.Note // as recorded
-	sentAtNote []uint64         // counts at that time
+	lastNote   *zonesadmin.Note // the last one that was recorded
+	sentAtNote []uint64         // attempts by zone, when it was recorded
 }
 
+// planNumber is the number of a plan to save, and the function to call once it is saved.
 type planNumber struct {
 	number uint64
 	saved  func()
@@ -76,7 +77,7 @@
 
 func (z *zoneFailover) file() string { return filepath.Join(z.set.Dir, "zones-"+z.pooler.cfg.Name) }
 
-// loadLastNumber returns the number of the plan that the last process followed.
+// loadLastNumber returns the number of the plan that the previous process followed.
 func (z *zoneFailover) loadLastNumber() (uint64, error) {
 	if err := os.MkdirAll(z.set.Dir, 0o700); err != nil {
 		return 0, err
@@ -84,7 +85,7 @@
 	return z.savedNumber()
 }
 
-// savedNumber returns the number in the file, 0 for none.
+// savedNumber returns the number in the file; 0 where there is no file.
 func (z *zoneFailover) savedNumber() (uint64, error) {
 	b, err := os.ReadFile(z.file())
 	if os.IsNotExist(err) {
@@ -96,74 +97,74 @@
 	return strconv.ParseUint(strings.TrimSpace(string(b)), 10, 64)
 }
 
-// saveRetryMs is the time until a failed save of a number is tried again.
+// saveRetryMs is the time until a failed save of a number is retried.
 const saveRetryMs = 1000
 
-// saveNumbers saves the numbers of plans, off the loop. A number is durable before its plan is followed. An older number than the saved one
-// counts as saved.
+// saveNumbers saves the numbers of plans, off the loop. A plan is followed only once its number is durable. A number below the saved one counts as
+// saved.
 func (z *zoneFailover) saveNumbers() {
 	defer close(z.done)
 	last := uint64(0)
-	for k := range z.toSave {
-		if has, err := z.savedNumber(); err == nil { // the process that takes over may have saved a newer one
-			last = max(last, has)
+	for plan := range z.toSave {
+		if saved, err := z.savedNumber(); err == nil { // the process that takes over may have saved a newer one
+			last = max(last, saved)
 		}
-		if k.number > last {
-			if err := store.Replace(store.Dir(z.set.Dir), filepath.Base(z.file()), strconv.AppendUint(nil, k.number, 10)); err != nil {
-				z.pooler.log.Error("zones: the plan's number cannot be kept; the plan is not followed", "err", err)
-				z.pooler.loop.Post(func() { z.retrySave(k) })
+		if plan.number > last {
+			if err := store.Replace(store.Dir(z.set.Dir), filepath.Base(z.file()), strconv.AppendUint(nil, plan.number, 10)); err != nil {
+				z.pooler.log.Error("zones: the plan's number cannot be saved; the plan is not followed until it is", "err", err)
+				z.pooler.loop.Post(func() { z.retrySave(plan) })
 				continue
 			}
-			last = k.number
+			last = plan.number
 		}
-		z.pooler.loop.Post(k.saved)
+		z.pooler.loop.Post(plan.saved)
 	}
 }
 
 // StorePlanNumber saves a plan's number, and then calls done. It is not called again for a renewed plan, so a save is retried until it succeeds.
-func (z *zoneFailover) StorePlanNumber(no uint64, done func()) {
-	k := planNumber{no, func() {
+func (z *zoneFailover) StorePlanNumber(number uint64, done func()) {
+	plan := planNumber{number, func() {
 		done()
 		z.logPlan()
 	}}
 	if z.set.Dir == "" {
-		k.saved()
+		plan.saved()
 		return
 	}
-	z.enqueueSave(k)
+	z.enqueueSave(plan)
 }
 
-func (z *zoneFailover) enqueueSave(k planNumber) {
+func (z *zoneFailover) enqueueSave(plan planNumber) {
 	select {
-	case z.toSave <- k:
+	case z.toSave <- plan:
 	default:
-		z.retrySave(k)
+		z.retrySave(plan)
 	}
 }
 
-func (z *zoneFailover) retrySave(k planNumber) {
-	z.pooler.loop.At(z.pooler.loop.Now()+saveRetryMs, func() { z.enqueueSave(k) })
+func (z *zoneFailover) retrySave(plan planNumber) {
+	z.pooler.loop.At(z.pooler.loop.Now()+saveRetryMs, func() { z.enqueueSave(plan) })
 }
 
 // logPlan logs the plan that this pooler follows.
 func (z *zoneFailover) logPlan() {
 	s, p := z.adapter.Status()
 	if p != nil {
-		z.pooler.log.Info("zones: follows",
+		z.pooler.log.Info("zones: plan adopted",
 			"plan", p.Number,
-			"by", p.Author,
+			"author", p.Author,
 			"zones", fmt.Sprint(p.Zones),
 			"shares", fmt.Sprint(p.Matrix),
-			"near", z.set.Zones[s.Zone],
-			"why", s.Reason.String(),
-			"short", p.Unserved)
+			"own_zone", z.set.Zones[s.Zone],
+			"reason", s.Reason.String(),
+			"unserved", p.Unserved)
 	}
 }
 
-// noteIntervalMs is the time between two records.
+// noteIntervalMs is the interval between checks for a change to record.
 const noteIntervalMs = 1000
 
-// recordNote records the plan that this pooler follows and where its reads went, where either has changed.
+// recordNote records the plan that this pooler follows and the zones that served its reads, where either has changed.
 func (z *zoneFailover) recordNote() {
 	s, p := z.adapter.Status()
 	n := zonesadmin.NewNote(z.adapter.Settings(), s, p, z.adapter.Sent(), z.sentAtNote)
@@ -180,17 +181,17 @@
 	z.pooler.raftLog.adapter.Propose(0, append([]byte{raftlog.ZoneEntries}, entry...))
 }
 
-// reload applies new orders.
+// reload applies new settings; only the orders can change while serving.
 func (z *zoneFailover) reload(set settings.Zones) {
 	if !set.Enabled {
-		z.pooler.log.Warn("cannot change while serving, needs a restart", "kept", []string{"zones"})
+		z.pooler.log.Warn("settings cannot be changed while serving; the previous ones apply until a restart", "settings", []string{"zones"})
 		return
 	}
 	z.adapter.SetOrders(set.Orders)
-	z.pooler.log.Info("zones: orders read again", "orders", len(set.Orders))
+	z.pooler.log.Info("zones: orders reloaded", "orders", len(set.Orders))
 }
 
-// writeZonesMetrics writes the metrics of failover between zones, where it is on.
+// writeZonesMetrics writes the metrics of failover between zones, where it is enabled.
 func (p *pooler) writeZonesMetrics(s *exposition.Snapshot) {
 	if p.zones == nil {
 		return
--- a/cmd/beechgrade/zones_admin.go
+++ b/cmd/beechgrade/zones_admin.go
@@ -11,7 +11,7 @@
 	zonesadmin "beechgrade/internal/cluster/zones/admin"
 )
 
-// zonesPath is the admin endpoint's path for failover between zones, where it is on.
+// zonesPath is the path of failover between zones on the admin endpoint.
 const zonesPath = "/-/zones"
 
 // handleAdminCall answers an operator's call: GET shows the state of the zones, POST proposes an order, whose outcome later GETs show.
@@ -20,7 +20,7 @@
 	switch method {
 	case http.MethodGet:
 	case http.MethodPost:
-		o, stands, err := zonesadmin.ParseOrder(query, z.adapter.Settings(), z.adapter.State(), z.pooler.loop.Now())
+		order, applied, err := zonesadmin.ParseOrder(query, z.adapter.Settings(), z.adapter.State(), z.pooler.loop.Now())
 		switch {
 		case errors.Is(err, zonesadmin.ErrInvalidOrder):
 			return admin.Response{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")}
@@ -28,13 +28,13 @@
 			return admin.Response{Status: http.StatusServiceUnavailable, Body: []byte(err.Error() + "\n")}
 		case err != nil:
 			return admin.Response{Status: http.StatusConflict, Body: []byte(err.Error() + "\n")}
-		case !stands:
-			z.adapter.ProposeOrder(o)
-			z.pooler.log.Info("zones: ordered at the door",
-				"zone", o.Zone,
+		case !applied:
+			z.adapter.ProposeOrder(order)
+			z.pooler.log.Info("zones: proposing an order from the admin endpoint",
+				"zone", order.Zone,
 				"state", query.Get("state"),
-				"number", o.Number,
-				"for", query.Get("for"))
+				"number", order.Number,
+				"duration", query.Get("for"))
 			status = http.StatusAccepted
 		}
 	default:
--- a/internal/testkit/rehearse/invariants.go
+++ b/internal/testkit/rehearse/invariants.go
@@ -15,7 +15,7 @@
 
 var (
 	brokenLine = regexp.MustCompile(`msg="invariant broken".*? name="(.*?[^\\])" state=(.*)`)
-	madeLine   = regexp.MustCompile(`msg=invariants .*?made=(\d+) broken=(\d+)`)
+	madeLine   = regexp.MustCompile(`msg=(?:"invariant checks at shutdown"|invariants) .*?made=(\d+) broken=(\d+)`) // "invariants" in older logs
 )
 
 // invariants adds to a verdict what the daemons' logs tell of statements about their own state.
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -17,10 +17,10 @@
 		t.Fatal(err)
 	}
 	l := slog.New(slog.NewTextHandler(f, nil)).With("pooler", p.name)
-	l.Info("serving", "listen", "x")
+	l.Info("serving clients", "listen", "x")
 	l.Error("invariant broken", "name", "decide: a \"b\"", "state", "s at 1")
 	l.Info("invariants", "made", 12, "broken", 1)
-	l.Info("invariants", "made", 30, "broken", 0)
+	l.Info("invariant checks at shutdown", "made", 30, "broken", 0)
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
