--- a/cmd/beechgrade/main.go
+++ b/cmd/beechgrade/main.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// badInput is an error in what the program was given: arguments, environment, configuration or settings.
+// badInput is an error in the program's input: arguments, environment, configuration or settings.
 type badInput struct{ error }
 
 func (b badInput) Unwrap() error { return b.error }
@@ -61,7 +61,7 @@
 }
 
 func runCheck(_ context.Context, c *cli.Command) error {
-	cfg, set, _, err := read(c.String("settings"), nil)
+	cfg, set, _, err := loadConfig(c.String("settings"), nil)
 	if err != nil {
 		return err
 	}
