--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant checks statements about state that must hold whatever happens, where the state changes, and reports those that
-// do not, with the state that broke them.
+// Package invariant checks invariants where the state changes that they are about, and reports each one that does not hold,
+// together with the state.
 //
-// Each owner of state has a *Checks; nil checks nothing, at the cost of a comparison:
+// Each owner of state has a *Checks; a nil *Checks checks nothing, at the cost of a comparison:
 //
 //	if c.Enabled() {
 //		c.That(len(p.idle)+len(p.busy) == p.count, "pool: counted connections are those listed", func() string {
@@ -9,10 +9,10 @@
 //		})
 //	}
 //
-// Checks of O(n) belong in a Walk, which runs once in a number of changes. A breach never stops the caller: it is reported once for each
-// name, and counted. A panic of a walk in broken state is a breach like any other.
+// Checks of O(n) belong in a Walk, which runs only once in a given number of calls. A breach never stops the caller: each name is
+// reported once, and further breaches of it are counted. A panic of a walk over inconsistent state counts as a breach.
 //
-// A Checks belongs to one event loop, like the state that it checks, and is not safe for concurrent use. Each simulation and each
+// A Checks belongs to the event loop of the state that it checks, and is not safe for concurrent use. Each simulation and each
 // pooler has its own.
 package invariant
 
@@ -21,23 +21,23 @@
 	"slices"
 )
 
-// Bounds of what is kept.
+// Bounds of the breaches that are kept.
 const (
 	maxBreaches   = 256  // names
-	maxStateBytes = 8192 // of each
+	maxStateBytes = 8192 // of the state of each
 )
 
-// Breach is a statement that did not hold.
+// Breach is an invariant that did not hold.
 type Breach struct {
 	Name  string
-	State string // the first time
+	State string // at the first breach
 	Times int
 }
 
-// String is the name of the statement and the state that broke it.
+// String is the name of the invariant and the state in which it did not hold.
 func (b Breach) String() string { return fmt.Sprintf("invariant broken: %s: %s", b.Name, b.State) }
 
-// Checks checks statements. A nil *Checks checks none.
+// Checks checks invariants. A nil *Checks checks none.
 type Checks struct {
 	onBreach     func(Breach)
 	breaches     []Breach
@@ -45,7 +45,7 @@
 	checkedCount int
 }
 
-// New returns checks that report the first breach of each name to onBreach, which may be nil.
+// New returns a Checks that reports the first breach of each name to onBreach, which may be nil.
 func New(onBreach func(Breach)) *Checks { return &Checks{onBreach: onBreach} }
 
 // T is the part of a *testing.T or *rapid.T that Test needs.
@@ -54,16 +54,16 @@
 	Errorf(format string, args ...any)
 }
 
-// Test returns checks that fail a test on a breach. The test goes on, as callers go on after a breach.
+// Test returns a Checks that marks the test as failed on a breach. The test continues, as callers continue after a breach.
 func Test(t T) *Checks {
 	t.Helper()
 	return New(func(breach Breach) { t.Errorf("%v", breach) })
 }
 
-// Enabled reports whether statements are checked. Work that only serves a check is done only then.
+// Enabled reports whether invariants are checked. Callers skip work that only serves a check where they are not.
 func (c *Checks) Enabled() bool { return c != nil }
 
-// That checks that ok holds. state describes the state; it is called for the first breach of the name.
+// That checks that ok is true. state describes the state; it is called only at the first breach of the name.
 func (c *Checks) That(ok bool, name string, state func() string) {
 	if c == nil {
 		return
@@ -91,11 +91,11 @@
 	}
 }
 
-// describe calls state, which may panic as the state is broken.
+// describe calls state, which may panic where the state is inconsistent.
 func describe(state func() string) (text string) {
 	defer func() {
 		if p := recover(); p != nil {
-			text = fmt.Sprintf("state that cannot be told: %v", p)
+			text = fmt.Sprintf("describing the state panicked: %v", p)
 		}
 	}()
 	if state == nil {
@@ -108,25 +108,25 @@
 	return text
 }
 
-// Walk runs walk, which checks large state, once in every calls. counter counts the calls and belongs to the caller.
-func (c *Checks) Walk(counter *int, every int, name string, walk func(c *Checks)) {
+// Walk runs walk, which checks large state, on every interval-th call. counter counts the calls and belongs to the caller.
+func (c *Checks) Walk(counter *int, interval int, name string, walk func(c *Checks)) {
 	if c == nil {
 		return
 	}
 	*counter++
-	if *counter < every {
+	if *counter < interval {
 		return
 	}
 	*counter = 0
 	defer func() {
 		if p := recover(); p != nil {
-			c.breach(name, func() string { return fmt.Sprintf("the walk broke off: %v", p) })
+			c.breach(name, func() string { return fmt.Sprintf("the walk panicked: %v", p) })
 		}
 	}()
 	walk(c)
 }
 
-// Breaches are the breaches so far, in the order in which they were found; nil for none.
+// Breaches returns the breaches so far, in the order in which they were found, or nil if there are none.
 func (c *Checks) Breaches() []Breach {
 	if c == nil {
 		return nil
@@ -134,7 +134,7 @@
 	return slices.Clone(c.breaches)
 }
 
-// Counts are how many statements were checked, and how many of them did not hold.
+// Counts returns the number of checks so far, and of those that failed.
 func (c *Checks) Counts() (checked, failed int) {
 	if c == nil {
 		return 0, 0
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -20,8 +20,8 @@
 	}
 	want := []string{
 		"invariant broken: small: i is 1",
-		"invariant broken: other: state that cannot be told",
-		"invariant broken: walk: the walk broke off",
+		"invariant broken: other: describing the state panicked",
+		"invariant broken: walk: the walk panicked",
 	}
 	for i, w := range want {
 		if i >= len(reported) || !strings.HasPrefix(reported[i], w) {
@@ -36,32 +36,33 @@
 	}
 }
 
-// TestNilChecksNothing checks that nil checks nothing and calls nothing.
+// TestNilChecksNothing checks that a nil *Checks checks nothing and calls none of the functions that it is given.
 func TestNilChecksNothing(t *testing.T) {
 	var c *Checks
 	n := 0
-	c.That(false, "x", func() string { t.Error("asked for state"); return "" })
-	c.Walk(&n, 1, "x", func(*Checks) { t.Error("walked") })
-	if made, broken := c.Counts(); c.Enabled() || c.Breaches() != nil || made != 0 || broken != 0 {
-		t.Error("nil checks something")
+	c.That(false, "x", func() string { t.Error("state was called"); return "" })
+	c.Walk(&n, 1, "x", func(*Checks) { t.Error("walk was called") })
+	if checked, failed := c.Counts(); c.Enabled() || c.Breaches() != nil || checked != 0 || failed != 0 {
+		t.Error("a nil *Checks checked something")
 	}
 }
 
-type sayer struct{ said string }
+// errorRecorder is a T that records its errors.
+type errorRecorder struct{ text string }
 
-func (s *sayer) Helper()                      {}
-func (s *sayer) Errorf(f string, args ...any) { s.said += fmt.Sprintf(f, args...) }
+func (r *errorRecorder) Helper()                           {}
+func (r *errorRecorder) Errorf(format string, args ...any) { r.text += fmt.Sprintf(format, args...) }
 
 // TestBreachFailsTheTest checks that a breach fails the test.
 func TestBreachFailsTheTest(t *testing.T) {
-	var s sayer
-	Test(&s).That(false, "x", func() string { return "y" })
-	if s.said != "invariant broken: x: y" {
-		t.Errorf("said %q", s.said)
+	var recorder errorRecorder
+	Test(&recorder).That(false, "x", func() string { return "y" })
+	if recorder.text != "invariant broken: x: y" {
+		t.Errorf("recorded %q", recorder.text)
 	}
 }
 
-// BenchmarkOff: what a check costs where it is off, in the form that owners use it.
+// BenchmarkOff measures a disabled check in the form in which callers use it.
 func BenchmarkOff(b *testing.B) {
 	var c *Checks
 	s := make([]int, 8)
@@ -74,7 +75,7 @@
 	}
 }
 
-// BenchmarkBare is BenchmarkOff without the check.
+// BenchmarkBare measures the loop of BenchmarkOff without the check, as a baseline.
 func BenchmarkBare(b *testing.B) {
 	s := make([]int, 8)
 	b.ReportAllocs()
@@ -83,7 +84,7 @@
 	}
 }
 
-// BenchmarkOn: a check that holds.
+// BenchmarkOn measures an enabled check that holds.
 func BenchmarkOn(b *testing.B) {
 	c := New(nil)
 	s := make([]int, 8)
--- a/internal/settings/endpoints_test.go
+++ b/internal/settings/endpoints_test.go
@@ -118,7 +118,7 @@
 		},
 		`(pin "a")`:    ":1:1: (pin \"ID\" serving), draining or gone",
 		`(pin "a" up)`: ":1:10: serving, draining or gone",
-		`(unpin "a")`:  `:1:1: "unpin" is not known here; known are: accept-removals, pin`,
+		`(unpin "a")`:  `:1:1: "unpin" is unknown here; allowed are: accept-removals, pin`,
 	} {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,14 +21,14 @@
 			Snapshots: Snapshots{Dir: "/t/k", MaxAgeMs: 3600e3, MaxBytes: defaultSnapshotBytes, CompactionBytesPerSecond: 1 << 20},
 		},
 		`(kept (dir "$NO"))`:                       `o:1:1: kept: (dir "FOLDER") is due, on a disk that survives`,
-		"(record)\n(records)":                      `o:2:1: "records" is not known here; known are: agreed, clickhouse, credit, fleet-limits, invariants, journal, kept, membership, overload, peers, pooling, record, scatter, sessions, verdicts, zones`,
+		"(record)\n(records)":                      `o:2:1: "records" is unknown here; allowed are: agreed, clickhouse, credit, fleet-limits, invariants, journal, kept, membership, overload, peers, pooling, record, scatter, sessions, verdicts, zones`,
 		"(record (on))":                            "o:1:1: record: it is on, but no (dir ...) says where",
 		`(record (on) (dir "$NO"))`:                "o:1:14: record: the folder's name is empty; is its variable set?",
 		"(record (segment 1m)\n (total 1m))":       "o:1:1: record: total has room for less than two segments of 1048576 bytes",
 		"(record\n  (flush 1ms))":                  "o:2:10: 1ms is out of range; it may be from 10ms to 60000ms",
 		"(record (queue 1e9))":                     "o:1:16: 1e9 is out of range; it may be from 64 to 1.048576e+06",
-		"(record (dir \"a\") (dir \"b\"))":         `o:1:19: "dir" stands here twice, first on line 1`,
-		"(record (on yes) (dir \"a\")) (record\n)": `o:1:29: "record" stands here twice, first on line 1`,
+		"(record (dir \"a\") (dir \"b\"))":         `o:1:19: duplicate "dir"; the first is on line 1`,
+		"(record (on yes) (dir \"a\")) (record\n)": `o:1:29: duplicate "record"; the first is on line 1`,
 	} {
 		settings, err := Parse("o", []byte(in), env)
 		var got any
--- a/internal/sexp/parse.go
+++ b/internal/sexp/parse.go
@@ -9,17 +9,17 @@
 // delimiters end an atom.
 const delimiters = " \t\r\n();\""
 
-// The characters that may follow a backslash in a string, and what they stand for.
+// The characters that may follow a backslash in a string, and the characters that they stand for, in the same order.
 const (
 	escapes   = `"\nt`
 	unescaped = "\"\\\n\t"
 )
 
-// Parse reads all expressions of a file's text. A comment runs from ';' to the end of its line.
+// Parse parses all expressions in the text of a file. A comment runs from ';' to the end of its line.
 func Parse(file string, text []byte) ([]*Node, error) {
 	p := &parser{input: text, pos: Pos{file, 1, 1}}
 	if len(text) > MaxBytes {
-		return nil, p.errorf(p.pos, "the file has %d bytes; at most %d are read", len(text), MaxBytes)
+		return nil, p.errorf(p.pos, "the file has %d bytes; at most %d are allowed", len(text), MaxBytes)
 	}
 	var nodes []*Node
 	for {
@@ -52,7 +52,7 @@
 func (p *parser) next() (rune, error) {
 	r, size := utf8.DecodeRune(p.input[p.offset:])
 	if r == utf8.RuneError && size <= 1 {
-		return 0, p.errorf(p.pos, "this is not UTF-8 text")
+		return 0, p.errorf(p.pos, "invalid UTF-8")
 	}
 	p.offset += size
 	p.pos.Col++
@@ -83,12 +83,12 @@
 func (p *parser) skipComment() {
 	for !p.atEnd() && p.input[p.offset] != '\n' {
 		if _, err := p.next(); err != nil {
-			p.offset++ // any bytes may stand in a comment
+			p.offset++ // a comment may contain invalid UTF-8
 		}
 	}
 }
 
-// parseNode reads an expression inside so many lists.
+// parseNode parses an expression that is nested in depth lists.
 func (p *parser) parseNode(depth int) (*Node, error) {
 	node := &Node{Pos: p.pos}
 	p.nodeCount++
@@ -99,7 +99,7 @@
 	case '(':
 		return node, p.parseList(node, depth)
 	case ')':
-		return nil, node.Errorf("a ')' that closes nothing")
+		return nil, node.Errorf("unmatched ')'")
 	case '"':
 		return node, p.parseString(node)
 	}
@@ -115,7 +115,7 @@
 	for {
 		p.skipSpace()
 		if p.atEnd() {
-			return list.Errorf("this list is not closed")
+			return list.Errorf("unclosed list")
 		}
 		if p.input[p.offset] == ')' {
 			p.skip()
@@ -155,10 +155,10 @@
 			node.Text = text.String()
 			return nil
 		case '\n':
-			return node.Errorf("this text is not closed on its line")
+			return node.Errorf("unclosed string at the end of the line")
 		case '\\':
 			if p.atEnd() {
-				return node.Errorf("this text is not closed")
+				return node.Errorf("unclosed string")
 			}
 			if r, err = p.unescape(start); err != nil {
 				return err
@@ -166,10 +166,10 @@
 		}
 		text.WriteRune(r)
 	}
-	return node.Errorf("this text is not closed")
+	return node.Errorf("unclosed string")
 }
 
-// unescape consumes the character after a backslash at start, and returns what it stands for.
+// unescape consumes the character after the backslash at start, and returns the character that the escape stands for.
 func (p *parser) unescape(start Pos) (rune, error) {
 	r, err := p.next()
 	if err != nil {
@@ -177,7 +177,7 @@
 	}
 	i := strings.IndexRune(escapes, r)
 	if i < 0 {
-		return 0, p.errorf(start, `\%c is not known; there are \" \\ \n \t`, r)
+		return 0, p.errorf(start, `unknown escape \%c; allowed are \" \\ \n \t`, r)
 	}
 	return rune(unescaped[i]), nil
 }
--- a/internal/sexp/schema.go
+++ b/internal/sexp/schema.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// Schema says which lists are allowed, by their names, and what reads each of them.
+// Schema maps the names of the lists that are allowed to the functions that read them.
 type Schema map[string]func(*Node) error
 
-// Read passes each of items to the function of its name. A name that is not in the schema is an error, and so is one that comes
-// twice, unless it is repeatable.
+// Read passes each item to the function of its name. A name that is not in the schema is an error, and so is a second item of the
+// same name, unless the name is repeatable.
 func (s Schema) Read(items []*Node, repeatable ...string) error {
 	seen := map[string]Pos{}
 	for _, node := range items {
 		name := node.Head()
 		if name == "" {
-			return node.Errorf("here a list that begins with a name is due; known are: %s", s.names())
+			return node.Errorf("expected a list that begins with a name; allowed are: %s", s.names())
 		}
 		read := s[name]
 		if read == nil {
-			return node.Errorf("%q is not known here; known are: %s", name, s.names())
+			return node.Errorf("%q is unknown here; allowed are: %s", name, s.names())
 		}
-		if first, twice := seen[name]; twice && !slices.Contains(repeatable, name) {
-			return node.Errorf("%q stands here twice, first on line %d", name, first.Line)
+		if first, exists := seen[name]; exists && !slices.Contains(repeatable, name) {
+			return node.Errorf("duplicate %q; the first is on line %d", name, first.Line)
 		}
 		seen[name] = node.Pos
 		if err := read(node); err != nil {
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -1,18 +1,18 @@
-// Package sexp reads the operators' S-expressions: settings, scenarios and expectations. Parse makes nodes of a text, a Schema says
-// what is allowed in a list and who reads it, and methods of Node read values. Every error is an *Error, which names
-// file, line and column.
+// Package sexp reads the S-expressions that operators write: settings, scenarios and expectations. Parse parses a text into nodes, a
+// Schema lists what is allowed in a list and the functions that read it, and methods of Node read values. Every error is an *Error,
+// which names file, line and column.
 package sexp
 
 import "fmt"
 
-// Bounds of a file, which is written by hand.
+// Bounds of a file. Files are written by hand, so that these are generous.
 const (
 	MaxBytes = 1 << 20
 	maxDepth = 64
 	maxNodes = 1 << 17
 )
 
-// Pos is a place in a file. Lines and columns count from 1, columns in characters.
+// Pos is a position in a file. Lines and columns count from 1, columns in characters.
 type Pos struct {
 	File      string
 	Line, Col int
@@ -21,13 +21,13 @@
 // String is FILE:LINE:COLUMN.
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
-// Error is an error at a place in a file.
+// Error is an error at a position in a file.
 type Error struct {
 	Pos  Pos
 	Text string
 }
 
-// Error is the place and the text.
+// Error returns the position and the text.
 func (e *Error) Error() string { return e.Pos.String() + ": " + e.Text }
 
 // Kind is the kind of a node.
@@ -53,7 +53,7 @@
 	return &Error{n.Pos, fmt.Sprintf(format, args...)}
 }
 
-// Head is the name that a list begins with, empty where there is none.
+// Head returns the name that a list begins with, or "" if there is none.
 func (n *Node) Head() string {
 	if n.Kind == List && len(n.Items) > 0 && n.Items[0].Kind == Atom {
 		return n.Items[0].Text
@@ -61,7 +61,7 @@
 	return ""
 }
 
-// Args are the items of a list after its name.
+// Args returns the items of a list after its name.
 func (n *Node) Args() []*Node {
 	if n.Head() == "" {
 		return nil
--- a/internal/testkit/scenario/scenario_test.go
+++ b/internal/testkit/scenario/scenario_test.go
@@ -40,7 +40,7 @@
 		`(rehearsal "x" (at 1s (list-late 1s) (until 3s)))`:                                   `s:1:38: (for TIME) is due here`,
 		`(rehearsal "x" (sites "a" "b") (poolers 4) (at 1s (cut b member 0 1)) (at 1s (thin (1 3) everyone 0.4)) (at 2s (list-held all) (for 1s)))`: "",
 		`(rehearsal "x" (at 1s (cut 0)))`:                  `s:1:23: (cut WHOM primary GROUP), or another target; WHOM is all, a pooler's number, (NUMBER...) or a site`,
-		`(rehearsal "x" (at 1s (cut c primary 0)))`:        `s:1:28: a number is due here`,
+		`(rehearsal "x" (at 1s (cut c primary 0)))`:        `s:1:28: expected a number`,
 		`(rehearsal "x" (at 1s (cut 3 primary 0)))`:        `s:1:28: 3 is out of range; it may be from 0 to 0`,
 		`(rehearsal "x" (at 1s (thin 0 primary 0 2)))`:     `s:1:41: 2 is out of range; it may be from 0 to 1`,
 		`(rehearsal "x" (at 1s (list-held)))`:              `s:1:23: (list-held WHOM), where WHOM is all, a pooler's number, (NUMBER...) or a site`,
