--- a/internal/settings/clickhouse.go
+++ b/internal/settings/clickhouse.go
@@ -18,24 +18,24 @@
 	LatencyObjectiveMs   float64
 	DeadlineMs           float64
 	PriorityWeight       float64
-	MaxBufferedBytes     int     // of a query's body; a longer one passes through and is never retried
-	MaxBodyBytes         int64   // 0 for any
+	MaxBufferedBytes     int     // of a query's body; a longer body is streamed through and never retried
+	MaxBodyBytes         int64   // 0 for no limit
 	MaxStalenessMs       float64 // 0 for data of any age
 	UploadTimeoutMs      float64
-	ServerIdleTimeoutMs  float64 // without a byte of a response
-	ClientStallTimeoutMs float64 // in which a client takes no byte of a response
-	DeadlineHeader       string  // names the header that may state for how many ms a client waits
+	ServerIdleTimeoutMs  float64 // longest time without a byte of the response from the server
+	ClientStallTimeoutMs float64 // longest time in which the client reads no byte of the response
+	DeadlineHeader       string  // name of the header that may state for how many ms the client waits
 	MaxSessions          int
-	ConnectionIdleMs     float64 // to servers
+	ConnectionIdleMs     float64 // after which servers close an idle connection
 	ClientIdleMs         float64
 	HeadTimeoutMs        float64
 	KillQueries          bool // send KILL QUERY when a connection with a query is closed
 	Rules                []ClickHouseRule
 	Users                map[string]limits.Limits
-	DefaultLimits        limits.Limits // of users that are not named
+	DefaultLimits        limits.Limits // of users that are not in Users
 }
 
-// ClickHouseRule is a rule that assigns queries to classes, with the objective and weight of these.
+// ClickHouseRule is a rule that assigns queries to classes, with the objective and weight of those classes.
 type ClickHouseRule struct {
 	clickhouse.Rule
 	LatencyObjectiveMs, PriorityWeight float64
@@ -46,7 +46,7 @@
 	defaultDeadlineMs         = minute
 	defaultPriorityWeight     = 1
 	defaultUserWaitMs         = 5 * second
-	lateWeight                = 0.5 // of a response after its objective, as a part of the weight
+	lateWeight                = 0.5 // of a response that misses its objective, as a fraction of the weight
 )
 
 func defaultClickHouse() ClickHouse {
@@ -67,7 +67,7 @@
 }
 
 var (
-	stalenessBounds = durationRange{3 * second, day} // servers report the age of their data in whole seconds, and are polled
+	stalenessBounds = durationRange{3 * second, day} // at least 3 s: servers report the age of their data in whole seconds, and are polled
 	idleTimeouts    = durationRange{10, day}
 	priorityWeights = numberRange{0, 1000}
 	bufferedBytes   = sizeRange{kilobyte, 64 * megabyte}
@@ -106,21 +106,22 @@
 	case err != nil:
 		return err
 	case c.Listen == "":
-		return node.Errorf("clickhouse: (listen \"ADDRESS:PORT\") is due")
+		return node.Errorf("clickhouse: (listen \"ADDRESS:PORT\") is missing")
 	case c.Group < 0:
-		return node.Errorf("clickhouse: (group NUMBER) is due: whose servers are ClickHouse's?")
+		return node.Errorf("clickhouse: (group NUMBER), the group of the ClickHouse servers, is missing")
 	case c.DeadlineMs < c.LatencyObjectiveMs:
-		return node.Errorf("clickhouse: the deadline comes before the aim")
+		return node.Errorf("clickhouse: the deadline is shorter than the aim")
 	}
 	return nil
 }
 
-// readUser reads (user "NAME" (queries N) (queue N) (wait TIME) (rate PER-SECOND) (burst N)); "*" stands for all that are not named.
+// readUser reads (user "NAME" (queries N) (queue N) (wait TIME) (rate PER-SECOND) (burst N)). "*" stands for all users without limits
+// of their own.
 func (c *ClickHouse) readUser(node *sexp.Node) error {
 	arguments := node.Args()
 	name, ok := firstName(arguments)
 	if !ok {
-		return node.Errorf("a user's name is due first, or \"*\"")
+		return node.Errorf("expected a user's name, or \"*\", first")
 	}
 	user := limits.Limits{MaxWaitMs: defaultUserWaitMs}
 	err := sexp.Schema{
@@ -138,7 +139,7 @@
 		return nil
 	}
 	if _, exists := c.Users[name]; exists {
-		return arguments[0].Errorf("this user stands here twice")
+		return arguments[0].Errorf("duplicate user")
 	}
 	if c.Users == nil {
 		c.Users = map[string]limits.Limits{}
@@ -152,10 +153,10 @@
 	arguments := node.Args()
 	name, ok := firstName(arguments)
 	if !ok {
-		return node.Errorf("a class's name is due first")
+		return node.Errorf("expected a class's name first")
 	}
 	if slices.ContainsFunc(c.Rules, func(other ClickHouseRule) bool { return other.Name == name }) {
-		return arguments[0].Errorf("this class stands here twice")
+		return arguments[0].Errorf("duplicate class")
 	}
 	rule := ClickHouseRule{
 		Rule:               clickhouse.Rule{Name: name, DeadlineMs: defaultDeadlineMs},
@@ -169,7 +170,7 @@
 		"header": func(node *sexp.Node) error {
 			arguments := node.Args()
 			if len(arguments) != 2 || arguments[0].Text == "" {
-				return node.Errorf("(header \"NAME\" \"VALUE\")")
+				return node.Errorf("expected (header \"NAME\" \"VALUE\")")
 			}
 			rule.Header, rule.Value = arguments[0].Text, arguments[1].Text
 			return nil
@@ -194,17 +195,17 @@
 	selectsByRequest := r.Path != "" || r.Header != ""
 	switch {
 	case !selectsByClient && !selectsByRequest:
-		return node.Errorf("class %q: whose queries are of it? (user ...), (database ...), (path ...) or (header ...)", r.Name)
+		return node.Errorf("class %q: at least one of (user ...), (database ...), (path ...) and (header ...) must select its queries", r.Name)
 	case r.Path != "" && r.Path[0] != '/':
-		return node.Errorf("class %q: a path begins with /", r.Name)
+		return node.Errorf("class %q: the path must begin with /", r.Name)
 	case r.DeadlineMs < r.LatencyObjectiveMs:
-		return node.Errorf("class %q: the deadline comes before the aim", r.Name)
+		return node.Errorf("class %q: the deadline is shorter than the aim", r.Name)
 	}
 	return nil
 }
 
-// AddClasses adds the interface's classes to a configuration, for each rule one of reads and one of writes. Both go to any server of the
-// group. What is not known to be a read is never sent twice.
+// AddClasses adds the interface's classes to a configuration: for each rule one of reads and one of writes. Queries of both may go to
+// any server of the group. A query that is not known to be a read is never retried.
 func (c *ClickHouse) AddClasses(cfg *config.Config) {
 	if c.Listen == "" {
 		return
--- a/internal/settings/clickhouse_test.go
+++ b/internal/settings/clickhouse_test.go
@@ -12,8 +12,8 @@
 	"beechgrade/internal/frontend/clickhouse/limits"
 )
 
-// TestClickHouseSettings checks the values of (clickhouse ...), the place of each error, and that only classes of reads may be
-// retried.
+// TestClickHouseSettings checks the values of (clickhouse ...), the position of each error, and that only queries of the
+// classes of reads may be retried.
 func TestClickHouseSettings(t *testing.T) {
 	settings, err := Parse("o", []byte(`(clickhouse (listen "127.0.0.1:8123") (group 9) (aim 1s) (deadline 5s)
 		(most-body 2m) (hold 64k) (bound 10s) (sessions 5)
@@ -67,17 +67,17 @@
 	}
 	for in, want := range map[string]string{
 		`(clickhouse)`:                                   "o:1:1: clickhouse: (listen",
-		`(clickhouse (user (queries 1)))`:                "o:1:13: a user's name",
-		`(clickhouse (user "a") (user "a"))`:             "o:1:30: this user stands here twice",
-		`(clickhouse (class))`:                           "o:1:13: a class's name",
-		`(clickhouse (class "a"))`:                       "o:1:13: class \"a\": whose queries",
-		`(clickhouse (class "a" (path "x")))`:            "o:1:13: class \"a\": a path begins",
+		`(clickhouse (user (queries 1)))`:                "o:1:13: expected a user's name",
+		`(clickhouse (user "a") (user "a"))`:             "o:1:30: duplicate user",
+		`(clickhouse (class))`:                           "o:1:13: expected a class's name",
+		`(clickhouse (class "a"))`:                       "o:1:13: class \"a\": at least one of (user ...)",
+		`(clickhouse (class "a" (path "x")))`:            "o:1:13: class \"a\": the path must begin",
 		`(clickhouse (class "a" (user "u") (aim 2m)))`:   "o:1:13: class \"a\": the deadline",
-		`(clickhouse (class "a" (header "h")))`:          "o:1:24: (header",
+		`(clickhouse (class "a" (header "h")))`:          "o:1:24: expected (header",
 		`(clickhouse (bound 1s))`:                        "o:1:20: ",
-		`(clickhouse (listen "x"))`:                      "o:1:21: an address with its port",
+		`(clickhouse (listen "x"))`:                      "o:1:21: expected an address with a port",
 		`(clickhouse (listen "h:1"))`:                    "o:1:1: clickhouse: (group NUMBER)",
-		`(clickhouse (listen "h:1") (group 1) (aim 2m))`: "o:1:1: clickhouse: the deadline comes before the aim",
+		`(clickhouse (listen "h:1") (group 1) (aim 2m))`: "o:1:1: clickhouse: the deadline is shorter than the aim",
 	} {
 		if _, err := Parse("o", []byte(in), nil); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%s: %v", in, err)
--- a/internal/settings/cluster.go
+++ b/internal/settings/cluster.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/sexp"
 )
 
-// Cluster says how a pooler is one of a cluster. Without it, it talks to no other pooler.
+// Cluster configures a pooler's membership in a cluster. A pooler without it talks to no other pooler.
 type Cluster struct {
 	Enabled      bool
 	Listen       string
@@ -69,9 +69,9 @@
 	case c.KeyFile == "":
 		return node.Errorf("(peers ...) needs (key ...)")
 	case 2*v.ProbeTimeout+2*v.TickInterval > v.ProbeInterval:
-		return node.Errorf("a probe of %g ms leaves no room for two times the time-out of %g ms", v.ProbeInterval, v.ProbeTimeout)
+		return node.Errorf("(probe ...) of %g ms is too short for two times (timeout ...) of %g ms", v.ProbeInterval, v.ProbeTimeout)
 	case v.SendingTimeout > v.Retention:
-		return node.Errorf("what is forgotten after %g ms cannot be held for %g ms", v.Retention, v.SendingTimeout)
+		return node.Errorf("(forget ...) of %g ms must not be shorter than (hold ...) of %g ms", v.Retention, v.SendingTimeout)
 	}
 	v.PauseGrace = v.ProbeInterval + 2*v.ProbeTimeout
 	return nil
@@ -85,12 +85,12 @@
 		c.View.SeedAddresses = append(c.View.SeedAddresses, item.Text)
 	}
 	if len(c.View.SeedAddresses) > maxSeeds {
-		return node.Errorf("%d seeds; %d may be", len(c.View.SeedAddresses), maxSeeds)
+		return node.Errorf("%d seeds; at most %d are allowed", len(c.View.SeedAddresses), maxSeeds)
 	}
 	return nil
 }
 
-// peerAddress reads (key "ADDRESS:PORT"), in numbers, into target.
+// peerAddress reads (key "ADDRESS:PORT"), a numeric address, into target.
 func peerAddress(target *string) reader {
 	return func(node *sexp.Node) error {
 		arguments := node.Args()
@@ -105,7 +105,7 @@
 func checkAddress(node *sexp.Node) error {
 	address, err := netip.ParseAddrPort(node.Text)
 	if node.Kind == sexp.List || err != nil || address.Port() == 0 {
-		return node.Errorf("%q is no address and port in numbers", node.Text)
+		return node.Errorf("%q is not a numeric address with a port", node.Text)
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	return func(node *sexp.Node) (err error) {
 		*target, err = node.Str()
 		if err == nil && (*target == "" || len(*target) > view.MaxNameBytes) {
-			err = node.Errorf("from 1 to %d bytes", view.MaxNameBytes)
+			err = node.Errorf("the name must have from 1 to %d bytes", view.MaxNameBytes)
 		}
 		return err
 	}
@@ -124,20 +124,20 @@
 // Key reads the key file.
 func (c *Cluster) Key() (cluster.Key, error) { return ReadKey(c.KeyFile) }
 
-// ReadKey reads a file that holds the key of a cluster, from 16 to 4096 bytes but for white space around them.
+// ReadKey reads a key from a file. Without the white space around it, a key has from 16 to 4096 bytes.
 func ReadKey(path string) (cluster.Key, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("the fleet's key: %w", err)
+		return nil, fmt.Errorf("key file: %w", err)
 	}
 	defer func() { _ = file.Close() }()
 	key, err := io.ReadAll(io.LimitReader(file, maxKeyBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("the fleet's key: %w", err)
+		return nil, fmt.Errorf("key file: %w", err)
 	}
 	key = bytes.TrimSpace(key)
 	if len(key) < minKeyBytes || len(key) > maxKeyBytes {
-		return nil, fmt.Errorf("the fleet's key: %s: %d bytes; from %d to %d are wanted", path, len(key), minKeyBytes, maxKeyBytes)
+		return nil, fmt.Errorf("key file: %s: %d bytes; want from %d to %d", path, len(key), minKeyBytes, maxKeyBytes)
 	}
 	return key, nil
 }
--- a/internal/settings/cluster_test.go
+++ b/internal/settings/cluster_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestClusterSettings checks that errors in (peers ...) name their place in one line, and that correct settings are read.
+// TestClusterSettings checks that errors in (peers ...) are one line with their position, and that correct settings are read.
 func TestClusterSettings(t *testing.T) {
 	dir := t.TempDir()
 	short, good := filepath.Join(dir, "short"), filepath.Join(dir, "good")
@@ -22,12 +22,12 @@
 		`(peers)`:                                                                           `o:1:1: (peers ...) needs (listen ...)`,
 		`(peers (listen "1.2.3.4:5"))`:                                                      `o:1:1: (peers ...) needs (key ...)`,
 		`(peers (key "k"))`:                                                                 `o:1:1: (peers ...) needs (listen ...)`,
-		`(peers (listen "host:5") (key "k"))`:                                               `o:1:16: "host:5" is no address and port in numbers`,
-		`(peers (listen "1.2.3.4:0") (key "k"))`:                                            `o:1:16: "1.2.3.4:0" is no address and port in numbers`,
-		`(peers (listen "1.2.3.4:5") (key "$NONE"))`:                                        `o:1:29: the file's name is empty; is its variable set?`,
-		`(peers (listen "1.2.3.4:5") (key "k") (seeds "a"))`:                                `o:1:46: "a" is no address and port in numbers`,
-		`(peers (listen "1.2.3.4:5") (key "k") (probe 100ms) (timeout 50ms))`:               `o:1:1: a probe of 100 ms leaves no room for two times the time-out of 50 ms`,
-		`(peers (listen "1.2.3.4:5") (key "k") (hold 2h) (forget 1h))`:                      `o:1:1: what is forgotten after 3.6e+06 ms cannot be held for 7.2e+06 ms`,
+		`(peers (listen "host:5") (key "k"))`:                                               `o:1:16: "host:5" is not a numeric address with a port`,
+		`(peers (listen "1.2.3.4:0") (key "k"))`:                                            `o:1:16: "1.2.3.4:0" is not a numeric address with a port`,
+		`(peers (listen "1.2.3.4:5") (key "$NONE"))`:                                        `o:1:29: the file name is empty; is its environment variable set?`,
+		`(peers (listen "1.2.3.4:5") (key "k") (seeds "a"))`:                                `o:1:46: "a" is not a numeric address with a port`,
+		`(peers (listen "1.2.3.4:5") (key "k") (probe 100ms) (timeout 50ms))`:               `o:1:1: (probe ...) of 100 ms is too short for two times (timeout ...) of 50 ms`,
+		`(peers (listen "1.2.3.4:5") (key "k") (hold 2h) (forget 1h))`:                      `o:1:1: (forget ...) of 3.6e+06 ms must not be shorter than (hold ...) of 7.2e+06 ms`,
 		`(peers (listen "1.2.3.4:5") (key "k") (probe 1ms))`:                                `o:1:46: 1ms is out of range; it may be from 50ms to 60000ms`,
 		`(peers (listen "1.2.3.4:5") (key "k") (seeds "1.2.3.4:5" "1.2.3.5:5") (zone "a"))`: ``,
 	} {
@@ -40,13 +40,13 @@
 			t.Errorf("%s: %q, want %q", in, got, want)
 		}
 	}
-	if _, err := ReadKey(short); err == nil || !strings.Contains(err.Error(), "9 bytes; from 16 to 4096 are wanted") {
-		t.Errorf("a short key: %v", err)
+	if _, err := ReadKey(short); err == nil || !strings.Contains(err.Error(), "9 bytes; want from 16 to 4096") {
+		t.Errorf("key of 9 bytes: %v", err)
 	}
-	if k, err := ReadKey(good); err != nil || string(k) != "0123456789abcdef" {
-		t.Errorf("%q, %v", k, err)
+	if key, err := ReadKey(good); err != nil || string(key) != "0123456789abcdef" {
+		t.Errorf("%q, %v", key, err)
 	}
 	if _, err := ReadKey(filepath.Join(dir, "none")); err == nil {
-		t.Error("a key that is not there was read")
+		t.Error("no error for a key file that does not exist")
 	}
 }
--- a/internal/settings/consul.go
+++ b/internal/settings/consul.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	defaultConsulWaitMs    = 20 * second
-	defaultMaxStaleMs      = 10 * second
-	defaultMaxConsulBytes  = 16 * megabyte
-	charactersOfNoService  = "/?#% "
-	consistencyOfNoSetting = "default"
+	defaultConsulWaitMs   = 20 * second
+	defaultMaxStaleMs     = 10 * second
+	defaultMaxConsulBytes = 16 * megabyte
+	invalidServiceChars   = "/?#% "
+	agentConsistency      = "default" // of the agent: requests carry no consistency parameter
 )
 
 var (
 	consulWaits         = durationRange{second, 10 * minute}
 	consulResponseBytes = sizeRange{64 * kilobyte, gigabyte}
-	consistencies       = []string{consistencyOfNoSetting, "stale", "consistent"}
+	consistencies       = []string{agentConsistency, "stale", "consistent"}
 )
 
 func (e *Endpoints) readConsul(node *sexp.Node, env func(string) string) error {
@@ -58,11 +58,11 @@
 	case err != nil:
 		return err
 	case len(options.Agents) == 0:
-		return node.Errorf("consul: (agents \"ADDRESS:PORT\" ...) is due")
+		return node.Errorf("consul: (agents \"ADDRESS:PORT\" ...) is missing")
 	case len(options.Services) == 0:
-		return node.Errorf("consul: (services \"NAME\" ...) is due")
+		return node.Errorf("consul: (services \"NAME\" ...) is missing")
 	case e.caFile != "" && !https:
-		return node.Errorf("consul: (ca ...) goes with (https)")
+		return node.Errorf("consul: (ca ...) requires (https)")
 	}
 	if https {
 		options.TLS, err = readTLS(node, e.caFile)
@@ -73,7 +73,7 @@
 func readAgents(node *sexp.Node, options *consul.Options) error {
 	for _, item := range node.Args() {
 		if _, _, err := net.SplitHostPort(item.Text); item.Kind == sexp.List || err != nil {
-			return item.Errorf("an agent's \"ADDRESS:PORT\" is due")
+			return item.Errorf("expected an agent's \"ADDRESS:PORT\"")
 		}
 		options.Agents = append(options.Agents, item.Text)
 	}
@@ -82,9 +82,9 @@
 
 func readServices(node *sexp.Node, options *consul.Options) error {
 	for _, item := range node.Args() {
-		isService := isName(item) && !strings.ContainsAny(item.Text, charactersOfNoService)
+		isService := isName(item) && !strings.ContainsAny(item.Text, invalidServiceChars)
 		if !isService || slices.Contains(options.Services, item.Text) {
-			return item.Errorf("a service's name is due, each once")
+			return item.Errorf("expected a service's name, each listed once")
 		}
 		options.Services = append(options.Services, item.Text)
 	}
@@ -94,16 +94,16 @@
 func readConsistency(node *sexp.Node, options *consul.Options) error {
 	argument, err := node.Argument()
 	if err != nil || !slices.Contains(consistencies, argument.Text) {
-		return node.Errorf("(consistency default), (consistency stale) or (consistency consistent)")
+		return node.Errorf("expected (consistency default), (consistency stale) or (consistency consistent)")
 	}
 	options.Consistency = argument.Text
-	if argument.Text == consistencyOfNoSetting {
+	if argument.Text == agentConsistency {
 		options.Consistency = ""
 	}
 	return nil
 }
 
-// readTLS returns the configuration of HTTPS, with the certificates of caFile, or of the system where that is empty.
+// readTLS returns the configuration of HTTPS, with the root certificates of caFile, or with those of the system if caFile is empty.
 func readTLS(node *sexp.Node, caFile string) (*tls.Config, error) {
 	config := &tls.Config{MinVersion: tls.VersionTLS12}
 	if caFile == "" {
@@ -115,7 +115,7 @@
 	}
 	config.RootCAs = x509.NewCertPool()
 	if !config.RootCAs.AppendCertsFromPEM(certificates) {
-		return nil, node.Errorf("consul: %s holds no certificate", caFile)
+		return nil, node.Errorf("consul: %s contains no certificate", caFile)
 	}
 	return config, nil
 }
@@ -139,7 +139,7 @@
 func readGroupNumber(node *sexp.Node, mapping *consul.Mapping) error {
 	arguments := node.Args()
 	if len(arguments) != 2 {
-		return node.Errorf("(group-number \"NAME\" NUMBER)")
+		return node.Errorf("expected (group-number \"NAME\" NUMBER)")
 	}
 	group, err := arguments[1].Number(float64(groupNumbers.min), float64(groupNumbers.max))
 	if mapping.GroupNumbers == nil {
@@ -149,7 +149,7 @@
 	return err
 }
 
-// fieldKindNames are the kinds of places in an instance, for errors.
+// fieldKindNames lists the kinds of field sources, for error messages.
 func fieldKindNames() string {
 	var names []string
 	for _, kind := range consul.FieldKinds {
@@ -163,7 +163,7 @@
 	return func(node *sexp.Node) error {
 		arguments := node.Args()
 		if len(arguments) != 1 {
-			return node.Errorf("(%s (meta \"KEY\")), or another place: %s", node.Head(), fieldKindNames())
+			return node.Errorf("expected (%s (meta \"KEY\")), or another source: %s", node.Head(), fieldKindNames())
 		}
 		return readFieldSource(arguments[0], target)
 	}
@@ -176,14 +176,14 @@
 		kind, arguments = consul.FieldKind(node.Head()), node.Args()
 	}
 	if !slices.Contains(consul.FieldKinds, kind) {
-		return node.Errorf("%q is no place in a service; there are: %s", string(kind), fieldKindNames())
+		return node.Errorf("%q is not a field source; allowed are: %s", string(kind), fieldKindNames())
 	}
 	needsKey := kind == consul.FieldMeta || kind == consul.FieldNodeMeta || kind == consul.FieldConst
 	mayHaveKey := needsKey || kind == consul.FieldTag
 	isMissing := needsKey && len(arguments) == 0
 	isSuperfluous := !mayHaveKey && len(arguments) > 0
 	if len(arguments) > 1 || isMissing || isSuperfluous {
-		takes := "nothing"
+		takes := "no argument"
 		if mayHaveKey {
 			takes = "its key in double quotes"
 		}
@@ -202,7 +202,7 @@
 		*target = nil
 		for _, item := range node.Args() {
 			if !isName(item) {
-				return item.Errorf("a word is due")
+				return item.Errorf("expected a word")
 			}
 			*target = append(*target, item.Text)
 		}
--- a/internal/settings/credit.go
+++ b/internal/settings/credit.go
@@ -12,17 +12,17 @@
 	"beechgrade/internal/sexp"
 )
 
-// Credit has tenants pay in advance. It needs (peers ...) and (agreed ...).
+// Credit configures tenants that pay in advance. It needs (peers ...) and (agreed ...).
 type Credit struct {
 	Enabled    bool
-	Unit       string // of amounts, for readers of metrics
-	Dir        string // of the marks; empty for none. "$NAME" stands for a variable of the environment
+	Unit       string // of amounts; shown in metrics
+	Dir        string // of the stored spending marks; empty for none. "$NAME" stands for an environment variable
 	Lease      lease.Settings
 	Lessor     lessor.Settings
 	Prices     []ClassPrice
 	Overdrafts []ClassOverdraft
 	Payments   []lessor.Payment
-	Prepaid    []string // tenants, sorted
+	Prepaid    []string // tenants that pay in advance, sorted
 }
 
 // ClassPrice is the price of a class's requests.
@@ -54,7 +54,7 @@
 	clockDrifts        = numberRange{0, 0.1}
 )
 
-// SettingsFor are the settings of a pooler with these classes. weight is the priority weight of a class.
+// SettingsFor returns the settings of a pooler with these classes. weight returns the priority weight of a class.
 func (c *Credit) SettingsFor(classes []string, weight func(class int) float64) credit.Settings {
 	settings := credit.Settings{Lease: c.Lease, Lessor: c.Lessor, Payments: c.Payments}
 	settings.Lease.PersistMarks = c.Dir != ""
@@ -62,10 +62,10 @@
 	settings.Lessor.ExpiryDelay = settings.Lease.ExpiryDelay()
 	for i, name := range classes {
 		class := lease.Class{PriorityWeight: weight(i)}
-		if price := c.priceOf(name); price >= 0 {
+		if price := c.priceIndex(name); price >= 0 {
 			class.Price = c.Prices[price].Price
 		}
-		if overdraft := c.overdraftOf(name); overdraft >= 0 {
+		if overdraft := c.overdraftIndex(name); overdraft >= 0 {
 			class.Overdraft = c.Overdrafts[overdraft].Amount
 		}
 		settings.Lease.Classes = append(settings.Lease.Classes, class)
@@ -73,13 +73,13 @@
 	return settings
 }
 
-// priceOf is the index of a class's price, -1 for none.
-func (c *Credit) priceOf(class string) int {
+// priceIndex returns the index of a class's price, or -1 if it has none.
+func (c *Credit) priceIndex(class string) int {
 	return slices.IndexFunc(c.Prices, func(price ClassPrice) bool { return price.Class == class })
 }
 
-// overdraftOf is the index of a class's overdraft, -1 for none.
-func (c *Credit) overdraftOf(class string) int {
+// overdraftIndex returns the index of a class's overdraft, or -1 if it has none.
+func (c *Credit) overdraftIndex(class string) int {
 	return slices.IndexFunc(c.Overdrafts, func(overdraft ClassOverdraft) bool { return overdraft.Class == class })
 }
 
@@ -118,13 +118,14 @@
 	case len(c.Prices) == 0:
 		return node.Errorf("(credit ...) needs a (price CLASS ...)")
 	case l.Duration < minRenewalsPerLease*l.RenewInterval || l.RenewInterval < l.UrgentInterval:
-		return node.Errorf("a lease of %g ms is to be four times the %g ms between asks at least, and these no less than the %g ms of those that are soon",
+		return node.Errorf("(lease ...) of %g ms must be at least four times (renew ...) of %g ms, which must be at least (soon ...) of %g ms",
 			l.Duration, l.RenewInterval, l.UrgentInterval)
 	}
 	return c.sortPayments(node)
 }
 
-// sortPayments sorts the payments, and adds the tenants who made them to those who pay in advance.
+// sortPayments sorts the payments, and adds the tenants that made them to those that pay in advance. Two payments of a tenant with one
+// number are an error.
 func (c *Credit) sortPayments(node *sexp.Node) error {
 	for _, payment := range c.Payments {
 		c.Prepaid = append(c.Prepaid, payment.Tenant)
@@ -135,7 +136,7 @@
 	for i := 1; i < len(c.Payments); i++ {
 		previous, payment := c.Payments[i-1], c.Payments[i]
 		if previous.Tenant == payment.Tenant && previous.Number == payment.Number {
-			return node.Errorf("there are two payments %d of %q", previous.Number, previous.Tenant)
+			return node.Errorf("duplicate payment %d of %q", previous.Number, previous.Tenant)
 		}
 	}
 	return nil
@@ -162,10 +163,10 @@
 	switch {
 	case err != nil:
 		return err
-	case c.priceOf(class) >= 0:
-		return node.Errorf("there is a price of %q already", class)
+	case c.priceIndex(class) >= 0:
+		return node.Errorf("duplicate price of %q", class)
 	case varies && (price.Max == 0 || price.Max < price.PerRequest):
-		return node.Errorf("price of %q: (most AMOUNT) is due where it goes by rows or work: as much is held for each request, and charged at most", class)
+		return node.Errorf("price of %q: with (row ...) or (second ...), (most AMOUNT) is required and must be at least (request ...): it is reserved for each request, and the maximum charge", class)
 	}
 	c.Prices = append(c.Prices, price)
 	return nil
@@ -178,10 +179,10 @@
 	}
 	arguments := node.Args()
 	if len(arguments) != 2 {
-		return node.Errorf("(overdraft CLASS AMOUNT) is due")
+		return node.Errorf("expected (overdraft CLASS AMOUNT)")
 	}
-	if c.overdraftOf(class) >= 0 {
-		return node.Errorf("there is an overdraft of %q already", class)
+	if c.overdraftIndex(class) >= 0 {
+		return node.Errorf("duplicate overdraft of %q", class)
 	}
 	amount, err := wholeNumber(arguments[1], 0)
 	c.Overdrafts = append(c.Overdrafts, ClassOverdraft{class, amount})
@@ -195,7 +196,7 @@
 	}
 	arguments := node.Args()
 	if len(arguments) != 3 {
-		return node.Errorf("(payment TENANT NUMBER AMOUNT) is due")
+		return node.Errorf("expected (payment TENANT NUMBER AMOUNT)")
 	}
 	number, err := wholeNumber(arguments[1], 0)
 	if err != nil {
@@ -209,18 +210,18 @@
 func (c *Credit) readPrepaid(node *sexp.Node) error {
 	for _, item := range node.Args() {
 		if !isName(item) || len(item.Text) > ledger.MaxNameBytes {
-			return item.Errorf("a tenant's name, of %d bytes at most, is due here", ledger.MaxNameBytes)
+			return item.Errorf("expected a tenant's name of at most %d bytes", ledger.MaxNameBytes)
 		}
 		c.Prepaid = append(c.Prepaid, item.Text)
 	}
 	return nil
 }
 
-// readCreditName reads the first argument of a form as the name of a class or tenant. what says which in an error.
-func readCreditName(node *sexp.Node, what string) (string, error) {
+// readCreditName reads the first argument of a form as the name of a class or tenant. description names what is expected, in an error.
+func readCreditName(node *sexp.Node, description string) (string, error) {
 	name, ok := firstName(node.Args())
 	if !ok || len(name) > ledger.MaxNameBytes {
-		return "", node.Errorf("%s, of %d bytes at most, is due first", what, ledger.MaxNameBytes)
+		return "", node.Errorf("expected %s of at most %d bytes first", description, ledger.MaxNameBytes)
 	}
 	return name, nil
 }
@@ -229,12 +230,12 @@
 func wholeNumber(node *sexp.Node, least int64) (int64, error) {
 	number, err := strconv.ParseInt(node.Text, 10, 64)
 	if node.Kind == sexp.List || err != nil || number < least || number > ledger.MaxAmount {
-		return 0, node.Errorf("a whole number from %d to %d is due here", least, ledger.MaxAmount)
+		return 0, node.Errorf("expected a whole number from %d to %d", least, ledger.MaxAmount)
 	}
 	return number, nil
 }
 
-// creditAmount reads (key AMOUNT), at least as much as stated, into target.
+// creditAmount reads (key AMOUNT), from least to ledger.MaxAmount, into target.
 func creditAmount(target *int64, least int64) reader {
 	return func(node *sexp.Node) error {
 		argument, err := node.Argument()
--- a/internal/settings/credit_test.go
+++ b/internal/settings/credit_test.go
@@ -10,11 +10,12 @@
 	"beechgrade/internal/cluster/credit/lessor"
 )
 
-const beforeCredit = `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d")) `
+// requiredByCredit are the forms that (credit ...) needs.
+const requiredByCredit = `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d")) `
 
 // TestCreditSettings checks the values of (credit ...).
 func TestCreditSettings(t *testing.T) {
-	settings, err := Parse("x", []byte(beforeCredit+`(credit (unit "cent") (slow-below 0.1)
+	settings, err := Parse("x", []byte(requiredByCredit+`(credit (unit "cent") (slow-below 0.1)
 		(price "read" (request 2)) (price "report" (request 5) (row 1) (most 100) (failed charged))
 		(overdraft "write" 500) (payment "m" 2 70) (payment "m" 1 30) (payment "a" 1 10) (prepaid "z"))`), func(string) string { return "" })
 	if err != nil {
@@ -41,23 +42,23 @@
 		t.Error(d)
 	}
 	if got.Lessor.ExpiryDelay != got.Lease.ExpiryDelay() || got.Lease.PersistMarks {
-		t.Errorf("ends after %g ms, marks %v", got.Lessor.ExpiryDelay, got.Lease.PersistMarks)
+		t.Errorf("leases expire after %g ms, marks are persisted: %v", got.Lessor.ExpiryDelay, got.Lease.PersistMarks)
 	}
 }
 
-// TestCreditErrors checks an error for each mistake in (credit ...).
+// TestCreditErrors checks that each mistake in (credit ...) is an error of one line.
 func TestCreditErrors(t *testing.T) {
 	for text, want := range map[string]string{
-		`(credit (price "a" (request 1)))`:                                                                "needs (peers ...) and (agreed ...)",
-		beforeCredit + `(credit)`:                                                                         "needs a (price CLASS ...)",
-		beforeCredit + `(credit (price "a" (row 1)))`:                                                     "(most AMOUNT) is due",
-		beforeCredit + `(credit (price "a" (request 1)) (price "a" (request 1)))`:                         "there is a price of \"a\" already",
-		beforeCredit + `(credit (price "a" (request 1)) (payment "t" 1 5) (payment "t" 1 6))`:             "two payments 1 of \"t\"",
-		beforeCredit + `(credit (price "a" (request 1)) (payment "t" 1 0))`:                               "a whole number from 1",
-		beforeCredit + `(credit (price "a" (request 1.5)))`:                                               "a whole number from 0",
-		beforeCredit + `(credit (price "a" (request 1)) (lease 2s))`:                                      "four times",
-		beforeCredit + `(credit (price "a" (request 1)) (payment "` + strings.Repeat("x", 65) + `" 1 5))`: "of 64 bytes at most",
-		beforeCredit + `(credit (price "a" (request 1)) (payment "t" 1 99999999999999999))`:               "a whole number from 1",
+		`(credit (price "a" (request 1)))`:                                                                    "needs (peers ...) and (agreed ...)",
+		requiredByCredit + `(credit)`:                                                                         "needs a (price CLASS ...)",
+		requiredByCredit + `(credit (price "a" (row 1)))`:                                                     "(most AMOUNT) is required",
+		requiredByCredit + `(credit (price "a" (request 1)) (price "a" (request 1)))`:                         "duplicate price of \"a\"",
+		requiredByCredit + `(credit (price "a" (request 1)) (payment "t" 1 5) (payment "t" 1 6))`:             "duplicate payment 1 of \"t\"",
+		requiredByCredit + `(credit (price "a" (request 1)) (payment "t" 1 0))`:                               "a whole number from 1",
+		requiredByCredit + `(credit (price "a" (request 1.5)))`:                                               "a whole number from 0",
+		requiredByCredit + `(credit (price "a" (request 1)) (lease 2s))`:                                      "four times",
+		requiredByCredit + `(credit (price "a" (request 1)) (payment "` + strings.Repeat("x", 65) + `" 1 5))`: "of at most 64 bytes",
+		requiredByCredit + `(credit (price "a" (request 1)) (payment "t" 1 99999999999999999))`:               "a whole number from 1",
 	} {
 		_, err := Parse("x", []byte(text), func(string) string { return "" })
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
--- a/internal/settings/durable.go
+++ b/internal/settings/durable.go
@@ -6,25 +6,25 @@
 	"beechgrade/internal/storage/sessiontoken"
 )
 
-// Durable says whether and where a durable store is kept, and in which mode.
+// Durable configures a durable store: whether there is one, its folder and its mode.
 type Durable[M any] struct {
-	Dir                      string // empty for off; "$NAME" stands for a variable of the environment
+	Dir                      string // empty for off; "$NAME" stands for an environment variable
 	Mode                     M
 	MaxBytes                 int64
-	CompactionBytesPerSecond int64 // 0 for any
+	CompactionBytesPerSecond int64 // 0 for no limit
 }
 
-// Journal is the store of the attempts that may have run.
+// Journal configures the store of the attempts that may have run.
 type Journal Durable[journal.Mode]
 
-// Sessions is the store of sessions' last commits.
+// Sessions configures the store of sessions' last commits.
 type Sessions Durable[sessiontoken.Mode]
 
 const defaultDurableBytes = 64 * megabyte
 
 var durableBytes = sizeRange{megabyte, terabyte}
 
-// read reads the form called key. Its modes are before, the default, and alongside.
+// read reads the form named key. before, the default, and alongside are its modes.
 func (d *Durable[M]) read(node *sexp.Node, env func(string) string, key string, before, alongside M) error {
 	*d = Durable[M]{MaxBytes: defaultDurableBytes, Mode: before}
 	err := sexp.Schema{
@@ -40,7 +40,7 @@
 			case "alongside":
 				d.Mode = alongside
 			default:
-				return mode.Errorf("before or alongside is due here")
+				return mode.Errorf("expected before or alongside")
 			}
 			return nil
 		},
@@ -51,7 +51,7 @@
 		return err
 	}
 	if d.Dir == "" {
-		return node.Errorf("%s: (dir \"FOLDER\") is due, on a disk that survives", key)
+		return node.Errorf("%s: (dir \"FOLDER\"), on a disk that survives restarts, is missing", key)
 	}
 	return nil
 }
--- a/internal/settings/durable_test.go
+++ b/internal/settings/durable_test.go
@@ -10,8 +10,8 @@
 	"beechgrade/internal/storage/sessiontoken"
 )
 
-// TestDurableStoreSettings checks that the journal and the sessions' store are set alike, and that errors name which of them
-// they are about.
+// TestDurableStoreSettings checks that the journal and the store of sessions have the same settings, and that errors name the store
+// that they are about.
 func TestDurableStoreSettings(t *testing.T) {
 	for in, want := range map[string]Durable[string]{
 		`(dir "/x")`:                              {"/x", "before", 64 << 20, 0},
@@ -24,24 +24,24 @@
 			t.Errorf("%s: %v", in, err)
 			continue
 		}
-		j, c := settings.Journal, settings.Sessions
+		j, s := settings.Journal, settings.Sessions
 		if diff := cmp.Diff(want, Durable[string]{j.Dir, j.Mode.String(), j.MaxBytes, j.CompactionBytesPerSecond}); diff != "" {
 			t.Errorf("journal %s: %s", in, diff)
 		}
-		if diff := cmp.Diff(want, Durable[string]{c.Dir, c.Mode.String(), c.MaxBytes, c.CompactionBytesPerSecond}); diff != "" {
+		if diff := cmp.Diff(want, Durable[string]{s.Dir, s.Mode.String(), s.MaxBytes, s.CompactionBytesPerSecond}); diff != "" {
 			t.Errorf("sessions %s: %s", in, diff)
 		}
 	}
 	for in, want := range map[string]string{
-		`(journal)`:  `o:1:1: journal: (dir "FOLDER") is due, on a disk that survives`,
-		`(sessions)`: `o:1:1: sessions: (dir "FOLDER") is due, on a disk that survives`,
+		`(journal)`:  `o:1:1: journal: (dir "FOLDER"), on a disk that survives restarts, is missing`,
+		`(sessions)`: `o:1:1: sessions: (dir "FOLDER"), on a disk that survives restarts, is missing`,
 	} {
 		if _, err := Parse("o", []byte(in), nil); err == nil || err.Error() != want {
 			t.Errorf("%s: %v", in, err)
 		}
 	}
 	if settings, err := Parse("o", nil, nil); err != nil || settings.Journal.Mode != journal.BeforeSend || settings.Journal.Dir != "" || settings.Sessions.Mode != sessiontoken.BeforeAnswer || settings.Sessions.Dir != "" {
-		t.Errorf("of nothing: %+v, %+v, %v", settings.Journal, settings.Sessions, err)
+		t.Errorf("of an empty file: %+v, %+v, %v", settings.Journal, settings.Sessions, err)
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	for in, want := range map[string]string{
 		`(journal)`:                            "o:1:1: journal: (dir",
-		`(journal (dir "x") (mode sometimes))`: "o:1:26: before or alongside",
+		`(journal (dir "x") (mode sometimes))`: "o:1:26: expected before or alongside",
 		`(journal (dir "x") (most 5))`:         "o:1:26: 5 is out of range",
 		`(journal (dir "x") (pace 5))`:         "o:1:26: 5 is out of range",
 	} {
@@ -80,8 +80,8 @@
 			MaxBytes:                 2 << 20,
 			CompactionBytesPerSecond: 64 << 10,
 		},
-		`(sessions (dir "$NO"))`:             `o:1:1: sessions: (dir "FOLDER") is due, on a disk that survives`,
-		`(sessions (dir "/s") (mode never))`: "o:1:28: before or alongside is due here",
+		`(sessions (dir "$NO"))`:             `o:1:1: sessions: (dir "FOLDER"), on a disk that survives restarts, is missing`,
+		`(sessions (dir "/s") (mode never))`: "o:1:28: expected before or alongside",
 	} {
 		settings, err := Parse("o", []byte(in), func(string) string { return "" })
 		var got any
--- a/internal/settings/endpoints.go
+++ b/internal/settings/endpoints.go
@@ -13,16 +13,16 @@
 	"beechgrade/internal/sexp"
 )
 
-// Endpoints says which sources the endpoint list is made of. Without it, the platform's discovery is the list.
+// Endpoints configures the sources of the endpoint list. Without it, the list is that of the platform's discovery.
 type Endpoints struct {
 	Enabled      bool
 	Options      endpoints.Options
 	Consul       *consul.Options // nil for none
-	TokenFile    string          // of Consul's token
+	TokenFile    string          // holds the token for Consul
 	StaticPath   string          // a list in the platform's form, read at the start and at each reload
 	OverridePath string          // the operators' instructions, read at the start and at each reload
 
-	caFile string // certificates of Consul's agents
+	caFile string // root certificates for Consul's agents
 }
 
 const (
@@ -36,10 +36,10 @@
 	flapThresholds       = numberRange{2, 1000}
 )
 
-// sourceNames are the sources, in the order in which those rank that (rank ...) does not name.
+// sourceNames are the names of the sources, ordered by their default rank.
 var sourceNames = []string{endpoints.SourcePlatform, endpoints.SourceConsul, endpoints.SourceStatic}
 
-// criticalPolicies are the words of (critical WORD).
+// criticalPolicies are the policies by their names in (critical ...).
 var criticalPolicies = map[string]reconcile.CriticalPolicy{
 	"doubt":  reconcile.CriticalUseIfResponding,
 	"drains": reconcile.CriticalDrain,
@@ -70,7 +70,7 @@
 					return nil
 				}
 			}
-			return node.Errorf("(critical doubt), (critical drains) or (critical ignore)")
+			return node.Errorf("expected (critical doubt), (critical drains) or (critical ignore)")
 		},
 	}.Read(node.Args())
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	sources := e.sources()
 	if len(sources) == 0 {
-		return node.Errorf("membership: there is no source; (consul ...), (static \"FILE\") or (platform yes) is due")
+		return node.Errorf("membership: no source; (consul ...), (static \"FILE\") or (platform yes) is required")
 	}
 	if settings.Sources, err = ranking.sort(sources); err != nil {
 		return err
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// sources are the names of the sources that are set, in the order of sourceNames.
+// sources returns the names of the sources that are configured, in the order of sourceNames.
 func (e *Endpoints) sources() (names []string) {
 	isSet := map[string]bool{
 		endpoints.SourcePlatform: e.Options.Platform,
@@ -102,7 +102,7 @@
 	return names
 }
 
-// sourceRanking is (rank NAME ...).
+// sourceRanking holds the setting (rank NAME ...).
 type sourceRanking struct {
 	node  *sexp.Node // nil where it is not set
 	names []string
@@ -113,18 +113,18 @@
 	for _, item := range node.Args() {
 		isSource := item.Kind != sexp.List && slices.Contains(sourceNames, item.Text)
 		if !isSource || slices.Contains(r.names, item.Text) {
-			return item.Errorf("(rank ...) takes platform, consul and static, each once at most, the first before the others")
+			return item.Errorf("(rank ...) takes platform, consul and static, each at most once, with the highest rank first")
 		}
 		r.names = append(r.names, item.Text)
 	}
 	return nil
 }
 
-// sort returns the sources with those that are ranked first. A name in the ranking that is no source is an error.
+// sort returns the sources with the ranked ones first. A ranked name that is not among the sources is an error.
 func (r *sourceRanking) sort(sources []string) ([]string, error) {
 	for _, name := range r.names {
 		if !slices.Contains(sources, name) {
-			return nil, r.node.Errorf("rank: %s is no source here", name)
+			return nil, r.node.Errorf("rank: %s is not a configured source", name)
 		}
 	}
 	sorted := slices.Clone(r.names)
@@ -147,8 +147,8 @@
 		return nil
 	}
 	if len(arguments) != 4 {
-		return node.Errorf("(mass PART LEAST WITHIN HOLD): a source that drops this part of its servers, and at least so many, " +
-			"within this time is not believed for so long; or (mass no)")
+		return node.Errorf("expected (mass PART LEAST WITHIN HOLD), or (mass no): if a source removes the fraction PART of its servers, and at least " +
+			"LEAST of them, within the time WITHIN, its removals are held back for the time HOLD")
 	}
 	settings.MassRemovalFraction, err = arguments[0].Number(massRemovalFractions.min, massRemovalFractions.max)
 	if err != nil {
@@ -174,8 +174,8 @@
 		return nil
 	}
 	if len(arguments) != 3 {
-		return node.Errorf("(flaps TIMES WITHIN STILL): a server that comes and goes so often within this time is not used " +
-			"until it has kept still for so long; or (flaps no)")
+		return node.Errorf("expected (flaps TIMES WITHIN STILL), or (flaps no): a server whose state changes TIMES times within the time WITHIN " +
+			"is not used until it has been stable for the time STILL")
 	}
 	threshold, err := arguments[0].Number(flapThresholds.min, flapThresholds.max)
 	if err != nil {
@@ -189,7 +189,7 @@
 	return err
 }
 
-// Token reads the token file; empty where there is none.
+// Token reads the token file. It returns "" if none is configured.
 func (e *Endpoints) Token() (string, error) {
 	if e.TokenFile == "" {
 		return "", nil
@@ -201,14 +201,14 @@
 	return strings.TrimSpace(string(text)), nil
 }
 
-// overrideStates are the words of (pin "ID" WORD).
+// overrideStates are the states by their names in (pin "ID" STATE).
 var overrideStates = map[string]reconcile.State{
 	"serving":  reconcile.StateServing,
 	"draining": reconcile.StateDraining,
 	"gone":     reconcile.StateRemoved,
 }
 
-// ReadOverride reads the operators' instructions: (accept-removals) and (pin "ID" serving|draining|gone). Without a file there are none.
+// ReadOverride reads the operators' instructions: (accept-removals) and (pin "ID" serving|draining|gone). A missing file means none.
 func (e *Endpoints) ReadOverride() (reconcile.Override, error) {
 	var override reconcile.Override
 	if e.OverridePath == "" {
@@ -230,11 +230,11 @@
 		"pin": func(node *sexp.Node) error {
 			arguments := node.Args()
 			if len(arguments) != 2 || arguments[0].Text == "" {
-				return node.Errorf("(pin \"ID\" serving), draining or gone")
+				return node.Errorf("expected (pin \"ID\" serving), (pin \"ID\" draining) or (pin \"ID\" gone)")
 			}
 			state, ok := overrideStates[arguments[1].Text]
 			if !ok {
-				return arguments[1].Errorf("serving, draining or gone")
+				return arguments[1].Errorf("expected serving, draining or gone")
 			}
 			override.Pins = append(override.Pins, reconcile.Pin{ID: arguments[0].Text, State: state})
 			return nil
@@ -243,7 +243,7 @@
 	return override, err
 }
 
-// readSmallFile reads a file of at most maxBytes.
+// readSmallFile reads a file. A file of more than maxBytes is an error.
 func readSmallFile(path string, maxBytes int64) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -252,7 +252,7 @@
 	defer func() { _ = file.Close() }()
 	text, err := io.ReadAll(io.LimitReader(file, maxBytes+1))
 	if err == nil && int64(len(text)) > maxBytes {
-		err = fmt.Errorf("%s has over %d bytes", path, maxBytes)
+		err = fmt.Errorf("%s has more than %d bytes", path, maxBytes)
 	}
 	return text, err
 }
--- a/internal/settings/endpoints_test.go
+++ b/internal/settings/endpoints_test.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/endpoints/reconcile"
 )
 
-// TestEndpointsSettings checks the values of (membership ...), and that each error is one line with its place.
+// TestEndpointsSettings checks the values of (membership ...), and that each error has its position.
 func TestEndpointsSettings(t *testing.T) {
 	env := func(string) string { return "/e" }
 	settings, err := Parse("o", []byte(`(membership
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &settings.Endpoints
+	membership := &settings.Endpoints
 	want := reconcile.Settings{
 		Sources:             []string{"static", "consul"},
 		SourceRetentionMs:   3600000,
@@ -38,7 +38,7 @@
 		SelfReportTTLMs:     9000,
 		Critical:            reconcile.CriticalDrain,
 	}
-	if diff := cmp.Diff(want, m.Options.Reconcile); diff != "" {
+	if diff := cmp.Diff(want, membership.Options.Reconcile); diff != "" {
 		t.Error(diff)
 	}
 	mapping := consul.DefaultMapping()
@@ -62,34 +62,34 @@
 		MaxResponseBytes: 1 << 20,
 		Mapping:          mapping,
 	}
-	m.Consul.Mapping.ReplicaValues = nil // of the default
-	if diff := cmp.Diff(wantConsul, m.Consul); diff != "" {
+	membership.Consul.Mapping.ReplicaValues = nil // those of the default mapping
+	if diff := cmp.Diff(wantConsul, membership.Consul); diff != "" {
 		t.Error(diff)
 	}
-	if !m.Enabled || m.TokenFile != "/e/token" || m.Options.SnapshotPath != "/e/s" || m.StaticPath != "/s" || m.OverridePath != "/o" {
-		t.Errorf("%+v", m)
+	if !membership.Enabled || membership.TokenFile != "/e/token" || membership.Options.SnapshotPath != "/e/s" || membership.StaticPath != "/s" || membership.OverridePath != "/o" {
+		t.Errorf("%+v", membership)
 	}
 	const agents = `(agents "h:1") (services "a")`
 	for in, want := range map[string]string{
-		`(membership)`:                                                   "o:1:1: membership: there is no source",
+		`(membership)`:                                                   "o:1:1: membership: no source",
 		`(membership (consul))`:                                          "o:1:13: consul: (agents",
 		`(membership (consul (agents "h:1")))`:                           "o:1:13: consul: (services",
-		`(membership (consul (agents "h")))`:                             "o:1:29: an agent's",
-		`(membership (consul (agents "h:1") (services "a/b")))`:          "o:1:46: a service's name",
-		`(membership (platform) (rank consul))`:                          "o:1:24: rank: consul is no source here",
+		`(membership (consul (agents "h")))`:                             "o:1:29: expected an agent's",
+		`(membership (consul (agents "h:1") (services "a/b")))`:          "o:1:46: expected a service's name",
+		`(membership (platform) (rank consul))`:                          "o:1:24: rank: consul is not a configured source",
 		`(membership (platform) (rank dns))`:                             "o:1:30: (rank ...) takes",
 		`(membership (platform) (mass 2 3 1s 1s))`:                       "o:1:30: 2 is out of range",
-		`(membership (platform) (mass 1))`:                               "o:1:24: (mass PART",
-		`(membership (platform) (flaps 3))`:                              "o:1:24: (flaps TIMES",
-		`(membership (platform) (critical maybe))`:                       "o:1:24: (critical doubt)",
-		`(membership (platform) (snapshot ""))`:                          "o:1:24: the file's name is empty",
-		`(membership (consul ` + agents + ` (map (group (label "x")))))`: `o:1:63: "label" is no place`,
+		`(membership (platform) (mass 1))`:                               "o:1:24: expected (mass PART",
+		`(membership (platform) (flaps 3))`:                              "o:1:24: expected (flaps TIMES",
+		`(membership (platform) (critical maybe))`:                       "o:1:24: expected (critical doubt)",
+		`(membership (platform) (snapshot ""))`:                          "o:1:24: the file name is empty",
+		`(membership (consul ` + agents + ` (map (group (label "x")))))`: `o:1:63: "label" is not a field source`,
 		`(membership (consul ` + agents + ` (map (group (meta)))))`:      "o:1:63: (meta ...) takes its key",
-		`(membership (consul ` + agents + ` (map (group (id "x")))))`:    "o:1:63: (id ...) takes nothing",
-		`(membership (consul ` + agents + ` (consistency eventual)))`:    "o:1:51: (consistency default)",
-		`(membership (consul ` + agents + ` (ca "/none")))`:              "o:1:13: consul: (ca ...) goes with (https)",
+		`(membership (consul ` + agents + ` (map (group (id "x")))))`:    "o:1:63: (id ...) takes no argument",
+		`(membership (consul ` + agents + ` (consistency eventual)))`:    "o:1:51: expected (consistency default)",
+		`(membership (consul ` + agents + ` (ca "/none")))`:              "o:1:13: consul: (ca ...) requires (https)",
 		`(membership (consul ` + agents + ` (https) (ca "/none/here")))`: "o:1:13: consul: open /none/here",
-		`(membership (consul ` + agents + ` (map (group-number "x"))))`:  "o:1:56: (group-number",
+		`(membership (consul ` + agents + ` (map (group-number "x"))))`:  "o:1:56: expected (group-number",
 	} {
 		_, err := Parse("o", []byte(in), env)
 		if err == nil || !strings.HasPrefix(err.Error(), want) {
@@ -98,7 +98,8 @@
 	}
 }
 
-// TestPlatformDeploymentHasSourcesDisabled checks that this deployment's list is that of the platform's discovery alone.
+// TestPlatformDeploymentHasSourcesDisabled checks that the platform's deployment takes its endpoint list from the platform's
+// discovery alone, and has the optional subsystems disabled.
 func TestPlatformDeploymentHasSourcesDisabled(t *testing.T) {
 	settings, err := Load("../../deploy/operators.sexp", os.Getenv)
 	if err != nil || settings.Endpoints.Enabled || settings.Pooling.Listen != "" || settings.ClickHouse.Listen != "" || settings.Record.Enabled {
@@ -106,25 +107,25 @@
 	}
 }
 
-// TestOverrideFile checks override files: pins, accepted removals, none, and errors.
+// TestOverrideFile checks override files: pins, accepted removals, a missing file, and errors.
 func TestOverrideFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "o")
-	m := &Endpoints{OverridePath: file}
+	membership := &Endpoints{OverridePath: file}
 	for text, want := range map[string]any{
 		"":                  reconcile.Override{},
 		`(accept-removals)`: reconcile.Override{AcceptHeldRemovals: true},
 		`(pin "a" gone) (pin "b" serving)`: reconcile.Override{
 			Pins: []reconcile.Pin{{ID: "a", State: reconcile.StateRemoved}, {ID: "b", State: reconcile.StateServing}},
 		},
-		`(pin "a")`:    ":1:1: (pin \"ID\" serving), draining or gone",
-		`(pin "a" up)`: ":1:10: serving, draining or gone",
+		`(pin "a")`:    ":1:1: expected (pin \"ID\" serving), (pin \"ID\" draining) or (pin \"ID\" gone)",
+		`(pin "a" up)`: ":1:10: expected serving, draining or gone",
 		`(unpin "a")`:  `:1:1: "unpin" is unknown here; allowed are: accept-removals, pin`,
 	} {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		o, err := m.ReadOverride()
-		var got any = o
+		override, err := membership.ReadOverride()
+		var got any = override
 		if err != nil {
 			got = strings.TrimPrefix(err.Error(), file)
 		}
@@ -135,7 +136,7 @@
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
 	}
-	if o, err := m.ReadOverride(); err != nil || len(o.Pins) > 0 {
-		t.Errorf("no file: %+v %v", o, err)
+	if override, err := membership.ReadOverride(); err != nil || len(override.Pins) > 0 {
+		t.Errorf("no file: %+v %v", override, err)
 	}
 }
--- a/internal/settings/fleetlimits.go
+++ b/internal/settings/fleetlimits.go
@@ -11,30 +11,30 @@
 	"beechgrade/internal/sexp"
 )
 
-// FleetLimits are limits of all poolers together. They need (peers ...).
+// FleetLimits are limits that all poolers share. They need (peers ...).
 type FleetLimits struct {
 	Enabled  bool
-	Settings quota.Settings // but for the limits, and how many poolers are expected
+	Settings quota.Settings // without Limits and ExpectedPoolers
 	Limits   []FleetLimit
 }
 
-// Resource is what a limit is of, by its name in the settings.
+// Resource is the resource that a limit bounds, by its name in the settings.
 type Resource string
 
 // The resources.
 const (
-	ResourceTenant       Resource = "tenant"  // requests of a tenant, a second
-	ResourceColdServers  Resource = "cold"    // the budget of requests to servers that are warming up
-	ResourceHealthChecks Resource = "probes"  // of servers, a second
-	ResourceListCalls    Resource = "lists"   // calls to discovery, a second
-	ResourceDials        Resource = "dials"   // new connections to the platform's servers, a second
-	ResourceQueries      Resource = "queries" // of a user at the ClickHouse interface, at once or a second
-	ResourcePool         Resource = "pool"    // connections of a database and a user to servers, at once
-	ResourceShards       Resource = "shards"  // that scattered reads query at once
+	ResourceTenant       Resource = "tenant"  // requests of a tenant per second
+	ResourceColdServers  Resource = "cold"    // slow-start budget of requests to servers that are warming up
+	ResourceHealthChecks Resource = "probes"  // health checks of servers per second
+	ResourceListCalls    Resource = "lists"   // calls to discovery per second
+	ResourceDials        Resource = "dials"   // new connections to the platform's servers per second
+	ResourceQueries      Resource = "queries" // queries of a user at the ClickHouse interface, concurrent or per second
+	ResourcePool         Resource = "pool"    // concurrent connections to servers for a database and a user
+	ResourceShards       Resource = "shards"  // shards that scattered reads query concurrently
 )
 
-// namesOfResource is how many names follow a resource in the settings.
-var namesOfResource = map[Resource]int{
+// resourceNameCounts is how many names follow a resource in (of RESOURCE NAME ...).
+var resourceNameCounts = map[Resource]int{
 	ResourceTenant:       1,
 	ResourceQueries:      1,
 	ResourcePool:         2,
@@ -59,15 +59,15 @@
 	quota.Limit
 	Resource Resource
 	Subject  string // name of a tenant or user, or DATABASE/USER
-	Hard     bool   // of a tenant: requests beyond it are rejected, rather than of less weight
+	Hard     bool   // of a tenant: requests beyond the limit are rejected, rather than given a lower weight
 }
 
 const (
-	coldBudgetUnits     = 1000 // into which the budget of cold servers is divided
+	slowStartUnits      = 1000 // into which the slow-start budget is divided
 	defaultReserve      = 0.1
 	minRenewalsPerQuota = 4
 	beyondRejected      = "refused"
-	beyondLessWeight    = "worth-less"
+	beyondLowerWeight   = "worth-less"
 )
 
 var (
@@ -75,13 +75,13 @@
 	quotaRenewals  = durationRange{100, minute}
 	quotaRetries   = durationRange{50, minute}
 	quotaLingering = durationRange{0, hour}
-	limitRates     = numberRange{0.01, 1e7} // a second
+	limitRates     = numberRange{0.01, 1e7} // per second
 	limitBursts    = numberRange{1, 1e7}
 	limitNumbers   = countRange{1, 1e6}
 	limitReserves  = numberRange{0, 1}
 )
 
-// Quotas are the limits as they are shared among poolers.
+// Quotas returns the limits as the poolers share them.
 func (f *FleetLimits) Quotas() (quotas []quota.Limit) {
 	for i := range f.Limits {
 		quotas = append(quotas, f.Limits[i].Limit)
@@ -89,14 +89,14 @@
 	return quotas
 }
 
-// CoreLimits are the limits that the core enforces.
-func (f *FleetLimits) CoreLimits() (bounds []core.Limit) {
+// CoreLimits returns the limits that the core enforces.
+func (f *FleetLimits) CoreLimits() (limits []core.Limit) {
 	for _, limit := range f.Limits {
-		if of, ok := coreResources[limit.Resource]; ok {
-			bounds = append(bounds, core.Limit{Name: limit.Name, Kind: of, Tenant: limit.Subject, Amount: limit.Amount, Hard: limit.Hard})
+		if kind, ok := coreResources[limit.Resource]; ok {
+			limits = append(limits, core.Limit{Name: limit.Name, Kind: kind, Tenant: limit.Subject, Amount: limit.Amount, Hard: limit.Hard})
 		}
 	}
-	return bounds
+	return limits
 }
 
 // ReadFleetLimits reads (fleet-limits ...).
@@ -124,9 +124,9 @@
 	case len(f.Limits) == 0:
 		return node.Errorf("(fleet-limits ...) needs a (limit ...)")
 	case s.UrgentInterval > s.RenewInterval:
-		return node.Errorf("what is asked again soon, after %g ms, is asked later than every %g ms", s.UrgentInterval, s.RenewInterval)
+		return node.Errorf("(soon ...) of %g ms must not be longer than (renew ...) of %g ms", s.UrgentInterval, s.RenewInterval)
 	case s.VoteDuration < minRenewalsPerQuota*s.RenewInterval || s.LeaseDuration < minRenewalsPerQuota*s.RenewInterval:
-		return node.Errorf("a promise of %g ms and a lease of %g ms are to be four times the %g ms between asks at least", s.VoteDuration, s.LeaseDuration, s.RenewInterval)
+		return node.Errorf("(promise ...) of %g ms and (lease ...) of %g ms must be at least four times (renew ...) of %g ms", s.VoteDuration, s.LeaseDuration, s.RenewInterval)
 	}
 	return nil
 }
@@ -142,13 +142,13 @@
 	arguments := node.Args()
 	name, ok := firstName(arguments)
 	if !ok || len(name) > quota.MaxNameBytes {
-		return node.Errorf("a limit's name, of %d bytes at most, is due first", quota.MaxNameBytes)
+		return node.Errorf("expected a limit's name of at most %d bytes first", quota.MaxNameBytes)
 	}
 	if slices.ContainsFunc(f.Limits, func(other FleetLimit) bool { return other.Name == name }) {
-		return arguments[0].Errorf("there is a limit %q already", name)
+		return arguments[0].Errorf("duplicate limit %q", name)
 	}
 	if len(f.Limits) == quota.MaxLimits {
-		return arguments[0].Errorf("over %d limits", quota.MaxLimits)
+		return arguments[0].Errorf("more than %d limits", quota.MaxLimits)
 	}
 	r := &limitReader{limit: FleetLimit{Limit: quota.Limit{Name: name, Reserve: defaultReserve}, Hard: true}}
 	if err := r.schema().Read(arguments[1:]); err != nil {
@@ -162,7 +162,7 @@
 		return other.Resource == limit.Resource && other.Subject == limit.Subject && other.Kind == limit.Kind
 	}
 	if slices.ContainsFunc(f.Limits, same) {
-		return node.Errorf("limit %q: there is another of the same", name)
+		return node.Errorf("limit %q: another limit is of the same resource, subject and kind", name)
 	}
 	f.Limits = append(f.Limits, limit)
 	return nil
@@ -190,7 +190,7 @@
 			return err
 		},
 		"beyond": func(node *sexp.Node) error {
-			i, err := oneOf(node, beyondRejected, beyondLessWeight)
+			i, err := oneOf(node, beyondRejected, beyondLowerWeight)
 			limit.Hard = i == 0
 			return err
 		},
@@ -201,23 +201,23 @@
 func (r *limitReader) readResource(node *sexp.Node) error {
 	arguments := node.Args()
 	if len(arguments) == 0 || arguments[0].Kind == sexp.List {
-		return node.Errorf("(of WHAT ...) is due: tenant, queries or pool with a name, cold, probes, lists, dials or shards")
+		return node.Errorf("expected (of WHAT ...): tenant or queries with a name, pool with a database and a user, cold, probes, lists, dials or shards")
 	}
 	r.limit.Resource = Resource(arguments[0].Text)
-	names, known := namesOfResource[r.limit.Resource]
+	names, known := resourceNameCounts[r.limit.Resource]
 	if !known || len(arguments) != 1+names {
-		return arguments[0].Errorf("tenant or queries with a name, pool with a database and a user, cold, probes, lists, dials or shards is due here")
+		return arguments[0].Errorf("expected tenant or queries with a name, pool with a database and a user, cold, probes, lists, dials or shards")
 	}
 	for _, item := range arguments[1:] {
 		if !isName(item) {
-			return item.Errorf("a name is due here")
+			return item.Errorf("expected a name")
 		}
 		r.limit.Subject = strings.TrimPrefix(r.limit.Subject+"/"+item.Text, "/")
 	}
 	return nil
 }
 
-// hasAmount reports whether a limit says how much, in the way that fits its resource.
+// hasAmount reports whether a limit has its amount, in the form that its resource takes: a rate or a concurrency.
 func (r *limitReader) hasAmount() bool {
 	switch r.limit.Resource {
 	case ResourceColdServers:
@@ -230,16 +230,16 @@
 	return r.hasRate
 }
 
-// finish completes a limit from what was set, and checks it.
+// finish checks a limit, and derives its remaining fields.
 func (r *limitReader) finish(node *sexp.Node) error {
 	limit := &r.limit
 	switch {
 	case limit.Resource == "":
-		return node.Errorf("limit %q: (of WHAT ...) is due", limit.Name)
+		return node.Errorf("limit %q: (of WHAT ...) is missing", limit.Name)
 	case limit.Resource == ResourceColdServers && (r.hasRate || r.atOnce):
-		return node.Errorf("limit %q: how much cold servers bear is known from elsewhere", limit.Name)
+		return node.Errorf("limit %q: (of cold) takes no (rate ...) or (at-once ...), as the slow-start budget has no amount of its own", limit.Name)
 	case !r.hasAmount():
-		return node.Errorf("limit %q: (rate A-SECOND) is due, or (at-once N) where something goes on: of a pool, of shards, or of queries", limit.Name)
+		return node.Errorf("limit %q: expected (rate PER-SECOND); or (at-once N) for pool and shards; or either of them for queries", limit.Name)
 	}
 	if r.atOnce {
 		limit.Kind = quota.Concurrency
@@ -249,7 +249,7 @@
 	case ResourceColdServers:
 		limit.Kind = quota.Budget
 		limit.Amount = 1
-		limit.Burst = coldBudgetUnits
+		limit.Burst = slowStartUnits
 	case ResourceHealthChecks, ResourceListCalls, ResourceDials:
 		limit.Kind = quota.Budget
 	}
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// String is the text of the settings.
+// String formats the settings as the form that is read.
 func (f *FleetLimits) String() string {
 	var b strings.Builder
 	s := &f.Settings
@@ -272,7 +272,7 @@
 	return b.String()
 }
 
-// text is the text of the limit in the settings.
+// text formats the limit as the form that is read.
 func (l *FleetLimit) text() string {
 	subject := ""
 	for i, part := range strings.SplitN(l.Subject, "/", 2) {
@@ -287,7 +287,7 @@
 	case l.Kind == quota.Concurrency:
 		amount = fmt.Sprintf(" (at-once %g)", l.Amount)
 	}
-	beyond := beyondLessWeight
+	beyond := beyondLowerWeight
 	if l.Hard {
 		beyond = beyondRejected
 	}
--- a/internal/settings/fleetlimits_test.go
+++ b/internal/settings/fleetlimits_test.go
@@ -6,8 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestFleetLimitsSettings checks that errors in (fleet-limits ...) name their place, and that the text of settings reads as the
-// same again.
+// TestFleetLimitsSettings checks that errors in (fleet-limits ...) name their position, and that settings that are formatted read back
+// the same.
 func TestFleetLimitsSettings(t *testing.T) {
 	peers := `(peers (listen "1.2.3.4:5") (key "k"))`
 	env := func(string) string { return "" }
@@ -17,17 +17,17 @@
 	for in, want := range map[string]string{
 		`(fleet-limits (limit "a" (of cold)))`:                                          `o:1:1: (fleet-limits ...) needs (peers ...)`,
 		peers + `(fleet-limits)`:                                                        `o:1:39: (fleet-limits ...) needs a (limit ...)`,
-		peers + `(fleet-limits (limit "a" (rate 5)))`:                                   `o:1:53: limit "a": (of WHAT ...) is due`,
-		peers + `(fleet-limits (limit "a" (of tenant) (rate 5)))`:                       `o:1:68: tenant or queries with a name, pool with a database and a user, cold, probes, lists, dials or shards is due here`,
-		peers + `(fleet-limits (limit "a" (of tenant "x")))`:                            `o:1:53: limit "a": (rate A-SECOND) is due, or (at-once N) where something goes on: of a pool, of shards, or of queries`,
-		peers + `(fleet-limits (limit "a" (of tenant "x") (at-once 5)))`:                `o:1:53: limit "a": (rate A-SECOND) is due, or (at-once N) where something goes on: of a pool, of shards, or of queries`,
-		peers + `(fleet-limits (limit "a" (of queries "x") (rate 5) (at-once 5)))`:      `o:1:53: limit "a": (rate A-SECOND) is due, or (at-once N) where something goes on: of a pool, of shards, or of queries`,
-		peers + `(fleet-limits (limit "a" (of cold) (rate 5)))`:                         `o:1:53: limit "a": how much cold servers bear is known from elsewhere`,
-		peers + `(fleet-limits (limit "a" (of cold)) (limit "a" (of probes) (rate 1)))`: `o:1:82: there is a limit "a" already`,
-		peers + `(fleet-limits (limit "a" (of cold)) (limit "b" (of cold)))`:            `o:1:75: limit "b": there is another of the same`,
-		peers + `(fleet-limits (limit "a" (of cold) (manner mild)))`:                    `o:1:74: never-over or soon-even or fixed is due here`,
-		peers + `(fleet-limits (promise 1s) (limit "a" (of cold)))`:                     `o:1:39: a promise of 1000 ms and a lease of 10000 ms are to be four times the 500 ms between asks at least`,
-		peers + `(fleet-limits (soon 2s) (limit "a" (of cold)))`:                        `o:1:39: what is asked again soon, after 2000 ms, is asked later than every 500 ms`,
+		peers + `(fleet-limits (limit "a" (rate 5)))`:                                   `o:1:53: limit "a": (of WHAT ...) is missing`,
+		peers + `(fleet-limits (limit "a" (of tenant) (rate 5)))`:                       `o:1:68: expected tenant or queries with a name, pool with a database and a user, cold, probes, lists, dials or shards`,
+		peers + `(fleet-limits (limit "a" (of tenant "x")))`:                            `o:1:53: limit "a": expected (rate PER-SECOND); or (at-once N) for pool and shards; or either of them for queries`,
+		peers + `(fleet-limits (limit "a" (of tenant "x") (at-once 5)))`:                `o:1:53: limit "a": expected (rate PER-SECOND); or (at-once N) for pool and shards; or either of them for queries`,
+		peers + `(fleet-limits (limit "a" (of queries "x") (rate 5) (at-once 5)))`:      `o:1:53: limit "a": expected (rate PER-SECOND); or (at-once N) for pool and shards; or either of them for queries`,
+		peers + `(fleet-limits (limit "a" (of cold) (rate 5)))`:                         `o:1:53: limit "a": (of cold) takes no (rate ...) or (at-once ...), as the slow-start budget has no amount of its own`,
+		peers + `(fleet-limits (limit "a" (of cold)) (limit "a" (of probes) (rate 1)))`: `o:1:82: duplicate limit "a"`,
+		peers + `(fleet-limits (limit "a" (of cold)) (limit "b" (of cold)))`:            `o:1:75: limit "b": another limit is of the same resource, subject and kind`,
+		peers + `(fleet-limits (limit "a" (of cold) (manner mild)))`:                    `o:1:74: expected never-over or soon-even or fixed`,
+		peers + `(fleet-limits (promise 1s) (limit "a" (of cold)))`:                     `o:1:39: (promise ...) of 1000 ms and (lease ...) of 10000 ms must be at least four times (renew ...) of 500 ms`,
+		peers + `(fleet-limits (soon 2s) (limit "a" (of cold)))`:                        `o:1:39: (soon ...) of 2000 ms must not be longer than (renew ...) of 500 ms`,
 		peers + all: ``,
 	} {
 		_, err := Parse("o", []byte(in), env)
@@ -39,12 +39,12 @@
 			t.Errorf("%s: %q, want %q", in, got, want)
 		}
 	}
-	one, _ := Parse("o", []byte(peers+all), env)
-	two, err := Parse("o", []byte(peers+one.FleetLimits.String()), env)
+	original, _ := Parse("o", []byte(peers+all), env)
+	reparsed, err := Parse("o", []byte(peers+original.FleetLimits.String()), env)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(one.FleetLimits, two.FleetLimits); diff != "" || len(one.FleetLimits.Limits) != 7 || one.FleetLimits.Limits[3].Subject != "db/u/v" {
-		t.Error(diff, one.FleetLimits.Limits)
+	if diff := cmp.Diff(original.FleetLimits, reparsed.FleetLimits); diff != "" || len(original.FleetLimits.Limits) != 7 || original.FleetLimits.Limits[3].Subject != "db/u/v" {
+		t.Error(diff, original.FleetLimits.Limits)
 	}
 }
--- a/internal/settings/invariants.go
+++ b/internal/settings/invariants.go
@@ -2,10 +2,10 @@
 
 import "beechgrade/internal/sexp"
 
-// Invariants say whether the process checks invariants of its own state while it serves.
+// Invariants configures the checks of invariants while the process serves.
 type Invariants struct {
 	Enabled      bool
-	WalkInterval int // changes between two walks over large state
+	WalkInterval int // every how many changes large state is walked
 }
 
 const defaultWalkInterval = 64
--- a/internal/settings/outlier.go
+++ b/internal/settings/outlier.go
@@ -8,24 +8,24 @@
 	"beechgrade/internal/sexp"
 )
 
-// OutlierDetection says whether and how the poolers share what they observe of servers. It needs (peers ...).
+// OutlierDetection configures how the poolers share their observations of servers. It needs (peers ...).
 type OutlierDetection struct {
 	Enabled bool
 	adapter.Options
 }
 
 var (
-	outlierPeriods    = durationRange{50, 10 * second}
-	outlierRefreshes  = durationRange{200, minute}
-	testerCounts      = countRange{1, 64}
-	testTurns         = durationRange{200, minute}
-	testDelays        = durationRange{1, 2 * second}
-	outlierStaleness  = durationRange{200, minute}
-	outlierLapses     = durationRange{500, 10 * minute}
-	observerCounts    = countRange{2, 16}
-	voucherCounts     = countRange{1, 16}
-	ejectionTimes     = durationRange{0, hour}
-	blindnessFraction = numberRange{0, 0.75}
+	outlierPeriods   = durationRange{50, 10 * second}
+	outlierRefreshes = durationRange{200, minute}
+	testerCounts     = countRange{1, 64}
+	testTurns        = durationRange{200, minute}
+	testDelays       = durationRange{1, 2 * second}
+	outlierStaleness = durationRange{200, minute}
+	ejectionTimes    = durationRange{500, 10 * minute}
+	observerCounts   = countRange{2, 16}
+	voucherCounts    = countRange{1, 16}
+	distrustTimes    = durationRange{0, hour}
+	maxEjectedShares = numberRange{0, 0.75}
 )
 
 // ReadOutlierDetection reads (verdicts ...).
@@ -46,11 +46,11 @@
 		"turn":       duration(&s.TesterTurn, testTurns),
 		"delay":      duration(&s.MaxDelay, testDelays),
 		"stale":      duration(&s.StaleAfter, outlierStaleness),
-		"lapse":      duration(&s.EjectionTime, outlierLapses),
+		"lapse":      duration(&s.EjectionTime, ejectionTimes),
 		"observers":  count(&s.MinObservers, observerCounts),
 		"vouch":      count(&s.MinVouchers, voucherCounts),
-		"shun":       duration(&s.DistrustTime, ejectionTimes),
-		"blind":      number(&s.MaxEjectedShare, blindnessFraction),
+		"shun":       duration(&s.DistrustTime, distrustTimes),
+		"blind":      number(&s.MaxEjectedShare, maxEjectedShares),
 		"health":     flag(&s.ShareHealth),
 		"places":     flag(&s.SharePositions),
 		"roles":      flag(&s.ShareRoles),
--- a/internal/settings/outlier_test.go
+++ b/internal/settings/outlier_test.go
@@ -26,10 +26,10 @@
 		}
 		detection := settings.OutlierDetection
 		if !detection.Enabled || detection.Settings.SharePositions || !detection.Settings.ShareHealth {
-			t.Errorf("read as %+v", detection)
+			t.Errorf("parsed as %+v", detection)
 		}
 		if detection.Settings.MaxEjectedShare != 0.25 || detection.Settings.EjectionTime != 5000 {
-			t.Errorf("read as %+v", detection)
+			t.Errorf("parsed as %+v", detection)
 		}
 	}
 }
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -8,13 +8,13 @@
 	"beechgrade/internal/sexp"
 )
 
-// Overload says whether and how the poolers handle overload together. It needs (peers ...).
+// Overload configures how the poolers handle overload together. It needs (peers ...).
 type Overload struct {
 	Enabled bool
 	adapter.Options
 }
 
-const minPeriodsUntilStale = 3
+const minPeriodsUntilStale = 3 // so that one report may be lost
 
 var (
 	overloadPeriods      = durationRange{100, 10 * second}
@@ -74,7 +74,7 @@
 		"probes":     o.readProbes,
 	}.Read(node.Args())
 	if err == nil && s.StaleAfter < minPeriodsUntilStale*s.ReportInterval {
-		err = node.Errorf("with a period of %g ms, what is stale after %g ms leaves no room for a lost word", s.ReportInterval, s.StaleAfter)
+		err = node.Errorf("with (period ...) of %g ms, (stale ...) of %g ms leaves no room for a lost report", s.ReportInterval, s.StaleAfter)
 	}
 	return err
 }
@@ -93,7 +93,7 @@
 	}.Read(node.Args())
 }
 
-// readProbes reads (probes ...), shared health checks.
+// readProbes reads (probes ...), the sharing of health checks.
 func (o *Overload) readProbes(node *sexp.Node) error {
 	p := &o.Probes
 	return sexp.Schema{
--- a/internal/settings/overload_test.go
+++ b/internal/settings/overload_test.go
@@ -9,7 +9,7 @@
 func TestOverloadSettings(t *testing.T) {
 	for in, want := range map[string]string{
 		`(overload)`: `o:1:1: (overload ...) needs (peers ...)`,
-		`(peers (listen "1.2.3.4:5") (key "k")) (overload (period 500ms) (stale 1s))`: `o:1:40: with a period of 500 ms, what is stale after 1000 ms leaves no room for a lost word`,
+		`(peers (listen "1.2.3.4:5") (key "k")) (overload (period 500ms) (stale 1s))`: `o:1:40: with (period ...) of 500 ms, (stale ...) of 1000 ms leaves no room for a lost report`,
 		`(peers (listen "1.2.3.4:5") (key "k")) (overload (collectors 0))`:            `o:1:62: 0 is out of range`,
 		`(peers (listen "1.2.3.4:5") (key "k")) (overload (returns 0))`:               `o:1:59: 0 is out of range`,
 		`(peers (listen "1.2.3.4:5") (key "k")) (overload (repeats (part -1)))`:       `o:1:65: -1 is out of range`,
@@ -28,7 +28,7 @@
 		}
 		overload := settings.Overload
 		if !overload.Enabled || overload.SheddingEnabled || overload.ProbeSharingEnabled || overload.RetryBudgetEnabled || overload.RecoveryRampRate != 0 {
-			t.Errorf("read as %+v", overload)
+			t.Errorf("parsed as %+v", overload)
 		}
 	}
 }
--- a/internal/settings/pooling.go
+++ b/internal/settings/pooling.go
@@ -12,7 +12,7 @@
 	"beechgrade/internal/sexp"
 )
 
-// Pooling says whether and how PostgreSQL clients are served.
+// Pooling configures how PostgreSQL clients are served.
 type Pooling struct {
 	Listen           string // empty for off
 	Classes          []TransactionClass
@@ -20,7 +20,7 @@
 	MaxMessageBytes  int
 	MaxResponseBytes int
 
-	classPositions map[string]sexp.Pos // where pools name their classes
+	classPositions map[string]sexp.Pos // where pools first name each class
 }
 
 // TransactionClass is a class of transactions that the operators add to the platform's classes.
@@ -36,7 +36,7 @@
 	defaultTransactionDeadline = 60 * time.Second
 )
 
-// defaultPoolOptions are the options of a pool whose settings name none.
+// defaultPoolOptions returns the options of a pool that sets none.
 func defaultPoolOptions() pooling.PoolOptions {
 	return pooling.PoolOptions{
 		Database:       "*",
@@ -73,7 +73,7 @@
 	statementByteSize = sizeRange{kilobyte, gigabyte}
 )
 
-// readKinds are the words of (needs WORD).
+// readKinds are the kinds of reads by their names in (needs ...).
 var readKinds = map[string]decide.ReadKind{
 	"primary": decide.Write,
 	"any":     decide.ReadAny,
@@ -96,15 +96,15 @@
 	case err != nil:
 		return err
 	case p.Listen != "" && len(p.Pools) == 0:
-		return node.Errorf("pooling: it listens, but there is no (pool ...)")
+		return node.Errorf("pooling: there is a (listen ...), but no (pool ...)")
 	case p.Listen == "" && len(p.Pools) > 0:
-		return node.Errorf("pooling: there are pools, but no (listen \"ADDRESS:PORT\")")
+		return node.Errorf("pooling: there is a (pool ...), but no (listen \"ADDRESS:PORT\")")
 	}
 	return nil
 }
 
-// classNamed is the index of a class, -1 for none.
-func (p *Pooling) classNamed(name string) int {
+// classIndex returns the index of a class, or -1 if there is none of that name.
+func (p *Pooling) classIndex(name string) int {
 	return slices.IndexFunc(p.Classes, func(class TransactionClass) bool { return class.Name == name })
 }
 
@@ -112,10 +112,10 @@
 	arguments := node.Args()
 	name, ok := firstName(arguments)
 	if !ok {
-		return node.Errorf("a class's name is due first")
+		return node.Errorf("expected a class's name first")
 	}
-	if p.classNamed(name) >= 0 {
-		return arguments[0].Errorf("there is a class %q already", name)
+	if p.classIndex(name) >= 0 {
+		return arguments[0].Errorf("duplicate class %q", name)
 	}
 	class := TransactionClass{Name: name, Class: decide.Class{
 		LatencyObjective: defaultTransactionTarget,
@@ -132,13 +132,13 @@
 		"worth":    number(&class.PriorityWeight, priorityWeights),
 		"late":     number(&class.LateWeight, lateWeights),
 		"needs": func(node *sexp.Node) error {
-			word, err := node.Str()
+			name, err := node.Str()
 			if err != nil {
 				return err
 			}
-			kind, ok := readKinds[word]
+			kind, ok := readKinds[name]
 			if !ok {
-				return node.Items[1].Errorf("primary, any, session or bounded is due here")
+				return node.Items[1].Errorf("expected primary, any, session or bounded")
 			}
 			class.Read = kind
 			return nil
@@ -148,7 +148,7 @@
 		return err
 	}
 	if class.Read == decide.ReadBounded && class.MaxStaleness == 0 {
-		return node.Errorf("class %q: (needs bounded) wants a (bound TIME)", name)
+		return node.Errorf("class %q: (needs bounded) requires (bound TIME)", name)
 	}
 	p.Classes = append(p.Classes, class)
 	return nil
@@ -199,15 +199,15 @@
 	case err != nil:
 		return err
 	case options.Class == "":
-		return node.Errorf("pool: (class \"NAME\") is missing: which class are its transactions of?")
+		return node.Errorf("pool: (class \"NAME\"), the class of its transactions, is missing")
 	case options.Mode == pooling.Session && options.Reads != "":
-		return node.Errorf("pool: a pool by session has all its transactions at the primary; (reads ...) is for one by transaction")
+		return node.Errorf("pool: (reads ...) requires (mode transaction), as with (mode session) all transactions run at the primary")
 	}
 	p.Pools = append(p.Pools, options)
 	return nil
 }
 
-// readClassName reads the name of a class into target, and keeps where it was named first.
+// readClassName reads the name of a class into target, and keeps the position at which the class is first named.
 func (p *Pooling) readClassName(target *string) reader {
 	return func(node *sexp.Node) (err error) {
 		if *target, err = node.Str(); err != nil {
@@ -220,23 +220,23 @@
 	}
 }
 
-// choice reads one of the words allowed, and has set take it.
+// choice reads one of the allowed words, and passes it to set.
 func choice(set func(string), allowed ...string) reader {
 	return func(node *sexp.Node) error {
 		word, err := node.Str()
 		if err == nil && !slices.Contains(allowed, word) {
-			err = node.Items[1].Errorf("one of %v is due here", allowed)
+			err = node.Items[1].Errorf("expected one of %v", allowed)
 		}
 		set(word)
 		return err
 	}
 }
 
-// Check checks that the pools' classes exist and fit, and are none of the platform's.
+// Check checks that the classes that pools name exist and are of the right kind, and that none has the name of a platform's class.
 func (p *Pooling) Check(platformClasses []string) error {
 	for _, class := range p.Classes {
 		if slices.Contains(platformClasses, class.Name) {
-			return fmt.Errorf("pooling: class %q is one of the platform's", class.Name)
+			return fmt.Errorf("pooling: class %q exists already, as one of the platform's classes", class.Name)
 		}
 	}
 	for _, pool := range p.Pools {
@@ -254,12 +254,12 @@
 	if name == "" {
 		return nil
 	}
-	i := p.classNamed(name)
+	i := p.classIndex(name)
 	if i < 0 {
 		return &sexp.Error{Pos: p.classPositions[name], Text: fmt.Sprintf("there is no (class %q ...)", name)}
 	}
 	if needsPrimary && p.Classes[i].Read != decide.Write {
-		reason := fmt.Sprintf("class %q does not need the primary, and so is for (reads ...)", name)
+		reason := fmt.Sprintf("class %q does not need the primary, and so can only be used in (reads ...)", name)
 		return &sexp.Error{Pos: p.classPositions[name], Text: reason}
 	}
 	return nil
--- a/internal/settings/raftlog.go
+++ b/internal/settings/raftlog.go
@@ -8,14 +8,14 @@
 	"beechgrade/internal/sexp"
 )
 
-// RaftLog says whether the poolers keep a replicated log, and which of them vote. It needs (peers ...).
+// RaftLog configures the poolers' replicated log, and which poolers vote. It needs (peers ...).
 type RaftLog struct {
 	Enabled                  bool
-	Dir                      string // of a voter; "$NAME" stands for a variable of the environment
+	Dir                      string // of a voter's log; "$NAME" stands for an environment variable
 	MaxBytes                 int64
-	CompactionBytesPerSecond int64 // 0 for any
+	CompactionBytesPerSecond int64 // 0 for no limit
 	Settings                 raftlog.Settings
-	WitnessPerSecond         float64 // entries that this pooler proposes to test the voters
+	WitnessPerSecond         float64 // entries that this pooler proposes per second, to test the voters
 }
 
 const (
@@ -28,7 +28,7 @@
 	raftTicks        = durationRange{50, 10 * second}
 	electionTicks    = countRange{4, 1000}
 	heartbeatTicks   = countRange{1, 250}
-	compactionEvery  = countRange{16, 1e6} // entries
+	snapshotEntries  = countRange{16, 1e6}
 	retainedEntries  = countRange{1, 1e6}
 	witnessPerSecond = numberRange{0, 1e5}
 )
@@ -44,7 +44,7 @@
 		"tick":      duration(&s.TickInterval, raftTicks),
 		"election":  count(&s.ElectionTicks, electionTicks),
 		"heartbeat": count(&s.HeartbeatTicks, heartbeatTicks),
-		"every":     count(&s.SnapshotEntries, compactionEvery),
+		"every":     count(&s.SnapshotEntries, snapshotEntries),
 		"keep":      count(&s.KeepEntries, retainedEntries),
 		"witness":   number(&l.WitnessPerSecond, witnessPerSecond),
 	}.Read(node.Args())
@@ -52,11 +52,11 @@
 	case err != nil:
 		return err
 	case len(s.Voters) != 3 && len(s.Voters) != 5:
-		return node.Errorf("agreed: (voters ...) has three names or five, not %d", len(s.Voters))
+		return node.Errorf("agreed: (voters ...) takes three or five names, got %d", len(s.Voters))
 	case l.Dir == "":
-		return node.Errorf("agreed: (dir \"FOLDER\") is due, on a disk that survives")
+		return node.Errorf("agreed: (dir \"FOLDER\"), on a disk that survives restarts, is missing")
 	case s.ElectionTicks < minHeartbeatsPerElection*s.HeartbeatTicks:
-		return node.Errorf("agreed: an election after %d ticks is to be four times the %d between heartbeats at least", s.ElectionTicks, s.HeartbeatTicks)
+		return node.Errorf("agreed: (election ...) of %d ticks must be at least four times (heartbeat ...) of %d ticks", s.ElectionTicks, s.HeartbeatTicks)
 	}
 	return nil
 }
@@ -65,10 +65,10 @@
 	s := &l.Settings
 	for _, item := range node.Args() {
 		if !isName(item) || len(item.Text) > view.MaxNameBytes {
-			return item.Errorf("a pooler's name is due here")
+			return item.Errorf("expected a pooler's name")
 		}
 		if slices.Contains(s.Voters, item.Text) {
-			return item.Errorf("%q votes already", item.Text)
+			return item.Errorf("duplicate voter %q", item.Text)
 		}
 		s.Voters = append(s.Voters, item.Text)
 	}
--- a/internal/settings/raftlog_test.go
+++ b/internal/settings/raftlog_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestRaftLogSettings checks the values of (agreed ...), and an error for each mistake.
+// TestRaftLogSettings checks the values of (agreed ...), and that each mistake is an error of one line.
 func TestRaftLogSettings(t *testing.T) {
 	const peers = `(peers (listen "127.0.0.1:1") (key "/k"))`
-	read := func(s string) (*Settings, error) {
-		return Parse("f", []byte(peers+s), func(string) string { return "/disk" })
+	parse := func(text string) (*Settings, error) {
+		return Parse("f", []byte(peers+text), func(string) string { return "/disk" })
 	}
-	settings, err := read(`(agreed (voters "a" "b" "c") (dir "$D/agreed") (tick 100ms) (election 10) (heartbeat 1) (witness 5))`)
+	settings, err := parse(`(agreed (voters "a" "b" "c") (dir "$D/agreed") (tick 100ms) (election 10) (heartbeat 1) (witness 5))`)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,15 +19,15 @@
 	if !log.Enabled || log.Dir != "/disk/agreed" || log.Settings.TickInterval != 100 || len(log.Settings.Voters) != 3 {
 		t.Fatalf("%+v", log)
 	}
-	for text, word := range map[string]string{
-		`(agreed (voters "a" "b") (dir "d"))`:                                 "three names or five",
-		`(agreed (voters "a" "b" "a") (dir "d"))`:                             "votes already",
+	for text, want := range map[string]string{
+		`(agreed (voters "a" "b") (dir "d"))`:                                 "three or five names",
+		`(agreed (voters "a" "b" "a") (dir "d"))`:                             "duplicate voter",
 		`(agreed (voters "a" "b" "c"))`:                                       "(dir",
 		`(agreed (voters "a" "b" "c") (dir "d") (election 4) (heartbeat 2))`:  "four times",
 		`(agreed (voters "a" "b" "c") (dir "d") (tick 1ms))`:                  "50",
 		`(agreed (voters "a" "b" "c") (dir "d") (elections 4) (heartbeat 2))`: "elections",
 	} {
-		if _, err := read(text); err == nil || !strings.Contains(err.Error(), word) || strings.Contains(err.Error(), "\n") {
+		if _, err := parse(text); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/settings/readers.go
+++ b/internal/settings/readers.go
@@ -26,7 +26,7 @@
 	terabyte = 1 << 40
 )
 
-// Ranges of what a setting may be, both ends included.
+// Ranges of the values that a setting may have, with both ends.
 type (
 	durationRange struct{ min, max float64 } // ms
 	numberRange   struct{ min, max float64 }
@@ -34,11 +34,11 @@
 	sizeRange     struct{ min, max int64 } // bytes
 )
 
-// Ranges that several forms have in common.
+// Ranges that several forms share.
 var (
 	anyDuration      = durationRange{0, day}
 	positiveDuration = durationRange{1, day}
-	compactionRate   = sizeRange{64 * kilobyte, terabyte} // bytes a second; a slower compaction may never end
+	compactionRate   = sizeRange{64 * kilobyte, terabyte} // bytes per second; a slower compaction may never end
 	groupNumbers     = countRange{0, 1 << 30}
 )
 
@@ -94,7 +94,7 @@
 	}
 }
 
-// expanded reads (key "TEXT") into target. "$NAME" stands for a variable of the environment.
+// expanded reads (key "TEXT") into target. "$NAME" stands for an environment variable.
 func expanded(target *string, env func(string) string) reader {
 	return func(node *sexp.Node) error {
 		text, err := node.Str()
@@ -103,21 +103,21 @@
 	}
 }
 
-// filePath reads (key "FILE") into target, which may not be empty. "$NAME" stands for a variable of the environment.
+// filePath reads (key "FILE") into target, which may not be empty. "$NAME" stands for an environment variable.
 func filePath(target *string, env func(string) string) reader {
-	return requireExpanded(target, env, "the file's name is empty; is its variable set?")
+	return requireExpanded(target, env, "the file name is empty; is its environment variable set?")
 }
 
 // folderPath is like filePath for a folder.
 func folderPath(target *string, env func(string) string) reader {
-	return requireExpanded(target, env, "the folder's name is empty; is its variable set?")
+	return requireExpanded(target, env, "the folder name is empty; is its environment variable set?")
 }
 
-func requireExpanded(target *string, env func(string) string, complaint string) reader {
+func requireExpanded(target *string, env func(string) string, message string) reader {
 	return func(node *sexp.Node) error {
 		err := expanded(target, env)(node)
 		if err == nil && *target == "" {
-			return node.Errorf("%s", complaint)
+			return node.Errorf("%s", message)
 		}
 		return err
 	}
@@ -130,26 +130,26 @@
 			return err
 		}
 		if _, _, err := net.SplitHostPort(*target); err != nil {
-			return node.Items[1].Errorf("an address with its port is due here: %v", err)
+			return node.Items[1].Errorf("expected an address with a port: %v", err)
 		}
 		return nil
 	}
 }
 
-// oneOf reads (key WORD), and returns the index of the word among those allowed.
+// oneOf reads (key WORD), and returns the index of the word in allowed.
 func oneOf(node *sexp.Node, allowed ...string) (int, error) {
 	word, err := node.Str()
 	i := slices.Index(allowed, word)
 	if err == nil && i < 0 {
-		err = node.Errorf("%s is due here", strings.Join(allowed, " or "))
+		err = node.Errorf("expected %s", strings.Join(allowed, " or "))
 	}
 	return i, err
 }
 
-// isName reports whether a node is a text that is not empty.
+// isName reports whether a node is an atom or string that is not empty.
 func isName(node *sexp.Node) bool { return node.Kind != sexp.List && node.Text != "" }
 
-// firstName is the text of the first argument, and whether there is one that is not empty.
+// firstName returns the text of the first argument, and whether that is a name.
 func firstName(arguments []*sexp.Node) (string, bool) {
 	if len(arguments) == 0 || !isName(arguments[0]) {
 		return "", false
--- a/internal/settings/record.go
+++ b/internal/settings/record.go
@@ -2,13 +2,13 @@
 
 import "beechgrade/internal/sexp"
 
-// Record says whether and where the pooler records what it does.
+// Record configures the records of events that the pooler writes.
 type Record struct {
 	Enabled         bool
-	Dir             string // "$NAME" stands for a variable of the environment
+	Dir             string // "$NAME" stands for an environment variable
 	SegmentBytes    int64
 	TotalBytes      int64
-	QueueLength     int // events that wait for the writer at most
+	QueueLength     int // most events that wait for the writer
 	FlushIntervalMs float64
 	Compress        bool // with zstd
 }
@@ -52,11 +52,11 @@
 	case err != nil:
 		return err
 	case r.TotalBytes < 2*r.SegmentBytes:
-		return node.Errorf("record: total has room for less than two segments of %d bytes", r.SegmentBytes)
+		return node.Errorf("record: (total ...) must be at least two segments of %d bytes", r.SegmentBytes)
 	case r.Enabled && dir == nil:
-		return node.Errorf("record: it is on, but no (dir ...) says where")
+		return node.Errorf("record: (on) requires (dir ...)")
 	case r.Enabled && r.Dir == "":
-		return dir.Errorf("record: the folder's name is empty; is its variable set?")
+		return dir.Errorf("record: the folder name is empty; is its environment variable set?")
 	}
 	return nil
 }
--- a/internal/settings/scatter.go
+++ b/internal/settings/scatter.go
@@ -14,15 +14,15 @@
 	"beechgrade/internal/sexp"
 )
 
-// Scatter says which reads may go to many groups. It needs (pooling ...).
+// Scatter configures the reads that may be scattered to many groups. It needs (pooling ...).
 type Scatter struct {
 	Enabled        bool
-	KeyFile        string // of the cursors' keys; empty for the cluster's key
+	KeyFile        string // holds the cursors' keys; empty for the cluster's key
 	RotateMs       float64
 	MaxCursorAgeMs float64
 	Specs          []scatter.Spec
 
-	classPositions map[string]sexp.Pos // where reads name their classes
+	classPositions map[string]sexp.Pos // where reads last name each class
 }
 
 const (
@@ -33,9 +33,10 @@
 	defaultRotateMs = hour
 	defaultAgeMs    = day
 
-	// A read keeps this part of its time limit, and at most maxSpareMs, to answer after its shards' time is over.
-	sparePart  = 10
-	maxSpareMs = 500
+	// A read reserves 1/answerReserveDivisor of its time limit, and at most maxAnswerReserveMs, to respond after the time of its shards
+	// is over.
+	answerReserveDivisor = 10
+	maxAnswerReserveMs   = 500
 )
 
 var (
@@ -50,7 +51,7 @@
 	scatterRetries = countRange{0, 100}
 )
 
-// defaultSpec is a read whose settings name no more than what they must.
+// defaultSpec returns a read with the default of each optional setting.
 func defaultSpec(name string) scatter.Spec {
 	return scatter.Spec{
 		Name:           name,
@@ -80,7 +81,7 @@
 	case len(s.Specs) == 0:
 		return node.Errorf("(scatter ...) needs a (read ...)")
 	case cursor.Generations(s.RotateMs, s.MaxCursorAgeMs) > cursor.MaxGenerations:
-		return node.Errorf("cursors of %g ms take over %d keys that change each %g ms", s.MaxCursorAgeMs, cursor.MaxGenerations, s.RotateMs)
+		return node.Errorf("cursors with (age ...) of %g ms need more than %d keys with (rotate ...) of %g ms", s.MaxCursorAgeMs, cursor.MaxGenerations, s.RotateMs)
 	}
 	return nil
 }
@@ -97,13 +98,13 @@
 	arguments := node.Args()
 	name, ok := firstName(arguments)
 	if !ok || len(name) > maxScatterName {
-		return node.Errorf("a read's name, of %d bytes at most, is due first", maxScatterName)
+		return node.Errorf("expected a read's name of at most %d bytes first", maxScatterName)
 	}
 	if slices.ContainsFunc(s.Specs, func(other scatter.Spec) bool { return other.Name == name }) {
-		return arguments[0].Errorf("there is a read %q already", name)
+		return arguments[0].Errorf("duplicate read %q", name)
 	}
 	if len(s.Specs) == maxReads {
-		return arguments[0].Errorf("over %d reads", maxReads)
+		return arguments[0].Errorf("more than %d reads", maxReads)
 	}
 	r := &specReader{spec: defaultSpec(name)}
 	schema := r.schema()
@@ -133,14 +134,14 @@
 		"most-page": count(&spec.MaxRows, pageRows),
 		"whole": func(node *sexp.Node) error {
 			if r.completeness != nil || len(node.Args()) > 0 {
-				return node.Errorf("(whole) or (partial NUMBER), once")
+				return node.Errorf("expected (whole) or (partial NUMBER), once")
 			}
 			r.completeness = node
 			return nil
 		},
 		"partial": func(node *sexp.Node) error {
 			if r.completeness != nil {
-				return node.Errorf("(whole) or (partial NUMBER), once")
+				return node.Errorf("expected (whole) or (partial NUMBER), once")
 			}
 			r.completeness = node
 			r.partial = true
@@ -156,48 +157,48 @@
 	}
 }
 
-// finish completes a read from what was set, and checks it.
+// finish derives the remaining fields of a read, and checks it.
 func (r *specReader) finish(node *sexp.Node) error {
 	spec := &r.spec
 	spec.Order.Own = len(spec.Order.Columns)
 	spec.Order.Columns = append(spec.Order.Columns, r.own...)
-	spec.AnswerReserveMs = min(maxSpareMs, spec.TimeoutMs/sparePart)
+	spec.AnswerReserveMs = min(maxAnswerReserveMs, spec.TimeoutMs/answerReserveDivisor)
 	isDescribed := spec.Class != "" && len(spec.Shards) > 0
 	isOrdered := spec.Order.Own > 0 && len(r.own) > 0
 	switch {
 	case !isDescribed || !isOrdered:
-		return node.Errorf("read %q: (class ...), (shards ...), (order ...) and (own ...) are due", spec.Name)
+		return node.Errorf("read %q: (class ...), (shards ...), (order ...) and (own ...) are required", spec.Name)
 	case r.completeness == nil:
-		return node.Errorf("read %q: is a page (whole), or may so many shards be missing: (partial NUMBER)?", spec.Name)
+		return node.Errorf("read %q: expected (whole), or (partial NUMBER) if a page may lack that many shards", spec.Name)
 	case r.partial && spec.MaxMissing >= len(spec.Shards):
-		return r.completeness.Errorf("of %d shards %d cannot be missing", len(spec.Shards), spec.MaxMissing)
+		return r.completeness.Errorf("with %d shards, %d cannot be missing", len(spec.Shards), spec.MaxMissing)
 	case spec.DefaultRows > spec.MaxRows:
-		return node.Errorf("read %q: a page of %d rows is over its most, %d", spec.Name, spec.DefaultRows, spec.MaxRows)
+		return node.Errorf("read %q: (page ...) of %d rows exceeds (most-page ...) of %d", spec.Name, spec.DefaultRows, spec.MaxRows)
 	}
 	for i, column := range spec.Order.Columns {
 		sameName := func(other merge.Column) bool { return other.Name == column.Name }
 		if slices.ContainsFunc(spec.Order.Columns[:i], sameName) {
-			return node.Errorf("read %q: column %q is there twice", spec.Name, column.Name)
+			return node.Errorf("read %q: duplicate column %q", spec.Name, column.Name)
 		}
 	}
 	return nil
 }
 
-// readShards reads (shards ("NAME" GROUP) ...), and sorts them by name, which decides ties.
+// readShards reads (shards ("NAME" GROUP) ...), and sorts them by name: rows that compare equal are in the order of their shards.
 func readShards(node *sexp.Node) (shards []scatter.Shard, err error) {
 	for _, item := range node.Args() {
 		shard, err := readShard(item)
 		if err != nil {
 			return nil, err
 		}
-		exists := func(other scatter.Shard) bool { return other.Name == shard.Name || other.Group == shard.Group }
-		if slices.ContainsFunc(shards, exists) {
-			return nil, item.Errorf("a shard of this name or group is there already")
+		isDuplicate := func(other scatter.Shard) bool { return other.Name == shard.Name || other.Group == shard.Group }
+		if slices.ContainsFunc(shards, isDuplicate) {
+			return nil, item.Errorf("duplicate name or group of a shard")
 		}
 		shards = append(shards, shard)
 	}
 	if len(shards) == 0 || len(shards) > cursor.MaxShards {
-		return nil, node.Errorf("from 1 to %d shards", cursor.MaxShards)
+		return nil, node.Errorf("expected from 1 to %d shards", cursor.MaxShards)
 	}
 	slices.SortFunc(shards, func(a, b scatter.Shard) int { return cmp.Compare(a.Name, b.Name) })
 	return shards, nil
@@ -206,11 +207,11 @@
 func readShard(node *sexp.Node) (scatter.Shard, error) {
 	isPair := node.Kind == sexp.List && len(node.Items) == 2
 	if !isPair || !isName(node.Items[0]) || len(node.Items[0].Text) > maxScatterName {
-		return scatter.Shard{}, node.Errorf("(\"NAME\" GROUP) is due")
+		return scatter.Shard{}, node.Errorf("expected (\"NAME\" GROUP)")
 	}
 	group, err := node.Items[1].Number(float64(groupNumbers.min), float64(groupNumbers.max))
 	if err != nil || group != math.Trunc(group) {
-		return scatter.Shard{}, node.Items[1].Errorf("a group's number is due here")
+		return scatter.Shard{}, node.Items[1].Errorf("expected a group's number")
 	}
 	return scatter.Shard{Name: node.Items[0].Text, Group: int(group)}, nil
 }
@@ -225,19 +226,19 @@
 		columns = append(columns, column)
 	}
 	if len(columns) == 0 || len(columns) > maxColumns {
-		return nil, node.Errorf("from 1 to %d columns", maxColumns)
+		return nil, node.Errorf("expected from 1 to %d columns", maxColumns)
 	}
 	return columns, nil
 }
 
 func readColumn(node *sexp.Node) (merge.Column, error) {
 	if node.Kind != sexp.List || len(node.Items) < 2 || !isName(node.Items[0]) {
-		return merge.Column{}, node.Errorf("(\"NAME\" TYPE ...) is due")
+		return merge.Column{}, node.Errorf("expected (\"NAME\" TYPE ...)")
 	}
 	column := merge.Column{Name: node.Items[0].Text}
 	typeNode, known := node.Items[1], false
 	if column.Type, known = merge.TypeNamed(typeNode.Text); !known {
-		return column, typeNode.Errorf("the order of type %q is not known here: int8, float8, text, bytea, timestamp, timestamptz or uuid", typeNode.Text)
+		return column, typeNode.Errorf("cannot order by type %q; expected int8, float8, text, bytea, timestamp, timestamptz or uuid", typeNode.Text)
 	}
 	nulls := ""
 	err := sexp.Schema{
@@ -247,7 +248,7 @@
 		"nulls": func(node *sexp.Node) (err error) {
 			nulls, err = node.Str()
 			if err == nil && nulls != "first" && nulls != "last" {
-				err = node.Errorf("(nulls first) or (nulls last)")
+				err = node.Errorf("expected (nulls first) or (nulls last)")
 			}
 			return err
 		},
@@ -256,7 +257,7 @@
 	return column, err
 }
 
-// Check checks that the reads' classes exist in the pooling settings and fit, and that there is a key for cursors.
+// Check checks that the reads' classes exist in the pooling settings and are of session reads, and that there is a key for cursors.
 func (s *Scatter) Check(pooling *Pooling, cluster *Cluster) error {
 	if !s.Enabled {
 		return nil
@@ -274,19 +275,20 @@
 }
 
 func (s *Scatter) checkClass(pooling *Pooling, name string) error {
-	i := pooling.classNamed(name)
+	i := pooling.classIndex(name)
 	if i < 0 {
 		reason := fmt.Sprintf("there is no (class %q ...) in (pooling ...)", name)
 		return &sexp.Error{Pos: s.classPositions[name], Text: reason}
 	}
 	if pooling.Classes[i].Read != decide.ReadSession {
-		reason := fmt.Sprintf("class %q is not of (needs session): a page must not be read behind the one before", name)
+		reason := fmt.Sprintf("class %q must be (needs session), so that no page is older than the page before it", name)
 		return &sexp.Error{Pos: s.classPositions[name], Text: reason}
 	}
 	return nil
 }
 
-// Secrets returns what the cursors' keys are derived from: the lines of the key file, or the cluster's key. The first one seals.
+// Secrets returns the secrets that the cursors' keys are derived from: the lines of the key file, or the cluster's key. New cursors
+// are sealed with the first.
 func (s *Scatter) Secrets(cluster *Cluster) ([][]byte, error) {
 	switch {
 	case s.KeyFile != "":
@@ -295,13 +297,13 @@
 		key, err := cluster.Key()
 		return [][]byte{key}, err
 	}
-	return nil, fmt.Errorf("(scatter ...) needs a (key \"FILE\"), as there are no (peers ...) with one")
+	return nil, fmt.Errorf("(scatter ...) needs a (key \"FILE\"), as there is no (peers ...) whose key it could use")
 }
 
 func readCursorKeys(path string) ([][]byte, error) {
 	text, err := ReadKey(path)
 	if err != nil {
-		return nil, fmt.Errorf("the cursors' key: %w", err)
+		return nil, fmt.Errorf("cursor keys: %w", err)
 	}
 	var keys [][]byte
 	for line := range bytes.Lines(text) {
@@ -310,7 +312,7 @@
 			continue
 		}
 		if len(line) < minKeyBytes {
-			return nil, fmt.Errorf("the cursors' key: %s: a line of %d bytes; %d are wanted", path, len(line), minKeyBytes)
+			return nil, fmt.Errorf("cursor keys: %s: a line has %d bytes; want at least %d", path, len(line), minKeyBytes)
 		}
 		keys = append(keys, line)
 	}
--- a/internal/settings/scatter_test.go
+++ b/internal/settings/scatter_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const readOf = `(read "r" (class "reports") (shards ("b" 1) ("a" 0)) (order ("at" timestamptz (desc))) (own ("id" int8)) (whole))`
+const validRead = `(read "r" (class "reports") (shards ("b" 1) ("a" 0)) (order ("at" timestamptz (desc))) (own ("id" int8)) (whole))`
 
 // TestScatterSettings checks the values and errors of (scatter ...).
 func TestScatterSettings(t *testing.T) {
@@ -19,46 +19,46 @@
 	}
 	env := func(string) string { return dir }
 	pooling := `(pooling (listen "127.0.0.1:1") (class "o" (needs primary)) (class "reports" (needs session)) (class "any" (needs any)) (pool (class "o"))) `
-	read := func(text string) (*Settings, error) {
+	parse := func(text string) (*Settings, error) {
 		settings, err := Parse("f", []byte(text), env)
 		if err == nil {
 			err = settings.Scatter.Check(&settings.Pooling, &settings.Cluster)
 		}
 		return settings, err
 	}
-	settings, err := read(pooling + `(scatter (key "$DIR/good") ` + readOf + `)`)
+	settings, err := parse(pooling + `(scatter (key "$DIR/good") ` + validRead + `)`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := settings.Scatter.Specs[0]
-	if x.Shards[0].Name != "a" || !x.Order.Columns[0].NullsFirst || x.Order.Columns[1].NullsFirst || x.Order.Own != 1 || x.MaxMissing != 0 {
-		t.Errorf("%+v", x)
+	spec := settings.Scatter.Specs[0]
+	if spec.Shards[0].Name != "a" || !spec.Order.Columns[0].NullsFirst || spec.Order.Columns[1].NullsFirst || spec.Order.Own != 1 || spec.MaxMissing != 0 {
+		t.Errorf("%+v", spec)
 	}
 	if keys, err := settings.Scatter.Secrets(&settings.Cluster); err != nil || len(keys) != 2 || string(keys[0]) != "a key of cursors" {
 		t.Errorf("%q, %v", keys, err)
 	}
-	scatter := func(old, now string) string {
-		return pooling + `(scatter (key "$DIR/good") ` + strings.Replace(readOf, old, now, 1) + `)`
+	replaced := func(old, replacement string) string {
+		return pooling + `(scatter (key "$DIR/good") ` + strings.Replace(validRead, old, replacement, 1) + `)`
 	}
 	for text, want := range map[string]string{
-		`(scatter (key "$DIR/good") ` + readOf + `)`:                       "needs (pooling",
-		pooling + `(scatter ` + readOf + `)`:                               "needs a (key",
-		pooling + `(scatter (key "$DIR/short") ` + readOf + `)`:            "a line of 5 bytes",
-		pooling + `(scatter (key "$DIR/good"))`:                            "needs a (read",
-		pooling + `(scatter (key "$DIR/good") (rotate 1s) ` + readOf + `)`: "keys that change",
-		scatter(`"reports"`, `"none"`):                                     "there is no (class",
-		scatter(`"reports"`, `"any"`):                                      "is not of (needs session)",
-		scatter(`timestamptz`, `numeric`):                                  `the order of type "numeric" is not known`,
-		scatter(`(whole)`, ``):                                             "(whole), or",
-		scatter(`(whole)`, `(partial 2)`):                                  "cannot be missing",
-		scatter(`(whole)`, `(whole) (page 2000)`):                          "over its most",
-		scatter(`("b" 1)`, `("b" 0)`):                                      "is there already",
-		scatter(`("b" 1)`, `("b" 0.5)`):                                    "a group's number",
-		scatter(`(own ("id" int8))`, ``):                                   "are due",
-		scatter(`("id" int8)`, `("at" int8)`):                              "is there twice",
+		`(scatter (key "$DIR/good") ` + validRead + `)`:                       "needs (pooling",
+		pooling + `(scatter ` + validRead + `)`:                               "needs a (key",
+		pooling + `(scatter (key "$DIR/short") ` + validRead + `)`:            "a line has 5 bytes",
+		pooling + `(scatter (key "$DIR/good"))`:                               "needs a (read",
+		pooling + `(scatter (key "$DIR/good") (rotate 1s) ` + validRead + `)`: "keys with (rotate",
+		replaced(`"reports"`, `"none"`):                                       "there is no (class",
+		replaced(`"reports"`, `"any"`):                                        "must be (needs session)",
+		replaced(`timestamptz`, `numeric`):                                    `cannot order by type "numeric"`,
+		replaced(`(whole)`, ``):                                               "expected (whole), or",
+		replaced(`(whole)`, `(partial 2)`):                                    "cannot be missing",
+		replaced(`(whole)`, `(whole) (page 2000)`):                            "exceeds (most-page",
+		replaced(`("b" 1)`, `("b" 0)`):                                        "duplicate name or group",
+		replaced(`("b" 1)`, `("b" 0.5)`):                                      "a group's number",
+		replaced(`(own ("id" int8))`, ``):                                     "are required",
+		replaced(`("id" int8)`, `("at" int8)`):                                "duplicate column",
 	} {
-		if _, err := read(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, not %q", text, err, want)
+		if _, err := parse(text); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -3,9 +3,9 @@
 //	(record (on yes) (dir "$STATE/records"))
 //	(peers (listen "10.0.0.5:7000") (key "/etc/fleet.key"))
 //
-// Each form has a type here, named after the subsystem that it configures, and a file. A file is read completely or not at all:
-// every error is a *sexp.Error that names file, line and column, and what is allowed there. Reading has no effect but that files
-// which settings name, such as certificates, are read too.
+// Each form has a type, named after the subsystem that it configures, in a file of its own. A settings file is applied completely or
+// not at all: every error is a *sexp.Error that names file, line and column, and what is allowed there. The package changes nothing;
+// it only reads, also files that settings name, such as certificates.
 package settings
 
 import (
@@ -17,7 +17,7 @@
 	"beechgrade/internal/sexp"
 )
 
-// Settings are all that the operators may set. The zero value has everything disabled.
+// Settings are all settings of the operators. In the zero value, everything is disabled.
 type Settings struct {
 	Record           Record           // (record ...)
 	Pooling          Pooling          // (pooling ...)
@@ -37,12 +37,12 @@
 	Zones            Zones            // (zones ...)
 }
 
-// form is the settings of one subsystem. env looks up a variable of the environment.
+// form is the settings of one subsystem. env looks up an environment variable.
 type form interface {
 	read(node *sexp.Node, env func(string) string) error
 }
 
-// forms are the forms of a file by their keys.
+// forms returns the forms of a file by their keys.
 func (s *Settings) forms() map[string]form {
 	return map[string]form{
 		"record":       &s.Record,
@@ -64,7 +64,7 @@
 	}
 }
 
-// requirement says what other forms the given ones need. The first of them in a file is reported.
+// requirement states which other forms the given forms need. If they are missing, the first of the given forms in the file is reported.
 type requirement struct {
 	forms []string
 	needs string
@@ -83,7 +83,7 @@
 
 func (s *Settings) hasRaftLog() bool { return s.Cluster.Enabled && s.RaftLog.Enabled }
 
-// Load reads a settings file. env looks up a variable of the environment.
+// Load reads a settings file. env looks up an environment variable.
 func Load(path string, env func(string) string) (*Settings, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// TestRecordSettingsAndErrorPositions checks the values of (record ...) and (kept ...), and that each error is one line with
-// its place: settings are read completely or not at all.
+// TestRecordSettingsAndErrorPositions checks the values of (record ...) and (kept ...), and that a mistake anywhere in a file is an
+// error with its position: a file is applied completely or not at all.
 func TestRecordSettingsAndErrorPositions(t *testing.T) {
 	env := func(name string) string { return map[string]string{"T": "/t"}[name] }
 	for in, want := range map[string]any{
@@ -20,11 +20,11 @@
 		`(kept (dir "$T/k") (age 1h) (pace 1m))`: Settings{
 			Snapshots: Snapshots{Dir: "/t/k", MaxAgeMs: 3600e3, MaxBytes: defaultSnapshotBytes, CompactionBytesPerSecond: 1 << 20},
 		},
-		`(kept (dir "$NO"))`:                       `o:1:1: kept: (dir "FOLDER") is due, on a disk that survives`,
+		`(kept (dir "$NO"))`:                       `o:1:1: kept: (dir "FOLDER"), on a disk that survives restarts, is missing`,
 		"(record)\n(records)":                      `o:2:1: "records" is unknown here; allowed are: agreed, clickhouse, credit, fleet-limits, invariants, journal, kept, membership, overload, peers, pooling, record, scatter, sessions, verdicts, zones`,
-		"(record (on))":                            "o:1:1: record: it is on, but no (dir ...) says where",
-		`(record (on) (dir "$NO"))`:                "o:1:14: record: the folder's name is empty; is its variable set?",
-		"(record (segment 1m)\n (total 1m))":       "o:1:1: record: total has room for less than two segments of 1048576 bytes",
+		"(record (on))":                            "o:1:1: record: (on) requires (dir ...)",
+		`(record (on) (dir "$NO"))`:                "o:1:14: record: the folder name is empty; is its environment variable set?",
+		"(record (segment 1m)\n (total 1m))":       "o:1:1: record: (total ...) must be at least two segments of 1048576 bytes",
 		"(record\n  (flush 1ms))":                  "o:2:10: 1ms is out of range; it may be from 10ms to 60000ms",
 		"(record (queue 1e9))":                     "o:1:16: 1e9 is out of range; it may be from 64 to 1.048576e+06",
 		"(record (dir \"a\") (dir \"b\"))":         `o:1:19: duplicate "dir"; the first is on line 1`,
--- a/internal/settings/snapshots.go
+++ b/internal/settings/snapshots.go
@@ -2,12 +2,12 @@
 
 import "beechgrade/internal/sexp"
 
-// Snapshots says whether and where the last good configuration and endpoint list are kept, for a start without their sources.
+// Snapshots configures the store of the last good configuration and endpoint list, for a start without their sources.
 type Snapshots struct {
-	Dir                      string // empty for off; "$NAME" stands for a variable of the environment
+	Dir                      string // empty for off; "$NAME" stands for an environment variable
 	MaxAgeMs                 float64
 	MaxBytes                 int64
-	CompactionBytesPerSecond int64 // 0 for any
+	CompactionBytesPerSecond int64 // 0 for no limit
 }
 
 const (
@@ -32,7 +32,7 @@
 		return err
 	}
 	if s.Dir == "" {
-		return node.Errorf("kept: (dir \"FOLDER\") is due, on a disk that survives")
+		return node.Errorf("kept: (dir \"FOLDER\"), on a disk that survives restarts, is missing")
 	}
 	return nil
 }
--- a/internal/settings/zones.go
+++ b/internal/settings/zones.go
@@ -10,17 +10,17 @@
 	"beechgrade/internal/sexp"
 )
 
-// Zones says whether the poolers decide together to which zones each zone's reads go. It needs (peers ...) and (agreed ...).
+// Zones configures the plan by which all poolers route the reads of each zone to zones. It needs (peers ...) and (agreed ...).
 type Zones struct {
 	Enabled bool
-	Dir     string // where a pooler keeps the number of the plan that it follows; empty for nowhere
+	Dir     string // of the stored number of the plan that the pooler follows; empty to store none
 	zones.Settings
 }
 
 const minZones = 2
 
 var (
-	zoneCores         = numberRange{0.1, 1024} // of a server
+	zoneCores         = numberRange{0.1, 1024} // of a server of size 1
 	zonePrices        = numberRange{0, 10}
 	zoneReserves      = numberRange{0, 0.9}
 	zonePeriods       = durationRange{100, 10 * second}
@@ -44,7 +44,7 @@
 	s := &z.Settings
 	planner := &s.Planner
 	state := &planner.Health
-	var delays []*sexp.Node // read once all zones are named
+	var delays []*sexp.Node // evaluated after all zones are named
 	err := sexp.Schema{
 		"names":     z.readNames,
 		"delay":     func(node *sexp.Node) error { delays = append(delays, node); return nil },
@@ -76,16 +76,16 @@
 	case err != nil:
 		return err
 	case len(s.Zones) < minZones || len(s.Zones) > statemachine.MaxZones:
-		return node.Errorf("(zones ...) needs (names NAME NAME ...), from %d to %d of them", minZones, statemachine.MaxZones)
+		return node.Errorf("(zones ...) needs (names NAME NAME ...) with from %d to %d names", minZones, statemachine.MaxZones)
 	case s.PlanLifetime < 2*planner.RenewInterval+2*s.ReportInterval:
-		return node.Errorf("a plan's life of %g ms is to be two renewals and two periods at least", s.PlanLifetime)
+		return node.Errorf("(life ...) of %g ms must be at least two times (renew ...) plus two times (period ...)", s.PlanLifetime)
 	}
 	if err := z.readDelays(delays); err != nil {
 		return err
 	}
 	for _, order := range s.Orders {
 		if s.Index(order.Zone) < 0 {
-			return node.Errorf("an order is of zone %q, which is not named", order.Zone)
+			return node.Errorf("an order names zone %q, which is not in (names ...)", order.Zone)
 		}
 	}
 	return nil
@@ -95,14 +95,14 @@
 	for _, item := range node.Args() {
 		isNew := isName(item) && !slices.Contains(z.Zones, item.Text)
 		if !isNew || len(item.Text) > statemachine.MaxNameBytes {
-			return item.Errorf("a zone's name, each once, is due here")
+			return item.Errorf("expected a zone's name, each listed once")
 		}
 		z.Zones = append(z.Zones, item.Text)
 	}
 	return nil
 }
 
-// readDelays reads the delays between zones; those that are not set are 0.
+// readDelays reads the one-way delays between zones. Delays that are not set are 0.
 func (z *Zones) readDelays(nodes []*sexp.Node) error {
 	plan := &z.Planner.Plan
 	for range z.Zones {
@@ -111,7 +111,7 @@
 	for _, node := range nodes {
 		arguments := node.Args()
 		if len(arguments) != 3 || z.Index(arguments[0].Text) < 0 || z.Index(arguments[1].Text) < 0 {
-			return node.Errorf("(delay ZONE ZONE TIME): one way between two zones that are named")
+			return node.Errorf("expected (delay ZONE ZONE TIME): the one-way delay between two zones in (names ...)")
 		}
 		ms, err := arguments[2].Duration(zoneDelays.min, zoneDelays.max)
 		if err != nil {
@@ -123,11 +123,11 @@
 	return nil
 }
 
-// readOrder reads (order NUMBER ZONE STATE (until "TIME")), or lifted in place of a state.
+// readOrder reads (order NUMBER ZONE STATE (until "TIME")). The state lifted lifts the zone's order.
 func (z *Zones) readOrder(node *sexp.Node) error {
 	arguments := node.Args()
 	if len(arguments) < 3 || len(arguments) > 4 {
-		return node.Errorf("(order NUMBER ZONE STATE), with (until \"2026-01-31T12:00:00Z\") behind it where it ends; STATE is one of %v, or lifted", health.StateNames)
+		return node.Errorf("expected (order NUMBER ZONE STATE), followed by (until \"2026-01-31T12:00:00Z\") if it expires; STATE is one of %v, or lifted", health.StateNames)
 	}
 	number, err := wholeNumber(arguments[0], 1)
 	if err != nil {
@@ -137,7 +137,7 @@
 	state := slices.Index(health.StateNames[:], stateNode.Text)
 	lifts := stateNode.Text == "lifted"
 	if state < 0 && !lifts {
-		return stateNode.Errorf("a state is one of %v, or lifted", health.StateNames)
+		return stateNode.Errorf("expected one of %v, or lifted", health.StateNames)
 	}
 	order := zones.Order{Number: uint64(number), Zone: arguments[1].Text, State: health.State(max(0, state)), Lifts: lifts}
 	if len(arguments) == 4 {
@@ -153,11 +153,11 @@
 func readUntil(node *sexp.Node) (float64, error) {
 	text, err := node.Str()
 	if err != nil || node.Head() != "until" {
-		return 0, node.Errorf("(until \"TIME\") is due here")
+		return 0, node.Errorf("expected (until \"TIME\")")
 	}
 	until, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, node.Errorf("%q is no time as 2026-01-31T12:00:00Z", text)
+		return 0, node.Errorf("%q is not a time such as 2026-01-31T12:00:00Z", text)
 	}
 	return float64(until.UnixMilli()), nil
 }
--- a/internal/settings/zones_test.go
+++ b/internal/settings/zones_test.go
@@ -10,11 +10,12 @@
 	"beechgrade/internal/cluster/zones/health"
 )
 
-const zonesNeed = `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d"))`
+// requiredByZones are the forms that (zones ...) needs.
+const requiredByZones = `(peers (listen "127.0.0.1:1") (key "k")) (agreed (voters "a" "b" "c") (dir "d"))`
 
 // TestZonesSettings checks the values and errors of (zones ...).
 func TestZonesSettings(t *testing.T) {
-	text := zonesNeed + ` (zones (names "a" "b") (delay "a" "b" 3ms) (spare 0.3) (order 7 "b" evacuated (until "2026-01-31T12:00:00Z")))`
+	text := requiredByZones + ` (zones (names "a" "b") (delay "a" "b" 3ms) (spare 0.3) (order 7 "b" evacuated (until "2026-01-31T12:00:00Z")))`
 	settings, err := Parse("x", []byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -28,13 +29,13 @@
 		t.Error(diff)
 	}
 	for text, want := range map[string]string{
-		`(zones (names "a" "b"))`:                                          "needs (peers ...) and (agreed ...)",
-		zonesNeed + `(zones (names "a"))`:                                  "from 2 to",
-		zonesNeed + `(zones (names "a" "b") (delay "a" "c" 1ms))`:          "that are named",
-		zonesNeed + `(zones (names "a" "b") (order 1 "c" serving))`:        "is not named",
-		zonesNeed + `(zones (names "a" "b") (order 1 "a" away))`:           "a state is one of",
-		zonesNeed + `(zones (names "a" "b") (life 1s))`:                    "two renewals",
-		zonesNeed + `(zones (names "a" "b") (order 1 "a" lifted (for 1)))`: "is due here",
+		`(zones (names "a" "b"))`:                                                "needs (peers ...) and (agreed ...)",
+		requiredByZones + `(zones (names "a"))`:                                  "from 2 to",
+		requiredByZones + `(zones (names "a" "b") (delay "a" "c" 1ms))`:          "two zones in (names",
+		requiredByZones + `(zones (names "a" "b") (order 1 "c" serving))`:        "is not in (names",
+		requiredByZones + `(zones (names "a" "b") (order 1 "a" away))`:           "expected one of",
+		requiredByZones + `(zones (names "a" "b") (life 1s))`:                    "two times (renew ...)",
+		requiredByZones + `(zones (names "a" "b") (order 1 "a" lifted (for 1)))`: "expected (until",
 	} {
 		if _, err := Parse("x", []byte(text), func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", text, err, want)
