--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin serves the admin endpoint: HTTP/1.1 at an address of its own, one request to a connection. A Server reads requests
-// and bounds connections, their size and their time; a Handler says what a request does.
+// Package admin serves the admin endpoint: HTTP/1.1 at an address of its own, one request per connection. A Server reads requests, and
+// bounds the number of connections, the size of a request and the time that it may take. A Handler handles the requests.
 package admin
 
 import (
@@ -17,7 +17,7 @@
 
 // Bounds of connections.
 const (
-	maxConnections   = 16 // at one more, the oldest is closed
+	maxConnections   = 16 // a further connection closes the oldest one
 	maxRequestBytes  = 8 << 10
 	requestTimeoutMs = 5000 // until a request is complete
 	closeDelayMs     = 250  // after the response, for the client to read it and to close
@@ -27,8 +27,8 @@
 type Response struct {
 	Status        int
 	ContentType   string // empty for plain text
-	AllowedMethod string // of the path, with status 405
-	Body          []byte // empty for the text of the status
+	AllowedMethod string // sent as the Allow header, with status 405; empty for none
+	Body          []byte // empty for the standard text of the status
 }
 
 // Handler handles requests. It is called on the event loop.
@@ -41,15 +41,15 @@
 	loop        *eventloop.Loop
 	log         *slog.Logger
 	handler     Handler
-	connections list.List // of *connection, the oldest first
+	connections list.List // of *connection, oldest first
 }
 
-// New returns a server. Accept has to be called for each connection.
+// New returns a server. The caller listens, and calls Accept for each new connection.
 func New(loop *eventloop.Loop, log *slog.Logger, handler Handler) *Server {
 	return &Server{loop: loop, log: log, handler: handler}
 }
 
-// Connections is the number of open connections.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int { return s.connections.Len() }
 
 // Accept returns the handler of a new connection.
@@ -65,7 +65,7 @@
 	answered bool
 }
 
-// Opened counts the connection, and starts the time for its request.
+// Opened adds the connection to the server, and starts the timeout of its request. It closes the oldest connection if there are too many.
 func (c *connection) Opened(conn *eventloop.Conn) {
 	server := c.server
 	c.conn = conn
@@ -76,7 +76,7 @@
 	c.timer = server.loop.At(server.loop.Now()+requestTimeoutMs, func() { c.respond(Response{Status: http.StatusRequestTimeout}) })
 }
 
-// Data takes bytes of the request; what follows the first request is dropped.
+// Data adds bytes of the request, and handles it once it is complete. Bytes after the first request are ignored.
 func (c *connection) Data(b []byte) {
 	if c.answered {
 		return
@@ -105,8 +105,8 @@
 	return bytes.Contains(input, []byte("\r\n\r\n")) || bytes.Contains(input, []byte("\n\n"))
 }
 
-// respond sends the response, and closes the connection closeDelayMs later: a close over unread input would be a reset, which may
-// overtake the response.
+// respond sends the response, and closes the connection closeDelayMs later: closing with unread input would send a reset, which the
+// client may receive before the response.
 func (c *connection) respond(response Response) {
 	if c.answered || c.conn == nil {
 		return
@@ -148,7 +148,7 @@
 		response.Header.Set("Allow", r.AllowedMethod)
 	}
 	var out bytes.Buffer
-	_ = response.Write(&out) // into memory
+	_ = response.Write(&out) // a bytes.Buffer never fails
 	return out.Bytes()
 }
 
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -8,10 +8,10 @@
 	"beechgrade/internal/decide"
 )
 
-// maxClasses bounds the names of classes over the life of a process.
+// maxClasses bounds the classes that a process has ever had; removed classes keep their numbers.
 const maxClasses = 1000
 
-// CheckKeys checks that another configuration has all keys that this one has; one that lacks a key is not complete.
+// CheckKeys checks that next has every key that c has. A configuration that lacks one is incomplete.
 func (c *Config) CheckKeys(next *Config) error {
 	for _, path := range c.keyPaths {
 		if !slices.Contains(next.keyPaths, path) {
@@ -21,9 +21,9 @@
 	return nil
 }
 
-// Apply takes over from next what can change while the pooler serves. It returns the names of what has changed, and of what would have
-// to change but cannot. The initial list and the seed are of use at the start only. Classes, zones and machine types keep their
-// numbers; a class that is not in next keeps its number without its objective.
+// Apply applies the values of next that can change while the pooler serves. It returns the names of the values that changed, and of
+// those that differ but cannot change. The initial list and the seed are ignored, as they are used at the start only. Classes, zones
+// and machine types keep their numbers. A class that is not in next keeps its number, but not its objective.
 func (c *Config) Apply(next *Config) (changed, unchangeable []string) {
 	apply := func(name string, differs bool, change func()) {
 		if differs {
@@ -61,11 +61,11 @@
 	return changed, unchangeable
 }
 
-// mergedSettings are the settings of a new configuration, by the numbers that classes and zones have had.
+// mergedSettings are the settings of a new configuration, with the numbers that classes and zones had before.
 type mergedSettings struct {
 	settings       decide.Settings
 	classes, zones []string
-	retired        []bool // by the classes' numbers
+	retired        []bool // by class number
 }
 
 func (c *Config) merge(next *Config) mergedSettings {
@@ -77,8 +77,8 @@
 	merged.settings.Classes = make([]decide.Class, len(merged.classes))
 	merged.retired = make([]bool, len(merged.classes))
 	for i, name := range merged.classes {
-		if k := slices.Index(next.Classes, name); k >= 0 {
-			merged.settings.Classes[i] = next.Settings.Classes[k]
+		if nextIndex := slices.Index(next.Classes, name); nextIndex >= 0 {
+			merged.settings.Classes[i] = next.Settings.Classes[nextIndex]
 		} else {
 			merged.settings.Classes[i] = retiredClass(c.Settings.Classes[i])
 			merged.retired[i] = true
@@ -90,8 +90,8 @@
 	return merged
 }
 
-// retiredClass is a class that is not in the configuration any more. There are no new requests of it; those that are open may go to the
-// same servers, and as often, as before.
+// retiredClass returns the settings of a class that was removed from the configuration. It gets no new requests; its open requests may
+// be sent to the same servers, and be retried as often, as before.
 func retiredClass(class decide.Class) decide.Class {
 	return decide.Class{
 		LateWeight:   class.LateWeight,
@@ -103,10 +103,10 @@
 	}
 }
 
-// Retired reports whether the class of that number is not in the configuration any more.
+// Retired reports whether the class of that number was removed from the configuration.
 func (c *Config) Retired(class int) bool { return class < len(c.retired) && c.retired[class] }
 
-// appendMissing returns names with those of more that it lacks behind them.
+// appendMissing returns names, followed by those of more that are not among them.
 func appendMissing(names, more []string) []string {
 	merged := slices.Clone(names)
 	for _, name := range more {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads a pooler's configuration: a JSON file, and the environment, which goes before it. Load reads it at the
-// start, Reload while the pooler serves; Config.Apply takes over what can change then. A file that was not written completely is told
-// apart (ErrIncomplete), so that a configuration kept from before can be used instead.
+// Package config reads a pooler's configuration: a JSON file, and environment variables, which override it. Load reads it at the start,
+// and Reload while the pooler serves; Config.Apply then applies the values that can change. A file that was not written completely has
+// an error of its own, ErrIncomplete, so that a stored copy of an earlier configuration can be used instead.
 package config
 
 import (
@@ -13,7 +13,7 @@
 	"beechgrade/internal/endpoints/discovery"
 )
 
-// Limits are those of the machine.
+// Limits are the limits of the machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -34,38 +34,39 @@
 	Classes, Zones, MachineTypes []string // names, by their numbers in Settings
 	Tenants                      []string // names, by their numbers in Settings
 	ConnectTimeoutMs             float64
-	ServerIdleTimeoutMs          float64 // after which servers close an idle connection
+	ServerIdleTimeoutMs          float64 // idle time after which servers close a connection
 
 	Raw          []byte  // the text of the file
 	ModifiedAtMs float64 // of the file, Unix ms
-	FromSnapshot bool    // kept from an earlier process rather than read from the file
+	FromSnapshot bool    // stored by an earlier process, rather than read from the file
 
 	keyPaths []string // of the file; see keyPathsOf
-	retired  []bool   // by the classes' numbers
+	retired  []bool   // by class number
 }
 
 const maxFileBytes = 16 << 20
 
-// Names of variables of the environment.
+// Names of environment variables.
 const (
-	envConfig    = "EDGE_CONFIG" // names the file
+	envConfig    = "EDGE_CONFIG" // path of the file
 	envName      = "EDGE_NAME"
 	envListen    = "EDGE_LISTEN"
 	envDiscovery = "EDGE_DISCOVERY"
 	envAdmin     = "EDGE_CONTROL"
 )
 
-// ErrIncomplete is wrapped in the error of a file that could not be read completely: it is missing, ends too soon, or is no JSON. A
-// file that was read and holds values that cannot be used is no such error.
-var ErrIncomplete = errors.New("not read whole")
+// ErrIncomplete is wrapped in the error of a file that could not be read completely: it is missing, truncated or not JSON. The error of
+// a file that was read but has invalid values does not wrap it.
+var ErrIncomplete = errors.New("configuration could not be read completely")
 
-var errNoFile = errors.New(envConfig + ": not set; it names the configuration file")
+var errNoFile = errors.New(envConfig + ": not set; it must name the configuration file")
 
-// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_CONTROL go before it.
+// Load reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_CONTROL override
+// its values.
 func Load(env func(string) string) (*Config, error) { return load(env, false) }
 
-// Reload reads the file again while the pooler serves. The file's address of discovery goes before EDGE_DISCOVERY, which was set at the
-// start and cannot be changed.
+// Reload reads the file again while the pooler serves. The file's address of discovery overrides EDGE_DISCOVERY, as the environment was
+// set at the start and cannot change.
 func Reload(env func(string) string) (*Config, error) { return load(env, true) }
 
 func load(env func(string) string, reload bool) (*Config, error) {
@@ -83,7 +84,7 @@
 		return nil, fmt.Errorf("%s: %w: %w", envConfig, ErrIncomplete, err)
 	}
 	if len(text) > maxFileBytes {
-		return nil, fmt.Errorf("%s: %s: over %d bytes", envConfig, path, maxFileBytes)
+		return nil, fmt.Errorf("%s: %s: more than %d bytes", envConfig, path, maxFileBytes)
 	}
 	config, err := parse(text, env, reload)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,16 +13,16 @@
 	"beechgrade/internal/decide"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:6543","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:6543","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"generation":41,"reset":true,"instances":[{"instanceId":"s-1"}]},
  "settings":{"allowed":{"connect_timeout_ns":120000000,"probes":true},"zones":["z"],"kinds":["k1","k2"],
   "family_info":{"class_read":["lag_bound","mutate"],"staleness_bound_ns":[200000000,0]},
   "request_classes":[{"name":"a","slo_ns":200000000,"effect":"retryable"},{"name":"b","effect":"fragile"}]}}`
 
-// TestParse checks the values of a file, and that the environment goes before it.
+// TestParse checks the values of a file, and that the environment overrides it.
 func TestParse(t *testing.T) {
 	env := func(name string) string { return map[string]string{"EDGE_LISTEN": "127.0.0.2:1"}[name] }
-	c, err := parse([]byte(good), env, false)
+	c, err := parse([]byte(validConfig), env, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,22 +41,23 @@
 	}
 }
 
-// TestSeedsAreDrawnWhereNoneIsGiven checks that processes without a seed draw different ones, since slow start is drawn by it.
-func TestSeedsAreDrawnWhereNoneIsGiven(t *testing.T) {
+// TestMissingSeedIsDrawn checks that processes without a seed draw different ones: with equal seeds, their slow starts would draw the
+// same numbers.
+func TestMissingSeedIsDrawn(t *testing.T) {
 	seeds := map[uint64]bool{}
 	for range 3 {
-		c, err := parse([]byte(strings.Replace(good, `"seed":"8c1f30d27a5be964",`, "", 1)), func(string) string { return "" }, false)
+		c, err := parse([]byte(strings.Replace(validConfig, `"seed":"8c1f30d27a5be964",`, "", 1)), func(string) string { return "" }, false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		seeds[c.Seed] = true
 	}
 	if len(seeds) != 3 {
-		t.Errorf("three starts drew the seeds %v", seeds)
+		t.Errorf("seeds of three processes: %v, want three different ones", seeds)
 	}
 }
 
-// TestErrorNamesTheKey checks that the error of a value names its key, in one line.
+// TestErrorNamesTheKey checks that the error of an invalid value is one line that names its key.
 func TestErrorNamesTheKey(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"listen":             {"127.0.0.1:6543", "nowhere"},
@@ -66,27 +67,27 @@
 		"request_classes":    {`"request_classes"`, `"other"`},
 		"slo_ns":             {`"slo_ns":200000000`, `"slo_ns":"x"`},
 	} {
-		_, err := parse([]byte(strings.Replace(good, change[0], change[1], 1)), func(string) string { return "" }, false)
+		_, err := parse([]byte(strings.Replace(validConfig, change[0], change[1], 1)), func(string) string { return "" }, false)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got %v", want, err)
 		}
 	}
 }
 
-// TestReloadAppliesWhatCanChange checks that a reload applies the file's address of discovery rather than the environment's,
-// and leaves what only a restart can change.
+// TestReloadAppliesWhatCanChange checks that a reload applies the file's address of discovery rather than the environment's, and reports
+// the values that only a restart can change.
 func TestReloadAppliesWhatCanChange(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"EDGE_DISCOVERY": "127.0.0.3:1", "EDGE_LISTEN": "127.0.0.2:1"}[name]
 	}
-	c, err := parse([]byte(good), env, false)
+	c, err := parse([]byte(validConfig), env, false)
 	if err != nil || c.DiscoveryAddress != "127.0.0.3:1" {
 		t.Fatal(c, err)
 	}
 	for _, step := range []struct {
-		change        [][2]string
-		changed, kept []string
-		now           Config
+		replacements          [][2]string
+		changed, unchangeable []string
+		config                Config
 	}{
 		{nil, []string{"discovery"}, nil, Config{DiscoveryAddress: "127.0.0.1:8500", Limits: c.Limits, ConnectTimeoutMs: 120}},
 		{[][2]string{{`"discovery":"127.0.0.1:8500",`, ""}, {`"sockets":1024`, `"sockets":256`}, {"120000000", "90000000"},
@@ -94,83 +95,83 @@
 			[]string{"discovery", "limits", "connect_timeout_ns", "settings"}, []string{"name"},
 			Config{DiscoveryAddress: "127.0.0.3:1", Limits: Limits{1, 192, 256}, ConnectTimeoutMs: 90}},
 	} {
-		text := good
-		for _, x := range step.change {
-			text = strings.Replace(text, x[0], x[1], 1)
+		text := validConfig
+		for _, replacement := range step.replacements {
+			text = strings.Replace(text, replacement[0], replacement[1], 1)
 		}
 		next, err := parse([]byte(text), env, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		changed, kept := c.Apply(next)
+		changed, unchangeable := c.Apply(next)
 		got := Config{DiscoveryAddress: c.DiscoveryAddress, Limits: c.Limits, ConnectTimeoutMs: c.ConnectTimeoutMs}
-		if diff := cmp.Diff([]any{step.changed, step.kept, step.now}, []any{changed, kept, got}, cmpopts.IgnoreUnexported(Config{})); diff != "" {
+		if diff := cmp.Diff([]any{step.changed, step.unchangeable, step.config}, []any{changed, unchangeable, got}, cmpopts.IgnoreUnexported(Config{})); diff != "" {
 			t.Error(diff)
 		}
 	}
 	if c.Name != "n3" || c.Settings.Classes[0].LatencyObjective != 300*time.Millisecond {
-		t.Errorf("changed while serving: %v", c)
+		t.Errorf("after the reloads: %v, want the old name and the new objective", c)
 	}
 }
 
-const operated = `{"name":"n3","listen":"127.0.0.1:6543","discovery":"127.0.0.1:8500","control":"127.0.0.1:9600","seed":"8c1f30d27a5be964",
+const completeConfig = `{"name":"n3","listen":"127.0.0.1:6543","discovery":"127.0.0.1:8500","control":"127.0.0.1:9600","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"generation":41,"reset":true,"instances":[]},
  "settings":{"allowed":{"max_attempts":8,"probes":true},"my_zone":0,"zones":["z"],"kinds":["k1"],"family_info":{"class_read":["lag_bound","mutate"]},
   "request_classes":[{"name":"a","deadline_ns":800000000,"slo_ns":200000000,"effect":"retryable"},{"name":"b","deadline_ns":2000000000,"slo_ns":250000000,"effect":"fragile"}]}}`
 
-// TestIncompleteFileIsRejected checks that a file that is cut short, lacks a key, or has a value that is no number is rejected.
+// TestIncompleteFileIsRejected checks that a file is rejected that is truncated, lacks a key, or has an invalid number.
 func TestIncompleteFileIsRejected(t *testing.T) {
 	none := func(string) string { return "" }
-	c, err := parse([]byte(operated), none, false)
+	c, err := parse([]byte(completeConfig), none, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := func(text string) bool {
+	accepted := func(text string) bool {
 		next, err := parse([]byte(text), none, true)
 		return err == nil && c.CheckKeys(next) == nil
 	}
-	if !taken(operated) || !taken(operated+"\n") {
-		t.Fatal("a whole file is turned down")
+	if !accepted(completeConfig) || !accepted(completeConfig+"\n") {
+		t.Fatal("a complete file was rejected")
 	}
-	for i := range len(operated) {
-		if taken(operated[:i]) {
-			t.Errorf("taken though cut after %d bytes", i)
+	for i := range len(completeConfig) {
+		if accepted(completeConfig[:i]) {
+			t.Errorf("accepted though truncated after %d bytes", i)
 		}
 	}
-	if taken(operated+"}") || taken(operated+operated) {
-		t.Error("taken with more behind it")
+	if accepted(completeConfig+"}") || accepted(completeConfig+completeConfig) {
+		t.Error("accepted with trailing data")
 	}
-	for _, k := range regexp.MustCompile(`"(\w+)":`).FindAllStringSubmatchIndex(operated, -1) {
-		if lacking := operated[:k[2]] + "un_" + operated[k[2]:]; taken(lacking) && !strings.Contains("generation reset instances", operated[k[2]:k[3]]) {
-			t.Errorf("taken without %s", operated[k[2]:k[3]])
+	for _, key := range regexp.MustCompile(`"(\w+)":`).FindAllStringSubmatchIndex(completeConfig, -1) {
+		if lacking := completeConfig[:key[2]] + "un_" + completeConfig[key[2]:]; accepted(lacking) && !strings.Contains("generation reset instances", completeConfig[key[2]:key[3]]) {
+			t.Errorf("accepted without %s", completeConfig[key[2]:key[3]])
 		}
 	}
-	for _, v := range []string{"0", "-1", `"8"`, `"x"`, "null", "NaN", "1e999", "1e30", "[8]", "{}", "true", "0.0"} {
-		for _, was := range []string{`"max_attempts":8`, `"deadline_ns":800000000`} {
-			name, _, _ := strings.Cut(was, ":")
-			if taken(strings.Replace(operated, was, name+":"+v, 1)) {
-				t.Errorf("taken with %s:%s", name, v)
+	for _, value := range []string{"0", "-1", `"8"`, `"x"`, "null", "NaN", "1e999", "1e30", "[8]", "{}", "true", "0.0"} {
+		for _, original := range []string{`"max_attempts":8`, `"deadline_ns":800000000`} {
+			name, _, _ := strings.Cut(original, ":")
+			if accepted(strings.Replace(completeConfig, original, name+":"+value, 1)) {
+				t.Errorf("accepted with %s:%s", name, value)
 			}
 		}
 	}
-	if taken(strings.Replace(operated, `"name":"b"`, `"name":"a"`, 1)) {
-		t.Error("taken with two classes of one name")
+	if accepted(strings.Replace(completeConfig, `"name":"b"`, `"name":"a"`, 1)) {
+		t.Error("accepted with two classes of one name")
 	}
 }
 
-// TestClassesKeepTheirNumbersByName checks that classes keep their numbers by name in any order, and that a retired class keeps
-// its own until it returns.
+// TestClassesKeepTheirNumbersByName checks that a class keeps its number in whatever order a file lists the classes, and that a retired
+// class keeps its number until it returns.
 func TestClassesKeepTheirNumbersByName(t *testing.T) {
 	none := func(string) string { return "" }
-	c, err := parse([]byte(operated), none, false)
+	c, err := parse([]byte(completeConfig), none, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
 	for _, text := range []string{
-		strings.NewReplacer(`"name":"a"`, `"name":"b"`, `"name":"b"`, `"name":"a"`, `["lag_bound","mutate"]`, `["mutate","lag_bound"]`).Replace(operated),
-		strings.Replace(operated, `"name":"a"`, `"name":"c"`, 1),
-		operated,
+		strings.NewReplacer(`"name":"a"`, `"name":"b"`, `"name":"b"`, `"name":"a"`, `["lag_bound","mutate"]`, `["mutate","lag_bound"]`).Replace(completeConfig),
+		strings.Replace(completeConfig, `"name":"a"`, `"name":"c"`, 1),
+		completeConfig,
 	} {
 		next, err := parse([]byte(text), none, true)
 		if err != nil {
@@ -193,19 +194,19 @@
 	}
 }
 
-// TestRetiredClassKeepsItsRouting checks that a retired class keeps what says where its open requests may be sent, and how
-// often, and nothing else.
+// TestRetiredClassKeepsItsRouting checks that a retired class keeps only the settings that decide where its open requests may be sent,
+// and how often.
 func TestRetiredClassKeepsItsRouting(t *testing.T) {
 	none := func(string) string { return "" }
-	c, err := parse([]byte(operated), none, false)
+	c, err := parse([]byte(completeConfig), none, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := parse([]byte(operated), none, true)
+	next, err := parse([]byte(completeConfig), none, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := decide.Class{
+	class := decide.Class{
 		LatencyObjective: 1,
 		Deadline:         2,
 		PriorityWeight:   3,
@@ -216,19 +217,19 @@
 		Read:             decide.Write,
 		MaxStaleness:     5,
 	}
-	c.Settings.Classes[1] = was
+	c.Settings.Classes[1] = class
 	next.Classes, next.Settings.Classes = next.Classes[:1], next.Settings.Classes[:1]
 	c.Apply(next)
-	was.LatencyObjective, was.Deadline, was.PriorityWeight = 0, 0, 0
-	if diff := cmp.Diff(was, c.Settings.Classes[1]); diff != "" || !c.Retired(1) {
+	class.LatencyObjective, class.Deadline, class.PriorityWeight = 0, 0, 0
+	if diff := cmp.Diff(class, c.Settings.Classes[1]); diff != "" || !c.Retired(1) {
 		t.Errorf("retired %v: %s", c.Retired(1), diff)
 	}
 }
 
-// FuzzReload checks that any file is accepted, or rejected with a one-line error.
+// FuzzReload checks that any file is accepted with at least one class, or rejected with an error of one line.
 func FuzzReload(f *testing.F) {
-	f.Add([]byte(operated))
-	f.Add([]byte(operated[:200]))
+	f.Add([]byte(completeConfig))
+	f.Add([]byte(completeConfig[:200]))
 	f.Add([]byte(`{"settings":{"request_classes":[{"name":1}]}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c, err := parse(b, func(string) string { return "" }, true)
@@ -236,7 +237,7 @@
 			t.Errorf("%q", err)
 		}
 		if err == nil && len(c.Classes) == 0 {
-			t.Error("taken without a class")
+			t.Error("accepted without a class")
 		}
 	})
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -29,7 +29,7 @@
 	Settings  map[string]any `json:"settings"`
 }
 
-// Values of what a file may leave out.
+// Defaults of optional values.
 const (
 	defaultSockets             = 1024
 	defaultMemoryMB            = 192
@@ -46,10 +46,10 @@
 
 const nsPerMs = 1e6
 
-// strictJSON rejects what follows the object, and keeps numbers as they are written.
+// strictJSON rejects trailing data, and keeps the text of numbers.
 var strictJSON = jsoniter.Config{EscapeHTML: true, SortMapKeys: true, ValidateJsonRawMessage: true, UseNumber: true}.Froze()
 
-// Parse reads a configuration's text. Variables of the environment go before it, as in Load.
+// Parse parses the text of a configuration. Environment variables override its values, as in Load.
 func Parse(text []byte, env func(string) string) (*Config, error) { return parse(text, env, false) }
 
 func parse(text []byte, env func(string) string, reload bool) (*Config, error) {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// readSeed reads the seed, or draws one: processes with equal seeds would draw alike.
+// readSeed reads the seed, or draws one: processes with the same seed would draw the same random numbers.
 func (c *Config) readSeed(text string) (err error) {
 	c.Seed = rand.Uint64()
 	if text == "" {
@@ -133,13 +133,13 @@
 		c.Limits.MemoryMB = defaultMemoryMB
 	}
 	if c.Limits.Sockets < minSockets || c.Limits.MemoryMB < 0 {
-		return fmt.Errorf("limits: %d sockets and %d MB; at least %d sockets are needed", c.Limits.Sockets, c.Limits.MemoryMB, minSockets)
+		return fmt.Errorf("limits: %d sockets and %d MB; want at least %d sockets and no negative memory", c.Limits.Sockets, c.Limits.MemoryMB, minSockets)
 	}
 	return nil
 }
 
-// keyPathsOf lists the keys of a file, as paths with dots. Items of lists are *, and only keys that all items have count. Those within
-// the list of servers do not.
+// keyPathsOf returns the sorted paths of a file's keys, joined by dots. An item of a list is *, with only the keys that all items have.
+// The keys within the endpoint list are left out.
 func keyPathsOf(tree map[string]any) []string {
 	paths := appendKeyPaths(nil, "", tree)
 	slices.Sort(paths)
@@ -162,7 +162,7 @@
 	return paths
 }
 
-// commonKeyPaths lists the keys that all items of a list have.
+// commonKeyPaths returns the paths of the keys that all items of a list have.
 func commonKeyPaths(path string, items []any) (common []string) {
 	for i, item := range items {
 		paths := appendKeyPaths(nil, path, item)
@@ -174,7 +174,7 @@
 	return common
 }
 
-// validate checks the numbers without which no request can be decided on, and that classes have names of their own.
+// validate checks the numbers that every decision on a request needs, and that each class has a unique name.
 func validate(tree map[string]any) error {
 	allowed, _ := tree["allowed"].(map[string]any)
 	if err := checkNumber("allowed.", allowed, "max_attempts", maxAttempts); err != nil {
@@ -186,7 +186,7 @@
 		class, isObject := item.(map[string]any)
 		name, _ := class["name"].(string)
 		if !isObject || name == "" || seen[name] {
-			return fmt.Errorf("settings: request_classes: entry %d has no name of its own", i)
+			return fmt.Errorf("settings: request_classes: entry %d has no unique name", i)
 		}
 		seen[name] = true
 		for _, key := range []string{"deadline_ns", "slo_ns"} {
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// checkNumber checks that the value of a key, where it is there, is a number above 0 and up to most. path goes before the key in the
+// checkNumber checks that the value of a key, if it is present, is a number above 0 and up to most. path is the prefix of the key in an
 // error.
 func checkNumber(path string, object map[string]any, key string, most float64) error {
 	value, ok := object[key]
@@ -228,7 +228,7 @@
 		c.Classes = append(c.Classes, pairs["request_classes."+strconv.Itoa(i)+".name"])
 	}
 	if len(c.Classes) == 0 {
-		return errors.New("settings: request_classes: none given")
+		return errors.New("settings: request_classes: missing or empty")
 	}
 	for i := range c.Settings.Tenants {
 		c.Tenants = append(c.Tenants, pairs["tenants."+strconv.Itoa(i)+".name"])
@@ -249,7 +249,7 @@
 	return strings.Split(list, ",")
 }
 
-// readMillis reads nanoseconds as milliseconds.
+// readMillis reads a value in nanoseconds, and returns it in milliseconds. A missing value is defaultMs.
 func readMillis(pairs map[string]string, key string, defaultMs float64) (float64, error) {
 	text := pairs[key]
 	if text == "" {
@@ -257,13 +257,13 @@
 	}
 	ns, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ns > 0) {
-		return 0, fmt.Errorf("settings: %s: want a time in nanoseconds above 0, got %q", key, text)
+		return 0, fmt.Errorf("settings: %s: want a duration in nanoseconds above 0, got %q", key, text)
 	}
 	return ns / nsPerMs, nil
 }
 
-// flatten lays nested settings out as the simulator's protocol has them: paths joined by dots, plain lists joined by commas, lists of
-// objects with their length under .count.
+// flatten adds nested settings to pairs in the form of the simulator's protocol: keys are paths joined by dots, a list of plain values is
+// joined by commas, and a list of objects has its length under the key .count.
 func flatten(pairs map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/metrics/exposition/exposition_test.go
+++ b/internal/metrics/exposition/exposition_test.go
@@ -16,39 +16,39 @@
 	"beechgrade/internal/testkit/deterministic"
 )
 
-// read parses the text form as a reader of its own does: each line's family, labels and value.
-func read(t interface{ Fatal(...any) }, text []byte) map[string]float64 {
-	p := expfmt.NewTextParser(model.LegacyValidation)
-	families, err := p.TextToMetricFamilies(bytes.NewReader(text))
+// parsePrometheusText parses the text format with Prometheus' own parser, into the value of each sample by its family and labels.
+func parsePrometheusText(t interface{ Fatal(...any) }, text []byte) map[string]float64 {
+	parser := expfmt.NewTextParser(model.LegacyValidation)
+	families, err := parser.TextToMetricFamilies(bytes.NewReader(text))
 	if err != nil {
 		t.Fatal(err, string(text))
 	}
-	out := map[string]float64{}
-	for name, f := range families {
-		for _, m := range f.Metric {
+	values := map[string]float64{}
+	for name, family := range families {
+		for _, metric := range family.Metric {
 			id := name
-			for _, l := range m.Label {
-				id += fmt.Sprintf(" %s=%q", l.GetName(), l.GetValue())
+			for _, label := range metric.Label {
+				id += fmt.Sprintf(" %s=%q", label.GetName(), label.GetValue())
 			}
-			if _, twice := out[id]; twice {
-				t.Fatal("twice", id)
+			if _, exists := values[id]; exists {
+				t.Fatal("duplicate sample", id)
 			}
-			if out[id] = m.GetGauge().GetValue(); f.GetType() == dto.MetricType_COUNTER {
-				out[id] = m.GetCounter().GetValue()
+			if values[id] = metric.GetGauge().GetValue(); family.GetType() == dto.MetricType_COUNTER {
+				values[id] = metric.GetCounter().GetValue()
 			}
 		}
 	}
-	return out
+	return values
 }
 
-// TestBothForms checks one snapshot in both forms; Prometheus has the lines of a family together.
-func TestBothForms(t *testing.T) {
+// TestLinesAndPrometheusText checks the output of one snapshot in both formats. In Prometheus' format, the lines of a family are adjacent.
+func TestLinesAndPrometheusText(t *testing.T) {
 	t.Parallel()
 	var s Snapshot
 	s.Scope("").Counter("upstream_tries", math.MaxUint64)
-	for _, c := range []string{"read", "write"} {
-		s.Scope("handled").Label("class", c).Counter("passed", 3)
-		s.Scope("handled").Label("class", c).Counter("dropped", 0)
+	for _, class := range []string{"read", "write"} {
+		s.Scope("handled").Label("class", class).Counter("passed", 3)
+		s.Scope("handled").Label("class", class).Counter("dropped", 0)
 	}
 	s.Scope("credit.books").IntGauge("paid", -2)
 	s.Scope("zones").Gauge("short", 1e6)
@@ -93,42 +93,42 @@
 	}
 }
 
-// TestTextHoldsAnyName checks that any name of an object, with quotes, line breaks and bytes that are no text, is read back
-// with its value.
-func TestTextHoldsAnyName(t *testing.T) {
+// TestPrometheusTextKeepsAnyName checks that any name of an object, also with quotes, line breaks or invalid UTF-8, is parsed again with
+// its value.
+func TestPrometheusTextKeepsAnyName(t *testing.T) {
 	t.Parallel()
 	deterministic.Check(t, func(t *rapid.T) {
 		var s Snapshot
 		want := map[string]float64{}
 		names := rapid.SliceOfNDistinct(rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"\xff", "a\"b\\", "x\ny", "", "{}=1"})), 0, 8,
 			func(n string) string { return strings.ToValidUTF8(n, "\uFFFD") }).Draw(t, "names")
-		for _, n := range names {
-			x := rapid.Float64().Draw(t, "x")
-			s.Scope("limits").Label("limit", n).Gauge("lent", x)
-			s.Scope("limits").Label("limit", n).Info("why", n)
-			n = strings.ToValidUTF8(n, "\uFFFD")
-			want[fmt.Sprintf("app_limits_limit_lent limit=%q", n)] = x
-			want[fmt.Sprintf("app_limits_limit_why limit=%q is=%q", n, n)] = 1
+		for _, name := range names {
+			value := rapid.Float64().Draw(t, "x")
+			s.Scope("limits").Label("limit", name).Gauge("lent", value)
+			s.Scope("limits").Label("limit", name).Info("why", name)
+			name = strings.ToValidUTF8(name, "\uFFFD")
+			want[fmt.Sprintf("app_limits_limit_lent limit=%q", name)] = value
+			want[fmt.Sprintf("app_limits_limit_why limit=%q is=%q", name, name)] = 1
 		}
 		text, err := s.PrometheusText()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d := cmp.Diff(want, read(t, text)); d != "" {
+		if d := cmp.Diff(want, parsePrometheusText(t, text)); d != "" {
 			t.Fatal(d)
 		}
 	})
 }
 
-// BenchmarkForms measures a snapshot of 60 samples in each form.
+// BenchmarkForms measures a snapshot of 60 samples in each format.
 func BenchmarkForms(b *testing.B) {
 	fill := func() *Snapshot {
 		s := &Snapshot{}
 		for i := range 20 {
-			of := s.Scope("handled").Label("class", fmt.Sprint(i))
-			of.Counter("passed", 1e6)
-			of.Counter("dropped", 17)
-			of.Counter("bad_gateway", 0)
+			scope := s.Scope("handled").Label("class", fmt.Sprint(i))
+			scope.Counter("passed", 1e6)
+			scope.Counter("dropped", 17)
+			scope.Counter("bad_gateway", 0)
 		}
 		return s
 	}
--- a/internal/metrics/exposition/prometheus.go
+++ b/internal/metrics/exposition/prometheus.go
@@ -12,9 +12,10 @@
 // PrometheusContentType is the media type of PrometheusText.
 var PrometheusContentType = string(expfmt.NewFormat(expfmt.TypeTextPlain))
 
-// PrometheusText writes Prometheus' text format, version 0.0.4. An object's name is a label; a text is the label "is" of the value 1.
+// PrometheusText formats the samples in Prometheus' text format, version 0.0.4. The name of an object becomes a label; a text becomes the
+// label "is" of a sample with the value 1.
 func (s *Snapshot) PrometheusText() ([]byte, error) {
-	var order []*dto.MetricFamily // the format has the lines of a family together
+	var order []*dto.MetricFamily // the format requires the lines of a family to be adjacent
 	families := map[string]*dto.MetricFamily{}
 	for i := range s.samples {
 		sample := &s.samples[i]
@@ -39,7 +40,7 @@
 	return out.Bytes(), nil
 }
 
-// family is the name that a sample shares with those of other objects of its kind.
+// family returns the metric name, which a sample shares with those of other objects of the same kind.
 func (s *sample) family() string {
 	name := "app"
 	for _, part := range [...]string{s.scope.name, s.scope.labelName, s.name} {
@@ -69,5 +70,5 @@
 	return metric
 }
 
-// validUTF8 is a text as the format can hold it; ids of servers come from outside.
+// validUTF8 replaces invalid UTF-8, which the format cannot hold: the ids of servers come from outside the process.
 func validUTF8(text string) *string { return proto.String(strings.ToValidUTF8(text, "\uFFFD")) }
--- a/internal/metrics/exposition/snapshot.go
+++ b/internal/metrics/exposition/snapshot.go
@@ -1,7 +1,7 @@
-// Package exposition holds the values of a process's metrics at one moment, and writes them in two forms: the pooler's own lines of a
-// name and a number, and Prometheus' text format. It does no I/O, knows the meaning of no metric, and costs nothing while
-// nobody asks. A snapshot takes about 100 bytes for each sample; how many there are follows from the settings: classes, limits,
-// zones, servers.
+// Package exposition holds the values of a process's metrics at one moment, and formats them in two ways: as the pooler's own lines of a
+// name and a value, and as Prometheus' text format. It does no I/O, and knows the meaning of no metric. A snapshot is made only for a
+// request, so that metrics that nobody reads cost nothing. It takes about 100 bytes per sample; the number of samples depends on the
+// settings, as classes, limits, zones and servers have their own.
 package exposition
 
 import "strconv"
@@ -19,36 +19,36 @@
 type sample struct {
 	scope Scope
 	name  string
-	text  string // of the value, as it is written
+	text  string // of the value, as AppendLines writes it
 	value float64
 	kind  sampleKind
 }
 
-// Snapshot gathers samples. The zero value is empty.
+// Snapshot collects samples. The zero value is empty.
 type Snapshot struct{ samples []sample }
 
-// Scope is a place in a snapshot: of a subsystem, and within it of one of several objects of a kind, which is a label.
+// Scope is the prefix of samples in a snapshot: a subsystem, and within it optionally one object, which is a label.
 type Scope struct {
 	snapshot                    *Snapshot
 	name, labelName, labelValue string
 }
 
-// Scope returns the scope of a subsystem; the empty name is that of the process.
+// Scope returns the scope of a subsystem. The empty name stands for the whole process.
 func (s *Snapshot) Scope(name string) Scope { return Scope{snapshot: s, name: name} }
 
-// Label returns the scope of one object; name is the kind of object.
+// Label returns the scope of one object. name is the kind of object, and value is its name.
 func (s Scope) Label(name, value string) Scope {
 	s.labelName = name
 	s.labelValue = value
 	return s
 }
 
-// Counter adds how often something has happened since the process began.
+// Counter adds the number of events since the process started.
 func (s Scope) Counter(name string, count uint64) {
 	s.add(sample{name: name, text: strconv.FormatUint(count, 10), value: float64(count), kind: counterSample})
 }
 
-// IntGauge adds how many there are of something now.
+// IntGauge adds a current number.
 func (s Scope) IntGauge(name string, value int64) {
 	s.add(sample{name: name, text: strconv.FormatInt(value, 10), value: float64(value), kind: gaugeSample})
 }
@@ -58,10 +58,10 @@
 	s.add(sample{name: name, text: strconv.FormatFloat(value, 'g', -1, 64), value: value, kind: gaugeSample})
 }
 
-// BoolGauge adds whether something holds now, as 1 or 0.
-func (s Scope) BoolGauge(name string, holds bool) {
+// BoolGauge adds a current condition, as 1 or 0.
+func (s Scope) BoolGauge(name string, isTrue bool) {
 	value := int64(0)
-	if holds {
+	if isTrue {
 		value = 1
 	}
 	s.IntGauge(name, value)
@@ -77,7 +77,8 @@
 	s.snapshot.samples = append(s.snapshot.samples, added)
 }
 
-// AppendLines writes the pooler's own form: "app", the subsystem, the object and the metric with dots between, "=", the value.
+// AppendLines appends the samples in the pooler's own format: "app", the subsystem, the object and the metric, joined by dots, "=" and the
+// value.
 func (s *Snapshot) AppendLines(dst []byte) []byte {
 	for i := range s.samples {
 		sample := &s.samples[i]
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what the pooler does, where the core sees requests and attempts begin and end, and writes the counts
-// to an exposition.Snapshot. It does no I/O. Metrics belong to the event loop.
+// Package metrics counts the requests and attempts that the core begins and ends, and writes the counts to an exposition.Snapshot. It
+// does no I/O. Metrics belong to the event loop.
 package metrics
 
 import (
@@ -16,14 +16,14 @@
 	Served Outcome = iota
 	Rejected
 	Failed
-	ClientGone // its client closed the connection; counted, and not written
+	ClientGone // the client closed the connection; counted, but not exposed as a metric
 	outcomes
 )
 
-// outcomeNames are the names of the metrics, which are fixed.
+// outcomeNames are the names of the outcomes' metrics, which must not change.
 var outcomeNames = [ClientGone]string{Served: "passed", Rejected: "dropped", Failed: "bad_gateway"}
 
-// String is the name of the outcome in metrics, or client_gone.
+// String returns the name of the outcome in metrics, or client_gone.
 func (o Outcome) String() string {
 	if o < ClientGone {
 		return outcomeNames[o]
@@ -40,9 +40,9 @@
 // Count counts the outcome of a request.
 func (c *Class) Count(outcome Outcome) { c.counts[outcome]++ }
 
-// Metrics are the counts of a process, from 0. The zero value is ready for use.
+// Metrics are the counts of a process since its start. The zero value is ready for use.
 type Metrics struct {
-	OpenRequests    int    // received and not ended
+	OpenRequests    int    // received and not yet ended
 	Attempts        uint64 // sent completely
 	ReloadsAccepted uint64 // of the configuration
 	ReloadsRejected uint64
@@ -50,7 +50,7 @@
 	classes []*Class
 }
 
-// Class returns the counts of the class of that name, from the first call on. A class that was removed from the configuration
+// Class returns the counts of the class of that name, and adds them at the first call. A class that was removed from the configuration
 // keeps its counts.
 func (m *Metrics) Class(name string) *Class {
 	i := slices.IndexFunc(m.classes, func(class *Class) bool { return class.name == name })
@@ -62,7 +62,7 @@
 	return class
 }
 
-// AppendTo writes the counts, with the numbers of servers that are listed and of those among them that are avoided.
+// AppendTo writes the counts to the snapshot, with the numbers of listed servers and of those that are avoided.
 func (m *Metrics) AppendTo(snapshot *exposition.Snapshot, listed, avoided int) {
 	for _, class := range m.classes {
 		scope := snapshot.Scope("handled").Label("class", class.name)
