--- a/internal/settings/clickhouse.go
+++ b/internal/settings/clickhouse.go
@@ -11,7 +11,7 @@
 	"beechgrade/internal/sexp"
 )
 
-// ClickHouse says whether and how the ClickHouse HTTP interface is served. Times are in milliseconds.
+// ClickHouse configures the ClickHouse HTTP interface. Times are in milliseconds.
 type ClickHouse struct {
 	Listen               string // empty for off
 	Group                int    // whose servers are ClickHouse servers
@@ -75,7 +75,7 @@
 	sessionCounts   = countRange{0, 1e6}
 	queryCounts     = countRange{1, 1e6}
 	queryQueues     = countRange{0, 1e6}
-	queryRates      = numberRange{0.001, 1e6} // a second
+	queryRates      = numberRange{0.001, 1e6} // per second
 	queryBursts     = numberRange{1, 1e6}
 )
 
--- a/internal/settings/fleetlimits.go
+++ b/internal/settings/fleetlimits.go
@@ -33,7 +33,7 @@
 	ResourceShards       Resource = "shards"  // shards that scattered reads query concurrently
 )
 
-// resourceNameCounts is how many names follow a resource in (of RESOURCE NAME ...).
+// resourceNameCounts is the number of names that follow a resource in (of RESOURCE NAME ...).
 var resourceNameCounts = map[Resource]int{
 	ResourceTenant:       1,
 	ResourceQueries:      1,
--- a/internal/settings/invariants.go
+++ b/internal/settings/invariants.go
@@ -5,7 +5,7 @@
 // Invariants configures the checks of invariants while the process serves.
 type Invariants struct {
 	Enabled      bool
-	WalkInterval int // every how many changes large state is walked
+	WalkInterval int // number of changes per walk over large state
 }
 
 const defaultWalkInterval = 64
