--- a/internal/settings/consul.go
+++ b/internal/settings/consul.go
@@ -130,8 +130,8 @@
 		"weight":       fieldSource(&mapping.Weight),
 		"started":      fieldSource(&mapping.Started),
 		"role":         fieldSource(&mapping.Role),
-		"primary":      words(&mapping.PrimaryValues),
-		"replica":      words(&mapping.ReplicaValues),
+		"primary":      values(&mapping.PrimaryValues),
+		"replica":      values(&mapping.ReplicaValues),
 		"group-number": func(node *sexp.Node) error { return readGroupNumber(node, mapping) },
 	}.Read(node.Args(), "group-number")
 }
@@ -196,13 +196,13 @@
 	return nil
 }
 
-// words reads (key WORD ...) into target.
-func words(target *[]string) reader {
+// values reads (key VALUE ...) into target.
+func values(target *[]string) reader {
 	return func(node *sexp.Node) error {
 		*target = nil
 		for _, item := range node.Args() {
 			if !isName(item) {
-				return item.Errorf("expected a word")
+				return item.Errorf("expected a value")
 			}
 			*target = append(*target, item.Text)
 		}
