--- a/internal/settings/credit.go
+++ b/internal/settings/credit.go
@@ -40,13 +40,13 @@
 const minRenewalsPerLease = 4
 
 var (
-	slowdownParts      = numberRange{0, 1}
-	slowdownMinimums   = numberRange{0.01, 1}
+	throttleThresholds = numberRange{0, 1}
+	minThrottledShares = numberRange{0.01, 1}
 	leaseTimes         = durationRange{second, hour}
 	renewalIntervals   = durationRange{200, minute}
 	urgentIntervals    = durationRange{50, 10 * second}
 	exhaustedIntervals = durationRange{100, minute}
-	leaseSpans         = durationRange{100, 10 * minute}
+	grantHorizons      = durationRange{100, 10 * minute}
 	leaseIdleTimes     = durationRange{500, hour}
 	creditWaits        = durationRange{0, 10 * second}
 	creditGraceTimes   = durationRange{0, minute}
@@ -99,13 +99,13 @@
 		"overdraft":  c.readOverdraft,
 		"payment":    c.readPayment,
 		"prepaid":    c.readPrepaid,
-		"slow-below": number(&l.ThrottleBelow, slowdownParts),
-		"least":      number(&l.MinThrottledShare, slowdownMinimums),
+		"slow-below": number(&l.ThrottleBelow, throttleThresholds),
+		"least":      number(&l.MinThrottledShare, minThrottledShares),
 		"lease":      duration(&l.Duration, leaseTimes),
 		"renew":      duration(&l.RenewInterval, renewalIntervals),
 		"soon":       duration(&l.UrgentInterval, urgentIntervals),
 		"dry":        duration(&l.ExhaustedInterval, exhaustedIntervals),
-		"span":       duration(&l.GrantHorizon, leaseSpans),
+		"span":       duration(&l.GrantHorizon, grantHorizons),
 		"idle":       duration(&l.IdleTimeout, leaseIdleTimes),
 		"wait":       duration(&l.QueueTimeout, creditWaits),
 		"grace":      duration(&l.Grace, creditGraceTimes),
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -18,27 +18,27 @@
 
 var (
 	overloadPeriods      = durationRange{100, 10 * second}
-	overloadMemories     = durationRange{100, 10 * second}
+	rateMemories         = durationRange{100, 10 * second}
 	overloadStaleness    = durationRange{300, minute}
-	overloadHolds        = durationRange{500, 10 * minute}
-	overloadFalls        = durationRange{100, 10 * minute}
-	overloadRetention    = durationRange{second, hour}
+	overloadHoldTimes    = durationRange{500, 10 * minute}
+	overloadFadeTimes    = durationRange{100, 10 * minute}
+	sessionPeriods       = durationRange{second, hour}
 	overloadTargets      = numberRange{0.01, 0.5}
 	overloadDelays       = numberRange{0.05, 0.9}
-	overloadDrains       = numberRange{0.3, 10}
-	overloadRecoveries   = numberRange{0.01, 2}
+	backlogDivisors      = numberRange{0.3, 10}
+	overloadGrowthRates  = numberRange{0.01, 2}
 	collectorCounts      = countRange{1, 7}
-	returnLimits         = numberRange{1, 1e6}
-	retryParts           = numberRange{0, 10}
+	recoveryRampRates    = numberRange{1, 1e6}
+	attemptShares        = numberRange{0, 10}
 	retryFloors          = numberRange{0, 1e4}
 	retrySpans           = durationRange{100, hour}
 	lendingReserves      = numberRange{0, 1e3}
-	lendingVaults        = numberRange{1, 1e4}
+	maxBankBalances      = numberRange{1, 1e4}
 	proberCounts         = countRange{1, 16}
 	healthCheckIntervals = durationRange{1, 10 * second}
 	healthCheckAges      = durationRange{0, 10 * second}
-	healthCheckPatience  = durationRange{10, 10 * second}
-	shunTimes            = durationRange{0, 10 * minute}
+	proberTimeouts       = durationRange{10, 10 * second}
+	skipTimes            = durationRange{0, 10 * minute}
 )
 
 // ReadOverload reads (overload ...).
@@ -59,17 +59,17 @@
 	err := sexp.Schema{
 		"shed":       flag(&o.SheddingEnabled),
 		"period":     duration(&s.ReportInterval, overloadPeriods),
-		"memory":     duration(&s.RateMemory, overloadMemories),
+		"memory":     duration(&s.RateMemory, rateMemories),
 		"stale":      duration(&s.StaleAfter, overloadStaleness),
-		"hold":       duration(&s.HoldTime, overloadHolds),
-		"fall":       duration(&s.FadeTime, overloadFalls),
-		"keep":       duration(&s.SessionPeriod, overloadRetention),
+		"hold":       duration(&s.HoldTime, overloadHoldTimes),
+		"fall":       duration(&s.FadeTime, overloadFadeTimes),
+		"keep":       duration(&s.SessionPeriod, sessionPeriods),
 		"target":     number(&s.StrainTarget, overloadTargets),
 		"delay":      number(&s.DelayTarget, overloadDelays),
-		"drain":      number(&s.BacklogDivisor, overloadDrains),
-		"back":       number(&s.GrowthRate, overloadRecoveries),
+		"drain":      number(&s.BacklogDivisor, backlogDivisors),
+		"back":       number(&s.GrowthRate, overloadGrowthRates),
 		"collectors": count(&s.Collectors, collectorCounts),
-		"returns":    number(&o.RetryBounds.RecoveryRampRate, returnLimits),
+		"returns":    number(&o.RetryBounds.RecoveryRampRate, recoveryRampRates),
 		"repeats":    o.readRepeats,
 		"probes":     o.readProbes,
 	}.Read(node.Args())
@@ -84,12 +84,12 @@
 	b := &o.RetryBounds
 	b.RetryBudgetEnabled = true
 	return sexp.Schema{
-		"part":  number(&b.AttemptShare, retryParts),
+		"part":  number(&b.AttemptShare, attemptShares),
 		"floor": number(&b.Floor, retryFloors),
 		"span":  duration(&b.SpanMs, retrySpans),
 		"lend":  flag(&b.LendingEnabled),
 		"keep":  number(&b.Lending.OwnReserve, lendingReserves),
-		"vault": number(&b.Lending.MaxBankBalance, lendingVaults),
+		"vault": number(&b.Lending.MaxBankBalance, maxBankBalances),
 	}.Read(node.Args())
 }
 
@@ -101,7 +101,7 @@
 		"probers":  count(&p.Probers, proberCounts),
 		"each":     duration(&p.MinInterval, healthCheckIntervals),
 		"age":      duration(&p.MaxResultAge, healthCheckAges),
-		"patience": duration(&p.ProberTimeout, healthCheckPatience),
-		"shun":     duration(&p.SkipTime, shunTimes),
+		"patience": duration(&p.ProberTimeout, proberTimeouts),
+		"shun":     duration(&p.SkipTime, skipTimes),
 	}.Read(node.Args())
 }
--- a/internal/settings/zones.go
+++ b/internal/settings/zones.go
@@ -21,22 +21,22 @@
 
 var (
 	zoneCores         = numberRange{0.1, 1024} // of a server of size 1
-	zonePrices        = numberRange{0, 10}
-	zoneReserves      = numberRange{0, 0.9}
+	crossingPrices    = numberRange{0, 10}
+	spareShares       = numberRange{0, 0.9}
 	zonePeriods       = durationRange{100, 10 * second}
 	planLifetimes     = durationRange{second, 10 * minute}
 	planIntervals     = durationRange{200, minute}
-	planSteps         = numberRange{0.01, 1}
-	planMemories      = durationRange{200, 10 * minute}
+	stepShares        = numberRange{0.01, 1}
+	loadMemories      = durationRange{200, 10 * minute}
 	zoneDelays        = durationRange{0, minute}
 	minZoneRequests   = numberRange{1, 1e6}
-	zoneFailureParts  = numberRange{0.01, 1}
-	zoneRecoveryParts = numberRange{0, 1}
+	failingLossShares = numberRange{0.01, 1}
+	healthyShares     = numberRange{0, 1}
 	zoneFailureTimes  = durationRange{100, 10 * minute}
-	zoneEmptyTimes    = durationRange{0, 10 * minute}
+	evacuationTimes   = durationRange{0, 10 * minute}
 	zoneRestTimes     = durationRange{second, hour}
 	zoneMaxRestTimes  = durationRange{second, day}
-	zoneWarmupTimes   = durationRange{0, hour}
+	zoneRecoveryTimes = durationRange{0, hour}
 )
 
 func (z *Zones) read(node *sexp.Node, env func(string) string) error {
@@ -51,26 +51,26 @@
 		"order":     z.readOrder,
 		"dir":       folderPath(&z.Dir, env),
 		"cores":     number(&s.CoresPerSize, zoneCores),
-		"price":     number(&s.CrossingPrice, zonePrices),
-		"spare":     number(&planner.Plan.SpareShare, zoneReserves),
-		"tight":     number(&planner.Plan.LocalSpareShare, zoneReserves),
+		"price":     number(&s.CrossingPrice, crossingPrices),
+		"spare":     number(&planner.Plan.SpareShare, spareShares),
+		"tight":     number(&planner.Plan.LocalSpareShare, spareShares),
 		"period":    duration(&s.ReportInterval, zonePeriods),
 		"life":      duration(&s.PlanLifetime, planLifetimes),
 		"renew":     duration(&planner.RenewInterval, planIntervals),
 		"step":      duration(&planner.StepInterval, planIntervals),
-		"out":       number(&planner.OutwardShare, planSteps),
-		"back":      number(&planner.ReturnShare, planSteps),
+		"out":       number(&planner.OutwardShare, stepShares),
+		"back":      number(&planner.ReturnShare, stepShares),
 		"window":    duration(&planner.Window, planIntervals),
-		"memory":    duration(&planner.LoadMemory, planMemories),
+		"memory":    duration(&planner.LoadMemory, loadMemories),
 		"least":     number(&state.MinAttempts, minZoneRequests),
-		"fail-at":   number(&state.FailingLossShare, zoneFailureParts),
-		"well-at":   number(&state.HealthyLossShare, zoneRecoveryParts),
-		"up-at":     number(&state.MinServingShare, zoneRecoveryParts),
+		"fail-at":   number(&state.FailingLossShare, failingLossShares),
+		"well-at":   number(&state.HealthyLossShare, healthyShares),
+		"up-at":     number(&state.MinServingShare, healthyShares),
 		"fail":      duration(&state.FailureTime, zoneFailureTimes),
-		"empty":     duration(&state.EvacuationTime, zoneEmptyTimes),
+		"empty":     duration(&state.EvacuationTime, evacuationTimes),
 		"rest":      duration(&state.MinRest, zoneRestTimes),
 		"most-rest": duration(&state.MaxRest, zoneMaxRestTimes),
-		"warm":      duration(&state.RecoveryTime, zoneWarmupTimes),
+		"warm":      duration(&state.RecoveryTime, zoneRecoveryTimes),
 	}.Read(node.Args(), "delay", "order")
 	switch {
 	case err != nil:
