--- a/cmd/beechgrade/pooling.go
+++ b/cmd/beechgrade/pooling.go
@@ -19,16 +19,16 @@
 	}
 	p.poolingAddr = o.Listen
 	p.pooling = pooling.New(p.loop, p.log, pooling.Options{
-		Pools:        o.Pools,
-		ConnectMs:    p.cfg.ConnectTimeoutMs,
-		GraceMs:      clock.ToMillis(p.cfg.Settings.DrainGrace),
-		Roles:        serverRoles,
-		PositionName: positionParameter,
-		MaxMessage:   o.MaxMessageBytes,
-		MaxAnswer:    o.MaxResponseBytes,
-		Expire:       p.core.ExpireLeases,
-		Spare:        p.spareConns,
-		Scatter:      p.scatter,
+		Pools:            o.Pools,
+		ConnectMs:        p.cfg.ConnectTimeoutMs,
+		GraceMs:          clock.ToMillis(p.cfg.Settings.DrainGrace),
+		Roles:            serverRoles,
+		PositionName:     positionParameter,
+		MaxMessage:       o.MaxMessageBytes,
+		MaxAnswer:        o.MaxResponseBytes,
+		ExpireLeases:     p.core.ExpireLeases,
+		SpareDescriptors: p.spareConns,
+		Scatter:          p.scatter,
 	}, p.core, p.core)
 }
 
--- a/internal/frontend/pooling/admin.go
+++ b/internal/frontend/pooling/admin.go
@@ -108,8 +108,8 @@
 		"begun_again", "distinct_statements", "statement_bytes"}}
 	counts := &f.Counts
 	var row []string
-	for _, count := range []uint64{counts.Transactions, counts.Executed, counts.Prepared, counts.SettingsSynced, counts.Moves, counts.Cancels,
-		counts.Refused, counts.Restarts, uint64(f.statements.Len()), uint64(f.statements.Bytes())} {
+	for _, count := range []uint64{counts.Transactions, counts.Executed, counts.Prepared, counts.SettingsSynced, counts.Migrations, counts.Cancels,
+		counts.Rejected, counts.Restarts, uint64(f.statements.Len()), uint64(f.statements.Bytes())} {
 		row = append(row, strconv.FormatUint(count, 10))
 	}
 	table.rows = [][]string{row}
--- a/internal/frontend/pooling/client.go
+++ b/internal/frontend/pooling/client.go
@@ -91,7 +91,7 @@
 // Opened implements eventloop.Handler.
 func (c *client) Opened(conn *eventloop.Conn) {
 	c.conn = conn
-	if c.frontend.options.Spare() < 0 {
+	if c.frontend.options.SpareDescriptors() < 0 {
 		c.endWithError(codeTooManyClients, "too many clients")
 	}
 }
--- a/internal/frontend/pooling/commands.go
+++ b/internal/frontend/pooling/commands.go
@@ -276,7 +276,7 @@
 
 // boundIdleTime limits the time that the client may be idle in the transaction.
 func (c *client) boundIdleTime(l *link) {
-	limitMs := c.pool.options.IdleTxnMs
+	limitMs := c.pool.options.MaxIdleInTransactionMs
 	if limitMs <= 0 || len(l.expected) > 0 {
 		return
 	}
--- a/internal/frontend/pooling/dial.go
+++ b/internal/frontend/pooling/dial.go
@@ -31,18 +31,18 @@
 	l.ref = f.links.Put(l)
 	addr := f.addresses[server]
 	if addr == "" {
-		f.eventLoop.At(f.now(), l.failed)
+		f.eventLoop.At(f.now(), l.dialFailed)
 		return
 	}
-	l.timer = f.eventLoop.At(f.now()+f.options.ConnectMs, l.failed)
+	l.timer = f.eventLoop.At(f.now()+f.options.ConnectMs, l.dialFailed)
 	f.eventLoop.Dial(addr, f.options.ConnectMs, l, func(err error) {
 		f.log.Debug("pooling: connect failed", "server", server, "err", err)
-		l.failed()
+		l.dialFailed()
 	})
 }
 
-// failed removes a connection that could not be established. It does nothing for one that is ready or closed.
-func (l *link) failed() {
+// dialFailed removes a connection that could not be established. It does nothing for one that is ready or closed.
+func (l *link) dialFailed() {
 	if l.closed || l.ready {
 		return
 	}
@@ -96,7 +96,7 @@
 	case pgwire.Authentication:
 		if len(m.Body) < wordBytes || binary.BigEndian.Uint32(m.Body) != 0 {
 			l.frontend.log.Warn("pooling: server requires a password, which this pooler does not have", "server", l.serverID)
-			l.failed()
+			l.dialFailed()
 		}
 	case pgwire.ParameterStatus:
 		l.startupParameter(m)
@@ -112,7 +112,7 @@
 		l.frontend.execute(l.pool, l.pool.conns.Opened(l.id(), l.serverID, l.frontend.now()))
 	case pgwire.ErrorResponse:
 		l.frontend.log.Debug("pooling: server rejected a connection", "server", l.serverID, "code", pgwire.ErrorCode(m.Body))
-		l.failed()
+		l.dialFailed()
 	}
 }
 
--- a/internal/frontend/pooling/frontend.go
+++ b/internal/frontend/pooling/frontend.go
@@ -44,31 +44,31 @@
 
 // PoolOptions are the settings of a pool. Times are in milliseconds; 0 stands for no limit.
 type PoolOptions struct {
-	Database, User, App string // "*" for any
-	Mode                Mode
-	Class, Reads        string // of transactions, and of those known to read only; the latter is empty for Class
-	Group               int
-	Limits              connpool.Limits
-	MaxClients          int
-	TxnMs               float64 // longest transaction
-	IdleTxnMs           float64 // longest time that a client may be idle in a transaction
-	RejectSticky        bool    // in transaction mode, statements that would make a session sticky are rejected
-	Statements          int     // prepared on one connection
-	StatementBytes      int     // that they take
+	Database, User, App    string // "*" for any
+	Mode                   Mode
+	Class, ReadClass       string // of transactions, and of those known to read only; the latter is empty for Class
+	Group                  int
+	Limits                 connpool.Limits
+	MaxClients             int
+	MaxTransactionMs       float64 // longest transaction
+	MaxIdleInTransactionMs float64 // longest time that a client may be idle in a transaction
+	RejectSticky           bool    // in transaction mode, statements that would make a session sticky are rejected
+	Statements             int     // prepared on one connection
+	StatementBytes         int     // that they take
 }
 
 // Options are the settings of the frontend.
 type Options struct {
-	Pools        []PoolOptions
-	ConnectMs    float64 // connect timeout of servers
-	GraceMs      float64 // from when a server is draining, for transactions that are open there
-	Roles        [2]string
-	PositionName string
-	MaxMessage   int               // bytes, from clients
-	MaxAnswer    int               // bytes, of one message from servers
-	Spare        func() int        // descriptors left, negative if there are too many clients
-	Expire       func()            // ends leases of limits that have expired; nil for none
-	Scatter      *scatter.Frontend // reads over many groups, nil if there are none
+	Pools            []PoolOptions
+	ConnectMs        float64 // connect timeout of servers
+	GraceMs          float64 // from when a server is draining, for transactions that are open there
+	Roles            [2]string
+	PositionName     string
+	MaxMessage       int               // bytes, from clients
+	MaxAnswer        int               // bytes, of one message from servers
+	SpareDescriptors func() int        // descriptors left, negative if there are too many clients
+	ExpireLeases     func()            // ends leases of limits that have expired; nil for none
+	Scatter          *scatter.Frontend // reads over many groups, nil if there are none
 }
 
 const (
@@ -121,7 +121,7 @@
 
 // Counts are numbers of events since the start.
 type Counts struct {
-	Transactions, Prepared, Executed, SettingsSynced, Moves, Cancels, Refused, Restarts uint64
+	Transactions, Prepared, Executed, SettingsSynced, Migrations, Cancels, Rejected, Restarts uint64
 }
 
 // New returns a frontend without clients. events receives the ends of attempts.
--- a/internal/frontend/pooling/link.go
+++ b/internal/frontend/pooling/link.go
@@ -222,7 +222,7 @@
 		return
 	}
 	if l.conn == nil {
-		l.failed()
+		l.dialFailed()
 		return
 	}
 	l.conn.Close()
@@ -249,7 +249,7 @@
 		return
 	}
 	if !l.ready {
-		l.failed()
+		l.dialFailed()
 		return
 	}
 	unsent := l.conn.Unsent()
--- a/internal/frontend/pooling/pools.go
+++ b/internal/frontend/pooling/pools.go
@@ -53,8 +53,8 @@
 
 // expireLeases ends leases of limits that have expired, before a limit is used.
 func (f *Frontend) expireLeases() {
-	if f.options.Expire != nil {
-		f.options.Expire()
+	if f.options.ExpireLeases != nil {
+		f.options.ExpireLeases()
 	}
 }
 
@@ -154,14 +154,14 @@
 		return
 	}
 	if c, ok := f.clients.Get(refFrom(action.Waiter)); ok {
-		f.Counts.Refused++
+		f.Counts.Rejected++
 		f.eventLoop.At(f.now(), c.onRejected)
 	}
 }
 
 // rejectAttempt ends an attempt that got no connection: its server could not be reached, or the pool had none for it.
 func (f *Frontend) rejectAttempt(a *attempt, p *pool) {
-	f.Counts.Refused++
+	f.Counts.Rejected++
 	waitedMs := f.now() - a.transaction.submittedAt
 	waitedTooLong := p.options.Limits.MaxWaitMs > 0 && waitedMs >= p.options.Limits.MaxWaitMs
 	switch {
--- a/internal/frontend/pooling/sessionstate/client.go
+++ b/internal/frontend/pooling/sessionstate/client.go
@@ -63,11 +63,11 @@
 // Close releases the client's statements.
 func (c *Client) Close() { c.UnprepareAll() }
 
-// ErrTooMany reports that a client would exceed one of its bounds; it names what there are too many of.
-type ErrTooMany string
+// LimitError reports that a client would exceed one of its bounds; it names what there are too many of.
+type LimitError string
 
 // Error implements error.
-func (e ErrTooMany) Error() string { return "too many " + string(e) }
+func (e LimitError) Error() string { return "too many " + string(e) }
 
 // Prepare adds a statement under a client's name. exists is true if another statement has that name already; only the empty name can
 // be reused.
@@ -77,7 +77,7 @@
 		return nil, true, nil
 	}
 	if old == nil && len(c.prepared) >= MaxStatements {
-		return nil, false, ErrTooMany("prepared statements")
+		return nil, false, LimitError("prepared statements")
 	}
 	statement = c.statements.acquire(sql, types)
 	if old != nil {
--- a/internal/frontend/pooling/submit.go
+++ b/internal/frontend/pooling/submit.go
@@ -126,11 +126,11 @@
 		Session:     sessionKey(c.pid),
 		Query:       t,
 	}
-	if options.Mode == Transaction && options.Reads != "" && readsOnly(t.effects) {
-		request.Class = options.Reads
+	if options.Mode == Transaction && options.ReadClass != "" && readsOnly(t.effects) {
+		request.Class = options.ReadClass
 		request.Writes = false
 	}
-	waitMs := options.TxnMs
+	waitMs := options.MaxTransactionMs
 	if statement, err := pgwire.ParseStatement(t.sql); err == nil {
 		request.Class = statement.Class
 		request.Group = statement.Group
@@ -169,7 +169,7 @@
 		c.resume(a, l)
 		return true
 	case l.serverID != a.server:
-		c.frontend.Counts.Moves++
+		c.frontend.Counts.Migrations++
 	case l.closesAt != 0:
 	case !l.serverClosed():
 		c.resume(a, l)
@@ -240,7 +240,7 @@
 
 // boundTransactionTime limits the time of the transaction.
 func (c *client) boundTransactionTime() {
-	limitMs := c.pool.options.TxnMs
+	limitMs := c.pool.options.MaxTransactionMs
 	if limitMs <= 0 {
 		return
 	}
--- a/internal/settings/pooling.go
+++ b/internal/settings/pooling.go
@@ -39,14 +39,14 @@
 // defaultPoolOptions returns the options of a pool that sets none.
 func defaultPoolOptions() pooling.PoolOptions {
 	return pooling.PoolOptions{
-		Database:       "*",
-		User:           "*",
-		App:            "*",
-		MaxClients:     5000,
-		TxnMs:          minute,
-		IdleTxnMs:      30 * second,
-		Statements:     500,
-		StatementBytes: megabyte,
+		Database:               "*",
+		User:                   "*",
+		App:                    "*",
+		MaxClients:             5000,
+		MaxTransactionMs:       minute,
+		MaxIdleInTransactionMs: 30 * second,
+		Statements:             500,
+		StatementBytes:         megabyte,
 		Limits: connpool.Limits{
 			MaxConns:   20,
 			MaxWaiting: 5000,
@@ -177,7 +177,7 @@
 		}, "transaction", "session"),
 		"pins":                choice(func(word string) { options.RejectSticky = word == "refuse" }, "keep", "refuse"),
 		"class":               p.readClassName(&options.Class),
-		"reads":               p.readClassName(&options.Reads),
+		"reads":               p.readClassName(&options.ReadClass),
 		"group":               count(&options.Group, groupNumbers),
 		"connections":         count(&limits.MaxConns, poolConnections),
 		"per-server":          count(&limits.MaxPerServer, poolConnections),
@@ -190,8 +190,8 @@
 		"dials":               count(&limits.MaxDials, poolDials),
 		"again":               duration(&limits.RedialMs, anyDuration),
 		"clients":             count(&options.MaxClients, poolClients),
-		"transaction":         duration(&options.TxnMs, anyDuration),
-		"idle-in-transaction": duration(&options.IdleTxnMs, anyDuration),
+		"transaction":         duration(&options.MaxTransactionMs, anyDuration),
+		"idle-in-transaction": duration(&options.MaxIdleInTransactionMs, anyDuration),
 		"statements":          count(&options.Statements, statementCounts),
 		"statement-bytes":     size(&options.StatementBytes, statementByteSize),
 	}.Read(node.Args())
@@ -200,7 +200,7 @@
 		return err
 	case options.Class == "":
 		return node.Errorf("pool: (class \"NAME\"), the class of its transactions, is missing")
-	case options.Mode == pooling.Session && options.Reads != "":
+	case options.Mode == pooling.Session && options.ReadClass != "":
 		return node.Errorf("pool: (reads ...) requires (mode transaction), as with (mode session) all transactions run at the primary")
 	}
 	p.Pools = append(p.Pools, options)
@@ -243,7 +243,7 @@
 		if err := p.checkClass(pool.Class, true); err != nil {
 			return err
 		}
-		if err := p.checkClass(pool.Reads, false); err != nil {
+		if err := p.checkClass(pool.ReadClass, false); err != nil {
 			return err
 		}
 	}
